--- a/crates/facts/src/lib.rs
+++ b/crates/facts/src/lib.rs
@@ -7,7 +7,8 @@
 use serde::Deserialize;
 use std::collections::HashSet;
 
-// What may be absent is optional here, and so is what only some sites have a use for; all else is asked for by name.
+// What may be absent is optional here, and so is what only some sites have a use for; all else is
+// asked for by name.
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
@@ -138,11 +139,19 @@
 
 /// A figure that is a share, a factor or an amount: any number from 0 on.
 fn figure(value: f64, name: &str) -> Result<f64, String> {
-    if value.is_finite() && value >= 0.0 { Ok(value) } else { Err(format!("{name} is {value}")) }
+    if value.is_finite() && value >= 0.0 {
+        Ok(value)
+    } else {
+        Err(format!("{name} is {value}"))
+    }
 }
 
 fn count(value: usize, least: usize, name: &str) -> Result<usize, String> {
-    if (least..=MOST).contains(&value) { Ok(value) } else { Err(format!("{name} is {value}")) }
+    if (least..=MOST).contains(&value) {
+        Ok(value)
+    } else {
+        Err(format!("{name} is {value}"))
+    }
 }
 
 fn needed<T>(value: Option<T>, name: &str, why: &str) -> Result<T, String> {
@@ -151,7 +160,9 @@
 
 fn word<T: Copy>(value: &str, name: &str, words: &[(&str, T)]) -> Result<T, String> {
     let found = words.iter().find(|(w, _)| *w == value);
-    found.map(|(_, t)| *t).ok_or_else(|| format!("{name} is unknown: {value:?}"))
+    found
+        .map(|(_, t)| *t)
+        .ok_or_else(|| format!("{name} is unknown: {value:?}"))
 }
 
 /// Names by which requests are told apart.
@@ -177,11 +188,14 @@
     name: &str,
 ) -> Result<Vec<T>, String> {
     match values {
-        None if has_use => Err(format!("{name} is missing: there is something below to be called")),
+        None if has_use => Err(format!(
+            "{name} is missing: there is something below to be called"
+        )),
         None => Ok(vec![none; of]),
-        Some(values) if values.len() != of => {
-            Err(format!("{name} has {} values for {of} operations", values.len()))
-        }
+        Some(values) if values.len() != of => Err(format!(
+            "{name} has {} values for {of} operations",
+            values.len()
+        )),
         Some(values) => Ok(values),
     }
 }
@@ -195,8 +209,19 @@
             path => format!("{path}: {}", e.inner()),
         })?;
     read.end().map_err(|e| e.to_string())?;
-    let Facts { ceilings, extra, rules, services, tenants, .. } = facts;
-    let belows = [("none", Below::Nothing), ("one_for_all", Below::Shared), ("tier", Below::Tier)];
+    let Facts {
+        ceilings,
+        extra,
+        rules,
+        services,
+        tenants,
+        ..
+    } = facts;
+    let belows = [
+        ("none", Below::Nothing),
+        ("one_for_all", Below::Shared),
+        ("tier", Below::Tier),
+    ];
     let below = word(&extra.below, "Extra.Below", &belows)?;
     if services.is_empty() {
         return Err("Services is empty".into());
@@ -205,8 +230,20 @@
     distinct(services.iter().map(|s| s.name.as_str()), "Services")?;
     distinct(tenants.iter().map(|t| t.name.as_str()), "Tenants")?;
     let calls = below != Below::Nothing;
-    let class_calls = for_each(extra.class_calls, calls, services.len(), false, "Extra.ClassCalls")?;
-    let degraded = for_each(extra.degraded_worth, calls, services.len(), 0.0, "Extra.DegradedWorth")?;
+    let class_calls = for_each(
+        extra.class_calls,
+        calls,
+        services.len(),
+        false,
+        "Extra.ClassCalls",
+    )?;
+    let degraded = for_each(
+        extra.degraded_worth,
+        calls,
+        services.len(),
+        0.0,
+        "Extra.DegradedWorth",
+    )?;
     let effects = [
         ("read_like", Effect::Idempotent),
         ("idempotency_key", Effect::Tokened),
@@ -219,13 +256,17 @@
         let window = match effect {
             Effect::Tokened => {
                 let why = "its repeats are known for so long";
-                positive(needed(s.dedup_window, &at("DedupWindow"), why)?, &at("DedupWindow"))?
+                positive(
+                    needed(s.dedup_window, &at("DedupWindow"), why)?,
+                    &at("DedupWindow"),
+                )?
             }
             _ => nanos(s.dedup_window.unwrap_or(0.0), &at("DedupWindow"))?,
         };
         operations.push(Operation {
             effect,
-            latency_objective: positive(s.aim, &at("Aim"))?.min(positive(s.deadline, &at("Deadline"))?),
+            latency_objective: positive(s.aim, &at("Aim"))?
+                .min(positive(s.deadline, &at("Deadline"))?),
             objective_stretch: figure(s.aim_stretch, &at("AimStretch"))?,
             client_timeout: positive(s.deadline, &at("Deadline"))?,
             repeat_window: window,
@@ -241,7 +282,11 @@
         ("allowance", Advert::Credit),
         ("weight", Advert::Weight),
     ];
-    let halts = [("none", Halt::No), ("discard", Halt::Discard), ("freeze", Halt::Freeze)];
+    let halts = [
+        ("none", Halt::No),
+        ("discard", Halt::Discard),
+        ("freeze", Halt::Freeze),
+    ];
     let shared = |value: Option<f64>, name: &str| match (below, value) {
         (Below::Shared, None) => Err(format!("{name} is missing: all nodes share what is below")),
         (_, value) => figure(value.unwrap_or(0.0), name),
@@ -268,16 +313,27 @@
         longest_idle: nanos(extra.idle, "Extra.Idle")?,
         below,
         call_share: shared(extra.fair_calls, "Extra.FairCalls")?,
-        call_span: nanos(shared(extra.calls_over, "Extra.CallsOver")?, "Extra.CallsOver")?,
+        call_span: nanos(
+            shared(extra.calls_over, "Extra.CallsOver")?,
+            "Extra.CallsOver",
+        )?,
         call_linger: nanos(shared(extra.linger, "Extra.Linger")?, "Extra.Linger")?,
         halt: word(&extra.halt, "Extra.Halt", &halts)?,
         advert: word(&extra.advert, "Extra.Advert", &adverts)?,
         answer_fresh: nanos(extra.fresh, "Extra.Fresh")?,
-        longest_pause: if ceilings.retry_after { longest_pause } else { 0 },
+        longest_pause: if ceilings.retry_after {
+            longest_pause
+        } else {
+            0
+        },
         billed_by_work: word(&facts.worth_by, "WorthBy", &by)?,
         over_share_value: figure(facts.over_share_worth, "OverShareWorth")?,
         operations,
-        tenants: tenants.iter().enumerate().map(tenant).collect::<Result<_, _>>()?,
+        tenants: tenants
+            .iter()
+            .enumerate()
+            .map(tenant)
+            .collect::<Result<_, _>>()?,
     };
     Ok(Start {
         premises,
--- a/crates/facts/src/tests.rs
+++ b/crates/facts/src/tests.rs
@@ -40,7 +40,10 @@
             fields(value, &format!("{path}/{name}"), into);
         }),
         Value::Array(values) => {
-            values.iter().enumerate().for_each(|(i, value)| fields(value, &format!("{path}/{i}"), into));
+            values
+                .iter()
+                .enumerate()
+                .for_each(|(i, value)| fields(value, &format!("{path}/{i}"), into));
         }
         _ => {}
     }
@@ -66,11 +69,29 @@
     let start = read(&whole()).unwrap();
     assert_eq!(start.operations, ["gun-sorgu", "gun-yaz", "öde"]);
     assert_eq!(start.tenants, ["acme", "b ü/%&"]);
-    let Premises { operations, call_share, call_linger, longest_pause, .. } = start.premises;
-    assert_eq!((call_share, call_linger, longest_pause), (1.5, 200_000_000, 1_000_000_000));
-    assert_eq!((operations[1].effect, operations[1].repeat_window), (Effect::Tokened, 5_000_000_000));
-    assert_eq!((operations[2].effect, operations[2].calls_below), (Effect::NonIdempotent, false));
-    assert_eq!((operations[0].objective_stretch, operations[0].late_share), (0.5, 0.2));
+    let Premises {
+        operations,
+        call_share,
+        call_linger,
+        longest_pause,
+        ..
+    } = start.premises;
+    assert_eq!(
+        (call_share, call_linger, longest_pause),
+        (1.5, 200_000_000, 1_000_000_000)
+    );
+    assert_eq!(
+        (operations[1].effect, operations[1].repeat_window),
+        (Effect::Tokened, 5_000_000_000)
+    );
+    assert_eq!(
+        (operations[2].effect, operations[2].calls_below),
+        (Effect::NonIdempotent, false)
+    );
+    assert_eq!(
+        (operations[0].objective_stretch, operations[0].late_share),
+        (0.5, 0.2)
+    );
 }
 
 #[test]
@@ -80,13 +101,18 @@
     for path in paths {
         let mut settings = whole();
         let (parent, name) = path.rsplit_once('/').unwrap();
-        let Some(Value::Object(map)) = settings.pointer_mut(parent) else { panic!("{path}") };
+        let Some(Value::Object(map)) = settings.pointer_mut(parent) else {
+            panic!("{path}")
+        };
         map.remove(name);
         let read = read(&settings);
         // A window of what is no tokened operation means nothing.
         let means_nothing = name == "DedupWindow" && !parent.ends_with("/1");
         match read {
-            Ok(_) => assert!(may_be_absent(name) || means_nothing, "{path} was not asked for"),
+            Ok(_) => assert!(
+                may_be_absent(name) || means_nothing,
+                "{path} was not asked for"
+            ),
             Err(e) => assert!(e.contains(name) && !may_be_absent(name), "{path}: {e}"),
         }
     }
@@ -98,8 +124,22 @@
     fields(&whole(), "", &mut paths);
     for path in paths {
         let name = path.rsplit_once('/').unwrap().1;
-        let has_no_use = ["AnswerSlack", "Fall", "Fraction", "CpuUsPerRequest", "CpuUsPerS"].contains(&name);
-        for wrong in [json!({"a": 1}), json!("novel"), json!([[1]]), json!(null), json!(-1.5), json!(true)] {
+        let has_no_use = [
+            "AnswerSlack",
+            "Fall",
+            "Fraction",
+            "CpuUsPerRequest",
+            "CpuUsPerS",
+        ]
+        .contains(&name);
+        for wrong in [
+            json!({"a": 1}),
+            json!("novel"),
+            json!([[1]]),
+            json!(null),
+            json!(-1.5),
+            json!(true),
+        ] {
             let mut settings = whole();
             let place = settings.pointer_mut(&path).unwrap();
             if *place == wrong || has_no_use {
@@ -128,14 +168,34 @@
 fn what_can_not_be_worked_with_is_refused_with_its_name() {
     for (path, wrong, named) in [
         ("/Services", json!([]), "Services is empty"),
-        ("/Services/1/Name", json!("gun-sorgu"), "Services[1].Name stands twice"),
+        (
+            "/Services/1/Name",
+            json!("gun-sorgu"),
+            "Services[1].Name stands twice",
+        ),
         ("/Services/0/Name", json!(""), "Services[0].Name is empty"),
-        ("/Tenants/1/Name", json!("acme"), "Tenants[1].Name stands twice"),
-        ("/Services/1/DedupWindow", json!(0), "Services[1].DedupWindow"),
+        (
+            "/Tenants/1/Name",
+            json!("acme"),
+            "Tenants[1].Name stands twice",
+        ),
+        (
+            "/Services/1/DedupWindow",
+            json!(0),
+            "Services[1].DedupWindow",
+        ),
         ("/Services/0/Deadline", json!(0.0), "Services[0].Deadline"),
         ("/Services/0/Aim", json!(1e300), "Services[0].Aim"),
-        ("/Extra/ClassCalls", json!([true]), "Extra.ClassCalls has 1 values for 3 operations"),
-        ("/Extra/DegradedWorth", json!([0.1, 0.2, 0.3, 0.4]), "Extra.DegradedWorth has 4"),
+        (
+            "/Extra/ClassCalls",
+            json!([true]),
+            "Extra.ClassCalls has 1 values for 3 operations",
+        ),
+        (
+            "/Extra/DegradedWorth",
+            json!([0.1, 0.2, 0.3, 0.4]),
+            "Extra.DegradedWorth has 4",
+        ),
         ("/Extra/Cores", json!(0), "Extra.Cores is 0"),
         ("/Extra/Cores", json!(4_000_000_000u64), "Extra.Cores"),
         ("/Extra/Below", json!("both"), "Extra.Below is unknown"),
@@ -143,7 +203,9 @@
     ] {
         let mut settings = whole();
         *settings.pointer_mut(path).unwrap() = wrong;
-        let e = read(&settings).err().unwrap_or_else(|| panic!("{path} was taken"));
+        let e = read(&settings)
+            .err()
+            .unwrap_or_else(|| panic!("{path} was taken"));
         assert!(e.contains(named), "{path}: {e}");
     }
     assert!(decode(b"{\"Extra\":").is_err() && decode(b"").is_err() && decode(b"[] x").is_err());
@@ -180,7 +242,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Any field, or several, as anything or gone: the settings are taken and can be worked with, or one of them is named.
+    /// Any field, or several, as anything or gone: the settings are taken and can be worked with,
+    /// or one of them is named.
     #[test]
     fn settings_are_taken_or_refused_by_name(changes in prop::collection::vec((any::<prop::sample::Index>(), prop::option::of(any_value())), 1..4)) {
         let mut settings = whole();
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,9 +1,12 @@
-//! A node's part in the fleet: a method for each thing that happens, acting through a small [`Host`].
+//! A node's part in the fleet: a method for each thing that happens, acting through a small
+//! [`Host`].
 
 use crate::gossip::Gossip;
 use crate::health::Health;
 use crate::history::{Happened, History, Kind};
-use crate::member::{Details, Epoch, Key, Life, Odd, Part, Phase, Pulse, Standing, Status, refutes};
+use crate::member::{
+    Details, Epoch, Key, Life, Odd, Part, Phase, Pulse, Standing, Status, refutes,
+};
 use crate::probe::Round;
 use crate::reconcile::{self, Differences};
 use crate::seal::{Dropped, Gate, Keys, MESSAGE_MAX, Seal};
@@ -35,13 +38,14 @@
     fn sight(&mut self, sight: &Sight);
     /// A parcel of another package came from a member, whose process this is.
     fn parcel(&mut self, _from: Key, _life: Life, _topic: u32, _parcel: &[u8]) {}
-    /// Somebody who has the key asks what another package holds, from a place in it on: a page of that and the place of the next
-    /// one, 0 after the last. None if there is nothing, or not yet: then it will be asked again.
+    /// Somebody who has the key asks what another package holds, from a place in it on: a page of
+    /// that and the place of the next one, 0 after the last. None if there is nothing, or not yet:
+    /// then it will be asked again.
     fn show(&mut self, _topic: u32, _from: u64) -> Option<(Vec<u8>, u64)> {
         None
     }
-    /// Somebody who has the key and is no member wants something done by another package; answered by [`Fleet::ordered`]. It may
-    /// come again.
+    /// Somebody who has the key and is no member wants something done by another package; answered
+    /// by [`Fleet::ordered`]. It may come again.
     fn order(&mut self, _from: SocketAddr, _no: u32, _topic: u32, _order: &[u8]) {}
     /// The view has changed; told always, for those who measure.
     fn changed(&mut self, _kind: Kind, _key: Key) {}
@@ -65,7 +69,8 @@
     pub answer: Nanos,
     /// Between two rounds of news.
     pub gossip: Nanos,
-    /// The least time that a suspect has, in periods, times the decimal logarithm of the fleet's size.
+    /// The least time that a suspect has, in periods, times the decimal logarithm of the fleet's
+    /// size.
     pub suspicion: f64,
     /// The most, as a multiple of the least.
     pub suspicion_most: f64,
@@ -107,7 +112,12 @@
 
 impl Default for Extensions {
     fn default() -> Extensions {
-        Extensions { health: true, confirm: true, reconcile: true, regain: true }
+        Extensions {
+            health: true,
+            confirm: true,
+            reconcile: true,
+            regain: true,
+        }
     }
 }
 
@@ -132,8 +142,8 @@
     pub extensions: Extensions,
 }
 
-/// A probe goes out so often before helpers are asked; all but the first only where no answer came. At a loss of 30 % one
-/// alone fails half the time.
+/// A probe goes out so often before helpers are asked; all but the first only where no answer came.
+/// At a loss of 30 % one alone fails half the time.
 const AGAIN: u64 = 3;
 /// Helpers that are asked to probe.
 const HELPERS: usize = 3;
@@ -152,7 +162,8 @@
 /// Bytes a second, and at once, for comparing views, and for spreading news.
 const COMPARE: (f64, f64) = (64e3, 256e3);
 const SPREAD: (f64, f64) = (16e3, 32e3);
-/// Between two comparisons begun by this node; and for how long views that differ are worth more rounds.
+/// Between two comparisons begun by this node; and for how long views that differ are worth more
+/// rounds.
 const COMPARE_GAP: Nanos = 200 * MILLISECOND;
 const UNSETTLED: Nanos = 2 * SECOND;
 /// Small news is given so long to arrive by itself before views are compared.
@@ -160,7 +171,8 @@
 /// How often the seeds are tried: alone, and in company.
 const SEEK_ALONE: Nanos = SECOND;
 const SEEK: Nanos = 10 * SECOND;
-/// Seeds tried at once while alone, and addresses that are kept beside the seeds when all is begun anew.
+/// Seeds tried at once while alone, and addresses that are kept beside the seeds when all is begun
+/// anew.
 const SEEK_AT_ONCE: usize = 3;
 const CONTACTS: usize = 32;
 /// The dead are probed more seldom after these times: once in so many turns.
@@ -171,12 +183,14 @@
 /// How often what decisions see is looked at, and the gone are tidied up.
 const LOOK: Nanos = 250 * MILLISECOND;
 const TIDY: Nanos = 5 * SECOND;
-/// A wake that is so late shows that the node stood still; after a sleep so long its view is worth nothing.
+/// A wake that is so late shows that the node stood still; after a sleep so long its view is worth
+/// nothing.
 const STOOD_STILL: Nanos = 500 * MILLISECOND;
 const LONG_SLEEP: Nanos = 300 * SECOND;
 /// After that it hears nothing for so long: what waited in its socket is as old.
 const DEAF: Nanos = 200 * MILLISECOND;
-/// Tries to hear whether another life that has this node's name is there, and between two looks at it later.
+/// Tries to hear whether another life that has this node's name is there, and between two looks at
+/// it later.
 const CONTEST_TRIES: u32 = 5;
 const MUTE_LOOK: Nanos = 2 * SECOND;
 const MUTE_TRIES: u32 = 6;
@@ -187,7 +201,8 @@
     no: u32,
     target: Key,
     life: Life,
-    /// When it is asked again, in case the one before was lost on its way, or the way was cut then and is not now.
+    /// When it is asked again, in case the one before was lost on its way, or the way was cut then
+    /// and is not now.
     again_at: Nanos,
     /// When helpers are asked, if they have not been.
     ask_at: Option<Nanos>,
@@ -207,8 +222,8 @@
     due: Nanos,
 }
 
-/// Another life has this node's name, and a later birth. Either it is there, and holds the name; or it is this node's own
-/// past, remembered with a clock that was ahead.
+/// Another life has this node's name, and a later birth. Either it is there, and holds the name; or
+/// it is this node's own past, remembered with a clock that was ahead.
 #[derive(Debug)]
 struct Contest {
     holder: News,
@@ -229,7 +244,12 @@
 
 impl Bucket {
     fn new((rate, most): (f64, f64), now: Nanos) -> Bucket {
-        Bucket { rate, most, left: most, filled: now }
+        Bucket {
+            rate,
+            most,
+            left: most,
+            filled: now,
+        }
     }
 
     /// Whether there is anything left; what is taken may overdraw it once.
@@ -355,7 +375,13 @@
         let me = Key::of(&settings.name);
         let life = Life(rng.random::<u64>() >> 1 | 1);
         let most = settings.bytes / ENTRY_USUAL + 16;
-        let seal = Seal::new(&settings.fleet, settings.keys.clone(), life, settings.periods.skew, 2 * most);
+        let seal = Seal::new(
+            &settings.fleet,
+            settings.keys.clone(),
+            life,
+            settings.periods.skew,
+            2 * most,
+        );
         let now = at.now;
         // Nodes that start together do nothing at the same moment.
         let mut soon = |period: Nanos| now + rng.random_range(0..period.max(1));
@@ -373,7 +399,10 @@
             settings,
             rng,
             me,
-            epoch: Epoch { birth: at.unix_ms, life },
+            epoch: Epoch {
+                birth: at.unix_ms,
+                life,
+            },
             bump: 0,
             revision: 0,
             phase: Phase::Cold,
@@ -435,12 +464,18 @@
     fn details(&self, parts: Vec<Part>) -> Result<Details, Odd> {
         let s = &self.settings;
         let wire = (wire::WIRE_LEAST, wire::WIRE);
-        Details::new(s.address, &s.zone, self.phase, &s.program, wire, s.settings, parts)
+        Details::new(
+            s.address, &s.zone, self.phase, &s.program, wire, s.settings, parts,
+        )
     }
 
     fn own_news(&self) -> Result<News, Odd> {
         let details = self.details(self.parts.clone())?;
-        let status = if self.leaving { Status::Left } else { Status::Alive };
+        let status = if self.leaving {
+            Status::Left
+        } else {
+            Status::Alive
+        };
         Ok(News {
             key: self.me.0,
             birth: self.epoch.birth,
@@ -499,10 +534,15 @@
 
     /// Its room and load, each of 255. They spread without a promise.
     pub fn set_pulse(&mut self, room: u8, load: u8) {
-        self.pulse = Pulse { no: self.pulse.no.wrapping_add(1), room, load };
+        self.pulse = Pulse {
+            no: self.pulse.no.wrapping_add(1),
+            room,
+            load,
+        };
     }
 
-    /// Hangs something on its entry, in the place of what had this number before; refused if the entry grows too large.
+    /// Hangs something on its entry, in the place of what had this number before; refused if the
+    /// entry grows too large.
     pub fn set_part(&mut self, at: Moment, part: Part) -> Result<(), Odd> {
         self.noticed(at);
         let mut parts = self.parts.clone();
@@ -527,10 +567,15 @@
     pub fn reset(&mut self, at: Moment, keys: Keys, seeds: Vec<SocketAddr>, periods: Periods) {
         self.noticed(at);
         self.seal.rekey(keys.clone());
-        (self.settings.keys, self.settings.seeds, self.settings.periods) = (keys, seeds, periods);
+        (
+            self.settings.keys,
+            self.settings.seeds,
+            self.settings.periods,
+        ) = (keys, seeds, periods);
     }
 
-    /// The node goes: some hear it at once and pass it on. To be called again a moment later, in case that was lost.
+    /// The node goes: some hear it at once and pass it on. To be called again a moment later, in
+    /// case that was lost.
     pub fn leave(&mut self, at: Moment) {
         self.noticed(at);
         if self.is_mute() {
@@ -586,8 +631,16 @@
 
     fn happened(&mut self, at: Moment, kind: Kind, key: Key, more: String) {
         self.host.changed(kind, key);
-        let name = self.view.get(key).map_or_else(|| Arc::from("?"), |entry| Arc::clone(&entry.name));
-        let happened = Happened { unix_ms: at.unix_ms, kind, name, more };
+        let name = self
+            .view
+            .get(key)
+            .map_or_else(|| Arc::from("?"), |entry| Arc::clone(&entry.name));
+        let happened = Happened {
+            unix_ms: at.unix_ms,
+            kind,
+            name,
+            more,
+        };
         if let Some(line) = self.history.push(at.now, happened) {
             self.host.log(kind.word(), &line);
         }
@@ -598,18 +651,29 @@
     /// When it wants to be woken.
     pub fn next(&self) -> Nanos {
         let t = &self.timers;
-        let mut next = [t.probe, t.gossip, t.regain, t.seek, t.look, t.tidy].into_iter().min().unwrap_or(0);
+        let mut next = [t.probe, t.gossip, t.regain, t.seek, t.look, t.tidy]
+            .into_iter()
+            .min()
+            .unwrap_or(0);
         if let Some(flight) = &self.flight {
-            next = next.min(flight.ask_at.unwrap_or(flight.due)).min(flight.again_at);
+            next = next
+                .min(flight.ask_at.unwrap_or(flight.due))
+                .min(flight.again_at);
         }
         if let Some(contest) = &self.contest {
             next = next.min(contest.next);
         }
-        let errands = self.errands.values().map(|errand| errand.due.min(errand.again_at)).min();
-        next.min(self.suspicions.next(self.call_time()).unwrap_or(next)).min(errands.unwrap_or(next))
+        let errands = self
+            .errands
+            .values()
+            .map(|errand| errand.due.min(errand.again_at))
+            .min();
+        next.min(self.suspicions.next(self.call_time()).unwrap_or(next))
+            .min(errands.unwrap_or(next))
     }
 
-    /// A node that wakes late has heard nothing meanwhile: that speaks against itself and against nobody else.
+    /// A node that wakes late has heard nothing meanwhile: that speaks against itself and against
+    /// nobody else.
     fn noticed(&mut self, at: Moment) {
         let late = at.now.saturating_sub(self.promised);
         self.promised = self.next().max(at.now); // what is due from before does not show another sleep
@@ -622,16 +686,24 @@
         self.count("times it stood still", 1);
         self.suspicions.put_off(late);
         (self.flight, self.errands) = (None, BTreeMap::new());
-        self.happened(at, Kind::StoodStill, self.me, format!("for {} ms", late / MILLISECOND));
+        self.happened(
+            at,
+            Kind::StoodStill,
+            self.me,
+            format!("for {} ms", late / MILLISECOND),
+        );
         if late >= LONG_SLEEP.min(self.settings.periods.remember / 2) {
             self.begin_anew(at);
         }
     }
 
-    /// Forgets whom it knew, and keeps where some of them were. What it remembers is so old that others have forgotten
-    /// who died meanwhile: told to them, the dead would seem to live.
+    /// Forgets whom it knew, and keeps where some of them were. What it remembers is so old that
+    /// others have forgotten who died meanwhile: told to them, the dead would seem to live.
     fn begin_anew(&mut self, at: Moment) {
-        let present = self.view.iter().filter(|(key, e)| *key != self.me && e.status().is_present());
+        let present = self
+            .view
+            .iter()
+            .filter(|(key, e)| *key != self.me && e.status().is_present());
         let mut contacts: Vec<SocketAddr> = present.map(|(_, e)| e.details.address).collect();
         contacts.shuffle(&mut self.rng);
         contacts.truncate(CONTACTS);
@@ -675,7 +747,11 @@
         if now >= self.timers.seek {
             self.seek(at);
         }
-        if self.contest.as_ref().is_some_and(|contest| now >= contest.next) {
+        if self
+            .contest
+            .as_ref()
+            .is_some_and(|contest| now >= contest.next)
+        {
             self.contest_due(at);
         }
         if now >= self.timers.look {
@@ -694,7 +770,13 @@
 
     fn look(&mut self, at: Moment) {
         let zone: Arc<str> = self.settings.zone.as_str().into();
-        let sight = self.sizer.look(at.now, &self.view, &zone, self.health.doubt(), self.is_mute());
+        let sight = self.sizer.look(
+            at.now,
+            &self.view,
+            &zone,
+            self.health.doubt(),
+            self.is_mute(),
+        );
         match (self.sight.unsure_since, sight.unsure_since) {
             (None, Some(_)) => {
                 let more = format!(
@@ -730,7 +812,11 @@
                 self.contacts.clear();
             }
             None if !company => self.alone = Some(at.now),
-            Some(since) if !self.told_alone && !self.places().is_empty() && at.now >= since + 10 * SECOND => {
+            Some(since)
+                if !self.told_alone
+                    && !self.places().is_empty()
+                    && at.now >= since + 10 * SECOND =>
+            {
                 self.told_alone = true;
                 self.happened(at, Kind::Alone, self.me, "no seed answers".into());
             }
@@ -749,7 +835,8 @@
 }
 
 impl<H: Host> Fleet<H> {
-    /// Takes over what another view holds, for simulated fleets that begin as if they had run for long.
+    /// Takes over what another view holds, for simulated fleets that begin as if they had run for
+    /// long.
     pub fn acquaint(&mut self, at: Moment, all: &[News]) {
         for news in all.iter().filter(|news| news.key != self.me.0) {
             if let Merged::Changed(change) = self.view.merge(at.now, news)
@@ -769,6 +856,8 @@
 
     /// The standing of a member here.
     pub fn standing(&self, key: Key) -> Option<(Epoch, Standing)> {
-        self.view.get(key).map(|entry| (entry.epoch, entry.standing))
+        self.view
+            .get(key)
+            .map(|entry| (entry.epoch, entry.standing))
     }
 }
--- a/crates/fleet/src/fleet/incoming.rs
+++ b/crates/fleet/src/fleet/incoming.rs
@@ -16,7 +16,9 @@
             Ok(opened) => opened,
             Err(why) => return self.dropped(why),
         };
-        let Ok(datagram) = Datagram::decode(message) else { return self.dropped(Dropped::Unreadable) };
+        let Ok(datagram) = Datagram::decode(message) else {
+            return self.dropped(Dropped::Unreadable);
+        };
         self.gate.proved(from);
         if life == self.epoch.life {
             return self.count("datagrams of its own", 1);
@@ -31,7 +33,11 @@
 
     pub(super) fn take(&mut self, at: Moment, from: SocketAddr, life: Life, datagram: &Datagram) {
         let sender = Key(datagram.from);
-        if self.contest.as_ref().is_some_and(|contest| contest.holder.life == life.0) {
+        if self
+            .contest
+            .as_ref()
+            .is_some_and(|contest| contest.holder.life == life.0)
+        {
             self.holder_heard(at);
         }
         let mut back = Differences::default();
@@ -45,8 +51,13 @@
             kind::ACK => self.acked(at, sender, life, datagram),
             kind::ASK => self.asked(at, sender, datagram),
             kind::NACK => {
-                let flight = self.flight.as_mut().filter(|flight| flight.no == datagram.no);
-                flight.into_iter().for_each(|flight| flight.spoke = (flight.spoke + 1).min(flight.helpers));
+                let flight = self
+                    .flight
+                    .as_mut()
+                    .filter(|flight| flight.no == datagram.no);
+                flight
+                    .into_iter()
+                    .for_each(|flight| flight.spoke = (flight.spoke + 1).min(flight.helpers));
             }
             kind::GOSSIP => {}
             kind::SUMMARY => self.summary(at, to, datagram),
@@ -56,66 +67,95 @@
                 back.whole.extend(found.whole);
                 back.wants.extend(found.wants);
             }
-            kind::ENTRIES => back.whole.extend(datagram.wants.iter().map(|key| Key(*key))),
+            kind::ENTRIES => back
+                .whole
+                .extend(datagram.wants.iter().map(|key| Key(*key))),
             kind::SHOW => self.show(at, from, datagram),
             kind::PAGE | kind::ORDERED => {}
-            kind::ORDER => self.host.order(from, datagram.no, datagram.topic, &datagram.parcel),
+            kind::ORDER => self
+                .host
+                .order(from, datagram.no, datagram.topic, &datagram.parcel),
             // Only from one that is known by its own word: whoever answers needs to know whom.
-            kind::PARCEL => match self.view.get(sender).filter(|entry| entry.epoch.life == life) {
-                Some(_) => self.host.parcel(sender, life, datagram.topic, &datagram.parcel),
+            kind::PARCEL => match self
+                .view
+                .get(sender)
+                .filter(|entry| entry.epoch.life == life)
+            {
+                Some(_) => self
+                    .host
+                    .parcel(sender, life, datagram.topic, &datagram.parcel),
                 None => self.count("parcels of one that is not known", 1),
             },
             _ => self.count("datagrams of a kind that is not known", 1),
         }
         let compares = matches!(datagram.kind, kind::HEADERS | kind::ENTRIES);
         if !compares {
-            // A word that is out of date costs an answer only where views are compared, or where it is the sender's own.
+            // A word that is out of date costs an answer only where views are compared, or where it
+            // is the sender's own.
             back.brief.retain(|key| *key == sender || *key == self.me);
         }
         back.brief.sort_unstable();
         back.brief.dedup();
         self.send_entries(at, to, &back);
-        if sender == Key::NOBODY || !matches!(datagram.kind, kind::PING | kind::ACK | kind::GOSSIP) {
+        if sender == Key::NOBODY || !matches!(datagram.kind, kind::PING | kind::ACK | kind::GOSSIP)
+        {
             return;
         }
         if datagram.digest != self.view.digest() {
             self.differs(at, sender);
         } else if self.gossip.len() > NEWS_FIT {
-            // So much news came at once, and one met by chance knows it all: what is left is found by digests. Suspicion
-            // alone stands in no digest.
+            // So much news came at once, and one met by chance knows it all: what is left is found
+            // by digests. Suspicion alone stands in no digest.
             let Fleet { gossip, view, .. } = self;
-            gossip.retain(|key| view.get(key).is_some_and(|entry| entry.status() == Status::Suspect));
+            gossip.retain(|key| {
+                view.get(key)
+                    .is_some_and(|entry| entry.status() == Status::Suspect)
+            });
         }
-        // One that is suspected and speaks hears of it at once, whatever it speaks of; to a probe the answer tells it.
-        let accused = self.accused(sender).filter(|news| news.life == life.0 && datagram.kind != kind::PING);
+        // One that is suspected and speaks hears of it at once, whatever it speaks of; to a probe
+        // the answer tells it.
+        let accused = self
+            .accused(sender)
+            .filter(|news| news.life == life.0 && datagram.kind != kind::PING);
         if let Some(accused) = accused {
             self.send_to(at, sender, kind::GOSSIP, 0, Key::NOBODY, vec![accused]);
         }
     }
 
-    /// Replies go where the sender says that it is reached; to one that no view holds, where its datagram came from.
+    /// Replies go where the sender says that it is reached; to one that no view holds, where its
+    /// datagram came from.
     pub(super) fn reply_to(&self, sender: Key, life: Life, from: SocketAddr) -> SocketAddr {
-        let known = self.view.get(sender).filter(|entry| entry.epoch.life == life);
+        let known = self
+            .view
+            .get(sender)
+            .filter(|entry| entry.epoch.life == life);
         known.map_or(from, |entry| entry.details.address)
     }
 
     /// The sender's view is another one. News that is under way needs no help.
     pub(super) fn differs(&mut self, at: Moment, sender: Key) {
         self.unsettled_until = at.now + UNSETTLED;
-        let under_way =
-            !self.gossip.is_empty() && self.gossip.len() <= NEWS_FIT && at.now < self.changed + UNDER_WAY;
+        let under_way = !self.gossip.is_empty()
+            && self.gossip.len() <= NEWS_FIT
+            && at.now < self.changed + UNDER_WAY;
         if !under_way {
             self.compare(at, sender);
         }
     }
 
-    pub(super) fn pinged(&mut self, at: Moment, to: SocketAddr, datagram: &Datagram, back: &mut Differences) {
+    pub(super) fn pinged(
+        &mut self,
+        at: Moment,
+        to: SocketAddr,
+        datagram: &Datagram,
+        back: &mut Differences,
+    ) {
         let target = Key(datagram.target);
         if self.is_mute() || target != self.me && target != Key::NOBODY {
             return self.count("probes for another name", 1);
         }
-        // Who asks without knowing whom hears all; the others only how it stands. A sender that is held for suspect or
-        // dead hears that too.
+        // Who asks without knowing whom hears all; the others only how it stands. A sender that is
+        // held for suspect or dead hears that too.
         let mut news: Vec<News> = self.own(target == Key::NOBODY).into_iter().collect();
         news.extend(self.accused(Key(datagram.from)));
         back.brief.retain(|key| *key != self.me);
@@ -132,15 +172,25 @@
 
     pub(super) fn acked(&mut self, at: Moment, sender: Key, life: Life, datagram: &Datagram) {
         let target = Key(datagram.target);
-        if let Some(errand) = self.errands.get(&datagram.no).filter(|e| e.target == target && e.life == life)
+        if let Some(errand) = self
+            .errands
+            .get(&datagram.no)
+            .filter(|e| e.target == target && e.life == life)
         {
             let (origin, no) = (errand.origin, errand.origin_no);
             self.errands.remove(&datagram.no);
-            let news = self.view.get(target).map(|entry| entry.brief(target)).into_iter().collect();
+            let news = self
+                .view
+                .get(target)
+                .map(|entry| entry.brief(target))
+                .into_iter()
+                .collect();
             return self.send_to(at, origin, kind::ACK, no, target, news);
         }
-        let flight =
-            self.flight.as_ref().filter(|flight| flight.no == datagram.no && flight.target == target);
+        let flight = self
+            .flight
+            .as_ref()
+            .filter(|flight| flight.no == datagram.no && flight.target == target);
         let Some(flight) = flight else { return };
         // From the one that was asked, or from a helper, who looks at the life itself.
         if sender != target || life == flight.life {
@@ -153,14 +203,26 @@
 
     pub(super) fn asked(&mut self, at: Moment, origin: Key, datagram: &Datagram) {
         let target = Key(datagram.target);
-        let Some(life) = self.view.get(target).map(|entry| entry.epoch.life) else { return };
+        let Some(life) = self.view.get(target).map(|entry| entry.epoch.life) else {
+            return;
+        };
         if self.errands.len() >= ERRANDS || self.is_mute() || target == self.me {
             return self.count("errands beyond their number", 1);
         }
         self.no = self.no.wrapping_add(1);
         let answer = self.settings.periods.answer;
         let (no, again_at, due) = (self.no, at.now + answer / 2, at.now + answer);
-        self.errands.insert(no, Errand { origin, origin_no: datagram.no, target, life, again_at, due });
+        self.errands.insert(
+            no,
+            Errand {
+                origin,
+                origin_no: datagram.no,
+                target,
+                life,
+                again_at,
+                due,
+            },
+        );
         self.ping(at, target, no);
     }
 
@@ -171,10 +233,14 @@
             let finer = reconcile::finer(&self.view, summary, first);
             let mut summaries = finer.summaries.into_iter().peekable();
             while summaries.peek().is_some() && self.comparing.open(at.now) {
-                let mut pack = Pack::new(Datagram { from, kind: kind::SUMMARY, ..Datagram::default() });
-                while let Some(next) = summaries
-                    .next_if(|next| pack.datagram.summaries.len() < 4 && pack.fits(field(next.encoded_len())))
-                {
+                let mut pack = Pack::new(Datagram {
+                    from,
+                    kind: kind::SUMMARY,
+                    ..Datagram::default()
+                });
+                while let Some(next) = summaries.next_if(|next| {
+                    pack.datagram.summaries.len() < 4 && pack.fits(field(next.encoded_len()))
+                }) {
                     pack.size += field(next.encoded_len());
                     pack.datagram.summaries.push(next);
                 }
@@ -187,14 +253,20 @@
 
     pub(super) fn send_headers(&mut self, at: Moment, to: SocketAddr, covered: Vec<wire::Range>) {
         let from = self.from();
-        let mut covered = covered.into_iter().map(|range| (range, reconcile::headers(&self.view, &range)));
+        let mut covered = covered
+            .into_iter()
+            .map(|range| (range, reconcile::headers(&self.view, &range)));
         let mut next = covered.next();
         let mut packs = Vec::new();
         while next.is_some() {
-            let mut pack = Pack::new(Datagram { from, kind: kind::HEADERS, ..Datagram::default() });
+            let mut pack = Pack::new(Datagram {
+                from,
+                kind: kind::HEADERS,
+                ..Datagram::default()
+            });
             while let Some((range, news)) = next.take() {
-                let bytes =
-                    field(range.encoded_len()) + news.iter().map(|n| field(n.encoded_len())).sum::<usize>();
+                let bytes = field(range.encoded_len())
+                    + news.iter().map(|n| field(n.encoded_len())).sum::<usize>();
                 if !pack.fits(bytes) {
                     next = Some((range, news));
                     break;
@@ -224,7 +296,15 @@
             if tag == (self.me.0 >> 32) as u32 {
                 continue;
             }
-            let heard = self.view.pulse(at.now, tag, Pulse { no, room: pulse[6], load: pulse[7] });
+            let heard = self.view.pulse(
+                at.now,
+                tag,
+                Pulse {
+                    no,
+                    room: pulse[6],
+                    load: pulse[7],
+                },
+            );
             if let Some(key) = heard {
                 self.recent.retain(|other| *other != key);
                 self.recent.push(key);
@@ -237,7 +317,8 @@
 
     // ---- Shown to people ----
 
-    /// Somebody who has the key asks what this node holds: first how it stands, then its view in pages.
+    /// Somebody who has the key asks what this node holds: first how it stands, then its view in
+    /// pages.
     pub(super) fn show(&mut self, at: Moment, to: SocketAddr, datagram: &Datagram) {
         let mut pack = Pack::new(Datagram {
             from: self.from(),
@@ -246,11 +327,17 @@
             ..Datagram::default()
         });
         if datagram.topic != 0 {
-            let Some((page, next)) = self.host.show(datagram.topic, datagram.cursor) else { return };
+            let Some((page, next)) = self.host.show(datagram.topic, datagram.cursor) else {
+                return;
+            };
             if page.len() > wire::PARCEL_MAX {
                 return self.count("pages that are too large", 1);
             }
-            (pack.datagram.topic, pack.datagram.parcel, pack.datagram.cursor) = (datagram.topic, page, next);
+            (
+                pack.datagram.topic,
+                pack.datagram.parcel,
+                pack.datagram.cursor,
+            ) = (datagram.topic, page, next);
             self.send(at, to, pack.datagram);
             return;
         }
@@ -264,9 +351,15 @@
                     break;
                 }
                 pack.news(entry.full(key));
-                let pulse = if key == self.me { self.pulse } else { entry.pulse };
+                let pulse = if key == self.me {
+                    self.pulse
+                } else {
+                    entry.pulse
+                };
                 pack.size += PULSE;
-                pack.datagram.pulses.extend(((key.0 >> 32) as u32).to_be_bytes());
+                pack.datagram
+                    .pulses
+                    .extend(((key.0 >> 32) as u32).to_be_bytes());
                 pack.datagram.pulses.extend(pulse.no.to_be_bytes());
                 pack.datagram.pulses.extend([pulse.room, pulse.load]);
             }
@@ -280,7 +373,18 @@
             return self.count("answers to orders that are too large", 1);
         }
         let (from, kind, parcel) = (self.from(), kind::ORDERED, answer.to_vec());
-        self.send(at, to, Datagram { from, kind, no, topic, parcel, ..Datagram::default() });
+        self.send(
+            at,
+            to,
+            Datagram {
+                from,
+                kind,
+                no,
+                topic,
+                parcel,
+                ..Datagram::default()
+            },
+        );
     }
 
     pub(super) fn report(&self, at: Moment) -> Report {
@@ -302,7 +406,10 @@
         };
         let most = MESSAGE_MAX - 100;
         for (what, times) in &self.counts {
-            report.counts.push(wire::Count { what: (*what).to_owned(), times: *times });
+            report.counts.push(wire::Count {
+                what: (*what).to_owned(),
+                times: *times,
+            });
             if report.encoded_len() > most * 2 / 3 {
                 report.counts.pop();
                 break;
@@ -310,7 +417,10 @@
         }
         for happened in self.history.latest().take(16) {
             let line = happened.to_string();
-            report.changes.push(wire::Happened { unix_ms: happened.unix_ms, line });
+            report.changes.push(wire::Happened {
+                unix_ms: happened.unix_ms,
+                line,
+            });
             if report.encoded_len() > most {
                 report.changes.pop();
                 break;
--- a/crates/fleet/src/fleet/news.rs
+++ b/crates/fleet/src/fleet/news.rs
@@ -19,7 +19,10 @@
         if let Some(kind) = change.kind() {
             let more = match (kind, self.view.get(key)) {
                 (Kind::Joined | Kind::Moved | Kind::Replaced, Some(entry)) => {
-                    format!("at {} in zone '{}'", entry.details.address, entry.details.zone)
+                    format!(
+                        "at {} in zone '{}'",
+                        entry.details.address, entry.details.zone
+                    )
                 }
                 (Kind::Phase, Some(entry)) => entry.details.phase.word().to_owned(),
                 _ => more.to_owned(),
@@ -28,7 +31,8 @@
         }
     }
 
-    /// Something was said of a member. Gives what to say back: entries that are wanted, and those of which more is known.
+    /// Something was said of a member. Gives what to say back: entries that are wanted, and those
+    /// of which more is known.
     pub(super) fn heard(&mut self, at: Moment, sender: Key, news: &News, back: &mut Differences) {
         let key = Key(news.key);
         if key == self.me && (news.life == self.epoch.life.0 || self.contests(news)) {
@@ -51,7 +55,10 @@
     /// A suspicion that is told names who has it.
     pub(super) fn confirmed(&mut self, at: Moment, sender: Key, news: &News) {
         let key = Key(news.key);
-        let suspect = self.view.get(key).is_some_and(|entry| entry.status() == Status::Suspect);
+        let suspect = self
+            .view
+            .get(key)
+            .is_some_and(|entry| entry.status() == Status::Suspect);
         if suspect && news.status == Status::Suspect.number() {
             let by = if news.by == 0 { sender } else { Key(news.by) };
             self.suspect(at, key, by);
@@ -60,7 +67,10 @@
 
     /// Whether this is about another life that has this node's name, and holds over it.
     pub(super) fn contests(&self, news: &News) -> bool {
-        let theirs = Epoch { birth: news.birth, life: Life(news.life) };
+        let theirs = Epoch {
+            birth: news.birth,
+            life: Life(news.life),
+        };
         !self.is_mute() && theirs > self.epoch && news.life != self.epoch.life.0
     }
 
@@ -68,11 +78,25 @@
     pub(super) fn heard_of_self(&mut self, at: Moment, news: &News, back: &mut Differences) {
         let status = Status::from_number(news.status).unwrap_or_default();
         if news.life == self.epoch.life.0 {
-            let own =
-                Standing { bump: self.bump, status: if self.leaving { Status::Left } else { Status::Alive } };
-            let heard = Standing { bump: news.bump, status };
-            // What was said of it under an earlier birth of the same life is out of date, whatever it says.
-            let refutes = if news.birth == self.epoch.birth { refutes(own, heard) } else { None };
+            let own = Standing {
+                bump: self.bump,
+                status: if self.leaving {
+                    Status::Left
+                } else {
+                    Status::Alive
+                },
+            };
+            let heard = Standing {
+                bump: news.bump,
+                status,
+            };
+            // What was said of it under an earlier birth of the same life is out of date, whatever
+            // it says.
+            let refutes = if news.birth == self.epoch.birth {
+                refutes(own, heard)
+            } else {
+                None
+            };
             match refutes {
                 _ if self.is_mute() => {}
                 Some(bump) => {
@@ -101,10 +125,19 @@
                 self.outlive(at, news.birth, "a past of its own");
             }
             Some(details) => {
-                let is_known = self.contest.as_ref().is_some_and(|c| c.holder.life == news.life);
+                let is_known = self
+                    .contest
+                    .as_ref()
+                    .is_some_and(|c| c.holder.life == news.life);
                 if !is_known {
                     let (holder, address) = (news.clone(), details.address);
-                    self.contest = Some(Contest { holder, address, tries: 0, next: at.now, mute: false });
+                    self.contest = Some(Contest {
+                        holder,
+                        address,
+                        tries: 0,
+                        next: at.now,
+                        mute: false,
+                    });
                 }
             }
         }
@@ -136,7 +169,9 @@
 
     /// The other life was heard, so that it is there: it came later, and has the name.
     pub(super) fn holder_heard(&mut self, at: Moment) {
-        let Some(contest) = &mut self.contest else { return };
+        let Some(contest) = &mut self.contest else {
+            return;
+        };
         contest.tries = 0;
         if contest.mute {
             return;
@@ -156,19 +191,38 @@
     }
 
     pub(super) fn contest_due(&mut self, at: Moment) {
-        let Some(contest) = &mut self.contest else { return };
+        let Some(contest) = &mut self.contest else {
+            return;
+        };
         contest.tries += 1;
-        let (tries, mute, address, birth) =
-            (contest.tries, contest.mute, contest.address, contest.holder.birth);
-        contest.next = at.now + if mute { MUTE_LOOK } else { self.settings.periods.answer };
+        let (tries, mute, address, birth) = (
+            contest.tries,
+            contest.mute,
+            contest.address,
+            contest.holder.birth,
+        );
+        contest.next = at.now
+            + if mute {
+                MUTE_LOOK
+            } else {
+                self.settings.periods.answer
+            };
         if tries > if mute { MUTE_TRIES } else { CONTEST_TRIES } {
             return self.outlive(at, birth, "what had its name does not answer");
         }
         let from = if mute { Key::NOBODY } else { self.me };
-        let ping = Datagram { from: from.0, kind: kind::PING, target: self.me.0, ..Datagram::default() };
+        let ping = Datagram {
+            from: from.0,
+            kind: kind::PING,
+            target: self.me.0,
+            ..Datagram::default()
+        };
         self.send(at, address, ping);
         if mute {
-            let gone = self.view.get(self.me).is_none_or(|entry| !entry.status().is_present());
+            let gone = self
+                .view
+                .get(self.me)
+                .is_none_or(|entry| !entry.status().is_present());
             if gone {
                 return self.outlive(at, birth, "what had its name is gone");
             }
--- a/crates/fleet/src/fleet/probes.rs
+++ b/crates/fleet/src/fleet/probes.rs
@@ -13,7 +13,11 @@
     }
 
     pub(super) fn factor(&self) -> u64 {
-        if self.settings.extensions.health { self.health.factor() } else { 1 }
+        if self.settings.extensions.health {
+            self.health.factor()
+        } else {
+            1
+        }
     }
 
     /// Asks the next member whether it is there. The one before has had its time.
@@ -28,17 +32,32 @@
         }
         let (view, me) = (&self.view, self.me);
         let there = |key: Key| key != me && view.get(key).is_some_and(|e| e.status().is_present());
-        let Some(target) = self.round.next(&mut self.rng, there) else { return };
+        let Some(target) = self.round.next(&mut self.rng, there) else {
+            return;
+        };
         self.no = self.no.wrapping_add(1);
-        let life = self.view.get(target).map_or(Life(0), |entry| entry.epoch.life);
+        let life = self
+            .view
+            .get(target)
+            .map_or(Life(0), |entry| entry.epoch.life);
         let answer = self.answer_time();
         let (ask_at, again_at) = (Some(at.now + answer), at.now + answer / AGAIN);
         let (no, due) = (self.no, at.now + period);
-        self.flight = Some(Flight { no, target, life, again_at, ask_at, due, helpers: 0, spoke: 0 });
+        self.flight = Some(Flight {
+            no,
+            target,
+            life,
+            again_at,
+            ask_at,
+            due,
+            helpers: 0,
+            spoke: 0,
+        });
         self.ping(at, target, no);
     }
 
-    /// A probe tells who asks, and what is held of the one that is asked, so that a suspect hears it at once.
+    /// A probe tells who asks, and what is held of the one that is asked, so that a suspect hears
+    /// it at once.
     pub(super) fn ping(&mut self, at: Moment, target: Key, no: u32) {
         let mut news: Vec<News> = self.own(true).into_iter().collect();
         if self.settings.extensions.confirm {
@@ -49,8 +68,14 @@
 
     /// What is held against a member.
     pub(super) fn accused(&self, key: Key) -> Option<News> {
-        let entry = self.view.get(key).filter(|entry| entry.status() != Status::Alive)?;
-        Some(News { by: self.me.0, ..entry.brief(key) })
+        let entry = self
+            .view
+            .get(key)
+            .filter(|entry| entry.status() != Status::Alive)?;
+        Some(News {
+            by: self.me.0,
+            ..entry.brief(key)
+        })
     }
 
     pub(super) fn own(&self, full: bool) -> Option<News> {
@@ -58,12 +83,18 @@
             return None;
         }
         let entry = self.view.get(self.me)?;
-        Some(if full { entry.full(self.me) } else { entry.brief(self.me) })
+        Some(if full {
+            entry.full(self.me)
+        } else {
+            entry.brief(self.me)
+        })
     }
 
     pub(super) fn flight_due(&mut self, at: Moment) {
         let answer = self.answer_time();
-        let Some(flight) = &mut self.flight else { return };
+        let Some(flight) = &mut self.flight else {
+            return;
+        };
         if at.now >= flight.due {
             if let Some(flight) = self.flight.take() {
                 self.unanswered(at, &flight);
@@ -76,25 +107,51 @@
                 flight.helpers = helpers.len() as u32;
             }
             for helper in helpers {
-                self.send_to(at, helper, kind::ASK, no, target, self.accused(target).into_iter().collect());
+                self.send_to(
+                    at,
+                    helper,
+                    kind::ASK,
+                    no,
+                    target,
+                    self.accused(target).into_iter().collect(),
+                );
             }
         } else if at.now >= flight.again_at {
             let (no, target) = (flight.no, flight.target);
-            flight.again_at = at.now + if flight.ask_at.is_some() { answer / AGAIN } else { answer };
+            flight.again_at = at.now
+                + if flight.ask_at.is_some() {
+                    answer / AGAIN
+                } else {
+                    answer
+                };
             self.ping(at, target, no);
         }
     }
 
     /// Errands: asked again once, given up at their end.
     pub(super) fn errands_due(&mut self, at: Moment) {
-        let late: Vec<u32> =
-            self.errands.iter().filter(|(_, e)| e.due <= at.now).map(|(no, _)| *no).collect();
+        let late: Vec<u32> = self
+            .errands
+            .iter()
+            .filter(|(_, e)| e.due <= at.now)
+            .map(|(no, _)| *no)
+            .collect();
         for no in late {
             if let Some(errand) = self.errands.remove(&no) {
-                self.send_to(at, errand.origin, kind::NACK, errand.origin_no, errand.target, Vec::new());
+                self.send_to(
+                    at,
+                    errand.origin,
+                    kind::NACK,
+                    errand.origin_no,
+                    errand.target,
+                    Vec::new(),
+                );
             }
         }
-        let again = self.errands.iter_mut().filter(|(_, errand)| errand.again_at <= at.now);
+        let again = self
+            .errands
+            .iter_mut()
+            .filter(|(_, errand)| errand.again_at <= at.now);
         let again: Vec<(u32, Key)> = again
             .map(|(no, errand)| {
                 errand.again_at = errand.due;
@@ -106,18 +163,24 @@
         }
     }
 
-    /// Who is to ask instead: one of the target's own zone if there is one, for the way there may be the trouble; the
-    /// others by chance.
+    /// Who is to ask instead: one of the target's own zone if there is one, for the way there may
+    /// be the trouble; the others by chance.
     pub(super) fn helpers(&mut self, target: Key) -> Vec<Key> {
         let (view, me) = (&self.view, self.me);
         let there = |key: Key| {
-            key != me && key != target && view.get(key).is_some_and(|entry| entry.status() == Status::Alive)
+            key != me
+                && key != target
+                && view
+                    .get(key)
+                    .is_some_and(|entry| entry.status() == Status::Alive)
         };
         let mut helpers = self.round.some(&mut self.rng, HELPERS, there);
         let zone = view.get(target).map(|entry| &entry.details.zone);
         let is_near = |key: &Key| view.get(*key).map(|entry| &entry.details.zone) == zone;
         if !helpers.iter().any(is_near) {
-            let near = self.round.some(&mut self.rng, 1, |key| there(key) && is_near(&key));
+            let near = self
+                .round
+                .some(&mut self.rng, 1, |key| there(key) && is_near(&key));
             if let Some(near) = near.first() {
                 helpers.truncate(HELPERS - 1);
                 helpers.push(*near);
@@ -127,13 +190,17 @@
     }
 
     pub(super) fn unanswered(&mut self, at: Moment, flight: &Flight) {
-        let there = self.view.get(flight.target).filter(|entry| entry.status().is_present());
+        let there = self
+            .view
+            .get(flight.target)
+            .filter(|entry| entry.status().is_present());
         if there.is_none_or(|entry| entry.epoch.life != flight.life) {
             return; // gone, or another process, meanwhile
         }
         self.count("probes without an answer", 1);
         if self.settings.extensions.health {
-            self.health.unanswered(flight.helpers, flight.helpers.saturating_sub(flight.spoke));
+            self.health
+                .unanswered(flight.helpers, flight.helpers.saturating_sub(flight.spoke));
         }
         self.suspect(at, flight.target, self.me);
     }
@@ -154,7 +221,11 @@
         let is_new = self.suspicions.suspect(at.now, key, by, wait);
         match self.view.set(at.now, key, Status::Suspect) {
             Some(change) => {
-                let more = if by == self.me { "does not answer" } else { "by word of another" };
+                let more = if by == self.me {
+                    "does not answer"
+                } else {
+                    "by word of another"
+                };
                 self.reacted(at, key, &change, more);
             }
             // One more who suspects it is worth telling: it shortens the wait of the others.
--- a/crates/fleet/src/fleet/spread.rs
+++ b/crates/fleet/src/fleet/spread.rs
@@ -1,4 +1,5 @@
-//! Spreading: news in rounds, views that are compared, the dead and the seeds tried again; and all that is sent.
+//! Spreading: news in rounds, views that are compared, the dead and the seeds tried again; and all
+//! that is sent.
 
 use super::*;
 
@@ -29,15 +30,21 @@
         }
     }
 
-    /// Looks for one of the dead. If it is there it says so, and then views are compared: so two halves of a healed
-    /// partition find each other.
+    /// Looks for one of the dead. If it is there it says so, and then views are compared: so two
+    /// halves of a healed partition find each other.
     pub(super) fn regain(&mut self, at: Moment) {
         self.regains += 1;
-        if !self.settings.extensions.regain || self.is_mute() || self.leaving || self.view.counts().dead == 0
+        if !self.settings.extensions.regain
+            || self.is_mute()
+            || self.leaving
+            || self.view.counts().dead == 0
         {
             return;
         }
-        let dead = self.view.iter().filter(|(_, entry)| entry.status() == Status::Dead);
+        let dead = self
+            .view
+            .iter()
+            .filter(|(_, entry)| entry.status() == Status::Dead);
         let (now, regains) = (at.now, self.regains);
         let due = |since: Nanos| {
             let age = now.saturating_sub(since);
@@ -47,7 +54,10 @@
                 .find(|(after, _)| age >= *after)
                 .is_none_or(|(_, turns)| regains % turns == 0)
         };
-        let mut dead: Vec<Key> = dead.filter(|(_, entry)| due(entry.since)).map(|(key, _)| key).collect();
+        let mut dead: Vec<Key> = dead
+            .filter(|(_, entry)| due(entry.since))
+            .map(|(key, _)| key)
+            .collect();
         // The more are dead the more are tried: it is not likely that so many died by themselves.
         let tries = (1 + dead.len() / REGAIN_MORE).min(REGAIN_MOST);
         dead.shuffle(&mut self.rng);
@@ -55,9 +65,11 @@
         for key in &dead {
             self.ping(at, *key, 0);
         }
-        let Some(key) = dead.first().copied() else { return };
-        // Digests are of those who are present. That it left and did not die is known to some perhaps: one is told what is
-        // held here, and answers if it knows more.
+        let Some(key) = dead.first().copied() else {
+            return;
+        };
+        // Digests are of those who are present. That it left and did not die is known to some
+        // perhaps: one is told what is held here, and answers if it knows more.
         if let (Some(other), Some(entry)) = (self.others(1).first().copied(), self.view.get(key)) {
             let news = vec![entry.brief(key)];
             self.send_to(at, other, kind::ENTRIES, 0, Key::NOBODY, news);
@@ -66,7 +78,8 @@
 
     pub(super) fn places(&self) -> Vec<SocketAddr> {
         let all = self.settings.seeds.iter().chain(&self.contacts).copied();
-        all.filter(|place| *place != self.settings.address).collect()
+        all.filter(|place| *place != self.settings.address)
+            .collect()
     }
 
     /// Tries the seeds: often while alone, else now and then those where nobody is known to be.
@@ -78,14 +91,25 @@
         }
         let mut places = self.places();
         if !alone {
-            let known = self.view.iter().filter(|(_, entry)| entry.status().is_present());
+            let known = self
+                .view
+                .iter()
+                .filter(|(_, entry)| entry.status().is_present());
             let known: Vec<SocketAddr> = known.map(|(_, entry)| entry.details.address).collect();
             places.retain(|place| !known.contains(place));
         }
         places.shuffle(&mut self.rng);
-        for place in places.into_iter().take(if alone { SEEK_AT_ONCE } else { 1 }) {
+        for place in places
+            .into_iter()
+            .take(if alone { SEEK_AT_ONCE } else { 1 })
+        {
             let news = self.own(true).into_iter().collect();
-            let ping = Datagram { from: self.me.0, kind: kind::PING, news, ..Datagram::default() };
+            let ping = Datagram {
+                from: self.me.0,
+                kind: kind::PING,
+                news,
+                ..Datagram::default()
+            };
             self.send(at, place, ping);
         }
     }
@@ -99,10 +123,17 @@
             return;
         }
         self.compared = at.now;
-        let Some(to) = self.view.get(with).map(|entry| entry.details.address) else { return };
+        let Some(to) = self.view.get(with).map(|entry| entry.details.address) else {
+            return;
+        };
         let summaries = vec![reconcile::summary(&self.view)];
         self.count("comparisons begun", 1);
-        let datagram = Datagram { from: self.from(), kind: kind::SUMMARY, summaries, ..Datagram::default() };
+        let datagram = Datagram {
+            from: self.from(),
+            kind: kind::SUMMARY,
+            summaries,
+            ..Datagram::default()
+        };
         let bytes = self.send(at, to, datagram);
         self.comparing.spend(bytes);
     }
@@ -113,24 +144,49 @@
 
     // ---- Sending ----
 
-    pub(super) fn send_to(&mut self, at: Moment, to: Key, kind: u32, no: u32, target: Key, news: Vec<News>) {
+    pub(super) fn send_to(
+        &mut self,
+        at: Moment,
+        to: Key,
+        kind: u32,
+        no: u32,
+        target: Key,
+        news: Vec<News>,
+    ) {
         if let Some(address) = self.view.get(to).map(|entry| entry.details.address) {
-            let datagram =
-                Datagram { from: self.from(), kind, no, target: target.0, news, ..Datagram::default() };
+            let datagram = Datagram {
+                from: self.from(),
+                kind,
+                no,
+                target: target.0,
+                news,
+                ..Datagram::default()
+            };
             self.send(at, address, datagram);
         }
     }
 
-    /// Sends a parcel of another package to a member, once; it may be lost, come late or be overtaken, but it does not come
-    /// twice. False if it is too large, or there is no such member.
+    /// Sends a parcel of another package to a member, once; it may be lost, come late or be
+    /// overtaken, but it does not come twice. False if it is too large, or there is no such member.
     pub fn send_parcel(&mut self, at: Moment, to: Key, topic: u32, parcel: &[u8]) -> bool {
-        let there = self.view.get(to).filter(|entry| entry.status().is_present()).map(|e| e.details.address);
-        let (Some(address), false) = (there, self.is_mute() || parcel.len() > wire::PARCEL_MAX) else {
+        let there = self
+            .view
+            .get(to)
+            .filter(|entry| entry.status().is_present())
+            .map(|e| e.details.address);
+        let (Some(address), false) = (there, self.is_mute() || parcel.len() > wire::PARCEL_MAX)
+        else {
             self.count("parcels that could not be sent", 1);
             return false;
         };
         let parcel = parcel.to_vec();
-        let datagram = Datagram { from: self.me.0, kind: kind::PARCEL, topic, parcel, ..Datagram::default() };
+        let datagram = Datagram {
+            from: self.me.0,
+            kind: kind::PARCEL,
+            topic,
+            parcel,
+            ..Datagram::default()
+        };
         self.send(at, address, datagram) > 0
     }
 
@@ -143,13 +199,27 @@
         let spreads = matches!(pack.datagram.kind, kind::PING | kind::ACK | kind::GOSSIP);
         if spreads && !self.is_mute() && self.spreading.open(at.now) {
             let before = pack.size;
-            let Fleet { gossip, view, suspicions, .. } = self;
+            let Fleet {
+                gossip,
+                view,
+                suspicions,
+                ..
+            } = self;
             gossip.take(view.counts().present(), |key| {
-                let Some(entry) = view.get(key) else { return true };
+                let Some(entry) = view.get(key) else {
+                    return true;
+                };
                 // Standing alone is enough for most; who lacks the rest asks for it.
                 let told = entry.epoch.birth > 0 && entry.standing.status == Status::Alive;
-                let news = if told { entry.full(key) } else { entry.brief(key) };
-                pack.news(News { by: suspicions.latest(key).unwrap_or_default().0, ..news })
+                let news = if told {
+                    entry.full(key)
+                } else {
+                    entry.brief(key)
+                };
+                pack.news(News {
+                    by: suspicions.latest(key).unwrap_or_default().0,
+                    ..news
+                })
             });
             self.spreading.spend(pack.size - before);
         }
@@ -161,7 +231,11 @@
             message = wire::later(message);
         }
         if message.len() > MESSAGE_MAX {
-            debug_assert!(false, "a datagram of kind {} has its bound", pack.datagram.kind);
+            debug_assert!(
+                false,
+                "a datagram of kind {} has its bound",
+                pack.datagram.kind
+            );
             self.count("invariant: datagrams beyond their bound", 1);
             return 0;
         }
@@ -169,7 +243,15 @@
         self.host.send(to, &frame);
         if wire::LATER && pack.datagram.kind == kind::GOSSIP {
             let from = pack.datagram.from;
-            self.send(at, to, Datagram { from, kind: wire::LATER_KIND, ..Datagram::default() });
+            self.send(
+                at,
+                to,
+                Datagram {
+                    from,
+                    kind: wire::LATER_KIND,
+                    ..Datagram::default()
+                },
+            );
         }
         frame.len()
     }
@@ -198,7 +280,15 @@
         let mut news: Vec<News> = Vec::new();
         let entries = |keys: &[Key], view: &View, full: bool| -> Vec<News> {
             let known = keys.iter().filter_map(|key| Some((*key, view.get(*key)?)));
-            known.map(|(key, entry)| if full { entry.full(key) } else { entry.brief(key) }).collect()
+            known
+                .map(|(key, entry)| {
+                    if full {
+                        entry.full(key)
+                    } else {
+                        entry.brief(key)
+                    }
+                })
+                .collect()
         };
         news.extend(entries(&differences.brief, &self.view, false));
         news.extend(entries(&differences.whole, &self.view, true));
@@ -209,11 +299,21 @@
         let mut news = news.into_iter().peekable();
         let mut wants = wants.chunks(WANTS);
         loop {
-            let wants = wants.next().unwrap_or_default().iter().map(|key| key.0).collect::<Vec<_>>();
+            let wants = wants
+                .next()
+                .unwrap_or_default()
+                .iter()
+                .map(|key| key.0)
+                .collect::<Vec<_>>();
             if news.peek().is_none() && wants.is_empty() || !self.comparing.open(at.now) {
                 return;
             }
-            let mut pack = Pack::new(Datagram { from, kind: kind::ENTRIES, wants, ..Datagram::default() });
+            let mut pack = Pack::new(Datagram {
+                from,
+                kind: kind::ENTRIES,
+                wants,
+                ..Datagram::default()
+            });
             while let Some(next) = news.next_if(|next| pack.fits(field(next.encoded_len()))) {
                 pack.news(next);
             }
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -1,4 +1,5 @@
-//! News that still has to be spread: each piece goes out so many times, those that went out least first.
+//! News that still has to be spread: each piece goes out so many times, those that went out least
+//! first.
 
 use crate::member::Key;
 use std::collections::{BTreeSet, HashMap};
@@ -38,7 +39,12 @@
 
     /// Nothing is to be spread any more of those for whom this does not hold.
     pub fn retain(&mut self, mut holds: impl FnMut(Key) -> bool) {
-        let gone: Vec<Key> = self.places.keys().copied().filter(|key| !holds(*key)).collect();
+        let gone: Vec<Key> = self
+            .places
+            .keys()
+            .copied()
+            .filter(|key| !holds(*key))
+            .collect();
         gone.into_iter().for_each(|key| self.drop_news(key));
     }
 
@@ -50,7 +56,8 @@
         self.queue.is_empty()
     }
 
-    /// Hands out members of whom news goes into a datagram, as long as `fits` takes them; each counts as sent.
+    /// Hands out members of whom news goes into a datagram, as long as `fits` takes them; each
+    /// counts as sent.
     pub fn take(&mut self, members: usize, mut fits: impl FnMut(Key) -> bool) {
         let most = copies(members);
         let mut sent = Vec::new();
@@ -92,9 +99,15 @@
                 fits
             });
             let (least, most) = (sent.values().min(), sent.values().max());
-            assert!(sent.len() < 6 || most.unwrap() - least.unwrap() <= 1, "{sent:?}");
+            assert!(
+                sent.len() < 6 || most.unwrap() - least.unwrap() <= 1,
+                "{sent:?}"
+            );
         }
-        assert!(sent.values().all(|times| *times == copies(99)) && sent.len() == 6, "{sent:?}");
+        assert!(
+            sent.values().all(|times| *times == copies(99)) && sent.len() == 6,
+            "{sent:?}"
+        );
     }
 
     #[test]
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -1,5 +1,6 @@
-//! A node's doubt of itself, after Lifeguard: a node that is slow or cut off would suspect all others. Each sign that the
-//! fault is its own makes it wait longer for answers and ask less often, before it says anything of others.
+//! A node's doubt of itself, after Lifeguard: a node that is slow or cut off would suspect all
+//! others. Each sign that the fault is its own makes it wait longer for answers and ask less often,
+//! before it says anything of others.
 
 /// The most doubt; waits grow by one more than this at most.
 const MOST: u32 = 8;
@@ -25,8 +26,8 @@
         self.doubt = self.doubt.saturating_sub(1);
     }
 
-    /// Nobody answered a probe, not even helpers that they asked: one more for each helper that was silent, one less if
-    /// all spoke, for then it is the other that is gone.
+    /// Nobody answered a probe, not even helpers that they asked: one more for each helper that was
+    /// silent, one less if all spoke, for then it is the other that is gone.
     pub fn unanswered(&mut self, helpers: u32, silent: u32) {
         let worse = if helpers == 0 { 1 } else { silent };
         self.doubt = (self.doubt + worse).min(MOST);
--- a/crates/fleet/src/history.rs
+++ b/crates/fleet/src/history.rs
@@ -1,4 +1,5 @@
-//! What changed in the view: a bounded history, and the lines of the log, of which a burst becomes one.
+//! What changed in the view: a bounded history, and the lines of the log, of which a burst becomes
+//! one.
 
 use crate::{Nanos, SECOND};
 use std::collections::{BTreeMap, VecDeque};
@@ -75,7 +76,11 @@
 impl fmt::Display for Happened {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}", self.name, self.kind.word())?;
-        if self.more.is_empty() { Ok(()) } else { write!(f, ", {}", self.more) }
+        if self.more.is_empty() {
+            Ok(())
+        } else {
+            write!(f, ", {}", self.more)
+        }
     }
 }
 
@@ -98,7 +103,10 @@
         self.told += 1;
         let line = (self.told <= LINES).then(|| happened.to_string());
         if line.is_none() {
-            self.untold.entry(happened.kind).or_insert((0, Arc::clone(&happened.name))).0 += 1;
+            self.untold
+                .entry(happened.kind)
+                .or_insert((0, Arc::clone(&happened.name)))
+                .0 += 1;
         }
         if self.kept.len() >= KEPT {
             self.kept.pop_front();
@@ -113,8 +121,9 @@
             return None;
         }
         let untold = std::mem::take(&mut self.untold).into_iter();
-        let parts: Vec<String> =
-            untold.map(|(kind, (n, first))| format!("{n} more {} (first {first})", kind.word())).collect();
+        let parts: Vec<String> = untold
+            .map(|(kind, (n, first))| format!("{n} more {} (first {first})", kind.word()))
+            .collect();
         Some(parts.join(", "))
     }
 
@@ -131,15 +140,29 @@
     #[test]
     fn a_burst_becomes_one_line_and_the_history_is_bounded() {
         let mut history = History::default();
-        let change =
-            |n: usize, kind| Happened { unix_ms: 0, kind, name: format!("n{n}").into(), more: String::new() };
-        let lines: Vec<String> =
-            (0..300).filter_map(|n| history.push(SECOND, change(n, Kind::Dead))).collect();
+        let change = |n: usize, kind| Happened {
+            unix_ms: 0,
+            kind,
+            name: format!("n{n}").into(),
+            more: String::new(),
+        };
+        let lines: Vec<String> = (0..300)
+            .filter_map(|n| history.push(SECOND, change(n, Kind::Dead)))
+            .collect();
         assert_eq!((lines.len(), &lines[0][..]), (LINES, "n0 dead"));
         assert_eq!(history.rest(SECOND), None);
-        assert_eq!(history.rest(2 * SECOND).unwrap(), "292 more dead (first n8)");
+        assert_eq!(
+            history.rest(2 * SECOND).unwrap(),
+            "292 more dead (first n8)"
+        );
         assert_eq!(history.rest(3 * SECOND), None);
-        assert_eq!((history.latest().count(), &history.latest().next().unwrap().name[..]), (KEPT, "n299"));
+        assert_eq!(
+            (
+                history.latest().count(),
+                &history.latest().next().unwrap().name[..]
+            ),
+            (KEPT, "n299")
+        );
         assert!(history.push(4 * SECOND, change(1, Kind::Back)).is_some());
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,11 @@
-//! The view that the nodes of a fleet keep of it among themselves: who is there, in which zone and phase, running what,
-//! with what room. No I/O: it is fed datagrams and the time, says what to send and when to wake, and draws chance from a
-//! seed. After SWIM, with Lifeguard's local health, dynamic suspicion and buddies; the views are made equal by comparing
-//! digests of ranges, and the dead are probed again, so that the halves of a healed partition find each other.
+//! The view that the nodes of a fleet keep of it among themselves: who is there, in which zone and
+//! phase, running what, with what room. No I/O: it is fed datagrams and the time, says what to send
+//! and when to wake, and draws chance from a seed. After SWIM, with Lifeguard's local health,
+//! dynamic suspicion and buddies; the views are made equal by comparing digests of ranges, and the
+//! dead are probed again, so that the halves of a healed partition find each other.
 //!
-//! `docs/design/fleet.md` weighs the ways and gives the format byte by byte; `docs/operators/fleet.md` is for operators.
+//! `docs/design/fleet.md` weighs the ways and gives the format byte by byte;
+//! `docs/operators/fleet.md` is for operators.
 
 #![forbid(unsafe_code)]
 
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,9 +1,10 @@
 //! What is known of one member, and which of two things said of it holds.
 //!
-//! Of a name, the later life holds (by the time of its start, then by its number); within a life, standing and details
-//! are two values that only grow: the standing by bump and then by status, the details by their revision. Only the member
-//! itself raises its bump or its revision. So all that is said of it may come in any order, twice or late, and whoever
-//! has heard the same holds the same.
+//! Of a name, the later life holds (by the time of its start, then by its number); within a life,
+//! standing and details are two values that only grow: the standing by bump and then by status, the
+//! details by their revision. Only the member itself raises its bump or its revision. So all that
+//! is said of it may come in any order, twice or late, and whoever has heard the same holds the
+//! same.
 
 use crate::wire::{self, Hung, News, Told};
 use prost::Message;
@@ -30,7 +31,8 @@
     hasher.finish()
 }
 
-/// A member's name, hashed. Two names that share one are taken for one; at 10,000 members the chance is 3e-12.
+/// A member's name, hashed. Two names that share one are taken for one; at 10,000 members the
+/// chance is 3e-12.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key(pub u64);
 
@@ -48,10 +50,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Life(pub u64);
 
-/// A life, placed among the others of its name by when it began. A later start holds over an earlier one.
+/// A life, placed among the others of its name by when it began. A later start holds over an
+/// earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Epoch {
-    /// Unix milliseconds of the start, by the member's own clock, or one more than the highest that it heard of its name.
+    /// Unix milliseconds of the start, by the member's own clock, or one more than the highest that
+    /// it heard of its name.
     pub birth: u64,
     /// The process.
     pub life: Life,
@@ -82,7 +86,9 @@
     }
 
     pub(crate) fn from_number(number: u32) -> Option<Status> {
-        [Status::Alive, Status::Suspect, Status::Dead, Status::Left].get(number as usize).copied()
+        [Status::Alive, Status::Suspect, Status::Dead, Status::Left]
+            .get(number as usize)
+            .copied()
     }
 
     /// Its word, as logs and tables show it.
@@ -98,8 +104,9 @@
     pub status: Status,
 }
 
-/// What a member that stands so does when it hears that it is held to stand otherwise: it says that it is there (or that
-/// it left) by a higher bump, where the word that it heard would hold over its own.
+/// What a member that stands so does when it hears that it is held to stand otherwise: it says that
+/// it is there (or that it left) by a higher bump, where the word that it heard would hold over its
+/// own.
 pub fn refutes(own: Standing, heard: Standing) -> Option<u32> {
     (heard > own).then(|| heard.bump.saturating_add(1))
 }
@@ -140,8 +147,8 @@
     pub bytes: Vec<u8>,
 }
 
-/// What a member says of itself. It travels as the member wrote it, so that what a later version adds passes through
-/// nodes that do not know it.
+/// What a member says of itself. It travels as the member wrote it, so that what a later version
+/// adds passes through nodes that do not know it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Details {
     /// Where it is reached.
@@ -225,7 +232,14 @@
             wire_most: wire.1,
             settings: settings.0,
             settings_hash: settings.1,
-            parts: parts.into_iter().map(|p| Hung { id: p.id, version: p.version, bytes: p.bytes }).collect(),
+            parts: parts
+                .into_iter()
+                .map(|p| Hung {
+                    id: p.id,
+                    version: p.version,
+                    bytes: p.bytes,
+                })
+                .collect(),
         };
         Details::read(&wire::later(told.encode_to_vec()))
     }
@@ -252,7 +266,13 @@
             program: told.program.into(),
             wire: (told.wire_least, told.wire_most),
             settings: (told.settings, told.settings_hash),
-            parts: parts.map(|p| Part { id: p.id, version: p.version, bytes: p.bytes }).collect(),
+            parts: parts
+                .map(|p| Part {
+                    id: p.id,
+                    version: p.version,
+                    bytes: p.bytes,
+                })
+                .collect(),
             raw: raw.into(),
             hash: hash(&[raw]),
         })
@@ -269,7 +289,11 @@
 
     /// Bytes that they take here, roughly.
     pub fn bytes(&self) -> usize {
-        let parts: usize = self.parts.iter().map(|p| p.bytes.len() + size_of::<Part>()).sum();
+        let parts: usize = self
+            .parts
+            .iter()
+            .map(|p| p.bytes.len() + size_of::<Part>())
+            .sum();
         size_of::<Details>() + 2 * self.raw.len() + parts + 64
     }
 }
@@ -298,7 +322,8 @@
     pub pulse_at: crate::Nanos,
     /// When its status here became what it is.
     pub since: crate::Nanos,
-    /// What it adds to digests while it is present; kept, as hashing a thousand entries for each comparison took most of it.
+    /// What it adds to digests while it is present; kept, as hashing a thousand entries for each
+    /// comparison took most of it.
     pub(crate) stamp: u64,
 }
 
@@ -334,7 +359,11 @@
 
     /// All that is known of it.
     pub(crate) fn full(&self, key: Key) -> News {
-        News { name: self.name.to_string(), told: self.details.raw().to_vec(), ..self.brief(key) }
+        News {
+            name: self.name.to_string(),
+            told: self.details.raw().to_vec(),
+            ..self.brief(key)
+        }
     }
 }
 
@@ -349,23 +378,46 @@
 
     #[test]
     fn details_come_back_as_they_were_told_and_bounds_hold() {
-        let part = |len| Part { id: 3, version: 2, bytes: vec![1; len] };
+        let part = |len| Part {
+            id: 3,
+            version: 2,
+            bytes: vec![1; len],
+        };
         let told = details(vec![part(40)]).unwrap();
         assert_eq!(Details::read(told.raw()).unwrap(), told);
-        assert_eq!((told.phase, &told.zone[..], told.settings), (Phase::Serving, "a", (7, 8)));
+        assert_eq!(
+            (told.phase, &told.zone[..], told.settings),
+            (Phase::Serving, "a", (7, 8))
+        );
         assert_eq!(details(vec![part(DETAILS_MAX)]).unwrap_err(), Odd::TooLarge);
-        assert_eq!(details(vec![part(1); PARTS_MAX + 1]).unwrap_err(), Odd::TooLarge);
+        assert_eq!(
+            details(vec![part(1); PARTS_MAX + 1]).unwrap_err(),
+            Odd::TooLarge
+        );
         let zone = "z".repeat(ZONE_MAX + 1);
         let bad = |address, zone: &str| {
             Details::new(address, zone, Phase::Cold, "", (1, 1), (0, 0), vec![]).unwrap_err()
         };
-        assert_eq!(bad(SocketAddr::from(([127, 0, 0, 1], 9)), &zone), Odd::BadName);
-        assert_eq!(bad(SocketAddr::from(([127, 0, 0, 1], 9)), "a b"), Odd::BadName);
-        assert_eq!(bad(SocketAddr::from(([0, 0, 0, 0], 9)), "a"), Odd::BadAddress);
-        assert_eq!(bad(SocketAddr::from(([127, 0, 0, 1], 0)), "a"), Odd::BadAddress);
+        assert_eq!(
+            bad(SocketAddr::from(([127, 0, 0, 1], 9)), &zone),
+            Odd::BadName
+        );
+        assert_eq!(
+            bad(SocketAddr::from(([127, 0, 0, 1], 9)), "a b"),
+            Odd::BadName
+        );
+        assert_eq!(
+            bad(SocketAddr::from(([0, 0, 0, 0], 9)), "a"),
+            Odd::BadAddress
+        );
+        assert_eq!(
+            bad(SocketAddr::from(([127, 0, 0, 1], 0)), "a"),
+            Odd::BadAddress
+        );
     }
 
-    /// A later version adds a field: a node that does not know it passes it on unharmed, and both agree on the digest.
+    /// A later version adds a field: a node that does not know it passes it on unharmed, and both
+    /// agree on the digest.
     #[test]
     fn what_a_later_version_adds_passes_through() {
         let mut raw = details(vec![]).unwrap().raw().to_vec();
@@ -377,7 +429,14 @@
 
     #[test]
     fn every_cut_and_bit_of_details_is_read_or_refused() {
-        let raw = details(vec![Part { id: 1, version: 1, bytes: b"abc".to_vec() }]).unwrap().raw().to_vec();
+        let raw = details(vec![Part {
+            id: 1,
+            version: 1,
+            bytes: b"abc".to_vec(),
+        }])
+        .unwrap()
+        .raw()
+        .to_vec();
         for at in 0..raw.len() {
             let _ = Details::read(&raw[..at]);
             for bit in 0..8 {
--- a/crates/fleet/src/observer.rs
+++ b/crates/fleet/src/observer.rs
@@ -1,5 +1,5 @@
-//! One who is no member and asks a node what it holds, by the keyed datagrams that members use. No I/O: it says what to
-//! send, and is fed what comes.
+//! One who is no member and asks a node what it holds, by the keyed datagrams that members use. No
+//! I/O: it says what to send, and is fed what comes.
 
 use crate::Nanos;
 use crate::member::{Details, Key, Phase, Status};
@@ -73,7 +73,13 @@
     pub fn question(&mut self, unix_ms: u64) -> Vec<u8> {
         self.no += 1;
         let (no, cursor, topic) = (self.no, self.cursor, self.topic);
-        let datagram = Datagram { kind: kind::SHOW, no, cursor, topic, ..Datagram::default() };
+        let datagram = Datagram {
+            kind: kind::SHOW,
+            no,
+            cursor,
+            topic,
+            ..Datagram::default()
+        };
         self.seal.seal(unix_ms, &datagram.encode_to_vec())
     }
 
@@ -82,19 +88,36 @@
         self.no += 1;
         self.topic = topic;
         let (kind, no, parcel) = (kind::ORDER, self.no, order.to_vec());
-        self.seal.seal(unix_ms, &Datagram { kind, no, topic, parcel, ..Datagram::default() }.encode_to_vec())
+        self.seal.seal(
+            unix_ms,
+            &Datagram {
+                kind,
+                no,
+                topic,
+                parcel,
+                ..Datagram::default()
+            }
+            .encode_to_vec(),
+        )
     }
 
     /// A datagram came; gives what became of the last order, if that is it.
-    pub fn ordered(&mut self, now: Nanos, unix_ms: u64, frame: &[u8]) -> Result<Option<Vec<u8>>, Dropped> {
+    pub fn ordered(
+        &mut self,
+        now: Nanos,
+        unix_ms: u64,
+        frame: &[u8],
+    ) -> Result<Option<Vec<u8>>, Dropped> {
         let (_, message) = self.seal.open(now, unix_ms, frame)?;
         let answer = Datagram::decode(message).map_err(|_| Dropped::Unreadable)?;
-        let is_it = answer.kind == kind::ORDERED && answer.no == self.no && answer.topic == self.topic;
+        let is_it =
+            answer.kind == kind::ORDERED && answer.no == self.no && answer.topic == self.topic;
         Ok(is_it.then_some(answer.parcel))
     }
 
-    /// A datagram came; gives all that another package holds once the last page is there, and whether this was the page that
-    /// was asked for. Nodes that know nothing of such pages answer with their view, which is none.
+    /// A datagram came; gives all that another package holds once the last page is there, and
+    /// whether this was the page that was asked for. Nodes that know nothing of such pages answer
+    /// with their view, which is none.
     pub fn page(
         &mut self,
         now: Nanos,
@@ -115,8 +138,8 @@
         Ok((true, done.then(|| std::mem::take(&mut self.bytes))))
     }
 
-    /// A datagram came; gives all that the node holds once the last page is there, and whether this was the page that was
-    /// asked for.
+    /// A datagram came; gives all that the node holds once the last page is there, and whether this
+    /// was the page that was asked for.
     pub fn datagram(
         &mut self,
         now: Nanos,
@@ -133,8 +156,15 @@
         }
         self.holding.digest = page.digest;
         for (at, news) in page.news.iter().enumerate() {
-            let Ok(details) = Details::read(&news.told) else { continue };
-            let pulse = page.pulses.as_chunks::<8>().0.get(at).filter(|p| p[4..6] != [0, 0]);
+            let Ok(details) = Details::read(&news.told) else {
+                continue;
+            };
+            let pulse = page
+                .pulses
+                .as_chunks::<8>()
+                .0
+                .get(at)
+                .filter(|p| p[4..6] != [0, 0]);
             let shown = Shown {
                 name: news.name.clone(),
                 status: Status::from_number(news.status).unwrap_or_default(),
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -1,5 +1,5 @@
-//! Who is asked next: every member once in each round, in an order drawn anew for each, so that the time until a dead one
-//! is asked has a bound.
+//! Who is asked next: every member once in each round, in an order drawn anew for each, so that the
+//! time until a dead one is asked has a bound.
 
 use crate::member::Key;
 use rand::seq::SliceRandom;
@@ -26,7 +26,8 @@
         *self = Round::default();
     }
 
-    /// The next one for whom this holds. Those for whom it does not hold any more leave at the round's end.
+    /// The next one for whom this holds. Those for whom it does not hold any more leave at the
+    /// round's end.
     pub fn next(&mut self, rng: &mut impl Rng, mut holds: impl FnMut(Key) -> bool) -> Option<Key> {
         for _ in 0..2 {
             while let Some(key) = self.order.get(self.at).copied() {
@@ -45,7 +46,12 @@
     }
 
     /// Some of them by chance, for whom this holds; no one twice.
-    pub fn some(&self, rng: &mut impl Rng, most: usize, mut holds: impl FnMut(Key) -> bool) -> Vec<Key> {
+    pub fn some(
+        &self,
+        rng: &mut impl Rng,
+        most: usize,
+        mut holds: impl FnMut(Key) -> bool,
+    ) -> Vec<Key> {
         let mut some = Vec::with_capacity(most);
         if self.order.len() <= 4 * most {
             some.extend(self.order.iter().copied().filter(|key| holds(*key)));
@@ -83,12 +89,16 @@
             round.next(&mut rng, |_| true);
         }
         for _ in 0..3 {
-            let order: Vec<Key> = (0..50).filter_map(|_| round.next(&mut rng, |_| true)).collect();
+            let order: Vec<Key> = (0..50)
+                .filter_map(|_| round.next(&mut rng, |_| true))
+                .collect();
             assert_eq!(order.iter().collect::<BTreeSet<_>>().len(), 50);
             orders.push(order);
         }
         assert_ne!(orders[0], orders[1]);
-        let few: BTreeSet<Key> = (0..9).filter_map(|_| round.next(&mut rng, |key| key.0 <= 3)).collect();
+        let few: BTreeSet<Key> = (0..9)
+            .filter_map(|_| round.next(&mut rng, |key| key.0 <= 3))
+            .collect();
         assert_eq!(few.len(), 3);
         assert_eq!(round.next(&mut rng, |_| false), None);
         assert_eq!(round.order.len(), 0);
--- a/crates/fleet/src/reconcile.rs
+++ b/crates/fleet/src/reconcile.rs
@@ -1,5 +1,6 @@
-//! How two nodes that disagree find out about what, and tell each other just that: digests of ranges of keys, ever
-//! smaller, then what each has in a small range in brief, then the entries that one of them lacks.
+//! How two nodes that disagree find out about what, and tell each other just that: digests of
+//! ranges of keys, ever smaller, then what each has in a small range in brief, then the entries
+//! that one of them lacks.
 //!
 //! No step leaves a state behind: what is lost is begun anew with whoever disagrees next.
 
@@ -22,7 +23,11 @@
     let width = ((u128::from(to) + 1 - u128::from(from)) / n as u128).max(1);
     (0..n as u128).map_while(move |at| {
         let first = u128::from(from) + at * width;
-        let last = if at + 1 == n as u128 { u128::from(to) } else { first + width - 1 };
+        let last = if at + 1 == n as u128 {
+            u128::from(to)
+        } else {
+            first + width - 1
+        };
         (first <= u128::from(to)).then_some((first as u64, last.min(u128::from(to)) as u64))
     })
 }
@@ -30,23 +35,32 @@
 /// Digests of all that is there.
 pub fn summary(view: &View) -> Summary {
     let digests = view.slices(slices_for(view.counts().present()));
-    Summary { from: 0, to: u64::MAX, digests: digests.iter().flat_map(|d| d.to_le_bytes()).collect() }
+    Summary {
+        from: 0,
+        to: u64::MAX,
+        digests: digests.iter().flat_map(|d| d.to_le_bytes()).collect(),
+    }
 }
 
 fn part(view: &View, from: u64, to: u64, members: usize) -> Summary {
     let sums = slices(from, to, slices_for(members)).map(|(from, to)| view.sum(from..=to).1);
-    Summary { from, to, digests: sums.flat_map(u64::to_le_bytes).collect() }
+    Summary {
+        from,
+        to,
+        digests: sums.flat_map(u64::to_le_bytes).collect(),
+    }
 }
 
-/// What to say to a summary: finer ones for ranges with many members, and for others all that is there.
+/// What to say to a summary: finer ones for ranges with many members, and for others all that is
+/// there.
 #[derive(Debug, Default)]
 pub struct Finer {
     pub summaries: Vec<Summary>,
     pub covered: Vec<Range>,
 }
 
-/// Compares a summary with what is here. The slices are looked at from this one on, so that those who ask again, or ask
-/// others, hear something else first.
+/// Compares a summary with what is here. The slices are looked at from this one on, so that those
+/// who ask again, or ask others, hear something else first.
 pub fn finer(view: &View, theirs: &Summary, first: usize) -> Finer {
     let (digests, odd) = theirs.digests.as_chunks::<8>();
     let mut finer = Finer::default();
@@ -75,7 +89,9 @@
     if range.from > range.to {
         return Vec::new();
     }
-    let present = view.range(range.from..=range.to).filter(|(_, entry)| entry.status().is_present());
+    let present = view
+        .range(range.from..=range.to)
+        .filter(|(_, entry)| entry.status().is_present());
     present.map(|(key, entry)| entry.brief(key)).collect()
 }
 
@@ -99,9 +115,15 @@
             differences.wants.push(*key);
             continue;
         };
-        let epoch = Epoch { birth: news.birth, life: Life(news.life) };
+        let epoch = Epoch {
+            birth: news.birth,
+            life: Life(news.life),
+        };
         let status = Status::from_number(news.status).unwrap_or_default();
-        let standing = Standing { bump: news.bump, status };
+        let standing = Standing {
+            bump: news.bump,
+            status,
+        };
         if known.epoch > epoch || known.epoch == epoch && known.revision > news.revision {
             differences.whole.push(*key);
         } else if known.epoch < epoch || known.revision < news.revision {
@@ -109,11 +131,17 @@
         } else if known.standing > standing {
             differences.brief.push(*key);
         }
-        // Where theirs is newer in standing alone, the brief word that came has been taken in already.
+        // Where theirs is newer in standing alone, the brief word that came has been taken in
+        // already.
     }
     for range in covered.iter().filter(|range| range.from <= range.to) {
-        let here = view.range(range.from..=range.to).filter(|(_, entry)| entry.status().is_present());
-        differences.whole.extend(here.map(|(key, _)| key).filter(|key| !theirs.contains_key(key)));
+        let here = view
+            .range(range.from..=range.to)
+            .filter(|(_, entry)| entry.status().is_present());
+        differences.whole.extend(
+            here.map(|(key, _)| key)
+                .filter(|key| !theirs.contains_key(key)),
+        );
     }
     differences
 }
@@ -132,17 +160,35 @@
         let told = Details::new(address, "a", Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
         let key = Key::of(&name).0;
         let told = told.raw().to_vec();
-        News { key, birth: 1, life: 1, bump, status: status.number(), revision: 0, name, told, by: 0 }
+        News {
+            key,
+            birth: 1,
+            life: 1,
+            bump,
+            status: status.number(),
+            revision: 0,
+            name,
+            told,
+            by: 0,
+        }
     }
 
     #[test]
     fn slices_cover_a_range_without_gaps() {
-        for (from, to, n) in
-            [(0, u64::MAX, 64), (0, u64::MAX, 1), (5, 7, 64), (9, 9, 4), (1 << 40, 1 << 41, 32)]
-        {
+        for (from, to, n) in [
+            (0, u64::MAX, 64),
+            (0, u64::MAX, 1),
+            (5, 7, 64),
+            (9, 9, 4),
+            (1 << 40, 1 << 41, 32),
+        ] {
             let all: Vec<_> = slices(from, to, n).collect();
             assert_eq!((all[0].0, all[all.len() - 1].1), (from, to));
-            assert!(all.windows(2).all(|two| two[0].1 + 1 == two[1].0 && two[0].0 <= two[0].1), "{all:?}");
+            assert!(
+                all.windows(2)
+                    .all(|two| two[0].1 + 1 == two[1].0 && two[0].0 <= two[0].1),
+                "{all:?}"
+            );
         }
     }
 
@@ -154,12 +200,15 @@
         }
         for members in [1, 5, 30, 100, 700] {
             let n = slices_for(members);
-            let sums: Vec<u64> = slices(0, u64::MAX, n).map(|(from, to)| view.sum(from..=to).1).collect();
+            let sums: Vec<u64> = slices(0, u64::MAX, n)
+                .map(|(from, to)| view.sum(from..=to).1)
+                .collect();
             assert_eq!(view.slices(n), sums);
         }
     }
 
-    /// Two views that differ in anything come to be equal by what they tell each other, with few words where little differs.
+    /// Two views that differ in anything come to be equal by what they tell each other, with few
+    /// words where little differs.
     #[test]
     fn two_views_come_to_agree_whatever_differs() {
         for seed in 0..60 {
@@ -177,7 +226,9 @@
                                 let _ = view.merge(0, &news(n, 0, Status::Alive));
                                 view.set(0, Key::of(&format!("n{n}")), Status::Dead);
                             }
-                            _ => drop(view.merge(0, &news(n, rng.random_range(0..3), Status::Suspect))),
+                            _ => drop(
+                                view.merge(0, &news(n, rng.random_range(0..3), Status::Suspect)),
+                            ),
                         }
                     } else {
                         let _ = view.merge(0, &news(n, 0, Status::Alive));
@@ -188,26 +239,52 @@
             let mut open = vec![(false, summary(&a))]; // whose it is: b's if true
             while a.digest() != b.digest() {
                 rounds += 1;
-                assert!(rounds < 20, "seed {seed}: {members} members, {differ} differ");
+                assert!(
+                    rounds < 20,
+                    "seed {seed}: {members} members, {differ} differ"
+                );
                 for (by_b, summary) in std::mem::take(&mut open) {
-                    let (here, there) = if by_b { (&mut a, &mut b) } else { (&mut b, &mut a) };
+                    let (here, there) = if by_b {
+                        (&mut a, &mut b)
+                    } else {
+                        (&mut b, &mut a)
+                    };
                     let finer = finer(here, &summary, rng.random_range(0..64));
                     open.extend(finer.summaries.into_iter().map(|summary| (!by_b, summary)));
-                    let named: Vec<News> =
-                        finer.covered.iter().flat_map(|range| headers(here, range)).collect();
+                    let named: Vec<News> = finer
+                        .covered
+                        .iter()
+                        .flat_map(|range| headers(here, range))
+                        .collect();
                     let (mut back, mut wants) = (Vec::new(), Vec::new());
                     for news in &named {
                         let _ = there.merge(0, news);
                     }
                     let found = differences(there, &finer.covered, &named);
-                    back.extend(found.whole.iter().map(|key| there.get(*key).unwrap().full(*key)));
-                    back.extend(found.brief.iter().map(|key| there.get(*key).unwrap().brief(*key)));
-                    wants.extend(found.wants.iter().filter_map(|key| Some(here.get(*key)?.full(*key))));
+                    back.extend(
+                        found
+                            .whole
+                            .iter()
+                            .map(|key| there.get(*key).unwrap().full(*key)),
+                    );
+                    back.extend(
+                        found
+                            .brief
+                            .iter()
+                            .map(|key| there.get(*key).unwrap().brief(*key)),
+                    );
+                    wants.extend(
+                        found
+                            .wants
+                            .iter()
+                            .filter_map(|key| Some(here.get(*key)?.full(*key))),
+                    );
                     told += back.len() + wants.len();
                     for news in &back {
                         // Whoever hears what is out of date says what it knows.
                         if here.merge(0, news) == Merged::Older {
-                            let _ = there.merge(0, &here.get(Key(news.key)).unwrap().brief(Key(news.key)));
+                            let _ = there
+                                .merge(0, &here.get(Key(news.key)).unwrap().brief(Key(news.key)));
                         }
                     }
                     for news in &wants {
@@ -215,10 +292,16 @@
                     }
                 }
                 if open.is_empty() {
-                    open.push((rounds % 2 == 0, summary(if rounds % 2 == 0 { &b } else { &a })));
+                    open.push((
+                        rounds % 2 == 0,
+                        summary(if rounds % 2 == 0 { &b } else { &a }),
+                    ));
                 }
             }
-            assert!(told <= 2 * members + 2, "seed {seed}: {told} entries told for {members} members");
+            assert!(
+                told <= 2 * members + 2,
+                "seed {seed}: {told} entries told for {members} members"
+            );
         }
     }
 
@@ -228,11 +311,28 @@
         for n in 0..20 {
             let _ = view.merge(0, &news(n, 0, Status::Alive));
         }
-        for (from, to, digests) in [(9, 3, 64), (0, 9, 0), (0, u64::MAX, 13), (0, u64::MAX, 8 * 300)] {
-            let finer = finer(&view, &Summary { from, to, digests: vec![1; digests] }, 0);
+        for (from, to, digests) in [
+            (9, 3, 64),
+            (0, 9, 0),
+            (0, u64::MAX, 13),
+            (0, u64::MAX, 8 * 300),
+        ] {
+            let finer = finer(
+                &view,
+                &Summary {
+                    from,
+                    to,
+                    digests: vec![1; digests],
+                },
+                0,
+            );
             assert!(finer.covered.is_empty() && finer.summaries.is_empty());
         }
         assert!(headers(&view, &Range { from: 9, to: 3 }).is_empty());
-        assert!(differences(&view, &[Range { from: 9, to: 3 }], &[]).whole.is_empty());
+        assert!(
+            differences(&view, &[Range { from: 9, to: 3 }], &[])
+                .whole
+                .is_empty()
+        );
     }
 }
--- a/crates/fleet/src/seal.rs
+++ b/crates/fleet/src/seal.rs
@@ -1,9 +1,9 @@
-//! Datagrams are believed only if they bear the fleet's name, a keyed MAC and a number that did not come before. What
-//! fails any of these is counted and dropped without an answer.
+//! Datagrams are believed only if they bear the fleet's name, a keyed MAC and a number that did not
+//! come before. What fails any of these is counted and dropped without an answer.
 //!
-//! A sealed datagram: `mf`, the frame's version, the key's number (1 byte each); the fleet's tag, the sender's life (8
-//! each); the time it was sealed, in Unix milliseconds, and a count (6 each); the message; the MAC, 16 bytes. Numbers
-//! stand with the highest byte first.
+//! A sealed datagram: `mf`, the frame's version, the key's number (1 byte each); the fleet's tag,
+//! the sender's life (8 each); the time it was sealed, in Unix milliseconds, and a count (6 each);
+//! the message; the MAC, 16 bytes. Numbers stand with the highest byte first.
 
 use crate::member::{Life, hash};
 use crate::wire::DATAGRAM_MAX;
@@ -70,7 +70,9 @@
 
 impl fmt::Debug for Keys {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_list().entries(self.keys.iter().map(|(number, _)| number)).finish()
+        f.debug_list()
+            .entries(self.keys.iter().map(|(number, _)| number))
+            .finish()
     }
 }
 
@@ -81,41 +83,53 @@
             return Err(format!("{} keys; expected 1 to {KEYS_MAX}", keys.len()));
         }
         if let Some(short) = keys.iter().find(|key| key.len() < KEY_LEAST) {
-            return Err(format!("a key of {} bytes; expected {KEY_LEAST} at least", short.len()));
+            return Err(format!(
+                "a key of {} bytes; expected {KEY_LEAST} at least",
+                short.len()
+            ));
         }
         let numbered = keys.iter().map(|key| {
             let number = digest::digest(&digest::SHA256, key).as_ref()[0];
             (number, hmac::Key::new(hmac::HMAC_SHA256, key))
         });
-        Ok(Keys { keys: numbered.collect() })
+        Ok(Keys {
+            keys: numbered.collect(),
+        })
     }
 
-    /// Whether one who goes by these and one who goes by the others understand each other: the key that either seals with is
-    /// among those that the other opens with.
+    /// Whether one who goes by these and one who goes by the others understand each other: the key
+    /// that either seals with is among those that the other opens with.
     pub fn meet(&self, other: &Keys) -> bool {
         let print = |key: &hmac::Key| hmac::sign(key, b"meet");
         let knows = |keys: &Keys, of: &Keys| {
             of.keys.first().is_some_and(|(_, first)| {
-                keys.keys.iter().any(|(_, key)| print(key).as_ref() == print(first).as_ref())
+                keys.keys
+                    .iter()
+                    .any(|(_, key)| print(key).as_ref() == print(first).as_ref())
             })
         };
         knows(self, other) && knows(other, self)
     }
 
-    /// Reads a file of keys: one a line in hexadecimal, with blank lines and lines after `#` passed over.
+    /// Reads a file of keys: one a line in hexadecimal, with blank lines and lines after `#` passed
+    /// over.
     pub fn read(text: &str) -> Result<Keys, String> {
         let lines = text.lines().enumerate().map(|(at, line)| (at, line.trim()));
         let lines = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
         let keys: Result<Vec<_>, _> = lines
-            .map(|(at, line)| unhex(line).ok_or(format!("line {}: no key; expected hexadecimal", at + 1)))
+            .map(|(at, line)| {
+                unhex(line).ok_or(format!("line {}: no key; expected hexadecimal", at + 1))
+            })
             .collect();
         Keys::new(&keys?)
     }
 }
 
 fn unhex(text: &str) -> Option<Vec<u8>> {
-    let digits: Option<Vec<u8>> =
-        text.chars().map(|c| c.to_digit(16).and_then(|d| u8::try_from(d).ok())).collect();
+    let digits: Option<Vec<u8>> = text
+        .chars()
+        .map(|c| c.to_digit(16).and_then(|d| u8::try_from(d).ok()))
+        .collect();
     let digits = digits.filter(|d| d.len() % 2 == 0)?;
     Some(digits.chunks(2).map(|two| two[0] << 4 | two[1]).collect())
 }
@@ -132,7 +146,11 @@
     fn take(&mut self, count: u64) -> bool {
         if count > self.highest {
             let step = count - self.highest;
-            self.seen = if step < 64 { self.seen << step | 1 << (step - 1) } else { 0 };
+            self.seen = if step < 64 {
+                self.seen << step | 1 << (step - 1)
+            } else {
+                0
+            };
             self.highest = count;
             return true;
         }
@@ -149,7 +167,10 @@
 
 /// Whether two MACs are equal, in a time that does not tell where they differ.
 fn is_equal(a: &[u8], b: &[u8]) -> bool {
-    let differ = a.iter().zip(b).fold(0, |differ, (a, b)| std::hint::black_box(differ | (a ^ b)));
+    let differ = a
+        .iter()
+        .zip(b)
+        .fold(0, |differ, (a, b)| std::hint::black_box(differ | (a ^ b)));
     a.len() == b.len() && differ == 0
 }
 
@@ -180,7 +201,16 @@
     pub fn new(fleet: &str, keys: Keys, life: Life, skew: Nanos, most: usize) -> Seal {
         let tag = hash(&[fleet.as_bytes()]);
         let skew_ms = skew / crate::MILLISECOND;
-        Seal { fleet: fleet.to_owned(), tag, keys, life, sent: 0, skew_ms, windows: BTreeMap::new(), most }
+        Seal {
+            fleet: fleet.to_owned(),
+            tag,
+            keys,
+            life,
+            sent: 0,
+            skew_ms,
+            windows: BTreeMap::new(),
+            most,
+        }
     }
 
     /// Puts other keys in force.
@@ -230,7 +260,12 @@
             return Err(Dropped::AnotherFleet);
         }
         let (signed, mac) = frame.split_at(frame.len() - MAC);
-        let mut keys = self.keys.keys.iter().filter(|(number, _)| *number == frame[3]).peekable();
+        let mut keys = self
+            .keys
+            .keys
+            .iter()
+            .filter(|(number, _)| *number == frame[3])
+            .peekable();
         if keys.peek().is_none() {
             return Err(Dropped::UnknownKey);
         }
@@ -239,12 +274,18 @@
             return Err(Dropped::BadMac);
         }
         let life = Life(read8(&frame[12..20]));
-        self.admit(now, unix_ms, life, read8(&frame[20..26]), read8(&frame[26..32]))?;
+        self.admit(
+            now,
+            unix_ms,
+            life,
+            read8(&frame[20..26]),
+            read8(&frame[26..32]),
+        )?;
         Ok((life, &signed[HEAD..]))
     }
 
-    /// Whether a datagram did not come before. Of a life that is not known yet that can't be told, so its time must be
-    /// near; later its count is enough, whatever its clock does.
+    /// Whether a datagram did not come before. Of a life that is not known yet that can't be told,
+    /// so its time must be near; later its count is enough, whatever its clock does.
     fn admit(
         &mut self,
         now: Nanos,
@@ -255,16 +296,27 @@
     ) -> Result<(), Dropped> {
         if let Some(window) = self.windows.get_mut(&life) {
             window.heard = now;
-            return if window.take(count) { Ok(()) } else { Err(Dropped::Replayed) };
+            return if window.take(count) {
+                Ok(())
+            } else {
+                Err(Dropped::Replayed)
+            };
         }
         if sealed.abs_diff(unix_ms) > self.skew_ms {
             return Err(Dropped::OutOfTime);
         }
         if self.windows.len() >= self.most {
-            let silent = self.windows.iter().min_by_key(|(_, window)| window.heard).map(|(life, _)| *life);
+            let silent = self
+                .windows
+                .iter()
+                .min_by_key(|(_, window)| window.heard)
+                .map(|(life, _)| *life);
             silent.map(|life| self.windows.remove(&life));
         }
-        let mut window = Window { heard: now, ..Window::default() };
+        let mut window = Window {
+            heard: now,
+            ..Window::default()
+        };
         window.take(count);
         self.windows.insert(life, window);
         Ok(())
@@ -276,8 +328,9 @@
     Life(seed | 1 << 63)
 }
 
-/// How many datagrams a second are looked at. Checking a MAC takes a microsecond or two; a stranger who floods must not
-/// take more of the node than this, nor crowd out those whose datagrams proved good.
+/// How many datagrams a second are looked at. Checking a MAC takes a microsecond or two; a stranger
+/// who floods must not take more of the node than this, nor crowd out those whose datagrams proved
+/// good.
 #[derive(Debug)]
 pub struct Gate {
     proven: HashSet<SocketAddr>,
@@ -287,13 +340,19 @@
     filled: Nanos,
 }
 
-/// A second, from sources that have proved good and from others; and the same number may come at once.
+/// A second, from sources that have proved good and from others; and the same number may come at
+/// once.
 const RATES: [f64; 2] = [4000.0, 500.0];
 
 impl Gate {
     /// One that keeps so many good sources in mind.
     pub fn new(most: usize) -> Gate {
-        Gate { proven: HashSet::new(), most, left: RATES, filled: 0 }
+        Gate {
+            proven: HashSet::new(),
+            most,
+            left: RATES,
+            filled: 0,
+        }
     }
 
     /// Whether to look at a datagram from there.
@@ -335,7 +394,10 @@
     #[test]
     fn keys_meet_where_each_knows_what_the_other_seals_with() {
         assert!(keys(&[1, 2]).meet(&keys(&[2, 1])) && keys(&[1]).meet(&keys(&[1])));
-        assert!(!keys(&[1, 2]).meet(&keys(&[2])), "who has the new one alone does not know the old one");
+        assert!(
+            !keys(&[1, 2]).meet(&keys(&[2])),
+            "who has the new one alone does not know the old one"
+        );
         assert!(!keys(&[1]).meet(&keys(&[2])));
     }
 
@@ -346,8 +408,14 @@
         assert_eq!(frame.len(), OVERHEAD + 5);
         assert_eq!(b.open(0, 2000, &frame), Ok((Life(1), &b"hello"[..])));
         assert_eq!(b.open(0, 2000, &frame), Err(Dropped::Replayed));
-        assert_eq!(seal("g", &[1], 3).open(0, 2000, &frame), Err(Dropped::AnotherFleet));
-        assert_eq!(seal("f", &[2], 3).open(0, 2000, &frame), Err(Dropped::UnknownKey));
+        assert_eq!(
+            seal("g", &[1], 3).open(0, 2000, &frame),
+            Err(Dropped::AnotherFleet)
+        );
+        assert_eq!(
+            seal("f", &[2], 3).open(0, 2000, &frame),
+            Err(Dropped::UnknownKey)
+        );
         assert_eq!(b.open(0, 2000, b"GET / HTTP/1.1"), Err(Dropped::NoFrame));
     }
 
@@ -379,24 +447,37 @@
         assert_eq!(b.open(0, 0, &a.seal(0, b"5")), Err(Dropped::UnknownKey));
     }
 
-    /// Numbers may come in any order within the window, each once; a life's clock may step as it likes once it is known.
+    /// Numbers may come in any order within the window, each once; a life's clock may step as it
+    /// likes once it is known.
     #[test]
     fn a_number_counts_once_whatever_the_order_and_the_clock() {
         let (mut a, mut b) = (seal("f", &[1], 1), seal("f", &[1], 2));
-        let frames: Vec<_> = (0..100).map(|n| a.seal(if n < 50 { 5 } else { 1 << 40 }, &[n])).collect();
+        let frames: Vec<_> = (0..100)
+            .map(|n| a.seal(if n < 50 { 5 } else { 1 << 40 }, &[n]))
+            .collect();
         for n in [0, 3, 1, 2, 40, 10, 90, 99, 60] {
             assert!(b.open(0, 0, &frames[n]).is_ok(), "{n}");
             assert_eq!(b.open(0, 0, &frames[n]), Err(Dropped::Replayed), "{n}");
         }
-        assert_eq!(b.open(0, 0, &frames[20]), Err(Dropped::Replayed), "too old to tell");
+        assert_eq!(
+            b.open(0, 0, &frames[20]),
+            Err(Dropped::Replayed),
+            "too old to tell"
+        );
         let mut c = seal("f", &[1], 3);
-        assert_eq!(c.open(0, 0, &frames[60]), Err(Dropped::OutOfTime), "a first word from a far clock");
+        assert_eq!(
+            c.open(0, 0, &frames[60]),
+            Err(Dropped::OutOfTime),
+            "a first word from a far clock"
+        );
     }
 
     #[test]
     fn the_numbers_of_few_lives_are_kept_and_the_most_silent_goes() {
         let mut b = seal("f", &[1], 9);
-        let frames: Vec<_> = (1..=5).map(|life| seal("f", &[1], life).seal(0, b"x")).collect();
+        let frames: Vec<_> = (1..=5)
+            .map(|life| seal("f", &[1], life).seal(0, b"x"))
+            .collect();
         for (at, frame) in frames.iter().enumerate() {
             assert!(b.open(at as Nanos, 0, frame).is_ok());
         }
@@ -406,7 +487,10 @@
 
     #[test]
     fn a_flood_of_strangers_leaves_room_for_those_who_proved_good() {
-        let (good, bad) = (SocketAddr::from(([127, 0, 0, 1], 1)), SocketAddr::from(([127, 0, 0, 1], 2)));
+        let (good, bad) = (
+            SocketAddr::from(([127, 0, 0, 1], 1)),
+            SocketAddr::from(([127, 0, 0, 1], 2)),
+        );
         let mut gate = Gate::new(10);
         gate.proved(good);
         let admitted = (0..10_000).filter(|_| gate.admits(SECOND, bad)).count();
@@ -417,7 +501,11 @@
 
     #[test]
     fn a_file_of_keys_is_read_or_its_line_named() {
-        let good = format!("# the new one\n{}\n\n{}\n", "ab".repeat(32), "01".repeat(16));
+        let good = format!(
+            "# the new one\n{}\n\n{}\n",
+            "ab".repeat(32),
+            "01".repeat(16)
+        );
         assert_eq!(Keys::read(&good).unwrap().keys.len(), 2);
         for (text, told) in [
             ("", "0 keys"),
--- a/crates/fleet/src/sim.rs
+++ b/crates/fleet/src/sim.rs
@@ -1,5 +1,6 @@
-//! Fleets by the thousand in one process, over simulated time: the same state machines, links that lose and delay, members
-//! that crash, pause, stall and return, zones that are cut off. All chance comes from a seed.
+//! Fleets by the thousand in one process, over simulated time: the same state machines, links that
+//! lose and delay, members that crash, pause, stall and return, zones that are cut off. All chance
+//! comes from a seed.
 
 use crate::fleet::{Extensions, Fleet, Host, Moment, Periods, Settings};
 use crate::history::Kind;
@@ -17,7 +18,8 @@
 
 /// The day on which all of it happens.
 const UNIX_MS: u64 = 1_800_000_000_000;
-/// A death of one that is there is told of by all; what is told of one member within this time is one death.
+/// A death of one that is there is told of by all; what is told of one member within this time is
+/// one death.
 const ONE_DEATH: Nanos = 60 * SECOND;
 
 /// What a simulated fleet is like.
@@ -159,9 +161,11 @@
     rough: Rough,
     interner: Interner,
     starts: u64,
-    /// When somebody first held a member for dead that was down, from its end on; the second number tells when all did.
+    /// When somebody first held a member for dead that was down, from its end on; the second number
+    /// tells when all did.
     pub detected: BTreeMap<usize, Nanos>,
-    /// Members that were held for dead while they were there and reached by others, and when that was last so.
+    /// Members that were held for dead while they were there and reached by others, and when that
+    /// was last so.
     pub false_deaths: Vec<(Nanos, usize)>,
     false_last: HashMap<usize, Nanos>,
     /// Events that were played.
@@ -204,8 +208,16 @@
             rng,
             queue: BinaryHeap::new(),
             ordered: 0,
-            places: nodes.iter().enumerate().map(|(n, node)| (node.address, n)).collect(),
-            keys: nodes.iter().enumerate().map(|(n, node)| (node.key, n)).collect(),
+            places: nodes
+                .iter()
+                .enumerate()
+                .map(|(n, node)| (node.address, n))
+                .collect(),
+            keys: nodes
+                .iter()
+                .enumerate()
+                .map(|(n, node)| (node.key, n))
+                .collect(),
             cut: Box::new(|_, _| false),
             rough: Box::new(|_, _| (0.0, 0)),
             interner: Interner::default(),
@@ -225,8 +237,11 @@
         let mut sim = Sim::new(plan);
         (0..sim.nodes.len()).for_each(|n| sim.start(n));
         if sim.plan.acquainted {
-            let all: Vec<_> =
-                sim.nodes.iter().filter_map(|node| node.fleet.as_ref()?.introduction()).collect();
+            let all: Vec<_> = sim
+                .nodes
+                .iter()
+                .filter_map(|node| node.fleet.as_ref()?.introduction())
+                .collect();
             for n in 0..sim.nodes.len() {
                 let at = sim.moment(n);
                 if let Some(fleet) = &mut sim.nodes[n].fleet {
@@ -239,7 +254,10 @@
 
     fn moment(&self, node: usize) -> Moment {
         let unix_ms = UNIX_MS + self.now / MILLISECOND;
-        Moment { now: self.now, unix_ms: unix_ms.saturating_add_signed(self.nodes[node].clock) }
+        Moment {
+            now: self.now,
+            unix_ms: unix_ms.saturating_add_signed(self.nodes[node].clock),
+        }
     }
 
     fn settings(&self, node: usize) -> Settings {
@@ -249,7 +267,9 @@
             name: node.name.clone(),
             zone: format!("z{}", node.zone),
             address: node.address,
-            seeds: (0..3.min(self.nodes.len())).map(|n| self.nodes[n].address).collect(),
+            seeds: (0..3.min(self.nodes.len()))
+                .map(|n| self.nodes[n].address)
+                .collect(),
             keys: Keys::new(&[vec![7; 32]]).expect("a key of 32 bytes"),
             periods: self.plan.periods,
             program: "0.1.0".into(),
@@ -262,8 +282,15 @@
     /// A member starts, knowing nobody.
     pub fn start(&mut self, n: usize) {
         self.starts += 1;
-        let seed = self.plan.seed.wrapping_mul(1_000_003).wrapping_add(self.starts);
-        let out = Out { lines: self.keep_lines.then(Vec::new), ..Out::default() };
+        let seed = self
+            .plan
+            .seed
+            .wrapping_mul(1_000_003)
+            .wrapping_add(self.starts);
+        let out = Out {
+            lines: self.keep_lines.then(Vec::new),
+            ..Out::default()
+        };
         let (at, settings, interner) = (self.moment(n), self.settings(n), self.interner.clone());
         let fleet = Fleet::with_interner(settings, seed, at, out, Some(interner));
         let node = &mut self.nodes[n];
@@ -305,7 +332,8 @@
         self.cut = Box::new(cut);
     }
 
-    /// Roughens links: what share is lost, and how much later the rest comes, given sender and receiver.
+    /// Roughens links: what share is lost, and how much later the rest comes, given sender and
+    /// receiver.
     pub fn roughen(&mut self, rough: impl Fn(&Node, &Node) -> (f64, Nanos) + 'static) {
         self.rough = Box::new(rough);
     }
@@ -324,12 +352,23 @@
 
     fn push(&mut self, due: Nanos, node: usize, what: What) {
         self.ordered += 1;
-        self.queue.push(Reverse(Event { due, order: self.ordered, node, what }));
+        self.queue.push(Reverse(Event {
+            due,
+            order: self.ordered,
+            node,
+            what,
+        }));
     }
 
     /// Has a member woken when it wants that.
     fn schedule(&mut self, n: usize) {
-        let Some(next) = self.nodes[n].fleet.as_ref().map(|fleet| fleet.next().max(self.now)) else { return };
+        let Some(next) = self.nodes[n]
+            .fleet
+            .as_ref()
+            .map(|fleet| fleet.next().max(self.now))
+        else {
+            return;
+        };
         if next < self.nodes[n].woken {
             self.nodes[n].woken = next;
             let generation = self.nodes[n].generation;
@@ -339,21 +378,33 @@
 
     /// Puts on their way what a member sent, and notes what it found.
     fn carry_out(&mut self, n: usize) {
-        let Some(fleet) = &mut self.nodes[n].fleet else { return };
+        let Some(fleet) = &mut self.nodes[n].fleet else {
+            return;
+        };
         let sent = std::mem::take(&mut fleet.host.sent);
         let changed = std::mem::take(&mut fleet.host.changed);
         for (to, frame) in sent {
             self.nodes[n].bytes += frame.len() as u64 + 28; // with the heads of UDP and IP
             self.nodes[n].datagrams += 1;
-            let Some(&to) = self.places.get(&to) else { continue };
+            let Some(&to) = self.places.get(&to) else {
+                continue;
+            };
             let (share, late) = (self.rough)(&self.nodes[n], &self.nodes[to]);
-            let lost = self.rng.random_bool(self.plan.loss) || share > 0.0 && self.rng.random_bool(share);
+            let lost =
+                self.rng.random_bool(self.plan.loss) || share > 0.0 && self.rng.random_bool(share);
             if lost || (self.cut)(&self.nodes[n], &self.nodes[to]) {
                 continue;
             }
             let (least, most) = self.plan.latency;
             let due = self.now + late + self.rng.random_range(least..=most);
-            self.push(due, to, What::Deliver { from: self.nodes[n].address, frame });
+            self.push(
+                due,
+                to,
+                What::Deliver {
+                    from: self.nodes[n].address,
+                    frame,
+                },
+            );
         }
         for (kind, key) in changed {
             if kind == Kind::Dead
@@ -383,10 +434,16 @@
 
     /// Plays the next event, if it comes before this time.
     fn step(&mut self, until: Nanos) -> bool {
-        if self.queue.peek().is_none_or(|Reverse(event)| event.due > until) {
+        if self
+            .queue
+            .peek()
+            .is_none_or(|Reverse(event)| event.due > until)
+        {
             return false;
         }
-        let Some(Reverse(event)) = self.queue.pop() else { return false };
+        let Some(Reverse(event)) = self.queue.pop() else {
+            return false;
+        };
         self.now = event.due;
         self.played += 1;
         let n = event.node;
@@ -435,7 +492,8 @@
         self.now = until;
     }
 
-    /// Lets time pass until this holds, looked at so often; gives how long it took, or nothing if it never did.
+    /// Lets time pass until this holds, looked at so often; gives how long it took, or nothing if
+    /// it never did.
     pub fn run_until(
         &mut self,
         most: Nanos,
@@ -459,18 +517,24 @@
 
     /// Those that are up.
     pub fn up(&self) -> impl Iterator<Item = (&Node, &Fleet<Out>)> {
-        self.nodes.iter().filter_map(|node| Some((node, node.fleet.as_ref()?)))
+        self.nodes
+            .iter()
+            .filter_map(|node| Some((node, node.fleet.as_ref()?)))
     }
 
     /// Whether all that are up hold one digest, and hold for there just those that are up.
     pub fn is_settled(&self) -> bool {
         let mut digests = self.up().map(|(_, fleet)| fleet.view().digest());
-        let Some(first) = digests.next() else { return true };
+        let Some(first) = digests.next() else {
+            return true;
+        };
         if !digests.all(|digest| digest == first) {
             return false;
         }
         let up = self.up().count();
-        let Some((_, fleet)) = self.up().next() else { return true };
+        let Some((_, fleet)) = self.up().next() else {
+            return true;
+        };
         let there = |node: &Node| {
             let status = fleet.view().get(node.key).map(|entry| entry.status());
             status.is_some_and(Status::is_present) == node.fleet.is_some()
@@ -480,20 +544,29 @@
 
     /// Whether nobody is suspected by anybody.
     pub fn is_calm(&self) -> bool {
-        self.up().all(|(_, fleet)| fleet.view().counts().suspect == 0)
+        self.up()
+            .all(|(_, fleet)| fleet.view().counts().suspect == 0)
     }
 
     /// Bytes and datagrams that each member sent, on average, since the last call.
     pub fn spent(&mut self) -> (f64, f64) {
         let members = self.nodes.len().max(1) as f64;
-        let bytes: u64 = self.nodes.iter_mut().map(|node| std::mem::take(&mut node.bytes)).sum();
-        let datagrams: u64 = self.nodes.iter_mut().map(|node| std::mem::take(&mut node.datagrams)).sum();
+        let bytes: u64 = self
+            .nodes
+            .iter_mut()
+            .map(|node| std::mem::take(&mut node.bytes))
+            .sum();
+        let datagrams: u64 = self
+            .nodes
+            .iter_mut()
+            .map(|node| std::mem::take(&mut node.datagrams))
+            .sum();
         (bytes as f64 / members, datagrams as f64 / members)
     }
 }
 
-/// The plainest way, to measure against: everybody tells everybody that it is there, and who is not heard for some periods is
-/// held for dead.
+/// The plainest way, to measure against: everybody tells everybody that it is there, and who is not
+/// heard for some periods is held for dead.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Heartbeats {
     /// Bytes and datagrams a second that each member sends.
@@ -509,7 +582,8 @@
 /// Bytes of a heartbeat: the frame with name and number, and the heads of UDP and IP.
 const HEARTBEAT: usize = crate::seal::OVERHEAD + 42 + 28;
 
-/// Plays heartbeats for so long, with a crash at the end; who is silent for `missed` periods is held for dead.
+/// Plays heartbeats for so long, with a crash at the end; who is silent for `missed` periods is
+/// held for dead.
 pub fn heartbeats(
     members: usize,
     loss: f64,
@@ -526,7 +600,11 @@
         for from in 0..members {
             for to in (0..members).filter(|&to| to != from) {
                 let at = &mut silent[from * members + to];
-                *at = if loss > 0.0 && rng.random_bool(loss) { *at + 1 } else { 0 };
+                *at = if loss > 0.0 && rng.random_bool(loss) {
+                    *at + 1
+                } else {
+                    0
+                };
                 false_deaths += u64::from(*at == missed);
             }
         }
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -1,7 +1,8 @@
-//! How long a suspect has to say that it is there: long while few suspect it, shorter with each that confirms. Nobody is
-//! buried without a last call: who suspects asks the suspect itself once more, and tells it what it is held for. Without
-//! that, a suspicion from within a partition outlived the partition: its news was spent before it could reach the suspect
-//! (60 members cut for 6 s, one of 16 seeds: a member buried 13 s after the heal).
+//! How long a suspect has to say that it is there: long while few suspect it, shorter with each
+//! that confirms. Nobody is buried without a last call: who suspects asks the suspect itself once
+//! more, and tells it what it is held for. Without that, a suspicion from within a partition
+//! outlived the partition: its news was spent before it could reach the suspect (60 members cut for
+//! 6 s, one of 16 seeds: a member buried 13 s after the heal).
 
 use crate::Nanos;
 use crate::member::Key;
@@ -66,9 +67,21 @@
 
 impl Suspicions {
     /// Somebody suspects a member; true if that is new here. The wait lies between these two.
-    pub fn suspect(&mut self, now: Nanos, key: Key, by: Key, (least, most): (Nanos, Nanos)) -> bool {
-        let fresh =
-            || Suspicion { since: now, by: Vec::new(), least, most: most.max(least), called: None, calls: 0 };
+    pub fn suspect(
+        &mut self,
+        now: Nanos,
+        key: Key,
+        by: Key,
+        (least, most): (Nanos, Nanos),
+    ) -> bool {
+        let fresh = || Suspicion {
+            since: now,
+            by: Vec::new(),
+            least,
+            most: most.max(least),
+            called: None,
+            calls: 0,
+        };
         let suspicion = self.all.entry(key).or_insert_with(fresh);
         let is_new = !suspicion.by.contains(&by) && suspicion.by.len() <= CONFIRMED;
         if is_new {
@@ -140,21 +153,45 @@
         }
         assert_eq!((dues[0], dues[3], dues[5]), (6100, 1100, 1100));
         assert!(dues.windows(2).all(|two| two[1] <= two[0]), "{dues:?}");
-        assert!(!all.suspect(200, Key(7), Key(2), (1000, 6000)), "the same accuser confirms nothing");
+        assert!(
+            !all.suspect(200, Key(7), Key(2), (1000, 6000)),
+            "the same accuser confirms nothing"
+        );
     }
 
     #[test]
     fn nobody_is_buried_without_a_last_call_and_its_time() {
         let mut all = Suspicions::default();
         all.suspect(100, Key(7), Key(1), (1000, 1000));
-        assert_eq!((all.next(300), all.due(799, 300)), (Some(800), Due::default()));
-        let call = || Due { calls: vec![Key(7)], over: vec![] };
-        assert_eq!((all.due(850, 300), all.due(949, 300)), (call(), Due::default()));
+        assert_eq!(
+            (all.next(300), all.due(799, 300)),
+            (Some(800), Due::default())
+        );
+        let call = || Due {
+            calls: vec![Key(7)],
+            over: vec![],
+        };
+        assert_eq!(
+            (all.due(850, 300), all.due(949, 300)),
+            (call(), Due::default())
+        );
         assert_eq!((all.due(950, 300), all.due(1050, 300)), (call(), call()));
-        assert_eq!((all.next(300), all.due(1149, 300)), (Some(1150), Due::default()));
+        assert_eq!(
+            (all.next(300), all.due(1149, 300)),
+            (Some(1150), Due::default())
+        );
         all.put_off(500); // heard nothing meanwhile: called again
-        assert_eq!((all.due(1300, 300), all.due(1400, 300), all.due(1500, 300)), (call(), call(), call()));
-        assert_eq!(all.due(1600, 300), Due { calls: vec![], over: vec![Key(7)] });
+        assert_eq!(
+            (all.due(1300, 300), all.due(1400, 300), all.due(1500, 300)),
+            (call(), call(), call())
+        );
+        assert_eq!(
+            all.due(1600, 300),
+            Due {
+                calls: vec![],
+                over: vec![Key(7)]
+            }
+        );
         assert_eq!(all.len(), 0);
     }
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,5 @@
-//! The table of members: what was heard of each, in bounds; counts; and digests of ranges of it, equal on nodes that agree.
+//! The table of members: what was heard of each, in bounds; counts; and digests of ranges of it,
+//! equal on nodes that agree.
 
 use crate::member::{
     Details, Entry, Epoch, Key, Life, NAME_MAX, Odd, Phase, Pulse, Standing, Status, is_name,
@@ -56,14 +57,22 @@
     pub fn kind(&self) -> Option<Kind> {
         let was = self.before.map(Status::is_present);
         match (was, self.after) {
-            (None | Some(false), Status::Alive | Status::Suspect) if self.before == Some(Status::Dead) => {
-                Some(if self.replaced { Kind::Replaced } else { Kind::Back })
+            (None | Some(false), Status::Alive | Status::Suspect)
+                if self.before == Some(Status::Dead) =>
+            {
+                Some(if self.replaced {
+                    Kind::Replaced
+                } else {
+                    Kind::Back
+                })
             }
             (None | Some(false), Status::Alive | Status::Suspect) => Some(Kind::Joined),
             (Some(true), Status::Dead) => Some(Kind::Dead),
             (Some(true), Status::Left) => Some(Kind::Left),
             (Some(true), _) if self.replaced => Some(Kind::Replaced),
-            (Some(true), Status::Suspect) if self.before == Some(Status::Alive) => Some(Kind::Suspect),
+            (Some(true), Status::Suspect) if self.before == Some(Status::Alive) => {
+                Some(Kind::Suspect)
+            }
             (Some(true), _) if self.moved => Some(Kind::Moved),
             (Some(true), Status::Alive) if self.before == Some(Status::Suspect) => Some(Kind::Back),
             (Some(true), _) if self.phase.is_some() => Some(Kind::Phase),
@@ -72,7 +81,8 @@
     }
 }
 
-/// Details that several views in one process share; a node keeps its own, simulated fleets keep each only once.
+/// Details that several views in one process share; a node keeps its own, simulated fleets keep
+/// each only once.
 pub type Interner = Arc<Mutex<HashMap<u64, Arc<Details>>>>;
 
 /// How many members of a kind there are.
@@ -136,7 +146,8 @@
         }
     }
 
-    /// The digest of all who are present: equal on nodes that agree on who that is and what each said last.
+    /// The digest of all who are present: equal on nodes that agree on who that is and what each
+    /// said last.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -166,16 +177,23 @@
 
     /// Those in a range of keys.
     pub fn range(&self, range: RangeInclusive<u64>) -> impl Iterator<Item = (Key, &Entry)> {
-        self.entries.range(Key(*range.start())..=Key(*range.end())).map(|(key, entry)| (*key, entry))
+        self.entries
+            .range(Key(*range.start())..=Key(*range.end()))
+            .map(|(key, entry)| (*key, entry))
     }
 
     /// The number of those who are present in a range of keys, and their digest.
     pub fn sum(&self, range: RangeInclusive<u64>) -> (usize, u64) {
-        let present = self.range(range).filter(|(_, entry)| entry.status().is_present());
-        present.fold((0, 0), |(n, sum), (_, entry)| (n + 1, sum.wrapping_add(entry.stamp)))
+        let present = self
+            .range(range)
+            .filter(|(_, entry)| entry.status().is_present());
+        present.fold((0, 0), |(n, sum), (_, entry)| {
+            (n + 1, sum.wrapping_add(entry.stamp))
+        })
     }
 
-    /// The digests of `slices` equal slices of all keys, from those that are kept; a power of two, 256 at most.
+    /// The digests of `slices` equal slices of all keys, from those that are kept; a power of two,
+    /// 256 at most.
     pub(crate) fn slices(&self, slices: usize) -> Vec<u64> {
         self.sums
             .chunks(SLICES / slices)
@@ -190,7 +208,10 @@
 
     fn count(&mut self, key: Key, entry: &Entry, coming: bool) {
         let size = ENTRY + entry.name.len() + entry.details.bytes();
-        let zone = self.zones.entry(Arc::clone(&entry.details.zone)).or_default();
+        let zone = self
+            .zones
+            .entry(Arc::clone(&entry.details.zone))
+            .or_default();
         if coming {
             *self.counts.of(entry.status()) += 1;
             *zone.of(entry.status()) += 1;
@@ -218,7 +239,9 @@
 
     /// Changes an entry, with all that is counted of it.
     fn change(&mut self, key: Key, with: impl FnOnce(&mut Entry)) {
-        let Some(mut entry) = self.entries.remove(&key) else { return };
+        let Some(mut entry) = self.entries.remove(&key) else {
+            return;
+        };
         self.count(key, &entry, false);
         with(&mut entry);
         entry.restamp(key);
@@ -228,17 +251,33 @@
 
     fn details(&self, raw: &[u8]) -> Result<Arc<Details>, Odd> {
         let details = Details::read(raw)?;
-        let Some(interner) = &self.interner else { return Ok(Arc::new(details)) };
-        let mut known = interner.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        Ok(Arc::clone(known.entry(details.hash()).or_insert_with(|| Arc::new(details))))
+        let Some(interner) = &self.interner else {
+            return Ok(Arc::new(details));
+        };
+        let mut known = interner
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
+        Ok(Arc::clone(
+            known
+                .entry(details.hash())
+                .or_insert_with(|| Arc::new(details)),
+        ))
     }
 
     /// Takes in what was said of a member, and says what came of it.
     pub fn merge(&mut self, now: Nanos, news: &News) -> Merged {
         let key = Key(news.key);
-        let Some(status) = Status::from_number(news.status) else { return Merged::Odd(Odd::Unreadable) };
-        let epoch = Epoch { birth: news.birth, life: Life(news.life) };
-        let standing = Standing { bump: news.bump, status };
+        let Some(status) = Status::from_number(news.status) else {
+            return Merged::Odd(Odd::Unreadable);
+        };
+        let epoch = Epoch {
+            birth: news.birth,
+            life: Life(news.life),
+        };
+        let standing = Standing {
+            bump: news.bump,
+            status,
+        };
         match self.entries.get(&key) {
             Some(known) if known.epoch > epoch => Merged::Older,
             Some(known) if known.epoch == epoch => self.grow(now, key, standing, news),
@@ -249,7 +288,9 @@
 
     /// Something of the life that is known.
     fn grow(&mut self, now: Nanos, key: Key, standing: Standing, news: &News) -> Merged {
-        let Some(known) = self.entries.get(&key) else { return Merged::Wanted };
+        let Some(known) = self.entries.get(&key) else {
+            return Merged::Wanted;
+        };
         let (stands, revision) = (known.standing, known.revision);
         let newer = news.revision > revision;
         if newer && news.told.is_empty() {
@@ -269,12 +310,20 @@
             Ok(details) => details,
             Err(odd) => return Merged::Odd(odd),
         };
-        let mut change = Change { before: Some(stands.status), digest: true, ..Change::default() };
+        let mut change = Change {
+            before: Some(stands.status),
+            digest: true,
+            ..Change::default()
+        };
         let digest = self.digest;
         self.change(key, |entry| {
             if standing > stands {
                 entry.standing = standing;
-                entry.since = if standing.status == stands.status { entry.since } else { now };
+                entry.since = if standing.status == stands.status {
+                    entry.since
+                } else {
+                    now
+                };
             }
             if let Some(details) = details {
                 change.moved = entry.details.address != details.address;
@@ -288,7 +337,14 @@
     }
 
     /// A later life of a name.
-    fn replace(&mut self, now: Nanos, key: Key, epoch: Epoch, standing: Standing, news: &News) -> Merged {
+    fn replace(
+        &mut self,
+        now: Nanos,
+        key: Key,
+        epoch: Epoch,
+        standing: Standing,
+        news: &News,
+    ) -> Merged {
         if news.told.is_empty() {
             return Merged::Wanted;
         }
@@ -296,7 +352,12 @@
             Ok(details) => details,
             Err(odd) => return Merged::Odd(odd),
         };
-        let mut change = Change { after: standing.status, digest: true, replaced: true, ..Change::default() };
+        let mut change = Change {
+            after: standing.status,
+            digest: true,
+            replaced: true,
+            ..Change::default()
+        };
         self.change(key, |entry| {
             change.before = Some(entry.status());
             change.moved = entry.details.address != details.address;
@@ -315,7 +376,14 @@
         Merged::Changed(change)
     }
 
-    fn insert(&mut self, now: Nanos, key: Key, epoch: Epoch, standing: Standing, news: &News) -> Merged {
+    fn insert(
+        &mut self,
+        now: Nanos,
+        key: Key,
+        epoch: Epoch,
+        standing: Standing,
+        news: &News,
+    ) -> Merged {
         if !standing.status.is_present() {
             return Merged::Known; // who was never known need not be remembered as gone
         }
@@ -349,7 +417,11 @@
         entry.restamp(key);
         self.count(key, &entry, true);
         self.entries.insert(key, entry);
-        Merged::Changed(Change { after: standing.status, digest: true, ..Change::default() })
+        Merged::Changed(Change {
+            after: standing.status,
+            digest: true,
+            ..Change::default()
+        })
     }
 
     /// Suspects or buries a member at the bump that is known; true if that changed anything.
@@ -374,8 +446,12 @@
     /// Takes a word of room and load; true if it is newer than what was known.
     pub(crate) fn pulse(&mut self, now: Nanos, tag: u32, pulse: Pulse) -> Option<Key> {
         let from = u64::from(tag) << 32;
-        let (key, entry) = self.entries.range_mut(Key(from)..=Key(from | u64::from(u32::MAX))).next()?;
-        let is_newer = entry.pulse_at == 0 || (1..1 << 15).contains(&pulse.no.wrapping_sub(entry.pulse.no));
+        let (key, entry) = self
+            .entries
+            .range_mut(Key(from)..=Key(from | u64::from(u32::MAX)))
+            .next()?;
+        let is_newer =
+            entry.pulse_at == 0 || (1..1 << 15).contains(&pulse.no.wrapping_sub(entry.pulse.no));
         is_newer.then(|| {
             (entry.pulse, entry.pulse_at) = (pulse, now.max(1));
             *key
@@ -384,27 +460,47 @@
 
     /// Forgets those who have been gone for so long.
     pub fn forget(&mut self, now: Nanos, after: Nanos) -> usize {
-        let gone = self.iter().filter(|(_, e)| !e.status().is_present() && now - e.since.min(now) >= after);
+        let gone = self
+            .iter()
+            .filter(|(_, e)| !e.status().is_present() && now - e.since.min(now) >= after);
         let gone: Vec<Key> = gone.map(|(key, _)| key).collect();
         gone.iter().for_each(|key| self.remove(*key));
         gone.len()
     }
 
-    /// Forgets one who is gone, to make room: one who left, else the longest dead of the zone with the most dead, so that
-    /// somebody is remembered of each zone that was lost.
+    /// Forgets one who is gone, to make room: one who left, else the longest dead of the zone with
+    /// the most dead, so that somebody is remembered of each zone that was lost.
     fn forget_one(&mut self) -> bool {
-        let gone = self.iter().filter(|(_, entry)| !entry.status().is_present());
-        let crowd = |entry: &Entry| self.zones.get(&entry.details.zone).map_or(0, |zone| zone.dead);
-        let first =
-            gone.min_by_key(|(_, e)| (e.status() != Status::Left, std::cmp::Reverse(crowd(e)), e.since));
-        let Some(key) = first.map(|(key, _)| key) else { return false };
+        let gone = self
+            .iter()
+            .filter(|(_, entry)| !entry.status().is_present());
+        let crowd = |entry: &Entry| {
+            self.zones
+                .get(&entry.details.zone)
+                .map_or(0, |zone| zone.dead)
+        };
+        let first = gone.min_by_key(|(_, e)| {
+            (
+                e.status() != Status::Left,
+                std::cmp::Reverse(crowd(e)),
+                e.since,
+            )
+        });
+        let Some(key) = first.map(|(key, _)| key) else {
+            return false;
+        };
         self.remove(key);
         true
     }
 
     /// Forgets everybody but one.
     pub(crate) fn forget_all_but(&mut self, own: Key) {
-        let others: Vec<Key> = self.entries.keys().copied().filter(|key| *key != own).collect();
+        let others: Vec<Key> = self
+            .entries
+            .keys()
+            .copied()
+            .filter(|key| *key != own)
+            .collect();
         others.into_iter().for_each(|key| self.remove(key));
     }
 
@@ -425,8 +521,13 @@
 
     fn news(name: &str, birth: u64, bump: u32, status: Status, revision: u32) -> News {
         let address = SocketAddr::from(([127, 0, 0, 1], 1000 + revision as u16));
-        let zone = if name.len().is_multiple_of(2) { "a" } else { "b" };
-        let details = Details::new(address, zone, Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
+        let zone = if name.len().is_multiple_of(2) {
+            "a"
+        } else {
+            "b"
+        };
+        let details =
+            Details::new(address, zone, Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
         News {
             key: Key::of(name).0,
             birth,
@@ -442,22 +543,34 @@
 
     /// What a view holds, but for when it heard it.
     fn held(view: &View) -> Vec<(Key, Epoch, Standing, u32, SocketAddr)> {
-        view.iter().map(|(k, e)| (k, e.epoch, e.standing, e.revision, e.details.address)).collect()
+        view.iter()
+            .map(|(k, e)| (k, e.epoch, e.standing, e.revision, e.details.address))
+            .collect()
     }
 
-    /// Whatever is said, in whatever order and however often: who has heard the same holds the same. Those who are not
-    /// known must have been known first, for nobody remembers the gone of whom he never heard.
+    /// Whatever is said, in whatever order and however often: who has heard the same holds the
+    /// same. Those who are not known must have been known first, for nobody remembers the gone of
+    /// whom he never heard.
     #[test]
     fn the_order_of_news_does_not_matter() {
         for seed in 0..200 {
             let mut rng = Pcg64Mcg::seed_from_u64(seed);
-            let first: Vec<News> = ["n1", "n22"].iter().map(|n| news(n, 1, 0, Status::Alive, 0)).collect();
+            let first: Vec<News> = ["n1", "n22"]
+                .iter()
+                .map(|n| news(n, 1, 0, Status::Alive, 0))
+                .collect();
             let mut said = Vec::new();
             for _ in 0..12 {
                 let name = ["n1", "n22"][rng.random_range(0..2)];
                 let status = [Status::Alive, Status::Suspect, Status::Dead, Status::Left];
                 let (birth, bump) = (rng.random_range(1..3), rng.random_range(0..3));
-                said.push(news(name, birth, bump, status[rng.random_range(0..4)], rng.random_range(0..3)));
+                said.push(news(
+                    name,
+                    birth,
+                    bump,
+                    status[rng.random_range(0..4)],
+                    rng.random_range(0..3),
+                ));
             }
             let mut views = Vec::new();
             for _ in 0..4 {
@@ -473,10 +586,17 @@
                     }
                 }
                 let (n, sum) = view.sum(0..=u64::MAX);
-                assert_eq!((n, sum), (view.counts().present(), view.digest()), "seed {seed}");
+                assert_eq!(
+                    (n, sum),
+                    (view.counts().present(), view.digest()),
+                    "seed {seed}"
+                );
                 views.push((held(&view), view.digest(), view.slices(8)));
             }
-            assert!(views.windows(2).all(|two| two[0] == two[1]), "seed {seed}: {views:#?}");
+            assert!(
+                views.windows(2).all(|two| two[0] == two[1]),
+                "seed {seed}: {views:#?}"
+            );
         }
     }
 
@@ -488,13 +608,19 @@
             _ => None,
         };
         assert_eq!(kind(&news("n", 5, 0, Status::Alive, 0)), Some(Kind::Joined));
-        assert_eq!(kind(&news("n", 5, 0, Status::Suspect, 0)), Some(Kind::Suspect));
+        assert_eq!(
+            kind(&news("n", 5, 0, Status::Suspect, 0)),
+            Some(Kind::Suspect)
+        );
         assert_eq!(kind(&news("n", 5, 1, Status::Alive, 0)), Some(Kind::Back));
         assert_eq!(kind(&news("n", 5, 1, Status::Alive, 1)), Some(Kind::Moved));
         assert_eq!(kind(&news("n", 5, 1, Status::Dead, 1)), Some(Kind::Dead));
         assert_eq!(kind(&news("n", 5, 1, Status::Alive, 1)), None);
         assert_eq!(kind(&news("n", 5, 2, Status::Alive, 1)), Some(Kind::Back));
-        assert_eq!(kind(&news("n", 6, 0, Status::Alive, 1)), Some(Kind::Replaced));
+        assert_eq!(
+            kind(&news("n", 6, 0, Status::Alive, 1)),
+            Some(Kind::Replaced)
+        );
         assert_eq!(kind(&news("n", 6, 0, Status::Left, 1)), Some(Kind::Left));
         assert_eq!(kind(&news("n", 7, 0, Status::Alive, 0)), Some(Kind::Joined));
     }
@@ -513,35 +639,51 @@
         assert_eq!(view.merge(0, &brief(1, 1, 1)), Merged::Wanted);
         assert_eq!(view.merge(0, &brief(2, 0, 0)), Merged::Wanted);
         assert_eq!(view.merge(0, &brief(1, 0, 0)), Merged::Older);
-        let named = News { name: "other".into(), ..news("x", 1, 0, Status::Alive, 0) };
+        let named = News {
+            name: "other".into(),
+            ..news("x", 1, 0, Status::Alive, 0)
+        };
         assert_eq!(view.merge(0, &named), Merged::Odd(Odd::BadName));
     }
 
-    /// With no room left the gone make way, the zones' last ones at the very end; the present never do.
+    /// With no room left the gone make way, the zones' last ones at the very end; the present never
+    /// do.
     #[test]
     fn a_full_view_forgets_the_gone_and_nobody_else() {
         let mut view = View::new(10 * ENTRY_USUAL, None);
         let mut names = 0;
-        while view.merge(0, &news(&format!("n{names:03}"), 1, 0, Status::Alive, 0)) != Merged::Full {
+        while view.merge(0, &news(&format!("n{names:03}"), 1, 0, Status::Alive, 0)) != Merged::Full
+        {
             names += 1;
         }
         assert!(names >= 10 && view.bytes() <= 10 * ENTRY_USUAL, "{names}");
         for n in 0..3 {
             view.set(n, Key::of(&format!("n{n:03}")), Status::Dead);
         }
-        let more =
-            |view: &mut View, n: usize| view.merge(9, &news(&format!("m{n:03}"), 1, 0, Status::Alive, 0));
+        let more = |view: &mut View, n: usize| {
+            view.merge(9, &news(&format!("m{n:03}"), 1, 0, Status::Alive, 0))
+        };
         for n in 0..3 {
             assert!(matches!(more(&mut view, n), Merged::Changed(_)));
         }
         assert_eq!(more(&mut view, 3), Merged::Full);
-        assert_eq!(view.counts(), Counts { alive: names, ..Counts::default() });
+        assert_eq!(
+            view.counts(),
+            Counts {
+                alive: names,
+                ..Counts::default()
+            }
+        );
     }
 
     #[test]
     fn the_gone_are_forgotten_after_their_time() {
         let mut view = View::new(1 << 20, None);
-        for (name, status) in [("n1", Status::Dead), ("n2", Status::Left), ("n3", Status::Suspect)] {
+        for (name, status) in [
+            ("n1", Status::Dead),
+            ("n2", Status::Left),
+            ("n3", Status::Suspect),
+        ] {
             let _ = view.merge(0, &news(name, 1, 0, Status::Alive, 0));
             view.set(5, Key::of(name), status);
         }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,4 +1,5 @@
-//! The messages, for `prost`. Fields that are not known are passed over; a number once given is never given again.
+//! The messages, for `prost`. Fields that are not known are passed over; a number once given is
+//! never given again.
 //! `docs/design/fleet.md` has the format byte by byte.
 
 /// The version of the messages that is spoken, and the oldest that is still read.
@@ -11,8 +12,8 @@
 /// The most bytes of a parcel.
 pub const PARCEL_MAX: usize = 1200;
 
-/// Whether this is a build with a later version of the messages: a field more in each, one less in some, and kinds that the present
-/// version does not know. For tests of both side by side.
+/// Whether this is a build with a later version of the messages: a field more in each, one less in
+/// some, and kinds that the present version does not know. For tests of both side by side.
 pub const LATER: bool = cfg!(feature = "later");
 /// A field that the present version does not know: number 250, a text.
 const LATER_FIELD: [u8; 8] = [0xd2, 0x0f, 5, b'l', b'a', b't', b'e', b'r'];
@@ -53,7 +54,8 @@
     pub const PAGE: u32 = 10;
     /// Something of another package, for the one that it is sent to.
     pub const PARCEL: u32 = 11;
-    /// Something that one who is no member and has the key wants done, of another package; and what became of it.
+    /// Something that one who is no member and has the key wants done, of another package; and what
+    /// became of it.
     pub const ORDER: u32 = 12;
     pub const ORDERED: u32 = 13;
 }
--- a/crates/fleet/tests/datagrams.rs
+++ b/crates/fleet/tests/datagrams.rs
@@ -1,5 +1,6 @@
-//! What comes from outside: strangers, another fleet, later versions, and datagrams that are good by their MAC and make no
-//! sense. Nothing panics, nothing is believed without its MAC, and no answer goes to what was dropped.
+//! What comes from outside: strangers, another fleet, later versions, and datagrams that are good
+//! by their MAC and make no sense. Nothing panics, nothing is believed without its MAC, and no
+//! answer goes to what was dropped.
 
 use madderpoint_fleet::fleet::Extensions;
 use madderpoint_fleet::member::{Details, Key, Life, Phase, Status};
@@ -55,7 +56,10 @@
 }
 
 fn at(now: Nanos) -> Moment {
-    Moment { now: S + now, unix_ms: UNIX + now / 1_000_000 }
+    Moment {
+        now: S + now,
+        unix_ms: UNIX + now / 1_000_000,
+    }
 }
 
 fn full(name: &str, n: u8, birth: u64, bump: u32, status: Status) -> News {
@@ -74,7 +78,14 @@
 }
 
 fn no_invariant_failed(fleet: &Fleet<Sent>) {
-    assert!(fleet.counts().keys().all(|what| !what.starts_with("invariant")), "{:?}", fleet.counts());
+    assert!(
+        fleet
+            .counts()
+            .keys()
+            .all(|what| !what.starts_with("invariant")),
+        "{:?}",
+        fleet.counts()
+    );
 }
 
 #[test]
@@ -93,9 +104,18 @@
     let frames = [
         (b"hello".to_vec(), "datagrams that are none of a fleet"),
         (other.seal(UNIX, &ping), "datagrams of another fleet"),
-        (wrong_key.seal(UNIX, &ping), "datagrams under an unknown key"),
-        (far.seal(UNIX + 3_600_000, &ping), "datagrams from a clock too far away"),
-        (far.seal(UNIX, b"\xff\xff\xff"), "datagrams that can't be read"),
+        (
+            wrong_key.seal(UNIX, &ping),
+            "datagrams under an unknown key",
+        ),
+        (
+            far.seal(UNIX + 3_600_000, &ping),
+            "datagrams from a clock too far away",
+        ),
+        (
+            far.seal(UNIX, b"\xff\xff\xff"),
+            "datagrams that can't be read",
+        ),
     ];
     for (frame, what) in frames {
         fleet.datagram(at(0), address(9), &frame);
@@ -104,7 +124,10 @@
     assert!(fleet.host.0.is_empty() && fleet.view().counts().present() == 1);
     let frame = far.seal(UNIX, &ping);
     fleet.datagram(at(0), address(9), &frame);
-    assert_eq!((fleet.host.0.len(), fleet.view().counts().present()), (1, 2));
+    assert_eq!(
+        (fleet.host.0.len(), fleet.view().counts().present()),
+        (1, 2)
+    );
     fleet.datagram(at(0), address(9), &frame);
     assert_eq!(fleet.counts().get("datagrams that came before"), Some(&1));
     assert_eq!(fleet.host.0.len(), 1);
@@ -114,39 +137,63 @@
 fn a_flood_of_strangers_is_not_even_looked_at() {
     let mut fleet = node("f", 2, 1);
     for n in 0..20_000u32 {
-        fleet.datagram(at(0), address((n % 200) as u8), &[b'm', b'f', 1, 0, 1, 2, 3]);
+        fleet.datagram(
+            at(0),
+            address((n % 200) as u8),
+            &[b'm', b'f', 1, 0, 1, 2, 3],
+        );
     }
-    assert!(fleet.counts()["datagrams beyond the rate"] >= 19_000, "{:?}", fleet.counts());
+    assert!(
+        fleet.counts()["datagrams beyond the rate"] >= 19_000,
+        "{:?}",
+        fleet.counts()
+    );
 }
 
-/// A later version adds a kind, fields, a status and a phase: what is known of it is used, the rest passed over or passed on.
+/// A later version adds a kind, fields, a status and a phase: what is known of it is used, the rest
+/// passed over or passed on.
 #[test]
 fn datagrams_of_a_later_version_are_read_as_far_as_they_are_known() {
     let mut fleet = node("f", 2, 1);
     let mut seal = Seal::new("f", keys(1), Life(7), 600 * S, 9);
     let mut news = full("n9", 9, 1, 0, Status::Alive);
-    news.told.extend([0x18, 0x07, 0xfa, 0x01, 0x03, b'n', b'e', b'w']); // phase 7, and a field 31
+    news.told
+        .extend([0x18, 0x07, 0xfa, 0x01, 0x03, b'n', b'e', b'w']); // phase 7, and a field 31
     let mut odd = full("n8", 8, 1, 0, Status::Alive);
     odd.status = 9;
-    let datagram =
-        Datagram { from: news.key, kind: 77, news: vec![news.clone(), odd], ..Datagram::default() };
+    let datagram = Datagram {
+        from: news.key,
+        kind: 77,
+        news: vec![news.clone(), odd],
+        ..Datagram::default()
+    };
     let mut message = datagram.encode_to_vec();
     message.extend([0xaa, 0x06, 0x02, b'h', b'i']); // a field 101
     fleet.datagram(at(0), address(9), &seal.seal(UNIX, &message));
-    assert_eq!(fleet.counts().get("datagrams of a kind that is not known"), Some(&1));
+    assert_eq!(
+        fleet.counts().get("datagrams of a kind that is not known"),
+        Some(&1)
+    );
     let entry = fleet.view().get(Key::of("n9")).unwrap();
-    assert_eq!((entry.details.phase, entry.details.raw()), (Phase::Serving, &news.told[..]));
+    assert_eq!(
+        (entry.details.phase, entry.details.raw()),
+        (Phase::Serving, &news.told[..])
+    );
     assert!(fleet.view().get(Key::of("n8")).is_none());
     // It goes on to others as it came.
     fleet.host.0.clear();
-    let ask = Datagram { kind: kind::ENTRIES, wants: vec![news.key], ..Datagram::default() };
+    let ask = Datagram {
+        kind: kind::ENTRIES,
+        wants: vec![news.key],
+        ..Datagram::default()
+    };
     fleet.datagram(at(0), address(9), &seal.seal(UNIX, &ask.encode_to_vec()));
     let (_, frame) = fleet.host.0.pop().unwrap();
     assert!(frame.windows(news.told.len()).any(|w| w == news.told));
 }
 
-/// Good by their MAC, and nonsense: fields of any value, news of anybody in any standing, ranges that go backwards. The node
-/// lives, sends within its bounds, and holds on to its name.
+/// Good by their MAC, and nonsense: fields of any value, news of anybody in any standing, ranges
+/// that go backwards. The node lives, sends within its bounds, and holds on to its name.
 #[test]
 fn sealed_nonsense_is_survived() {
     for seed in 0..30 {
@@ -159,8 +206,13 @@
             let mut news = Vec::new();
             for _ in 0..rng.random_range(0..6) {
                 let n = rng.random_range(1..6u8);
-                let mut one =
-                    full(&format!("n{n}"), n, rng.random_range(0..4), rng.random_range(0..4), Status::Alive);
+                let mut one = full(
+                    &format!("n{n}"),
+                    n,
+                    rng.random_range(0..4),
+                    rng.random_range(0..4),
+                    Status::Alive,
+                );
                 one.status = rng.random_range(0..6);
                 one.revision = rng.random_range(0..3);
                 if rng.random_bool(0.3) {
@@ -188,7 +240,11 @@
                 digest: rng.random(),
                 news,
                 pulses: vec![rng.random(); rng.random_range(0..70)],
-                summaries: if rng.random_bool(0.3) { vec![summary] } else { vec![] },
+                summaries: if rng.random_bool(0.3) {
+                    vec![summary]
+                } else {
+                    vec![]
+                },
                 covered: vec![],
                 wants: vec![rng.random(), Key::of("n2").0],
                 report: None,
@@ -202,7 +258,11 @@
                 message[place] ^= 1 << rng.random_range(0..8);
             }
             if message.len() < 1300 {
-                fleet.datagram(at(now), address(9), &seal.seal(UNIX + now / 1_000_000, &message));
+                fleet.datagram(
+                    at(now),
+                    address(9),
+                    &seal.seal(UNIX + now / 1_000_000, &message),
+                );
             }
             if fleet.next() <= at(now).now {
                 fleet.wake(at(now));
@@ -212,7 +272,10 @@
         // Either it holds its name, or it says that another has it.
         let own = fleet.view().get(Key::of("n2")).unwrap();
         let (_, life) = fleet.me();
-        assert!(own.epoch.life == life || fleet.is_mute(), "seed {seed}: {own:?}");
+        assert!(
+            own.epoch.life == life || fleet.is_mute(),
+            "seed {seed}: {own:?}"
+        );
     }
 }
 
@@ -238,10 +301,14 @@
         }
         fleet.datagram(at(now), address(9), &frame[..place]);
     }
-    assert_eq!((fleet.view().counts().present(), fleet.host.0.len()), (1, 0));
+    assert_eq!(
+        (fleet.view().counts().present(), fleet.host.0.len()),
+        (1, 0)
+    );
 }
 
-/// A parcel comes once, from one that is known, and to nobody else; one that is too large is not sent.
+/// A parcel comes once, from one that is known, and to nobody else; one that is too large is not
+/// sent.
 #[test]
 fn parcels_go_between_members() {
     let (mut a, mut b) = (node("f", 1, 1), node("f", 2, 1));
@@ -259,10 +326,17 @@
     assert_eq!(b.host.1, [(Key::of("n1"), 7, b"hello".to_vec())]);
     let mut c = node("f", 3, 1);
     c.datagram(at(0), address(1), &frame);
-    assert_eq!((c.host.1.len(), c.counts().get("parcels of one that is not known")), (0, Some(&1)));
+    assert_eq!(
+        (
+            c.host.1.len(),
+            c.counts().get("parcels of one that is not known")
+        ),
+        (0, Some(&1))
+    );
 }
 
-/// Two fleets whose seeds were mixed up: their nodes ask each other, and neither comes into the other's view or gets a word.
+/// Two fleets whose seeds were mixed up: their nodes ask each other, and neither comes into the
+/// other's view or gets a word.
 #[test]
 fn two_fleets_that_share_a_seed_stay_apart() {
     let (mut a, mut b) = (node("f", 2, 1), node("g", 3, 1)); // the same keys, and the seed of both is n1 of "f"
@@ -276,10 +350,19 @@
         }
         let mut sent: Vec<(SocketAddr, SocketAddr, Vec<u8>)> = Vec::new();
         for (from, fleet) in [(1, &mut seed), (2, &mut a), (3, &mut b)] {
-            sent.extend(fleet.host.0.drain(..).map(|(to, frame)| (address(from), to, frame)));
+            sent.extend(
+                fleet
+                    .host
+                    .0
+                    .drain(..)
+                    .map(|(to, frame)| (address(from), to, frame)),
+            );
         }
         for (from, to, frame) in sent {
-            assert!(from != address(1) || to != address(3), "no answer to the other fleet");
+            assert!(
+                from != address(1) || to != address(3),
+                "no answer to the other fleet"
+            );
             let fleets = [(1, &mut seed), (2, &mut a), (3, &mut b)];
             for (_, fleet) in fleets.into_iter().filter(|(n, _)| address(*n) == to) {
                 fleet.datagram(now, from, &frame);
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,6 +1,7 @@
-//! Small fleets, checked through every order of losses, doublings, suspicions, deaths, crashes and restarts to a depth. The
-//! table and the refutation are those of the package; what is left out is time: anybody may suspect and bury anybody else
-//! at any moment, which is worse than what any timing does.
+//! Small fleets, checked through every order of losses, doublings, suspicions, deaths, crashes and
+//! restarts to a depth. The table and the refutation are those of the package; what is left out is
+//! time: anybody may suspect and bury anybody else at any moment, which is worse than what any
+//! timing does.
 
 use madderpoint_fleet::member::{Details, Epoch, Key, Phase, Standing, Status, refutes};
 use madderpoint_fleet::view::View;
@@ -45,7 +46,10 @@
 
 static TOLD: LazyLock<Vec<u8>> = LazyLock::new(|| {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    Details::new(address, "a", Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap().raw().to_vec()
+    Details::new(address, "a", Phase::Serving, "1", (1, 1), (0, 0), vec![])
+        .unwrap()
+        .raw()
+        .to_vec()
 });
 
 fn news(n: usize, (birth, bump, status): Held) -> News {
@@ -78,11 +82,23 @@
 
 fn held(view: &View, n: usize) -> Option<Held> {
     let entry = view.get(Key::of(&format!("n{n}")))?;
-    Some((entry.epoch.birth, entry.standing.bump, entry.standing.status))
+    Some((
+        entry.epoch.birth,
+        entry.standing.bump,
+        entry.standing.status,
+    ))
 }
 
 fn version(held: Option<Held>) -> Option<(Epoch, Standing)> {
-    held.map(|(birth, bump, status)| (Epoch { birth, ..Epoch::default() }, Standing { bump, status }))
+    held.map(|(birth, bump, status)| {
+        (
+            Epoch {
+                birth,
+                ..Epoch::default()
+            },
+            Standing { bump, status },
+        )
+    })
 }
 
 impl State {
@@ -93,8 +109,14 @@
         }
         if to == of {
             let (birth, bump) = self.own[of];
-            let own = Standing { bump, status: Status::Alive };
-            let heard = Standing { bump: said.1, status: said.2 };
+            let own = Standing {
+                bump,
+                status: Status::Alive,
+            };
+            let heard = Standing {
+                bump: said.1,
+                status: said.2,
+            };
             if said.0 > birth {
                 self.own[of] = (said.0 + 1, 0); // its past, with a clock that was ahead
             } else if said.0 == birth
@@ -180,7 +202,11 @@
         let mut state = last.clone();
         match action {
             Action::Suspect(i, j) | Action::Bury(i, j) => {
-                let status = if matches!(action, Action::Bury(..)) { Status::Dead } else { Status::Suspect };
+                let status = if matches!(action, Action::Bury(..)) {
+                    Status::Dead
+                } else {
+                    Status::Suspect
+                };
                 let mut view = table(&state.views[i]);
                 view.set(0, Key::of(&format!("n{j}")), status);
                 state.views[i][j] = held(&view, j);
@@ -197,7 +223,8 @@
                 state.up[i] = false;
             }
             Action::Restart(i) => {
-                // Cold, and with a clock that stepped back: its birth lies before that of its first life.
+                // Cold, and with a clock that stepped back: its birth lies before that of its first
+                // life.
                 state.up[i] = true;
                 state.own[i] = (1, 0);
                 state.views[i] = vec![None; self.members];
@@ -209,7 +236,10 @@
 
     fn properties(&self) -> Vec<Property<Small>> {
         vec![
-            Property::always("no version goes back in any view", |_: &Small, state: &State| !state.went_back),
+            Property::always(
+                "no version goes back in any view",
+                |_: &Small, state: &State| !state.went_back,
+            ),
             Property::always(
                 "nobody holds more of a member than it said itself",
                 |_: &Small, state: &State| {
@@ -217,7 +247,9 @@
                     let all = 0..state.up.len();
                     all.clone().all(|i| {
                         all.clone().all(|j| {
-                            !fresh(j) || state.views[i][j].is_none_or(|(_, bump, _)| bump <= state.own[j].1)
+                            !fresh(j)
+                                || state.views[i][j]
+                                    .is_none_or(|(_, bump, _)| bump <= state.own[j].1)
                         })
                     })
                 },
@@ -225,19 +257,27 @@
             Property::always(
                 "in the quiet, all who are up hold all who are up for alive, and agree",
                 |_: &Small, state: &State| {
-                    let Some(quiet) = state.quiet() else { return false };
+                    let Some(quiet) = state.quiet() else {
+                        return false;
+                    };
                     let up: Vec<usize> = (0..quiet.up.len()).filter(|&n| quiet.up[n]).collect();
                     up.iter().all(|&i| {
-                        let alive = |j: &usize| matches!(quiet.views[i][*j], Some((_, _, Status::Alive)));
+                        let alive =
+                            |j: &usize| matches!(quiet.views[i][*j], Some((_, _, Status::Alive)));
                         up.iter().all(alive) && quiet.views[i] == quiet.views[up[0]]
                     })
                 },
             ),
-            Property::sometimes("somebody is buried while it is there", |_: &Small, state: &State| {
-                state.views.iter().any(|v| {
-                    v.iter().zip(&state.up).any(|(h, up)| *up && matches!(h, Some((_, _, Status::Dead))))
-                })
-            }),
+            Property::sometimes(
+                "somebody is buried while it is there",
+                |_: &Small, state: &State| {
+                    state.views.iter().any(|v| {
+                        v.iter()
+                            .zip(&state.up)
+                            .any(|(h, up)| *up && matches!(h, Some((_, _, Status::Dead))))
+                    })
+                },
+            ),
             Property::sometimes("somebody refutes", |_: &Small, state: &State| {
                 state.own.iter().any(|(_, bump)| *bump > 0)
             }),
@@ -250,22 +290,50 @@
     fn within_boundary(&self, state: &State) -> bool {
         state.under_way.len() <= self.under_way
             && state.crashes <= self.crashes
-            && state.own.iter().all(|(birth, bump)| *bump <= self.bumps && *birth <= 3)
+            && state
+                .own
+                .iter()
+                .all(|(birth, bump)| *bump <= self.bumps && *birth <= 3)
     }
 }
 
 fn check(model: Small, depth: usize) {
-    let checker = model.checker().threads(4).target_max_depth(depth).spawn_bfs().join();
-    println!("{} states, depth {}", checker.unique_state_count(), checker.max_depth());
+    let checker = model
+        .checker()
+        .threads(4)
+        .target_max_depth(depth)
+        .spawn_bfs()
+        .join();
+    println!(
+        "{} states, depth {}",
+        checker.unique_state_count(),
+        checker.max_depth()
+    );
     checker.assert_properties();
 }
 
 #[test]
 fn three_members_through_every_order_of_faults() {
-    check(Small { members: 3, bumps: 2, under_way: 2, crashes: 1 }, 7);
+    check(
+        Small {
+            members: 3,
+            bumps: 2,
+            under_way: 2,
+            crashes: 1,
+        },
+        7,
+    );
 }
 
 #[test]
 fn four_members_through_every_order_of_faults() {
-    check(Small { members: 4, bumps: 1, under_way: 1, crashes: 1 }, 6);
+    check(
+        Small {
+            members: 4,
+            bumps: 1,
+            under_way: 1,
+            crashes: 1,
+        },
+        6,
+    );
 }
--- a/crates/fleet/tests/simulated.rs
+++ b/crates/fleet/tests/simulated.rs
@@ -9,7 +9,11 @@
 const S: Nanos = 1000 * MS;
 
 fn fleet(members: usize, seed: u64) -> Sim {
-    Sim::started(Plan { members, seed, ..Plan::default() })
+    Sim::started(Plan {
+        members,
+        seed,
+        ..Plan::default()
+    })
 }
 
 fn settles(sim: &mut Sim, within: Nanos) -> Nanos {
@@ -27,14 +31,24 @@
 }
 
 fn counted(sim: &Sim, what: &str) -> u64 {
-    sim.up().filter_map(|(_, fleet)| fleet.counts().get(what)).sum()
+    sim.up()
+        .filter_map(|(_, fleet)| fleet.counts().get(what))
+        .sum()
 }
 
 fn no_invariant_failed(sim: &Sim) {
     for (node, fleet) in sim.up() {
-        let failed: Vec<_> =
-            fleet.counts().iter().filter(|(what, _)| what.starts_with("invariant")).collect();
-        assert!(failed.is_empty(), "seed {}, {}: {failed:?}", sim.plan.seed, node.name);
+        let failed: Vec<_> = fleet
+            .counts()
+            .iter()
+            .filter(|(what, _)| what.starts_with("invariant"))
+            .collect();
+        assert!(
+            failed.is_empty(),
+            "seed {}, {}: {failed:?}",
+            sim.plan.seed,
+            node.name
+        );
     }
 }
 
@@ -42,7 +56,12 @@
 fn all_that_start_at_once_and_cold_find_each_other() {
     for (members, within) in [(1, S), (2, 3 * S), (5, 3 * S), (60, 6 * S), (300, 10 * S)] {
         for seed in 0..3 {
-            let mut sim = Sim::started(Plan { members, seed, acquainted: false, ..Plan::default() });
+            let mut sim = Sim::started(Plan {
+                members,
+                seed,
+                acquainted: false,
+                ..Plan::default()
+            });
             settles(&mut sim, within);
             stays_settled(&mut sim, 20 * S);
             no_invariant_failed(&sim);
@@ -63,12 +82,14 @@
     }
 }
 
-/// A zone is cut for six seconds, and for a minute: halves hold each other for dead, and find each other again.
+/// A zone is cut for six seconds, and for a minute: halves hold each other for dead, and find each
+/// other again.
 #[test]
 fn halves_of_a_healed_partition_find_each_other() {
     for seed in 0..8 {
-        for (members, cut) in
-            [(6, 6), (60, 6), (60, 60), (300, 30)].into_iter().filter(|(m, _)| seed == 0 || *m < 300)
+        for (members, cut) in [(6, 6), (60, 6), (60, 60), (300, 30)]
+            .into_iter()
+            .filter(|(m, _)| seed == 0 || *m < 300)
         {
             let mut sim = fleet(members, seed);
             sim.run(5 * S);
@@ -76,8 +97,15 @@
             sim.run(cut * S);
             sim.heal();
             let took = settles(&mut sim, 8 * S);
-            println!("{members} members, cut for {cut} s: settled after {} ms", took / MS);
-            assert!(members < 300 || took <= 4 * S, "seed {seed}: {} ms for {members}", took / MS);
+            println!(
+                "{members} members, cut for {cut} s: settled after {} ms",
+                took / MS
+            );
+            assert!(
+                members < 300 || took <= 4 * S,
+                "seed {seed}: {} ms for {members}",
+                took / MS
+            );
             // A last call that the cut swallowed may still bury one within its time.
             sim.run(S);
             settles(&mut sim, 3 * S);
@@ -112,7 +140,9 @@
         sim.run(2 * S);
         sim.cut(|from, to| from.name == "n0" && to.name == "n1");
         stays_settled_but_for_suspicion(&mut sim, 120 * S);
-        sim.cut(|from, to| from.name == "n0" && to.name == "n1" || from.name == "n1" && to.name == "n0");
+        sim.cut(|from, to| {
+            from.name == "n0" && to.name == "n1" || from.name == "n1" && to.name == "n0"
+        });
         stays_settled_but_for_suspicion(&mut sim, 120 * S);
     }
 }
@@ -122,7 +152,13 @@
         sim.run(S);
         for (node, fleet) in sim.up() {
             let counts = fleet.view().counts();
-            assert_eq!((counts.present(), counts.dead), (5, 0), "seed {}, {}", sim.plan.seed, node.name);
+            assert_eq!(
+                (counts.present(), counts.dead),
+                (5, 0),
+                "seed {}, {}",
+                sim.plan.seed,
+                node.name
+            );
         }
     }
 }
@@ -149,7 +185,8 @@
     }
 }
 
-/// A node paused for longer than it takes to be declared dead wakes to find itself so, and says that it is there.
+/// A node paused for longer than it takes to be declared dead wakes to find itself so, and says
+/// that it is there.
 #[test]
 fn a_node_that_slept_past_its_death_comes_back() {
     for seed in 0..4 {
@@ -158,8 +195,9 @@
         sim.pause(3, 40 * S);
         sim.run(39 * S);
         let dead = sim.up().filter(|(node, _)| node.name != "n3");
-        let dead =
-            dead.filter(|(_, f)| f.view().get(Key::of("n3")).unwrap().status() == Status::Dead).count();
+        let dead = dead
+            .filter(|(_, f)| f.view().get(Key::of("n3")).unwrap().status() == Status::Dead)
+            .count();
         assert_eq!(dead, 19, "seed {seed}");
         sim.run(S);
         settles(&mut sim, 5 * S);
@@ -175,7 +213,11 @@
 /// It sleeps for longer than the others remember who died: it must not bring the dead back.
 #[test]
 fn one_that_slept_past_what_others_remember_brings_no_dead_back() {
-    let mut plan = Plan { members: 12, seed: 3, ..Plan::default() };
+    let mut plan = Plan {
+        members: 12,
+        seed: 3,
+        ..Plan::default()
+    };
     plan.periods.remember = 60 * S;
     let mut sim = Sim::started(plan);
     sim.run(2 * S);
@@ -183,9 +225,15 @@
     sim.run(10 * S);
     (1..5).for_each(|n| sim.crash(n));
     sim.run(380 * S);
-    assert_eq!(sim.up().nth(1).unwrap().1.view().counts().dead, 0, "all forgot who died");
+    assert_eq!(
+        sim.up().nth(1).unwrap().1.view().counts().dead,
+        0,
+        "all forgot who died"
+    );
     let ghosts = |sim: &Sim| {
-        sim.up().skip(1).any(|(_, f)| (1..5).any(|n| f.view().get(Key::of(&format!("n{n}"))).is_some()))
+        sim.up()
+            .skip(1)
+            .any(|(_, f)| (1..5).any(|n| f.view().get(Key::of(&format!("n{n}"))).is_some()))
     };
     for _ in 0..250 {
         sim.run(100 * MS);
@@ -194,10 +242,16 @@
     assert!(sim.is_settled());
 }
 
-/// A node so slow that none of its probes is answered in time doubts itself first, and buries nobody.
+/// A node so slow that none of its probes is answered in time doubts itself first, and buries
+/// nobody.
 #[test]
 fn a_slow_node_doubts_itself_first() {
-    let mut sim = Sim::started(Plan { members: 30, slow: 0.07, seed: 5, ..Plan::default() });
+    let mut sim = Sim::started(Plan {
+        members: 30,
+        slow: 0.07,
+        seed: 5,
+        ..Plan::default()
+    });
     sim.run(600 * S);
     assert_eq!(sim.false_deaths, vec![]);
     assert!(counted(&sim, "times it stood still") > 50);
@@ -206,11 +260,25 @@
 /// Without what Lifeguard adds the same fleet buries some who are there: the tests above can fail.
 #[test]
 fn without_doubt_and_confirmation_the_living_are_buried() {
-    let extensions = Extensions { health: false, confirm: false, ..Extensions::default() };
-    let plan = Plan { members: 30, slow: 0.2, loss: 0.5, seed: 5, extensions, ..Plan::default() };
+    let extensions = Extensions {
+        health: false,
+        confirm: false,
+        ..Extensions::default()
+    };
+    let plan = Plan {
+        members: 30,
+        slow: 0.2,
+        loss: 0.5,
+        seed: 5,
+        extensions,
+        ..Plan::default()
+    };
     let mut sim = Sim::started(plan.clone());
     sim.run(1200 * S);
-    let mut with = Sim::started(Plan { extensions: Extensions::default(), ..plan });
+    let mut with = Sim::started(Plan {
+        extensions: Extensions::default(),
+        ..plan
+    });
     with.run(1200 * S);
     assert!(
         sim.false_deaths.len() > 2 * with.false_deaths.len(),
@@ -220,10 +288,15 @@
     );
 }
 
-/// All seeds are down: those who know each other go on; one that starts finds nobody, says so, and joins once one is back.
+/// All seeds are down: those who know each other go on; one that starts finds nobody, says so, and
+/// joins once one is back.
 #[test]
 fn with_all_seeds_down_the_fleet_goes_on_and_a_newcomer_waits() {
-    let mut sim = Sim::new(Plan { members: 8, seed: 9, ..Plan::default() });
+    let mut sim = Sim::new(Plan {
+        members: 8,
+        seed: 9,
+        ..Plan::default()
+    });
     sim.keep_lines = true;
     (0..7).for_each(|n| sim.start(n));
     settles(&mut sim, 5 * S);
@@ -232,7 +305,16 @@
     sim.run(30 * S);
     assert_eq!(sim.up().last().unwrap().1.view().counts().present(), 1);
     assert!(
-        sim.nodes[7].fleet.as_ref().unwrap().host.lines.as_ref().unwrap().iter().any(|l| l.contains("alone"))
+        sim.nodes[7]
+            .fleet
+            .as_ref()
+            .unwrap()
+            .host
+            .lines
+            .as_ref()
+            .unwrap()
+            .iter()
+            .any(|l| l.contains("alone"))
     );
     for (node, fleet) in sim.up().filter(|(node, _)| node.name != "n7") {
         assert_eq!(fleet.view().counts().present(), 4, "{}", node.name);
@@ -257,14 +339,21 @@
         settles(&mut sim, 6 * S);
         let (_, fleet) = sim.up().nth(4).unwrap();
         assert!(!fleet.is_mute());
-        assert!(counted(&sim, "times it took its name over from an earlier life") >= 1, "seed {seed}");
+        assert!(
+            counted(&sim, "times it took its name over from an earlier life") >= 1,
+            "seed {seed}"
+        );
         stays_settled(&mut sim, 30 * S);
     }
 }
 
 #[test]
 fn clocks_that_are_minutes_apart_and_step_change_nothing() {
-    let mut sim = Sim::new(Plan { members: 9, seed: 4, ..Plan::default() });
+    let mut sim = Sim::new(Plan {
+        members: 9,
+        seed: 4,
+        ..Plan::default()
+    });
     for n in 0..9 {
         sim.nodes[n].clock = (n as i64 - 4) * 60_000;
         sim.start(n);
@@ -284,21 +373,37 @@
 fn a_drain_and_a_leave_are_told_and_no_death() {
     let mut sim = fleet(12, 2);
     sim.run(3 * S);
-    let at = madderpoint_fleet::Moment { now: sim.now, unix_ms: 1_800_000_000_000 };
-    sim.nodes[5].fleet.as_mut().unwrap().set_phase(at, Phase::Draining);
+    let at = madderpoint_fleet::Moment {
+        now: sim.now,
+        unix_ms: 1_800_000_000_000,
+    };
+    sim.nodes[5]
+        .fleet
+        .as_mut()
+        .unwrap()
+        .set_phase(at, Phase::Draining);
     sim.run(2 * S);
     for (node, fleet) in sim.up() {
-        assert_eq!(fleet.view().get(Key::of("n5")).unwrap().details.phase, Phase::Draining, "{}", node.name);
+        assert_eq!(
+            fleet.view().get(Key::of("n5")).unwrap().details.phase,
+            Phase::Draining,
+            "{}",
+            node.name
+        );
     }
     sim.leave(5);
     sim.run(2 * S);
     for (_, fleet) in sim.up() {
-        assert_eq!((fleet.view().counts().left, fleet.view().counts().dead), (1, 0));
+        assert_eq!(
+            (fleet.view().counts().left, fleet.view().counts().dead),
+            (1, 0)
+        );
     }
     assert!(sim.is_settled());
 }
 
-/// One leaves while a zone is cut off: those on the other side hold it for dead, and hear afterwards that it left.
+/// One leaves while a zone is cut off: those on the other side hold it for dead, and hear
+/// afterwards that it left.
 #[test]
 fn a_leave_that_a_partition_hid_is_heard_afterwards() {
     for seed in 0..4 {
@@ -323,24 +428,40 @@
 fn parts_reach_all_and_an_entry_has_its_bound() {
     let mut sim = fleet(12, 2);
     sim.run(S);
-    let at = madderpoint_fleet::Moment { now: sim.now, unix_ms: 1_800_000_000_000 };
+    let at = madderpoint_fleet::Moment {
+        now: sim.now,
+        unix_ms: 1_800_000_000_000,
+    };
     let fleet = sim.nodes[2].fleet.as_mut().unwrap();
-    let part = |bytes| Part { id: 7, version: 1, bytes };
+    let part = |bytes| Part {
+        id: 7,
+        version: 1,
+        bytes,
+    };
     assert!(fleet.set_part(at, part(vec![1; 500])).is_err());
     assert!(fleet.set_part(at, part(vec![5; 60])).is_ok());
     settles(&mut sim, 4 * S);
     for (_, fleet) in sim.up() {
-        assert_eq!(fleet.view().get(Key::of("n2")).unwrap().details.parts, vec![part(vec![5; 60])]);
+        assert_eq!(
+            fleet.view().get(Key::of("n2")).unwrap().details.parts,
+            vec![part(vec![5; 60])]
+        );
     }
 }
 
-/// Any of the faults above, in pairs drawn by seed, one after the other: afterwards all agree within the bound.
+/// Any of the faults above, in pairs drawn by seed, one after the other: afterwards all agree
+/// within the bound.
 #[test]
 fn pairs_of_faults_by_seed_are_settled() {
     for seed in 0..40u64 {
         let members = [3, 4, 7, 16, 40][seed as usize % 5];
         let loss = [0.0, 0.05, 0.15][seed as usize % 3];
-        let mut sim = Sim::started(Plan { members, seed, loss, ..Plan::default() });
+        let mut sim = Sim::started(Plan {
+            members,
+            seed,
+            loss,
+            ..Plan::default()
+        });
         sim.run(2 * S);
         for fault in [seed % 7, seed / 7 % 7] {
             let n = (seed as usize * 7 + fault as usize) % members;
