--- a/crates/identity/src/bundle.rs
+++ b/crates/identity/src/bundle.rs
@@ -1,5 +1,5 @@
-//! Trust bundles, by "The SPIFFE Trust Domain and Bundle", section 4: a JSON Web Key Set with a sequence number and a
-//! refresh hint, whose keys each say what they are for.
+//! Trust bundles, by "The SPIFFE Trust Domain and Bundle", section 4: a JSON Web Key Set with a
+//! sequence number and a refresh hint, whose keys each say what they are for.
 
 use crate::{Nanos, TrustDomain};
 use base64::Engine;
@@ -10,8 +10,8 @@
 /// The most that a bundle's text may have, and the most keys in it.
 pub const TEXT_MAX: usize = 256 << 10;
 const KEYS_MAX: usize = 256;
-/// Hints outside these are taken for the nearer end: a hint of 0 must not make a node ask without pause, nor a huge one
-/// make it never ask again.
+/// Hints outside these are taken for the nearer end: a hint of 0 must not make a node ask without
+/// pause, nor a huge one make it never ask again.
 const HINT_LEAST: u64 = 1;
 const HINT_MOST: u64 = 24 * 3600;
 /// How often to refresh where the bundle does not say (5 minutes, as the standard suggests).
@@ -92,13 +92,19 @@
 }
 
 fn number(text: Option<&String>) -> Option<Vec<u8>> {
-    URL_SAFE_NO_PAD.decode(text?).ok().filter(|bytes| !bytes.is_empty())
+    URL_SAFE_NO_PAD
+        .decode(text?)
+        .ok()
+        .filter(|bytes| !bytes.is_empty())
 }
 
 impl Key {
     fn public(&self) -> Option<PublicKey> {
         match self.kty.as_str() {
-            "RSA" => Some(PublicKey::Rsa(number(self.n.as_ref())?, number(self.e.as_ref())?)),
+            "RSA" => Some(PublicKey::Rsa(
+                number(self.n.as_ref())?,
+                number(self.e.as_ref())?,
+            )),
             "EC" => {
                 let (curve, len) = Curve::read(self.crv.as_ref()?)?;
                 let (x, y) = (number(self.x.as_ref())?, number(self.y.as_ref())?);
@@ -110,22 +116,36 @@
 }
 
 impl Bundle {
-    /// Reads a bundle. A key that is for one of the two uses and can't be read spoils the whole: a bundle that lacks an
-    /// authority would refuse callers who are trusted, and nobody would see why.
+    /// Reads a bundle. A key that is for one of the two uses and can't be read spoils the whole: a
+    /// bundle that lacks an authority would refuse callers who are trusted, and nobody would see
+    /// why.
     pub fn read(text: &[u8]) -> Result<Bundle, String> {
         if text.len() > TEXT_MAX {
-            return Err(format!("a bundle of {} bytes; at most {TEXT_MAX}", text.len()));
+            return Err(format!(
+                "a bundle of {} bytes; at most {TEXT_MAX}",
+                text.len()
+            ));
         }
         let set: KeySet = serde_json::from_slice(text).map_err(|e| e.to_string())?;
         if set.keys.len() > KEYS_MAX {
             return Err(format!("{} keys; at most {KEYS_MAX}", set.keys.len()));
         }
-        let hint = set.spiffe_refresh_hint.unwrap_or(HINT).clamp(HINT_LEAST, HINT_MOST);
-        let mut bundle =
-            Bundle { sequence: set.spiffe_sequence, refresh: hint * 1_000_000_000, ..Bundle::default() };
+        let hint = set
+            .spiffe_refresh_hint
+            .unwrap_or(HINT)
+            .clamp(HINT_LEAST, HINT_MOST);
+        let mut bundle = Bundle {
+            sequence: set.spiffe_sequence,
+            refresh: hint * 1_000_000_000,
+            ..Bundle::default()
+        };
         for (place, value) in set.keys.into_iter().enumerate() {
             // 4.2.2: what has another use, or a kind that is not known, is passed over.
-            let usage = value.get("use").and_then(|u| u.as_str()).unwrap_or_default().to_owned();
+            let usage = value
+                .get("use")
+                .and_then(|u| u.as_str())
+                .unwrap_or_default()
+                .to_owned();
             if usage != "x509-svid" && usage != "jwt-svid" {
                 bundle.passed_over += 1;
                 continue;
@@ -134,17 +154,24 @@
             let key: Key = serde_json::from_value(value).map_err(|e| wrong(&e.to_string()))?;
             debug_assert_eq!(key.usage.as_deref(), Some(usage.as_str()));
             if usage == "x509-svid" {
-                // 4.2.2: the certificate is the one entry of x5c, in base64 that is not that of URLs.
+                // 4.2.2: the certificate is the one entry of x5c, in base64 that is not that of
+                // URLs.
                 let [certificate] = key.x5c.as_deref().unwrap_or_default() else {
                     return Err(wrong("x5c must have exactly one certificate"));
                 };
-                let der = STANDARD.decode(certificate).map_err(|_| wrong("x5c is no base64"))?;
+                let der = STANDARD
+                    .decode(certificate)
+                    .map_err(|_| wrong("x5c is no base64"))?;
                 if der.is_empty() {
                     return Err(wrong("an empty certificate"));
                 }
                 bundle.x509.push(der);
             } else {
-                let id = key.kid.clone().filter(|id| !id.is_empty()).ok_or_else(|| wrong("no kid"))?;
+                let id = key
+                    .kid
+                    .clone()
+                    .filter(|id| !id.is_empty())
+                    .ok_or_else(|| wrong("no kid"))?;
                 if bundle.jwt.iter().any(|known| known.id == id) {
                     return Err(wrong("a kid that another key has"));
                 }
@@ -211,7 +238,10 @@
 
     /// The bundle of a trust domain; none if it is not trusted at all.
     pub fn of(&self, domain: &str) -> Option<&Bundle> {
-        self.by_domain.iter().find(|(known, _)| known.as_str() == domain).map(|(_, bundle)| bundle)
+        self.by_domain
+            .iter()
+            .find(|(known, _)| known.as_str() == domain)
+            .map(|(_, bundle)| bundle)
     }
 
     /// Grows with every change.
@@ -239,16 +269,34 @@
     #[test]
     fn a_bundle_has_authorities_keys_and_its_counters() {
         let other = r#"{"kty": "EC", "use": "sig", "x5c": 7}"#;
-        let read =
-            bundle(&[X509, RSA, other].join(","), r#", "spiffe_sequence": 12, "spiffe_refresh_hint": 60"#);
+        let read = bundle(
+            &[X509, RSA, other].join(","),
+            r#", "spiffe_sequence": 12, "spiffe_refresh_hint": 60"#,
+        );
         let read = read.unwrap();
-        assert_eq!((read.sequence, read.refresh, read.passed_over), (Some(12), 60_000_000_000, 1));
+        assert_eq!(
+            (read.sequence, read.refresh, read.passed_over),
+            (Some(12), 60_000_000_000, 1)
+        );
         assert_eq!(read.x509, [vec![1, 2, 3]]);
-        assert_eq!(read.jwt_key("a").unwrap().key, PublicKey::Rsa(vec![1, 0, 1], vec![1, 0, 1]));
+        assert_eq!(
+            read.jwt_key("a").unwrap().key,
+            PublicKey::Rsa(vec![1, 0, 1], vec![1, 0, 1])
+        );
         assert!(read.jwt_key("b").is_none());
-        assert_eq!(bundle("", "").unwrap().refresh, 300_000_000_000, "five minutes if it does not say");
-        assert_eq!(bundle("", r#", "spiffe_refresh_hint": 0"#).unwrap().refresh, 1_000_000_000);
-        assert!(bundle("", "").unwrap().x509.is_empty(), "a domain without keys trusts nobody");
+        assert_eq!(
+            bundle("", "").unwrap().refresh,
+            300_000_000_000,
+            "five minutes if it does not say"
+        );
+        assert_eq!(
+            bundle("", r#", "spiffe_refresh_hint": 0"#).unwrap().refresh,
+            1_000_000_000
+        );
+        assert!(
+            bundle("", "").unwrap().x509.is_empty(),
+            "a domain without keys trusts nobody"
+        );
     }
 
     #[test]
@@ -267,30 +315,56 @@
         ] {
             assert!(bundle(&[X509, keys].join(","), "").is_err(), "{keys}");
         }
-        for text in ["", "{}", "[]", r#"{"keys": 1}"#, r#"{"keys": [], "spiffe_sequence": -1}"#] {
+        for text in [
+            "",
+            "{}",
+            "[]",
+            r#"{"keys": 1}"#,
+            r#"{"keys": [], "spiffe_sequence": -1}"#,
+        ] {
             assert!(Bundle::read(text.as_bytes()).is_err(), "{text}");
         }
         assert!(Bundle::read(&vec![b' '; TEXT_MAX + 1]).is_err());
         // A point that is too short for its curve is no key.
-        let short = r#"{"kty": "EC", "use": "jwt-svid", "kid": "c", "crv": "P-256", "x": "AQ", "y": "AQ"}"#;
-        assert_eq!((bundle(short, "").unwrap().jwt.len(), bundle(short, "").unwrap().passed_over), (0, 1));
+        let short =
+            r#"{"kty": "EC", "use": "jwt-svid", "kid": "c", "crv": "P-256", "x": "AQ", "y": "AQ"}"#;
+        assert_eq!(
+            (
+                bundle(short, "").unwrap().jwt.len(),
+                bundle(short, "").unwrap().passed_over
+            ),
+            (0, 1)
+        );
     }
 
     #[test]
     fn a_sequence_never_goes_back_and_says_one_thing_only() {
         let domain: TrustDomain = "saha.example".parse().unwrap();
-        let of =
-            |sequence: u64, key: &str| bundle(key, &format!(r#", "spiffe_sequence": {sequence}"#)).unwrap();
+        let of = |sequence: u64, key: &str| {
+            bundle(key, &format!(r#", "spiffe_sequence": {sequence}"#)).unwrap()
+        };
         let mut bundles = Bundles::default();
         assert_eq!(bundles.offer(&domain, of(5, X509)), Offer::Taken);
         assert_eq!(bundles.offer(&domain, of(5, X509)), Offer::Same);
         assert_eq!(bundles.offer(&domain, of(4, RSA)), Offer::GoesBack);
         assert_eq!(bundles.offer(&domain, of(5, RSA)), Offer::Contradicts);
-        assert_eq!((bundles.version(), bundles.of("saha.example").unwrap().x509.len()), (1, 1));
+        assert_eq!(
+            (
+                bundles.version(),
+                bundles.of("saha.example").unwrap().x509.len()
+            ),
+            (1, 1)
+        );
         assert_eq!(bundles.offer(&domain, of(6, RSA)), Offer::Taken);
-        assert!(bundles.of("saha.example").unwrap().x509.is_empty() && bundles.of("other.example").is_none());
+        assert!(
+            bundles.of("saha.example").unwrap().x509.is_empty()
+                && bundles.of("other.example").is_none()
+        );
         // An issuer that does not count is believed each time.
-        assert_eq!(bundles.offer(&domain, bundle(X509, "").unwrap()), Offer::Taken);
+        assert_eq!(
+            bundles.offer(&domain, bundle(X509, "").unwrap()),
+            Offer::Taken
+        );
         assert!(bundles.withdraw(&domain) && !bundles.withdraw(&domain));
         assert_eq!((bundles.version(), bundles.domains().count()), (4, 0));
     }
--- a/crates/identity/src/id.rs
+++ b/crates/identity/src/id.rs
@@ -1,4 +1,5 @@
-//! SPIFFE ids and trust domains, by "The SPIFFE Identity and Verifiable Identity Document", section 2.
+//! SPIFFE ids and trust domains, by "The SPIFFE Identity and Verifiable Identity Document", section
+//! 2.
 
 use std::fmt;
 use std::str::FromStr;
@@ -20,14 +21,15 @@
     NoDomain,
     /// 2.3: the trust domain has more than 255 bytes.
     DomainTooLong,
-    /// 2.1: the trust domain has another letter than a-z, 0-9, '.', '-' and '_'; user and port are among these.
+    /// 2.1: the trust domain has another letter than a-z, 0-9, '.', '-' and '_'; user and port are
+    /// among these.
     DomainLetter(char),
     /// 2.2: a segment of the path is empty, or the path ends with '/'.
     EmptySegment,
     /// 2.2: a segment is '.' or '..'.
     DotSegment,
-    /// 2.2: a segment has another letter than A-Z, a-z, 0-9, '.', '-' and '_'; so have a query, a fragment and what is
-    /// percent-encoded.
+    /// 2.2: a segment has another letter than A-Z, a-z, 0-9, '.', '-' and '_'; so have a query, a
+    /// fragment and what is percent-encoded.
     PathLetter(char),
 }
 
@@ -37,7 +39,9 @@
             Malformed::TooLong => write!(f, "an id of more than {ID_MAX} bytes (2.3)"),
             Malformed::Scheme => write!(f, "an id begins with {SCHEME} (2)"),
             Malformed::NoDomain => f.write_str("no trust domain (2.1)"),
-            Malformed::DomainTooLong => write!(f, "a trust domain of more than {DOMAIN_MAX} bytes (2.3)"),
+            Malformed::DomainTooLong => {
+                write!(f, "a trust domain of more than {DOMAIN_MAX} bytes (2.3)")
+            }
             Malformed::DomainLetter(c) => write!(f, "{c:?} in the trust domain (2.1)"),
             Malformed::EmptySegment => f.write_str("an empty segment in the path (2.2)"),
             Malformed::DotSegment => f.write_str("a segment '.' or '..' in the path (2.2)"),
@@ -79,7 +83,9 @@
 
 fn check_path(path: &str) -> Result<(), Malformed> {
     let known = |c: &char| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | '_');
-    let Some(segments) = path.strip_prefix('/') else { return Ok(()) };
+    let Some(segments) = path.strip_prefix('/') else {
+        return Ok(());
+    };
     for segment in segments.split('/') {
         match segment {
             "" => return Err(Malformed::EmptySegment),
@@ -152,7 +158,10 @@
         let path = SCHEME.len() + rest.find('/').unwrap_or(rest.len());
         check_domain(&text[SCHEME.len()..path])?;
         check_path(&text[path..])?;
-        Ok(SpiffeId { text: text.into(), path })
+        Ok(SpiffeId {
+            text: text.into(),
+            path,
+        })
     }
 }
 
@@ -184,7 +193,11 @@
             let id: SpiffeId = text.parse().unwrap();
             assert_eq!((id.as_str(), id.domain(), id.path()), (text, domain, path));
             assert!(id.is_of(&domain.parse().unwrap()));
-            assert_eq!(text.parse::<TrustDomain>().unwrap().as_str(), domain, "of an id, its domain");
+            assert_eq!(
+                text.parse::<TrustDomain>().unwrap().as_str(),
+                domain,
+                "of an id, its domain"
+            );
         }
     }
 
@@ -222,10 +235,18 @@
 
     #[test]
     fn lengths_are_bounded_to_the_byte() {
-        let of = |domain: usize, path: usize| format!("spiffe://{}/{}", "d".repeat(domain), "p".repeat(path));
+        let of = |domain: usize, path: usize| {
+            format!("spiffe://{}/{}", "d".repeat(domain), "p".repeat(path))
+        };
         assert!(of(255, 1).parse::<SpiffeId>().is_ok());
-        assert_eq!(of(256, 1).parse::<SpiffeId>(), Err(Malformed::DomainTooLong));
+        assert_eq!(
+            of(256, 1).parse::<SpiffeId>(),
+            Err(Malformed::DomainTooLong)
+        );
         assert!(of(7, 2048 - 9 - 8).parse::<SpiffeId>().is_ok());
-        assert_eq!(of(7, 2048 - 9 - 7).parse::<SpiffeId>(), Err(Malformed::TooLong));
+        assert_eq!(
+            of(7, 2048 - 9 - 7).parse::<SpiffeId>(),
+            Err(Malformed::TooLong)
+        );
     }
 }
--- a/crates/identity/src/jwt.rs
+++ b/crates/identity/src/jwt.rs
@@ -1,5 +1,6 @@
-//! JWT-SVIDs, by "The JWT SPIFFE Verifiable Identity Document". The signature is checked by `ring`; what is around it is
-//! little, and each part of it a clause: no library's default decides here which algorithm a token may name.
+//! JWT-SVIDs, by "The JWT SPIFFE Verifiable Identity Document". The signature is checked by `ring`;
+//! what is around it is little, and each part of it a clause: no library's default decides here
+//! which algorithm a token may name.
 
 use crate::Nanos;
 use crate::bundle::{Bundles, Curve, JwtKey, PublicKey};
@@ -23,7 +24,8 @@
     TooLong,
     /// 2: it is not in the compact form: three parts in base64 for URLs, two of them JSON.
     Form,
-    /// 2.1: the algorithm is not one of the standard's, such as `none`, or not one that is supported here (ES512).
+    /// 2.1: the algorithm is not one of the standard's, such as `none`, or not one that is
+    /// supported here (ES512).
     Algorithm(String),
     /// 2.3: `typ` is there and neither JWT nor JOSE.
     Type(String),
@@ -103,12 +105,14 @@
 
     fn verifies(self, key: &PublicKey, message: &[u8], signed: &[u8]) -> bool {
         match (self, key) {
-            (Algorithm::Rsa(parameters), PublicKey::Rsa(n, e)) => {
-                RsaPublicKeyComponents { n, e }.verify(parameters, message, signed).is_ok()
-            }
+            (Algorithm::Rsa(parameters), PublicKey::Rsa(n, e)) => RsaPublicKeyComponents { n, e }
+                .verify(parameters, message, signed)
+                .is_ok(),
             (Algorithm::Ec(curve, algorithm), PublicKey::Ec(of, x, y)) if curve == *of => {
                 let point = [&[4], x.as_slice(), y].concat(); // uncompressed
-                UnparsedPublicKey::new(algorithm, point).verify(message, signed).is_ok()
+                UnparsedPublicKey::new(algorithm, point)
+                    .verify(message, signed)
+                    .is_ok()
             }
             _ => false,
         }
@@ -150,7 +154,8 @@
 }
 
 fn nanos(seconds: f64) -> Nanos {
-    // Out of range, and NaN, go to the ends: as the end of a token the past, as its beginning what it says.
+    // Out of range, and NaN, go to the ends: as the end of a token the past, as its beginning what
+    // it says.
     (seconds * 1e9) as Nanos
 }
 
@@ -159,8 +164,8 @@
     serde_json::from_slice(&bytes).map_err(|_| Refused::Form)
 }
 
-/// Checks a token that is to be for one of these audiences, at a time of the Unix clock; clocks may differ by `skew`, at
-/// most [`SKEW_MOST`].
+/// Checks a token that is to be for one of these audiences, at a time of the Unix clock; clocks may
+/// differ by `skew`, at most [`SKEW_MOST`].
 pub fn check(
     token: &str,
     bundles: &Bundles,
@@ -172,9 +177,12 @@
         return Err(Refused::TooLong);
     }
     let parts: Vec<&str> = token.split('.').collect();
-    let [head, claims, signed] = parts.as_slice() else { return Err(Refused::Form) };
+    let [head, claims, signed] = parts.as_slice() else {
+        return Err(Refused::Form);
+    };
     let header: Header = json(head)?;
-    let algorithm = Algorithm::read(&header.alg).ok_or_else(|| Refused::Algorithm(header.alg.clone()))?;
+    let algorithm =
+        Algorithm::read(&header.alg).ok_or_else(|| Refused::Algorithm(header.alg.clone()))?;
     if let Some(kind) = header.typ.filter(|typ| typ != "JWT" && typ != "JOSE") {
         return Err(Refused::Type(kind));
     }
@@ -185,15 +193,25 @@
     let claims: Claims = json(claims)?;
     let signed = URL_SAFE_NO_PAD.decode(signed).map_err(|_| Refused::Form)?;
     let id: SpiffeId = claims.sub.parse().map_err(Refused::NoId)?;
-    // The subject only says whose keys to look at; nothing of the token is believed before they have been asked.
-    let bundle = bundles.of(id.domain()).ok_or_else(|| Refused::UnknownDomain(id.domain().to_owned()))?;
+    // The subject only says whose keys to look at; nothing of the token is believed before they
+    // have been asked.
+    let bundle = bundles
+        .of(id.domain())
+        .ok_or_else(|| Refused::UnknownDomain(id.domain().to_owned()))?;
     let named = |key: &&JwtKey| header.kid.as_ref().is_none_or(|kid| *kid == key.id);
-    let keys = bundle.jwt.iter().filter(named).filter(|key| algorithm.takes(&key.key));
+    let keys = bundle
+        .jwt
+        .iter()
+        .filter(named)
+        .filter(|key| algorithm.takes(&key.key));
     let keys: Vec<&JwtKey> = keys.take(TRIED_MOST).collect();
     if keys.is_empty() {
         return Err(Refused::UnknownKey);
     }
-    if !keys.iter().any(|key| algorithm.verifies(&key.key, message.as_bytes(), &signed)) {
+    if !keys
+        .iter()
+        .any(|key| algorithm.verifies(&key.key, message.as_bytes(), &signed))
+    {
         return Err(Refused::Signature);
     }
     let skew = skew.min(SKEW_MOST);
@@ -201,7 +219,10 @@
     if now > not_after.saturating_add(skew) {
         return Err(Refused::Expired);
     }
-    if claims.nbf.is_some_and(|nbf| now.saturating_add(skew) < nanos(nbf)) {
+    if claims
+        .nbf
+        .is_some_and(|nbf| now.saturating_add(skew) < nanos(nbf))
+    {
         return Err(Refused::NotYet);
     }
     let is_ours = |audience: &String| audiences.contains(&audience.as_str());
@@ -213,5 +234,9 @@
     if !ours {
         return Err(Refused::Audience);
     }
-    Ok(Proven { id, not_after, bundles: bundles.version() })
+    Ok(Proven {
+        id,
+        not_after,
+        bundles: bundles.version(),
+    })
 }
--- a/crates/identity/src/lib.rs
+++ b/crates/identity/src/lib.rs
@@ -1,8 +1,10 @@
-//! SPIFFE identities without I/O: ids and trust domains ([`id`]), trust bundles in the SPIFFE format ([`bundle`]), checks
-//! of X.509-SVIDs ([`x509`]) and JWT-SVIDs ([`jwt`]), which identity is presented when ([`rotation`]), and
-//! how long a connection stands by the identity it was opened with ([`sessions`]), both as state machines over time.
+//! SPIFFE identities without I/O: ids and trust domains ([`id`]), trust bundles in the SPIFFE
+//! format ([`bundle`]), checks of X.509-SVIDs ([`x509`]) and JWT-SVIDs ([`jwt`]), which identity is
+//! presented when ([`rotation`]), and how long a connection stands by the identity it was opened
+//! with ([`sessions`]), both as state machines over time.
 //!
-//! What the Workload API says is read and checked in [`workload`]. Its transport, TLS and the policy are not here yet;
+//! What the Workload API says is read and checked in [`workload`]. Its transport, TLS and the
+//! policy are not here yet;
 //! `docs/ROADMAP.md` says how far it is.
 
 #![forbid(unsafe_code)]
--- a/crates/identity/src/rotation.rs
+++ b/crates/identity/src/rotation.rs
@@ -1,6 +1,7 @@
-//! Which identity is presented when: the life of an SVID as a state machine over time. It asks for the next one at half its
-//! life, spread by chance; goes on with the last good one while the issuer is away, loudly; presents nothing once that has
-//! expired; and backs off with jitter while asking fails. It does no I/O: what is to be done is told to a [`Host`].
+//! Which identity is presented when: the life of an SVID as a state machine over time. It asks for
+//! the next one at half its life, spread by chance; goes on with the last good one while the issuer
+//! is away, loudly; presents nothing once that has expired; and backs off with jitter while asking
+//! fails. It does no I/O: what is to be done is told to a [`Host`].
 
 use crate::{Nanos, SpiffeId};
 use rand::{RngExt, SeedableRng};
@@ -8,18 +9,19 @@
 use std::fmt;
 
 const SECOND: Nanos = 1_000_000_000;
-/// The next identity is asked for at half the life of the one in hand, moved by up to this part of the life either way,
-/// so that nodes that started together do not ask together.
+/// The next identity is asked for at half the life of the one in hand, moved by up to this part of
+/// the life either way, so that nodes that started together do not ask together.
 const SPREAD: f64 = 0.1;
-/// Tries after a failure, from the first to the longest pause; each is drawn from half the pause to the whole of it.
+/// Tries after a failure, from the first to the longest pause; each is drawn from half the pause to
+/// the whole of it.
 const FIRST_PAUSE: Nanos = SECOND;
 const LONGEST_PAUSE: Nanos = 60 * SECOND;
 /// An answer has so long to come before the stream counts as silent and is made again.
 const ANSWER_LIMIT: Nanos = 10 * SECOND;
 /// While the issuer is away and something is in hand, this is told again so often.
 const TELL_AGAIN: Nanos = 60 * SECOND;
-/// Clocks may differ by so much, and no grace may be longer: an identity is taken for valid so long before its beginning, and
-/// is presented no longer than its end less this.
+/// Clocks may differ by so much, and no grace may be longer: an identity is taken for valid so long
+/// before its beginning, and is presented no longer than its end less this.
 pub const SKEW_MOST: Nanos = 60 * SECOND;
 
 /// An identity as it was handed out; its key lies with the host.
@@ -39,7 +41,8 @@
 pub trait Host {
     /// Ask the issuer, over a new stream; one that is open is given up.
     fn ask(&mut self);
-    /// From now on this identity is presented to whoever connects; nothing if there is none that may be.
+    /// From now on this identity is presented to whoever connects; nothing if there is none that
+    /// may be.
     fn present(&mut self, svid: Option<&Svid>);
     /// Call [`Rotation::alarm`] at this time; replaces the alarm before.
     fn wake(&mut self, at: Nanos);
@@ -143,17 +146,22 @@
         self.now = self.now.max(now);
     }
 
-    /// The issuer handed out an identity. One that can't be used changes nothing, and counts as a failure of the stream.
+    /// The issuer handed out an identity. One that can't be used changes nothing, and counts as a
+    /// failure of the stream.
     pub fn offered(&mut self, now: Nanos, svid: Svid, host: &mut impl Host) -> Result<(), Turned> {
         self.at(now);
         if let Err(why) = self.fits(&svid) {
-            host.log(format_args!("identity: {} was offered and not taken: {why:?}", svid.id));
+            host.log(format_args!(
+                "identity: {} was offered and not taken: {why:?}",
+                svid.id
+            ));
             self.failed(host);
             return Err(why);
         }
         (self.stream, self.failures) = (Stream::Open, 0);
         if self.held.as_ref() != Some(&svid) {
-            // Asked for again at half of what is left of its life, so that one that was handed out late is renewed in time.
+            // Asked for again at half of what is left of its life, so that one that was handed out
+            // late is renewed in time.
             let left = self.ends(&svid).saturating_sub(self.now);
             let spread = SPREAD * (2.0 * self.rng.random::<f64>() - 1.0);
             self.renew = self.now + (left as f64 * (0.5 + spread)) as Nanos;
@@ -175,7 +183,9 @@
         }
         match &self.held {
             Some(held) if held.id.domain() != svid.id.domain() => Err(Turned::Foreign),
-            Some(held) if svid.not_after < held.not_after && self.ends(held) > self.now => Err(Turned::Older),
+            Some(held) if svid.not_after < held.not_after && self.ends(held) > self.now => {
+                Err(Turned::Older)
+            }
             _ => Ok(()),
         }
     }
@@ -193,7 +203,9 @@
         let pause = LONGEST_PAUSE.min(FIRST_PAUSE << self.failures.min(6));
         self.failures += 1;
         let drawn = (pause as f64 * (0.5 + 0.5 * self.rng.random::<f64>())) as Nanos;
-        self.stream = Stream::Down { next: self.now + drawn };
+        self.stream = Stream::Down {
+            next: self.now + drawn,
+        };
         self.settle(host);
     }
 
@@ -204,7 +216,8 @@
             Stream::Asked { since } if self.now >= since + ANSWER_LIMIT => self.failed(host),
             Stream::Down { next } if self.now >= next => self.ask(host),
             Stream::Open if self.now >= self.renew => {
-                // The issuer should have told of a new one by itself; a stream that says nothing may be dead.
+                // The issuer should have told of a new one by itself; a stream that says nothing
+                // may be dead.
                 self.renew = Nanos::MAX;
                 self.ask(host);
             }
@@ -233,10 +246,15 @@
             (Some(_), Some(_)) if away => Mode::Orphaned,
             _ => Mode::Holding,
         };
-        let again = matches!(mode, Mode::Orphaned | Mode::Expired) && self.now >= self.told + TELL_AGAIN;
+        let again =
+            matches!(mode, Mode::Orphaned | Mode::Expired) && self.now >= self.told + TELL_AGAIN;
         if mode != self.mode || again {
             self.told = self.now;
-            let left = self.held.as_ref().map_or(0, |svid| self.ends(svid).saturating_sub(self.now)) / SECOND;
+            let left = self
+                .held
+                .as_ref()
+                .map_or(0, |svid| self.ends(svid).saturating_sub(self.now))
+                / SECOND;
             let (from, failures) = (self.mode, self.failures);
             host.log(format_args!(
                 "identity: {from:?}->{mode:?}, {left} s left, {failures} failures in a row"
@@ -252,9 +270,18 @@
             Stream::Down { next } => next,
             Stream::Open => self.renew,
         };
-        let ends = self.held.as_ref().map(|svid| self.ends(svid)).filter(|ends| *ends > self.now);
-        let tell = matches!(self.mode, Mode::Orphaned | Mode::Expired).then_some(self.told + TELL_AGAIN);
-        let next = [Some(stream), ends, tell].into_iter().flatten().min().unwrap_or(stream);
+        let ends = self
+            .held
+            .as_ref()
+            .map(|svid| self.ends(svid))
+            .filter(|ends| *ends > self.now);
+        let tell =
+            matches!(self.mode, Mode::Orphaned | Mode::Expired).then_some(self.told + TELL_AGAIN);
+        let next = [Some(stream), ends, tell]
+            .into_iter()
+            .flatten()
+            .min()
+            .unwrap_or(stream);
         host.wake(next.max(self.now + 1));
     }
 }
@@ -291,7 +318,12 @@
 
     fn svid(serial: u64, from: Nanos, life: Nanos) -> Svid {
         let id = "spiffe://saha.example/node/3".parse().unwrap();
-        Svid { id, serial, not_before: from, not_after: from + life }
+        Svid {
+            id,
+            serial,
+            not_before: from,
+            not_after: from + life,
+        }
     }
 
     const START: Nanos = 1_000_000 * SECOND;
@@ -315,7 +347,9 @@
         for seed in 0..200 {
             let mut world = World::default();
             let mut rotation = begin(&mut world, seed);
-            rotation.offered(START, svid(1, START, 3605 * SECOND), &mut world).unwrap();
+            rotation
+                .offered(START, svid(1, START, 3605 * SECOND), &mut world)
+                .unwrap();
             assert_eq!(
                 (rotation.mode(), world.presented.as_ref().map(|s| s.serial)),
                 (Mode::Holding, Some(1))
@@ -332,7 +366,9 @@
     fn while_the_issuer_is_away_the_last_good_one_holds_until_it_ends_and_loudly() {
         let mut world = World::default();
         let mut rotation = begin(&mut world, 3);
-        rotation.offered(START, svid(1, START, 600 * SECOND), &mut world).unwrap();
+        rotation
+            .offered(START, svid(1, START, 600 * SECOND), &mut world)
+            .unwrap();
         world.now = START + 100 * SECOND;
         rotation.broke(world.now, &mut world);
         assert_eq!(rotation.mode(), Mode::Orphaned);
@@ -354,13 +390,29 @@
             );
         }
         assert_eq!(rotation.mode(), Mode::Expired);
-        assert!((15..40).contains(&tries), "{tries} tries in 800 s: backed off, and never given up");
-        let told = world.lines.iter().filter(|l| l.contains("->Orphaned")).count();
+        assert!(
+            (15..40).contains(&tries),
+            "{tries} tries in 800 s: backed off, and never given up"
+        );
+        let told = world
+            .lines
+            .iter()
+            .filter(|l| l.contains("->Orphaned"))
+            .count();
         assert!((7..=10).contains(&told), "told once a minute: {told}");
-        assert!(world.lines.iter().any(|l| l.contains("Orphaned->Expired")), "{:?}", world.lines);
+        assert!(
+            world.lines.iter().any(|l| l.contains("Orphaned->Expired")),
+            "{:?}",
+            world.lines
+        );
         // It comes back.
-        rotation.offered(world.now, svid(2, world.now, 600 * SECOND), &mut world).unwrap();
-        assert_eq!((rotation.mode(), world.presented.as_ref().map(|s| s.serial)), (Mode::Holding, Some(2)));
+        rotation
+            .offered(world.now, svid(2, world.now, 600 * SECOND), &mut world)
+            .unwrap();
+        assert_eq!(
+            (rotation.mode(), world.presented.as_ref().map(|s| s.serial)),
+            (Mode::Holding, Some(2))
+        );
     }
 
     #[test]
@@ -379,12 +431,17 @@
         let now = START;
         let mut foreign = svid(9, now, 6000 * SECOND);
         foreign.id = "spiffe://other.example/node/3".parse().unwrap();
-        let backwards = Svid { not_after: now - 1, ..svid(9, now, SECOND) };
+        let backwards = Svid {
+            not_after: now - 1,
+            ..svid(9, now, SECOND)
+        };
         assert_eq!(
             rotation.offered(now, svid(8, now - 700 * SECOND, 600 * SECOND), &mut world),
             Err(Turned::Expired)
         );
-        rotation.offered(now, svid(1, now, 600 * SECOND), &mut world).unwrap();
+        rotation
+            .offered(now, svid(1, now, 600 * SECOND), &mut world)
+            .unwrap();
         for (offer, why) in [
             (svid(2, now - 600 * SECOND, 604 * SECOND), Turned::Expired),
             (svid(3, now + 6 * SECOND, 600 * SECOND), Turned::NotYet),
@@ -392,15 +449,25 @@
             (backwards, Turned::Backwards),
             (foreign, Turned::Foreign),
         ] {
-            assert_eq!(rotation.offered(now, offer.clone(), &mut world), Err(why), "{offer:?}");
+            assert_eq!(
+                rotation.offered(now, offer.clone(), &mut world),
+                Err(why),
+                "{offer:?}"
+            );
             assert_eq!(world.presented.as_ref().map(|s| s.serial), Some(1));
         }
         assert!(
-            rotation.offered(now, svid(5, now + 5 * SECOND, 600 * SECOND), &mut world).is_ok(),
+            rotation
+                .offered(now, svid(5, now + 5 * SECOND, 600 * SECOND), &mut world)
+                .is_ok(),
             "within the skew"
         );
         // Two at once: the one that lasts longer stays, in whichever order they come.
-        assert!(rotation.offered(now, svid(6, now, 500 * SECOND), &mut world).is_err());
+        assert!(
+            rotation
+                .offered(now, svid(6, now, 500 * SECOND), &mut world)
+                .is_err()
+        );
         assert_eq!(world.presented.as_ref().map(|s| s.serial), Some(5));
     }
 
@@ -408,15 +475,21 @@
     fn a_short_life_is_not_eaten_up_by_the_skew() {
         let mut world = World::default();
         let mut rotation = begin(&mut world, 1);
-        rotation.offered(START, svid(1, START, 4 * SECOND), &mut world).unwrap();
+        rotation
+            .offered(START, svid(1, START, 4 * SECOND), &mut world)
+            .unwrap();
         run(&mut rotation, &mut world, START + SECOND);
         assert!(world.presented.is_some());
         run(&mut rotation, &mut world, START + 2 * SECOND);
-        assert!(world.presented.is_none(), "half of it is left for clocks that differ");
+        assert!(
+            world.presented.is_none(),
+            "half of it is left for clocks that differ"
+        );
     }
 
-    /// Simulated hours with an issuer that fails, is late, sends old ones and goes away, over many seeds: what is presented is
-    /// valid at every moment, something valid is presented whenever there is one, and asking never becomes a storm.
+    /// Simulated hours with an issuer that fails, is late, sends old ones and goes away, over many
+    /// seeds: what is presented is valid at every moment, something valid is presented whenever
+    /// there is one, and asking never becomes a storm.
     #[test]
     fn hours_with_a_faulty_issuer_never_present_what_is_not_valid() {
         for seed in 0..60 {
@@ -451,11 +524,22 @@
                     rotation.alarm(clock - 30 * SECOND, &mut world);
                 }
                 if let Some(svid) = &world.presented {
-                    assert!(svid.not_before <= clock + 5 * SECOND && clock < svid.not_after, "seed {seed}");
+                    assert!(
+                        svid.not_before <= clock + 5 * SECOND && clock < svid.not_after,
+                        "seed {seed}"
+                    );
                 }
-                assert_eq!(world.presented.is_some(), clock + 5 * SECOND < best, "seed {seed}");
+                assert_eq!(
+                    world.presented.is_some(),
+                    clock + 5 * SECOND < best,
+                    "seed {seed}"
+                );
             }
-            assert!(world.asked.len() < 4 * 3600 / 8, "seed {seed}: {} asked", world.asked.len());
+            assert!(
+                world.asked.len() < 4 * 3600 / 8,
+                "seed {seed}: {} asked",
+                world.asked.len()
+            );
         }
     }
 }
--- a/crates/identity/src/sessions.rs
+++ b/crates/identity/src/sessions.rs
@@ -1,9 +1,10 @@
-//! How long a connection stands by the identity with which it was opened. What was read before that ends is answered;
-//! nothing read after it runs: the caller is told to come back with a new connection, and this one closes once nothing is
-//! open on it. The same at once where the authority that vouched is taken out of its domain's bundle.
+//! How long a connection stands by the identity with which it was opened. What was read before that
+//! ends is answered; nothing read after it runs: the caller is told to come back with a new
+//! connection, and this one closes once nothing is open on it. The same at once where the authority
+//! that vouched is taken out of its domain's bundle.
 //!
-//! What a caller may do is asked of a policy and kept for the connection until its identity, the bundles or the policy
-//! change.
+//! What a caller may do is asked of a policy and kept for the connection until its identity, the
+//! bundles or the policy change.
 
 use crate::bundle::Bundles;
 use crate::id::SpiffeId;
@@ -92,7 +93,8 @@
 }
 
 impl Sessions {
-    /// No connections yet. Identities hold for so long after their end, for clocks that differ; at most [`SKEW_MOST`].
+    /// No connections yet. Identities hold for so long after their end, for clocks that differ; at
+    /// most [`SKEW_MOST`].
     pub fn new(grace: Nanos) -> Sessions {
         Sessions {
             grace: grace.min(SKEW_MOST),
@@ -105,8 +107,9 @@
         }
     }
 
-    /// A connection was opened by who proved this. The bundles are those in force now: they may be others than those by
-    /// which the handshake was checked, and then the authority is looked for once more.
+    /// A connection was opened by who proved this. The bundles are those in force now: they may be
+    /// others than those by which the handshake was checked, and then the authority is looked for
+    /// once more.
     pub fn opened(
         &mut self,
         now: Nanos,
@@ -125,7 +128,16 @@
         self.tally.opened += 1;
         self.ends.insert((ends, conn));
         let (id, authority) = (Rc::new(proven.id.clone()), proven.authority);
-        let before = self.by_conn.insert(conn, Session { id, ends, authority, ending: None, verdict: None });
+        let before = self.by_conn.insert(
+            conn,
+            Session {
+                id,
+                ends,
+                authority,
+                ending: None,
+                verdict: None,
+            },
+        );
         debug_assert!(before.is_none(), "a connection's number is used once");
         Ok(())
     }
@@ -147,8 +159,8 @@
         self.policy += 1;
     }
 
-    /// How a connection stands as something is read on it; none if it was opened without an identity. The policy is asked
-    /// only if what it said before is out of date.
+    /// How a connection stands as something is read on it; none if it was opened without an
+    /// identity. The policy is asked only if what it said before is out of date.
     pub fn read(
         &mut self,
         now: Nanos,
@@ -169,7 +181,11 @@
             None => {}
         }
         let versions = (self.policy, self.bundles);
-        if session.verdict.as_ref().is_none_or(|(policy, bundles, _)| (*policy, *bundles) != versions) {
+        if session
+            .verdict
+            .as_ref()
+            .is_none_or(|(policy, bundles, _)| (*policy, *bundles) != versions)
+        {
             self.tally.asked += 1;
             session.verdict = Some((versions.0, versions.1, policy(&session.id)));
         }
@@ -192,7 +208,12 @@
     pub fn alarm(&mut self, now: Nanos) -> Vec<(Conn, Ending)> {
         self.now = self.now.max(now);
         let mut over = Vec::new();
-        while let Some((_, conn)) = self.ends.first().copied().filter(|(ends, _)| *ends <= self.now) {
+        while let Some((_, conn)) = self
+            .ends
+            .first()
+            .copied()
+            .filter(|(ends, _)| *ends <= self.now)
+        {
             self.ends.pop_first();
             if let Some(session) = self.by_conn.get_mut(&conn) {
                 session.ending = Some(Ending::Expired);
@@ -203,8 +224,8 @@
         over
     }
 
-    /// The bundles are others from now on; gives connections for whom nothing vouches any more. Each domain's authorities
-    /// are looked through once, however many connections there are.
+    /// The bundles are others from now on; gives connections for whom nothing vouches any more.
+    /// Each domain's authorities are looked through once, however many connections there are.
     pub fn bundles_changed(&mut self, now: Nanos, bundles: &Bundles) -> Vec<(Conn, Ending)> {
         self.now = self.now.max(now);
         if self.bundles == bundles.version() {
@@ -214,12 +235,24 @@
         let known: HashMap<&TrustDomain, HashSet<Authority>> = bundles
             .domains()
             .filter_map(|domain| Some((domain, bundles.of(domain.as_str())?)))
-            .map(|(domain, bundle)| (domain, bundle.x509.iter().map(|der| authority(der)).collect()))
+            .map(|(domain, bundle)| {
+                (
+                    domain,
+                    bundle.x509.iter().map(|der| authority(der)).collect(),
+                )
+            })
             .collect();
         let mut over = Vec::new();
-        for (conn, session) in self.by_conn.iter_mut().filter(|(_, session)| session.ending.is_none()) {
+        for (conn, session) in self
+            .by_conn
+            .iter_mut()
+            .filter(|(_, session)| session.ending.is_none())
+        {
             let domain = session.id.trust_domain();
-            if !known.get(&domain).is_some_and(|authorities| authorities.contains(&session.authority)) {
+            if !known
+                .get(&domain)
+                .is_some_and(|authorities| authorities.contains(&session.authority))
+            {
                 session.ending = Some(Ending::Withdrawn);
                 self.tally.withdrawn += 1;
                 self.ends.remove(&(session.ends, *conn));
@@ -247,7 +280,9 @@
 }
 
 fn vouched(bundles: &Bundles, id: &SpiffeId, by: Authority) -> bool {
-    bundles.of(id.domain()).is_some_and(|bundle| bundle.x509.iter().any(|der| authority(der) == by))
+    bundles
+        .of(id.domain())
+        .is_some_and(|bundle| bundle.x509.iter().any(|der| authority(der) == by))
 }
 
 #[cfg(test)]
@@ -263,13 +298,20 @@
     /// Authorities are told apart by their bytes alone here.
     fn bundles(of: &[(&str, &[u8])]) -> Bundles {
         let mut bundles = Bundles::default();
-        of.iter().for_each(|(domain, roots)| trust(&mut bundles, domain, roots));
+        of.iter()
+            .for_each(|(domain, roots)| trust(&mut bundles, domain, roots));
         bundles
     }
 
     fn trust(bundles: &mut Bundles, domain: &str, roots: &[u8]) {
         let x509 = roots.iter().map(|root| vec![*root]).collect();
-        bundles.offer(&domain.parse().unwrap(), Bundle { x509, ..Bundle::default() });
+        bundles.offer(
+            &domain.parse().unwrap(),
+            Bundle {
+                x509,
+                ..Bundle::default()
+            },
+        );
     }
 
     fn proven(id: &str, root: u8, life: Nanos, bundles: &Bundles) -> Proven {
@@ -293,7 +335,9 @@
         let known = bundles(&[("saha.example", &[1])]);
         let mut sessions = Sessions::new(5 * SECOND);
         for conn in [1, 2] {
-            sessions.opened(START, conn, &proven(ID, 1, 60 * SECOND, &known), &known).unwrap();
+            sessions
+                .opened(START, conn, &proven(ID, 1, 60 * SECOND, &known), &known)
+                .unwrap();
         }
         let end = START + 65 * SECOND;
         assert_eq!(sessions.next(), Some(end));
@@ -307,7 +351,10 @@
         assert_eq!((sessions.tally().expired, sessions.next()), (2, None));
         assert_eq!(sessions.read(end, 3, allow), None, "without an identity");
         sessions.closed(1);
-        assert_eq!((sessions.len(), sessions.id(2).unwrap().path()), (1, "/site/7"));
+        assert_eq!(
+            (sessions.len(), sessions.id(2).unwrap().path()),
+            (1, "/site/7")
+        );
         // One that is over is not opened; the grace is bounded.
         let late = sessions.opened(end, 4, &proven(ID, 1, 60 * SECOND, &known), &known);
         assert_eq!(late, Err(Ending::Expired));
@@ -320,7 +367,9 @@
         let mut sessions = Sessions::new(0);
         let other = "spiffe://other.example/site/7";
         for (conn, id, root) in [(1, ID, 1), (2, ID, 2), (3, other, 1)] {
-            sessions.opened(START, conn, &proven(id, root, 600 * SECOND, &known), &known).unwrap();
+            sessions
+                .opened(START, conn, &proven(id, root, 600 * SECOND, &known), &known)
+                .unwrap();
         }
         assert_eq!(sessions.bundles_changed(START, &known), []);
         // A root is added: nobody is touched.
@@ -329,7 +378,10 @@
         // Root 1 is taken out of one domain, and stays in the other.
         let checked_before = proven(ID, 1, 600 * SECOND, &known);
         trust(&mut known, "saha.example", &[2, 3]);
-        assert_eq!(sessions.bundles_changed(START, &known), [(1, Ending::Withdrawn)]);
+        assert_eq!(
+            sessions.bundles_changed(START, &known),
+            [(1, Ending::Withdrawn)]
+        );
         assert_eq!(sessions.read(START, 1, allow), Some(Standing::Withdrawn));
         assert_eq!(sessions.read(START, 2, allow), Some(Standing::Served));
         assert_eq!(sessions.read(START, 3, allow), Some(Standing::Served));
@@ -339,10 +391,16 @@
         assert_eq!(sessions.read(START, 1, allow), Some(Standing::Withdrawn));
         // A handshake that was checked by the bundles before, and ended after they were swapped.
         trust(&mut known, "saha.example", &[2]);
-        assert_eq!(sessions.opened(START, 9, &checked_before, &known), Err(Ending::Withdrawn));
+        assert_eq!(
+            sessions.opened(START, 9, &checked_before, &known),
+            Err(Ending::Withdrawn)
+        );
         // A domain that is no longer trusted.
         known.withdraw(&"other.example".parse().unwrap());
-        assert_eq!(sessions.bundles_changed(START, &known), [(3, Ending::Withdrawn)]);
+        assert_eq!(
+            sessions.bundles_changed(START, &known),
+            [(3, Ending::Withdrawn)]
+        );
         assert_eq!(sessions.tally().withdrawn, 2);
     }
 
@@ -350,7 +408,9 @@
     fn the_policy_is_asked_once_until_something_changes() {
         let mut known = bundles(&[("saha.example", &[1])]);
         let mut sessions = Sessions::new(0);
-        sessions.opened(START, 1, &proven(ID, 1, 600 * SECOND, &known), &known).unwrap();
+        sessions
+            .opened(START, 1, &proven(ID, 1, 600 * SECOND, &known), &known)
+            .unwrap();
         let asked = std::cell::Cell::new(0);
         let denies = std::cell::Cell::new(false);
         let reason: Rc<str> = "not for this site".into();
@@ -358,7 +418,10 @@
             asked.set(asked.get() + 1);
             assert_eq!(id.as_str(), ID);
             if denies.get() {
-                Verdict::Deny { status: 403, reason: Rc::clone(&reason) }
+                Verdict::Deny {
+                    status: 403,
+                    reason: Rc::clone(&reason),
+                }
             } else {
                 Verdict::Allow
             }
@@ -368,17 +431,30 @@
         }
         assert_eq!(asked.get(), 1);
         denies.set(true);
-        assert_eq!(sessions.read(START, 1, policy), Some(Standing::Served), "nobody said that it changed");
+        assert_eq!(
+            sessions.read(START, 1, policy),
+            Some(Standing::Served),
+            "nobody said that it changed"
+        );
         sessions.policy_changed();
-        assert!(matches!(sessions.read(START, 1, policy), Some(Standing::Denied(_))));
+        assert!(matches!(
+            sessions.read(START, 1, policy),
+            Some(Standing::Denied(_))
+        ));
         trust(&mut known, "saha.example", &[1, 2]);
         sessions.bundles_changed(START, &known);
-        assert!(matches!(sessions.read(START, 1, policy), Some(Standing::Denied(_))));
-        assert_eq!((asked.get(), sessions.tally().asked, sessions.tally().denied), (3, 3, 2));
+        assert!(matches!(
+            sessions.read(START, 1, policy),
+            Some(Standing::Denied(_))
+        ));
+        assert_eq!(
+            (asked.get(), sessions.tally().asked, sessions.tally().denied),
+            (3, 3, 2)
+        );
     }
 
-    /// Connections that open, close, expire and lose their authorities by chance, against a plain model that looks at
-    /// everything each time.
+    /// Connections that open, close, expire and lose their authorities by chance, against a plain
+    /// model that looks at everything each time.
     #[test]
     fn by_chance_over_time_each_stands_as_a_plain_model_says() {
         for seed in 0..40 {
@@ -410,9 +486,9 @@
                     }
                     trust(&mut known, "saha.example", &roots);
                     sessions.bundles_changed(now, &known);
-                    model
-                        .values_mut()
-                        .for_each(|(end, root, over)| *over |= *end <= now || !roots.contains(root));
+                    model.values_mut().for_each(|(end, root, over)| {
+                        *over |= *end <= now || !roots.contains(root)
+                    });
                 }
                 if rng.random_range(0..3) == 0 {
                     sessions.alarm(now);
@@ -424,7 +500,11 @@
                 }
                 for (conn, (end, _, over)) in &model {
                     let served = sessions.read(now, *conn, allow) == Some(Standing::Served);
-                    assert_eq!(served, !over && *end > now, "seed {seed}, connection {conn}");
+                    assert_eq!(
+                        served,
+                        !over && *end > now,
+                        "seed {seed}, connection {conn}"
+                    );
                 }
                 assert_eq!(sessions.len(), model.len());
             }
--- a/crates/identity/src/workload.rs
+++ b/crates/identity/src/workload.rs
@@ -1,6 +1,7 @@
-//! The SPIFFE Workload API as far as it needs no socket: the messages of its gRPC service, their framing on a stream, and
-//! what makes an answer of the issuer one that can be used. An issuer that is broken or compromised must not have a node
-//! present what its peers would refuse, nor trust more than its own domain's bundle says.
+//! The SPIFFE Workload API as far as it needs no socket: the messages of its gRPC service, their
+//! framing on a stream, and what makes an answer of the issuer one that can be used. An issuer that
+//! is broken or compromised must not have a node present what its peers would refuse, nor trust
+//! more than its own domain's bundle says.
 
 use crate::bundle::{Bundle, Bundles};
 use crate::id::{SpiffeId, TrustDomain};
@@ -16,7 +17,8 @@
 use x509_parser::prelude::FromDer;
 use zeroize::Zeroizing;
 
-/// The header that every call must carry, so that nothing that was tricked into calling passes for a workload.
+/// The header that every call must carry, so that nothing that was tricked into calling passes for
+/// a workload.
 pub const HEADER: (&str, &str) = ("workload.spiffe.io", "true");
 /// The call that streams X.509-SVIDs.
 pub const FETCH_X509: &str = "/SpiffeWorkloadAPI/FetchX509SVID";
@@ -26,7 +28,8 @@
 pub const MESSAGE_MAX: usize = 1 << 20;
 const SVIDS_MAX: usize = 16;
 const DOMAINS_MAX: usize = 64;
-/// What holds for a bundle that the Workload API hands out: it streams changes, so that none need be asked for soon.
+/// What holds for a bundle that the Workload API hands out: it streams changes, so that none need
+/// be asked for soon.
 const REFRESH: Nanos = 300 * 1_000_000_000;
 
 /// What the issuer hands out to a workload.
@@ -38,7 +41,8 @@
     /// Revocation lists, which are not looked at: identities are short-lived.
     #[prost(bytes = "vec", repeated, tag = "2")]
     pub crl: Vec<Vec<u8>>,
-    /// Authorities of federated trust domains, by the id of the domain, one certificate after the other in DER.
+    /// Authorities of federated trust domains, by the id of the domain, one certificate after the
+    /// other in DER.
     #[prost(map = "string, bytes", tag = "3")]
     pub federated_bundles: HashMap<String, Vec<u8>>,
 }
@@ -125,7 +129,12 @@
 
 impl fmt::Debug for Identity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Identity({}, {} certificates, key not shown)", self.proven.id, self.chain.len())
+        write!(
+            f,
+            "Identity({}, {} certificates, key not shown)",
+            self.proven.id,
+            self.chain.len()
+        )
     }
 }
 
@@ -168,12 +177,20 @@
 
     /// Bytes of the head, or of head and message once the head is there.
     fn wanted(&self) -> Result<usize, Unusable> {
-        let [flag, l3, l2, l1, l0, ..] = self.have.as_slice() else { return Ok(FRAME) };
+        let [flag, l3, l2, l1, l0, ..] = self.have.as_slice() else {
+            return Ok(FRAME);
+        };
         if *flag != 0 {
-            return Err(Unusable::Garbage("a compressed message, which was not asked for"));
+            return Err(Unusable::Garbage(
+                "a compressed message, which was not asked for",
+            ));
         }
         let len = u32::from_be_bytes([*l3, *l2, *l1, *l0]) as usize;
-        if len > MESSAGE_MAX { Err(Unusable::TooLarge) } else { Ok(FRAME + len) }
+        if len > MESSAGE_MAX {
+            Err(Unusable::TooLarge)
+        } else {
+            Ok(FRAME + len)
+        }
     }
 
     /// Whether a stream may end here: in the middle of a message it has broken.
@@ -186,7 +203,8 @@
 fn certificates(mut der: &[u8]) -> Result<Vec<Vec<u8>>, Unusable> {
     let mut all = Vec::new();
     while !der.is_empty() {
-        let (rest, _) = X509Certificate::from_der(der).map_err(|_| Unusable::Garbage("a certificate"))?;
+        let (rest, _) =
+            X509Certificate::from_der(der).map_err(|_| Unusable::Garbage("a certificate"))?;
         all.push(der[..der.len() - rest.len()].to_vec());
         der = rest;
     }
@@ -195,11 +213,18 @@
 
 /// Whether a key is that of a certificate, by their public halves.
 fn is_key_of(key: &[u8], leaf: &[u8]) -> bool {
-    let Ok((_, certificate)) = X509Certificate::from_der(leaf) else { return false };
+    let Ok((_, certificate)) = X509Certificate::from_der(leaf) else {
+        return false;
+    };
     let public = &*certificate.public_key().subject_public_key.data;
     let random = SystemRandom::new();
-    let curves = [&sign::ECDSA_P256_SHA256_ASN1_SIGNING, &sign::ECDSA_P384_SHA384_ASN1_SIGNING];
-    let ec = curves.into_iter().find_map(|curve| sign::EcdsaKeyPair::from_pkcs8(curve, key, &random).ok());
+    let curves = [
+        &sign::ECDSA_P256_SHA256_ASN1_SIGNING,
+        &sign::ECDSA_P384_SHA384_ASN1_SIGNING,
+    ];
+    let ec = curves
+        .into_iter()
+        .find_map(|curve| sign::EcdsaKeyPair::from_pkcs8(curve, key, &random).ok());
     if let Some(pair) = ec {
         return pair.public_key().as_ref() == public;
     }
@@ -211,19 +236,33 @@
 
 /// Reads an answer of [`FETCH_X509`] and checks that it can be used at this time.
 pub fn x509_update(message: &[u8], now: Nanos, skew: Nanos) -> Result<Update, Unusable> {
-    let response = X509SvidResponse::decode(message).map_err(|_| Unusable::Garbage("no X509SVIDResponse"))?;
+    let response =
+        X509SvidResponse::decode(message).map_err(|_| Unusable::Garbage("no X509SVIDResponse"))?;
     if response.svids.len() > SVIDS_MAX || response.federated_bundles.len() > DOMAINS_MAX {
         return Err(Unusable::TooLarge);
     }
-    let X509SvidMessage { spiffe_id, x509_svid, x509_svid_key, bundle, .. } =
-        response.svids.into_iter().next().ok_or(Unusable::Nothing)?;
+    let X509SvidMessage {
+        spiffe_id,
+        x509_svid,
+        x509_svid_key,
+        bundle,
+        ..
+    } = response.svids.into_iter().next().ok_or(Unusable::Nothing)?;
     let key = Zeroizing::new(x509_svid_key);
-    let id: SpiffeId = spiffe_id.parse().map_err(|e| Unusable::Svid(x509::Refused::NoId(e)))?;
+    let id: SpiffeId = spiffe_id
+        .parse()
+        .map_err(|e| Unusable::Svid(x509::Refused::NoId(e)))?;
     let (chain, own) = (certificates(&x509_svid)?, certificates(&bundle)?);
     let leaf = chain.first().ok_or(Unusable::Nothing)?;
     // What we could not prove to ourselves, nobody else would believe.
     let mut bundles = Bundles::default();
-    bundles.offer(&id.trust_domain(), Bundle { x509: own.clone(), ..Bundle::default() });
+    bundles.offer(
+        &id.trust_domain(),
+        Bundle {
+            x509: own.clone(),
+            ..Bundle::default()
+        },
+    );
     let proven = x509::check(&chain, &bundles, Role::Server, now, skew).map_err(Unusable::Svid)?;
     if proven.id != id {
         return Err(Unusable::OtherId);
@@ -233,24 +272,32 @@
     }
     let mut x509 = vec![(id.trust_domain(), own)];
     for (name, der) in response.federated_bundles {
-        let domain = name.parse::<TrustDomain>().ok().filter(|domain| *domain != id.trust_domain());
+        let domain = name
+            .parse::<TrustDomain>()
+            .ok()
+            .filter(|domain| *domain != id.trust_domain());
         let domain = domain.ok_or(Unusable::Domain(name))?;
         x509.push((domain, certificates(&der)?));
     }
     x509[1..].sort();
-    Ok(Update { identity: Identity { proven, chain, key }, x509 })
+    Ok(Update {
+        identity: Identity { proven, chain, key },
+        x509,
+    })
 }
 
 /// Reads an answer of [`FETCH_JWT_BUNDLES`]: each domain's keys for tokens.
 pub fn jwt_update(message: &[u8]) -> Result<Vec<(TrustDomain, Vec<bundle::JwtKey>)>, Unusable> {
-    let response =
-        JwtBundlesResponse::decode(message).map_err(|_| Unusable::Garbage("no JWTBundlesResponse"))?;
+    let response = JwtBundlesResponse::decode(message)
+        .map_err(|_| Unusable::Garbage("no JWTBundlesResponse"))?;
     if response.bundles.len() > DOMAINS_MAX {
         return Err(Unusable::TooLarge);
     }
     let mut all = Vec::new();
     for (name, text) in response.bundles {
-        let domain = name.parse::<TrustDomain>().map_err(|_| Unusable::Domain(name))?;
+        let domain = name
+            .parse::<TrustDomain>()
+            .map_err(|_| Unusable::Domain(name))?;
         let bundle = Bundle::read(&text).map_err(|_| Unusable::Garbage("a key set"))?;
         all.push((domain, bundle.jwt));
     }
@@ -259,8 +306,8 @@
 }
 
 impl Bundles {
-    /// Takes over the authorities of an update: a domain that it does not name any more is not trusted any more, and keys for
-    /// tokens stay as they are. Gives whether anything changed.
+    /// Takes over the authorities of an update: a domain that it does not name any more is not
+    /// trusted any more, and keys for tokens stay as they are. Gives whether anything changed.
     pub fn take_x509(&mut self, update: &[(TrustDomain, Vec<Vec<u8>>)]) -> bool {
         let before = self.version();
         let gone: Vec<TrustDomain> = self
@@ -272,8 +319,16 @@
             self.withdraw(domain);
         }
         for (domain, x509) in update {
-            let jwt = self.of(domain.as_str()).map(|bundle| bundle.jwt.clone()).unwrap_or_default();
-            let bundle = Bundle { x509: x509.clone(), jwt, refresh: REFRESH, ..Bundle::default() };
+            let jwt = self
+                .of(domain.as_str())
+                .map(|bundle| bundle.jwt.clone())
+                .unwrap_or_default();
+            let bundle = Bundle {
+                x509: x509.clone(),
+                jwt,
+                refresh: REFRESH,
+                ..Bundle::default()
+            };
             self.offer(domain, bundle);
         }
         self.version() != before
--- a/crates/identity/src/x509.rs
+++ b/crates/identity/src/x509.rs
@@ -1,5 +1,5 @@
-//! X.509-SVIDs, by "The X.509 SPIFFE Verifiable Identity Document": what the standard asks of the certificates is
-//! checked here, the signatures, times and the path to an authority by `webpki`.
+//! X.509-SVIDs, by "The X.509 SPIFFE Verifiable Identity Document": what the standard asks of the
+//! certificates is checked here, the signatures, times and the path to an authority by `webpki`.
 
 use crate::bundle::Bundles;
 use crate::id::{Malformed, SpiffeId};
@@ -50,7 +50,8 @@
     KeyUsage,
     /// 4.4: extended key usage is there and lacks client or server authentication.
     ExtendedKeyUsage,
-    /// 3.2, 4.2: an intermediate is no authority, may not sign certificates, or has an id with a path or of another domain.
+    /// 3.2, 4.2: an intermediate is no authority, may not sign certificates, or has an id with a
+    /// path or of another domain.
     Authority,
     /// 5: nothing is trusted for the id's own trust domain.
     UnknownDomain(String),
@@ -66,13 +67,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Refused::Empty => f.write_str("no certificate"),
-            Refused::TooLarge => write!(f, "more than {CHAIN_MAX} certificates or {BYTES_MAX} bytes"),
+            Refused::TooLarge => {
+                write!(f, "more than {CHAIN_MAX} certificates or {BYTES_MAX} bytes")
+            }
             Refused::Unreadable => f.write_str("a certificate that can't be read"),
             Refused::Uris(n) => write!(f, "{n} URIs among the names; exactly one (X509-SVID 2)"),
             Refused::NoId(why) => write!(f, "no SPIFFE id: {why}"),
             Refused::LeafIsAuthority => f.write_str("the leaf is an authority (X509-SVID 4.1)"),
             Refused::NoPath => f.write_str("the leaf's id has no path (X509-SVID 4.1)"),
-            Refused::NoKeyUsage => f.write_str("key usage is absent or not critical (X509-SVID 4.3)"),
+            Refused::NoKeyUsage => {
+                f.write_str("key usage is absent or not critical (X509-SVID 4.3)")
+            }
             Refused::KeyUsage => f.write_str("the leaf's key usage (X509-SVID 4.3)"),
             Refused::ExtendedKeyUsage => {
                 f.write_str("extended key usage lacks client or server (X509-SVID 4.4)")
@@ -83,7 +88,9 @@
             Refused::UnknownDomain(domain) => write!(f, "trust domain {domain} is not known"),
             Refused::Expired => f.write_str("expired"),
             Refused::NotYet => f.write_str("not valid yet"),
-            Refused::NoPathToAuthority(why) => write!(f, "no path to an authority of its domain: {why}"),
+            Refused::NoPathToAuthority(why) => {
+                write!(f, "no path to an authority of its domain: {why}")
+            }
         }
     }
 }
@@ -99,7 +106,8 @@
     pub not_before: Nanos,
     /// Until when.
     pub not_after: Nanos,
-    /// The authority that vouched for it, by [`authority`]: while that is in the bundle, so is the identity good.
+    /// The authority that vouched for it, by [`authority`]: while that is in the bundle, so is the
+    /// identity good.
     pub authority: Authority,
     /// The version of the bundles by which it was proven.
     pub bundles: u64,
@@ -126,27 +134,44 @@
 
 /// URIs among the alternative names. A second such extension is refused where it is parsed.
 fn uris<'c>(certificate: &'c X509Certificate<'_>) -> Result<Vec<&'c str>, Refused> {
-    let names = certificate.subject_alternative_name().map_err(|_| Refused::Unreadable)?;
-    let all = names.map(|names| names.value.general_names.iter()).into_iter().flatten();
-    let uri = |name: &'c GeneralName<'_>| if let GeneralName::URI(uri) = name { Some(*uri) } else { None };
+    let names = certificate
+        .subject_alternative_name()
+        .map_err(|_| Refused::Unreadable)?;
+    let all = names
+        .map(|names| names.value.general_names.iter())
+        .into_iter()
+        .flatten();
+    let uri = |name: &'c GeneralName<'_>| {
+        if let GeneralName::URI(uri) = name {
+            Some(*uri)
+        } else {
+            None
+        }
+    };
     Ok(all.filter_map(uri).collect())
 }
 
 fn is_authority(certificate: &X509Certificate<'_>) -> Result<bool, Refused> {
-    let constraints = certificate.basic_constraints().map_err(|_| Refused::Unreadable)?;
+    let constraints = certificate
+        .basic_constraints()
+        .map_err(|_| Refused::Unreadable)?;
     Ok(constraints.is_some_and(|constraints| constraints.value.ca))
 }
 
 /// A point in time of a certificate, in nanoseconds since the epoch; what lies before is the epoch.
 fn nanos(seconds: i64) -> Nanos {
-    u64::try_from(seconds).unwrap_or(0).saturating_mul(1_000_000_000)
+    u64::try_from(seconds)
+        .unwrap_or(0)
+        .saturating_mul(1_000_000_000)
 }
 
 /// The id of a leaf, and its validity, by all that the standard asks of it alone.
 fn leaf(der: &[u8]) -> Result<(SpiffeId, Nanos, Nanos), Refused> {
     let certificate = parse(der)?;
     let uris = uris(&certificate)?;
-    let [uri] = uris.as_slice() else { return Err(Refused::Uris(uris.len())) };
+    let [uri] = uris.as_slice() else {
+        return Err(Refused::Uris(uris.len()));
+    };
     let id: SpiffeId = uri.parse().map_err(Refused::NoId)?;
     if is_authority(&certificate)? {
         return Err(Refused::LeafIsAuthority);
@@ -155,16 +180,25 @@
         return Err(Refused::NoPath);
     }
     let usage = certificate.key_usage().map_err(|_| Refused::Unreadable)?;
-    let usage = usage.filter(|usage| usage.critical).ok_or(Refused::NoKeyUsage)?.value;
+    let usage = usage
+        .filter(|usage| usage.critical)
+        .ok_or(Refused::NoKeyUsage)?
+        .value;
     if !usage.digital_signature() || usage.key_cert_sign() || usage.crl_sign() {
         return Err(Refused::KeyUsage);
     }
-    let extended = certificate.extended_key_usage().map_err(|_| Refused::Unreadable)?;
+    let extended = certificate
+        .extended_key_usage()
+        .map_err(|_| Refused::Unreadable)?;
     if extended.is_some_and(|e| !(e.value.client_auth && e.value.server_auth)) {
         return Err(Refused::ExtendedKeyUsage);
     }
     let validity = certificate.validity();
-    Ok((id, nanos(validity.not_before.timestamp()), nanos(validity.not_after.timestamp())))
+    Ok((
+        id,
+        nanos(validity.not_before.timestamp()),
+        nanos(validity.not_after.timestamp()),
+    ))
 }
 
 fn intermediate(der: &[u8], domain: &str) -> Result<(), Refused> {
@@ -183,7 +217,8 @@
     }
 }
 
-/// Checks a chain, the leaf first, at a time of the Unix clock; clocks may differ by `skew`, at most [`SKEW_MOST`].
+/// Checks a chain, the leaf first, at a time of the Unix clock; clocks may differ by `skew`, at
+/// most [`SKEW_MOST`].
 pub fn check(
     chain: &[impl AsRef<[u8]>],
     bundles: &Bundles,
@@ -192,13 +227,17 @@
     skew: Nanos,
 ) -> Result<Proven, Refused> {
     let (first, rest) = chain.split_first().ok_or(Refused::Empty)?;
-    if chain.len() > CHAIN_MAX || chain.iter().map(|c| c.as_ref().len()).sum::<usize>() > BYTES_MAX {
+    if chain.len() > CHAIN_MAX || chain.iter().map(|c| c.as_ref().len()).sum::<usize>() > BYTES_MAX
+    {
         return Err(Refused::TooLarge);
     }
     let (id, not_before, not_after) = leaf(first.as_ref())?;
-    rest.iter().try_for_each(|der| intermediate(der.as_ref(), id.domain()))?;
+    rest.iter()
+        .try_for_each(|der| intermediate(der.as_ref(), id.domain()))?;
     // Only authorities of the id's own domain count: one of another domain can't vouch for it.
-    let bundle = bundles.of(id.domain()).ok_or_else(|| Refused::UnknownDomain(id.domain().to_owned()))?;
+    let bundle = bundles
+        .of(id.domain())
+        .ok_or_else(|| Refused::UnknownDomain(id.domain().to_owned()))?;
     let skew = skew.min(SKEW_MOST);
     if now > not_after.saturating_add(skew) {
         return Err(Refused::Expired);
@@ -206,8 +245,20 @@
     if now.saturating_add(skew) < not_before {
         return Err(Refused::NotYet);
     }
-    let authority = path(first.as_ref(), rest, bundle, role, now.clamp(not_before, not_after))?;
-    Ok(Proven { id, not_before, not_after, authority, bundles: bundles.version() })
+    let authority = path(
+        first.as_ref(),
+        rest,
+        bundle,
+        role,
+        now.clamp(not_before, not_after),
+    )?;
+    Ok(Proven {
+        id,
+        not_before,
+        not_after,
+        authority,
+        bundles: bundles.version(),
+    })
 }
 
 fn path(
@@ -217,13 +268,22 @@
     role: Role,
     now: Nanos,
 ) -> Result<Authority, Refused> {
-    let authorities: Vec<CertificateDer<'_>> =
-        bundle.x509.iter().map(|der| CertificateDer::from(&der[..])).collect();
+    let authorities: Vec<CertificateDer<'_>> = bundle
+        .x509
+        .iter()
+        .map(|der| CertificateDer::from(&der[..]))
+        .collect();
     // An authority that can't be read vouches for nobody; the others still do.
-    let anchors = authorities.iter().map(|der| (der, anchor_from_trusted_cert(der)));
-    let (ders, anchors): (Vec<_>, Vec<_>) =
-        anchors.filter_map(|(der, anchor)| Some((der, anchor.ok()?))).unzip();
-    let intermediates: Vec<_> = rest.iter().map(|der| CertificateDer::from(der.as_ref())).collect();
+    let anchors = authorities
+        .iter()
+        .map(|der| (der, anchor_from_trusted_cert(der)));
+    let (ders, anchors): (Vec<_>, Vec<_>) = anchors
+        .filter_map(|(der, anchor)| Some((der, anchor.ok()?)))
+        .unzip();
+    let intermediates: Vec<_> = rest
+        .iter()
+        .map(|der| CertificateDer::from(der.as_ref()))
+        .collect();
     let first = CertificateDer::from(first);
     let certificate = EndEntityCert::try_from(&first).map_err(|_| Refused::Unreadable)?;
     let usage = match role {
@@ -232,8 +292,17 @@
     };
     let time = UnixTime::since_unix_epoch(Duration::from_nanos(now));
     let found = certificate
-        .verify_for_usage(ALL_VERIFICATION_ALGS, &anchors, &intermediates, time, usage, None, None)
+        .verify_for_usage(
+            ALL_VERIFICATION_ALGS,
+            &anchors,
+            &intermediates,
+            time,
+            usage,
+            None,
+            None,
+        )
         .map_err(|e| Refused::NoPathToAuthority(e.to_string()))?;
     let at = anchors.iter().position(|anchor| anchor == found.anchor());
-    at.map(|at| authority(ders[at])).ok_or_else(|| Refused::NoPathToAuthority("of no authority".into()))
+    at.map(|at| authority(ders[at]))
+        .ok_or_else(|| Refused::NoPathToAuthority("of no authority".into()))
 }
--- a/crates/identity/tests/jwt.rs
+++ b/crates/identity/tests/jwt.rs
@@ -7,9 +7,12 @@
 use madderpoint_identity::{Bundle, Bundles};
 use ring::rand::SystemRandom;
 use ring::signature::{
-    ECDSA_P256_SHA256_FIXED_SIGNING, ECDSA_P384_SHA384_FIXED_SIGNING, EcdsaKeyPair, KeyPair, RsaKeyPair,
+    ECDSA_P256_SHA256_FIXED_SIGNING, ECDSA_P384_SHA384_FIXED_SIGNING, EcdsaKeyPair, KeyPair,
+    RsaKeyPair,
+};
+use ring::signature::{
+    EcdsaSigningAlgorithm, RSA_PKCS1_SHA256, RSA_PSS_SHA512, RsaPublicKeyComponents,
 };
-use ring::signature::{EcdsaSigningAlgorithm, RSA_PKCS1_SHA256, RSA_PSS_SHA512, RsaPublicKeyComponents};
 
 const SECOND: u64 = 1_000_000_000;
 const NOW: u64 = 1_781_481_600;
@@ -24,7 +27,10 @@
 
 fn ec(algorithm: &'static EcdsaSigningAlgorithm, curve: Curve) -> Signer {
     let pkcs8 = EcdsaKeyPair::generate_pkcs8(algorithm, &SystemRandom::new()).unwrap();
-    Signer::Ec(EcdsaKeyPair::from_pkcs8(algorithm, pkcs8.as_ref(), &SystemRandom::new()).unwrap(), curve)
+    Signer::Ec(
+        EcdsaKeyPair::from_pkcs8(algorithm, pkcs8.as_ref(), &SystemRandom::new()).unwrap(),
+        curve,
+    )
 }
 
 fn p256() -> Signer {
@@ -40,7 +46,8 @@
                 PublicKey::Ec(*curve, x.to_vec(), y.to_vec())
             }
             Signer::Rsa(pair) => {
-                let RsaPublicKeyComponents { n, e } = RsaPublicKeyComponents::<Vec<u8>>::from(pair.public());
+                let RsaPublicKeyComponents { n, e } =
+                    RsaPublicKeyComponents::<Vec<u8>>::from(pair.public());
                 PublicKey::Rsa(n, e)
             }
         }
@@ -53,8 +60,12 @@
             Signer::Rsa(pair) => {
                 let mut signed = vec![0; pair.public().modulus_len()];
                 match algorithm {
-                    "PS512" => pair.sign(&RSA_PSS_SHA512, &random, message, &mut signed).unwrap(),
-                    _ => pair.sign(&RSA_PKCS1_SHA256, &random, message, &mut signed).unwrap(),
+                    "PS512" => pair
+                        .sign(&RSA_PSS_SHA512, &random, message, &mut signed)
+                        .unwrap(),
+                    _ => pair
+                        .sign(&RSA_PKCS1_SHA256, &random, message, &mut signed)
+                        .unwrap(),
                 }
                 signed
             }
@@ -62,8 +73,16 @@
     }
 
     fn token(&self, header: &str, claims: &str) -> String {
-        let message = format!("{}.{}", URL_SAFE_NO_PAD.encode(header), URL_SAFE_NO_PAD.encode(claims));
-        let algorithm = header.split("\"alg\":\"").nth(1).and_then(|a| a.split('"').next()).unwrap_or("");
+        let message = format!(
+            "{}.{}",
+            URL_SAFE_NO_PAD.encode(header),
+            URL_SAFE_NO_PAD.encode(claims)
+        );
+        let algorithm = header
+            .split("\"alg\":\"")
+            .nth(1)
+            .and_then(|a| a.split('"').next())
+            .unwrap_or("");
         let signed = self.sign(algorithm, message.as_bytes());
         format!("{message}.{}", URL_SAFE_NO_PAD.encode(signed))
     }
@@ -72,8 +91,17 @@
 fn bundles(of: &[(&str, &str, &Signer)]) -> Bundles {
     let mut bundles = Bundles::default();
     for (domain, id, signer) in of {
-        let jwt = vec![JwtKey { id: (*id).into(), key: signer.public() }];
-        bundles.offer(&domain.parse().unwrap(), Bundle { jwt, ..Bundle::default() });
+        let jwt = vec![JwtKey {
+            id: (*id).into(),
+            key: signer.public(),
+        }];
+        bundles.offer(
+            &domain.parse().unwrap(),
+            Bundle {
+                jwt,
+                ..Bundle::default()
+            },
+        );
     }
     bundles
 }
@@ -81,7 +109,10 @@
 const HEADER: &str = r#"{"alg":"ES256","kid":"k1","typ":"JWT"}"#;
 
 fn claims(more: &str) -> String {
-    format!(r#"{{"sub":"spiffe://saha.example/site/7","aud":["node","x"],"exp":{}{more}}}"#, NOW + 60)
+    format!(
+        r#"{{"sub":"spiffe://saha.example/site/7","aud":["node","x"],"exp":{}{more}}}"#,
+        NOW + 60
+    )
 }
 
 fn ask(token: &str, bundles: &Bundles) -> Result<Proven, Refused> {
@@ -98,12 +129,28 @@
         ("PS512", rsa()),
     ] {
         let known = bundles(&[("saha.example", "k1", &signer)]);
-        let token = signer.token(&format!(r#"{{"alg":"{algorithm}","kid":"k1"}}"#), &claims(""));
+        let token = signer.token(
+            &format!(r#"{{"alg":"{algorithm}","kid":"k1"}}"#),
+            &claims(""),
+        );
         let proven = ask(&token, &known).unwrap();
-        assert_eq!((proven.id.path(), proven.not_after), ("/site/7", (NOW + 60) * SECOND), "{algorithm}");
+        assert_eq!(
+            (proven.id.path(), proven.not_after),
+            ("/site/7", (NOW + 60) * SECOND),
+            "{algorithm}"
+        );
         // A token need not name its key; one that names another is refused.
-        assert!(ask(&signer.token(&format!(r#"{{"alg":"{algorithm}"}}"#), &claims("")), &known).is_ok());
-        let other = signer.token(&format!(r#"{{"alg":"{algorithm}","kid":"k2"}}"#), &claims(""));
+        assert!(
+            ask(
+                &signer.token(&format!(r#"{{"alg":"{algorithm}"}}"#), &claims("")),
+                &known
+            )
+            .is_ok()
+        );
+        let other = signer.token(
+            &format!(r#"{{"alg":"{algorithm}","kid":"k2"}}"#),
+            &claims(""),
+        );
         assert_eq!(ask(&other, &known), Err(Refused::UnknownKey));
     }
 }
@@ -114,48 +161,99 @@
     let known = bundles(&[("saha.example", "k1", &signer)]);
     let header = |header: &str| ask(&signer.token(header, &claims("")), &known).unwrap_err();
     for name in ["none", "None", "HS256", "ES512", "EdDSA", ""] {
-        assert_eq!(header(&format!(r#"{{"alg":"{name}","kid":"k1"}}"#)), Refused::Algorithm(name.into()));
+        assert_eq!(
+            header(&format!(r#"{{"alg":"{name}","kid":"k1"}}"#)),
+            Refused::Algorithm(name.into())
+        );
     }
     assert_eq!(
         header(r#"{"alg":"RS256","kid":"k1"}"#),
         Refused::UnknownKey,
         "an algorithm of another kind of key"
     );
-    assert_eq!(header(r#"{"alg":"ES384","kid":"k1"}"#), Refused::UnknownKey, "and of another curve");
-    assert_eq!(header(r#"{"alg":"ES256","typ":"JWE"}"#), Refused::Type("JWE".into()));
-    assert_eq!(header(r#"{"alg":"ES256","crit":["b64"]}"#), Refused::Critical);
+    assert_eq!(
+        header(r#"{"alg":"ES384","kid":"k1"}"#),
+        Refused::UnknownKey,
+        "and of another curve"
+    );
+    assert_eq!(
+        header(r#"{"alg":"ES256","typ":"JWE"}"#),
+        Refused::Type("JWE".into())
+    );
+    assert_eq!(
+        header(r#"{"alg":"ES256","crit":["b64"]}"#),
+        Refused::Critical
+    );
     let body = |claims: String| ask(&signer.token(HEADER, &claims), &known).unwrap_err();
     let with = |from: &str, to: &str| body(claims("").replace(from, to));
-    assert!(matches!(with("spiffe://saha.example/site/7", "clerk"), Refused::NoId(_)));
-    assert_eq!(with("saha.example", "other.example"), Refused::UnknownDomain("other.example".into()));
+    assert!(matches!(
+        with("spiffe://saha.example/site/7", "clerk"),
+        Refused::NoId(_)
+    ));
+    assert_eq!(
+        with("saha.example", "other.example"),
+        Refused::UnknownDomain("other.example".into())
+    );
     assert_eq!(with(r#"["node","x"]"#, r#"["x"]"#), Refused::Audience);
     assert_eq!(with(r#"["node","x"]"#, r#""x""#), Refused::Audience);
     assert_eq!(with(r#"["node","x"]"#, "[]"), Refused::Audience);
     assert_eq!(with(r#""aud":["node","x"],"#, ""), Refused::Audience);
-    assert_eq!(with(&format!(r#","exp":{}"#, NOW + 60), ""), Refused::NoExpiry);
-    assert_eq!(with(&format!("{}", NOW + 60), &format!("{}", NOW - 1)), Refused::Expired);
+    assert_eq!(
+        with(&format!(r#","exp":{}"#, NOW + 60), ""),
+        Refused::NoExpiry
+    );
+    assert_eq!(
+        with(&format!("{}", NOW + 60), &format!("{}", NOW - 1)),
+        Refused::Expired
+    );
     assert_eq!(with(&format!("{}", NOW + 60), "-5"), Refused::Expired);
-    assert_eq!(body(claims(&format!(r#","nbf":{}"#, NOW + 2))), Refused::NotYet);
-    assert!(ask(&signer.token(HEADER, &claims("").replace(r#"["node","x"]"#, r#""node""#)), &known).is_ok());
+    assert_eq!(
+        body(claims(&format!(r#","nbf":{}"#, NOW + 2))),
+        Refused::NotYet
+    );
+    assert!(
+        ask(
+            &signer.token(HEADER, &claims("").replace(r#"["node","x"]"#, r#""node""#)),
+            &known
+        )
+        .is_ok()
+    );
     for bad in ["", ".", "..", "a.b", "a.b.c.d", "e30.e30.e30", "!.!.!"] {
         assert_eq!(ask(bad, &known), Err(Refused::Form), "{bad}");
     }
     assert_eq!(ask(&"a".repeat(5000), &known), Err(Refused::TooLong));
     // Replayed past its time; and within the skew of clocks, which is bounded.
     let token = signer.token(HEADER, &claims(""));
-    let at = |now: u64, skew: u64| check(&token, &known, &["node"], now * SECOND, skew * SECOND).map(drop);
-    assert_eq!((at(NOW + 60, 0), at(NOW + 61, 0)), (Ok(()), Err(Refused::Expired)));
-    assert_eq!((at(NOW + 65, 5), at(NOW + 121, 3600)), (Ok(()), Err(Refused::Expired)));
+    let at = |now: u64, skew: u64| {
+        check(&token, &known, &["node"], now * SECOND, skew * SECOND).map(drop)
+    };
+    assert_eq!(
+        (at(NOW + 60, 0), at(NOW + 61, 0)),
+        (Ok(()), Err(Refused::Expired))
+    );
+    assert_eq!(
+        (at(NOW + 65, 5), at(NOW + 121, 3600)),
+        (Ok(()), Err(Refused::Expired))
+    );
 }
 
 #[test]
 fn a_key_of_another_domain_vouches_for_nobody_here() {
     let (ours, theirs) = (p256(), p256());
-    let known = bundles(&[("saha.example", "k1", &ours), ("other.example", "k1", &theirs)]);
+    let known = bundles(&[
+        ("saha.example", "k1", &ours),
+        ("other.example", "k1", &theirs),
+    ]);
     assert!(ask(&ours.token(HEADER, &claims("")), &known).is_ok());
-    assert_eq!(ask(&theirs.token(HEADER, &claims("")), &known), Err(Refused::Signature));
+    assert_eq!(
+        ask(&theirs.token(HEADER, &claims("")), &known),
+        Err(Refused::Signature)
+    );
     let taken_out = bundles(&[("saha.example", "k2", &ours)]);
-    assert_eq!(ask(&ours.token(HEADER, &claims("")), &taken_out), Err(Refused::UnknownKey));
+    assert_eq!(
+        ask(&ours.token(HEADER, &claims("")), &taken_out),
+        Err(Refused::UnknownKey)
+    );
     assert!(matches!(
         ask(&ours.token(HEADER, &claims("")), &Bundles::default()),
         Err(Refused::UnknownDomain(_))
--- a/crates/identity/tests/workload.rs
+++ b/crates/identity/tests/workload.rs
@@ -2,14 +2,14 @@
 
 use madderpoint_identity::Bundles;
 use madderpoint_identity::workload::{
-    Frames, JwtBundlesResponse, MESSAGE_MAX, Unusable, X509SvidMessage, X509SvidResponse, jwt_update,
-    x509_update,
+    Frames, JwtBundlesResponse, MESSAGE_MAX, Unusable, X509SvidMessage, X509SvidResponse,
+    jwt_update, x509_update,
 };
 use madderpoint_identity::x509::Refused;
 use prost::Message;
 use rcgen::{
-    BasicConstraints, CertificateParams, CertifiedIssuer, DnType, IsCa, KeyPair, KeyUsagePurpose, SanType,
-    date_time_ymd,
+    BasicConstraints, CertificateParams, CertifiedIssuer, DnType, IsCa, KeyPair, KeyUsagePurpose,
+    SanType, date_time_ymd,
 };
 
 const SECOND: u64 = 1_000_000_000;
@@ -43,7 +43,10 @@
 }
 
 fn answer(svids: Vec<X509SvidMessage>) -> X509SvidResponse {
-    X509SvidResponse { svids, ..X509SvidResponse::default() }
+    X509SvidResponse {
+        svids,
+        ..X509SvidResponse::default()
+    }
 }
 
 fn read(response: &X509SvidResponse) -> Result<(), Unusable> {
@@ -53,20 +56,36 @@
 #[test]
 fn a_good_answer_gives_an_identity_and_whom_to_trust() {
     let (ours, theirs) = (root("saha"), root("other"));
-    let mut response = answer(vec![svid(ID, &ours), svid("spiffe://saha.example/other", &ours)]);
+    let mut response = answer(vec![
+        svid(ID, &ours),
+        svid("spiffe://saha.example/other", &ours),
+    ]);
     response.svids[0].bundle.extend_from_slice(theirs.der()); // two authorities
-    response.federated_bundles.insert("spiffe://other.example".into(), theirs.der().to_vec());
+    response
+        .federated_bundles
+        .insert("spiffe://other.example".into(), theirs.der().to_vec());
     let update = x509_update(&response.encode_to_vec(), NOW, 0).unwrap();
     assert_eq!(
-        (update.identity.proven.id.as_str(), update.identity.chain.len()),
+        (
+            update.identity.proven.id.as_str(),
+            update.identity.chain.len()
+        ),
         (ID, 1),
         "the first is the default"
     );
-    let domains: Vec<_> = update.x509.iter().map(|(domain, roots)| (domain.as_str(), roots.len())).collect();
+    let domains: Vec<_> = update
+        .x509
+        .iter()
+        .map(|(domain, roots)| (domain.as_str(), roots.len()))
+        .collect();
     assert_eq!(domains, [("saha.example", 2), ("other.example", 1)]);
     let shown = format!("{update:?} {response:?}");
-    assert!(shown.contains("key not shown") && !shown.contains("x509_svid_key"), "{shown}");
-    // Into the bundles: a second time nothing changes, and a domain that is no longer named is no longer trusted.
+    assert!(
+        shown.contains("key not shown") && !shown.contains("x509_svid_key"),
+        "{shown}"
+    );
+    // Into the bundles: a second time nothing changes, and a domain that is no longer named is no
+    // longer trusted.
     let mut bundles = Bundles::default();
     assert!(bundles.take_x509(&update.x509) && !bundles.take_x509(&update.x509));
     assert!(bundles.take_x509(&update.x509[..1]) && bundles.of("other.example").is_none());
@@ -83,26 +102,57 @@
     };
     assert_eq!(read(&answer(Vec::new())), Err(Unusable::Nothing));
     assert_eq!(with(&|m| m.x509_svid.clear()), Unusable::Nothing);
-    assert_eq!(with(&|m| m.x509_svid_key = svid(ID, &ours).x509_svid_key), Unusable::Key, "another key");
+    assert_eq!(
+        with(&|m| m.x509_svid_key = svid(ID, &ours).x509_svid_key),
+        Unusable::Key,
+        "another key"
+    );
     assert_eq!(with(&|m| m.x509_svid_key = vec![1, 2, 3]), Unusable::Key);
-    assert_eq!(with(&|m| m.spiffe_id = "spiffe://saha.example/node/4".into()), Unusable::OtherId);
-    assert!(matches!(with(&|m| m.spiffe_id = "node".into()), Unusable::Svid(Refused::NoId(_))));
+    assert_eq!(
+        with(&|m| m.spiffe_id = "spiffe://saha.example/node/4".into()),
+        Unusable::OtherId
+    );
+    assert!(matches!(
+        with(&|m| m.spiffe_id = "node".into()),
+        Unusable::Svid(Refused::NoId(_))
+    ));
     // A chain to another authority than the bundle has, or to none.
     let strange = with(&|m| m.bundle = theirs.der().to_vec());
-    assert!(matches!(strange, Unusable::Svid(Refused::NoPathToAuthority(_))), "{strange:?}");
-    assert!(matches!(with(&|m| m.bundle.clear()), Unusable::Svid(Refused::NoPathToAuthority(_))));
-    assert!(matches!(with(&|m| m.bundle = vec![7; 40]), Unusable::Garbage(_)));
-    assert!(matches!(with(&|m| m.x509_svid.truncate(100)), Unusable::Garbage(_)));
+    assert!(
+        matches!(strange, Unusable::Svid(Refused::NoPathToAuthority(_))),
+        "{strange:?}"
+    );
+    assert!(matches!(
+        with(&|m| m.bundle.clear()),
+        Unusable::Svid(Refused::NoPathToAuthority(_))
+    ));
+    assert!(matches!(
+        with(&|m| m.bundle = vec![7; 40]),
+        Unusable::Garbage(_)
+    ));
+    assert!(matches!(
+        with(&|m| m.x509_svid.truncate(100)),
+        Unusable::Garbage(_)
+    ));
     // Expired before it came.
-    let late = x509_update(&answer(vec![good.clone()]).encode_to_vec(), NOW + 40 * 86_400 * SECOND, 0);
+    let late = x509_update(
+        &answer(vec![good.clone()]).encode_to_vec(),
+        NOW + 40 * 86_400 * SECOND,
+        0,
+    );
     assert_eq!(late.map(drop), Err(Unusable::Svid(Refused::Expired)));
     // A federated domain that is none, or that takes the place of the own one.
     for name in ["spiffe://", "Other", "spiffe://saha.example"] {
         let mut response = answer(vec![good.clone()]);
-        response.federated_bundles.insert(name.into(), theirs.der().to_vec());
+        response
+            .federated_bundles
+            .insert(name.into(), theirs.der().to_vec());
         assert_eq!(read(&response), Err(Unusable::Domain(name.into())));
     }
-    assert_eq!(read(&answer(vec![good.clone(); 17])), Err(Unusable::TooLarge));
+    assert_eq!(
+        read(&answer(vec![good.clone(); 17])),
+        Err(Unusable::TooLarge)
+    );
 }
 
 #[test]
@@ -114,7 +164,8 @@
             let mut bad = message.clone();
             bad[at] ^= change;
             if let Ok(update) = x509_update(&bad, NOW, 0) {
-                // What is still good is what it was; only the hint, and fields that nobody reads, may differ.
+                // What is still good is what it was; only the hint, and fields that nobody reads,
+                // may differ.
                 assert_eq!(update.identity.proven.id.as_str(), ID, "byte {at}");
             }
         }
@@ -123,35 +174,56 @@
 
 #[test]
 fn messages_come_whole_however_the_stream_is_split() {
-    let frame = |message: &[u8]| [&[0], &(message.len() as u32).to_be_bytes()[..], message].concat();
+    let frame =
+        |message: &[u8]| [&[0], &(message.len() as u32).to_be_bytes()[..], message].concat();
     let messages: [&[u8]; 4] = [b"one", b"", b"three", &[7; 3000]];
     let stream: Vec<u8> = messages.iter().flat_map(|m| frame(m)).collect();
     for size in [1, 2, 3, 4, 5, 6, 7, 11, 100, stream.len()] {
         let (mut frames, mut come) = (Frames::default(), Vec::new());
         for piece in stream.chunks(size) {
-            frames.feed(piece, |message| come.push(message.to_vec())).unwrap();
+            frames
+                .feed(piece, |message| come.push(message.to_vec()))
+                .unwrap();
         }
         assert_eq!(come, messages, "in pieces of {size}");
         assert!(frames.is_between());
     }
     let mut frames = Frames::default();
     frames.feed(&stream[..6], |_| ()).unwrap();
-    assert!(!frames.is_between(), "a stream that ends here broke in a message");
+    assert!(
+        !frames.is_between(),
+        "a stream that ends here broke in a message"
+    );
     let large = [&[0], &(MESSAGE_MAX as u32 + 1).to_be_bytes()[..]].concat();
-    assert_eq!(Frames::default().feed(&large, |_| ()), Err(Unusable::TooLarge));
-    assert!(matches!(Frames::default().feed(&[1, 0, 0, 0, 0], |_| ()), Err(Unusable::Garbage(_))));
+    assert_eq!(
+        Frames::default().feed(&large, |_| ()),
+        Err(Unusable::TooLarge)
+    );
+    assert!(matches!(
+        Frames::default().feed(&[1, 0, 0, 0, 0], |_| ()),
+        Err(Unusable::Garbage(_))
+    ));
 }
 
 #[test]
 fn keys_for_tokens_come_by_domain() {
-    let set = r#"{"keys": [{"kty": "RSA", "use": "jwt-svid", "kid": "a", "n": "AQAB", "e": "AQAB"}]}"#;
+    let set =
+        r#"{"keys": [{"kty": "RSA", "use": "jwt-svid", "kid": "a", "n": "AQAB", "e": "AQAB"}]}"#;
     let of = |name: &str, text: &str| {
-        let bundles = [(name.to_owned(), text.as_bytes().to_vec())].into_iter().collect();
+        let bundles = [(name.to_owned(), text.as_bytes().to_vec())]
+            .into_iter()
+            .collect();
         jwt_update(&JwtBundlesResponse { bundles }.encode_to_vec())
     };
     let read = of("spiffe://saha.example", set).unwrap();
-    assert_eq!((read[0].0.as_str(), read[0].1[0].id.as_str()), ("saha.example", "a"));
-    assert!(matches!(of("spiffe://saha.example", "{"), Err(Unusable::Garbage(_))));
+    assert_eq!(
+        (read[0].0.as_str(), read[0].1[0].id.as_str()),
+        ("saha.example", "a")
+    );
+    assert!(matches!(
+        of("spiffe://saha.example", "{"),
+        Err(Unusable::Garbage(_))
+    ));
     assert!(matches!(of("SAHA", set), Err(Unusable::Domain(_))));
     assert!(matches!(jwt_update(&[0xff; 20]), Err(Unusable::Garbage(_))));
 }
--- a/crates/limits/benches/limits.rs
+++ b/crates/limits/benches/limits.rs
@@ -34,7 +34,13 @@
     for (name, keys) in [("a thousand keys", 1_000u64), ("a million keys", 1_000_000)] {
         let mut rng = Pcg64Mcg::seed_from_u64(1);
         let mut limits = Limits::new(BYTES, 7);
-        limits.define(0, &[Bucket { rate: Some(rate), ..Bucket::named("b") }]);
+        limits.define(
+            0,
+            &[Bucket {
+                rate: Some(rate),
+                ..Bucket::named("b")
+            }],
+        );
         let mut now = 0;
         group.bench_function(format!("rate, {name}"), |b| {
             b.iter(|| {
@@ -61,7 +67,14 @@
         );
     }
     let mut limits = Limits::new(BYTES, 7);
-    limits.define(0, &[Bucket { in_hand: Some(64), total: Some(4096), ..Bucket::named("b") }]);
+    limits.define(
+        0,
+        &[Bucket {
+            in_hand: Some(64),
+            total: Some(4096),
+            ..Bucket::named("b")
+        }],
+    );
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut now = 0;
     group.bench_function("in hand and shared, asked and done", |b| {
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,8 +1,10 @@
-//! Limits by key: how often a key may come, how much of it may be in hand, and how keys share what is there.
+//! Limits by key: how often a key may come, how much of it may be in hand, and how keys share what
+//! is there.
 //!
-//! A bucket is a definition; each of its keys has a state of its own. Memory is bounded whatever the keys: what does
-//! not fit into the table of exact states is kept in a sketch that may be too strict with a key and is never too
-//! lenient ([`sketch`]). Decisions without I/O: the time is an argument, chance comes from a seed.
+//! A bucket is a definition; each of its keys has a state of its own. Memory is bounded whatever
+//! the keys: what does not fit into the table of exact states is kept in a sketch that may be too
+//! strict with a key and is never too lenient ([`sketch`]). Decisions without I/O: the time is an
+//! argument, chance comes from a seed.
 //!
 //! ```
 //! use madderpoint_limits::{Bucket, Limits, Rate};
@@ -63,7 +65,8 @@
         let interval = period.checked_add(count.checked_sub(1)?)? / count;
         let tolerance = interval.checked_mul(u64::from(burst.checked_sub(1)?))?;
         let longest = 24 * 3600 * 1000 * MILLISECOND;
-        (interval > 0 && interval <= longest && tolerance <= longest).then_some(Rate { interval, burst })
+        (interval > 0 && interval <= longest && tolerance <= longest)
+            .then_some(Rate { interval, burst })
     }
 
     /// Between two that come evenly.
@@ -101,7 +104,12 @@
 impl Bucket {
     /// A bucket that limits nothing yet.
     pub fn named(name: &str) -> Bucket {
-        Bucket { name: name.to_owned(), rate: None, in_hand: None, total: None }
+        Bucket {
+            name: name.to_owned(),
+            rate: None,
+            in_hand: None,
+            total: None,
+        }
     }
 
     fn holds(&self) -> bool {
@@ -129,7 +137,8 @@
     pub bucket: u16,
     /// Why.
     pub why: Why,
-    /// After this there is room again: known for a rate, else a guess from how long things were held.
+    /// After this there is room again: known for a rate, else a guess from how long things were
+    /// held.
     pub pause: Nanos,
 }
 
@@ -178,12 +187,19 @@
 
     /// Whether a key that holds so many may have one more of the bucket's places.
     fn shares(&self, mine: u32) -> bool {
-        let Some(total) = self.bucket.total else { return true };
+        let Some(total) = self.bucket.total else {
+            return true;
+        };
         let free = total.saturating_sub(self.tally.in_hand);
         let keys = self.tally.keys + u32::from(mine == 0);
         let even = total.div_ceil(keys.max(1));
-        // Some places stay free for keys that hold less, so that one that takes all it can get shuts nobody out.
-        free > if mine < even && keys > 1 { 0 } else { total / KEPT_FOR_OTHERS }
+        // Some places stay free for keys that hold less, so that one that takes all it can get
+        // shuts nobody out.
+        free > if mine < even && keys > 1 {
+            0
+        } else {
+            total / KEPT_FOR_OTHERS
+        }
     }
 }
 
@@ -220,8 +236,8 @@
         }
     }
 
-    /// From here on these are the buckets. What is defined as before keeps its state; the rest begins anew, and
-    /// what was taken under a definition that is gone counts for nothing any more.
+    /// From here on these are the buckets. What is defined as before keeps its state; the rest
+    /// begins anew, and what was taken under a definition that is gone counts for nothing any more.
     pub fn define(&mut self, now: Nanos, buckets: &[Bucket]) {
         self.now = self.now.max(now);
         let mut before = std::mem::take(&mut self.live);
@@ -229,19 +245,28 @@
             let same = before.iter().position(|live| live.bucket == *bucket);
             let live = same.map(|at| before.swap_remove(at)).unwrap_or_else(|| {
                 self.next_id += 1;
-                Live { id: self.next_id, bucket: bucket.clone(), tally: Tally::default(), held_for: 0.0 }
+                Live {
+                    id: self.next_id,
+                    bucket: bucket.clone(),
+                    tally: Tally::default(),
+                    held_for: 0.0,
+                }
             });
             self.live.push(live);
         }
         let gone: Vec<u32> = before.iter().map(|live| live.id).collect();
         if !gone.is_empty() {
-            for at in self.table.places_where(|entry| gone.contains(&entry.bucket)) {
+            for at in self
+                .table
+                .places_where(|entry| gone.contains(&entry.bucket))
+            {
                 self.remove(at);
             }
         }
     }
 
-    /// A request belongs to these buckets by these keys: it passes all of them, or takes nothing of any.
+    /// A request belongs to these buckets by these keys: it passes all of them, or takes nothing of
+    /// any.
     pub fn ask(&mut self, now: Nanos, of: &[(u16, u64)]) -> Result<Ticket, Over> {
         self.now = self.now.max(now); // a clock that goes back must not give anything twice
         self.age();
@@ -254,7 +279,10 @@
                 return Err(over);
             }
         }
-        let mut ticket = Ticket { held: Vec::new(), since: self.now };
+        let mut ticket = Ticket {
+            held: Vec::new(),
+            since: self.now,
+        };
         for (i, &(place, key)) in of.iter().enumerate() {
             if !of[..i].contains(&(place, key)) {
                 self.take(place, key, &mut ticket);
@@ -263,11 +291,20 @@
         Ok(ticket)
     }
 
-    /// Whether a bucket has room for one more of a key; where one is needed, the key has an entry afterwards.
+    /// Whether a bucket has room for one more of a key; where one is needed, the key has an entry
+    /// afterwards.
     fn fits(&mut self, place: u16, key: u64) -> Result<(), Over> {
-        let Some(live) = self.live.get(usize::from(place)) else { return Ok(()) };
+        let Some(live) = self.live.get(usize::from(place)) else {
+            return Ok(());
+        };
         let (id, holds, rate) = (live.id, live.bucket.holds(), live.bucket.rate);
-        let over = |why, pause| Err(Over { bucket: place, why, pause });
+        let over = |why, pause| {
+            Err(Over {
+                bucket: place,
+                why,
+                pause,
+            })
+        };
         self.counts.add(id, key);
         let mut at = self.table.find(id, key);
         if at.is_none() {
@@ -284,7 +321,10 @@
             None if holds => return over(Why::Room, live.pause(1)),
             None => (self.times.due(id, key), 0),
         };
-        if let Some(wait) = rate.map(|rate| rate.wait(self.now, due)).filter(|wait| *wait > 0) {
+        if let Some(wait) = rate
+            .map(|rate| rate.wait(self.now, due))
+            .filter(|wait| *wait > 0)
+        {
             return over(Why::Rate, wait);
         }
         if let Some(most) = live.bucket.in_hand.filter(|most| mine >= *most) {
@@ -297,7 +337,9 @@
     }
 
     fn take(&mut self, place: u16, key: u64, ticket: &mut Ticket) {
-        let Some(live) = self.live.get_mut(usize::from(place)) else { return };
+        let Some(live) = self.live.get_mut(usize::from(place)) else {
+            return;
+        };
         live.tally.passed += 1;
         let at = self.table.find(live.id, key);
         if let Some(rate) = live.bucket.rate {
@@ -323,13 +365,23 @@
         self.now = self.now.max(now);
         let held_for = self.now.saturating_sub(ticket.since) as f64;
         for (id, key) in ticket.held {
-            let Some(live) = self.live.iter_mut().find(|live| live.id == id) else { continue };
-            let Some(at) = self.table.find(id, key) else { continue };
+            let Some(live) = self.live.iter_mut().find(|live| live.id == id) else {
+                continue;
+            };
+            let Some(at) = self.table.find(id, key) else {
+                continue;
+            };
             let entry = &mut self.table[at];
-            debug_assert!(entry.in_hand > 0 && live.tally.in_hand > 0, "what is given back was taken");
+            debug_assert!(
+                entry.in_hand > 0 && live.tally.in_hand > 0,
+                "what is given back was taken"
+            );
             entry.in_hand = entry.in_hand.saturating_sub(1);
             live.tally.in_hand = live.tally.in_hand.saturating_sub(1);
-            live.tally.keys = live.tally.keys.saturating_sub(u32::from(entry.in_hand == 0));
+            live.tally.keys = live
+                .tally
+                .keys
+                .saturating_sub(u32::from(entry.in_hand == 0));
             live.held_for += LEARN * (held_for - live.held_for);
         }
     }
@@ -337,7 +389,12 @@
     // ---- Room ----
 
     fn insert(&mut self, bucket: u32, key: u64, due: Nanos) -> usize {
-        let at = self.table.insert(Entry { bucket, key, due, in_hand: 0 });
+        let at = self.table.insert(Entry {
+            bucket,
+            key,
+            due,
+            in_hand: 0,
+        });
         self.wheel.put(at, self.now, due);
         at
     }
@@ -347,8 +404,8 @@
         self.table.remove(at)
     }
 
-    /// Makes room in the table for a key, if it deserves that; a key that must be held has priority over any that
-    /// only waits for its time to pass.
+    /// Makes room in the table for a key, if it deserves that; a key that must be held has priority
+    /// over any that only waits for its time to pass.
     fn make_room(&mut self, bucket: u32, key: u64, must: bool) -> bool {
         if !self.table.is_full() {
             return true;
@@ -356,7 +413,9 @@
         let mut victim: Option<(u32, usize)> = None;
         for _ in 0..SAMPLE {
             self.hand = (self.hand + 1) % self.table.places();
-            let Some(entry) = self.table.get(self.hand).filter(|entry| entry.in_hand == 0) else { continue };
+            let Some(entry) = self.table.get(self.hand).filter(|entry| entry.in_hand == 0) else {
+                continue;
+            };
             if entry.due <= self.now {
                 self.remove(self.hand);
                 return true;
@@ -366,7 +425,9 @@
                 victim = Some((used, self.hand));
             }
         }
-        let Some((used, at)) = victim else { return false };
+        let Some((used, at)) = victim else {
+            return false;
+        };
         if !must && self.counts.of(bucket, key) <= used.saturating_add(1) {
             return false;
         }
@@ -381,8 +442,12 @@
     /// Lets go of keys that have nothing in hand and whose time has passed, a few on each call.
     fn age(&mut self) {
         for _ in 0..AGED_AT_ONCE {
-            let Some(at) = self.wheel.next_due(self.now) else { return };
-            let Some(entry) = self.table.get(at) else { continue };
+            let Some(at) = self.wheel.next_due(self.now) else {
+                return;
+            };
+            let Some(entry) = self.table.get(at) else {
+                continue;
+            };
             if entry.in_hand == 0 && entry.due <= self.now {
                 self.table.remove(at);
             } else {
@@ -396,7 +461,9 @@
 
     /// What has come to each bucket, by its place in the definitions.
     pub fn tallies(&self) -> impl Iterator<Item = (&str, Tally)> {
-        self.live.iter().map(|live| (live.bucket.name.as_str(), live.tally))
+        self.live
+            .iter()
+            .map(|live| (live.bucket.name.as_str(), live.tally))
     }
 
     /// Keys with a state of their own.
--- a/crates/limits/src/sketch.rs
+++ b/crates/limits/src/sketch.rs
@@ -1,14 +1,16 @@
-//! What is known of keys that have no entry of their own: for each key a few cells, shared with others by chance.
-//! A cell only ever holds too much, so that the least of a key's cells is never too little: a limit that is kept by it
-//! may be too strict with a key, and never too lenient. Both sketches raise only the cells that are below what
-//! the key comes to (conservative update), which keeps what others are charged for it small.
+//! What is known of keys that have no entry of their own: for each key a few cells, shared with
+//! others by chance. A cell only ever holds too much, so that the least of a key's cells is never
+//! too little: a limit that is kept by it may be too strict with a key, and never too lenient. Both
+//! sketches raise only the cells that are below what the key comes to (conservative update), which
+//! keeps what others are charged for it small.
 
 use crate::Nanos;
 
 const ROWS: usize = 4;
 
 fn mix(seed: u64, bucket: u32, key: u64) -> u64 {
-    // The finaliser of SplitMix64 over both; keys are already numbers that nobody outside can choose.
+    // The finaliser of SplitMix64 over both; keys are already numbers that nobody outside can
+    // choose.
     let mut z = key ^ seed ^ u64::from(bucket).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -25,7 +27,11 @@
 
 fn width(cells: usize) -> usize {
     let each = (cells / ROWS).max(16);
-    if each.is_power_of_two() { each } else { each.next_power_of_two() / 2 }
+    if each.is_power_of_two() {
+        each
+    } else {
+        each.next_power_of_two() / 2
+    }
 }
 
 /// Due times of keys.
@@ -39,12 +45,20 @@
     /// About so many cells.
     pub fn new(cells: usize, seed: u64) -> Times {
         let width = width(cells);
-        Times { seed, width, cells: vec![0; width * ROWS].into() }
+        Times {
+            seed,
+            width,
+            cells: vec![0; width * ROWS].into(),
+        }
     }
 
     /// When a key is due, or later.
     pub fn due(&self, bucket: u32, key: u64) -> Nanos {
-        cells(self.seed, self.width, bucket, key).into_iter().map(|c| self.cells[c]).min().unwrap_or(0)
+        cells(self.seed, self.width, bucket, key)
+            .into_iter()
+            .map(|c| self.cells[c])
+            .min()
+            .unwrap_or(0)
     }
 
     /// A key is due not before this.
@@ -72,7 +86,12 @@
     /// About so many cells.
     pub fn new(cells: usize, seed: u64) -> Counts {
         let width = width(cells);
-        Counts { seed, width, cells: vec![0; width * ROWS].into(), added: 0 }
+        Counts {
+            seed,
+            width,
+            cells: vec![0; width * ROWS].into(),
+            added: 0,
+        }
     }
 
     /// A key came.
@@ -92,7 +111,11 @@
     /// How often it came lately, or more.
     pub fn of(&self, bucket: u32, key: u64) -> u32 {
         let places = cells(self.seed, self.width, bucket, key);
-        places.into_iter().map(|c| u32::from(self.cells[c])).min().unwrap_or(0)
+        places
+            .into_iter()
+            .map(|c| u32::from(self.cells[c]))
+            .min()
+            .unwrap_or(0)
     }
 
     /// Bytes that it takes.
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -43,12 +43,17 @@
 }
 
 impl Table {
-    /// What a key takes: its entry, its place in the map (which is at least seven sixteenths full after it has doubled)
-    /// and its link in the wheel.
+    /// What a key takes: its entry, its place in the map (which is at least seven sixteenths full
+    /// after it has doubled) and its link in the wheel.
     pub const ENTRY_BYTES: usize = 40 + 56 + 12;
 
     pub fn new(most: usize) -> Table {
-        Table { by_key: HashMap::default(), entries: slab::Slab::new(), places: 0, most }
+        Table {
+            by_key: HashMap::default(),
+            entries: slab::Slab::new(),
+            places: 0,
+            most,
+        }
     }
 
     pub fn find(&self, bucket: u32, key: u64) -> Option<usize> {
@@ -87,7 +92,11 @@
 
     /// Places whose entries are like this.
     pub fn places_where(&self, is: impl Fn(&Entry) -> bool) -> Vec<usize> {
-        self.entries.iter().filter(|(_, e)| is(e)).map(|(at, _)| at).collect()
+        self.entries
+            .iter()
+            .filter(|(_, e)| is(e))
+            .map(|(at, _)| at)
+            .collect()
     }
 
     pub fn bytes(&self) -> usize {
--- a/crates/limits/src/wheel.rs
+++ b/crates/limits/src/wheel.rs
@@ -1,6 +1,7 @@
-//! When each entry is to be looked at: a wheel of slots, one for each tick. What lies further off than the wheel
-//! goes round is put into its last slot and moved on from there. Entries are linked by their places, so that one that
-//! is let go of leaves nothing behind: under a flood of new keys, records of old ones would else pile up.
+//! When each entry is to be looked at: a wheel of slots, one for each tick. What lies further off
+//! than the wheel goes round is put into its last slot and moved on from there. Entries are linked
+//! by their places, so that one that is let go of leaves nothing behind: under a flood of new keys,
+//! records of old ones would else pile up.
 
 use crate::Nanos;
 
@@ -25,18 +26,35 @@
 
 impl Wheel {
     pub fn new() -> Wheel {
-        Wheel { slots: [NONE; SLOTS], links: Vec::new(), tick: 0 }
+        Wheel {
+            slots: [NONE; SLOTS],
+            links: Vec::new(),
+            tick: 0,
+        }
     }
 
     /// An entry is to be looked at once its time has passed.
     pub fn put(&mut self, at: usize, now: Nanos, due: Nanos) {
         let first = self.tick.max(now / TICK) + 1;
-        let tick = (due / TICK).saturating_add(1).clamp(first, first + SLOTS as u64 - 2);
+        let tick = (due / TICK)
+            .saturating_add(1)
+            .clamp(first, first + SLOTS as u64 - 2);
         let slot = tick as usize % SLOTS;
         let after = self.slots[slot];
-        let link = Link { before: NONE, after, slot: slot as u32 };
+        let link = Link {
+            before: NONE,
+            after,
+            slot: slot as u32,
+        };
         if at >= self.links.len() {
-            self.links.resize(at + 1, Link { before: NONE, after: NONE, slot: NONE });
+            self.links.resize(
+                at + 1,
+                Link {
+                    before: NONE,
+                    after: NONE,
+                    slot: NONE,
+                },
+            );
         }
         self.links[at] = link;
         if after != NONE {
@@ -47,7 +65,9 @@
 
     /// An entry is no longer to be looked at.
     pub fn take(&mut self, at: usize) {
-        let Some(link) = self.links.get(at).copied().filter(|link| link.slot != NONE) else { return };
+        let Some(link) = self.links.get(at).copied().filter(|link| link.slot != NONE) else {
+            return;
+        };
         match link.before {
             NONE => self.slots[link.slot as usize] = link.after,
             before => self.links[before as usize].after = link.after,
--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -113,7 +113,14 @@
         return None;
     }
     let len = len.map(str::parse).transpose().ok()?;
-    Some((Reply { id: id.into(), outcome, body: Vec::new() }, len))
+    Some((
+        Reply {
+            id: id.into(),
+            outcome,
+            body: Vec::new(),
+        },
+        len,
+    ))
 }
 
 /// The bytes of a call.
--- a/crates/node/src/backend/tests.rs
+++ b/crates/node/src/backend/tests.rs
@@ -3,16 +3,23 @@
 
 fn read(parts: &[&[u8]]) -> (Vec<Reply>, Result<(), Broken>) {
     let (mut parser, mut replies) = (Parser::default(), Vec::new());
-    let result = parts.iter().try_for_each(|part| parser.feed(part, &mut |reply| replies.push(reply)));
+    let result = parts
+        .iter()
+        .try_for_each(|part| parser.feed(part, &mut |reply| replies.push(reply)));
     (replies, result)
 }
 
-const TALK: &[u8] = b"9b1f03aa5c7e2d41 ok 7\r\na\r\nok b\r\n00 overload\r\n01 internal\r\n02 deadline\r\n\
+const TALK: &[u8] =
+    b"9b1f03aa5c7e2d41 ok 7\r\na\r\nok b\r\n00 overload\r\n01 internal\r\n02 deadline\r\n\
     03 stale\r\n04 ok 0\r\n\r\n";
 
 #[test]
 fn replies_are_the_same_at_every_split() {
-    let reply = |id: &str, outcome, body: &[u8]| Reply { id: id.into(), outcome, body: body.to_vec() };
+    let reply = |id: &str, outcome, body: &[u8]| Reply {
+        id: id.into(),
+        outcome,
+        body: body.to_vec(),
+    };
     let expected = vec![
         reply("9b1f03aa5c7e2d41", Outcome::Ok, b"a\r\nok b"),
         reply("00", Outcome::Overload, b""),
@@ -39,18 +46,27 @@
         b"\r\n",
         &long,
     ] {
-        assert!(read(&[talk]).1.is_err(), "{}", String::from_utf8_lossy(talk));
+        assert!(
+            read(&[talk]).1.is_err(),
+            "{}",
+            String::from_utf8_lossy(talk)
+        );
     }
 }
 
 #[test]
 fn damage_ends_in_replies_or_an_error() {
-    let broke = damaged(TALK).filter(|bytes| read(&[&bytes[..]]).1.is_err()).count();
+    let broke = damaged(TALK)
+        .filter(|bytes| read(&[&bytes[..]]).1.is_err())
+        .count();
     assert!(broke > 100, "{broke}");
 }
 
 #[test]
 fn calls_tell_their_length() {
-    assert_eq!(invoke("00aa", 250, b"a\r\nb"), b"invoke 00aa 250 4\r\na\r\nb\r\n");
+    assert_eq!(
+        invoke("00aa", 250, b"a\r\nb"),
+        b"invoke 00aa 250 4\r\na\r\nb\r\n"
+    );
     assert_eq!(cancel("00aa"), b"cancel 00aa\r\n");
 }
--- a/crates/node/src/classify.rs
+++ b/crates/node/src/classify.rs
@@ -1,5 +1,5 @@
-//! What rules give to a request before the decisions see it, and what came of them. The rules are compiled
-//! elsewhere and swapped in one step; what is in hand keeps what it was given.
+//! What rules give to a request before the decisions see it, and what came of them. The rules are
+//! compiled elsewhere and swapped in one step; what is in hand keeps what it was given.
 
 use madderpoint::{Nanos, OpId};
 use madderpoint_limits::{Bucket, Limits, Over, Ticket, Why};
@@ -10,7 +10,8 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// Rules of which one line of the log tells that they erred, or of which classes and buckets are told.
+/// Rules of which one line of the log tells that they erred, or of which classes and buckets are
+/// told.
 const TOLD: usize = 8;
 /// Between two lines that tell of the same rule's errors.
 const TELL_AGAIN: Nanos = 10_000_000_000;
@@ -88,7 +89,8 @@
     classes: Vec<Rc<str>>,
     scratch: Scratch,
     limits: Limits,
-    /// Budgets of the whole fleet by the place of their bucket; and this node's end of them, where there are any.
+    /// Budgets of the whole fleet by the place of their bucket; and this node's end of them, where
+    /// there are any.
     fleet: Vec<Vec<u32>>,
     wallet: Option<Wallet>,
     rules: Vec<RuleTally>,
@@ -121,14 +123,22 @@
         classifier
     }
 
-    /// Takes other rules in place of those in force. Buckets whose definition stayed keep what they count.
+    /// Takes other rules in place of those in force. Buckets whose definition stayed keep what they
+    /// count.
     pub fn replace(&mut self, now: Nanos, sheet: Sheet) {
         self.set = sheet.rules;
         self.named(now, &sheet.buckets, &sheet.fleet);
     }
 
     /// Limits of the whole fleet are asked for from now on.
-    pub fn join_fleet(&mut self, now: Nanos, keys: &[KeyBudget], rhythm: Rhythm, bytes: usize, seed: u64) {
+    pub fn join_fleet(
+        &mut self,
+        now: Nanos,
+        keys: &[KeyBudget],
+        rhythm: Rhythm,
+        bytes: usize,
+        seed: u64,
+    ) {
         match &mut self.wallet {
             Some(wallet) => wallet.rebudget(keys),
             None if keys.is_empty() => {}
@@ -144,11 +154,17 @@
                 of.push(budget.id());
             }
         }
-        self.classes = self.set.classes().iter().map(|name| Rc::from(name.as_str())).collect();
+        self.classes = self
+            .set
+            .classes()
+            .iter()
+            .map(|name| Rc::from(name.as_str()))
+            .collect();
         let classes = &self.classes;
         self.by_class.retain(|class, _| classes.contains(class)); // names come and go with reloads without end
         self.rules.clear();
-        self.rules.resize_with(self.set.rules().len(), RuleTally::default);
+        self.rules
+            .resize_with(self.set.rules().len(), RuleTally::default);
     }
 
     /// The rules in force.
@@ -188,7 +204,10 @@
         Some(Ruled {
             operation: given.rule.operation.map(OpId),
             key: given.key,
-            class: given.rule.class.map(|class| Rc::clone(&self.classes[usize::from(class)])),
+            class: given
+                .rule
+                .class
+                .map(|class| Rc::clone(&self.classes[usize::from(class)])),
             verdict: given.rule.verdict.clone(),
             buckets: given.buckets.to_vec(),
             told,
@@ -199,7 +218,10 @@
     pub fn ask(&mut self, now: Nanos, buckets: &[(u16, u64)]) -> Result<Held, Full> {
         let Some(wallet) = &mut self.wallet else {
             let ticket = self.limits.ask(now, buckets).map_err(Full::Node)?;
-            return Ok(Held { ticket, keys: Vec::new() });
+            return Ok(Held {
+                ticket,
+                keys: Vec::new(),
+            });
         };
         let mut keys: Vec<(u32, u64)> = Vec::new();
         let mut full: Option<(Refused, u64)> = None;
@@ -230,7 +252,9 @@
     pub fn done(&mut self, now: Nanos, held: Held) {
         self.limits.done(now, held.ticket);
         if let Some(wallet) = &mut self.wallet {
-            held.keys.iter().for_each(|(id, key)| wallet.done(*id, *key));
+            held.keys
+                .iter()
+                .for_each(|(id, key)| wallet.done(*id, *key));
         }
     }
 
@@ -284,7 +308,11 @@
     /// What the rules did since the start, if that is more than when it was told last.
     pub fn tallies(&mut self) -> Option<String> {
         let faults: u64 = self.rules.iter().map(|rule| rule.faults).sum();
-        let over: u64 = self.limits.tallies().map(|(_, t)| t.over.iter().sum::<u64>()).sum();
+        let over: u64 = self
+            .limits
+            .tallies()
+            .map(|(_, t)| t.over.iter().sum::<u64>())
+            .sum();
         let total = self.matched + self.exhausted + faults + over;
         if std::mem::replace(&mut self.told, total) == total {
             return None;
@@ -294,7 +322,11 @@
             let _ = write!(line, ", erred {faults}");
         }
         if self.exhausted > 0 {
-            let _ = write!(line, ", stopped at the cost limit of a request {}", self.exhausted);
+            let _ = write!(
+                line,
+                ", stopped at the cost limit of a request {}",
+                self.exhausted
+            );
         }
         for (class, tally) in self.by_class.iter().take(TOLD) {
             let [succeeded, throttled, errored] = tally.answered;
@@ -306,8 +338,12 @@
         }
         for (name, tally) in self.limits.tallies().take(TOLD) {
             let _ = write!(line, "; bucket {name}: {} passed", tally.passed);
-            let why =
-                [(Why::Rate, "rate"), (Why::InHand, "in hand"), (Why::Share, "share"), (Why::Room, "room")];
+            let why = [
+                (Why::Rate, "rate"),
+                (Why::InHand, "in hand"),
+                (Why::Share, "share"),
+                (Why::Room, "room"),
+            ];
             for (why, word) in why.iter().filter(|(why, _)| tally.over[*why as usize] > 0) {
                 let _ = write!(line, ", over {word} {}", tally.over[*why as usize]);
             }
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -57,7 +57,10 @@
 
 impl From<Log> for Logging {
     fn from(log: Log) -> Logging {
-        Logging { json: log.log == Form::Json, follow: log.follow }
+        Logging {
+            json: log.log == Form::Json,
+            follow: log.follow,
+        }
     }
 }
 
@@ -90,7 +93,8 @@
         /// Where directories of versions are: each named by its number, with the program in it.
         #[arg(long, value_name = "DIR")]
         programs: PathBuf,
-        /// The version to start on where none is in force yet, or a newer one is given: one of these directories.
+        /// The version to start on where none is in force yet, or a newer one is given: one of
+        /// these directories.
         #[arg(long, value_name = "DIR")]
         start: PathBuf,
         /// Where it is kept what is in force.
@@ -132,7 +136,8 @@
 struct File {
     /// The file.
     file: PathBuf,
-    /// A node's configuration, whose operations and tenants are the ones that are known. Without one any name goes.
+    /// A node's configuration, whose operations and tenants are the ones that are known. Without
+    /// one any name goes.
     #[arg(long, value_name = "CONFIG")]
     config: Option<PathBuf>,
 }
@@ -147,7 +152,8 @@
     Check {
         /// The chain, or the token.
         file: PathBuf,
-        /// A trust domain and the file of its bundle, in the SPIFFE format; may be given for each domain.
+        /// A trust domain and the file of its bundle, in the SPIFFE format; may be given for each
+        /// domain.
         #[arg(long, value_name = "DOMAIN=FILE", required = true)]
         bundle: Vec<String>,
         /// Whom the token is to be for; the file is then taken for a JWT-SVID.
@@ -165,8 +171,10 @@
 #[derive(Subcommand)]
 enum Rules {
     /// Show which rule a request matches, why those above it do not, and what that costs.
-    #[command(after_help = "Example: madderpoint rules explain translator.xml --request r.json\n\
-        where r.json is {\"script\": \"/call/gun-yaz\", \"tenant\": \"ege\", \"params\": {\"HTTP_X_SITE\": \"7\"}}")]
+    #[command(
+        after_help = "Example: madderpoint rules explain translator.xml --request r.json\n\
+        where r.json is {\"script\": \"/call/gun-yaz\", \"tenant\": \"ege\", \"params\": {\"HTTP_X_SITE\": \"7\"}}"
+    )]
     Explain {
         #[command(flatten)]
         file: File,
@@ -184,7 +192,9 @@
         file: File,
     },
     /// Measure the rules over the requests of the cases, by index and by scan.
-    #[command(after_help = "Example: madderpoint rules bench deploy/translator.xml --rounds 100000")]
+    #[command(
+        after_help = "Example: madderpoint rules bench deploy/translator.xml --rounds 100000"
+    )]
     Bench {
         #[command(flatten)]
         file: File,
@@ -208,23 +218,54 @@
     pub fn run(self) -> ExitCode {
         let ended = match self.command {
             None => return Self::serves(self.settings, self.log),
-            Some(Command::Serve { settings, log }) => return Self::serves(settings.or(self.settings), log),
-            Some(Command::RunUnder { programs, start, state, log, arguments }) => {
+            Some(Command::Serve { settings, log }) => {
+                return Self::serves(settings.or(self.settings), log);
+            }
+            Some(Command::RunUnder {
+                programs,
+                start,
+                state,
+                log,
+                arguments,
+            }) => {
                 let logging = log.into();
-                under::run(under::Told { programs, start, state, arguments, logging }).map(|()| true)
+                under::run(under::Told {
+                    programs,
+                    start,
+                    state,
+                    arguments,
+                    logging,
+                })
+                .map(|()| true)
             }
             Some(Command::Fleet { command }) => command.run(),
             Some(Command::Shared { command }) => command.run(),
             Some(Command::Rollout { command }) => command.run(),
             Some(Command::Check { file, format }) => check(&file, format),
-            Some(Command::Identity { command: Identity::Check { file, bundle, audience, at, format } }) => {
-                identity(&file, &bundle, audience.as_deref(), at.as_deref(), format)
-            }
-            Some(Command::Rules { command: Rules::Explain { file, request, format } }) => {
-                explain(&file, &request, format)
-            }
-            Some(Command::Rules { command: Rules::Test { file } }) => test(&file),
-            Some(Command::Rules { command: Rules::Bench { file, rounds } }) => bench(&file, rounds),
+            Some(Command::Identity {
+                command:
+                    Identity::Check {
+                        file,
+                        bundle,
+                        audience,
+                        at,
+                        format,
+                    },
+            }) => identity(&file, &bundle, audience.as_deref(), at.as_deref(), format),
+            Some(Command::Rules {
+                command:
+                    Rules::Explain {
+                        file,
+                        request,
+                        format,
+                    },
+            }) => explain(&file, &request, format),
+            Some(Command::Rules {
+                command: Rules::Test { file },
+            }) => test(&file),
+            Some(Command::Rules {
+                command: Rules::Bench { file, rounds },
+            }) => bench(&file, rounds),
         };
         match ended {
             Ok(true) => ExitCode::SUCCESS,
@@ -253,13 +294,16 @@
     let text = std::fs::read_to_string(path).map_err(|e| wrong(e.to_string()))?;
     let whole: Value = serde_json::from_str(&text).map_err(|e| wrong(e.to_string()))?;
     let settings = whole.get("settings").unwrap_or(&whole);
-    madderpoint_facts::decode(settings.to_string().as_bytes()).map_err(|e| wrong(format!("settings: {e}")))
+    madderpoint_facts::decode(settings.to_string().as_bytes())
+        .map_err(|e| wrong(format!("settings: {e}")))
 }
 
 /// Reads a file; what is wrong with it has been shown if there is nothing.
 fn read(file: &File) -> Result<Option<Translator>, String> {
     let known = match &file.config {
-        Some(config) => Known { ..serve::known(&start(config)?) },
+        Some(config) => Known {
+            ..serve::known(&start(config)?)
+        },
         None => Known::anything(),
     };
     if !file.file.is_file() {
@@ -275,22 +319,32 @@
 }
 
 fn rulebook(file: &File) -> Result<Option<Rulebook>, String> {
-    let Some(translator) = read(file)? else { return Ok(None) };
-    translator.rules.map(Some).ok_or_else(|| format!("{}: no <rules>", file.file.display()))
+    let Some(translator) = read(file)? else {
+        return Ok(None);
+    };
+    translator
+        .rules
+        .map(Some)
+        .ok_or_else(|| format!("{}: no <rules>", file.file.display()))
 }
 
 fn check(file: &File, format: Format) -> Ended {
     let Some(translator) = read(file)? else {
         if format == Format::Json {
-            println!("{}", json!({"file": file.file.display().to_string(), "good": false}));
+            println!(
+                "{}",
+                json!({"file": file.file.display().to_string(), "good": false})
+            );
         }
         return Ok(false);
     };
     let rules = translator.rules.as_ref();
-    let (count, buckets, cases) =
-        rules.map_or((0, 0, 0), |b| (b.rules.rules().len(), b.buckets.len(), b.cases.len()));
-    let (bytes, worst, most) =
-        rules.map_or((0, 0, 0), |b| (b.rules.bytes(), b.rules.worst(), dearest(&b.rules)));
+    let (count, buckets, cases) = rules.map_or((0, 0, 0), |b| {
+        (b.rules.rules().len(), b.buckets.len(), b.cases.len())
+    });
+    let (bytes, worst, most) = rules.map_or((0, 0, 0), |b| {
+        (b.rules.bytes(), b.rules.worst(), dearest(&b.rules))
+    });
     match format {
         Format::Text => println!(
             "{}: good; {count} rules, {buckets} buckets, {cases} cases; {} KiB; dearest rule {most} units, a request \
@@ -308,7 +362,12 @@
 }
 
 fn dearest(rules: &RuleSet) -> u64 {
-    rules.rules().iter().map(|rule| rule.worst()).max().unwrap_or(0)
+    rules
+        .rules()
+        .iter()
+        .map(|rule| rule.worst())
+        .max()
+        .unwrap_or(0)
 }
 
 /// A request as JSON.
@@ -316,13 +375,21 @@
     let wrong = |what: String| format!("{}: {what}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| wrong(e.to_string()))?;
     let whole: Value = serde_json::from_str(&text).map_err(|e| wrong(e.to_string()))?;
-    let fields = whole.as_object().ok_or_else(|| wrong("not an object".into()))?;
-    let plain = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
+    let fields = whole
+        .as_object()
+        .ok_or_else(|| wrong("not an object".into()))?;
+    let plain = |value: &Value| {
+        value
+            .as_str()
+            .map_or_else(|| value.to_string(), str::to_owned)
+    };
     let mut asked = Asked::default();
     for (name, value) in fields {
         match name.as_str() {
             "params" => {
-                let params = value.as_object().ok_or_else(|| wrong("params is not an object".into()))?;
+                let params = value
+                    .as_object()
+                    .ok_or_else(|| wrong("params is not an object".into()))?;
                 asked.params = params.iter().map(|(n, v)| (n.clone(), plain(v))).collect();
             }
             "body" => asked.body = plain(value).into_bytes(),
@@ -338,7 +405,9 @@
 
 fn explain(file: &File, path: &Path, format: Format) -> Ended {
     let asked = request(path)?;
-    let Some(book) = rulebook(file)? else { return Ok(false) };
+    let Some(book) = rulebook(file)? else {
+        return Ok(false);
+    };
     let mut scratch = Scratch::new(0);
     scratch.shows_keys = true;
     let facts = asked.facts(&book.rules);
@@ -363,7 +432,10 @@
         })
     });
     if format == Format::Json {
-        let above: Vec<_> = why.iter().map(|w| line_of(&rules[w.place].name, w)).collect();
+        let above: Vec<_> = why
+            .iter()
+            .map(|w| line_of(&rules[w.place].name, w))
+            .collect();
         let whole = json!({"given": given, "units": decision.cost, "limit": book.rules.request_limit(),
             "evaluated": decision.asked, "rules": above});
         println!("{whole:#}");
@@ -399,13 +471,18 @@
 }
 
 fn line_of(name: &str, why: &Why) -> Value {
-    let failed = why.failed.as_ref().map(|(part, what)| json!({"part": part, "what": what}));
+    let failed = why
+        .failed
+        .as_ref()
+        .map(|(part, what)| json!({"part": part, "what": what}));
     json!({"rule": name, "matches": why.result == Ok(true), "evaluated": why.evaluated, "filed_under": why.filed,
         "units": why.cost, "failed": failed})
 }
 
 fn test(file: &File) -> Ended {
-    let Some(book) = rulebook(file)? else { return Ok(false) };
+    let Some(book) = rulebook(file)? else {
+        return Ok(false);
+    };
     let mut failed = 0;
     for case in &book.cases {
         match case.run(&book) {
@@ -430,30 +507,38 @@
     let wrong = |path: &Path, what: &dyn std::fmt::Display| format!("{}: {what}", path.display());
     let mut bundles = Bundles::default();
     for pair in given {
-        let (domain, path) = pair.split_once('=').ok_or_else(|| format!("{pair}: expected DOMAIN=FILE"))?;
+        let (domain, path) = pair
+            .split_once('=')
+            .ok_or_else(|| format!("{pair}: expected DOMAIN=FILE"))?;
         let domain = domain.parse().map_err(|e| format!("{domain}: {e}"))?;
         let path = Path::new(path);
         let text = std::fs::read(path).map_err(|e| wrong(path, &e))?;
         bundles.offer(&domain, Bundle::read(&text).map_err(|e| wrong(path, &e))?);
     }
     let now = match at {
-        Some(text) => {
-            time::time(text).and_then(|t| u64::try_from(t).ok()).ok_or_else(|| format!("{text}: no time"))?
-        }
-        None => SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_nanos() as u64),
+        Some(text) => time::time(text)
+            .and_then(|t| u64::try_from(t).ok())
+            .ok_or_else(|| format!("{text}: no time"))?,
+        None => SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |t| t.as_nanos() as u64),
     };
     let read = std::fs::read(file).map_err(|e| wrong(file, &e))?;
     let checked = match audience {
         Some(audience) => {
             let token = String::from_utf8_lossy(&read);
             let checked = jwt::check(token.trim(), &bundles, &[audience], now, 0);
-            checked.map(|proven| (proven.id, proven.not_after)).map_err(|e| e.to_string())
+            checked
+                .map(|proven| (proven.id, proven.not_after))
+                .map_err(|e| e.to_string())
         }
         None => {
             let chain = CertificateDer::pem_slice_iter(&read).collect::<Result<Vec<_>, _>>();
             let chain = chain.map_err(|e| wrong(file, &format!("no PEM: {e:?}")))?;
             let checked = x509::check(&chain, &bundles, x509::Role::Caller, now, 0);
-            checked.map(|proven| (proven.id, proven.not_after)).map_err(|e| e.to_string())
+            checked
+                .map(|proven| (proven.id, proven.not_after))
+                .map_err(|e| e.to_string())
         }
     };
     let until = |nanos: u64| time::print_time(i64::try_from(nanos).unwrap_or(i64::MAX));
@@ -462,7 +547,10 @@
         (Ok((id, ends)), Format::Text) => println!("good: {id} until {}", until(ends)),
         (Err(why), Format::Text) => println!("refused: {why}"),
         (Ok((id, ends)), Format::Json) => {
-            println!("{}", json!({"good": true, "id": id.as_str(), "until": until(ends)}));
+            println!(
+                "{}",
+                json!({"good": true, "id": id.as_str(), "until": until(ends)})
+            );
         }
         (Err(why), Format::Json) => println!("{}", json!({"good": false, "why": why})),
     }
@@ -479,11 +567,16 @@
 fn bench(file: &File, rounds: u32) -> Ended {
     let before = resident();
     let loading = Instant::now();
-    let Some(book) = rulebook(file)? else { return Ok(false) };
+    let Some(book) = rulebook(file)? else {
+        return Ok(false);
+    };
     let loaded = loading.elapsed();
     let after = resident();
     if book.cases.is_empty() {
-        return Err(format!("{}: no <case>: their requests are what is measured", file.file.display()));
+        return Err(format!(
+            "{}: no <case>: their requests are what is measured",
+            file.file.display()
+        ));
     }
     println!(
         "{} rules loaded in {:.1} ms, about {} KiB by own count",
@@ -499,14 +592,16 @@
         "by", "p50 ns", "p99 ns", "max ns", "units most", "evaluated"
     );
     for (name, search) in [("index", Search::Index), ("scan", Search::Scan)] {
-        let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000_000, 3).map_err(|e| e.to_string())?;
+        let mut times =
+            Histogram::<u64>::new_with_bounds(1, 60_000_000_000, 3).map_err(|e| e.to_string())?;
         let (mut most, mut evaluated) = (0, 0);
         let mut scratch = Scratch::new(0);
         for case in &book.cases {
             let facts = case.asked.facts(&book.rules);
             for _ in 0..rounds.max(1) {
                 let began = Instant::now();
-                let decision = black_box(book.rules.decide(black_box(&facts), &mut scratch, search));
+                let decision =
+                    black_box(book.rules.decide(black_box(&facts), &mut scratch, search));
                 let took = began.elapsed().as_nanos() as u64;
                 times.saturating_record(took);
                 most = most.max(decision.cost);
--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -31,7 +31,9 @@
 #[derive(Subcommand)]
 pub enum Command {
     /// Show what a running node holds of its fleet.
-    #[command(after_help = "Example: madderpoint fleet show --settings translator.xml --at 10.0.0.4:7946")]
+    #[command(
+        after_help = "Example: madderpoint fleet show --settings translator.xml --at 10.0.0.4:7946"
+    )]
     Show {
         /// The settings with the fleet's name and keys.
         #[arg(long, value_name = "FILE")]
@@ -95,11 +97,12 @@
         /// What is left out, to measure what it is worth: health, confirm, reconcile, regain.
         #[arg(long, value_delimiter = ',')]
         without: Vec<String>,
-        /// In place of all that: a timetable, as the rig plays them against processes, in simulated time. `--members` takes the
-        /// place of its number of nodes if it is larger.
+        /// In place of all that: a timetable, as the rig plays them against processes, in simulated
+        /// time. `--members` takes the place of its number of nodes if it is larger.
         #[arg(long, value_name = "FILE")]
         script: Option<PathBuf>,
-        /// The plainest way instead, to compare with: heartbeats from all to all, and so many missed for a death.
+        /// The plainest way instead, to compare with: heartbeats from all to all, and so many
+        /// missed for a death.
         #[arg(long, value_name = "MISSED")]
         heartbeats: Option<u32>,
         /// Shown as a line of text for each seed, or as a line of JSON.
@@ -112,8 +115,17 @@
     /// Carries the call out.
     pub fn run(self) -> Ended {
         match self {
-            Command::Show { settings, at, format } => show(&settings, at, format),
-            Command::Watch { settings, at, every, times } => watch(&settings, at, &every, times),
+            Command::Show {
+                settings,
+                at,
+                format,
+            } => show(&settings, at, format),
+            Command::Watch {
+                settings,
+                at,
+                every,
+                times,
+            } => watch(&settings, at, &every, times),
             Command::Simulate {
                 members,
                 loss,
@@ -137,7 +149,13 @@
                 {
                     return Err("members: 1 to 20000, loss: 0 to under 1, slow: 0 to 1".into());
                 }
-                let mut plan = Plan { members, loss, slow, zones, ..Plan::default() };
+                let mut plan = Plan {
+                    members,
+                    loss,
+                    slow,
+                    zones,
+                    ..Plan::default()
+                };
                 for part in &without {
                     match part.as_str() {
                         "health" => plan.extensions.health = false,
@@ -152,8 +170,8 @@
                     }
                 }
                 if let Some(file) = &script {
-                    let text =
-                        std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
+                    let text = std::fs::read_to_string(file)
+                        .map_err(|e| format!("{}: {e}", file.display()))?;
                     return match script::read(&file.display().to_string(), &text) {
                         Ok(script) => Ok(play(&script, told.unwrap_or(0), loss, slow)),
                         Err(complaints) => {
@@ -180,7 +198,15 @@
                     return Ok(true);
                 }
                 for seed in seed..seed.saturating_add(seeds) {
-                    let measured = simulate(Plan { seed, ..plan.clone() }, time, crashes, cut);
+                    let measured = simulate(
+                        Plan {
+                            seed,
+                            ..plan.clone()
+                        },
+                        time,
+                        crashes,
+                        cut,
+                    );
                     match format {
                         Format::Json => println!("{measured}"),
                         Format::Text => print_measured(&measured),
@@ -199,7 +225,9 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |t| t.as_millis() as u64)
 }
 
 /// Asks a node, as often as that takes.
@@ -212,17 +240,35 @@
 
 impl Asker {
     fn new(settings: &Path, at: SocketAddr) -> Result<Asker, String> {
-        let read = serve::read(settings, &Known::anything()).map_err(|complaints| complaints.to_string())?;
-        let fleet = read.fleet.ok_or_else(|| format!("{}: no <fleet>", settings.display()))?;
+        let read = serve::read(settings, &Known::anything())
+            .map_err(|complaints| complaints.to_string())?;
+        let fleet = read
+            .fleet
+            .ok_or_else(|| format!("{}: no <fleet>", settings.display()))?;
         let keys = serve::keys(settings, &fleet)?;
-        let any: SocketAddr = if at.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
-        let socket =
-            UdpSocket::bind(any).and_then(|socket| socket.set_read_timeout(Some(ANSWER)).map(|()| socket));
+        let any: SocketAddr = if at.is_ipv4() {
+            ([0, 0, 0, 0], 0).into()
+        } else {
+            ([0u16; 8], 0).into()
+        };
+        let socket = UdpSocket::bind(any)
+            .and_then(|socket| socket.set_read_timeout(Some(ANSWER)).map(|()| socket));
         let socket = socket.map_err(|e| format!("no socket: {e}"))?;
-        let seed = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |t| t.as_nanos() as u64);
-        let observer =
-            Observer::new(&fleet.name, keys, seed ^ u64::from(std::process::id()) << 40, fleet.periods.skew);
-        Ok(Asker { socket, at, observer, begun: Instant::now() })
+        let seed = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(1, |t| t.as_nanos() as u64);
+        let observer = Observer::new(
+            &fleet.name,
+            keys,
+            seed ^ u64::from(std::process::id()) << 40,
+            fleet.periods.skew,
+        );
+        Ok(Asker {
+            socket,
+            at,
+            observer,
+            begun: Instant::now(),
+        })
     }
 
     /// Asks for what another package holds.
@@ -244,7 +290,9 @@
             self.socket.send_to(&question, self.at).map_err(wrong)?;
             let until = Instant::now() + SOON;
             while Instant::now() < until {
-                let Ok((n, _)) = self.socket.recv_from(&mut buffer) else { break };
+                let Ok((n, _)) = self.socket.recv_from(&mut buffer) else {
+                    break;
+                };
                 let now = self.begun.elapsed().as_nanos() as Nanos;
                 match self.observer.page(now, unix_ms(), &buffer[..n]) {
                     Ok((_, Some(bytes))) => return Ok(Some(bytes)),
@@ -268,14 +316,19 @@
             self.socket.send_to(&frame, self.at).map_err(wrong)?;
             let until = Instant::now() + ANSWER;
             while Instant::now() < until {
-                let Ok((n, _)) = self.socket.recv_from(&mut buffer) else { continue };
+                let Ok((n, _)) = self.socket.recv_from(&mut buffer) else {
+                    continue;
+                };
                 let now = self.begun.elapsed().as_nanos() as Nanos;
                 if let Ok(Some(answer)) = self.observer.ordered(now, unix_ms(), &buffer[..n]) {
                     return Ok(answer);
                 }
             }
         }
-        Err(format!("{}: no answer: nobody is there, it takes no orders, or the keys are others", self.at))
+        Err(format!(
+            "{}: no answer: nobody is there, it takes no orders, or the keys are others",
+            self.at
+        ))
     }
 
     fn ask(&mut self) -> Result<Holding, String> {
@@ -329,9 +382,16 @@
     let report = &holding.report;
     let shared = super::shared::ask(settings, at, 4)?;
     if format == Format::Json {
-        let counts: BTreeMap<_, _> = report.counts.iter().map(|c| (c.what.clone(), c.times)).collect();
-        let changes: Vec<_> =
-            report.changes.iter().map(|c| json!({"unix_ms": c.unix_ms, "line": c.line})).collect();
+        let counts: BTreeMap<_, _> = report
+            .counts
+            .iter()
+            .map(|c| (c.what.clone(), c.times))
+            .collect();
+        let changes: Vec<_> = report
+            .changes
+            .iter()
+            .map(|c| json!({"unix_ms": c.unix_ms, "line": c.line}))
+            .collect();
         let whole = json!({"node": report.name, "digest": format!("{:016x}", holding.digest), "size": report.size,
             "low": report.low, "high": report.high, "unsure_ms": report.unsure_ms, "doubt": report.doubt,
             "suspects": report.suspects, "dead": report.dead, "mute": report.mute, "counts": counts,
@@ -346,8 +406,9 @@
         "name", "zone", "status", "phase", "address", "program", "settings", "bump", "room", "load"
     );
     for m in members {
-        let (room, load) =
-            m.pulse.map_or(("-".into(), "-".into()), |(room, load)| (room.to_string(), load.to_string()));
+        let (room, load) = m.pulse.map_or(("-".into(), "-".into()), |(room, load)| {
+            (room.to_string(), load.to_string())
+        });
         println!(
             "{:<16} {:<8} {:<8} {:<9} {:<22} {:<12} {:>8} {:>5} {room:>5} {load:>5}",
             m.name,
@@ -373,7 +434,11 @@
         0 => String::new(),
         ms => format!(", UNSURE for {:.1} s", ms as f64 / 1e3),
     };
-    let mute = if r.mute { ", MUTE: another process has its name" } else { "" };
+    let mute = if r.mute {
+        ", MUTE: another process has its name"
+    } else {
+        ""
+    };
     format!(
         "{}: digest {:016x}, {} members (for sure {}, at most {}), {} suspect, {} dead, doubt of itself {}{unsure}{mute}",
         r.name, holding.digest, r.size, r.low, r.high, r.suspects, r.dead, r.doubt
@@ -400,7 +465,11 @@
         };
         let changes = &holding.report.changes; // the latest first
         let is_new = |c: &&madderpoint_fleet::wire::Happened| last.as_ref() != Some(*c);
-        let most = if last.is_none() { SHOWN_BEFORE } else { usize::MAX };
+        let most = if last.is_none() {
+            SHOWN_BEFORE
+        } else {
+            usize::MAX
+        };
         let new: Vec<_> = changes.iter().take_while(is_new).take(most).collect();
         for change in new.iter().rev() {
             println!(
@@ -462,9 +531,12 @@
         let (bytes, _) = sim.spent();
         healed = json!({"cut_s": cut as f64 / 1e9, "settled_s": took.map(|t| t as f64 / 1e9), "bytes_each": bytes.round()});
     }
-    let settled = sim
-        .up()
-        .all(|(_, fleet)| fleet.view().get(sim.nodes[0].key).is_some_and(|e| e.status() != Status::Dead));
+    let settled = sim.up().all(|(_, fleet)| {
+        fleet
+            .view()
+            .get(sim.nodes[0].key)
+            .is_some_and(|e| e.status() != Status::Dead)
+    });
     let view_bytes = sim.up().next().map_or(0, |(_, fleet)| fleet.view().bytes());
     json!({
         "plan": described,
@@ -479,7 +551,13 @@
 }
 
 fn print_measured(m: &Value) {
-    let text = |v: &Value| if v.is_null() { "-".to_owned() } else { v.to_string() };
+    let text = |v: &Value| {
+        if v.is_null() {
+            "-".to_owned()
+        } else {
+            v.to_string()
+        }
+    };
     println!(
         "members {} loss {} slow {} seed {}: {} B/s and {} datagrams/s each, {} false deaths in {} s; crash found in {} s \
          (p99 {}), agreed on in {} s (p99 {}); settled {} s after a cut of {} s; view {} KiB; {} events in {} s",
@@ -514,39 +592,59 @@
         let back = faulty.from.has(&to.name, &to_zone) && faulty.to.has(&from.name, &from_zone);
         one_way || faulty.both && back
     };
-    let cuts: Vec<Faulty> =
-        faults.iter().map(|f| f.0.clone()).filter(|f| f.fault.cut || f.fault.hold).collect();
+    let cuts: Vec<Faulty> = faults
+        .iter()
+        .map(|f| f.0.clone())
+        .filter(|f| f.fault.cut || f.fault.hold)
+        .collect();
     let rough: Vec<Faulty> = faults.iter().map(|f| f.0.clone()).collect();
     sim.cut(move |from, to| cuts.iter().any(|faulty| meant(faulty, from, to)));
     sim.roughen(move |from, to| {
         let here = rough.iter().filter(|faulty| meant(faulty, from, to));
         here.fold((0.0, 0), |(loss, late), faulty| {
-            (1.0 - (1.0 - loss) * (1.0 - faulty.fault.loss), late + faulty.fault.delay.as_nanos() as Nanos)
+            (
+                1.0 - (1.0 - loss) * (1.0 - faulty.fault.loss),
+                late + faulty.fault.delay.as_nanos() as Nanos,
+            )
         })
     });
 }
 
 /// Whether so many groups that hear each other each hold one digest and just each other.
 fn in_groups(sim: &Sim, sides: usize) -> bool {
-    let mut left: Vec<usize> = (0..sim.nodes.len()).filter(|&n| sim.nodes[n].fleet.is_some()).collect();
+    let mut left: Vec<usize> = (0..sim.nodes.len())
+        .filter(|&n| sim.nodes[n].fleet.is_some())
+        .collect();
     let mut groups = 0;
     while let Some(first) = left.pop() {
         groups += 1;
         let (mut group, mut at) = (vec![first], 0);
         while at < group.len() {
             let here = &sim.nodes[group[at]];
-            let (found, rest): (Vec<usize>, Vec<usize>) = left
-                .into_iter()
-                .partition(|&n| !sim.is_cut(here, &sim.nodes[n]) && !sim.is_cut(&sim.nodes[n], here));
+            let (found, rest): (Vec<usize>, Vec<usize>) = left.into_iter().partition(|&n| {
+                !sim.is_cut(here, &sim.nodes[n]) && !sim.is_cut(&sim.nodes[n], here)
+            });
             group.extend(found);
             left = rest;
             at += 1;
         }
-        let views = || group.iter().filter_map(|&n| sim.nodes[n].fleet.as_ref()).map(|fleet| fleet.view());
-        let Some(digest) = views().next().map(|view| view.digest()) else { continue };
+        let views = || {
+            group
+                .iter()
+                .filter_map(|&n| sim.nodes[n].fleet.as_ref())
+                .map(|fleet| fleet.view())
+        };
+        let Some(digest) = views().next().map(|view| view.digest()) else {
+            continue;
+        };
         let whole = |view: &madderpoint_fleet::view::View| {
-            let holds = |&n: &usize| view.get(sim.nodes[n].key).is_some_and(|e| e.status().is_present());
-            view.digest() == digest && view.counts().present() == group.len() && group.iter().all(holds)
+            let holds = |&n: &usize| {
+                view.get(sim.nodes[n].key)
+                    .is_some_and(|e| e.status().is_present())
+            };
+            view.digest() == digest
+                && view.counts().present() == group.len()
+                && group.iter().all(holds)
         };
         if !views().all(whole) {
             return false;
@@ -561,7 +659,14 @@
 /// Plays a timetable against a simulated fleet; says what held.
 fn play(script: &Script, members: usize, loss: f64, slow: f64) -> bool {
     let members = members.max(script.nodes);
-    let mut plan = Plan { members, zones: script.zones, loss, slow, seed: script.seed, ..Plan::default() };
+    let mut plan = Plan {
+        members,
+        zones: script.zones,
+        loss,
+        slow,
+        seed: script.seed,
+        ..Plan::default()
+    };
     for (name, value) in &script.periods {
         let Ok(time) = span(value) else { continue };
         match name.as_str() {
@@ -573,12 +678,24 @@
         }
     }
     let mut sim = Sim::new(plan);
-    (0..members).filter(|n| !script.absent.contains(&format!("n{n}"))).for_each(|n| sim.start(n));
+    (0..members)
+        .filter(|n| !script.absent.contains(&format!("n{n}")))
+        .for_each(|n| sim.start(n));
     let (begun, mut faults, mut good) = (sim.now, InForce::new(), true);
-    let number = |name: &str| name.trim_start_matches('n').parse::<usize>().unwrap_or(0).min(members - 1);
+    let number = |name: &str| {
+        name.trim_start_matches('n')
+            .parse::<usize>()
+            .unwrap_or(0)
+            .min(members - 1)
+    };
     // Faults end at their times, whatever is waited for meanwhile.
     let run_to = |sim: &mut Sim, faults: &mut InForce, until: Nanos| {
-        while let Some(ends) = faults.iter().filter_map(|f| f.1).filter(|ends| *ends <= until).min() {
+        while let Some(ends) = faults
+            .iter()
+            .filter_map(|f| f.1)
+            .filter(|ends| *ends <= until)
+            .min()
+        {
             sim.run(ends.saturating_sub(sim.now));
             faults.retain(|f| f.1 != Some(ends));
             relink(sim, faults);
@@ -618,14 +735,24 @@
             }
             Action::Settled { within, sides } => {
                 let sides = *sides;
-                Some((within.as_nanos() as Nanos, Box::new(move |sim| in_groups(sim, sides))))
+                Some((
+                    within.as_nanos() as Nanos,
+                    Box::new(move |sim| in_groups(sim, sides)),
+                ))
             }
-            Action::Sees { node, other, held, within } => {
+            Action::Sees {
+                node,
+                other,
+                held,
+                within,
+            } => {
                 let (n, key, held) = (number(node), sim.nodes[number(other)].key, held.clone());
                 let sees = move |sim: &Sim| {
                     let view = sim.nodes[n].fleet.as_ref().map(|fleet| fleet.view());
-                    let found =
-                        view.map(|view| view.get(key).map_or("unknown", |entry| entry.status().word()));
+                    let found = view.map(|view| {
+                        view.get(key)
+                            .map_or("unknown", |entry| entry.status().word())
+                    });
                     found == Some(held.as_str())
                 };
                 Some((within.as_nanos() as Nanos, Box::new(sees)))
@@ -641,7 +768,11 @@
             | Action::Runs { .. }
             | Action::Change { .. }
             | Action::Used { .. } => {
-                println!("{:>8.2} s  {:?}: only the rig plays that", step.at.as_secs_f64(), step.action);
+                println!(
+                    "{:>8.2} s  {:?}: only the rig plays that",
+                    step.at.as_secs_f64(),
+                    step.action
+                );
                 None
             }
         };
--- a/crates/node/src/cli/rollout.rs
+++ b/crates/node/src/cli/rollout.rs
@@ -1,4 +1,5 @@
-//! `madderpoint rollout`: changes of the settings or the program of a fleet in stages: begun, looked at, halted, taken back.
+//! `madderpoint rollout`: changes of the settings or the program of a fleet in stages: begun,
+//! looked at, halted, taken back.
 
 use super::fleet::Asker;
 use super::{Ended, Format};
@@ -39,13 +40,18 @@
 
 impl At {
     fn topic(&self) -> u32 {
-        if self.program { PROGRAM_CHANGES } else { SETTINGS_CHANGES }
+        if self.program {
+            PROGRAM_CHANGES
+        } else {
+            SETTINGS_CHANGES
+        }
     }
 }
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Offer a file of settings to the fleet, by way of any node; it goes out in the stages that the settings in force tell.
+    /// Offer a file of settings to the fleet, by way of any node; it goes out in the stages that
+    /// the settings in force tell.
     #[command(
         after_help = "Example: madderpoint rollout start new.xml --settings translator.xml --at 10.0.0.4:7946"
     )]
@@ -54,11 +60,13 @@
         file: PathBuf,
         #[command(flatten)]
         at: At,
-        /// Wait until it is over, and tell each stage; the exit code is 1 if it is not done in the end.
+        /// Wait until it is over, and tell each stage; the exit code is 1 if it is not done in the
+        /// end.
         #[arg(long)]
         wait: bool,
     },
-    /// Show the change that is under way, or the last one: stages, nodes, judgement with its figures.
+    /// Show the change that is under way, or the last one: stages, nodes, judgement with its
+    /// figures.
     #[command(
         after_help = "Example: madderpoint rollout status --settings translator.xml --at 10.0.0.4:7946"
     )]
@@ -84,7 +92,9 @@
         why: String,
     },
     /// Take a change back: all run what was before.
-    #[command(after_help = "Example: madderpoint rollout back --settings translator.xml --at 10.0.0.4:7946")]
+    #[command(
+        after_help = "Example: madderpoint rollout back --settings translator.xml --at 10.0.0.4:7946"
+    )]
     Back {
         #[command(flatten)]
         at: At,
@@ -103,7 +113,8 @@
         #[command(flatten)]
         at: At,
     },
-    /// Draw both sides of a change over time (SVG), from the record of an arbiter or from what `status --format json` printed.
+    /// Draw both sides of a change over time (SVG), from the record of an arbiter or from what
+    /// `status --format json` printed.
     #[command(
         after_help = "Example: madderpoint rollout plot --settings translator.xml --at 10.0.0.4:7946 --to change.svg"
     )]
@@ -148,7 +159,11 @@
 fn taken(answer: &Ordered) -> bool {
     match answer.state {
         0 => {
-            let more = if answer.why.is_empty() { String::new() } else { format!(": {}", answer.why) };
+            let more = if answer.why.is_empty() {
+                String::new()
+            } else {
+                format!(": {}", answer.why)
+            };
             println!("change {:016x}{more}", answer.change);
         }
         1 => println!("not taken yet: {}", answer.why),
@@ -160,7 +175,13 @@
 fn start(file: &Path, at: &At, wait: bool) -> Ended {
     let said = if at.program {
         let madderpoint_rollout::Version { number, hash } = program::version_of(file)?;
-        Order { kind: order::OFFER, number, hash, program: true, ..Order::default() }
+        Order {
+            kind: order::OFFER,
+            number,
+            hash,
+            program: true,
+            ..Order::default()
+        }
     } else {
         let content = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
         if content.len() > pieces::CONTENT_MAX {
@@ -173,15 +194,28 @@
         }
         let digest = pieces::digest(&content).to_vec();
         for no in 0..pieces::count(content.len()) {
-            let Some(bytes) = pieces::piece(&content, no) else { break };
+            let Some(bytes) = pieces::piece(&content, no) else {
+                break;
+            };
             let (size, digest, bytes) = (content.len() as u32, digest.clone(), bytes.to_vec());
-            let piece = Order { kind: order::PIECE, no, bytes, size, digest, ..Order::default() };
+            let piece = Order {
+                kind: order::PIECE,
+                no,
+                bytes,
+                size,
+                digest,
+                ..Order::default()
+            };
             let answer = ordered(at, &piece)?;
             if answer.state != 0 {
                 return Ok(taken(&answer));
             }
         }
-        Order { kind: order::OFFER, digest, ..Order::default() }
+        Order {
+            kind: order::OFFER,
+            digest,
+            ..Order::default()
+        }
     };
     let answer = ordered(at, &said)?;
     if !taken(&answer) || !wait {
@@ -199,12 +233,17 @@
         let Ok(shown) = ask(at) else {
             lost += 1;
             if lost > 60 {
-                return Err(format!("{}: it shows nothing any more; the change goes on without it", at.at));
+                return Err(format!(
+                    "{}: it shows nothing any more; the change goes on without it",
+                    at.at
+                ));
             }
             continue;
         };
         lost = 0;
-        let Some(change) = shown.changes.iter().find(|change| change.id == id) else { continue };
+        let Some(change) = shown.changes.iter().find(|change| change.id == id) else {
+            continue;
+        };
         let now = (change.stage, change.fate.clone());
         if now != before {
             println!("{}", summary(change, &shown));
@@ -220,29 +259,47 @@
 
 fn end(at: &At, kind: u32, change: Option<&str>, why: &str) -> Ended {
     let change = match change {
-        Some(text) => {
-            u64::from_str_radix(text, 16).map_err(|_| format!("{text}: no change, 16 hex digits"))?
-        }
+        Some(text) => u64::from_str_radix(text, 16)
+            .map_err(|_| format!("{text}: no change, 16 hex digits"))?,
         None => 0,
     };
-    let said = Order { kind, change, why: why.to_owned(), program: at.program, ..Order::default() };
+    let said = Order {
+        kind,
+        change,
+        why: why.to_owned(),
+        program: at.program,
+        ..Order::default()
+    };
     Ok(taken(&ordered(at, &said)?))
 }
 
 fn ask(at: &At) -> Result<Shown, String> {
     let bytes = Asker::about(&at.settings, at.at, at.topic())?.ask_pages(TRIES)?;
     let bytes = bytes.ok_or_else(|| {
-        let what = if at.program { "the program" } else { "settings" };
-        format!("{}: it shows nothing: nobody is there, or it has no part in changes of {what}", at.at)
+        let what = if at.program {
+            "the program"
+        } else {
+            "settings"
+        };
+        format!(
+            "{}: it shows nothing: nobody is there, or it has no part in changes of {what}",
+            at.at
+        )
     })?;
-    Shown::decode(bytes.as_slice()).map_err(|e| format!("{}: what it shows can't be read: {e}", at.at))
+    Shown::decode(bytes.as_slice())
+        .map_err(|e| format!("{}: what it shows can't be read: {e}", at.at))
 }
 
-/// What the conductor shows, which has the judgement; or what this node does, if that can't be reached.
+/// What the conductor shows, which has the judgement; or what this node does, if that can't be
+/// reached.
 fn ask_conductor(at: &At) -> Result<(Shown, Option<Shown>), String> {
     let shown = ask(at)?;
     let conductor = match shown.conductor_at.parse() {
-        Ok(there) if shown.conductor != shown.node => ask(&At { at: there, ..at.clone() }).ok(),
+        Ok(there) if shown.conductor != shown.node => ask(&At {
+            at: there,
+            ..at.clone()
+        })
+        .ok(),
         _ => None,
     };
     Ok((shown, conductor))
@@ -259,8 +316,16 @@
         stage if stage > stages => "through all stages".to_owned(),
         stage => format!("stage {stage} of {stages} ({})", change.stages[stage - 1]),
     };
-    let why = if change.why.is_empty() { String::new() } else { format!(", {}", change.why) };
-    let by = if change.by.is_empty() { String::new() } else { format!(" (by {})", change.by) };
+    let why = if change.why.is_empty() {
+        String::new()
+    } else {
+        format!(", {}", change.why)
+    };
+    let by = if change.by.is_empty() {
+        String::new()
+    } else {
+        format!(" (by {})", change.by)
+    };
     let waits = match shown.waits.as_str() {
         "" => String::new(),
         waits if change.fate == "open" => format!("; waits: {waits}"),
@@ -324,20 +389,46 @@
         return Ok(true);
     }
     let Some(first) = shown.changes.first() else {
-        println!("no change is known; {} runs version {}", shown.node, version(shown.running.as_ref()));
+        println!(
+            "no change is known; {} runs version {}",
+            shown.node,
+            version(shown.running.as_ref())
+        );
         return Ok(true);
     };
-    let current = shown.changes.iter().find(|change| change.fate == "open").unwrap_or(first);
+    let current = shown
+        .changes
+        .iter()
+        .find(|change| change.fate == "open")
+        .unwrap_or(first);
     println!("{}", summary(current, judged));
-    for change in shown.changes.iter().filter(|change| change.id != current.id) {
+    for change in shown
+        .changes
+        .iter()
+        .filter(|change| change.id != current.id)
+    {
         println!("  beside: {}", summary(change, &Shown::default()));
     }
     if !judged.verdict.is_empty() {
-        let pair = |of: &[u64]| [of.first().copied().unwrap_or(0), of.get(1).copied().unwrap_or(0)];
+        let pair = |of: &[u64]| {
+            [
+                of.first().copied().unwrap_or(0),
+                of.get(1).copied().unwrap_or(0),
+            ]
+        };
         let ([new, old], [news, olds]) = (pair(&judged.sample), pair(&judged.judged));
         println!("judgement by {}: {}", shown.conductor, judged.verdict);
         println!("  {new} invocations at {news} new nodes, {old} at {olds} old ones");
-        let head = ["operation", "what", "new", "old", "harm", "+-", "evidence", "margin"];
+        let head = [
+            "operation",
+            "what",
+            "new",
+            "old",
+            "harm",
+            "+-",
+            "evidence",
+            "margin",
+        ];
         if !judged.findings.is_empty() {
             println!(
                 "  {:<16} {:<11} {:>8} {:>8} {:>8} {:>8} {:>9} {:>7}",
@@ -345,15 +436,22 @@
             );
         }
         for f in &judged.findings {
-            let operation = if f.operation.is_empty() { "all" } else { &f.operation };
+            let operation = if f.operation.is_empty() {
+                "all"
+            } else {
+                &f.operation
+            };
             println!(
                 "  {operation:<16} {:<11} {:>8.4} {:>8.4} {:>8.4} {:>8.4} {:>9.1} {:>7.3}",
                 f.what, f.new, f.old, f.harm, f.error, f.evidence, f.margin
             );
         }
     }
-    let running: Vec<String> =
-        judged.by_version().iter().map(|(number, nodes)| format!("{nodes} run {number}")).collect();
+    let running: Vec<String> = judged
+        .by_version()
+        .iter()
+        .map(|(number, nodes)| format!("{nodes} run {number}"))
+        .collect();
     println!("{} nodes: {}", judged.nodes_in_all, running.join(", "));
     println!(
         "{:<16} {:<8} {:<5} {:<6} {:<22} {:>9} {:<12} why",
@@ -391,24 +489,46 @@
     let (shown, conductor) = ask_conductor(at)?;
     let judged = conductor.as_ref().unwrap_or(&shown);
     if judged.points.is_empty() {
-        return Err(format!("{}: there is no record: no change was under way since its start", judged.node));
+        return Err(format!(
+            "{}: there is no record: no change was under way since its start",
+            judged.node
+        ));
     }
     draw(judged, to).map_err(|e| format!("{}: {e}", to.display()))?;
-    println!("{}: {} windows of {} s", to.display(), judged.points.len(), judged.window_ms / 1000);
+    println!(
+        "{}: {} windows of {} s",
+        to.display(),
+        judged.points.len(),
+        judged.window_ms / 1000
+    );
     Ok(true)
 }
 
 fn draw(shown: &Shown, to: &Path) -> Result<(), Box<dyn std::error::Error>> {
     fn part(of: &[u64], all: &[u64], side: usize) -> f64 {
         let at = |numbers: &[u64]| numbers.get(side).copied().unwrap_or(0) as f64;
-        if at(all) > 0.0 { at(of) / at(all) * 100.0 } else { 0.0 }
+        if at(all) > 0.0 {
+            at(of) / at(all) * 100.0
+        } else {
+            0.0
+        }
     }
     let charts: [(&str, Drawn); 5] = [
-        ("succeeded, % of what arrived", |p, side| part(&p.succeeded, &p.arrived, side)),
-        ("throttled, % of what arrived", |p, side| part(&p.throttled, &p.arrived, side)),
-        ("errored, % of what arrived", |p, side| part(&p.errored, &p.arrived, side)),
-        ("late, % of what succeeded", |p, side| part(&p.late, &p.succeeded, side)),
-        ("memory of a node, MB", |p, side| f64::from(p.memory_kb.get(side).copied().unwrap_or(0.0)) / 1024.0),
+        ("succeeded, % of what arrived", |p, side| {
+            part(&p.succeeded, &p.arrived, side)
+        }),
+        ("throttled, % of what arrived", |p, side| {
+            part(&p.throttled, &p.arrived, side)
+        }),
+        ("errored, % of what arrived", |p, side| {
+            part(&p.errored, &p.arrived, side)
+        }),
+        ("late, % of what succeeded", |p, side| {
+            part(&p.late, &p.succeeded, side)
+        }),
+        ("memory of a node, MB", |p, side| {
+            f64::from(p.memory_kb.get(side).copied().unwrap_or(0.0)) / 1024.0
+        }),
     ];
     let first = shown.points.first().map_or(0, |point| point.window);
     let minutes = |p: &ShownPoint| (p.window - first) as f64 * shown.window_ms as f64 / 60_000.0;
@@ -419,19 +539,32 @@
         let values = shown.points.iter().flat_map(|p| [of(p, 0), of(p, 1)]);
         let top = values.fold(0.0, f64::max).max(1.0) * 1.05;
         let mut chart = ChartBuilder::on(area)
-            .caption(format!("{title}: old grey, new red; x in minutes, stages as lines"), ("sans-serif", 14))
+            .caption(
+                format!("{title}: old grey, new red; x in minutes, stages as lines"),
+                ("sans-serif", 14),
+            )
             .margin(6)
             .x_label_area_size(18)
             .y_label_area_size(48)
             .build_cartesian_2d(0.0..last, 0.0..top)?;
         chart.configure_mesh().light_line_style(WHITE).draw()?;
-        for two in shown.points.windows(2).filter(|two| two[0].stage != two[1].stage) {
+        for two in shown
+            .points
+            .windows(2)
+            .filter(|two| two[0].stage != two[1].stage)
+        {
             let x = minutes(&two[1]);
             chart.draw_series(LineSeries::new([(x, 0.0), (x, top)], BLACK.mix(0.3)))?;
         }
         for (side, colour) in [(0, RGBColor(110, 110, 110)), (1, RGBColor(200, 40, 30))] {
-            let points = shown.points.iter().filter(|p| p.nodes.get(side).is_some_and(|n| *n > 0));
-            chart.draw_series(LineSeries::new(points.map(|p| (minutes(p), of(p, side))), colour))?;
+            let points = shown
+                .points
+                .iter()
+                .filter(|p| p.nodes.get(side).is_some_and(|n| *n > 0));
+            chart.draw_series(LineSeries::new(
+                points.map(|p| (minutes(p), of(p, side))),
+                colour,
+            ))?;
         }
     }
     root.present()?;
--- a/crates/node/src/cli/shared.rs
+++ b/crates/node/src/cli/shared.rs
@@ -36,7 +36,11 @@
     /// Carries the call out.
     pub fn run(self) -> Ended {
         match self {
-            Command::Explain { settings, at, format } => explain(&settings, at, format),
+            Command::Explain {
+                settings,
+                at,
+                format,
+            } => explain(&settings, at, format),
         }
     }
 }
@@ -46,14 +50,17 @@
     let bytes = Asker::about(settings, at, madderpoint_node::driver::SHARED)?.ask_pages(tries)?;
     bytes
         .map(|bytes| {
-            Shown::decode(bytes.as_slice()).map_err(|e| format!("{at}: what it shows can't be read: {e}"))
+            Shown::decode(bytes.as_slice())
+                .map_err(|e| format!("{at}: what it shows can't be read: {e}"))
         })
         .transpose()
 }
 
 fn explain(settings: &Path, at: SocketAddr, format: Format) -> Ended {
     let Some(shown) = ask(settings, at, 12)? else {
-        return Err(format!("{at}: it shows nothing: nobody is there, or it shares nothing"));
+        return Err(format!(
+            "{at}: it shows nothing: nobody is there, or it shares nothing"
+        ));
     };
     match format {
         Format::Json => println!("{:#}", as_json(&shown)),
@@ -79,31 +86,50 @@
     );
     for row in &shown.rows {
         let heads = columns(row.name.is_empty());
-        let name = if row.name.is_empty() { "processes" } else { &row.name };
+        let name = if row.name.is_empty() {
+            "processes"
+        } else {
+            &row.name
+        };
         let mut line = format!("{name:<16}");
         for (at, head) in heads.iter().enumerate() {
             let number = |of: &[u64]| of.get(at).copied().unwrap_or(0);
             line += &format!("  {head} {}/{}", number(&row.minute), number(&row.total));
         }
         if row.p99_us > 0 {
-            line +=
-                &format!("  p50 {:.1} ms, p99 {:.1} ms", row.p50_us as f64 / 1e3, row.p99_us as f64 / 1e3);
+            line += &format!(
+                "  p50 {:.1} ms, p99 {:.1} ms",
+                row.p50_us as f64 / 1e3,
+                row.p99_us as f64 / 1e3
+            );
         }
         println!("{line}");
     }
     for kind in ["caller ", "caller that repeats ", "key over a limit "] {
         let of = shown.heavy.iter().filter(|count| {
-            count.what.starts_with(kind) && (kind != "caller " || !count.what.starts_with("caller that"))
+            count.what.starts_with(kind)
+                && (kind != "caller " || !count.what.starts_with("caller that"))
         });
-        of.take(HEAVY).for_each(|count| println!("{:>8}  {}", count.times, count.what));
+        of.take(HEAVY)
+            .for_each(|count| println!("{:>8}  {}", count.times, count.what));
     }
-    shown.counted.iter().for_each(|count| println!("{:>8}  {}", count.times, count.what));
+    shown
+        .counted
+        .iter()
+        .for_each(|count| println!("{:>8}  {}", count.times, count.what));
 }
 
 fn row(row: &ShownRow) -> Value {
     let heads = columns(row.name.is_empty());
     let numbers = |of: &[u64]| -> Map<String, Value> {
-        (0..COLUMNS).map(|at| (heads[at].to_owned(), json!(of.get(at).copied().unwrap_or(0)))).collect()
+        (0..COLUMNS)
+            .map(|at| {
+                (
+                    heads[at].to_owned(),
+                    json!(of.get(at).copied().unwrap_or(0)),
+                )
+            })
+            .collect()
     };
     json!({"name": row.name, "minute": numbers(&row.minute), "total": numbers(&row.total),
         "p50_us": row.p50_us, "p99_us": row.p99_us})
--- a/crates/node/src/company.rs
+++ b/crates/node/src/company.rs
@@ -1,5 +1,5 @@
-//! What the core has to do with the fleet: what is seen of it, and what this node says of itself. The decisions work the same
-//! with no fleet at all, and nothing waits for it.
+//! What the core has to do with the fleet: what is seen of it, and what this node says of itself.
+//! The decisions work the same with no fleet at all, and nothing waits for it.
 
 use madderpoint::Advert;
 use madderpoint::Nanos;
@@ -59,7 +59,11 @@
     /// A run succeeded; enough of them, and the node is warm.
     pub fn succeeded(&mut self) -> Option<Word> {
         self.succeeded = self.succeeded.saturating_add(1);
-        if self.succeeded == WARM_AFTER { self.enter(Phase::Serving) } else { None }
+        if self.succeeded == WARM_AFTER {
+            self.enter(Phase::Serving)
+        } else {
+            None
+        }
     }
 
     /// The notice to leave came.
@@ -93,7 +97,10 @@
         assert_eq!(company.booted(true), None);
         let said: Vec<Word> = (0..200).filter_map(|_| company.succeeded()).collect();
         assert_eq!(said, [Word::Phase(Phase::Serving)]);
-        assert_eq!((company.drains(), company.drains()), (Some(Word::Phase(Phase::Draining)), None));
+        assert_eq!(
+            (company.drains(), company.drains()),
+            (Some(Word::Phase(Phase::Draining)), None)
+        );
         assert_eq!((company.booted(false), company.succeeded()), (None, None));
     }
 
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -72,10 +72,16 @@
     let text = std::fs::read_to_string(path).map_err(|e| wrong(e.to_string()))?;
     let file: File = serde_json::from_str(&text).map_err(|e| wrong(e.to_string()))?;
     if told("PROXY_NAME").is_some_and(|name| name != file.name) {
-        return Err(wrong(format!("name is {:?}, but PROXY_NAME says otherwise", file.name)));
+        return Err(wrong(format!(
+            "name is {:?}, but PROXY_NAME says otherwise",
+            file.name
+        )));
     }
     if told("PROXY_LISTEN").is_some_and(|listen| listen != file.listen.to_string()) {
-        return Err(wrong(format!("listen is {}, but PROXY_LISTEN says otherwise", file.listen)));
+        return Err(wrong(format!(
+            "listen is {}, but PROXY_LISTEN says otherwise",
+            file.listen
+        )));
     }
     let seed = u64::from_str_radix(&file.seed, 16)
         .map_err(|_| wrong(format!("seed is no hexadecimal number: {:?}", file.seed)))?;
@@ -86,12 +92,16 @@
         return Err(wrong(format!("limits.sockets is {}", file.limits.sockets)));
     }
     if !file.limits.memory_mb.is_finite() || file.limits.memory_mb < LEAST_MEMORY_MB {
-        return Err(wrong(format!("limits.memory_mb is {}", file.limits.memory_mb)));
+        return Err(wrong(format!(
+            "limits.memory_mb is {}",
+            file.limits.memory_mb
+        )));
     }
     if !file.limits.cores.is_finite() || file.limits.cores <= 0.0 {
         return Err(wrong(format!("limits.cores is {}", file.limits.cores)));
     }
-    let start = facts::decode(file.settings.get().as_bytes()).map_err(|e| wrong(format!("settings: {e}")))?;
+    let start = facts::decode(file.settings.get().as_bytes())
+        .map_err(|e| wrong(format!("settings: {e}")))?;
     Ok(Identity {
         name: file.name,
         listen: file.listen,
@@ -100,13 +110,19 @@
         stop_after: Duration::from_secs_f64(file.stop_ms / 1e3),
         limits: file.limits,
         start,
-        settings: serde_json::from_str(file.settings.get()).map_err(|e| wrong(format!("settings: {e}")))?,
+        settings: serde_json::from_str(file.settings.get())
+            .map_err(|e| wrong(format!("settings: {e}")))?,
     })
 }
 
-/// Reads a file that took the place of the one `now` in force; gives the new addresses, and the fields that
-/// differ but hold until a restart. The seed is new in every file and means nothing here.
-pub fn reread(path: &Path, told: impl Fn(&str) -> Option<String>, now: &Identity) -> Result<Moved, String> {
+/// Reads a file that took the place of the one `now` in force; gives the new addresses, and the
+/// fields that differ but hold until a restart. The seed is new in every file and means nothing
+/// here.
+pub fn reread(
+    path: &Path,
+    told: impl Fn(&str) -> Option<String>,
+    now: &Identity,
+) -> Result<Moved, String> {
     let new = read(path, told)?;
     let fields = [
         ("name", new.name == now.name),
@@ -114,12 +130,28 @@
         ("stop_ms", new.stop_after == now.stop_after),
         ("limits", new.limits == now.limits),
         ("settings", new.settings == now.settings),
-        ("backend", new.peers.backend.is_some() == now.peers.backend.is_some()),
+        (
+            "backend",
+            new.peers.backend.is_some() == now.peers.backend.is_some(),
+        ),
     ];
-    let kept = fields.into_iter().filter(|(_, same)| !same).map(|(field, _)| field).collect();
+    let kept = fields
+        .into_iter()
+        .filter(|(_, same)| !same)
+        .map(|(field, _)| field)
+        .collect();
     // Whether there is a back end is a fact like the settings; only its address may change.
-    let backend = now.peers.backend.and(new.peers.backend.or(now.peers.backend));
-    Ok(Moved { peers: Peers { backend, ..new.peers }, kept })
+    let backend = now
+        .peers
+        .backend
+        .and(new.peers.backend.or(now.peers.backend));
+    Ok(Moved {
+        peers: Peers {
+            backend,
+            ..new.peers
+        },
+        kept,
+    })
 }
 
 /// What a new file changes.
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -1,5 +1,5 @@
-//! The node without its I/O: takes what happened and the time, lets [`Choice`] decide, and acts through
-//! [`Outward`]. What it keeps of invocations is at the desk.
+//! The node without its I/O: takes what happened and the time, lets [`Choice`] decide, and acts
+//! through [`Outward`]. What it keeps of invocations is at the desk.
 
 use crate::backend;
 use crate::classify::{Classifier, Full, Ruled, Sheet};
@@ -69,7 +69,8 @@
     HalfClosed(ConnId),
     /// What came on a connection can't be read on, and why.
     Garbled(ConnId, &'static str),
-    /// A connection was ended, by its peer or for the time that it took, with a part of a request on it.
+    /// A connection was ended, by its peer or for the time that it took, with a part of a request
+    /// on it.
     CutShort,
     /// There is no room for another connection.
     Crowded,
@@ -135,7 +136,8 @@
     choice: Option<Choice<Hands<O>>>,
     /// None where nodes keep no view of their fleet.
     company: Option<Company>,
-    /// The name of the service below that is judged, and what the budgets' ends were last said to be.
+    /// The name of the service below that is judged, and what the budgets' ends were last said to
+    /// be.
     service: String,
     at_floor: Vec<bool>,
     keys_deaf: bool,
@@ -143,9 +145,21 @@
 
 impl<O: Outward> Core<O> {
     /// A node that waits for its kernel.
-    pub fn new(out: O, start: Start, seed: u64, stop_after: Nanos, has_backend: bool, room: &Room) -> Self {
+    pub fn new(
+        out: O,
+        start: Start,
+        seed: u64,
+        stop_after: Nanos,
+        has_backend: bool,
+        room: &Room,
+    ) -> Self {
         let start = Rc::new(start);
-        let desk = Rc::new(RefCell::new(Desk::new(out, Rc::clone(&start), has_backend, room)));
+        let desk = Rc::new(RefCell::new(Desk::new(
+            out,
+            Rc::clone(&start),
+            has_backend,
+            room,
+        )));
         Core {
             desk,
             start,
@@ -187,7 +201,9 @@
             desk.counting = Some(Box::new(Counting::new(now, &self.start.operations)));
             desk.set_timer(COUNTS, Timer::Counts);
         }
-        self.service = service.map(|service| service.name.clone()).unwrap_or_default();
+        self.service = service
+            .map(|service| service.name.clone())
+            .unwrap_or_default();
     }
 
     /// What is seen of the fleet, if there is one and its part has said anything.
@@ -303,11 +319,18 @@
                 }
             }
             Event::Reply(place, reply) => self.reply(now, place, reply),
-            Event::CutShort => self.desk.borrow_mut().count("dispatcher: request cut short", 1),
+            Event::CutShort => self
+                .desk
+                .borrow_mut()
+                .count("dispatcher: request cut short", 1),
             Event::BackendLost(link, cause) => {
-                cause.into_iter().for_each(|cause| self.desk.borrow_mut().count(cause, 1));
+                cause
+                    .into_iter()
+                    .for_each(|cause| self.desk.borrow_mut().count(cause, 1));
                 let broke = self.desk.borrow_mut().backend_lost(link);
-                broke.into_iter().for_each(|id| self.call_over(now, id, CallEnding::MayHaveRun));
+                broke
+                    .into_iter()
+                    .for_each(|id| self.call_over(now, id, CallEnding::MayHaveRun));
             }
             Event::BackendQuiet(place) => self.desk.borrow_mut().backend_quiet(place),
             Event::Drain => self.drain(now),
@@ -325,7 +348,9 @@
                 }
             }
             Event::Opinion(opinion) => {
-                self.desk.borrow_mut().judged(|judge, now| judge.told(now, opinion));
+                self.desk
+                    .borrow_mut()
+                    .judged(|judge, now| judge.told(now, opinion));
             }
             Event::Show => self.show(now),
             Event::Rebudget(limits) => {
@@ -345,7 +370,9 @@
     /// Deals with what came up while the decisions were acting.
     fn settle(&mut self, now: Nanos) {
         loop {
-            let Some(next) = self.desk.borrow_mut().deferred.pop_front() else { return };
+            let Some(next) = self.desk.borrow_mut().deferred.pop_front() else {
+                return;
+            };
             match next {
                 Deferred::CallEnded(id, ending) => self.call_over(now, id, ending),
                 Deferred::NeverStarted(id) => self.ended(now, id, Ending::Cancelled, 0),
@@ -367,7 +394,8 @@
             fastcgi::Event::Request(request) => self.request(moment, conn, request),
             fastcgi::Event::Abort(id) => {
                 let left = self.desk.borrow_mut().aborted(conn, id);
-                left.into_iter().for_each(|id| self.caller_left(moment.now, id));
+                left.into_iter()
+                    .for_each(|id| self.caller_left(moment.now, id));
                 self.desk.borrow_mut().dealt_with(conn);
             }
             fastcgi::Event::Reply(reply) => {
@@ -392,16 +420,24 @@
             Ok(fields) => fields,
         };
         let ruled = match self.choice {
-            Some(_) if desk.rules.is_some() => Self::rule(&mut desk, &self.start, conn, &fields, &request),
+            Some(_) if desk.rules.is_some() => {
+                Self::rule(&mut desk, &self.start, conn, &fields, &request)
+            }
             _ => None,
         };
         if let Some(ruled) = &ruled
             && let Some(verdict) = &ruled.verdict
         {
-            let of = fields.counted(&self.start).map(|(op, from)| (ruled.operation.unwrap_or(op), from));
+            let of = fields
+                .counted(&self.start)
+                .map(|(op, from)| (ruled.operation.unwrap_or(op), from));
             return Self::verdict(&mut desk, conn, id, of, verdict);
         }
-        match fields.wanted(&self.start, moment.unix_ms, ruled.as_ref().and_then(|r| r.operation)) {
+        match fields.wanted(
+            &self.start,
+            moment.unix_ms,
+            ruled.as_ref().and_then(|r| r.operation),
+        ) {
             Err(Rejected(status, cause)) => desk.reject(conn, id, status, cause),
             Ok(Wanted::Check { deep }) => desk.check(conn, id, deep),
             Ok(Wanted::Invocation(_)) if self.choice.is_none() => {
@@ -429,10 +465,21 @@
         let mut desk = self.desk.borrow_mut();
         let (rules, buckets) = (sheet.rules.rules().len(), sheet.buckets.len());
         let (bytes, worst) = (sheet.rules.bytes() >> 10, sheet.rules.worst());
-        let keys: Vec<KeyBudget> = sheet.fleet.iter().map(|(_, budget)| budget.clone()).collect();
+        let keys: Vec<KeyBudget> = sheet
+            .fleet
+            .iter()
+            .map(|(_, budget)| budget.clone())
+            .collect();
         match &mut desk.rules {
             Some(classifier) => classifier.replace(now, sheet),
-            None => desk.rules = Some(Box::new(Classifier::new(now, sheet, self.limit_bytes, self.seed))),
+            None => {
+                desk.rules = Some(Box::new(Classifier::new(
+                    now,
+                    sheet,
+                    self.limit_bytes,
+                    self.seed,
+                )))
+            }
         }
         if let (Some(rhythm), Some(rules)) = (self.rhythm, &mut desk.rules) {
             rules.join_fleet(now, &keys, rhythm, self.key_bytes, self.seed);
@@ -455,8 +502,15 @@
         }
         let (now, address) = (desk.now, desk.address(conn));
         let rules = desk.rules.as_mut()?;
-        let params = rules.rules().pick(fastcgi::pairs(&request.params).filter_map(Result::ok));
-        let facts = madderpoint_rules::Facts { address, body: &request.body, params, ..fields.facts(start) };
+        let params = rules
+            .rules()
+            .pick(fastcgi::pairs(&request.params).filter_map(Result::ok));
+        let facts = madderpoint_rules::Facts {
+            address,
+            body: &request.body,
+            params,
+            ..fields.facts(start)
+        };
         let ruled = rules.rule(now, &facts);
         for line in rules.lines() {
             desk.out.log(format_args!("{line}"));
@@ -525,9 +579,18 @@
             }
         };
         let now = desk.now;
-        let Some(rules) = desk.rules.as_mut() else { return Some(Given { key, gated, ..Given::default() }) };
-        let asked =
-            if ruled.buckets.is_empty() { Ok(None) } else { rules.ask(now, &ruled.buckets).map(Some) };
+        let Some(rules) = desk.rules.as_mut() else {
+            return Some(Given {
+                key,
+                gated,
+                ..Given::default()
+            });
+        };
+        let asked = if ruled.buckets.is_empty() {
+            Ok(None)
+        } else {
+            rules.ask(now, &ruled.buckets).map(Some)
+        };
         if let Some(class) = &ruled.class {
             rules.arrived(class);
         }
@@ -542,10 +605,19 @@
         let (pause, count, over) = match asked {
             Ok(held) => {
                 let held = held.filter(|held| !held.is_empty());
-                return Some(Given { key, class: ruled.class, held, gated });
+                return Some(Given {
+                    key,
+                    class: ruled.class,
+                    held,
+                    gated,
+                });
             }
             Err(Full::Node(over)) => (over.pause, "throttled by a limit", None),
-            Err(Full::Fleet(refused, key)) => (refused.pause, "throttled by a limit of the fleet", Some(key)),
+            Err(Full::Fleet(refused, key)) => (
+                refused.pause,
+                "throttled by a limit of the fleet",
+                Some(key),
+            ),
         };
         desk.count(count, 1);
         desk.counts_refusal(head, over, false);
@@ -600,7 +672,8 @@
         }
     }
 
-    /// Tells the fleet's part what is wanted of the budgets. While the node leaves, only what has become free.
+    /// Tells the fleet's part what is wanted of the budgets. While the node leaves, only what has
+    /// become free.
     fn wants(&mut self, now: Nanos) {
         let wants = {
             let mut desk = self.desk.borrow_mut();
@@ -647,9 +720,15 @@
         {
             let mut desk = self.desk.borrow_mut();
             let waiting = desk.calls_waiting();
-            desk.budgets.iter_mut().for_each(|ends| shown.with_ends(now, ends));
-            desk.judge.iter_mut().for_each(|judge| shown.with_judge(now, &self.service, judge));
-            desk.gate.iter().for_each(|gate| shown.with_gate(gate, waiting));
+            desk.budgets
+                .iter_mut()
+                .for_each(|ends| shown.with_ends(now, ends));
+            desk.judge
+                .iter_mut()
+                .for_each(|judge| shown.with_judge(now, &self.service, judge));
+            desk.gate
+                .iter()
+                .for_each(|gate| shown.with_gate(gate, waiting));
             if let Some(wallet) = desk.rules.as_ref().and_then(|rules| rules.wallet()) {
                 shown.with_wallet(now, wallet);
             }
@@ -657,7 +736,8 @@
         self.say(|_| Some(Word::Shown(Box::new(shown))));
     }
 
-    /// One line where the end of a budget falls to its floor or is lent something again, and where keys do.
+    /// One line where the end of a budget falls to its floor or is lent something again, and where
+    /// keys do.
     fn tell_floors(&mut self, now: Nanos) {
         let mut desk = self.desk.borrow_mut();
         let desk = &mut *desk;
@@ -668,20 +748,36 @@
                 let at_floor = purse.is_at_floor(now);
                 if std::mem::replace(before, at_floor) != at_floor {
                     let of = purse.budget();
-                    let word = if at_floor { "at its floor, nothing is lent" } else { "lent a part" };
+                    let word = if at_floor {
+                        "at its floor, nothing is lent"
+                    } else {
+                        "lent a part"
+                    };
                     let (units, limit) = (purse.units(now), of.limit);
-                    lines.push(format!("budget '{}': {word}; may use {units} of {limit}", of.name));
+                    lines.push(format!(
+                        "budget '{}': {word}; may use {units} of {limit}",
+                        of.name
+                    ));
                 }
             }
         }
         if let Some(wallet) = desk.rules.as_ref().and_then(|rules| rules.wallet()) {
             let deaf = wallet.hears_nobody(now);
             if std::mem::replace(&mut self.keys_deaf, deaf) != deaf {
-                let word = if deaf { "nobody who lends is heard, floors only" } else { "heard again" };
-                lines.push(format!("keys of the fleet: {word}; {} keys here", wallet.keys()));
+                let word = if deaf {
+                    "nobody who lends is heard, floors only"
+                } else {
+                    "heard again"
+                };
+                lines.push(format!(
+                    "keys of the fleet: {word}; {} keys here",
+                    wallet.keys()
+                ));
             }
         }
-        lines.iter().for_each(|line| desk.out.log(format_args!("{line}")));
+        lines
+            .iter()
+            .for_each(|line| desk.out.log(format_args!("{line}")));
     }
 
     /// Asks the fleet for what is wanted of keys.
@@ -696,7 +792,10 @@
     pub fn let_go(&mut self, now: Nanos) {
         let free = {
             let mut desk = self.desk.borrow_mut();
-            let calls = desk.budgets.as_mut().is_none_or(|budgets| budgets.let_go(now));
+            let calls = desk
+                .budgets
+                .as_mut()
+                .is_none_or(|budgets| budgets.let_go(now));
             let keys = desk.rules.as_mut().is_none_or(|rules| rules.let_go());
             calls && keys
         };
@@ -724,7 +823,8 @@
             Notice::Odd(what, times) => self.desk.borrow_mut().count(what, times),
             Notice::EInval { command, rid } => {
                 let lost = self.desk.borrow_mut().einval(&command, &rid);
-                lost.into_iter().for_each(|id| self.ended(now, id, Ending::Errored, 0));
+                lost.into_iter()
+                    .for_each(|id| self.ended(now, id, Ending::Errored, 0));
             }
             Notice::IoReq { no, rid, body } => {
                 let asked = self.desk.borrow_mut().call_asked(&rid, no, body);
@@ -732,8 +832,15 @@
                     choice.needs_call(now, id);
                 }
             }
-            Notice::Reap { rid, end, time_ms, body } => {
-                let Some(id) = self.desk.borrow_mut().reaped(&rid, end, body) else { return };
+            Notice::Reap {
+                rid,
+                end,
+                time_ms,
+                body,
+            } => {
+                let Some(id) = self.desk.borrow_mut().reaped(&rid, end, body) else {
+                    return;
+                };
                 let ending = match end {
                     End::Ok => Ending::Succeeded,
                     End::Error => Ending::Errored,
@@ -750,7 +857,8 @@
         if self.choice.is_none() && !self.desk.borrow().is_leaving() {
             let mut site = self.start.premises.clone();
             site.cold = cold;
-            // Keys and results are kept in this process, under its own limit: the kernel's memory has no part in them.
+            // Keys and results are kept in this process, under its own limit: the kernel's memory
+            // has no part in them.
             site.key_kb = 0.0;
             let born = now.saturating_sub((up_ms * 1e6) as Nanos);
             let hands = Hands(Rc::clone(&self.desk));
@@ -772,7 +880,9 @@
     // ---- Calls below ----
 
     fn reply(&mut self, now: Nanos, place: usize, reply: backend::Reply) {
-        let Some(id) = self.desk.borrow_mut().replied(place, &reply) else { return };
+        let Some(id) = self.desk.borrow_mut().replied(place, &reply) else {
+            return;
+        };
         let ending = match reply.outcome {
             backend::Outcome::Ok => CallEnding::Succeeded,
             backend::Outcome::Overload | backend::Outcome::Stale => CallEnding::NeverRan,
