--- a/crates/node/src/core/tests.rs
+++ b/crates/node/src/core/tests.rs
@@ -1,4 +1,5 @@
-//! The core against a recorder in place of the sockets. Each test plays one thing that went or could go wrong.
+//! The core against a recorder in place of the sockets. Each test plays one thing that went or
+//! could go wrong.
 
 use super::*;
 use crate::backend::Outcome;
@@ -43,7 +44,10 @@
 
 impl Outward for Recorder {
     fn reply(&mut self, _: ConnId, reply: Reply) {
-        reply.slices().iter().for_each(|s| self.written.extend_from_slice(s));
+        reply
+            .slices()
+            .iter()
+            .for_each(|s| self.written.extend_from_slice(s));
     }
     fn close(&mut self, conn: ConnId, close: Close) {
         self.closed.push(conn);
@@ -61,13 +65,22 @@
             None => self.kernel.push(line.trim_end().to_owned()),
         }
     }
-    fn call(&mut self, place: usize, call: CallNo, id: InvId, bytes: Vec<u8>, wanted: Wanted) -> bool {
+    fn call(
+        &mut self,
+        place: usize,
+        call: CallNo,
+        id: InvId,
+        bytes: Vec<u8>,
+        wanted: Wanted,
+    ) -> bool {
         self.wanted.push(wanted);
-        self.calls.push((place, call, id, String::from_utf8(bytes).unwrap()));
+        self.calls
+            .push((place, call, id, String::from_utf8(bytes).unwrap()));
         !self.no_room_below
     }
     fn cancel(&mut self, place: usize, bytes: Vec<u8>) {
-        self.cancelled.push((place, String::from_utf8(bytes).unwrap()));
+        self.cancelled
+            .push((place, String::from_utf8(bytes).unwrap()));
     }
     fn rest(&mut self, place: usize) {
         self.resting.push(place);
@@ -95,7 +108,8 @@
     /// The connection in use; another one is made when it was closed.
     conn: ConnId,
     now: Nanos,
-    /// The kernel answers a question by itself after a second, unless it is silent; the question, and since when it waits.
+    /// The kernel answers a question by itself after a second, unless it is silent; the question,
+    /// and since when it waits.
     silent: bool,
     question: (Option<u64>, Nanos),
 }
@@ -104,11 +118,28 @@
     /// A node whose kernel is not up.
     fn waiting(settings: &str) -> Node {
         let start = madderpoint_facts::decode(settings.as_bytes()).unwrap();
-        let beside = crate::room::Beside { settings: true, ..Default::default() };
-        let room = Room::of(&Limits { cores: 1.0, memory_mb: 32.0, sockets: 64 }, 4, beside);
+        let beside = crate::room::Beside {
+            settings: true,
+            ..Default::default()
+        };
+        let room = Room::of(
+            &Limits {
+                cores: 1.0,
+                memory_mb: 32.0,
+                sockets: 64,
+            },
+            4,
+            beside,
+        );
         let core = Core::new(Recorder::default(), start, 7, 3000 * MS, true, &room);
         let (silent, question) = (false, (None, 0));
-        let mut node = Node { core, conn: ConnId(1), now: 1000 * MS, silent, question };
+        let mut node = Node {
+            core,
+            conn: ConnId(1),
+            now: 1000 * MS,
+            silent,
+            question,
+        };
         node.event(Event::Connected(ConnId(1), None));
         node.event(Event::KernelLinked(0));
         node
@@ -126,18 +157,27 @@
     }
 
     fn boot(&mut self) {
-        self.event(Event::Kernel(Notice::Booted { cold: false, up_ms: 0.0 }));
+        self.event(Event::Kernel(Notice::Booted {
+            cold: false,
+            up_ms: 0.0,
+        }));
         self.info();
     }
 
     /// The kernel answers the last question for gauges.
     fn info(&mut self) {
         let mark = self.core.out(|out| out.asked).unwrap();
-        self.event(Event::Kernel(Notice::Info { mark, values: vec![0.5, 0.1] }));
+        self.event(Event::Kernel(Notice::Info {
+            mark,
+            values: vec![0.5, 0.1],
+        }));
     }
 
     fn event(&mut self, event: Event) {
-        let moment = Moment { now: self.now, unix_ms: self.now / MS };
+        let moment = Moment {
+            now: self.now,
+            unix_ms: self.now / MS,
+        };
         self.core.handle(moment, event);
     }
 
@@ -172,7 +212,13 @@
             self.event(Event::Connected(self.conn, None));
         }
         let (params, body) = (support::pairs(params), body.to_vec());
-        let request = fastcgi::Request { id, keep_conn: true, params, body, oversize: false };
+        let request = fastcgi::Request {
+            id,
+            keep_conn: true,
+            params,
+            body,
+            oversize: false,
+        };
         self.event(Event::Front(self.conn, fastcgi::Event::Request(request)));
     }
 
@@ -182,15 +228,31 @@
     }
 
     fn reap(&mut self, rid: &str, end: End, body: &[u8]) {
-        self.event(Event::Kernel(Notice::Reap { rid: rid.into(), end, time_ms: 5.0, body: body.to_vec() }));
+        self.event(Event::Kernel(Notice::Reap {
+            rid: rid.into(),
+            end,
+            time_ms: 5.0,
+            body: body.to_vec(),
+        }));
     }
 
     fn call_wanted(&mut self, rid: &str, no: u64) {
-        self.event(Event::Kernel(Notice::IoReq { no, rid: rid.into(), body: b"call".to_vec() }));
+        self.event(Event::Kernel(Notice::IoReq {
+            no,
+            rid: rid.into(),
+            body: b"call".to_vec(),
+        }));
     }
 
     fn reply(&mut self, place: usize, rid: &str, outcome: Outcome) {
-        self.event(Event::Reply(place, backend::Reply { id: rid.into(), outcome, body: b"reply".to_vec() }));
+        self.event(Event::Reply(
+            place,
+            backend::Reply {
+                id: rid.into(),
+                outcome,
+                body: b"reply".to_vec(),
+            },
+        ));
     }
 
     fn last_call(&mut self) -> (usize, CallNo, InvId, String) {
@@ -202,11 +264,15 @@
     }
 
     fn answers(&mut self) -> Vec<Answer> {
-        self.core.out(|out| support::answers(&mut out.written, &mut BTreeMap::new()))
+        self.core
+            .out(|out| support::answers(&mut out.written, &mut BTreeMap::new()))
     }
 
     fn statuses(&mut self) -> Vec<(u16, String)> {
-        self.answers().into_iter().map(|a| (a.id, a.status)).collect()
+        self.answers()
+            .into_iter()
+            .map(|a| (a.id, a.status))
+            .collect()
     }
 
     /// What the kernel was told, but for questions for gauges.
@@ -221,8 +287,14 @@
     /// A new link, up to where the kernel sends what was missed.
     fn relink(&mut self, last: u64) {
         self.event(Event::KernelLinked(last));
-        assert_eq!(self.kernel_lines(), [format!(r#"{{"t":"OPEN","no":{last}}}"#)]);
-        self.event(Event::Kernel(Notice::Booted { cold: false, up_ms: 100.0 }));
+        assert_eq!(
+            self.kernel_lines(),
+            [format!(r#"{{"t":"OPEN","no":{last}}}"#)]
+        );
+        self.event(Event::Kernel(Notice::Booted {
+            cold: false,
+            up_ms: 100.0,
+        }));
     }
 
     fn counted(&self, what: &str) -> u64 {
@@ -260,7 +332,10 @@
     node.wait(5000);
     node.send(2, &support::call("/call/read", B, "1000"), b"");
     let answers = node.answers();
-    assert_eq!((&answers[0].status[..], &answers[1].status[..]), ("500", "429"));
+    assert_eq!(
+        (&answers[0].status[..], &answers[1].status[..]),
+        ("500", "429")
+    );
     assert_eq!(answers[1].fields["X-Stop-Trying"], "1");
     assert!(answers[1].fields.contains_key("X-Backend-Says"));
     assert_eq!(node.kernel_lines().len(), 1);
@@ -294,7 +369,10 @@
         (but("HTTP_X_ARRIVED_MS", Some("-5")), "400"),
         (but("HTTP_X_ARRIVED_MS", None), "400"),
         (but("HTTP_X_ARRIVED_MS", Some("9999999")), "400"),
-        (but("HTTP_X_ARRIVED_MS", Some("18446744073709551615")), "400"),
+        (
+            but("HTTP_X_ARRIVED_MS", Some("18446744073709551615")),
+            "400",
+        ),
         (but("HTTP_X_CRITICALITY", Some("1.5")), "400"),
         (but("HTTP_X_CRITICALITY", Some("inf")), "400"),
         (but("HTTP_X_ESTIMATE_MS", Some("-1")), "400"),
@@ -309,7 +387,11 @@
     ];
     for (i, (params, status)) in cases.iter().enumerate() {
         node.send(i as u16, params, b"");
-        assert_eq!(node.statuses(), [(i as u16, status.to_string())], "{params:?}");
+        assert_eq!(
+            node.statuses(),
+            [(i as u16, status.to_string())],
+            "{params:?}"
+        );
     }
     assert_eq!(node.kernel_lines().len(), 0);
     let long_past = support::call("/call/read", A, "1000");
@@ -336,7 +418,12 @@
     }
     let answers = node.answers();
     let unseen = |a: &Answer| a.protocol_status == ProtocolStatus::Overloaded as u8;
-    assert!(answers.iter().all(|a| unseen(a) == (a.id == fastcgi::MAX_OPEN as u16)), "{answers:?}");
+    assert!(
+        answers
+            .iter()
+            .all(|a| unseen(a) == (a.id == fastcgi::MAX_OPEN as u16)),
+        "{answers:?}"
+    );
 }
 
 #[test]
@@ -347,15 +434,24 @@
     node.kernel_lines();
     node.event(Event::Front(ConnId(1), fastcgi::Event::Abort(2)));
     node.event(Event::Front(ConnId(1), fastcgi::Event::Abort(1)));
-    assert_eq!(node.kernel_lines(), [format!(r#"{{"t":"PREEMPT","rid":"{A}"}}"#)]);
+    assert_eq!(
+        node.kernel_lines(),
+        [format!(r#"{{"t":"PREEMPT","rid":"{A}"}}"#)]
+    );
     node.reap(A, End::Stopped, b"");
     let ends = node.answers();
-    assert!(ends.len() == 2 && ends.iter().all(|a| a.status.is_empty()), "{ends:?}");
+    assert!(
+        ends.len() == 2 && ends.iter().all(|a| a.status.is_empty()),
+        "{ends:?}"
+    );
     // Both ids may be used again, on the connection and at the kernel.
     node.ask(1, "/call/read", B);
     assert_eq!(node.kernel_lines(), [sched(B, "read")]);
     node.event(Event::Disconnected(ConnId(1)));
-    assert_eq!(node.kernel_lines(), [format!(r#"{{"t":"PREEMPT","rid":"{B}"}}"#)]);
+    assert_eq!(
+        node.kernel_lines(),
+        [format!(r#"{{"t":"PREEMPT","rid":"{B}"}}"#)]
+    );
 }
 
 #[test]
@@ -375,9 +471,18 @@
     let mut node = Node::new();
     node.ask(1, "/call/read", A);
     let params = support::pairs(&[("SCRIPT_NAME", "/ping")]);
-    let check = fastcgi::Request { id: 2, keep_conn: false, params, body: Vec::new(), oversize: false };
+    let check = fastcgi::Request {
+        id: 2,
+        keep_conn: false,
+        params,
+        body: Vec::new(),
+        oversize: false,
+    };
     node.event(Event::Front(ConnId(1), fastcgi::Event::Request(check)));
-    assert_eq!((node.statuses(), node.core.out(|out| out.closed.len())), (vec![(2, "200".into())], 0));
+    assert_eq!(
+        (node.statuses(), node.core.out(|out| out.closed.len())),
+        (vec![(2, "200".into())], 0)
+    );
     node.reap(A, End::Ok, b"");
     assert_eq!(node.core.out(|out| out.closed.clone()), [ConnId(1)]);
 }
@@ -389,9 +494,18 @@
     node.ask(1, "/call/read", B);
     assert_eq!(node.kernel_lines(), [sched(A, "read")]);
     let conn = node.conn;
-    assert_eq!(node.core.out(|out| (out.deaf.clone(), out.closed.len())), (vec![conn], 0));
+    assert_eq!(
+        node.core.out(|out| (out.deaf.clone(), out.closed.len())),
+        (vec![conn], 0)
+    );
     node.reap(A, End::Ok, b"first");
-    assert_eq!(node.answers().iter().map(|a| &a.body[..]).collect::<Vec<_>>(), [b"first"]);
+    assert_eq!(
+        node.answers()
+            .iter()
+            .map(|a| &a.body[..])
+            .collect::<Vec<_>>(),
+        [b"first"]
+    );
     assert_eq!(node.core.out(|out| out.closed.clone()), [conn]);
 }
 
@@ -409,11 +523,24 @@
     node.wait(20);
     assert_eq!(node.core.out(|out| out.closed.len()), 1);
     node.wait(20);
-    assert_eq!(node.core.out(|out| out.closed.clone()), [ConnId(2), ConnId(1)]);
-    // What the reader had handed on before the order came was read: it is answered, and the order is void.
+    assert_eq!(
+        node.core.out(|out| out.closed.clone()),
+        [ConnId(2), ConnId(1)]
+    );
+    // What the reader had handed on before the order came was read: it is answered, and the order
+    // is void.
     assert_eq!(node.core.out(|out| out.closes[&ConnId(1)].heard), 1);
-    let (keep_conn, params) = (true, support::pairs(&support::call("/call/read", B, "3000")));
-    let request = fastcgi::Request { id: 2, keep_conn, params, body: b"body".to_vec(), oversize: false };
+    let (keep_conn, params) = (
+        true,
+        support::pairs(&support::call("/call/read", B, "3000")),
+    );
+    let request = fastcgi::Request {
+        id: 2,
+        keep_conn,
+        params,
+        body: b"body".to_vec(),
+        oversize: false,
+    };
     node.event(Event::Front(ConnId(1), fastcgi::Event::Request(request)));
     assert_eq!(node.kernel_lines()[1..], [sched(B, "read")]);
     assert_eq!(node.statuses(), [(1, "200".into())]);
@@ -421,7 +548,11 @@
     assert_eq!(node.statuses(), [(2, "200".into())]);
     node.wait(40);
     assert_eq!(node.core.out(|out| out.closed[2..].to_vec()), [ConnId(1)]);
-    assert_eq!(node.core.out(|out| out.closes[&ConnId(1)].heard), 2, "the next order knows of it");
+    assert_eq!(
+        node.core.out(|out| out.closes[&ConnId(1)].heard),
+        2,
+        "the next order knows of it"
+    );
 }
 
 #[test]
@@ -446,7 +577,10 @@
     node.conn = ConnId(3);
     node.ask(9, "/call/read", A); // something is open on it
     (0..4).for_each(|_| node.event(Event::Crowded));
-    assert_eq!(node.core.out(|out| out.closed.clone()), [ConnId(4), ConnId(1), ConnId(5), ConnId(2)]);
+    assert_eq!(
+        node.core.out(|out| out.closed.clone()),
+        [ConnId(4), ConnId(1), ConnId(5), ConnId(2)]
+    );
     // Above the mark each new connection makes room before it is needed.
     (100..136).for_each(|conn| node.event(Event::Connected(ConnId(conn), None)));
     node.wait(200);
@@ -459,7 +593,10 @@
 #[test]
 fn strangers_are_read_ever_more_slowly_and_then_closed() {
     let mut node = Node::new();
-    let paced = |node: &mut Node| node.core.out(|out| out.paced.iter().map(|p| p.1 / MS).collect::<Vec<_>>());
+    let paced = |node: &mut Node| {
+        node.core
+            .out(|out| out.paced.iter().map(|p| p.1 / MS).collect::<Vec<_>>())
+    };
     for id in 1..=6 {
         assert_eq!(node.core.out(|out| out.closed.len()), 0);
         node.ask(id, "/call/dance", A);
@@ -467,7 +604,10 @@
     assert_eq!(paced(&mut node), [50, 100, 200, 400, 800, 1600]);
     assert_eq!(node.core.out(|out| out.closed.clone()), [ConnId(1)]);
     node.ask(1, "/call/read", A); // on a new connection; the kernel does not know it
-    node.event(Event::Kernel(Notice::EInval { command: "SCHED".into(), rid: A.into() }));
+    node.event(Event::Kernel(Notice::EInval {
+        command: "SCHED".into(),
+        rid: A.into(),
+    }));
     assert_eq!(paced(&mut node).len(), 7);
     node.ask(2, "/call/read", B); // but this succeeds
     node.reap(B, End::Ok, b"");
@@ -610,12 +750,22 @@
 fn a_new_configuration_moves_the_kernels_link_without_doubt() {
     let mut node = Node::new();
     let address = ([127, 0, 0, 1], 1).into();
-    let peers = Peers { kernel: address, members: address, backend: Some(address) };
+    let peers = Peers {
+        kernel: address,
+        members: address,
+        backend: Some(address),
+    };
     node.ask(1, "/call/pay", A);
     assert_eq!(node.kernel_lines(), [sched(A, "pay")]);
-    node.event(Event::Moved(Moved { peers, kept: vec![] }));
+    node.event(Event::Moved(Moved {
+        peers,
+        kept: vec![],
+    }));
     node.ask(2, "/call/read", B);
-    assert_eq!((node.kernel_lines(), node.core.out(|out| out.renewed)), (vec![], 0)); // on its way, and waiting
+    assert_eq!(
+        (node.kernel_lines(), node.core.out(|out| out.renewed)),
+        (vec![], 0)
+    ); // on its way, and waiting
     node.info();
     assert_eq!(node.core.out(|out| out.renewed), 1);
     node.info(); // the old link says nothing that counts any more
@@ -625,14 +775,21 @@
     assert_eq!(node.counted("runs in doubt after a broken link"), 0);
     node.reap(A, End::Ok, b"result");
     assert_eq!(node.kernel_lines(), [sched(B, "read")]);
-    node.event(Event::Moved(Moved { peers, kept: vec![] }));
+    node.event(Event::Moved(Moved {
+        peers,
+        kept: vec![],
+    }));
     node.wait(150); // a kernel that says nothing is not waited for
     assert_eq!(node.core.out(|out| out.renewed), 2);
-    node.event(Event::Moved(Moved { peers, kept: vec![] })); // nor is a link that is going already
+    node.event(Event::Moved(Moved {
+        peers,
+        kept: vec![],
+    })); // nor is a link that is going already
     assert_eq!(node.core.out(|out| out.renewed), 3);
 }
 
-/// Half a notice and then nothing, on a link that stays open: all that ran once waited for its client timeout.
+/// Half a notice and then nothing, on a link that stays open: all that ran once waited for its
+/// client timeout.
 #[test]
 fn a_link_that_brings_nothing_is_made_anew_and_a_late_kernel_is_waited_for() {
     let renewed = |node: &mut Node| node.core.out(|out| out.renewed);
@@ -642,7 +799,13 @@
     node.ask(1, "/call/read", A);
     assert_eq!(renewed(&mut node), 0);
     node.wait(1200);
-    assert_eq!((renewed(&mut node), node.counted("kernel: links gone silent")), (1, 1));
+    assert_eq!(
+        (
+            renewed(&mut node),
+            node.counted("kernel: links gone silent")
+        ),
+        (1, 1)
+    );
     node.break_link();
     node.kernel_lines();
     node.relink(0);
@@ -724,8 +887,14 @@
 fn a_run_that_the_kernel_does_not_take_errs() {
     let mut node = Node::new();
     node.ask(1, "/call/read", A);
-    node.event(Event::Kernel(Notice::EInval { command: "SCHED".into(), rid: A.into() }));
-    node.event(Event::Kernel(Notice::EInval { command: "NOIO".into(), rid: "zz".into() }));
+    node.event(Event::Kernel(Notice::EInval {
+        command: "SCHED".into(),
+        rid: A.into(),
+    }));
+    node.event(Event::Kernel(Notice::EInval {
+        command: "NOIO".into(),
+        rid: "zz".into(),
+    }));
     assert_eq!(node.statuses(), [(1, "500".into())]);
     assert_eq!(node.counted("kernel: commands not carried out"), 2);
 }
@@ -738,10 +907,16 @@
     node.ask(1, "/call/read", A);
     node.call_wanted(A, 1);
     let (_, _, _, bytes) = node.last_call();
-    assert!(bytes.starts_with(&format!("invoke {A} ")) && bytes.ends_with(" 4\r\ncall\r\n"), "{bytes}");
+    assert!(
+        bytes.starts_with(&format!("invoke {A} ")) && bytes.ends_with(" 4\r\ncall\r\n"),
+        "{bytes}"
+    );
     node.kernel_lines();
     node.reply(0, A, Outcome::Ok);
-    assert_eq!(node.kernel_lines(), [format!(r#"{{"t":"IODONE","rid":"{A}","b64":"cmVwbHk="}}"#)]);
+    assert_eq!(
+        node.kernel_lines(),
+        [format!(r#"{{"t":"IODONE","rid":"{A}","b64":"cmVwbHk="}}"#)]
+    );
 }
 
 #[test]
@@ -755,7 +930,10 @@
     node.kernel_lines();
     let (first, ..) = node.last_call();
     node.wait(20); // far longer: it is given up and made again
-    assert_eq!(node.core.out(|out| out.cancelled.clone()), [(first, format!("cancel {A}\r\n"))]);
+    assert_eq!(
+        node.core.out(|out| out.cancelled.clone()),
+        [(first, format!("cancel {A}\r\n"))]
+    );
     assert_eq!(node.calls(), 3);
     let (second, ..) = node.last_call();
     assert_ne!(first, second);
@@ -767,8 +945,15 @@
 
 #[test]
 fn what_may_have_run_below_is_not_called_again() {
-    let link = |generation| BackendLink { place: 0, generation };
-    for (path, written, again) in [("/call/read", true, 2), ("/call/pay", true, 1), ("/call/pay", false, 2)] {
+    let link = |generation| BackendLink {
+        place: 0,
+        generation,
+    };
+    for (path, written, again) in [
+        ("/call/read", true, 2),
+        ("/call/pay", true, 1),
+        ("/call/pay", false, 2),
+    ] {
         let mut node = Node::new();
         node.ask(1, path, A);
         node.call_wanted(A, 1);
@@ -791,7 +976,10 @@
     node.ask(1, "/call/pay", A);
     node.call_wanted(A, 1);
     let (_, no, id, _) = node.last_call();
-    let link = BackendLink { place: 0, generation: 1 };
+    let link = BackendLink {
+        place: 0,
+        generation: 1,
+    };
     node.event(Event::BackendLost(link, None));
     assert_eq!(node.statuses(), []);
     node.event(Event::CallWritten(no, id, link));
@@ -803,12 +991,19 @@
 fn what_is_malformed_or_cut_is_counted_by_cause() {
     let mut node = Node::new();
     node.ask(1, "/call/read", A);
-    let link = BackendLink { place: 0, generation: 1 };
+    let link = BackendLink {
+        place: 0,
+        generation: 1,
+    };
     node.event(Event::Garbled(node.conn, "record of an unknown version"));
     node.event(Event::CutShort);
     node.event(Event::BackendLost(link, Some("reply cut short")));
     let counted = |what: &str| node.core.desk.borrow().counted(what);
-    let causes = ["record of an unknown version", "dispatcher: request cut short", "reply cut short"];
+    let causes = [
+        "record of an unknown version",
+        "dispatcher: request cut short",
+        "reply cut short",
+    ];
     assert_eq!(causes.map(counted), [1; 3]);
     node.reap(A, End::Ok, b"result");
     assert_eq!(node.statuses(), [(1, "200".into())]);
@@ -827,8 +1022,8 @@
     assert_eq!(node.core.out(|out| out.resting.clone()), [1, 0]);
 }
 
-/// A back end that swallows one reply and keeps the connection open answers no other call on it either. With all
-/// calls on one connection every later one timed out.
+/// A back end that swallows one reply and keeps the connection open answers no other call on it
+/// either. With all calls on one connection every later one timed out.
 #[test]
 fn calls_are_spread_and_go_round_a_link_that_has_gone_silent() {
     let mut node = Node::with(&support::SETTINGS.replace("\"Cores\": 1", "\"Cores\": 20"));
@@ -860,7 +1055,10 @@
         (|node| node.wait(2980), "its limit"),
         (|node| node.reply(0, A, Outcome::Ok), "its reply"),
         (|node| node.reap(A, End::Stopped, b""), "the end of its run"),
-        (|node| node.event(Event::CallUnsent(CallNo(1), InvId(1))), "word that it was not written"),
+        (
+            |node| node.event(Event::CallUnsent(CallNo(1), InvId(1))),
+            "word that it was not written",
+        ),
     ];
     for (way, what) in ways {
         let mut node = Node::new();
@@ -869,7 +1067,10 @@
         let wanted = node.core.out(|out| out.wanted[0].clone());
         assert!(wanted.is_so());
         way(&mut node);
-        assert!(!wanted.is_so(), "after {what} it must not be written any more");
+        assert!(
+            !wanted.is_so(),
+            "after {what} it must not be written any more"
+        );
     }
 }
 
@@ -885,7 +1086,11 @@
         node.ask(1, "/call/pay", A);
         node.call_wanted(A, 1);
         node.reply(0, A, outcome);
-        assert_eq!((node.calls() == 2, node.statuses().is_empty()), (again, again), "{outcome:?}");
+        assert_eq!(
+            (node.calls() == 2, node.statuses().is_empty()),
+            (again, again),
+            "{outcome:?}"
+        );
     }
 }
 
@@ -895,7 +1100,10 @@
     node.core.out(|out| out.no_room_below = true);
     node.ask(1, "/call/pay", A);
     node.call_wanted(A, 1);
-    assert_eq!((node.calls(), node.statuses()), (3, vec![(1, "500".into())]));
+    assert_eq!(
+        (node.calls(), node.statuses()),
+        (3, vec![(1, "500".into())])
+    );
 }
 
 #[test]
@@ -934,7 +1142,10 @@
     ask(&mut node, 3, "00000000000000cc");
     let answers = node.answers();
     assert_eq!(
-        answers.iter().map(|a| (a.id, &a.body[..])).collect::<Vec<_>>(),
+        answers
+            .iter()
+            .map(|a| (a.id, &a.body[..]))
+            .collect::<Vec<_>>(),
         [(1, &b"shared"[..]), (2, b"shared"), (3, b"shared")]
     );
     node.wait(1001);
@@ -948,11 +1159,18 @@
 #[test]
 fn reads_about_one_subject_are_alike_only_with_one_body_and_tenant() {
     let settings = support::SETTINGS.replace("\"Fresh\": 0.0", "\"Fresh\": 1.0");
-    let mut node = Node::with(&settings.replace("}]}", r#"}, {"Name": "other", "QuotaRps": 50.0}]}"#));
+    let mut node =
+        Node::with(&settings.replace("}]}", r#"}, {"Name": "other", "QuotaRps": 50.0}]}"#));
     let ask = |node: &mut Node, id, rid, tenant, body: &[u8]| {
         let params = support::call("/call/read", rid, "1000");
-        let params: Vec<_> = params.into_iter().filter(|(name, _)| *name != "HTTP_X_ORG").collect();
-        let more = vec![("HTTP_X_SUBJECT", "7f3a9c21e0b4d655"), ("HTTP_X_ORG", tenant)];
+        let params: Vec<_> = params
+            .into_iter()
+            .filter(|(name, _)| *name != "HTTP_X_ORG")
+            .collect();
+        let more = vec![
+            ("HTTP_X_SUBJECT", "7f3a9c21e0b4d655"),
+            ("HTTP_X_ORG", tenant),
+        ];
         node.send(id, &[params, more].concat(), body);
     };
     ask(&mut node, 1, A, "acme", b"body");
@@ -960,7 +1178,11 @@
     node.kernel_lines();
     node.answers();
     ask(&mut node, 2, B, "other", b"body");
-    assert_eq!(node.kernel_lines(), [sched(B, "read")], "another customer's answer is not theirs");
+    assert_eq!(
+        node.kernel_lines(),
+        [sched(B, "read")],
+        "another customer's answer is not theirs"
+    );
     node.reap(B, End::Ok, b"theirs");
     ask(&mut node, 3, "00000000000000cc", "acme", b"else");
     assert_eq!(node.kernel_lines().len(), 1, "another question");
@@ -982,7 +1204,10 @@
     assert!(node.core.out(|out| out.stopped));
     node.kernel_lines();
     node.ask(3, "/call/read", "00000000000000cc");
-    assert_eq!((node.kernel_lines(), node.statuses()), (vec![], vec![(3, "429".into())]));
+    assert_eq!(
+        (node.kernel_lines(), node.statuses()),
+        (vec![], vec![(3, "429".into())])
+    );
     node.reap(A, End::Ok, b"");
     assert_eq!(node.kernel_lines(), [sched(B, "read")]);
     node.wait(2349); // the stop is in 150 ms
@@ -990,7 +1215,10 @@
     assert_eq!(node.core.out(|out| out.closed.clone()), [ConnId(1)]);
     assert!(!node.core.has_left());
     node.event(Event::Disconnected(ConnId(1)));
-    assert!(!node.core.has_left(), "a connection may wait in the listen backlog");
+    assert!(
+        !node.core.has_left(),
+        "a connection may wait in the listen backlog"
+    );
     node.event(Event::NotListening);
     assert!(node.core.has_left());
 }
@@ -1003,5 +1231,8 @@
     node.boot();
     node.kernel_lines();
     node.ask(1, "/call/read", A);
-    assert_eq!((node.kernel_lines(), node.statuses()), (vec![], vec![(1, "503".into())]));
+    assert_eq!(
+        (node.kernel_lines(), node.statuses()),
+        (vec![], vec![(1, "503".into())])
+    );
 }
--- a/crates/node/src/core/tests/properties.rs
+++ b/crates/node/src/core/tests/properties.rs
@@ -1,5 +1,6 @@
-//! Settings of any customer, and what happens in any order, against the four rules: the node is given operations with odd
-//! names, any effects, times, windows and limits, and requests, repeats, leaves, broken links, calls and the notice to leave.
+//! Settings of any customer, and what happens in any order, against the four rules: the node is
+//! given operations with odd names, any effects, times, windows and limits, and requests, repeats,
+//! leaves, broken links, calls and the notice to leave.
 
 use super::*;
 use crate::kernel::Notice;
@@ -35,24 +36,60 @@
 }
 
 fn operation() -> impl Strategy<Value = Operation> {
-    let effect = prop_oneof![Just(Effect::Idempotent), Just(Effect::Tokened), Just(Effect::NonIdempotent)];
+    let effect = prop_oneof![
+        Just(Effect::Idempotent),
+        Just(Effect::Tokened),
+        Just(Effect::NonIdempotent)
+    ];
     let name = prop_oneof![3 => "[a-z]{1,8}", 1 => "[^/]{1,12}", 1 => "[ -~]{1,40}"];
-    let times = (1..5000u64, 0..8000u64, prop_oneof![1..50u64, 1000..30_000u64]);
-    (name, effect, times, any::<bool>(), any::<bool>()).prop_map(|(name, effect, times, calls, skips)| {
-        let (aim_ms, more, window_ms) = times;
-        Operation { name, effect, aim_ms, timeout_ms: aim_ms + more, window_ms, calls, skips }
-    })
+    let times = (
+        1..5000u64,
+        0..8000u64,
+        prop_oneof![1..50u64, 1000..30_000u64],
+    );
+    (name, effect, times, any::<bool>(), any::<bool>()).prop_map(
+        |(name, effect, times, calls, skips)| {
+            let (aim_ms, more, window_ms) = times;
+            Operation {
+                name,
+                effect,
+                aim_ms,
+                timeout_ms: aim_ms + more,
+                window_ms,
+                calls,
+                skips,
+            }
+        },
+    )
 }
 
 fn site() -> impl Strategy<Value = Site> {
     let words = (
-        prop_oneof![Just("none"), Just("floor"), Just("allowance"), Just("weight")],
+        prop_oneof![
+            Just("none"),
+            Just("floor"),
+            Just("allowance"),
+            Just("weight")
+        ],
         prop_oneof![Just("none"), Just("one_for_all"), Just("tier")],
         prop_oneof![Just("none"), Just("discard"), Just("freeze")],
         prop_oneof![Just("request"), Just("work")],
     );
-    let sizes = (1..40usize, 0..30usize, 0..30usize, 50.0..1e6f64, 0.0..20.0f64, 0.0..12.0f64);
-    let rest = (0.0..3.0f64, 0..3000u64, any::<bool>(), 0.0..2.0f64, 0.0..5.0f64);
+    let sizes = (
+        1..40usize,
+        0..30usize,
+        0..30usize,
+        50.0..1e6f64,
+        0.0..20.0f64,
+        0.0..12.0f64,
+    );
+    let rest = (
+        0.0..3.0f64,
+        0..3000u64,
+        any::<bool>(),
+        0.0..2.0f64,
+        0.0..5.0f64,
+    );
     let operations = prop::collection::vec(operation(), 1..5);
     let tenants = prop::collection::vec("[a-z]{1,5}|[^\u{0}]{1,10}", 0..4);
     (operations, tenants, words, sizes, rest).prop_map(|(operations, tenants, words, sizes, rest)| {
@@ -92,13 +129,24 @@
 /// What happens next. Numbers choose among what there is.
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { operation: usize, tenant: usize, repeats: Option<usize>, age_ms: u64 },
+    Ask {
+        operation: usize,
+        tenant: usize,
+        repeats: Option<usize>,
+        age_ms: u64,
+    },
     Wait(u64),
     Abort(usize),
     ConnectionEnds,
-    RunEnds { which: usize, end: u8 },
+    RunEnds {
+        which: usize,
+        end: u8,
+    },
     RunCalls(usize),
-    Reply { which: usize, outcome: u8 },
+    Reply {
+        which: usize,
+        outcome: u8,
+    },
     LinkBreaks,
     LinkBack,
     Drain,
@@ -153,12 +201,26 @@
         node.now += 100_000 * MS;
         node.core.fire(node.now);
         node.info();
-        World { site, node, sent: vec![], next: 0, running: vec![], notice: 0, linked: true, noticed: None }
+        World {
+            site,
+            node,
+            sent: vec![],
+            next: 0,
+            running: vec![],
+            notice: 0,
+            linked: true,
+            noticed: None,
+        }
     }
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Ask { operation, tenant, repeats, age_ms } => self.ask(operation, tenant, repeats, age_ms),
+            Step::Ask {
+                operation,
+                tenant,
+                repeats,
+                age_ms,
+            } => self.ask(operation, tenant, repeats, age_ms),
             Step::Wait(ms) => self.wait(ms),
             Step::Abort(which) => {
                 let open: Vec<usize> = (0..self.sent.len()).filter(|&i| self.waits(i)).collect();
@@ -166,7 +228,8 @@
                     let at = open[which % open.len()];
                     let (conn, id) = self.sent[at].place.unwrap();
                     self.sent[at].place = None;
-                    self.node.event(Event::Front(conn, fastcgi::Event::Abort(id)));
+                    self.node
+                        .event(Event::Front(conn, fastcgi::Event::Abort(id)));
                 }
             }
             Step::ConnectionEnds => {
@@ -200,9 +263,18 @@
                 let calls = self.node.core.out(|out| out.calls.clone());
                 let (place, _, _, line) = &calls[which % calls.len()];
                 let rid = line.split(' ').nth(1).unwrap().to_owned();
-                let outcomes =
-                    [Outcome::Ok, Outcome::Overload, Outcome::Internal, Outcome::Deadline, Outcome::Stale];
-                self.node.reply(*place, &rid, outcomes[usize::from(outcome) % outcomes.len()]);
+                let outcomes = [
+                    Outcome::Ok,
+                    Outcome::Overload,
+                    Outcome::Internal,
+                    Outcome::Deadline,
+                    Outcome::Stale,
+                ];
+                self.node.reply(
+                    *place,
+                    &rid,
+                    outcomes[usize::from(outcome) % outcomes.len()],
+                );
             }
             Step::LinkBreaks if self.linked => {
                 self.linked = false;
@@ -211,7 +283,10 @@
             Step::LinkBack if !self.linked => {
                 self.linked = true;
                 self.node.event(Event::KernelLinked(self.notice));
-                self.node.event(Event::Kernel(Notice::Booted { cold: false, up_ms: 100.0 }));
+                self.node.event(Event::Kernel(Notice::Booted {
+                    cold: false,
+                    up_ms: 100.0,
+                }));
                 self.node.info();
             }
             Step::Drain => {
@@ -230,12 +305,19 @@
     fn ask(&mut self, operation: usize, tenant: usize, repeats: Option<usize>, age_ms: u64) {
         let of = operation % self.site.operations.len();
         // A repeat bears the key of an earlier try of its operation.
-        let earlier: Vec<usize> = (0..self.sent.len()).filter(|&i| self.sent[i].operation == of).collect();
+        let earlier: Vec<usize> = (0..self.sent.len())
+            .filter(|&i| self.sent[i].operation == of)
+            .collect();
         let key = match repeats.filter(|_| !earlier.is_empty()) {
             Some(which) => self.sent[earlier[which % earlier.len()]].key,
             None => self.sent.len(),
         };
-        let Operation { name, effect, timeout_ms, .. } = self.site.operations[of].clone();
+        let Operation {
+            name,
+            effect,
+            timeout_ms,
+            ..
+        } = self.site.operations[of].clone();
         let rid = format!("{:016x}", self.sent.len() + 1);
         let arrived = self.node.now - age_ms * MS;
         let path = format!("/call/{name}");
@@ -244,7 +326,10 @@
         params.retain(|(name, _)| *name != "HTTP_X_ORG");
         let tenants = self.site.tenants.clone();
         if !tenants.is_empty() {
-            params.push(("HTTP_X_ORG", &tenants[tenant_of(key, tenant, tenants.len(), effect)]));
+            params.push((
+                "HTTP_X_ORG",
+                &tenants[tenant_of(key, tenant, tenants.len(), effect)],
+            ));
         }
         match effect {
             Effect::Tokened => params.push(("HTTP_X_OPERATION_KEY", &key_text)),
@@ -268,8 +353,15 @@
             answers: 0,
             started: vec![],
         });
-        let request = fastcgi::Request { id, keep_conn: true, params, body, oversize: false };
-        self.node.event(Event::Front(conn, fastcgi::Event::Request(request)));
+        let request = fastcgi::Request {
+            id,
+            keep_conn: true,
+            params,
+            body,
+            oversize: false,
+        };
+        self.node
+            .event(Event::Front(conn, fastcgi::Event::Request(request)));
     }
 
     /// In small parts, so that what is due is seen when it is.
@@ -302,24 +394,41 @@
         }
         for answer in self.node.answers() {
             // What its caller left may have an answer all the same.
-            let at = self.sent.iter().position(|s| s.place.is_some_and(|p| p.1 == answer.id));
+            let at = self
+                .sent
+                .iter()
+                .position(|s| s.place.is_some_and(|p| p.1 == answer.id));
             let Some(at) = at else { continue };
             let sent = &mut self.sent[at];
             sent.answers += 1;
             assert_eq!(sent.answers, 1, "{}: one answer", sent.rid);
-            assert!(now <= sent.due + 50 * MS, "{}: {} ms late", sent.rid, (now - sent.due) / MS);
+            assert!(
+                now <= sent.due + 50 * MS,
+                "{}: {} ms late",
+                sent.rid,
+                (now - sent.due) / MS
+            );
             let effect = self.site.operations[sent.operation].effect;
             if effect != Effect::Idempotent && !sent.started.is_empty() {
-                assert!(!["429", "503"].contains(&&answer.status[..]), "{}: ran, and is throttled", sent.rid);
+                assert!(
+                    !["429", "503"].contains(&&answer.status[..]),
+                    "{}: ran, and is throttled",
+                    sent.rid
+                );
             }
         }
         for at in 0..self.sent.len() {
             let sent = &self.sent[at];
-            assert!(!self.waits(at) || now <= sent.due + 50 * MS, "{}: no answer in its time", sent.rid);
+            assert!(
+                !self.waits(at) || now <= sent.due + 50 * MS,
+                "{}: no answer in its time",
+                sent.rid
+            );
         }
     }
 
-    /// The kernel is told to run something: for what runs already nothing happens, what is over is MOOT.
+    /// The kernel is told to run something: for what runs already nothing happens, what is over is
+    /// MOOT.
     fn scheduled(&mut self, now: Nanos, rid: &str) {
         let at = self.sent.iter().position(|s| s.rid == rid).unwrap();
         if self.running.contains(&at) {
@@ -329,21 +438,32 @@
             self.notice += 1;
             return self.node.reap(rid, End::Moot, b"");
         }
-        let (operation, key, arrived) = (self.sent[at].operation, self.sent[at].key, self.sent[at].arrived);
-        let Operation { effect, window_ms, .. } = self.site.operations[operation];
+        let (operation, key, arrived) = (
+            self.sent[at].operation,
+            self.sent[at].key,
+            self.sent[at].arrived,
+        );
+        let Operation {
+            effect, window_ms, ..
+        } = self.site.operations[operation];
         if effect == Effect::NonIdempotent {
             assert!(self.sent[at].started.is_empty(), "{rid}: runs twice");
         }
         if effect == Effect::Tokened {
-            let alike = |s: &&Sent| s.operation == operation && s.key == key && !s.started.is_empty();
+            let alike =
+                |s: &&Sent| s.operation == operation && s.key == key && !s.started.is_empty();
             for other in self.sent.iter().filter(alike) {
-                let in_window = arrived <= other.arrived + window_ms * MS && other.arrived <= arrived;
+                let in_window =
+                    arrived <= other.arrived + window_ms * MS && other.arrived <= arrived;
                 assert!(!in_window, "{rid}: {} of its key has run", other.rid);
             }
         }
         if let Some(noticed) = self.noticed {
             let grace = noticed + self.site.grace_ms * MS;
-            assert!(arrived <= grace + MS, "{rid}: arrived past the grace and runs");
+            assert!(
+                arrived <= grace + MS,
+                "{rid}: arrived past the grace and runs"
+            );
         }
         self.sent[at].started.push(now);
         self.running.push(at);
@@ -352,7 +472,11 @@
 
 /// A repeat is of the tenant of what it repeats.
 fn tenant_of(key: usize, tenant: usize, tenants: usize, effect: Effect) -> usize {
-    if effect == Effect::Tokened { key % tenants } else { tenant % tenants }
+    if effect == Effect::Tokened {
+        key % tenants
+    } else {
+        tenant % tenants
+    }
 }
 
 proptest! {
--- a/crates/node/src/core/tests/repeats.rs
+++ b/crates/node/src/core/tests/repeats.rs
@@ -1,5 +1,5 @@
-//! Repeats of tokened operations, which bear the key that the platform sends: what ran within the window never runs again,
-//! whatever crosses it.
+//! Repeats of tokened operations, which bear the key that the platform sends: what ran within the
+//! window never runs again, whatever crosses it.
 
 use super::*;
 
@@ -16,7 +16,11 @@
         let arrived = (self.now / MS - age_ms).to_string();
         let named = |(name, _): &(&str, &str)| more.iter().all(|(n, _)| n != name);
         let call = support::call("/call/book", rid, &arrived);
-        let params: Vec<_> = call.into_iter().filter(named).chain(more.iter().copied()).collect();
+        let params: Vec<_> = call
+            .into_iter()
+            .filter(named)
+            .chain(more.iter().copied())
+            .collect();
         self.send(id, &params, body);
     }
 
@@ -29,7 +33,10 @@
     }
 
     fn bodies(&mut self) -> Vec<(String, Vec<u8>)> {
-        self.answers().into_iter().map(|a| (a.status, a.body)).collect()
+        self.answers()
+            .into_iter()
+            .map(|a| (a.status, a.body))
+            .collect()
     }
 }
 
@@ -42,30 +49,53 @@
     let mut node = Node::new();
     node.try_of(1, A, KEY, 0);
     node.try_of(2, B, KEY, 0);
-    assert_eq!(node.kernel_lines(), [sched(A, "book")], "the repeat waits for what it repeats");
+    assert_eq!(
+        node.kernel_lines(),
+        [sched(A, "book")],
+        "the repeat waits for what it repeats"
+    );
     node.reap(A, End::Ok, b"done");
     assert_eq!(node.bodies(), [done(), done()]);
     node.wait(4900);
     node.try_of(3, C, KEY, 0);
-    assert_eq!((node.bodies(), node.kernel_lines().len()), (vec![done()], 0), "from what is kept");
+    assert_eq!(
+        (node.bodies(), node.kernel_lines().len()),
+        (vec![done()], 0),
+        "from what is kept"
+    );
 }
 
 #[test]
 fn keys_of_tenants_operations_and_bodies_do_not_meet() {
-    let settings = support::SETTINGS.replace("}]}", r#"}, {"Name": "other", "QuotaRps": 50.0}]}"#).to_owned();
+    let settings = support::SETTINGS
+        .replace("}]}", r#"}, {"Name": "other", "QuotaRps": 50.0}]}"#)
+        .to_owned();
     let mut node = Node::with(&settings);
     node.ran();
     // The same key of another tenant is another invocation: nobody gets another customer's result.
-    node.try_as(2, B, &[("HTTP_X_OPERATION_KEY", KEY), ("HTTP_X_ORG", "other")], 0, b"body");
+    node.try_as(
+        2,
+        B,
+        &[("HTTP_X_OPERATION_KEY", KEY), ("HTTP_X_ORG", "other")],
+        0,
+        b"body",
+    );
     assert_eq!(node.kernel_lines(), [sched(B, "book")]);
     // With another body it is a mistake of the callers, which is told.
     node.try_as(3, C, &[("HTTP_X_OPERATION_KEY", KEY)], 0, b"else");
-    assert_eq!((&node.statuses()[..], node.kernel_lines().len()), (&[(3, "409".into())][..], 0));
+    assert_eq!(
+        (&node.statuses()[..], node.kernel_lines().len()),
+        (&[(3, "409".into())][..], 0)
+    );
     node.reap(B, End::Ok, b"theirs");
     // An operation that may run again has no use for it.
     node.send(
         4,
-        &[support::call("/call/read", C, "1000"), vec![("HTTP_X_OPERATION_KEY", KEY)]].concat(),
+        &[
+            support::call("/call/read", C, "1000"),
+            vec![("HTTP_X_OPERATION_KEY", KEY)],
+        ]
+        .concat(),
         b"body",
     );
     assert_eq!(node.kernel_lines(), [sched(C, "read")]);
@@ -89,13 +119,19 @@
     node.ran();
     node.wait(5900);
     node.try_of(2, B, KEY, 950);
-    assert_eq!((node.bodies(), node.kernel_lines().len()), (vec![done()], 0));
+    assert_eq!(
+        (node.bodies(), node.kernel_lines().len()),
+        (vec![done()], 0)
+    );
     // The very end, by what the protocol allows clocks to differ.
     let mut node = Node::new();
     node.ran();
     node.wait(5049);
     node.try_of(2, B, KEY, 0);
-    assert_eq!((node.bodies(), node.kernel_lines().len()), (vec![done()], 0));
+    assert_eq!(
+        (node.bodies(), node.kernel_lines().len()),
+        (vec![done()], 0)
+    );
     // What arrives later is a new invocation, and is known by the same key from then on.
     let mut node = Node::new();
     node.ran();
@@ -129,7 +165,11 @@
         node.event(Event::Connected(node.conn, None));
         node.try_of(2, B, KEY, 0);
         node.reap(A, End::Ok, b"done");
-        assert_eq!((node.bodies(), node.kernel_lines().len()), (vec![done()], 0), "aborted {aborted}");
+        assert_eq!(
+            (node.bodies(), node.kernel_lines().len()),
+            (vec![done()], 0),
+            "aborted {aborted}"
+        );
     }
 }
 
@@ -149,7 +189,10 @@
     for n in 0..2u16 {
         node.reap(&format!("{n:016x}"), End::Ok, b"");
     }
-    assert!(node.kernel_lines().contains(&sched(B, "book")), "nothing had run under its key");
+    assert!(
+        node.kernel_lines().contains(&sched(B, "book")),
+        "nothing had run under its key"
+    );
 }
 
 #[test]
@@ -158,7 +201,10 @@
     let mut node = Node::new();
     node.try_of(1, A, KEY, 0);
     node.kernel_lines();
-    node.event(Event::Kernel(Notice::EInval { command: "SCHED".into(), rid: A.into() }));
+    node.event(Event::Kernel(Notice::EInval {
+        command: "SCHED".into(),
+        rid: A.into(),
+    }));
     assert_eq!(node.statuses(), [(1, "500".into())]);
     node.try_of(2, B, KEY, 0);
     assert_eq!(node.kernel_lines(), [sched(B, "book")]);
@@ -175,7 +221,8 @@
 
 #[test]
 fn moot_to_a_second_question_proves_nothing() {
-    // The end of a run was lost with its link; asked after it, the kernel only knows that none goes on.
+    // The end of a run was lost with its link; asked after it, the kernel only knows that none goes
+    // on.
     let mut node = Node::new();
     node.try_of(1, A, KEY, 0);
     node.kernel_lines();
@@ -187,7 +234,10 @@
     node.reap(A, End::Moot, b"");
     node.kernel_lines();
     node.try_of(2, B, KEY, 0);
-    assert_eq!((node.statuses(), node.kernel_lines().len()), (vec![(2, "500".into())], 0));
+    assert_eq!(
+        (node.statuses(), node.kernel_lines().len()),
+        (vec![(2, "500".into())], 0)
+    );
 }
 
 #[test]
@@ -207,14 +257,24 @@
     };
     // It reached the machine 100 ms ago, and its caller waits for 700 ms from then.
     let (status, after) = patience(&told, &[("HTTP_X_DEADLINE_MS", "700")]);
-    assert!(status == "500" && (500..600).contains(&after), "{status} after {after} ms");
+    assert!(
+        status == "500" && (500..600).contains(&after),
+        "{status} after {after} ms"
+    );
     // Never longer than its operation's client timeout, and that where nothing is told.
     for more in [&[("HTTP_X_DEADLINE_MS", "9000")][..], &[]] {
         let (status, after) = patience(&told, more);
-        assert!(status == "500" && (2800..2900).contains(&after), "{status} after {after} ms");
+        assert!(
+            status == "500" && (2800..2900).contains(&after),
+            "{status} after {after} ms"
+        );
     }
     for wrong in ["", "-1", "nan", "x"] {
-        assert_eq!(patience(&told, &[("HTTP_X_DEADLINE_MS", wrong)]), ("400".into(), 0), "{wrong:?}");
+        assert_eq!(
+            patience(&told, &[("HTTP_X_DEADLINE_MS", wrong)]),
+            ("400".into(), 0),
+            "{wrong:?}"
+        );
     }
     // Where the settings say that it is not passed on, it means nothing.
     let (_, after) = patience(support::SETTINGS, &[("HTTP_X_DEADLINE_MS", "700")]);
@@ -232,7 +292,11 @@
     node.try_of(2, B, KEY, 0);
     node.relink(0);
     node.info();
-    assert_eq!(node.kernel_lines().len(), 0, "the first may run at this moment");
+    assert_eq!(
+        node.kernel_lines().len(),
+        0,
+        "the first may run at this moment"
+    );
     node.wait(1000);
     assert_eq!(node.statuses(), [(1, "500".into())]);
     assert_eq!(
@@ -240,10 +304,14 @@
         [sched(A, "book")],
         "its request is over: this only asks whether there is a run"
     );
-    // There was one, and its end comes: the repeat that waited gets the result, and so does one that comes later.
+    // There was one, and its end comes: the repeat that waited gets the result, and so does one
+    // that comes later.
     node.reap(A, End::Ok, b"done");
     node.try_of(3, C, KEY, 0);
-    assert_eq!((node.bodies(), node.kernel_lines().len()), (vec![done(), done()], 0));
+    assert_eq!(
+        (node.bodies(), node.kernel_lines().len()),
+        (vec![done(), done()], 0)
+    );
 }
 
 #[test]
@@ -260,7 +328,10 @@
     node.relink(0);
     node.reap(A, End::Ok, b"done");
     node.info();
-    assert_eq!((node.bodies(), node.kernel_lines().len()), (vec![done(), done()], 0));
+    assert_eq!(
+        (node.bodies(), node.kernel_lines().len()),
+        (vec![done(), done()], 0)
+    );
 }
 
 #[test]
@@ -332,7 +403,10 @@
         statuses.sort();
         let one = if end == Some(End::Ok) { "200" } else { "500" };
         assert_eq!(statuses.len(), 3, "{end:?}: {statuses:?}");
-        assert!(statuses[..2].iter().all(|(_, status)| status == one), "{end:?}: {statuses:?}");
+        assert!(
+            statuses[..2].iter().all(|(_, status)| status == one),
+            "{end:?}: {statuses:?}"
+        );
         assert_ne!(statuses[2].1, "429", "what may have run is not throttled");
     }
 }
--- a/crates/node/src/core/tests/rules.rs
+++ b/crates/node/src/core/tests/rules.rs
@@ -21,18 +21,30 @@
 
 /// Rules with limits of the whole fleet.
 pub fn fleet_sheet(rules: &str) -> Box<Sheet> {
-    read_sheet(rules, "<fleet name=\"f\" keys=\"k\"><arbiter name=\"n0\"/></fleet>")
+    read_sheet(
+        rules,
+        "<fleet name=\"f\" keys=\"k\"><arbiter name=\"n0\"/></fleet>",
+    )
 }
 
 fn read_sheet(rules: &str, fleet: &str) -> Box<Sheet> {
     let start = madderpoint_facts::decode(settings().as_bytes()).unwrap();
     let effects = start.premises.operations.iter().map(|o| o.effect);
     let operations = Some(start.operations.iter().cloned().zip(effects).collect());
-    let known = Known { operations, tenants: Some(start.tenants.clone()), ..Known::anything() };
+    let known = Known {
+        operations,
+        tenants: Some(start.tenants.clone()),
+        ..Known::anything()
+    };
     let text = format!("<translator version=\"1\"><rules>{rules}</rules>{fleet}</translator>");
-    let read = madderpoint_settings::read("rules.xml", &text, &known).unwrap_or_else(|e| panic!("{e}"));
+    let read =
+        madderpoint_settings::read("rules.xml", &text, &known).unwrap_or_else(|e| panic!("{e}"));
     let book = read.rules.unwrap();
-    Box::new(Sheet { rules: book.rules, buckets: book.buckets, fleet: book.fleet })
+    Box::new(Sheet {
+        rules: book.rules,
+        buckets: book.buckets,
+        fleet: book.fleet,
+    })
 }
 
 impl Node {
@@ -72,7 +84,11 @@
     node.reap(A, End::Ok, b"r");
     assert_eq!(node.one_answer().status, "200");
     node.ask(2, "/other/7", B);
-    assert_eq!(node.one_answer().status, "404", "what no rule matches is as without rules");
+    assert_eq!(
+        node.one_answer().status,
+        "404",
+        "what no rule matches is as without rules"
+    );
     node.ask(3, "/call/pay", C);
     assert_eq!(node.kernel_lines(), [sched(C, "pay")]);
     let tally = node.tally("old");
@@ -91,20 +107,35 @@
     node.reap(A, End::Ok, b"done");
     let answers = node.answers();
     assert!(
-        answers.len() == 2 && answers.iter().all(|a| a.status == "200" && a.body == b"done"),
+        answers.len() == 2
+            && answers
+                .iter()
+                .all(|a| a.status == "200" && a.body == b"done"),
         "{answers:?}"
     );
     // One that comes later is answered from what is kept, until the window of 5 s is over.
     node.wait(4000);
     node.ask_with(3, "/old/book/1", C, &key, b"body");
-    assert_eq!((node.one_answer().body, node.kernel_lines().len()), (b"done".to_vec(), 0));
+    assert_eq!(
+        (node.one_answer().body, node.kernel_lines().len()),
+        (b"done".to_vec(), 0)
+    );
     // Another body under the same key is a mistake, which is told and never run.
     node.ask_with(4, "/old/book/1", D, &key, b"other");
     let answer = node.one_answer();
-    assert_eq!((&answer.status[..], &answer.body[..]), ("409", &b"key in use with another body"[..]));
+    assert_eq!(
+        (&answer.status[..], &answer.body[..]),
+        ("409", &b"key in use with another body"[..])
+    );
     assert_eq!(node.kernel_lines().len(), 0);
     // Another key is another invocation.
-    node.ask_with(5, "/old/book/1", "00000000000000e1", &[("HTTP_X_KEY", "k2")], b"body");
+    node.ask_with(
+        5,
+        "/old/book/1",
+        "00000000000000e1",
+        &[("HTTP_X_KEY", "k2")],
+        b"body",
+    );
     assert_eq!(node.kernel_lines().len(), 1);
     node.reap("00000000000000e1", End::Ok, b"two");
     node.answers();
@@ -124,7 +155,11 @@
         assert_eq!(node.one_answer().status, "500");
         node.kernel_lines();
         node.ask_with(2, "/old/book/1", B, &key, b"body");
-        assert_eq!((node.one_answer().status, node.kernel_lines().len()), ("500".into(), 0), "{end:?}");
+        assert_eq!(
+            (node.one_answer().status, node.kernel_lines().len()),
+            ("500".into(), 0),
+            "{end:?}"
+        );
     }
     // Its caller left while it ran, and it ended after its client timeout.
     let mut node = Node::ruled(KEYED);
@@ -136,7 +171,10 @@
     node.answers();
     node.kernel_lines();
     node.ask_with(2, "/old/book/1", B, &key, b"body");
-    assert_eq!((node.one_answer().status, node.kernel_lines().len()), ("500".into(), 0));
+    assert_eq!(
+        (node.one_answer().status, node.kernel_lines().len()),
+        ("500".into(), 0)
+    );
 }
 
 #[test]
@@ -161,7 +199,11 @@
     node.info();
     node.kernel_lines();
     node.ask_with(2, "/old/book/1", B, &key, b"body");
-    assert_eq!(node.kernel_lines().len(), 1, "nothing had run under this key");
+    assert_eq!(
+        node.kernel_lines().len(),
+        1,
+        "nothing had run under this key"
+    );
 }
 
 #[test]
@@ -190,17 +232,29 @@
     );
     node.ask_with(1, "/call/read", A, &[("HTTP_X_SITE", "7")], b"");
     let answer = node.one_answer();
-    assert_eq!((&answer.status[..], &answer.body[..]), ("429", &b"closed for now"[..]));
+    assert_eq!(
+        (&answer.status[..], &answer.body[..]),
+        ("429", &b"closed for now"[..])
+    );
     assert_eq!(answer.fields["X-Pushback-Ms"], "500");
     node.conn = ConnId(50);
-    node.event(Event::Connected(ConnId(50), Some("10.1.2.3".parse().unwrap())));
+    node.event(Event::Connected(
+        ConnId(50),
+        Some("10.1.2.3".parse().unwrap()),
+    ));
     node.ask(1, "/call/read", B);
     assert_eq!(node.one_answer().status, "403");
     assert_eq!(node.kernel_lines(), [""; 0]);
     // A check is no invocation: rules are not asked.
     node.send(2, &[("SCRIPT_NAME", "/ping")], b"");
     assert_eq!(node.one_answer().status, "200");
-    assert_eq!((node.counted("throttled by a rule"), node.counted("errored by a rule")), (1, 1));
+    assert_eq!(
+        (
+            node.counted("throttled by a rule"),
+            node.counted("errored by a rule")
+        ),
+        (1, 1)
+    );
 }
 
 #[test]
@@ -213,7 +267,10 @@
     node.ask_with(1, "/call/read", A, &seven, b"body");
     node.ask_with(2, "/call/read", B, &seven, b"body");
     let answer = node.one_answer();
-    assert_eq!((answer.id, &answer.status[..], &answer.body[..]), (2, "429", &b"over a limit"[..]));
+    assert_eq!(
+        (answer.id, &answer.status[..], &answer.body[..]),
+        (2, "429", &b"over a limit"[..])
+    );
     assert!(answer.fields.contains_key("X-Pushback-Ms"));
     node.ask_with(3, "/call/read", C, &[("HTTP_X_SITE", "8")], b"body");
     assert_eq!(node.statuses(), [], "another key has room");
@@ -275,9 +332,30 @@
         assert_eq!(node.one_answer().status, status, "N = {n}");
     }
     node.ask(4, "/call/read", A); // N is absent
-    let line = node.core.desk.borrow_mut().rules.as_mut().unwrap().tallies().unwrap();
-    assert!(line.contains("matched 4") && line.contains("erred 3"), "{line}");
-    assert_eq!(node.core.desk.borrow_mut().rules.as_mut().unwrap().tallies(), None, "told once");
+    let line = node
+        .core
+        .desk
+        .borrow_mut()
+        .rules
+        .as_mut()
+        .unwrap()
+        .tallies()
+        .unwrap();
+    assert!(
+        line.contains("matched 4") && line.contains("erred 3"),
+        "{line}"
+    );
+    assert_eq!(
+        node.core
+            .desk
+            .borrow_mut()
+            .rules
+            .as_mut()
+            .unwrap()
+            .tallies(),
+        None,
+        "told once"
+    );
 }
 
 #[test]
@@ -296,10 +374,19 @@
     node.wait(2900);
     let statuses = node.statuses();
     assert_eq!(statuses.len(), 2, "{statuses:?}");
-    assert_eq!(node.kernel_lines().iter().filter(|l| l.contains("SCHED")).count(), 2);
+    assert_eq!(
+        node.kernel_lines()
+            .iter()
+            .filter(|l| l.contains("SCHED"))
+            .count(),
+        2
+    );
     let conn = node.conn;
     node.event(Event::Disconnected(conn));
-    assert!(!node.core.has_left(), "a connection may wait in the listen backlog");
+    assert!(
+        !node.core.has_left(),
+        "a connection may wait in the listen backlog"
+    );
     node.event(Event::NotListening);
     assert!(node.core.has_left());
 }
@@ -323,5 +410,8 @@
         let limits = desk.rules.as_ref().unwrap().limits();
         (limits.keys(), limits.bytes())
     };
-    assert!((1000..12_000).contains(&keys) && bytes < 3 << 19, "{keys} keys, {bytes} bytes");
+    assert!(
+        (1000..12_000).contains(&keys) && bytes < 3 << 19,
+        "{keys} keys, {bytes} bytes"
+    );
 }
--- a/crates/node/src/core/tests/shared.rs
+++ b/crates/node/src/core/tests/shared.rs
@@ -1,4 +1,5 @@
-//! What the fleet shares, at the core: budgets, judgements and limits by key bound what goes below and what is let in.
+//! What the fleet shares, at the core: budgets, judgements and limits by key bound what goes below
+//! and what is let in.
 
 use super::rules::{fleet_sheet, settings};
 use super::*;
@@ -9,19 +10,34 @@
 
 fn rate(limit: u32) -> Budget {
     let kind = Kind::Rate { burst: 50 * MS };
-    Budget { name: "b".into(), limit, floor: limit, nodes_most: 1, kind, repeats_only: false }
+    Budget {
+        name: "b".into(),
+        limit,
+        floor: limit,
+        nodes_most: 1,
+        kind,
+        repeats_only: false,
+    }
 }
 
 fn service() -> Service {
-    Service { name: "register".into(), slow: Some(200 * MS), zone: 1 }
+    Service {
+        name: "register".into(),
+        slow: Some(200 * MS),
+        zone: 1,
+    }
 }
 
 impl Node {
     /// A node that is part of a fleet, two seconds later.
     fn joined(budgets: &[Budget], service: Option<&Service>) -> Node {
         let mut node = Node::with(&settings());
-        let with = With { service: service.cloned(), counts: true };
-        node.core.join_fleet(node.now, budgets, Rhythm::of(3), &with);
+        let with = With {
+            service: service.cloned(),
+            counts: true,
+        };
+        node.core
+            .join_fleet(node.now, budgets, Rhythm::of(3), &with);
         node.wait(2000);
         node
     }
@@ -29,7 +45,10 @@
     /// Has one run up to its call; whether it was let in.
     fn run_to_call(&mut self, id: u16, path: &str, rid: &str) -> bool {
         self.ask(id, path, rid);
-        let runs = self.kernel_lines().iter().any(|line| line.contains("SCHED") && line.contains(rid));
+        let runs = self
+            .kernel_lines()
+            .iter()
+            .any(|line| line.contains("SCHED") && line.contains(rid));
         if runs {
             self.call_wanted(rid, 1);
         }
@@ -49,7 +68,8 @@
     format!("{n:016x}")
 }
 
-/// Of ten calls a second the next one finds room within a tenth: it waits for that, and is sent whole.
+/// Of ten calls a second the next one finds room within a tenth: it waits for that, and is sent
+/// whole.
 #[test]
 fn a_call_waits_for_room_that_comes_soon_and_is_refused_where_it_does_not() {
     let mut node = Node::joined(&[rate(10)], None);
@@ -72,7 +92,10 @@
     node.reap(A, End::Ok, b"r");
     node.answers();
     assert!(node.run_to_call(2, "/call/pay", B));
-    assert_eq!((node.calls(), node.statuses()), (1, vec![(2, "500".into())]));
+    assert_eq!(
+        (node.calls(), node.statuses()),
+        (1, vec![(2, "500".into())])
+    );
     assert!(node.counted("calls that the fleet's budgets had no room for") > 0);
 }
 
@@ -86,17 +109,38 @@
     assert!(node.run_to_call(2, "/call/pay", B) && node.calls() == 1);
     node.reap(B, End::Error, b"");
     node.wait(200);
-    assert_eq!((node.calls(), node.core.out(|out| out.cancelled.len())), (1, 0));
+    assert_eq!(
+        (node.calls(), node.core.out(|out| out.cancelled.len())),
+        (1, 0)
+    );
     assert!(node.run_to_call(3, "/call/pay", "00000000000000cc") && node.calls() == 2);
 }
 
-/// What lies below may be at work yet on a call that was given up: it counts as in hand for as long as the longest call.
+/// What lies below may be at work yet on a call that was given up: it counts as in hand for as long
+/// as the longest call.
 #[test]
 fn a_call_that_was_given_up_counts_as_in_hand_for_its_longest_time() {
     let kind = Kind::InHand { longest: 500 * MS };
-    let in_hand = Budget { name: "hands".into(), kind, ..rate(1) };
-    let ends = |node: &Node| node.core.desk.borrow_mut().budgets.as_mut().unwrap().purses()[0].in_hand();
-    for (outcome, frees) in [(Outcome::Ok, true), (Outcome::Overload, false), (Outcome::Internal, false)] {
+    let in_hand = Budget {
+        name: "hands".into(),
+        kind,
+        ..rate(1)
+    };
+    let ends = |node: &Node| {
+        node.core
+            .desk
+            .borrow_mut()
+            .budgets
+            .as_mut()
+            .unwrap()
+            .purses()[0]
+            .in_hand()
+    };
+    for (outcome, frees) in [
+        (Outcome::Ok, true),
+        (Outcome::Overload, false),
+        (Outcome::Internal, false),
+    ] {
         let mut node = Node::joined(std::slice::from_ref(&in_hand), None);
         assert!(node.run_to_call(1, "/call/read", A) && ends(&node) == 1);
         node.reply(0, A, outcome);
@@ -121,13 +165,20 @@
             node.reply(0, &rid, Outcome::Ok);
             node.reap(&rid, End::Ok, b"r");
         }
-        for answer in node.answers().iter().filter(|answer| answer.status == "429") {
+        for answer in node
+            .answers()
+            .iter()
+            .filter(|answer| answer.status == "429")
+        {
             pauses.push(answer.fields["X-Pushback-Ms"].parse::<u64>().unwrap());
         }
         node.wait(20);
     }
     assert!((19..=26).contains(&let_in), "{let_in} in 2 s and more");
-    assert!(pauses.len() > 60 && pauses.iter().all(|ms| (1..=110).contains(ms)), "{pauses:?}");
+    assert!(
+        pauses.len() > 60 && pauses.iter().all(|ms| (1..=110).contains(ms)),
+        "{pauses:?}"
+    );
     // What can do without its call is not held to that.
     assert!((0..20).all(|n| {
         let rid = rid(500 + n);
@@ -140,20 +191,27 @@
 
 #[test]
 fn repeats_of_calls_have_a_budget_of_their_own() {
-    let repeats = Budget { name: "repeats".into(), repeats_only: true, ..rate(1) };
+    let repeats = Budget {
+        name: "repeats".into(),
+        repeats_only: true,
+        ..rate(1)
+    };
     let mut node = Node::joined(&[rate(1000), repeats], None);
     assert!(node.run_to_call(1, "/call/pay", A));
     node.reply(0, A, Outcome::Overload);
     assert_eq!(node.calls(), 2, "one repeat in a second");
     node.reply(0, A, Outcome::Overload);
-    assert_eq!((node.calls(), node.statuses()), (2, vec![(1, "500".into())]));
+    assert_eq!(
+        (node.calls(), node.statuses()),
+        (2, vec![(1, "500".into())])
+    );
     // A first call is no repeat.
     node.reap(A, End::Stopped, b"");
     assert!(node.run_to_call(2, "/call/pay", B) && node.calls() == 3);
 }
 
-/// Ten calls in a row fail: the service is closed to this node. What needs it is turned away, what does not goes on without;
-/// when a try is due, one is let in for it.
+/// Ten calls in a row fail: the service is closed to this node. What needs it is turned away, what
+/// does not goes on without; when a try is due, one is let in for it.
 #[test]
 fn a_service_that_fails_is_closed_and_tried_and_load_comes_back_in_steps() {
     let mut node = Node::joined(&[], Some(&service()));
@@ -167,10 +225,16 @@
     let calls = node.calls();
     node.ask(1, "/call/pay", A);
     let answer = &node.answers()[0];
-    assert_eq!((&answer.status[..], &answer.fields["X-Pushback-Ms"][..]), ("429", "500"));
+    assert_eq!(
+        (&answer.status[..], &answer.fields["X-Pushback-Ms"][..]),
+        ("429", "500")
+    );
     assert!(node.run_to_call(2, "/call/read", B));
     assert_eq!(node.calls(), calls, "kept back");
-    assert!(node.kernel_lines().iter().any(|line| line.contains("NOIO")), "it goes on without its call");
+    assert!(
+        node.kernel_lines().iter().any(|line| line.contains("NOIO")),
+        "it goes on without its call"
+    );
     node.reap(B, End::Ok, b"r");
     // It hears nobody: a try each 5 s.
     let mut tries = 0;
@@ -192,9 +256,14 @@
         runs
     });
     assert_eq!(let_in.count(), 1, "a sixteenth");
-    assert!(
-        node.words().iter().any(|word| matches!(word, Word::Evidence(Evidence { level: 0.0, zone: 1, .. })))
-    );
+    assert!(node.words().iter().any(|word| matches!(
+        word,
+        Word::Evidence(Evidence {
+            level: 0.0,
+            zone: 1,
+            ..
+        })
+    )));
 }
 
 #[test]
@@ -203,7 +272,10 @@
     let mut calls = 0;
     while node.mode() == Mode::Open {
         let rid = rid(calls);
-        assert!(calls < 10 && node.run_to_call(1, "/call/pay", &rid), "{calls}");
+        assert!(
+            calls < 10 && node.run_to_call(1, "/call/pay", &rid),
+            "{calls}"
+        );
         node.wait(300);
         let (place, ..) = node.last_call();
         node.reply(place, &rid, Outcome::Ok);
@@ -218,7 +290,13 @@
 #[test]
 fn what_others_say_makes_a_node_careful_for_as_long_as_they_say_it() {
     let mut node = Node::joined(&[], Some(&service()));
-    let ill = Opinion { witnesses: 6, ill: 6, zones: 3, ill_zones: 3, ..Opinion::default() };
+    let ill = Opinion {
+        witnesses: 6,
+        ill: 6,
+        zones: 3,
+        ill_zones: 3,
+        ..Opinion::default()
+    };
     node.event(Event::Opinion(ill));
     assert_eq!(node.mode(), Mode::Careful);
     node.wait(6000);
@@ -230,16 +308,20 @@
     <rule name="all"><when>true</when><give>
         <limit bucket="by-org">caller.name</limit><limit bucket="hands">caller.name</limit></give></rule>"#;
 
-/// The first one of a key is throttled with a short pause, for nothing is lent yet; the question goes out at once, and what comes
-/// lets the next ones in.
+/// The first one of a key is throttled with a short pause, for nothing is lent yet; the question
+/// goes out at once, and what comes lets the next ones in.
 #[test]
 fn a_limit_by_key_of_the_fleet_asks_and_lets_in_what_was_lent() {
     let mut node = Node::joined(&[], None);
-    node.event(Event::Ruled(fleet_sheet(&BUCKET.replace("caller.name", "tenant"))));
+    node.event(Event::Ruled(fleet_sheet(
+        &BUCKET.replace("caller.name", "tenant"),
+    )));
     node.words();
     node.ask(1, "/call/read", A);
     let refused = node.answers().remove(0);
-    assert!(refused.status == "429" && refused.fields["X-Pushback-Ms"].parse::<u64>().unwrap() <= 60);
+    assert!(
+        refused.status == "429" && refused.fields["X-Pushback-Ms"].parse::<u64>().unwrap() <= 60
+    );
     node.wait(30);
     let asked = node.words().into_iter().find_map(|word| match word {
         Word::Keys(asked) => Some(asked),
@@ -247,9 +329,19 @@
     });
     let asked = asked.unwrap();
     assert_eq!(asked.keys.len(), 2, "both budgets at once: {asked:?}");
-    let lent = |ask: &KeyAsk| KeyLent { budget: ask.budget, key: ask.key, adds: 2, wait: 0 };
+    let lent = |ask: &KeyAsk| KeyLent {
+        budget: ask.budget,
+        key: ask.key,
+        adds: 2,
+        wait: 0,
+    };
     let keys = asked.keys.iter().map(lent).collect();
-    node.event(Event::KeysLent(Box::new(KeysLent { no: asked.no, stamp: asked.stamp, life: 3 * S, keys })));
+    node.event(Event::KeysLent(Box::new(KeysLent {
+        no: asked.no,
+        stamp: asked.stamp,
+        life: 3 * S,
+        keys,
+    })));
     node.ask(2, "/call/read", B);
     assert_eq!(node.kernel_lines(), [sched(B, "read")]);
     let lent = |node: &Node| {
@@ -258,13 +350,20 @@
         wallet.tallies().map(|(_, tally)| tally.lent).sum::<u64>()
     };
     assert_eq!(lent(&node), 2);
-    assert!(!node.core.desk.borrow_mut().rules.as_mut().unwrap().let_go(), "one is in hand");
+    assert!(
+        !node.core.desk.borrow_mut().rules.as_mut().unwrap().let_go(),
+        "one is in hand"
+    );
     node.reap(B, End::Ok, b"r");
-    assert!(node.core.desk.borrow_mut().rules.as_mut().unwrap().let_go(), "nothing is in hand any more");
+    assert!(
+        node.core.desk.borrow_mut().rules.as_mut().unwrap().let_go(),
+        "nothing is in hand any more"
+    );
     assert!(node.counted("throttled by a limit of the fleet") >= 1);
 }
 
-/// What a unit of a budget is worth here is told with what is wanted; and what was counted, each five seconds.
+/// What a unit of a budget is worth here is told with what is wanted; and what was counted, each
+/// five seconds.
 #[test]
 fn what_is_worth_more_and_what_was_counted_is_told() {
     let mut settings = settings();
@@ -273,7 +372,15 @@
         "\"Effect\": \"non_idempotent\", \"LateWorth\": 0.0, \"Points\": 5.0",
     );
     let mut node = Node::with(&settings);
-    node.core.join_fleet(node.now, &[rate(100)], Rhythm::of(3), &With { service: None, counts: true });
+    node.core.join_fleet(
+        node.now,
+        &[rate(100)],
+        Rhythm::of(3),
+        &With {
+            service: None,
+            counts: true,
+        },
+    );
     node.wait(1000);
     assert!(node.run_to_call(1, "/call/pay", A));
     node.reply(0, A, Outcome::Ok);
@@ -294,7 +401,13 @@
     use madderpoint_shared::counts::{OWN, column, own};
     let total = counted.unwrap().total;
     let row = |name: &str| total[&madderpoint_shared::keyed::number(name)];
-    assert_eq!((row("pay")[column::SUCCEEDED], row("pay")[column::EARNED]), (1, 5000));
-    assert_eq!((row("read")[column::ARRIVED], row("read")[column::ERRORED]), (1, 1));
+    assert_eq!(
+        (row("pay")[column::SUCCEEDED], row("pay")[column::EARNED]),
+        (1, 5000)
+    );
+    assert_eq!(
+        (row("read")[column::ARRIVED], row("read")[column::ERRORED]),
+        (1, 1)
+    );
     assert_eq!((total[&OWN][own::CALLS], total[&OWN][own::STARTS]), (1, 1));
 }
--- a/crates/node/src/desk.rs
+++ b/crates/node/src/desk.rs
@@ -1,4 +1,5 @@
-//! What the node keeps of connections, invocations, runs, calls and timers; the [`Host`] of the decisions.
+//! What the node keeps of connections, invocations, runs, calls and timers; the [`Host`] of the
+//! decisions.
 
 use crate::classify::{Classifier, Held};
 use crate::fastcgi::Reply;
@@ -44,15 +45,16 @@
 const CHECK_LIMIT: Nanos = 2000 * MILLISECOND;
 /// Idle connections are closed after this where the settings name no time.
 const IDLE: Nanos = 60_000 * MILLISECOND;
-/// Between two looks at the counts, and at runs that should be over; those are runs on which nobody has waited
-/// for so long after the client timeout.
+/// Between two looks at the counts, and at runs that should be over; those are runs on which nobody
+/// has waited for so long after the client timeout.
 const LOOK_PERIOD: Nanos = 10_000 * MILLISECOND;
 /// After the last answers were due, peers have so long to take them before the process ends.
 const LAST_WORDS: Nanos = 100 * MILLISECOND;
 /// By so much more than its window counts what arrives, as the protocol has every time limit.
 const CLOCKS_DIFFER: Nanos = 50 * MILLISECOND;
-/// Connections to the back end. What spoils one is lost for all calls on it, so they are spread. A call goes
-/// round one on which a late reply to an earlier call of the same invocation may still come.
+/// Connections to the back end. What spoils one is lost for all calls on it, so they are spread. A
+/// call goes round one on which a late reply to an earlier call of the same invocation may still
+/// come.
 pub const BACKEND_LINKS: usize = 8;
 
 /// What an invocation was given before it is taken in hand.
@@ -68,7 +70,8 @@
     pub gated: bool,
 }
 
-/// Tells bodies apart; not secret, for who makes two that share one only gets the first one's answer for both.
+/// Tells bodies apart; not secret, for who makes two that share one only gets the first one's
+/// answer for both.
 fn fingerprint(body: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     hasher.write(body);
@@ -138,7 +141,8 @@
     look: Option<Nanos>,
     /// Whether it is to be closed once nothing is open.
     last: bool,
-    /// Events of it that were heard; and whether it is being closed, which what is heard later makes void.
+    /// Events of it that were heard; and whether it is being closed, which what is heard later
+    /// makes void.
     heard: u64,
     closing: bool,
 }
@@ -288,7 +292,8 @@
     /// Calls that wait for room under them, and when it is looked for.
     calls_waiting: VecDeque<(InvId, CallNo)>,
     calls_due: Option<Nanos>,
-    /// The judgement on the service below, and from when on an answer of it counts as none; what needs it is let in by both.
+    /// The judgement on the service below, and from when on an answer of it counts as none; what
+    /// needs it is let in by both.
     pub judge: Option<Box<Judge>>,
     pub slow: Option<Nanos>,
     pub gate: Option<Box<Gate>>,
@@ -316,7 +321,9 @@
 
 impl<O: Outward> Desk<O> {
     pub fn new(out: O, start: Rc<Start>, has_backend: bool, room: &Room) -> Self {
-        let longest_idle = Some(start.premises.longest_idle).filter(|&idle| idle > 0).unwrap_or(IDLE);
+        let longest_idle = Some(start.premises.longest_idle)
+            .filter(|&idle| idle > 0)
+            .unwrap_or(IDLE);
         let mut desk = Desk {
             out,
             now: 0,
@@ -367,7 +374,8 @@
 
     pub fn set_timer(&mut self, after: Nanos, timer: Timer) {
         self.timers_set += 1; // timers of one moment fire in the order in which they were set
-        self.timers.insert((self.now.saturating_add(after), self.timers_set), timer);
+        self.timers
+            .insert((self.now.saturating_add(after), self.timers_set), timer);
     }
 
     pub fn next_timer(&self) -> Option<Nanos> {
@@ -392,7 +400,11 @@
     /// What must hold and did not, so far.
     #[cfg(test)]
     pub fn invariants(&self) -> u64 {
-        self.counts.iter().filter(|(what, _)| what.starts_with("invariant")).map(|(_, times)| times).sum()
+        self.counts
+            .iter()
+            .filter(|(what, _)| what.starts_with("invariant"))
+            .map(|(_, times)| times)
+            .sum()
     }
 
     #[cfg(test)]
@@ -404,7 +416,8 @@
     #[cfg(test)]
     pub fn waits_for_call(&self, rid: &str) -> bool {
         let inv = self.ids.get(rid).and_then(|id| self.invs.get(id));
-        inv.and_then(|inv| inv.run.as_ref()).is_some_and(|run| matches!(run.wait, Wait::Call { .. }))
+        inv.and_then(|inv| inv.run.as_ref())
+            .is_some_and(|run| matches!(run.wait, Wait::Call { .. }))
     }
 
     /// Looks after runs whose end was missed, and logs the counts if any has moved.
@@ -414,7 +427,11 @@
         let total = self.counts.values().sum();
         if total != self.counts_told {
             self.counts_told = total;
-            let counts: Vec<_> = self.counts.iter().map(|(what, n)| format!("{what} {n}")).collect();
+            let counts: Vec<_> = self
+                .counts
+                .iter()
+                .map(|(what, n)| format!("{what} {n}"))
+                .collect();
             self.out.log(format_args!("counts: {}", counts.join(", ")));
         }
         if let Some(line) = self.rules.as_mut().and_then(|rules| rules.tallies()) {
@@ -423,7 +440,10 @@
     }
 
     pub fn gauges(&self) -> Gauges {
-        let fresh = self.kernel.gauges.filter(|(read, _)| self.now - read <= GAUGES_FRESH);
+        let fresh = self
+            .kernel
+            .gauges
+            .filter(|(read, _)| self.now - read <= GAUGES_FRESH);
         fresh.map_or_else(Gauges::default, |(_, gauges)| gauges)
     }
 
@@ -442,9 +462,13 @@
         self.advert
     }
 
-    /// Has a timer fire when the next question about keys is due. One that fires too soon only looks again.
+    /// Has a timer fire when the next question about keys is due. One that fires too soon only
+    /// looks again.
     pub fn arm_keys(&mut self) {
-        let due = self.rules.as_ref().and_then(|rules| rules.next_question(self.now));
+        let due = self
+            .rules
+            .as_ref()
+            .and_then(|rules| rules.next_question(self.now));
         if let Some(due) = due
             && self.keys_due.is_none_or(|armed| due < armed)
         {
@@ -457,17 +481,23 @@
     pub fn questions(&mut self) -> Vec<KeysAsked> {
         self.keys_due = None;
         let now = self.now;
-        let questions = self.rules.iter_mut().flat_map(|rules| std::iter::from_fn(|| rules.question(now)));
+        let questions = self
+            .rules
+            .iter_mut()
+            .flat_map(|rules| std::iter::from_fn(|| rules.question(now)));
         let questions = questions.collect();
         self.arm_keys();
         questions
     }
 
-    /// A call that was allowed under the fleet's budgets is over. What lies below may still be at work on one that was given up
-    /// or whose connection broke: it counts as in hand for as long as the longest call.
+    /// A call that was allowed under the fleet's budgets is over. What lies below may still be at
+    /// work on one that was given up or whose connection broke: it counts as in hand for as long as
+    /// the longest call.
     fn call_is_over(&mut self, call: &Call, may_linger: bool) {
         let longest = self.budgets.as_ref().and_then(|budgets| budgets.longest());
-        let Some(longest) = longest.filter(|_| call.budgeted) else { return };
+        let Some(longest) = longest.filter(|_| call.budgeted) else {
+            return;
+        };
         let left = (call.since + longest).saturating_sub(self.now);
         if may_linger && call.link().is_some() && left > 0 {
             return self.set_timer(left, Timer::Lingered(call.repeats));
@@ -477,7 +507,9 @@
 
     /// One call in hand less.
     pub fn room_came(&mut self, repeats: bool) {
-        let Some(budgets) = &mut self.budgets else { return };
+        let Some(budgets) = &mut self.budgets else {
+            return;
+        };
         budgets.over(repeats);
         if !self.calls_waiting.is_empty() && budgets.is_full(self.now).is_none() {
             self.calls_due = None;
@@ -497,8 +529,15 @@
             return Ok(false);
         }
         self.start_slowly();
-        let Some(gate) = &mut self.gate else { return Ok(false) };
-        gate.admits(self.now, self.budgets.as_deref_mut(), self.judge.as_deref_mut()).map(|()| true)
+        let Some(gate) = &mut self.gate else {
+            return Ok(false);
+        };
+        gate.admits(
+            self.now,
+            self.budgets.as_deref_mut(),
+            self.judge.as_deref_mut(),
+        )
+        .map(|()| true)
     }
 
     // ---- Invocations ----
@@ -507,23 +546,38 @@
         self.ids.contains_key(rid)
     }
 
-    /// What an invocation is known again by: the key that a rule gave, where its operation has a use for one, else
-    /// the one that it bears, or what a read is about. Nobody meets another tenant's.
+    /// What an invocation is known again by: the key that a rule gave, where its operation has a
+    /// use for one, else the one that it bears, or what a read is about. Nobody meets another
+    /// tenant's.
     pub fn key(&self, head: &Head, ruled: Option<u64>, body: &[u8], arrived: Nanos) -> Option<Key> {
         let effect = self.effect(head.op);
         let shares = self.start.premises.answer_fresh > 0 && effect == Effect::Idempotent;
         let once = effect == Effect::Tokened;
         let tenant = head.tenant.map(|t| t.0);
         let given = ruled.map(|key| self.secret.hash_one((tenant, key)));
-        let borne = head.token.as_ref().map(|token| self.secret.hash_one((tenant, token)));
+        let borne = head
+            .token
+            .as_ref()
+            .map(|token| self.secret.hash_one((tenant, token)));
         match given.or(borne.filter(|_| once)) {
-            Some(subject) if shares || once => {
-                Some(Key { op: head.op.0, subject, body: Some(fingerprint(body)), once, arrived })
-            }
-            // What is asked about a subject is in the body: only the same question has the same answer.
+            Some(subject) if shares || once => Some(Key {
+                op: head.op.0,
+                subject,
+                body: Some(fingerprint(body)),
+                once,
+                arrived,
+            }),
+            // What is asked about a subject is in the body: only the same question has the same
+            // answer.
             _ => head.subject.filter(|_| shares).map(|subject| {
                 let subject = self.secret.hash_one((tenant, subject, body));
-                Key { op: head.op.0, subject, body: None, once: false, arrived }
+                Key {
+                    op: head.op.0,
+                    subject,
+                    body: None,
+                    once: false,
+                    arrived,
+                }
             }),
         }
     }
@@ -549,8 +603,15 @@
     ) -> (InvId, Option<InvId>) {
         self.next_id += 1;
         let id = InvId(self.next_id);
-        let Given { key, class, held, gated } = given;
-        let patience = head.patience.unwrap_or(self.start.premises.operations[head.op.0].client_timeout);
+        let Given {
+            key,
+            class,
+            held,
+            gated,
+        } = given;
+        let patience = head
+            .patience
+            .unwrap_or(self.start.premises.operations[head.op.0].client_timeout);
         let repeats = key.and_then(|key| self.cache.original(self.now, key));
         let invocation = Invocation {
             rid: head.rid.clone(),
@@ -575,7 +636,10 @@
             class,
             held,
         };
-        self.out.step(&head.rid, format_args!("read, age {} ms", age / MILLISECOND));
+        self.out.step(
+            &head.rid,
+            format_args!("read, age {} ms", age / MILLISECOND),
+        );
         self.ids.insert(head.rid.clone(), id);
         self.invs.insert(id, invocation);
         self.counts_arrival(head.op, head.dispatcher, repeats.is_some());
@@ -591,12 +655,19 @@
 
     /// Writes the one answer of an invocation; nothing if it has had it or its caller has left.
     fn answer(&mut self, id: InvId, status: u16, more: &str, body: Vec<u8>) {
-        let Some(inv) = self.invs.get_mut(&id) else { return };
-        let Some(front) = inv.front.take() else { return };
+        let Some(inv) = self.invs.get_mut(&id) else {
+            return;
+        };
+        let Some(front) = inv.front.take() else {
+            return;
+        };
         let (class, arrived) = (inv.class.clone(), inv.arrived);
         self.out.step(
             &inv.rid,
-            format_args!("answered {status} after {} ms", (self.now - arrived) / MILLISECOND),
+            format_args!(
+                "answered {status} after {} ms",
+                (self.now - arrived) / MILLISECOND
+            ),
         );
         let (op, patience) = (inv.op, inv.patience);
         if self.now > arrived + patience {
@@ -611,13 +682,19 @@
             rules.answered(class, status);
         }
         let fields = self.fields() + more;
-        self.end(front.conn, front.id, Reply::answer(front.id, status, &fields, body));
+        self.end(
+            front.conn,
+            front.id,
+            Reply::answer(front.id, status, &fields, body),
+        );
         self.settle(id);
     }
 
     /// Lets go of an invocation that is answered and of which nothing goes on.
     fn settle(&mut self, id: InvId) {
-        let Some(inv) = self.invs.get_mut(&id) else { return };
+        let Some(inv) = self.invs.get_mut(&id) else {
+            return;
+        };
         if inv.front.is_some() {
             return;
         }
@@ -639,7 +716,9 @@
     }
 
     fn remove(&mut self, id: InvId) {
-        let Some(inv) = self.invs.remove(&id) else { return };
+        let Some(inv) = self.invs.remove(&id) else {
+            return;
+        };
         self.ids.remove(&inv.rid);
         if let Some(gate) = self.gate.as_mut().filter(|_| inv.is_gated && inv.ran) {
             gate.ran(inv.calls);
@@ -652,7 +731,8 @@
             self.cache.over(id, inv.asked > 0 && !inv.never_ran);
         }
         for joiner in inv.joiners {
-            self.deferred.push_back(Deferred::JoinEnded(joiner, result.clone()));
+            self.deferred
+                .push_back(Deferred::JoinEnded(joiner, result.clone()));
         }
     }
 
@@ -660,7 +740,11 @@
     pub fn joined(&mut self, id: InvId, result: Option<Vec<u8>>) -> Option<(Ending, Nanos)> {
         let inv = self.invs.get(&id)?;
         let latency = self.now - inv.joined?;
-        let ending = if result.is_some() { Ending::Succeeded } else { Ending::Errored };
+        let ending = if result.is_some() {
+            Ending::Succeeded
+        } else {
+            Ending::Errored
+        };
         match result {
             Some(body) => self.answer(id, 200, "", body),
             None => self.answer(id, 500, "", Vec::new()),
@@ -678,7 +762,10 @@
         self.leaving = Some(self.now);
         self.stop = self.now + left;
         self.out.leaving();
-        self.out.log(format_args!("notice to leave: stop in {} ms", left / MILLISECOND));
+        self.out.log(format_args!(
+            "notice to leave: stop in {} ms",
+            left / MILLISECOND
+        ));
         self.set_timer(left.min(grace), Timer::Leave);
         self.set_timer(left, Timer::Hush);
         self.set_timer(left + LAST_WORDS, Timer::Over);
@@ -697,7 +784,12 @@
             "no more connections are taken after those that wait; {conns} open, {hand} in hand"
         ));
         self.out.stop_listening();
-        let idle: Vec<_> = self.conns.iter().filter(|(_, c)| c.open.is_empty()).map(|(&id, _)| id).collect();
+        let idle: Vec<_> = self
+            .conns
+            .iter()
+            .filter(|(_, c)| c.open.is_empty())
+            .map(|(&id, _)| id)
+            .collect();
         idle.into_iter().for_each(|conn| self.close(conn));
     }
 
@@ -707,7 +799,12 @@
             conn.last = true;
             self.out.deafen(id);
         }
-        let idle: Vec<_> = self.conns.iter().filter(|(_, c)| c.open.is_empty()).map(|(&id, _)| id).collect();
+        let idle: Vec<_> = self
+            .conns
+            .iter()
+            .filter(|(_, c)| c.open.is_empty())
+            .map(|(&id, _)| id)
+            .collect();
         idle.into_iter().for_each(|conn| self.close(conn));
     }
 
@@ -720,8 +817,10 @@
     pub fn over(&mut self) {
         self.over = true;
         if !self.conns.is_empty() {
-            self.out
-                .log(format_args!("left with {} connections that their peers did not end", self.conns.len()));
+            self.out.log(format_args!(
+                "left with {} connections that their peers did not end",
+                self.conns.len()
+            ));
         }
     }
 
@@ -742,7 +841,9 @@
     }
     fn throttle(&mut self, id: InvId, pause: Nanos, last: bool) {
         let desk = &mut *self.0.borrow_mut();
-        let Some(inv) = desk.invs.get(&id) else { return };
+        let Some(inv) = desk.invs.get(&id) else {
+            return;
+        };
         let may = !(inv.ran || inv.run.is_some()) || desk.effect(inv.op) == Effect::Idempotent;
         invariant!(desk, may, "what may have run is not throttled");
         let mut more = String::new();
@@ -765,9 +866,15 @@
     }
     fn remember(&mut self, id: InvId, lifetime: Nanos) {
         let desk = &mut *self.0.borrow_mut();
-        let Some(key) = desk.invs.get(&id).and_then(|inv| inv.key) else { return };
+        let Some(key) = desk.invs.get(&id).and_then(|inv| inv.key) else {
+            return;
+        };
         let window = desk.now + lifetime + if key.once { CLOCKS_DIFFER } else { 0 };
-        let late = if key.once { desk.start.premises.operations[key.op].client_timeout } else { 0 };
+        let late = if key.once {
+            desk.start.premises.operations[key.op].client_timeout
+        } else {
+            0
+        };
         desk.cache.remember(desk.now, id, key, window, late);
     }
     fn forget(&mut self, id: InvId) {
@@ -775,12 +882,16 @@
     }
     fn join(&mut self, id: InvId) {
         let desk = &mut *self.0.borrow_mut();
-        let Some(inv) = desk.invs.get_mut(&id) else { return };
+        let Some(inv) = desk.invs.get_mut(&id) else {
+            return;
+        };
         inv.joined = Some(desk.now);
         let original = inv.repeats;
         if let Some(result) = original.and_then(|of| desk.cache.result(of)) {
             let result = result.to_vec();
-            return desk.deferred.push_back(Deferred::JoinEnded(id, Some(result)));
+            return desk
+                .deferred
+                .push_back(Deferred::JoinEnded(id, Some(result)));
         }
         match original.and_then(|of| desk.invs.get_mut(&of)) {
             Some(original) => original.joiners.push(id),
--- a/crates/node/src/desk/calls.rs
+++ b/crates/node/src/desk/calls.rs
@@ -8,10 +8,11 @@
 use madderpoint_shared::counts::own;
 use madderpoint_shared::{Judge, Mode};
 
-/// A link that so many replies on others have overtaken has gone silent: it is passed over, and closed when a call
-/// on it comes to its time limit.
+/// A link that so many replies on others have overtaken has gone silent: it is passed over, and
+/// closed when a call on it comes to its time limit.
 const OVERTAKEN: u32 = 8;
-/// A call waits so long at most for room under the fleet's budgets, and so many do; beyond that it is refused at once.
+/// A call waits so long at most for room under the fleet's budgets, and so many do; beyond that it
+/// is refused at once.
 const CALL_WAITS: Nanos = 250 * MILLISECOND;
 const CALLS_WAITING: usize = 64;
 
@@ -19,24 +20,37 @@
     /// The link for a call: rather one that is not silent, then the one with the fewest calls.
     fn link_for(&self, id: InvId) -> Option<usize> {
         let mut waiting = [0; BACKEND_LINKS];
-        self.invs.values().filter_map(|inv| inv.call.as_ref()?.link()).for_each(|place| waiting[place] += 1);
+        self.invs
+            .values()
+            .filter_map(|inv| inv.call.as_ref()?.link())
+            .for_each(|place| waiting[place] += 1);
         let tainted = self.invs.get(&id)?.tainted;
         let open = (0..BACKEND_LINKS).filter(|&place| !tainted[place]);
         open.min_by_key(|&place| (self.below[place].overtaken >= OVERTAKEN, waiting[place]))
     }
 
     pub fn call(&mut self, id: InvId, timeout: Nanos) {
-        let Some(inv) = self.invs.get(&id) else { return };
-        if !inv.run.as_ref().is_some_and(|run| matches!(run.wait, Wait::Call { .. })) {
+        let Some(inv) = self.invs.get(&id) else {
+            return;
+        };
+        if !inv
+            .run
+            .as_ref()
+            .is_some_and(|run| matches!(run.wait, Wait::Call { .. }))
+        {
             return self.count("calls of runs that wait for none", 1);
         }
         let never_ran = Deferred::CallEnded(id, CallEnding::NeverRan);
         if !self.has_backend || inv.call.is_some() {
             return self.deferred.push_back(never_ran);
         }
-        // What is refused by the fleet's judgement or budgets is like a call for which no link has room: it never ran.
+        // What is refused by the fleet's judgement or budgets is like a call for which no link has
+        // room: it never ran.
         let (op, thinned, repeats) = (inv.op, inv.is_gated, inv.call_failed);
-        if !self.judged(|judge, now| judge.admits(now, thinned)).unwrap_or(true) {
+        if !self
+            .judged(|judge, now| judge.admits(now, thinned))
+            .unwrap_or(true)
+        {
             self.count("calls kept back from a service that is ill", 1);
             self.counts_own(own::CALLS_REFUSED, 1);
             return self.deferred.push_back(never_ran);
@@ -66,7 +80,15 @@
         if let Some(inv) = self.invs.get_mut(&id) {
             inv.calls += 1;
             let wants = Wants::default();
-            inv.call = Some(Call { no, place, since: now, written: None, budgeted, repeats, wants });
+            inv.call = Some(Call {
+                no,
+                place,
+                since: now,
+                written: None,
+                budgeted,
+                repeats,
+                wants,
+            });
         }
         self.set_timer(timeout, Timer::CallLimit(id, no));
         match room {
@@ -81,16 +103,26 @@
     /// Hands a call, for which there is room below, to a link.
     fn send_call(&mut self, id: InvId, timeout: Nanos) {
         let place = self.link_for(id);
-        let Some(inv) = self.invs.get_mut(&id) else { return };
-        let (Some(call), Some(run)) = (&mut inv.call, &inv.run) else { return };
+        let Some(inv) = self.invs.get_mut(&id) else {
+            return;
+        };
+        let (Some(call), Some(run)) = (&mut inv.call, &inv.run) else {
+            return;
+        };
         if let Some(place) = place {
             let bytes = backend::invoke(&inv.rid, timeout.div_ceil(MILLISECOND), &run.call_body);
-            if self.out.call(place, call.no, id, bytes, call.wants.wanted()) {
+            if self
+                .out
+                .call(place, call.no, id, bytes, call.wants.wanted())
+            {
                 (call.place, call.since) = (Place::Link(place), self.now);
                 let repeats = call.repeats;
                 self.out.step(
                     &inv.rid,
-                    format_args!("calls below on link {place}, for {} ms", timeout / MILLISECOND),
+                    format_args!(
+                        "calls below on link {place}, for {} ms",
+                        timeout / MILLISECOND
+                    ),
                 );
                 self.counts_own(own::CALLS, 1);
                 return self.counts_own(own::CALLS_REPEATED, u64::from(repeats));
@@ -99,7 +131,8 @@
         if let Some(call) = inv.call.take() {
             self.call_is_over(&call, false);
         }
-        self.deferred.push_back(Deferred::CallEnded(id, CallEnding::NeverRan));
+        self.deferred
+            .push_back(Deferred::CallEnded(id, CallEnding::NeverRan));
     }
 
     /// Has a timer look whether a call that waits has room.
@@ -116,7 +149,11 @@
         self.calls_due = None;
         self.start_slowly();
         while let Some((id, no)) = self.calls_waiting.front().copied() {
-            let waits = self.invs.get(&id).and_then(|inv| inv.call.as_ref()).filter(|call| call.no == no);
+            let waits = self
+                .invs
+                .get(&id)
+                .and_then(|inv| inv.call.as_ref())
+                .filter(|call| call.no == no);
             let Some((until, repeats)) = waits.and_then(|call| match call.place {
                 Place::Waits { until } => Some((until, call.repeats)),
                 Place::Link(_) => None,
@@ -125,7 +162,11 @@
                 continue;
             };
             let now = self.now;
-            if let Some(Err(pause)) = self.budgets.as_mut().map(|budgets| budgets.take(now, repeats)) {
+            if let Some(Err(pause)) = self
+                .budgets
+                .as_mut()
+                .map(|budgets| budgets.take(now, repeats))
+            {
                 return self.arm_calls(pause);
             }
             self.calls_waiting.pop_front();
@@ -137,7 +178,10 @@
     }
 
     pub fn is_current(&self, id: InvId, no: CallNo) -> bool {
-        self.invs.get(&id).and_then(|inv| inv.call.as_ref()).is_some_and(|call| call.no == no)
+        self.invs
+            .get(&id)
+            .and_then(|inv| inv.call.as_ref())
+            .is_some_and(|call| call.no == no)
     }
 
     /// A call's time is up: how it ended, if it was still in hand.
@@ -153,7 +197,9 @@
         inv.tainted[place] = true;
         let rid = inv.rid.clone();
         self.cancel(&rid, place);
-        let Below { heard, overtaken, .. } = self.below[place];
+        let Below {
+            heard, overtaken, ..
+        } = self.below[place];
         if overtaken >= OVERTAKEN && heard < no.0 {
             self.count("back end: connections gone silent", 1);
             self.out.rest(place); // what else waits there would wait in vain
@@ -182,18 +228,28 @@
         let below = &mut self.below[link.place];
         (below.lost, below.overtaken) = (below.lost.max(link.generation + 1), 0);
         let lost = |call: &Call| call.written == Some(link);
-        let broke = self.invs.iter().filter(|(_, inv)| inv.call.as_ref().is_some_and(lost));
+        let broke = self
+            .invs
+            .iter()
+            .filter(|(_, inv)| inv.call.as_ref().is_some_and(lost));
         let broke: Vec<_> = broke.map(|(&id, _)| id).collect();
         if !broke.is_empty() {
-            self.out.log(format_args!("back end: connection ended with {} calls", broke.len()));
+            self.out.log(format_args!(
+                "back end: connection ended with {} calls",
+                broke.len()
+            ));
         }
         broke
     }
 
-    /// Nothing was sent on a link for a while: it is closed before the back end does so, which a call could
-    /// meet, unless a reply is awaited on it.
+    /// Nothing was sent on a link for a while: it is closed before the back end does so, which a
+    /// call could meet, unless a reply is awaited on it.
     pub fn backend_quiet(&mut self, place: usize) {
-        if !self.invs.values().any(|inv| inv.call.as_ref().is_some_and(|call| call.link() == Some(place))) {
+        if !self.invs.values().any(|inv| {
+            inv.call
+                .as_ref()
+                .is_some_and(|call| call.link() == Some(place))
+        }) {
             self.out.rest(place);
         }
     }
@@ -201,9 +257,14 @@
     /// A reply came: gives the invocation whose call it ends.
     pub fn replied(&mut self, place: usize, reply: &backend::Reply) -> Option<InvId> {
         let id = self.ids.get(&reply.id).copied();
-        self.out.step(&reply.id, format_args!("reply {:?} on link {place}", reply.outcome));
+        self.out.step(
+            &reply.id,
+            format_args!("reply {:?} on link {place}", reply.outcome),
+        );
         self.heard(place, id);
-        let call = id.and_then(|id| self.invs.get(&id)).and_then(|inv| inv.call.as_ref());
+        let call = id
+            .and_then(|id| self.invs.get(&id))
+            .and_then(|inv| inv.call.as_ref());
         if call.is_none_or(|call| call.link() != Some(place)) {
             self.count("back end: replies to calls given up", 1);
             return None;
@@ -214,7 +275,10 @@
     /// A reply came on a link: tells which others are silent.
     fn heard(&mut self, place: usize, id: Option<InvId>) {
         (self.below[place].heard, self.below[place].overtaken) = (self.next_call, 0);
-        let Some(no) = id.and_then(|id| self.invs.get(&id)?.call.as_ref()).map(|call| call.no.0) else {
+        let Some(no) = id
+            .and_then(|id| self.invs.get(&id)?.call.as_ref())
+            .map(|call| call.no.0)
+        else {
             return;
         };
         let mut oldest = [u64::MAX; BACKEND_LINKS];
@@ -235,29 +299,38 @@
     pub fn call_over(&mut self, id: InvId, ending: CallEnding) -> Option<Nanos> {
         let inv = self.invs.get_mut(&id)?;
         inv.run.as_ref()?;
-        let Some(call) = inv.call.take() else { return Some(0) };
+        let Some(call) = inv.call.take() else {
+            return Some(0);
+        };
         inv.call_failed = ending != CallEnding::Succeeded;
         let latency = self.now - call.since;
-        self.call_is_over(&call, matches!(ending, CallEnding::Abandoned | CallEnding::MayHaveRun));
+        self.call_is_over(
+            &call,
+            matches!(ending, CallEnding::Abandoned | CallEnding::MayHaveRun),
+        );
         if call.link().is_some() {
             let slow = self.slow.is_some_and(|slow| latency > slow);
             self.judged(|judge, now| judge.ended(now, ending == CallEnding::Succeeded && !slow));
-            self.counts_own(own::CALLS_FAILED, u64::from(ending != CallEnding::Succeeded));
+            self.counts_own(
+                own::CALLS_FAILED,
+                u64::from(ending != CallEnding::Succeeded),
+            );
         }
         Some(latency)
     }
 
     // ---- The service's health ----
 
-    /// While the service below starts, budgets give the share of their rates that the judgement on it allows: the sum of what all
-    /// nodes send rises with the service, however much is wanted.
+    /// While the service below starts, budgets give the share of their rates that the judgement on
+    /// it allows: the sum of what all nodes send rises with the service, however much is wanted.
     pub fn start_slowly(&mut self) {
         if let (Some(budgets), Some(judge)) = (&mut self.budgets, &self.judge) {
             budgets.slow_start(self.now, judge.share(self.now));
         }
     }
 
-    /// Has the judgement on the service below looked at or changed, and says so if it goes about the service otherwise since.
+    /// Has the judgement on the service below looked at or changed, and says so if it goes about
+    /// the service otherwise since.
     pub fn judged<T>(&mut self, f: impl FnOnce(&mut Judge, Nanos) -> T) -> Option<T> {
         let judge = self.judge.as_mut()?;
         let (before, was) = (judge.mode(), judge.level());
@@ -285,7 +358,9 @@
 
     /// Lets a run go on, with the reply to its call or without one.
     pub fn resume(&mut self, id: InvId, reply: Option<Vec<u8>>) {
-        let Some(run) = self.invs.get_mut(&id).and_then(|inv| inv.run.as_mut()) else { return };
+        let Some(run) = self.invs.get_mut(&id).and_then(|inv| inv.run.as_mut()) else {
+            return;
+        };
         let Wait::Call { no } = run.wait else { return };
         run.wait = Wait::Resumed { no, reply, sent: 0 };
         self.resume_again(id, |sent| sent == 0);
@@ -293,10 +368,14 @@
 
     /// Sends word to go on, if it was not sent or is `lacking` at the kernel.
     pub fn resume_again(&mut self, id: InvId, lacking: impl Fn(u64) -> bool) {
-        let Some(inv) = self.invs.get_mut(&id) else { return };
+        let Some(inv) = self.invs.get_mut(&id) else {
+            return;
+        };
         let rid = inv.rid.clone();
         let Some(run) = inv.run.as_mut() else { return };
-        let Wait::Resumed { no, reply, sent } = &mut run.wait else { return };
+        let Wait::Resumed { no, reply, sent } = &mut run.wait else {
+            return;
+        };
         if !lacking(*sent) {
             return;
         }
--- a/crates/node/src/desk/counting.rs
+++ b/crates/node/src/desk/counting.rs
@@ -1,4 +1,5 @@
-//! What the node counts for the fleet: by operation, of itself, and who comes most. None of it where nothing is shared.
+//! What the node counts for the fleet: by operation, of itself, and who comes most. None of it
+//! where nothing is shared.
 
 use super::Desk;
 use crate::outward::Outward;
@@ -23,7 +24,10 @@
     pub fn new(now: Nanos, operations: &[String]) -> Counting {
         // A name that comes to the process's own row counts there: one in four thousand million.
         let rows = operations.iter().map(|name| number(name)).collect();
-        Counting { tally: Tally::new(unix_ms(now)), rows }
+        Counting {
+            tally: Tally::new(unix_ms(now)),
+            rows,
+        }
     }
 }
 
@@ -46,7 +50,9 @@
 
     /// An invocation was read.
     pub fn counts_arrival(&mut self, op: OpId, dispatcher: DispatcherId, repeats: bool) {
-        let Some(row) = self.counting.as_ref().map(|counting| counting.rows[op.0]) else { return };
+        let Some(row) = self.counting.as_ref().map(|counting| counting.rows[op.0]) else {
+            return;
+        };
         let value = self.start.premises.operations[op.0].billed_value;
         self.counting(|tally, unix| {
             tally.add(unix, row, column::ARRIVED, 1);
@@ -61,7 +67,9 @@
 
     /// An invocation that arrived was answered so, after so long.
     pub fn counts_answer(&mut self, op: OpId, status: u16, latency: Nanos) {
-        let Some(row) = self.counting.as_ref().map(|counting| counting.rows[op.0]) else { return };
+        let Some(row) = self.counting.as_ref().map(|counting| counting.rows[op.0]) else {
+            return;
+        };
         let operation = &self.start.premises.operations[op.0];
         let is_late = latency > operation.latency_objective;
         let part = if is_late { operation.late_share } else { 1.0 };
@@ -84,8 +92,8 @@
         self.counts_answer(op, status, 0);
     }
 
-    /// An invocation was throttled before the decisions saw it: for a limit, of which the key is told where it is one of the
-    /// whole fleet, or for the room below.
+    /// An invocation was throttled before the decisions saw it: for a limit, of which the key is
+    /// told where it is one of the whole fleet, or for the room below.
     pub fn counts_refusal(&mut self, head: &Head, over: Option<u64>, for_room: bool) {
         self.counts_turned_away((head.op, head.dispatcher), 429);
         if for_room {
--- a/crates/node/src/desk/front.rs
+++ b/crates/node/src/desk/front.rs
@@ -8,19 +8,20 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// The first whole request is to come within this, and a second one within that: who connects and says nothing, or
-/// asks once and stays, takes others' room.
+/// The first whole request is to come within this, and a second one within that: who connects and
+/// says nothing, or asks once and stays, takes others' room.
 const FIRST_REQUEST: Nanos = 1500 * MILLISECOND;
 const SECOND_REQUEST: Nanos = 1000 * MILLISECOND;
-/// The rest of a request that has come in part is waited for so long before its connection is closed: of a stranger's and
-/// of a dispatcher's, whose network may be slow.
+/// The rest of a request that has come in part is waited for so long before its connection is
+/// closed: of a stranger's and of a dispatcher's, whose network may be slow.
 const REST: Nanos = 1000 * MILLISECOND;
 const REST_PROVEN: Nanos = 3000 * MILLISECOND;
 /// A connection this young is not closed to make room: its first request may be on its way.
 const YOUNG: Nanos = 200 * MILLISECOND;
-/// A connection on which nothing has succeeded yet gets a strike for what is malformed or unknown to the kernel,
-/// and for so many answers in a row that turn it away. With each strike the pause before it is read on doubles,
-/// and after the last it is closed. Who asks again as soon as it is turned away thus costs next to nothing.
+/// A connection on which nothing has succeeded yet gets a strike for what is malformed or unknown
+/// to the kernel, and for so many answers in a row that turn it away. With each strike the pause
+/// before it is read on doubles, and after the last it is closed. Who asks again as soon as it is
+/// turned away thus costs next to nothing.
 const TURNED_AWAY: u32 = 128;
 const STRIKES: u32 = 6;
 const PACE: Nanos = 25 * MILLISECOND;
@@ -49,8 +50,13 @@
 
     /// A connection is gone; gives the invocations whose callers left with it.
     pub fn disconnected(&mut self, conn: ConnId) -> Vec<InvId> {
-        let Some(conn) = self.conns.remove(&conn) else { return Vec::new() };
-        conn.open.into_values().filter_map(|asked| self.let_go(asked)).collect()
+        let Some(conn) = self.conns.remove(&conn) else {
+            return Vec::new();
+        };
+        conn.open
+            .into_values()
+            .filter_map(|asked| self.let_go(asked))
+            .collect()
     }
 
     /// The dispatcher no longer waits for a request; gives the invocation whose caller left.
@@ -75,20 +81,28 @@
         }
     }
 
-    /// Something came on a connection. If it is being closed, the reader had handed this on before the order came, and
-    /// does not carry it out: what was read is answered.
+    /// Something came on a connection. If it is being closed, the reader had handed this on before
+    /// the order came, and does not carry it out: what was read is answered.
     pub fn came(&mut self, conn: ConnId) {
-        let Some(state) = self.conns.get_mut(&conn) else { return };
+        let Some(state) = self.conns.get_mut(&conn) else {
+            return;
+        };
         state.heard += 1;
         if std::mem::take(&mut state.closing) {
             self.count("closes that what came made void", 1);
         }
     }
 
-    /// What came is dealt with: if nothing is open now, the connection is closed, or is looked at when it was idle for
-    /// long enough.
+    /// What came is dealt with: if nothing is open now, the connection is closed, or is looked at
+    /// when it was idle for long enough.
     pub fn dealt_with(&mut self, conn: ConnId) {
-        let Some(state) = self.conns.get(&conn).filter(|c| c.open.is_empty() && !c.closing) else { return };
+        let Some(state) = self
+            .conns
+            .get(&conn)
+            .filter(|c| c.open.is_empty() && !c.closing)
+        else {
+            return;
+        };
         if state.last || self.closing {
             return self.close(conn);
         }
@@ -96,8 +110,8 @@
         self.look_at(conn, due);
     }
 
-    /// Nothing more is read on a connection: its peer ended its side, or framing is lost. What is open on it is answered
-    /// first.
+    /// Nothing more is read on a connection: its peer ended its side, or framing is lost. What is
+    /// open on it is answered first.
     pub fn no_more(&mut self, conn: ConnId) {
         if let Some(state) = self.conns.get_mut(&conn) {
             state.last = true;
@@ -112,7 +126,8 @@
             return false;
         };
         if state.open.contains_key(&request.id) {
-            // Whose answer would be whose? What was asked first is answered, and nothing after that is read.
+            // Whose answer would be whose? What was asked first is answered, and nothing after that
+            // is read.
             self.count("request ids begun twice", 1);
             self.out.deafen(conn);
             self.no_more(conn);
@@ -125,16 +140,22 @@
     }
 
     pub fn crowded(&self, conn: ConnId) -> bool {
-        self.conns.get(&conn).is_some_and(|c| c.open.len() > MAX_OPEN)
+        self.conns
+            .get(&conn)
+            .is_some_and(|c| c.open.len() > MAX_OPEN)
     }
 
     /// Writes what ends a request.
     pub fn end(&mut self, conn: ConnId, id: u16, reply: Reply) {
-        let Some(state) = self.conns.get_mut(&conn) else { return };
+        let Some(state) = self.conns.get_mut(&conn) else {
+            return;
+        };
         let was_open = state.open.remove(&id).is_some();
         invariant!(self, was_open, "an answer goes to what is open");
         self.out.reply(conn, reply);
-        let Some(state) = self.conns.get(&conn).filter(|c| c.open.is_empty()) else { return };
+        let Some(state) = self.conns.get(&conn).filter(|c| c.open.is_empty()) else {
+            return;
+        };
         if state.last || self.closing {
             self.close(conn);
         } else {
@@ -161,7 +182,9 @@
 
     /// A run succeeded for who is at the other end.
     pub fn succeeded(&mut self, conn: ConnId) {
-        let Some(state) = self.conns.get_mut(&conn) else { return };
+        let Some(state) = self.conns.get_mut(&conn) else {
+            return;
+        };
         (state.proven, state.turned_away) = (true, 0);
         if std::mem::take(&mut state.strikes) > 0 {
             self.out.pace(conn, 0);
@@ -170,7 +193,9 @@
 
     /// Something was answered that did not succeed.
     pub fn turned_away(&mut self, conn: ConnId) {
-        let Some(state) = self.conns.get_mut(&conn).filter(|c| !c.proven) else { return };
+        let Some(state) = self.conns.get_mut(&conn).filter(|c| !c.proven) else {
+            return;
+        };
         state.turned_away += 1;
         if state.turned_away >= TURNED_AWAY {
             self.strike(conn);
@@ -179,7 +204,9 @@
 
     /// Something came on a connection that no dispatcher sends.
     pub fn strike(&mut self, conn: ConnId) {
-        let Some(state) = self.conns.get_mut(&conn).filter(|c| !c.closing) else { return };
+        let Some(state) = self.conns.get_mut(&conn).filter(|c| !c.closing) else {
+            return;
+        };
         state.turned_away = 0;
         state.strikes += 1;
         let out = state.strikes >= STRIKES;
@@ -201,8 +228,8 @@
         self.start.premises.longest_pause
     }
 
-    /// Answers what a rule or a limit decided before the decisions saw it. It never ran. The pause is told where the
-    /// settings have dispatchers heed one.
+    /// Answers what a rule or a limit decided before the decisions saw it. It never ran. The pause
+    /// is told where the settings have dispatchers heed one.
     pub fn verdict(&mut self, conn: ConnId, id: u16, status: u16, pause: Nanos, reason: &str) {
         self.turned_away(conn);
         let pause = pause.min(self.start.premises.longest_pause);
@@ -210,19 +237,29 @@
         if pause > 0 && status == 429 {
             fields += &format!("X-Pushback-Ms: {}\r\n", pause.div_ceil(MILLISECOND));
         }
-        self.end(conn, id, Reply::answer(id, status, &fields, reason.as_bytes().to_vec()));
+        self.end(
+            conn,
+            id,
+            Reply::answer(id, status, &fields, reason.as_bytes().to_vec()),
+        );
     }
 
     fn refuse(&mut self, conn: ConnId, id: u16, status: u16, cause: &'static str) {
         self.count(cause, 1);
         let fields = self.fields() + "Content-Type: text/plain\r\n";
-        self.end(conn, id, Reply::answer(id, status, &fields, cause.as_bytes().to_vec()));
+        self.end(
+            conn,
+            id,
+            Reply::answer(id, status, &fields, cause.as_bytes().to_vec()),
+        );
     }
 
     /// The fields that go with every answer and check.
     pub fn fields(&self) -> String {
         let told = self.start.premises.advert != Advert::No;
-        self.advert.filter(|_| told).map_or_else(String::new, |v| format!("X-Backend-Says: {v:.4}\r\n"))
+        self.advert
+            .filter(|_| told)
+            .map_or_else(String::new, |v| format!("X-Backend-Says: {v:.4}\r\n"))
     }
 
     // ---- Idle connections ----
@@ -240,7 +277,9 @@
 
     /// Until when a connection may be idle.
     fn idle_until(&self, conn: ConnId) -> Nanos {
-        let Some(state) = self.conns.get(&conn) else { return self.now };
+        let Some(state) = self.conns.get(&conn) else {
+            return self.now;
+        };
         let after = match state.asked {
             0 => FIRST_REQUEST,
             1 => self.idle_after.min(SECOND_REQUEST),
@@ -252,7 +291,9 @@
 
     /// Has one timer look at a connection, at this time or sooner.
     fn look_at(&mut self, conn: ConnId, due: Nanos) {
-        let Some(state) = self.conns.get_mut(&conn) else { return };
+        let Some(state) = self.conns.get_mut(&conn) else {
+            return;
+        };
         if state.look.is_none_or(|look| look > due) {
             state.look = Some(due);
             self.set_timer(due.saturating_sub(self.now), Timer::Idle(conn, due));
@@ -263,18 +304,26 @@
         self.idle_after = if after == 0 { self.longest_idle } else { after };
         let idle = self.conns.iter().filter(|(_, c)| c.open.is_empty());
         let idle: Vec<_> = idle.map(|(&id, _)| (id, self.idle_until(id))).collect();
-        idle.into_iter().for_each(|(conn, due)| self.look_at(conn, due));
+        idle.into_iter()
+            .for_each(|(conn, due)| self.look_at(conn, due));
     }
 
-    /// Closes a connection if it was idle for long enough, unless an earlier look took this one's place.
+    /// Closes a connection if it was idle for long enough, unless an earlier look took this one's
+    /// place.
     pub fn close_if_idle(&mut self, conn: ConnId, due: Nanos) {
-        let Some(state) = self.conns.get_mut(&conn).filter(|c| c.look == Some(due)) else { return };
+        let Some(state) = self.conns.get_mut(&conn).filter(|c| c.look == Some(due)) else {
+            return;
+        };
         state.look = None;
         if !state.open.is_empty() {
             return;
         }
         let closes = self.idle_until(conn);
-        if closes <= self.now { self.close(conn) } else { self.look_at(conn, closes) }
+        if closes <= self.now {
+            self.close(conn)
+        } else {
+            self.look_at(conn, closes)
+        }
     }
 
     /// Has a connection closed unless more has come on it by now.
@@ -285,20 +334,38 @@
 
     /// The same, waiting so long for the rest of a request that has come in part.
     fn close_within(&mut self, conn: ConnId, patience: Nanos) {
-        let Some(state) = self.conns.get_mut(&conn) else { return };
+        let Some(state) = self.conns.get_mut(&conn) else {
+            return;
+        };
         if std::mem::replace(&mut state.closing, true) {
             return;
         }
         let left = self.stop.saturating_sub(self.now);
-        self.out.close(conn, Close { heard: state.heard, patience: patience.min(left) });
-    }
-
-    /// Closes a connection on which nothing is open, so that another one finds room: rather one that never sent
-    /// a whole request, then one that asked once or in vain, then another, and of these the one idle for longest.
+        self.out.close(
+            conn,
+            Close {
+                heard: state.heard,
+                patience: patience.min(left),
+            },
+        );
+    }
+
+    /// Closes a connection on which nothing is open, so that another one finds room: rather one
+    /// that never sent a whole request, then one that asked once or in vain, then another, and of
+    /// these the one idle for longest.
     pub fn make_room(&mut self) {
         let silent = |c: &Conn| c.asked == 0 && self.now < c.idle_since + YOUNG;
-        let idle = self.conns.iter().filter(|(_, c)| c.open.is_empty() && !c.closing && !silent(c));
-        let standing = |c: &Conn| if c.proven { c.asked.min(2) } else { c.asked.min(1) };
+        let idle = self
+            .conns
+            .iter()
+            .filter(|(_, c)| c.open.is_empty() && !c.closing && !silent(c));
+        let standing = |c: &Conn| {
+            if c.proven {
+                c.asked.min(2)
+            } else {
+                c.asked.min(1)
+            }
+        };
         if let Some((&conn, state)) = idle.min_by_key(|(_, c)| (standing(c), c.idle_since)) {
             // Others wait for the place that half a request of a stranger takes.
             let patience = if state.proven { REST } else { 0 };
@@ -331,7 +398,12 @@
     }
 
     fn check_ends(&mut self, open: Open, good: bool) {
-        let reply = Reply::answer(open.id, if good { 200 } else { 503 }, &self.fields(), Vec::new());
+        let reply = Reply::answer(
+            open.id,
+            if good { 200 } else { 503 },
+            &self.fields(),
+            Vec::new(),
+        );
         self.end(open.conn, open.id, reply);
     }
 }
--- a/crates/node/src/desk/runs.rs
+++ b/crates/node/src/desk/runs.rs
@@ -8,11 +8,11 @@
 
 /// How long a link that is to be renewed has to show that all commands arrived.
 const SETTLE: Nanos = 100 * MILLISECOND;
-/// At most so long after the command to run what must not run twice, a question follows whose answer shows that it
-/// arrived: only what lies between is in doubt when a link breaks.
+/// At most so long after the command to run what must not run twice, a question follows whose
+/// answer shows that it arrived: only what lies between is in doubt when a link breaks.
 const MARK: Nanos = 10 * MILLISECOND;
-/// A link whose kernel has not answered for so many times so long is silent, and is made anew. Counted by looks and not by the
-/// clock, for of a machine that stood still only one is late.
+/// A link whose kernel has not answered for so many times so long is silent, and is made anew.
+/// Counted by looks and not by the clock, for of a machine that stood still only one is late.
 const SILENT_LOOKS: u32 = 5;
 const SILENT_LOOK: Nanos = 400 * MILLISECOND;
 /// What is in doubt has so long to be heard of.
@@ -39,12 +39,16 @@
 
     pub fn kernel_lost(&mut self) {
         (self.kernel.up, self.kernel.synced, self.kernel.renewing) = (false, false, false);
-        self.out.log(format_args!("kernel: link lost, {} in hand", self.invs.len()));
+        self.out.log(format_args!(
+            "kernel: link lost, {} in hand",
+            self.invs.len()
+        ));
     }
 
-    /// A new configuration. The kernel's link moves once the answer to one more question shows that what was
-    /// written on the old one has arrived; commands wait meanwhile. A link that was cut off at once would put
-    /// in doubt what was on its way, and what must not run twice would err for it.
+    /// A new configuration. The kernel's link moves once the answer to one more question shows that
+    /// what was written on the old one has arrived; commands wait meanwhile. A link that was cut
+    /// off at once would put in doubt what was on its way, and what must not run twice would err
+    /// for it.
     pub fn moved(&mut self, moved: &Moved) {
         let Moved { peers, kept } = moved;
         self.out.log(format_args!(
@@ -74,7 +78,9 @@
     /// All that was missed follows; the answer to a question asked now comes after it.
     pub fn booted(&mut self, cold: bool, up_ms: f64) {
         let state = if cold { "cold" } else { "warm" };
-        self.out.log(format_args!("kernel: linked, started {state} {up_ms:.0} ms ago"));
+        self.out.log(format_args!(
+            "kernel: linked, started {state} {up_ms:.0} ms ago"
+        ));
         self.kernel.sync = self.kernel.sent + 1;
         self.ask();
     }
@@ -97,7 +103,10 @@
             (kernel.up, kernel.synced, kernel.renewing) = (false, false, false);
             (kernel.waits, kernel.unanswered) = (false, 0);
             self.count("kernel: links gone silent", 1);
-            self.out.log(format_args!("kernel: link gone silent, {} in hand", self.invs.len()));
+            self.out.log(format_args!(
+                "kernel: link gone silent, {} in hand",
+                self.invs.len()
+            ));
             self.out.renew_kernel();
         }
     }
@@ -128,12 +137,19 @@
     /// Sends what waited for the link, and again what may not have arrived over the one before.
     fn catch_up(&mut self, arrived: u64) {
         let lacks = |sent: u64| sent == 0 || sent > arrived;
-        let running: Vec<_> =
-            self.invs.iter().filter(|(_, inv)| inv.run.is_some()).map(|(&id, _)| id).collect();
+        let running: Vec<_> = self
+            .invs
+            .iter()
+            .filter(|(_, inv)| inv.run.is_some())
+            .map(|(&id, _)| id)
+            .collect();
         for id in running {
-            let Some(inv) = self.invs.get(&id) else { continue };
+            let Some(inv) = self.invs.get(&id) else {
+                continue;
+            };
             let Some(run) = &inv.run else { continue };
-            // What may not run twice could have ended this moment, so it is only started if it never was.
+            // What may not run twice could have ended this moment, so it is only started if it
+            // never was.
             let again = self.effect(inv.op) == Effect::Idempotent || inv.front.is_none();
             let (sent, halted, seen) = (run.sent, run.halted, run.seen);
             if !seen && lacks(sent) {
@@ -151,8 +167,9 @@
         }
     }
 
-    /// The kernel has not spoken of a run since the link broke on which it was asked for: its caller is told at once
-    /// and not at its client timeout. Asked for again when that is over, the kernel only says whether there is one.
+    /// The kernel has not spoken of a run since the link broke on which it was asked for: its
+    /// caller is told at once and not at its client timeout. Asked for again when that is over, the
+    /// kernel only says whether there is one.
     pub fn doubt_over(&mut self, id: InvId) {
         let silent = |inv: &Invocation| inv.run.as_ref().is_some_and(|run| !run.seen);
         if self.kernel.synced && self.invs.get(&id).is_some_and(silent) {
@@ -164,9 +181,13 @@
     // ---- Runs ----
 
     pub fn run(&mut self, id: InvId) {
-        let Some(inv) = self.invs.get(&id) else { return };
+        let Some(inv) = self.invs.get(&id) else {
+            return;
+        };
         let twice = inv.ran && self.effect(inv.op) != Effect::Idempotent;
-        let late = self.leaving.is_some_and(|notice| inv.arrived > notice + self.start.premises.drain_grace);
+        let late = self
+            .leaving
+            .is_some_and(|notice| inv.arrived > notice + self.start.premises.drain_grace);
         let wanted = inv.front.is_some();
         invariant!(self, !twice, "what must not run twice runs once");
         invariant!(self, !late, "what arrives past the grace does not run");
@@ -175,12 +196,19 @@
     }
 
     fn start(&mut self, id: InvId) {
-        let Some(inv) = self.invs.get(&id) else { return };
+        let Some(inv) = self.invs.get(&id) else {
+            return;
+        };
         let (rid, body) = (inv.rid.clone(), inv.body.clone());
         let op = inv.op;
         let route = self.start.operations[op.0].clone();
-        let sent = self.command(Command::Sched { rid: &rid, route: &route, body: &body });
-        self.out.step(&rid, format_args!("told to run, command {sent}"));
+        let sent = self.command(Command::Sched {
+            rid: &rid,
+            route: &route,
+            body: &body,
+        });
+        self.out
+            .step(&rid, format_args!("told to run, command {sent}"));
         if let Some(inv) = self.invs.get_mut(&id) {
             let run = inv.run.get_or_insert_with(|| Run {
                 sent,
@@ -198,7 +226,9 @@
     }
 
     pub fn halt(&mut self, id: InvId) {
-        let Some(inv) = self.invs.get(&id) else { return };
+        let Some(inv) = self.invs.get(&id) else {
+            return;
+        };
         let Some(run) = &inv.run else { return };
         if run.sent == 0 {
             return self.never_started(id);
@@ -210,17 +240,24 @@
         }
     }
 
-    /// Asks again for runs that nobody has waited on for long: as their request is over, the kernel says MOOT
-    /// if there is no such run (its end was missed), and does nothing if there is.
+    /// Asks again for runs that nobody has waited on for long: as their request is over, the kernel
+    /// says MOOT if there is no such run (its end was missed), and does nothing if there is.
     pub fn ask_after_runs(&mut self) {
         if !self.kernel.synced {
             return; // what happened without a link is told first
         }
         let timeout = |inv: &Invocation| self.start.premises.operations[inv.op.0].client_timeout;
         let long_over = |inv: &Invocation| {
-            inv.front.is_none() && inv.run.is_some() && self.now > inv.arrived + timeout(inv) + LOOK_PERIOD
+            inv.front.is_none()
+                && inv.run.is_some()
+                && self.now > inv.arrived + timeout(inv) + LOOK_PERIOD
         };
-        let over: Vec<_> = self.invs.iter().filter(|(_, inv)| long_over(inv)).map(|(&id, _)| id).collect();
+        let over: Vec<_> = self
+            .invs
+            .iter()
+            .filter(|(_, inv)| long_over(inv))
+            .map(|(&id, _)| id)
+            .collect();
         for id in over {
             self.count("runs long over that were asked after", 1);
             self.start(id);
@@ -230,7 +267,9 @@
     /// A run has come to a call.
     pub fn call_asked(&mut self, rid: &str, no: u64, body: Vec<u8>) -> Option<InvId> {
         let id = self.ids.get(rid).copied();
-        let inv = id.and_then(|id| self.invs.get_mut(&id)).filter(|inv| inv.run.is_some());
+        let inv = id
+            .and_then(|id| self.invs.get_mut(&id))
+            .filter(|inv| inv.run.is_some());
         let Some(inv) = inv else {
             self.count("kernel: calls of what does not run", 1);
             return None;
@@ -244,20 +283,25 @@
     /// A run is over: answers its caller.
     pub fn reaped(&mut self, rid: &str, end: End, body: Vec<u8>) -> Option<InvId> {
         let id = self.ids.get(rid).copied();
-        let inv = id.and_then(|id| self.invs.get_mut(&id)).filter(|inv| inv.run.is_some());
+        let inv = id
+            .and_then(|id| self.invs.get_mut(&id))
+            .filter(|inv| inv.run.is_some());
         let (Some(id), Some(inv)) = (id, inv) else {
             self.count("kernel: ends of what does not run", 1);
             return None;
         };
         inv.run = None;
         inv.ran |= end != End::Moot;
-        // To a second command MOOT only says that no run goes on: the first one may have run, and its end been lost.
+        // To a second command MOOT only says that no run goes on: the first one may have run, and
+        // its end been lost.
         inv.never_ran = end == End::Moot && inv.asked == 1;
         self.out.step(rid, format_args!("run over: {end:?}"));
         let call = inv.call.take();
         if let Some(call) = call {
             self.call_is_over(&call, true);
-            call.link().into_iter().for_each(|place| self.cancel(rid, place));
+            call.link()
+                .into_iter()
+                .for_each(|place| self.cancel(rid, place));
         }
         match end {
             End::Ok => {
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -42,12 +42,13 @@
 const STACK: usize = 128 * 1024;
 /// Bytes taken from a socket at once.
 const READ: usize = 4096;
-/// Events of dispatchers that are taken before the core turns to the other peers and the timers again.
+/// Events of dispatchers that are taken before the core turns to the other peers and the timers
+/// again.
 const FRONT_TURN: usize = 64;
 /// What connecting to a peer may take.
 const CONNECT: Duration = Duration::from_millis(500);
-/// A timer later than this shows that the machine stood still. Before it fires, what came meanwhile is let
-/// in until nothing has come for a moment, or for the longest time.
+/// A timer later than this shows that the machine stood still. Before it fires, what came meanwhile
+/// is let in until nothing has come for a moment, or for the longest time.
 const STOOD_STILL: Nanos = 20_000_000;
 const LET_IN: Duration = Duration::from_millis(3);
 const LET_IN_MOST: Nanos = 50_000_000;
@@ -60,7 +61,8 @@
 pub enum Notice {
     /// To leave.
     Leave,
-    /// To leave, for another process of this node takes its place: nobody is told that the node goes.
+    /// To leave, for another process of this node takes its place: nobody is told that the node
+    /// goes.
     HandOver,
     /// That its configuration was replaced.
     Moved(Moved),
@@ -80,11 +82,15 @@
 }
 
 fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    thread::Builder::new().name(name.into()).stack_size(STACK).spawn(work).map(drop)
+    thread::Builder::new()
+        .name(name.into())
+        .stack_size(STACK)
+        .spawn(work)
+        .map(drop)
 }
 
-/// The node's clocks. Its own time counts from the Unix epoch, so that what came long before the node started
-/// has its place too, but never jumps with the system's clock.
+/// The node's clocks. Its own time counts from the Unix epoch, so that what came long before the
+/// node started has its place too, but never jumps with the system's clock.
 #[derive(Clone, Copy)]
 struct Clock {
     started: Instant,
@@ -92,16 +98,24 @@
 }
 
 fn unix() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
 impl Clock {
     fn start() -> Clock {
-        Clock { started: Instant::now(), unix: unix() }
+        Clock {
+            started: Instant::now(),
+            unix: unix(),
+        }
     }
 
     fn read(self) -> Moment {
-        Moment { now: self.now(), unix_ms: unix().as_millis() as u64 }
+        Moment {
+            now: self.now(),
+            unix_ms: unix().as_millis() as u64,
+        }
     }
 
     fn now(self) -> Nanos {
@@ -152,9 +166,18 @@
         self.kernel.take_if(|link| !link.write(line));
     }
 
-    fn call(&mut self, place: usize, call: CallNo, id: InvId, bytes: Vec<u8>, wanted: Wanted) -> bool {
+    fn call(
+        &mut self,
+        place: usize,
+        call: CallNo,
+        id: InvId,
+        bytes: Vec<u8>,
+        wanted: Wanted,
+    ) -> bool {
         let call = Below::Call(call, id, bytes, wanted);
-        self.backend.get(place).is_some_and(|queue| queue.try_send(call).is_ok())
+        self.backend
+            .get(place)
+            .is_some_and(|queue| queue.try_send(call).is_ok())
     }
 
     fn cancel(&mut self, place: usize, bytes: Vec<u8>) {
@@ -239,8 +262,16 @@
 impl Ours {
     fn beside(&self) -> Beside {
         let shared = self.fleet.as_ref().is_some_and(|part| part.shares());
-        let changes = self.fleet.as_ref().is_some_and(|part| !part.changes.is_empty());
-        Beside { settings: self.rules.is_some(), fleet: self.fleet.is_some(), shared, changes }
+        let changes = self
+            .fleet
+            .as_ref()
+            .is_some_and(|part| !part.changes.is_empty());
+        Beside {
+            settings: self.rules.is_some(),
+            fleet: self.fleet.is_some(),
+            shared,
+            changes,
+        }
     }
 }
 
@@ -250,10 +281,15 @@
     let room = room(who, ours.beside());
     let (front_events, front_inbox) = bounded(room.front_events);
     let (events, peers_inbox) = bounded(room.peer_events);
-    let inbox = Inbox { front: front_inbox, peers: peers_inbox };
+    let inbox = Inbox {
+        front: front_inbox,
+        peers: peers_inbox,
+    };
     let (go, word) = bounded(1);
     let word = ours.listener.as_ref().map(|_| word);
-    let listener = ours.listener.map_or_else(|| TcpListener::bind(who.listen), Ok)?;
+    let listener = ours
+        .listener
+        .map_or_else(|| TcpListener::bind(who.listen), Ok)?;
     let front = front::open(listener, word, room, front_events)?;
     let serves = ours.serves.map(|told| -> Box<dyn FnOnce()> {
         Box::new(move || {
@@ -267,15 +303,30 @@
     let mut backend = Vec::new();
     if who.peers.backend.is_some() {
         for place in 0..BACKEND_LINKS {
-            backend.push(backend_link::start(Arc::clone(&addresses), place, room.calls, events.clone())?);
+            backend.push(backend_link::start(
+                Arc::clone(&addresses),
+                place,
+                room.calls,
+                events.clone(),
+            )?);
         }
     }
     kernel_link::start(Arc::clone(&addresses), room.commands, events.clone())?;
-    let told = reports::Told { leaving: Arc::clone(&leaving), handed: Arc::clone(&handed) };
+    let told = reports::Told {
+        leaving: Arc::clone(&leaving),
+        handed: Arc::clone(&handed),
+    };
     reports::start(Arc::clone(&addresses), who.name.clone(), told)?;
-    let budgets = ours.fleet.as_ref().map_or(Vec::new(), |part| part.budgets.clone());
+    let budgets = ours
+        .fleet
+        .as_ref()
+        .map_or(Vec::new(), |part| part.budgets.clone());
     let rhythm = ours.fleet.as_ref().map(|part| part.rhythm());
-    let with = ours.fleet.as_ref().map(|part| part.with()).unwrap_or_default();
+    let with = ours
+        .fleet
+        .as_ref()
+        .map(|part| part.with())
+        .unwrap_or_default();
     let fleet = match ours.fleet {
         Some(mut part) => {
             part.settings.bytes = room.fleet;
@@ -286,8 +337,14 @@
                 let Moment { now, unix_ms } = clock.read();
                 madderpoint_fleet::Moment { now, unix_ms }
             };
-            // Chance of its own: the seed of the decisions is told by the platform, and may be the same on many.
-            Some(fleet_link::start(*part, who.seed ^ clock.now(), unix, events.clone())?)
+            // Chance of its own: the seed of the decisions is told by the platform, and may be the
+            // same on many.
+            Some(fleet_link::start(
+                *part,
+                who.seed ^ clock.now(),
+                unix,
+                events.clone(),
+            )?)
         }
         None => None,
     };
@@ -313,9 +370,25 @@
     })?;
     let has_backend = !backend.is_empty();
     let (conns, dirty) = (HashMap::new(), Vec::new());
-    let sockets = Sockets { conns, dirty, kernel: None, backend, addresses, front, leaving, fleet };
+    let sockets = Sockets {
+        conns,
+        dirty,
+        kernel: None,
+        backend,
+        addresses,
+        front,
+        leaving,
+        fleet,
+    };
     let stop_after = who.stop_after.as_nanos() as Nanos;
-    let mut core = Core::new(sockets, who.start.clone(), who.seed, stop_after, has_backend, &room);
+    let mut core = Core::new(
+        sockets,
+        who.start.clone(),
+        who.seed,
+        stop_after,
+        has_backend,
+        &room,
+    );
     if let Some(rhythm) = rhythm {
         core.join_fleet(clock.now(), &budgets, rhythm, &with);
     }
@@ -332,8 +405,14 @@
     Ok(())
 }
 
-/// Takes what waits, then fires the timers that are due, so that what came in counts before a time-out.
-fn run(core: &mut Core<Sockets>, clock: Clock, inbox: &Inbox, mut serves: Option<Box<dyn FnOnce()>>) {
+/// Takes what waits, then fires the timers that are due, so that what came in counts before a
+/// time-out.
+fn run(
+    core: &mut Core<Sockets>,
+    clock: Clock,
+    inbox: &Inbox,
+    mut serves: Option<Box<dyn FnOnce()>>,
+) {
     while !core.has_left() {
         if let Some(serves) = serves.take_if(|_| core.is_up()) {
             serves();
@@ -350,17 +429,24 @@
     }
 }
 
-/// Waits for something, then takes all that peers sent and a share of what dispatchers did; false if nothing came.
+/// Waits for something, then takes all that peers sent and a share of what dispatchers did; false
+/// if nothing came.
 fn turn(core: &mut Core<Sockets>, clock: Clock, inbox: &Inbox, wait: Duration) -> bool {
     let first = select! {
         recv(inbox.peers) -> message => message,
         recv(inbox.front) -> message => message,
         default(wait) => return false,
     };
-    first.into_iter().for_each(|message| take(core, clock, message));
+    first
+        .into_iter()
+        .for_each(|message| take(core, clock, message));
     let peers = inbox.peers.try_iter().take(inbox.peers.len());
     peers.for_each(|message| take(core, clock, message));
-    inbox.front.try_iter().take(FRONT_TURN).for_each(|message| take(core, clock, message));
+    inbox
+        .front
+        .try_iter()
+        .take(FRONT_TURN)
+        .for_each(|message| take(core, clock, message));
     true
 }
 
@@ -385,7 +471,10 @@
 }
 
 /// Reads a socket into the sink until it ends.
-fn read_all<E>(mut stream: &TcpStream, mut sink: impl FnMut(&[u8]) -> Result<(), E>) -> Result<(), E> {
+fn read_all<E>(
+    mut stream: &TcpStream,
+    mut sink: impl FnMut(&[u8]) -> Result<(), E>,
+) -> Result<(), E> {
     let mut buffer = [0; READ];
     loop {
         match stream.read(&mut buffer) {
--- a/crates/node/src/driver/backend_link.rs
+++ b/crates/node/src/driver/backend_link.rs
@@ -1,4 +1,5 @@
-//! Connections to the back end: each has a thread that connects when a call needs it and writes, and a reader.
+//! Connections to the back end: each has a thread that connects when a call needs it and writes,
+//! and a reader.
 
 use super::{Addresses, CONNECT, Message, READ, spawn};
 use crate::backend;
@@ -12,12 +13,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The core is told of a connection on which nothing was sent for so long. The back end closes idle ones after
-/// 10 s, or earlier, or forgets them, and then a call meets a reset that may as well stand for a lost reply.
+/// The core is told of a connection on which nothing was sent for so long. The back end closes idle
+/// ones after 10 s, or earlier, or forgets them, and then a call meets a reset that may as well
+/// stand for a lost reply.
 const IDLE: Duration = Duration::from_secs(1);
 
-/// A back end that takes no byte for so many times so long does not read; between them it is seen whether a call that was
-/// written in part is still wanted.
+/// A back end that takes no byte for so many times so long does not read; between them it is seen
+/// whether a call that was written in part is still wanted.
 const BLOCKED: Duration = Duration::from_millis(50);
 const BLOCKED_MOST: u32 = 20;
 /// A reply of which a part has come, and for so many times so long nothing more, was cut.
@@ -42,7 +44,14 @@
     events: Sender<Message>,
 ) -> io::Result<Sender<Below>> {
     let (queue, calls) = bounded(room);
-    let link = Link { addresses, place, events, made: 0, stream: None, retired: Vec::new() };
+    let link = Link {
+        addresses,
+        place,
+        events,
+        made: 0,
+        stream: None,
+        retired: Vec::new(),
+    };
     spawn("back end", move || link.serve(&calls))?;
     Ok(queue)
 }
@@ -55,7 +64,8 @@
     made: u64,
     /// The connection, and where it leads.
     stream: Option<(SocketAddr, Arc<TcpStream>)>,
-    /// Connections to where the back end was before. Their calls get their replies while it gives any.
+    /// Connections to where the back end was before. Their calls get their replies while it gives
+    /// any.
     retired: Vec<Arc<TcpStream>>,
 }
 
@@ -76,7 +86,9 @@
                     self.close();
                 }
                 Err(RecvTimeoutError::Timeout) if self.stream.is_some() => {
-                    let _ = self.events.send(Message::Event(Event::BackendQuiet(self.place)));
+                    let _ = self
+                        .events
+                        .send(Message::Event(Event::BackendQuiet(self.place)));
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -84,7 +96,8 @@
         }
     }
 
-    /// Gives a call up; where no such call is, it means nothing. A part of the line would spoil the next one.
+    /// Gives a call up; where no such call is, it means nothing. A part of the line would spoil the
+    /// next one.
     fn cancel(&mut self, bytes: &[u8]) {
         let wants = Wants::default();
         let current = self.stream.iter().map(|(_, stream)| stream);
@@ -98,7 +111,9 @@
     /// Ends the oldest connections to where the back end was before.
     fn end_retired(&mut self, but: usize) {
         let most = self.retired.len().saturating_sub(but);
-        self.retired.drain(..most).for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
+        self.retired
+            .drain(..most)
+            .for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
     }
 
     fn close(&mut self) {
@@ -107,24 +122,36 @@
         }
     }
 
-    /// Writes a call whole, if it is wanted still. Where the connection ended before it took all of it, nothing ran, and
-    /// the call goes out on a new one.
+    /// Writes a call whole, if it is wanted still. Where the connection ended before it took all of
+    /// it, nothing ran, and the call goes out on a new one.
     fn write_call(&mut self, bytes: &[u8], wanted: &Wanted) -> io::Result<BackendLink> {
         let kept = self.stream.is_some();
-        let written = self.connected().and_then(|stream| write_while_wanted(&stream, bytes, wanted));
+        let written = self
+            .connected()
+            .and_then(|stream| write_while_wanted(&stream, bytes, wanted));
         match written {
-            Ok(()) => Ok(BackendLink { place: self.place, generation: self.made }),
+            Ok(()) => Ok(BackendLink {
+                place: self.place,
+                generation: self.made,
+            }),
             Err(Unwritten::Untouched) => Err(ErrorKind::TimedOut.into()),
             Err(Unwritten::Broken(e)) => {
                 self.close();
-                if kept && wanted.is_so() { self.write_call(bytes, wanted) } else { Err(e) }
+                if kept && wanted.is_so() {
+                    self.write_call(bytes, wanted)
+                } else {
+                    Err(e)
+                }
             }
         }
     }
 
     fn connected(&mut self) -> Result<Arc<TcpStream>, Unwritten> {
-        let address =
-            self.addresses.load().backend.ok_or_else(|| io::Error::from(ErrorKind::AddrNotAvailable))?;
+        let address = self
+            .addresses
+            .load()
+            .backend
+            .ok_or_else(|| io::Error::from(ErrorKind::AddrNotAvailable))?;
         match self.stream.take() {
             Some((to, stream)) if to == address => {
                 self.stream = Some((to, Arc::clone(&stream)));
@@ -142,8 +169,13 @@
         let stream = Arc::new(stream);
         self.made += 1;
         let (reader, events) = (Arc::clone(&stream), self.events.clone());
-        let link = BackendLink { place: self.place, generation: self.made };
-        spawn("back end read", move || read_replies(&reader, link, &events))?;
+        let link = BackendLink {
+            place: self.place,
+            generation: self.made,
+        };
+        spawn("back end read", move || {
+            read_replies(&reader, link, &events)
+        })?;
         self.stream = Some((address, Arc::clone(&stream)));
         Ok(stream)
     }
@@ -164,9 +196,14 @@
     }
 }
 
-/// Writes to a connection that makes nobody wait for long. A call that waited for its turn or for the back end to read, and
-/// whose run has gone on meanwhile, must not reach the back end any more: it would be taken for the run's next one.
-fn write_while_wanted(mut stream: &TcpStream, bytes: &[u8], wanted: &Wanted) -> Result<(), Unwritten> {
+/// Writes to a connection that makes nobody wait for long. A call that waited for its turn or for
+/// the back end to read, and whose run has gone on meanwhile, must not reach the back end any more:
+/// it would be taken for the run's next one.
+fn write_while_wanted(
+    mut stream: &TcpStream,
+    bytes: &[u8],
+    wanted: &Wanted,
+) -> Result<(), Unwritten> {
     let (mut written, mut blocked) = (0, 0);
     while written < bytes.len() {
         if written == 0 && !wanted.is_so() {
@@ -212,11 +249,14 @@
                 let mut hand = |reply| {
                     let _ = events.send(Message::Event(Event::Reply(link.place, reply)));
                 };
-                parser.feed(&buffer[..n], &mut hand).map_err(|backend::Broken(what)| what)?;
+                parser
+                    .feed(&buffer[..n], &mut hand)
+                    .map_err(|backend::Broken(what)| what)?;
                 waits = 0;
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            // Nothing has come for a while after a part of a reply: all other replies wait behind it.
+            // Nothing has come for a while after a part of a reply: all other replies wait behind
+            // it.
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 waits += 1;
                 if waits >= CUT_MOST {
--- a/crates/node/src/driver/backend_link/tests.rs
+++ b/crates/node/src/driver/backend_link/tests.rs
@@ -1,4 +1,5 @@
-//! A link to a back end that is played here: what it does not read in time, and replies that are cut.
+//! A link to a back end that is played here: what it does not read in time, and replies that are
+//! cut.
 
 use super::*;
 use crate::config::Peers;
@@ -21,17 +22,26 @@
 impl Bench {
     fn new() -> Bench {
         let backend = listen();
-        let peers =
-            Peers { kernel: nobody(), members: nobody(), backend: Some(backend.local_addr().unwrap()) };
+        let peers = Peers {
+            kernel: nobody(),
+            members: nobody(),
+            backend: Some(backend.local_addr().unwrap()),
+        };
         let (events, inbox) = bounded(100);
         let queue = start(Arc::new(AtomicCell::new(peers)), 0, 100, events).unwrap();
-        Bench { backend, queue, events: inbox }
+        Bench {
+            backend,
+            queue,
+            events: inbox,
+        }
     }
 
     /// Hands a call over; gives what keeps it wanted.
     fn call(&self, no: u64, bytes: &[u8]) -> Wants {
         let wants = Wants::default();
-        self.queue.send(Below::Call(CallNo(no), ID, bytes.to_vec(), wants.wanted())).unwrap();
+        self.queue
+            .send(Below::Call(CallNo(no), ID, bytes.to_vec(), wants.wanted()))
+            .unwrap();
         wants
     }
 
@@ -73,7 +83,15 @@
 fn a_call_that_is_not_wanted_any_more_is_not_written() {
     let bench = Bench::new();
     let wanted = Wants::default().wanted();
-    bench.queue.send(Below::Call(CallNo(1), ID, b"invoke one 1 0\r\n\r\n".to_vec(), wanted)).unwrap();
+    bench
+        .queue
+        .send(Below::Call(
+            CallNo(1),
+            ID,
+            b"invoke one 1 0\r\n\r\n".to_vec(),
+            wanted,
+        ))
+        .unwrap();
     let _two = bench.call(2, b"invoke two 1 0\r\n\r\n");
     assert_eq!(bench.until(2), [(1, false), (2, true)]);
     let mut line = [0; 18];
@@ -81,8 +99,8 @@
     assert_eq!(&line, b"invoke two 1 0\r\n\r\n");
 }
 
-/// The back end reads nothing. Calls that wait behind one that it does not take pass their limits: when it reads again, none
-/// of them reaches it, and a call that is wanted does.
+/// The back end reads nothing. Calls that wait behind one that it does not take pass their limits:
+/// when it reads again, none of them reaches it, and a call that is wanted does.
 #[test]
 fn what_waits_for_a_back_end_that_does_not_read_is_not_written_after_its_time() {
     let bench = Bench::new();
@@ -94,7 +112,11 @@
     drop(first);
     assert_eq!(bench.until(3), [(1, false), (2, false), (3, true)]);
     let bytes = all(stream);
-    assert!(bytes.len() < HUGE && bytes.iter().all(|&b| b == b'x'), "{} bytes", bytes.len());
+    assert!(
+        bytes.len() < HUGE && bytes.iter().all(|&b| b == b'x'),
+        "{} bytes",
+        bytes.len()
+    );
     let mut new = bench.accept();
     let mut line = [0; 20];
     new.read_exact(&mut line).unwrap();
@@ -102,7 +124,8 @@
     drop(third);
 }
 
-/// Nobody gives the call up, and the back end does not read for good: the connection ends, and all on it is known to be lost.
+/// Nobody gives the call up, and the back end does not read for good: the connection ends, and all
+/// on it is known to be lost.
 #[test]
 fn a_back_end_that_does_not_read_for_a_second_loses_its_connection() {
     let bench = Bench::new();
@@ -110,7 +133,11 @@
     let _first = bench.call(1, &vec![b'x'; HUGE]);
     let held = bench.accept();
     assert_eq!(bench.until(1), [(1, false)]);
-    assert!(begun.elapsed() >= BLOCKED * BLOCKED_MOST, "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() >= BLOCKED * BLOCKED_MOST,
+        "{:?}",
+        begun.elapsed()
+    );
     let lost = loop {
         if let Event::BackendLost(link, _) = bench.event() {
             break link;
@@ -132,8 +159,14 @@
     assert!(matches!(bench.event(), Event::Reply(0, reply) if reply.body == b"repl"));
     stream.write_all(b"two ok 100\r\nonly this").unwrap();
     let begun = Instant::now();
-    while !matches!(bench.event(), Event::BackendLost(_, cause) if cause == Some("reply cut short")) {}
-    assert!(begun.elapsed() >= CUT * (CUT_MOST - 1), "{:?}", begun.elapsed());
+    while !matches!(bench.event(), Event::BackendLost(_, cause) if cause == Some("reply cut short"))
+    {
+    }
+    assert!(
+        begun.elapsed() >= CUT * (CUT_MOST - 1),
+        "{:?}",
+        begun.elapsed()
+    );
 }
 
 #[test]
--- a/crates/node/src/driver/changes.rs
+++ b/crates/node/src/driver/changes.rs
@@ -1,5 +1,6 @@
-//! A node's part in changes of its settings or its program, beside its part in the fleet: words travel as the fleet's parcels, what
-//! takes time (checks, writes, what takes force) is done by a thread of its own, and neither waits for the other.
+//! A node's part in changes of its settings or its program, beside its part in the fleet: words
+//! travel as the fleet's parcels, what takes time (checks, writes, what takes force) is done by a
+//! thread of its own, and neither waits for the other.
 
 use super::STACK;
 use super::fleet_link::{Done, Poster};
@@ -27,11 +28,13 @@
 /// Between two looks at what is due, and at what nodes counted.
 const WAKE: Nanos = 200_000_000;
 const LOOK: Nanos = 1_000_000_000;
-/// What the thread that checks and writes may have before it: one thing of each kind is asked for at a time.
+/// What the thread that checks and writes may have before it: one thing of each kind is asked for
+/// at a time.
 const TASKS: usize = 8;
 /// A node's record takes about so much, for each side of a change: two dozen operations' parts.
 const NODE_RECORD: usize = 12 << 10;
-/// What takes less than this part of the latency objective is quick enough for any caller; in the histogram's units.
+/// What takes less than this part of the latency objective is quick enough for any caller; in the
+/// histogram's units.
 const QUICK: Nanos = 10;
 const TENTH: Nanos = 100_000;
 /// How long a node that leaves waits for what it writes last.
@@ -47,10 +50,15 @@
     }
 }
 
-/// What a change does to this node, and where versions are kept. It may take its time: it has a thread.
+/// What a change does to this node, and where versions are kept. It may take its time: it has a
+/// thread.
 pub trait Versions: Send {
     /// Looks whether this can be run here, and says which version it is.
-    fn check(&mut self, version: Option<Version>, content: Option<&[u8]>) -> Result<Version, String>;
+    fn check(
+        &mut self,
+        version: Option<Version>,
+        content: Option<&[u8]>,
+    ) -> Result<Version, String>;
     /// Writes what is kept.
     fn keep(&mut self, kept: &Kept, content: Option<(Version, &[u8])>) -> Result<(), String>;
     /// Runs a version from here on.
@@ -76,16 +84,32 @@
 }
 
 enum Task {
-    Check { change: ChangeId, version: Version, content: Option<Vec<u8>> },
-    LookInto { no: u64, version: Option<Version>, content: Option<Vec<u8>> },
-    Keep { no: u64, kept: Box<Kept>, content: Option<(Version, Vec<u8>)> },
+    Check {
+        change: ChangeId,
+        version: Version,
+        content: Option<Vec<u8>>,
+    },
+    LookInto {
+        no: u64,
+        version: Option<Version>,
+        content: Option<Vec<u8>>,
+    },
+    Keep {
+        no: u64,
+        kept: Box<Kept>,
+        content: Option<(Version, Vec<u8>)>,
+    },
     Apply(Version),
 }
 
 fn work(kind: Kind, mut versions: Box<dyn Versions>, tasks: &Receiver<Task>, poster: &Poster) {
     for task in tasks {
         let done = match task {
-            Task::Check { change, version, content } => {
+            Task::Check {
+                change,
+                version,
+                content,
+            } => {
                 let found = versions.check(Some(version), content.as_deref());
                 let found = found.and_then(|found| match found == version {
                     true => Ok(()),
@@ -93,11 +117,15 @@
                 });
                 Done::Checked(change, found)
             }
-            Task::LookInto { no, version, content } => {
-                Done::LookedInto(no, versions.check(version, content.as_deref()))
-            }
+            Task::LookInto {
+                no,
+                version,
+                content,
+            } => Done::LookedInto(no, versions.check(version, content.as_deref())),
             Task::Keep { no, kept, content } => {
-                let content = content.as_ref().map(|(version, content)| (*version, content.as_slice()));
+                let content = content
+                    .as_ref()
+                    .map(|(version, content)| (*version, content.as_slice()));
                 Done::Kept(no, versions.keep(&kept, content))
             }
             Task::Apply(version) => Done::Applied(version, versions.apply(version)),
@@ -138,27 +166,52 @@
         crate::log::event("rollout", part, format_args!("{part}: {line}"));
     }
     fn some(&mut self, most: usize) -> Vec<u64> {
-        let others = self.members.iter().filter(|member| member.there && member.node != self.me);
+        let others = self
+            .members
+            .iter()
+            .filter(|member| member.there && member.node != self.me);
         let there: Vec<u64> = others.map(|member| member.node).collect();
-        (0..most.min(there.len())).map(|_| there[self.rng.random_range(0..there.len())]).collect()
+        (0..most.min(there.len()))
+            .map(|_| there[self.rng.random_range(0..there.len())])
+            .collect()
     }
     fn differs(&mut self, digest: u64) -> Option<u64> {
         // From a place of its own on, so that not all ask the same one.
-        let from = if self.digests.is_empty() { 0 } else { self.rng.random_range(0..self.digests.len()) };
+        let from = if self.digests.is_empty() {
+            0
+        } else {
+            self.rng.random_range(0..self.digests.len())
+        };
         let (before, after) = self.digests.split_at(from);
-        after.iter().chain(before).find(|(_, other)| *other != digest).map(|(node, _)| *node)
+        after
+            .iter()
+            .chain(before)
+            .find(|(_, other)| *other != digest)
+            .map(|(node, _)| *node)
     }
     fn show(&mut self, report: &Report) {
         self.shown = Some(report.clone());
     }
     fn check(&mut self, change: ChangeId, version: Version, content: Option<Vec<u8>>) {
-        self.task(Task::Check { change, version, content });
+        self.task(Task::Check {
+            change,
+            version,
+            content,
+        });
     }
     fn look_into(&mut self, no: u64, version: Option<Version>, content: Option<Vec<u8>>) {
-        self.task(Task::LookInto { no, version, content });
+        self.task(Task::LookInto {
+            no,
+            version,
+            content,
+        });
     }
     fn keep(&mut self, no: u64, kept: &Kept, content: Option<(Version, Vec<u8>)>) {
-        self.task(Task::Keep { no, kept: Box::new(kept.clone()), content });
+        self.task(Task::Keep {
+            no,
+            kept: Box::new(kept.clone()),
+            content,
+        });
     }
     fn apply(&mut self, version: Version) {
         self.task(Task::Apply(version));
@@ -167,7 +220,11 @@
         self.members.clone()
     }
     fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<Sample>)> {
-        self.windows.iter().filter(|(window, _)| (from..=until).contains(window)).cloned().collect()
+        self.windows
+            .iter()
+            .filter(|(window, _)| (from..=until).contains(window))
+            .cloned()
+            .collect()
     }
 }
 
@@ -214,13 +271,32 @@
 
 impl Changes {
     /// Starts the part, and the thread that checks and writes.
-    pub fn start(at: Moment, changing: Changing, among: Among, poster: Poster) -> io::Result<Changes> {
-        let Changing { start, plan, versions } = changing;
-        let Among { me, zone, arbiters, operations, objectives, bytes, seed } = among;
+    pub fn start(
+        at: Moment,
+        changing: Changing,
+        among: Among,
+        poster: Poster,
+    ) -> io::Result<Changes> {
+        let Changing {
+            start,
+            plan,
+            versions,
+        } = changing;
+        let Among {
+            me,
+            zone,
+            arbiters,
+            operations,
+            objectives,
+            bytes,
+            seed,
+        } = among;
         let kind = start.kept.kind;
         let (tasks, inbox) = bounded(TASKS);
         // Settings are read there, whose expressions nest in each other.
-        let thread = thread::Builder::new().name("versions".into()).stack_size(8 * STACK);
+        let thread = thread::Builder::new()
+            .name("versions".into())
+            .stack_size(8 * STACK);
         let (ends, worker) = bounded(0);
         thread.spawn(move || {
             let _ends: Sender<()> = ends;
@@ -233,20 +309,49 @@
             sent: Vec::new(),
             tasks,
             shown: None,
-            members: vec![Member { node: me.0, zone, there: true }],
+            members: vec![Member {
+                node: me.0,
+                zone,
+                there: true,
+            }],
             digests: Vec::new(),
             windows: Vec::new(),
             rng,
         };
-        let mut rollout = Rollout::new(at.now, at.unix_ms, (me.0, zone), start, arbiters, WINDOW_MS, hands);
-        let names = operations.iter().map(|name| (number(name), name.clone())).collect();
+        let mut rollout = Rollout::new(
+            at.now,
+            at.unix_ms,
+            (me.0, zone),
+            start,
+            arbiters,
+            WINDOW_MS,
+            hands,
+        );
+        let names = operations
+            .iter()
+            .map(|name| (number(name), name.clone()))
+            .collect();
         let quick = operations.iter().zip(&objectives);
-        let quick =
-            quick.map(|(name, objective)| (number(name), (objective / QUICK / TENTH) as u32)).collect();
-        rollout.conduct = rollout.conduct.with_names(names).with_room(bytes / NODE_RECORD).with_quick(quick);
+        let quick = quick
+            .map(|(name, objective)| (number(name), (objective / QUICK / TENTH) as u32))
+            .collect();
+        rollout.conduct = rollout
+            .conduct
+            .with_names(names)
+            .with_room(bytes / NODE_RECORD)
+            .with_quick(quick);
         rollout.plan = plan;
         let answers = VecDeque::new();
-        Ok(Changes { rollout, kind, next: 0, looked: 0, operations, worker, answers, handed: false })
+        Ok(Changes {
+            rollout,
+            kind,
+            next: 0,
+            looked: 0,
+            operations,
+            worker,
+            answers,
+            handed: false,
+        })
     }
 
     pub fn kind(&self) -> Kind {
@@ -278,7 +383,9 @@
             Done::Checked(change, found) => rollout.local.checked(at.now, change, found),
             Done::LookedInto(no, found) => rollout.looked_into(at.now, at.unix_ms, no, found),
             Done::Kept(no, result) => rollout.local.kept(at.now, no, result),
-            Done::Applied(version, result) => rollout.local.applied(at.now, at.unix_ms, version, result),
+            Done::Applied(version, result) => {
+                rollout.local.applied(at.now, at.unix_ms, version, result)
+            }
         }
     }
 
@@ -286,7 +393,11 @@
     pub fn order(&mut self, at: Moment, from: std::net::SocketAddr, no: u32, order: &[u8]) {
         let answer = match Order::decode(order) {
             Ok(order) => self.rollout.order(at.now, at.unix_ms, &order),
-            Err(_) => Ordered { state: 2, why: "this order can't be read".into(), change: 0 },
+            Err(_) => Ordered {
+                state: 2,
+                why: "this order can't be read".into(),
+                change: 0,
+            },
         };
         if self.answers.len() < ANSWERS {
             self.answers.push_back((from, no, answer));
@@ -322,9 +433,15 @@
             if entry.status() == Status::Left {
                 continue;
             }
-            members.push(Member { node: key.0, zone: super::zone_number(&entry.details.zone), there });
+            members.push(Member {
+                node: key.0,
+                zone: super::zone_number(&entry.details.zone),
+                there,
+            });
             let part = entry.details.parts.iter().find(|part| part.id == topic);
-            if let Some(report) = part.filter(|_| there && key != me).and_then(|p| wire::read_part(&p.bytes))
+            if let Some(report) = part
+                .filter(|_| there && key != me)
+                .and_then(|p| wire::read_part(&p.bytes))
             {
                 digests.push((key.0, report.digest));
             }
@@ -339,22 +456,29 @@
     fn look<H: FleetHost>(&mut self, at: Moment, fleet: &Fleet<H>, counts: Option<&Counts>) {
         let Rollout { local, conduct, .. } = &self.rollout;
         let under_way = local.changes().under_way(self.kind).map(|change| change.id);
-        let (Some(change), Some(counts)) = (under_way.filter(|_| conduct.is_arbiter()), counts) else {
+        let (Some(change), Some(counts)) = (under_way.filter(|_| conduct.is_arbiter()), counts)
+        else {
             return;
         };
-        let recorded = conduct.record().is_some_and(|record| record.change == change);
+        let recorded = conduct
+            .record()
+            .is_some_and(|record| record.change == change);
         if recorded && at.now < self.looked + LOOK {
             return;
         }
         self.looked = at.now;
-        let from = conduct.wants_counts(local.changes()).filter(|_| recorded).unwrap_or(0);
+        let from = conduct
+            .wants_counts(local.changes())
+            .filter(|_| recorded)
+            .unwrap_or(0);
         self.rollout.local.host.windows = samples(self.kind, fleet, counts, from);
     }
 
     /// Sends and shows what there is to say.
     pub fn post<H: FleetHost>(&mut self, at: Moment, fleet: &mut Fleet<H>) {
         let topic = topic(self.kind);
-        // What this node tells itself as an arbiter, as one who conducts and as a member stays here, and may be answered.
+        // What this node tells itself as an arbiter, as one who conducts and as a member stays
+        // here, and may be answered.
         while !self.rollout.local.host.sent.is_empty() {
             for (to, told) in std::mem::take(&mut self.rollout.local.host.sent) {
                 if to == self.rollout.local.me() {
@@ -370,7 +494,11 @@
             }
         }
         if let Some(report) = self.rollout.local.host.shown.take() {
-            let part = Hung { id: topic, version: 1, bytes: wire::write_part(&report) };
+            let part = Hung {
+                id: topic,
+                version: 1,
+                bytes: wire::write_part(&report),
+            };
             let _ = fleet.set_part(at, part); // one that does not fit is counted there
         }
         while let Some((to, no, answer)) = self.answers.pop_front() {
@@ -392,31 +520,44 @@
                 (*member, part.and_then(|part| wire::read_part(&part.bytes)))
             })
             .collect();
-        let names = Called { fleet, operations: &self.operations };
+        let names = Called {
+            fleet,
+            operations: &self.operations,
+        };
         let mut shown = Shown::of(at.unix_ms, local, conduct, &members, &names);
         shown.window_ms = WINDOW_MS;
         let alone: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
-        let conductor = conduct.conductor(&alone).and_then(|key| fleet.view().get(Key(key)));
-        shown.conductor_at = conductor.map_or_else(String::new, |entry| entry.details.address.to_string());
+        let conductor = conduct
+            .conductor(&alone)
+            .and_then(|key| fleet.view().get(Key(key)));
+        shown.conductor_at =
+            conductor.map_or_else(String::new, |entry| entry.details.address.to_string());
         shown.encode_to_vec()
     }
 
-    /// Whether another process is being started to take this one's place: nothing else may change then.
+    /// Whether another process is being started to take this one's place: nothing else may change
+    /// then.
     pub fn hands_over(&self) -> bool {
         self.kind == Kind::Program && (self.handed || self.rollout.local.is_applying())
     }
 
-    /// The node ends, by notice: what it had on trial did not die, and that is written before the process is gone. Where another
-    /// process takes its place, that one has it on trial, and writes.
+    /// The node ends, by notice: what it had on trial did not die, and that is written before the
+    /// process is gone. Where another process takes its place, that one has it on trial, and
+    /// writes.
     pub fn leave(&mut self, handed: bool) {
         let kept = Box::new(self.rollout.local.leave());
         let (tasks, _) = bounded(0);
         let tasks = std::mem::replace(&mut self.rollout.local.host.tasks, tasks);
         if !handed {
-            let _ = tasks.try_send(Task::Keep { no: 0, kept, content: None });
+            let _ = tasks.try_send(Task::Keep {
+                no: 0,
+                kept,
+                content: None,
+            });
         }
         drop(tasks);
-        // A disk that takes longer leaves the note of a trial behind: then that counts as a death, which is the safe side.
+        // A disk that takes longer leaves the note of a trial behind: then that counts as a death,
+        // which is the safe side.
         let _ = self.worker.recv_timeout(LEAVES);
     }
 }
@@ -430,12 +571,18 @@
 ) -> Vec<(u64, Vec<Sample>)> {
     let mut all: BTreeMap<u64, BTreeMap<u64, Sample>> = BTreeMap::new();
     for (who, window, label, first, counted) in counts.windows(from) {
-        let Some(entry) = fleet.view().get(Key(who.key)) else { continue };
+        let Some(entry) = fleet.view().get(Key(who.key)) else {
+            continue;
+        };
         // A program is another process; what it runs is what the process says on its entry.
         let label = match kind {
             Kind::Settings => label,
             Kind::Program if entry.epoch.life.0 == who.life => {
-                let part = entry.details.parts.iter().find(|part| part.id == PROGRAM_CHANGES);
+                let part = entry
+                    .details
+                    .parts
+                    .iter()
+                    .find(|part| part.id == PROGRAM_CHANGES);
                 match part.and_then(|part| wire::read_part(&part.bytes)) {
                     Some(report) => report.running.hash,
                     None => continue,
@@ -471,7 +618,13 @@
             sample.operations.insert(*row, (cell, latencies));
         }
         // Of two processes under one name in a window the one that did more tells of it.
-        let arrived = |sample: &Sample| sample.operations.values().map(|(cell, _)| cell.arrived).sum::<u64>();
+        let arrived = |sample: &Sample| {
+            sample
+                .operations
+                .values()
+                .map(|(cell, _)| cell.arrived)
+                .sum::<u64>()
+        };
         match all.entry(window).or_default().entry(who.key) {
             std::collections::btree_map::Entry::Vacant(place) => _ = place.insert(sample),
             std::collections::btree_map::Entry::Occupied(mut held) => {
@@ -481,5 +634,7 @@
             }
         }
     }
-    all.into_iter().map(|(window, nodes)| (window, nodes.into_values().collect())).collect()
+    all.into_iter()
+        .map(|(window, nodes)| (window, nodes.into_values().collect()))
+        .collect()
 }
--- a/crates/node/src/driver/dispatchers.rs
+++ b/crates/node/src/driver/dispatchers.rs
@@ -1,5 +1,5 @@
-//! The core's end of dispatchers' connections: it writes as much as a socket takes at once, and a writer is started
-//! for one that does not take all.
+//! The core's end of dispatchers' connections: it writes as much as a socket takes at once, and a
+//! writer is started for one that does not take all.
 
 use super::front::{Order, Orders};
 use super::places::Socket;
@@ -42,8 +42,21 @@
 
 impl Connection {
     /// For a connection that was accepted; its reader waits for `pause` before each reading.
-    pub fn new(number: ConnId, socket: Arc<Socket>, pause: Arc<AtomicU64>, reader: Orders) -> Connection {
-        Connection { number, socket, reader, replies: Vec::new(), closes: None, writer: None, pause }
+    pub fn new(
+        number: ConnId,
+        socket: Arc<Socket>,
+        pause: Arc<AtomicU64>,
+        reader: Orders,
+    ) -> Connection {
+        Connection {
+            number,
+            socket,
+            reader,
+            replies: Vec::new(),
+            closes: None,
+            writer: None,
+            pause,
+        }
     }
 
     /// Takes an answer, to be written with the others of this turn.
@@ -61,7 +74,8 @@
         self.pause.store(nanos, SeqCst);
     }
 
-    /// Writes the answers of this turn without waiting. What the socket does not take goes to a writer.
+    /// Writes the answers of this turn without waiting. What the socket does not take goes to a
+    /// writer.
     pub fn flush(&mut self) {
         while self.writer.is_none() && !self.replies.is_empty() {
             if let Err(e) = self.write_now() {
@@ -84,7 +98,9 @@
         for reply in std::mem::take(&mut self.replies) {
             let size = reply.size();
             let unread = self.socket.places.unread.fetch_add(size, SeqCst);
-            if unread > self.socket.places.room.unread || writer.try_send(Outgoing::Reply(reply)).is_err() {
+            if unread > self.socket.places.room.unread
+                || writer.try_send(Outgoing::Reply(reply)).is_err()
+            {
                 self.socket.places.unread.fetch_sub(size, SeqCst);
                 log!("dispatcher: connection ended, its peer does not read");
                 return self.end();
@@ -95,17 +111,25 @@
         }
     }
 
-    /// Writes what the socket takes of the first answers; `WouldBlock` if it does not take all of them.
+    /// Writes what the socket takes of the first answers; `WouldBlock` if it does not take all of
+    /// them.
     fn write_now(&mut self) -> io::Result<()> {
         let batch = &self.replies[..self.replies.len().min(GATHERED)];
-        let slices: Vec<IoSlice<'_>> =
-            batch.iter().flat_map(Reply::slices).filter(|s| !s.is_empty()).collect();
+        let slices: Vec<IoSlice<'_>> = batch
+            .iter()
+            .flat_map(Reply::slices)
+            .filter(|s| !s.is_empty())
+            .collect();
         let flags = SendFlags::DONTWAIT | SendFlags::NOSIGNAL;
-        let mut written =
-            match sendmsg(&self.socket.stream, &slices, &mut SendAncillaryBuffer::default(), flags) {
-                Err(rustix::io::Errno::INTR) => 0,
-                sent => sent?,
-            };
+        let mut written = match sendmsg(
+            &self.socket.stream,
+            &slices,
+            &mut SendAncillaryBuffer::default(),
+            flags,
+        ) {
+            Err(rustix::io::Errno::INTR) => 0,
+            sent => sent?,
+        };
         let whole = batch.iter().take_while(|r| {
             let all = r.size() <= written;
             written -= if all { r.size() } else { 0 };
@@ -114,7 +138,11 @@
         let whole = whole.count();
         self.replies.drain(..whole);
         if written > 0 {
-            let bytes: Vec<u8> = self.replies[0].slices().iter().flat_map(|s| s.iter().copied()).collect();
+            let bytes: Vec<u8> = self.replies[0]
+                .slices()
+                .iter()
+                .flat_map(|s| s.iter().copied())
+                .collect();
             self.replies[0] = Reply::raw(bytes[written..].to_vec());
             return Err(ErrorKind::WouldBlock.into());
         }
@@ -138,7 +166,8 @@
     }
 }
 
-/// Writes until the core lets go of the connection; orders to close it are handed on when all before them is written.
+/// Writes until the core lets go of the connection; orders to close it are handed on when all
+/// before them is written.
 fn write(number: ConnId, socket: &Socket, replies: &Receiver<Outgoing>, reader: &Orders) {
     let unread = &socket.places.unread;
     while let Ok(first) = replies.recv() {
@@ -150,7 +179,11 @@
                 Outgoing::Reply(reply) => batch.push(reply),
                 Outgoing::Close(order) => close = Some(order),
             }
-            next = if batch.len() < GATHERED && close.is_none() { replies.try_recv().ok() } else { None };
+            next = if batch.len() < GATHERED && close.is_none() {
+                replies.try_recv().ok()
+            } else {
+                None
+            };
         }
         let mut slices: Vec<_> = batch.iter().flat_map(Reply::slices).collect();
         let written = write_gathered(&socket.stream, &mut slices);
