--- a/crates/node/src/driver/fleet_link.rs
+++ b/crates/node/src/driver/fleet_link.rs
@@ -1,5 +1,6 @@
-//! The fleet's socket, and the thread in which this node's part in the fleet lives. It shares nothing with the core but two
-//! bounded queues: words of the core, and what is seen of the fleet. Neither waits for the other.
+//! The fleet's socket, and the thread in which this node's part in the fleet lives. It shares
+//! nothing with the core but two bounded queues: words of the core, and what is seen of the fleet.
+//! Neither waits for the other.
 
 use super::changes::{Among, Changes, Changing, SETTINGS_CHANGES, topic};
 use super::{Message, STACK};
@@ -40,22 +41,26 @@
     pub bind: SocketAddr,
     /// What it says and goes by.
     pub settings: Settings,
-    /// Keys of those who decide who lends, and the budgets that the fleet shares; none if there are none.
+    /// Keys of those who decide who lends, and the budgets that the fleet shares; none if there are
+    /// none.
     pub arbiters: Vec<u64>,
     pub budgets: Vec<Budget>,
     /// Limits by key that the fleet shares, and the bytes that books of them may take.
     pub keys: Vec<KeyBudget>,
     pub key_bytes: usize,
-    /// The service below that the fleet judges together, if it does; and words of others about it that are kept.
+    /// The service below that the fleet judges together, if it does; and words of others about it
+    /// that are kept.
     pub service: Option<Service>,
-    /// Names of the operations, for those who have counts shown; and the bytes for other processes' counts.
+    /// Names of the operations, for those who have counts shown; and the bytes for other processes'
+    /// counts.
     pub operations: Vec<String>,
     /// Their latency objectives.
     pub objectives: Vec<Nanos>,
     pub count_bytes: usize,
     /// Whether another process may still have the place where it listens: then it is waited for.
     pub waits: bool,
-    /// Its parts in changes of the settings and of the program, and the bytes for the record of them.
+    /// Its parts in changes of the settings and of the program, and the bytes for the record of
+    /// them.
     pub changes: Vec<Changing>,
     pub change_bytes: usize,
 }
@@ -68,13 +73,18 @@
 
     /// What the core takes part in.
     pub fn with(&self) -> With {
-        With { service: self.service.clone(), counts: !self.arbiters.is_empty() }
+        With {
+            service: self.service.clone(),
+            counts: !self.arbiters.is_empty(),
+        }
     }
 
     /// How often keys are asked for: by the most nodes that any limit is made for.
     pub fn rhythm(&self) -> Rhythm {
         let budgets = self.budgets.iter().map(|budget| budget.nodes_most);
-        let most = budgets.chain(self.keys.iter().map(|budget| budget.nodes_most)).max();
+        let most = budgets
+            .chain(self.keys.iter().map(|budget| budget.nodes_most))
+            .max();
         Rhythm::of(most.unwrap_or(1))
     }
 }
@@ -122,7 +132,11 @@
 impl Poster {
     /// Something was done, about changes of this kind.
     pub fn done(&self, kind: Kind, done: Done) {
-        if self.orders.send_timeout(Order::Done(kind, done), TOLD).is_ok() {
+        if self
+            .orders
+            .send_timeout(Order::Done(kind, done), TOLD)
+            .is_ok()
+        {
             let _ = rustix::io::write(&*self.bell, &1u64.to_ne_bytes());
         }
     }
@@ -166,7 +180,8 @@
 /// What the part that lends and borrows does to the world; what it sends goes out as parcels.
 struct Teller {
     sent: Vec<(u64, Told)>,
-    /// What the core said last that it wants, and when; and whether nothing is in hand as it leaves.
+    /// What the core said last that it wants, and when; and whether nothing is in hand as it
+    /// leaves.
     wants: (Nanos, Vec<Want>),
     free: bool,
     events: Sender<Message>,
@@ -183,11 +198,15 @@
         self.wants.clone()
     }
     fn keys_lent(&mut self, _: Nanos, lent: KeysLent) {
-        let _ = self.events.try_send(Message::Event(Event::KeysLent(Box::new(lent))));
+        let _ = self
+            .events
+            .try_send(Message::Event(Event::KeysLent(Box::new(lent))));
     }
     fn lent(&mut self, _: Nanos, asked: Nanos, parts: &[(u32, shared::Part)]) {
         // A part that finds no room is not used: it ends by itself.
-        let _ = self.events.try_send(Message::Event(Event::Lent(asked, parts.to_vec())));
+        let _ = self
+            .events
+            .try_send(Message::Event(Event::Lent(asked, parts.to_vec())));
     }
     fn let_go(&mut self, _: Nanos) -> bool {
         self.free
@@ -219,7 +238,10 @@
 fn page(bytes: &[u8], from: u64) -> (Vec<u8>, u64) {
     let from = usize::try_from(from).unwrap_or(usize::MAX).min(bytes.len());
     let to = (from + PARCEL_MAX).min(bytes.len());
-    (bytes[from..to].to_vec(), if to < bytes.len() { to as u64 } else { 0 })
+    (
+        bytes[from..to].to_vec(),
+        if to < bytes.len() { to as u64 } else { 0 },
+    )
 }
 
 impl Host for Hands {
@@ -230,7 +252,14 @@
         crate::log::event("fleet", kind, format_args!("{line}"));
     }
     fn parcel(&mut self, from: Key, life: Life, topic: u32, parcel: &[u8]) {
-        self.parcels.push((Who { key: from.0, life: life.0 }, topic, parcel.to_vec()));
+        self.parcels.push((
+            Who {
+                key: from.0,
+                life: life.0,
+            },
+            topic,
+            parcel.to_vec(),
+        ));
     }
     fn order(&mut self, from: SocketAddr, no: u32, topic: u32, order: &[u8]) {
         if self.orders.len() < ORDERS {
@@ -240,7 +269,10 @@
     fn show(&mut self, topic: u32, from: u64) -> Option<(Vec<u8>, u64)> {
         if topic != SHARED {
             // The pages of one look are of one moment; the first one has them made anew.
-            let fresh = self.pages.get(&topic).filter(|(at, _)| from > 0 || self.now < at + SHOWN_FOR);
+            let fresh = self
+                .pages
+                .get(&topic)
+                .filter(|(at, _)| from > 0 || self.now < at + SHOWN_FOR);
             let Some((_, bytes)) = fresh else {
                 self.asked.push(topic);
                 return None;
@@ -250,7 +282,10 @@
         if !self.shares {
             return None;
         }
-        let fresh = self.shown.as_ref().filter(|(at, _)| self.now < at + SHOWN_FOR);
+        let fresh = self
+            .shown
+            .as_ref()
+            .filter(|(at, _)| self.now < at + SHOWN_FOR);
         let Some((_, bytes)) = fresh else {
             // The core is asked; who asks comes again, and finds it then.
             let _ = self.events.try_send(Message::Event(Event::Show));
@@ -262,7 +297,9 @@
         let event = Event::Fleet(Box::new(sight.clone()));
         match self.events.try_send(Message::Event(event)) {
             Ok(()) => self.unseen = None,
-            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.unseen = Some(sight.clone()),
+            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
+                self.unseen = Some(sight.clone())
+            }
         }
     }
 }
@@ -277,7 +314,9 @@
     let bell = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
     let (orders, inbox) = bounded(WORDS);
     let link = FleetLink { orders, bell };
-    let thread = thread::Builder::new().name("fleet".into()).stack_size(STACK);
+    let thread = thread::Builder::new()
+        .name("fleet".into())
+        .stack_size(STACK);
     let socket = match UdpSocket::bind(part.bind) {
         Err(e) if part.waits && e.kind() == ErrorKind::AddrInUse => None,
         bound => Some(bound?),
@@ -285,7 +324,10 @@
     if let Some(socket) = socket {
         let (fleet, beside) = begin(part, seed, &clock, events, socket, &link)?;
         let bell = Arc::clone(&link.bell);
-        return Ok((link, thread.spawn(move || serve(fleet, beside, &clock, &inbox, &bell))?));
+        return Ok((
+            link,
+            thread.spawn(move || serve(fleet, beside, &clock, &inbox, &bell))?,
+        ));
     }
     let own = link.clone();
     let waiting = move || {
@@ -293,7 +335,13 @@
         let socket = loop {
             match UdpSocket::bind(part.bind) {
                 Ok(socket) => break socket,
-                Err(_) if inbox.try_iter().any(|order| matches!(order, Order::Leave(_))) => return,
+                Err(_)
+                    if inbox
+                        .try_iter()
+                        .any(|order| matches!(order, Order::Leave(_))) =>
+                {
+                    return;
+                }
                 Err(_) => thread::sleep(BIND_AGAIN),
             }
         };
@@ -326,7 +374,12 @@
         socket.local_addr()?,
         part.settings.address
     );
-    let teller = Teller { sent: Vec::new(), wants: (0, Vec::new()), free: false, events: events.clone() };
+    let teller = Teller {
+        sent: Vec::new(),
+        wants: (0, Vec::new()),
+        free: false,
+        events: events.clone(),
+    };
     let shares = part.shares();
     let hands = Hands {
         socket,
@@ -342,12 +395,18 @@
     };
     let most = part.settings.bytes / madderpoint_fleet::view::ENTRY_USUAL + 16;
     let (rhythm, label) = (part.rhythm(), part.settings.settings.1);
-    let fleet =
-        Fleet::new(part.settings, seed, clock(), hands).map_err(|odd| io::Error::other(odd.to_string()))?;
+    let fleet = Fleet::new(part.settings, seed, clock(), hands)
+        .map_err(|odd| io::Error::other(odd.to_string()))?;
     let (key, life) = fleet.me();
-    let me = Who { key: key.0, life: life.0 };
+    let me = Who {
+        key: key.0,
+        life: life.0,
+    };
     let zone = zone_number(&zone);
-    let poster = Poster { orders: link.orders.clone(), bell: Arc::clone(&link.bell) };
+    let poster = Poster {
+        orders: link.orders.clone(),
+        bell: Arc::clone(&link.bell),
+    };
     let mut changes = Vec::new();
     for changing in part.changes {
         let among = Among {
@@ -364,7 +423,14 @@
     let bank = (!part.arbiters.is_empty()).then(|| {
         let usual = shared::Settings::usual(me, part.arbiters, part.budgets, part.keys);
         let counted = (part.count_bytes / PROCESS_BYTES).max(4);
-        let settings = shared::Settings { zone, most, rhythm, counted, key_bytes: part.key_bytes, ..usual };
+        let settings = shared::Settings {
+            zone,
+            most,
+            rhythm,
+            counted,
+            key_bytes: part.key_bytes,
+            ..usual
+        };
         Shared::new(settings, seed ^ life.0, clock().now, teller)
     });
     let health = part.service.map(|service| Health {
@@ -372,7 +438,13 @@
         witnesses: Witnesses::new(WITNESSES),
         told: 0,
     });
-    let beside = Beside { bank, health, changes, label, operations: part.operations };
+    let beside = Beside {
+        bank,
+        health,
+        changes,
+        label,
+        operations: part.operations,
+    };
     Ok((fleet, beside))
 }
 
@@ -411,7 +483,9 @@
     fn seen(&mut self, fleet: &mut Fleet<Hands>, at: Moment, evidence: Evidence) {
         self.told += 1;
         let is_well = evidence.failed == 0 && evidence.level >= 1.0;
-        if evidence.tries > 0 && (!is_well || self.told.is_multiple_of(TELLS_WELL)) || evidence.level < 1.0 {
+        if evidence.tries > 0 && (!is_well || self.told.is_multiple_of(TELLS_WELL))
+            || evidence.level < 1.0
+        {
             let parcel = write_parcel(&Told::Evidence(vec![(self.service, evidence)]));
             for key in fleet.some_others(TELLS) {
                 fleet.send_parcel(at, key, SHARED, &parcel);
@@ -419,10 +493,17 @@
         }
         let mut opinion = self.witnesses.opinion(at.now, self.service);
         let (me, _) = fleet.me();
-        let members = fleet.view().iter().filter(|(_, entry)| entry.status().is_present());
-        opinion.prober = judge::is_prober(at.now, me.0, self.service, members.map(|(key, _)| key.0));
+        let members = fleet
+            .view()
+            .iter()
+            .filter(|(_, entry)| entry.status().is_present());
+        opinion.prober =
+            judge::is_prober(at.now, me.0, self.service, members.map(|(key, _)| key.0));
         opinion.alone = fleet.view().counts().present() <= 1;
-        let _ = fleet.host.events.try_send(Message::Event(Event::Opinion(opinion)));
+        let _ = fleet
+            .host
+            .events
+            .try_send(Message::Event(Event::Opinion(opinion)));
     }
 }
 
@@ -433,10 +514,21 @@
     orders: &Receiver<Order>,
     bell: &OwnedFd,
 ) {
-    let Beside { mut bank, mut health, mut changes, mut label, operations } = beside;
+    let Beside {
+        mut bank,
+        mut health,
+        mut changes,
+        mut label,
+        operations,
+    } = beside;
     loop {
-        let next = bank.as_ref().map_or(Nanos::MAX, Shared::next).min(fleet.next());
-        let next = going_on(&changes).map(|changes| changes.next()).fold(next, Nanos::min);
+        let next = bank
+            .as_ref()
+            .map_or(Nanos::MAX, Shared::next)
+            .min(fleet.next());
+        let next = going_on(&changes)
+            .map(|changes| changes.next())
+            .fold(next, Nanos::min);
         wait(&fleet, next, clock().now, bell);
         let mut count = [0; 8];
         let _ = rustix::io::read(bell, &mut count);
@@ -445,40 +537,59 @@
                 Order::Word(Word::Phase(phase)) => fleet.set_phase(clock(), phase),
                 Order::Word(Word::Pulse { room, load }) => fleet.set_pulse(room, load),
                 Order::Word(Word::Wants { at, wants }) => {
-                    bank.iter_mut().for_each(|bank| bank.host.wants = (at, wants.clone()));
+                    bank.iter_mut()
+                        .for_each(|bank| bank.host.wants = (at, wants.clone()));
                 }
                 Order::Word(Word::Keys(asked)) => {
-                    bank.iter_mut().for_each(|bank| bank.ask_keys(clock().now, asked.clone()));
+                    bank.iter_mut()
+                        .for_each(|bank| bank.ask_keys(clock().now, asked.clone()));
                 }
                 Order::Word(Word::Evidence(evidence)) => {
-                    health.iter_mut().for_each(|health| health.seen(&mut fleet, clock(), evidence));
+                    health
+                        .iter_mut()
+                        .for_each(|health| health.seen(&mut fleet, clock(), evidence));
                 }
                 Order::Word(Word::Counts(mut word)) => {
                     let (key, life) = fleet.me();
-                    (word.who, word.label) = (Who { key: key.0, life: life.0 }, label);
+                    (word.who, word.label) = (
+                        Who {
+                            key: key.0,
+                            life: life.0,
+                        },
+                        label,
+                    );
                     if let Some((_, window)) = word.windows.iter_mut().next_back() {
                         window.gauges = gauges();
                     }
-                    changes.iter_mut().for_each(|changes| changes.counted(clock(), &word));
-                    bank.iter_mut().for_each(|bank| bank.tell_counts(clock().now, &word));
-                    bank.iter_mut().for_each(|bank| tidy(bank, &fleet, clock().now));
+                    changes
+                        .iter_mut()
+                        .for_each(|changes| changes.counted(clock(), &word));
+                    bank.iter_mut()
+                        .for_each(|bank| bank.tell_counts(clock().now, &word));
+                    bank.iter_mut()
+                        .for_each(|bank| tidy(bank, &fleet, clock().now));
                 }
                 Order::Word(Word::Shown(mut shown)) => {
                     let now = clock().now;
-                    bank.iter().for_each(|bank| shown.with_shared(now, bank, &operations));
+                    bank.iter()
+                        .for_each(|bank| shown.with_shared(now, bank, &operations));
                     shown.node = fleet.name().to_owned();
                     if let Some(entry) = fleet.view().get(Key(shown.lender)) {
                         shown.lender_name = entry.name.to_string();
                     }
                     fleet.host.shown = Some((now, shown.encode_to_vec()));
                 }
-                Order::Word(Word::LetGo(free)) => bank.iter_mut().for_each(|bank| bank.host.free = free),
+                Order::Word(Word::LetGo(free)) => {
+                    bank.iter_mut().for_each(|bank| bank.host.free = free)
+                }
                 Order::Reset(reset) => {
                     fleet.reset(clock(), reset.keys, reset.seeds, reset.periods);
                     fleet.set_settings(clock(), reset.number);
                     label = reset.number.1;
                     if let Some(plan) = &reset.plan {
-                        changes.iter_mut().for_each(|changes| changes.set_plan(plan.clone()));
+                        changes
+                            .iter_mut()
+                            .for_each(|changes| changes.set_plan(plan.clone()));
                     }
                     if let Some(bank) = &mut bank {
                         bank.rebudget(reset.budgets.clone(), reset.key_budgets);
@@ -487,7 +598,8 @@
                     }
                 }
                 Order::Done(kind, done) => {
-                    if let Some(changes) = changes.iter_mut().find(|changes| changes.kind() == kind) {
+                    if let Some(changes) = changes.iter_mut().find(|changes| changes.kind() == kind)
+                    {
                         changes.done(clock(), done);
                     }
                 }
@@ -515,11 +627,19 @@
                 changes.told(clock(), Key(from.key), &parcel);
                 continue;
             }
-            let told = if topic == SHARED { read_parcel(&parcel) } else { None };
+            let told = if topic == SHARED {
+                read_parcel(&parcel)
+            } else {
+                None
+            };
             match (told, &mut bank, &mut health) {
                 (Some(Told::Evidence(all)), _, Some(health)) => {
-                    let all = all.into_iter().filter(|(service, _)| *service == health.service);
-                    all.for_each(|(of, evidence)| health.witnesses.hear(clock().now, from, of, evidence));
+                    let all = all
+                        .into_iter()
+                        .filter(|(service, _)| *service == health.service);
+                    all.for_each(|(of, evidence)| {
+                        health.witnesses.hear(clock().now, from, of, evidence)
+                    });
                 }
                 (Some(told), Some(bank), _) => bank.told(clock().now, from, told),
                 _ => {}
@@ -531,11 +651,19 @@
         post(&mut fleet, &mut bank, clock);
         for (from, no, topic, order) in std::mem::take(&mut fleet.host.orders) {
             let of = changes.iter_mut().find(|changes| is_about(changes, topic));
-            of.into_iter().for_each(|changes| changes.order(clock(), from, no, &order));
+            of.into_iter()
+                .for_each(|changes| changes.order(clock(), from, no, &order));
         }
         let asked = std::mem::take(&mut fleet.host.asked);
-        for changes in changes.iter_mut().filter(|of| !hands_over || of.kind() == Kind::Program) {
-            changes.wake(clock(), &fleet, bank.as_ref().and_then(Shared::counts_of_all));
+        for changes in changes
+            .iter_mut()
+            .filter(|of| !hands_over || of.kind() == Kind::Program)
+        {
+            changes.wake(
+                clock(),
+                &fleet,
+                bank.as_ref().and_then(Shared::counts_of_all),
+            );
             changes.post(clock(), &mut fleet);
             let topic = topic(changes.kind());
             if asked.contains(&topic) {
@@ -549,10 +677,13 @@
     }
 }
 
-/// Those that go on: while another process is being started in this one's place, only the program's.
+/// Those that go on: while another process is being started in this one's place, only the
+/// program's.
 fn going_on(changes: &[Changes]) -> impl Iterator<Item = &Changes> {
     let hands_over = changes.iter().any(Changes::hands_over);
-    changes.iter().filter(move |of| !hands_over || of.kind() == Kind::Program)
+    changes
+        .iter()
+        .filter(move |of| !hands_over || of.kind() == Kind::Program)
 }
 
 fn is_about(changes: &Changes, of: u32) -> bool {
@@ -567,7 +698,10 @@
             fleet.send_parcel(clock(), key, SHARED, &shared::wire::later_kind());
         }
     }
-    for (to, told) in bank.iter_mut().flat_map(|bank| std::mem::take(&mut bank.host.sent)) {
+    for (to, told) in bank
+        .iter_mut()
+        .flat_map(|bank| std::mem::take(&mut bank.host.sent))
+    {
         fleet.send_parcel(clock(), Key(to), SHARED, &write_parcel(&told));
     }
 }
@@ -576,7 +710,10 @@
 fn wait(fleet: &Fleet<Hands>, next: Nanos, now: Nanos, bell: &OwnedFd) {
     let time = Duration::from_nanos(next.saturating_sub(now));
     let time = Timespec::try_from(time).ok();
-    let mut ready = [PollFd::new(&fleet.host.socket, PollFlags::IN), PollFd::new(bell, PollFlags::IN)];
+    let mut ready = [
+        PollFd::new(&fleet.host.socket, PollFlags::IN),
+        PollFd::new(bell, PollFlags::IN),
+    ];
     match poll(&mut ready, time.as_ref()) {
         Ok(_) | Err(Errno::INTR) => {}
         Err(e) => {
@@ -589,9 +726,14 @@
 /// Memory in KB and descriptors of this process.
 fn gauges() -> [u64; 2] {
     let pages = std::fs::read_to_string("/proc/self/statm").ok();
-    let pages = pages.and_then(|text| text.split_whitespace().nth(1)?.parse::<u64>().ok()).unwrap_or(0);
+    let pages = pages
+        .and_then(|text| text.split_whitespace().nth(1)?.parse::<u64>().ok())
+        .unwrap_or(0);
     let descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, |all| all.count() as u64);
-    [pages * rustix::param::page_size() as u64 / 1024, descriptors]
+    [
+        pages * rustix::param::page_size() as u64 / 1024,
+        descriptors,
+    ]
 }
 
 /// Has an arbiter add those up who are gone.
--- a/crates/node/src/driver/front.rs
+++ b/crates/node/src/driver/front.rs
@@ -1,11 +1,12 @@
-//! The side that dispatchers connect to: one thread accepts and reads for all of them. A thread for each connection
-//! cost more than all else where the system stops and continues the process to keep it to a part of a core, for
-//! then every thread is woken each time, also those that only wait.
+//! The side that dispatchers connect to: one thread accepts and reads for all of them. A thread for
+//! each connection cost more than all else where the system stops and continues the process to keep
+//! it to a part of a core, for then every thread is woken each time, also those that only wait.
 //!
-//! It also ends connections. The core orders a close; only here is it known whether something has come that the core has
-//! not heard of, and then the order is void. What is closed lingers: nothing more is written, and what still comes is
-//! read and dropped until the peer ends its side too, for a close over unread bytes resets the connection, and answers
-//! that the peer has not read go with it.
+//! It also ends connections. The core orders a close; only here is it known whether something has
+//! come that the core has not heard of, and then the order is void. What is closed lingers: nothing
+//! more is written, and what still comes is read and dropped until the peer ends its side too, for
+//! a close over unread bytes resets the connection, and answers that the peer has not read go with
+//! it.
 
 use super::dispatchers::Connection;
 use super::places::{Places, Socket};
@@ -33,10 +34,11 @@
 /// Sockets that are looked at after one wait, and connections accepted in a row.
 const READY: usize = 64;
 const ACCEPTED: usize = 16;
-/// Between two tries to take a connection when there is no room for one, unless one is given back sooner.
+/// Between two tries to take a connection when there is no room for one, unless one is given back
+/// sooner.
 const CROWDED: Duration = Duration::from_millis(20);
-/// A connection that is closed has so long to be ended by its peer, and so many bytes of it are read meanwhile. None of
-/// it where there is no room for another connection.
+/// A connection that is closed has so long to be ended by its peer, and so many bytes of it are
+/// read meanwhile. None of it where there is no room for another connection.
 const LINGER: Duration = Duration::from_secs(1);
 const LINGER_BYTES: usize = 64 * 1024;
 /// Readings at most before a close: a peer that sends without end is closed all the same.
@@ -78,8 +80,9 @@
     }
 }
 
-/// Listens, and hands on what comes. Where another process listens on the same socket none is taken from it before the word
-/// comes that this one serves, and its backlog is left to the other one in the end.
+/// Listens, and hands on what comes. Where another process listens on the same socket none is taken
+/// from it before the word comes that this one serves, and its backlog is left to the other one in
+/// the end.
 pub fn open(
     listener: TcpListener,
     word: Option<Receiver<()>>,
@@ -110,7 +113,8 @@
     Read,
     /// It is read again after a pause.
     Rests,
-    /// It is not read any more: its peer has ended its side, its framing is lost, or the core wants no more of it.
+    /// It is not read any more: its peer has ended its side, its framing is lost, or the core wants
+    /// no more of it.
     Deaf { ended: bool },
     /// Nothing more is written on it, and what comes is dropped: so many bytes, and until then.
     Lingers { until: Instant, left: usize },
@@ -124,7 +128,8 @@
     state: State,
     /// Events that were handed to the core.
     handed: u64,
-    /// A close that waits for the rest of a request: what the core had heard, and until when it waits.
+    /// A close that waits for the rest of a request: what the core had heard, and until when it
+    /// waits.
     closing: Option<(u64, Instant)>,
 }
 
@@ -150,7 +155,8 @@
     reading: HashMap<u64, Reading>,
     /// Those that linger, the one that began first in front; some are gone already.
     lingering: VecDeque<u64>,
-    /// What is looked at then: the end of a pause, of a wait for the rest of a request, of lingering.
+    /// What is looked at then: the end of a pause, of a wait for the rest of a request, of
+    /// lingering.
     later: BinaryHeap<Reverse<(Instant, u64)>>,
 }
 
@@ -187,8 +193,10 @@
     fn serve(mut self) {
         let mut ready = Vec::with_capacity(READY);
         loop {
-            let wait =
-                self.later.peek().map(|Reverse((due, _))| due.saturating_duration_since(Instant::now()));
+            let wait = self
+                .later
+                .peek()
+                .map(|Reverse((due, _))| due.saturating_duration_since(Instant::now()));
             let wait = wait.and_then(|wait| Timespec::try_from(wait).ok());
             match epoll::wait(&self.poll, spare_capacity(&mut ready), wait.as_ref()) {
                 Err(Errno::INTR) | Ok(_) => {}
@@ -201,8 +209,14 @@
                     number => self.read(number),
                 }
             }
-            while self.later.peek().is_some_and(|Reverse((due, _))| *due <= Instant::now()) {
-                let Some(Reverse((_, number))) = self.later.pop() else { break };
+            while self
+                .later
+                .peek()
+                .is_some_and(|Reverse((due, _))| *due <= Instant::now())
+            {
+                let Some(Reverse((_, number))) = self.later.pop() else {
+                    break;
+                };
                 self.look_again(number);
             }
         }
@@ -218,10 +232,17 @@
             match order {
                 Order::Close(ConnId(number), close) => self.close(number, close),
                 Order::Deafen(ConnId(number)) => {
-                    if self.reading.get(&number).is_some_and(|r| r.pause.load(SeqCst) == 0) {
+                    if self
+                        .reading
+                        .get(&number)
+                        .is_some_and(|r| r.pause.load(SeqCst) == 0)
+                    {
                         self.take_all(number);
                     }
-                    if let Some(Reading { state: State::Read | State::Rests, .. }) = self.reading.get(&number)
+                    if let Some(Reading {
+                        state: State::Read | State::Rests,
+                        ..
+                    }) = self.reading.get(&number)
                     {
                         self.deafen(number, false);
                     }
@@ -258,14 +279,28 @@
     }
 
     fn look_at_listener(&self) -> io::Result<()> {
-        let Some(listener) = &self.listener else { return Ok(()) };
-        Ok(epoll::add(&self.poll, listener, EventData::new_u64(LISTENER), EventFlags::IN)?)
+        let Some(listener) = &self.listener else {
+            return Ok(());
+        };
+        Ok(epoll::add(
+            &self.poll,
+            listener,
+            EventData::new_u64(LISTENER),
+            EventFlags::IN,
+        )?)
     }
 
     /// Has a connection read when something comes.
     fn look_at(&self, number: u64) -> io::Result<()> {
-        let Some(reading) = self.reading.get(&number) else { return Ok(()) };
-        Ok(epoll::add(&self.poll, &reading.socket.stream, EventData::new_u64(number), EventFlags::IN)?)
+        let Some(reading) = self.reading.get(&number) else {
+            return Ok(());
+        };
+        Ok(epoll::add(
+            &self.poll,
+            &reading.socket.stream,
+            EventData::new_u64(number),
+            EventFlags::IN,
+        )?)
     }
 
     fn look_away(&self, number: u64) {
@@ -290,10 +325,17 @@
             if !self.places.has_one() {
                 return self.crowded();
             }
-            let Some(listener) = &self.listener else { return };
-            match listener.accept().and_then(|(stream, from)| self.connect(stream, from.ip())) {
+            let Some(listener) = &self.listener else {
+                return;
+            };
+            match listener
+                .accept()
+                .and_then(|(stream, from)| self.connect(stream, from.ip()))
+            {
                 Ok(()) => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock && self.stopping => return self.stop_listening(),
+                Err(e) if e.kind() == ErrorKind::WouldBlock && self.stopping => {
+                    return self.stop_listening();
+                }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) => {
                     log!("dispatcher: no connection taken: {e}");
@@ -309,16 +351,23 @@
         }
     }
 
-    /// There is no room: what lingers is let go of, and the core is asked for a place. The listener is looked at again when one
-    /// is given back.
+    /// There is no room: what lingers is let go of, and the core is asked for a place. The listener
+    /// is looked at again when one is given back.
     fn crowded(&mut self) {
         if let Some(listener) = &self.listener {
             let _ = epoll::delete(&self.poll, listener);
         }
         self.places.is_crowded.store(true, SeqCst);
-        self.later.push(Reverse((Instant::now() + CROWDED, LISTENER)));
+        self.later
+            .push(Reverse((Instant::now() + CROWDED, LISTENER)));
         while let Some(number) = self.lingering.pop_front() {
-            if matches!(self.reading.get(&number), Some(Reading { state: State::Lingers { .. }, .. })) {
+            if matches!(
+                self.reading.get(&number),
+                Some(Reading {
+                    state: State::Lingers { .. },
+                    ..
+                })
+            ) {
                 return self.gone(number);
             }
         }
@@ -328,7 +377,8 @@
     /// The backlog is empty, or another process's: no more connections are taken.
     fn stop_listening(&mut self) {
         if let Some(listener) = self.listener.take() {
-            // Another process may have the same socket: then it stays open, and would be looked at without end.
+            // Another process may have the same socket: then it stays open, and would be looked at
+            // without end.
             let _ = epoll::delete(&self.poll, &listener);
             drop(listener);
             let _ = self.events.send(Message::Event(Event::NotListening));
@@ -354,14 +404,18 @@
         };
         self.reading.insert(number, reading);
         let connection = Connection::new(ConnId(number), socket, pause, self.orders.clone());
-        let _ = self.events.send(Message::Accepted(ConnId(number), from, connection));
+        let _ = self
+            .events
+            .send(Message::Accepted(ConnId(number), from, connection));
         self.look_at(number).inspect_err(|_| self.gone(number))
     }
 
     // ---- What comes on them ----
 
     fn read(&mut self, number: u64) {
-        let Some(reading) = self.reading.get(&number) else { return };
+        let Some(reading) = self.reading.get(&number) else {
+            return;
+        };
         match reading.state {
             State::Lingers { until, left } => self.linger(number, until, left),
             _ => {
@@ -373,7 +427,9 @@
 
     /// Reads once, and hands on what that completes.
     fn take(&mut self, number: u64) -> Took {
-        let Some(reading) = self.reading.get_mut(&number) else { return Took::Last };
+        let Some(reading) = self.reading.get_mut(&number) else {
+            return Took::Last;
+        };
         if matches!(reading.state, State::Deaf { .. } | State::Lingers { .. }) {
             return Took::Last;
         }
@@ -408,7 +464,10 @@
         let pause = reading.pause.load(SeqCst);
         if pause > 0 && reading.state == State::Read {
             reading.state = State::Rests;
-            self.later.push(Reverse((Instant::now() + Duration::from_nanos(pause), number)));
+            self.later.push(Reverse((
+                Instant::now() + Duration::from_nanos(pause),
+                number,
+            )));
             self.look_away(number);
         }
         Took::Some
@@ -435,17 +494,26 @@
         self.finish_close(number);
     }
 
-    /// Reads what has come by now: a request in it is owed an answer. Of a stranger, who is paced, it reads no more than once.
+    /// Reads what has come by now: a request in it is owed an answer. Of a stranger, who is paced,
+    /// it reads no more than once.
     fn take_all(&mut self, number: u64) {
-        let is_paced = self.reading.get(&number).is_some_and(|reading| reading.pause.load(SeqCst) > 0);
+        let is_paced = self
+            .reading
+            .get(&number)
+            .is_some_and(|reading| reading.pause.load(SeqCst) > 0);
         let readings = if is_paced { 1 } else { LAST_READINGS };
         (0..readings).any(|_| self.take(number) != Took::Some);
     }
 
-    /// Carries out an order to close, unless the core will hear of more, or the rest of a request may yet come.
+    /// Carries out an order to close, unless the core will hear of more, or the rest of a request
+    /// may yet come.
     fn finish_close(&mut self, number: u64) {
-        let Some(reading) = self.reading.get_mut(&number) else { return };
-        let Some((heard, until)) = reading.closing else { return };
+        let Some(reading) = self.reading.get_mut(&number) else {
+            return;
+        };
+        let Some((heard, until)) = reading.closing else {
+            return;
+        };
         if reading.handed != heard {
             reading.closing = None; // the core decides anew, knowing what came
             return;
@@ -458,7 +526,9 @@
 
     /// Stops writing; what still comes is dropped until the peer stops too.
     fn shut(&mut self, number: u64) {
-        let Some(reading) = self.reading.get_mut(&number) else { return };
+        let Some(reading) = self.reading.get_mut(&number) else {
+            return;
+        };
         let _ = reading.socket.stream.shutdown(Shutdown::Write);
         if reading.parser.is_partial() && matches!(reading.state, State::Read | State::Rests) {
             let _ = self.events.send(Message::Event(Event::CutShort));
@@ -468,7 +538,10 @@
         }
         let is_looked_at = std::mem::replace(
             &mut reading.state,
-            State::Lingers { until: Instant::now() + LINGER, left: LINGER_BYTES },
+            State::Lingers {
+                until: Instant::now() + LINGER,
+                left: LINGER_BYTES,
+            },
         ) == State::Read;
         self.lingering.push_back(number);
         self.later.push(Reverse((Instant::now() + LINGER, number)));
@@ -478,26 +551,39 @@
     }
 
     fn linger(&mut self, number: u64, until: Instant, left: usize) {
-        let Some(reading) = self.reading.get_mut(&number) else { return };
+        let Some(reading) = self.reading.get_mut(&number) else {
+            return;
+        };
         let mut buffer = [0; READ];
         match recv(&reading.socket.stream, &mut buffer, RecvFlags::DONTWAIT) {
             Err(Errno::INTR | Errno::AGAIN) => {}
             Ok((n, _)) if (1..left).contains(&n) => {
-                reading.state = State::Lingers { until, left: left - n };
+                reading.state = State::Lingers {
+                    until,
+                    left: left - n,
+                };
             }
             _ => self.gone(number),
         }
     }
 
     fn gone(&mut self, number: u64) {
-        let Some(reading) = self.reading.remove(&number) else { return };
+        let Some(reading) = self.reading.remove(&number) else {
+            return;
+        };
         let _ = epoll::delete(&self.poll, &reading.socket.stream); // the core or a writer may still hold it
         let _ = reading.socket.stream.shutdown(Shutdown::Both);
         drop(reading);
-        while self.lingering.front().is_some_and(|first| !self.reading.contains_key(first)) {
+        while self
+            .lingering
+            .front()
+            .is_some_and(|first| !self.reading.contains_key(first))
+        {
             self.lingering.pop_front();
         }
-        let _ = self.events.send(Message::Event(Event::Disconnected(ConnId(number))));
+        let _ = self
+            .events
+            .send(Message::Event(Event::Disconnected(ConnId(number))));
     }
 }
 
--- a/crates/node/src/driver/front/tests.rs
+++ b/crates/node/src/driver/front/tests.rs
@@ -1,5 +1,5 @@
-//! The reader by itself, on loopback sockets and with no thread of its own: each test does, one after the other, what would
-//! cross by chance.
+//! The reader by itself, on loopback sockets and with no thread of its own: each test does, one
+//! after the other, what would cross by chance.
 
 use super::*;
 use crate::config::Limits;
@@ -21,12 +21,26 @@
     fn new(is_shared: bool) -> Bench {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let limits = Limits { cores: 1.0, memory_mb: 32.0, sockets: 34 };
+        let limits = Limits {
+            cores: 1.0,
+            memory_mb: 32.0,
+            sockets: 34,
+        };
         let (events, inbox) = bounded(1000);
-        let reader =
-            Reader::new(listener, is_shared, Room::of(&limits, 8, Beside::default()), events).unwrap();
+        let reader = Reader::new(
+            listener,
+            is_shared,
+            Room::of(&limits, 8, Beside::default()),
+            events,
+        )
+        .unwrap();
         assert_eq!(reader.places.room.connections, 2);
-        Bench { reader, events: inbox, address, taken: Vec::new() }
+        Bench {
+            reader,
+            events: inbox,
+            address,
+            taken: Vec::new(),
+        }
     }
 
     /// A client, and its number here once it is accepted.
@@ -62,7 +76,9 @@
         let mut handed = Vec::new();
         for message in self.events.try_iter() {
             handed.push(match message {
-                Message::Event(Event::Front(conn, fastcgi::Event::Request(_))) => (conn.0, "request"),
+                Message::Event(Event::Front(conn, fastcgi::Event::Request(_))) => {
+                    (conn.0, "request")
+                }
                 Message::Event(Event::HalfClosed(conn)) => (conn.0, "half-closed"),
                 Message::Event(Event::Garbled(conn, _)) => (conn.0, "garbled"),
                 Message::Event(Event::Disconnected(conn)) => (conn.0, "gone"),
@@ -80,11 +96,20 @@
     }
 
     fn close(&mut self, number: u64, heard: u64, patience_ms: u64) {
-        self.reader.close(number, Close { heard, patience: patience_ms * 1_000_000 });
+        self.reader.close(
+            number,
+            Close {
+                heard,
+                patience: patience_ms * 1_000_000,
+            },
+        );
     }
 
     fn state(&self, number: u64) -> Option<State> {
-        self.reader.reading.get(&number).map(|reading| reading.state)
+        self.reader
+            .reading
+            .get(&number)
+            .map(|reading| reading.state)
     }
 
     /// Lets time pass until a connection has come so far.
@@ -117,7 +142,11 @@
     bench.holds(number, ping(1).len());
     bench.close(number, 0, 0);
     assert_eq!(bench.handed(), [(number, "accepted"), (number, "request")]);
-    assert_eq!(bench.state(number), Some(State::Read), "what was read is owed an answer");
+    assert_eq!(
+        bench.state(number),
+        Some(State::Read),
+        "what was read is owed an answer"
+    );
     // The next order knows of it.
     bench.close(number, 1, 0);
     assert!(matches!(bench.state(number), Some(State::Lingers { .. })));
@@ -148,7 +177,10 @@
     bench.take(number, rest.len());
     bench.reader.finish_close(number);
     assert_eq!(bench.handed(), [(number, "accepted"), (number, "request")]);
-    assert_eq!((bench.state(number), bench.reader.reading[&number].closing), (Some(State::Read), None));
+    assert_eq!(
+        (bench.state(number), bench.reader.reading[&number].closing),
+        (Some(State::Read), None)
+    );
     // Half a record at the moment of the close, and the rest never.
     client.write_all(&half[..5]).unwrap();
     bench.take(number, 5);
@@ -165,7 +197,10 @@
     while bench.state(number) == Some(State::Read) {
         bench.reader.take(number);
     }
-    assert_eq!(bench.handed()[1..], [(number, "half-closed"), (0, "cut short")]);
+    assert_eq!(
+        bench.handed()[1..],
+        [(number, "half-closed"), (0, "cut short")]
+    );
 }
 
 #[test]
@@ -180,7 +215,11 @@
     client.write_all(&ping(1)).unwrap();
     bench.holds(number, ping(1).len());
     bench.reader.read(number);
-    assert_eq!(bench.handed(), [], "it is not run, for its answer could not be written");
+    assert_eq!(
+        bench.handed(),
+        [],
+        "it is not run, for its answer could not be written"
+    );
     let mut answer = Vec::new();
     client.read_to_end(&mut answer).unwrap();
     assert_eq!(answer, b"the last answer");
@@ -219,7 +258,11 @@
     let (_one, first) = bench.client();
     let (_two, second) = bench.client();
     bench.close(first, 0, 0);
-    assert_eq!(bench.state(first), None, "all places are taken: it is let go of at once");
+    assert_eq!(
+        bench.state(first),
+        None,
+        "all places are taken: it is let go of at once"
+    );
     bench.handed();
     bench.taken.remove(0);
     let (_three, third) = bench.client();
@@ -250,9 +293,20 @@
     while bench.state(number) != Some(State::Deaf { ended: true }) {
         bench.reader.take(number);
     }
-    assert_eq!(bench.handed(), [(number, "accepted"), (number, "request"), (number, "half-closed")]);
+    assert_eq!(
+        bench.handed(),
+        [
+            (number, "accepted"),
+            (number, "request"),
+            (number, "half-closed")
+        ]
+    );
     bench.close(number, 1, 0);
-    assert_eq!(bench.state(number), Some(State::Deaf { ended: true }), "it was not heard of yet");
+    assert_eq!(
+        bench.state(number),
+        Some(State::Deaf { ended: true }),
+        "it was not heard of yet"
+    );
     bench.close(number, 2, 0);
     assert_eq!(bench.handed(), [(number, "gone")]);
     assert_eq!(reads_end(&client).unwrap(), 0);
@@ -262,11 +316,20 @@
 fn lost_framing_is_told_of_after_the_requests_before_it() {
     let mut bench = Bench::new(false);
     let (mut client, number) = bench.client();
-    client.write_all(&[ping(1), vec![0xff; 100]].concat()).unwrap();
+    client
+        .write_all(&[ping(1), vec![0xff; 100]].concat())
+        .unwrap();
     while bench.state(number) == Some(State::Read) {
         bench.reader.take(number);
     }
-    assert_eq!(bench.handed(), [(number, "accepted"), (number, "request"), (number, "garbled")]);
+    assert_eq!(
+        bench.handed(),
+        [
+            (number, "accepted"),
+            (number, "request"),
+            (number, "garbled")
+        ]
+    );
     assert_eq!(bench.state(number), Some(State::Deaf { ended: false }));
 }
 
@@ -274,11 +337,14 @@
 fn the_backlog_is_taken_before_the_listener_goes() {
     let mut bench = Bench::new(false);
     let mut clients: Vec<_> = (0..2).map(|_| connect(bench.address)).collect();
-    clients.iter_mut().for_each(|client| client.write_all(&ping(1)).unwrap());
+    clients
+        .iter_mut()
+        .for_each(|client| client.write_all(&ping(1)).unwrap());
     bench.reader.orders.give(Order::Stop);
     bench.reader.obey();
     assert_eq!(bench.handed(), [(1, "accepted"), (2, "accepted")]);
-    // All places are taken: the listener is given up once there is one for the next, and it finds nobody.
+    // All places are taken: the listener is given up once there is one for the next, and it finds
+    // nobody.
     bench.reader.accept();
     assert_eq!(bench.handed(), [(0, "crowded")]);
     bench.taken.pop();
@@ -316,7 +382,9 @@
         let (mut client, number) = bench.client();
         client.write_all(&ping(1)).unwrap();
         bench.holds(number, ping(1).len());
-        bench.reader.reading[&number].pause.store(u64::from(paced) * 1_000_000, SeqCst);
+        bench.reader.reading[&number]
+            .pause
+            .store(u64::from(paced) * 1_000_000, SeqCst);
         bench.reader.orders.give(Order::Deafen(ConnId(number)));
         bench.reader.obey();
         let handed = bench.handed();
--- a/crates/node/src/driver/kernel_link.rs
+++ b/crates/node/src/driver/kernel_link.rs
@@ -80,15 +80,23 @@
     let writer = Arc::clone(&stream);
     spawn("kernel write", move || {
         while let Ok(first) = lines.recv() {
-            let batch: Vec<_> = std::iter::once(first).chain(lines.try_iter().take(GATHERED - 1)).collect();
-            let mut slices: Vec<_> = batch.iter().map(|line| IoSlice::new(line.as_bytes())).collect();
+            let batch: Vec<_> = std::iter::once(first)
+                .chain(lines.try_iter().take(GATHERED - 1))
+                .collect();
+            let mut slices: Vec<_> = batch
+                .iter()
+                .map(|line| IoSlice::new(line.as_bytes()))
+                .collect();
             if write_gathered(&writer, &mut slices).is_err() {
                 break;
             }
         }
         let _ = writer.shutdown(Shutdown::Both);
     })?;
-    let link = KernelLink { stream: Arc::clone(&stream), queue };
+    let link = KernelLink {
+        stream: Arc::clone(&stream),
+        queue,
+    };
     let _ = events.send(Message::Linked(reader.open(), link));
     let feed = |bytes: &[u8]| {
         reader.feed(bytes, &mut |notice| {
--- a/crates/node/src/driver/places.rs
+++ b/crates/node/src/driver/places.rs
@@ -22,7 +22,13 @@
     /// All of it is free.
     pub fn new(room: Room, reader: Orders) -> Places {
         let (open, unread, is_crowded) = Default::default();
-        Places { room, open, unread, is_crowded, reader }
+        Places {
+            room,
+            open,
+            unread,
+            is_crowded,
+            reader,
+        }
     }
 
     /// Whether there is a place for another connection.
@@ -31,8 +37,8 @@
     }
 }
 
-/// A connection's socket, shared by the reader, the core and a writer. Its place is free again only when all have
-/// let go of it: until then it takes a descriptor.
+/// A connection's socket, shared by the reader, the core and a writer. Its place is free again only
+/// when all have let go of it: until then it takes a descriptor.
 pub struct Socket {
     pub stream: TcpStream,
     pub places: Arc<Places>,
@@ -42,7 +48,10 @@
     /// A connection that was accepted takes its place.
     pub fn new(stream: TcpStream, places: &Arc<Places>) -> Socket {
         places.open.fetch_add(1, SeqCst);
-        Socket { stream, places: Arc::clone(places) }
+        Socket {
+            stream,
+            places: Arc::clone(places),
+        }
     }
 }
 
--- a/crates/node/src/driver/reports.rs
+++ b/crates/node/src/driver/reports.rs
@@ -10,12 +10,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between two reports to the membership service, after one that failed, and what each step of one may take.
+/// Between two reports to the membership service, after one that failed, and what each step of one
+/// may take.
 const PERIOD: Duration = Duration::from_millis(800);
 const RETRY: Duration = Duration::from_millis(200);
 const STEP: Duration = Duration::from_millis(400);
 
-/// What the reports go by: whether the node leaves; and whether another process takes its place, which then reports.
+/// What the reports go by: whether the node leaves; and whether another process takes its place,
+/// which then reports.
 pub struct Told {
     pub leaving: Arc<AtomicBool>,
     pub handed: Arc<AtomicBool>,
@@ -47,7 +49,10 @@
         failing = done.is_err();
         let rest = if failing { RETRY } else { PERIOD };
         let until = Instant::now() + rest;
-        while Instant::now() < until && leaving.load(SeqCst) == out && addresses.load().members == address {
+        while Instant::now() < until
+            && leaving.load(SeqCst) == out
+            && addresses.load().members == address
+        {
             thread::sleep(Duration::from_millis(50).min(rest));
         }
     }
@@ -63,8 +68,11 @@
     while Instant::now() < until {
         let n = match stream.read(&mut buffer) {
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-            // It has arrived and counts without an answer: to send it again at once would only add to the load.
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return Ok(()),
+            // It has arrived and counts without an answer: to send it again at once would only add
+            // to the load.
+            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+                return Ok(());
+            }
             read => read?,
         };
         if n == 0 {
--- a/crates/node/src/fastcgi.rs
+++ b/crates/node/src/fastcgi.rs
@@ -1,4 +1,5 @@
-//! FastCGI 1.0 as a responder: a parser that is fed bytes split anywhere, and the answers to be written.
+//! FastCGI 1.0 as a responder: a parser that is fed bytes split anywhere, and the answers to be
+//! written.
 
 use std::io::IoSlice;
 
@@ -8,8 +9,9 @@
 pub const BODY_MAX: usize = 2048;
 /// The most that a request's parameters may take.
 const PARAMS_MAX: usize = 4096;
-/// Bytes that may be passed over between two whole requests: what is too large, belongs to no open request or
-/// pads. Bodies of many megabytes and records without end would take all the processor's time to be skipped.
+/// Bytes that may be passed over between two whole requests: what is too large, belongs to no open
+/// request or pads. Bodies of many megabytes and records without end would take all the processor's
+/// time to be skipped.
 const PASSED_OVER_MAX: usize = 64 * 1024;
 /// The most that is kept of a record that is no stream.
 const SIDE_MAX: usize = 1024;
@@ -86,19 +88,29 @@
 
     /// Bytes as they are.
     pub fn raw(head: Vec<u8>) -> Reply {
-        Reply { head, ..Reply::default() }
+        Reply {
+            head,
+            ..Reply::default()
+        }
     }
 
     /// The parts in their order.
     pub fn slices(&self) -> [IoSlice<'_>; 3] {
-        [IoSlice::new(&self.head), IoSlice::new(&self.body), IoSlice::new(&self.tail)]
+        [
+            IoSlice::new(&self.head),
+            IoSlice::new(&self.body),
+            IoSlice::new(&self.tail),
+        ]
     }
 
     /// An answer: a CGI response on STDOUT, then the end of the request.
     pub fn answer(id: u16, status: u16, fields: &str, body: Vec<u8>) -> Reply {
         let text = format!("Status: {status}\r\n{fields}\r\n");
         let len = text.len() + body.len();
-        debug_assert!(len <= usize::from(u16::MAX), "one record holds every answer");
+        debug_assert!(
+            len <= usize::from(u16::MAX),
+            "one record holds every answer"
+        );
         let padding = len.wrapping_neg() % 8;
         let mut head = Vec::with_capacity(HEADER + text.len());
         header(&mut head, STDOUT, id, len, padding);
@@ -113,7 +125,10 @@
     pub fn end(id: u16, status: ProtocolStatus) -> Reply {
         let mut head = Vec::with_capacity(2 * HEADER);
         end(&mut head, id, status);
-        Reply { head, ..Reply::default() }
+        Reply {
+            head,
+            ..Reply::default()
+        }
     }
 }
 
@@ -192,14 +207,15 @@
     /// Content of a record that is no stream.
     side: Vec<u8>,
     opening: Vec<Opening>,
-    /// The most that unfinished requests may take together, and what was passed over since the last whole one.
+    /// The most that unfinished requests may take together, and what was passed over since the last
+    /// whole one.
     unfinished: usize,
     passed_over: usize,
 }
 
 impl Parser {
-    /// A parser for a new connection; `max_conns` is what GET_VALUES tells, `unfinished` the most that the parts
-    /// of requests may take.
+    /// A parser for a new connection; `max_conns` is what GET_VALUES tells, `unfinished` the most
+    /// that the parts of requests may take.
     pub fn new(max_conns: usize, unfinished: usize) -> Parser {
         Parser {
             max_conns,
@@ -257,7 +273,12 @@
         }
         self.side.clear();
         let left = usize::from(u16::from_be_bytes([l1, l0]));
-        Ok(Record { kind, id: u16::from_be_bytes([i1, i0]), left, padding: usize::from(padding) })
+        Ok(Record {
+            kind,
+            id: u16::from_be_bytes([i1, i0]),
+            left,
+            padding: usize::from(padding),
+        })
     }
 
     fn opening(&mut self, id: u16) -> Option<&mut Opening> {
@@ -266,7 +287,11 @@
 
     fn pass_over(&mut self, bytes: usize) -> Result<(), Broken> {
         self.passed_over += bytes;
-        if self.passed_over > PASSED_OVER_MAX { Err(Broken("too much that is no request")) } else { Ok(()) }
+        if self.passed_over > PASSED_OVER_MAX {
+            Err(Broken("too much that is no request"))
+        } else {
+            Ok(())
+        }
     }
 
     /// Takes content; gives how much of it was kept for a request.
@@ -277,10 +302,19 @@
             self.side.extend_from_slice(&bytes[..n]);
             return 0;
         }
-        let unfinished: usize =
-            self.opening.iter().map(|o| o.request.params.len() + o.request.body.len()).sum();
+        let unfinished: usize = self
+            .opening
+            .iter()
+            .map(|o| o.request.params.len() + o.request.body.len())
+            .sum();
         let room = self.unfinished.saturating_sub(unfinished);
-        let Some(Opening { request, params_done }) = self.opening(record.id) else { return 0 };
+        let Some(Opening {
+            request,
+            params_done,
+        }) = self.opening(record.id)
+        else {
+            return 0;
+        };
         let (stream, most) = match record.kind {
             PARAMS if *params_done => return 0,
             PARAMS => (&mut request.params, PARAMS_MAX),
@@ -302,7 +336,10 @@
                 let mut head = Vec::with_capacity(2 * HEADER);
                 header(&mut head, UNKNOWN_TYPE, 0, 8, 0);
                 head.extend_from_slice(&[kind, 0, 0, 0, 0, 0, 0, 0]);
-                sink(Event::Reply(Reply { head, ..Reply::default() }));
+                sink(Event::Reply(Reply {
+                    head,
+                    ..Reply::default()
+                }));
             }
             (BEGIN_REQUEST, id) => return self.begin(id, sink),
             (ABORT_REQUEST, id) => match self.opening.iter().position(|o| o.request.id == id) {
@@ -339,8 +376,17 @@
         let refusal = match u16::from_be_bytes([r1, r0]) {
             RESPONDER if self.opening.len() < MAX_OPEN => {
                 let (keep_conn, params, body) = (flags & KEEP_CONN != 0, Vec::new(), Vec::new());
-                let request = Request { id, keep_conn, params, body, oversize: false };
-                self.opening.push(Opening { request, params_done: false });
+                let request = Request {
+                    id,
+                    keep_conn,
+                    params,
+                    body,
+                    oversize: false,
+                };
+                self.opening.push(Opening {
+                    request,
+                    params_done: false,
+                });
                 return Ok(());
             }
             RESPONDER => ProtocolStatus::Overloaded,
@@ -369,7 +415,11 @@
         }
         let mut head = Vec::with_capacity(HEADER);
         header(&mut head, GET_VALUES_RESULT, 0, body.len(), 0);
-        Ok(Reply { head, body, tail: Vec::new() })
+        Ok(Reply {
+            head,
+            body,
+            tail: Vec::new(),
+        })
     }
 }
 
--- a/crates/node/src/fastcgi/tests.rs
+++ b/crates/node/src/fastcgi/tests.rs
@@ -3,7 +3,9 @@
 
 fn read(parts: &[&[u8]]) -> (Vec<Event>, Result<(), Broken>) {
     let (mut parser, mut events) = (Parser::new(976, 65536), Vec::new());
-    let result = parts.iter().try_for_each(|part| parser.feed(part, &mut |event| events.push(event)));
+    let result = parts
+        .iter()
+        .try_for_each(|part| parser.feed(part, &mut |event| events.push(event)));
     (events, result)
 }
 
@@ -12,7 +14,11 @@
 }
 
 fn bytes(reply: &Reply) -> Vec<u8> {
-    reply.slices().iter().flat_map(|s| s.iter().copied()).collect()
+    reply
+        .slices()
+        .iter()
+        .flat_map(|s| s.iter().copied())
+        .collect()
 }
 
 #[test]
@@ -32,7 +38,12 @@
         record(support::STDIN, 1, b"c", 0),
         record(support::STDIN, 1, &[], 0),
         record(support::ABORT, 1, &[], 0),
-        record(support::GET_VALUES, 0, &support::pairs(&[("FCGI_MPXS_CONNS", ""), ("X", "")]), 0),
+        record(
+            support::GET_VALUES,
+            0,
+            &support::pairs(&[("FCGI_MPXS_CONNS", ""), ("X", "")]),
+            0,
+        ),
         record(77, 0, b"?", 0),
     ]
     .concat();
@@ -48,10 +59,22 @@
     else {
         panic!("{events:?}")
     };
-    assert_eq!((second.id, second.keep_conn, second.body.len()), (258, false, 0));
-    assert_eq!((first.id, first.keep_conn, &first.body[..]), (1, true, &b"ab\0\r\nc"[..]));
+    assert_eq!(
+        (second.id, second.keep_conn, second.body.len()),
+        (258, false, 0)
+    );
+    assert_eq!(
+        (first.id, first.keep_conn, &first.body[..]),
+        (1, true, &b"ab\0\r\nc"[..])
+    );
     let read_pairs: Vec<_> = pairs(&first.params).map(|p| p.unwrap()).collect();
-    assert_eq!(read_pairs, [(&b"SCRIPT_NAME"[..], &b"/call/read"[..]), (b"HTTP_X_LONG", long.as_bytes())]);
+    assert_eq!(
+        read_pairs,
+        [
+            (&b"SCRIPT_NAME"[..], &b"/call/read"[..]),
+            (b"HTTP_X_LONG", long.as_bytes())
+        ]
+    );
     assert_eq!(&bytes(values)[8..], b"\x0f\x01FCGI_MPXS_CONNS1");
     assert_eq!(bytes(odd)[1..9], [UNKNOWN_TYPE, 0, 0, 0, 8, 0, 0, 77]);
     same_at_every_split(&sequence, read);
@@ -61,11 +84,22 @@
 fn an_answer_reads_back_byte_for_byte() {
     for len in [0, 1, 7, 8, 4096] {
         let body: Vec<u8> = (0..len).map(|i| i as u8).collect();
-        let mut written = bytes(&Reply::answer(7, 200, "X-Backend-Says: 0.5\r\n", body.clone()));
-        assert_eq!(written.len(), Reply::answer(7, 200, "X-Backend-Says: 0.5\r\n", body.clone()).size());
+        let mut written = bytes(&Reply::answer(
+            7,
+            200,
+            "X-Backend-Says: 0.5\r\n",
+            body.clone(),
+        ));
+        assert_eq!(
+            written.len(),
+            Reply::answer(7, 200, "X-Backend-Says: 0.5\r\n", body.clone()).size()
+        );
         let answers = support::answers(&mut written, &mut Default::default());
         assert_eq!(answers.len(), 1);
-        assert_eq!((answers[0].id, &answers[0].status[..], &answers[0].body), (7, "200", &body));
+        assert_eq!(
+            (answers[0].id, &answers[0].status[..], &answers[0].body),
+            (7, "200", &body)
+        );
         assert_eq!(answers[0].fields["X-Backend-Says"], "0.5");
         assert_eq!((written.len(), answers[0].protocol_status), (0, 0));
     }
@@ -76,28 +110,44 @@
     let sequence = support::request(1, &[("A", "b")], &[1; BODY_MAX + 1]);
     let (events, _) = read_whole(&sequence);
     assert!(matches!(&events[..], [Event::Request(r)] if r.oversize && r.body.len() == BODY_MAX));
-    let sequence = [begin(1, 1, true), record(support::PARAMS, 1, &[1; 60_000], 0)].concat();
+    let sequence = [
+        begin(1, 1, true),
+        record(support::PARAMS, 1, &[1; 60_000], 0),
+    ]
+    .concat();
     let mut parser = Parser::new(1, 65536);
     parser.feed(&sequence, &mut |_| ()).unwrap();
-    assert!(parser.opening[0].request.oversize && parser.opening[0].request.params.len() == PARAMS_MAX);
+    assert!(
+        parser.opening[0].request.oversize && parser.opening[0].request.params.len() == PARAMS_MAX
+    );
 }
 
 #[test]
 fn unfinished_requests_of_a_connection_share_a_bound() {
     let mut parser = Parser::new(1, 70_000);
     for id in 1..=MAX_OPEN as u16 {
-        let part = [begin(id, 1, true), record(support::PARAMS, id, &[1; PARAMS_MAX], 0)].concat();
+        let part = [
+            begin(id, 1, true),
+            record(support::PARAMS, id, &[1; PARAMS_MAX], 0),
+        ]
+        .concat();
         parser.feed(&part, &mut |_| ()).unwrap();
     }
     let kept: usize = parser.opening.iter().map(|o| o.request.params.len()).sum();
     assert_eq!(kept, 70_000);
 }
 
-/// Bodies of 60 MB and records without end were once read to their end, at the cost of all other connections.
+/// Bodies of 60 MB and records without end were once read to their end, at the cost of all other
+/// connections.
 #[test]
 fn what_goes_on_without_a_request_ends_the_connection() {
     let record = |kind, id, len| record(kind, id, &vec![7; len], 9);
-    let half = [begin(1, 1, true), record(support::PARAMS, 1, 100), record(support::PARAMS, 1, 0)].concat();
+    let half = [
+        begin(1, 1, true),
+        record(support::PARAMS, 1, 100),
+        record(support::PARAMS, 1, 0),
+    ]
+    .concat();
     let endless = [
         [half, record(support::STDIN, 1, 60_000)].concat(), // a body
         record(support::PARAMS, 7, 0),                      // empty records of nothing that is open
@@ -119,31 +169,55 @@
 
 #[test]
 fn what_is_not_played_here_is_ended_as_laid_down() {
-    let too_many: Vec<u8> = (1..=MAX_OPEN as u16 + 1).flat_map(|id| begin(id, 1, true)).collect();
-    for (sequence, id, status) in
-        [(begin(3, 2, true), 3, ProtocolStatus::UnknownRole), (too_many, 33, ProtocolStatus::Overloaded)]
-    {
+    let too_many: Vec<u8> = (1..=MAX_OPEN as u16 + 1)
+        .flat_map(|id| begin(id, 1, true))
+        .collect();
+    for (sequence, id, status) in [
+        (begin(3, 2, true), 3, ProtocolStatus::UnknownRole),
+        (too_many, 33, ProtocolStatus::Overloaded),
+    ] {
         let (events, result) = read_whole(&sequence);
-        assert_eq!((events, result), (vec![Event::Reply(Reply::end(id, status))], Ok(())));
+        assert_eq!(
+            (events, result),
+            (vec![Event::Reply(Reply::end(id, status))], Ok(()))
+        );
     }
     // A request aborted before it came whole, and records of ids that are not open.
-    let sequence =
-        [begin(1, 1, true), record(support::ABORT, 1, &[], 0), record(support::STDIN, 9, b"x", 0)].concat();
+    let sequence = [
+        begin(1, 1, true),
+        record(support::ABORT, 1, &[], 0),
+        record(support::STDIN, 9, b"x", 0),
+    ]
+    .concat();
     let (events, result) = read_whole(&sequence);
-    assert_eq!((events, result), (vec![Event::Reply(Reply::end(1, ProtocolStatus::Complete))], Ok(())));
+    assert_eq!(
+        (events, result),
+        (
+            vec![Event::Reply(Reply::end(1, ProtocolStatus::Complete))],
+            Ok(())
+        )
+    );
 }
 
 #[test]
 fn broken_framing_ends_the_connection() {
     let twice = [begin(1, 1, true), begin(1, 1, true)].concat();
-    for sequence in [vec![2, 1, 0, 1, 0, 8, 0, 0], twice, record(support::BEGIN, 1, &[0, 1], 0)] {
+    for sequence in [
+        vec![2, 1, 0, 1, 0, 8, 0, 0],
+        twice,
+        record(support::BEGIN, 1, &[0, 1], 0),
+    ] {
         assert!(read_whole(&sequence).1.is_err());
     }
 }
 
 #[test]
 fn damage_ends_in_events_or_an_error() {
-    let whole = support::request(1, &support::call("/call/read", "00000000000000aa", "5"), b"body");
+    let whole = support::request(
+        1,
+        &support::call("/call/read", "00000000000000aa", "5"),
+        b"body",
+    );
     let mut broke = 0;
     for sequence in damaged(&[whole.clone(), whole].concat()) {
         let (events, result) = read_whole(&sequence);
--- a/crates/node/src/idempotency_cache.rs
+++ b/crates/node/src/idempotency_cache.rs
@@ -1,5 +1,5 @@
-//! Keys and results, kept so that like reads can share an answer, and so that what must run once is known again by its
-//! key.
+//! Keys and results, kept so that like reads can share an answer, and so that what must run once is
+//! known again by its key.
 
 use madderpoint::{InvId, Nanos};
 use std::collections::{BTreeMap, HashMap};
@@ -17,13 +17,14 @@
     pub op: usize,
     /// What a read is about, or the key that a rule gave.
     pub subject: u64,
-    /// The body's fingerprint, where a rule gave the key. It takes no part in what is alike: one key with two bodies
-    /// is a mistake of the callers, which is told.
+    /// The body's fingerprint, where a rule gave the key. It takes no part in what is alike: one
+    /// key with two bodies is a mistake of the callers, which is told.
     pub body: Option<u64>,
-    /// Whether it is that of what must run once: then it is only forgotten if nothing can have run, or when its window
-    /// is over, whatever becomes of the result.
+    /// Whether it is that of what must run once: then it is only forgotten if nothing can have run,
+    /// or when its window is over, whatever becomes of the result.
     pub once: bool,
-    /// When what bears it reached the machine: the window is judged by this, for what comes within it may be read later.
+    /// When what bears it reached the machine: the window is judged by this, for what comes within
+    /// it may be read later.
     pub arrived: Nanos,
 }
 
@@ -60,11 +61,18 @@
     pub fn new(most_bytes: usize) -> IdempotencyCache {
         let (entries, keys, expiry) = Default::default();
         let most_keys = (most_bytes / KEY_BYTES).clamp(KEYS_LEAST, KEYS_MAX);
-        IdempotencyCache { entries, keys, expiry, bytes: 0, most_bytes, most_keys }
+        IdempotencyCache {
+            entries,
+            keys,
+            expiry,
+            bytes: 0,
+            most_bytes,
+            most_keys,
+        }
     }
 
-    /// Remembers a key for an invocation; an older one's entry moves to it. What arrives within the window repeats it, and is
-    /// read at most so much later.
+    /// Remembers a key for an invocation; an older one's entry moves to it. What arrives within the
+    /// window repeats it, and is read at most so much later.
     pub fn remember(&mut self, now: Nanos, id: InvId, key: Key, window: Nanos, late: Nanos) {
         self.sweep(now);
         let until = window.saturating_add(late);
@@ -73,7 +81,16 @@
             self.forget(old);
         }
         if self.entries.len() < self.most_keys {
-            self.entries.insert(alike, Entry { id, key, window, until, result: None });
+            self.entries.insert(
+                alike,
+                Entry {
+                    id,
+                    key,
+                    window,
+                    until,
+                    result: None,
+                },
+            );
             self.keys.insert(id, alike);
             self.expiry.insert((until, id), alike);
         }
@@ -88,12 +105,15 @@
     /// Whether a key is taken by an invocation with another body.
     pub fn conflicts(&mut self, now: Nanos, key: &Key) -> bool {
         self.sweep(now);
-        let entry = self.entries.get(&key.alike()).filter(|entry| key.arrived <= entry.window);
+        let entry = self
+            .entries
+            .get(&key.alike())
+            .filter(|entry| key.arrived <= entry.window);
         entry.is_some_and(|entry| entry.key.body != key.body)
     }
 
-    /// An invocation is over and left no result. What must run once and may have run stays known; a repeat is told of
-    /// an error, for nothing says how it went.
+    /// An invocation is over and left no result. What must run once and may have run stays known; a
+    /// repeat is told of an error, for nothing says how it went.
     pub fn over(&mut self, id: InvId, may_have_run: bool) {
         let entry = self.keys.get(&id).and_then(|key| self.entries.get(key));
         if !entry.is_some_and(|entry| entry.key.once && may_have_run) {
@@ -103,7 +123,9 @@
 
     /// Removes an invocation's entry.
     pub fn forget(&mut self, id: InvId) {
-        let Some(key) = self.keys.remove(&id) else { return };
+        let Some(key) = self.keys.remove(&id) else {
+            return;
+        };
         if let Some(entry) = self.entries.remove(&key) {
             self.expiry.remove(&(entry.until, id));
             self.bytes -= entry.result.map_or(0, |(r, _)| r.len());
@@ -113,13 +135,22 @@
     /// The invocation that a new read of this key repeats: one still open, or done and fresh.
     pub fn original(&mut self, now: Nanos, key: Key) -> Option<InvId> {
         self.sweep(now);
-        let entry = self.entries.get(&key.alike()).filter(|entry| key.arrived <= entry.window)?;
-        entry.result.as_ref().is_none_or(|&(_, fresh_until)| now <= fresh_until).then_some(entry.id)
+        let entry = self
+            .entries
+            .get(&key.alike())
+            .filter(|entry| key.arrived <= entry.window)?;
+        entry
+            .result
+            .as_ref()
+            .is_none_or(|&(_, fresh_until)| now <= fresh_until)
+            .then_some(entry.id)
     }
 
     /// Keeps the result of a run whose key is remembered.
     pub fn keep(&mut self, id: InvId, result: &[u8], fresh_until: Nanos) {
-        let Some(entry) = self.keys.get(&id).and_then(|key| self.entries.get_mut(key)) else { return };
+        let Some(entry) = self.keys.get(&id).and_then(|key| self.entries.get_mut(key)) else {
+            return;
+        };
         let once = entry.key.once;
         if self.bytes + result.len() > self.most_bytes {
             // Without its result it is still known to have run.
@@ -140,8 +171,10 @@
     }
 
     fn sweep(&mut self, now: Nanos) {
-        while let Some((&(until, id), _)) =
-            self.expiry.first_key_value().filter(|((until, _), _)| *until < now)
+        while let Some((&(until, id), _)) = self
+            .expiry
+            .first_key_value()
+            .filter(|((until, _), _)| *until < now)
         {
             self.expiry.remove(&(until, id));
             self.forget(id);
--- a/crates/node/src/idempotency_cache/tests.rs
+++ b/crates/node/src/idempotency_cache/tests.rs
@@ -5,11 +5,23 @@
 const BYTES_MAX: usize = 1 << 20;
 
 fn read(subject: u64) -> Key {
-    Key { op: 0, subject, body: None, once: false, arrived: 0 }
+    Key {
+        op: 0,
+        subject,
+        body: None,
+        once: false,
+        arrived: 0,
+    }
 }
 
 fn once(subject: u64, body: u64) -> Key {
-    Key { op: 0, subject, body: Some(body), once: true, arrived: 0 }
+    Key {
+        op: 0,
+        subject,
+        body: Some(body),
+        once: true,
+        arrived: 0,
+    }
 }
 
 #[test]
@@ -17,11 +29,17 @@
     let mut cache = IdempotencyCache::new(8);
     cache.remember(0, InvId(1), once(5, 77), 100, 0);
     assert!(!cache.conflicts(0, &once(5, 77)) && cache.conflicts(0, &once(5, 78)));
-    assert_eq!((cache.original(0, read(5)), cache.original(0, once(5, 77))), (None, Some(InvId(1))));
+    assert_eq!(
+        (cache.original(0, read(5)), cache.original(0, once(5, 77))),
+        (None, Some(InvId(1)))
+    );
     // The result is too large to be kept, and then the invocation is let go of.
     cache.keep(InvId(1), &[0; 9], 1);
     cache.over(InvId(1), true);
-    assert_eq!((cache.original(99, once(5, 77)), cache.result(InvId(1))), (Some(InvId(1)), None));
+    assert_eq!(
+        (cache.original(99, once(5, 77)), cache.result(InvId(1))),
+        (Some(InvId(1)), None)
+    );
     assert_eq!(cache.original(101, once(5, 77)), None, "its window is over");
     // One that can't have run may come again; a result that fits serves for the whole window.
     cache.remember(200, InvId(2), once(6, 1), 300, 0);
@@ -45,12 +63,18 @@
     assert_eq!((cache.entries.len(), cache.expiry.len()), (most, most));
     let result = vec![7; 4096];
     (0..most as u64).for_each(|n| cache.keep(InvId(n), &result, 50));
-    assert_eq!((cache.bytes, cache.entries.len()), (BYTES_MAX, BYTES_MAX / 4096));
+    assert_eq!(
+        (cache.bytes, cache.entries.len()),
+        (BYTES_MAX, BYTES_MAX / 4096)
+    );
     assert_eq!(cache.original(50, read(1)), Some(InvId(1)));
     assert_eq!(cache.original(51, read(1)), None);
     assert_eq!(cache.result(InvId(1)), Some(&result[..]));
     assert_eq!(cache.original(101, read(1)), None);
-    assert_eq!((cache.bytes, cache.entries.len(), cache.keys.len()), (0, 0, 0));
+    assert_eq!(
+        (cache.bytes, cache.entries.len(), cache.keys.len()),
+        (0, 0, 0)
+    );
 }
 
 #[test]
--- a/crates/node/src/kernel.rs
+++ b/crates/node/src/kernel.rs
@@ -1,4 +1,5 @@
-//! The kernel's link: JSON objects, one on each line. Knows which notices were read and what is missing.
+//! The kernel's link: JSON objects, one on each line. Knows which notices were read and what is
+//! missing.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -28,7 +29,12 @@
     /// The kernel is up since so many milliseconds.
     Booted { cold: bool, up_ms: f64 },
     /// A run is over.
-    Reap { rid: String, end: End, time_ms: f64, body: Vec<u8> },
+    Reap {
+        rid: String,
+        end: End,
+        time_ms: f64,
+        body: Vec<u8>,
+    },
     /// A run waits for a call.
     IoReq { no: u64, rid: String, body: Vec<u8> },
     /// The gauges, in the order of the settings.
@@ -107,7 +113,11 @@
             self.read(&line, sink)?;
         }
         self.line.extend_from_slice(bytes);
-        if self.line.len() > LINE_MAX { Err(Broken("line too long")) } else { Ok(()) }
+        if self.line.len() > LINE_MAX {
+            Err(Broken("line too long"))
+        } else {
+            Ok(())
+        }
     }
 
     fn read(&mut self, line: &[u8], sink: &mut impl FnMut(Notice)) -> Result<(), Broken> {
@@ -147,21 +157,43 @@
     let mark = line.mark.and_then(|m| m.parse().ok());
     let body = |b64: Option<Cow<'_, str>>| STANDARD.decode(b64?.as_bytes()).ok();
     Some(Some(match &*line.t {
-        "BOOTED" => Notice::Booted { cold: line.status? == "COLD", up_ms: line.time_ms?.max(0.0) },
+        "BOOTED" => Notice::Booted {
+            cold: line.status? == "COLD",
+            up_ms: line.time_ms?.max(0.0),
+        },
         "REAP" => {
-            // Whatever it says of the end, the run is over: without a result that can be read it failed.
+            // Whatever it says of the end, the run is over: without a result that can be read it
+            // failed.
             let (end, body) = match (&*line.status?, body(line.b64)) {
                 ("OK", Some(body)) => (End::Ok, body),
                 ("STOPPED", _) => (End::Stopped, Vec::new()),
                 ("MOOT", _) => (End::Moot, Vec::new()),
                 _ => (End::Error, Vec::new()),
             };
-            Notice::Reap { rid: rid?, end, time_ms: line.time_ms.unwrap_or(0.0).max(0.0), body }
+            Notice::Reap {
+                rid: rid?,
+                end,
+                time_ms: line.time_ms.unwrap_or(0.0).max(0.0),
+                body,
+            }
         }
-        "IOREQ" => Notice::IoReq { no: line.no?, rid: rid?, body: body(line.b64)? },
-        "INFO" => Notice::Info { mark: mark?, values: line.v? },
-        "POSTED" => Notice::Posted { mark: mark?, ok: line.status? == "OK" },
-        "EINVAL" => Notice::EInval { command: line.status?.into_owned(), rid: rid.unwrap_or_default() },
+        "IOREQ" => Notice::IoReq {
+            no: line.no?,
+            rid: rid?,
+            body: body(line.b64)?,
+        },
+        "INFO" => Notice::Info {
+            mark: mark?,
+            values: line.v?,
+        },
+        "POSTED" => Notice::Posted {
+            mark: mark?,
+            ok: line.status? == "OK",
+        },
+        "EINVAL" => Notice::EInval {
+            command: line.status?.into_owned(),
+            rid: rid.unwrap_or_default(),
+        },
         "DMESG" => return Some(None),
         _ => return None,
     }))
@@ -173,7 +205,11 @@
     /// Begin a link: notices after this one are wanted.
     Open(u64),
     /// Run a request.
-    Sched { rid: &'a str, route: &'a str, body: &'a [u8] },
+    Sched {
+        rid: &'a str,
+        route: &'a str,
+        body: &'a [u8],
+    },
     /// Stop a run.
     Preempt(&'a str),
     /// The reply to a call.
@@ -195,11 +231,18 @@
             Command::Open(no) => write!(line, r#"{{"t":"OPEN","no":{no}}}"#),
             Command::Sched { rid, route, body } => {
                 let (route, body) = (quoted(route), STANDARD.encode(body));
-                write!(line, r#"{{"t":"SCHED","rid":"{rid}","route":{route},"b64":"{body}"}}"#)
+                write!(
+                    line,
+                    r#"{{"t":"SCHED","rid":"{rid}","route":{route},"b64":"{body}"}}"#
+                )
             }
             Command::Preempt(rid) => write!(line, r#"{{"t":"PREEMPT","rid":"{rid}"}}"#),
             Command::IoDone { rid, body } => {
-                write!(line, r#"{{"t":"IODONE","rid":"{rid}","b64":"{}"}}"#, STANDARD.encode(body))
+                write!(
+                    line,
+                    r#"{{"t":"IODONE","rid":"{rid}","b64":"{}"}}"#,
+                    STANDARD.encode(body)
+                )
             }
             Command::NoIo { rid, no } => write!(line, r#"{{"t":"NOIO","rid":"{rid}","no":{no}}}"#),
             Command::SysInfo(mark) => write!(line, r#"{{"t":"SYSINFO","mark":"{mark}"}}"#),
--- a/crates/node/src/kernel/tests.rs
+++ b/crates/node/src/kernel/tests.rs
@@ -4,7 +4,9 @@
 fn read(parts: &[&[u8]]) -> (Vec<Notice>, Result<(), Broken>) {
     let (mut reader, mut notices) = (Reader::default(), Vec::new());
     assert_eq!(reader.open(), 0);
-    let result = parts.iter().try_for_each(|part| reader.feed(part, &mut |notice| notices.push(notice)));
+    let result = parts
+        .iter()
+        .try_for_each(|part| reader.feed(part, &mut |notice| notices.push(notice)));
     (notices, result)
 }
 
@@ -28,11 +30,29 @@
 fn notices_are_the_same_at_every_split() {
     let rid = || "9b1f03aa5c7e2d41".to_owned();
     let expected = vec![
-        Notice::Booted { cold: true, up_ms: 12.5 },
-        Notice::IoReq { no: 1, rid: rid(), body: vec![0, 1, 255] },
-        Notice::Info { mark: 7, values: vec![0.5, 2.0, 0.25, 9.0] },
-        Notice::Reap { rid: rid(), end: End::Ok, time_ms: 31.0, body: b"ok".to_vec() },
-        Notice::EInval { command: "SCHED".into(), rid: "00".into() },
+        Notice::Booted {
+            cold: true,
+            up_ms: 12.5,
+        },
+        Notice::IoReq {
+            no: 1,
+            rid: rid(),
+            body: vec![0, 1, 255],
+        },
+        Notice::Info {
+            mark: 7,
+            values: vec![0.5, 2.0, 0.25, 9.0],
+        },
+        Notice::Reap {
+            rid: rid(),
+            end: End::Ok,
+            time_ms: 31.0,
+            body: b"ok".to_vec(),
+        },
+        Notice::EInval {
+            command: "SCHED".into(),
+            rid: "00".into(),
+        },
         Notice::Posted { mark: 8, ok: false },
     ];
     assert_eq!(read(&[TALK.as_bytes()]), (expected, Ok(())));
@@ -82,7 +102,10 @@
         let (notices, result) = read(&[line.as_bytes()]);
         assert_eq!(
             (notices, result),
-            (vec![Notice::Odd("kernel: lines that make no sense", 1)], Ok(())),
+            (
+                vec![Notice::Odd("kernel: lines that make no sense", 1)],
+                Ok(())
+            ),
             "{line}"
         );
     }
@@ -90,15 +113,25 @@
 
 #[test]
 fn an_overlong_line_breaks_the_link() {
-    for line in [vec![b'x'; LINE_MAX + 1], [vec![b'x'; LINE_MAX + 1], b"\n".to_vec()].concat()] {
+    for line in [
+        vec![b'x'; LINE_MAX + 1],
+        [vec![b'x'; LINE_MAX + 1], b"\n".to_vec()].concat(),
+    ] {
         assert_eq!(read(&[&line[..]]).1, Err(Broken("line too long")));
     }
 }
 
 #[test]
 fn damage_ends_in_notices_or_an_error() {
-    let count = |notices: &[Notice]| notices.iter().filter(|n| matches!(n, Notice::Odd(..))).count();
-    let odd: usize = damaged(TALK.as_bytes()).map(|bytes| count(&read(&[&bytes[..]]).0)).sum();
+    let count = |notices: &[Notice]| {
+        notices
+            .iter()
+            .filter(|n| matches!(n, Notice::Odd(..)))
+            .count()
+    };
+    let odd: usize = damaged(TALK.as_bytes())
+        .map(|bytes| count(&read(&[&bytes[..]]).0))
+        .sum();
     assert!(odd > 100, "{odd}");
 }
 
@@ -108,12 +141,25 @@
     for (command, line) in [
         (Command::Open(3), r#"{"t":"OPEN","no":3}"#),
         (
-            Command::Sched { rid, route: "a\"b", body: &[0, 1, 255] },
+            Command::Sched {
+                rid,
+                route: "a\"b",
+                body: &[0, 1, 255],
+            },
             r#"{"t":"SCHED","rid":"9b1f03aa5c7e2d41","route":"a\"b","b64":"AAH/"}"#,
         ),
-        (Command::Preempt(rid), r#"{"t":"PREEMPT","rid":"9b1f03aa5c7e2d41"}"#),
-        (Command::IoDone { rid, body: b"ok" }, r#"{"t":"IODONE","rid":"9b1f03aa5c7e2d41","b64":"b2s="}"#),
-        (Command::NoIo { rid, no: 4 }, r#"{"t":"NOIO","rid":"9b1f03aa5c7e2d41","no":4}"#),
+        (
+            Command::Preempt(rid),
+            r#"{"t":"PREEMPT","rid":"9b1f03aa5c7e2d41"}"#,
+        ),
+        (
+            Command::IoDone { rid, body: b"ok" },
+            r#"{"t":"IODONE","rid":"9b1f03aa5c7e2d41","b64":"b2s="}"#,
+        ),
+        (
+            Command::NoIo { rid, no: 4 },
+            r#"{"t":"NOIO","rid":"9b1f03aa5c7e2d41","no":4}"#,
+        ),
         (Command::SysInfo(5), r#"{"t":"SYSINFO","mark":"5"}"#),
         (Command::Post(6), r#"{"t":"POST","mark":"6"}"#),
     ] {
@@ -123,9 +169,18 @@
 
 #[test]
 fn a_run_whose_end_cannot_be_read_has_failed() {
-    for rest in ["\"OK\",\"b64\":\"%%%\"", "\"OK\"", "\"LATER\",\"b64\":\"b2s=\""] {
+    for rest in [
+        "\"OK\",\"b64\":\"%%%\"",
+        "\"OK\"",
+        "\"LATER\",\"b64\":\"b2s=\"",
+    ] {
         let line = format!("{{\"t\":\"REAP\",\"no\":1,\"rid\":\"aa\",\"status\":{rest}}}\n");
-        let expected = Notice::Reap { rid: "aa".into(), end: End::Error, time_ms: 0.0, body: vec![] };
+        let expected = Notice::Reap {
+            rid: "aa".into(),
+            end: End::Error,
+            time_ms: 0.0,
+            body: vec![],
+        };
         assert_eq!(read(&[line.as_bytes()]), (vec![expected], Ok(())), "{line}");
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,9 @@
-//! A madderpoint node: dispatchers, the kernel, the back end and the membership service on real sockets,
-//! round the decisions of [`madderpoint::choice`].
+//! A madderpoint node: dispatchers, the kernel, the back end and the membership service on real
+//! sockets, round the decisions of [`madderpoint::choice`].
 //!
-//! [`fastcgi`], [`kernel`], [`backend`] and [`members`] are protocols: fed bytes, they know no socket, clock
-//! or thread. [`core`] is the node without its I/O. [`driver`] has the sockets and threads.
+//! [`fastcgi`], [`kernel`], [`backend`] and [`members`] are protocols: fed bytes, they know no
+//! socket, clock or thread. [`core`] is the node without its I/O. [`driver`] has the sockets and
+//! threads.
 
 #![forbid(unsafe_code)]
 
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,5 +1,5 @@
-//! The node's log: lines on standard error, so many a second at most. Plain by default; as JSON lines, each with its time,
-//! node, part and event, where that is asked for.
+//! The node's log: lines on standard error, so many a second at most. Plain by default; as JSON
+//! lines, each with its time, node, part and event, where that is asked for.
 
 use std::fmt;
 use std::io;
@@ -25,7 +25,9 @@
 
 impl FormatTime for UnixNanos {
     fn format_time(&self, w: &mut Writer<'_>) -> fmt::Result {
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         write!(w, "{}", now.as_nanos())
     }
 }
@@ -45,7 +47,8 @@
     }
 }
 
-/// From here on the steps of each invocation are written, without regard to the rate: for tests, and for a look.
+/// From here on the steps of each invocation are written, without regard to the rate: for tests,
+/// and for a look.
 pub fn follow_invocations() {
     FOLLOWS.store(true, Relaxed);
 }
@@ -57,7 +60,9 @@
 
 /// Whether another line may be written now, and how many were left out before it.
 fn permit() -> Option<u64> {
-    let second = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_secs());
+    let second = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |t| t.as_secs());
     permit_in(second)
 }
 
@@ -89,7 +94,11 @@
 pub fn event(part: &str, event: &str, line: fmt::Arguments<'_>) {
     if let Some(left_out) = permit() {
         if left_out > 0 {
-            write("", "left out", format_args!("log: {left_out} lines left out"));
+            write(
+                "",
+                "left out",
+                format_args!("log: {left_out} lines left out"),
+            );
         }
         write(part, event, line);
     }
--- a/crates/node/src/outward.rs
+++ b/crates/node/src/outward.rs
@@ -1,4 +1,5 @@
-//! What the core, the desk and the driver all know: the ids of what they speak about, and what a node does to the world.
+//! What the core, the desk and the driver all know: the ids of what they speak about, and what a
+//! node does to the world.
 
 use crate::company::Word;
 use crate::config::Peers;
@@ -49,7 +50,8 @@
 /// How a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Close {
-    /// Events of the connection that the core has heard; if the reader handed on more, the close is void.
+    /// Events of the connection that the core has heard; if the reader handed on more, the close is
+    /// void.
     pub heard: u64,
     /// How long the rest of a request that has come in part is waited for.
     pub patience: Nanos,
@@ -67,13 +69,22 @@
     fn pace(&mut self, conn: ConnId, pause: Nanos);
     /// Write a line to the kernel.
     fn kernel(&mut self, line: String);
-    /// Send a call below over the link at this place, if it is still wanted when its turn comes; false if that has no room.
-    fn call(&mut self, place: usize, call: CallNo, id: InvId, bytes: Vec<u8>, wanted: Wanted) -> bool;
+    /// Send a call below over the link at this place, if it is still wanted when its turn comes;
+    /// false if that has no room.
+    fn call(
+        &mut self,
+        place: usize,
+        call: CallNo,
+        id: InvId,
+        bytes: Vec<u8>,
+        wanted: Wanted,
+    ) -> bool;
     /// Give a call up over the link that it was sent on.
     fn cancel(&mut self, place: usize, bytes: Vec<u8>);
     /// Close the link at this place: no call is in hand on it.
     fn rest(&mut self, place: usize);
-    /// From now on peers are reached at these addresses; gives whether the kernel is at another one.
+    /// From now on peers are reached at these addresses; gives whether the kernel is at another
+    /// one.
     fn moved(&mut self, peers: Peers) -> bool;
     /// Close the link to the kernel; another one takes its place.
     fn renew_kernel(&mut self);
--- a/crates/node/src/parent.rs
+++ b/crates/node/src/parent.rs
@@ -1,5 +1,6 @@
-//! A node that a parent started: the listening socket and what is kept of versions of the program come from it over a Unix stream,
-//! which is the node's standard input; what takes time is asked of it. A node whose parent is gone goes on without it.
+//! A node that a parent started: the listening socket and what is kept of versions of the program
+//! come from it over a Unix stream, which is the node's standard input; what takes time is asked of
+//! it. A node whose parent is gone goes on without it.
 
 use crate::driver::{Notice, Versions};
 use crate::log::log;
@@ -22,7 +23,8 @@
 
 /// Tells a program that a parent started it.
 pub const UNDER: &str = "MADDERPOINT_UNDER";
-/// How long a node waits for what it starts with, and for an answer: longer than a new one may take to be ready.
+/// How long a node waits for what it starts with, and for an answer: longer than a new one may take
+/// to be ready.
 const BEGINS: Duration = Duration::from_secs(10);
 const ANSWER: Duration = Duration::from_secs(60);
 
@@ -52,9 +54,14 @@
     let wrong = |what: &dyn std::fmt::Display| {
         format!("{UNDER} is set, and what the parent says can't be read: {what}")
     };
-    let stdin = std::io::stdin().as_fd().try_clone_to_owned().map_err(|e| wrong(&e))?;
+    let stdin = std::io::stdin()
+        .as_fd()
+        .try_clone_to_owned()
+        .map_err(|e| wrong(&e))?;
     let mut stream = UnixStream::from(stdin);
-    stream.set_read_timeout(Some(BEGINS)).map_err(|e| wrong(&e))?;
+    stream
+        .set_read_timeout(Some(BEGINS))
+        .map_err(|e| wrong(&e))?;
     let (mut reader, mut listener) = (Reader::default(), None);
     let begin = loop {
         let mut buffer = [0; 4096];
@@ -62,8 +69,8 @@
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let mut into = [IoSliceMut::new(&mut buffer)];
-            let got =
-                recvmsg(&stream, &mut into, &mut control, RecvFlags::CMSG_CLOEXEC).map_err(|e| wrong(&e))?;
+            let got = recvmsg(&stream, &mut into, &mut control, RecvFlags::CMSG_CLOEXEC)
+                .map_err(|e| wrong(&e))?;
             for message in control.drain() {
                 if let RecvAncillaryMessage::ScmRights(mut sockets) = message {
                     listener = sockets.next().map(TcpListener::from);
@@ -78,7 +85,9 @@
         }
         reader.feed(&buffer[..n]);
         if let Some(saying) = reader.take().map_err(|_| wrong(&"it is no saying"))? {
-            break saying.as_begin().ok_or_else(|| wrong(&"it does not say what to start with"))?;
+            break saying
+                .as_begin()
+                .ok_or_else(|| wrong(&"it does not say what to start with"))?;
         }
     };
     if listener.is_none() {
@@ -92,13 +101,25 @@
         asked: AtomicU64::new(0),
         gone: AtomicBool::new(false),
     });
-    Ok(Adopted { link, begin, listener, reading, reader })
+    Ok(Adopted {
+        link,
+        begin,
+        listener,
+        reading,
+        reader,
+    })
 }
 
 impl Adopted {
     /// Listens to the parent from here on.
     pub fn listen(self, notices: Sender<Notice>) -> std::io::Result<()> {
-        let Adopted { link, begin, reading, reader, .. } = self;
+        let Adopted {
+            link,
+            begin,
+            reading,
+            reader,
+            ..
+        } = self;
         // One that was started beside another is in charge only once it is told so.
         let in_charge = !begin.beside;
         thread::Builder::new()
@@ -122,17 +143,28 @@
                 match saying.kind {
                     kind::IN_CHARGE => in_charge = true,
                     kind::HAND_OVER => {
-                        // The other version runs now: that is what was asked for last, and there is no other answer to it.
-                        let asked =
-                            std::mem::take(&mut *link.answers.lock().unwrap_or_else(PoisonError::into_inner));
+                        // The other version runs now: that is what was asked for last, and there is
+                        // no other answer to it.
+                        let asked = std::mem::take(
+                            &mut *link.answers.lock().unwrap_or_else(PoisonError::into_inner),
+                        );
                         asked.into_values().for_each(|asked| _ = asked.send(Ok(())));
                         let _ = notices.send(Notice::HandOver);
                     }
                     kind::DONE => {
-                        let result = if saying.refused { Err(saying.why) } else { Ok(()) };
-                        let asked =
-                            link.answers.lock().unwrap_or_else(PoisonError::into_inner).remove(&saying.no);
-                        asked.into_iter().for_each(|asked| _ = asked.send(result.clone()));
+                        let result = if saying.refused {
+                            Err(saying.why)
+                        } else {
+                            Ok(())
+                        };
+                        let asked = link
+                            .answers
+                            .lock()
+                            .unwrap_or_else(PoisonError::into_inner)
+                            .remove(&saying.no);
+                        asked
+                            .into_iter()
+                            .for_each(|asked| _ = asked.send(result.clone()));
                     }
                     _ => {}
                 }
@@ -148,7 +180,10 @@
         }
     }
     link.gone.store(true, SeqCst);
-    link.answers.lock().unwrap_or_else(PoisonError::into_inner).clear();
+    link.answers
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .clear();
     if in_charge {
         log!("the parent is gone: the node goes on without it, and can't change its program");
     } else {
@@ -160,7 +195,9 @@
 impl Link {
     fn say(&self, saying: &Saying) -> Result<(), String> {
         let mut stream = self.stream.lock().unwrap_or_else(PoisonError::into_inner);
-        stream.write_all(&saying.write()).map_err(|e| format!("the parent can't be told: {e}"))
+        stream
+            .write_all(&saying.write())
+            .map_err(|e| format!("the parent can't be told: {e}"))
     }
 
     /// The node serves.
@@ -174,13 +211,19 @@
     fn ask(&self, saying: impl FnOnce(u64) -> Saying) -> Result<(), String> {
         let no = self.asked.fetch_add(1, SeqCst) + 1;
         let (answers, answer) = bounded(1);
-        self.answers.lock().unwrap_or_else(PoisonError::into_inner).insert(no, answers);
+        self.answers
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(no, answers);
         if self.gone.load(SeqCst) {
             return Err("the parent is gone".into());
         }
         self.say(&saying(no))?;
         let answer = answer.recv_timeout(ANSWER);
-        self.answers.lock().unwrap_or_else(PoisonError::into_inner).remove(&no);
+        self.answers
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(&no);
         answer.unwrap_or_else(|_| Err("the parent did not answer".into()))
     }
 }
@@ -197,7 +240,12 @@
     }
 
     fn keep(&mut self, kept: &Kept, _: Option<(Version, &[u8])>) -> Result<(), String> {
-        self.0.ask(|no| Saying { kind: kind::KEEP, no, kept: kept.write(), ..Saying::default() })
+        self.0.ask(|no| Saying {
+            kind: kind::KEEP,
+            no,
+            kept: kept.write(),
+            ..Saying::default()
+        })
     }
 
     fn apply(&mut self, version: Version) -> Result<(), String> {
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -1,5 +1,6 @@
-//! Versions of the program on a machine: a directory for each, named by its number, with the program in it and whatever it needs
-//! beside. What is in a directory is not changed any more once it is there.
+//! Versions of the program on a machine: a directory for each, named by its number, with the
+//! program in it and whatever it needs beside. What is in a directory is not changed any more once
+//! it is there.
 
 use madderpoint_rollout::{Version, pieces};
 use std::fs;
@@ -13,23 +14,35 @@
 /// The directory's number: its name, or what follows the last `-` in it.
 fn number(dir: &Path) -> Option<u64> {
     let name = dir.file_name()?.to_str()?;
-    name.rsplit('-').next()?.parse().ok().filter(|number| *number > 0)
+    name.rsplit('-')
+        .next()?
+        .parse()
+        .ok()
+        .filter(|number| *number > 0)
 }
 
 /// The version that a directory holds: its number, and a hash of the program in it.
 pub fn version_of(dir: &Path) -> Result<Version, String> {
     let whole = fs::canonicalize(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
     let number = number(&whole).ok_or_else(|| {
-        format!("{}: its name has no number; expected such as 7 or release-7", whole.display())
+        format!(
+            "{}: its name has no number; expected such as 7 or release-7",
+            whole.display()
+        )
     })?;
     let program = whole.join(PROGRAM);
     let wrong = |e: std::io::Error| format!("{}: {e}", program.display());
     let size = fs::metadata(&program).map_err(wrong)?.len();
     if size > PROGRAM_MAX {
-        return Err(format!("{}: {size} bytes, {PROGRAM_MAX} at most", program.display()));
+        return Err(format!(
+            "{}: {size} bytes, {PROGRAM_MAX} at most",
+            program.display()
+        ));
     }
     let digest = pieces::digest(&fs::read(&program).map_err(wrong)?);
-    let hash = digest.first_chunk::<8>().map_or(0, |first| u64::from_be_bytes(*first));
+    let hash = digest
+        .first_chunk::<8>()
+        .map_or(0, |first| u64::from_be_bytes(*first));
     Ok(Version { number, hash })
 }
 
@@ -48,8 +61,15 @@
             Err(what) => seen.push(what),
         }
     }
-    let seen = if seen.is_empty() { "no directory of that number".to_owned() } else { seen.join("; ") };
-    Err(format!("{}: version {version} is not here: {seen}", programs.display()))
+    let seen = if seen.is_empty() {
+        "no directory of that number".to_owned()
+    } else {
+        seen.join("; ")
+    };
+    Err(format!(
+        "{}: version {version} is not here: {seen}",
+        programs.display()
+    ))
 }
 
 #[cfg(test)]
@@ -58,21 +78,44 @@
 
     #[test]
     fn a_version_is_found_by_its_number_and_believed_by_its_hash() {
-        let root = std::env::temp_dir().join(format!("madderpoint-programs-{}", std::process::id()));
+        let root =
+            std::env::temp_dir().join(format!("madderpoint-programs-{}", std::process::id()));
         let _ = fs::remove_dir_all(&root);
-        for (name, text) in [("7", "seven"), ("release-8", "eight"), ("9", ""), ("notes", "")] {
+        for (name, text) in [
+            ("7", "seven"),
+            ("release-8", "eight"),
+            ("9", ""),
+            ("notes", ""),
+        ] {
             fs::create_dir_all(root.join(name)).unwrap();
             if !text.is_empty() {
                 fs::write(root.join(name).join(PROGRAM), text).unwrap();
             }
         }
         let eight = version_of(&root.join("release-8")).unwrap();
-        assert_eq!((eight.number, find(&root, eight).unwrap()), (8, root.join("release-8")));
+        assert_eq!(
+            (eight.number, find(&root, eight).unwrap()),
+            (8, root.join("release-8"))
+        );
         assert_ne!(eight.hash, version_of(&root.join("7")).unwrap().hash);
         let other = Version { hash: 1, ..eight };
-        assert!(find(&root, other).unwrap_err().contains("release-8 has version 8"));
+        assert!(
+            find(&root, other)
+                .unwrap_err()
+                .contains("release-8 has version 8")
+        );
         assert!(version_of(&root.join("9")).is_err() && version_of(&root.join("notes")).is_err());
-        assert!(find(&root, Version { number: 10, hash: 1 }).unwrap_err().contains("no directory"));
+        assert!(
+            find(
+                &root,
+                Version {
+                    number: 10,
+                    hash: 1
+                }
+            )
+            .unwrap_err()
+            .contains("no directory")
+        );
         let _ = fs::remove_dir_all(&root);
     }
 }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -9,9 +9,9 @@
 const NEED_KB_MAX: f64 = 2000.0;
 /// The longest work that an estimate may name, in milliseconds.
 const ESTIMATE_MS_MAX: f64 = 600_000.0;
-/// How far an arrival may lie in the future, and before its client timeout, in milliseconds: clocks differ, and
-/// machines stand still, but not by more. What lies further off is no time of arrival, and must not be taken for
-/// a queue of that length.
+/// How far an arrival may lie in the future, and before its client timeout, in milliseconds: clocks
+/// differ, and machines stand still, but not by more. What lies further off is no time of arrival,
+/// and must not be taken for a queue of that length.
 const AHEAD_MS: u64 = 5_000;
 const OVERDUE_MS: u64 = 60_000;
 /// The longest that a caller may say it waits, in milliseconds, and the longest idempotency key.
@@ -51,14 +51,17 @@
     pub subject: Option<u64>,
     /// The idempotency key of a tokened operation: a repeat bears the same one.
     pub token: Option<String>,
-    /// How long its caller waits from the arrival on, where the settings have that told; never over the client timeout.
+    /// How long its caller waits from the arrival on, where the settings have that told; never over
+    /// the client timeout.
     pub patience: Option<Nanos>,
 }
 
 impl Head {
     /// How long ago it reached the machine, never less than nothing.
     pub fn age(&self, unix_ms: u64) -> Nanos {
-        unix_ms.saturating_sub(self.arrived_ms).saturating_mul(1_000_000)
+        unix_ms
+            .saturating_sub(self.arrived_ms)
+            .saturating_mul(1_000_000)
     }
 }
 
@@ -97,7 +100,10 @@
 impl<'a> Fields<'a> {
     /// The fields of a request; of those with one name the last counts.
     pub fn of(request: &'a fastcgi::Request) -> Result<Fields<'a>, Rejected> {
-        let mut fields = Fields { oversize: request.oversize, ..Fields::default() };
+        let mut fields = Fields {
+            oversize: request.oversize,
+            ..Fields::default()
+        };
         for pair in fastcgi::pairs(&request.params) {
             let (name, value) = pair.map_err(|e| malformed(e.0))?;
             let place = match name {
@@ -126,22 +132,35 @@
         !self.oversize && self.path.is_some_and(|path| path != "/ping")
     }
 
-    /// The operation that its path names, and who sent it, as far as they are known: enough to be counted by.
+    /// The operation that its path names, and who sent it, as far as they are known: enough to be
+    /// counted by.
     pub fn counted(&self, start: &Start) -> Option<(OpId, DispatcherId)> {
         let operation = self.path?.strip_prefix("/call/")?;
         let op = start.operations.iter().position(|name| name == operation)?;
-        Some((OpId(op), DispatcherId(self.peer.and_then(|peer| peer.parse().ok()).unwrap_or(0))))
+        Some((
+            OpId(op),
+            DispatcherId(self.peer.and_then(|peer| peer.parse().ok()).unwrap_or(0)),
+        ))
     }
 
     /// It as rules see it, but for what only its connection and its parameters as a whole tell.
     pub fn facts(&self, start: &'a Start) -> Facts<'a> {
         let path = self.path.unwrap_or_default();
-        let operation = path.strip_prefix("/call/").and_then(|o| start.operations.iter().find(|n| *n == o));
-        let tenant = self.org.and_then(|org| start.tenants.iter().find(|t| *t == org));
-        let number = |text: Option<&str>| text.and_then(|t| t.parse::<f64>().ok()).filter(|n| n.is_finite());
+        let operation = path
+            .strip_prefix("/call/")
+            .and_then(|o| start.operations.iter().find(|n| *n == o));
+        let tenant = self
+            .org
+            .and_then(|org| start.tenants.iter().find(|t| *t == org));
+        let number = |text: Option<&str>| {
+            text.and_then(|t| t.parse::<f64>().ok())
+                .filter(|n| n.is_finite())
+        };
         let estimate = number(self.estimate).filter(|ms| (0.0..=ESTIMATE_MS_MAX).contains(ms));
-        let arrived =
-            self.arrived.and_then(|t| t.parse::<u64>().ok()).and_then(|ms| ms.checked_mul(1_000_000));
+        let arrived = self
+            .arrived
+            .and_then(|t| t.parse::<u64>().ok())
+            .and_then(|ms| ms.checked_mul(1_000_000));
         Facts {
             operation: operation.map(String::as_str),
             tenant: tenant.map(String::as_str),
@@ -152,22 +171,33 @@
             need: number(self.need),
             rank: number(self.rank),
             peer: self.peer.and_then(|p| p.parse().ok()),
-            arrived: arrived.and_then(|a| i64::try_from(a).ok()).unwrap_or_default(),
+            arrived: arrived
+                .and_then(|a| i64::try_from(a).ok())
+                .unwrap_or_default(),
             ..Facts::default()
         }
     }
 
     /// What is asked for; a rule may have given another operation than the path names.
-    pub fn wanted(&self, start: &Start, unix_ms: u64, ruled: Option<OpId>) -> Result<Wanted, Rejected> {
+    pub fn wanted(
+        &self,
+        start: &Start,
+        unix_ms: u64,
+        ruled: Option<OpId>,
+    ) -> Result<Wanted, Rejected> {
         let path = self.path.ok_or(malformed("no SCRIPT_NAME"))?;
         if path == "/ping" {
-            let deep = self.query.is_some_and(|q| q.split('&').any(|part| part == "e2e=1"));
+            let deep = self
+                .query
+                .is_some_and(|q| q.split('&').any(|part| part == "e2e=1"));
             return Ok(Wanted::Check { deep });
         }
         let op = match ruled {
             Some(op) => op,
             None => {
-                let operation = path.strip_prefix("/call/").ok_or(Rejected(404, "unknown path"))?;
+                let operation = path
+                    .strip_prefix("/call/")
+                    .ok_or(Rejected(404, "unknown path"))?;
                 let op = start.operations.iter().position(|name| name == operation);
                 OpId(op.ok_or(Rejected(404, "unknown operation"))?)
             }
@@ -178,7 +208,9 @@
         if self.oversize {
             return Err(Rejected(413, "parameters or body too large"));
         }
-        let rid = self.rid.filter(|r| r.len() == 16 && r.bytes().all(|b| b.is_ascii_hexdigit()));
+        let rid = self
+            .rid
+            .filter(|r| r.len() == 16 && r.bytes().all(|b| b.is_ascii_hexdigit()));
         let arrived: Option<u64> = self.arrived.and_then(|t| t.parse().ok());
         // New dispatchers have new numbers, without end.
         let peer: Option<u64> = self.peer.and_then(|p| p.parse().ok());
@@ -188,10 +220,17 @@
             Some(Ok(ms)) if (0.0..=ESTIMATE_MS_MAX).contains(&ms) => (ms > 0.0).then_some(ms / 1e3),
             Some(_) => return Err(malformed("X-Estimate-Ms")),
         };
-        if self.rank.is_some_and(|r| !r.parse().is_ok_and(|r: f64| (0.0..=1.0).contains(&r))) {
+        if self
+            .rank
+            .is_some_and(|r| !r.parse().is_ok_and(|r: f64| (0.0..=1.0).contains(&r)))
+        {
             return Err(malformed("X-Criticality"));
         }
-        let tenant = start.tenants.iter().position(|t| self.org == Some(t.as_str())).map(TenantId);
+        let tenant = start
+            .tenants
+            .iter()
+            .position(|t| self.org == Some(t.as_str()))
+            .map(TenantId);
         if tenant.is_none() && !start.tenants.is_empty() {
             return Err(Rejected(404, "unknown tenant"));
         }
@@ -204,15 +243,20 @@
         if token.is_some_and(|t| !is_token(t)) {
             return Err(malformed("X-Operation-Key"));
         }
-        let patience = match self.patience.filter(|_| start.passes_deadline).map(str::parse::<f64>) {
+        let patience = match self
+            .patience
+            .filter(|_| start.passes_deadline)
+            .map(str::parse::<f64>)
+        {
             None => None,
             Some(Ok(ms)) if (0.0..=PATIENCE_MS_MAX).contains(&ms) => {
                 Some(((ms * 1e6) as Nanos).min(agreed.client_timeout))
             }
             Some(_) => return Err(malformed("X-Deadline-Ms")),
         };
-        let in_time =
-            |&t: &u64| t <= unix_ms + AHEAD_MS && t.saturating_add(timeout_ms + OVERDUE_MS) >= unix_ms;
+        let in_time = |&t: &u64| {
+            t <= unix_ms + AHEAD_MS && t.saturating_add(timeout_ms + OVERDUE_MS) >= unix_ms
+        };
         let subject = match self.subject.map(|s| u64::from_str_radix(s, 16)) {
             None => None,
             Some(Ok(subject)) => Some(subject),
@@ -225,7 +269,9 @@
             tenant,
             dispatcher: DispatcherId(peer.ok_or(malformed("X-Upstream-Peer"))?),
             work_hint,
-            held_kb: need.filter(|&n| n > 0.0 && n < NEED_KB_MAX).ok_or(malformed("X-Need-Kb"))?,
+            held_kb: need
+                .filter(|&n| n > 0.0 && n < NEED_KB_MAX)
+                .ok_or(malformed("X-Need-Kb"))?,
             subject,
             token: token.map(str::to_owned),
             patience,
--- a/crates/node/src/room.rs
+++ b/crates/node/src/room.rs
@@ -2,8 +2,9 @@
 
 use crate::config::Limits;
 
-/// Descriptors left for all that is no dispatcher's connection: standard streams, signals, the listener, the
-/// kernel's link (two while it moves), the back end's links and those that they left behind, a report, a file.
+/// Descriptors left for all that is no dispatcher's connection: standard streams, signals, the
+/// listener, the kernel's link (two while it moves), the back end's links and those that they left
+/// behind, a report, a file.
 const RESERVED: usize = 32;
 /// Memory of a node that serves nobody, and of a connection, both measured and rounded up.
 const BARE: usize = 6 << 20;
@@ -32,19 +33,22 @@
     pub calls: usize,
     /// Bytes of results kept for like reads and repeats; their keys take as much again at most.
     pub results: usize,
-    /// Bytes that a set of rules may take, and that limits by key take; 0 where there are no settings of ours.
+    /// Bytes that a set of rules may take, and that limits by key take; 0 where there are no
+    /// settings of ours.
     pub rules: usize,
     pub buckets: usize,
     /// Bytes that the file of our settings may have.
     pub settings_file: usize,
     /// Bytes that the view of the fleet may take; 0 where nodes keep none.
     pub fleet: usize,
-    /// Bytes for keys of limits that the whole fleet shares, and for the books of them where this node lends.
+    /// Bytes for keys of limits that the whole fleet shares, and for the books of them where this
+    /// node lends.
     pub keys: usize,
     pub key_books: usize,
     /// Bytes for counts of other processes, where this node is an arbiter.
     pub counts: usize,
-    /// Bytes for what an arbiter records of a change; contents of versions have as much room beside.
+    /// Bytes for what an arbiter records of a change; contents of versions have as much room
+    /// beside.
     pub changes: usize,
 }
 
@@ -61,32 +65,46 @@
     pub changes: bool,
 }
 
-/// A quarter of what is free is set aside where our settings are given: two sets of rules, the one in force and the
-/// one that takes its place, a sixth each; a sixth for limits; the rest for reading a file, which takes about twelve
-/// times its size while it is a tree (measured: 11 for 10,000 rules).
+/// A quarter of what is free is set aside where our settings are given: two sets of rules, the one
+/// in force and the one that takes its place, a sixth each; a sixth for limits; the rest for
+/// reading a file, which takes about twelve times its size while it is a tree (measured: 11 for
+/// 10,000 rules).
 const FOR_SETTINGS: usize = 4;
 const READING: usize = 12;
-/// A sixteenth more is set aside for the fleet: two thirds of it for the view (832 bytes a member), the rest for what is
-/// kept of each member beside it (numbers against replays, news, the round) and for the datagram in hand.
+/// A sixteenth more is set aside for the fleet: two thirds of it for the view (832 bytes a member),
+/// the rest for what is kept of each member beside it (numbers against replays, news, the round)
+/// and for the datagram in hand.
 const FOR_FLEET: usize = 16;
-/// And an eighth for what is shared with the fleet: a third for keys, a third for books of them, the rest for counts and what
-/// others say of services below.
+/// And an eighth for what is shared with the fleet: a third for keys, a third for books of them,
+/// the rest for counts and what others say of services below.
 const FOR_SHARED: usize = 8;
-/// And an eighth for changes that go out in stages: two thirds for contents (what is in force, the one before and one on trial, which
-/// were checked, and two that come in and may be as large as any), a third for an arbiter's record of what both sides did.
+/// And an eighth for changes that go out in stages: two thirds for contents (what is in force, the
+/// one before and one on trial, which were checked, and two that come in and may be as large as
+/// any), a third for an arbiter's record of what both sides did.
 const FOR_CHANGES: usize = 8;
 
 impl Room {
-    /// What these limits leave room for, with so many links to the back end, and with these parts beside.
+    /// What these limits leave room for, with so many links to the back end, and with these parts
+    /// beside.
     pub fn of(limits: &Limits, links: usize, beside: Beside) -> Room {
         let memory = (limits.memory_mb * f64::from(1 << 20)) as usize;
         let free = memory.saturating_sub(BARE);
-        let aside = if beside.settings { free / FOR_SETTINGS } else { 0 };
+        let aside = if beside.settings {
+            free / FOR_SETTINGS
+        } else {
+            0
+        };
         let fleet = if beside.fleet { free / FOR_FLEET } else { 0 };
         let shared = if beside.shared { free / FOR_SHARED } else { 0 };
-        let changes = if beside.changes { free / FOR_CHANGES } else { 0 };
+        let changes = if beside.changes {
+            free / FOR_CHANGES
+        } else {
+            0
+        };
         let free = free - aside - fleet - shared - changes;
-        let connections = (free / 3 / CONNECTION).min(limits.sockets.saturating_sub(RESERVED)).max(1);
+        let connections = (free / 3 / CONNECTION)
+            .min(limits.sockets.saturating_sub(RESERVED))
+            .max(1);
         let part = free / 12;
         Room {
             connections,
@@ -114,10 +132,17 @@
     fn total(&self, links: usize) -> usize {
         let waiting = self.front_events * REQUEST + self.peer_events * NOTICE;
         let written = (self.commands + self.calls * links) * COMMAND + self.unread;
-        let settings =
-            2 * self.rules + self.buckets + READING * self.settings_file + self.fleet / 2 * 3 + 3 * self.keys;
+        let settings = 2 * self.rules
+            + self.buckets
+            + READING * self.settings_file
+            + self.fleet / 2 * 3
+            + 3 * self.keys;
         let come_in = 2 * madderpoint_rollout::pieces::CONTENT_MAX;
-        let contents = if self.changes > 0 { 3 * self.settings_file + come_in } else { 0 };
+        let contents = if self.changes > 0 {
+            3 * self.settings_file + come_in
+        } else {
+            0
+        };
         let settings = settings + self.changes + contents;
         BARE + self.connections * (CONNECTION + self.unfinished)
             + waiting
@@ -133,13 +158,37 @@
 
     #[test]
     fn all_bounds_together_stay_below_the_memory_that_is_told() {
-        for (memory_mb, sockets) in [(32.0, 384), (48.0, 512), (64.0, 384), (192.0, 512), (192.0, 1024)] {
+        for (memory_mb, sockets) in [
+            (32.0, 384),
+            (48.0, 512),
+            (64.0, 384),
+            (192.0, 512),
+            (192.0, 1024),
+        ] {
             for parts in 0..5 {
-                let beside =
-                    Beside { settings: parts > 0, fleet: parts > 1, shared: parts > 2, changes: parts > 3 };
-                let room = Room::of(&Limits { cores: 0.1, memory_mb, sockets }, 4, beside);
-                assert!(room.total(4) < memory_mb as usize * (1 << 20), "{memory_mb} MB: {room:?}");
-                assert!(room.connections > sockets / 2, "dispatchers may open half of {sockets}: {room:?}");
+                let beside = Beside {
+                    settings: parts > 0,
+                    fleet: parts > 1,
+                    shared: parts > 2,
+                    changes: parts > 3,
+                };
+                let room = Room::of(
+                    &Limits {
+                        cores: 0.1,
+                        memory_mb,
+                        sockets,
+                    },
+                    4,
+                    beside,
+                );
+                assert!(
+                    room.total(4) < memory_mb as usize * (1 << 20),
+                    "{memory_mb} MB: {room:?}"
+                );
+                assert!(
+                    room.connections > sockets / 2,
+                    "dispatchers may open half of {sockets}: {room:?}"
+                );
             }
         }
     }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,5 +1,5 @@
-//! Starts a node from the file that `PROXY_CONFIG` names, and hands it the notice to leave, new configurations and
-//! new settings.
+//! Starts a node from the file that `PROXY_CONFIG` names, and hands it the notice to leave, new
+//! configurations and new settings.
 
 use madderpoint_facts::Start;
 use madderpoint_fleet::fleet::Extensions;
@@ -23,7 +23,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
-/// Stack of the thread that waits for signals; where it reads settings too, their expressions nest in each other.
+/// Stack of the thread that waits for signals; where it reads settings too, their expressions nest
+/// in each other.
 const STACK: usize = 128 * 1024;
 const STACK_TO_READ: usize = 1024 * 1024;
 /// The port of the fleet where none is set.
@@ -55,7 +56,12 @@
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| {
         let (field, expected) = (String::new(), "a file of settings".to_owned());
-        let complaint = settings::Complaint { place: Place::Whole, field, what: e.to_string(), expected };
+        let complaint = settings::Complaint {
+            place: Place::Whole,
+            field,
+            what: e.to_string(),
+            expected,
+        };
         Complaints::new(&name, "", vec![complaint])
     })?;
     settings::read(&name, &text, known)
@@ -65,9 +71,13 @@
 pub fn keys(settings: &Path, fleet: &FleetSettings) -> Result<Keys, String> {
     let path = settings.parent().unwrap_or(Path::new("")).join(&fleet.keys);
     let wrong = |what: String| format!("fleet/@keys: {}: {what}", path.display());
-    let size = std::fs::metadata(&path).map_err(|e| wrong(e.to_string()))?.len();
+    let size = std::fs::metadata(&path)
+        .map_err(|e| wrong(e.to_string()))?
+        .len();
     if size > KEY_FILE_MOST {
-        return Err(wrong(format!("{size} bytes; expected {KEY_FILE_MOST} at most")));
+        return Err(wrong(format!(
+            "{size} bytes; expected {KEY_FILE_MOST} at most"
+        )));
     }
     let text = std::fs::read_to_string(&path).map_err(|e| wrong(e.to_string()))?;
     Keys::read(&text).map_err(wrong)
@@ -80,9 +90,14 @@
     who: &Identity,
     told: impl Fn(&str) -> Option<String>,
 ) -> Result<Option<Box<Part>>, String> {
-    let Some(fleet) = &read.fleet else { return Ok(None) };
+    let Some(fleet) = &read.fleet else {
+        return Ok(None);
+    };
     let address = |name: &str, set: Option<SocketAddr>| match told(name) {
-        Some(text) => text.parse().map(Some).map_err(|_| format!("{name}: {text:?} is no address")),
+        Some(text) => text
+            .parse()
+            .map(Some)
+            .map_err(|_| format!("{name}: {text:?} is no address")),
         None => Ok(set),
     };
     let usual = SocketAddr::new(who.listen.ip(), FLEET_PORT);
@@ -93,7 +108,9 @@
             "fleet/@advertise: nobody can reach {advertise}; expected an address of this node"
         ));
     }
-    let zone = told("MADDERPOINT_ZONE").or_else(|| fleet.zone.clone()).unwrap_or_default();
+    let zone = told("MADDERPOINT_ZONE")
+        .or_else(|| fleet.zone.clone())
+        .unwrap_or_default();
     let settings = madderpoint_fleet::Settings {
         fleet: fleet.name.clone(),
         name: who.name.clone(),
@@ -102,12 +119,19 @@
         seeds: fleet.seeds.clone(),
         keys: keys(file, fleet)?,
         periods: fleet.periods,
-        program: fleet.program.clone().unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned()),
+        program: fleet
+            .program
+            .clone()
+            .unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned()),
         settings: read.number,
         bytes: 0,
         extensions: Extensions::default(),
     };
-    let arbiters = fleet.arbiters.iter().map(|name| madderpoint_fleet::Key::of(name).0).collect();
+    let arbiters = fleet
+        .arbiters
+        .iter()
+        .map(|name| madderpoint_fleet::Key::of(name).0)
+        .collect();
     let (budgets, keys) = (fleet.budgets.clone(), key_budgets(read));
     let service = fleet.service.as_ref().map(|service| Service {
         name: service.name.clone(),
@@ -115,7 +139,13 @@
         zone: driver::zone_number(&settings.zone),
     });
     let operations = who.start.operations.clone();
-    let objectives = who.start.premises.operations.iter().map(|of| of.latency_objective).collect();
+    let objectives = who
+        .start
+        .premises
+        .operations
+        .iter()
+        .map(|of| of.latency_objective)
+        .collect();
     let (key_bytes, count_bytes, change_bytes) = (0, 0, 0); // as there is room for
     Ok(Some(Box::new(Part {
         bind,
@@ -136,7 +166,11 @@
 
 /// Limits by key of the whole fleet, as the rules' buckets have them.
 fn key_budgets(read: &Translator) -> Vec<KeyBudget> {
-    read.rules.iter().flat_map(|rules| &rules.fleet).map(|(_, budget)| budget.clone()).collect()
+    read.rules
+        .iter()
+        .flat_map(|rules| &rules.fleet)
+        .map(|(_, budget)| budget.clone())
+        .collect()
 }
 
 /// The rules of a file; one without rules has an empty set, so that those before it end.
@@ -144,21 +178,43 @@
     let secret = read.fleet.as_ref().map_or(0, |fleet| fleet.secret);
     match read.rules.take() {
         Some(mut book) => {
-            book.rules.share(book.fleet.iter().map(|(place, _)| *place), secret);
-            Box::new(Sheet { rules: book.rules, buckets: book.buckets, fleet: book.fleet })
+            book.rules
+                .share(book.fleet.iter().map(|(place, _)| *place), secret);
+            Box::new(Sheet {
+                rules: book.rules,
+                buckets: book.buckets,
+                fleet: book.fleet,
+            })
         }
         None => Box::new(Sheet::default()),
     }
 }
 
 fn with_room(who: &Identity) -> Known {
-    let room = driver::room(who, Beside { settings: true, fleet: true, shared: true, changes: true });
-    Known { bytes: room.rules, file_bytes: room.settings_file, ..known(&who.start) }
+    let room = driver::room(
+        who,
+        Beside {
+            settings: true,
+            fleet: true,
+            shared: true,
+            changes: true,
+        },
+    );
+    Known {
+        bytes: room.rules,
+        file_bytes: room.settings_file,
+        ..known(&who.start)
+    }
 }
 
 /// Whether two lists hold the same budgets, but for their figures.
 fn same_kinds(a: &[Budget], b: &[Budget]) -> bool {
-    let kind = |budget: &Budget| (budget.name.clone(), matches!(budget.kind, Kind::Rate { .. }));
+    let kind = |budget: &Budget| {
+        (
+            budget.name.clone(),
+            matches!(budget.kind, Kind::Rate { .. }),
+        )
+    };
     a.iter().map(kind).eq(b.iter().map(kind))
 }
 
@@ -174,7 +230,10 @@
         ("calls-budget", same_kinds(&new.budgets, &now.budgets)),
         ("service", new.service == now.service),
     ];
-    kept.iter().filter(|(_, same)| !same).map(|(field, _)| *field).collect()
+    kept.iter()
+        .filter(|(_, same)| !same)
+        .map(|(field, _)| *field)
+        .collect()
 }
 
 /// What the fleet's part is told of settings that take force now.
@@ -218,13 +277,17 @@
     tell(Notice::Ruled(sheet(&mut read)));
 }
 
-/// Where versions are kept, if they are: told by the environment, or by the settings, beside whose file it then is.
+/// Where versions are kept, if they are: told by the environment, or by the settings, beside whose
+/// file it then is.
 fn versions_dir(
     file: &Path,
     read: Option<&Translator>,
     told: impl Fn(&str) -> Option<String>,
 ) -> Option<PathBuf> {
-    let set = || read.and_then(|read| read.rollout.as_ref()).map(|rollout| rollout.dir.clone());
+    let set = || {
+        read.and_then(|read| read.rollout.as_ref())
+            .map(|rollout| rollout.dir.clone())
+    };
     let dir = told("MADDERPOINT_ROLLOUT_DIR").or_else(set)?;
     Some(file.parent().unwrap_or(Path::new("")).join(dir))
 }
@@ -251,7 +314,9 @@
     let text = std::str::from_utf8(content).map_err(|_| "it is no text".to_owned())?;
     let read = settings::read("settings", text, &with_room(who)).map_err(|what| what.first())?;
     let (Some(fleet), Some(_)) = (&read.fleet, &read.rollout) else {
-        return Err("it has no <fleet> or no <rollout>: these come and go with a restart only".into());
+        return Err(
+            "it has no <fleet> or no <rollout>: these come and go with a restart only".into(),
+        );
     };
     let keys = keys(file, fleet)?;
     Ok((read, keys))
@@ -270,7 +335,9 @@
         if let Some(fleet) = &read.fleet {
             let kept = until_a_restart(fleet, &now.fleet);
             if !kept.is_empty() {
-                return Err(format!("{kept:?} of <fleet> can change with a restart only"));
+                return Err(format!(
+                    "{kept:?} of <fleet> can change with a restart only"
+                ));
             }
             if !keys(&self.file, &now.fleet)?.meet(&new_keys) {
                 let what = "old and new nodes would not understand each other: add the new key first, after the old one";
@@ -288,20 +355,31 @@
     fn apply(&mut self, version: Version) -> Result<(), String> {
         let content = self.directory.content(version)?;
         let (mut read, keys) = read_version(&self.file, &content, &self.who)?;
-        let Some(new) = read.fleet.clone() else { return Err("it has no <fleet>".into()) };
+        let Some(new) = read.fleet.clone() else {
+            return Err("it has no <fleet>".into());
+        };
         let told = {
             let mut now = self.in_force();
             let told = reset(&read, &new, &now.fleet, keys);
-            *now = InForce { version, fleet: new, budgets: told.key_budgets.clone() };
+            *now = InForce {
+                version,
+                fleet: new,
+                budgets: told.key_budgets.clone(),
+            };
             told
         };
-        let tell = |notice| self.notices.send(notice).map_err(|_| "the node ends".to_owned());
+        let tell = |notice| {
+            self.notices
+                .send(notice)
+                .map_err(|_| "the node ends".to_owned())
+        };
         tell(Notice::Fleet(told))?;
         tell(Notice::Ruled(sheet(&mut read)))
     }
 }
 
-/// With changes in stages a file by hand is not taken in mid-run: only the fleet's keys are read anew.
+/// With changes in stages a file by hand is not taken in mid-run: only the fleet's keys are read
+/// anew.
 fn rekey(file: &Path, who: &Identity, in_force: &Mutex<InForce>, tell: impl Fn(Notice)) {
     let reset = {
         let now = in_force.lock().unwrap_or_else(PoisonError::into_inner);
@@ -316,7 +394,10 @@
                 now.version
             ),
             Ok(_) => {}
-            Err(what) => log!("new settings not taken, those before stay: {}", what.first()),
+            Err(what) => log!(
+                "new settings not taken, those before stay: {}",
+                what.first()
+            ),
         }
         let fleet = &now.fleet;
         Box::new(Reset {
@@ -350,17 +431,30 @@
     let given = read(file, &with_room(who));
     let Some(dir) = versions_dir(file, given.as_ref().ok(), &told) else {
         return given
-            .map(|read| Started { read, changing: None })
+            .map(|read| Started {
+                read,
+                changing: None,
+            })
             .map_err(|e| format!("settings not taken:\n{e}"));
     };
-    let open = if beside { Directory::beside } else { Directory::open };
+    let open = if beside {
+        Directory::beside
+    } else {
+        Directory::open
+    };
     let mut directory =
         open(&dir, &who.name, ChangeKind::Settings).map_err(|e| format!("rollout/@dir: {e}"))?;
     // What is given may be broken or gone: what was in force is on the disk.
     let content = match &given {
         Ok(read) => {
             let bytes = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-            Some((Version { number: read.number.0, hash: read.number.1 }, bytes))
+            Some((
+                Version {
+                    number: read.number.0,
+                    hash: read.number.1,
+                },
+                bytes,
+            ))
         }
         Err(what) => {
             log!("{}; the node starts on what was in force", what.first());
@@ -379,8 +473,14 @@
         Ok(_) => format!("settings not taken: {what}"),
     })?;
     let (read, version) = (begun.runs, begun.start.running);
-    let Some(fleet) = read.fleet.clone() else { return Err("settings not taken: no <fleet>".into()) };
-    let in_force = Arc::new(Mutex::new(InForce { version, fleet, budgets: key_budgets(&read) }));
+    let Some(fleet) = read.fleet.clone() else {
+        return Err("settings not taken: no <fleet>".into());
+    };
+    let in_force = Arc::new(Mutex::new(InForce {
+        version,
+        fleet,
+        budgets: key_budgets(&read),
+    }));
     let versions = SettingsVersions {
         directory,
         file: file.to_owned(),
@@ -388,9 +488,20 @@
         in_force: Arc::clone(&in_force),
         notices: notices.clone(),
     };
-    let plan = read.rollout.as_ref().map(|rollout| rollout.plan.clone()).unwrap_or_default();
-    let changing = Changing { start: begun.start, plan, versions: Box::new(versions) };
-    Ok(Started { read, changing: Some((in_force, changing)) })
+    let plan = read
+        .rollout
+        .as_ref()
+        .map(|rollout| rollout.plan.clone())
+        .unwrap_or_default();
+    let changing = Changing {
+        start: begun.start,
+        plan,
+        versions: Box::new(versions),
+    };
+    Ok(Started {
+        read,
+        changing: Some((in_force, changing)),
+    })
 }
 
 /// Has the log written so.
@@ -420,7 +531,8 @@
     let (mut ours, mut fleet, mut in_force) = (Ours::default(), None, None);
     if let Some(file) = &settings {
         let Started { mut read, changing } = start(file, &who, &notices, beside, told)?;
-        ours.fleet = part(file, &read, &who, told).map_err(|e| format!("settings not taken: {e}"))?;
+        ours.fleet =
+            part(file, &read, &who, told).map_err(|e| format!("settings not taken: {e}"))?;
         if let (Some(part), Some((now, changing))) = (&mut ours.fleet, changing) {
             part.changes.push(changing);
             in_force = Some(now);
@@ -428,9 +540,17 @@
         if let (Some(part), Some(adopted)) = (&mut ours.fleet, &adopted) {
             part.waits = true;
             if part.shares() {
-                let plan = read.rollout.as_ref().map(|rollout| rollout.plan.clone()).unwrap_or_default();
+                let plan = read
+                    .rollout
+                    .as_ref()
+                    .map(|rollout| rollout.plan.clone())
+                    .unwrap_or_default();
                 let versions = Box::new(ProgramVersions(Arc::clone(&adopted.link)));
-                part.changes.push(Changing { start: parent::start(&adopted.begin), plan, versions });
+                part.changes.push(Changing {
+                    start: parent::start(&adopted.begin),
+                    plan,
+                    versions,
+                });
             }
         }
         ours.rules = Some(sheet(&mut read));
@@ -440,28 +560,37 @@
         let link = Arc::clone(&adopted.link);
         ours.listener = adopted.listener.take();
         ours.serves = Some(Box::new(move || link.ready()));
-        adopted.listen(notices.clone()).map_err(|e| format!("parent: {e}"))?;
+        adopted
+            .listen(notices.clone())
+            .map_err(|e| format!("parent: {e}"))?;
     }
     let first = Arc::clone(&who);
-    let stack = if settings.is_some() { STACK_TO_READ } else { STACK };
-    let listening = thread::Builder::new().name("signals".into()).stack_size(stack).spawn(move || {
-        let tell = |notice| drop(notices.send(notice));
-        for signal in signals.forever() {
-            if signal == SIGTERM {
-                tell(Notice::Leave);
-                continue;
-            }
-            match config::reread(&path, told, &first) {
-                Ok(moved) => tell(Notice::Moved(moved)),
-                Err(what) => log!("new configuration not taken, the one before stays: {what}"),
-            }
-            match (&settings, &in_force) {
-                (Some(file), Some(in_force)) => rekey(file, &first, in_force, tell),
-                (Some(file), None) => reread(file, &first, fleet.as_ref(), tell),
-                (None, _) => {}
+    let stack = if settings.is_some() {
+        STACK_TO_READ
+    } else {
+        STACK
+    };
+    let listening = thread::Builder::new()
+        .name("signals".into())
+        .stack_size(stack)
+        .spawn(move || {
+            let tell = |notice| drop(notices.send(notice));
+            for signal in signals.forever() {
+                if signal == SIGTERM {
+                    tell(Notice::Leave);
+                    continue;
+                }
+                match config::reread(&path, told, &first) {
+                    Ok(moved) => tell(Notice::Moved(moved)),
+                    Err(what) => log!("new configuration not taken, the one before stays: {what}"),
+                }
+                match (&settings, &in_force) {
+                    (Some(file), Some(in_force)) => rekey(file, &first, in_force, tell),
+                    (Some(file), None) => reread(file, &first, fleet.as_ref(), tell),
+                    (None, _) => {}
+                }
             }
-        }
-    });
+        });
     listening.map_err(|e| format!("signals: {e}"))?;
     driver::serve(&who, ours, inbox).map_err(|e| format!("listen {}: {e}", who.listen))
 }
--- a/crates/node/src/under.rs
+++ b/crates/node/src/under.rs
@@ -1,6 +1,7 @@
-//! `madderpoint run-under`: a small parent, for installations where it may start processes. It holds the listening socket and the
-//! directories of the program's versions, starts a new one beside the old, and goes back if that does not come to serve or dies. If it
-//! is killed the node goes on without it; a parent that is started then takes the place of that node without a gap.
+//! `madderpoint run-under`: a small parent, for installations where it may start processes. It
+//! holds the listening socket and the directories of the program's versions, starts a new one
+//! beside the old, and goes back if that does not come to serve or dies. If it is killed the node
+//! goes on without it; a parent that is started then takes the place of that node without a gap.
 
 use crate::serve::{self, Logging};
 use crossbeam_channel::{Receiver, Sender, unbounded};
@@ -90,8 +91,14 @@
 impl Orphan {
     fn of(pid: i32) -> Option<Orphan> {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // The name may have anything in it but ends with the last bracket; the start is the 20th field after it.
-        let started = stat.rsplit_once(')')?.1.split_whitespace().nth(19)?.to_owned();
+        // The name may have anything in it but ends with the last bracket; the start is the 20th
+        // field after it.
+        let started = stat
+            .rsplit_once(')')?
+            .1
+            .split_whitespace()
+            .nth(19)?
+            .to_owned();
         Some(Orphan { pid, started })
     }
 
@@ -103,7 +110,10 @@
         let text = std::fs::read_to_string(file).unwrap_or_default();
         let lines = text.lines().filter_map(|line| {
             let (pid, started) = line.split_once(' ')?;
-            Some(Orphan { pid: pid.parse().ok()?, started: started.to_owned() })
+            Some(Orphan {
+                pid: pid.parse().ok()?,
+                started: started.to_owned(),
+            })
         });
         lines.filter(Orphan::is_there).collect()
     }
@@ -122,8 +132,10 @@
             let pid = *process.alive.lock().unwrap_or_else(PoisonError::into_inner);
             Orphan::of(pid?.as_raw_nonzero().get())
         });
-        let all: Vec<String> =
-            own.chain(self.orphans.iter().cloned()).map(|o| format!("{} {}\n", o.pid, o.started)).collect();
+        let all: Vec<String> = own
+            .chain(self.orphans.iter().cloned())
+            .map(|o| format!("{} {}\n", o.pid, o.started))
+            .collect();
         if let Err(e) = std::fs::write(&self.file, all.concat()) {
             log::line(format_args!("parent: {}: {e}", self.file.display()));
         }
@@ -152,7 +164,10 @@
             let _ = told.send(Event::Ended(child, how));
         });
         let sent = hand(&ours, &Saying::begin(begin).write(), &self.listener);
-        let started = Process { stream: ours, alive };
+        let started = Process {
+            stream: ours,
+            alive,
+        };
         if let Err(e) = sent {
             // It ended already, or takes nothing: its end tells the rest.
             log::line(format_args!("parent: {}: {e}", file.display()));
@@ -172,7 +187,12 @@
     if !control.push(SendAncillaryMessage::ScmRights(&sockets)) {
         return Err(io::Error::other("no room for a socket"));
     }
-    let sent = rustix::net::sendmsg(stream, &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL)?;
+    let sent = rustix::net::sendmsg(
+        stream,
+        &[IoSlice::new(bytes)],
+        &mut control,
+        SendFlags::NOSIGNAL,
+    )?;
     let mut stream = stream;
     stream.write_all(&bytes[sent..])
 }
@@ -188,7 +208,9 @@
             match reader.take() {
                 Ok(Some(saying)) => _ = events.send(Event::Said(child, saying)),
                 Ok(None) => break,
-                Err(_) => return log::line(format_args!("parent: a process says what can't be read")),
+                Err(_) => {
+                    return log::line(format_args!("parent: a process says what can't be read"));
+                }
             }
         }
     }
@@ -197,7 +219,13 @@
 impl Host for Hands {
     fn start(&mut self, child: Child, begin: &Begin) -> Result<(), String> {
         let beside = begin.beside || !self.orphans.is_empty();
-        self.spawn(child, &Begin { beside, ..begin.clone() })
+        self.spawn(
+            child,
+            &Begin {
+                beside,
+                ..begin.clone()
+            },
+        )
     }
     fn in_charge(&mut self, child: Child) {
         self.say(child, &Saying::plain(kind::IN_CHARGE));
@@ -241,9 +269,14 @@
     }
 }
 
-/// A socket to listen on, beside which another one may listen: that of a node whose parent was killed.
+/// A socket to listen on, beside which another one may listen: that of a node whose parent was
+/// killed.
 fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    let family = if at.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if at.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
     let socket = rustix::net::socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
     set_socket_reuseaddr(&socket, true)?;
     set_socket_reuseport(&socket, true)?;
@@ -259,7 +292,11 @@
     let path = PathBuf::from(std::env::var_os("PROXY_CONFIG").ok_or("PROXY_CONFIG is not set")?);
     let who = config::read(&path, |name| std::env::var(name).ok())?;
     serve::logs(&who.name, told.logging);
-    let start = if told.start.is_dir() { told.start.clone() } else { told.programs.join(&told.start) };
+    let start = if told.start.is_dir() {
+        told.start.clone()
+    } else {
+        told.programs.join(&told.start)
+    };
     let given = program::version_of(&start)?;
     let directory = Directory::open(&told.state, &who.name, Kind::Program)?;
     let file = directory.path().join("processes");
@@ -273,8 +310,20 @@
     let (kept, fresh) = directory.read_kept();
     let (events, inbox) = unbounded();
     let forwards = events.clone();
-    thread::spawn(move || signals.forever().try_for_each(|signal| forwards.send(Event::Signal(signal)).ok()));
-    let hands = Hands { told, listener, directory, processes: BTreeMap::new(), events, orphans, file };
+    thread::spawn(move || {
+        signals
+            .forever()
+            .try_for_each(|signal| forwards.send(Event::Signal(signal)).ok())
+    });
+    let hands = Hands {
+        told,
+        listener,
+        directory,
+        processes: BTreeMap::new(),
+        events,
+        orphans,
+        file,
+    };
     let begun = Instant::now();
     let now = || begun.elapsed().as_nanos() as u64 + 1;
     let stop = (who.stop_after + SLACK).as_nanos() as u64;
@@ -287,10 +336,16 @@
 }
 
 fn turn(parent: &mut Parent<Hands>, inbox: &Receiver<Event>, now: &impl Fn() -> u64) {
-    let Ok(event) = inbox.recv_timeout(WAKE) else { return };
+    let Ok(event) = inbox.recv_timeout(WAKE) else {
+        return;
+    };
     match event {
         Event::Signal(SIGHUP) => {
-            parent.host.processes.values().for_each(|process| process.signal(Signal::HUP));
+            parent
+                .host
+                .processes
+                .values()
+                .for_each(|process| process.signal(Signal::HUP));
         }
         Event::Signal(SIGUSR2) => parent.renew(now()),
         Event::Signal(_) => parent.leave(now()),
@@ -303,7 +358,9 @@
             kind::READY => parent.ready(now(), child),
             kind::KEEP => match Kept::read(&saying.kept) {
                 Ok(kept) => parent.keep(child, saying.no, kept),
-                Err(broken) => parent.host.answer(child, saying.no, Err(broken.word().into())),
+                Err(broken) => parent
+                    .host
+                    .answer(child, saying.no, Err(broken.word().into())),
             },
             kind::CHECK => parent.check(child, saying.no, saying.version()),
             kind::APPLY => parent.apply(now(), child, saying.no, saying.version()),
--- a/crates/node/src/versions.rs
+++ b/crates/node/src/versions.rs
@@ -1,6 +1,7 @@
-//! The directory in which a node keeps versions of its settings, or what it knows of versions of the program: a small file that says
-//! what is in force, and the contents. All are written to another name, synced and put in their place, so that a cut at any
-//! moment leaves the old ones or the new ones.
+//! The directory in which a node keeps versions of its settings, or what it knows of versions of
+//! the program: a small file that says what is in force, and the contents. All are written to
+//! another name, synced and put in their place, so that a cut at any moment leaves the old ones or
+//! the new ones.
 
 use crate::log::log;
 use madderpoint_rollout::kept::{FILE_MAX, Kept};
@@ -69,7 +70,8 @@
 }
 
 impl Directory {
-    /// The part of a directory that is this node's: several nodes of a machine may be told the same one.
+    /// The part of a directory that is this node's: several nodes of a machine may be told the same
+    /// one.
     pub fn open(dir: &Path, node: &str, kind: Kind) -> Result<Directory, String> {
         let mut directory = Directory::beside(dir, node, kind)?;
         directory.take(Duration::ZERO)?;
@@ -81,11 +83,17 @@
         &self.dir
     }
 
-    /// The same, while another process of this node may still have it: it is read, and written only once that one is gone.
+    /// The same, while another process of this node may still have it: it is read, and written only
+    /// once that one is gone.
     pub fn beside(dir: &Path, node: &str, kind: Kind) -> Result<Directory, String> {
         let dir = dir.join(plain(node));
         fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-        Ok(Directory { dir, kind, lock: None, read: None })
+        Ok(Directory {
+            dir,
+            kind,
+            lock: None,
+            read: None,
+        })
     }
 
     /// Has it for this process alone.
@@ -94,7 +102,8 @@
             return Ok(());
         }
         let wrong = |what: &dyn std::fmt::Display| format!("{}: {what}", self.dir.display());
-        let lock = File::create(self.dir.join(format!("{}.lock", word(self.kind)))).map_err(|e| wrong(&e))?;
+        let lock = File::create(self.dir.join(format!("{}.lock", word(self.kind))))
+            .map_err(|e| wrong(&e))?;
         let begun = Instant::now();
         loop {
             match lock.try_lock() {
@@ -105,9 +114,15 @@
             }
         }
         if let Some(read) = &self.read
-            && read_bounded(&self.kept_file(), FILE_MAX).ok().flatten().as_ref() != Some(read)
+            && read_bounded(&self.kept_file(), FILE_MAX)
+                .ok()
+                .flatten()
+                .as_ref()
+                != Some(read)
         {
-            return Err(wrong(&"what is kept was changed by the process before, after it was read"));
+            return Err(wrong(
+                &"what is kept was changed by the process before, after it was read",
+            ));
         }
         (self.lock, self.read) = (Some(lock), None);
         Ok(())
@@ -118,21 +133,38 @@
     }
 
     fn content_file(&self, version: Version) -> PathBuf {
-        self.dir.join(format!("{}-{}-{:016x}", word(self.kind), version.number, version.hash))
+        self.dir.join(format!(
+            "{}-{}-{:016x}",
+            word(self.kind),
+            version.number,
+            version.hash
+        ))
     }
 
     /// The version that a file's name tells.
     fn version_of(&self, name: &str) -> Option<Version> {
-        let (number, hash) = name.strip_prefix(word(self.kind))?.strip_prefix('-')?.split_once('-')?;
-        let hash = if hash.len() == 16 { u64::from_str_radix(hash, 16).ok()? } else { return None };
-        Some(Version { number: number.parse().ok()?, hash })
+        let (number, hash) = name
+            .strip_prefix(word(self.kind))?
+            .strip_prefix('-')?
+            .split_once('-')?;
+        let hash = if hash.len() == 16 {
+            u64::from_str_radix(hash, 16).ok()?
+        } else {
+            return None;
+        };
+        Some(Version {
+            number: number.parse().ok()?,
+            hash,
+        })
     }
 
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         let new = path.with_extension("new");
         let mut file = File::create(&new)?;
-        let written =
-            file.write_all(bytes).and_then(|()| file.sync_all()).and_then(|()| fs::rename(&new, path));
+        let written = file
+            .write_all(bytes)
+            .and_then(|()| file.sync_all())
+            .and_then(|()| fs::rename(&new, path));
         if written.is_err() {
             let _ = fs::remove_file(&new); // so that a full disk has its room back
         }
@@ -142,30 +174,47 @@
 
     /// Contents that are on the disk, by what their names say.
     fn contents(&self) -> Vec<Version> {
-        let Ok(all) = fs::read_dir(&self.dir) else { return Vec::new() };
+        let Ok(all) = fs::read_dir(&self.dir) else {
+            return Vec::new();
+        };
         let names = all.filter_map(|entry| entry.ok()?.file_name().into_string().ok());
-        names.filter_map(|name| self.version_of(&name)).take(CONTENTS).collect()
+        names
+            .filter_map(|name| self.version_of(&name))
+            .take(CONTENTS)
+            .collect()
     }
 
     /// A content that is on the disk.
     pub fn content(&self, version: Version) -> Result<Vec<u8>, String> {
         let path = self.content_file(version);
-        let read = read_bounded(&path, CONTENT_MAX).map_err(|e| format!("{}: {e}", path.display()))?;
+        let read =
+            read_bounded(&path, CONTENT_MAX).map_err(|e| format!("{}: {e}", path.display()))?;
         read.ok_or_else(|| format!("{}: there is no such file", path.display()))
     }
 
-    /// Writes what is kept, and a content with it, which goes first; then contents that nobody needs any more go.
+    /// Writes what is kept, and a content with it, which goes first; then contents that nobody
+    /// needs any more go.
     pub fn keep(&mut self, kept: &Kept, content: Option<(Version, &[u8])>) -> Result<(), String> {
         self.take(BEFORE)?;
         let wrong = |e: io::Error| format!("{}: {e}", self.dir.display());
         if let Some((version, bytes)) = content {
-            self.write(&self.content_file(version), bytes).map_err(wrong)?;
+            self.write(&self.content_file(version), bytes)
+                .map_err(wrong)?;
         }
-        self.write(&self.kept_file(), &kept.write()).map_err(wrong)?;
-        let open = kept.head.as_ref().filter(|head| !head.is_over()).map(|head| head.version);
+        self.write(&self.kept_file(), &kept.write())
+            .map_err(wrong)?;
+        let open = kept
+            .head
+            .as_ref()
+            .filter(|head| !head.is_over())
+            .map(|head| head.version);
         let newest = content.map(|(version, _)| version);
         let needed: Vec<Version> = kept.needed().chain(open).chain(newest).collect();
-        let most = needed.iter().map(|version| version.number).max().unwrap_or(0);
+        let most = needed
+            .iter()
+            .map(|version| version.number)
+            .max()
+            .unwrap_or(0);
         for version in self.contents() {
             // What is staged and not begun has a higher number than all that was.
             if !needed.contains(&version) && version.number < most {
@@ -187,16 +236,20 @@
             Ok(kept) if kept.kind == self.kind => (kept, false),
             read => {
                 let what = read.err().unwrap_or_else(|| "of another kind".into());
-                log!("{}: {what}; set aside, the node begins anew with what it is given", path.display());
+                log!(
+                    "{}: {what}; set aside, the node begins anew with what it is given",
+                    path.display()
+                );
                 let _ = fs::rename(&path, path.with_extension("broken"));
                 (Kept::new(self.kind), true)
             }
         }
     }
 
-    /// The node starts: it runs the first of the versions that it may which can be run. What it is given by hand may be missing;
-    /// then only what is on the disk can be run.
-    /// Where another process of this node runs meanwhile, what is on trial there did not die: it stays on trial here.
+    /// The node starts: it runs the first of the versions that it may which can be run. What it is
+    /// given by hand may be missing; then only what is on the disk can be run. Where another
+    /// process of this node runs meanwhile, what is on trial there did not die: it stays on trial
+    /// here.
     pub fn begin<T>(
         &mut self,
         given: Option<(Version, Vec<u8>)>,
@@ -215,7 +268,10 @@
         };
         let contents = self.contents();
         let mut first_wrong = None;
-        for version in all.into_iter().filter(|version| *version != Version::default()) {
+        for version in all
+            .into_iter()
+            .filter(|version| *version != Version::default())
+        {
             let on_disk = contents.contains(&version);
             let content = match version == given_version {
                 true => Ok(given_content.clone()),
@@ -226,7 +282,14 @@
                     let here = |version: &Version| Some((*version, self.content(*version).ok()?));
                     let contents = contents.iter().filter_map(here).collect();
                     let new_content = (!on_disk).then_some(content);
-                    let start = Start { kept, running: version, contents, new_content, died, fresh };
+                    let start = Start {
+                        kept,
+                        running: version,
+                        contents,
+                        new_content,
+                        died,
+                        fresh,
+                    };
                     return Ok(Begun { start, runs: what });
                 }
                 Err(what) => {
@@ -246,13 +309,19 @@
     use madderpoint_rollout::kept::Trial;
 
     fn dir(name: &str) -> PathBuf {
-        let dir = std::env::temp_dir().join(format!("madderpoint-versions-{}-{name}", std::process::id()));
+        let dir = std::env::temp_dir().join(format!(
+            "madderpoint-versions-{}-{name}",
+            std::process::id()
+        ));
         let _ = fs::remove_dir_all(&dir);
         dir
     }
 
     fn v(number: u64) -> Version {
-        Version { number, hash: number << 40 | 7 }
+        Version {
+            number,
+            hash: number << 40 | 7,
+        }
     }
 
     fn text(_: Version, content: &[u8]) -> Result<String, String> {
@@ -269,31 +338,51 @@
         let mut one = open().unwrap();
         assert!(open().unwrap_err().contains("another process has it"));
         let begun = one.begin(Some((v(1), b"one".to_vec())), text).unwrap();
-        assert_eq!((begun.runs.as_str(), begun.start.running, begun.start.fresh), ("one", v(1), true));
+        assert_eq!(
+            (begun.runs.as_str(), begun.start.running, begun.start.fresh),
+            ("one", v(1), true)
+        );
         let mut kept = begun.start.kept;
         kept.found_good(v(1));
         one.keep(&kept, Some((v(1), b"one"))).unwrap();
-        kept.trial = Some(Trial { change: ChangeId(5), version: v(2), tries: 1 });
+        kept.trial = Some(Trial {
+            change: ChangeId(5),
+            version: v(2),
+            tries: 1,
+        });
         one.keep(&kept, Some((v(2), b"two"))).unwrap();
         // Killed on trial, and in the middle of a write.
         fs::write(root.join(plain("n/1")).join("settings.new"), b"cut").unwrap();
         drop(one);
         let mut one = open().unwrap();
         let begun = one.begin(Some((v(1), b"one".to_vec())), text).unwrap();
-        assert_eq!((begun.runs.as_str(), begun.start.died.unwrap().version), ("one", v(2)));
+        assert_eq!(
+            (begun.runs.as_str(), begun.start.died.unwrap().version),
+            ("one", v(2))
+        );
         assert!(!begun.start.fresh && begun.start.kept.deaths(v(2)) == 1);
-        // Found good in the end; what it is given by hand is old, or is not there at all, and is not what it starts on.
+        // Found good in the end; what it is given by hand is old, or is not there at all, and is
+        // not what it starts on.
         let mut kept = begun.start.kept;
         kept.found_good(v(2));
         one.keep(&kept, None).unwrap();
-        assert_eq!(one.begin(Some((v(1), b"one".to_vec())), text).unwrap().runs, "two");
+        assert_eq!(
+            one.begin(Some((v(1), b"one".to_vec())), text).unwrap().runs,
+            "two"
+        );
         assert_eq!(one.begin(None, text).unwrap().runs, "two");
         // The last good one can't be read any more: the one before it is run.
         one.keep(&kept, Some((v(2), b"bad"))).unwrap();
         assert_eq!(one.begin(None, text).unwrap().runs, "one");
-        // What is kept is damaged: the node begins anew with what it is given, and the file is set aside.
+        // What is kept is damaged: the node begins anew with what it is given, and the file is set
+        // aside.
         fs::write(one.kept_file(), b"mpv1 and something").unwrap();
-        assert!(one.begin(Some((v(1), b"one".to_vec())), text).unwrap().start.fresh);
+        assert!(
+            one.begin(Some((v(1), b"one".to_vec())), text)
+                .unwrap()
+                .start
+                .fresh
+        );
         assert!(one.kept_file().with_extension("broken").exists());
         assert!(one.begin(None, text).is_err());
         let _ = fs::remove_dir_all(&root);
@@ -305,15 +394,27 @@
         let mut old = Directory::open(&root, "n1", Kind::Settings).unwrap();
         let mut kept = Kept::new(Kind::Settings);
         kept.found_good(v(1));
-        kept.trial = Some(Trial { change: ChangeId(5), version: v(2), tries: 1 });
+        kept.trial = Some(Trial {
+            change: ChangeId(5),
+            version: v(2),
+            tries: 1,
+        });
         old.keep(&kept, Some((v(2), b"two"))).unwrap();
         let mut new = Directory::beside(&root, "n1", Kind::Settings).unwrap();
         let begun = new.begin(Some((v(1), b"one".to_vec())), text).unwrap();
         assert_eq!(
-            (begun.runs.as_str(), begun.start.died, begun.start.kept.trial),
+            (
+                begun.runs.as_str(),
+                begun.start.died,
+                begun.start.kept.trial
+            ),
             ("two", None, kept.trial)
         );
-        assert!(new.take(Duration::ZERO).unwrap_err().contains("another process"));
+        assert!(
+            new.take(Duration::ZERO)
+                .unwrap_err()
+                .contains("another process")
+        );
         drop(old);
         new.keep(&begun.start.kept, None).unwrap();
         // What the one before wrote after it was read is not written over.
@@ -322,7 +423,11 @@
         kept.found_good(v(2));
         new.keep(&kept, None).unwrap();
         drop(new);
-        assert!(late.keep(&begun.start.kept, None).unwrap_err().contains("was changed"));
+        assert!(
+            late.keep(&begun.start.kept, None)
+                .unwrap_err()
+                .contains("was changed")
+        );
         let _ = fs::remove_dir_all(&root);
     }
 
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -1,8 +1,11 @@
-//! Two events that cross, forced: a peer that writes at the moment it sees an end, a kernel that answers on command, a
-//! listener with no room, a service that hangs at a step. The program is started, all else is played here, and all waiting
-//! is for something to come. What each guards against: docs/acceptance.md.
+//! Two events that cross, forced: a peer that writes at the moment it sees an end, a kernel that
+//! answers on command, a listener with no room, a service that hangs at a step. The program is
+//! started, all else is played here, and all waiting is for something to come. What each guards
+//! against: docs/acceptance.md.
 
-use madderpoint_standins::peers::{Dispatcher, PATIENCE, Talk, listen, nobody, ping, reap, unix_ms};
+use madderpoint_standins::peers::{
+    Dispatcher, PATIENCE, Talk, listen, nobody, ping, reap, unix_ms,
+};
 use madderpoint_standins::program::{Node, Program, told};
 use madderpoint_standins::wire::{self as support, Answer};
 use std::io::{ErrorKind, Read, Write};
@@ -10,7 +13,10 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::time::{Duration, Instant};
 
-const PROGRAM: Program = Program { exe: env!("CARGO_BIN_EXE_madderpoint"), dir: env!("CARGO_TARGET_TMPDIR") };
+const PROGRAM: Program = Program {
+    exe: env!("CARGO_BIN_EXE_madderpoint"),
+    dir: env!("CARGO_TARGET_TMPDIR"),
+};
 
 const A: &str = "00000000000000aa";
 const B: &str = "00000000000000bb";
@@ -26,9 +32,10 @@
 /// A node whose kernel is up, with these changes to its configuration.
 fn node_with(changes: &[(&str, &str)]) -> (Node, TcpListener, Talk) {
     let kernel = listen();
-    let config = changes
-        .iter()
-        .fold(told(at(&kernel), nobody(), nobody(), 1024), |text, (from, to)| text.replace(from, to));
+    let config = changes.iter().fold(
+        told(at(&kernel), nobody(), nobody(), 1024),
+        |text, (from, to)| text.replace(from, to),
+    );
     let node = Node::started(PROGRAM, &config, &[]);
     let link = Talk::boot(&kernel, 0, "");
     let mut dispatcher = node.connect();
@@ -48,15 +55,23 @@
 
 // ---- Ends of connections ----
 
-/// Who ends only its side has not told that it waits for nothing: the protocol has ABORT_REQUEST for that.
+/// Who ends only its side has not told that it waits for nothing: the protocol has ABORT_REQUEST
+/// for that.
 #[test]
 fn who_ends_its_side_after_a_whole_request_gets_its_answer() {
     let (node, _kernel, mut link) = node_with(&[]);
     let mut dispatcher = node.connect();
-    dispatcher.stream.write_all(&[call(1, A), ping(2)].concat()).unwrap();
+    dispatcher
+        .stream
+        .write_all(&[call(1, A), ping(2)].concat())
+        .unwrap();
     dispatcher.stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!(link.command()["rid"], A);
-    assert_eq!(dispatcher.answer().id, 2, "it was read, and the end of its side with it or soon after");
+    assert_eq!(
+        dispatcher.answer().id,
+        2,
+        "it was read, and the end of its side with it or soon after"
+    );
     link.say(&reap(1, A, "OK"));
     assert_eq!(statuses(&rest(dispatcher)), ["200"]);
 }
@@ -64,7 +79,12 @@
 #[test]
 fn an_answer_is_not_destroyed_by_what_its_peer_sent_after_the_request() {
     let (node, _kernel, _link) = node_with(&[]);
-    for bytes in [vec![0xff; 20_000], b"GET / HTTP/1.1\r\n\r\n".to_vec(), ping(1), ping(1)[..9].to_vec()] {
+    for bytes in [
+        vec![0xff; 20_000],
+        b"GET / HTTP/1.1\r\n\r\n".to_vec(),
+        ping(1),
+        ping(1)[..9].to_vec(),
+    ] {
         let mut dispatcher = node.connect();
         let mut writer = dispatcher.stream.try_clone().unwrap();
         writer.write_all(&[ping(1), bytes].concat()).unwrap();
@@ -80,7 +100,8 @@
     }
 }
 
-/// A request that is written as the node's end is seen is not run: the dispatcher sends it again elsewhere.
+/// A request that is written as the node's end is seen is not run: the dispatcher sends it again
+/// elsewhere.
 #[test]
 fn what_is_written_at_the_sight_of_an_end_does_not_run() {
     let (node, _kernel, mut link) = node_with(&[]);
@@ -94,10 +115,15 @@
         assert!(begun.elapsed() < PATIENCE);
         std::thread::yield_now();
     }
-    assert_eq!(node.connect().run(&mut link, 1, B)["rid"], B, "nothing was run before it");
+    assert_eq!(
+        node.connect().run(&mut link, 1, B)["rid"],
+        B,
+        "nothing was run before it"
+    );
 }
 
-/// The end of an idle connection and a request on it, time and again: none is lost without the end being seen first.
+/// The end of an idle connection and a request on it, time and again: none is lost without the end
+/// being seen first.
 #[test]
 fn requests_against_the_end_of_idle_connections_are_answered_or_see_the_end() {
     // Connections rest for 30 ms at most.
@@ -128,23 +154,31 @@
 
 // ---- Leaving ----
 
-/// Connections that the system took before the notice, with whole requests in their buffers, wait in the listen backlog
-/// while all places are taken. They are owed an answer.
+/// Connections that the system took before the notice, with whole requests in their buffers, wait
+/// in the listen backlog while all places are taken. They are owed an answer.
 #[test]
 fn requests_in_the_listen_backlog_are_answered_when_the_node_leaves() {
-    let (mut node, _kernel, mut link) =
-        node_with(&[("\"sockets\": 1024", "\"sockets\": 64"), ("\"Cores\": 1", "\"Cores\": 64")]);
+    let (mut node, _kernel, mut link) = node_with(&[
+        ("\"sockets\": 1024", "\"sockets\": 64"),
+        ("\"Cores\": 1", "\"Cores\": 64"),
+    ]);
     // Each place has a request that runs, so that none is given up for another.
     let mut busy = Vec::new();
     for n in 0..32u16 {
         let mut dispatcher = node.connect();
-        dispatcher.stream.write_all(&call(1, &format!("{n:016x}"))).unwrap();
+        dispatcher
+            .stream
+            .write_all(&call(1, &format!("{n:016x}")))
+            .unwrap();
         assert_eq!(link.command()["rid"], format!("{n:016x}"));
         busy.push(dispatcher);
     }
     let mut waiting: Vec<_> = (0..5).map(|_| node.connect()).collect();
     for (n, dispatcher) in waiting.iter_mut().enumerate() {
-        dispatcher.stream.write_all(&call(1, &format!("b{n:015x}"))).unwrap();
+        dispatcher
+            .stream
+            .write_all(&call(1, &format!("b{n:015x}")))
+            .unwrap();
     }
     node.terminate();
     node.logged("no more connections are taken after those that wait");
@@ -164,7 +198,8 @@
     assert_eq!(node.wait().code(), Some(0));
 }
 
-/// A stranger is read only after a pause; what it has sent by then is in the buffer when the node leaves.
+/// A stranger is read only after a pause; what it has sent by then is in the buffer when the node
+/// leaves.
 #[test]
 fn a_request_on_a_connection_that_is_read_slowly_is_answered_when_the_node_leaves() {
     let (mut node, _kernel, _link) = node_with(&[("\"stop_ms\": 2000", "\"stop_ms\": 400")]);
@@ -177,7 +212,11 @@
     stranger.stream.write_all(&call(6, A)).unwrap(); // not read for another 0.4 s
     node.terminate();
     let answers = rest(stranger);
-    assert_eq!(answers.iter().map(|a| a.id).collect::<Vec<_>>(), [6], "{answers:?}");
+    assert_eq!(
+        answers.iter().map(|a| a.id).collect::<Vec<_>>(),
+        [6],
+        "{answers:?}"
+    );
     assert_eq!(node.wait().code(), Some(0));
 }
 
@@ -185,7 +224,10 @@
 fn who_rests_until_the_node_ends_it_does_not_hold_up_the_end() {
     let (mut node, _kernel, mut link) = node_with(&[]);
     let mut resting = node.connect();
-    assert_eq!((resting.ping(), resting.ping()), ("200".into(), "200".into()));
+    assert_eq!(
+        (resting.ping(), resting.ping()),
+        ("200".into(), "200".into())
+    );
     let silent = node.connect();
     // One that takes no byte of its answers, and one that writes on without end.
     let mut deaf = node.connect();
@@ -199,7 +241,11 @@
         node.wait()
     });
     assert_eq!(ended.code(), Some(0));
-    assert!(begun.elapsed() < Duration::from_millis(2000), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_millis(2000),
+        "{:?}",
+        begun.elapsed()
+    );
     assert_eq!(resting.read(), 0, "an end, and no reset");
     assert_eq!(deaf.answer().status, "200");
     drop(silent);
@@ -222,7 +268,8 @@
     assert_eq!(node.wait().code(), Some(0));
 }
 
-/// A second notice, a new configuration and a new kernel's link, all while a run goes on in the drain.
+/// A second notice, a new configuration and a new kernel's link, all while a run goes on in the
+/// drain.
 #[test]
 fn a_drain_goes_on_through_a_second_notice_and_a_move_of_the_kernel() {
     let (mut node, kernel, mut link) = node_with(&[]);
@@ -235,7 +282,10 @@
     node.terminate();
     node.logged("new configuration");
     let settled: serde_json::Value = serde_json::from_str(&link.line()).unwrap();
-    link.say(&format!("{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n", settled["mark"]));
+    link.say(&format!(
+        "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
+        settled["mark"]
+    ));
     let mut link = Talk::boot(&kernel2, 0, "");
     link.say(&reap(1, A, "OK"));
     assert_eq!(statuses(&rest(dispatcher)), ["200"]);
@@ -257,10 +307,17 @@
     (talk, body)
 }
 
-/// A service that hangs at each step of a report holds up neither the start nor the notice that the node leaves, nor its end.
+/// A service that hangs at each step of a report holds up neither the start nor the notice that the
+/// node leaves, nor its end.
 #[test]
 fn a_service_that_hangs_at_any_step_holds_up_nothing() {
-    for step in ["accepts nothing", "reads nothing", "answers nothing", "answers half", "refuses"] {
+    for step in [
+        "accepts nothing",
+        "reads nothing",
+        "answers nothing",
+        "answers half",
+        "refuses",
+    ] {
         let (kernel, members) = (listen(), listen());
         let begun = Instant::now();
         let mut node = Node::start(PROGRAM, at(&kernel), nobody(), at(&members), 1024);
@@ -279,7 +336,11 @@
         let mut link = Talk::boot(&kernel, 0, "");
         let mut dispatcher = node.connect();
         while dispatcher.ping() != "200" {}
-        assert!(begun.elapsed() < Duration::from_secs(5), "{step}: ready after {:?}", begun.elapsed());
+        assert!(
+            begun.elapsed() < Duration::from_secs(5),
+            "{step}: ready after {:?}",
+            begun.elapsed()
+        );
         dispatcher.run(&mut link, 1, A);
         let noticed = Instant::now();
         node.terminate();
@@ -317,14 +378,19 @@
     node.reload(&told(at(&kernel), nobody(), at(&moved), 1024));
     let begun = Instant::now();
     assert_eq!(report(&moved).1, "{\"phase\":\"UP\"}");
-    assert!(begun.elapsed() < Duration::from_millis(1000), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_millis(1000),
+        "{:?}",
+        begun.elapsed()
+    );
     drop((held, members));
 }
 
 // ---- Floods ----
 
-/// Clients that say nothing, or half a request, take all places while the membership service is away. Dispatchers get in,
-/// the kernel's link is made anew, and reports arrive as soon as the service is back.
+/// Clients that say nothing, or half a request, take all places while the membership service is
+/// away. Dispatchers get in, the kernel's link is made anew, and reports arrive as soon as the
+/// service is back.
 #[test]
 fn a_flood_leaves_room_for_dispatchers_links_and_reports() {
     let (kernel, members) = (listen(), listen());
@@ -340,11 +406,15 @@
             let stop = &stop;
             scope.spawn(move || {
                 while !stop.load(SeqCst) {
-                    let Ok(mut stream) = TcpStream::connect(listen_at) else { continue };
+                    let Ok(mut stream) = TcpStream::connect(listen_at) else {
+                        continue;
+                    };
                     if client % 2 == 0 {
                         let _ = stream.write_all(&call(1, B)[..60]);
                     }
-                    stream.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
+                    stream
+                        .set_read_timeout(Some(Duration::from_millis(100)))
+                        .unwrap();
                     let waits = |e: &std::io::Error| e.kind() == ErrorKind::WouldBlock;
                     while stream.read(&mut [0]).is_err_and(|e| waits(&e)) && !stop.load(SeqCst) {}
                 }
@@ -362,14 +432,20 @@
         }
         let members = TcpListener::bind(address).unwrap();
         assert_eq!(report(&members).1, "{\"phase\":\"UP\"}");
-        let descriptors = std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count();
+        let descriptors = std::fs::read_dir(format!("/proc/{}/fd", node.child.id()))
+            .unwrap()
+            .count();
         assert!(descriptors <= 64, "{descriptors}");
         stop.store(true, SeqCst);
     });
     // Room is there at once when they are gone.
     let begun = Instant::now();
     assert_eq!(node.connect().ping(), "200");
-    assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(1),
+        "{:?}",
+        begun.elapsed()
+    );
     node.terminate();
     assert_eq!(node.wait().code(), Some(0));
 }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program with faults between them, by the timetables in `examples/rig`: each must settle within its
-//! bounds, and nothing of the load may be lost, late or doubled.
+//! Several processes of the program with faults between them, by the timetables in `examples/rig`:
+//! each must settle within its bounds, and nothing of the load may be lost, late or doubled.
 
 use madderpoint_standins::rig::{Outcome, Rig, Setting};
 use madderpoint_standins::script::{self, Action, Ends, Fault, Faulty, Script, Step};
@@ -68,27 +68,50 @@
     holds("rough-links.xml");
 }
 
-/// Five nodes share a limit on calls below, through a partition, the death of the one who lends and a pause; without it their
-/// load is two and a half times as much.
+/// Five nodes share a limit on calls below, through a partition, the death of the one who lends and
+/// a pause; without it their load is two and a half times as much.
 #[test]
 fn a_limit_of_the_whole_fleet_is_kept() {
     let script = read("budget.xml");
     let outcome = play(&script);
     outcome.expect_good(&script);
     let (most, all) = (outcome.below.most_in_a_second, outcome.below.calls);
-    assert!(most <= 110 && all > 500, "{all} calls, {most} in the busiest second");
-    let without = Script { calls_a_second: 0, time: Duration::from_secs(4), steps: Vec::new(), ..script };
+    assert!(
+        most <= 110 && all > 500,
+        "{all} calls, {most} in the busiest second"
+    );
+    let without = Script {
+        calls_a_second: 0,
+        time: Duration::from_secs(4),
+        steps: Vec::new(),
+        ..script
+    };
     let answers = play(&without).statuses["200"];
-    assert!(answers > 4 * 150, "{answers} answered in 4 s without a limit");
+    assert!(
+        answers > 4 * 150,
+        "{answers} answered in 4 s without a limit"
+    );
 }
 
 #[test]
 fn the_rig_says_so_when_something_does_not_hold() {
     let outcome = play(&read("not-so.xml"));
     assert_eq!(outcome.failures.len(), 2, "{:?}", outcome.failures);
-    assert!(outcome.failures[0].contains("2 groups that hear each other"), "{:?}", outcome.failures);
-    assert!(outcome.failures[1].contains("n1 holds n2 for alive, not dead"), "{:?}", outcome.failures);
-    assert!(outcome.record.iter().any(|line| line.contains("joined")), "{:?}", outcome.record);
+    assert!(
+        outcome.failures[0].contains("2 groups that hear each other"),
+        "{:?}",
+        outcome.failures
+    );
+    assert!(
+        outcome.failures[1].contains("n1 holds n2 for alive, not dead"),
+        "{:?}",
+        outcome.failures
+    );
+    assert!(
+        outcome.record.iter().any(|line| line.contains("joined")),
+        "{:?}",
+        outcome.record
+    );
 }
 
 /// Pairs of faults drawn by seed, one within the other; afterwards all agree.
@@ -100,26 +123,74 @@
             let node = format!("n{}", (seed + kind) % 4);
             let link = |fault| {
                 let (from, to) = (Ends::Node(node.clone()), Ends::All);
-                let faulty = Faulty { from, to, both: true, fault, ..Faulty::default() };
-                Action::Link { faulty, time: Some(ms(2500)) }
+                let faulty = Faulty {
+                    from,
+                    to,
+                    both: true,
+                    fault,
+                    ..Faulty::default()
+                };
+                Action::Link {
+                    faulty,
+                    time: Some(ms(2500)),
+                }
             };
             let action = match kind {
-                0 => Action::Pause { node: node.clone(), time: ms(2500) },
-                1 => link(Fault { cut: true, ..Fault::default() }),
-                2 => link(Fault { hold: true, ..Fault::default() }),
-                3 => link(Fault { loss: 0.5, double: 0.3, ..Fault::default() }),
+                0 => Action::Pause {
+                    node: node.clone(),
+                    time: ms(2500),
+                },
+                1 => link(Fault {
+                    cut: true,
+                    ..Fault::default()
+                }),
+                2 => link(Fault {
+                    hold: true,
+                    ..Fault::default()
+                }),
+                3 => link(Fault {
+                    loss: 0.5,
+                    double: 0.3,
+                    ..Fault::default()
+                }),
                 _ => Action::Kill(node.clone()),
             };
-            let back = Step { at: at + ms(2600), action: Action::Start { node, name: None, program: None } };
+            let back = Step {
+                at: at + ms(2600),
+                action: Action::Start {
+                    node,
+                    name: None,
+                    program: None,
+                },
+            };
             let is_kill = matches!(action, Action::Kill(_));
-            [Some(Step { at, action }), is_kill.then_some(back)].into_iter().flatten()
+            [Some(Step { at, action }), is_kill.then_some(back)]
+                .into_iter()
+                .flatten()
         };
-        let mut steps = vec![Step { at: ms(0), action: Action::Settled { within: ms(8000), sides: 1 } }];
+        let mut steps = vec![Step {
+            at: ms(0),
+            action: Action::Settled {
+                within: ms(8000),
+                sides: 1,
+            },
+        }];
         steps.extend(fault(seed % 5, ms(1000)));
         steps.extend(fault((seed / 5 + seed) % 5, ms(2000)));
-        steps.push(Step { at: ms(5500), action: Action::Settled { within: ms(6000), sides: 1 } });
+        steps.push(Step {
+            at: ms(5500),
+            action: Action::Settled {
+                within: ms(6000),
+                sides: 1,
+            },
+        });
         steps.sort_by_key(|step| step.at);
-        let periods = [("probe", "200ms"), ("answer", "80ms"), ("gossip", "50ms"), ("regain", "200ms")];
+        let periods = [
+            ("probe", "200ms"),
+            ("answer", "80ms"),
+            ("gossip", "50ms"),
+            ("regain", "200ms"),
+        ];
         let script = Script {
             name: "a pair of faults".into(),
             seed,
@@ -136,13 +207,16 @@
 }
 
 fn call(arguments: &[&str]) -> (Option<i32>, String) {
-    let output =
-        std::process::Command::new(env!("CARGO_BIN_EXE_madderpoint")).args(arguments).output().unwrap();
+    let output = std::process::Command::new(env!("CARGO_BIN_EXE_madderpoint"))
+        .args(arguments)
+        .output()
+        .unwrap();
     let text = [output.stdout, output.stderr].concat();
     (output.status.code(), String::from_utf8(text).unwrap())
 }
 
-/// The timetables of processes are played in simulated time too, at any size; what does not hold is said there as well.
+/// The timetables of processes are played in simulated time too, at any size; what does not hold is
+/// said there as well.
 #[test]
 fn timetables_are_played_in_simulated_time() {
     let examples = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/rig");
@@ -158,31 +232,67 @@
         assert_eq!(code, Some(i32::from(!good)), "{name}: {text}");
         assert!(text.contains("held after"), "{text}");
     }
-    let (code, text) =
-        call(&["fleet", "simulate", "--members", "20", "--time", "10s", "--crashes", "1", "--cut", "10s"]);
+    let (code, text) = call(&[
+        "fleet",
+        "simulate",
+        "--members",
+        "20",
+        "--time",
+        "10s",
+        "--crashes",
+        "1",
+        "--cut",
+        "10s",
+    ]);
     assert!(code == Some(0) && text.contains("0 false deaths"), "{text}");
     let (code, text) = call(&["fleet", "simulate", "--members", "0"]);
-    assert!(code == Some(2) && text.contains("members: 1 to 20000"), "{text}");
+    assert!(
+        code == Some(2) && text.contains("members: 1 to 20000"),
+        "{text}"
+    );
 }
 
-/// A node that runs is asked by the keyed protocol; one that is not there, or has other keys, is told of.
+/// A node that runs is asked by the keyed protocol; one that is not there, or has other keys, is
+/// told of.
 #[test]
 fn a_running_node_shows_what_it_holds() {
     use madderpoint_standins::peers::nobody;
     use madderpoint_standins::program::{Node, Program, told};
-    let program = Program { exe: env!("CARGO_BIN_EXE_madderpoint"), dir: env!("CARGO_TARGET_TMPDIR") };
+    let program = Program {
+        exe: env!("CARGO_BIN_EXE_madderpoint"),
+        dir: env!("CARGO_TARGET_TMPDIR"),
+    };
     let settings = |key: &str| {
         let keys = program.file("keys", &key.repeat(32));
-        let bind = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let bind = std::net::UdpSocket::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap();
         let text = format!(
             "<translator version=\"1\" number=\"7\"><fleet name=\"f\" keys=\"{}\" zone=\"z9\" bind=\"{bind}\"/></translator>",
             keys.display()
         );
-        (program.file("xml", &text).display().to_string(), bind.to_string())
+        (
+            program.file("xml", &text).display().to_string(),
+            bind.to_string(),
+        )
     };
     let (good, at) = settings("07");
-    let _node = Node::started(program, &told(nobody(), nobody(), nobody(), 1024), &["--settings", &good]);
-    let (code, text) = call(&["fleet", "show", "--settings", &good, "--at", &at, "--format", "json"]);
+    let _node = Node::started(
+        program,
+        &told(nobody(), nobody(), nobody(), 1024),
+        &["--settings", &good],
+    );
+    let (code, text) = call(&[
+        "fleet",
+        "show",
+        "--settings",
+        &good,
+        "--at",
+        &at,
+        "--format",
+        "json",
+    ]);
     assert_eq!(code, Some(0), "{text}");
     let shown: serde_json::Value = serde_json::from_str(&text).unwrap();
     let own = &shown["members"][0];
@@ -190,21 +300,39 @@
         (&shown["size"], &own["name"], &own["zone"], &own["settings"]),
         (&1.into(), &"n3".into(), &"z9".into(), &7.into())
     );
-    let (code, text) =
-        call(&["fleet", "watch", "--settings", &good, "--at", &at, "--times", "2", "--every", "50ms"]);
+    let (code, text) = call(&[
+        "fleet",
+        "watch",
+        "--settings",
+        &good,
+        "--at",
+        &at,
+        "--times",
+        "2",
+        "--every",
+        "50ms",
+    ]);
     assert!(code == Some(0) && text.contains("1 members"), "{text}");
     let (wrong, _) = settings("08");
     let (code, text) = call(&["fleet", "show", "--settings", &wrong, "--at", &at]);
     assert!(code == Some(2) && text.contains("no answer"), "{text}");
 }
 
-/// SIGHUP takes up other keys; a file of keys that can't be read, or settings that are wrong, leave those before in force.
+/// SIGHUP takes up other keys; a file of keys that can't be read, or settings that are wrong, leave
+/// those before in force.
 #[test]
 fn keys_change_by_reload_and_a_bad_file_changes_nothing() {
     use madderpoint_standins::peers::nobody;
     use madderpoint_standins::program::{Node, Program, told};
-    let program = Program { exe: env!("CARGO_BIN_EXE_madderpoint"), dir: env!("CARGO_TARGET_TMPDIR") };
-    let bind = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    let program = Program {
+        exe: env!("CARGO_BIN_EXE_madderpoint"),
+        dir: env!("CARGO_TARGET_TMPDIR"),
+    };
+    let bind = std::net::UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string();
     let settings = |keys: &std::path::Path| {
         let keys = keys.display();
         let text = format!(
@@ -215,9 +343,20 @@
     let (old, new) = ("07".repeat(32), "08".repeat(32));
     let keys = program.file("keys", &old);
     let own = settings(&keys);
-    let (by_old, by_new) = (settings(&program.file("keys", &old)), settings(&program.file("keys", &new)));
+    let (by_old, by_new) = (
+        settings(&program.file("keys", &old)),
+        settings(&program.file("keys", &new)),
+    );
     let show = |settings: &std::path::Path| {
-        call(&["fleet", "show", "--settings", settings.to_str().unwrap(), "--at", &bind]).0
+        call(&[
+            "fleet",
+            "show",
+            "--settings",
+            settings.to_str().unwrap(),
+            "--at",
+            &bind,
+        ])
+        .0
     };
     let config = told(nobody(), nobody(), nobody(), 1024);
     let mut node = Node::started(program, &config, &["--settings", own.to_str().unwrap()]);
@@ -234,6 +373,9 @@
     assert_eq!(show(&by_new), Some(0));
     std::fs::write(&own, "<translator version=\"1\"><fleet/></translator>").unwrap();
     node.signal("-HUP");
-    assert!(node.logged("new settings not taken").contains("'name' is missing"));
+    assert!(
+        node.logged("new settings not taken")
+            .contains("'name' is missing")
+    );
     assert_eq!(show(&by_new), Some(0));
 }
--- a/crates/node/tests/fleet_cost.rs
+++ b/crates/node/tests/fleet_cost.rs
@@ -1,4 +1,5 @@
-//! What the fleet's part costs a node that works: off, on, with all of it shared, and in a storm, in one run. Not in CI:
+//! What the fleet's part costs a node that works: off, on, with all of it shared, and in a storm,
+//! in one run. Not in CI:
 //!
 //!     cargo test --release -p madderpoint-node --test fleet_cost -- --ignored --nocapture
 
@@ -17,7 +18,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PROGRAM: Program = Program { exe: env!("CARGO_BIN_EXE_madderpoint"), dir: env!("CARGO_TARGET_TMPDIR") };
+const PROGRAM: Program = Program {
+    exe: env!("CARGO_BIN_EXE_madderpoint"),
+    dir: env!("CARGO_TARGET_TMPDIR"),
+};
 const REQUESTS: usize = 20_000;
 const ROUNDS: usize = 3;
 
@@ -31,18 +35,29 @@
 
 fn ticks(pid: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
-    let fields: Vec<&str> = stat.rsplit_once(')').unwrap().1.split_whitespace().collect();
+    let fields: Vec<&str> = stat
+        .rsplit_once(')')
+        .unwrap()
+        .1
+        .split_whitespace()
+        .collect();
     fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
 }
 
 fn resident_kib(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
-    let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap();
+    let line = status
+        .lines()
+        .find(|line| line.starts_with("VmRSS:"))
+        .unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
 fn free_port() -> SocketAddr {
-    UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
 
 /// A node with its kernel; with its place in a fleet if it has one.
@@ -50,7 +65,8 @@
     let worker = Worker::start();
     worker.calls(true);
     let below = Service::start(Nature::default()).listen("z").unwrap();
-    let config = told(worker.address, below, nobody(), 1024).replace("\"n3\"", &format!("\"{name}\""));
+    let config =
+        told(worker.address, below, nobody(), 1024).replace("\"n3\"", &format!("\"{name}\""));
     let mut arguments = Vec::new();
     let settings = fleet.map(|(bind, seed)| {
         let keys = PROGRAM.file("keys", &"07".repeat(32));
@@ -92,7 +108,9 @@
             answers = wire::answers(&mut come, &mut open);
         }
         assert_eq!(answers[0].status, "200");
-        latencies.record(begun.elapsed().as_micros() as u64).unwrap();
+        latencies
+            .record(begun.elapsed().as_micros() as u64)
+            .unwrap();
     }
     let cpu = (ticks(node.child.id()) - before) as f64 * 10_000.0 / REQUESTS as f64;
     (cpu, latencies)
@@ -103,7 +121,13 @@
 fn cost_of_the_fleet_off_on_and_in_a_storm() {
     let seed = free_port();
     let others: Vec<(Node, Worker)> = (0..5)
-        .map(|n| start(&format!("m{n}"), Some((if n == 0 { seed } else { free_port() }, seed)), true))
+        .map(|n| {
+            start(
+                &format!("m{n}"),
+                Some((if n == 0 { seed } else { free_port() }, seed)),
+                true,
+            )
+        })
         .collect();
     let own = free_port();
     for round in 0..ROUNDS {
@@ -128,7 +152,8 @@
                         }
                     };
                     while !stop.load(SeqCst) {
-                        // 20,000 datagrams of a stranger a second, and four of five others that stand still and go on.
+                        // 20,000 datagrams of a stranger a second, and four of five others that
+                        // stand still and go on.
                         while sent < (begun.elapsed().as_secs_f64() * 20_000.0) as u64 {
                             let _ = socket.send_to(
                                 b"mf\x01\x00 a stranger's, of some length to be looked at for a while",
