--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -1,7 +1,10 @@
-//! Starts the program and speaks to it over sockets. The kernel, the back end, the membership service and
-//! the dispatchers are played here, on free ports; all waiting is for something to come.
+//! Starts the program and speaks to it over sockets. The kernel, the back end, the membership
+//! service and the dispatchers are played here, on free ports; all waiting is for something to
+//! come.
 
-use madderpoint_standins::peers::{PATIENCE, Talk, listen, nobody, ping, reap, unix_ms, wants_call};
+use madderpoint_standins::peers::{
+    PATIENCE, Talk, listen, nobody, ping, reap, unix_ms, wants_call,
+};
 use madderpoint_standins::program::{Node, Program, told};
 use madderpoint_standins::wire as support;
 use serde_json::Value;
@@ -11,7 +14,10 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::time::{Duration, Instant};
 
-const PROGRAM: Program = Program { exe: env!("CARGO_BIN_EXE_madderpoint"), dir: env!("CARGO_TARGET_TMPDIR") };
+const PROGRAM: Program = Program {
+    exe: env!("CARGO_BIN_EXE_madderpoint"),
+    dir: env!("CARGO_TARGET_TMPDIR"),
+};
 
 const A: &str = "00000000000000aa";
 const B: &str = "00000000000000bb";
@@ -21,15 +27,25 @@
     let (node, _kernel, mut link) = Node::with_kernel(PROGRAM);
     let mut dispatcher = node.connect();
     let command = dispatcher.run(&mut link, 1, A);
-    assert_eq!((&command["route"], &command["b64"]), (&"read".into(), &"AGJvZHk=".into()));
+    assert_eq!(
+        (&command["route"], &command["b64"]),
+        (&"read".into(), &"AGJvZHk=".into())
+    );
     link.say(&reap(1, A, "OK"));
     let answer = dispatcher.answer();
-    assert_eq!((answer.id, &answer.status[..], &answer.body[..]), (1, "200", &b"\0\xff"[..]));
+    assert_eq!(
+        (answer.id, &answer.status[..], &answer.body[..]),
+        (1, "200", &b"\0\xff"[..])
+    );
     dispatcher.run(&mut link, 1, B);
     link.say(&reap(2, B, "ERROR"));
     assert_eq!(dispatcher.answer().status, "500");
     let late = (unix_ms().parse::<u64>().unwrap() - 4000).to_string();
-    let answer = dispatcher.ask(&support::request(2, &support::call("/call/read", A, &late), b""));
+    let answer = dispatcher.ask(&support::request(
+        2,
+        &support::call("/call/read", A, &late),
+        b"",
+    ));
     assert_eq!((answer.id, &answer.status[..]), (2, "429"));
     assert_eq!(answer.fields["X-Stop-Trying"], "1");
 }
@@ -37,7 +53,13 @@
 #[test]
 fn a_kernel_that_starts_late_is_waited_for() {
     let kernel = listen();
-    let node = Node::start(PROGRAM, kernel.local_addr().unwrap(), nobody(), nobody(), 1024);
+    let node = Node::start(
+        PROGRAM,
+        kernel.local_addr().unwrap(),
+        nobody(),
+        nobody(),
+        1024,
+    );
     let mut dispatcher = node.connect();
     assert_eq!(dispatcher.ping(), "503");
     let mut link = Talk::boot(&kernel, 0, "");
@@ -48,8 +70,13 @@
 #[test]
 fn a_call_below_comes_back() {
     let (kernel, backend) = (listen(), listen());
-    let node =
-        Node::start(PROGRAM, kernel.local_addr().unwrap(), backend.local_addr().unwrap(), nobody(), 1024);
+    let node = Node::start(
+        PROGRAM,
+        kernel.local_addr().unwrap(),
+        backend.local_addr().unwrap(),
+        nobody(),
+        1024,
+    );
     let mut link = Talk::boot(&kernel, 0, "");
     let mut dispatcher = node.connect();
     while dispatcher.ping() != "200" {}
@@ -57,11 +84,17 @@
     link.say(&wants_call(1, A));
     let mut below = Talk::accept(&backend);
     let line = below.line();
-    assert!(line.starts_with(&format!("invoke {A} ")) && line.ends_with(" 2"), "{line}");
+    assert!(
+        line.starts_with(&format!("invoke {A} ")) && line.ends_with(" 2"),
+        "{line}"
+    );
     assert_eq!(below.exactly(4), b"\0\xff\r\n");
     below.say(&format!("{A} ok 4\r\na\r\nb\r\n"));
     let command = link.command();
-    assert_eq!((&command["t"], &command["b64"]), (&"IODONE".into(), &"YQ0KYg==".into()));
+    assert_eq!(
+        (&command["t"], &command["b64"]),
+        (&"IODONE".into(), &"YQ0KYg==".into())
+    );
     link.say(&reap(2, A, "OK"));
     assert_eq!(dispatcher.answer().status, "200");
 }
@@ -104,8 +137,13 @@
 #[test]
 fn a_drain_answers_what_runs_tells_the_members_and_ends_with_0() {
     let (kernel, members) = (listen(), listen());
-    let mut node =
-        Node::start(PROGRAM, kernel.local_addr().unwrap(), nobody(), members.local_addr().unwrap(), 1024);
+    let mut node = Node::start(
+        PROGRAM,
+        kernel.local_addr().unwrap(),
+        nobody(),
+        members.local_addr().unwrap(),
+        1024,
+    );
     let report = |members: &TcpListener| {
         let mut talk = Talk::accept(members);
         let head = talk.line();
@@ -115,7 +153,10 @@
         (head, String::from_utf8(body).unwrap())
     };
     let (head, body) = report(&members);
-    assert_eq!((&head[..], &body[..]), ("PUT /members/n3 HTTP/1.1", "{\"phase\":\"UP\"}"));
+    assert_eq!(
+        (&head[..], &body[..]),
+        ("PUT /members/n3 HTTP/1.1", "{\"phase\":\"UP\"}")
+    );
     let mut link = Talk::boot(&kernel, 0, "");
     let mut dispatcher = node.connect();
     while dispatcher.ping() != "200" {}
@@ -129,8 +170,8 @@
     assert_eq!(node.wait().code(), Some(0));
 }
 
-/// SIGHUP once ended the process. A run and a call that are under way when all peers move lose nothing, and what
-/// can't be read changes nothing.
+/// SIGHUP once ended the process. A run and a call that are under way when all peers move lose
+/// nothing, and what can't be read changes nothing.
 #[test]
 fn a_new_configuration_moves_all_links_and_a_bad_one_changes_nothing() {
     let (kernel, backend, members) = (listen(), listen(), listen());
@@ -139,7 +180,10 @@
     let good = told(at(&kernel), at(&backend), at(&members), 1024);
     for (text, named) in [
         (&good[..200], "EOF"),
-        (&good.replace("\"memory_mb\": 192", "\"memory_mb\": 2"), "limits.memory_mb"),
+        (
+            &good.replace("\"memory_mb\": 192", "\"memory_mb\": 2"),
+            "limits.memory_mb",
+        ),
         (&good.replace("\"Cores\": 1", "\"Cores\": 0"), "Extra.Cores"),
     ] {
         node.reload(text);
@@ -158,29 +202,52 @@
     node.reload(&moved.replace("\"sockets\": 1024", "\"sockets\": 999"));
     assert!(node.logged("until a restart the old ").contains("limits"));
     let settled: Value = serde_json::from_str(&link.line()).unwrap(); // what was sent before it has arrived
-    link.say(&format!("{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n", settled["mark"]));
+    link.say(&format!(
+        "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
+        settled["mark"]
+    ));
     let mut link = Talk::boot(&kernel2, 1, "");
     below.say(&format!("{A} ok 1\r\na\r\n")); // the old back end still replies
     let command = link.command();
-    assert_eq!((&command["t"], &command["b64"]), (&"IODONE".into(), &"YQ==".into()));
+    assert_eq!(
+        (&command["t"], &command["b64"]),
+        (&"IODONE".into(), &"YQ==".into())
+    );
     link.say(&reap(2, A, "OK"));
     assert_eq!(dispatcher.answer().status, "200");
     dispatcher.run(&mut link, 2, B);
     link.say(&wants_call(3, B));
-    assert!(Talk::accept(&backend2).line().starts_with(&format!("invoke {B} ")));
-    assert!(Talk::accept(&members2).line().starts_with("PUT /members/n3 "));
+    assert!(
+        Talk::accept(&backend2)
+            .line()
+            .starts_with(&format!("invoke {B} "))
+    );
+    assert!(
+        Talk::accept(&members2)
+            .line()
+            .starts_with("PUT /members/n3 ")
+    );
 }
 
 #[test]
 fn odd_answers_of_the_members_do_not_matter() {
     let (kernel, members) = (listen(), listen());
-    let node =
-        Node::start(PROGRAM, kernel.local_addr().unwrap(), nobody(), members.local_addr().unwrap(), 1024);
+    let node = Node::start(
+        PROGRAM,
+        kernel.local_addr().unwrap(),
+        nobody(),
+        members.local_addr().unwrap(),
+        1024,
+    );
     let _link = Talk::boot(&kernel, 0, "");
     let mut dispatcher = node.connect();
-    for answer in
-        ["", "HTTP/1.1 2", "HTTP/1.1 500 Oh\r\n\r\n", "no such thing\r\n\r\n", "HTTP/1.1 204 \r\n\r\n"]
-    {
+    for answer in [
+        "",
+        "HTTP/1.1 2",
+        "HTTP/1.1 500 Oh\r\n\r\n",
+        "no such thing\r\n\r\n",
+        "HTTP/1.1 204 \r\n\r\n",
+    ] {
         Talk::accept(&members).say(answer);
         while dispatcher.ping() != "200" {}
     }
@@ -195,7 +262,11 @@
         .write_all(&support::request(1, &support::call("/call/read", A, &unix_ms()), b"")[..60])
         .unwrap();
     let _silent = node.connect();
-    for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 64], &[1, 1, 0, 1, 0, 2, 0, 0, 0, 1]] {
+    for bytes in [
+        &b"GET / HTTP/1.1\r\n\r\n"[..],
+        &[0xff; 64],
+        &[1, 1, 0, 1, 0, 2, 0, 0, 0, 1],
+    ] {
         let mut bad = node.connect();
         bad.stream.write_all(bytes).unwrap();
         assert_eq!(bad.read(), 0);
@@ -230,16 +301,27 @@
 #[test]
 fn short_of_descriptors_idle_connections_make_room() {
     let kernel = listen();
-    let node = Node::start(PROGRAM, kernel.local_addr().unwrap(), nobody(), nobody(), 64);
+    let node = Node::start(
+        PROGRAM,
+        kernel.local_addr().unwrap(),
+        nobody(),
+        nobody(),
+        64,
+    );
     let _link = Talk::boot(&kernel, 0, "");
     let mut all: Vec<_> = (0..60).map(|_| node.connect()).collect();
     for dispatcher in &mut all {
         dispatcher.stream.write_all(&ping(1)).unwrap();
     }
     // Each was either answered or closed unread to make room; the last ones find room.
-    let answered = all.iter_mut().filter_map(|d| (d.read() > 0).then(|| d.answer())).count();
+    let answered = all
+        .iter_mut()
+        .filter_map(|d| (d.read() > 0).then(|| d.answer()))
+        .count();
     assert!(answered >= 20, "{answered}");
-    let descriptors = std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count();
+    let descriptors = std::fs::read_dir(format!("/proc/{}/fd", node.child.id()))
+        .unwrap()
+        .count();
     assert!(descriptors <= 64, "{descriptors}");
 }
 
@@ -277,7 +359,11 @@
         ("{", "", "expected"),
     ] {
         let path = PROGRAM.config(&whole.replacen(from, to, 1));
-        let output = PROGRAM.start(&path).env("PROXY_NAME", "n3").output().unwrap();
+        let output = PROGRAM
+            .start(&path)
+            .env("PROXY_NAME", "n3")
+            .output()
+            .unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
         assert_ne!(output.status.code(), Some(0));
         assert!(
@@ -285,8 +371,15 @@
             "{named}: {text}"
         );
     }
-    let output = PROGRAM.start(&PathBuf::from("/nowhere.json")).output().unwrap();
-    assert!(String::from_utf8(output.stderr).unwrap().contains("/nowhere.json"));
+    let output = PROGRAM
+        .start(&PathBuf::from("/nowhere.json"))
+        .output()
+        .unwrap();
+    assert!(
+        String::from_utf8(output.stderr)
+            .unwrap()
+            .contains("/nowhere.json")
+    );
 }
 
 /// As a kernel: runs what it knows at once, and knows nothing else, until the link ends.
@@ -298,20 +391,24 @@
             no += 1;
             link.say(&reap(no, &rid, "OK"));
         } else {
-            link.say(&format!("{{\"t\":\"EINVAL\",\"status\":{},\"rid\":\"{rid}\"}}\n", command["t"]));
+            link.say(&format!(
+                "{{\"t\":\"EINVAL\",\"status\":{},\"rid\":\"{rid}\"}}\n",
+                command["t"]
+            ));
         }
     }
 }
 
-/// Each kind of bad client is refused, told of an error or closed within 3 s of connecting, never served, and a good
-/// dispatcher beside all of them is served all the while.
+/// Each kind of bad client is refused, told of an error or closed within 3 s of connecting, never
+/// served, and a good dispatcher beside all of them is served all the while.
 #[test]
 fn bad_clients_are_turned_away_in_time_and_harm_nobody() {
     let (node, _kernel, link) = Node::with_kernel(PROGRAM);
     let link = std::thread::spawn(|| kernel_that_knows(link, "aaaa"));
     let now = unix_ms();
-    let call =
-        |id: u16, path: &str, rid: &str| support::request(id, &support::call(path, rid, &now), b"body");
+    let call = |id: u16, path: &str, rid: &str| {
+        support::request(id, &support::call(path, rid, &now), b"body")
+    };
     let with = |name: &str, value: &str| {
         let mut params = support::call("/call/read", B, &now);
         params.retain(|(n, _)| *n != name);
@@ -319,9 +416,16 @@
         support::request(1, &params, b"body")
     };
     let huge = |kind, len: usize| {
-        let start = [support::begin(1, 1, true), support::record(support::PARAMS, 1, b"", 0)].concat();
+        let start = [
+            support::begin(1, 1, true),
+            support::record(support::PARAMS, 1, b"", 0),
+        ]
+        .concat();
         let record = support::record(kind, 1, &[1; 60_000], 0);
-        std::iter::once(start).chain(std::iter::repeat_n(record, len / 60_000)).flatten().collect::<Vec<u8>>()
+        std::iter::once(start)
+            .chain(std::iter::repeat_n(record, len / 60_000))
+            .flatten()
+            .collect::<Vec<u8>>()
     };
     let clients: Vec<Vec<u8>> = vec![
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
@@ -331,7 +435,11 @@
         huge(77, 10_000_000),
         support::record(support::STDIN, 9, b"", 0).repeat(100_000),
         [1, 4, 0, 1, 0xff, 0xff, 0, 0].to_vec(), // a length that does not come
-        [support::begin(1, 1, true), support::record(support::PARAMS, 1, &[0xff; 20], 0)].concat(),
+        [
+            support::begin(1, 1, true),
+            support::record(support::PARAMS, 1, &[0xff; 20], 0),
+        ]
+        .concat(),
         call(1, "/call/dance", B),
         with("HTTP_X_ORG", "nobody"),
         with("HTTP_X_NEED_KB", "NaN"),
@@ -341,11 +449,16 @@
         with("HTTP_X_CORRELATION_ID", ""),
         call(1, "/call/read", B), // unknown to the kernel
         [call(1, "/call/read", B), call(1, "/call/read", B)].concat(), // two under one number
-        (0..300).flat_map(|id| call(id, "/call/read", &format!("{id:016x}"))).collect(),
+        (0..300)
+            .flat_map(|id| call(id, "/call/read", &format!("{id:016x}")))
+            .collect(),
         (0..300)
             .flat_map(|id| {
-                [call(id, "/call/read", &format!("b{id:015x}")), support::record(support::ABORT, id, b"", 0)]
-                    .concat()
+                [
+                    call(id, "/call/read", &format!("b{id:015x}")),
+                    support::record(support::ABORT, id, b"", 0),
+                ]
+                .concat()
             })
             .collect(),
         call(1, "/call/read", B)[..70].to_vec(),
@@ -362,7 +475,11 @@
                     std::thread::scope(|both| {
                         both.spawn(|| drop(writer.write_all(bytes)));
                         while client.done.is_empty() && client.read() > 0 {}
-                        assert!(client.done.iter().all(|a| a.status != "200"), "{:?}", client.done);
+                        assert!(
+                            client.done.iter().all(|a| a.status != "200"),
+                            "{:?}",
+                            client.done
+                        );
                         let _ = client.stream.shutdown(std::net::Shutdown::Both);
                     });
                     begun.elapsed()
@@ -373,13 +490,22 @@
         for n in 0..200 {
             let rid = format!("aaaa{n:012x}");
             assert_eq!(
-                good.ask(&support::request(1, &support::call("/call/read", &rid, &unix_ms()), b"")).status,
+                good.ask(&support::request(
+                    1,
+                    &support::call("/call/read", &rid, &unix_ms()),
+                    b""
+                ))
+                .status,
                 "200"
             );
         }
         for (client, bytes) in bad.into_iter().zip(&clients) {
             let took = client.join().unwrap();
-            assert!(took < Duration::from_secs(3), "{took:?}: {:?}", &bytes[..bytes.len().min(60)]);
+            assert!(
+                took < Duration::from_secs(3),
+                "{took:?}: {:?}",
+                &bytes[..bytes.len().min(60)]
+            );
         }
     });
     drop(node);
@@ -391,8 +517,16 @@
 fn what_short_connections_took_is_given_back() {
     let (node, _kernel, _link) = Node::with_kernel(PROGRAM);
     let pid = node.child.id();
-    let threads = || std::fs::read_dir(format!("/proc/{pid}/task")).unwrap().count();
-    let descriptors = || std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap().count();
+    let threads = || {
+        std::fs::read_dir(format!("/proc/{pid}/task"))
+            .unwrap()
+            .count()
+    };
+    let descriptors = || {
+        std::fs::read_dir(format!("/proc/{pid}/fd"))
+            .unwrap()
+            .count()
+    };
     let (threads_before, descriptors_before) = (threads(), descriptors());
     for _ in 0..40 {
         let mut all: Vec<_> = (0..50).map(|_| node.connect()).collect();
@@ -400,7 +534,12 @@
     }
     let begun = Instant::now();
     while threads() > threads_before || descriptors() > descriptors_before {
-        assert!(begun.elapsed() < PATIENCE, "{} threads, {} descriptors", threads(), descriptors());
+        assert!(
+            begun.elapsed() < PATIENCE,
+            "{} threads, {} descriptors",
+            threads(),
+            descriptors()
+        );
         std::thread::yield_now();
     }
 }
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -1,5 +1,6 @@
-//! What the platform asks of the line `run`: one process that opens TCP over IPv4 and nothing else, starts no program,
-//! spins in no thread, and needs none of our settings. Parts of ours that would break that stay off there.
+//! What the platform asks of the line `run`: one process that opens TCP over IPv4 and nothing else,
+//! starts no program, spins in no thread, and needs none of our settings. Parts of ours that would
+//! break that stay off there.
 
 use madderpoint_standins::peers::{listen, nobody};
 use madderpoint_standins::program::{Node, Program, told};
@@ -7,20 +8,34 @@
 use std::fs;
 use std::time::{Duration, Instant};
 
-const PROGRAM: Program = Program { exe: env!("CARGO_BIN_EXE_madderpoint"), dir: env!("CARGO_TARGET_TMPDIR") };
+const PROGRAM: Program = Program {
+    exe: env!("CARGO_BIN_EXE_madderpoint"),
+    dir: env!("CARGO_TARGET_TMPDIR"),
+};
 
 /// The inodes of a process's sockets, by the table of the system that they stand in.
 fn sockets(pid: u32) -> BTreeMap<&'static str, usize> {
     let fds = fs::read_dir(format!("/proc/{pid}/fd")).unwrap().flatten();
-    let links = fds.filter_map(|fd| fs::read_link(fd.path()).ok()).map(|l| l.to_string_lossy().into_owned());
-    let inodes: BTreeSet<String> =
-        links.filter_map(|l| Some(l.strip_prefix("socket:[")?.strip_suffix(']')?.to_owned())).collect();
+    let links = fds
+        .filter_map(|fd| fs::read_link(fd.path()).ok())
+        .map(|l| l.to_string_lossy().into_owned());
+    let inodes: BTreeSet<String> = links
+        .filter_map(|l| Some(l.strip_prefix("socket:[")?.strip_suffix(']')?.to_owned()))
+        .collect();
     let mut found = BTreeMap::new();
-    for (table, column) in
-        [("tcp", 9), ("tcp6", 9), ("udp", 9), ("udp6", 9), ("unix", 6), ("raw", 9), ("packet", 8)]
-    {
+    for (table, column) in [
+        ("tcp", 9),
+        ("tcp6", 9),
+        ("udp", 9),
+        ("udp6", 9),
+        ("unix", 6),
+        ("raw", 9),
+        ("packet", 8),
+    ] {
         let text = fs::read_to_string(format!("/proc/{pid}/net/{table}")).unwrap_or_default();
-        let here = text.lines().filter_map(|line| line.split_whitespace().nth(column));
+        let here = text
+            .lines()
+            .filter_map(|line| line.split_whitespace().nth(column));
         let count = here.filter(|inode| inodes.contains(*inode)).count();
         if count > 0 {
             found.insert(table, count);
@@ -37,7 +52,12 @@
         let stat = fs::read_to_string(task.path().join("stat")).unwrap_or_default();
         let (head, tail) = stat.rsplit_once(')').unwrap_or_default();
         let fields: Vec<&str> = tail.split_whitespace().collect();
-        let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
+        let ticks = |n: usize| {
+            fields
+                .get(n)
+                .and_then(|f| f.parse::<u64>().ok())
+                .unwrap_or(0)
+        };
         let name = head.split_once('(').map_or("", |(_, name)| name).to_owned();
         *threads.entry(name).or_default() += ticks(11) + ticks(12);
     }
@@ -46,18 +66,27 @@
 
 fn children(pid: u32) -> String {
     let tasks = fs::read_dir(format!("/proc/{pid}/task")).unwrap().flatten();
-    tasks.map(|task| fs::read_to_string(task.path().join("children")).unwrap_or_default()).collect()
+    tasks
+        .map(|task| fs::read_to_string(task.path().join("children")).unwrap_or_default())
+        .collect()
 }
 
 #[test]
 fn the_line_run_ends_in_one_program_without_settings_of_ours() {
-    let deploy =
-        fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/balancer.toml")).unwrap();
-    let run = deploy.lines().find_map(|line| line.strip_prefix("run = ")).unwrap();
+    let deploy = fs::read_to_string(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../deploy/balancer.toml"
+    ))
+    .unwrap();
+    let run = deploy
+        .lines()
+        .find_map(|line| line.strip_prefix("run = "))
+        .unwrap();
     assert_eq!(run, "\"exec target/release/madderpoint\"");
 }
 
-/// The bench loads a library of its own into the process, which only a program linked against the C library takes.
+/// The bench loads a library of its own into the process, which only a program linked against the C
+/// library takes.
 #[test]
 fn the_program_is_linked_dynamically_against_the_c_library() {
     let bytes = fs::read(PROGRAM.exe).unwrap();
@@ -68,16 +97,27 @@
 #[test]
 fn without_settings_it_opens_tcp_over_ipv4_only_starts_no_program_and_rests() {
     let (kernel, members) = (listen(), listen());
-    let node =
-        Node::start(PROGRAM, kernel.local_addr().unwrap(), nobody(), members.local_addr().unwrap(), 1024);
+    let node = Node::start(
+        PROGRAM,
+        kernel.local_addr().unwrap(),
+        nobody(),
+        members.local_addr().unwrap(),
+        1024,
+    );
     let _link = madderpoint_standins::peers::Talk::boot(&kernel, 0, "");
     let mut dispatcher = node.connect();
     while dispatcher.ping() != "200" {}
     let pid = node.child.id();
     // The pair that signals come through is the only pair of Unix sockets; nobody comes to it.
     let opened = sockets(pid);
-    assert!(opened.keys().all(|table| ["tcp", "unix"].contains(table)), "{opened:?}");
-    assert!(opened["tcp"] >= 3 && opened.get("unix").copied().unwrap_or(0) <= 2, "{opened:?}");
+    assert!(
+        opened.keys().all(|table| ["tcp", "unix"].contains(table)),
+        "{opened:?}"
+    );
+    assert!(
+        opened["tcp"] >= 3 && opened.get("unix").copied().unwrap_or(0) <= 2,
+        "{opened:?}"
+    );
     assert_eq!(children(pid), "");
     let names = threads(pid);
     assert!(!names.contains_key("fleet"), "{names:?}");
@@ -85,7 +125,12 @@
     let (before, begun) = (names.values().sum::<u64>(), Instant::now());
     std::thread::sleep(Duration::from_millis(1500));
     let took = threads(pid).values().sum::<u64>() - before;
-    assert!(took <= 15, "{took} ticks in {:?}: {:?}", begun.elapsed(), threads(pid));
+    assert!(
+        took <= 15,
+        "{took} ticks in {:?}: {:?}",
+        begun.elapsed(),
+        threads(pid)
+    );
 }
 
 /// The same looks see a part of ours that is on, so that they would see it in `run`.
@@ -96,10 +141,20 @@
         "<translator version=\"1\"><fleet name=\"f\" keys=\"{}\" bind=\"127.0.0.1:1\" advertise=\"127.0.0.1:9\"/></translator>",
         keys.display()
     );
-    let port = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let settings = PROGRAM.file("xml", &settings.replace("127.0.0.1:1\"", &format!("{port}\"")));
+    let port = std::net::UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
+    let settings = PROGRAM.file(
+        "xml",
+        &settings.replace("127.0.0.1:1\"", &format!("{port}\"")),
+    );
     let config = told(nobody(), nobody(), nobody(), 1024);
-    let node = Node::started(PROGRAM, &config, &["--settings", settings.to_str().unwrap()]);
+    let node = Node::started(
+        PROGRAM,
+        &config,
+        &["--settings", settings.to_str().unwrap()],
+    );
     while !threads(node.child.id()).contains_key("fleet") {
         std::thread::yield_now();
     }
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -1,5 +1,5 @@
-//! The program changed under a parent: a new one beside the old on one socket, back again if it does not serve or dies, and a node
-//! that serves whatever is killed.
+//! The program changed under a parent: a new one beside the old on one socket, back again if it
+//! does not serve or dies, and a node that serves whatever is killed.
 
 use madderpoint_standins::checker::Checker;
 use madderpoint_standins::load::{self, Ask};
@@ -18,7 +18,10 @@
 use std::time::{Duration, Instant};
 
 const EXE: &str = env!("CARGO_BIN_EXE_madderpoint");
-const PROGRAM: Program = Program { exe: EXE, dir: env!("CARGO_TARGET_TMPDIR") };
+const PROGRAM: Program = Program {
+    exe: EXE,
+    dir: env!("CARGO_TARGET_TMPDIR"),
+};
 const PATIENCE: Duration = Duration::from_secs(60);
 
 /// A node under a parent, its kernel, and the place where the parent's versions are.
@@ -37,7 +40,10 @@
 
 /// Ports of loopback that nobody has at this moment.
 fn free() -> SocketAddr {
-    std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
 
 /// A directory of a version: the program itself, or a script in its place.
@@ -67,10 +73,20 @@
         let dir = PathBuf::from(PROGRAM.dir).join(name);
         let _ = std::fs::remove_dir_all(&dir);
         let keys = PROGRAM.file("keys", &"07".repeat(32));
-        let bind = || std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let bind = || {
+            std::net::UdpSocket::bind("127.0.0.1:0")
+                .unwrap()
+                .local_addr()
+                .unwrap()
+        };
         let places: Vec<SocketAddr> = (0..nodes).map(|_| bind()).collect();
-        let seeds: String = places.iter().map(|at| format!("<seed address=\"{at}\"/>")).collect();
-        let arbiters: String = (0..nodes).map(|n| format!("<arbiter name=\"n{n}\"/>")).collect();
+        let seeds: String = places
+            .iter()
+            .map(|at| format!("<seed address=\"{at}\"/>"))
+            .collect();
+        let arbiters: String = (0..nodes)
+            .map(|n| format!("<arbiter name=\"n{n}\"/>"))
+            .collect();
         let text = format!(
             "<translator version=\"1\" number=\"1\"><fleet name=\"f\" keys=\"{}\">{seeds}{arbiters}</fleet>\
              <rollout dir=\"{}\" of-zone=\"0.7\">{stages}<stage share=\"1\" least=\"{least}\" sample=\"1\" spread=\"0s\"/>\
@@ -85,13 +101,25 @@
         for (n, at) in places.into_iter().enumerate() {
             let (name, worker, listen) = (format!("n{n}"), Worker::start_for_many(), free());
             let config = told(worker.address, nobody(), nobody(), 1024);
-            let config =
-                config.replace("127.0.0.1:0", &listen.to_string()).replace("\"n3\"", &format!("\"{name}\""));
+            let config = config
+                .replace("127.0.0.1:0", &listen.to_string())
+                .replace("\"n3\"", &format!("\"{name}\""));
             let config = PROGRAM.config(&config);
             let (parent, log) = Under::parent(&programs, &config, &settings, at);
             let (settings, programs) = (settings.clone(), programs.clone());
             let lines = Vec::new();
-            all.push(Under { parent, log, lines, listen, worker, programs, config, settings, at, name });
+            all.push(Under {
+                parent,
+                log,
+                lines,
+                listen,
+                worker,
+                programs,
+                config,
+                settings,
+                at,
+                name,
+            });
         }
         for under in &mut all {
             under.logged("version 1 ");
@@ -100,7 +128,12 @@
         all
     }
 
-    fn parent(programs: &Path, config: &Path, settings: &Path, at: SocketAddr) -> (Child, Receiver<String>) {
+    fn parent(
+        programs: &Path,
+        config: &Path,
+        settings: &Path,
+        at: SocketAddr,
+    ) -> (Child, Receiver<String>) {
         let state = programs.with_file_name("state");
         let mut parent = Command::new(EXE)
             .args(["run-under", "--start", "1", "--programs"])
@@ -116,7 +149,12 @@
             .unwrap();
         let stderr = BufReader::new(parent.stderr.take().unwrap());
         let (lines, log) = mpsc::channel();
-        thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| lines.send(line)));
+        thread::spawn(move || {
+            stderr
+                .lines()
+                .map_while(Result::ok)
+                .try_for_each(|line| lines.send(line))
+        });
         (parent, log)
     }
 
@@ -124,7 +162,10 @@
     fn logged(&mut self, what: &str) -> String {
         let until = Instant::now() + PATIENCE;
         loop {
-            match self.log.recv_timeout(until.saturating_duration_since(Instant::now())) {
+            match self
+                .log
+                .recv_timeout(until.saturating_duration_since(Instant::now()))
+            {
                 Ok(line) => {
                     self.lines.push(line.clone());
                     if line.contains(what) {
@@ -149,7 +190,10 @@
             .args(["--settings", &settings, "--at", &at])
             .output()
             .unwrap();
-        (output.status.code(), String::from_utf8([output.stdout, output.stderr].concat()).unwrap())
+        (
+            output.status.code(),
+            String::from_utf8([output.stdout, output.stderr].concat()).unwrap(),
+        )
     }
 
     /// Offers a version; the fleet's part of the node may be changing hands at this moment.
@@ -167,16 +211,29 @@
 
     /// The processes of the program that the parent has, by the file that it writes.
     fn processes(&self) -> Vec<u32> {
-        let file = self.programs.with_file_name("state").join(&self.name).join("processes");
+        let file = self
+            .programs
+            .with_file_name("state")
+            .join(&self.name)
+            .join("processes");
         let text = std::fs::read_to_string(file).unwrap_or_default();
-        text.lines().filter_map(|line| line.split_once(' ')?.0.parse().ok()).collect()
+        text.lines()
+            .filter_map(|line| line.split_once(' ')?.0.parse().ok())
+            .collect()
     }
 
     fn signal(pid: u32, name: &str) {
-        assert!(Command::new("kill").args([name, &pid.to_string()]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([name, &pid.to_string()])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
-    /// Asks without a pause while something is done; all must be answered once and in time, and nothing run twice.
+    /// Asks without a pause while something is done; all must be answered once and in time, and
+    /// nothing run twice.
     fn under_load(&mut self, during: impl FnOnce(&mut Under)) -> usize {
         self.measured(during).0
     }
@@ -189,7 +246,8 @@
         let latencies = thread::scope(|scope| {
             let measuring = scope.spawn(|| measure(listen, &checker, &stop));
             let load = scope.spawn(|| {
-                let ask = |conn: usize, no: usize| Ask::of(["/call/read", "/call/pay"][(conn + no) % 2]);
+                let ask =
+                    |conn: usize, no: usize| Ask::of(["/call/read", "/call/pay"][(conn + no) % 2]);
                 load::run(listen, (4, 1, usize::MAX), &checker, &stop, ask);
             });
             let ends = Ends(&stop);
@@ -198,9 +256,18 @@
             load.join().unwrap();
             measuring.join().unwrap()
         });
-        let statuses = checker.into_inner().unwrap().verdict(&worker.started(), Duration::from_secs(4));
-        let statuses = statuses.unwrap_or_else(|wrong| panic!("{wrong:#?}\n{}", self.lines.join("\n")));
-        assert!(statuses.keys().all(|status| status == "200" || status == "429"), "{statuses:?}");
+        let statuses = checker
+            .into_inner()
+            .unwrap()
+            .verdict(&worker.started(), Duration::from_secs(4));
+        let statuses =
+            statuses.unwrap_or_else(|wrong| panic!("{wrong:#?}\n{}", self.lines.join("\n")));
+        assert!(
+            statuses
+                .keys()
+                .all(|status| status == "200" || status == "429"),
+            "{statuses:?}"
+        );
         (statuses["200"], latencies)
     }
 
@@ -216,12 +283,15 @@
         let _ = self.parent.kill();
         let _ = self.parent.wait();
         for pid in self.processes() {
-            let _ = Command::new("kill").args(["-KILL", &pid.to_string()]).status();
+            let _ = Command::new("kill")
+                .args(["-KILL", &pid.to_string()])
+                .status();
         }
     }
 }
 
-/// A good version takes the place of the one before, under load, and back again by an order; nothing is lost or run twice.
+/// A good version takes the place of the one before, under load, and back again by an order;
+/// nothing is lost or run twice.
 #[test]
 fn a_good_version_takes_the_place_of_the_one_before_without_a_loss() {
     let mut under = Under::start("1s");
@@ -252,13 +322,17 @@
     under.ends_well();
 }
 
-/// One that ends at once, one that never serves in time is not waited for here, and one that dies on trial: the node goes on with the
-/// last good version.
+/// One that ends at once, one that never serves in time is not waited for here, and one that dies
+/// on trial: the node goes on with the last good version.
 #[test]
 fn a_version_that_does_not_serve_or_dies_is_followed_by_the_last_good_one() {
     let mut under = Under::start("20s");
     version(&under.programs, "2", Some("exit 3"));
-    version(&under.programs, "3", Some(&format!("exec timeout -s KILL 4 {EXE} \"$@\"")));
+    version(
+        &under.programs,
+        "3",
+        Some(&format!("exec timeout -s KILL 4 {EXE} \"$@\"")),
+    );
     let answered = under.under_load(|under| {
         under.offer("2");
         under.logged("did not come to serve: it ended before it served");
@@ -275,7 +349,8 @@
     under.ends_well();
 }
 
-/// A version that serves and does worse, among three nodes: found out at one of them by what callers get, and taken back.
+/// A version that serves and does worse, among three nodes: found out at one of them by what
+/// callers get, and taken back.
 #[test]
 fn a_version_that_does_worse_is_taken_back_at_one_node_of_three() {
     let stages = r#"<stage share="one" least="2s" sample="100" spread="0s"/>"#;
@@ -283,11 +358,20 @@
     // The program with a file of rules of its own, which throttles all reads.
     let text = std::fs::read_to_string(&fleet[0].settings).unwrap();
     let rules = "<rules><rule name=\"worse\"><when>operation == \"read\"</when><throttle reason=\"worse\"/></rule></rules>";
-    let worse = PROGRAM.file("xml", &text.replace("number=\"1\">", &format!("number=\"1\">{rules}")));
+    let worse = PROGRAM.file(
+        "xml",
+        &text.replace("number=\"1\">", &format!("number=\"1\">{rules}")),
+    );
     let (worse, other) = (worse.display(), fleet[0].programs.with_file_name("other"));
-    let script = format!("MADDERPOINT_ROLLOUT_DIR={} exec {EXE} serve --settings {worse}", other.display());
+    let script = format!(
+        "MADDERPOINT_ROLLOUT_DIR={} exec {EXE} serve --settings {worse}",
+        other.display()
+    );
     version(&fleet[0].programs, "2", Some(&script));
-    let (checkers, stop) = ([0, 1, 2].map(|_| Mutex::new(Checker::default())), AtomicBool::new(false));
+    let (checkers, stop) = (
+        [0, 1, 2].map(|_| Mutex::new(Checker::default())),
+        AtomicBool::new(false),
+    );
     thread::scope(|scope| {
         let ends = Ends(&stop);
         for (under, checker) in fleet.iter().zip(&checkers) {
@@ -318,19 +402,35 @@
             while let Ok(line) = under.log.try_recv() {
                 under.lines.push(line);
             }
-            under.lines.iter().filter(|line| line.contains("version 2 ") && line.contains("serves, ")).count()
+            under
+                .lines
+                .iter()
+                .filter(|line| line.contains("version 2 ") && line.contains("serves, "))
+                .count()
         };
-        assert_eq!(fleet.iter_mut().map(of).sum::<usize>(), 1, "it served at one node: {ended}");
+        assert_eq!(
+            fleet.iter_mut().map(of).sum::<usize>(),
+            1,
+            "it served at one node: {ended}"
+        );
         let until = Instant::now() + PATIENCE;
         while !fleet[0].rollout(&["status"]).1.contains("3 run 1") {
-            assert!(Instant::now() < until, "{}", fleet[0].rollout(&["status"]).1);
+            assert!(
+                Instant::now() < until,
+                "{}",
+                fleet[0].rollout(&["status"]).1
+            );
             thread::sleep(Duration::from_millis(200));
         }
         drop(ends);
     });
     for (under, checker) in fleet.iter().zip(checkers) {
-        let verdict = checker.into_inner().unwrap().verdict(&under.worker.started(), Duration::from_secs(4));
-        let statuses = verdict.unwrap_or_else(|wrong| panic!("{wrong:#?}\n{}", under.lines.join("\n")));
+        let verdict = checker
+            .into_inner()
+            .unwrap()
+            .verdict(&under.worker.started(), Duration::from_secs(4));
+        let statuses =
+            verdict.unwrap_or_else(|wrong| panic!("{wrong:#?}\n{}", under.lines.join("\n")));
         assert!(statuses["200"] > 500, "{statuses:?}");
     }
     fleet.into_iter().for_each(Under::ends_well);
@@ -341,13 +441,22 @@
 fn a_swap_of_settings_holds_nobody_up() {
     let mut under = Under::start("1s");
     let text = std::fs::read_to_string(&under.settings).unwrap();
-    let rules =
-        "<rules><rule name=\"r\"><when>operation == \"read\"</when><give class=\"c\"/></rule></rules>";
-    let next = PROGRAM.file("xml", &text.replace("number=\"1\">", &format!("number=\"2\">{rules}")));
-    let times = std::env::var("MADDERPOINT_TIMES").ok().and_then(|times| times.parse().ok()).unwrap_or(3);
+    let rules = "<rules><rule name=\"r\"><when>operation == \"read\"</when><give class=\"c\"/></rule></rules>";
+    let next = PROGRAM.file(
+        "xml",
+        &text.replace("number=\"1\">", &format!("number=\"2\">{rules}")),
+    );
+    let times = std::env::var("MADDERPOINT_TIMES")
+        .ok()
+        .and_then(|times| times.parse().ok())
+        .unwrap_or(3);
     let mut began = Instant::now();
     let (answered, latencies) = under.measured(|under| {
-        thread::sleep(Duration::from_millis(if times > 10 { 60_000 } else { 1000 }));
+        thread::sleep(Duration::from_millis(if times > 10 {
+            60_000
+        } else {
+            1000
+        }));
         began = Instant::now();
         let (code, text) = under.changed(&["start", &next.display().to_string()]);
         assert_eq!(code, Some(0), "{text}");
@@ -355,7 +464,10 @@
         under.logged("is good, and the one to start on");
     });
     let of = |during: bool| {
-        latencies.iter().filter(move |(sent, _)| (*sent >= began) == during).map(|(_, latency)| *latency)
+        latencies
+            .iter()
+            .filter(move |(sent, _)| (*sent >= began) == during)
+            .map(|(_, latency)| *latency)
     };
     println!(
         "{answered} answered; a swap: p99 {:?} before, {:?} during, most {:?} and {:?}",
@@ -364,16 +476,30 @@
         quantile(of(false), 1.0),
         quantile(of(true), 1.0)
     );
-    assert!(quantile(of(true), 0.99) < Duration::from_secs(1), "a swap holds nobody up for long");
+    assert!(
+        quantile(of(true), 0.99) < Duration::from_secs(1),
+        "a swap holds nobody up for long"
+    );
     under.ends_well();
 }
 
-/// Latencies of one caller's requests, one after the other, until it is told to stop; with when each was sent.
-fn measure(listen: SocketAddr, checker: &Mutex<Checker>, stop: &AtomicBool) -> Vec<(Instant, Duration)> {
+/// Latencies of one caller's requests, one after the other, until it is told to stop; with when
+/// each was sent.
+fn measure(
+    listen: SocketAddr,
+    checker: &Mutex<Checker>,
+    stop: &AtomicBool,
+) -> Vec<(Instant, Duration)> {
     let mut all = Vec::new();
     while !stop.load(SeqCst) {
         let sent = Instant::now();
-        load::run(listen, (1, 1, 1), checker, &AtomicBool::new(false), |_, _| Ask::of("/call/read"));
+        load::run(
+            listen,
+            (1, 1, 1),
+            checker,
+            &AtomicBool::new(false),
+            |_, _| Ask::of("/call/read"),
+        );
         all.push((sent, sent.elapsed()));
         thread::sleep(Duration::from_millis(2));
     }
@@ -397,14 +523,22 @@
         .unwrap_or_default()
 }
 
-/// Many renewals under load; the figures are in docs/design/rollout.md. MADDERPOINT_TIMES says how many, 3 if it is not told.
+/// Many renewals under load; the figures are in docs/design/rollout.md. MADDERPOINT_TIMES says how
+/// many, 3 if it is not told.
 #[test]
 fn renewals_lose_nothing_and_cost_little() {
-    let times = std::env::var("MADDERPOINT_TIMES").ok().and_then(|times| times.parse().ok()).unwrap_or(3);
+    let times = std::env::var("MADDERPOINT_TIMES")
+        .ok()
+        .and_then(|times| times.parse().ok())
+        .unwrap_or(3);
     let mut under = Under::start("1s");
     let (mut began, mut took) = (Instant::now(), Vec::new());
     let (answered, latencies) = under.measured(|under| {
-        thread::sleep(Duration::from_millis(if times > 10 { 60_000 } else { 1000 }));
+        thread::sleep(Duration::from_millis(if times > 10 {
+            60_000
+        } else {
+            1000
+        }));
         began = Instant::now();
         for _ in 0..times {
             let since = Instant::now();
@@ -415,8 +549,12 @@
         }
     });
     println!("{answered} answered over {times} renewals");
-    let of =
-        |during: bool| latencies.iter().filter(move |(sent, _)| (*sent >= began) == during).map(|(_, l)| *l);
+    let of = |during: bool| {
+        latencies
+            .iter()
+            .filter(move |(sent, _)| (*sent >= began) == during)
+            .map(|(_, l)| *l)
+    };
     println!(
         "new one serves after {:?} at the median; p50 {:?} before, {:?} during; p99 {:?} before, {:?} during; most {:?} and {:?}",
         quantile(took.iter().copied(), 0.5),
@@ -427,11 +565,15 @@
         quantile(of(false), 1.0),
         quantile(of(true), 1.0)
     );
-    assert!(quantile(of(true), 0.99) < Duration::from_secs(1), "a renewal holds nobody up for long");
+    assert!(
+        quantile(of(true), 0.99) < Duration::from_secs(1),
+        "a renewal holds nobody up for long"
+    );
     under.ends_well();
 }
 
-/// The node is killed: it starts anew. The parent is killed: the node goes on, and another parent takes its place without a gap.
+/// The node is killed: it starts anew. The parent is killed: the node goes on, and another parent
+/// takes its place without a gap.
 #[test]
 fn a_kill_of_either_leaves_a_node_that_serves() {
     let mut under = Under::start("1s");
@@ -451,7 +593,10 @@
     under.logged("of the parent before is told to leave");
     let until = Instant::now() + PATIENCE;
     while PathBuf::from(format!("/proc/{}", second[0])).exists() {
-        assert!(Instant::now() < until, "the process of the parent before did not leave");
+        assert!(
+            Instant::now() < until,
+            "the process of the parent before did not leave"
+        );
         thread::sleep(Duration::from_millis(20));
     }
     assert!(under.under_load(|_| thread::sleep(Duration::from_millis(500))) > 50);
--- a/crates/node/tests/readiness.rs
+++ b/crates/node/tests/readiness.rs
@@ -1,5 +1,5 @@
-//! How soon processes are ready that were restarted in bad company: nine in ten within 10 s, none later than 30 s. Ready is who
-//! answers a health check well.
+//! How soon processes are ready that were restarted in bad company: nine in ten within 10 s, none
+//! later than 30 s. Ready is who answers a health check well.
 
 use madderpoint_standins::peers::{Talk, listen, nobody, ping};
 use madderpoint_standins::program::{Node, Program, told};
@@ -10,7 +10,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PROGRAM: Program = Program { exe: env!("CARGO_BIN_EXE_madderpoint"), dir: env!("CARGO_TARGET_TMPDIR") };
+const PROGRAM: Program = Program {
+    exe: env!("CARGO_BIN_EXE_madderpoint"),
+    dir: env!("CARGO_TARGET_TMPDIR"),
+};
 
 /// Processes that are started at once.
 const AT_ONCE: usize = 20;
@@ -42,7 +45,9 @@
         let stop = Arc::clone(stop);
         thread::spawn(move || {
             while !stop.load(SeqCst) {
-                let Ok(mut stream) = TcpStream::connect(node) else { continue };
+                let Ok(mut stream) = TcpStream::connect(node) else {
+                    continue;
+                };
                 if client % 2 == 0 {
                     let _ = stream.write_all(&ping(1)[..30]);
                 }
@@ -60,8 +65,14 @@
     (listener.local_addr().unwrap(), listener)
 }
 
-/// Starts so many at once, each killed and started again first, and gives how long each took to be ready after its kernel was up.
-fn ready_after(late: Duration, members: SocketAddr, backend: SocketAddr, flooded: bool) -> Vec<Duration> {
+/// Starts so many at once, each killed and started again first, and gives how long each took to be
+/// ready after its kernel was up.
+fn ready_after(
+    late: Duration,
+    members: SocketAddr,
+    backend: SocketAddr,
+    flooded: bool,
+) -> Vec<Duration> {
     let stop = Arc::new(AtomicBool::new(false));
     let started: Vec<_> = (0..AT_ONCE)
         .map(|_| {
@@ -85,7 +96,10 @@
             })
         })
         .collect();
-    let mut took: Vec<_> = started.into_iter().map(|node| node.join().unwrap()).collect();
+    let mut took: Vec<_> = started
+        .into_iter()
+        .map(|node| node.join().unwrap())
+        .collect();
     stop.store(true, SeqCst);
     took.sort();
     took
@@ -96,10 +110,28 @@
     let (hanging, _members) = hangs();
     let (hanging_below, _below) = hangs();
     let ways = [
-        ("all well, but twenty at once", Duration::ZERO, nobody(), nobody(), false),
+        (
+            "all well, but twenty at once",
+            Duration::ZERO,
+            nobody(),
+            nobody(),
+            false,
+        ),
         ("the kernel late", LATE, nobody(), nobody(), false),
-        ("membership service and back end hang", Duration::ZERO, hanging, hanging_below, false),
-        ("a flood on each listener, and all of it", LATE, hanging, nobody(), true),
+        (
+            "membership service and back end hang",
+            Duration::ZERO,
+            hanging,
+            hanging_below,
+            false,
+        ),
+        (
+            "a flood on each listener, and all of it",
+            LATE,
+            hanging,
+            nobody(),
+            true,
+        ),
     ];
     for (way, late, members, backend, flooded) in ways {
         let took = ready_after(late, members, backend, flooded);
@@ -111,6 +143,9 @@
             took[took.len() - 1]
         );
         assert!(of(90) < Duration::from_secs(10), "{way}: {took:?}");
-        assert!(took[took.len() - 1] < Duration::from_secs(30), "{way}: {took:?}");
+        assert!(
+            took[took.len() - 1] < Duration::from_secs(30),
+            "{way}: {took:?}"
+        );
     }
 }
--- a/crates/node/tests/rollout.rs
+++ b/crates/node/tests/rollout.rs
@@ -1,5 +1,6 @@
-//! Changes of settings in stages among several processes, with faults between them, by the timetables in `examples/rig`: good ones
-//! reach all, bad ones are stopped where they began, and the joined record of all nodes is what the rules of a change allow.
+//! Changes of settings in stages among several processes, with faults between them, by the
+//! timetables in `examples/rig`: good ones reach all, bad ones are stopped where they began, and
+//! the joined record of all nodes is what the rules of a change allow.
 
 use madderpoint_standins::rig::{Outcome, Rig, Setting};
 use madderpoint_standins::script::{self, Action, Ends, Fault, Faulty, Script, Step};
@@ -9,8 +10,8 @@
 
 const EXE: &str = env!("CARGO_BIN_EXE_madderpoint");
 
-/// The program with a later version of all messages, built beside the present one. It is there before any rig plays: a
-/// compiler beside them takes the processors that judgements go by.
+/// The program with a later version of all messages, built beside the present one. It is there
+/// before any rig plays: a compiler beside them takes the processors that judgements go by.
 fn later() -> std::path::PathBuf {
     static BUILT: OnceLock<std::path::PathBuf> = OnceLock::new();
     BUILT.get_or_init(build_later).clone()
@@ -68,7 +69,11 @@
     assert_eq!(outcome.on_trial.get(&5), Some(&1), "{:?}", outcome.on_trial);
     assert!(!outcome.on_trial.contains_key(&4) && !outcome.on_trial.contains_key(&3));
     let of = |status: &str| outcome.statuses.get(status).copied().unwrap_or(0);
-    assert!(of("429") > 0 && of("429") * 10 < of("200"), "{:?}", outcome.statuses);
+    assert!(
+        of("429") > 0 && of("429") * 10 < of("200"),
+        "{:?}",
+        outcome.statuses
+    );
 }
 
 #[test]
@@ -85,7 +90,12 @@
 #[test]
 fn of_many_versions_by_two_operators_the_highest_good_one_is_in_force() {
     let outcome = holds("rollout-many.xml");
-    assert_eq!(outcome.on_trial.get(&4), Some(&1), "what errs ran at one node: {:?}", outcome.on_trial);
+    assert_eq!(
+        outcome.on_trial.get(&4),
+        Some(&1),
+        "what errs ran at one node: {:?}",
+        outcome.on_trial
+    );
 }
 
 #[test]
@@ -93,19 +103,30 @@
     holds("rollout-restarts.xml");
 }
 
-/// Two nodes are of a build whose messages have another version, a field more, some less and kinds that the others do not know. All
-/// of them see each other, share limits and budgets, and a change that one of the later ones offers reaches all.
+/// Two nodes are of a build whose messages have another version, a field more, some less and kinds
+/// that the others do not know. All of them see each other, share limits and budgets, and a change
+/// that one of the later ones offers reaches all.
 #[test]
 fn two_builds_with_other_messages_are_one_fleet() {
     let script = read("rollout-later.xml");
     let (exe, dir) = (EXE.into(), env!("CARGO_TARGET_TMPDIR").into());
-    let setting = Setting { exe, later: Some(later()), dir, more: String::new() };
+    let setting = Setting {
+        exe,
+        later: Some(later()),
+        dir,
+        more: String::new(),
+    };
     let outcome = Rig::start(script.clone(), setting).unwrap().play();
     outcome.expect_good(&script);
-    assert!(outcome.below.calls > 300 && outcome.keys_ran > 300, "{:?}", outcome.below);
+    assert!(
+        outcome.below.calls > 300 && outcome.keys_ran > 300,
+        "{:?}",
+        outcome.below
+    );
 }
 
-/// Pairs of hard cases drawn by seed, one within the other, while a good change goes out; afterwards one version is in force.
+/// Pairs of hard cases drawn by seed, one within the other, while a good change goes out;
+/// afterwards one version is in force.
 #[test]
 fn pairs_of_faults_by_seed_while_a_change_goes_out() {
     let ms = Duration::from_millis;
@@ -139,7 +160,8 @@
             ];
             steps.extend(fault(seed % 5, ms(9500)));
             steps.extend(fault((seed / 5 + seed + 1) % 5, ms(12_000)));
-            // Whether it is found good or a death on trial stops it is for the judgement to say; all must come to the same.
+            // Whether it is found good or a death on trial stops it is for the judgement to say;
+            // all must come to the same.
             steps.push(Step { at: ms(75_000), action: Action::Settled { within: ms(6000), sides: 1 } });
             steps.sort_by_key(|step| step.at);
             let periods = [("probe", "200ms"), ("answer", "80ms"), ("gossip", "50ms"), ("regain", "200ms")];
--- a/crates/node/tests/rules.rs
+++ b/crates/node/tests/rules.rs
@@ -1,5 +1,6 @@
-//! The program with a file of rules, on sockets: what rules give is seen at the kernel's wire, throttles carry their
-//! pause, reloads under load lose nothing, and every request gets one final answer.
+//! The program with a file of rules, on sockets: what rules give is seen at the kernel's wire,
+//! throttles carry their pause, reloads under load lose nothing, and every request gets one final
+//! answer.
 
 use madderpoint_standins::checker::Checker;
 use madderpoint_standins::load::{self, Ask};
@@ -14,7 +15,10 @@
 use std::thread;
 use std::time::Duration;
 
-const PROGRAM: Program = Program { exe: env!("CARGO_BIN_EXE_madderpoint"), dir: env!("CARGO_TARGET_TMPDIR") };
+const PROGRAM: Program = Program {
+    exe: env!("CARGO_BIN_EXE_madderpoint"),
+    dir: env!("CARGO_TARGET_TMPDIR"),
+};
 /// The client timeout of all operations here.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -73,16 +77,30 @@
     assert_eq!(worker.started().len(), 2);
     assert_eq!(worker.started()[1].route, "book");
     let answer = ask("/call/read", Some("closed"));
-    assert_eq!((&answer.status[..], &answer.body[..]), ("403", &b"site is closed"[..]));
+    assert_eq!(
+        (&answer.status[..], &answer.body[..]),
+        ("403", &b"site is closed"[..])
+    );
     // Five at once, and then the pause tells when there is room.
     let answers: Vec<_> = (0..6).map(|_| ask("/call/read", Some("7"))).collect();
-    assert!(answers[..5].iter().all(|a| a.status == "200"), "{answers:?}");
+    assert!(
+        answers[..5].iter().all(|a| a.status == "200"),
+        "{answers:?}"
+    );
     let pause: u64 = answers[5].fields["X-Pushback-Ms"].parse().unwrap();
-    assert!(answers[5].status == "429" && (1..=200).contains(&pause), "{:?}", answers[5]);
+    assert!(
+        answers[5].status == "429" && (1..=200).contains(&pause),
+        "{:?}",
+        answers[5]
+    );
     thread::sleep(Duration::from_millis(pause)); // as a caller that heeds it
     assert_eq!(ask("/call/read", Some("7")).status, "200");
     assert_eq!(ask("/call/read", Some("8")).status, "200");
-    assert_eq!(ask("/who", None).status, "418", "where a caller connects from is known");
+    assert_eq!(
+        ask("/who", None).status,
+        "418",
+        "where a caller connects from is known"
+    );
     assert_eq!(ask("/nowhere", None).status, "404");
 }
 
@@ -95,7 +113,8 @@
     thread::scope(|scope| {
         let loading = scope.spawn(|| {
             load::run(listen, (6, 3, 1200), &checker, &stop, |conn, number| {
-                let mut ask = Ask::of(["/call/read", "/old/read", "/old/read", "/call/pay"][number % 4]);
+                let mut ask =
+                    Ask::of(["/call/read", "/old/read", "/old/read", "/call/pay"][number % 4]);
                 if number % 5 == 0 {
                     // Each key comes from three connections, and must run once.
                     let key = format!("k{}-{number}", conn / 3);
@@ -103,12 +122,16 @@
                     ask.key = Some(key);
                 } else if number % 7 == 0 {
                     ask.path = "/call/read".into();
-                    ask.params.push(("HTTP_X_SITE".into(), ["7", "8", "closed"][number % 3].into()));
+                    ask.params.push((
+                        "HTTP_X_SITE".into(),
+                        ["7", "8", "closed"][number % 3].into(),
+                    ));
                 }
                 ask
             });
         });
-        // Every other file is broken in another way; what follows the good ones is logged each time.
+        // Every other file is broken in another way; what follows the good ones is logged each
+        // time.
         let broken = [
             "<translator",
             "<rules/>",
@@ -135,8 +158,14 @@
         .unwrap_or_else(|e| panic!("{e:#?}"));
     let total: usize = statuses.values().sum();
     assert_eq!(total, 6 * 1200, "{statuses:?}");
-    assert!(statuses["200"] > 100 && statuses["403"] > 100 && statuses["429"] > 100, "{statuses:?}");
-    assert!(!statuses.contains_key("404"), "no reload left a moment without rules: {statuses:?}");
+    assert!(
+        statuses["200"] > 100 && statuses["403"] > 100 && statuses["429"] > 100,
+        "{statuses:?}"
+    );
+    assert!(
+        !statuses.contains_key("404"),
+        "no reload left a moment without rules: {statuses:?}"
+    );
 }
 
 #[test]
@@ -146,8 +175,11 @@
     worker.hold(true);
     let listen = node.listen;
     thread::scope(|scope| {
-        let loading =
-            scope.spawn(|| load::run(listen, (4, 4, 4), &checker, &stop, |_, _| Ask::of("/old/read")));
+        let loading = scope.spawn(|| {
+            load::run(listen, (4, 4, 4), &checker, &stop, |_, _| {
+                Ask::of("/old/read")
+            })
+        });
         worker.wait_started(1);
         node.terminate();
         node.logged("notice to leave");
@@ -170,22 +202,33 @@
     let bad = file(
         "<rule name=\"a\"><when>operation == \"gone\"</when></rule>\n<rule name=\"b\"><when>1 +</when></rule>",
     );
-    let output =
-        PROGRAM.start(&config).args(["serve", "--settings", bad.to_str().unwrap()]).output().unwrap();
+    let output = PROGRAM
+        .start(&config)
+        .args(["serve", "--settings", bad.to_str().unwrap()])
+        .output()
+        .unwrap();
     let log = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(1));
     assert!(
         log.contains(":3:")
-            && log.contains("the settings have no operation 'gone'; expected one of read, book, pay"),
+            && log
+                .contains("the settings have no operation 'gone'; expected one of read, book, pay"),
+        "{log}"
+    );
+    assert!(
+        log.contains(":4:") && log.contains("unexpected the end"),
         "{log}"
     );
-    assert!(log.contains(":4:") && log.contains("unexpected the end"), "{log}");
 }
 
 fn call(arguments: &[&str]) -> (Option<i32>, String, String) {
     let output = Command::new(PROGRAM.exe).args(arguments).output().unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    (output.status.code(), text(output.stdout), text(output.stderr))
+    (
+        output.status.code(),
+        text(output.stdout),
+        text(output.stderr),
+    )
 }
 
 #[test]
@@ -197,25 +240,55 @@
     let config = PROGRAM.config(&told(nobody(), nobody(), nobody(), 1024));
     let (good, config) = (good.to_str().unwrap(), config.to_str().unwrap());
     let (code, out, _) = call(&["check", good, "--config", config]);
-    assert!(code == Some(0) && out.contains("good; 5 rules, 1 buckets, 2 cases"), "{out}");
+    assert!(
+        code == Some(0) && out.contains("good; 5 rules, 1 buckets, 2 cases"),
+        "{out}"
+    );
     let (code, out, _) = call(&["check", good, "--format", "json"]);
     let told: serde_json::Value = serde_json::from_str(&out).unwrap();
-    assert_eq!((code, &told["rules"], &told["good"]), (Some(0), &5.into(), &true.into()));
+    assert_eq!(
+        (code, &told["rules"], &told["good"]),
+        (Some(0), &5.into(), &true.into())
+    );
     let (code, out, _) = call(&["rules", "test", good]);
     assert_eq!(code, Some(1));
-    assert!(out.contains("ok: booked") && out.contains("FAILED: wrong: rule is old, not book"), "{out}");
-    let request = PROGRAM.file("json", r#"{"script": "/old/book/k9", "params": {"HTTP_X_SITE": "open"}}"#);
-    let (code, out, _) =
-        call(&["rules", "explain", good, "--request", request.to_str().unwrap(), "--format", "json"]);
+    assert!(
+        out.contains("ok: booked") && out.contains("FAILED: wrong: rule is old, not book"),
+        "{out}"
+    );
+    let request = PROGRAM.file(
+        "json",
+        r#"{"script": "/old/book/k9", "params": {"HTTP_X_SITE": "open"}}"#,
+    );
+    let (code, out, _) = call(&[
+        "rules",
+        "explain",
+        good,
+        "--request",
+        request.to_str().unwrap(),
+        "--format",
+        "json",
+    ]);
     let told: serde_json::Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
         (code, &told["given"]["rule"], &told["given"]["key"]),
         (Some(0), &"book".into(), &"k9".into())
     );
-    assert_eq!(told["rules"][0]["failed"]["part"], "params.HTTP_X_SITE == \"closed\"");
+    assert_eq!(
+        told["rules"][0]["failed"]["part"],
+        "params.HTTP_X_SITE == \"closed\""
+    );
     let (code, out, _) = call(&["rules", "bench", good, "--rounds", "50"]);
-    assert!(code == Some(0) && out.contains("index") && out.contains("scan"), "{out}");
-    for wrong in [&["rules", "explain", good][..], &["check"], &["check", "/nowhere.xml"], &["dance"]] {
+    assert!(
+        code == Some(0) && out.contains("index") && out.contains("scan"),
+        "{out}"
+    );
+    for wrong in [
+        &["rules", "explain", good][..],
+        &["check"],
+        &["check", "/nowhere.xml"],
+        &["dance"],
+    ] {
         assert_eq!(call(wrong).0, Some(2), "{wrong:?}");
     }
     let (_, help, _) = call(&["--help"]);
@@ -225,12 +298,18 @@
 /// CPU time of a process so far, in clock ticks of a hundredth of a second.
 fn ticks(pid: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
-    let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
+    let fields: Vec<&str> = stat
+        .rsplit(')')
+        .next()
+        .unwrap()
+        .split_whitespace()
+        .collect();
     fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
 }
 
-/// Not a part of CI: what a request costs the whole program with the dearest rule that is accepted, with rules that
-/// classify, and without. Run: cargo test --release -p madderpoint-node --test rules -- --ignored --nocapture
+/// Not a part of CI: what a request costs the whole program with the dearest rule that is accepted,
+/// with rules that classify, and without. Run: cargo test --release -p madderpoint-node --test
+/// rules -- --ignored --nocapture
 #[test]
 #[ignore = "a measurement"]
 fn cpu_of_a_request_with_the_dearest_rule_and_without() {
@@ -241,12 +320,17 @@
     let (each, connections) = (20_000, 4);
     let mut costs = [const { Vec::new() }; 3];
     for round in 0..5 {
-        for (which, rules) in [None, Some(classify), Some(dearest)].into_iter().enumerate() {
+        for (which, rules) in [None, Some(classify), Some(dearest)]
+            .into_iter()
+            .enumerate()
+        {
             let worker = Worker::start();
             let config = told(worker.address, nobody(), nobody(), 1024);
             let path = rules.map(file);
-            let arguments: Vec<&str> =
-                path.iter().flat_map(|path| ["--settings", path.to_str().unwrap()]).collect();
+            let arguments: Vec<&str> = path
+                .iter()
+                .flat_map(|path| ["--settings", path.to_str().unwrap()])
+                .collect();
             let node = Node::started(PROGRAM, &config, &arguments);
             let mut dispatcher = node.connect();
             while dispatcher.ping() != "200" {}
@@ -255,11 +339,17 @@
             // A worker that remembers all runs looks through them for each; this one forgets.
             thread::scope(|scope| {
                 let loading = scope.spawn(|| {
-                    load::run(node.listen, (connections, 4, each), &checker, &stop, |_, _| {
-                        let mut ask = Ask::of("/call/read");
-                        ask.params.push(("W".into(), "abcd".repeat(246)));
-                        ask
-                    });
+                    load::run(
+                        node.listen,
+                        (connections, 4, each),
+                        &checker,
+                        &stop,
+                        |_, _| {
+                            let mut ask = Ask::of("/call/read");
+                            ask.params.push(("W".into(), "abcd".repeat(246)));
+                            ask
+                        },
+                    );
                 });
                 while !loading.is_finished() {
                     worker.forget();
@@ -280,5 +370,7 @@
         costs[costs.len() / 2]
     };
     let [none, classify, dearest] = costs.each_mut().map(middle);
-    println!("medians: no rules {none:.1}, classify {classify:.1}, dearest {dearest:.1} µs a request");
+    println!(
+        "medians: no rules {none:.1}, classify {classify:.1}, dearest {dearest:.1} µs a request"
+    );
 }
--- a/crates/node/tests/shared.rs
+++ b/crates/node/tests/shared.rs
@@ -1,5 +1,5 @@
-//! Several processes that share budgets, limits by key, counts and judgements, with faults between them. The record of the service
-//! below, and of what ran by key, over all nodes, is the judge.
+//! Several processes that share budgets, limits by key, counts and judgements, with faults between
+//! them. The record of the service below, and of what ran by key, over all nodes, is the judge.
 
 use madderpoint_standins::rig::{Outcome, Rig, Setting};
 use madderpoint_standins::script::{self, Action, Below, Ends, Fault, Faulty, Keys, Script, Step};
@@ -10,7 +10,12 @@
 const EXE: &str = env!("CARGO_BIN_EXE_madderpoint");
 
 fn setting() -> Setting {
-    Setting { exe: EXE.into(), later: None, dir: env!("CARGO_TARGET_TMPDIR").into(), more: String::new() }
+    Setting {
+        exe: EXE.into(),
+        later: None,
+        dir: env!("CARGO_TARGET_TMPDIR").into(),
+        more: String::new(),
+    }
 }
 
 fn play(script: &Script) -> Outcome {
@@ -39,7 +44,11 @@
 #[test]
 fn calls_in_hand_are_kept_through_thirds_a_cold_return_and_a_pause() {
     let (_, outcome) = holds("hands.xml");
-    assert!(outcome.below.most_in_hand >= 10 && outcome.below.calls > 1500, "{:?}", outcome.below);
+    assert!(
+        outcome.below.most_in_hand >= 10 && outcome.below.calls > 1500,
+        "{:?}",
+        outcome.below
+    );
 }
 
 #[test]
@@ -57,8 +66,15 @@
 #[test]
 fn the_sum_of_what_all_send_rises_with_a_service_that_starts_cold() {
     let (_, outcome) = holds("slow-start.xml");
-    println!("the worst second: {:?} calls over what it takes", outcome.over_a_start);
-    assert!(outcome.over_a_start.is_some() && outcome.below.calls > 1500, "{:?}", outcome.below);
+    println!(
+        "the worst second: {:?} calls over what it takes",
+        outcome.over_a_start
+    );
+    assert!(
+        outcome.over_a_start.is_some() && outcome.below.calls > 1500,
+        "{:?}",
+        outcome.below
+    );
 }
 
 #[test]
@@ -69,7 +85,13 @@
 /// The judge sees what it is for: with no limit set the same load is over it, and the service dies.
 #[test]
 fn without_the_limits_the_records_show_it() {
-    let below = Below { work: ms(60), survives: 8, down: ms(500), warm: ms(500), ..Below::default() };
+    let below = Below {
+        work: ms(60),
+        survives: 8,
+        down: ms(500),
+        warm: ms(500),
+        ..Below::default()
+    };
     let script = Script {
         name: "no limits".into(),
         seed: 3,
@@ -82,8 +104,16 @@
         ..Script::default()
     };
     let outcome = play(&script);
-    assert!(outcome.below.falls > 0 && outcome.below.most_in_hand > 8, "{:?}", outcome.below);
-    assert!(outcome.failures.iter().any(|what| what.contains("died")), "{:?}", outcome.failures);
+    assert!(
+        outcome.below.falls > 0 && outcome.below.most_in_hand > 8,
+        "{:?}",
+        outcome.below
+    );
+    assert!(
+        outcome.failures.iter().any(|what| what.contains("died")),
+        "{:?}",
+        outcome.failures
+    );
 }
 
 /// Pairs of hard cases drawn by seed, one within the other, with budgets and keys at once.
@@ -93,31 +123,85 @@
         let fault = |kind: u64, at: Duration| {
             let node = format!("n{}", (seed + kind) % 5);
             let link = |from: Ends, to: Ends, both, fault| {
-                let faulty = Faulty { from, to, both, fault, ..Faulty::default() };
-                Action::Link { faulty, time: Some(ms(3000)) }
+                let faulty = Faulty {
+                    from,
+                    to,
+                    both,
+                    fault,
+                    ..Faulty::default()
+                };
+                Action::Link {
+                    faulty,
+                    time: Some(ms(3000)),
+                }
+            };
+            let cut = Fault {
+                cut: true,
+                ..Fault::default()
             };
-            let cut = Fault { cut: true, ..Fault::default() };
             let action = match kind {
-                0 => Action::Pause { node: node.clone(), time: ms(3000) },
-                1 => link(Ends::Zone("z0".into()), Ends::NotZone("z0".into()), true, cut),
-                2 => link(Ends::Zone("z0".into()), Ends::NotZone("z0".into()), false, cut),
+                0 => Action::Pause {
+                    node: node.clone(),
+                    time: ms(3000),
+                },
+                1 => link(
+                    Ends::Zone("z0".into()),
+                    Ends::NotZone("z0".into()),
+                    true,
+                    cut,
+                ),
+                2 => link(
+                    Ends::Zone("z0".into()),
+                    Ends::NotZone("z0".into()),
+                    false,
+                    cut,
+                ),
                 3 => {
-                    let fault = Fault { loss: 0.4, double: 0.3, reorder: 0.3, ..Fault::default() };
+                    let fault = Fault {
+                        loss: 0.4,
+                        double: 0.3,
+                        reorder: 0.3,
+                        ..Fault::default()
+                    };
                     link(Ends::All, Ends::All, false, fault)
                 }
                 _ => Action::Kill(node.clone()),
             };
-            let back = Action::Start { node, name: None, program: None };
+            let back = Action::Start {
+                node,
+                name: None,
+                program: None,
+            };
             let is_kill = matches!(action, Action::Kill(_));
-            let back = is_kill.then_some(Step { at: at + ms(400), action: back });
+            let back = is_kill.then_some(Step {
+                at: at + ms(400),
+                action: back,
+            });
             [Some(Step { at, action }), back].into_iter().flatten()
         };
-        let mut steps = vec![Step { at: ms(0), action: Action::Settled { within: ms(8000), sides: 1 } }];
+        let mut steps = vec![Step {
+            at: ms(0),
+            action: Action::Settled {
+                within: ms(8000),
+                sides: 1,
+            },
+        }];
         steps.extend(fault(seed % 5, ms(7000)));
         steps.extend(fault((seed / 5 + seed + 1) % 5, ms(8500)));
-        steps.push(Step { at: ms(12_500), action: Action::Settled { within: ms(6000), sides: 1 } });
+        steps.push(Step {
+            at: ms(12_500),
+            action: Action::Settled {
+                within: ms(6000),
+                sides: 1,
+            },
+        });
         steps.sort_by_key(|step| step.at);
-        let periods = [("probe", "200ms"), ("answer", "80ms"), ("gossip", "50ms"), ("regain", "200ms")];
+        let periods = [
+            ("probe", "200ms"),
+            ("answer", "80ms"),
+            ("gossip", "50ms"),
+            ("regain", "200ms"),
+        ];
         let script = Script {
             name: "a pair of faults".into(),
             seed,
@@ -129,8 +213,19 @@
             calls_in_hand: 12,
             repeats_a_second: 10,
             floor: 1,
-            below: Below { work: ms(30), survives: 14, judged: true, ..Below::default() },
-            keys: Keys { count: 3, a_second: 30, burst: 60, in_hand: 10, floor: 1 },
+            below: Below {
+                work: ms(30),
+                survives: 14,
+                judged: true,
+                ..Below::default()
+            },
+            keys: Keys {
+                count: 3,
+                a_second: 30,
+                burst: 60,
+                in_hand: 10,
+                floor: 1,
+            },
             time: ms(15_000),
             periods: periods.map(|(n, v)| (n.to_owned(), v.to_owned())).into(),
             steps,
@@ -142,23 +237,36 @@
 
 fn call(arguments: &[&str]) -> (Option<i32>, String) {
     let output = Command::new(EXE).args(arguments).output().unwrap();
-    (output.status.code(), String::from_utf8([output.stdout, output.stderr].concat()).unwrap())
+    (
+        output.status.code(),
+        String::from_utf8([output.stdout, output.stderr].concat()).unwrap(),
+    )
 }
 
-/// A running node says what it holds of all that is shared and why; one that shares nothing says that.
+/// A running node says what it holds of all that is shared and why; one that shares nothing says
+/// that.
 #[test]
 fn a_running_node_says_why_it_holds_what_it_holds() {
     use madderpoint_standins::peers::nobody;
     use madderpoint_standins::program::{Node, Program, told};
-    let program = Program { exe: EXE, dir: env!("CARGO_TARGET_TMPDIR") };
+    let program = Program {
+        exe: EXE,
+        dir: env!("CARGO_TARGET_TMPDIR"),
+    };
     let settings = |inner: &str, rules: &str| {
         let keys = program.file("keys", &"07".repeat(32));
-        let bind = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let bind = std::net::UdpSocket::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap();
         let text = format!(
             "<translator version=\"1\">{rules}<fleet name=\"f\" keys=\"{}\" bind=\"{bind}\">{inner}</fleet></translator>",
             keys.display()
         );
-        (program.file("xml", &text).display().to_string(), bind.to_string())
+        (
+            program.file("xml", &text).display().to_string(),
+            bind.to_string(),
+        )
     };
     let rules = r#"<rules><bucket name="by-site" scope="fleet" rate="10/s" burst="30" floor="1" nodes-most="4"/></rules>"#;
     let (good, at) = settings(
@@ -179,14 +287,41 @@
     ] {
         assert!(text.contains(said), "{said:?} in {text}");
     }
-    let (code, text) = call(&["fleet", "show", "--settings", &good, "--at", &at, "--format", "json"]);
+    let (code, text) = call(&[
+        "fleet",
+        "show",
+        "--settings",
+        &good,
+        "--at",
+        &at,
+        "--format",
+        "json",
+    ]);
     let shown: serde_json::Value = serde_json::from_str(&text).unwrap();
-    assert_eq!((code, &shown["shared"]["lends"], &shown["size"]), (Some(0), &true.into(), &1.into()));
+    assert_eq!(
+        (code, &shown["shared"]["lends"], &shown["size"]),
+        (Some(0), &true.into(), &1.into())
+    );
     assert_eq!(shown["shared"]["budgets"][0]["limit"], 100);
     let (plain, at) = settings("", "");
     let _node = Node::started(program, &config, &["--settings", &plain]);
     let (code, text) = call(&["shared", "explain", "--settings", &plain, "--at", &at]);
-    assert!(code == Some(2) && text.contains("it shares nothing"), "{text}");
-    let (code, text) = call(&["fleet", "show", "--settings", &plain, "--at", &at, "--format", "json"]);
-    assert!(code == Some(0) && text.contains("\"shared\": null"), "{text}");
+    assert!(
+        code == Some(2) && text.contains("it shares nothing"),
+        "{text}"
+    );
+    let (code, text) = call(&[
+        "fleet",
+        "show",
+        "--settings",
+        &plain,
+        "--at",
+        &at,
+        "--format",
+        "json",
+    ]);
+    assert!(
+        code == Some(0) && text.contains("\"shared\": null"),
+        "{text}"
+    );
 }
--- a/crates/rollout/examples/compare.rs
+++ b/crates/rollout/examples/compare.rs
@@ -1,7 +1,9 @@
-//! Changes good and bad, by seed, judged in several ways and set against all nodes at once: how many good ones are stopped, how many
-//! bad ones pass, by the size of their harm, and what they cost. Prints a table; with a path, draws what bad ones cost as SVG.
+//! Changes good and bad, by seed, judged in several ways and set against all nodes at once: how
+//! many good ones are stopped, how many bad ones pass, by the size of their harm, and what they
+//! cost. Prints a table; with a path, draws what bad ones cost as SVG.
 //!
-//! `cargo run --release -p madderpoint-rollout --example compare [changes] [nodes,nodes...] [plot.svg]`
+//! `cargo run --release -p madderpoint-rollout --example compare [changes] [nodes,nodes...]
+//! [plot.svg]`
 
 use madderpoint_rollout::judge::Way;
 use madderpoint_rollout::sim::trial::{NO_JUDGEMENT, Out, Outcome, Trial};
@@ -14,26 +16,42 @@
 const SIZES: [f64; 7] = [0.01, 0.02, 0.03, 0.05, 0.1, 0.3, 1.0];
 
 fn play(nodes: usize, effect: Effect, out: Out, changes: u64) -> Vec<Outcome> {
-    let trial =
-        Trial { nodes, zones: 4, each: 200.0, noise: Noise::USUAL, plan: Plan::default(), effect, out };
+    let trial = Trial {
+        nodes,
+        zones: 4,
+        each: 200.0,
+        noise: Noise::USUAL,
+        plan: Plan::default(),
+        effect,
+        out,
+    };
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get()) as u64;
     std::thread::scope(|scope| {
         let parts: Vec<_> = (0..threads)
             .map(|part| {
                 let trial = &trial;
                 scope.spawn(move || {
-                    (part..changes).step_by(threads as usize).map(|seed| trial.play(seed)).collect::<Vec<_>>()
+                    (part..changes)
+                        .step_by(threads as usize)
+                        .map(|seed| trial.play(seed))
+                        .collect::<Vec<_>>()
                 })
             })
             .collect();
-        parts.into_iter().flat_map(|part| part.join().unwrap_or_default()).collect()
+        parts
+            .into_iter()
+            .flat_map(|part| part.join().unwrap_or_default())
+            .collect()
     })
 }
 
 fn quantile(mut values: Vec<f64>, part: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let at = (values.len() as f64 * part) as usize;
-    values.get(at.min(values.len().saturating_sub(1))).copied().unwrap_or(0.0)
+    values
+        .get(at.min(values.len().saturating_sub(1)))
+        .copied()
+        .unwrap_or(0.0)
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -58,12 +76,20 @@
     for nodes in sizes {
         for (name, out) in ways {
             let good = play(nodes, Effect::NONE, out, changes);
-            let stopped = good.iter().filter(|outcome| outcome.stopped).count() as f64 / changes as f64;
-            // Of those that were stopped, those that came to no judgement in their time, and were halted as they stood.
-            let halted =
-                good.iter().filter(|outcome| outcome.what == NO_JUDGEMENT).count() as f64 / changes as f64;
-            let minutes: Vec<f64> =
-                good.iter().filter(|o| !o.stopped).map(|o| o.time as f64 / SECOND / 60.0).collect();
+            let stopped =
+                good.iter().filter(|outcome| outcome.stopped).count() as f64 / changes as f64;
+            // Of those that were stopped, those that came to no judgement in their time, and were
+            // halted as they stood.
+            let halted = good
+                .iter()
+                .filter(|outcome| outcome.what == NO_JUDGEMENT)
+                .count() as f64
+                / changes as f64;
+            let minutes: Vec<f64> = good
+                .iter()
+                .filter(|o| !o.stopped)
+                .map(|o| o.time as f64 / SECOND / 60.0)
+                .collect();
             print!(
                 "{nodes:5}  {name:22}  {:7.1} ({:4.1})  {:7.0} {:4.0} |",
                 (stopped - halted) * 1000.0,
@@ -73,11 +99,25 @@
             );
             let mut line = Vec::new();
             for size in SIZES {
-                let bad = play(nodes, Effect { errored: size, ..Effect::NONE }, out, changes.min(200));
-                let passed = bad.iter().filter(|outcome| !outcome.stopped).count() as f64 / bad.len() as f64;
+                let bad = play(
+                    nodes,
+                    Effect {
+                        errored: size,
+                        ..Effect::NONE
+                    },
+                    out,
+                    changes.min(200),
+                );
+                let passed =
+                    bad.iter().filter(|outcome| !outcome.stopped).count() as f64 / bad.len() as f64;
                 // In seconds of all that the fleet is asked for.
-                let cost = bad.iter().map(|o| o.cost / o.asked * 10.0).sum::<f64>() / bad.len() as f64;
-                print!("  {:.0}%: {:3.0} ({cost:.1} s)", size * 100.0, passed * 100.0);
+                let cost =
+                    bad.iter().map(|o| o.cost / o.asked * 10.0).sum::<f64>() / bad.len() as f64;
+                print!(
+                    "  {:.0}%: {:3.0} ({cost:.1} s)",
+                    size * 100.0,
+                    passed * 100.0
+                );
                 line.push((size * 100.0, cost));
             }
             println!();
@@ -93,7 +133,11 @@
 fn draw(path: &str, lines: &[(String, Vec<(f64, f64)>)]) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(path, (900, 560)).into_drawing_area();
     area.fill(&WHITE)?;
-    let most = lines.iter().flat_map(|(_, line)| line).map(|(_, cost)| *cost).fold(1.0, f64::max);
+    let most = lines
+        .iter()
+        .flat_map(|(_, line)| line)
+        .map(|(_, cost)| *cost)
+        .fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(&area)
         .margin(16)
         .x_label_area_size(40)
@@ -110,9 +154,15 @@
         chart
             .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
             .label(name)
-            .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour.stroke_width(2)));
+            .legend(move |(x, y)| {
+                PathElement::new(vec![(x, y), (x + 16, y)], colour.stroke_width(2))
+            });
     }
-    chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
+    chart
+        .configure_series_labels()
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK)
+        .draw()?;
     area.present()?;
     Ok(())
 }
--- a/crates/rollout/src/change.rs
+++ b/crates/rollout/src/change.rs
@@ -1,6 +1,7 @@
-//! What the fleet knows of a change: a value that merges in any order, any number of times, and only ever moves on. Of two words
-//! about one change the later stage holds, and the fate that is nearer to safety: whoever halts needs nobody, and nothing that is
-//! said later brings a change back.
+//! What the fleet knows of a change: a value that merges in any order, any number of times, and
+//! only ever moves on. Of two words about one change the later stage holds, and the fate that is
+//! nearer to safety: whoever halts needs nobody, and nothing that is said later brings a change
+//! back.
 
 use crate::Nanos;
 use crate::stages::{Plan, Reach};
@@ -68,7 +69,15 @@
     }
 
     pub(crate) fn from_number(number: u32) -> Option<Fate> {
-        [Fate::Open, Fate::Done, Fate::Refused, Fate::Halted, Fate::Back].get(number as usize).copied()
+        [
+            Fate::Open,
+            Fate::Done,
+            Fate::Refused,
+            Fate::Halted,
+            Fate::Back,
+        ]
+        .get(number as usize)
+        .copied()
     }
 }
 
@@ -85,8 +94,15 @@
 impl Reason {
     /// A reason, cut to its bound.
     pub fn new(at_ms: u64, by: u64, why: &str) -> Reason {
-        let end = (0..=REASON_MAX.min(why.len())).rev().find(|end| why.is_char_boundary(*end)).unwrap_or(0);
-        Reason { at_ms, by, why: why[..end].to_owned() }
+        let end = (0..=REASON_MAX.min(why.len()))
+            .rev()
+            .find(|end| why.is_char_boundary(*end))
+            .unwrap_or(0);
+        Reason {
+            at_ms,
+            by,
+            why: why[..end].to_owned(),
+        }
     }
 }
 
@@ -112,7 +128,8 @@
 }
 
 impl Change {
-    /// The place of a change among those that have not begun: the higher version first, of these the one offered first.
+    /// The place of a change among those that have not begun: the higher version first, of these
+    /// the one offered first.
     pub fn order(&self) -> (std::cmp::Reverse<u64>, u64, ChangeId) {
         (std::cmp::Reverse(self.version.number), self.at_ms, self.id)
     }
@@ -127,7 +144,8 @@
         matches!(self.fate, Fate::Done | Fate::Refused | Fate::Back)
     }
 
-    /// Whether a node is to run the new version by what is known here; none if it is to stay as it is.
+    /// Whether a node is to run the new version by what is known here; none if it is to stay as it
+    /// is.
     pub fn wants(&self, node: u64, zone: u32) -> Option<bool> {
         match self.fate {
             Fate::Open => Some(self.reach.has(self.id, node, zone)),
@@ -158,7 +176,8 @@
         nearer || farther
     }
 
-    /// It was agreed that it has come this far. Agreements are numbered; there are no two of a number.
+    /// It was agreed that it has come this far. Agreements are numbered; there are no two of a
+    /// number.
     fn reached(&mut self, reach: &Reach) -> bool {
         let farther = reach.seq > self.reach.seq;
         if farther {
@@ -176,12 +195,14 @@
         crate::mix(print ^ self.reason.at_ms ^ self.reason.by)
     }
 
-    /// The place among those that are remembered: what is under way, then what may begin, by its order, then what is over, the
-    /// latest first.
+    /// The place among those that are remembered: what is under way, then what may begin, by its
+    /// order, then what is over, the latest first.
     fn rank(&self) -> (u8, std::cmp::Reverse<u64>, u64, ChangeId) {
         let (number, at, id) = self.order();
         match self.fate {
-            Fate::Open | Fate::Halted if self.reach.seq > 0 => (0, std::cmp::Reverse(self.reach.seq), at, id),
+            Fate::Open | Fate::Halted if self.reach.seq > 0 => {
+                (0, std::cmp::Reverse(self.reach.seq), at, id)
+            }
             Fate::Open => (1, number, at, id),
             _ => (2, std::cmp::Reverse(self.at_ms), self.reach.seq, id),
         }
@@ -206,12 +227,15 @@
 
     /// The one of the last agreement: it is never forgotten, so that agreements keep their numbers.
     pub fn head(&self, kind: Kind) -> Option<&Change> {
-        let of = self.all.values().filter(|change| change.kind == kind && change.reach.seq > 0);
+        let of = self
+            .all
+            .values()
+            .filter(|change| change.kind == kind && change.reach.seq > 0);
         of.max_by_key(|change| change.reach.seq)
     }
 
-    /// A word about a change; whether anything is new in it. Which ones are remembered follows from what was heard, and not from
-    /// the order, so that all come to the same.
+    /// A word about a change; whether anything is new in it. Which ones are remembered follows from
+    /// what was heard, and not from the order, so that all come to the same.
     pub fn hear(&mut self, said: &Change) -> bool {
         if let Some(known) = self.all.get_mut(&said.id) {
             return known.merge(said);
@@ -228,46 +252,69 @@
             return true;
         }
         let heads = [Kind::Settings, Kind::Program].map(|kind| self.head(kind).map(|head| head.id));
-        let last =
-            self.all.values().filter(|c| !heads.contains(&Some(c.id))).max_by_key(|change| change.rank());
-        let Some(last) = last.map(|last| last.id) else { return true };
+        let last = self
+            .all
+            .values()
+            .filter(|c| !heads.contains(&Some(c.id)))
+            .max_by_key(|change| change.rank());
+        let Some(last) = last.map(|last| last.id) else {
+            return true;
+        };
         self.all.remove(&last);
         last != id
     }
 
     /// Moves a change towards safety.
     pub fn end(&mut self, id: ChangeId, fate: Fate, reason: Reason) -> bool {
-        self.all.get_mut(&id).is_some_and(|change| change.end(fate, reason))
+        self.all
+            .get_mut(&id)
+            .is_some_and(|change| change.end(fate, reason))
     }
 
     /// It was agreed that a change has come this far.
     pub fn advance(&mut self, id: ChangeId, reach: &Reach) -> bool {
-        self.all.get_mut(&id).is_some_and(|change| change.reached(reach))
+        self.all
+            .get_mut(&id)
+            .is_some_and(|change| change.reached(reach))
     }
 
-    /// The change that is under way, of a kind. While this node lacks the end of one there may seem to be two: the later holds.
+    /// The change that is under way, of a kind. While this node lacks the end of one there may seem
+    /// to be two: the later holds.
     pub fn under_way(&self, kind: Kind) -> Option<&Change> {
-        self.all.values().filter(|c| c.kind == kind && c.is_under_way()).max_by_key(|change| change.reach.seq)
+        self.all
+            .values()
+            .filter(|c| c.kind == kind && c.is_under_way())
+            .max_by_key(|change| change.reach.seq)
     }
 
     /// The one that goes next: the first in the order of those that have not begun.
     pub fn next(&self, kind: Kind) -> Option<&Change> {
         let waits = |c: &&Change| c.kind == kind && c.fate == Fate::Open && c.reach.stage == 0;
-        self.all.values().filter(waits).min_by_key(|change| change.order())
+        self.all
+            .values()
+            .filter(waits)
+            .min_by_key(|change| change.order())
     }
 
     /// The one that a node goes by now: under way, or halted and not taken back, or else the next.
     pub fn current(&self, kind: Kind) -> Option<&Change> {
         let halted = || {
-            let halted = self.all.values().filter(|c| c.kind == kind && c.fate == Fate::Halted);
+            let halted = self
+                .all
+                .values()
+                .filter(|c| c.kind == kind && c.fate == Fate::Halted);
             halted.max_by_key(|change| change.reach.seq)
         };
-        self.under_way(kind).or_else(halted).or_else(|| self.next(kind))
+        self.under_way(kind)
+            .or_else(halted)
+            .or_else(|| self.next(kind))
     }
 
     /// A number that two nodes share if they know the same.
     pub fn digest(&self) -> u64 {
-        self.all.values().fold(0, |sum, change| sum.wrapping_add(change.print()))
+        self.all
+            .values()
+            .fold(0, |sum, change| sum.wrapping_add(change.print()))
     }
 
     /// Forgets what was over long ago.
@@ -277,7 +324,12 @@
         self.all.retain(|id, change| {
             heads.contains(&Some(*id))
                 || !change.is_over()
-                || now_ms < change.reason.at_ms.max(change.at_ms).saturating_add(keep_ms)
+                || now_ms
+                    < change
+                        .reason
+                        .at_ms
+                        .max(change.at_ms)
+                        .saturating_add(keep_ms)
         });
     }
 }
@@ -293,8 +345,14 @@
         Change {
             id: ChangeId(id),
             kind: Kind::Settings,
-            version: Version { number, hash: crate::mix(number ^ id) },
-            base: Version { number: 1, hash: 11 },
+            version: Version {
+                number,
+                hash: crate::mix(number ^ id),
+            },
+            base: Version {
+                number: 1,
+                hash: 11,
+            },
             digest: [id as u8; 32],
             bytes: 100,
             by: 5,
@@ -308,10 +366,16 @@
 
     fn reach(stage: u32) -> Reach {
         let until = BTreeMap::from([(0, u64::from(stage) << 50)]);
-        Reach { seq: u64::from(stage), stage, until, ..Reach::default() }
+        Reach {
+            seq: u64::from(stage),
+            stage,
+            until,
+            ..Reach::default()
+        }
     }
 
-    /// Words in any order, in any groups, any number of times come to the same, and nothing moves away from safety.
+    /// Words in any order, in any groups, any number of times come to the same, and nothing moves
+    /// away from safety.
     #[test]
     fn words_merge_in_any_order_and_only_towards_safety() {
         for seed in 0..300 {
@@ -324,7 +388,8 @@
                     if rng.random_bool(0.4) {
                         word.fate = Fate::from_number(rng.random_range(1..5)).unwrap();
                         let why = ["a", "b"][rng.random_range(0..2)];
-                        word.reason = Reason::new(rng.random_range(0..9), rng.random_range(0..3), why);
+                        word.reason =
+                            Reason::new(rng.random_range(0..9), rng.random_range(0..3), why);
                     }
                     words.push(word);
                 }
@@ -338,7 +403,9 @@
                     changes.hear(word);
                     let after = changes.get(word.id).unwrap();
                     assert!(
-                        before.is_none_or(|b| after.fate >= b.fate && after.reach.stage >= b.reach.stage)
+                        before.is_none_or(
+                            |b| after.fate >= b.fate && after.reach.stage >= b.reach.stage
+                        )
                     );
                 }
             }
@@ -347,7 +414,9 @@
             heard[0].iter().for_each(|change| _ = second.hear(change));
             heard.push(second);
             assert!(
-                heard.windows(2).all(|two| two[0] == two[1] && two[0].digest() == two[1].digest()),
+                heard
+                    .windows(2)
+                    .all(|two| two[0] == two[1] && two[0].digest() == two[1].digest()),
                 "{seed}"
             );
         }
@@ -357,13 +426,21 @@
     fn a_halt_is_not_undone_and_nothing_advances_after_it() {
         let mut changes = Changes::default();
         changes.hear(&change(1, 2));
-        assert!(changes.advance(ChangeId(1), &reach(1)) && !changes.advance(ChangeId(1), &reach(1)));
+        assert!(
+            changes.advance(ChangeId(1), &reach(1)) && !changes.advance(ChangeId(1), &reach(1))
+        );
         assert!(changes.end(ChangeId(1), Fate::Halted, Reason::new(5, 1, "seen")));
         assert!(!changes.end(ChangeId(1), Fate::Done, Reason::new(6, 2, "no")));
-        let late = Change { reach: reach(2), ..change(1, 2) };
+        let late = Change {
+            reach: reach(2),
+            ..change(1, 2)
+        };
         changes.hear(&late); // it was agreed on elsewhere before the halt was heard there
         let known = changes.get(ChangeId(1)).unwrap();
-        assert_eq!((known.reach.stage, known.fate, known.wants(3, 0)), (2, Fate::Halted, None));
+        assert_eq!(
+            (known.reach.stage, known.fate, known.wants(3, 0)),
+            (2, Fate::Halted, None)
+        );
         assert!(changes.end(ChangeId(1), Fate::Back, Reason::new(9, 1, "back")));
         assert_eq!(changes.get(ChangeId(1)).unwrap().wants(3, 0), Some(false));
     }
@@ -376,11 +453,16 @@
             .for_each(|(id, number)| _ = changes.hear(&change(*id, *number)));
         assert_eq!(changes.next(Kind::Settings).unwrap().id, ChangeId(2));
         changes.advance(ChangeId(4), &reach(1));
-        assert_eq!(changes.current(Kind::Settings).unwrap().id, ChangeId(4), "what has begun goes first");
+        assert_eq!(
+            changes.current(Kind::Settings).unwrap().id,
+            ChangeId(4),
+            "what has begun goes first"
+        );
         assert!(changes.next(Kind::Program).is_none());
     }
 
-    /// A hundred versions are offered: memory stays, what is under way stays, and the highest ones are kept.
+    /// A hundred versions are offered: memory stays, what is under way stays, and the highest ones
+    /// are kept.
     #[test]
     fn changes_are_bounded_and_what_is_under_way_is_kept() {
         let mut changes = Changes::default();
@@ -390,7 +472,10 @@
             changes.hear(&change(id, id));
         }
         assert_eq!(
-            (changes.iter().count(), changes.under_way(Kind::Settings).unwrap().id),
+            (
+                changes.iter().count(),
+                changes.under_way(Kind::Settings).unwrap().id
+            ),
             (CHANGES_MAX, ChangeId(1))
         );
         assert_eq!(changes.next(Kind::Settings).unwrap().version.number, 100);
@@ -409,7 +494,9 @@
     fn which_changes_are_remembered_does_not_depend_on_the_order() {
         for seed in 0..200 {
             let mut rng = Pcg64Mcg::seed_from_u64(seed);
-            let mut all: Vec<Change> = (1..=40).map(|id| change(id, rng.random_range(2..30))).collect();
+            let mut all: Vec<Change> = (1..=40)
+                .map(|id| change(id, rng.random_range(2..30)))
+                .collect();
             for change in &mut all {
                 if rng.random_bool(0.5) {
                     change.fate = Fate::Refused;
@@ -436,7 +523,10 @@
         (1..=6).for_each(|stage| _ = changes.advance(ChangeId(1), &reach(stage)));
         assert_eq!(changes.get(ChangeId(1)).unwrap().fate, Fate::Done);
         let mut halted = Changes::default();
-        halted.hear(&Change { fate: Fate::Halted, ..change(1, 2) });
+        halted.hear(&Change {
+            fate: Fate::Halted,
+            ..change(1, 2)
+        });
         halted.hear(changes.get(ChangeId(1)).unwrap());
         assert_eq!(halted.get(ChangeId(1)).unwrap().fate, Fate::Halted);
     }
--- a/crates/rollout/src/conduct.rs
+++ b/crates/rollout/src/conduct.rs
@@ -1,9 +1,9 @@
-//! Conducting a change: one arbiter asks all nodes how they stand, judges the stage by what was counted, and has the arbiters agree
-//! on what comes next. Safety does not rest on there being one: see [`crate::quorum`]. What it knows beside is asked for anew by
-//! whoever conducts next.
+//! Conducting a change: one arbiter asks all nodes how they stand, judges the stage by what was
+//! counted, and has the arbiters agree on what comes next. Safety does not rest on there being one:
+//! see [`crate::quorum`]. What it knows beside is asked for anew by whoever conducts next.
 //!
-//! A change goes on only if more than half of the fleet as last agreed on, and all nodes of its stage that are there, have answered
-//! lately and know of no end. Towards safety it needs nobody.
+//! A change goes on only if more than half of the fleet as last agreed on, and all nodes of its
+//! stage that are there, have answered lately and know of no end. Towards safety it needs nobody.
 
 use crate::change::{Change, ChangeId, Changes, Fate, Kind, Version};
 use crate::judge::{self, Deaths, Judgement, Verdict, Way};
@@ -33,12 +33,15 @@
 const AGAIN: Nanos = 500 * MILLISECOND;
 /// What the fleet was agreed to be holds so long against seeing fewer.
 const ELECTORATE_HOLDS: Nanos = 3600 * SECOND;
-/// A change begins without those who don't answer after this; others take the place of a stage's nodes that are all gone.
+/// A change begins without those who don't answer after this; others take the place of a stage's
+/// nodes that are all gone.
 const STRAGGLERS: Nanos = 60 * SECOND;
-/// A change whose content most nodes can't get hold of in this time does not begin: who offered it is gone.
+/// A change whose content most nodes can't get hold of in this time does not begin: who offered it
+/// is gone.
 const NOWHERE: Nanos = 180 * SECOND;
 const REPLACED: Nanos = 30 * SECOND;
-/// With nobody left to compare with: so much less succeeds than before, as a share, and the change goes no further.
+/// With nobody left to compare with: so much less succeeds than before, as a share, and the change
+/// goes no further.
 const COLLAPSE: f64 = 0.3;
 const COLLAPSE_SAMPLE: u64 = 200;
 
@@ -59,7 +62,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
     Send(u64, Told),
-    End { change: ChangeId, fate: Fate, why: String },
+    End {
+        change: ChangeId,
+        fate: Fate,
+        why: String,
+    },
     Agreed(Proposal),
 }
 
@@ -69,7 +76,8 @@
     report: Report,
 }
 
-/// The part of an arbiter: it keeps the record of what is under way, and conducts when it is its turn.
+/// The part of an arbiter: it keeps the record of what is under way, and conducts when it is its
+/// turn.
 #[derive(Clone, Debug)]
 pub struct Conduct {
     me: u64,
@@ -113,7 +121,8 @@
             me,
             kind,
             arbiters,
-            // Answers to a conductor before it under the same name must not be taken for answers to this one.
+            // Answers to a conductor before it under the same name must not be taken for answers to
+            // this one.
             poll: (mix(me ^ now) as u32) & 0x0fff_ffff,
             polled: 0,
             heard: BTreeMap::new(),
@@ -153,7 +162,8 @@
         self
     }
 
-    /// What takes less than so long, by operation in tenths of a millisecond, is quick enough for any caller.
+    /// What takes less than so long, by operation in tenths of a millisecond, is quick enough for
+    /// any caller.
     pub fn with_quick(mut self, quick: BTreeMap<u32, u32>) -> Conduct {
         self.quick = quick;
         self
@@ -179,7 +189,8 @@
 
     /// Who conducts, as far as this node sees.
     pub fn conductor(&self, members: &[Member]) -> Option<u64> {
-        let is_there = |node: u64| node == self.me || members.iter().any(|m| m.node == node && m.there);
+        let is_there =
+            |node: u64| node == self.me || members.iter().any(|m| m.node == node && m.there);
         self.arbiters.iter().copied().find(|node| is_there(*node))
     }
 
@@ -211,7 +222,8 @@
 
     /// The next window that is wanted; nothing while no change is under way here.
     pub fn wants_counts(&self, changes: &Changes) -> Option<u64> {
-        let begun = changes.under_way(self.kind).is_some() && self.record.is_some() && self.is_arbiter();
+        let begun =
+            changes.under_way(self.kind).is_some() && self.record.is_some() && self.is_arbiter();
         begun.then_some(self.counted)
     }
 
@@ -239,17 +251,31 @@
         if self.offered.map(|(id, _)| id) != next {
             self.offered = next.map(|id| (id, now));
         }
-        let Some(change) = changes.under_way(self.kind).filter(|_| self.is_arbiter()) else { return };
-        if self.record.as_ref().is_none_or(|record| record.change != change.id) {
+        let Some(change) = changes.under_way(self.kind).filter(|_| self.is_arbiter()) else {
+            return;
+        };
+        if self
+            .record
+            .as_ref()
+            .is_none_or(|record| record.change != change.id)
+        {
             let mut record = Record::new(change.id, change.version, change.base)
                 .with_room(self.room)
                 .with_quick(self.quick.clone());
             let windows = windows();
-            self.counted = windows.iter().map(|(window, _)| window + 1).max().unwrap_or(self.counted);
+            self.counted = windows
+                .iter()
+                .map(|(window, _)| window + 1)
+                .max()
+                .unwrap_or(self.counted);
             record.begin(&windows);
             self.record = Some(record);
         }
-        if let Some(record) = self.record.as_mut().filter(|record| record.stage() != change.reach.stage) {
+        if let Some(record) = self
+            .record
+            .as_mut()
+            .filter(|record| record.stage() != change.reach.stage)
+        {
             record.stage_begins(change.reach.stage);
         }
     }
@@ -263,7 +289,11 @@
 
     /// An arbiter answered.
     pub fn said(&mut self, now: Nanos, from: u64, say: &Say) -> Vec<Act> {
-        let Some(round) = self.round.as_mut().filter(|_| self.arbiters.contains(&from)) else {
+        let Some(round) = self
+            .round
+            .as_mut()
+            .filter(|_| self.arbiters.contains(&from))
+        else {
             return Vec::new();
         };
         match round.said(from, say) {
@@ -282,7 +312,10 @@
     }
 
     fn ask(&self, ask: &Ask) -> Vec<Act> {
-        self.arbiters.iter().map(|to| Act::Send(*to, Told::Ask(self.kind, ask.clone()))).collect()
+        self.arbiters
+            .iter()
+            .map(|to| Act::Send(*to, Told::Ask(self.kind, ask.clone())))
+            .collect()
     }
 
     fn give_up(&mut self, now: Nanos) {
@@ -310,17 +343,27 @@
             self.line.clear();
             return Vec::new();
         }
-        let Some(change) = changes.under_way(self.kind).or_else(|| changes.next(self.kind)) else {
+        let Some(change) = changes
+            .under_way(self.kind)
+            .or_else(|| changes.next(self.kind))
+        else {
             self.line.clear();
             return Vec::new();
         };
         let mut acts = Vec::new();
         if now >= self.polled + POLL.max(POLL_EACH * members.len() as u64) {
             (self.polled, self.poll) = (now, self.poll.wrapping_add(1));
-            let poll =
-                Told::Poll { no: self.poll, change: change.id, stage: change.reach.stage, fate: change.fate };
+            let poll = Told::Poll {
+                no: self.poll,
+                change: change.id,
+                stage: change.reach.stage,
+                fate: change.fate,
+            };
             acts.extend(
-                members.iter().filter(|member| member.there).map(|m| Act::Send(m.node, poll.clone())),
+                members
+                    .iter()
+                    .filter(|member| member.there)
+                    .map(|m| Act::Send(m.node, poll.clone())),
             );
             let is_known = |node: &u64| members.iter().any(|member| member.node == *node);
             self.heard.retain(|node, _| is_known(node));
@@ -335,7 +378,10 @@
             Step::Wait(why) => self.line = why,
             Step::End { change, fate, why } => acts.push(Act::End { change, fate, why }),
             Step::Propose(proposal) => {
-                let ballot = Ballot { round: self.highest.round + 1, by: self.me };
+                let ballot = Ballot {
+                    round: self.highest.round + 1,
+                    by: self.me,
+                };
                 self.highest = ballot;
                 self.line = format!("has stage {} agreed on", proposal.reach.stage);
                 let (round, ask) = Round::begin(now, ballot, proposal, self.arbiters.len());
@@ -346,30 +392,47 @@
         acts
     }
 
-    /// How many the fleet is to be taken for: those that are known, and no fewer than was agreed on lately.
+    /// How many the fleet is to be taken for: those that are known, and no fewer than was agreed on
+    /// lately.
     fn electorate(&self, now: Nanos, changes: &Changes, members: &[Member]) -> u32 {
-        let agreed = changes.head(self.kind).filter(|_| now < self.since + ELECTORATE_HOLDS);
+        let agreed = changes
+            .head(self.kind)
+            .filter(|_| now < self.since + ELECTORATE_HOLDS);
         (members.len() as u32).max(agreed.map_or(0, |head| head.reach.electorate))
     }
 
     /// Reports that came lately about a change.
     fn fresh(&self, change: ChangeId) -> impl Iterator<Item = (u64, &Report)> {
-        let heard = self.heard.iter().filter(move |(_, h)| self.is_fresh(h) && h.report.change == change);
+        let heard = self
+            .heard
+            .iter()
+            .filter(move |(_, h)| self.is_fresh(h) && h.report.change == change);
         heard.map(|(node, heard)| (*node, &heard.report))
     }
 
     fn step(&mut self, now: Nanos, unix_ms: u64, changes: &Changes, members: &[Member]) -> Step {
         let electorate = self.electorate(now, changes, members);
-        let facts = Facts { now, unix_ms, changes, members, electorate };
+        let facts = Facts {
+            now,
+            unix_ms,
+            changes,
+            members,
+            electorate,
+        };
         if let Some(end) = self.superseded(changes) {
             return end;
         }
         let arbiters = self.arbiters.iter().filter(|node| {
-            **node == self.me || members.iter().any(|member| member.node == **node && member.there)
+            **node == self.me
+                || members
+                    .iter()
+                    .any(|member| member.node == **node && member.there)
         });
         let (there, all) = (arbiters.count(), self.arbiters.len());
         if there * 2 <= all {
-            return Step::Wait(format!("{there} of {all} arbiters are there, more than half are needed"));
+            return Step::Wait(format!(
+                "{there} of {all} arbiters are there, more than half are needed"
+            ));
         }
         match (changes.under_way(self.kind), changes.next(self.kind)) {
             (Some(change), _) => self.goes_on(&facts, change),
@@ -381,35 +444,61 @@
     /// Those that can't begin any more, for another is in force or under way: they are told so.
     fn superseded(&self, changes: &Changes) -> Option<Step> {
         let ahead = changes.under_way(self.kind).or_else(|| {
-            let done = changes.iter().filter(|change| change.kind == self.kind && change.fate == Fate::Done);
+            let done = changes
+                .iter()
+                .filter(|change| change.kind == self.kind && change.fate == Fate::Done);
             done.max_by_key(|change| change.reach.seq)
         })?;
         let late = changes.iter().find(|change| {
-            let waits = change.kind == self.kind && change.fate == Fate::Open && change.reach.seq == 0;
+            let waits =
+                change.kind == self.kind && change.fate == Fate::Open && change.reach.seq == 0;
             waits && change.version.number <= ahead.version.number
         })?;
-        let word = if ahead.fate == Fate::Done { "in force" } else { "under way" };
+        let word = if ahead.fate == Fate::Done {
+            "in force"
+        } else {
+            "under way"
+        };
         let why = format!("version {} is {word}, change {}", ahead.version, ahead.id);
-        Some(Step::End { change: late.id, fate: Fate::Refused, why })
+        Some(Step::End {
+            change: late.id,
+            fate: Fate::Refused,
+            why,
+        })
     }
 
     /// More than half of the fleet answered, or why it can't go on.
     fn quorum(&self, facts: &Facts<'_>, change: &Change) -> Result<(), String> {
         let fresh = self.fresh(change.id).count() as u32;
         if fresh * 2 <= facts.electorate {
-            return Err(format!("{fresh} of {} nodes answer, more than half are needed", facts.electorate));
-        }
-        if let Some((node, report)) = self.fresh(change.id).find(|(_, report)| report.fate > change.fate) {
-            return Err(format!("node {node:016x} knows that it is {}", report.fate.word()));
+            return Err(format!(
+                "{fresh} of {} nodes answer, more than half are needed",
+                facts.electorate
+            ));
+        }
+        if let Some((node, report)) = self
+            .fresh(change.id)
+            .find(|(_, report)| report.fate > change.fate)
+        {
+            return Err(format!(
+                "node {node:016x} knows that it is {}",
+                report.fate.word()
+            ));
         }
         Ok(())
     }
 
     /// The nodes that turned a version down, and why.
     fn turned_down(&self, change: &Change) -> Option<String> {
-        let mut nodes = self.fresh(change.id).filter(|(_, report)| report.stand == Stand::TurnedDown);
+        let mut nodes = self
+            .fresh(change.id)
+            .filter(|(_, report)| report.stand == Stand::TurnedDown);
         let (_, first) = nodes.next()?;
-        let why = if first.why.is_empty() { "it can't be run" } else { &first.why };
+        let why = if first.why.is_empty() {
+            "it can't be run"
+        } else {
+            &first.why
+        };
         Some(match nodes.count() {
             0 => format!("one node turns it down: {why}"),
             more => format!("{} nodes turn it down, one of them: {why}", more + 1),
@@ -424,7 +513,8 @@
             .map(|member| (member.node, member.zone))
             .collect();
         let (reach, seq) = (&change.reach, known(facts.changes, self.kind) + 1);
-        // What is agreed on is the fleet that is there: those that were lost long ago do not hold the next ones up.
+        // What is agreed on is the fleet that is there: those that were lost long ago do not hold
+        // the next ones up.
         let electorate = nodes.len() as u32;
         let reach = match again {
             true => reach.again(change.id, &change.plan, &nodes, seq, electorate),
@@ -432,31 +522,56 @@
         };
         match reach {
             Some(reach) => {
-                let reach = Reach { at_ms: facts.unix_ms, ..reach };
-                Step::Propose(Proposal { change: change.id, reach })
+                let reach = Reach {
+                    at_ms: facts.unix_ms,
+                    ..reach
+                };
+                Step::Propose(Proposal {
+                    change: change.id,
+                    reach,
+                })
             }
             None => Step::Wait("there is no stage after this one".into()),
         }
     }
 
     fn begins(&self, facts: &Facts<'_>, change: &Change) -> Step {
-        let good = self.fresh(change.id).map(|(_, report)| report.good).max().unwrap_or_default();
+        let good = self
+            .fresh(change.id)
+            .map(|(_, report)| report.good)
+            .max()
+            .unwrap_or_default();
         if change.version.number <= good.number {
             let why = format!("version {good} is in force at some nodes");
-            return Step::End { change: change.id, fate: Fate::Refused, why };
+            return Step::End {
+                change: change.id,
+                fate: Fate::Refused,
+                why,
+            };
         }
         if let Some(why) = self.turned_down(change) {
-            return Step::End { change: change.id, fate: Fate::Refused, why };
+            return Step::End {
+                change: change.id,
+                fate: Fate::Refused,
+                why,
+            };
         }
         if let Err(why) = self.quorum(facts, change) {
             return Step::Wait(why);
         }
-        let staged = self.fresh(change.id).filter(|(_, report)| report.stand >= Stand::Staged).count();
+        let staged = self
+            .fresh(change.id)
+            .filter(|(_, report)| report.stand >= Stand::Staged)
+            .count();
         let there = facts.members.iter().filter(|member| member.there).count();
-        let waited = self.offered.is_some_and(|(_, since)| facts.now > since + STRAGGLERS);
+        let waited = self
+            .offered
+            .is_some_and(|(_, since)| facts.now > since + STRAGGLERS);
         if staged < there && !waited || staged as u32 * 2 <= facts.electorate {
             let why = format!("it is staged at {staged} of {there} nodes");
-            let too_long = self.offered.is_some_and(|(_, since)| facts.now > since + NOWHERE);
+            let too_long = self
+                .offered
+                .is_some_and(|(_, since)| facts.now > since + NOWHERE);
             return match too_long && staged as u32 * 2 <= facts.electorate {
                 true => Step::End {
                     change: change.id,
@@ -467,10 +582,17 @@
             };
         }
         // What was halted and not taken back is taken back now: there is one base to go out from.
-        let halted = facts.changes.iter().find(|c| c.kind == self.kind && c.fate == Fate::Halted);
+        let halted = facts
+            .changes
+            .iter()
+            .find(|c| c.kind == self.kind && c.fate == Fate::Halted);
         if let Some(halted) = halted {
             let why = format!("change {} begins in its place", change.id);
-            return Step::End { change: halted.id, fate: Fate::Back, why };
+            return Step::End {
+                change: halted.id,
+                fate: Fate::Back,
+                why,
+            };
         }
         self.propose(facts, change, false)
     }
@@ -483,7 +605,10 @@
         };
         for (node, heard) in &self.heard {
             let report = &heard.report;
-            let is_there = facts.members.iter().any(|member| member.node == *node && member.there);
+            let is_there = facts
+                .members
+                .iter()
+                .any(|member| member.node == *node && member.there);
             match () {
                 () if report.died > 0 && report.change == change.id => {
                     let in_stage = report.died_ms > change.reach.at_ms;
@@ -491,29 +616,46 @@
                 }
                 () if !is_there && is_new(report) => deaths[0] += 1,
                 () if !is_there => deaths[1] += 1,
-                // It runs what it ran before, and has done so since it started: after the stage began.
-                () if report.running == change.base && report.since_ms > change.reach.at_ms => deaths[1] += 1,
+                // It runs what it ran before, and has done so since it started: after the stage
+                // began.
+                () if report.running == change.base && report.since_ms > change.reach.at_ms => {
+                    deaths[1] += 1
+                }
                 () => {}
             }
         }
-        let in_stage =
-            facts.members.iter().filter(|m| change.reach.has(change.id, m.node, m.zone)).count() as u64;
+        let in_stage = facts
+            .members
+            .iter()
+            .filter(|m| change.reach.has(change.id, m.node, m.zone))
+            .count() as u64;
         let nodes = [in_stage, facts.members.len() as u64 - in_stage];
         let held = facts.now - self.since.min(facts.now);
-        Deaths { died: deaths, nodes, windows: held as f64 / WINDOW as f64 }
+        Deaths {
+            died: deaths,
+            nodes,
+            windows: held as f64 / WINDOW as f64,
+        }
     }
 
     fn goes_on(&mut self, facts: &Facts<'_>, change: &Change) -> Step {
-        let end = |fate, why| Step::End { change: change.id, fate, why };
+        let end = |fate, why| Step::End {
+            change: change.id,
+            fate,
+            why,
+        };
         if let Some(why) = self.turned_down(change) {
             return end(Fate::Back, why);
         }
         let deaths = self.deaths(facts, change);
         let stage = change.reach.stage;
-        let judged =
-            self.record.as_ref().map(|record| judge::judge(record, &change.plan, stage, &deaths, self.way));
-        let verdict =
-            judged.as_ref().map(|judged| (judged.verdict.clone(), judged.line(&|op| self.name(op))));
+        let judged = self
+            .record
+            .as_ref()
+            .map(|record| judge::judge(record, &change.plan, stage, &deaths, self.way));
+        let verdict = judged
+            .as_ref()
+            .map(|judged| (judged.verdict.clone(), judged.line(&|op| self.name(op))));
         self.judgement = judged;
         if let Some((Verdict::Harm(_), line)) = &verdict {
             return end(Fate::Back, line.clone());
@@ -522,20 +664,29 @@
             return Step::Wait(why);
         }
         let (held, plan) = (facts.now - self.since.min(facts.now), &change.plan);
-        let Some(of) = plan.stage(stage) else { return Step::Wait(String::new()) };
+        let Some(of) = plan.stage(stage) else {
+            return Step::Wait(String::new());
+        };
         let mine: Vec<&Member> = facts
             .members
             .iter()
             .filter(|member| member.there && change.reach.has(change.id, member.node, member.zone))
             .collect();
         if mine.is_empty() {
-            // Those that are lost may run it all the same: only those that left are replaced, so that no more run it than may.
-            let lost = facts.members.iter().any(|m| !m.there && change.reach.has(change.id, m.node, m.zone));
+            // Those that are lost may run it all the same: only those that left are replaced, so
+            // that no more run it than may.
+            let lost = facts
+                .members
+                .iter()
+                .any(|m| !m.there && change.reach.has(change.id, m.node, m.zone));
             let since = *self.deserted.get_or_insert(facts.now);
             return match () {
                 () if held > of.longest => end(
                     Fate::Halted,
-                    format!("no node of stage {stage} was there for {}", seconds(of.longest)),
+                    format!(
+                        "no node of stage {stage} was there for {}",
+                        seconds(of.longest)
+                    ),
                 ),
                 () if lost => Step::Wait("the nodes of its stage are lost".into()),
                 () if facts.now > since + REPLACED => self.propose(facts, change, true),
@@ -544,15 +695,26 @@
         }
         self.deserted = None;
         let not_yet = mine.iter().find(|member| {
-            let heard = self.heard.get(&member.node).filter(|heard| self.is_fresh(heard));
+            let heard = self
+                .heard
+                .get(&member.node)
+                .filter(|heard| self.is_fresh(heard));
             heard.is_none_or(|heard| {
                 let report = &heard.report;
-                report.change != change.id || report.running != change.version && report.died < DEATHS
+                report.change != change.id
+                    || report.running != change.version && report.died < DEATHS
             })
         });
         let waits = match (not_yet, &verdict) {
-            (Some(member), _) => Some(format!("node {:016x} of its stage does not run it yet", member.node)),
-            _ if held < of.least => Some(format!("{} of {} have passed", seconds(held), seconds(of.least))),
+            (Some(member), _) => Some(format!(
+                "node {:016x} of its stage does not run it yet",
+                member.node
+            )),
+            _ if held < of.least => Some(format!(
+                "{} of {} have passed",
+                seconds(held),
+                seconds(of.least)
+            )),
             (_, None) => Some("nothing is counted yet".into()),
             _ => None,
         };
@@ -563,14 +725,18 @@
         let waits = waits.or(match verdict {
             _ if !others => None,
             Some((Verdict::Wait(why), _)) => Some(why),
-            // Where too little comes to tell, time must do: nothing has spoken for harm in all of it.
+            // Where too little comes to tell, time must do: nothing has spoken for harm in all of
+            // it.
             Some((Verdict::Unsure(why), _)) if held <= of.longest => Some(why),
             _ => None,
         });
         match waits {
             Some(why) if held > of.longest => end(
                 Fate::Halted,
-                format!("stage {stage} came to no judgement in {}: {why}", seconds(of.longest)),
+                format!(
+                    "stage {stage} came to no judgement in {}: {why}",
+                    seconds(of.longest)
+                ),
             ),
             Some(why) => Step::Wait(why),
             // Nobody is left to compare with: what was before must do.
@@ -583,7 +749,10 @@
     }
 
     fn name(&self, operation: u32) -> String {
-        self.names.get(&operation).cloned().unwrap_or_else(|| format!("{operation:08x}"))
+        self.names
+            .get(&operation)
+            .cloned()
+            .unwrap_or_else(|| format!("{operation:08x}"))
     }
 
     /// Whether much less succeeds than before; said of the whole, for want of others.
@@ -611,11 +780,22 @@
         })
     }
 
-    /// How many nodes of the stage run the new version, how many are to, and how many the fleet has, as last heard.
+    /// How many nodes of the stage run the new version, how many are to, and how many the fleet
+    /// has, as last heard.
     pub fn standing(&self, change: &Change, members: &[Member]) -> [usize; 3] {
-        let is_in = |member: &&Member| member.there && change.reach.has(change.id, member.node, member.zone);
-        let runs = |version: Version, node: u64| self.report(node).is_some_and(|r| r.running == version);
-        let running = members.iter().filter(|m| m.there && runs(change.version, m.node)).count();
-        [running, members.iter().filter(is_in).count(), members.iter().filter(|m| m.there).count()]
+        let is_in = |member: &&Member| {
+            member.there && change.reach.has(change.id, member.node, member.zone)
+        };
+        let runs =
+            |version: Version, node: u64| self.report(node).is_some_and(|r| r.running == version);
+        let running = members
+            .iter()
+            .filter(|m| m.there && runs(change.version, m.node))
+            .count();
+        [
+            running,
+            members.iter().filter(is_in).count(),
+            members.iter().filter(|m| m.there).count(),
+        ]
     }
 }
--- a/crates/rollout/src/handover.rs
+++ b/crates/rollout/src/handover.rs
@@ -1,9 +1,11 @@
-//! A small parent's decisions: which version of the program runs, how a new one takes the place of an old one on the same listening
-//! socket, and what is started when one dies. No I/O: fed what happens and the time, it acts through [`Host`].
+//! A small parent's decisions: which version of the program runs, how a new one takes the place of
+//! an old one on the same listening socket, and what is started when one dies. No I/O: fed what
+//! happens and the time, it acts through [`Host`].
 //!
-//! Rules: the old one is told to leave only once the new one serves and was told that it is in charge, so that at every moment at
-//! least one is there that nobody told to leave, but for the time in which one that died is started anew. What is on the disk is
-//! written by the one in charge alone.
+//! Rules: the old one is told to leave only once the new one serves and was told that it is in
+//! charge, so that at every moment at least one is there that nobody told to leave, but for the
+//! time in which one that died is started anew. What is on the disk is written by the one in charge
+//! alone.
 
 use crate::change::Version;
 use crate::kept::{Kept, Trial};
@@ -48,7 +50,8 @@
 
 /// A new one is ready within this, or is none.
 const READY: Nanos = 30 * SECOND;
-/// Between two starts of what dies at once: doubled each time, up to the longest; one that lived so long was no such one.
+/// Between two starts of what dies at once: doubled each time, up to the longest; one that lived so
+/// long was no such one.
 const AGAIN: Nanos = SECOND;
 const AGAIN_MOST: Nanos = 30 * SECOND;
 const LIVED: Nanos = 60 * SECOND;
@@ -86,14 +89,22 @@
     /// None is started before this; and how often in a row one died at once.
     not_before: Nanos,
     deaths: u32,
-    /// How often a version died at once since one lived; what does not even come to serve counts as if it had died often enough.
+    /// How often a version died at once since one lived; what does not even come to serve counts as
+    /// if it had died often enough.
     failures: BTreeMap<Version, u32>,
     ends: bool,
 }
 
 impl<H: Host> Parent<H> {
     /// A parent that read this from its disk, and starts a process.
-    pub fn new(now: Nanos, kept: Kept, fresh: bool, given: Version, stop: Nanos, host: H) -> Parent<H> {
+    pub fn new(
+        now: Nanos,
+        kept: Kept,
+        fresh: bool,
+        given: Version,
+        stop: Nanos,
+        host: H,
+    ) -> Parent<H> {
         let mut parent = Parent {
             host,
             kept,
@@ -133,17 +144,28 @@
         if let Some(trial) = died {
             self.died = Some(trial);
             if let Err(why) = self.host.keep(&self.kept) {
-                self.host.log(&format!("that version {} died could not be written: {why}", trial.version));
+                self.host.log(&format!(
+                    "that version {} died could not be written: {why}",
+                    trial.version
+                ));
             }
         }
-        // What did not come to serve lately, or died at once again and again, goes after the others.
+        // What did not come to serve lately, or died at once again and again, goes after the
+        // others.
         let mut all = all;
-        all.sort_by_key(|version| self.failures.get(version).copied().unwrap_or(0) / DEATHS_AT_ONCE);
+        all.sort_by_key(|version| {
+            self.failures.get(version).copied().unwrap_or(0) / DEATHS_AT_ONCE
+        });
         for version in all {
-            let started = self.host.has(version).and_then(|()| self.start(now, version, None));
+            let started = self
+                .host
+                .has(version)
+                .and_then(|()| self.start(now, version, None));
             match started {
                 Ok(()) => return,
-                Err(why) => self.host.log(&format!("version {version} can't be started: {why}")),
+                Err(why) => self
+                    .host
+                    .log(&format!("version {version} can't be started: {why}")),
             }
         }
         self.wait_longer(now);
@@ -154,15 +176,35 @@
         self.deaths += 1;
     }
 
-    fn start(&mut self, now: Nanos, version: Version, asked: Option<(Child, u64)>) -> Result<(), String> {
+    fn start(
+        &mut self,
+        now: Nanos,
+        version: Version,
+        asked: Option<(Child, u64)>,
+    ) -> Result<(), String> {
         self.children += 1;
         let child = Child(self.children);
         let beside = self.charge.is_some();
-        let begin = Begin { kept: self.kept.clone(), version, died: self.died, fresh: self.fresh, beside };
+        let begin = Begin {
+            kept: self.kept.clone(),
+            version,
+            died: self.died,
+            fresh: self.fresh,
+            beside,
+        };
         self.host.start(child, &begin)?;
-        self.host
-            .log(&format!("version {version} starts{}", if beside { " beside the old one" } else { "" }));
-        self.starting = Some(Starting { process: Process { child, version, since: now }, asked });
+        self.host.log(&format!(
+            "version {version} starts{}",
+            if beside { " beside the old one" } else { "" }
+        ));
+        self.starting = Some(Starting {
+            process: Process {
+                child,
+                version,
+                since: now,
+            },
+            asked,
+        });
         Ok(())
     }
 
@@ -170,28 +212,44 @@
 
     /// A process serves.
     pub fn ready(&mut self, now: Nanos, child: Child) {
-        let Some(starting) = self.starting.take_if(|starting| starting.process.child == child) else {
+        let Some(starting) = self
+            .starting
+            .take_if(|starting| starting.process.child == child)
+        else {
             return;
         };
-        let process = Process { since: now, ..starting.process };
+        let process = Process {
+            since: now,
+            ..starting.process
+        };
         self.host.in_charge(child);
         (self.died, self.fresh) = (None, false);
         match self.charge.replace(process) {
             Some(old) => {
-                let line = format!("version {} serves, {} is told to leave", process.version, old.version);
+                let line = format!(
+                    "version {} serves, {} is told to leave",
+                    process.version, old.version
+                );
                 self.host.log(&line);
                 self.host.hand_over(old.child);
                 self.leaving.push(Process { since: now, ..old });
             }
-            None => self.host.log(&format!("version {} serves", process.version)),
+            None => self
+                .host
+                .log(&format!("version {} serves", process.version)),
         }
     }
 
     /// What is to be kept; only the one in charge, or the only one that is there, says what.
     pub fn keep(&mut self, child: Child, no: u64, kept: Kept) {
-        let only = self.starting.filter(|_| self.charge.is_none()).map(|starting| starting.process.child);
+        let only = self
+            .starting
+            .filter(|_| self.charge.is_none())
+            .map(|starting| starting.process.child);
         if self.charge.map(|process| process.child).or(only) != Some(child) {
-            return self.host.answer(child, no, Err("another process is in charge".into()));
+            return self
+                .host
+                .answer(child, no, Err("another process is in charge".into()));
         }
         let written = self.host.keep(&kept);
         if written.is_ok() {
@@ -206,10 +264,13 @@
         self.host.answer(child, no, here);
     }
 
-    /// The one in charge wants another version to take its place. It is answered only if that can't be: else it is told to leave.
+    /// The one in charge wants another version to take its place. It is answered only if that can't
+    /// be: else it is told to leave.
     pub fn apply(&mut self, now: Nanos, child: Child, no: u64, version: Version) {
         let Some(charge) = self.charge.filter(|process| process.child == child) else {
-            return self.host.answer(child, no, Err("another process is in charge".into()));
+            return self
+                .host
+                .answer(child, no, Err("another process is in charge".into()));
         };
         if charge.version == version {
             return self.host.answer(child, no, Ok(()));
@@ -221,34 +282,55 @@
                 Err("another one is being started, or all of it ends".into()),
             );
         }
-        let started = self.host.has(version).and_then(|()| self.start(now, version, Some((child, no))));
+        let started = self
+            .host
+            .has(version)
+            .and_then(|()| self.start(now, version, Some((child, no))));
         if let Err(why) = started {
             self.host.answer(child, no, Err(why));
         }
     }
 
-    /// The operator wants the node renewed: another process of the version in charge takes its place, without a gap.
+    /// The operator wants the node renewed: another process of the version in charge takes its
+    /// place, without a gap.
     pub fn renew(&mut self, now: Nanos) {
-        let Some(charge) = self.charge.filter(|_| self.starting.is_none() && !self.ends) else { return };
+        let Some(charge) = self
+            .charge
+            .filter(|_| self.starting.is_none() && !self.ends)
+        else {
+            return;
+        };
         if let Err(why) = self.start(now, charge.version, None) {
-            self.host.log(&format!("version {} can't be started anew: {why}", charge.version));
+            self.host.log(&format!(
+                "version {} can't be started anew: {why}",
+                charge.version
+            ));
         }
     }
 
     /// A process ended.
     pub fn ended(&mut self, now: Nanos, child: Child, how: &str) {
-        if let Some(at) = self.leaving.iter().position(|process| process.child == child) {
+        if let Some(at) = self
+            .leaving
+            .iter()
+            .position(|process| process.child == child)
+        {
             let process = self.leaving.remove(at);
-            self.host.log(&format!("version {} has left, {how}", process.version));
+            self.host
+                .log(&format!("version {} has left, {how}", process.version));
         }
-        if let Some(starting) = self.starting.take_if(|starting| starting.process.child == child) {
+        if let Some(starting) = self
+            .starting
+            .take_if(|starting| starting.process.child == child)
+        {
             self.failed(now, &starting, &format!("it ended before it served, {how}"));
         }
         if let Some(process) = self.charge.take_if(|process| process.child == child) {
             if self.ends {
                 return;
             }
-            self.host.log(&format!("version {} died, {how}", process.version));
+            self.host
+                .log(&format!("version {} died, {how}", process.version));
             if now >= process.since + LIVED {
                 (self.deaths, self.failures) = (0, BTreeMap::new());
             } else {
@@ -267,7 +349,8 @@
     /// What was started does not serve.
     fn failed(&mut self, now: Nanos, starting: &Starting, why: &str) {
         let version = starting.process.version;
-        self.host.log(&format!("version {version} did not come to serve: {why}"));
+        self.host
+            .log(&format!("version {version} did not come to serve: {why}"));
         match (starting.asked, self.charge) {
             (Some((child, no)), Some(charge)) if charge.child == child => {
                 self.host.answer(child, no, Err(why.to_owned()));
@@ -284,13 +367,19 @@
 
     /// Does what is due; to be called some times a second.
     pub fn wake(&mut self, now: Nanos) {
-        if let Some(starting) = self.starting.take_if(|starting| now > starting.process.since + READY) {
+        if let Some(starting) = self
+            .starting
+            .take_if(|starting| now > starting.process.since + READY)
+        {
             self.host.kill(starting.process.child);
             self.failed(now, &starting, "it was not ready in time");
         }
         let late = |process: &Process| now > process.since + self.stop;
         for process in self.leaving.iter_mut().filter(|process| late(process)) {
-            self.host.log(&format!("version {} did not leave in time, and is killed", process.version));
+            self.host.log(&format!(
+                "version {} did not leave in time, and is killed",
+                process.version
+            ));
             self.host.kill(process.child);
             process.since = now;
         }
@@ -304,11 +393,17 @@
         }
         if let Some(starting) = self.starting.take() {
             self.host.leave(starting.process.child);
-            self.leaving.push(Process { since: now, ..starting.process });
+            self.leaving.push(Process {
+                since: now,
+                ..starting.process
+            });
         }
         if let Some(process) = self.charge.take() {
             self.host.leave(process.child);
-            self.leaving.push(Process { since: now, ..process });
+            self.leaving.push(Process {
+                since: now,
+                ..process
+            });
         }
     }
 
@@ -366,7 +461,11 @@
             Ok(())
         }
         fn has(&mut self, version: Version) -> Result<(), String> {
-            if self.lacks.contains(&version.number) { Err("it is not here".into()) } else { Ok(()) }
+            if self.lacks.contains(&version.number) {
+                Err("it is not here".into())
+            } else {
+                Ok(())
+            }
         }
         fn answer(&mut self, child: Child, no: u64, result: Result<(), String>) {
             self.answers.push((child, no, result));
@@ -377,7 +476,10 @@
     }
 
     fn v(number: u64) -> Version {
-        Version { number, hash: number * 11 }
+        Version {
+            number,
+            hash: number * 11,
+        }
     }
 
     const STOP: Nanos = 5 * SECOND;
@@ -392,7 +494,14 @@
     }
 
     fn on_trial(kept: &Kept, number: u64) -> Kept {
-        Kept { trial: Some(Trial { change: ChangeId(1), version: v(number), tries: 1 }), ..kept.clone() }
+        Kept {
+            trial: Some(Trial {
+                change: ChangeId(1),
+                version: v(number),
+                tries: 1,
+            }),
+            ..kept.clone()
+        }
     }
 
     #[test]
@@ -406,7 +515,9 @@
         assert!(begin.beside && begin.kept.trial.is_some() && parent.host.told_to_leave.is_empty());
         parent.ready(2 * SECOND, new);
         assert_eq!(parent.host.in_charge, [old, new]);
-        assert!(parent.host.told_to_leave.contains(&old) && parent.in_charge() == Some((new, v(2))));
+        assert!(
+            parent.host.told_to_leave.contains(&old) && parent.in_charge() == Some((new, v(2)))
+        );
         // The old one has nothing to write any more, and gets no answer but the notice.
         parent.keep(old, 9, Kept::new(Kind::Program));
         assert!(
@@ -432,7 +543,8 @@
         parent.renew(5 * SECOND);
         parent.ready(6 * SECOND, Child(3));
         assert!(
-            parent.in_charge() == Some((Child(3), v(1))) && parent.host.told_to_leave.contains(&Child(1))
+            parent.in_charge() == Some((Child(3), v(1)))
+                && parent.host.told_to_leave.contains(&Child(1))
         );
     }
 
@@ -445,8 +557,13 @@
         parent.wake(2 * SECOND + READY + 1);
         parent.host.lacks.insert(3);
         parent.apply(40 * SECOND, Child(1), 10, v(3));
-        let failed: Vec<u64> =
-            parent.host.answers.iter().filter(|(_, _, r)| r.is_err()).map(|(_, no, _)| *no).collect();
+        let failed: Vec<u64> = parent
+            .host
+            .answers
+            .iter()
+            .filter(|(_, _, r)| r.is_err())
+            .map(|(_, no, _)| *no)
+            .collect();
         assert_eq!(failed, [8, 9, 10]);
         assert_eq!(parent.in_charge(), Some((Child(1), v(1))));
         assert!(!parent.host.told_to_leave.contains(&Child(1)));
@@ -462,14 +579,23 @@
         parent.ended(3 * SECOND, Child(1), "well");
         parent.ended(4 * SECOND, Child(2), "signal 11");
         let (_, begin) = parent.host.started.last().unwrap();
-        assert_eq!((begin.version, begin.died.unwrap().version, begin.kept.deaths(v(2))), (v(1), v(2), 1));
+        assert_eq!(
+            (
+                begin.version,
+                begin.died.unwrap().version,
+                begin.kept.deaths(v(2))
+            ),
+            (v(1), v(2), 1)
+        );
         assert_eq!(parent.host.disk.as_ref().unwrap().deaths(v(2)), 1);
     }
 
     #[test]
     fn a_good_version_that_does_not_come_to_serve_is_followed_by_the_one_before() {
         let mut kept = Kept::new(Kind::Program);
-        [1, 2].into_iter().for_each(|number| kept.found_good(v(number)));
+        [1, 2]
+            .into_iter()
+            .for_each(|number| kept.found_good(v(number)));
         let mut parent = Parent::new(0, kept, false, v(1), STOP, World::default());
         assert_eq!(parent.host.started[0].1.version, v(2));
         parent.ended(SECOND, Child(1), "dead");
@@ -482,7 +608,9 @@
     #[test]
     fn a_good_version_that_dies_at_once_thrice_is_followed_by_the_one_before() {
         let mut kept = Kept::new(Kind::Program);
-        [1, 2].into_iter().for_each(|number| kept.found_good(v(number)));
+        [1, 2]
+            .into_iter()
+            .for_each(|number| kept.found_good(v(number)));
         let mut parent = Parent::new(0, kept, false, v(1), STOP, World::default());
         let mut now = 0;
         while parent.host.started.len() < 4 {
@@ -492,7 +620,12 @@
             parent.ended(now, child, "dead");
             parent.wake(now);
         }
-        let ran: Vec<u64> = parent.host.started.iter().map(|(_, begin)| begin.version.number).collect();
+        let ran: Vec<u64> = parent
+            .host
+            .started
+            .iter()
+            .map(|(_, begin)| begin.version.number)
+            .collect();
         assert_eq!(ran, [2, 2, 2, 1]);
     }
 
@@ -509,11 +642,15 @@
             }
             parent.wake(now);
         }
-        assert!((8..16).contains(&parent.host.started.len()), "{}", parent.host.started.len());
+        assert!(
+            (8..16).contains(&parent.host.started.len()),
+            "{}",
+            parent.host.started.len()
+        );
     }
 
-    /// Whatever happens, in any order: once one serves, there is always one that was not told to leave or one that is being started,
-    /// and what is in charge is what the disk says may run.
+    /// Whatever happens, in any order: once one serves, there is always one that was not told to
+    /// leave or one that is being started, and what is in charge is what the disk says may run.
     #[test]
     fn there_is_always_one_that_serves_or_starts() {
         for seed in 0..400 {
@@ -523,7 +660,8 @@
             for no in 0..60 {
                 now += rng.random_range(0..8) * SECOND;
                 let all: Vec<Child> = parent.host.there.keys().copied().collect();
-                let any = |rng: &mut Pcg64Mcg| all.get(rng.random_range(0..all.len().max(1))).copied();
+                let any =
+                    |rng: &mut Pcg64Mcg| all.get(rng.random_range(0..all.len().max(1))).copied();
                 match rng.random_range(0..8) {
                     0 | 1 => {
                         if let Some((child, _)) = parent.in_charge() {
@@ -556,27 +694,41 @@
                 }
                 parent.wake(now);
                 let serves = parent.in_charge().is_some_and(|(child, _)| {
-                    parent.host.there.contains_key(&child) && !parent.host.told_to_leave.contains(&child)
+                    parent.host.there.contains_key(&child)
+                        && !parent.host.told_to_leave.contains(&child)
                 });
                 assert!(
                     serves || parent.starting.is_some() || parent.not_before > now,
                     "seed {seed}, step {no}"
                 );
                 assert!(
-                    parent.leaving.iter().all(|process| parent.host.told_to_leave.contains(&process.child))
+                    parent
+                        .leaving
+                        .iter()
+                        .all(|process| parent.host.told_to_leave.contains(&process.child))
                 );
             }
-            // One that was being started may have taken too long; the next one comes after its pause.
+            // One that was being started may have taken too long; the next one comes after its
+            // pause.
             parent.wake(now + AGAIN_MOST + 1);
             if parent.starting.is_none() {
                 parent.wake(now + 2 * AGAIN_MOST + 2);
             }
             now += 2 * AGAIN_MOST;
-            assert!(parent.in_charge().is_some() || parent.starting.is_some(), "seed {seed}");
+            assert!(
+                parent.in_charge().is_some() || parent.starting.is_some(),
+                "seed {seed}"
+            );
             parent.leave(now + 2 * AGAIN_MOST);
             let left: Vec<Child> = parent.host.there.keys().copied().collect();
-            left.into_iter().for_each(|child| parent.ended(now + 2 * AGAIN_MOST, child, "well"));
-            assert!(parent.is_over(), "seed {seed}: {:?} {:?}", parent.starting, parent.leaving);
+            left.into_iter()
+                .for_each(|child| parent.ended(now + 2 * AGAIN_MOST, child, "well"));
+            assert!(
+                parent.is_over(),
+                "seed {seed}: {:?} {:?}",
+                parent.starting,
+                parent.leaving
+            );
         }
     }
 }
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -1,10 +1,11 @@
 //! Whether the new nodes do worse than the old ones, over the same time.
 //!
-//! The unit is the node: machines differ more than counts of thousands of invocations let show, so that chance is measured by how
-//! much the old nodes differ among themselves. What a node did before takes its own slowness out (regression on the covariate
-//! before: CUPED), zones are compared each with itself, and the evidence is one that may be looked at after every window without
-//! adding to the chance of a false stop: a mixture likelihood ratio (mSPRT) over all operations and measures, which share that
-//! chance. Crashes are counts, and compared as such.
+//! The unit is the node: machines differ more than counts of thousands of invocations let show, so
+//! that chance is measured by how much the old nodes differ among themselves. What a node did
+//! before takes its own slowness out (regression on the covariate before: CUPED), zones are
+//! compared each with itself, and the evidence is one that may be looked at after every window
+//! without adding to the chance of a false stop: a mixture likelihood ratio (mSPRT) over all
+//! operations and measures, which share that chance. Crashes are counts, and compared as such.
 
 use crate::record::{Measure, NodeRecord, Part, Record, Side};
 use crate::stages::Plan;
@@ -12,7 +13,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// The chance of stopping a change that harms nobody, over all looks, operations and measures of a stage.
+/// The chance of stopping a change that harms nobody, over all looks, operations and measures of a
+/// stage.
 pub const FALSE_STOP: f64 = 0.01;
 /// The chance of passing a stage with a change that harms by the margin, for each measure.
 pub const MISSED: f64 = 0.05;
@@ -66,7 +68,8 @@
     /// By how much the new ones do worse, and how far that may be off.
     pub harm: f64,
     pub error: f64,
-    /// As far as counts are few: what is left of that error once there are many, nodes being as different as they are.
+    /// As far as counts are few: what is left of that error once there are many, nodes being as
+    /// different as they are.
     pub chance: f64,
     /// Evidence for harm, as a likelihood ratio; and the margin that is judged by.
     pub evidence: f64,
@@ -114,7 +117,11 @@
             let _ = write!(line, "; {}", finding.line(name));
         }
         let [new, old] = self.nodes;
-        let _ = write!(line, "; {new} new nodes with {}, {old} old with {}", self.sample[0], self.sample[1]);
+        let _ = write!(
+            line,
+            "; {new} new nodes with {}, {old} old with {}",
+            self.sample[0], self.sample[1]
+        );
         line
     }
 }
@@ -122,7 +129,9 @@
 impl Finding {
     /// In words.
     pub fn line(&self, name: &dyn Fn(u32) -> String) -> String {
-        let of = self.operation.map_or_else(String::new, |operation| format!("{} ", name(operation)));
+        let of = self
+            .operation
+            .map_or_else(String::new, |operation| format!("{} ", name(operation)));
         let unit = if self.operation.is_some() { 100.0 } else { 1.0 };
         let sign = if self.operation.is_some() { " %" } else { "" };
         format!(
@@ -154,36 +163,58 @@
 
 /// The shares of a side's nodes: how far each is from what was to be expected of it.
 fn shares(record: &Record, side: Side, operation: u32, measure: Measure) -> Vec<Share> {
-    let parts =
-        || record.side(side).filter_map(|(_, node)| Some((node, node.after.get(&operation)?.of(measure))));
+    let parts = || {
+        record
+            .side(side)
+            .filter_map(|(_, node)| Some((node, node.after.get(&operation)?.of(measure))))
+    };
     let enough = |part: &Part| part.count >= NODE_SAMPLE && part.all > 0;
-    let (bad, all) = parts().fold((0, 0), |(bad, all), (_, part)| (bad + part.bad, all + part.all));
+    let (bad, all) = parts().fold((0, 0), |(bad, all), (_, part)| {
+        (bad + part.bad, all + part.all)
+    });
     let common = bad as f64 / (all as f64).max(1.0);
-    // Chance of counts, by what is likely, with half a one more so that no share is without any; where that is less than what was
-    // seen, by that: few and seldom is not normal.
+    // Chance of counts, by what is likely, with half a one more so that no share is without any;
+    // where that is less than what was seen, by that: few and seldom is not normal.
     let chance = |part: &Part, likely: f64| {
         let likely = likely.clamp(0.0, 1.0) * part.count as f64 + 0.5;
         let likely = likely / (part.count as f64 + 1.0);
         likely * (1.0 - likely) / part.count as f64
     };
     let share = |(node, part): (&NodeRecord, &Part)| {
-        let past = node.before.get(&operation).map(|parts| *parts.of(measure)).filter(enough);
+        let past = node
+            .before
+            .get(&operation)
+            .map(|parts| *parts.of(measure))
+            .filter(enough);
         let expected = part.expected / part.all as f64;
         let value = part.bad as f64 / part.all as f64 - expected;
         let before = past.map(|past| {
             let value = (past.bad as f64 - past.expected) / past.all as f64;
-            Past { value, variance: chance(&past, past.bad as f64 / past.all as f64) }
+            Past {
+                value,
+                variance: chance(&past, past.bad as f64 / past.all as f64),
+            }
         });
         let own = before.map_or(0.0, |past| past.value.max(0.0));
         let likely = (expected + own).max(common);
-        Share { zone: node.zone, value, variance: chance(part, likely), before }
+        Share {
+            zone: node.zone,
+            value,
+            variance: chance(part, likely),
+            before,
+        }
     };
-    parts().filter(|(_, part)| enough(part)).map(share).collect()
+    parts()
+        .filter(|(_, part)| enough(part))
+        .map(share)
+        .collect()
 }
 
 /// The common share of a side, and what was expected of it.
 fn pooled(record: &Record, side: Side, operation: u32, measure: Measure) -> Option<(f64, f64)> {
-    let parts = record.side(side).filter_map(|(_, node)| Some(node.after.get(&operation)?.of(measure)));
+    let parts = record
+        .side(side)
+        .filter_map(|(_, node)| Some(node.after.get(&operation)?.of(measure)));
     let (bad, expected, all) = parts.fold((0, 0.0, 0), |(bad, expected, all), part| {
         (bad + part.bad, expected + part.expected, all + part.all)
     });
@@ -192,12 +223,17 @@
 
 fn mean(values: impl Iterator<Item = f64> + Clone) -> f64 {
     let count = values.clone().count();
-    if count == 0 { 0.0 } else { values.sum::<f64>() / count as f64 }
+    if count == 0 {
+        0.0
+    } else {
+        values.sum::<f64>() / count as f64
+    }
 }
 
-/// Takes out of each share what the node's own past tells: machines differ, and a slow one was slow before. As much of its
-/// distance from its zone is taken as is its own rather than chance (the best linear prediction by two variances, as CUPED does
-/// with one slope for all: here a node with little past keeps more of its share).
+/// Takes out of each share what the node's own past tells: machines differ, and a slow one was slow
+/// before. As much of its distance from its zone is taken as is its own rather than chance (the
+/// best linear prediction by two variances, as CUPED does with one slope for all: here a node with
+/// little past keeps more of its share).
 fn adjust(new: &mut [Share], old: &mut [Share]) {
     let mut zones: BTreeMap<u32, Vec<Past>> = BTreeMap::new();
     for share in new.iter().chain(old.iter()) {
@@ -207,7 +243,10 @@
     let (mut squares, mut chance, mut degrees) = (0.0, 0.0, 0.0);
     for (zone, pasts) in zones.iter().filter(|(_, pasts)| pasts.len() > 1) {
         let part = (pasts.len() as f64 - 1.0) / pasts.len() as f64;
-        squares += pasts.iter().map(|past| (past.value - centre(*zone)).powi(2)).sum::<f64>();
+        squares += pasts
+            .iter()
+            .map(|past| (past.value - centre(*zone)).powi(2))
+            .sum::<f64>();
         chance += pasts.iter().map(|past| past.variance).sum::<f64>() * part;
         degrees += pasts.len() as f64 - 1.0;
     }
@@ -225,17 +264,22 @@
     }
 }
 
-/// How much the old nodes differ beyond chance, within their zones. Few of them tell little of that: two more are taken to differ
-/// by half of the margin.
+/// How much the old nodes differ beyond chance, within their zones. Few of them tell little of
+/// that: two more are taken to differ by half of the margin.
 fn spread(old: &[Share], margin: f64) -> f64 {
     let mut zones: BTreeMap<u32, Vec<&Share>> = BTreeMap::new();
-    old.iter().for_each(|share| zones.entry(share.zone).or_default().push(share));
+    old.iter()
+        .for_each(|share| zones.entry(share.zone).or_default().push(share));
     let (mut squares, mut degrees, mut chance) = (0.0, 0.0, 0.0);
     for shares in zones.values().filter(|shares| shares.len() > 1) {
         let centre = mean(shares.iter().map(|share| share.value));
-        squares += shares.iter().map(|share| (share.value - centre).powi(2)).sum::<f64>();
+        squares += shares
+            .iter()
+            .map(|share| (share.value - centre).powi(2))
+            .sum::<f64>();
         degrees += shares.len() as f64 - 1.0;
-        chance += shares.iter().map(|share| share.variance).sum::<f64>() * (shares.len() as f64 - 1.0)
+        chance += shares.iter().map(|share| share.variance).sum::<f64>()
+            * (shares.len() as f64 - 1.0)
             / shares.len() as f64;
     }
     let prior = PRIOR * (margin / 2.0).powi(2);
@@ -245,8 +289,10 @@
 /// By how much the new ones are above the old ones, zone by zone, and the variance of that.
 fn difference(new: &[Share], old: &[Share], spread: f64) -> Option<(f64, f64)> {
     let mut zones: BTreeMap<u32, (Vec<Share>, Vec<Share>)> = BTreeMap::new();
-    new.iter().for_each(|share| zones.entry(share.zone).or_default().0.push(*share));
-    old.iter().for_each(|share| zones.entry(share.zone).or_default().1.push(*share));
+    new.iter()
+        .for_each(|share| zones.entry(share.zone).or_default().0.push(*share));
+    old.iter()
+        .for_each(|share| zones.entry(share.zone).or_default().1.push(*share));
     let variance = |shares: &[Share], spread: f64| {
         let n = shares.len() as f64;
         spread * spread / n + shares.iter().map(|share| share.variance).sum::<f64>() / (n * n)
@@ -255,7 +301,11 @@
     let (mut sum, mut weights) = (0.0, 0.0);
     for (new, here) in zones.values().filter(|(new, _)| !new.is_empty()) {
         // A zone without old nodes is compared with all of them, which differ by their zones too.
-        let (against, far) = if here.is_empty() { (old, 2.0) } else { (here.as_slice(), 1.0) };
+        let (against, far) = if here.is_empty() {
+            (old, 2.0)
+        } else {
+            (here.as_slice(), 1.0)
+        };
         if against.is_empty() {
             return None;
         }
@@ -267,14 +317,18 @@
     (weights > 0.0).then(|| (sum / weights, 1.0 / weights))
 }
 
-/// The likelihood of a difference like this if there is harm of about this size or much more, against none; one sided.
+/// The likelihood of a difference like this if there is harm of about this size or much more,
+/// against none; one sided.
 fn mixture(harm: f64, variance: f64, size: f64) -> f64 {
     if harm <= 0.0 {
         return 0.0;
     }
     let one = |size: f64| {
         let both = variance + size * size;
-        (variance / both).sqrt() * (harm * harm * size * size / (2.0 * variance * both)).min(700.0).exp()
+        (variance / both).sqrt()
+            * (harm * harm * size * size / (2.0 * variance * both))
+                .min(700.0)
+                .exp()
     };
     SIZES.iter().map(|times| one(size * times)).sum::<f64>() / SIZES.len() as f64
 }
@@ -287,7 +341,8 @@
 
 /// The chance that the new nodes' shares rank as high as they do.
 fn ranks(new: &[Share], old: &[Share]) -> f64 {
-    // The normal form of Mann and Whitney's U, with the correction for whole steps; ties count as half.
+    // The normal form of Mann and Whitney's U, with the correction for whole steps; ties count as
+    // half.
     let (n, m) = (new.len() as f64, old.len() as f64);
     let above: f64 = new
         .iter()
@@ -303,7 +358,13 @@
 }
 
 /// One operation by one measure.
-fn compare(record: &Record, plan: &Plan, way: Way, operation: u32, measure: Measure) -> Option<Finding> {
+fn compare(
+    record: &Record,
+    plan: &Plan,
+    way: Way,
+    operation: u32,
+    measure: Measure,
+) -> Option<Finding> {
     let margin = f64::from(plan.margin) / 1000.0 * margin_of(measure);
     let (new_share, expected) = pooled(record, Side::New, operation, measure)?;
     let (old_share, _) = pooled(record, Side::Old, operation, measure)?;
@@ -334,7 +395,11 @@
         }
         Way::Fixed => {
             let harm = new_share - old_share;
-            Some(finding(harm, 0.0, if harm > margin { f64::MAX } else { 0.0 }))
+            Some(finding(
+                harm,
+                0.0,
+                if harm > margin { f64::MAX } else { 0.0 },
+            ))
         }
         Way::Invocations => {
             let variance = 1.0 / new.iter().map(|share| 1.0 / share.variance).sum::<f64>()
@@ -349,11 +414,15 @@
     }
 }
 
-/// Memory and descriptors: whether they rise faster than at the old nodes, drawn out over an hour, as a share of what there is.
+/// Memory and descriptors: whether they rise faster than at the old nodes, drawn out over an hour,
+/// as a share of what there is.
 fn rises(record: &Record) -> Vec<Finding> {
     let mut findings = Vec::new();
     for (what, of) in [
-        ("memory in an hour", (|node: &NodeRecord| node.memory) as fn(&NodeRecord) -> crate::record::Line),
+        (
+            "memory in an hour",
+            (|node: &NodeRecord| node.memory) as fn(&NodeRecord) -> crate::record::Line,
+        ),
         ("descriptors in an hour", |node| node.descriptors),
     ] {
         let values = |side| -> Vec<Share> {
@@ -373,7 +442,10 @@
                 .collect()
         };
         let (new, old) = (values(Side::New), values(Side::Old));
-        let (value_new, value_old) = (mean(new.iter().map(|s| s.value)), mean(old.iter().map(|s| s.value)));
+        let (value_new, value_old) = (
+            mean(new.iter().map(|s| s.value)),
+            mean(old.iter().map(|s| s.value)),
+        );
         // A fifth more within an hour is harm.
         let margin = 0.2;
         if let Some((harm, variance)) = difference(&new, &old, spread(&old, margin)) {
@@ -396,11 +468,18 @@
     findings
 }
 
-/// Deaths and invariants: counts by node and time, of which chance is known. What the others had in the same time tells how
-/// often such a thing happens today; without any, once in a node's day.
+/// Deaths and invariants: counts by node and time, of which chance is known. What the others had in
+/// the same time tells how often such a thing happens today; without any, once in a node's day.
 fn counts(record: &Record, deaths: &Deaths) -> Vec<Finding> {
-    let [new_time, old_time] = deaths.nodes.map(|nodes| (nodes as f64 * deaths.windows).max(1.0));
-    let sum = |side| record.side(side).map(|(_, node)| node.invariants).sum::<u64>();
+    let [new_time, old_time] = deaths
+        .nodes
+        .map(|nodes| (nodes as f64 * deaths.windows).max(1.0));
+    let sum = |side| {
+        record
+            .side(side)
+            .map(|(_, node)| node.invariants)
+            .sum::<u64>()
+    };
     let mut findings = Vec::new();
     let mut push = |what, [new, old]: [u64; 2], least: u64| {
         if new < least {
@@ -420,7 +499,11 @@
             margin: 0.0,
         });
     };
-    push("invariants that did not hold", [sum(Side::New), sum(Side::Old)], 1);
+    push(
+        "invariants that did not hold",
+        [sum(Side::New), sum(Side::Old)],
+        1,
+    );
     // One death may be chance; of two on trial, where the others live, one is not.
     push("deaths on trial", deaths.died, 2);
     findings
@@ -442,7 +525,11 @@
     let operations = record.operations();
     let mut findings: Vec<Finding> = Vec::new();
     for operation in &operations {
-        findings.extend(Measure::ALL.iter().filter_map(|m| compare(record, plan, way, *operation, *m)));
+        findings.extend(
+            Measure::ALL
+                .iter()
+                .filter_map(|m| compare(record, plan, way, *operation, *m)),
+        );
     }
     let shares = findings.len();
     if matches!(way, Way::Nodes | Way::NodesNow) {
@@ -460,34 +547,58 @@
     findings.extend(counted);
     findings.sort_by(|a, b| b.evidence.total_cmp(&a.evidence));
     let sample = [record.arrived(Side::New), record.arrived(Side::Old)];
-    let nodes = [record.side(Side::New).count(), record.side(Side::Old).count()];
+    let nodes = [
+        record.side(Side::New).count(),
+        record.side(Side::Old).count(),
+    ];
     let least = plan.stage(stage).map_or(0, |stage| u64::from(stage.sample));
-    // Harm that is certain and small is none: half of the margin at least. Counts are two tests more, with a chance of their own.
+    // Harm that is certain and small is none: half of the margin at least. Counts are two tests
+    // more, with a chance of their own.
     let harms = |finding: &Finding| {
-        let enough = if finding.margin > 0.0 { enough } else { 2.0 / FALSE_STOP };
+        let enough = if finding.margin > 0.0 {
+            enough
+        } else {
+            2.0 / FALSE_STOP
+        };
         // The plain ways would stop all changes if they looked at a handful.
         let plain = finding.margin > 0.0 && matches!(way, Way::Fixed | Way::Ranks);
-        finding.evidence >= enough && finding.harm >= finding.margin / 2.0 && (!plain || sample[0] >= least)
+        finding.evidence >= enough
+            && finding.harm >= finding.margin / 2.0
+            && (!plain || sample[0] >= least)
     };
-    let harm: Vec<Finding> = findings.iter().filter(|finding| harms(finding)).cloned().collect();
+    let harm: Vec<Finding> = findings
+        .iter()
+        .filter(|finding| harms(finding))
+        .cloned()
+        .collect();
     let verdict = if !harm.is_empty() {
         Verdict::Harm(harm)
     } else if sample[0] < least {
-        Verdict::Wait(format!("{} of {least} invocations at the new nodes", sample[0]))
+        Verdict::Wait(format!(
+            "{} of {least} invocations at the new nodes",
+            sample[0]
+        ))
     } else if shares == 0 {
         Verdict::Wait("nothing to compare with at the old nodes".into())
     } else {
-        // The fewer run it, the more it may be off: by the margin once half of the fleet does. What more counts would not tell is
-        // not waited for.
+        // The fewer run it, the more it may be off: by the margin once half of the fleet does. What
+        // more counts would not tell is not waited for.
         let part = nodes[0] as f64 / (nodes[0] + nodes[1]).max(1) as f64;
         let wide = (0.5 / part.max(1e-6)).sqrt().max(1.0);
         let unsure = |finding: &&Finding| {
-            finding.margin > 0.0 && most(finding.harm, finding.chance.powi(2)) > finding.margin * wide
+            finding.margin > 0.0
+                && most(finding.harm, finding.chance.powi(2)) > finding.margin * wide
         };
-        // What is seldom can't be told from chance: it must not hold a change up that is fine by all that is not.
+        // What is seldom can't be told from chance: it must not hold a change up that is fine by
+        // all that is not.
         let told = |finding: &&Finding| finding.chance < finding.margin;
-        let looked =
-            || findings.iter().filter(|_| way != Way::Fixed && way != Way::Ranks).filter(told).filter(unsure);
+        let looked = || {
+            findings
+                .iter()
+                .filter(|_| way != Way::Fixed && way != Way::Ranks)
+                .filter(told)
+                .filter(unsure)
+        };
         let why = |finding: &Finding| {
             format!(
                 "{} {:+.4} ± {:.4}, {:.4} is looked for",
@@ -497,13 +608,21 @@
                 finding.margin * wide
             )
         };
-        match (looked().find(|finding| finding.harm > finding.margin * wide), looked().next()) {
+        match (
+            looked().find(|finding| finding.harm > finding.margin * wide),
+            looked().next(),
+        ) {
             (Some(finding), _) => Verdict::Wait(why(finding)),
             (None, Some(finding)) => Verdict::Unsure(why(finding)),
             (None, None) => Verdict::Fine,
         }
     };
-    Judgement { verdict, findings, sample, nodes }
+    Judgement {
+        verdict,
+        findings,
+        sample,
+        nodes,
+    }
 }
 
 #[cfg(test)]
--- a/crates/rollout/src/judge/tests.rs
+++ b/crates/rollout/src/judge/tests.rs
@@ -5,7 +5,10 @@
 use rand_pcg::Pcg64Mcg;
 
 fn record() -> Record {
-    let version = |number| Version { number, hash: number };
+    let version = |number| Version {
+        number,
+        hash: number,
+    };
     Record::new(ChangeId(1), version(2), version(1))
 }
 
@@ -22,8 +25,9 @@
             .map(|n| {
                 let is_new = n < self.new && !before;
                 let share = self.own[n] + if is_new { harm } else { 0.0 };
-                let errored =
-                    (0..each).filter(|_| self.rng.random_bool(share.clamp(0.0, 1.0))).count() as u64;
+                let errored = (0..each)
+                    .filter(|_| self.rng.random_bool(share.clamp(0.0, 1.0)))
+                    .count() as u64;
                 let cell = Cell {
                     arrived: each,
                     succeeded: each - errored,
@@ -75,35 +79,62 @@
 fn a_change_that_harms_is_stopped_and_one_that_does_not_passes() {
     for seed in 0..20 {
         let fine = play(seed, 3, 0.0, 0.0, 0.0);
-        assert_eq!(fine.verdict, Verdict::Fine, "seed {seed}: {:?}", fine.findings.first());
+        assert_eq!(
+            fine.verdict,
+            Verdict::Fine,
+            "seed {seed}: {:?}",
+            fine.findings.first()
+        );
         let harm = play(seed, 3, 0.05, 0.0, 0.0);
-        assert!(matches!(harm.verdict, Verdict::Harm(_)), "seed {seed}: {:?}", harm.findings.first());
+        assert!(
+            matches!(harm.verdict, Verdict::Harm(_)),
+            "seed {seed}: {:?}",
+            harm.findings.first()
+        );
         let one = play(seed, 1, 0.2, 0.0, 0.0);
-        assert!(matches!(one.verdict, Verdict::Harm(_)), "seed {seed}: {:?}", one.findings.first());
+        assert!(
+            matches!(one.verdict, Verdict::Harm(_)),
+            "seed {seed}: {:?}",
+            one.findings.first()
+        );
     }
 }
 
-/// The one node of the first stage is a machine that always erred more: that is no fault of the change.
+/// The one node of the first stage is a machine that always erred more: that is no fault of the
+/// change.
 #[test]
 fn a_slow_machine_among_the_new_ones_is_no_harm() {
     for seed in 0..20 {
         let slow = play(seed, 1, 0.0, 0.06, 0.0);
-        assert!(!matches!(slow.verdict, Verdict::Harm(_)), "seed {seed}: {:?}", slow.findings.first());
+        assert!(
+            !matches!(slow.verdict, Verdict::Harm(_)),
+            "seed {seed}: {:?}",
+            slow.findings.first()
+        );
     }
 }
 
 #[test]
 fn a_leak_shows_before_it_harms() {
     let leaks = play(1, 2, 0.0, 0.0, 60.0); // 2 % of its memory in an hour would be 3 KB a window
-    let Verdict::Harm(findings) = &leaks.verdict else { panic!("{leaks:?}") };
+    let Verdict::Harm(findings) = &leaks.verdict else {
+        panic!("{leaks:?}")
+    };
     assert_eq!(findings[0].what, "memory in an hour");
     let line = leaks.line(&|n| format!("op{n}"));
-    assert!(line.starts_with("harm; memory in an hour:") && line.contains("2 new nodes"), "{line}");
+    assert!(
+        line.starts_with("harm; memory in an hour:") && line.contains("2 new nodes"),
+        "{line}"
+    );
 }
 
 #[test]
 fn deaths_and_invariants_are_counted_against_the_others() {
-    let mut fleet = Fleet { rng: Pcg64Mcg::seed_from_u64(1), own: vec![0.01; 30], new: 3 };
+    let mut fleet = Fleet {
+        rng: Pcg64Mcg::seed_from_u64(1),
+        own: vec![0.01; 30],
+        new: 3,
+    };
     let mut record = record();
     record.begin(&[]);
     record.stage_begins(1);
@@ -111,10 +142,17 @@
         record.after(window, &fleet.samples(false, 0.0, 100, 0.0, window));
     }
     let judged = |record: &Record, died| {
-        let deaths = Deaths { died, nodes: [3, 27], windows: 6.0 };
+        let deaths = Deaths {
+            died,
+            nodes: [3, 27],
+            windows: 6.0,
+        };
         judge(record, &Plan::default(), 1, &deaths, Way::Nodes).verdict
     };
-    assert!(!matches!(judged(&record, [1, 0]), Verdict::Harm(_)), "one may be chance");
+    assert!(
+        !matches!(judged(&record, [1, 0]), Verdict::Harm(_)),
+        "one may be chance"
+    );
     assert!(matches!(judged(&record, [2, 0]), Verdict::Harm(_)));
     // Old ones die as well: then it is the day and not the change.
     assert!(!matches!(judged(&record, [3, 27]), Verdict::Harm(_)));
@@ -124,21 +162,33 @@
 
 #[test]
 fn too_little_is_waited_for() {
-    let mut fleet = Fleet { rng: Pcg64Mcg::seed_from_u64(1), own: vec![0.01; 30], new: 1 };
+    let mut fleet = Fleet {
+        rng: Pcg64Mcg::seed_from_u64(1),
+        own: vec![0.01; 30],
+        new: 1,
+    };
     let mut record = record();
     record.begin(&[]);
     record.stage_begins(1);
     (0..4).for_each(|window| record.after(window, &fleet.samples(false, 0.0, 30, 0.0, window)));
     let judged = judge(&record, &Plan::default(), 1, &Deaths::default(), Way::Nodes);
-    assert_eq!(judged.verdict, Verdict::Wait("90 of 200 invocations at the new nodes".into()));
+    assert_eq!(
+        judged.verdict,
+        Verdict::Wait("90 of 200 invocations at the new nodes".into())
+    );
 }
 
-/// A version that throttled all was taken back from one node in the middle of a window, and a good change follows. What that node did
-/// in that window was held for its past: the others of its zone then looked worse than they were, and the change waited for good.
+/// A version that throttled all was taken back from one node in the middle of a window, and a good
+/// change follows. What that node did in that window was held for its past: the others of its zone
+/// then looked worse than they were, and the change waited for good.
 #[test]
 fn what_a_version_that_was_taken_back_did_does_not_hold_up_the_next_change() {
     for seed in 0..20 {
-        let mut fleet = Fleet { rng: Pcg64Mcg::seed_from_u64(seed), own: vec![0.001; 6], new: 0 };
+        let mut fleet = Fleet {
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            own: vec![0.001; 6],
+            new: 0,
+        };
         let (mut record, mut windows) = (record(), Vec::new());
         for window in 0..4 {
             let mut samples = fleet.samples(true, 0.0, 130, 0.0, window);
@@ -155,8 +205,14 @@
         record.begin(&windows);
         record.stage_begins(1);
         fleet.new = 1;
-        (4..12).for_each(|window| record.after(window, &fleet.samples(false, 0.0, 130, 0.0, window)));
+        (4..12)
+            .for_each(|window| record.after(window, &fleet.samples(false, 0.0, 130, 0.0, window)));
         let judged = judge(&record, &Plan::default(), 1, &Deaths::default(), Way::Nodes);
-        assert_eq!(judged.verdict, Verdict::Fine, "seed {seed}: {:?}", judged.findings.first());
+        assert_eq!(
+            judged.verdict,
+            Verdict::Fine,
+            "seed {seed}: {:?}",
+            judged.findings.first()
+        );
     }
 }
--- a/crates/rollout/src/kept.rs
+++ b/crates/rollout/src/kept.rs
@@ -1,8 +1,10 @@
-//! What a node keeps on disk of its versions, so that it starts on the right one whatever happened: a small file, written whole to
-//! another name, synced, and put in its place. `docs/design/rollout.md` has it byte by byte.
+//! What a node keeps on disk of its versions, so that it starts on the right one whatever happened:
+//! a small file, written whole to another name, synced, and put in its place.
+//! `docs/design/rollout.md` has it byte by byte.
 //!
-//! Rules: what is on trial is written before it takes force. A file that says so at the start means that the node died on trial:
-//! it starts on the last good version, and does not try that one again by itself.
+//! Rules: what is on trial is written before it takes force. A file that says so at the start means
+//! that the node died on trial: it starts on the last good version, and does not try that one again
+//! by itself.
 
 use crate::change::{Change, ChangeId, Kind, Version};
 use crate::quorum::Vote;
@@ -35,7 +37,8 @@
     pub trial: Option<Trial>,
     /// Versions that died here, or were taken back or turned down, with how often they died.
     pub turned_down: Vec<(Version, u32)>,
-    /// The change of the last agreement, so that the fleet goes on with it if all of it starts at once.
+    /// The change of the last agreement, so that the fleet goes on with it if all of it starts at
+    /// once.
     pub head: Option<Change>,
     /// What this node voted as an arbiter, and the last agreement that it takes no part in.
     pub vote: Option<Vote>,
@@ -97,27 +100,42 @@
 }
 
 fn one(version: Version, died: u32) -> OneVersion {
-    OneVersion { number: version.number, hash: version.hash, died }
+    OneVersion {
+        number: version.number,
+        hash: version.hash,
+        died,
+    }
 }
 
 fn version(one: &OneVersion) -> Version {
-    Version { number: one.number, hash: one.hash }
+    Version {
+        number: one.number,
+        hash: one.hash,
+    }
 }
 
 impl Kept {
     /// Nothing kept yet.
     pub fn new(kind: Kind) -> Kept {
-        Kept { kind, ..Kept::default() }
+        Kept {
+            kind,
+            ..Kept::default()
+        }
     }
 
-    /// The file: its mark, the bytes of what follows (4, lowest first), their CRC-32 (4), and what follows.
+    /// The file: its mark, the bytes of what follows (4, lowest first), their CRC-32 (4), and what
+    /// follows.
     pub fn write(&self) -> Vec<u8> {
         let body = Body {
             good: self.good.map(|v| one(v, 0)),
             before: self.before.map(|v| one(v, 0)),
             change: self.trial.map_or(0, |trial| trial.change.0),
             trial: self.trial.map(|trial| one(trial.version, trial.tries)),
-            turned_down: self.turned_down.iter().map(|(v, died)| one(*v, *died)).collect(),
+            turned_down: self
+                .turned_down
+                .iter()
+                .map(|(v, died)| one(*v, *died))
+                .collect(),
             kind: self.kind as u32,
             head: self.head.as_ref().map(wire::write_change),
             vote: self.vote.as_ref().map(wire::write_vote),
@@ -139,9 +157,15 @@
         };
         let magic: [u8; 4] = magic;
         if magic != MAGIC {
-            return Err(if magic.starts_with(b"mpv") { Broken::Later } else { Broken::NotOne });
+            return Err(if magic.starts_with(b"mpv") {
+                Broken::Later
+            } else {
+                Broken::NotOne
+            });
         }
-        let body = bytes.get(12..12 + u32::from_le_bytes(length) as usize).ok_or(Broken::NotOne)?;
+        let body = bytes
+            .get(12..12 + u32::from_le_bytes(length) as usize)
+            .ok_or(Broken::NotOne)?;
         if bytes.len() > FILE_MAX || crc32fast::hash(body) != u32::from_le_bytes(crc) {
             return Err(Broken::Damaged);
         }
@@ -152,30 +176,45 @@
             tries: trial.died,
         });
         Ok(Kept {
-            kind: if body.kind == 1 { Kind::Program } else { Kind::Settings },
+            kind: if body.kind == 1 {
+                Kind::Program
+            } else {
+                Kind::Settings
+            },
             good: body.good.as_ref().map(version),
             before: body.before.as_ref().map(version),
             trial,
-            turned_down: body.turned_down.iter().take(TURNED_DOWN).map(|v| (version(v), v.died)).collect(),
+            turned_down: body
+                .turned_down
+                .iter()
+                .take(TURNED_DOWN)
+                .map(|v| (version(v), v.died))
+                .collect(),
             head: body.head.as_ref().and_then(wire::read_change),
             vote: body.vote.as_ref().map(wire::read_vote),
             abstains_to: body.abstains_to,
         })
     }
 
-    /// The node starts: gives what it may start on, the first that can be run, where it is given this by hand; and the version that
-    /// died on trial, if one did, which is noted as such. What is given by hand goes first only if its number is higher than that
-    /// of the last good one, and it was not taken back here: it may be the file of long ago that the machine was set up with, or
-    /// one that was laid there beside a change.
+    /// The node starts: gives what it may start on, the first that can be run, where it is given
+    /// this by hand; and the version that died on trial, if one did, which is noted as such. What
+    /// is given by hand goes first only if its number is higher than that of the last good one, and
+    /// it was not taken back here: it may be the file of long ago that the machine was set up with,
+    /// or one that was laid there beside a change.
     pub fn begin(&mut self, given: Version) -> (Vec<Version>, Option<Trial>) {
         let died = self.trial.take();
         if let Some(trial) = died {
             self.died(trial.version);
         }
-        let is_newer = self.good.is_none_or(|good| given.number > good.number) && !self.is_turned_down(given);
+        let is_newer =
+            self.good.is_none_or(|good| given.number > good.number) && !self.is_turned_down(given);
         let first = Some(given).filter(|_| is_newer);
-        let mut all: Vec<Version> =
-            first.into_iter().chain(self.good).chain(self.before).chain([given]).collect();
+        let mut all: Vec<Version> = first
+            .into_iter()
+            .chain(self.good)
+            .chain(self.before)
+            .chain([given])
+            .collect();
         let mut seen = Vec::new();
         all.retain(|version| {
             let is_new = !seen.contains(version);
@@ -208,7 +247,10 @@
 
     /// How often a version died here.
     pub fn deaths(&self, version: Version) -> u32 {
-        self.turned_down.iter().find(|(v, _)| *v == version).map_or(0, |(_, died)| *died)
+        self.turned_down
+            .iter()
+            .find(|(v, _)| *v == version)
+            .map_or(0, |(_, died)| *died)
     }
 
     /// What is on trial is good: it is in force from here on.
@@ -223,7 +265,10 @@
 
     /// Versions whose content must stay on the disk.
     pub fn needed(&self) -> impl Iterator<Item = Version> {
-        self.good.into_iter().chain(self.before).chain(self.trial.map(|trial| trial.version))
+        self.good
+            .into_iter()
+            .chain(self.before)
+            .chain(self.trial.map(|trial| trial.version))
     }
 }
 
@@ -236,20 +281,51 @@
     use crate::stages::{Reach, ZONES_MAX};
 
     fn v(number: u64) -> Version {
-        Version { number, hash: crate::mix(number) }
+        Version {
+            number,
+            hash: crate::mix(number),
+        }
     }
 
     fn full() -> Kept {
-        let trial = Some(Trial { change: ChangeId(9), version: v(3), tries: 1 });
+        let trial = Some(Trial {
+            change: ChangeId(9),
+            version: v(3),
+            tries: 1,
+        });
         let turned_down = (10..20).map(|n| (v(n), n as u32 % 3)).collect();
         let mut head = change(9, 3);
         let until = (0..ZONES_MAX as u32).map(|zone| (zone, 1 << 60));
-        head.reach = Reach { seq: 31, stage: 2, until: until.clone().collect(), ..Reach::default() };
-        (head.fate, head.reason) = (Fate::Halted, Reason::new(1 << 41, 1 << 60, &"x".repeat(200)));
+        head.reach = Reach {
+            seq: 31,
+            stage: 2,
+            until: until.clone().collect(),
+            ..Reach::default()
+        };
+        (head.fate, head.reason) = (
+            Fate::Halted,
+            Reason::new(1 << 41, 1 << 60, &"x".repeat(200)),
+        );
         head.reach.before = until.collect();
-        let proposal = Proposal { change: ChangeId(9), reach: Reach { seq: 32, ..head.reach.clone() } };
-        let (promised, earlier) = (Ballot { round: 9, by: 1 << 60 }, Ballot { round: 8, by: 1 });
-        let vote = Vote { seq: 32, promised, accepted: Some((earlier, proposal)) };
+        let proposal = Proposal {
+            change: ChangeId(9),
+            reach: Reach {
+                seq: 32,
+                ..head.reach.clone()
+            },
+        };
+        let (promised, earlier) = (
+            Ballot {
+                round: 9,
+                by: 1 << 60,
+            },
+            Ballot { round: 8, by: 1 },
+        );
+        let vote = Vote {
+            seq: 32,
+            promised,
+            accepted: Some((earlier, proposal)),
+        };
         Kept {
             kind: Kind::Settings,
             good: Some(v(2)),
@@ -284,10 +360,21 @@
     fn one_that_died_on_trial_starts_on_the_last_good_version() {
         let mut kept = full();
         let (start, died) = kept.begin(v(1));
-        assert_eq!((start, died.unwrap().version, kept.trial), (vec![v(2), v(1)], v(3), None));
+        assert_eq!(
+            (start, died.unwrap().version, kept.trial),
+            (vec![v(2), v(1)], v(3), None)
+        );
         assert_eq!((kept.deaths(v(3)), kept.begin(v(1)).1), (1, None));
-        kept.trial = Some(Trial { change: ChangeId(9), version: v(3), tries: 2 });
-        assert_eq!(kept.begin(v(3)).0, [v(2), v(1), v(3)], "laid there beside, and died: it goes last");
+        kept.trial = Some(Trial {
+            change: ChangeId(9),
+            version: v(3),
+            tries: 2,
+        });
+        assert_eq!(
+            kept.begin(v(3)).0,
+            [v(2), v(1), v(3)],
+            "laid there beside, and died: it goes last"
+        );
         assert_eq!(kept.deaths(v(3)), 2);
     }
 
@@ -296,15 +383,30 @@
         let mut kept = Kept::new(Kind::Settings);
         assert_eq!(kept.begin(v(7)), (vec![v(7)], None));
         kept.found_good(v(1));
-        kept.trial = Some(Trial { change: ChangeId(1), version: v(2), tries: 1 });
+        kept.trial = Some(Trial {
+            change: ChangeId(1),
+            version: v(2),
+            tries: 1,
+        });
         assert_eq!(kept.needed().collect::<Vec<_>>(), [v(1), v(2)]);
         kept.found_good(v(2));
         assert_eq!((kept.good, kept.before), (Some(v(2)), Some(v(1))));
-        assert_eq!(kept.begin(v(1)).0, [v(2), v(1)], "what it was set up with goes last");
-        assert_eq!(kept.begin(v(5)).0, [v(5), v(2), v(1)], "and what is newer goes first");
+        assert_eq!(
+            kept.begin(v(1)).0,
+            [v(2), v(1)],
+            "what it was set up with goes last"
+        );
+        assert_eq!(
+            kept.begin(v(5)).0,
+            [v(5), v(2), v(1)],
+            "and what is newer goes first"
+        );
         kept.found_good(v(2));
         assert_eq!(kept.before, Some(v(1)));
         (30..60).for_each(|n| kept.turn_down(v(n), 0));
-        assert_eq!((kept.turned_down.len(), kept.write().len() <= FILE_MAX), (TURNED_DOWN, true));
+        assert_eq!(
+            (kept.turned_down.len(), kept.write().len() <= FILE_MAX),
+            (TURNED_DOWN, true)
+        );
     }
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,9 +1,10 @@
-//! A rolling change of the program or its settings: it goes out in stages, old and new nodes side by side, is judged by what
-//! callers get, stops by itself when a stage does worse, and goes back. No I/O: fed messages, results and the time, it says what to
-//! do.
+//! A rolling change of the program or its settings: it goes out in stages, old and new nodes side
+//! by side, is judged by what callers get, stops by itself when a stage does worse, and goes back.
+//! No I/O: fed messages, results and the time, it says what to do.
 //!
-//! What a fleet knows of a change is a value that merges in any order ([`change`]) and can only move towards safety without a
-//! quorum: any node may halt it, and none may advance it alone. `docs/design/rollout.md` has the argument.
+//! What a fleet knows of a change is a value that merges in any order ([`change`]) and can only
+//! move towards safety without a quorum: any node may halt it, and none may advance it alone.
+//! `docs/design/rollout.md` has the argument.
 
 #![forbid(unsafe_code)]
 
