--- a/crates/rollout/src/local.rs
+++ b/crates/rollout/src/local.rs
@@ -1,8 +1,10 @@
-//! A node's part in changes of one kind: a method for each thing that happens, acting through a small [`Host`].
+//! A node's part in changes of one kind: a method for each thing that happens, acting through a
+//! small [`Host`].
 //!
-//! The life of a change here: known, fetched, checked by the node itself, staged (its content is on the disk), and when its stage
-//! comes on trial: first that is written, then it takes force. On trial it stays until the fleet finds it good or takes it back. What
-//! is written is always enough to start on the last good version.
+//! The life of a change here: known, fetched, checked by the node itself, staged (its content is on
+//! the disk), and when its stage comes on trial: first that is written, then it takes force. On
+//! trial it stays until the fleet finds it good or takes it back. What is written is always enough
+//! to start on the last good version.
 
 use crate::change::{Change, ChangeId, Changes, Fate, Kind, Reason, Version};
 use crate::conduct::Member;
@@ -15,7 +17,8 @@
 use crate::{MILLISECOND, Nanos, SECOND};
 use std::collections::BTreeMap;
 
-/// What a node's part does to the world. None of it may wait; what takes time is answered by a method.
+/// What a node's part does to the world. None of it may wait; what takes time is answered by a
+/// method.
 pub trait Host {
     /// Send to a node, by the key of its name.
     fn send(&mut self, to: u64, told: Told);
@@ -29,14 +32,15 @@
     fn show(&mut self, report: &Report);
     /// Check a version by its content; answered by [`Local::checked`].
     fn check(&mut self, change: ChangeId, version: Version, content: Option<Vec<u8>>);
-    /// Write what is kept, and a content with it; contents that are not needed any more may go. Answered by [`Local::kept`].
+    /// Write what is kept, and a content with it; contents that are not needed any more may go.
+    /// Answered by [`Local::kept`].
     fn keep(&mut self, no: u64, kept: &Kept, content: Option<(Version, Vec<u8>)>);
     /// Run this version from here on; answered by [`Local::applied`].
     fn apply(&mut self, version: Version);
     /// The fleet as this node sees it, itself among it.
     fn members(&mut self) -> Vec<Member>;
-    /// Look into a content that is offered here, or into a program's version; answered by [`crate::Rollout::looked_into`]. A host
-    /// that takes no orders is never asked.
+    /// Look into a content that is offered here, or into a program's version; answered by
+    /// [`crate::Rollout::looked_into`]. A host that takes no orders is never asked.
     fn look_into(&mut self, _no: u64, _version: Option<Version>, _content: Option<Vec<u8>>) {}
     /// What all nodes counted in these windows, as far as it is known here.
     fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<Sample>)>;
@@ -153,11 +157,12 @@
 pub(crate) const DEATHS: u32 = 2;
 /// What could not be written is tried again after this.
 const REWRITE: Nanos = 10 * SECOND;
-/// A node alone halts what is plainly bad: of so many invocations since, so much less succeed than of as many before.
+/// A node alone halts what is plainly bad: of so many invocations since, so much less succeed than
+/// of as many before.
 const OWN_SAMPLE: u64 = 50;
 const OWN_LESS: f64 = 0.5;
-/// One that starts with nothing on its disk and hears of agreements within this may have lost what it voted, and takes no part for
-/// as long at most.
+/// One that starts with nothing on its disk and hears of agreements within this may have lost what
+/// it voted, and takes no part for as long at most.
 const NEW: Nanos = 600 * SECOND;
 /// Changes that are over are forgotten after this.
 const REMEMBERED: Nanos = 7 * 24 * 3600 * SECOND;
@@ -233,8 +238,21 @@
 
 impl<H: Host> Local<H> {
     /// A node that has just started, and read this from its disk.
-    pub fn new(now: Nanos, unix_ms: u64, (me, zone): (u64, u32), start: Start, host: H) -> Local<H> {
-        let Start { kept, running, contents, new_content, died, fresh } = start;
+    pub fn new(
+        now: Nanos,
+        unix_ms: u64,
+        (me, zone): (u64, u32),
+        start: Start,
+        host: H,
+    ) -> Local<H> {
+        let Start {
+            kept,
+            running,
+            contents,
+            new_content,
+            died,
+            fresh,
+        } = start;
         let mut local = Local {
             host,
             kind: kept.kind,
@@ -274,20 +292,29 @@
                 trial.version, running
             ));
         }
-        // A program whose turn it is to be tried starts on trial; else what it starts on is good, as far as it goes.
-        let is_trial = local.kept.trial.is_some_and(|trial| trial.version == running);
+        // A program whose turn it is to be tried starts on trial; else what it starts on is good,
+        // as far as it goes.
+        let is_trial = local
+            .kept
+            .trial
+            .is_some_and(|trial| trial.version == running);
         if !is_trial && local.kept.good != Some(running) {
             local.kept.found_good(running);
         }
         if let Some(content) = &new_content {
             local.contents.insert(running, content.clone());
         }
-        local.write(now, Then::Rest, new_content.map(|content| (running, content)));
+        local.write(
+            now,
+            Then::Rest,
+            new_content.map(|content| (running, content)),
+        );
         local.look(now);
         local
     }
 
-    /// The node ends, by notice: what is on trial did not die. Gives what is to be written before the process ends.
+    /// The node ends, by notice: what is on trial did not die. Gives what is to be written before
+    /// the process ends.
     pub fn leave(&mut self) -> Kept {
         self.kept.trial = None;
         self.kept.clone()
@@ -352,9 +379,12 @@
 
     /// Somebody here moves a change towards safety: an operator, or a look at its figures.
     pub fn end(&mut self, now: Nanos, unix_ms: u64, id: ChangeId, fate: Fate, why: &str) -> bool {
-        let ends = self.changes.end(id, fate, Reason::new(unix_ms, self.me, why));
+        let ends = self
+            .changes
+            .end(id, fate, Reason::new(unix_ms, self.me, why));
         if ends {
-            self.host.log(&format!("change {id}: {}, {why}", fate.word()));
+            self.host
+                .log(&format!("change {id}: {}, {why}", fate.word()));
             self.tell_some();
             self.look(now);
         }
@@ -366,7 +396,9 @@
         let advances = self.changes.advance(id, reach);
         if advances {
             let line = match self.changes.get(id) {
-                Some(change) if change.fate == Fate::Done => "done, the whole fleet runs it".to_owned(),
+                Some(change) if change.fate == Fate::Done => {
+                    "done, the whole fleet runs it".to_owned()
+                }
                 _ => format!("stage {} begins", reach.stage),
             };
             self.host.log(&format!("change {id}: {line}"));
@@ -380,7 +412,10 @@
         if said.kind != self.kind {
             return false;
         }
-        let before = self.changes.get(said.id).map(|change| (change.fate, change.reach.stage));
+        let before = self
+            .changes
+            .get(said.id)
+            .map(|change| (change.fate, change.reach.stage));
         if !self.changes.hear(said) {
             return false;
         }
@@ -388,13 +423,18 @@
             let (fate, stage) = before.unwrap_or((Fate::Open, 0));
             let (id, version) = (change.id, change.version);
             let line = match change.fate {
-                now if now > fate => Some(format!("change {id}: {}, {}", now.word(), change.reason.why)),
+                now if now > fate => Some(format!(
+                    "change {id}: {}, {}",
+                    now.word(),
+                    change.reason.why
+                )),
                 Fate::Open if change.reach.stage > stage => {
                     Some(format!("change {id}: stage {} begins", change.reach.stage))
                 }
-                Fate::Open if before.is_none() => {
-                    Some(format!("change {id}: {version} is offered in place of {}", change.base))
-                }
+                Fate::Open if before.is_none() => Some(format!(
+                    "change {id}: {version} is offered in place of {}",
+                    change.base
+                )),
                 _ => None,
             };
             if let Some(line) = line {
@@ -418,8 +458,10 @@
     pub fn told(&mut self, now: Nanos, from: u64, told: Told) {
         match told {
             Told::Changes { changes, answer } => {
-                let mine: Vec<Change> =
-                    changes.into_iter().filter(|change| change.kind == self.kind).collect();
+                let mine: Vec<Change> = changes
+                    .into_iter()
+                    .filter(|change| change.kind == self.kind)
+                    .collect();
                 for change in &mine {
                     self.hear(now, change);
                 }
@@ -429,8 +471,15 @@
                     }
                 }
             }
-            Told::Poll { no, change, stage, fate } => {
-                if self.changes.get(change).is_none() && !self.changes.iter().any(|c| c.id == change) {
+            Told::Poll {
+                no,
+                change,
+                stage,
+                fate,
+            } => {
+                if self.changes.get(change).is_none()
+                    && !self.changes.iter().any(|c| c.id == change)
+                {
                     // It knows nothing of it yet, and asks.
                     in_parcels(self.changes.iter(), true)
                         .into_iter()
@@ -447,10 +496,15 @@
                 }
                 self.host.send(from, Told::Report { no, report });
             }
-            Told::AskPieces { change, first, count } => {
+            Told::AskPieces {
+                change,
+                first,
+                count,
+            } => {
                 let version = self.changes.get(change).map(|change| change.version);
                 let content = version.and_then(|version| self.contents.get(&version));
-                let pieces: Vec<(u32, Vec<u8>)> = (first..first.saturating_add(count.min(pieces::AT_ONCE)))
+                let pieces: Vec<(u32, Vec<u8>)> = (first
+                    ..first.saturating_add(count.min(pieces::AT_ONCE)))
                     .filter_map(|no| Some((no, pieces::piece(content?, no)?.to_vec())))
                     .collect();
                 for (no, bytes) in pieces {
@@ -474,7 +528,10 @@
 
     /// The report, on this change.
     fn report_on(&self, change: ChangeId) -> Report {
-        Report { change, ..self.report_of(self.changes.get(change)) }
+        Report {
+            change,
+            ..self.report_of(self.changes.get(change))
+        }
     }
 
     // ---- Time ----
@@ -486,13 +543,17 @@
             Waits::Check { since, .. } | Waits::Keep { since, .. } | Waits::Apply { since, .. }
                 if late(*since) =>
             {
-                self.host.log("what was asked of this node was not answered, and is asked for again");
+                self.host
+                    .log("what was asked of this node was not answered, and is asked for again");
                 self.waits = Waits::Nothing;
             }
             _ => {}
         }
-        // A disk that has room again gets what it lacks: else the node would start on what is no more.
-        if self.waits == Waits::Nothing && self.unwritten.is_some_and(|since| now >= since + REWRITE) {
+        // A disk that has room again gets what it lacks: else the node would start on what is no
+        // more.
+        if self.waits == Waits::Nothing
+            && self.unwritten.is_some_and(|since| now >= since + REWRITE)
+        {
             self.write(now, Then::Rest, None);
         }
         if now >= self.compared + COMPARE {
@@ -507,9 +568,14 @@
         self.look(now);
     }
 
-    /// What the node itself came to so far: a version that is plainly bad is taken back without asking anybody.
+    /// What the node itself came to so far: a version that is plainly bad is taken back without
+    /// asking anybody.
     pub fn own(&mut self, now: Nanos, unix_ms: u64, own: Own) {
-        let Some(trial) = self.kept.trial.filter(|trial| trial.version == self.running) else {
+        let Some(trial) = self
+            .kept
+            .trial
+            .filter(|trial| trial.version == self.running)
+        else {
             // The last two words before a trial are what it is compared with.
             (self.own_before, self.own_begun) = (Own { ..self.own_last }, None);
             self.own_last = own;
@@ -544,14 +610,17 @@
     // ---- What is done ----
 
     fn of_kind(&self) -> impl Iterator<Item = &Change> {
-        self.changes.iter().filter(|change| change.kind == self.kind)
+        self.changes
+            .iter()
+            .filter(|change| change.kind == self.kind)
     }
 
     /// The last one that is done and is not here yet.
     fn missed(&self) -> Option<&Change> {
         let good = self.kept.good.unwrap_or(self.running);
-        let done =
-            self.of_kind().filter(|change| change.fate == Fate::Done && change.version.number > good.number);
+        let done = self
+            .of_kind()
+            .filter(|change| change.fate == Fate::Done && change.version.number > good.number);
         done.filter(|change| !self.turned_down.contains_key(&change.version))
             .max_by_key(|change| change.reach.seq)
     }
@@ -565,10 +634,21 @@
 
     /// The change that this node is shown to go by.
     fn mine(&self) -> Option<&Change> {
-        let trial = self.kept.trial.and_then(|trial| self.changes.get(trial.change));
+        let trial = self
+            .kept
+            .trial
+            .and_then(|trial| self.changes.get(trial.change));
         let under_way = self.changes.under_way(self.kind);
-        let current = || self.changes.current(self.kind).or_else(|| self.changes.head(self.kind));
-        trial.or_else(|| self.undone()).or(under_way).or_else(|| self.missed()).or_else(current)
+        let current = || {
+            self.changes
+                .current(self.kind)
+                .or_else(|| self.changes.head(self.kind))
+        };
+        trial
+            .or_else(|| self.undone())
+            .or(under_way)
+            .or_else(|| self.missed())
+            .or_else(current)
     }
 
     /// Looks at what is to be done next, and does it.
@@ -577,7 +657,8 @@
         if self.waits == Waits::Nothing {
             self.vote(now);
         }
-        // What was agreed on and how it ended is on the disk, so that who starts anew does not go by what is over.
+        // What was agreed on and how it ended is on the disk, so that who starts anew does not go
+        // by what is over.
         let head = |change: &Change| (change.id, change.reach.seq, change.fate);
         if self.waits == Waits::Nothing
             && self.changes.head(self.kind).map(head) != self.kept.head.as_ref().map(head)
@@ -597,12 +678,15 @@
         }
     }
 
-    /// An arbiter that starts without anything on its disk, in a fleet that has agreed on things, may have lost its votes: it takes
-    /// part again after two more agreements, when nothing that it can have voted on is open; or after so long that whoever can
-    /// have counted its vote has long brought that to its end.
+    /// An arbiter that starts without anything on its disk, in a fleet that has agreed on things,
+    /// may have lost its votes: it takes part again after two more agreements, when nothing that it
+    /// can have voted on is open; or after so long that whoever can have counted its vote has long
+    /// brought that to its end.
     fn learn_of_agreements(&mut self, now: Nanos) {
         let known = quorum::known(&self.changes, self.kind);
-        let Some(born) = self.born.filter(|_| known > 0) else { return };
+        let Some(born) = self.born.filter(|_| known > 0) else {
+            return;
+        };
         self.born = None;
         if now < born + NEW && self.kept.vote.is_none() {
             self.kept.abstains_to = known + 2;
@@ -611,7 +695,9 @@
 
     /// What is asked of an arbiter: its vote is written before it is told.
     fn vote(&mut self, now: Nanos) {
-        let Some((from, ask)) = self.asked.take() else { return };
+        let Some((from, ask)) = self.asked.take() else {
+            return;
+        };
         let seq = match &ask {
             Ask::Prepare { seq, .. } => *seq,
             Ask::Accept { proposal, .. } => proposal.reach.seq,
@@ -619,7 +705,9 @@
         if seq <= self.kept.abstains_to && now < self.started + NEW {
             let from = self.kept.abstains_to + 1;
             if !std::mem::replace(&mut self.abstained, true) {
-                self.host.log(&format!("nothing was on the disk: votes on changes from agreement {from} on"));
+                self.host.log(&format!(
+                    "nothing was on the disk: votes on changes from agreement {from} on"
+                ));
             }
             return;
         }
@@ -630,12 +718,12 @@
                 self.kept.vote = Some(vote);
                 self.write(now, Then::Say(from, say), None);
             }
-            Answer::Behind => {
-                in_parcels(self.changes.iter(), true).into_iter().for_each(|told| self.host.send(from, told))
-            }
-            Answer::Ahead => {
-                in_parcels(self.changes.iter(), false).into_iter().for_each(|told| self.host.send(from, told))
-            }
+            Answer::Behind => in_parcels(self.changes.iter(), true)
+                .into_iter()
+                .for_each(|told| self.host.send(from, told)),
+            Answer::Ahead => in_parcels(self.changes.iter(), false)
+                .into_iter()
+                .for_each(|told| self.host.send(from, told)),
         }
     }
 
@@ -660,17 +748,24 @@
         if let Some((version, base)) = self.undone().map(|change| (change.version, change.base)) {
             return self.take_back(now, version, base);
         }
-        let in_stage =
-            self.changes.under_way(self.kind).filter(|c| c.wants(self.me, self.zone) == Some(true));
-        let Some(change) = self.missed().or(in_stage).cloned() else { return };
+        let in_stage = self
+            .changes
+            .under_way(self.kind)
+            .filter(|c| c.wants(self.me, self.zone) == Some(true));
+        let Some(change) = self.missed().or(in_stage).cloned() else {
+            return;
+        };
         let version = change.version;
-        if self.running != version && self.staged.contains_key(&version) && self.kept.deaths(version) < DEATHS
+        if self.running != version
+            && self.staged.contains_key(&version)
+            && self.kept.deaths(version) < DEATHS
         {
             self.begin(now, &change);
         }
     }
 
-    /// What may be begun later is fetched and checked: what is missing here, then what is under way, then what goes next.
+    /// What may be begun later is fetched and checked: what is missing here, then what is under
+    /// way, then what goes next.
     fn prepare(&mut self, now: Nanos) {
         let under_way = self.changes.under_way(self.kind);
         let all = [self.missed(), under_way, self.changes.next(self.kind)];
@@ -679,7 +774,11 @@
                 || self.turned_down.contains_key(&version)
                 || version == self.running
         };
-        let change = all.into_iter().flatten().find(|change| !is_here(change.version)).cloned();
+        let change = all
+            .into_iter()
+            .flatten()
+            .find(|change| !is_here(change.version))
+            .cloned();
         match change {
             Some(change) => self.stage(now, &change),
             None => self.fetch = None,
@@ -690,7 +789,11 @@
     fn stage(&mut self, now: Nanos, change: &Change) {
         let has = self.contents.contains_key(&change.version);
         if change.kind == Kind::Settings && !has {
-            if self.fetch.as_ref().is_none_or(|fetch| fetch.change != change.id) {
+            if self
+                .fetch
+                .as_ref()
+                .is_none_or(|fetch| fetch.change != change.id)
+            {
                 self.fetch = Fetch::new(change);
             }
             let Some(fetch) = &mut self.fetch else {
@@ -711,20 +814,31 @@
                         to.push(change.by);
                         to.dedup();
                         for to in to {
-                            self.host.send(to, Told::AskPieces { change: change.id, first, count });
+                            self.host.send(
+                                to,
+                                Told::AskPieces {
+                                    change: change.id,
+                                    first,
+                                    count,
+                                },
+                            );
                         }
                     }
                     return;
                 }
             }
         }
-        self.waits = Waits::Check { change: change.id, since: now };
+        self.waits = Waits::Check {
+            change: change.id,
+            since: now,
+        };
         let content = self.contents.get(&change.version).cloned();
         self.host.check(change.id, change.version, content);
     }
 
     fn turn_down(&mut self, change: &Change, why: &str) {
-        self.host.log(&format!("change {}: turned down here, {why}", change.id));
+        self.host
+            .log(&format!("change {}: turned down here, {why}", change.id));
         self.turned_down.insert(change.version, why.to_owned());
         self.contents.remove(&change.version);
         self.fetch = None;
@@ -736,11 +850,17 @@
             return; // asked for again meanwhile
         }
         self.waits = Waits::Nothing;
-        let Some(change) = self.changes.get(id).cloned() else { return };
+        let Some(change) = self.changes.get(id).cloned() else {
+            return;
+        };
         match result {
             Err(why) => self.turn_down(&change, &why),
             Ok(()) => {
-                let content = self.contents.get(&change.version).cloned().map(|c| (change.version, c));
+                let content = self
+                    .contents
+                    .get(&change.version)
+                    .cloned()
+                    .map(|c| (change.version, c));
                 self.write(now, Then::Staged(id), content);
             }
         }
@@ -750,7 +870,11 @@
     fn write(&mut self, now: Nanos, then: Then, content: Option<(Version, Vec<u8>)>) {
         self.writes += 1;
         self.kept.head = self.changes.head(self.kind).cloned();
-        self.waits = Waits::Keep { no: self.writes, then, since: now };
+        self.waits = Waits::Keep {
+            no: self.writes,
+            then,
+            since: now,
+        };
         let kept = self.kept.clone();
         self.host.keep(self.writes, &kept, content);
     }
@@ -758,7 +882,9 @@
     /// A write was carried out, or could not be.
     pub fn kept(&mut self, now: Nanos, no: u64, result: Result<(), String>) {
         let then = match &self.waits {
-            Waits::Keep { no: waits, then, .. } if *waits == no => then.clone(),
+            Waits::Keep {
+                no: waits, then, ..
+            } if *waits == no => then.clone(),
             _ => return,
         };
         self.waits = Waits::Nothing;
@@ -771,37 +897,61 @@
         match (then, result) {
             (Then::Rest, Ok(())) => {}
             (Then::Rest, Err(_)) if was_unwritten => {} // told before
-            (Then::Rest, Err(why)) => self.host.log(&format!("what is in force could not be written: {why}")),
+            (Then::Rest, Err(why)) => self
+                .host
+                .log(&format!("what is in force could not be written: {why}")),
             (Then::Staged(id), result) => {
                 if let Some(change) = self.changes.get(id).cloned() {
                     match result {
                         Ok(()) => {
-                            self.host.log(&format!("change {id}: version {} is staged", change.version));
+                            self.host.log(&format!(
+                                "change {id}: version {} is staged",
+                                change.version
+                            ));
                             self.staged.insert(change.version, true);
                         }
-                        Err(why) => self.turn_down(&change, &format!("it could not be written: {why}")),
+                        Err(why) => {
+                            self.turn_down(&change, &format!("it could not be written: {why}"))
+                        }
                     }
                 }
             }
             (Then::Say(to, say), Ok(())) => self.host.send(to, Told::Say(self.kind, say)),
-            (Then::Say(..), Err(why)) => self.host.log(&format!("a vote could not be written: {why}")),
+            (Then::Say(..), Err(why)) => self
+                .host
+                .log(&format!("a vote could not be written: {why}")),
             // It was halted meanwhile: who has not begun does not begin.
             (Then::Apply(_), Ok(())) if self.is_halted_trial() => self.kept.trial = None,
             (Then::Apply(version), Ok(())) => {
-                self.waits = Waits::Apply { version, since: now };
+                self.waits = Waits::Apply {
+                    version,
+                    since: now,
+                };
                 self.host.apply(version);
             }
-            // Towards safety it goes without its note; a version on trial must be noted before it takes force.
+            // Towards safety it goes without its note; a version on trial must be noted before it
+            // takes force.
             (Then::Apply(version), Err(why)) if self.kept.trial.is_none() => {
-                self.host.log(&format!("goes back though that could not be written: {why}"));
-                self.waits = Waits::Apply { version, since: now };
+                self.host.log(&format!(
+                    "goes back though that could not be written: {why}"
+                ));
+                self.waits = Waits::Apply {
+                    version,
+                    since: now,
+                };
                 self.host.apply(version);
             }
             (Then::Apply(_), Err(why)) => {
-                if let Some(change) =
-                    self.kept.trial.take().and_then(|trial| self.changes.get(trial.change).cloned())
+                if let Some(change) = self
+                    .kept
+                    .trial
+                    .take()
+                    .and_then(|trial| self.changes.get(trial.change).cloned())
                 {
-                    self.turn_down(&change, &format!("its trial could not be written down: {why}"));
+                    self.turn_down(
+                        &change,
+                        &format!("its trial could not be written down: {why}"),
+                    );
                 }
             }
         }
@@ -809,11 +959,17 @@
     }
 
     fn is_halted_trial(&self) -> bool {
-        let trial = self.kept.trial.filter(|trial| trial.version != self.running);
-        trial.and_then(|trial| self.changes.get(trial.change)).is_some_and(|change| change.fate > Fate::Done)
+        let trial = self
+            .kept
+            .trial
+            .filter(|trial| trial.version != self.running);
+        trial
+            .and_then(|trial| self.changes.get(trial.change))
+            .is_some_and(|change| change.fate > Fate::Done)
     }
 
-    /// A version's turn has come here: in its slot it is written down as on trial, and then takes force.
+    /// A version's turn has come here: in its slot it is written down as on trial, and then takes
+    /// force.
     fn begin(&mut self, now: Nanos, change: &Change) {
         let stage = change.reach.stage;
         let heard = match self.heard_stage {
@@ -833,25 +989,43 @@
             return;
         }
         let tries = self.kept.deaths(change.version) + 1;
-        self.kept.trial = Some(Trial { change: change.id, version: change.version, tries });
+        self.kept.trial = Some(Trial {
+            change: change.id,
+            version: change.version,
+            tries,
+        });
         self.write(now, Then::Apply(change.version), None);
     }
 
     /// A version runs now, or can't be run.
-    pub fn applied(&mut self, now: Nanos, unix_ms: u64, version: Version, result: Result<(), String>) {
+    pub fn applied(
+        &mut self,
+        now: Nanos,
+        unix_ms: u64,
+        version: Version,
+        result: Result<(), String>,
+    ) {
         if !matches!(self.waits, Waits::Apply { version: waits, .. } if waits == version) {
             return;
         }
         self.waits = Waits::Nothing;
         match result {
             Ok(()) => {
-                let word = if self.kept.trial.is_some() { "on trial" } else { "in force" };
-                self.host.log(&format!("version {version} is {word}, in place of {}", self.running));
+                let word = if self.kept.trial.is_some() {
+                    "on trial"
+                } else {
+                    "in force"
+                };
+                self.host.log(&format!(
+                    "version {version} is {word}, in place of {}",
+                    self.running
+                ));
                 (self.running, self.since_ms) = (version, unix_ms);
                 self.own_begun = None;
             }
             Err(why) => {
-                self.host.log(&format!("version {version} can't be run: {why}"));
+                self.host
+                    .log(&format!("version {version} can't be run: {why}"));
                 // What can't be gone back to is tried again, and shown until then.
                 self.not_before = now + AGAIN;
                 if let Some(trial) = self.kept.trial.take_if(|trial| trial.version == version) {
@@ -874,13 +1048,16 @@
     fn found_good(&mut self, now: Nanos, version: Version) {
         if self.kept.good != Some(version) || self.kept.trial.is_some() {
             self.kept.found_good(version);
-            self.host.log(&format!("version {version} is good, and the one to start on"));
+            self.host.log(&format!(
+                "version {version} is good, and the one to start on"
+            ));
             self.forget_contents();
             self.write(now, Then::Rest, None);
         }
     }
 
-    /// Back to the last good version; of one that was found good and is taken back later, to the one before.
+    /// Back to the last good version; of one that was found good and is taken back later, to the
+    /// one before.
     fn take_back(&mut self, now: Nanos, version: Version, base: Version) {
         self.kept.trial = None;
         self.kept.turn_down(version, self.kept.deaths(version));
@@ -899,14 +1076,22 @@
     /// Contents of versions that are neither kept nor offered make room.
     fn forget_contents(&mut self) {
         let needed: Vec<Version> = self.kept.needed().collect();
-        let open = |version: &Version| self.changes.iter().any(|c| c.version == *version && !c.is_over());
-        self.contents.retain(|version, _| needed.contains(version) || open(version));
+        let open = |version: &Version| {
+            self.changes
+                .iter()
+                .any(|c| c.version == *version && !c.is_over())
+        };
+        self.contents
+            .retain(|version, _| needed.contains(version) || open(version));
     }
 
     /// How it stands to a change.
     fn stand(&self, change: &Change) -> Stand {
         let version = change.version;
-        let trial = self.kept.trial.is_some_and(|trial| trial.version == version);
+        let trial = self
+            .kept
+            .trial
+            .is_some_and(|trial| trial.version == version);
         match () {
             () if self.running == version && self.kept.good == Some(version) => Stand::Good,
             () if self.running == version && trial => Stand::OnTrial,
@@ -936,7 +1121,10 @@
             since_ms: self.since_ms,
             died: of.map_or(0, |version| self.kept.deaths(version)),
             died_ms: self.died_ms,
-            why: of.and_then(|version| self.turned_down.get(&version)).cloned().unwrap_or_default(),
+            why: of
+                .and_then(|version| self.turned_down.get(&version))
+                .cloned()
+                .unwrap_or_default(),
             digest: self.changes.digest(),
         }
     }
@@ -944,7 +1132,11 @@
     /// Why the node runs what it runs, in words.
     pub fn why(&self, unix_ms: u64) -> Vec<String> {
         let ago = |since: u64| seconds(unix_ms.saturating_sub(since) * MILLISECOND);
-        let mut lines = vec![format!("runs version {} since {} ago", self.running, ago(self.since_ms))];
+        let mut lines = vec![format!(
+            "runs version {} since {} ago",
+            self.running,
+            ago(self.since_ms)
+        )];
         let shown = |version: Option<Version>| version.map_or("none".to_owned(), |v| v.to_string());
         lines.push(format!(
             "the last good one is {}, before it {}; it starts on the last good one",
@@ -966,14 +1158,23 @@
                 change.reach.stage,
                 change.plan.stages.len(),
                 change.fate.word(),
-                if change.fate > Fate::Open { format!(" ({})", change.reason.why) } else { String::new() },
+                if change.fate > Fate::Open {
+                    format!(" ({})", change.reason.why)
+                } else {
+                    String::new()
+                },
                 self.report.stand.word(),
-                if self.report.why.is_empty() { String::new() } else { format!(": {}", self.report.why) }
+                if self.report.why.is_empty() {
+                    String::new()
+                } else {
+                    format!(": {}", self.report.why)
+                }
             ));
         }
         for (version, died) in &self.kept.turned_down {
-            lines
-                .push(format!("version {version} was taken back or turned down here, and died {died} times"));
+            lines.push(format!(
+                "version {version} was taken back or turned down here, and died {died} times"
+            ));
         }
         lines
     }
--- a/crates/rollout/src/orders.rs
+++ b/crates/rollout/src/orders.rs
@@ -1,6 +1,7 @@
-//! What operators order of a node: a content in pieces, which may come in any order and more than once; that it is offered to the
-//! fleet, once the node itself has looked into it; that a change is halted or taken back. The same order may come again, for its
-//! answer may have been lost: it is answered as before and has no second effect.
+//! What operators order of a node: a content in pieces, which may come in any order and more than
+//! once; that it is offered to the fleet, once the node itself has looked into it; that a change is
+//! halted or taken back. The same order may come again, for its answer may have been lost: it is
+//! answered as before and has no second effect.
 
 use crate::change::{Change, ChangeId, Changes, Fate, Kind, Reason, Version};
 use crate::pieces::{self, CONTENT_MAX};
@@ -22,7 +23,11 @@
 }
 
 fn answer(state: u32, why: &str, change: u64) -> Ordered {
-    Ordered { state, why: why.to_owned(), change }
+    Ordered {
+        state,
+        why: why.to_owned(),
+        change,
+    }
 }
 
 fn refused(why: &str) -> Ordered {
@@ -52,10 +57,19 @@
 pub enum Act {
     /// It is answered.
     Answer(Ordered),
-    /// The node is to look into this, and tell what came of it; the order is answered with "later" until then.
-    LookInto { no: u64, version: Option<Version>, content: Option<Vec<u8>> },
+    /// The node is to look into this, and tell what came of it; the order is answered with "later"
+    /// until then.
+    LookInto {
+        no: u64,
+        version: Option<Version>,
+        content: Option<Vec<u8>>,
+    },
     /// A change is to be moved towards safety.
-    End { id: ChangeId, fate: Fate, why: String },
+    End {
+        id: ChangeId,
+        fate: Fate,
+        why: String,
+    },
 }
 
 /// Orders to one node, about changes of one kind.
@@ -76,10 +90,16 @@
             order::PIECE if kind == Kind::Settings => Act::Answer(self.piece(now, said)),
             order::OFFER => self.offer(now, kind, said),
             order::HALT | order::BACK => {
-                let fate = if said.kind == order::HALT { Fate::Halted } else { Fate::Back };
+                let fate = if said.kind == order::HALT {
+                    Fate::Halted
+                } else {
+                    Fate::Back
+                };
                 let change = match said.change {
                     0 => changes.current(kind).or_else(|| changes.head(kind)),
-                    id => changes.get(ChangeId(id)).filter(|change| change.kind == kind),
+                    id => changes
+                        .get(ChangeId(id))
+                        .filter(|change| change.kind == kind),
                 };
                 let Some(change) = change else {
                     return Act::Answer(refused("no such change is known here"));
@@ -91,15 +111,26 @@
                 if fate == Fate::Halted && change.fate == Fate::Done {
                     return Act::Answer(refused("it is done and can't be halted, only taken back"));
                 }
-                let why = if said.why.is_empty() { "an operator said so" } else { &said.why };
-                Act::End { id: change.id, fate, why: why.to_owned() }
+                let why = if said.why.is_empty() {
+                    "an operator said so"
+                } else {
+                    &said.why
+                };
+                Act::End {
+                    id: change.id,
+                    fate,
+                    why: why.to_owned(),
+                }
             }
             _ => Act::Answer(refused("this order is not known here")),
         }
     }
 
     fn piece(&mut self, now: Nanos, said: &Order) -> Ordered {
-        let (size, Ok(digest)) = (said.size as usize, <[u8; 32]>::try_from(said.digest.as_slice())) else {
+        let (size, Ok(digest)) = (
+            said.size as usize,
+            <[u8; 32]>::try_from(said.digest.as_slice()),
+        ) else {
             return refused("a piece of nothing that can be named");
         };
         if size == 0 || size > CONTENT_MAX {
@@ -130,8 +161,18 @@
 
     fn offer(&mut self, now: Nanos, kind: Kind, said: &Order) -> Act {
         let digest = <[u8; 32]>::try_from(said.digest.as_slice()).unwrap_or_default();
-        let version = Version { number: said.number, hash: said.hash };
-        let mark = (digest, if kind == Kind::Program { version } else { Version::default() });
+        let version = Version {
+            number: said.number,
+            hash: said.hash,
+        };
+        let mark = (
+            digest,
+            if kind == Kind::Program {
+                version
+            } else {
+                Version::default()
+            },
+        );
         if let Some((_, outcome)) = self.offers.iter().find(|(of, _)| *of == mark) {
             match outcome {
                 Outcome::Over(answered) => return Act::Answer(answered.clone()),
@@ -144,10 +185,9 @@
         let (version, content) = match kind {
             Kind::Program => (Some(version), None),
             Kind::Settings => {
-                let whole = self
-                    .incoming
-                    .as_ref()
-                    .filter(|incoming| incoming.digest == digest && incoming.have.iter().all(|have| *have));
+                let whole = self.incoming.as_ref().filter(|incoming| {
+                    incoming.digest == digest && incoming.have.iter().all(|have| *have)
+                });
                 let Some(whole) = whole else {
                     return Act::Answer(refused("pieces of it are missing here; order it anew"));
                 };
@@ -160,11 +200,16 @@
         };
         self.looks += 1;
         let no = self.looks;
-        self.offers.push_back((mark, Outcome::LookedInto { no, since: now }));
+        self.offers
+            .push_back((mark, Outcome::LookedInto { no, since: now }));
         while self.offers.len() > REMEMBERED {
             self.offers.pop_front();
         }
-        Act::LookInto { no, version, content }
+        Act::LookInto {
+            no,
+            version,
+            content,
+        }
     }
 
     /// The node looked into an offer; gives the change to be offered to the fleet, if it is one.
@@ -177,7 +222,8 @@
         good: Version,
         plan: &Plan,
     ) -> Option<(Change, Option<Vec<u8>>)> {
-        let is_it = |outcome: &Outcome| matches!(outcome, Outcome::LookedInto { no: of, .. } if *of == no);
+        let is_it =
+            |outcome: &Outcome| matches!(outcome, Outcome::LookedInto { no: of, .. } if *of == no);
         let at = self.offers.iter().position(|(_, outcome)| is_it(outcome))?;
         let (digest, _) = self.offers[at].0;
         let (answered, offered) = match found {
@@ -187,10 +233,19 @@
                 (refused(&why), None)
             }
             Ok(version) => {
-                match changes.iter().find(|c| c.kind == kind && c.version == version && !c.is_over()) {
-                    Some(known) => (answer(state::TAKEN, "it was offered before", known.id.0), None),
+                match changes
+                    .iter()
+                    .find(|c| c.kind == kind && c.version == version && !c.is_over())
+                {
+                    Some(known) => (
+                        answer(state::TAKEN, "it was offered before", known.id.0),
+                        None,
+                    ),
                     None => {
-                        let whole = self.incoming.take().filter(|incoming| incoming.digest == digest);
+                        let whole = self
+                            .incoming
+                            .take()
+                            .filter(|incoming| incoming.digest == digest);
                         let content = whole.map(|incoming| incoming.bytes);
                         let id = ChangeId(mix(version.hash ^ mix(me ^ mix(unix_ms))));
                         let change = Change {
@@ -225,11 +280,22 @@
     fn piece(content: &[u8], no: u32) -> Order {
         let bytes = pieces::piece(content, no).unwrap().to_vec();
         let (size, digest) = (content.len() as u32, pieces::digest(content).to_vec());
-        Order { kind: order::PIECE, no, bytes, size, digest, ..Order::default() }
+        Order {
+            kind: order::PIECE,
+            no,
+            bytes,
+            size,
+            digest,
+            ..Order::default()
+        }
     }
 
     fn offer(content: &[u8]) -> Order {
-        Order { kind: order::OFFER, digest: pieces::digest(content).to_vec(), ..Order::default() }
+        Order {
+            kind: order::OFFER,
+            digest: pieces::digest(content).to_vec(),
+            ..Order::default()
+        }
     }
 
     fn state(act: &Act) -> Option<u32> {
@@ -246,7 +312,8 @@
     fn looked(orders: &mut Orders, no: u64, found: Result<Version, String>) -> Option<Change> {
         let good = Version { number: 4, hash: 1 };
         let of = (Kind::Settings, 7, 1000);
-        let offered = orders.looked_into(no, found, of, &Changes::default(), good, &Plan::default());
+        let offered =
+            orders.looked_into(no, found, of, &Changes::default(), good, &Plan::default());
         offered.map(|(change, content)| {
             assert_eq!(content.map(|c| c.len() as u32), Some(change.bytes));
             change
@@ -256,19 +323,42 @@
     #[test]
     fn a_content_in_pieces_is_offered_once_however_often_that_is_ordered() {
         let (content, mut orders) = (vec![9; 3000], Orders::default());
-        assert_eq!(state(&ordered(&mut orders, 0, &offer(&content))), Some(state::REFUSED));
+        assert_eq!(
+            state(&ordered(&mut orders, 0, &offer(&content))),
+            Some(state::REFUSED)
+        );
         for no in [2, 0, 0, 1] {
-            assert_eq!(state(&ordered(&mut orders, 0, &piece(&content, no))), Some(state::TAKEN));
+            assert_eq!(
+                state(&ordered(&mut orders, 0, &piece(&content, no))),
+                Some(state::TAKEN)
+            );
         }
-        let Act::LookInto { no, content: Some(whole), .. } = ordered(&mut orders, 0, &offer(&content)) else {
+        let Act::LookInto {
+            no,
+            content: Some(whole),
+            ..
+        } = ordered(&mut orders, 0, &offer(&content))
+        else {
             panic!("it is looked into")
         };
         assert_eq!(whole, content);
-        assert_eq!(state(&ordered(&mut orders, 1, &offer(&content))), Some(state::LATER));
-        let version = Version { number: 5, hash: 55 };
+        assert_eq!(
+            state(&ordered(&mut orders, 1, &offer(&content))),
+            Some(state::LATER)
+        );
+        let version = Version {
+            number: 5,
+            hash: 55,
+        };
         let change = looked(&mut orders, no, Ok(version)).unwrap();
-        assert_eq!((change.version, change.base.number, change.by), (version, 4, 7));
-        assert!(looked(&mut orders, no, Ok(version)).is_none(), "answered once");
+        assert_eq!(
+            (change.version, change.base.number, change.by),
+            (version, 4, 7)
+        );
+        assert!(
+            looked(&mut orders, no, Ok(version)).is_none(),
+            "answered once"
+        );
         let again = ordered(&mut orders, 2, &offer(&content));
         assert_eq!(again, Act::Answer(answer(state::TAKEN, "", change.id.0)));
     }
@@ -279,20 +369,51 @@
         let mut spoilt = piece(&content, 0);
         spoilt.bytes[5] ^= 1;
         ordered(&mut orders, 0, &spoilt);
-        assert_eq!(state(&ordered(&mut orders, 0, &offer(&content))), Some(state::REFUSED));
+        assert_eq!(
+            state(&ordered(&mut orders, 0, &offer(&content))),
+            Some(state::REFUSED)
+        );
         ordered(&mut orders, 0, &piece(&content, 0));
-        let Act::LookInto { no, .. } = ordered(&mut orders, 0, &offer(&content)) else { panic!() };
+        let Act::LookInto { no, .. } = ordered(&mut orders, 0, &offer(&content)) else {
+            panic!()
+        };
         assert!(looked(&mut orders, no, Ok(Version { number: 4, hash: 9 })).is_none());
-        let Act::Answer(answered) = ordered(&mut orders, 0, &offer(&content)) else { panic!() };
-        assert!(answered.why.contains("not higher than 4"), "{}", answered.why);
+        let Act::Answer(answered) = ordered(&mut orders, 0, &offer(&content)) else {
+            panic!()
+        };
+        assert!(
+            answered.why.contains("not higher than 4"),
+            "{}",
+            answered.why
+        );
         let other = vec![8; 2000];
         ordered(&mut orders, 0, &piece(&other, 0));
-        assert_eq!(state(&ordered(&mut orders, 0, &piece(&content, 0))), Some(state::LATER), "one at a time");
-        assert_eq!(state(&ordered(&mut orders, GIVEN_UP, &piece(&content, 0))), Some(state::TAKEN));
-        let large = Order { size: CONTENT_MAX as u32 + 1, ..piece(&content, 0) };
-        assert_eq!(state(&ordered(&mut orders, 0, &large)), Some(state::REFUSED));
         assert_eq!(
-            state(&ordered(&mut orders, 0, &Order { no: 9, ..piece(&content, 0) })),
+            state(&ordered(&mut orders, 0, &piece(&content, 0))),
+            Some(state::LATER),
+            "one at a time"
+        );
+        assert_eq!(
+            state(&ordered(&mut orders, GIVEN_UP, &piece(&content, 0))),
+            Some(state::TAKEN)
+        );
+        let large = Order {
+            size: CONTENT_MAX as u32 + 1,
+            ..piece(&content, 0)
+        };
+        assert_eq!(
+            state(&ordered(&mut orders, 0, &large)),
+            Some(state::REFUSED)
+        );
+        assert_eq!(
+            state(&ordered(
+                &mut orders,
+                0,
+                &Order {
+                    no: 9,
+                    ..piece(&content, 0)
+                }
+            )),
             Some(state::REFUSED)
         );
     }
@@ -300,18 +421,48 @@
     #[test]
     fn a_halt_or_a_way_back_is_for_the_current_change_and_is_taken_again() {
         let (mut changes, mut orders) = (Changes::default(), Orders::default());
-        let halt = Order { kind: order::HALT, ..Order::default() };
-        let back = Order { kind: order::BACK, why: "it smells".into(), ..Order::default() };
-        let mut act = |changes: &Changes, said: &Order| orders.order(0, Kind::Settings, changes, said);
+        let halt = Order {
+            kind: order::HALT,
+            ..Order::default()
+        };
+        let back = Order {
+            kind: order::BACK,
+            why: "it smells".into(),
+            ..Order::default()
+        };
+        let mut act =
+            |changes: &Changes, said: &Order| orders.order(0, Kind::Settings, changes, said);
         assert_eq!(state(&act(&changes, &halt)), Some(state::REFUSED));
         changes.hear(&change(3, 9));
-        assert!(matches!(act(&changes, &halt), Act::End { id: ChangeId(3), fate: Fate::Halted, .. }));
+        assert!(matches!(
+            act(&changes, &halt),
+            Act::End {
+                id: ChangeId(3),
+                fate: Fate::Halted,
+                ..
+            }
+        ));
         changes.end(ChangeId(3), Fate::Halted, Reason::new(1, 1, "x"));
         assert_eq!(state(&act(&changes, &halt)), Some(state::TAKEN));
-        let Act::End { fate: Fate::Back, why, .. } = act(&changes, &back) else { panic!() };
+        let Act::End {
+            fate: Fate::Back,
+            why,
+            ..
+        } = act(&changes, &back)
+        else {
+            panic!()
+        };
         assert_eq!(why, "it smells");
-        assert_eq!(state(&act(&changes, &Order { change: 99, ..back })), Some(state::REFUSED));
-        let program = Order { kind: order::OFFER, number: 7, hash: 8, ..Order::default() };
+        assert_eq!(
+            state(&act(&changes, &Order { change: 99, ..back })),
+            Some(state::REFUSED)
+        );
+        let program = Order {
+            kind: order::OFFER,
+            number: 7,
+            hash: 8,
+            ..Order::default()
+        };
         let act = orders.order(0, Kind::Program, &changes, &program);
         let version = Some(Version { number: 7, hash: 8 });
         assert!(matches!(act, Act::LookInto { version: v, content: None, .. } if v == version));
--- a/crates/rollout/src/pieces.rs
+++ b/crates/rollout/src/pieces.rs
@@ -1,4 +1,5 @@
-//! A change's content in bounded pieces: asked for a few at a time, from whoever has it, and believed by its hash alone.
+//! A change's content in bounded pieces: asked for a few at a time, from whoever has it, and
+//! believed by its hash alone.
 
 use crate::change::{Change, ChangeId};
 use crate::wire::PIECE;
@@ -72,7 +73,11 @@
             return None;
         }
         let first = self.have.iter().position(|have| !have)?;
-        let run = self.have[first..].iter().take(AT_ONCE as usize).take_while(|have| !**have).count();
+        let run = self.have[first..]
+            .iter()
+            .take(AT_ONCE as usize)
+            .take_while(|have| !**have)
+            .count();
         self.asked = now;
         Some((first as u32, run as u32))
     }
@@ -87,7 +92,11 @@
         self.content[from..from + bytes.len()].copy_from_slice(bytes);
         self.have[no as usize] = true;
         // All that was asked for is here: the next ones may be asked for at once.
-        let first = self.have.iter().position(|have| !have).unwrap_or(self.have.len());
+        let first = self
+            .have
+            .iter()
+            .position(|have| !have)
+            .unwrap_or(self.have.len());
         if first as u32 > no || first.is_multiple_of(AT_ONCE as usize) {
             self.asked = 0;
         }
@@ -103,7 +112,9 @@
         }
         self.have.fill(false);
         (self.spoilt, self.asked) = (self.spoilt + 1, 0);
-        Fetched::Spoilt { given_up: self.spoilt >= SPOILT }
+        Fetched::Spoilt {
+            given_up: self.spoilt >= SPOILT,
+        }
     }
 }
 
@@ -115,7 +126,11 @@
     use rand_pcg::Pcg64Mcg;
 
     fn of(content: &[u8]) -> Change {
-        Change { bytes: content.len() as u32, digest: digest(content), ..change(1, 2) }
+        Change {
+            bytes: content.len() as u32,
+            digest: digest(content),
+            ..change(1, 2)
+        }
     }
 
     #[test]
@@ -164,8 +179,19 @@
             fetch.piece(2, &[7; 5]); // too short
             assert_eq!(fetch.fetched(), Fetched::Part);
             fetch.piece(2, &[7; 3000 - 2 * PIECE]);
-            assert_eq!(fetch.fetched(), Fetched::Spoilt { given_up: round == 3 });
+            assert_eq!(
+                fetch.fetched(),
+                Fetched::Spoilt {
+                    given_up: round == 3
+                }
+            );
         }
-        assert!(Fetch::new(&Change { bytes: CONTENT_MAX as u32 + 1, ..change(1, 2) }).is_none());
+        assert!(
+            Fetch::new(&Change {
+                bytes: CONTENT_MAX as u32 + 1,
+                ..change(1, 2)
+            })
+            .is_none()
+        );
     }
 }
--- a/crates/rollout/src/quorum.rs
+++ b/crates/rollout/src/quorum.rs
@@ -1,10 +1,12 @@
-//! How the arbiters agree on what comes next: single decrees, one after the other, by majority (Paxos as Lamport has it in
-//! "Paxos Made Simple"). Each agreement has a number; the next one is voted on by arbiters that know all before it. So there is at
-//! most one agreement of a number, whoever conducts, however many at once, and of two halves at most one goes on.
+//! How the arbiters agree on what comes next: single decrees, one after the other, by majority
+//! (Paxos as Lamport has it in "Paxos Made Simple"). Each agreement has a number; the next one is
+//! voted on by arbiters that know all before it. So there is at most one agreement of a number,
+//! whoever conducts, however many at once, and of two halves at most one goes on.
 //!
-//! An arbiter's vote is on its disk before it is told. What it takes part in is bounded by what it knows: it starts nothing for a
-//! change that it knows to be halted. A value that may have been agreed on already is carried through even so, for the numbers
-//! have no holes; as the change is halted nobody begins anything by it.
+//! An arbiter's vote is on its disk before it is told. What it takes part in is bounded by what it
+//! knows: it starts nothing for a change that it knows to be halted. A value that may have been
+//! agreed on already is carried through even so, for the numbers have no holes; as the change is
+//! halted nobody begins anything by it.
 
 use crate::change::{ChangeId, Changes, Fate, Kind};
 use crate::stages::Reach;
@@ -43,7 +45,11 @@
     /// Take no part in rounds before mine; and what have you voted for?
     Prepare { seq: u64, ballot: Ballot },
     /// Vote for this. Again, if an arbiter had voted for it in a round before.
-    Accept { ballot: Ballot, proposal: Proposal, again: bool },
+    Accept {
+        ballot: Ballot,
+        proposal: Proposal,
+        again: bool,
+    },
 }
 
 /// What it says.
@@ -81,7 +87,12 @@
 
 /// The number of the last agreement that is known.
 pub fn known(changes: &Changes, kind: Kind) -> u64 {
-    changes.iter().filter(|change| change.kind == kind).map(|change| change.reach.seq).max().unwrap_or(0)
+    changes
+        .iter()
+        .filter(|change| change.kind == kind)
+        .map(|change| change.reach.seq)
+        .max()
+        .unwrap_or(0)
 }
 
 impl Vote {
@@ -89,32 +100,63 @@
     pub fn asked(&self, changes: &Changes, kind: Kind, ask: &Ask) -> Answer {
         let (seq, ballot) = match ask {
             Ask::Prepare { seq, ballot } => (*seq, *ballot),
-            Ask::Accept { ballot, proposal, .. } => (proposal.reach.seq, *ballot),
+            Ask::Accept {
+                ballot, proposal, ..
+            } => (proposal.reach.seq, *ballot),
         };
         let known = known(changes, kind);
-        // What it voted on before may have been agreed on, so that it can't take part in what comes after without knowing.
+        // What it voted on before may have been agreed on, so that it can't take part in what comes
+        // after without knowing.
         if seq > known + 1 {
             return Answer::Behind;
         }
         if seq <= known {
             return Answer::Ahead;
         }
-        let mut vote = if self.seq == seq { self.clone() } else { Vote { seq, ..Vote::default() } };
+        let mut vote = if self.seq == seq {
+            self.clone()
+        } else {
+            Vote {
+                seq,
+                ..Vote::default()
+            }
+        };
         if ballot < vote.promised {
-            return Answer::Say(Say::Refused { seq, ballot, promised: vote.promised });
+            return Answer::Say(Say::Refused {
+                seq,
+                ballot,
+                promised: vote.promised,
+            });
         }
         match ask {
             Ask::Prepare { .. } => {
                 let accepted = vote.accepted.clone();
                 vote.promised = ballot;
-                Answer::Write(vote, Say::Promised { seq, ballot, accepted })
+                Answer::Write(
+                    vote,
+                    Say::Promised {
+                        seq,
+                        ballot,
+                        accepted,
+                    },
+                )
             }
-            Ask::Accept { proposal, again, .. } => {
+            Ask::Accept {
+                proposal, again, ..
+            } => {
                 let change = changes.get(proposal.change);
-                let Some(change) = change else { return Answer::Behind };
-                let other = changes.under_way(kind).is_some_and(|other| other.id != proposal.change);
+                let Some(change) = change else {
+                    return Answer::Behind;
+                };
+                let other = changes
+                    .under_way(kind)
+                    .is_some_and(|other| other.id != proposal.change);
                 if !again && (change.fate != Fate::Open || other) {
-                    return Answer::Say(Say::Refused { seq, ballot, promised: vote.promised });
+                    return Answer::Say(Say::Refused {
+                        seq,
+                        ballot,
+                        promised: vote.promised,
+                    });
                 }
                 vote.promised = ballot;
                 vote.accepted = Some((ballot, proposal.clone()));
@@ -182,28 +224,50 @@
     /// An arbiter said something.
     pub fn said(&mut self, from: u64, say: &Say) -> Next {
         match say {
-            Say::Promised { seq, ballot, accepted } if (*seq, *ballot) == (self.seq, self.ballot) => {
+            Say::Promised {
+                seq,
+                ballot,
+                accepted,
+            } if (*seq, *ballot) == (self.seq, self.ballot) => {
                 self.promised.insert(from, accepted.clone());
                 if self.proposed.is_some() || self.promised.len() < self.majority {
                     return Next::Wait;
                 }
-                let last = self.promised.values().flatten().max_by_key(|(ballot, _)| *ballot);
+                let last = self
+                    .promised
+                    .values()
+                    .flatten()
+                    .max_by_key(|(ballot, _)| *ballot);
                 let again = last.is_some();
                 let proposal = last.map_or(&self.wished, |(_, proposal)| proposal).clone();
                 self.proposed = Some(proposal.clone());
-                Next::Ask(Ask::Accept { ballot: self.ballot, proposal, again })
+                Next::Ask(Ask::Accept {
+                    ballot: self.ballot,
+                    proposal,
+                    again,
+                })
             }
             Say::Accepted { seq, ballot } if (*seq, *ballot) == (self.seq, self.ballot) => {
                 self.accepted.insert(from);
                 match &self.proposed {
-                    Some(proposal) if self.accepted.len() >= self.majority => Next::Agreed(proposal.clone()),
+                    Some(proposal) if self.accepted.len() >= self.majority => {
+                        Next::Agreed(proposal.clone())
+                    }
                     _ => Next::Wait,
                 }
             }
-            Say::Refused { seq, ballot, promised } if (*seq, *ballot) == (self.seq, self.ballot) => {
+            Say::Refused {
+                seq,
+                ballot,
+                promised,
+            } if (*seq, *ballot) == (self.seq, self.ballot) => {
                 self.refused.insert(from);
                 self.highest = self.highest.max(*promised);
-                if self.refused.len() >= self.majority { Next::GiveUp(self.highest) } else { Next::Wait }
+                if self.refused.len() >= self.majority {
+                    Next::GiveUp(self.highest)
+                } else {
+                    Next::Wait
+                }
             }
             _ => Next::Wait,
         }
@@ -220,12 +284,20 @@
 
     fn changes(ids: &[u64]) -> Changes {
         let mut changes = Changes::default();
-        ids.iter().for_each(|id| _ = changes.hear(&change(*id, *id)));
+        ids.iter()
+            .for_each(|id| _ = changes.hear(&change(*id, *id)));
         changes
     }
 
     fn proposal(id: u64, seq: u64, stage: u32) -> Proposal {
-        Proposal { change: ChangeId(id), reach: Reach { seq, stage, ..Reach::default() } }
+        Proposal {
+            change: ChangeId(id),
+            reach: Reach {
+                seq,
+                stage,
+                ..Reach::default()
+            },
+        }
     }
 
     fn ballot(round: u64, by: u64) -> Ballot {
@@ -240,7 +312,10 @@
 
     impl Three {
         fn new(ids: &[u64]) -> Three {
-            Three { votes: Default::default(), changes: [changes(ids), changes(ids), changes(ids)] }
+            Three {
+                votes: Default::default(),
+                changes: [changes(ids), changes(ids), changes(ids)],
+            }
         }
 
         fn ask(&mut self, at: usize, ask: &Ask) -> Option<Say> {
@@ -260,7 +335,9 @@
             loop {
                 let mut next = Next::Wait;
                 for at in reached {
-                    let Some(say) = self.ask(*at, &ask) else { continue };
+                    let Some(say) = self.ask(*at, &ask) else {
+                        continue;
+                    };
                     match round.said(*at as u64, &say) {
                         Next::Wait => {}
                         other => next = other,
@@ -277,10 +354,19 @@
     #[test]
     fn a_majority_agrees_and_a_minority_does_not() {
         let mut three = Three::new(&[1, 2]);
-        assert_eq!(three.play(ballot(1, 9), proposal(1, 1, 1), &[0]), Next::Wait);
-        assert_eq!(three.play(ballot(2, 8), proposal(2, 1, 1), &[1, 2]), Next::Agreed(proposal(2, 1, 1)));
+        assert_eq!(
+            three.play(ballot(1, 9), proposal(1, 1, 1), &[0]),
+            Next::Wait
+        );
+        assert_eq!(
+            three.play(ballot(2, 8), proposal(2, 1, 1), &[1, 2]),
+            Next::Agreed(proposal(2, 1, 1))
+        );
         // The other one learns what was agreed on and carries that through.
-        assert_eq!(three.play(ballot(3, 9), proposal(1, 1, 1), &[0, 1]), Next::Agreed(proposal(2, 1, 1)));
+        assert_eq!(
+            three.play(ballot(3, 9), proposal(1, 1, 1), &[0, 1]),
+            Next::Agreed(proposal(2, 1, 1))
+        );
     }
 
     #[test]
@@ -288,7 +374,10 @@
         let mut three = Three::new(&[1]);
         let (_, prepare) = Round::begin(0, ballot(5, 1), proposal(1, 1, 1), 3);
         (0..3).for_each(|at| drop(three.ask(at, &prepare)));
-        assert_eq!(three.play(ballot(4, 2), proposal(1, 1, 1), &[0, 1, 2]), Next::GiveUp(ballot(5, 1)));
+        assert_eq!(
+            three.play(ballot(4, 2), proposal(1, 1, 1), &[0, 1, 2]),
+            Next::GiveUp(ballot(5, 1))
+        );
     }
 
     #[test]
@@ -296,25 +385,57 @@
         let mut three = Three::new(&[1]);
         three.changes[0].end(ChangeId(1), Fate::Halted, Reason::default());
         three.changes[1].end(ChangeId(1), Fate::Halted, Reason::default());
-        assert!(matches!(three.play(ballot(1, 9), proposal(1, 1, 1), &[0, 1, 2]), Next::GiveUp(_)));
+        assert!(matches!(
+            three.play(ballot(1, 9), proposal(1, 1, 1), &[0, 1, 2]),
+            Next::GiveUp(_)
+        ));
         three.votes[2].accepted = Some((ballot(1, 3), proposal(1, 1, 1)));
         three.votes[2].seq = 1;
-        assert_eq!(three.play(ballot(2, 9), proposal(1, 1, 2), &[0, 2]), Next::Agreed(proposal(1, 1, 1)));
+        assert_eq!(
+            three.play(ballot(2, 9), proposal(1, 1, 2), &[0, 2]),
+            Next::Agreed(proposal(1, 1, 1))
+        );
     }
 
     #[test]
     fn who_lacks_what_came_before_takes_no_part_and_who_knows_more_tells() {
         let mut three = Three::new(&[1]);
-        let ask = Ask::Prepare { seq: 2, ballot: ballot(1, 1) };
-        assert_eq!(three.votes[0].asked(&three.changes[0], K, &ask), Answer::Behind);
-        three.changes[0].advance(ChangeId(1), &Reach { seq: 2, stage: 2, ..Reach::default() });
-        assert_eq!(three.votes[0].asked(&three.changes[0], K, &ask), Answer::Ahead);
+        let ask = Ask::Prepare {
+            seq: 2,
+            ballot: ballot(1, 1),
+        };
+        assert_eq!(
+            three.votes[0].asked(&three.changes[0], K, &ask),
+            Answer::Behind
+        );
+        three.changes[0].advance(
+            ChangeId(1),
+            &Reach {
+                seq: 2,
+                stage: 2,
+                ..Reach::default()
+            },
+        );
+        assert_eq!(
+            three.votes[0].asked(&three.changes[0], K, &ask),
+            Answer::Ahead
+        );
         // A change that begins while another is under way finds no votes.
         let mut three = Three::new(&[1, 2]);
         three.changes.iter_mut().for_each(|changes| {
-            changes.advance(ChangeId(1), &Reach { seq: 1, stage: 1, ..Reach::default() });
+            changes.advance(
+                ChangeId(1),
+                &Reach {
+                    seq: 1,
+                    stage: 1,
+                    ..Reach::default()
+                },
+            );
         });
-        assert!(matches!(three.play(ballot(1, 9), proposal(2, 2, 1), &[0, 1, 2]), Next::GiveUp(_)));
+        assert!(matches!(
+            three.play(ballot(1, 9), proposal(2, 2, 1), &[0, 1, 2]),
+            Next::GiveUp(_)
+        ));
     }
 
     #[test]
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -1,21 +1,23 @@
-//! What came of a change's nodes and of the others over the same time, node by node: what the judgement goes by.
+//! What came of a change's nodes and of the others over the same time, node by node: what the
+//! judgement goes by.
 //!
-//! Fed with each node's counts of each window. What a node did before the change began is kept beside: machines differ, and what a
-//! slow one did before tells how slow it is.
+//! Fed with each node's counts of each window. What a node did before the change began is kept
+//! beside: machines differ, and what a slow one did before tells how slow it is.
 
 use crate::change::{ChangeId, Version};
 use crate::stages::place;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Nodes that are kept apart, at either end of the change's order: those that run it first, and those that run it last. The others
-/// are in the common shares only.
+/// Nodes that are kept apart, at either end of the change's order: those that run it first, and
+/// those that run it last. The others are in the common shares only.
 pub const NODES_MAX: usize = 300;
 /// Operations that are judged each for itself.
 pub const OPERATIONS_MAX: usize = 16;
 /// Latencies from which it is known what is slow.
 const LATENCIES: u64 = 100;
-/// What is slow takes so much longer than nine in ten did, in tenths of a millisecond, and a tenth longer at least: where all are
-/// quick, a hair more is no harm, and the histogram's own steps must not look like some.
+/// What is slow takes so much longer than nine in ten did, in tenths of a millisecond, and a tenth
+/// longer at least: where all are quick, a hair more is no harm, and the histogram's own steps must
+/// not look like some.
 const SLOWER: u32 = 20;
 /// Windows of the cohorts that are kept for tables and plots.
 const HISTORY: usize = 720;
@@ -39,8 +41,13 @@
 }
 
 impl Measure {
-    pub const ALL: [Measure; 5] =
-        [Measure::Errored, Measure::Throttled, Measure::Late, Measure::Lost, Measure::Slow];
+    pub const ALL: [Measure; 5] = [
+        Measure::Errored,
+        Measure::Throttled,
+        Measure::Late,
+        Measure::Lost,
+        Measure::Slow,
+    ];
 
     /// What harms, and of how much; and how many invocations lie behind it.
     fn of(self, cell: &Cell) -> ([u64; 2], u64) {
@@ -48,7 +55,10 @@
             Measure::Errored => ([cell.errored, cell.arrived], cell.arrived),
             Measure::Throttled => ([cell.throttled, cell.arrived], cell.arrived),
             Measure::Late => ([cell.late, cell.succeeded], cell.succeeded),
-            Measure::Lost => ([cell.asked.saturating_sub(cell.earned), cell.asked], cell.arrived),
+            Measure::Lost => (
+                [cell.asked.saturating_sub(cell.earned), cell.asked],
+                cell.arrived,
+            ),
             Measure::Slow => ([cell.slow, cell.timed], cell.timed),
         }
     }
@@ -64,7 +74,8 @@
     }
 }
 
-/// A measure at one node: what it came to, and what it would have if the node were as the old ones of its zone in the same windows.
+/// A measure at one node: what it came to, and what it would have if the node were as the old ones
+/// of its zone in the same windows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Part {
     pub bad: u64,
@@ -99,7 +110,10 @@
     fn add(&mut self, more: &Parts) {
         self.arrived += more.arrived;
         self.succeeded += more.succeeded;
-        self.parts.iter_mut().zip(&more.parts).for_each(|(sum, more)| sum.add(more));
+        self.parts
+            .iter_mut()
+            .zip(&more.parts)
+            .for_each(|(sum, more)| sum.add(more));
     }
 }
 
@@ -114,7 +128,8 @@
     /// Billed value, in thousandths.
     pub earned: u64,
     pub asked: u64,
-    /// Of those whose latency is known: all, and those slower than nine in ten of the old ones were before.
+    /// Of those whose latency is known: all, and those slower than nine in ten of the old ones were
+    /// before.
     pub timed: u64,
     pub slow: u64,
 }
@@ -182,11 +197,16 @@
 
     /// Its mean.
     pub fn mean(&self) -> f64 {
-        if self.count > 0.0 { self.sum_y / self.count } else { 0.0 }
+        if self.count > 0.0 {
+            self.sum_y / self.count
+        } else {
+            0.0
+        }
     }
 
-    /// How much it rises with each window, and the variance of that by how far the values lie from the line. They are taken to lie
-    /// off by some `usual` part of the mean, as if four more windows had shown that. Nothing of fewer than four.
+    /// How much it rises with each window, and the variance of that by how far the values lie from
+    /// the line. They are taken to lie off by some `usual` part of the mean, as if four more
+    /// windows had shown that. Nothing of fewer than four.
     pub fn slope(&self, usual: f64) -> Option<(f64, f64)> {
         let n = self.count;
         let spread = self.sum_xx - self.sum_x * self.sum_x / n;
@@ -236,8 +256,8 @@
 
 type Cells = Vec<(u32, Cell)>;
 
-/// What was usual in a window, by zone, operation and measure: of what does not run the new version. A jump of traffic or a zone in
-/// trouble is in it, and so taken out of what is compared.
+/// What was usual in a window, by zone, operation and measure: of what does not run the new
+/// version. A jump of traffic or a zone in trouble is in it, and so taken out of what is compared.
 #[derive(Debug, Default)]
 struct Usual {
     zones: BTreeMap<(u32, u32), [[u64; 2]; 5]>,
@@ -261,17 +281,30 @@
         usual
     }
 
-    /// What a node came to, beside what was to be expected. What nothing is known to compare with is left out.
+    /// What a node came to, beside what was to be expected. What nothing is known to compare with
+    /// is left out.
     fn parts(&self, zone: u32, operation: u32, cell: &Cell) -> Parts {
-        let mut parts = Parts { arrived: cell.arrived, succeeded: cell.succeeded, ..Parts::default() };
+        let mut parts = Parts {
+            arrived: cell.arrived,
+            succeeded: cell.succeeded,
+            ..Parts::default()
+        };
         for measure in Measure::ALL {
             let at = measure as usize;
-            let pool = |pool: Option<&[[u64; 2]; 5]>| pool.map(|pool| pool[at]).filter(|[_, all]| *all > 0);
-            let usual = pool(self.zones.get(&(zone, operation))).or_else(|| pool(self.all.get(&operation)));
+            let pool = |pool: Option<&[[u64; 2]; 5]>| {
+                pool.map(|pool| pool[at]).filter(|[_, all]| *all > 0)
+            };
+            let usual =
+                pool(self.zones.get(&(zone, operation))).or_else(|| pool(self.all.get(&operation)));
             let Some([bad, all]) = usual else { continue };
             let ([my_bad, my_all], count) = measure.of(cell);
             let expected = my_all as f64 * bad as f64 / all as f64;
-            parts.parts[at] = Part { bad: my_bad, all: my_all, count, expected };
+            parts.parts[at] = Part {
+                bad: my_bad,
+                all: my_all,
+                count,
+                expected,
+            };
         }
         parts
     }
@@ -285,7 +318,9 @@
         below += **count;
         below * 10 >= all * 9
     });
-    ninth.filter(|_| all >= LATENCIES).map(|(value, _)| value + SLOWER.max(value / 10))
+    ninth
+        .filter(|_| all >= LATENCIES)
+        .map(|(value, _)| value + SLOWER.max(value / 10))
 }
 
 /// The record of one change.
@@ -295,7 +330,8 @@
     pub version: Version,
     pub base: Version,
     pub nodes: BTreeMap<u64, NodeRecord>,
-    /// By operation, what nine in ten of the old ones took at most before, in tenths of a millisecond.
+    /// By operation, what nine in ten of the old ones took at most before, in tenths of a
+    /// millisecond.
     pub slow_from: BTreeMap<u32, u32>,
     /// Below this nothing is slow, by operation, in the same units.
     quick: BTreeMap<u32, u32>,
@@ -311,7 +347,13 @@
 impl Record {
     /// Of a change that begins now.
     pub fn new(change: ChangeId, version: Version, base: Version) -> Record {
-        Record { change, version, base, room: NODES_MAX, ..Record::default() }
+        Record {
+            change,
+            version,
+            base,
+            room: NODES_MAX,
+            ..Record::default()
+        }
     }
 
     /// With room for so many nodes at either end.
@@ -320,7 +362,8 @@
         self
     }
 
-    /// Where what takes less than so long, by operation in tenths of a millisecond, is quick enough for any caller.
+    /// Where what takes less than so long, by operation in tenths of a millisecond, is quick enough
+    /// for any caller.
     pub fn with_quick(mut self, quick: BTreeMap<u32, u32>) -> Record {
         self.quick = quick;
         self
@@ -341,9 +384,14 @@
             let is_pure = |sample: &&Sample| self.ran_base(sample) && !sample.cold;
             samples.iter().filter(is_pure).cloned().collect()
         };
-        let windows: Vec<(u64, Vec<Sample>)> =
-            windows.iter().map(|(no, samples)| (*no, pure(samples))).collect();
-        windows.iter().flat_map(|(_, samples)| samples).for_each(|sample| self.learn(sample));
+        let windows: Vec<(u64, Vec<Sample>)> = windows
+            .iter()
+            .map(|(no, samples)| (*no, pure(samples)))
+            .collect();
+        windows
+            .iter()
+            .flat_map(|(_, samples)| samples)
+            .for_each(|sample| self.learn(sample));
         let mut all: Vec<(u64, u64)> = windows
             .iter()
             .flat_map(|(_, samples)| samples)
@@ -351,26 +399,33 @@
             .collect();
         all.sort_unstable();
         all.dedup();
-        let ends = all.iter().take(self.room).chain(all.iter().rev().take(self.room));
+        let ends = all
+            .iter()
+            .take(self.room)
+            .chain(all.iter().rev().take(self.room));
         ends.for_each(|(_, node)| _ = self.nodes.entry(*node).or_default());
         for (window, samples) in &windows {
             let cells: Vec<Cells> = samples.iter().map(|sample| self.cells(sample)).collect();
             let usual = Usual::of(samples.iter().zip(&cells));
             for (sample, cells) in samples.iter().zip(&cells) {
-                let Some(node) = self.nodes.get_mut(&sample.node) else { continue };
+                let Some(node) = self.nodes.get_mut(&sample.node) else {
+                    continue;
+                };
                 (node.zone, node.side) = (sample.zone, Some(Side::Old));
                 for (operation, cell) in cells {
                     let parts = usual.parts(sample.zone, *operation, cell);
                     node.before.entry(*operation).or_default().add(&parts);
                 }
-                node.memory_before.add(*window as f64, sample.memory_kb as f64);
+                node.memory_before
+                    .add(*window as f64, sample.memory_kb as f64);
             }
         }
     }
 
-    /// Whether a node ran the base for all of a window. The one in which it came back to it has what it did before as well, which
-    /// may be what a version was taken back for: as a past of its own it would make a good change look like harm, or hide some.
-    /// To be asked of each window in turn.
+    /// Whether a node ran the base for all of a window. The one in which it came back to it has
+    /// what it did before as well, which may be what a version was taken back for: as a past of its
+    /// own it would make a good change look like harm, or hide some. To be asked of each window in
+    /// turn.
     fn ran_base(&mut self, sample: &Sample) -> bool {
         if sample.label != self.base.hash {
             self.elsewhere.insert(sample.node);
@@ -390,7 +445,12 @@
             }
             (*operation, cell)
         };
-        sample.operations.iter().take(OPERATIONS_MAX).map(cell).collect()
+        sample
+            .operations
+            .iter()
+            .take(OPERATIONS_MAX)
+            .map(cell)
+            .collect()
     }
 
     /// What was not known before is learnt from the old ones beside the new.
@@ -435,19 +495,31 @@
                 false => (sample.label == new).then_some((sample, Side::New)),
             })
             .collect();
-        let warm = sided.iter().filter(|(sample, side)| *side == Side::Old && !sample.cold);
+        let warm = sided
+            .iter()
+            .filter(|(sample, side)| *side == Side::Old && !sample.cold);
         warm.for_each(|(sample, _)| self.learn(sample));
-        let mut point = Point { window, stage: self.stage, ..Point::default() };
-        let sided: Vec<(&Sample, Side, Cells)> =
-            sided.into_iter().map(|(sample, side)| (sample, side, self.cells(sample))).collect();
-        let warm_old = sided.iter().filter(|(sample, side, _)| *side == Side::Old && !sample.cold);
+        let mut point = Point {
+            window,
+            stage: self.stage,
+            ..Point::default()
+        };
+        let sided: Vec<(&Sample, Side, Cells)> = sided
+            .into_iter()
+            .map(|(sample, side)| (sample, side, self.cells(sample)))
+            .collect();
+        let warm_old = sided
+            .iter()
+            .filter(|(sample, side, _)| *side == Side::Old && !sample.cold);
         let usual = Usual::of(warm_old.map(|(sample, _, cells)| (*sample, cells)));
         for (sample, side, cells) in &sided {
             let at = *side as usize;
             point.nodes[at] += 1;
             point.memory_kb[at] += sample.memory_kb as f64;
             cells.iter().for_each(|(_, cell)| point.cells[at].add(cell));
-            let Some(node) = self.node(sample.node, sample.zone) else { continue };
+            let Some(node) = self.node(sample.node, sample.zone) else {
+                continue;
+            };
             if node.side != Some(*side) {
                 // It came over: its first window is mixed, and says nothing of either side.
                 node.side = Some(*side);
@@ -484,17 +556,26 @@
 
     /// Nodes on a side.
     pub fn side(&self, side: Side) -> impl Iterator<Item = (&u64, &NodeRecord)> {
-        self.nodes.iter().filter(move |(_, node)| node.side == Some(side))
+        self.nodes
+            .iter()
+            .filter(move |(_, node)| node.side == Some(side))
     }
 
     /// Invocations that arrived at a side in this stage.
     pub fn arrived(&self, side: Side) -> u64 {
-        self.side(side).flat_map(|(_, node)| node.after.values()).map(|parts| parts.arrived).sum()
+        self.side(side)
+            .flat_map(|(_, node)| node.after.values())
+            .map(|parts| parts.arrived)
+            .sum()
     }
 
     /// The operations that came in this stage.
     pub fn operations(&self) -> Vec<u32> {
-        let mut all: Vec<u32> = self.nodes.values().flat_map(|node| node.after.keys().copied()).collect();
+        let mut all: Vec<u32> = self
+            .nodes
+            .values()
+            .flat_map(|node| node.after.keys().copied())
+            .collect();
         all.sort_unstable();
         all.dedup();
         all
--- a/crates/rollout/src/record/tests.rs
+++ b/crates/rollout/src/record/tests.rs
@@ -1,7 +1,11 @@
 use super::*;
 
 fn sample(node: u64, label: u64, arrived: u64, latencies: &[(u32, u32)]) -> Sample {
-    let cell = Cell { arrived, succeeded: arrived, ..Cell::default() };
+    let cell = Cell {
+        arrived,
+        succeeded: arrived,
+        ..Cell::default()
+    };
     Sample {
         node,
         label,
@@ -12,7 +16,10 @@
 }
 
 fn record() -> Record {
-    let version = |number| Version { number, hash: number };
+    let version = |number| Version {
+        number,
+        hash: number,
+    };
     Record::new(ChangeId(1), version(2), version(1))
 }
 
@@ -20,30 +27,61 @@
 fn sides_are_told_apart_by_what_they_run_and_a_window_of_change_counts_for_neither() {
     let mut record = record();
     let windows: Vec<(u64, Vec<Sample>)> = (0..8)
-        .map(|window| (window, [1, 2].map(|node| sample(node, 1, 100, &[(10, 90), (50, 10)])).to_vec()))
+        .map(|window| {
+            (
+                window,
+                [1, 2]
+                    .map(|node| sample(node, 1, 100, &[(10, 90), (50, 10)]))
+                    .to_vec(),
+            )
+        })
         .collect();
     record.begin(&windows);
     assert_eq!(record.slow_from[&7], 10 + SLOWER);
     record.stage_begins(1);
     for window in 8..14 {
         let label = if window < 10 { 1 } else { 2 };
-        record.after(window, &[sample(1, label, 10, &[(10, 5), (60, 5)]), sample(2, 1, 10, &[(10, 10)])]);
+        record.after(
+            window,
+            &[
+                sample(1, label, 10, &[(10, 5), (60, 5)]),
+                sample(2, 1, 10, &[(10, 10)]),
+            ],
+        );
     }
     let (new, old) = (&record.nodes[&1], &record.nodes[&2]);
     assert_eq!((new.side, old.side), (Some(Side::New), Some(Side::Old)));
-    assert_eq!((new.after[&7].arrived, old.after[&7].arrived), (30, 60), "windows 11 to 13, and all");
-    let slow =
-        |node: &NodeRecord| (node.after[&7].of(Measure::Slow).bad, node.after[&7].of(Measure::Slow).all);
+    assert_eq!(
+        (new.after[&7].arrived, old.after[&7].arrived),
+        (30, 60),
+        "windows 11 to 13, and all"
+    );
+    let slow = |node: &NodeRecord| {
+        (
+            node.after[&7].of(Measure::Slow).bad,
+            node.after[&7].of(Measure::Slow).all,
+        )
+    };
     assert_eq!((slow(new), slow(old).0), ((15, 30), 0));
     let past = new.before[&7].of(Measure::Slow);
     assert_eq!((past.bad, past.all, past.expected), (80, 800, 80.0));
-    assert_eq!((new.before[&7].arrived, record.arrived(Side::New)), (800, 30));
+    assert_eq!(
+        (new.before[&7].arrived, record.arrived(Side::New)),
+        (800, 30)
+    );
     record.stage_begins(2);
-    assert_eq!((record.arrived(Side::New), record.nodes[&1].before[&7].arrived), (0, 800));
+    assert_eq!(
+        (
+            record.arrived(Side::New),
+            record.nodes[&1].before[&7].arrived
+        ),
+        (0, 800)
+    );
     assert_eq!(record.history.len(), 6);
 }
 
-/// All err more in some windows, and one more than the others: it is held against the others of the same windows.
+/// All err more in some windows, and one more than the others: it is held against the others of the
+/// same windows.
 #[test]
 fn what_is_expected_follows_the_old_ones_of_the_same_window_and_zone() {
     let mut record = record();
@@ -52,16 +90,27 @@
     let errs = |node, label, zone, errored| {
         let mut sample = sample(node, label, 100, &[]);
         sample.zone = zone;
-        sample.operations.values_mut().for_each(|(cell, _)| cell.errored = errored);
+        sample
+            .operations
+            .values_mut()
+            .for_each(|(cell, _)| cell.errored = errored);
         sample
     };
     for window in 0..4 {
         let here = [0, 50, 0, 2][window as usize];
-        let samples = [errs(1, 2, 0, here + 4), errs(2, 1, 0, here), errs(3, 1, 0, here), errs(4, 1, 1, 90)];
+        let samples = [
+            errs(1, 2, 0, here + 4),
+            errs(2, 1, 0, here),
+            errs(3, 1, 0, here),
+            errs(4, 1, 1, 90),
+        ];
         record.after(window, &samples);
     }
     let part = record.nodes[&1].after[&7].of(Measure::Errored);
-    assert_eq!((part.bad, part.all, part.expected), (50 + 2 + 12, 300, 52.0));
+    assert_eq!(
+        (part.bad, part.all, part.expected),
+        (50 + 2 + 12, 300, 52.0)
+    );
 }
 
 #[test]
@@ -70,10 +119,19 @@
     record.begin(&[]);
     record.stage_begins(1);
     for window in 0..5 {
-        let cold = Sample { cold: true, ..sample(1, 2, 10, &[]) };
-        record.after(window, &[cold, sample(2, 99, 10, &[]), sample(3, 1, 10, &[])]);
+        let cold = Sample {
+            cold: true,
+            ..sample(1, 2, 10, &[])
+        };
+        record.after(
+            window,
+            &[cold, sample(2, 99, 10, &[]), sample(3, 1, 10, &[])],
+        );
     }
-    assert_eq!((record.arrived(Side::New), record.arrived(Side::Old)), (0, 50));
+    assert_eq!(
+        (record.arrived(Side::New), record.arrived(Side::Old)),
+        (0, 50)
+    );
     assert!(!record.nodes.contains_key(&2));
 }
 
@@ -89,27 +147,58 @@
     record.begin(&[(0, samples.clone())]);
     record.after(1, &samples);
     assert_eq!(record.nodes.len(), 2 * NODES_MAX);
-    let first = (0..2000).min_by_key(|node| place(ChangeId(1), *node)).unwrap();
-    assert!(record.nodes.contains_key(&first), "the one that runs it first is followed");
+    let first = (0..2000)
+        .min_by_key(|node| place(ChangeId(1), *node))
+        .unwrap();
+    assert!(
+        record.nodes.contains_key(&first),
+        "the one that runs it first is followed"
+    );
 }
 
-/// A version was taken back from a node in the middle of a window: what it did until then is no past of the base, nor of the old side.
+/// A version was taken back from a node in the middle of a window: what it did until then is no
+/// past of the base, nor of the old side.
 #[test]
 fn the_window_in_which_a_node_came_back_to_the_base_counts_for_nothing() {
     let mut record = record();
-    let window = |no, label, arrived| (no, vec![sample(1, label, arrived, &[]), sample(2, 1, 100, &[])]);
-    record.begin(&[window(0, 1, 100), window(1, 99, 100), window(2, 1, 7), window(3, 1, 100)]);
-    assert_eq!((record.nodes[&1].before[&7].arrived, record.nodes[&2].before[&7].arrived), (200, 400));
+    let window = |no, label, arrived| {
+        (
+            no,
+            vec![sample(1, label, arrived, &[]), sample(2, 1, 100, &[])],
+        )
+    };
+    record.begin(&[
+        window(0, 1, 100),
+        window(1, 99, 100),
+        window(2, 1, 7),
+        window(3, 1, 100),
+    ]);
+    assert_eq!(
+        (
+            record.nodes[&1].before[&7].arrived,
+            record.nodes[&2].before[&7].arrived
+        ),
+        (200, 400)
+    );
     record.stage_begins(1);
     for (no, label, arrived) in [(4, 1, 10), (5, 2, 10), (6, 2, 10), (7, 1, 7), (8, 1, 10)] {
         record.after(no, &[sample(1, label, arrived, &[])]);
     }
-    assert_eq!((record.nodes[&1].side, record.nodes[&1].after[&7].arrived), (Some(Side::Old), 10));
-    assert_eq!((record.arrived(Side::New), record.history[3].nodes), (0, [0, 0]));
+    assert_eq!(
+        (record.nodes[&1].side, record.nodes[&1].after[&7].arrived),
+        (Some(Side::Old), 10)
+    );
+    assert_eq!(
+        (record.arrived(Side::New), record.history[3].nodes),
+        (0, [0, 0])
+    );
     // One of another version until the change began comes back in its first window.
     let mut late = super::Record::new(record.change, record.version, record.base);
     late.begin(&[window(0, 99, 100)]);
     late.stage_begins(1);
     late.after(1, &[sample(1, 1, 7, &[]), sample(2, 1, 100, &[])]);
-    assert_eq!((late.nodes.contains_key(&1), late.arrived(Side::Old)), (false, 100));
+    assert_eq!(
+        (late.nodes.contains_key(&1), late.arrived(Side::Old)),
+        (false, 100)
+    );
 }
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -1,4 +1,5 @@
-//! All of a node's part in changes of one kind: its own, and if it is an arbiter its votes, the record and the conducting.
+//! All of a node's part in changes of one kind: its own, and if it is an arbiter its votes, the
+//! record and the conducting.
 
 use crate::change::{Change, ChangeId, Fate, Version};
 use crate::conduct::{Act, Conduct};
@@ -9,7 +10,8 @@
 use crate::wire::{Order, Ordered, Told};
 use crate::{Nanos, SECOND};
 
-/// A window is looked at so long after its end: nodes tell their counts each five seconds, and words are on their way.
+/// A window is looked at so long after its end: nodes tell their counts each five seconds, and
+/// words are on their way.
 const WORDS: u64 = 6000;
 
 /// The part.
@@ -24,7 +26,8 @@
 }
 
 impl<H: Host> Rollout<H> {
-    /// Of a node that has just started, among these arbiters, in a fleet that counts in windows of so many milliseconds.
+    /// Of a node that has just started, among these arbiters, in a fleet that counts in windows of
+    /// so many milliseconds.
     pub fn new(
         now: Nanos,
         unix_ms: u64,
@@ -80,7 +83,9 @@
         let over = (unix_ms.saturating_sub(WORDS) / self.window_ms).saturating_sub(1);
         let acts = {
             let Local { host, changes, .. } = &mut self.local;
-            self.conduct.wake(now, unix_ms, changes, &members, &mut || host.windows(0, over))
+            self.conduct.wake(now, unix_ms, changes, &members, &mut || {
+                host.windows(0, over)
+            })
         };
         self.act(now, unix_ms, acts);
     }
@@ -115,22 +120,42 @@
         let kind = self.local.kind();
         match self.orders.order(now, kind, self.local.changes(), said) {
             orders::Act::Answer(answer) => answer,
-            orders::Act::LookInto { no, version, content } => {
+            orders::Act::LookInto {
+                no,
+                version,
+                content,
+            } => {
                 self.local.host.look_into(no, version, content);
-                Ordered { state: state::LATER, why: "the node looks into it".into(), change: 0 }
+                Ordered {
+                    state: state::LATER,
+                    why: "the node looks into it".into(),
+                    change: 0,
+                }
             }
             orders::Act::End { id, fate, why } => {
                 self.local.end(now, unix_ms, id, fate, &why);
-                Ordered { state: state::TAKEN, why: String::new(), change: id.0 }
+                Ordered {
+                    state: state::TAKEN,
+                    why: String::new(),
+                    change: id.0,
+                }
             }
         }
     }
 
     /// The node looked into an offer, and found which version it is, or why it can't be run.
-    pub fn looked_into(&mut self, now: Nanos, unix_ms: u64, no: u64, found: Result<Version, String>) {
+    pub fn looked_into(
+        &mut self,
+        now: Nanos,
+        unix_ms: u64,
+        no: u64,
+        found: Result<Version, String>,
+    ) {
         let of = (self.local.kind(), self.local.me(), unix_ms);
         let good = self.local.kept_now().good.unwrap_or(self.local.running());
-        let offered = self.orders.looked_into(no, found, of, self.local.changes(), good, &self.plan);
+        let offered =
+            self.orders
+                .looked_into(no, found, of, self.local.changes(), good, &self.plan);
         if let Some((change, content)) = offered {
             self.local.offer(now, change, content);
         }
--- a/crates/rollout/src/sayings.rs
+++ b/crates/rollout/src/sayings.rs
@@ -1,6 +1,7 @@
-//! What a parent and the processes that it starts say to each other, over a stream: each saying after its length (4 bytes, lowest
-//! first). Fields by number: one that is not known is passed over, a saying that is not known is none, so that an old parent and a
-//! new program, or the other way round, understand each other.
+//! What a parent and the processes that it starts say to each other, over a stream: each saying
+//! after its length (4 bytes, lowest first). Fields by number: one that is not known is passed
+//! over, a saying that is not known is none, so that an old parent and a new program, or the other
+//! way round, understand each other.
 
 use crate::change::{ChangeId, Version};
 use crate::handover::Begin;
@@ -19,7 +20,8 @@
     pub const HAND_OVER: u32 = 3;
     /// The answer to a question.
     pub const DONE: u32 = 4;
-    /// From a process: that it serves; what is to be kept; whether a version is here; that one is to take its place.
+    /// From a process: that it serves; what is to be kept; whether a version is here; that one is
+    /// to take its place.
     pub const READY: u32 = 5;
     pub const KEEP: u32 = 6;
     pub const CHECK: u32 = 7;
@@ -45,7 +47,8 @@
     pub refused: bool,
     #[prost(string, tag = "7")]
     pub why: String,
-    /// Of a version that died on trial: how often it was begun, its change and itself; tries are 0 if none did.
+    /// Of a version that died on trial: how often it was begun, its change and itself; tries are 0
+    /// if none did.
     #[prost(uint32, tag = "8")]
     pub died_tries: u32,
     #[prost(fixed64, tag = "9")]
@@ -63,23 +66,41 @@
 impl Saying {
     /// One that says nothing but its kind.
     pub fn plain(kind: u32) -> Saying {
-        Saying { kind, ..Saying::default() }
+        Saying {
+            kind,
+            ..Saying::default()
+        }
     }
 
     /// The version that it is about.
     pub fn version(&self) -> Version {
-        Version { number: self.number, hash: self.hash }
+        Version {
+            number: self.number,
+            hash: self.hash,
+        }
     }
 
     /// A question about a version.
     pub fn about(kind: u32, no: u64, version: Version) -> Saying {
-        Saying { kind, no, number: version.number, hash: version.hash, ..Saying::default() }
+        Saying {
+            kind,
+            no,
+            number: version.number,
+            hash: version.hash,
+            ..Saying::default()
+        }
     }
 
     /// An answer.
     pub fn done(no: u64, result: &Result<(), String>) -> Saying {
         let why = result.as_ref().err().cloned().unwrap_or_default();
-        Saying { kind: kind::DONE, no, refused: result.is_err(), why, ..Saying::default() }
+        Saying {
+            kind: kind::DONE,
+            no,
+            refused: result.is_err(),
+            why,
+            ..Saying::default()
+        }
     }
 
     /// What a process starts with.
@@ -100,10 +121,19 @@
 
     /// The same, read.
     pub fn as_begin(&self) -> Option<Begin> {
-        let version = Version { number: self.died_number, hash: self.died_hash };
-        let trial = Trial { change: ChangeId(self.died_change), version, tries: self.died_tries };
+        let version = Version {
+            number: self.died_number,
+            hash: self.died_hash,
+        };
+        let trial = Trial {
+            change: ChangeId(self.died_change),
+            version,
+            tries: self.died_tries,
+        };
         Some(Begin {
-            kept: Kept::read(&self.kept).ok().filter(|_| self.kind == kind::BEGIN)?,
+            kept: Kept::read(&self.kept)
+                .ok()
+                .filter(|_| self.kind == kind::BEGIN)?,
             version: self.version(),
             died: (self.died_tries > 0).then_some(trial),
             fresh: self.fresh,
@@ -136,12 +166,16 @@
 
     /// The next whole saying, if there is one.
     pub fn take(&mut self) -> Result<Option<Saying>, Spoilt> {
-        let Some(length) = self.bytes.first_chunk::<4>() else { return Ok(None) };
+        let Some(length) = self.bytes.first_chunk::<4>() else {
+            return Ok(None);
+        };
         let length = u32::from_le_bytes(*length) as usize;
         if length > SAYING_MAX {
             return Err(Spoilt);
         }
-        let Some(body) = self.bytes.get(4..4 + length) else { return Ok(None) };
+        let Some(body) = self.bytes.get(4..4 + length) else {
+            return Ok(None);
+        };
         let saying = Saying::decode(body).map_err(|_| Spoilt)?;
         self.bytes.drain(..4 + length);
         Ok(Some(saying))
@@ -157,7 +191,11 @@
     fn sayings_come_in_any_pieces_and_unknown_fields_are_passed_over() {
         let mut kept = Kept::new(Kind::Program);
         kept.found_good(Version { number: 3, hash: 9 });
-        let trial = Trial { change: ChangeId(5), version: Version { number: 4, hash: 8 }, tries: 1 };
+        let trial = Trial {
+            change: ChangeId(5),
+            version: Version { number: 4, hash: 8 },
+            tries: 1,
+        };
         let begin = Begin {
             kept,
             version: Version { number: 3, hash: 9 },
@@ -166,7 +204,11 @@
             beside: true,
         };
         let failed = Err("it is not here".to_owned());
-        let all = [Saying::begin(&begin), Saying::plain(kind::READY), Saying::done(7, &failed)];
+        let all = [
+            Saying::begin(&begin),
+            Saying::plain(kind::READY),
+            Saying::done(7, &failed),
+        ];
         let mut bytes: Vec<u8> = all.iter().flat_map(Saying::write).collect();
         // A field of a later version, number 99.
         let mut later = Saying::plain(kind::IN_CHARGE).encode_to_vec();
--- a/crates/rollout/src/shown.rs
+++ b/crates/rollout/src/shown.rs
@@ -1,5 +1,6 @@
-//! What a node tells of changes to those who ask: what it runs and why, the stages, how each node stands, and where it keeps the
-//! record, the judgement with its figures and both cohorts over time. Protocol Buffers, in pages.
+//! What a node tells of changes to those who ask: what it runs and why, the stages, how each node
+//! stands, and where it keeps the record, the judgement with its figures and both cohorts over
+//! time. Protocol Buffers, in pages.
 
 use crate::change::{Change, Fate, Version};
 use crate::conduct::{Conduct, Member};
@@ -156,7 +157,8 @@
     pub verdict: String,
     #[prost(message, repeated, tag = "13")]
     pub findings: Vec<ShownFinding>,
-    /// Invocations at the new and at the old ones in this stage, and how many nodes of each are judged by.
+    /// Invocations at the new and at the old ones in this stage, and how many nodes of each are
+    /// judged by.
     #[prost(uint64, repeated, tag = "14")]
     pub sample: Vec<u64>,
     #[prost(uint64, repeated, tag = "15")]
@@ -177,13 +179,19 @@
 }
 
 fn version(of: Version) -> Option<ShownVersion> {
-    Some(ShownVersion { number: of.number, hash: of.hash })
+    Some(ShownVersion {
+        number: of.number,
+        hash: of.hash,
+    })
 }
 
 impl ShownVersion {
     /// As a version is written.
     pub fn version(&self) -> Version {
-        Version { number: self.number, hash: self.hash }
+        Version {
+            number: self.number,
+            hash: self.hash,
+        }
     }
 }
 
@@ -193,11 +201,20 @@
         1000 => "all".to_owned(),
         share => format!("{} %", f64::from(share) / 10.0),
     };
-    format!("{share}, {} to {}, {} invocations", seconds(stage.least), seconds(stage.longest), stage.sample)
+    format!(
+        "{share}, {} to {}, {} invocations",
+        seconds(stage.least),
+        seconds(stage.longest),
+        stage.sample
+    )
 }
 
 fn change(of: &Change, names: &impl Names) -> ShownChange {
-    let name = |key: u64| names.node(key).map_or_else(|| format!("{key:016x}"), |(name, _)| name);
+    let name = |key: u64| {
+        names
+            .node(key)
+            .map_or_else(|| format!("{key:016x}"), |(name, _)| name)
+    };
     let ended = of.fate > Fate::Open;
     ShownChange {
         id: of.id.0,
@@ -208,7 +225,11 @@
         stages: of.plan.stages.iter().map(stage).collect(),
         fate: of.fate.word().to_owned(),
         why: of.reason.why.clone(),
-        by: if ended && of.reason.by > 0 { name(of.reason.by) } else { String::new() },
+        by: if ended && of.reason.by > 0 {
+            name(of.reason.by)
+        } else {
+            String::new()
+        },
         ended_ms: of.reason.at_ms,
         offered_by: name(of.by),
         offered_ms: of.at_ms,
@@ -219,7 +240,9 @@
 
 fn finding(of: &Finding, names: &impl Names) -> ShownFinding {
     ShownFinding {
-        operation: of.operation.map_or_else(String::new, |operation| names.operation(operation)),
+        operation: of
+            .operation
+            .map_or_else(String::new, |operation| names.operation(operation)),
         what: of.what.to_owned(),
         new: of.new,
         old: of.old,
@@ -247,7 +270,9 @@
 
 /// Points in time, thinned out evenly where there are many, with the last one in any case.
 fn points(conduct: &Conduct) -> Vec<ShownPoint> {
-    let Some(record) = conduct.record() else { return Vec::new() };
+    let Some(record) = conduct.record() else {
+        return Vec::new();
+    };
     let step = record.history.len().div_ceil(POINTS).max(1);
     let thin = record.history.iter().rev().step_by(step).map(point);
     let mut thin: Vec<ShownPoint> = thin.collect();
@@ -269,15 +294,22 @@
         let current = changes.current(kind).or_else(|| changes.head(kind));
         let alone: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
         let conductor = conduct.conductor(&alone);
-        let mut all: Vec<ShownChange> =
-            changes.iter().filter(|of| of.kind == kind).map(|of| change(of, names)).collect();
+        let mut all: Vec<ShownChange> = changes
+            .iter()
+            .filter(|of| of.kind == kind)
+            .map(|of| change(of, names))
+            .collect();
         all.sort_by_key(|change| std::cmp::Reverse((change.agreement, change.offered_ms)));
         let mut nodes: Vec<ShownNode> = members
             .iter()
             .map(|(member, said)| {
                 // Who conducts has heard more of it than it shows to all, while the change goes on.
-                let goes_on = current.filter(|change| change.fate == Fate::Open).map(|change| change.id);
-                let heard = conduct.report(member.node).filter(|heard| Some(heard.change) == goes_on);
+                let goes_on = current
+                    .filter(|change| change.fate == Fate::Open)
+                    .map(|change| change.id);
+                let heard = conduct
+                    .report(member.node)
+                    .filter(|heard| Some(heard.change) == goes_on);
                 let said = heard.or(said.as_ref());
                 let (name, zone) = names.node(member.node).unwrap_or_default();
                 ShownNode {
@@ -303,25 +335,37 @@
             Verdict::Wait(why) => format!("waits: {why}"),
             Verdict::Unsure(why) => format!("nothing speaks for harm, not sure yet: {why}"),
         });
-        let findings = judgement.iter().flat_map(|judged| &judged.findings).take(FINDINGS);
+        let findings = judgement
+            .iter()
+            .flat_map(|judged| &judged.findings)
+            .take(FINDINGS);
         Shown {
-            node: names.node(local.me()).map_or_else(String::new, |(name, _)| name),
+            node: names
+                .node(local.me())
+                .map_or_else(String::new, |(name, _)| name),
             at_ms: unix_ms,
             kind: kind as u32,
             running: version(local.running()),
             good: local.kept_now().good.and_then(version),
             reasons: local.why(unix_ms),
-            conductor: conductor.and_then(|key| names.node(key)).map_or_else(String::new, |(name, _)| name),
+            conductor: conductor
+                .and_then(|key| names.node(key))
+                .map_or_else(String::new, |(name, _)| name),
             conductor_at: String::new(),
-            waits: if conductor == Some(local.me()) { conduct.line().to_owned() } else { String::new() },
+            waits: if conductor == Some(local.me()) {
+                conduct.line().to_owned()
+            } else {
+                String::new()
+            },
             changes: all,
             nodes,
             nodes_in_all,
             verdict,
             findings: findings.map(|of| finding(of, names)).collect(),
             sample: judgement.map_or_else(Vec::new, |judged| judged.sample.to_vec()),
-            judged: judgement
-                .map_or_else(Vec::new, |judged| judged.nodes.iter().map(|n| *n as u64).collect()),
+            judged: judgement.map_or_else(Vec::new, |judged| {
+                judged.nodes.iter().map(|n| *n as u64).collect()
+            }),
             points: points(conduct),
             window_ms: 0,
         }
@@ -359,23 +403,52 @@
     fn a_status_has_the_stage_the_nodes_and_the_judgement() {
         let mut fleet = Fleet::new(Shape::new(1, 10));
         fleet.run(60_000_000_000);
-        fleet.offer(3, 2, Effect { errored: 0.02, ..Effect::NONE });
+        fleet.offer(
+            3,
+            2,
+            Effect {
+                errored: 0.02,
+                ..Effect::NONE
+            },
+        );
         fleet.run(90_000_000_000);
         let rollout = fleet.rollout(0).unwrap();
         let members = fleet.members(0);
-        let all: Vec<(Member, Option<Report>)> =
-            members.iter().map(|member| (*member, rollout.conduct.report(member.node).cloned())).collect();
-        let shown = Shown::of(fleet.clock(0), &rollout.local, &rollout.conduct, &all, &Plain);
+        let all: Vec<(Member, Option<Report>)> = members
+            .iter()
+            .map(|member| (*member, rollout.conduct.report(member.node).cloned()))
+            .collect();
+        let shown = Shown::of(
+            fleet.clock(0),
+            &rollout.local,
+            &rollout.conduct,
+            &all,
+            &Plain,
+        );
         let bytes = shown.encode_to_vec();
         assert!(bytes.len() < 8000, "{}", bytes.len());
         assert_eq!(Shown::decode(&bytes[..]).unwrap(), shown);
-        assert_eq!((shown.nodes.len(), shown.nodes_in_all, shown.changes[0].stage), (10, 10, 1));
+        assert_eq!(
+            (
+                shown.nodes.len(),
+                shown.nodes_in_all,
+                shown.changes[0].stage
+            ),
+            (10, 10, 1)
+        );
         assert!(shown.nodes[0].in_stage && !shown.nodes[1].in_stage);
         assert_eq!(shown.by_version(), BTreeMap::from([(1, 9), (2, 1)]));
         assert!(
-            shown.findings.iter().any(|finding| finding.operation == "op11" && finding.what == "errored")
+            shown
+                .findings
+                .iter()
+                .any(|finding| finding.operation == "op11" && finding.what == "errored")
         );
         assert!(shown.points.len() >= 5 && shown.points.iter().any(|point| point.nodes == [9, 1]));
-        assert!(!shown.waits.is_empty() && !shown.verdict.is_empty(), "{}", shown.verdict);
+        assert!(
+            !shown.waits.is_empty() && !shown.verdict.is_empty(),
+            "{}",
+            shown.verdict
+        );
     }
 }
--- a/crates/rollout/src/sim.rs
+++ b/crates/rollout/src/sim.rs
@@ -1,5 +1,6 @@
-//! Simulated fleets: many nodes' parts over a network that loses, delays and splits, with disks, crashes, restarts, pauses and
-//! clocks that step; by a seed, as fast as it can be computed. At every step it is checked that what they do is allowed.
+//! Simulated fleets: many nodes' parts over a network that loses, delays and splits, with disks,
+//! crashes, restarts, pauses and clocks that step; by a seed, as fast as it can be computed. At
+//! every step it is checked that what they do is allowed.
 
 pub mod load;
 pub mod trial;
@@ -66,8 +67,15 @@
 
 #[derive(Clone, Debug)]
 enum Task {
-    Check { change: ChangeId, version: Version },
-    Keep { no: u64, kept: Box<Kept>, content: Option<(Version, Vec<u8>)> },
+    Check {
+        change: ChangeId,
+        version: Version,
+    },
+    Keep {
+        no: u64,
+        kept: Box<Kept>,
+        content: Option<(Version, Vec<u8>)>,
+    },
     Apply(Version),
 }
 
@@ -134,17 +142,32 @@
     }
 
     fn some(&mut self, most: usize) -> Vec<u64> {
-        let there: Vec<u64> =
-            self.board.members.iter().filter(|m| m.there && m.node != self.me).map(|m| m.node).collect();
-        (0..most.min(there.len())).map(|_| there[self.rng.random_range(0..there.len())]).collect()
+        let there: Vec<u64> = self
+            .board
+            .members
+            .iter()
+            .filter(|m| m.there && m.node != self.me)
+            .map(|m| m.node)
+            .collect();
+        (0..most.min(there.len()))
+            .map(|_| there[self.rng.random_range(0..there.len())])
+            .collect()
     }
 
     fn differs(&mut self, digest: u64) -> Option<u64> {
         let others = &self.board.digests;
         // From a place of its own on, so that not all ask the same one.
-        let from = if others.is_empty() { 0 } else { self.rng.random_range(0..others.len()) };
+        let from = if others.is_empty() {
+            0
+        } else {
+            self.rng.random_range(0..others.len())
+        };
         let differs = |(node, other): &&(u64, u64)| *node != self.me && *other != digest;
-        others[from..].iter().chain(&others[..from]).find(differs).map(|(node, _)| *node)
+        others[from..]
+            .iter()
+            .chain(&others[..from])
+            .find(differs)
+            .map(|(node, _)| *node)
     }
 
     fn show(&mut self, report: &Report) {
@@ -156,7 +179,11 @@
     }
 
     fn keep(&mut self, no: u64, kept: &Kept, content: Option<(Version, Vec<u8>)>) {
-        self.tasks.push(Task::Keep { no, kept: Box::new(kept.clone()), content });
+        self.tasks.push(Task::Keep {
+            no,
+            kept: Box::new(kept.clone()),
+            content,
+        });
     }
 
     fn apply(&mut self, version: Version) {
@@ -170,9 +197,17 @@
     fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<Sample>)> {
         let keys = &self.board.keys;
         let windows = self.board.windows.borrow();
-        let mine =
-            |samples: &Vec<Sample>| samples.iter().filter(|s| keys.contains(&s.node)).cloned().collect();
-        windows.range(from..=until).map(|(window, samples)| (*window, mine(samples))).collect()
+        let mine = |samples: &Vec<Sample>| {
+            samples
+                .iter()
+                .filter(|s| keys.contains(&s.node))
+                .cloned()
+                .collect()
+        };
+        windows
+            .range(from..=until)
+            .map(|(window, samples)| (*window, mine(samples)))
+            .collect()
     }
 }
 
@@ -242,8 +277,17 @@
 impl Fleet {
     /// All nodes start on version 1.
     pub fn new(shape: Shape) -> Fleet {
-        let load = Load::new(shape.seed, shape.nodes, shape.zones, shape.each, shape.noise);
-        let base = Version { number: 1, hash: mix(1) };
+        let load = Load::new(
+            shape.seed,
+            shape.nodes,
+            shape.zones,
+            shape.each,
+            shape.noise,
+        );
+        let base = Version {
+            number: 1,
+            hash: mix(1),
+        };
         let mut fleet = Fleet {
             nodes: Vec::new(),
             keys: BTreeMap::new(),
@@ -316,21 +360,31 @@
         let arbiters = (0..self.shape.arbiters).map(key).collect();
         let board = self.board(self.nodes[node].side);
         let rng = Pcg64Mcg::seed_from_u64(self.rng.random());
-        let (zone, me, now, base) = (self.load.zone(node), self.nodes[node].key, self.now, self.base);
+        let (zone, me, now, base) = (
+            self.load.zone(node),
+            self.nodes[node].key,
+            self.now,
+            self.base,
+        );
         let of = &mut self.nodes[node];
         let fresh = of.disk.kept.is_empty();
         let mut kept = if fresh {
             Kept::new(Kind::Settings)
         } else {
             // The disk is written whole or not at all.
-            Kept::read(&of.disk.kept).unwrap_or_else(|broken| panic!("node {node}: {}", broken.word()))
+            Kept::read(&of.disk.kept)
+                .unwrap_or_else(|broken| panic!("node {node}: {}", broken.word()))
         };
         let (starts, died) = kept.begin(base);
         let has = |version: &Version| *version == base || of.disk.contents.contains_key(version);
         let running = starts.into_iter().find(has).unwrap_or(base);
         let new_content = (!of.disk.contents.contains_key(&running)).then(|| vec![0; 100]);
-        let contents =
-            of.disk.contents.iter().map(|(version, content)| (*version, content.clone())).collect();
+        let contents = of
+            .disk
+            .contents
+            .iter()
+            .map(|(version, content)| (*version, content.clone()))
+            .collect();
         let host = SimHost {
             me,
             out: Vec::new(),
@@ -340,10 +394,30 @@
             board,
             rng,
         };
-        let start = Start { kept, running, contents, new_content, died, fresh };
-        let mut rollout = Rollout::new(now, unix, (me, zone), start, arbiters, WINDOW / MILLISECOND, host);
-        rollout.conduct = Conduct::new(now, me, Kind::Settings, (0..self.shape.arbiters).map(key).collect())
-            .with_way(self.shape.way);
+        let start = Start {
+            kept,
+            running,
+            contents,
+            new_content,
+            died,
+            fresh,
+        };
+        let mut rollout = Rollout::new(
+            now,
+            unix,
+            (me, zone),
+            start,
+            arbiters,
+            WINDOW / MILLISECOND,
+            host,
+        );
+        rollout.conduct = Conduct::new(
+            now,
+            me,
+            Kind::Settings,
+            (0..self.shape.arbiters).map(key).collect(),
+        )
+        .with_way(self.shape.way);
         of.rollout = Some(rollout);
         of.life += 1;
         (of.since, of.started, of.ran_since) = (now, now, now);
@@ -392,7 +466,9 @@
     pub fn wipe(&mut self, node: usize) {
         self.crash(node);
         self.nodes[node].disk = Disk::default();
-        self.nodes[node].checked.retain(|version| version.number == 1);
+        self.nodes[node]
+            .checked
+            .retain(|version| version.number == 1);
     }
 
     /// A node's Unix clock steps.
@@ -420,15 +496,22 @@
 
     /// Offers a version at a node.
     pub fn offer(&mut self, at: usize, number: u64, effect: Effect) -> ChangeId {
-        let version = Version { number, hash: mix(number ^ 0xabc ^ u64::from(at as u32) << 40) };
+        let version = Version {
+            number,
+            hash: mix(number ^ 0xabc ^ u64::from(at as u32) << 40),
+        };
         self.effects.insert(version, effect);
         let id = ChangeId(mix(version.hash ^ self.now));
-        let content: Vec<u8> = (0..3000u32).map(|n| mix(version.hash ^ u64::from(n)) as u8).collect();
+        let content: Vec<u8> = (0..3000u32)
+            .map(|n| mix(version.hash ^ u64::from(n)) as u8)
+            .collect();
         let unix = self.unix_ms(at);
         let by = self.nodes[at].key;
         let plan = self.shape.plan.clone();
         let now = self.now;
-        let Some(rollout) = &mut self.nodes[at].rollout else { return id };
+        let Some(rollout) = &mut self.nodes[at].rollout else {
+            return id;
+        };
         let change = Change {
             id,
             kind: Kind::Settings,
@@ -461,12 +544,17 @@
 
     /// What a node runs; none if it is not there.
     pub fn runs(&self, node: usize) -> Option<Version> {
-        self.nodes[node].rollout.as_ref().map(|rollout| rollout.local.running())
+        self.nodes[node]
+            .rollout
+            .as_ref()
+            .map(|rollout| rollout.local.running())
     }
 
     /// How many run a version of this number.
     pub fn running(&self, number: u64) -> usize {
-        (0..self.nodes.len()).filter(|node| self.runs(*node).is_some_and(|v| v.number == number)).count()
+        (0..self.nodes.len())
+            .filter(|node| self.runs(*node).is_some_and(|v| v.number == number))
+            .count()
     }
 
     /// What a node knows of a change.
@@ -483,7 +571,9 @@
     pub fn all_know(&self, id: ChangeId, fate: Fate) -> bool {
         let there = (0..self.nodes.len())
             .filter(|node| self.nodes[*node].rollout.is_some() && !self.nodes[*node].paused);
-        there.into_iter().all(|node| self.fate(node, id) == Some(fate))
+        there
+            .into_iter()
+            .all(|node| self.fate(node, id) == Some(fate))
     }
 
     /// The fleet as a node sees it.
@@ -503,17 +593,25 @@
 
     /// The farthest stage that anybody knows of a change.
     pub fn stage(&self, id: ChangeId) -> u32 {
-        let stages =
-            (0..self.nodes.len()).filter_map(|node| self.known(node, id)).map(|change| change.reach.stage);
+        let stages = (0..self.nodes.len())
+            .filter_map(|node| self.known(node, id))
+            .map(|change| change.reach.stage);
         stages.max().unwrap_or(0)
     }
 
     /// The nodes in the stage that has come farthest.
     pub fn in_stage(&self, id: ChangeId) -> Vec<usize> {
-        let farthest =
-            (0..self.nodes.len()).filter_map(|node| self.known(node, id)).max_by_key(|c| c.reach.seq);
-        let Some(change) = farthest else { return Vec::new() };
-        let is_in = |node: &usize| change.reach.has(id, self.nodes[*node].key, self.load.zone(*node));
+        let farthest = (0..self.nodes.len())
+            .filter_map(|node| self.known(node, id))
+            .max_by_key(|c| c.reach.seq);
+        let Some(change) = farthest else {
+            return Vec::new();
+        };
+        let is_in = |node: &usize| {
+            change
+                .reach
+                .has(id, self.nodes[*node].key, self.load.zone(*node))
+        };
         (0..self.nodes.len()).filter(is_in).collect()
     }
 
@@ -540,10 +638,15 @@
                     return true;
                 }
             }
-            let window_at =
-                (self.next_window * (WINDOW / MILLISECOND)).saturating_sub(EPOCH_MS) * MILLISECOND + WINDOW;
-            let next =
-                self.queue.peek().map_or(until, |queued| queued.at).min(self.next_board).min(window_at);
+            let window_at = (self.next_window * (WINDOW / MILLISECOND)).saturating_sub(EPOCH_MS)
+                * MILLISECOND
+                + WINDOW;
+            let next = self
+                .queue
+                .peek()
+                .map_or(until, |queued| queued.at)
+                .min(self.next_board)
+                .min(window_at);
             if next >= until {
                 self.now = until;
                 return is(self);
@@ -553,7 +656,10 @@
                 self.count_window();
                 continue;
             }
-            if self.queue.peek().is_some_and(|queued| queued.at <= self.now)
+            if self
+                .queue
+                .peek()
+                .is_some_and(|queued| queued.at <= self.now)
                 && let Some(queued) = self.queue.pop()
             {
                 self.happens(queued);
@@ -563,17 +669,26 @@
 
     fn push(&mut self, after: Nanos, node: usize, life: Option<u64>, event: Event) {
         self.queued += 1;
-        self.queue.push(Queued { at: self.now + after, no: self.queued, node, life, event });
+        self.queue.push(Queued {
+            at: self.now + after,
+            no: self.queued,
+            node,
+            life,
+            event,
+        });
     }
 
     fn happens(&mut self, queued: Queued) {
-        let Queued { node, life, event, .. } = queued;
+        let Queued {
+            node, life, event, ..
+        } = queued;
         let of = &self.nodes[node];
         if of.rollout.is_none() || life.is_some_and(|life| life != of.life) {
             return;
         }
         if of.paused {
-            // What is on its way to a process that stands still is there when it goes on, as far as buffers go.
+            // What is on its way to a process that stands still is there when it goes on, as far as
+            // buffers go.
             if !matches!(event, Event::Told { .. }) {
                 self.push(SECOND, node, life, event);
             }
@@ -594,7 +709,9 @@
                     return;
                 }
                 let Some(told) = wire::read(&bytes) else {
-                    self.tally.broken.push(format!("a parcel of {} bytes can't be read", bytes.len()));
+                    self.tally
+                        .broken
+                        .push(format!("a parcel of {} bytes can't be read", bytes.len()));
                     return;
                 };
                 let from = self.nodes[from].key;
@@ -611,9 +728,16 @@
         let (now, unix) = (self.now, self.unix_ms(node));
         match task {
             Task::Check { change, version } => {
-                let unfit = self.effects.get(&version).map_or(0.0, |effect| effect.unfit);
+                let unfit = self
+                    .effects
+                    .get(&version)
+                    .map_or(0.0, |effect| effect.unfit);
                 let place = (mix(self.nodes[node].key ^ version.hash) % 10_000) as f64 / 10_000.0;
-                let result = if place < unfit { Err("its limits are too small".to_owned()) } else { Ok(()) };
+                let result = if place < unfit {
+                    Err("its limits are too small".to_owned())
+                } else {
+                    Ok(())
+                };
                 if result.is_ok() {
                     self.nodes[node].checked.insert(version);
                 }
@@ -623,12 +747,18 @@
             }
             Task::Keep { no, kept, content } => {
                 let of = &mut self.nodes[node];
-                let result = if of.disk.full { Err("no space left on device".to_owned()) } else { Ok(()) };
+                let result = if of.disk.full {
+                    Err("no space left on device".to_owned())
+                } else {
+                    Ok(())
+                };
                 if result.is_ok() {
                     of.disk.kept = kept.write();
                     of.disk.contents.extend(content);
                     if of.disk.kept.len() > crate::kept::FILE_MAX {
-                        self.tally.broken.push(format!("{} bytes are kept", of.disk.kept.len()));
+                        self.tally
+                            .broken
+                            .push(format!("{} bytes are kept", of.disk.kept.len()));
                     }
                 }
                 if let Some(rollout) = &mut of.rollout {
@@ -638,7 +768,11 @@
             Task::Apply(version) => {
                 let of = &mut self.nodes[node];
                 let known = of.disk.contents.contains_key(&version);
-                let result = if known { Ok(()) } else { Err("its content is not there".to_owned()) };
+                let result = if known {
+                    Ok(())
+                } else {
+                    Err("its content is not there".to_owned())
+                };
                 if result.is_ok() {
                     of.ran_since = now;
                 }
@@ -651,7 +785,9 @@
 
     /// Sends on what a node has put out, and looks whether what it does is allowed.
     fn after(&mut self, node: usize) {
-        let Some(rollout) = &mut self.nodes[node].rollout else { return };
+        let Some(rollout) = &mut self.nodes[node].rollout else {
+            return;
+        };
         let out = std::mem::take(&mut rollout.local.host.out);
         let tasks = std::mem::take(&mut rollout.local.host.tasks);
         let life = self.nodes[node].life;
@@ -667,10 +803,15 @@
             self.tally.messages += 1;
             self.tally.bytes += bytes.len() as u64;
             if bytes.len() > PARCEL_MAX {
-                self.tally.broken.push(format!("a parcel of {} bytes", bytes.len()));
+                self.tally
+                    .broken
+                    .push(format!("a parcel of {} bytes", bytes.len()));
             }
-            let Some(to) = self.keys.get(&to).copied() else { continue };
-            if self.nodes[to].side != self.nodes[node].side || self.rng.random_bool(self.shape.loss) {
+            let Some(to) = self.keys.get(&to).copied() else {
+                continue;
+            };
+            if self.nodes[to].side != self.nodes[node].side || self.rng.random_bool(self.shape.loss)
+            {
                 continue;
             }
             let time = self.rng.random_range(MILLISECOND..10 * MILLISECOND);
@@ -686,50 +827,81 @@
         let kept = rollout.local.kept_now();
         let going_back = kept.trial.is_none_or(|trial| trial.version != version);
         if !of.checked.contains(&version) {
-            self.tally.broken.push(format!("node {node} begins {version} without having checked it"));
+            self.tally.broken.push(format!(
+                "node {node} begins {version} without having checked it"
+            ));
         }
         if !going_back && version.number > 1 {
-            let ended = rollout.local.changes().iter().any(|c| c.version == version && c.fate > Fate::Done);
-            let other = rollout.local.changes().iter().any(|c| c.version == version && c.fate <= Fate::Done);
+            let ended = rollout
+                .local
+                .changes()
+                .iter()
+                .any(|c| c.version == version && c.fate > Fate::Done);
+            let other = rollout
+                .local
+                .changes()
+                .iter()
+                .any(|c| c.version == version && c.fate <= Fate::Done);
             if ended && !other {
-                self.tally
-                    .broken
-                    .push(format!("node {node} begins {version}, of which it knows that it is halted"));
+                self.tally.broken.push(format!(
+                    "node {node} begins {version}, of which it knows that it is halted"
+                ));
             }
-            let on_disk =
-                Kept::read(&of.disk.kept).ok().and_then(|kept| kept.trial).map(|trial| trial.version);
+            let on_disk = Kept::read(&of.disk.kept)
+                .ok()
+                .and_then(|kept| kept.trial)
+                .map(|trial| trial.version);
             if on_disk != Some(version) {
-                self.tally.broken.push(format!("node {node} begins {version}, and its disk does not say so"));
+                self.tally.broken.push(format!(
+                    "node {node} begins {version}, and its disk does not say so"
+                ));
             }
         }
     }
 
     /// What must always hold.
     fn allowed(&mut self, node: usize) {
-        let Some(rollout) = &self.nodes[node].rollout else { return };
+        let Some(rollout) = &self.nodes[node].rollout else {
+            return;
+        };
         let local = &rollout.local;
         let running = local.running();
         for change in local.changes().iter().filter(|change| change.reach.seq > 0) {
-            let known =
-                self.reaches.entry(change.reach.seq).or_insert_with(|| (change.id, change.reach.clone()));
+            let known = self
+                .reaches
+                .entry(change.reach.seq)
+                .or_insert_with(|| (change.id, change.reach.clone()));
             if *known != (change.id, change.reach.clone()) {
-                self.tally.broken.push(format!("two agreements of number {}", change.reach.seq));
+                self.tally
+                    .broken
+                    .push(format!("two agreements of number {}", change.reach.seq));
             }
         }
-        let of_running = local.changes().iter().find(|change| change.version == running);
+        let of_running = local
+            .changes()
+            .iter()
+            .find(|change| change.version == running);
         if let Some(change) = of_running {
             self.tally.ran.insert((running, node));
             // Nobody runs what no agreement has given it.
-            let farthest =
-                self.reaches.values().filter(|(id, _)| *id == change.id).max_by_key(|(_, reach)| reach.seq);
+            let farthest = self
+                .reaches
+                .values()
+                .filter(|(id, _)| *id == change.id)
+                .max_by_key(|(_, reach)| reach.seq);
             let zone = self.load.zone(node);
-            let may = farthest.is_some_and(|(_, reach)| reach.has(change.id, self.nodes[node].key, zone));
+            let may =
+                farthest.is_some_and(|(_, reach)| reach.has(change.id, self.nodes[node].key, zone));
             if !may {
-                self.tally.broken.push(format!("node {node} runs {running} and is not in its stage"));
+                self.tally.broken.push(format!(
+                    "node {node} runs {running} and is not in its stage"
+                ));
             }
         }
         if local.kept_now().good.is_none() {
-            self.tally.broken.push(format!("node {node} has no last good version"));
+            self.tally
+                .broken
+                .push(format!("node {node} has no last good version"));
         }
     }
 
@@ -743,19 +915,32 @@
     /// What is seen on either side.
     fn refresh(&mut self) {
         let board = |side: usize| {
-            let mut board = Board { windows: Rc::clone(&self.windows), ..Board::default() };
+            let mut board = Board {
+                windows: Rc::clone(&self.windows),
+                ..Board::default()
+            };
             for (no, node) in self.nodes.iter().enumerate() {
                 let is_here = node.rollout.is_some() && !node.paused && node.side == side;
                 let seen_at = node.since + SEEN;
-                let there = if self.now >= seen_at { is_here } else { !is_here && node.life > 0 };
+                let there = if self.now >= seen_at {
+                    is_here
+                } else {
+                    !is_here && node.life > 0
+                };
                 if node.left || node.life == 0 {
                     continue;
                 }
-                board.members.push(Member { node: node.key, zone: self.load.zone(no), there });
+                board.members.push(Member {
+                    node: node.key,
+                    zone: self.load.zone(no),
+                    there,
+                });
                 if is_here {
                     board.keys.insert(node.key);
                     if let Some(rollout) = &node.rollout {
-                        board.digests.push((node.key, rollout.local.report().digest));
+                        board
+                            .digests
+                            .push((node.key, rollout.local.report().digest));
                     }
                 }
             }
@@ -773,7 +958,9 @@
         let mut dead = Vec::new();
         for node in 0..self.nodes.len() {
             let of = &self.nodes[node];
-            let (Some(rollout), false) = (&of.rollout, of.paused) else { continue };
+            let (Some(rollout), false) = (&of.rollout, of.paused) else {
+                continue;
+            };
             let version = rollout.local.running();
             let runs = Runs {
                 label: version.hash,
@@ -783,8 +970,11 @@
             };
             let (sample, cost) = self.load.sample(node, of.key, &runs);
             self.tally.cost += cost;
-            self.tally.asked +=
-                sample.operations.values().map(|(cell, _)| cell.asked as f64 / 1000.0).sum::<f64>();
+            self.tally.asked += sample
+                .operations
+                .values()
+                .map(|(cell, _)| cell.asked as f64 / 1000.0)
+                .sum::<f64>();
             samples.push(sample);
             if self.load.dies(&runs) {
                 dead.push(node);
@@ -804,6 +994,9 @@
 
     /// How a node stands to the change that it goes by.
     pub fn stand(&self, node: usize) -> Option<Stand> {
-        self.nodes[node].rollout.as_ref().map(|rollout| rollout.local.report().stand)
+        self.nodes[node]
+            .rollout
+            .as_ref()
+            .map(|rollout| rollout.local.report().stand)
     }
 }
--- a/crates/rollout/src/sim/load.rs
+++ b/crates/rollout/src/sim/load.rs
@@ -1,17 +1,29 @@
-//! What simulated nodes get and make of it: machines that differ, zones in trouble, traffic that jumps, processes that are cold; and
-//! what a version does to all that.
+//! What simulated nodes get and make of it: machines that differ, zones in trouble, traffic that
+//! jumps, processes that are cold; and what a version does to all that.
 
 use crate::record::{Cell, Sample};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Operations, with their part of what comes, their billed value in thousandths, and their usual latency in tenths of a millisecond.
-pub const OPERATIONS: [(u32, f64, u64, f64); 3] =
-    [(11, 0.7, 1000, 200.0), (12, 0.25, 2000, 450.0), (13, 0.05, 6000, 900.0)];
+/// Operations, with their part of what comes, their billed value in thousandths, and their usual
+/// latency in tenths of a millisecond.
+pub const OPERATIONS: [(u32, f64, u64, f64); 3] = [
+    (11, 0.7, 1000, 200.0),
+    (12, 0.25, 2000, 450.0),
+    (13, 0.05, 6000, 900.0),
+];
 /// How latencies lie about the usual one, and how often.
-const SHAPE: [(f64, f64); 8] =
-    [(0.4, 0.1), (0.6, 0.15), (0.8, 0.2), (1.0, 0.2), (1.2, 0.15), (1.6, 0.1), (2.2, 0.07), (4.0, 0.03)];
+const SHAPE: [(f64, f64); 8] = [
+    (0.4, 0.1),
+    (0.6, 0.15),
+    (0.8, 0.2),
+    (1.0, 0.2),
+    (1.2, 0.15),
+    (1.6, 0.1),
+    (2.2, 0.07),
+    (4.0, 0.03),
+];
 /// Beyond this multiple of the usual latency an answer is late.
 const LATE: f64 = 5.0;
 
@@ -27,7 +39,8 @@
     pub slower: f64,
     /// It starts so many windows after the version took force.
     pub after: u64,
-    /// Memory rises so much with each window, as a share; and what errs once it is thrice what it was.
+    /// Memory rises so much with each window, as a share; and what errs once it is thrice what it
+    /// was.
     pub leaks: f64,
     /// The chance of dying with each window.
     pub dies: f64,
@@ -49,7 +62,10 @@
     };
 
     /// Throttles everything.
-    pub const SHUT: Effect = Effect { throttled: 1.0, ..Effect::NONE };
+    pub const SHUT: Effect = Effect {
+        throttled: 1.0,
+        ..Effect::NONE
+    };
 }
 
 /// How much there is of what makes nodes differ.
@@ -61,7 +77,8 @@
     /// The share of machines that are slow, and how much longer they take.
     pub slow: f64,
     pub slower: f64,
-    /// Chances in each window: that a zone falls in trouble, and that traffic jumps; both last some windows.
+    /// Chances in each window: that a zone falls in trouble, and that traffic jumps; both last some
+    /// windows.
     pub trouble: f64,
     pub jump: f64,
     /// Chance with each window that a node dies by itself.
@@ -80,8 +97,15 @@
         dies: 0.0001,
     };
     /// No trouble.
-    pub const NONE: Noise =
-        Noise { errs: 0.01, differs: 0.0, slow: 0.0, slower: 0.0, trouble: 0.0, jump: 0.0, dies: 0.0 };
+    pub const NONE: Noise = Noise {
+        errs: 0.01,
+        differs: 0.0,
+        slow: 0.0,
+        slower: 0.0,
+        trouble: 0.0,
+        jump: 0.0,
+        dies: 0.0,
+    };
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -126,7 +150,15 @@
                 },
             })
             .collect();
-        Load { rng, noise, zones, each, machines, trouble: BTreeMap::new(), jump: (0, 1.0) }
+        Load {
+            rng,
+            noise,
+            zones,
+            each,
+            machines,
+            trouble: BTreeMap::new(),
+            jump: (0, 1.0),
+        }
     }
 
     /// The zone of a node.
@@ -136,27 +168,41 @@
 
     /// One more machine.
     pub fn joins(&mut self) {
-        self.machines.push(Machine { errs: self.noise.errs, slower: 0.0 });
+        self.machines.push(Machine {
+            errs: self.noise.errs,
+            slower: 0.0,
+        });
     }
 
     /// A window begins: trouble comes and goes.
     pub fn window(&mut self, window: u64) {
         self.trouble.retain(|_, (until, _)| *until > window);
         if self.rng.random_bool(self.noise.trouble) {
-            let (zone, much) = (self.rng.random_range(0..self.zones), self.rng.random_range(0.02..0.3));
-            self.trouble.insert(zone, (window + self.rng.random_range(3..30), much));
+            let (zone, much) = (
+                self.rng.random_range(0..self.zones),
+                self.rng.random_range(0.02..0.3),
+            );
+            self.trouble
+                .insert(zone, (window + self.rng.random_range(3..30), much));
         }
         if window >= self.jump.0 {
             self.jump = (window, 1.0);
             if self.rng.random_bool(self.noise.jump) {
-                self.jump = (window + self.rng.random_range(3..30), self.rng.random_range(1.5..4.0));
+                self.jump = (
+                    window + self.rng.random_range(3..30),
+                    self.rng.random_range(1.5..4.0),
+                );
             }
         }
     }
 
     /// Whether a node dies in this window.
     pub fn dies(&mut self, runs: &Runs) -> bool {
-        let by_version = if runs.since >= runs.effect.after { runs.effect.dies } else { 0.0 };
+        let by_version = if runs.since >= runs.effect.after {
+            runs.effect.dies
+        } else {
+            0.0
+        };
         let chance = (self.noise.dies + by_version).clamp(0.0, 1.0);
         self.rng.random_bool(chance)
     }
@@ -168,22 +214,34 @@
             return 0;
         }
         if n <= 40 {
-            return (0..n).filter(|_| self.rng.random_bool(chance.clamp(0.0, 1.0))).count() as u64;
+            return (0..n)
+                .filter(|_| self.rng.random_bool(chance.clamp(0.0, 1.0)))
+                .count() as u64;
         }
         // Box and Muller's.
-        let (a, b) = (self.rng.random_range(f64::MIN_POSITIVE..1.0), self.rng.random::<f64>());
+        let (a, b) = (
+            self.rng.random_range(f64::MIN_POSITIVE..1.0),
+            self.rng.random::<f64>(),
+        );
         let bell = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
         let value = mean + bell * (mean * (1.0 - chance.clamp(0.0, 1.0))).sqrt();
         (value.round().max(0.0) as u64).min(n)
     }
 
-    /// What a node counts in a window; with the billed value that its version cost, beside what it would have earned.
+    /// What a node counts in a window; with the billed value that its version cost, beside what it
+    /// would have earned.
     pub fn sample(&mut self, node: usize, key: u64, runs: &Runs) -> (Sample, f64) {
         let (zone, machine, jump) = (self.zone(node), self.machines[node], self.jump.1);
         let trouble = self.trouble.get(&zone).map_or(0.0, |(_, much)| *much);
         let acts = runs.since >= runs.effect.after;
         let memory = 4000.0
-            * (1.0 + runs.effect.leaks * if acts { (runs.since - runs.effect.after) as f64 } else { 0.0 });
+            * (1.0
+                + runs.effect.leaks
+                    * if acts {
+                        (runs.since - runs.effect.after) as f64
+                    } else {
+                        0.0
+                    });
         let mut cost = 0.0;
         let mut operations = BTreeMap::new();
         for (operation, part, value, usual) in OPERATIONS {
@@ -192,8 +250,15 @@
             let many = (self.each * part * jump * 4.0) as u64;
             let arrived = self.of(many, 0.25);
             // A jump is more than there is room for: some are throttled, everywhere alike.
-            let throttled_share = if jump > 1.2 { (1.0 - 1.2 / jump) * 0.5 } else { 0.0 };
-            let throttled = self.of(arrived, throttled_share + (1.0 - throttled_share) * effect.throttled);
+            let throttled_share = if jump > 1.2 {
+                (1.0 - 1.2 / jump) * 0.5
+            } else {
+                0.0
+            };
+            let throttled = self.of(
+                arrived,
+                throttled_share + (1.0 - throttled_share) * effect.throttled,
+            );
             let ran = arrived - throttled;
             let full = if memory > 12_000.0 { 0.5 } else { 0.0 };
             let errs = machine.errs + trouble;
--- a/crates/rollout/src/sim/trial.rs
+++ b/crates/rollout/src/sim/trial.rs
@@ -1,5 +1,5 @@
-//! A change's stages without the messages between: what is judged and when, over many changes by seed. For tables of false stops,
-//! missed harm and what a bad change costs.
+//! A change's stages without the messages between: what is judged and when, over many changes by
+//! seed. For tables of false stops, missed harm and what a bad change costs.
 
 use super::load::{Effect, Load, Noise, Runs};
 use super::{WINDOW, key};
@@ -14,7 +14,8 @@
 pub enum Out {
     /// In stages, judged so.
     Stages(Way),
-    /// Everywhere at once; taken back if for two windows so much less succeeds than in the windows before, by the plan's margin.
+    /// Everywhere at once; taken back if for two windows so much less succeeds than in the windows
+    /// before, by the plan's margin.
     AtOnce,
 }
 
@@ -54,7 +55,10 @@
     /// Plays it.
     pub fn play(&self, seed: u64) -> Outcome {
         let mut load = Load::new(seed, self.nodes, self.zones, self.each, self.noise);
-        let (old, new) = (Version { number: 1, hash: 1 }, Version { number: 2, hash: 2 });
+        let (old, new) = (
+            Version { number: 1, hash: 1 },
+            Version { number: 2, hash: 2 },
+        );
         let mut record = Record::new(ChangeId(mix(seed)), new, old);
         let (mut window, mut windows) = (0, Vec::new());
         let mut before = Cell::default();
@@ -89,7 +93,11 @@
                 let ran = since(node);
                 let runs = Runs {
                     label: if ran.is_some() { 2 } else { 1 },
-                    effect: if ran.is_some() { self.effect } else { Effect::NONE },
+                    effect: if ran.is_some() {
+                        self.effect
+                    } else {
+                        Effect::NONE
+                    },
                     since: ran.unwrap_or(0),
                     age: 100,
                 };
@@ -101,15 +109,31 @@
         (samples, sum)
     }
 
-    fn stages(&self, load: &mut Load, mut record: Record, mut window: u64, way: Way, asked: f64) -> Outcome {
-        let nodes: Vec<(u64, u32)> = (0..self.nodes).map(|node| (key(node), load.zone(node))).collect();
+    fn stages(
+        &self,
+        load: &mut Load,
+        mut record: Record,
+        mut window: u64,
+        way: Way,
+        asked: f64,
+    ) -> Outcome {
+        let nodes: Vec<(u64, u32)> = (0..self.nodes)
+            .map(|node| (key(node), load.zone(node)))
+            .collect();
         let (mut reach, change, begin) = (Reach::default(), record.change, window);
         let mut begun: Vec<Option<u64>> = vec![None; self.nodes];
-        let mut outcome = Outcome { asked, ..Outcome::default() };
+        let mut outcome = Outcome {
+            asked,
+            ..Outcome::default()
+        };
         let mut died = [0, 0];
-        while let Some(next) = reach.next(change, &self.plan, &nodes, reach.seq + 1, self.nodes as u32) {
+        while let Some(next) =
+            reach.next(change, &self.plan, &nodes, reach.seq + 1, self.nodes as u32)
+        {
             reach = next;
-            let Some(stage) = self.plan.stage(reach.stage) else { break };
+            let Some(stage) = self.plan.stage(reach.stage) else {
+                break;
+            };
             outcome.stage = reach.stage;
             record.stage_begins(reach.stage);
             for (at, (node, zone)) in nodes.iter().enumerate() {
@@ -119,13 +143,23 @@
             }
             let since = window;
             loop {
-                let (samples, cost) =
-                    self.window(load, window, &|node| begun[node].map(|begun| window - begun));
+                let (samples, cost) = self.window(load, window, &|node| {
+                    begun[node].map(|begun| window - begun)
+                });
                 outcome.cost += cost;
                 for node in 0..self.nodes {
                     let since = begun[node].map_or(0, |begun| window - begun);
-                    let effect = if begun[node].is_some() { self.effect } else { Effect::NONE };
-                    if load.dies(&Runs { label: 0, effect, since, age: 100 }) {
+                    let effect = if begun[node].is_some() {
+                        self.effect
+                    } else {
+                        Effect::NONE
+                    };
+                    if load.dies(&Runs {
+                        label: 0,
+                        effect,
+                        since,
+                        age: 100,
+                    }) {
                         died[usize::from(begun[node].is_none())] += 1;
                     }
                 }
@@ -135,22 +169,35 @@
                 let held = (window - since) * WINDOW;
                 let new = begun.iter().flatten().count() as u64;
                 let nodes = [new, self.nodes as u64 - new];
-                let deaths = Deaths { died, nodes, windows: (window - begin) as f64 };
+                let deaths = Deaths {
+                    died,
+                    nodes,
+                    windows: (window - begin) as f64,
+                };
                 let judged = judge(&record, &self.plan, reach.stage, &deaths, way);
                 let is_last = self.plan.is_last(reach.stage);
                 match judged.verdict {
                     Verdict::Harm(harm) => {
                         let what = harm.first().map_or("", |finding| finding.what);
-                        return Outcome { stopped: true, what, ..outcome };
+                        return Outcome {
+                            stopped: true,
+                            what,
+                            ..outcome
+                        };
                     }
                     _ if held < stage.least => {}
-                    // With nobody left to compare with it goes by what else there is: see `conduct`.
+                    // With nobody left to compare with it goes by what else there is: see
+                    // `conduct`.
                     _ if is_last => break,
                     Verdict::Fine => break,
                     Verdict::Unsure(_) if held > stage.longest => break,
                     Verdict::Unsure(_) => {}
                     Verdict::Wait(_) if held > stage.longest => {
-                        return Outcome { stopped: true, what: NO_JUDGEMENT, ..outcome };
+                        return Outcome {
+                            stopped: true,
+                            what: NO_JUDGEMENT,
+                            ..outcome
+                        };
                     }
                     Verdict::Wait(_) => {}
                 }
@@ -160,7 +207,11 @@
     }
 
     fn at_once(&self, load: &mut Load, before: Cell, mut window: u64, asked: f64) -> Outcome {
-        let mut outcome = Outcome { asked, stage: 1, ..Outcome::default() };
+        let mut outcome = Outcome {
+            asked,
+            stage: 1,
+            ..Outcome::default()
+        };
         let share = |cell: &Cell| cell.succeeded as f64 / cell.arrived.max(1) as f64;
         let margin = f64::from(self.plan.margin) / 1000.0;
         let (begin, mut bad) = (window, 0);
@@ -170,10 +221,20 @@
             window += 1;
             outcome.time = (window - begin) * WINDOW;
             let mut sum = Cell::default();
-            samples.iter().flat_map(|sample| sample.operations.values()).for_each(|(cell, _)| sum.add(cell));
-            bad = if share(&sum) < share(&before) - margin { bad + 1 } else { 0 };
+            samples
+                .iter()
+                .flat_map(|sample| sample.operations.values())
+                .for_each(|(cell, _)| sum.add(cell));
+            bad = if share(&sum) < share(&before) - margin {
+                bad + 1
+            } else {
+                0
+            };
             if bad == 2 {
-                return Outcome { stopped: true, ..outcome };
+                return Outcome {
+                    stopped: true,
+                    ..outcome
+                };
             }
         }
         outcome
@@ -185,20 +246,36 @@
     use super::*;
 
     fn trial(nodes: usize, effect: Effect, out: Out) -> Trial {
-        Trial { nodes, zones: 3, each: 200.0, noise: Noise::USUAL, plan: Plan::default(), effect, out }
+        Trial {
+            nodes,
+            zones: 3,
+            each: 200.0,
+            noise: Noise::USUAL,
+            plan: Plan::default(),
+            effect,
+            out,
+        }
     }
 
     #[test]
     fn good_changes_finish_and_bad_ones_cost_less_than_everywhere_at_once() {
         let stages = Out::Stages(Way::Nodes);
-        let good: Vec<Outcome> = (0..20).map(|seed| trial(30, Effect::NONE, stages).play(seed)).collect();
-        assert!(good.iter().filter(|outcome| outcome.stopped).count() <= 1, "{good:?}");
+        let good: Vec<Outcome> = (0..20)
+            .map(|seed| trial(30, Effect::NONE, stages).play(seed))
+            .collect();
+        assert!(
+            good.iter().filter(|outcome| outcome.stopped).count() <= 1,
+            "{good:?}"
+        );
         assert!(good.iter().all(|outcome| outcome.cost == 0.0));
         for seed in 0..5 {
             let bad = trial(30, Effect::SHUT, stages).play(seed);
             assert!(bad.stopped && bad.stage == 1, "{bad:?}");
             let at_once = trial(30, Effect::SHUT, Out::AtOnce).play(seed);
-            assert!(at_once.stopped && bad.cost * 4.0 < at_once.cost, "{bad:?} {at_once:?}");
+            assert!(
+                at_once.stopped && bad.cost * 4.0 < at_once.cost,
+                "{bad:?} {at_once:?}"
+            );
         }
     }
 }
--- a/crates/rollout/src/wire.rs
+++ b/crates/rollout/src/wire.rs
@@ -1,6 +1,6 @@
-//! What nodes tell each other about changes, as it travels in the fleet's parcels; what a node hangs on its entry; what operators
-//! order; and what is shown. Protocol Buffers, fields by number: one that is not known is passed over, a kind that is not known is
-//! no message.
+//! What nodes tell each other about changes, as it travels in the fleet's parcels; what a node
+//! hangs on its entry; what operators order; and what is shown. Protocol Buffers, fields by number:
+//! one that is not known is passed over, a kind that is not known is no message.
 //!
 //! | field of `Parcel` | is |
 //! | --- | --- |
@@ -71,7 +71,8 @@
     stage: u32,
     #[prost(fixed32, repeated, tag = "2")]
     zones: Vec<u32>,
-    /// By zone: before, and until; a zone with none before has 0, and nobody stands there but by a chance of 2^-64.
+    /// By zone: before, and until; a zone with none before has 0, and nobody stands there but by a
+    /// chance of 2^-64.
     #[prost(fixed64, repeated, tag = "3")]
     before: Vec<u64>,
     #[prost(fixed64, repeated, tag = "4")]
@@ -180,8 +181,8 @@
     died_ms: u64,
 }
 
-/// Whether this is a build with a later version of the messages: a field more in each, one less in some, and kinds that the present
-/// version does not know. For tests of both side by side.
+/// Whether this is a build with a later version of the messages: a field more in each, one less in
+/// some, and kinds that the present version does not know. For tests of both side by side.
 pub const LATER: bool = cfg!(feature = "later");
 /// A field that the present version does not know: number 250, a text.
 const LATER_FIELD: [u8; 8] = [0xd2, 0x0f, 5, b'l', b'a', b't', b'e', b'r'];
@@ -190,7 +191,13 @@
 
 /// A parcel of a kind that the present version does not know.
 pub fn later_kind() -> Vec<u8> {
-    later(Parcel { kind: LATER_KIND, ..Parcel::default() }.encode_to_vec())
+    later(
+        Parcel {
+            kind: LATER_KIND,
+            ..Parcel::default()
+        }
+        .encode_to_vec(),
+    )
 }
 
 /// What a later version adds to a message.
@@ -275,11 +282,17 @@
 }
 
 fn one(version: Version) -> Option<OneVersion> {
-    Some(OneVersion { number: version.number, hash: version.hash })
+    Some(OneVersion {
+        number: version.number,
+        hash: version.hash,
+    })
 }
 
 fn version(one: Option<OneVersion>) -> Version {
-    one.map_or(Version::default(), |one| Version { number: one.number, hash: one.hash })
+    one.map_or(Version::default(), |one| Version {
+        number: one.number,
+        hash: one.hash,
+    })
 }
 
 fn ms(time: Nanos) -> u32 {
@@ -294,7 +307,11 @@
         sample: stage.sample,
         spread_ms: ms(stage.spread),
     };
-    OnePlan { stages: plan.stages.iter().map(stage).collect(), of_zone: plan.of_zone, margin: plan.margin }
+    OnePlan {
+        stages: plan.stages.iter().map(stage).collect(),
+        of_zone: plan.of_zone,
+        margin: plan.margin,
+    }
 }
 
 fn read_plan(plan: &OnePlan) -> Option<Plan> {
@@ -307,7 +324,11 @@
         spread: nanos(stage.spread_ms),
     };
     let stages = plan.stages.iter().take(STAGES_MAX + 1).map(stage).collect();
-    let plan = Plan { stages, of_zone: plan.of_zone, margin: plan.margin };
+    let plan = Plan {
+        stages,
+        of_zone: plan.of_zone,
+        margin: plan.margin,
+    };
     plan.check().is_ok().then_some(plan)
 }
 
@@ -315,7 +336,10 @@
     let zones: Vec<u32> = reach.until.keys().copied().collect();
     OneReach {
         stage: reach.stage,
-        before: zones.iter().map(|zone| reach.before.get(zone).copied().unwrap_or(0)).collect(),
+        before: zones
+            .iter()
+            .map(|zone| reach.before.get(zone).copied().unwrap_or(0))
+            .collect(),
         until: reach.until.values().copied().collect(),
         zones,
         all: reach.all,
@@ -330,8 +354,14 @@
     if n > ZONES_MAX || reach.before.len() != n || reach.until.len() != n {
         return None;
     }
-    let by_zone =
-        |of: &[u64]| -> BTreeMap<u32, u64> { reach.zones.iter().copied().zip(of.iter().copied()).collect() };
+    let by_zone = |of: &[u64]| -> BTreeMap<u32, u64> {
+        reach
+            .zones
+            .iter()
+            .copied()
+            .zip(of.iter().copied())
+            .collect()
+    };
     let mut before = by_zone(&reach.before);
     before.retain(|_, before| *before > 0);
     Some(Reach {
@@ -346,27 +376,45 @@
 }
 
 fn write_ballot(ballot: Ballot) -> Option<OneBallot> {
-    Some(OneBallot { round: ballot.round, by: ballot.by })
+    Some(OneBallot {
+        round: ballot.round,
+        by: ballot.by,
+    })
 }
 
 fn read_ballot(ballot: Option<OneBallot>) -> Ballot {
-    ballot.map_or(Ballot::default(), |ballot| Ballot { round: ballot.round, by: ballot.by })
+    ballot.map_or(Ballot::default(), |ballot| Ballot {
+        round: ballot.round,
+        by: ballot.by,
+    })
 }
 
 fn write_proposal(proposal: &Proposal) -> OneProposal {
-    OneProposal { change: proposal.change.0, reach: Some(write_reach(&proposal.reach)) }
+    OneProposal {
+        change: proposal.change.0,
+        reach: Some(write_reach(&proposal.reach)),
+    }
 }
 
 fn read_proposal(proposal: &OneProposal) -> Option<Proposal> {
-    Some(Proposal { change: ChangeId(proposal.change), reach: read_reach(proposal.reach.as_ref()?)? })
+    Some(Proposal {
+        change: ChangeId(proposal.change),
+        reach: read_reach(proposal.reach.as_ref()?)?,
+    })
 }
 
 pub(crate) fn write_vote(vote: &Vote) -> OneVote {
     OneVote {
         seq: vote.seq,
         promised: write_ballot(vote.promised),
-        accepted_in: vote.accepted.as_ref().and_then(|(ballot, _)| write_ballot(*ballot)),
-        accepted: vote.accepted.as_ref().map(|(_, proposal)| write_proposal(proposal)),
+        accepted_in: vote
+            .accepted
+            .as_ref()
+            .and_then(|(ballot, _)| write_ballot(*ballot)),
+        accepted: vote
+            .accepted
+            .as_ref()
+            .map(|(_, proposal)| write_proposal(proposal)),
     }
 }
 
@@ -401,11 +449,16 @@
 }
 
 fn kind(number: u32) -> Option<Kind> {
-    [Kind::Settings, Kind::Program].get(number as usize).copied()
+    [Kind::Settings, Kind::Program]
+        .get(number as usize)
+        .copied()
 }
 
 pub(crate) fn read_change(change: &OneChange) -> Option<Change> {
-    let reason = change.reason.as_ref().filter(|reason| reason.why.len() <= REASON_MAX);
+    let reason = change
+        .reason
+        .as_ref()
+        .filter(|reason| reason.why.len() <= REASON_MAX);
     Some(Change {
         id: ChangeId(change.id),
         kind: kind(change.kind)?,
@@ -416,10 +469,17 @@
         by: change.by,
         at_ms: change.at_ms,
         plan: read_plan(change.plan.as_ref()?)?,
-        reach: change.reach.as_ref().map_or(Some(Reach::default()), read_reach)?,
+        reach: change
+            .reach
+            .as_ref()
+            .map_or(Some(Reach::default()), read_reach)?,
         // A fate that a later version knows is taken for the one nearest to safety.
         fate: Fate::from_number(change.fate).unwrap_or(Fate::Back),
-        reason: reason.map_or(Reason::default(), |r| Reason { at_ms: r.at_ms, by: r.by, why: r.why.clone() }),
+        reason: reason.map_or(Reason::default(), |r| Reason {
+            at_ms: r.at_ms,
+            by: r.by,
+            why: r.why.clone(),
+        }),
     })
 }
 
@@ -465,14 +525,23 @@
             parcel.changes = changes.iter().map(write_change).collect();
             parcel.answer = *answer;
         }
-        Told::Poll { no, change, stage, fate } => {
+        Told::Poll {
+            no,
+            change,
+            stage,
+            fate,
+        } => {
             (parcel.kind, parcel.no, parcel.change) = (2, *no, change.0);
             (parcel.stage, parcel.fate) = (*stage, *fate as u32);
         }
         Told::Report { no, report } => {
             (parcel.kind, parcel.no, parcel.report) = (3, *no, Some(write_report(report)));
         }
-        Told::AskPieces { change, first, count } => {
+        Told::AskPieces {
+            change,
+            first,
+            count,
+        } => {
             (parcel.kind, parcel.change, parcel.no, parcel.count) = (4, change.0, *first, *count);
         }
         Told::Piece { change, no, bytes } => {
@@ -485,7 +554,11 @@
                 Ask::Prepare { seq, ballot } => {
                     (parcel.kind, parcel.seq, parcel.ballot) = (6, *seq, write_ballot(*ballot));
                 }
-                Ask::Accept { ballot, proposal, again } => {
+                Ask::Accept {
+                    ballot,
+                    proposal,
+                    again,
+                } => {
                     (parcel.kind, parcel.ballot, parcel.again) = (7, write_ballot(*ballot), *again);
                     parcel.proposal = Some(write_proposal(proposal));
                 }
@@ -494,7 +567,11 @@
         Told::Say(kind, say) => {
             parcel.of = *kind as u32;
             match say {
-                Say::Promised { seq, ballot, accepted } => {
+                Say::Promised {
+                    seq,
+                    ballot,
+                    accepted,
+                } => {
                     (parcel.kind, parcel.seq, parcel.ballot) = (8, *seq, write_ballot(*ballot));
                     if let Some((earlier, proposal)) = accepted {
                         (parcel.earlier, parcel.proposal) =
@@ -504,7 +581,11 @@
                 Say::Accepted { seq, ballot } => {
                     (parcel.kind, parcel.seq, parcel.ballot) = (9, *seq, write_ballot(*ballot));
                 }
-                Say::Refused { seq, ballot, promised } => {
+                Say::Refused {
+                    seq,
+                    ballot,
+                    promised,
+                } => {
                     (parcel.kind, parcel.seq, parcel.ballot) = (10, *seq, write_ballot(*ballot));
                     parcel.earlier = write_ballot(*promised);
                 }
@@ -514,7 +595,8 @@
     later(parcel.encode_to_vec())
 }
 
-/// Words about changes, in as many parcels as they need; the last one asks for an answer, if one is wanted.
+/// Words about changes, in as many parcels as they need; the last one asks for an answer, if one is
+/// wanted.
 pub fn changes<'c>(all: impl Iterator<Item = &'c Change>, answer: bool) -> Vec<Told> {
     let mut parcels: Vec<Vec<Change>> = vec![Vec::new()];
     let mut size = 0;
@@ -530,13 +612,19 @@
         }
     }
     let last = parcels.len() - 1;
-    let told = |(at, changes)| Told::Changes { changes, answer: answer && at == last };
+    let told = |(at, changes)| Told::Changes {
+        changes,
+        answer: answer && at == last,
+    };
     parcels.into_iter().enumerate().map(told).collect()
 }
 
-/// Reads what was told; nothing if it can't be read, is beyond its bounds, or is of a kind that is not known.
+/// Reads what was told; nothing if it can't be read, is beyond its bounds, or is of a kind that is
+/// not known.
 pub fn read(bytes: &[u8]) -> Option<Told> {
-    let parcel = Parcel::decode(bytes).ok().filter(|_| bytes.len() <= PARCEL_MAX)?;
+    let parcel = Parcel::decode(bytes)
+        .ok()
+        .filter(|_| bytes.len() <= PARCEL_MAX)?;
     let (no, change) = (parcel.no, ChangeId(parcel.change));
     Some(match parcel.kind {
         1 if parcel.changes.len() <= CHANGES_MAX => Told::Changes {
@@ -546,11 +634,27 @@
         },
         2 => {
             let fate = Fate::from_number(parcel.fate).unwrap_or(Fate::Back);
-            Told::Poll { no, change, stage: parcel.stage, fate }
+            Told::Poll {
+                no,
+                change,
+                stage: parcel.stage,
+                fate,
+            }
         }
-        3 => Told::Report { no, report: read_report(&parcel.report?) },
-        4 => Told::AskPieces { change, first: no, count: parcel.count },
-        5 if parcel.bytes.len() <= PIECE => Told::Piece { change, no, bytes: parcel.bytes },
+        3 => Told::Report {
+            no,
+            report: read_report(&parcel.report?),
+        },
+        4 => Told::AskPieces {
+            change,
+            first: no,
+            count: parcel.count,
+        },
+        5 if parcel.bytes.len() <= PIECE => Told::Piece {
+            change,
+            no,
+            bytes: parcel.bytes,
+        },
         6..=10 => return read_vote_parcel(&parcel),
         _ => return None,
     })
@@ -562,28 +666,57 @@
     let proposal = parcel.proposal.as_ref().map(read_proposal);
     Some(match parcel.kind {
         6 => Told::Ask(of, Ask::Prepare { seq, ballot }),
-        7 => Told::Ask(of, Ask::Accept { ballot, proposal: proposal??, again: parcel.again }),
+        7 => Told::Ask(
+            of,
+            Ask::Accept {
+                ballot,
+                proposal: proposal??,
+                again: parcel.again,
+            },
+        ),
         8 => {
             let accepted = match proposal {
                 None => None,
                 Some(proposal) => Some((read_ballot(parcel.earlier), proposal?)),
             };
-            Told::Say(of, Say::Promised { seq, ballot, accepted })
+            Told::Say(
+                of,
+                Say::Promised {
+                    seq,
+                    ballot,
+                    accepted,
+                },
+            )
         }
         9 => Told::Say(of, Say::Accepted { seq, ballot }),
-        _ => Told::Say(of, Say::Refused { seq, ballot, promised: read_ballot(parcel.earlier) }),
+        _ => Told::Say(
+            of,
+            Say::Refused {
+                seq,
+                ballot,
+                promised: read_ballot(parcel.earlier),
+            },
+        ),
     })
 }
 
 /// What a node hangs on its entry: its report.
 pub fn write_part(report: &Report) -> Vec<u8> {
     // Why is told to those who ask: an entry has little room.
-    later(write_report(&Report { why: String::new(), ..report.clone() }).encode_to_vec())
+    later(
+        write_report(&Report {
+            why: String::new(),
+            ..report.clone()
+        })
+        .encode_to_vec(),
+    )
 }
 
 /// Reads it.
 pub fn read_part(bytes: &[u8]) -> Option<Report> {
-    OneReport::decode(bytes).ok().map(|report| read_report(&report))
+    OneReport::decode(bytes)
+        .ok()
+        .map(|report| read_report(&report))
 }
 
 /// What an operator orders.
@@ -592,7 +725,8 @@
     /// 1 a piece of content that is offered, 2 offer it, 3 halt, 4 back.
     #[prost(uint32, tag = "1")]
     pub kind: u32,
-    /// Of content: the number of the piece, its bytes, and of all of it how many bytes there are and their SHA-256.
+    /// Of content: the number of the piece, its bytes, and of all of it how many bytes there are
+    /// and their SHA-256.
     #[prost(uint32, tag = "2")]
     pub no: u32,
     #[prost(bytes = "vec", tag = "3")]
@@ -648,7 +782,10 @@
             stage: 2,
             fate: Fate::Halted,
             stand: Stand::OnTrial,
-            running: Version { number: 3, hash: 1 << 60 },
+            running: Version {
+                number: 3,
+                hash: 1 << 60,
+            },
             good: Version { number: 2, hash: 5 },
             since_ms: 1 << 40,
             died: 1,
@@ -670,25 +807,80 @@
             electorate: 12,
             at_ms: 1 << 41,
         };
-        let (ballot, promised) = (Ballot { round: 3, by: 1 << 62 }, Ballot { round: 2, by: 5 });
-        let proposal = Proposal { change: ChangeId(3), reach: far.reach.clone() };
-        (far.fate, far.reason) =
-            (Fate::Back, Reason::new(1 << 40, 6, "book errs: 0.31 of the new, 0.01 of the old"));
+        let (ballot, promised) = (
+            Ballot {
+                round: 3,
+                by: 1 << 62,
+            },
+            Ballot { round: 2, by: 5 },
+        );
+        let proposal = Proposal {
+            change: ChangeId(3),
+            reach: far.reach.clone(),
+        };
+        (far.fate, far.reason) = (
+            Fate::Back,
+            Reason::new(1 << 40, 6, "book errs: 0.31 of the new, 0.01 of the old"),
+        );
         vec![
-            Told::Changes { changes: vec![change(1, 2), far], answer: true },
-            Told::Poll { no: 4, change: ChangeId(1 << 63), stage: 2, fate: Fate::Open },
-            Told::Report { no: 4, report: report() },
-            Told::AskPieces { change: ChangeId(3), first: 17, count: 8 },
-            Told::Piece { change: ChangeId(3), no: 17, bytes: vec![7; PIECE] },
+            Told::Changes {
+                changes: vec![change(1, 2), far],
+                answer: true,
+            },
+            Told::Poll {
+                no: 4,
+                change: ChangeId(1 << 63),
+                stage: 2,
+                fate: Fate::Open,
+            },
+            Told::Report {
+                no: 4,
+                report: report(),
+            },
+            Told::AskPieces {
+                change: ChangeId(3),
+                first: 17,
+                count: 8,
+            },
+            Told::Piece {
+                change: ChangeId(3),
+                no: 17,
+                bytes: vec![7; PIECE],
+            },
             Told::Ask(Kind::Program, Ask::Prepare { seq: 31, ballot }),
-            Told::Ask(Kind::Settings, Ask::Accept { ballot, proposal: proposal.clone(), again: true }),
+            Told::Ask(
+                Kind::Settings,
+                Ask::Accept {
+                    ballot,
+                    proposal: proposal.clone(),
+                    again: true,
+                },
+            ),
             Told::Say(
                 Kind::Settings,
-                Say::Promised { seq: 31, ballot, accepted: Some((promised, proposal)) },
+                Say::Promised {
+                    seq: 31,
+                    ballot,
+                    accepted: Some((promised, proposal)),
+                },
+            ),
+            Told::Say(
+                Kind::Program,
+                Say::Promised {
+                    seq: 31,
+                    ballot,
+                    accepted: None,
+                },
             ),
-            Told::Say(Kind::Program, Say::Promised { seq: 31, ballot, accepted: None }),
             Told::Say(Kind::Settings, Say::Accepted { seq: 31, ballot }),
-            Told::Say(Kind::Settings, Say::Refused { seq: 31, ballot, promised }),
+            Told::Say(
+                Kind::Settings,
+                Say::Refused {
+                    seq: 31,
+                    ballot,
+                    promised,
+                },
+            ),
         ]
     }
 
@@ -701,7 +893,13 @@
         }
         let part = write_part(&report());
         assert!(part.len() < 90, "{}", part.len());
-        assert_eq!(read_part(&part), Some(Report { why: String::new(), ..report() }));
+        assert_eq!(
+            read_part(&part),
+            Some(Report {
+                why: String::new(),
+                ..report()
+            })
+        );
     }
 
     #[test]
@@ -709,11 +907,16 @@
         let mut all: Vec<Change> = (1..=CHANGES_MAX as u64).map(|id| change(id, id)).collect();
         for change in &mut all {
             change.reach.until = (0..ZONES_MAX as u32).map(|zone| (zone, 1 << 60)).collect();
-            (change.fate, change.reason) =
-                (Fate::Halted, Reason::new(1 << 41, 1 << 60, &"x".repeat(REASON_MAX)));
+            (change.fate, change.reason) = (
+                Fate::Halted,
+                Reason::new(1 << 41, 1 << 60, &"x".repeat(REASON_MAX)),
+            );
         }
         let told = changes(all.iter(), true);
-        let read: Vec<Told> = told.iter().map(|told| read(&write(told)).unwrap()).collect();
+        let read: Vec<Told> = told
+            .iter()
+            .map(|told| read(&write(told)).unwrap())
+            .collect();
         assert_eq!(read, told);
         let heard: Vec<Change> = read
             .iter()
@@ -723,23 +926,60 @@
             })
             .collect();
         assert_eq!(heard, all);
-        assert_eq!(told.iter().filter(|t| matches!(t, Told::Changes { answer: true, .. })).count(), 1);
+        assert_eq!(
+            told.iter()
+                .filter(|t| matches!(t, Told::Changes { answer: true, .. }))
+                .count(),
+            1
+        );
     }
 
-    /// A later program may add fields, kinds and fates: what is known is read, and what is not is taken for safe.
+    /// A later program may add fields, kinds and fates: what is known is read, and what is not is
+    /// taken for safe.
     #[test]
     fn a_later_version_is_read_as_far_as_it_is_known() {
-        let mut parcel = Parcel { kind: 1, changes: vec![write_change(&change(1, 2))], ..Parcel::default() };
+        let mut parcel = Parcel {
+            kind: 1,
+            changes: vec![write_change(&change(1, 2))],
+            ..Parcel::default()
+        };
         parcel.changes[0].fate = 9;
         let mut bytes = parcel.encode_to_vec();
         bytes.extend([0xfa, 0x01, 0x01, b'x']); // a field 31
-        let Some(Told::Changes { changes, .. }) = read(&bytes) else { panic!("changes") };
+        let Some(Told::Changes { changes, .. }) = read(&bytes) else {
+            panic!("changes")
+        };
         assert_eq!(changes[0].fate, Fate::Back);
-        assert_eq!(read(&Parcel { kind: 40, ..Parcel::default() }.encode_to_vec()), None);
-        parcel.changes.push(OneChange { kind: 7, ..parcel.changes[0].clone() });
-        let Some(Told::Changes { changes, .. }) = read(&parcel.encode_to_vec()) else { panic!("changes") };
-        assert_eq!(changes.len(), 1, "a kind of change that is not known is passed over");
-        assert_eq!(read_report(&OneReport { stand: 77, ..OneReport::default() }).stand, Stand::Unknown);
+        assert_eq!(
+            read(
+                &Parcel {
+                    kind: 40,
+                    ..Parcel::default()
+                }
+                .encode_to_vec()
+            ),
+            None
+        );
+        parcel.changes.push(OneChange {
+            kind: 7,
+            ..parcel.changes[0].clone()
+        });
+        let Some(Told::Changes { changes, .. }) = read(&parcel.encode_to_vec()) else {
+            panic!("changes")
+        };
+        assert_eq!(
+            changes.len(),
+            1,
+            "a kind of change that is not known is passed over"
+        );
+        assert_eq!(
+            read_report(&OneReport {
+                stand: 77,
+                ..OneReport::default()
+            })
+            .stand,
+            Stand::Unknown
+        );
     }
 
     #[test]
@@ -757,7 +997,9 @@
             }
         }
         for _ in 0..2000 {
-            let noise: Vec<u8> = (0..rng.random_range(0..300)).map(|_| rng.random()).collect();
+            let noise: Vec<u8> = (0..rng.random_range(0..300))
+                .map(|_| rng.random())
+                .collect();
             let _ = (read(&noise), read_part(&noise));
         }
     }
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -1,7 +1,9 @@
-//! The rules by which a fleet agrees on a change and ends it, checked through every order of messages that arrive, are late or
-//! lost (a split is no more than that), of nodes that crash and return, of two that conduct at once, and of halts heard anywhere:
-//! there are no two agreements of a number, so that of two halves at most one goes on; nobody runs what it did not check or what
-//! it knows to be halted; and a last good version is always there. The votes, rounds and words are the package's.
+//! The rules by which a fleet agrees on a change and ends it, checked through every order of
+//! messages that arrive, are late or lost (a split is no more than that), of nodes that crash and
+//! return, of two that conduct at once, and of halts heard anywhere: there are no two agreements of
+//! a number, so that of two halves at most one goes on; nobody runs what it did not check or what
+//! it knows to be halted; and a last good version is always there. The votes, rounds and words are
+//! the package's.
 
 use madderpoint_rollout::change::{Change, ChangeId, Changes, Fate, Kind, Reason, Version};
 use madderpoint_rollout::quorum::{Answer, Ask, Ballot, Next, Proposal, Round, Say, Vote, known};
@@ -47,7 +49,10 @@
 }
 
 fn words(changes: &Changes) -> Vec<(ChangeId, Reach, Fate)> {
-    changes.iter().map(|change| (change.id, change.reach.clone(), change.fate)).collect()
+    changes
+        .iter()
+        .map(|change| (change.id, change.reach.clone(), change.fate))
+        .collect()
 }
 
 impl State {
@@ -56,11 +61,25 @@
             .nodes
             .iter()
             .map(|n| {
-                let head = n.head.as_ref().map(|head| (head.id, head.reach.clone(), head.fate));
-                (words(&n.changes), &n.vote, head, &n.round, (n.running, n.good, &n.checked, n.late))
+                let head = n
+                    .head
+                    .as_ref()
+                    .map(|head| (head.id, head.reach.clone(), head.fate));
+                (
+                    words(&n.changes),
+                    &n.vote,
+                    head,
+                    &n.round,
+                    (n.running, n.good, &n.checked, n.late),
+                )
             })
             .collect();
-        (nodes, &self.under_way, &self.agreed, (self.rounds, self.halts, self.crashes, self.carried))
+        (
+            nodes,
+            &self.under_way,
+            &self.agreed,
+            (self.rounds, self.halts, self.crashes, self.carried),
+        )
     }
 }
 
@@ -88,7 +107,8 @@
     GoesBack(usize),
 }
 
-/// A small fleet: so many nodes, of which the first three are arbiters, and what may happen to it how often.
+/// A small fleet: so many nodes, of which the first three are arbiters, and what may happen to it
+/// how often.
 struct Small {
     nodes: usize,
     changes: u64,
@@ -126,18 +146,36 @@
 
 impl Small {
     fn change(&self, id: u64) -> Change {
-        let stage = Stage { share: 0, ..Plan::default().stages[0] };
-        let stages = vec![stage, Stage { share: 1000, ..stage }];
+        let stage = Stage {
+            share: 0,
+            ..Plan::default().stages[0]
+        };
+        let stages = vec![
+            stage,
+            Stage {
+                share: 1000,
+                ..stage
+            },
+        ];
         Change {
             id: ChangeId(id),
             kind: K,
-            version: Version { number: OLD + id, hash: id },
-            base: Version { number: OLD, hash: 0 },
+            version: Version {
+                number: OLD + id,
+                hash: id,
+            },
+            base: Version {
+                number: OLD,
+                hash: 0,
+            },
             digest: [0; 32],
             bytes: 0,
             by: 0,
             at_ms: id,
-            plan: Plan { stages, ..Plan::default() },
+            plan: Plan {
+                stages,
+                ..Plan::default()
+            },
             reach: Reach::default(),
             fate: Fate::Open,
             reason: Reason::default(),
@@ -150,7 +188,11 @@
             let over = node.changes.iter().filter(|change| change.reach.seq > 0);
             over.max_by_key(|change| change.reach.seq)
         })?;
-        Some((change.fate, change.version.number, change.wants(n as u64 + 1, 0)?))
+        Some((
+            change.fate,
+            change.version.number,
+            change.wants(n as u64 + 1, 0)?,
+        ))
     }
 
     fn write(node: &mut Node) {
@@ -195,7 +237,10 @@
                 let node = &state.nodes[*n];
                 let under_way = node.changes.under_way(K).map(|change| change.id);
                 // Whoever conducts has its own order here: any is as good.
-                let open = node.changes.iter().filter(|c| c.fate == Fate::Open && c.reach.seq == 0);
+                let open = node
+                    .changes
+                    .iter()
+                    .filter(|c| c.fate == Fate::Open && c.reach.seq == 0);
                 let all: Vec<ChangeId> = match under_way {
                     Some(id) => vec![id],
                     None => open.map(|change| change.id).collect(),
@@ -219,7 +264,9 @@
                 actions.push(Action::CrashAndReturn(n));
             }
             match self.wants(node, n).filter(|_| self.run) {
-                Some((_, version, true)) if node.running != version => actions.push(Action::Runs(n)),
+                Some((_, version, true)) if node.running != version => {
+                    actions.push(Action::Runs(n))
+                }
                 Some((Fate::Back, version, false)) if node.running == version => {
                     actions.push(Action::GoesBack(n))
                 }
@@ -238,14 +285,32 @@
                 let (seq, stage) = (known(&node.changes, K) + 1, change.reach.stage + 1);
                 // What is wished for differs by who wishes it: they see other fleets.
                 let until = BTreeMap::from([(0, u64::MAX / 8 * (n as u64 + 4))]);
-                let all = change.plan.stage(stage).is_none_or(|stage| stage.share == 1000);
-                let reach = Reach { seq, stage, until, all, ..Reach::default() };
-                let ballot = Ballot { round: state.rounds as u64, by: n as u64 };
-                let (round, ask) = Round::begin(0, ballot, Proposal { change: id, reach }, ARBITERS);
+                let all = change
+                    .plan
+                    .stage(stage)
+                    .is_none_or(|stage| stage.share == 1000);
+                let reach = Reach {
+                    seq,
+                    stage,
+                    until,
+                    all,
+                    ..Reach::default()
+                };
+                let ballot = Ballot {
+                    round: state.rounds as u64,
+                    by: n as u64,
+                };
+                let (round, ask) =
+                    Round::begin(0, ballot, Proposal { change: id, reach }, ARBITERS);
                 node.round = Some((round, not));
                 let reached = (0..ARBITERS).filter(|to| *to != not);
-                reached
-                    .for_each(|to| _ = state.under_way.insert(Sent::Ask { from: n, to, ask: ask.clone() }));
+                reached.for_each(|to| {
+                    _ = state.under_way.insert(Sent::Ask {
+                        from: n,
+                        to,
+                        ask: ask.clone(),
+                    })
+                });
             }
             Action::Arrives(sent) => {
                 state.under_way.remove(&sent);
@@ -261,7 +326,11 @@
                             }
                             Answer::Behind | Answer::Ahead => return Some(state),
                         };
-                        state.under_way.insert(Sent::Say { from: to, to: from, say });
+                        state.under_way.insert(Sent::Say {
+                            from: to,
+                            to: from,
+                            say,
+                        });
                     }
                     Sent::Say { from, to, say } => {
                         let node = &mut state.nodes[to];
@@ -272,7 +341,11 @@
                             Next::Ask(ask) => {
                                 state.carried |= matches!(&ask, Ask::Accept { again: true, .. });
                                 let reached = (0..ARBITERS).filter(|at| *at != not);
-                                let asks = reached.map(|at| Sent::Ask { from: to, to: at, ask: ask.clone() });
+                                let asks = reached.map(|at| Sent::Ask {
+                                    from: to,
+                                    to: at,
+                                    ask: ask.clone(),
+                                });
                                 state.under_way.extend(asks);
                             }
                             Next::Agreed(Proposal { change, reach }) => {
@@ -287,19 +360,27 @@
             }
             Action::Tells(n, m) => {
                 let said: Vec<Change> = state.nodes[n].changes.iter().cloned().collect();
-                said.iter().for_each(|change| _ = state.nodes[m].changes.hear(change));
+                said.iter()
+                    .for_each(|change| _ = state.nodes[m].changes.hear(change));
             }
             Action::Halts(n) => {
                 state.halts += 1;
                 let id = state.nodes[n].changes.under_way(K)?.id;
-                let fate = if state.halts == 1 { Fate::Halted } else { Fate::Back };
-                state.nodes[n].changes.end(id, fate, Reason::new(n as u64, n as u64, ""));
+                let fate = if state.halts == 1 {
+                    Fate::Halted
+                } else {
+                    Fate::Back
+                };
+                state.nodes[n]
+                    .changes
+                    .end(id, fate, Reason::new(n as u64, n as u64, ""));
             }
             Action::CrashAndReturn(n) => {
                 state.crashes += 1;
                 let node = &mut state.nodes[n];
                 (node.round, node.running) = (None, node.good);
-                // What was offered and had not begun is offered again by the others; what was agreed on is on the disk.
+                // What was offered and had not begun is offered again by the others; what was
+                // agreed on is on the disk.
                 let mut changes = Changes::default();
                 (1..=self.changes).for_each(|id| _ = changes.hear(&self.change(id)));
                 node.head.iter().for_each(|head| _ = changes.hear(head));
@@ -320,7 +401,11 @@
             }
             Action::GoesBack(n) => {
                 let node = &mut state.nodes[n];
-                node.good = if node.good == node.running { OLD } else { node.good };
+                node.good = if node.good == node.running {
+                    OLD
+                } else {
+                    node.good
+                };
                 node.running = node.good;
                 Small::write(node);
             }
@@ -330,34 +415,59 @@
 
     fn properties(&self) -> Vec<Property<Small>> {
         vec![
-            Property::always("there are no two agreements of a number", |_: &Small, s: &State| {
-                let known = s.nodes.iter().flat_map(|node| node.changes.iter()).filter(|c| c.reach.seq > 0);
-                let known = known.map(|change| (change.reach.seq, change.id, change.reach.clone()));
-                let all: BTreeSet<_> = s.agreed.iter().cloned().chain(known).collect();
-                let numbers: BTreeSet<u64> = all.iter().map(|(seq, ..)| *seq).collect();
-                all.len() == numbers.len()
-            }),
-            Property::always("nobody runs what no agreement gives it", |_: &Small, s: &State| {
-                s.nodes.iter().enumerate().all(|(n, node)| {
-                    let mine = |(_, id, reach): &&(u64, ChangeId, Reach)| {
-                        OLD + id.0 == node.running && reach.has(*id, n as u64 + 1, 0)
-                    };
-                    node.running == OLD || s.agreed.iter().any(|of| mine(&of))
-                })
-            }),
-            Property::always("nobody runs what it did not check", |_: &Small, s: &State| {
-                s.nodes.iter().all(|node| node.checked.contains(&node.running))
-            }),
-            Property::always("nobody begins what it knows to be halted", |_: &Small, s: &State| {
-                s.nodes.iter().all(|node| !node.late)
-            }),
-            Property::always("a last good version is there, and was checked", |_: &Small, s: &State| {
-                s.nodes.iter().all(|node| node.good >= OLD && node.checked.contains(&node.good))
-            }),
-            Property::sometimes("two stages are agreed on", |_: &Small, s: &State| s.agreed.len() > 1),
-            Property::sometimes("one carries through what another began", |_: &Small, s: &State| {
-                s.carried && !s.agreed.is_empty()
+            Property::always(
+                "there are no two agreements of a number",
+                |_: &Small, s: &State| {
+                    let known = s
+                        .nodes
+                        .iter()
+                        .flat_map(|node| node.changes.iter())
+                        .filter(|c| c.reach.seq > 0);
+                    let known =
+                        known.map(|change| (change.reach.seq, change.id, change.reach.clone()));
+                    let all: BTreeSet<_> = s.agreed.iter().cloned().chain(known).collect();
+                    let numbers: BTreeSet<u64> = all.iter().map(|(seq, ..)| *seq).collect();
+                    all.len() == numbers.len()
+                },
+            ),
+            Property::always(
+                "nobody runs what no agreement gives it",
+                |_: &Small, s: &State| {
+                    s.nodes.iter().enumerate().all(|(n, node)| {
+                        let mine = |(_, id, reach): &&(u64, ChangeId, Reach)| {
+                            OLD + id.0 == node.running && reach.has(*id, n as u64 + 1, 0)
+                        };
+                        node.running == OLD || s.agreed.iter().any(|of| mine(&of))
+                    })
+                },
+            ),
+            Property::always(
+                "nobody runs what it did not check",
+                |_: &Small, s: &State| {
+                    s.nodes
+                        .iter()
+                        .all(|node| node.checked.contains(&node.running))
+                },
+            ),
+            Property::always(
+                "nobody begins what it knows to be halted",
+                |_: &Small, s: &State| s.nodes.iter().all(|node| !node.late),
+            ),
+            Property::always(
+                "a last good version is there, and was checked",
+                |_: &Small, s: &State| {
+                    s.nodes
+                        .iter()
+                        .all(|node| node.good >= OLD && node.checked.contains(&node.good))
+                },
+            ),
+            Property::sometimes("two stages are agreed on", |_: &Small, s: &State| {
+                s.agreed.len() > 1
             }),
+            Property::sometimes(
+                "one carries through what another began",
+                |_: &Small, s: &State| s.carried && !s.agreed.is_empty(),
+            ),
             Property::sometimes("a node runs the new one", |model: &Small, s: &State| {
                 !model.run || s.nodes.iter().any(|node| node.running > OLD)
             }),
@@ -365,7 +475,8 @@
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        // What never arrives is lost; so many at once are enough for all of one round to meet all of another.
+        // What never arrives is lost; so many at once are enough for all of one round to meet all
+        // of another.
         state.under_way.len() <= self.at_once
     }
 }
@@ -379,24 +490,43 @@
 /// Two who conduct at once, in three rounds.
 #[test]
 fn two_conduct_at_once() {
-    let small = Small { rounds: 3, at_once: 3, run: false, ..Small::default() };
+    let small = Small {
+        rounds: 3,
+        at_once: 3,
+        run: false,
+        ..Small::default()
+    };
     check(small);
 }
 
 /// One of them crashes, at any step, and returns.
 #[test]
 fn one_of_two_that_conduct_crashes() {
-    check(Small { crashes: 1, ..Small::default() });
+    check(Small {
+        crashes: 1,
+        ..Small::default()
+    });
 }
 
 /// A halt and a step back heard at any of four nodes, one of which can't run the new version.
 #[test]
 fn halts_are_heard_anywhere() {
-    check(Small { nodes: 4, halts: 2, unfit: Some(3), ..Small::default() });
+    check(Small {
+        nodes: 4,
+        halts: 2,
+        unfit: Some(3),
+        ..Small::default()
+    });
 }
 
 /// Two changes, each begun by another node.
 #[test]
 fn two_changes_begin_at_once() {
-    check(Small { changes: 2, halts: 1, crashes: 1, conduct: vec![0, 2], ..Small::default() });
+    check(Small {
+        changes: 2,
+        halts: 1,
+        crashes: 1,
+        conduct: vec![0, 2],
+        ..Small::default()
+    });
 }
