--- a/crates/rules/benches/rules.rs
+++ b/crates/rules/benches/rules.rs
@@ -1,5 +1,5 @@
-//! How long rules take: by index and by scan, in three forms of compiled code, and against an interpreter of the
-//! registry. Run: cargo bench -p madderpoint-rules
+//! How long rules take: by index and by scan, in three forms of compiled code, and against an
+//! interpreter of the registry. Run: cargo bench -p madderpoint-rules
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use madderpoint_rules::compile::{Compiler, Func, Node, Vocabulary};
@@ -15,7 +15,9 @@
         tenants: vec!["ege".into(), "kuzey".into()],
         ..Vocabulary::default()
     };
-    words.params.extend(["SITE", "KIND", "USER"].map(|name| (name.to_owned(), 64)));
+    words
+        .params
+        .extend(["SITE", "KIND", "USER"].map(|name| (name.to_owned(), 64)));
     words
 }
 
@@ -50,18 +52,37 @@
     let rules: Vec<Written> = (0..count)
         .map(|i| {
             let when = match i % 3 {
-                _ if i + 1 == count => "params.SITE == \"site-77\" && params.KIND == \"shift\"".into(),
+                _ if i + 1 == count => {
+                    "params.SITE == \"site-77\" && params.KIND == \"shift\"".into()
+                }
                 0 => format!("params.SITE == \"s{i}\" && params.KIND == \"shift\""),
                 1 => format!("script.startsWith(\"/old/{i}/\") && peer > 2"),
                 _ => {
-                    format!("caller.address in net(\"11.{}.{}.0/24\") && rank > 0.1", i / 256 % 256, i % 256)
+                    format!(
+                        "caller.address in net(\"11.{}.{}.0/24\") && rank > 0.1",
+                        i / 256 % 256,
+                        i % 256
+                    )
                 }
             };
-            Written { name: format!("r{i}"), when, ..Written::default() }
+            Written {
+                name: format!("r{i}"),
+                when,
+                ..Written::default()
+            }
         })
         .collect();
     // So high a limit that the scan is not stopped by the meter.
-    RuleSet::load(&rules, &words(), &[], Bounds { cost: 1 << 30, ..Bounds::default() }).unwrap()
+    RuleSet::load(
+        &rules,
+        &words(),
+        &[],
+        Bounds {
+            cost: 1 << 30,
+            ..Bounds::default()
+        },
+    )
+    .unwrap()
 }
 
 fn index_and_scan(c: &mut Criterion) {
@@ -72,7 +93,14 @@
         let mut scratch = Scratch::new(1);
         for (name, path) in [("index", Path::Index), ("scan", Path::Scan)] {
             group.bench_with_input(BenchmarkId::new(name, count), &count, |b, _| {
-                b.iter(|| black_box(rules.decide(black_box(&facts), &mut scratch, path).given.is_some()));
+                b.iter(|| {
+                    black_box(
+                        rules
+                            .decide(black_box(&facts), &mut scratch, path)
+                            .given
+                            .is_some(),
+                    )
+                });
             });
         }
         println!("{count} rules: {} KiB", rules.bytes() >> 10);
@@ -102,7 +130,9 @@
         }
         Node::Slot(slot) => {
             let slot = *slot;
-            Box::new(move |facts, left| charge(left, cost::STEP).and_then(|()| facts.params.slot(slot)))
+            Box::new(move |facts, left| {
+                charge(left, cost::STEP).and_then(|()| facts.params.slot(slot))
+            })
         }
         Node::Fact(name) => {
             let name = *name;
@@ -140,12 +170,17 @@
             let (a, b) = (text_closure(&sides.0), text_closure(&sides.1));
             Box::new(move |facts, left| {
                 let (a, b) = (a(facts, left)?, b(facts, left)?);
-                charge(left, cost::STEP + cost::compare(a.len().min(b.len()) as u64))?;
+                charge(
+                    left,
+                    cost::STEP + cost::compare(a.len().min(b.len()) as u64),
+                )?;
                 Ok(a == b)
             })
         }
         Node::Binary(Binary::More, sides) => {
-            let (Node::Fact(Name::Rank), Node::Float(least)) = (&sides.0, &sides.1) else { panic!() };
+            let (Node::Fact(Name::Rank), Node::Float(least)) = (&sides.0, &sides.1) else {
+                panic!()
+            };
             let least = *least;
             Box::new(move |facts, left| {
                 charge(left, 3 * cost::STEP + cost::compare(0))?;
@@ -156,7 +191,10 @@
             let (of, set) = (text_closure(of), set.clone());
             Box::new(move |facts, left| {
                 let of = of(facts, left)?;
-                charge(left, cost::STEP + cost::LOOK + cost::compare(of.len() as u64))?;
+                charge(
+                    left,
+                    cost::STEP + cost::LOOK + cost::compare(of.len() as u64),
+                )?;
                 Ok(set.contains(of))
             })
         }
@@ -164,7 +202,10 @@
             let (a, b) = (text_closure(&nodes[0]), text_closure(&nodes[1]));
             Box::new(move |facts, left| {
                 let (a, b) = (a(facts, left)?, b(facts, left)?);
-                charge(left, cost::STEP + cost::compare(a.len().min(b.len()) as u64))?;
+                charge(
+                    left,
+                    cost::STEP + cost::compare(a.len().min(b.len()) as u64),
+                )?;
                 Ok(a.starts_with(b))
             })
         }
@@ -198,7 +239,11 @@
         Node::Binary(op, sides) => {
             bytecode(&sides.0, out);
             bytecode(&sides.1, out);
-            out.push(if *op == Binary::Equal { Op::Equal } else { Op::More });
+            out.push(if *op == Binary::Equal {
+                Op::Equal
+            } else {
+                Op::More
+            });
         }
         Node::InTexts(of, set) => {
             bytecode(of, out);
@@ -236,7 +281,9 @@
                 });
             }
             Op::In(set) => {
-                let Value::Text(text) = stack[top - 1] else { return None };
+                let Value::Text(text) = stack[top - 1] else {
+                    return None;
+                };
                 stack[top - 1] = Value::Bool(set.contains(text));
                 continue;
             }
@@ -262,8 +309,13 @@
 fn forms(c: &mut Criterion) {
     let words = words();
     let mut compiler = Compiler::new(&words);
-    let typed = compiler.compile(&parse(TYPICAL).unwrap(), &Type::Bool, 4000).unwrap();
-    let facts = Facts { params: compiler.names.pick(PAIRS.into_iter()), ..facts(&many(1)) };
+    let typed = compiler
+        .compile(&parse(TYPICAL).unwrap(), &Type::Bool, 4000)
+        .unwrap();
+    let facts = Facts {
+        params: compiler.names.pick(PAIRS.into_iter()),
+        ..facts(&many(1))
+    };
     let mut group = c.benchmark_group("forms");
     let arena = bumpalo::Bump::new();
     group.bench_function("tree, metered", |b| {
@@ -278,8 +330,11 @@
     });
     let mut code = Vec::new();
     bytecode(&typed.node, &mut code);
-    group.bench_function("bytecode, without a meter", |b| b.iter(|| run(&code, black_box(&facts))));
-    // The registry's interpreter, whose variables are made anew for each request as they would have to be.
+    group.bench_function("bytecode, without a meter", |b| {
+        b.iter(|| run(&code, black_box(&facts)))
+    });
+    // The registry's interpreter, whose variables are made anew for each request as they would have
+    // to be.
     let program = cel_interpreter::Program::compile(TYPICAL).unwrap();
     group.bench_function("cel-interpreter", |b| {
         b.iter(|| {
--- a/crates/rules/src/address.rs
+++ b/crates/rules/src/address.rs
@@ -3,11 +3,12 @@
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
-/// Sets of more networks than this are looked into as a whole by the index: filing each network would take far more
-/// memory than the set.
+/// Sets of more networks than this are looked into as a whole by the index: filing each network
+/// would take far more memory than the set.
 pub const NETWORKS_FILED: usize = 64;
 
-/// A set of IP addresses. IPv4 and IPv6 are apart: an IPv4 address that is written as IPv6 is taken for IPv4.
+/// A set of IP addresses. IPv4 and IPv6 are apart: an IPv4 address that is written as IPv6 is taken
+/// for IPv4.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AddressSet {
     four: Vec<(u32, u32)>,
@@ -17,7 +18,10 @@
 
 /// Reads one network, or one address as a network of itself alone.
 pub fn network(text: &str) -> Option<IpNet> {
-    let net = text.parse().ok().or_else(|| text.parse::<IpAddr>().ok().map(IpNet::from))?;
+    let net = text
+        .parse()
+        .ok()
+        .or_else(|| text.parse::<IpAddr>().ok().map(IpNet::from))?;
     Some(net.trunc())
 }
 
@@ -39,12 +43,22 @@
         let (four, six) = (Ipv4Net::aggregate(&four), Ipv6Net::aggregate(&six));
         let few = four.len() + six.len() <= NETWORKS_FILED;
         let mut set = AddressSet {
-            four: four.iter().map(|n| (n.network().to_bits(), n.broadcast().to_bits())).collect(),
-            six: six.iter().map(|n| (n.network().to_bits(), n.broadcast().to_bits())).collect(),
+            four: four
+                .iter()
+                .map(|n| (n.network().to_bits(), n.broadcast().to_bits()))
+                .collect(),
+            six: six
+                .iter()
+                .map(|n| (n.network().to_bits(), n.broadcast().to_bits()))
+                .collect(),
             networks: Vec::new(),
         };
         if few {
-            set.networks = four.into_iter().map(IpNet::V4).chain(six.into_iter().map(IpNet::V6)).collect();
+            set.networks = four
+                .into_iter()
+                .map(IpNet::V4)
+                .chain(six.into_iter().map(IpNet::V6))
+                .collect();
         }
         set.four.sort_unstable();
         set.six.sort_unstable();
@@ -76,7 +90,9 @@
 
     /// Bytes that it takes.
     pub fn bytes(&self) -> usize {
-        self.four.capacity() * 8 + self.six.capacity() * 32 + self.networks.capacity() * size_of::<IpNet>()
+        self.four.capacity() * 8
+            + self.six.capacity() * 32
+            + self.networks.capacity() * size_of::<IpNet>()
     }
 }
 
@@ -91,14 +107,33 @@
 
     #[test]
     fn ends_of_networks_are_in_and_what_lies_beside_is_not() {
-        let nets = ["10.1.0.0/16", "10.1.2.0/24", "10.2.0.0/16", "192.168.7.9", "2001:db8::/32"];
+        let nets = [
+            "10.1.0.0/16",
+            "10.1.2.0/24",
+            "10.2.0.0/16",
+            "192.168.7.9",
+            "2001:db8::/32",
+        ];
         let set = AddressSet::new(nets.map(|n| network(n).unwrap()));
         assert_eq!(set.len(), 4, "a network within another is merged into it");
         let is_in = |a: &str| set.contains(a.parse().unwrap());
-        for yes in ["10.1.0.0", "10.2.255.255", "192.168.7.9", "2001:db8::1", "::ffff:10.1.2.3"] {
+        for yes in [
+            "10.1.0.0",
+            "10.2.255.255",
+            "192.168.7.9",
+            "2001:db8::1",
+            "::ffff:10.1.2.3",
+        ] {
             assert!(is_in(yes), "{yes}");
         }
-        for no in ["10.0.255.255", "10.3.0.0", "192.168.7.8", "2001:db9::", "::10.1.2.3", "0.0.0.0"] {
+        for no in [
+            "10.0.255.255",
+            "10.3.0.0",
+            "192.168.7.8",
+            "2001:db9::",
+            "::10.1.2.3",
+            "0.0.0.0",
+        ] {
             assert!(!is_in(no), "{no}");
         }
         assert!(!AddressSet::default().contains("::".parse().unwrap()));
--- a/crates/rules/src/compile.rs
+++ b/crates/rules/src/compile.rs
@@ -1,4 +1,5 @@
-//! From a tree to a form that is evaluated: names resolved, types checked, the worst case of its cost known.
+//! From a tree to a form that is evaluated: names resolved, types checked, the worst case of its
+//! cost known.
 
 use crate::address::{self, AddressSet};
 use crate::cost;
@@ -13,8 +14,8 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// How deep macros may stand in each other. Their rounds multiply, so a third one is only ever accepted over lists
-/// that are very short.
+/// How deep macros may stand in each other. Their rounds multiply, so a third one is only ever
+/// accepted over lists that are very short.
 pub const MACROS_MAX: usize = 3;
 /// Slots of parameters that rules together may name.
 const SLOTS_MAX: usize = 512;
@@ -26,7 +27,8 @@
 /// What expressions may name.
 #[derive(Clone, Debug, Default)]
 pub struct Vocabulary {
-    /// Whether operations and tenants may have any name, as when there are no settings to check them against.
+    /// Whether operations and tenants may have any name, as when there are no settings to check
+    /// them against.
     pub open: bool,
     /// Operations of the settings, in their order.
     pub operations: Vec<String>,
@@ -119,7 +121,8 @@
 impl Node {
     /// Bytes that it takes beside itself. What others share with it is counted where it is kept.
     pub fn bytes(&self) -> usize {
-        let all = |nodes: &[Node]| -> usize { nodes.iter().map(|n| size_of::<Node>() + n.bytes()).sum() };
+        let all =
+            |nodes: &[Node]| -> usize { nodes.iter().map(|n| size_of::<Node>() + n.bytes()).sum() };
         match self {
             Node::Text(text) => text.len() + 16,
             Node::Bytes(bytes) => bytes.len() + 16,
@@ -130,8 +133,12 @@
             Node::Binary(_, two) | Node::Loop(_, two) | Node::Item(two) => {
                 2 * size_of::<Node>() + two.0.bytes() + two.1.bytes()
             }
-            Node::If(three) => 3 * size_of::<Node>() + three.0.bytes() + three.1.bytes() + three.2.bytes(),
-            Node::And(nodes) | Node::Or(nodes) | Node::List(nodes) | Node::Call(_, nodes) => 16 + all(nodes),
+            Node::If(three) => {
+                3 * size_of::<Node>() + three.0.bytes() + three.1.bytes() + three.2.bytes()
+            }
+            Node::And(nodes) | Node::Or(nodes) | Node::List(nodes) | Node::Call(_, nodes) => {
+                16 + all(nodes)
+            }
             Node::InTexts(of, set) if Arc::strong_count(set) == 1 => {
                 size_of::<Node>() + of.bytes() + texts(set)
             }
@@ -155,11 +162,17 @@
 
 impl Size {
     fn of(most: usize) -> Size {
-        Size { most: most as u64, item: None }
+        Size {
+            most: most as u64,
+            item: None,
+        }
     }
 
     fn list(most: u64, item: Size) -> Size {
-        Size { most, item: Some(Box::new(item)) }
+        Size {
+            most,
+            item: Some(Box::new(item)),
+        }
     }
 
     fn item(&self) -> Size {
@@ -168,7 +181,9 @@
 
     /// What [`crate::value::Value::extent`] may come to.
     fn extent(&self) -> u64 {
-        self.item.as_ref().map_or(self.most, |item| self.most.saturating_mul(8 + item.extent()))
+        self.item.as_ref().map_or(self.most, |item| {
+            self.most.saturating_mul(8 + item.extent())
+        })
     }
 
     fn max(&self, other: &Size) -> Size {
@@ -176,7 +191,10 @@
             (Some(a), Some(b)) => Some(Box::new(a.max(b))),
             (a, b) => a.clone().or_else(|| b.clone()),
         };
-        Size { most: self.most.max(other.most), item }
+        Size {
+            most: self.most.max(other.most),
+            item,
+        }
     }
 }
 
@@ -225,14 +243,19 @@
         }
     }
 
-    /// Compiles an expression that is to have this type and to cost no more than this. All that is wrong is given.
+    /// Compiles an expression that is to have this type and to cost no more than this. All that is
+    /// wrong is given.
     pub fn compile(&mut self, expr: &Expr, kind: &Type, limit: u64) -> Result<Typed, Vec<Error>> {
         self.errors.clear();
         self.locals.clear();
         let typed = self.check(expr);
         if let Some(typed) = &typed {
             if typed.kind != *kind {
-                self.wrong::<()>(&expr.at, format!("this is a {}", typed.kind), format!("a {kind}"));
+                self.wrong::<()>(
+                    &expr.at,
+                    format!("this is a {}", typed.kind),
+                    format!("a {kind}"),
+                );
             } else if typed.worst > limit {
                 let what = format!("the worst case costs {} units", typed.worst);
                 let hint = "declare the parameters' lengths, or ask for less";
@@ -262,7 +285,12 @@
     }
 
     fn leaf(&self, node: Node, kind: Type, size: Size) -> Checked {
-        Some(Typed { node, kind, worst: cost::STEP, size })
+        Some(Typed {
+            node,
+            kind,
+            worst: cost::STEP,
+            size,
+        })
     }
 
     fn check(&mut self, expr: &Expr) -> Checked {
@@ -270,8 +298,14 @@
             Kind::Bool(v) => self.leaf(Node::Bool(*v), Type::Bool, Size::default()),
             Kind::Int(v) => self.leaf(Node::Int(*v), Type::Int, Size::default()),
             Kind::Float(v) => self.leaf(Node::Float(*v), Type::Float, Size::default()),
-            Kind::Text(v) => self.leaf(Node::Text(v.as_str().into()), Type::Text, Size::of(v.len())),
-            Kind::Bytes(v) => self.leaf(Node::Bytes(v.as_slice().into()), Type::Bytes, Size::of(v.len())),
+            Kind::Text(v) => {
+                self.leaf(Node::Text(v.as_str().into()), Type::Text, Size::of(v.len()))
+            }
+            Kind::Bytes(v) => self.leaf(
+                Node::Bytes(v.as_slice().into()),
+                Type::Bytes,
+                Size::of(v.len()),
+            ),
             Kind::Name(name) => self.name(&expr.at, name),
             Kind::Select(of, field) => self.select(expr, of, field),
             Kind::Index(of, at) => self.index(of, at),
@@ -281,12 +315,20 @@
             Kind::Not(of) => {
                 let of = self.expect(of, &[Type::Bool])?;
                 let worst = of.worst + cost::STEP;
-                Some(Typed { node: Node::Not(Box::new(of.node)), worst, ..of })
+                Some(Typed {
+                    node: Node::Not(Box::new(of.node)),
+                    worst,
+                    ..of
+                })
             }
             Kind::Minus(of) => {
                 let of = self.expect(of, &[Type::Int, Type::Float, Type::Span])?;
                 let worst = of.worst + cost::STEP;
-                Some(Typed { node: Node::Minus(Box::new(of.node)), worst, ..of })
+                Some(Typed {
+                    node: Node::Minus(Box::new(of.node)),
+                    worst,
+                    ..of
+                })
             }
             Kind::And(all) => self.joined(all, Node::And),
             Kind::Or(all) => self.joined(all, Node::Or),
@@ -304,7 +346,12 @@
                 let worst = cost::STEP + condition.worst + yes.worst.max(no_.worst);
                 let size = yes.size.max(&no_.size);
                 let node = Node::If(Box::new((condition.node, yes.node, no_.node)));
-                Some(Typed { node, kind: yes.kind, worst, size })
+                Some(Typed {
+                    node,
+                    kind: yes.kind,
+                    worst,
+                    size,
+                })
             }
             Kind::Binary(op, a, b) => self.binary(&expr.at, *op, a, b),
         }
@@ -317,15 +364,27 @@
             return Some(typed);
         }
         let kinds: Vec<_> = kinds.iter().map(Type::to_string).collect();
-        self.wrong(&expr.at, format!("this is a {}", typed.kind), kinds.join(" or "))
+        self.wrong(
+            &expr.at,
+            format!("this is a {}", typed.kind),
+            kinds.join(" or "),
+        )
     }
 
     fn joined(&mut self, all: &[Expr], node: fn(Box<[Node]>) -> Node) -> Checked {
-        let checked: Vec<_> = all.iter().map(|one| self.expect(one, &[Type::Bool])).collect();
+        let checked: Vec<_> = all
+            .iter()
+            .map(|one| self.expect(one, &[Type::Bool]))
+            .collect();
         let checked: Vec<Typed> = checked.into_iter().collect::<Option<_>>()?;
         let worst = checked.iter().map(|t| t.worst).sum::<u64>() + cost::STEP;
         let node = node(checked.into_iter().map(|t| t.node).collect());
-        Some(Typed { node, kind: Type::Bool, worst, size: Size::default() })
+        Some(Typed {
+            node,
+            kind: Type::Bool,
+            worst,
+            size: Size::default(),
+        })
     }
 
     fn fact(&mut self, name: Name) -> Checked {
@@ -342,7 +401,11 @@
     fn name(&mut self, at: &Range<usize>, name: &str) -> Checked {
         if let Some(place) = self.locals.iter().rposition(|local| local.name == name) {
             let local = &self.locals[place];
-            return self.leaf(Node::Local(place as u8), local.kind.clone(), local.size.clone());
+            return self.leaf(
+                Node::Local(place as u8),
+                local.kind.clone(),
+                local.size.clone(),
+            );
         }
         if let Some((_, fact)) = Name::ALL.iter().find(|(text, _)| *text == name) {
             return self.fact(*fact);
@@ -356,9 +419,13 @@
         }
         if let Some(list) = self.vocabulary.lists.get(name) {
             let longest = list.iter().map(String::len).max().unwrap_or(0);
-            let items: Vec<_> = list.iter().map(|text| Node::Text(text.as_str().into())).collect();
+            let items: Vec<_> = list
+                .iter()
+                .map(|text| Node::Text(text.as_str().into()))
+                .collect();
             let size = Size::list(items.len() as u64, Size::of(longest));
-            let worst = cost::STEP + items.len() as u64 * cost::STEP + cost::build(items.len() as u64 * 24);
+            let worst =
+                cost::STEP + items.len() as u64 * cost::STEP + cost::build(items.len() as u64 * 24);
             return Some(Typed {
                 node: Node::List(items.into()),
                 kind: Type::List(Type::Text.into()),
@@ -373,7 +440,12 @@
     /// What a name was perhaps to be.
     fn nearest(&self, name: &str) -> String {
         let facts = Name::ALL.iter().map(|(text, _)| *text).chain(["params"]);
-        let sets = self.vocabulary.sets.keys().chain(self.vocabulary.lists.keys()).map(String::as_str);
+        let sets = self
+            .vocabulary
+            .sets
+            .keys()
+            .chain(self.vocabulary.lists.keys())
+            .map(String::as_str);
         let known: Vec<&str> = facts.chain(sets).collect();
         match nearest(name, known.iter().copied()) {
             Some(near) => format!("perhaps '{near}'"),
@@ -388,7 +460,12 @@
         {
             return None;
         }
-        let most = self.vocabulary.params.get(name).copied().unwrap_or(PARAM_MAX);
+        let most = self
+            .vocabulary
+            .params
+            .get(name)
+            .copied()
+            .unwrap_or(PARAM_MAX);
         let slot = self.names.slot(name, most);
         if self.names.len() > SLOTS_MAX {
             self.wrong::<()>(
@@ -402,15 +479,25 @@
     }
 
     fn slot(&mut self, slot: u16) -> Checked {
-        let most = self.vocabulary.params.get(self.names.name(slot)).copied().unwrap_or(PARAM_MAX);
+        let most = self
+            .vocabulary
+            .params
+            .get(self.names.name(slot))
+            .copied()
+            .unwrap_or(PARAM_MAX);
         self.leaf(Node::Slot(slot), Type::Text, Size::of(most))
     }
 
     /// A name with a dot in it.
     fn dotted(of: &Expr, field: &str) -> Option<Name> {
-        let Kind::Name(first) = &of.kind else { return None };
+        let Kind::Name(first) = &of.kind else {
+            return None;
+        };
         let whole = format!("{first}.{field}");
-        Name::ALL.iter().find(|(text, _)| *text == whole).map(|(_, name)| *name)
+        Name::ALL
+            .iter()
+            .find(|(text, _)| *text == whole)
+            .map(|(_, name)| *name)
     }
 
     fn select(&mut self, expr: &Expr, of: &Expr, field: &str) -> Checked {
@@ -425,7 +512,11 @@
             return self.wrong(&expr.at, format!("unknown name 'caller.{field}'"), known);
         }
         let of = self.check(of)?;
-        self.wrong(&expr.at, format!("a {} has no field '{field}'", of.kind), "params.NAME")
+        self.wrong(
+            &expr.at,
+            format!("a {} has no field '{field}'", of.kind),
+            "params.NAME",
+        )
     }
 
     fn index(&mut self, of: &Expr, at: &Expr) -> Checked {
@@ -442,18 +533,36 @@
             (Type::Params, Type::Text) => {
                 let worst = worst + cost::find(PAIRS_MAX as u64, place.size.most);
                 let node = Node::Param(Box::new(place.node));
-                Some(Typed { node, kind: Type::Text, worst, size: Size::of(PARAM_MAX) })
+                Some(Typed {
+                    node,
+                    kind: Type::Text,
+                    worst,
+                    size: Size::of(PARAM_MAX),
+                })
             }
             (Type::List(item), Type::Int) => {
                 let (kind, size) = ((**item).clone(), whole.size.item());
                 let node = Node::Item(Box::new((whole.node, place.node)));
-                Some(Typed { node, kind, worst, size })
+                Some(Typed {
+                    node,
+                    kind,
+                    worst,
+                    size,
+                })
             }
             (Type::Params | Type::List(_), kind) => {
-                let expected = if whole.kind == Type::Params { "a string" } else { "an int" };
+                let expected = if whole.kind == Type::Params {
+                    "a string"
+                } else {
+                    "an int"
+                };
                 self.wrong(&at.at, format!("this is a {kind}"), expected)
             }
-            (kind, _) => self.wrong(&of.at, format!("a {kind} has no parts to index"), "params or a list"),
+            (kind, _) => self.wrong(
+                &of.at,
+                format!("a {kind} has no parts to index"),
+                "params or a list",
+            ),
         }
     }
 
@@ -474,12 +583,20 @@
                 format!("a {kind}, as the first"),
             );
         }
-        let size = checked.iter().fold(Size::default(), |size, t| size.max(&t.size));
-        let worst =
-            checked.iter().map(|t| t.worst).sum::<u64>() + cost::STEP + cost::build(24 * items.len() as u64);
+        let size = checked
+            .iter()
+            .fold(Size::default(), |size, t| size.max(&t.size));
+        let worst = checked.iter().map(|t| t.worst).sum::<u64>()
+            + cost::STEP
+            + cost::build(24 * items.len() as u64);
         let node = Node::List(checked.into_iter().map(|t| t.node).collect());
         let size = Size::list(items.len() as u64, size);
-        Some(Typed { node, kind: Type::List(Box::new(kind)), worst, size })
+        Some(Typed {
+            node,
+            kind: Type::List(Box::new(kind)),
+            worst,
+            size,
+        })
     }
 
     /// Refuses an operation or tenant that the settings do not have.
@@ -500,8 +617,12 @@
             if let Kind::Text(text) = &one.kind
                 && !known.contains(text)
             {
-                let (known, what) = (known.join(", "), format!("the settings have no {what} '{text}'"));
-                self.errors.push(Error::new(one.at.clone(), what, format!("one of {known}")));
+                let (known, what) = (
+                    known.join(", "),
+                    format!("the settings have no {what} '{text}'"),
+                );
+                self.errors
+                    .push(Error::new(one.at.clone(), what, format!("one of {known}")));
             }
         }
     }
@@ -528,27 +649,48 @@
                 } else if let (Node::Fact(_), Kind::Text(_)) = (&right.node, &a.kind) {
                     self.known(&right.node, a);
                 }
-                (T::Bool, worst + cost::compare(sizes.0.min(sizes.1)), Size::default())
+                (
+                    T::Bool,
+                    worst + cost::compare(sizes.0.min(sizes.1)),
+                    Size::default(),
+                )
             }
             (Less | AtMost | More | AtLeast, x, y)
                 if x == y
-                    && matches!(x, T::Bool | T::Int | T::Float | T::Text | T::Bytes | T::Span | T::Time) =>
+                    && matches!(
+                        x,
+                        T::Bool | T::Int | T::Float | T::Text | T::Bytes | T::Span | T::Time
+                    ) =>
             {
-                (T::Bool, worst + cost::compare(sizes.0.min(sizes.1)), Size::default())
+                (
+                    T::Bool,
+                    worst + cost::compare(sizes.0.min(sizes.1)),
+                    Size::default(),
+                )
             }
             (Add, T::Text | T::Bytes, y) if left.kind == *y => {
                 let most = sizes.0 + sizes.1;
-                (left.kind.clone(), worst + cost::build(most), Size { most, item: None })
+                (
+                    left.kind.clone(),
+                    worst + cost::build(most),
+                    Size { most, item: None },
+                )
             }
             (Add, T::List(_), y) if left.kind == *y => {
                 let most = left.size.most + right.size.most;
                 let item = left.size.item().max(&right.size.item());
-                (left.kind.clone(), worst + cost::build(24 * most), Size::list(most, item))
+                (
+                    left.kind.clone(),
+                    worst + cost::build(24 * most),
+                    Size::list(most, item),
+                )
             }
             (Add | Sub | Mul | Div | Rem, T::Int, T::Int) => (T::Int, worst, Size::default()),
             (Add | Sub | Mul | Div, T::Float, T::Float) => (T::Float, worst, Size::default()),
             (Add | Sub, T::Span, T::Span) => (T::Span, worst, Size::default()),
-            (Add | Sub, T::Time, T::Span) | (Add, T::Span, T::Time) => (T::Time, worst, Size::default()),
+            (Add | Sub, T::Time, T::Span) | (Add, T::Span, T::Time) => {
+                (T::Time, worst, Size::default())
+            }
             (Sub, T::Time, T::Time) => (T::Span, worst, Size::default()),
             (_, x, y) => {
                 let what = format!("'{}' has no meaning between {x} and {y}", op.sign());
@@ -556,7 +698,12 @@
                 return self.wrong(at, what, expected);
             }
         };
-        Some(Typed { node: Node::Binary(op, Box::new((left.node, right.node))), kind, worst, size })
+        Some(Typed {
+            node: Node::Binary(op, Box::new((left.node, right.node))),
+            kind,
+            worst,
+            size,
+        })
     }
 
     fn is_in(&mut self, a: &Expr, b: &Expr) -> Checked {
@@ -567,26 +714,39 @@
             return self.leaf(Node::HasSlot(slot?), Type::Bool, Size::default());
         }
         let named = match &b.kind {
-            Kind::Name(name) if !self.locals.iter().any(|l| l.name == *name) => {
-                self.vocabulary.lists.get(name).map(|list| (name.clone(), list))
-            }
+            Kind::Name(name) if !self.locals.iter().any(|l| l.name == *name) => self
+                .vocabulary
+                .lists
+                .get(name)
+                .map(|list| (name.clone(), list)),
             _ => None,
         };
         if let Some((name, list)) = named {
-            let set = self
-                .lists
-                .entry(name)
-                .or_insert_with(|| Arc::new(list.iter().map(|text| text.as_str().into()).collect()));
+            let set = self.lists.entry(name).or_insert_with(|| {
+                Arc::new(list.iter().map(|text| text.as_str().into()).collect())
+            });
             let set = Arc::clone(set);
             let left = self.expect(a, &[Type::Text])?;
             let worst = left.worst + cost::STEP + cost::LOOK + cost::compare(left.size.most);
             let node = Node::InTexts(Box::new(left.node), set);
-            return Some(Typed { node, kind: Type::Bool, worst, size: Size::default() });
+            return Some(Typed {
+                node,
+                kind: Type::Bool,
+                worst,
+                size: Size::default(),
+            });
         }
         let (left, right) = (self.check(a), self.check(b));
         let (left, right) = (left?, right?);
         let worst = left.worst + cost::STEP;
-        let bool_of = |node, worst| Some(Typed { node, kind: Type::Bool, worst, size: Size::default() });
+        let bool_of = |node, worst| {
+            Some(Typed {
+                node,
+                kind: Type::Bool,
+                worst,
+                size: Size::default(),
+            })
+        };
         match (&left.kind, &right.kind) {
             (Type::Text, Type::Params) => bool_of(
                 Node::HasParam(Box::new(left.node)),
@@ -607,23 +767,36 @@
                     if let Some(texts) = texts.collect::<Option<HashSet<_>>>() {
                         return bool_of(Node::InTexts(Box::new(left.node), Arc::new(texts)), look);
                     }
-                    let ints = items.iter().map(|n| if let Node::Int(n) = n { Some(*n) } else { None });
+                    let ints = items
+                        .iter()
+                        .map(|n| if let Node::Int(n) = n { Some(*n) } else { None });
                     if let Some(ints) = ints.collect::<Option<HashSet<_>>>() {
                         return bool_of(Node::InInts(Box::new(left.node), Arc::new(ints)), look);
                     }
                 }
                 let each = cost::compare(left.size.extent().min(right.size.item().extent()));
                 let worst = worst + right.worst + right.size.most.saturating_mul(each);
-                bool_of(Node::Binary(Binary::In, Box::new((left.node, right.node))), worst)
-            }
-            (kind, Type::List(item)) => {
-                self.wrong(&a.at, format!("this is a {kind}"), format!("a {item}, as in the list"))
+                bool_of(
+                    Node::Binary(Binary::In, Box::new((left.node, right.node))),
+                    worst,
+                )
             }
+            (kind, Type::List(item)) => self.wrong(
+                &a.at,
+                format!("this is a {kind}"),
+                format!("a {item}, as in the list"),
+            ),
             (kind, Type::Addresses) => self.wrong(&a.at, format!("this is a {kind}"), "an ip"),
-            (kind, Type::Params) => {
-                self.wrong(&a.at, format!("this is a {kind}"), "a string, the name of a parameter")
-            }
-            (_, kind) => self.wrong(&b.at, format!("this is a {kind}"), "a list, addresses or params"),
+            (kind, Type::Params) => self.wrong(
+                &a.at,
+                format!("this is a {kind}"),
+                "a string, the name of a parameter",
+            ),
+            (_, kind) => self.wrong(
+                &b.at,
+                format!("this is a {kind}"),
+                "a list, addresses or params",
+            ),
         }
     }
 
@@ -636,7 +809,12 @@
             _ => {}
         }
         let literal = match arguments {
-            [Expr { kind: Kind::Text(text), .. }] => Some(text.as_str()),
+            [
+                Expr {
+                    kind: Kind::Text(text),
+                    ..
+                },
+            ] => Some(text.as_str()),
             _ => None,
         };
         let constant = match (name, literal) {
@@ -665,9 +843,14 @@
         }
         let known = Signature::ALL.iter().any(|s| s.name == name && !s.method);
         if !known {
-            let names = Signature::ALL.iter().filter(|s| !s.method).map(|s| s.name).chain(["has", "net"]);
-            let near = nearest(name, names)
-                .map_or("a function of the language".into(), |n| format!("perhaps '{n}'"));
+            let names = Signature::ALL
+                .iter()
+                .filter(|s| !s.method)
+                .map(|s| s.name)
+                .chain(["has", "net"]);
+            let near = nearest(name, names).map_or("a function of the language".into(), |n| {
+                format!("perhaps '{n}'")
+            });
             return self.wrong(at, format!("unknown function '{name}'"), near);
         }
         let checked: Vec<_> = arguments.iter().map(|a| self.check(a)).collect();
@@ -676,8 +859,12 @@
     }
 
     fn method(&mut self, at: &Range<usize>, of: &Expr, name: &str, arguments: &[Expr]) -> Checked {
-        let macros =
-            [("all", Macro::All), ("exists", Macro::Exists), ("map", Macro::Map), ("filter", Macro::Filter)];
+        let macros = [
+            ("all", Macro::All),
+            ("exists", Macro::Exists),
+            ("map", Macro::Map),
+            ("filter", Macro::Filter),
+        ];
         if let Some((_, which)) = macros.iter().find(|(n, _)| *n == name) {
             return self.walk(at, *which, of, arguments);
         }
@@ -687,8 +874,9 @@
         if !Signature::ALL.iter().any(|s| s.name == name && s.method) {
             let names = Signature::ALL.iter().filter(|s| s.method).map(|s| s.name);
             let names = names.chain(["matches", "all", "exists", "map", "filter"]);
-            let near =
-                nearest(name, names).map_or("a method of the language".into(), |n| format!("perhaps '{n}'"));
+            let near = nearest(name, names).map_or("a method of the language".into(), |n| {
+                format!("perhaps '{n}'")
+            });
             return self.wrong(at, format!("unknown method '{name}'"), near);
         }
         let of_typed = self.check(of);
@@ -708,7 +896,11 @@
         given: Vec<Typed>,
         places: &[Expr],
     ) -> Checked {
-        let named = || Signature::ALL.iter().filter(|s| s.name == name && s.method == method);
+        let named = || {
+            Signature::ALL
+                .iter()
+                .filter(|s| s.name == name && s.method == method)
+        };
         let fits = |s: &&Signature| {
             s.takes.len() == given.len() && s.takes.iter().zip(&given).all(|(t, g)| t.fits(&g.kind))
         };
@@ -730,10 +922,14 @@
             _ => g.size.extent(),
         });
         let sizes: Vec<u64> = sizes.collect();
-        let worst = given.iter().map(|g| g.worst).sum::<u64>() + cost::STEP + price(signature.func, &sizes);
+        let worst =
+            given.iter().map(|g| g.worst).sum::<u64>() + cost::STEP + price(signature.func, &sizes);
         let first = given.first().map(|g| g.size.clone()).unwrap_or_default();
         let size = match signature.func {
-            Func::ToText => Size { most: first.most.max(PRINTED), item: None },
+            Func::ToText => Size {
+                most: first.most.max(PRINTED),
+                item: None,
+            },
             Func::Split => Size::list(first.most + 1, first),
             _ => first,
         };
@@ -742,16 +938,24 @@
             _ => signature.gives.kind(),
         };
         let nodes = given.into_iter().map(|g| g.node).collect();
-        Some(Typed { node: Node::Call(signature.func, nodes), kind, worst, size })
+        Some(Typed {
+            node: Node::Call(signature.func, nodes),
+            kind,
+            worst,
+            size,
+        })
     }
 
     fn has(&mut self, at: &Range<usize>, arguments: &[Expr]) -> Checked {
         let expected = "one fact or parameter, such as has(params.SITE) or has(estimate)";
-        let [of] = arguments else { return self.wrong(at, "has() takes one argument", expected) };
+        let [of] = arguments else {
+            return self.wrong(at, "has() takes one argument", expected);
+        };
         let node = match &of.kind {
-            Kind::Name(name) => {
-                Name::ALL.iter().find(|(text, _)| text == name).map(|(_, n)| Node::HasFact(*n))
-            }
+            Kind::Name(name) => Name::ALL
+                .iter()
+                .find(|(text, _)| text == name)
+                .map(|(_, n)| Node::HasFact(*n)),
             Kind::Select(of, field) => match self.literal_param(of, field) {
                 Some(slot) => Some(Node::HasSlot(slot?)),
                 None => Self::dotted(of, field).map(Node::HasFact),
@@ -778,7 +982,11 @@
             match &argument.kind {
                 Kind::Text(text) => match address::network(text) {
                     Some(net) => networks.push(net),
-                    None => drop(self.wrong::<()>(&argument.at, format!("no network: {text:?}"), expected)),
+                    None => drop(self.wrong::<()>(
+                        &argument.at,
+                        format!("no network: {text:?}"),
+                        expected,
+                    )),
                 },
                 _ => drop(self.wrong::<()>(&argument.at, "networks are written out", expected)),
             }
@@ -789,12 +997,23 @@
         if networks.is_empty() {
             return self.wrong(at, "net() without networks", expected);
         }
-        self.leaf(Node::Set(Arc::new(AddressSet::new(networks))), Type::Addresses, Size::default())
+        self.leaf(
+            Node::Set(Arc::new(AddressSet::new(networks))),
+            Type::Addresses,
+            Size::default(),
+        )
     }
 
     fn matches(&mut self, at: &Range<usize>, of: &Expr, arguments: &[Expr]) -> Checked {
         let of = self.expect(of, &[Type::Text]);
-        let [Expr { kind: Kind::Text(pattern), at: place, .. }] = arguments else {
+        let [
+            Expr {
+                kind: Kind::Text(pattern),
+                at: place,
+                ..
+            },
+        ] = arguments
+        else {
             return self.wrong(
                 at,
                 "matches() takes one pattern, written out",
@@ -815,12 +1034,24 @@
         let of = of?;
         let worst = of.worst + cost::STEP + cost::pattern(of.size.most);
         let node = Node::Matches(Box::new(of.node), pattern);
-        Some(Typed { node, kind: Type::Bool, worst, size: Size::default() })
+        Some(Typed {
+            node,
+            kind: Type::Bool,
+            worst,
+            size: Size::default(),
+        })
     }
 
     fn walk(&mut self, at: &Range<usize>, which: Macro, of: &Expr, arguments: &[Expr]) -> Checked {
         let range = self.check(of);
-        let [Expr { kind: Kind::Name(name), .. }, body] = arguments else {
+        let [
+            Expr {
+                kind: Kind::Name(name),
+                ..
+            },
+            body,
+        ] = arguments
+        else {
             return self.wrong(
                 at,
                 "a macro takes a name and an expression",
@@ -834,9 +1065,17 @@
             kind => return self.wrong(&of.at, format!("this is a {kind}"), "a list or params"),
         };
         if self.locals.len() >= MACROS_MAX {
-            return self.wrong(at, "macros nested too deep", format!("at most {MACROS_MAX} in each other"));
+            return self.wrong(
+                at,
+                "macros nested too deep",
+                format!("at most {MACROS_MAX} in each other"),
+            );
         }
-        self.locals.push(Local { name: name.clone(), kind: item.clone(), size: size.clone() });
+        self.locals.push(Local {
+            name: name.clone(),
+            kind: item.clone(),
+            size: size.clone(),
+        });
         let body = match which {
             Macro::Map => self.check(body),
             _ => self.expect(body, &[Type::Bool]),
@@ -845,20 +1084,38 @@
         let body = body?;
         let rounds = range.size.most;
         let each = body.worst + cost::ROUND;
-        let mut worst = rounds.saturating_mul(each).saturating_add(range.worst + cost::STEP);
-        worst = worst.saturating_add(if range.kind == Type::Params { cost::build(24 * rounds) } else { 0 });
+        let mut worst = rounds
+            .saturating_mul(each)
+            .saturating_add(range.worst + cost::STEP);
+        worst = worst.saturating_add(if range.kind == Type::Params {
+            cost::build(24 * rounds)
+        } else {
+            0
+        });
         let (kind, size) = match which {
             Macro::All | Macro::Exists => (Type::Bool, Size::default()),
             Macro::Filter => (Type::List(Box::new(item)), Size::list(rounds, size)),
             Macro::Map if matches!(body.kind, Type::Params | Type::Addresses) => {
-                return self.wrong(at, format!("a {} is no item of a list", body.kind), "plain values");
+                return self.wrong(
+                    at,
+                    format!("a {} is no item of a list", body.kind),
+                    "plain values",
+                );
             }
-            Macro::Map => (Type::List(Box::new(body.kind)), Size::list(rounds, body.size)),
+            Macro::Map => (
+                Type::List(Box::new(body.kind)),
+                Size::list(rounds, body.size),
+            ),
         };
         if matches!(which, Macro::Map | Macro::Filter) {
             worst = worst.saturating_add(cost::build(24 * rounds));
         }
-        Some(Typed { node: Node::Loop(which, Box::new((range.node, body.node))), kind, worst, size })
+        Some(Typed {
+            node: Node::Loop(which, Box::new((range.node, body.node))),
+            kind,
+            worst,
+            size,
+        })
     }
 }
 
@@ -941,7 +1198,13 @@
     gives: Takes,
     func: Func,
 ) -> Signature {
-    Signature { name, method, takes, gives, func }
+    Signature {
+        name,
+        method,
+        takes,
+        gives,
+        func,
+    }
 }
 
 impl Signature {
@@ -1010,11 +1273,14 @@
 
 /// The known word that differs least from this one, if that is little.
 fn nearest<'n>(word: &str, known: impl Iterator<Item = &'n str>) -> Option<&'n str> {
-    let ranked = known.map(|k| (distance(word, k), k)).filter(|(d, k)| *d <= 1 + k.len() / 4);
+    let ranked = known
+        .map(|k| (distance(word, k), k))
+        .filter(|(d, k)| *d <= 1 + k.len() / 4);
     ranked.min().map(|(_, k)| k)
 }
 
-/// Letters to be changed, put in or taken out to make one word of the other; case counts for nothing.
+/// Letters to be changed, put in or taken out to make one word of the other; case counts for
+/// nothing.
 fn distance(a: &str, b: &str) -> usize {
     let b: Vec<u8> = b.bytes().map(|c| c.to_ascii_lowercase()).collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/crates/rules/src/cost.rs
+++ b/crates/rules/src/cost.rs
@@ -1,12 +1,15 @@
-//! What evaluating costs. One unit is about a nanosecond on the machine that `docs/design/rules.md` names. The
-//! same functions give the worst case when a rule is loaded, from bounds on what comes, and the meter's steps at run
-//! time, from what came. None of them falls as its argument grows, so that the meter never passes the worst case.
+//! What evaluating costs. One unit is about a nanosecond on the machine that `docs/design/rules.md`
+//! names. The same functions give the worst case when a rule is loaded, from bounds on what comes,
+//! and the meter's steps at run time, from what came. None of them falls as its argument grows, so
+//! that the meter never passes the worst case.
 
-/// The highest worst case of one expression where the settings name no other, and the most that they may name.
+/// The highest worst case of one expression where the settings name no other, and the most that
+/// they may name.
 pub const LIMIT: u64 = 4_000;
 /// The most that settings may allow for one expression.
 pub const LIMIT_MAX: u64 = 100_000;
-/// What all expressions that are looked at for one request may use together, as a multiple of the limit of one.
+/// What all expressions that are looked at for one request may use together, as a multiple of the
+/// limit of one.
 pub const REQUEST_FACTOR: u64 = 8;
 
 /// Any step.
@@ -36,8 +39,8 @@
     8 + bytes * 3 / 2
 }
 
-/// A regular expression over so many bytes: one look into a table for each, which was measured at two to three
-/// nanoseconds, and twice that at p99.
+/// A regular expression over so many bytes: one look into a table for each, which was measured at
+/// two to three nanoseconds, and twice that at p99.
 pub fn pattern(bytes: u64) -> u64 {
     20 + bytes * 4
 }
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -16,6 +16,10 @@
 impl Error {
     /// An error at these bytes.
     pub fn new(at: Range<usize>, what: impl Into<String>, expected: impl Into<String>) -> Error {
-        Error { at, what: what.into(), expected: expected.into() }
+        Error {
+            at,
+            what: what.into(),
+            expected: expected.into(),
+        }
     }
 }
--- a/crates/rules/src/eval.rs
+++ b/crates/rules/src/eval.rs
@@ -1,6 +1,6 @@
-//! Evaluation: a walk over the compiled tree, whose depth was bounded when it was read. What it builds lies in an
-//! arena that is used again; every step is booked on a meter, which stops it at its limit whatever was computed
-//! before.
+//! Evaluation: a walk over the compiled tree, whose depth was bounded when it was read. What it
+//! builds lies in an arena that is used again; every step is booked on a meter, which stops it at
+//! its limit whatever was computed before.
 
 use crate::compile::{Func, MACROS_MAX, Macro, Node, VALUE_MAX, price};
 use crate::cost;
@@ -41,7 +41,13 @@
 impl<'a, 'x: 'a> Eval<'a, 'x> {
     /// Evaluations over these facts that may take so many units together.
     pub fn new(facts: &'a Facts<'x>, arena: &'a Bump, limit: u64) -> Eval<'a, 'x> {
-        Eval { facts, arena, left: limit, locals: [Value::Bool(false); MACROS_MAX], walking: 0 }
+        Eval {
+            facts,
+            arena,
+            left: limit,
+            locals: [Value::Bool(false); MACROS_MAX],
+            walking: 0,
+        }
     }
 
     /// Units that are left.
@@ -123,7 +129,10 @@
             Node::Slot(slot) => Value::Text(self.facts.params.slot(*slot)?),
             Node::Param(name) => {
                 let name = self.text(name)?;
-                self.charge(cost::find(self.facts.params.len() as u64, name.len() as u64))?;
+                self.charge(cost::find(
+                    self.facts.params.len() as u64,
+                    name.len() as u64,
+                ))?;
                 Value::Text(self.facts.params.find(name)?)
             }
             Node::Local(place) => self.locals[usize::from(*place)],
@@ -131,7 +140,10 @@
             Node::HasSlot(slot) => Value::Bool(self.facts.params.has_slot(*slot)),
             Node::HasParam(name) => {
                 let name = self.text(name)?;
-                self.charge(cost::find(self.facts.params.len() as u64, name.len() as u64))?;
+                self.charge(cost::find(
+                    self.facts.params.len() as u64,
+                    name.len() as u64,
+                ))?;
                 Value::Bool(self.facts.params.has(name)?)
             }
             Node::Not(of) => Value::Bool(!truth(self.eval(of)?)?),
@@ -145,7 +157,11 @@
             Node::Or(all) => return self.joined(all, true),
             Node::If(parts) => {
                 let (condition, yes, no) = &**parts;
-                return if truth(self.eval(condition)?)? { self.eval(yes) } else { self.eval(no) };
+                return if truth(self.eval(condition)?)? {
+                    self.eval(yes)
+                } else {
+                    self.eval(no)
+                };
             }
             Node::List(nodes) => {
                 self.charge(cost::build(24 * nodes.len() as u64))?;
@@ -157,7 +173,9 @@
             }
             Node::Item(parts) => {
                 let (list, place) = (self.eval(&parts.0)?, self.eval(&parts.1)?);
-                let (Value::List(items), Value::Int(place)) = (list, place) else { return mistyped() };
+                let (Value::List(items), Value::Int(place)) = (list, place) else {
+                    return mistyped();
+                };
                 let place = usize::try_from(place).map_err(|_| Fault::Range)?;
                 *items.get(place).ok_or(Fault::Range)?
             }
@@ -167,7 +185,9 @@
                 Value::Bool(set.contains(text))
             }
             Node::InInts(of, set) => {
-                let Value::Int(value) = self.eval(of)? else { return mistyped() };
+                let Value::Int(value) = self.eval(of)? else {
+                    return mistyped();
+                };
                 self.charge(cost::LOOK)?;
                 Value::Bool(set.contains(&value))
             }
@@ -180,10 +200,16 @@
                 Value::Bool(self.same_text(sides)?)
             }
             Node::Call(func @ (Func::StartsWith | Func::EndsWith), nodes) => {
-                let [of, part] = &**nodes else { return mistyped() };
+                let [of, part] = &**nodes else {
+                    return mistyped();
+                };
                 let (of, part) = (self.text(of)?, self.text(part)?);
                 self.charge(price(*func, &[of.len() as u64, part.len() as u64]))?;
-                Value::Bool(if *func == Func::StartsWith { of.starts_with(part) } else { of.ends_with(part) })
+                Value::Bool(if *func == Func::StartsWith {
+                    of.starts_with(part)
+                } else {
+                    of.ends_with(part)
+                })
             }
             Node::Binary(op, sides) => {
                 let (a, b) = (self.eval(&sides.0)?, self.eval(&sides.1)?);
@@ -194,7 +220,8 @@
         })
     }
 
-    /// `&&` and `||` as CEL has them: a side that decides does so whichever side it is on, also where another errs.
+    /// `&&` and `||` as CEL has them: a side that decides does so whichever side it is on, also
+    /// where another errs.
     fn joined(&mut self, all: &'a [Node], decides: bool) -> Outcome<'a> {
         let mut fault = None;
         for one in all {
@@ -251,7 +278,8 @@
             (Binary::Div, Float(a), Float(b)) => Float(a / b),
             (Binary::Add, Text(a), Text(b)) => {
                 self.charge(cost::build((a.len() + b.len()) as u64))?;
-                let mut text = bumpalo::collections::String::with_capacity_in(a.len() + b.len(), self.arena);
+                let mut text =
+                    bumpalo::collections::String::with_capacity_in(a.len() + b.len(), self.arena);
                 text.push_str(a);
                 text.push_str(b);
                 Text(text.into_bump_str())
@@ -294,8 +322,10 @@
         self.charge(price(func, &sizes))?;
         let [first, second, third] = given;
         use Value::*;
-        let parses =
-            matches!(func, Func::ToInt | Func::ToFloat | Func::ToSpan | Func::ToTime | Func::ToAddress);
+        let parses = matches!(
+            func,
+            Func::ToInt | Func::ToFloat | Func::ToSpan | Func::ToTime | Func::ToAddress
+        );
         if parses && sizes[0] > VALUE_MAX as u64 {
             return Err(Fault::NoValue);
         }
@@ -312,20 +342,28 @@
                 Int(found.map_or(-1, |at| a[..at].chars().count() as i64))
             }
             (Func::Substring, Text(text), Int(from)) => {
-                let to = if let (3, Int(to)) = (nodes.len(), third) { Some(to) } else { None };
+                let to = if let (3, Int(to)) = (nodes.len(), third) {
+                    Some(to)
+                } else {
+                    None
+                };
                 Text(substring(text, from, to).ok_or(Fault::Range)?)
             }
             (Func::Part, Text(text), Text(by)) => {
-                let (Int(place), false) = (third, by.is_empty()) else { return Err(Fault::Range) };
+                let (Int(place), false) = (third, by.is_empty()) else {
+                    return Err(Fault::Range);
+                };
                 let place = usize::try_from(place).map_err(|_| Fault::Range)?;
                 Text(pieces(text, by).nth(place).ok_or(Fault::Range)?)
             }
             (Func::Before, Text(text), Text(mark)) => {
-                let at = memchr::memmem::find(text.as_bytes(), mark.as_bytes()).ok_or(Fault::Range)?;
+                let at =
+                    memchr::memmem::find(text.as_bytes(), mark.as_bytes()).ok_or(Fault::Range)?;
                 Text(&text[..at])
             }
             (Func::After, Text(text), Text(mark)) => {
-                let at = memchr::memmem::find(text.as_bytes(), mark.as_bytes()).ok_or(Fault::Range)?;
+                let at =
+                    memchr::memmem::find(text.as_bytes(), mark.as_bytes()).ok_or(Fault::Range)?;
                 Text(&text[at + mark.len()..])
             }
             (Func::Lower, Text(text), _) => {
@@ -342,13 +380,18 @@
             (Func::Split, Text(text), Text(by)) => {
                 let mut items = Built::new_in(self.arena);
                 if by.is_empty() {
-                    items.extend(text.char_indices().map(|(at, c)| Text(&text[at..at + c.len_utf8()])));
+                    items.extend(
+                        text.char_indices()
+                            .map(|(at, c)| Text(&text[at..at + c.len_utf8()])),
+                    );
                 } else {
                     items.extend(pieces(text, by).map(Text));
                 }
                 List(items.into_bump_slice())
             }
-            (Func::Hash, Text(text), Int(buckets)) => Int((stable_hash(text) % buckets.max(1) as u64) as i64),
+            (Func::Hash, Text(text), Int(buckets)) => {
+                Int((stable_hash(text) % buckets.max(1) as u64) as i64)
+            }
             (Func::ToInt, Text(text), _) => Int(text.parse().map_err(|_| Fault::NoValue)?),
             // Beyond these a double has no neighbour that is an int; NaN is within nothing.
             (Func::ToInt, Float(v), _)
@@ -364,9 +407,9 @@
             (Func::ToBytes, Text(text), _) => Bytes(text.as_bytes()),
             (Func::ToSpan, Text(text), _) => Span(time::span(text).ok_or(Fault::NoValue)?),
             (Func::ToTime, Text(text), _) => Time(time::time(text).ok_or(Fault::NoValue)?),
-            (Func::ToAddress, Text(text), _) => {
-                Address(crate::address::plain(text.parse().map_err(|_| Fault::NoValue)?))
-            }
+            (Func::ToAddress, Text(text), _) => Address(crate::address::plain(
+                text.parse().map_err(|_| Fault::NoValue)?,
+            )),
             (Func::TimePart(part), Time(at), _) => Int(time::part(at, part)),
             (Func::SpanSeconds, Span(v), _) => Int(v / 1_000_000_000),
             (Func::SpanMillis, Span(v), _) => Int(v / 1_000_000),
@@ -376,7 +419,9 @@
 
     fn printed(&mut self, value: Value<'a>) -> Outcome<'a> {
         if let Value::Bytes(bytes) = value {
-            return str::from_utf8(bytes).map(Value::Text).map_err(|_| Fault::NoText);
+            return str::from_utf8(bytes)
+                .map(Value::Text)
+                .map_err(|_| Fault::NoText);
         }
         let mut text = bumpalo::collections::String::with_capacity_in(40, self.arena);
         write!(text, "{value}").map_err(|_| Fault::NoValue)?;
@@ -405,7 +450,13 @@
         result
     }
 
-    fn rounds(&mut self, which: Macro, items: &'a [Value<'a>], body: &'a Node, place: usize) -> Outcome<'a> {
+    fn rounds(
+        &mut self,
+        which: Macro,
+        items: &'a [Value<'a>],
+        body: &'a Node,
+        place: usize,
+    ) -> Outcome<'a> {
         let mut fault = None;
         let mut built = Built::new_in(self.arena);
         if matches!(which, Macro::Map | Macro::Filter) {
@@ -438,11 +489,12 @@
     }
 }
 
-/// The same number for the same text on every machine and in every version: FNV-1a over its bytes, mixed so that
-/// texts that differ in their last letter fall into buckets that lie apart.
+/// The same number for the same text on every machine and in every version: FNV-1a over its bytes,
+/// mixed so that texts that differ in their last letter fall into buckets that lie apart.
 pub fn stable_hash(text: &str) -> u64 {
-    let fnv =
-        text.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
+    let fnv = text.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+    });
     let mixed = (fnv ^ (fnv >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     mixed ^ (mixed >> 33)
 }
@@ -452,9 +504,15 @@
     let from = usize::try_from(from).ok()?;
     let mut places = text.char_indices().map(|(at, _)| at).chain([text.len()]);
     let start = places.nth(from)?;
-    let Some(to) = to else { return Some(&text[start..]) };
+    let Some(to) = to else {
+        return Some(&text[start..]);
+    };
     let letters = usize::try_from(to).ok()?.checked_sub(from)?;
-    let end = if letters == 0 { start } else { places.nth(letters - 1)? };
+    let end = if letters == 0 {
+        start
+    } else {
+        places.nth(letters - 1)?
+    };
     Some(&text[start..end])
 }
 
--- a/crates/rules/src/facts.rs
+++ b/crates/rules/src/facts.rs
@@ -7,7 +7,8 @@
 
 /// Parameters that a walk or a computed name can reach; a request with more of them errs there.
 pub const PAIRS_MAX: usize = 64;
-/// The most bytes of a parameter that is not declared: what a request's parameters may take together.
+/// The most bytes of a parameter that is not declared: what a request's parameters may take
+/// together.
 pub const PARAM_MAX: usize = 4096;
 /// The largest body.
 pub const BODY_MAX: usize = 2048;
@@ -57,7 +58,10 @@
 
     /// As it is written.
     pub fn text(self) -> &'static str {
-        Name::ALL.iter().find(|(_, name)| *name == self).map_or("", |(text, _)| text)
+        Name::ALL
+            .iter()
+            .find(|(_, name)| *name == self)
+            .map_or("", |(text, _)| text)
     }
 
     /// Its type.
@@ -178,7 +182,9 @@
         if self.names.len() <= 8 {
             return self.names.iter().position(|(n, _)| n.as_bytes() == name);
         }
-        self.places.get(str::from_utf8(name).ok()?).map(|slot| usize::from(*slot))
+        self.places
+            .get(str::from_utf8(name).ok()?)
+            .map(|slot| usize::from(*slot))
     }
 
     /// Slots in use.
@@ -193,7 +199,9 @@
 
     /// The name of a slot.
     pub fn name(&self, slot: u16) -> &str {
-        self.names.get(usize::from(slot)).map_or("", |(name, _)| name)
+        self.names
+            .get(usize::from(slot))
+            .map_or("", |(name, _)| name)
     }
 
     /// From here on all parameters are kept.
@@ -201,10 +209,13 @@
         self.walks = true;
     }
 
-    /// Picks what rules may ask for out of a request's parameters, in one pass; text is checked here, once. Of
-    /// parameters with one name the last counts, as everywhere in the node.
+    /// Picks what rules may ask for out of a request's parameters, in one pass; text is checked
+    /// here, once. Of parameters with one name the last counts, as everywhere in the node.
     pub fn pick<'a>(&self, pairs: impl Iterator<Item = (&'a [u8], &'a [u8])>) -> Params<'a> {
-        let mut params = Params { slots: SmallVec::from_elem(None, self.names.len()), ..Params::default() };
+        let mut params = Params {
+            slots: SmallVec::from_elem(None, self.names.len()),
+            ..Params::default()
+        };
         if self.names.is_empty() && !self.walks {
             return params;
         }
@@ -246,17 +257,24 @@
 impl<'a> Params<'a> {
     /// The value in a slot.
     pub fn slot(&self, slot: u16) -> Result<&'a str, Fault> {
-        self.slots.get(usize::from(slot)).copied().flatten().unwrap_or(Err(Fault::Absent))
+        self.slots
+            .get(usize::from(slot))
+            .copied()
+            .flatten()
+            .unwrap_or(Err(Fault::Absent))
     }
 
     /// Whether a slot has a value, be it good or not.
     pub fn has_slot(&self, slot: u16) -> bool {
-        self.slots.get(usize::from(slot)).is_some_and(|value| value.is_some())
+        self.slots
+            .get(usize::from(slot))
+            .is_some_and(|value| value.is_some())
     }
 
     /// All names, if they can be walked.
     pub fn names(&self) -> Result<impl ExactSizeIterator<Item = &'a str>, Fault> {
-        self.fault.map_or(Ok(self.pairs.iter().map(|(name, _)| *name)), Err)
+        self.fault
+            .map_or(Ok(self.pairs.iter().map(|(name, _)| *name)), Err)
     }
 
     /// How many there are.
@@ -272,12 +290,18 @@
     /// The value of a name.
     pub fn find(&self, name: &str) -> Result<&'a str, Fault> {
         let found = self.pairs.iter().find(|(n, _)| *n == name);
-        found.map_or(Err(self.fault.unwrap_or(Fault::Absent)), |(_, value)| *value)
+        found.map_or(Err(self.fault.unwrap_or(Fault::Absent)), |(_, value)| {
+            *value
+        })
     }
 
     /// Whether there is a parameter of this name.
     pub fn has(&self, name: &str) -> Result<bool, Fault> {
         let found = self.pairs.iter().any(|(n, _)| *n == name);
-        if found { Ok(true) } else { self.fault.map_or(Ok(false), Err) }
+        if found {
+            Ok(true)
+        } else {
+            self.fault.map_or(Ok(false), Err)
+        }
     }
 }
--- a/crates/rules/src/index.rs
+++ b/crates/rules/src/index.rs
@@ -1,7 +1,8 @@
-//! Which rules may match a request, without asking each. Every rule that begins with (or holds, joined by `&&`) an
-//! equality, a prefix or a set of addresses is filed under it; only those filed under what a request brings, and those
-//! filed nowhere, are evaluated, in the order of the file. A rule left out would not have matched: the part under which
-//! it is filed is false or errs, and with it the whole.
+//! Which rules may match a request, without asking each. Every rule that begins with (or holds,
+//! joined by `&&`) an equality, a prefix or a set of addresses is filed under it; only those filed
+//! under what a request brings, and those filed nowhere, are evaluated, in the order of the file. A
+//! rule left out would not have matched: the part under which it is filed is false or errs, and
+//! with it the whole.
 
 use crate::address::{self, AddressSet, NETWORKS_FILED};
 use crate::compile::Node;
@@ -108,7 +109,9 @@
 
 impl Trie {
     fn new() -> Trie {
-        Trie { nodes: vec![TrieNode::default()] }
+        Trie {
+            nodes: vec![TrieNode::default()],
+        }
     }
 
     fn insert(&mut self, mut key: &[u8], rule: u32) {
@@ -118,11 +121,17 @@
                 return self.nodes[at].rules.push(rule);
             }
             let first = |trie: &Trie, child: u32| trie.nodes[child as usize].label[0];
-            let place = self.nodes[at].children.binary_search_by_key(&key[0], |&child| first(self, child));
+            let place = self.nodes[at]
+                .children
+                .binary_search_by_key(&key[0], |&child| first(self, child));
             let child = match place {
                 Err(place) => {
                     let new = self.nodes.len() as u32;
-                    self.nodes.push(TrieNode { label: key.into(), children: Vec::new(), rules: vec![rule] });
+                    self.nodes.push(TrieNode {
+                        label: key.into(),
+                        children: Vec::new(),
+                        rules: vec![rule],
+                    });
                     return self.nodes[at].children.insert(place, new);
                 }
                 Ok(place) => self.nodes[at].children[place] as usize,
@@ -156,15 +165,21 @@
             }
             let Some(first) = text.first() else { return };
             let label = |child: &u32| self.nodes[*child as usize].label[0];
-            let Ok(place) = at.children.binary_search_by_key(first, label) else { return };
+            let Ok(place) = at.children.binary_search_by_key(first, label) else {
+                return;
+            };
             let child = &self.nodes[at.children[place] as usize];
-            let Some(rest) = text.strip_prefix(&*child.label) else { return };
+            let Some(rest) = text.strip_prefix(&*child.label) else {
+                return;
+            };
             (text, at) = (rest, child);
         }
     }
 
     fn bytes(&self) -> usize {
-        let of = |n: &TrieNode| n.label.len() + 16 + 4 * (n.children.capacity() + n.rules.capacity()) + 32;
+        let of = |n: &TrieNode| {
+            n.label.len() + 16 + 4 * (n.children.capacity() + n.rules.capacity()) + 32
+        };
         self.nodes.capacity() * size_of::<TrieNode>() + self.nodes.iter().map(of).sum::<usize>()
     }
 }
@@ -184,7 +199,13 @@
     kinds: Vec<u8>,
 }
 
-const KINDS: [&str; 5] = ["equality", "prefix", "network", "set of addresses", "nothing"];
+const KINDS: [&str; 5] = [
+    "equality",
+    "prefix",
+    "network",
+    "set of addresses",
+    "nothing",
+];
 
 impl Index {
     /// Files conditions, in their order.
@@ -196,28 +217,45 @@
                 found
             })
             .collect();
-        // A rule goes where the fewest others could: under the value, prefix or set that the fewest rules name.
+        // A rule goes where the fewest others could: under the value, prefix or set that the fewest
+        // rules name.
         let mut named: BTreeMap<(Field, &str, bool), usize> = BTreeMap::new();
         for anchor in found.iter().flatten() {
             match anchor {
                 Anchor::Equal(field, values) => {
-                    values.iter().for_each(|v| *named.entry((*field, v, false)).or_default() += 1);
+                    values
+                        .iter()
+                        .for_each(|v| *named.entry((*field, v, false)).or_default() += 1);
+                }
+                Anchor::Prefix(field, prefix) => {
+                    *named.entry((*field, prefix, true)).or_default() += 1
                 }
-                Anchor::Prefix(field, prefix) => *named.entry((*field, prefix, true)).or_default() += 1,
                 Anchor::Within(_) | Anchor::Nothing => {}
             }
         }
         let crowd = |anchor: &Anchor| match anchor {
-            Anchor::Equal(field, values) => {
-                (values.iter().map(|v| named[&(*field, &**v, false)]).max().unwrap_or(0), values.len())
+            Anchor::Equal(field, values) => (
+                values
+                    .iter()
+                    .map(|v| named[&(*field, &**v, false)])
+                    .max()
+                    .unwrap_or(0),
+                values.len(),
+            ),
+            Anchor::Prefix(field, prefix) => {
+                (named[&(*field, &**prefix, true)] + 1, 4 * prefix.len())
             }
-            Anchor::Prefix(field, prefix) => (named[&(*field, &**prefix, true)] + 1, 4 * prefix.len()),
             Anchor::Within(set) => (2, set.len()),
             Anchor::Nothing => (usize::MAX, 0),
         };
         let chosen: Vec<Anchor> = found
             .iter()
-            .map(|all| all.iter().min_by_key(|a| crowd(a)).cloned().unwrap_or(Anchor::Nothing))
+            .map(|all| {
+                all.iter()
+                    .min_by_key(|a| crowd(a))
+                    .cloned()
+                    .unwrap_or(Anchor::Nothing)
+            })
             .collect();
         let mut index = Index::default();
         for (rule, anchor) in chosen.into_iter().enumerate() {
@@ -229,20 +267,28 @@
     fn file(&mut self, rule: u32, anchor: Anchor) {
         let kind = match anchor {
             Anchor::Equal(field, values) => {
-                let place = self.equal.iter().position(|(f, _)| *f == field).unwrap_or_else(|| {
-                    self.equal.push((field, HashMap::new()));
-                    self.equal.len() - 1
-                });
+                let place = self
+                    .equal
+                    .iter()
+                    .position(|(f, _)| *f == field)
+                    .unwrap_or_else(|| {
+                        self.equal.push((field, HashMap::new()));
+                        self.equal.len() - 1
+                    });
                 for value in values {
                     self.equal[place].1.entry(value).or_default().push(rule);
                 }
                 0
             }
             Anchor::Prefix(field, prefix) => {
-                let place = self.prefix.iter().position(|(f, _)| *f == field).unwrap_or_else(|| {
-                    self.prefix.push((field, Trie::new()));
-                    self.prefix.len() - 1
-                });
+                let place = self
+                    .prefix
+                    .iter()
+                    .position(|(f, _)| *f == field)
+                    .unwrap_or_else(|| {
+                        self.prefix.push((field, Trie::new()));
+                        self.prefix.len() - 1
+                    });
                 self.prefix[place].1.insert(prefix.as_bytes(), rule);
                 1
             }
@@ -256,7 +302,11 @@
     }
 
     fn file_set(&mut self, rule: u32, set: Arc<AddressSet>) -> u8 {
-        if let Some((_, filed)) = self.sets.iter_mut().find(|(known, _)| Arc::ptr_eq(known, &set)) {
+        if let Some((_, filed)) = self
+            .sets
+            .iter_mut()
+            .find(|(known, _)| Arc::ptr_eq(known, &set))
+        {
             filed.push(rule);
             return 3;
         }
@@ -277,7 +327,8 @@
         2
     }
 
-    /// Lists of rules that may match; a rule may stand in two lists if networks of its set lie in each other.
+    /// Lists of rules that may match; a rule may stand in two lists if networks of its set lie in
+    /// each other.
     fn lists<'i>(&'i self, facts: &Facts<'_>) -> SmallVec<[&'i [u32]; 16]> {
         let mut lists: SmallVec<[&[u32]; 16]> = SmallVec::new();
         if !self.rest.is_empty() {
@@ -295,8 +346,12 @@
         }
         if let Some(address) = facts.address.map(address::plain) {
             match address {
-                IpAddr::V4(a) => lists.extend(self.four.cover_values(&Ipv4Net::from(a)).map(Vec::as_slice)),
-                IpAddr::V6(a) => lists.extend(self.six.cover_values(&Ipv6Net::from(a)).map(Vec::as_slice)),
+                IpAddr::V4(a) => {
+                    lists.extend(self.four.cover_values(&Ipv4Net::from(a)).map(Vec::as_slice))
+                }
+                IpAddr::V6(a) => {
+                    lists.extend(self.six.cover_values(&Ipv6Net::from(a)).map(Vec::as_slice))
+                }
             }
             let sets = self.sets.iter().filter(|(set, _)| set.contains(address));
             lists.extend(sets.map(|(_, filed)| filed.as_slice()));
@@ -308,7 +363,11 @@
     pub fn candidates(&self, facts: &Facts<'_>) -> impl Iterator<Item = u32> {
         let mut lists = self.lists(facts);
         std::iter::from_fn(move || {
-            let next = lists.iter().filter_map(|list| list.first()).min().copied()?;
+            let next = lists
+                .iter()
+                .filter_map(|list| list.first())
+                .min()
+                .copied()?;
             for list in &mut lists {
                 while let [first, rest @ ..] = list
                     && *first == next
@@ -322,30 +381,53 @@
 
     /// What a rule is filed under, in a word.
     pub fn kind(&self, rule: usize) -> &'static str {
-        self.kinds.get(rule).map_or("nothing", |kind| KINDS[usize::from(*kind)])
+        self.kinds
+            .get(rule)
+            .map_or("nothing", |kind| KINDS[usize::from(*kind)])
     }
 
-    /// The most rules that one request may have evaluated, given what each costs: the sum over all rules filed
-    /// nowhere and the dearest list of each other kind.
+    /// The most rules that one request may have evaluated, given what each costs: the sum over all
+    /// rules filed nowhere and the dearest list of each other kind.
     pub fn worst(&self, cost: impl Fn(u32) -> u64) -> u64 {
         let sum = |list: &[u32]| list.iter().map(|rule| cost(*rule)).sum::<u64>();
-        let equal =
-            self.equal.iter().map(|(_, v)| v.values().map(|f| sum(f)).max().unwrap_or(0)).sum::<u64>();
+        let equal = self
+            .equal
+            .iter()
+            .map(|(_, v)| v.values().map(|f| sum(f)).max().unwrap_or(0))
+            .sum::<u64>();
         // Prefixes and networks nest, so that the lists of a whole path come together.
-        let prefix = self.prefix.iter().map(|(_, trie)| Self::worst_path(trie, 0, &sum)).sum::<u64>();
-        let four = nested(self.four.iter().map(|(net, filed)| (IpNet::V4(net), sum(filed))));
-        let six = nested(self.six.iter().map(|(net, filed)| (IpNet::V6(net), sum(filed))));
+        let prefix = self
+            .prefix
+            .iter()
+            .map(|(_, trie)| Self::worst_path(trie, 0, &sum))
+            .sum::<u64>();
+        let four = nested(
+            self.four
+                .iter()
+                .map(|(net, filed)| (IpNet::V4(net), sum(filed))),
+        );
+        let six = nested(
+            self.six
+                .iter()
+                .map(|(net, filed)| (IpNet::V6(net), sum(filed))),
+        );
         let sets = self.sets.iter().map(|(_, filed)| sum(filed)).sum::<u64>();
         sum(&self.rest) + equal + prefix + four.max(six) + sets
     }
 
     fn worst_path(trie: &Trie, root: usize, sum: &impl Fn(&[u32]) -> u64) -> u64 {
-        // Depth is bounded by the longest prefix, so that a stack of its own is used and no recursion.
+        // Depth is bounded by the longest prefix, so that a stack of its own is used and no
+        // recursion.
         let (mut most, mut open) = (0, vec![(root, 0)]);
         while let Some((at, above)) = open.pop() {
             let here = above + sum(&trie.nodes[at].rules);
             most = most.max(here);
-            open.extend(trie.nodes[at].children.iter().map(|child| (*child as usize, here)));
+            open.extend(
+                trie.nodes[at]
+                    .children
+                    .iter()
+                    .map(|child| (*child as usize, here)),
+            );
         }
         most
     }
@@ -355,7 +437,9 @@
         let filed = |f: &Filed| 4 * f.capacity() + 16;
         let values = |m: &HashMap<Box<str>, Filed>| -> usize {
             m.capacity() * (size_of::<(Box<str>, Filed)>() + 1)
-                + m.iter().map(|(k, f)| k.len() + 16 + filed(f)).sum::<usize>()
+                + m.iter()
+                    .map(|(k, f)| k.len() + 16 + filed(f))
+                    .sum::<usize>()
         };
         let equal: usize = self.equal.iter().map(|(_, m)| values(m)).sum();
         let prefix: usize = self.prefix.iter().map(|(_, t)| t.bytes()).sum();
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,8 +1,9 @@
 //! Matching expressions: typed rules that classify every invocation, at a known cost.
 //!
-//! An expression is read ([`syntax`]), checked and compiled ([`compile`]), and evaluated over the facts of an
-//! invocation ([`facts`], [`eval`]). Rules ([`ruleset`]) are conditions in the order of a file; an index ([`index`])
-//! leaves out those that can't match. The language is told in `docs/operators/rules.md`, why it is so in
+//! An expression is read ([`syntax`]), checked and compiled ([`compile`]), and evaluated over the
+//! facts of an invocation ([`facts`], [`eval`]). Rules ([`ruleset`]) are conditions in the order of
+//! a file; an index ([`index`]) leaves out those that can't match. The language is told in
+//! `docs/operators/rules.md`, why it is so in
 //! `docs/design/rules.md`. Nothing here does I/O or knows a clock.
 //!
 //! ```
@@ -43,6 +44,7 @@
 pub use error::Error;
 pub use facts::{Caller, Facts, Params};
 pub use ruleset::{
-    Bounds, Decision, Field, Given, Path, Problem, RuleSet, Scratch, Verdict, Written, common_number,
+    Bounds, Decision, Field, Given, Path, Problem, RuleSet, Scratch, Verdict, Written,
+    common_number,
 };
 pub use value::{Fault, Type, Value};
--- a/crates/rules/src/pattern.rs
+++ b/crates/rules/src/pattern.rs
@@ -1,4 +1,5 @@
-//! Regular expressions as tables: one look for each byte, whatever the pattern, and nothing allocated to match.
+//! Regular expressions as tables: one look for each byte, whatever the pattern, and nothing
+//! allocated to match.
 
 use regex_automata::dfa::{Automaton, StartKind, dense};
 use regex_automata::nfa::thompson;
@@ -23,7 +24,10 @@
     pub fn new(text: &str) -> Result<Pattern, (String, String)> {
         let expected = || "a pattern in the syntax of RE2 over bytes".to_owned();
         if text.len() > TEXT_MAX {
-            return Err((format!("the pattern has {} bytes", text.len()), format!("at most {TEXT_MAX}")));
+            return Err((
+                format!("the pattern has {} bytes", text.len()),
+                format!("at most {TEXT_MAX}"),
+            ));
         }
         let config = dense::Config::new()
             .start_kind(StartKind::Unanchored)
@@ -31,11 +35,23 @@
             .determinize_size_limit(Some(BUILD_MAX));
         let built = dense::Builder::new()
             .configure(config)
-            .syntax(syntax::Config::new().unicode(false).utf8(false).nest_limit(24))
-            .thompson(thompson::Config::new().utf8(false).nfa_size_limit(Some(BUILD_MAX)))
+            .syntax(
+                syntax::Config::new()
+                    .unicode(false)
+                    .utf8(false)
+                    .nest_limit(24),
+            )
+            .thompson(
+                thompson::Config::new()
+                    .utf8(false)
+                    .nfa_size_limit(Some(BUILD_MAX)),
+            )
             .build(text);
         match built {
-            Ok(table) => Ok(Pattern { text: text.to_owned(), table }),
+            Ok(table) => Ok(Pattern {
+                text: text.to_owned(),
+                table,
+            }),
             Err(e) => {
                 let mut what = e.to_string();
                 let mut large = e.is_size_limit_exceeded();
@@ -51,7 +67,11 @@
                     return Err(("the pattern is too large".into(), expected));
                 }
                 // The parser draws the pattern over several lines; the last says what is wrong.
-                let last = what.lines().last().unwrap_or_default().trim_start_matches("error: ");
+                let last = what
+                    .lines()
+                    .last()
+                    .unwrap_or_default()
+                    .trim_start_matches("error: ");
                 Err((format!("no pattern: {last}"), expected()))
             }
         }
@@ -82,7 +102,9 @@
     fn patterns_match_anywhere_and_too_large_ones_are_refused() {
         let pattern = Pattern::new("^[a-z]+-[0-9]{2,4}$").unwrap();
         assert!(
-            pattern.matches("ankara-12") && !pattern.matches("ankara-1") && !pattern.matches("x ankara-12")
+            pattern.matches("ankara-12")
+                && !pattern.matches("ankara-1")
+                && !pattern.matches("x ankara-12")
         );
         assert!(Pattern::new("yaz").unwrap().matches("gun-yaz/1"));
         assert!(Pattern::new("ş").unwrap().matches("maaş"));
--- a/crates/rules/src/ruleset.rs
+++ b/crates/rules/src/ruleset.rs
@@ -100,7 +100,10 @@
 
 impl Default for Bounds {
     fn default() -> Bounds {
-        Bounds { cost: cost::LIMIT, bytes: 16 << 20 }
+        Bounds {
+            cost: cost::LIMIT,
+            bytes: 16 << 20,
+        }
     }
 }
 
@@ -137,15 +140,31 @@
 
     fn bytes(&self) -> usize {
         let nodes = [Some(&self.when), self.key.as_ref(), self.rank.as_ref()];
-        let given =
-            self.facts.iter().map(|(n, x)| n.len() + x.bytes() + size_of::<Node>() + 32).sum::<usize>();
-        let buckets = self.buckets.iter().map(|(_, x)| x.bytes() + size_of::<Node>() + 8).sum::<usize>();
+        let given = self
+            .facts
+            .iter()
+            .map(|(n, x)| n.len() + x.bytes() + size_of::<Node>() + 32)
+            .sum::<usize>();
+        let buckets = self
+            .buckets
+            .iter()
+            .map(|(_, x)| x.bytes() + size_of::<Node>() + 8)
+            .sum::<usize>();
         let reason = match &self.verdict {
-            Some(Verdict::Throttle { reason, .. } | Verdict::Error { reason, .. }) => reason.len() + 16,
+            Some(Verdict::Throttle { reason, .. } | Verdict::Error { reason, .. }) => {
+                reason.len() + 16
+            }
             None => 0,
         };
         let nodes: usize = nodes.into_iter().flatten().map(Node::bytes).sum();
-        size_of::<Rule>() + self.name.len() + self.text.len() + 32 + nodes + given + buckets + reason
+        size_of::<Rule>()
+            + self.name.len()
+            + self.text.len()
+            + 32
+            + nodes
+            + given
+            + buckets
+            + reason
     }
 }
 
@@ -195,10 +214,14 @@
 }
 
 impl Scratch {
-    /// Room for evaluations. The secret goes into the numbers that stand for keys, so that nobody outside can make
-    /// two keys that share one.
+    /// Room for evaluations. The secret goes into the numbers that stand for keys, so that nobody
+    /// outside can make two keys that share one.
     pub fn new(secret: u64) -> Scratch {
-        Scratch { arena: Bump::with_capacity(ARENA), secret, shows_keys: false }
+        Scratch {
+            arena: Bump::with_capacity(ARENA),
+            secret,
+            shows_keys: false,
+        }
     }
 
     /// Bytes that are kept.
@@ -232,7 +255,8 @@
     common: u64,
 }
 
-/// A number for a key that is the same on all nodes and in all versions that have a secret in common: SipHash-2-4.
+/// A number for a key that is the same on all nodes and in all versions that have a secret in
+/// common: SipHash-2-4.
 pub fn common_number(secret: u64, text: &str) -> u64 {
     let mut hasher = siphasher::sip::SipHasher24::new_with_keys(secret, 0x6b65_7973);
     hasher.write(text.as_bytes());
@@ -258,15 +282,27 @@
 
 impl Loader<'_> {
     fn problem(&mut self, rule: usize, field: Field, error: Error) {
-        self.problems.push(Problem { rule: Some(rule), field, error });
+        self.problems.push(Problem {
+            rule: Some(rule),
+            field,
+            error,
+        });
     }
 
-    fn compile(&mut self, rule: usize, field: Field, text: &str, kind: Type) -> Option<(Node, u64)> {
+    fn compile(
+        &mut self,
+        rule: usize,
+        field: Field,
+        text: &str,
+        kind: Type,
+    ) -> Option<(Node, u64)> {
         let parsed = syntax::parse(text).map_err(|e| vec![e]);
         match parsed.and_then(|expr| self.compiler.compile(&expr, &kind, self.bounds.cost)) {
             Ok(typed) => Some((typed.node, typed.worst)),
             Err(errors) => {
-                errors.into_iter().for_each(|error| self.problem(rule, field, error));
+                errors
+                    .into_iter()
+                    .for_each(|error| self.problem(rule, field, error));
                 None
             }
         }
@@ -288,10 +324,14 @@
             found
         });
         let class = written.class.as_ref().map(|name| {
-            let found = self.classes.iter().position(|c| c == name).unwrap_or_else(|| {
-                self.classes.push(name.clone());
-                self.classes.len() - 1
-            });
+            let found = self
+                .classes
+                .iter()
+                .position(|c| c == name)
+                .unwrap_or_else(|| {
+                    self.classes.push(name.clone());
+                    self.classes.len() - 1
+                });
             found as u16
         });
         let mut worst = 0;
@@ -301,8 +341,14 @@
             Some(node)
         };
         let when = part(self, Field::When, &written.when, Type::Bool);
-        let key = written.key.as_ref().and_then(|text| part(self, Field::Key, text, Type::Text));
-        let rank = written.rank.as_ref().and_then(|text| part(self, Field::Rank, text, Type::Float));
+        let key = written
+            .key
+            .as_ref()
+            .and_then(|text| part(self, Field::Key, text, Type::Text));
+        let rank = written
+            .rank
+            .as_ref()
+            .and_then(|text| part(self, Field::Rank, text, Type::Float));
         let mut facts = Vec::new();
         for (i, (name, text)) in written.facts.iter().enumerate() {
             let node = part(self, Field::Fact(i), text, Type::Text);
@@ -322,7 +368,11 @@
         }
         for (count, most, field) in [
             (written.facts.len(), FACTS_MAX, Field::Fact(FACTS_MAX)),
-            (written.buckets.len(), BUCKETS_MAX, Field::Bucket(BUCKETS_MAX)),
+            (
+                written.buckets.len(),
+                BUCKETS_MAX,
+                Field::Bucket(BUCKETS_MAX),
+            ),
         ] {
             if count > most {
                 self.problem(
@@ -360,13 +410,26 @@
         bounds: Bounds,
     ) -> Result<RuleSet, Vec<Problem>> {
         let compiler = Compiler::new(vocabulary);
-        let mut loader =
-            Loader { compiler, vocabulary, bounds, problems: Vec::new(), classes: Vec::new(), buckets };
+        let mut loader = Loader {
+            compiler,
+            vocabulary,
+            bounds,
+            problems: Vec::new(),
+            classes: Vec::new(),
+            buckets,
+        };
         let whole = |what: String, expected: String| {
-            vec![Problem { rule: None, field: Field::Name, error: Error::new(0..0, what, expected) }]
+            vec![Problem {
+                rule: None,
+                field: Field::Name,
+                error: Error::new(0..0, what, expected),
+            }]
         };
         if written.len() > RULES_MAX {
-            return Err(whole(format!("{} rules", written.len()), format!("at most {RULES_MAX}")));
+            return Err(whole(
+                format!("{} rules", written.len()),
+                format!("at most {RULES_MAX}"),
+            ));
         }
         let mut rules = Vec::new();
         let mut bytes = 0;
@@ -388,11 +451,16 @@
         bytes += index.bytes() + sets + loader.compiler.shared_bytes();
         if bytes > bounds.bytes {
             let what = format!("the rules take about {} KiB", bytes >> 10);
-            let room = format!("at most {} KiB, which follows from the memory limit", bounds.bytes >> 10);
+            let room = format!(
+                "at most {} KiB, which follows from the memory limit",
+                bounds.bytes >> 10
+            );
             return Err(whole(what, room));
         }
         let worst = index.worst(|rule| rules[rule as usize].worst);
-        let Loader { compiler, classes, .. } = loader;
+        let Loader {
+            compiler, classes, ..
+        } = loader;
         let names = compiler.names;
         Ok(RuleSet {
             rules,
@@ -408,7 +476,8 @@
         })
     }
 
-    /// The keys of these buckets, by their places, are numbered as on all nodes that have this secret in common.
+    /// The keys of these buckets, by their places, are numbered as on all nodes that have this
+    /// secret in common.
     pub fn share(&mut self, buckets: impl Iterator<Item = usize>, common: u64) {
         self.shared = vec![false; self.buckets.len()];
         self.common = common;
@@ -439,12 +508,14 @@
         self.bytes
     }
 
-    /// The most units that the conditions which one request may have evaluated come to by their worst cases.
+    /// The most units that the conditions which one request may have evaluated come to by their
+    /// worst cases.
     pub fn worst(&self) -> u64 {
         self.worst
     }
 
-    /// The most units that the conditions evaluated for one request may use; the meter stops them there.
+    /// The most units that the conditions evaluated for one request may use; the meter stops them
+    /// there.
     pub fn request_limit(&self) -> u64 {
         self.cost * cost::REQUEST_FACTOR
     }
@@ -455,7 +526,12 @@
     }
 
     /// The first rule that matches, and what it gives.
-    pub fn decide<'r>(&'r self, facts: &Facts<'_>, scratch: &mut Scratch, path: Path) -> Decision<'r> {
+    pub fn decide<'r>(
+        &'r self,
+        facts: &Facts<'_>,
+        scratch: &mut Scratch,
+        path: Path,
+    ) -> Decision<'r> {
         scratch.arena.reset();
         let mut decision = Decision::default();
         let limit = self.request_limit();
@@ -479,7 +555,9 @@
         };
         match path {
             Path::Index => {
-                self.index.candidates(facts).any(|place| ask(place as usize));
+                self.index
+                    .candidates(facts)
+                    .any(|place| ask(place as usize));
             }
             Path::Scan => {
                 (0..self.rules.len()).any(ask);
@@ -553,7 +631,14 @@
                 Ok(true) => None,
                 _ => Some(Self::first_failed(rule, facts, scratch, self.cost)),
             };
-            why.push(Why { place, evaluated, filed, result, cost, failed });
+            why.push(Why {
+                place,
+                evaluated,
+                filed,
+                result,
+                cost,
+                failed,
+            });
             if result == Ok(true) {
                 break;
             }
@@ -562,7 +647,12 @@
     }
 
     /// The first part of a condition that does not hold, and what became of it.
-    fn first_failed(rule: &Rule, facts: &Facts<'_>, scratch: &mut Scratch, limit: u64) -> (String, String) {
+    fn first_failed(
+        rule: &Rule,
+        facts: &Facts<'_>,
+        scratch: &mut Scratch,
+        limit: u64,
+    ) -> (String, String) {
         let parts = match &rule.when {
             Node::And(parts) => &**parts,
             whole => std::slice::from_ref(whole),
--- a/crates/rules/src/syntax.rs
+++ b/crates/rules/src/syntax.rs
@@ -1,5 +1,5 @@
-//! From text to a tree, and back. Depth and length are bounded here, so that whatever walks the tree later may
-//! recurse.
+//! From text to a tree, and back. Depth and length are bounded here, so that whatever walks the
+//! tree later may recurse.
 
 use crate::error::Error;
 use std::fmt;
@@ -7,10 +7,12 @@
 
 /// The longest text of an expression, in bytes.
 pub const SOURCE_MAX: usize = 8192;
-/// The deepest that a tree may be. Each level costs the parser about three frames, on stacks of 512 KiB.
+/// The deepest that a tree may be. Each level costs the parser about three frames, on stacks of 512
+/// KiB.
 pub const DEPTH_MAX: u16 = 32;
 
-/// An expression, and where it stands in its text. Two are equal if they say the same, wherever they stand.
+/// An expression, and where it stands in its text. Two are equal if they say the same, wherever
+/// they stand.
 #[derive(Clone, Debug)]
 pub struct Expr {
     /// What it says.
@@ -125,11 +127,17 @@
 
     /// Its sign.
     pub fn sign(self) -> &'static str {
-        Binary::ALL.iter().find(|(op, ..)| *op == self).map_or("?", |(_, sign, _)| sign)
+        Binary::ALL
+            .iter()
+            .find(|(op, ..)| *op == self)
+            .map_or("?", |(_, sign, _)| sign)
     }
 
     fn power(self) -> u8 {
-        Binary::ALL.iter().find(|(op, ..)| *op == self).map_or(0, |(.., power)| *power)
+        Binary::ALL
+            .iter()
+            .find(|(op, ..)| *op == self)
+            .map_or(0, |(.., power)| *power)
     }
 }
 
@@ -184,8 +192,8 @@
 }
 
 const SIGNS: [&str; 23] = [
-    "==", "!=", "<=", ">=", "&&", "||", "<", ">", "+", "-", "*", "/", "%", "!", "?", ":", ".", ",", "(", ")",
-    "[", "]", "=",
+    "==", "!=", "<=", ">=", "&&", "||", "<", ">", "+", "-", "*", "/", "%", "!", "?", ":", ".", ",",
+    "(", ")", "[", "]", "=",
 ];
 
 struct Parser<'a> {
@@ -203,7 +211,13 @@
         let what = format!("the expression has {} bytes", text.len());
         return Err(Error::new(0..0, what, format!("at most {SOURCE_MAX}")));
     }
-    let mut parser = Parser { text, next: 0, token: Token::End, at: 0..0, level: 0 };
+    let mut parser = Parser {
+        text,
+        next: 0,
+        token: Token::End,
+        at: 0..0,
+        level: 0,
+    };
     parser.advance()?;
     let expr = parser.expr()?;
     match parser.token {
@@ -214,7 +228,11 @@
 
 impl<'a> Parser<'a> {
     fn unexpected(&self, expected: &str) -> Error {
-        Error::new(self.at.clone(), format!("unexpected {}", self.token), expected)
+        Error::new(
+            self.at.clone(),
+            format!("unexpected {}", self.token),
+            expected,
+        )
     }
 
     fn rest(&self) -> &'a str {
@@ -240,24 +258,39 @@
 
     fn lex(&mut self) -> Result<Token, Error> {
         let rest = self.rest();
-        let Some(first) = rest.chars().next() else { return Ok(Token::End) };
+        let Some(first) = rest.chars().next() else {
+            return Ok(Token::End);
+        };
         let quote = |text: &str| text.starts_with(['"', '\'']);
-        for (prefix, raw, bytes) in
-            [("", false, false), ("r", true, false), ("b", false, true), ("br", true, true)]
-        {
-            let found = rest.get(..prefix.len()).is_some_and(|p| p.eq_ignore_ascii_case(prefix));
+        for (prefix, raw, bytes) in [
+            ("", false, false),
+            ("r", true, false),
+            ("b", false, true),
+            ("br", true, true),
+        ] {
+            let found = rest
+                .get(..prefix.len())
+                .is_some_and(|p| p.eq_ignore_ascii_case(prefix));
             if found && quote(&rest[prefix.len()..]) {
                 self.next += prefix.len();
                 return self.quoted(raw, bytes);
             }
         }
         if first.is_ascii_alphabetic() || first == '_' {
-            let end = rest.find(|c: char| !c.is_ascii_alphanumeric() && c != '_').unwrap_or(rest.len());
+            let end = rest
+                .find(|c: char| !c.is_ascii_alphanumeric() && c != '_')
+                .unwrap_or(rest.len());
             let word = rest[..end].to_owned();
             self.next += end;
-            return Ok(if word == "in" { Token::Sign("in") } else { Token::Name(word) });
+            return Ok(if word == "in" {
+                Token::Sign("in")
+            } else {
+                Token::Name(word)
+            });
         }
-        if first.is_ascii_digit() || first == '.' && rest[1..].starts_with(|c: char| c.is_ascii_digit()) {
+        if first.is_ascii_digit()
+            || first == '.' && rest[1..].starts_with(|c: char| c.is_ascii_digit())
+        {
             return self.number();
         }
         if let Some(sign) = SIGNS.iter().find(|sign| rest.starts_with(**sign)) {
@@ -265,28 +298,44 @@
             return Ok(Token::Sign(sign));
         }
         let at = self.next..self.next + first.len_utf8();
-        Err(Error::new(at, format!("unexpected character {first:?}"), "an expression"))
+        Err(Error::new(
+            at,
+            format!("unexpected character {first:?}"),
+            "an expression",
+        ))
     }
 
     fn number(&mut self) -> Result<Token, Error> {
         let rest = self.rest();
         let start = self.next;
         if let Some(hex) = rest.strip_prefix("0x").or_else(|| rest.strip_prefix("0X")) {
-            let end = hex.find(|c: char| !c.is_ascii_alphanumeric()).unwrap_or(hex.len());
+            let end = hex
+                .find(|c: char| !c.is_ascii_alphanumeric())
+                .unwrap_or(hex.len());
             let value = u64::from_str_radix(&hex[..end], 16);
             self.next += 2 + end;
             let at = start..self.next;
-            return value.map(Token::Int).map_err(|_| Error::new(at, "no hexadecimal number", "an int"));
+            return value
+                .map(Token::Int)
+                .map_err(|_| Error::new(at, "no hexadecimal number", "an int"));
         }
         let bytes = rest.as_bytes();
-        let digits = |from: usize| bytes[from..].iter().take_while(|b| b.is_ascii_digit()).count();
+        let digits = |from: usize| {
+            bytes[from..]
+                .iter()
+                .take_while(|b| b.is_ascii_digit())
+                .count()
+        };
         let mut end = digits(0);
         let mut is_float = false;
         if bytes.get(end) == Some(&b'.') && digits(end + 1) > 0 {
             is_float = true;
             end += 1 + digits(end + 1);
         }
-        if bytes.get(end).is_some_and(|b| b.eq_ignore_ascii_case(&b'e')) {
+        if bytes
+            .get(end)
+            .is_some_and(|b| b.eq_ignore_ascii_case(&b'e'))
+        {
             let sign = usize::from(matches!(bytes.get(end + 1), Some(b'+' | b'-')));
             if digits((end + 1 + sign).min(bytes.len())) > 0 {
                 is_float = true;
@@ -294,10 +343,16 @@
             }
         }
         let word = &rest[..end];
-        let tail = bytes.get(end).is_some_and(|b| b.is_ascii_alphanumeric() || *b == b'_');
+        let tail = bytes
+            .get(end)
+            .is_some_and(|b| b.is_ascii_alphanumeric() || *b == b'_');
         let (at, whole) = (start..start + end, start..start + end + usize::from(tail));
         let token = match is_float {
-            true => word.parse().ok().filter(|v: &f64| v.is_finite()).map(Token::Float),
+            true => word
+                .parse()
+                .ok()
+                .filter(|v: &f64| v.is_finite())
+                .map(Token::Float),
             false => word.parse().ok().map(Token::Int),
         };
         self.next += end;
@@ -332,7 +387,11 @@
             };
             if c == quote {
                 self.next = start + at + 1;
-                return Ok(if is_bytes { Token::Bytes(bytes) } else { Token::Text(text) });
+                return Ok(if is_bytes {
+                    Token::Bytes(bytes)
+                } else {
+                    Token::Text(text)
+                });
             }
             if c == '\n' {
                 return Err(bad(at, "the string does not end in its line"));
@@ -341,10 +400,15 @@
                 push(c);
                 continue;
             }
-            let (_, escape) = chars.next().ok_or_else(|| bad(at, "the string does not end"))?;
+            let (_, escape) = chars
+                .next()
+                .ok_or_else(|| bad(at, "the string does not end"))?;
             let digits = |n: usize, radix: u32, from: usize| -> Option<u32> {
                 let digits = rest.get(from..from + n)?;
-                digits.chars().all(|c| c.is_digit(radix)).then(|| u32::from_str_radix(digits, radix).ok())?
+                digits
+                    .chars()
+                    .all(|c| c.is_digit(radix))
+                    .then(|| u32::from_str_radix(digits, radix).ok())?
             };
             let simple = match escape {
                 'n' => Some('\n'),
@@ -368,7 +432,8 @@
                 '0'..='3' => (3, 8, at + 1),
                 _ => return Err(bad(at, "unknown escape")),
             };
-            let code = digits(n, radix, from).ok_or_else(|| bad(at, "digits are missing in the escape"))?;
+            let code = digits(n, radix, from)
+                .ok_or_else(|| bad(at, "digits are missing in the escape"))?;
             if is_bytes && n <= 3 {
                 bytes.push(code as u8);
             } else {
@@ -393,7 +458,11 @@
     }
 
     fn expect(&mut self, sign: &str) -> Result<(), Error> {
-        if self.takes(sign)? { Ok(()) } else { Err(self.unexpected(&format!("'{sign}'"))) }
+        if self.takes(sign)? {
+            Ok(())
+        } else {
+            Err(self.unexpected(&format!("'{sign}'")))
+        }
     }
 
     /// Goes one level down; the levels of the text are bounded as those of the tree are.
@@ -419,13 +488,19 @@
             Kind::Call(_, all) | Kind::List(all) | Kind::And(all) | Kind::Or(all) => {
                 all.iter().map(|e| e.depth).max().unwrap_or(0)
             }
-            Kind::Method(of, _, all) => all.iter().map(|e| e.depth).max().unwrap_or(0).max(of.depth),
+            Kind::Method(of, _, all) => {
+                all.iter().map(|e| e.depth).max().unwrap_or(0).max(of.depth)
+            }
             _ => 0,
         };
         if deepest >= DEPTH_MAX {
             return Err(Parser::too_deep(start..end));
         }
-        Ok(Expr { kind, at: start..end, depth: deepest + 1 })
+        Ok(Expr {
+            kind,
+            at: start..end,
+            depth: deepest + 1,
+        })
     }
 
     fn expr(&mut self) -> Result<Expr, Error> {
@@ -438,13 +513,22 @@
             parser.expect(":")?;
             let no = parser.expr()?;
             let (start, end) = (condition.at.start, no.at.end);
-            parser.node(Kind::If(Box::new(condition), Box::new(yes), Box::new(no)), start, end)
+            parser.node(
+                Kind::If(Box::new(condition), Box::new(yes), Box::new(no)),
+                start,
+                end,
+            )
         })
     }
 
     fn operator(&self) -> Option<(Binary, u8)> {
-        let Token::Sign(sign) = self.token else { return None };
-        Binary::ALL.iter().find(|(_, s, _)| *s == sign).map(|(op, _, power)| (*op, *power))
+        let Token::Sign(sign) = self.token else {
+            return None;
+        };
+        Binary::ALL
+            .iter()
+            .find(|(_, s, _)| *s == sign)
+            .map(|(op, _, power)| (*op, *power))
     }
 
     fn binary(&mut self, least: u8) -> Result<Expr, Error> {
@@ -466,7 +550,11 @@
             self.advance()?;
             let right = self.binary(power + 1)?;
             let (start, end) = (left.at.start, right.at.end);
-            left = self.node(Kind::Binary(op, Box::new(left), Box::new(right)), start, end)?;
+            left = self.node(
+                Kind::Binary(op, Box::new(left), Box::new(right)),
+                start,
+                end,
+            )?;
         }
         Ok(left)
     }
@@ -503,7 +591,9 @@
         loop {
             let start = of.at.start;
             if self.takes(".")? {
-                let Token::Name(name) = self.token.clone() else { return Err(self.unexpected("a name")) };
+                let Token::Name(name) = self.token.clone() else {
+                    return Err(self.unexpected("a name"));
+                };
                 let mut end = self.at.end;
                 self.advance()?;
                 let kind = if self.takes("(")? {
@@ -563,7 +653,11 @@
             Token::Int(n) => match i64::try_from(n) {
                 Ok(n) => Kind::Int(n),
                 Err(_) => {
-                    return Err(Error::new(start..end, "the number is too large", "a number of 64 bits"));
+                    return Err(Error::new(
+                        start..end,
+                        "the number is too large",
+                        "a number of 64 bits",
+                    ));
                 }
             },
             Token::Float(x) => Kind::Float(x),
@@ -578,7 +672,11 @@
                 ));
             }
             Token::Name(name) if RESERVED.contains(&name.as_str()) => {
-                return Err(Error::new(start..end, format!("'{name}' is a reserved word"), "a name"));
+                return Err(Error::new(
+                    start..end,
+                    format!("'{name}' is a reserved word"),
+                    "a name",
+                ));
             }
             Token::Name(name) => {
                 self.advance()?;
@@ -612,7 +710,11 @@
     }
 
     fn within(&self, f: &mut fmt::Formatter<'_>, least: u8) -> fmt::Result {
-        if self.power() < least { write!(f, "({self})") } else { write!(f, "{self}") }
+        if self.power() < least {
+            write!(f, "({self})")
+        } else {
+            write!(f, "{self}")
+        }
     }
 }
 
@@ -689,7 +791,11 @@
                 // A number under a sign would be read as one number.
                 f.write_str("-")?;
                 let number = matches!(of.kind, Kind::Int(_) | Kind::Float(_));
-                if number { write!(f, "({of})") } else { of.within(f, UNARY) }
+                if number {
+                    write!(f, "({of})")
+                } else {
+                    of.within(f, UNARY)
+                }
             }
             Kind::Binary(op, a, b) => {
                 a.within(f, op.power())?;
--- a/crates/rules/src/time.rs
+++ b/crates/rules/src/time.rs
@@ -1,13 +1,22 @@
 //! Spans and points in time as text, and the parts of a point in time, all in UTC.
 
 const SECOND: i128 = 1_000_000_000;
-/// Times from the year 1 to the year 9999, as CEL has them; what leaves 64 bits of nanoseconds is refused too.
-const UNITS: [(&str, f64); 6] =
-    [("ns", 1.0), ("us", 1e3), ("ms", 1e6), ("s", 1e9), ("m", 60e9), ("h", 3600e9)];
+/// Times from the year 1 to the year 9999, as CEL has them; what leaves 64 bits of nanoseconds is
+/// refused too.
+const UNITS: [(&str, f64); 6] = [
+    ("ns", 1.0),
+    ("us", 1e3),
+    ("ms", 1e6),
+    ("s", 1e9),
+    ("m", 60e9),
+    ("h", 3600e9),
+];
 
 /// Reads a span such as `250ms`, `1h30m` or `-1.5s`, in nanoseconds.
 pub fn span(text: &str) -> Option<i64> {
-    let (negative, mut rest) = text.strip_prefix('-').map_or((false, text), |rest| (true, rest));
+    let (negative, mut rest) = text
+        .strip_prefix('-')
+        .map_or((false, text), |rest| (true, rest));
     if rest == "0" {
         return Some(0);
     }
@@ -19,7 +28,9 @@
         let digits = rest.find(|c: char| !c.is_ascii_digit() && c != '.')?;
         let number: f64 = rest[..digits].parse().ok()?;
         rest = &rest[digits..];
-        let unit = rest.find(|c: char| !c.is_ascii_alphabetic()).unwrap_or(rest.len());
+        let unit = rest
+            .find(|c: char| !c.is_ascii_alphabetic())
+            .unwrap_or(rest.len());
         let (_, factor) = UNITS.iter().find(|(name, _)| *name == &rest[..unit])?;
         total += number * factor;
         rest = &rest[unit..];
@@ -30,10 +41,16 @@
 
 /// A span as CEL prints it.
 pub fn print_span(nanos: i64) -> String {
-    let (whole, part) = (nanos.unsigned_abs() / 1_000_000_000, nanos.unsigned_abs() % 1_000_000_000);
+    let (whole, part) = (
+        nanos.unsigned_abs() / 1_000_000_000,
+        nanos.unsigned_abs() % 1_000_000_000,
+    );
     let sign = if nanos < 0 { "-" } else { "" };
     let part = format!(".{part:09}");
-    format!("{sign}{whole}{}s", part.trim_end_matches('0').trim_end_matches('.'))
+    format!(
+        "{sign}{whole}{}s",
+        part.trim_end_matches('0').trim_end_matches('.')
+    )
 }
 
 /// Days since the epoch of a date in the Gregorian calendar.
@@ -54,23 +71,37 @@
     let of_year = of_era - (365 * year + year / 4 - year / 100);
     let mp = (5 * of_year + 2) / 153;
     let month = if mp < 10 { mp + 3 } else { mp - 9 };
-    (year + era * 400 + i64::from(month <= 2), month, of_year - (153 * mp + 2) / 5 + 1)
+    (
+        year + era * 400 + i64::from(month <= 2),
+        month,
+        of_year - (153 * mp + 2) / 5 + 1,
+    )
 }
 
 /// Reads a time by RFC 3339, in nanoseconds since the Unix epoch.
 pub fn time(text: &str) -> Option<i64> {
     let number = |from: usize, to: usize| -> Option<i64> {
         let digits = text.get(from..to)?;
-        digits.bytes().all(|b| b.is_ascii_digit()).then(|| digits.parse().ok())?
+        digits
+            .bytes()
+            .all(|b| b.is_ascii_digit())
+            .then(|| digits.parse().ok())?
+    };
+    let mark = |at: usize, c: &str| {
+        text.get(at..at + 1)
+            .is_some_and(|t| t.eq_ignore_ascii_case(c))
     };
-    let mark = |at: usize, c: &str| text.get(at..at + 1).is_some_and(|t| t.eq_ignore_ascii_case(c));
     if !(mark(4, "-") && mark(7, "-") && mark(10, "T") && mark(13, ":") && mark(16, ":")) {
         return None;
     }
     let (year, month, day) = (number(0, 4)?, number(5, 7)?, number(8, 10)?);
     let (hour, minute, second) = (number(11, 13)?, number(14, 16)?, number(17, 19)?);
     let at = days(year, month, day);
-    if !(1..=12).contains(&month) || date(at) != (year, month, day) || hour > 23 || minute > 59 || second > 59
+    if !(1..=12).contains(&month)
+        || date(at) != (year, month, day)
+        || hour > 23
+        || minute > 59
+        || second > 59
     {
         return None;
     }
@@ -109,7 +140,12 @@
     let s = seconds.rem_euclid(86_400);
     let part = format!(".{:09}", nanos.rem_euclid(1_000_000_000));
     let part = part.trim_end_matches('0').trim_end_matches('.');
-    format!("{year:04}-{month:02}-{day:02}T{:02}:{:02}:{:02}{part}Z", s / 3600, s / 60 % 60, s % 60)
+    format!(
+        "{year:04}-{month:02}-{day:02}T{:02}:{:02}:{:02}{part}Z",
+        s / 3600,
+        s / 60 % 60,
+        s % 60
+    )
 }
 
 /// A part of a point in time.
@@ -152,8 +188,12 @@
 
     #[test]
     fn spans_and_times_are_read_and_printed() {
-        let spans =
-            [("250ms", 250_000_000), ("1h30m", 5_400_000_000_000), ("-1.5s", -1_500_000_000), ("0", 0)];
+        let spans = [
+            ("250ms", 250_000_000),
+            ("1h30m", 5_400_000_000_000),
+            ("-1.5s", -1_500_000_000),
+            ("0", 0),
+        ];
         for (text, nanos) in spans {
             assert_eq!(span(text), Some(nanos), "{text}");
             assert_eq!(span(&print_span(nanos)), Some(nanos));
@@ -170,13 +210,25 @@
             assert_eq!(time(text), Some(nanos), "{text}");
             assert_eq!(time(&print_time(nanos)), Some(nanos));
         }
-        for bad in ["2026-02-29T00:00:00Z", "2026-13-01T00:00:00Z", "2026-12-01", "2026-12-01T24:00:00Z", "é"]
-        {
+        for bad in [
+            "2026-02-29T00:00:00Z",
+            "2026-13-01T00:00:00Z",
+            "2026-12-01",
+            "2026-12-01T24:00:00Z",
+            "é",
+        ] {
             assert_eq!(time(bad), None, "{bad}");
         }
         let at = time("2026-12-01T14:30:15Z").unwrap();
-        let parts =
-            [Part::Year, Part::Month, Part::Date, Part::WeekDay, Part::Hours, Part::Minutes, Part::Seconds];
+        let parts = [
+            Part::Year,
+            Part::Month,
+            Part::Date,
+            Part::WeekDay,
+            Part::Hours,
+            Part::Minutes,
+            Part::Seconds,
+        ];
         assert_eq!(parts.map(|p| part(at, p)), [2026, 11, 1, 2, 14, 30, 15]);
     }
 }
--- a/crates/rules/src/value.rs
+++ b/crates/rules/src/value.rs
@@ -50,7 +50,8 @@
     }
 }
 
-/// A value while an expression is evaluated; text and lists lie in the request, the rules or the arena.
+/// A value while an expression is evaluated; text and lists lie in the request, the rules or the
+/// arena.
 #[derive(Clone, Copy, Debug)]
 pub enum Value<'a> {
     /// Of [`Type::Bool`].
--- a/crates/rules/tests/language.rs
+++ b/crates/rules/tests/language.rs
@@ -1,4 +1,5 @@
-//! The language: reading and printing, types, costs, and evaluation against a slow, obvious evaluator.
+//! The language: reading and printing, types, costs, and evaluation against a slow, obvious
+//! evaluator.
 
 mod support;
 
@@ -34,19 +35,36 @@
     let words = words();
     let mut compiler = Compiler::new(&words);
     match parse(text) {
-        Ok(expr) => compiler.compile(&expr, kind, limit).map(|_| ()).err().unwrap_or_default(),
+        Ok(expr) => compiler
+            .compile(&expr, kind, limit)
+            .map(|_| ())
+            .err()
+            .unwrap_or_default(),
         Err(error) => vec![error],
     }
 }
 
 /// What an expression comes to, and what it cost.
-fn value(text: &str, kind: &Type, request: &Request, limit: u64) -> (Result<String, Fault>, u64, u64) {
+fn value(
+    text: &str,
+    kind: &Type,
+    request: &Request,
+    limit: u64,
+) -> (Result<String, Fault>, u64, u64) {
     let words = words();
     let mut compiler = Compiler::new(&words);
     let expr = parse(text).unwrap_or_else(|e| panic!("{text}: {e:?}"));
-    let typed = compiler.compile(&expr, kind, AMPLE).unwrap_or_else(|e| panic!("{text}: {e:?}"));
-    let pairs = request.pairs.iter().map(|(n, v)| (n.as_slice(), v.as_slice()));
-    let facts = Facts { params: compiler.names.pick(pairs), ..request.bare() };
+    let typed = compiler
+        .compile(&expr, kind, AMPLE)
+        .unwrap_or_else(|e| panic!("{text}: {e:?}"));
+    let pairs = request
+        .pairs
+        .iter()
+        .map(|(n, v)| (n.as_slice(), v.as_slice()));
+    let facts = Facts {
+        params: compiler.names.pick(pairs),
+        ..request.bare()
+    };
     let arena = Bump::new();
     let mut eval = Eval::new(&facts, &arena, limit);
     let result = eval.within(&typed.node, limit).map(|v| v.to_string());
@@ -66,9 +84,17 @@
         assert_eq!(again, expr, "{text} printed as {expr}");
         let request = Request::random(&mut rng);
         let (result, used, worst) = value(&text, &of(kind), &request, AMPLE);
-        let expected = Reference { request: &request, locals: Vec::new() }.eval(&expr).map(|v| show(&v));
+        let expected = Reference {
+            request: &request,
+            locals: Vec::new(),
+        }
+        .eval(&expr)
+        .map(|v| show(&v));
         assert_eq!(result, expected, "seed {seed}: {text}");
-        assert!(used <= worst, "{text} used {used}, and its worst case is {worst}");
+        assert!(
+            used <= worst,
+            "{text} used {used}, and its worst case is {worst}"
+        );
         if result.is_ok() {
             good += 1
         } else {
@@ -82,7 +108,10 @@
             "{text}: {limit} of {used}"
         );
     }
-    assert!(good > 4_000 && bad > 1_200, "both are shown: {good} with a value, {bad} without");
+    assert!(
+        good > 4_000 && bad > 1_200,
+        "both are shown: {good} with a value, {bad} without"
+    );
 }
 
 #[test]
@@ -113,7 +142,11 @@
     ];
     for (text, at, what) in cases {
         let error = parse(text).unwrap_err();
-        assert_eq!((error.at.clone(), error.what.as_str()), (at, what), "{text}");
+        assert_eq!(
+            (error.at.clone(), error.what.as_str()),
+            (at, what),
+            "{text}"
+        );
     }
 }
 
@@ -122,40 +155,152 @@
     let cases = [
         ("1", "this is a int", "a bool"),
         ("tenant", "this is a string", "a bool"),
-        ("operation == \"gun-sil\"", "the settings have no operation 'gun-sil'", "one of gun-yaz, gun-sorgu"),
-        ("\"nobody\" != tenant", "the settings have no tenant 'nobody'", "one of yildiz, kuzey, ege"),
-        ("tenant in [\"yildiz\", \"ank\"]", "the settings have no tenant 'ank'", "one of yildiz, kuzey, ege"),
-        ("operatoin == \"gun-yaz\"", "unknown name 'operatoin'", "perhaps 'operation'"),
-        ("caller.name == \"x\"", "unknown name 'caller.name'", "caller.address"),
-        ("script.startswith(\"/\")", "unknown method 'startswith'", "perhaps 'startsWith'"),
-        ("sizee(script) == 1", "unknown function 'sizee'", "perhaps 'size'"),
-        ("peer == 1.0", "'==' has no meaning between int and double", "a double on both sides"),
-        ("rank < 1", "'<' has no meaning between double and int", "a double on both sides"),
+        (
+            "operation == \"gun-sil\"",
+            "the settings have no operation 'gun-sil'",
+            "one of gun-yaz, gun-sorgu",
+        ),
+        (
+            "\"nobody\" != tenant",
+            "the settings have no tenant 'nobody'",
+            "one of yildiz, kuzey, ege",
+        ),
+        (
+            "tenant in [\"yildiz\", \"ank\"]",
+            "the settings have no tenant 'ank'",
+            "one of yildiz, kuzey, ege",
+        ),
+        (
+            "operatoin == \"gun-yaz\"",
+            "unknown name 'operatoin'",
+            "perhaps 'operation'",
+        ),
+        (
+            "caller.name == \"x\"",
+            "unknown name 'caller.name'",
+            "caller.address",
+        ),
+        (
+            "script.startswith(\"/\")",
+            "unknown method 'startswith'",
+            "perhaps 'startsWith'",
+        ),
+        (
+            "sizee(script) == 1",
+            "unknown function 'sizee'",
+            "perhaps 'size'",
+        ),
+        (
+            "peer == 1.0",
+            "'==' has no meaning between int and double",
+            "a double on both sides",
+        ),
+        (
+            "rank < 1",
+            "'<' has no meaning between double and int",
+            "a double on both sides",
+        ),
         ("peer && true", "this is a int", "bool"),
-        ("(true ? 1 : \"a\") == 1", "this is a string", "a int, as after '?'"),
-        ("[1, \"a\"] == [1]", "this is a string", "a int, as the first"),
+        (
+            "(true ? 1 : \"a\") == 1",
+            "this is a string",
+            "a int, as after '?'",
+        ),
+        (
+            "[1, \"a\"] == [1]",
+            "this is a string",
+            "a int, as the first",
+        ),
         ("[] == []", "an empty list has no type", "at least one item"),
-        ("tenant.substring(\"a\") == \"\"", "'substring' is given (string, string)", "string.substring(int)"),
+        (
+            "tenant.substring(\"a\") == \"\"",
+            "'substring' is given (string, string)",
+            "string.substring(int)",
+        ),
         ("script.matches(\"(\")", "no pattern: unclosed group", "RE2"),
-        ("script.matches(\"[a-z]{900}{900}\")", "the pattern is too large", "KiB"),
-        ("script.matches(tenant)", "matches() takes one pattern, written out", "such as"),
-        ("caller.address in net(\"10.0.0.0/99\")", "no network", "networks such as"),
-        ("caller.address in net()", "net() without networks", "networks such as"),
-        ("caller.address == ip(\"10.1\")", "this text is no such value", "an address"),
-        ("estimate > duration(\"5\")", "this text is no such value", "a duration"),
-        ("arrived > timestamp(\"today\")", "this text is no such value", "a time"),
-        ("hash(script, 0) == 1", "the number of buckets", "such as 100"),
-        ("hash(script, peer) == 1", "the number of buckets", "such as 100"),
-        ("tenant.foo == 1", "a string has no field 'foo'", "params.NAME"),
-        ("script[1] == 1", "a string has no parts to index", "params or a list"),
-        ("has(1)", "has() can't ask for this", "one fact or parameter"),
-        ("tenant in 5", "this is a int", "a list, addresses or params"),
+        (
+            "script.matches(\"[a-z]{900}{900}\")",
+            "the pattern is too large",
+            "KiB",
+        ),
+        (
+            "script.matches(tenant)",
+            "matches() takes one pattern, written out",
+            "such as",
+        ),
+        (
+            "caller.address in net(\"10.0.0.0/99\")",
+            "no network",
+            "networks such as",
+        ),
+        (
+            "caller.address in net()",
+            "net() without networks",
+            "networks such as",
+        ),
+        (
+            "caller.address == ip(\"10.1\")",
+            "this text is no such value",
+            "an address",
+        ),
+        (
+            "estimate > duration(\"5\")",
+            "this text is no such value",
+            "a duration",
+        ),
+        (
+            "arrived > timestamp(\"today\")",
+            "this text is no such value",
+            "a time",
+        ),
+        (
+            "hash(script, 0) == 1",
+            "the number of buckets",
+            "such as 100",
+        ),
+        (
+            "hash(script, peer) == 1",
+            "the number of buckets",
+            "such as 100",
+        ),
+        (
+            "tenant.foo == 1",
+            "a string has no field 'foo'",
+            "params.NAME",
+        ),
+        (
+            "script[1] == 1",
+            "a string has no parts to index",
+            "params or a list",
+        ),
+        (
+            "has(1)",
+            "has() can't ask for this",
+            "one fact or parameter",
+        ),
+        (
+            "tenant in 5",
+            "this is a int",
+            "a list, addresses or params",
+        ),
         ("5 in [\"a\"]", "this is a int", "a string, as in the list"),
         ("peer in offices", "this is a int", "an ip"),
-        ("-tenant == 1", "this is a string", "int or double or duration"),
+        (
+            "-tenant == 1",
+            "this is a string",
+            "int or double or duration",
+        ),
         ("pilots.all(x, y == \"a\")", "unknown name 'y'", "one of"),
-        ("pilots.all(1, true)", "a macro takes a name and an expression", "such as"),
-        ("tenant.all(x, true)", "this is a string", "a list or params"),
+        (
+            "pilots.all(1, true)",
+            "a macro takes a name and an expression",
+            "such as",
+        ),
+        (
+            "tenant.all(x, true)",
+            "this is a string",
+            "a list or params",
+        ),
         (
             "pilots.all(a, pilots.all(b, pilots.all(c, pilots.all(d, a == d))))",
             "macros nested too deep",
@@ -164,8 +309,14 @@
     ];
     for (text, what, expected) in cases {
         let found = errors(text, &Type::Bool, AMPLE);
-        let shown = found.first().map(|e| (e.what.as_str(), e.expected.as_str())).unwrap_or_default();
-        assert!(shown.0.starts_with(what) && shown.1.contains(expected), "{text}: {found:?}");
+        let shown = found
+            .first()
+            .map(|e| (e.what.as_str(), e.expected.as_str()))
+            .unwrap_or_default();
+        assert!(
+            shown.0.starts_with(what) && shown.1.contains(expected),
+            "{text}: {found:?}"
+        );
     }
     let all = errors(
         "foo == 1 && peer == \"a\" && tenant == \"nobody\" && script.matches(\"(\")",
@@ -189,7 +340,12 @@
     ];
     for text in heavy {
         let found = errors(text, &Type::Bool, cost::LIMIT);
-        assert!(found.iter().any(|e| e.what.starts_with("the worst case costs")), "{text}: {found:?}");
+        assert!(
+            found
+                .iter()
+                .any(|e| e.what.starts_with("the worst case costs")),
+            "{text}: {found:?}"
+        );
     }
     // The same over what is declared to be short is accepted.
     for text in [
@@ -202,8 +358,15 @@
 
 #[test]
 fn depth_and_length_are_bounded_before_anything_recurses() {
-    let deep = |n: usize, open: &str, close: &str| format!("{}true{}", open.repeat(n), close.repeat(n));
-    for (open, close) in [("(", ")"), ("!", ""), ("[", "]"), ("has(", ")"), ("true ? true : ", "")] {
+    let deep =
+        |n: usize, open: &str, close: &str| format!("{}true{}", open.repeat(n), close.repeat(n));
+    for (open, close) in [
+        ("(", ")"),
+        ("!", ""),
+        ("[", "]"),
+        ("has(", ")"),
+        ("true ? true : ", ""),
+    ] {
         let most = usize::from(DEPTH_MAX);
         for n in [most + 1, 500] {
             let error = parse(&deep(n, open, close)).unwrap_err();
@@ -211,19 +374,38 @@
         }
     }
     // Chains grow to the left without the parser going down.
-    for (start, more) in [("a", ".b"), ("1", " + 1"), ("a", "[1]"), ("a", ".f()"), ("-", "-1")] {
+    for (start, more) in [
+        ("a", ".b"),
+        ("1", " + 1"),
+        ("a", "[1]"),
+        ("a", ".f()"),
+        ("-", "-1"),
+    ] {
         let error = parse(&(start.to_owned() + &more.repeat(1000))).unwrap_err();
         assert_eq!(error.what, "nested too deep", "{start}{more}");
     }
     // These are one level, however many there are.
-    assert_eq!(errors(&vec!["true"; 500].join(" && "), &Type::Bool, AMPLE), []);
-    assert!(parse(&" ".repeat(9000)).unwrap_err().what.contains("9000 bytes"));
+    assert_eq!(
+        errors(&vec!["true"; 500].join(" && "), &Type::Bool, AMPLE),
+        []
+    );
+    assert!(
+        parse(&" ".repeat(9000))
+            .unwrap_err()
+            .what
+            .contains("9000 bytes")
+    );
 }
 
 #[test]
 fn numbers_that_leave_their_range_and_what_is_absent_have_one_outcome() {
     let mut request = Request::random(&mut Pcg64Mcg::seed_from_u64(1));
-    (request.estimate, request.peer, request.address, request.caller) = (None, Some(u64::MAX), None, false);
+    (
+        request.estimate,
+        request.peer,
+        request.address,
+        request.caller,
+    ) = (None, Some(u64::MAX), None, false);
     request.pairs = vec![
         (b"A".to_vec(), b"\xff".to_vec()),
         (b"B".to_vec(), vec![b'b'; 49]),
@@ -264,7 +446,10 @@
         ("[0, 2].all(x, 1 / x == 1)", Ok("false")),
         ("[0, 2].filter(x, 1 / x == 1).size() == 0", Err(Fault::Zero)),
         ("has(estimate) && estimate > duration(\"1s\")", Ok("false")),
-        ("\"A\" in params && !(\"Z\" in params) && has(params.B)", Ok("true")),
+        (
+            "\"A\" in params && !(\"Z\" in params) && has(params.B)",
+            Ok("true"),
+        ),
     ];
     for (text, expected) in cases {
         let (result, ..) = value(text, &Type::Bool, &request, AMPLE);
@@ -275,17 +460,43 @@
 #[test]
 fn a_request_with_too_many_parameters_errs_only_where_they_are_walked() {
     let mut request = Request::random(&mut Pcg64Mcg::seed_from_u64(1));
-    request.pairs = (0..65).map(|i| (format!("P{i}").into_bytes(), b"v".to_vec())).collect();
-    assert_eq!(value("params.P64 == \"v\"", &Type::Bool, &request, AMPLE).0, Ok("true".into()));
+    request.pairs = (0..65)
+        .map(|i| (format!("P{i}").into_bytes(), b"v".to_vec()))
+        .collect();
+    assert_eq!(
+        value("params.P64 == \"v\"", &Type::Bool, &request, AMPLE).0,
+        Ok("true".into())
+    );
+    assert_eq!(
+        value(
+            "params.all(k, params[k] == \"v\")",
+            &Type::Bool,
+            &request,
+            AMPLE
+        )
+        .0,
+        Err(Fault::TooLong)
+    );
     assert_eq!(
-        value("params.all(k, params[k] == \"v\")", &Type::Bool, &request, AMPLE).0,
+        value("(\"Z\" + \"\") in params", &Type::Bool, &request, AMPLE).0,
         Err(Fault::TooLong)
     );
-    assert_eq!(value("(\"Z\" + \"\") in params", &Type::Bool, &request, AMPLE).0, Err(Fault::TooLong));
     request.pairs.pop();
-    assert_eq!(value("params.all(k, params[k] == \"v\")", &Type::Bool, &request, AMPLE).0, Ok("true".into()));
+    assert_eq!(
+        value(
+            "params.all(k, params[k] == \"v\")",
+            &Type::Bool,
+            &request,
+            AMPLE
+        )
+        .0,
+        Ok("true".into())
+    );
     request.pairs[0] = (b"\xff".to_vec(), b"v".to_vec());
-    assert_eq!(value("params.size() == 64", &Type::Bool, &request, AMPLE).0, Err(Fault::NoText));
+    assert_eq!(
+        value("params.size() == 64", &Type::Bool, &request, AMPLE).0,
+        Err(Fault::NoText)
+    );
 }
 
 #[test]
@@ -316,7 +527,13 @@
                 1 => text.insert(at, rng.random()),
                 2 => text.truncate(at),
                 _ => text
-                    .splice(at..at, b"([{\"'\\.!-"[rng.random_range(0..9)..].iter().copied().take(2))
+                    .splice(
+                        at..at,
+                        b"([{\"'\\.!-"[rng.random_range(0..9)..]
+                            .iter()
+                            .copied()
+                            .take(2),
+                    )
                     .for_each(drop),
             }
         }
@@ -326,11 +543,21 @@
             if let Ok(typed) = compiler.compile(&expr, &Type::Bool, cost::LIMIT) {
                 compiled += 1;
                 let request = Request::random(&mut rng);
-                let pairs = request.pairs.iter().map(|(n, v)| (n.as_slice(), v.as_slice()));
-                let facts = Facts { params: compiler.names.pick(pairs), ..request.bare() };
+                let pairs = request
+                    .pairs
+                    .iter()
+                    .map(|(n, v)| (n.as_slice(), v.as_slice()));
+                let facts = Facts {
+                    params: compiler.names.pick(pairs),
+                    ..request.bare()
+                };
                 let arena = Bump::new();
                 let result = Eval::new(&facts, &arena, typed.worst).holds(&typed.node, typed.worst);
-                assert_ne!(result, Err(Fault::Cost), "{text} costs more than its worst case");
+                assert_ne!(
+                    result,
+                    Err(Fault::Cost),
+                    "{text} costs more than its worst case"
+                );
             }
         }
     }
--- a/crates/rules/tests/sets.rs
+++ b/crates/rules/tests/sets.rs
@@ -1,9 +1,11 @@
-//! Sets of rules: what they give, what is refused when they are loaded, and the index against the plain scan.
+//! Sets of rules: what they give, what is refused when they are loaded, and the index against the
+//! plain scan.
 
 mod support;
 
 use madderpoint_rules::{
-    AddressSet, Bounds, Facts, Fault, Field, Path, RuleSet, Scratch, Verdict, Written, address::network,
+    AddressSet, Bounds, Facts, Fault, Field, Path, RuleSet, Scratch, Verdict, Written,
+    address::network,
 };
 use rand::RngExt;
 use rand::SeedableRng;
@@ -13,20 +15,35 @@
 use support::{Kind, NETWORKS, Request, expression, words};
 
 fn rule(name: &str, when: &str) -> Written {
-    Written { name: name.into(), when: when.into(), ..Written::default() }
+    Written {
+        name: name.into(),
+        when: when.into(),
+        ..Written::default()
+    }
 }
 
-const AMPLE: Bounds = Bounds { cost: 1 << 40, bytes: 64 << 20 };
+const AMPLE: Bounds = Bounds {
+    cost: 1 << 40,
+    bytes: 64 << 20,
+};
 
 /// A condition that the index files under something more often than not.
 fn condition(rng: &mut Pcg64Mcg) -> String {
     let anchor = match rng.random_range(0..10) {
-        0 => format!("tenant == {:?}", ["yildiz", "kuzey", "ege"].choose(rng).unwrap()),
+        0 => format!(
+            "tenant == {:?}",
+            ["yildiz", "kuzey", "ege"].choose(rng).unwrap()
+        ),
         1 => "operation in [\"gun-yaz\"]".into(),
         2 => format!("params.A == {:?}", ["ankara", "a", ""].choose(rng).unwrap()),
         3 => format!("{:?} == params.C", ["12", "a/b/c"].choose(rng).unwrap()),
         4 => {
-            format!("script.startsWith({:?})", ["/", "/old/", "/old/yaz/", "/call", ""].choose(rng).unwrap())
+            format!(
+                "script.startsWith({:?})",
+                ["/", "/old/", "/old/yaz/", "/call", ""]
+                    .choose(rng)
+                    .unwrap()
+            )
         }
         5 => format!(
             "caller.address in net({:?}, {:?})",
@@ -35,7 +52,10 @@
         ),
         6 => "caller.address in offices".into(),
         7 => "params.A in [\"ankara\", \"izmir-12\", \"ANKARA\"]".into(),
-        8 => format!("params.B.startsWith({:?})", ["a", "an", "ankara", "i"].choose(rng).unwrap()),
+        8 => format!(
+            "params.B.startsWith({:?})",
+            ["a", "an", "ankara", "i"].choose(rng).unwrap()
+        ),
         _ => expression(rng, Kind::Bool, 2, &[]),
     };
     match rng.random_range(0..4) {
@@ -86,13 +106,21 @@
                 "what is left out does not match"
             );
             let (last, before) = why.split_last().unwrap();
-            assert!(before.iter().all(|w| w.failed.is_some() && w.result != Ok(true)));
+            assert!(
+                before
+                    .iter()
+                    .all(|w| w.failed.is_some() && w.result != Ok(true))
+            );
             assert_eq!(last.failed.is_none(), last.result == Ok(true));
-            // A rule whose condition holds may still err in what it gives: then the match comes later.
+            // A rule whose condition holds may still err in what it gives: then the match comes
+            // later.
             assert!(scan.is_none_or(|(place, _)| last.place <= place));
         }
     }
-    assert!(matched > 3_000 && left_out > asked, "{matched} matched, {asked} asked, {left_out} left out");
+    assert!(
+        matched > 3_000 && left_out > asked,
+        "{matched} matched, {asked} asked, {left_out} left out"
+    );
 }
 
 #[test]
@@ -105,33 +133,60 @@
     one.facts = vec![("site".into(), "script.part(\"/\", 3)".into())];
     one.buckets = vec![("by-tenant".into(), "tenant".into())];
     let mut two = rule("stop", "true");
-    two.verdict = Some(Verdict::Throttle { pause: 5, reason: "later".into() });
+    two.verdict = Some(Verdict::Throttle {
+        pause: 5,
+        reason: "later".into(),
+    });
     let buckets = ["other".to_owned(), "by-tenant".to_owned()];
     let rules = RuleSet::load(&[one, two], &words(), &buckets, Bounds::default()).unwrap();
-    let mut facts =
-        Facts { script: "/old/yaz/ankara-1", tenant: Some("ege"), peer: Some(9), ..Facts::default() };
+    let mut facts = Facts {
+        script: "/old/yaz/ankara-1",
+        tenant: Some("ege"),
+        peer: Some(9),
+        ..Facts::default()
+    };
     let mut scratch = Scratch::new(3);
     scratch.shows_keys = true;
     let decision = rules.decide(&facts, &mut scratch, Path::Index);
     let given = decision.given.unwrap();
-    assert_eq!((given.place, given.rule.operation, given.rank), (0, Some(0), Some(0.9)));
+    assert_eq!(
+        (given.place, given.rule.operation, given.rank),
+        (0, Some(0), Some(0.9))
+    );
     assert_eq!(given.key_text.as_deref(), Some("ege/ankara-1"));
     assert_eq!(
         (given.facts, given.bucket_texts),
-        (vec![("site", "ankara-1".to_owned())], vec!["ege".to_owned()])
+        (
+            vec![("site", "ankara-1".to_owned())],
+            vec!["ege".to_owned()]
+        )
     );
     assert_eq!((given.buckets.len(), given.buckets[0].0), (1, 1));
-    assert_eq!(rules.classes()[usize::from(given.rule.class.unwrap())], "urgent");
+    assert_eq!(
+        rules.classes()[usize::from(given.rule.class.unwrap())],
+        "urgent"
+    );
     let key = given.key;
     // Like keys have like numbers, others have others, and another node has quite others.
-    let same = rules.decide(&facts, &mut Scratch::new(3), Path::Index).given.unwrap().key;
-    let elsewhere = rules.decide(&facts, &mut Scratch::new(4), Path::Index).given.unwrap().key;
+    let same = rules
+        .decide(&facts, &mut Scratch::new(3), Path::Index)
+        .given
+        .unwrap()
+        .key;
+    let elsewhere = rules
+        .decide(&facts, &mut Scratch::new(4), Path::Index)
+        .given
+        .unwrap()
+        .key;
     assert!(key == same && key != elsewhere);
     // A rule that errs where it gives does not match, and the next one is asked.
     facts.script = "/old/yaz/";
     facts.peer = None;
     let decision = rules.decide(&facts, &mut Scratch::new(3), Path::Index);
-    assert_eq!((decision.given.unwrap().place, decision.faults[0]), (1, (0, Fault::Absent)));
+    assert_eq!(
+        (decision.given.unwrap().place, decision.faults[0]),
+        (1, (0, Fault::Absent))
+    );
 }
 
 #[test]
@@ -140,12 +195,22 @@
     bad.operation = Some("gun-sil".into());
     bad.key = Some("peer".into());
     bad.rank = Some("2".into());
-    bad.facts = vec![("ok".into(), "tenant".into()), ("bad".into(), "estimate".into())];
+    bad.facts = vec![
+        ("ok".into(), "tenant".into()),
+        ("bad".into(), "estimate".into()),
+    ];
     bad.buckets = vec![("none".into(), "tenant".into())];
-    let problems =
-        RuleSet::load(&[rule("ok", "true"), bad, rule("c", "1 +")], &words(), &[], Bounds::default());
+    let problems = RuleSet::load(
+        &[rule("ok", "true"), bad, rule("c", "1 +")],
+        &words(),
+        &[],
+        Bounds::default(),
+    );
     let problems = problems.map(|_| ()).unwrap_err();
-    let places: Vec<_> = problems.iter().map(|p| (p.rule.unwrap(), p.field)).collect();
+    let places: Vec<_> = problems
+        .iter()
+        .map(|p| (p.rule.unwrap(), p.field))
+        .collect();
     let expected = [
         (1, Field::Operation),
         (1, Field::When),
@@ -161,12 +226,28 @@
 #[test]
 fn a_set_that_takes_too_much_memory_is_refused_with_the_reason() {
     let many: Vec<_> = (0..10_000)
-        .map(|i| rule("r", &format!("params.A == \"{i}\" && caller.address in offices")))
+        .map(|i| {
+            rule(
+                "r",
+                &format!("params.A == \"{i}\" && caller.address in offices"),
+            )
+        })
         .collect();
-    let small = Bounds { bytes: 1 << 20, ..Bounds::default() };
-    let problems = RuleSet::load(&many, &words(), &[], small).map(|_| ()).unwrap_err();
-    assert!(problems[0].error.what.starts_with("the rules take about"), "{problems:?}");
-    assert!(problems[0].error.expected.contains("1024 KiB"), "{problems:?}");
+    let small = Bounds {
+        bytes: 1 << 20,
+        ..Bounds::default()
+    };
+    let problems = RuleSet::load(&many, &words(), &[], small)
+        .map(|_| ())
+        .unwrap_err();
+    assert!(
+        problems[0].error.what.starts_with("the rules take about"),
+        "{problems:?}"
+    );
+    assert!(
+        problems[0].error.expected.contains("1024 KiB"),
+        "{problems:?}"
+    );
     let rules = RuleSet::load(&many, &words(), &[], Bounds::default()).unwrap();
     assert!(rules.bytes() < 8 << 20, "{}", rules.bytes());
     let too_many = vec![rule("r", "true"); 20_001];
@@ -176,17 +257,41 @@
 #[test]
 fn a_hundred_thousand_addresses_fit_and_are_found() {
     let mut words = words();
-    let nets = (0..100_000u32)
-        .map(|i| network(&format!("{}.{}.{}.1", 11 + i / 50_000, i / 256 % 256, i % 256)).unwrap());
+    let nets = (0..100_000u32).map(|i| {
+        network(&format!(
+            "{}.{}.{}.1",
+            11 + i / 50_000,
+            i / 256 % 256,
+            i % 256
+        ))
+        .unwrap()
+    });
     let set = AddressSet::new(nets);
-    assert!(set.len() > 90_000 && set.bytes() < 2 << 20, "{} networks, {} bytes", set.len(), set.bytes());
+    assert!(
+        set.len() > 90_000 && set.bytes() < 2 << 20,
+        "{} networks, {} bytes",
+        set.len(),
+        set.bytes()
+    );
     words.sets.insert("many".into(), Arc::new(set));
-    let rules =
-        RuleSet::load(&[rule("a", "caller.address in many")], &words, &[], Bounds::default()).unwrap();
+    let rules = RuleSet::load(
+        &[rule("a", "caller.address in many")],
+        &words,
+        &[],
+        Bounds::default(),
+    )
+    .unwrap();
     for (address, is_in) in [("11.0.7.1", true), ("11.0.7.2", false), ("10.1.2.3", false)] {
-        let facts = Facts { address: Some(address.parse().unwrap()), ..Facts::default() };
+        let facts = Facts {
+            address: Some(address.parse().unwrap()),
+            ..Facts::default()
+        };
         let decision = rules.decide(&facts, &mut Scratch::new(1), Path::Index);
-        assert_eq!((decision.given.is_some(), decision.asked), (is_in, usize::from(is_in)), "{address}");
+        assert_eq!(
+            (decision.given.is_some(), decision.asked),
+            (is_in, usize::from(is_in)),
+            "{address}"
+        );
     }
 }
 
@@ -195,13 +300,28 @@
     let dear = "params.X.matches(\"(ab|cd)+e\") && params.X.contains(\"nowhere\")";
     let dear = format!("!({dear}) && false || {dear}");
     let rules = vec![rule("dear", &dear); 50];
-    let rules = RuleSet::load(&rules, &words(), &[], Bounds { cost: 50_000, ..Bounds::default() }).unwrap();
+    let rules = RuleSet::load(
+        &rules,
+        &words(),
+        &[],
+        Bounds {
+            cost: 50_000,
+            ..Bounds::default()
+        },
+    )
+    .unwrap();
     assert!(rules.worst() > rules.request_limit());
     let long = "abcd".repeat(1000);
     let pairs = [(b"X".as_slice(), long.as_bytes())];
-    let facts = Facts { params: rules.pick(pairs.into_iter()), ..Facts::default() };
+    let facts = Facts {
+        params: rules.pick(pairs.into_iter()),
+        ..Facts::default()
+    };
     let decision = rules.decide(&facts, &mut Scratch::new(1), Path::Index);
-    assert!(decision.exhausted && decision.given.is_none() && decision.asked < 50, "{decision:?}");
+    assert!(
+        decision.exhausted && decision.given.is_none() && decision.asked < 50,
+        "{decision:?}"
+    );
     assert_eq!(decision.faults.last().unwrap().1, Fault::Cost);
     assert!(decision.cost <= rules.request_limit());
 }
@@ -216,17 +336,28 @@
     for _ in 0..2000 {
         let request = Request::random(&mut rng);
         rules.decide(&request.facts(&rules), &mut scratch, Path::Index);
-        assert_eq!(scratch.bytes(), before, "what a usual rule builds fits what is there");
+        assert_eq!(
+            scratch.bytes(),
+            before,
+            "what a usual rule builds fits what is there"
+        );
     }
-    // A rule that builds as much as its limit lets it: the arena grows once, and not with each request.
+    // A rule that builds as much as its limit lets it: the arena grows once, and not with each
+    // request.
     let big = "(params.W + params.W).split(\"\").map(x, x + x).size() > 900000";
-    let costly = Bounds { cost: 100_000, ..Bounds::default() };
+    let costly = Bounds {
+        cost: 100_000,
+        ..Bounds::default()
+    };
     let mut words = words();
     words.params.insert("W".into(), 150);
     let rules = RuleSet::load(&[rule("a", big)], &words, &[], costly).unwrap();
     let long = "w".repeat(150);
     let pairs = [(b"W".as_slice(), long.as_bytes())];
-    let facts = Facts { params: rules.pick(pairs.into_iter()), ..Facts::default() };
+    let facts = Facts {
+        params: rules.pick(pairs.into_iter()),
+        ..Facts::default()
+    };
     for _ in 0..100 {
         rules.decide(&facts, &mut scratch, Path::Index);
     }
--- a/crates/rules/tests/support/mod.rs
+++ b/crates/rules/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests share: words, random requests, random well-typed expressions, and a slow, obvious evaluator.
+//! What the tests share: words, random requests, random well-typed expressions, and a slow, obvious
+//! evaluator.
 #![allow(dead_code)]
 
 pub mod reference;
@@ -10,10 +11,22 @@
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
 
-pub const NETWORKS: [&str; 5] =
-    ["10.0.0.0/8", "10.1.0.0/16", "192.168.7.0/24", "2001:db8::/32", "172.16.0.1"];
-pub const ADDRESSES: [&str; 7] =
-    ["10.1.2.3", "10.200.0.1", "192.168.7.9", "2001:db8::5", "::ffff:10.1.2.3", "172.16.0.1", "8.8.8.8"];
+pub const NETWORKS: [&str; 5] = [
+    "10.0.0.0/8",
+    "10.1.0.0/16",
+    "192.168.7.0/24",
+    "2001:db8::/32",
+    "172.16.0.1",
+];
+pub const ADDRESSES: [&str; 7] = [
+    "10.1.2.3",
+    "10.200.0.1",
+    "192.168.7.9",
+    "2001:db8::5",
+    "::ffff:10.1.2.3",
+    "172.16.0.1",
+    "8.8.8.8",
+];
 
 pub fn words() -> Vocabulary {
     let mut words = Vocabulary {
@@ -26,7 +39,10 @@
     }
     let offices = AddressSet::new(NETWORKS[..3].iter().map(|n| network(n).unwrap()));
     words.sets.insert("offices".into(), Arc::new(offices));
-    words.lists.insert("pilots".into(), ["ankara", "izmir", ""].map(String::from).to_vec());
+    words.lists.insert(
+        "pilots".into(),
+        ["ankara", "izmir", ""].map(String::from).to_vec(),
+    );
     words
 }
 
@@ -99,12 +115,18 @@
 
     pub fn facts<'a>(&'a self, rules: &RuleSet) -> Facts<'a> {
         let pairs = self.pairs.iter().map(|(n, v)| (n.as_slice(), v.as_slice()));
-        Facts { params: rules.pick(pairs), ..self.bare() }
+        Facts {
+            params: rules.pick(pairs),
+            ..self.bare()
+        }
     }
 
     pub fn bare(&self) -> Facts<'_> {
-        let caller =
-            Caller { id: "spiffe://saha.example/site/7", trust_domain: "saha.example", path: "/site/7" };
+        let caller = Caller {
+            id: "spiffe://saha.example/site/7",
+            trust_domain: "saha.example",
+            path: "/site/7",
+        };
         Facts {
             operation: self.operation,
             tenant: self.tenant,
@@ -163,19 +185,27 @@
     }
     if leaf {
         return match kind {
-            Kind::Bool => {
-                ["true", "false", "has(estimate)", "has(params.A)", "(\"B\" in params)", "has(caller.id)"]
-                    .choose(rng)
-                    .unwrap()
-                    .to_string()
-            }
+            Kind::Bool => [
+                "true",
+                "false",
+                "has(estimate)",
+                "has(params.A)",
+                "(\"B\" in params)",
+                "has(caller.id)",
+            ]
+            .choose(rng)
+            .unwrap()
+            .to_string(),
             Kind::Int => match rng.random_range(0..5) {
                 0 => "peer".into(),
                 1 => i64::MAX.to_string(),
                 2 => i64::MIN.to_string(),
                 _ => rng.random_range(-9..10i64).to_string(),
             },
-            Kind::Float => ["rank", "need", "0.0", "1.5", "-2.25", "1e300"].choose(rng).unwrap().to_string(),
+            Kind::Float => ["rank", "need", "0.0", "1.5", "-2.25", "1e300"]
+                .choose(rng)
+                .unwrap()
+                .to_string(),
             Kind::Text => match locals.last() {
                 Some(local) if rng.random_range(0..2) == 0 => local.to_string(),
                 _ => match rng.random_range(0..10) {
@@ -189,21 +219,35 @@
                     _ => format!("{:?}", TEXTS.choose(rng).unwrap()),
                 },
             },
-            Kind::Bytes => ["body", "b\"body\"", "b\"\\xff\""].choose(rng).unwrap().to_string(),
-            Kind::Span => {
-                ["estimate", "duration(\"250ms\")", "duration(\"-1h\")"].choose(rng).unwrap().to_string()
-            }
-            Kind::Time => ["arrived", "timestamp(\"2026-12-01T08:30:00Z\")"].choose(rng).unwrap().to_string(),
+            Kind::Bytes => ["body", "b\"body\"", "b\"\\xff\""]
+                .choose(rng)
+                .unwrap()
+                .to_string(),
+            Kind::Span => ["estimate", "duration(\"250ms\")", "duration(\"-1h\")"]
+                .choose(rng)
+                .unwrap()
+                .to_string(),
+            Kind::Time => ["arrived", "timestamp(\"2026-12-01T08:30:00Z\")"]
+                .choose(rng)
+                .unwrap()
+                .to_string(),
             Kind::Address => match rng.random_range(0..3) {
                 0 => "caller.address".into(),
                 _ => format!("ip({:?})", ADDRESSES.choose(rng).unwrap()),
             },
-            Kind::Texts => ["pilots", "[\"ankara\", params.A]", "[\"x\"]"].choose(rng).unwrap().to_string(),
+            Kind::Texts => ["pilots", "[\"ankara\", params.A]", "[\"x\"]"]
+                .choose(rng)
+                .unwrap()
+                .to_string(),
             Kind::Ints => "[1, 2, 3]".into(),
         };
     }
     if rng.random_range(0..8) == 0 {
-        let (c, a, b) = (e!(Bool), expression(rng, kind, d, locals), expression(rng, kind, d, locals));
+        let (c, a, b) = (
+            e!(Bool),
+            expression(rng, kind, d, locals),
+            expression(rng, kind, d, locals),
+        );
         return format!("({c} ? {a} : {b})");
     }
     match kind {
@@ -213,25 +257,55 @@
             3 | 4 => format!("({} || {})", e!(Bool), e!(Bool)),
             5 => {
                 let op = ["==", "!=", "<", "<=", ">", ">="].choose(rng).unwrap();
-                let kinds =
-                    [Kind::Bool, Kind::Int, Kind::Float, Kind::Text, Kind::Bytes, Kind::Span, Kind::Time];
+                let kinds = [
+                    Kind::Bool,
+                    Kind::Int,
+                    Kind::Float,
+                    Kind::Text,
+                    Kind::Bytes,
+                    Kind::Span,
+                    Kind::Time,
+                ];
                 let of = *kinds.choose(rng).unwrap();
-                // A literal operation or tenant must be known, so that names are not compared with literals here.
-                let (a, b) = (expression(rng, of, d, locals), expression(rng, of, d, locals));
+                // A literal operation or tenant must be known, so that names are not compared with
+                // literals here.
+                let (a, b) = (
+                    expression(rng, of, d, locals),
+                    expression(rng, of, d, locals),
+                );
                 let plain = |text: &str| {
-                    if of == Kind::Text { format!("({text} + \"\")") } else { format!("({text})") }
+                    if of == Kind::Text {
+                        format!("({text} + \"\")")
+                    } else {
+                        format!("({text})")
+                    }
                 };
                 format!("({} {op} {})", plain(&a), plain(&b))
             }
             6 => {
-                let of = *[Kind::Address, Kind::Texts, Kind::Ints].choose(rng).unwrap();
-                let (a, b) = (expression(rng, of, d, locals), expression(rng, of, d, locals));
-                format!("({a} {} {b})", if rng.random_range(0..2) == 0 { "==" } else { "!=" })
+                let of = *[Kind::Address, Kind::Texts, Kind::Ints]
+                    .choose(rng)
+                    .unwrap();
+                let (a, b) = (
+                    expression(rng, of, d, locals),
+                    expression(rng, of, d, locals),
+                );
+                format!(
+                    "({a} {} {b})",
+                    if rng.random_range(0..2) == 0 {
+                        "=="
+                    } else {
+                        "!="
+                    }
+                )
             }
             7 => format!("(({} + \"\") in {})", e!(Text), e!(Texts)),
             8 => format!("({} in {})", e!(Int), e!(Ints)),
             9 => format!("({} in offices)", e!(Address)),
-            10 => format!("({} in net(\"10.1.0.0/16\", \"2001:db8::/32\"))", e!(Address)),
+            10 => format!(
+                "({} in net(\"10.1.0.0/16\", \"2001:db8::/32\"))",
+                e!(Address)
+            ),
             11 => {
                 let method = ["startsWith", "endsWith", "contains"].choose(rng).unwrap();
                 format!("({}).{method}({})", e!(Text), e!(Text))
@@ -254,7 +328,14 @@
             }
             5 => format!("size({})", e!(Text)),
             6 => format!("({}).size()", e!(Texts)),
-            7 => format!("int({})", if rng.random_range(0..2) == 0 { e!(Text) } else { e!(Float) }),
+            7 => format!(
+                "int({})",
+                if rng.random_range(0..2) == 0 {
+                    e!(Text)
+                } else {
+                    e!(Float)
+                }
+            ),
             8 => format!("hash({}, 100)", e!(Text)),
             _ => match rng.random_range(0..4) {
                 0 => format!("({}).getHours()", e!(Time)),
@@ -274,16 +355,37 @@
         Kind::Text => match rng.random_range(0..10) {
             0 | 1 => format!("({} + {})", e!(Text), e!(Text)),
             2 => format!("({}).substring({})", e!(Text), rng.random_range(0..4)),
-            3 => format!("({}).substring({}, {})", e!(Text), rng.random_range(0..3), rng.random_range(0..5)),
+            3 => format!(
+                "({}).substring({}, {})",
+                e!(Text),
+                rng.random_range(0..3),
+                rng.random_range(0..5)
+            ),
             4 => format!("({}).part(\"/\", {})", e!(Text), rng.random_range(0..3)),
-            5 => format!("({}).{}({})", e!(Text), ["before", "after"].choose(rng).unwrap(), e!(Text)),
-            6 => format!("({}).{}()", e!(Text), ["lowerAscii", "upperAscii", "trim"].choose(rng).unwrap()),
+            5 => format!(
+                "({}).{}({})",
+                e!(Text),
+                ["before", "after"].choose(rng).unwrap(),
+                e!(Text)
+            ),
+            6 => format!(
+                "({}).{}()",
+                e!(Text),
+                ["lowerAscii", "upperAscii", "trim"].choose(rng).unwrap()
+            ),
             7 => format!("({})[{}]", e!(Texts), rng.random_range(0..3)),
             8 => {
-                let of =
-                    *[Kind::Int, Kind::Float, Kind::Bool, Kind::Bytes, Kind::Span, Kind::Time, Kind::Address]
-                        .choose(rng)
-                        .unwrap();
+                let of = *[
+                    Kind::Int,
+                    Kind::Float,
+                    Kind::Bool,
+                    Kind::Bytes,
+                    Kind::Span,
+                    Kind::Time,
+                    Kind::Address,
+                ]
+                .choose(rng)
+                .unwrap();
                 format!("string({})", expression(rng, of, d, locals))
             }
             _ => format!("params[{}]", e!(Text)),
@@ -312,9 +414,15 @@
                 let inner: Vec<&str> = locals.iter().copied().chain([name]).collect();
                 let list = e!(Texts);
                 if rng.random_range(0..2) == 0 {
-                    format!("({list}).filter({name}, {})", expression(rng, Kind::Bool, d.min(2), &inner))
+                    format!(
+                        "({list}).filter({name}, {})",
+                        expression(rng, Kind::Bool, d.min(2), &inner)
+                    )
                 } else {
-                    format!("({list}).map({name}, {})", expression(rng, Kind::Text, d.min(2), &inner))
+                    format!(
+                        "({list}).map({name}, {})",
+                        expression(rng, Kind::Text, d.min(2), &inner)
+                    )
                 }
             }
             _ => format!("[{}]", e!(Text)),
--- a/crates/rules/tests/support/reference.rs
+++ b/crates/rules/tests/support/reference.rs
@@ -1,5 +1,5 @@
-//! The language once more, slow and obvious: a walk over the tree as it was read, with values of its own, no types
-//! checked before, no costs, and the library's plainest means for each function.
+//! The language once more, slow and obvious: a walk over the tree as it was read, with values of
+//! its own, no types checked before, no costs, and the library's plainest means for each function.
 
 use super::{NETWORKS, Request, words};
 use ipnet::IpNet;
@@ -74,10 +74,16 @@
 
 impl Reference<'_> {
     fn param(&self, name: &str) -> Result<String, Fault> {
-        let found = self.request.pairs.iter().rev().find(|(n, _)| n == name.as_bytes());
+        let found = self
+            .request
+            .pairs
+            .iter()
+            .rev()
+            .find(|(n, _)| n == name.as_bytes());
         let (_, value) = found.ok_or(Fault::Absent)?;
         let most = words().params.get(name).copied();
-        // A declared length binds where the name is written out; a computed name is bound by the protocol alone.
+        // A declared length binds where the name is written out; a computed name is bound by the
+        // protocol alone.
         if most.is_some_and(|most| value.len() > most) {
             return Err(Fault::TooLong);
         }
@@ -85,14 +91,25 @@
     }
 
     fn computed(&self, name: &str) -> Result<String, Fault> {
-        let found = self.request.pairs.iter().rev().find(|(n, _)| n == name.as_bytes());
+        let found = self
+            .request
+            .pairs
+            .iter()
+            .rev()
+            .find(|(n, _)| n == name.as_bytes());
         String::from_utf8(found.ok_or(Fault::Absent)?.1.clone()).map_err(|_| Fault::NoText)
     }
 
     fn fact(&self, name: &str) -> Option<Res> {
         let r = self.request;
         let text = |t: Option<&str>| t.map(|t| Text(t.to_owned())).ok_or(Fault::Absent);
-        let caller = |t: &str| if r.caller { Ok(Text(t.to_owned())) } else { Err(Fault::Absent) };
+        let caller = |t: &str| {
+            if r.caller {
+                Ok(Text(t.to_owned()))
+            } else {
+                Err(Fault::Absent)
+            }
+        };
         Some(match name {
             "operation" => text(r.operation),
             "tenant" => text(r.tenant),
@@ -105,9 +122,10 @@
             "peer" => r.peer.map(|p| Int(p as i64)).ok_or(Fault::Absent),
             "arrived" => Ok(Time(r.arrived)),
             "body" => Ok(Bytes(r.body.clone())),
-            "caller.address" => {
-                r.address.map(|a| Ip(a.parse::<IpAddr>().unwrap().to_canonical())).ok_or(Fault::Absent)
-            }
+            "caller.address" => r
+                .address
+                .map(|a| Ip(a.parse::<IpAddr>().unwrap().to_canonical()))
+                .ok_or(Fault::Absent),
             "caller.id" => caller("spiffe://saha.example/site/7"),
             "caller.trust_domain" => caller("saha.example"),
             "caller.path" => caller("/site/7"),
@@ -125,8 +143,12 @@
             Kind::Name(name) => match self.locals.iter().rev().find(|(n, _)| n == name) {
                 Some((_, v)) => v.clone(),
                 None if name == "params" => Params,
-                None if name == "offices" => Nets(NETWORKS[..3].iter().map(|n| n.parse().unwrap()).collect()),
-                None if name == "pilots" => List(words().lists["pilots"].iter().cloned().map(Text).collect()),
+                None if name == "offices" => {
+                    Nets(NETWORKS[..3].iter().map(|n| n.parse().unwrap()).collect())
+                }
+                None if name == "pilots" => {
+                    List(words().lists["pilots"].iter().cloned().map(Text).collect())
+                }
                 None => return self.fact(name).expect("a known name"),
             },
             Kind::Select(of, field) => match &of.kind {
@@ -139,12 +161,18 @@
                     Kind::Text(_) => Text(self.param(&name)?),
                     _ => Text(self.computed(&name)?),
                 },
-                (List(items), Int(at)) => {
-                    usize::try_from(at).ok().and_then(|at| items.get(at).cloned()).ok_or(Fault::Range)?
-                }
+                (List(items), Int(at)) => usize::try_from(at)
+                    .ok()
+                    .and_then(|at| items.get(at).cloned())
+                    .ok_or(Fault::Range)?,
                 _ => panic!("no index"),
             },
-            Kind::List(items) => List(items.iter().map(|i| self.eval(i)).collect::<Result<_, _>>()?),
+            Kind::List(items) => List(
+                items
+                    .iter()
+                    .map(|i| self.eval(i))
+                    .collect::<Result<_, _>>()?,
+            ),
             Kind::Not(of) => Bool(!self.truth(of)?),
             Kind::Minus(of) => match self.eval(of)? {
                 Int(v) => Int(within(-i128::from(v))?),
@@ -154,7 +182,13 @@
             },
             Kind::And(all) => return self.joined(all, false),
             Kind::Or(all) => return self.joined(all, true),
-            Kind::If(c, a, b) => return if self.truth(c)? { self.eval(a) } else { self.eval(b) },
+            Kind::If(c, a, b) => {
+                return if self.truth(c)? {
+                    self.eval(a)
+                } else {
+                    self.eval(b)
+                };
+            }
             Kind::Binary(op, a, b) => {
                 let (a, b) = (self.eval(a)?, self.eval(b)?);
                 return self.binary(*op, a, b);
@@ -176,7 +210,11 @@
         if results.contains(&Ok(decides)) {
             return Ok(Bool(decides));
         }
-        results.into_iter().find(|r| r.is_err()).unwrap_or(Ok(!decides)).map(Bool)
+        results
+            .into_iter()
+            .find(|r| r.is_err())
+            .unwrap_or(Ok(!decides))
+            .map(Bool)
     }
 
     fn binary(&mut self, op: Binary, a: Val, b: Val) -> Res {
@@ -186,11 +224,22 @@
             (Equal, a, b) => Bool(same(&a, &b)),
             (Differs, a, b) => Bool(!same(&a, &b)),
             (Less, a, b) => Bool(order(&a, &b) == Some(Ordering::Less)),
-            (AtMost, a, b) => Bool(matches!(order(&a, &b), Some(Ordering::Less | Ordering::Equal))),
+            (AtMost, a, b) => Bool(matches!(
+                order(&a, &b),
+                Some(Ordering::Less | Ordering::Equal)
+            )),
             (More, a, b) => Bool(order(&a, &b) == Some(Ordering::Greater)),
-            (AtLeast, a, b) => Bool(matches!(order(&a, &b), Some(Ordering::Greater | Ordering::Equal))),
+            (AtLeast, a, b) => Bool(matches!(
+                order(&a, &b),
+                Some(Ordering::Greater | Ordering::Equal)
+            )),
             (In, Ip(ip), Nets(nets)) => Bool(nets.iter().any(|n| n.contains(&ip))),
-            (In, Text(name), Params) => Bool(self.request.pairs.iter().any(|(n, _)| *n == name.as_bytes())),
+            (In, Text(name), Params) => Bool(
+                self.request
+                    .pairs
+                    .iter()
+                    .any(|(n, _)| *n == name.as_bytes()),
+            ),
             (In, v, List(items)) => Bool(items.iter().any(|i| same(i, &v))),
             (Add, Int(a), Int(b)) => Int(within(wide(a) + wide(b))?),
             (Sub, Int(a), Int(b)) => Int(within(wide(a) - wide(b))?),
@@ -218,9 +267,11 @@
         if name == "has" {
             return Ok(Bool(match &args[0].kind {
                 Kind::Select(of, field) => match &of.kind {
-                    Kind::Name(n) if n == "params" => {
-                        self.request.pairs.iter().any(|(n, _)| n == field.as_bytes())
-                    }
+                    Kind::Name(n) if n == "params" => self
+                        .request
+                        .pairs
+                        .iter()
+                        .any(|(n, _)| n == field.as_bytes()),
                     Kind::Name(n) => self.fact(&format!("{n}.{field}")).unwrap().is_ok(),
                     _ => panic!(),
                 },
@@ -228,27 +279,47 @@
                 _ => panic!(),
             }));
         }
-        let args = args.iter().map(|a| self.eval(a)).collect::<Result<Vec<_>, _>>()?;
+        let args = args
+            .iter()
+            .map(|a| self.eval(a))
+            .collect::<Result<Vec<_>, _>>()?;
         Ok(match (name, args.as_slice()) {
             ("net", nets) => Nets(
-                nets.iter().map(|n| if let Text(t) = n { t.parse().unwrap() } else { panic!() }).collect(),
+                nets.iter()
+                    .map(|n| {
+                        if let Text(t) = n {
+                            t.parse().unwrap()
+                        } else {
+                            panic!()
+                        }
+                    })
+                    .collect(),
             ),
             ("size", [Text(t)]) => Int(t.chars().count() as i64),
             ("size", [List(l)]) => Int(l.len() as i64),
             ("int", [Text(t)]) => Int(t.parse().map_err(|_| Fault::NoValue)?),
-            ("int", [Float(v)]) if v.is_nan() || v.abs() >= 2f64.powi(63) && *v != -(2f64.powi(63)) => {
+            ("int", [Float(v)])
+                if v.is_nan() || v.abs() >= 2f64.powi(63) && *v != -(2f64.powi(63)) =>
+            {
                 return Err(Fault::Overflow);
             }
             ("int", [Float(v)]) => Int(v.trunc() as i64),
             ("double", [Text(t)]) => Float(t.parse().map_err(|_| Fault::NoValue)?),
             ("double", [Int(v)]) => Float(*v as f64),
-            ("hash", [Text(t), Int(n)]) => Int((madderpoint_rules::eval::stable_hash(t) % *n as u64) as i64),
-            ("string", [Bytes(b)]) => Text(String::from_utf8(b.clone()).map_err(|_| Fault::NoText)?),
+            ("hash", [Text(t), Int(n)]) => {
+                Int((madderpoint_rules::eval::stable_hash(t) % *n as u64) as i64)
+            }
+            ("string", [Bytes(b)]) => {
+                Text(String::from_utf8(b.clone()).map_err(|_| Fault::NoText)?)
+            }
             ("string", [v]) => Text(show(v)),
             ("bytes", [Text(t)]) => Bytes(t.clone().into_bytes()),
             ("duration", [Text(t)]) => Span(time::span(t).ok_or(Fault::NoValue)?),
             ("timestamp", [Text(t)]) => Time(time::time(t).ok_or(Fault::NoValue)?),
-            ("ip", [Text(t)]) => Ip(t.parse::<IpAddr>().map_err(|_| Fault::NoValue)?.to_canonical()),
+            ("ip", [Text(t)]) => Ip(t
+                .parse::<IpAddr>()
+                .map_err(|_| Fault::NoValue)?
+                .to_canonical()),
             (name, args) => panic!("{name}({args:?})"),
         })
     }
@@ -256,7 +327,9 @@
     fn method(&mut self, of: &Expr, name: &str, args: &[Expr]) -> Res {
         let of = self.eval(of)?;
         if let ("all" | "exists" | "map" | "filter", List(items)) = (name, &of) {
-            let Kind::Name(local) = &args[0].kind else { panic!() };
+            let Kind::Name(local) = &args[0].kind else {
+                panic!()
+            };
             let mut results = Vec::new();
             for item in items {
                 self.locals.push((local.clone(), item.clone()));
@@ -267,42 +340,72 @@
             return match name {
                 "map" => results.into_iter().collect::<Result<_, _>>().map(List),
                 "filter" => {
-                    let kept =
-                        results.into_iter().zip(items).map(|(r, item)| r.map(|r| (show(&r) == "true", item)));
+                    let kept = results
+                        .into_iter()
+                        .zip(items)
+                        .map(|(r, item)| r.map(|r| (show(&r) == "true", item)));
                     let kept = kept.collect::<Result<Vec<_>, _>>()?;
                     Ok(List(
-                        kept.into_iter().filter(|(keep, _)| *keep).map(|(_, item)| item.clone()).collect(),
+                        kept.into_iter()
+                            .filter(|(keep, _)| *keep)
+                            .map(|(_, item)| item.clone())
+                            .collect(),
                     ))
                 }
                 _ => {
-                    let truths: Vec<_> = results.into_iter().map(|r| r.map(|v| show(&v) == "true")).collect();
+                    let truths: Vec<_> = results
+                        .into_iter()
+                        .map(|r| r.map(|v| show(&v) == "true"))
+                        .collect();
                     if truths.contains(&Ok(decides)) {
                         return Ok(Bool(decides));
                     }
-                    truths.into_iter().find(|r| r.is_err()).unwrap_or(Ok(!decides)).map(Bool)
+                    truths
+                        .into_iter()
+                        .find(|r| r.is_err())
+                        .unwrap_or(Ok(!decides))
+                        .map(Bool)
                 }
             };
         }
-        let args = args.iter().map(|a| self.eval(a)).collect::<Result<Vec<_>, _>>()?;
+        let args = args
+            .iter()
+            .map(|a| self.eval(a))
+            .collect::<Result<Vec<_>, _>>()?;
         Ok(match (name, of, args.as_slice()) {
             ("size", List(l), []) => Int(l.len() as i64),
             ("startsWith", Text(t), [Text(p)]) => Bool(t.starts_with(p.as_str())),
             ("endsWith", Text(t), [Text(p)]) => Bool(t.ends_with(p.as_str())),
             ("contains", Text(t), [Text(p)]) => Bool(t.contains(p.as_str())),
-            ("indexOf", Text(t), [Text(p)]) => {
-                Int(t.find(p.as_str()).map_or(-1, |at| t[..at].chars().count() as i64))
-            }
+            ("indexOf", Text(t), [Text(p)]) => Int(t
+                .find(p.as_str())
+                .map_or(-1, |at| t[..at].chars().count() as i64)),
             ("substring", Text(t), [Int(from)]) => {
                 let letters: Vec<char> = t.chars().collect();
-                Text(letters.get(*from as usize..).ok_or(Fault::Range)?.iter().collect())
+                Text(
+                    letters
+                        .get(*from as usize..)
+                        .ok_or(Fault::Range)?
+                        .iter()
+                        .collect(),
+                )
             }
             ("substring", Text(t), [Int(from), Int(to)]) => {
                 let letters: Vec<char> = t.chars().collect();
-                Text(letters.get(*from as usize..*to as usize).ok_or(Fault::Range)?.iter().collect())
-            }
-            ("part", Text(t), [Text(by), Int(n)]) => {
-                Text(t.split(by.as_str()).nth(*n as usize).ok_or(Fault::Range)?.to_owned())
+                Text(
+                    letters
+                        .get(*from as usize..*to as usize)
+                        .ok_or(Fault::Range)?
+                        .iter()
+                        .collect(),
+                )
             }
+            ("part", Text(t), [Text(by), Int(n)]) => Text(
+                t.split(by.as_str())
+                    .nth(*n as usize)
+                    .ok_or(Fault::Range)?
+                    .to_owned(),
+            ),
             ("before", Text(t), [Text(by)]) => {
                 Text(t.split_once(by.as_str()).ok_or(Fault::Range)?.0.to_owned())
             }
@@ -317,13 +420,18 @@
             }
             // The only pattern that the tests make, spelled out.
             ("matches", Text(t), [_]) => {
-                let (word, number) = t.split_once('-').map_or((t.as_str(), None), |(w, n)| (w, Some(n)));
+                let (word, number) = t
+                    .split_once('-')
+                    .map_or((t.as_str(), None), |(w, n)| (w, Some(n)));
                 let letters = !word.is_empty() && word.bytes().all(|b| b.is_ascii_lowercase());
-                let digits = number.is_none_or(|n| !n.is_empty() && n.bytes().all(|b| b.is_ascii_digit()));
+                let digits =
+                    number.is_none_or(|n| !n.is_empty() && n.bytes().all(|b| b.is_ascii_digit()));
                 Bool(letters && digits)
             }
             ("getHours", Time(t), []) => Int(t.div_euclid(3_600_000_000_000).rem_euclid(24)),
-            ("getDayOfWeek", Time(t), []) => Int((t.div_euclid(86_400_000_000_000) + 4).rem_euclid(7)),
+            ("getDayOfWeek", Time(t), []) => {
+                Int((t.div_euclid(86_400_000_000_000) + 4).rem_euclid(7))
+            }
             ("getMilliseconds", Span(v), []) => Int(v / 1_000_000),
             (name, of, args) => panic!("{of:?}.{name}({args:?})"),
         })
--- a/crates/settings/examples/sheets.rs
+++ b/crates/settings/examples/sheets.rs
@@ -3,8 +3,9 @@
 //!     cargo run --release -p madderpoint-settings --example sheets -- many 10000 100000 > many.xml
 //!     cargo run --release -p madderpoint-settings --example sheets -- worst > worst.xml
 //!
-//! `many` has so many rules and addresses; the request of its case matches the last rule. `worst` has expressions whose
-//! worst case lies just below the limit, each of another kind, and requests that come as near to it as they can.
+//! `many` has so many rules and addresses; the request of its case matches the last rule. `worst`
+//! has expressions whose worst case lies just below the limit, each of another kind, and requests
+//! that come as near to it as they can.
 
 use std::fmt::Write;
 
@@ -12,7 +13,14 @@
     let mut text = "<translator version=\"1\">\n<rules cost=\"100000\">\n".to_owned();
     text += "<parameter name=\"HTTP_X_SITE\" most=\"64B\"/>\n<addresses name=\"offices\">\n";
     for i in 0..addresses {
-        let _ = writeln!(text, "{}.{}.{}.{}", 11 + (i >> 16), (i >> 8) & 255, i & 255, 2 * (i % 100));
+        let _ = writeln!(
+            text,
+            "{}.{}.{}.{}",
+            11 + (i >> 16),
+            (i >> 8) & 255,
+            i & 255,
+            2 * (i % 100)
+        );
     }
     text += "</addresses>\n";
     for i in 0..rules {
@@ -22,12 +30,21 @@
             }
             0 => format!("params.HTTP_X_SITE == \"s{i}\" &amp;&amp; method == \"POST\""),
             1 => format!("script.startsWith(\"/old/{i}/\") &amp;&amp; peer > 2"),
-            2 => format!("caller.address in net(\"10.{}.{}.0/24\")", (i >> 8) & 255, i & 255),
+            2 => format!(
+                "caller.address in net(\"10.{}.{}.0/24\")",
+                (i >> 8) & 255,
+                i & 255
+            ),
             _ => {
-                format!("params.HTTP_X_SITE in [\"a{i}\", \"b{i}\"] &amp;&amp; !(caller.address in offices)")
+                format!(
+                    "params.HTTP_X_SITE in [\"a{i}\", \"b{i}\"] &amp;&amp; !(caller.address in offices)"
+                )
             }
         };
-        let _ = writeln!(text, "<rule name=\"r{i}\"><when>{when}</when><give class=\"c\"/></rule>");
+        let _ = writeln!(
+            text,
+            "<rule name=\"r{i}\"><when>{when}</when><give class=\"c\"/></rule>"
+        );
     }
     let request = "script=\"/call/gun-yaz\" peer=\"4\" address=\"9.9.9.9\"";
     let _ = writeln!(
@@ -42,21 +59,45 @@
 /// Expressions over parameters W, of so many bytes, and what W holds.
 fn worst() -> String {
     let kinds: [(&str, usize, &str, String); 6] = [
-        ("pattern", 985, "params.W.matches(\"(ab|cd)*e\") || false", "abcd".repeat(246)),
-        ("search", 4096, "params.W.contains(\"abcabcabcabcabcabd\")", "abc".repeat(1365)),
+        (
+            "pattern",
+            985,
+            "params.W.matches(\"(ab|cd)*e\") || false",
+            "abcd".repeat(246),
+        ),
+        (
+            "search",
+            4096,
+            "params.W.contains(\"abcabcabcabcabcabd\")",
+            "abc".repeat(1365),
+        ),
         ("letters", 2600, "size(params.W) == 1", "ş".repeat(1300)),
-        ("pieces", 155, "params.W.split(\",\").exists(x, x == \"none\")", "a,".repeat(77)),
+        (
+            "pieces",
+            155,
+            "params.W.split(\",\").exists(x, x == \"none\")",
+            "a,".repeat(77),
+        ),
         (
             "rounds",
             5,
             "params.W.split(\",\").all(x, params.W.split(\",\").exists(y, x + y != \"\"))",
             "a,".repeat(2),
         ),
-        ("texts", 2600, "params.W.lowerAscii() + \"x\" == \"y\"", "A".repeat(2600)),
+        (
+            "texts",
+            2600,
+            "params.W.lowerAscii() + \"x\" == \"y\"",
+            "A".repeat(2600),
+        ),
     ];
     let mut text = "<translator version=\"1\">\n<rules>\n".to_owned();
     for (name, most, ..) in &kinds {
-        let _ = writeln!(text, "<parameter name=\"{}\" most=\"{most}B\"/>", name.to_uppercase());
+        let _ = writeln!(
+            text,
+            "<parameter name=\"{}\" most=\"{most}B\"/>",
+            name.to_uppercase()
+        );
     }
     for (name, _, when, _) in &kinds {
         let when = when.replace("params.W", &format!("params.{}", name.to_uppercase()));
@@ -80,7 +121,9 @@
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let number = |place: usize| arguments.get(place).and_then(|a| a.parse().ok());
     match (arguments.first().map(String::as_str), number(1)) {
-        (Some("many"), Some(rules)) if rules > 0 => print!("{}", many(rules, number(2).unwrap_or(0))),
+        (Some("many"), Some(rules)) if rules > 0 => {
+            print!("{}", many(rules, number(2).unwrap_or(0)))
+        }
         (Some("worst"), _) => print!("{}", worst()),
         _ => {
             eprintln!("sheets many RULES [ADDRESSES] | sheets worst");
--- a/crates/settings/src/asked.rs
+++ b/crates/settings/src/asked.rs
@@ -24,7 +24,8 @@
     pub rank: Option<f64>,
     /// The dispatcher's number.
     pub peer: Option<u64>,
-    /// Nanoseconds since the Unix epoch; the epoch if it is not told, so that a case never depends on the day.
+    /// Nanoseconds since the Unix epoch; the epoch if it is not told, so that a case never depends
+    /// on the day.
     pub arrived: i64,
     /// The caller's address.
     pub address: Option<IpAddr>,
@@ -48,12 +49,18 @@
             "script" => self.script = value.to_owned(),
             "method" => self.method = text,
             "front" => self.front = text,
-            "estimate" => self.estimate = Some(time::span(value).ok_or("a duration such as 250ms")?),
+            "estimate" => {
+                self.estimate = Some(time::span(value).ok_or("a duration such as 250ms")?)
+            }
             "need" => self.need = Some(value.parse().map_err(|_| "a number of KB")?),
             "rank" => self.rank = Some(value.parse().map_err(|_| "a number from 0 to 1")?),
             "peer" => self.peer = Some(value.parse().map_err(|_| "a whole number")?),
-            "arrived" => self.arrived = time::time(value).ok_or("a time such as 2026-12-01T08:00:00Z")?,
-            "address" => self.address = Some(address::plain(value.parse().map_err(|_| "an IP address")?)),
+            "arrived" => {
+                self.arrived = time::time(value).ok_or("a time such as 2026-12-01T08:00:00Z")?
+            }
+            "address" => {
+                self.address = Some(address::plain(value.parse().map_err(|_| "an IP address")?))
+            }
             "caller" => {
                 let rest = value
                     .strip_prefix(SCHEME)
@@ -69,7 +76,10 @@
 
     /// It as rules see it.
     pub fn facts<'a>(&'a self, rules: &RuleSet) -> Facts<'a> {
-        let pairs = self.params.iter().map(|(n, v)| (n.as_bytes(), v.as_bytes()));
+        let pairs = self
+            .params
+            .iter()
+            .map(|(n, v)| (n.as_bytes(), v.as_bytes()));
         let caller = self.caller.as_ref().map(|(id, end)| Caller {
             id,
             trust_domain: &id[SCHEME.len()..*end],
--- a/crates/settings/src/cases.rs
+++ b/crates/settings/src/cases.rs
@@ -38,11 +38,17 @@
             Some(Verdict::Error { .. }) => "error",
             None => "none",
         });
-        let operation =
-            given.and_then(|g| g.rule.operation).and_then(|place| book.operations.get(place).cloned());
-        let class = given.and_then(|g| g.rule.class).map(|c| book.rules.classes()[usize::from(c)].clone());
+        let operation = given
+            .and_then(|g| g.rule.operation)
+            .and_then(|place| book.operations.get(place).cloned());
+        let class = given
+            .and_then(|g| g.rule.class)
+            .map(|c| book.rules.classes()[usize::from(c)].clone());
         let found = [
-            ("rule", Some(given.map_or("none".into(), |g| g.rule.name.to_string()))),
+            (
+                "rule",
+                Some(given.map_or("none".into(), |g| g.rule.name.to_string())),
+            ),
             ("operation", operation),
             ("class", class),
             ("key", given.and_then(|g| g.key_text.clone())),
@@ -50,13 +56,28 @@
             ("verdict", verdict.map(str::to_owned)),
         ];
         let rule = Some(self.rule.clone().unwrap_or("none".into()));
-        let wanted = [&rule, &self.operation, &self.class, &self.key, &self.rank, &self.verdict];
-        let differ =
-            found.iter().zip(wanted).filter(|((_, found), wanted)| wanted.is_some() && found != *wanted);
+        let wanted = [
+            &rule,
+            &self.operation,
+            &self.class,
+            &self.key,
+            &self.rank,
+            &self.verdict,
+        ];
+        let differ = found
+            .iter()
+            .zip(wanted)
+            .filter(|((_, found), wanted)| wanted.is_some() && found != *wanted);
         let shown = |text: &Option<String>| text.as_deref().unwrap_or("nothing").to_owned();
         let differ: Vec<_> = differ
-            .map(|((name, found), wanted)| format!("{name} is {}, not {}", shown(found), shown(wanted)))
+            .map(|((name, found), wanted)| {
+                format!("{name} is {}, not {}", shown(found), shown(wanted))
+            })
             .collect();
-        if differ.is_empty() { Ok(()) } else { Err(differ.join("; ")) }
+        if differ.is_empty() {
+            Ok(())
+        } else {
+            Err(differ.join("; "))
+        }
     }
 }
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -15,7 +15,8 @@
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1000 * MILLISECOND;
 
-/// What the file says of the fleet. What differs by node (zone, addresses) may be told by the environment instead.
+/// What the file says of the fleet. What differs by node (zone, addresses) may be told by the
+/// environment instead.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
     /// The fleet's name.
@@ -66,14 +67,24 @@
     fn wrong(&mut self, text: &Text, field: &str, what: String, expected: &str) {
         let place = Place::Span(text.place(0), text.value.len().max(1));
         let field = format!("fleet/{field}");
-        self.complaints.push(Complaint { place, field, what, expected: expected.to_owned() });
+        self.complaints.push(Complaint {
+            place,
+            field,
+            what,
+            expected: expected.to_owned(),
+        });
     }
 
     fn address(&mut self, text: &Text, field: &str) -> Option<SocketAddr> {
         let address: Option<SocketAddr> = text.value.parse().ok();
         let address = address.filter(|a| a.port() > 0 && !a.ip().is_multicast());
         if address.is_none() {
-            self.wrong(text, field, format!("{:?} is no address", text.value), "such as 10.0.0.4:7946");
+            self.wrong(
+                text,
+                field,
+                format!("{:?} is no address", text.value),
+                "such as 10.0.0.4:7946",
+            );
         }
         address
     }
@@ -104,18 +115,36 @@
         let field = format!("calls-budget '{}'", name.value);
         let (mut burst, mut longest) = (50 * MILLISECOND, 10 * SECOND);
         self.time(element, "burst", &mut burst, MILLISECOND, SECOND);
-        self.time(element, "longest", &mut longest, 10 * MILLISECOND, 600 * SECOND);
+        self.time(
+            element,
+            "longest",
+            &mut longest,
+            10 * MILLISECOND,
+            600 * SECOND,
+        );
         let (limit, kind) = match (number("a-second"), number("in-hand")) {
             (Some(limit), None) => (limit, Kind::Rate { burst }),
             (None, Some(limit)) => (limit, Kind::InHand { longest }),
             _ => {
-                self.wrong(name, &field, "no limit, or two".into(), "one of a-second and in-hand");
+                self.wrong(
+                    name,
+                    &field,
+                    "no limit, or two".into(),
+                    "one of a-second and in-hand",
+                );
                 return None;
             }
         };
         let (floor, nodes_most) = (number("floor")?, number("nodes-most")?);
         let repeats_only = text("of").is_some_and(|of| of.value == "repeats");
-        let budget = Budget { name: name.value.clone(), limit, floor, nodes_most, kind, repeats_only };
+        let budget = Budget {
+            name: name.value.clone(),
+            limit,
+            floor,
+            nodes_most,
+            kind,
+            repeats_only,
+        };
         if let Err(what) = budget.check() {
             self.wrong(name, &field, what, "floors that the limit has room for");
             return None;
@@ -125,11 +154,21 @@
 
     fn factor(&mut self, of: &Element, name: &str, into: &mut f64, least: f64) {
         let Some(text) = of.get(name) else { return };
-        match text.value.parse::<f64>().ok().filter(|factor| (least..=100.0).contains(factor)) {
+        match text
+            .value
+            .parse::<f64>()
+            .ok()
+            .filter(|factor| (least..=100.0).contains(factor))
+        {
             Some(factor) => *into = factor,
             None => {
                 let what = format!("{:?} is out of range", text.value);
-                self.wrong(text, &format!("periods/@{name}"), what, &format!("{least} to 100"));
+                self.wrong(
+                    text,
+                    &format!("periods/@{name}"),
+                    what,
+                    &format!("{least} to 100"),
+                );
             }
         }
     }
@@ -138,24 +177,40 @@
 impl FleetSettings {
     /// Reads the element, which fits the schema; gives all that is wrong with what it means.
     pub fn read(element: &Element) -> Result<FleetSettings, Vec<Complaint>> {
-        let mut reading = Reading { complaints: Vec::new() };
+        let mut reading = Reading {
+            complaints: Vec::new(),
+        };
         let text = |name: &str| element.get(name).map(|text| text.value.clone());
         let mut seeds = Vec::new();
         for seed in element.all("seed") {
-            if let Some(address) = seed.get("address").and_then(|text| reading.address(text, "seed/@address"))
+            if let Some(address) = seed
+                .get("address")
+                .and_then(|text| reading.address(text, "seed/@address"))
             {
                 seeds.push(address);
             }
         }
         if seeds.len() > SEEDS_MAX
-            && let Some(text) = element.all("seed").nth(SEEDS_MAX).and_then(|seed| seed.get("address"))
+            && let Some(text) = element
+                .all("seed")
+                .nth(SEEDS_MAX)
+                .and_then(|seed| seed.get("address"))
         {
             reading.wrong(text, "seed", format!("{} seeds", seeds.len()), "64 at most");
         }
-        let budgets: Vec<Budget> = element.all("calls-budget").filter_map(|b| reading.budget(b)).collect();
-        let named: Vec<&Text> = element.all("arbiter").filter_map(|arbiter| arbiter.get("name")).collect();
+        let budgets: Vec<Budget> = element
+            .all("calls-budget")
+            .filter_map(|b| reading.budget(b))
+            .collect();
+        let named: Vec<&Text> = element
+            .all("arbiter")
+            .filter_map(|arbiter| arbiter.get("name"))
+            .collect();
         let arbiters: Vec<String> = named.iter().map(|text| text.value.clone()).collect();
-        let twice = named.iter().enumerate().find(|(n, text)| arbiters[..*n].contains(&text.value));
+        let twice = named
+            .iter()
+            .enumerate()
+            .find(|(n, text)| arbiters[..*n].contains(&text.value));
         if let Some((_, text)) = twice {
             reading.wrong(
                 text,
@@ -183,8 +238,10 @@
                 "each name once for a rate, and once for a number in hand",
             );
         }
-        let first =
-            element.one("calls-budget").or(element.one("arbiter")).and_then(|first| first.get("name"));
+        let first = element
+            .one("calls-budget")
+            .or(element.one("arbiter"))
+            .and_then(|first| first.get("name"));
         if let Some(text) = first
             && (arbiters.len().is_multiple_of(2) || arbiters.len() > ARBITERS_MAX)
         {
@@ -196,17 +253,50 @@
                 "an odd number up to 9, three or five, where there are budgets",
             );
         }
-        if let Some(text) = element.all("calls-budget").nth(BUDGETS_MAX).and_then(|budget| budget.get("name"))
+        if let Some(text) = element
+            .all("calls-budget")
+            .nth(BUDGETS_MAX)
+            .and_then(|budget| budget.get("name"))
         {
             reading.wrong(text, "calls-budget", "too many".into(), "8 at most");
         }
         let mut periods = Periods::default();
         if let Some(of) = element.one("periods") {
-            reading.time(of, "probe", &mut periods.probe, 50 * MILLISECOND, 60 * SECOND);
-            reading.time(of, "answer", &mut periods.answer, 10 * MILLISECOND, 30 * SECOND);
-            reading.time(of, "gossip", &mut periods.gossip, 20 * MILLISECOND, 10 * SECOND);
-            reading.time(of, "regain", &mut periods.regain, 50 * MILLISECOND, 600 * SECOND);
-            reading.time(of, "remember", &mut periods.remember, 60 * SECOND, 7 * 24 * 3600 * SECOND);
+            reading.time(
+                of,
+                "probe",
+                &mut periods.probe,
+                50 * MILLISECOND,
+                60 * SECOND,
+            );
+            reading.time(
+                of,
+                "answer",
+                &mut periods.answer,
+                10 * MILLISECOND,
+                30 * SECOND,
+            );
+            reading.time(
+                of,
+                "gossip",
+                &mut periods.gossip,
+                20 * MILLISECOND,
+                10 * SECOND,
+            );
+            reading.time(
+                of,
+                "regain",
+                &mut periods.regain,
+                50 * MILLISECOND,
+                600 * SECOND,
+            );
+            reading.time(
+                of,
+                "remember",
+                &mut periods.remember,
+                60 * SECOND,
+                7 * 24 * 3600 * SECOND,
+            );
             reading.time(of, "skew", &mut periods.skew, SECOND, 24 * 3600 * SECOND);
             reading.factor(of, "suspicion", &mut periods.suspicion, 0.5);
             reading.factor(of, "suspicion-most", &mut periods.suspicion_most, 1.0);
@@ -223,13 +313,22 @@
             }
         }
         let service = element.one("service").map(|of| {
-            let name = of.get("name").map(|name| name.value.clone()).unwrap_or_default();
+            let name = of
+                .get("name")
+                .map(|name| name.value.clone())
+                .unwrap_or_default();
             let mut slow = 0;
             reading.time(of, "slow", &mut slow, MILLISECOND, 600 * SECOND);
-            JudgedService { name, slow: Some(slow).filter(|slow| *slow > 0) }
+            JudgedService {
+                name,
+                slow: Some(slow).filter(|slow| *slow > 0),
+            }
         });
-        let mut place =
-            |name: &str| element.get(name).and_then(|text| reading.address(text, &format!("@{name}")));
+        let mut place = |name: &str| {
+            element
+                .get(name)
+                .and_then(|text| reading.address(text, &format!("@{name}")))
+        };
         let (bind, advertise) = (place("bind"), place("advertise"));
         if reading.complaints.is_empty() {
             Ok(FleetSettings {
