--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,6 @@
-//! Our own settings: one XML file, checked by the schema that the program holds, then by what it means. All that is
-//! wrong is told at once, each with its line, column and field. No I/O: the text is handed in.
+//! Our own settings: one XML file, checked by the schema that the program holds, then by what it
+//! means. All that is wrong is told at once, each with its line, column and field. No I/O: the text
+//! is handed in.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -67,7 +68,11 @@
             Place::At(at) | Place::Span(at, _) => at + 1,
             Place::Whole => 0,
         });
-        Complaints { file: file.to_owned(), text: text.to_owned(), all }
+        Complaints {
+            file: file.to_owned(),
+            text: text.to_owned(),
+            all,
+        }
     }
 
     /// Line and column of a byte, both from 1; columns count characters.
@@ -79,15 +84,25 @@
         let before = &self.text[..at];
         let start = before.rfind('\n').map_or(0, |n| n + 1);
         let line = self.text[start..].lines().next().unwrap_or("");
-        (before.matches('\n').count() + 1, before[start..].chars().count() + 1, line)
+        (
+            before.matches('\n').count() + 1,
+            before[start..].chars().count() + 1,
+            line,
+        )
     }
 
     /// The first one on one line, for the log, and how many more there are.
     pub fn first(&self) -> String {
-        let Some(first) = self.all.first() else { return self.file.clone() };
+        let Some(first) = self.all.first() else {
+            return self.file.clone();
+        };
         let more = self.all.len() - 1;
         let head = self.head(first);
-        if more > 0 { format!("{head} (and {more} more)") } else { head }
+        if more > 0 {
+            format!("{head} (and {more} more)")
+        } else {
+            head
+        }
     }
 
     fn head(&self, complaint: &Complaint) -> String {
@@ -98,8 +113,15 @@
             }
             Place::Whole => self.file.clone(),
         };
-        let field = if complaint.field.is_empty() { String::new() } else { format!(" {}:", complaint.field) };
-        format!("{place}:{field} {}; expected {}", complaint.what, complaint.expected)
+        let field = if complaint.field.is_empty() {
+            String::new()
+        } else {
+            format!(" {}:", complaint.field)
+        };
+        format!(
+            "{place}:{field} {}; expected {}",
+            complaint.what, complaint.expected
+        )
     }
 }
 
@@ -113,9 +135,17 @@
                 Place::Whole => continue,
             };
             let (_, column, line) = self.position(at);
-            let under = line.chars().count().saturating_sub(column - 1).min(len).max(1);
-            let blank: String =
-                line.chars().take(column - 1).map(|c| if c == '\t' { '\t' } else { ' ' }).collect();
+            let under = line
+                .chars()
+                .count()
+                .saturating_sub(column - 1)
+                .min(len)
+                .max(1);
+            let blank: String = line
+                .chars()
+                .take(column - 1)
+                .map(|c| if c == '\t' { '\t' } else { ' ' })
+                .collect();
             writeln!(f, "  {line}\n  {blank}^{}", "~".repeat(under - 1))?;
         }
         match self.all.len().saturating_sub(SHOWN) {
@@ -143,7 +173,10 @@
     let complaints = |all| Complaints::new(file, text, all);
     if text.len() > known.file_bytes {
         let what = format!("the file has {} KiB", text.len() >> 10);
-        let expected = format!("at most {} KiB, which follows from the memory limit", known.file_bytes >> 10);
+        let expected = format!(
+            "at most {} KiB, which follows from the memory limit",
+            known.file_bytes >> 10
+        );
         return Err(complaints(vec![Complaint {
             place: Place::Whole,
             field: String::new(),
@@ -154,7 +187,12 @@
     let root = xml::read(text).map_err(|e| complaints(vec![e]))?;
     let schema = Schema::read(SCHEMA).map_err(|e| {
         let field = "translator.xsd".to_owned();
-        complaints(vec![Complaint { place: Place::Whole, field, what: e, expected: "a schema".into() }])
+        complaints(vec![Complaint {
+            place: Place::Whole,
+            field,
+            what: e,
+            expected: "a schema".into(),
+        }])
     })?;
     let wrong = schema.check(&root);
     if !wrong.is_empty() {
@@ -164,7 +202,12 @@
         let place = Place::At(version.place(0));
         let what = format!("version {}", version.value);
         let field = "translator/@version".to_owned();
-        return Err(complaints(vec![Complaint { place, field, what, expected: VERSION.into() }]));
+        return Err(complaints(vec![Complaint {
+            place,
+            field,
+            what,
+            expected: VERSION.into(),
+        }]));
     }
     let rules = match root.one("rules") {
         Some(element) => Some(Rulebook::read(element, known).map_err(complaints)?),
@@ -175,17 +218,29 @@
         None => None,
     };
     // A limit of the whole fleet needs one, and somebody who lends.
-    let lends = fleet.as_ref().is_some_and(|fleet| !fleet.arbiters.is_empty());
+    let lends = fleet
+        .as_ref()
+        .is_some_and(|fleet| !fleet.arbiters.is_empty());
     if let Some((_, budget)) = rules.iter().flat_map(|rules| &rules.fleet).next()
         && !lends
     {
-        let place = root.one("rules").map_or(Place::Whole, |rules| Place::At(rules.at));
+        let place = root
+            .one("rules")
+            .map_or(Place::Whole, |rules| Place::At(rules.at));
         let field = format!("bucket '{}'", budget.name);
         let what = "a limit of the whole fleet, and no fleet with arbiters".to_owned();
         let expected = "<fleet> with an odd number of <arbiter>, or scope=\"node\"".to_owned();
-        return Err(complaints(vec![Complaint { place, field, what, expected }]));
+        return Err(complaints(vec![Complaint {
+            place,
+            field,
+            what,
+            expected,
+        }]));
     }
-    let number = root.get("number").and_then(|number| number.value.parse().ok()).unwrap_or(0);
+    let number = root
+        .get("number")
+        .and_then(|number| number.value.parse().ok())
+        .unwrap_or(0);
     let rollout = match root.one("rollout") {
         Some(element) => Some(RolloutSettings::read(element).map_err(complaints)?),
         None => None,
@@ -195,9 +250,10 @@
         && (!lends || number == 0)
     {
         let (what, expected) = match lends {
-            false => {
-                ("changes in stages, and no fleet with arbiters", "<fleet> with an odd number of <arbiter>")
-            }
+            false => (
+                "changes in stages, and no fleet with arbiters",
+                "<fleet> with an odd number of <arbiter>",
+            ),
             true => (
                 "changes in stages of a file without a number",
                 "translator/@number, higher with each change",
@@ -211,5 +267,10 @@
             expected: expected.into(),
         }]));
     }
-    Ok(Translator { rules, fleet, rollout, number: (number, fleet::fingerprint(text)) })
+    Ok(Translator {
+        rules,
+        fleet,
+        rollout,
+        number: (number, fleet::fingerprint(text)),
+    })
 }
--- a/crates/settings/src/rollout.rs
+++ b/crates/settings/src/rollout.rs
@@ -19,7 +19,10 @@
 
 /// A share in thousandths.
 fn thousandths(text: &str) -> Option<u32> {
-    let share = text.parse::<f64>().ok().filter(|share| (0.001..=1.0).contains(share))?;
+    let share = text
+        .parse::<f64>()
+        .ok()
+        .filter(|share| (0.001..=1.0).contains(share))?;
     Some((share * 1000.0).round() as u32)
 }
 
@@ -31,7 +34,12 @@
     fn wrong(&mut self, text: &Text, field: &str, what: String, expected: &str) {
         let place = Place::Span(text.place(0), text.value.len().max(1));
         let field = format!("rollout/{field}");
-        self.complaints.push(Complaint { place, field, what, expected: expected.to_owned() });
+        self.complaints.push(Complaint {
+            place,
+            field,
+            what,
+            expected: expected.to_owned(),
+        });
     }
 
     fn share(&mut self, of: &Element, name: &str, into: &mut u32) {
@@ -64,7 +72,11 @@
 
     fn stage(&mut self, element: &Element, usual: &Stage) -> Option<Stage> {
         let text = element.get("share")?;
-        let share = if text.value == "one" { Some(0) } else { thousandths(&text.value) };
+        let share = if text.value == "one" {
+            Some(0)
+        } else {
+            thousandths(&text.value)
+        };
         if share.is_none() {
             self.wrong(
                 text,
@@ -73,11 +85,17 @@
                 "one, or 0.001 to 1",
             );
         }
-        let mut stage = Stage { share: share?, ..*usual };
+        let mut stage = Stage {
+            share: share?,
+            ..*usual
+        };
         self.time(element, "least", &mut stage.least, LEAST_MIN);
         self.time(element, "longest", &mut stage.longest, LEAST_MIN);
         self.time(element, "spread", &mut stage.spread, 0);
-        if let Some(sample) = element.get("sample").and_then(|text| text.value.parse().ok()) {
+        if let Some(sample) = element
+            .get("sample")
+            .and_then(|text| text.value.parse().ok())
+        {
             stage.sample = sample;
         }
         Some(stage)
@@ -87,22 +105,34 @@
 impl RolloutSettings {
     /// Reads the element, which fits the schema; gives all that is wrong with what it means.
     pub fn read(element: &Element) -> Result<RolloutSettings, Vec<Complaint>> {
-        let mut reading = Reading { complaints: Vec::new() };
+        let mut reading = Reading {
+            complaints: Vec::new(),
+        };
         let mut plan = Plan::default();
         let usual = plan.stages[1];
         reading.share(element, "of-zone", &mut plan.of_zone);
         reading.share(element, "margin", &mut plan.margin);
-        let stages: Vec<Stage> =
-            element.all("stage").filter_map(|stage| reading.stage(stage, &usual)).collect();
+        let stages: Vec<Stage> = element
+            .all("stage")
+            .filter_map(|stage| reading.stage(stage, &usual))
+            .collect();
         if element.one("stage").is_some() {
             plan.stages = stages;
         }
         if let (true, Err(what)) = (reading.complaints.is_empty(), plan.check()) {
             let place = Place::At(element.at);
             let expected = "stages that grow from one to the next up to the whole fleet".to_owned();
-            reading.complaints.push(Complaint { place, field: "rollout".into(), what, expected });
+            reading.complaints.push(Complaint {
+                place,
+                field: "rollout".into(),
+                what,
+                expected,
+            });
         }
-        let dir = element.get("dir").map(|text| text.value.clone()).unwrap_or_default();
+        let dir = element
+            .get("dir")
+            .map(|text| text.value.clone())
+            .unwrap_or_default();
         if reading.complaints.is_empty() {
             Ok(RolloutSettings { dir, plan })
         } else {
--- a/crates/settings/src/rulebook.rs
+++ b/crates/settings/src/rulebook.rs
@@ -7,7 +7,8 @@
 use madderpoint::{Effect, Nanos};
 use madderpoint_limits::{BUCKETS_MAX, Bucket, Rate};
 use madderpoint_rules::{
-    AddressSet, Bounds, Error, Field, Problem, RuleSet, Verdict, Vocabulary, Written, address, cost, time,
+    AddressSet, Bounds, Error, Field, Problem, RuleSet, Verdict, Vocabulary, Written, address,
+    cost, time,
 };
 use madderpoint_shared::keyed::{KeyBudget, KeyKind};
 use std::collections::{BTreeSet, HashMap};
@@ -19,7 +20,8 @@
 /// What the rules are checked against.
 #[derive(Clone, Debug)]
 pub struct Known {
-    /// Operations of the settings, in their order, each with whether it may run again; none if any name goes.
+    /// Operations of the settings, in their order, each with whether it may run again; none if any
+    /// name goes.
     pub operations: Option<Vec<(String, Effect)>>,
     /// Tenants of the settings; none if any name goes.
     pub tenants: Option<Vec<String>>,
@@ -30,9 +32,15 @@
 }
 
 impl Known {
-    /// Any operation and tenant, and room as on a large machine: for a check without a configuration.
+    /// Any operation and tenant, and room as on a large machine: for a check without a
+    /// configuration.
     pub fn anything() -> Known {
-        Known { operations: None, tenants: None, bytes: 64 << 20, file_bytes: 16 << 20 }
+        Known {
+            operations: None,
+            tenants: None,
+            bytes: 64 << 20,
+            file_bytes: 16 << 20,
+        }
     }
 }
 
@@ -62,15 +70,29 @@
         let give = self.element.one("give");
         let inner = |name: &'static str, nth: usize| {
             let child = give.and_then(|give| give.all(name).nth(nth));
-            (child.map(|c| &c.text), format!("give/{name}"), child.map_or(self.element.at, |c| c.at))
+            (
+                child.map(|c| &c.text),
+                format!("give/{name}"),
+                child.map_or(self.element.at, |c| c.at),
+            )
         };
         let whole = (None, String::new(), self.element.at);
         match field {
-            Field::When => (self.element.one("when").map(|w| &w.text), "when".into(), self.element.at),
-            Field::Operation => {
-                (give.and_then(|g| g.get("operation")), "give/@operation".into(), self.element.at)
-            }
-            Field::Class => (give.and_then(|g| g.get("class")), "give/@class".into(), self.element.at),
+            Field::When => (
+                self.element.one("when").map(|w| &w.text),
+                "when".into(),
+                self.element.at,
+            ),
+            Field::Operation => (
+                give.and_then(|g| g.get("operation")),
+                "give/@operation".into(),
+                self.element.at,
+            ),
+            Field::Class => (
+                give.and_then(|g| g.get("class")),
+                "give/@class".into(),
+                self.element.at,
+            ),
             Field::Key => inner("key", 0),
             Field::Rank => inner("rank", 0),
             Field::Fact(nth) => inner("fact", nth),
@@ -81,16 +103,27 @@
 
     fn complaint(&self, problem: &Problem) -> Complaint {
         let (text, field, at) = self.of(problem.field);
-        let Error { at: range, what, expected } = problem.error.clone();
+        let Error {
+            at: range,
+            what,
+            expected,
+        } = problem.error.clone();
         let place = match text {
             Some(text) if range.start <= text.value.len() => {
-                let (start, end) =
-                    (text.place(range.start), text.place(range.end.max(range.start + 1) - 1) + 1);
+                let (start, end) = (
+                    text.place(range.start),
+                    text.place(range.end.max(range.start + 1) - 1) + 1,
+                );
                 Place::Span(start, end.saturating_sub(start).max(1))
             }
             _ => Place::At(at),
         };
-        Complaint { place, field: format!("rule '{}' {field}", self.name), what, expected }
+        Complaint {
+            place,
+            field: format!("rule '{}' {field}", self.name),
+            what,
+            expected,
+        }
     }
 }
 
@@ -99,17 +132,33 @@
 }
 
 impl Reading {
-    fn wrong(&mut self, text: &Text, field: &str, what: impl Into<String>, expected: impl Into<String>) {
+    fn wrong(
+        &mut self,
+        text: &Text,
+        field: &str,
+        what: impl Into<String>,
+        expected: impl Into<String>,
+    ) {
         let place = Place::Span(text.place(0), text.value.len().max(1));
         let (what, expected) = (what.into(), expected.into());
-        self.complaints.push(Complaint { place, field: field.to_owned(), what, expected });
+        self.complaints.push(Complaint {
+            place,
+            field: field.to_owned(),
+            what,
+            expected,
+        });
     }
 
     fn twice(&mut self, elements: &[&Element], kind: &str) {
         let mut seen = BTreeSet::new();
         for name in elements.iter().filter_map(|e| e.get("name")) {
             if !seen.insert(name.value.as_str()) {
-                self.wrong(name, kind, format!("a second {kind} '{}'", name.value), "each name once");
+                self.wrong(
+                    name,
+                    kind,
+                    format!("a second {kind} '{}'", name.value),
+                    "each name once",
+                );
             }
         }
     }
@@ -123,9 +172,12 @@
 /// Bytes with their unit.
 fn size(text: &str) -> Option<usize> {
     let units = [("KiB", 1 << 10), ("MiB", 1 << 20), ("B", 1)];
-    units
-        .iter()
-        .find_map(|(unit, factor)| text.strip_suffix(unit)?.parse::<usize>().ok()?.checked_mul(*factor))
+    units.iter().find_map(|(unit, factor)| {
+        text.strip_suffix(unit)?
+            .parse::<usize>()
+            .ok()?
+            .checked_mul(*factor)
+    })
 }
 
 fn span(text: &str) -> Option<Nanos> {
@@ -148,7 +200,11 @@
     let number = |name: &str| element.get(name).and_then(|t| t.value.parse::<u32>().ok());
     let field = format!("bucket '{name}'");
     let burst = number("burst");
-    let mut bucket = Bucket { in_hand: number("in-hand"), total: number("total"), ..Bucket::named(name) };
+    let mut bucket = Bucket {
+        in_hand: number("in-hand"),
+        total: number("total"),
+        ..Bucket::named(name)
+    };
     if let Some(written) = element.get("rate") {
         bucket.rate = rate(&written.value, burst.unwrap_or(1));
         if bucket.rate.is_none() {
@@ -164,7 +220,12 @@
     }
     if bucket == Bucket::named(name) && element.get("rate").is_none() {
         let name = element.get("name")?;
-        reading.wrong(name, &field, "nothing is limited", "a rate, in-hand or total");
+        reading.wrong(
+            name,
+            &field,
+            "nothing is limited",
+            "a rate, in-hand or total",
+        );
     }
     Some(bucket)
 }
@@ -173,11 +234,16 @@
 fn count_in(text: &str) -> Option<(u32, Nanos)> {
     let (count, period) = text.split_once('/')?;
     let one = period.starts_with(|c: char| c.is_ascii_digit());
-    let period = if one { span(period) } else { span(&format!("1{period}")) };
+    let period = if one {
+        span(period)
+    } else {
+        span(&format!("1{period}"))
+    };
     Some((count.parse().ok()?, period?))
 }
 
-/// A bucket that is a limit of the whole fleet: at most one for its rate and one for its number in hand.
+/// A bucket that is a limit of the whole fleet: at most one for its rate and one for its number in
+/// hand.
 fn fleet_bucket(element: &Element, reading: &mut Reading) -> Vec<KeyBudget> {
     let name = text(element, "name");
     let field = format!("bucket '{name}'");
@@ -197,27 +263,55 @@
         return Vec::new();
     }
     if let Some(total) = element.get("total") {
-        reading.wrong(total, &field, "'total' of a limit of the whole fleet", "rate or in-hand");
+        reading.wrong(
+            total,
+            &field,
+            "'total' of a limit of the whole fleet",
+            "rate or in-hand",
+        );
     }
     let Some(nodes_most) = number("nodes-most") else {
         if let Some(scope) = element.get("scope") {
-            reading.wrong(scope, &field, "'nodes-most' is missing", "how many processes run at once at most");
+            reading.wrong(
+                scope,
+                &field,
+                "'nodes-most' is missing",
+                "how many processes run at once at most",
+            );
         }
         return Vec::new();
     };
-    let longest = element.get("longest").map_or(Some(LONGEST), |text| span(&text.value));
+    let longest = element
+        .get("longest")
+        .map_or(Some(LONGEST), |text| span(&text.value));
     let burst = number("burst").unwrap_or(1);
     let rate = element.get("rate").and_then(|text| count_in(&text.value));
     let kinds = [
-        rate.map(|(count, period)| KeyKind::Rate { count, period, burst }),
-        number("in-hand").zip(longest).map(|(limit, longest)| KeyKind::InHand { limit, longest }),
+        rate.map(|(count, period)| KeyKind::Rate {
+            count,
+            period,
+            burst,
+        }),
+        number("in-hand")
+            .zip(longest)
+            .map(|(limit, longest)| KeyKind::InHand { limit, longest }),
     ];
     let floor = number("floor").unwrap_or(0);
-    let budget = |kind| KeyBudget { name: name.to_owned(), kind, floor, nodes_most };
+    let budget = |kind| KeyBudget {
+        name: name.to_owned(),
+        kind,
+        floor,
+        nodes_most,
+    };
     let budgets: Vec<KeyBudget> = kinds.into_iter().flatten().map(budget).collect();
     for budget in &budgets {
         if let (Err(what), Some(written)) = (budget.check(), element.get("name")) {
-            reading.wrong(written, &field, what, "more of it, fewer nodes or a lower floor");
+            reading.wrong(
+                written,
+                &field,
+                what,
+                "more of it, fewer nodes or a lower floor",
+            );
         }
     }
     budgets
@@ -234,9 +328,14 @@
         rule.operation = give.get("operation").map(|t| t.value.clone());
         rule.class = give.get("class").map(|t| t.value.clone());
         (rule.key, rule.rank) = (expression(give, "key"), expression(give, "rank"));
-        rule.facts = give.all("fact").map(|f| (text(f, "name").to_owned(), f.text.value.clone())).collect();
-        rule.buckets =
-            give.all("limit").map(|l| (text(l, "bucket").to_owned(), l.text.value.clone())).collect();
+        rule.facts = give
+            .all("fact")
+            .map(|f| (text(f, "name").to_owned(), f.text.value.clone()))
+            .collect();
+        rule.buckets = give
+            .all("limit")
+            .map(|l| (text(l, "bucket").to_owned(), l.text.value.clone()))
+            .collect();
     }
     if let Some(throttle) = element.one("throttle") {
         let pause = throttle.get("pause").map(|t| (span(&t.value), t));
@@ -244,11 +343,17 @@
             reading.wrong(written, "throttle/@pause", "no time", "such as 250ms");
         }
         let pause = pause.and_then(|(pause, _)| pause).unwrap_or(0);
-        rule.verdict = Some(Verdict::Throttle { pause, reason: text(throttle, "reason").to_owned() });
+        rule.verdict = Some(Verdict::Throttle {
+            pause,
+            reason: text(throttle, "reason").to_owned(),
+        });
     }
     if let Some(error) = element.one("error") {
         let status = text(error, "status").parse().unwrap_or(500);
-        rule.verdict = Some(Verdict::Error { status, reason: text(error, "reason").to_owned() });
+        rule.verdict = Some(Verdict::Error {
+            status,
+            reason: text(error, "reason").to_owned(),
+        });
     }
     rule
 }
@@ -256,25 +361,39 @@
 impl Rulebook {
     /// Reads the element, which fits the schema; gives all that is wrong with what it means.
     pub fn read(element: &Element, known: &Known) -> Result<Rulebook, Vec<Complaint>> {
-        let mut reading = Reading { complaints: Vec::new() };
+        let mut reading = Reading {
+            complaints: Vec::new(),
+        };
         let rules: Vec<&Element> = element.all("rule").collect();
         let cases: Vec<&Element> = element.all("case").collect();
         let buckets: Vec<&Element> = element.all("bucket").collect();
         reading.twice(&rules, "rule");
         reading.twice(&cases, "case");
         reading.twice(&buckets, "bucket");
-        let words: Vec<&Element> = element.all("addresses").chain(element.all("strings")).collect();
+        let words: Vec<&Element> = element
+            .all("addresses")
+            .chain(element.all("strings"))
+            .collect();
         reading.twice(&words, "name");
         let mut vocabulary = Self::words(element, known, &mut reading);
-        let mut all_written: Vec<Written> = rules.iter().map(|rule| written(rule, &mut reading)).collect();
+        let mut all_written: Vec<Written> = rules
+            .iter()
+            .map(|rule| written(rule, &mut reading))
+            .collect();
         if known.operations.is_none() {
             // Without a configuration the names that rules give are taken as they come.
             vocabulary.open = true;
-            let named: BTreeSet<&String> = all_written.iter().filter_map(|r| r.operation.as_ref()).collect();
+            let named: BTreeSet<&String> = all_written
+                .iter()
+                .filter_map(|r| r.operation.as_ref())
+                .collect();
             vocabulary.operations = named.into_iter().cloned().collect();
         }
         if buckets.len() > BUCKETS_MAX {
-            let name = buckets[BUCKETS_MAX].get("name").cloned().unwrap_or_default();
+            let name = buckets[BUCKETS_MAX]
+                .get("name")
+                .cloned()
+                .unwrap_or_default();
             reading.wrong(
                 &name,
                 "bucket",
@@ -289,12 +408,20 @@
                     && let Some(written) = element.get("name")
                 {
                     let what = format!("shares its number with '{}'", other.name);
-                    reading.wrong(written, &format!("bucket '{}'", budget.name), what, "another name");
+                    reading.wrong(
+                        written,
+                        &format!("bucket '{}'", budget.name),
+                        what,
+                        "another name",
+                    );
                 }
                 fleet.push((place, budget));
             }
         }
-        let mut buckets: Vec<Bucket> = buckets.iter().filter_map(|b| bucket(b, &mut reading)).collect();
+        let mut buckets: Vec<Bucket> = buckets
+            .iter()
+            .filter_map(|b| bucket(b, &mut reading))
+            .collect();
         let names: Vec<String> = buckets.iter().map(|b| b.name.clone()).collect();
         // What the fleet limits is none of the node's own limits.
         fleet
@@ -304,7 +431,10 @@
             .into_iter()
             .for_each(|(place, name)| buckets[place] = Bucket::named(&name));
         Self::keys(&all_written, &rules, known, &mut reading);
-        let mut bounds = Bounds { bytes: known.bytes, ..Bounds::default() };
+        let mut bounds = Bounds {
+            bytes: known.bytes,
+            ..Bounds::default()
+        };
         if let Some(written) = element.get("cost") {
             bounds.cost = written.value.parse().unwrap_or(0);
             if bounds.cost > cost::LIMIT_MAX {
@@ -323,13 +453,20 @@
             for problem in &problems {
                 let complaint = match problem.rule {
                     Some(rule) => {
-                        let places =
-                            Places { name: text(rules[rule], "name").to_owned(), element: rules[rule] };
+                        let places = Places {
+                            name: text(rules[rule], "name").to_owned(),
+                            element: rules[rule],
+                        };
                         places.complaint(problem)
                     }
                     None => {
                         let Error { what, expected, .. } = problem.error.clone();
-                        Complaint { place: Place::At(element.at), field: "rules".into(), what, expected }
+                        Complaint {
+                            place: Place::At(element.at),
+                            field: "rules".into(),
+                            what,
+                            expected,
+                        }
                     }
                 };
                 reading.complaints.push(complaint);
@@ -344,26 +481,44 @@
             }
         }
         match loaded {
-            Ok(rules) if reading.complaints.is_empty() => {
-                Ok(Rulebook { rules, buckets, fleet, operations: vocabulary.operations, cases: read_cases })
-            }
+            Ok(rules) if reading.complaints.is_empty() => Ok(Rulebook {
+                rules,
+                buckets,
+                fleet,
+                operations: vocabulary.operations,
+                cases: read_cases,
+            }),
             _ => Err(reading.complaints),
         }
     }
 
     fn words(element: &Element, known: &Known, reading: &mut Reading) -> Vocabulary {
         let mut vocabulary = Vocabulary {
-            operations: known.operations.iter().flatten().map(|(name, _)| name.clone()).collect(),
+            operations: known
+                .operations
+                .iter()
+                .flatten()
+                .map(|(name, _)| name.clone())
+                .collect(),
             tenants: known.tenants.clone().unwrap_or_default(),
             ..Vocabulary::default()
         };
         for parameter in element.all("parameter") {
-            let Some(written) = parameter.get("most") else { continue };
+            let Some(written) = parameter.get("most") else {
+                continue;
+            };
             match size(&written.value).filter(|most| *most <= madderpoint_rules::facts::PARAM_MAX) {
-                Some(most) => drop(vocabulary.params.insert(text(parameter, "name").to_owned(), most)),
-                None => {
-                    reading.wrong(written, "parameter/@most", "more than any parameter has", "at most 4KiB")
-                }
+                Some(most) => drop(
+                    vocabulary
+                        .params
+                        .insert(text(parameter, "name").to_owned(), most),
+                ),
+                None => reading.wrong(
+                    written,
+                    "parameter/@most",
+                    "more than any parameter has",
+                    "at most 4KiB",
+                ),
             }
         }
         for addresses in element.all("addresses") {
@@ -386,21 +541,35 @@
                     None => {}
                 }
             }
-            vocabulary.sets.insert(name, Arc::new(AddressSet::new(networks)));
+            vocabulary
+                .sets
+                .insert(name, Arc::new(AddressSet::new(networks)));
         }
         for strings in element.all("strings") {
-            let items = strings.all("item").map(|item| item.text.value.clone()).collect();
-            vocabulary.lists.insert(text(strings, "name").to_owned(), items);
+            let items = strings
+                .all("item")
+                .map(|item| item.text.value.clone())
+                .collect();
+            vocabulary
+                .lists
+                .insert(text(strings, "name").to_owned(), items);
         }
         vocabulary
     }
 
     /// A key has a meaning only where an operation may be known again by it.
     fn keys(written: &[Written], rules: &[&Element], known: &Known, reading: &mut Reading) {
-        let effects: HashMap<&str, Effect> =
-            known.operations.iter().flatten().map(|(name, effect)| (name.as_str(), *effect)).collect();
+        let effects: HashMap<&str, Effect> = known
+            .operations
+            .iter()
+            .flatten()
+            .map(|(name, effect)| (name.as_str(), *effect))
+            .collect();
         for (rule, element) in written.iter().zip(rules) {
-            let effect = rule.operation.as_ref().and_then(|name| effects.get(name.as_str()));
+            let effect = rule
+                .operation
+                .as_ref()
+                .and_then(|name| effects.get(name.as_str()));
             if rule.key.is_some()
                 && effect == Some(&Effect::NonIdempotent)
                 && let Some(key) = element.one("give").and_then(|give| give.one("key"))
@@ -422,12 +591,22 @@
         for attribute in &request.attributes {
             if let Err(expected) = asked.set(&attribute.name, &attribute.value.value) {
                 let what = format!("{} can't be {:?}", attribute.name, attribute.value.value);
-                return Err((attribute.value.clone(), format!("{field} request"), what, expected.to_owned()));
+                return Err((
+                    attribute.value.clone(),
+                    format!("{field} request"),
+                    what,
+                    expected.to_owned(),
+                ));
             }
         }
-        asked.params =
-            request.all("param").map(|p| (text(p, "name").to_owned(), p.text.value.clone())).collect();
-        asked.body = request.one("body").map(|b| b.text.value.clone().into_bytes()).unwrap_or_default();
+        asked.params = request
+            .all("param")
+            .map(|p| (text(p, "name").to_owned(), p.text.value.clone()))
+            .collect();
+        asked.body = request
+            .one("body")
+            .map(|b| b.text.value.clone().into_bytes())
+            .unwrap_or_default();
         let word = |name: &str| expect.get(name).map(|t| t.value.clone());
         let rule = word("rule").filter(|rule| rule != "none");
         if let (Some(name), Some(written)) = (&rule, expect.get("rule"))
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,6 +1,7 @@
-//! A checker by XML Schema, for the part of it that our schema uses: elements with named or inner types, sequence and
-//! choice with their numbers, attributes, simple types by pattern, enumeration and length, simple content. A
-//! schema that uses anything else is refused when it is read, so that nothing in it is passed over.
+//! A checker by XML Schema, for the part of it that our schema uses: elements with named or inner
+//! types, sequence and choice with their numbers, attributes, simple types by pattern, enumeration
+//! and length, simple content. A schema that uses anything else is refused when it is read, so that
+//! nothing in it is passed over.
 
 use crate::xml::{self, Element, Text};
 use crate::{Complaint, Place};
@@ -65,15 +66,24 @@
 const TEXT: &str = "xs:string";
 
 fn unknown(element: &Element) -> String {
-    format!("the schema uses {} in a way that is not known here", element.name)
+    format!(
+        "the schema uses {} in a way that is not known here",
+        element.name
+    )
 }
 
 fn value<'e>(element: &'e Element, name: &str) -> Result<&'e str, String> {
-    element.get(name).map(|t| t.value.as_str()).ok_or_else(|| format!("{} without {name}", element.name))
+    element
+        .get(name)
+        .map(|t| t.value.as_str())
+        .ok_or_else(|| format!("{} without {name}", element.name))
 }
 
 fn parts(element: &Element) -> impl Iterator<Item = &Element> {
-    element.children.iter().filter(|child| child.name != "xs:annotation")
+    element
+        .children
+        .iter()
+        .filter(|child| child.name != "xs:annotation")
 }
 
 impl Schema {
@@ -88,11 +98,15 @@
             match child.name.as_str() {
                 "xs:simpleType" => {
                     let simple = Self::simple(child)?;
-                    schema.simple.insert(value(child, "name")?.to_owned(), simple);
+                    schema
+                        .simple
+                        .insert(value(child, "name")?.to_owned(), simple);
                 }
                 "xs:complexType" => {
                     let complex = schema.complex(child)?;
-                    schema.complex.insert(value(child, "name")?.to_owned(), complex);
+                    schema
+                        .complex
+                        .insert(value(child, "name")?.to_owned(), complex);
                 }
                 "xs:element" => {
                     let kind = schema.kind_of(child)?;
@@ -107,7 +121,10 @@
 
     fn simple(element: &Element) -> Result<Simple, String> {
         let mut simple = Simple::default();
-        if let Some(told) = element.one("xs:annotation").and_then(|a| a.one("xs:documentation")) {
+        if let Some(told) = element
+            .one("xs:annotation")
+            .and_then(|a| a.one("xs:documentation"))
+        {
             simple.told = told.text.value.trim().to_owned();
         }
         for restriction in parts(element) {
@@ -124,7 +141,9 @@
                         simple.pattern = Some(pattern);
                     }
                     "xs:enumeration" => simple.words.push(value.to_owned()),
-                    "xs:maxLength" => simple.most = Some(value.parse().map_err(|_| unknown(facet))?),
+                    "xs:maxLength" => {
+                        simple.most = Some(value.parse().map_err(|_| unknown(facet))?)
+                    }
                     _ => return Err(unknown(facet)),
                 }
             }
@@ -136,8 +155,15 @@
         let attributes = parts(owner).filter(|child| child.name == "xs:attribute");
         let read = |attribute: &Element| -> Result<AttributeKind, String> {
             let required = attribute.get("use").is_some_and(|u| u.value == "required");
-            let (name, simple) = (value(attribute, "name")?.to_owned(), value(attribute, "type")?.to_owned());
-            Ok(AttributeKind { name, simple, required })
+            let (name, simple) = (
+                value(attribute, "name")?.to_owned(),
+                value(attribute, "type")?.to_owned(),
+            );
+            Ok(AttributeKind {
+                name,
+                simple,
+                required,
+            })
         };
         attributes.map(read).collect()
     }
@@ -158,7 +184,10 @@
                 _ => return Err(unknown(child)),
             }
         }
-        Ok(Complex { attributes, content })
+        Ok(Complex {
+            attributes,
+            content,
+        })
     }
 
     fn particle(&mut self, element: &Element) -> Result<Particle, String> {
@@ -171,9 +200,13 @@
         };
         let (least, most) = (number("minOccurs")?, number("maxOccurs")?);
         let kind = match element.name.as_str() {
-            "xs:element" => ParticleKind::Element(value(element, "name")?.to_owned(), self.kind_of(element)?),
+            "xs:element" => {
+                ParticleKind::Element(value(element, "name")?.to_owned(), self.kind_of(element)?)
+            }
             "xs:sequence" | "xs:choice" => {
-                let all = parts(element).map(|child| self.particle(child)).collect::<Result<_, _>>()?;
+                let all = parts(element)
+                    .map(|child| self.particle(child))
+                    .collect::<Result<_, _>>()?;
                 if element.name == "xs:sequence" {
                     ParticleKind::Sequence(all)
                 } else {
@@ -190,7 +223,9 @@
         if let Some(named) = element.get("type") {
             return Ok(named.value.clone());
         }
-        let inner = element.one("xs:complexType").ok_or_else(|| unknown(element))?;
+        let inner = element
+            .one("xs:complexType")
+            .ok_or_else(|| unknown(element))?;
         let complex = self.complex(inner)?;
         self.inner += 1;
         let name = format!("#{}", self.inner);
@@ -218,7 +253,10 @@
                 }
             }
         }
-        match named.into_iter().find(|kind| !self.complex.contains_key(*kind)) {
+        match named
+            .into_iter()
+            .find(|kind| !self.complex.contains_key(*kind))
+        {
             Some(kind) => Err(format!("there is no type {kind}")),
             None => Ok(()),
         }
@@ -232,8 +270,15 @@
             if words.contains(&element) {
                 continue;
             }
-            let Some(complex) = self.complex.get(&kind) else { continue };
-            words.extend(complex.attributes.iter().map(|a| format!("{element}/{}", a.name)));
+            let Some(complex) = self.complex.get(&kind) else {
+                continue;
+            };
+            words.extend(
+                complex
+                    .attributes
+                    .iter()
+                    .map(|a| format!("{element}/{}", a.name)),
+            );
             words.push(element);
             let mut particles: Vec<&Particle> = match &complex.content {
                 Content::Elements(particle) => vec![particle],
@@ -242,7 +287,9 @@
             while let Some(particle) = particles.pop() {
                 match &particle.kind {
                     ParticleKind::Element(name, kind) => open.push((name.clone(), kind.clone())),
-                    ParticleKind::Sequence(all) | ParticleKind::Choice(all) => particles.extend(all),
+                    ParticleKind::Sequence(all) | ParticleKind::Choice(all) => {
+                        particles.extend(all)
+                    }
                 }
             }
         }
@@ -269,13 +316,24 @@
     }
 
     fn element(&self, element: &Element, kind: &str, path: &str, found: &mut Vec<Complaint>) {
-        let Some(complex) = self.complex.get(kind) else { return };
+        let Some(complex) = self.complex.get(kind) else {
+            return;
+        };
         self.check_attributes(element, complex, path, found);
         let text = element.text.value.trim();
         if !text.is_empty() && !matches!(complex.content, Content::Text) {
             let start = element.text.value.len() - element.text.value.trim_start().len();
-            let expected = if matches!(complex.content, Content::Nothing) { "nothing" } else { "elements" };
-            found.push(complaint(element.text.place(start), path, "text where none may be", expected));
+            let expected = if matches!(complex.content, Content::Nothing) {
+                "nothing"
+            } else {
+                "elements"
+            };
+            found.push(complaint(
+                element.text.place(start),
+                path,
+                "text where none may be",
+                expected,
+            ));
         }
         match &complex.content {
             Content::Elements(particle) => {
@@ -283,13 +341,22 @@
                 self.take(particle, element, &mut next, path, found);
                 if let Some(odd) = element.children.get(next) {
                     let known = Self::may_begin(particle);
-                    let known = known.iter().map(|n| format!("<{n}>")).collect::<Vec<_>>().join(", ");
+                    let known = known
+                        .iter()
+                        .map(|n| format!("<{n}>"))
+                        .collect::<Vec<_>>()
+                        .join(", ");
                     let what = if Self::may_begin(particle).contains(&odd.name.as_str()) {
                         format!("<{}> is out of its order, or one too many", odd.name)
                     } else {
                         format!("unknown element <{}>", odd.name)
                     };
-                    found.push(complaint(odd.at, path, what, format!("in this order: {known}")));
+                    found.push(complaint(
+                        odd.at,
+                        path,
+                        what,
+                        format!("in this order: {known}"),
+                    ));
                 }
             }
             _ => {
@@ -305,13 +372,22 @@
         }
     }
 
-    fn check_attributes(&self, element: &Element, complex: &Complex, path: &str, found: &mut Vec<Complaint>) {
+    fn check_attributes(
+        &self,
+        element: &Element,
+        complex: &Complex,
+        path: &str,
+        found: &mut Vec<Complaint>,
+    ) {
         for attribute in &element.attributes {
             let field = format!("{path}/@{}", attribute.name);
             match complex.attributes.iter().find(|a| a.name == attribute.name) {
-                Some(kind) => found.extend(self.simple_text(&kind.simple, &attribute.value, &field)),
+                Some(kind) => {
+                    found.extend(self.simple_text(&kind.simple, &attribute.value, &field))
+                }
                 None => {
-                    let known: Vec<_> = complex.attributes.iter().map(|a| a.name.as_str()).collect();
+                    let known: Vec<_> =
+                        complex.attributes.iter().map(|a| a.name.as_str()).collect();
                     let known = if known.is_empty() {
                         "none".to_owned()
                     } else {
@@ -326,8 +402,10 @@
                 }
             }
         }
-        for kind in
-            complex.attributes.iter().filter(|kind| kind.required && element.get(&kind.name).is_none())
+        for kind in complex
+            .attributes
+            .iter()
+            .filter(|kind| kind.required && element.get(&kind.name).is_none())
         {
             found.push(complaint(
                 element.at,
@@ -340,9 +418,13 @@
 
     fn told(&self, simple: &str) -> String {
         match self.simple.get(simple) {
-            Some(simple) if !simple.words.is_empty() => format!("one of {}", simple.words.join(", ")),
+            Some(simple) if !simple.words.is_empty() => {
+                format!("one of {}", simple.words.join(", "))
+            }
             Some(simple) if !simple.told.is_empty() => simple.told.clone(),
-            Some(Simple { most: Some(most), .. }) => format!("a text of at most {most} bytes"),
+            Some(Simple {
+                most: Some(most), ..
+            }) => format!("a text of at most {most} bytes"),
             _ => "a text".into(),
         }
     }
@@ -366,8 +448,8 @@
         }
     }
 
-    /// Takes as many children as a particle covers. XML Schema has a child decide which particle it belongs to, so
-    /// that nothing need be tried twice.
+    /// Takes as many children as a particle covers. XML Schema has a child decide which particle it
+    /// belongs to, so that nothing need be tried twice.
     fn take(
         &self,
         particle: &Particle,
@@ -385,12 +467,22 @@
         }
         if let ParticleKind::Sequence(all) = &particle.kind {
             // Nothing of it is there: what it lacks is what each of its parts lacks.
-            return all.iter().for_each(|one| self.take(one, of, next, path, found));
+            return all
+                .iter()
+                .for_each(|one| self.take(one, of, next, path, found));
         }
-        let names =
-            Self::may_begin(particle).iter().map(|n| format!("<{n}>")).collect::<Vec<_>>().join(" or ");
+        let names = Self::may_begin(particle)
+            .iter()
+            .map(|n| format!("<{n}>"))
+            .collect::<Vec<_>>()
+            .join(" or ");
         let at = of.children.get(*next).map_or(of.at, |child| child.at);
-        found.push(complaint(at, path, format!("{names} is missing"), names.clone()));
+        found.push(complaint(
+            at,
+            path,
+            format!("{names} is missing"),
+            names.clone(),
+        ));
     }
 
     fn may_be_empty(particle: &Particle) -> bool {
@@ -410,27 +502,44 @@
         path: &str,
         found: &mut Vec<Complaint>,
     ) -> bool {
-        let Some(child) = of.children.get(*next) else { return false };
+        let Some(child) = of.children.get(*next) else {
+            return false;
+        };
         if !Self::may_begin(particle).contains(&child.name.as_str()) {
             return false;
         }
         match &particle.kind {
             ParticleKind::Element(_, kind) => {
-                let name = child.get("name").map_or_else(String::new, |n| format!("[{}]", n.value));
+                let name = child
+                    .get("name")
+                    .map_or_else(String::new, |n| format!("[{}]", n.value));
                 self.element(child, kind, &format!("{path}/{}{name}", child.name), found);
                 *next += 1;
                 true
             }
             ParticleKind::Sequence(all) => {
                 let start = *next;
-                all.iter().for_each(|one| self.take(one, of, next, path, found));
+                all.iter()
+                    .for_each(|one| self.take(one, of, next, path, found));
                 *next > start
             }
-            ParticleKind::Choice(all) => all.iter().any(|one| self.once(one, of, next, path, found)),
+            ParticleKind::Choice(all) => {
+                all.iter().any(|one| self.once(one, of, next, path, found))
+            }
         }
     }
 }
 
-fn complaint(at: usize, field: &str, what: impl Into<String>, expected: impl Into<String>) -> Complaint {
-    Complaint { place: Place::At(at), field: field.to_owned(), what: what.into(), expected: expected.into() }
+fn complaint(
+    at: usize,
+    field: &str,
+    what: impl Into<String>,
+    expected: impl Into<String>,
+) -> Complaint {
+    Complaint {
+        place: Place::At(at),
+        field: field.to_owned(),
+        what: what.into(),
+        expected: expected.into(),
+    }
 }
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -1,5 +1,6 @@
-//! Timetables: which fault is put where and when, and what must hold then. Files in XML, checked by a schema as our settings
-//! are; played by the rig against processes, and by `fleet simulate` against a simulated fleet.
+//! Timetables: which fault is put where and when, and what must hold then. Files in XML, checked by
+//! a schema as our settings are; played by the rig against processes, and by `fleet simulate`
+//! against a simulated fleet.
 
 use crate::schema::Schema;
 use crate::xml::Element;
@@ -184,7 +185,8 @@
         number: u64,
         within: Duration,
     },
-    /// All of these nodes that are up know that the change to this number has come to this, or as far as this stage.
+    /// All of these nodes that are up know that the change to this number has come to this, or as
+    /// far as this stage.
     Change {
         to: Ends,
         number: u64,
@@ -286,10 +288,16 @@
 
 /// An element as text again: what is in it is for another schema.
 fn again(element: &Element) -> String {
-    let attributes: String =
-        element.attributes.iter().map(|a| format!(" {}=\"{}\"", a.name, a.value.value)).collect();
+    let attributes: String = element
+        .attributes
+        .iter()
+        .map(|a| format!(" {}=\"{}\"", a.name, a.value.value))
+        .collect();
     let children: String = element.children.iter().map(again).collect();
-    format!("<{}{attributes}>{children}</{}>", element.name, element.name)
+    format!(
+        "<{}{attributes}>{children}</{}>",
+        element.name, element.name
+    )
 }
 
 fn text<'e>(element: &'e Element, name: &str) -> Option<&'e str> {
@@ -302,7 +310,9 @@
 }
 
 fn share(element: &Element, name: &str) -> f64 {
-    text(element, name).and_then(|text| text.parse().ok()).unwrap_or(0.0)
+    text(element, name)
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0.0)
 }
 
 fn number(element: &Element, name: &str) -> Option<u64> {
@@ -337,22 +347,36 @@
                 Some("members") => Links::Members,
                 _ => Links::Fleet,
             };
-            let faulty = Faulty { on, from: ends("from"), to: ends("to"), both: is(element, "both"), fault };
-            Action::Link { faulty, time: time() }
+            let faulty = Faulty {
+                on,
+                from: ends("from"),
+                to: ends("to"),
+                both: is(element, "both"),
+                fault,
+            };
+            Action::Link {
+                faulty,
+                time: time(),
+            }
         }
         "heal" => Action::Heal,
         "kill" => Action::Kill(node()),
         "stop" => Action::Stop(node()),
-        "pause" => Action::Pause { node: node(), time: time().unwrap_or(Duration::from_secs(1)) },
+        "pause" => Action::Pause {
+            node: node(),
+            time: time().unwrap_or(Duration::from_secs(1)),
+        },
         "hup" => Action::Hup(node()),
         "start" => Action::Start {
             node: node(),
             name: text(element, "as").map(str::to_owned),
             program: text(element, "program").map(str::to_owned),
         },
-        "stranger" => {
-            Action::Stranger { to: ends("to"), a_second: number(element, "a-second")?, time: time()? }
-        }
+        "stranger" => Action::Stranger {
+            to: ends("to"),
+            a_second: number(element, "a-second")?,
+            time: time()?,
+        },
         "settled" => Action::Settled {
             within: span(element, "within")?,
             sides: number(element, "sides").map_or(1, |n| n as usize),
@@ -383,9 +407,18 @@
             change: text(element, "change")?.to_owned(),
             turned_down: is(element, "turned-down"),
         },
-        "halt" => Action::EndChange { node: node(), back: false },
-        "back" => Action::EndChange { node: node(), back: true },
-        "disk" => Action::Disk { node: node(), full: is(element, "full") },
+        "halt" => Action::EndChange {
+            node: node(),
+            back: false,
+        },
+        "back" => Action::EndChange {
+            node: node(),
+            back: true,
+        },
+        "disk" => Action::Disk {
+            node: node(),
+            full: is(element, "full"),
+        },
         "runs" => Action::Runs {
             to: ends("to"),
             number: number(element, "number")?,
@@ -423,13 +456,17 @@
         what,
         expected: expected.into(),
     };
-    let schema = Schema::read(SCHEMA).map_err(|e| complaints(vec![at(Place::Whole, e, "a schema")]))?;
+    let schema =
+        Schema::read(SCHEMA).map_err(|e| complaints(vec![at(Place::Whole, e, "a schema")]))?;
     let mut wrong = schema.check(&root);
     if !wrong.is_empty() {
         return Err(complaints(wrong));
     }
-    let words =
-        |name| text(&root, name).map_or(Vec::new(), |t| t.split_whitespace().map(str::to_owned).collect());
+    let words = |name| {
+        text(&root, name).map_or(Vec::new(), |t| {
+            t.split_whitespace().map(str::to_owned).collect()
+        })
+    };
     let mut script = Script {
         name: text(&root, "name").unwrap_or_default().to_owned(),
         seed: number(&root, "seed").unwrap_or(1),
@@ -451,10 +488,18 @@
         steps: Vec::new(),
     };
     if script.nodes > NODES_MAX {
-        wrong.push(at(Place::At(root.at), format!("{} nodes", script.nodes), "64 at most"));
+        wrong.push(at(
+            Place::At(root.at),
+            format!("{} nodes", script.nodes),
+            "64 at most",
+        ));
     }
     if let Some(periods) = root.one("periods") {
-        script.periods = periods.attributes.iter().map(|a| (a.name.clone(), a.value.value.clone())).collect();
+        script.periods = periods
+            .attributes
+            .iter()
+            .map(|a| (a.name.clone(), a.value.value.clone()))
+            .collect();
     }
     if let Some(below) = root.one("below") {
         script.below = Below {
@@ -478,7 +523,9 @@
         };
     }
     let known = |name: &str| {
-        name.strip_prefix('n').and_then(|n| n.parse::<usize>().ok()).is_some_and(|n| n < script.nodes)
+        name.strip_prefix('n')
+            .and_then(|n| n.parse::<usize>().ok())
+            .is_some_and(|n| n < script.nodes)
     };
     for step in root.all("step").filter_map(|step| step.children.first()) {
         let (time, action) = (span(step, "at"), action(step));
@@ -490,15 +537,25 @@
             ));
             continue;
         };
-        let named = ["node", "other"].into_iter().filter_map(|name| text(step, name));
+        let named = ["node", "other"]
+            .into_iter()
+            .filter_map(|name| text(step, name));
         if let Some(stranger) = named.into_iter().find(|name| !known(name)) {
             let most = format!("n0 to n{}", script.nodes - 1);
-            wrong.push(at(Place::At(step.at), format!("there is no node {stranger}"), &most));
+            wrong.push(at(
+                Place::At(step.at),
+                format!("there is no node {stranger}"),
+                &most,
+            ));
         }
         script.steps.push(Step { at: time, action });
     }
     script.steps.sort_by_key(|step| step.at);
-    if wrong.is_empty() { Ok(script) } else { Err(complaints(wrong)) }
+    if wrong.is_empty() {
+        Ok(script)
+    } else {
+        Err(complaints(wrong))
+    }
 }
 
 #[cfg(test)]
@@ -515,18 +572,28 @@
         </script>"#;
         let script = read("t.xml", text).unwrap();
         assert_eq!((script.nodes, script.zones, script.steps.len()), (4, 2, 3));
-        let Action::Link { faulty, time } = &script.steps[0].action else { panic!("{script:?}") };
-        assert_eq!((faulty.both, faulty.fault.cut, *time), (true, true, Some(Duration::from_secs(2))));
-        assert!(faulty.from.has("n2", "z0") && !faulty.to.has("n2", "z0") && faulty.to.has("n3", "z1"));
-        let Action::Link { faulty, .. } = &script.steps[1].action else { panic!("{script:?}") };
+        let Action::Link { faulty, time } = &script.steps[0].action else {
+            panic!("{script:?}")
+        };
+        assert_eq!(
+            (faulty.both, faulty.fault.cut, *time),
+            (true, true, Some(Duration::from_secs(2)))
+        );
+        assert!(
+            faulty.from.has("n2", "z0") && !faulty.to.has("n2", "z0") && faulty.to.has("n3", "z1")
+        );
+        let Action::Link { faulty, .. } = &script.steps[1].action else {
+            panic!("{script:?}")
+        };
         assert_eq!((faulty.on, faulty.fault.loss), (Links::Kernel, 0.25));
         assert_eq!(script.steps[2].at, Duration::from_secs(3));
     }
 
     #[test]
     fn what_a_timetable_can_not_say_is_told_with_its_line() {
-        let script =
-            |inner: &str| format!("<script name=\"x\" seed=\"3\" nodes=\"4\" time=\"5s\">\n{inner}</script>");
+        let script = |inner: &str| {
+            format!("<script name=\"x\" seed=\"3\" nodes=\"4\" time=\"5s\">\n{inner}</script>")
+        };
         for (inner, told) in [
             (
                 "<step><kill at=\"1s\" node=\"n4\"/></step>",
@@ -534,9 +601,15 @@
             ),
             ("<step><kill at=\"1\" node=\"n1\"/></step>", "does not fit"),
             ("<step><explode at=\"1s\"/></step>", "<explode>"),
-            ("<step><link at=\"1s\" loss=\"2\"/></step>", "expected a share from 0 to 1"),
+            (
+                "<step><link at=\"1s\" loss=\"2\"/></step>",
+                "expected a share from 0 to 1",
+            ),
         ] {
-            let shown = read("t.xml", &script(inner)).unwrap_err().to_string().to_lowercase();
+            let shown = read("t.xml", &script(inner))
+                .unwrap_err()
+                .to_string()
+                .to_lowercase();
             assert!(shown.contains(&told.to_lowercase()), "{inner}: {shown}");
         }
     }
--- a/crates/settings/src/xml.rs
+++ b/crates/settings/src/xml.rs
@@ -1,5 +1,5 @@
-//! XML to a tree in which all that was written knows its place. Entities are the five of XML and character
-//! references; a document type is refused, and with it entities that grow.
+//! XML to a tree in which all that was written knows its place. Entities are the five of XML and
+//! character references; a document type is refused, and with it entities that grow.
 
 use crate::{Complaint, Place};
 use quick_xml::Reader;
@@ -65,7 +65,10 @@
 impl Element {
     /// An attribute's text.
     pub fn get(&self, name: &str) -> Option<&Text> {
-        self.attributes.iter().find(|a| a.name == name).map(|a| &a.value)
+        self.attributes
+            .iter()
+            .find(|a| a.name == name)
+            .map(|a| &a.value)
     }
 
     /// The elements in it that have this name.
@@ -88,11 +91,18 @@
 
 /// Where a piece of the text that was handed out stands in it.
 fn offset(text: &str, piece: &str) -> usize {
-    (piece.as_ptr() as usize).saturating_sub(text.as_ptr() as usize).min(text.len())
+    (piece.as_ptr() as usize)
+        .saturating_sub(text.as_ptr() as usize)
+        .min(text.len())
 }
 
 fn wrong(at: usize, what: impl Into<String>, expected: impl Into<String>) -> Complaint {
-    Complaint { place: Place::At(at), field: String::new(), what: what.into(), expected: expected.into() }
+    Complaint {
+        place: Place::At(at),
+        field: String::new(),
+        what: what.into(),
+        expected: expected.into(),
+    }
 }
 
 /// Text with entities, which stands at this place.
@@ -102,7 +112,9 @@
     while let Some(mark) = rest.find('&') {
         into.push(&rest[..mark], place);
         let tail = &rest[mark + 1..];
-        let end = tail.find(';').ok_or_else(|| wrong(place + mark, "'&' without an entity", "&amp;"))?;
+        let end = tail
+            .find(';')
+            .ok_or_else(|| wrong(place + mark, "'&' without an entity", "&amp;"))?;
         reference(&tail[..end], place + mark, into)?;
         place += mark + end + 2;
         rest = &tail[end + 1..];
@@ -117,8 +129,13 @@
         Some(number) => number.parse().ok(),
         None => {
             let known = resolve_predefined_entity(name);
-            let known =
-                known.ok_or_else(|| wrong(at, format!("unknown entity '&{name};'"), "one of XML's five"))?;
+            let known = known.ok_or_else(|| {
+                wrong(
+                    at,
+                    format!("unknown entity '&{name};'"),
+                    "one of XML's five",
+                )
+            })?;
             into.push(known, at);
             return Ok(());
         }
@@ -141,11 +158,21 @@
             ));
         }
         let name = tag.name().into_inner().to_owned();
-        let mut element =
-            Element { name, at, attributes: Vec::new(), children: Vec::new(), text: Text::default() };
+        let mut element = Element {
+            name,
+            at,
+            attributes: Vec::new(),
+            children: Vec::new(),
+            text: Text::default(),
+        };
         for attribute in tag.attributes() {
-            let attribute = attribute
-                .map_err(|e| wrong(at, format!("an attribute can't be read: {e}"), "name=\"value\""))?;
+            let attribute = attribute.map_err(|e| {
+                wrong(
+                    at,
+                    format!("an attribute can't be read: {e}"),
+                    "name=\"value\"",
+                )
+            })?;
             let key = attribute.key.into_inner();
             let mut value = Text::default();
             let value_at = offset(self.text, &attribute.value);
@@ -154,7 +181,11 @@
                 value.parts.push((0, value_at));
             }
             let name = key.to_owned();
-            element.attributes.push(Attribute { name, at: offset(self.text, key), value });
+            element.attributes.push(Attribute {
+                name,
+                at: offset(self.text, key),
+                value,
+            });
         }
         Ok(element)
     }
@@ -177,7 +208,11 @@
                 let mut outside = Text::default();
                 add(&mut outside)?;
                 let blank = outside.value.trim().is_empty();
-                if blank { Ok(()) } else { Err(wrong(at, "text outside the elements", "nothing")) }
+                if blank {
+                    Ok(())
+                } else {
+                    Err(wrong(at, "text outside the elements", "nothing"))
+                }
             }
         }
     }
@@ -186,10 +221,17 @@
 /// Reads a file's text.
 pub fn read(text: &str) -> Result<Element, Complaint> {
     let mut reader = Reader::from_str(text);
-    let mut tree = Tree { text, open: Vec::new(), root: None, elements: 0 };
+    let mut tree = Tree {
+        text,
+        open: Vec::new(),
+        root: None,
+        elements: 0,
+    };
     loop {
         let event = reader.read_event().map_err(|e| {
-            let at = usize::try_from(reader.error_position()).unwrap_or(0).min(text.len());
+            let at = usize::try_from(reader.error_position())
+                .unwrap_or(0)
+                .min(text.len());
             wrong(at, format!("no XML: {e}"), "well-formed XML")
         })?;
         match event {
@@ -239,7 +281,12 @@
         }
     }
     if let Some(open) = tree.open.pop() {
-        return Err(wrong(open.at, format!("<{}> is not closed", open.name), format!("</{}>", open.name)));
+        return Err(wrong(
+            open.at,
+            format!("<{}> is not closed", open.name),
+            format!("</{}>", open.name),
+        ));
     }
-    tree.root.ok_or_else(|| wrong(0, "no element", "<translator>"))
+    tree.root
+        .ok_or_else(|| wrong(0, "no element", "<translator>"))
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Files of settings: what is wrong is told with its place, the schema and the reader know the same words, and no
-//! damage is taken for a file.
+//! Files of settings: what is wrong is told with its place, the schema and the reader know the same
+//! words, and no damage is taken for a file.
 
 use madderpoint::Effect;
 use madderpoint_settings::schema::Schema;
@@ -11,8 +11,11 @@
 const DEPLOYED: &str = include_str!("../../../deploy/translator.xml");
 
 fn known() -> Known {
-    let operations =
-        [("read", Effect::Idempotent), ("book", Effect::Tokened), ("pay", Effect::NonIdempotent)];
+    let operations = [
+        ("read", Effect::Idempotent),
+        ("book", Effect::Tokened),
+        ("pay", Effect::NonIdempotent),
+    ];
     Known {
         operations: Some(operations.map(|(n, e)| (n.to_owned(), e)).to_vec()),
         tenants: Some(vec!["acme".into()]),
@@ -37,10 +40,18 @@
     let shown = complaints.to_string();
     let line = text.lines().nth(2).unwrap();
     let column = line[..line.find("foo").unwrap()].chars().count() + 1;
-    assert!(shown.starts_with(&format!("t.xml:3:{column}: rule 'a' when: unknown name 'foo'")), "{shown}");
+    assert!(
+        shown.starts_with(&format!(
+            "t.xml:3:{column}: rule 'a' when: unknown name 'foo'"
+        )),
+        "{shown}"
+    );
     let lines: Vec<_> = shown.lines().collect();
     let column = lines[2].chars().position(|c| c == '^').unwrap();
-    assert_eq!(lines[1].chars().skip(column).take(3).collect::<String>(), "foo");
+    assert_eq!(
+        lines[1].chars().skip(column).take(3).collect::<String>(),
+        "foo"
+    );
     assert!(lines[2].ends_with("^~~"), "{shown}");
 }
 
@@ -52,14 +63,35 @@
         ("<a/>", "unknown element <a>; expected <translator>"),
         ("<translator/>", "attribute 'version' is missing"),
         ("<translator version=\"2\"/>", "version 2; expected 1"),
-        ("<translator version=\"1\"/><translator/>", "a second element at the top"),
-        ("<translator version=\"1\">x</translator>", "text where none may be"),
-        ("<translator version=\"1\"><pool/></translator>", "unknown element <pool>"),
-        ("<!DOCTYPE a [<!ENTITY b \"c\">]><translator version=\"1\"/>", "a document type"),
-        (&rules("<rule name=\"a\"><when>&huge;</when></rule>"), "unknown entity '&huge;'"),
+        (
+            "<translator version=\"1\"/><translator/>",
+            "a second element at the top",
+        ),
+        (
+            "<translator version=\"1\">x</translator>",
+            "text where none may be",
+        ),
+        (
+            "<translator version=\"1\"><pool/></translator>",
+            "unknown element <pool>",
+        ),
+        (
+            "<!DOCTYPE a [<!ENTITY b \"c\">]><translator version=\"1\"/>",
+            "a document type",
+        ),
+        (
+            &rules("<rule name=\"a\"><when>&huge;</when></rule>"),
+            "unknown entity '&huge;'",
+        ),
         (&rules("<rule name=\"a\"/>"), "<when> is missing"),
-        (&rules("<rule><when>true</when></rule>"), "attribute 'name' is missing"),
-        (&rules("<rule name=\"1\"><when>true</when></rule>"), "\"1\" does not fit"),
+        (
+            &rules("<rule><when>true</when></rule>"),
+            "attribute 'name' is missing",
+        ),
+        (
+            &rules("<rule name=\"1\"><when>true</when></rule>"),
+            "\"1\" does not fit",
+        ),
         (
             &rules("<rule name=\"a\"><when>true</when><when>true</when></rule>"),
             "out of its order, or one too many",
@@ -69,7 +101,9 @@
             "out of its order",
         ),
         (
-            &rules("<rule name=\"a\"><when>true</when></rule><rule name=\"a\"><when>true</when></rule>"),
+            &rules(
+                "<rule name=\"a\"><when>true</when></rule><rule name=\"a\"><when>true</when></rule>",
+            ),
             "a second rule 'a'",
         ),
         (
@@ -101,19 +135,37 @@
             "the settings have no tenant 'none'; expected one of acme",
         ),
         (&rules("<bucket name=\"b\"/>"), "nothing is limited"),
-        (&rules("<bucket name=\"b\" burst=\"3\" in-hand=\"1\"/>"), "a burst without a rate"),
-        (&rules("<bucket name=\"b\" rate=\"1/999h\"/>"), "this rate can't be kept"),
-        (&rules("<parameter name=\"A\" most=\"5KiB\"/>"), "more than any parameter has"),
-        (&rules("<addresses name=\"a\">10.0.0.0/8 10.0.0.300</addresses>"), "no network: 10.0.0.300"),
+        (
+            &rules("<bucket name=\"b\" burst=\"3\" in-hand=\"1\"/>"),
+            "a burst without a rate",
+        ),
+        (
+            &rules("<bucket name=\"b\" rate=\"1/999h\"/>"),
+            "this rate can't be kept",
+        ),
+        (
+            &rules("<parameter name=\"A\" most=\"5KiB\"/>"),
+            "more than any parameter has",
+        ),
+        (
+            &rules("<addresses name=\"a\">10.0.0.0/8 10.0.0.300</addresses>"),
+            "no network: 10.0.0.300",
+        ),
         (
             &rules("<case name=\"c\"><request peer=\"x\"/><expect rule=\"none\"/></case>"),
             "peer can't be \"x\"",
         ),
-        (&rules("<case name=\"c\"><request/><expect rule=\"gone\"/></case>"), "there is no rule 'gone'"),
+        (
+            &rules("<case name=\"c\"><request/><expect rule=\"gone\"/></case>"),
+            "there is no rule 'gone'",
+        ),
     ];
     for (text, what) in cases {
         let shown = wrong(text).to_string();
-        assert!(shown.contains(what) && shown.starts_with("t.xml:"), "{text}\n{shown}");
+        assert!(
+            shown.contains(what) && shown.starts_with("t.xml:"),
+            "{text}\n{shown}"
+        );
     }
 }
 
@@ -124,22 +176,42 @@
         <give operation=\"z\"/></rule>",
     ));
     let shown = complaints.to_string();
-    let lines: Vec<&str> = shown.lines().filter(|l| l.starts_with("t.xml:")).map(|l| &l[6..7]).collect();
+    let lines: Vec<&str> = shown
+        .lines()
+        .filter(|l| l.starts_with("t.xml:"))
+        .map(|l| &l[6..7])
+        .collect();
     assert_eq!(lines, ["2", "3", "4", "4", "4"], "{shown}");
     assert!(complaints.first().ends_with("(and 4 more)"));
 }
 
 #[test]
 fn a_file_or_rules_beyond_the_room_are_refused_with_the_reason() {
-    let tight = Known { file_bytes: 1024, ..known() };
-    let many: String = (0..100).map(|i| format!("<rule name=\"r{i}\"><when>true</when></rule>")).collect();
-    let shown = read("t.xml", &rules(&many), &tight).map(|_| ()).unwrap_err().to_string();
+    let tight = Known {
+        file_bytes: 1024,
+        ..known()
+    };
+    let many: String = (0..100)
+        .map(|i| format!("<rule name=\"r{i}\"><when>true</when></rule>"))
+        .collect();
+    let shown = read("t.xml", &rules(&many), &tight)
+        .map(|_| ())
+        .unwrap_err()
+        .to_string();
     assert!(
-        shown.contains("the file has 4 KiB; expected at most 1 KiB, which follows from the memory limit"),
+        shown.contains(
+            "the file has 4 KiB; expected at most 1 KiB, which follows from the memory limit"
+        ),
         "{shown}"
     );
-    let tight = Known { bytes: 4096, ..known() };
-    let shown = read("t.xml", &rules(&many), &tight).map(|_| ()).unwrap_err().to_string();
+    let tight = Known {
+        bytes: 4096,
+        ..known()
+    };
+    let shown = read("t.xml", &rules(&many), &tight)
+        .map(|_| ())
+        .unwrap_err()
+        .to_string();
     assert!(shown.contains("the rules take about"), "{shown}");
     // XML that nests without end is refused before it is kept.
     let deep = "<translator version=\"1\">".to_owned() + &"<rules>".repeat(100_000);
@@ -162,7 +234,10 @@
         let last = word.rsplit('/').next().unwrap();
         let facts = word.starts_with("request/");
         let text = if facts { asked } else { reader.as_str() };
-        assert!(text.contains(&format!("\"{last}\"")), "{word} is in the schema, and nothing reads it");
+        assert!(
+            text.contains(&format!("\"{last}\"")),
+            "{word} is in the schema, and nothing reads it"
+        );
     }
     for name in [
         "operation",
@@ -228,12 +303,22 @@
 
 #[test]
 fn the_deployed_cases_hold() {
-    let book = read("t.xml", DEPLOYED, &Known::anything()).unwrap().rules.unwrap();
+    let book = read("t.xml", DEPLOYED, &Known::anything())
+        .unwrap()
+        .rules
+        .unwrap();
     assert!(!book.cases.is_empty());
     for case in &book.cases {
         assert_eq!(case.run(&book), Ok(()), "{}", case.name);
     }
-    assert_eq!(xml::read("<a b='&lt;&#10;'/>").unwrap().get("b").unwrap().value, "<\n");
+    assert_eq!(
+        xml::read("<a b='&lt;&#10;'/>")
+            .unwrap()
+            .get("b")
+            .unwrap()
+            .value,
+        "<\n"
+    );
 }
 
 fn fleet(inner: &str, attributes: &str) -> String {
@@ -252,14 +337,25 @@
     let read = read("t.xml", &text, &Known::anything()).unwrap();
     let fleet = read.fleet.unwrap();
     assert_eq!(
-        (fleet.seeds.len(), fleet.zone.as_deref(), fleet.program.as_deref()),
+        (
+            fleet.seeds.len(),
+            fleet.zone.as_deref(),
+            fleet.program.as_deref()
+        ),
         (2, Some("a-1"), Some("0.1.0-b"))
     );
     assert_eq!(
-        (fleet.periods.probe, fleet.periods.answer, fleet.periods.suspicion),
+        (
+            fleet.periods.probe,
+            fleet.periods.answer,
+            fleet.periods.suspicion
+        ),
         (500_000_000, 150_000_000, 2.5)
     );
-    assert_eq!((fleet.bind.unwrap().port(), fleet.advertise, read.number.0), (7946, None, 7));
+    assert_eq!(
+        (fleet.bind.unwrap().port(), fleet.advertise, read.number.0),
+        (7946, None, 7)
+    );
 }
 
 #[test]
@@ -276,10 +372,18 @@
             "",
             "fleet/periods/@probe: \"1ms\" is out of range; expected 50 to 60000 ms",
         ),
-        ("<periods answer=\"1s\"/>", "", "fleet/periods/@answer: an answer has as long as"),
+        (
+            "<periods answer=\"1s\"/>",
+            "",
+            "fleet/periods/@answer: an answer has as long as",
+        ),
         ("<periods suspicion=\"0.1\"/>", "", "expected 0.5 to 100"),
         ("<pulse/>", "", "unknown element <pulse>"),
-        ("<calls-budget name=\"b\" floor=\"1\" nodes-most=\"9\"/>", "", "calls-budget 'b': no limit, or two"),
+        (
+            "<calls-budget name=\"b\" floor=\"1\" nodes-most=\"9\"/>",
+            "",
+            "calls-budget 'b': no limit, or two",
+        ),
         (
             "<calls-budget name=\"b\" a-second=\"5\" floor=\"1\" nodes-most=\"9\"/>",
             "",
@@ -290,16 +394,32 @@
             "",
             "0 arbiters; expected an odd number",
         ),
-        ("<arbiter name=\"a\"/><arbiter name=\"a\"/>", "", "a second arbiter 'a'"),
-        ("<arbiter name=\"a\"/><arbiter name=\"b\"/>", "", "2 arbiters; expected an odd number"),
+        (
+            "<arbiter name=\"a\"/><arbiter name=\"a\"/>",
+            "",
+            "a second arbiter 'a'",
+        ),
+        (
+            "<arbiter name=\"a\"/><arbiter name=\"b\"/>",
+            "",
+            "2 arbiters; expected an odd number",
+        ),
         (
             "<arbiter name=\"a\"/><calls-budget name=\"b\" a-second=\"50\" floor=\"1\" nodes-most=\"9\"/>\
              <calls-budget name=\"b\" a-second=\"60\" floor=\"1\" nodes-most=\"9\"/>",
             "",
             "a second budget 'b'",
         ),
-        ("<service name=\"s\" slow=\"20m\"/>", "", "fleet/service/@slow: \"20m\" is out of range"),
-        ("<service name=\"s\"/><service name=\"t\"/>", "", "one too many"),
+        (
+            "<service name=\"s\" slow=\"20m\"/>",
+            "",
+            "fleet/service/@slow: \"20m\" is out of range",
+        ),
+        (
+            "<service name=\"s\"/><service name=\"t\"/>",
+            "",
+            "one too many",
+        ),
         ("", "zone=\"a b\"", "does not fit"),
         ("", "port=\"1\"", "unknown attribute"),
     ] {
@@ -326,9 +446,15 @@
          <stage share=\"1\"/>",
         "of-zone=\"0.3\" margin=\"0.01\"",
     );
-    let read = read("t.xml", &text, &Known::anything()).unwrap().rollout.unwrap();
+    let read = read("t.xml", &text, &Known::anything())
+        .unwrap()
+        .rollout
+        .unwrap();
     let shares: Vec<u32> = read.plan.stages.iter().map(|stage| stage.share).collect();
-    assert_eq!((read.dir.as_str(), shares), ("/var/lib/m", vec![0, 250, 1000]));
+    assert_eq!(
+        (read.dir.as_str(), shares),
+        ("/var/lib/m", vec![0, 250, 1000])
+    );
     let (first, second) = (&read.plan.stages[0], &read.plan.stages[1]);
     assert_eq!((first.least, first.sample), (2_000_000_000, 9));
     assert_eq!((second.longest, second.spread), (3_600_000_000_000, 0));
@@ -338,20 +464,36 @@
 }
 
 fn plan_of(text: &str) -> madderpoint_rollout::Plan {
-    read("t.xml", text, &Known::anything()).unwrap().rollout.unwrap().plan
+    read("t.xml", text, &Known::anything())
+        .unwrap()
+        .rollout
+        .unwrap()
+        .plan
 }
 
 #[test]
 fn what_a_rollout_can_not_be_set_to_is_told_with_its_place() {
     for (inner, attributes, told) in [
-        ("<stage share=\"0.5\"/>", "", "t.xml:3:2: rollout: the last stage must be the whole fleet"),
-        ("<stage share=\"0.5\"/><stage share=\"0.2\"/>", "", "each stage must be larger than the one before"),
+        (
+            "<stage share=\"0.5\"/>",
+            "",
+            "t.xml:3:2: rollout: the last stage must be the whole fleet",
+        ),
+        (
+            "<stage share=\"0.5\"/><stage share=\"0.2\"/>",
+            "",
+            "each stage must be larger than the one before",
+        ),
         (
             "<stage share=\"0.0\"/>",
             "",
             "rollout/stage/@share: \"0.0\" is out of range; expected one, or 0.001 to 1",
         ),
-        ("<stage share=\"1\" least=\"1ms\"/>", "", "rollout/stage/@least: \"1ms\" is out of range"),
+        (
+            "<stage share=\"1\" least=\"1ms\"/>",
+            "",
+            "rollout/stage/@least: \"1ms\" is out of range",
+        ),
         (
             "<stage share=\"1\" least=\"2h\" longest=\"1h\"/>",
             "",
@@ -365,12 +507,21 @@
         assert!(shown.contains(told), "{inner} {attributes}: {shown}");
     }
     let alone = "<translator version=\"1\" number=\"7\"><rollout dir=\"d\"/></translator>";
-    assert!(wrong(alone).to_string().contains("changes in stages, and no fleet with arbiters"));
+    assert!(
+        wrong(alone)
+            .to_string()
+            .contains("changes in stages, and no fleet with arbiters")
+    );
     let unnumbered = rollout("", "").replace(" number=\"7\"", "");
-    assert!(wrong(&unnumbered).to_string().contains("a file without a number"));
+    assert!(
+        wrong(&unnumbered)
+            .to_string()
+            .contains("a file without a number")
+    );
 }
 
-/// A limit by key of the whole fleet: what it needs, and what is wrong with it, is told with its bucket.
+/// A limit by key of the whole fleet: what it needs, and what is wrong with it, is told with its
+/// bucket.
 #[test]
 fn limits_by_key_of_the_fleet_are_read_or_told_with_their_place() {
     let file = |bucket: &str, fleet: &str| {
@@ -384,24 +535,54 @@
     let (period, longest) = (60_000_000_000, 2_000_000_000);
     assert_eq!(
         kinds,
-        [KeyKind::Rate { count: 90, period, burst: 60 }, KeyKind::InHand { limit: 50, longest }]
+        [
+            KeyKind::Rate {
+                count: 90,
+                period,
+                burst: 60
+            },
+            KeyKind::InHand { limit: 50, longest }
+        ]
+    );
+    assert_eq!(
+        (
+            rules.fleet[0].1.floor,
+            rules.fleet[1].1.nodes_most,
+            rules.buckets[0].rate
+        ),
+        (1, 40, None)
     );
-    assert_eq!((rules.fleet[0].1.floor, rules.fleet[1].1.nodes_most, rules.buckets[0].rate), (1, 40, None));
     for (bucket, fleet, told) in [
-        (good, "", "t.xml:2:2: bucket 'b': a limit of the whole fleet, and no fleet with arbiters"),
-        ("name=\"b\" scope=\"fleet\" rate=\"9/s\"", fleet, "'nodes-most' is missing"),
+        (
+            good,
+            "",
+            "t.xml:2:2: bucket 'b': a limit of the whole fleet, and no fleet with arbiters",
+        ),
+        (
+            "name=\"b\" scope=\"fleet\" rate=\"9/s\"",
+            fleet,
+            "'nodes-most' is missing",
+        ),
         (
             "name=\"b\" scope=\"fleet\" rate=\"9/s\" burst=\"40\" floor=\"1\" nodes-most=\"40\"",
             fleet,
             "the floors of 40 nodes are 40, and nothing of the burst of 40 is left to lend",
         ),
-        ("name=\"b\" rate=\"9/s\" floor=\"1\"", fleet, "'floor' of a limit that each node has"),
+        (
+            "name=\"b\" rate=\"9/s\" floor=\"1\"",
+            fleet,
+            "'floor' of a limit that each node has",
+        ),
         (
             "name=\"b\" scope=\"fleet\" total=\"9\" nodes-most=\"40\"",
             fleet,
             "'total' of a limit of the whole fleet",
         ),
-        ("name=\"b\" scope=\"world\" rate=\"9/s\"", fleet, "does not fit"),
+        (
+            "name=\"b\" scope=\"world\" rate=\"9/s\"",
+            fleet,
+            "does not fit",
+        ),
     ] {
         let shown = wrong(&file(bucket, fleet)).to_string();
         assert!(shown.contains(told), "{bucket}: {shown}");
--- a/crates/shared/benches/checks.rs
+++ b/crates/shared/benches/checks.rs
@@ -1,5 +1,5 @@
-//! What the checks of shared state cost in the path of a request, and what a hundred thousand keys take.
-//! Run: cargo bench -p madderpoint-shared
+//! What the checks of shared state cost in the path of a request, and what a hundred thousand keys
+//! take. Run: cargo bench -p madderpoint-shared
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use madderpoint_shared::counts::{OWN, Tally, column, heavy};
@@ -29,13 +29,27 @@
 }
 
 fn by_key(count: u32, burst: u32) -> KeyBudget {
-    let kind = KeyKind::Rate { count, period: S, burst };
-    KeyBudget { name: "by-site".into(), kind, floor: 1, nodes_most: 300 }
+    let kind = KeyKind::Rate {
+        count,
+        period: S,
+        burst,
+    };
+    KeyBudget {
+        name: "by-site".into(),
+        kind,
+        floor: 1,
+        nodes_most: 300,
+    }
 }
 
 fn resident_kib() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap();
-    text.split_whitespace().nth(1).unwrap().parse::<usize>().unwrap() * 4
+    text.split_whitespace()
+        .nth(1)
+        .unwrap()
+        .parse::<usize>()
+        .unwrap()
+        * 4
 }
 
 fn checks(c: &mut Criterion) {
@@ -69,7 +83,12 @@
         let budget = by_key(1_000_000, 2_000_000);
         let before = resident_kib();
         // So quick a rhythm that all keys are lent something at once.
-        let rhythm = Rhythm { urgent: 1, renew: 3600 * S, life: 3600 * S, keep: 3600 * S };
+        let rhythm = Rhythm {
+            urgent: 1,
+            renew: 3600 * S,
+            life: 3600 * S,
+            keep: 3600 * S,
+        };
         let mut wallet = Wallet::new(0, std::slice::from_ref(&budget), rhythm, 48 << 20, 7);
         let id = budget.id();
         let mut now = 1000 * S;
@@ -82,11 +101,28 @@
             let keys = asked
                 .keys
                 .iter()
-                .map(|k| KeyLent { budget: k.budget, key: k.key, adds: 1_000_000, wait: 0 })
+                .map(|k| KeyLent {
+                    budget: k.budget,
+                    key: k.key,
+                    adds: 1_000_000,
+                    wait: 0,
+                })
                 .collect();
-            wallet.lent(now, &KeysLent { no: asked.no, stamp: asked.stamp, life: 3600 * S, keys });
+            wallet.lent(
+                now,
+                &KeysLent {
+                    no: asked.no,
+                    stamp: asked.stamp,
+                    life: 3600 * S,
+                    keys,
+                },
+            );
         }
-        println!("wallet: {} keys, {} KiB", wallet.keys(), resident_kib().saturating_sub(before));
+        println!(
+            "wallet: {} keys, {} KiB",
+            wallet.keys(),
+            resident_kib().saturating_sub(before)
+        );
         let mut rng = Pcg64Mcg::seed_from_u64(1);
         group.bench_function(format!("one of {keys} keys"), |b| {
             b.iter(|| {
@@ -115,11 +151,18 @@
     group.finish();
 }
 
-/// A question of 48 keys at the books of the one who lends, with 300 nodes and a hundred thousand keys.
+/// A question of 48 keys at the books of the one who lends, with 300 nodes and a hundred thousand
+/// keys.
 fn books(c: &mut Criterion) {
     let budget = by_key(100, 2000);
     let before = resident_kib();
-    let mut books = KeyBooks::new(0, std::slice::from_ref(&budget), Rhythm::of(300), 128 << 20, 7);
+    let mut books = KeyBooks::new(
+        0,
+        std::slice::from_ref(&budget),
+        Rhythm::of(300),
+        128 << 20,
+        7,
+    );
     let mut rng = Pcg64Mcg::seed_from_u64(2);
     let mut now = 1000 * S;
     let mut no = 0;
@@ -132,7 +175,14 @@
             back: 0,
             wants: 1,
         };
-        (rng.random_range(1..=300), KeysAsked { no, stamp: 0, keys: (0..48).map(|_| key(rng)).collect() })
+        (
+            rng.random_range(1..=300),
+            KeysAsked {
+                no,
+                stamp: 0,
+                keys: (0..48).map(|_| key(rng)).collect(),
+            },
+        )
     };
     for _ in 0..20_000 {
         let (who, asked) = question(&mut rng);
--- a/crates/shared/examples/compare.rs
+++ b/crates/shared/examples/compare.rs
@@ -1,5 +1,6 @@
-//! Ways to keep a limit for a whole fleet, by the same scripts: this package (leases for calls, units for keys), an even part by the
-//! nodes in sight (sight 5 s late), a central counter. Prints tables.
+//! Ways to keep a limit for a whole fleet, by the same scripts: this package (leases for calls,
+//! units for keys), an even part by the nodes in sight (sight 5 s late), a central counter. Prints
+//! tables.
 //!
 //!     cargo run --release -p madderpoint-shared --example compare -- 10 300 3000
 //!     cargo run --release -p madderpoint-shared --example compare -- keys 10 300
@@ -17,7 +18,14 @@
     let limit = 100 * nodes as u32;
     let nodes_most = nodes as u32 * 5 / 4;
     let kind = Kind::Rate { burst: 50 * MS };
-    let budget = Budget { name: "b".into(), limit, floor: 2, nodes_most, kind, repeats_only: false };
+    let budget = Budget {
+        name: "b".into(),
+        limit,
+        floor: 2,
+        nodes_most,
+        kind,
+        repeats_only: false,
+    };
     Plan {
         nodes,
         zones: 3,
@@ -45,7 +53,13 @@
 
 /// The same, and it moves every 4 s.
 fn moving() -> Load {
-    Box::new(|n, now| if (n as u64 + now / (4 * S)).is_multiple_of(5) { 1000.0 } else { 1.0 })
+    Box::new(|n, now| {
+        if (n as u64 + now / (4 * S)).is_multiple_of(5) {
+            1000.0
+        } else {
+            1.0
+        }
+    })
 }
 
 /// Seconds that a fleet of this size has to settle: terms get longer with it.
@@ -93,9 +107,11 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for nodes in sizes.iter().copied() {
         for way in WAYS {
-            for (name, load) in
-                [("even demand", even as fn() -> Load), ("skewed", skewed), ("moving", moving)]
-            {
+            for (name, load) in [
+                ("even demand", even as fn() -> Load),
+                ("skewed", skewed),
+                ("moving", moving),
+            ] {
                 let mut sim = Sim::new(plan(nodes, way, 1), load());
                 settle(&mut sim);
                 sim.run(20 * S);
@@ -119,8 +135,9 @@
             sim.crash(0);
             sim.run(20 * S);
             line("the first node dies", way, 20, &sim);
-            let adapted =
-                adapts(nodes, way).map_or("never".to_owned(), |time| format!("{:.1} s", time as f64 / 1e9));
+            let adapted = adapts(nodes, way).map_or("never".to_owned(), |time| {
+                format!("{:.1} s", time as f64 / 1e9)
+            });
             println!("| {nodes} | nine tenths in use after a move | {way:?} | {adapted} | | | | |");
         }
     }
@@ -129,9 +146,25 @@
 /// Keys of a tenth as many as nodes, at least five; each 20 a second, 4 a node saved.
 fn key_plan(nodes: usize, way: Way, seed: u64) -> (Plan, u64) {
     let (most, keys) = (nodes as u32 * 5 / 4, (nodes as u64 / 10).max(5));
-    let kind = KeyKind::Rate { count: 20, period: S, burst: 4 * most };
-    let budget = KeyBudget { name: "k".into(), kind, floor: 1, nodes_most: most };
-    (Plan { keys: Some(budget), key_bytes: 4 << 20, ..plan(nodes, way, seed) }, keys)
+    let kind = KeyKind::Rate {
+        count: 20,
+        period: S,
+        burst: 4 * most,
+    };
+    let budget = KeyBudget {
+        name: "k".into(),
+        kind,
+        floor: 1,
+        nodes_most: most,
+    };
+    (
+        Plan {
+            keys: Some(budget),
+            key_bytes: 4 << 20,
+            ..plan(nodes, way, seed)
+        },
+        keys,
+    )
 }
 
 fn spread(nodes: usize, keys: u64, a_second: f64) -> KeyLoad {
@@ -140,7 +173,9 @@
         owed += a_second * keys as f64 / 200.0;
         let n = owed as usize;
         owed -= n as f64;
-        (0..n).map(|_| (rng.random_range(0..nodes), rng.random_range(0..keys))).collect()
+        (0..n)
+            .map(|_| (rng.random_range(0..nodes), rng.random_range(0..keys)))
+            .collect()
     })
 }
 
@@ -154,7 +189,10 @@
         let step = if moves { now / (10 * S) } else { 0 };
         let one = |key: u64, rng: &mut rand_pcg::Pcg64Mcg| {
             let few = (nodes / 20).max(1);
-            (((key + step) as usize * 7 + rng.random_range(0..few)) % nodes, key)
+            (
+                ((key + step) as usize * 7 + rng.random_range(0..few)) % nodes,
+                key,
+            )
         };
         (0..n)
             .map(|_| {
@@ -209,7 +247,10 @@
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let sizes: Vec<usize> = arguments.iter().filter_map(|text| text.parse().ok()).collect();
+    let sizes: Vec<usize> = arguments
+        .iter()
+        .filter_map(|text| text.parse().ok())
+        .collect();
     let sizes = if sizes.is_empty() { vec![10] } else { sizes };
     match arguments.first().map(String::as_str) {
         Some("keys") => keys(&sizes),
--- a/crates/shared/src/allot.rs
+++ b/crates/shared/src/allot.rs
@@ -1,5 +1,6 @@
-//! How what there is is shared out among those who ask for it: nobody gets more than it asks for while others lack; where it
-//! is short, zones get even parts first and within a zone the more valued asks get more, and none gets nothing.
+//! How what there is is shared out among those who ask for it: nobody gets more than it asks for
+//! while others lack; where it is short, zones get even parts first and within a zone the more
+//! valued asks get more, and none gets nothing.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +14,8 @@
     pub value: f64,
 }
 
-/// Shares `room` out by weight, to each at most what it wants, in whole units; leftovers of rounding go to the largest
-/// remainders, the first ones first.
+/// Shares `room` out by weight, to each at most what it wants, in whole units; leftovers of
+/// rounding go to the largest remainders, the first ones first.
 fn fill(room: u32, asks: &[(u32, f64)]) -> Vec<u32> {
     let mut given = vec![0u32; asks.len()];
     let mut left = room;
@@ -29,7 +30,11 @@
             .iter()
             .map(|&n| {
                 let whole = share(n).floor() as u32;
-                (n, whole.min(asks[n].0 - given[n]), share(n) - share(n).floor())
+                (
+                    n,
+                    whole.min(asks[n].0 - given[n]),
+                    share(n) - share(n).floor(),
+                )
             })
             .collect();
         let mut spent = 0;
@@ -51,25 +56,44 @@
     }
 }
 
-/// Shares out; gives the units of each, in the order of the demands. What nobody asks for is spread evenly, so that a node
-/// whose load rises finds some at once.
+/// Shares out; gives the units of each, in the order of the demands. What nobody asks for is spread
+/// evenly, so that a node whose load rises finds some at once.
 pub fn allot(room: u32, demands: &[Demand]) -> Vec<u32> {
     let mut zones: BTreeMap<u32, Vec<usize>> = BTreeMap::new();
-    demands.iter().enumerate().for_each(|(n, demand)| zones.entry(demand.zone).or_default().push(n));
-    let wants = |members: &[usize]| members.iter().map(|&n| demands[n].wants).fold(0u32, u32::saturating_add);
+    demands
+        .iter()
+        .enumerate()
+        .for_each(|(n, demand)| zones.entry(demand.zone).or_default().push(n));
+    let wants = |members: &[usize]| {
+        members
+            .iter()
+            .map(|&n| demands[n].wants)
+            .fold(0u32, u32::saturating_add)
+    };
     // Zones weigh by their members, so that each node has an even claim wherever it is.
-    let of_zones: Vec<(u32, f64)> =
-        zones.values().map(|members| (wants(members), members.len() as f64)).collect();
+    let of_zones: Vec<(u32, f64)> = zones
+        .values()
+        .map(|members| (wants(members), members.len() as f64))
+        .collect();
     let rooms = fill(room, &of_zones);
     let mut given = vec![0; demands.len()];
     for (members, room) in zones.values().zip(rooms) {
         let value = |n: usize| demands[n].value.clamp(0.0, 1e6) + 0.1;
-        let asks: Vec<(u32, f64)> = members.iter().map(|&n| (demands[n].wants, value(n))).collect();
-        members.iter().zip(fill(room, &asks)).for_each(|(&n, units)| given[n] = units);
+        let asks: Vec<(u32, f64)> = members
+            .iter()
+            .map(|&n| (demands[n].wants, value(n)))
+            .collect();
+        members
+            .iter()
+            .zip(fill(room, &asks))
+            .for_each(|(&n, units)| given[n] = units);
     }
     let spare = room - given.iter().sum::<u32>();
     let evenly: Vec<(u32, f64)> = demands.iter().map(|_| (u32::MAX / 2, 1.0)).collect();
-    given.iter_mut().zip(fill(spare, &evenly)).for_each(|(units, more)| *units += more);
+    given
+        .iter_mut()
+        .zip(fill(spare, &evenly))
+        .for_each(|(units, more)| *units += more);
     given
 }
 
@@ -85,24 +109,40 @@
 
     #[test]
     fn what_is_wanted_is_given_while_there_is_enough_and_the_rest_lies_evenly() {
-        let demands = [demand(0, 10, 1.0), demand(0, 0, 1.0), demand(1, 50, 1.0), demand(1, 0, 1.0)];
+        let demands = [
+            demand(0, 10, 1.0),
+            demand(0, 0, 1.0),
+            demand(1, 50, 1.0),
+            demand(1, 0, 1.0),
+        ];
         assert_eq!(allot(100, &demands), [20, 10, 60, 10]);
     }
 
     #[test]
     fn where_it_is_short_zones_get_even_parts_and_the_valued_more_of_theirs() {
-        let demands = [demand(0, 100, 2.0), demand(0, 100, 1.0), demand(1, 100, 1.0), demand(1, 5, 1.0)];
+        let demands = [
+            demand(0, 100, 2.0),
+            demand(0, 100, 1.0),
+            demand(1, 100, 1.0),
+            demand(1, 5, 1.0),
+        ];
         let given = allot(60, &demands);
         assert_eq!(given.iter().sum::<u32>(), 60);
         assert!((28..=32).contains(&(given[0] + given[1])), "{given:?}");
-        assert!(given[0] > given[1] && given[1] > 5 && given[3] == 5, "{given:?}");
+        assert!(
+            given[0] > given[1] && given[1] > 5 && given[3] == 5,
+            "{given:?}"
+        );
     }
 
     #[test]
     fn more_nodes_than_units_is_no_more_than_the_units() {
         let demands: Vec<Demand> = (0..10).map(|n| demand(n % 2, 5, 1.0)).collect();
         let given = allot(3, &demands);
-        assert_eq!((given.iter().sum::<u32>(), given.iter().max()), (3, Some(&1)));
+        assert_eq!(
+            (given.iter().sum::<u32>(), given.iter().max()),
+            (3, Some(&1))
+        );
     }
 
     #[test]
@@ -111,7 +151,13 @@
         for _ in 0..2000 {
             let room = rng.random_range(0..500);
             let demands: Vec<Demand> = (0..rng.random_range(0..30))
-                .map(|_| demand(rng.random_range(0..4), rng.random_range(0..100), rng.random_range(0.0..3.0)))
+                .map(|_| {
+                    demand(
+                        rng.random_range(0..4),
+                        rng.random_range(0..100),
+                        rng.random_range(0.0..3.0),
+                    )
+                })
                 .collect();
             let given = allot(room, &demands);
             let sum: u32 = given.iter().sum();
--- a/crates/shared/src/counts.rs
+++ b/crates/shared/src/counts.rs
@@ -1,19 +1,20 @@
-//! Counts that a fleet adds up: each process counts for itself ([`Tally`]) and tells its sums, and whoever hears them
-//! ([`Counts`]), in any order and any number of times, comes to the same. What a process counts only grows, so of two words of
-//! it the larger holds, number by number; a process that returns under its name is another one, so that nothing is counted
-//! twice.
+//! Counts that a fleet adds up: each process counts for itself ([`Tally`]) and tells its sums, and
+//! whoever hears them ([`Counts`]), in any order and any number of times, comes to the same. What a
+//! process counts only grows, so of two words of it the larger holds, number by number; a process
+//! that returns under its name is another one, so that nothing is counted twice.
 //!
-//! A killed process takes with it what it had not told. Memory is bounded: windows end, and processes that are gone from the
-//! fleet and long silent are added to one sum. They are remembered beside it, so that one who was only cut off for long is
-//! taken out of the sum again when it is heard; after that time a word of theirs would count a second time.
+//! A killed process takes with it what it had not told. Memory is bounded: windows end, and
+//! processes that are gone from the fleet and long silent are added to one sum. They are remembered
+//! beside it, so that one who was only cut off for long is taken out of the sum again when it is
+//! heard; after that time a word of theirs would count a second time.
 
 use crate::heavy::Heavy;
 use crate::latency::{Latency, Sparse};
 use crate::{Nanos, SECOND, Who};
 use std::collections::BTreeMap;
 
-/// How long a window is, by each process's Unix clock; how many of them a process keeps and others keep of it; and of how many
-/// of these others keep latencies and heavy keys.
+/// How long a window is, by each process's Unix clock; how many of them a process keeps and others
+/// keep of it; and of how many of these others keep latencies and heavy keys.
 pub const WINDOW_MS: u64 = 10_000;
 pub const WINDOWS: usize = 8;
 const DETAILED: usize = 3;
@@ -23,11 +24,11 @@
 pub const HEAVY_MAX: usize = 4;
 /// A process that is gone and was silent for so long is added to the sum.
 const GONE: Nanos = 600 * SECOND;
-/// And is remembered beside it for so long: longer than a partition that anybody should leave alone, and than the fleet
-/// believes a datagram.
+/// And is remembered beside it for so long: longer than a partition that anybody should leave
+/// alone, and than the fleet believes a datagram.
 const REMEMBERED: Nanos = 24 * 3600 * SECOND;
-/// What a process takes here: eight rows, their windows, four operations' latencies and three kinds of heavy keys, measured and
-/// rounded up.
+/// What a process takes here: eight rows, their windows, four operations' latencies and three kinds
+/// of heavy keys, measured and rounded up.
 pub const PROCESS_BYTES: usize = 12 << 10;
 
 /// Numbers of an operation.
@@ -50,7 +51,8 @@
 /// The row of the process itself, and what stands in its columns.
 pub const OWN: u32 = 0;
 pub mod own {
-    /// Calls below that were made, that failed, that repeat one which failed, and that found no room.
+    /// Calls below that were made, that failed, that repeat one which failed, and that found no
+    /// room.
     pub const CALLS: usize = 0;
     pub const CALLS_FAILED: usize = 1;
     pub const CALLS_REPEATED: usize = 2;
@@ -63,7 +65,8 @@
     /// Starts of the process: one.
     pub const STARTS: usize = 7;
 }
-/// Kinds of heavy keys: who sends most, who repeats most, and which keys are over a limit of the fleet.
+/// Kinds of heavy keys: who sends most, who repeats most, and which keys are over a limit of the
+/// fleet.
 pub mod heavy {
     pub const CALLERS: u8 = 0;
     pub const REPEATERS: u8 = 1;
@@ -84,7 +87,8 @@
     pub gauges: [u64; 2],
 }
 
-/// What one process says of its counts: all since its start, and some windows. One word may say a part.
+/// What one process says of its counts: all since its start, and some windows. One word may say a
+/// part.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Word {
     pub who: Who,
@@ -101,27 +105,35 @@
             continue;
         }
         let held = into.entry(*row).or_default();
-        held.iter_mut().zip(numbers).for_each(|(held, said)| *held = (*held).max(*said));
+        held.iter_mut()
+            .zip(numbers)
+            .for_each(|(held, said)| *held = (*held).max(*said));
     }
 }
 
 fn add(into: &mut Rows, more: &Rows) {
     for (row, numbers) in more {
         let sum = into.entry(*row).or_default();
-        sum.iter_mut().zip(numbers).for_each(|(sum, more)| *sum = sum.saturating_add(*more));
+        sum.iter_mut()
+            .zip(numbers)
+            .for_each(|(sum, more)| *sum = sum.saturating_add(*more));
     }
 }
 
 fn subtract(from: &mut Rows, less: &Rows) {
     for (row, numbers) in less {
         if let Some(sum) = from.get_mut(row) {
-            sum.iter_mut().zip(numbers).for_each(|(sum, less)| *sum = sum.saturating_sub(*less));
+            sum.iter_mut()
+                .zip(numbers)
+                .for_each(|(sum, less)| *sum = sum.saturating_sub(*less));
         }
     }
 }
 
 fn sum(rows: &Rows) -> u64 {
-    rows.values().flatten().fold(0, |sum, number| sum.saturating_add(*number))
+    rows.values()
+        .flatten()
+        .fold(0, |sum, number| sum.saturating_add(*number))
 }
 
 fn how_many(sparse: &Sparse) -> u64 {
@@ -144,7 +156,10 @@
                 held.clone_from(heavy);
             }
         }
-        self.gauges.iter_mut().zip(&said.gauges).for_each(|(held, said)| *held = (*held).max(*said));
+        self.gauges
+            .iter_mut()
+            .zip(&said.gauges)
+            .for_each(|(held, said)| *held = (*held).max(*said));
     }
 
     /// Adds another one's.
@@ -159,7 +174,10 @@
         for (kind, heavy) in &other.heavy {
             self.heavy.entry(*kind).or_default().merge(heavy);
         }
-        self.gauges.iter_mut().zip(&other.gauges).for_each(|(held, said)| *held = (*held).max(*said));
+        self.gauges
+            .iter_mut()
+            .zip(&other.gauges)
+            .for_each(|(held, said)| *held = (*held).max(*said));
     }
 }
 
@@ -186,7 +204,10 @@
         if no != self.latest {
             let latency = std::mem::take(&mut self.latency);
             if let Some(window) = self.windows.get_mut(&self.latest) {
-                window.latency = latency.iter().map(|(row, latency)| (*row, latency.sparse())).collect();
+                window.latency = latency
+                    .iter()
+                    .map(|(row, latency)| (*row, latency.sparse()))
+                    .collect();
             }
             self.latest = no;
         }
@@ -218,23 +239,43 @@
 
     /// A key came.
     pub fn heavy(&mut self, unix_ms: u64, kind: u8, key: u64) {
-        self.window(unix_ms).heavy.entry(kind).or_default().add(key, 1);
+        self.window(unix_ms)
+            .heavy
+            .entry(kind)
+            .or_default()
+            .add(key, 1);
     }
 
     /// The gauges stand so.
     pub fn gauges(&mut self, unix_ms: u64, gauges: [u64; 2]) {
         let held = &mut self.window(unix_ms).gauges;
-        held.iter_mut().zip(gauges).for_each(|(held, seen)| *held = (*held).max(seen));
+        held.iter_mut()
+            .zip(gauges)
+            .for_each(|(held, seen)| *held = (*held).max(seen));
     }
 
     /// What it has to say: all since the start, and the latest windows.
     pub fn word(&self, who: Who, label: u64, windows: usize) -> Word {
-        let mut latest: BTreeMap<u64, Window> =
-            self.windows.iter().rev().take(windows).map(|(no, window)| (*no, window.clone())).collect();
+        let mut latest: BTreeMap<u64, Window> = self
+            .windows
+            .iter()
+            .rev()
+            .take(windows)
+            .map(|(no, window)| (*no, window.clone()))
+            .collect();
         if let Some(window) = latest.get_mut(&self.latest) {
-            window.latency = self.latency.iter().map(|(row, latency)| (*row, latency.sparse())).collect();
+            window.latency = self
+                .latency
+                .iter()
+                .map(|(row, latency)| (*row, latency.sparse()))
+                .collect();
+        }
+        Word {
+            who,
+            label,
+            total: self.total.clone(),
+            windows: latest,
         }
-        Word { who, label, total: self.total.clone(), windows: latest }
     }
 
     /// Of all operations, in the latest two windows.
@@ -276,7 +317,13 @@
     /// Over so many processes at most.
     pub fn new(most: usize) -> Counts {
         let (processes, gone_who) = (BTreeMap::new(), BTreeMap::new());
-        Counts { processes, gone: Rows::new(), gone_who, most: most.max(1), refused: 0 }
+        Counts {
+            processes,
+            gone: Rows::new(),
+            gone_who,
+            most: most.max(1),
+            refused: 0,
+        }
     }
 
     /// A word came, from the process itself or by way of another.
@@ -290,7 +337,13 @@
             // It was only cut off: out of the sum with it.
             if let Some((_, counted)) = self.gone_who.remove(&word.who) {
                 subtract(&mut self.gone, &counted);
-                self.processes.insert(word.who, Process { total: counted, ..Process::default() });
+                self.processes.insert(
+                    word.who,
+                    Process {
+                        total: counted,
+                        ..Process::default()
+                    },
+                );
             }
         }
         let is_new = !self.processes.contains_key(&word.who);
@@ -299,7 +352,10 @@
             return;
         }
         let process = self.processes.entry(word.who).or_default();
-        let before = (sum(&process.total), process.windows.last_key_value().map(|(no, _)| *no));
+        let before = (
+            sum(&process.total),
+            process.windows.last_key_value().map(|(no, _)| *no),
+        );
         process.label = word.label;
         if let Some((latest, _)) = word.windows.last_key_value() {
             process.labels.insert(*latest, word.label);
@@ -321,7 +377,10 @@
         }
         let older = process.windows.iter_mut().rev().skip(DETAILED);
         older.for_each(|(_, window)| (window.latency, window.heavy) = Default::default());
-        let after = (sum(&process.total), process.windows.last_key_value().map(|(no, _)| *no));
+        let after = (
+            sum(&process.total),
+            process.windows.last_key_value().map(|(no, _)| *no),
+        );
         if is_new || before != after {
             process.heard = now;
         }
@@ -330,16 +389,29 @@
     /// All that is known of a process, to be told to one who lacks it.
     pub fn word(&self, who: Who) -> Option<Word> {
         let process = self.processes.get(&who)?;
-        let Process { label, total, windows, .. } = process.clone();
-        Some(Word { who, label, total, windows })
+        let Process {
+            label,
+            total,
+            windows,
+            ..
+        } = process.clone();
+        Some(Word {
+            who,
+            label,
+            total,
+            windows,
+        })
     }
 
     /// How far each process is known: the sum of all its numbers, which only grow.
     pub fn marks(&self) -> impl Iterator<Item = (Who, u64)> {
-        self.processes.iter().map(|(who, process)| (*who, sum(&process.total)))
+        self.processes
+            .iter()
+            .map(|(who, process)| (*who, sum(&process.total)))
     }
 
-    /// Adds those to the sum who are gone, by the fleet's view, and long silent; forgets who they were after their time.
+    /// Adds those to the sum who are gone, by the fleet's view, and long silent; forgets who they
+    /// were after their time.
     pub fn tidy(&mut self, now: Nanos, is_there: impl Fn(Who) -> bool) {
         let silent: Vec<Who> = self
             .processes
@@ -353,10 +425,15 @@
                 self.gone_who.insert(who, (now, process.total));
             }
         }
-        self.gone_who.retain(|_, (since, _)| now < *since + REMEMBERED);
+        self.gone_who
+            .retain(|_, (since, _)| now < *since + REMEMBERED);
         // Whoever is remembered longest goes first.
         while self.gone_who.len() > 4 * self.most {
-            let oldest = self.gone_who.iter().min_by_key(|(_, (since, _))| *since).map(|(who, _)| *who);
+            let oldest = self
+                .gone_who
+                .iter()
+                .min_by_key(|(_, (since, _))| *since)
+                .map(|(who, _)| *who);
             oldest.map(|who| self.gone_who.remove(&who));
         }
     }
@@ -364,7 +441,9 @@
     /// All rows over the whole fleet, since all were started.
     pub fn total(&self) -> Rows {
         let mut total = self.gone.clone();
-        self.processes.values().for_each(|process| add(&mut total, &process.total));
+        self.processes
+            .values()
+            .for_each(|process| add(&mut total, &process.total));
         total
     }
 
@@ -372,7 +451,11 @@
     pub fn lately(&self, unix_ms: u64, windows: u64, is: impl Fn(Who, u64) -> bool) -> Window {
         let this = unix_ms / WINDOW_MS;
         let mut sum = Window::default();
-        for (_, process) in self.processes.iter().filter(|(who, process)| is(**who, process.label)) {
+        for (_, process) in self
+            .processes
+            .iter()
+            .filter(|(who, process)| is(**who, process.label))
+        {
             for (_, window) in process.windows.range(this.saturating_sub(windows)..this) {
                 sum.add(window);
             }
@@ -380,7 +463,8 @@
         sum
     }
 
-    /// Windows from this one on, each with its number and what the process ran in it, and whether it is the process's first one.
+    /// Windows from this one on, each with its number and what the process ran in it, and whether
+    /// it is the process's first one.
     pub fn windows(&self, from: u64) -> impl Iterator<Item = (Who, u64, u64, bool, &Window)> {
         self.processes.iter().flat_map(move |(who, process)| {
             let first = process.windows.first_key_value().map(|(no, _)| *no);
@@ -394,7 +478,9 @@
 
     /// Processes that are told apart, each with what it runs.
     pub fn processes(&self) -> impl Iterator<Item = (Who, u64)> {
-        self.processes.iter().map(|(who, process)| (*who, process.label))
+        self.processes
+            .iter()
+            .map(|(who, process)| (*who, process.label))
     }
 
     /// Those that are remembered beside the sum.
@@ -425,7 +511,8 @@
         counts.total().get(&7).map_or(0, |row| row[column::ARRIVED])
     }
 
-    /// Words in any order, in any groups, in parts, any number of times, and by way of others: all come to the same.
+    /// Words in any order, in any groups, in parts, any number of times, and by way of others: all
+    /// come to the same.
     #[test]
     fn whoever_heard_the_same_counts_the_same() {
         for seed in 0..60 {
@@ -454,23 +541,35 @@
             for at in 0..said.len() {
                 if rng.random_bool(0.3) {
                     let whole = said[at].clone();
-                    said[at] = Word { total: Rows::new(), ..whole.clone() };
-                    said.push(Word { windows: BTreeMap::new(), ..whole });
+                    said[at] = Word {
+                        total: Rows::new(),
+                        ..whole.clone()
+                    };
+                    said.push(Word {
+                        windows: BTreeMap::new(),
+                        ..whole
+                    });
                 }
             }
             let mut heard: Vec<Counts> = (0..3).map(|_| Counts::new(64)).collect();
             for counts in &mut heard {
                 said.shuffle(&mut rng);
                 let again = rng.random_range(0..=said.len());
-                said.iter().chain(&said[..again]).for_each(|word| counts.hear(0, word));
+                said.iter()
+                    .chain(&said[..again])
+                    .for_each(|word| counts.hear(0, word));
             }
             // One more hears only by way of the first.
             let mut second_hand = Counts::new(64);
             let all: Vec<Who> = heard[0].processes().map(|(who, _)| who).collect();
-            all.iter().filter_map(|who| heard[0].word(*who)).for_each(|word| second_hand.hear(0, &word));
+            all.iter()
+                .filter_map(|who| heard[0].word(*who))
+                .for_each(|word| second_hand.hear(0, &word));
             heard.push(second_hand);
-            let sums: Vec<(u64, Window)> =
-                heard.iter().map(|c| (arrived(c), c.lately(UNIX + 200_000, 30, |_, _| true))).collect();
+            let sums: Vec<(u64, Window)> = heard
+                .iter()
+                .map(|c| (arrived(c), c.lately(UNIX + 200_000, 30, |_, _| true)))
+                .collect();
             assert!(sums.windows(2).all(|two| two[0] == two[1]), "seed {seed}");
             assert_eq!(sums[0].0, true_total, "seed {seed}");
         }
@@ -489,7 +588,8 @@
         assert_eq!((arrived(&all), all.total()[&OWN][own::STARTS]), (105, 2));
     }
 
-    /// Nodes come and go for weeks: memory stays, the sum goes on, and a late word of one who is gone counts no more.
+    /// Nodes come and go for weeks: memory stays, the sum goes on, and a late word of one who is
+    /// gone counts no more.
     #[test]
     fn memory_is_bounded_as_processes_come_and_go() {
         let mut all = Counts::new(50);
@@ -504,14 +604,19 @@
             all.tidy(now, |_| false);
         }
         assert_eq!((arrived(&all), all.refused()), (15_000, 0));
-        assert!(all.processes().count() <= 6 && all.gone() <= 200, "{}", all.gone());
+        assert!(
+            all.processes().count() <= 6 && all.gone() <= 200,
+            "{}",
+            all.gone()
+        );
         now += GONE;
         all.tidy(now, |_| false);
         all.hear(now, &last);
         assert_eq!(arrived(&all), 15_000);
     }
 
-    /// One that is idle for long, or cut off, and counts again: nothing of it is lost or counted twice.
+    /// One that is idle for long, or cut off, and counts again: nothing of it is lost or counted
+    /// twice.
     #[test]
     fn one_that_was_silent_for_long_and_speaks_again_counts_once() {
         let (mut all, mut one) = (Counts::new(9), Tally::new(UNIX));
@@ -536,7 +641,10 @@
             one.add(UNIX + window * WINDOW_MS, 7, column::ARRIVED, 1);
             all.hear(0, &one.word(who(1, 1), label, 2));
         }
-        let ran: Vec<(u64, bool)> = all.windows(0).map(|(_, _, label, first, _)| (label, first)).collect();
+        let ran: Vec<(u64, bool)> = all
+            .windows(0)
+            .map(|(_, _, label, first, _)| (label, first))
+            .collect();
         assert_eq!(ran, [(1, true), (1, false), (2, false)]);
         assert_eq!(all.windows(UNIX / WINDOW_MS + 2).count(), 1);
     }
@@ -577,7 +685,14 @@
         }
         let at = UNIX + 100 * WINDOW_MS;
         let of = |label, windows| all.lately(at, windows, |_, of| of == label);
-        assert_eq!((of(10, 3).rows[&7][0], of(20, 3).rows[&7][0], of(20, 99).rows[&7][0]), (6, 30, 80));
+        assert_eq!(
+            (
+                of(10, 3).rows[&7][0],
+                of(20, 3).rows[&7][0],
+                of(20, 99).rows[&7][0]
+            ),
+            (6, 30, 80)
+        );
         assert_eq!(how_many(&of(20, 99).latency[&7]), 2 * DETAILED as u64);
         let mut latency = Latency::default();
         latency.merge(&of(20, 2).latency[&7]);
--- a/crates/shared/src/gate.rs
+++ b/crates/shared/src/gate.rs
@@ -1,5 +1,5 @@
-//! What needs a call that can't be made is turned away before it runs, at once and with the time at which it is worth to come
-//! back. Else it would run up to its call, hold a core, and err there.
+//! What needs a call that can't be made is turned away before it runs, at once and with the time at
+//! which it is worth to come back. Else it would run up to its call, hold a core, and err there.
 
 use crate::judge::{Judge, Mode};
 use crate::purse::Ends;
@@ -32,7 +32,15 @@
 impl Gate {
     /// Nothing is saved.
     pub fn new(now: Nanos) -> Gate {
-        Gate { saved: 0.0, counted: now, calls: 1.0, owed: 0.0, tried: 0, let_in: 0, turned_away: 0 }
+        Gate {
+            saved: 0.0,
+            counted: now,
+            calls: 1.0,
+            owed: 0.0,
+            tried: 0,
+            let_in: 0,
+            turned_away: 0,
+        }
     }
 
     /// Whether one more may run; else when it is worth to come back.
@@ -48,7 +56,11 @@
             _ => Ok(()),
         };
         let admits = service.and(room);
-        *(if admits.is_ok() { &mut self.let_in } else { &mut self.turned_away }) += 1;
+        *(if admits.is_ok() {
+            &mut self.let_in
+        } else {
+            &mut self.turned_away
+        }) += 1;
         admits
     }
 
@@ -71,7 +83,11 @@
                 goes
             }
         };
-        if goes { Ok(()) } else { Err(judge.pause(now).max(MILLISECOND)) }
+        if goes {
+            Ok(())
+        } else {
+            Err(judge.pause(now).max(MILLISECOND))
+        }
     }
 
     /// By the budgets: as many runs as they have calls for.
@@ -80,9 +96,12 @@
             ends.wished(now);
             return Err(pause.max(MILLISECOND));
         }
-        let Some(units) = ends.a_second(now) else { return Ok(()) };
+        let Some(units) = ends.a_second(now) else {
+            return Ok(());
+        };
         let rate = FILLS * units / self.calls;
-        let passed = now.saturating_sub(std::mem::replace(&mut self.counted, now)) as f64 / SECOND as f64;
+        let passed =
+            now.saturating_sub(std::mem::replace(&mut self.counted, now)) as f64 / SECOND as f64;
         let most = (rate * SAVED as f64 / SECOND as f64).max(2.0);
         self.saved = (self.saved + rate * passed).min(most);
         if self.saved >= 1.0 {
@@ -91,7 +110,11 @@
         }
         // What is turned away here never comes to its call, and is wanted all the same.
         ends.wished(now);
-        let pause = if rate > 0.0 { ((1.0 - self.saved) / rate * SECOND as f64) as Nanos } else { SECOND };
+        let pause = if rate > 0.0 {
+            ((1.0 - self.saved) / rate * SECOND as f64) as Nanos
+        } else {
+            SECOND
+        };
         Err(pause.clamp(MILLISECOND, 10 * SECOND))
     }
 
@@ -113,7 +136,14 @@
 
     fn ends(limit: u32) -> Ends {
         let kind = Kind::Rate { burst: SECOND / 20 };
-        let budget = Budget { name: "b".into(), limit, floor: 10, nodes_most: 1, kind, repeats_only: false };
+        let budget = Budget {
+            name: "b".into(),
+            limit,
+            floor: 10,
+            nodes_most: 1,
+            kind,
+            repeats_only: false,
+        };
         Ends::new(0, &[budget])
     }
 
@@ -135,16 +165,29 @@
             }
         }
         // Ten a second, of fifty that come; and their calls find room soon.
-        assert!((92..=99).contains(&let_in) && waiting <= 2 && calls >= let_in - 2, "{let_in} {calls}");
-        assert!(pauses.iter().all(|pause| *pause <= 110 * MILLISECOND), "{:?}", pauses.iter().max());
+        assert!(
+            (92..=99).contains(&let_in) && waiting <= 2 && calls >= let_in - 2,
+            "{let_in} {calls}"
+        );
+        assert!(
+            pauses.iter().all(|pause| *pause <= 110 * MILLISECOND),
+            "{:?}",
+            pauses.iter().max()
+        );
     }
 
     /// What is turned away counts as wanted, or nothing would ever be asked for.
     #[test]
     fn what_is_turned_away_is_wanted_all_the_same() {
         let kind = Kind::Rate { burst: SECOND / 20 };
-        let budget =
-            Budget { name: "b".into(), limit: 100, floor: 1, nodes_most: 2, kind, repeats_only: false };
+        let budget = Budget {
+            name: "b".into(),
+            limit: 100,
+            floor: 1,
+            nodes_most: 2,
+            kind,
+            repeats_only: false,
+        };
         let (mut gate, mut ends) = (Gate::new(0), Ends::new(0, &[budget]));
         for ms in 0..1000 {
             let _ = gate.admits(ms * MILLISECOND, Some(&mut ends), None);
@@ -168,10 +211,18 @@
             }
         }
         assert_eq!(let_in, 2);
-        assert!(gate.admits(now + 20 * SECOND, None, Some(&mut judge)).is_ok());
+        assert!(
+            gate.admits(now + 20 * SECOND, None, Some(&mut judge))
+                .is_ok()
+        );
         (0..3).for_each(|_| judge.ended(now + 20 * SECOND, true));
         let now = now + 21 * SECOND;
-        assert_eq!((0..32).filter(|_| gate.admits(now, None, Some(&mut judge)).is_ok()).count(), 2);
+        assert_eq!(
+            (0..32)
+                .filter(|_| gate.admits(now, None, Some(&mut judge)).is_ok())
+                .count(),
+            2
+        );
         assert!(gate.admits(now, None, Some(&mut judge)).unwrap_err() <= 5 * SECOND);
     }
 
@@ -179,8 +230,9 @@
     fn runs_that_call_twice_are_let_in_half_as_often() {
         let (mut gate, mut ends) = (Gate::new(0), ends(10));
         (0..200).for_each(|_| gate.ran(2));
-        let let_in =
-            (0..1000).filter(|n| gate.admits(n * SECOND / 100, Some(&mut ends), None).is_ok()).count();
+        let let_in = (0..1000)
+            .filter(|n| gate.admits(n * SECOND / 100, Some(&mut ends), None).is_ok())
+            .count();
         assert!((45..=52).contains(&let_in), "{let_in} in 10 s");
     }
 }
--- a/crates/shared/src/heavy.rs
+++ b/crates/shared/src/heavy.rs
@@ -1,6 +1,7 @@
-//! Which keys come most, in little memory: a Misra-Gries summary. Of a key that came n times among all it holds at most n, and
-//! at least n less the error, which is at most all that came divided by one more than the entries. Summaries of several
-//! processes add up to one with the same promise for all of them together (Agarwal and others, Mergeable summaries, 2012).
+//! Which keys come most, in little memory: a Misra-Gries summary. Of a key that came n times among
+//! all it holds at most n, and at least n less the error, which is at most all that came divided by
+//! one more than the entries. Summaries of several processes add up to one with the same promise
+//! for all of them together (Agarwal and others, Mergeable summaries, 2012).
 
 use std::collections::BTreeMap;
 
@@ -18,7 +19,10 @@
 impl Heavy {
     /// As it was told; what is beyond its bounds is not taken.
     pub fn of(total: u64, entries: impl Iterator<Item = (u64, u64)>) -> Heavy {
-        let mut heavy = Heavy { total, entries: BTreeMap::new() };
+        let mut heavy = Heavy {
+            total,
+            entries: BTreeMap::new(),
+        };
         for (key, count) in entries.take(ENTRIES) {
             heavy.entries.insert(key, count.min(total));
         }
@@ -54,7 +58,8 @@
         self.prune();
     }
 
-    /// Takes from all entries what the first one beyond their number has, so that it and those below are gone.
+    /// Takes from all entries what the first one beyond their number has, so that it and those
+    /// below are gone.
     fn prune(&mut self) {
         if self.entries.len() <= ENTRIES {
             return;
@@ -77,7 +82,11 @@
 
     /// The keys that came most, the first ones first.
     pub fn most(&self) -> Vec<(u64, u64)> {
-        let mut most: Vec<(u64, u64)> = self.entries.iter().map(|(key, count)| (*key, *count)).collect();
+        let mut most: Vec<(u64, u64)> = self
+            .entries
+            .iter()
+            .map(|(key, count)| (*key, *count))
+            .collect();
         most.sort_unstable_by_key(|(key, count)| (std::cmp::Reverse(*count), *key));
         most
     }
@@ -89,8 +98,9 @@
     use rand::{RngExt, SeedableRng};
     use rand_pcg::Pcg64Mcg;
 
-    /// Streams with a few heavy keys among many, cut among processes as it happens and added up in any order: what is held is
-    /// never more than came and never less by more than the error, which keeps its bound; and the heavy ones are there.
+    /// Streams with a few heavy keys among many, cut among processes as it happens and added up in
+    /// any order: what is held is never more than came and never less by more than the error, which
+    /// keeps its bound; and the heavy ones are there.
     #[test]
     fn sums_of_summaries_keep_their_error() {
         for seed in 0..60 {
@@ -100,7 +110,11 @@
             let all = rng.random_range(100..20_000u64);
             for _ in 0..all {
                 let heavy = rng.random_bool(0.4);
-                let key = if heavy { rng.random_range(0..4) } else { rng.random_range(100..5000) };
+                let key = if heavy {
+                    rng.random_range(0..4)
+                } else {
+                    rng.random_range(100..5000)
+                };
                 *true_counts.entry(key).or_default() += 1;
                 let n = rng.random_range(0..of.len());
                 of[n].add(key, 1);
@@ -111,7 +125,11 @@
                 sum.merge(&one);
             }
             assert_eq!(sum.total, all);
-            assert!(sum.error() <= all / (ENTRIES as u64 + 1), "seed {seed}: {} of {all}", sum.error());
+            assert!(
+                sum.error() <= all / (ENTRIES as u64 + 1),
+                "seed {seed}: {} of {all}",
+                sum.error()
+            );
             assert!(sum.most().len() <= ENTRIES);
             for (key, count) in &true_counts {
                 let held = sum.entries.get(key).copied().unwrap_or(0);
@@ -121,13 +139,18 @@
                 );
             }
             let first: Vec<u64> = sum.most().iter().take(4).map(|(key, _)| *key).collect();
-            assert!(all < 2000 || first.iter().all(|key| *key < 4), "seed {seed}: {first:?}");
+            assert!(
+                all < 2000 || first.iter().all(|key| *key < 4),
+                "seed {seed}: {first:?}"
+            );
         }
     }
 
     #[test]
     fn what_is_told_is_bounded() {
         let heavy = Heavy::of(10, (0..100).map(|key| (key, 1000)));
-        assert!(heavy.most().len() == ENTRIES && heavy.most().iter().all(|(_, count)| *count <= 10));
+        assert!(
+            heavy.most().len() == ENTRIES && heavy.most().iter().all(|(_, count)| *count <= 10)
+        );
     }
 }
--- a/crates/shared/src/judge.rs
+++ b/crates/shared/src/judge.rs
@@ -1,8 +1,10 @@
-//! Whether a service below is well, by what a node sees itself first, and by what others see beside it.
+//! Whether a service below is well, by what a node sees itself first, and by what others see beside
+//! it.
 //!
-//! What others see may make a node careful at once, and never closes a service to it: only its own tries do. A sick service is
-//! told from a sick witness by how many say so and in how many zones. When it was down, few in the whole fleet try it first,
-//! chosen by hash so that all agree on whom; then load rises in steps, nobody going further than twice what the others have.
+//! What others see may make a node careful at once, and never closes a service to it: only its own
+//! tries do. A sick service is told from a sick witness by how many say so and in how many zones.
+//! When it was down, few in the whole fleet try it first, chosen by hash so that all agree on whom;
+//! then load rises in steps, nobody going further than twice what the others have.
 
 use crate::{MILLISECOND, Nanos, SECOND, Who};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,8 +22,8 @@
 const PROBE: Nanos = 500 * MILLISECOND;
 /// One that hears nobody tries by itself this often.
 const DEAF_PROBE: Nanos = 5 * SECOND;
-/// Tries in a row that must succeed before load comes back; and the time of a step: all of it is back after 20 s. With steps of
-/// 2 s a service that warms up in 20 s was thrown down again.
+/// Tries in a row that must succeed before load comes back; and the time of a step: all of it is
+/// back after 20 s. With steps of 2 s a service that warms up in 20 s was thrown down again.
 const PROVED: u32 = 3;
 const STEP: Nanos = 5 * SECOND;
 /// The first step of load, of all of it.
@@ -55,15 +57,17 @@
         self.tries >= TRIES && self.failing() <= WELL
     }
 
-    /// Whether it found it well just now. Where there are few calls at all, some that all went well are as much as there is; one that
-    /// comes back has proved it with those before. Else fleets with some calls a second and node would hear nobody but those who
-    /// closed it, and come back one tryer after the other.
+    /// Whether it found it well just now. Where there are few calls at all, some that all went well
+    /// are as much as there is; one that comes back has proved it with those before. Else fleets
+    /// with some calls a second and node would hear nobody but those who closed it, and come back
+    /// one tryer after the other.
     fn found_well(&self) -> bool {
         let enough = if self.level < 1.0 { 1 } else { PROVED };
         self.is_well() || self.failed == 0 && self.tries >= enough
     }
 
-    /// Whether it says anything: one that tries too little knows nothing, unless it has closed the service to itself.
+    /// Whether it says anything: one that tries too little knows nothing, unless it has closed the
+    /// service to itself.
     fn tells(&self) -> bool {
         self.tries >= TRIES || self.level == 0.0 || self.found_well()
     }
@@ -85,7 +89,8 @@
     /// Who say anything, and who of these let less than all through.
     pub speak: u32,
     pub short: u32,
-    /// Whether this node is one of the few that try it while it is down, and whether it is there alone.
+    /// Whether this node is one of the few that try it while it is down, and whether it is there
+    /// alone.
     pub prober: bool,
     pub alone: bool,
 }
@@ -96,8 +101,8 @@
         self.least < 1.0 && self.short >= 2 && self.short * 2 >= self.speak
     }
 
-    /// Whether enough of the others, in more than one zone where there are more, say that it is ill: half of those who see it,
-    /// two at least, and not one zone alone.
+    /// Whether enough of the others, in more than one zone where there are more, say that it is
+    /// ill: half of those who see it, two at least, and not one zone alone.
     pub fn is_ill(&self) -> bool {
         self.ill >= 2 && self.ill * 2 >= self.witnesses && (self.zones < 2 || self.ill_zones >= 2)
     }
@@ -114,7 +119,11 @@
 impl Witnesses {
     /// None yet; so many words are kept.
     pub fn new(most: usize) -> Witnesses {
-        Witnesses { words: BTreeMap::new(), most: most.max(16), refused: 0 }
+        Witnesses {
+            words: BTreeMap::new(),
+            most: most.max(16),
+            refused: 0,
+        }
     }
 
     /// Another node says what it sees.
@@ -134,8 +143,15 @@
     pub fn opinion(&mut self, now: Nanos, service: u64) -> Opinion {
         self.words.retain(|_, (_, heard)| now < *heard + AGED);
         let first = (service, Who::default());
-        let all = self.words.range(first..).take_while(|((of, _), _)| *of == service).map(|(_, word)| word);
-        let mut opinion = Opinion { least: 1.0, ..Opinion::default() };
+        let all = self
+            .words
+            .range(first..)
+            .take_while(|((of, _), _)| *of == service)
+            .map(|(_, word)| word);
+        let mut opinion = Opinion {
+            least: 1.0,
+            ..Opinion::default()
+        };
         let mut back = (0.0, 0u32);
         let (mut zones, mut ill_zones) = (BTreeSet::new(), BTreeSet::new());
         for (evidence, _) in all {
@@ -156,7 +172,11 @@
             }
             opinion.well += u32::from(evidence.found_well());
         }
-        opinion.level = if back.1 > 0 { back.0 / f64::from(back.1) } else { 0.0 };
+        opinion.level = if back.1 > 0 {
+            back.0 / f64::from(back.1)
+        } else {
+            0.0
+        };
         (opinion.zones, opinion.ill_zones) = (zones.len() as u32, ill_zones.len() as u32);
         opinion
     }
@@ -167,13 +187,17 @@
     }
 }
 
-/// Whether a node is one of the few of those there that try a service while it is down. They take turns, and as all go by the
-/// same hash, those who see the same members agree.
+/// Whether a node is one of the few of those there that try a service while it is down. They take
+/// turns, and as all go by the same hash, those who see the same members agree.
 pub fn is_prober(now: Nanos, me: u64, service: u64, members: impl Iterator<Item = u64>) -> bool {
     let round = now / (10 * PROBE);
     let rank = |key: u64| mix(key ^ mix(service ^ round));
     let own = rank(me);
-    members.filter(|key| *key != me && rank(*key) < own).take(PROBES).count() < PROBES
+    members
+        .filter(|key| *key != me && rank(*key) < own)
+        .take(PROBES)
+        .count()
+        < PROBES
 }
 
 /// How a node goes about a service.
@@ -225,7 +249,8 @@
     probed: Nanos,
     /// What others say, and when that came.
     others: Option<(Opinion, Nanos)>,
-    /// A process that has just started does not know whether the service has too: until others speak, or until then.
+    /// A process that has just started does not know whether the service has too: until others
+    /// speak, or until then.
     unaware_until: Nanos,
     /// When it was last all back, having been down.
     risen: Option<Nanos>,
@@ -291,7 +316,8 @@
         }
     }
 
-    /// The share of its units that it uses: slow start. While the service is closed only tries go, which are seldom by themselves.
+    /// The share of its units that it uses: slow start. While the service is closed only tries go,
+    /// which are seldom by themselves.
     pub fn share(&self, now: Nanos) -> f64 {
         match self.mode {
             Mode::Open if now < self.unaware_until => FIRST,
@@ -322,7 +348,9 @@
 
     /// What others say, while it is good.
     pub fn others(&self, now: Nanos) -> Option<Opinion> {
-        self.others.filter(|(_, heard)| now < *heard + AGED).map(|(opinion, _)| opinion)
+        self.others
+            .filter(|(_, heard)| now < *heard + AGED)
+            .map(|(opinion, _)| opinion)
     }
 
     /// What others say came.
@@ -331,8 +359,9 @@
         if opinion.speak >= 2 {
             self.unaware_until = now;
         }
-        // Others find it well again: then this node may come back too, in the first step, though it did not try it. What they
-        // said when it fell, and what they counted before, is no word about now: words are good for so long, and count a window.
+        // Others find it well again: then this node may come back too, in the first step, though it
+        // did not try it. What they said when it fell, and what they counted before, is no word
+        // about now: words are good for so long, and count a window.
         let later = now > self.since + AGED + WINDOW;
         let enough = opinion.well >= 2.min(opinion.witnesses).max(1);
         if self.mode == Mode::Closed && later && enough {
@@ -352,12 +381,14 @@
         let own = self.evidence(now);
         // Where calls hang there are few, and each says more.
         let hangs = self.failed_in_a_row >= PROVED && now >= self.failing_since + WINDOW;
-        let is_ill = own.tries >= TRIES && own.failing() >= ILL || self.failed_in_a_row >= TRIES || hangs;
+        let is_ill =
+            own.tries >= TRIES && own.failing() >= ILL || self.failed_in_a_row >= TRIES || hangs;
         let others = self.others(now);
         let others_ill = others.is_some_and(|opinion| opinion.is_ill());
         match self.mode {
             Mode::Open | Mode::Careful | Mode::Rising if is_ill => self.enter(now, Mode::Closed),
-            // One that saw nothing of it, being idle or not there, comes back with the others and not at once.
+            // One that saw nothing of it, being idle or not there, comes back with the others and
+            // not at once.
             Mode::Open | Mode::Careful
                 if self.risen.is_none_or(|at| now >= at + RISEN)
                     && !own.is_well()
@@ -380,16 +411,22 @@
 
     /// One step further, but not beyond twice what the others let through, who come back with it.
     fn rise(&mut self, now: Nanos) {
-        let others = self.others(now).map(|opinion| opinion.level).filter(|level| *level > 0.0);
+        let others = self
+            .others(now)
+            .map(|opinion| opinion.level)
+            .filter(|level| *level > 0.0);
         self.since = now;
-        self.level = (self.level * 2.0).min(others.unwrap_or(1.0).max(FIRST) * 2.0).min(1.0);
+        self.level = (self.level * 2.0)
+            .min(others.unwrap_or(1.0).max(FIRST) * 2.0)
+            .min(1.0);
         if self.level >= 1.0 {
             self.risen = Some(now);
             self.enter(now, Mode::Open);
         }
     }
 
-    /// Whether a try is due from this node while the service is down. One that hears nobody tries by itself, more seldom.
+    /// Whether a try is due from this node while the service is down. One that hears nobody tries
+    /// by itself, more seldom.
     pub fn is_try_due(&self, now: Nanos) -> bool {
         let (tries, wait) = match self.others(now) {
             Some(opinion) if !opinion.alone => (opinion.prober, PROBE),
@@ -398,8 +435,8 @@
         tries && now >= self.probed + wait
     }
 
-    /// Whether a call may go there now. For one that was thinned out before, with what it is part of, only a closed service
-    /// counts.
+    /// Whether a call may go there now. For one that was thinned out before, with what it is part
+    /// of, only a closed service counts.
     pub fn admits(&mut self, now: Nanos, thinned: bool) -> bool {
         self.judge(now);
         let goes = match self.mode {
@@ -419,7 +456,11 @@
                 goes
             }
         };
-        *(if goes { &mut self.passed } else { &mut self.kept_back }) += 1;
+        *(if goes {
+            &mut self.passed
+        } else {
+            &mut self.kept_back
+        }) += 1;
         goes
     }
 
--- a/crates/shared/src/judge/tests.rs
+++ b/crates/shared/src/judge/tests.rs
@@ -10,7 +10,17 @@
 fn said(words: impl Iterator<Item = (u64, u32, u32, u32)>) -> Opinion {
     let mut witnesses = Witnesses::new(64);
     for (key, zone, tries, failed) in words {
-        witnesses.hear(SECOND, who(key), 7, Evidence { zone, tries, failed, level: 1.0 });
+        witnesses.hear(
+            SECOND,
+            who(key),
+            7,
+            Evidence {
+                zone,
+                tries,
+                failed,
+                level: 1.0,
+            },
+        );
     }
     witnesses.opinion(SECOND, 7)
 }
@@ -19,11 +29,20 @@
 fn own_tries_close_it_and_others_alone_never_do() {
     let mut own = Judge::new(0, 0);
     (0..20).for_each(|_| own.ended(SECOND, false));
-    assert_eq!((own.mode(), own.admits(SECOND, false)), (Mode::Closed, false));
+    assert_eq!(
+        (own.mode(), own.admits(SECOND, false)),
+        (Mode::Closed, false)
+    );
     let mut others = Judge::new(0, 0);
-    others.told(SECOND, said((2..12).map(|key| (key, key as u32 % 3, 100, 100))));
+    others.told(
+        SECOND,
+        said((2..12).map(|key| (key, key as u32 % 3, 100, 100))),
+    );
     assert_eq!((others.mode(), others.level()), (Mode::Careful, CAREFUL));
-    assert_eq!((0..100).filter(|_| others.admits(SECOND, false)).count(), 25);
+    assert_eq!(
+        (0..100).filter(|_| others.admits(SECOND, false)).count(),
+        25
+    );
 }
 
 /// Calls that hang are few: three in a row, with nothing well for two seconds, are enough.
@@ -31,7 +50,11 @@
 fn calls_that_hang_close_it_though_they_are_few() {
     let mut hangs = Judge::new(0, 0);
     (0..9).for_each(|_| hangs.ended(10 * SECOND, false));
-    assert_eq!(hangs.mode(), Mode::Open, "nine at once may be one broken connection");
+    assert_eq!(
+        hangs.mode(),
+        Mode::Open,
+        "nine at once may be one broken connection"
+    );
     hangs.ended(11 * SECOND, true);
     (0..3).for_each(|n| hangs.ended((12 + n) * SECOND, false));
     assert_eq!(hangs.mode(), Mode::Closed);
@@ -41,26 +64,46 @@
 fn one_sick_node_or_one_zone_is_told_from_a_sick_service() {
     let failed = |one: bool| if one { 100 } else { 0 };
     let mut liar = Judge::new(0, 0);
-    liar.told(SECOND, said((2..12).map(|key| (key, key as u32 % 3, 100, failed(key == 5)))));
+    liar.told(
+        SECOND,
+        said((2..12).map(|key| (key, key as u32 % 3, 100, failed(key == 5)))),
+    );
     assert_eq!(liar.mode(), Mode::Open);
     let mut zone = Judge::new(0, 0);
-    zone.told(SECOND, said((2..12).map(|key| (key, key as u32 % 2, 100, failed(key % 2 == 1)))));
-    assert_eq!(zone.mode(), Mode::Open, "a zone with a broken link of its own");
+    zone.told(
+        SECOND,
+        said((2..12).map(|key| (key, key as u32 % 2, 100, failed(key % 2 == 1)))),
+    );
+    assert_eq!(
+        zone.mode(),
+        Mode::Open,
+        "a zone with a broken link of its own"
+    );
     // What it sees itself goes first.
     let mut sees = Judge::new(0, 0);
     (0..50).for_each(|_| sees.ended(SECOND, true));
-    sees.told(SECOND, said((2..12).map(|key| (key, key as u32 % 3, 100, 100))));
+    sees.told(
+        SECOND,
+        said((2..12).map(|key| (key, key as u32 % 3, 100, 100))),
+    );
     assert_eq!(sees.mode(), Mode::Open);
 }
 
 #[test]
 fn a_word_ages_out_and_a_flood_of_words_by_one_is_one_word() {
     let mut careful = Judge::new(0, 0);
-    careful.told(SECOND, said((2..12).map(|key| (key, key as u32 % 3, 100, 100))));
+    careful.told(
+        SECOND,
+        said((2..12).map(|key| (key, key as u32 % 3, 100, 100))),
+    );
     assert_eq!(careful.mode(), Mode::Careful);
     assert!(careful.admits(SECOND + AGED, false));
     assert_eq!(careful.mode(), Mode::Open);
-    let flood = said((0..1000).map(|n| (5, n % 7, 100, 100)).chain([(6, 1, 100, 0)]));
+    let flood = said(
+        (0..1000)
+            .map(|n| (5, n % 7, 100, 100))
+            .chain([(6, 1, 100, 0)]),
+    );
     assert_eq!((flood.witnesses, flood.ill, flood.is_ill()), (2, 1, false));
     // Many that are none: what finds no room is not kept.
     let mut witnesses = Witnesses::new(64);
@@ -74,8 +117,11 @@
     let mut tried = BTreeSet::new();
     for round in 0..40 {
         let now = round * 10 * PROBE;
-        let probers: Vec<u64> =
-            members.iter().copied().filter(|me| is_prober(now, *me, 7, members.iter().copied())).collect();
+        let probers: Vec<u64> = members
+            .iter()
+            .copied()
+            .filter(|me| is_prober(now, *me, 7, members.iter().copied()))
+            .collect();
         assert_eq!(probers.len(), PROBES);
         tried.extend(probers);
     }
@@ -87,7 +133,9 @@
     let mut deaf = Judge::new(0, 0);
     (0..20).for_each(|_| deaf.ended(SECOND, false));
     let now = 60 * SECOND;
-    let tries = (0..200).filter(|n| deaf.admits(now + n * SECOND / 10, false)).count();
+    let tries = (0..200)
+        .filter(|n| deaf.admits(now + n * SECOND / 10, false))
+        .count();
     assert_eq!(tries, 4, "one in 5 s");
     (0..3).for_each(|n| deaf.ended(now + (200 + n) * SECOND / 10, true));
     assert_eq!(deaf.mode(), Mode::Rising);
@@ -107,13 +155,20 @@
     (0..20).for_each(|_| rising.ended(SECOND, false));
     assert!(!rising.admits(SECOND, true));
     (0..3).for_each(|_| rising.ended(2 * SECOND, true));
-    assert_eq!((0..16).filter(|_| rising.admits(2 * SECOND, true)).count(), 16);
-    assert_eq!((0..16).filter(|_| rising.admits(2 * SECOND, false)).count(), 1);
+    assert_eq!(
+        (0..16).filter(|_| rising.admits(2 * SECOND, true)).count(),
+        16
+    );
+    assert_eq!(
+        (0..16).filter(|_| rising.admits(2 * SECOND, false)).count(),
+        1
+    );
 }
 
-/// A service that dies past what it can do, is dead for a minute under full demand, and is cold when it is back. Each node
-/// tells three others every half second, with losses; one hears nobody. Gives how often it was thrown down, and how many
-/// calls it had while it was dead. Without steps, who had one good try sends all at once.
+/// A service that dies past what it can do, is dead for a minute under full demand, and is cold
+/// when it is back. Each node tells three others every half second, with losses; one hears nobody.
+/// Gives how often it was thrown down, and how many calls it had while it was dead. Without steps,
+/// who had one good try sends all at once.
 fn play(nodes: usize, seed: u64, steps: bool) -> (u32, u64, bool) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (deaf, tick) = (nodes - 1, 10 * MILLISECOND);
@@ -130,7 +185,9 @@
             (up, back_at) = (true, Some(now));
         }
         // It takes 1.2 times the usual load, and only a part of that while it is cold.
-        let warm = back_at.map_or(1.0, |at| 0.15 + (now - at) as f64 / (20 * SECOND) as f64).min(1.0);
+        let warm = back_at
+            .map_or(1.0, |at| 0.15 + (now - at) as f64 / (20 * SECOND) as f64)
+            .min(1.0);
         let mut calls = 0;
         for n in 0..nodes {
             if judges[n].admits(now, false) {
@@ -162,26 +219,40 @@
             fell += 1;
         }
     }
-    (fell, tried_while_down, judges.iter().all(|judge| judge.mode() == Mode::Open))
+    (
+        fell,
+        tried_while_down,
+        judges.iter().all(|judge| judge.mode() == Mode::Open),
+    )
 }
 
-/// In a minute, of a hundred calls a second and node that were wanted: ten of each until it closed, then three nodes' tries.
+/// In a minute, of a hundred calls a second and node that were wanted: ten of each until it closed,
+/// then three nodes' tries.
 #[test]
 fn a_service_that_comes_back_is_not_thrown_down_again() {
     for (nodes, seeds) in [(12, 0..20), (120, 20..23)] {
         for seed in seeds {
             let (fell, tried, open) = play(nodes, seed, true);
             let most = nodes as u64 * 11 + 450;
-            assert!(fell == 0 && tried < most && open, "{nodes}, seed {seed}: {fell} {tried} {open}");
+            assert!(
+                fell == 0 && tried < most && open,
+                "{nodes}, seed {seed}: {fell} {tried} {open}"
+            );
         }
     }
     assert!(play(12, 0, false).0 > 0, "without steps it is thrown down");
 }
 
-/// One that was idle, or not there, while the service was down: it comes back with the others, from the least of them.
+/// One that was idle, or not there, while the service was down: it comes back with the others, from
+/// the least of them.
 #[test]
 fn who_saw_nothing_of_a_start_comes_back_with_the_others() {
-    let word = |tries, level| Evidence { zone: 0, tries, failed: 0, level };
+    let word = |tries, level| Evidence {
+        zone: 0,
+        tries,
+        failed: 0,
+        level,
+    };
     let opinion = |levels: &[f64]| {
         let mut witnesses = Witnesses::new(64);
         let words = levels.iter().zip(2..);
@@ -189,9 +260,17 @@
         witnesses.opinion(10 * SECOND, 7)
     };
     let mut idle = Judge::new(0, 0);
-    assert_eq!((idle.share(SECOND), idle.share(AGED)), (FIRST, 1.0), "it knows of nobody at first");
+    assert_eq!(
+        (idle.share(SECOND), idle.share(AGED)),
+        (FIRST, 1.0),
+        "it knows of nobody at first"
+    );
     idle.told(10 * SECOND, opinion(&[1.0, 0.25, 1.0]));
-    assert_eq!(idle.mode(), Mode::Open, "one alone may have a trouble of its own");
+    assert_eq!(
+        idle.mode(),
+        Mode::Open,
+        "one alone may have a trouble of its own"
+    );
     idle.told(10 * SECOND, opinion(&[0.5, 0.25, 1.0, 0.0]));
     assert_eq!((idle.mode(), idle.share(10 * SECOND)), (Mode::Rising, 0.25));
     // What sees for itself that it is well goes by that.
--- a/crates/shared/src/keyed.rs
+++ b/crates/shared/src/keyed.rs
@@ -1,13 +1,15 @@
-//! Limits by key for a whole fleet: a rate of each key, or a number of it in hand. There may be a hundred thousand keys, most
-//! of them seldom used, so that nothing is known of a key that nobody used lately.
+//! Limits by key for a whole fleet: a rate of each key, or a number of it in hand. There may be a
+//! hundred thousand keys, most of them seldom used, so that nothing is known of a key that nobody
+//! used lately.
 //!
-//! What may be spent of a key exists as **units** that are each in one place: free at the one who lends, or in the pocket of a
-//! node ([`wallet`]). Units of a rate are made at that rate, and only while fewer exist than may be saved; what is spent is
-//! gone. Units of a number in hand are as many as the limit. Because a unit is never in two places, it does not matter how
-//! long one lies in a pocket: over any time W all nodes together spend at most rate x W and what may be saved.
+//! What may be spent of a key exists as **units** that are each in one place: free at the one who
+//! lends, or in the pocket of a node ([`wallet`]). Units of a rate are made at that rate, and only
+//! while fewer exist than may be saved; what is spent is gone. Units of a number in hand are as
+//! many as the limit. Because a unit is never in two places, it does not matter how long one lies
+//! in a pocket: over any time W all nodes together spend at most rate x W and what may be saved.
 //!
-//! Beside that each node has a floor: a few units of each key that were set aside for it, made at a sixteenth of the rate over
-//! all nodes. A node that hears nothing has these.
+//! Beside that each node has a floor: a few units of each key that were set aside for it, made at a
+//! sixteenth of the rate over all nodes. A node that hears nothing has these.
 
 pub mod books;
 pub mod wallet;
@@ -25,7 +27,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum KeyKind {
     /// So many in a period; so many may be saved.
-    Rate { count: u32, period: Nanos, burst: u32 },
+    Rate {
+        count: u32,
+        period: Nanos,
+        burst: u32,
+    },
     /// So many in hand; one is held so long at most.
     InHand { limit: u32, longest: Nanos },
 }
@@ -44,11 +50,14 @@
 
 /// A number for a name, which all nodes agree on: FNV-1a.
 pub fn number(name: &str) -> u32 {
-    name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
+    name.bytes().fold(0x811c_9dc5, |hash, byte| {
+        (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
+    })
 }
 
 impl KeyBudget {
-    /// What nodes call it to each other. The kind is in it: a limit that changes its kind is another one.
+    /// What nodes call it to each other. The kind is in it: a limit that changes its kind is
+    /// another one.
     pub fn id(&self) -> u32 {
         let kind = match self.kind {
             KeyKind::Rate { .. } => "rate",
@@ -74,7 +83,10 @@
     pub fn check(&self) -> Result<(), String> {
         let floors = self.floors();
         if self.nodes_most == 0 || self.most() == 0 {
-            return Err(format!("'{}': the limit and the number of nodes must be above 0", self.name));
+            return Err(format!(
+                "'{}': the limit and the number of nodes must be above 0",
+                self.name
+            ));
         }
         if floors >= u64::from(self.most()) {
             let word = match self.kind {
@@ -99,19 +111,30 @@
         u32::try_from(u64::from(self.most()).saturating_sub(self.floors())).unwrap_or(0)
     }
 
-    /// Time for a unit that is lent to be made. The clock of the one who lends may run fast by the drift, so it is longer.
+    /// Time for a unit that is lent to be made. The clock of the one who lends may run fast by the
+    /// drift, so it is longer.
     pub fn interval(&self) -> Option<Nanos> {
-        let KeyKind::Rate { count, period, .. } = self.kind else { return Some(Nanos::MAX) };
+        let KeyKind::Rate { count, period, .. } = self.kind else {
+            return Some(Nanos::MAX);
+        };
         let even = period.checked_div(u64::from(count))?;
-        let lent = if self.floor > 0 { even + even / (FLOOR_PART - 1) + 1 } else { even };
+        let lent = if self.floor > 0 {
+            even + even / (FLOOR_PART - 1) + 1
+        } else {
+            even
+        };
         Some(lent + lent / (crate::DRIFT - 1) + 1)
     }
 
     /// Time for a unit of a node's floor to be made.
     pub fn floor_interval(&self) -> Nanos {
-        let KeyKind::Rate { count, period, .. } = self.kind else { return 0 };
+        let KeyKind::Rate { count, period, .. } = self.kind else {
+            return 0;
+        };
         let even = period / u64::from(count.max(1)) + 1;
-        let of_node = even.saturating_mul(FLOOR_PART).saturating_mul(u64::from(self.nodes_most));
+        let of_node = even
+            .saturating_mul(FLOOR_PART)
+            .saturating_mul(u64::from(self.nodes_most));
         of_node.saturating_add(of_node / (crate::DRIFT - 1))
     }
 
@@ -142,11 +165,17 @@
     pub fn of(nodes_most: u32) -> Rhythm {
         let urgent = (250 * MILLISECOND).max(SECOND * u64::from(nodes_most) / QUESTIONS);
         let renew = 4 * urgent;
-        Rhythm { urgent, renew, life: 3 * renew, keep: 15 * renew }
+        Rhythm {
+            urgent,
+            renew,
+            life: 3 * renew,
+            keep: 15 * renew,
+        }
     }
 }
 
-/// A question about one key: what its node has left and keeps, what it gives back, and what it wants beside.
+/// A question about one key: what its node has left and keeps, what it gives back, and what it
+/// wants beside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyAsk {
     pub budget: u32,
@@ -165,7 +194,8 @@
     pub keys: Vec<KeyAsk>,
 }
 
-/// What a node gets of a key beside what it keeps; and where that is nothing, when it is worth to ask again.
+/// What a node gets of a key beside what it keeps; and where that is nothing, when it is worth to
+/// ask again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyLent {
     pub budget: u32,
@@ -189,22 +219,47 @@
     use super::*;
 
     fn rate(count: u32, burst: u32, floor: u32, nodes_most: u32) -> KeyBudget {
-        let kind = KeyKind::Rate { count, period: SECOND, burst };
-        KeyBudget { name: "by-site".into(), kind, floor, nodes_most }
+        let kind = KeyKind::Rate {
+            count,
+            period: SECOND,
+            burst,
+        };
+        KeyBudget {
+            name: "by-site".into(),
+            kind,
+            floor,
+            nodes_most,
+        }
     }
 
     #[test]
     fn floors_leave_something_to_lend_or_are_refused() {
-        assert_eq!((rate(10, 60, 1, 40).check(), rate(10, 60, 1, 40).pool()), (Ok(()), 20));
+        assert_eq!(
+            (rate(10, 60, 1, 40).check(), rate(10, 60, 1, 40).pool()),
+            (Ok(()), 20)
+        );
         let told = rate(10, 40, 1, 40).check().unwrap_err();
-        assert!(told.contains("floors of 40 nodes are 40") && told.contains("burst of 40"), "{told}");
+        assert!(
+            told.contains("floors of 40 nodes are 40") && told.contains("burst of 40"),
+            "{told}"
+        );
         assert!(rate(0, 40, 0, 40).check().is_err() && rate(1, 0, 0, 40).check().is_err());
-        let limit = KeyBudget { kind: KeyKind::InHand { limit: 9, longest: SECOND }, ..rate(1, 1, 3, 3) };
+        let limit = KeyBudget {
+            kind: KeyKind::InHand {
+                limit: 9,
+                longest: SECOND,
+            },
+            ..rate(1, 1, 3, 3)
+        };
         assert!(limit.check().unwrap_err().contains("limit of 9"));
-        assert!(limit.id() != rate(1, 1, 3, 3).id(), "another kind is another budget");
+        assert!(
+            limit.id() != rate(1, 1, 3, 3).id(),
+            "another kind is another budget"
+        );
     }
 
-    /// What is lent and all floors together are made no faster than the rate, by clocks that run fast by the drift.
+    /// What is lent and all floors together are made no faster than the rate, by clocks that run
+    /// fast by the drift.
     #[test]
     fn what_is_made_is_no_more_than_the_rate() {
         for (count, floor, nodes) in [(1, 0, 5), (10, 1, 40), (999, 3, 300), (100_000, 1, 3000)] {
@@ -215,7 +270,10 @@
                 0 => 0.0,
                 _ => f64::from(nodes) * fast * SECOND as f64 / budget.floor_interval() as f64,
             };
-            assert!(lent + floors <= f64::from(count), "{count}: {lent} and {floors}");
+            assert!(
+                lent + floors <= f64::from(count),
+                "{count}: {lent} and {floors}"
+            );
             assert!(lent > 0.89 * f64::from(count), "{count}: {lent}");
         }
     }
@@ -225,7 +283,8 @@
         for nodes in [1, 10, 300, 3000, 20_000] {
             let rhythm = Rhythm::of(nodes);
             assert!(
-                u64::from(nodes) * SECOND / rhythm.urgent <= 2 * QUESTIONS && rhythm.life > 2 * rhythm.renew
+                u64::from(nodes) * SECOND / rhythm.urgent <= 2 * QUESTIONS
+                    && rhythm.life > 2 * rhythm.renew
             );
         }
         assert_eq!(Rhythm::of(300).life, 3 * SECOND);
--- a/crates/shared/src/keyed/books.rs
+++ b/crates/shared/src/keyed/books.rs
@@ -1,5 +1,6 @@
-//! The books of the one who lends, by key: units that are free, and what lies in whose pocket. A unit is in one place at a
-//! time: it leaves a pocket by the borrower's word, or when its time there is over by the lender's clock with the drift added.
+//! The books of the one who lends, by key: units that are free, and what lies in whose pocket. A
+//! unit is in one place at a time: it leaves a pocket by the borrower's word, or when its time
+//! there is over by the lender's clock with the drift added.
 
 use super::{KeyAsk, KeyBudget, KeyKind, KeyLent, KeysAsked, KeysLent, Rhythm};
 use crate::treasury::longer;
@@ -38,7 +39,10 @@
 
 impl Entry {
     fn out(&self) -> u32 {
-        self.pockets.iter().map(|pocket| pocket.units).fold(0, u32::saturating_add)
+        self.pockets
+            .iter()
+            .map(|pocket| pocket.units)
+            .fold(0, u32::saturating_add)
     }
 
     /// Makes units up to a time, as many as there is room for beside what lies in pockets.
@@ -46,14 +50,23 @@
         let made = until.saturating_sub(self.made) / interval.max(1);
         let room = u64::from(pool.saturating_sub(self.free.saturating_add(self.out())));
         self.free = self.free.saturating_add(made.min(room) as u32).min(pool);
-        self.made = if made < room { self.made + made * interval } else { until.max(self.made) };
+        self.made = if made < room {
+            self.made + made * interval
+        } else {
+            until.max(self.made)
+        };
     }
 
-    /// Brings it up to now. Units that were lost with a pocket are made anew from the end of that pocket on, and not before:
-    /// until then their like could still be spent.
+    /// Brings it up to now. Units that were lost with a pocket are made anew from the end of that
+    /// pocket on, and not before: until then their like could still be spent.
     fn settle(&mut self, now: Nanos, budget: &KeyBudget) {
         let pool = budget.pool();
-        let ended = self.pockets.iter().map(|pocket| pocket.gone).filter(|gone| *gone <= now).max();
+        let ended = self
+            .pockets
+            .iter()
+            .map(|pocket| pocket.gone)
+            .filter(|gone| *gone <= now)
+            .max();
         match (budget.kind, budget.interval()) {
             (KeyKind::Rate { .. }, Some(interval)) => {
                 if let Some(ended) = ended {
@@ -91,8 +104,8 @@
     }
 }
 
-/// Keys by their budget and number. All nodes number them alike, so that whoever knows by what could choose numbers: the map's
-/// own hash has a secret of its own.
+/// Keys by their budget and number. All nodes number them alike, so that whoever knows by what
+/// could choose numbers: the map's own hash has a secret of its own.
 type Keys = HashMap<(u32, u64), Entry>;
 
 /// What is lent of all keys.
@@ -115,7 +128,13 @@
 
 impl KeyBooks {
     /// Books that are begun now, of about so many bytes.
-    pub fn new(now: Nanos, budgets: &[KeyBudget], rhythm: Rhythm, bytes: usize, seed: u64) -> KeyBooks {
+    pub fn new(
+        now: Nanos,
+        budgets: &[KeyBudget],
+        rhythm: Rhythm,
+        bytes: usize,
+        seed: u64,
+    ) -> KeyBooks {
         let lag = budgets.iter().map(KeyBudget::lag).max().unwrap_or(0);
         let opens_after = longer(rhythm.life) + lag;
         KeyBooks {
@@ -134,7 +153,8 @@
         }
     }
 
-    /// Other limits hold from now on. Less than what is out is kept by lending nothing until enough has come back.
+    /// Other limits hold from now on. Less than what is out is kept by lending nothing until enough
+    /// has come back.
     pub fn rebudget(&mut self, budgets: &[KeyBudget]) {
         self.budgets = budgets.to_vec();
     }
@@ -144,15 +164,20 @@
         self.opens
     }
 
-    /// A borrower tells what it has of some keys and what it wants. No answer before the books are open.
+    /// A borrower tells what it has of some keys and what it wants. No answer before the books are
+    /// open.
     pub fn ask(&mut self, now: Nanos, who: Who, asked: &KeysAsked) -> Option<KeysLent> {
         if now < self.opens {
             return None;
         }
         self.age(now);
         let who = self.borrowers.number(now, who, 2 * self.opens_after);
-        let mut lent =
-            KeysLent { no: asked.no, stamp: asked.stamp, life: self.rhythm.life, keys: Vec::new() };
+        let mut lent = KeysLent {
+            no: asked.no,
+            stamp: asked.stamp,
+            life: self.rhythm.life,
+            keys: Vec::new(),
+        };
         for ask in &asked.keys {
             if let Some(answer) = self.ask_key(now, who, asked.no, ask) {
                 lent.keys.push(answer);
@@ -162,9 +187,17 @@
     }
 
     fn ask_key(&mut self, now: Nanos, who: u32, no: u32, ask: &KeyAsk) -> Option<KeyLent> {
-        let budget = self.budgets.iter().find(|budget| budget.id() == ask.budget)?;
+        let budget = self
+            .budgets
+            .iter()
+            .find(|budget| budget.id() == ask.budget)?;
         let place = (ask.budget, ask.key);
-        let nothing = Some(KeyLent { budget: ask.budget, key: ask.key, adds: 0, wait: self.rhythm.renew });
+        let nothing = Some(KeyLent {
+            budget: ask.budget,
+            key: ask.key,
+            adds: 0,
+            wait: self.rhythm.renew,
+        });
         if !self.keys.contains_key(&place) {
             if ask.left == 0 && ask.wants == 0 {
                 return nothing; // given back, and forgotten already
@@ -175,13 +208,23 @@
             }
             let made = now.saturating_sub(self.opens) / budget.interval().unwrap_or(1).max(1);
             let free = budget.pool().min(u32::try_from(made).unwrap_or(u32::MAX));
-            self.keys.insert(place, Entry { free, made: now, pockets: Vec::new() });
+            self.keys.insert(
+                place,
+                Entry {
+                    free,
+                    made: now,
+                    pockets: Vec::new(),
+                },
+            );
             self.ageing.push_back((now + self.rhythm.keep, place));
         }
         let (entry, renew) = (self.keys.get_mut(&place)?, self.rhythm.renew);
         let before = entry.pockets.len();
         entry.settle(now, budget);
-        let at = match entry.pockets.binary_search_by_key(&who, |pocket| pocket.who) {
+        let at = match entry
+            .pockets
+            .binary_search_by_key(&who, |pocket| pocket.who)
+        {
             Ok(at) => Some(at),
             Err(_) if ask.left == 0 && ask.wants == 0 => None,
             Err(_) if self.pockets - (before - entry.pockets.len()) >= self.most_pockets => {
@@ -191,12 +234,29 @@
             Err(at) => {
                 entry.pockets.insert(
                     at,
-                    Pocket { who, no: 0, units: 0, need: 0, heard: now.saturating_sub(renew), gone: 0 },
+                    Pocket {
+                        who,
+                        no: 0,
+                        units: 0,
+                        need: 0,
+                        heard: now.saturating_sub(renew),
+                        gone: 0,
+                    },
                 );
                 Some(at)
             }
         };
-        let answer = at.map(|at| Self::lend(now, entry, at, budget, &self.rhythm, (no, ask), &mut self.rng));
+        let answer = at.map(|at| {
+            Self::lend(
+                now,
+                entry,
+                at,
+                budget,
+                &self.rhythm,
+                (no, ask),
+                &mut self.rng,
+            )
+        });
         self.pockets = self.pockets + entry.pockets.len() - before;
         match answer {
             Some(answer) => answer,
@@ -230,11 +290,17 @@
         }
         (pocket.no, pocket.need) = (no, ask.left.saturating_add(ask.wants));
         pocket.gone = now + longer(rhythm.life) + budget.lag();
-        let passed = now.saturating_sub(std::mem::replace(&mut pocket.heard, now)).min(rhythm.life);
+        let passed = now
+            .saturating_sub(std::mem::replace(&mut pocket.heard, now))
+            .min(rhythm.life);
         let (units, need) = (pocket.units, pocket.need);
         let (pool, out) = (budget.pool(), entry.out());
         let interval = budget.interval().unwrap_or(Nanos::MAX).max(1);
-        let needs: u64 = entry.pockets.iter().map(|pocket| u64::from(pocket.need)).sum();
+        let needs: u64 = entry
+            .pockets
+            .iter()
+            .map(|pocket| u64::from(pocket.need))
+            .sum();
         // What they lack, each as it was told last: who has what he needs has no claim on more.
         let lack = |pocket: &Pocket| u64::from(pocket.need.saturating_sub(pocket.units));
         let lacks = entry.pockets.iter().map(lack).sum::<u64>().max(1);
@@ -245,12 +311,13 @@
                 f64::from(need).min(f64::from(pool.max(out)) * part) - f64::from(units)
             }
             _ if lacks <= u64::from(entry.free) => f64::from(ask.wants),
-            // Where it is short each gets its part of what was made since it asked last, and with time of what is left over.
+            // Where it is short each gets its part of what was made since it asked last, and with
+            // time of what is left over.
             _ => {
                 let part = f64::from(ask.wants) / lacks as f64;
                 let in_turn = rhythm.urgent as f64 / interval as f64;
-                let left_over =
-                    (f64::from(entry.free) - in_turn).max(0.0) * passed as f64 / rhythm.renew as f64;
+                let left_over = (f64::from(entry.free) - in_turn).max(0.0) * passed as f64
+                    / rhythm.renew as f64;
                 (passed as f64 / interval as f64 + left_over) * part
             }
         };
@@ -260,7 +327,8 @@
         entry.pockets[at].units += adds;
         entry.free -= adds;
         debug_assert!(
-            matches!(budget.kind, KeyKind::InHand { .. }) || entry.free + entry.out() <= pool.max(out),
+            matches!(budget.kind, KeyKind::InHand { .. })
+                || entry.free + entry.out() <= pool.max(out),
             "no unit is in two places"
         );
         if units + adds == 0 && ask.wants == 0 {
@@ -269,19 +337,28 @@
         let wait = match (ask.wants > 0 && adds == 0, budget.kind) {
             (false, _) => 0,
             // Its part of what is made: one in so long.
-            (true, KeyKind::Rate { .. }) => {
-                interval.saturating_mul(lacks / u64::from(ask.wants.max(1))).clamp(rhythm.urgent, rhythm.life)
-            }
+            (true, KeyKind::Rate { .. }) => interval
+                .saturating_mul(lacks / u64::from(ask.wants.max(1)))
+                .clamp(rhythm.urgent, rhythm.life),
             (true, KeyKind::InHand { .. }) => rhythm.renew,
         };
-        Some(KeyLent { budget: ask.budget, key: ask.key, adds, wait })
+        Some(KeyLent {
+            budget: ask.budget,
+            key: ask.key,
+            adds,
+            wait,
+        })
     }
 
     /// Forgets keys that nobody has anything of, once all that may be saved of them is free again.
     fn age(&mut self, now: Nanos) {
         for _ in 0..AGED_AT_ONCE {
-            let Some((_, place)) = self.ageing.pop_front_if(|(due, _)| *due <= now) else { return };
-            let Some(entry) = self.keys.get_mut(&place) else { continue };
+            let Some((_, place)) = self.ageing.pop_front_if(|(due, _)| *due <= now) else {
+                return;
+            };
+            let Some(entry) = self.keys.get_mut(&place) else {
+                continue;
+            };
             let Some(budget) = self.budgets.iter().find(|budget| budget.id() == place.0) else {
                 self.pockets -= entry.pockets.len();
                 self.keys.remove(&place);
@@ -291,8 +368,9 @@
             entry.settle(now, budget);
             self.pockets -= before - entry.pockets.len();
             let known = now.saturating_sub(self.opens) / budget.interval().unwrap_or(1).max(1);
-            let as_new =
-                entry.pockets.is_empty() && entry.free >= budget.pool() && known >= u64::from(budget.pool());
+            let as_new = entry.pockets.is_empty()
+                && entry.free >= budget.pool()
+                && known >= u64::from(budget.pool());
             if as_new {
                 self.keys.remove(&place);
             } else {
@@ -303,12 +381,19 @@
 
     /// A borrower leaves, and has nothing in use: all that it has is free.
     pub fn give_back(&mut self, now: Nanos, who: Who) {
-        let Some((number, _)) = self.borrowers.numbers.remove(&who) else { return };
+        let Some((number, _)) = self.borrowers.numbers.remove(&who) else {
+            return;
+        };
         for (place, entry) in &mut self.keys {
-            let Some(budget) = self.budgets.iter().find(|budget| budget.id() == place.0) else { continue };
+            let Some(budget) = self.budgets.iter().find(|budget| budget.id() == place.0) else {
+                continue;
+            };
             let before = entry.pockets.len();
             entry.settle(now, budget);
-            if let Ok(at) = entry.pockets.binary_search_by_key(&number, |pocket| pocket.who) {
+            if let Ok(at) = entry
+                .pockets
+                .binary_search_by_key(&number, |pocket| pocket.who)
+            {
                 entry.pockets.remove(at); // units of a rate are lost with it, and made anew
             }
             self.pockets -= before - entry.pockets.len();
@@ -320,16 +405,29 @@
         (self.keys.len(), self.pockets, self.refused)
     }
 
-    /// All of a key that decides what is lent of it, but for chance; and the borrowers' numbers. For those who compare states.
-    pub fn state(&self, budget: u32, key: u64) -> (Nanos, Option<&Entry>, impl Iterator<Item = (Who, u32)>) {
-        let numbers = self.borrowers.numbers.iter().map(|(who, (number, _))| (*who, *number));
+    /// All of a key that decides what is lent of it, but for chance; and the borrowers' numbers.
+    /// For those who compare states.
+    pub fn state(
+        &self,
+        budget: u32,
+        key: u64,
+    ) -> (Nanos, Option<&Entry>, impl Iterator<Item = (Who, u32)>) {
+        let numbers = self
+            .borrowers
+            .numbers
+            .iter()
+            .map(|(who, (number, _))| (*who, *number));
         (self.opens, self.keys.get(&(budget, key)), numbers)
     }
 
     /// What there is of a key: free, in pockets, needed; and how many pockets.
     pub fn key(&self, budget: u32, key: u64) -> Option<(u32, u32, u64, usize)> {
         let entry = self.keys.get(&(budget, key))?;
-        let needs = entry.pockets.iter().map(|pocket| u64::from(pocket.need)).sum();
+        let needs = entry
+            .pockets
+            .iter()
+            .map(|pocket| u64::from(pocket.need))
+            .sum();
         Some((entry.free, entry.out(), needs, entry.pockets.len()))
     }
 }
@@ -345,12 +443,27 @@
     }
 
     fn rate(count: u32, burst: u32) -> KeyBudget {
-        let kind = KeyKind::Rate { count, period: SECOND, burst };
-        KeyBudget { name: "r".into(), kind, floor: 0, nodes_most: 10 }
+        let kind = KeyKind::Rate {
+            count,
+            period: SECOND,
+            burst,
+        };
+        KeyBudget {
+            name: "r".into(),
+            kind,
+            floor: 0,
+            nodes_most: 10,
+        }
     }
 
     fn in_hand(limit: u32) -> KeyBudget {
-        KeyBudget { kind: KeyKind::InHand { limit, longest: SECOND }, ..rate(1, 1) }
+        KeyBudget {
+            kind: KeyKind::InHand {
+                limit,
+                longest: SECOND,
+            },
+            ..rate(1, 1)
+        }
     }
 
     fn books(budget: &KeyBudget) -> KeyBooks {
@@ -359,7 +472,17 @@
 
     fn ask(budget: &KeyBudget, no: u32, left: u32, back: u32, wants: u32) -> KeysAsked {
         let budget = budget.id();
-        KeysAsked { no, stamp: 0, keys: vec![KeyAsk { budget, key: 7, left, back, wants }] }
+        KeysAsked {
+            no,
+            stamp: 0,
+            keys: vec![KeyAsk {
+                budget,
+                key: 7,
+                left,
+                back,
+                wants,
+            }],
+        }
     }
 
     fn adds(lent: Option<KeysLent>) -> Option<u32> {
@@ -370,12 +493,24 @@
     fn nothing_is_lent_before_what_was_out_is_gone_and_then_all_is_made_anew() {
         let budget = rate(10, 20);
         let mut books = books(&budget);
-        assert_eq!(books.ask(books.opens() - 1, who(1), &ask(&budget, 1, 0, 0, 5)), None);
-        assert_eq!(adds(books.ask(books.opens(), who(1), &ask(&budget, 2, 0, 0, 5))), Some(0));
+        assert_eq!(
+            books.ask(books.opens() - 1, who(1), &ask(&budget, 1, 0, 0, 5)),
+            None
+        );
+        assert_eq!(
+            adds(books.ask(books.opens(), who(1), &ask(&budget, 2, 0, 0, 5))),
+            Some(0)
+        );
         // A second later some nine were made, a tenth of a second apart; they are lent once.
         let later = books.opens() + SECOND;
-        assert_eq!(adds(books.ask(later, who(1), &ask(&budget, 3, 0, 0, 50))), Some(9));
-        assert_eq!(adds(books.ask(later, who(2), &ask(&budget, 1, 0, 0, 50))), Some(0));
+        assert_eq!(
+            adds(books.ask(later, who(1), &ask(&budget, 3, 0, 0, 50))),
+            Some(9)
+        );
+        assert_eq!(
+            adds(books.ask(later, who(2), &ask(&budget, 1, 0, 0, 50))),
+            Some(0)
+        );
     }
 
     /// What lies in pockets counts as saved: however long nobody asks, no more exists than may.
@@ -384,32 +519,68 @@
         let budget = rate(10, 20);
         let mut books = books(&budget);
         let now = books.opens() + 100 * SECOND;
-        assert_eq!(adds(books.ask(now, who(1), &ask(&budget, 1, 0, 0, 20))), Some(20));
+        assert_eq!(
+            adds(books.ask(now, who(1), &ask(&budget, 1, 0, 0, 20))),
+            Some(20)
+        );
         let later = now + SECOND;
-        assert_eq!(adds(books.ask(later, who(2), &ask(&budget, 1, 0, 0, 20))), Some(0));
-        // The first one says that it spent 15 and gives 3 back; the others are made again one by one.
-        assert_eq!(adds(books.ask(later, who(1), &ask(&budget, 2, 2, 3, 0))), Some(0));
-        assert_eq!(adds(books.ask(later, who(2), &ask(&budget, 2, 0, 0, 3))), Some(3));
+        assert_eq!(
+            adds(books.ask(later, who(2), &ask(&budget, 1, 0, 0, 20))),
+            Some(0)
+        );
+        // The first one says that it spent 15 and gives 3 back; the others are made again one by
+        // one.
+        assert_eq!(
+            adds(books.ask(later, who(1), &ask(&budget, 2, 2, 3, 0))),
+            Some(0)
+        );
+        assert_eq!(
+            adds(books.ask(later, who(2), &ask(&budget, 2, 0, 0, 3))),
+            Some(3)
+        );
         let much_later = later + SECOND / 2;
-        assert_eq!(adds(books.ask(much_later, who(2), &ask(&budget, 3, 0, 0, 4))), Some(4));
+        assert_eq!(
+            adds(books.ask(much_later, who(2), &ask(&budget, 3, 0, 0, 4))),
+            Some(4)
+        );
         assert_eq!(books.key(budget.id(), 7), Some((0, 6, 6, 2)));
     }
 
-    /// A pocket that is heard of no more ends after its time and not before, and its units are made anew, not found again.
+    /// A pocket that is heard of no more ends after its time and not before, and its units are made
+    /// anew, not found again.
     #[test]
     fn a_lost_pocket_comes_back_after_its_time_and_not_before() {
         let budget = rate(1000, 20);
         let mut books = books(&budget);
         let now = books.opens() + 100 * SECOND;
-        assert_eq!(adds(books.ask(now, who(1), &ask(&budget, 1, 0, 0, 20))), Some(20));
+        assert_eq!(
+            adds(books.ask(now, who(1), &ask(&budget, 1, 0, 0, 20))),
+            Some(20)
+        );
         let gone = now + longer(Rhythm::of(10).life);
-        assert_eq!(adds(books.ask(gone - 1, who(2), &ask(&budget, 1, 0, 0, 20))), Some(0));
-        assert_eq!(adds(books.ask(gone, who(2), &ask(&budget, 2, 0, 0, 20))), Some(0));
-        assert_eq!(adds(books.ask(gone + SECOND / 100, who(2), &ask(&budget, 3, 0, 0, 20))), Some(9));
-        // The same if nobody looked meanwhile: it could have been spent at the last moment of its time.
+        assert_eq!(
+            adds(books.ask(gone - 1, who(2), &ask(&budget, 1, 0, 0, 20))),
+            Some(0)
+        );
+        assert_eq!(
+            adds(books.ask(gone, who(2), &ask(&budget, 2, 0, 0, 20))),
+            Some(0)
+        );
+        assert_eq!(
+            adds(books.ask(gone + SECOND / 100, who(2), &ask(&budget, 3, 0, 0, 20))),
+            Some(9)
+        );
+        // The same if nobody looked meanwhile: it could have been spent at the last moment of its
+        // time.
         let mut books = self::books(&budget);
-        assert_eq!(adds(books.ask(now, who(1), &ask(&budget, 1, 0, 0, 20))), Some(20));
-        assert_eq!(adds(books.ask(gone + SECOND / 100, who(2), &ask(&budget, 1, 0, 0, 20))), Some(9));
+        assert_eq!(
+            adds(books.ask(now, who(1), &ask(&budget, 1, 0, 0, 20))),
+            Some(20)
+        );
+        assert_eq!(
+            adds(books.ask(gone + SECOND / 100, who(2), &ask(&budget, 1, 0, 0, 20))),
+            Some(9)
+        );
     }
 
     #[test]
@@ -417,9 +588,24 @@
         let budget = rate(10, 20);
         let mut books = books(&budget);
         let now = books.opens() + 100 * SECOND;
-        assert_eq!(adds(books.ask(now, who(1), &ask(&budget, 4, 0, 0, 10))), Some(10));
-        assert_eq!(books.ask(now, who(1), &ask(&budget, 3, 0, 0, 10)).unwrap().keys, []);
-        assert_eq!(books.ask(now, who(1), &ask(&budget, 4, 0, 0, 10)).unwrap().keys, []);
+        assert_eq!(
+            adds(books.ask(now, who(1), &ask(&budget, 4, 0, 0, 10))),
+            Some(10)
+        );
+        assert_eq!(
+            books
+                .ask(now, who(1), &ask(&budget, 3, 0, 0, 10))
+                .unwrap()
+                .keys,
+            []
+        );
+        assert_eq!(
+            books
+                .ask(now, who(1), &ask(&budget, 4, 0, 0, 10))
+                .unwrap()
+                .keys,
+            []
+        );
         assert_eq!(books.key(budget.id(), 7), Some((10, 10, 10, 1)));
     }
 
@@ -428,13 +614,26 @@
         let budget = in_hand(10);
         let mut books = books(&budget);
         let now = books.opens();
-        assert_eq!(adds(books.ask(now, who(1), &ask(&budget, 1, 0, 0, 8))), Some(8));
-        assert_eq!(adds(books.ask(now, who(2), &ask(&budget, 1, 0, 0, 2))), Some(2));
-        assert_eq!(adds(books.ask(now, who(1), &ask(&budget, 2, 5, 3, 0))), Some(0));
-        assert_eq!(adds(books.ask(now, who(2), &ask(&budget, 2, 2, 0, 8))), Some(3));
+        assert_eq!(
+            adds(books.ask(now, who(1), &ask(&budget, 1, 0, 0, 8))),
+            Some(8)
+        );
+        assert_eq!(
+            adds(books.ask(now, who(2), &ask(&budget, 1, 0, 0, 2))),
+            Some(2)
+        );
+        assert_eq!(
+            adds(books.ask(now, who(1), &ask(&budget, 2, 5, 3, 0))),
+            Some(0)
+        );
+        assert_eq!(
+            adds(books.ask(now, who(2), &ask(&budget, 2, 2, 0, 8))),
+            Some(3)
+        );
         // The first one is gone: its places come back after its time and the longest use.
         let gone = now + longer(Rhythm::of(10).life) + SECOND;
-        let renewed = |books: &mut KeyBooks, no, at| adds(books.ask(at, who(2), &ask(&budget, no, 5, 0, 5)));
+        let renewed =
+            |books: &mut KeyBooks, no, at| adds(books.ask(at, who(2), &ask(&budget, no, 5, 0, 5)));
         assert_eq!(renewed(&mut books, 3, gone - 1), Some(0));
         assert_eq!(renewed(&mut books, 4, gone), Some(5));
     }
@@ -456,28 +655,52 @@
             }
         }
         let all: u32 = got.iter().sum();
-        assert!((9200..=10_100).contains(&all), "{got:?}: a hundred a second for 100 s");
-        assert!((0.4..=0.6).contains(&(f64::from(got[0]) / f64::from(all))), "{got:?}");
-        assert!((0.8..=1.25).contains(&(f64::from(got[1]) / f64::from(got[2]))), "{got:?}");
+        assert!(
+            (9200..=10_100).contains(&all),
+            "{got:?}: a hundred a second for 100 s"
+        );
+        assert!(
+            (0.4..=0.6).contains(&(f64::from(got[0]) / f64::from(all))),
+            "{got:?}"
+        );
+        assert!(
+            (0.8..=1.25).contains(&(f64::from(got[1]) / f64::from(got[2]))),
+            "{got:?}"
+        );
     }
 
     #[test]
     fn memory_is_bounded_and_keys_that_nobody_has_are_forgotten() {
         let budget = rate(10, 20);
-        let mut books =
-            KeyBooks::new(0, std::slice::from_ref(&budget), Rhythm::of(10), 2 * 100 * KEY_BYTES, 1);
+        let mut books = KeyBooks::new(
+            0,
+            std::slice::from_ref(&budget),
+            Rhythm::of(10),
+            2 * 100 * KEY_BYTES,
+            1,
+        );
         let now = books.opens() + 100 * SECOND;
         let one = |key, no| KeysAsked {
             no,
             stamp: 0,
-            keys: vec![KeyAsk { budget: budget.id(), key, left: 0, back: 0, wants: 1 }],
+            keys: vec![KeyAsk {
+                budget: budget.id(),
+                key,
+                left: 0,
+                back: 0,
+                wants: 1,
+            }],
         };
         for key in 0..300 {
             let _ = books.ask(now, who(1), &one(key, key as u32 + 1));
         }
         assert_eq!(books.figures(), (100, 100, 200));
         for n in 0..100 {
-            let _ = books.ask(now + 60 * SECOND, who(1), &one(1000 + n % 3, 1000 + n as u32));
+            let _ = books.ask(
+                now + 60 * SECOND,
+                who(1),
+                &one(1000 + n % 3, 1000 + n as u32),
+            );
         }
         let (keys, pockets, _) = books.figures();
         assert!(keys <= 4 && pockets <= 4, "{:?}", books.figures());
@@ -488,8 +711,14 @@
         let budget = in_hand(4);
         let mut books = books(&budget);
         let now = books.opens();
-        assert_eq!(adds(books.ask(now, who(1), &ask(&budget, 1, 0, 0, 4))), Some(4));
+        assert_eq!(
+            adds(books.ask(now, who(1), &ask(&budget, 1, 0, 0, 4))),
+            Some(4)
+        );
         books.give_back(now, who(1));
-        assert_eq!(adds(books.ask(now, who(2), &ask(&budget, 1, 0, 0, 4))), Some(4));
+        assert_eq!(
+            adds(books.ask(now, who(2), &ask(&budget, 1, 0, 0, 4))),
+            Some(4)
+        );
     }
 }
