--- a/crates/shared/src/keyed/wallet.rs
+++ b/crates/shared/src/keyed/wallet.rs
@@ -1,20 +1,22 @@
-//! A node's end of the limits by key: what lies in its pockets, its floors, and what it asks for. It never waits: a unit is
-//! here or it is not, and where it is not the caller hears when it is worth to come back.
+//! A node's end of the limits by key: what lies in its pockets, its floors, and what it asks for.
+//! It never waits: a unit is here or it is not, and where it is not the caller hears when it is
+//! worth to come back.
 
 use super::{KEYS_ASKED, KeyAsk, KeyBudget, KeyKind, KeysAsked, KeysLent, Rhythm};
 use crate::{MILLISECOND, Nanos, shorter};
 use madderpoint_limits::sketch::Times;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// What a pocket takes, with its place in the map (which may just have doubled) and the queues; and a cell of the sketch.
+/// What a pocket takes, with its place in the map (which may just have doubled) and the queues; and
+/// a cell of the sketch.
 pub const POCKET_BYTES: usize = 280;
 const CELL_BYTES: usize = 8;
 /// What is asked for beyond what was used lately.
 const AHEAD: f64 = 1.25;
 /// What was used lately fades by this with each question.
 const FADES: f64 = 0.5;
-/// A refusal is followed by a question this soon, so that some that come together are asked for together; and an answer
-/// usually comes within that.
+/// A refusal is followed by a question this soon, so that some that come together are asked for
+/// together; and an answer usually comes within that.
 const TOGETHER: Nanos = 10 * MILLISECOND;
 const ANSWER: Nanos = 40 * MILLISECOND;
 /// Questions that may be asked at once after a rest.
@@ -44,20 +46,23 @@
         self.units -= 1;
     }
 
-    /// A question goes out. Of the units that are good so many are kept, and the rest is not used from here on; any answer to
-    /// an earlier question counts for nothing. What is kept, and what is given back.
+    /// A question goes out. Of the units that are good so many are kept, and the rest is not used
+    /// from here on; any answer to an earlier question counts for nothing. What is kept, and what
+    /// is given back.
     pub fn ask(&mut self, now: Nanos, no: u32, keep: u32) -> (u32, u32) {
         let units = self.units(now);
         (self.units, self.asked, self.answered) = (units.min(keep), no, false);
         (self.units, units - self.units)
     }
 
-    /// An answer came: units that are good until then, as all are that were kept. Whether it counts.
+    /// An answer came: units that are good until then, as all are that were kept. Whether it
+    /// counts.
     pub fn answer(&mut self, now: Nanos, no: u32, adds: u32, until: Nanos) -> bool {
         if self.asked != no || self.answered {
             return false;
         }
-        (self.units, self.until, self.answered) = (self.units(now).saturating_add(adds), until, true);
+        (self.units, self.until, self.answered) =
+            (self.units(now).saturating_add(adds), until, true);
         true
     }
 }
@@ -78,7 +83,8 @@
     used: Nanos,
     /// The one who lends has nothing before this.
     empty_until: Nanos,
-    /// Whether it waits for a question now, and when it is told of at the latest: its place in the queue.
+    /// Whether it waits for a question now, and when it is told of at the latest: its place in the
+    /// queue.
     urgent: bool,
     later: Nanos,
 }
@@ -133,7 +139,13 @@
     fn of(budget: &KeyBudget) -> Terms {
         let floor_interval = budget.floor_interval();
         let tolerance = floor_interval.saturating_mul(u64::from(budget.floor.saturating_sub(1)));
-        Terms { kind: budget.kind, floor: budget.floor, pool: budget.pool(), floor_interval, tolerance }
+        Terms {
+            kind: budget.kind,
+            floor: budget.floor,
+            pool: budget.pool(),
+            floor_interval,
+            tolerance,
+        }
     }
 
     /// Whether the floor of a rate has a unit.
@@ -168,8 +180,15 @@
 }
 
 impl Wallet {
-    /// Of a node that has just started: nothing is lent, and floors are empty. It takes about so many bytes.
-    pub fn new(now: Nanos, budgets: &[KeyBudget], rhythm: Rhythm, bytes: usize, seed: u64) -> Wallet {
+    /// Of a node that has just started: nothing is lent, and floors are empty. It takes about so
+    /// many bytes.
+    pub fn new(
+        now: Nanos,
+        budgets: &[KeyBudget],
+        rhythm: Rhythm,
+        bytes: usize,
+        seed: u64,
+    ) -> Wallet {
         let cells = (bytes / 4 / CELL_BYTES).max(64);
         let mut wallet = Wallet {
             budgets: BTreeMap::new(),
@@ -194,12 +213,21 @@
         wallet
     }
 
-    /// Other limits hold from now on. What lies in pockets stays until it is used or its time is over.
+    /// Other limits hold from now on. What lies in pockets stays until it is used or its time is
+    /// over.
     pub fn rebudget(&mut self, budgets: &[KeyBudget]) {
-        self.budgets = budgets.iter().map(|budget| (budget.id(), budget.clone())).collect();
-        self.terms = self.budgets.iter().map(|(id, budget)| (*id, Terms::of(budget))).collect();
+        self.budgets = budgets
+            .iter()
+            .map(|budget| (budget.id(), budget.clone()))
+            .collect();
+        self.terms = self
+            .budgets
+            .iter()
+            .map(|(id, budget)| (*id, Terms::of(budget)))
+            .collect();
         let ids = &self.budgets;
-        self.pockets.retain(|(id, _), pocket| ids.contains_key(id) || pocket.in_hand > 0);
+        self.pockets
+            .retain(|(id, _), pocket| ids.contains_key(id) || pocket.in_hand > 0);
         for id in self.budgets.keys() {
             self.tallies.entry(*id).or_default();
         }
@@ -208,10 +236,21 @@
 
     /// The pocket of a key, made if it is not there; none if there is no room for one.
     fn pocket(&mut self, now: Nanos, place: Place) -> Option<&mut Pocket> {
-        if self.pockets.len() >= self.most && !self.pockets.contains_key(&place) && !self.make_room(now) {
+        if self.pockets.len() >= self.most
+            && !self.pockets.contains_key(&place)
+            && !self.make_room(now)
+        {
             return None;
         }
-        let Wallet { pockets, terms, times, later, rhythm, started, .. } = self;
+        let Wallet {
+            pockets,
+            terms,
+            times,
+            later,
+            rhythm,
+            started,
+            ..
+        } = self;
         Some(pockets.entry(place).or_insert_with(|| {
             // A floor begins empty, and goes on where it was before the key was pushed out.
             let begins = terms.get(&place.0).map_or(0, |of| {
@@ -220,23 +259,33 @@
             let floor_due = begins.max(times.due(place.0, place.1));
             let due = now + rhythm.renew;
             later.push_back((due, place));
-            Pocket { floor_due, asked_at: now, later: due, ..Pocket::default() }
+            Pocket {
+                floor_due,
+                asked_at: now,
+                later: due,
+                ..Pocket::default()
+            }
         }))
     }
 
-    /// Lets go of the pocket that was used least lately of some, unless something of it is in hand. What was lent in it is
-    /// lost until its time is over; its floor goes on in the sketch, so that nothing is forgiven by being pushed out.
+    /// Lets go of the pocket that was used least lately of some, unless something of it is in hand.
+    /// What was lent in it is lost until its time is over; its floor goes on in the sketch, so that
+    /// nothing is forgiven by being pushed out.
     fn make_room(&mut self, now: Nanos) -> bool {
         let mut victim: Option<(Nanos, Place)> = None;
         for _ in 0..SAMPLE.min(self.later.len()) {
             self.hand = (self.hand + 1) % self.later.len();
             let place = self.later[self.hand].1;
-            let Some(pocket) = self.pockets.get(&place) else { continue };
+            let Some(pocket) = self.pockets.get(&place) else {
+                continue;
+            };
             if pocket.in_hand == 0 && victim.is_none_or(|(used, _)| pocket.used < used) {
                 victim = Some((pocket.used, place));
             }
         }
-        let Some((_, place)) = victim else { return false };
+        let Some((_, place)) = victim else {
+            return false;
+        };
         self.forget(now, place);
         true
     }
@@ -256,12 +305,17 @@
 
     /// Whether one more of a key may go. Nothing is taken yet.
     pub fn fits(&mut self, now: Nanos, budget: u32, key: u64) -> Result<(), Refused> {
-        let Some(of) = self.terms.get(&budget).copied() else { return Ok(()) };
+        let Some(of) = self.terms.get(&budget).copied() else {
+            return Ok(());
+        };
         let (place, deaf) = ((budget, key), self.is_deaf(now));
         let (life, next) = (self.rhythm.life, self.next_question(now));
         let Some(pocket) = self.pocket(now, place) else {
             self.tallies.entry(budget).or_default().refused[Why::Room as usize] += 1;
-            return Err(Refused { why: Why::Room, pause: life });
+            return Err(Refused {
+                why: Why::Room,
+                pause: life,
+            });
         };
         let fits = match of.kind {
             KeyKind::Rate { .. } => {
@@ -278,7 +332,9 @@
             return Ok(());
         }
         let floor = match of.kind {
-            KeyKind::Rate { .. } if of.floor > 0 => pocket.floor_due.saturating_sub(of.tolerance + now),
+            KeyKind::Rate { .. } if of.floor > 0 => {
+                pocket.floor_due.saturating_sub(of.tolerance + now)
+            }
             _ => Nanos::MAX,
         };
         let (empty_until, was_asked) = (pocket.empty_until, pocket.urgent);
@@ -291,14 +347,22 @@
             self.urge(now, place);
         }
         self.tallies.entry(budget).or_default().refused[why as usize] += 1;
-        Err(Refused { why, pause: pause.min(floor).max(MILLISECOND) })
+        Err(Refused {
+            why,
+            pause: pause.min(floor).max(MILLISECOND),
+        })
     }
 
-    /// Takes one of a key that fits. Whether it is in hand from here on, and must go back through [`Wallet::done`].
+    /// Takes one of a key that fits. Whether it is in hand from here on, and must go back through
+    /// [`Wallet::done`].
     pub fn take(&mut self, now: Nanos, budget: u32, key: u64) -> bool {
-        let Some(of) = self.terms.get(&budget).copied() else { return false };
+        let Some(of) = self.terms.get(&budget).copied() else {
+            return false;
+        };
         let place = (budget, key);
-        let Some(pocket) = self.pocket(now, place) else { return false };
+        let Some(pocket) = self.pocket(now, place) else {
+            return false;
+        };
         let (is_lent, low) = match of.kind {
             KeyKind::Rate { .. } => {
                 let lent = pocket.slip.units(now) > 0;
@@ -320,7 +384,10 @@
         };
         let quiet = pocket.urgent || pocket.empty_until > now;
         let tally = self.tallies.entry(budget).or_default();
-        (tally.lent, tally.floor) = (tally.lent + u64::from(is_lent), tally.floor + u64::from(!is_lent));
+        (tally.lent, tally.floor) = (
+            tally.lent + u64::from(is_lent),
+            tally.floor + u64::from(!is_lent),
+        );
         if low && !quiet {
             self.urge(now, place);
         }
@@ -356,7 +423,11 @@
     fn next_question(&self, now: Nanos) -> Nanos {
         let passed = now.saturating_sub(self.counted) as f64 / self.rhythm.urgent as f64;
         let lacks = (1.0 - self.saved - passed).max(0.0);
-        let since = if self.urgent.is_empty() { now } else { self.urgent_since };
+        let since = if self.urgent.is_empty() {
+            now
+        } else {
+            self.urgent_since
+        };
         (since + TOGETHER).max(now + (lacks * self.rhythm.urgent as f64) as Nanos)
     }
 
@@ -379,17 +450,28 @@
             return None;
         }
         let no = self.no + 1;
-        let mut asked = KeysAsked { no, stamp: now, keys: Vec::new() };
+        let mut asked = KeysAsked {
+            no,
+            stamp: now,
+            keys: Vec::new(),
+        };
         let most = self.urgent.len().min(KEYS_ASKED);
         for place in self.urgent.drain(..most).collect::<Vec<_>>() {
             self.question(now, no, place, &mut asked.keys);
         }
         self.urgent_since = now;
         while asked.keys.len() < KEYS_ASKED {
-            let Some((due, place)) = self.later.pop_front_if(|(due, _)| *due <= now) else { break };
+            let Some((due, place)) = self.later.pop_front_if(|(due, _)| *due <= now) else {
+                break;
+            };
             let Rhythm { renew, keep, .. } = self.rhythm;
-            // One that was let go of meanwhile, and perhaps came anew, has another place in the queue or none.
-            let Some(pocket) = self.pockets.get_mut(&place).filter(|pocket| pocket.later == due) else {
+            // One that was let go of meanwhile, and perhaps came anew, has another place in the
+            // queue or none.
+            let Some(pocket) = self
+                .pockets
+                .get_mut(&place)
+                .filter(|pocket| pocket.later == due)
+            else {
                 continue;
             };
             if pocket.in_hand == 0 && pocket.slip.units(now) == 0 && now >= pocket.used + keep {
@@ -412,9 +494,13 @@
 
     /// Says of a key what is left and kept, and what is wanted.
     fn question(&mut self, now: Nanos, no: u32, place: Place, keys: &mut Vec<KeyAsk>) {
-        let Some(of) = self.terms.get(&place.0).copied() else { return };
+        let Some(of) = self.terms.get(&place.0).copied() else {
+            return;
+        };
         let Rhythm { renew, keep, .. } = self.rhythm;
-        let Some(pocket) = self.pockets.get_mut(&place) else { return };
+        let Some(pocket) = self.pockets.get_mut(&place) else {
+            return;
+        };
         let is_used = now < pocket.used + keep;
         let tries = match of.kind {
             KeyKind::Rate { .. } => {
@@ -435,28 +521,41 @@
         let (kept, back) = pocket.slip.ask(now, no, need.max(in_use));
         let left = kept.max(in_use);
         (pocket.need, pocket.asked_at, pocket.tries, pocket.urgent) = (need, now, 0, false);
-        keys.push(KeyAsk { budget: place.0, key: place.1, left, back, wants: need.saturating_sub(left) });
+        keys.push(KeyAsk {
+            budget: place.0,
+            key: place.1,
+            left,
+            back,
+            wants: need.saturating_sub(left),
+        });
     }
 
-    /// An answer came. What it says of a key counts only if no later question was asked about that: the one who lends goes by
-    /// the latest question.
+    /// An answer came. What it says of a key counts only if no later question was asked about that:
+    /// the one who lends goes by the latest question.
     pub fn lent(&mut self, now: Nanos, lent: &KeysLent) {
         if lent.stamp > now {
             return;
         }
         self.heard = self.heard.max(now);
-        let until = lent.stamp.saturating_add(shorter(lent.life.min(self.rhythm.life)));
+        let until = lent
+            .stamp
+            .saturating_add(shorter(lent.life.min(self.rhythm.life)));
         for key in &lent.keys {
-            let Some(pocket) = self.pockets.get_mut(&(key.budget, key.key)) else { continue };
+            let Some(pocket) = self.pockets.get_mut(&(key.budget, key.key)) else {
+                continue;
+            };
             if pocket.slip.answer(now, lent.no, key.adds, until) {
                 pocket.empty_until = if key.wait > 0 { now + key.wait } else { 0 };
             }
         }
     }
 
-    /// The node leaves: nothing that was lent is used from here on. Whether nothing of it is in hand.
+    /// The node leaves: nothing that was lent is used from here on. Whether nothing of it is in
+    /// hand.
     pub fn let_go(&mut self) -> bool {
-        self.pockets.values_mut().for_each(|pocket| pocket.slip = Slip::default());
+        self.pockets
+            .values_mut()
+            .for_each(|pocket| pocket.slip = Slip::default());
         self.pockets.values().all(|pocket| pocket.in_hand == 0)
     }
 
@@ -464,23 +563,31 @@
 
     /// Units that could be spent of a key now, of what was lent.
     pub fn units(&self, now: Nanos, budget: u32, key: u64) -> u32 {
-        self.pockets.get(&(budget, key)).map_or(0, |pocket| pocket.slip.units(now))
+        self.pockets
+            .get(&(budget, key))
+            .map_or(0, |pocket| pocket.slip.units(now))
     }
 
     /// What is in hand of a key.
     pub fn in_hand(&self, budget: u32, key: u64) -> u32 {
-        self.pockets.get(&(budget, key)).map_or(0, |pocket| pocket.in_hand)
+        self.pockets
+            .get(&(budget, key))
+            .map_or(0, |pocket| pocket.in_hand)
     }
 
     /// What came of each budget.
     pub fn tallies(&self) -> impl Iterator<Item = (&KeyBudget, KeyTally)> {
-        self.budgets.iter().map(|(id, budget)| (budget, self.tallies.get(id).copied().unwrap_or_default()))
+        self.budgets
+            .iter()
+            .map(|(id, budget)| (budget, self.tallies.get(id).copied().unwrap_or_default()))
     }
 
     /// Units lent and keys with any, of a budget.
     pub fn holds(&self, now: Nanos, budget: u32) -> (u64, usize) {
         let of = self.pockets.iter().filter(|((id, _), _)| *id == budget);
-        let units = of.map(|(_, pocket)| u64::from(pocket.slip.units(now))).filter(|units| *units > 0);
+        let units = of
+            .map(|(_, pocket)| u64::from(pocket.slip.units(now)))
+            .filter(|units| *units > 0);
         units.fold((0, 0), |(sum, keys), units| (sum + units, keys + 1))
     }
 
@@ -507,8 +614,17 @@
     use crate::SECOND;
 
     fn rate(count: u32, burst: u32, floor: u32) -> KeyBudget {
-        let kind = KeyKind::Rate { count, period: SECOND, burst };
-        KeyBudget { name: "r".into(), kind, floor, nodes_most: 4 }
+        let kind = KeyKind::Rate {
+            count,
+            period: SECOND,
+            burst,
+        };
+        KeyBudget {
+            name: "r".into(),
+            kind,
+            floor,
+            nodes_most: 4,
+        }
     }
 
     fn wallet(budget: &KeyBudget) -> Wallet {
@@ -524,9 +640,26 @@
     }
 
     fn answer(wallet: &mut Wallet, now: Nanos, asked: &KeysAsked, adds: u32, wait: Nanos) {
-        let keys = asked.keys.iter().map(|k| KeyLent { budget: k.budget, key: k.key, adds, wait }).collect();
+        let keys = asked
+            .keys
+            .iter()
+            .map(|k| KeyLent {
+                budget: k.budget,
+                key: k.key,
+                adds,
+                wait,
+            })
+            .collect();
         let life = Rhythm::of(4).life;
-        wallet.lent(now, &KeysLent { no: asked.no, stamp: asked.stamp, life, keys });
+        wallet.lent(
+            now,
+            &KeysLent {
+                no: asked.no,
+                stamp: asked.stamp,
+                life,
+                keys,
+            },
+        );
     }
 
     const T: Nanos = 1000 * SECOND;
@@ -536,7 +669,10 @@
         let budget = rate(10, 20, 0);
         let mut wallet = wallet(&budget);
         let refused = wallet.fits(T, budget.id(), 7).unwrap_err();
-        assert!(refused.why == Why::Asked && refused.pause <= 100 * MILLISECOND, "{refused:?}");
+        assert!(
+            refused.why == Why::Asked && refused.pause <= 100 * MILLISECOND,
+            "{refused:?}"
+        );
         let due = wallet.next(T).unwrap();
         assert_eq!((due, wallet.ask(T)), (T + TOGETHER, None));
         let asked = wallet.ask(due).unwrap();
@@ -556,10 +692,17 @@
         let asked = wallet.ask(T + TOGETHER).unwrap();
         answer(&mut wallet, T + SECOND, &asked, 5, 0);
         let until = T + TOGETHER + shorter(Rhythm::of(4).life);
-        assert_eq!((wallet.units(until - 1, budget.id(), 7), wallet.units(until, budget.id(), 7)), (5, 0));
+        assert_eq!(
+            (
+                wallet.units(until - 1, budget.id(), 7),
+                wallet.units(until, budget.id(), 7)
+            ),
+            (5, 0)
+        );
     }
 
-    /// The one who lends goes by the latest question; an answer to an earlier one must not count beside it.
+    /// The one who lends goes by the latest question; an answer to an earlier one must not count
+    /// beside it.
     #[test]
     fn an_answer_that_was_overtaken_by_a_question_counts_for_nothing() {
         let budget = rate(10, 20, 0);
@@ -580,7 +723,9 @@
         let budget = rate(32, 20, 2);
         let mut wallet = wallet(&budget);
         // 32 a second, a sixteenth as floors of four nodes: one every two seconds, and two saved.
-        let passed = (0..200).filter(|n| take(&mut wallet, T + n * 100 * MILLISECOND, &budget, 7)).count();
+        let passed = (0..200)
+            .filter(|n| take(&mut wallet, T + n * 100 * MILLISECOND, &budget, 7))
+            .count();
         assert!((10..=12).contains(&passed), "{passed} in 20 s");
         for n in 0..200 {
             let _ = wallet.ask(T + n * 100 * MILLISECOND);
@@ -589,7 +734,8 @@
         let _ = (wallet.fits(now, budget.id(), 7), wallet.ask(now + SECOND));
         let refused = wallet.fits(now + SECOND, budget.id(), 7);
         assert!(
-            refused.is_ok() || refused.is_err_and(|r| r.why == Why::Deaf && r.pause <= 2200 * MILLISECOND)
+            refused.is_ok()
+                || refused.is_err_and(|r| r.why == Why::Deaf && r.pause <= 2200 * MILLISECOND)
         );
     }
 
@@ -608,9 +754,23 @@
         let mut wallet = wallet(&budget);
         let _ = wallet.fits(T, budget.id(), 7);
         let asked = wallet.ask(T + TOGETHER).unwrap();
-        answer(&mut wallet, T + 20 * MILLISECOND, &asked, 0, 500 * MILLISECOND);
-        let refused = wallet.fits(T + 120 * MILLISECOND, budget.id(), 7).unwrap_err();
-        assert_eq!(refused, Refused { why: Why::Short, pause: 400 * MILLISECOND });
+        answer(
+            &mut wallet,
+            T + 20 * MILLISECOND,
+            &asked,
+            0,
+            500 * MILLISECOND,
+        );
+        let refused = wallet
+            .fits(T + 120 * MILLISECOND, budget.id(), 7)
+            .unwrap_err();
+        assert_eq!(
+            refused,
+            Refused {
+                why: Why::Short,
+                pause: 400 * MILLISECOND
+            }
+        );
         assert_eq!(wallet.ask(T + 300 * MILLISECOND), None);
         let _ = wallet.fits(T + 520 * MILLISECOND, budget.id(), 7);
         assert!(wallet.ask(T + 540 * MILLISECOND).is_some());
@@ -638,13 +798,22 @@
 
     #[test]
     fn places_in_hand_are_held_until_done_whatever_becomes_of_the_part() {
-        let kind = KeyKind::InHand { limit: 10, longest: SECOND };
-        let budget = KeyBudget { kind, ..rate(1, 1, 1) };
+        let kind = KeyKind::InHand {
+            limit: 10,
+            longest: SECOND,
+        };
+        let budget = KeyBudget {
+            kind,
+            ..rate(1, 1, 1)
+        };
         let mut wallet = wallet(&budget);
         assert!(take(&mut wallet, T, &budget, 7) && !take(&mut wallet, T, &budget, 7));
         let asked = wallet.ask(T + TOGETHER).unwrap();
         answer(&mut wallet, T + TOGETHER, &asked, 2, 0);
-        assert!(take(&mut wallet, T + TOGETHER, &budget, 7) && take(&mut wallet, T + TOGETHER, &budget, 7));
+        assert!(
+            take(&mut wallet, T + TOGETHER, &budget, 7)
+                && take(&mut wallet, T + TOGETHER, &budget, 7)
+        );
         assert!(!take(&mut wallet, T + TOGETHER, &budget, 7));
         // Its time is over: three are in hand, two of them not by the floor, and that is said.
         let late = T + 20 * SECOND;
@@ -659,10 +828,22 @@
     #[test]
     fn pockets_are_bounded_and_nothing_is_forgiven_by_being_pushed_out() {
         let budget = rate(32, 20, 1);
-        let mut wallet = Wallet::new(0, std::slice::from_ref(&budget), Rhythm::of(4), 64 * POCKET_BYTES, 1);
+        let mut wallet = Wallet::new(
+            0,
+            std::slice::from_ref(&budget),
+            Rhythm::of(4),
+            64 * POCKET_BYTES,
+            1,
+        );
         assert!(take(&mut wallet, T, &budget, 7));
-        let passed = (100..400).filter(|key| take(&mut wallet, T, &budget, *key)).count();
-        assert!(wallet.keys() <= 56 && passed > 100, "{} {passed}", wallet.keys());
+        let passed = (100..400)
+            .filter(|key| take(&mut wallet, T, &budget, *key))
+            .count();
+        assert!(
+            wallet.keys() <= 56 && passed > 100,
+            "{} {passed}",
+            wallet.keys()
+        );
         assert!(!take(&mut wallet, T, &budget, 7), "its floor was used");
     }
 }
--- a/crates/shared/src/latency.rs
+++ b/crates/shared/src/latency.rs
@@ -1,4 +1,5 @@
-//! Latencies as a histogram that travels and adds up: of each latency it holds the value to one significant digit.
+//! Latencies as a histogram that travels and adds up: of each latency it holds the value to one
+//! significant digit.
 
 use crate::{Nanos, SECOND};
 use hdrhistogram::Histogram;
@@ -22,14 +23,18 @@
     fn default() -> Latency {
         // These bounds are good ones, so that there is a histogram.
         let histogram = Histogram::new_with_bounds(1, LONGEST, 1).or_else(|_| Histogram::new(1));
-        Latency { histogram: histogram.unwrap_or_else(|_| unreachable!("one significant digit is allowed")) }
+        Latency {
+            histogram: histogram
+                .unwrap_or_else(|_| unreachable!("one significant digit is allowed")),
+        }
     }
 }
 
 impl Latency {
     /// One more took so long.
     pub fn add(&mut self, time: Nanos) {
-        self.histogram.saturating_record((time / UNIT).clamp(1, LONGEST));
+        self.histogram
+            .saturating_record((time / UNIT).clamp(1, LONGEST));
     }
 
     /// All that another one holds is added.
@@ -43,11 +48,16 @@
     /// As it travels.
     pub fn sparse(&self) -> Sparse {
         let values = self.histogram.iter_recorded();
-        let mut sparse: Sparse = values.map(|v| (v.value_iterated_to() as u32, v.count_at_value())).collect();
+        let mut sparse: Sparse = values
+            .map(|v| (v.value_iterated_to() as u32, v.count_at_value()))
+            .collect();
         // So many different ones are rare: then neighbours are told as one, by the larger of both.
         while sparse.len() > VALUES_MAX {
             let two = |two: &[(u32, u32)]| {
-                let count = two.iter().map(|(_, count)| *count).fold(0, u32::saturating_add);
+                let count = two
+                    .iter()
+                    .map(|(_, count)| *count)
+                    .fold(0, u32::saturating_add);
                 (two[two.len() - 1].0, count)
             };
             sparse = sparse.chunks(2).map(two).collect();
--- a/crates/shared/src/lease.rs
+++ b/crates/shared/src/lease.rs
@@ -1,10 +1,10 @@
-//! Who may lend: one node at a time, by the word of a majority of arbiters, for a time. No disk: an arbiter that starts says
-//! nothing for as long as a word of its past could hold.
+//! Who may lend: one node at a time, by the word of a majority of arbiters, for a time. No disk: an
+//! arbiter that starts says nothing for as long as a word of its past could hold.
 //!
-//! The argument: an arbiter gives its word to one node and to no other until that word's end by its own clock, which runs
-//! from when the question came. The holder counts from when it asked, which was before, and takes the time shorter by the
-//! drift. Two holders at once would each need a majority; the arbiter in both gave two words that hold at once, which it
-//! does not.
+//! The argument: an arbiter gives its word to one node and to no other until that word's end by its
+//! own clock, which runs from when the question came. The holder counts from when it asked, which
+//! was before, and takes the time shorter by the drift. Two holders at once would each need a
+//! majority; the arbiter in both gave two words that hold at once, which it does not.
 
 use crate::{Nanos, Who, shorter};
 use std::collections::BTreeSet;
@@ -20,12 +20,18 @@
 }
 
 impl Arbiter {
-    /// An arbiter that has just started, or stood still for long, and does not know what it said before.
+    /// An arbiter that has just started, or stood still for long, and does not know what it said
+    /// before.
     pub fn new(now: Nanos, term: Nanos) -> Arbiter {
-        Arbiter { given: None, silent_until: now + term, term }
+        Arbiter {
+            given: None,
+            silent_until: now + term,
+            term,
+        }
     }
 
-    /// Somebody asks to be the one who lends. The answer: its word for a term, or whom it was given to and for how long yet.
+    /// Somebody asks to be the one who lends. The answer: its word for a term, or whom it was given
+    /// to and for how long yet.
     pub fn ask(&mut self, now: Nanos, who: Who, round: u64) -> Result<(), Option<Nanos>> {
         if now < self.silent_until {
             return Err(Some(self.silent_until - now));
@@ -33,7 +39,9 @@
         match self.given {
             Some((holder, _, until)) if holder != who && now < until => Err(Some(until - now)),
             // A question that was overtaken by one of a later round changes nothing.
-            Some((holder, later, until)) if holder == who && later > round && now < until => Err(None),
+            Some((holder, later, until)) if holder == who && later > round && now < until => {
+                Err(None)
+            }
             _ => {
                 self.given = Some((who, round, now + self.term));
                 Ok(())
@@ -41,14 +49,18 @@
         }
     }
 
-    /// Somebody who got no majority in a round gives the word back. What comes late, after a later round, frees nothing.
+    /// Somebody who got no majority in a round gives the word back. What comes late, after a later
+    /// round, frees nothing.
     pub fn give_back(&mut self, who: Who, round: u64) {
-        self.given.take_if(|(holder, given, _)| *holder == who && *given == round);
+        self.given
+            .take_if(|(holder, given, _)| *holder == who && *given == round);
     }
 
     /// To whom its word is given now.
     pub fn holder(&self, now: Nanos) -> Option<Who> {
-        self.given.filter(|(.., until)| now < *until).map(|(who, ..)| who)
+        self.given
+            .filter(|(.., until)| now < *until)
+            .map(|(who, ..)| who)
     }
 }
 
@@ -68,7 +80,13 @@
 impl Candidate {
     /// One among so many arbiters; nothing is lent for longer than a term.
     pub fn new(arbiters: usize, term: Nanos) -> Candidate {
-        Candidate { arbiters, term, round: None, no: 0, until: 0 }
+        Candidate {
+            arbiters,
+            term,
+            round: None,
+            no: 0,
+            until: 0,
+        }
     }
 
     /// Begins a round; the questions carry its number.
@@ -80,7 +98,9 @@
 
     /// An arbiter gave its word in a round. True once that makes a majority.
     pub fn given(&mut self, no: u64, arbiter: usize) -> bool {
-        let Some((begun, words)) = &mut self.round else { return false };
+        let Some((begun, words)) = &mut self.round else {
+            return false;
+        };
         if no != self.no || arbiter >= self.arbiters {
             return false;
         }
@@ -117,8 +137,14 @@
     fn an_arbiter_that_starts_is_silent_for_a_term_and_then_gives_its_word_to_one() {
         let mut arbiter = Arbiter::new(100, 1000);
         assert_eq!(arbiter.ask(600, who(1), 1), Err(Some(500)));
-        assert_eq!((arbiter.ask(1100, who(1), 2), arbiter.ask(1500, who(2), 1)), (Ok(()), Err(Some(600))));
-        assert_eq!((arbiter.ask(1600, who(1), 3), arbiter.ask(2200, who(2), 2)), (Ok(()), Err(Some(400))));
+        assert_eq!(
+            (arbiter.ask(1100, who(1), 2), arbiter.ask(1500, who(2), 1)),
+            (Ok(()), Err(Some(600)))
+        );
+        assert_eq!(
+            (arbiter.ask(1600, who(1), 3), arbiter.ask(2200, who(2), 2)),
+            (Ok(()), Err(Some(400)))
+        );
         assert_eq!(arbiter.ask(1700, who(1), 2), Err(None)); // overtaken
         arbiter.give_back(who(2), 2); // not his
         arbiter.give_back(who(1), 2); // of an earlier round
@@ -133,27 +159,33 @@
         let first = candidate.begin(100);
         assert!(!candidate.given(first, 0) && !candidate.given(first, 0));
         let second = candidate.begin(500);
-        assert!(!candidate.given(first, 1) && !candidate.given(second, 1) && candidate.given(second, 2));
+        assert!(
+            !candidate.given(first, 1) && !candidate.given(second, 1) && candidate.given(second, 2)
+        );
         assert_eq!(candidate.until(), 500 + 980);
         assert!(!candidate.given(second, 7));
         candidate.resign();
         assert_eq!(candidate.until(), 0);
     }
 
-    /// Clocks that drift as far as is stated, messages late or lost, arbiters that start anew and candidates that stand still:
-    /// never two who may lend at once.
+    /// Clocks that drift as far as is stated, messages late or lost, arbiters that start anew and
+    /// candidates that stand still: never two who may lend at once.
     #[test]
     fn never_two_lend_at_once() {
         for seed in 0..300 {
             let mut rng = Pcg64Mcg::seed_from_u64(seed);
             let (arbiters, candidates, term) = (3, 3, 1000u64);
             // Clocks: each shows true time times its rate; rates within the drift of each other.
-            let rate: Vec<f64> =
-                (0..6).map(|_| 1.0 + rng.random_range(-0.5..0.5) / crate::DRIFT as f64).collect();
+            let rate: Vec<f64> = (0..6)
+                .map(|_| 1.0 + rng.random_range(-0.5..0.5) / crate::DRIFT as f64)
+                .collect();
             let clock = |n: usize, now: u64| (now as f64 * rate[n]) as u64;
-            let mut judges: Vec<Arbiter> = (0..arbiters).map(|n| Arbiter::new(clock(n, 0), term)).collect();
-            let mut asking: Vec<Candidate> =
-                (0..candidates).map(|_| Candidate::new(arbiters, term)).collect();
+            let mut judges: Vec<Arbiter> = (0..arbiters)
+                .map(|n| Arbiter::new(clock(n, 0), term))
+                .collect();
+            let mut asking: Vec<Candidate> = (0..candidates)
+                .map(|_| Candidate::new(arbiters, term))
+                .collect();
             let mut under_way: Vec<(u64, bool, usize, usize, u64)> = Vec::new();
             let mut back: Vec<(u64, usize, usize, u64)> = Vec::new();
             let mut held = 0;
@@ -161,23 +193,29 @@
                 if rng.random_bool(0.08) {
                     let c = rng.random_range(0..candidates);
                     let no = asking[c].begin(clock(3 + c, now));
-                    under_way.extend(
-                        (0..arbiters).filter(|_| rng.random_bool(0.8)).map(|a| {
-                            (now + 20 * (seed % 3) + (now * 7 + a as u64 * 13) % 170, true, c, a, no)
-                        }),
-                    );
+                    under_way.extend((0..arbiters).filter(|_| rng.random_bool(0.8)).map(|a| {
+                        (
+                            now + 20 * (seed % 3) + (now * 7 + a as u64 * 13) % 170,
+                            true,
+                            c,
+                            a,
+                            no,
+                        )
+                    }));
                 }
                 if rng.random_bool(0.002) {
                     let a = rng.random_range(0..arbiters);
                     judges[a] = Arbiter::new(clock(a, now), term);
                 }
                 if rng.random_bool(0.02) {
-                    // One who came to no majority gives the round back; that may come late, when he has it after all.
+                    // One who came to no majority gives the round back; that may come late, when he
+                    // has it after all.
                     let c = rng.random_range(0..candidates);
                     if clock(3 + c, now) >= asking[c].until() {
                         asking[c].resign();
                         back.extend(
-                            (0..arbiters).map(|a| (now + rng.random_range(0..900), c, a, asking[c].no)),
+                            (0..arbiters)
+                                .map(|a| (now + rng.random_range(0..900), c, a, asking[c].no)),
                         );
                     }
                 }
@@ -188,14 +226,18 @@
                 under_way.retain(|m| m.0 > now);
                 for (_, asks, c, a, no) in due {
                     if asks {
-                        if judges[a].ask(clock(a, now), who(c as u64), no).is_ok() && rng.random_bool(0.8) {
+                        if judges[a].ask(clock(a, now), who(c as u64), no).is_ok()
+                            && rng.random_bool(0.8)
+                        {
                             under_way.push((now + rng.random_range(0..170), false, c, a, no));
                         }
                     } else {
                         asking[c].given(no, a);
                     }
                 }
-                let lending = (0..candidates).filter(|&c| clock(3 + c, now) < asking[c].until()).count();
+                let lending = (0..candidates)
+                    .filter(|&c| clock(3 + c, now) < asking[c].until())
+                    .count();
                 assert!(lending <= 1, "seed {seed}: {lending} at {now}");
                 held += lending;
             }
--- a/crates/shared/src/purse.rs
+++ b/crates/shared/src/purse.rs
@@ -1,4 +1,5 @@
-//! A node's end of a budget: its floor, which was always its own, and the part that it was lent; what it may spend now.
+//! A node's end of a budget: its floor, which was always its own, and the part that it was lent;
+//! what it may spend now.
 
 use crate::keyed::number;
 use crate::shared::Want;
@@ -32,7 +33,8 @@
 }
 
 impl Budget {
-    /// What nodes call it to each other. The kind is in it: a limit that changes its kind is another one.
+    /// What nodes call it to each other. The kind is in it: a limit that changes its kind is
+    /// another one.
     pub fn id(&self) -> u32 {
         let kind = match self.kind {
             Kind::Rate { .. } => "rate",
@@ -44,7 +46,10 @@
     /// What is wrong with it.
     pub fn check(&self) -> Result<(), String> {
         if self.limit == 0 || self.nodes_most == 0 {
-            return Err(format!("budget '{}': limit and nodes must be above 0", self.name));
+            return Err(format!(
+                "budget '{}': limit and nodes must be above 0",
+                self.name
+            ));
         }
         let floors = u64::from(self.floor) * u64::from(self.nodes_most);
         if floors > u64::from(self.limit) {
@@ -58,7 +63,8 @@
 
     /// What is left beside the floors, to be lent.
     pub fn pool(&self) -> u32 {
-        self.limit.saturating_sub(self.floor.saturating_mul(self.nodes_most))
+        self.limit
+            .saturating_sub(self.floor.saturating_mul(self.nodes_most))
     }
 
     /// How long units may be in use after their part has ended.
@@ -82,8 +88,8 @@
 }
 
 impl Held {
-    /// What of it may be used now: all in the first half of its time, then half, then a quarter, so that one who hears
-    /// nothing falls in steps.
+    /// What of it may be used now: all in the first half of its time, then half, then a quarter, so
+    /// that one who hears nothing falls in steps.
     fn units(&self, now: Nanos) -> u32 {
         let (age, term) = (now.saturating_sub(self.from), shorter(self.term));
         match age {
@@ -156,16 +162,33 @@
         self.budget.floor + self.held.map_or(0, |held| held.units(now))
     }
 
-    /// A part came that was asked for then. One of the same book from before what is held is out of date, and one of
-    /// another book counts only once what is held is over: no two are ever used together.
+    /// A part came that was asked for then. One of the same book from before what is held is out of
+    /// date, and one of another book counts only once what is held is over: no two are ever used
+    /// together.
     pub fn lend(&mut self, now: Nanos, asked: Nanos, part: Part) {
         self.count_up(now);
         let takes = self.held.is_none_or(|held| {
-            if held.book == part.book { part.no > held.no } else { now >= held.from + shorter(held.term) }
+            if held.book == part.book {
+                part.no > held.no
+            } else {
+                now >= held.from + shorter(held.term)
+            }
         });
         if takes {
-            let Part { book, no, units, term, .. } = part;
-            self.held = Some(Held { book, no, units, from: asked, term });
+            let Part {
+                book,
+                no,
+                units,
+                term,
+                ..
+            } = part;
+            self.held = Some(Held {
+                book,
+                no,
+                units,
+                from: asked,
+                term,
+            });
             self.told = Some((now, part));
         }
     }
@@ -177,8 +200,8 @@
         self.count_up(now);
     }
 
-    /// Which part of which book it holds, to be told to the lender. A smaller one counts as held only once no more is in
-    /// hand.
+    /// Which part of which book it holds, to be told to the lender. A smaller one counts as held
+    /// only once no more is in hand.
     pub fn holds(&self) -> (u64, u64) {
         match (self.held, self.budget.kind) {
             (Some(held), Kind::Rate { .. }) => (held.book, held.no),
@@ -199,7 +222,9 @@
             }
             Kind::InHand { .. } => f64::from(self.peak.max(self.in_hand)),
         };
-        ((wanted * AHEAD).ceil() as u32).saturating_sub(self.budget.floor).min(self.budget.pool())
+        ((wanted * AHEAD).ceil() as u32)
+            .saturating_sub(self.budget.floor)
+            .min(self.budget.pool())
     }
 
     fn roll(&mut self, now: Nanos) {
@@ -218,8 +243,9 @@
         f64::from(self.units(now)) * self.share
     }
 
-    /// From now on this share of its units is used. Where it falls, what was saved goes but for a part of one call: nodes that
-    /// learn of a start in the same instant must not all send one then.
+    /// From now on this share of its units is used. Where it falls, what was saved goes but for a
+    /// part of one call: nodes that learn of a start in the same instant must not all send one
+    /// then.
     fn slow_start(&mut self, now: Nanos, share: f64, part: f64) {
         if share == self.share {
             return;
@@ -231,19 +257,23 @@
         self.share = share;
     }
 
-    /// Counts up what was saved since, at the rate that held. A clock may run fast by the drift, so it is counted shorter.
+    /// Counts up what was saved since, at the rate that held. A clock may run fast by the drift, so
+    /// it is counted shorter.
     fn count_up(&mut self, now: Nanos) {
-        let Kind::Rate { burst } = self.budget.kind else { return };
+        let Kind::Rate { burst } = self.budget.kind else {
+            return;
+        };
         let units = self.a_second(now);
         let most = (units * burst as f64 / SECOND as f64).max(if units > 0.0 { 1.0 } else { 0.0 });
-        // The units of this moment are the least since the last count: parts only shrink in between.
+        // The units of this moment are the least since the last count: parts only shrink in
+        // between.
         let passed = shorter(now.saturating_sub(self.counted));
         self.saved = (self.saved + units * passed as f64 / SECOND as f64).min(most);
         self.counted = now;
     }
 
-    /// Whether one more call may be made now; else after how long it is worth to ask again. Nothing is taken yet; what is
-    /// wanted is told to the one who lends in any case.
+    /// Whether one more call may be made now; else after how long it is worth to ask again. Nothing
+    /// is taken yet; what is wanted is told to the one who lends in any case.
     pub fn fits(&mut self, now: Nanos) -> Result<(), Nanos> {
         self.roll(now);
         self.tries[0] = self.tries[0].saturating_add(1);
@@ -259,7 +289,11 @@
             }
             Kind::InHand { longest } => {
                 self.peak = self.peak.max(self.in_hand + 1);
-                if self.in_hand < self.units(now) { Ok(()) } else { Err(longest / 8) }
+                if self.in_hand < self.units(now) {
+                    Ok(())
+                } else {
+                    Err(longest / 8)
+                }
             }
         };
         self.refused += u64::from(fits.is_err());
@@ -290,7 +324,11 @@
     /// What was lent last, how long ago it was asked for, and how long ago it came.
     pub fn part(&self, now: Nanos) -> Option<(Part, Nanos, Nanos)> {
         let ((came, part), held) = self.told.zip(self.held)?;
-        Some((part, now.saturating_sub(held.from), now.saturating_sub(came)))
+        Some((
+            part,
+            now.saturating_sub(held.from),
+            now.saturating_sub(came),
+        ))
     }
 
     /// Calls that were allowed and refused.
@@ -320,12 +358,19 @@
 impl Ends {
     /// Of a node that has just started.
     pub fn new(now: Nanos, budgets: &[Budget]) -> Ends {
-        let purses = budgets.iter().map(|budget| Purse::new(now, budget.clone())).collect();
-        Ends { purses, value: 1.0, rng: Pcg64Mcg::seed_from_u64(now) }
+        let purses = budgets
+            .iter()
+            .map(|budget| Purse::new(now, budget.clone()))
+            .collect();
+        Ends {
+            purses,
+            value: 1.0,
+            rng: Pcg64Mcg::seed_from_u64(now),
+        }
     }
 
-    /// With chance of its own; each end begins short of its first call by a part of one, or processes that start in one instant
-    /// would all send it in one.
+    /// With chance of its own; each end begins short of its first call by a part of one, or
+    /// processes that start in one instant would all send it in one.
     pub fn with_seed(mut self, seed: u64) -> Ends {
         self.rng = Pcg64Mcg::seed_from_u64(seed);
         for purse in &mut self.purses {
@@ -350,7 +395,10 @@
     /// Other limits hold from now on.
     pub fn rebudget(&mut self, budgets: &[Budget]) {
         for purse in &mut self.purses {
-            if let Some(budget) = budgets.iter().find(|budget| budget.id() == purse.budget.id()) {
+            if let Some(budget) = budgets
+                .iter()
+                .find(|budget| budget.id() == purse.budget.id())
+            {
                 purse.rebudget(budget.clone());
             }
         }
@@ -361,11 +409,15 @@
         self.value = value;
     }
 
-    /// Whether one more call may be made under all budgets that it counts for; else when it is worth to ask again. It takes
-    /// of all or of none.
+    /// Whether one more call may be made under all budgets that it counts for; else when it is
+    /// worth to ask again. It takes of all or of none.
     pub fn take(&mut self, now: Nanos, repeats: bool) -> Result<(), Nanos> {
         let mut pause = None;
-        for purse in self.purses.iter_mut().filter(|purse| repeats || !purse.budget.repeats_only) {
+        for purse in self
+            .purses
+            .iter_mut()
+            .filter(|purse| repeats || !purse.budget.repeats_only)
+        {
             if let Err(more) = purse.fits(now) {
                 pause = Some(pause.map_or(more, |pause: Nanos| pause.max(more)));
             }
@@ -380,43 +432,54 @@
         Ok(())
     }
 
-    /// Calls a second that may be made now by the budgets of rates that all calls count for; none if there is no such.
+    /// Calls a second that may be made now by the budgets of rates that all calls count for; none
+    /// if there is no such.
     pub fn a_second(&self, now: Nanos) -> Option<f64> {
-        let rates = self
-            .purses
-            .iter()
-            .filter(|purse| matches!(purse.budget.kind, Kind::Rate { .. }) && !purse.budget.repeats_only);
+        let rates = self.purses.iter().filter(|purse| {
+            matches!(purse.budget.kind, Kind::Rate { .. }) && !purse.budget.repeats_only
+        });
         rates.map(|purse| purse.a_second(now)).reduce(f64::min)
     }
 
     /// How long a call may be in hand, where that is limited.
     pub fn longest(&self) -> Option<Nanos> {
-        let of = self.purses.iter().filter_map(|purse| match purse.budget.kind {
-            Kind::InHand { longest } => Some(longest),
-            Kind::Rate { .. } => None,
-        });
+        let of = self
+            .purses
+            .iter()
+            .filter_map(|purse| match purse.budget.kind {
+                Kind::InHand { longest } => Some(longest),
+                Kind::Rate { .. } => None,
+            });
         of.max()
     }
 
-    /// How long it takes until so many more calls have found room, if they come one after the other: a guess.
+    /// How long it takes until so many more calls have found room, if they come one after the
+    /// other: a guess.
     pub fn wait_for(&self, now: Nanos, calls: usize) -> Nanos {
-        let each = self.a_second(now).map_or(0.0, |units| SECOND as f64 / units.max(1e-3));
+        let each = self
+            .a_second(now)
+            .map_or(0.0, |units| SECOND as f64 / units.max(1e-3));
         (each * calls as f64) as Nanos
     }
 
     /// When it is worth to ask again, if no more calls in hand are allowed now.
     pub fn is_full(&self, now: Nanos) -> Option<Nanos> {
-        self.purses.iter().filter(|purse| !purse.budget.repeats_only).find_map(|purse| {
-            match purse.budget.kind {
+        self.purses
+            .iter()
+            .filter(|purse| !purse.budget.repeats_only)
+            .find_map(|purse| match purse.budget.kind {
                 Kind::InHand { longest } if purse.in_hand >= purse.units(now) => Some(longest / 8),
                 _ => None,
-            }
-        })
+            })
     }
 
     /// A call would have been made if there were room.
     pub fn wished(&mut self, now: Nanos) {
-        for purse in self.purses.iter_mut().filter(|purse| !purse.budget.repeats_only) {
+        for purse in self
+            .purses
+            .iter_mut()
+            .filter(|purse| !purse.budget.repeats_only)
+        {
             purse.roll(now);
             purse.tries[0] = purse.tries[0].saturating_add(1);
             purse.peak = purse.peak.max(purse.in_hand + 1);
@@ -425,7 +488,10 @@
 
     /// A call that was allowed is over.
     pub fn over(&mut self, repeats: bool) {
-        self.purses.iter_mut().filter(|purse| repeats || !purse.budget.repeats_only).for_each(Purse::over);
+        self.purses
+            .iter_mut()
+            .filter(|purse| repeats || !purse.budget.repeats_only)
+            .for_each(Purse::over);
     }
 
     /// What is wanted of each, and held.
@@ -433,7 +499,12 @@
         let value = self.value;
         let want = |purse: &mut Purse| {
             let (budget, holds, units) = (purse.budget.id(), purse.holds(), purse.wants(now));
-            Want { budget, holds, units, value }
+            Want {
+                budget,
+                holds,
+                units,
+                value,
+            }
         };
         self.purses.iter_mut().map(want).collect()
     }
@@ -441,7 +512,11 @@
     /// Parts came that were asked for then.
     pub fn lent(&mut self, now: Nanos, asked: Nanos, parts: &[(u32, Part)]) {
         for (budget, part) in parts {
-            if let Some(purse) = self.purses.iter_mut().find(|purse| purse.budget.id() == *budget) {
+            if let Some(purse) = self
+                .purses
+                .iter_mut()
+                .find(|purse| purse.budget.id() == *budget)
+            {
                 purse.lend(now, asked, *part);
             }
         }
@@ -449,7 +524,9 @@
 
     /// Nothing that was lent is used from here on; whether nothing is in hand.
     pub fn let_go(&mut self, now: Nanos) -> bool {
-        self.purses.iter_mut().for_each(|purse| purse.drop_part(now));
+        self.purses
+            .iter_mut()
+            .for_each(|purse| purse.drop_part(now));
         self.purses.iter().all(|purse| purse.in_hand == 0)
     }
 }
--- a/crates/shared/src/shared.rs
+++ b/crates/shared/src/shared.rs
@@ -1,5 +1,5 @@
-//! A node's part in what is shared: a method for each thing that happens, acting through a small [`Host`]. Some nodes are
-//! arbiters, by name; one of these lends; all borrow.
+//! A node's part in what is shared: a method for each thing that happens, acting through a small
+//! [`Host`]. Some nodes are arbiters, by name; one of these lends; all borrow.
 
 use crate::allot::Demand;
 use crate::counts::{Counts, Word};
@@ -20,13 +20,15 @@
     fn send(&mut self, to: u64, told: Told);
     /// Write a line to the log.
     fn log(&mut self, line: &str);
-    /// What this node's ends of the budgets want, and what they hold; with the time of this node at which that was so.
+    /// What this node's ends of the budgets want, and what they hold; with the time of this node at
+    /// which that was so.
     fn wants(&mut self, now: Nanos) -> (Nanos, Vec<Want>);
     /// Parts came that were asked for then.
     fn lent(&mut self, now: Nanos, asked: Nanos, parts: &[(u32, Part)]);
     /// Units of keys came.
     fn keys_lent(&mut self, now: Nanos, lent: KeysLent);
-    /// The node leaves: its ends hold nothing from here on. Whether nothing of it is in hand any more.
+    /// The node leaves: its ends hold nothing from here on. Whether nothing of it is in hand any
+    /// more.
     fn let_go(&mut self, now: Nanos) -> bool;
 }
 
@@ -36,13 +38,26 @@
     /// To an arbiter: give me your word, in this round.
     Want { no: u64 },
     /// An arbiter gives it, or tells who has it.
-    Word { no: u64, given: bool, holder: Option<Who>, left: Nanos },
+    Word {
+        no: u64,
+        given: bool,
+        holder: Option<Who>,
+        left: Nanos,
+    },
     /// What was given in this round is given back.
     GiveBack { no: u64 },
-    /// To the one who lends: I hold these parts and want so much, by budget. The stamp is the asker's time.
-    Ask { stamp: Nanos, zone: u32, wants: Vec<Want> },
+    /// To the one who lends: I hold these parts and want so much, by budget. The stamp is the
+    /// asker's time.
+    Ask {
+        stamp: Nanos,
+        zone: u32,
+        wants: Vec<Want>,
+    },
     /// Parts, by budget; the stamp of the question comes back.
-    Lend { stamp: Nanos, parts: Vec<(u32, Part)> },
+    Lend {
+        stamp: Nanos,
+        parts: Vec<(u32, Part)>,
+    },
     /// I do not lend; that one does, as far as I know.
     Elsewhere { lender: Option<Who> },
     /// I leave: all of it is back.
@@ -87,23 +102,46 @@
 }
 
 impl Settings {
-    /// Usual times, which follow from the most nodes that there may be, so that the one who lends is not asked more often than
-    /// it can answer: recovery after its death takes about two terms.
-    pub fn usual(me: Who, arbiters: Vec<u64>, budgets: Vec<Budget>, keys: Vec<KeyBudget>) -> Settings {
-        let most = budgets.iter().map(|b| b.nodes_most).chain(keys.iter().map(|k| k.nodes_most)).max();
+    /// Usual times, which follow from the most nodes that there may be, so that the one who lends
+    /// is not asked more often than it can answer: recovery after its death takes about two terms.
+    pub fn usual(
+        me: Who,
+        arbiters: Vec<u64>,
+        budgets: Vec<Budget>,
+        keys: Vec<KeyBudget>,
+    ) -> Settings {
+        let most = budgets
+            .iter()
+            .map(|b| b.nodes_most)
+            .chain(keys.iter().map(|k| k.nodes_most))
+            .max();
         let most = most.unwrap_or(1);
         let ask = (300 * MILLISECOND).max(SECOND * u64::from(most) / QUESTIONS);
         let part = 5 * ask;
         let (term, rhythm) = (2 * part, Rhythm::of(most));
         let key_bytes = 1 << 20;
         let (counted, most) = (0, 4096);
-        Settings { me, zone: 0, arbiters, budgets, keys, rhythm, key_bytes, counted, term, part, ask, most }
+        Settings {
+            me,
+            zone: 0,
+            arbiters,
+            budgets,
+            keys,
+            rhythm,
+            key_bytes,
+            counted,
+            term,
+            part,
+            ask,
+            most,
+        }
     }
 }
 
 /// Questions that one who lends can answer in a second.
 const QUESTIONS: u64 = 2000;
-/// Between two pages of counts that an arbiter compares with another one's, and between two questions for the sums.
+/// Between two pages of counts that an arbiter compares with another one's, and between two
+/// questions for the sums.
 const HAVE: Nanos = 5 * SECOND;
 const SUMS: Nanos = 10 * SECOND;
 /// Windows of the sums' last minute.
@@ -111,7 +149,8 @@
 /// Processes whose counts are told for one page.
 const LACKED: usize = 8;
 
-/// A wake that is so late shows that the node stood still: an arbiter may not know what happened meanwhile.
+/// A wake that is so late shows that the node stood still: an arbiter may not know what happened
+/// meanwhile.
 const STOOD_STILL: Nanos = SECOND;
 
 /// A node's part.
@@ -123,11 +162,13 @@
     /// Books by budget, while this node lends.
     books: Option<Vec<Treasury>>,
     key_books: Option<KeyBooks>,
-    /// Counts of all, at an arbiter; with the next page that is compared with another one's, and when.
+    /// Counts of all, at an arbiter; with the next page that is compared with another one's, and
+    /// when.
     counts_of_all: Option<Counts>,
     have_from: u64,
     next_have: Nanos,
-    /// The counts of the whole fleet as an arbiter told them last, when that was, and when they are asked for.
+    /// The counts of the whole fleet as an arbiter told them last, when that was, and when they are
+    /// asked for.
     sums: Option<(Sums, Nanos)>,
     next_sums: Nanos,
     lender: Option<Who>,
@@ -152,11 +193,16 @@
         let next_round = now + rng.random_range(0..settings.term / 4);
         Shared {
             host,
-            arbiter: is_arbiter
-                .then(|| (Arbiter::new(now, settings.term), Candidate::new(arbiters, settings.term))),
+            arbiter: is_arbiter.then(|| {
+                (
+                    Arbiter::new(now, settings.term),
+                    Candidate::new(arbiters, settings.term),
+                )
+            }),
             books: None,
             key_books: None,
-            counts_of_all: (is_arbiter && settings.counted > 0).then(|| Counts::new(settings.counted)),
+            counts_of_all: (is_arbiter && settings.counted > 0)
+                .then(|| Counts::new(settings.counted)),
             have_from: 0,
             next_have: now + rng.random_range(0..HAVE),
             sums: None,
@@ -185,7 +231,11 @@
 
     /// Whether this node lends now.
     pub fn lends(&self, now: Nanos) -> bool {
-        self.books.is_some() && self.arbiter.as_ref().is_some_and(|(_, candidate)| now < candidate.until())
+        self.books.is_some()
+            && self
+                .arbiter
+                .as_ref()
+                .is_some_and(|(_, candidate)| now < candidate.until())
     }
 
     /// Who lends, as far as is known here.
@@ -198,7 +248,9 @@
         for (books, budget) in self.books.iter_mut().flatten().zip(&budgets) {
             books.resize(budget.pool());
         }
-        self.key_books.iter_mut().for_each(|books| books.rebudget(&keys));
+        self.key_books
+            .iter_mut()
+            .for_each(|books| books.rebudget(&keys));
         (self.settings.budgets, self.settings.keys) = (budgets, keys);
     }
 
@@ -216,10 +268,15 @@
         if self.counts_of_all.is_some() {
             next = next.min(self.next_have);
         }
-        if self.settings.counted > 0 { next.min(self.next_sums) } else { next }
+        if self.settings.counted > 0 {
+            next.min(self.next_sums)
+        } else {
+            next
+        }
     }
 
-    /// An arbiter that stood still begins anew: its name may have been taken, and its word given, meanwhile.
+    /// An arbiter that stood still begins anew: its name may have been taken, and its word given,
+    /// meanwhile.
     fn noticed(&mut self, now: Nanos) {
         let late = now.saturating_sub(self.promised);
         self.promised = self.next().max(now);
@@ -254,25 +311,33 @@
         self.promised = self.next().max(now);
     }
 
-    /// Who lends renews the words that it has; who does not tries to get them where nobody is known to lend.
+    /// Who lends renews the words that it has; who does not tries to get them where nobody is known
+    /// to lend.
     fn round(&mut self, now: Nanos) {
         let term = self.settings.term;
         let lends = self.lends(now);
         if !lends && self.close_books() {
-            self.arbiter.iter_mut().for_each(|(_, candidate)| candidate.resign());
-            self.host.log("lends no more: no majority of the arbiters answers");
+            self.arbiter
+                .iter_mut()
+                .for_each(|(_, candidate)| candidate.resign());
+            self.host
+                .log("lends no more: no majority of the arbiters answers");
             self.lender = None;
         }
-        let Some((arbiter, candidate)) = &mut self.arbiter else { return };
-        let known = arbiter.holder(now).filter(|holder| *holder != self.settings.me);
+        let Some((arbiter, candidate)) = &mut self.arbiter else {
+            return;
+        };
+        let known = arbiter
+            .holder(now)
+            .filter(|holder| *holder != self.settings.me);
         if !lends && known.is_some() {
             self.lender = known;
             self.next_round = now + term / 4;
             return;
         }
         if !lends && self.tries {
-            // No majority in its time: all that was given goes back, so that three who each have their own word don't wait for
-            // each other for ever.
+            // No majority in its time: all that was given goes back, so that three who each have
+            // their own word don't wait for each other for ever.
             self.tries = false;
             let no = candidate.no;
             arbiter.give_back(self.settings.me, no);
@@ -302,34 +367,56 @@
     /// Somebody, perhaps this node, wants this arbiter's word.
     fn want(&mut self, now: Nanos, from: Who, no: u64) {
         let me = self.settings.me;
-        let Some((arbiter, _)) = &mut self.arbiter else { return };
+        let Some((arbiter, _)) = &mut self.arbiter else {
+            return;
+        };
         let asked = arbiter.ask(now, from, no);
         let (given, left) = (asked.is_ok(), asked.err().flatten().unwrap_or(0));
         let holder = arbiter.holder(now);
         if from == me {
             return self.word(now, me, no, given);
         }
-        self.host.send(from.key, Told::Budgets(Message::Word { no, given, holder, left }));
+        self.host.send(
+            from.key,
+            Told::Budgets(Message::Word {
+                no,
+                given,
+                holder,
+                left,
+            }),
+        );
     }
 
     fn word(&mut self, now: Nanos, from: Who, no: u64, given: bool) {
-        let place = self.settings.arbiters.iter().position(|key| *key == from.key);
-        let (Some(place), true, Some((_, candidate))) = (place, given, &mut self.arbiter) else { return };
+        let place = self
+            .settings
+            .arbiters
+            .iter()
+            .position(|key| *key == from.key);
+        let (Some(place), true, Some((_, candidate))) = (place, given, &mut self.arbiter) else {
+            return;
+        };
         if !candidate.given(no, place) || self.books.is_some() {
             return;
         }
         let Settings { part, most, .. } = self.settings;
         let id = self.rng.random();
-        let books =
-            self.settings.budgets.iter().map(|b| Treasury::new(now, id, b.pool(), part, b.lag(), most));
+        let books = self
+            .settings
+            .budgets
+            .iter()
+            .map(|b| Treasury::new(now, id, b.pool(), part, b.lag(), most));
         self.books = Some(books.collect());
-        let Settings { rhythm, key_bytes, .. } = self.settings;
+        let Settings {
+            rhythm, key_bytes, ..
+        } = self.settings;
         let keys = &self.settings.keys;
-        self.key_books =
-            (!keys.is_empty()).then(|| KeyBooks::new(now, keys, rhythm, key_bytes, self.rng.random()));
+        self.key_books = (!keys.is_empty())
+            .then(|| KeyBooks::new(now, keys, rhythm, key_bytes, self.rng.random()));
         self.lender = Some(self.settings.me);
         self.count("times it began to lend");
-        self.host.log("lends: a majority of the arbiters gave their word; parts from before end first");
+        self.host
+            .log("lends: a majority of the arbiters gave their word; parts from before end first");
     }
 
     /// Asks the one who lends, or an arbiter who that is.
@@ -353,7 +440,8 @@
         if to == self.settings.me.key {
             return self.asked(now, self.settings.me, stamp, zone, &wants);
         }
-        self.host.send(to, Told::Budgets(Message::Ask { stamp, zone, wants }));
+        self.host
+            .send(to, Told::Budgets(Message::Ask { stamp, zone, wants }));
     }
 
     fn asked(&mut self, now: Nanos, from: Who, stamp: Nanos, zone: u32, wants: &[Want]) {
@@ -361,25 +449,34 @@
         if !self.lends(now) {
             let lender = self.lender.filter(|lender| *lender != me);
             if from != me {
-                self.host.send(from.key, Told::Budgets(Message::Elsewhere { lender }));
+                self.host
+                    .send(from.key, Told::Budgets(Message::Elsewhere { lender }));
             }
             return;
         }
-        let until = self.arbiter.as_ref().map_or(0, |(_, candidate)| candidate.until());
+        let until = self
+            .arbiter
+            .as_ref()
+            .map_or(0, |(_, candidate)| candidate.until());
         let books = self.books.iter_mut().flatten();
         let ids = self.settings.budgets.iter().map(Budget::id);
         let parts: Vec<(u32, Part)> = ids
             .zip(books)
             .filter_map(|(budget, books)| {
                 let want = wants.iter().find(|want| want.budget == budget)?;
-                let demand = Demand { zone, wants: want.units, value: want.value };
+                let demand = Demand {
+                    zone,
+                    wants: want.units,
+                    value: want.value,
+                };
                 Some((budget, books.ask(now, from, want.holds, demand, until)?))
             })
             .collect();
         if from == me {
             return self.lent(now, stamp, &parts);
         }
-        self.host.send(from.key, Told::Budgets(Message::Lend { stamp, parts }));
+        self.host
+            .send(from.key, Told::Budgets(Message::Lend { stamp, parts }));
     }
 
     fn lent(&mut self, now: Nanos, stamp: Nanos, parts: &[(u32, Part)]) {
@@ -393,13 +490,16 @@
         self.host.lent(now, stamp, parts);
     }
 
-    /// The node's own ends have a question about keys. Where nobody is known to lend it is lost, and asked again later.
+    /// The node's own ends have a question about keys. Where nobody is known to lend it is lost,
+    /// and asked again later.
     pub fn ask_keys(&mut self, now: Nanos, asked: KeysAsked) {
         self.noticed(now);
         match self.lender {
             _ if self.left => {}
             Some(lender) if lender == self.settings.me => self.keys_asked(now, lender, &asked),
-            Some(lender) => self.host.send(lender.key, Told::Budgets(Message::AskKeys(asked))),
+            Some(lender) => self
+                .host
+                .send(lender.key, Told::Budgets(Message::AskKeys(asked))),
             None => self.count("questions about keys with nobody known who lends"),
         }
     }
@@ -408,10 +508,15 @@
         if !self.lends(now) {
             return; // the questions about budgets find out who does
         }
-        let lent = self.key_books.as_mut().and_then(|books| books.ask(now, from, asked));
+        let lent = self
+            .key_books
+            .as_mut()
+            .and_then(|books| books.ask(now, from, asked));
         match lent {
             Some(lent) if from == self.settings.me => self.keys_lent(now, lent),
-            Some(lent) => self.host.send(from.key, Told::Budgets(Message::LendKeys(lent))),
+            Some(lent) => self
+                .host
+                .send(from.key, Told::Budgets(Message::LendKeys(lent))),
             None => {}
         }
     }
@@ -433,19 +538,33 @@
                 self.host.send(*key, Told::Counts(Box::new(part.clone())));
             }
         }
-        self.counts_of_all.iter_mut().for_each(|counts| counts.hear(now, word));
+        self.counts_of_all
+            .iter_mut()
+            .for_each(|counts| counts.hear(now, word));
     }
 
-    /// Tells another arbiter how far it knows the counts of some processes; what is lacked there or here then follows.
+    /// Tells another arbiter how far it knows the counts of some processes; what is lacked there or
+    /// here then follows.
     fn compare_counts(&mut self) {
-        let others: Vec<u64> =
-            self.settings.arbiters.iter().copied().filter(|key| *key != self.settings.me.key).collect();
-        let (Some(counts), false) = (&self.counts_of_all, others.is_empty()) else { return };
+        let others: Vec<u64> = self
+            .settings
+            .arbiters
+            .iter()
+            .copied()
+            .filter(|key| *key != self.settings.me.key)
+            .collect();
+        let (Some(counts), false) = (&self.counts_of_all, others.is_empty()) else {
+            return;
+        };
         let to = others[self.rng.random_range(0..others.len())];
         let from = self.have_from;
-        let mut marks: Vec<(Who, u64)> =
-            counts.marks().filter(|(who, _)| who.key >= from).take(HAVE_MAX + 1).collect();
-        // The last page ends with the last key; another one before the first key that it has no room for.
+        let mut marks: Vec<(Who, u64)> = counts
+            .marks()
+            .filter(|(who, _)| who.key >= from)
+            .take(HAVE_MAX + 1)
+            .collect();
+        // The last page ends with the last key; another one before the first key that it has no
+        // room for.
         let (last, next) = match marks.get(HAVE_MAX).map(|(who, _)| who.key) {
             Some(next) if next > from => (next - 1, next),
             _ => (u64::MAX, 0),
@@ -453,15 +572,30 @@
         marks.truncate(HAVE_MAX);
         marks.retain(|(who, _)| who.key <= last);
         self.have_from = next;
-        self.host.send(to, Told::Have(Have { from, to: last, marks }));
+        self.host.send(
+            to,
+            Told::Have(Have {
+                from,
+                to: last,
+                marks,
+            }),
+        );
     }
 
     fn compared(&mut self, from: Who, have: &Have) {
-        let Some(counts) = &self.counts_of_all else { return };
+        let Some(counts) = &self.counts_of_all else {
+            return;
+        };
         let theirs: BTreeMap<Who, u64> = have.marks.iter().copied().collect();
-        let in_page = counts.marks().filter(|(who, _)| (have.from..=have.to).contains(&who.key));
-        let lacked = in_page.filter(|(who, mark)| theirs.get(who).is_none_or(|theirs| theirs < mark));
-        let words: Vec<Word> = lacked.take(LACKED).filter_map(|(who, _)| counts.word(who)).collect();
+        let in_page = counts
+            .marks()
+            .filter(|(who, _)| (have.from..=have.to).contains(&who.key));
+        let lacked =
+            in_page.filter(|(who, mark)| theirs.get(who).is_none_or(|theirs| theirs < mark));
+        let words: Vec<Word> = lacked
+            .take(LACKED)
+            .filter_map(|(who, _)| counts.word(who))
+            .collect();
         for part in words.iter().flat_map(split) {
             self.host.send(from.key, Told::Counts(Box::new(part)));
         }
@@ -492,7 +626,9 @@
 
     /// The counts of the whole fleet as they were told last, and how long ago.
     pub fn sums(&self, now: Nanos) -> Option<(&Sums, Nanos)> {
-        self.sums.as_ref().map(|(sums, at)| (sums, now.saturating_sub(*at)))
+        self.sums
+            .as_ref()
+            .map(|(sums, at)| (sums, now.saturating_sub(*at)))
     }
 
     /// The counts of all processes, at an arbiter.
@@ -502,7 +638,9 @@
 
     /// Those who are gone, by the view of the fleet, are added up after a while.
     pub fn tidy(&mut self, now: Nanos, is_there: impl Fn(Who) -> bool) {
-        self.counts_of_all.iter_mut().for_each(|counts| counts.tidy(now, &is_there));
+        self.counts_of_all
+            .iter_mut()
+            .for_each(|counts| counts.tidy(now, &is_there));
     }
 
     /// Something was told.
@@ -512,7 +650,9 @@
             Told::Budgets(message) => return self.message(now, from, message),
             // Each counts for itself; arbiters tell each other what they heard.
             Told::Counts(word) if word.who == from || by_arbiter => {
-                self.counts_of_all.iter_mut().for_each(|counts| counts.hear(now, &word));
+                self.counts_of_all
+                    .iter_mut()
+                    .for_each(|counts| counts.hear(now, &word));
             }
             Told::Counts(_) => self.count("counts of others by one who is no arbiter"),
             Told::Have(have) if by_arbiter => self.compared(from, &have),
@@ -533,7 +673,9 @@
         self.noticed(now);
         match message {
             Message::Want { no } => self.want(now, from, no),
-            Message::Word { no, given, holder, .. } => {
+            Message::Word {
+                no, given, holder, ..
+            } => {
                 if let Some(holder) = holder.filter(|_| !given) {
                     self.lender = Some(holder);
                 }
@@ -556,8 +698,13 @@
                 }
             }
             Message::Leave => {
-                self.books.iter_mut().flatten().for_each(|books| books.give_back(from));
-                self.key_books.iter_mut().for_each(|books| books.give_back(now, from));
+                self.books
+                    .iter_mut()
+                    .flatten()
+                    .for_each(|books| books.give_back(from));
+                self.key_books
+                    .iter_mut()
+                    .for_each(|books| books.give_back(now, from));
             }
             Message::AskKeys(asked) => self.keys_asked(now, from, &asked),
             Message::LendKeys(lent) => {
@@ -576,7 +723,10 @@
             self.host.send(lender.key, Told::Budgets(Message::Leave));
         }
         if self.close_books() {
-            let no = self.arbiter.as_ref().map_or(0, |(_, candidate)| candidate.no);
+            let no = self
+                .arbiter
+                .as_ref()
+                .map_or(0, |(_, candidate)| candidate.no);
             self.tell_arbiters(Message::GiveBack { no });
         }
         self.arbiter = None;
@@ -584,7 +734,10 @@
 
     /// The books of all budgets, while this node lends, in their order.
     pub fn books(&self) -> impl Iterator<Item = (&Budget, &Treasury)> {
-        self.settings.budgets.iter().zip(self.books.iter().flatten())
+        self.settings
+            .budgets
+            .iter()
+            .zip(self.books.iter().flatten())
     }
 
     /// The books by key, while this node lends.
--- a/crates/shared/src/shown.rs
+++ b/crates/shared/src/shown.rs
@@ -1,4 +1,5 @@
-//! What a node holds of all that is shared, as it is shown to people, and why it holds that. Protocol Buffers, fields by number.
+//! What a node holds of all that is shared, as it is shown to people, and why it holds that.
+//! Protocol Buffers, fields by number.
 
 use crate::counts::{self, OWN, column, own};
 use crate::judge::Judge;
@@ -38,7 +39,8 @@
     pub allowed: u64,
     #[prost(uint64, tag = "11")]
     pub refused: u64,
-    /// The part that it was lent last, if any: units, how long ago it was asked for and came, how long it is good.
+    /// The part that it was lent last, if any: units, how long ago it was asked for and came, how
+    /// long it is good.
     #[prost(message, optional, tag = "12")]
     pub part: Option<ShownPart>,
 }
@@ -79,7 +81,8 @@
     pub floor: u32,
     #[prost(uint32, tag = "6")]
     pub nodes_most: u32,
-    /// Let through by units that were lent, and by the floor; refused for being asked for, short, deaf, without room.
+    /// Let through by units that were lent, and by the floor; refused for being asked for, short,
+    /// deaf, without room.
     #[prost(uint64, tag = "7")]
     pub lent: u64,
     #[prost(uint64, tag = "8")]
@@ -174,7 +177,8 @@
     pub budgets: Vec<ShownBudget>,
     #[prost(message, repeated, tag = "3")]
     pub keys: Vec<ShownKeys>,
-    /// How long ago the one who lends answered about keys, if it ever did; and whether it is waited for in vain.
+    /// How long ago the one who lends answered about keys, if it ever did; and whether it is waited
+    /// for in vain.
     #[prost(uint64, optional, tag = "4")]
     pub keys_heard_ms: Option<u64>,
     #[prost(bool, tag = "5")]
@@ -196,7 +200,8 @@
     pub books: Vec<ShownBook>,
     #[prost(uint64, repeated, tag = "13")]
     pub key_books: Vec<u64>,
-    /// Counts of the whole fleet: how old they are, of how many processes, and of how many that are gone.
+    /// Counts of the whole fleet: how old they are, of how many processes, and of how many that are
+    /// gone.
     #[prost(uint64, tag = "14")]
     pub counts_age_ms: u64,
     #[prost(uint32, tag = "15")]
@@ -250,7 +255,11 @@
 impl Shown {
     /// What is held where calls are made: budgets.
     pub fn with_ends(&mut self, now: Nanos, ends: &mut Ends) {
-        self.budgets = ends.purses().iter_mut().map(|purse| budget(now, purse)).collect();
+        self.budgets = ends
+            .purses()
+            .iter_mut()
+            .map(|purse| budget(now, purse))
+            .collect();
     }
 
     /// What is held of keys.
@@ -259,7 +268,11 @@
         self.keys_deaf = wallet.hears_nobody(now);
         for (of, tally) in wallet.tallies() {
             let (count, period_ms, burst) = match of.kind {
-                KeyKind::Rate { count, period, burst } => (count, ms(period), burst),
+                KeyKind::Rate {
+                    count,
+                    period,
+                    burst,
+                } => (count, ms(period), burst),
                 KeyKind::InHand { limit, .. } => (limit, 0, 0),
             };
             let (units, keys) = wallet.holds(now, of.id());
@@ -322,11 +335,20 @@
             .collect();
         self.key_books = shared.key_books().map_or(Vec::new(), |books| {
             let (keys, pockets, refused) = books.figures();
-            vec![keys as u64, pockets as u64, refused, ms(books.opens().saturating_sub(now))]
+            vec![
+                keys as u64,
+                pockets as u64,
+                refused,
+                ms(books.opens().saturating_sub(now)),
+            ]
         });
         let counts = shared.counts().iter();
-        self.counted =
-            counts.map(|(what, times)| ShownCount { what: (*what).to_owned(), times: *times }).collect();
+        self.counted = counts
+            .map(|(what, times)| ShownCount {
+                what: (*what).to_owned(),
+                times: *times,
+            })
+            .collect();
         if let Some((sums, age)) = shared.sums(now) {
             self.with_sums(sums, age, operations);
         }
@@ -342,17 +364,28 @@
             };
             let mut latency = Latency::default();
             latency.merge(sums.minute.latency.get(row).map_or(&[], Vec::as_slice));
-            let at = |part| if latency.count() > 0 { latency.quantile(part) / 1000 } else { 0 };
+            let at = |part| {
+                if latency.count() > 0 {
+                    latency.quantile(part) / 1000
+                } else {
+                    0
+                }
+            };
             self.rows.push(ShownRow {
                 name,
                 total: numbers.to_vec(),
-                minute: sums.minute.rows.get(row).map_or(Vec::new(), |numbers| numbers.to_vec()),
+                minute: sums
+                    .minute
+                    .rows
+                    .get(row)
+                    .map_or(Vec::new(), |numbers| numbers.to_vec()),
                 p50_us: at(0.5),
                 p99_us: at(0.99),
             });
         }
         for (kind, heavy) in &sums.minute.heavy {
-            let word = ["caller", "caller that repeats", "key over a limit"].get(usize::from(*kind));
+            let word =
+                ["caller", "caller that repeats", "key over a limit"].get(usize::from(*kind));
             for (key, times) in heavy.most() {
                 let what = match *kind {
                     counts::heavy::OVER_LIMIT => format!("{} {key:016x}", word.unwrap_or(&"key")),
@@ -370,9 +403,13 @@
         if !self.keys.is_empty() {
             lines.push(match (self.keys_deaf, self.keys_heard_ms) {
                 (true, Some(ago)) => {
-                    format!("keys: nobody who lends was heard for {ago} ms: floors are all there is")
+                    format!(
+                        "keys: nobody who lends was heard for {ago} ms: floors are all there is"
+                    )
+                }
+                (true, None) => {
+                    "keys: nobody who lends was ever heard: floors are all there is".into()
                 }
-                (true, None) => "keys: nobody who lends was ever heard: floors are all there is".into(),
                 (false, Some(ago)) => format!("keys: heard from the one who lends {ago} ms ago"),
                 (false, None) => "keys: nothing was asked for yet".into(),
             });
@@ -400,7 +437,12 @@
             (false, _) => format!("{} lends", self.lender_name),
         };
         for book in &self.books {
-            let ShownBook { name, out, pool, borrowers } = book;
+            let ShownBook {
+                name,
+                out,
+                pool,
+                borrowers,
+            } = book;
             let _ = write!(line, "; of '{name}' {out} of {pool} are out to {borrowers}");
         }
         if let [keys, pockets, refused, opens] = self.key_books[..] {
@@ -409,7 +451,10 @@
                 let _ = write!(line, ", {refused} found no room");
             }
             if opens > 0 {
-                let _ = write!(line, ", none before {opens} ms from now: what another one lent ends first");
+                let _ = write!(
+                    line,
+                    ", none before {opens} ms from now: what another one lent ends first"
+                );
             }
         }
         line
@@ -418,9 +463,24 @@
 
 impl ShownBudget {
     fn why(&self) -> String {
-        let ShownBudget { name, limit, floor, units, wants, .. } = self;
-        let kind = if self.rate { "calls a second" } else { "calls in hand" };
-        let of = if self.repeats_only { " that repeat one which failed" } else { "" };
+        let ShownBudget {
+            name,
+            limit,
+            floor,
+            units,
+            wants,
+            ..
+        } = self;
+        let kind = if self.rate {
+            "calls a second"
+        } else {
+            "calls in hand"
+        };
+        let of = if self.repeats_only {
+            " that repeat one which failed"
+        } else {
+            ""
+        };
         let mut line = format!(
             "budget '{name}', {limit} {kind}{of} for the fleet: may use {units}, its floor of {floor}"
         );
@@ -441,9 +501,21 @@
                         _ => write!(line, ": its time of {term} ms is over"),
                     };
                 }
-                let ShownPart { wanted, borrowers, pool, .. } = part;
-                let short = if wanted > pool { ", which is short" } else { "" };
-                let _ = write!(line, "; {borrowers} asked for {wanted} of {pool} then{short}");
+                let ShownPart {
+                    wanted,
+                    borrowers,
+                    pool,
+                    ..
+                } = part;
+                let short = if wanted > pool {
+                    ", which is short"
+                } else {
+                    ""
+                };
+                let _ = write!(
+                    line,
+                    "; {borrowers} asked for {wanted} of {pool} then{short}"
+                );
             }
         }
         let _ = write!(
@@ -460,7 +532,14 @@
 
 impl ShownKeys {
     fn why(&self) -> String {
-        let ShownKeys { name, count, floor, lent, by_floor, .. } = self;
+        let ShownKeys {
+            name,
+            count,
+            floor,
+            lent,
+            by_floor,
+            ..
+        } = self;
         let limit = match self.period_ms {
             0 => format!("{count} in hand"),
             period => format!("{count} in {period} ms, {} saved", self.burst),
@@ -486,7 +565,17 @@
 
 impl ShownService {
     fn why(&self) -> String {
-        let ShownService { name, mode, tries, failed, ill, witnesses, ill_zones, zones, .. } = self;
+        let ShownService {
+            name,
+            mode,
+            tries,
+            failed,
+            ill,
+            witnesses,
+            ill_zones,
+            zones,
+            ..
+        } = self;
         let because = match mode.as_str() {
             "closed" => "it failed this node",
             "careful" => "others say that it is ill",
@@ -563,19 +652,36 @@
             assert_eq!(read, shown);
             read.why()[1].clone()
         };
-        assert!(at(&mut ends, 0).contains("may use 2, its floor of 2 alone, for nothing was lent yet"));
+        assert!(
+            at(&mut ends, 0).contains("may use 2, its floor of 2 alone, for nothing was lent yet")
+        );
         let term = 1500 * MILLISECOND;
-        let part = Part { book: 1, no: 1, units: 40, term, wanted: 250, borrowers: 5, pool: 80 };
+        let part = Part {
+            book: 1,
+            no: 1,
+            units: 40,
+            term,
+            wanted: 250,
+            borrowers: 5,
+            pool: 80,
+        };
         ends.lent(0, 0, &[(budget.id(), part)]);
         let fresh = at(&mut ends, 100 * MILLISECOND);
         assert!(
-            fresh.contains("may use 42") && fresh.contains("5 asked for 250 of 80 then, which is short"),
+            fresh.contains("may use 42")
+                && fresh.contains("5 asked for 250 of 80 then, which is short"),
             "{fresh}"
         );
         let later = at(&mut ends, 800 * MILLISECOND);
-        assert!(later.contains("may use 22") && later.contains("its first half is over"), "{later}");
+        assert!(
+            later.contains("may use 22") && later.contains("its first half is over"),
+            "{later}"
+        );
         let over = at(&mut ends, 1600 * MILLISECOND);
-        assert!(over.contains("may use 2") && over.contains("its time of 1500 ms is over"), "{over}");
+        assert!(
+            over.contains("may use 2") && over.contains("its time of 1500 ms is over"),
+            "{over}"
+        );
     }
 
     #[test]
@@ -586,7 +692,13 @@
             shown.with_judge(now, "register", judge);
             shown.why().pop().unwrap()
         };
-        let ill = Opinion { witnesses: 4, ill: 3, zones: 2, ill_zones: 2, ..Opinion::default() };
+        let ill = Opinion {
+            witnesses: 4,
+            ill: 3,
+            zones: 2,
+            ill_zones: 2,
+            ..Opinion::default()
+        };
         judge.told(SECOND, ill);
         let careful = told(&mut judge, SECOND);
         assert!(
@@ -595,10 +707,18 @@
         );
         (0..10).for_each(|_| judge.ended(2 * SECOND, false));
         assert_eq!(judge.mode(), Mode::Closed);
-        judge.told(3 * SECOND, Opinion { prober: true, ..ill });
+        judge.told(
+            3 * SECOND,
+            Opinion {
+                prober: true,
+                ..ill
+            },
+        );
         let closed = told(&mut judge, 3 * SECOND);
         assert!(
-            closed.contains("closed for 1000 ms, 0 % goes there, for it failed this node; this node is one"),
+            closed.contains(
+                "closed for 1000 ms, 0 % goes there, for it failed this node; this node is one"
+            ),
             "{closed}"
         );
     }
--- a/crates/shared/src/sim.rs
+++ b/crates/shared/src/sim.rs
@@ -1,6 +1,7 @@
-//! Fleets that share a budget, over simulated time: the same state machines, links that lose, delay and are cut, nodes that
-//! crash, pause and return, clocks that drift; and a service below that keeps the record. Beside the machines of this package
-//! two plain ways are played: an even part by the number of nodes in sight, and a central counter.
+//! Fleets that share a budget, over simulated time: the same state machines, links that lose, delay
+//! and are cut, nodes that crash, pause and return, clocks that drift; and a service below that
+//! keeps the record. Beside the machines of this package two plain ways are played: an even part by
+//! the number of nodes in sight, and a central counter.
 
 use crate::counts::{Counts, OWN, Tally, own};
 use crate::keyed::wallet::Wallet;
@@ -20,7 +21,8 @@
 pub enum Way {
     /// By this package.
     Leases,
-    /// Each node takes the limit divided by the nodes it has in sight; sight follows the truth late.
+    /// Each node takes the limit divided by the nodes it has in sight; sight follows the truth
+    /// late.
     EvenByView,
     /// One node counts for all, and is asked for each call; no answer, no call.
     Counter,
@@ -66,7 +68,11 @@
         let (due, in_hand) = self.keys.entry(key).or_default();
         *in_hand += 1;
         match kind {
-            KeyKind::Rate { count, period, burst } => {
+            KeyKind::Rate {
+                count,
+                period,
+                burst,
+            } => {
                 let interval = period / u64::from(count);
                 *due = (*due).max(now) + interval;
                 (*due - now) as f64 / interval as f64 - f64::from(burst)
@@ -138,8 +144,8 @@
     /// Messages that were sent, and their bytes as parcels.
     pub messages: u64,
     pub bytes: u64,
-    /// Of keys: units that were wanted (each by a caller who comes back twice when it is told to), let through, and refused at
-    /// the end; the most over the limit of any key.
+    /// Of keys: units that were wanted (each by a caller who comes back twice when it is told to),
+    /// let through, and refused at the end; the most over the limit of any key.
     pub keys_wanted: u64,
     pub keys_made: u64,
     pub keys_refused: u64,
@@ -155,7 +161,11 @@
 impl Measured {
     /// Nothing yet, of so many nodes.
     pub fn of(nodes: usize) -> Measured {
-        Measured { by_node: vec![0; nodes], keys_by_node: vec![0; nodes], ..Measured::default() }
+        Measured {
+            by_node: vec![0; nodes],
+            keys_by_node: vec![0; nodes],
+            ..Measured::default()
+        }
     }
 }
 
@@ -181,7 +191,8 @@
     pub lenders_most: usize,
     key_load: Option<KeyLoad>,
     key_record: KeyRecord,
-    /// Callers who come back: when, to whom, how often they came, which key. And what is in hand: until when, of whom, which key.
+    /// Callers who come back: when, to whom, how often they came, which key. And what is in hand:
+    /// until when, of whom, which key.
     key_retries: BinaryHeap<Reverse<(Nanos, usize, u32, u64)>>,
     key_hands: BinaryHeap<Reverse<(Nanos, usize, u64, u64)>>,
     /// For plain ways: when a next one of a key would come evenly, at a node.
@@ -203,7 +214,12 @@
             .map(|_| Node {
                 shared: None,
                 life: 0,
-                rate: 1.0 + if plan.drift > 0.0 { rng.random_range(-plan.drift..plan.drift) } else { 0.0 },
+                rate: 1.0
+                    + if plan.drift > 0.0 {
+                        rng.random_range(-plan.drift..plan.drift)
+                    } else {
+                        0.0
+                    },
                 still_until: 0,
                 owed: 0.0,
                 saved: 0.0,
@@ -246,7 +262,10 @@
     /// A node starts, knowing nothing.
     pub fn start(&mut self, n: usize) {
         self.lives += 1;
-        let me = Who { key: n as u64 + 1, life: self.lives };
+        let me = Who {
+            key: n as u64 + 1,
+            life: self.lives,
+        };
         let arbiters = (1..=ARBITERS.min(self.plan.nodes) as u64).collect();
         let keys: Vec<KeyBudget> = self.plan.keys.iter().cloned().collect();
         let mut settings = Settings::usual(me, arbiters, vec![self.plan.budget.clone()], keys);
@@ -256,15 +275,37 @@
         let now = self.clock(n);
         let node = &mut self.nodes[n];
         let ends = Ends::new(now, &settings.budgets);
-        let wallet = Wallet::new(now, &settings.keys, settings.rhythm, self.plan.key_bytes, seed);
-        node.shared = Some(Shared::new(settings, seed, now, Out { sent: Vec::new(), ends, wallet }));
+        let wallet = Wallet::new(
+            now,
+            &settings.keys,
+            settings.rhythm,
+            self.plan.key_bytes,
+            seed,
+        );
+        node.shared = Some(Shared::new(
+            settings,
+            seed,
+            now,
+            Out {
+                sent: Vec::new(),
+                ends,
+                wallet,
+            },
+        ));
         (node.life, node.owed, node.saved, node.up_since) = (self.lives, 0.0, 0.0, self.now);
-        (node.tally, node.tells) = (Tally::new(now / MILLISECOND), now + self.rng.random_range(0..TELLS));
+        (node.tally, node.tells) = (
+            Tally::new(now / MILLISECOND),
+            now + self.rng.random_range(0..TELLS),
+        );
         self.changed();
     }
 
     fn changed(&mut self) {
-        let up = self.nodes.iter().map(|node| node.shared.is_some()).collect();
+        let up = self
+            .nodes
+            .iter()
+            .map(|node| node.shared.is_some())
+            .collect();
         self.changes.push_back((self.now, up));
     }
 
@@ -311,7 +352,10 @@
     /// Another limit by key, on some nodes.
     pub fn rebudget_keys(&mut self, nodes: std::ops::Range<usize>, keys: &KeyBudget) {
         let budgets = vec![self.plan.budget.clone()];
-        for shared in self.nodes[nodes].iter_mut().filter_map(|node| node.shared.as_mut()) {
+        for shared in self.nodes[nodes]
+            .iter_mut()
+            .filter_map(|node| node.shared.as_mut())
+        {
             shared.rebudget(budgets.clone(), vec![keys.clone()]);
             shared.host.wallet.rebudget(std::slice::from_ref(keys));
         }
@@ -326,7 +370,10 @@
     /// From here on what happens is measured anew; what is in hand stays.
     pub fn measure_anew(&mut self) {
         self.measured = Measured::of(self.nodes.len());
-        self.key_record.keys.values_mut().for_each(|(due, _)| *due = 0);
+        self.key_record
+            .keys
+            .values_mut()
+            .for_each(|(due, _)| *due = 0);
     }
 
     /// Has keys tried for.
@@ -334,9 +381,17 @@
         self.key_load = Some(load);
     }
 
-    /// Whether one of a key may go by a plain way, for rates: an even part by the nodes in sight, or a central counter.
+    /// Whether one of a key may go by a plain way, for rates: an even part by the nodes in sight,
+    /// or a central counter.
     fn plain_key(&mut self, way: Way, n: usize, key: u64, kind: KeyKind) -> Result<(), Nanos> {
-        let KeyKind::Rate { count, period, burst } = kind else { return Err(SECOND) };
+        let KeyKind::Rate {
+            count,
+            period,
+            burst,
+        } = kind
+        else {
+            return Err(SECOND);
+        };
         let even = period / u64::from(count);
         let (place, interval, most) = match way {
             Way::EvenByView => {
@@ -344,10 +399,12 @@
                 ((n, key), even * there, (u64::from(burst) / there).max(1))
             }
             _ => {
-                let lost = self.plan.loss > 0.0 && self.rng.random_bool(1.0 - (1.0 - self.plan.loss).powi(2));
+                let lost = self.plan.loss > 0.0
+                    && self.rng.random_bool(1.0 - (1.0 - self.plan.loss).powi(2));
                 self.asks_counter();
                 let reached = n == 0 || !(self.cut)(n, 0) && !(self.cut)(0, n);
-                let counts = self.nodes[0].shared.is_some() && self.nodes[0].still_until <= self.now;
+                let counts =
+                    self.nodes[0].shared.is_some() && self.nodes[0].still_until <= self.now;
                 if lost || !reached || !counts {
                     return Err(SECOND / 10);
                 }
@@ -372,14 +429,31 @@
     /// Nodes that one has in sight: whom it saw some time ago, but for those whom it can't hear.
     fn in_sight(&self, n: usize) -> usize {
         let then = self.now.saturating_sub(self.plan.sight);
-        let seen = self.changes.iter().rev().find(|(at, _)| *at <= then).or(self.changes.front());
-        seen.map_or(1, |(_, up)| (0..up.len()).filter(|&m| up[m] && !(self.cut)(m, n)).count())
+        let seen = self
+            .changes
+            .iter()
+            .rev()
+            .find(|(at, _)| *at <= then)
+            .or(self.changes.front());
+        seen.map_or(1, |(_, up)| {
+            (0..up.len())
+                .filter(|&m| up[m] && !(self.cut)(m, n))
+                .count()
+        })
     }
 
     fn try_keys(&mut self) {
-        let Some(budget) = self.plan.keys.clone() else { return };
-        while self.key_hands.peek().is_some_and(|Reverse((end, ..))| *end <= self.now) {
-            let Some(Reverse((_, n, life, key))) = self.key_hands.pop() else { break };
+        let Some(budget) = self.plan.keys.clone() else {
+            return;
+        };
+        while self
+            .key_hands
+            .peek()
+            .is_some_and(|Reverse((end, ..))| *end <= self.now)
+        {
+            let Some(Reverse((_, n, life, key))) = self.key_hands.pop() else {
+                break;
+            };
             self.key_record.over(key);
             let is_same = self.nodes[n].life == life;
             if let Some(shared) = self.nodes[n].shared.as_mut().filter(|_| is_same) {
@@ -389,17 +463,29 @@
         let now = self.now;
         let mut tries: Vec<(usize, u64, u32)> = Vec::new();
         if let Some(load) = &mut self.key_load {
-            tries.extend(load(now, &mut self.rng).into_iter().map(|(n, key)| (n, key, 1)));
+            tries.extend(
+                load(now, &mut self.rng)
+                    .into_iter()
+                    .map(|(n, key)| (n, key, 1)),
+            );
         }
         self.measured.keys_wanted += tries.len() as u64;
-        while self.key_retries.peek().is_some_and(|Reverse((due, ..))| *due <= now) {
-            let Some(Reverse((_, n, times, key))) = self.key_retries.pop() else { break };
+        while self
+            .key_retries
+            .peek()
+            .is_some_and(|Reverse((due, ..))| *due <= now)
+        {
+            let Some(Reverse((_, n, times, key))) = self.key_retries.pop() else {
+                break;
+            };
             tries.push((n, key, times));
         }
         for (n, key, times) in tries {
             let (clock, life) = (self.clock(n), self.nodes[n].life);
             let still = self.nodes[n].still_until > now;
-            let Some(shared) = self.nodes[n].shared.as_mut().filter(|_| !still) else { continue };
+            let Some(shared) = self.nodes[n].shared.as_mut().filter(|_| !still) else {
+                continue;
+            };
             let fits = match self.plan.way {
                 Way::Leases => {
                     let fits = shared.host.wallet.fits(clock, budget.id(), key);
@@ -424,7 +510,8 @@
                     }
                 }
                 Err(pause) if times < KEY_TRIES => {
-                    self.key_retries.push(Reverse((now + pause, n, times + 1, key)));
+                    self.key_retries
+                        .push(Reverse((now + pause, n, times + 1, key)));
                 }
                 Err(_) => self.measured.keys_refused += 1,
             }
@@ -433,7 +520,9 @@
 
     /// Units of a key that lie in pockets and could be spent, over all nodes.
     pub fn key_units(&self, key: u64) -> u32 {
-        let Some(budget) = &self.plan.keys else { return 0 };
+        let Some(budget) = &self.plan.keys else {
+            return 0;
+        };
         (0..self.nodes.len())
             .filter_map(|n| Some((self.clock(n), self.nodes[n].shared.as_ref()?)))
             .map(|(clock, shared)| shared.host.wallet.units(clock, budget.id(), key))
@@ -449,7 +538,10 @@
     pub fn tidy(&mut self) {
         let there: Vec<Who> = (0..self.nodes.len())
             .filter(|n| self.nodes[*n].shared.is_some())
-            .map(|n| Who { key: n as u64 + 1, life: self.nodes[n].life })
+            .map(|n| Who {
+                key: n as u64 + 1,
+                life: self.nodes[n].life,
+            })
             .collect();
         for n in 0..self.nodes.len() {
             let now = self.clock(n);
@@ -468,13 +560,23 @@
     /// Keys that all wallets tell apart, and keys and pockets in the books of the one who lends.
     pub fn key_figures(&self) -> (usize, Option<(usize, usize, u64)>) {
         let shared = || self.nodes.iter().filter_map(|node| node.shared.as_ref());
-        let books = shared().find_map(|shared| shared.key_books()).map(|books| books.figures());
-        (shared().map(|shared| shared.host.wallet.keys()).sum(), books)
+        let books = shared()
+            .find_map(|shared| shared.key_books())
+            .map(|books| books.figures());
+        (
+            shared().map(|shared| shared.host.wallet.keys()).sum(),
+            books,
+        )
     }
 
     fn carry(&mut self, n: usize) {
-        let from = Who { key: n as u64 + 1, life: self.nodes[n].life };
-        let Some(shared) = &mut self.nodes[n].shared else { return };
+        let from = Who {
+            key: n as u64 + 1,
+            life: self.nodes[n].life,
+        };
+        let Some(shared) = &mut self.nodes[n].shared else {
+            return;
+        };
         for (to, message) in std::mem::take(&mut shared.host.sent) {
             self.measured.messages += 1;
             self.measured.bytes += Self::bytes(&message);
@@ -482,7 +584,11 @@
             if self.rng.random_bool(self.plan.loss) || (self.cut)(n, to) {
                 continue;
             }
-            let copies = if self.plan.loss > 0.0 && self.rng.random_bool(0.1) { 2 } else { 1 };
+            let copies = if self.plan.loss > 0.0 && self.rng.random_bool(0.1) {
+                2
+            } else {
+                1
+            };
             for _ in 0..copies {
                 self.sent += 1;
                 let (least, most) = self.plan.latency;
@@ -503,13 +609,22 @@
 
     fn step(&mut self) {
         self.now += STEP;
-        while self.queue.peek().is_some_and(|Reverse((due, ..))| *due <= self.now) {
-            let Some(Reverse((_, id, to, _))) = self.queue.pop() else { break };
+        while self
+            .queue
+            .peek()
+            .is_some_and(|Reverse((due, ..))| *due <= self.now)
+        {
+            let Some(Reverse((_, id, to, _))) = self.queue.pop() else {
+                break;
+            };
             if self.nodes[to].still_until > self.now {
-                self.queue.push(Reverse((self.nodes[to].still_until, id, to, 0)));
+                self.queue
+                    .push(Reverse((self.nodes[to].still_until, id, to, 0)));
                 continue;
             }
-            let Some((from, message)) = self.under_way.remove(&id) else { continue };
+            let Some((from, message)) = self.under_way.remove(&id) else {
+                continue;
+            };
             let now = self.clock(to);
             if let Some(shared) = &mut self.nodes[to].shared {
                 shared.told(now, from, message);
@@ -529,7 +644,10 @@
                     shared.wake(now);
                 }
                 if self.plan.counted > 0 && now >= node.tells {
-                    let who = Who { key: n as u64 + 1, life: node.life };
+                    let who = Who {
+                        key: n as u64 + 1,
+                        life: node.life,
+                    };
                     shared.tell_counts(now, &node.tally.word(who, 0, 2));
                     node.tells = now + TELLS;
                 }
@@ -547,8 +665,14 @@
     }
 
     fn end_calls(&mut self) {
-        while self.in_hand.peek().is_some_and(|Reverse((end, ..))| *end <= self.now) {
-            let Some(Reverse((_, n, life))) = self.in_hand.pop() else { break };
+        while self
+            .in_hand
+            .peek()
+            .is_some_and(|Reverse((end, ..))| *end <= self.now)
+        {
+            let Some(Reverse((_, n, life))) = self.in_hand.pop() else {
+                break;
+            };
             if self.nodes[n].life == life
                 && let Some(shared) = &mut self.nodes[n].shared
             {
@@ -582,9 +706,10 @@
     fn may(&mut self, n: usize) -> bool {
         let now = self.clock(n);
         match self.plan.way {
-            Way::Leases => {
-                self.nodes[n].shared.as_mut().is_some_and(|shared| shared.host.ends.take(now, false).is_ok())
-            }
+            Way::Leases => self.nodes[n]
+                .shared
+                .as_mut()
+                .is_some_and(|shared| shared.host.ends.take(now, false).is_ok()),
             Way::EvenByView => {
                 let there = self.in_sight(n);
                 let share = f64::from(self.plan.budget.limit) / there.max(1) as f64;
@@ -598,9 +723,11 @@
             }
             Way::Counter => {
                 let reached = n == 0 || !(self.cut)(n, 0) && !(self.cut)(0, n);
-                let lost = self.plan.loss > 0.0 && self.rng.random_bool(1.0 - (1.0 - self.plan.loss).powi(2));
+                let lost = self.plan.loss > 0.0
+                    && self.rng.random_bool(1.0 - (1.0 - self.plan.loss).powi(2));
                 self.asks_counter();
-                let counts = self.nodes[0].shared.is_some() && self.nodes[0].still_until <= self.now;
+                let counts =
+                    self.nodes[0].shared.is_some() && self.nodes[0].still_until <= self.now;
                 let may = reached && counts && !lost && self.counter_saved >= 1.0;
                 self.counter_saved -= if may { 1.0 } else { 0.0 };
                 may
@@ -615,10 +742,15 @@
             (self.counter_saved + limit * STEP as f64 / SECOND as f64).min((limit / 20.0).max(1.0));
         match self.plan.budget.kind {
             Kind::Rate { burst } => {
-                while self.recent.front().is_some_and(|at| *at + SECOND <= self.now) {
+                while self
+                    .recent
+                    .front()
+                    .is_some_and(|at| *at + SECOND <= self.now)
+                {
                     self.recent.pop_front();
                 }
-                // A second's worth, what may be saved, and a call that each node has saved at least.
+                // A second's worth, what may be saved, and a call that each node has saved at
+                // least.
                 let saved = limit * burst as f64 / SECOND as f64;
                 let whole = self.nodes.len().min(self.plan.budget.limit as usize) as f64;
                 let over = self.recent.len() as f64 - limit - saved.max(whole);
@@ -655,7 +787,10 @@
     /// Units of one node now.
     pub fn units(&mut self, n: usize) -> u32 {
         let now = self.clock(n);
-        self.nodes[n].shared.as_mut().map_or(0, |shared| shared.host.ends.purses()[0].units(now))
+        self.nodes[n]
+            .shared
+            .as_mut()
+            .map_or(0, |shared| shared.host.ends.purses()[0].units(now))
     }
 }
 
--- a/crates/shared/src/treasury.rs
+++ b/crates/shared/src/treasury.rs
@@ -1,12 +1,14 @@
-//! The books of who lends: what is out, to whom, until when. A unit is lent again only when its borrower said that it holds a
-//! later and smaller part, or when the earlier one has ended by the lender's clock, with the drift added and, where units stay
-//! in use beyond their end, the longest use.
+//! The books of who lends: what is out, to whom, until when. A unit is lent again only when its
+//! borrower said that it holds a later and smaller part, or when the earlier one has ended by the
+//! lender's clock, with the drift added and, where units stay in use beyond their end, the longest
+//! use.
 
 use crate::allot::{Demand, allot};
 use crate::{Nanos, Who};
 use std::collections::BTreeMap;
 
-/// Parts of one borrower that may still be in use at once; a borrower that never answers gets no more.
+/// Parts of one borrower that may still be in use at once; a borrower that never answers gets no
+/// more.
 const PARTS: usize = 16;
 
 /// A part that was lent.
@@ -29,7 +31,12 @@
 impl Account {
     /// Units that may be in use.
     fn out(&self, now: Nanos) -> u32 {
-        self.lent.iter().filter(|lent| lent.gone > now).map(|lent| lent.units).max().unwrap_or(0)
+        self.lent
+            .iter()
+            .filter(|lent| lent.gone > now)
+            .map(|lent| lent.units)
+            .max()
+            .unwrap_or(0)
     }
 }
 
@@ -68,22 +75,36 @@
     /// Books that are begun now. Whoever lent before may have parts out for a term and the lag.
     pub fn new(now: Nanos, id: u64, units: u32, term: Nanos, lag: Nanos, most: usize) -> Treasury {
         let before = now + longer(term) + lag;
-        Treasury { id, units, accounts: BTreeMap::new(), next: 0, term, lag, before, most }
+        Treasury {
+            id,
+            units,
+            accounts: BTreeMap::new(),
+            next: 0,
+            term,
+            lag,
+            before,
+            most,
+        }
     }
 
     /// Units that may be in use by all together.
     pub fn out(&self, now: Nanos) -> u32 {
         let out = self.accounts.values().map(|account| account.out(now)).sum();
-        if now < self.before { self.units.max(out) } else { out }
+        if now < self.before {
+            self.units.max(out)
+        } else {
+            out
+        }
     }
 
-    /// Another limit holds from now on. Less than what is out is kept by lending nothing until enough has come back.
+    /// Another limit holds from now on. Less than what is out is kept by lending nothing until
+    /// enough has come back.
     pub fn resize(&mut self, units: u32) {
         self.units = units;
     }
 
-    /// A borrower asks: of the parts of this book it holds none but this one any more, and wants so much. It gets what there
-    /// is for it now.
+    /// A borrower asks: of the parts of this book it holds none but this one any more, and wants so
+    /// much. It gets what there is for it now.
     pub fn ask(
         &mut self,
         now: Nanos,
@@ -98,19 +119,27 @@
             return None;
         }
         let account = self.accounts.entry(who).or_default();
-        account.lent.retain(|lent| lent.no >= holds && lent.gone > now);
+        account
+            .lent
+            .retain(|lent| lent.no >= holds && lent.gone > now);
         (account.demand, account.heard) = (demand, now);
         self.forget(now);
         if now < self.before {
             return None;
         }
         let (term, gone) = (self.term, now + longer(self.term) + self.lag);
-        // Nothing is out when the next one who lends begins his books: he waits for a term, and these end before.
+        // Nothing is out when the next one who lends begins his books: he waits for a term, and
+        // these end before.
         if now + self.term > lender_until {
             return None;
         }
         let target = self.target(who);
-        let others: u32 = self.accounts.iter().filter(|(w, _)| **w != who).map(|(_, a)| a.out(now)).sum();
+        let others: u32 = self
+            .accounts
+            .iter()
+            .filter(|(w, _)| **w != who)
+            .map(|(_, a)| a.out(now))
+            .sum();
         let free = self.units.saturating_sub(others);
         let account = self.accounts.get_mut(&who)?;
         if account.lent.len() >= PARTS {
@@ -118,12 +147,27 @@
         }
         let units = target.min(free);
         self.next += 1;
-        account.lent.push(Lent { no: self.next, units, gone });
-        debug_assert!(others + units <= self.units.max(others), "no unit is lent twice");
+        account.lent.push(Lent {
+            no: self.next,
+            units,
+            gone,
+        });
+        debug_assert!(
+            others + units <= self.units.max(others),
+            "no unit is lent twice"
+        );
         let wants = self.accounts.values().map(|account| account.demand.wants);
         let wanted = wants.fold(0, u32::saturating_add);
         let (borrowers, pool) = (self.accounts.len() as u32, self.units);
-        Some(Part { book: self.id, no: self.next, units, term, wanted, borrowers, pool })
+        Some(Part {
+            book: self.id,
+            no: self.next,
+            units,
+            term,
+            wanted,
+            borrowers,
+            pool,
+        })
     }
 
     /// A borrower gives all back: it leaves.
@@ -133,14 +177,21 @@
 
     fn forget(&mut self, now: Nanos) {
         let silent = 4 * (self.term + self.lag);
-        self.accounts.retain(|_, account| account.out(now) > 0 || now < account.heard + silent);
+        self.accounts
+            .retain(|_, account| account.out(now) > 0 || now < account.heard + silent);
     }
 
     /// What one should have, given what all want.
     fn target(&self, who: Who) -> u32 {
-        let demands: Vec<Demand> = self.accounts.values().map(|account| account.demand.clone()).collect();
+        let demands: Vec<Demand> = self
+            .accounts
+            .values()
+            .map(|account| account.demand.clone())
+            .collect();
         let place = self.accounts.keys().position(|w| *w == who);
-        place.and_then(|at| allot(self.units, &demands).get(at).copied()).unwrap_or(0)
+        place
+            .and_then(|at| allot(self.units, &demands).get(at).copied())
+            .unwrap_or(0)
     }
 
     /// Those who have an account.
@@ -165,7 +216,11 @@
     }
 
     fn wants(wants: u32) -> Demand {
-        Demand { zone: 0, wants, value: 1.0 }
+        Demand {
+            zone: 0,
+            wants,
+            value: 1.0,
+        }
     }
 
     fn begun() -> Treasury {
@@ -178,7 +233,13 @@
     #[test]
     fn nothing_is_lent_until_what_was_out_before_is_gone() {
         let mut books = begun();
-        assert_eq!((books.ask(500, who(1), (0, 0), wants(9), LONG), books.out(500)), (None, 100));
+        assert_eq!(
+            (
+                books.ask(500, who(1), (0, 0), wants(9), LONG),
+                books.out(500)
+            ),
+            (None, 100)
+        );
         assert!(books.ask(1100, who(1), (0, 0), wants(9), LONG).is_some());
     }
 
@@ -188,29 +249,80 @@
         let first = books.ask(LATER, who(1), (0, 0), wants(100), LONG).unwrap();
         assert_eq!(first.units, 100);
         // Another one comes and wants half: there is nothing yet.
-        assert_eq!(books.ask(LATER, who(2), (0, 0), wants(100), LONG).unwrap().units, 0);
+        assert_eq!(
+            books
+                .ask(LATER, who(2), (0, 0), wants(100), LONG)
+                .unwrap()
+                .units,
+            0
+        );
         // The first one hears that it has half now, but has not said so.
-        let second = books.ask(LATER + 100, who(1), (7, first.no), wants(100), LONG).unwrap();
+        let second = books
+            .ask(LATER + 100, who(1), (7, first.no), wants(100), LONG)
+            .unwrap();
         assert_eq!(second.units, 50);
-        assert_eq!(books.ask(LATER + 200, who(2), (0, 0), wants(100), LONG).unwrap().units, 0);
+        assert_eq!(
+            books
+                .ask(LATER + 200, who(2), (0, 0), wants(100), LONG)
+                .unwrap()
+                .units,
+            0
+        );
         // It holds the second part and no other.
         let _ = books.ask(LATER + 300, who(1), (7, second.no), wants(100), LONG);
-        assert_eq!(books.ask(LATER + 300, who(2), (0, 0), wants(100), LONG).unwrap().units, 50);
+        assert_eq!(
+            books
+                .ask(LATER + 300, who(2), (0, 0), wants(100), LONG)
+                .unwrap()
+                .units,
+            50
+        );
         // It is heard of no more: its units come back after their time, and not before.
         let ends = LATER + 300 + longer(TERM);
-        assert_eq!(books.ask(ends - 1, who(2), (0, 0), wants(100), LONG).unwrap().units, 50);
-        assert_eq!(books.ask(ends, who(2), (0, 0), wants(100), LONG).unwrap().units, 50); // the first one is still owed its half
-        assert_eq!(books.ask(ends + 5 * TERM, who(2), (0, 0), wants(100), LONG).unwrap().units, 100);
+        assert_eq!(
+            books
+                .ask(ends - 1, who(2), (0, 0), wants(100), LONG)
+                .unwrap()
+                .units,
+            50
+        );
+        assert_eq!(
+            books
+                .ask(ends, who(2), (0, 0), wants(100), LONG)
+                .unwrap()
+                .units,
+            50
+        ); // the first one is still owed its half
+        assert_eq!(
+            books
+                .ask(ends + 5 * TERM, who(2), (0, 0), wants(100), LONG)
+                .unwrap()
+                .units,
+            100
+        );
     }
 
-    /// A number of another book is no word about this one: what is under way to the borrower stays lent.
+    /// A number of another book is no word about this one: what is under way to the borrower stays
+    /// lent.
     #[test]
     fn what_is_held_of_another_book_frees_nothing() {
         let mut books = begun();
-        assert_eq!(books.ask(LATER, who(1), (0, 0), wants(100), LONG).unwrap().units, 100);
+        assert_eq!(
+            books
+                .ask(LATER, who(1), (0, 0), wants(100), LONG)
+                .unwrap()
+                .units,
+            100
+        );
         let _ = books.ask(LATER + 1, who(2), (0, 0), wants(100), LONG);
         let _ = books.ask(LATER + 2, who(1), (3, 99), wants(100), LONG);
-        assert_eq!(books.ask(LATER + 3, who(2), (3, 99), wants(100), LONG).unwrap().units, 0);
+        assert_eq!(
+            books
+                .ask(LATER + 3, who(2), (3, 99), wants(100), LONG)
+                .unwrap()
+                .units,
+            0
+        );
     }
 
     /// Calls in hand at the end of a part go on for a while: their units are not lent again before.
@@ -219,8 +331,20 @@
         let mut books = Treasury::new(0, 7, 100, TERM, 500, 64);
         let _ = books.ask(LATER, who(1), (0, 0), wants(100), LONG);
         let ends = LATER + longer(TERM);
-        assert_eq!(books.ask(ends + 499, who(2), (0, 0), wants(100), LONG).unwrap().units, 0);
-        assert!(books.ask(ends + 500, who(2), (0, 0), wants(100), LONG).unwrap().units >= 50);
+        assert_eq!(
+            books
+                .ask(ends + 499, who(2), (0, 0), wants(100), LONG)
+                .unwrap()
+                .units,
+            0
+        );
+        assert!(
+            books
+                .ask(ends + 500, who(2), (0, 0), wants(100), LONG)
+                .unwrap()
+                .units
+                >= 50
+        );
     }
 
     #[test]
@@ -229,7 +353,13 @@
         let old = books.ask(LATER, who(1), (0, 0), wants(100), LONG).unwrap();
         assert_eq!(old.units, 100);
         let new = Who { key: 1, life: 77 };
-        assert_eq!(books.ask(LATER + 10, new, (0, 0), wants(100), LONG).unwrap().units, 0);
+        assert_eq!(
+            books
+                .ask(LATER + 10, new, (0, 0), wants(100), LONG)
+                .unwrap()
+                .units,
+            0
+        );
     }
 
     #[test]
@@ -237,15 +367,32 @@
         let mut books = begun();
         let part = books.ask(LATER, who(1), (0, 0), wants(100), LONG).unwrap();
         books.resize(30);
-        assert_eq!(books.ask(LATER + 1, who(2), (0, 0), wants(30), LONG).unwrap().units, 0);
-        assert_eq!(books.ask(LATER + 2, who(1), (7, part.no), wants(100), LONG).unwrap().units, 15);
-        assert_eq!(books.ask(LATER + 3, who(1), (7, part.no), wants(100), LATER + 500), None);
+        assert_eq!(
+            books
+                .ask(LATER + 1, who(2), (0, 0), wants(30), LONG)
+                .unwrap()
+                .units,
+            0
+        );
+        assert_eq!(
+            books
+                .ask(LATER + 2, who(1), (7, part.no), wants(100), LONG)
+                .unwrap()
+                .units,
+            15
+        );
+        assert_eq!(
+            books.ask(LATER + 3, who(1), (7, part.no), wants(100), LATER + 500),
+            None
+        );
     }
 
     #[test]
     fn accounts_are_bounded_and_those_long_silent_forgotten() {
         let mut books = Treasury::new(0, 7, 100, TERM, 0, 3);
-        let lent = (1..=5).filter(|n| books.ask(LATER, who(*n), (0, 0), wants(1), LONG).is_some()).count();
+        let lent = (1..=5)
+            .filter(|n| books.ask(LATER, who(*n), (0, 0), wants(1), LONG).is_some())
+            .count();
         assert_eq!((lent, books.borrowers()), (3, 3));
         let _ = books.ask(LATER + 20 * TERM, who(1), (0, 0), wants(1), LONG);
         assert_eq!(books.borrowers(), 1);
--- a/crates/shared/src/wire.rs
+++ b/crates/shared/src/wire.rs
@@ -1,5 +1,6 @@
-//! What nodes tell each other about what they share, as it travels in the fleet's parcels: Protocol Buffers, fields by number,
-//! unknown ones passed over; a message of an unknown kind is none for this node.
+//! What nodes tell each other about what they share, as it travels in the fleet's parcels: Protocol
+//! Buffers, fields by number, unknown ones passed over; a message of an unknown kind is none for
+//! this node.
 //!
 //! | field of `Parcel` | is |
 //! | --- | --- |
@@ -201,8 +202,8 @@
     waits: Vec<u32>,
 }
 
-/// Whether this is a build with a later version of the messages: a field more in each, one less in some, and kinds that the present
-/// version does not know. For tests of both side by side.
+/// Whether this is a build with a later version of the messages: a field more in each, one less in
+/// some, and kinds that the present version does not know. For tests of both side by side.
 pub const LATER: bool = cfg!(feature = "later");
 /// A field that the present version does not know: number 250, a text.
 const LATER_FIELD: [u8; 8] = [0xd2, 0x0f, 5, b'l', b'a', b't', b'e', b'r'];
@@ -211,7 +212,13 @@
 
 /// A parcel of a kind that the present version does not know.
 pub fn later_kind() -> Vec<u8> {
-    later(Parcel { kind: LATER_KIND, ..Parcel::default() }.encode_to_vec())
+    later(
+        Parcel {
+            kind: LATER_KIND,
+            ..Parcel::default()
+        }
+        .encode_to_vec(),
+    )
 }
 
 /// What a later version adds to a message.
@@ -294,71 +301,125 @@
 }
 
 fn process(who: Who) -> Option<Process> {
-    Some(Process { key: who.key, life: who.life })
+    Some(Process {
+        key: who.key,
+        life: who.life,
+    })
 }
 
 fn who(process: Option<Process>) -> Option<Who> {
-    process.map(|p| Who { key: p.key, life: p.life })
+    process.map(|p| Who {
+        key: p.key,
+        life: p.life,
+    })
 }
 
 fn write_rows(rows: &Rows) -> Vec<CountRow> {
-    rows.iter().map(|(row, numbers)| CountRow { row: *row, numbers: numbers.to_vec() }).collect()
+    rows.iter()
+        .map(|(row, numbers)| CountRow {
+            row: *row,
+            numbers: numbers.to_vec(),
+        })
+        .collect()
 }
 
 fn read_rows(rows: &[CountRow]) -> Option<Rows> {
     let read = |row: &CountRow| {
         let mut numbers = counts::Row::default();
-        numbers.iter_mut().zip(&row.numbers).for_each(|(into, number)| *into = *number);
+        numbers
+            .iter_mut()
+            .zip(&row.numbers)
+            .for_each(|(into, number)| *into = *number);
         (row.numbers.len() <= COLUMNS).then_some((row.row, numbers))
     };
-    if rows.len() > ROWS_MAX { None } else { rows.iter().map(read).collect() }
+    if rows.len() > ROWS_MAX {
+        None
+    } else {
+        rows.iter().map(read).collect()
+    }
 }
 
 fn write_latency(row: u32, sparse: &Sparse) -> Latencies {
     let before = std::iter::once(0).chain(sparse.iter().map(|(value, _)| *value));
-    let values = sparse.iter().zip(before).map(|((value, _), before)| value.saturating_sub(before)).collect();
-    Latencies { row, values, counts: sparse.iter().map(|(_, count)| *count).collect() }
+    let values = sparse
+        .iter()
+        .zip(before)
+        .map(|((value, _), before)| value.saturating_sub(before))
+        .collect();
+    Latencies {
+        row,
+        values,
+        counts: sparse.iter().map(|(_, count)| *count).collect(),
+    }
 }
 
 fn read_latency(latency: &Latencies) -> Option<(u32, Sparse)> {
     let n = latency.values.len();
     let mut at = 0u32;
-    let sparse = latency.values.iter().zip(&latency.counts).map(|(more, count)| {
-        at = at.saturating_add(*more);
-        (at, *count)
-    });
+    let sparse = latency
+        .values
+        .iter()
+        .zip(&latency.counts)
+        .map(|(more, count)| {
+            at = at.saturating_add(*more);
+            (at, *count)
+        });
     (n == latency.counts.len() && n <= VALUES_MAX).then(|| (latency.row, sparse.collect()))
 }
 
 fn write_heavy(kind: u8, heavy: &Heavy, most: usize) -> HeavyKeys {
     let (keys, counts) = heavy.most().into_iter().take(most).unzip();
-    HeavyKeys { kind: u32::from(kind), total: heavy.total, keys, counts }
+    HeavyKeys {
+        kind: u32::from(kind),
+        total: heavy.total,
+        keys,
+        counts,
+    }
 }
 
 fn read_heavy(heavy: &HeavyKeys) -> Option<(u8, Heavy)> {
     let fits = heavy.keys.len() == heavy.counts.len() && heavy.keys.len() <= ENTRIES;
     let pairs = heavy.keys.iter().copied().zip(heavy.counts.iter().copied());
-    u8::try_from(heavy.kind).ok().filter(|_| fits).map(|kind| (kind, Heavy::of(heavy.total, pairs)))
+    u8::try_from(heavy.kind)
+        .ok()
+        .filter(|_| fits)
+        .map(|kind| (kind, Heavy::of(heavy.total, pairs)))
 }
 
 fn write_window(no: u64, window: &counts::Window) -> Window {
     Window {
         no,
         rows: write_rows(&window.rows),
-        latency: window.latency.iter().map(|(row, sparse)| write_latency(*row, sparse)).collect(),
-        heavy: window.heavy.iter().map(|(kind, heavy)| write_heavy(*kind, heavy, ENTRIES)).collect(),
+        latency: window
+            .latency
+            .iter()
+            .map(|(row, sparse)| write_latency(*row, sparse))
+            .collect(),
+        heavy: window
+            .heavy
+            .iter()
+            .map(|(kind, heavy)| write_heavy(*kind, heavy, ENTRIES))
+            .collect(),
         gauges: window.gauges.to_vec(),
     }
 }
 
 fn read_window(window: &Window) -> Option<(u64, counts::Window)> {
-    let fits =
-        window.latency.len() <= ROWS_MAX && window.heavy.len() <= HEAVY_MAX && window.gauges.len() <= 2;
+    let fits = window.latency.len() <= ROWS_MAX
+        && window.heavy.len() <= HEAVY_MAX
+        && window.gauges.len() <= 2;
     let mut gauges = [0; 2];
-    gauges.iter_mut().zip(&window.gauges).for_each(|(into, gauge)| *into = *gauge);
+    gauges
+        .iter_mut()
+        .zip(&window.gauges)
+        .for_each(|(into, gauge)| *into = *gauge);
     let read = counts::Window {
         rows: read_rows(&window.rows)?,
-        latency: window.latency.iter().map(read_latency).collect::<Option<_>>()?,
+        latency: window
+            .latency
+            .iter()
+            .map(read_latency)
+            .collect::<Option<_>>()?,
         heavy: window.heavy.iter().map(read_heavy).collect::<Option<_>>()?,
         gauges,
     };
@@ -366,19 +427,42 @@
 }
 
 fn write_counts(word: &Word) -> CountWord {
-    let windows = word.windows.iter().map(|(no, window)| write_window(*no, window)).collect();
-    CountWord { who: process(word.who), label: word.label, rows: write_rows(&word.total), windows }
+    let windows = word
+        .windows
+        .iter()
+        .map(|(no, window)| write_window(*no, window))
+        .collect();
+    CountWord {
+        who: process(word.who),
+        label: word.label,
+        rows: write_rows(&word.total),
+        windows,
+    }
 }
 
 fn read_counts(word: &CountWord) -> Option<Word> {
     let total = read_rows(&word.rows)?;
-    let windows: BTreeMap<_, _> = word.windows.iter().map(read_window).collect::<Option<_>>()?;
-    (windows.len() <= WINDOWS).then_some(Word { who: who(word.who)?, label: word.label, total, windows })
+    let windows: BTreeMap<_, _> = word
+        .windows
+        .iter()
+        .map(read_window)
+        .collect::<Option<_>>()?;
+    (windows.len() <= WINDOWS).then_some(Word {
+        who: who(word.who)?,
+        label: word.label,
+        total,
+        windows,
+    })
 }
 
-/// Cuts a word into parts that each fit a parcel. As of each number the larger holds, it does not matter which of them come.
+/// Cuts a word into parts that each fit a parcel. As of each number the larger holds, it does not
+/// matter which of them come.
 pub fn split(word: &Word) -> Vec<Word> {
-    let empty = || Word { total: Rows::new(), windows: BTreeMap::new(), ..word.clone() };
+    let empty = || Word {
+        total: Rows::new(),
+        windows: BTreeMap::new(),
+        ..word.clone()
+    };
     let mut parts: Vec<Word> = vec![empty()];
     let mut put = |with: &dyn Fn(&mut Word)| {
         if let Some(last) = parts.last_mut() {
@@ -399,19 +483,41 @@
     for (no, window) in &word.windows {
         put(&|part| part.windows.entry(*no).or_default().gauges = window.gauges);
         for (row, numbers) in &window.rows {
-            put(&|part| _ = part.windows.entry(*no).or_default().rows.insert(*row, *numbers));
+            put(&|part| {
+                _ = part
+                    .windows
+                    .entry(*no)
+                    .or_default()
+                    .rows
+                    .insert(*row, *numbers)
+            });
         }
         for (row, sparse) in &window.latency {
-            put(&|part| _ = part.windows.entry(*no).or_default().latency.insert(*row, sparse.clone()));
+            put(&|part| {
+                _ = part
+                    .windows
+                    .entry(*no)
+                    .or_default()
+                    .latency
+                    .insert(*row, sparse.clone())
+            });
         }
         for (kind, heavy) in &window.heavy {
-            put(&|part| _ = part.windows.entry(*no).or_default().heavy.insert(*kind, heavy.clone()));
+            put(&|part| {
+                _ = part
+                    .windows
+                    .entry(*no)
+                    .or_default()
+                    .heavy
+                    .insert(*kind, heavy.clone())
+            });
         }
     }
     parts
 }
 
-/// What a part of a word may take, with room for the frame of the parcel; the largest piece of one is smaller.
+/// What a part of a word may take, with room for the frame of the parcel; the largest piece of one
+/// is smaller.
 const COUNTS_FIT: usize = PARCEL_MAX - 40;
 /// Heavy keys of each kind in sums.
 const HEAVY_TOLD: usize = 5;
@@ -423,12 +529,22 @@
         gone: sums.gone,
         total: write_rows(&sums.total),
         minute: write_rows(&minute.rows),
-        heavy: minute.heavy.iter().map(|(kind, heavy)| write_heavy(*kind, heavy, HEAVY_TOLD)).collect(),
-        latency: minute.latency.iter().map(|(row, sparse)| write_latency(*row, sparse)).collect(),
+        heavy: minute
+            .heavy
+            .iter()
+            .map(|(kind, heavy)| write_heavy(*kind, heavy, HEAVY_TOLD))
+            .collect(),
+        latency: minute
+            .latency
+            .iter()
+            .map(|(row, sparse)| write_latency(*row, sparse))
+            .collect(),
         until_ms: sums.until_ms,
     };
     // Of many operations the last ones are told without latencies, then not at all.
-    while word.encoded_len() > COUNTS_FIT && (word.latency.pop().is_some() || word.minute.pop().is_some()) {}
+    while word.encoded_len() > COUNTS_FIT
+        && (word.latency.pop().is_some() || word.minute.pop().is_some())
+    {}
     while word.encoded_len() > COUNTS_FIT && word.total.pop().is_some() {}
     word
 }
@@ -436,20 +552,37 @@
 fn read_sums(word: &SumWord) -> Option<Sums> {
     let minute = counts::Window {
         rows: read_rows(&word.minute)?,
-        latency: word.latency.iter().map(read_latency).collect::<Option<_>>()?,
+        latency: word
+            .latency
+            .iter()
+            .map(read_latency)
+            .collect::<Option<_>>()?,
         heavy: word.heavy.iter().map(read_heavy).collect::<Option<_>>()?,
         gauges: [0; 2],
     };
     let (processes, gone, until_ms) = (word.processes, word.gone, word.until_ms);
-    Some(Sums { processes, gone, total: read_rows(&word.total)?, minute, until_ms })
+    Some(Sums {
+        processes,
+        gone,
+        total: read_rows(&word.total)?,
+        minute,
+        until_ms,
+    })
 }
 
 fn read_have(known: &Known) -> Option<Have> {
     let n = known.keys.len();
     let fits = n <= HAVE_MAX && known.lives.len() == n && known.marks.len() == n;
-    let who = known.keys.iter().zip(&known.lives).map(|(key, life)| Who { key: *key, life: *life });
+    let who = known.keys.iter().zip(&known.lives).map(|(key, life)| Who {
+        key: *key,
+        life: *life,
+    });
     let marks = who.zip(known.marks.iter().copied()).collect();
-    fits.then_some(Have { from: known.from, to: known.to, marks })
+    fits.then_some(Have {
+        from: known.from,
+        to: known.to,
+        marks,
+    })
 }
 
 /// Writes what is told. Counts that don't fit one parcel are cut by [`split`] first.
@@ -490,7 +623,12 @@
 fn budgets(parcel: &mut Parcel, message: &Message) {
     match message {
         Message::Want { no } => (parcel.kind, parcel.no) = (1, *no),
-        Message::Word { no, given, holder, left } => {
+        Message::Word {
+            no,
+            given,
+            holder,
+            left,
+        } => {
             (parcel.kind, parcel.no, parcel.given, parcel.left) = (2, *no, *given, *left);
             parcel.who = holder.and_then(process);
         }
@@ -537,7 +675,9 @@
         Message::LendKeys(lent) => {
             (parcel.kind, parcel.no, parcel.stamp) = (11, u64::from(lent.no), lent.stamp);
             parcel.life = lent.life;
-            let (all, ms) = (&lent.keys, |nanos: Nanos| nanos.div_ceil(crate::MILLISECOND) as u32);
+            let (all, ms) = (&lent.keys, |nanos: Nanos| {
+                nanos.div_ceil(crate::MILLISECOND) as u32
+            });
             parcel.keys = Some(Keys {
                 budgets: all.iter().map(|k| k.budget).collect(),
                 keys: all.iter().map(|k| k.key).collect(),
@@ -553,7 +693,9 @@
 /// What is asked of keys, or lent; nothing if its lists don't fit each other.
 fn asked(keys: Keys) -> Option<Vec<KeyAsk>> {
     let n = keys.keys.len();
-    let fits = [&keys.budgets, &keys.left, &keys.back, &keys.units].iter().all(|list| list.len() == n);
+    let fits = [&keys.budgets, &keys.left, &keys.back, &keys.units]
+        .iter()
+        .all(|list| list.len() == n);
     (fits && n <= KEYS_ASKED).then(|| {
         let one = |at: usize| KeyAsk {
             budget: keys.budgets[at],
@@ -568,7 +710,9 @@
 
 fn keys_lent(keys: Keys) -> Option<Vec<KeyLent>> {
     let n = keys.keys.len();
-    let fits = [&keys.budgets, &keys.units, &keys.waits].iter().all(|list| list.len() == n);
+    let fits = [&keys.budgets, &keys.units, &keys.waits]
+        .iter()
+        .all(|list| list.len() == n);
     (fits && n <= KEYS_ASKED).then(|| {
         let one = |at: usize| KeyLent {
             budget: keys.budgets[at],
@@ -580,27 +724,45 @@
     })
 }
 
-/// Reads what was told; nothing if it can't be read, is beyond its bounds, or is of a kind that is not known.
+/// Reads what was told; nothing if it can't be read, is beyond its bounds, or is of a kind that is
+/// not known.
 pub fn read(bytes: &[u8]) -> Option<Told> {
-    let parcel = Parcel::decode(bytes).ok().filter(|_| bytes.len() <= PARCEL_MAX)?;
+    let parcel = Parcel::decode(bytes)
+        .ok()
+        .filter(|_| bytes.len() <= PARCEL_MAX)?;
     if parcel.wants.len() > BUDGETS_MAX || parcel.parts.len() > BUDGETS_MAX {
         return None;
     }
     let Parcel { no, stamp, .. } = parcel;
     Some(Told::Budgets(match parcel.kind {
         1 => Message::Want { no },
-        2 => Message::Word { no, given: parcel.given, holder: who(parcel.who), left: parcel.left },
+        2 => Message::Word {
+            no,
+            given: parcel.given,
+            holder: who(parcel.who),
+            left: parcel.left,
+        },
         3 => Message::GiveBack { no },
         4 => {
             // A value that is no number would upset who gets how much.
-            let sane = |value: f64| if value.is_finite() { value.clamp(0.0, 1e6) } else { 0.0 };
+            let sane = |value: f64| {
+                if value.is_finite() {
+                    value.clamp(0.0, 1e6)
+                } else {
+                    0.0
+                }
+            };
             let want = |w: &Wanted| Want {
                 budget: w.budget,
                 holds: (w.book, w.no),
                 units: w.units,
                 value: sane(w.value),
             };
-            Message::Ask { stamp, zone: parcel.zone, wants: parcel.wants.iter().map(want).collect() }
+            Message::Ask {
+                stamp,
+                zone: parcel.zone,
+                wants: parcel.wants.iter().map(want).collect(),
+            }
         }
         5 => {
             let longest: Nanos = 3600 * crate::SECOND;
@@ -618,32 +780,62 @@
                     },
                 )
             };
-            Message::Lend { stamp, parts: parcel.parts.iter().map(part).collect() }
+            Message::Lend {
+                stamp,
+                parts: parcel.parts.iter().map(part).collect(),
+            }
         }
-        6 => Message::Elsewhere { lender: who(parcel.who) },
+        6 => Message::Elsewhere {
+            lender: who(parcel.who),
+        },
         7 => Message::Leave,
-        9 => return Some(Told::Evidence(parcel.evidence.iter().filter_map(witness).collect())),
+        9 => {
+            return Some(Told::Evidence(
+                parcel.evidence.iter().filter_map(witness).collect(),
+            ));
+        }
         12 => return Some(Told::Counts(Box::new(read_counts(&parcel.counts?)?))),
         13 => return Some(Told::Have(read_have(&parcel.known?)?)),
         14 => return Some(Told::AskSums),
         15 => return Some(Told::Sums(Box::new(read_sums(&parcel.sums?)?))),
         10 => {
             let no = u32::try_from(no).ok()?;
-            Message::AskKeys(KeysAsked { no, stamp, keys: asked(parcel.keys?)? })
+            Message::AskKeys(KeysAsked {
+                no,
+                stamp,
+                keys: asked(parcel.keys?)?,
+            })
         }
         11 => {
             let no = u32::try_from(no).ok()?;
             let life = parcel.life.min(3600 * crate::SECOND);
-            Message::LendKeys(KeysLent { no, stamp, life, keys: keys_lent(parcel.keys?)? })
+            Message::LendKeys(KeysLent {
+                no,
+                stamp,
+                life,
+                keys: keys_lent(parcel.keys?)?,
+            })
         }
         _ => return None,
     }))
 }
 
 fn witness(w: &Witness) -> Option<(u64, Evidence)> {
-    let level = if w.level.is_finite() { w.level.clamp(0.0, 1.0) } else { return None };
+    let level = if w.level.is_finite() {
+        w.level.clamp(0.0, 1.0)
+    } else {
+        return None;
+    };
     let failed = w.failed.min(w.tries);
-    Some((w.service, Evidence { zone: w.zone, tries: w.tries, failed, level }))
+    Some((
+        w.service,
+        Evidence {
+            zone: w.zone,
+            tries: w.tries,
+            failed,
+            level,
+        },
+    ))
 }
 
 #[cfg(test)]
@@ -653,48 +845,120 @@
     use rand_pcg::Pcg64Mcg;
 
     fn all() -> Vec<Told> {
-        let someone = Who { key: 1 << 60, life: 77 };
-        let part =
-            Part { book: 9, no: 3, units: 40, term: 1_500_000_000, wanted: 90, borrowers: 3, pool: 60 };
-        let want = Want { budget: 2, holds: (9, 2), units: 7, value: 1.5 };
+        let someone = Who {
+            key: 1 << 60,
+            life: 77,
+        };
+        let part = Part {
+            book: 9,
+            no: 3,
+            units: 40,
+            term: 1_500_000_000,
+            wanted: 90,
+            borrowers: 3,
+            pool: 60,
+        };
+        let want = Want {
+            budget: 2,
+            holds: (9, 2),
+            units: 7,
+            value: 1.5,
+        };
         let budgets = [
             Message::Want { no: 4 },
-            Message::Word { no: 4, given: true, holder: Some(someone), left: 0 },
-            Message::Word { no: 4, given: false, holder: None, left: 9 },
+            Message::Word {
+                no: 4,
+                given: true,
+                holder: Some(someone),
+                left: 0,
+            },
+            Message::Word {
+                no: 4,
+                given: false,
+                holder: None,
+                left: 9,
+            },
             Message::GiveBack { no: 4 },
-            Message::Ask { stamp: 12, zone: 3, wants: vec![want, Want { budget: 0, ..want }] },
-            Message::Lend { stamp: 12, parts: vec![(2, part)] },
-            Message::Elsewhere { lender: Some(someone) },
+            Message::Ask {
+                stamp: 12,
+                zone: 3,
+                wants: vec![want, Want { budget: 0, ..want }],
+            },
+            Message::Lend {
+                stamp: 12,
+                parts: vec![(2, part)],
+            },
+            Message::Elsewhere {
+                lender: Some(someone),
+            },
             Message::Leave,
             Message::AskKeys(KeysAsked {
                 no: 7,
                 stamp: 12,
-                keys: vec![KeyAsk { budget: 5, key: 1 << 50, left: 0, back: 300, wants: 2 }; 2],
+                keys: vec![
+                    KeyAsk {
+                        budget: 5,
+                        key: 1 << 50,
+                        left: 0,
+                        back: 300,
+                        wants: 2
+                    };
+                    2
+                ],
             }),
             Message::LendKeys(KeysLent {
                 no: 7,
                 stamp: 12,
                 life: 3_000_000_000,
-                keys: vec![KeyLent { budget: 5, key: 1 << 50, adds: 4, wait: 250_000_000 }],
+                keys: vec![KeyLent {
+                    budget: 5,
+                    key: 1 << 50,
+                    adds: 4,
+                    wait: 250_000_000,
+                }],
             }),
         ];
         let mut told: Vec<Told> = budgets.into_iter().map(Told::Budgets).collect();
         let rows = Rows::from([(7, [1, 0, 300, 0, 0, 9, 1 << 40, 0]), (0, [3; COLUMNS])]);
         let latency = BTreeMap::from([(7, vec![(3, 1), (200, 4), (90_000, 1)])]);
         let heavy = BTreeMap::from([(0, Heavy::of(30, [(5, 9), (1 << 60, 8)].into_iter()))]);
-        let window = counts::Window { rows: rows.clone(), latency, heavy, gauges: [12_000, 40] };
+        let window = counts::Window {
+            rows: rows.clone(),
+            latency,
+            heavy,
+            gauges: [12_000, 40],
+        };
         let windows = BTreeMap::from([(180_000_000, window.clone())]);
-        told.push(Told::Counts(Box::new(Word { who: someone, label: 77, total: rows.clone(), windows })));
+        told.push(Told::Counts(Box::new(Word {
+            who: someone,
+            label: 77,
+            total: rows.clone(),
+            windows,
+        })));
         told.push(Told::Have(Have {
             from: 0,
             to: u64::MAX,
             marks: vec![(someone, 12), (Who::default(), 0)],
         }));
         told.push(Told::AskSums);
-        let minute = counts::Window { gauges: [0; 2], ..window };
-        let sums = Sums { processes: 3, gone: 1, total: rows, minute, until_ms: 1 << 40 };
+        let minute = counts::Window {
+            gauges: [0; 2],
+            ..window
+        };
+        let sums = Sums {
+            processes: 3,
+            gone: 1,
+            total: rows,
+            minute,
+            until_ms: 1 << 40,
+        };
         told.push(Told::Sums(Box::new(sums)));
-        let evidence = Evidence { zone: 1, tries: 20, failed: 3, level: 0.25 };
+        let evidence = Evidence {
+            zone: 1,
+            tries: 20,
+            failed: 3,
+            level: 0.25,
+        };
         told.push(Told::Evidence(vec![(5, evidence)]));
         told
     }
@@ -710,22 +974,56 @@
 
     #[test]
     fn the_largest_question_about_keys_fits_a_parcel_and_lists_that_differ_are_refused() {
-        let key = KeyAsk { budget: u32::MAX, key: u64::MAX, left: 1 << 20, back: 1 << 20, wants: 1 << 20 };
+        let key = KeyAsk {
+            budget: u32::MAX,
+            key: u64::MAX,
+            left: 1 << 20,
+            back: 1 << 20,
+            wants: 1 << 20,
+        };
         let keys = vec![key; KEYS_ASKED];
-        let bytes = write(&Told::Budgets(Message::AskKeys(KeysAsked { no: 1, stamp: 1 << 60, keys })));
-        assert!(bytes.len() <= PARCEL_MAX && read(&bytes).is_some(), "{}", bytes.len());
-        let keys = Some(Keys { budgets: vec![1], keys: vec![1, 2], ..Keys::default() });
-        assert_eq!(read(&Parcel { kind: 10, keys, ..Parcel::default() }.encode_to_vec()), None);
+        let bytes = write(&Told::Budgets(Message::AskKeys(KeysAsked {
+            no: 1,
+            stamp: 1 << 60,
+            keys,
+        })));
+        assert!(
+            bytes.len() <= PARCEL_MAX && read(&bytes).is_some(),
+            "{}",
+            bytes.len()
+        );
+        let keys = Some(Keys {
+            budgets: vec![1],
+            keys: vec![1, 2],
+            ..Keys::default()
+        });
+        assert_eq!(
+            read(
+                &Parcel {
+                    kind: 10,
+                    keys,
+                    ..Parcel::default()
+                }
+                .encode_to_vec()
+            ),
+            None
+        );
     }
 
-    /// A word of many operations is cut into parts that fit, and whoever hears all of them has the whole.
+    /// A word of many operations is cut into parts that fit, and whoever hears all of them has the
+    /// whole.
     #[test]
     fn words_that_don_t_fit_are_cut_and_add_up_again() {
         let mut rng = Pcg64Mcg::seed_from_u64(5);
         let mut tally = counts::Tally::new(1 << 40);
         for n in 0..20_000u64 {
             let (unix, row) = ((1 << 40) + n * 3, rng.random_range(1..14));
-            tally.add(unix, row, rng.random_range(0..COLUMNS), rng.random_range(0..1 << 30));
+            tally.add(
+                unix,
+                row,
+                rng.random_range(0..COLUMNS),
+                rng.random_range(0..1 << 30),
+            );
             tally.took(unix, row, rng.random_range(1_000_000..2_000_000_000));
             tally.heavy(unix, rng.random_range(0..3), rng.random_range(0..200));
         }
@@ -737,12 +1035,20 @@
         for part in cut {
             let bytes = write(&Told::Counts(Box::new(part)));
             assert!(bytes.len() <= PARCEL_MAX, "{}", bytes.len());
-            let Some(Told::Counts(read)) = read(&bytes) else { panic!("counts") };
+            let Some(Told::Counts(read)) = read(&bytes) else {
+                panic!("counts")
+            };
             parts.hear(0, &read);
         }
         assert_eq!(whole.word(word.who), parts.word(word.who));
         let minute = whole.lately(u64::MAX, u64::MAX, |_, _| true);
-        let sums = Sums { processes: 1, gone: 0, total: whole.total(), minute, until_ms: 1 };
+        let sums = Sums {
+            processes: 1,
+            gone: 0,
+            total: whole.total(),
+            minute,
+            until_ms: 1,
+        };
         assert!(write(&Told::Sums(Box::new(sums))).len() <= PARCEL_MAX);
     }
 
@@ -751,16 +1057,43 @@
         let mut bytes = write(&Told::Budgets(Message::Want { no: 4 }));
         bytes.extend([0xfa, 0x01, 0x01, b'x']); // a field 31
         assert_eq!(read(&bytes), Some(Told::Budgets(Message::Want { no: 4 })));
-        assert_eq!(read(&Parcel { kind: 40, ..Parcel::default() }.encode_to_vec()), None);
+        assert_eq!(
+            read(
+                &Parcel {
+                    kind: 40,
+                    ..Parcel::default()
+                }
+                .encode_to_vec()
+            ),
+            None
+        );
     }
 
     #[test]
     fn values_that_make_no_sense_are_taken_for_ones_that_do() {
         let wild = Told::Evidence(vec![
-            (5, Evidence { zone: 1, tries: 2, failed: 9, level: 7.0 }),
-            (6, Evidence { zone: 1, tries: 2, failed: 0, level: f64::NAN }),
+            (
+                5,
+                Evidence {
+                    zone: 1,
+                    tries: 2,
+                    failed: 9,
+                    level: 7.0,
+                },
+            ),
+            (
+                6,
+                Evidence {
+                    zone: 1,
+                    tries: 2,
+                    failed: 0,
+                    level: f64::NAN,
+                },
+            ),
         ]);
-        let Some(Told::Evidence(read)) = read(&write(&wild)) else { panic!("evidence") };
+        let Some(Told::Evidence(read)) = read(&write(&wild)) else {
+            panic!("evidence")
+        };
         assert_eq!((read.len(), read[0].1.failed, read[0].1.level), (1, 2, 1.0));
     }
 
@@ -779,7 +1112,9 @@
             }
         }
         for _ in 0..2000 {
-            let noise: Vec<u8> = (0..rng.random_range(0..300)).map(|_| rng.random()).collect();
+            let noise: Vec<u8> = (0..rng.random_range(0..300))
+                .map(|_| rng.random())
+                .collect();
             let _ = read(&noise);
         }
     }
--- a/crates/shared/tests/budgets.rs
+++ b/crates/shared/tests/budgets.rs
@@ -1,5 +1,5 @@
-//! The hard cases of a budget that a fleet shares, over simulated time: never over the limit, and what is unused is used again
-//! soon.
+//! The hard cases of a budget that a fleet shares, over simulated time: never over the limit, and
+//! what is unused is used again soon.
 
 use madderpoint_shared::sim::{Load, Plan, Sim, Way};
 use madderpoint_shared::{Budget, Kind, Nanos};
@@ -39,15 +39,31 @@
     Box::new(|_, _| 200.0)
 }
 
-/// Never over, at any moment: units that all hold together, and the calls that the service below counted.
+/// Never over, at any moment: units that all hold together, and the calls that the service below
+/// counted.
 fn run_within(sim: &mut Sim, time: Nanos) {
     for _ in 0..time / (20 * MS) {
         sim.run(20 * MS);
         let (spendable, limit) = (sim.spendable(), sim.plan.budget.limit);
-        assert!(spendable <= limit, "seed {}: {spendable} at {} ms", sim.plan.seed, sim.now / MS);
+        assert!(
+            spendable <= limit,
+            "seed {}: {spendable} at {} ms",
+            sim.plan.seed,
+            sim.now / MS
+        );
     }
-    assert!(sim.measured.worst_over <= 0.0, "seed {}: {:?}", sim.plan.seed, sim.measured.worst_over);
-    assert!(sim.lenders_most <= 1, "seed {}: {} lend at once", sim.plan.seed, sim.lenders_most);
+    assert!(
+        sim.measured.worst_over <= 0.0,
+        "seed {}: {:?}",
+        sim.plan.seed,
+        sim.measured.worst_over
+    );
+    assert!(
+        sim.lenders_most <= 1,
+        "seed {}: {} lend at once",
+        sim.plan.seed,
+        sim.lenders_most
+    );
 }
 
 /// The share of the limit that was used in the last seconds.
@@ -76,7 +92,8 @@
     }
 }
 
-/// Thirds that each hear only themselves, each with full demand: one of them may lend, the others fall to their floors.
+/// Thirds that each hear only themselves, each with full demand: one of them may lend, the others
+/// fall to their floors.
 #[test]
 fn a_partition_in_thirds_stays_within_the_limit() {
     for seed in 0..4 {
@@ -110,7 +127,13 @@
         for lender_is_heard in [true, false] {
             let mut sim = Sim::new(plan(8, seed), full());
             run_within(&mut sim, 10 * S);
-            sim.cut(move |a, b| if lender_is_heard { b < 3 && a >= 3 } else { a < 3 && b >= 3 });
+            sim.cut(move |a, b| {
+                if lender_is_heard {
+                    b < 3 && a >= 3
+                } else {
+                    a < 3 && b >= 3
+                }
+            });
             run_within(&mut sim, 12 * S);
             sim.cut(|_, _| false);
             run_within(&mut sim, 8 * S);
@@ -122,7 +145,13 @@
 #[test]
 fn pauses_crashes_and_cold_returns_by_seed_stay_within_the_limit() {
     for seed in 0..25u64 {
-        let mut sim = Sim::new(Plan { loss: [0.0, 0.05, 0.3][seed as usize % 3], ..plan(9, seed) }, full());
+        let mut sim = Sim::new(
+            Plan {
+                loss: [0.0, 0.05, 0.3][seed as usize % 3],
+                ..plan(9, seed)
+            },
+            full(),
+        );
         run_within(&mut sim, 9 * S);
         for step in 0..12 {
             let n = ((seed * 5 + step * 7) % 9) as usize;
@@ -145,7 +174,10 @@
         (0..9).for_each(|n| sim.start(n));
         run_within(&mut sim, 10 * S);
         if sim.plan.loss < 0.1 {
-            assert!(used(&mut sim, 3) > 0.85, "seed {seed}: all cold at once, and back");
+            assert!(
+                used(&mut sim, 3) > 0.85,
+                "seed {seed}: all cold at once, and back"
+            );
         }
     }
 }
@@ -178,7 +210,13 @@
             kind,
             repeats_only: false,
         };
-        let mut sim = Sim::new(Plan { budget, ..plan(9, seed) }, full());
+        let mut sim = Sim::new(
+            Plan {
+                budget,
+                ..plan(9, seed)
+            },
+            full(),
+        );
         run_within(&mut sim, 10 * S);
         for step in 0..8u64 {
             let n = ((seed + step * 4) % 9) as usize;
@@ -202,7 +240,8 @@
     }
 }
 
-/// A limit is changed on half of the nodes: the smaller of both holds once the one who lends has it and parts have ended.
+/// A limit is changed on half of the nodes: the smaller of both holds once the one who lends has it
+/// and parts have ended.
 #[test]
 fn a_limit_that_changes_on_half_of_the_nodes_stays_within_the_larger() {
     let mut sim = Sim::new(plan(8, 5), full());
@@ -219,13 +258,23 @@
 /// More nodes than the limit has units, and floors that may be none.
 #[test]
 fn more_nodes_than_units() {
-    let budget = Budget { floor: 0, ..budget(10, 0, 100) };
-    let mut sim = Sim::new(Plan { budget, ..plan(40, 2) }, Box::new(|_, _| 5.0));
+    let budget = Budget {
+        floor: 0,
+        ..budget(10, 0, 100)
+    };
+    let mut sim = Sim::new(
+        Plan {
+            budget,
+            ..plan(40, 2)
+        },
+        Box::new(|_, _| 5.0),
+    );
     run_within(&mut sim, 20 * S);
     assert!(sim.measured.made > 50, "{}", sim.measured.made);
 }
 
-/// The plain ways go over where a part of the fleet hears nothing, or use little: the record can tell.
+/// The plain ways go over where a part of the fleet hears nothing, or use little: the record can
+/// tell.
 #[test]
 fn the_record_tells_the_plain_ways_apart() {
     let play = |way| {
@@ -255,18 +304,28 @@
     );
 }
 
-/// Counts of calls, by way of arbiters that lose each other, with killed nodes and cold returns: all come to the same, never to
-/// more than was made, and to less only by what the killed had not told.
+/// Counts of calls, by way of arbiters that lose each other, with killed nodes and cold returns:
+/// all come to the same, never to more than was made, and to less only by what the killed had not
+/// told.
 #[test]
 fn counts_of_all_are_the_same_everywhere_and_lose_only_what_was_not_told() {
     for seed in 0..6 {
-        let mut sim = Sim::new(Plan { counted: 64, ..plan(9, seed) }, Box::new(|_, _| 20.0));
+        let mut sim = Sim::new(
+            Plan {
+                counted: 64,
+                ..plan(9, seed)
+            },
+            Box::new(|_, _| 20.0),
+        );
         run_within(&mut sim, 10 * S);
         // Each of three sides has one of the arbiters, 0 to 2.
         sim.cut(|a, b| a % 3 != b % 3);
         run_within(&mut sim, 20 * S);
         let known: Vec<u64> = (0..3).map(|n| calls(&sim, n)).collect();
-        assert!(known.iter().all(|known| *known < sim.measured.made), "{known:?}");
+        assert!(
+            known.iter().all(|known| *known < sim.measured.made),
+            "{known:?}"
+        );
         sim.cut(|_, _| false);
         let mut lost = 0;
         for n in [4, 7, 0] {
@@ -280,21 +339,37 @@
         run_within(&mut sim, 30 * S);
         sim.load(Box::new(|_, _| 0.0));
         run_within(&mut sim, 40 * S);
-        let (made, known) = (sim.measured.made, (0..3).map(|n| calls(&sim, n)).collect::<Vec<_>>());
-        assert!(known.iter().all(|k| *k == known[0]), "seed {seed}: {known:?}");
+        let (made, known) = (
+            sim.measured.made,
+            (0..3).map(|n| calls(&sim, n)).collect::<Vec<_>>(),
+        );
+        assert!(
+            known.iter().all(|k| *k == known[0]),
+            "seed {seed}: {known:?}"
+        );
         assert!(
             known[0] <= made && known[0] + lost >= made,
             "seed {seed}: {known:?} of {made}, {lost} at risk"
         );
-        assert!((0..9).all(|n| sim.calls_told(n) == Some(known[0])), "seed {seed}: all are told the sums");
+        assert!(
+            (0..9).all(|n| sim.calls_told(n) == Some(known[0])),
+            "seed {seed}: all are told the sums"
+        );
         // Long after, the processes that are gone are one sum.
         run_within(&mut sim, 700 * S);
         sim.tidy();
-        assert_eq!((calls(&sim, 1), sim.counts(1).unwrap().gone()), (known[0], 3));
+        assert_eq!(
+            (calls(&sim, 1), sim.counts(1).unwrap().gone()),
+            (known[0], 3)
+        );
     }
 }
 
 fn calls(sim: &Sim, n: usize) -> u64 {
     use madderpoint_shared::counts::{OWN, own};
-    sim.counts(n).unwrap().total().get(&OWN).map_or(0, |row| row[own::CALLS])
+    sim.counts(n)
+        .unwrap()
+        .total()
+        .get(&OWN)
+        .map_or(0, |row| row[own::CALLS])
 }
--- a/crates/shared/tests/keys.rs
+++ b/crates/shared/tests/keys.rs
@@ -1,5 +1,5 @@
-//! The hard cases of limits by key that a fleet shares, over simulated time: no key is ever over its limit, and what is there is
-//! used.
+//! The hard cases of limits by key that a fleet shares, over simulated time: no key is ever over
+//! its limit, and what is there is used.
 
 use madderpoint_shared::keyed::{KeyBudget, KeyKind};
 use madderpoint_shared::sim::{Load, Plan, Sim, Way};
@@ -10,7 +10,16 @@
 const S: Nanos = 1000 * MS;
 
 fn rate(count: u32, burst: u32, floor: u32, nodes_most: u32) -> KeyBudget {
-    KeyBudget { name: "by-site".into(), kind: KeyKind::Rate { count, period: S, burst }, floor, nodes_most }
+    KeyBudget {
+        name: "by-site".into(),
+        kind: KeyKind::Rate {
+            count,
+            period: S,
+            burst,
+        },
+        floor,
+        nodes_most,
+    }
 }
 
 fn plan(nodes: usize, seed: u64, keys: KeyBudget) -> Plan {
@@ -20,7 +29,14 @@
         nodes,
         zones: 3,
         way: Way::Leases,
-        budget: Budget { name: "below".into(), limit: 1000, floor: 2, nodes_most, kind, repeats_only: false },
+        budget: Budget {
+            name: "below".into(),
+            limit: 1000,
+            floor: 2,
+            nodes_most,
+            kind,
+            repeats_only: false,
+        },
         loss: 0.02,
         latency: (MS / 2, 5 * MS),
         drift: 0.005,
@@ -47,7 +63,9 @@
         owed += a_second * keys as f64 / 200.0;
         let n = owed as usize;
         owed -= n as f64;
-        (0..n).map(|_| (rng.random_range(0..nodes), rng.random_range(0..keys))).collect()
+        (0..n)
+            .map(|_| (rng.random_range(0..nodes), rng.random_range(0..keys)))
+            .collect()
     }
 }
 
@@ -57,7 +75,12 @@
 
 fn run(sim: &mut Sim, time: Nanos) {
     sim.run(time);
-    assert!(sim.measured.keys_over <= 0.0, "seed {}: over by {}", sim.plan.seed, sim.measured.keys_over);
+    assert!(
+        sim.measured.keys_over <= 0.0,
+        "seed {}: over by {}",
+        sim.plan.seed,
+        sim.measured.keys_over
+    );
     assert!(sim.lenders_most <= 1);
 }
 
@@ -77,22 +100,34 @@
         run(&mut under, 20 * S);
         let refused = under.measured.keys_refused;
         let passed = made(&mut under, 20, 30);
-        assert!(passed > 2.8 && under.measured.keys_refused - refused < 20, "seed {seed}: {passed}");
+        assert!(
+            passed > 2.8 && under.measured.keys_refused - refused < 20,
+            "seed {seed}: {passed}"
+        );
         // Far over, even.
         let mut over = sim(10, seed, rate(20, 40, 1, 12));
         over.key_load(Box::new(even(10, 5, 60.0)));
         run(&mut over, 20 * S);
         let passed = made(&mut over, 20, 5);
-        assert!((18.0..=20.0).contains(&passed), "seed {seed}: {passed} of 20 a second, even");
+        assert!(
+            (18.0..=20.0).contains(&passed),
+            "seed {seed}: {passed} of 20 a second, even"
+        );
         // All of it at one node, then at another one.
         over.key_load(Box::new(|_, rng| vec![(3, rng.random_range(0..5))]));
         run(&mut over, 4 * S);
         let passed = made(&mut over, 10, 5);
-        assert!(passed > 17.0, "seed {seed}: {passed} of 20 a second at one node");
+        assert!(
+            passed > 17.0,
+            "seed {seed}: {passed} of 20 a second at one node"
+        );
         over.key_load(Box::new(|_, rng| vec![(8, rng.random_range(0..5))]));
         run(&mut over, 2 * S);
         let passed = made(&mut over, 10, 5);
-        assert!(passed > 17.0, "seed {seed}: {passed} of 20 a second after it moved");
+        assert!(
+            passed > 17.0,
+            "seed {seed}: {passed} of 20 a second after it moved"
+        );
     }
 }
 
@@ -109,11 +144,27 @@
         let floor = (seed % 2) as u32;
         let loss = [0.0, 0.05, 0.3][seed as usize % 3];
         let kind = match seed % 4 {
-            3 => KeyKind::InHand { limit: 20, longest: 800 * MS },
-            _ => KeyKind::Rate { count: 20, period: S, burst: 30 },
+            3 => KeyKind::InHand {
+                limit: 20,
+                longest: 800 * MS,
+            },
+            _ => KeyKind::Rate {
+                count: 20,
+                period: S,
+                burst: 30,
+            },
+        };
+        let keys = KeyBudget {
+            kind,
+            ..rate(20, 30, floor, 16)
         };
-        let keys = KeyBudget { kind, ..rate(20, 30, floor, 16) };
-        let mut sim = Sim::new(Plan { loss, ..plan(9, seed, keys) }, none());
+        let mut sim = Sim::new(
+            Plan {
+                loss,
+                ..plan(9, seed, keys)
+            },
+            none(),
+        );
         sim.key_load(Box::new(even(9, 4, 100.0)));
         run(&mut sim, 12 * S);
         for step in 0..14u64 {
@@ -126,8 +177,9 @@
                     sim.start(n);
                 }
                 3 => sim.cut(move |a, b| (a % 3) != (b % 3)),
-                4 => sim
-                    .cut(move |a, b| a < 3 && b >= 3 && n.is_multiple_of(2) || a >= 3 && b < 3 && n % 2 == 1),
+                4 => sim.cut(move |a, b| {
+                    a < 3 && b >= 3 && n.is_multiple_of(2) || a >= 3 && b < 3 && n % 2 == 1
+                }),
                 _ => {
                     sim.cut(|_, _| false);
                     all_cold(&mut sim);
@@ -139,7 +191,10 @@
         all_cold(&mut sim);
         run(&mut sim, 16 * S);
         let passed = made(&mut sim, 10, 4);
-        assert!(passed > if loss > 0.1 { 8.0 } else { 16.0 }, "seed {seed}: {passed} a second at the end");
+        assert!(
+            passed > if loss > 0.1 { 8.0 } else { 16.0 },
+            "seed {seed}: {passed} a second at the end"
+        );
     }
 }
 
@@ -156,11 +211,15 @@
         run(&mut sim, 8 * S);
         // A sixteenth of 160 a second, among ten: one a second.
         let passed = sim.measured.keys_by_node[5] - before;
-        assert!((least..=most).contains(&passed), "{passed} in 8 s with a floor of {floor}");
+        assert!(
+            (least..=most).contains(&passed),
+            "{passed} in 8 s with a floor of {floor}"
+        );
     }
 }
 
-/// The one who lends dies: nothing is lent for its term and the life of what it had lent, then all goes on.
+/// The one who lends dies: nothing is lent for its term and the life of what it had lent, then all
+/// goes on.
 #[test]
 fn another_one_lends_after_the_death_of_the_first() {
     let mut sim = sim(9, 2, rate(20, 30, 1, 12));
@@ -174,23 +233,29 @@
     assert!(passed > 17.0, "{passed}");
 }
 
-/// A hundred thousand keys, of which most are seldom used: memory is bounded, and what finds no room is refused and not let
-/// through.
+/// A hundred thousand keys, of which most are seldom used: memory is bounded, and what finds no
+/// room is refused and not let through.
 #[test]
 fn a_hundred_thousand_keys_in_bounded_memory() {
     let mut sim = sim(5, 3, rate(5, 20, 1, 8));
     let mut next = 0u64;
     sim.key_load(Box::new(move |_, rng| {
         next += 10;
-        (0..10).map(|n| (rng.random_range(0..5), (next + n) % 100_000)).collect()
+        (0..10)
+            .map(|n| (rng.random_range(0..5), (next + n) % 100_000))
+            .collect()
     }));
     run(&mut sim, 40 * S); // until floors, of one in 26 s, are there
     let (wanted, made) = (sim.measured.keys_wanted, sim.measured.keys_made);
     run(&mut sim, 20 * S);
-    let passed = (sim.measured.keys_made - made) as f64 / (sim.measured.keys_wanted - wanted) as f64;
+    let passed =
+        (sim.measured.keys_made - made) as f64 / (sim.measured.keys_wanted - wanted) as f64;
     let (wallets, books) = sim.key_figures();
     let (keys, pockets, refused) = books.unwrap();
-    assert!(wallets <= 5 * 5000 && keys <= 2980 && pockets <= 13_200, "{wallets} {keys} {pockets} {refused}");
+    assert!(
+        wallets <= 5 * 5000 && keys <= 2980 && pockets <= 13_200,
+        "{wallets} {keys} {pockets} {refused}"
+    );
     assert!(refused > 0 && passed > 0.9, "{refused} {passed}");
 }
 
--- a/crates/shared/tests/model.rs
+++ b/crates/shared/tests/model.rs
@@ -1,6 +1,7 @@
-//! Who lends and what is lent, checked through every order of messages that are late, doubled or lost, of ticks, of a crash with
-//! a cold return, and of nodes that stand still (which is no action for some ticks): what all may spend together is never over
-//! the limit. The machines are the package's; what is left out is the drift of clocks, which `budgets.rs` plays.
+//! Who lends and what is lent, checked through every order of messages that are late, doubled or
+//! lost, of ticks, of a crash with a cold return, and of nodes that stand still (which is no action
+//! for some ticks): what all may spend together is never over the limit. The machines are the
+//! package's; what is left out is the drift of clocks, which `budgets.rs` plays.
 
 use madderpoint_shared::lease::{Arbiter, Candidate};
 use madderpoint_shared::treasury::{Part, Treasury};
@@ -17,11 +18,35 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Sent {
-    Want { from: Who, to: usize, no: u64 },
-    Word { to: Who, by: usize, no: u64 },
-    GiveBack { from: Who, to: usize, no: u64 },
-    Ask { from: Who, to: usize, at: u64, book: u64, holds: u64 },
-    Lend { to: Who, at: u64, book: u64, no: u64, units: u32 },
+    Want {
+        from: Who,
+        to: usize,
+        no: u64,
+    },
+    Word {
+        to: Who,
+        by: usize,
+        no: u64,
+    },
+    GiveBack {
+        from: Who,
+        to: usize,
+        no: u64,
+    },
+    Ask {
+        from: Who,
+        to: usize,
+        at: u64,
+        book: u64,
+        holds: u64,
+    },
+    Lend {
+        to: Who,
+        at: u64,
+        book: u64,
+        no: u64,
+        units: u32,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -95,7 +120,10 @@
         let now = 100;
         let nodes = (0..NODES)
             .map(|n| {
-                let who = Who { key: n as u64, life: n as u64 + 1 };
+                let who = Who {
+                    key: n as u64,
+                    life: n as u64 + 1,
+                };
                 let mut arbiter = Arbiter::new(0, TERM);
                 let lender = Who { key: 0, life: 1 };
                 arbiter.ask(now, lender, 1).unwrap();
@@ -106,10 +134,22 @@
                         let _ = candidate.given(no, a);
                     }
                 }
-                Node { who, arbiter, candidate, books: (n == 0).then(|| books(0, 1)), purse: purse(now) }
+                Node {
+                    who,
+                    arbiter,
+                    candidate,
+                    books: (n == 0).then(|| books(0, 1)),
+                    purse: purse(now),
+                }
             })
             .collect();
-        State { now, nodes, under_way: BTreeSet::new(), crashes: 0, lent: 0 }
+        State {
+            now,
+            nodes,
+            under_way: BTreeSet::new(),
+            crashes: 0,
+            lent: 0,
+        }
     }
 }
 
@@ -135,7 +175,11 @@
         match sent {
             Sent::Want { from, to, no } => {
                 if self.nodes[to].arbiter.ask(now, from, no).is_ok() {
-                    self.send(Sent::Word { to: from, by: to, no });
+                    self.send(Sent::Word {
+                        to: from,
+                        by: to,
+                        no,
+                    });
                 }
             }
             Sent::Word { to, by, no } => {
@@ -144,21 +188,57 @@
                 }
             }
             Sent::GiveBack { from, to, no } => self.nodes[to].arbiter.give_back(from, no),
-            Sent::Ask { from, to, at, book, holds } => {
+            Sent::Ask {
+                from,
+                to,
+                at,
+                book,
+                holds,
+            } => {
                 if !self.lends(to) {
                     return;
                 }
                 let until = self.nodes[to].candidate.until();
-                let demand = Demand { zone: 0, wants: UNITS, value: 1.0 };
-                let Some(books) = &mut self.nodes[to].books else { return };
-                if let Some(Part { book, no, units, .. }) = books.ask(now, from, (book, holds), demand, until)
+                let demand = Demand {
+                    zone: 0,
+                    wants: UNITS,
+                    value: 1.0,
+                };
+                let Some(books) = &mut self.nodes[to].books else {
+                    return;
+                };
+                if let Some(Part {
+                    book, no, units, ..
+                }) = books.ask(now, from, (book, holds), demand, until)
                 {
-                    self.send(Sent::Lend { to: from, at, book, no, units });
+                    self.send(Sent::Lend {
+                        to: from,
+                        at,
+                        book,
+                        no,
+                        units,
+                    });
                 }
             }
-            Sent::Lend { to, at, book, no, units } => {
+            Sent::Lend {
+                to,
+                at,
+                book,
+                no,
+                units,
+            } => {
                 if let Some(node) = self.nodes.iter_mut().find(|node| node.who == to) {
-                    node.purse.lend(now, at, Part { book, no, units, term: PART, ..Part::default() });
+                    node.purse.lend(
+                        now,
+                        at,
+                        Part {
+                            book,
+                            no,
+                            units,
+                            term: PART,
+                            ..Part::default()
+                        },
+                    );
                     self.lent += usize::from(units > 0);
                 }
             }
@@ -166,7 +246,10 @@
     }
 
     fn spendable(&self) -> u32 {
-        self.nodes.iter().map(|node| node.purse.units(self.now)).sum()
+        self.nodes
+            .iter()
+            .map(|node| node.purse.units(self.now))
+            .sum()
     }
 }
 
@@ -188,7 +271,11 @@
                     actions.push(Action::GivesBack(n));
                 }
             }
-            actions.extend((0..2).filter(|to| state.lends(*to)).map(|to| Action::Asks(n, to)));
+            actions.extend(
+                (0..2)
+                    .filter(|to| state.lends(*to))
+                    .map(|to| Action::Asks(n, to)),
+            );
             if n < 2 {
                 actions.push(Action::CrashAndReturn(n));
             }
@@ -210,7 +297,11 @@
                     state.word(n, n, no);
                 }
                 let other = 2; // the third one has the word that decides
-                state.send(Sent::Want { from, to: other, no });
+                state.send(Sent::Want {
+                    from,
+                    to: other,
+                    no,
+                });
             }
             Action::GivesBack(n) => {
                 let (no, from) = (state.nodes[n].candidate.no, state.nodes[n].who);
@@ -220,8 +311,18 @@
             }
             Action::Asks(n, to) => {
                 let ((book, holds), from) = (state.nodes[n].purse.holds(), state.nodes[n].who);
-                let ask = Sent::Ask { from, to, at: now, book, holds };
-                if n == to { state.arrives(ask) } else { state.send(ask) }
+                let ask = Sent::Ask {
+                    from,
+                    to,
+                    at: now,
+                    book,
+                    holds,
+                };
+                if n == to {
+                    state.arrives(ask)
+                } else {
+                    state.send(ask)
+                }
             }
             Action::Arrives(sent, stays) => {
                 if !stays {
@@ -231,9 +332,18 @@
             }
             Action::CrashAndReturn(n) => {
                 state.crashes += 1;
-                let who = Who { key: n as u64, life: 100 + now * 10 + n as u64 };
+                let who = Who {
+                    key: n as u64,
+                    life: 100 + now * 10 + n as u64,
+                };
                 let (arbiter, candidate) = (Arbiter::new(now, TERM), Candidate::new(NODES, TERM));
-                state.nodes[n] = Node { who, arbiter, candidate, books: None, purse: purse(now) };
+                state.nodes[n] = Node {
+                    who,
+                    arbiter,
+                    candidate,
+                    books: None,
+                    purse: purse(now),
+                };
             }
         }
         (state != *last).then_some(state)
@@ -241,9 +351,10 @@
 
     fn properties(&self) -> Vec<Property<Small>> {
         vec![
-            Property::always("what all may spend is never over the limit", |_: &Small, s: &State| {
-                s.spendable() <= UNITS
-            }),
+            Property::always(
+                "what all may spend is never over the limit",
+                |_: &Small, s: &State| s.spendable() <= UNITS,
+            ),
             Property::always("no two lend at once", |_: &Small, s: &State| {
                 (0..NODES).filter(|&n| s.lends(n)).count() <= 1
             }),
@@ -263,8 +374,21 @@
 
 #[test]
 fn the_limit_holds_through_every_order_of_faults() {
-    let model = Small { crashes: 1, under_way: 2, ticks: 16 };
-    let checker = model.checker().threads(4).target_max_depth(9).spawn_bfs().join();
-    println!("{} states, depth {}", checker.unique_state_count(), checker.max_depth());
+    let model = Small {
+        crashes: 1,
+        under_way: 2,
+        ticks: 16,
+    };
+    let checker = model
+        .checker()
+        .threads(4)
+        .target_max_depth(9)
+        .spawn_bfs()
+        .join();
+    println!(
+        "{} states, depth {}",
+        checker.unique_state_count(),
+        checker.max_depth()
+    );
     checker.assert_properties();
 }
--- a/crates/shared/tests/model_keys.rs
+++ b/crates/shared/tests/model_keys.rs
@@ -1,6 +1,7 @@
-//! Units of a key, checked through every order of questions and answers that are late, doubled or lost, of units that are spent,
-//! of borrowers that crash and return, and of another one who begins to lend: a rate is never over what it may be, and never
-//! more in hand than may be; and what was lost comes back. The machines are the package's; who lends is `model.rs`'s.
+//! Units of a key, checked through every order of questions and answers that are late, doubled or
+//! lost, of units that are spent, of borrowers that crash and return, and of another one who begins
+//! to lend: a rate is never over what it may be, and never more in hand than may be; and what was
+//! lost comes back. The machines are the package's; who lends is `model.rs`'s.
 
 use madderpoint_shared::keyed::books::KeyBooks;
 use madderpoint_shared::keyed::wallet::Slip;
@@ -20,8 +21,20 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Sent {
-    Ask { who: Who, no: u32, stamp: Nanos, left: u32, back: u32, wants: u32 },
-    Lend { who: Who, no: u32, stamp: Nanos, adds: u32 },
+    Ask {
+        who: Who,
+        no: u32,
+        stamp: Nanos,
+        left: u32,
+        back: u32,
+        wants: u32,
+    },
+    Lend {
+        who: Who,
+        no: u32,
+        stamp: Nanos,
+        adds: u32,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Hash)]
@@ -95,11 +108,21 @@
 
 impl Small {
     fn budget(&self) -> KeyBudget {
-        KeyBudget { name: "k".into(), kind: self.kind, floor: 0, nodes_most: BORROWERS as u32 }
+        KeyBudget {
+            name: "k".into(),
+            kind: self.kind,
+            floor: 0,
+            nodes_most: BORROWERS as u32,
+        }
     }
 
     fn books(&self, now: Nanos) -> KeyBooks {
-        let rhythm = Rhythm { urgent: 1, renew: 10, life: LIFE, keep: 10_000 };
+        let rhythm = Rhythm {
+            urgent: 1,
+            renew: 10,
+            life: LIFE,
+            keep: 10_000,
+        };
         KeyBooks::new(now, &[self.budget()], rhythm, 1 << 12, 1)
     }
 
@@ -110,16 +133,41 @@
     fn arrives(&self, state: &mut State, sent: Sent) {
         let (now, budget) = (state.now, self.budget());
         match sent {
-            Sent::Ask { who, no, stamp, left, back, wants } => {
-                let keys = vec![KeyAsk { budget: budget.id(), key: 7, left, back, wants }];
+            Sent::Ask {
+                who,
+                no,
+                stamp,
+                left,
+                back,
+                wants,
+            } => {
+                let keys = vec![KeyAsk {
+                    budget: budget.id(),
+                    key: 7,
+                    left,
+                    back,
+                    wants,
+                }];
                 let lent = state.books.ask(now, who, &KeysAsked { no, stamp, keys });
                 if let Some(key) = lent.and_then(|lent| lent.keys.first().copied()) {
-                    state.under_way.insert(Sent::Lend { who, no, stamp, adds: key.adds });
+                    state.under_way.insert(Sent::Lend {
+                        who,
+                        no,
+                        stamp,
+                        adds: key.adds,
+                    });
                 }
             }
-            Sent::Lend { who, no, stamp, adds } => {
+            Sent::Lend {
+                who,
+                no,
+                stamp,
+                adds,
+            } => {
                 if let Some(borrower) = state.borrowers.iter_mut().find(|b| b.who == who) {
-                    borrower.slip.answer(now, no, adds, stamp + LIFE - LIFE / 50);
+                    borrower
+                        .slip
+                        .answer(now, no, adds, stamp + LIFE - LIFE / 50);
                 }
             }
         }
@@ -132,7 +180,10 @@
 
     fn init_states(&self) -> Vec<State> {
         let borrower = |n: usize| Borrower {
-            who: Who { key: n as u64 + 1, life: 1 },
+            who: Who {
+                key: n as u64 + 1,
+                life: 1,
+            },
             slip: Slip::default(),
             no: 0,
             hands: Vec::new(),
@@ -154,10 +205,18 @@
         let first = &mut state.borrowers[0];
         first.no = no;
         let _ = first.slip.ask(begins, no, keep);
-        let ask = Sent::Ask { who: first.who, no, stamp: begins, left: 0, back: 0, wants: MOST };
+        let ask = Sent::Ask {
+            who: first.who,
+            no,
+            stamp: begins,
+            left: 0,
+            back: 0,
+            wants: MOST,
+        };
         self.arrives(&mut state, ask);
         let lent = state.under_way.pop_first();
-        lent.into_iter().for_each(|lent| self.arrives(&mut state, lent));
+        lent.into_iter()
+            .for_each(|lent| self.arrives(&mut state, lent));
         vec![state]
     }
 
@@ -190,7 +249,10 @@
             Action::Tick(ticks) => {
                 state.now += ticks;
                 let now = state.now;
-                state.borrowers.iter_mut().for_each(|b| b.hands.retain(|end| *end > now));
+                state
+                    .borrowers
+                    .iter_mut()
+                    .for_each(|b| b.hands.retain(|end| *end > now));
             }
             Action::Asks(n, need) => {
                 let (now, borrower) = (state.now, &mut state.borrowers[n]);
@@ -200,7 +262,14 @@
                 let left = kept.max(in_use);
                 let wants = need.saturating_sub(left);
                 let (who, no) = (borrower.who, borrower.no);
-                state.under_way.insert(Sent::Ask { who, no, stamp: now, left, back, wants });
+                state.under_way.insert(Sent::Ask {
+                    who,
+                    no,
+                    stamp: now,
+                    left,
+                    back,
+                    wants,
+                });
             }
             Action::Spends(n) => {
                 let now = state.now;
@@ -210,8 +279,8 @@
                     state.over |= state.due > now + EVEN * Nanos::from(MOST);
                 } else {
                     state.borrowers[n].hands.push(now + LONGEST);
-                    state.over |=
-                        state.borrowers.iter().map(|b| b.hands.len()).sum::<usize>() > MOST as usize;
+                    state.over |= state.borrowers.iter().map(|b| b.hands.len()).sum::<usize>()
+                        > MOST as usize;
                 }
                 state.spent += 1;
             }
@@ -226,8 +295,16 @@
             }
             Action::CrashAndReturn(n) => {
                 state.crashes += 1;
-                let who = Who { key: n as u64 + 1, life: 100 };
-                state.borrowers[n] = Borrower { who, slip: Slip::default(), no: 0, hands: Vec::new() };
+                let who = Who {
+                    key: n as u64 + 1,
+                    life: 100,
+                };
+                state.borrowers[n] = Borrower {
+                    who,
+                    slip: Slip::default(),
+                    no: 0,
+                    hands: Vec::new(),
+                };
             }
             Action::AnotherLends => {
                 state.lenders += 1;
@@ -240,11 +317,17 @@
     fn properties(&self) -> Vec<Property<Small>> {
         vec![
             Property::always("no key is over its limit", |_: &Small, s: &State| !s.over),
-            Property::sometimes("more is spent than may be saved", |_: &Small, s: &State| s.spent > MOST),
-            // Nothing is lost for good: after a crash, or with another one who lends, all of it is to be had again.
-            Property::sometimes("all of it comes back after a crash", |_: &Small, s: &State| {
-                s.crashes > 0 && s.spent > 0 && s.borrowers[1].slip.units(s.now) == MOST
+            Property::sometimes("more is spent than may be saved", |_: &Small, s: &State| {
+                s.spent > MOST
             }),
+            // Nothing is lost for good: after a crash, or with another one who lends, all of it is
+            // to be had again.
+            Property::sometimes(
+                "all of it comes back after a crash",
+                |_: &Small, s: &State| {
+                    s.crashes > 0 && s.spent > 0 && s.borrowers[1].slip.units(s.now) == MOST
+                },
+            ),
             Property::sometimes("another one lends", |model: &Small, s: &State| {
                 s.lenders > 0 && s.now > model.begins() && s.spent > 1
             }),
@@ -257,18 +340,38 @@
 }
 
 fn check(kind: KeyKind) {
-    let model = Small { kind, ticks: 410, under_way: 2 };
-    let checker = model.checker().threads(4).target_max_depth(10).spawn_bfs().join();
-    println!("{} states, depth {}", checker.unique_state_count(), checker.max_depth());
+    let model = Small {
+        kind,
+        ticks: 410,
+        under_way: 2,
+    };
+    let checker = model
+        .checker()
+        .threads(4)
+        .target_max_depth(10)
+        .spawn_bfs()
+        .join();
+    println!(
+        "{} states, depth {}",
+        checker.unique_state_count(),
+        checker.max_depth()
+    );
     checker.assert_properties();
 }
 
 #[test]
 fn a_rate_holds_through_every_order_of_faults() {
-    check(KeyKind::Rate { count: 1, period: EVEN, burst: MOST });
+    check(KeyKind::Rate {
+        count: 1,
+        period: EVEN,
+        burst: MOST,
+    });
 }
 
 #[test]
 fn a_number_in_hand_holds_through_every_order_of_faults() {
-    check(KeyKind::InHand { limit: MOST, longest: LONGEST });
+    check(KeyKind::InHand {
+        limit: MOST,
+        longest: LONGEST,
+    });
 }
--- a/crates/shared/tests/slow_start.rs
+++ b/crates/shared/tests/slow_start.rs
@@ -1,6 +1,7 @@
-//! A service below that starts cold, under the sum of what all processes send: in every window they stay within what it takes
-//! then, with chance on top of it, though they learn of the start at different times, one hears nobody, one restarts in the middle,
-//! one was idle all the while, and all try in the same instants.
+//! A service below that starts cold, under the sum of what all processes send: in every window they
+//! stay within what it takes then, with chance on top of it, though they learn of the start at
+//! different times, one hears nobody, one restarts in the middle, one was idle all the while, and
+//! all try in the same instants.
 
 use madderpoint_shared::judge::is_prober;
 use madderpoint_shared::{Budget, Ends, Judge, Kind, Mode, Nanos, Part, Who, Witnesses};
@@ -24,7 +25,8 @@
 const TERM: Nanos = S;
 const LENDS: Nanos = S / 2;
 
-/// What may come a second so long after the start, of the whole: the steps of the rise, as if all had begun with the start.
+/// What may come a second so long after the start, of the whole: the steps of the rise, as if all
+/// had begun with the start.
 fn ramp(since: Nanos) -> f64 {
     let steps = (since / (5 * S)).min(4);
     2f64.powi(steps as i32) / 16.0
@@ -37,7 +39,8 @@
     no: u64,
 }
 
-/// What came of a play: by how much the worst window was over what is allowed, calls at all in the rise, and whether all is open.
+/// What came of a play: by how much the worst window was over what is allowed, calls at all in the
+/// rise, and whether all is open.
 #[derive(Debug)]
 struct Outcome {
     over: f64,
@@ -68,12 +71,14 @@
     };
     let new = |now: Nanos, n: usize, life: u64| Node {
         judge: Judge::new(now, n as u32 % 3),
-        ends: Ends::new(now, std::slice::from_ref(&budget)).with_seed(seed << 20 | life << 10 | n as u64),
+        ends: Ends::new(now, std::slice::from_ref(&budget))
+            .with_seed(seed << 20 | life << 10 | n as u64),
         heard: Witnesses::new(64),
         no: 0,
     };
     let mut all: Vec<Node> = (0..nodes).map(|n| new(0, n, 0)).collect();
-    // The first one restarts, the second one is idle, the last one hears nobody: nothing is lent to it.
+    // The first one restarts, the second one is idle, the last one hears nobody: nothing is lent to
+    // it.
     let (idle, deaf) = (1, nodes - 1);
     // Words and parts come to each at moments of its own.
     let phase: Vec<Nanos> = (0..nodes).map(|_| rng.random_range(0..50) * TICK).collect();
@@ -90,8 +95,13 @@
             if n != deaf && (now + phase[n]).is_multiple_of(LENDS) {
                 node.no += 1;
                 let units = budget.pool() / nodes as u32;
-                let part =
-                    Part { book: 1 + (now / RESTART), no: node.no, units, term: TERM, ..Part::default() };
+                let part = Part {
+                    book: 1 + (now / RESTART),
+                    no: node.no,
+                    units,
+                    term: TERM,
+                    ..Part::default()
+                };
                 node.ends.lent(now, now - 5 * MS, &[(budget.id(), part)]);
             }
             let tries = n != idle || !(DOWN - 9 * S..WAKES).contains(&now);
@@ -111,7 +121,10 @@
                 for _ in 0..3 {
                     let m = rng.random_range(0..nodes);
                     if m != n && m != deaf && !rng.random_bool(0.1) {
-                        let from = Who { key: n as u64 + 1, life: 0 };
+                        let from = Who {
+                            key: n as u64 + 1,
+                            life: 0,
+                        };
                         all[m].heard.hear(now, from, SERVICE, word);
                     }
                 }
@@ -120,7 +133,8 @@
                 let node = &mut all[n];
                 let mut opinion = node.heard.opinion(now, SERVICE);
                 let members = if n == deaf { n..nodes } else { 0..deaf };
-                opinion.prober = is_prober(now, n as u64 + 1, SERVICE, members.map(|m| m as u64 + 1));
+                opinion.prober =
+                    is_prober(now, n as u64 + 1, SERVICE, members.map(|m| m as u64 + 1));
                 opinion.alone = n == deaf;
                 node.judge.told(now, opinion);
             }
@@ -129,17 +143,26 @@
     let mut over = f64::MIN;
     for (at, last) in came.iter().enumerate() {
         let from = last.saturating_sub(window).max(BACK - TICK);
-        let here = came[..=at].iter().rev().take_while(|call| **call > from).count() as f64;
+        let here = came[..=at]
+            .iter()
+            .rev()
+            .take_while(|call| **call > from)
+            .count() as f64;
         // What it takes in the window, tick by tick.
         let takes: f64 = (from / TICK + 1..=last / TICK)
             .map(|tick| f64::from(limit) * ramp(tick * TICK - BACK) * TICK as f64 / S as f64)
             .sum();
-        // A window that has only begun is one of the same length: what came before the start was nothing.
+        // A window that has only begun is one of the same length: what came before the start was
+        // nothing.
         let takes = takes.max(f64::from(limit) * ramp(0) * window as f64 / S as f64);
         over = over.max(here - (takes + 2.0 * takes.sqrt() + 2.0));
     }
     let open = all.iter().all(|node| node.judge.mode() == Mode::Open);
-    Outcome { over, came: came.len(), open }
+    Outcome {
+        over,
+        came: came.len(),
+        open,
+    }
 }
 
 #[test]
@@ -149,8 +172,9 @@
             for window in [S / 2, S, 5 * S] {
                 for seed in 0..10 {
                     let outcome = play(nodes, each, window, seed, Way::Slowly);
-                    let case =
-                        format!("{nodes} processes, {each} each, {window} ns, seed {seed}: {outcome:?}");
+                    let case = format!(
+                        "{nodes} processes, {each} each, {window} ns, seed {seed}: {outcome:?}"
+                    );
                     assert!(outcome.over <= 0.0, "{case}");
                     // And it is used again once it is warm.
                     let most = f64::from(each) * nodes as f64 * 60.0;
@@ -165,8 +189,9 @@
 #[test]
 fn without_a_slow_start_the_same_play_is_over() {
     for nodes in [5, 20, 30] {
-        let over =
-            (0..10).filter(|seed| play(nodes, 5, S, *seed, Way::ByTheJudgementAlone).over > 0.0).count();
+        let over = (0..10)
+            .filter(|seed| play(nodes, 5, S, *seed, Way::ByTheJudgementAlone).over > 0.0)
+            .count();
         assert!(over >= 8, "{nodes} processes: {over} of 10");
     }
 }
--- a/crates/simhost/src/frame.rs
+++ b/crates/simhost/src/frame.rs
@@ -17,7 +17,11 @@
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "record {}, field {}, offset {}: {}", self.record, self.field, self.offset, self.what)
+        write!(
+            f,
+            "record {}, field {}, offset {}: {}",
+            self.record, self.field, self.offset, self.what
+        )
     }
 }
 
@@ -31,7 +35,12 @@
 
 impl<'a> Fields<'a> {
     pub fn new(bytes: &'a [u8], base: usize, record: &str) -> Self {
-        Fields { bytes, at: 0, base, record: record.to_owned() }
+        Fields {
+            bytes,
+            at: 0,
+            base,
+            record: record.to_owned(),
+        }
     }
 
     pub fn is_empty(&self) -> bool {
@@ -84,7 +93,11 @@
 
     pub fn f32(&mut self, field: &str) -> Result<f32, Malformed> {
         let value = f32::from_be_bytes(self.array(field)?);
-        if value.is_finite() { Ok(value) } else { Err(self.malformed(field, "not a finite number")) }
+        if value.is_finite() {
+            Ok(value)
+        } else {
+            Err(self.malformed(field, "not a finite number"))
+        }
     }
 
     /// A time in seconds, as whole nanoseconds.
@@ -98,7 +111,11 @@
 
     pub fn f64(&mut self, field: &str) -> Result<f64, Malformed> {
         let value = f64::from_be_bytes(self.array(field)?);
-        if value.is_finite() { Ok(value) } else { Err(self.malformed(field, "not a finite number")) }
+        if value.is_finite() {
+            Ok(value)
+        } else {
+            Err(self.malformed(field, "not a finite number"))
+        }
     }
 }
 
@@ -118,8 +135,12 @@
 
 /// Reads one batch into `body` and returns its clock, or `None` at the end of input.
 pub fn read_batch(input: &mut impl Read, body: &mut Vec<u8>) -> Result<Option<u64>, Malformed> {
-    let in_header =
-        |offset, what: String| Malformed { record: "batch".into(), field: "header".into(), offset, what };
+    let in_header = |offset, what: String| Malformed {
+        record: "batch".into(),
+        field: "header".into(),
+        offset,
+        what,
+    };
     let mut header = [0; 12];
     match fill(input, &mut header).map_err(|e| in_header(0, e.to_string()))? {
         0 => return Ok(None),
@@ -129,13 +150,22 @@
     let mut fields = Fields::new(&header, 0, "batch");
     let len = fields.u32("length")? as usize;
     if len > LONGEST_BODY {
-        return Err(in_header(0, format!("{len} bytes announced, at most {LONGEST_BODY} are taken")));
+        return Err(in_header(
+            0,
+            format!("{len} bytes announced, at most {LONGEST_BODY} are taken"),
+        ));
     }
     let now = fields.nanos("clock")?;
     body.clear();
-    let got = input.take(len as u64).read_to_end(body).map_err(|e| in_header(12, e.to_string()))?;
+    let got = input
+        .take(len as u64)
+        .read_to_end(body)
+        .map_err(|e| in_header(12, e.to_string()))?;
     if got < len {
-        return Err(in_header(12 + got, format!("input ended after {got} of {len} bytes")));
+        return Err(in_header(
+            12 + got,
+            format!("input ended after {got} of {len} bytes"),
+        ));
     }
     Ok(Some(now))
 }
