--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -37,7 +37,10 @@
 
     fn text(&self, code: u8, text: &str) {
         let end = text.floor_char_boundary(text.len().min(usize::from(u16::MAX)));
-        self.write(code, &[&(end as u16).to_be_bytes(), &text.as_bytes()[..end]]);
+        self.write(
+            code,
+            &[&(end as u16).to_be_bytes(), &text.as_bytes()[..end]],
+        );
     }
 }
 
@@ -46,7 +49,10 @@
         self.write(16, &[&id.0.to_be_bytes()]);
     }
     fn throttle(&mut self, id: InvId, pause: Nanos, last: bool) {
-        self.write(17, &[&id.0.to_be_bytes(), &seconds(pause), &[u8::from(last)]]);
+        self.write(
+            17,
+            &[&id.0.to_be_bytes(), &seconds(pause), &[u8::from(last)]],
+        );
     }
     fn error(&mut self, id: InvId) {
         self.write(18, &[&id.0.to_be_bytes()]);
@@ -94,7 +100,8 @@
 
 #[derive(Default)]
 struct Adapter {
-    /// `None` once the module has failed for an instance: the bench was told, and it gets no more events.
+    /// `None` once the module has failed for an instance: the bench was told, and it gets no more
+    /// events.
     instances: BTreeMap<u16, Option<Instance>>,
     reply: Rc<RefCell<Reply>>,
 }
@@ -147,7 +154,11 @@
             tenant: (tenant < self.start.tenants.len()).then_some(TenantId(tenant)),
             dispatcher,
             has_subject: subject != 0,
-            time_left: if self.start.passes_deadline { present(time_left) } else { None },
+            time_left: if self.start.passes_deadline {
+                present(time_left)
+            } else {
+                None
+            },
             work_hint: (opts & 1 != 0 && work > 0.0).then_some(work),
             held_kb: f64::from(held_kb.max(0.0)),
             age,
@@ -157,7 +168,9 @@
 
     fn read_gauges(&self, fields: &mut Fields<'_>) -> Result<Gauges, Malformed> {
         let count = fields.u8("Feedback")?;
-        let values: Vec<_> = (0..count).map(|_| fields.f32("Feedback")).collect::<Result<_, _>>()?;
+        let values: Vec<_> = (0..count)
+            .map(|_| fields.f32("Feedback"))
+            .collect::<Result<_, _>>()?;
         Ok(self.start.gauges(values.into_iter().map(f64::from)))
     }
 
@@ -169,9 +182,11 @@
             18 => {
                 let id = InvId(fields.u64("Ticket")?);
                 let reason = fields.u8("Reason")?;
-                let ending = call_ending(reason)
-                    .ok_or_else(|| fields.malformed("Reason", format!("unknown outcome {reason}")))?;
-                self.choice.call_ended(now, id, ending, fields.nanos("Latency")?);
+                let ending = call_ending(reason).ok_or_else(|| {
+                    fields.malformed("Reason", format!("unknown outcome {reason}"))
+                })?;
+                self.choice
+                    .call_ended(now, id, ending, fields.nanos("Latency")?);
             }
             21 => {
                 let alarm = AlarmId(fields.u64("KeyBack")?);
@@ -181,8 +196,9 @@
             22 => {
                 let id = InvId(fields.u64("Ticket")?);
                 let reason = fields.u8("Reason")?;
-                let ending = ending(reason)
-                    .ok_or_else(|| fields.malformed("Reason", format!("unknown outcome {reason}")))?;
+                let ending = ending(reason).ok_or_else(|| {
+                    fields.malformed("Reason", format!("unknown outcome {reason}"))
+                })?;
                 self.choice.ended(now, id, ending, fields.nanos("Latency")?);
             }
             23 => {
@@ -207,7 +223,11 @@
             22 => "wound_up",
             23 => "req",
             24 => "awaiting",
-            _ => return Err(Fields::new(bytes, base, &code.to_string()).malformed("code", "unknown record")),
+            _ => {
+                return Err(
+                    Fields::new(bytes, base, &code.to_string()).malformed("code", "unknown record")
+                );
+            }
         };
         let mut fields = Fields::new(bytes, base, name);
         let number = fields.u16("I")?;
@@ -215,20 +235,26 @@
             self.instances.remove(&number);
             return Ok(());
         }
-        let host = WireHost { instance: number, reply: Rc::clone(&self.reply) };
+        let host = WireHost {
+            instance: number,
+            reply: Rc::clone(&self.reply),
+        };
         if code == 20 {
             let seed = fields.u64("Entropy")?;
             let len = fields.u32("Facts")? as usize;
             let text = fields.bytes("Facts", len)?;
             let start = facts::decode(text).map_err(|what| fields.malformed("Facts", what))?;
             let choice = Choice::new(now, host, start.premises.clone(), seed);
-            self.instances.insert(number, Some(Instance { choice, start }));
+            self.instances
+                .insert(number, Some(Instance { choice, start }));
             return Ok(());
         }
         let Some(instance) = self.instances.get_mut(&number) else {
             return Err(fields.malformed("I", format!("no instance {number}")));
         };
-        let Some(instance) = instance else { return Ok(()) };
+        let Some(instance) = instance else {
+            return Ok(());
+        };
         match catch_unwind(AssertUnwindSafe(|| instance.event(code, now, &mut fields))) {
             Ok(done) => done,
             Err(panic) => {
@@ -257,7 +283,10 @@
         let mut body = Vec::new();
         while let Some(now) = frame::read_batch(input, &mut body).map_err(|m| m.to_string())? {
             self.batch(now, &body).map_err(|m| m.to_string())?;
-            self.reply.borrow_mut().send(output).map_err(|e| format!("reply: {e}"))?;
+            self.reply
+                .borrow_mut()
+                .send(output)
+                .map_err(|e| format!("reply: {e}"))?;
         }
         Ok(())
     }
--- a/crates/simhost/src/tests.rs
+++ b/crates/simhost/src/tests.rs
@@ -17,7 +17,12 @@
 
 fn batch(records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
-    [&(body.len() as u32).to_be_bytes()[..], &8.5f64.to_be_bytes(), &body].concat()
+    [
+        &(body.len() as u32).to_be_bytes()[..],
+        &8.5f64.to_be_bytes(),
+        &body,
+    ]
+    .concat()
 }
 
 fn init(facts: &str) -> Vec<u8> {
@@ -28,7 +33,21 @@
 fn request(kind: u8) -> Vec<u8> {
     let (none, id) = ([0; 8], 77u64.to_be_bytes());
     let floats = [10f32.to_be_bytes(), 0.5f32.to_be_bytes()].concat();
-    record(23, &[&[0, 3], &id, &[kind, 0, 0], &none, &none, &none, &floats, &[0, 0, 1], &none, &none])
+    record(
+        23,
+        &[
+            &[0, 3],
+            &id,
+            &[kind, 0, 0],
+            &none,
+            &none,
+            &none,
+            &floats,
+            &[0, 0, 1],
+            &none,
+            &none,
+        ],
+    )
 }
 
 fn serve(input: &[u8]) -> (Result<(), String>, Vec<u8>) {
@@ -62,9 +81,18 @@
     let alarm = record(21, &[&[0, 3], &[0; 8], &[2], &[0; 4]]);
     let negative = FACTS.replace("9000.0", "-1.0");
     for (input, expected) in [
-        (cut.to_vec(), "record batch, field header, offset 40: input ended after 28 of 69 bytes"),
-        (batch(&[record(99, &[])]), "record 99, field code, offset 17: unknown record"),
-        (batch(&[request(0)]), "record req, field I, offset 19: no instance 3"),
+        (
+            cut.to_vec(),
+            "record batch, field header, offset 40: input ended after 28 of 69 bytes",
+        ),
+        (
+            batch(&[record(99, &[])]),
+            "record 99, field code, offset 17: unknown record",
+        ),
+        (
+            batch(&[request(0)]),
+            "record req, field I, offset 19: no instance 3",
+        ),
         (batch(&[init(FACTS), request(4)]), "field Kind"),
         (batch(&[init(FACTS), alarm]), "field Feedback"),
         (batch(&[init("{}")]), "record init, field Facts"),
@@ -84,12 +112,18 @@
     for _ in 0..2000 {
         let mut bytes = whole.clone();
         for _ in 0..3 {
-            state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            state = state
+                .wrapping_mul(6364136223846793005)
+                .wrapping_add(1442695040888963407);
             let at = 4 + (state >> 33) as usize % (bytes.len() - 4);
             bytes[at] = (state >> 20) as u8;
         }
         let (result, output) = serve(&bytes);
-        let message = result.err().unwrap_or_else(|| "a reply, so no offset".into());
-        assert!(message.contains("offset") && (output.len() >= 8 || !message.starts_with("a reply")));
+        let message = result
+            .err()
+            .unwrap_or_else(|| "a reply, so no offset".into());
+        assert!(
+            message.contains("offset") && (output.len() >= 8 || !message.starts_with("a reply"))
+        );
     }
 }
--- a/crates/standins/src/bin/madderpoint-rig.rs
+++ b/crates/standins/src/bin/madderpoint-rig.rs
@@ -10,7 +10,10 @@
 
 /// Several processes of the program, with faults between them.
 #[derive(Parser)]
-#[command(name = "madderpoint-rig", after_help = "Example: madderpoint-rig run examples/rig/partition.xml")]
+#[command(
+    name = "madderpoint-rig",
+    after_help = "Example: madderpoint-rig run examples/rig/partition.xml"
+)]
 struct Line {
     #[command(subcommand)]
     command: Command,
@@ -26,7 +29,8 @@
         /// The program; the one beside this one if it is not told.
         #[arg(long)]
         exe: Option<PathBuf>,
-        /// Another build of it, for nodes that a timetable starts as program `later`: see docs/operators/rig.md.
+        /// Another build of it, for nodes that a timetable starts as program `later`: see
+        /// docs/operators/rig.md.
         #[arg(long)]
         later: Option<PathBuf>,
         /// How often each is played.
@@ -57,8 +61,13 @@
     times: u32,
     seed: Option<u64>,
 ) -> Result<bool, String> {
-    let beside = std::env::current_exe().ok().and_then(|own| Some(own.parent()?.join("madderpoint")));
-    let exe = exe.or(beside).filter(|exe| exe.is_file()).ok_or("no program; name it by --exe")?;
+    let beside = std::env::current_exe()
+        .ok()
+        .and_then(|own| Some(own.parent()?.join("madderpoint")));
+    let exe = exe
+        .or(beside)
+        .filter(|exe| exe.is_file())
+        .ok_or("no program; name it by --exe")?;
     let dir = std::env::temp_dir().join(format!("madderpoint-rig-{}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
     let mut good = true;
@@ -66,12 +75,20 @@
         for time in 0..times {
             let mut script = read(file)?;
             script.seed = seed.map_or(script.seed, |seed| seed + u64::from(time));
-            let setting =
-                Setting { exe: exe.clone(), later: later.clone(), dir: dir.clone(), more: String::new() };
-            let rig =
-                rig::Rig::start(script.clone(), setting).map_err(|e| format!("{}: {e}", file.display()))?;
+            let setting = Setting {
+                exe: exe.clone(),
+                later: later.clone(),
+                dir: dir.clone(),
+                more: String::new(),
+            };
+            let rig = rig::Rig::start(script.clone(), setting)
+                .map_err(|e| format!("{}: {e}", file.display()))?;
             let outcome = rig.play();
-            let word = if outcome.failures.is_empty() { "held" } else { "FAILED" };
+            let word = if outcome.failures.is_empty() {
+                "held"
+            } else {
+                "FAILED"
+            };
             println!("{}, seed {}: {word}", script.name, script.seed);
             for (what, seconds) in &outcome.took {
                 println!("  {what}: {seconds:.2} s");
@@ -86,7 +103,10 @@
             if script.keys.count > 0 {
                 println!("  runs by key: {}", outcome.keys_ran);
             }
-            println!("  answers {:?}, datagrams {:?}", outcome.statuses, outcome.datagrams);
+            println!(
+                "  answers {:?}, datagrams {:?}",
+                outcome.statuses, outcome.datagrams
+            );
             for failure in &outcome.failures {
                 println!("  {failure}");
             }
@@ -102,12 +122,23 @@
 
 fn main() -> ExitCode {
     let ended = match Line::parse().command {
-        Command::Run { files, exe, later, times, seed } => run(&files, exe, later, times, seed),
+        Command::Run {
+            files,
+            exe,
+            later,
+            times,
+            seed,
+        } => run(&files, exe, later, times, seed),
         Command::Check { files } => files
             .iter()
             .try_for_each(|file| {
                 let script = read(file)?;
-                println!("{}: good; {} nodes, {} steps", file.display(), script.nodes, script.steps.len());
+                println!(
+                    "{}: good; {} nodes, {} steps",
+                    file.display(),
+                    script.nodes,
+                    script.steps.len()
+                );
                 Ok(())
             })
             .map(|()| true)
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -44,8 +44,17 @@
     /// None so far; chance comes from this seed.
     pub fn new(seed: u64) -> Faults {
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        let state = State { faults: Vec::new(), next: 0, rng, free: HashMap::new(), counts: HashMap::new() };
-        Faults { state: Mutex::new(state), changed: Condvar::new() }
+        let state = State {
+            faults: Vec::new(),
+            next: 0,
+            rng,
+            free: HashMap::new(),
+            counts: HashMap::new(),
+        };
+        Faults {
+            state: Mutex::new(state),
+            changed: Condvar::new(),
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -77,14 +86,19 @@
     /// Whether nothing passes between two nodes of the fleet, one way, now.
     pub fn is_cut(&self, from: &Place, to: &Place) -> bool {
         let state = self.lock();
-        state.of(Links::Fleet, from, to).any(|fault| fault.cut || fault.hold)
+        state
+            .of(Links::Fleet, from, to)
+            .any(|fault| fault.cut || fault.hold)
     }
 
     /// What becomes of a datagram of so many bytes.
     pub fn fate(&self, on: Links, from: &Place, to: &Place, bytes: usize) -> Fate {
         let mut state = self.lock();
         let faults: Vec<Fault> = state.of(on, from, to).cloned().collect();
-        let mut fate = Fate { copies: vec![Duration::ZERO], ..Fate::default() };
+        let mut fate = Fate {
+            copies: vec![Duration::ZERO],
+            ..Fate::default()
+        };
         let mut word = "passed";
         for fault in &faults {
             if fault.hold {
@@ -99,21 +113,32 @@
                 word = "doubled";
             }
             if state.chance(fault.damage) {
-                fate.damage =
-                    Some((state.rng.random_range(0..bytes.max(1)), 1 << state.rng.random_range(0..8)));
+                fate.damage = Some((
+                    state.rng.random_range(0..bytes.max(1)),
+                    1 << state.rng.random_range(0..8),
+                ));
                 word = "damaged";
             }
             let late = fault.delay + fault.jitter.mul_f64(state.rng.random_range(0.0..1.0));
             let overtaken = state.chance(fault.reorder);
-            let late = if overtaken { late + Duration::from_millis(20) } else { late };
+            let late = if overtaken {
+                late + Duration::from_millis(20)
+            } else {
+                late
+            };
             let queued = fault.bytes_a_second.map_or(Duration::ZERO, |rate| {
                 let now = Instant::now();
-                let free = state.free.entry((from.name.clone(), to.name.clone())).or_insert(now);
+                let free = state
+                    .free
+                    .entry((from.name.clone(), to.name.clone()))
+                    .or_insert(now);
                 let begin = (*free).max(now);
                 *free = begin + Duration::from_secs_f64(bytes as f64 / rate as f64);
                 *free - now
             });
-            fate.copies.iter_mut().for_each(|copy| *copy += late + queued);
+            fate.copies
+                .iter_mut()
+                .for_each(|copy| *copy += late + queued);
         }
         *state.counts.entry(word).or_default() += 1;
         fate
@@ -136,9 +161,12 @@
                 return std::thread::sleep(late);
             }
             let until = state.faults.iter().filter_map(|(_, _, until)| *until).min();
-            let wait = until
-                .map_or(Duration::from_millis(200), |until| until.saturating_duration_since(Instant::now()));
-            let waited = self.changed.wait_timeout(state, wait.max(Duration::from_millis(1)));
+            let wait = until.map_or(Duration::from_millis(200), |until| {
+                until.saturating_duration_since(Instant::now())
+            });
+            let waited = self
+                .changed
+                .wait_timeout(state, wait.max(Duration::from_millis(1)));
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
@@ -150,13 +178,23 @@
     }
 
     /// The faults of a link now.
-    fn of<'s>(&'s self, on: Links, from: &'s Place, to: &'s Place) -> impl Iterator<Item = &'s Fault> {
+    fn of<'s>(
+        &'s self,
+        on: Links,
+        from: &'s Place,
+        to: &'s Place,
+    ) -> impl Iterator<Item = &'s Fault> {
         let now = Instant::now();
-        let in_force = self.faults.iter().filter(move |(_, _, until)| until.is_none_or(|until| now < until));
+        let in_force = self
+            .faults
+            .iter()
+            .filter(move |(_, _, until)| until.is_none_or(|until| now < until));
         in_force
             .filter(move |(_, faulty, _)| {
-                let one_way = faulty.from.has(&from.name, &from.zone) && faulty.to.has(&to.name, &to.zone);
-                let back = faulty.from.has(&to.name, &to.zone) && faulty.to.has(&from.name, &from.zone);
+                let one_way =
+                    faulty.from.has(&from.name, &from.zone) && faulty.to.has(&to.name, &to.zone);
+                let back =
+                    faulty.from.has(&to.name, &to.zone) && faulty.to.has(&from.name, &from.zone);
                 faulty.on == on && (one_way || faulty.both && back)
             })
             .map(|(_, faulty, _)| &faulty.fault)
@@ -169,14 +207,20 @@
     use crate::script::Ends;
 
     fn place(name: &str, zone: &str) -> Place {
-        Place { name: name.into(), zone: zone.into() }
+        Place {
+            name: name.into(),
+            zone: zone.into(),
+        }
     }
 
     #[test]
     fn faults_hold_on_their_links_and_on_no_other() {
         let faults = Faults::new(1);
         let (a, b, c) = (place("n0", "z0"), place("n1", "z1"), place("n2", "z0"));
-        let cut = Fault { cut: true, ..Fault::default() };
+        let cut = Fault {
+            cut: true,
+            ..Fault::default()
+        };
         let faulty = Faulty {
             from: Ends::Node("n0".into()),
             to: Ends::Zone("z1".into()),
@@ -188,25 +232,50 @@
         assert!(faults.fate(Links::Fleet, &a, &b, 9).copies.is_empty());
         assert_eq!(faults.fate(Links::Load, &a, &b, 9).copies, [Duration::ZERO]);
         faults.heal();
-        faults.put(Faulty { both: true, ..faulty }, Some(Duration::from_secs(60)));
+        faults.put(
+            Faulty {
+                both: true,
+                ..faulty
+            },
+            Some(Duration::from_secs(60)),
+        );
         assert!(faults.is_cut(&a, &b) && faults.is_cut(&b, &a));
         faults.heal();
-        assert_eq!(faults.fate(Links::Fleet, &a, &b, 9).copies, [Duration::ZERO]);
+        assert_eq!(
+            faults.fate(Links::Fleet, &a, &b, 9).copies,
+            [Duration::ZERO]
+        );
     }
 
     #[test]
     fn shares_are_kept_and_a_seed_plays_the_same_again() {
         let play = || {
             let faults = Faults::new(5);
-            let fault = Fault { loss: 0.25, double: 0.25, damage: 0.25, ..Fault::default() };
-            faults.put(Faulty { fault, ..Faulty::default() }, None);
+            let fault = Fault {
+                loss: 0.25,
+                double: 0.25,
+                damage: 0.25,
+                ..Fault::default()
+            };
+            faults.put(
+                Faulty {
+                    fault,
+                    ..Faulty::default()
+                },
+                None,
+            );
             let (a, b) = (place("n0", ""), place("n1", ""));
-            (0..1000).map(|_| faults.fate(Links::Fleet, &a, &b, 9)).collect::<Vec<_>>()
+            (0..1000)
+                .map(|_| faults.fate(Links::Fleet, &a, &b, 9))
+                .collect::<Vec<_>>()
         };
         let fates = play();
         assert_eq!(fates, play());
         let lost = fates.iter().filter(|f| f.copies.is_empty()).count();
         let doubled = fates.iter().filter(|f| f.copies.len() == 2).count();
-        assert!((200..300).contains(&lost) && (130..250).contains(&doubled), "{lost}, {doubled}");
+        assert!(
+            (200..300).contains(&lost) && (130..250).contains(&doubled),
+            "{lost}, {doubled}"
+        );
     }
 }
--- a/crates/standins/src/keys.rs
+++ b/crates/standins/src/keys.rs
@@ -41,8 +41,8 @@
         self.lock().values().map(|of| of.came.len()).sum()
     }
 
-    /// The most that was in hand of any key, and by how many the worst one was over so many a second with so many saved, in any
-    /// time.
+    /// The most that was in hand of any key, and by how many the worst one was over so many a
+    /// second with so many saved, in any time.
     pub fn worst(&self, a_second: f64, saved: f64) -> (usize, f64) {
         let (mut in_hand, mut over) = (0, 0f64);
         for of in self.lock().values_mut() {
@@ -72,7 +72,10 @@
         record.ended("a");
         record.began("a");
         let (in_hand, over) = record.worst(1.0, 4.0);
-        assert!(in_hand == 5 && (1.5..=2.0).contains(&over), "{in_hand} {over}");
+        assert!(
+            in_hand == 5 && (1.5..=2.0).contains(&over),
+            "{in_hand} {over}"
+        );
         assert_eq!((record.worst(1.0, 7.0).1, record.ran()), (0.0, 7));
     }
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-in peers, scripted faults and checkers of the four rules, for tests and tools. All of it stays on loopback, on
-//! free ports, and waits for events.
+//! Stand-in peers, scripted faults and checkers of the four rules, for tests and tools. All of it
+//! stays on loopback, on free ports, and waits for events.
 
 #![forbid(unsafe_code)]
 
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -1,4 +1,5 @@
-//! Many requests over some connections, each with its answer awaited: a closed loop of bounded length.
+//! Many requests over some connections, each with its answer awaited: a closed loop of bounded
+//! length.
 
 use crate::checker::Checker;
 use crate::peers::{PATIENCE, unix_ms};
@@ -22,7 +23,12 @@
 impl Ask {
     /// One for an operation, with nothing else to it.
     pub fn of(path: &str) -> Ask {
-        Ask { path: path.to_owned(), params: Vec::new(), body: b"body".to_vec(), key: None }
+        Ask {
+            path: path.to_owned(),
+            params: Vec::new(),
+            body: b"body".to_vec(),
+            key: None,
+        }
     }
 }
 
@@ -33,9 +39,9 @@
     format!("{:016x}", NEXT.fetch_add(1, SeqCst))
 }
 
-/// Sends `each` requests over each of some connections, `open` at a time, as `make` gives them by connection and
-/// number; what is sent and answered is told to the checker. Connections that the node closes while nothing is open
-/// are made again. Stops sooner once `stop` is set.
+/// Sends `each` requests over each of some connections, `open` at a time, as `make` gives them by
+/// connection and number; what is sent and answered is told to the checker. Connections that the
+/// node closes while nothing is open are made again. Stops sooner once `stop` is set.
 pub fn run(
     node: SocketAddr,
     (connections, open, each): (usize, usize, usize),
@@ -80,7 +86,8 @@
         })
     }
 
-    /// Sends some at once and waits for all answers. What crossed a close is sent again, as dispatchers do, once.
+    /// Sends some at once and waits for all answers. What crossed a close is sent again, as
+    /// dispatchers do, once.
     fn ask(&mut self, asks: &[Ask], checker: &Mutex<Checker>) {
         let rids: Vec<String> = asks.iter().map(|_| rid()).collect();
         for again in [false, true] {
@@ -93,7 +100,9 @@
             }
             if !again {
                 let mut checker = checker.lock().unwrap();
-                asks.iter().zip(&rids).for_each(|(ask, rid)| checker.sent(rid, ask.key.as_deref()));
+                asks.iter()
+                    .zip(&rids)
+                    .for_each(|(ask, rid)| checker.sent(rid, ask.key.as_deref()));
             }
             match self.exchange(&bytes, asks.len()) {
                 Ok(answers) => {
--- a/crates/standins/src/peers.rs
+++ b/crates/standins/src/peers.rs
@@ -1,5 +1,5 @@
-//! A node's peers, played line by line: its kernel, its back end, its membership service and a dispatcher. All waiting
-//! is for something to come.
+//! A node's peers, played line by line: its kernel, its back end, its membership service and a
+//! dispatcher. All waiting is for something to come.
 
 use crate::wire::{self, Answer};
 use serde_json::Value;
@@ -15,13 +15,18 @@
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-/// An address at which nobody listens; one that was free a moment ago could be another test's by now.
+/// An address at which nobody listens; one that was free a moment ago could be another test's by
+/// now.
 pub fn nobody() -> SocketAddr {
     SocketAddr::from(([127, 1, 2, 3], 1))
 }
 
 pub fn unix_ms() -> String {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis().to_string()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis()
+        .to_string()
 }
 
 /// A peer's end of a connection, read by lines.
@@ -34,7 +39,10 @@
     pub fn accept(listener: &TcpListener) -> Talk {
         let (stream, _) = listener.accept().unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Talk { reader: BufReader::new(stream), part: Vec::new() }
+        Talk {
+            reader: BufReader::new(stream),
+            part: Vec::new(),
+        }
     }
 
     pub fn line(&mut self) -> String {
@@ -45,7 +53,12 @@
     pub fn line_within(&mut self, time: Duration) -> Option<String> {
         self.reader.get_ref().set_read_timeout(Some(time)).unwrap();
         match self.reader.read_until(b'\n', &mut self.part) {
-            Ok(_) => Some(String::from_utf8(std::mem::take(&mut self.part)).unwrap().trim_end().to_owned()),
+            Ok(_) => Some(
+                String::from_utf8(std::mem::take(&mut self.part))
+                    .unwrap()
+                    .trim_end()
+                    .to_owned(),
+            ),
             Err(e) if e.kind() == ErrorKind::WouldBlock => None,
             Err(e) => panic!("{e}"),
         }
@@ -72,7 +85,10 @@
             if command["t"] != "SYSINFO" {
                 return Some(command);
             }
-            self.say(&format!("{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n", command["mark"]));
+            self.say(&format!(
+                "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
+                command["mark"]
+            ));
         }
     }
 
@@ -81,11 +97,16 @@
         loop {
             self.part.clear();
             let read = self.reader.read_until(b'\n', &mut self.part);
-            let command: Value = serde_json::from_slice(&self.part).ok().filter(|_| read.is_ok())?;
+            let command: Value = serde_json::from_slice(&self.part)
+                .ok()
+                .filter(|_| read.is_ok())?;
             if command["t"] != "SYSINFO" {
                 return Some(command);
             }
-            self.say(&format!("{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n", command["mark"]));
+            self.say(&format!(
+                "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
+                command["mark"]
+            ));
         }
     }
 
@@ -93,7 +114,9 @@
     pub fn boot(listener: &TcpListener, last: u64, missed: &str) -> Talk {
         let mut link = Talk::accept(listener);
         assert_eq!(link.line(), format!("{{\"t\":\"OPEN\",\"no\":{last}}}"));
-        link.say(&format!("{{\"t\":\"BOOTED\",\"status\":\"WARM\",\"time_ms\":9000}}\n{missed}"));
+        link.say(&format!(
+            "{{\"t\":\"BOOTED\",\"status\":\"WARM\",\"time_ms\":9000}}\n{missed}"
+        ));
         link
     }
 }
@@ -108,8 +131,8 @@
     format!("{{\"t\":\"IOREQ\",\"no\":{no},\"rid\":\"{rid}\",\"b64\":\"AP8=\"}}\n")
 }
 
-/// A dispatcher with one connection. The node may close that while nothing is open on it; what crosses such a
-/// close is sent again on a new one.
+/// A dispatcher with one connection. The node may close that while nothing is open on it; what
+/// crosses such a close is sent again on a new one.
 pub struct Dispatcher {
     pub node: SocketAddr,
     pub stream: TcpStream,
@@ -122,7 +145,13 @@
     pub fn connect(node: SocketAddr) -> Dispatcher {
         let stream = TcpStream::connect(node).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Dispatcher { node, stream, bytes: Vec::new(), open: BTreeMap::new(), done: Vec::new() }
+        Dispatcher {
+            node,
+            stream,
+            bytes: Vec::new(),
+            open: BTreeMap::new(),
+            done: Vec::new(),
+        }
     }
 
     /// Has an invocation run; gives the kernel's command for it.
@@ -181,7 +210,8 @@
             read => read.unwrap(),
         };
         self.bytes.extend_from_slice(&buffer[..n]);
-        self.done.extend(wire::answers(&mut self.bytes, &mut self.open));
+        self.done
+            .extend(wire::answers(&mut self.bytes, &mut self.open));
         n
     }
 
--- a/crates/standins/src/program.rs
+++ b/crates/standins/src/program.rs
@@ -31,7 +31,11 @@
     /// A file with this text, of which there is no other with its name.
     pub fn file(self, kind: &str, text: &str) -> PathBuf {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
-        let name = format!("config-{}-{}.{kind}", std::process::id(), NEXT.fetch_add(1, SeqCst));
+        let name = format!(
+            "config-{}-{}.{kind}",
+            std::process::id(),
+            NEXT.fetch_add(1, SeqCst)
+        );
         let path = PathBuf::from(self.dir).join(name);
         std::fs::write(&path, text).unwrap();
         path
@@ -49,7 +53,12 @@
 }
 
 /// A configuration file's text.
-pub fn told(kernel: SocketAddr, backend: SocketAddr, members: SocketAddr, descriptors: usize) -> String {
+pub fn told(
+    kernel: SocketAddr,
+    backend: SocketAddr,
+    members: SocketAddr,
+    descriptors: usize,
+) -> String {
     let settings = wire::SETTINGS;
     format!(
         r#"{{"name": "n3", "listen": "127.0.0.1:0", "kernel": "{kernel}", "members": "{members}",
@@ -75,8 +84,18 @@
         let mut child = program.start(&path).args(arguments).spawn().unwrap();
         let stderr = BufReader::new(child.stderr.take().unwrap());
         let (lines, log) = mpsc::channel();
-        thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| lines.send(line)));
-        let mut node = Node { child, log, listen: nobody(), path };
+        thread::spawn(move || {
+            stderr
+                .lines()
+                .map_while(Result::ok)
+                .try_for_each(|line| lines.send(line))
+        });
+        let mut node = Node {
+            child,
+            log,
+            listen: nobody(),
+            path,
+        };
         node.listen = node.logged("listening on ").parse().unwrap();
         node
     }
@@ -84,7 +103,13 @@
     /// A node, its kernel's listener, and the link to it.
     pub fn with_kernel(program: Program) -> (Node, TcpListener, Talk) {
         let kernel = listen();
-        let node = Node::start(program, kernel.local_addr().unwrap(), nobody(), nobody(), 1024);
+        let node = Node::start(
+            program,
+            kernel.local_addr().unwrap(),
+            nobody(),
+            nobody(),
+            1024,
+        );
         let link = Talk::boot(&kernel, 0, "");
         let mut dispatcher = node.connect();
         while dispatcher.ping() != "200" {}
@@ -111,7 +136,13 @@
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([name, &pid])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     pub fn terminate(&self) {
--- a/crates/standins/src/record.rs
+++ b/crates/standins/src/record.rs
@@ -36,7 +36,10 @@
 
 /// Now, as the record counts.
 pub fn now() -> u128 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_nanos()
 }
 
 /// The record.
@@ -68,15 +71,34 @@
     /// A line that a process wrote: JSON, or what it says as it dies.
     pub fn line(&self, who: &str, text: &str) {
         let read: Option<Value> = serde_json::from_str(text).ok();
-        let field = |name: &str| read.as_ref().and_then(|v| v[name].as_str()).unwrap_or_default().to_owned();
+        let field = |name: &str| {
+            read.as_ref()
+                .and_then(|v| v[name].as_str())
+                .unwrap_or_default()
+                .to_owned()
+        };
         let at = field("timestamp").parse().unwrap_or_else(|_| now());
-        let what = if read.is_some() { field("message") } else { text.to_owned() };
-        self.push(Line { at, who: who.into(), part: field("part"), event: field("event"), what });
+        let what = if read.is_some() {
+            field("message")
+        } else {
+            text.to_owned()
+        };
+        self.push(Line {
+            at,
+            who: who.into(),
+            part: field("part"),
+            event: field("event"),
+            what,
+        });
     }
 
     /// All lines in the order of their times.
     pub fn joined(&self) -> Vec<Line> {
-        let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let mut lines = self
+            .lines
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         lines.sort_by_key(|line| line.at);
         lines
     }
@@ -99,8 +121,14 @@
         );
         record.line("n0", "thread 'core' panicked");
         let joined = record.joined();
-        assert_eq!((&joined[0].what[..], &joined[1].event[..]), ("first", "dead"));
+        assert_eq!(
+            (&joined[0].what[..], &joined[1].event[..]),
+            ("first", "dead")
+        );
         assert_eq!(joined[2].what, "thread 'core' panicked");
-        assert_eq!(joined[0].to_string(), "     0.001 n0      fleet       first");
+        assert_eq!(
+            joined[0].to_string(),
+            "     0.001 n0      fleet       first"
+        );
     }
 }
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,5 +1,6 @@
-//! Relays of ours between processes. Datagrams: each node is reached at an address of the relay, and each pair of nodes has a
-//! socket of its own, so that a reply to whoever sent finds its way. Streams: bytes pass in order, late or not at all.
+//! Relays of ours between processes. Datagrams: each node is reached at an address of the relay,
+//! and each pair of nodes has a socket of its own, so that a reply to whoever sent finds its way.
+//! Streams: bytes pass in order, late or not at all.
 
 use crate::faults::{Fate, Faults, Place};
 use crate::script::Links;
@@ -25,7 +26,8 @@
     /// Where the node listens, and where others reach it.
     bind: SocketAddr,
     front: UdpSocket,
-    /// By sender: the socket from which what that one sent goes on, and on which replies to it come.
+    /// By sender: the socket from which what that one sent goes on, and on which replies to it
+    /// come.
     pairs: Vec<UdpSocket>,
 }
 
@@ -80,13 +82,29 @@
         let mut sides = Vec::new();
         for (place, bind_at) in nodes {
             let pairs = (0..count).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
-            sides.push(Side { place, bind: bind_at, front: bind()?, pairs });
+            sides.push(Side {
+                place,
+                bind: bind_at,
+                front: bind()?,
+                pairs,
+            });
         }
-        let addresses = sides.iter().map(|side| side.front.local_addr()).collect::<io::Result<Vec<_>>>()?;
+        let addresses = sides
+            .iter()
+            .map(|side| side.front.local_addr())
+            .collect::<io::Result<Vec<_>>>()?;
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = Arc::clone(&stop);
-        let relay = Relay { sides, faults, waiting: BinaryHeap::new(), held: Vec::new(), ordered: 0 };
-        thread::Builder::new().name("relay".into()).spawn(move || relay.serve(&stopped))?;
+        let relay = Relay {
+            sides,
+            faults,
+            waiting: BinaryHeap::new(),
+            held: Vec::new(),
+            ordered: 0,
+        };
+        thread::Builder::new()
+            .name("relay".into())
+            .spawn(move || relay.serve(&stopped))?;
         Ok(Datagrams { addresses, stop })
     }
 }
@@ -108,8 +126,17 @@
             }
             self.release();
             let now = Instant::now();
-            while self.waiting.peek().is_some_and(|Reverse(first)| first.due <= now) {
-                let Some(Reverse(Waiting { from, to, frame, .. })) = self.waiting.pop() else { break };
+            while self
+                .waiting
+                .peek()
+                .is_some_and(|Reverse(first)| first.due <= now)
+            {
+                let Some(Reverse(Waiting {
+                    from, to, frame, ..
+                })) = self.waiting.pop()
+                else {
+                    break;
+                };
                 let _ = self.sides[to].pairs[from].send_to(&frame, self.sides[to].bind);
             }
         }
@@ -128,10 +155,14 @@
                 pairs.chain([(to, None, &self.sides[to].front)])
             })
             .collect();
-        let mut polled: Vec<PollFd<'_>> =
-            sockets.iter().map(|(_, _, socket)| PollFd::new(*socket, PollFlags::IN)).collect();
-        let next =
-            self.waiting.peek().map(|Reverse(first)| first.due.saturating_duration_since(Instant::now()));
+        let mut polled: Vec<PollFd<'_>> = sockets
+            .iter()
+            .map(|(_, _, socket)| PollFd::new(*socket, PollFlags::IN))
+            .collect();
+        let next = self
+            .waiting
+            .peek()
+            .map(|Reverse(first)| first.due.saturating_duration_since(Instant::now()));
         let wait = next.unwrap_or(TICK).min(TICK);
         let _ = poll(&mut polled, Timespec::try_from(wait).ok().as_ref());
         let mut came = Vec::new();
@@ -142,12 +173,14 @@
             while let Ok((n, source)) = socket.recv_from(buffer) {
                 let sender = self.sides.iter().position(|side| side.bind == source);
                 let (from, to) = match (pair, sender) {
-                    // A reply on the socket by which `from`'s datagram reached the node at this side.
+                    // A reply on the socket by which `from`'s datagram reached the node at this
+                    // side.
                     (Some(first), Some(sender)) => (sender, *first),
                     (None, Some(sender)) => (sender, *at),
                     // From one that is no node, such as a stranger: straight on.
                     (None, None) => {
-                        let _ = self.sides[*at].pairs[*at].send_to(&buffer[..n], self.sides[*at].bind);
+                        let _ =
+                            self.sides[*at].pairs[*at].send_to(&buffer[..n], self.sides[*at].bind);
                         continue;
                     }
                     (Some(_), None) => continue,
@@ -159,9 +192,17 @@
     }
 
     fn passes(&mut self, from: usize, to: usize, mut frame: Vec<u8>) {
-        let fate =
-            self.faults.fate(Links::Fleet, &self.sides[from].place, &self.sides[to].place, frame.len());
-        let Fate { copies, damage, held } = fate;
+        let fate = self.faults.fate(
+            Links::Fleet,
+            &self.sides[from].place,
+            &self.sides[to].place,
+            frame.len(),
+        );
+        let Fate {
+            copies,
+            damage,
+            held,
+        } = fate;
         if self.waiting.len() + self.held.len() >= WAITING {
             return;
         }
@@ -174,19 +215,34 @@
         for late in copies {
             self.ordered += 1;
             let (due, order) = (Instant::now() + late, self.ordered);
-            self.waiting.push(Reverse(Waiting { due, order, from, to, frame: frame.clone() }));
+            self.waiting.push(Reverse(Waiting {
+                due,
+                order,
+                from,
+                to,
+                frame: frame.clone(),
+            }));
         }
     }
 
     /// What was held goes on once its link is whole.
     fn release(&mut self) {
         for (from, to, frame) in std::mem::take(&mut self.held) {
-            if self.faults.is_cut(&self.sides[from].place, &self.sides[to].place) {
+            if self
+                .faults
+                .is_cut(&self.sides[from].place, &self.sides[to].place)
+            {
                 self.held.push((from, to, frame));
             } else {
                 self.ordered += 1;
                 let (due, order) = (Instant::now(), self.ordered);
-                self.waiting.push(Reverse(Waiting { due, order, from, to, frame }));
+                self.waiting.push(Reverse(Waiting {
+                    due,
+                    order,
+                    from,
+                    to,
+                    frame,
+                }));
             }
         }
     }
@@ -202,19 +258,26 @@
 
 impl Stream {
     /// A relay for what `node` has to do with another party, which is at this address.
-    pub fn start(on: Links, node: Place, to: SocketAddr, faults: Arc<Faults>) -> io::Result<Stream> {
+    pub fn start(
+        on: Links,
+        node: Place,
+        to: SocketAddr,
+        faults: Arc<Faults>,
+    ) -> io::Result<Stream> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let (address, to) = (listener.local_addr()?, Arc::new(Mutex::new(to)));
         let target = Arc::clone(&to);
-        thread::Builder::new().name("stream relay".into()).spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let to = *target.lock().unwrap_or_else(PoisonError::into_inner);
-                let (node, faults) = (node.clone(), Arc::clone(&faults));
-                let _ = thread::Builder::new()
-                    .stack_size(128 << 10)
-                    .spawn(move || join(on, &node, stream, to, &faults));
-            }
-        })?;
+        thread::Builder::new()
+            .name("stream relay".into())
+            .spawn(move || {
+                for stream in listener.incoming().flatten() {
+                    let to = *target.lock().unwrap_or_else(PoisonError::into_inner);
+                    let (node, faults) = (node.clone(), Arc::clone(&faults));
+                    let _ = thread::Builder::new()
+                        .stack_size(128 << 10)
+                        .spawn(move || join(on, &node, stream, to, &faults));
+                }
+            })?;
         Ok(Stream { address, to })
     }
 }
@@ -226,10 +289,13 @@
         return;
     };
     let (_, _) = (a.set_nodelay(true), b.set_nodelay(true));
-    let (Ok(a2), Ok(b2)) = (a.try_clone(), b.try_clone()) else { return };
+    let (Ok(a2), Ok(b2)) = (a.try_clone(), b.try_clone()) else {
+        return;
+    };
     let (place, shared) = (node.clone(), Arc::clone(faults));
-    let back =
-        thread::Builder::new().stack_size(128 << 10).spawn(move || copy(on, &place, &b2, &a2, &shared));
+    let back = thread::Builder::new()
+        .stack_size(128 << 10)
+        .spawn(move || copy(on, &place, &b2, &a2, &shared));
     copy(on, node, &a, &b, faults);
     let _ = back.map(|thread| thread.join());
 }
--- a/crates/standins/src/rig.rs
+++ b/crates/standins/src/rig.rs
@@ -1,5 +1,6 @@
-//! Several processes of the program, each with its kernel, back end and load, every link through a relay of ours; faults by a
-//! timetable; what must hold is looked at while it runs and over the joined record afterwards.
+//! Several processes of the program, each with its kernel, back end and load, every link through a
+//! relay of ours; faults by a timetable; what must hold is looked at while it runs and over the
+//! joined record afterwards.
 
 mod changes;
 
@@ -109,7 +110,10 @@
     }
 
     fn signal(&self, signal: Signal) {
-        let pid = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
+        let pid = self
+            .child
+            .as_ref()
+            .and_then(|child| Pid::from_raw(child.id() as i32));
         if let Some(pid) = pid {
             let _ = kill_process(pid, signal);
         }
@@ -131,7 +135,8 @@
     /// What the service below recorded, and what ran by key.
     pub below: Recorded,
     pub keys_ran: usize,
-    /// By how many calls the worst second after a start of the service below was over what it takes then; below 0 if it was not.
+    /// By how many calls the worst second after a start of the service below was over what it takes
+    /// then; below 0 if it was not.
     pub over_a_start: Option<f64>,
     /// The most nodes that ran each number of the settings on trial, before it was good.
     pub on_trial: BTreeMap<u64, usize>,
@@ -203,18 +208,29 @@
         let record = Arc::new(Record::default());
         let places: Vec<(Place, SocketAddr)> = (0..script.nodes)
             .map(|n| {
-                let place = Place { name: format!("n{n}"), zone: format!("z{}", n % script.zones.max(1)) };
+                let place = Place {
+                    name: format!("n{n}"),
+                    zone: format!("z{}", n % script.zones.max(1)),
+                };
                 (place, SocketAddr::new(ip, 7000 + n as u16))
             })
             .collect();
         let datagrams = Datagrams::start(places.clone(), Arc::clone(&faults))?;
         let below = &script.below;
         let (work, survives) = (below.work, below.survives);
-        let service = Service::start(Nature { work, survives, down: below.down, warm: below.warm });
+        let service = Service::start(Nature {
+            work,
+            survives,
+            down: below.down,
+            warm: below.warm,
+        });
         let (mut nodes, keys) = (Vec::new(), KeyRecord::default());
         let callers = script.callers.max(1);
         let every = Duration::from_secs(1) * callers as u32 / script.load.max(1) as u32;
-        let pace = Pace { every, keys: (0, script.keys.count.saturating_sub(1)) };
+        let pace = Pace {
+            every,
+            keys: (0, script.keys.count.saturating_sub(1)),
+        };
         for (n, (place, bind)) in places.into_iter().enumerate() {
             let (worker, backend) = (Worker::start(), service.listen(&place.zone)?);
             worker.calls(true);
@@ -270,7 +286,12 @@
 
     fn file(&mut self, kind: &str, text: &str) -> std::io::Result<PathBuf> {
         self.files += 1;
-        let name = format!("rig-{}-{}-{}.{kind}", std::process::id(), self.nodes[0].bind.ip(), self.files);
+        let name = format!(
+            "rig-{}-{}-{}.{kind}",
+            std::process::id(),
+            self.nodes[0].bind.ip(),
+            self.files
+        );
         let path = self.setting.dir.join(name);
         std::fs::write(&path, text)?;
         Ok(path)
@@ -278,7 +299,15 @@
 
     /// What the settings say of all that is shared.
     fn shared(&self) -> String {
-        let Script { calls_a_second, calls_in_hand, repeats_a_second, floor, below, keys, .. } = &self.script;
+        let Script {
+            calls_a_second,
+            calls_in_hand,
+            repeats_a_second,
+            floor,
+            below,
+            keys,
+            ..
+        } = &self.script;
         let mut text = String::new();
         if calls_a_second + calls_in_hand + repeats_a_second > 0 || keys.count > 0 || below.judged {
             text += "<arbiter name=\"n0\"/><arbiter name=\"n1\"/><arbiter name=\"n2\"/>";
@@ -302,15 +331,27 @@
 
     /// Rules, where there is a limit by key: its bucket.
     fn rules(&self) -> String {
-        let LimitedKeys { count, a_second, burst, in_hand, floor } = self.script.keys;
+        let LimitedKeys {
+            count,
+            a_second,
+            burst,
+            in_hand,
+            floor,
+        } = self.script.keys;
         if count == 0 {
             return String::new();
         }
         let most = self.nodes.len();
-        let rate =
-            if a_second > 0 { format!(" rate=\"{a_second}/s\" burst=\"{burst}\"") } else { String::new() };
-        let hands =
-            if in_hand > 0 { format!(" in-hand=\"{in_hand}\" longest=\"1500ms\"") } else { String::new() };
+        let rate = if a_second > 0 {
+            format!(" rate=\"{a_second}/s\" burst=\"{burst}\"")
+        } else {
+            String::new()
+        };
+        let hands = if in_hand > 0 {
+            format!(" in-hand=\"{in_hand}\" longest=\"1500ms\"")
+        } else {
+            String::new()
+        };
         format!(
             "<rules><parameter name=\"HTTP_X_KEY\" most=\"64B\"/><bucket name=\"by-key\"{rate}{hands} scope=\"fleet\" \
              floor=\"{floor}\" nodes-most=\"{most}\"/><rule name=\"all\"><when>true</when><give>\
@@ -318,8 +359,17 @@
         )
     }
 
-    fn start_node(&mut self, n: usize, name: Option<&str>, program: Option<&str>) -> std::io::Result<()> {
-        let later = self.setting.later.clone().filter(|_| program == Some("later"));
+    fn start_node(
+        &mut self,
+        n: usize,
+        name: Option<&str>,
+        program: Option<&str>,
+    ) -> std::io::Result<()> {
+        let later = self
+            .setting
+            .later
+            .clone()
+            .filter(|_| program == Some("later"));
         let exe = later.clone().unwrap_or_else(|| self.setting.exe.clone());
         let program = program.filter(|_| later.is_none());
         let settings = self.settings(1, &self.rules(), "", program);
@@ -327,8 +377,12 @@
         let node = &self.nodes[n];
         node.worker.node_starts();
         let own = name.unwrap_or(&node.place.name).to_owned();
-        let config =
-            crate::program::told(node.kernel.address, node.backend.address, node.members.address, 1024);
+        let config = crate::program::told(
+            node.kernel.address,
+            node.backend.address,
+            node.members.address,
+            1024,
+        );
         let mut config = config.replace("\"n3\"", &format!("\"{own}\""));
         if self.script.small.contains(&self.nodes[n].place.name) {
             config = config.replace("\"memory_mb\": 192", "\"memory_mb\": 32");
@@ -340,12 +394,17 @@
             .env("PROXY_CONFIG", config)
             .env("MADDERPOINT_ZONE", &self.nodes[n].place.zone)
             .env("MADDERPOINT_FLEET_BIND", self.nodes[n].bind.to_string())
-            .env("MADDERPOINT_FLEET_ADVERTISE", self.nodes[n].reached.to_string())
+            .env(
+                "MADDERPOINT_FLEET_ADVERTISE",
+                self.nodes[n].reached.to_string(),
+            )
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()?;
-        let Some(stderr) = child.stderr.take() else { return Err(ErrorKind::BrokenPipe.into()) };
+        let Some(stderr) = child.stderr.take() else {
+            return Err(ErrorKind::BrokenPipe.into());
+        };
         let (record, who) = (Arc::clone(&self.record), self.nodes[n].place.name.clone());
         let (listens, listening) = std::sync::mpsc::channel();
         thread::spawn(move || {
@@ -361,9 +420,18 @@
         let node = &mut self.nodes[n];
         node.child = Some(child);
         let Ok(Ok(listen)) = listen else {
-            let tail: Vec<String> =
-                self.record.joined().iter().rev().take(5).map(ToString::to_string).collect();
-            return Err(std::io::Error::other(format!("{} did not listen: {tail:?}", node.place.name)));
+            let tail: Vec<String> = self
+                .record
+                .joined()
+                .iter()
+                .rev()
+                .take(5)
+                .map(ToString::to_string)
+                .collect();
+            return Err(std::io::Error::other(format!(
+                "{} did not listen: {tail:?}",
+                node.place.name
+            )));
         };
         *lock(&node.front.to) = listen;
         node.name = own;
@@ -372,8 +440,16 @@
             (state.running, state.paused) = (true, false);
         }
         node.excuse_ends();
-        self.record.note(&node.place.name, "rig", format!("started as {} on {listen}", node.name));
-        let callers = if self.script.load > 0 { self.script.callers.max(1) } else { 0 };
+        self.record.note(
+            &node.place.name,
+            "rig",
+            format!("started as {} on {listen}", node.name),
+        );
+        let callers = if self.script.load > 0 {
+            self.script.callers.max(1)
+        } else {
+            0
+        };
         for caller in node.load.len() as u64..callers {
             let load = Load {
                 front: node.front.address,
@@ -393,8 +469,11 @@
     /// Looks at what every node holds, one after the other, as often as that goes.
     fn watch(&self) -> std::io::Result<()> {
         let (seen, stop) = (Arc::clone(&self.seen), Arc::clone(&self.stop));
-        let nodes: Vec<(SocketAddr, Arc<Mutex<State>>)> =
-            self.nodes.iter().map(|node| (node.bind, Arc::clone(&node.state))).collect();
+        let nodes: Vec<(SocketAddr, Arc<Mutex<State>>)> = self
+            .nodes
+            .iter()
+            .map(|node| (node.bind, Arc::clone(&node.state)))
+            .collect();
         let socket = UdpSocket::bind((nodes[0].0.ip(), 0))?;
         socket.set_read_timeout(Some(LOOK))?;
         let seed = (u64::from(std::process::id()) << 8) | u64::from(RIGS.load(SeqCst));
@@ -402,7 +481,9 @@
             let keys = || Keys::new(&[KEY.to_vec()]).expect("a key of 32 bytes");
             let begun = Instant::now();
             let mut observers: Vec<Observer> = (0..nodes.len())
-                .map(|n| Observer::new(FLEET, keys(), (seed << 8) | (n as u64 + 1), 600_000_000_000))
+                .map(|n| {
+                    Observer::new(FLEET, keys(), (seed << 8) | (n as u64 + 1), 600_000_000_000)
+                })
                 .collect();
             while !stop.load(SeqCst) {
                 for (n, (at, state)) in nodes.iter().enumerate() {
@@ -410,7 +491,11 @@
                         let state = lock(state);
                         state.running && !state.paused
                     };
-                    let holding = if up { look(&socket, *at, &mut observers[n], begun) } else { None };
+                    let holding = if up {
+                        look(&socket, *at, &mut observers[n], begun)
+                    } else {
+                        None
+                    };
                     if !up || holding.is_some() {
                         lock(&seen.0)[n] = holding.map(|holding| (Instant::now(), holding));
                     }
@@ -423,7 +508,10 @@
     }
 
     fn node(&self, name: &str) -> usize {
-        self.nodes.iter().position(|node| node.place.name == name).unwrap_or(0)
+        self.nodes
+            .iter()
+            .position(|node| node.place.name == name)
+            .unwrap_or(0)
     }
 
     /// Plays the timetable to its end.
@@ -432,7 +520,8 @@
         let steps = std::mem::take(&mut self.script.steps);
         for (at, step) in steps.iter().enumerate() {
             thread::sleep((begun + step.at).saturating_duration_since(Instant::now()));
-            self.record.note("rig", "step", format!("{:?}", step.action));
+            self.record
+                .note("rig", "step", format!("{:?}", step.action));
             self.act(at, &step.action);
         }
         self.script.steps = steps;
@@ -460,7 +549,10 @@
             }
             Action::Heal => {
                 self.faults.heal();
-                self.nodes.iter().filter(|node| lock(&node.state).running).for_each(Node::excuse_ends);
+                self.nodes
+                    .iter()
+                    .filter(|node| lock(&node.state).running)
+                    .for_each(Node::excuse_ends);
             }
             Action::Kill(node) => {
                 let n = self.node(node);
@@ -482,7 +574,10 @@
                 self.nodes[n].excuse(Some(Instant::now() + *time + Duration::from_secs(1)));
                 lock(&self.nodes[n].state).paused = true;
                 self.nodes[n].signal(Signal::STOP);
-                let pid = self.nodes[n].child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
+                let pid = self.nodes[n]
+                    .child
+                    .as_ref()
+                    .and_then(|child| Pid::from_raw(child.id() as i32));
                 let (state, time) = (Arc::clone(&self.nodes[n].state), *time);
                 let (record, name) = (Arc::clone(&self.record), node.clone());
                 thread::spawn(move || {
@@ -498,7 +593,11 @@
                 let n = self.node(node);
                 self.nodes[n].signal(Signal::HUP);
             }
-            Action::Start { node, name, program } => {
+            Action::Start {
+                node,
+                name,
+                program,
+            } => {
                 let n = self.node(node);
                 if let Err(e) = self.start_node(n, name.as_deref(), program.as_deref()) {
                     self.fail(format!("step {at}: {e}"));
@@ -514,8 +613,16 @@
                     }
                 }
             }
-            Action::Service { time, dies: true, .. } => self.service.dies(*time),
-            Action::Service { time, zone, slower, fails, .. } => {
+            Action::Service {
+                time, dies: true, ..
+            } => self.service.dies(*time),
+            Action::Service {
+                time,
+                zone,
+                slower,
+                fails,
+                ..
+            } => {
                 self.service.trouble(zone.clone(), *time, *slower, *fails);
             }
             Action::Holds { node, what, within } => {
@@ -529,7 +636,11 @@
                     }
                 }
             }
-            Action::Used { over, least, within } => {
+            Action::Used {
+                over,
+                least,
+                within,
+            } => {
                 let begun = Instant::now();
                 let limit = f64::from(self.script.calls_a_second.max(1)) * over.as_secs_f64();
                 let mut used = 0.0;
@@ -545,19 +656,32 @@
                     ));
                 }
             }
-            Action::Offer { node, number, change, turned_down } => {
+            Action::Offer {
+                node,
+                number,
+                change,
+                turned_down,
+            } => {
                 self.offer(at, node, *number, change, *turned_down);
             }
             Action::Disk { node, full } => self.fill(at, node, *full),
             Action::EndChange { node, back } => self.end_change(at, node, *back),
             Action::Runs { to, number, within } => {
                 let begun = Instant::now();
-                match self.wait(begun + *within, |rig, seen| rig.not_running(seen, to, *number)) {
+                match self.wait(begun + *within, |rig, seen| {
+                    rig.not_running(seen, to, *number)
+                }) {
                     Ok(()) => self.took(format!("all run {number}, step {at}"), begun),
                     Err(what) => self.fail(format!("step {at}: not so within {within:?}: {what}")),
                 }
             }
-            Action::Change { to, number, fate, stage, within } => {
+            Action::Change {
+                to,
+                number,
+                fate,
+                stage,
+                within,
+            } => {
                 self.change_is(at, to, (*number, fate, *stage), *within);
             }
             Action::Stranger { to, a_second, time } => self.stranger(to, *a_second, *time),
@@ -565,27 +689,39 @@
                 let begun = Instant::now();
                 match self.wait(begun + *within, |rig, seen| rig.unsettled(seen, *sides)) {
                     Ok(()) => self.took(format!("settled, step {at}"), begun),
-                    Err(what) => self.fail(format!("step {at}: not settled within {within:?}: {what}")),
+                    Err(what) => {
+                        self.fail(format!("step {at}: not settled within {within:?}: {what}"))
+                    }
                 }
             }
-            Action::Sees { node, other, held, within } => {
+            Action::Sees {
+                node,
+                other,
+                held,
+                within,
+            } => {
                 let (begun, n) = (Instant::now(), self.node(node));
                 let sees = |rig: &Rig, seen: &Seen| rig.unlike(seen, n, other, held);
                 match self.wait(begun + *within, sees) {
-                    Ok(()) => self.took(format!("{node} holds {other} for {held}, step {at}"), begun),
+                    Ok(()) => {
+                        self.took(format!("{node} holds {other} for {held}, step {at}"), begun)
+                    }
                     Err(what) => self.fail(format!("step {at}: not so within {within:?}: {what}")),
                 }
             }
         }
     }
 
-    /// Asks a node for all that it holds of what is shared, until it holds this; else gives what it held last.
+    /// Asks a node for all that it holds of what is shared, until it holds this; else gives what it
+    /// held last.
     fn holds(&self, n: usize, what: &str, until: Instant) -> Result<(), String> {
         let node = &self.nodes[n];
         let socket = UdpSocket::bind((node.bind.ip(), 0)).map_err(|e| e.to_string())?;
-        socket.set_read_timeout(Some(LOOK)).map_err(|e| e.to_string())?;
-        let seed =
-            u64::from(std::process::id()) << 24 | u64::from(socket.local_addr().map_or(1, |a| a.port()));
+        socket
+            .set_read_timeout(Some(LOOK))
+            .map_err(|e| e.to_string())?;
+        let seed = u64::from(std::process::id()) << 24
+            | u64::from(socket.local_addr().map_or(1, |a| a.port()));
         let keys = Keys::new(&[KEY.to_vec()])?;
         let mut observer = Observer::new(FLEET, keys, seed | 1 << 50, 600_000_000_000).about(1);
         let (begun, mut last) = (Instant::now(), "nothing".to_owned());
@@ -603,20 +739,35 @@
     }
 
     fn took(&mut self, what: String, begun: Instant) {
-        self.record.note("rig", "took", format!("{what}: {} ms", begun.elapsed().as_millis()));
-        self.outcome.took.push((what, begun.elapsed().as_secs_f64()));
+        self.record.note(
+            "rig",
+            "took",
+            format!("{what}: {} ms", begun.elapsed().as_millis()),
+        );
+        self.outcome
+            .took
+            .push((what, begun.elapsed().as_secs_f64()));
     }
 
     /// Waits until a look finds nothing wrong; else gives what the last one found.
-    fn wait(&self, until: Instant, wrong: impl Fn(&Rig, &Seen) -> Option<String>) -> Result<(), String> {
+    fn wait(
+        &self,
+        until: Instant,
+        wrong: impl Fn(&Rig, &Seen) -> Option<String>,
+    ) -> Result<(), String> {
         let mut seen = lock(&self.seen.0);
         loop {
-            let Some(what) = wrong(self, &seen) else { return Ok(()) };
+            let Some(what) = wrong(self, &seen) else {
+                return Ok(());
+            };
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Err(what);
             }
-            let waited = self.seen.1.wait_timeout(seen, left.min(Duration::from_millis(200)));
+            let waited = self
+                .seen
+                .1
+                .wait_timeout(seen, left.min(Duration::from_millis(200)));
             seen = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
@@ -652,18 +803,29 @@
     fn unsettled(&self, seen: &Seen, sides: usize) -> Option<String> {
         let groups = self.groups();
         if groups.len() != sides {
-            return Some(format!("{} groups that hear each other, {sides} wanted", groups.len()));
+            return Some(format!(
+                "{} groups that hear each other, {sides} wanted",
+                groups.len()
+            ));
         }
         for group in groups {
-            let names: BTreeSet<&str> = group.iter().map(|&n| self.nodes[n].name.as_str()).collect();
+            let names: BTreeSet<&str> =
+                group.iter().map(|&n| self.nodes[n].name.as_str()).collect();
             let mut digest = None;
             for n in group {
                 let name = &self.nodes[n].place.name;
-                let Some((_, holding)) = &seen[n] else { return Some(format!("{name} was not seen yet")) };
-                let there = holding.members.values().filter(|member| member.status.is_present());
+                let Some((_, holding)) = &seen[n] else {
+                    return Some(format!("{name} was not seen yet"));
+                };
+                let there = holding
+                    .members
+                    .values()
+                    .filter(|member| member.status.is_present());
                 let there: BTreeSet<&str> = there.map(|member| member.name.as_str()).collect();
                 if there != names {
-                    return Some(format!("{name} holds {there:?} for there, and {names:?} are"));
+                    return Some(format!(
+                        "{name} holds {there:?} for there, and {names:?} are"
+                    ));
                 }
                 if *digest.get_or_insert(holding.digest) != holding.digest {
                     return Some(format!("{name} holds another digest than its group"));
@@ -676,15 +838,24 @@
     /// What keeps a node from holding another so.
     fn unlike(&self, seen: &Seen, n: usize, other: &str, held: &str) -> Option<String> {
         let name = &self.nodes[n].place.name;
-        let Some((_, holding)) = &seen[n] else { return Some(format!("{name} was not seen yet")) };
+        let Some((_, holding)) = &seen[n] else {
+            return Some(format!("{name} was not seen yet"));
+        };
         let found = match held {
             "mute" | "heard" => if holding.report.mute { "mute" } else { "heard" }.to_owned(),
-            "unsure" | "sure" => if holding.report.unsure_ms > 0 { "unsure" } else { "sure" }.to_owned(),
+            "unsure" | "sure" => if holding.report.unsure_ms > 0 {
+                "unsure"
+            } else {
+                "sure"
+            }
+            .to_owned(),
             _ => {
                 let member = holding.members.values().find(|member| member.name == other);
                 match member {
                     None => "unknown".to_owned(),
-                    Some(m) if held == "draining" && m.status == Status::Alive => m.phase.word().to_owned(),
+                    Some(m) if held == "draining" && m.status == Status::Alive => {
+                        m.phase.word().to_owned()
+                    }
                     Some(m) if held.contains('.') => m.program.clone(),
                     Some(m) => m.status.word().to_owned(),
                 }
@@ -702,13 +873,17 @@
             .collect();
         let (seed, record) = (self.script.seed, Arc::clone(&self.record));
         thread::spawn(move || {
-            let Ok(socket) = UdpSocket::bind("127.0.0.1:0") else { return };
+            let Ok(socket) = UdpSocket::bind("127.0.0.1:0") else {
+                return;
+            };
             let mut rng = Pcg64Mcg::seed_from_u64(seed);
             let (begun, mut sent) = (Instant::now(), 0u64);
             while begun.elapsed() < time {
                 let due = (begun.elapsed().as_secs_f64() * a_second as f64) as u64;
                 for _ in sent..due {
-                    let mut frame: Vec<u8> = (0..rng.random_range(1..200)).map(|_| rng.random()).collect();
+                    let mut frame: Vec<u8> = (0..rng.random_range(1..200))
+                        .map(|_| rng.random())
+                        .collect();
                     if rng.random_bool(0.5) {
                         frame.splice(..0, *b"mf\x01"); // looks like one of ours at its beginning
                     }
@@ -722,7 +897,9 @@
     }
 
     fn stop_node(&mut self, n: usize) {
-        let Some(mut child) = self.nodes[n].child.take() else { return };
+        let Some(mut child) = self.nodes[n].child.take() else {
+            return;
+        };
         let name = self.nodes[n].place.name.clone();
         if let Some(pid) = Pid::from_raw(child.id() as i32) {
             let _ = kill_process(pid, Signal::CONT);
@@ -743,7 +920,9 @@
             None => {
                 let _ = child.kill();
                 let _ = child.wait();
-                self.fail(format!("{name} did not end within {END:?} after the notice to leave"));
+                self.fail(format!(
+                    "{name} did not end within {END:?} after the notice to leave"
+                ));
             }
         }
     }
@@ -755,28 +934,45 @@
         let nodes = self.nodes.len();
         let mut wrong = Vec::new();
         let limit = self.script.calls_a_second as usize;
-        // What may be saved: 50 ms of the limit, or a call of each node; and of a second's edges a call of each.
+        // What may be saved: 50 ms of the limit, or a call of each node; and of a second's edges a
+        // call of each.
         let saved = (limit / 20).max(nodes) + nodes;
         if limit > 0 && below.most_in_a_second > limit + saved {
             let most = below.most_in_a_second;
-            wrong.push(format!("{most} calls below in a second, {limit} and {saved} saved allowed"));
+            wrong.push(format!(
+                "{most} calls below in a second, {limit} and {saved} saved allowed"
+            ));
         }
         let hands = self.script.calls_in_hand as usize;
         // A call that was checked just before a node stood still goes out when it wakes.
         if hands > 0 && below.most_in_hand > hands + self.pauses {
-            wrong.push(format!("{} calls below in hand, {hands} allowed", below.most_in_hand));
+            wrong.push(format!(
+                "{} calls below in hand, {hands} allowed",
+                below.most_in_hand
+            ));
         }
         if below.falls > 0 {
-            wrong.push(format!("the service below died {} times by itself", below.falls));
+            wrong.push(format!(
+                "the service below died {} times by itself",
+                below.falls
+            ));
         }
         if self.script.below.slow_start {
-            match self.service.over_a_start(f64::from(self.script.calls_a_second)) {
+            match self
+                .service
+                .over_a_start(f64::from(self.script.calls_a_second))
+            {
                 Some(over) if over <= 0.0 => self.outcome.over_a_start = Some(over),
-                other => wrong
-                    .push(format!("calls after a start of the service below: {other:?} over what it takes")),
+                other => wrong.push(format!(
+                    "calls after a start of the service below: {other:?} over what it takes"
+                )),
             }
         }
-        let tries = self.script.below.tries_most.filter(|most| below.came_while_down > *most);
+        let tries = self
+            .script
+            .below
+            .tries_most
+            .filter(|most| below.came_while_down > *most);
         if let Some(most) = tries {
             wrong.push(format!(
                 "{} tries while the service below was down, {most} allowed",
@@ -784,13 +980,19 @@
             ));
         }
         let keys = &self.script.keys;
-        let (in_hand, over) = self.keys.worst(f64::from(keys.a_second), f64::from(keys.burst));
-        // Runs begin when the kernel hears of them: those let in one after the other may come together, one of each node.
+        let (in_hand, over) = self
+            .keys
+            .worst(f64::from(keys.a_second), f64::from(keys.burst));
+        // Runs begin when the kernel hears of them: those let in one after the other may come
+        // together, one of each node.
         if keys.a_second > 0 && over > nodes as f64 {
             wrong.push(format!("a key was over its limit by {over:.1}"));
         }
         if keys.in_hand > 0 && in_hand > keys.in_hand as usize + self.pauses {
-            wrong.push(format!("{in_hand} of a key in hand, {} allowed", keys.in_hand));
+            wrong.push(format!(
+                "{in_hand} of a key in hand, {} allowed",
+                keys.in_hand
+            ));
         }
         self.outcome.failures.extend(wrong);
     }
@@ -803,7 +1005,10 @@
                 _ => None,
             };
             if let Some(status) = died {
-                self.fail(format!("{} ended by itself with {status}", self.nodes[n].place.name));
+                self.fail(format!(
+                    "{} ended by itself with {status}",
+                    self.nodes[n].place.name
+                ));
             }
         }
         self.outcome.ran_last = self.settings_run();
@@ -826,7 +1031,9 @@
                 Err(wrong) => {
                     let more = wrong.len().saturating_sub(5);
                     let first: Vec<String> = wrong.into_iter().take(5).collect();
-                    self.outcome.failures.push(format!("{}: {first:?} and {more} more", node.place.name));
+                    self.outcome
+                        .failures
+                        .push(format!("{}: {first:?} and {more} more", node.place.name));
                 }
             }
         }
@@ -840,10 +1047,15 @@
         }
         self.outcome.datagrams = self.faults.counts().into_iter().collect();
         if !self.outcome.failures.is_empty() {
-            let first = joined.iter().position(|line| line.part == "FAILED").unwrap_or(joined.len());
+            let first = joined
+                .iter()
+                .position(|line| line.part == "FAILED")
+                .unwrap_or(joined.len());
             let from = first.saturating_sub(SHOWN);
-            self.outcome.record =
-                joined[from..joined.len().min(first + 10)].iter().map(ToString::to_string).collect();
+            self.outcome.record = joined[from..joined.len().min(first + 10)]
+                .iter()
+                .map(ToString::to_string)
+                .collect();
         }
         std::mem::take(&mut self.outcome)
     }
@@ -877,7 +1089,12 @@
 }
 
 /// One look: all pages of what a node holds, or nothing if it does not answer.
-fn look(socket: &UdpSocket, at: SocketAddr, observer: &mut Observer, begun: Instant) -> Option<Holding> {
+fn look(
+    socket: &UdpSocket,
+    at: SocketAddr,
+    observer: &mut Observer,
+    begun: Instant,
+) -> Option<Holding> {
     let unix = || unix_ms().parse::<u64>().unwrap_or(0);
     let mut buffer = [0; 2048];
     for _ in 0..64 {
@@ -897,7 +1114,12 @@
 }
 
 /// One look at what a node shares: all pages, or nothing if it does not answer yet.
-fn pages(socket: &UdpSocket, at: SocketAddr, observer: &mut Observer, begun: Instant) -> Option<Vec<u8>> {
+fn pages(
+    socket: &UdpSocket,
+    at: SocketAddr,
+    observer: &mut Observer,
+    begun: Instant,
+) -> Option<Vec<u8>> {
     let unix = || unix_ms().parse::<u64>().unwrap_or(0);
     let mut buffer = [0; 2048];
     for _ in 0..64 {
@@ -916,10 +1138,19 @@
 
 /// Whether a node holds this.
 fn has(shown: &Shown, what: &str) -> bool {
-    let mode = shown.service.as_ref().map_or("", |service| service.mode.as_str());
+    let mode = shown
+        .service
+        .as_ref()
+        .map_or("", |service| service.mode.as_str());
     match what {
-        "floor" => shown.budgets.iter().all(|budget| budget.units <= budget.floor),
-        "lent" => shown.budgets.iter().any(|budget| budget.units > budget.floor),
+        "floor" => shown
+            .budgets
+            .iter()
+            .all(|budget| budget.units <= budget.floor),
+        "lent" => shown
+            .budgets
+            .iter()
+            .any(|budget| budget.units > budget.floor),
         "lends" => shown.lends,
         "keys-deaf" => shown.keys_deaf,
         "keys-heard" => !shown.keys_deaf && shown.keys_heard_ms.is_some(),
@@ -950,7 +1181,10 @@
         let mut turn = 0usize;
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed ^ self.caller);
         while !self.stop.load(SeqCst) {
-            let Pace { every, keys: (first, last) } = *lock(&self.pace);
+            let Pace {
+                every,
+                keys: (first, last),
+            } = *lock(&self.pace);
             next = (next + every).max(Instant::now());
             thread::sleep(next.saturating_duration_since(Instant::now()));
             let is_up = lock(&self.state).running;
@@ -960,7 +1194,9 @@
             }
             turn += 1;
             let path = ["/call/read", "/call/book", "/call/pay"][turn % 3];
-            let kept = stream.take().or_else(|| TcpStream::connect(self.front).ok());
+            let kept = stream
+                .take()
+                .or_else(|| TcpStream::connect(self.front).ok());
             let Some(connected) = kept else { continue };
             let key = format!("k{}", rng.random_range(first..=last.max(first)));
             stream = self.ask(connected, path, &rid(), &key);
@@ -974,14 +1210,22 @@
         kept
     }
 
-    fn exchange(&self, mut stream: TcpStream, path: &str, id: &str, key: &str) -> Option<TcpStream> {
+    fn exchange(
+        &self,
+        mut stream: TcpStream,
+        path: &str,
+        id: &str,
+        key: &str,
+    ) -> Option<TcpStream> {
         let begun = Instant::now();
         let arrived = unix_ms();
         let mut params = wire::call(path, id, &arrived);
         params.push(("HTTP_X_KEY", key));
         let bytes = wire::request(1, &params, key.as_bytes());
         stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(Duration::from_millis(100))).ok()?;
+        stream
+            .set_read_timeout(Some(Duration::from_millis(100)))
+            .ok()?;
         // A connection that the node closed while it was idle is no loss: nothing was read from it.
         if stream.write_all(&bytes).is_err() {
             return None;
@@ -1013,8 +1257,8 @@
                 break;
             }
         }
-        // Without an answer: lost, unless the node was killed, stood still or was cut off; or it had closed the connection
-        // as idle at the very moment, and then nothing ran.
+        // Without an answer: lost, unless the node was killed, stood still or was cut off; or it
+        // had closed the connection as idle at the very moment, and then nothing ran.
         let crossed = come.is_empty() && begun.elapsed() < Duration::from_millis(50);
         if self.is_excused(begun) || crossed {
             lock(&self.checker).left(id);
--- a/crates/standins/src/rig/changes.rs
+++ b/crates/standins/src/rig/changes.rs
@@ -1,5 +1,5 @@
-//! The rig's part in changes of settings: it offers them, looks what has become of them, and judges the joined record of all nodes by
-//! what the rules of a change allow.
+//! The rig's part in changes of settings: it offers them, looks what has become of them, and judges
+//! the joined record of all nodes by what the rules of a change allow.
 
 use super::{BETWEEN, FLEET, KEY, LOOK, Rig, Seen, pages};
 use crate::record::Line;
@@ -25,19 +25,34 @@
 
 impl Rig {
     /// Settings of the fleet: all nodes have the same, but for what the environment tells them.
-    pub(super) fn settings(&self, number: u64, rules: &str, more: &str, program: Option<&str>) -> String {
-        let seeds: String =
-            self.nodes.iter().take(3).map(|node| format!("<seed address=\"{}\"/>", node.reached)).collect();
-        let periods: String =
-            self.script.periods.iter().map(|(name, value)| format!(" {name}=\"{value}\"")).collect();
+    pub(super) fn settings(
+        &self,
+        number: u64,
+        rules: &str,
+        more: &str,
+        program: Option<&str>,
+    ) -> String {
+        let seeds: String = self
+            .nodes
+            .iter()
+            .take(3)
+            .map(|node| format!("<seed address=\"{}\"/>", node.reached))
+            .collect();
+        let periods: String = self
+            .script
+            .periods
+            .iter()
+            .map(|(name, value)| format!(" {name}=\"{value}\""))
+            .collect();
         let program = program.map_or_else(String::new, |program| format!(" program=\"{program}\""));
         let mut shared = self.shared();
         let rollout = match &self.script.rollout {
             None => String::new(),
             Some(rollout) => {
                 if !shared.contains("<arbiter") {
-                    shared =
-                        format!("<arbiter name=\"n0\"/><arbiter name=\"n1\"/><arbiter name=\"n2\"/>{shared}");
+                    shared = format!(
+                        "<arbiter name=\"n0\"/><arbiter name=\"n1\"/><arbiter name=\"n2\"/>{shared}"
+                    );
                 }
                 let dir = format!("<rollout dir=\"{}\"", self.versions_dir().display());
                 rollout.replacen("<rollout", &dir, 1)
@@ -53,7 +68,11 @@
 
     /// Where versions are kept.
     pub(super) fn versions_dir(&self) -> PathBuf {
-        let name = format!("rig-{}-{}-versions", std::process::id(), self.nodes[0].bind.ip());
+        let name = format!(
+            "rig-{}-{}-versions",
+            std::process::id(),
+            self.nodes[0].bind.ip()
+        );
         self.setting.dir.join(name)
     }
 
@@ -63,23 +82,41 @@
             format!("<rules><rule name=\"v{number}\"><when>{when}</when>{then}</rule></rules>")
         };
         let base = self.rules();
-        let good = if base.is_empty() { rule("operation == \"read\"", "<give class=\"c\"/>") } else { base };
+        let good = if base.is_empty() {
+            rule("operation == \"read\"", "<give class=\"c\"/>")
+        } else {
+            base
+        };
         match change {
-            "throttles" => {
-                self.settings(number, &rule("true", "<throttle pause=\"50ms\" reason=\"new\"/>"), "", None)
-            }
+            "throttles" => self.settings(
+                number,
+                &rule("true", "<throttle pause=\"50ms\" reason=\"new\"/>"),
+                "",
+                None,
+            ),
             "errs-read" => {
-                let rules = rule("operation == \"read\"", "<error status=\"500\" reason=\"new\"/>");
+                let rules = rule(
+                    "operation == \"read\"",
+                    "<error status=\"500\" reason=\"new\"/>",
+                );
                 self.settings(number, &rules, "", None)
             }
-            "periods" => self.settings(number, &good, "", None).replace("gossip=\"50ms\"", "gossip=\"60ms\""),
+            "periods" => self
+                .settings(number, &good, "", None)
+                .replace("gossip=\"50ms\"", "gossip=\"60ms\""),
             "broken" => self.settings(number, &good, "<nonsense/>", None),
-            "large" => self.settings(number, &good, &format!("<!--{}-->", "x".repeat(LARGE)), None),
+            "large" => self.settings(
+                number,
+                &good,
+                &format!("<!--{}-->", "x".repeat(LARGE)),
+                None,
+            ),
             "keys" => {
                 let other = self.key_file.with_extension("other");
                 let _ = std::fs::write(&other, "77".repeat(32));
                 let own = self.key_file.display().to_string();
-                self.settings(number, &good, "", None).replace(&own, &other.display().to_string())
+                self.settings(number, &good, "", None)
+                    .replace(&own, &other.display().to_string())
             }
             _ => self.settings(number, &good, "", None),
         }
@@ -95,15 +132,22 @@
     fn order(&self, n: usize, said: &Order) -> Result<Ordered, String> {
         let node = &self.nodes[n];
         let socket = UdpSocket::bind((node.bind.ip(), 0)).map_err(|e| e.to_string())?;
-        socket.set_read_timeout(Some(4 * LOOK)).map_err(|e| e.to_string())?;
-        let (mut observer, begun, mut buffer) = (self.observer(&socket)?, Instant::now(), [0; 2048]);
+        socket
+            .set_read_timeout(Some(4 * LOOK))
+            .map_err(|e| e.to_string())?;
+        let (mut observer, begun, mut buffer) =
+            (self.observer(&socket)?, Instant::now(), [0; 2048]);
         while begun.elapsed() < TAKEN {
             let unix = || crate::peers::unix_ms().parse::<u64>().unwrap_or(0);
             let frame = observer.order(unix(), TOPIC, &said.encode_to_vec());
-            socket.send_to(&frame, node.bind).map_err(|e| e.to_string())?;
+            socket
+                .send_to(&frame, node.bind)
+                .map_err(|e| e.to_string())?;
             while let Ok((n, _)) = socket.recv_from(&mut buffer) {
                 let now = begun.elapsed().as_nanos() as u64;
-                let Ok(Some(answer)) = observer.ordered(now, unix(), &buffer[..n]) else { continue };
+                let Ok(Some(answer)) = observer.ordered(now, unix(), &buffer[..n]) else {
+                    continue;
+                };
                 let answer = Ordered::decode(answer.as_slice()).map_err(|e| e.to_string())?;
                 if answer.state != 1 {
                     return Ok(answer);
@@ -115,7 +159,14 @@
         Err("no answer that is final".into())
     }
 
-    pub(super) fn offer(&mut self, at: usize, node: &str, number: u64, change: &str, turned_down: bool) {
+    pub(super) fn offer(
+        &mut self,
+        at: usize,
+        node: &str,
+        number: u64,
+        change: &str,
+        turned_down: bool,
+    ) {
         let (n, begun) = (self.node(node), Instant::now());
         let content = self.changed(number, change).into_bytes();
         let digest = pieces::digest(&content).to_vec();
@@ -123,30 +174,61 @@
         for no in 0..pieces::count(content.len()) {
             let bytes = pieces::piece(&content, no).unwrap_or_default().to_vec();
             let (size, digest) = (content.len() as u32, digest.clone());
-            answer =
-                self.order(n, &Order { kind: order::PIECE, no, bytes, size, digest, ..Order::default() });
+            answer = self.order(
+                n,
+                &Order {
+                    kind: order::PIECE,
+                    no,
+                    bytes,
+                    size,
+                    digest,
+                    ..Order::default()
+                },
+            );
             if !matches!(&answer, Ok(answer) if answer.state == 0) {
                 break;
             }
         }
         if matches!(&answer, Ok(answer) if answer.state == 0) {
-            answer = self.order(n, &Order { kind: order::OFFER, digest, ..Order::default() });
+            answer = self.order(
+                n,
+                &Order {
+                    kind: order::OFFER,
+                    digest,
+                    ..Order::default()
+                },
+            );
         }
         match answer {
             Ok(answer) if (answer.state == 2) == turned_down => {
-                let word = if turned_down { format!("turned down: {}", answer.why) } else { "taken".into() };
-                self.record.note(node, "rig", format!("settings {number} ({change}): {word}"));
+                let word = if turned_down {
+                    format!("turned down: {}", answer.why)
+                } else {
+                    "taken".into()
+                };
+                self.record
+                    .note(node, "rig", format!("settings {number} ({change}): {word}"));
                 self.took(format!("settings {number} offered, step {at}"), begun);
             }
-            Ok(answer) => self.fail(format!("step {at}: {node} says of settings {number}: {answer:?}")),
+            Ok(answer) => self.fail(format!(
+                "step {at}: {node} says of settings {number}: {answer:?}"
+            )),
             Err(what) => self.fail(format!("step {at}: {node}, settings {number}: {what}")),
         }
     }
 
-    /// Has a node's writes of what it keeps fail: something stands where it writes the new file before it is put in its place.
+    /// Has a node's writes of what it keeps fail: something stands where it writes the new file
+    /// before it is put in its place.
     pub(super) fn fill(&mut self, at: usize, node: &str, full: bool) {
-        let place = self.versions_dir().join(&self.nodes[self.node(node)].name).join("settings.new");
-        let done = if full { std::fs::create_dir_all(&place) } else { std::fs::remove_dir(&place) };
+        let place = self
+            .versions_dir()
+            .join(&self.nodes[self.node(node)].name)
+            .join("settings.new");
+        let done = if full {
+            std::fs::create_dir_all(&place)
+        } else {
+            std::fs::remove_dir(&place)
+        };
         if let Err(e) = done {
             self.fail(format!("step {at}: {}: {e}", place.display()));
         }
@@ -154,10 +236,16 @@
 
     pub(super) fn end_change(&mut self, at: usize, node: &str, back: bool) {
         let kind = if back { order::BACK } else { order::HALT };
-        let said = Order { kind, why: "the timetable says so".into(), ..Order::default() };
+        let said = Order {
+            kind,
+            why: "the timetable says so".into(),
+            ..Order::default()
+        };
         match self.order(self.node(node), &said) {
             Ok(answer) if answer.state == 0 => {}
-            other => self.fail(format!("step {at}: {node} did not take the order: {other:?}")),
+            other => self.fail(format!(
+                "step {at}: {node} did not take the order: {other:?}"
+            )),
         }
     }
 
@@ -167,10 +255,16 @@
         let own = |n: usize| {
             let (_, holding) = seen[n].as_ref()?;
             let name = &self.nodes[n].name;
-            let own = holding.members.values().find(|member| member.name == *name)?;
+            let own = holding
+                .members
+                .values()
+                .find(|member| member.name == *name)?;
             Some((name.clone(), own.settings.0))
         };
-        (0..self.nodes.len()).filter(|&n| self.is_up(n)).filter_map(own).collect()
+        (0..self.nodes.len())
+            .filter(|&n| self.is_up(n))
+            .filter_map(own)
+            .collect()
     }
 
     /// What keeps nodes from running settings of this number.
@@ -180,8 +274,13 @@
                 continue;
             }
             let name = &node.place.name;
-            let Some((_, holding)) = &seen[n] else { return Some(format!("{name} was not seen yet")) };
-            let own = holding.members.values().find(|member| member.name == node.name);
+            let Some((_, holding)) = &seen[n] else {
+                return Some(format!("{name} was not seen yet"));
+            };
+            let own = holding
+                .members
+                .values()
+                .find(|member| member.name == node.name);
             let runs = own.map_or(0, |own| own.settings.0);
             if runs != number {
                 return Some(format!("{name} runs settings {runs}, not {number}"));
@@ -191,10 +290,18 @@
     }
 
     /// Waits until nodes know a change as this.
-    pub(super) fn change_is(&mut self, at: usize, to: &Ends, is: (u64, &str, u32), within: Duration) {
+    pub(super) fn change_is(
+        &mut self,
+        at: usize,
+        to: &Ends,
+        is: (u64, &str, u32),
+        within: Duration,
+    ) {
         let (begun, (number, fate, stage)) = (Instant::now(), is);
         let mut left: Vec<usize> = (0..self.nodes.len())
-            .filter(|&n| to.has(&self.nodes[n].place.name, &self.nodes[n].place.zone) && self.is_up(n))
+            .filter(|&n| {
+                to.has(&self.nodes[n].place.name, &self.nodes[n].place.zone) && self.is_up(n)
+            })
             .collect();
         let mut last = String::new();
         while begun.elapsed() < within && !left.is_empty() {
@@ -212,20 +319,30 @@
         }
         if left.is_empty() {
             self.record.note("rig", "change", last.clone());
-            self.took(format!("settings {number}: {fate} stage {stage}, step {at}"), begun);
+            self.took(
+                format!("settings {number}: {fate} stage {stage}, step {at}"),
+                begun,
+            );
         } else {
             // Who conducts tells what it waits for.
             let all = (0..self.nodes.len()).filter(|&n| self.is_up(n));
-            let lines = all
-                .filter_map(|n| Some(format!("{}: {}", self.nodes[n].place.name, self.knows(n, number)?.2)));
+            let lines = all.filter_map(|n| {
+                Some(format!(
+                    "{}: {}",
+                    self.nodes[n].place.name,
+                    self.knows(n, number)?.2
+                ))
+            });
             let lines: Vec<String> = lines.collect();
-            let what =
-                format!("settings {number} not {fate} stage {stage} in {within:?}; {last}; {lines:#?}");
+            let what = format!(
+                "settings {number} not {fate} stage {stage} in {within:?}; {last}; {lines:#?}"
+            );
             self.fail(format!("step {at}: {what}"));
         }
     }
 
-    /// What a node knows of the change to settings of this number: what became of it, its stage, and all in words.
+    /// What a node knows of the change to settings of this number: what became of it, its stage,
+    /// and all in words.
     fn knows(&self, n: usize, number: u64) -> Option<(String, u32, String)> {
         let node = &self.nodes[n];
         let socket = UdpSocket::bind((node.bind.ip(), 0)).ok()?;
@@ -234,7 +351,9 @@
         let bytes = (0..4).find_map(|_| pages(&socket, node.bind, &mut observer, begun))?;
         let shown = Shown::decode(bytes.as_slice()).ok()?;
         let is_it = |change: &&madderpoint_rollout::shown::ShownChange| {
-            change.version.is_some_and(|version| version.number == number)
+            change
+                .version
+                .is_some_and(|version| version.number == number)
         };
         let change = shown.changes.iter().find(is_it)?;
         let line = format!(
@@ -251,8 +370,14 @@
             if line.part == "rig" && line.what.starts_with("started as ") {
                 checked.starts(&line.who);
             }
-            if let Some(stopped) = line.what.strip_prefix("Stop(\"").filter(|_| line.part == "step") {
-                checked.stopped.insert(stopped.trim_end_matches("\")").to_owned());
+            if let Some(stopped) = line
+                .what
+                .strip_prefix("Stop(\"")
+                .filter(|_| line.part == "step")
+            {
+                checked
+                    .stopped
+                    .insert(stopped.trim_end_matches("\")").to_owned());
             }
             if line.part == "rollout" {
                 checked.line(&line.who, &line.what);
@@ -297,9 +422,15 @@
 impl Checked {
     /// A node starts anew.
     fn starts(&mut self, who: &str) {
-        let before = self.nodes.insert(who.to_owned(), Node::default()).unwrap_or_default();
+        let before = self
+            .nodes
+            .insert(who.to_owned(), Node::default())
+            .unwrap_or_default();
         // What it has on its disk is as before.
-        let node = Node { staged: before.staged, ..Node::default() };
+        let node = Node {
+            staged: before.staged,
+            ..Node::default()
+        };
         self.nodes.insert(who.to_owned(), node);
         if self.stopped.remove(who) {
             self.left.insert(who.to_owned());
@@ -310,10 +441,14 @@
 
     /// A line of a node about changes of settings.
     pub fn line(&mut self, who: &str, line: &str) {
-        let Some(line) = line.strip_prefix("settings: ") else { return };
+        let Some(line) = line.strip_prefix("settings: ") else {
+            return;
+        };
         let node = self.nodes.entry(who.to_owned()).or_default();
         let mut wrong = |what: &str| self.wrong.push(format!("{who}: {what}: {line}"));
-        let change = line.strip_prefix("change ").and_then(|rest| rest.split_once(": "));
+        let change = line
+            .strip_prefix("change ")
+            .and_then(|rest| rest.split_once(": "));
         if let Some((id, rest)) = change {
             if let Some(stage) = number_after(rest, "stage ").filter(|_| rest.ends_with("begins")) {
                 if node.ended.contains_key(id) {
@@ -329,12 +464,16 @@
                     node.ended.insert(id.to_owned(), fate.to_owned());
                 }
             }
-            if let Some(number) = number_after(rest, "version ").filter(|_| rest.ends_with("is staged")) {
+            if let Some(number) =
+                number_after(rest, "version ").filter(|_| rest.ends_with("is staged"))
+            {
                 node.staged.insert(number);
             }
             return;
         }
-        let Some(number) = number_after(line, "version ") else { return };
+        let Some(number) = number_after(line, "version ") else {
+            return;
+        };
         if line.contains("died on trial here") && self.left.contains(who) {
             wrong("a version is held for dead on trial, and the node left by notice");
         }
@@ -349,7 +488,11 @@
             node.good.insert(number);
             node.trial = None;
         }
-        let on_trial = self.nodes.values().filter(|node| node.trial == Some(number)).count();
+        let on_trial = self
+            .nodes
+            .values()
+            .filter(|node| node.trial == Some(number))
+            .count();
         let most = self.most.entry(number).or_default();
         *most = (*most).max(on_trial);
     }
@@ -372,9 +515,17 @@
         ] {
             checked.line(who, &format!("settings: {line}"));
         }
-        assert_eq!((checked.wrong.len(), checked.most[&2]), (0, 1), "{:?}", checked.wrong);
+        assert_eq!(
+            (checked.wrong.len(), checked.most[&2]),
+            (0, 1),
+            "{:?}",
+            checked.wrong
+        );
         checked.line("n1", "settings: change 0a: stage 2 begins");
-        checked.line("n1", "settings: version 2 (aa) is on trial, in place of 1 (bb)");
+        checked.line(
+            "n1",
+            "settings: version 2 (aa) is on trial, in place of 1 (bb)",
+        );
         assert_eq!(checked.wrong.len(), 2, "{:?}", checked.wrong);
     }
 }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,6 +1,6 @@
-//! The service below that all nodes share: it works on each call for a while, keeps the record of what came and what was in
-//! hand over all nodes, and dies past what it survives. While it is down its connections end at once; back again it is cold and
-//! survives less until it is warm.
+//! The service below that all nodes share: it works on each call for a while, keeps the record of
+//! what came and what was in hand over all nodes, and dies past what it survives. While it is down
+//! its connections end at once; back again it is cold and survives less until it is warm.
 
 use std::collections::{BinaryHeap, HashMap};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -24,7 +24,12 @@
 impl Default for Nature {
     fn default() -> Nature {
         let (down, warm) = (Duration::from_secs(2), Duration::from_secs(3));
-        Nature { work: Duration::ZERO, survives: 0, down, warm }
+        Nature {
+            work: Duration::ZERO,
+            survives: 0,
+            down,
+            warm,
+        }
     }
 }
 
@@ -127,8 +132,9 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (service, zone) = (service.clone(), zone.clone());
-                let _ =
-                    thread::Builder::new().stack_size(128 << 10).spawn(move || service.serve(stream, &zone));
+                let _ = thread::Builder::new()
+                    .stack_size(128 << 10)
+                    .spawn(move || service.serve(stream, &zone));
             }
         });
         Ok(address)
@@ -142,13 +148,23 @@
 
     /// From now on calls take longer, or fail in part; all, or those of a zone.
     pub fn trouble(&self, zone: Option<String>, time: Duration, more_work: Duration, fails: f64) {
-        self.lock().troubles.push(Trouble { zone, until: Instant::now() + time, more_work, fails });
+        self.lock().troubles.push(Trouble {
+            zone,
+            until: Instant::now() + time,
+            more_work,
+            fails,
+        });
     }
 
     /// Calls that came in the last so long.
     pub fn lately(&self, time: Duration) -> usize {
         let (state, from) = (self.lock(), Instant::now() - time);
-        state.came.iter().rev().take_while(|came| **came >= from).count()
+        state
+            .came
+            .iter()
+            .rev()
+            .take_while(|came| **came >= from)
+            .count()
     }
 
     /// What was recorded so far.
@@ -170,17 +186,24 @@
         }
     }
 
-    /// By how many calls the worst second after a start was over what it takes then of so many a second, with chance on top: a
-    /// sixteenth at first, and twice as much after each 5 s. Nothing if it never started anew.
+    /// By how many calls the worst second after a start was over what it takes then of so many a
+    /// second, with chance on top: a sixteenth at first, and twice as much after each 5 s. Nothing
+    /// if it never started anew.
     pub fn over_a_start(&self, a_second: f64) -> Option<f64> {
         const SECOND: Duration = Duration::from_secs(1);
         let state = self.lock();
-        let takes = |since: Duration| a_second * (since.as_secs_f64() / 5.0).floor().exp2().min(16.0) / 16.0;
+        let takes = |since: Duration| {
+            a_second * (since.as_secs_f64() / 5.0).floor().exp2().min(16.0) / 16.0
+        };
         let over = state.starts.iter().flat_map(|start| {
             let after = state.came.iter().filter(move |came| **came >= *start);
             after.clone().enumerate().map(move |(at, last)| {
                 let from = (*last - SECOND).max(*start);
-                let here = after.clone().take(at + 1).filter(|came| **came > from).count() as f64;
+                let here = after
+                    .clone()
+                    .take(at + 1)
+                    .filter(|came| **came > from)
+                    .count() as f64;
                 let takes = takes(*last - *start);
                 here - (takes + 2.0 * takes.sqrt() + 2.0)
             })
@@ -206,7 +229,9 @@
         let ended = self.read(&mut reader, connection, zone);
         let mut state = self.lock();
         state.connections.remove(&connection);
-        state.in_hand.retain(|_, call| call.connection != connection);
+        state
+            .in_hand
+            .retain(|_, call| call.connection != connection);
         ended
     }
 
@@ -235,12 +260,25 @@
         let mut state = self.lock();
         loop {
             let now = Instant::now();
-            while let Some(first) = state.waiting.peek().filter(|waiting| waiting.due <= now).map(|w| w.no) {
+            while let Some(first) = state
+                .waiting
+                .peek()
+                .filter(|waiting| waiting.due <= now)
+                .map(|w| w.no)
+            {
                 state.waiting.pop();
                 state.answer(first);
             }
-            let wait = state.waiting.peek().map_or(Duration::from_millis(200), |waiting| waiting.due - now);
-            state = self.0.1.wait_timeout(state, wait).unwrap_or_else(PoisonError::into_inner).0;
+            let wait = state
+                .waiting
+                .peek()
+                .map_or(Duration::from_millis(200), |waiting| waiting.due - now);
+            state = self
+                .0
+                .1
+                .wait_timeout(state, wait)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
     }
 }
@@ -269,8 +307,9 @@
     /// Calls in hand that it survives now.
     fn survives(&self) -> usize {
         let Nature { survives, warm, .. } = self.nature;
-        let passed =
-            self.back.map_or(1.0, |back| back.elapsed().as_secs_f64() / warm.as_secs_f64().max(1e-3));
+        let passed = self.back.map_or(1.0, |back| {
+            back.elapsed().as_secs_f64() / warm.as_secs_f64().max(1e-3)
+        });
         ((0.2 + 0.8 * passed.min(1.0)) * survives as f64).ceil() as usize
     }
 
@@ -282,13 +321,33 @@
         self.came.push(now);
         self.troubles.retain(|trouble| trouble.until > now);
         let of = |trouble: &&Trouble| trouble.zone.as_deref().is_none_or(|of| of == zone);
-        let more: Duration = self.troubles.iter().filter(of).map(|trouble| trouble.more_work).sum();
-        let fails = self.troubles.iter().filter(of).map(|trouble| trouble.fails).fold(0.0, f64::max);
+        let more: Duration = self
+            .troubles
+            .iter()
+            .filter(of)
+            .map(|trouble| trouble.more_work)
+            .sum();
+        let fails = self
+            .troubles
+            .iter()
+            .filter(of)
+            .map(|trouble| trouble.fails)
+            .fold(0.0, f64::max);
         self.asked += 1;
         let fails = (self.asked as f64 * fails).floor() > ((self.asked - 1) as f64 * fails).floor();
         self.next += 1;
-        self.in_hand.insert(self.next, Call { id: id.to_owned(), connection, fails });
-        self.waiting.push(Waiting { due: now + self.nature.work + more, no: self.next });
+        self.in_hand.insert(
+            self.next,
+            Call {
+                id: id.to_owned(),
+                connection,
+                fails,
+            },
+        );
+        self.waiting.push(Waiting {
+            due: now + self.nature.work + more,
+            no: self.next,
+        });
         self.most_in_hand = self.most_in_hand.max(self.in_hand.len());
         if self.nature.survives > 0 && self.in_hand.len() > self.survives() {
             self.falls += 1;
@@ -297,8 +356,12 @@
     }
 
     fn answer(&mut self, no: u64) {
-        let Some(call) = self.in_hand.remove(&no) else { return };
-        let Some(stream) = self.connections.get_mut(&call.connection) else { return };
+        let Some(call) = self.in_hand.remove(&no) else {
+            return;
+        };
+        let Some(stream) = self.connections.get_mut(&call.connection) else {
+            return;
+        };
         let reply = if call.fails {
             format!("{} internal\r\n", call.id)
         } else {
@@ -314,21 +377,34 @@
 
     #[test]
     fn it_keeps_the_record_and_dies_past_what_it_survives() {
-        let nature = Nature { work: Duration::from_millis(150), survives: 4, ..Nature::default() };
+        let nature = Nature {
+            work: Duration::from_millis(150),
+            survives: 4,
+            ..Nature::default()
+        };
         let service = Service::start(nature);
         let mut stream = TcpStream::connect(service.listen("z0").unwrap()).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .unwrap();
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         let mut line = String::new();
         for n in 0..4 {
-            stream.write_all(format!("invoke {n} 100 1\r\nx\r\n").as_bytes()).unwrap();
+            stream
+                .write_all(format!("invoke {n} 100 1\r\nx\r\n").as_bytes())
+                .unwrap();
         }
         reader.read_line(&mut line).unwrap();
         assert_eq!(line, "0 ok 2\r\n");
         let recorded = service.recorded();
-        assert_eq!((recorded.calls, recorded.most_in_hand, recorded.falls), (4, 4, 0));
+        assert_eq!(
+            (recorded.calls, recorded.most_in_hand, recorded.falls),
+            (4, 4, 0)
+        );
         for n in 10..15 {
-            stream.write_all(format!("invoke {n} 100 1\r\nx\r\n").as_bytes()).unwrap();
+            stream
+                .write_all(format!("invoke {n} 100 1\r\nx\r\n").as_bytes())
+                .unwrap();
         }
         while reader.read_line(&mut line).is_ok_and(|n| n > 0) {} // it ends the connection
         assert_eq!(service.recorded().falls, 1);
--- a/crates/standins/src/wire.rs
+++ b/crates/standins/src/wire.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// Settings of a small node: a read, a tokened and a non-idempotent operation, all of which call below.
+/// Settings of a small node: a read, a tokened and a non-idempotent operation, all of which call
+/// below.
 pub const SETTINGS: &str = r#"{"Ceilings": {"RetryAfter": false, "MaxRetryAfter": 0.0},
     "Extra": {"Advert": "weight", "Below": "tier", "Cores": 1, "Cold": false, "Halt": "discard",
     "Gauges": ["cpu_busy", "mem_used"], "MemLimitKb": 90000.0, "RunFactor": 4.0, "Idle": 15.0, "Fresh": 0.0,
@@ -50,8 +51,16 @@
 
 /// A whole request; params and body each in one record.
 pub fn request(id: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    let params = [record(PARAMS, id, &pairs(params), 3), record(PARAMS, id, &[], 0)].concat();
-    let stdin = if body.is_empty() { Vec::new() } else { record(STDIN, id, body, 5) };
+    let params = [
+        record(PARAMS, id, &pairs(params), 3),
+        record(PARAMS, id, &[], 0),
+    ]
+    .concat();
+    let stdin = if body.is_empty() {
+        Vec::new()
+    } else {
+        record(STDIN, id, body, 5)
+    };
     [begin(id, 1, true), params, stdin, record(STDIN, id, &[], 0)].concat()
 }
 
@@ -79,7 +88,8 @@
     pub protocol_status: u8,
 }
 
-/// Takes the whole records from the front of the bytes, and gives the answers that END_REQUEST completes.
+/// Takes the whole records from the front of the bytes, and gives the answers that END_REQUEST
+/// completes.
 pub fn answers(bytes: &mut Vec<u8>, open: &mut BTreeMap<u16, Vec<u8>>) -> Vec<Answer> {
     let mut done = Vec::new();
     while bytes.len() >= 8 {
@@ -101,21 +111,38 @@
 
 fn answer(id: u16, stdout: Vec<u8>, protocol_status: u8) -> Answer {
     let end = stdout.windows(4).position(|w| w == b"\r\n\r\n");
-    let Some(end) = end else { return Answer { id, protocol_status, ..Answer::default() } };
+    let Some(end) = end else {
+        return Answer {
+            id,
+            protocol_status,
+            ..Answer::default()
+        };
+    };
     let head = String::from_utf8_lossy(&stdout[..end]);
     let pairs = head.lines().filter_map(|line| line.split_once(": "));
     let mut fields: BTreeMap<_, _> = pairs.map(|(n, v)| (n.to_owned(), v.to_owned())).collect();
     let status = fields.remove("Status").unwrap_or_default();
-    Answer { id, status, fields, body: stdout[end + 4..].to_vec(), protocol_status }
+    Answer {
+        id,
+        status,
+        fields,
+        body: stdout[end + 4..].to_vec(),
+        protocol_status,
+    }
 }
 
-/// Checks that a reader finds the same however the bytes are split: in two at any place, and byte by byte.
+/// Checks that a reader finds the same however the bytes are split: in two at any place, and byte
+/// by byte.
 pub fn same_at_every_split<T: PartialEq + Debug>(bytes: &[u8], read: impl Fn(&[&[u8]]) -> T) {
     let whole = read(&[bytes]);
     for at in 0..=bytes.len() {
         assert_eq!(read(&[&bytes[..at], &bytes[at..]]), whole, "split at {at}");
     }
-    assert_eq!(read(&bytes.chunks(1).collect::<Vec<_>>()), whole, "byte by byte");
+    assert_eq!(
+        read(&bytes.chunks(1).collect::<Vec<_>>()),
+        whole,
+        "byte by byte"
+    );
 }
 
 /// The bytes, damaged in a thousand ways that are the same in every run.
@@ -124,7 +151,9 @@
     (0..1000).map(move |_| {
         let mut bytes = bytes.to_vec();
         for _ in 0..3 {
-            state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            state = state
+                .wrapping_mul(6364136223846793005)
+                .wrapping_add(1442695040888963407);
             let at = (state >> 33) as usize % bytes.len();
             match state >> 20 & 3 {
                 0 => drop(bytes.remove(at)),
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -1,4 +1,5 @@
-//! A kernel that works by itself: takes links one after the other, tells gauges, and ends each run by a script.
+//! A kernel that works by itself: takes links one after the other, tells gauges, and ends each run
+//! by a script.
 
 use crate::keys::KeyRecord;
 use base64::Engine;
@@ -28,7 +29,8 @@
     /// Runs that wait to be let go on, and whether new ones do.
     held: Vec<String>,
     holds: bool,
-    /// Whether runs call below before they end; and those that wait for a reply, by id with their route.
+    /// Whether runs call below before they end; and those that wait for a reply, by id with their
+    /// route.
     calls: bool,
     calling: HashMap<String, String>,
     /// How many runs end as ERROR, by route.
@@ -51,7 +53,8 @@
     links: Arc<Mutex<Vec<Worker>>>,
 }
 
-/// The result that a run of this request gives: it names the run, so that an answer can be told to be its own.
+/// The result that a run of this request gives: it names the run, so that an answer can be told to
+/// be its own.
 pub fn result(rid: &str) -> Vec<u8> {
     format!("result of {rid}").into_bytes()
 }
@@ -71,10 +74,15 @@
     }
 
     fn at(address: SocketAddr) -> Worker {
-        Worker { address, state: Arc::default(), links: Arc::default() }
+        Worker {
+            address,
+            state: Arc::default(),
+            links: Arc::default(),
+        }
     }
 
-    /// One that has several links at once, as where one program takes the place of another: each tells of its own runs.
+    /// One that has several links at once, as where one program takes the place of another: each
+    /// tells of its own runs.
     pub fn start_for_many() -> Worker {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let worker = Worker::at(listener.local_addr().unwrap());
@@ -91,11 +99,15 @@
 
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let Ok(reader) = stream.try_clone() else { return };
+        let Ok(reader) = stream.try_clone() else {
+            return;
+        };
         self.state.0.lock().unwrap().link = Some(stream);
         for line in BufReader::new(reader).lines() {
             let Ok(line) = line else { return };
-            let Ok(command) = serde_json::from_str::<Value>(&line) else { return };
+            let Ok(command) = serde_json::from_str::<Value>(&line) else {
+                return;
+            };
             self.command(&command);
         }
     }
@@ -107,8 +119,12 @@
             Some("OPEN") => {
                 state.say(r#"{"t":"BOOTED","status":"WARM","time_ms":9000}"#);
                 let last = command["no"].as_u64().unwrap_or(0);
-                let missed: Vec<String> =
-                    state.told.iter().filter(|(no, _)| *no > last).map(|(_, line)| line.clone()).collect();
+                let missed: Vec<String> = state
+                    .told
+                    .iter()
+                    .filter(|(no, _)| *no > last)
+                    .map(|(_, line)| line.clone())
+                    .collect();
                 missed.iter().for_each(|line| state.say(line));
             }
             Some("SYSINFO") => {
@@ -116,13 +132,20 @@
                 state.say(&line);
             }
             Some("POST") => {
-                let line = format!(r#"{{"t":"POSTED","mark":{},"status":"OK"}}"#, command["mark"]);
+                let line = format!(
+                    r#"{{"t":"POSTED","mark":{},"status":"OK"}}"#,
+                    command["mark"]
+                );
                 state.say(&line);
             }
             Some("SCHED") => {
                 let text = |name: &str| command[name].as_str().unwrap_or_default().to_owned();
                 let body = STANDARD.decode(text("b64")).unwrap_or_default();
-                let started = Started { rid: text("rid"), route: text("route"), body };
+                let started = Started {
+                    rid: text("rid"),
+                    route: text("route"),
+                    body,
+                };
                 if state.started.iter().all(|s| s.rid != started.rid) {
                     state.began(&started);
                     if state.holds {
@@ -161,13 +184,18 @@
         state.holds = holds;
         if !holds {
             for rid in std::mem::take(&mut state.held) {
-                let route = state.started.iter().find(|s| s.rid == rid).map(|s| s.route.clone());
+                let route = state
+                    .started
+                    .iter()
+                    .find(|s| s.rid == rid)
+                    .map(|s| s.route.clone());
                 state.end(&rid, &route.unwrap_or_default());
             }
         }
     }
 
-    /// A request is over, however it ended: a run of it that waits for its call is ended there, as the protocol has it.
+    /// A request is over, however it ended: a run of it that waits for its call is ended there, as
+    /// the protocol has it.
     pub fn request_over(&self, rid: &str) {
         let mut state = self.state.0.lock().unwrap();
         if state.calling.remove(rid).is_some() {
@@ -198,13 +226,22 @@
 
     /// The next runs of a route end as ERROR, so many of them.
     pub fn fail(&self, route: &str, times: usize) {
-        self.state.0.lock().unwrap().errors.insert(route.to_owned(), times);
+        self.state
+            .0
+            .lock()
+            .unwrap()
+            .errors
+            .insert(route.to_owned(), times);
     }
 
     /// All that was started so far.
     pub fn started(&self) -> Vec<Started> {
         let mut all = self.state.0.lock().unwrap().started.clone();
-        self.links.lock().unwrap().iter().for_each(|link| all.extend(link.started()));
+        self.links
+            .lock()
+            .unwrap()
+            .iter()
+            .for_each(|link| all.extend(link.started()));
         all
     }
 
@@ -213,8 +250,14 @@
         let (lock, changed) = &*self.state;
         let state = lock.lock().unwrap();
         let enough = |state: &mut State| state.started.len() < count;
-        let (state, timeout) = changed.wait_timeout_while(state, Duration::from_secs(30), enough).unwrap();
-        assert!(!timeout.timed_out(), "{} of {count} runs were started", state.started.len());
+        let (state, timeout) = changed
+            .wait_timeout_while(state, Duration::from_secs(30), enough)
+            .unwrap();
+        assert!(
+            !timeout.timed_out(),
+            "{} of {count} runs were started",
+            state.started.len()
+        );
         state.started.clone()
     }
 
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,11 +1,12 @@
 //! All decisions of a node. The host calls one method of [`Choice`] for each thing that happens
 //! ([`arrive`](Choice::arrive), [`ended`](Choice::ended), [`needs_call`](Choice::needs_call),
-//! [`call_ended`](Choice::call_ended), [`caller_left`](Choice::caller_left), [`drain`](Choice::drain),
-//! [`alarm`](Choice::alarm)) with the time; decisions come back at once through [`Host`] (`src/lib.rs`).
+//! [`call_ended`](Choice::call_ended), [`caller_left`](Choice::caller_left),
+//! [`drain`](Choice::drain), [`alarm`](Choice::alarm)) with the time; decisions come back at once
+//! through [`Host`] (`src/lib.rs`).
 //!
-//! The ordinary path is Dynamic Beta RED (`docs/design.md`): each arrival moves q_avg and is refused with
-//! chance I_{q_avg/B}(mu, theta); every `T_UPDATE` the virtual target and the running limit are walked.
-//! What is held runs in the order of its billed value for the time that it takes.
+//! The ordinary path is Dynamic Beta RED (`docs/design.md`): each arrival moves q_avg and is
+//! refused with chance I_{q_avg/B}(mu, theta); every `T_UPDATE` the virtual target and the running
+//! limit are walked. What is held runs in the order of its billed value for the time that it takes.
 
 use crate::*;
 use rand::{RngExt, SeedableRng};
@@ -40,8 +41,9 @@
 const MOMENT: Nanos = 30_000_000;
 /// Part of the memory and of the survivable crowd that is used.
 const SAFE: f64 = 0.85;
-/// The advert holds back traffic until this share of the billed value that is read is still turned away.
-/// From there on throttled callers are asked not to try elsewhere, if other nodes are likely to be full too.
+/// The advert holds back traffic until this share of the billed value that is read is still turned
+/// away. From there on throttled callers are asked not to try elsewhere, if other nodes are likely
+/// to be full too.
 const SHED_GOAL: f64 = 0.03;
 const SHED_GAIN: f64 = 0.15;
 /// Tries of one call, and how many times its usual time each may take.
@@ -54,7 +56,8 @@
 /// An operation as agreed, and what its runs have shown.
 struct Row {
     agreed: Operation,
-    /// Recent run time and short run time, for each unit of size, and time of a call; 0 = not known.
+    /// Recent run time and short run time, for each unit of size, and time of a call; 0 = not
+    /// known.
     pace: f64,
     brisk: f64,
     call: f64,
@@ -94,7 +97,8 @@
     arrivals: f64,
 }
 
-/// State of the mechanism, in its own words; q_cur is what is held and unread, feed arrivals a second.
+/// State of the mechanism, in its own words; q_cur is what is held and unread, feed arrivals a
+/// second.
 #[derive(Default)]
 struct Red {
     q_cur: f64,
@@ -132,7 +136,8 @@
     /// Runs that are at a call or wait for one, and calls in hand.
     away: usize,
     calls: usize,
-    /// When what calls have used of the share below will be made good, and the share of calls that fails.
+    /// When what calls have used of the share below will be made good, and the share of calls that
+    /// fails.
     calls_owed_until: Nanos,
     below_failed: f64,
     /// Expiry of remembered keys.
@@ -143,7 +148,8 @@
     typical_kb: f64,
     red: Red,
     limit: f64,
-    /// Runs that ended since the limit was judged, and how many times the short run they took in all.
+    /// Runs that ended since the limit was judged, and how many times the short run they took in
+    /// all.
     stretch: (f64, f64),
     busy: f64,
     tally: Tally,
@@ -163,7 +169,11 @@
 
 /// Moves a figure by a share towards a sample; the first sample stands as it is.
 fn learn(figure: &mut f64, sample: f64, share: f64) {
-    *figure += if *figure > 0.0 { share * (sample - *figure) } else { sample };
+    *figure += if *figure > 0.0 {
+        share * (sample - *figure)
+    } else {
+        sample
+    };
 }
 
 impl<H: Host> Choice<H> {
@@ -172,7 +182,12 @@
         host.health(true, true);
         host.wake(TICK, T_UPDATE);
         let cores = site.cores as f64;
-        let row = |agreed: &Operation| Row { agreed: agreed.clone(), pace: 0.0, brisk: 0.0, call: 0.0 };
+        let row = |agreed: &Operation| Row {
+            agreed: agreed.clone(),
+            pace: 0.0,
+            brisk: 0.0,
+            call: 0.0,
+        };
         let mut choice = Choice {
             host,
             rows: site.operations.iter().map(row).collect(),
@@ -191,7 +206,11 @@
             ledger_kb: 0.0,
             memory_stretch: 2.0,
             typical_kb: 0.0,
-            red: Red { q_virtual: cores, q_target: cores, ..Red::default() },
+            red: Red {
+                q_virtual: cores,
+                q_target: cores,
+                ..Red::default()
+            },
             limit: cores,
             stretch: (0.0, 0.0),
             busy: 0.0,
@@ -209,14 +228,25 @@
 
     /// An invocation was read.
     pub fn arrive(&mut self, now: Nanos, arrival: Arrival) {
-        let Arrival { id, work_hint, repeats, .. } = arrival;
+        let Arrival {
+            id,
+            work_hint,
+            repeats,
+            ..
+        } = arrival;
         let agreed = &self.rows[arrival.op.0].agreed;
         let arrived = now.saturating_sub(arrival.age);
-        let timeout = arrival.time_left.map_or(arrived + agreed.client_timeout, |left| now + left);
+        let timeout = arrival
+            .time_left
+            .map_or(arrived + agreed.client_timeout, |left| now + left);
         let own_work = (work_hint.unwrap_or(0.0) * agreed.objective_stretch * 1e9) as Nanos;
-        let due = timeout.min(self.stop.map_or(Nanos::MAX, |(_, stop)| stop)).saturating_sub(MOMENT);
+        let due = timeout
+            .min(self.stop.map_or(Nanos::MAX, |(_, stop)| stop))
+            .saturating_sub(MOMENT);
         let window = agreed.repeat_window.max(self.site.answer_fresh);
-        let shares = self.site.answer_fresh > 0 && arrival.has_subject && agreed.effect == Effect::Idempotent;
+        let shares = self.site.answer_fresh > 0
+            && arrival.has_subject
+            && agreed.effect == Effect::Idempotent;
         let keyed = repeats.is_none() && (shares || agreed.effect == Effect::Tokened);
         let place = self.in_hand.insert(Invocation {
             id,
@@ -227,7 +257,11 @@
             due,
             kb: arrival.held_kb,
             size: work_hint.unwrap_or(1.0),
-            stage: if repeats.is_some() { Stage::Joining } else { Stage::Held },
+            stage: if repeats.is_some() {
+                Stage::Joining
+            } else {
+                Stage::Held
+            },
             over: false,
             failed_calls: 0,
         });
@@ -240,7 +274,10 @@
         self.tally.read += self.merit(place);
         self.tally.arrivals += 1.0;
         self.average(arrival.age);
-        let too_late = due <= now || self.stop.is_some_and(|(n, _)| arrived > n + self.site.drain_grace);
+        let too_late = due <= now
+            || self
+                .stop
+                .is_some_and(|(n, _)| arrived > n + self.site.drain_grace);
         if too_late || !self.memory_fits(if keyed { self.site.key_kb } else { 0.0 }) {
             return self.turn_away(now, place);
         }
@@ -249,7 +286,8 @@
             return self.host.join(id);
         }
         if keyed {
-            // Before the run, so that a repeat bears the mark from here on; the window counts from arrival.
+            // Before the run, so that a repeat bears the mark from here on; the window counts from
+            // arrival.
             self.host.remember(id, window);
             self.keys.push(Reverse(now + window));
         }
@@ -265,7 +303,9 @@
 
     /// A run or a join ended; where it succeeded or errored, the caller was told.
     pub fn ended(&mut self, now: Nanos, id: InvId, ending: Ending, latency: Nanos) {
-        let Some(&place) = self.places.get(&id) else { return };
+        let Some(&place) = self.places.get(&id) else {
+            return;
+        };
         let inv = &self.in_hand[place];
         if inv.stage == Stage::Calling {
             self.book_call(now, true, latency);
@@ -274,7 +314,11 @@
             let pace = seconds(latency) / inv.size;
             learn(&mut row.pace, pace, LEARN);
             let down = pace < row.brisk;
-            learn(&mut row.brisk, pace, if down { 2.0 * LEARN } else { LEARN / 10.0 });
+            learn(
+                &mut row.brisk,
+                pace,
+                if down { 2.0 * LEARN } else { LEARN / 10.0 },
+            );
             self.stretch = (self.stretch.0 + 1.0, self.stretch.1 + pace / row.brisk);
             self.red.done[self.red.update / C_UPDATES] += 1.0;
         }
@@ -289,7 +333,9 @@
 
     /// A running invocation has come to a call below.
     pub fn needs_call(&mut self, now: Nanos, id: InvId) {
-        let Some(&place) = self.places.get(&id) else { return };
+        let Some(&place) = self.places.get(&id) else {
+            return;
+        };
         let inv = &mut self.in_hand[place];
         (inv.stage, inv.failed_calls) = (Stage::WantsCall, 0);
         self.away += 1;
@@ -299,7 +345,9 @@
 
     /// A call below ended.
     pub fn call_ended(&mut self, now: Nanos, id: InvId, ending: CallEnding, latency: Nanos) {
-        let Some(&place) = self.places.get(&id) else { return };
+        let Some(&place) = self.places.get(&id) else {
+            return;
+        };
         let inv = &mut self.in_hand[place];
         if inv.stage != Stage::Calling {
             return;
@@ -309,11 +357,16 @@
         if !failed || ending == CallEnding::Abandoned {
             learn(&mut row.call, seconds(latency), LEARN);
         }
-        inv.stage = if failed { Stage::WantsCall } else { Stage::Running };
+        inv.stage = if failed {
+            Stage::WantsCall
+        } else {
+            Stage::Running
+        };
         inv.failed_calls += u8::from(failed);
         // Only what is known not to have run below, or may run twice, is called again.
         let repeatable = row.agreed.effect == Effect::Idempotent || ending == CallEnding::NeverRan;
-        // And the less often the more calls fail: tries that all nodes repeat would keep below what is down.
+        // And the less often the more calls fail: tries that all nodes repeat would keep below what
+        // is down.
         let spent = inv.failed_calls >= CALL_TRIES || !repeatable;
         let tired = spent || self.rng.random::<f64>() < self.below_failed;
         let skippable = row.agreed.share_without_call > 0.0;
@@ -334,7 +387,9 @@
 
     /// The caller of an invocation no longer waits.
     pub fn caller_left(&mut self, now: Nanos, id: InvId) {
-        let Some(&place) = self.places.get(&id) else { return };
+        let Some(&place) = self.places.get(&id) else {
+            return;
+        };
         match self.in_hand[place].stage {
             Stage::Held => {
                 self.host.forget(id); // it never ran: its repeat is to run, not to wait for it
@@ -350,7 +405,9 @@
     pub fn drain(&mut self, now: Nanos, left: Nanos) {
         self.stop = Some((now, now + left));
         let last = (now + left).saturating_sub(MOMENT);
-        self.in_hand.iter_mut().for_each(|(_, inv)| inv.due = inv.due.min(last));
+        self.in_hand
+            .iter_mut()
+            .for_each(|(_, inv)| inv.due = inv.due.min(last));
         self.arm(now, last);
         self.host.health(false, true);
         self.advertise(now);
@@ -386,14 +443,16 @@
 
     // ---- Dynamic Beta RED ----
 
-    /// q_avg with the arrival. What came after it and is unread counts as held (feed times its age), or slow
-    /// reading would hide the queue.
+    /// q_avg with the arrival. What came after it and is unread counts as held (feed times its
+    /// age), or slow reading would hide the queue.
     fn average(&mut self, age: Nanos) {
-        self.red.q_cur = (self.hold.len() as f64 + self.red.feed * seconds(age)).min(self.red.buffer);
+        self.red.q_cur =
+            (self.hold.len() as f64 + self.red.feed * seconds(age)).min(self.red.buffer);
         self.red.q_avg += W * (self.red.q_cur - self.red.q_avg);
     }
 
-    /// Whether the random refusal rests: cores show room, or fewer than their number are held and unread.
+    /// Whether the random refusal rests: cores show room, or fewer than their number are held and
+    /// unread.
     fn rests(&self) -> bool {
         self.busy < FULL || self.red.q_cur < self.site.cores as f64
     }
@@ -402,7 +461,11 @@
     fn chance(&self) -> f64 {
         let mu = self.red.q_virtual / self.red.buffer;
         let spread = 1.0 / (THETA * THETA) - 1.0;
-        beta_reg(mu * spread, (1.0 - mu) * spread, (self.red.q_avg / self.red.buffer).clamp(0.0, 1.0))
+        beta_reg(
+            mu * spread,
+            (1.0 - mu) * spread,
+            (self.red.q_avg / self.red.buffer).clamp(0.0, 1.0),
+        )
     }
 
     /// q_target from the best completions of the last minute, and B from it and from memory.
@@ -410,20 +473,28 @@
         let cores = self.site.cores as f64;
         let span = C_UPDATES as f64 * seconds(T_UPDATE);
         let best = self.red.done.iter().fold(0.0, |a: f64, &b| a.max(b)) / span;
-        let shortest = self.rows.iter().map(|r| r.agreed.latency_objective).min().unwrap_or(0);
+        let shortest = self
+            .rows
+            .iter()
+            .map(|r| r.agreed.latency_objective)
+            .min()
+            .unwrap_or(0);
         self.red.q_target = (best * TARGET_SHARE * seconds(shortest)).max(cores);
         let running_kb = self.limit * self.site.run_memory_factor * self.typical_kb;
-        let free_kb = (self.site.memory_kb * SAFE - self.keys_kb()) / self.memory_stretch - running_kb;
+        let free_kb =
+            (self.site.memory_kb * SAFE - self.keys_kb()) / self.memory_stretch - running_kb;
         let room = free_kb / self.typical_kb.max(f64::MIN_POSITIVE);
-        self.red.buffer = (BUFFER_FACTOR * self.red.q_target).min(room).max(cores + 2.0);
+        self.red.buffer = (BUFFER_FACTOR * self.red.q_target)
+            .min(room)
+            .max(cores + 2.0);
         self.red.update = (self.red.update + 1) % (C_SPANS * C_UPDATES);
         if self.red.update.is_multiple_of(C_UPDATES) {
             self.red.done[self.red.update / C_UPDATES] = 0.0;
         }
     }
 
-    /// Moves the virtual target by the error of q_avg. While the refusal rests it goes back to q_target
-    /// instead, so that a calm spell does not wind it up against the next surge.
+    /// Moves the virtual target by the error of q_avg. While the refusal rests it goes back to
+    /// q_target instead, so that a calm spell does not wind it up against the next surge.
     fn walk(&mut self) {
         let mu = self.red.q_virtual / self.red.buffer;
         let step = mu * (1.0 - mu) * (self.red.q_target - self.red.q_avg);
@@ -433,29 +504,41 @@
         self.red.q_virtual = self.red.q_virtual.clamp(least, self.red.buffer - 1.0);
     }
 
-    /// The running loop: grows by half the idle cores while work is held, falls while full cores run long.
+    /// The running loop: grows by half the idle cores while work is held, falls while full cores
+    /// run long.
     fn steer_running(&mut self, gauges: &Gauges) {
         let cores = self.site.cores as f64;
         let held = !self.hold.is_empty();
         self.busy = gauges.cpu_busy.unwrap_or(f64::from(u8::from(held)));
         self.red.feed += 2.0 * LEARN * (self.tally.arrivals / seconds(T_UPDATE) - self.red.feed);
-        self.limit += if held { (1.0 - self.busy).max(0.0) * cores / 2.0 } else { 0.0 };
-        // Judged once as many runs have ended as may go at once: single runs of small nodes tell nothing.
+        self.limit += if held {
+            (1.0 - self.busy).max(0.0) * cores / 2.0
+        } else {
+            0.0
+        };
+        // Judged once as many runs have ended as may go at once: single runs of small nodes tell
+        // nothing.
         if self.stretch.0 >= self.limit {
             let long = self.busy >= FULL && self.stretch.1 > LONG * self.stretch.0;
             self.limit -= f64::from(u8::from(long));
             self.stretch = (0.0, 0.0);
         }
-        self.limit = self.limit.clamp(cores, cores * self.site.crowd_per_core.max(1.0));
+        self.limit = self
+            .limit
+            .clamp(cores, cores * self.site.crowd_per_core.max(1.0));
     }
 
     // ---- What is held, and who bears a refusal ----
 
-    /// Billed value that an expected second of running earns if answered in time. Traffic over a tenant's
-    /// share bears no mark, so all of that tenant's counts in proportion.
+    /// Billed value that an expected second of running earns if answered in time. Traffic over a
+    /// tenant's share bears no mark, so all of that tenant's counts in proportion.
     fn merit(&self, place: usize) -> f64 {
         let inv = &self.in_hand[place];
-        let length = if self.site.billed_by_work { 1.0 } else { self.length(place).max(1e-3) };
+        let length = if self.site.billed_by_work {
+            1.0
+        } else {
+            self.length(place).max(1e-3)
+        };
         let within = inv.tenant.map_or(1.0, |t| {
             let rate = self.tenants[t].1 * self.site.nodes as f64;
             (self.site.tenants[t].quota_per_s / rate).min(1.0)
@@ -468,11 +551,15 @@
         self.rows[self.in_hand[place].op].pace * self.in_hand[place].size
     }
 
-    /// The share of its billed value that it would earn if it ran now. While cores show room, only what is
-    /// late already counts: an expectation may err, and nothing else wants the core.
+    /// The share of its billed value that it would earn if it ran now. While cores show room, only
+    /// what is late already counts: an expectation may err, and nothing else wants the core.
     fn prospect(&self, now: Nanos, place: usize) -> f64 {
         let inv = &self.in_hand[place];
-        let expected = if self.busy < FULL { 0.0 } else { self.length(place) };
+        let expected = if self.busy < FULL {
+            0.0
+        } else {
+            self.length(place)
+        };
         match now + (expected * 1e9) as Nanos {
             end if end > inv.due => 0.0,
             end if end > inv.objective => self.rows[inv.op].agreed.late_share,
@@ -480,23 +567,37 @@
         }
     }
 
-    /// On whom a refusal falls: the least merit of the arrival and of those held for less than a fifth of
-    /// their time, whose callers lose little by asking elsewhere.
+    /// On whom a refusal falls: the least merit of the arrival and of those held for less than a
+    /// fifth of their time, whose callers lose little by asking elsewhere.
     fn victim(&self, now: Nanos, arrival: usize) -> usize {
         let young = |inv: &Invocation| now - inv.arrived < inv.due.saturating_sub(inv.arrived) / 5;
-        let others = self.hold.iter().copied().filter(|&p| young(&self.in_hand[p]));
-        others.fold(arrival, |least, p| if self.merit(p) < self.merit(least) { p } else { least })
+        let others = self
+            .hold
+            .iter()
+            .copied()
+            .filter(|&p| young(&self.in_hand[p]));
+        others.fold(arrival, |least, p| {
+            if self.merit(p) < self.merit(least) {
+                p
+            } else {
+                least
+            }
+        })
     }
 
-    /// Starts held invocations by merit, then age, while the running limit, the crowd on the cores and
-    /// memory allow. Runs that are at a call leave their place on the cores to others.
+    /// Starts held invocations by merit, then age, while the running limit, the crowd on the cores
+    /// and memory allow. Runs that are at a call leave their place on the cores to others.
     fn fill(&mut self, now: Nanos) {
-        while self.running - self.away < self.limit as usize && self.running < self.crowd_limit(now) {
+        while self.running - self.away < self.limit as usize && self.running < self.crowd_limit(now)
+        {
             let mut best = None;
             for i in (0..self.hold.len()).rev() {
                 let place = self.hold[i];
                 let prospect = self.prospect(now, place);
-                let rank = (self.merit(place) * prospect, Reverse(self.in_hand[place].arrived));
+                let rank = (
+                    self.merit(place) * prospect,
+                    Reverse(self.in_hand[place].arrived),
+                );
                 if prospect == 0.0 {
                     self.turn_away(now, place);
                 } else if best.is_none_or(|(first, _)| rank >= first) {
@@ -505,7 +606,8 @@
             }
             let Some((_, place)) = best else { return };
             let kb = self.in_hand[place].kb * (self.site.run_memory_factor - 1.0);
-            let alone = self.running == 0 && self.ledger_kb + kb + self.keys_kb() < self.site.memory_kb;
+            let alone =
+                self.running == 0 && self.ledger_kb + kb + self.keys_kb() < self.site.memory_kb;
             if !self.memory_fits(kb) && !alone {
                 return;
             }
@@ -517,12 +619,17 @@
         }
     }
 
-    /// The most runs that the cores survive if all that waits for disk or calls comes back at once; a cold
-    /// node is taken to warm as slowly as it may.
+    /// The most runs that the cores survive if all that waits for disk or calls comes back at once;
+    /// a cold node is taken to warm as slowly as it may.
     fn crowd_limit(&self, now: Nanos) -> usize {
         let since = (now - self.born) as f64 / self.site.warm_after.max(1) as f64;
-        let lack = if self.site.cold { (1.0 - self.site.cold_speed) * (1.0 - since.min(1.0)) } else { 0.0 };
-        let crowd = self.site.cores as f64 * (1.0 + (self.site.crowd_per_core - 1.0) * (1.0 - lack));
+        let lack = if self.site.cold {
+            (1.0 - self.site.cold_speed) * (1.0 - since.min(1.0))
+        } else {
+            0.0
+        };
+        let crowd =
+            self.site.cores as f64 * (1.0 + (self.site.crowd_per_core - 1.0) * (1.0 - lack));
         ((crowd * SAFE) as usize).max(1)
     }
 
@@ -533,7 +640,8 @@
         if inv.stage == Stage::Joining {
             self.host.error(inv.id); // what it repeats may have run
         } else {
-            // Neither lateness nor an overload that the advert speaks of is cured by asking the next node.
+            // Neither lateness nor an overload that the advert speaks of is cured by asking the
+            // next node.
             let last = now >= inv.objective || self.shed > SHED_GOAL && self.fleet_full();
             let pause = self.site.longest_pause as f64 * self.held_back(now);
             self.host.throttle(inv.id, pause as Nanos, last);
@@ -542,7 +650,8 @@
         self.remove(place);
     }
 
-    /// Whether other nodes are likely to be full too, as far as the tenants' shares of the fleet tell.
+    /// Whether other nodes are likely to be full too, as far as the tenants' shares of the fleet
+    /// tell.
     fn fleet_full(&self) -> bool {
         let rate: f64 = self.tenants.iter().map(|t| t.1).sum();
         let quota: f64 = self.site.tenants.iter().map(|t| t.quota_per_s).sum();
@@ -588,7 +697,8 @@
     fn abandon(&mut self, place: usize) {
         let inv = &mut self.in_hand[place];
         inv.over = true;
-        // A repeat within the window is served from what a tokened run brings; stopped, it could only err.
+        // A repeat within the window is served from what a tokened run brings; stopped, it could
+        // only err.
         let lost_for_good = self.rows[inv.op].agreed.effect == Effect::Tokened;
         if inv.stage == Stage::Running && self.site.halt != Halt::No && !lost_for_good {
             self.host.halt(inv.id);
@@ -615,7 +725,8 @@
     }
 
     fn memory_fits(&self, more_kb: f64) -> bool {
-        (self.ledger_kb + more_kb) * self.memory_stretch + self.keys_kb() < self.site.memory_kb * SAFE
+        (self.ledger_kb + more_kb) * self.memory_stretch + self.keys_kb()
+            < self.site.memory_kb * SAFE
     }
 
     /// Own count against the gauge: what operations really take is told nowhere.
@@ -623,10 +734,16 @@
         while self.keys.peek().is_some_and(|k| k.0 < now) {
             self.keys.pop();
         }
-        let Some(used) = gauges.memory_used else { return };
+        let Some(used) = gauges.memory_used else {
+            return;
+        };
         if self.ledger_kb > 0.02 * self.site.memory_kb {
             let seen = ((used * self.site.memory_kb - self.keys_kb()) / self.ledger_kb).max(1.0);
-            let learn = if seen > self.memory_stretch { 1.0 } else { LEARN };
+            let learn = if seen > self.memory_stretch {
+                1.0
+            } else {
+                LEARN
+            };
             self.memory_stretch += learn * (seen - self.memory_stretch);
         }
     }
@@ -635,31 +752,49 @@
 
     /// Makes what calls wait for room; those that failed before only if `again`.
     fn make_calls(&mut self, now: Nanos, again: bool) {
-        let places = if self.away > self.calls { self.in_hand.capacity() } else { 0 }; // most often none wait
+        let places = if self.away > self.calls {
+            self.in_hand.capacity()
+        } else {
+            0
+        }; // most often none wait
         for place in 0..places {
-            let Some(inv) = self.in_hand.get(place) else { continue };
+            let Some(inv) = self.in_hand.get(place) else {
+                continue;
+            };
             if inv.stage == Stage::WantsCall && (again || inv.failed_calls == 0) {
                 self.make_call(now, place, again);
             }
         }
     }
 
-    /// Makes the call that a run waits for, lets it wait for room below, or skips it when it has `waited` or
-    /// too many do. Calls in hand and the mean of a span keep to the share: half of it flows back.
+    /// Makes the call that a run waits for, lets it wait for room below, or skips it when it has
+    /// `waited` or too many do. Calls in hand and the mean of a span keep to the share: half of it
+    /// flows back.
     fn make_call(&mut self, now: Nanos, place: usize, waited: bool) {
-        let Some(inv) = self.in_hand.get(place).filter(|inv| !inv.over) else { return };
+        let Some(inv) = self.in_hand.get(place).filter(|inv| !inv.over) else {
+            return;
+        };
         let row = &self.rows[inv.op];
-        let (skip, usual) = (row.agreed.share_without_call > 0.0, (row.call * 1e9) as Nanos);
-        let mut time = if skip { inv.objective.saturating_sub(now) / 2 } else { inv.due.saturating_sub(now) };
+        let (skip, usual) = (
+            row.agreed.share_without_call > 0.0,
+            (row.call * 1e9) as Nanos,
+        );
+        let mut time = if skip {
+            inv.objective.saturating_sub(now) / 2
+        } else {
+            inv.due.saturating_sub(now)
+        };
         if row.call > 0.0 && (skip || row.agreed.effect == Effect::Idempotent) {
-            // A call that hangs must not hold its run; but giving it up before it lingers spares nothing.
+            // A call that hangs must not hold its run; but giving it up before it lingers spares
+            // nothing.
             time = time.min(self.site.call_linger + (CALL_PATIENCE * row.call * 1e9) as Nanos);
         }
         let share = self.site.call_share;
         if self.site.below == Below::Shared {
             let owed = self.calls_owed_until.saturating_sub(now) as f64;
             let all = share / 2.0 * (self.site.call_span as f64 - owed);
-            time = time.min(((all / share.max(1.0)) as Nanos).saturating_sub(self.site.call_linger));
+            time =
+                time.min(((all / share.max(1.0)) as Nanos).saturating_sub(self.site.call_linger));
         }
         let room = self.site.below != Below::Shared || self.calls < share.max(1.0) as usize;
         if room && time > usual {
@@ -687,13 +822,17 @@
 
     // ---- Signals ----
 
-    /// Walks the share of traffic that the advert holds back: up while more than the goal is turned away,
-    /// down while cores show room. Advert and refusal thus follow the same mechanism.
+    /// Walks the share of traffic that the advert holds back: up while more than the goal is turned
+    /// away, down while cores show room. Advert and refusal thus follow the same mechanism.
     fn steer_traffic(&mut self, now: Nanos) {
         if self.busy < FULL {
             self.shed *= 1.0 - LEARN;
         } else {
-            let turned = if self.tally.read > 0.0 { self.tally.turned / self.tally.read } else { 0.0 };
+            let turned = if self.tally.read > 0.0 {
+                self.tally.turned / self.tally.read
+            } else {
+                0.0
+            };
             self.shed = (self.shed + SHED_GAIN * (turned - SHED_GOAL)).clamp(0.0, 0.95);
         }
         for (count, rate) in &mut self.tenants {
@@ -701,19 +840,28 @@
             *count = 0.0;
         }
         self.advertise(now);
-        // Idle connections take places and capacity: they are kept if dispatchers mostly come back to them.
-        let come_back = self.red.feed * seconds(self.site.longest_idle) / self.site.dispatchers.max(1) as f64;
+        // Idle connections take places and capacity: they are kept if dispatchers mostly come back
+        // to them.
+        let come_back =
+            self.red.feed * seconds(self.site.longest_idle) / self.site.dispatchers.max(1) as f64;
         if self.keeps_idle && come_back < 0.7 || !self.keeps_idle && come_back > 1.4 {
             self.keeps_idle = !self.keeps_idle;
-            self.host.close_idle(if self.keeps_idle { self.site.longest_idle } else { MOMENT });
+            self.host.close_idle(if self.keeps_idle {
+                self.site.longest_idle
+            } else {
+                MOMENT
+            });
         }
     }
 
-    /// The share to hold back: all once told to leave. But where few would get its share, a node serves on
-    /// for as much of the grace as they are fewer; the last update of it tells callers in time.
+    /// The share to hold back: all once told to leave. But where few would get its share, a node
+    /// serves on for as much of the grace as they are fewer; the last update of it tells callers in
+    /// time.
     fn held_back(&self, now: Nanos) -> f64 {
         let told = now + T_UPDATE * self.site.nodes.saturating_sub(1).max(1) as Nanos;
-        let shuts = self.stop.is_some_and(|(notice, _)| told >= notice + self.site.drain_grace);
+        let shuts = self
+            .stop
+            .is_some_and(|(notice, _)| told >= notice + self.site.drain_grace);
         if shuts { 1.0 } else { self.shed }
     }
 
@@ -730,9 +878,25 @@
     }
 
     fn enter(&mut self, mode: Mode) {
-        let Red { q_avg, q_target, q_virtual, buffer, .. } = self.red;
-        let Choice { running, limit, busy, shed, .. } = self;
-        let (held, from, kb) = (self.hold.len(), self.mode, self.ledger_kb * self.memory_stretch);
+        let Red {
+            q_avg,
+            q_target,
+            q_virtual,
+            buffer,
+            ..
+        } = self.red;
+        let Choice {
+            running,
+            limit,
+            busy,
+            shed,
+            ..
+        } = self;
+        let (held, from, kb) = (
+            self.hold.len(),
+            self.mode,
+            self.ledger_kb * self.memory_stretch,
+        );
         self.host.log(format_args!(
             "{from:?}->{mode:?} held {held} q_avg {q_avg:.1} target {q_target:.1} virtual {q_virtual:.1} \
              B {buffer:.0} run {running}/{limit:.0} busy {busy:.2} shed {shed:.2} memory {kb:.0} kB"
--- a/src/choice/tests.rs
+++ b/src/choice/tests.rs
@@ -106,7 +106,13 @@
         longest_pause: S,
         billed_by_work: false,
         over_share_value: 0.05,
-        operations: vec![operation.clone(), Operation { billed_value: 4.0, ..operation }],
+        operations: vec![
+            operation.clone(),
+            Operation {
+                billed_value: 4.0,
+                ..operation
+            },
+        ],
         tenants: vec![Tenant { quota_per_s: 10.0 }],
     }
 }
@@ -164,7 +170,10 @@
 }
 
 fn busy(share: f64) -> Gauges {
-    Gauges { cpu_busy: Some(share), ..Gauges::default() }
+    Gauges {
+        cpu_busy: Some(share),
+        ..Gauges::default()
+    }
 }
 
 #[test]
@@ -172,12 +181,19 @@
     let mut choice = choice(site());
     (choice.red.buffer, choice.red.q_virtual) = (40.0, 20.0);
     let mut last = -1.0;
-    for (q, low, high) in
-        [(0.0, 0.0, 0.0), (16.0, 0.01, 0.1), (20.0, 0.45, 0.55), (24.0, 0.9, 0.99), (40.0, 1.0, 1.0)]
-    {
+    for (q, low, high) in [
+        (0.0, 0.0, 0.0),
+        (16.0, 0.01, 0.1),
+        (20.0, 0.45, 0.55),
+        (24.0, 0.9, 0.99),
+        (40.0, 1.0, 1.0),
+    ] {
         choice.red.q_avg = q;
         let chance = choice.chance();
-        assert!((low..=high).contains(&chance) && chance > last, "at {q}: {chance}");
+        assert!(
+            (low..=high).contains(&chance) && chance > last,
+            "at {q}: {chance}"
+        );
         last = chance;
     }
 }
@@ -193,7 +209,8 @@
 
 #[test]
 fn what_is_unread_counts_as_held() {
-    // Guards against slow reading that hides the queue: held 0 while invocations waited 0.6 s unread.
+    // Guards against slow reading that hides the queue: held 0 while invocations waited 0.6 s
+    // unread.
     let mut choice = choice(site());
     choice.red.feed = 20.0;
     choice.average(500 * MS);
@@ -202,18 +219,28 @@
 
 #[test]
 fn a_call_that_hangs_is_abandoned_after_its_usual_time() {
-    let mut choice = choice(Premises { below: Below::Tier, ..site() });
+    let mut choice = choice(Premises {
+        below: Below::Tier,
+        ..site()
+    });
     put(&mut choice, 0..1, Stage::WantsCall);
     choice.rows[0].call = 0.1;
     choice.make_call(MS, 0, false);
     choice.call_ended(S, InvId(0), CallEnding::Abandoned, 100 * MS);
-    assert_eq!(choice.host.0, [Did::Call(0, 1800 * MS), Did::Call(0, 1800 * MS)]);
+    assert_eq!(
+        choice.host.0,
+        [Did::Call(0, 1800 * MS), Did::Call(0, 1800 * MS)]
+    );
 }
 
 #[test]
 fn what_fails_below_is_not_hammered() {
-    // Guards against tries that all nodes repeat at a tier that refuses: four attempts for each invocation.
-    let mut choice = choice(Premises { below: Below::Tier, ..site() });
+    // Guards against tries that all nodes repeat at a tier that refuses: four attempts for each
+    // invocation.
+    let mut choice = choice(Premises {
+        below: Below::Tier,
+        ..site()
+    });
     put(&mut choice, 0..1, Stage::Calling);
     put(&mut choice, 1..2, Stage::WantsCall);
     choice.rows[0].agreed.share_without_call = 0.5;
@@ -227,10 +254,18 @@
     let mut choice = choice(site());
     put(&mut choice, 0..10, Stage::Held);
     choice.red.q_cur = 10.0;
-    (choice.busy, choice.red.buffer, choice.red.q_target, choice.red.q_virtual, choice.red.q_avg) =
-        (1.0, 40.0, 10.0, 20.0, 14.0);
+    (
+        choice.busy,
+        choice.red.buffer,
+        choice.red.q_target,
+        choice.red.q_virtual,
+        choice.red.q_avg,
+    ) = (1.0, 40.0, 10.0, 20.0, 14.0);
     choice.walk();
-    assert!((choice.red.q_virtual - 19.0).abs() < 1e-9, "0.25 x (10 - 14)");
+    assert!(
+        (choice.red.q_virtual - 19.0).abs() < 1e-9,
+        "0.25 x (10 - 14)"
+    );
     choice.red.q_avg = 1e4;
     choice.walk();
     assert_eq!(choice.red.q_virtual, 4.0, "never under the cores");
@@ -242,7 +277,12 @@
 #[test]
 fn calm_does_not_wind_the_target_up() {
     let mut choice = choice(site());
-    (choice.busy, choice.red.buffer, choice.red.q_target, choice.red.q_virtual) = (0.3, 40.0, 10.0, 30.0);
+    (
+        choice.busy,
+        choice.red.buffer,
+        choice.red.q_target,
+        choice.red.q_virtual,
+    ) = (0.3, 40.0, 10.0, 30.0);
     choice.walk();
     assert!((choice.red.q_virtual - 28.0).abs() < 1e-9);
 }
@@ -263,7 +303,11 @@
     choice.typical_kb = 100.0;
     choice.measure_capacity();
     // (10,000 x 0.85 / 2 - 4 x 4 x 100) / 100
-    assert!((choice.red.buffer - 26.5).abs() < 1e-9, "{}", choice.red.buffer);
+    assert!(
+        (choice.red.buffer - 26.5).abs() < 1e-9,
+        "{}",
+        choice.red.buffer
+    );
 }
 
 #[test]
@@ -292,7 +336,12 @@
 #[test]
 fn refusal_rests_while_cores_show_room() {
     let mut choice = choice(site());
-    (choice.running, choice.red.buffer, choice.red.q_avg, choice.busy) = (17, 26.0, 26.0, 0.5);
+    (
+        choice.running,
+        choice.red.buffer,
+        choice.red.q_avg,
+        choice.busy,
+    ) = (17, 26.0, 26.0, 0.5);
     put(&mut choice, 0..20, Stage::Held);
     choice.arrive(MS, arrival(99));
     assert_eq!(choice.hold.len(), 21);
@@ -302,9 +351,17 @@
 fn refusal_falls_on_the_least_merit_among_the_young() {
     let mut choice = choice(site());
     put(&mut choice, 0..2, Stage::Held);
-    (choice.in_hand[1].op, choice.rows[0].pace, choice.rows[1].pace) = (1, 1.0, 1.0);
+    (
+        choice.in_hand[1].op,
+        choice.rows[0].pace,
+        choice.rows[1].pace,
+    ) = (1, 1.0, 1.0);
     assert_eq!(choice.victim(MS, 1), 0);
-    assert_eq!(choice.victim(3 * S, 1), 1, "held too long to be sent elsewhere");
+    assert_eq!(
+        choice.victim(3 * S, 1),
+        1,
+        "held too long to be sent elsewhere"
+    );
 }
 
 #[test]
@@ -347,7 +404,10 @@
 
 #[test]
 fn crowd_is_bounded_and_less_while_cold() {
-    let mut choice = choice(Premises { cold: true, ..site() });
+    let mut choice = choice(Premises {
+        cold: true,
+        ..site()
+    });
     assert_eq!(choice.crowd_limit(0), 6); // 4 x (1 + 4 x 0.25) x 0.85
     assert_eq!(choice.crowd_limit(20 * S), 17);
     choice.site.cold = false;
@@ -356,7 +416,10 @@
 
 #[test]
 fn what_is_due_is_answered_and_running_work_keeps_its_place() {
-    let mut choice = choice(Premises { halt: Halt::No, ..site() });
+    let mut choice = choice(Premises {
+        halt: Halt::No,
+        ..site()
+    });
     put(&mut choice, 0..1, Stage::Held);
     put(&mut choice, 1..2, Stage::Running);
     choice.answer_due(8 * S);
@@ -369,7 +432,14 @@
 #[test]
 fn client_timeout_counts_from_arrival_at_the_machine() {
     let mut choice = choice(site());
-    choice.arrive(10 * S, Arrival { age: 3 * S, time_left: None, ..arrival(1) });
+    choice.arrive(
+        10 * S,
+        Arrival {
+            age: 3 * S,
+            time_left: None,
+            ..arrival(1)
+        },
+    );
     assert!(choice.host.0.contains(&Did::Wake(2, 5 * S - MOMENT)));
 }
 
@@ -385,9 +455,21 @@
 fn memory_count_learns_from_the_gauge() {
     let mut choice = choice(site());
     choice.ledger_kb = 1000.0;
-    choice.watch_memory(0, &Gauges { memory_used: Some(0.3), ..Gauges::default() });
+    choice.watch_memory(
+        0,
+        &Gauges {
+            memory_used: Some(0.3),
+            ..Gauges::default()
+        },
+    );
     assert!((choice.memory_stretch - 3.0).abs() < 1e-9);
-    choice.watch_memory(0, &Gauges { memory_used: Some(0.1), ..Gauges::default() });
+    choice.watch_memory(
+        0,
+        &Gauges {
+            memory_used: Some(0.1),
+            ..Gauges::default()
+        },
+    );
     assert!((choice.memory_stretch - 2.8).abs() < 1e-9);
 }
 
@@ -399,7 +481,11 @@
     choice.needs_call(MS, InvId(2));
     assert_eq!(choice.host.0, [], "waits");
     choice.call_ended(S, InvId(0), CallEnding::Abandoned, S);
-    assert_eq!(choice.host.0, [Did::Call(2, 1820 * MS)], "the abandoned one lingers and is booked");
+    assert_eq!(
+        choice.host.0,
+        [Did::Call(2, 1820 * MS)],
+        "the abandoned one lingers and is booked"
+    );
     choice.rows[0].agreed.share_without_call = 0.5;
     choice.make_calls(S, true);
     assert_eq!(choice.host.0[1..], [Did::Skip(0)]);
@@ -408,7 +494,10 @@
 #[test]
 fn a_share_under_one_is_kept_in_the_mean() {
     // Half of 0.5 over 5 s flows back, half can be used at once, lingering included.
-    let mut choice = choice(Premises { call_share: 0.5, ..site() });
+    let mut choice = choice(Premises {
+        call_share: 0.5,
+        ..site()
+    });
     put(&mut choice, 0..2, Stage::WantsCall);
     choice.rows[0].call = 0.2;
     choice.rows[0].agreed.effect = Effect::Tokened;
@@ -423,20 +512,31 @@
 
 #[test]
 fn a_call_waits_for_room_before_it_is_skipped() {
-    // Guards against small shares: a third of the calls were skipped while what lies below stood idle.
-    let mut choice = choice(Premises { call_share: 1.0, ..site() });
+    // Guards against small shares: a third of the calls were skipped while what lies below stood
+    // idle.
+    let mut choice = choice(Premises {
+        call_share: 1.0,
+        ..site()
+    });
     choice.rows[0].agreed.share_without_call = 0.5;
     put(&mut choice, 0..1, Stage::Calling);
     put(&mut choice, 1..6, Stage::Running);
     (1..6).for_each(|id| choice.needs_call(MS, InvId(id)));
-    assert_eq!(choice.host.0, [Did::Skip(5)], "as many as there are cores wait");
+    assert_eq!(
+        choice.host.0,
+        [Did::Skip(5)],
+        "as many as there are cores wait"
+    );
     choice.call_ended(S, InvId(0), CallEnding::Succeeded, 100 * MS);
     assert!(matches!(choice.host.0[1], Did::Call(1, _)));
 }
 
 #[test]
 fn a_call_that_may_have_run_is_not_repeated() {
-    let mut choice = choice(Premises { below: Below::Tier, ..site() });
+    let mut choice = choice(Premises {
+        below: Below::Tier,
+        ..site()
+    });
     put(&mut choice, 0..2, Stage::Calling);
     choice.rows[0].agreed.effect = Effect::NonIdempotent;
     choice.call_ended(MS, InvId(0), CallEnding::MayHaveRun, MS);
@@ -474,7 +574,13 @@
 #[test]
 fn a_repeat_joins_and_is_never_throttled() {
     let mut choice = choice(site());
-    choice.arrive(MS, Arrival { repeats: Some(InvId(1)), ..arrival(2) });
+    choice.arrive(
+        MS,
+        Arrival {
+            repeats: Some(InvId(1)),
+            ..arrival(2)
+        },
+    );
     assert_eq!(choice.host.0[1..], [Did::Join(2)]);
     choice.answer_due(9 * S);
     assert_eq!(choice.host.0[2..], [Did::Error(2)]);
@@ -509,13 +615,19 @@
     assert_eq!(choice.running, 1, "until the host says so");
 }
 
-/// An arrival that says it is old once counted as a queue of that length: a stranger's word for hours shut the node to
-/// everybody for a dozen arrivals.
+/// An arrival that says it is old once counted as a queue of that length: a stranger's word for
+/// hours shut the node to everybody for a dozen arrivals.
 #[test]
 fn one_arrival_cannot_pass_for_a_queue_without_end() {
     let mut choice = choice(site());
     choice.red.feed = 100.0;
-    choice.arrive(100 * S, Arrival { age: 50 * S, ..arrival(1) });
+    choice.arrive(
+        100 * S,
+        Arrival {
+            age: 50 * S,
+            ..arrival(1)
+        },
+    );
     assert_eq!(choice.red.q_avg, W * choice.red.buffer);
 }
 
@@ -525,10 +637,24 @@
     put(&mut choice, 0..1, Stage::Running);
     choice.drain(S, 4 * S);
     assert_eq!(choice.in_hand[0].due, 5 * S - MOMENT);
-    assert_eq!(choice.host.0, [Did::Wake(2, 4 * S - MOMENT), Did::Health(false), Did::Advert(0.0)]);
-    // One of few nodes serves on while it may: sent away at once, its callers would leave the others no room.
+    assert_eq!(
+        choice.host.0,
+        [
+            Did::Wake(2, 4 * S - MOMENT),
+            Did::Health(false),
+            Did::Advert(0.0)
+        ]
+    );
+    // One of few nodes serves on while it may: sent away at once, its callers would leave the
+    // others no room.
     choice.host.0.clear();
-    for (nodes, now) in [(2, 2 * S), (2, 3 * S - T_UPDATE), (4, S), (4, 2 * S), (5, S)] {
+    for (nodes, now) in [
+        (2, 2 * S),
+        (2, 3 * S - T_UPDATE),
+        (4, S),
+        (4, 2 * S),
+        (5, S),
+    ] {
         choice.site.nodes = nodes;
         choice.advertise(now);
     }
@@ -539,9 +665,24 @@
 fn nothing_that_comes_after_the_grace_runs() {
     let mut choice = choice(site());
     choice.stop = Some((S, 6 * S));
-    choice.arrive(4 * S, Arrival { age: 500 * MS, ..arrival(1) });
-    choice.arrive(4 * S, Arrival { age: 1500 * MS, ..arrival(2) });
-    assert!(matches!(choice.host.0[..], [Did::Throttle(1, _), Did::Wake(2, _), Did::Run(2)]));
+    choice.arrive(
+        4 * S,
+        Arrival {
+            age: 500 * MS,
+            ..arrival(1)
+        },
+    );
+    choice.arrive(
+        4 * S,
+        Arrival {
+            age: 1500 * MS,
+            ..arrival(2)
+        },
+    );
+    assert!(matches!(
+        choice.host.0[..],
+        [Did::Throttle(1, _), Did::Wake(2, _), Did::Run(2)]
+    ));
 }
 
 #[test]
@@ -557,7 +698,11 @@
 
 #[test]
 fn each_advert_speaks_its_own_scale() {
-    for (advert, value) in [(Advert::Level, 0.5), (Advert::Weight, 0.5), (Advert::Credit, 4.0)] {
+    for (advert, value) in [
+        (Advert::Level, 0.5),
+        (Advert::Weight, 0.5),
+        (Advert::Credit, 4.0),
+    ] {
         let mut choice = choice(Premises { advert, ..site() });
         (choice.shed, choice.limit, choice.red.q_target) = (0.5, 10.0, 6.0);
         choice.advertise(S);
@@ -568,13 +713,22 @@
 #[test]
 fn the_tenant_rate_is_counted_on_arrival() {
     let mut choice = choice(site());
-    choice.arrive(MS, Arrival { tenant: Some(TenantId(0)), ..arrival(1) });
+    choice.arrive(
+        MS,
+        Arrival {
+            tenant: Some(TenantId(0)),
+            ..arrival(1)
+        },
+    );
     assert_eq!(choice.tenants[0].0, 1.0);
 }
 
 #[test]
 fn connections_of_dispatchers_that_seldom_return_are_closed_at_once() {
-    let mut choice = choice(Premises { dispatchers: 300, ..site() });
+    let mut choice = choice(Premises {
+        dispatchers: 300,
+        ..site()
+    });
     choice.red.feed = 5.0; // back after a minute, against 30 s
     choice.steer_traffic(S);
     assert!(choice.host.0.contains(&Did::CloseIdle(MOMENT)));
@@ -592,7 +746,10 @@
     choice.turn_away(MS, 0);
     choice.tenants[0].1 = 2.0; // over 10 nodes: 20 a second against 10
     choice.turn_away(MS, 1);
-    assert_eq!(choice.host.0, [Did::Throttle(0, false), Did::Throttle(1, true)]);
+    assert_eq!(
+        choice.host.0,
+        [Did::Throttle(0, false), Did::Throttle(1, true)]
+    );
 }
 
 #[test]
@@ -600,7 +757,12 @@
     // Guards against full cores that serve late answers for a fifth of their value first.
     let mut choice = choice(site());
     put(&mut choice, 0..2, Stage::Held);
-    (choice.busy, choice.limit, choice.rows[0].pace, choice.rows[0].agreed.late_share) = (1.0, 1.0, 1.5, 0.2);
+    (
+        choice.busy,
+        choice.limit,
+        choice.rows[0].pace,
+        choice.rows[0].agreed.late_share,
+    ) = (1.0, 1.0, 1.5, 0.2);
     choice.in_hand[0].objective = S;
     choice.fill(MS);
     assert_eq!(choice.host.0, [Did::Run(1)]);
@@ -608,7 +770,10 @@
 
 #[test]
 fn without_a_share_below_no_call_is_made() {
-    let mut choice = choice(Premises { call_share: 0.0, ..site() });
+    let mut choice = choice(Premises {
+        call_share: 0.0,
+        ..site()
+    });
     put(&mut choice, 0..2, Stage::WantsCall);
     choice.in_hand[1].op = 1;
     choice.rows[1].agreed.share_without_call = 0.5;
@@ -621,7 +786,13 @@
 #[test]
 fn one_core_and_nothing_told_of_the_fleet_still_serves() {
     let tenants = Vec::new();
-    let mut choice = choice(Premises { cores: 1, nodes: 0, dispatchers: 0, tenants, ..site() });
+    let mut choice = choice(Premises {
+        cores: 1,
+        nodes: 0,
+        dispatchers: 0,
+        tenants,
+        ..site()
+    });
     choice.arrive(S, arrival(1));
     choice.alarm(2 * S, TICK, busy(0.5));
     assert!(choice.host.0.contains(&Did::Run(1)));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,10 @@
-//! madderpoint decides, inside one server of a fleet, which invocations it takes, runs and throttles.
+//! madderpoint decides, inside one server of a fleet, which invocations it takes, runs and
+//! throttles.
 //!
-//! This file is the interface: the ids, the facts read at start, and the [`Host`] through which decisions
-//! take effect. All decisions are in [`choice`], which knows no wire, clock, thread or I/O: whoever embeds
-//! it calls one method for each thing that happens and carries out the calls that come back.
+//! This file is the interface: the ids, the facts read at start, and the [`Host`] through which
+//! decisions take effect. All decisions are in [`choice`], which knows no wire, clock, thread or
+//! I/O: whoever embeds it calls one method for each thing that happens and carries out the calls
+//! that come back.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
