--- /dev/null
+++ b/crates/identity/src/bundle/tests.rs
@@ -0,0 +1,111 @@
+use super::*;
+
+fn bundle(keys: &str, more: &str) -> Result<Bundle, String> {
+    Bundle::read(format!("{{\"keys\": [{keys}]{more}}}").as_bytes())
+}
+
+const X509: &str = r#"{"kty": "EC", "use": "x509-svid", "x5c": ["AQID"]}"#;
+const RSA: &str = r#"{"kty": "RSA", "use": "jwt-svid", "kid": "a", "n": "AQAB", "e": "AQAB"}"#;
+
+#[test]
+fn a_bundle_has_authorities_keys_and_its_counters() {
+    let other = r#"{"kty": "EC", "use": "sig", "x5c": 7}"#;
+    let read = bundle(
+        &[X509, RSA, other].join(","),
+        r#", "spiffe_sequence": 12, "spiffe_refresh_hint": 60"#,
+    );
+    let read = read.unwrap();
+    assert_eq!(
+        (read.sequence, read.refresh, read.passed_over),
+        (Some(12), 60_000_000_000, 1)
+    );
+    assert_eq!(read.x509, [vec![1, 2, 3]]);
+    assert_eq!(
+        read.jwt_key("a").unwrap().key,
+        PublicKey::Rsa(vec![1, 0, 1], vec![1, 0, 1])
+    );
+    assert!(read.jwt_key("b").is_none());
+    assert_eq!(
+        bundle("", "").unwrap().refresh,
+        300_000_000_000,
+        "five minutes if it does not say"
+    );
+    assert_eq!(
+        bundle("", r#", "spiffe_refresh_hint": 0"#).unwrap().refresh,
+        1_000_000_000
+    );
+    assert!(
+        bundle("", "").unwrap().x509.is_empty(),
+        "a domain without keys trusts nobody"
+    );
+}
+
+#[test]
+fn a_bundle_that_lacks_what_it_should_have_is_refused_whole() {
+    let many = vec![X509; 257].join(",");
+    for keys in [
+        r#"{"kty": "EC", "use": "x509-svid"}"#,
+        r#"{"kty": "EC", "use": "x509-svid", "x5c": []}"#,
+        r#"{"kty": "EC", "use": "x509-svid", "x5c": ["AQID", "AQID"]}"#,
+        r#"{"kty": "EC", "use": "x509-svid", "x5c": ["A_-D"]}"#,
+        r#"{"kty": "EC", "use": "x509-svid", "x5c": [""]}"#,
+        r#"{"use": "x509-svid", "x5c": ["AQID"]}"#,
+        r#"{"kty": "RSA", "use": "jwt-svid", "n": "AQAB", "e": "AQAB"}"#,
+        &[RSA, RSA].join(","),
+        &many,
+    ] {
+        assert!(bundle(&[X509, keys].join(","), "").is_err(), "{keys}");
+    }
+    for text in [
+        "",
+        "{}",
+        "[]",
+        r#"{"keys": 1}"#,
+        r#"{"keys": [], "spiffe_sequence": -1}"#,
+    ] {
+        assert!(Bundle::read(text.as_bytes()).is_err(), "{text}");
+    }
+    assert!(Bundle::read(&vec![b' '; TEXT_MAX + 1]).is_err());
+    // A point that is too short for its curve is no key.
+    let short =
+        r#"{"kty": "EC", "use": "jwt-svid", "kid": "c", "crv": "P-256", "x": "AQ", "y": "AQ"}"#;
+    assert_eq!(
+        (
+            bundle(short, "").unwrap().jwt.len(),
+            bundle(short, "").unwrap().passed_over
+        ),
+        (0, 1)
+    );
+}
+
+#[test]
+fn a_sequence_never_goes_back_and_says_one_thing_only() {
+    let domain: TrustDomain = "saha.example".parse().unwrap();
+    let of = |sequence: u64, key: &str| {
+        bundle(key, &format!(r#", "spiffe_sequence": {sequence}"#)).unwrap()
+    };
+    let mut bundles = Bundles::default();
+    assert_eq!(bundles.offer(&domain, of(5, X509)), Offer::Taken);
+    assert_eq!(bundles.offer(&domain, of(5, X509)), Offer::Same);
+    assert_eq!(bundles.offer(&domain, of(4, RSA)), Offer::GoesBack);
+    assert_eq!(bundles.offer(&domain, of(5, RSA)), Offer::Contradicts);
+    assert_eq!(
+        (
+            bundles.version(),
+            bundles.of("saha.example").unwrap().x509.len()
+        ),
+        (1, 1)
+    );
+    assert_eq!(bundles.offer(&domain, of(6, RSA)), Offer::Taken);
+    assert!(
+        bundles.of("saha.example").unwrap().x509.is_empty()
+            && bundles.of("other.example").is_none()
+    );
+    // An issuer that does not count is believed each time.
+    assert_eq!(
+        bundles.offer(&domain, bundle(X509, "").unwrap()),
+        Offer::Taken
+    );
+    assert!(bundles.withdraw(&domain) && !bundles.withdraw(&domain));
+    assert_eq!((bundles.version(), bundles.domains().count()), (4, 0));
+}
--- /dev/null
+++ b/crates/identity/src/id/tests.rs
@@ -0,0 +1,70 @@
+use super::*;
+
+#[test]
+fn good_ids_fall_into_domain_and_path() {
+    for (text, domain, path) in [
+        ("spiffe://example.org", "example.org", ""),
+        ("spiffe://example.org/site/7", "example.org", "/site/7"),
+        ("spiffe://a-b_c.9/A.b-C_9", "a-b_c.9", "/A.b-C_9"),
+        ("spiffe://1.2.3.4/x", "1.2.3.4", "/x"),
+        ("spiffe://a/...", "a", "/..."),
+    ] {
+        let id: SpiffeId = text.parse().unwrap();
+        assert_eq!((id.as_str(), id.domain(), id.path()), (text, domain, path));
+        assert!(id.is_of(&domain.parse().unwrap()));
+        assert_eq!(
+            text.parse::<TrustDomain>().unwrap().as_str(),
+            domain,
+            "of an id, its domain"
+        );
+    }
+}
+
+/// Each with the clause of the standard that it breaks.
+#[test]
+fn each_rule_of_the_standard_is_kept() {
+    let bad = [
+        ("", Malformed::Scheme),
+        ("http://example.org/a", Malformed::Scheme),
+        ("SPIFFE://example.org/a", Malformed::Scheme),
+        ("spiffe:/example.org", Malformed::Scheme),
+        ("spiffe://", Malformed::NoDomain),
+        ("spiffe:///a", Malformed::NoDomain),
+        ("spiffe://Example.org/a", Malformed::DomainLetter('E')),
+        ("spiffe://user@example.org/a", Malformed::DomainLetter('@')),
+        ("spiffe://example.org:80/a", Malformed::DomainLetter(':')),
+        ("spiffe://ex%61mple.org/a", Malformed::DomainLetter('%')),
+        ("spiffe://örnek.org/a", Malformed::DomainLetter('ö')),
+        ("spiffe://example.org?a", Malformed::DomainLetter('?')),
+        ("spiffe://example.org/", Malformed::EmptySegment),
+        ("spiffe://example.org/a/", Malformed::EmptySegment),
+        ("spiffe://example.org//a", Malformed::EmptySegment),
+        ("spiffe://example.org/a/./b", Malformed::DotSegment),
+        ("spiffe://example.org/a/..", Malformed::DotSegment),
+        ("spiffe://example.org/a%2fb", Malformed::PathLetter('%')),
+        ("spiffe://example.org/a?b", Malformed::PathLetter('?')),
+        ("spiffe://example.org/a#b", Malformed::PathLetter('#')),
+        ("spiffe://example.org/a b", Malformed::PathLetter(' ')),
+        ("spiffe://example.org/şube", Malformed::PathLetter('ş')),
+    ];
+    for (text, why) in bad {
+        assert_eq!(text.parse::<SpiffeId>(), Err(why), "{text}");
+    }
+}
+
+#[test]
+fn lengths_are_bounded_to_the_byte() {
+    let of = |domain: usize, path: usize| {
+        format!("spiffe://{}/{}", "d".repeat(domain), "p".repeat(path))
+    };
+    assert!(of(255, 1).parse::<SpiffeId>().is_ok());
+    assert_eq!(
+        of(256, 1).parse::<SpiffeId>(),
+        Err(Malformed::DomainTooLong)
+    );
+    assert!(of(7, 2048 - 9 - 8).parse::<SpiffeId>().is_ok());
+    assert_eq!(
+        of(7, 2048 - 9 - 7).parse::<SpiffeId>(),
+        Err(Malformed::TooLong)
+    );
+}
--- a/crates/fleet/src/history.rs
+++ b/crates/membership/src/history.rs
@@ -134,35 +134,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_burst_becomes_one_line_and_the_history_is_bounded() {
-        let mut history = History::default();
-        let change = |n: usize, kind| Happened {
-            unix_ms: 0,
-            kind,
-            name: format!("n{n}").into(),
-            more: String::new(),
-        };
-        let lines: Vec<String> = (0..300)
-            .filter_map(|n| history.push(SECOND, change(n, Kind::Dead)))
-            .collect();
-        assert_eq!((lines.len(), &lines[0][..]), (LINES, "n0 dead"));
-        assert_eq!(history.rest(SECOND), None);
-        assert_eq!(
-            history.rest(2 * SECOND).unwrap(),
-            "292 more dead (first n8)"
-        );
-        assert_eq!(history.rest(3 * SECOND), None);
-        assert_eq!(
-            (
-                history.latest().count(),
-                &history.latest().next().unwrap().name[..]
-            ),
-            (KEPT, "n299")
-        );
-        assert!(history.push(4 * SECOND, change(1, Kind::Back)).is_some());
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/membership/src/reconcile/tests.rs
@@ -0,0 +1,185 @@
+use super::*;
+use crate::member::{Details, Phase};
+use crate::view::Merged;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::net::SocketAddr;
+
+fn news(n: usize, bump: u32, status: Status) -> News {
+    let (name, address) = (format!("n{n}"), SocketAddr::from(([127, 0, 0, 1], 1000)));
+    let told = Details::new(address, "a", Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
+    let key = Key::of(&name).0;
+    let told = told.raw().to_vec();
+    News {
+        key,
+        birth: 1,
+        life: 1,
+        bump,
+        status: status.number(),
+        revision: 0,
+        name,
+        told,
+        by: 0,
+    }
+}
+
+#[test]
+fn slices_cover_a_range_without_gaps() {
+    for (from, to, n) in [
+        (0, u64::MAX, 64),
+        (0, u64::MAX, 1),
+        (5, 7, 64),
+        (9, 9, 4),
+        (1 << 40, 1 << 41, 32),
+    ] {
+        let all: Vec<_> = slices(from, to, n).collect();
+        assert_eq!((all[0].0, all[all.len() - 1].1), (from, to));
+        assert!(
+            all.windows(2)
+                .all(|two| two[0].1 + 1 == two[1].0 && two[0].0 <= two[0].1),
+            "{all:?}"
+        );
+    }
+}
+
+#[test]
+fn the_digests_that_are_kept_are_those_of_the_slices() {
+    let mut view = View::new(64 << 20, None);
+    for n in 0..700 {
+        let _ = view.merge(0, &news(n, 0, Status::Alive));
+    }
+    for members in [1, 5, 30, 100, 700] {
+        let n = slices_for(members);
+        let sums: Vec<u64> = slices(0, u64::MAX, n)
+            .map(|(from, to)| view.sum(from..=to).1)
+            .collect();
+        assert_eq!(view.slices(n), sums);
+    }
+}
+
+/// Two views that differ in anything come to be equal by what they tell each other, with few
+/// words where little differs.
+#[test]
+fn two_views_come_to_agree_whatever_differs() {
+    for seed in 0..60 {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let members = [0, 1, 3, 40, 300, 1500][rng.random_range(0..6)];
+        let differ = rng.random_range(0.0..1.0f64).powi(3);
+        let (mut a, mut b) = (View::new(64 << 20, None), View::new(64 << 20, None));
+        for n in 0..members {
+            for view in [&mut a, &mut b] {
+                if rng.random_bool(differ) {
+                    match rng.random_range(0..4) {
+                        0 => continue,
+                        1 => drop(view.merge(0, &news(n, 1, Status::Alive))),
+                        2 => {
+                            let _ = view.merge(0, &news(n, 0, Status::Alive));
+                            view.set(0, Key::of(&format!("n{n}")), Status::Dead);
+                        }
+                        _ => drop(view.merge(0, &news(n, rng.random_range(0..3), Status::Suspect))),
+                    }
+                } else {
+                    let _ = view.merge(0, &news(n, 0, Status::Alive));
+                }
+            }
+        }
+        let (mut rounds, mut told) = (0, 0);
+        let mut open = vec![(false, summary(&a))]; // whose it is: b's if true
+        while a.digest() != b.digest() {
+            rounds += 1;
+            assert!(
+                rounds < 20,
+                "seed {seed}: {members} members, {differ} differ"
+            );
+            for (by_b, summary) in std::mem::take(&mut open) {
+                let (here, there) = if by_b {
+                    (&mut a, &mut b)
+                } else {
+                    (&mut b, &mut a)
+                };
+                let finer = finer(here, &summary, rng.random_range(0..64));
+                open.extend(finer.summaries.into_iter().map(|summary| (!by_b, summary)));
+                let named: Vec<News> = finer
+                    .covered
+                    .iter()
+                    .flat_map(|range| headers(here, range))
+                    .collect();
+                let (mut back, mut wants) = (Vec::new(), Vec::new());
+                for news in &named {
+                    let _ = there.merge(0, news);
+                }
+                let found = differences(there, &finer.covered, &named);
+                back.extend(
+                    found
+                        .whole
+                        .iter()
+                        .map(|key| there.get(*key).unwrap().full(*key)),
+                );
+                back.extend(
+                    found
+                        .brief
+                        .iter()
+                        .map(|key| there.get(*key).unwrap().brief(*key)),
+                );
+                wants.extend(
+                    found
+                        .wants
+                        .iter()
+                        .filter_map(|key| Some(here.get(*key)?.full(*key))),
+                );
+                told += back.len() + wants.len();
+                for news in &back {
+                    // Whoever hears what is out of date says what it knows.
+                    if here.merge(0, news) == Merged::Older {
+                        let _ =
+                            there.merge(0, &here.get(Key(news.key)).unwrap().brief(Key(news.key)));
+                    }
+                }
+                for news in &wants {
+                    let _ = there.merge(0, news);
+                }
+            }
+            if open.is_empty() {
+                open.push((
+                    rounds % 2 == 0,
+                    summary(if rounds % 2 == 0 { &b } else { &a }),
+                ));
+            }
+        }
+        assert!(
+            told <= 2 * members + 2,
+            "seed {seed}: {told} entries told for {members} members"
+        );
+    }
+}
+
+#[test]
+fn what_makes_no_sense_is_answered_with_nothing() {
+    let mut view = View::new(64 << 20, None);
+    for n in 0..20 {
+        let _ = view.merge(0, &news(n, 0, Status::Alive));
+    }
+    for (from, to, digests) in [
+        (9, 3, 64),
+        (0, 9, 0),
+        (0, u64::MAX, 13),
+        (0, u64::MAX, 8 * 300),
+    ] {
+        let finer = finer(
+            &view,
+            &Summary {
+                from,
+                to,
+                digests: vec![1; digests],
+            },
+            0,
+        );
+        assert!(finer.covered.is_empty() && finer.summaries.is_empty());
+    }
+    assert!(headers(&view, &Range { from: 9, to: 3 }).is_empty());
+    assert!(
+        differences(&view, &[Range { from: 9, to: 3 }], &[])
+            .whole
+            .is_empty()
+    );
+}
--- a/crates/fleet/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -2,11 +2,11 @@
 //! by their MAC and make no sense. Nothing panics, nothing is believed without its MAC, and no
 //! answer goes to what was dropped.
 
-use madderpoint_fleet::fleet::Extensions;
-use madderpoint_fleet::member::{Details, Key, Life, Phase, Status};
-use madderpoint_fleet::seal::{Keys, Seal};
-use madderpoint_fleet::wire::{Datagram, News, Summary, kind};
-use madderpoint_fleet::{Fleet, Host, Moment, Nanos, Periods, Settings, Sight};
+use madderpoint_membership::fleet::Extensions;
+use madderpoint_membership::member::{Details, Key, Life, Phase, Status};
+use madderpoint_membership::seal::{Keys, Seal};
+use madderpoint_membership::wire::{Datagram, News, Summary, kind};
+use madderpoint_membership::{Fleet, Host, Moment, Nanos, Periods, Settings, Sight};
 use prost::Message;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/fleet/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -3,9 +3,9 @@
 //! time: anybody may suspect and bury anybody else at any moment, which is worse than what any
 //! timing does.
 
-use madderpoint_fleet::member::{Details, Epoch, Key, Phase, Standing, Status, refutes};
-use madderpoint_fleet::view::View;
-use madderpoint_fleet::wire::News;
+use madderpoint_membership::member::{Details, Epoch, Key, Phase, Standing, Status, refutes};
+use madderpoint_membership::view::View;
+use madderpoint_membership::wire::News;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/fleet/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -1,9 +1,9 @@
 //! The hard cases of a fleet, played over simulated time: each names what must hold and how soon.
 
-use madderpoint_fleet::fleet::Extensions;
-use madderpoint_fleet::member::{Key, Part, Status};
-use madderpoint_fleet::sim::{Plan, Sim};
-use madderpoint_fleet::{Nanos, Phase};
+use madderpoint_membership::fleet::Extensions;
+use madderpoint_membership::member::{Key, Part, Status};
+use madderpoint_membership::sim::{Plan, Sim};
+use madderpoint_membership::{Nanos, Phase};
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1000 * MS;
@@ -373,7 +373,7 @@
 fn a_drain_and_a_leave_are_told_and_no_death() {
     let mut sim = fleet(12, 2);
     sim.run(3 * S);
-    let at = madderpoint_fleet::Moment {
+    let at = madderpoint_membership::Moment {
         now: sim.now,
         unix_ms: 1_800_000_000_000,
     };
@@ -428,7 +428,7 @@
 fn parts_reach_all_and_an_entry_has_its_bound() {
     let mut sim = fleet(12, 2);
     sim.run(S);
-    let at = madderpoint_fleet::Moment {
+    let at = madderpoint_membership::Moment {
         now: sim.now,
         unix_ms: 1_800_000_000_000,
     };
--- a/crates/node/src/classify.rs
+++ b/crates/node/src/classify.rs
@@ -2,10 +2,10 @@
 //! compiled elsewhere and swapped in one step; what is in hand keeps what it was given.
 
 use madderpoint::{Nanos, OpId};
-use madderpoint_limits::{Bucket, Limits, Over, Ticket, Why};
+use madderpoint_rate_limits::{Bucket, Limits, Over, Ticket, Why};
 use madderpoint_rules::{Facts, Path, RuleSet, Scratch, Verdict};
-use madderpoint_shared::keyed::wallet::{Refused, Wallet};
-use madderpoint_shared::keyed::{KeyBudget, KeysAsked, KeysLent, Rhythm};
+use madderpoint_shared_state::keyed::wallet::{Refused, Wallet};
+use madderpoint_shared_state::keyed::{KeyBudget, KeysAsked, KeysLent, Rhythm};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::rc::Rc;
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -8,7 +8,7 @@
 use crate::under;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use hdrhistogram::Histogram;
-use madderpoint_facts::Start;
+use madderpoint_deployment_config::Start;
 use madderpoint_identity::{Bundle, Bundles, jwt, x509};
 use madderpoint_rules::ruleset::Why;
 use madderpoint_rules::{Path as Search, RuleSet, Scratch, Verdict, time};
@@ -294,7 +294,7 @@
     let text = std::fs::read_to_string(path).map_err(|e| wrong(e.to_string()))?;
     let whole: Value = serde_json::from_str(&text).map_err(|e| wrong(e.to_string()))?;
     let settings = whole.get("settings").unwrap_or(&whole);
-    madderpoint_facts::decode(settings.to_string().as_bytes())
+    madderpoint_deployment_config::decode(settings.to_string().as_bytes())
         .map_err(|e| wrong(format!("settings: {e}")))
 }
 
--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -3,10 +3,10 @@
 use super::{Ended, Format};
 use crate::serve;
 use clap::Subcommand;
-use madderpoint_fleet::observer::{Holding, Observer, Shown};
-use madderpoint_fleet::sim::{self, Plan, Sim};
-use madderpoint_fleet::wire::DATAGRAM_MAX;
-use madderpoint_fleet::{Nanos, Status};
+use madderpoint_membership::observer::{Holding, Observer, Shown};
+use madderpoint_membership::sim::{self, Plan, Sim};
+use madderpoint_membership::wire::DATAGRAM_MAX;
+use madderpoint_membership::{Nanos, Status};
 use madderpoint_rules::time;
 use madderpoint_settings::Known;
 use madderpoint_settings::script::{self, Action, Faulty, Script};
@@ -464,7 +464,7 @@
             }
         };
         let changes = &holding.report.changes; // the latest first
-        let is_new = |c: &&madderpoint_fleet::wire::Happened| last.as_ref() != Some(*c);
+        let is_new = |c: &&madderpoint_membership::wire::Happened| last.as_ref() != Some(*c);
         let most = if last.is_none() {
             SHOWN_BEFORE
         } else {
@@ -637,7 +637,7 @@
         let Some(digest) = views().next().map(|view| view.digest()) else {
             continue;
         };
-        let whole = |view: &madderpoint_fleet::view::View| {
+        let whole = |view: &madderpoint_membership::view::View| {
             let holds = |&n: &usize| {
                 view.get(sim.nodes[n].key)
                     .is_some_and(|e| e.status().is_present())
--- a/crates/node/src/cli/shared.rs
+++ b/crates/node/src/cli/shared.rs
@@ -3,8 +3,8 @@
 use super::fleet::Asker;
 use super::{Ended, Format};
 use clap::Subcommand;
-use madderpoint_shared::counts::COLUMNS;
-use madderpoint_shared::shown::{Shown, ShownCount, ShownRow, columns};
+use madderpoint_shared_state::counts::COLUMNS;
+use madderpoint_shared_state::shown::{Shown, ShownCount, ShownRow, columns};
 use prost::Message;
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,6 +1,6 @@
 //! The file that tells a node who it is and whom it speaks with.
 
-use madderpoint_facts::{self as facts, Start};
+use madderpoint_deployment_config::{self as facts, Start};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
--- a/crates/node/src/core/tests.rs
+++ b/crates/node/src/core/tests.rs
@@ -8,7 +8,7 @@
 use crate::fastcgi::{ProtocolStatus, Reply};
 use crate::outward::{Close, Wanted};
 use madderpoint::Host;
-use madderpoint_standins::wire::{self as support, Answer};
+use madderpoint_test_harness::wire::{self as support, Answer};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -117,7 +117,7 @@
 impl Node {
     /// A node whose kernel is not up.
     fn waiting(settings: &str) -> Node {
-        let start = madderpoint_facts::decode(settings.as_bytes()).unwrap();
+        let start = madderpoint_deployment_config::decode(settings.as_bytes()).unwrap();
         let beside = crate::room::Beside {
             settings: true,
             ..Default::default()
--- a/crates/node/src/core/tests/shared.rs
+++ b/crates/node/src/core/tests/shared.rs
@@ -3,8 +3,8 @@
 
 use super::rules::{fleet_sheet, settings};
 use super::*;
-use madderpoint_shared::keyed::{KeyAsk, KeyLent};
-use madderpoint_shared::{Evidence, Kind, Mode};
+use madderpoint_shared_state::keyed::{KeyAsk, KeyLent};
+use madderpoint_shared_state::{Evidence, Kind, Mode};
 
 const S: Nanos = 1000 * MS;
 
@@ -398,9 +398,9 @@
         Word::Counts(word) => Some(word.clone()),
         _ => None,
     });
-    use madderpoint_shared::counts::{OWN, column, own};
+    use madderpoint_shared_state::counts::{OWN, column, own};
     let total = counted.unwrap().total;
-    let row = |name: &str| total[&madderpoint_shared::keyed::number(name)];
+    let row = |name: &str| total[&madderpoint_shared_state::keyed::number(name)];
     assert_eq!(
         (row("pay")[column::SUCCEEDED], row("pay")[column::EARNED]),
         (1, 5000)
--- a/crates/node/src/desk.rs
+++ b/crates/node/src/desk.rs
@@ -8,9 +8,9 @@
 use crate::request::Head;
 use crate::room::Room;
 use madderpoint::{AlarmId, CallEnding, Effect, Ending, Gauges, Host, InvId, Nanos, OpId};
-use madderpoint_facts::Start;
-use madderpoint_shared::keyed::KeysAsked;
-use madderpoint_shared::{Ends, Gate, Judge};
+use madderpoint_deployment_config::Start;
+use madderpoint_shared_state::keyed::KeysAsked;
+use madderpoint_shared_state::{Ends, Gate, Judge};
 use std::cell::RefCell;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -27,7 +27,7 @@
         if !$holds {
             debug_assert!(false, $name);
             $desk.count(concat!("invariant: ", $name), 1);
-            $desk.counts_own(madderpoint_shared::counts::own::INVARIANTS, 1);
+            $desk.counts_own(madderpoint_shared_state::counts::own::INVARIANTS, 1);
         }
     };
 }
--- a/crates/node/src/desk/calls.rs
+++ b/crates/node/src/desk/calls.rs
@@ -5,8 +5,8 @@
 use crate::kernel::Command;
 use crate::outward::{BackendLink, CallNo, Outward, Wants};
 use madderpoint::{CallEnding, InvId, Nanos};
-use madderpoint_shared::counts::own;
-use madderpoint_shared::{Judge, Mode};
+use madderpoint_shared_state::counts::own;
+use madderpoint_shared_state::{Judge, Mode};
 
 /// A link that so many replies on others have overtaken has gone silent: it is passed over, and
 /// closed when a call on it comes to its time limit.
--- a/crates/node/src/desk/counting.rs
+++ b/crates/node/src/desk/counting.rs
@@ -5,8 +5,8 @@
 use crate::outward::Outward;
 use crate::request::Head;
 use madderpoint::{DispatcherId, Nanos, OpId};
-use madderpoint_shared::counts::{self, OWN, Tally, column, heavy, own};
-use madderpoint_shared::keyed::number;
+use madderpoint_shared_state::counts::{self, OWN, Tally, column, heavy, own};
+use madderpoint_shared_state::keyed::number;
 
 /// Billed value is counted in thousandths.
 const THOUSANDTHS: f64 = 1000.0;
--- a/crates/node/src/driver/backend_link/tests.rs
+++ b/crates/node/src/driver/backend_link/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::config::Peers;
 use crossbeam_utils::atomic::AtomicCell;
-use madderpoint_standins::peers::{PATIENCE, listen, nobody};
+use madderpoint_test_harness::peers::{PATIENCE, listen, nobody};
 use std::net::TcpListener;
 use std::time::Instant;
 
--- a/crates/node/src/driver/changes.rs
+++ b/crates/node/src/driver/changes.rs
@@ -5,15 +5,15 @@
 use super::STACK;
 use super::fleet_link::{Done, Poster};
 use crossbeam_channel::{Receiver, Sender, bounded};
-use madderpoint_fleet::{Fleet, Host as FleetHost, Key, Moment, Nanos, Part as Hung, Status};
+use madderpoint_membership::{Fleet, Host as FleetHost, Key, Moment, Nanos, Part as Hung, Status};
 use madderpoint_rollout::conduct::Member;
 use madderpoint_rollout::local::{Host, Own, Start};
 use madderpoint_rollout::record::{Cell, Sample};
 use madderpoint_rollout::shown::{Names, Shown};
 use madderpoint_rollout::wire::{self, Order, Ordered, Told};
 use madderpoint_rollout::{ChangeId, Kept, Kind, Plan, Report, Rollout, Version};
-use madderpoint_shared::counts::{Counts, OWN, WINDOW_MS, Word, column, own};
-use madderpoint_shared::keyed::number;
+use madderpoint_shared_state::counts::{Counts, OWN, WINDOW_MS, Word, column, own};
+use madderpoint_shared_state::keyed::number;
 use prost::Message as _;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/node/src/driver/fleet_link.rs
+++ b/crates/node/src/driver/fleet_link.rs
@@ -8,14 +8,18 @@
 use crate::core::{Event, Service, With};
 use crate::log::log;
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
-use madderpoint_fleet::seal::Keys;
-use madderpoint_fleet::wire::DATAGRAM_MAX;
-use madderpoint_fleet::{Fleet, Host, Key, Life, Moment, Nanos, Periods, Settings, Sight};
+use madderpoint_membership::seal::Keys;
+use madderpoint_membership::wire::DATAGRAM_MAX;
+use madderpoint_membership::{Fleet, Host, Key, Life, Moment, Nanos, Periods, Settings, Sight};
 use madderpoint_rollout::{ChangeId, Kind, Plan, Version};
-use madderpoint_shared::counts::PROCESS_BYTES;
-use madderpoint_shared::keyed::{KeyBudget, KeysLent, Rhythm};
-use madderpoint_shared::wire::{PARCEL_MAX, Told, read as read_parcel, write as write_parcel};
-use madderpoint_shared::{self as shared, Budget, Evidence, Shared, Want, Who, Witnesses, judge};
+use madderpoint_shared_state::counts::PROCESS_BYTES;
+use madderpoint_shared_state::keyed::{KeyBudget, KeysLent, Rhythm};
+use madderpoint_shared_state::wire::{
+    PARCEL_MAX, Told, read as read_parcel, write as write_parcel,
+};
+use madderpoint_shared_state::{
+    self as shared, Budget, Evidence, Shared, Want, Who, Witnesses, judge,
+};
 use prost::Message as _;
 use rustix::event::{EventfdFlags, PollFd, PollFlags, Timespec, eventfd, poll};
 use rustix::fd::OwnedFd;
@@ -393,7 +397,7 @@
         asked: Vec::new(),
         orders: Vec::new(),
     };
-    let most = part.settings.bytes / madderpoint_fleet::view::ENTRY_USUAL + 16;
+    let most = part.settings.bytes / madderpoint_membership::view::ENTRY_USUAL + 16;
     let (rhythm, label) = (part.rhythm(), part.settings.settings.1);
     let fleet = Fleet::new(part.settings, seed, clock(), hands)
         .map_err(|odd| io::Error::other(odd.to_string()))?;
--- a/crates/node/src/driver/front/tests.rs
+++ b/crates/node/src/driver/front/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::config::Limits;
 use crate::room::Beside;
-use madderpoint_standins::peers::{PATIENCE, ping};
+use madderpoint_test_harness::peers::{PATIENCE, ping};
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 
--- a/crates/node/src/fastcgi/tests.rs
+++ b/crates/node/src/fastcgi/tests.rs
@@ -1,5 +1,7 @@
 use super::*;
-use madderpoint_standins::wire::{self as support, begin, damaged, record, same_at_every_split};
+use madderpoint_test_harness::wire::{
+    self as support, begin, damaged, record, same_at_every_split,
+};
 
 fn read(parts: &[&[u8]]) -> (Vec<Event>, Result<(), Broken>) {
     let (mut parser, mut events) = (Parser::new(976, 65536), Vec::new());
--- a/crates/node/src/kernel/tests.rs
+++ b/crates/node/src/kernel/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use madderpoint_standins::wire::{damaged, same_at_every_split};
+use madderpoint_test_harness::wire::{damaged, same_at_every_split};
 
 fn read(parts: &[&[u8]]) -> (Vec<Notice>, Result<(), Broken>) {
     let (mut reader, mut notices) = (Reader::default(), Vec::new());
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::fastcgi;
 use madderpoint::{DispatcherId, Effect, Nanos, OpId, TenantId};
-use madderpoint_facts::Start;
+use madderpoint_deployment_config::Start;
 use madderpoint_rules::Facts;
 
 /// The memory that may be booked for one invocation, in KB.
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,9 +1,9 @@
 //! Starts a node from the file that `PROXY_CONFIG` names, and hands it the notice to leave, new
 //! configurations and new settings.
 
-use madderpoint_facts::Start;
-use madderpoint_fleet::fleet::Extensions;
-use madderpoint_fleet::seal::Keys;
+use madderpoint_deployment_config::Start;
+use madderpoint_membership::fleet::Extensions;
+use madderpoint_membership::seal::Keys;
 use madderpoint_node::classify::Sheet;
 use madderpoint_node::config::{self, Identity};
 use madderpoint_node::core::Service;
@@ -14,8 +14,8 @@
 use madderpoint_node::versions::Directory;
 use madderpoint_rollout::{Kept, Kind as ChangeKind, Version};
 use madderpoint_settings::{self as settings, Complaints, FleetSettings, Known, Place, Translator};
-use madderpoint_shared::keyed::KeyBudget;
-use madderpoint_shared::{Budget, Kind};
+use madderpoint_shared_state::keyed::KeyBudget;
+use madderpoint_shared_state::{Budget, Kind};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::net::SocketAddr;
@@ -111,7 +111,7 @@
     let zone = told("MADDERPOINT_ZONE")
         .or_else(|| fleet.zone.clone())
         .unwrap_or_default();
-    let settings = madderpoint_fleet::Settings {
+    let settings = madderpoint_membership::Settings {
         fleet: fleet.name.clone(),
         name: who.name.clone(),
         zone,
@@ -130,7 +130,7 @@
     let arbiters = fleet
         .arbiters
         .iter()
-        .map(|name| madderpoint_fleet::Key::of(name).0)
+        .map(|name| madderpoint_membership::Key::of(name).0)
         .collect();
     let (budgets, keys) = (fleet.budgets.clone(), key_budgets(read));
     let service = fleet.service.as_ref().map(|service| Service {
--- /dev/null
+++ b/crates/node/src/versions/tests.rs
@@ -0,0 +1,144 @@
+use super::*;
+use madderpoint_rollout::ChangeId;
+use madderpoint_rollout::kept::Trial;
+
+fn dir(name: &str) -> PathBuf {
+    let dir = std::env::temp_dir().join(format!(
+        "madderpoint-versions-{}-{name}",
+        std::process::id()
+    ));
+    let _ = fs::remove_dir_all(&dir);
+    dir
+}
+
+fn v(number: u64) -> Version {
+    Version {
+        number,
+        hash: number << 40 | 7,
+    }
+}
+
+fn text(_: Version, content: &[u8]) -> Result<String, String> {
+    match content {
+        b"bad" => Err("bad".into()),
+        content => Ok(String::from_utf8_lossy(content).into_owned()),
+    }
+}
+
+#[test]
+fn a_node_starts_on_the_last_good_version_whatever_was_cut() {
+    let root = dir("start");
+    let open = || Directory::open(&root, "n/1", Kind::Settings);
+    let mut one = open().unwrap();
+    assert!(open().unwrap_err().contains("another process has it"));
+    let begun = one.begin(Some((v(1), b"one".to_vec())), text).unwrap();
+    assert_eq!(
+        (begun.runs.as_str(), begun.start.running, begun.start.fresh),
+        ("one", v(1), true)
+    );
+    let mut kept = begun.start.kept;
+    kept.found_good(v(1));
+    one.keep(&kept, Some((v(1), b"one"))).unwrap();
+    kept.trial = Some(Trial {
+        change: ChangeId(5),
+        version: v(2),
+        tries: 1,
+    });
+    one.keep(&kept, Some((v(2), b"two"))).unwrap();
+    // Killed on trial, and in the middle of a write.
+    fs::write(root.join(plain("n/1")).join("settings.new"), b"cut").unwrap();
+    drop(one);
+    let mut one = open().unwrap();
+    let begun = one.begin(Some((v(1), b"one".to_vec())), text).unwrap();
+    assert_eq!(
+        (begun.runs.as_str(), begun.start.died.unwrap().version),
+        ("one", v(2))
+    );
+    assert!(!begun.start.fresh && begun.start.kept.deaths(v(2)) == 1);
+    // Found good in the end; what it is given by hand is old, or is not there at all, and is
+    // not what it starts on.
+    let mut kept = begun.start.kept;
+    kept.found_good(v(2));
+    one.keep(&kept, None).unwrap();
+    assert_eq!(
+        one.begin(Some((v(1), b"one".to_vec())), text).unwrap().runs,
+        "two"
+    );
+    assert_eq!(one.begin(None, text).unwrap().runs, "two");
+    // The last good one can't be read any more: the one before it is run.
+    one.keep(&kept, Some((v(2), b"bad"))).unwrap();
+    assert_eq!(one.begin(None, text).unwrap().runs, "one");
+    // What is kept is damaged: the node begins anew with what it is given, and the file is set
+    // aside.
+    fs::write(one.kept_file(), b"mpv1 and something").unwrap();
+    assert!(
+        one.begin(Some((v(1), b"one".to_vec())), text)
+            .unwrap()
+            .start
+            .fresh
+    );
+    assert!(one.kept_file().with_extension("broken").exists());
+    assert!(one.begin(None, text).is_err());
+    let _ = fs::remove_dir_all(&root);
+}
+
+#[test]
+fn one_that_starts_beside_another_reads_and_writes_only_when_that_one_is_gone() {
+    let root = dir("beside");
+    let mut old = Directory::open(&root, "n1", Kind::Settings).unwrap();
+    let mut kept = Kept::new(Kind::Settings);
+    kept.found_good(v(1));
+    kept.trial = Some(Trial {
+        change: ChangeId(5),
+        version: v(2),
+        tries: 1,
+    });
+    old.keep(&kept, Some((v(2), b"two"))).unwrap();
+    let mut new = Directory::beside(&root, "n1", Kind::Settings).unwrap();
+    let begun = new.begin(Some((v(1), b"one".to_vec())), text).unwrap();
+    assert_eq!(
+        (
+            begun.runs.as_str(),
+            begun.start.died,
+            begun.start.kept.trial
+        ),
+        ("two", None, kept.trial)
+    );
+    assert!(
+        new.take(Duration::ZERO)
+            .unwrap_err()
+            .contains("another process")
+    );
+    drop(old);
+    new.keep(&begun.start.kept, None).unwrap();
+    // What the one before wrote after it was read is not written over.
+    let mut late = Directory::beside(&root, "n1", Kind::Settings).unwrap();
+    late.begin(None, text).unwrap();
+    kept.found_good(v(2));
+    new.keep(&kept, None).unwrap();
+    drop(new);
+    assert!(
+        late.keep(&begun.start.kept, None)
+            .unwrap_err()
+            .contains("was changed")
+    );
+    let _ = fs::remove_dir_all(&root);
+}
+
+#[test]
+fn contents_that_nobody_needs_go_and_others_stay() {
+    let root = dir("room");
+    let mut one = Directory::open(&root, "n1", Kind::Settings).unwrap();
+    let mut kept = Kept::new(Kind::Settings);
+    for number in 1..20 {
+        one.keep(&kept, Some((v(number), b"text"))).unwrap();
+        kept.found_good(v(number));
+        one.keep(&kept, None).unwrap();
+    }
+    one.keep(&kept, Some((v(30), b"staged"))).unwrap();
+    one.keep(&kept, None).unwrap();
+    let mut left = one.contents();
+    left.sort();
+    assert_eq!(left, [v(18), v(19), v(30)]);
+    let _ = fs::remove_dir_all(&root);
+}
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -3,11 +3,11 @@
 //! started, all else is played here, and all waiting is for something to come. What each guards
 //! against: docs/acceptance.md.
 
-use madderpoint_standins::peers::{
+use madderpoint_test_harness::peers::{
     Dispatcher, PATIENCE, Talk, listen, nobody, ping, reap, unix_ms,
 };
-use madderpoint_standins::program::{Node, Program, told};
-use madderpoint_standins::wire::{self as support, Answer};
+use madderpoint_test_harness::program::{Node, Program, told};
+use madderpoint_test_harness::wire::{self as support, Answer};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Several processes of the program with faults between them, by the timetables in `examples/rig`:
 //! each must settle within its bounds, and nothing of the load may be lost, late or doubled.
 
-use madderpoint_standins::rig::{Outcome, Rig, Setting};
-use madderpoint_standins::script::{self, Action, Ends, Fault, Faulty, Script, Step};
+use madderpoint_test_harness::rig::{Outcome, Rig, Setting};
+use madderpoint_test_harness::script::{self, Action, Ends, Fault, Faulty, Script, Step};
 use std::path::Path;
 use std::time::Duration;
 
@@ -256,8 +256,8 @@
 /// told of.
 #[test]
 fn a_running_node_shows_what_it_holds() {
-    use madderpoint_standins::peers::nobody;
-    use madderpoint_standins::program::{Node, Program, told};
+    use madderpoint_test_harness::peers::nobody;
+    use madderpoint_test_harness::program::{Node, Program, told};
     let program = Program {
         exe: env!("CARGO_BIN_EXE_madderpoint"),
         dir: env!("CARGO_TARGET_TMPDIR"),
@@ -322,8 +322,8 @@
 /// those before in force.
 #[test]
 fn keys_change_by_reload_and_a_bad_file_changes_nothing() {
-    use madderpoint_standins::peers::nobody;
-    use madderpoint_standins::program::{Node, Program, told};
+    use madderpoint_test_harness::peers::nobody;
+    use madderpoint_test_harness::program::{Node, Program, told};
     let program = Program {
         exe: env!("CARGO_BIN_EXE_madderpoint"),
         dir: env!("CARGO_TARGET_TMPDIR"),
--- a/crates/node/tests/fleet_cost.rs
+++ b/crates/node/tests/fleet_cost.rs
@@ -4,12 +4,12 @@
 //!     cargo test --release -p madderpoint-node --test fleet_cost -- --ignored --nocapture
 
 use hdrhistogram::Histogram;
-use madderpoint_standins::load::rid;
-use madderpoint_standins::peers::{nobody, unix_ms};
-use madderpoint_standins::program::{Node, Program, told};
-use madderpoint_standins::service::{Nature, Service};
-use madderpoint_standins::wire;
-use madderpoint_standins::worker::Worker;
+use madderpoint_test_harness::load::rid;
+use madderpoint_test_harness::peers::{nobody, unix_ms};
+use madderpoint_test_harness::program::{Node, Program, told};
+use madderpoint_test_harness::service::{Nature, Service};
+use madderpoint_test_harness::wire;
+use madderpoint_test_harness::worker::Worker;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
--- a/crates/node/tests/identity.rs
+++ b/crates/node/tests/identity.rs
@@ -2,7 +2,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use madderpoint_standins::program::Program;
+use madderpoint_test_harness::program::Program;
 use rcgen::{
     BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair, KeyUsagePurpose, SanType,
     date_time_ymd,
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -2,11 +2,11 @@
 //! service and the dispatchers are played here, on free ports; all waiting is for something to
 //! come.
 
-use madderpoint_standins::peers::{
+use madderpoint_test_harness::peers::{
     PATIENCE, Talk, listen, nobody, ping, reap, unix_ms, wants_call,
 };
-use madderpoint_standins::program::{Node, Program, told};
-use madderpoint_standins::wire as support;
+use madderpoint_test_harness::program::{Node, Program, told};
+use madderpoint_test_harness::wire as support;
 use serde_json::Value;
 use std::io::Write;
 use std::net::TcpListener;
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -2,8 +2,8 @@
 //! starts no program, spins in no thread, and needs none of our settings. Parts of ours that would
 //! break that stay off there.
 
-use madderpoint_standins::peers::{listen, nobody};
-use madderpoint_standins::program::{Node, Program, told};
+use madderpoint_test_harness::peers::{listen, nobody};
+use madderpoint_test_harness::program::{Node, Program, told};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::time::{Duration, Instant};
@@ -104,7 +104,7 @@
         members.local_addr().unwrap(),
         1024,
     );
-    let _link = madderpoint_standins::peers::Talk::boot(&kernel, 0, "");
+    let _link = madderpoint_test_harness::peers::Talk::boot(&kernel, 0, "");
     let mut dispatcher = node.connect();
     while dispatcher.ping() != "200" {}
     let pid = node.child.id();
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -1,11 +1,11 @@
 //! The program changed under a parent: a new one beside the old on one socket, back again if it
 //! does not serve or dies, and a node that serves whatever is killed.
 
-use madderpoint_standins::checker::Checker;
-use madderpoint_standins::load::{self, Ask};
-use madderpoint_standins::peers::nobody;
-use madderpoint_standins::program::{Program, told};
-use madderpoint_standins::worker::Worker;
+use madderpoint_test_harness::checker::Checker;
+use madderpoint_test_harness::load::{self, Ask};
+use madderpoint_test_harness::peers::nobody;
+use madderpoint_test_harness::program::{Program, told};
+use madderpoint_test_harness::worker::Worker;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::os::unix::fs::{PermissionsExt, symlink};
--- a/crates/node/tests/readiness.rs
+++ b/crates/node/tests/readiness.rs
@@ -1,8 +1,8 @@
 //! How soon processes are ready that were restarted in bad company: nine in ten within 10 s, none
 //! later than 30 s. Ready is who answers a health check well.
 
-use madderpoint_standins::peers::{Talk, listen, nobody, ping};
-use madderpoint_standins::program::{Node, Program, told};
+use madderpoint_test_harness::peers::{Talk, listen, nobody, ping};
+use madderpoint_test_harness::program::{Node, Program, told};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
--- a/crates/node/tests/rollout.rs
+++ b/crates/node/tests/rollout.rs
@@ -2,8 +2,8 @@
 //! timetables in `examples/rig`: good ones reach all, bad ones are stopped where they began, and
 //! the joined record of all nodes is what the rules of a change allow.
 
-use madderpoint_standins::rig::{Outcome, Rig, Setting};
-use madderpoint_standins::script::{self, Action, Ends, Fault, Faulty, Script, Step};
+use madderpoint_test_harness::rig::{Outcome, Rig, Setting};
+use madderpoint_test_harness::script::{self, Action, Ends, Fault, Faulty, Script, Step};
 use std::path::Path;
 use std::sync::OnceLock;
 use std::time::Duration;
--- a/crates/node/tests/rules.rs
+++ b/crates/node/tests/rules.rs
@@ -2,12 +2,12 @@
 //! throttles carry their pause, reloads under load lose nothing, and every request gets one final
 //! answer.
 
-use madderpoint_standins::checker::Checker;
-use madderpoint_standins::load::{self, Ask};
-use madderpoint_standins::peers::{nobody, unix_ms};
-use madderpoint_standins::program::{Node, Program, told};
-use madderpoint_standins::wire;
-use madderpoint_standins::worker::Worker;
+use madderpoint_test_harness::checker::Checker;
+use madderpoint_test_harness::load::{self, Ask};
+use madderpoint_test_harness::peers::{nobody, unix_ms};
+use madderpoint_test_harness::program::{Node, Program, told};
+use madderpoint_test_harness::wire;
+use madderpoint_test_harness::worker::Worker;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::Mutex;
--- a/crates/node/tests/shared.rs
+++ b/crates/node/tests/shared.rs
@@ -1,8 +1,10 @@
 //! Several processes that share budgets, limits by key, counts and judgements, with faults between
 //! them. The record of the service below, and of what ran by key, over all nodes, is the judge.
 
-use madderpoint_standins::rig::{Outcome, Rig, Setting};
-use madderpoint_standins::script::{self, Action, Below, Ends, Fault, Faulty, Keys, Script, Step};
+use madderpoint_test_harness::rig::{Outcome, Rig, Setting};
+use madderpoint_test_harness::script::{
+    self, Action, Below, Ends, Fault, Faulty, Keys, Script, Step,
+};
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
@@ -247,8 +249,8 @@
 /// that.
 #[test]
 fn a_running_node_says_why_it_holds_what_it_holds() {
-    use madderpoint_standins::peers::nobody;
-    use madderpoint_standins::program::{Node, Program, told};
+    use madderpoint_test_harness::peers::nobody;
+    use madderpoint_test_harness::program::{Node, Program, told};
     let program = Program {
         exe: EXE,
         dir: env!("CARGO_TARGET_TMPDIR"),
--- a/crates/limits/benches/limits.rs
+++ b/crates/rate-limits/benches/limits.rs
@@ -1,8 +1,8 @@
 //! What asking a limit costs, against a plain map of the same states, and what both hold.
-//! Run: cargo bench -p madderpoint-limits
+//! Run: cargo bench -p madderpoint-rate-limits
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use madderpoint_limits::{Bucket, Limits, Rate};
+use madderpoint_rate_limits::{Bucket, Limits, Rate};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
--- a/crates/limits/src/lib.rs
+++ b/crates/rate-limits/src/lib.rs
@@ -7,7 +7,7 @@
 //! argument, chance comes from a seed.
 //!
 //! ```
-//! use madderpoint_limits::{Bucket, Limits, Rate};
+//! use madderpoint_rate_limits::{Bucket, Limits, Rate};
 //!
 //! let bucket = Bucket { rate: Some(Rate::new(10, 1_000_000_000, 2).unwrap()), ..Bucket::named("by-site") };
 //! let mut limits = Limits::new(1 << 16, 7);
--- /dev/null
+++ b/crates/rollout/src/sayings/tests.rs
@@ -0,0 +1,47 @@
+use super::*;
+use crate::change::Kind;
+
+#[test]
+fn sayings_come_in_any_pieces_and_unknown_fields_are_passed_over() {
+    let mut kept = Kept::new(Kind::Program);
+    kept.found_good(Version { number: 3, hash: 9 });
+    let trial = Trial {
+        change: ChangeId(5),
+        version: Version { number: 4, hash: 8 },
+        tries: 1,
+    };
+    let begin = Begin {
+        kept,
+        version: Version { number: 3, hash: 9 },
+        died: Some(trial),
+        fresh: false,
+        beside: true,
+    };
+    let failed = Err("it is not here".to_owned());
+    let all = [
+        Saying::begin(&begin),
+        Saying::plain(kind::READY),
+        Saying::done(7, &failed),
+    ];
+    let mut bytes: Vec<u8> = all.iter().flat_map(Saying::write).collect();
+    // A field of a later version, number 99.
+    let mut later = Saying::plain(kind::IN_CHARGE).encode_to_vec();
+    later.extend([0x98, 0x06, 0x01]);
+    bytes.extend((later.len() as u32).to_le_bytes());
+    bytes.extend(later);
+    for step in [1, 3, 1000] {
+        let (mut reader, mut read) = (Reader::default(), Vec::new());
+        for part in bytes.chunks(step) {
+            reader.feed(part);
+            while let Some(saying) = reader.take().unwrap() {
+                read.push(saying);
+            }
+        }
+        assert_eq!((&read[..3], read[3].kind), (&all[..], kind::IN_CHARGE));
+        assert_eq!(read[0].as_begin(), Some(begin.clone()));
+        assert_eq!(read[1].as_begin(), None);
+    }
+    let mut reader = Reader::default();
+    reader.feed(&u32::MAX.to_le_bytes());
+    assert_eq!(reader.take(), Err(Spoilt));
+}
--- /dev/null
+++ b/crates/rollout/src/stages/tests.rs
@@ -0,0 +1,208 @@
+use super::*;
+
+const CHANGE: ChangeId = ChangeId(77);
+
+fn fleet(nodes: u64, zones: u64) -> Vec<(u64, u32)> {
+    (0..nodes).map(|n| (mix(n), (n % zones) as u32)).collect()
+}
+
+fn of_zone(reach: &Reach, nodes: &[(u64, u32)], zone: u32) -> usize {
+    nodes
+        .iter()
+        .filter(|(node, of)| *of == zone && reach.has(CHANGE, *node, zone))
+        .count()
+}
+
+fn plan(shares: &[u32], of_zone: u32) -> Plan {
+    let stage = Plan::default().stages[0];
+    let stages = shares
+        .iter()
+        .map(|share| Stage {
+            share: *share,
+            ..stage
+        })
+        .collect();
+    Plan {
+        stages,
+        of_zone,
+        ..Plan::default()
+    }
+}
+
+#[test]
+fn stages_are_spread_over_zones_and_who_is_in_stays_in() {
+    for change in 0..50 {
+        let change = ChangeId(change);
+        let (nodes, plan) = (fleet(100, 4), plan(&[0, 50, 200, 500, 1000], 500));
+        let mut reach = Reach::default();
+        let mut before: Vec<u64> = Vec::new();
+        // Half of each of four zones of 25 is 12.
+        for (at, wanted) in [1, 5, 20, 48, 100].into_iter().enumerate() {
+            reach = reach
+                .next(change, &plan, &nodes, at as u64 + 1, 100)
+                .unwrap();
+            let now: Vec<u64> = nodes
+                .iter()
+                .filter(|(n, z)| reach.has(change, *n, *z))
+                .map(|(n, _)| *n)
+                .collect();
+            assert_eq!(
+                (reach.stage, now.len()),
+                (at as u32 + 1, wanted),
+                "{change:?}"
+            );
+            assert!(
+                before.iter().all(|node| now.contains(node)),
+                "who was in is in"
+            );
+            if wanted < 100 {
+                let by_zone = (0..4).map(|zone| {
+                    nodes
+                        .iter()
+                        .filter(|(n, z)| *z == zone && reach.has(change, *n, *z))
+                        .count()
+                });
+                let by_zone: Vec<usize> = by_zone.collect();
+                let (least, most) = (by_zone.iter().min().unwrap(), by_zone.iter().max().unwrap());
+                assert!(most - least <= 1, "{by_zone:?}");
+            }
+            before = now;
+        }
+        let done = reach.next(change, &plan, &nodes, 6, 100).unwrap();
+        assert!(plan.is_beyond(done.stage) && done.next(change, &plan, &nodes, 7, 100).is_none());
+    }
+}
+
+#[test]
+fn a_zone_gives_no_more_than_may_be_of_it_and_one_of_few() {
+    // One zone of 12, one of 3, one of 2.
+    let nodes: Vec<(u64, u32)> = (0..17)
+        .map(|n| {
+            (
+                mix(n),
+                if n < 12 {
+                    0
+                } else if n < 15 {
+                    1
+                } else {
+                    2
+                },
+            )
+        })
+        .collect();
+    let reach = Reach::default()
+        .next(CHANGE, &plan(&[900, 1000], 250), &nodes, 1, 17)
+        .unwrap();
+    let counts = [0, 1, 2].map(|zone| of_zone(&reach, &nodes, zone));
+    assert_eq!(counts, [3, 1, 1]);
+    let last = reach
+        .next(CHANGE, &plan(&[900, 1000], 250), &nodes, 1, 17)
+        .unwrap();
+    assert_eq!(
+        [0, 1, 2].map(|zone| of_zone(&last, &nodes, zone)),
+        [12, 3, 2]
+    );
+    assert!(last.has(CHANGE, 999, 7), "and whoever comes, from wherever");
+}
+
+#[test]
+fn nodes_that_join_are_in_by_their_place_and_nodes_begin_one_after_the_other() {
+    let nodes = fleet(300, 3);
+    let plan = plan(&[200, 1000], 500);
+    let reach = Reach::default()
+        .next(CHANGE, &plan, &nodes, 1, 300)
+        .unwrap();
+    let joined = (1000..4000u64)
+        .filter(|n| reach.has(CHANGE, mix(*n), 1))
+        .count();
+    assert!(
+        (450..750).contains(&joined),
+        "about a fifth of 3,000: {joined}"
+    );
+    let mut slots: Vec<Nanos> = nodes
+        .iter()
+        .filter(|(node, zone)| reach.has(CHANGE, *node, *zone))
+        .map(|(node, zone)| reach.slot(CHANGE, *node, *zone, 10 * SECOND))
+        .collect();
+    slots.sort_unstable();
+    assert!(slots[0] < 2 * SECOND && slots[slots.len() - 1] <= 10 * SECOND);
+    assert!(
+        slots.windows(2).all(|two| two[1] - two[0] < 3 * SECOND),
+        "{slots:?}"
+    );
+    let last = reach.next(CHANGE, &plan, &nodes, 1, 300).unwrap();
+    let (node, zone) = *nodes
+        .iter()
+        .find(|(node, zone)| reach.has(CHANGE, *node, *zone))
+        .unwrap();
+    assert_eq!(
+        last.slot(CHANGE, node, zone, 10 * SECOND),
+        0,
+        "one that was in does not begin again"
+    );
+}
+
+#[test]
+fn others_take_the_place_of_nodes_that_are_gone() {
+    let (nodes, plan) = (fleet(30, 3), plan(&[0, 100, 1000], 500));
+    let first = Reach::default().next(CHANGE, &plan, &nodes, 1, 30).unwrap();
+    let is_in = |reach: &Reach| -> Vec<(u64, u32)> {
+        nodes
+            .iter()
+            .filter(|(node, zone)| reach.has(CHANGE, *node, *zone))
+            .copied()
+            .collect()
+    };
+    let gone = is_in(&first)[0];
+    let left: Vec<(u64, u32)> = nodes
+        .iter()
+        .filter(|node| **node != gone)
+        .copied()
+        .collect();
+    let again = first.again(CHANGE, &plan, &left, 2, 30).unwrap();
+    let now = is_in(&again);
+    assert_eq!(
+        (again.stage, now.len()),
+        (1, 2),
+        "the one that is gone, and another one"
+    );
+    assert!(now.contains(&gone));
+}
+
+#[test]
+fn plans_that_make_no_sense_are_refused() {
+    assert_eq!(Plan::default().check(), Ok(()));
+    for (shares, told) in [
+        (&[][..], "0 stages"),
+        (&[100, 100, 1000], "larger than the one before"),
+        (&[0, 500], "the whole fleet"),
+    ] {
+        assert!(
+            plan(shares, 500).check().unwrap_err().contains(told),
+            "{shares:?}"
+        );
+    }
+    assert!(
+        plan(&[1000], 0).check().is_err()
+            && Plan {
+                margin: 0,
+                ..Plan::default()
+            }
+            .check()
+            .is_err()
+    );
+    let stage = Stage {
+        least: 2 * SECOND,
+        longest: SECOND,
+        ..Plan::default().stages[4]
+    };
+    assert!(
+        Plan {
+            stages: vec![stage],
+            ..Plan::default()
+        }
+        .check()
+        .unwrap_err()
+        .contains("2 s at least")
+    );
+}
--- a/crates/rules/src/address.rs
+++ b/crates/rules/src/address.rs
@@ -102,41 +102,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn ends_of_networks_are_in_and_what_lies_beside_is_not() {
-        let nets = [
-            "10.1.0.0/16",
-            "10.1.2.0/24",
-            "10.2.0.0/16",
-            "192.168.7.9",
-            "2001:db8::/32",
-        ];
-        let set = AddressSet::new(nets.map(|n| network(n).unwrap()));
-        assert_eq!(set.len(), 4, "a network within another is merged into it");
-        let is_in = |a: &str| set.contains(a.parse().unwrap());
-        for yes in [
-            "10.1.0.0",
-            "10.2.255.255",
-            "192.168.7.9",
-            "2001:db8::1",
-            "::ffff:10.1.2.3",
-        ] {
-            assert!(is_in(yes), "{yes}");
-        }
-        for no in [
-            "10.0.255.255",
-            "10.3.0.0",
-            "192.168.7.8",
-            "2001:db9::",
-            "::10.1.2.3",
-            "0.0.0.0",
-        ] {
-            assert!(!is_in(no), "{no}");
-        }
-        assert!(!AddressSet::default().contains("::".parse().unwrap()));
-        assert_eq!((network("10.0.0.0/33"), network("a")), (None, None));
-    }
-}
+mod tests;
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -2,9 +2,9 @@
 
 use crate::xml::{Element, Text};
 use crate::{Complaint, Place};
-use madderpoint_fleet::{Nanos, Periods};
+use madderpoint_membership::{Nanos, Periods};
 use madderpoint_rules::time;
-use madderpoint_shared::{Budget, Kind};
+use madderpoint_shared_state::{Budget, Kind};
 use std::net::SocketAddr;
 
 /// The most seeds that are of use.
@@ -56,7 +56,7 @@
 
 /// Tells two texts of settings apart; part of what a node says of itself.
 pub fn fingerprint(text: &str) -> u64 {
-    madderpoint_fleet::Key::of(text).0
+    madderpoint_membership::Key::of(text).0
 }
 
 struct Reading {
--- a/crates/settings/src/rulebook.rs
+++ b/crates/settings/src/rulebook.rs
@@ -5,12 +5,12 @@
 use crate::xml::{Element, Text};
 use crate::{Complaint, Place};
 use madderpoint::{Effect, Nanos};
-use madderpoint_limits::{BUCKETS_MAX, Bucket, Rate};
+use madderpoint_rate_limits::{BUCKETS_MAX, Bucket, Rate};
 use madderpoint_rules::{
     AddressSet, Bounds, Error, Field, Problem, RuleSet, Verdict, Vocabulary, Written, address,
     cost, time,
 };
-use madderpoint_shared::keyed::{KeyBudget, KeyKind};
+use madderpoint_shared_state::keyed::{KeyBudget, KeyKind};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
--- /dev/null
+++ b/crates/settings/src/script/tests.rs
@@ -0,0 +1,51 @@
+use super::*;
+
+#[test]
+fn a_timetable_is_read_in_the_order_of_its_times() {
+    let text = r#"<script name="x" seed="3" nodes="4" zones="2" load="9" time="5s">
+            <periods probe="200ms"/>
+            <step><settled at="3s" within="1s"/></step>
+            <step><link at="1s" for="2s" from="zone:z0" to="not-zone:z0" both="yes" cut="yes"/></step>
+            <step><link at="1s" on="kernel" from="n1" loss="0.25" delay="20ms"/></step>
+        </script>"#;
+    let script = read("t.xml", text).unwrap();
+    assert_eq!((script.nodes, script.zones, script.steps.len()), (4, 2, 3));
+    let Action::Link { faulty, time } = &script.steps[0].action else {
+        panic!("{script:?}")
+    };
+    assert_eq!(
+        (faulty.both, faulty.fault.cut, *time),
+        (true, true, Some(Duration::from_secs(2)))
+    );
+    assert!(faulty.from.has("n2", "z0") && !faulty.to.has("n2", "z0") && faulty.to.has("n3", "z1"));
+    let Action::Link { faulty, .. } = &script.steps[1].action else {
+        panic!("{script:?}")
+    };
+    assert_eq!((faulty.on, faulty.fault.loss), (Links::Kernel, 0.25));
+    assert_eq!(script.steps[2].at, Duration::from_secs(3));
+}
+
+#[test]
+fn what_a_timetable_can_not_say_is_told_with_its_line() {
+    let script = |inner: &str| {
+        format!("<script name=\"x\" seed=\"3\" nodes=\"4\" time=\"5s\">\n{inner}</script>")
+    };
+    for (inner, told) in [
+        (
+            "<step><kill at=\"1s\" node=\"n4\"/></step>",
+            "t.xml:2:8: script: there is no node n4; expected n0 to n3",
+        ),
+        ("<step><kill at=\"1\" node=\"n1\"/></step>", "does not fit"),
+        ("<step><explode at=\"1s\"/></step>", "<explode>"),
+        (
+            "<step><link at=\"1s\" loss=\"2\"/></step>",
+            "expected a share from 0 to 1",
+        ),
+    ] {
+        let shown = read("t.xml", &script(inner))
+            .unwrap_err()
+            .to_string()
+            .to_lowercase();
+        assert!(shown.contains(&told.to_lowercase()), "{inner}: {shown}");
+    }
+}
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -4,7 +4,7 @@
 use madderpoint::Effect;
 use madderpoint_settings::schema::Schema;
 use madderpoint_settings::{Complaints, Known, SCHEMA, read, xml};
-use madderpoint_shared::keyed::KeyKind;
+use madderpoint_shared_state::keyed::KeyKind;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/shared/benches/checks.rs
+++ b/crates/shared-state/benches/checks.rs
@@ -1,12 +1,14 @@
 //! What the checks of shared state cost in the path of a request, and what a hundred thousand keys
-//! take. Run: cargo bench -p madderpoint-shared
+//! take. Run: cargo bench -p madderpoint-shared-state
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use madderpoint_shared::counts::{OWN, Tally, column, heavy};
-use madderpoint_shared::keyed::books::KeyBooks;
-use madderpoint_shared::keyed::wallet::Wallet;
-use madderpoint_shared::keyed::{KeyAsk, KeyBudget, KeyKind, KeyLent, KeysAsked, KeysLent, Rhythm};
-use madderpoint_shared::{Budget, Ends, Gate, Judge, Kind, Nanos, Who};
+use madderpoint_shared_state::counts::{OWN, Tally, column, heavy};
+use madderpoint_shared_state::keyed::books::KeyBooks;
+use madderpoint_shared_state::keyed::wallet::Wallet;
+use madderpoint_shared_state::keyed::{
+    KeyAsk, KeyBudget, KeyKind, KeyLent, KeysAsked, KeysLent, Rhythm,
+};
+use madderpoint_shared_state::{Budget, Ends, Gate, Judge, Kind, Nanos, Who};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::hint::black_box;
--- a/crates/shared/examples/compare.rs
+++ b/crates/shared-state/examples/compare.rs
@@ -2,12 +2,12 @@
 //! units for keys), an even part by the nodes in sight (sight 5 s late), a central counter. Prints
 //! tables.
 //!
-//!     cargo run --release -p madderpoint-shared --example compare -- 10 300 3000
-//!     cargo run --release -p madderpoint-shared --example compare -- keys 10 300
+//!     cargo run --release -p madderpoint-shared-state --example compare -- 10 300 3000
+//!     cargo run --release -p madderpoint-shared-state --example compare -- keys 10 300
 
-use madderpoint_shared::keyed::{KeyBudget, KeyKind};
-use madderpoint_shared::sim::{KeyLoad, Load, Plan, Sim, Way};
-use madderpoint_shared::{Budget, Kind, Nanos};
+use madderpoint_shared_state::keyed::{KeyBudget, KeyKind};
+use madderpoint_shared_state::sim::{KeyLoad, Load, Plan, Sim, Way};
+use madderpoint_shared_state::{Budget, Kind, Nanos};
 use rand::RngExt;
 
 const MS: Nanos = 1_000_000;
--- /dev/null
+++ b/crates/shared-state/src/allot/tests.rs
@@ -0,0 +1,68 @@
+use super::*;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+fn demand(zone: u32, wants: u32, value: f64) -> Demand {
+    Demand { zone, wants, value }
+}
+
+#[test]
+fn what_is_wanted_is_given_while_there_is_enough_and_the_rest_lies_evenly() {
+    let demands = [
+        demand(0, 10, 1.0),
+        demand(0, 0, 1.0),
+        demand(1, 50, 1.0),
+        demand(1, 0, 1.0),
+    ];
+    assert_eq!(allot(100, &demands), [20, 10, 60, 10]);
+}
+
+#[test]
+fn where_it_is_short_zones_get_even_parts_and_the_valued_more_of_theirs() {
+    let demands = [
+        demand(0, 100, 2.0),
+        demand(0, 100, 1.0),
+        demand(1, 100, 1.0),
+        demand(1, 5, 1.0),
+    ];
+    let given = allot(60, &demands);
+    assert_eq!(given.iter().sum::<u32>(), 60);
+    assert!((28..=32).contains(&(given[0] + given[1])), "{given:?}");
+    assert!(
+        given[0] > given[1] && given[1] > 5 && given[3] == 5,
+        "{given:?}"
+    );
+}
+
+#[test]
+fn more_nodes_than_units_is_no_more_than_the_units() {
+    let demands: Vec<Demand> = (0..10).map(|n| demand(n % 2, 5, 1.0)).collect();
+    let given = allot(3, &demands);
+    assert_eq!(
+        (given.iter().sum::<u32>(), given.iter().max()),
+        (3, Some(&1))
+    );
+}
+
+#[test]
+fn never_more_than_there_is_and_all_of_it_whatever_is_asked() {
+    let mut rng = Pcg64Mcg::seed_from_u64(3);
+    for _ in 0..2000 {
+        let room = rng.random_range(0..500);
+        let demands: Vec<Demand> = (0..rng.random_range(0..30))
+            .map(|_| {
+                demand(
+                    rng.random_range(0..4),
+                    rng.random_range(0..100),
+                    rng.random_range(0.0..3.0),
+                )
+            })
+            .collect();
+        let given = allot(room, &demands);
+        let sum: u32 = given.iter().sum();
+        assert_eq!(sum, if demands.is_empty() { 0 } else { room });
+        let wanted: u32 = demands.iter().map(|d| d.wants).sum();
+        let lacks = demands.iter().zip(&given).any(|(d, g)| *g < d.wants);
+        assert!(!lacks || wanted > room, "{room} {demands:?} {given:?}");
+    }
+}
--- /dev/null
+++ b/crates/shared-state/src/heavy/tests.rs
@@ -0,0 +1,57 @@
+use super::*;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+/// Streams with a few heavy keys among many, cut among processes as it happens and added up in
+/// any order: what is held is never more than came and never less by more than the error, which
+/// keeps its bound; and the heavy ones are there.
+#[test]
+fn sums_of_summaries_keep_their_error() {
+    for seed in 0..60 {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let mut true_counts: BTreeMap<u64, u64> = BTreeMap::new();
+        let mut of: Vec<Heavy> = vec![Heavy::default(); rng.random_range(1..9)];
+        let all = rng.random_range(100..20_000u64);
+        for _ in 0..all {
+            let heavy = rng.random_bool(0.4);
+            let key = if heavy {
+                rng.random_range(0..4)
+            } else {
+                rng.random_range(100..5000)
+            };
+            *true_counts.entry(key).or_default() += 1;
+            let n = rng.random_range(0..of.len());
+            of[n].add(key, 1);
+        }
+        let mut sum = Heavy::default();
+        while !of.is_empty() {
+            let one = of.swap_remove(rng.random_range(0..of.len()));
+            sum.merge(&one);
+        }
+        assert_eq!(sum.total, all);
+        assert!(
+            sum.error() <= all / (ENTRIES as u64 + 1),
+            "seed {seed}: {} of {all}",
+            sum.error()
+        );
+        assert!(sum.most().len() <= ENTRIES);
+        for (key, count) in &true_counts {
+            let held = sum.entries.get(key).copied().unwrap_or(0);
+            assert!(
+                held <= *count && held + sum.error() >= *count,
+                "seed {seed}: key {key}, {held} of {count}"
+            );
+        }
+        let first: Vec<u64> = sum.most().iter().take(4).map(|(key, _)| *key).collect();
+        assert!(
+            all < 2000 || first.iter().all(|key| *key < 4),
+            "seed {seed}: {first:?}"
+        );
+    }
+}
+
+#[test]
+fn what_is_told_is_bounded() {
+    let heavy = Heavy::of(10, (0..100).map(|key| (key, 1000)));
+    assert!(heavy.most().len() == ENTRIES && heavy.most().iter().all(|(_, count)| *count <= 10));
+}
--- /dev/null
+++ b/crates/shared-state/src/latency/tests.rs
@@ -0,0 +1,44 @@
+use super::*;
+use crate::MILLISECOND;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+#[test]
+fn parts_that_travelled_add_up_to_the_whole_within_a_digit() {
+    let mut rng = Pcg64Mcg::seed_from_u64(1);
+    let mut of = vec![Latency::default(); 7];
+    let mut all: Vec<Nanos> = Vec::new();
+    for _ in 0..20_000 {
+        let time = (rng.random_range(0.0..9.0f64).exp() * 1e6) as Nanos;
+        let n = rng.random_range(0..of.len());
+        of[n].add(time);
+        all.push(time);
+    }
+    all.sort_unstable();
+    let mut sum = Latency::default();
+    for one in &of {
+        let sparse = one.sparse();
+        assert!(sparse.len() <= VALUES_MAX);
+        sum.merge(&sparse);
+    }
+    assert_eq!(sum.count(), 20_000);
+    for part in [0.1, 0.5, 0.9, 0.99] {
+        let (true_one, told) = (all[(part * 20_000.0) as usize], sum.quantile(part));
+        let off = told as f64 / true_one as f64;
+        assert!((0.9..=1.12).contains(&off), "{part}: {told} for {true_one}");
+    }
+    let longer = all.iter().filter(|time| **time > 500 * MILLISECOND).count() as f64;
+    assert!((sum.longer_than(500 * MILLISECOND) as f64 / longer - 1.0).abs() < 0.05);
+}
+
+#[test]
+fn what_makes_no_sense_is_held_within_bounds() {
+    let mut latency = Latency::default();
+    latency.add(0);
+    latency.add(Nanos::MAX);
+    latency.merge(&[(0, 3), (u32::MAX, 2)]);
+    assert_eq!((latency.count(), latency.quantile(0.1) > 0), (7, true));
+    let mut full = Latency::default();
+    (0..100_000).for_each(|n| full.add(n * 1_200_000));
+    assert!(full.sparse().len() <= VALUES_MAX);
+}
--- a/crates/shared/tests/budgets.rs
+++ b/crates/shared-state/tests/budgets.rs
@@ -1,8 +1,8 @@
 //! The hard cases of a budget that a fleet shares, over simulated time: never over the limit, and
 //! what is unused is used again soon.
 
-use madderpoint_shared::sim::{Load, Plan, Sim, Way};
-use madderpoint_shared::{Budget, Kind, Nanos};
+use madderpoint_shared_state::sim::{Load, Plan, Sim, Way};
+use madderpoint_shared_state::{Budget, Kind, Nanos};
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1000 * MS;
@@ -366,7 +366,7 @@
 }
 
 fn calls(sim: &Sim, n: usize) -> u64 {
-    use madderpoint_shared::counts::{OWN, own};
+    use madderpoint_shared_state::counts::{OWN, own};
     sim.counts(n)
         .unwrap()
         .total()
--- a/crates/shared/tests/keys.rs
+++ b/crates/shared-state/tests/keys.rs
@@ -1,9 +1,9 @@
 //! The hard cases of limits by key that a fleet shares, over simulated time: no key is ever over
 //! its limit, and what is there is used.
 
-use madderpoint_shared::keyed::{KeyBudget, KeyKind};
-use madderpoint_shared::sim::{Load, Plan, Sim, Way};
-use madderpoint_shared::{Budget, Kind, Nanos};
+use madderpoint_shared_state::keyed::{KeyBudget, KeyKind};
+use madderpoint_shared_state::sim::{Load, Plan, Sim, Way};
+use madderpoint_shared_state::{Budget, Kind, Nanos};
 use rand::RngExt;
 
 const MS: Nanos = 1_000_000;
--- a/crates/shared/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -3,9 +3,9 @@
 //! for some ticks): what all may spend together is never over the limit. The machines are the
 //! package's; what is left out is the drift of clocks, which `budgets.rs` plays.
 
-use madderpoint_shared::lease::{Arbiter, Candidate};
-use madderpoint_shared::treasury::{Part, Treasury};
-use madderpoint_shared::{Budget, Demand, Kind, Purse, Who};
+use madderpoint_shared_state::lease::{Arbiter, Candidate};
+use madderpoint_shared_state::treasury::{Part, Treasury};
+use madderpoint_shared_state::{Budget, Demand, Kind, Purse, Who};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
--- a/crates/shared/tests/model_keys.rs
+++ b/crates/shared-state/tests/model_keys.rs
@@ -3,10 +3,10 @@
 //! to lend: a rate is never over what it may be, and never more in hand than may be; and what was
 //! lost comes back. The machines are the package's; who lends is `model.rs`'s.
 
-use madderpoint_shared::keyed::books::KeyBooks;
-use madderpoint_shared::keyed::wallet::Slip;
-use madderpoint_shared::keyed::{KeyAsk, KeyBudget, KeyKind, KeysAsked, Rhythm};
-use madderpoint_shared::{Nanos, Who};
+use madderpoint_shared_state::keyed::books::KeyBooks;
+use madderpoint_shared_state::keyed::wallet::Slip;
+use madderpoint_shared_state::keyed::{KeyAsk, KeyBudget, KeyKind, KeysAsked, Rhythm};
+use madderpoint_shared_state::{Nanos, Who};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
--- a/crates/shared/tests/slow_start.rs
+++ b/crates/shared-state/tests/slow_start.rs
@@ -3,8 +3,8 @@
 //! different times, one hears nobody, one restarts in the middle, one was idle all the while, and
 //! all try in the same instants.
 
-use madderpoint_shared::judge::is_prober;
-use madderpoint_shared::{Budget, Ends, Judge, Kind, Mode, Nanos, Part, Who, Witnesses};
+use madderpoint_shared_state::judge::is_prober;
+use madderpoint_shared_state::{Budget, Ends, Judge, Kind, Mode, Nanos, Part, Who, Witnesses};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -11,7 +11,7 @@
 use madderpoint::{
     AlarmId, Arrival, CallEnding, DispatcherId, Ending, Gauges, Host, InvId, Nanos, OpId, TenantId,
 };
-use madderpoint_facts::{self as facts, Start};
+use madderpoint_deployment_config::{self as facts, Start};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/standins/src/bin/madderpoint-rig.rs
+++ b/crates/test-harness/src/bin/madderpoint-fault-test.rs
@@ -3,16 +3,16 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use madderpoint_standins::rig::{self, Setting};
-use madderpoint_standins::script;
+use madderpoint_test_harness::rig::{self, Setting};
+use madderpoint_test_harness::script;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 /// Several processes of the program, with faults between them.
 #[derive(Parser)]
 #[command(
-    name = "madderpoint-rig",
-    after_help = "Example: madderpoint-rig run examples/rig/partition.xml"
+    name = "madderpoint-fault-test",
+    after_help = "Example: madderpoint-fault-test run examples/rig/partition.xml"
 )]
 struct Line {
     #[command(subcommand)]
@@ -68,7 +68,7 @@
         .or(beside)
         .filter(|exe| exe.is_file())
         .ok_or("no program; name it by --exe")?;
-    let dir = std::env::temp_dir().join(format!("madderpoint-rig-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("madderpoint-fault-test-{}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
     let mut good = true;
     for file in files {
@@ -151,7 +151,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(what) => {
-            eprintln!("madderpoint-rig: {what}");
+            eprintln!("madderpoint-fault-test: {what}");
             ExitCode::from(2)
         }
     }
--- /dev/null
+++ b/crates/test-harness/src/faults/tests.rs
@@ -0,0 +1,75 @@
+use super::*;
+use crate::script::Ends;
+
+fn place(name: &str, zone: &str) -> Place {
+    Place {
+        name: name.into(),
+        zone: zone.into(),
+    }
+}
+
+#[test]
+fn faults_hold_on_their_links_and_on_no_other() {
+    let faults = Faults::new(1);
+    let (a, b, c) = (place("n0", "z0"), place("n1", "z1"), place("n2", "z0"));
+    let cut = Fault {
+        cut: true,
+        ..Fault::default()
+    };
+    let faulty = Faulty {
+        from: Ends::Node("n0".into()),
+        to: Ends::Zone("z1".into()),
+        fault: cut,
+        ..Faulty::default()
+    };
+    faults.put(faulty.clone(), None);
+    assert!(faults.is_cut(&a, &b) && !faults.is_cut(&b, &a) && !faults.is_cut(&a, &c));
+    assert!(faults.fate(Links::Fleet, &a, &b, 9).copies.is_empty());
+    assert_eq!(faults.fate(Links::Load, &a, &b, 9).copies, [Duration::ZERO]);
+    faults.heal();
+    faults.put(
+        Faulty {
+            both: true,
+            ..faulty
+        },
+        Some(Duration::from_secs(60)),
+    );
+    assert!(faults.is_cut(&a, &b) && faults.is_cut(&b, &a));
+    faults.heal();
+    assert_eq!(
+        faults.fate(Links::Fleet, &a, &b, 9).copies,
+        [Duration::ZERO]
+    );
+}
+
+#[test]
+fn shares_are_kept_and_a_seed_plays_the_same_again() {
+    let play = || {
+        let faults = Faults::new(5);
+        let fault = Fault {
+            loss: 0.25,
+            double: 0.25,
+            damage: 0.25,
+            ..Fault::default()
+        };
+        faults.put(
+            Faulty {
+                fault,
+                ..Faulty::default()
+            },
+            None,
+        );
+        let (a, b) = (place("n0", ""), place("n1", ""));
+        (0..1000)
+            .map(|_| faults.fate(Links::Fleet, &a, &b, 9))
+            .collect::<Vec<_>>()
+    };
+    let fates = play();
+    assert_eq!(fates, play());
+    let lost = fates.iter().filter(|f| f.copies.is_empty()).count();
+    let doubled = fates.iter().filter(|f| f.copies.len() == 2).count();
+    assert!(
+        (200..300).contains(&lost) && (130..250).contains(&doubled),
+        "{lost}, {doubled}"
+    );
+}
--- /dev/null
+++ b/crates/test-harness/src/record/tests.rs
@@ -0,0 +1,25 @@
+use super::*;
+
+#[test]
+fn lines_of_several_processes_stand_in_the_order_of_their_times() {
+    let record = Record::default();
+    record.line(
+        "n1",
+        r#"{"timestamp":"3000000","level":"INFO","message":"later","part":"fleet","event":"dead"}"#,
+    );
+    record.line(
+        "n0",
+        r#"{"timestamp":"1000000","level":"INFO","message":"first","part":"fleet","event":"joined"}"#,
+    );
+    record.line("n0", "thread 'core' panicked");
+    let joined = record.joined();
+    assert_eq!(
+        (&joined[0].what[..], &joined[1].event[..]),
+        ("first", "dead")
+    );
+    assert_eq!(joined[2].what, "thread 'core' panicked");
+    assert_eq!(
+        joined[0].to_string(),
+        "     0.001 n0      fleet       first"
+    );
+}
