--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -1,9 +1,11 @@
-//! The settings that a node is handed at its start, as the library's [`Premises`].
+//! The settings that a node is handed at its start, as the library's [`Deployment`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use madderpoint::{Advert, Below, Effect, Gauges, Halt, Operation, Premises, Tenant};
+use madderpoint::{
+    Deployment, Downstream, Gauges, Idempotency, LoadReport, Operation, Preemption, Tenant,
+};
 use serde::Deserialize;
 use std::collections::HashSet;
 
@@ -88,9 +90,9 @@
 
 /// What a node is told at its start.
 #[derive(Clone)]
-pub struct Start {
+pub struct DeploymentConfig {
     /// What the decisions go by.
-    pub premises: Premises,
+    pub deployment: Deployment,
     /// Names of the operations, in their order.
     pub operations: Vec<String>,
     /// Names of the tenants, in their order.
@@ -101,7 +103,7 @@
     pub passes_deadline: bool,
 }
 
-impl Start {
+impl DeploymentConfig {
     /// The gauges' values by their names.
     pub fn gauges(&self, values: impl Iterator<Item = f64>) -> Gauges {
         let mut gauges = Gauges::default();
@@ -201,7 +203,7 @@
 }
 
 /// Decodes the settings and checks that the figures can be worked with. An error names the field.
-pub fn decode(text: &[u8]) -> Result<Start, String> {
+pub fn decode(text: &[u8]) -> Result<DeploymentConfig, String> {
     let mut read = serde_json::Deserializer::from_slice(text);
     let facts: Facts =
         serde_path_to_error::deserialize(&mut read).map_err(|e| match e.path().to_string() {
@@ -218,9 +220,9 @@
         ..
     } = facts;
     let belows = [
-        ("none", Below::Nothing),
-        ("one_for_all", Below::Shared),
-        ("tier", Below::Tier),
+        ("none", Downstream::None),
+        ("one_for_all", Downstream::SharedService),
+        ("tier", Downstream::Tier),
     ];
     let below = word(&extra.below, "Extra.Below", &belows)?;
     if services.is_empty() {
@@ -229,7 +231,7 @@
     count(services.len(), 1, "the number of Services")?;
     distinct(services.iter().map(|s| s.name.as_str()), "Services")?;
     distinct(tenants.iter().map(|t| t.name.as_str()), "Tenants")?;
-    let calls = below != Below::Nothing;
+    let calls = below != Downstream::None;
     let class_calls = for_each(
         extra.class_calls,
         calls,
@@ -245,16 +247,16 @@
         "Extra.DegradedWorth",
     )?;
     let effects = [
-        ("read_like", Effect::Idempotent),
-        ("idempotency_key", Effect::Tokened),
-        ("non_idempotent", Effect::NonIdempotent),
+        ("read_like", Idempotency::Idempotent),
+        ("idempotency_key", Idempotency::Keyed),
+        ("non_idempotent", Idempotency::NonIdempotent),
     ];
     let mut operations = Vec::new();
     for (i, s) in services.iter().enumerate() {
         let at = |field: &str| format!("Services[{i}].{field}");
         let effect = word(&s.effect, &at("Effect"), &effects)?;
         let window = match effect {
-            Effect::Tokened => {
+            Idempotency::Keyed => {
                 let why = "its repeats are known for so long";
                 positive(
                     needed(s.dedup_window, &at("DedupWindow"), why)?,
@@ -267,67 +269,72 @@
             effect,
             latency_objective: positive(s.aim, &at("Aim"))?
                 .min(positive(s.deadline, &at("Deadline"))?),
-            objective_stretch: figure(s.aim_stretch, &at("AimStretch"))?,
+            objective_per_work: figure(s.aim_stretch, &at("AimStretch"))?,
             client_timeout: positive(s.deadline, &at("Deadline"))?,
-            repeat_window: window,
-            billed_value: figure(s.points, &at("Points"))?,
-            late_share: figure(s.late_worth, &at("LateWorth"))?,
-            calls_below: class_calls[i],
-            share_without_call: figure(degraded[i], &format!("Extra.DegradedWorth[{i}]"))?,
+            idempotency_window: window,
+            priority_weight: figure(s.points, &at("Points"))?,
+            late_weight_fraction: figure(s.late_worth, &at("LateWorth"))?,
+            calls_downstream: class_calls[i],
+            weight_fraction_without_call: figure(
+                degraded[i],
+                &format!("Extra.DegradedWorth[{i}]"),
+            )?,
         });
     }
     let adverts = [
-        ("none", Advert::No),
-        ("floor", Advert::Level),
-        ("allowance", Advert::Credit),
-        ("weight", Advert::Weight),
+        ("none", LoadReport::Disabled),
+        ("floor", LoadReport::SheddingLevel),
+        ("allowance", LoadReport::Credit),
+        ("weight", LoadReport::Weight),
     ];
     let halts = [
-        ("none", Halt::No),
-        ("discard", Halt::Discard),
-        ("freeze", Halt::Freeze),
+        ("none", Preemption::Unsupported),
+        ("discard", Preemption::Discard),
+        ("freeze", Preemption::Suspend),
     ];
     let shared = |value: Option<f64>, name: &str| match (below, value) {
-        (Below::Shared, None) => Err(format!("{name} is missing: all nodes share what is below")),
+        (Downstream::SharedService, None) => {
+            Err(format!("{name} is missing: all nodes share what is below"))
+        }
         (_, value) => figure(value.unwrap_or(0.0), name),
     };
-    let longest_pause = nanos(ceilings.max_retry_after, "Ceilings.MaxRetryAfter")?;
+    let max_retry_after = nanos(ceilings.max_retry_after, "Ceilings.MaxRetryAfter")?;
     let by = [("request", false), ("work", true)];
     let tenant = |(i, t): (usize, &Party)| {
         let quota_per_s = figure(t.quota_rps, &format!("Tenants[{i}].QuotaRps"))?;
         Ok::<Tenant, String>(Tenant { quota_per_s })
     };
-    let premises = Premises {
+    let deployment = Deployment {
         cores: count(extra.cores, 1, "Extra.Cores")?,
         memory_kb: figure(extra.mem_limit_kb, "Extra.MemLimitKb")?,
         run_memory_factor: figure(extra.run_factor, "Extra.RunFactor")?,
-        key_kb: figure(extra.key_kb, "Extra.KeyKb")?,
+        idempotency_key_kb: figure(extra.key_kb, "Extra.KeyKb")?,
         cold: extra.cold,
-        cold_speed: figure(rules.cold_from, "Rules.ColdFrom")?,
-        warm_after: nanos(rules.cold, "Rules.Cold")?,
-        crowd_per_core: figure(rules.tip_multiple, "Rules.TipMultiple")?,
+        cold_speed_fraction: figure(rules.cold_from, "Rules.ColdFrom")?,
+        warm_up_time: nanos(rules.cold, "Rules.Cold")?,
+        max_runnable_per_core: figure(rules.tip_multiple, "Rules.TipMultiple")?,
         drain_grace: nanos(rules.stop_sending_within, "Rules.StopSendingWithin")?,
         step: nanos(facts.step, "Step")?,
         nodes: count(facts.servers, 0, "Servers")?,
         dispatchers: count(extra.clients_total, 0, "Extra.ClientsTotal")?,
-        longest_idle: nanos(extra.idle, "Extra.Idle")?,
+        client_idle_timeout: nanos(extra.idle, "Extra.Idle")?,
         below,
-        call_share: shared(extra.fair_calls, "Extra.FairCalls")?,
-        call_span: nanos(
+        downstream_call_limit: shared(extra.fair_calls, "Extra.FairCalls")?,
+        downstream_call_window: nanos(
             shared(extra.calls_over, "Extra.CallsOver")?,
             "Extra.CallsOver",
         )?,
-        call_linger: nanos(shared(extra.linger, "Extra.Linger")?, "Extra.Linger")?,
+        abandoned_call_linger: nanos(shared(extra.linger, "Extra.Linger")?, "Extra.Linger")?,
         halt: word(&extra.halt, "Extra.Halt", &halts)?,
         advert: word(&extra.advert, "Extra.Advert", &adverts)?,
-        answer_fresh: nanos(extra.fresh, "Extra.Fresh")?,
-        longest_pause: if ceilings.retry_after {
-            longest_pause
+        shared_answer_ttl: nanos(extra.fresh, "Extra.Fresh")?,
+        max_retry_after: if ceilings.retry_after {
+            max_retry_after
         } else {
             0
         },
-        billed_by_work: word(&facts.worth_by, "WorthBy", &by)?,
-        over_share_value: figure(facts.over_share_worth, "OverShareWorth")?,
+        weighted_by_work: word(&facts.worth_by, "WorthBy", &by)?,
+        over_quota_weight_fraction: figure(facts.over_share_worth, "OverShareWorth")?,
         operations,
         tenants: tenants
             .iter()
@@ -335,8 +342,8 @@
             .map(tenant)
             .collect::<Result<_, _>>()?,
     };
-    Ok(Start {
-        premises,
+    Ok(DeploymentConfig {
+        deployment,
         operations: services.into_iter().map(|s| s.name).collect(),
         tenants: tenants.into_iter().map(|t| t.name).collect(),
         gauges: extra.gauges,
--- a/crates/deployment-config/src/tests.rs
+++ b/crates/deployment-config/src/tests.rs
@@ -28,7 +28,7 @@
     })
 }
 
-fn read(value: &Value) -> Result<Start, String> {
+fn read(value: &Value) -> Result<DeploymentConfig, String> {
     decode(value.to_string().as_bytes())
 }
 
@@ -69,27 +69,34 @@
     let start = read(&whole()).unwrap();
     assert_eq!(start.operations, ["gun-sorgu", "gun-yaz", "öde"]);
     assert_eq!(start.tenants, ["acme", "b ü/%&"]);
-    let Premises {
+    let Deployment {
         operations,
-        call_share,
-        call_linger,
-        longest_pause,
+        downstream_call_limit,
+        abandoned_call_linger,
+        max_retry_after,
         ..
-    } = start.premises;
+    } = start.deployment;
     assert_eq!(
-        (call_share, call_linger, longest_pause),
+        (
+            downstream_call_limit,
+            abandoned_call_linger,
+            max_retry_after
+        ),
         (1.5, 200_000_000, 1_000_000_000)
     );
     assert_eq!(
-        (operations[1].effect, operations[1].repeat_window),
-        (Effect::Tokened, 5_000_000_000)
+        (operations[1].effect, operations[1].idempotency_window),
+        (Idempotency::Keyed, 5_000_000_000)
     );
     assert_eq!(
-        (operations[2].effect, operations[2].calls_below),
-        (Effect::NonIdempotent, false)
+        (operations[2].effect, operations[2].calls_downstream),
+        (Idempotency::NonIdempotent, false)
     );
     assert_eq!(
-        (operations[0].objective_stretch, operations[0].late_share),
+        (
+            operations[0].objective_per_work,
+            operations[0].late_weight_fraction
+        ),
         (0.5, 0.2)
     );
 }
@@ -265,14 +272,14 @@
         }
         match read(&settings) {
             Ok(start) => {
-                let site = &start.premises;
+                let site = &start.deployment;
                 prop_assert!(site.cores > 0 && !site.operations.is_empty());
                 prop_assert_eq!(site.operations.len(), start.operations.len());
                 prop_assert_eq!(site.tenants.len(), start.tenants.len());
-                prop_assert!(site.memory_kb.is_finite() && site.crowd_per_core.is_finite());
+                prop_assert!(site.memory_kb.is_finite() && site.max_runnable_per_core.is_finite());
                 for operation in &site.operations {
                     prop_assert!(operation.client_timeout > 0 && operation.latency_objective <= operation.client_timeout);
-                    prop_assert!(operation.effect != Effect::Tokened || operation.repeat_window > 0);
+                    prop_assert!(operation.effect != Idempotency::Keyed || operation.idempotency_window > 0);
                 }
             }
             // What is named may be a part of what was changed, or what it is to agree with.
--- a/crates/node/src/classify.rs
+++ b/crates/node/src/classify.rs
@@ -1,7 +1,7 @@
 //! What rules give to a request before the decisions see it, and what came of them. The rules are
 //! compiled elsewhere and swapped in one step; what is in hand keeps what it was given.
 
-use madderpoint::{Nanos, OpId};
+use madderpoint::{Nanos, OperationId};
 use madderpoint_rate_limits::{Bucket, Limits, Over, Ticket, Why};
 use madderpoint_rules::{Facts, Path, RuleSet, Scratch, Verdict};
 use madderpoint_shared_state::keyed::wallet::{Refused, Wallet};
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Ruled {
     /// The operation.
-    pub operation: Option<OpId>,
+    pub operation: Option<OperationId>,
     /// The key as a number.
     pub key: Option<u64>,
     /// The class.
@@ -202,7 +202,7 @@
             told = Some(line);
         }
         Some(Ruled {
-            operation: given.rule.operation.map(OpId),
+            operation: given.rule.operation.map(OperationId),
             key: given.key,
             class: given
                 .rule
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -8,7 +8,7 @@
 use crate::under;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use hdrhistogram::Histogram;
-use madderpoint_deployment_config::Start;
+use madderpoint_deployment_config::DeploymentConfig;
 use madderpoint_identity::{Bundle, Bundles, jwt, x509};
 use madderpoint_rules::ruleset::Why;
 use madderpoint_rules::{Path as Search, RuleSet, Scratch, Verdict, time};
@@ -289,7 +289,7 @@
 }
 
 /// The settings in a node's configuration; all else in that file is of no matter here.
-fn start(path: &Path) -> Result<Start, String> {
+fn start(path: &Path) -> Result<DeploymentConfig, String> {
     let wrong = |what: String| format!("{}: {what}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| wrong(e.to_string()))?;
     let whole: Value = serde_json::from_str(&text).map_err(|e| wrong(e.to_string()))?;
--- a/crates/node/src/cli/rollout.rs
+++ b/crates/node/src/cli/rollout.rs
@@ -55,7 +55,7 @@
     #[command(
         after_help = "Example: madderpoint rollout start new.xml --settings translator.xml --at 10.0.0.4:7946"
     )]
-    Start {
+    DeploymentConfig {
         /// The file, with a higher number than that in force.
         file: PathBuf,
         #[command(flatten)]
@@ -131,7 +131,7 @@
     /// Carries the call out.
     pub fn run(self) -> Ended {
         match self {
-            Command::Start { file, at, wait } => start(&file, &at, wait),
+            Command::DeploymentConfig { file, at, wait } => start(&file, &at, wait),
             Command::Status { at, format } => status(&at, format),
             Command::Halt { at, change, why } => end(&at, order::HALT, change.as_deref(), &why),
             Command::Back { at, change, why } => end(&at, order::BACK, change.as_deref(), &why),
--- a/crates/node/src/company.rs
+++ b/crates/node/src/company.rs
@@ -1,7 +1,7 @@
 //! What the core has to do with the fleet: what is seen of it, and what this node says of itself.
 //! The decisions work the same with no fleet at all, and nothing waits for it.
 
-use madderpoint::Advert;
+use madderpoint::LoadReport;
 use madderpoint::Nanos;
 use madderpoint_membership::{Phase, Sight};
 use madderpoint_shared_state::keyed::KeysAsked;
@@ -72,13 +72,13 @@
     }
 
     /// What the node has room for, if that is another than was said last.
-    pub fn pulse(&mut self, kind: Advert, advert: Option<f64>, in_hand: usize) -> Option<Word> {
+    pub fn pulse(&mut self, kind: LoadReport, advert: Option<f64>, in_hand: usize) -> Option<Word> {
         let share = |part: f64| (part.clamp(0.0, 1.0) * 255.0) as u8;
         let room = match (kind, advert) {
-            (Advert::No, _) | (_, None) => 255,
-            (Advert::Level, Some(held_back)) => share(1.0 - held_back),
-            (Advert::Weight, Some(weight)) => share(weight),
-            (Advert::Credit, Some(credit)) => credit.clamp(0.0, 255.0) as u8,
+            (LoadReport::Disabled, _) | (_, None) => 255,
+            (LoadReport::SheddingLevel, Some(held_back)) => share(1.0 - held_back),
+            (LoadReport::Weight, Some(weight)) => share(weight),
+            (LoadReport::Credit, Some(credit)) => credit.clamp(0.0, 255.0) as u8,
         };
         let load = u8::try_from(in_hand).unwrap_or(u8::MAX);
         let is_new = self.pulse.replace((room, load)) != Some((room, load));
--- a/crates/node/src/company/tests.rs
+++ b/crates/node/src/company/tests.rs
@@ -21,9 +21,12 @@
         Some(Word::Pulse { room, load }) => Some((room, load)),
         _ => None,
     };
-    assert_eq!(said(Advert::Weight, Some(1.0), 3), Some((255, 3)));
-    assert_eq!(said(Advert::Weight, Some(1.0), 3), None);
-    assert_eq!(said(Advert::Level, Some(1.0), 999), Some((0, 255)));
-    assert_eq!(said(Advert::Credit, Some(7.9), 0), Some((7, 0)));
-    assert_eq!(said(Advert::No, None, 0), Some((255, 0)));
+    assert_eq!(said(LoadReport::Weight, Some(1.0), 3), Some((255, 3)));
+    assert_eq!(said(LoadReport::Weight, Some(1.0), 3), None);
+    assert_eq!(
+        said(LoadReport::SheddingLevel, Some(1.0), 999),
+        Some((0, 255))
+    );
+    assert_eq!(said(LoadReport::Credit, Some(7.9), 0), Some((7, 0)));
+    assert_eq!(said(LoadReport::Disabled, None, 0), Some((255, 0)));
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,6 +1,6 @@
 //! The file that tells a node who it is and whom it speaks with.
 
-use madderpoint_deployment_config::{self as facts, Start};
+use madderpoint_deployment_config::{self as facts, DeploymentConfig};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
     /// What the process may use.
     pub limits: Limits,
     /// The settings, decoded and as they stood.
-    pub start: Start,
+    pub start: DeploymentConfig,
     settings: serde_json::Value,
 }
 
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -1,4 +1,4 @@
-//! The node without its I/O: takes what happened and the time, lets [`Choice`] decide, and acts
+//! The node without its I/O: takes what happened and the time, lets [`AdmissionController`] decide, and acts
 //! through [`Outward`]. What it keeps of invocations is at the desk.
 
 use crate::backend;
@@ -12,9 +12,11 @@
 use crate::outward::{BackendLink, CallNo, ConnId, Outward};
 use crate::request::{Fields, Head, Rejected, Wanted};
 use crate::room::Room;
-use madderpoint::choice::Choice;
-use madderpoint::{Arrival, CallEnding, DispatcherId, Ending, InvId, Nanos, OpId};
-use madderpoint_deployment_config::Start;
+use madderpoint::admission::AdmissionController;
+use madderpoint::{
+    Arrival, BackendCallOutcome, ExecutionOutcome, LoadBalancerId, Nanos, OperationId, RequestId,
+};
+use madderpoint_deployment_config::DeploymentConfig;
 use madderpoint_membership::Sight;
 use madderpoint_rules::Verdict;
 use madderpoint_shared_state::keyed::{KeyBudget, KeysLent, Rhythm};
@@ -83,9 +85,9 @@
     /// The kernel said something.
     Kernel(Notice),
     /// A call was written whole.
-    CallWritten(CallNo, InvId, BackendLink),
+    CallWritten(CallNo, RequestId, BackendLink),
     /// A call could not be written whole, so that it never ran.
-    CallUnsent(CallNo, InvId),
+    CallUnsent(CallNo, RequestId),
     /// The back end replied on a link.
     Reply(usize, backend::Reply),
     /// A connection to the back end ended; why, if what came on it can't be read on.
@@ -124,7 +126,7 @@
 /// The node's state.
 pub struct Core<O: Outward> {
     desk: Rc<RefCell<Desk<O>>>,
-    start: Rc<Start>,
+    start: Rc<DeploymentConfig>,
     seed: u64,
     stop_after: Nanos,
     /// Bytes for what limits by key hold, and for those of the whole fleet.
@@ -133,7 +135,7 @@
     /// How often keys are asked for; none outside a fleet.
     rhythm: Option<Rhythm>,
     /// There are none before the kernel is up: it says whether the node starts cold.
-    choice: Option<Choice<Hands<O>>>,
+    admission: Option<AdmissionController<Hands<O>>>,
     /// None where nodes keep no view of their fleet.
     company: Option<Company>,
     /// The name of the service below that is judged, and what the budgets' ends were last said to
@@ -147,7 +149,7 @@
     /// A node that waits for its kernel.
     pub fn new(
         out: O,
-        start: Start,
+        start: DeploymentConfig,
         seed: u64,
         stop_after: Nanos,
         has_backend: bool,
@@ -168,7 +170,7 @@
             limit_bytes: room.buckets,
             key_bytes: room.keys,
             rhythm: None,
-            choice: None,
+            admission: None,
             company: None,
             service: String::new(),
             at_floor: Vec::new(),
@@ -223,7 +225,7 @@
 
     /// Whether the kernel is up, and invocations are taken.
     pub fn is_up(&self) -> bool {
-        self.choice.is_some()
+        self.admission.is_some()
     }
 
     /// Whether all is answered and every connection gone after the notice to leave.
@@ -249,8 +251,8 @@
         match timer {
             Timer::Alarm(alarm) => {
                 let gauges = self.desk.borrow().gauges();
-                if let Some(choice) = &mut self.choice {
-                    choice.alarm(now, alarm, gauges);
+                if let Some(admission) = &mut self.admission {
+                    admission.on_timer(now, alarm, gauges);
                 }
             }
             Timer::CallLimit(id, no) => {
@@ -309,13 +311,13 @@
             Event::CallWritten(no, id, link) => {
                 let broke = self.desk.borrow_mut().call_written(no, id, link);
                 if broke {
-                    self.call_over(now, id, CallEnding::MayHaveRun);
+                    self.call_over(now, id, BackendCallOutcome::PossiblyExecuted);
                 }
             }
             Event::CallUnsent(no, id) => {
                 let is_current = self.desk.borrow().is_current(id, no);
                 if is_current {
-                    self.call_over(now, id, CallEnding::NeverRan);
+                    self.call_over(now, id, BackendCallOutcome::NotExecuted);
                 }
             }
             Event::Reply(place, reply) => self.reply(now, place, reply),
@@ -330,7 +332,7 @@
                 let broke = self.desk.borrow_mut().backend_lost(link);
                 broke
                     .into_iter()
-                    .for_each(|id| self.call_over(now, id, CallEnding::MayHaveRun));
+                    .for_each(|id| self.call_over(now, id, BackendCallOutcome::PossiblyExecuted));
             }
             Event::BackendQuiet(place) => self.desk.borrow_mut().backend_quiet(place),
             Event::Drain => self.drain(now),
@@ -375,7 +377,7 @@
             };
             match next {
                 Deferred::CallEnded(id, ending) => self.call_over(now, id, ending),
-                Deferred::NeverStarted(id) => self.ended(now, id, Ending::Cancelled, 0),
+                Deferred::NeverStarted(id) => self.ended(now, id, ExecutionOutcome::Cancelled, 0),
                 Deferred::JoinEnded(id, result) => {
                     let joined = self.desk.borrow_mut().joined(id, result);
                     if let Some((ending, latency)) = joined {
@@ -419,7 +421,7 @@
             Err(Rejected(status, cause)) => return desk.reject(conn, id, status, cause),
             Ok(fields) => fields,
         };
-        let ruled = match self.choice {
+        let ruled = match self.admission {
             Some(_) if desk.rules.is_some() => {
                 Self::rule(&mut desk, &self.start, conn, &fields, &request)
             }
@@ -440,7 +442,7 @@
         ) {
             Err(Rejected(status, cause)) => desk.reject(conn, id, status, cause),
             Ok(Wanted::Check { deep }) => desk.check(conn, id, deep),
-            Ok(Wanted::Invocation(_)) if self.choice.is_none() => {
+            Ok(Wanted::Invocation(_)) if self.admission.is_none() => {
                 desk.not_up(conn, id);
             }
             Ok(Wanted::Invocation(head)) if desk.knows(&head.rid) => {
@@ -492,7 +494,7 @@
     /// What rules give to a request, and what they have to say.
     fn rule(
         desk: &mut Desk<O>,
-        start: &Start,
+        start: &DeploymentConfig,
         conn: ConnId,
         fields: &Fields<'_>,
         request: &fastcgi::Request,
@@ -525,7 +527,7 @@
         desk: &mut Desk<O>,
         conn: ConnId,
         id: u16,
-        of: Option<(OpId, DispatcherId)>,
+        of: Option<(OperationId, LoadBalancerId)>,
         verdict: &Verdict,
     ) {
         let status = match verdict {
@@ -565,7 +567,7 @@
         if let Some((status, cause)) = key.as_ref().and_then(|key| desk.key_refused(key)) {
             desk.count(cause, 1);
             desk.counts_turned_away((head.op, head.dispatcher), status);
-            let pause = desk.longest_pause();
+            let pause = desk.max_retry_after();
             desk.verdict(conn, id, status, pause, cause);
             return None;
         }
@@ -637,30 +639,30 @@
             has_subject,
             time_left: head.patience.map(|patience| patience.saturating_sub(age)),
             work_hint: head.work_hint,
-            held_kb: head.held_kb,
+            queued_kb: head.queued_kb,
             age,
             repeats,
         };
-        if let Some(choice) = &mut self.choice {
-            choice.arrive(moment.now, arrival);
+        if let Some(admission) = &mut self.admission {
+            admission.on_arrival(moment.now, arrival);
         }
     }
 
-    fn caller_left(&mut self, now: Nanos, id: InvId) {
-        if let Some(choice) = &mut self.choice {
-            choice.caller_left(now, id);
+    fn caller_left(&mut self, now: Nanos, id: RequestId) {
+        if let Some(admission) = &mut self.admission {
+            admission.on_client_cancelled(now, id);
         }
     }
 
     fn drain(&mut self, now: Nanos) {
         let left = self.stop_after.saturating_sub(WRITE_OUT);
-        let grace = self.start.premises.drain_grace;
+        let grace = self.start.deployment.drain_grace;
         if !self.desk.borrow_mut().drain(left, grace) {
             return; // noticed before
         }
         self.say(|company| company.drains());
-        if let Some(choice) = &mut self.choice {
-            choice.drain(now, left);
+        if let Some(admission) = &mut self.admission {
+            admission.start_drain(now, left);
         }
     }
 
@@ -809,7 +811,7 @@
             desk.set_timer(PULSE, Timer::Pulse);
             (desk.in_hand(), desk.advert())
         };
-        let kind = self.start.premises.advert;
+        let kind = self.start.deployment.advert;
         self.say(|company| company.pulse(kind, advert, in_hand));
     }
 
@@ -824,12 +826,12 @@
             Notice::EInval { command, rid } => {
                 let lost = self.desk.borrow_mut().einval(&command, &rid);
                 lost.into_iter()
-                    .for_each(|id| self.ended(now, id, Ending::Errored, 0));
+                    .for_each(|id| self.ended(now, id, ExecutionOutcome::Failed, 0));
             }
             Notice::IoReq { no, rid, body } => {
                 let asked = self.desk.borrow_mut().call_asked(&rid, no, body);
-                if let (Some(id), Some(choice)) = (asked, &mut self.choice) {
-                    choice.needs_call(now, id);
+                if let (Some(id), Some(admission)) = (asked, &mut self.admission) {
+                    admission.on_backend_call_needed(now, id);
                 }
             }
             Notice::Reap {
@@ -842,10 +844,10 @@
                     return;
                 };
                 let ending = match end {
-                    End::Ok => Ending::Succeeded,
-                    End::Error => Ending::Errored,
-                    End::Stopped => Ending::Cancelled,
-                    End::Moot => Ending::Moot,
+                    End::Ok => ExecutionOutcome::Succeeded,
+                    End::Error => ExecutionOutcome::Failed,
+                    End::Stopped => ExecutionOutcome::Cancelled,
+                    End::Moot => ExecutionOutcome::NeverStarted,
                 };
                 self.ended(now, id, ending, (time_ms * 1e6) as Nanos);
             }
@@ -854,26 +856,26 @@
 
     fn booted(&mut self, now: Nanos, cold: bool, up_ms: f64) {
         // A node that was to leave before its kernel came up takes nothing up.
-        if self.choice.is_none() && !self.desk.borrow().is_leaving() {
-            let mut site = self.start.premises.clone();
+        if self.admission.is_none() && !self.desk.borrow().is_leaving() {
+            let mut site = self.start.deployment.clone();
             site.cold = cold;
             // Keys and results are kept in this process, under its own limit: the kernel's memory
             // has no part in them.
-            site.key_kb = 0.0;
+            site.idempotency_key_kb = 0.0;
             let born = now.saturating_sub((up_ms * 1e6) as Nanos);
             let hands = Hands(Rc::clone(&self.desk));
-            self.choice = Some(Choice::new(born, hands, site, self.seed));
+            self.admission = Some(AdmissionController::new(born, hands, site, self.seed));
         }
         self.desk.borrow_mut().booted(cold, up_ms);
         self.say(|company| company.booted(cold));
     }
 
-    fn ended(&mut self, now: Nanos, id: InvId, ending: Ending, latency: Nanos) {
-        if ending == Ending::Succeeded {
+    fn ended(&mut self, now: Nanos, id: RequestId, ending: ExecutionOutcome, latency: Nanos) {
+        if ending == ExecutionOutcome::Succeeded {
             self.say(|company| company.succeeded());
         }
-        if let Some(choice) = &mut self.choice {
-            choice.ended(now, id, ending, latency);
+        if let Some(admission) = &mut self.admission {
+            admission.on_execution_ended(now, id, ending, latency);
         }
     }
 
@@ -884,21 +886,21 @@
             return;
         };
         let ending = match reply.outcome {
-            backend::Outcome::Ok => CallEnding::Succeeded,
-            backend::Outcome::Overload | backend::Outcome::Stale => CallEnding::NeverRan,
-            backend::Outcome::Internal => CallEnding::MayHaveRun,
-            backend::Outcome::Deadline => CallEnding::Abandoned,
+            backend::Outcome::Ok => BackendCallOutcome::Succeeded,
+            backend::Outcome::Overload | backend::Outcome::Stale => BackendCallOutcome::NotExecuted,
+            backend::Outcome::Internal => BackendCallOutcome::PossiblyExecuted,
+            backend::Outcome::Deadline => BackendCallOutcome::Abandoned,
         };
-        if ending == CallEnding::Succeeded {
+        if ending == BackendCallOutcome::Succeeded {
             self.desk.borrow_mut().resume(id, Some(reply.body));
         }
         self.call_over(now, id, ending);
     }
 
-    fn call_over(&mut self, now: Nanos, id: InvId, ending: CallEnding) {
+    fn call_over(&mut self, now: Nanos, id: RequestId, ending: BackendCallOutcome) {
         let latency = self.desk.borrow_mut().call_over(id, ending);
-        if let (Some(latency), Some(choice)) = (latency, &mut self.choice) {
-            choice.call_ended(now, id, ending, latency);
+        if let (Some(latency), Some(admission)) = (latency, &mut self.admission) {
+            admission.on_backend_call_ended(now, id, ending, latency);
         }
     }
 }
--- a/crates/node/src/core/tests.rs
+++ b/crates/node/src/core/tests.rs
@@ -31,7 +31,7 @@
     kernel: Vec<String>,
     /// The mark of the last question for gauges.
     asked: Option<u64>,
-    calls: Vec<(usize, CallNo, InvId, String)>,
+    calls: Vec<(usize, CallNo, RequestId, String)>,
     wanted: Vec<Wanted>,
     cancelled: Vec<(usize, String)>,
     no_room_below: bool,
@@ -69,7 +69,7 @@
         &mut self,
         place: usize,
         call: CallNo,
-        id: InvId,
+        id: RequestId,
         bytes: Vec<u8>,
         wanted: Wanted,
     ) -> bool {
@@ -255,7 +255,7 @@
         ));
     }
 
-    fn last_call(&mut self) -> (usize, CallNo, InvId, String) {
+    fn last_call(&mut self) -> (usize, CallNo, RequestId, String) {
         self.core.out(|out| out.calls.last().cloned()).unwrap()
     }
 
@@ -633,7 +633,7 @@
     node.boot();
     node.send(2, &deep, b"");
     assert_eq!(node.statuses(), [(2, "200".into())]);
-    Hands(Rc::clone(&node.core.desk)).health(true, false);
+    Hands(Rc::clone(&node.core.desk)).set_health(true, false);
     node.kernel_lines();
     for (id, ok, status) in [(3, true, "200"), (4, false, "503")] {
         node.send(id, &deep, b"");
@@ -1056,7 +1056,7 @@
         (|node| node.reply(0, A, Outcome::Ok), "its reply"),
         (|node| node.reap(A, End::Stopped, b""), "the end of its run"),
         (
-            |node| node.event(Event::CallUnsent(CallNo(1), InvId(1))),
+            |node| node.event(Event::CallUnsent(CallNo(1), RequestId(1))),
             "word that it was not written",
         ),
     ];
--- a/crates/node/src/desk.rs
+++ b/crates/node/src/desk.rs
@@ -7,8 +7,11 @@
 use crate::outward::{BackendLink, CallNo, ConnId, Outward, Wants};
 use crate::request::Head;
 use crate::room::Room;
-use madderpoint::{AlarmId, CallEnding, Effect, Ending, Gauges, Host, InvId, Nanos, OpId};
-use madderpoint_deployment_config::Start;
+use madderpoint::{
+    BackendCallOutcome, ExecutionOutcome, Gauges, Host, Idempotency, Nanos, OperationId, RequestId,
+    TimerId,
+};
+use madderpoint_deployment_config::DeploymentConfig;
 use madderpoint_shared_state::keyed::KeysAsked;
 use madderpoint_shared_state::{Ends, Gate, Judge};
 use std::cell::RefCell;
@@ -88,22 +91,22 @@
 /// What happens next, after the decisions have acted.
 pub enum Deferred {
     /// A call ended before it was sent.
-    CallEnded(InvId, CallEnding),
+    CallEnded(RequestId, BackendCallOutcome),
     /// A run was stopped that the kernel was never told of.
-    NeverStarted(InvId),
+    NeverStarted(RequestId),
     /// What a join waited for is known: a result, or none.
-    JoinEnded(InvId, Option<Vec<u8>>),
+    JoinEnded(RequestId, Option<Vec<u8>>),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    Alarm(AlarmId),
+    Alarm(TimerId),
     AskGauges,
-    CallLimit(InvId, CallNo),
+    CallLimit(RequestId, CallNo),
     CheckLimit(u64),
     Idle(ConnId, Nanos),
     RenewKernel(u64),
-    Doubt(InvId),
+    Doubt(RequestId),
     Leave,
     Hush,
     Over,
@@ -121,7 +124,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Asked {
     Unread,
-    Invocation(InvId),
+    Invocation(RequestId),
     Check(u64),
 }
 
@@ -216,7 +219,7 @@
 
 struct Invocation {
     rid: String,
-    op: OpId,
+    op: OperationId,
     body: Vec<u8>,
     arrived: Nanos,
     /// How long its caller waits from then on.
@@ -238,9 +241,9 @@
     tainted: [bool; BACKEND_LINKS],
     key: Option<Key>,
     /// What it repeats, when it was joined to it, and who waits for its own result.
-    repeats: Option<InvId>,
+    repeats: Option<RequestId>,
     joined: Option<Nanos>,
-    joiners: Vec<InvId>,
+    joiners: Vec<RequestId>,
     /// What rules gave: its class, and the places that it holds in buckets.
     class: Option<Rc<str>>,
     held: Option<Held>,
@@ -270,11 +273,11 @@
     pub out: O,
     pub now: Nanos,
     pub deferred: VecDeque<Deferred>,
-    start: Rc<Start>,
+    start: Rc<DeploymentConfig>,
     has_backend: bool,
     conns: BTreeMap<ConnId, Conn>,
-    invs: BTreeMap<InvId, Invocation>,
-    ids: HashMap<String, InvId>,
+    invs: BTreeMap<RequestId, Invocation>,
+    ids: HashMap<String, RequestId>,
     next_id: u64,
     next_call: u64,
     timers: BTreeMap<(Nanos, u64), Timer>,
@@ -290,7 +293,7 @@
     /// None where the fleet shares no budget.
     pub budgets: Option<Box<Ends>>,
     /// Calls that wait for room under them, and when it is looked for.
-    calls_waiting: VecDeque<(InvId, CallNo)>,
+    calls_waiting: VecDeque<(RequestId, CallNo)>,
     calls_due: Option<Nanos>,
     /// The judgement on the service below, and from when on an answer of it counts as none; what
     /// needs it is let in by both.
@@ -305,7 +308,7 @@
     health: (bool, bool),
     advert: Option<f64>,
     idle_after: Nanos,
-    longest_idle: Nanos,
+    client_idle_timeout: Nanos,
     /// Connections above which idle ones make room.
     spare_from: usize,
     /// When the notice to leave came, and when all is to be written out.
@@ -320,8 +323,8 @@
 }
 
 impl<O: Outward> Desk<O> {
-    pub fn new(out: O, start: Rc<Start>, has_backend: bool, room: &Room) -> Self {
-        let longest_idle = Some(start.premises.longest_idle)
+    pub fn new(out: O, start: Rc<DeploymentConfig>, has_backend: bool, room: &Room) -> Self {
+        let client_idle_timeout = Some(start.deployment.client_idle_timeout)
             .filter(|&idle| idle > 0)
             .unwrap_or(IDLE);
         let mut desk = Desk {
@@ -353,8 +356,8 @@
             checks: HashMap::new(),
             health: (false, true),
             advert: None,
-            idle_after: longest_idle,
-            longest_idle,
+            idle_after: client_idle_timeout,
+            client_idle_timeout,
             spare_from: room.spare_from,
             leaving: None,
             stop: Nanos::MAX,
@@ -518,14 +521,15 @@
     }
 
     /// Whether the room below lets in what needs a call: else when it is worth to come back.
-    pub fn gate(&mut self, op: OpId, key: Option<Key>) -> Result<bool, Nanos> {
+    pub fn gate(&mut self, op: OperationId, key: Option<Key>) -> Result<bool, Nanos> {
         if self.gate.is_none() {
             return Ok(false);
         }
-        let operation = &self.start.premises.operations[op.0];
+        let operation = &self.start.deployment.operations[op.0];
         // A repeat needs no call: what it repeats makes it.
         let is_repeat = key.is_some_and(|key| self.cache.original(self.now, key).is_some());
-        if !operation.calls_below || operation.share_without_call > 0.0 || is_repeat {
+        if !operation.calls_downstream || operation.weight_fraction_without_call > 0.0 || is_repeat
+        {
             return Ok(false);
         }
         self.start_slowly();
@@ -551,8 +555,9 @@
     /// tenant's.
     pub fn key(&self, head: &Head, ruled: Option<u64>, body: &[u8], arrived: Nanos) -> Option<Key> {
         let effect = self.effect(head.op);
-        let shares = self.start.premises.answer_fresh > 0 && effect == Effect::Idempotent;
-        let once = effect == Effect::Tokened;
+        let shares =
+            self.start.deployment.shared_answer_ttl > 0 && effect == Idempotency::Idempotent;
+        let once = effect == Idempotency::Keyed;
         let tenant = head.tenant.map(|t| t.0);
         let given = ruled.map(|key| self.secret.hash_one((tenant, key)));
         let borne = head
@@ -600,9 +605,9 @@
         body: Vec<u8>,
         age: Nanos,
         given: Given,
-    ) -> (InvId, Option<InvId>) {
+    ) -> (RequestId, Option<RequestId>) {
         self.next_id += 1;
-        let id = InvId(self.next_id);
+        let id = RequestId(self.next_id);
         let Given {
             key,
             class,
@@ -611,7 +616,7 @@
         } = given;
         let patience = head
             .patience
-            .unwrap_or(self.start.premises.operations[head.op.0].client_timeout);
+            .unwrap_or(self.start.deployment.operations[head.op.0].client_timeout);
         let repeats = key.and_then(|key| self.cache.original(self.now, key));
         let invocation = Invocation {
             rid: head.rid.clone(),
@@ -649,12 +654,12 @@
         (id, repeats)
     }
 
-    fn effect(&self, op: OpId) -> Effect {
-        self.start.premises.operations[op.0].effect
+    fn effect(&self, op: OperationId) -> Idempotency {
+        self.start.deployment.operations[op.0].effect
     }
 
     /// Writes the one answer of an invocation; nothing if it has had it or its caller has left.
-    fn answer(&mut self, id: InvId, status: u16, more: &str, body: Vec<u8>) {
+    fn answer(&mut self, id: RequestId, status: u16, more: &str, body: Vec<u8>) {
         let Some(inv) = self.invs.get_mut(&id) else {
             return;
         };
@@ -691,7 +696,7 @@
     }
 
     /// Lets go of an invocation that is answered and of which nothing goes on.
-    fn settle(&mut self, id: InvId) {
+    fn settle(&mut self, id: RequestId) {
         let Some(inv) = self.invs.get_mut(&id) else {
             return;
         };
@@ -707,7 +712,7 @@
     }
 
     /// Stops a run of which the kernel has not heard.
-    fn never_started(&mut self, id: InvId) {
+    fn never_started(&mut self, id: RequestId) {
         if let Some(inv) = self.invs.get_mut(&id) {
             inv.run = None;
             self.deferred.push_back(Deferred::NeverStarted(id));
@@ -715,7 +720,7 @@
         }
     }
 
-    fn remove(&mut self, id: InvId) {
+    fn remove(&mut self, id: RequestId) {
         let Some(inv) = self.invs.remove(&id) else {
             return;
         };
@@ -737,13 +742,17 @@
     }
 
     /// Answers an invocation that was joined to another; gives how that ended and how long it took.
-    pub fn joined(&mut self, id: InvId, result: Option<Vec<u8>>) -> Option<(Ending, Nanos)> {
+    pub fn joined(
+        &mut self,
+        id: RequestId,
+        result: Option<Vec<u8>>,
+    ) -> Option<(ExecutionOutcome, Nanos)> {
         let inv = self.invs.get(&id)?;
         let latency = self.now - inv.joined?;
         let ending = if result.is_some() {
-            Ending::Succeeded
+            ExecutionOutcome::Succeeded
         } else {
-            Ending::Errored
+            ExecutionOutcome::Failed
         };
         match result {
             Some(body) => self.answer(id, 200, "", body),
@@ -833,18 +842,18 @@
 pub struct Hands<O: Outward>(pub Rc<RefCell<Desk<O>>>);
 
 impl<O: Outward> Host for Hands<O> {
-    fn run(&mut self, id: InvId) {
+    fn start(&mut self, id: RequestId) {
         self.0.borrow_mut().run(id);
     }
-    fn halt(&mut self, id: InvId) {
+    fn stop(&mut self, id: RequestId) {
         self.0.borrow_mut().halt(id);
     }
-    fn throttle(&mut self, id: InvId, pause: Nanos, last: bool) {
+    fn reject(&mut self, id: RequestId, pause: Nanos, last: bool) {
         let desk = &mut *self.0.borrow_mut();
         let Some(inv) = desk.invs.get(&id) else {
             return;
         };
-        let may = !(inv.ran || inv.run.is_some()) || desk.effect(inv.op) == Effect::Idempotent;
+        let may = !(inv.ran || inv.run.is_some()) || desk.effect(inv.op) == Idempotency::Idempotent;
         invariant!(desk, may, "what may have run is not throttled");
         let mut more = String::new();
         if pause > 0 {
@@ -855,32 +864,32 @@
         }
         desk.answer(id, 429, &more, Vec::new());
     }
-    fn error(&mut self, id: InvId) {
+    fn fail(&mut self, id: RequestId) {
         self.0.borrow_mut().answer(id, 500, "", Vec::new());
     }
-    fn call(&mut self, id: InvId, timeout: Nanos) {
+    fn call_backend(&mut self, id: RequestId, timeout: Nanos) {
         self.0.borrow_mut().call(id, timeout);
     }
-    fn skip_call(&mut self, id: InvId) {
+    fn skip_backend_call(&mut self, id: RequestId) {
         self.0.borrow_mut().resume(id, None);
     }
-    fn remember(&mut self, id: InvId, lifetime: Nanos) {
+    fn retain_idempotency_key(&mut self, id: RequestId, lifetime: Nanos) {
         let desk = &mut *self.0.borrow_mut();
         let Some(key) = desk.invs.get(&id).and_then(|inv| inv.key) else {
             return;
         };
         let window = desk.now + lifetime + if key.once { CLOCKS_DIFFER } else { 0 };
         let late = if key.once {
-            desk.start.premises.operations[key.op].client_timeout
+            desk.start.deployment.operations[key.op].client_timeout
         } else {
             0
         };
         desk.cache.remember(desk.now, id, key, window, late);
     }
-    fn forget(&mut self, id: InvId) {
+    fn release_idempotency_key(&mut self, id: RequestId) {
         self.0.borrow_mut().cache.forget(id);
     }
-    fn join(&mut self, id: InvId) {
+    fn coalesce(&mut self, id: RequestId) {
         let desk = &mut *self.0.borrow_mut();
         let Some(inv) = desk.invs.get_mut(&id) else {
             return;
@@ -898,16 +907,16 @@
             None => desk.deferred.push_back(Deferred::JoinEnded(id, None)),
         }
     }
-    fn health(&mut self, good: bool, from_store: bool) {
+    fn set_health(&mut self, good: bool, from_store: bool) {
         self.0.borrow_mut().health = (good, from_store);
     }
-    fn advertise(&mut self, value: f64) {
+    fn report_load(&mut self, value: f64) {
         self.0.borrow_mut().advert = Some(value);
     }
-    fn close_idle(&mut self, after: Nanos) {
+    fn close_idle_connections(&mut self, after: Nanos) {
         self.0.borrow_mut().close_idle(after);
     }
-    fn wake(&mut self, alarm: AlarmId, after: Nanos) {
+    fn set_timer(&mut self, alarm: TimerId, after: Nanos) {
         let desk = &mut *self.0.borrow_mut();
         desk.set_timer(after.saturating_sub(GAUGES_LEAD), Timer::AskGauges);
         desk.set_timer(after, Timer::Alarm(alarm));
--- a/crates/node/src/desk/calls.rs
+++ b/crates/node/src/desk/calls.rs
@@ -4,7 +4,7 @@
 use crate::backend;
 use crate::kernel::Command;
 use crate::outward::{BackendLink, CallNo, Outward, Wants};
-use madderpoint::{CallEnding, InvId, Nanos};
+use madderpoint::{BackendCallOutcome, Nanos, RequestId};
 use madderpoint_shared_state::counts::own;
 use madderpoint_shared_state::{Judge, Mode};
 
@@ -18,7 +18,7 @@
 
 impl<O: Outward> Desk<O> {
     /// The link for a call: rather one that is not silent, then the one with the fewest calls.
-    fn link_for(&self, id: InvId) -> Option<usize> {
+    fn link_for(&self, id: RequestId) -> Option<usize> {
         let mut waiting = [0; BACKEND_LINKS];
         self.invs
             .values()
@@ -29,7 +29,7 @@
         open.min_by_key(|&place| (self.below[place].overtaken >= OVERTAKEN, waiting[place]))
     }
 
-    pub fn call(&mut self, id: InvId, timeout: Nanos) {
+    pub fn call(&mut self, id: RequestId, timeout: Nanos) {
         let Some(inv) = self.invs.get(&id) else {
             return;
         };
@@ -40,7 +40,7 @@
         {
             return self.count("calls of runs that wait for none", 1);
         }
-        let never_ran = Deferred::CallEnded(id, CallEnding::NeverRan);
+        let never_ran = Deferred::CallEnded(id, BackendCallOutcome::NotExecuted);
         if !self.has_backend || inv.call.is_some() {
             return self.deferred.push_back(never_ran);
         }
@@ -55,7 +55,7 @@
             self.counts_own(own::CALLS_REFUSED, 1);
             return self.deferred.push_back(never_ran);
         }
-        let longest = self.start.premises.operations[op.0].client_timeout;
+        let longest = self.start.deployment.operations[op.0].client_timeout;
         let timeout = if timeout == 0 { longest } else { timeout };
         let now = self.now;
         self.start_slowly();
@@ -101,7 +101,7 @@
     }
 
     /// Hands a call, for which there is room below, to a link.
-    fn send_call(&mut self, id: InvId, timeout: Nanos) {
+    fn send_call(&mut self, id: RequestId, timeout: Nanos) {
         let place = self.link_for(id);
         let Some(inv) = self.invs.get_mut(&id) else {
             return;
@@ -132,7 +132,7 @@
             self.call_is_over(&call, false);
         }
         self.deferred
-            .push_back(Deferred::CallEnded(id, CallEnding::NeverRan));
+            .push_back(Deferred::CallEnded(id, BackendCallOutcome::NotExecuted));
     }
 
     /// Has a timer look whether a call that waits has room.
@@ -177,7 +177,7 @@
         }
     }
 
-    pub fn is_current(&self, id: InvId, no: CallNo) -> bool {
+    pub fn is_current(&self, id: RequestId, no: CallNo) -> bool {
         self.invs
             .get(&id)
             .and_then(|inv| inv.call.as_ref())
@@ -185,14 +185,14 @@
     }
 
     /// A call's time is up: how it ended, if it was still in hand.
-    pub fn give_up_call(&mut self, id: InvId, no: CallNo) -> Option<CallEnding> {
+    pub fn give_up_call(&mut self, id: RequestId, no: CallNo) -> Option<BackendCallOutcome> {
         if !self.is_current(id, no) {
             return None;
         }
         let inv = self.invs.get_mut(&id)?;
         let Place::Link(place) = inv.call.as_ref()?.place else {
             self.count("calls that the fleet's budgets had no room for", 1);
-            return Some(CallEnding::NeverRan);
+            return Some(BackendCallOutcome::NotExecuted);
         };
         inv.tainted[place] = true;
         let rid = inv.rid.clone();
@@ -204,7 +204,7 @@
             self.count("back end: connections gone silent", 1);
             self.out.rest(place); // what else waits there would wait in vain
         }
-        Some(CallEnding::Abandoned)
+        Some(BackendCallOutcome::Abandoned)
     }
 
     pub fn cancel(&mut self, rid: &str, place: usize) {
@@ -212,7 +212,7 @@
     }
 
     /// A call was written whole: true if the connection is known to have ended since.
-    pub fn call_written(&mut self, no: CallNo, id: InvId, link: BackendLink) -> bool {
+    pub fn call_written(&mut self, no: CallNo, id: RequestId, link: BackendLink) -> bool {
         if !self.is_current(id, no) {
             return false;
         }
@@ -223,7 +223,7 @@
     }
 
     /// A connection ended; gives the invocations whose calls were written on it and had no reply.
-    pub fn backend_lost(&mut self, link: BackendLink) -> Vec<InvId> {
+    pub fn backend_lost(&mut self, link: BackendLink) -> Vec<RequestId> {
         // One that was retired may end after a newer one.
         let below = &mut self.below[link.place];
         (below.lost, below.overtaken) = (below.lost.max(link.generation + 1), 0);
@@ -255,7 +255,7 @@
     }
 
     /// A reply came: gives the invocation whose call it ends.
-    pub fn replied(&mut self, place: usize, reply: &backend::Reply) -> Option<InvId> {
+    pub fn replied(&mut self, place: usize, reply: &backend::Reply) -> Option<RequestId> {
         let id = self.ids.get(&reply.id).copied();
         self.out.step(
             &reply.id,
@@ -273,7 +273,7 @@
     }
 
     /// A reply came on a link: tells which others are silent.
-    fn heard(&mut self, place: usize, id: Option<InvId>) {
+    fn heard(&mut self, place: usize, id: Option<RequestId>) {
         (self.below[place].heard, self.below[place].overtaken) = (self.next_call, 0);
         let Some(no) = id
             .and_then(|id| self.invs.get(&id)?.call.as_ref())
@@ -296,24 +296,29 @@
     }
 
     /// Takes a call that has ended; gives how long it took.
-    pub fn call_over(&mut self, id: InvId, ending: CallEnding) -> Option<Nanos> {
+    pub fn call_over(&mut self, id: RequestId, ending: BackendCallOutcome) -> Option<Nanos> {
         let inv = self.invs.get_mut(&id)?;
         inv.run.as_ref()?;
         let Some(call) = inv.call.take() else {
             return Some(0);
         };
-        inv.call_failed = ending != CallEnding::Succeeded;
+        inv.call_failed = ending != BackendCallOutcome::Succeeded;
         let latency = self.now - call.since;
         self.call_is_over(
             &call,
-            matches!(ending, CallEnding::Abandoned | CallEnding::MayHaveRun),
+            matches!(
+                ending,
+                BackendCallOutcome::Abandoned | BackendCallOutcome::PossiblyExecuted
+            ),
         );
         if call.link().is_some() {
             let slow = self.slow.is_some_and(|slow| latency > slow);
-            self.judged(|judge, now| judge.ended(now, ending == CallEnding::Succeeded && !slow));
+            self.judged(|judge, now| {
+                judge.ended(now, ending == BackendCallOutcome::Succeeded && !slow)
+            });
             self.counts_own(
                 own::CALLS_FAILED,
-                u64::from(ending != CallEnding::Succeeded),
+                u64::from(ending != BackendCallOutcome::Succeeded),
             );
         }
         Some(latency)
@@ -357,7 +362,7 @@
     }
 
     /// Lets a run go on, with the reply to its call or without one.
-    pub fn resume(&mut self, id: InvId, reply: Option<Vec<u8>>) {
+    pub fn resume(&mut self, id: RequestId, reply: Option<Vec<u8>>) {
         let Some(run) = self.invs.get_mut(&id).and_then(|inv| inv.run.as_mut()) else {
             return;
         };
@@ -367,7 +372,7 @@
     }
 
     /// Sends word to go on, if it was not sent or is `lacking` at the kernel.
-    pub fn resume_again(&mut self, id: InvId, lacking: impl Fn(u64) -> bool) {
+    pub fn resume_again(&mut self, id: RequestId, lacking: impl Fn(u64) -> bool) {
         let Some(inv) = self.invs.get_mut(&id) else {
             return;
         };
--- a/crates/node/src/desk/counting.rs
+++ b/crates/node/src/desk/counting.rs
@@ -4,7 +4,7 @@
 use super::Desk;
 use crate::outward::Outward;
 use crate::request::Head;
-use madderpoint::{DispatcherId, Nanos, OpId};
+use madderpoint::{LoadBalancerId, Nanos, OperationId};
 use madderpoint_shared_state::counts::{self, OWN, Tally, column, heavy, own};
 use madderpoint_shared_state::keyed::number;
 
@@ -49,11 +49,11 @@
     }
 
     /// An invocation was read.
-    pub fn counts_arrival(&mut self, op: OpId, dispatcher: DispatcherId, repeats: bool) {
+    pub fn counts_arrival(&mut self, op: OperationId, dispatcher: LoadBalancerId, repeats: bool) {
         let Some(row) = self.counting.as_ref().map(|counting| counting.rows[op.0]) else {
             return;
         };
-        let value = self.start.premises.operations[op.0].billed_value;
+        let value = self.start.deployment.operations[op.0].priority_weight;
         self.counting(|tally, unix| {
             tally.add(unix, row, column::ARRIVED, 1);
             tally.add(unix, row, column::ASKED, (value * THOUSANDTHS) as u64);
@@ -66,14 +66,18 @@
     }
 
     /// An invocation that arrived was answered so, after so long.
-    pub fn counts_answer(&mut self, op: OpId, status: u16, latency: Nanos) {
+    pub fn counts_answer(&mut self, op: OperationId, status: u16, latency: Nanos) {
         let Some(row) = self.counting.as_ref().map(|counting| counting.rows[op.0]) else {
             return;
         };
-        let operation = &self.start.premises.operations[op.0];
+        let operation = &self.start.deployment.operations[op.0];
         let is_late = latency > operation.latency_objective;
-        let part = if is_late { operation.late_share } else { 1.0 };
-        let earned = (operation.billed_value * part * THOUSANDTHS) as u64;
+        let part = if is_late {
+            operation.late_weight_fraction
+        } else {
+            1.0
+        };
+        let earned = (operation.priority_weight * part * THOUSANDTHS) as u64;
         self.counting(|tally, unix| match status {
             200 => {
                 tally.add(unix, row, column::SUCCEEDED, 1);
@@ -87,7 +91,11 @@
     }
 
     /// An invocation was answered so before the decisions saw it: by a rule, or for its key.
-    pub fn counts_turned_away(&mut self, (op, dispatcher): (OpId, DispatcherId), status: u16) {
+    pub fn counts_turned_away(
+        &mut self,
+        (op, dispatcher): (OperationId, LoadBalancerId),
+        status: u16,
+    ) {
         self.counts_arrival(op, dispatcher, false);
         self.counts_answer(op, status, 0);
     }
--- a/crates/node/src/desk/front.rs
+++ b/crates/node/src/desk/front.rs
@@ -4,7 +4,7 @@
 use crate::fastcgi::{MAX_OPEN, ProtocolStatus, Reply, Request};
 use crate::kernel::Command;
 use crate::outward::{Close, ConnId, Outward};
-use madderpoint::{Advert, InvId, Nanos};
+use madderpoint::{LoadReport, Nanos, RequestId};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
@@ -49,7 +49,7 @@
     }
 
     /// A connection is gone; gives the invocations whose callers left with it.
-    pub fn disconnected(&mut self, conn: ConnId) -> Vec<InvId> {
+    pub fn disconnected(&mut self, conn: ConnId) -> Vec<RequestId> {
         let Some(conn) = self.conns.remove(&conn) else {
             return Vec::new();
         };
@@ -60,13 +60,13 @@
     }
 
     /// The dispatcher no longer waits for a request; gives the invocation whose caller left.
-    pub fn aborted(&mut self, conn: ConnId, id: u16) -> Option<InvId> {
+    pub fn aborted(&mut self, conn: ConnId, id: u16) -> Option<RequestId> {
         let asked = *self.conns.get(&conn)?.open.get(&id)?;
         self.end(conn, id, Reply::end(id, ProtocolStatus::Complete));
         self.let_go(asked)
     }
 
-    fn let_go(&mut self, asked: Asked) -> Option<InvId> {
+    fn let_go(&mut self, asked: Asked) -> Option<RequestId> {
         match asked {
             Asked::Unread => None,
             Asked::Check(mark) => {
@@ -224,15 +224,15 @@
     }
 
     /// The longest pause that dispatchers heed; 0 = they heed none.
-    pub fn longest_pause(&self) -> Nanos {
-        self.start.premises.longest_pause
+    pub fn max_retry_after(&self) -> Nanos {
+        self.start.deployment.max_retry_after
     }
 
     /// Answers what a rule or a limit decided before the decisions saw it. It never ran. The pause
     /// is told where the settings have dispatchers heed one.
     pub fn verdict(&mut self, conn: ConnId, id: u16, status: u16, pause: Nanos, reason: &str) {
         self.turned_away(conn);
-        let pause = pause.min(self.start.premises.longest_pause);
+        let pause = pause.min(self.start.deployment.max_retry_after);
         let mut fields = self.fields() + "Content-Type: text/plain\r\n";
         if pause > 0 && status == 429 {
             fields += &format!("X-Pushback-Ms: {}\r\n", pause.div_ceil(MILLISECOND));
@@ -256,7 +256,7 @@
 
     /// The fields that go with every answer and check.
     pub fn fields(&self) -> String {
-        let told = self.start.premises.advert != Advert::No;
+        let told = self.start.deployment.advert != LoadReport::Disabled;
         self.advert
             .filter(|_| told)
             .map_or_else(String::new, |v| format!("X-Backend-Says: {v:.4}\r\n"))
@@ -301,7 +301,11 @@
     }
 
     pub fn close_idle(&mut self, after: Nanos) {
-        self.idle_after = if after == 0 { self.longest_idle } else { after };
+        self.idle_after = if after == 0 {
+            self.client_idle_timeout
+        } else {
+            after
+        };
         let idle = self.conns.iter().filter(|(_, c)| c.open.is_empty());
         let idle: Vec<_> = idle.map(|(&id, _)| (id, self.idle_until(id))).collect();
         idle.into_iter()
--- a/crates/node/src/desk/runs.rs
+++ b/crates/node/src/desk/runs.rs
@@ -4,7 +4,7 @@
 use crate::config::Moved;
 use crate::kernel::{Command, End};
 use crate::outward::Outward;
-use madderpoint::{Effect, InvId, Nanos};
+use madderpoint::{Idempotency, Nanos, RequestId};
 
 /// How long a link that is to be renewed has to show that all commands arrived.
 const SETTLE: Nanos = 100 * MILLISECOND;
@@ -150,7 +150,7 @@
             let Some(run) = &inv.run else { continue };
             // What may not run twice could have ended this moment, so it is only started if it
             // never was.
-            let again = self.effect(inv.op) == Effect::Idempotent || inv.front.is_none();
+            let again = self.effect(inv.op) == Idempotency::Idempotent || inv.front.is_none();
             let (sent, halted, seen) = (run.sent, run.halted, run.seen);
             if !seen && lacks(sent) {
                 if sent == 0 || again {
@@ -170,7 +170,7 @@
     /// The kernel has not spoken of a run since the link broke on which it was asked for: its
     /// caller is told at once and not at its client timeout. Asked for again when that is over, the
     /// kernel only says whether there is one.
-    pub fn doubt_over(&mut self, id: InvId) {
+    pub fn doubt_over(&mut self, id: RequestId) {
         let silent = |inv: &Invocation| inv.run.as_ref().is_some_and(|run| !run.seen);
         if self.kernel.synced && self.invs.get(&id).is_some_and(silent) {
             self.answer(id, 500, "", Vec::new());
@@ -180,14 +180,14 @@
 
     // ---- Runs ----
 
-    pub fn run(&mut self, id: InvId) {
+    pub fn run(&mut self, id: RequestId) {
         let Some(inv) = self.invs.get(&id) else {
             return;
         };
-        let twice = inv.ran && self.effect(inv.op) != Effect::Idempotent;
+        let twice = inv.ran && self.effect(inv.op) != Idempotency::Idempotent;
         let late = self
             .leaving
-            .is_some_and(|notice| inv.arrived > notice + self.start.premises.drain_grace);
+            .is_some_and(|notice| inv.arrived > notice + self.start.deployment.drain_grace);
         let wanted = inv.front.is_some();
         invariant!(self, !twice, "what must not run twice runs once");
         invariant!(self, !late, "what arrives past the grace does not run");
@@ -195,7 +195,7 @@
         self.start(id);
     }
 
-    fn start(&mut self, id: InvId) {
+    fn start(&mut self, id: RequestId) {
         let Some(inv) = self.invs.get(&id) else {
             return;
         };
@@ -219,13 +219,13 @@
             });
             run.sent = sent;
             inv.asked += u32::from(sent > 0);
-            if self.effect(op) != Effect::Idempotent {
+            if self.effect(op) != Idempotency::Idempotent {
                 self.set_timer(MARK, Timer::AskGauges);
             }
         }
     }
 
-    pub fn halt(&mut self, id: InvId) {
+    pub fn halt(&mut self, id: RequestId) {
         let Some(inv) = self.invs.get(&id) else {
             return;
         };
@@ -246,7 +246,7 @@
         if !self.kernel.synced {
             return; // what happened without a link is told first
         }
-        let timeout = |inv: &Invocation| self.start.premises.operations[inv.op.0].client_timeout;
+        let timeout = |inv: &Invocation| self.start.deployment.operations[inv.op.0].client_timeout;
         let long_over = |inv: &Invocation| {
             inv.front.is_none()
                 && inv.run.is_some()
@@ -265,7 +265,7 @@
     }
 
     /// A run has come to a call.
-    pub fn call_asked(&mut self, rid: &str, no: u64, body: Vec<u8>) -> Option<InvId> {
+    pub fn call_asked(&mut self, rid: &str, no: u64, body: Vec<u8>) -> Option<RequestId> {
         let id = self.ids.get(rid).copied();
         let inv = id
             .and_then(|id| self.invs.get_mut(&id))
@@ -281,7 +281,7 @@
     }
 
     /// A run is over: answers its caller.
-    pub fn reaped(&mut self, rid: &str, end: End, body: Vec<u8>) -> Option<InvId> {
+    pub fn reaped(&mut self, rid: &str, end: End, body: Vec<u8>) -> Option<RequestId> {
         let id = self.ids.get(rid).copied();
         let inv = id
             .and_then(|id| self.invs.get_mut(&id))
@@ -305,7 +305,7 @@
         }
         match end {
             End::Ok => {
-                let fresh = self.start.premises.answer_fresh;
+                let fresh = self.start.deployment.shared_answer_ttl;
                 self.cache.keep(id, &body, self.now + fresh);
                 self.answer(id, 200, "", body);
             }
@@ -317,7 +317,7 @@
     }
 
     /// The kernel did not carry a command out.
-    pub fn einval(&mut self, command: &str, rid: &str) -> Option<InvId> {
+    pub fn einval(&mut self, command: &str, rid: &str) -> Option<RequestId> {
         self.count("kernel: commands not carried out", 1);
         let id = self.ids.get(rid).copied().filter(|_| command == "SCHED")?;
         let inv = self.invs.get_mut(&id)?;
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -28,7 +28,7 @@
 use fleet_link::FleetLink;
 use front::{Order, Orders};
 use kernel_link::KernelLink;
-use madderpoint::{InvId, Nanos};
+use madderpoint::{Nanos, RequestId};
 use std::collections::HashMap;
 use std::fmt;
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
@@ -170,7 +170,7 @@
         &mut self,
         place: usize,
         call: CallNo,
-        id: InvId,
+        id: RequestId,
         bytes: Vec<u8>,
         wanted: Wanted,
     ) -> bool {
--- a/crates/node/src/driver/backend_link.rs
+++ b/crates/node/src/driver/backend_link.rs
@@ -7,7 +7,7 @@
 use crate::log::log;
 use crate::outward::{BackendLink, CallNo, Wanted, Wants};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
-use madderpoint::InvId;
+use madderpoint::RequestId;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -31,7 +31,7 @@
 
 /// What a connection is asked for.
 pub enum Below {
-    Call(CallNo, InvId, Vec<u8>, Wanted),
+    Call(CallNo, RequestId, Vec<u8>, Wanted),
     Cancel(Vec<u8>),
     Rest,
 }
--- a/crates/node/src/driver/backend_link/tests.rs
+++ b/crates/node/src/driver/backend_link/tests.rs
@@ -8,7 +8,7 @@
 use std::net::TcpListener;
 use std::time::Instant;
 
-const ID: InvId = InvId(7);
+const ID: RequestId = RequestId(7);
 /// No socket's buffers take as much.
 const HUGE: usize = 32 << 20;
 
--- a/crates/node/src/idempotency_cache.rs
+++ b/crates/node/src/idempotency_cache.rs
@@ -1,7 +1,7 @@
 //! Keys and results, kept so that like reads can share an answer, and so that what must run once is
 //! known again by its key.
 
-use madderpoint::{InvId, Nanos};
+use madderpoint::{Nanos, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
 /// Keys kept at most, and what one takes in the maps; they may take as much as the results.
@@ -37,7 +37,7 @@
 type Alike = (usize, u64, bool);
 
 struct Entry {
-    id: InvId,
+    id: RequestId,
     key: Key,
     /// What arrived by then repeats it; and until when one of those may still be read.
     window: Nanos,
@@ -49,8 +49,8 @@
 /// Keys of what is open or done, each with the latest invocation that holds it.
 pub struct IdempotencyCache {
     entries: HashMap<Alike, Entry>,
-    keys: HashMap<InvId, Alike>,
-    expiry: BTreeMap<(Nanos, InvId), Alike>,
+    keys: HashMap<RequestId, Alike>,
+    expiry: BTreeMap<(Nanos, RequestId), Alike>,
     bytes: usize,
     most_bytes: usize,
     most_keys: usize,
@@ -73,7 +73,7 @@
 
     /// Remembers a key for an invocation; an older one's entry moves to it. What arrives within the
     /// window repeats it, and is read at most so much later.
-    pub fn remember(&mut self, now: Nanos, id: InvId, key: Key, window: Nanos, late: Nanos) {
+    pub fn remember(&mut self, now: Nanos, id: RequestId, key: Key, window: Nanos, late: Nanos) {
         self.sweep(now);
         let until = window.saturating_add(late);
         let alike = key.alike();
@@ -114,7 +114,7 @@
 
     /// An invocation is over and left no result. What must run once and may have run stays known; a
     /// repeat is told of an error, for nothing says how it went.
-    pub fn over(&mut self, id: InvId, may_have_run: bool) {
+    pub fn over(&mut self, id: RequestId, may_have_run: bool) {
         let entry = self.keys.get(&id).and_then(|key| self.entries.get(key));
         if !entry.is_some_and(|entry| entry.key.once && may_have_run) {
             self.forget(id);
@@ -122,7 +122,7 @@
     }
 
     /// Removes an invocation's entry.
-    pub fn forget(&mut self, id: InvId) {
+    pub fn forget(&mut self, id: RequestId) {
         let Some(key) = self.keys.remove(&id) else {
             return;
         };
@@ -133,7 +133,7 @@
     }
 
     /// The invocation that a new read of this key repeats: one still open, or done and fresh.
-    pub fn original(&mut self, now: Nanos, key: Key) -> Option<InvId> {
+    pub fn original(&mut self, now: Nanos, key: Key) -> Option<RequestId> {
         self.sweep(now);
         let entry = self
             .entries
@@ -147,7 +147,7 @@
     }
 
     /// Keeps the result of a run whose key is remembered.
-    pub fn keep(&mut self, id: InvId, result: &[u8], fresh_until: Nanos) {
+    pub fn keep(&mut self, id: RequestId, result: &[u8], fresh_until: Nanos) {
         let Some(entry) = self.keys.get(&id).and_then(|key| self.entries.get_mut(key)) else {
             return;
         };
@@ -165,7 +165,7 @@
     }
 
     /// The kept result of an invocation.
-    pub fn result(&self, id: InvId) -> Option<&[u8]> {
+    pub fn result(&self, id: RequestId) -> Option<&[u8]> {
         let entry = self.entries.get(self.keys.get(&id)?)?;
         entry.result.as_ref().map(|(result, _)| result.as_slice())
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,5 +1,5 @@
 //! A madderpoint node: dispatchers, the kernel, the back end and the membership service on real
-//! sockets, round the decisions of [`madderpoint::choice`].
+//! sockets, round the decisions of [`madderpoint::admission`].
 //!
 //! [`fastcgi`], [`kernel`], [`backend`] and [`members`] are protocols: fed bytes, they know no
 //! socket, clock or thread. [`core`] is the node without its I/O. [`driver`] has the sockets and
--- a/crates/node/src/outward.rs
+++ b/crates/node/src/outward.rs
@@ -4,7 +4,7 @@
 use crate::company::Word;
 use crate::config::Peers;
 use crate::fastcgi::Reply;
-use madderpoint::{InvId, Nanos};
+use madderpoint::{Nanos, RequestId};
 use std::fmt;
 use std::sync::{Arc, Weak};
 
@@ -75,7 +75,7 @@
         &mut self,
         place: usize,
         call: CallNo,
-        id: InvId,
+        id: RequestId,
         bytes: Vec<u8>,
         wanted: Wanted,
     ) -> bool;
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,8 +1,8 @@
 //! What a FastCGI request asks for: its parameters read in place.
 
 use crate::fastcgi;
-use madderpoint::{DispatcherId, Effect, Nanos, OpId, TenantId};
-use madderpoint_deployment_config::Start;
+use madderpoint::{Idempotency, LoadBalancerId, Nanos, OperationId, TenantId};
+use madderpoint_deployment_config::DeploymentConfig;
 use madderpoint_rules::Facts;
 
 /// The memory that may be booked for one invocation, in KB.
@@ -38,15 +38,15 @@
     /// When it came to the machine, in Unix milliseconds.
     pub arrived_ms: u64,
     /// The operation.
-    pub op: OpId,
+    pub op: OperationId,
     /// The tenant, if the settings name it.
     pub tenant: Option<TenantId>,
     /// The dispatcher.
-    pub dispatcher: DispatcherId,
+    pub dispatcher: LoadBalancerId,
     /// The work to expect, in seconds.
     pub work_hint: Option<f64>,
     /// The memory that is booked while it is held.
-    pub held_kb: f64,
+    pub queued_kb: f64,
     /// What a read is about.
     pub subject: Option<u64>,
     /// The idempotency key of a tokened operation: a repeat bears the same one.
@@ -93,7 +93,11 @@
 }
 
 /// Reads what a request asks for.
-pub fn read(start: &Start, unix_ms: u64, request: &fastcgi::Request) -> Result<Wanted, Rejected> {
+pub fn read(
+    start: &DeploymentConfig,
+    unix_ms: u64,
+    request: &fastcgi::Request,
+) -> Result<Wanted, Rejected> {
     Fields::of(request)?.wanted(start, unix_ms, None)
 }
 
@@ -134,17 +138,17 @@
 
     /// The operation that its path names, and who sent it, as far as they are known: enough to be
     /// counted by.
-    pub fn counted(&self, start: &Start) -> Option<(OpId, DispatcherId)> {
+    pub fn counted(&self, start: &DeploymentConfig) -> Option<(OperationId, LoadBalancerId)> {
         let operation = self.path?.strip_prefix("/call/")?;
         let op = start.operations.iter().position(|name| name == operation)?;
         Some((
-            OpId(op),
-            DispatcherId(self.peer.and_then(|peer| peer.parse().ok()).unwrap_or(0)),
+            OperationId(op),
+            LoadBalancerId(self.peer.and_then(|peer| peer.parse().ok()).unwrap_or(0)),
         ))
     }
 
     /// It as rules see it, but for what only its connection and its parameters as a whole tell.
-    pub fn facts(&self, start: &'a Start) -> Facts<'a> {
+    pub fn facts(&self, start: &'a DeploymentConfig) -> Facts<'a> {
         let path = self.path.unwrap_or_default();
         let operation = path
             .strip_prefix("/call/")
@@ -181,9 +185,9 @@
     /// What is asked for; a rule may have given another operation than the path names.
     pub fn wanted(
         &self,
-        start: &Start,
+        start: &DeploymentConfig,
         unix_ms: u64,
-        ruled: Option<OpId>,
+        ruled: Option<OperationId>,
     ) -> Result<Wanted, Rejected> {
         let path = self.path.ok_or(malformed("no SCRIPT_NAME"))?;
         if path == "/ping" {
@@ -199,7 +203,7 @@
                     .strip_prefix("/call/")
                     .ok_or(Rejected(404, "unknown path"))?;
                 let op = start.operations.iter().position(|name| name == operation);
-                OpId(op.ok_or(Rejected(404, "unknown operation"))?)
+                OperationId(op.ok_or(Rejected(404, "unknown operation"))?)
             }
         };
         if self.method != Some("POST") {
@@ -234,10 +238,10 @@
         if tenant.is_none() && !start.tenants.is_empty() {
             return Err(Rejected(404, "unknown tenant"));
         }
-        let agreed = &start.premises.operations[op.0];
+        let agreed = &start.deployment.operations[op.0];
         let timeout_ms = agreed.client_timeout / 1_000_000;
         // What bears a key that can't be one would run without protection, so it does not run.
-        let token = self.token.filter(|_| agreed.effect == Effect::Tokened);
+        let token = self.token.filter(|_| agreed.effect == Idempotency::Keyed);
         let is_token =
             |t: &str| (1..=TOKEN_MAX).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_graphic());
         if token.is_some_and(|t| !is_token(t)) {
@@ -267,9 +271,9 @@
             arrived_ms: arrived.filter(in_time).ok_or(malformed("X-Arrived-Ms"))?,
             op,
             tenant,
-            dispatcher: DispatcherId(peer.ok_or(malformed("X-Upstream-Peer"))?),
+            dispatcher: LoadBalancerId(peer.ok_or(malformed("X-Upstream-Peer"))?),
             work_hint,
-            held_kb: need
+            queued_kb: need
                 .filter(|&n| n > 0.0 && n < NEED_KB_MAX)
                 .ok_or(malformed("X-Need-Kb"))?,
             subject,
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,7 +1,7 @@
 //! Starts a node from the file that `PROXY_CONFIG` names, and hands it the notice to leave, new
 //! configurations and new settings.
 
-use madderpoint_deployment_config::Start;
+use madderpoint_deployment_config::DeploymentConfig;
 use madderpoint_membership::fleet::Extensions;
 use madderpoint_membership::seal::Keys;
 use madderpoint_node::classify::Sheet;
@@ -42,8 +42,8 @@
 }
 
 /// The names and effects that a configuration's settings have.
-pub fn known(start: &Start) -> Known {
-    let effects = start.premises.operations.iter().map(|o| o.effect);
+pub fn known(start: &DeploymentConfig) -> Known {
+    let effects = start.deployment.operations.iter().map(|o| o.effect);
     Known {
         operations: Some(start.operations.iter().cloned().zip(effects).collect()),
         tenants: Some(start.tenants.clone()),
@@ -141,7 +141,7 @@
     let operations = who.start.operations.clone();
     let objectives = who
         .start
-        .premises
+        .deployment
         .operations
         .iter()
         .map(|of| of.latency_objective)
--- a/crates/settings/src/rulebook.rs
+++ b/crates/settings/src/rulebook.rs
@@ -4,7 +4,7 @@
 use crate::cases::Case;
 use crate::xml::{Element, Text};
 use crate::{Complaint, Place};
-use madderpoint::{Effect, Nanos};
+use madderpoint::{Idempotency, Nanos};
 use madderpoint_rate_limits::{BUCKETS_MAX, Bucket, Rate};
 use madderpoint_rules::{
     AddressSet, Bounds, Error, Field, Problem, RuleSet, Verdict, Vocabulary, Written, address,
@@ -22,7 +22,7 @@
 pub struct Known {
     /// Operations of the settings, in their order, each with whether it may run again; none if any
     /// name goes.
-    pub operations: Option<Vec<(String, Effect)>>,
+    pub operations: Option<Vec<(String, Idempotency)>>,
     /// Tenants of the settings; none if any name goes.
     pub tenants: Option<Vec<String>>,
     /// Bytes that all rules may take.
@@ -559,7 +559,7 @@
 
     /// A key has a meaning only where an operation may be known again by it.
     fn keys(written: &[Written], rules: &[&Element], known: &Known, reading: &mut Reading) {
-        let effects: HashMap<&str, Effect> = known
+        let effects: HashMap<&str, Idempotency> = known
             .operations
             .iter()
             .flatten()
@@ -571,7 +571,7 @@
                 .as_ref()
                 .and_then(|name| effects.get(name.as_str()));
             if rule.key.is_some()
-                && effect == Some(&Effect::NonIdempotent)
+                && effect == Some(&Idempotency::NonIdempotent)
                 && let Some(key) = element.one("give").and_then(|give| give.one("key"))
             {
                 let field = format!("rule '{}' give/key", rule.name);
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Files of settings: what is wrong is told with its place, the schema and the reader know the same
 //! words, and no damage is taken for a file.
 
-use madderpoint::Effect;
+use madderpoint::Idempotency;
 use madderpoint_settings::schema::Schema;
 use madderpoint_settings::{Complaints, Known, SCHEMA, read, xml};
 use madderpoint_shared_state::keyed::KeyKind;
@@ -12,9 +12,9 @@
 
 fn known() -> Known {
     let operations = [
-        ("read", Effect::Idempotent),
-        ("book", Effect::Tokened),
-        ("pay", Effect::NonIdempotent),
+        ("read", Idempotency::Idempotent),
+        ("book", Idempotency::Keyed),
+        ("pay", Idempotency::NonIdempotent),
     ];
     Known {
         operations: Some(operations.map(|(n, e)| (n.to_owned(), e)).to_vec()),
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Speaks the simulator's wire: decodes events into calls on [`Choice`] and encodes what it does.
+//! Speaks the simulator's wire: decodes events into calls on [`AdmissionController`] and encodes what it does.
 
 #![forbid(unsafe_code)]
 
@@ -7,11 +7,12 @@
 mod tests;
 
 use frame::{Fields, Malformed, Reply};
-use madderpoint::choice::Choice;
+use madderpoint::admission::AdmissionController;
 use madderpoint::{
-    AlarmId, Arrival, CallEnding, DispatcherId, Ending, Gauges, Host, InvId, Nanos, OpId, TenantId,
+    Arrival, BackendCallOutcome, ExecutionOutcome, Gauges, Host, LoadBalancerId, Nanos,
+    OperationId, RequestId, TenantId, TimerId,
 };
-use madderpoint_deployment_config::{self as facts, Start};
+use madderpoint_deployment_config::{self as facts, DeploymentConfig};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -45,46 +46,46 @@
 }
 
 impl Host for WireHost {
-    fn run(&mut self, id: InvId) {
+    fn start(&mut self, id: RequestId) {
         self.write(16, &[&id.0.to_be_bytes()]);
     }
-    fn throttle(&mut self, id: InvId, pause: Nanos, last: bool) {
+    fn reject(&mut self, id: RequestId, pause: Nanos, last: bool) {
         self.write(
             17,
             &[&id.0.to_be_bytes(), &seconds(pause), &[u8::from(last)]],
         );
     }
-    fn error(&mut self, id: InvId) {
+    fn fail(&mut self, id: RequestId) {
         self.write(18, &[&id.0.to_be_bytes()]);
     }
-    fn halt(&mut self, id: InvId) {
+    fn stop(&mut self, id: RequestId) {
         self.write(19, &[&id.0.to_be_bytes()]);
     }
-    fn call(&mut self, id: InvId, timeout: Nanos) {
+    fn call_backend(&mut self, id: RequestId, timeout: Nanos) {
         self.write(20, &[&id.0.to_be_bytes(), &seconds(timeout)]);
     }
-    fn skip_call(&mut self, id: InvId) {
+    fn skip_backend_call(&mut self, id: RequestId) {
         self.write(21, &[&id.0.to_be_bytes()]);
     }
-    fn remember(&mut self, id: InvId, lifetime: Nanos) {
+    fn retain_idempotency_key(&mut self, id: RequestId, lifetime: Nanos) {
         self.write(22, &[&id.0.to_be_bytes(), &seconds(lifetime)]);
     }
-    fn forget(&mut self, id: InvId) {
+    fn release_idempotency_key(&mut self, id: RequestId) {
         self.write(23, &[&id.0.to_be_bytes()]);
     }
-    fn join(&mut self, id: InvId) {
+    fn coalesce(&mut self, id: RequestId) {
         self.write(24, &[&id.0.to_be_bytes()]);
     }
-    fn health(&mut self, good: bool, from_store: bool) {
+    fn set_health(&mut self, good: bool, from_store: bool) {
         self.write(25, &[&[u8::from(good), u8::from(from_store)]]);
     }
-    fn advertise(&mut self, value: f64) {
+    fn report_load(&mut self, value: f64) {
         self.write(26, &[&(value as f32).to_be_bytes()]);
     }
-    fn close_idle(&mut self, after: Nanos) {
+    fn close_idle_connections(&mut self, after: Nanos) {
         self.write(27, &[&seconds(after)]);
     }
-    fn wake(&mut self, alarm: AlarmId, after: Nanos) {
+    fn set_timer(&mut self, alarm: TimerId, after: Nanos) {
         self.write(28, &[&alarm.0.to_be_bytes(), &seconds(after)]);
     }
     fn log(&mut self, line: fmt::Arguments<'_>) {
@@ -94,8 +95,8 @@
 
 /// One node's decisions, with what is needed to decode its events.
 struct Instance {
-    choice: Choice<WireHost>,
-    start: Start,
+    admission: AdmissionController<WireHost>,
+    start: DeploymentConfig,
 }
 
 #[derive(Default)]
@@ -106,22 +107,22 @@
     reply: Rc<RefCell<Reply>>,
 }
 
-fn ending(code: u8) -> Option<Ending> {
+fn ending(code: u8) -> Option<ExecutionOutcome> {
     match code {
-        0 => Some(Ending::Succeeded),
-        5 => Some(Ending::Errored),
-        125 => Some(Ending::Cancelled),
-        114 => Some(Ending::Moot),
+        0 => Some(ExecutionOutcome::Succeeded),
+        5 => Some(ExecutionOutcome::Failed),
+        125 => Some(ExecutionOutcome::Cancelled),
+        114 => Some(ExecutionOutcome::NeverStarted),
         _ => None,
     }
 }
 
-fn call_ending(code: u8) -> Option<CallEnding> {
+fn call_ending(code: u8) -> Option<BackendCallOutcome> {
     match code {
-        0 => Some(CallEnding::Succeeded),
-        11 | 111 | 114 => Some(CallEnding::NeverRan),
-        110 | 125 => Some(CallEnding::Abandoned),
-        5 | 104 => Some(CallEnding::MayHaveRun),
+        0 => Some(BackendCallOutcome::Succeeded),
+        11 | 111 | 114 => Some(BackendCallOutcome::NotExecuted),
+        110 | 125 => Some(BackendCallOutcome::Abandoned),
+        5 | 104 => Some(BackendCallOutcome::PossiblyExecuted),
         _ => None,
     }
 }
@@ -133,7 +134,7 @@
 
 impl Instance {
     fn arrival(&self, fields: &mut Fields<'_>) -> Result<Arrival, Malformed> {
-        let id = InvId(fields.u64("Ticket")?);
+        let id = RequestId(fields.u64("Ticket")?);
         let op = usize::from(fields.u8("Kind")?);
         if op >= self.start.operations.len() {
             return Err(fields.malformed("Kind", format!("no class {op}")));
@@ -142,15 +143,15 @@
         let subject = fields.u64("Item")?;
         let time_left = fields.nanos("Remaining")?;
         let work = fields.f64("Work")?;
-        let held_kb = fields.f32("HeldKb")?;
+        let queued_kb = fields.f32("HeldKb")?;
         let _rank = fields.f32("Rank")?;
         let opts = fields.u8("Opts")?;
-        let dispatcher = DispatcherId(fields.u16("OriginPeer")?.into());
+        let dispatcher = LoadBalancerId(fields.u16("OriginPeer")?.into());
         let age = fields.nanos("Lay")?;
-        let repeats = present(fields.u64("Forerunner")?).map(InvId);
+        let repeats = present(fields.u64("Forerunner")?).map(RequestId);
         Ok(Arrival {
             id,
-            op: OpId(op),
+            op: OperationId(op),
             tenant: (tenant < self.start.tenants.len()).then_some(TenantId(tenant)),
             dispatcher,
             has_subject: subject != 0,
@@ -160,7 +161,7 @@
                 None
             },
             work_hint: (opts & 1 != 0 && work > 0.0).then_some(work),
-            held_kb: f64::from(held_kb.max(0.0)),
+            queued_kb: f64::from(queued_kb.max(0.0)),
             age,
             repeats,
         })
@@ -177,35 +178,40 @@
     /// Decodes one event's fields and calls the method for it.
     fn event(&mut self, code: u8, now: Nanos, fields: &mut Fields<'_>) -> Result<(), Malformed> {
         match code {
-            16 => self.choice.caller_left(now, InvId(fields.u64("Ticket")?)),
-            17 => self.choice.drain(now, fields.nanos("Remaining")?),
+            16 => self
+                .admission
+                .on_client_cancelled(now, RequestId(fields.u64("Ticket")?)),
+            17 => self.admission.start_drain(now, fields.nanos("Remaining")?),
             18 => {
-                let id = InvId(fields.u64("Ticket")?);
+                let id = RequestId(fields.u64("Ticket")?);
                 let reason = fields.u8("Reason")?;
                 let ending = call_ending(reason).ok_or_else(|| {
                     fields.malformed("Reason", format!("unknown outcome {reason}"))
                 })?;
-                self.choice
-                    .call_ended(now, id, ending, fields.nanos("Latency")?);
+                self.admission
+                    .on_backend_call_ended(now, id, ending, fields.nanos("Latency")?);
             }
             21 => {
-                let alarm = AlarmId(fields.u64("KeyBack")?);
+                let alarm = TimerId(fields.u64("KeyBack")?);
                 let gauges = self.read_gauges(fields)?;
-                self.choice.alarm(now, alarm, gauges);
+                self.admission.on_timer(now, alarm, gauges);
             }
             22 => {
-                let id = InvId(fields.u64("Ticket")?);
+                let id = RequestId(fields.u64("Ticket")?);
                 let reason = fields.u8("Reason")?;
                 let ending = ending(reason).ok_or_else(|| {
                     fields.malformed("Reason", format!("unknown outcome {reason}"))
                 })?;
-                self.choice.ended(now, id, ending, fields.nanos("Latency")?);
+                self.admission
+                    .on_execution_ended(now, id, ending, fields.nanos("Latency")?);
             }
             23 => {
                 let arrival = self.arrival(fields)?;
-                self.choice.arrive(now, arrival);
+                self.admission.on_arrival(now, arrival);
             }
-            _ => self.choice.needs_call(now, InvId(fields.u64("Ticket")?)),
+            _ => self
+                .admission
+                .on_backend_call_needed(now, RequestId(fields.u64("Ticket")?)),
         }
         Ok(())
     }
@@ -244,9 +250,9 @@
             let len = fields.u32("Facts")? as usize;
             let text = fields.bytes("Facts", len)?;
             let start = facts::decode(text).map_err(|what| fields.malformed("Facts", what))?;
-            let choice = Choice::new(now, host, start.premises.clone(), seed);
+            let admission = AdmissionController::new(now, host, start.deployment.clone(), seed);
             self.instances
-                .insert(number, Some(Instance { choice, start }));
+                .insert(number, Some(Instance { admission, start }));
             return Ok(());
         }
         let Some(instance) = self.instances.get_mut(&number) else {
--- a/src/choice.rs
+++ b/src/admission.rs
@@ -1,7 +1,7 @@
-//! All decisions of a node. The host calls one method of [`Choice`] for each thing that happens
-//! ([`arrive`](Choice::arrive), [`ended`](Choice::ended), [`needs_call`](Choice::needs_call),
-//! [`call_ended`](Choice::call_ended), [`caller_left`](Choice::caller_left),
-//! [`drain`](Choice::drain), [`alarm`](Choice::alarm)) with the time; decisions come back at once
+//! All decisions of a node. The host calls one method of [`AdmissionController`] for each thing that happens
+//! ([`on_arrival`](AdmissionController::on_arrival), [`on_execution_ended`](AdmissionController::on_execution_ended), [`on_backend_call_needed`](AdmissionController::on_backend_call_needed),
+//! [`on_backend_call_ended`](AdmissionController::on_backend_call_ended), [`on_client_cancelled`](AdmissionController::on_client_cancelled),
+//! [`start_drain`](AdmissionController::start_drain), [`on_timer`](AdmissionController::on_timer)) with the time; decisions come back at once
 //! through [`Host`] (`src/lib.rs`).
 //!
 //! The ordinary path is Dynamic Beta RED (`docs/design.md`): each arrival moves q_avg and is
@@ -50,8 +50,8 @@
 const CALL_TRIES: u8 = 3;
 const CALL_PATIENCE: f64 = 16.0;
 
-const TICK: AlarmId = AlarmId(1);
-const DUE: AlarmId = AlarmId(2);
+const TICK: TimerId = TimerId(1);
+const DUE: TimerId = TimerId(2);
 
 /// An operation as agreed, and what its runs have shown.
 struct Row {
@@ -74,7 +74,7 @@
 
 /// An invocation in hand: read, and neither answered and gone nor stopped.
 struct Invocation {
-    id: InvId,
+    id: RequestId,
     op: usize,
     tenant: Option<usize>,
     arrived: Nanos,
@@ -121,16 +121,16 @@
 }
 
 /// The decisions of one node.
-pub struct Choice<H: Host> {
+pub struct AdmissionController<H: Host> {
     host: H,
-    site: Premises,
+    site: Deployment,
     rows: Vec<Row>,
     /// Of each tenant: arrivals since the last update, and a second.
     tenants: Vec<(f64, f64)>,
     rng: Pcg64Mcg,
     born: Nanos,
     in_hand: Slab<Invocation>,
-    places: HashMap<InvId, usize>,
+    places: HashMap<RequestId, usize>,
     hold: Vec<usize>,
     running: usize,
     /// Runs that are at a call or wait for one, and calls in hand.
@@ -176,11 +176,11 @@
     };
 }
 
-impl<H: Host> Choice<H> {
+impl<H: Host> AdmissionController<H> {
     /// Starts a node's decisions at `now`; chance comes from `seed` alone.
-    pub fn new(now: Nanos, mut host: H, site: Premises, seed: u64) -> Self {
-        host.health(true, true);
-        host.wake(TICK, T_UPDATE);
+    pub fn new(now: Nanos, mut host: H, site: Deployment, seed: u64) -> Self {
+        host.set_health(true, true);
+        host.set_timer(TICK, T_UPDATE);
         let cores = site.cores as f64;
         let row = |agreed: &Operation| Row {
             agreed: agreed.clone(),
@@ -188,7 +188,7 @@
             brisk: 0.0,
             call: 0.0,
         };
-        let mut choice = Choice {
+        let mut controller = AdmissionController {
             host,
             rows: site.operations.iter().map(row).collect(),
             tenants: vec![(0.0, 0.0); site.tenants.len()],
@@ -222,12 +222,12 @@
             mode: Mode::Calm,
             site,
         };
-        choice.measure_capacity();
-        choice
+        controller.measure_capacity();
+        controller
     }
 
     /// An invocation was read.
-    pub fn arrive(&mut self, now: Nanos, arrival: Arrival) {
+    pub fn on_arrival(&mut self, now: Nanos, arrival: Arrival) {
         let Arrival {
             id,
             work_hint,
@@ -239,15 +239,15 @@
         let timeout = arrival
             .time_left
             .map_or(arrived + agreed.client_timeout, |left| now + left);
-        let own_work = (work_hint.unwrap_or(0.0) * agreed.objective_stretch * 1e9) as Nanos;
+        let own_work = (work_hint.unwrap_or(0.0) * agreed.objective_per_work * 1e9) as Nanos;
         let due = timeout
             .min(self.stop.map_or(Nanos::MAX, |(_, stop)| stop))
             .saturating_sub(MOMENT);
-        let window = agreed.repeat_window.max(self.site.answer_fresh);
-        let shares = self.site.answer_fresh > 0
+        let window = agreed.idempotency_window.max(self.site.shared_answer_ttl);
+        let shares = self.site.shared_answer_ttl > 0
             && arrival.has_subject
-            && agreed.effect == Effect::Idempotent;
-        let keyed = repeats.is_none() && (shares || agreed.effect == Effect::Tokened);
+            && agreed.effect == Idempotency::Idempotent;
+        let keyed = repeats.is_none() && (shares || agreed.effect == Idempotency::Keyed);
         let place = self.in_hand.insert(Invocation {
             id,
             op: arrival.op.0,
@@ -255,7 +255,7 @@
             arrived,
             objective: (arrived + agreed.latency_objective + own_work).min(timeout),
             due,
-            kb: arrival.held_kb,
+            kb: arrival.queued_kb,
             size: work_hint.unwrap_or(1.0),
             stage: if repeats.is_some() {
                 Stage::Joining
@@ -266,8 +266,8 @@
             failed_calls: 0,
         });
         self.places.insert(id, place);
-        self.ledger_kb += arrival.held_kb;
-        learn(&mut self.typical_kb, arrival.held_kb, LEARN);
+        self.ledger_kb += arrival.queued_kb;
+        learn(&mut self.typical_kb, arrival.queued_kb, LEARN);
         if let Some(t) = arrival.tenant {
             self.tenants[t.0].0 += 1.0;
         }
@@ -278,17 +278,23 @@
             || self
                 .stop
                 .is_some_and(|(n, _)| arrived > n + self.site.drain_grace);
-        if too_late || !self.memory_fits(if keyed { self.site.key_kb } else { 0.0 }) {
+        if too_late
+            || !self.memory_fits(if keyed {
+                self.site.idempotency_key_kb
+            } else {
+                0.0
+            })
+        {
             return self.turn_away(now, place);
         }
         self.arm(now, due);
         if repeats.is_some() {
-            return self.host.join(id);
+            return self.host.coalesce(id);
         }
         if keyed {
             // Before the run, so that a repeat bears the mark from here on; the window counts from
             // arrival.
-            self.host.remember(id, window);
+            self.host.retain_idempotency_key(id, window);
             self.keys.push(Reverse(now + window));
         }
         self.hold.push(place);
@@ -302,14 +308,20 @@
     }
 
     /// A run or a join ended; where it succeeded or errored, the caller was told.
-    pub fn ended(&mut self, now: Nanos, id: InvId, ending: Ending, latency: Nanos) {
+    pub fn on_execution_ended(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        ending: ExecutionOutcome,
+        latency: Nanos,
+    ) {
         let Some(&place) = self.places.get(&id) else {
             return;
         };
         let inv = &self.in_hand[place];
         if inv.stage == Stage::Calling {
             self.book_call(now, true, latency);
-        } else if ending == Ending::Succeeded && inv.stage == Stage::Running {
+        } else if ending == ExecutionOutcome::Succeeded && inv.stage == Stage::Running {
             let row = &mut self.rows[inv.op];
             let pace = seconds(latency) / inv.size;
             learn(&mut row.pace, pace, LEARN);
@@ -322,9 +334,9 @@
             self.stretch = (self.stretch.0 + 1.0, self.stretch.1 + pace / row.brisk);
             self.red.done[self.red.update / C_UPDATES] += 1.0;
         }
-        if ending == Ending::Cancelled && !self.in_hand[place].over {
+        if ending == ExecutionOutcome::Cancelled && !self.in_hand[place].over {
             // Stopped though its caller waits: what must not run twice cannot be taken up again.
-            self.host.error(id);
+            self.host.fail(id);
         }
         self.remove(place);
         self.fill(now);
@@ -332,7 +344,7 @@
     }
 
     /// A running invocation has come to a call below.
-    pub fn needs_call(&mut self, now: Nanos, id: InvId) {
+    pub fn on_backend_call_needed(&mut self, now: Nanos, id: RequestId) {
         let Some(&place) = self.places.get(&id) else {
             return;
         };
@@ -344,7 +356,13 @@
     }
 
     /// A call below ended.
-    pub fn call_ended(&mut self, now: Nanos, id: InvId, ending: CallEnding, latency: Nanos) {
+    pub fn on_backend_call_ended(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        ending: BackendCallOutcome,
+        latency: Nanos,
+    ) {
         let Some(&place) = self.places.get(&id) else {
             return;
         };
@@ -353,8 +371,8 @@
             return;
         }
         let row = &mut self.rows[inv.op];
-        let failed = ending != CallEnding::Succeeded;
-        if !failed || ending == CallEnding::Abandoned {
+        let failed = ending != BackendCallOutcome::Succeeded;
+        if !failed || ending == BackendCallOutcome::Abandoned {
             learn(&mut row.call, seconds(latency), LEARN);
         }
         inv.stage = if failed {
@@ -364,18 +382,19 @@
         };
         inv.failed_calls += u8::from(failed);
         // Only what is known not to have run below, or may run twice, is called again.
-        let repeatable = row.agreed.effect == Effect::Idempotent || ending == CallEnding::NeverRan;
+        let repeatable = row.agreed.effect == Idempotency::Idempotent
+            || ending == BackendCallOutcome::NotExecuted;
         // And the less often the more calls fail: tries that all nodes repeat would keep below what
         // is down.
         let spent = inv.failed_calls >= CALL_TRIES || !repeatable;
         let tired = spent || self.rng.random::<f64>() < self.below_failed;
-        let skippable = row.agreed.share_without_call > 0.0;
+        let skippable = row.agreed.weight_fraction_without_call > 0.0;
         let retry = failed && !inv.over;
         self.below_failed += LEARN / 2.0 * (f64::from(u8::from(failed)) - self.below_failed);
         self.away -= usize::from(!failed);
-        self.book_call(now, ending == CallEnding::Abandoned, latency);
+        self.book_call(now, ending == BackendCallOutcome::Abandoned, latency);
         if retry {
-            match self.site.below == Below::Shared {
+            match self.site.below == Downstream::SharedService {
                 shared if skippable && (tired || shared) => self.skip_call(place),
                 _ if tired => self.give_up(place),
                 true => {} // not to be hammered: the next try waits for the next update
@@ -386,13 +405,13 @@
     }
 
     /// The caller of an invocation no longer waits.
-    pub fn caller_left(&mut self, now: Nanos, id: InvId) {
+    pub fn on_client_cancelled(&mut self, now: Nanos, id: RequestId) {
         let Some(&place) = self.places.get(&id) else {
             return;
         };
         match self.in_hand[place].stage {
             Stage::Held => {
-                self.host.forget(id); // it never ran: its repeat is to run, not to wait for it
+                self.host.release_idempotency_key(id); // it never ran: its repeat is to run, not to wait for it
                 self.remove(place);
             }
             Stage::Joining => self.remove(place),
@@ -402,24 +421,24 @@
     }
 
     /// The node will be stopped after `left`.
-    pub fn drain(&mut self, now: Nanos, left: Nanos) {
+    pub fn start_drain(&mut self, now: Nanos, left: Nanos) {
         self.stop = Some((now, now + left));
         let last = (now + left).saturating_sub(MOMENT);
         self.in_hand
             .iter_mut()
             .for_each(|(_, inv)| inv.due = inv.due.min(last));
         self.arm(now, last);
-        self.host.health(false, true);
+        self.host.set_health(false, true);
         self.advertise(now);
         self.enter(Mode::Draining);
     }
 
     /// A timer expired; `gauges` are the node's of this moment.
-    pub fn alarm(&mut self, now: Nanos, alarm: AlarmId, gauges: Gauges) {
+    pub fn on_timer(&mut self, now: Nanos, alarm: TimerId, gauges: Gauges) {
         if alarm == DUE {
             self.answer_due(now);
         } else {
-            self.host.wake(TICK, T_UPDATE);
+            self.host.set_timer(TICK, T_UPDATE);
             self.watch_memory(now, &gauges);
             self.steer_running(&gauges);
             self.measure_capacity();
@@ -525,7 +544,7 @@
         }
         self.limit = self
             .limit
-            .clamp(cores, cores * self.site.crowd_per_core.max(1.0));
+            .clamp(cores, cores * self.site.max_runnable_per_core.max(1.0));
     }
 
     // ---- What is held, and who bears a refusal ----
@@ -534,7 +553,7 @@
     /// tenant's share bears no mark, so all of that tenant's counts in proportion.
     fn merit(&self, place: usize) -> f64 {
         let inv = &self.in_hand[place];
-        let length = if self.site.billed_by_work {
+        let length = if self.site.weighted_by_work {
             1.0
         } else {
             self.length(place).max(1e-3)
@@ -543,8 +562,8 @@
             let rate = self.tenants[t].1 * self.site.nodes as f64;
             (self.site.tenants[t].quota_per_s / rate).min(1.0)
         });
-        self.rows[inv.op].agreed.billed_value / length
-            * (within + (1.0 - within) * self.site.over_share_value)
+        self.rows[inv.op].agreed.priority_weight / length
+            * (within + (1.0 - within) * self.site.over_quota_weight_fraction)
     }
 
     fn length(&self, place: usize) -> f64 {
@@ -562,7 +581,7 @@
         };
         match now + (expected * 1e9) as Nanos {
             end if end > inv.due => 0.0,
-            end if end > inv.objective => self.rows[inv.op].agreed.late_share,
+            end if end > inv.objective => self.rows[inv.op].agreed.late_weight_fraction,
             _ => 1.0,
         }
     }
@@ -615,21 +634,21 @@
             self.ledger_kb += kb;
             self.running += 1;
             self.in_hand[place].stage = Stage::Running;
-            self.host.run(self.in_hand[place].id);
+            self.host.start(self.in_hand[place].id);
         }
     }
 
     /// The most runs that the cores survive if all that waits for disk or calls comes back at once;
     /// a cold node is taken to warm as slowly as it may.
     fn crowd_limit(&self, now: Nanos) -> usize {
-        let since = (now - self.born) as f64 / self.site.warm_after.max(1) as f64;
+        let since = (now - self.born) as f64 / self.site.warm_up_time.max(1) as f64;
         let lack = if self.site.cold {
-            (1.0 - self.site.cold_speed) * (1.0 - since.min(1.0))
+            (1.0 - self.site.cold_speed_fraction) * (1.0 - since.min(1.0))
         } else {
             0.0
         };
         let crowd =
-            self.site.cores as f64 * (1.0 + (self.site.crowd_per_core - 1.0) * (1.0 - lack));
+            self.site.cores as f64 * (1.0 + (self.site.max_runnable_per_core - 1.0) * (1.0 - lack));
         ((crowd * SAFE) as usize).max(1)
     }
 
@@ -638,14 +657,14 @@
         self.tally.turned += self.merit(place);
         let inv = &self.in_hand[place];
         if inv.stage == Stage::Joining {
-            self.host.error(inv.id); // what it repeats may have run
+            self.host.fail(inv.id); // what it repeats may have run
         } else {
             // Neither lateness nor an overload that the advert speaks of is cured by asking the
             // next node.
             let last = now >= inv.objective || self.shed > SHED_GOAL && self.fleet_full();
-            let pause = self.site.longest_pause as f64 * self.held_back(now);
-            self.host.throttle(inv.id, pause as Nanos, last);
-            self.host.forget(inv.id);
+            let pause = self.site.max_retry_after as f64 * self.held_back(now);
+            self.host.reject(inv.id, pause as Nanos, last);
+            self.host.release_idempotency_key(inv.id);
         }
         self.remove(place);
     }
@@ -680,13 +699,13 @@
     fn arm(&mut self, now: Nanos, due: Nanos) {
         if due < self.next_due {
             self.next_due = due;
-            self.host.wake(DUE, due.saturating_sub(now));
+            self.host.set_timer(DUE, due.saturating_sub(now));
         }
     }
 
     /// Answers with an error what has started.
     fn give_up(&mut self, place: usize) {
-        self.host.error(self.in_hand[place].id);
+        self.host.fail(self.in_hand[place].id);
         match self.in_hand[place].stage {
             Stage::Joining => self.remove(place),
             _ => self.abandon(place),
@@ -699,9 +718,12 @@
         inv.over = true;
         // A repeat within the window is served from what a tokened run brings; stopped, it could
         // only err.
-        let lost_for_good = self.rows[inv.op].agreed.effect == Effect::Tokened;
-        if inv.stage == Stage::Running && self.site.halt != Halt::No && !lost_for_good {
-            self.host.halt(inv.id);
+        let lost_for_good = self.rows[inv.op].agreed.effect == Idempotency::Keyed;
+        if inv.stage == Stage::Running
+            && self.site.halt != Preemption::Unsupported
+            && !lost_for_good
+        {
+            self.host.stop(inv.id);
         }
     }
 
@@ -721,7 +743,7 @@
     }
 
     fn keys_kb(&self) -> f64 {
-        self.keys.len() as f64 * self.site.key_kb
+        self.keys.len() as f64 * self.site.idempotency_key_kb
     }
 
     fn memory_fits(&self, more_kb: f64) -> bool {
@@ -776,7 +798,7 @@
         };
         let row = &self.rows[inv.op];
         let (skip, usual) = (
-            row.agreed.share_without_call > 0.0,
+            row.agreed.weight_fraction_without_call > 0.0,
             (row.call * 1e9) as Nanos,
         );
         let mut time = if skip {
@@ -784,22 +806,25 @@
         } else {
             inv.due.saturating_sub(now)
         };
-        if row.call > 0.0 && (skip || row.agreed.effect == Effect::Idempotent) {
+        if row.call > 0.0 && (skip || row.agreed.effect == Idempotency::Idempotent) {
             // A call that hangs must not hold its run; but giving it up before it lingers spares
             // nothing.
-            time = time.min(self.site.call_linger + (CALL_PATIENCE * row.call * 1e9) as Nanos);
+            time = time
+                .min(self.site.abandoned_call_linger + (CALL_PATIENCE * row.call * 1e9) as Nanos);
         }
-        let share = self.site.call_share;
-        if self.site.below == Below::Shared {
+        let share = self.site.downstream_call_limit;
+        if self.site.below == Downstream::SharedService {
             let owed = self.calls_owed_until.saturating_sub(now) as f64;
-            let all = share / 2.0 * (self.site.call_span as f64 - owed);
-            time =
-                time.min(((all / share.max(1.0)) as Nanos).saturating_sub(self.site.call_linger));
+            let all = share / 2.0 * (self.site.downstream_call_window as f64 - owed);
+            time = time.min(
+                ((all / share.max(1.0)) as Nanos).saturating_sub(self.site.abandoned_call_linger),
+            );
         }
-        let room = self.site.below != Below::Shared || self.calls < share.max(1.0) as usize;
+        let room =
+            self.site.below != Downstream::SharedService || self.calls < share.max(1.0) as usize;
         if room && time > usual {
             self.calls += 1;
-            self.host.call(inv.id, time);
+            self.host.call_backend(inv.id, time);
             self.in_hand[place].stage = Stage::Calling;
         } else if skip && (waited || self.away - self.calls > self.site.cores) {
             self.skip_call(place);
@@ -809,21 +834,26 @@
     /// A call left what lies below, at once or after lingering there.
     fn book_call(&mut self, now: Nanos, abandoned: bool, latency: Nanos) {
         self.calls -= 1;
-        let used = (latency + if abandoned { self.site.call_linger } else { 0 }) as f64;
-        let owed = used * 2.0 / self.site.call_share.max(1e-6);
+        let used = (latency
+            + if abandoned {
+                self.site.abandoned_call_linger
+            } else {
+                0
+            }) as f64;
+        let owed = used * 2.0 / self.site.downstream_call_limit.max(1e-6);
         self.calls_owed_until = self.calls_owed_until.max(now) + owed as Nanos;
     }
 
     fn skip_call(&mut self, place: usize) {
         self.in_hand[place].stage = Stage::Running;
         self.away -= 1;
-        self.host.skip_call(self.in_hand[place].id);
+        self.host.skip_backend_call(self.in_hand[place].id);
     }
 
     // ---- Signals ----
 
     /// Walks the share of traffic that the advert holds back: up while more than the goal is turned
-    /// away, down while cores show room. Advert and refusal thus follow the same mechanism.
+    /// away, down while cores show room. LoadReport and refusal thus follow the same mechanism.
     fn steer_traffic(&mut self, now: Nanos) {
         if self.busy < FULL {
             self.shed *= 1.0 - LEARN;
@@ -842,12 +872,12 @@
         self.advertise(now);
         // Idle connections take places and capacity: they are kept if dispatchers mostly come back
         // to them.
-        let come_back =
-            self.red.feed * seconds(self.site.longest_idle) / self.site.dispatchers.max(1) as f64;
+        let come_back = self.red.feed * seconds(self.site.client_idle_timeout)
+            / self.site.dispatchers.max(1) as f64;
         if self.keeps_idle && come_back < 0.7 || !self.keeps_idle && come_back > 1.4 {
             self.keeps_idle = !self.keeps_idle;
-            self.host.close_idle(if self.keeps_idle {
-                self.site.longest_idle
+            self.host.close_idle_connections(if self.keeps_idle {
+                self.site.client_idle_timeout
             } else {
                 MOMENT
             });
@@ -868,13 +898,13 @@
     fn advertise(&mut self, now: Nanos) {
         let shed = self.held_back(now);
         let value = match self.site.advert {
-            Advert::No => return,
-            Advert::Level => shed,
-            Advert::Weight => 1.0 - shed,
-            Advert::Credit if shed == 1.0 => 0.0,
-            Advert::Credit => (self.limit + self.red.q_target).powf(1.0 - shed),
+            LoadReport::Disabled => return,
+            LoadReport::SheddingLevel => shed,
+            LoadReport::Weight => 1.0 - shed,
+            LoadReport::Credit if shed == 1.0 => 0.0,
+            LoadReport::Credit => (self.limit + self.red.q_target).powf(1.0 - shed),
         };
-        self.host.advertise(value);
+        self.host.report_load(value);
     }
 
     fn enter(&mut self, mode: Mode) {
@@ -885,7 +915,7 @@
             buffer,
             ..
         } = self.red;
-        let Choice {
+        let AdmissionController {
             running,
             limit,
             busy,
