--- /dev/null
+++ b/crates/fleet/tests/golden.rs
@@ -0,0 +1,188 @@
+//! The datagrams as recorded in `golden/datagrams.hex`: wire formats must stay byte for byte alike. A line there is the name of
+//! a message, whether it is plain or sealed, and its bytes.
+
+#![cfg(not(feature = "later"))] // a later version's messages differ on purpose
+
+use madderpoint_fleet::member::{Details, Life, Part, Phase};
+use madderpoint_fleet::seal::{Keys, Seal};
+use madderpoint_fleet::wire::{Count, Datagram, Happened, News, Range, Report, Summary, kind};
+use prost::Message;
+use std::net::SocketAddr;
+
+const RECORDED: &str = include_str!("golden/datagrams.hex");
+const UNIX_MS: u64 = 1_800_000_000_123;
+const SENDER: Life = Life(0x0102_0304_0506_0708);
+
+fn seal(life: Life) -> Seal {
+    let keys = Keys::new(&[(0..32).collect(), vec![0xa5; 16]]).unwrap();
+    Seal::new("golden", keys, life, 600_000_000_000, 9)
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+}
+
+fn details(address: &str, phase: Phase) -> Details {
+    let parts = vec![
+        Part { id: 21, version: 22, bytes: vec![23, 24] },
+        Part { id: 25, version: 26, bytes: vec![27, 28, 29] },
+    ];
+    let address: SocketAddr = address.parse().unwrap();
+    Details::new(address, "zone-a", phase, "1.2.3", (3, 4), (500, 0x0600_0000_0000_0007), parts).unwrap()
+}
+
+fn news() -> Vec<News> {
+    let v4 = details("192.0.2.1:7946", Phase::Draining);
+    let v6 = details("[2001:db8::7]:7947", Phase::Serving);
+    let full = News {
+        key: 0x1112_1314_1516_1718,
+        birth: 1_700_000_000_001,
+        life: 0x2122_2324_2526_2728,
+        bump: 31,
+        status: 1,
+        revision: 32,
+        name: "node-1".into(),
+        told: v4.raw().to_vec(),
+        by: 0x3132_3334_3536_3738,
+    };
+    let other = News { key: 41, status: 3, name: "node-2".into(), told: v6.raw().to_vec(), ..full.clone() };
+    let brief = News { key: 42, status: 2, name: String::new(), told: vec![], by: 0, ..full.clone() };
+    vec![full, other, brief]
+}
+
+fn report() -> Report {
+    Report {
+        name: "node-3".into(),
+        size: 51,
+        low: 52,
+        high: 53,
+        unsure_ms: 54_000,
+        doubt: 55,
+        suspects: 56,
+        dead: 57,
+        zone: "zone-b".into(),
+        mute: true,
+        counts: vec![
+            Count { what: "first".into(), times: 58 },
+            Count { what: "second".into(), times: 1 << 40 },
+        ],
+        changes: vec![Happened { unix_ms: 1_700_000_000_059, line: "node-1 left".into() }],
+    }
+}
+
+/// All fields that any kind has.
+fn full() -> Datagram {
+    Datagram {
+        from: 0x6162_6364_6566_6768,
+        kind: 99,
+        no: 61,
+        target: 0x7172_7374_7576_7778,
+        digest: 0x8182_8384_8586_8788,
+        news: news(),
+        pulses: (1..=16).collect(),
+        summaries: vec![
+            Summary { from: 62, to: u64::MAX, digests: (101..=116).collect() },
+            Summary { from: 63, to: 64, digests: (117..=124).collect() },
+        ],
+        covered: vec![Range { from: 65, to: 66 }, Range { from: 67, to: u64::MAX - 1 }],
+        wants: vec![68, 0x9192_9394_9596_9798],
+        report: Some(report()),
+        cursor: 69,
+        topic: 70,
+        parcel: b"parcel".to_vec(),
+    }
+}
+
+/// A message of each kind with the fields that it uses, and one with all fields.
+fn messages() -> Vec<(&'static str, Datagram)> {
+    let all = full();
+    let base = Datagram { from: all.from, no: all.no, digest: all.digest, ..Datagram::default() };
+    let heard = |kind| Datagram { kind, news: all.news.clone(), pulses: all.pulses.clone(), ..base.clone() };
+    let parcel = |kind| Datagram { kind, topic: all.topic, parcel: all.parcel.clone(), ..base.clone() };
+    vec![
+        ("ping", Datagram { target: all.target, ..heard(kind::PING) }),
+        ("ack", Datagram { target: all.target, ..heard(kind::ACK) }),
+        ("ask", Datagram { target: all.target, ..heard(kind::ASK) }),
+        ("nack", Datagram { target: all.target, ..heard(kind::NACK) }),
+        ("gossip", heard(kind::GOSSIP)),
+        ("summary", Datagram { kind: kind::SUMMARY, summaries: all.summaries.clone(), ..base.clone() }),
+        ("headers", Datagram { covered: all.covered.clone(), ..heard(kind::HEADERS) }),
+        ("entries", Datagram { wants: all.wants.clone(), ..heard(kind::ENTRIES) }),
+        ("show", Datagram { kind: kind::SHOW, cursor: all.cursor, topic: all.topic, ..base.clone() }),
+        ("page", Datagram { report: all.report.clone(), cursor: all.cursor, topic: 0, ..heard(kind::PAGE) }),
+        ("parcel", parcel(kind::PARCEL)),
+        ("order", Datagram { from: 0, ..parcel(kind::ORDER) }),
+        ("ordered", parcel(kind::ORDERED)),
+        ("full", all),
+    ]
+}
+
+/// The lines that the messages come to today.
+fn lines() -> Vec<String> {
+    let mut sender = seal(SENDER);
+    let mut lines = Vec::new();
+    for (name, datagram) in messages() {
+        let plain = datagram.encode_to_vec();
+        lines.push(format!("{name} plain {}", hex(&plain)));
+        lines.push(format!("{name} sealed {}", hex(&sender.seal(UNIX_MS, &plain))));
+    }
+    lines
+}
+
+/// The recorded bytes of all messages, plain or sealed.
+fn recorded(form: &str) -> Vec<(&'static str, Vec<u8>)> {
+    let parts = RECORDED.lines().map(|line| line.split(' ').collect::<Vec<_>>());
+    parts.filter(|parts| parts[1] == form).map(|parts| (parts[0], unhex(parts[2]))).collect()
+}
+
+#[test]
+fn each_message_encodes_to_the_recorded_bytes() {
+    let lines = lines();
+    let is_recorded = RECORDED.lines().eq(lines.iter().map(String::as_str));
+    assert!(is_recorded, "not as recorded; the messages are now:\n{}\n", lines.join("\n"));
+}
+
+#[test]
+fn each_kind_is_recorded_once() {
+    let kinds: Vec<u32> = messages().iter().map(|(_, datagram)| datagram.kind).collect();
+    assert_eq!(kinds, (kind::PING..=kind::ORDERED).chain([99]).collect::<Vec<_>>());
+}
+
+#[test]
+fn the_recorded_bytes_decode_to_each_message() {
+    let (recorded, messages) = (recorded("plain"), messages());
+    assert_eq!(recorded.len(), messages.len());
+    for ((name, bytes), message) in recorded.iter().zip(messages) {
+        let decoded = Datagram::decode(&bytes[..]).unwrap();
+        assert_eq!((*name, &decoded), (message.0, &message.1));
+        assert_eq!(hex(&decoded.encode_to_vec()), hex(bytes), "{name}");
+    }
+}
+
+#[test]
+fn the_recorded_sealed_bytes_open_to_the_plain_ones() {
+    let (plain, sealed) = (recorded("plain"), recorded("sealed"));
+    assert_eq!((plain.len(), sealed.len()), (messages().len(), messages().len()));
+    let mut receiver = seal(Life(9));
+    for ((name, message), (sealed_name, frame)) in plain.iter().zip(&sealed) {
+        assert_eq!(name, sealed_name);
+        assert_eq!(receiver.open(0, UNIX_MS, frame), Ok((SENDER, &message[..])), "{name}");
+    }
+}
+
+#[test]
+fn the_recorded_details_are_read_as_they_were_meant() {
+    let (_, gossip) = recorded("plain").into_iter().find(|(name, _)| *name == "gossip").unwrap();
+    let gossip = Datagram::decode(&gossip[..]).unwrap();
+    for (news, address, phase) in [
+        (&gossip.news[0], "192.0.2.1:7946", Phase::Draining),
+        (&gossip.news[1], "[2001:db8::7]:7947", Phase::Serving),
+    ] {
+        let read = Details::read(&news.told).unwrap();
+        assert_eq!(read, details(address, phase));
+    }
+}
