--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,11 +1,11 @@
-//! The datagrams as recorded in `golden/datagrams.hex`: wire formats must stay byte for byte alike. A line there is the name of
-//! a message, whether it is plain or sealed, and its bytes.
+//! The datagrams as recorded in `golden/datagrams.hex`: wire formats must stay byte for byte alike.
+//! A line there is the name of a message, whether it is plain or sealed, and its bytes.
 
 #![cfg(not(feature = "later"))] // a later version's messages differ on purpose
 
-use madderpoint_fleet::member::{Details, Life, Part, Phase};
-use madderpoint_fleet::seal::{Keys, Seal};
-use madderpoint_fleet::wire::{Count, Datagram, Happened, News, Range, Report, Summary, kind};
+use madderpoint_membership::member::{Details, Life, Part, Phase};
+use madderpoint_membership::seal::{Keys, Seal};
+use madderpoint_membership::wire::{Count, Datagram, Happened, News, Range, Report, Summary, kind};
 use prost::Message;
 use std::net::SocketAddr;
 
@@ -23,16 +23,36 @@
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+    (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn details(address: &str, phase: Phase) -> Details {
     let parts = vec![
-        Part { id: 21, version: 22, bytes: vec![23, 24] },
-        Part { id: 25, version: 26, bytes: vec![27, 28, 29] },
+        Part {
+            id: 21,
+            version: 22,
+            bytes: vec![23, 24],
+        },
+        Part {
+            id: 25,
+            version: 26,
+            bytes: vec![27, 28, 29],
+        },
     ];
     let address: SocketAddr = address.parse().unwrap();
-    Details::new(address, "zone-a", phase, "1.2.3", (3, 4), (500, 0x0600_0000_0000_0007), parts).unwrap()
+    Details::new(
+        address,
+        "zone-a",
+        phase,
+        "1.2.3",
+        (3, 4),
+        (500, 0x0600_0000_0000_0007),
+        parts,
+    )
+    .unwrap()
 }
 
 fn news() -> Vec<News> {
@@ -49,8 +69,21 @@
         told: v4.raw().to_vec(),
         by: 0x3132_3334_3536_3738,
     };
-    let other = News { key: 41, status: 3, name: "node-2".into(), told: v6.raw().to_vec(), ..full.clone() };
-    let brief = News { key: 42, status: 2, name: String::new(), told: vec![], by: 0, ..full.clone() };
+    let other = News {
+        key: 41,
+        status: 3,
+        name: "node-2".into(),
+        told: v6.raw().to_vec(),
+        ..full.clone()
+    };
+    let brief = News {
+        key: 42,
+        status: 2,
+        name: String::new(),
+        told: vec![],
+        by: 0,
+        ..full.clone()
+    };
     vec![full, other, brief]
 }
 
@@ -67,10 +100,19 @@
         zone: "zone-b".into(),
         mute: true,
         counts: vec![
-            Count { what: "first".into(), times: 58 },
-            Count { what: "second".into(), times: 1 << 40 },
+            Count {
+                what: "first".into(),
+                times: 58,
+            },
+            Count {
+                what: "second".into(),
+                times: 1 << 40,
+            },
         ],
-        changes: vec![Happened { unix_ms: 1_700_000_000_059, line: "node-1 left".into() }],
+        changes: vec![Happened {
+            unix_ms: 1_700_000_000_059,
+            line: "node-1 left".into(),
+        }],
     }
 }
 
@@ -85,10 +127,24 @@
         news: news(),
         pulses: (1..=16).collect(),
         summaries: vec![
-            Summary { from: 62, to: u64::MAX, digests: (101..=116).collect() },
-            Summary { from: 63, to: 64, digests: (117..=124).collect() },
+            Summary {
+                from: 62,
+                to: u64::MAX,
+                digests: (101..=116).collect(),
+            },
+            Summary {
+                from: 63,
+                to: 64,
+                digests: (117..=124).collect(),
+            },
+        ],
+        covered: vec![
+            Range { from: 65, to: 66 },
+            Range {
+                from: 67,
+                to: u64::MAX - 1,
+            },
         ],
-        covered: vec![Range { from: 65, to: 66 }, Range { from: 67, to: u64::MAX - 1 }],
         wants: vec![68, 0x9192_9394_9596_9798],
         report: Some(report()),
         cursor: 69,
@@ -100,22 +156,102 @@
 /// A message of each kind with the fields that it uses, and one with all fields.
 fn messages() -> Vec<(&'static str, Datagram)> {
     let all = full();
-    let base = Datagram { from: all.from, no: all.no, digest: all.digest, ..Datagram::default() };
-    let heard = |kind| Datagram { kind, news: all.news.clone(), pulses: all.pulses.clone(), ..base.clone() };
-    let parcel = |kind| Datagram { kind, topic: all.topic, parcel: all.parcel.clone(), ..base.clone() };
+    let base = Datagram {
+        from: all.from,
+        no: all.no,
+        digest: all.digest,
+        ..Datagram::default()
+    };
+    let heard = |kind| Datagram {
+        kind,
+        news: all.news.clone(),
+        pulses: all.pulses.clone(),
+        ..base.clone()
+    };
+    let parcel = |kind| Datagram {
+        kind,
+        topic: all.topic,
+        parcel: all.parcel.clone(),
+        ..base.clone()
+    };
     vec![
-        ("ping", Datagram { target: all.target, ..heard(kind::PING) }),
-        ("ack", Datagram { target: all.target, ..heard(kind::ACK) }),
-        ("ask", Datagram { target: all.target, ..heard(kind::ASK) }),
-        ("nack", Datagram { target: all.target, ..heard(kind::NACK) }),
+        (
+            "ping",
+            Datagram {
+                target: all.target,
+                ..heard(kind::PING)
+            },
+        ),
+        (
+            "ack",
+            Datagram {
+                target: all.target,
+                ..heard(kind::ACK)
+            },
+        ),
+        (
+            "ask",
+            Datagram {
+                target: all.target,
+                ..heard(kind::ASK)
+            },
+        ),
+        (
+            "nack",
+            Datagram {
+                target: all.target,
+                ..heard(kind::NACK)
+            },
+        ),
         ("gossip", heard(kind::GOSSIP)),
-        ("summary", Datagram { kind: kind::SUMMARY, summaries: all.summaries.clone(), ..base.clone() }),
-        ("headers", Datagram { covered: all.covered.clone(), ..heard(kind::HEADERS) }),
-        ("entries", Datagram { wants: all.wants.clone(), ..heard(kind::ENTRIES) }),
-        ("show", Datagram { kind: kind::SHOW, cursor: all.cursor, topic: all.topic, ..base.clone() }),
-        ("page", Datagram { report: all.report.clone(), cursor: all.cursor, topic: 0, ..heard(kind::PAGE) }),
+        (
+            "summary",
+            Datagram {
+                kind: kind::SUMMARY,
+                summaries: all.summaries.clone(),
+                ..base.clone()
+            },
+        ),
+        (
+            "headers",
+            Datagram {
+                covered: all.covered.clone(),
+                ..heard(kind::HEADERS)
+            },
+        ),
+        (
+            "entries",
+            Datagram {
+                wants: all.wants.clone(),
+                ..heard(kind::ENTRIES)
+            },
+        ),
+        (
+            "show",
+            Datagram {
+                kind: kind::SHOW,
+                cursor: all.cursor,
+                topic: all.topic,
+                ..base.clone()
+            },
+        ),
+        (
+            "page",
+            Datagram {
+                report: all.report.clone(),
+                cursor: all.cursor,
+                topic: 0,
+                ..heard(kind::PAGE)
+            },
+        ),
         ("parcel", parcel(kind::PARCEL)),
-        ("order", Datagram { from: 0, ..parcel(kind::ORDER) }),
+        (
+            "order",
+            Datagram {
+                from: 0,
+                ..parcel(kind::ORDER)
+            },
+        ),
         ("ordered", parcel(kind::ORDERED)),
         ("full", all),
     ]
@@ -128,28 +264,46 @@
     for (name, datagram) in messages() {
         let plain = datagram.encode_to_vec();
         lines.push(format!("{name} plain {}", hex(&plain)));
-        lines.push(format!("{name} sealed {}", hex(&sender.seal(UNIX_MS, &plain))));
+        lines.push(format!(
+            "{name} sealed {}",
+            hex(&sender.seal(UNIX_MS, &plain))
+        ));
     }
     lines
 }
 
 /// The recorded bytes of all messages, plain or sealed.
 fn recorded(form: &str) -> Vec<(&'static str, Vec<u8>)> {
-    let parts = RECORDED.lines().map(|line| line.split(' ').collect::<Vec<_>>());
-    parts.filter(|parts| parts[1] == form).map(|parts| (parts[0], unhex(parts[2]))).collect()
+    let parts = RECORDED
+        .lines()
+        .map(|line| line.split(' ').collect::<Vec<_>>());
+    parts
+        .filter(|parts| parts[1] == form)
+        .map(|parts| (parts[0], unhex(parts[2])))
+        .collect()
 }
 
 #[test]
 fn each_message_encodes_to_the_recorded_bytes() {
     let lines = lines();
     let is_recorded = RECORDED.lines().eq(lines.iter().map(String::as_str));
-    assert!(is_recorded, "not as recorded; the messages are now:\n{}\n", lines.join("\n"));
+    assert!(
+        is_recorded,
+        "not as recorded; the messages are now:\n{}\n",
+        lines.join("\n")
+    );
 }
 
 #[test]
 fn each_kind_is_recorded_once() {
-    let kinds: Vec<u32> = messages().iter().map(|(_, datagram)| datagram.kind).collect();
-    assert_eq!(kinds, (kind::PING..=kind::ORDERED).chain([99]).collect::<Vec<_>>());
+    let kinds: Vec<u32> = messages()
+        .iter()
+        .map(|(_, datagram)| datagram.kind)
+        .collect();
+    assert_eq!(
+        kinds,
+        (kind::PING..=kind::ORDERED).chain([99]).collect::<Vec<_>>()
+    );
 }
 
 #[test]
@@ -166,17 +320,27 @@
 #[test]
 fn the_recorded_sealed_bytes_open_to_the_plain_ones() {
     let (plain, sealed) = (recorded("plain"), recorded("sealed"));
-    assert_eq!((plain.len(), sealed.len()), (messages().len(), messages().len()));
+    assert_eq!(
+        (plain.len(), sealed.len()),
+        (messages().len(), messages().len())
+    );
     let mut receiver = seal(Life(9));
     for ((name, message), (sealed_name, frame)) in plain.iter().zip(&sealed) {
         assert_eq!(name, sealed_name);
-        assert_eq!(receiver.open(0, UNIX_MS, frame), Ok((SENDER, &message[..])), "{name}");
+        assert_eq!(
+            receiver.open(0, UNIX_MS, frame),
+            Ok((SENDER, &message[..])),
+            "{name}"
+        );
     }
 }
 
 #[test]
 fn the_recorded_details_are_read_as_they_were_meant() {
-    let (_, gossip) = recorded("plain").into_iter().find(|(name, _)| *name == "gossip").unwrap();
+    let (_, gossip) = recorded("plain")
+        .into_iter()
+        .find(|(name, _)| *name == "gossip")
+        .unwrap();
     let gossip = Datagram::decode(&gossip[..]).unwrap();
     for (news, address, phase) in [
         (&gossip.news[0], "192.0.2.1:7946", Phase::Draining),
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -1,5 +1,5 @@
-//! The node without its I/O: takes what happened and the time, lets [`AdmissionController`] decide, and acts
-//! through [`Outward`]. What it keeps of invocations is at the desk.
+//! The node without its I/O: takes what happened and the time, lets [`AdmissionController`] decide,
+//! and acts through [`Outward`]. What it keeps of invocations is at the desk.
 
 use crate::backend;
 use crate::classify::{Classifier, Full, Ruled, Sheet};
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -1,20 +1,24 @@
-//! Wire formats and command output must stay byte for byte as they were recorded beside this file: peers of other
-//! versions, and scripts, read them. Data does not depend on what types and functions are called here.
+//! Wire formats and command output must stay byte for byte as they were recorded beside this file:
+//! peers of other versions, and scripts, read them. Data does not depend on what types and
+//! functions are called here.
 
 use madderpoint_node::backend::{self, Outcome};
 use madderpoint_node::fastcgi::{self, Event, ProtocolStatus, Reply};
 use madderpoint_node::kernel::{self, Command as Order, End, Notice};
 use madderpoint_node::members::{Answer, Phase, report};
 use madderpoint_node::program::{self, version_of};
-use madderpoint_standins::peers::{Dispatcher, Talk, listen, nobody, ping, reap, unix_ms};
-use madderpoint_standins::program::{Node, Program, told};
-use madderpoint_standins::wire::{self, GET_VALUES, STDIN, record, same_at_every_split};
+use madderpoint_test_harness::peers::{Dispatcher, Talk, listen, nobody, ping, reap, unix_ms};
+use madderpoint_test_harness::program::{Node, Program, told};
+use madderpoint_test_harness::wire::{self, GET_VALUES, STDIN, record, same_at_every_split};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-const PROGRAM: Program = Program { exe: env!("CARGO_BIN_EXE_madderpoint"), dir: env!("CARGO_TARGET_TMPDIR") };
+const PROGRAM: Program = Program {
+    exe: env!("CARGO_BIN_EXE_madderpoint"),
+    dir: env!("CARGO_TARGET_TMPDIR"),
+};
 const RID: &str = "00000000000000aa";
 
 fn directory() -> PathBuf {
@@ -24,7 +28,10 @@
 /// Compares what is made now with what was recorded, to the last line.
 fn assert_recorded(file: &str, now: &str) {
     let recorded = std::fs::read_to_string(directory().join(file)).unwrap_or_default();
-    assert!(now == recorded, "{file} is another one now:\n<<<\n{now}>>>\nrecorded:\n<<<\n{recorded}>>>");
+    assert!(
+        now == recorded,
+        "{file} is another one now:\n<<<\n{now}>>>\nrecorded:\n<<<\n{recorded}>>>"
+    );
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -33,7 +40,9 @@
 
 /// The same for bytes, a line `name hex` each.
 fn assert_bytes(file: &str, entries: &[(&str, Vec<u8>)]) {
-    let lines = entries.iter().map(|(name, bytes)| format!("{name} {}\n", hex(bytes)));
+    let lines = entries
+        .iter()
+        .map(|(name, bytes)| format!("{name} {}\n", hex(bytes)));
     assert_recorded(file, &lines.collect::<String>());
 }
 
@@ -48,7 +57,11 @@
 }
 
 fn written(reply: &Reply) -> Vec<u8> {
-    reply.slices().iter().flat_map(|part| part.to_vec()).collect()
+    reply
+        .slices()
+        .iter()
+        .flat_map(|part| part.to_vec())
+        .collect()
 }
 
 fn front(parts: &[&[u8]]) -> String {
@@ -67,29 +80,58 @@
             Event::Reply(reply) => format!("reply {}", hex(&written(&reply))),
         });
     };
-    let broken = parts.iter().find_map(|part| parser.feed(part, &mut sink).err());
+    let broken = parts
+        .iter()
+        .find_map(|part| parser.feed(part, &mut sink).err());
     seen.extend(broken.map(|broken| format!("broken: {}", broken.0)));
-    if seen.is_empty() { "nothing".to_owned() } else { seen.join("; ") }
+    if seen.is_empty() {
+        "nothing".to_owned()
+    } else {
+        seen.join("; ")
+    }
 }
 
 #[test]
 fn requests_of_dispatchers_are_read_as_recorded() {
-    let call = wire::request(7, &wire::call("/call/read", RID, "1700000000000"), b"\0body\xff");
+    let call = wire::request(
+        7,
+        &wire::call("/call/read", RID, "1700000000000"),
+        b"\0body\xff",
+    );
     let long = "x".repeat(200);
-    let two = [wire::request(1, &[("SCRIPT_NAME", "/ping")], b""), wire::begin(2, 1, false)].concat();
-    let asks = wire::pairs(&[("FCGI_MAX_CONNS", ""), ("FCGI_MAX_REQS", ""), ("FCGI_MPXS_CONNS", "")]);
+    let two = [
+        wire::request(1, &[("SCRIPT_NAME", "/ping")], b""),
+        wire::begin(2, 1, false),
+    ]
+    .concat();
+    let asks = wire::pairs(&[
+        ("FCGI_MAX_CONNS", ""),
+        ("FCGI_MAX_REQS", ""),
+        ("FCGI_MPXS_CONNS", ""),
+    ]);
     assert_read(
         "fastcgi-read.txt",
         &[
             ("call", &call[..]),
             ("long-value", &wire::request(0x0102, &[("A", &long)], b"")),
             ("aborted", &[two, record(wire::ABORT, 2, b"", 0)].concat()),
-            ("large-body", &[&wire::request(3, &[], &[7; 2049])[..]].concat()),
+            (
+                "large-body",
+                &[&wire::request(3, &[], &[7; 2049])[..]].concat(),
+            ),
             ("other-role", &wire::begin(4, 2, true)),
             ("values", &record(GET_VALUES, 0, &asks, 0)),
             ("unknown-type", &record(99, 0, b"", 0)),
-            ("too-many-open", &(1..=33).flat_map(|id| wire::begin(id, 1, true)).collect::<Vec<_>>()),
-            ("begun-twice", &[wire::begin(5, 1, true), wire::begin(5, 1, true)].concat()),
+            (
+                "too-many-open",
+                &(1..=33)
+                    .flat_map(|id| wire::begin(id, 1, true))
+                    .collect::<Vec<_>>(),
+            ),
+            (
+                "begun-twice",
+                &[wire::begin(5, 1, true), wire::begin(5, 1, true)].concat(),
+            ),
             ("begin-cut-short", &record(wire::BEGIN, 5, b"\0", 0)),
             ("other-version", &[9; 8]),
             ("of-no-request", &record(STDIN, 6, b"lost", 4)),
@@ -110,25 +152,38 @@
     };
     let call = wire::pairs(&wire::call("/call/read", RID, "1700000000000"));
     let long = wire::pairs(&[("A", &"x".repeat(130)), ("", "")]);
-    let entries = [("call", &call[..]), ("long", &long), ("cut", &call[..22]), ("length-cut", b"\x80\0")];
+    let entries = [
+        ("call", &call[..]),
+        ("long", &long),
+        ("cut", &call[..22]),
+        ("length-cut", b"\x80\0"),
+    ];
     let lines = entries.map(|(name, bytes)| format!("{name} {}\n", read(bytes)));
     assert_recorded("fastcgi-parameters.txt", &lines.concat());
 }
 
 #[test]
 fn answers_are_written_as_recorded() {
-    let answer = |status, fields, body: &[u8]| written(&Reply::answer(0x0102, status, fields, body.to_vec()));
+    let answer = |status, fields, body: &[u8]| {
+        written(&Reply::answer(0x0102, status, fields, body.to_vec()))
+    };
     let end = |status| written(&Reply::end(0x0102, status));
     assert_bytes(
         "fastcgi-answers.hex",
         &[
             ("200", answer(200, "", b"\0\xff")),
-            ("200-advert", answer(200, "X-Backend-Says: 0.5000\r\n", b"a result")),
+            (
+                "200-advert",
+                answer(200, "X-Backend-Says: 0.5000\r\n", b"a result"),
+            ),
             ("200-no-padding", answer(200, "", b"abcdef")),
             ("400", answer(400, "", b"X-Subject")),
             ("404", answer(404, "", b"unknown path")),
             ("429", answer(429, "X-Pushback-Ms: 250\r\n", b"")),
-            ("429-last", answer(429, "X-Pushback-Ms: 250\r\nX-Stop-Trying: 1\r\n", b"")),
+            (
+                "429-last",
+                answer(429, "X-Pushback-Ms: 250\r\nX-Stop-Trying: 1\r\n", b""),
+            ),
             ("500", answer(500, "", b"")),
             ("503", answer(503, "", b"")),
             ("end-complete", end(ProtocolStatus::Complete)),
@@ -147,11 +202,37 @@
         &[
             ("OPEN", line(Order::Open(0))),
             ("OPEN-later", line(Order::Open(u64::MAX))),
-            ("SCHED", line(Order::Sched { rid: RID, route: "read", body: b"\0body\xff" })),
-            ("SCHED-quoted", line(Order::Sched { rid: RID, route: "a \"b\"\\\n\u{e7}", body: b"" })),
+            (
+                "SCHED",
+                line(Order::Sched {
+                    rid: RID,
+                    route: "read",
+                    body: b"\0body\xff",
+                }),
+            ),
+            (
+                "SCHED-quoted",
+                line(Order::Sched {
+                    rid: RID,
+                    route: "a \"b\"\\\n\u{e7}",
+                    body: b"",
+                }),
+            ),
             ("PREEMPT", line(Order::Preempt(RID))),
-            ("IODONE", line(Order::IoDone { rid: RID, body: b"a\r\nb" })),
-            ("IODONE-empty", line(Order::IoDone { rid: RID, body: b"" })),
+            (
+                "IODONE",
+                line(Order::IoDone {
+                    rid: RID,
+                    body: b"a\r\nb",
+                }),
+            ),
+            (
+                "IODONE-empty",
+                line(Order::IoDone {
+                    rid: RID,
+                    body: b"",
+                }),
+            ),
             ("NOIO", line(Order::NoIo { rid: RID, no: 17 })),
             ("SYSINFO", line(Order::SysInfo(3))),
             ("POST", line(Order::Post(4))),
@@ -165,23 +246,35 @@
     let mut sink = |notice| {
         seen.push(match notice {
             Notice::Booted { cold, up_ms } => format!("booted cold={cold} up={up_ms}"),
-            Notice::Reap { rid, end, time_ms, body } => {
+            Notice::Reap {
+                rid,
+                end,
+                time_ms,
+                body,
+            } => {
                 let end = match end {
                     End::Ok => "ok",
                     End::Error => "error",
                     End::Stopped => "stopped",
                     End::Moot => "moot",
                 };
-                format!("reap rid={rid} end={end} time={time_ms} body={}", hex(&body))
+                format!(
+                    "reap rid={rid} end={end} time={time_ms} body={}",
+                    hex(&body)
+                )
+            }
+            Notice::IoReq { no, rid, body } => {
+                format!("ioreq no={no} rid={rid} body={}", hex(&body))
             }
-            Notice::IoReq { no, rid, body } => format!("ioreq no={no} rid={rid} body={}", hex(&body)),
             Notice::Info { mark, values } => format!("info mark={mark} values={values:?}"),
             Notice::Posted { mark, ok } => format!("posted mark={mark} ok={ok}"),
             Notice::EInval { command, rid } => format!("einval command={command} rid={rid}"),
             Notice::Odd(what, times) => format!("odd {what}: {times}"),
         });
     };
-    let broken = parts.iter().find_map(|part| reader.feed(part, &mut sink).err());
+    let broken = parts
+        .iter()
+        .find_map(|part| reader.feed(part, &mut sink).err());
     seen.extend(broken.map(|broken| format!("broken: {}", broken.0)));
     seen.push(format!("last={}", reader.open()));
     seen.join("; ")
@@ -192,24 +285,56 @@
     assert_read(
         "kernel-notices.txt",
         &[
-            ("BOOTED-cold", b"{\"t\":\"BOOTED\",\"status\":\"COLD\",\"time_ms\":12.5}\n"),
-            ("BOOTED-warm", b"{\"t\":\"BOOTED\",\"status\":\"WARM\",\"time_ms\":9000}\n"),
+            (
+                "BOOTED-cold",
+                b"{\"t\":\"BOOTED\",\"status\":\"COLD\",\"time_ms\":12.5}\n",
+            ),
+            (
+                "BOOTED-warm",
+                b"{\"t\":\"BOOTED\",\"status\":\"WARM\",\"time_ms\":9000}\n",
+            ),
             ("REAP-ok", reap(1, RID, "OK").as_bytes()),
             ("REAP-error", reap(2, RID, "ERROR").as_bytes()),
             ("REAP-stopped", reap(1, RID, "STOPPED").as_bytes()),
             ("REAP-moot", reap(1, RID, "MOOT").as_bytes()),
-            ("REAP-without-result", b"{\"t\":\"REAP\",\"no\":1,\"rid\":\"9b1f\",\"status\":\"OK\"}\n"),
-            ("IOREQ", b"{\"t\":\"IOREQ\",\"no\":1,\"rid\":\"9b1f\",\"b64\":\"AP8=\"}\n"),
-            ("INFO", b"{\"t\":\"INFO\",\"mark\":\"3\",\"v\":[0.1,0.25]}\n"),
-            ("POSTED-ok", b"{\"t\":\"POSTED\",\"mark\":\"4\",\"status\":\"OK\"}\n"),
-            ("POSTED-failed", b"{\"t\":\"POSTED\",\"mark\":\"4\",\"status\":\"ERROR\"}\n"),
-            ("EINVAL", b"{\"t\":\"EINVAL\",\"status\":\"NOIO\",\"rid\":\"9b1f\"}\n"),
-            ("EINVAL-of-no-run", b"{\"t\":\"EINVAL\",\"status\":\"POST\"}\n"),
+            (
+                "REAP-without-result",
+                b"{\"t\":\"REAP\",\"no\":1,\"rid\":\"9b1f\",\"status\":\"OK\"}\n",
+            ),
+            (
+                "IOREQ",
+                b"{\"t\":\"IOREQ\",\"no\":1,\"rid\":\"9b1f\",\"b64\":\"AP8=\"}\n",
+            ),
+            (
+                "INFO",
+                b"{\"t\":\"INFO\",\"mark\":\"3\",\"v\":[0.1,0.25]}\n",
+            ),
+            (
+                "POSTED-ok",
+                b"{\"t\":\"POSTED\",\"mark\":\"4\",\"status\":\"OK\"}\n",
+            ),
+            (
+                "POSTED-failed",
+                b"{\"t\":\"POSTED\",\"mark\":\"4\",\"status\":\"ERROR\"}\n",
+            ),
+            (
+                "EINVAL",
+                b"{\"t\":\"EINVAL\",\"status\":\"NOIO\",\"rid\":\"9b1f\"}\n",
+            ),
+            (
+                "EINVAL-of-no-run",
+                b"{\"t\":\"EINVAL\",\"status\":\"POST\"}\n",
+            ),
             ("DMESG", b"{\"t\":\"DMESG\",\"no\":1,\"b64\":\"AP8=\"}\n"),
             ("unknown", b"{\"t\":\"SONG\"}\n"),
             ("no-json", b"{broken\n"),
             ("twice", reap(1, RID, "OK").repeat(2).as_bytes()),
-            ("missing", &[reap(1, RID, "OK"), reap(3, RID, "OK")].concat().into_bytes()),
+            (
+                "missing",
+                &[reap(1, RID, "OK"), reap(3, RID, "OK")]
+                    .concat()
+                    .into_bytes(),
+            ),
         ],
         notices,
     );
@@ -237,9 +362,15 @@
             Outcome::Deadline => "deadline",
             Outcome::Stale => "stale",
         };
-        seen.push(format!("id={} outcome={outcome} body={}", reply.id, hex(&reply.body)));
+        seen.push(format!(
+            "id={} outcome={outcome} body={}",
+            reply.id,
+            hex(&reply.body)
+        ));
     };
-    let broken = parts.iter().find_map(|part| parser.feed(part, &mut sink).err());
+    let broken = parts
+        .iter()
+        .find_map(|part| parser.feed(part, &mut sink).err());
     seen.extend(broken.map(|broken| format!("broken: {}", broken.0)));
     seen.join("; ")
 }
@@ -267,7 +398,10 @@
 #[test]
 fn reports_to_the_members_are_written_as_recorded() {
     let entry = |name, phase| (name, report("10.0.0.1:8080", "n3", phase));
-    assert_bytes("members-reports.hex", &[entry("up", Phase::Up), entry("out", Phase::Out)]);
+    assert_bytes(
+        "members-reports.hex",
+        &[entry("up", Phase::Up), entry("out", Phase::Out)],
+    );
 }
 
 #[test]
@@ -285,8 +419,14 @@
         "members-answers.txt",
         &[
             ("taken", b"HTTP/1.1 204 No Content\r\n\r\n"),
-            ("with-body", b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
-            ("refused", b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n\r\n"),
+            (
+                "with-body",
+                b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
+            ),
+            (
+                "refused",
+                b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n\r\n",
+            ),
             ("cut", b"HTTP/1.1 204 No Content\r\n"),
             ("no-http", b"220 mail.example\r\n"),
         ],
@@ -300,7 +440,10 @@
     std::fs::create_dir_all(&dir).unwrap();
     std::fs::write(dir.join(program::PROGRAM), "a program").unwrap();
     let version = version_of(&dir).unwrap();
-    assert_recorded("program-version.txt", &format!("release-7 {} {:016x}\n", version.number, version.hash));
+    assert_recorded(
+        "program-version.txt",
+        &format!("release-7 {} {:016x}\n", version.number, version.hash),
+    );
 }
 
 /// Sends a request over a connection; gives the bytes of its answer.
@@ -345,7 +488,10 @@
         link.say(&reap(no, RID, status));
         entries.push((name, came(&mut dispatcher)));
     }
-    let (now, late) = (unix_ms(), (unix_ms().parse::<u64>().unwrap() - 4000).to_string());
+    let (now, late) = (
+        unix_ms(),
+        (unix_ms().parse::<u64>().unwrap() - 4000).to_string(),
+    );
     for (name, path, arrived) in [
         ("400", "/call/read", "-"),
         ("403", "/denied", &now),
@@ -362,7 +508,11 @@
 /// The program's exit code and output, called at the root of the repository.
 fn output(arguments: &[&str]) -> String {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let output = Command::new(PROGRAM.exe).args(arguments).current_dir(root).output().unwrap();
+    let output = Command::new(PROGRAM.exe)
+        .args(arguments)
+        .current_dir(root)
+        .output()
+        .unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
     format!(
         "exit code {}\n--- standard output\n{}--- standard error\n{}",
@@ -377,9 +527,15 @@
 #[test]
 fn check_says_what_was_recorded() {
     assert_recorded("check.txt", &output(&["check", SETTINGS]));
-    assert_recorded("check-json.txt", &output(&["check", SETTINGS, "--format", "json"]));
+    assert_recorded(
+        "check-json.txt",
+        &output(&["check", SETTINGS, "--format", "json"]),
+    );
     assert_recorded("check-no-file.txt", &output(&["check", "deploy/none.xml"]));
-    assert_recorded("check-bad.txt", &output(&["check", "crates/node/tests/golden/bad.xml"]));
+    assert_recorded(
+        "check-bad.txt",
+        &output(&["check", "crates/node/tests/golden/bad.xml"]),
+    );
 }
 
 #[test]
@@ -392,7 +548,18 @@
     let explain = |request| output(&["rules", "explain", SETTINGS, "--request", request]);
     let limited = "crates/node/tests/golden/limited.json";
     assert_recorded("explain-limited.txt", &explain(limited));
-    assert_recorded("explain-none.txt", &explain("crates/node/tests/golden/none.json"));
-    let json = ["rules", "explain", SETTINGS, "--request", limited, "--format", "json"];
+    assert_recorded(
+        "explain-none.txt",
+        &explain("crates/node/tests/golden/none.json"),
+    );
+    let json = [
+        "rules",
+        "explain",
+        SETTINGS,
+        "--request",
+        limited,
+        "--format",
+        "json",
+    ];
     assert_recorded("explain-json.txt", &output(&json));
 }
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -1,6 +1,7 @@
-//! Wire and file formats must stay byte for byte alike: nodes of two versions run side by side, and a new program reads the files of
-//! an old one. What each message, file and status was is recorded in `tests/golden`, a line `name hex` for each, and is compared
-//! whole: a line that is missing, added or moved fails too. A record is changed only by hand, with a change of the format that is
+//! Wire and file formats must stay byte for byte alike: nodes of two versions run side by side, and
+//! a new program reads the files of an old one. What each message, file and status was is recorded
+//! in `tests/golden`, a line `name hex` for each, and is compared whole: a line that is missing,
+//! added or moved fails too. A record is changed only by hand, with a change of the format that is
 //! meant.
 
 // A later version differs by intent.
@@ -14,14 +15,22 @@
 use madderpoint_rollout::pieces;
 use madderpoint_rollout::quorum::{Ask, Ballot, Proposal, Say, Vote};
 use madderpoint_rollout::sayings::{Reader, Saying, kind};
-use madderpoint_rollout::shown::{Shown, ShownChange, ShownFinding, ShownNode, ShownPoint, ShownVersion};
+use madderpoint_rollout::shown::{
+    Shown, ShownChange, ShownFinding, ShownNode, ShownPoint, ShownVersion,
+};
 use madderpoint_rollout::stages::{Plan, Reach, Stage, place};
 use madderpoint_rollout::wire::{self, Order, Ordered, PIECE, Told, order};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-const FATES: [Fate; 5] = [Fate::Open, Fate::Done, Fate::Refused, Fate::Halted, Fate::Back];
+const FATES: [Fate; 5] = [
+    Fate::Open,
+    Fate::Done,
+    Fate::Refused,
+    Fate::Halted,
+    Fate::Back,
+];
 const STANDS: [Stand; 9] = [
     Stand::Unknown,
     Stand::Known,
@@ -39,7 +48,10 @@
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+    (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn recorded(file: &str) -> String {
@@ -50,7 +62,10 @@
 /// Compares a whole record with what there is now.
 fn compare(file: &str, now: &str) {
     let recorded = recorded(file);
-    assert!(recorded == now, "{file} has:\n{recorded}\nand this is now:\n{now}");
+    assert!(
+        recorded == now,
+        "{file} has:\n{recorded}\nand this is now:\n{now}"
+    );
 }
 
 /// Each is written as it is recorded, and what is recorded is read as what was written.
@@ -60,7 +75,10 @@
     write: impl Fn(&T) -> Vec<u8>,
     read: impl Fn(&[u8]) -> T,
 ) {
-    let now: String = all.iter().map(|(name, one)| format!("{name} {}\n", hex(&write(one)))).collect();
+    let now: String = all
+        .iter()
+        .map(|(name, one)| format!("{name} {}\n", hex(&write(one))))
+        .collect();
     compare(file, &now);
     for (line, (name, one)) in recorded(file).lines().zip(all) {
         let (_, text) = line.split_once(' ').unwrap();
@@ -70,7 +88,9 @@
 
 /// The same for what is public Protocol Buffers.
 fn message_holds<M: Message + Default + PartialEq + Debug>(file: &str, all: &[(String, M)]) {
-    holds(file, all, Message::encode_to_vec, |bytes| M::decode(bytes).unwrap());
+    holds(file, all, Message::encode_to_vec, |bytes| {
+        M::decode(bytes).unwrap()
+    });
 }
 
 fn named<T>(name: &str, one: T) -> (String, T) {
@@ -78,11 +98,17 @@
 }
 
 fn version(number: u64) -> Version {
-    Version { number, hash: 0x1122_3344_5566_0000 + number }
+    Version {
+        number,
+        hash: 0x1122_3344_5566_0000 + number,
+    }
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, by: 0x2233_4455_6677_0000 + round }
+    Ballot {
+        round,
+        by: 0x2233_4455_6677_0000 + round,
+    }
 }
 
 fn reach() -> Reach {
@@ -105,7 +131,11 @@
         sample: 200 + n as u32,
         spread: (10_000 + n) * 1_000_000,
     };
-    Plan { stages: vec![stage(0, 1), stage(250, 2), stage(1000, 3)], of_zone: 400, margin: 21 }
+    Plan {
+        stages: vec![stage(0, 1), stage(250, 2), stage(1000, 3)],
+        of_zone: 400,
+        margin: 21,
+    }
 }
 
 /// A change; the reason of one that is open is not told.
@@ -123,7 +153,11 @@
         plan: plan(),
         reach: reach(),
         fate,
-        reason: if fate == Fate::Open { Reason::default() } else { reason },
+        reason: if fate == Fate::Open {
+            Reason::default()
+        } else {
+            reason
+        },
     }
 }
 
@@ -144,11 +178,18 @@
 }
 
 fn proposal() -> Proposal {
-    Proposal { change: ChangeId(0x4455_6677_8899_aabb), reach: reach() }
+    Proposal {
+        change: ChangeId(0x4455_6677_8899_aabb),
+        reach: reach(),
+    }
 }
 
 fn trial() -> Trial {
-    Trial { change: ChangeId(0x4455_6677_8899_aa03), version: version(5), tries: 2 }
+    Trial {
+        change: ChangeId(0x4455_6677_8899_aa03),
+        version: version(5),
+        tries: 2,
+    }
 }
 
 /// The file of a node in mid-trial, with a vote of its own.
@@ -160,7 +201,11 @@
         trial: Some(trial()),
         turned_down: vec![(version(1), 6), (version(2), 7)],
         head: Some(change(kind, Fate::Halted)),
-        vote: Some(Vote { seq: 32, promised: ballot(9), accepted: Some((ballot(8), proposal())) }),
+        vote: Some(Vote {
+            seq: 32,
+            promised: ballot(9),
+            accepted: Some((ballot(8), proposal())),
+        }),
         abstains_to: 30,
     }
 }
@@ -172,56 +217,154 @@
     for kind in [Kind::Settings, Kind::Program] {
         for fate in FATES {
             let changes = vec![change(kind, fate)];
-            all.push((format!("changes-{kind:?}-{fate:?}"), Told::Changes { changes, answer: true }));
+            all.push((
+                format!("changes-{kind:?}-{fate:?}"),
+                Told::Changes {
+                    changes,
+                    answer: true,
+                },
+            ));
         }
     }
-    let two = vec![change(Kind::Settings, Fate::Open), change(Kind::Program, Fate::Back)];
-    all.push(named("changes-two", Told::Changes { changes: two, answer: false }));
+    let two = vec![
+        change(Kind::Settings, Fate::Open),
+        change(Kind::Program, Fate::Back),
+    ];
+    all.push(named(
+        "changes-two",
+        Told::Changes {
+            changes: two,
+            answer: false,
+        },
+    ));
     for fate in FATES {
-        all.push((format!("poll-{fate:?}"), Told::Poll { no: 4, change: id, stage: 2, fate }));
+        all.push((
+            format!("poll-{fate:?}"),
+            Told::Poll {
+                no: 4,
+                change: id,
+                stage: 2,
+                fate,
+            },
+        ));
         let report = report(fate, Stand::OnTrial);
         all.push((format!("report-{fate:?}"), Told::Report { no: 5, report }));
     }
-    all.push(named("ask-pieces", Told::AskPieces { change: id, first: 17, count: 8 }));
+    all.push(named(
+        "ask-pieces",
+        Told::AskPieces {
+            change: id,
+            first: 17,
+            count: 8,
+        },
+    ));
     let bytes = (1..=40).collect();
-    all.push(named("piece", Told::Piece { change: id, no: 17, bytes }));
+    all.push(named(
+        "piece",
+        Told::Piece {
+            change: id,
+            no: 17,
+            bytes,
+        },
+    ));
     let (seq, ballot, promised) = (31, ballot(3), ballot(2));
     for kind in [Kind::Settings, Kind::Program] {
         let mut add = |name: &str, told| all.push((format!("{name}-{kind:?}"), told));
         add("prepare", Told::Ask(kind, Ask::Prepare { seq, ballot }));
         for again in [false, true] {
-            let accept = Ask::Accept { ballot, proposal: proposal(), again };
-            add(if again { "accept-again" } else { "accept" }, Told::Ask(kind, accept));
+            let accept = Ask::Accept {
+                ballot,
+                proposal: proposal(),
+                again,
+            };
+            add(
+                if again { "accept-again" } else { "accept" },
+                Told::Ask(kind, accept),
+            );
         }
-        add("promised", Told::Say(kind, Say::Promised { seq, ballot, accepted: None }));
+        add(
+            "promised",
+            Told::Say(
+                kind,
+                Say::Promised {
+                    seq,
+                    ballot,
+                    accepted: None,
+                },
+            ),
+        );
         let accepted = Some((promised, proposal()));
-        add("promised-accepted", Told::Say(kind, Say::Promised { seq, ballot, accepted }));
+        add(
+            "promised-accepted",
+            Told::Say(
+                kind,
+                Say::Promised {
+                    seq,
+                    ballot,
+                    accepted,
+                },
+            ),
+        );
         add("accepted", Told::Say(kind, Say::Accepted { seq, ballot }));
-        add("refused", Told::Say(kind, Say::Refused { seq, ballot, promised }));
+        add(
+            "refused",
+            Told::Say(
+                kind,
+                Say::Refused {
+                    seq,
+                    ballot,
+                    promised,
+                },
+            ),
+        );
     }
     all
 }
 
 #[test]
 fn each_parcel_is_written_as_recorded_and_read_back() {
-    holds("parcels.hex", &parcels(), wire::write, |bytes| wire::read(bytes).unwrap());
+    holds("parcels.hex", &parcels(), wire::write, |bytes| {
+        wire::read(bytes).unwrap()
+    });
 }
 
 #[test]
 fn many_changes_are_told_in_the_recorded_parcels() {
-    let changes: Vec<Change> = FATES.iter().map(|fate| change(Kind::Program, *fate)).collect();
+    let changes: Vec<Change> = FATES
+        .iter()
+        .map(|fate| change(Kind::Program, *fate))
+        .collect();
     let told = wire::changes(changes.iter(), true);
-    let all: Vec<_> = told.into_iter().enumerate().map(|(at, told)| (format!("parcel-{at}"), told)).collect();
-    holds("many_changes.hex", &all, wire::write, |bytes| wire::read(bytes).unwrap());
+    let all: Vec<_> = told
+        .into_iter()
+        .enumerate()
+        .map(|(at, told)| (format!("parcel-{at}"), told))
+        .collect();
+    holds("many_changes.hex", &all, wire::write, |bytes| {
+        wire::read(bytes).unwrap()
+    });
 }
 
 #[test]
 fn a_report_on_an_entry_is_written_as_recorded_and_read_back() {
-    let one = |stand| (format!("{stand:?}"), Report { why: String::new(), ..report(Fate::Halted, stand) });
+    let one = |stand| {
+        (
+            format!("{stand:?}"),
+            Report {
+                why: String::new(),
+                ..report(Fate::Halted, stand)
+            },
+        )
+    };
     let all: Vec<_> = STANDS.into_iter().map(one).collect();
-    holds("entries.hex", &all, wire::write_part, |bytes| wire::read_part(bytes).unwrap());
+    holds("entries.hex", &all, wire::write_part, |bytes| {
+        wire::read_part(bytes).unwrap()
+    });
     let with_why = wire::write_part(&report(Fate::Halted, Stand::Died));
-    assert_eq!(wire::read_part(&with_why).as_ref(), all.last().map(|(_, report)| report));
+    assert_eq!(
+        wire::read_part(&with_why).as_ref(),
+        all.last().map(|(_, report)| report)
+    );
 }
 
 #[test]
@@ -238,9 +381,16 @@
         why: "it smells: é".into(),
         program: true,
     };
-    let kinds =
-        [("piece", order::PIECE), ("offer", order::OFFER), ("halt", order::HALT), ("back", order::BACK)];
-    message_holds("orders.hex", &kinds.map(|(name, kind)| named(name, full(kind))));
+    let kinds = [
+        ("piece", order::PIECE),
+        ("offer", order::OFFER),
+        ("halt", order::HALT),
+        ("back", order::BACK),
+    ];
+    message_holds(
+        "orders.hex",
+        &kinds.map(|(name, kind)| named(name, full(kind))),
+    );
 }
 
 /// What a node answers to orders, in their turn.
@@ -255,15 +405,19 @@
         digest: digest.clone(),
         ..Order::default()
     };
-    let offer = Order { kind: order::OFFER, digest: digest.clone(), ..Order::default() };
-    let halt = Order { kind: order::HALT, ..Order::default() };
+    let offer = Order {
+        kind: order::OFFER,
+        digest: digest.clone(),
+        ..Order::default()
+    };
+    let halt = Order {
+        kind: order::HALT,
+        ..Order::default()
+    };
     let (mut orders, mut changes) = (Orders::default(), Changes::default());
-    let answer = |orders: &mut Orders, changes: &Changes, name: &str, said: &Order| match orders.order(
-        1,
-        Kind::Settings,
-        changes,
-        said,
-    ) {
+    let answer = |orders: &mut Orders, changes: &Changes, name: &str, said: &Order| match orders
+        .order(1, Kind::Settings, changes, said)
+    {
         Act::Answer(answer) => Some(named(name, answer)),
         _ => None,
     };
@@ -273,13 +427,24 @@
         answer(&mut orders, &changes, "last-piece-taken", &piece(1)),
         answer(&mut orders, &changes, "nothing-to-halt", &halt),
     ];
-    assert!(matches!(orders.order(1, Kind::Settings, &changes, &offer), Act::LookInto { no: 1, .. }));
+    assert!(matches!(
+        orders.order(1, Kind::Settings, &changes, &offer),
+        Act::LookInto { no: 1, .. }
+    ));
     all.push(answer(&mut orders, &changes, "looked-into", &offer));
     let of = (Kind::Settings, 0x5566_7788_99aa_bbcc, 1_700_000_000_789);
-    let offered = orders.looked_into(1, Ok(version(5)), of, &changes, version(4), &plan()).unwrap();
+    let offered = orders
+        .looked_into(1, Ok(version(5)), of, &changes, version(4), &plan())
+        .unwrap();
     all.push(answer(&mut orders, &changes, "offered", &offer));
-    let halt = Order { change: offered.0.id.0, ..halt };
-    changes.hear(&Change { fate: Fate::Back, ..offered.0 });
+    let halt = Order {
+        change: offered.0.id.0,
+        ..halt
+    };
+    changes.hear(&Change {
+        fate: Fate::Back,
+        ..offered.0
+    });
     all.push(answer(&mut orders, &changes, "taken-back-already", &halt));
     all.into_iter().map(Option::unwrap).collect()
 }
@@ -291,12 +456,23 @@
 
 /// What a parent says to a process.
 fn of_the_parent() -> Vec<(String, Saying)> {
-    let begin =
-        |kind, died, fresh, beside| Begin { kept: kept(kind), version: version(5), died, fresh, beside };
+    let begin = |kind, died, fresh, beside| Begin {
+        kept: kept(kind),
+        version: version(5),
+        died,
+        fresh,
+        beside,
+    };
     let refused = Err("it is not here: é".to_owned());
     vec![
-        named("begin-settings", Saying::begin(&begin(Kind::Settings, Some(trial()), true, false))),
-        named("begin-beside", Saying::begin(&begin(Kind::Program, None, false, true))),
+        named(
+            "begin-settings",
+            Saying::begin(&begin(Kind::Settings, Some(trial()), true, false)),
+        ),
+        named(
+            "begin-beside",
+            Saying::begin(&begin(Kind::Program, None, false, true)),
+        ),
         named("in-charge", Saying::plain(kind::IN_CHARGE)),
         named("hand-over", Saying::plain(kind::HAND_OVER)),
         named("done", Saying::done(11, &Ok(()))),
@@ -306,7 +482,12 @@
 
 /// What a process says to its parent.
 fn of_the_process() -> Vec<(String, Saying)> {
-    let keep = Saying { kind: kind::KEEP, no: 13, kept: kept(Kind::Program).write(), ..Saying::default() };
+    let keep = Saying {
+        kind: kind::KEEP,
+        no: 13,
+        kept: kept(Kind::Program).write(),
+        ..Saying::default()
+    };
     vec![
         named("ready", Saying::plain(kind::READY)),
         named("keep", keep),
@@ -344,9 +525,24 @@
 
 #[test]
 fn what_parent_and_process_say_is_written_as_recorded_and_read_back() {
-    holds("sayings_of_the_parent.hex", &of_the_parent(), Saying::write, take);
-    holds("sayings_of_the_process.hex", &of_the_process(), Saying::write, take);
-    holds("sayings_full.hex", &[named("full", full_saying())], Saying::write, take);
+    holds(
+        "sayings_of_the_parent.hex",
+        &of_the_parent(),
+        Saying::write,
+        take,
+    );
+    holds(
+        "sayings_of_the_process.hex",
+        &of_the_process(),
+        Saying::write,
+        take,
+    );
+    holds(
+        "sayings_full.hex",
+        &[named("full", full_saying())],
+        Saying::write,
+        take,
+    );
 }
 
 #[test]
@@ -357,9 +553,15 @@
         .collect();
     assert_eq!(begins.len(), 2);
     assert_eq!(begins[0].kept, kept(Kind::Settings));
-    assert_eq!((begins[0].died, begins[0].fresh, begins[0].beside), (Some(trial()), true, false));
+    assert_eq!(
+        (begins[0].died, begins[0].fresh, begins[0].beside),
+        (Some(trial()), true, false)
+    );
     assert_eq!(begins[1].kept, kept(Kind::Program));
-    assert_eq!((begins[1].died, begins[1].fresh, begins[1].beside), (None, false, true));
+    assert_eq!(
+        (begins[1].died, begins[1].fresh, begins[1].beside),
+        (None, false, true)
+    );
     assert!(begins.iter().all(|begin| begin.version == version(5)));
 }
 
@@ -374,12 +576,17 @@
         named("first-trial", first),
         named("nothing", Kept::new(Kind::Program)),
     ];
-    holds("kept.hex", &all, Kept::write, |bytes| Kept::read(bytes).unwrap());
+    holds("kept.hex", &all, Kept::write, |bytes| {
+        Kept::read(bytes).unwrap()
+    });
 }
 
 fn shown_version(number: u64) -> Option<ShownVersion> {
     let of = version(number);
-    Some(ShownVersion { number: of.number, hash: of.hash })
+    Some(ShownVersion {
+        number: of.number,
+        hash: of.hash,
+    })
 }
 
 /// A status with each field.
@@ -468,7 +675,11 @@
     let mut lines = [fates.concat(), stands.concat()].concat();
     lines += &format!("version: {of}\nchange: {id}\n");
     lines += &format!("digest of a content: {}\n", hex(&pieces::digest(&content)));
-    lines += &format!("pieces of {}: {}\n", content.len(), pieces::count(content.len()));
+    lines += &format!(
+        "pieces of {}: {}\n",
+        content.len(),
+        pieces::count(content.len())
+    );
     lines += &format!("last piece: {}\n", hex(pieces::piece(&content, 1).unwrap()));
     // All nodes must come to the same about who is in a stage, and about what they know.
     lines += &format!("place: {:016x}\n", place(id, 0x5566_7788_99aa_bbcc));
--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -1,25 +1,34 @@
-//! The parcels as recorded in `golden/parcels.hex`: wire formats must stay byte for byte alike. A line there is the name of a
-//! message and its bytes.
+//! The parcels as recorded in `golden/parcels.hex`: wire formats must stay byte for byte alike. A
+//! line there is the name of a message and its bytes.
 
 #![cfg(not(feature = "later"))] // a later version's messages differ on purpose
 
-use madderpoint_shared::counts::{self, Rows, Word};
-use madderpoint_shared::heavy::Heavy;
-use madderpoint_shared::keyed::{KeyAsk, KeyLent, KeysAsked, KeysLent};
-use madderpoint_shared::wire::{self, Have, Sums, Told};
-use madderpoint_shared::{Evidence, Message, Part, Want, Who};
+use madderpoint_shared_state::counts::{self, Rows, Word};
+use madderpoint_shared_state::heavy::Heavy;
+use madderpoint_shared_state::keyed::{KeyAsk, KeyLent, KeysAsked, KeysLent};
+use madderpoint_shared_state::wire::{self, Have, Sums, Told};
+use madderpoint_shared_state::{Evidence, Message, Part, Want, Who};
 use std::collections::BTreeMap;
 
 const RECORDED: &str = include_str!("golden/parcels.hex");
-const SOMEONE: Who = Who { key: 0x0102_0304_0506_0708, life: 0x1112_1314_1516_1718 };
-const OTHER: Who = Who { key: 0x2122_2324_2526_2728, life: 0x3132_3334_3536_3738 };
+const SOMEONE: Who = Who {
+    key: 0x0102_0304_0506_0708,
+    life: 0x1112_1314_1516_1718,
+};
+const OTHER: Who = Who {
+    key: 0x2122_2324_2526_2728,
+    life: 0x3132_3334_3536_3738,
+};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+    (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 /// A message's name; a kind that is new needs one here and an example below.
@@ -63,22 +72,56 @@
     };
     vec![
         Message::Want { no: 11 },
-        Message::Word { no: 12, given: true, holder: Some(SOMEONE), left: 1_300_000_000 },
-        Message::Word { no: 14, given: false, holder: None, left: 15 },
+        Message::Word {
+            no: 12,
+            given: true,
+            holder: Some(SOMEONE),
+            left: 1_300_000_000,
+        },
+        Message::Word {
+            no: 14,
+            given: false,
+            holder: None,
+            left: 15,
+        },
         Message::GiveBack { no: 16 },
-        Message::Ask { stamp: 17_000_000_000, zone: 18, wants: vec![want(1), want(2)] },
-        Message::Lend { stamp: 19_000_000_000, parts: vec![part(56), part(57)] },
-        Message::Elsewhere { lender: Some(OTHER) },
+        Message::Ask {
+            stamp: 17_000_000_000,
+            zone: 18,
+            wants: vec![want(1), want(2)],
+        },
+        Message::Lend {
+            stamp: 19_000_000_000,
+            parts: vec![part(56), part(57)],
+        },
+        Message::Elsewhere {
+            lender: Some(OTHER),
+        },
         Message::Elsewhere { lender: None },
         Message::Leave,
     ]
 }
 
 fn keyed() -> Vec<Message> {
-    let ask = |n: u32| KeyAsk { budget: 1 << 30 | n, key: 1 << 60 | 61, left: 62, back: 63 + n, wants: 70 };
-    let lent = |n: u32| KeyLent { budget: 1 << 29 | n, key: 1 << 59 | 71, adds: 72 + n, wait: 250_000_000 };
+    let ask = |n: u32| KeyAsk {
+        budget: 1 << 30 | n,
+        key: 1 << 60 | 61,
+        left: 62,
+        back: 63 + n,
+        wants: 70,
+    };
+    let lent = |n: u32| KeyLent {
+        budget: 1 << 29 | n,
+        key: 1 << 59 | 71,
+        adds: 72 + n,
+        wait: 250_000_000,
+    };
     vec![
-        Message::AskKeys(KeysAsked { no: 81, stamp: 82_000_000_000, keys: vec![ask(1), ask(2)] }),
+        Message::AskKeys(KeysAsked {
+            no: 81,
+            stamp: 82_000_000_000,
+            keys: vec![ask(1), ask(2)],
+        }),
         Message::LendKeys(KeysLent {
             no: 83,
             stamp: 84_000_000_000,
@@ -90,21 +133,38 @@
 
 fn rows(first: u64) -> Rows {
     let row = |first: u64| std::array::from_fn(|at| first + at as u64);
-    Rows::from([(counts::OWN, row(first)), (0xa1a2_a3a4, row(1 << 40 | first))])
+    Rows::from([
+        (counts::OWN, row(first)),
+        (0xa1a2_a3a4, row(1 << 40 | first)),
+    ])
 }
 
 fn window(first: u64, gauges: [u64; 2]) -> counts::Window {
     let latency = BTreeMap::from([(0xa1a2_a3a4, vec![(31, 32), (400, 33), (90_000, 34)])]);
     let heavy = |total| Heavy::of(total, [(1 << 61 | total, 41), (43, 42)].into_iter());
-    let heavy =
-        BTreeMap::from([(counts::heavy::REPEATERS, heavy(90)), (counts::heavy::OVER_LIMIT, heavy(91))]);
-    counts::Window { rows: rows(first), latency, heavy, gauges }
+    let heavy = BTreeMap::from([
+        (counts::heavy::REPEATERS, heavy(90)),
+        (counts::heavy::OVER_LIMIT, heavy(91)),
+    ]);
+    counts::Window {
+        rows: rows(first),
+        latency,
+        heavy,
+        gauges,
+    }
 }
 
 fn all() -> Vec<Told> {
-    let windows =
-        BTreeMap::from([(180_000_001, window(120, [12_001, 41])), (180_000_002, window(140, [12_002, 42]))]);
-    let word = Word { who: SOMEONE, label: 1 << 62 | 91, total: rows(160), windows };
+    let windows = BTreeMap::from([
+        (180_000_001, window(120, [12_001, 41])),
+        (180_000_002, window(140, [12_002, 42])),
+    ]);
+    let word = Word {
+        who: SOMEONE,
+        label: 1 << 62 | 91,
+        total: rows(160),
+        windows,
+    };
     let sums = Sums {
         processes: 92,
         gone: 93,
@@ -112,11 +172,27 @@
         minute: window(200, [0; 2]), // gauges are not told
         until_ms: 1_800_000_000_094,
     };
-    let evidence = |n: u32| Evidence { zone: 100 + n, tries: 200 + n, failed: 30 + n, level: 0.25 };
-    let mut all: Vec<Told> = budgets().into_iter().chain(keyed()).map(Told::Budgets).collect();
-    all.push(Told::Evidence(vec![(1 << 58 | 95, evidence(1)), (96, evidence(2))]));
+    let evidence = |n: u32| Evidence {
+        zone: 100 + n,
+        tries: 200 + n,
+        failed: 30 + n,
+        level: 0.25,
+    };
+    let mut all: Vec<Told> = budgets()
+        .into_iter()
+        .chain(keyed())
+        .map(Told::Budgets)
+        .collect();
+    all.push(Told::Evidence(vec![
+        (1 << 58 | 95, evidence(1)),
+        (96, evidence(2)),
+    ]));
     all.push(Told::Counts(Box::new(word)));
-    all.push(Told::Have(Have { from: 97, to: u64::MAX, marks: vec![(SOMEONE, 98), (OTHER, 1 << 41)] }));
+    all.push(Told::Have(Have {
+        from: 97,
+        to: u64::MAX,
+        marks: vec![(SOMEONE, 98), (OTHER, 1 << 41)],
+    }));
     all.push(Told::AskSums);
     all.push(Told::Sums(Box::new(sums)));
     all
@@ -124,10 +200,16 @@
 
 #[test]
 fn each_message_encodes_to_the_recorded_bytes() {
-    let lines: Vec<String> =
-        all().iter().map(|told| format!("{} {}", name(told), hex(&wire::write(told)))).collect();
+    let lines: Vec<String> = all()
+        .iter()
+        .map(|told| format!("{} {}", name(told), hex(&wire::write(told))))
+        .collect();
     let is_recorded = RECORDED.lines().eq(lines.iter().map(String::as_str));
-    assert!(is_recorded, "not as recorded; the messages are now:\n{}\n", lines.join("\n"));
+    assert!(
+        is_recorded,
+        "not as recorded; the messages are now:\n{}\n",
+        lines.join("\n")
+    );
 }
 
 #[test]
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Speaks the simulator's wire: decodes events into calls on [`AdmissionController`] and encodes what it does.
+//! Speaks the simulator's wire: decodes events into calls on [`AdmissionController`] and encodes
+//! what it does.
 
 #![forbid(unsafe_code)]
 
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,8 +1,11 @@
-//! All decisions of a node. The host calls one method of [`AdmissionController`] for each thing that happens
-//! ([`on_arrival`](AdmissionController::on_arrival), [`on_execution_ended`](AdmissionController::on_execution_ended), [`on_backend_call_needed`](AdmissionController::on_backend_call_needed),
-//! [`on_backend_call_ended`](AdmissionController::on_backend_call_ended), [`on_client_cancelled`](AdmissionController::on_client_cancelled),
-//! [`start_drain`](AdmissionController::start_drain), [`on_timer`](AdmissionController::on_timer)) with the time; decisions come back at once
-//! through [`Host`] (`src/lib.rs`).
+//! All decisions of a node. The host calls one method of [`AdmissionController`] for each thing
+//! that happens ([`on_arrival`](AdmissionController::on_arrival),
+//! [`on_execution_ended`](AdmissionController::on_execution_ended),
+//! [`on_backend_call_needed`](AdmissionController::on_backend_call_needed),
+//! [`on_backend_call_ended`](AdmissionController::on_backend_call_ended),
+//! [`on_client_cancelled`](AdmissionController::on_client_cancelled),
+//! [`start_drain`](AdmissionController::start_drain), [`on_timer`](AdmissionController::on_timer))
+//! with the time; decisions come back at once through [`Host`] (`src/lib.rs`).
 //!
 //! The ordinary path is Dynamic Beta RED (`docs/design.md`): each arrival moves q_avg and is
 //! refused with chance I_{q_avg/B}(mu, theta); every `T_UPDATE` the virtual target and the running
