--- a/crates/node/src/cli/rollout.rs
+++ b/crates/node/src/cli/rollout.rs
@@ -6,9 +6,11 @@
 use clap::{Args, Subcommand};
 use madderpoint_node::driver::{PROGRAM_CHANGES, SETTINGS_CHANGES};
 use madderpoint_node::program;
-use madderpoint_rollout::pieces;
-use madderpoint_rollout::shown::{Shown, ShownChange, ShownNode, ShownPoint, ShownVersion};
-use madderpoint_rollout::wire::{Order, Ordered, order};
+use madderpoint_rollout::chunks;
+use madderpoint_rollout::messages::{CommandReply, OperatorCommand, order};
+use madderpoint_rollout::status::{
+    CohortPointStatus, NodeStatusEntry, RolloutStatus, StatusSnapshot, VersionStatus,
+};
 use plotters::prelude::*;
 use prost::Message;
 use serde_json::{Value, json};
@@ -141,12 +143,12 @@
     }
 }
 
-fn ordered(at: &At, said: &Order) -> Result<Ordered, String> {
+fn ordered(at: &At, said: &OperatorCommand) -> Result<CommandReply, String> {
     let mut asker = Asker::about(&at.settings, at.at, at.topic())?;
     let until = Instant::now() + LOOK;
     loop {
         let answer = asker.order(at.topic(), &said.encode_to_vec())?;
-        let answer = Ordered::decode(answer.as_slice())
+        let answer = CommandReply::decode(answer.as_slice())
             .map_err(|e| format!("{}: its answer can't be read: {e}", at.at))?;
         if answer.state != 1 || Instant::now() > until {
             return Ok(answer);
@@ -156,7 +158,7 @@
 }
 
 /// What was refused is shown, and is no wrong call.
-fn taken(answer: &Ordered) -> bool {
+fn taken(answer: &CommandReply) -> bool {
     match answer.state {
         0 => {
             let more = if answer.why.is_empty() {
@@ -175,46 +177,46 @@
 fn start(file: &Path, at: &At, wait: bool) -> Ended {
     let said = if at.program {
         let madderpoint_rollout::Version { number, hash } = program::version_of(file)?;
-        Order {
+        OperatorCommand {
             kind: order::OFFER,
             number,
             hash,
             program: true,
-            ..Order::default()
+            ..OperatorCommand::default()
         }
     } else {
         let content = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-        if content.len() > pieces::CONTENT_MAX {
+        if content.len() > chunks::CONTENT_MAX {
             return Err(format!(
                 "{}: {} bytes, {} at most",
                 file.display(),
                 content.len(),
-                pieces::CONTENT_MAX
+                chunks::CONTENT_MAX
             ));
         }
-        let digest = pieces::digest(&content).to_vec();
-        for no in 0..pieces::count(content.len()) {
-            let Some(bytes) = pieces::piece(&content, no) else {
+        let digest = chunks::digest(&content).to_vec();
+        for no in 0..chunks::count(content.len()) {
+            let Some(bytes) = chunks::piece(&content, no) else {
                 break;
             };
             let (size, digest, bytes) = (content.len() as u32, digest.clone(), bytes.to_vec());
-            let piece = Order {
+            let piece = OperatorCommand {
                 kind: order::PIECE,
                 no,
                 bytes,
                 size,
                 digest,
-                ..Order::default()
+                ..OperatorCommand::default()
             };
             let answer = ordered(at, &piece)?;
             if answer.state != 0 {
                 return Ok(taken(&answer));
             }
         }
-        Order {
+        OperatorCommand {
             kind: order::OFFER,
             digest,
-            ..Order::default()
+            ..OperatorCommand::default()
         }
     };
     let answer = ordered(at, &said)?;
@@ -263,17 +265,17 @@
             .map_err(|_| format!("{text}: no change, 16 hex digits"))?,
         None => 0,
     };
-    let said = Order {
+    let said = OperatorCommand {
         kind,
         change,
         why: why.to_owned(),
         program: at.program,
-        ..Order::default()
+        ..OperatorCommand::default()
     };
     Ok(taken(&ordered(at, &said)?))
 }
 
-fn ask(at: &At) -> Result<Shown, String> {
+fn ask(at: &At) -> Result<StatusSnapshot, String> {
     let bytes = Asker::about(&at.settings, at.at, at.topic())?.ask_pages(TRIES)?;
     let bytes = bytes.ok_or_else(|| {
         let what = if at.program {
@@ -286,13 +288,13 @@
             at.at
         )
     })?;
-    Shown::decode(bytes.as_slice())
+    StatusSnapshot::decode(bytes.as_slice())
         .map_err(|e| format!("{}: what it shows can't be read: {e}", at.at))
 }
 
 /// What the conductor shows, which has the judgement; or what this node does, if that can't be
 /// reached.
-fn ask_conductor(at: &At) -> Result<(Shown, Option<Shown>), String> {
+fn ask_conductor(at: &At) -> Result<(StatusSnapshot, Option<StatusSnapshot>), String> {
     let shown = ask(at)?;
     let conductor = match shown.conductor_at.parse() {
         Ok(there) if shown.conductor != shown.node => ask(&At {
@@ -305,11 +307,11 @@
     Ok((shown, conductor))
 }
 
-fn version(of: Option<&ShownVersion>) -> String {
+fn version(of: Option<&VersionStatus>) -> String {
     of.map_or_else(|| "-".to_owned(), |version| version.version().to_string())
 }
 
-fn summary(change: &ShownChange, shown: &Shown) -> String {
+fn summary(change: &RolloutStatus, shown: &StatusSnapshot) -> String {
     let stages = change.stages.len();
     let of = match change.stage as usize {
         0 => "has not begun".to_owned(),
@@ -340,20 +342,20 @@
     )
 }
 
-fn node(node: &ShownNode) -> Value {
+fn node(node: &NodeStatusEntry) -> Value {
     json!({"name": node.name, "zone": node.zone, "there": node.there, "in_stage": node.in_stage,
         "version": node.running.map(|v| v.number), "hash": node.running.map(|v| format!("{:016x}", v.hash)),
         "since_ms": node.since_ms, "stand": node.stand, "died": node.died, "why": node.why})
 }
 
-fn point(point: &ShownPoint, window_ms: u64) -> Value {
+fn point(point: &CohortPointStatus, window_ms: u64) -> Value {
     json!({"unix_ms": point.window * window_ms, "stage": point.stage, "nodes": point.nodes, "arrived": point.arrived,
         "succeeded": point.succeeded, "throttled": point.throttled, "errored": point.errored, "late": point.late,
         "memory_kb": point.memory_kb})
 }
 
 /// All of it, for programs. Pairs are of the old and of the new side.
-fn as_json(shown: &Shown, judged: &Shown) -> Value {
+fn as_json(shown: &StatusSnapshot, judged: &StatusSnapshot) -> Value {
     let changes: Vec<Value> = shown
         .changes
         .iter()
@@ -407,7 +409,7 @@
         .iter()
         .filter(|change| change.id != current.id)
     {
-        println!("  beside: {}", summary(change, &Shown::default()));
+        println!("  beside: {}", summary(change, &StatusSnapshot::default()));
     }
     if !judged.verdict.is_empty() {
         let pair = |of: &[u64]| {
@@ -483,7 +485,7 @@
 }
 
 /// What is drawn of a point, for a side.
-type Drawn = fn(&ShownPoint, usize) -> f64;
+type Drawn = fn(&CohortPointStatus, usize) -> f64;
 
 fn plot(at: &At, to: &Path) -> Ended {
     let (shown, conductor) = ask_conductor(at)?;
@@ -504,7 +506,7 @@
     Ok(true)
 }
 
-fn draw(shown: &Shown, to: &Path) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(shown: &StatusSnapshot, to: &Path) -> Result<(), Box<dyn std::error::Error>> {
     fn part(of: &[u64], all: &[u64], side: usize) -> f64 {
         let at = |numbers: &[u64]| numbers.get(side).copied().unwrap_or(0) as f64;
         if at(all) > 0.0 {
@@ -531,7 +533,8 @@
         }),
     ];
     let first = shown.points.first().map_or(0, |point| point.window);
-    let minutes = |p: &ShownPoint| (p.window - first) as f64 * shown.window_ms as f64 / 60_000.0;
+    let minutes =
+        |p: &CohortPointStatus| (p.window - first) as f64 * shown.window_ms as f64 / 60_000.0;
     let last = shown.points.last().map_or(1.0, minutes).max(0.5);
     let root = SVGBackend::new(to, (900, 1000)).into_drawing_area();
     root.fill(&WHITE)?;
--- a/crates/node/src/driver/changes.rs
+++ b/crates/node/src/driver/changes.rs
@@ -6,12 +6,14 @@
 use super::fleet_link::{Done, Poster};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use madderpoint_membership::{Fleet, Host as FleetHost, Key, Moment, Nanos, Part as Hung, Status};
-use madderpoint_rollout::conduct::Member;
-use madderpoint_rollout::local::{Host, Own, Start};
-use madderpoint_rollout::record::{Cell, Sample};
-use madderpoint_rollout::shown::{Names, Shown};
-use madderpoint_rollout::wire::{self, Order, Ordered, Told};
-use madderpoint_rollout::{ChangeId, Kept, Kind, Plan, Report, Rollout, Version};
+use madderpoint_rollout::cohort_metrics::{OperationCounts, WindowSample};
+use madderpoint_rollout::coordinator::Member;
+use madderpoint_rollout::messages::{self, CommandReply, OperatorCommand, ReceivedMessage};
+use madderpoint_rollout::node_agent::{Host, InitialState, LocalMetrics};
+use madderpoint_rollout::status::{Names, StatusSnapshot};
+use madderpoint_rollout::{
+    Kind, NodeReport, Participant, PersistedState, Plan, RolloutId, Version,
+};
 use madderpoint_shared_state::counts::{Counts, OWN, WINDOW_MS, Word, column, own};
 use madderpoint_shared_state::keyed::number;
 use prost::Message as _;
@@ -60,7 +62,11 @@
         content: Option<&[u8]>,
     ) -> Result<Version, String>;
     /// Writes what is kept.
-    fn keep(&mut self, kept: &Kept, content: Option<(Version, &[u8])>) -> Result<(), String>;
+    fn keep(
+        &mut self,
+        kept: &PersistedState,
+        content: Option<(Version, &[u8])>,
+    ) -> Result<(), String>;
     /// Runs a version from here on.
     fn apply(&mut self, version: Version) -> Result<(), String>;
 }
@@ -68,7 +74,7 @@
 /// A node's part in changes of one kind.
 pub struct Changing {
     /// What the node starts with.
-    pub start: Start,
+    pub start: InitialState,
     /// How a change that is offered here goes out.
     pub plan: Plan,
     pub versions: Box<dyn Versions>,
@@ -85,7 +91,7 @@
 
 enum Task {
     Check {
-        change: ChangeId,
+        change: RolloutId,
         version: Version,
         content: Option<Vec<u8>>,
     },
@@ -96,7 +102,7 @@
     },
     Keep {
         no: u64,
-        kept: Box<Kept>,
+        kept: Box<PersistedState>,
         content: Option<(Version, Vec<u8>)>,
     },
     Apply(Version),
@@ -138,12 +144,12 @@
 struct Hands {
     kind: Kind,
     me: u64,
-    sent: Vec<(u64, Told)>,
+    sent: Vec<(u64, ReceivedMessage)>,
     tasks: Sender<Task>,
-    shown: Option<Report>,
+    shown: Option<NodeReport>,
     members: Vec<Member>,
     digests: Vec<(u64, u64)>,
-    windows: Vec<(u64, Vec<Sample>)>,
+    windows: Vec<(u64, Vec<WindowSample>)>,
     rng: Pcg64Mcg,
 }
 
@@ -155,7 +161,7 @@
 }
 
 impl Host for Hands {
-    fn send(&mut self, to: u64, told: Told) {
+    fn send(&mut self, to: u64, told: ReceivedMessage) {
         self.sent.push((to, told));
     }
     fn log(&mut self, line: &str) {
@@ -189,10 +195,10 @@
             .find(|(_, other)| *other != digest)
             .map(|(node, _)| *node)
     }
-    fn show(&mut self, report: &Report) {
+    fn show(&mut self, report: &NodeReport) {
         self.shown = Some(report.clone());
     }
-    fn check(&mut self, change: ChangeId, version: Version, content: Option<Vec<u8>>) {
+    fn check(&mut self, change: RolloutId, version: Version, content: Option<Vec<u8>>) {
         self.task(Task::Check {
             change,
             version,
@@ -206,7 +212,7 @@
             content,
         });
     }
-    fn keep(&mut self, no: u64, kept: &Kept, content: Option<(Version, Vec<u8>)>) {
+    fn keep(&mut self, no: u64, kept: &PersistedState, content: Option<(Version, Vec<u8>)>) {
         self.task(Task::Keep {
             no,
             kept: Box::new(kept.clone()),
@@ -219,7 +225,7 @@
     fn members(&mut self) -> Vec<Member> {
         self.members.clone()
     }
-    fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<Sample>)> {
+    fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<WindowSample>)> {
         self.windows
             .iter()
             .filter(|(window, _)| (from..=until).contains(window))
@@ -241,14 +247,14 @@
 
 /// The part.
 pub struct Changes {
-    rollout: Rollout<Hands>,
+    rollout: Participant<Hands>,
     kind: Kind,
     next: Nanos,
     looked: Nanos,
     operations: Vec<String>,
     /// Ends with the thread that checks and writes.
     worker: Receiver<()>,
-    answers: VecDeque<(std::net::SocketAddr, u32, Ordered)>,
+    answers: VecDeque<(std::net::SocketAddr, u32, CommandReply)>,
     /// Whether another process has taken this one's place.
     handed: bool,
 }
@@ -318,7 +324,7 @@
             windows: Vec::new(),
             rng,
         };
-        let mut rollout = Rollout::new(
+        let mut rollout = Participant::new(
             at.now,
             at.unix_ms,
             (me.0, zone),
@@ -370,7 +376,7 @@
 
     /// Something was told.
     pub fn told(&mut self, at: Moment, from: Key, parcel: &[u8]) {
-        if let Some(told) = wire::read(parcel) {
+        if let Some(told) = messages::read(parcel) {
             self.rollout.told(at.now, at.unix_ms, from.0, told);
         }
     }
@@ -391,9 +397,9 @@
 
     /// An operator orders something.
     pub fn order(&mut self, at: Moment, from: std::net::SocketAddr, no: u32, order: &[u8]) {
-        let answer = match Order::decode(order) {
+        let answer = match OperatorCommand::decode(order) {
             Ok(order) => self.rollout.order(at.now, at.unix_ms, &order),
-            Err(_) => Ordered {
+            Err(_) => CommandReply {
                 state: 2,
                 why: "this order can't be read".into(),
                 change: 0,
@@ -406,7 +412,7 @@
 
     /// What this node counted so far.
     pub fn counted(&mut self, at: Moment, word: &Word) {
-        let mut sum = Own::default();
+        let mut sum = LocalMetrics::default();
         for (row, numbers) in &word.total {
             if *row == OWN {
                 sum.invariants += numbers[own::INVARIANTS];
@@ -441,7 +447,7 @@
             let part = entry.details.parts.iter().find(|part| part.id == topic);
             if let Some(report) = part
                 .filter(|_| there && key != me)
-                .and_then(|p| wire::read_part(&p.bytes))
+                .and_then(|p| messages::read_part(&p.bytes))
             {
                 digests.push((key.0, report.digest));
             }
@@ -454,7 +460,7 @@
 
     /// An arbiter takes up what all nodes counted, while a change is under way.
     fn look<H: FleetHost>(&mut self, at: Moment, fleet: &Fleet<H>, counts: Option<&Counts>) {
-        let Rollout { local, conduct, .. } = &self.rollout;
+        let Participant { local, conduct, .. } = &self.rollout;
         let under_way = local.changes().under_way(self.kind).map(|change| change.id);
         let (Some(change), Some(counts)) = (under_way.filter(|_| conduct.is_arbiter()), counts)
         else {
@@ -484,20 +490,20 @@
                 if to == self.rollout.local.me() {
                     self.rollout.told(at.now, at.unix_ms, to, told);
                 } else {
-                    fleet.send_parcel(at, Key(to), topic, &wire::write(&told));
+                    fleet.send_parcel(at, Key(to), topic, &messages::write(&told));
                 }
             }
         }
-        if wire::LATER && self.next == at.now + WAKE {
+        if messages::LATER && self.next == at.now + WAKE {
             for to in self.rollout.local.host.some(1) {
-                fleet.send_parcel(at, Key(to), topic, &wire::later_kind());
+                fleet.send_parcel(at, Key(to), topic, &messages::later_kind());
             }
         }
         if let Some(report) = self.rollout.local.host.shown.take() {
             let part = Hung {
                 id: topic,
                 version: 1,
-                bytes: wire::write_part(&report),
+                bytes: messages::write_part(&report),
             };
             let _ = fleet.set_part(at, part); // one that does not fit is counted there
         }
@@ -509,22 +515,25 @@
     /// All that is known of changes, to be shown.
     pub fn show<H: FleetHost>(&self, at: Moment, fleet: &Fleet<H>) -> Vec<u8> {
         let topic = topic(self.kind);
-        let Rollout { local, conduct, .. } = &self.rollout;
-        let members: Vec<(Member, Option<Report>)> = local
+        let Participant { local, conduct, .. } = &self.rollout;
+        let members: Vec<(Member, Option<NodeReport>)> = local
             .host
             .members
             .iter()
             .map(|member| {
                 let entry = fleet.view().get(Key(member.node));
                 let part = entry.and_then(|e| e.details.parts.iter().find(|part| part.id == topic));
-                (*member, part.and_then(|part| wire::read_part(&part.bytes)))
+                (
+                    *member,
+                    part.and_then(|part| messages::read_part(&part.bytes)),
+                )
             })
             .collect();
         let names = Called {
             fleet,
             operations: &self.operations,
         };
-        let mut shown = Shown::of(at.unix_ms, local, conduct, &members, &names);
+        let mut shown = StatusSnapshot::of(at.unix_ms, local, conduct, &members, &names);
         shown.window_ms = WINDOW_MS;
         let alone: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
         let conductor = conduct
@@ -568,8 +577,8 @@
     fleet: &Fleet<H>,
     counts: &Counts,
     from: u64,
-) -> Vec<(u64, Vec<Sample>)> {
-    let mut all: BTreeMap<u64, BTreeMap<u64, Sample>> = BTreeMap::new();
+) -> Vec<(u64, Vec<WindowSample>)> {
+    let mut all: BTreeMap<u64, BTreeMap<u64, WindowSample>> = BTreeMap::new();
     for (who, window, label, first, counted) in counts.windows(from) {
         let Some(entry) = fleet.view().get(Key(who.key)) else {
             continue;
@@ -583,28 +592,28 @@
                     .parts
                     .iter()
                     .find(|part| part.id == PROGRAM_CHANGES);
-                match part.and_then(|part| wire::read_part(&part.bytes)) {
+                match part.and_then(|part| messages::read_part(&part.bytes)) {
                     Some(report) => report.running.hash,
                     None => continue,
                 }
             }
             Kind::Program => continue,
         };
-        let mut sample = Sample {
+        let mut sample = WindowSample {
             node: who.key,
             zone: super::zone_number(&entry.details.zone),
             label,
             cold: first,
             memory_kb: counted.gauges[0],
             descriptors: counted.gauges[1],
-            ..Sample::default()
+            ..WindowSample::default()
         };
         for (row, numbers) in &counted.rows {
             if *row == OWN {
                 sample.invariants = numbers[own::INVARIANTS];
                 continue;
             }
-            let cell = Cell {
+            let cell = OperationCounts {
                 arrived: numbers[column::ARRIVED],
                 succeeded: numbers[column::SUCCEEDED],
                 throttled: numbers[column::THROTTLED],
@@ -612,13 +621,13 @@
                 late: numbers[column::LATE],
                 earned: numbers[column::EARNED],
                 asked: numbers[column::ASKED],
-                ..Cell::default()
+                ..OperationCounts::default()
             };
             let latencies = counted.latency.get(row).cloned().unwrap_or_default();
             sample.operations.insert(*row, (cell, latencies));
         }
         // Of two processes under one name in a window the one that did more tells of it.
-        let arrived = |sample: &Sample| {
+        let arrived = |sample: &WindowSample| {
             sample
                 .operations
                 .values()
--- a/crates/node/src/driver/fleet_link.rs
+++ b/crates/node/src/driver/fleet_link.rs
@@ -11,7 +11,7 @@
 use madderpoint_membership::seal::Keys;
 use madderpoint_membership::wire::DATAGRAM_MAX;
 use madderpoint_membership::{Fleet, Host, Key, Life, Moment, Nanos, Periods, Settings, Sight};
-use madderpoint_rollout::{ChangeId, Kind, Plan, Version};
+use madderpoint_rollout::{Kind, Plan, RolloutId, Version};
 use madderpoint_shared_state::counts::PROCESS_BYTES;
 use madderpoint_shared_state::keyed::{KeyBudget, KeysLent, Rhythm};
 use madderpoint_shared_state::wire::{
@@ -109,7 +109,7 @@
 /// What the thread that checks and writes versions did.
 #[derive(Debug)]
 pub enum Done {
-    Checked(ChangeId, Result<(), String>),
+    Checked(RolloutId, Result<(), String>),
     LookedInto(u64, Result<Version, String>),
     Kept(u64, Result<(), String>),
     Applied(Version, Result<(), String>),
--- a/crates/node/src/parent.rs
+++ b/crates/node/src/parent.rs
@@ -5,10 +5,10 @@
 use crate::driver::{Notice, Versions};
 use crate::log::log;
 use crossbeam_channel::{Sender, bounded};
-use madderpoint_rollout::handover::Begin;
-use madderpoint_rollout::local::Start;
-use madderpoint_rollout::sayings::{Reader, Saying, kind};
-use madderpoint_rollout::{Kept, Version};
+use madderpoint_rollout::node_agent::InitialState;
+use madderpoint_rollout::process_handover::StartInstructions;
+use madderpoint_rollout::supervisor_messages::{MessageReader, SupervisorMessage, kind};
+use madderpoint_rollout::{PersistedState, Version};
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, recvmsg};
 use std::collections::HashMap;
 use std::io::{IoSliceMut, Read, Write};
@@ -43,10 +43,10 @@
 #[derive(Debug)]
 pub struct Adopted {
     pub link: Arc<Link>,
-    pub begin: Begin,
+    pub begin: StartInstructions,
     pub listener: Option<TcpListener>,
     reading: UnixStream,
-    reader: Reader,
+    reader: MessageReader,
 }
 
 /// Takes up what the parent hands over.
@@ -62,7 +62,7 @@
     stream
         .set_read_timeout(Some(BEGINS))
         .map_err(|e| wrong(&e))?;
-    let (mut reader, mut listener) = (Reader::default(), None);
+    let (mut reader, mut listener) = (MessageReader::default(), None);
     let begin = loop {
         let mut buffer = [0; 4096];
         let n = if listener.is_none() {
@@ -133,7 +133,7 @@
     link: &Link,
     mut in_charge: bool,
     mut stream: UnixStream,
-    mut reader: Reader,
+    mut reader: MessageReader,
     notices: &Sender<Notice>,
 ) {
     let mut buffer = [0; 4096];
@@ -193,7 +193,7 @@
 }
 
 impl Link {
-    fn say(&self, saying: &Saying) -> Result<(), String> {
+    fn say(&self, saying: &SupervisorMessage) -> Result<(), String> {
         let mut stream = self.stream.lock().unwrap_or_else(PoisonError::into_inner);
         stream
             .write_all(&saying.write())
@@ -202,13 +202,13 @@
 
     /// The node serves.
     pub fn ready(&self) {
-        if let Err(what) = self.say(&Saying::plain(kind::READY)) {
+        if let Err(what) = self.say(&SupervisorMessage::plain(kind::READY)) {
             log!("{what}");
         }
     }
 
     /// Asks the parent for something, and waits for the answer.
-    fn ask(&self, saying: impl FnOnce(u64) -> Saying) -> Result<(), String> {
+    fn ask(&self, saying: impl FnOnce(u64) -> SupervisorMessage) -> Result<(), String> {
         let no = self.asked.fetch_add(1, SeqCst) + 1;
         let (answers, answer) = bounded(1);
         self.answers
@@ -235,27 +235,29 @@
 impl Versions for ProgramVersions {
     fn check(&mut self, version: Option<Version>, _: Option<&[u8]>) -> Result<Version, String> {
         let version = version.ok_or("a program is told by its version")?;
-        self.0.ask(|no| Saying::about(kind::CHECK, no, version))?;
+        self.0
+            .ask(|no| SupervisorMessage::about(kind::CHECK, no, version))?;
         Ok(version)
     }
 
-    fn keep(&mut self, kept: &Kept, _: Option<(Version, &[u8])>) -> Result<(), String> {
-        self.0.ask(|no| Saying {
+    fn keep(&mut self, kept: &PersistedState, _: Option<(Version, &[u8])>) -> Result<(), String> {
+        self.0.ask(|no| SupervisorMessage {
             kind: kind::KEEP,
             no,
             kept: kept.write(),
-            ..Saying::default()
+            ..SupervisorMessage::default()
         })
     }
 
     fn apply(&mut self, version: Version) -> Result<(), String> {
-        self.0.ask(|no| Saying::about(kind::APPLY, no, version))
+        self.0
+            .ask(|no| SupervisorMessage::about(kind::APPLY, no, version))
     }
 }
 
 /// What a node starts with, of its program.
-pub fn start(begin: &Begin) -> Start {
-    Start {
+pub fn start(begin: &StartInstructions) -> InitialState {
+    InitialState {
         kept: begin.kept.clone(),
         running: begin.version,
         contents: Vec::new(),
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -2,7 +2,7 @@
 //! program in it and whatever it needs beside. What is in a directory is not changed any more once
 //! it is there.
 
-use madderpoint_rollout::{Version, pieces};
+use madderpoint_rollout::{Version, chunks};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -39,7 +39,7 @@
             program.display()
         ));
     }
-    let digest = pieces::digest(&fs::read(&program).map_err(wrong)?);
+    let digest = chunks::digest(&fs::read(&program).map_err(wrong)?);
     let hash = digest
         .first_chunk::<8>()
         .map_or(0, |first| u64::from_be_bytes(*first));
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -12,7 +12,7 @@
 use madderpoint_node::parent::{self, ProgramVersions};
 use madderpoint_node::room::Beside;
 use madderpoint_node::versions::Directory;
-use madderpoint_rollout::{Kept, Kind as ChangeKind, Version};
+use madderpoint_rollout::{Kind as ChangeKind, PersistedState, Version};
 use madderpoint_settings::{self as settings, Complaints, FleetSettings, Known, Place, Translator};
 use madderpoint_shared_state::keyed::KeyBudget;
 use madderpoint_shared_state::{Budget, Kind};
@@ -348,7 +348,11 @@
         Ok(Version { number, hash })
     }
 
-    fn keep(&mut self, kept: &Kept, content: Option<(Version, &[u8])>) -> Result<(), String> {
+    fn keep(
+        &mut self,
+        kept: &PersistedState,
+        content: Option<(Version, &[u8])>,
+    ) -> Result<(), String> {
         self.directory.keep(kept, content)
     }
 
--- a/crates/node/src/under.rs
+++ b/crates/node/src/under.rs
@@ -8,9 +8,9 @@
 use madderpoint_node::parent::UNDER;
 use madderpoint_node::versions::Directory;
 use madderpoint_node::{config, log, program};
-use madderpoint_rollout::handover::{Begin, Child, Host, Parent};
-use madderpoint_rollout::sayings::{Reader, Saying, kind};
-use madderpoint_rollout::{Kept, Kind, Version};
+use madderpoint_rollout::process_handover::{Child, Host, StartInstructions, Supervisor};
+use madderpoint_rollout::supervisor_messages::{MessageReader, SupervisorMessage, kind};
+use madderpoint_rollout::{Kind, PersistedState, Version};
 use rustix::net::sockopt::{set_socket_reuseaddr, set_socket_reuseport};
 use rustix::net::{
     AddressFamily, SendAncillaryBuffer, SendAncillaryMessage, SendFlags, SocketFlags, SocketType,
@@ -49,7 +49,7 @@
 }
 
 enum Event {
-    Said(Child, Saying),
+    Said(Child, SupervisorMessage),
     Ended(Child, String),
     Signal(i32),
 }
@@ -120,7 +120,7 @@
 }
 
 impl Hands {
-    fn say(&mut self, child: Child, saying: &Saying) {
+    fn say(&mut self, child: Child, saying: &SupervisorMessage) {
         if let Some(process) = self.processes.get_mut(&child) {
             let _ = process.stream.write_all(&saying.write()); // one that is gone is told of by its end
         }
@@ -141,7 +141,7 @@
         }
     }
 
-    fn spawn(&mut self, child: Child, begin: &Begin) -> Result<(), String> {
+    fn spawn(&mut self, child: Child, begin: &StartInstructions) -> Result<(), String> {
         let dir = program::find(&self.told.programs, begin.version)?;
         let file = dir.join(program::PROGRAM);
         let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
@@ -163,7 +163,11 @@
             let how = status.map_or_else(|e| e.to_string(), |status| status.to_string());
             let _ = told.send(Event::Ended(child, how));
         });
-        let sent = hand(&ours, &Saying::begin(begin).write(), &self.listener);
+        let sent = hand(
+            &ours,
+            &SupervisorMessage::begin(begin).write(),
+            &self.listener,
+        );
         let started = Process {
             stream: ours,
             alive,
@@ -198,7 +202,7 @@
 }
 
 fn read(child: Child, mut stream: UnixStream, events: &Sender<Event>) {
-    let (mut reader, mut buffer) = (Reader::default(), [0; 4096]);
+    let (mut reader, mut buffer) = (MessageReader::default(), [0; 4096]);
     while let Ok(n) = stream.read(&mut buffer) {
         if n == 0 {
             return;
@@ -217,18 +221,18 @@
 }
 
 impl Host for Hands {
-    fn start(&mut self, child: Child, begin: &Begin) -> Result<(), String> {
+    fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), String> {
         let beside = begin.beside || !self.orphans.is_empty();
         self.spawn(
             child,
-            &Begin {
+            &StartInstructions {
                 beside,
                 ..begin.clone()
             },
         )
     }
     fn in_charge(&mut self, child: Child) {
-        self.say(child, &Saying::plain(kind::IN_CHARGE));
+        self.say(child, &SupervisorMessage::plain(kind::IN_CHARGE));
         for orphan in std::mem::take(&mut self.orphans) {
             if orphan.is_there()
                 && let Some(pid) = Pid::from_raw(orphan.pid)
@@ -243,7 +247,7 @@
         self.note();
     }
     fn hand_over(&mut self, child: Child) {
-        self.say(child, &Saying::plain(kind::HAND_OVER));
+        self.say(child, &SupervisorMessage::plain(kind::HAND_OVER));
     }
     fn leave(&mut self, child: Child) {
         if let Some(process) = self.processes.get(&child) {
@@ -255,14 +259,14 @@
             process.signal(Signal::KILL);
         }
     }
-    fn keep(&mut self, kept: &Kept) -> Result<(), String> {
+    fn keep(&mut self, kept: &PersistedState) -> Result<(), String> {
         self.directory.keep(kept, None)
     }
     fn has(&mut self, version: Version) -> Result<(), String> {
         program::find(&self.told.programs, version).map(drop)
     }
     fn answer(&mut self, child: Child, no: u64, result: Result<(), String>) {
-        self.say(child, &Saying::done(no, &result));
+        self.say(child, &SupervisorMessage::done(no, &result));
     }
     fn log(&mut self, line: &str) {
         log::event("parent", "program", format_args!("{line}"));
@@ -327,7 +331,7 @@
     let begun = Instant::now();
     let now = || begun.elapsed().as_nanos() as u64 + 1;
     let stop = (who.stop_after + SLACK).as_nanos() as u64;
-    let mut parent = Parent::new(now(), kept, fresh, given, stop, hands);
+    let mut parent = Supervisor::new(now(), kept, fresh, given, stop, hands);
     while !parent.is_over() {
         turn(&mut parent, &inbox, &now);
         parent.wake(now());
@@ -335,7 +339,7 @@
     Ok(())
 }
 
-fn turn(parent: &mut Parent<Hands>, inbox: &Receiver<Event>, now: &impl Fn() -> u64) {
+fn turn(parent: &mut Supervisor<Hands>, inbox: &Receiver<Event>, now: &impl Fn() -> u64) {
     let Ok(event) = inbox.recv_timeout(WAKE) else {
         return;
     };
@@ -356,7 +360,7 @@
         }
         Event::Said(child, saying) => match saying.kind {
             kind::READY => parent.ready(now(), child),
-            kind::KEEP => match Kept::read(&saying.kept) {
+            kind::KEEP => match PersistedState::read(&saying.kept) {
                 Ok(kept) => parent.keep(child, saying.no, kept),
                 Err(broken) => parent
                     .host
--- a/crates/node/src/versions.rs
+++ b/crates/node/src/versions.rs
@@ -4,9 +4,9 @@
 //! the new ones.
 
 use crate::log::log;
-use madderpoint_rollout::kept::{FILE_MAX, Kept};
-use madderpoint_rollout::local::Start;
-use madderpoint_rollout::pieces::CONTENT_MAX;
+use madderpoint_rollout::chunks::CONTENT_MAX;
+use madderpoint_rollout::node_agent::InitialState;
+use madderpoint_rollout::persisted_state::{FILE_MAX, PersistedState};
 use madderpoint_rollout::{Kind, Version};
 use std::fs::{self, File, TryLockError};
 use std::io::{self, ErrorKind, Read, Write};
@@ -65,7 +65,7 @@
 /// What a node starts with, and the text of what it runs.
 #[derive(Debug)]
 pub struct Begun<T> {
-    pub start: Start,
+    pub start: InitialState,
     pub runs: T,
 }
 
@@ -194,7 +194,11 @@
 
     /// Writes what is kept, and a content with it, which goes first; then contents that nobody
     /// needs any more go.
-    pub fn keep(&mut self, kept: &Kept, content: Option<(Version, &[u8])>) -> Result<(), String> {
+    pub fn keep(
+        &mut self,
+        kept: &PersistedState,
+        content: Option<(Version, &[u8])>,
+    ) -> Result<(), String> {
         self.take(BEFORE)?;
         let wrong = |e: io::Error| format!("{}: {e}", self.dir.display());
         if let Some((version, bytes)) = content {
@@ -225,11 +229,13 @@
     }
 
     /// What is kept, and whether nothing was.
-    pub fn read_kept(&self) -> (Kept, bool) {
+    pub fn read_kept(&self) -> (PersistedState, bool) {
         let path = self.kept_file();
         let read = match read_bounded(&path, FILE_MAX) {
-            Ok(None) => return (Kept::new(self.kind), true),
-            Ok(Some(bytes)) => Kept::read(&bytes).map_err(|broken| broken.word().to_owned()),
+            Ok(None) => return (PersistedState::new(self.kind), true),
+            Ok(Some(bytes)) => {
+                PersistedState::read(&bytes).map_err(|broken| broken.word().to_owned())
+            }
             Err(e) => Err(e.to_string()),
         };
         match read {
@@ -241,7 +247,7 @@
                     path.display()
                 );
                 let _ = fs::rename(&path, path.with_extension("broken"));
-                (Kept::new(self.kind), true)
+                (PersistedState::new(self.kind), true)
             }
         }
     }
@@ -282,7 +288,7 @@
                     let here = |version: &Version| Some((*version, self.content(*version).ok()?));
                     let contents = contents.iter().filter_map(here).collect();
                     let new_content = (!on_disk).then_some(content);
-                    let start = Start {
+                    let start = InitialState {
                         kept,
                         running: version,
                         contents,
--- a/crates/node/src/versions/tests.rs
+++ b/crates/node/src/versions/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use madderpoint_rollout::ChangeId;
-use madderpoint_rollout::kept::Trial;
+use madderpoint_rollout::RolloutId;
+use madderpoint_rollout::persisted_state::Trial;
 
 fn dir(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!(
@@ -40,7 +40,7 @@
     kept.found_good(v(1));
     one.keep(&kept, Some((v(1), b"one"))).unwrap();
     kept.trial = Some(Trial {
-        change: ChangeId(5),
+        change: RolloutId(5),
         version: v(2),
         tries: 1,
     });
@@ -86,10 +86,10 @@
 fn one_that_starts_beside_another_reads_and_writes_only_when_that_one_is_gone() {
     let root = dir("beside");
     let mut old = Directory::open(&root, "n1", Kind::Settings).unwrap();
-    let mut kept = Kept::new(Kind::Settings);
+    let mut kept = PersistedState::new(Kind::Settings);
     kept.found_good(v(1));
     kept.trial = Some(Trial {
-        change: ChangeId(5),
+        change: RolloutId(5),
         version: v(2),
         tries: 1,
     });
@@ -129,7 +129,7 @@
 fn contents_that_nobody_needs_go_and_others_stay() {
     let root = dir("room");
     let mut one = Directory::open(&root, "n1", Kind::Settings).unwrap();
-    let mut kept = Kept::new(Kind::Settings);
+    let mut kept = PersistedState::new(Kind::Settings);
     for number in 1..20 {
         one.keep(&kept, Some((v(number), b"text"))).unwrap();
         kept.found_good(v(number));
--- a/crates/rollout/examples/compare.rs
+++ b/crates/rollout/examples/compare.rs
@@ -1,13 +1,13 @@
-//! Changes good and bad, by seed, judged in several ways and set against all nodes at once: how
+//! RolloutTable good and bad, by seed, judged in several ways and set against all nodes at once: how
 //! many good ones are stopped, how many bad ones pass, by the size of their harm, and what they
 //! cost. Prints a table; with a path, draws what bad ones cost as SVG.
 //!
 //! `cargo run --release -p madderpoint-rollout --example compare [changes] [nodes,nodes...]
 //! [plot.svg]`
 
-use madderpoint_rollout::judge::Way;
-use madderpoint_rollout::sim::trial::{NO_JUDGEMENT, Out, Outcome, Trial};
-use madderpoint_rollout::sim::{Effect, Noise};
+use madderpoint_rollout::canary_analysis::AnalysisMethod;
+use madderpoint_rollout::simulation::trial::{NO_JUDGEMENT, Out, Trial, TrialResult};
+use madderpoint_rollout::simulation::{Effect, Noise};
 use madderpoint_rollout::stages::Plan;
 use plotters::prelude::*;
 use std::error::Error;
@@ -15,7 +15,7 @@
 const SECOND: f64 = 1e9;
 const SIZES: [f64; 7] = [0.01, 0.02, 0.03, 0.05, 0.1, 0.3, 1.0];
 
-fn play(nodes: usize, effect: Effect, out: Out, changes: u64) -> Vec<Outcome> {
+fn play(nodes: usize, effect: Effect, out: Out, changes: u64) -> Vec<TrialResult> {
     let trial = Trial {
         nodes,
         zones: 4,
@@ -62,11 +62,11 @@
         None => vec![10, 300],
     };
     let ways = [
-        ("nodes, with their past", Out::Stages(Way::Nodes)),
-        ("nodes", Out::Stages(Way::NodesNow)),
-        ("fixed threshold", Out::Stages(Way::Fixed)),
-        ("every invocation", Out::Stages(Way::Invocations)),
-        ("ranks", Out::Stages(Way::Ranks)),
+        ("nodes, with their past", Out::Stages(AnalysisMethod::Nodes)),
+        ("nodes", Out::Stages(AnalysisMethod::NodesNow)),
+        ("fixed threshold", Out::Stages(AnalysisMethod::Fixed)),
+        ("every invocation", Out::Stages(AnalysisMethod::Invocations)),
+        ("ranks", Out::Stages(AnalysisMethod::Ranks)),
         ("all at once", Out::AtOnce),
     ];
     println!(
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/canary_analysis.rs
@@ -7,7 +7,7 @@
 //! without adding to the chance of a false stop: a mixture likelihood ratio (mSPRT) over all
 //! operations and measures, which share that chance. Crashes are counts, and compared as such.
 
-use crate::record::{Measure, NodeRecord, Part, Record, Side};
+use crate::cohort_metrics::{Cohort, CohortMetrics, Metric, NodeHistory, NodeMetric};
 use crate::stages::Plan;
 use statrs::distribution::{ContinuousCDF, DiscreteCDF, Normal, Poisson};
 use std::collections::BTreeMap;
@@ -32,18 +32,18 @@
 const DAY: f64 = 24.0 * HOUR;
 
 /// A measure's margin as a multiple of the plan's: errors weigh more than answers that come later.
-fn margin_of(measure: Measure) -> f64 {
+fn margin_of(measure: Metric) -> f64 {
     match measure {
-        Measure::Errored => 0.5,
-        Measure::Lost => 1.0,
-        Measure::Throttled | Measure::Late => 2.0,
-        Measure::Slow => 5.0,
+        Metric::Errored => 0.5,
+        Metric::Lost => 1.0,
+        Metric::Throttled | Metric::Late => 2.0,
+        Metric::Slow => 5.0,
     }
 }
 
 /// How it is judged; all but the first are here to be compared with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum AnalysisMethod {
     /// As told above.
     Nodes,
     /// The same without what was before.
@@ -58,7 +58,7 @@
 
 /// One comparison.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Finding {
+pub struct Comparison {
     /// The operation, or none for the process itself.
     pub operation: Option<u32>,
     pub what: &'static str,
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// The new nodes harm: the comparisons that say so, the worst first.
-    Harm(Vec<Finding>),
+    Harm(Vec<Comparison>),
     /// They don't harm by the margin, as far as the chances allow to say.
     Fine,
     /// It can't be told yet: why.
@@ -91,16 +91,16 @@
 
 /// A judgement with its figures.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Judgement {
+pub struct AnalysisResult {
     pub verdict: Verdict,
     /// All comparisons, those with most evidence first.
-    pub findings: Vec<Finding>,
+    pub findings: Vec<Comparison>,
     /// Invocations of the new and of the old nodes, and how many nodes there are.
     pub sample: [u64; 2],
     pub nodes: [usize; 2],
 }
 
-impl Judgement {
+impl AnalysisResult {
     /// In a line.
     pub fn line(&self, name: &dyn Fn(u32) -> String) -> String {
         let mut line = match &self.verdict {
@@ -109,7 +109,7 @@
             Verdict::Wait(why) => format!("waits: {why}"),
             Verdict::Unsure(why) => format!("nothing speaks for harm, and is not sure yet: {why}"),
         };
-        let shown: &[Finding] = match &self.verdict {
+        let shown: &[Comparison] = match &self.verdict {
             Verdict::Harm(of) => of,
             _ => &self.findings,
         };
@@ -126,7 +126,7 @@
     }
 }
 
-impl Finding {
+impl Comparison {
     /// In words.
     pub fn line(&self, name: &dyn Fn(u32) -> String) -> String {
         let of = self
@@ -147,40 +147,40 @@
 
 /// A node's share of something, with how far chance may have it off.
 #[derive(Clone, Copy, Debug)]
-struct Share {
+struct NodeShare {
     zone: u32,
     value: f64,
     variance: f64,
-    before: Option<Past>,
+    before: Option<Baseline>,
 }
 
 /// What it was before.
 #[derive(Clone, Copy, Debug)]
-struct Past {
+struct Baseline {
     value: f64,
     variance: f64,
 }
 
 /// The shares of a side's nodes: how far each is from what was to be expected of it.
-fn shares(record: &Record, side: Side, operation: u32, measure: Measure) -> Vec<Share> {
+fn shares(record: &CohortMetrics, side: Cohort, operation: u32, measure: Metric) -> Vec<NodeShare> {
     let parts = || {
         record
             .side(side)
             .filter_map(|(_, node)| Some((node, node.after.get(&operation)?.of(measure))))
     };
-    let enough = |part: &Part| part.count >= NODE_SAMPLE && part.all > 0;
+    let enough = |part: &NodeMetric| part.count >= NODE_SAMPLE && part.all > 0;
     let (bad, all) = parts().fold((0, 0), |(bad, all), (_, part)| {
         (bad + part.bad, all + part.all)
     });
     let common = bad as f64 / (all as f64).max(1.0);
     // Chance of counts, by what is likely, with half a one more so that no share is without any;
     // where that is less than what was seen, by that: few and seldom is not normal.
-    let chance = |part: &Part, likely: f64| {
+    let chance = |part: &NodeMetric, likely: f64| {
         let likely = likely.clamp(0.0, 1.0) * part.count as f64 + 0.5;
         let likely = likely / (part.count as f64 + 1.0);
         likely * (1.0 - likely) / part.count as f64
     };
-    let share = |(node, part): (&NodeRecord, &Part)| {
+    let share = |(node, part): (&NodeHistory, &NodeMetric)| {
         let past = node
             .before
             .get(&operation)
@@ -190,14 +190,14 @@
         let value = part.bad as f64 / part.all as f64 - expected;
         let before = past.map(|past| {
             let value = (past.bad as f64 - past.expected) / past.all as f64;
-            Past {
+            Baseline {
                 value,
                 variance: chance(&past, past.bad as f64 / past.all as f64),
             }
         });
         let own = before.map_or(0.0, |past| past.value.max(0.0));
         let likely = (expected + own).max(common);
-        Share {
+        NodeShare {
             zone: node.zone,
             value,
             variance: chance(part, likely),
@@ -211,7 +211,12 @@
 }
 
 /// The common share of a side, and what was expected of it.
-fn pooled(record: &Record, side: Side, operation: u32, measure: Measure) -> Option<(f64, f64)> {
+fn pooled(
+    record: &CohortMetrics,
+    side: Cohort,
+    operation: u32,
+    measure: Metric,
+) -> Option<(f64, f64)> {
     let parts = record
         .side(side)
         .filter_map(|(_, node)| Some(node.after.get(&operation)?.of(measure)));
@@ -234,8 +239,8 @@
 /// before. As much of its distance from its zone is taken as is its own rather than chance (the
 /// best linear prediction by two variances, as CUPED does with one slope for all: here a node with
 /// little past keeps more of its share).
-fn adjust(new: &mut [Share], old: &mut [Share]) {
-    let mut zones: BTreeMap<u32, Vec<Past>> = BTreeMap::new();
+fn adjust(new: &mut [NodeShare], old: &mut [NodeShare]) {
+    let mut zones: BTreeMap<u32, Vec<Baseline>> = BTreeMap::new();
     for share in new.iter().chain(old.iter()) {
         zones.entry(share.zone).or_default().extend(share.before);
     }
@@ -266,8 +271,8 @@
 
 /// How much the old nodes differ beyond chance, within their zones. Few of them tell little of
 /// that: two more are taken to differ by half of the margin.
-fn spread(old: &[Share], margin: f64) -> f64 {
-    let mut zones: BTreeMap<u32, Vec<&Share>> = BTreeMap::new();
+fn spread(old: &[NodeShare], margin: f64) -> f64 {
+    let mut zones: BTreeMap<u32, Vec<&NodeShare>> = BTreeMap::new();
     old.iter()
         .for_each(|share| zones.entry(share.zone).or_default().push(share));
     let (mut squares, mut degrees, mut chance) = (0.0, 0.0, 0.0);
@@ -287,17 +292,17 @@
 }
 
 /// By how much the new ones are above the old ones, zone by zone, and the variance of that.
-fn difference(new: &[Share], old: &[Share], spread: f64) -> Option<(f64, f64)> {
-    let mut zones: BTreeMap<u32, (Vec<Share>, Vec<Share>)> = BTreeMap::new();
+fn difference(new: &[NodeShare], old: &[NodeShare], spread: f64) -> Option<(f64, f64)> {
+    let mut zones: BTreeMap<u32, (Vec<NodeShare>, Vec<NodeShare>)> = BTreeMap::new();
     new.iter()
         .for_each(|share| zones.entry(share.zone).or_default().0.push(*share));
     old.iter()
         .for_each(|share| zones.entry(share.zone).or_default().1.push(*share));
-    let variance = |shares: &[Share], spread: f64| {
+    let variance = |shares: &[NodeShare], spread: f64| {
         let n = shares.len() as f64;
         spread * spread / n + shares.iter().map(|share| share.variance).sum::<f64>() / (n * n)
     };
-    let value = |shares: &[Share]| mean(shares.iter().map(|share| share.value));
+    let value = |shares: &[NodeShare]| mean(shares.iter().map(|share| share.value));
     let (mut sum, mut weights) = (0.0, 0.0);
     for (new, here) in zones.values().filter(|(new, _)| !new.is_empty()) {
         // A zone without old nodes is compared with all of them, which differ by their zones too.
@@ -340,7 +345,7 @@
 }
 
 /// The chance that the new nodes' shares rank as high as they do.
-fn ranks(new: &[Share], old: &[Share]) -> f64 {
+fn ranks(new: &[NodeShare], old: &[NodeShare]) -> f64 {
     // The normal form of Mann and Whitney's U, with the correction for whole steps; ties count as
     // half.
     let (n, m) = (new.len() as f64, old.len() as f64);
@@ -359,22 +364,22 @@
 
 /// One operation by one measure.
 fn compare(
-    record: &Record,
+    record: &CohortMetrics,
     plan: &Plan,
-    way: Way,
+    way: AnalysisMethod,
     operation: u32,
-    measure: Measure,
-) -> Option<Finding> {
+    measure: Metric,
+) -> Option<Comparison> {
     let margin = f64::from(plan.margin) / 1000.0 * margin_of(measure);
-    let (new_share, expected) = pooled(record, Side::New, operation, measure)?;
-    let (old_share, _) = pooled(record, Side::Old, operation, measure)?;
-    let mut new = shares(record, Side::New, operation, measure);
-    let mut old = shares(record, Side::Old, operation, measure);
+    let (new_share, expected) = pooled(record, Cohort::Canary, operation, measure)?;
+    let (old_share, _) = pooled(record, Cohort::Baseline, operation, measure)?;
+    let mut new = shares(record, Cohort::Canary, operation, measure);
+    let mut old = shares(record, Cohort::Baseline, operation, measure);
     if new.is_empty() || old.is_empty() {
         return None;
     }
     let chance = difference(&new, &old, 0.0).map_or(0.0, |(_, variance)| variance.sqrt());
-    let finding = |harm: f64, variance: f64, evidence: f64| Finding {
+    let finding = |harm: f64, variance: f64, evidence: f64| Comparison {
         chance,
         operation: Some(operation),
         what: measure.word(),
@@ -386,14 +391,14 @@
         margin,
     };
     match way {
-        Way::Nodes | Way::NodesNow => {
-            if way == Way::Nodes {
+        AnalysisMethod::Nodes | AnalysisMethod::NodesNow => {
+            if way == AnalysisMethod::Nodes {
                 adjust(&mut new, &mut old);
             }
             let (harm, variance) = difference(&new, &old, spread(&old, margin))?;
             Some(finding(harm, variance, mixture(harm, variance, margin)))
         }
-        Way::Fixed => {
+        AnalysisMethod::Fixed => {
             let harm = new_share - old_share;
             Some(finding(
                 harm,
@@ -401,13 +406,13 @@
                 if harm > margin { f64::MAX } else { 0.0 },
             ))
         }
-        Way::Invocations => {
+        AnalysisMethod::Invocations => {
             let variance = 1.0 / new.iter().map(|share| 1.0 / share.variance).sum::<f64>()
                 + 1.0 / old.iter().map(|share| 1.0 / share.variance).sum::<f64>();
             let harm = new_share - expected;
             Some(finding(harm, variance, mixture(harm, variance, margin)))
         }
-        Way::Ranks => {
+        AnalysisMethod::Ranks => {
             let harm = new_share - old_share;
             Some(finding(harm, 0.0, 1.0 / ranks(&new, &old).max(1e-12)))
         }
@@ -416,23 +421,24 @@
 
 /// Memory and descriptors: whether they rise faster than at the old nodes, drawn out over an hour,
 /// as a share of what there is.
-fn rises(record: &Record) -> Vec<Finding> {
+fn rises(record: &CohortMetrics) -> Vec<Comparison> {
     let mut findings = Vec::new();
     for (what, of) in [
         (
             "memory in an hour",
-            (|node: &NodeRecord| node.memory) as fn(&NodeRecord) -> crate::record::Line,
+            (|node: &NodeHistory| node.memory)
+                as fn(&NodeHistory) -> crate::cohort_metrics::LinearTrend,
         ),
         ("descriptors in an hour", |node| node.descriptors),
     ] {
-        let values = |side| -> Vec<Share> {
+        let values = |side| -> Vec<NodeShare> {
             let lines = record.side(side).map(|(_, node)| (node.zone, of(node)));
             lines
                 .filter(|(_, line)| line.count >= RISE_WINDOWS && line.mean() > 0.0)
                 .filter_map(|(zone, line)| {
                     let (slope, variance) = line.slope(GAUGES)?;
                     let drawn = HOUR / line.mean();
-                    Some(Share {
+                    Some(NodeShare {
                         zone,
                         value: slope * drawn,
                         variance: variance * drawn * drawn,
@@ -441,7 +447,7 @@
                 })
                 .collect()
         };
-        let (new, old) = (values(Side::New), values(Side::Old));
+        let (new, old) = (values(Cohort::Canary), values(Cohort::Baseline));
         let (value_new, value_old) = (
             mean(new.iter().map(|s| s.value)),
             mean(old.iter().map(|s| s.value)),
@@ -452,7 +458,7 @@
             let evidence = mixture(harm, variance, margin);
             let error = variance.sqrt();
             let chance = difference(&new, &old, 0.0).map_or(0.0, |(_, variance)| variance.sqrt());
-            findings.push(Finding {
+            findings.push(Comparison {
                 chance,
                 operation: None,
                 what,
@@ -468,9 +474,9 @@
     findings
 }
 
-/// Deaths and invariants: counts by node and time, of which chance is known. What the others had in
+/// CrashCounts and invariants: counts by node and time, of which chance is known. What the others had in
 /// the same time tells how often such a thing happens today; without any, once in a node's day.
-fn counts(record: &Record, deaths: &Deaths) -> Vec<Finding> {
+fn counts(record: &CohortMetrics, deaths: &CrashCounts) -> Vec<Comparison> {
     let [new_time, old_time] = deaths
         .nodes
         .map(|nodes| (nodes as f64 * deaths.windows).max(1.0));
@@ -487,7 +493,7 @@
         }
         let rate = old as f64 / old_time + 1.0 / DAY;
         let chance = Poisson::new(rate * new_time).map_or(1.0, |poisson| poisson.sf(new - 1));
-        findings.push(Finding {
+        findings.push(Comparison {
             operation: None,
             what,
             new: new as f64,
@@ -501,7 +507,7 @@
     };
     push(
         "invariants that did not hold",
-        [sum(Side::New), sum(Side::Old)],
+        [sum(Cohort::Canary), sum(Cohort::Baseline)],
         1,
     );
     // One death may be chance; of two on trial, where the others live, one is not.
@@ -511,7 +517,7 @@
 
 /// What died in a stage: the dead don't count, so that others do it for them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Deaths {
+pub struct CrashCounts {
     /// On trial, and of the others.
     pub died: [u64; 2],
     /// Of how many nodes that are in the stage, and that are not.
@@ -521,52 +527,62 @@
 }
 
 /// Judges a stage by what there is so far.
-pub fn judge(record: &Record, plan: &Plan, stage: u32, deaths: &Deaths, way: Way) -> Judgement {
+pub fn judge(
+    record: &CohortMetrics,
+    plan: &Plan,
+    stage: u32,
+    deaths: &CrashCounts,
+    way: AnalysisMethod,
+) -> AnalysisResult {
     let operations = record.operations();
-    let mut findings: Vec<Finding> = Vec::new();
+    let mut findings: Vec<Comparison> = Vec::new();
     for operation in &operations {
         findings.extend(
-            Measure::ALL
+            Metric::ALL
                 .iter()
                 .filter_map(|m| compare(record, plan, way, *operation, *m)),
         );
     }
     let shares = findings.len();
-    if matches!(way, Way::Nodes | Way::NodesNow) {
+    if matches!(way, AnalysisMethod::Nodes | AnalysisMethod::NodesNow) {
         findings.extend(rises(record));
     }
     // All ways take deaths for what they are: they differ in what they make of shares.
     let counted = counts(record, deaths);
     let tests = findings.len().max(1) as f64;
     let enough = match way {
-        Way::Fixed => 1.0,
+        AnalysisMethod::Fixed => 1.0,
         // A rank test that is looked at each window without a thought of that.
-        Way::Ranks => 1.0 / FALSE_STOP,
+        AnalysisMethod::Ranks => 1.0 / FALSE_STOP,
         _ => tests / FALSE_STOP,
     };
     findings.extend(counted);
     findings.sort_by(|a, b| b.evidence.total_cmp(&a.evidence));
-    let sample = [record.arrived(Side::New), record.arrived(Side::Old)];
+    let sample = [
+        record.arrived(Cohort::Canary),
+        record.arrived(Cohort::Baseline),
+    ];
     let nodes = [
-        record.side(Side::New).count(),
-        record.side(Side::Old).count(),
+        record.side(Cohort::Canary).count(),
+        record.side(Cohort::Baseline).count(),
     ];
     let least = plan.stage(stage).map_or(0, |stage| u64::from(stage.sample));
     // Harm that is certain and small is none: half of the margin at least. Counts are two tests
     // more, with a chance of their own.
-    let harms = |finding: &Finding| {
+    let harms = |finding: &Comparison| {
         let enough = if finding.margin > 0.0 {
             enough
         } else {
             2.0 / FALSE_STOP
         };
         // The plain ways would stop all changes if they looked at a handful.
-        let plain = finding.margin > 0.0 && matches!(way, Way::Fixed | Way::Ranks);
+        let plain =
+            finding.margin > 0.0 && matches!(way, AnalysisMethod::Fixed | AnalysisMethod::Ranks);
         finding.evidence >= enough
             && finding.harm >= finding.margin / 2.0
             && (!plain || sample[0] >= least)
     };
-    let harm: Vec<Finding> = findings
+    let harm: Vec<Comparison> = findings
         .iter()
         .filter(|finding| harms(finding))
         .cloned()
@@ -585,21 +601,21 @@
         // more counts would not tell is not waited for.
         let part = nodes[0] as f64 / (nodes[0] + nodes[1]).max(1) as f64;
         let wide = (0.5 / part.max(1e-6)).sqrt().max(1.0);
-        let unsure = |finding: &&Finding| {
+        let unsure = |finding: &&Comparison| {
             finding.margin > 0.0
                 && most(finding.harm, finding.chance.powi(2)) > finding.margin * wide
         };
         // What is seldom can't be told from chance: it must not hold a change up that is fine by
         // all that is not.
-        let told = |finding: &&Finding| finding.chance < finding.margin;
+        let told = |finding: &&Comparison| finding.chance < finding.margin;
         let looked = || {
             findings
                 .iter()
-                .filter(|_| way != Way::Fixed && way != Way::Ranks)
+                .filter(|_| way != AnalysisMethod::Fixed && way != AnalysisMethod::Ranks)
                 .filter(told)
                 .filter(unsure)
         };
-        let why = |finding: &Finding| {
+        let why = |finding: &Comparison| {
             format!(
                 "{} {:+.4} ± {:.4}, {:.4} is looked for",
                 finding.what,
@@ -617,7 +633,7 @@
             (None, None) => Verdict::Fine,
         }
     };
-    Judgement {
+    AnalysisResult {
         verdict,
         findings,
         sample,
--- a/crates/rollout/src/judge/tests.rs
+++ b/crates/rollout/src/canary_analysis/tests.rs
@@ -1,26 +1,33 @@
 use super::*;
-use crate::change::{ChangeId, Version};
-use crate::record::{Cell, Sample};
+use crate::cohort_metrics::{OperationCounts, WindowSample};
+use crate::rollout::{RolloutId, Version};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn record() -> Record {
+fn record() -> CohortMetrics {
     let version = |number| Version {
         number,
         hash: number,
     };
-    Record::new(ChangeId(1), version(2), version(1))
+    CohortMetrics::new(RolloutId(1), version(2), version(1))
 }
 
 struct Fleet {
     rng: Pcg64Mcg,
-    /// Share of errors of each node by itself, and which ones are new.
+    /// NodeShare of errors of each node by itself, and which ones are new.
     own: Vec<f64>,
     new: usize,
 }
 
 impl Fleet {
-    fn samples(&mut self, before: bool, harm: f64, each: u64, memory: f64, at: u64) -> Vec<Sample> {
+    fn samples(
+        &mut self,
+        before: bool,
+        harm: f64,
+        each: u64,
+        memory: f64,
+        at: u64,
+    ) -> Vec<WindowSample> {
         (0..self.own.len())
             .map(|n| {
                 let is_new = n < self.new && !before;
@@ -28,30 +35,30 @@
                 let errored = (0..each)
                     .filter(|_| self.rng.random_bool(share.clamp(0.0, 1.0)))
                     .count() as u64;
-                let cell = Cell {
+                let cell = OperationCounts {
                     arrived: each,
                     succeeded: each - errored,
                     errored,
                     earned: (each - errored) * 1000,
                     asked: each * 1000,
-                    ..Cell::default()
+                    ..OperationCounts::default()
                 };
                 let memory = 10_000.0 + if is_new { memory * at as f64 } else { 0.0 };
-                Sample {
+                WindowSample {
                     node: n as u64,
                     zone: n as u32 % 3,
                     label: if is_new { 2 } else { 1 },
                     operations: BTreeMap::from([(7, (cell, Vec::new()))]),
                     memory_kb: memory as u64 + self.rng.random_range(0..200),
                     descriptors: 40,
-                    ..Sample::default()
+                    ..WindowSample::default()
                 }
             })
             .collect()
     }
 }
 
-fn play(seed: u64, new: usize, harm: f64, slow_new: f64, memory: f64) -> Judgement {
+fn play(seed: u64, new: usize, harm: f64, slow_new: f64, memory: f64) -> AnalysisResult {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut own: Vec<f64> = (0..30).map(|_| rng.random_range(0.005..0.02)).collect();
     own[0] += slow_new;
@@ -65,7 +72,13 @@
     let mut last = None;
     for window in 8..30 {
         record.after(window, &fleet.samples(false, harm, 100, memory, window));
-        let judged = judge(&record, &Plan::default(), 1, &Deaths::default(), Way::Nodes);
+        let judged = judge(
+            &record,
+            &Plan::default(),
+            1,
+            &CrashCounts::default(),
+            AnalysisMethod::Nodes,
+        );
         let stops = matches!(judged.verdict, Verdict::Harm(_));
         last = Some(judged);
         if stops {
@@ -141,13 +154,13 @@
     for window in 0..6 {
         record.after(window, &fleet.samples(false, 0.0, 100, 0.0, window));
     }
-    let judged = |record: &Record, died| {
-        let deaths = Deaths {
+    let judged = |record: &CohortMetrics, died| {
+        let deaths = CrashCounts {
             died,
             nodes: [3, 27],
             windows: 6.0,
         };
-        judge(record, &Plan::default(), 1, &deaths, Way::Nodes).verdict
+        judge(record, &Plan::default(), 1, &deaths, AnalysisMethod::Nodes).verdict
     };
     assert!(
         !matches!(judged(&record, [1, 0]), Verdict::Harm(_)),
@@ -171,7 +184,13 @@
     record.begin(&[]);
     record.stage_begins(1);
     (0..4).for_each(|window| record.after(window, &fleet.samples(false, 0.0, 30, 0.0, window)));
-    let judged = judge(&record, &Plan::default(), 1, &Deaths::default(), Way::Nodes);
+    let judged = judge(
+        &record,
+        &Plan::default(),
+        1,
+        &CrashCounts::default(),
+        AnalysisMethod::Nodes,
+    );
     assert_eq!(
         judged.verdict,
         Verdict::Wait("90 of 200 invocations at the new nodes".into())
@@ -207,7 +226,13 @@
         fleet.new = 1;
         (4..12)
             .for_each(|window| record.after(window, &fleet.samples(false, 0.0, 130, 0.0, window)));
-        let judged = judge(&record, &Plan::default(), 1, &Deaths::default(), Way::Nodes);
+        let judged = judge(
+            &record,
+            &Plan::default(),
+            1,
+            &CrashCounts::default(),
+            AnalysisMethod::Nodes,
+        );
         assert_eq!(
             judged.verdict,
             Verdict::Fine,
--- a/crates/rollout/src/pieces.rs
+++ b/crates/rollout/src/chunks.rs
@@ -1,8 +1,8 @@
 //! A change's content in bounded pieces: asked for a few at a time, from whoever has it, and
 //! believed by its hash alone.
 
-use crate::change::{Change, ChangeId};
-use crate::wire::PIECE;
+use crate::messages::PIECE;
+use crate::rollout::{Rollout, RolloutId};
 use crate::{MILLISECOND, Nanos};
 
 /// The most bytes of a content.
@@ -33,8 +33,8 @@
 
 /// Content that is being fetched.
 #[derive(Clone, Debug)]
-pub struct Fetch {
-    pub change: ChangeId,
+pub struct ChunkFetch {
+    pub change: RolloutId,
     digest: [u8; 32],
     content: Vec<u8>,
     have: Vec<bool>,
@@ -44,20 +44,20 @@
 
 /// What has come of a fetch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fetched {
+pub enum FetchProgress {
     /// Pieces are missing.
-    Part,
+    NodeMetric,
     /// All of it, as it should be.
     Whole(Vec<u8>),
     /// It came whole and was not what it should be, and is begun anew; or given up.
-    Spoilt { given_up: bool },
+    MalformedMessage { given_up: bool },
 }
 
-impl Fetch {
+impl ChunkFetch {
     /// The content of a change; none if it is beyond its bound.
-    pub fn new(change: &Change) -> Option<Fetch> {
+    pub fn new(change: &Rollout) -> Option<ChunkFetch> {
         let bytes = change.bytes as usize;
-        (bytes <= CONTENT_MAX).then(|| Fetch {
+        (bytes <= CONTENT_MAX).then(|| ChunkFetch {
             change: change.id,
             digest: change.digest,
             content: vec![0; bytes],
@@ -103,16 +103,16 @@
     }
 
     /// What there is.
-    pub fn fetched(&mut self) -> Fetched {
+    pub fn fetched(&mut self) -> FetchProgress {
         if self.have.iter().any(|have| !have) {
-            return Fetched::Part;
+            return FetchProgress::NodeMetric;
         }
         if digest(&self.content) == self.digest {
-            return Fetched::Whole(std::mem::take(&mut self.content));
+            return FetchProgress::Whole(std::mem::take(&mut self.content));
         }
         self.have.fill(false);
         (self.spoilt, self.asked) = (self.spoilt + 1, 0);
-        Fetched::Spoilt {
+        FetchProgress::MalformedMessage {
             given_up: self.spoilt >= SPOILT,
         }
     }
--- a/crates/rollout/src/pieces/tests.rs
+++ b/crates/rollout/src/chunks/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use crate::change::tests::change;
+use crate::rollout::tests::change;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn of(content: &[u8]) -> Change {
-    Change {
+fn of(content: &[u8]) -> Rollout {
+    Rollout {
         bytes: content.len() as u32,
         digest: digest(content),
         ..change(1, 2)
@@ -17,7 +17,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let size = rng.random_range(1..40_000);
         let content: Vec<u8> = (0..size).map(|_| rng.random()).collect();
-        let mut fetch = Fetch::new(&of(&content)).unwrap();
+        let mut fetch = ChunkFetch::new(&of(&content)).unwrap();
         let (mut now, mut under_way) = (1, Vec::new());
         let whole = loop {
             now += 20 * MILLISECOND;
@@ -36,9 +36,9 @@
                 fetch.piece(no, piece(&content, no).unwrap());
             }
             match fetch.fetched() {
-                Fetched::Part => {}
-                Fetched::Whole(whole) => break whole,
-                Fetched::Spoilt { .. } => panic!("seed {seed}"),
+                FetchProgress::NodeMetric => {}
+                FetchProgress::Whole(whole) => break whole,
+                FetchProgress::MalformedMessage { .. } => panic!("seed {seed}"),
             }
             assert!(now < 600 * 1000 * MILLISECOND, "seed {seed}");
         };
@@ -49,23 +49,23 @@
 #[test]
 fn what_is_not_what_it_should_be_is_fetched_anew_and_then_given_up() {
     let content = vec![7; 3000];
-    let mut fetch = Fetch::new(&of(&content)).unwrap();
+    let mut fetch = ChunkFetch::new(&of(&content)).unwrap();
     for round in 1..=3 {
         fetch.piece(0, &[1; PIECE]);
         fetch.piece(1, &[7; PIECE]);
         fetch.piece(9, &[7; PIECE]); // none of it
         fetch.piece(2, &[7; 5]); // too short
-        assert_eq!(fetch.fetched(), Fetched::Part);
+        assert_eq!(fetch.fetched(), FetchProgress::NodeMetric);
         fetch.piece(2, &[7; 3000 - 2 * PIECE]);
         assert_eq!(
             fetch.fetched(),
-            Fetched::Spoilt {
+            FetchProgress::MalformedMessage {
                 given_up: round == 3
             }
         );
     }
     assert!(
-        Fetch::new(&Change {
+        ChunkFetch::new(&Rollout {
             bytes: CONTENT_MAX as u32 + 1,
             ..change(1, 2)
         })
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/cohort_metrics.rs
@@ -4,7 +4,7 @@
 //! Fed with each node's counts of each window. What a node did before the change began is kept
 //! beside: machines differ, and what a slow one did before tells how slow it is.
 
-use crate::change::{ChangeId, Version};
+use crate::rollout::{RolloutId, Version};
 use crate::stages::place;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -27,7 +27,7 @@
 
 /// What is measured of an operation. Each is a share of what harms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Measure {
+pub enum Metric {
     /// Errored, of what arrived.
     Errored,
     /// Throttled, of what arrived.
@@ -40,36 +40,36 @@
     Slow,
 }
 
-impl Measure {
-    pub const ALL: [Measure; 5] = [
-        Measure::Errored,
-        Measure::Throttled,
-        Measure::Late,
-        Measure::Lost,
-        Measure::Slow,
+impl Metric {
+    pub const ALL: [Metric; 5] = [
+        Metric::Errored,
+        Metric::Throttled,
+        Metric::Late,
+        Metric::Lost,
+        Metric::Slow,
     ];
 
     /// What harms, and of how much; and how many invocations lie behind it.
-    fn of(self, cell: &Cell) -> ([u64; 2], u64) {
+    fn of(self, cell: &OperationCounts) -> ([u64; 2], u64) {
         match self {
-            Measure::Errored => ([cell.errored, cell.arrived], cell.arrived),
-            Measure::Throttled => ([cell.throttled, cell.arrived], cell.arrived),
-            Measure::Late => ([cell.late, cell.succeeded], cell.succeeded),
-            Measure::Lost => (
+            Metric::Errored => ([cell.errored, cell.arrived], cell.arrived),
+            Metric::Throttled => ([cell.throttled, cell.arrived], cell.arrived),
+            Metric::Late => ([cell.late, cell.succeeded], cell.succeeded),
+            Metric::Lost => (
                 [cell.asked.saturating_sub(cell.earned), cell.asked],
                 cell.arrived,
             ),
-            Measure::Slow => ([cell.slow, cell.timed], cell.timed),
+            Metric::Slow => ([cell.slow, cell.timed], cell.timed),
         }
     }
 
     pub fn word(self) -> &'static str {
         match self {
-            Measure::Errored => "errored",
-            Measure::Throttled => "throttled",
-            Measure::Late => "late",
-            Measure::Lost => "value lost",
-            Measure::Slow => "slow",
+            Metric::Errored => "errored",
+            Metric::Throttled => "throttled",
+            Metric::Late => "late",
+            Metric::Lost => "value lost",
+            Metric::Slow => "slow",
         }
     }
 }
@@ -77,15 +77,15 @@
 /// A measure at one node: what it came to, and what it would have if the node were as the old ones
 /// of its zone in the same windows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Part {
+pub struct NodeMetric {
     pub bad: u64,
     pub all: u64,
     pub count: u64,
     pub expected: f64,
 }
 
-impl Part {
-    fn add(&mut self, more: &Part) {
+impl NodeMetric {
+    fn add(&mut self, more: &NodeMetric) {
         self.bad += more.bad;
         self.all += more.all;
         self.count += more.count;
@@ -95,19 +95,19 @@
 
 /// All measures of an operation at one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Parts {
+pub struct NodeMetrics {
     pub arrived: u64,
     pub succeeded: u64,
-    parts: [Part; 5],
+    parts: [NodeMetric; 5],
 }
 
-impl Parts {
+impl NodeMetrics {
     /// One measure.
-    pub fn of(&self, measure: Measure) -> &Part {
+    pub fn of(&self, measure: Metric) -> &NodeMetric {
         &self.parts[measure as usize]
     }
 
-    fn add(&mut self, more: &Parts) {
+    fn add(&mut self, more: &NodeMetrics) {
         self.arrived += more.arrived;
         self.succeeded += more.succeeded;
         self.parts
@@ -119,7 +119,7 @@
 
 /// What came of one operation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Cell {
+pub struct OperationCounts {
     pub arrived: u64,
     pub succeeded: u64,
     pub throttled: u64,
@@ -134,8 +134,8 @@
     pub slow: u64,
 }
 
-impl Cell {
-    pub fn add(&mut self, more: &Cell) {
+impl OperationCounts {
+    pub fn add(&mut self, more: &OperationCounts) {
         self.arrived += more.arrived;
         self.succeeded += more.succeeded;
         self.throttled += more.throttled;
@@ -150,7 +150,7 @@
 
 /// What a node counted in one window.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sample {
+pub struct WindowSample {
     pub node: u64,
     pub zone: u32,
     /// What it ran, by the hash of the version.
@@ -158,7 +158,7 @@
     /// Whether it has just started, and is not warm.
     pub cold: bool,
     /// By operation; with latencies in tenths of a millisecond and how often each came.
-    pub operations: BTreeMap<u32, (Cell, Latencies)>,
+    pub operations: BTreeMap<u32, (OperationCounts, Latencies)>,
     pub memory_kb: u64,
     pub descriptors: u64,
     /// Invariants that did not hold.
@@ -167,14 +167,14 @@
 
 /// Which side a node is on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Side {
-    Old,
-    New,
+pub enum Cohort {
+    Baseline,
+    Canary,
 }
 
 /// A gauge over windows: a line through it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Line {
+pub struct LinearTrend {
     pub count: f64,
     sum_x: f64,
     sum_y: f64,
@@ -184,7 +184,7 @@
     pub last: f64,
 }
 
-impl Line {
+impl LinearTrend {
     fn add(&mut self, x: f64, y: f64) {
         self.count += 1.0;
         self.sum_x += x;
@@ -226,16 +226,16 @@
 
 /// What is known of a node.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct NodeRecord {
+pub struct NodeHistory {
     pub zone: u32,
-    pub side: Option<Side>,
+    pub side: Option<Cohort>,
     /// Before the change began, and in this stage on the side that it is on, by operation.
-    pub before: BTreeMap<u32, Parts>,
-    pub after: BTreeMap<u32, Parts>,
-    pub memory: Line,
-    pub descriptors: Line,
+    pub before: BTreeMap<u32, NodeMetrics>,
+    pub after: BTreeMap<u32, NodeMetrics>,
+    pub memory: LinearTrend,
+    pub descriptors: LinearTrend,
     /// Memory and descriptors before.
-    pub memory_before: Line,
+    pub memory_before: LinearTrend,
     pub invariants: u64,
     /// Windows in this stage, and since it came to its side.
     pub windows: u32,
@@ -244,34 +244,36 @@
 
 /// Both cohorts in one window, for tables and plots.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Point {
+pub struct CohortPoint {
     pub window: u64,
     pub stage: u32,
     /// Old, new: nodes, and all operations together.
     pub nodes: [u32; 2],
-    pub cells: [Cell; 2],
+    pub cells: [OperationCounts; 2],
     /// The mean memory.
     pub memory_kb: [f64; 2],
 }
 
-type Cells = Vec<(u32, Cell)>;
+type OperationCountsList = Vec<(u32, OperationCounts)>;
 
 /// What was usual in a window, by zone, operation and measure: of what does not run the new
 /// version. A jump of traffic or a zone in trouble is in it, and so taken out of what is compared.
 #[derive(Debug, Default)]
-struct Usual {
+struct BaselineRates {
     zones: BTreeMap<(u32, u32), [[u64; 2]; 5]>,
     all: BTreeMap<u32, [[u64; 2]; 5]>,
 }
 
-impl Usual {
-    fn of<'s>(samples: impl Iterator<Item = (&'s Sample, &'s Cells)>) -> Usual {
-        let mut usual = Usual::default();
+impl BaselineRates {
+    fn of<'s>(
+        samples: impl Iterator<Item = (&'s WindowSample, &'s OperationCountsList)>,
+    ) -> BaselineRates {
+        let mut usual = BaselineRates::default();
         for (sample, cells) in samples {
             for (operation, cell) in cells {
                 let zone = usual.zones.entry((sample.zone, *operation)).or_default();
                 for pool in [zone, usual.all.entry(*operation).or_default()] {
-                    for (sum, measure) in pool.iter_mut().zip(Measure::ALL) {
+                    for (sum, measure) in pool.iter_mut().zip(Metric::ALL) {
                         let ([bad, all], _) = measure.of(cell);
                         (sum[0], sum[1]) = (sum[0] + bad, sum[1] + all);
                     }
@@ -283,13 +285,13 @@
 
     /// What a node came to, beside what was to be expected. What nothing is known to compare with
     /// is left out.
-    fn parts(&self, zone: u32, operation: u32, cell: &Cell) -> Parts {
-        let mut parts = Parts {
+    fn parts(&self, zone: u32, operation: u32, cell: &OperationCounts) -> NodeMetrics {
+        let mut parts = NodeMetrics {
             arrived: cell.arrived,
             succeeded: cell.succeeded,
-            ..Parts::default()
+            ..NodeMetrics::default()
         };
-        for measure in Measure::ALL {
+        for measure in Metric::ALL {
             let at = measure as usize;
             let pool = |pool: Option<&[[u64; 2]; 5]>| {
                 pool.map(|pool| pool[at]).filter(|[_, all]| *all > 0)
@@ -299,7 +301,7 @@
             let Some([bad, all]) = usual else { continue };
             let ([my_bad, my_all], count) = measure.of(cell);
             let expected = my_all as f64 * bad as f64 / all as f64;
-            parts.parts[at] = Part {
+            parts.parts[at] = NodeMetric {
                 bad: my_bad,
                 all: my_all,
                 count,
@@ -325,18 +327,18 @@
 
 /// The record of one change.
 #[derive(Clone, Debug, Default)]
-pub struct Record {
-    pub change: ChangeId,
+pub struct CohortMetrics {
+    pub change: RolloutId,
     pub version: Version,
     pub base: Version,
-    pub nodes: BTreeMap<u64, NodeRecord>,
+    pub nodes: BTreeMap<u64, NodeHistory>,
     /// By operation, what nine in ten of the old ones took at most before, in tenths of a
     /// millisecond.
     pub slow_from: BTreeMap<u32, u32>,
     /// Below this nothing is slow, by operation, in the same units.
     quick: BTreeMap<u32, u32>,
     latencies: BTreeMap<u32, BTreeMap<u32, u64>>,
-    pub history: VecDeque<Point>,
+    pub history: VecDeque<CohortPoint>,
     /// Nodes that ran something else than the base in their last window.
     elsewhere: BTreeSet<u64>,
     stage: u32,
@@ -344,32 +346,32 @@
     room: usize,
 }
 
-impl Record {
+impl CohortMetrics {
     /// Of a change that begins now.
-    pub fn new(change: ChangeId, version: Version, base: Version) -> Record {
-        Record {
+    pub fn new(change: RolloutId, version: Version, base: Version) -> CohortMetrics {
+        CohortMetrics {
             change,
             version,
             base,
             room: NODES_MAX,
-            ..Record::default()
+            ..CohortMetrics::default()
         }
     }
 
     /// With room for so many nodes at either end.
-    pub fn with_room(mut self, nodes: usize) -> Record {
+    pub fn with_room(mut self, nodes: usize) -> CohortMetrics {
         self.room = nodes.clamp(4, NODES_MAX);
         self
     }
 
     /// Where what takes less than so long, by operation in tenths of a millisecond, is quick enough
     /// for any caller.
-    pub fn with_quick(mut self, quick: BTreeMap<u32, u32>) -> Record {
+    pub fn with_quick(mut self, quick: BTreeMap<u32, u32>) -> CohortMetrics {
         self.quick = quick;
         self
     }
 
-    fn node(&mut self, node: u64, zone: u32) -> Option<&mut NodeRecord> {
+    fn node(&mut self, node: u64, zone: u32) -> Option<&mut NodeHistory> {
         if self.nodes.len() >= 2 * self.room && !self.nodes.contains_key(&node) {
             return None;
         }
@@ -379,12 +381,12 @@
     }
 
     /// The change begins: these are the windows before, in which all that counts ran the base.
-    pub fn begin(&mut self, windows: &[(u64, Vec<Sample>)]) {
-        let mut pure = |samples: &Vec<Sample>| -> Vec<Sample> {
-            let is_pure = |sample: &&Sample| self.ran_base(sample) && !sample.cold;
+    pub fn begin(&mut self, windows: &[(u64, Vec<WindowSample>)]) {
+        let mut pure = |samples: &Vec<WindowSample>| -> Vec<WindowSample> {
+            let is_pure = |sample: &&WindowSample| self.ran_base(sample) && !sample.cold;
             samples.iter().filter(is_pure).cloned().collect()
         };
-        let windows: Vec<(u64, Vec<Sample>)> = windows
+        let windows: Vec<(u64, Vec<WindowSample>)> = windows
             .iter()
             .map(|(no, samples)| (*no, pure(samples)))
             .collect();
@@ -405,13 +407,14 @@
             .chain(all.iter().rev().take(self.room));
         ends.for_each(|(_, node)| _ = self.nodes.entry(*node).or_default());
         for (window, samples) in &windows {
-            let cells: Vec<Cells> = samples.iter().map(|sample| self.cells(sample)).collect();
-            let usual = Usual::of(samples.iter().zip(&cells));
+            let cells: Vec<OperationCountsList> =
+                samples.iter().map(|sample| self.cells(sample)).collect();
+            let usual = BaselineRates::of(samples.iter().zip(&cells));
             for (sample, cells) in samples.iter().zip(&cells) {
                 let Some(node) = self.nodes.get_mut(&sample.node) else {
                     continue;
                 };
-                (node.zone, node.side) = (sample.zone, Some(Side::Old));
+                (node.zone, node.side) = (sample.zone, Some(Cohort::Baseline));
                 for (operation, cell) in cells {
                     let parts = usual.parts(sample.zone, *operation, cell);
                     node.before.entry(*operation).or_default().add(&parts);
@@ -426,7 +429,7 @@
     /// what it did before as well, which may be what a version was taken back for: as a past of its
     /// own it would make a good change look like harm, or hide some. To be asked of each window in
     /// turn.
-    fn ran_base(&mut self, sample: &Sample) -> bool {
+    fn ran_base(&mut self, sample: &WindowSample) -> bool {
         if sample.label != self.base.hash {
             self.elsewhere.insert(sample.node);
             return false;
@@ -435,8 +438,8 @@
     }
 
     /// A sample's operations, with what is slow among them.
-    fn cells(&self, sample: &Sample) -> Cells {
-        let cell = |(operation, (cell, latencies)): (&u32, &(Cell, Latencies))| {
+    fn cells(&self, sample: &WindowSample) -> OperationCountsList {
+        let cell = |(operation, (cell, latencies)): (&u32, &(OperationCounts, Latencies))| {
             let mut cell = *cell;
             if let Some(from) = self.slow_from.get(operation) {
                 cell.timed = latencies.iter().map(|(_, count)| u64::from(*count)).sum();
@@ -454,7 +457,7 @@
     }
 
     /// What was not known before is learnt from the old ones beside the new.
-    fn learn(&mut self, sample: &Sample) {
+    fn learn(&mut self, sample: &WindowSample) {
         for (operation, (_, latencies)) in sample.operations.iter().take(OPERATIONS_MAX) {
             if !self.slow_from.contains_key(operation) {
                 let of = self.latencies.entry(*operation).or_default();
@@ -481,37 +484,37 @@
     }
 
     /// What nodes did in a window since.
-    pub fn after(&mut self, window: u64, samples: &[Sample]) {
+    pub fn after(&mut self, window: u64, samples: &[WindowSample]) {
         if self.first_window == 0 {
             self.first_window = window;
         }
         let x = (window - self.first_window.min(window)) as f64;
         let new = self.version.hash;
         // What runs something else tells nothing of this.
-        let sided: Vec<(&Sample, Side)> = samples
+        let sided: Vec<(&WindowSample, Cohort)> = samples
             .iter()
             .filter_map(|sample| match self.ran_base(sample) {
-                true => Some((sample, Side::Old)),
-                false => (sample.label == new).then_some((sample, Side::New)),
+                true => Some((sample, Cohort::Baseline)),
+                false => (sample.label == new).then_some((sample, Cohort::Canary)),
             })
             .collect();
         let warm = sided
             .iter()
-            .filter(|(sample, side)| *side == Side::Old && !sample.cold);
+            .filter(|(sample, side)| *side == Cohort::Baseline && !sample.cold);
         warm.for_each(|(sample, _)| self.learn(sample));
-        let mut point = Point {
+        let mut point = CohortPoint {
             window,
             stage: self.stage,
-            ..Point::default()
+            ..CohortPoint::default()
         };
-        let sided: Vec<(&Sample, Side, Cells)> = sided
+        let sided: Vec<(&WindowSample, Cohort, OperationCountsList)> = sided
             .into_iter()
             .map(|(sample, side)| (sample, side, self.cells(sample)))
             .collect();
         let warm_old = sided
             .iter()
-            .filter(|(sample, side, _)| *side == Side::Old && !sample.cold);
-        let usual = Usual::of(warm_old.map(|(sample, _, cells)| (*sample, cells)));
+            .filter(|(sample, side, _)| *side == Cohort::Baseline && !sample.cold);
+        let usual = BaselineRates::of(warm_old.map(|(sample, _, cells)| (*sample, cells)));
         for (sample, side, cells) in &sided {
             let at = *side as usize;
             point.nodes[at] += 1;
@@ -529,7 +532,7 @@
             }
             node.invariants += sample.invariants;
             node.settled += 1;
-            if sample.cold || node.settled < 2 && *side == Side::New {
+            if sample.cold || node.settled < 2 && *side == Cohort::Canary {
                 continue;
             }
             node.windows += 1;
@@ -555,14 +558,14 @@
     }
 
     /// Nodes on a side.
-    pub fn side(&self, side: Side) -> impl Iterator<Item = (&u64, &NodeRecord)> {
+    pub fn side(&self, side: Cohort) -> impl Iterator<Item = (&u64, &NodeHistory)> {
         self.nodes
             .iter()
             .filter(move |(_, node)| node.side == Some(side))
     }
 
     /// Invocations that arrived at a side in this stage.
-    pub fn arrived(&self, side: Side) -> u64 {
+    pub fn arrived(&self, side: Cohort) -> u64 {
         self.side(side)
             .flat_map(|(_, node)| node.after.values())
             .map(|parts| parts.arrived)
--- a/crates/rollout/src/record/tests.rs
+++ b/crates/rollout/src/cohort_metrics/tests.rs
@@ -1,32 +1,32 @@
 use super::*;
 
-fn sample(node: u64, label: u64, arrived: u64, latencies: &[(u32, u32)]) -> Sample {
-    let cell = Cell {
+fn sample(node: u64, label: u64, arrived: u64, latencies: &[(u32, u32)]) -> WindowSample {
+    let cell = OperationCounts {
         arrived,
         succeeded: arrived,
-        ..Cell::default()
+        ..OperationCounts::default()
     };
-    Sample {
+    WindowSample {
         node,
         label,
         operations: BTreeMap::from([(7, (cell, latencies.to_vec()))]),
         memory_kb: 1000 + 10 * node,
-        ..Sample::default()
+        ..WindowSample::default()
     }
 }
 
-fn record() -> Record {
+fn record() -> CohortMetrics {
     let version = |number| Version {
         number,
         hash: number,
     };
-    Record::new(ChangeId(1), version(2), version(1))
+    CohortMetrics::new(RolloutId(1), version(2), version(1))
 }
 
 #[test]
 fn sides_are_told_apart_by_what_they_run_and_a_window_of_change_counts_for_neither() {
     let mut record = record();
-    let windows: Vec<(u64, Vec<Sample>)> = (0..8)
+    let windows: Vec<(u64, Vec<WindowSample>)> = (0..8)
         .map(|window| {
             (
                 window,
@@ -50,29 +50,32 @@
         );
     }
     let (new, old) = (&record.nodes[&1], &record.nodes[&2]);
-    assert_eq!((new.side, old.side), (Some(Side::New), Some(Side::Old)));
+    assert_eq!(
+        (new.side, old.side),
+        (Some(Cohort::Canary), Some(Cohort::Baseline))
+    );
     assert_eq!(
         (new.after[&7].arrived, old.after[&7].arrived),
         (30, 60),
         "windows 11 to 13, and all"
     );
-    let slow = |node: &NodeRecord| {
+    let slow = |node: &NodeHistory| {
         (
-            node.after[&7].of(Measure::Slow).bad,
-            node.after[&7].of(Measure::Slow).all,
+            node.after[&7].of(Metric::Slow).bad,
+            node.after[&7].of(Metric::Slow).all,
         )
     };
     assert_eq!((slow(new), slow(old).0), ((15, 30), 0));
-    let past = new.before[&7].of(Measure::Slow);
+    let past = new.before[&7].of(Metric::Slow);
     assert_eq!((past.bad, past.all, past.expected), (80, 800, 80.0));
     assert_eq!(
-        (new.before[&7].arrived, record.arrived(Side::New)),
+        (new.before[&7].arrived, record.arrived(Cohort::Canary)),
         (800, 30)
     );
     record.stage_begins(2);
     assert_eq!(
         (
-            record.arrived(Side::New),
+            record.arrived(Cohort::Canary),
             record.nodes[&1].before[&7].arrived
         ),
         (0, 800)
@@ -106,7 +109,7 @@
         ];
         record.after(window, &samples);
     }
-    let part = record.nodes[&1].after[&7].of(Measure::Errored);
+    let part = record.nodes[&1].after[&7].of(Metric::Errored);
     assert_eq!(
         (part.bad, part.all, part.expected),
         (50 + 2 + 12, 300, 52.0)
@@ -119,7 +122,7 @@
     record.begin(&[]);
     record.stage_begins(1);
     for window in 0..5 {
-        let cold = Sample {
+        let cold = WindowSample {
             cold: true,
             ..sample(1, 2, 10, &[])
         };
@@ -129,7 +132,10 @@
         );
     }
     assert_eq!(
-        (record.arrived(Side::New), record.arrived(Side::Old)),
+        (
+            record.arrived(Cohort::Canary),
+            record.arrived(Cohort::Baseline)
+        ),
         (0, 50)
     );
     assert!(!record.nodes.contains_key(&2));
@@ -137,18 +143,18 @@
 
 #[test]
 fn a_line_has_its_slope_and_nodes_are_bounded() {
-    let mut line = Line::default();
+    let mut line = LinearTrend::default();
     (0..10).for_each(|x| line.add(f64::from(x), 100.0 + 3.0 * f64::from(x)));
     let (slope, variance) = line.slope(0.0).unwrap();
     assert!((slope - 3.0).abs() < 1e-9 && variance < 1e-9 && (line.mean() - 113.5).abs() < 1e-9);
     assert!(line.slope(0.01).unwrap().1 > variance && line.last == 127.0);
     let mut record = record();
-    let samples: Vec<Sample> = (0..2000).map(|node| sample(node, 1, 1, &[])).collect();
+    let samples: Vec<WindowSample> = (0..2000).map(|node| sample(node, 1, 1, &[])).collect();
     record.begin(&[(0, samples.clone())]);
     record.after(1, &samples);
     assert_eq!(record.nodes.len(), 2 * NODES_MAX);
     let first = (0..2000)
-        .min_by_key(|node| place(ChangeId(1), *node))
+        .min_by_key(|node| place(RolloutId(1), *node))
         .unwrap();
     assert!(
         record.nodes.contains_key(&first),
@@ -186,19 +192,19 @@
     }
     assert_eq!(
         (record.nodes[&1].side, record.nodes[&1].after[&7].arrived),
-        (Some(Side::Old), 10)
+        (Some(Cohort::Baseline), 10)
     );
     assert_eq!(
-        (record.arrived(Side::New), record.history[3].nodes),
+        (record.arrived(Cohort::Canary), record.history[3].nodes),
         (0, [0, 0])
     );
     // One of another version until the change began comes back in its first window.
-    let mut late = super::Record::new(record.change, record.version, record.base);
+    let mut late = super::CohortMetrics::new(record.change, record.version, record.base);
     late.begin(&[window(0, 99, 100)]);
     late.stage_begins(1);
     late.after(1, &[sample(1, 1, 7, &[]), sample(2, 1, 100, &[])]);
     assert_eq!(
-        (late.nodes.contains_key(&1), late.arrived(Side::Old)),
+        (late.nodes.contains_key(&1), late.arrived(Cohort::Baseline)),
         (false, 100)
     );
 }
--- a/crates/rollout/src/conduct.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -1,17 +1,17 @@
 //! Conducting a change: one arbiter asks all nodes how they stand, judges the stage by what was
 //! counted, and has the arbiters agree on what comes next. Safety does not rest on there being one:
-//! see [`crate::quorum`]. What it knows beside is asked for anew by whoever conducts next.
+//! see [`crate::paxos`]. What it knows beside is asked for anew by whoever conducts next.
 //!
 //! A change goes on only if more than half of the fleet as last agreed on, and all nodes of its
 //! stage that are there, have answered lately and know of no end. Towards safety it needs nobody.
 
-use crate::change::{Change, ChangeId, Changes, Fate, Kind, Version};
-use crate::judge::{self, Deaths, Judgement, Verdict, Way};
-use crate::local::{DEATHS, Report, Stand};
-use crate::quorum::{Ask, Ballot, Next, Proposal, Round, Say, known};
-use crate::record::{NODES_MAX, Record, Sample, Side};
-use crate::stages::{Reach, seconds};
-use crate::wire::Told;
+use crate::canary_analysis::{self, AnalysisMethod, AnalysisResult, CrashCounts, Verdict};
+use crate::cohort_metrics::{Cohort, CohortMetrics, NODES_MAX, WindowSample};
+use crate::messages::ReceivedMessage;
+use crate::node_agent::{DEATHS, NodeReport, NodeStatus};
+use crate::paxos::{Ballot, PaxosReply, PaxosRequest, PaxosRound, Proposal, RoundStep, known};
+use crate::rollout::{Kind, Outcome, Rollout, RolloutId, RolloutTable, Version};
+use crate::stages::{Progress, seconds};
 use crate::{MILLISECOND, Nanos, SECOND, mix};
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
     pub there: bool,
 }
 
-/// Deaths are counted by windows of about this length.
+/// CrashCounts are counted by windows of about this length.
 const WINDOW: Nanos = 10 * SECOND;
 /// All nodes are asked once in this time, or in so much for each of them if that is longer.
 const POLL: Nanos = 2 * SECOND;
@@ -52,72 +52,72 @@
     Wait(String),
     Propose(Proposal),
     End {
-        change: ChangeId,
-        fate: Fate,
+        change: RolloutId,
+        fate: Outcome,
         why: String,
     },
 }
 
 /// What the one who conducts wants done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    Send(u64, Told),
+pub enum CoordinatorAction {
+    Send(u64, ReceivedMessage),
     End {
-        change: ChangeId,
-        fate: Fate,
+        change: RolloutId,
+        fate: Outcome,
         why: String,
     },
     Agreed(Proposal),
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct ReceivedReport {
     no: u32,
-    report: Report,
+    report: NodeReport,
 }
 
 /// The part of an arbiter: it keeps the record of what is under way, and conducts when it is its
 /// turn.
 #[derive(Clone, Debug)]
-pub struct Conduct {
+pub struct Coordinator {
     me: u64,
     kind: Kind,
     arbiters: Vec<u64>,
     poll: u32,
     polled: Nanos,
-    heard: BTreeMap<u64, Heard>,
-    round: Option<Round>,
+    heard: BTreeMap<u64, ReceivedReport>,
+    round: Option<PaxosRound>,
     highest: Ballot,
     not_before: Nanos,
     /// Since when the last agreement is known here, and since when a change that has not begun is.
     seq: u64,
     since: Nanos,
-    offered: Option<(ChangeId, Nanos)>,
+    offered: Option<(RolloutId, Nanos)>,
     /// Since when no node of the stage is there.
     deserted: Option<Nanos>,
-    record: Option<Record>,
+    record: Option<CohortMetrics>,
     counted: u64,
-    judgement: Option<Judgement>,
+    judgement: Option<AnalysisResult>,
     line: String,
-    way: Way,
+    way: AnalysisMethod,
     names: BTreeMap<u32, String>,
     room: usize,
     quick: BTreeMap<u32, u32>,
 }
 
 /// What a step is decided by.
-struct Facts<'a> {
+struct StepInputs<'a> {
     now: Nanos,
     unix_ms: u64,
-    changes: &'a Changes,
+    changes: &'a RolloutTable,
     members: &'a [Member],
     electorate: u32,
 }
 
-impl Conduct {
+impl Coordinator {
     /// The part of this node among these arbiters.
-    pub fn new(now: Nanos, me: u64, kind: Kind, arbiters: Vec<u64>) -> Conduct {
-        Conduct {
+    pub fn new(now: Nanos, me: u64, kind: Kind, arbiters: Vec<u64>) -> Coordinator {
+        Coordinator {
             me,
             kind,
             arbiters,
@@ -137,7 +137,7 @@
             counted: 0,
             judgement: None,
             line: String::new(),
-            way: Way::Nodes,
+            way: AnalysisMethod::Nodes,
             names: BTreeMap::new(),
             room: NODES_MAX,
             quick: BTreeMap::new(),
@@ -145,26 +145,26 @@
     }
 
     /// Judged in another way, to compare.
-    pub fn with_way(mut self, way: Way) -> Conduct {
+    pub fn with_way(mut self, way: AnalysisMethod) -> Coordinator {
         self.way = way;
         self
     }
 
     /// Operations by their names, for reasons that people read.
-    pub fn with_names(mut self, names: BTreeMap<u32, String>) -> Conduct {
+    pub fn with_names(mut self, names: BTreeMap<u32, String>) -> Coordinator {
         self.names = names;
         self
     }
 
     /// Keeps so many nodes apart in its record.
-    pub fn with_room(mut self, nodes: usize) -> Conduct {
+    pub fn with_room(mut self, nodes: usize) -> Coordinator {
         self.room = nodes;
         self
     }
 
     /// What takes less than so long, by operation in tenths of a millisecond, is quick enough for
     /// any caller.
-    pub fn with_quick(mut self, quick: BTreeMap<u32, u32>) -> Conduct {
+    pub fn with_quick(mut self, quick: BTreeMap<u32, u32>) -> Coordinator {
         self.quick = quick;
         self
     }
@@ -195,12 +195,12 @@
     }
 
     /// The record of the change that is under way, or was last.
-    pub fn record(&self) -> Option<&Record> {
+    pub fn record(&self) -> Option<&CohortMetrics> {
         self.record.as_ref()
     }
 
     /// The last judgement.
-    pub fn judgement(&self) -> Option<&Judgement> {
+    pub fn judgement(&self) -> Option<&AnalysisResult> {
         self.judgement.as_ref()
     }
 
@@ -210,25 +210,25 @@
     }
 
     /// How a node stood when it was last heard.
-    pub fn report(&self, node: u64) -> Option<&Report> {
+    pub fn report(&self, node: u64) -> Option<&NodeReport> {
         self.heard.get(&node).map(|heard| &heard.report)
     }
 
-    fn is_fresh(&self, heard: &Heard) -> bool {
+    fn is_fresh(&self, heard: &ReceivedReport) -> bool {
         self.poll.wrapping_sub(heard.no) <= 1
     }
 
     // ---- What is counted ----
 
     /// The next window that is wanted; nothing while no change is under way here.
-    pub fn wants_counts(&self, changes: &Changes) -> Option<u64> {
+    pub fn wants_counts(&self, changes: &RolloutTable) -> Option<u64> {
         let begun =
             changes.under_way(self.kind).is_some() && self.record.is_some() && self.is_arbiter();
         begun.then_some(self.counted)
     }
 
     /// What nodes did in a window that is over.
-    pub fn counted(&mut self, window: u64, samples: &[Sample]) {
+    pub fn counted(&mut self, window: u64, samples: &[WindowSample]) {
         if let Some(record) = self.record.as_mut().filter(|_| window >= self.counted) {
             record.after(window, samples);
             self.counted = window + 1;
@@ -239,8 +239,8 @@
     fn follow(
         &mut self,
         now: Nanos,
-        changes: &Changes,
-        windows: &mut dyn FnMut() -> Vec<(u64, Vec<Sample>)>,
+        changes: &RolloutTable,
+        windows: &mut dyn FnMut() -> Vec<(u64, Vec<WindowSample>)>,
     ) {
         let seq = known(changes, self.kind);
         if seq != self.seq {
@@ -259,7 +259,7 @@
             .as_ref()
             .is_none_or(|record| record.change != change.id)
         {
-            let mut record = Record::new(change.id, change.version, change.base)
+            let mut record = CohortMetrics::new(change.id, change.version, change.base)
                 .with_room(self.room)
                 .with_quick(self.quick.clone());
             let windows = windows();
@@ -283,12 +283,12 @@
     // ---- Words ----
 
     /// A node answered.
-    pub fn report_came(&mut self, from: u64, no: u32, report: Report) {
-        self.heard.insert(from, Heard { no, report });
+    pub fn report_came(&mut self, from: u64, no: u32, report: NodeReport) {
+        self.heard.insert(from, ReceivedReport { no, report });
     }
 
     /// An arbiter answered.
-    pub fn said(&mut self, now: Nanos, from: u64, say: &Say) -> Vec<Act> {
+    pub fn said(&mut self, now: Nanos, from: u64, say: &PaxosReply) -> Vec<CoordinatorAction> {
         let Some(round) = self
             .round
             .as_mut()
@@ -297,13 +297,13 @@
             return Vec::new();
         };
         match round.said(from, say) {
-            Next::Wait => Vec::new(),
-            Next::Ask(ask) => self.ask(&ask),
-            Next::Agreed(proposal) => {
+            RoundStep::Wait => Vec::new(),
+            RoundStep::PaxosRequest(ask) => self.ask(&ask),
+            RoundStep::Agreed(proposal) => {
                 self.round = None;
-                vec![Act::Agreed(proposal)]
+                vec![CoordinatorAction::Agreed(proposal)]
             }
-            Next::GiveUp(highest) => {
+            RoundStep::GiveUp(highest) => {
                 self.highest = self.highest.max(highest);
                 self.give_up(now);
                 Vec::new()
@@ -311,10 +311,12 @@
         }
     }
 
-    fn ask(&self, ask: &Ask) -> Vec<Act> {
+    fn ask(&self, ask: &PaxosRequest) -> Vec<CoordinatorAction> {
         self.arbiters
             .iter()
-            .map(|to| Act::Send(*to, Told::Ask(self.kind, ask.clone())))
+            .map(|to| {
+                CoordinatorAction::Send(*to, ReceivedMessage::PaxosRequest(self.kind, ask.clone()))
+            })
             .collect()
     }
 
@@ -332,10 +334,10 @@
         &mut self,
         now: Nanos,
         unix_ms: u64,
-        changes: &Changes,
+        changes: &RolloutTable,
         members: &[Member],
-        windows: &mut dyn FnMut() -> Vec<(u64, Vec<Sample>)>,
-    ) -> Vec<Act> {
+        windows: &mut dyn FnMut() -> Vec<(u64, Vec<WindowSample>)>,
+    ) -> Vec<CoordinatorAction> {
         self.follow(now, changes, windows);
         if !self.conducts(members) {
             self.round = None;
@@ -353,7 +355,7 @@
         let mut acts = Vec::new();
         if now >= self.polled + POLL.max(POLL_EACH * members.len() as u64) {
             (self.polled, self.poll) = (now, self.poll.wrapping_add(1));
-            let poll = Told::Poll {
+            let poll = ReceivedMessage::Poll {
                 no: self.poll,
                 change: change.id,
                 stage: change.reach.stage,
@@ -363,7 +365,7 @@
                 members
                     .iter()
                     .filter(|member| member.there)
-                    .map(|m| Act::Send(m.node, poll.clone())),
+                    .map(|m| CoordinatorAction::Send(m.node, poll.clone())),
             );
             let is_known = |node: &u64| members.iter().any(|member| member.node == *node);
             self.heard.retain(|node, _| is_known(node));
@@ -376,7 +378,9 @@
         }
         match self.step(now, unix_ms, changes, members) {
             Step::Wait(why) => self.line = why,
-            Step::End { change, fate, why } => acts.push(Act::End { change, fate, why }),
+            Step::End { change, fate, why } => {
+                acts.push(CoordinatorAction::End { change, fate, why })
+            }
             Step::Propose(proposal) => {
                 let ballot = Ballot {
                     round: self.highest.round + 1,
@@ -384,7 +388,7 @@
                 };
                 self.highest = ballot;
                 self.line = format!("has stage {} agreed on", proposal.reach.stage);
-                let (round, ask) = Round::begin(now, ballot, proposal, self.arbiters.len());
+                let (round, ask) = PaxosRound::begin(now, ballot, proposal, self.arbiters.len());
                 self.round = Some(round);
                 acts.extend(self.ask(&ask));
             }
@@ -394,7 +398,7 @@
 
     /// How many the fleet is to be taken for: those that are known, and no fewer than was agreed on
     /// lately.
-    fn electorate(&self, now: Nanos, changes: &Changes, members: &[Member]) -> u32 {
+    fn electorate(&self, now: Nanos, changes: &RolloutTable, members: &[Member]) -> u32 {
         let agreed = changes
             .head(self.kind)
             .filter(|_| now < self.since + ELECTORATE_HOLDS);
@@ -402,7 +406,7 @@
     }
 
     /// Reports that came lately about a change.
-    fn fresh(&self, change: ChangeId) -> impl Iterator<Item = (u64, &Report)> {
+    fn fresh(&self, change: RolloutId) -> impl Iterator<Item = (u64, &NodeReport)> {
         let heard = self
             .heard
             .iter()
@@ -410,9 +414,15 @@
         heard.map(|(node, heard)| (*node, &heard.report))
     }
 
-    fn step(&mut self, now: Nanos, unix_ms: u64, changes: &Changes, members: &[Member]) -> Step {
+    fn step(
+        &mut self,
+        now: Nanos,
+        unix_ms: u64,
+        changes: &RolloutTable,
+        members: &[Member],
+    ) -> Step {
         let electorate = self.electorate(now, changes, members);
-        let facts = Facts {
+        let facts = StepInputs {
             now,
             unix_ms,
             changes,
@@ -442,19 +452,20 @@
     }
 
     /// Those that can't begin any more, for another is in force or under way: they are told so.
-    fn superseded(&self, changes: &Changes) -> Option<Step> {
+    fn superseded(&self, changes: &RolloutTable) -> Option<Step> {
         let ahead = changes.under_way(self.kind).or_else(|| {
             let done = changes
                 .iter()
-                .filter(|change| change.kind == self.kind && change.fate == Fate::Done);
+                .filter(|change| change.kind == self.kind && change.fate == Outcome::Completed);
             done.max_by_key(|change| change.reach.seq)
         })?;
         let late = changes.iter().find(|change| {
-            let waits =
-                change.kind == self.kind && change.fate == Fate::Open && change.reach.seq == 0;
+            let waits = change.kind == self.kind
+                && change.fate == Outcome::InProgress
+                && change.reach.seq == 0;
             waits && change.version.number <= ahead.version.number
         })?;
-        let word = if ahead.fate == Fate::Done {
+        let word = if ahead.fate == Outcome::Completed {
             "in force"
         } else {
             "under way"
@@ -462,13 +473,13 @@
         let why = format!("version {} is {word}, change {}", ahead.version, ahead.id);
         Some(Step::End {
             change: late.id,
-            fate: Fate::Refused,
+            fate: Outcome::Rejected,
             why,
         })
     }
 
     /// More than half of the fleet answered, or why it can't go on.
-    fn quorum(&self, facts: &Facts<'_>, change: &Change) -> Result<(), String> {
+    fn quorum(&self, facts: &StepInputs<'_>, change: &Rollout) -> Result<(), String> {
         let fresh = self.fresh(change.id).count() as u32;
         if fresh * 2 <= facts.electorate {
             return Err(format!(
@@ -489,10 +500,10 @@
     }
 
     /// The nodes that turned a version down, and why.
-    fn turned_down(&self, change: &Change) -> Option<String> {
+    fn turned_down(&self, change: &Rollout) -> Option<String> {
         let mut nodes = self
             .fresh(change.id)
-            .filter(|(_, report)| report.stand == Stand::TurnedDown);
+            .filter(|(_, report)| report.stand == NodeStatus::Rejected);
         let (_, first) = nodes.next()?;
         let why = if first.why.is_empty() {
             "it can't be run"
@@ -505,7 +516,7 @@
         })
     }
 
-    fn propose(&self, facts: &Facts<'_>, change: &Change, again: bool) -> Step {
+    fn propose(&self, facts: &StepInputs<'_>, change: &Rollout, again: bool) -> Step {
         let nodes: Vec<(u64, u32)> = facts
             .members
             .iter()
@@ -522,7 +533,7 @@
         };
         match reach {
             Some(reach) => {
-                let reach = Reach {
+                let reach = Progress {
                     at_ms: facts.unix_ms,
                     ..reach
                 };
@@ -535,7 +546,7 @@
         }
     }
 
-    fn begins(&self, facts: &Facts<'_>, change: &Change) -> Step {
+    fn begins(&self, facts: &StepInputs<'_>, change: &Rollout) -> Step {
         let good = self
             .fresh(change.id)
             .map(|(_, report)| report.good)
@@ -545,14 +556,14 @@
             let why = format!("version {good} is in force at some nodes");
             return Step::End {
                 change: change.id,
-                fate: Fate::Refused,
+                fate: Outcome::Rejected,
                 why,
             };
         }
         if let Some(why) = self.turned_down(change) {
             return Step::End {
                 change: change.id,
-                fate: Fate::Refused,
+                fate: Outcome::Rejected,
                 why,
             };
         }
@@ -561,7 +572,7 @@
         }
         let staged = self
             .fresh(change.id)
-            .filter(|(_, report)| report.stand >= Stand::Staged)
+            .filter(|(_, report)| report.stand >= NodeStatus::Staged)
             .count();
         let there = facts.members.iter().filter(|member| member.there).count();
         let waited = self
@@ -575,7 +586,7 @@
             return match too_long && staged as u32 * 2 <= facts.electorate {
                 true => Step::End {
                     change: change.id,
-                    fate: Fate::Refused,
+                    fate: Outcome::Rejected,
                     why: format!("{why}, and its content may be lost"),
                 },
                 false => Step::Wait(why),
@@ -585,23 +596,24 @@
         let halted = facts
             .changes
             .iter()
-            .find(|c| c.kind == self.kind && c.fate == Fate::Halted);
+            .find(|c| c.kind == self.kind && c.fate == Outcome::Halted);
         if let Some(halted) = halted {
             let why = format!("change {} begins in its place", change.id);
             return Step::End {
                 change: halted.id,
-                fate: Fate::Back,
+                fate: Outcome::RolledBack,
                 why,
             };
         }
         self.propose(facts, change, false)
     }
 
-    /// Deaths on trial, and of the others in this stage.
-    fn deaths(&self, facts: &Facts<'_>, change: &Change) -> Deaths {
+    /// CrashCounts on trial, and of the others in this stage.
+    fn deaths(&self, facts: &StepInputs<'_>, change: &Rollout) -> CrashCounts {
         let mut deaths = [0, 0];
-        let is_new = |report: &Report| {
-            report.change == change.id && matches!(report.stand, Stand::Beginning | Stand::OnTrial)
+        let is_new = |report: &NodeReport| {
+            report.change == change.id
+                && matches!(report.stand, NodeStatus::Starting | NodeStatus::OnTrial)
         };
         for (node, heard) in &self.heard {
             let report = &heard.report;
@@ -631,34 +643,34 @@
             .count() as u64;
         let nodes = [in_stage, facts.members.len() as u64 - in_stage];
         let held = facts.now - self.since.min(facts.now);
-        Deaths {
+        CrashCounts {
             died: deaths,
             nodes,
             windows: held as f64 / WINDOW as f64,
         }
     }
 
-    fn goes_on(&mut self, facts: &Facts<'_>, change: &Change) -> Step {
+    fn goes_on(&mut self, facts: &StepInputs<'_>, change: &Rollout) -> Step {
         let end = |fate, why| Step::End {
             change: change.id,
             fate,
             why,
         };
         if let Some(why) = self.turned_down(change) {
-            return end(Fate::Back, why);
+            return end(Outcome::RolledBack, why);
         }
         let deaths = self.deaths(facts, change);
         let stage = change.reach.stage;
         let judged = self
             .record
             .as_ref()
-            .map(|record| judge::judge(record, &change.plan, stage, &deaths, self.way));
+            .map(|record| canary_analysis::judge(record, &change.plan, stage, &deaths, self.way));
         let verdict = judged
             .as_ref()
             .map(|judged| (judged.verdict.clone(), judged.line(&|op| self.name(op))));
         self.judgement = judged;
         if let Some((Verdict::Harm(_), line)) = &verdict {
-            return end(Fate::Back, line.clone());
+            return end(Outcome::RolledBack, line.clone());
         }
         if let Err(why) = self.quorum(facts, change) {
             return Step::Wait(why);
@@ -682,7 +694,7 @@
             let since = *self.deserted.get_or_insert(facts.now);
             return match () {
                 () if held > of.longest => end(
-                    Fate::Halted,
+                    Outcome::Halted,
                     format!(
                         "no node of stage {stage} was there for {}",
                         seconds(of.longest)
@@ -719,7 +731,7 @@
             _ => None,
         };
         let others = facts.members.iter().any(|member| {
-            let runs_base = |heard: &Heard| heard.report.running == change.base;
+            let runs_base = |heard: &ReceivedReport| heard.report.running == change.base;
             member.there && self.heard.get(&member.node).is_some_and(runs_base)
         });
         let waits = waits.or(match verdict {
@@ -732,7 +744,7 @@
         });
         match waits {
             Some(why) if held > of.longest => end(
-                Fate::Halted,
+                Outcome::Halted,
                 format!(
                     "stage {stage} came to no judgement in {}: {why}",
                     seconds(of.longest)
@@ -741,7 +753,7 @@
             Some(why) => Step::Wait(why),
             // Nobody is left to compare with: what was before must do.
             None if !others => match self.collapsed() {
-                Some(why) => end(Fate::Halted, why),
+                Some(why) => end(Outcome::Halted, why),
                 None => self.propose(facts, change, false),
             },
             None => self.propose(facts, change, false),
@@ -759,7 +771,7 @@
     fn collapsed(&self) -> Option<String> {
         let record = self.record.as_ref()?;
         let (mut before, mut after) = ([0, 0], [0, 0]);
-        for (_, node) in record.side(Side::New) {
+        for (_, node) in record.side(Cohort::Canary) {
             for (sum, cells) in [(&mut before, &node.before), (&mut after, &node.after)] {
                 for cell in cells.values() {
                     sum[0] += cell.succeeded;
@@ -782,7 +794,7 @@
 
     /// How many nodes of the stage run the new version, how many are to, and how many the fleet
     /// has, as last heard.
-    pub fn standing(&self, change: &Change, members: &[Member]) -> [usize; 3] {
+    pub fn standing(&self, change: &Rollout, members: &[Member]) -> [usize; 3] {
         let is_in = |member: &&Member| {
             member.there && change.reach.has(change.id, member.node, member.zone)
         };
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -8,30 +8,30 @@
 
 #![forbid(unsafe_code)]
 
-pub mod change;
-pub mod conduct;
-pub mod handover;
-pub mod judge;
-pub mod kept;
-pub mod local;
-pub mod orders;
-pub mod pieces;
-pub mod quorum;
-pub mod record;
+pub mod canary_analysis;
+pub mod chunks;
+pub mod cohort_metrics;
+pub mod coordinator;
+pub mod messages;
+pub mod node_agent;
+pub mod operator_commands;
+pub mod participant;
+pub mod paxos;
+pub mod persisted_state;
+pub mod process_handover;
 pub mod rollout;
-pub mod sayings;
-pub mod shown;
-pub mod sim;
+pub mod simulation;
 pub mod stages;
-pub mod wire;
+pub mod status;
+pub mod supervisor_messages;
 
-pub use change::{Change, ChangeId, Changes, Fate, Kind, Reason, Version};
-pub use conduct::{Conduct, Member, Step};
-pub use kept::Kept;
-pub use local::{Host, Local, Report, Stand};
-pub use record::Record;
-pub use rollout::Rollout;
-pub use stages::{Plan, Reach, Stage};
+pub use cohort_metrics::CohortMetrics;
+pub use coordinator::{Coordinator, Member, Step};
+pub use node_agent::{Host, NodeAgent, NodeReport, NodeStatus};
+pub use participant::Participant;
+pub use persisted_state::PersistedState;
+pub use rollout::{Kind, Outcome, Reason, Rollout, RolloutId, RolloutTable, Version};
+pub use stages::{Plan, Progress, Stage};
 
 /// Whole nanoseconds from any fixed point.
 pub type Nanos = u64;
--- a/crates/rollout/src/wire.rs
+++ b/crates/rollout/src/messages.rs
@@ -21,10 +21,10 @@
 //! | 15 | whether it is proposed again |
 //! | 16 | what is changed: 0 settings, 1 the program |
 
-use crate::change::{CHANGES_MAX, Change, ChangeId, Fate, Kind, REASON_MAX, Reason, Version};
-use crate::local::{Report, Stand};
-use crate::quorum::{Ask, Ballot, Proposal, Say, Vote};
-use crate::stages::{Plan, Reach, STAGES_MAX, Stage, ZONES_MAX};
+use crate::node_agent::{NodeReport, NodeStatus};
+use crate::paxos::{Ballot, PaxosReply, PaxosRequest, Proposal, Vote};
+use crate::rollout::{CHANGES_MAX, Kind, Outcome, REASON_MAX, Reason, Rollout, RolloutId, Version};
+use crate::stages::{Plan, Progress, STAGES_MAX, Stage, ZONES_MAX};
 use crate::{MILLISECOND, Nanos};
 use prost::Message;
 use std::collections::BTreeMap;
@@ -246,39 +246,39 @@
 
 /// What a parcel is.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum ReceivedMessage {
     /// What is known of changes; whether what the other one knows is wanted.
-    Changes {
-        changes: Vec<Change>,
+    RolloutTable {
+        changes: Vec<Rollout>,
         answer: bool,
     },
     /// From the one who conducts: how do you stand to this, which has come so far as I know?
     Poll {
         no: u32,
-        change: ChangeId,
+        change: RolloutId,
         stage: u32,
-        fate: Fate,
+        fate: Outcome,
     },
     /// The answer.
-    Report {
+    NodeReport {
         no: u32,
-        report: Report,
+        report: NodeReport,
     },
     /// Pieces of a change's content are wanted: so many from this one on.
     AskPieces {
-        change: ChangeId,
+        change: RolloutId,
         first: u32,
         count: u32,
     },
     /// One of them.
     Piece {
-        change: ChangeId,
+        change: RolloutId,
         no: u32,
         bytes: Vec<u8>,
     },
     /// From the one who conducts to an arbiter, of this kind of change; and back.
-    Ask(Kind, Ask),
-    Say(Kind, Say),
+    PaxosRequest(Kind, PaxosRequest),
+    PaxosReply(Kind, PaxosReply),
 }
 
 fn one(version: Version) -> Option<OneVersion> {
@@ -332,7 +332,7 @@
     plan.check().is_ok().then_some(plan)
 }
 
-fn write_reach(reach: &Reach) -> OneReach {
+fn write_reach(reach: &Progress) -> OneReach {
     let zones: Vec<u32> = reach.until.keys().copied().collect();
     OneReach {
         stage: reach.stage,
@@ -349,7 +349,7 @@
     }
 }
 
-fn read_reach(reach: &OneReach) -> Option<Reach> {
+fn read_reach(reach: &OneReach) -> Option<Progress> {
     let n = reach.zones.len();
     if n > ZONES_MAX || reach.before.len() != n || reach.until.len() != n {
         return None;
@@ -364,7 +364,7 @@
     };
     let mut before = by_zone(&reach.before);
     before.retain(|_, before| *before > 0);
-    Some(Reach {
+    Some(Progress {
         stage: reach.stage,
         before,
         until: by_zone(&reach.until),
@@ -398,7 +398,7 @@
 
 fn read_proposal(proposal: &OneProposal) -> Option<Proposal> {
     Some(Proposal {
-        change: ChangeId(proposal.change),
+        change: RolloutId(proposal.change),
         reach: read_reach(proposal.reach.as_ref()?)?,
     })
 }
@@ -427,7 +427,7 @@
     }
 }
 
-pub(crate) fn write_change(change: &Change) -> OneChange {
+pub(crate) fn write_change(change: &Rollout) -> OneChange {
     OneChange {
         id: change.id.0,
         kind: change.kind as u32,
@@ -440,7 +440,7 @@
         plan: Some(write_plan(&change.plan)),
         reach: Some(write_reach(&change.reach)),
         fate: change.fate as u32,
-        reason: (change.fate > Fate::Open).then(|| OneReason {
+        reason: (change.fate > Outcome::InProgress).then(|| OneReason {
             at_ms: change.reason.at_ms,
             by: change.reason.by,
             why: change.reason.why.clone(),
@@ -454,13 +454,13 @@
         .copied()
 }
 
-pub(crate) fn read_change(change: &OneChange) -> Option<Change> {
+pub(crate) fn read_change(change: &OneChange) -> Option<Rollout> {
     let reason = change
         .reason
         .as_ref()
         .filter(|reason| reason.why.len() <= REASON_MAX);
-    Some(Change {
-        id: ChangeId(change.id),
+    Some(Rollout {
+        id: RolloutId(change.id),
         kind: kind(change.kind)?,
         version: version(change.version),
         base: version(change.base),
@@ -472,9 +472,9 @@
         reach: change
             .reach
             .as_ref()
-            .map_or(Some(Reach::default()), read_reach)?,
+            .map_or(Some(Progress::default()), read_reach)?,
         // A fate that a later version knows is taken for the one nearest to safety.
-        fate: Fate::from_number(change.fate).unwrap_or(Fate::Back),
+        fate: Outcome::from_number(change.fate).unwrap_or(Outcome::RolledBack),
         reason: reason.map_or(Reason::default(), |r| Reason {
             at_ms: r.at_ms,
             by: r.by,
@@ -483,7 +483,7 @@
     })
 }
 
-fn write_report(report: &Report) -> OneReport {
+fn write_report(report: &NodeReport) -> OneReport {
     OneReport {
         change: report.change.0,
         stage: report.stage,
@@ -500,12 +500,12 @@
     }
 }
 
-fn read_report(report: &OneReport) -> Report {
-    Report {
-        change: ChangeId(report.change),
+fn read_report(report: &OneReport) -> NodeReport {
+    NodeReport {
+        change: RolloutId(report.change),
         stage: report.stage,
-        fate: Fate::from_number(report.fate).unwrap_or(Fate::Back),
-        stand: Stand::from_number(report.stand),
+        fate: Outcome::from_number(report.fate).unwrap_or(Outcome::RolledBack),
+        stand: NodeStatus::from_number(report.stand),
         running: version(report.running),
         since_ms: report.since_ms,
         died: report.died,
@@ -516,16 +516,16 @@
     }
 }
 
-/// Writes what is told. Changes that don't fit one parcel are told in several: see [`changes`].
-pub fn write(told: &Told) -> Vec<u8> {
+/// Writes what is told. RolloutTable that don't fit one parcel are told in several: see [`changes`].
+pub fn write(told: &ReceivedMessage) -> Vec<u8> {
     let mut parcel = Parcel::default();
     match told {
-        Told::Changes { changes, answer } => {
+        ReceivedMessage::RolloutTable { changes, answer } => {
             parcel.kind = 1;
             parcel.changes = changes.iter().map(write_change).collect();
             parcel.answer = *answer;
         }
-        Told::Poll {
+        ReceivedMessage::Poll {
             no,
             change,
             stage,
@@ -534,27 +534,27 @@
             (parcel.kind, parcel.no, parcel.change) = (2, *no, change.0);
             (parcel.stage, parcel.fate) = (*stage, *fate as u32);
         }
-        Told::Report { no, report } => {
+        ReceivedMessage::NodeReport { no, report } => {
             (parcel.kind, parcel.no, parcel.report) = (3, *no, Some(write_report(report)));
         }
-        Told::AskPieces {
+        ReceivedMessage::AskPieces {
             change,
             first,
             count,
         } => {
             (parcel.kind, parcel.change, parcel.no, parcel.count) = (4, change.0, *first, *count);
         }
-        Told::Piece { change, no, bytes } => {
+        ReceivedMessage::Piece { change, no, bytes } => {
             (parcel.kind, parcel.change, parcel.no) = (5, change.0, *no);
             parcel.bytes.clone_from(bytes);
         }
-        Told::Ask(kind, ask) => {
+        ReceivedMessage::PaxosRequest(kind, ask) => {
             parcel.of = *kind as u32;
             match ask {
-                Ask::Prepare { seq, ballot } => {
+                PaxosRequest::Prepare { seq, ballot } => {
                     (parcel.kind, parcel.seq, parcel.ballot) = (6, *seq, write_ballot(*ballot));
                 }
-                Ask::Accept {
+                PaxosRequest::Accept {
                     ballot,
                     proposal,
                     again,
@@ -564,10 +564,10 @@
                 }
             }
         }
-        Told::Say(kind, say) => {
+        ReceivedMessage::PaxosReply(kind, say) => {
             parcel.of = *kind as u32;
             match say {
-                Say::Promised {
+                PaxosReply::Promised {
                     seq,
                     ballot,
                     accepted,
@@ -578,10 +578,10 @@
                             (write_ballot(*earlier), Some(write_proposal(proposal)));
                     }
                 }
-                Say::Accepted { seq, ballot } => {
+                PaxosReply::Accepted { seq, ballot } => {
                     (parcel.kind, parcel.seq, parcel.ballot) = (9, *seq, write_ballot(*ballot));
                 }
-                Say::Refused {
+                PaxosReply::Refused {
                     seq,
                     ballot,
                     promised,
@@ -597,8 +597,8 @@
 
 /// Words about changes, in as many parcels as they need; the last one asks for an answer, if one is
 /// wanted.
-pub fn changes<'c>(all: impl Iterator<Item = &'c Change>, answer: bool) -> Vec<Told> {
-    let mut parcels: Vec<Vec<Change>> = vec![Vec::new()];
+pub fn changes<'c>(all: impl Iterator<Item = &'c Rollout>, answer: bool) -> Vec<ReceivedMessage> {
+    let mut parcels: Vec<Vec<Rollout>> = vec![Vec::new()];
     let mut size = 0;
     for change in all {
         let more = write_change(change).encoded_len() + 4;
@@ -612,7 +612,7 @@
         }
     }
     let last = parcels.len() - 1;
-    let told = |(at, changes)| Told::Changes {
+    let told = |(at, changes)| ReceivedMessage::RolloutTable {
         changes,
         answer: answer && at == last,
     };
@@ -621,36 +621,36 @@
 
 /// Reads what was told; nothing if it can't be read, is beyond its bounds, or is of a kind that is
 /// not known.
-pub fn read(bytes: &[u8]) -> Option<Told> {
+pub fn read(bytes: &[u8]) -> Option<ReceivedMessage> {
     let parcel = Parcel::decode(bytes)
         .ok()
         .filter(|_| bytes.len() <= PARCEL_MAX)?;
-    let (no, change) = (parcel.no, ChangeId(parcel.change));
+    let (no, change) = (parcel.no, RolloutId(parcel.change));
     Some(match parcel.kind {
-        1 if parcel.changes.len() <= CHANGES_MAX => Told::Changes {
+        1 if parcel.changes.len() <= CHANGES_MAX => ReceivedMessage::RolloutTable {
             // One that can't be read leaves the others as they are.
             changes: parcel.changes.iter().filter_map(read_change).collect(),
             answer: parcel.answer,
         },
         2 => {
-            let fate = Fate::from_number(parcel.fate).unwrap_or(Fate::Back);
-            Told::Poll {
+            let fate = Outcome::from_number(parcel.fate).unwrap_or(Outcome::RolledBack);
+            ReceivedMessage::Poll {
                 no,
                 change,
                 stage: parcel.stage,
                 fate,
             }
         }
-        3 => Told::Report {
+        3 => ReceivedMessage::NodeReport {
             no,
             report: read_report(&parcel.report?),
         },
-        4 => Told::AskPieces {
+        4 => ReceivedMessage::AskPieces {
             change,
             first: no,
             count: parcel.count,
         },
-        5 if parcel.bytes.len() <= PIECE => Told::Piece {
+        5 if parcel.bytes.len() <= PIECE => ReceivedMessage::Piece {
             change,
             no,
             bytes: parcel.bytes,
@@ -660,15 +660,15 @@
     })
 }
 
-fn read_vote_parcel(parcel: &Parcel) -> Option<Told> {
+fn read_vote_parcel(parcel: &Parcel) -> Option<ReceivedMessage> {
     let (of, seq, ballot) = (kind(parcel.of)?, parcel.seq, read_ballot(parcel.ballot));
     // One that is there and can't be read must not be taken for none.
     let proposal = parcel.proposal.as_ref().map(read_proposal);
     Some(match parcel.kind {
-        6 => Told::Ask(of, Ask::Prepare { seq, ballot }),
-        7 => Told::Ask(
+        6 => ReceivedMessage::PaxosRequest(of, PaxosRequest::Prepare { seq, ballot }),
+        7 => ReceivedMessage::PaxosRequest(
             of,
-            Ask::Accept {
+            PaxosRequest::Accept {
                 ballot,
                 proposal: proposal??,
                 again: parcel.again,
@@ -679,19 +679,19 @@
                 None => None,
                 Some(proposal) => Some((read_ballot(parcel.earlier), proposal?)),
             };
-            Told::Say(
+            ReceivedMessage::PaxosReply(
                 of,
-                Say::Promised {
+                PaxosReply::Promised {
                     seq,
                     ballot,
                     accepted,
                 },
             )
         }
-        9 => Told::Say(of, Say::Accepted { seq, ballot }),
-        _ => Told::Say(
+        9 => ReceivedMessage::PaxosReply(of, PaxosReply::Accepted { seq, ballot }),
+        _ => ReceivedMessage::PaxosReply(
             of,
-            Say::Refused {
+            PaxosReply::Refused {
                 seq,
                 ballot,
                 promised: read_ballot(parcel.earlier),
@@ -701,10 +701,10 @@
 }
 
 /// What a node hangs on its entry: its report.
-pub fn write_part(report: &Report) -> Vec<u8> {
+pub fn write_part(report: &NodeReport) -> Vec<u8> {
     // Why is told to those who ask: an entry has little room.
     later(
-        write_report(&Report {
+        write_report(&NodeReport {
             why: String::new(),
             ..report.clone()
         })
@@ -713,7 +713,7 @@
 }
 
 /// Reads it.
-pub fn read_part(bytes: &[u8]) -> Option<Report> {
+pub fn read_part(bytes: &[u8]) -> Option<NodeReport> {
     OneReport::decode(bytes)
         .ok()
         .map(|report| read_report(&report))
@@ -721,7 +721,7 @@
 
 /// What an operator orders.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Order {
+pub struct OperatorCommand {
     /// 1 a piece of content that is offered, 2 offer it, 3 halt, 4 back.
     #[prost(uint32, tag = "1")]
     pub kind: u32,
@@ -759,7 +759,7 @@
 
 /// What became of an order.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Ordered {
+pub struct CommandReply {
     /// 0 taken, 1 not yet: ask again, 2 turned down.
     #[prost(uint32, tag = "1")]
     pub state: u32,
--- a/crates/rollout/src/wire/tests.rs
+++ b/crates/rollout/src/messages/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
-use crate::change::tests::change;
+use crate::rollout::tests::change;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn report() -> Report {
-    Report {
-        change: ChangeId(7),
+fn report() -> NodeReport {
+    NodeReport {
+        change: RolloutId(7),
         stage: 2,
-        fate: Fate::Halted,
-        stand: Stand::OnTrial,
+        fate: Outcome::Halted,
+        stand: NodeStatus::OnTrial,
         running: Version {
             number: 3,
             hash: 1 << 60,
@@ -22,10 +22,10 @@
     }
 }
 
-fn all() -> Vec<Told> {
+fn all() -> Vec<ReceivedMessage> {
     let mut far = change(3, 9);
     let until = BTreeMap::from([(1, 1 << 62), (7, u64::MAX)]);
-    far.reach = Reach {
+    far.reach = Progress {
         seq: 31,
         stage: 2,
         before: BTreeMap::from([(7, 5)]),
@@ -42,67 +42,67 @@
         Ballot { round: 2, by: 5 },
     );
     let proposal = Proposal {
-        change: ChangeId(3),
+        change: RolloutId(3),
         reach: far.reach.clone(),
     };
     (far.fate, far.reason) = (
-        Fate::Back,
+        Outcome::RolledBack,
         Reason::new(1 << 40, 6, "book errs: 0.31 of the new, 0.01 of the old"),
     );
     vec![
-        Told::Changes {
+        ReceivedMessage::RolloutTable {
             changes: vec![change(1, 2), far],
             answer: true,
         },
-        Told::Poll {
+        ReceivedMessage::Poll {
             no: 4,
-            change: ChangeId(1 << 63),
+            change: RolloutId(1 << 63),
             stage: 2,
-            fate: Fate::Open,
+            fate: Outcome::InProgress,
         },
-        Told::Report {
+        ReceivedMessage::NodeReport {
             no: 4,
             report: report(),
         },
-        Told::AskPieces {
-            change: ChangeId(3),
+        ReceivedMessage::AskPieces {
+            change: RolloutId(3),
             first: 17,
             count: 8,
         },
-        Told::Piece {
-            change: ChangeId(3),
+        ReceivedMessage::Piece {
+            change: RolloutId(3),
             no: 17,
             bytes: vec![7; PIECE],
         },
-        Told::Ask(Kind::Program, Ask::Prepare { seq: 31, ballot }),
-        Told::Ask(
+        ReceivedMessage::PaxosRequest(Kind::Program, PaxosRequest::Prepare { seq: 31, ballot }),
+        ReceivedMessage::PaxosRequest(
             Kind::Settings,
-            Ask::Accept {
+            PaxosRequest::Accept {
                 ballot,
                 proposal: proposal.clone(),
                 again: true,
             },
         ),
-        Told::Say(
+        ReceivedMessage::PaxosReply(
             Kind::Settings,
-            Say::Promised {
+            PaxosReply::Promised {
                 seq: 31,
                 ballot,
                 accepted: Some((promised, proposal)),
             },
         ),
-        Told::Say(
+        ReceivedMessage::PaxosReply(
             Kind::Program,
-            Say::Promised {
+            PaxosReply::Promised {
                 seq: 31,
                 ballot,
                 accepted: None,
             },
         ),
-        Told::Say(Kind::Settings, Say::Accepted { seq: 31, ballot }),
-        Told::Say(
+        ReceivedMessage::PaxosReply(Kind::Settings, PaxosReply::Accepted { seq: 31, ballot }),
+        ReceivedMessage::PaxosReply(
             Kind::Settings,
-            Say::Refused {
+            PaxosReply::Refused {
                 seq: 31,
                 ballot,
                 promised,
@@ -122,7 +122,7 @@
     assert!(part.len() < 90, "{}", part.len());
     assert_eq!(
         read_part(&part),
-        Some(Report {
+        Some(NodeReport {
             why: String::new(),
             ..report()
         })
@@ -131,31 +131,31 @@
 
 #[test]
 fn many_changes_are_told_in_parcels_that_fit() {
-    let mut all: Vec<Change> = (1..=CHANGES_MAX as u64).map(|id| change(id, id)).collect();
+    let mut all: Vec<Rollout> = (1..=CHANGES_MAX as u64).map(|id| change(id, id)).collect();
     for change in &mut all {
         change.reach.until = (0..ZONES_MAX as u32).map(|zone| (zone, 1 << 60)).collect();
         (change.fate, change.reason) = (
-            Fate::Halted,
+            Outcome::Halted,
             Reason::new(1 << 41, 1 << 60, &"x".repeat(REASON_MAX)),
         );
     }
     let told = changes(all.iter(), true);
-    let read: Vec<Told> = told
+    let read: Vec<ReceivedMessage> = told
         .iter()
         .map(|told| read(&write(told)).unwrap())
         .collect();
     assert_eq!(read, told);
-    let heard: Vec<Change> = read
+    let heard: Vec<Rollout> = read
         .iter()
         .flat_map(|told| match told {
-            Told::Changes { changes, .. } => changes.clone(),
+            ReceivedMessage::RolloutTable { changes, .. } => changes.clone(),
             _ => Vec::new(),
         })
         .collect();
     assert_eq!(heard, all);
     assert_eq!(
         told.iter()
-            .filter(|t| matches!(t, Told::Changes { answer: true, .. }))
+            .filter(|t| matches!(t, ReceivedMessage::RolloutTable { answer: true, .. }))
             .count(),
         1
     );
@@ -173,10 +173,10 @@
     parcel.changes[0].fate = 9;
     let mut bytes = parcel.encode_to_vec();
     bytes.extend([0xfa, 0x01, 0x01, b'x']); // a field 31
-    let Some(Told::Changes { changes, .. }) = read(&bytes) else {
+    let Some(ReceivedMessage::RolloutTable { changes, .. }) = read(&bytes) else {
         panic!("changes")
     };
-    assert_eq!(changes[0].fate, Fate::Back);
+    assert_eq!(changes[0].fate, Outcome::RolledBack);
     assert_eq!(
         read(
             &Parcel {
@@ -191,7 +191,7 @@
         kind: 7,
         ..parcel.changes[0].clone()
     });
-    let Some(Told::Changes { changes, .. }) = read(&parcel.encode_to_vec()) else {
+    let Some(ReceivedMessage::RolloutTable { changes, .. }) = read(&parcel.encode_to_vec()) else {
         panic!("changes")
     };
     assert_eq!(
@@ -205,7 +205,7 @@
             ..OneReport::default()
         })
         .stand,
-        Stand::Unknown
+        NodeStatus::Unknown
     );
 }
 
--- a/crates/rollout/src/local.rs
+++ b/crates/rollout/src/node_agent.rs
@@ -6,14 +6,14 @@
 //! trial it stays until the fleet finds it good or takes it back. What is written is always enough
 //! to start on the last good version.
 
-use crate::change::{Change, ChangeId, Changes, Fate, Kind, Reason, Version};
-use crate::conduct::Member;
-use crate::kept::{Kept, Trial};
-use crate::pieces::{self, Fetch, Fetched};
-use crate::quorum::{self, Answer, Ask, Say};
-use crate::record::Sample;
-use crate::stages::{Reach, seconds};
-use crate::wire::{Told, changes as in_parcels};
+use crate::chunks::{self, ChunkFetch, FetchProgress};
+use crate::cohort_metrics::WindowSample;
+use crate::coordinator::Member;
+use crate::messages::{ReceivedMessage, changes as in_parcels};
+use crate::paxos::{self, PaxosReply, PaxosRequest, VoterAction};
+use crate::persisted_state::{PersistedState, Trial};
+use crate::rollout::{Kind, Outcome, Reason, Rollout, RolloutId, RolloutTable, Version};
+use crate::stages::{Progress, seconds};
 use crate::{MILLISECOND, Nanos, SECOND};
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 /// method.
 pub trait Host {
     /// Send to a node, by the key of its name.
-    fn send(&mut self, to: u64, told: Told);
+    fn send(&mut self, to: u64, told: ReceivedMessage);
     /// Write a line to the log: one for each change of what the node does about a change.
     fn log(&mut self, line: &str);
     /// Some other nodes that are there, by turns.
@@ -29,73 +29,73 @@
     /// One that is there and knows other changes, by the digest that it shows; if there is one.
     fn differs(&mut self, digest: u64) -> Option<u64>;
     /// Show this to the fleet, on the node's entry.
-    fn show(&mut self, report: &Report);
-    /// Check a version by its content; answered by [`Local::checked`].
-    fn check(&mut self, change: ChangeId, version: Version, content: Option<Vec<u8>>);
+    fn show(&mut self, report: &NodeReport);
+    /// Check a version by its content; answered by [`NodeAgent::checked`].
+    fn check(&mut self, change: RolloutId, version: Version, content: Option<Vec<u8>>);
     /// Write what is kept, and a content with it; contents that are not needed any more may go.
-    /// Answered by [`Local::kept`].
-    fn keep(&mut self, no: u64, kept: &Kept, content: Option<(Version, Vec<u8>)>);
-    /// Run this version from here on; answered by [`Local::applied`].
+    /// Answered by [`NodeAgent::kept`].
+    fn keep(&mut self, no: u64, kept: &PersistedState, content: Option<(Version, Vec<u8>)>);
+    /// Run this version from here on; answered by [`NodeAgent::applied`].
     fn apply(&mut self, version: Version);
     /// The fleet as this node sees it, itself among it.
     fn members(&mut self) -> Vec<Member>;
     /// Look into a content that is offered here, or into a program's version; answered by
-    /// [`crate::Rollout::looked_into`]. A host that takes no orders is never asked.
+    /// [`crate::Participant::looked_into`]. A host that takes no orders is never asked.
     fn look_into(&mut self, _no: u64, _version: Option<Version>, _content: Option<Vec<u8>>) {}
     /// What all nodes counted in these windows, as far as it is known here.
-    fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<Sample>)>;
+    fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<WindowSample>)>;
 }
 
 /// How a node stands to the change that it goes by.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Stand {
+pub enum NodeStatus {
     /// It goes by none.
     #[default]
     Unknown,
     /// Its content is being fetched or checked.
-    Known,
+    Offered,
     /// It can't be run here.
-    TurnedDown,
+    Rejected,
     /// It could begin.
     Staged,
     /// It is written down and taking force.
-    Beginning,
+    Starting,
     OnTrial,
     /// The whole fleet found it good.
-    Good,
+    Promoted,
     /// It was taken back here.
-    TakenBack,
+    RolledBack,
     /// It died on trial here, and is not tried again by itself for a while, or at all.
-    Died,
+    Crashed,
 }
 
-impl Stand {
+impl NodeStatus {
     /// Its word, as tables show it.
     pub fn word(self) -> &'static str {
         match self {
-            Stand::Unknown => "-",
-            Stand::Known => "known",
-            Stand::TurnedDown => "turned down",
-            Stand::Staged => "staged",
-            Stand::Beginning => "beginning",
-            Stand::OnTrial => "on trial",
-            Stand::Good => "good",
-            Stand::TakenBack => "taken back",
-            Stand::Died => "died",
+            NodeStatus::Unknown => "-",
+            NodeStatus::Offered => "known",
+            NodeStatus::Rejected => "turned down",
+            NodeStatus::Staged => "staged",
+            NodeStatus::Starting => "beginning",
+            NodeStatus::OnTrial => "on trial",
+            NodeStatus::Promoted => "good",
+            NodeStatus::RolledBack => "taken back",
+            NodeStatus::Crashed => "died",
         }
     }
 
-    pub(crate) fn from_number(number: u32) -> Stand {
+    pub(crate) fn from_number(number: u32) -> NodeStatus {
         let all = [
-            Stand::Unknown,
-            Stand::Known,
-            Stand::TurnedDown,
-            Stand::Staged,
-            Stand::Beginning,
-            Stand::OnTrial,
-            Stand::Good,
-            Stand::TakenBack,
-            Stand::Died,
+            NodeStatus::Unknown,
+            NodeStatus::Offered,
+            NodeStatus::Rejected,
+            NodeStatus::Staged,
+            NodeStatus::Starting,
+            NodeStatus::OnTrial,
+            NodeStatus::Promoted,
+            NodeStatus::RolledBack,
+            NodeStatus::Crashed,
         ];
         all.get(number as usize).copied().unwrap_or_default()
     }
@@ -103,8 +103,8 @@
 
 /// What a node starts with.
 #[derive(Clone, Debug, Default)]
-pub struct Start {
-    pub kept: Kept,
+pub struct InitialState {
+    pub kept: PersistedState,
     pub running: Version,
     /// Contents that its disk has.
     pub contents: Vec<(Version, Vec<u8>)>,
@@ -118,12 +118,12 @@
 
 /// What a node says of itself: which version it runs since when, and how it stands to which change.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Report {
-    pub change: ChangeId,
+pub struct NodeReport {
+    pub change: RolloutId,
     /// What it knows of that change.
     pub stage: u32,
-    pub fate: Fate,
-    pub stand: Stand,
+    pub fate: Outcome,
+    pub stand: NodeStatus,
     pub running: Version,
     /// The last good one: what it starts on.
     pub good: Version,
@@ -139,7 +139,7 @@
 
 /// What the node itself came to lately, for its own look at a version on trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Own {
+pub struct LocalMetrics {
     pub arrived: u64,
     pub succeeded: u64,
     pub errored: u64,
@@ -164,21 +164,21 @@
 /// One that starts with nothing on its disk and hears of agreements within this may have lost what
 /// it voted, and takes no part for as long at most.
 const NEW: Nanos = 600 * SECOND;
-/// Changes that are over are forgotten after this.
+/// RolloutTable that are over are forgotten after this.
 const REMEMBERED: Nanos = 7 * 24 * 3600 * SECOND;
 
 /// What is waited for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Waits {
+enum PendingOperation {
     Nothing,
     Check {
-        change: ChangeId,
+        change: RolloutId,
         since: Nanos,
     },
     /// A write, and what follows it.
     Keep {
         no: u64,
-        then: Then,
+        then: Continuation,
         since: Nanos,
     },
     Apply {
@@ -188,64 +188,64 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Then {
+enum Continuation {
     /// Nothing more.
     Rest,
     /// The content of a change is staged.
-    Staged(ChangeId),
+    Staged(RolloutId),
     /// A version takes force, on trial or back.
     Apply(Version),
     /// The one who conducts is told of a vote.
-    Say(u64, Say),
+    PaxosReply(u64, PaxosReply),
 }
 
 /// A node's part.
-pub struct Local<H: Host> {
+pub struct NodeAgent<H: Host> {
     pub host: H,
     kind: Kind,
     me: u64,
     zone: u32,
-    kept: Kept,
-    pub(crate) changes: Changes,
+    kept: PersistedState,
+    pub(crate) changes: RolloutTable,
     running: Version,
     since_ms: u64,
     died_ms: u64,
-    waits: Waits,
+    waits: PendingOperation,
     writes: u64,
     /// What is asked of this node as an arbiter, and by whom.
-    asked: Option<(u64, Ask)>,
+    asked: Option<(u64, PaxosRequest)>,
     /// When it started, if nothing was on its disk.
     born: Option<Nanos>,
     started: Nanos,
     abstained: bool,
     /// Since when what is kept is not on the disk as it should be, or was last tried.
     unwritten: Option<Nanos>,
-    fetch: Option<Fetch>,
+    fetch: Option<ChunkFetch>,
     /// Contents by version, as far as they are here: of what is staged, so that others can be told.
     contents: BTreeMap<Version, Vec<u8>>,
     staged: BTreeMap<Version, bool>,
     turned_down: BTreeMap<Version, String>,
     /// When this node heard that it is in a stage; and when it may try again after a death.
-    heard_stage: Option<(ChangeId, u32, Nanos)>,
+    heard_stage: Option<(RolloutId, u32, Nanos)>,
     not_before: Nanos,
     compared: Nanos,
-    report: Report,
+    report: NodeReport,
     /// What the node came to before and since the version on trial took force.
-    own_before: Own,
-    own_begun: Option<Own>,
-    own_last: Own,
+    own_before: LocalMetrics,
+    own_begun: Option<LocalMetrics>,
+    own_last: LocalMetrics,
 }
 
-impl<H: Host> Local<H> {
+impl<H: Host> NodeAgent<H> {
     /// A node that has just started, and read this from its disk.
     pub fn new(
         now: Nanos,
         unix_ms: u64,
         (me, zone): (u64, u32),
-        start: Start,
+        start: InitialState,
         host: H,
-    ) -> Local<H> {
-        let Start {
+    ) -> NodeAgent<H> {
+        let InitialState {
             kept,
             running,
             contents,
@@ -253,17 +253,17 @@
             died,
             fresh,
         } = start;
-        let mut local = Local {
+        let mut local = NodeAgent {
             host,
             kind: kept.kind,
             me,
             zone,
             kept,
-            changes: Changes::default(),
+            changes: RolloutTable::default(),
             running,
             since_ms: unix_ms,
             died_ms: if died.is_some() { unix_ms } else { 0 },
-            waits: Waits::Nothing,
+            waits: PendingOperation::Nothing,
             writes: 0,
             asked: None,
             born: fresh.then_some(now),
@@ -277,10 +277,10 @@
             heard_stage: None,
             not_before: 0,
             compared: now,
-            report: Report::default(),
-            own_before: Own::default(),
+            report: NodeReport::default(),
+            own_before: LocalMetrics::default(),
             own_begun: None,
-            own_last: Own::default(),
+            own_last: LocalMetrics::default(),
         };
         if let Some(head) = &local.kept.head {
             local.changes.hear(head);
@@ -306,7 +306,7 @@
         }
         local.write(
             now,
-            Then::Rest,
+            Continuation::Rest,
             new_content.map(|content| (running, content)),
         );
         local.look(now);
@@ -315,7 +315,7 @@
 
     /// The node ends, by notice: what is on trial did not die. Gives what is to be written before
     /// the process ends.
-    pub fn leave(&mut self) -> Kept {
+    pub fn leave(&mut self) -> PersistedState {
         self.kept.trial = None;
         self.kept.clone()
     }
@@ -323,7 +323,7 @@
     // ---- What is known ----
 
     /// All changes that are known.
-    pub fn changes(&self) -> &Changes {
+    pub fn changes(&self) -> &RolloutTable {
         &self.changes
     }
 
@@ -339,11 +339,11 @@
 
     /// Whether another version is taking force at this moment.
     pub fn is_applying(&self) -> bool {
-        matches!(self.waits, Waits::Apply { .. })
+        matches!(self.waits, PendingOperation::Apply { .. })
     }
 
     /// What it says of itself.
-    pub fn report(&self) -> &Report {
+    pub fn report(&self) -> &NodeReport {
         &self.report
     }
 
@@ -353,7 +353,7 @@
     }
 
     /// What is on the disk, or will be.
-    pub fn kept_now(&self) -> &Kept {
+    pub fn kept_now(&self) -> &PersistedState {
         &self.kept
     }
 
@@ -370,7 +370,7 @@
     // ---- Words ----
 
     /// The node itself offers a change.
-    pub fn offer(&mut self, now: Nanos, change: Change, content: Option<Vec<u8>>) {
+    pub fn offer(&mut self, now: Nanos, change: Rollout, content: Option<Vec<u8>>) {
         if let Some(content) = content {
             self.contents.insert(change.version, content);
         }
@@ -378,7 +378,14 @@
     }
 
     /// Somebody here moves a change towards safety: an operator, or a look at its figures.
-    pub fn end(&mut self, now: Nanos, unix_ms: u64, id: ChangeId, fate: Fate, why: &str) -> bool {
+    pub fn end(
+        &mut self,
+        now: Nanos,
+        unix_ms: u64,
+        id: RolloutId,
+        fate: Outcome,
+        why: &str,
+    ) -> bool {
         let ends = self
             .changes
             .end(id, fate, Reason::new(unix_ms, self.me, why));
@@ -392,11 +399,11 @@
     }
 
     /// The arbiters agreed that a change has come so far.
-    pub fn advance(&mut self, now: Nanos, id: ChangeId, reach: &Reach) -> bool {
+    pub fn advance(&mut self, now: Nanos, id: RolloutId, reach: &Progress) -> bool {
         let advances = self.changes.advance(id, reach);
         if advances {
             let line = match self.changes.get(id) {
-                Some(change) if change.fate == Fate::Done => {
+                Some(change) if change.fate == Outcome::Completed => {
                     "done, the whole fleet runs it".to_owned()
                 }
                 _ => format!("stage {} begins", reach.stage),
@@ -408,7 +415,7 @@
         advances
     }
 
-    fn hear(&mut self, now: Nanos, said: &Change) -> bool {
+    fn hear(&mut self, now: Nanos, said: &Rollout) -> bool {
         if said.kind != self.kind {
             return false;
         }
@@ -420,7 +427,7 @@
             return false;
         }
         if let Some(change) = self.changes.get(said.id) {
-            let (fate, stage) = before.unwrap_or((Fate::Open, 0));
+            let (fate, stage) = before.unwrap_or((Outcome::InProgress, 0));
             let (id, version) = (change.id, change.version);
             let line = match change.fate {
                 now if now > fate => Some(format!(
@@ -428,10 +435,10 @@
                     now.word(),
                     change.reason.why
                 )),
-                Fate::Open if change.reach.stage > stage => {
+                Outcome::InProgress if change.reach.stage > stage => {
                     Some(format!("change {id}: stage {} begins", change.reach.stage))
                 }
-                Fate::Open if before.is_none() => Some(format!(
+                Outcome::InProgress if before.is_none() => Some(format!(
                     "change {id}: {version} is offered in place of {}",
                     change.base
                 )),
@@ -455,10 +462,10 @@
     }
 
     /// Something was told.
-    pub fn told(&mut self, now: Nanos, from: u64, told: Told) {
+    pub fn told(&mut self, now: Nanos, from: u64, told: ReceivedMessage) {
         match told {
-            Told::Changes { changes, answer } => {
-                let mine: Vec<Change> = changes
+            ReceivedMessage::RolloutTable { changes, answer } => {
+                let mine: Vec<Rollout> = changes
                     .into_iter()
                     .filter(|change| change.kind == self.kind)
                     .collect();
@@ -471,7 +478,7 @@
                     }
                 }
             }
-            Told::Poll {
+            ReceivedMessage::Poll {
                 no,
                 change,
                 stage,
@@ -494,9 +501,10 @@
                 } else if (report.stage, report.fate) < (stage, fate) {
                     self.compared = 0; // and the other way round
                 }
-                self.host.send(from, Told::Report { no, report });
+                self.host
+                    .send(from, ReceivedMessage::NodeReport { no, report });
             }
-            Told::AskPieces {
+            ReceivedMessage::AskPieces {
                 change,
                 first,
                 count,
@@ -504,31 +512,32 @@
                 let version = self.changes.get(change).map(|change| change.version);
                 let content = version.and_then(|version| self.contents.get(&version));
                 let pieces: Vec<(u32, Vec<u8>)> = (first
-                    ..first.saturating_add(count.min(pieces::AT_ONCE)))
-                    .filter_map(|no| Some((no, pieces::piece(content?, no)?.to_vec())))
+                    ..first.saturating_add(count.min(chunks::AT_ONCE)))
+                    .filter_map(|no| Some((no, chunks::piece(content?, no)?.to_vec())))
                     .collect();
                 for (no, bytes) in pieces {
-                    self.host.send(from, Told::Piece { change, no, bytes });
+                    self.host
+                        .send(from, ReceivedMessage::Piece { change, no, bytes });
                 }
             }
-            Told::Piece { change, no, bytes } => {
+            ReceivedMessage::Piece { change, no, bytes } => {
                 if let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.change == change) {
                     fetch.piece(no, &bytes);
                     self.look(now);
                 }
             }
-            Told::Ask(kind, ask) => {
+            ReceivedMessage::PaxosRequest(kind, ask) => {
                 // Of two the later one holds: the earlier is asked again, or given up.
                 self.asked = Some((from, ask)).filter(|_| kind == self.kind);
                 self.look(now);
             }
-            Told::Report { .. } | Told::Say(..) => {}
+            ReceivedMessage::NodeReport { .. } | ReceivedMessage::PaxosReply(..) => {}
         }
     }
 
     /// The report, on this change.
-    fn report_on(&self, change: ChangeId) -> Report {
-        Report {
+    fn report_on(&self, change: RolloutId) -> NodeReport {
+        NodeReport {
             change,
             ..self.report_of(self.changes.get(change))
         }
@@ -540,21 +549,23 @@
     pub fn wake(&mut self, now: Nanos, unix_ms: u64) {
         let late = |since: Nanos| now > since + ANSWER;
         match &self.waits {
-            Waits::Check { since, .. } | Waits::Keep { since, .. } | Waits::Apply { since, .. }
+            PendingOperation::Check { since, .. }
+            | PendingOperation::Keep { since, .. }
+            | PendingOperation::Apply { since, .. }
                 if late(*since) =>
             {
                 self.host
                     .log("what was asked of this node was not answered, and is asked for again");
-                self.waits = Waits::Nothing;
+                self.waits = PendingOperation::Nothing;
             }
             _ => {}
         }
         // A disk that has room again gets what it lacks: else the node would start on what is no
         // more.
-        if self.waits == Waits::Nothing
+        if self.waits == PendingOperation::Nothing
             && self.unwritten.is_some_and(|since| now >= since + REWRITE)
         {
-            self.write(now, Then::Rest, None);
+            self.write(now, Continuation::Rest, None);
         }
         if now >= self.compared + COMPARE {
             self.compared = now;
@@ -570,25 +581,25 @@
 
     /// What the node itself came to so far: a version that is plainly bad is taken back without
     /// asking anybody.
-    pub fn own(&mut self, now: Nanos, unix_ms: u64, own: Own) {
+    pub fn own(&mut self, now: Nanos, unix_ms: u64, own: LocalMetrics) {
         let Some(trial) = self
             .kept
             .trial
             .filter(|trial| trial.version == self.running)
         else {
             // The last two words before a trial are what it is compared with.
-            (self.own_before, self.own_begun) = (Own { ..self.own_last }, None);
+            (self.own_before, self.own_begun) = (LocalMetrics { ..self.own_last }, None);
             self.own_last = own;
             return;
         };
         let begun = *self.own_begun.get_or_insert(own);
         self.own_last = own;
-        let since = |of: fn(&Own) -> u64| of(&own).saturating_sub(of(&begun));
-        let before = |of: fn(&Own) -> u64| of(&begun).saturating_sub(of(&self.own_before));
+        let since = |of: fn(&LocalMetrics) -> u64| of(&own).saturating_sub(of(&begun));
+        let before = |of: fn(&LocalMetrics) -> u64| of(&begun).saturating_sub(of(&self.own_before));
         let invariants = since(|own| own.invariants);
         if invariants > 0 {
             let why = format!("{invariants} invariants did not hold at one node");
-            self.end(now, unix_ms, trial.change, Fate::Back, &why);
+            self.end(now, unix_ms, trial.change, Outcome::RolledBack, &why);
             return;
         }
         let (arrived, arrived_before) = (since(|own| own.arrived), before(|own| own.arrived));
@@ -603,37 +614,38 @@
                 share * 100.0,
                 share_before * 100.0
             );
-            self.end(now, unix_ms, trial.change, Fate::Back, &why);
+            self.end(now, unix_ms, trial.change, Outcome::RolledBack, &why);
         }
     }
 
     // ---- What is done ----
 
-    fn of_kind(&self) -> impl Iterator<Item = &Change> {
+    fn of_kind(&self) -> impl Iterator<Item = &Rollout> {
         self.changes
             .iter()
             .filter(|change| change.kind == self.kind)
     }
 
     /// The last one that is done and is not here yet.
-    fn missed(&self) -> Option<&Change> {
+    fn missed(&self) -> Option<&Rollout> {
         let good = self.kept.good.unwrap_or(self.running);
-        let done = self
-            .of_kind()
-            .filter(|change| change.fate == Fate::Done && change.version.number > good.number);
+        let done = self.of_kind().filter(|change| {
+            change.fate == Outcome::Completed && change.version.number > good.number
+        });
         done.filter(|change| !self.turned_down.contains_key(&change.version))
             .max_by_key(|change| change.reach.seq)
     }
 
     /// The one that was taken back and runs here.
-    fn undone(&self) -> Option<&Change> {
+    fn undone(&self) -> Option<&Rollout> {
         self.of_kind().find(|change| {
-            matches!(change.fate, Fate::Refused | Fate::Back) && change.version == self.running
+            matches!(change.fate, Outcome::Rejected | Outcome::RolledBack)
+                && change.version == self.running
         })
     }
 
     /// The change that this node is shown to go by.
-    fn mine(&self) -> Option<&Change> {
+    fn mine(&self) -> Option<&Rollout> {
         let trial = self
             .kept
             .trial
@@ -654,21 +666,21 @@
     /// Looks at what is to be done next, and does it.
     fn look(&mut self, now: Nanos) {
         self.learn_of_agreements(now);
-        if self.waits == Waits::Nothing {
+        if self.waits == PendingOperation::Nothing {
             self.vote(now);
         }
         // What was agreed on and how it ended is on the disk, so that who starts anew does not go
         // by what is over.
-        let head = |change: &Change| (change.id, change.reach.seq, change.fate);
-        if self.waits == Waits::Nothing
+        let head = |change: &Rollout| (change.id, change.reach.seq, change.fate);
+        if self.waits == PendingOperation::Nothing
             && self.changes.head(self.kind).map(head) != self.kept.head.as_ref().map(head)
         {
-            self.write(now, Then::Rest, None);
+            self.write(now, Continuation::Rest, None);
         }
-        if self.waits == Waits::Nothing {
+        if self.waits == PendingOperation::Nothing {
             self.go_on(now);
         }
-        if self.waits == Waits::Nothing {
+        if self.waits == PendingOperation::Nothing {
             self.prepare(now);
         }
         let report = self.report_of(self.mine());
@@ -683,7 +695,7 @@
     /// can have voted on is open; or after so long that whoever can have counted its vote has long
     /// brought that to its end.
     fn learn_of_agreements(&mut self, now: Nanos) {
-        let known = quorum::known(&self.changes, self.kind);
+        let known = paxos::known(&self.changes, self.kind);
         let Some(born) = self.born.filter(|_| known > 0) else {
             return;
         };
@@ -699,8 +711,8 @@
             return;
         };
         let seq = match &ask {
-            Ask::Prepare { seq, .. } => *seq,
-            Ask::Accept { proposal, .. } => proposal.reach.seq,
+            PaxosRequest::Prepare { seq, .. } => *seq,
+            PaxosRequest::Accept { proposal, .. } => proposal.reach.seq,
         };
         if seq <= self.kept.abstains_to && now < self.started + NEW {
             let from = self.kept.abstains_to + 1;
@@ -713,15 +725,17 @@
         }
         let vote = self.kept.vote.clone().unwrap_or_default();
         match vote.asked(&self.changes, self.kind, &ask) {
-            Answer::Say(say) => self.host.send(from, Told::Say(self.kind, say)),
-            Answer::Write(vote, say) => {
+            VoterAction::PaxosReply(say) => self
+                .host
+                .send(from, ReceivedMessage::PaxosReply(self.kind, say)),
+            VoterAction::Write(vote, say) => {
                 self.kept.vote = Some(vote);
-                self.write(now, Then::Say(from, say), None);
+                self.write(now, Continuation::PaxosReply(from, say), None);
             }
-            Answer::Behind => in_parcels(self.changes.iter(), true)
+            VoterAction::Behind => in_parcels(self.changes.iter(), true)
                 .into_iter()
                 .for_each(|told| self.host.send(from, told)),
-            Answer::Ahead => in_parcels(self.changes.iter(), false)
+            VoterAction::Ahead => in_parcels(self.changes.iter(), false)
                 .into_iter()
                 .for_each(|told| self.host.send(from, told)),
         }
@@ -736,7 +750,9 @@
             };
             return match change.wants(self.me, self.zone) {
                 Some(false) => self.take_back(now, trial.version, change.base),
-                Some(true) if change.fate == Fate::Done && self.running == trial.version => {
+                Some(true)
+                    if change.fate == Outcome::Completed && self.running == trial.version =>
+                {
                     self.found_good(now, trial.version);
                 }
                 Some(true) | None => {}
@@ -786,7 +802,7 @@
     }
 
     /// Fetches, checks and writes a change's content.
-    fn stage(&mut self, now: Nanos, change: &Change) {
+    fn stage(&mut self, now: Nanos, change: &Rollout) {
         let has = self.contents.contains_key(&change.version);
         if change.kind == Kind::Settings && !has {
             if self
@@ -794,20 +810,20 @@
                 .as_ref()
                 .is_none_or(|fetch| fetch.change != change.id)
             {
-                self.fetch = Fetch::new(change);
+                self.fetch = ChunkFetch::new(change);
             }
             let Some(fetch) = &mut self.fetch else {
                 return self.turn_down(change, "its content is too large");
             };
             match fetch.fetched() {
-                Fetched::Whole(content) => {
+                FetchProgress::Whole(content) => {
                     self.contents.insert(change.version, content);
                     self.fetch = None;
                 }
-                Fetched::Spoilt { given_up: true } => {
+                FetchProgress::MalformedMessage { given_up: true } => {
                     return self.turn_down(change, "its content is not what its hash says");
                 }
-                Fetched::Spoilt { given_up: false } | Fetched::Part => {
+                FetchProgress::MalformedMessage { given_up: false } | FetchProgress::NodeMetric => {
                     if let Some((first, count)) = fetch.ask(now) {
                         // Whoever offered it has it; others may.
                         let mut to = self.host.some(1);
@@ -816,7 +832,7 @@
                         for to in to {
                             self.host.send(
                                 to,
-                                Told::AskPieces {
+                                ReceivedMessage::AskPieces {
                                     change: change.id,
                                     first,
                                     count,
@@ -828,7 +844,7 @@
                 }
             }
         }
-        self.waits = Waits::Check {
+        self.waits = PendingOperation::Check {
             change: change.id,
             since: now,
         };
@@ -836,7 +852,7 @@
         self.host.check(change.id, change.version, content);
     }
 
-    fn turn_down(&mut self, change: &Change, why: &str) {
+    fn turn_down(&mut self, change: &Rollout, why: &str) {
         self.host
             .log(&format!("change {}: turned down here, {why}", change.id));
         self.turned_down.insert(change.version, why.to_owned());
@@ -845,11 +861,11 @@
     }
 
     /// A check was carried out.
-    pub fn checked(&mut self, now: Nanos, id: ChangeId, result: Result<(), String>) {
-        if !matches!(self.waits, Waits::Check { change, .. } if change == id) {
+    pub fn checked(&mut self, now: Nanos, id: RolloutId, result: Result<(), String>) {
+        if !matches!(self.waits, PendingOperation::Check { change, .. } if change == id) {
             return; // asked for again meanwhile
         }
-        self.waits = Waits::Nothing;
+        self.waits = PendingOperation::Nothing;
         let Some(change) = self.changes.get(id).cloned() else {
             return;
         };
@@ -861,16 +877,16 @@
                     .get(&change.version)
                     .cloned()
                     .map(|c| (change.version, c));
-                self.write(now, Then::Staged(id), content);
+                self.write(now, Continuation::Staged(id), content);
             }
         }
         self.look(now);
     }
 
-    fn write(&mut self, now: Nanos, then: Then, content: Option<(Version, Vec<u8>)>) {
+    fn write(&mut self, now: Nanos, then: Continuation, content: Option<(Version, Vec<u8>)>) {
         self.writes += 1;
         self.kept.head = self.changes.head(self.kind).cloned();
-        self.waits = Waits::Keep {
+        self.waits = PendingOperation::Keep {
             no: self.writes,
             then,
             since: now,
@@ -882,12 +898,12 @@
     /// A write was carried out, or could not be.
     pub fn kept(&mut self, now: Nanos, no: u64, result: Result<(), String>) {
         let then = match &self.waits {
-            Waits::Keep {
+            PendingOperation::Keep {
                 no: waits, then, ..
             } if *waits == no => then.clone(),
             _ => return,
         };
-        self.waits = Waits::Nothing;
+        self.waits = PendingOperation::Nothing;
         let was_unwritten = self.unwritten.take().is_some();
         if result.is_err() {
             self.unwritten = Some(now);
@@ -895,12 +911,12 @@
             self.host.log("what is in force is written again");
         }
         match (then, result) {
-            (Then::Rest, Ok(())) => {}
-            (Then::Rest, Err(_)) if was_unwritten => {} // told before
-            (Then::Rest, Err(why)) => self
+            (Continuation::Rest, Ok(())) => {}
+            (Continuation::Rest, Err(_)) if was_unwritten => {} // told before
+            (Continuation::Rest, Err(why)) => self
                 .host
                 .log(&format!("what is in force could not be written: {why}")),
-            (Then::Staged(id), result) => {
+            (Continuation::Staged(id), result) => {
                 if let Some(change) = self.changes.get(id).cloned() {
                     match result {
                         Ok(()) => {
@@ -916,14 +932,16 @@
                     }
                 }
             }
-            (Then::Say(to, say), Ok(())) => self.host.send(to, Told::Say(self.kind, say)),
-            (Then::Say(..), Err(why)) => self
+            (Continuation::PaxosReply(to, say), Ok(())) => self
+                .host
+                .send(to, ReceivedMessage::PaxosReply(self.kind, say)),
+            (Continuation::PaxosReply(..), Err(why)) => self
                 .host
                 .log(&format!("a vote could not be written: {why}")),
             // It was halted meanwhile: who has not begun does not begin.
-            (Then::Apply(_), Ok(())) if self.is_halted_trial() => self.kept.trial = None,
-            (Then::Apply(version), Ok(())) => {
-                self.waits = Waits::Apply {
+            (Continuation::Apply(_), Ok(())) if self.is_halted_trial() => self.kept.trial = None,
+            (Continuation::Apply(version), Ok(())) => {
+                self.waits = PendingOperation::Apply {
                     version,
                     since: now,
                 };
@@ -931,17 +949,17 @@
             }
             // Towards safety it goes without its note; a version on trial must be noted before it
             // takes force.
-            (Then::Apply(version), Err(why)) if self.kept.trial.is_none() => {
+            (Continuation::Apply(version), Err(why)) if self.kept.trial.is_none() => {
                 self.host.log(&format!(
                     "goes back though that could not be written: {why}"
                 ));
-                self.waits = Waits::Apply {
+                self.waits = PendingOperation::Apply {
                     version,
                     since: now,
                 };
                 self.host.apply(version);
             }
-            (Then::Apply(_), Err(why)) => {
+            (Continuation::Apply(_), Err(why)) => {
                 if let Some(change) = self
                     .kept
                     .trial
@@ -965,12 +983,12 @@
             .filter(|trial| trial.version != self.running);
         trial
             .and_then(|trial| self.changes.get(trial.change))
-            .is_some_and(|change| change.fate > Fate::Done)
+            .is_some_and(|change| change.fate > Outcome::Completed)
     }
 
     /// A version's turn has come here: in its slot it is written down as on trial, and then takes
     /// force.
-    fn begin(&mut self, now: Nanos, change: &Change) {
+    fn begin(&mut self, now: Nanos, change: &Rollout) {
         let stage = change.reach.stage;
         let heard = match self.heard_stage {
             Some((id, of, heard)) if (id, of) == (change.id, stage) => heard,
@@ -980,7 +998,7 @@
             }
         };
         let spread = change.plan.stage(stage).map_or(0, |stage| stage.spread);
-        let slot = if change.fate == Fate::Done {
+        let slot = if change.fate == Outcome::Completed {
             0
         } else {
             change.reach.slot(change.id, self.me, self.zone, spread)
@@ -994,7 +1012,7 @@
             version: change.version,
             tries,
         });
-        self.write(now, Then::Apply(change.version), None);
+        self.write(now, Continuation::Apply(change.version), None);
     }
 
     /// A version runs now, or can't be run.
@@ -1005,10 +1023,11 @@
         version: Version,
         result: Result<(), String>,
     ) {
-        if !matches!(self.waits, Waits::Apply { version: waits, .. } if waits == version) {
+        if !matches!(self.waits, PendingOperation::Apply { version: waits, .. } if waits == version)
+        {
             return;
         }
-        self.waits = Waits::Nothing;
+        self.waits = PendingOperation::Nothing;
         match result {
             Ok(()) => {
                 let word = if self.kept.trial.is_some() {
@@ -1031,12 +1050,12 @@
                 if let Some(trial) = self.kept.trial.take_if(|trial| trial.version == version) {
                     self.kept.turn_down(version, DEATHS);
                     self.turned_down.insert(version, why.clone());
-                    self.write(now, Then::Rest, None);
+                    self.write(now, Continuation::Rest, None);
                     self.end(
                         now,
                         unix_ms,
                         trial.change,
-                        Fate::Back,
+                        Outcome::RolledBack,
                         &format!("it can't be run at one node: {why}"),
                     );
                 }
@@ -1052,7 +1071,7 @@
                 "version {version} is good, and the one to start on"
             ));
             self.forget_contents();
-            self.write(now, Then::Rest, None);
+            self.write(now, Continuation::Rest, None);
         }
     }
 
@@ -1068,9 +1087,9 @@
         self.own_begun = None;
         self.staged.remove(&version);
         if self.running == to {
-            return self.write(now, Then::Rest, None);
+            return self.write(now, Continuation::Rest, None);
         }
-        self.write(now, Then::Apply(to), None);
+        self.write(now, Continuation::Apply(to), None);
     }
 
     /// Contents of versions that are neither kept nor offered make room.
@@ -1086,36 +1105,38 @@
     }
 
     /// How it stands to a change.
-    fn stand(&self, change: &Change) -> Stand {
+    fn stand(&self, change: &Rollout) -> NodeStatus {
         let version = change.version;
         let trial = self
             .kept
             .trial
             .is_some_and(|trial| trial.version == version);
         match () {
-            () if self.running == version && self.kept.good == Some(version) => Stand::Good,
-            () if self.running == version && trial => Stand::OnTrial,
-            () if trial => Stand::Beginning,
-            () if matches!(change.fate, Fate::Refused | Fate::Back) => {
+            () if self.running == version && self.kept.good == Some(version) => {
+                NodeStatus::Promoted
+            }
+            () if self.running == version && trial => NodeStatus::OnTrial,
+            () if trial => NodeStatus::Starting,
+            () if matches!(change.fate, Outcome::Rejected | Outcome::RolledBack) => {
                 match self.kept.is_turned_down(version) {
-                    true => Stand::TakenBack,
-                    false => Stand::Known,
+                    true => NodeStatus::RolledBack,
+                    false => NodeStatus::Offered,
                 }
             }
-            () if self.kept.deaths(version) > 0 => Stand::Died,
-            () if self.turned_down.contains_key(&version) => Stand::TurnedDown,
-            () if self.staged.contains_key(&version) => Stand::Staged,
-            () => Stand::Known,
+            () if self.kept.deaths(version) > 0 => NodeStatus::Crashed,
+            () if self.turned_down.contains_key(&version) => NodeStatus::Rejected,
+            () if self.staged.contains_key(&version) => NodeStatus::Staged,
+            () => NodeStatus::Offered,
         }
     }
 
-    fn report_of(&self, change: Option<&Change>) -> Report {
+    fn report_of(&self, change: Option<&Rollout>) -> NodeReport {
         let of = change.map(|change| change.version);
-        Report {
-            change: change.map_or(ChangeId(0), |change| change.id),
+        NodeReport {
+            change: change.map_or(RolloutId(0), |change| change.id),
             stage: change.map_or(0, |change| change.reach.stage),
-            fate: change.map_or(Fate::Open, |change| change.fate),
-            stand: change.map_or(Stand::Unknown, |change| self.stand(change)),
+            fate: change.map_or(Outcome::InProgress, |change| change.fate),
+            stand: change.map_or(NodeStatus::Unknown, |change| self.stand(change)),
             running: self.running,
             good: self.kept.good.unwrap_or_default(),
             since_ms: self.since_ms,
@@ -1146,7 +1167,9 @@
         if let Some(change) = self.mine() {
             let wants = match change.wants(self.me, self.zone) {
                 Some(true) => "this node is in its stage",
-                Some(false) if change.fate == Fate::Open => "this node is not in its stage",
+                Some(false) if change.fate == Outcome::InProgress => {
+                    "this node is not in its stage"
+                }
                 Some(false) => "this node goes back, or never went",
                 None => "this node stays as it is",
             };
@@ -1158,7 +1181,7 @@
                 change.reach.stage,
                 change.plan.stages.len(),
                 change.fate.word(),
-                if change.fate > Fate::Open {
+                if change.fate > Outcome::InProgress {
                     format!(" ({})", change.reason.why)
                 } else {
                     String::new()
--- a/crates/rollout/src/orders.rs
+++ b/crates/rollout/src/operator_commands.rs
@@ -3,10 +3,10 @@
 //! halted or taken back. The same order may come again, for its answer may have been lost: it is
 //! answered as before and has no second effect.
 
-use crate::change::{Change, ChangeId, Changes, Fate, Kind, Reason, Version};
-use crate::pieces::{self, CONTENT_MAX};
-use crate::stages::{Plan, Reach};
-use crate::wire::{Order, Ordered, PIECE, order};
+use crate::chunks::{self, CONTENT_MAX};
+use crate::messages::{CommandReply, OperatorCommand, PIECE, order};
+use crate::rollout::{Kind, Outcome, Reason, Rollout, RolloutId, RolloutTable, Version};
+use crate::stages::{Plan, Progress};
 use crate::{Nanos, SECOND, mix};
 use std::collections::VecDeque;
 
@@ -22,15 +22,15 @@
     pub const REFUSED: u32 = 2;
 }
 
-fn answer(state: u32, why: &str, change: u64) -> Ordered {
-    Ordered {
+fn answer(state: u32, why: &str, change: u64) -> CommandReply {
+    CommandReply {
         state,
         why: why.to_owned(),
         change,
     }
 }
 
-fn refused(why: &str) -> Ordered {
+fn refused(why: &str) -> CommandReply {
     answer(state::REFUSED, why, 0)
 }
 
@@ -47,16 +47,16 @@
 type Mark = ([u8; 32], Version);
 
 #[derive(Clone, Debug)]
-enum Outcome {
+enum CommandOutcome {
     LookedInto { no: u64, since: Nanos },
-    Over(Ordered),
+    Over(CommandReply),
 }
 
 /// What is to be done about an order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum CommandAction {
     /// It is answered.
-    Answer(Ordered),
+    VoterAction(CommandReply),
     /// The node is to look into this, and tell what came of it; the order is answered with "later"
     /// until then.
     LookInto {
@@ -66,67 +66,77 @@
     },
     /// A change is to be moved towards safety.
     End {
-        id: ChangeId,
-        fate: Fate,
+        id: RolloutId,
+        fate: Outcome,
         why: String,
     },
 }
 
-/// Orders to one node, about changes of one kind.
+/// OperatorCommands to one node, about changes of one kind.
 #[derive(Clone, Debug, Default)]
-pub struct Orders {
+pub struct OperatorCommands {
     incoming: Option<Incoming>,
-    offers: VecDeque<(Mark, Outcome)>,
+    offers: VecDeque<(Mark, CommandOutcome)>,
     looks: u64,
 }
 
 /// A look into a content that was not answered for so long may be asked for again.
 const ANSWER: Nanos = 20 * SECOND;
 
-impl Orders {
+impl OperatorCommands {
     /// An order came.
-    pub fn order(&mut self, now: Nanos, kind: Kind, changes: &Changes, said: &Order) -> Act {
+    pub fn order(
+        &mut self,
+        now: Nanos,
+        kind: Kind,
+        changes: &RolloutTable,
+        said: &OperatorCommand,
+    ) -> CommandAction {
         match said.kind {
-            order::PIECE if kind == Kind::Settings => Act::Answer(self.piece(now, said)),
+            order::PIECE if kind == Kind::Settings => {
+                CommandAction::VoterAction(self.piece(now, said))
+            }
             order::OFFER => self.offer(now, kind, said),
             order::HALT | order::BACK => {
                 let fate = if said.kind == order::HALT {
-                    Fate::Halted
+                    Outcome::Halted
                 } else {
-                    Fate::Back
+                    Outcome::RolledBack
                 };
                 let change = match said.change {
                     0 => changes.current(kind).or_else(|| changes.head(kind)),
                     id => changes
-                        .get(ChangeId(id))
+                        .get(RolloutId(id))
                         .filter(|change| change.kind == kind),
                 };
                 let Some(change) = change else {
-                    return Act::Answer(refused("no such change is known here"));
+                    return CommandAction::VoterAction(refused("no such change is known here"));
                 };
-                if change.fate >= fate || change.fate == Fate::Refused {
+                if change.fate >= fate || change.fate == Outcome::Rejected {
                     let why = format!("it is {} already", change.fate.word());
-                    return Act::Answer(answer(state::TAKEN, &why, change.id.0));
+                    return CommandAction::VoterAction(answer(state::TAKEN, &why, change.id.0));
                 }
-                if fate == Fate::Halted && change.fate == Fate::Done {
-                    return Act::Answer(refused("it is done and can't be halted, only taken back"));
+                if fate == Outcome::Halted && change.fate == Outcome::Completed {
+                    return CommandAction::VoterAction(refused(
+                        "it is done and can't be halted, only taken back",
+                    ));
                 }
                 let why = if said.why.is_empty() {
                     "an operator said so"
                 } else {
                     &said.why
                 };
-                Act::End {
+                CommandAction::End {
                     id: change.id,
                     fate,
                     why: why.to_owned(),
                 }
             }
-            _ => Act::Answer(refused("this order is not known here")),
+            _ => CommandAction::VoterAction(refused("this order is not known here")),
         }
     }
 
-    fn piece(&mut self, now: Nanos, said: &Order) -> Ordered {
+    fn piece(&mut self, now: Nanos, said: &OperatorCommand) -> CommandReply {
         let (size, Ok(digest)) = (
             said.size as usize,
             <[u8; 32]>::try_from(said.digest.as_slice()),
@@ -146,7 +156,7 @@
         let incoming = self.incoming.get_or_insert_with(|| Incoming {
             digest,
             bytes: vec![0; size],
-            have: vec![false; pieces::count(size) as usize],
+            have: vec![false; chunks::count(size) as usize],
             since: now,
         });
         let from = (said.no as usize).saturating_mul(PIECE);
@@ -159,7 +169,7 @@
         answer(state::TAKEN, "", 0)
     }
 
-    fn offer(&mut self, now: Nanos, kind: Kind, said: &Order) -> Act {
+    fn offer(&mut self, now: Nanos, kind: Kind, said: &OperatorCommand) -> CommandAction {
         let digest = <[u8; 32]>::try_from(said.digest.as_slice()).unwrap_or_default();
         let version = Version {
             number: said.number,
@@ -175,11 +185,17 @@
         );
         if let Some((_, outcome)) = self.offers.iter().find(|(of, _)| *of == mark) {
             match outcome {
-                Outcome::Over(answered) => return Act::Answer(answered.clone()),
-                Outcome::LookedInto { since, .. } if now < since + ANSWER => {
-                    return Act::Answer(answer(state::LATER, "the node looks into it", 0));
+                CommandOutcome::Over(answered) => {
+                    return CommandAction::VoterAction(answered.clone());
+                }
+                CommandOutcome::LookedInto { since, .. } if now < since + ANSWER => {
+                    return CommandAction::VoterAction(answer(
+                        state::LATER,
+                        "the node looks into it",
+                        0,
+                    ));
                 }
-                Outcome::LookedInto { .. } => self.offers.retain(|(of, _)| *of != mark),
+                CommandOutcome::LookedInto { .. } => self.offers.retain(|(of, _)| *of != mark),
             }
         }
         let (version, content) = match kind {
@@ -189,11 +205,15 @@
                     incoming.digest == digest && incoming.have.iter().all(|have| *have)
                 });
                 let Some(whole) = whole else {
-                    return Act::Answer(refused("pieces of it are missing here; order it anew"));
+                    return CommandAction::VoterAction(refused(
+                        "pieces of it are missing here; order it anew",
+                    ));
                 };
-                if pieces::digest(&whole.bytes) != digest {
+                if chunks::digest(&whole.bytes) != digest {
                     self.incoming = None;
-                    return Act::Answer(refused("its content is not what its hash says"));
+                    return CommandAction::VoterAction(refused(
+                        "its content is not what its hash says",
+                    ));
                 }
                 (None, Some(whole.bytes.clone()))
             }
@@ -201,11 +221,11 @@
         self.looks += 1;
         let no = self.looks;
         self.offers
-            .push_back((mark, Outcome::LookedInto { no, since: now }));
+            .push_back((mark, CommandOutcome::LookedInto { no, since: now }));
         while self.offers.len() > REMEMBERED {
             self.offers.pop_front();
         }
-        Act::LookInto {
+        CommandAction::LookInto {
             no,
             version,
             content,
@@ -218,12 +238,11 @@
         no: u64,
         found: Result<Version, String>,
         (kind, me, unix_ms): (Kind, u64, u64),
-        changes: &Changes,
+        changes: &RolloutTable,
         good: Version,
         plan: &Plan,
-    ) -> Option<(Change, Option<Vec<u8>>)> {
-        let is_it =
-            |outcome: &Outcome| matches!(outcome, Outcome::LookedInto { no: of, .. } if *of == no);
+    ) -> Option<(Rollout, Option<Vec<u8>>)> {
+        let is_it = |outcome: &CommandOutcome| matches!(outcome, CommandOutcome::LookedInto { no: of, .. } if *of == no);
         let at = self.offers.iter().position(|(_, outcome)| is_it(outcome))?;
         let (digest, _) = self.offers[at].0;
         let (answered, offered) = match found {
@@ -247,8 +266,8 @@
                             .take()
                             .filter(|incoming| incoming.digest == digest);
                         let content = whole.map(|incoming| incoming.bytes);
-                        let id = ChangeId(mix(version.hash ^ mix(me ^ mix(unix_ms))));
-                        let change = Change {
+                        let id = RolloutId(mix(version.hash ^ mix(me ^ mix(unix_ms))));
+                        let change = Rollout {
                             id,
                             kind,
                             version,
@@ -258,8 +277,8 @@
                             by: me,
                             at_ms: unix_ms,
                             plan: plan.clone(),
-                            reach: Reach::default(),
-                            fate: Fate::Open,
+                            reach: Progress::default(),
+                            fate: Outcome::InProgress,
                             reason: Reason::default(),
                         };
                         (answer(state::TAKEN, "", id.0), Some((change, content)))
@@ -267,7 +286,7 @@
                 }
             }
         };
-        self.offers[at].1 = Outcome::Over(answered);
+        self.offers[at].1 = CommandOutcome::Over(answered);
         offered
     }
 }
--- a/crates/rollout/src/orders/tests.rs
+++ b/crates/rollout/src/operator_commands/tests.rs
@@ -1,42 +1,53 @@
 use super::*;
-use crate::change::tests::change;
+use crate::rollout::tests::change;
 
-fn piece(content: &[u8], no: u32) -> Order {
-    let bytes = pieces::piece(content, no).unwrap().to_vec();
-    let (size, digest) = (content.len() as u32, pieces::digest(content).to_vec());
-    Order {
+fn piece(content: &[u8], no: u32) -> OperatorCommand {
+    let bytes = chunks::piece(content, no).unwrap().to_vec();
+    let (size, digest) = (content.len() as u32, chunks::digest(content).to_vec());
+    OperatorCommand {
         kind: order::PIECE,
         no,
         bytes,
         size,
         digest,
-        ..Order::default()
+        ..OperatorCommand::default()
     }
 }
 
-fn offer(content: &[u8]) -> Order {
-    Order {
+fn offer(content: &[u8]) -> OperatorCommand {
+    OperatorCommand {
         kind: order::OFFER,
-        digest: pieces::digest(content).to_vec(),
-        ..Order::default()
+        digest: chunks::digest(content).to_vec(),
+        ..OperatorCommand::default()
     }
 }
 
-fn state(act: &Act) -> Option<u32> {
+fn state(act: &CommandAction) -> Option<u32> {
     match act {
-        Act::Answer(answered) => Some(answered.state),
+        CommandAction::VoterAction(answered) => Some(answered.state),
         _ => None,
     }
 }
 
-fn ordered(orders: &mut Orders, now: Nanos, said: &Order) -> Act {
-    orders.order(now, Kind::Settings, &Changes::default(), said)
+fn ordered(orders: &mut OperatorCommands, now: Nanos, said: &OperatorCommand) -> CommandAction {
+    orders.order(now, Kind::Settings, &RolloutTable::default(), said)
 }
 
-fn looked(orders: &mut Orders, no: u64, found: Result<Version, String>) -> Option<Change> {
+fn looked(
+    orders: &mut OperatorCommands,
+    no: u64,
+    found: Result<Version, String>,
+) -> Option<Rollout> {
     let good = Version { number: 4, hash: 1 };
     let of = (Kind::Settings, 7, 1000);
-    let offered = orders.looked_into(no, found, of, &Changes::default(), good, &Plan::default());
+    let offered = orders.looked_into(
+        no,
+        found,
+        of,
+        &RolloutTable::default(),
+        good,
+        &Plan::default(),
+    );
     offered.map(|(change, content)| {
         assert_eq!(content.map(|c| c.len() as u32), Some(change.bytes));
         change
@@ -45,7 +56,7 @@
 
 #[test]
 fn a_content_in_pieces_is_offered_once_however_often_that_is_ordered() {
-    let (content, mut orders) = (vec![9; 3000], Orders::default());
+    let (content, mut orders) = (vec![9; 3000], OperatorCommands::default());
     assert_eq!(
         state(&ordered(&mut orders, 0, &offer(&content))),
         Some(state::REFUSED)
@@ -56,7 +67,7 @@
             Some(state::TAKEN)
         );
     }
-    let Act::LookInto {
+    let CommandAction::LookInto {
         no,
         content: Some(whole),
         ..
@@ -83,12 +94,15 @@
         "answered once"
     );
     let again = ordered(&mut orders, 2, &offer(&content));
-    assert_eq!(again, Act::Answer(answer(state::TAKEN, "", change.id.0)));
+    assert_eq!(
+        again,
+        CommandAction::VoterAction(answer(state::TAKEN, "", change.id.0))
+    );
 }
 
 #[test]
 fn what_is_bad_old_or_spoilt_is_refused_with_the_reason() {
-    let (content, mut orders) = (vec![9; 100], Orders::default());
+    let (content, mut orders) = (vec![9; 100], OperatorCommands::default());
     let mut spoilt = piece(&content, 0);
     spoilt.bytes[5] ^= 1;
     ordered(&mut orders, 0, &spoilt);
@@ -97,11 +111,11 @@
         Some(state::REFUSED)
     );
     ordered(&mut orders, 0, &piece(&content, 0));
-    let Act::LookInto { no, .. } = ordered(&mut orders, 0, &offer(&content)) else {
+    let CommandAction::LookInto { no, .. } = ordered(&mut orders, 0, &offer(&content)) else {
         panic!()
     };
     assert!(looked(&mut orders, no, Ok(Version { number: 4, hash: 9 })).is_none());
-    let Act::Answer(answered) = ordered(&mut orders, 0, &offer(&content)) else {
+    let CommandAction::VoterAction(answered) = ordered(&mut orders, 0, &offer(&content)) else {
         panic!()
     };
     assert!(
@@ -120,7 +134,7 @@
         state(&ordered(&mut orders, GIVEN_UP, &piece(&content, 0))),
         Some(state::TAKEN)
     );
-    let large = Order {
+    let large = OperatorCommand {
         size: CONTENT_MAX as u32 + 1,
         ..piece(&content, 0)
     };
@@ -132,7 +146,7 @@
         state(&ordered(
             &mut orders,
             0,
-            &Order {
+            &OperatorCommand {
                 no: 9,
                 ..piece(&content, 0)
             }
@@ -143,31 +157,33 @@
 
 #[test]
 fn a_halt_or_a_way_back_is_for_the_current_change_and_is_taken_again() {
-    let (mut changes, mut orders) = (Changes::default(), Orders::default());
-    let halt = Order {
+    let (mut changes, mut orders) = (RolloutTable::default(), OperatorCommands::default());
+    let halt = OperatorCommand {
         kind: order::HALT,
-        ..Order::default()
+        ..OperatorCommand::default()
     };
-    let back = Order {
+    let back = OperatorCommand {
         kind: order::BACK,
         why: "it smells".into(),
-        ..Order::default()
+        ..OperatorCommand::default()
+    };
+    let mut act = |changes: &RolloutTable, said: &OperatorCommand| {
+        orders.order(0, Kind::Settings, changes, said)
     };
-    let mut act = |changes: &Changes, said: &Order| orders.order(0, Kind::Settings, changes, said);
     assert_eq!(state(&act(&changes, &halt)), Some(state::REFUSED));
     changes.hear(&change(3, 9));
     assert!(matches!(
         act(&changes, &halt),
-        Act::End {
-            id: ChangeId(3),
-            fate: Fate::Halted,
+        CommandAction::End {
+            id: RolloutId(3),
+            fate: Outcome::Halted,
             ..
         }
     ));
-    changes.end(ChangeId(3), Fate::Halted, Reason::new(1, 1, "x"));
+    changes.end(RolloutId(3), Outcome::Halted, Reason::new(1, 1, "x"));
     assert_eq!(state(&act(&changes, &halt)), Some(state::TAKEN));
-    let Act::End {
-        fate: Fate::Back,
+    let CommandAction::End {
+        fate: Outcome::RolledBack,
         why,
         ..
     } = act(&changes, &back)
@@ -176,16 +192,18 @@
     };
     assert_eq!(why, "it smells");
     assert_eq!(
-        state(&act(&changes, &Order { change: 99, ..back })),
+        state(&act(&changes, &OperatorCommand { change: 99, ..back })),
         Some(state::REFUSED)
     );
-    let program = Order {
+    let program = OperatorCommand {
         kind: order::OFFER,
         number: 7,
         hash: 8,
-        ..Order::default()
+        ..OperatorCommand::default()
     };
     let act = orders.order(0, Kind::Program, &changes, &program);
     let version = Some(Version { number: 7, hash: 8 });
-    assert!(matches!(act, Act::LookInto { version: v, content: None, .. } if v == version));
+    assert!(
+        matches!(act, CommandAction::LookInto { version: v, content: None, .. } if v == version)
+    );
 }
