--- a/crates/rollout/src/quorum.rs
+++ b/crates/rollout/src/paxos.rs
@@ -8,8 +8,8 @@
 //! agreed on already is carried through even so, for the numbers have no holes; as the change is
 //! halted nobody begins anything by it.
 
-use crate::change::{ChangeId, Changes, Fate, Kind};
-use crate::stages::Reach;
+use crate::rollout::{Kind, Outcome, RolloutId, RolloutTable};
+use crate::stages::Progress;
 use crate::{Nanos, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,8 +26,8 @@
 /// What is voted on: that a change has come this far. Its number is in the reach.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Proposal {
-    pub change: ChangeId,
-    pub reach: Reach,
+    pub change: RolloutId,
+    pub reach: Progress,
 }
 
 /// What an arbiter has voted, of the agreement that comes next.
@@ -41,7 +41,7 @@
 
 /// What is asked of an arbiter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Ask {
+pub enum PaxosRequest {
     /// Take no part in rounds before mine; and what have you voted for?
     Prepare { seq: u64, ballot: Ballot },
     /// Vote for this. Again, if an arbiter had voted for it in a round before.
@@ -54,7 +54,7 @@
 
 /// What it says.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Say {
+pub enum PaxosReply {
     Promised {
         seq: u64,
         ballot: Ballot,
@@ -74,11 +74,11 @@
 
 /// What comes of something that was asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// Say this at once.
-    Say(Say),
+pub enum VoterAction {
+    /// PaxosReply this at once.
+    PaxosReply(PaxosReply),
     /// Write the vote, and then say this.
-    Write(Vote, Say),
+    Write(Vote, PaxosReply),
     /// This arbiter lacks agreements before that one: it asks for them.
     Behind,
     /// It knows that one to be agreed on already, and tells.
@@ -86,7 +86,7 @@
 }
 
 /// The number of the last agreement that is known.
-pub fn known(changes: &Changes, kind: Kind) -> u64 {
+pub fn known(changes: &RolloutTable, kind: Kind) -> u64 {
     changes
         .iter()
         .filter(|change| change.kind == kind)
@@ -97,10 +97,10 @@
 
 impl Vote {
     /// Something is asked, and this is known.
-    pub fn asked(&self, changes: &Changes, kind: Kind, ask: &Ask) -> Answer {
+    pub fn asked(&self, changes: &RolloutTable, kind: Kind, ask: &PaxosRequest) -> VoterAction {
         let (seq, ballot) = match ask {
-            Ask::Prepare { seq, ballot } => (*seq, *ballot),
-            Ask::Accept {
+            PaxosRequest::Prepare { seq, ballot } => (*seq, *ballot),
+            PaxosRequest::Accept {
                 ballot, proposal, ..
             } => (proposal.reach.seq, *ballot),
         };
@@ -108,10 +108,10 @@
         // What it voted on before may have been agreed on, so that it can't take part in what comes
         // after without knowing.
         if seq > known + 1 {
-            return Answer::Behind;
+            return VoterAction::Behind;
         }
         if seq <= known {
-            return Answer::Ahead;
+            return VoterAction::Ahead;
         }
         let mut vote = if self.seq == seq {
             self.clone()
@@ -122,37 +122,37 @@
             }
         };
         if ballot < vote.promised {
-            return Answer::Say(Say::Refused {
+            return VoterAction::PaxosReply(PaxosReply::Refused {
                 seq,
                 ballot,
                 promised: vote.promised,
             });
         }
         match ask {
-            Ask::Prepare { .. } => {
+            PaxosRequest::Prepare { .. } => {
                 let accepted = vote.accepted.clone();
                 vote.promised = ballot;
-                Answer::Write(
+                VoterAction::Write(
                     vote,
-                    Say::Promised {
+                    PaxosReply::Promised {
                         seq,
                         ballot,
                         accepted,
                     },
                 )
             }
-            Ask::Accept {
+            PaxosRequest::Accept {
                 proposal, again, ..
             } => {
                 let change = changes.get(proposal.change);
                 let Some(change) = change else {
-                    return Answer::Behind;
+                    return VoterAction::Behind;
                 };
                 let other = changes
                     .under_way(kind)
                     .is_some_and(|other| other.id != proposal.change);
-                if !again && (change.fate != Fate::Open || other) {
-                    return Answer::Say(Say::Refused {
+                if !again && (change.fate != Outcome::InProgress || other) {
+                    return VoterAction::PaxosReply(PaxosReply::Refused {
                         seq,
                         ballot,
                         promised: vote.promised,
@@ -160,7 +160,7 @@
                 }
                 vote.promised = ballot;
                 vote.accepted = Some((ballot, proposal.clone()));
-                Answer::Write(vote, Say::Accepted { seq, ballot })
+                VoterAction::Write(vote, PaxosReply::Accepted { seq, ballot })
             }
         }
     }
@@ -168,7 +168,7 @@
 
 /// A round of the one who conducts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Round {
+pub struct PaxosRound {
     pub ballot: Ballot,
     pub seq: u64,
     since: Nanos,
@@ -183,20 +183,25 @@
 
 /// What follows from what an arbiter said.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum RoundStep {
     Wait,
     /// All arbiters are asked this.
-    Ask(Ask),
+    PaxosRequest(PaxosRequest),
     Agreed(Proposal),
     /// It comes to nothing; a next round is to be higher than this.
     GiveUp(Ballot),
 }
 
-impl Round {
+impl PaxosRound {
     /// Begins one for a proposal, among so many arbiters; with what they are asked.
-    pub fn begin(now: Nanos, ballot: Ballot, wished: Proposal, arbiters: usize) -> (Round, Ask) {
+    pub fn begin(
+        now: Nanos,
+        ballot: Ballot,
+        wished: Proposal,
+        arbiters: usize,
+    ) -> (PaxosRound, PaxosRequest) {
         let seq = wished.reach.seq;
-        let round = Round {
+        let round = PaxosRound {
             ballot,
             seq,
             since: now,
@@ -208,7 +213,7 @@
             refused: BTreeSet::new(),
             highest: ballot,
         };
-        (round, Ask::Prepare { seq, ballot })
+        (round, PaxosRequest::Prepare { seq, ballot })
     }
 
     /// Whether it has come to nothing in its time.
@@ -217,21 +222,21 @@
     }
 
     /// The change that is carried through.
-    pub fn change(&self) -> ChangeId {
+    pub fn change(&self) -> RolloutId {
         self.proposed.as_ref().unwrap_or(&self.wished).change
     }
 
     /// An arbiter said something.
-    pub fn said(&mut self, from: u64, say: &Say) -> Next {
+    pub fn said(&mut self, from: u64, say: &PaxosReply) -> RoundStep {
         match say {
-            Say::Promised {
+            PaxosReply::Promised {
                 seq,
                 ballot,
                 accepted,
             } if (*seq, *ballot) == (self.seq, self.ballot) => {
                 self.promised.insert(from, accepted.clone());
                 if self.proposed.is_some() || self.promised.len() < self.majority {
-                    return Next::Wait;
+                    return RoundStep::Wait;
                 }
                 let last = self
                     .promised
@@ -241,22 +246,22 @@
                 let again = last.is_some();
                 let proposal = last.map_or(&self.wished, |(_, proposal)| proposal).clone();
                 self.proposed = Some(proposal.clone());
-                Next::Ask(Ask::Accept {
+                RoundStep::PaxosRequest(PaxosRequest::Accept {
                     ballot: self.ballot,
                     proposal,
                     again,
                 })
             }
-            Say::Accepted { seq, ballot } if (*seq, *ballot) == (self.seq, self.ballot) => {
+            PaxosReply::Accepted { seq, ballot } if (*seq, *ballot) == (self.seq, self.ballot) => {
                 self.accepted.insert(from);
                 match &self.proposed {
                     Some(proposal) if self.accepted.len() >= self.majority => {
-                        Next::Agreed(proposal.clone())
+                        RoundStep::Agreed(proposal.clone())
                     }
-                    _ => Next::Wait,
+                    _ => RoundStep::Wait,
                 }
             }
-            Say::Refused {
+            PaxosReply::Refused {
                 seq,
                 ballot,
                 promised,
@@ -264,12 +269,12 @@
                 self.refused.insert(from);
                 self.highest = self.highest.max(*promised);
                 if self.refused.len() >= self.majority {
-                    Next::GiveUp(self.highest)
+                    RoundStep::GiveUp(self.highest)
                 } else {
-                    Next::Wait
+                    RoundStep::Wait
                 }
             }
-            _ => Next::Wait,
+            _ => RoundStep::Wait,
         }
     }
 }
--- a/crates/rollout/src/kept.rs
+++ b/crates/rollout/src/persisted_state.rs
@@ -6,9 +6,9 @@
 //! that the node died on trial: it starts on the last good version, and does not try that one again
 //! by itself.
 
-use crate::change::{Change, ChangeId, Kind, Version};
-use crate::quorum::Vote;
-use crate::wire::{self, OneChange, OneVote};
+use crate::messages::{self, OneChange, OneVote};
+use crate::paxos::Vote;
+use crate::rollout::{Kind, Rollout, RolloutId, Version};
 use prost::Message;
 
 const MAGIC: [u8; 4] = *b"mpv1";
@@ -20,7 +20,7 @@
 /// A version on trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Trial {
-    pub change: ChangeId,
+    pub change: RolloutId,
     pub version: Version,
     /// How often it was begun here.
     pub tries: u32,
@@ -28,7 +28,7 @@
 
 /// What is kept, of one kind.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Kept {
+pub struct PersistedState {
     pub kind: Kind,
     /// What is in force and was found good; none before the first: what the operator gave.
     pub good: Option<Version>,
@@ -39,7 +39,7 @@
     pub turned_down: Vec<(Version, u32)>,
     /// The change of the last agreement, so that the fleet goes on with it if all of it starts at
     /// once.
-    pub head: Option<Change>,
+    pub head: Option<Rollout>,
     /// What this node voted as an arbiter, and the last agreement that it takes no part in.
     pub vote: Option<Vote>,
     pub abstains_to: u64,
@@ -47,7 +47,7 @@
 
 /// What a file can't be read for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum PersistedStateError {
     /// It is cut, or another file.
     NotOne,
     /// Its checksum does not fit.
@@ -56,13 +56,13 @@
     Later,
 }
 
-impl Broken {
+impl PersistedStateError {
     /// As the log has it.
     pub fn word(self) -> &'static str {
         match self {
-            Broken::NotOne => "cut, or no such file",
-            Broken::Damaged => "damaged",
-            Broken::Later => "of a later program",
+            PersistedStateError::NotOne => "cut, or no such file",
+            PersistedStateError::Damaged => "damaged",
+            PersistedStateError::Later => "of a later program",
         }
     }
 }
@@ -114,12 +114,12 @@
     }
 }
 
-impl Kept {
+impl PersistedState {
     /// Nothing kept yet.
-    pub fn new(kind: Kind) -> Kept {
-        Kept {
+    pub fn new(kind: Kind) -> PersistedState {
+        PersistedState {
             kind,
-            ..Kept::default()
+            ..PersistedState::default()
         }
     }
 
@@ -137,11 +137,11 @@
                 .map(|(v, died)| one(*v, *died))
                 .collect(),
             kind: self.kind as u32,
-            head: self.head.as_ref().map(wire::write_change),
-            vote: self.vote.as_ref().map(wire::write_vote),
+            head: self.head.as_ref().map(messages::write_change),
+            vote: self.vote.as_ref().map(messages::write_vote),
             abstains_to: self.abstains_to,
         };
-        let body = wire::later(body.encode_to_vec());
+        let body = messages::later(body.encode_to_vec());
         let mut file = MAGIC.to_vec();
         file.extend((body.len() as u32).to_le_bytes());
         file.extend(crc32fast::hash(&body).to_le_bytes());
@@ -150,32 +150,32 @@
     }
 
     /// Reads a file.
-    pub fn read(bytes: &[u8]) -> Result<Kept, Broken> {
+    pub fn read(bytes: &[u8]) -> Result<PersistedState, PersistedStateError> {
         let word = |at: usize| bytes.get(at..at + 4).and_then(|four| four.try_into().ok());
         let (Some(magic), Some(length), Some(crc)) = (word(0), word(4), word(8)) else {
-            return Err(Broken::NotOne);
+            return Err(PersistedStateError::NotOne);
         };
         let magic: [u8; 4] = magic;
         if magic != MAGIC {
             return Err(if magic.starts_with(b"mpv") {
-                Broken::Later
+                PersistedStateError::Later
             } else {
-                Broken::NotOne
+                PersistedStateError::NotOne
             });
         }
         let body = bytes
             .get(12..12 + u32::from_le_bytes(length) as usize)
-            .ok_or(Broken::NotOne)?;
+            .ok_or(PersistedStateError::NotOne)?;
         if bytes.len() > FILE_MAX || crc32fast::hash(body) != u32::from_le_bytes(crc) {
-            return Err(Broken::Damaged);
+            return Err(PersistedStateError::Damaged);
         }
-        let body = Body::decode(body).map_err(|_| Broken::Damaged)?;
+        let body = Body::decode(body).map_err(|_| PersistedStateError::Damaged)?;
         let trial = body.trial.as_ref().map(|trial| Trial {
-            change: ChangeId(body.change),
+            change: RolloutId(body.change),
             version: version(trial),
             tries: trial.died,
         });
-        Ok(Kept {
+        Ok(PersistedState {
             kind: if body.kind == 1 {
                 Kind::Program
             } else {
@@ -190,8 +190,8 @@
                 .take(TURNED_DOWN)
                 .map(|v| (version(v), v.died))
                 .collect(),
-            head: body.head.as_ref().and_then(wire::read_change),
-            vote: body.vote.as_ref().map(wire::read_vote),
+            head: body.head.as_ref().and_then(messages::read_change),
+            vote: body.vote.as_ref().map(messages::read_vote),
             abstains_to: body.abstains_to,
         })
     }
--- a/crates/rollout/src/kept/tests.rs
+++ b/crates/rollout/src/persisted_state/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::change::tests::change;
-use crate::change::{Fate, Reason};
-use crate::quorum::{Ballot, Proposal};
-use crate::stages::{Reach, ZONES_MAX};
+use crate::paxos::{Ballot, Proposal};
+use crate::rollout::tests::change;
+use crate::rollout::{Outcome, Reason};
+use crate::stages::{Progress, ZONES_MAX};
 
 fn v(number: u64) -> Version {
     Version {
@@ -11,29 +11,29 @@
     }
 }
 
-fn full() -> Kept {
+fn full() -> PersistedState {
     let trial = Some(Trial {
-        change: ChangeId(9),
+        change: RolloutId(9),
         version: v(3),
         tries: 1,
     });
     let turned_down = (10..20).map(|n| (v(n), n as u32 % 3)).collect();
     let mut head = change(9, 3);
     let until = (0..ZONES_MAX as u32).map(|zone| (zone, 1 << 60));
-    head.reach = Reach {
+    head.reach = Progress {
         seq: 31,
         stage: 2,
         until: until.clone().collect(),
-        ..Reach::default()
+        ..Progress::default()
     };
     (head.fate, head.reason) = (
-        Fate::Halted,
+        Outcome::Halted,
         Reason::new(1 << 41, 1 << 60, &"x".repeat(200)),
     );
     head.reach.before = until.collect();
     let proposal = Proposal {
-        change: ChangeId(9),
-        reach: Reach {
+        change: RolloutId(9),
+        reach: Progress {
             seq: 32,
             ..head.reach.clone()
         },
@@ -50,7 +50,7 @@
         promised,
         accepted: Some((earlier, proposal)),
     };
-    Kept {
+    PersistedState {
         kind: Kind::Settings,
         good: Some(v(2)),
         before: Some(v(1)),
@@ -64,20 +64,23 @@
 
 #[test]
 fn what_is_written_is_read_and_every_cut_and_bit_is_found() {
-    for kept in [Kept::new(Kind::Program), full()] {
+    for kept in [PersistedState::new(Kind::Program), full()] {
         let file = kept.write();
         assert!(file.len() <= FILE_MAX);
-        assert_eq!(Kept::read(&file), Ok(kept.clone()));
+        assert_eq!(PersistedState::read(&file), Ok(kept.clone()));
         for at in 0..file.len() {
-            assert!(Kept::read(&file[..at]).is_err(), "cut at {at}");
+            assert!(PersistedState::read(&file[..at]).is_err(), "cut at {at}");
             for bit in 0..8 {
                 let mut file = file.clone();
                 file[at] ^= 1 << bit;
-                assert!(Kept::read(&file).is_err(), "byte {at} bit {bit}");
+                assert!(PersistedState::read(&file).is_err(), "byte {at} bit {bit}");
             }
         }
     }
-    assert_eq!(Kept::read(b"mpv2 and more to come"), Err(Broken::Later));
+    assert_eq!(
+        PersistedState::read(b"mpv2 and more to come"),
+        Err(PersistedStateError::Later)
+    );
 }
 
 #[test]
@@ -90,7 +93,7 @@
     );
     assert_eq!((kept.deaths(v(3)), kept.begin(v(1)).1), (1, None));
     kept.trial = Some(Trial {
-        change: ChangeId(9),
+        change: RolloutId(9),
         version: v(3),
         tries: 2,
     });
@@ -104,11 +107,11 @@
 
 #[test]
 fn a_last_good_version_always_exists_once_there_was_one() {
-    let mut kept = Kept::new(Kind::Settings);
+    let mut kept = PersistedState::new(Kind::Settings);
     assert_eq!(kept.begin(v(7)), (vec![v(7)], None));
     kept.found_good(v(1));
     kept.trial = Some(Trial {
-        change: ChangeId(1),
+        change: RolloutId(1),
         version: v(2),
         tries: 1,
     });
--- a/crates/rollout/src/handover.rs
+++ b/crates/rollout/src/process_handover.rs
@@ -7,8 +7,8 @@
 //! time in which one that died is started anew. What is on the disk is written by the one in charge
 //! alone.
 
-use crate::change::Version;
-use crate::kept::{Kept, Trial};
+use crate::persisted_state::{PersistedState, Trial};
+use crate::rollout::Version;
 use crate::{Nanos, SECOND};
 use std::collections::BTreeMap;
 
@@ -18,8 +18,8 @@
 
 /// What a process starts with.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Begin {
-    pub kept: Kept,
+pub struct StartInstructions {
+    pub kept: PersistedState,
     pub version: Version,
     pub died: Option<Trial>,
     pub fresh: bool,
@@ -29,8 +29,8 @@
 
 /// What the decisions do to the world.
 pub trait Host {
-    /// Start a process; what becomes of it is told by [`Parent::ready`] and [`Parent::ended`].
-    fn start(&mut self, child: Child, begin: &Begin) -> Result<(), String>;
+    /// InitialState a process; what becomes of it is told by [`Supervisor::ready`] and [`Supervisor::ended`].
+    fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), String>;
     /// Tell it that it is in charge.
     fn in_charge(&mut self, child: Child);
     /// Tell it to leave and that another one takes its place.
@@ -39,10 +39,10 @@
     fn leave(&mut self, child: Child);
     fn kill(&mut self, child: Child);
     /// Write what is kept; it is on the disk when this returns.
-    fn keep(&mut self, kept: &Kept) -> Result<(), String>;
+    fn keep(&mut self, kept: &PersistedState) -> Result<(), String>;
     /// Whether a version is here.
     fn has(&mut self, version: Version) -> Result<(), String>;
-    /// Answer a question of a process.
+    /// VoterAction a question of a process.
     fn answer(&mut self, child: Child, no: u64, result: Result<(), String>);
     /// One line a change.
     fn log(&mut self, line: &str);
@@ -73,9 +73,9 @@
 }
 
 /// The parent.
-pub struct Parent<H: Host> {
+pub struct Supervisor<H: Host> {
     pub host: H,
-    kept: Kept,
+    kept: PersistedState,
     fresh: bool,
     /// What the operator gave to start on.
     given: Version,
@@ -95,17 +95,17 @@
     ends: bool,
 }
 
-impl<H: Host> Parent<H> {
+impl<H: Host> Supervisor<H> {
     /// A parent that read this from its disk, and starts a process.
     pub fn new(
         now: Nanos,
-        kept: Kept,
+        kept: PersistedState,
         fresh: bool,
         given: Version,
         stop: Nanos,
         host: H,
-    ) -> Parent<H> {
-        let mut parent = Parent {
+    ) -> Supervisor<H> {
+        let mut parent = Supervisor {
             host,
             kept,
             fresh,
@@ -185,7 +185,7 @@
         self.children += 1;
         let child = Child(self.children);
         let beside = self.charge.is_some();
-        let begin = Begin {
+        let begin = StartInstructions {
             kept: self.kept.clone(),
             version,
             died: self.died,
@@ -241,7 +241,7 @@
     }
 
     /// What is to be kept; only the one in charge, or the only one that is there, says what.
-    pub fn keep(&mut self, child: Child, no: u64, kept: Kept) {
+    pub fn keep(&mut self, child: Child, no: u64, kept: PersistedState) {
         let only = self
             .starting
             .filter(|_| self.charge.is_none())
@@ -408,7 +408,7 @@
     }
 
     /// What is on the disk.
-    pub fn kept(&self) -> &Kept {
+    pub fn kept(&self) -> &PersistedState {
         &self.kept
     }
 }
--- a/crates/rollout/src/handover/tests.rs
+++ b/crates/rollout/src/process_handover/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::change::{ChangeId, Kind};
+use crate::rollout::{Kind, RolloutId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
@@ -7,19 +7,19 @@
 /// Processes as the world has them.
 #[derive(Default)]
 struct World {
-    started: Vec<(Child, Begin)>,
+    started: Vec<(Child, StartInstructions)>,
     there: BTreeMap<Child, Version>,
     told_to_leave: BTreeSet<Child>,
     in_charge: Vec<Child>,
     answers: Vec<(Child, u64, Result<(), String>)>,
     lacks: BTreeSet<u64>,
-    disk: Option<Kept>,
+    disk: Option<PersistedState>,
     full: bool,
     lines: Vec<String>,
 }
 
 impl Host for World {
-    fn start(&mut self, child: Child, begin: &Begin) -> Result<(), String> {
+    fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), String> {
         self.started.push((child, begin.clone()));
         self.there.insert(child, begin.version);
         Ok(())
@@ -36,7 +36,7 @@
     fn kill(&mut self, child: Child) {
         self.told_to_leave.insert(child);
     }
-    fn keep(&mut self, kept: &Kept) -> Result<(), String> {
+    fn keep(&mut self, kept: &PersistedState) -> Result<(), String> {
         if self.full {
             return Err("no room".into());
         }
@@ -67,19 +67,19 @@
 
 const STOP: Nanos = 5 * SECOND;
 
-fn serving(number: u64) -> Parent<World> {
-    let mut kept = Kept::new(Kind::Program);
+fn serving(number: u64) -> Supervisor<World> {
+    let mut kept = PersistedState::new(Kind::Program);
     kept.found_good(v(number));
-    let mut parent = Parent::new(0, kept, false, v(number), STOP, World::default());
+    let mut parent = Supervisor::new(0, kept, false, v(number), STOP, World::default());
     let child = parent.host.started[0].0;
     parent.ready(1, child);
     parent
 }
 
-fn on_trial(kept: &Kept, number: u64) -> Kept {
-    Kept {
+fn on_trial(kept: &PersistedState, number: u64) -> PersistedState {
+    PersistedState {
         trial: Some(Trial {
-            change: ChangeId(1),
+            change: RolloutId(1),
             version: v(number),
             tries: 1,
         }),
@@ -100,7 +100,7 @@
     assert_eq!(parent.host.in_charge, [old, new]);
     assert!(parent.host.told_to_leave.contains(&old) && parent.in_charge() == Some((new, v(2))));
     // The old one has nothing to write any more, and gets no answer but the notice.
-    parent.keep(old, 9, Kept::new(Kind::Program));
+    parent.keep(old, 9, PersistedState::new(Kind::Program));
     assert!(
         parent
             .host
@@ -173,11 +173,11 @@
 
 #[test]
 fn a_good_version_that_does_not_come_to_serve_is_followed_by_the_one_before() {
-    let mut kept = Kept::new(Kind::Program);
+    let mut kept = PersistedState::new(Kind::Program);
     [1, 2]
         .into_iter()
         .for_each(|number| kept.found_good(v(number)));
-    let mut parent = Parent::new(0, kept, false, v(1), STOP, World::default());
+    let mut parent = Supervisor::new(0, kept, false, v(1), STOP, World::default());
     assert_eq!(parent.host.started[0].1.version, v(2));
     parent.ended(SECOND, Child(1), "dead");
     parent.wake(10 * SECOND);
@@ -188,11 +188,11 @@
 
 #[test]
 fn a_good_version_that_dies_at_once_thrice_is_followed_by_the_one_before() {
-    let mut kept = Kept::new(Kind::Program);
+    let mut kept = PersistedState::new(Kind::Program);
     [1, 2]
         .into_iter()
         .for_each(|number| kept.found_good(v(number)));
-    let mut parent = Parent::new(0, kept, false, v(1), STOP, World::default());
+    let mut parent = Supervisor::new(0, kept, false, v(1), STOP, World::default());
     let mut now = 0;
     while parent.host.started.len() < 4 {
         now += SECOND;
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -1,168 +1,544 @@
-//! All of a node's part in changes of one kind: its own, and if it is an arbiter its votes, the
-//! record and the conducting.
-
-use crate::change::{Change, ChangeId, Fate, Version};
-use crate::conduct::{Act, Conduct};
-use crate::local::{Host, Local, Own, Start};
-use crate::orders::{self, Orders, state};
-use crate::quorum::Proposal;
-use crate::stages::Plan;
-use crate::wire::{Order, Ordered, Told};
-use crate::{Nanos, SECOND};
-
-/// A window is looked at so long after its end: nodes tell their counts each five seconds, and
-/// words are on their way.
-const WORDS: u64 = 6000;
-
-/// The part.
-pub struct Rollout<H: Host> {
-    pub local: Local<H>,
-    pub conduct: Conduct,
-    /// How a change that is offered here goes out.
+//! What the fleet knows of a change: a value that merges in any order, any number of times, and
+//! only ever moves on. Of two words about one change the later stage holds, and the fate that is
+//! nearer to safety: whoever halts needs nobody, and nothing that is said later brings a change
+//! back.
+
+use crate::Nanos;
+use crate::stages::{Plan, Progress};
+use std::collections::BTreeMap;
+use std::fmt;
+
+/// RolloutTable that are remembered; the oldest that are over go first.
+pub const CHANGES_MAX: usize = 16;
+/// Bytes of a reason.
+pub const REASON_MAX: usize = 160;
+
+/// What a node may run: a number, and the first bytes of a hash that name it.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct Version {
+    pub number: u64,
+    pub hash: u64,
+}
+
+impl fmt::Display for Version {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} ({:08x})", self.number, self.hash >> 32)
+    }
+}
+
+/// One change, drawn from who offered what and when.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct RolloutId(pub u64);
+
+impl fmt::Display for RolloutId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:016x}", self.0)
+    }
+}
+
+/// What is changed.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub enum Kind {
+    /// Our settings: the file's text is spread by the nodes.
+    #[default]
+    Settings,
+    /// The program: its directory is laid on each machine by others.
+    Program,
+}
+
+/// What has become of a change, from the farthest to the nearest to safety.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub enum Outcome {
+    /// It goes on, as far as stages are agreed.
+    #[default]
+    InProgress,
+    /// The whole fleet runs it, and it is the last good version.
+    Completed,
+    /// It never began: another one did, or it can't be run.
+    Rejected,
+    /// It goes no further; who runs it runs it on.
+    Halted,
+    /// It is taken back: all run what was before.
+    RolledBack,
+}
+
+impl Outcome {
+    /// Its word, as tables show it.
+    pub fn word(self) -> &'static str {
+        ["open", "done", "refused", "halted", "back"][self as usize]
+    }
+
+    pub(crate) fn from_number(number: u32) -> Option<Outcome> {
+        [
+            Outcome::InProgress,
+            Outcome::Completed,
+            Outcome::Rejected,
+            Outcome::Halted,
+            Outcome::RolledBack,
+        ]
+        .get(number as usize)
+        .copied()
+    }
+}
+
+/// Why, by whom and when.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct Reason {
+    /// Unix milliseconds.
+    pub at_ms: u64,
+    /// The key of the node that said so.
+    pub by: u64,
+    pub why: String,
+}
+
+impl Reason {
+    /// A reason, cut to its bound.
+    pub fn new(at_ms: u64, by: u64, why: &str) -> Reason {
+        let end = (0..=REASON_MAX.min(why.len()))
+            .rev()
+            .find(|end| why.is_char_boundary(*end))
+            .unwrap_or(0);
+        Reason {
+            at_ms,
+            by,
+            why: why[..end].to_owned(),
+        }
+    }
+}
+
+/// A change.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Rollout {
+    pub id: RolloutId,
+    pub kind: Kind,
+    /// What it brings, and what it replaces.
+    pub version: Version,
+    pub base: Version,
+    /// SHA-256 of the content, and its bytes.
+    pub digest: [u8; 32],
+    pub bytes: u32,
+    /// Who offered it, and when by the Unix clock, in milliseconds.
+    pub by: u64,
+    pub at_ms: u64,
     pub plan: Plan,
-    orders: Orders,
-    window_ms: u64,
-    looked: Nanos,
+    // What grows.
+    pub reach: Progress,
+    pub fate: Outcome,
+    pub reason: Reason,
 }
 
-impl<H: Host> Rollout<H> {
-    /// Of a node that has just started, among these arbiters, in a fleet that counts in windows of
-    /// so many milliseconds.
-    pub fn new(
-        now: Nanos,
-        unix_ms: u64,
-        (me, zone): (u64, u32),
-        start: Start,
-        arbiters: Vec<u64>,
-        window_ms: u64,
-        host: H,
-    ) -> Rollout<H> {
-        let kind = start.kept.kind;
-        Rollout {
-            local: Local::new(now, unix_ms, (me, zone), start, host),
-            conduct: Conduct::new(now, me, kind, arbiters),
-            plan: Plan::default(),
-            orders: Orders::default(),
-            window_ms,
-            looked: 0,
+impl Rollout {
+    /// The place of a change among those that have not begun: the higher version first, of these
+    /// the one offered first.
+    pub fn order(&self) -> (std::cmp::Reverse<u64>, u64, RolloutId) {
+        (std::cmp::Reverse(self.version.number), self.at_ms, self.id)
+    }
+
+    /// Whether it has begun, and is not over.
+    pub fn is_under_way(&self) -> bool {
+        self.fate == Outcome::InProgress && self.reach.stage > 0
+    }
+
+    /// Whether nothing more becomes of it by itself.
+    pub fn is_over(&self) -> bool {
+        matches!(
+            self.fate,
+            Outcome::Completed | Outcome::Rejected | Outcome::RolledBack
+        )
+    }
+
+    /// Whether a node is to run the new version by what is known here; none if it is to stay as it
+    /// is.
+    pub fn wants(&self, node: u64, zone: u32) -> Option<bool> {
+        match self.fate {
+            Outcome::InProgress => Some(self.reach.has(self.id, node, zone)),
+            Outcome::Completed => Some(true),
+            Outcome::Halted => None,
+            Outcome::Rejected | Outcome::RolledBack => Some(false),
         }
     }
 
-    /// Something was told.
-    pub fn told(&mut self, now: Nanos, unix_ms: u64, from: u64, told: Told) {
-        match told {
-            Told::Report { no, report } => self.conduct.report_came(from, no, report),
-            Told::Say(kind, say) if kind == self.local.kind() => {
-                let acts = self.conduct.said(now, from, &say);
-                self.act(now, unix_ms, acts);
-            }
-            told => self.local.told(now, from, told),
-        }
-    }
-
-    /// Does what is due; to be called some times a second.
-    pub fn wake(&mut self, now: Nanos, unix_ms: u64) {
-        self.local.wake(now, unix_ms);
-        if !self.conduct.is_arbiter() {
-            return;
-        }
-        if now >= self.looked + SECOND {
-            self.looked = now;
-            let wanted = self.conduct.wants_counts(self.local.changes());
-            // The latest window that is over, and of which words have come.
-            let over = (unix_ms.saturating_sub(WORDS) / self.window_ms).checked_sub(1);
-            if let (Some(from), Some(over)) = (wanted, over)
-                && over >= from
-            {
-                for (window, samples) in self.local.host.windows(from, over) {
-                    self.conduct.counted(window, &samples);
-                }
+    /// Moves towards safety. What is nearer to it already stays.
+    pub fn end(&mut self, fate: Outcome, reason: Reason) -> bool {
+        let ends = fate > self.fate;
+        if ends {
+            (self.fate, self.reason) = (fate, reason);
+        }
+        ends
+    }
+
+    /// Another word about the same change; whether anything is new in it.
+    pub fn merge(&mut self, said: &Rollout) -> bool {
+        // Of two reasons for the same the one that was first, so that all come to one.
+        let nearer = said.fate > self.fate
+            || said.fate == self.fate
+                && said.fate > Outcome::InProgress
+                && said.reason < self.reason;
+        if nearer {
+            (self.fate, self.reason) = (said.fate, said.reason.clone());
+        }
+        let farther = self.reached(&said.reach);
+        nearer || farther
+    }
+
+    /// It was agreed that it has come this far. Agreements are numbered; there are no two of a
+    /// number.
+    fn reached(&mut self, reach: &Progress) -> bool {
+        let farther = reach.seq > self.reach.seq;
+        if farther {
+            self.reach = reach.clone();
+        }
+        if self.fate <= Outcome::Completed && self.plan.is_beyond(self.reach.stage) {
+            (self.fate, self.reason) = (Outcome::Completed, Reason::default());
+        }
+        farther
+    }
+
+    /// A number that two words share if they say the same.
+    fn print(&self) -> u64 {
+        let print = crate::mix(self.id.0 ^ crate::mix(self.reach.seq << 3 ^ self.fate as u64));
+        crate::mix(print ^ self.reason.at_ms ^ self.reason.by)
+    }
+
+    /// The place among those that are remembered: what is under way, then what may begin, by its
+    /// order, then what is over, the latest first.
+    fn rank(&self) -> (u8, std::cmp::Reverse<u64>, u64, RolloutId) {
+        let (number, at, id) = self.order();
+        match self.fate {
+            Outcome::InProgress | Outcome::Halted if self.reach.seq > 0 => {
+                (0, std::cmp::Reverse(self.reach.seq), at, id)
             }
+            Outcome::InProgress => (1, number, at, id),
+            _ => (2, std::cmp::Reverse(self.at_ms), self.reach.seq, id),
         }
-        let members = self.local.host.members();
-        let over = (unix_ms.saturating_sub(WORDS) / self.window_ms).saturating_sub(1);
-        let acts = {
-            let Local { host, changes, .. } = &mut self.local;
-            self.conduct.wake(now, unix_ms, changes, &members, &mut || {
-                host.windows(0, over)
-            })
+    }
+}
+
+/// All changes that a node knows.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct RolloutTable {
+    all: BTreeMap<RolloutId, Rollout>,
+}
+
+impl RolloutTable {
+    /// All of them.
+    pub fn iter(&self) -> impl Iterator<Item = &Rollout> {
+        self.all.values()
+    }
+
+    pub fn get(&self, id: RolloutId) -> Option<&Rollout> {
+        self.all.get(&id)
+    }
+
+    /// The one of the last agreement: it is never forgotten, so that agreements keep their numbers.
+    pub fn head(&self, kind: Kind) -> Option<&Rollout> {
+        let of = self
+            .all
+            .values()
+            .filter(|change| change.kind == kind && change.reach.seq > 0);
+        of.max_by_key(|change| change.reach.seq)
+    }
+
+    /// A word about a change; whether anything is new in it. Which ones are remembered follows from
+    /// what was heard, and not from the order, so that all come to the same.
+    pub fn hear(&mut self, said: &Rollout) -> bool {
+        if let Some(known) = self.all.get_mut(&said.id) {
+            return known.merge(said);
+        }
+        let mut said = said.clone();
+        if said.fate == Outcome::InProgress {
+            said.reason = Reason::default();
+        }
+        let reach = std::mem::take(&mut said.reach);
+        said.reached(&reach);
+        let id = said.id;
+        self.all.insert(id, said);
+        if self.all.len() <= CHANGES_MAX {
+            return true;
+        }
+        let heads = [Kind::Settings, Kind::Program].map(|kind| self.head(kind).map(|head| head.id));
+        let last = self
+            .all
+            .values()
+            .filter(|c| !heads.contains(&Some(c.id)))
+            .max_by_key(|change| change.rank());
+        let Some(last) = last.map(|last| last.id) else {
+            return true;
+        };
+        self.all.remove(&last);
+        last != id
+    }
+
+    /// Moves a change towards safety.
+    pub fn end(&mut self, id: RolloutId, fate: Outcome, reason: Reason) -> bool {
+        self.all
+            .get_mut(&id)
+            .is_some_and(|change| change.end(fate, reason))
+    }
+
+    /// It was agreed that a change has come this far.
+    pub fn advance(&mut self, id: RolloutId, reach: &Progress) -> bool {
+        self.all
+            .get_mut(&id)
+            .is_some_and(|change| change.reached(reach))
+    }
+
+    /// The change that is under way, of a kind. While this node lacks the end of one there may seem
+    /// to be two: the later holds.
+    pub fn under_way(&self, kind: Kind) -> Option<&Rollout> {
+        self.all
+            .values()
+            .filter(|c| c.kind == kind && c.is_under_way())
+            .max_by_key(|change| change.reach.seq)
+    }
+
+    /// The one that goes next: the first in the order of those that have not begun.
+    pub fn next(&self, kind: Kind) -> Option<&Rollout> {
+        let waits =
+            |c: &&Rollout| c.kind == kind && c.fate == Outcome::InProgress && c.reach.stage == 0;
+        self.all
+            .values()
+            .filter(waits)
+            .min_by_key(|change| change.order())
+    }
+
+    /// The one that a node goes by now: under way, or halted and not taken back, or else the next.
+    pub fn current(&self, kind: Kind) -> Option<&Rollout> {
+        let halted = || {
+            let halted = self
+                .all
+                .values()
+                .filter(|c| c.kind == kind && c.fate == Outcome::Halted);
+            halted.max_by_key(|change| change.reach.seq)
         };
-        self.act(now, unix_ms, acts);
+        self.under_way(kind)
+            .or_else(halted)
+            .or_else(|| self.next(kind))
+    }
+
+    /// A number that two nodes share if they know the same.
+    pub fn digest(&self) -> u64 {
+        self.all
+            .values()
+            .fold(0, |sum, change| sum.wrapping_add(change.print()))
+    }
+
+    /// Forgets what was over long ago.
+    pub fn tidy(&mut self, now_ms: u64, keep: Nanos) {
+        let keep_ms = keep / crate::MILLISECOND;
+        let heads = [Kind::Settings, Kind::Program].map(|kind| self.head(kind).map(|head| head.id));
+        self.all.retain(|id, change| {
+            heads.contains(&Some(*id))
+                || !change.is_over()
+                || now_ms
+                    < change
+                        .reason
+                        .at_ms
+                        .max(change.at_ms)
+                        .saturating_add(keep_ms)
+        });
+    }
+}
+
+#[cfg(test)]
+pub(crate) mod tests {
+    use super::*;
+    use rand::seq::SliceRandom;
+    use rand::{RngExt, SeedableRng};
+    use rand_pcg::Pcg64Mcg;
+
+    pub(crate) fn change(id: u64, number: u64) -> Rollout {
+        Rollout {
+            id: RolloutId(id),
+            kind: Kind::Settings,
+            version: Version {
+                number,
+                hash: crate::mix(number ^ id),
+            },
+            base: Version {
+                number: 1,
+                hash: 11,
+            },
+            digest: [id as u8; 32],
+            bytes: 100,
+            by: 5,
+            at_ms: 1000 + id,
+            plan: Plan::default(),
+            reach: Progress::default(),
+            fate: Outcome::InProgress,
+            reason: Reason::default(),
+        }
     }
 
-    fn act(&mut self, now: Nanos, unix_ms: u64, acts: Vec<Act>) {
-        for act in acts {
-            match act {
-                Act::Send(to, told) if to == self.local.me() => self.told(now, unix_ms, to, told),
-                Act::Send(to, told) => self.local.host.send(to, told),
-                Act::End { change, fate, why } => {
-                    self.local.end(now, unix_ms, change, fate, &why);
+    fn reach(stage: u32) -> Progress {
+        let until = BTreeMap::from([(0, u64::from(stage) << 50)]);
+        Progress {
+            seq: u64::from(stage),
+            stage,
+            until,
+            ..Progress::default()
+        }
+    }
+
+    /// Words in any order, in any groups, any number of times come to the same, and nothing moves
+    /// away from safety.
+    #[test]
+    fn words_merge_in_any_order_and_only_towards_safety() {
+        for seed in 0..300 {
+            let mut rng = Pcg64Mcg::seed_from_u64(seed);
+            let mut words: Vec<Rollout> = Vec::new();
+            for id in 1..4 {
+                for _ in 0..rng.random_range(1..8) {
+                    let mut word = change(id, 2);
+                    word.reach = reach(rng.random_range(0..8));
+                    if rng.random_bool(0.4) {
+                        word.fate = Outcome::from_number(rng.random_range(1..5)).unwrap();
+                        let why = ["a", "b"][rng.random_range(0..2)];
+                        word.reason =
+                            Reason::new(rng.random_range(0..9), rng.random_range(0..3), why);
+                    }
+                    words.push(word);
                 }
-                Act::Agreed(Proposal { change, reach }) => {
-                    self.local.advance(now, change, &reach);
+            }
+            let mut heard: Vec<RolloutTable> = vec![RolloutTable::default(); 4];
+            for changes in &mut heard {
+                words.shuffle(&mut rng);
+                let again = rng.random_range(0..words.len());
+                for word in words.iter().chain(&words[..again]) {
+                    let before = changes.get(word.id).cloned();
+                    changes.hear(word);
+                    let after = changes.get(word.id).unwrap();
+                    assert!(
+                        before.is_none_or(
+                            |b| after.fate >= b.fate && after.reach.stage >= b.reach.stage
+                        )
+                    );
                 }
             }
+            // One more hears by way of the first.
+            let mut second = RolloutTable::default();
+            heard[0].iter().for_each(|change| _ = second.hear(change));
+            heard.push(second);
+            assert!(
+                heard
+                    .windows(2)
+                    .all(|two| two[0] == two[1] && two[0].digest() == two[1].digest()),
+                "{seed}"
+            );
         }
     }
 
-    /// Offers a change here, whose content was checked.
-    pub fn offer(&mut self, now: Nanos, change: Change, content: Option<Vec<u8>>) {
-        self.local.offer(now, change, content);
+    #[test]
+    fn a_halt_is_not_undone_and_nothing_advances_after_it() {
+        let mut changes = RolloutTable::default();
+        changes.hear(&change(1, 2));
+        assert!(
+            changes.advance(RolloutId(1), &reach(1)) && !changes.advance(RolloutId(1), &reach(1))
+        );
+        assert!(changes.end(RolloutId(1), Outcome::Halted, Reason::new(5, 1, "seen")));
+        assert!(!changes.end(RolloutId(1), Outcome::Completed, Reason::new(6, 2, "no")));
+        let late = Rollout {
+            reach: reach(2),
+            ..change(1, 2)
+        };
+        changes.hear(&late); // it was agreed on elsewhere before the halt was heard there
+        let known = changes.get(RolloutId(1)).unwrap();
+        assert_eq!(
+            (known.reach.stage, known.fate, known.wants(3, 0)),
+            (2, Outcome::Halted, None)
+        );
+        assert!(changes.end(RolloutId(1), Outcome::RolledBack, Reason::new(9, 1, "back")));
+        assert_eq!(changes.get(RolloutId(1)).unwrap().wants(3, 0), Some(false));
     }
 
-    /// An operator halts a change, or takes it back.
-    pub fn end(&mut self, now: Nanos, unix_ms: u64, id: ChangeId, fate: Fate, why: &str) -> bool {
-        self.local.end(now, unix_ms, id, fate, why)
+    #[test]
+    fn the_highest_version_goes_next_and_of_like_ones_the_first() {
+        let mut changes = RolloutTable::default();
+        [(1, 5), (2, 9), (3, 9), (4, 7)]
+            .iter()
+            .for_each(|(id, number)| _ = changes.hear(&change(*id, *number)));
+        assert_eq!(changes.next(Kind::Settings).unwrap().id, RolloutId(2));
+        changes.advance(RolloutId(4), &reach(1));
+        assert_eq!(
+            changes.current(Kind::Settings).unwrap().id,
+            RolloutId(4),
+            "what has begun goes first"
+        );
+        assert!(changes.next(Kind::Program).is_none());
     }
 
-    /// An operator orders something; gives what became of it.
-    pub fn order(&mut self, now: Nanos, unix_ms: u64, said: &Order) -> Ordered {
-        let kind = self.local.kind();
-        match self.orders.order(now, kind, self.local.changes(), said) {
-            orders::Act::Answer(answer) => answer,
-            orders::Act::LookInto {
-                no,
-                version,
-                content,
-            } => {
-                self.local.host.look_into(no, version, content);
-                Ordered {
-                    state: state::LATER,
-                    why: "the node looks into it".into(),
-                    change: 0,
-                }
-            }
-            orders::Act::End { id, fate, why } => {
-                self.local.end(now, unix_ms, id, fate, &why);
-                Ordered {
-                    state: state::TAKEN,
-                    why: String::new(),
-                    change: id.0,
+    /// A hundred versions are offered: memory stays, what is under way stays, and the highest ones
+    /// are kept.
+    #[test]
+    fn changes_are_bounded_and_what_is_under_way_is_kept() {
+        let mut changes = RolloutTable::default();
+        changes.hear(&change(1, 2));
+        changes.advance(RolloutId(1), &reach(1));
+        for id in 2..=100 {
+            changes.hear(&change(id, id));
+        }
+        assert_eq!(
+            (
+                changes.iter().count(),
+                changes.under_way(Kind::Settings).unwrap().id
+            ),
+            (CHANGES_MAX, RolloutId(1))
+        );
+        assert_eq!(changes.next(Kind::Settings).unwrap().version.number, 100);
+        let mut over = RolloutTable::default();
+        for id in 1..=40 {
+            over.hear(&change(id, id));
+            over.end(RolloutId(id), Outcome::Rejected, Reason::new(id, 1, ""));
+        }
+        assert!(over.iter().count() <= CHANGES_MAX && over.get(RolloutId(40)).is_some());
+        over.tidy(10_000_000, 3600 * crate::SECOND);
+        assert_eq!(over.iter().count(), 0);
+    }
+
+    /// Whatever the order in which they are heard, the same ones are remembered.
+    #[test]
+    fn which_changes_are_remembered_does_not_depend_on_the_order() {
+        for seed in 0..200 {
+            let mut rng = Pcg64Mcg::seed_from_u64(seed);
+            let mut all: Vec<Rollout> = (1..=40)
+                .map(|id| change(id, rng.random_range(2..30)))
+                .collect();
+            for change in &mut all {
+                if rng.random_bool(0.5) {
+                    change.fate = Outcome::Rejected;
                 }
             }
+            all[5].reach = reach(3);
+            let heard = |all: &[Rollout]| {
+                let mut changes = RolloutTable::default();
+                all.iter().for_each(|change| _ = changes.hear(change));
+                changes
+            };
+            let one = heard(&all);
+            all.shuffle(&mut rng);
+            assert_eq!(one, heard(&all), "{seed}");
+            assert_eq!(one.head(Kind::Settings).map(|head| head.reach.seq), Some(3));
         }
     }
 
-    /// The node looked into an offer, and found which version it is, or why it can't be run.
-    pub fn looked_into(
-        &mut self,
-        now: Nanos,
-        unix_ms: u64,
-        no: u64,
-        found: Result<Version, String>,
-    ) {
-        let of = (self.local.kind(), self.local.me(), unix_ms);
-        let good = self.local.kept_now().good.unwrap_or(self.local.running());
-        let offered =
-            self.orders
-                .looked_into(no, found, of, self.local.changes(), good, &self.plan);
-        if let Some((change, content)) = offered {
-            self.local.offer(now, change, content);
-        }
+    /// The agreement beyond the last stage is that it is done.
+    #[test]
+    fn beyond_the_last_stage_a_change_is_done() {
+        let mut changes = RolloutTable::default();
+        changes.hear(&change(1, 2));
+        (1..=6).for_each(|stage| _ = changes.advance(RolloutId(1), &reach(stage)));
+        assert_eq!(changes.get(RolloutId(1)).unwrap().fate, Outcome::Completed);
+        let mut halted = RolloutTable::default();
+        halted.hear(&Rollout {
+            fate: Outcome::Halted,
+            ..change(1, 2)
+        });
+        halted.hear(changes.get(RolloutId(1)).unwrap());
+        assert_eq!(halted.get(RolloutId(1)).unwrap().fate, Outcome::Halted);
     }
 
-    /// What the node itself came to.
-    pub fn own(&mut self, now: Nanos, unix_ms: u64, own: Own) {
-        self.local.own(now, unix_ms, own);
+    #[test]
+    fn a_reason_is_cut_between_letters() {
+        assert_eq!(Reason::new(1, 2, &"ş".repeat(200)).why.len(), REASON_MAX);
     }
 }
--- a/crates/rollout/src/sim.rs
+++ b/crates/rollout/src/simulation.rs
@@ -5,16 +5,16 @@
 pub mod load;
 pub mod trial;
 
-use crate::change::{Change, ChangeId, Fate, Kind, Version};
-use crate::conduct::{Conduct, Member};
-use crate::judge::Way;
-use crate::kept::Kept;
-use crate::local::{Host, Report, Stand, Start};
-use crate::pieces;
-use crate::record::Sample;
-use crate::rollout::Rollout;
-use crate::stages::{Plan, Reach};
-use crate::wire::{self, PARCEL_MAX, Told};
+use crate::canary_analysis::AnalysisMethod;
+use crate::chunks;
+use crate::cohort_metrics::WindowSample;
+use crate::coordinator::{Coordinator, Member};
+use crate::messages::{self, PARCEL_MAX, ReceivedMessage};
+use crate::node_agent::{Host, InitialState, NodeReport, NodeStatus};
+use crate::participant::Participant;
+use crate::persisted_state::PersistedState;
+use crate::rollout::{Kind, Outcome, Rollout, RolloutId, Version};
+use crate::stages::{Plan, Progress};
 use crate::{MILLISECOND, Nanos, SECOND, mix};
 pub use load::{Effect, Load, Noise, Runs};
 use rand::{RngExt, SeedableRng};
@@ -45,7 +45,7 @@
     /// Messages that are lost, as a share.
     pub loss: f64,
     pub plan: Plan,
-    pub way: Way,
+    pub way: AnalysisMethod,
 }
 
 impl Shape {
@@ -60,7 +60,7 @@
             noise: Noise::NONE,
             loss: 0.0,
             plan: Plan::default(),
-            way: Way::Nodes,
+            way: AnalysisMethod::Nodes,
         }
     }
 }
@@ -68,12 +68,12 @@
 #[derive(Clone, Debug)]
 enum Task {
     Check {
-        change: ChangeId,
+        change: RolloutId,
         version: Version,
     },
     Keep {
         no: u64,
-        kept: Box<Kept>,
+        kept: Box<PersistedState>,
         content: Option<(Version, Vec<u8>)>,
     },
     Apply(Version),
@@ -81,7 +81,7 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Told { from: usize, bytes: Vec<u8> },
+    ReceivedMessage { from: usize, bytes: Vec<u8> },
     Task(Task),
     Wake,
 }
@@ -117,23 +117,23 @@
 struct Board {
     members: Vec<Member>,
     digests: Vec<(u64, u64)>,
-    windows: Rc<RefCell<BTreeMap<u64, Vec<Sample>>>>,
+    windows: Rc<RefCell<BTreeMap<u64, Vec<WindowSample>>>>,
     keys: BTreeSet<u64>,
 }
 
 /// A node's world.
 pub struct SimHost {
     me: u64,
-    out: Vec<(u64, Told)>,
+    out: Vec<(u64, ReceivedMessage)>,
     tasks: Vec<Task>,
     pub lines: Vec<String>,
-    shown: Report,
+    shown: NodeReport,
     board: Rc<Board>,
     rng: Pcg64Mcg,
 }
 
 impl Host for SimHost {
-    fn send(&mut self, to: u64, told: Told) {
+    fn send(&mut self, to: u64, told: ReceivedMessage) {
         self.out.push((to, told));
     }
 
@@ -170,15 +170,15 @@
             .map(|(node, _)| *node)
     }
 
-    fn show(&mut self, report: &Report) {
+    fn show(&mut self, report: &NodeReport) {
         self.shown = report.clone();
     }
 
-    fn check(&mut self, change: ChangeId, version: Version, _content: Option<Vec<u8>>) {
+    fn check(&mut self, change: RolloutId, version: Version, _content: Option<Vec<u8>>) {
         self.tasks.push(Task::Check { change, version });
     }
 
-    fn keep(&mut self, no: u64, kept: &Kept, content: Option<(Version, Vec<u8>)>) {
+    fn keep(&mut self, no: u64, kept: &PersistedState, content: Option<(Version, Vec<u8>)>) {
         self.tasks.push(Task::Keep {
             no,
             kept: Box::new(kept.clone()),
@@ -194,10 +194,10 @@
         self.board.members.clone()
     }
 
-    fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<Sample>)> {
+    fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<WindowSample>)> {
         let keys = &self.board.keys;
         let windows = self.board.windows.borrow();
-        let mine = |samples: &Vec<Sample>| {
+        let mine = |samples: &Vec<WindowSample>| {
             samples
                 .iter()
                 .filter(|s| keys.contains(&s.node))
@@ -220,7 +220,7 @@
 
 struct Node {
     key: u64,
-    rollout: Option<Rollout<SimHost>>,
+    rollout: Option<Participant<SimHost>>,
     life: u64,
     disk: Disk,
     side: usize,
@@ -259,12 +259,12 @@
     rng: Pcg64Mcg,
     load: Load,
     boards: Vec<Rc<Board>>,
-    windows: Rc<RefCell<BTreeMap<u64, Vec<Sample>>>>,
+    windows: Rc<RefCell<BTreeMap<u64, Vec<WindowSample>>>>,
     next_window: u64,
     next_board: Nanos,
     effects: BTreeMap<Version, Effect>,
     /// Reaches by number, as any node knows them.
-    reaches: BTreeMap<u64, (ChangeId, Reach)>,
+    reaches: BTreeMap<u64, (RolloutId, Progress)>,
     pub tally: Tally,
     base: Version,
 }
@@ -369,10 +369,10 @@
         let of = &mut self.nodes[node];
         let fresh = of.disk.kept.is_empty();
         let mut kept = if fresh {
-            Kept::new(Kind::Settings)
+            PersistedState::new(Kind::Settings)
         } else {
             // The disk is written whole or not at all.
-            Kept::read(&of.disk.kept)
+            PersistedState::read(&of.disk.kept)
                 .unwrap_or_else(|broken| panic!("node {node}: {}", broken.word()))
         };
         let (starts, died) = kept.begin(base);
@@ -390,11 +390,11 @@
             out: Vec::new(),
             tasks: Vec::new(),
             lines: Vec::new(),
-            shown: Report::default(),
+            shown: NodeReport::default(),
             board,
             rng,
         };
-        let start = Start {
+        let start = InitialState {
             kept,
             running,
             contents,
@@ -402,7 +402,7 @@
             died,
             fresh,
         };
-        let mut rollout = Rollout::new(
+        let mut rollout = Participant::new(
             now,
             unix,
             (me, zone),
@@ -411,7 +411,7 @@
             WINDOW / MILLISECOND,
             host,
         );
-        rollout.conduct = Conduct::new(
+        rollout.conduct = Coordinator::new(
             now,
             me,
             Kind::Settings,
@@ -495,13 +495,13 @@
     // ---- What operators do ----
 
     /// Offers a version at a node.
-    pub fn offer(&mut self, at: usize, number: u64, effect: Effect) -> ChangeId {
+    pub fn offer(&mut self, at: usize, number: u64, effect: Effect) -> RolloutId {
         let version = Version {
             number,
             hash: mix(number ^ 0xabc ^ u64::from(at as u32) << 40),
         };
         self.effects.insert(version, effect);
-        let id = ChangeId(mix(version.hash ^ self.now));
+        let id = RolloutId(mix(version.hash ^ self.now));
         let content: Vec<u8> = (0..3000u32)
             .map(|n| mix(version.hash ^ u64::from(n)) as u8)
             .collect();
@@ -512,18 +512,18 @@
         let Some(rollout) = &mut self.nodes[at].rollout else {
             return id;
         };
-        let change = Change {
+        let change = Rollout {
             id,
             kind: Kind::Settings,
             version,
             base: rollout.local.running(),
-            digest: pieces::digest(&content),
+            digest: chunks::digest(&content),
             bytes: content.len() as u32,
             by,
             at_ms: unix,
             plan,
-            reach: Reach::default(),
-            fate: Fate::Open,
+            reach: Progress::default(),
+            fate: Outcome::InProgress,
             reason: Default::default(),
         };
         rollout.offer(now, change, Some(content));
@@ -532,7 +532,7 @@
     }
 
     /// Halts a change at a node, or takes it back.
-    pub fn end(&mut self, at: usize, id: ChangeId, fate: Fate) {
+    pub fn end(&mut self, at: usize, id: RolloutId, fate: Outcome) {
         let (now, unix) = (self.now, self.unix_ms(at));
         if let Some(rollout) = &mut self.nodes[at].rollout {
             rollout.end(now, unix, id, fate, "an operator said so");
@@ -558,17 +558,17 @@
     }
 
     /// What a node knows of a change.
-    pub fn known(&self, node: usize, id: ChangeId) -> Option<&Change> {
+    pub fn known(&self, node: usize, id: RolloutId) -> Option<&Rollout> {
         self.nodes[node].rollout.as_ref()?.local.changes().get(id)
     }
 
     /// The fate of a change as a node knows it.
-    pub fn fate(&self, node: usize, id: ChangeId) -> Option<Fate> {
+    pub fn fate(&self, node: usize, id: RolloutId) -> Option<Outcome> {
         self.known(node, id).map(|change| change.fate)
     }
 
     /// Whether all that are there know this fate of it.
-    pub fn all_know(&self, id: ChangeId, fate: Fate) -> bool {
+    pub fn all_know(&self, id: RolloutId, fate: Outcome) -> bool {
         let there = (0..self.nodes.len())
             .filter(|node| self.nodes[*node].rollout.is_some() && !self.nodes[*node].paused);
         there
@@ -587,12 +587,12 @@
     }
 
     /// A node's part.
-    pub fn rollout(&self, node: usize) -> Option<&Rollout<SimHost>> {
+    pub fn rollout(&self, node: usize) -> Option<&Participant<SimHost>> {
         self.nodes[node].rollout.as_ref()
     }
 
     /// The farthest stage that anybody knows of a change.
-    pub fn stage(&self, id: ChangeId) -> u32 {
+    pub fn stage(&self, id: RolloutId) -> u32 {
         let stages = (0..self.nodes.len())
             .filter_map(|node| self.known(node, id))
             .map(|change| change.reach.stage);
@@ -600,7 +600,7 @@
     }
 
     /// The nodes in the stage that has come farthest.
-    pub fn in_stage(&self, id: ChangeId) -> Vec<usize> {
+    pub fn in_stage(&self, id: RolloutId) -> Vec<usize> {
         let farthest = (0..self.nodes.len())
             .filter_map(|node| self.known(node, id))
             .max_by_key(|c| c.reach.seq);
@@ -689,7 +689,7 @@
         if of.paused {
             // What is on its way to a process that stands still is there when it goes on, as far as
             // buffers go.
-            if !matches!(event, Event::Told { .. }) {
+            if !matches!(event, Event::ReceivedMessage { .. }) {
                 self.push(SECOND, node, life, event);
             }
             return;
@@ -704,11 +704,11 @@
                 }
                 self.push(WAKE, node, life, Event::Wake);
             }
-            Event::Told { from, bytes } => {
+            Event::ReceivedMessage { from, bytes } => {
                 if self.nodes[from].side != self.nodes[node].side {
                     return;
                 }
-                let Some(told) = wire::read(&bytes) else {
+                let Some(told) = messages::read(&bytes) else {
                     self.tally
                         .broken
                         .push(format!("a parcel of {} bytes can't be read", bytes.len()));
@@ -755,7 +755,7 @@
                 if result.is_ok() {
                     of.disk.kept = kept.write();
                     of.disk.contents.extend(content);
-                    if of.disk.kept.len() > crate::kept::FILE_MAX {
+                    if of.disk.kept.len() > crate::persisted_state::FILE_MAX {
                         self.tally
                             .broken
                             .push(format!("{} bytes are kept", of.disk.kept.len()));
@@ -799,7 +799,7 @@
             self.push(time, node, Some(life), Event::Task(task));
         }
         for (to, told) in out {
-            let bytes = wire::write(&told);
+            let bytes = messages::write(&told);
             self.tally.messages += 1;
             self.tally.bytes += bytes.len() as u64;
             if bytes.len() > PARCEL_MAX {
@@ -815,7 +815,7 @@
                 continue;
             }
             let time = self.rng.random_range(MILLISECOND..10 * MILLISECOND);
-            self.push(time, to, None, Event::Told { from: node, bytes });
+            self.push(time, to, None, Event::ReceivedMessage { from: node, bytes });
         }
         self.allowed(node);
     }
@@ -836,18 +836,18 @@
                 .local
                 .changes()
                 .iter()
-                .any(|c| c.version == version && c.fate > Fate::Done);
+                .any(|c| c.version == version && c.fate > Outcome::Completed);
             let other = rollout
                 .local
                 .changes()
                 .iter()
-                .any(|c| c.version == version && c.fate <= Fate::Done);
+                .any(|c| c.version == version && c.fate <= Outcome::Completed);
             if ended && !other {
                 self.tally.broken.push(format!(
                     "node {node} begins {version}, of which it knows that it is halted"
                 ));
             }
-            let on_disk = Kept::read(&of.disk.kept)
+            let on_disk = PersistedState::read(&of.disk.kept)
                 .ok()
                 .and_then(|kept| kept.trial)
                 .map(|trial| trial.version);
@@ -993,7 +993,7 @@
     }
 
     /// How a node stands to the change that it goes by.
-    pub fn stand(&self, node: usize) -> Option<Stand> {
+    pub fn stand(&self, node: usize) -> Option<NodeStatus> {
         self.nodes[node]
             .rollout
             .as_ref()
--- a/crates/rollout/src/sim/load.rs
+++ b/crates/rollout/src/simulation/load.rs
@@ -1,7 +1,7 @@
 //! What simulated nodes get and make of it: machines that differ, zones in trouble, traffic that
 //! jumps, processes that are cold; and what a version does to all that.
 
-use crate::record::{Cell, Sample};
+use crate::cohort_metrics::{OperationCounts, WindowSample};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -230,7 +230,7 @@
 
     /// What a node counts in a window; with the billed value that its version cost, beside what it
     /// would have earned.
-    pub fn sample(&mut self, node: usize, key: u64, runs: &Runs) -> (Sample, f64) {
+    pub fn sample(&mut self, node: usize, key: u64, runs: &Runs) -> (WindowSample, f64) {
         let (zone, machine, jump) = (self.zone(node), self.machines[node], self.jump.1);
         let trouble = self.trouble.get(&zone).map_or(0.0, |(_, much)| *much);
         let acts = runs.since >= runs.effect.after;
@@ -276,7 +276,7 @@
             }
             let harm = effect.throttled + (1.0 - effect.throttled) * (effect.errored + full);
             cost += arrived as f64 * value as f64 * harm.min(1.0) / 1000.0;
-            let cell = Cell {
+            let cell = OperationCounts {
                 arrived,
                 succeeded,
                 throttled,
@@ -284,13 +284,13 @@
                 late: late.min(succeeded),
                 earned: succeeded * value,
                 asked: arrived * value,
-                ..Cell::default()
+                ..OperationCounts::default()
             };
             operations.insert(operation, (cell, latencies));
         }
         let memory_kb = (memory * (1.0 + self.rng.random_range(-0.01..0.01))) as u64;
         let descriptors = 40 + self.rng.random_range(0..3);
-        let sample = Sample {
+        let sample = WindowSample {
             node: key,
             zone,
             label: runs.label,
--- a/crates/rollout/src/sim/trial.rs
+++ b/crates/rollout/src/simulation/trial.rs
@@ -3,17 +3,17 @@
 
 use super::load::{Effect, Load, Noise, Runs};
 use super::{WINDOW, key};
-use crate::change::{ChangeId, Version};
-use crate::judge::{Deaths, Verdict, Way, judge};
-use crate::record::{Cell, Record, Sample};
-use crate::stages::{Plan, Reach};
+use crate::canary_analysis::{AnalysisMethod, CrashCounts, Verdict, judge};
+use crate::cohort_metrics::{CohortMetrics, OperationCounts, WindowSample};
+use crate::rollout::{RolloutId, Version};
+use crate::stages::{Plan, Progress};
 use crate::{Nanos, mix};
 
 /// How a change goes out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Out {
     /// In stages, judged so.
-    Stages(Way),
+    Stages(AnalysisMethod),
     /// Everywhere at once; taken back if for two windows so much less succeeds than in the windows
     /// before, by the plan's margin.
     AtOnce,
@@ -21,7 +21,7 @@
 
 /// What became of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Outcome {
+pub struct TrialResult {
     pub stopped: bool,
     /// By what.
     pub what: &'static str,
@@ -53,15 +53,15 @@
 
 impl Trial {
     /// Plays it.
-    pub fn play(&self, seed: u64) -> Outcome {
+    pub fn play(&self, seed: u64) -> TrialResult {
         let mut load = Load::new(seed, self.nodes, self.zones, self.each, self.noise);
         let (old, new) = (
             Version { number: 1, hash: 1 },
             Version { number: 2, hash: 2 },
         );
-        let mut record = Record::new(ChangeId(mix(seed)), new, old);
+        let mut record = CohortMetrics::new(RolloutId(mix(seed)), new, old);
         let (mut window, mut windows) = (0, Vec::new());
-        let mut before = Cell::default();
+        let mut before = OperationCounts::default();
         for _ in 0..BEFORE {
             let (samples, _) = self.window(&mut load, window, &|_| None);
             samples
@@ -85,7 +85,7 @@
         load: &mut Load,
         window: u64,
         since: &dyn Fn(usize) -> Option<u64>,
-    ) -> (Vec<Sample>, f64) {
+    ) -> (Vec<WindowSample>, f64) {
         load.window(window);
         let mut sum = 0.0;
         let samples = (0..self.nodes)
@@ -112,19 +112,19 @@
     fn stages(
         &self,
         load: &mut Load,
-        mut record: Record,
+        mut record: CohortMetrics,
         mut window: u64,
-        way: Way,
+        way: AnalysisMethod,
         asked: f64,
-    ) -> Outcome {
+    ) -> TrialResult {
         let nodes: Vec<(u64, u32)> = (0..self.nodes)
             .map(|node| (key(node), load.zone(node)))
             .collect();
-        let (mut reach, change, begin) = (Reach::default(), record.change, window);
+        let (mut reach, change, begin) = (Progress::default(), record.change, window);
         let mut begun: Vec<Option<u64>> = vec![None; self.nodes];
-        let mut outcome = Outcome {
+        let mut outcome = TrialResult {
             asked,
-            ..Outcome::default()
+            ..TrialResult::default()
         };
         let mut died = [0, 0];
         while let Some(next) =
@@ -169,7 +169,7 @@
                 let held = (window - since) * WINDOW;
                 let new = begun.iter().flatten().count() as u64;
                 let nodes = [new, self.nodes as u64 - new];
-                let deaths = Deaths {
+                let deaths = CrashCounts {
                     died,
                     nodes,
                     windows: (window - begin) as f64,
@@ -179,7 +179,7 @@
                 match judged.verdict {
                     Verdict::Harm(harm) => {
                         let what = harm.first().map_or("", |finding| finding.what);
-                        return Outcome {
+                        return TrialResult {
                             stopped: true,
                             what,
                             ..outcome
@@ -193,7 +193,7 @@
                     Verdict::Unsure(_) if held > stage.longest => break,
                     Verdict::Unsure(_) => {}
                     Verdict::Wait(_) if held > stage.longest => {
-                        return Outcome {
+                        return TrialResult {
                             stopped: true,
                             what: NO_JUDGEMENT,
                             ..outcome
@@ -206,13 +206,19 @@
         outcome
     }
 
-    fn at_once(&self, load: &mut Load, before: Cell, mut window: u64, asked: f64) -> Outcome {
-        let mut outcome = Outcome {
+    fn at_once(
+        &self,
+        load: &mut Load,
+        before: OperationCounts,
+        mut window: u64,
+        asked: f64,
+    ) -> TrialResult {
+        let mut outcome = TrialResult {
             asked,
             stage: 1,
-            ..Outcome::default()
+            ..TrialResult::default()
         };
-        let share = |cell: &Cell| cell.succeeded as f64 / cell.arrived.max(1) as f64;
+        let share = |cell: &OperationCounts| cell.succeeded as f64 / cell.arrived.max(1) as f64;
         let margin = f64::from(self.plan.margin) / 1000.0;
         let (begin, mut bad) = (window, 0);
         while window < begin + AT_ONCE {
@@ -220,7 +226,7 @@
             outcome.cost += cost;
             window += 1;
             outcome.time = (window - begin) * WINDOW;
-            let mut sum = Cell::default();
+            let mut sum = OperationCounts::default();
             samples
                 .iter()
                 .flat_map(|sample| sample.operations.values())
@@ -231,7 +237,7 @@
                 0
             };
             if bad == 2 {
-                return Outcome {
+                return TrialResult {
                     stopped: true,
                     ..outcome
                 };
--- a/crates/rollout/src/sim/trial/tests.rs
+++ b/crates/rollout/src/simulation/trial/tests.rs
@@ -14,8 +14,8 @@
 
 #[test]
 fn good_changes_finish_and_bad_ones_cost_less_than_everywhere_at_once() {
-    let stages = Out::Stages(Way::Nodes);
-    let good: Vec<Outcome> = (0..20)
+    let stages = Out::Stages(AnalysisMethod::Nodes);
+    let good: Vec<TrialResult> = (0..20)
         .map(|seed| trial(30, Effect::NONE, stages).play(seed))
         .collect();
     assert!(
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -5,7 +5,7 @@
 //! whatever they see of the fleet, and a node that joins in mid-change knows at once what its stage
 //! says; and thresholds only rise, so that who is in stays in.
 
-use crate::change::ChangeId;
+use crate::rollout::RolloutId;
 use crate::{MILLISECOND, Nanos, SECOND, mix};
 use std::collections::BTreeMap;
 
@@ -114,7 +114,7 @@
 
 /// How far a change has reached.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Reach {
+pub struct Progress {
     /// The number of the agreement, among those of all changes of its kind; 0 while it is only
     /// offered.
     pub seq: u64,
@@ -133,13 +133,13 @@
 }
 
 /// Where a node stands in a change's order.
-pub fn place(change: ChangeId, node: u64) -> u64 {
+pub fn place(change: RolloutId, node: u64) -> u64 {
     mix(node ^ mix(change.0))
 }
 
-impl Reach {
+impl Progress {
     /// Whether a node is in the stage.
-    pub fn has(&self, change: ChangeId, node: u64, zone: u32) -> bool {
+    pub fn has(&self, change: RolloutId, node: u64, zone: u32) -> bool {
         self.stage > 0
             && (self.all
                 || self
@@ -150,7 +150,7 @@
 
     /// How long after it heard of the stage a node begins: those that were in before at once, the
     /// others one after the other.
-    pub fn slot(&self, change: ChangeId, node: u64, zone: u32, spread: Nanos) -> Nanos {
+    pub fn slot(&self, change: RolloutId, node: u64, zone: u32, spread: Nanos) -> Nanos {
         let (at, before) = (place(change, node), self.before.get(&zone).copied());
         if before.is_some_and(|before| at <= before) {
             return 0;
@@ -168,38 +168,38 @@
     /// The reach of the next stage among these nodes, by zone, as this agreement.
     pub fn next(
         &self,
-        change: ChangeId,
+        change: RolloutId,
         plan: &Plan,
         nodes: &[(u64, u32)],
         seq: u64,
         electorate: u32,
-    ) -> Option<Reach> {
+    ) -> Option<Progress> {
         self.to(self.stage + 1, change, plan, nodes, seq, electorate)
     }
 
     /// The same stage with others in place of those that are gone.
     pub fn again(
         &self,
-        change: ChangeId,
+        change: RolloutId,
         plan: &Plan,
         nodes: &[(u64, u32)],
         seq: u64,
         electorate: u32,
-    ) -> Option<Reach> {
+    ) -> Option<Progress> {
         self.to(self.stage, change, plan, nodes, seq, electorate)
     }
 
     fn to(
         &self,
         number: u32,
-        change: ChangeId,
+        change: RolloutId,
         plan: &Plan,
         nodes: &[(u64, u32)],
         seq: u64,
         electorate: u32,
-    ) -> Option<Reach> {
+    ) -> Option<Progress> {
         if plan.is_beyond(number) {
-            let done = Reach {
+            let done = Progress {
                 seq,
                 stage: number,
                 all: true,
@@ -230,7 +230,7 @@
             }
         }
         let (before, electorate) = (self.until.clone(), electorate.max(1));
-        Some(Reach {
+        Some(Progress {
             seq,
             stage: number,
             before,
@@ -244,11 +244,11 @@
     /// How many of each zone: by the zones' sizes, those with the largest remainder first and of
     /// these by hash, none beyond what may be of a zone, and none fewer than are in already.
     fn spread(
-        change: ChangeId,
+        change: RolloutId,
         zones: &BTreeMap<u32, Vec<u64>>,
         wanted: usize,
         of_zone: u32,
-        before: &Reach,
+        before: &Progress,
     ) -> BTreeMap<u32, usize> {
         let all: usize = zones.values().map(Vec::len).sum();
         let most = |places: usize| match places {
--- a/crates/rollout/src/stages/tests.rs
+++ b/crates/rollout/src/stages/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-const CHANGE: ChangeId = ChangeId(77);
+const CHANGE: RolloutId = RolloutId(77);
 
 fn fleet(nodes: u64, zones: u64) -> Vec<(u64, u32)> {
     (0..nodes).map(|n| (mix(n), (n % zones) as u32)).collect()
 }
 
-fn of_zone(reach: &Reach, nodes: &[(u64, u32)], zone: u32) -> usize {
+fn of_zone(reach: &Progress, nodes: &[(u64, u32)], zone: u32) -> usize {
     nodes
         .iter()
         .filter(|(node, of)| *of == zone && reach.has(CHANGE, *node, zone))
@@ -32,9 +32,9 @@
 #[test]
 fn stages_are_spread_over_zones_and_who_is_in_stays_in() {
     for change in 0..50 {
-        let change = ChangeId(change);
+        let change = RolloutId(change);
         let (nodes, plan) = (fleet(100, 4), plan(&[0, 50, 200, 500, 1000], 500));
-        let mut reach = Reach::default();
+        let mut reach = Progress::default();
         let mut before: Vec<u64> = Vec::new();
         // Half of each of four zones of 25 is 12.
         for (at, wanted) in [1, 5, 20, 48, 100].into_iter().enumerate() {
@@ -90,7 +90,7 @@
             )
         })
         .collect();
-    let reach = Reach::default()
+    let reach = Progress::default()
         .next(CHANGE, &plan(&[900, 1000], 250), &nodes, 1, 17)
         .unwrap();
     let counts = [0, 1, 2].map(|zone| of_zone(&reach, &nodes, zone));
@@ -109,7 +109,7 @@
 fn nodes_that_join_are_in_by_their_place_and_nodes_begin_one_after_the_other() {
     let nodes = fleet(300, 3);
     let plan = plan(&[200, 1000], 500);
-    let reach = Reach::default()
+    let reach = Progress::default()
         .next(CHANGE, &plan, &nodes, 1, 300)
         .unwrap();
     let joined = (1000..4000u64)
@@ -145,8 +145,10 @@
 #[test]
 fn others_take_the_place_of_nodes_that_are_gone() {
     let (nodes, plan) = (fleet(30, 3), plan(&[0, 100, 1000], 500));
-    let first = Reach::default().next(CHANGE, &plan, &nodes, 1, 30).unwrap();
-    let is_in = |reach: &Reach| -> Vec<(u64, u32)> {
+    let first = Progress::default()
+        .next(CHANGE, &plan, &nodes, 1, 30)
+        .unwrap();
+    let is_in = |reach: &Progress| -> Vec<(u64, u32)> {
         nodes
             .iter()
             .filter(|(node, zone)| reach.has(CHANGE, *node, *zone))
--- a/crates/rollout/src/shown.rs
+++ b/crates/rollout/src/status.rs
@@ -2,11 +2,11 @@
 //! stands, and where it keeps the record, the judgement with its figures and both cohorts over
 //! time. Protocol Buffers, in pages.
 
-use crate::change::{Change, Fate, Version};
-use crate::conduct::{Conduct, Member};
-use crate::judge::{Finding, Verdict};
-use crate::local::{Host, Local, Report};
-use crate::record::{Cell, Point};
+use crate::canary_analysis::{Comparison, Verdict};
+use crate::cohort_metrics::{CohortPoint, OperationCounts};
+use crate::coordinator::{Coordinator, Member};
+use crate::node_agent::{Host, NodeAgent, NodeReport};
+use crate::rollout::{Outcome, Rollout, Version};
 use crate::stages::{Stage, seconds};
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 
 /// A version.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct ShownVersion {
+pub struct VersionStatus {
     #[prost(uint64, tag = "1")]
     pub number: u64,
     #[prost(fixed64, tag = "2")]
@@ -28,15 +28,15 @@
 
 /// A change.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ShownChange {
+pub struct RolloutStatus {
     #[prost(fixed64, tag = "1")]
     pub id: u64,
     #[prost(uint32, tag = "2")]
     pub kind: u32,
     #[prost(message, optional, tag = "3")]
-    pub version: Option<ShownVersion>,
+    pub version: Option<VersionStatus>,
     #[prost(message, optional, tag = "4")]
-    pub base: Option<ShownVersion>,
+    pub base: Option<VersionStatus>,
     #[prost(uint32, tag = "5")]
     pub stage: u32,
     #[prost(string, repeated, tag = "6")]
@@ -61,7 +61,7 @@
 
 /// A node.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ShownNode {
+pub struct NodeStatusEntry {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(string, tag = "2")]
@@ -71,7 +71,7 @@
     #[prost(bool, tag = "4")]
     pub in_stage: bool,
     #[prost(message, optional, tag = "5")]
-    pub running: Option<ShownVersion>,
+    pub running: Option<VersionStatus>,
     #[prost(uint64, tag = "6")]
     pub since_ms: u64,
     #[prost(string, tag = "7")]
@@ -84,7 +84,7 @@
 
 /// One comparison.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ShownFinding {
+pub struct ComparisonStatus {
     #[prost(string, tag = "1")]
     pub operation: String,
     #[prost(string, tag = "2")]
@@ -105,7 +105,7 @@
 
 /// Both cohorts in a window: the old ones first.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ShownPoint {
+pub struct CohortPointStatus {
     #[prost(uint64, tag = "1")]
     pub window: u64,
     #[prost(uint32, tag = "2")]
@@ -128,7 +128,7 @@
 
 /// All of it.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Shown {
+pub struct StatusSnapshot {
     #[prost(string, tag = "1")]
     pub node: String,
     #[prost(uint64, tag = "2")]
@@ -136,7 +136,7 @@
     #[prost(uint32, tag = "3")]
     pub kind: u32,
     #[prost(message, optional, tag = "4")]
-    pub running: Option<ShownVersion>,
+    pub running: Option<VersionStatus>,
     #[prost(string, repeated, tag = "5")]
     pub reasons: Vec<String>,
     #[prost(string, tag = "6")]
@@ -148,15 +148,15 @@
     #[prost(string, tag = "8")]
     pub waits: String,
     #[prost(message, repeated, tag = "9")]
-    pub changes: Vec<ShownChange>,
+    pub changes: Vec<RolloutStatus>,
     #[prost(message, repeated, tag = "10")]
-    pub nodes: Vec<ShownNode>,
+    pub nodes: Vec<NodeStatusEntry>,
     #[prost(uint32, tag = "11")]
     pub nodes_in_all: u32,
     #[prost(string, tag = "12")]
     pub verdict: String,
     #[prost(message, repeated, tag = "13")]
-    pub findings: Vec<ShownFinding>,
+    pub findings: Vec<ComparisonStatus>,
     /// Invocations at the new and at the old ones in this stage, and how many nodes of each are
     /// judged by.
     #[prost(uint64, repeated, tag = "14")]
@@ -164,11 +164,11 @@
     #[prost(uint64, repeated, tag = "15")]
     pub judged: Vec<u64>,
     #[prost(message, repeated, tag = "16")]
-    pub points: Vec<ShownPoint>,
+    pub points: Vec<CohortPointStatus>,
     #[prost(uint64, tag = "17")]
     pub window_ms: u64,
     #[prost(message, optional, tag = "18")]
-    pub good: Option<ShownVersion>,
+    pub good: Option<VersionStatus>,
 }
 
 /// How nodes and operations are called.
@@ -178,14 +178,14 @@
     fn operation(&self, number: u32) -> String;
 }
 
-fn version(of: Version) -> Option<ShownVersion> {
-    Some(ShownVersion {
+fn version(of: Version) -> Option<VersionStatus> {
+    Some(VersionStatus {
         number: of.number,
         hash: of.hash,
     })
 }
 
-impl ShownVersion {
+impl VersionStatus {
     /// As a version is written.
     pub fn version(&self) -> Version {
         Version {
@@ -209,14 +209,14 @@
     )
 }
 
-fn change(of: &Change, names: &impl Names) -> ShownChange {
+fn change(of: &Rollout, names: &impl Names) -> RolloutStatus {
     let name = |key: u64| {
         names
             .node(key)
             .map_or_else(|| format!("{key:016x}"), |(name, _)| name)
     };
-    let ended = of.fate > Fate::Open;
-    ShownChange {
+    let ended = of.fate > Outcome::InProgress;
+    RolloutStatus {
         id: of.id.0,
         kind: of.kind as u32,
         version: version(of.version),
@@ -238,8 +238,8 @@
     }
 }
 
-fn finding(of: &Finding, names: &impl Names) -> ShownFinding {
-    ShownFinding {
+fn finding(of: &Comparison, names: &impl Names) -> ComparisonStatus {
+    ComparisonStatus {
         operation: of
             .operation
             .map_or_else(String::new, |operation| names.operation(operation)),
@@ -253,9 +253,9 @@
     }
 }
 
-fn point(of: &Point) -> ShownPoint {
-    let both = |field: fn(&Cell) -> u64| of.cells.iter().map(field).collect();
-    ShownPoint {
+fn point(of: &CohortPoint) -> CohortPointStatus {
+    let both = |field: fn(&OperationCounts) -> u64| of.cells.iter().map(field).collect();
+    CohortPointStatus {
         window: of.window,
         stage: of.stage,
         nodes: of.nodes.to_vec(),
@@ -269,50 +269,50 @@
 }
 
 /// Points in time, thinned out evenly where there are many, with the last one in any case.
-fn points(conduct: &Conduct) -> Vec<ShownPoint> {
+fn points(conduct: &Coordinator) -> Vec<CohortPointStatus> {
     let Some(record) = conduct.record() else {
         return Vec::new();
     };
     let step = record.history.len().div_ceil(POINTS).max(1);
     let thin = record.history.iter().rev().step_by(step).map(point);
-    let mut thin: Vec<ShownPoint> = thin.collect();
+    let mut thin: Vec<CohortPointStatus> = thin.collect();
     thin.reverse();
     thin
 }
 
-impl Shown {
+impl StatusSnapshot {
     /// What a node tells: itself, and the fleet as its members show themselves.
     pub fn of<H: Host>(
         unix_ms: u64,
-        local: &Local<H>,
-        conduct: &Conduct,
-        members: &[(Member, Option<Report>)],
+        local: &NodeAgent<H>,
+        conduct: &Coordinator,
+        members: &[(Member, Option<NodeReport>)],
         names: &impl Names,
-    ) -> Shown {
+    ) -> StatusSnapshot {
         let changes = local.changes();
         let kind = local.kind();
         let current = changes.current(kind).or_else(|| changes.head(kind));
         let alone: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
         let conductor = conduct.conductor(&alone);
-        let mut all: Vec<ShownChange> = changes
+        let mut all: Vec<RolloutStatus> = changes
             .iter()
             .filter(|of| of.kind == kind)
             .map(|of| change(of, names))
             .collect();
         all.sort_by_key(|change| std::cmp::Reverse((change.agreement, change.offered_ms)));
-        let mut nodes: Vec<ShownNode> = members
+        let mut nodes: Vec<NodeStatusEntry> = members
             .iter()
             .map(|(member, said)| {
                 // Who conducts has heard more of it than it shows to all, while the change goes on.
                 let goes_on = current
-                    .filter(|change| change.fate == Fate::Open)
+                    .filter(|change| change.fate == Outcome::InProgress)
                     .map(|change| change.id);
                 let heard = conduct
                     .report(member.node)
                     .filter(|heard| Some(heard.change) == goes_on);
                 let said = heard.or(said.as_ref());
                 let (name, zone) = names.node(member.node).unwrap_or_default();
-                ShownNode {
+                NodeStatusEntry {
                     name,
                     zone,
                     there: member.there,
@@ -339,7 +339,7 @@
             .iter()
             .flat_map(|judged| &judged.findings)
             .take(FINDINGS);
-        Shown {
+        StatusSnapshot {
             node: names
                 .node(local.me())
                 .map_or_else(String::new, |(name, _)| name),
--- a/crates/rollout/src/shown/tests.rs
+++ b/crates/rollout/src/status/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::sim::{Effect, Fleet, Shape};
+use crate::simulation::{Effect, Fleet, Shape};
 use prost::Message;
 
 struct Plain;
@@ -27,11 +27,11 @@
     fleet.run(90_000_000_000);
     let rollout = fleet.rollout(0).unwrap();
     let members = fleet.members(0);
-    let all: Vec<(Member, Option<Report>)> = members
+    let all: Vec<(Member, Option<NodeReport>)> = members
         .iter()
         .map(|member| (*member, rollout.conduct.report(member.node).cloned()))
         .collect();
-    let shown = Shown::of(
+    let shown = StatusSnapshot::of(
         fleet.clock(0),
         &rollout.local,
         &rollout.conduct,
@@ -40,7 +40,7 @@
     );
     let bytes = shown.encode_to_vec();
     assert!(bytes.len() < 8000, "{}", bytes.len());
-    assert_eq!(Shown::decode(&bytes[..]).unwrap(), shown);
+    assert_eq!(StatusSnapshot::decode(&bytes[..]).unwrap(), shown);
     assert_eq!(
         (
             shown.nodes.len(),
--- a/crates/rollout/src/sayings.rs
+++ b/crates/rollout/src/supervisor_messages.rs
@@ -3,9 +3,9 @@
 //! over, a saying that is not known is none, so that an old parent and a new program, or the other
 //! way round, understand each other.
 
-use crate::change::{ChangeId, Version};
-use crate::handover::Begin;
-use crate::kept::{Kept, Trial};
+use crate::persisted_state::{PersistedState, Trial};
+use crate::process_handover::StartInstructions;
+use crate::rollout::{RolloutId, Version};
 use prost::Message;
 
 /// The most bytes of a saying.
@@ -30,7 +30,7 @@
 
 /// A saying.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Saying {
+pub struct SupervisorMessage {
     #[prost(uint32, tag = "1")]
     pub kind: u32,
     /// The number of a question, and of its answer.
@@ -63,12 +63,12 @@
     pub beside: bool,
 }
 
-impl Saying {
+impl SupervisorMessage {
     /// One that says nothing but its kind.
-    pub fn plain(kind: u32) -> Saying {
-        Saying {
+    pub fn plain(kind: u32) -> SupervisorMessage {
+        SupervisorMessage {
             kind,
-            ..Saying::default()
+            ..SupervisorMessage::default()
         }
     }
 
@@ -81,33 +81,33 @@
     }
 
     /// A question about a version.
-    pub fn about(kind: u32, no: u64, version: Version) -> Saying {
-        Saying {
+    pub fn about(kind: u32, no: u64, version: Version) -> SupervisorMessage {
+        SupervisorMessage {
             kind,
             no,
             number: version.number,
             hash: version.hash,
-            ..Saying::default()
+            ..SupervisorMessage::default()
         }
     }
 
     /// An answer.
-    pub fn done(no: u64, result: &Result<(), String>) -> Saying {
+    pub fn done(no: u64, result: &Result<(), String>) -> SupervisorMessage {
         let why = result.as_ref().err().cloned().unwrap_or_default();
-        Saying {
+        SupervisorMessage {
             kind: kind::DONE,
             no,
             refused: result.is_err(),
             why,
-            ..Saying::default()
+            ..SupervisorMessage::default()
         }
     }
 
     /// What a process starts with.
-    pub fn begin(begin: &Begin) -> Saying {
+    pub fn begin(begin: &StartInstructions) -> SupervisorMessage {
         let died = begin.died;
         let of = died.map(|trial| trial.version).unwrap_or_default();
-        Saying {
+        SupervisorMessage {
             kept: begin.kept.write(),
             died_tries: died.map_or(0, |trial| trial.tries.max(1)),
             died_change: died.map_or(0, |trial| trial.change.0),
@@ -115,23 +115,23 @@
             died_hash: of.hash,
             fresh: begin.fresh,
             beside: begin.beside,
-            ..Saying::about(kind::BEGIN, 0, begin.version)
+            ..SupervisorMessage::about(kind::BEGIN, 0, begin.version)
         }
     }
 
     /// The same, read.
-    pub fn as_begin(&self) -> Option<Begin> {
+    pub fn as_begin(&self) -> Option<StartInstructions> {
         let version = Version {
             number: self.died_number,
             hash: self.died_hash,
         };
         let trial = Trial {
-            change: ChangeId(self.died_change),
+            change: RolloutId(self.died_change),
             version,
             tries: self.died_tries,
         };
-        Some(Begin {
-            kept: Kept::read(&self.kept)
+        Some(StartInstructions {
+            kept: PersistedState::read(&self.kept)
                 .ok()
                 .filter(|_| self.kind == kind::BEGIN)?,
             version: self.version(),
@@ -143,40 +143,40 @@
 
     /// As it goes over the stream.
     pub fn write(&self) -> Vec<u8> {
-        let body = crate::wire::later(self.encode_to_vec());
+        let body = crate::messages::later(self.encode_to_vec());
         [&(body.len() as u32).to_le_bytes()[..], &body].concat()
     }
 }
 
 /// Bytes that came.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct MessageReader {
     bytes: Vec<u8>,
 }
 
 /// The other side says what can't be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spoilt;
+pub struct MalformedMessage;
 
-impl Reader {
+impl MessageReader {
     /// More came.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
     /// The next whole saying, if there is one.
-    pub fn take(&mut self) -> Result<Option<Saying>, Spoilt> {
+    pub fn take(&mut self) -> Result<Option<SupervisorMessage>, MalformedMessage> {
         let Some(length) = self.bytes.first_chunk::<4>() else {
             return Ok(None);
         };
         let length = u32::from_le_bytes(*length) as usize;
         if length > SAYING_MAX {
-            return Err(Spoilt);
+            return Err(MalformedMessage);
         }
         let Some(body) = self.bytes.get(4..4 + length) else {
             return Ok(None);
         };
-        let saying = Saying::decode(body).map_err(|_| Spoilt)?;
+        let saying = SupervisorMessage::decode(body).map_err(|_| MalformedMessage)?;
         self.bytes.drain(..4 + length);
         Ok(Some(saying))
     }
--- a/crates/rollout/src/sayings/tests.rs
+++ b/crates/rollout/src/supervisor_messages/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
-use crate::change::Kind;
+use crate::rollout::Kind;
 
 #[test]
 fn sayings_come_in_any_pieces_and_unknown_fields_are_passed_over() {
-    let mut kept = Kept::new(Kind::Program);
+    let mut kept = PersistedState::new(Kind::Program);
     kept.found_good(Version { number: 3, hash: 9 });
     let trial = Trial {
-        change: ChangeId(5),
+        change: RolloutId(5),
         version: Version { number: 4, hash: 8 },
         tries: 1,
     };
-    let begin = Begin {
+    let begin = StartInstructions {
         kept,
         version: Version { number: 3, hash: 9 },
         died: Some(trial),
@@ -19,18 +19,18 @@
     };
     let failed = Err("it is not here".to_owned());
     let all = [
-        Saying::begin(&begin),
-        Saying::plain(kind::READY),
-        Saying::done(7, &failed),
+        SupervisorMessage::begin(&begin),
+        SupervisorMessage::plain(kind::READY),
+        SupervisorMessage::done(7, &failed),
     ];
-    let mut bytes: Vec<u8> = all.iter().flat_map(Saying::write).collect();
+    let mut bytes: Vec<u8> = all.iter().flat_map(SupervisorMessage::write).collect();
     // A field of a later version, number 99.
-    let mut later = Saying::plain(kind::IN_CHARGE).encode_to_vec();
+    let mut later = SupervisorMessage::plain(kind::IN_CHARGE).encode_to_vec();
     later.extend([0x98, 0x06, 0x01]);
     bytes.extend((later.len() as u32).to_le_bytes());
     bytes.extend(later);
     for step in [1, 3, 1000] {
-        let (mut reader, mut read) = (Reader::default(), Vec::new());
+        let (mut reader, mut read) = (MessageReader::default(), Vec::new());
         for part in bytes.chunks(step) {
             reader.feed(part);
             while let Some(saying) = reader.take().unwrap() {
@@ -41,7 +41,7 @@
         assert_eq!(read[0].as_begin(), Some(begin.clone()));
         assert_eq!(read[1].as_begin(), None);
     }
-    let mut reader = Reader::default();
+    let mut reader = MessageReader::default();
     reader.feed(&u32::MAX.to_le_bytes());
-    assert_eq!(reader.take(), Err(Spoilt));
+    assert_eq!(reader.take(), Err(MalformedMessage));
 }
--- a/crates/rollout/tests/fleets.rs
+++ b/crates/rollout/tests/fleets.rs
@@ -1,9 +1,9 @@
 //! Simulated fleets in which everything goes wrong: whatever it is, nothing happens that may not,
 //! and it ends well.
 
-use madderpoint_rollout::conduct::Conduct;
-use madderpoint_rollout::sim::{Effect, Fleet, Noise, Shape};
-use madderpoint_rollout::{Fate, Stage};
+use madderpoint_rollout::coordinator::Coordinator;
+use madderpoint_rollout::simulation::{Effect, Fleet, Noise, Shape};
+use madderpoint_rollout::{Outcome, Stage};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -58,12 +58,12 @@
             assert!(running <= allowed, "{running} of {allowed}");
             assert!(running >= most, "nobody goes back");
             most = running;
-            if fleet.all_know(id, Fate::Done) {
+            if fleet.all_know(id, Outcome::Completed) {
                 break;
             }
         }
         assert!(
-            fleet.all_know(id, Fate::Done),
+            fleet.all_know(id, Outcome::Completed),
             "{nodes} nodes: {}",
             line(&fleet)
         );
@@ -83,7 +83,7 @@
         let mut fleet = Fleet::new(shape(seed, 10));
         let id = fleet.offer(4, 2, Effect::SHUT);
         assert!(
-            fleet.until(5 * MINUTE, |fleet| fleet.all_know(id, Fate::Back)),
+            fleet.until(5 * MINUTE, |fleet| fleet.all_know(id, Outcome::RolledBack)),
             "{}",
             line(&fleet)
         );
@@ -127,7 +127,7 @@
         let mut fleet = Fleet::new(shape(7, 20));
         let id = fleet.offer(4, 2, effect);
         assert!(
-            fleet.until(30 * MINUTE, |fleet| fleet.all_know(id, Fate::Back)),
+            fleet.until(30 * MINUTE, |fleet| fleet.all_know(id, Outcome::RolledBack)),
             "{effect:?}: {}",
             line(&fleet)
         );
@@ -160,7 +160,7 @@
             ..Effect::NONE
         },
     );
-    assert!(fleet.until(MINUTE, |fleet| fleet.all_know(id, Fate::Refused)));
+    assert!(fleet.until(MINUTE, |fleet| fleet.all_know(id, Outcome::Rejected)));
     assert!(
         fleet
             .known(3, id)
@@ -207,7 +207,7 @@
             .local
             .changes()
             .iter()
-            .all(|change| change.fate > Fate::Open)
+            .all(|change| change.fate > Outcome::InProgress)
     );
     fine(&fleet);
 }
@@ -221,13 +221,17 @@
         let two = fleet.offer(6, 2, Effect::NONE);
         let ended = |fleet: &Fleet, id| fleet.fate(3, id).unwrap_or_default();
         assert!(
-            fleet.until(20 * MINUTE, |fleet| ended(fleet, one) > Fate::Open
-                && ended(fleet, two) > Fate::Open)
+            fleet.until(20 * MINUTE, |fleet| ended(fleet, one) > Outcome::InProgress
+                && ended(fleet, two) > Outcome::InProgress)
         );
         let mut fates = [ended(&fleet, one), ended(&fleet, two)];
         fates.sort();
-        assert_eq!(fates, [Fate::Done, Fate::Refused], "seed {seed}");
-        let loser = if ended(&fleet, one) == Fate::Refused {
+        assert_eq!(
+            fates,
+            [Outcome::Completed, Outcome::Rejected],
+            "seed {seed}"
+        );
+        let loser = if ended(&fleet, one) == Outcome::Rejected {
             one
         } else {
             two
@@ -255,7 +259,7 @@
         .collect();
     fleet.split(&small);
     fleet.run(10 * SECOND);
-    fleet.end(small[0], id, Fate::Halted);
+    fleet.end(small[0], id, Outcome::Halted);
     assert!(
         fleet.until(10 * MINUTE, |fleet| fleet.stage(id) == 4),
         "{}",
@@ -269,7 +273,7 @@
     );
     let running = fleet.running(2);
     fleet.heal();
-    assert!(fleet.until(MINUTE, |fleet| fleet.all_know(id, Fate::Halted)));
+    assert!(fleet.until(MINUTE, |fleet| fleet.all_know(id, Outcome::Halted)));
     fleet.run(10 * MINUTE);
     assert!(
         fleet.running(2) >= running && fleet.running(2) < 10,
@@ -278,7 +282,7 @@
     let at = fleet.running(2);
     fleet.run(5 * MINUTE);
     assert_eq!(fleet.running(2), at);
-    fleet.end(2, id, Fate::Back);
+    fleet.end(2, id, Outcome::RolledBack);
     fleet.run(MINUTE);
     assert_eq!(fleet.running(2), 0);
     fine(&fleet);
@@ -302,7 +306,7 @@
     );
     fleet.heal();
     assert!(
-        fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Fate::Done)),
+        fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Outcome::Completed)),
         "{}",
         line(&fleet)
     );
@@ -325,7 +329,7 @@
         );
         fleet.heal();
         assert!(
-            fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Fate::Done)),
+            fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Outcome::Completed)),
             "{}",
             line(&fleet)
         );
@@ -344,7 +348,7 @@
     assert!(
         (0..5).all(|node| fleet
             .fate(node, id)
-            .is_none_or(|fate| fate == Fate::Refused)),
+            .is_none_or(|fate| fate == Outcome::Rejected)),
         "{}",
         line(&fleet)
     );
@@ -354,7 +358,7 @@
     fleet.run(2 * SECOND);
     fleet.crash(5);
     assert!(
-        fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Fate::Done)),
+        fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Outcome::Completed)),
         "{}",
         line(&fleet)
     );
@@ -377,7 +381,7 @@
         "it starts on the last good one"
     );
     assert!(
-        fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Fate::Done)),
+        fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Outcome::Completed)),
         "{}",
         line(&fleet)
     );
@@ -388,7 +392,7 @@
     assert!(fleet.until(10 * MINUTE, |fleet| fleet.running(2) == 1));
     fleet.leave(fleet.in_stage(id)[0]);
     assert!(
-        fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Fate::Done)),
+        fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Outcome::Completed)),
         "{}",
         line(&fleet)
     );
@@ -399,7 +403,7 @@
     assert!(fleet.until(10 * MINUTE, |fleet| fleet.running(2) == 1));
     fleet.crash(fleet.in_stage(id)[0]);
     assert!(
-        fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Fate::Halted)),
+        fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Outcome::Halted)),
         "{}",
         line(&fleet)
     );
@@ -419,7 +423,7 @@
         (0..12).for_each(|node| fleet.start(node));
         assert_eq!(fleet.running(2), 0, "all start on the last good one");
         assert!(
-            fleet.until(40 * MINUTE, |fleet| fleet.all_know(id, Fate::Done)),
+            fleet.until(40 * MINUTE, |fleet| fleet.all_know(id, Outcome::Completed)),
             "stage {stage}: {}",
             line(&fleet)
         );
@@ -438,7 +442,7 @@
     fleet.start(node);
     fleet.run(MINUTE);
     assert!(
-        fleet.until(30 * MINUTE, |fleet| fleet.all_know(id, Fate::Done)),
+        fleet.until(30 * MINUTE, |fleet| fleet.all_know(id, Outcome::Completed)),
         "{}",
         line(&fleet)
     );
@@ -455,7 +459,8 @@
     for number in 2..=4 {
         let id = fleet.offer(2, number, Effect::NONE);
         assert!(
-            fleet.until(30 * MINUTE, |fleet| fleet.fate(0, id) == Some(Fate::Done)),
+            fleet.until(30 * MINUTE, |fleet| fleet.fate(0, id)
+                == Some(Outcome::Completed)),
             "{number}: {}",
             line(&fleet)
         );
@@ -465,7 +470,7 @@
     fleet.start(8);
     assert_eq!(fleet.runs(8).unwrap().number, 1);
     fleet.run(MINUTE);
-    assert!(fleet.all_know(last.unwrap(), Fate::Done));
+    assert!(fleet.all_know(last.unwrap(), Outcome::Completed));
     assert_eq!(fleet.running(4), 9);
     // One that is new comes to it as well.
     fleet.join();
@@ -496,7 +501,7 @@
     );
     assert!(!voted(&fleet));
     assert!(
-        fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Fate::Done)),
+        fleet.until(20 * MINUTE, |fleet| fleet.all_know(id, Outcome::Completed)),
         "{}",
         line(&fleet)
     );
@@ -516,7 +521,7 @@
         .find(|node| fleet.runs(*node).unwrap().number == 2)
         .unwrap();
     fleet.fill(node, true);
-    fleet.end(3, id, Fate::Back);
+    fleet.end(3, id, Outcome::RolledBack);
     assert!(
         fleet.until(MINUTE, |fleet| fleet.running(1) == 6),
         "{}",
@@ -536,7 +541,7 @@
     let mut fleet = Fleet::new(shape(11, 8));
     fleet.fill(6, true);
     let id = fleet.offer(1, 2, Effect::NONE);
-    assert!(fleet.until(MINUTE, |fleet| fleet.all_know(id, Fate::Refused)));
+    assert!(fleet.until(MINUTE, |fleet| fleet.all_know(id, Outcome::Rejected)));
     assert!(fleet.known(0, id).unwrap().reason.why.contains("no space"));
     fleet.fill(6, false);
     let id = fleet.offer(1, 3, Effect::NONE);
@@ -547,7 +552,7 @@
     );
     let node = fleet.in_stage(id)[0];
     fleet.fill(node, true);
-    fleet.end(0, id, Fate::Back);
+    fleet.end(0, id, Outcome::RolledBack);
     fleet.run(MINUTE);
     assert_eq!(
         fleet.running(3),
@@ -566,7 +571,7 @@
     fleet.step(node, 3_600_000);
     fleet.step((node + 1) % 12, -3_600_000);
     assert!(
-        fleet.until(30 * MINUTE, |fleet| fleet.all_know(id, Fate::Done)),
+        fleet.until(30 * MINUTE, |fleet| fleet.all_know(id, Outcome::Completed)),
         "{}",
         line(&fleet)
     );
@@ -577,22 +582,23 @@
 fn what_was_found_good_can_be_taken_back_and_a_next_one_begins_where_one_was_halted() {
     let mut fleet = Fleet::new(shape(13, 8));
     let two = fleet.offer(1, 2, Effect::NONE);
-    assert!(fleet.until(20 * MINUTE, |fleet| fleet.all_know(two, Fate::Done)));
+    assert!(fleet.until(20 * MINUTE, |fleet| fleet.all_know(two, Outcome::Completed)));
     let three = fleet.offer(1, 3, Effect::NONE);
     assert!(fleet.until(20 * MINUTE, |fleet| fleet.running(3) >= 2));
-    fleet.end(7, three, Fate::Halted);
+    fleet.end(7, three, Outcome::Halted);
     fleet.run(MINUTE);
     let four = fleet.offer(5, 4, Effect::NONE);
     assert!(
-        fleet.until(40 * MINUTE, |fleet| fleet.all_know(four, Fate::Done)),
+        fleet.until(40 * MINUTE, |fleet| fleet
+            .all_know(four, Outcome::Completed)),
         "{}",
         line(&fleet)
     );
     assert_eq!(
         (fleet.fate(0, three), fleet.running(4)),
-        (Some(Fate::Back), 8)
+        (Some(Outcome::RolledBack), 8)
     );
-    fleet.end(3, four, Fate::Back);
+    fleet.end(3, four, Outcome::RolledBack);
     fleet.run(MINUTE);
     assert_eq!(fleet.running(2), 8, "back to the last good one before it");
     fine(&fleet);
@@ -654,7 +660,11 @@
                         .rollout(node)
                         .and_then(|r| r.local.changes().iter().map(|c| c.id).last());
                     if let Some(id) = open {
-                        fleet.end(node, id, [Fate::Halted, Fate::Back][rng.random_range(0..2)]);
+                        fleet.end(
+                            node,
+                            id,
+                            [Outcome::Halted, Outcome::RolledBack][rng.random_range(0..2)],
+                        );
                     }
                 }
                 8 => fleet.fill(node, rng.random_bool(0.5)),
@@ -679,7 +689,7 @@
         number += 1;
         let id = fleet.offer(0, number, Effect::NONE);
         let done = fleet.until(120 * MINUTE, |fleet| {
-            fleet.all_know(id, Fate::Done) && fleet.running(number) == fleet.count()
+            fleet.all_know(id, Outcome::Completed) && fleet.running(number) == fleet.count()
         });
         assert!(
             fleet.tally.broken.is_empty(),
@@ -691,11 +701,11 @@
         // on what was before.
         if !done {
             assert!(
-                ended >= Some(Fate::Halted),
+                ended >= Some(Outcome::Halted),
                 "seed {seed}: {ended:?}, {}",
                 line(&fleet)
             );
-            fleet.end(0, id, Fate::Back);
+            fleet.end(0, id, Outcome::RolledBack);
             fleet.run(5 * MINUTE);
         }
         let first = fleet.runs(0);
@@ -708,7 +718,7 @@
 
 #[test]
 fn a_conductor_is_the_first_arbiter_that_is_there() {
-    let conduct = |me| Conduct::new(0, me, Default::default(), vec![5, 6, 7]);
+    let conduct = |me| Coordinator::new(0, me, Default::default(), vec![5, 6, 7]);
     let member = |node, there| madderpoint_rollout::Member {
         node,
         zone: 0,
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -7,40 +7,45 @@
 // A later version differs by intent.
 #![cfg(not(feature = "later"))]
 
-use madderpoint_rollout::change::{Change, ChangeId, Changes, Fate, Kind, Reason, Version};
-use madderpoint_rollout::handover::Begin;
-use madderpoint_rollout::kept::{Kept, Trial};
-use madderpoint_rollout::local::{Report, Stand};
-use madderpoint_rollout::orders::{Act, Orders};
-use madderpoint_rollout::pieces;
-use madderpoint_rollout::quorum::{Ask, Ballot, Proposal, Say, Vote};
-use madderpoint_rollout::sayings::{Reader, Saying, kind};
-use madderpoint_rollout::shown::{
-    Shown, ShownChange, ShownFinding, ShownNode, ShownPoint, ShownVersion,
+use madderpoint_rollout::chunks;
+use madderpoint_rollout::messages::{
+    self, CommandReply, OperatorCommand, PIECE, ReceivedMessage, order,
 };
-use madderpoint_rollout::stages::{Plan, Reach, Stage, place};
-use madderpoint_rollout::wire::{self, Order, Ordered, PIECE, Told, order};
+use madderpoint_rollout::node_agent::{NodeReport, NodeStatus};
+use madderpoint_rollout::operator_commands::{CommandAction, OperatorCommands};
+use madderpoint_rollout::paxos::{Ballot, PaxosReply, PaxosRequest, Proposal, Vote};
+use madderpoint_rollout::persisted_state::{PersistedState, Trial};
+use madderpoint_rollout::process_handover::StartInstructions;
+use madderpoint_rollout::rollout::{
+    Kind, Outcome, Reason, Rollout, RolloutId, RolloutTable, Version,
+};
+use madderpoint_rollout::stages::{Plan, Progress, Stage, place};
+use madderpoint_rollout::status::{
+    CohortPointStatus, ComparisonStatus, NodeStatusEntry, RolloutStatus, StatusSnapshot,
+    VersionStatus,
+};
+use madderpoint_rollout::supervisor_messages::{MessageReader, SupervisorMessage, kind};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-const FATES: [Fate; 5] = [
-    Fate::Open,
-    Fate::Done,
-    Fate::Refused,
-    Fate::Halted,
-    Fate::Back,
+const FATES: [Outcome; 5] = [
+    Outcome::InProgress,
+    Outcome::Completed,
+    Outcome::Rejected,
+    Outcome::Halted,
+    Outcome::RolledBack,
 ];
-const STANDS: [Stand; 9] = [
-    Stand::Unknown,
-    Stand::Known,
-    Stand::TurnedDown,
-    Stand::Staged,
-    Stand::Beginning,
-    Stand::OnTrial,
-    Stand::Good,
-    Stand::TakenBack,
-    Stand::Died,
+const STANDS: [NodeStatus; 9] = [
+    NodeStatus::Unknown,
+    NodeStatus::Offered,
+    NodeStatus::Rejected,
+    NodeStatus::Staged,
+    NodeStatus::Starting,
+    NodeStatus::OnTrial,
+    NodeStatus::Promoted,
+    NodeStatus::RolledBack,
+    NodeStatus::Crashed,
 ];
 
 fn hex(bytes: &[u8]) -> String {
@@ -111,8 +116,8 @@
     }
 }
 
-fn reach() -> Reach {
-    Reach {
+fn reach() -> Progress {
+    Progress {
         seq: 31,
         stage: 2,
         before: BTreeMap::from([(7, 0x0102_0304_0506_0708)]),
@@ -139,10 +144,10 @@
 }
 
 /// A change; the reason of one that is open is not told.
-fn change(kind: Kind, fate: Fate) -> Change {
+fn change(kind: Kind, fate: Outcome) -> Rollout {
     let reason = Reason::new(1_700_000_000_456, 0x3344_5566_7788_99aa, "book errs: é");
-    Change {
-        id: ChangeId(0x4455_6677_8899_aa00 + fate as u64),
+    Rollout {
+        id: RolloutId(0x4455_6677_8899_aa00 + fate as u64),
         kind,
         version: version(5),
         base: version(4),
@@ -153,7 +158,7 @@
         plan: plan(),
         reach: reach(),
         fate,
-        reason: if fate == Fate::Open {
+        reason: if fate == Outcome::InProgress {
             Reason::default()
         } else {
             reason
@@ -161,9 +166,9 @@
     }
 }
 
-fn report(fate: Fate, stand: Stand) -> Report {
-    Report {
-        change: ChangeId(0x4455_6677_8899_aabb),
+fn report(fate: Outcome, stand: NodeStatus) -> NodeReport {
+    NodeReport {
+        change: RolloutId(0x4455_6677_8899_aabb),
         stage: 3,
         fate,
         stand,
@@ -179,28 +184,28 @@
 
 fn proposal() -> Proposal {
     Proposal {
-        change: ChangeId(0x4455_6677_8899_aabb),
+        change: RolloutId(0x4455_6677_8899_aabb),
         reach: reach(),
     }
 }
 
 fn trial() -> Trial {
     Trial {
-        change: ChangeId(0x4455_6677_8899_aa03),
+        change: RolloutId(0x4455_6677_8899_aa03),
         version: version(5),
         tries: 2,
     }
 }
 
 /// The file of a node in mid-trial, with a vote of its own.
-fn kept(kind: Kind) -> Kept {
-    Kept {
+fn kept(kind: Kind) -> PersistedState {
+    PersistedState {
         kind,
         good: Some(version(4)),
         before: Some(version(3)),
         trial: Some(trial()),
         turned_down: vec![(version(1), 6), (version(2), 7)],
-        head: Some(change(kind, Fate::Halted)),
+        head: Some(change(kind, Outcome::Halted)),
         vote: Some(Vote {
             seq: 32,
             promised: ballot(9),
@@ -211,15 +216,15 @@
 }
 
 /// What the fleet tells of changes, polls, pieces and votes.
-fn parcels() -> Vec<(String, Told)> {
-    let id = ChangeId(0x4455_6677_8899_aabb);
+fn parcels() -> Vec<(String, ReceivedMessage)> {
+    let id = RolloutId(0x4455_6677_8899_aabb);
     let mut all = Vec::new();
     for kind in [Kind::Settings, Kind::Program] {
         for fate in FATES {
             let changes = vec![change(kind, fate)];
             all.push((
                 format!("changes-{kind:?}-{fate:?}"),
-                Told::Changes {
+                ReceivedMessage::RolloutTable {
                     changes,
                     answer: true,
                 },
@@ -227,12 +232,12 @@
         }
     }
     let two = vec![
-        change(Kind::Settings, Fate::Open),
-        change(Kind::Program, Fate::Back),
+        change(Kind::Settings, Outcome::InProgress),
+        change(Kind::Program, Outcome::RolledBack),
     ];
     all.push(named(
         "changes-two",
-        Told::Changes {
+        ReceivedMessage::RolloutTable {
             changes: two,
             answer: false,
         },
@@ -240,19 +245,22 @@
     for fate in FATES {
         all.push((
             format!("poll-{fate:?}"),
-            Told::Poll {
+            ReceivedMessage::Poll {
                 no: 4,
                 change: id,
                 stage: 2,
                 fate,
             },
         ));
-        let report = report(fate, Stand::OnTrial);
-        all.push((format!("report-{fate:?}"), Told::Report { no: 5, report }));
+        let report = report(fate, NodeStatus::OnTrial);
+        all.push((
+            format!("report-{fate:?}"),
+            ReceivedMessage::NodeReport { no: 5, report },
+        ));
     }
     all.push(named(
         "ask-pieces",
-        Told::AskPieces {
+        ReceivedMessage::AskPieces {
             change: id,
             first: 17,
             count: 8,
@@ -261,7 +269,7 @@
     let bytes = (1..=40).collect();
     all.push(named(
         "piece",
-        Told::Piece {
+        ReceivedMessage::Piece {
             change: id,
             no: 17,
             bytes,
@@ -270,23 +278,26 @@
     let (seq, ballot, promised) = (31, ballot(3), ballot(2));
     for kind in [Kind::Settings, Kind::Program] {
         let mut add = |name: &str, told| all.push((format!("{name}-{kind:?}"), told));
-        add("prepare", Told::Ask(kind, Ask::Prepare { seq, ballot }));
+        add(
+            "prepare",
+            ReceivedMessage::PaxosRequest(kind, PaxosRequest::Prepare { seq, ballot }),
+        );
         for again in [false, true] {
-            let accept = Ask::Accept {
+            let accept = PaxosRequest::Accept {
                 ballot,
                 proposal: proposal(),
                 again,
             };
             add(
                 if again { "accept-again" } else { "accept" },
-                Told::Ask(kind, accept),
+                ReceivedMessage::PaxosRequest(kind, accept),
             );
         }
         add(
             "promised",
-            Told::Say(
+            ReceivedMessage::PaxosReply(
                 kind,
-                Say::Promised {
+                PaxosReply::Promised {
                     seq,
                     ballot,
                     accepted: None,
@@ -296,21 +307,24 @@
         let accepted = Some((promised, proposal()));
         add(
             "promised-accepted",
-            Told::Say(
+            ReceivedMessage::PaxosReply(
                 kind,
-                Say::Promised {
+                PaxosReply::Promised {
                     seq,
                     ballot,
                     accepted,
                 },
             ),
         );
-        add("accepted", Told::Say(kind, Say::Accepted { seq, ballot }));
+        add(
+            "accepted",
+            ReceivedMessage::PaxosReply(kind, PaxosReply::Accepted { seq, ballot }),
+        );
         add(
             "refused",
-            Told::Say(
+            ReceivedMessage::PaxosReply(
                 kind,
-                Say::Refused {
+                PaxosReply::Refused {
                     seq,
                     ballot,
                     promised,
@@ -323,25 +337,25 @@
 
 #[test]
 fn each_parcel_is_written_as_recorded_and_read_back() {
-    holds("parcels.hex", &parcels(), wire::write, |bytes| {
-        wire::read(bytes).unwrap()
+    holds("parcels.hex", &parcels(), messages::write, |bytes| {
+        messages::read(bytes).unwrap()
     });
 }
 
 #[test]
 fn many_changes_are_told_in_the_recorded_parcels() {
-    let changes: Vec<Change> = FATES
+    let changes: Vec<Rollout> = FATES
         .iter()
         .map(|fate| change(Kind::Program, *fate))
         .collect();
-    let told = wire::changes(changes.iter(), true);
+    let told = messages::changes(changes.iter(), true);
     let all: Vec<_> = told
         .into_iter()
         .enumerate()
         .map(|(at, told)| (format!("parcel-{at}"), told))
         .collect();
-    holds("many_changes.hex", &all, wire::write, |bytes| {
-        wire::read(bytes).unwrap()
+    holds("many_changes.hex", &all, messages::write, |bytes| {
+        messages::read(bytes).unwrap()
     });
 }
 
@@ -350,26 +364,26 @@
     let one = |stand| {
         (
             format!("{stand:?}"),
-            Report {
+            NodeReport {
                 why: String::new(),
-                ..report(Fate::Halted, stand)
+                ..report(Outcome::Halted, stand)
             },
         )
     };
     let all: Vec<_> = STANDS.into_iter().map(one).collect();
-    holds("entries.hex", &all, wire::write_part, |bytes| {
-        wire::read_part(bytes).unwrap()
+    holds("entries.hex", &all, messages::write_part, |bytes| {
+        messages::read_part(bytes).unwrap()
     });
-    let with_why = wire::write_part(&report(Fate::Halted, Stand::Died));
+    let with_why = messages::write_part(&report(Outcome::Halted, NodeStatus::Crashed));
     assert_eq!(
-        wire::read_part(&with_why).as_ref(),
+        messages::read_part(&with_why).as_ref(),
         all.last().map(|(_, report)| report)
     );
 }
 
 #[test]
 fn each_order_is_written_as_recorded_and_read_back() {
-    let full = |kind| Order {
+    let full = |kind| OperatorCommand {
         kind,
         no: 9,
         bytes: (1..=20).collect(),
@@ -394,33 +408,35 @@
 }
 
 /// What a node answers to orders, in their turn.
-fn answers() -> Vec<(String, Ordered)> {
+fn answers() -> Vec<(String, CommandReply)> {
     let content: Vec<u8> = (0..1500).map(|at| at as u8).collect();
-    let digest = pieces::digest(&content).to_vec();
-    let piece = |no| Order {
+    let digest = chunks::digest(&content).to_vec();
+    let piece = |no| OperatorCommand {
         kind: order::PIECE,
         no,
-        bytes: pieces::piece(&content, no).unwrap().to_vec(),
+        bytes: chunks::piece(&content, no).unwrap().to_vec(),
         size: 1500,
         digest: digest.clone(),
-        ..Order::default()
+        ..OperatorCommand::default()
     };
-    let offer = Order {
+    let offer = OperatorCommand {
         kind: order::OFFER,
         digest: digest.clone(),
-        ..Order::default()
+        ..OperatorCommand::default()
     };
-    let halt = Order {
+    let halt = OperatorCommand {
         kind: order::HALT,
-        ..Order::default()
-    };
-    let (mut orders, mut changes) = (Orders::default(), Changes::default());
-    let answer = |orders: &mut Orders, changes: &Changes, name: &str, said: &Order| match orders
-        .order(1, Kind::Settings, changes, said)
-    {
-        Act::Answer(answer) => Some(named(name, answer)),
-        _ => None,
+        ..OperatorCommand::default()
     };
+    let (mut orders, mut changes) = (OperatorCommands::default(), RolloutTable::default());
+    let answer =
+        |orders: &mut OperatorCommands,
+         changes: &RolloutTable,
+         name: &str,
+         said: &OperatorCommand| match orders.order(1, Kind::Settings, changes, said) {
+            CommandAction::VoterAction(answer) => Some(named(name, answer)),
+            _ => None,
+        };
     let mut all = vec![
         answer(&mut orders, &changes, "pieces-missing", &offer),
         answer(&mut orders, &changes, "piece-taken", &piece(0)),
@@ -429,7 +445,7 @@
     ];
     assert!(matches!(
         orders.order(1, Kind::Settings, &changes, &offer),
-        Act::LookInto { no: 1, .. }
+        CommandAction::LookInto { no: 1, .. }
     ));
     all.push(answer(&mut orders, &changes, "looked-into", &offer));
     let of = (Kind::Settings, 0x5566_7788_99aa_bbcc, 1_700_000_000_789);
@@ -437,12 +453,12 @@
         .looked_into(1, Ok(version(5)), of, &changes, version(4), &plan())
         .unwrap();
     all.push(answer(&mut orders, &changes, "offered", &offer));
-    let halt = Order {
+    let halt = OperatorCommand {
         change: offered.0.id.0,
         ..halt
     };
-    changes.hear(&Change {
-        fate: Fate::Back,
+    changes.hear(&Rollout {
+        fate: Outcome::RolledBack,
         ..offered.0
     });
     all.push(answer(&mut orders, &changes, "taken-back-already", &halt));
@@ -455,8 +471,8 @@
 }
 
 /// What a parent says to a process.
-fn of_the_parent() -> Vec<(String, Saying)> {
-    let begin = |kind, died, fresh, beside| Begin {
+fn of_the_parent() -> Vec<(String, SupervisorMessage)> {
+    let begin = |kind, died, fresh, beside| StartInstructions {
         kept: kept(kind),
         version: version(5),
         died,
@@ -467,38 +483,44 @@
     vec![
         named(
             "begin-settings",
-            Saying::begin(&begin(Kind::Settings, Some(trial()), true, false)),
+            SupervisorMessage::begin(&begin(Kind::Settings, Some(trial()), true, false)),
         ),
         named(
             "begin-beside",
-            Saying::begin(&begin(Kind::Program, None, false, true)),
+            SupervisorMessage::begin(&begin(Kind::Program, None, false, true)),
         ),
-        named("in-charge", Saying::plain(kind::IN_CHARGE)),
-        named("hand-over", Saying::plain(kind::HAND_OVER)),
-        named("done", Saying::done(11, &Ok(()))),
-        named("done-refused", Saying::done(12, &refused)),
+        named("in-charge", SupervisorMessage::plain(kind::IN_CHARGE)),
+        named("hand-over", SupervisorMessage::plain(kind::HAND_OVER)),
+        named("done", SupervisorMessage::done(11, &Ok(()))),
+        named("done-refused", SupervisorMessage::done(12, &refused)),
     ]
 }
 
 /// What a process says to its parent.
-fn of_the_process() -> Vec<(String, Saying)> {
-    let keep = Saying {
+fn of_the_process() -> Vec<(String, SupervisorMessage)> {
+    let keep = SupervisorMessage {
         kind: kind::KEEP,
         no: 13,
         kept: kept(Kind::Program).write(),
-        ..Saying::default()
+        ..SupervisorMessage::default()
     };
     vec![
-        named("ready", Saying::plain(kind::READY)),
+        named("ready", SupervisorMessage::plain(kind::READY)),
         named("keep", keep),
-        named("check", Saying::about(kind::CHECK, 14, version(5))),
-        named("apply", Saying::about(kind::APPLY, 15, version(6))),
+        named(
+            "check",
+            SupervisorMessage::about(kind::CHECK, 14, version(5)),
+        ),
+        named(
+            "apply",
+            SupervisorMessage::about(kind::APPLY, 15, version(6)),
+        ),
     ]
 }
 
 /// One with each field.
-fn full_saying() -> Saying {
-    Saying {
+fn full_saying() -> SupervisorMessage {
+    SupervisorMessage {
         kind: 77,
         no: 16,
         kept: vec![1, 2, 3],
@@ -515,8 +537,8 @@
     }
 }
 
-fn take(bytes: &[u8]) -> Saying {
-    let mut reader = Reader::default();
+fn take(bytes: &[u8]) -> SupervisorMessage {
+    let mut reader = MessageReader::default();
     reader.feed(bytes);
     let saying = reader.take().unwrap().unwrap();
     assert_eq!(reader.take(), Ok(None));
@@ -528,26 +550,26 @@
     holds(
         "sayings_of_the_parent.hex",
         &of_the_parent(),
-        Saying::write,
+        SupervisorMessage::write,
         take,
     );
     holds(
         "sayings_of_the_process.hex",
         &of_the_process(),
-        Saying::write,
+        SupervisorMessage::write,
         take,
     );
     holds(
         "sayings_full.hex",
         &[named("full", full_saying())],
-        Saying::write,
+        SupervisorMessage::write,
         take,
     );
 }
 
 #[test]
 fn what_a_process_begins_with_is_read_from_the_record() {
-    let begins: Vec<Begin> = recorded("sayings_of_the_parent.hex")
+    let begins: Vec<StartInstructions> = recorded("sayings_of_the_parent.hex")
         .lines()
         .filter_map(|line| take(&unhex(line.split_once(' ').unwrap().1)).as_begin())
         .collect();
@@ -567,31 +589,31 @@
 
 #[test]
 fn the_file_of_a_node_in_mid_trial_is_written_as_recorded_and_read_back() {
-    let mut first = Kept::new(Kind::Settings);
+    let mut first = PersistedState::new(Kind::Settings);
     first.found_good(version(4));
     first.trial = Some(trial());
     let all = [
         named("settings", kept(Kind::Settings)),
         named("program", kept(Kind::Program)),
         named("first-trial", first),
-        named("nothing", Kept::new(Kind::Program)),
+        named("nothing", PersistedState::new(Kind::Program)),
     ];
-    holds("kept.hex", &all, Kept::write, |bytes| {
-        Kept::read(bytes).unwrap()
+    holds("kept.hex", &all, PersistedState::write, |bytes| {
+        PersistedState::read(bytes).unwrap()
     });
 }
 
-fn shown_version(number: u64) -> Option<ShownVersion> {
+fn shown_version(number: u64) -> Option<VersionStatus> {
     let of = version(number);
-    Some(ShownVersion {
+    Some(VersionStatus {
         number: of.number,
         hash: of.hash,
     })
 }
 
 /// A status with each field.
-fn shown() -> Shown {
-    let change = ShownChange {
+fn shown() -> StatusSnapshot {
+    let change = RolloutStatus {
         id: 0x4455_6677_8899_aabb,
         kind: 1,
         version: shown_version(5),
@@ -607,7 +629,7 @@
         agreement: 31,
         electorate: 340,
     };
-    let node = ShownNode {
+    let node = NodeStatusEntry {
         name: "n3".into(),
         zone: "a".into(),
         there: true,
@@ -618,7 +640,7 @@
         died: 8,
         why: "said so".into(),
     };
-    let finding = ShownFinding {
+    let finding = ComparisonStatus {
         operation: "book".into(),
         what: "errored".into(),
         new: 0.25,
@@ -628,7 +650,7 @@
         evidence: 1.5,
         margin: 1.75,
     };
-    let point = ShownPoint {
+    let point = CohortPointStatus {
         window: 41,
         stage: 42,
         nodes: vec![43, 44],
@@ -639,7 +661,7 @@
         late: vec![53, 54],
         memory_kb: vec![55.5, 56.5],
     };
-    Shown {
+    StatusSnapshot {
         node: "n4".into(),
         at_ms: 1_700_000_003_333,
         kind: 1,
@@ -671,20 +693,20 @@
     let content: Vec<u8> = (0..PIECE + 20).map(|at| at as u8).collect();
     let fates = FATES.map(|fate| format!("fate {}: {}\n", fate as u32, fate.word()));
     let stands = STANDS.map(|stand| format!("stand {}: {}\n", stand as u32, stand.word()));
-    let (id, of) = (ChangeId(0x4455_6677_8899_aabb), version(5));
+    let (id, of) = (RolloutId(0x4455_6677_8899_aabb), version(5));
     let mut lines = [fates.concat(), stands.concat()].concat();
     lines += &format!("version: {of}\nchange: {id}\n");
-    lines += &format!("digest of a content: {}\n", hex(&pieces::digest(&content)));
+    lines += &format!("digest of a content: {}\n", hex(&chunks::digest(&content)));
     lines += &format!(
         "pieces of {}: {}\n",
         content.len(),
-        pieces::count(content.len())
+        chunks::count(content.len())
     );
-    lines += &format!("last piece: {}\n", hex(pieces::piece(&content, 1).unwrap()));
+    lines += &format!("last piece: {}\n", hex(chunks::piece(&content, 1).unwrap()));
     // All nodes must come to the same about who is in a stage, and about what they know.
     lines += &format!("place: {:016x}\n", place(id, 0x5566_7788_99aa_bbcc));
-    let mut known = Changes::default();
-    known.hear(&change(Kind::Settings, Fate::Halted));
+    let mut known = RolloutTable::default();
+    known.hear(&change(Kind::Settings, Outcome::Halted));
     lines += &format!("digest of what is known: {:016x}\n", known.digest());
     compare("words.txt", &lines);
 }
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -5,9 +5,13 @@
 //! it knows to be halted; and a last good version is always there. The votes, rounds and words are
 //! the package's.
 
-use madderpoint_rollout::change::{Change, ChangeId, Changes, Fate, Kind, Reason, Version};
-use madderpoint_rollout::quorum::{Answer, Ask, Ballot, Next, Proposal, Round, Say, Vote, known};
-use madderpoint_rollout::stages::{Plan, Reach, Stage};
+use madderpoint_rollout::paxos::{
+    Ballot, PaxosReply, PaxosRequest, PaxosRound, Proposal, RoundStep, Vote, VoterAction, known,
+};
+use madderpoint_rollout::rollout::{
+    Kind, Outcome, Reason, Rollout, RolloutId, RolloutTable, Version,
+};
+use madderpoint_rollout::stages::{Plan, Progress, Stage};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -17,18 +21,26 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Sent {
-    Ask { from: usize, to: usize, ask: Ask },
-    Say { from: usize, to: usize, say: Say },
+    PaxosRequest {
+        from: usize,
+        to: usize,
+        ask: PaxosRequest,
+    },
+    PaxosReply {
+        from: usize,
+        to: usize,
+        say: PaxosReply,
+    },
 }
 
 #[derive(Clone, Debug)]
 struct Node {
-    changes: Changes,
+    changes: RolloutTable,
     vote: Vote,
     /// What is on its disk of the last agreement that it knows.
-    head: Option<Change>,
+    head: Option<Rollout>,
     /// Its round, and the arbiter that it does not reach.
-    round: Option<(Round, usize)>,
+    round: Option<(PaxosRound, usize)>,
     running: u64,
     good: u64,
     checked: BTreeSet<u64>,
@@ -41,14 +53,14 @@
     nodes: Vec<Node>,
     under_way: BTreeSet<Sent>,
     /// What was agreed on, by number; two of a number are kept apart.
-    agreed: BTreeSet<(u64, ChangeId, Reach)>,
+    agreed: BTreeSet<(u64, RolloutId, Progress)>,
     rounds: usize,
     halts: usize,
     crashes: usize,
     carried: bool,
 }
 
-fn words(changes: &Changes) -> Vec<(ChangeId, Reach, Fate)> {
+fn words(changes: &RolloutTable) -> Vec<(RolloutId, Progress, Outcome)> {
     changes
         .iter()
         .map(|change| (change.id, change.reach.clone(), change.fate))
@@ -98,7 +110,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
     /// It begins a round for a change; one arbiter it does not reach.
-    Begins(usize, ChangeId, usize),
+    Begins(usize, RolloutId, usize),
     Arrives(Sent),
     Tells(usize, usize),
     Halts(usize),
@@ -145,7 +157,7 @@
 }
 
 impl Small {
-    fn change(&self, id: u64) -> Change {
+    fn change(&self, id: u64) -> Rollout {
         let stage = Stage {
             share: 0,
             ..Plan::default().stages[0]
@@ -157,8 +169,8 @@
                 ..stage
             },
         ];
-        Change {
-            id: ChangeId(id),
+        Rollout {
+            id: RolloutId(id),
             kind: K,
             version: Version {
                 number: OLD + id,
@@ -176,14 +188,14 @@
                 stages,
                 ..Plan::default()
             },
-            reach: Reach::default(),
-            fate: Fate::Open,
+            reach: Progress::default(),
+            fate: Outcome::InProgress,
             reason: Reason::default(),
         }
     }
 
     /// What a node may do by what it knows.
-    fn wants(&self, node: &Node, n: usize) -> Option<(Fate, u64, bool)> {
+    fn wants(&self, node: &Node, n: usize) -> Option<(Outcome, u64, bool)> {
         let change = node.changes.under_way(K).or_else(|| {
             let over = node.changes.iter().filter(|change| change.reach.seq > 0);
             over.max_by_key(|change| change.reach.seq)
@@ -205,7 +217,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let mut changes = Changes::default();
+        let mut changes = RolloutTable::default();
         (1..=self.changes).for_each(|id| _ = changes.hear(&self.change(id)));
         let node = |n: usize| Node {
             changes: changes.clone(),
@@ -240,8 +252,8 @@
                 let open = node
                     .changes
                     .iter()
-                    .filter(|c| c.fate == Fate::Open && c.reach.seq == 0);
-                let all: Vec<ChangeId> = match under_way {
+                    .filter(|c| c.fate == Outcome::InProgress && c.reach.seq == 0);
+                let all: Vec<RolloutId> = match under_way {
                     Some(id) => vec![id],
                     None => open.map(|change| change.id).collect(),
                 };
@@ -267,7 +279,7 @@
                 Some((_, version, true)) if node.running != version => {
                     actions.push(Action::Runs(n))
                 }
-                Some((Fate::Back, version, false)) if node.running == version => {
+                Some((Outcome::RolledBack, version, false)) if node.running == version => {
                     actions.push(Action::GoesBack(n))
                 }
                 _ => {}
@@ -289,23 +301,23 @@
                     .plan
                     .stage(stage)
                     .is_none_or(|stage| stage.share == 1000);
-                let reach = Reach {
+                let reach = Progress {
                     seq,
                     stage,
                     until,
                     all,
-                    ..Reach::default()
+                    ..Progress::default()
                 };
                 let ballot = Ballot {
                     round: state.rounds as u64,
                     by: n as u64,
                 };
                 let (round, ask) =
-                    Round::begin(0, ballot, Proposal { change: id, reach }, ARBITERS);
+                    PaxosRound::begin(0, ballot, Proposal { change: id, reach }, ARBITERS);
                 node.round = Some((round, not));
                 let reached = (0..ARBITERS).filter(|to| *to != not);
                 reached.for_each(|to| {
-                    _ = state.under_way.insert(Sent::Ask {
+                    _ = state.under_way.insert(Sent::PaxosRequest {
                         from: n,
                         to,
                         ask: ask.clone(),
@@ -315,51 +327,52 @@
             Action::Arrives(sent) => {
                 state.under_way.remove(&sent);
                 match sent {
-                    Sent::Ask { from, to, ask } => {
+                    Sent::PaxosRequest { from, to, ask } => {
                         let node = &mut state.nodes[to];
                         let say = match node.vote.asked(&node.changes, K, &ask) {
-                            Answer::Say(say) => say,
-                            Answer::Write(vote, say) => {
+                            VoterAction::PaxosReply(say) => say,
+                            VoterAction::Write(vote, say) => {
                                 node.vote = vote;
                                 Small::write(node);
                                 say
                             }
-                            Answer::Behind | Answer::Ahead => return Some(state),
+                            VoterAction::Behind | VoterAction::Ahead => return Some(state),
                         };
-                        state.under_way.insert(Sent::Say {
+                        state.under_way.insert(Sent::PaxosReply {
                             from: to,
                             to: from,
                             say,
                         });
                     }
-                    Sent::Say { from, to, say } => {
+                    Sent::PaxosReply { from, to, say } => {
                         let node = &mut state.nodes[to];
                         let (round, not) = node.round.as_mut()?;
                         let not = *not;
                         match round.said(from as u64, &say) {
-                            Next::Wait => {}
-                            Next::Ask(ask) => {
-                                state.carried |= matches!(&ask, Ask::Accept { again: true, .. });
+                            RoundStep::Wait => {}
+                            RoundStep::PaxosRequest(ask) => {
+                                state.carried |=
+                                    matches!(&ask, PaxosRequest::Accept { again: true, .. });
                                 let reached = (0..ARBITERS).filter(|at| *at != not);
-                                let asks = reached.map(|at| Sent::Ask {
+                                let asks = reached.map(|at| Sent::PaxosRequest {
                                     from: to,
                                     to: at,
                                     ask: ask.clone(),
                                 });
                                 state.under_way.extend(asks);
                             }
-                            Next::Agreed(Proposal { change, reach }) => {
+                            RoundStep::Agreed(Proposal { change, reach }) => {
                                 node.round = None;
                                 node.changes.advance(change, &reach);
                                 state.agreed.insert((reach.seq, change, reach));
                             }
-                            Next::GiveUp(_) => node.round = None,
+                            RoundStep::GiveUp(_) => node.round = None,
                         }
                     }
                 }
             }
             Action::Tells(n, m) => {
-                let said: Vec<Change> = state.nodes[n].changes.iter().cloned().collect();
+                let said: Vec<Rollout> = state.nodes[n].changes.iter().cloned().collect();
                 said.iter()
                     .for_each(|change| _ = state.nodes[m].changes.hear(change));
             }
@@ -367,9 +380,9 @@
                 state.halts += 1;
                 let id = state.nodes[n].changes.under_way(K)?.id;
                 let fate = if state.halts == 1 {
-                    Fate::Halted
+                    Outcome::Halted
                 } else {
-                    Fate::Back
+                    Outcome::RolledBack
                 };
                 state.nodes[n]
                     .changes
@@ -381,7 +394,7 @@
                 (node.round, node.running) = (None, node.good);
                 // What was offered and had not begun is offered again by the others; what was
                 // agreed on is on the disk.
-                let mut changes = Changes::default();
+                let mut changes = RolloutTable::default();
                 (1..=self.changes).for_each(|id| _ = changes.hear(&self.change(id)));
                 node.head.iter().for_each(|head| _ = changes.hear(head));
                 node.changes = changes;
@@ -392,10 +405,10 @@
                 if !node.checked.contains(&version) {
                     return None;
                 }
-                node.late |= fate > Fate::Done;
+                node.late |= fate > Outcome::Completed;
                 Small::write(node);
                 node.running = version;
-                if fate == Fate::Done {
+                if fate == Outcome::Completed {
                     node.good = version;
                 }
             }
@@ -434,7 +447,7 @@
                 "nobody runs what no agreement gives it",
                 |_: &Small, s: &State| {
                     s.nodes.iter().enumerate().all(|(n, node)| {
-                        let mine = |(_, id, reach): &&(u64, ChangeId, Reach)| {
+                        let mine = |(_, id, reach): &&(u64, RolloutId, Progress)| {
                             OLD + id.0 == node.running && reach.has(*id, n as u64 + 1, 0)
                         };
                         node.running == OLD || s.agreed.iter().any(|of| mine(&of))
--- a/crates/test-harness/src/rig/changes.rs
+++ b/crates/test-harness/src/rig/changes.rs
@@ -6,9 +6,9 @@
 use crate::script::Ends;
 use madderpoint_membership::observer::Observer;
 use madderpoint_membership::seal::Keys;
-use madderpoint_rollout::pieces;
-use madderpoint_rollout::shown::Shown;
-use madderpoint_rollout::wire::{Order, Ordered, order};
+use madderpoint_rollout::chunks;
+use madderpoint_rollout::messages::{CommandReply, OperatorCommand, order};
+use madderpoint_rollout::status::StatusSnapshot;
 use prost::Message as _;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::UdpSocket;
@@ -129,7 +129,7 @@
     }
 
     /// Orders something of a node, until it is taken or turned down.
-    fn order(&self, n: usize, said: &Order) -> Result<Ordered, String> {
+    fn order(&self, n: usize, said: &OperatorCommand) -> Result<CommandReply, String> {
         let node = &self.nodes[n];
         let socket = UdpSocket::bind((node.bind.ip(), 0)).map_err(|e| e.to_string())?;
         socket
@@ -148,7 +148,7 @@
                 let Ok(Some(answer)) = observer.ordered(now, unix(), &buffer[..n]) else {
                     continue;
                 };
-                let answer = Ordered::decode(answer.as_slice()).map_err(|e| e.to_string())?;
+                let answer = CommandReply::decode(answer.as_slice()).map_err(|e| e.to_string())?;
                 if answer.state != 1 {
                     return Ok(answer);
                 }
@@ -169,20 +169,20 @@
     ) {
         let (n, begun) = (self.node(node), Instant::now());
         let content = self.changed(number, change).into_bytes();
-        let digest = pieces::digest(&content).to_vec();
+        let digest = chunks::digest(&content).to_vec();
         let mut answer = Err("nothing to offer".to_owned());
-        for no in 0..pieces::count(content.len()) {
-            let bytes = pieces::piece(&content, no).unwrap_or_default().to_vec();
+        for no in 0..chunks::count(content.len()) {
+            let bytes = chunks::piece(&content, no).unwrap_or_default().to_vec();
             let (size, digest) = (content.len() as u32, digest.clone());
             answer = self.order(
                 n,
-                &Order {
+                &OperatorCommand {
                     kind: order::PIECE,
                     no,
                     bytes,
                     size,
                     digest,
-                    ..Order::default()
+                    ..OperatorCommand::default()
                 },
             );
             if !matches!(&answer, Ok(answer) if answer.state == 0) {
@@ -192,10 +192,10 @@
         if matches!(&answer, Ok(answer) if answer.state == 0) {
             answer = self.order(
                 n,
-                &Order {
+                &OperatorCommand {
                     kind: order::OFFER,
                     digest,
-                    ..Order::default()
+                    ..OperatorCommand::default()
                 },
             );
         }
@@ -236,10 +236,10 @@
 
     pub(super) fn end_change(&mut self, at: usize, node: &str, back: bool) {
         let kind = if back { order::BACK } else { order::HALT };
-        let said = Order {
+        let said = OperatorCommand {
             kind,
             why: "the timetable says so".into(),
-            ..Order::default()
+            ..OperatorCommand::default()
         };
         match self.order(self.node(node), &said) {
             Ok(answer) if answer.state == 0 => {}
@@ -349,8 +349,8 @@
         socket.set_read_timeout(Some(LOOK)).ok()?;
         let (mut observer, begun) = (self.observer(&socket).ok()?, Instant::now());
         let bytes = (0..4).find_map(|_| pages(&socket, node.bind, &mut observer, begun))?;
-        let shown = Shown::decode(bytes.as_slice()).ok()?;
-        let is_it = |change: &&madderpoint_rollout::shown::ShownChange| {
+        let shown = StatusSnapshot::decode(bytes.as_slice()).ok()?;
+        let is_it = |change: &&madderpoint_rollout::status::RolloutStatus| {
             change
                 .version
                 .is_some_and(|version| version.number == number)
