--- a/crates/node/src/classify.rs
+++ b/crates/node/src/classify.rs
@@ -4,8 +4,8 @@
 use madderpoint::{Nanos, OperationId};
 use madderpoint_rate_limits::{Bucket, Limits, Over, Ticket, Why};
 use madderpoint_rules::{Facts, Path, RuleSet, Scratch, Verdict};
-use madderpoint_shared_state::keyed::wallet::{Refused, Wallet};
-use madderpoint_shared_state::keyed::{KeyBudget, KeysAsked, KeysLent, Rhythm};
+use madderpoint_shared_state::keyed_quota::borrower::{QuotaBorrower, QuotaExceeded};
+use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaGrant, QuotaRequest, QuotaTiming};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
     /// Their buckets.
     pub buckets: Vec<Bucket>,
     /// Those that are limits of the whole fleet, with their places.
-    pub fleet: Vec<(usize, KeyBudget)>,
+    pub fleet: Vec<(usize, KeyedQuota)>,
 }
 
 /// What an invocation holds in buckets until it is over.
@@ -48,7 +48,7 @@
     /// A limit of this node.
     Node(Over),
     /// One of the whole fleet, with the key.
-    Fleet(Refused, u64),
+    Fleet(QuotaExceeded, u64),
 }
 
 /// What a rule gave to a request.
@@ -92,7 +92,7 @@
     /// Budgets of the whole fleet by the place of their bucket; and this node's end of them, where
     /// there are any.
     fleet: Vec<Vec<u32>>,
-    wallet: Option<Wallet>,
+    wallet: Option<QuotaBorrower>,
     rules: Vec<RuleTally>,
     by_class: BTreeMap<Rc<str>, ClassTally>,
     /// Lines for the log that came up while a request was looked at.
@@ -134,19 +134,19 @@
     pub fn join_fleet(
         &mut self,
         now: Nanos,
-        keys: &[KeyBudget],
-        rhythm: Rhythm,
+        keys: &[KeyedQuota],
+        rhythm: QuotaTiming,
         bytes: usize,
         seed: u64,
     ) {
         match &mut self.wallet {
             Some(wallet) => wallet.rebudget(keys),
             None if keys.is_empty() => {}
-            None => self.wallet = Some(Wallet::new(now, keys, rhythm, bytes, seed)),
+            None => self.wallet = Some(QuotaBorrower::new(now, keys, rhythm, bytes, seed)),
         }
     }
 
-    fn named(&mut self, now: Nanos, buckets: &[Bucket], fleet: &[(usize, KeyBudget)]) {
+    fn named(&mut self, now: Nanos, buckets: &[Bucket], fleet: &[(usize, KeyedQuota)]) {
         self.limits.define(now, buckets);
         self.fleet = vec![Vec::new(); buckets.len()];
         for (place, budget) in fleet {
@@ -224,7 +224,7 @@
             });
         };
         let mut keys: Vec<(u32, u64)> = Vec::new();
-        let mut full: Option<(Refused, u64)> = None;
+        let mut full: Option<(QuotaExceeded, u64)> = None;
         for (place, key) in buckets {
             for id in self.fleet.get(usize::from(*place)).into_iter().flatten() {
                 if keys.contains(&(*id, *key)) {
@@ -259,7 +259,7 @@
     }
 
     /// This node's end of the limits of the whole fleet.
-    pub fn wallet(&self) -> Option<&Wallet> {
+    pub fn wallet(&self) -> Option<&QuotaBorrower> {
         self.wallet.as_ref()
     }
 
@@ -269,12 +269,12 @@
     }
 
     /// The question for the fleet that is due.
-    pub fn question(&mut self, now: Nanos) -> Option<KeysAsked> {
+    pub fn question(&mut self, now: Nanos) -> Option<QuotaRequest> {
         self.wallet.as_mut()?.ask(now)
     }
 
     /// The fleet answered.
-    pub fn lent(&mut self, now: Nanos, lent: &KeysLent) {
+    pub fn lent(&mut self, now: Nanos, lent: &QuotaGrant) {
         if let Some(wallet) = &mut self.wallet {
             wallet.lent(now, lent);
         }
@@ -282,7 +282,7 @@
 
     /// The node leaves: nothing that was lent is used any more. Whether nothing of it is in hand.
     pub fn let_go(&mut self) -> bool {
-        self.wallet.as_mut().is_none_or(Wallet::let_go)
+        self.wallet.as_mut().is_none_or(QuotaBorrower::let_go)
     }
 
     /// An invocation of a class was read.
--- a/crates/node/src/cli/shared.rs
+++ b/crates/node/src/cli/shared.rs
@@ -4,7 +4,7 @@
 use super::{Ended, Format};
 use clap::Subcommand;
 use madderpoint_shared_state::counts::COLUMNS;
-use madderpoint_shared_state::shown::{Shown, ShownCount, ShownRow, columns};
+use madderpoint_shared_state::status::{CounterRowStatus, CounterStatus, StatusSnapshot, columns};
 use prost::Message;
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
@@ -46,11 +46,11 @@
 }
 
 /// What a node shows of all that is shared; none if it shares nothing.
-pub fn ask(settings: &Path, at: SocketAddr, tries: u32) -> Result<Option<Shown>, String> {
+pub fn ask(settings: &Path, at: SocketAddr, tries: u32) -> Result<Option<StatusSnapshot>, String> {
     let bytes = Asker::about(settings, at, madderpoint_node::driver::SHARED)?.ask_pages(tries)?;
     bytes
         .map(|bytes| {
-            Shown::decode(bytes.as_slice())
+            StatusSnapshot::decode(bytes.as_slice())
                 .map_err(|e| format!("{at}: what it shows can't be read: {e}"))
         })
         .transpose()
@@ -73,7 +73,7 @@
 }
 
 /// Budgets, keys, the judgement and counts, as a table.
-pub fn print(shown: &Shown) {
+pub fn print(shown: &StatusSnapshot) {
     shown.why().iter().for_each(|line| println!("{line}"));
     if shown.rows.is_empty() {
         return;
@@ -119,7 +119,7 @@
         .for_each(|count| println!("{:>8}  {}", count.times, count.what));
 }
 
-fn row(row: &ShownRow) -> Value {
+fn row(row: &CounterRowStatus) -> Value {
     let heads = columns(row.name.is_empty());
     let numbers = |of: &[u64]| -> Map<String, Value> {
         (0..COLUMNS)
@@ -136,8 +136,8 @@
 }
 
 /// All of it, for programs.
-pub fn as_json(shown: &Shown) -> Value {
-    let count = |c: &ShownCount| json!({"what": c.what, "times": c.times});
+pub fn as_json(shown: &StatusSnapshot) -> Value {
+    let count = |c: &CounterStatus| json!({"what": c.what, "times": c.times});
     let budgets: Vec<Value> = shown
         .budgets
         .iter()
--- a/crates/node/src/company.rs
+++ b/crates/node/src/company.rs
@@ -4,9 +4,9 @@
 use madderpoint::LoadReport;
 use madderpoint::Nanos;
 use madderpoint_membership::{Phase, Sight};
-use madderpoint_shared_state::keyed::KeysAsked;
-use madderpoint_shared_state::shown::Shown;
-use madderpoint_shared_state::{Evidence, Want, counts};
+use madderpoint_shared_state::keyed_quota::QuotaRequest;
+use madderpoint_shared_state::status::StatusSnapshot;
+use madderpoint_shared_state::{BudgetRequest, HealthReport, counts};
 
 /// Runs that succeeded before a node that started cold counts as warm.
 const WARM_AFTER: u32 = 64;
@@ -19,15 +19,18 @@
     /// Its room (what it advertises, of 255) and its load (invocations in hand, 255 at most).
     Pulse { room: u8, load: u8 },
     /// What it wants of the budgets, and holds, at this time.
-    Wants { at: Nanos, wants: Vec<Want> },
+    Wants {
+        at: Nanos,
+        wants: Vec<BudgetRequest>,
+    },
     /// What it has of some keys of the fleet's limits, and wants.
-    Keys(KeysAsked),
+    Keys(QuotaRequest),
     /// What it sees of the service below.
-    Evidence(Evidence),
+    HealthReport(HealthReport),
     /// What it counted so far.
-    Counts(Box<counts::Word>),
+    Counts(Box<counts::CounterReport>),
     /// What it holds of all that is shared, to be shown.
-    Shown(Box<Shown>),
+    StatusSnapshot(Box<StatusSnapshot>),
     /// It holds nothing of the budgets any more; whether none of it is in hand.
     LetGo(bool),
 }
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -19,9 +19,11 @@
 use madderpoint_deployment_config::DeploymentConfig;
 use madderpoint_membership::Sight;
 use madderpoint_rules::Verdict;
-use madderpoint_shared_state::keyed::{KeyBudget, KeysLent, Rhythm};
-use madderpoint_shared_state::shown::Shown;
-use madderpoint_shared_state::{Budget, Ends, Gate, Judge, Opinion, Part};
+use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaGrant, QuotaTiming};
+use madderpoint_shared_state::status::StatusSnapshot;
+use madderpoint_shared_state::{
+    AggregatedHealth, BackendGate, Budget, Lease, NodeBudgets, ServiceHealth,
+};
 use std::cell::RefCell;
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -103,13 +105,13 @@
     /// What is seen of the fleet.
     Fleet(Box<Sight>),
     /// Parts of the fleet's budgets, by their places, which were asked for at that time.
-    Lent(Nanos, Vec<(u32, Part)>),
+    Lent(Nanos, Vec<(u32, Lease)>),
     /// Units of keys of the fleet's limits.
-    KeysLent(Box<KeysLent>),
+    QuotaGrant(Box<QuotaGrant>),
     /// Limits of the fleet's budgets that hold from now on.
     Rebudget(Vec<Budget>),
     /// What others say of the service below.
-    Opinion(Opinion),
+    AggregatedHealth(AggregatedHealth),
     /// What is held of all that is shared is to be shown.
     Show,
 }
@@ -133,7 +135,7 @@
     limit_bytes: usize,
     key_bytes: usize,
     /// How often keys are asked for; none outside a fleet.
-    rhythm: Option<Rhythm>,
+    rhythm: Option<QuotaTiming>,
     /// There are none before the kernel is up: it says whether the node starts cold.
     admission: Option<AdmissionController<Hands<O>>>,
     /// None where nodes keep no view of their fleet.
@@ -179,7 +181,7 @@
     }
 
     /// Takes part in a fleet from now on, and shares these budgets with it.
-    pub fn join_fleet(&mut self, now: Nanos, budgets: &[Budget], rhythm: Rhythm, with: &With) {
+    pub fn join_fleet(&mut self, now: Nanos, budgets: &[Budget], rhythm: QuotaTiming, with: &With) {
         self.company = Some(Company::default());
         self.rhythm = Some(rhythm);
         let service = with.service.as_ref();
@@ -188,16 +190,18 @@
         desk.set_timer(PULSE, Timer::Pulse);
         if !budgets.is_empty() {
             // The seed of the decisions may be the same on many.
-            desk.budgets = Some(Box::new(Ends::new(now, budgets).with_seed(self.seed ^ now)));
+            desk.budgets = Some(Box::new(
+                NodeBudgets::new(now, budgets).with_seed(self.seed ^ now),
+            ));
             desk.set_timer(WANTS, Timer::Wants);
         }
         if let Some(service) = service {
-            desk.judge = Some(Box::new(Judge::new(now, service.zone)));
+            desk.judge = Some(Box::new(ServiceHealth::new(now, service.zone)));
             desk.slow = service.slow;
             desk.set_timer(EVIDENCE, Timer::Evidence);
         }
         if !budgets.is_empty() || service.is_some() {
-            desk.gate = Some(Box::new(Gate::new(now)));
+            desk.gate = Some(Box::new(BackendGate::new(now)));
         }
         if with.counts {
             desk.counting = Some(Box::new(Counting::new(now, &self.start.operations)));
@@ -344,12 +348,12 @@
                 }
                 self.tell_floors(now);
             }
-            Event::KeysLent(lent) => {
+            Event::QuotaGrant(lent) => {
                 if let Some(rules) = &mut self.desk.borrow_mut().rules {
                     rules.lent(now, &lent);
                 }
             }
-            Event::Opinion(opinion) => {
+            Event::AggregatedHealth(opinion) => {
                 self.desk
                     .borrow_mut()
                     .judged(|judge, now| judge.told(now, opinion));
@@ -467,7 +471,7 @@
         let mut desk = self.desk.borrow_mut();
         let (rules, buckets) = (sheet.rules.rules().len(), sheet.buckets.len());
         let (bytes, worst) = (sheet.rules.bytes() >> 10, sheet.rules.worst());
-        let keys: Vec<KeyBudget> = sheet
+        let keys: Vec<KeyedQuota> = sheet
             .fleet
             .iter()
             .map(|(_, budget)| budget.clone())
@@ -700,7 +704,7 @@
             desk.judged(|judge, now| judge.evidence(now))
         };
         if let Some(evidence) = evidence {
-            self.say(|_| Some(Word::Evidence(evidence)));
+            self.say(|_| Some(Word::HealthReport(evidence)));
         }
     }
 
@@ -718,7 +722,7 @@
 
     /// Tells the fleet's part what is held here of all that is shared.
     fn show(&mut self, now: Nanos) {
-        let mut shown = Shown::default();
+        let mut shown = StatusSnapshot::default();
         {
             let mut desk = self.desk.borrow_mut();
             let waiting = desk.calls_waiting();
@@ -735,7 +739,7 @@
                 shown.with_wallet(now, wallet);
             }
         }
-        self.say(|_| Some(Word::Shown(Box::new(shown))));
+        self.say(|_| Some(Word::StatusSnapshot(Box::new(shown))));
     }
 
     /// One line where the end of a budget falls to its floor or is lent something again, and where
--- a/crates/node/src/core/tests/shared.rs
+++ b/crates/node/src/core/tests/shared.rs
@@ -3,8 +3,8 @@
 
 use super::rules::{fleet_sheet, settings};
 use super::*;
-use madderpoint_shared_state::keyed::{KeyAsk, KeyLent};
-use madderpoint_shared_state::{Evidence, Kind, Mode};
+use madderpoint_shared_state::keyed_quota::{KeyGrant, KeyRequest};
+use madderpoint_shared_state::{HealthReport, HealthState, Kind};
 
 const S: Nanos = 1000 * MS;
 
@@ -37,7 +37,7 @@
             counts: true,
         };
         node.core
-            .join_fleet(node.now, budgets, Rhythm::of(3), &with);
+            .join_fleet(node.now, budgets, QuotaTiming::of(3), &with);
         node.wait(2000);
         node
     }
@@ -59,7 +59,7 @@
         self.core.out(|out| std::mem::take(&mut out.words))
     }
 
-    fn mode(&self) -> Mode {
+    fn mode(&self) -> HealthState {
         self.core.desk.borrow().judge.as_ref().unwrap().mode()
     }
 }
@@ -221,7 +221,7 @@
         node.reap(&rid(n), End::Stopped, b"");
         node.answers();
     }
-    assert_eq!(node.mode(), Mode::Closed);
+    assert_eq!(node.mode(), HealthState::Unavailable);
     let calls = node.calls();
     node.ask(1, "/call/pay", A);
     let answer = &node.answers()[0];
@@ -247,7 +247,7 @@
         }
         node.answers();
     }
-    assert_eq!((tries, node.mode()), (3, Mode::Rising));
+    assert_eq!((tries, node.mode()), (3, HealthState::Recovering));
     let let_in = (300..316).filter(|n| {
         let runs = node.run_to_call(4, "/call/pay", &rid(*n));
         node.reply(0, &rid(*n), Outcome::Ok);
@@ -258,7 +258,7 @@
     assert_eq!(let_in.count(), 1, "a sixteenth");
     assert!(node.words().iter().any(|word| matches!(
         word,
-        Word::Evidence(Evidence {
+        Word::HealthReport(HealthReport {
             level: 0.0,
             zone: 1,
             ..
@@ -270,7 +270,7 @@
 fn a_slow_service_counts_as_one_that_fails() {
     let mut node = Node::joined(&[], Some(&service()));
     let mut calls = 0;
-    while node.mode() == Mode::Open {
+    while node.mode() == HealthState::Healthy {
         let rid = rid(calls);
         assert!(
             calls < 10 && node.run_to_call(1, "/call/pay", &rid),
@@ -283,24 +283,24 @@
         node.answers();
         calls += 1;
     }
-    assert_eq!((node.mode(), calls > 5), (Mode::Closed, true));
+    assert_eq!((node.mode(), calls > 5), (HealthState::Unavailable, true));
 }
 
 /// Others alone make it careful, and never close it.
 #[test]
 fn what_others_say_makes_a_node_careful_for_as_long_as_they_say_it() {
     let mut node = Node::joined(&[], Some(&service()));
-    let ill = Opinion {
+    let ill = AggregatedHealth {
         witnesses: 6,
         ill: 6,
         zones: 3,
         ill_zones: 3,
-        ..Opinion::default()
+        ..AggregatedHealth::default()
     };
-    node.event(Event::Opinion(ill));
-    assert_eq!(node.mode(), Mode::Careful);
+    node.event(Event::AggregatedHealth(ill));
+    assert_eq!(node.mode(), HealthState::Degraded);
     node.wait(6000);
-    assert_eq!(node.mode(), Mode::Open);
+    assert_eq!(node.mode(), HealthState::Healthy);
 }
 
 const BUCKET: &str = r#"<bucket name="by-org" scope="fleet" nodes-most="4" rate="100/s" burst="50"/>
@@ -329,14 +329,14 @@
     });
     let asked = asked.unwrap();
     assert_eq!(asked.keys.len(), 2, "both budgets at once: {asked:?}");
-    let lent = |ask: &KeyAsk| KeyLent {
+    let lent = |ask: &KeyRequest| KeyGrant {
         budget: ask.budget,
         key: ask.key,
         adds: 2,
         wait: 0,
     };
     let keys = asked.keys.iter().map(lent).collect();
-    node.event(Event::KeysLent(Box::new(KeysLent {
+    node.event(Event::QuotaGrant(Box::new(QuotaGrant {
         no: asked.no,
         stamp: asked.stamp,
         life: 3 * S,
@@ -375,7 +375,7 @@
     node.core.join_fleet(
         node.now,
         &[rate(100)],
-        Rhythm::of(3),
+        QuotaTiming::of(3),
         &With {
             service: None,
             counts: true,
@@ -400,7 +400,7 @@
     });
     use madderpoint_shared_state::counts::{OWN, column, own};
     let total = counted.unwrap().total;
-    let row = |name: &str| total[&madderpoint_shared_state::keyed::number(name)];
+    let row = |name: &str| total[&madderpoint_shared_state::keyed_quota::number(name)];
     assert_eq!(
         (row("pay")[column::SUCCEEDED], row("pay")[column::EARNED]),
         (1, 5000)
--- a/crates/node/src/desk.rs
+++ b/crates/node/src/desk.rs
@@ -12,8 +12,8 @@
     TimerId,
 };
 use madderpoint_deployment_config::DeploymentConfig;
-use madderpoint_shared_state::keyed::KeysAsked;
-use madderpoint_shared_state::{Ends, Gate, Judge};
+use madderpoint_shared_state::keyed_quota::QuotaRequest;
+use madderpoint_shared_state::{BackendGate, NodeBudgets, ServiceHealth};
 use std::cell::RefCell;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -291,15 +291,15 @@
     /// None where no rules are set: nothing is asked then.
     pub rules: Option<Box<Classifier>>,
     /// None where the fleet shares no budget.
-    pub budgets: Option<Box<Ends>>,
+    pub budgets: Option<Box<NodeBudgets>>,
     /// Calls that wait for room under them, and when it is looked for.
     calls_waiting: VecDeque<(RequestId, CallNo)>,
     calls_due: Option<Nanos>,
     /// The judgement on the service below, and from when on an answer of it counts as none; what
     /// needs it is let in by both.
-    pub judge: Option<Box<Judge>>,
+    pub judge: Option<Box<ServiceHealth>>,
     pub slow: Option<Nanos>,
-    pub gate: Option<Box<Gate>>,
+    pub gate: Option<Box<BackendGate>>,
     /// None where nothing is counted for the fleet.
     pub counting: Option<Box<Counting>>,
     /// When a question about keys goes to the fleet, if one is to.
@@ -481,7 +481,7 @@
     }
 
     /// The timer fired: gives the questions that are due.
-    pub fn questions(&mut self) -> Vec<KeysAsked> {
+    pub fn questions(&mut self) -> Vec<QuotaRequest> {
         self.keys_due = None;
         let now = self.now;
         let questions = self
--- a/crates/node/src/desk/calls.rs
+++ b/crates/node/src/desk/calls.rs
@@ -6,7 +6,7 @@
 use crate::outward::{BackendLink, CallNo, Outward, Wants};
 use madderpoint::{BackendCallOutcome, Nanos, RequestId};
 use madderpoint_shared_state::counts::own;
-use madderpoint_shared_state::{Judge, Mode};
+use madderpoint_shared_state::{HealthState, ServiceHealth};
 
 /// A link that so many replies on others have overtaken has gone silent: it is passed over, and
 /// closed when a call on it comes to its time limit.
@@ -336,12 +336,12 @@
 
     /// Has the judgement on the service below looked at or changed, and says so if it goes about
     /// the service otherwise since.
-    pub fn judged<T>(&mut self, f: impl FnOnce(&mut Judge, Nanos) -> T) -> Option<T> {
+    pub fn judged<T>(&mut self, f: impl FnOnce(&mut ServiceHealth, Nanos) -> T) -> Option<T> {
         let judge = self.judge.as_mut()?;
         let (before, was) = (judge.mode(), judge.level());
         let result = f(judge, self.now);
         let (mode, level) = (judge.mode(), judge.level());
-        if mode != before || level > was && mode == Mode::Rising {
+        if mode != before || level > was && mode == HealthState::Recovering {
             let seen = judge.evidence(self.now);
             let others = judge.others(self.now).unwrap_or_default();
             self.out.log(format_args!(
--- a/crates/node/src/desk/counting.rs
+++ b/crates/node/src/desk/counting.rs
@@ -5,8 +5,8 @@
 use crate::outward::Outward;
 use crate::request::Head;
 use madderpoint::{LoadBalancerId, Nanos, OperationId};
-use madderpoint_shared_state::counts::{self, OWN, Tally, column, heavy, own};
-use madderpoint_shared_state::keyed::number;
+use madderpoint_shared_state::counts::{self, OWN, ProcessCounters, column, heavy_hitters, own};
+use madderpoint_shared_state::keyed_quota::number;
 
 /// Billed value is counted in thousandths.
 const THOUSANDTHS: f64 = 1000.0;
@@ -14,7 +14,7 @@
 /// The node's counts.
 #[derive(Debug)]
 pub struct Counting {
-    pub tally: Tally,
+    pub tally: ProcessCounters,
     /// The rows of operations, in their order.
     rows: Vec<u32>,
 }
@@ -25,7 +25,7 @@
         // A name that comes to the process's own row counts there: one in four thousand million.
         let rows = operations.iter().map(|name| number(name)).collect();
         Counting {
-            tally: Tally::new(unix_ms(now)),
+            tally: ProcessCounters::new(unix_ms(now)),
             rows,
         }
     }
@@ -37,7 +37,7 @@
 }
 
 impl<O: Outward> Desk<O> {
-    fn counting(&mut self, f: impl FnOnce(&mut Tally, u64)) {
+    fn counting(&mut self, f: impl FnOnce(&mut ProcessCounters, u64)) {
         if let Some(counting) = &mut self.counting {
             f(&mut counting.tally, unix_ms(self.now));
         }
@@ -57,10 +57,10 @@
         self.counting(|tally, unix| {
             tally.add(unix, row, column::ARRIVED, 1);
             tally.add(unix, row, column::ASKED, (value * THOUSANDTHS) as u64);
-            tally.heavy(unix, heavy::CALLERS, dispatcher.0);
+            tally.heavy(unix, heavy_hitters::CALLERS, dispatcher.0);
             if repeats {
                 tally.add(unix, row, column::REPEATS, 1);
-                tally.heavy(unix, heavy::REPEATERS, dispatcher.0);
+                tally.heavy(unix, heavy_hitters::REPEATERS, dispatcher.0);
             }
         });
     }
@@ -109,7 +109,7 @@
         }
         if let Some(key) = over {
             self.counts_own(own::OVER_LIMIT, 1);
-            self.counting(|tally, unix| tally.heavy(unix, heavy::OVER_LIMIT, key));
+            self.counting(|tally, unix| tally.heavy(unix, heavy_hitters::OVER_LIMIT, key));
         }
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// What there is to say of it, without who says it.
-    pub fn counted_word(&self) -> Option<counts::Word> {
+    pub fn counted_word(&self) -> Option<counts::CounterReport> {
         // The window before this one too: what came to it since the last word is told with it.
         Some(self.counting.as_ref()?.tally.word(Default::default(), 0, 2))
     }
--- a/crates/node/src/desk/front.rs
+++ b/crates/node/src/desk/front.rs
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Ends a request that is one too many on its connection.
+    /// NodeBudgets a request that is one too many on its connection.
     pub fn overload(&mut self, conn: ConnId, id: u16) {
         self.turned_away(conn);
         self.end(conn, id, Reply::end(id, ProtocolStatus::Overloaded));
--- a/crates/node/src/driver/changes.rs
+++ b/crates/node/src/driver/changes.rs
@@ -14,8 +14,10 @@
 use madderpoint_rollout::{
     Kind, NodeReport, Participant, PersistedState, Plan, RolloutId, Version,
 };
-use madderpoint_shared_state::counts::{Counts, OWN, WINDOW_MS, Word, column, own};
-use madderpoint_shared_state::keyed::number;
+use madderpoint_shared_state::counts::{
+    ClusterCounters, CounterReport, OWN, WINDOW_MS, column, own,
+};
+use madderpoint_shared_state::keyed_quota::number;
 use prost::Message as _;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -411,7 +413,7 @@
     }
 
     /// What this node counted so far.
-    pub fn counted(&mut self, at: Moment, word: &Word) {
+    pub fn counted(&mut self, at: Moment, word: &CounterReport) {
         let mut sum = LocalMetrics::default();
         for (row, numbers) in &word.total {
             if *row == OWN {
@@ -426,7 +428,12 @@
     }
 
     /// Does what is due: what the fleet and its counts look like is taken up first.
-    pub fn wake<H: FleetHost>(&mut self, at: Moment, fleet: &Fleet<H>, counts: Option<&Counts>) {
+    pub fn wake<H: FleetHost>(
+        &mut self,
+        at: Moment,
+        fleet: &Fleet<H>,
+        counts: Option<&ClusterCounters>,
+    ) {
         if at.now < self.next {
             return;
         }
@@ -459,7 +466,12 @@
     }
 
     /// An arbiter takes up what all nodes counted, while a change is under way.
-    fn look<H: FleetHost>(&mut self, at: Moment, fleet: &Fleet<H>, counts: Option<&Counts>) {
+    fn look<H: FleetHost>(
+        &mut self,
+        at: Moment,
+        fleet: &Fleet<H>,
+        counts: Option<&ClusterCounters>,
+    ) {
         let Participant { local, conduct, .. } = &self.rollout;
         let under_way = local.changes().under_way(self.kind).map(|change| change.id);
         let (Some(change), Some(counts)) = (under_way.filter(|_| conduct.is_arbiter()), counts)
@@ -575,7 +587,7 @@
 fn samples<H: FleetHost>(
     kind: Kind,
     fleet: &Fleet<H>,
-    counts: &Counts,
+    counts: &ClusterCounters,
     from: u64,
 ) -> Vec<(u64, Vec<WindowSample>)> {
     let mut all: BTreeMap<u64, BTreeMap<u64, WindowSample>> = BTreeMap::new();
--- a/crates/node/src/driver/fleet_link.rs
+++ b/crates/node/src/driver/fleet_link.rs
@@ -13,12 +13,13 @@
 use madderpoint_membership::{Fleet, Host, Key, Life, Moment, Nanos, Periods, Settings, Sight};
 use madderpoint_rollout::{Kind, Plan, RolloutId, Version};
 use madderpoint_shared_state::counts::PROCESS_BYTES;
-use madderpoint_shared_state::keyed::{KeyBudget, KeysLent, Rhythm};
-use madderpoint_shared_state::wire::{
-    PARCEL_MAX, Told, read as read_parcel, write as write_parcel,
+use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaGrant, QuotaTiming};
+use madderpoint_shared_state::messages::{
+    PARCEL_MAX, ReceivedMessage, read as read_parcel, write as write_parcel,
 };
 use madderpoint_shared_state::{
-    self as shared, Budget, Evidence, Shared, Want, Who, Witnesses, judge,
+    self as shared_state, Budget, BudgetRequest, HealthReport, HealthReports, ProcessId,
+    SharedState, service_health,
 };
 use prost::Message as _;
 use rustix::event::{EventfdFlags, PollFd, PollFlags, Timespec, eventfd, poll};
@@ -50,7 +51,7 @@
     pub arbiters: Vec<u64>,
     pub budgets: Vec<Budget>,
     /// Limits by key that the fleet shares, and the bytes that books of them may take.
-    pub keys: Vec<KeyBudget>,
+    pub keys: Vec<KeyedQuota>,
     pub key_bytes: usize,
     /// The service below that the fleet judges together, if it does; and words of others about it
     /// that are kept.
@@ -84,12 +85,12 @@
     }
 
     /// How often keys are asked for: by the most nodes that any limit is made for.
-    pub fn rhythm(&self) -> Rhythm {
+    pub fn rhythm(&self) -> QuotaTiming {
         let budgets = self.budgets.iter().map(|budget| budget.nodes_most);
         let most = budgets
             .chain(self.keys.iter().map(|budget| budget.nodes_most))
             .max();
-        Rhythm::of(most.unwrap_or(1))
+        QuotaTiming::of(most.unwrap_or(1))
     }
 }
 
@@ -101,7 +102,7 @@
     pub periods: Periods,
     pub number: (u64, u64),
     pub budgets: Vec<Budget>,
-    pub key_budgets: Vec<KeyBudget>,
+    pub key_budgets: Vec<KeyedQuota>,
     /// How changes that are offered here go out from now on, if they go out in stages.
     pub plan: Option<Plan>,
 }
@@ -183,30 +184,30 @@
 
 /// What the part that lends and borrows does to the world; what it sends goes out as parcels.
 struct Teller {
-    sent: Vec<(u64, Told)>,
+    sent: Vec<(u64, ReceivedMessage)>,
     /// What the core said last that it wants, and when; and whether nothing is in hand as it
     /// leaves.
-    wants: (Nanos, Vec<Want>),
+    wants: (Nanos, Vec<BudgetRequest>),
     free: bool,
     events: Sender<Message>,
 }
 
-impl shared::Host for Teller {
-    fn send(&mut self, to: u64, told: Told) {
+impl shared_state::Host for Teller {
+    fn send(&mut self, to: u64, told: ReceivedMessage) {
         self.sent.push((to, told));
     }
     fn log(&mut self, line: &str) {
         crate::log::event("shared", "lends", format_args!("{line}"));
     }
-    fn wants(&mut self, _: Nanos) -> (Nanos, Vec<Want>) {
+    fn wants(&mut self, _: Nanos) -> (Nanos, Vec<BudgetRequest>) {
         self.wants.clone()
     }
-    fn keys_lent(&mut self, _: Nanos, lent: KeysLent) {
+    fn keys_lent(&mut self, _: Nanos, lent: QuotaGrant) {
         let _ = self
             .events
-            .try_send(Message::Event(Event::KeysLent(Box::new(lent))));
+            .try_send(Message::Event(Event::QuotaGrant(Box::new(lent))));
     }
-    fn lent(&mut self, _: Nanos, asked: Nanos, parts: &[(u32, shared::Part)]) {
+    fn lent(&mut self, _: Nanos, asked: Nanos, parts: &[(u32, shared_state::Lease)]) {
         // A part that finds no room is not used: it ends by itself.
         let _ = self
             .events
@@ -221,7 +222,7 @@
 struct Hands {
     socket: UdpSocket,
     /// Parcels that came and were not handed on yet.
-    parcels: Vec<(Who, u32, Vec<u8>)>,
+    parcels: Vec<(ProcessId, u32, Vec<u8>)>,
     events: Sender<Message>,
     /// What was seen and found no room in the core's queue.
     unseen: Option<Sight>,
@@ -257,7 +258,7 @@
     }
     fn parcel(&mut self, from: Key, life: Life, topic: u32, parcel: &[u8]) {
         self.parcels.push((
-            Who {
+            ProcessId {
                 key: from.0,
                 life: life.0,
             },
@@ -402,7 +403,7 @@
     let fleet = Fleet::new(part.settings, seed, clock(), hands)
         .map_err(|odd| io::Error::other(odd.to_string()))?;
     let (key, life) = fleet.me();
-    let me = Who {
+    let me = ProcessId {
         key: key.0,
         life: life.0,
     };
@@ -425,9 +426,9 @@
         changes.push(Changes::start(clock(), changing, among, poster.clone())?);
     }
     let bank = (!part.arbiters.is_empty()).then(|| {
-        let usual = shared::Settings::usual(me, part.arbiters, part.budgets, part.keys);
+        let usual = shared_state::Config::usual(me, part.arbiters, part.budgets, part.keys);
         let counted = (part.count_bytes / PROCESS_BYTES).max(4);
-        let settings = shared::Settings {
+        let settings = shared_state::Config {
             zone,
             most,
             rhythm,
@@ -435,11 +436,11 @@
             key_bytes: part.key_bytes,
             ..usual
         };
-        Shared::new(settings, seed ^ life.0, clock().now, teller)
+        SharedState::new(settings, seed ^ life.0, clock().now, teller)
     });
     let health = part.service.map(|service| Health {
         service: Key::of(&service.name).0,
-        witnesses: Witnesses::new(WITNESSES),
+        witnesses: HealthReports::new(WITNESSES),
         told: 0,
     });
     let beside = Beside {
@@ -457,7 +458,7 @@
     (Key::of(zone).0 >> 32) as u32
 }
 
-type Bank = Option<Shared<Teller>>;
+type Bank = Option<SharedState<Teller>>;
 
 /// What lives in the fleet's thread beside the view.
 struct Beside {
@@ -472,7 +473,7 @@
 /// What the nodes say to each other of the service below.
 struct Health {
     service: u64,
-    witnesses: Witnesses,
+    witnesses: HealthReports,
     told: u64,
 }
 
@@ -484,13 +485,16 @@
 
 impl Health {
     /// This node sees so much: some others hear it, and the core hears what they say.
-    fn seen(&mut self, fleet: &mut Fleet<Hands>, at: Moment, evidence: Evidence) {
+    fn seen(&mut self, fleet: &mut Fleet<Hands>, at: Moment, evidence: HealthReport) {
         self.told += 1;
         let is_well = evidence.failed == 0 && evidence.level >= 1.0;
         if evidence.tries > 0 && (!is_well || self.told.is_multiple_of(TELLS_WELL))
             || evidence.level < 1.0
         {
-            let parcel = write_parcel(&Told::Evidence(vec![(self.service, evidence)]));
+            let parcel = write_parcel(&ReceivedMessage::HealthReport(vec![(
+                self.service,
+                evidence,
+            )]));
             for key in fleet.some_others(TELLS) {
                 fleet.send_parcel(at, key, SHARED, &parcel);
             }
@@ -502,12 +506,12 @@
             .iter()
             .filter(|(_, entry)| entry.status().is_present());
         opinion.prober =
-            judge::is_prober(at.now, me.0, self.service, members.map(|(key, _)| key.0));
+            service_health::is_prober(at.now, me.0, self.service, members.map(|(key, _)| key.0));
         opinion.alone = fleet.view().counts().present() <= 1;
         let _ = fleet
             .host
             .events
-            .try_send(Message::Event(Event::Opinion(opinion)));
+            .try_send(Message::Event(Event::AggregatedHealth(opinion)));
     }
 }
 
@@ -528,7 +532,7 @@
     loop {
         let next = bank
             .as_ref()
-            .map_or(Nanos::MAX, Shared::next)
+            .map_or(Nanos::MAX, SharedState::next)
             .min(fleet.next());
         let next = going_on(&changes)
             .map(|changes| changes.next())
@@ -548,7 +552,7 @@
                     bank.iter_mut()
                         .for_each(|bank| bank.ask_keys(clock().now, asked.clone()));
                 }
-                Order::Word(Word::Evidence(evidence)) => {
+                Order::Word(Word::HealthReport(evidence)) => {
                     health
                         .iter_mut()
                         .for_each(|health| health.seen(&mut fleet, clock(), evidence));
@@ -556,7 +560,7 @@
                 Order::Word(Word::Counts(mut word)) => {
                     let (key, life) = fleet.me();
                     (word.who, word.label) = (
-                        Who {
+                        ProcessId {
                             key: key.0,
                             life: life.0,
                         },
@@ -573,7 +577,7 @@
                     bank.iter_mut()
                         .for_each(|bank| tidy(bank, &fleet, clock().now));
                 }
-                Order::Word(Word::Shown(mut shown)) => {
+                Order::Word(Word::StatusSnapshot(mut shown)) => {
                     let now = clock().now;
                     bank.iter()
                         .for_each(|bank| shown.with_shared(now, bank, &operations));
@@ -637,7 +641,7 @@
                 None
             };
             match (told, &mut bank, &mut health) {
-                (Some(Told::Evidence(all)), _, Some(health)) => {
+                (Some(ReceivedMessage::HealthReport(all)), _, Some(health)) => {
                     let all = all
                         .into_iter()
                         .filter(|(service, _)| *service == health.service);
@@ -666,7 +670,7 @@
             changes.wake(
                 clock(),
                 &fleet,
-                bank.as_ref().and_then(Shared::counts_of_all),
+                bank.as_ref().and_then(SharedState::counts_of_all),
             );
             changes.post(clock(), &mut fleet);
             let topic = topic(changes.kind());
@@ -697,9 +701,9 @@
 /// Sends what lending and borrowing have to say.
 fn post(fleet: &mut Fleet<Hands>, bank: &mut Bank, clock: &impl Fn() -> Moment) {
     let says = bank.as_ref().is_some_and(|bank| !bank.host.sent.is_empty());
-    if shared::wire::LATER && says {
+    if shared_state::messages::LATER && says {
         for key in fleet.some_others(1) {
-            fleet.send_parcel(clock(), key, SHARED, &shared::wire::later_kind());
+            fleet.send_parcel(clock(), key, SHARED, &shared_state::messages::later_kind());
         }
     }
     for (to, told) in bank
@@ -741,8 +745,8 @@
 }
 
 /// Has an arbiter add those up who are gone.
-fn tidy(bank: &mut Shared<Teller>, fleet: &Fleet<Hands>, now: Nanos) {
-    let is_there = |who: Who| {
+fn tidy(bank: &mut SharedState<Teller>, fleet: &Fleet<Hands>, now: Nanos) {
+    let is_there = |who: ProcessId| {
         let entry = fleet.view().get(Key(who.key));
         entry.is_some_and(|entry| entry.epoch.life.0 == who.life && entry.status().is_present())
     };
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -14,7 +14,7 @@
 use madderpoint_node::versions::Directory;
 use madderpoint_rollout::{Kind as ChangeKind, PersistedState, Version};
 use madderpoint_settings::{self as settings, Complaints, FleetSettings, Known, Place, Translator};
-use madderpoint_shared_state::keyed::KeyBudget;
+use madderpoint_shared_state::keyed_quota::KeyedQuota;
 use madderpoint_shared_state::{Budget, Kind};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -165,7 +165,7 @@
 }
 
 /// Limits by key of the whole fleet, as the rules' buckets have them.
-fn key_budgets(read: &Translator) -> Vec<KeyBudget> {
+fn key_budgets(read: &Translator) -> Vec<KeyedQuota> {
     read.rules
         .iter()
         .flat_map(|rules| &rules.fleet)
@@ -297,7 +297,7 @@
 struct InForce {
     version: Version,
     fleet: FleetSettings,
-    budgets: Vec<KeyBudget>,
+    budgets: Vec<KeyedQuota>,
 }
 
 /// Versions of our settings.
--- a/crates/settings/src/rulebook.rs
+++ b/crates/settings/src/rulebook.rs
@@ -10,7 +10,7 @@
     AddressSet, Bounds, Error, Field, Problem, RuleSet, Verdict, Vocabulary, Written, address,
     cost, time,
 };
-use madderpoint_shared_state::keyed::{KeyBudget, KeyKind};
+use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaKind};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -52,7 +52,7 @@
     /// The buckets, in the order in which the rules count them.
     pub buckets: Vec<Bucket>,
     /// Those of them that are limits of the whole fleet, each with its place.
-    pub fleet: Vec<(usize, KeyBudget)>,
+    pub fleet: Vec<(usize, KeyedQuota)>,
     /// Names of operations, in the order in which the rules count them.
     pub operations: Vec<String>,
     /// Cases that show what the rules are to do.
@@ -244,7 +244,7 @@
 
 /// A bucket that is a limit of the whole fleet: at most one for its rate and one for its number in
 /// hand.
-fn fleet_bucket(element: &Element, reading: &mut Reading) -> Vec<KeyBudget> {
+fn fleet_bucket(element: &Element, reading: &mut Reading) -> Vec<KeyedQuota> {
     let name = text(element, "name");
     let field = format!("bucket '{name}'");
     let number = |name: &str| element.get(name).and_then(|t| t.value.parse::<u32>().ok());
@@ -287,23 +287,23 @@
     let burst = number("burst").unwrap_or(1);
     let rate = element.get("rate").and_then(|text| count_in(&text.value));
     let kinds = [
-        rate.map(|(count, period)| KeyKind::Rate {
+        rate.map(|(count, period)| QuotaKind::Rate {
             count,
             period,
             burst,
         }),
         number("in-hand")
             .zip(longest)
-            .map(|(limit, longest)| KeyKind::InHand { limit, longest }),
+            .map(|(limit, longest)| QuotaKind::InHand { limit, longest }),
     ];
     let floor = number("floor").unwrap_or(0);
-    let budget = |kind| KeyBudget {
+    let budget = |kind| KeyedQuota {
         name: name.to_owned(),
         kind,
         floor,
         nodes_most,
     };
-    let budgets: Vec<KeyBudget> = kinds.into_iter().flatten().map(budget).collect();
+    let budgets: Vec<KeyedQuota> = kinds.into_iter().flatten().map(budget).collect();
     for budget in &budgets {
         if let (Err(what), Some(written)) = (budget.check(), element.get("name")) {
             reading.wrong(
@@ -401,7 +401,7 @@
                 format!("at most {BUCKETS_MAX}"),
             );
         }
-        let mut fleet: Vec<(usize, KeyBudget)> = Vec::new();
+        let mut fleet: Vec<(usize, KeyedQuota)> = Vec::new();
         for (place, element) in buckets.iter().enumerate() {
             for budget in fleet_bucket(element, &mut reading) {
                 if let Some((_, other)) = fleet.iter().find(|(_, other)| other.id() == budget.id())
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -4,7 +4,7 @@
 use madderpoint::Idempotency;
 use madderpoint_settings::schema::Schema;
 use madderpoint_settings::{Complaints, Known, SCHEMA, read, xml};
-use madderpoint_shared_state::keyed::KeyKind;
+use madderpoint_shared_state::keyed_quota::QuotaKind;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -531,17 +531,17 @@
     let good = "name=\"b\" scope=\"fleet\" rate=\"90/m\" burst=\"60\" in-hand=\"50\" floor=\"1\" nodes-most=\"40\" longest=\"2s\"";
     let read = read("t.xml", &file(good, fleet), &known()).unwrap();
     let rules = read.rules.unwrap();
-    let kinds: Vec<KeyKind> = rules.fleet.iter().map(|(_, budget)| budget.kind).collect();
+    let kinds: Vec<QuotaKind> = rules.fleet.iter().map(|(_, budget)| budget.kind).collect();
     let (period, longest) = (60_000_000_000, 2_000_000_000);
     assert_eq!(
         kinds,
         [
-            KeyKind::Rate {
+            QuotaKind::Rate {
                 count: 90,
                 period,
                 burst: 60
             },
-            KeyKind::InHand { limit: 50, longest }
+            QuotaKind::InHand { limit: 50, longest }
         ]
     );
     assert_eq!(
--- a/crates/shared-state/benches/checks.rs
+++ b/crates/shared-state/benches/checks.rs
@@ -2,13 +2,15 @@
 //! take. Run: cargo bench -p madderpoint-shared-state
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use madderpoint_shared_state::counts::{OWN, Tally, column, heavy};
-use madderpoint_shared_state::keyed::books::KeyBooks;
-use madderpoint_shared_state::keyed::wallet::Wallet;
-use madderpoint_shared_state::keyed::{
-    KeyAsk, KeyBudget, KeyKind, KeyLent, KeysAsked, KeysLent, Rhythm,
+use madderpoint_shared_state::counts::{OWN, ProcessCounters, column, heavy_hitters};
+use madderpoint_shared_state::keyed_quota::borrower::QuotaBorrower;
+use madderpoint_shared_state::keyed_quota::lender::QuotaLender;
+use madderpoint_shared_state::keyed_quota::{
+    KeyGrant, KeyRequest, KeyedQuota, QuotaGrant, QuotaKind, QuotaRequest, QuotaTiming,
+};
+use madderpoint_shared_state::{
+    BackendGate, Budget, Kind, Nanos, NodeBudgets, ProcessId, ServiceHealth,
 };
-use madderpoint_shared_state::{Budget, Ends, Gate, Judge, Kind, Nanos, Who};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::hint::black_box;
@@ -30,13 +32,13 @@
     ]
 }
 
-fn by_key(count: u32, burst: u32) -> KeyBudget {
-    let kind = KeyKind::Rate {
+fn by_key(count: u32, burst: u32) -> KeyedQuota {
+    let kind = QuotaKind::Rate {
         count,
         period: S,
         burst,
     };
-    KeyBudget {
+    KeyedQuota {
         name: "by-site".into(),
         kind,
         floor: 1,
@@ -56,7 +58,7 @@
 
 fn checks(c: &mut Criterion) {
     let mut group = c.benchmark_group("checks");
-    let (mut ends, mut now) = (Ends::new(0, &budgets()), S);
+    let (mut ends, mut now) = (NodeBudgets::new(0, &budgets()), S);
     group.bench_function("a call under two budgets, and its end", |b| {
         b.iter(|| {
             now += 10_000;
@@ -65,7 +67,7 @@
             }
         });
     });
-    let mut judge = Judge::new(0, 1);
+    let mut judge = ServiceHealth::new(0, 1);
     group.bench_function("a call by judgement, and its end", |b| {
         b.iter(|| {
             now += 10_000;
@@ -74,7 +76,7 @@
             }
         });
     });
-    let (mut gate, mut ends) = (Gate::new(0), Ends::new(0, &budgets()));
+    let (mut gate, mut ends) = (BackendGate::new(0), NodeBudgets::new(0, &budgets()));
     group.bench_function("the gate", |b| {
         b.iter(|| {
             now += 10_000;
@@ -85,13 +87,13 @@
         let budget = by_key(1_000_000, 2_000_000);
         let before = resident_kib();
         // So quick a rhythm that all keys are lent something at once.
-        let rhythm = Rhythm {
+        let rhythm = QuotaTiming {
             urgent: 1,
             renew: 3600 * S,
             life: 3600 * S,
             keep: 3600 * S,
         };
-        let mut wallet = Wallet::new(0, std::slice::from_ref(&budget), rhythm, 48 << 20, 7);
+        let mut wallet = QuotaBorrower::new(0, std::slice::from_ref(&budget), rhythm, 48 << 20, 7);
         let id = budget.id();
         let mut now = 1000 * S;
         for key in 0..keys {
@@ -103,7 +105,7 @@
             let keys = asked
                 .keys
                 .iter()
-                .map(|k| KeyLent {
+                .map(|k| KeyGrant {
                     budget: k.budget,
                     key: k.key,
                     adds: 1_000_000,
@@ -112,7 +114,7 @@
                 .collect();
             wallet.lent(
                 now,
-                &KeysLent {
+                &QuotaGrant {
                     no: asked.no,
                     stamp: asked.stamp,
                     life: 3600 * S,
@@ -136,14 +138,14 @@
             });
         });
     }
-    let mut tally = Tally::new(0);
+    let mut tally = ProcessCounters::new(0);
     group.bench_function("counting an invocation", |b| {
         b.iter(|| {
             now += 1000;
             let unix = now / 1_000_000;
             tally.add(unix, 7, column::ARRIVED, 1);
             tally.add(unix, 7, column::ASKED, 1000);
-            tally.heavy(unix, heavy::CALLERS, now % 64);
+            tally.heavy(unix, heavy_hitters::CALLERS, now % 64);
             tally.add(unix, 7, column::SUCCEEDED, 1);
             tally.add(unix, 7, column::EARNED, 1000);
             tally.took(unix, 7, now % S);
@@ -158,10 +160,10 @@
 fn books(c: &mut Criterion) {
     let budget = by_key(100, 2000);
     let before = resident_kib();
-    let mut books = KeyBooks::new(
+    let mut books = QuotaLender::new(
         0,
         std::slice::from_ref(&budget),
-        Rhythm::of(300),
+        QuotaTiming::of(300),
         128 << 20,
         7,
     );
@@ -170,7 +172,7 @@
     let mut no = 0;
     let mut question = |rng: &mut Pcg64Mcg| {
         no += 1;
-        let key = |rng: &mut Pcg64Mcg| KeyAsk {
+        let key = |rng: &mut Pcg64Mcg| KeyRequest {
             budget: budget.id(),
             key: rng.random_range(0..100_000),
             left: 0,
@@ -179,7 +181,7 @@
         };
         (
             rng.random_range(1..=300),
-            KeysAsked {
+            QuotaRequest {
                 no,
                 stamp: 0,
                 keys: (0..48).map(|_| key(rng)).collect(),
@@ -188,7 +190,7 @@
     };
     for _ in 0..20_000 {
         let (who, asked) = question(&mut rng);
-        let _ = books.ask(now, Who { key: who, life: 1 }, &asked);
+        let _ = books.ask(now, ProcessId { key: who, life: 1 }, &asked);
     }
     let (keys, pockets, refused) = books.figures();
     println!(
@@ -199,7 +201,7 @@
         b.iter(|| {
             now += 100_000;
             let (who, asked) = question(&mut rng);
-            black_box(books.ask(now, Who { key: who, life: 1 }, &asked))
+            black_box(books.ask(now, ProcessId { key: who, life: 1 }, &asked))
         });
     });
 }
--- a/crates/shared-state/examples/compare.rs
+++ b/crates/shared-state/examples/compare.rs
@@ -5,16 +5,22 @@
 //!     cargo run --release -p madderpoint-shared-state --example compare -- 10 300 3000
 //!     cargo run --release -p madderpoint-shared-state --example compare -- keys 10 300
 
-use madderpoint_shared_state::keyed::{KeyBudget, KeyKind};
-use madderpoint_shared_state::sim::{KeyLoad, Load, Plan, Sim, Way};
+use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaKind};
+use madderpoint_shared_state::simulation::{
+    KeyLoad, LimitStrategy, Load, Simulation, SimulationConfig,
+};
 use madderpoint_shared_state::{Budget, Kind, Nanos};
 use rand::RngExt;
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1000 * MS;
-const WAYS: [Way; 3] = [Way::Leases, Way::EvenByView, Way::Counter];
+const WAYS: [LimitStrategy; 3] = [
+    LimitStrategy::Leases,
+    LimitStrategy::EvenByView,
+    LimitStrategy::Counter,
+];
 
-fn plan(nodes: usize, way: Way, seed: u64) -> Plan {
+fn plan(nodes: usize, way: LimitStrategy, seed: u64) -> SimulationConfig {
     let limit = 100 * nodes as u32;
     let nodes_most = nodes as u32 * 5 / 4;
     let kind = Kind::Rate { burst: 50 * MS };
@@ -26,7 +32,7 @@
         kind,
         repeats_only: false,
     };
-    Plan {
+    SimulationConfig {
         nodes,
         zones: 3,
         way,
@@ -63,13 +69,13 @@
 }
 
 /// Seconds that a fleet of this size has to settle: terms get longer with it.
-fn settle(sim: &mut Sim) {
+fn settle(sim: &mut Simulation) {
     let time = if sim.plan.nodes > 600 { 60 } else { 12 };
     sim.run(time * S);
     sim.measure_anew();
 }
 
-fn line(name: &str, way: Way, seconds: u64, sim: &Sim) {
+fn line(name: &str, way: LimitStrategy, seconds: u64, sim: &Simulation) {
     let m = &sim.measured;
     let limit = f64::from(sim.plan.budget.limit);
     let nodes = sim.plan.nodes as f64;
@@ -85,8 +91,8 @@
 }
 
 /// Until nine tenths of the limit are in use after all demand has moved to others.
-fn adapts(nodes: usize, way: Way) -> Option<Nanos> {
-    let mut sim = Sim::new(plan(nodes, way, 1), skewed());
+fn adapts(nodes: usize, way: LimitStrategy) -> Option<Nanos> {
+    let mut sim = Simulation::new(plan(nodes, way, 1), skewed());
     settle(&mut sim);
     sim.load(Box::new(|n, _| if n % 5 == 1 { 1000.0 } else { 1.0 }));
     let begun = sim.now;
@@ -112,17 +118,17 @@
                 ("skewed", skewed),
                 ("moving", moving),
             ] {
-                let mut sim = Sim::new(plan(nodes, way, 1), load());
+                let mut sim = Simulation::new(plan(nodes, way, 1), load());
                 settle(&mut sim);
                 sim.run(20 * S);
                 line(name, way, 20, &sim);
             }
-            let mut sim = Sim::new(plan(nodes, way, 1), even());
+            let mut sim = Simulation::new(plan(nodes, way, 1), even());
             settle(&mut sim);
             sim.cut(|a, b| a % 3 != b % 3);
             sim.run(20 * S);
             line("cut in thirds", way, 20, &sim);
-            let mut sim = Sim::new(plan(nodes, way, 1), even());
+            let mut sim = Simulation::new(plan(nodes, way, 1), even());
             settle(&mut sim);
             for n in 0..nodes / 2 {
                 sim.crash(n * 2);
@@ -130,7 +136,7 @@
                 sim.start(n * 2);
             }
             line("half replaced in 20 s", way, 20, &sim);
-            let mut sim = Sim::new(plan(nodes, way, 1), even());
+            let mut sim = Simulation::new(plan(nodes, way, 1), even());
             settle(&mut sim);
             sim.crash(0);
             sim.run(20 * S);
@@ -144,21 +150,21 @@
 }
 
 /// Keys of a tenth as many as nodes, at least five; each 20 a second, 4 a node saved.
-fn key_plan(nodes: usize, way: Way, seed: u64) -> (Plan, u64) {
+fn key_plan(nodes: usize, way: LimitStrategy, seed: u64) -> (SimulationConfig, u64) {
     let (most, keys) = (nodes as u32 * 5 / 4, (nodes as u64 / 10).max(5));
-    let kind = KeyKind::Rate {
+    let kind = QuotaKind::Rate {
         count: 20,
         period: S,
         burst: 4 * most,
     };
-    let budget = KeyBudget {
+    let budget = KeyedQuota {
         name: "k".into(),
         kind,
         floor: 1,
         nodes_most: most,
     };
     (
-        Plan {
+        SimulationConfig {
             keys: Some(budget),
             key_bytes: 4 << 20,
             ..plan(nodes, way, seed)
@@ -218,7 +224,7 @@
                 ("over, cut in thirds", 60.0),
             ] {
                 let (plan, keys) = key_plan(nodes, way, 1);
-                let mut sim = Sim::new(plan, Box::new(|_, _| 0.0));
+                let mut sim = Simulation::new(plan, Box::new(|_, _| 0.0));
                 sim.key_load(match name {
                     "over, at one node of twenty" => at_few(nodes, keys, wanted, false),
                     "over, and it moves every 10 s" => at_few(nodes, keys, wanted, true),
--- a/crates/shared-state/src/gate.rs
+++ b/crates/shared-state/src/backend_gate.rs
@@ -1,8 +1,8 @@
 //! What needs a call that can't be made is turned away before it runs, at once and with the time at
 //! which it is worth to come back. Else it would run up to its call, hold a core, and err there.
 
-use crate::judge::{Judge, Mode};
-use crate::purse::Ends;
+use crate::budget_borrower::NodeBudgets;
+use crate::service_health::{HealthState, ServiceHealth};
 use crate::{MILLISECOND, Nanos, SECOND};
 
 /// What may be saved up, as a time.
@@ -17,7 +17,7 @@
 
 /// Lets in so many of those that need a call as there is room below.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct BackendGate {
     saved: f64,
     counted: Nanos,
     /// Calls that a run makes, on average.
@@ -29,10 +29,10 @@
     turned_away: u64,
 }
 
-impl Gate {
+impl BackendGate {
     /// Nothing is saved.
-    pub fn new(now: Nanos) -> Gate {
-        Gate {
+    pub fn new(now: Nanos) -> BackendGate {
+        BackendGate {
             saved: 0.0,
             counted: now,
             calls: 1.0,
@@ -47,8 +47,8 @@
     pub fn admits(
         &mut self,
         now: Nanos,
-        ends: Option<&mut Ends>,
-        judge: Option<&mut Judge>,
+        ends: Option<&mut NodeBudgets>,
+        judge: Option<&mut ServiceHealth>,
     ) -> Result<(), Nanos> {
         let service = judge.map_or(Ok(()), |judge| self.service(now, judge));
         let room = match (&service, ends) {
@@ -65,18 +65,18 @@
     }
 
     /// By what the service below is judged to be.
-    fn service(&mut self, now: Nanos, judge: &mut Judge) -> Result<(), Nanos> {
+    fn service(&mut self, now: Nanos, judge: &mut ServiceHealth) -> Result<(), Nanos> {
         let goes = match judge.mode() {
-            Mode::Open => true,
+            HealthState::Healthy => true,
             // Those who try it need something to try it with.
-            Mode::Closed => {
+            HealthState::Unavailable => {
                 let tries = judge.is_try_due(now) && now >= self.tried + TRY;
                 if tries {
                     self.tried = now;
                 }
                 tries
             }
-            Mode::Careful | Mode::Rising => {
+            HealthState::Degraded | HealthState::Recovering => {
                 self.owed += judge.level();
                 let goes = self.owed >= 1.0;
                 self.owed -= if goes { 1.0 } else { 0.0 };
@@ -91,7 +91,7 @@
     }
 
     /// By the budgets: as many runs as they have calls for.
-    fn room(&mut self, now: Nanos, ends: &mut Ends) -> Result<(), Nanos> {
+    fn room(&mut self, now: Nanos, ends: &mut NodeBudgets) -> Result<(), Nanos> {
         if let Some(pause) = ends.is_full(now) {
             ends.wished(now);
             return Err(pause.max(MILLISECOND));
--- a/crates/shared-state/src/gate/tests.rs
+++ b/crates/shared-state/src/backend_gate/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::purse::{Budget, Kind};
+use crate::budget_borrower::{Budget, Kind};
 
-fn ends(limit: u32) -> Ends {
+fn ends(limit: u32) -> NodeBudgets {
     let kind = Kind::Rate { burst: SECOND / 20 };
     let budget = Budget {
         name: "b".into(),
@@ -11,12 +11,12 @@
         kind,
         repeats_only: false,
     };
-    Ends::new(0, &[budget])
+    NodeBudgets::new(0, &[budget])
 }
 
 #[test]
 fn as_many_are_let_in_as_there_are_calls_for_and_the_rest_hears_when() {
-    let (mut gate, mut ends) = (Gate::new(0), ends(10));
+    let (mut gate, mut ends) = (BackendGate::new(0), ends(10));
     let (mut let_in, mut calls, mut waiting, mut pauses) = (0, 0, 0, Vec::new());
     for ms in 0..10_000 {
         let now = ms * MILLISECOND;
@@ -55,7 +55,7 @@
         kind,
         repeats_only: false,
     };
-    let (mut gate, mut ends) = (Gate::new(0), Ends::new(0, &[budget]));
+    let (mut gate, mut ends) = (BackendGate::new(0), NodeBudgets::new(0, &[budget]));
     for ms in 0..1000 {
         let _ = gate.admits(ms * MILLISECOND, Some(&mut ends), None);
     }
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_closed_service_lets_in_what_tries_it_and_a_rising_one_its_part() {
-    let (mut gate, mut judge) = (Gate::new(0), Judge::new(0, 0));
+    let (mut gate, mut judge) = (BackendGate::new(0), ServiceHealth::new(0, 0));
     (0..20).for_each(|_| judge.ended(SECOND, false));
     let now = 60 * SECOND;
     // Alone it tries every 5 s, if the one that was let in makes its call.
@@ -95,7 +95,7 @@
 
 #[test]
 fn runs_that_call_twice_are_let_in_half_as_often() {
-    let (mut gate, mut ends) = (Gate::new(0), ends(10));
+    let (mut gate, mut ends) = (BackendGate::new(0), ends(10));
     (0..200).for_each(|_| gate.ran(2));
     let let_in = (0..1000)
         .filter(|n| gate.admits(n * SECOND / 100, Some(&mut ends), None).is_ok())
--- a/crates/shared-state/src/purse.rs
+++ b/crates/shared-state/src/budget_borrower.rs
@@ -1,9 +1,9 @@
 //! A node's end of a budget: its floor, which was always its own, and the part that it was lent;
 //! what it may spend now.
 
-use crate::keyed::number;
-use crate::shared::Want;
-use crate::treasury::Part;
+use crate::budget_lender::Lease;
+use crate::keyed_quota::number;
+use crate::shared_state::BudgetRequest;
 use crate::{Nanos, SECOND, shorter};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -78,7 +78,7 @@
 
 /// A part as its borrower has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct HeldLease {
     book: u64,
     no: u64,
     units: u32,
@@ -87,7 +87,7 @@
     term: Nanos,
 }
 
-impl Held {
+impl HeldLease {
     /// What of it may be used now: all in the first half of its time, then half, then a quarter, so
     /// that one who hears nothing falls in steps.
     fn units(&self, now: Nanos) -> u32 {
@@ -108,9 +108,9 @@
 
 /// A node's end of a budget.
 #[derive(Clone, Debug)]
-pub struct Purse {
+pub struct BudgetBorrower {
     budget: Budget,
-    held: Option<Held>,
+    held: Option<HeldLease>,
     /// Calls that may be made at once, of a rate; with when they were counted up.
     saved: f64,
     counted: Nanos,
@@ -122,16 +122,16 @@
     window: Nanos,
     peak: u32,
     /// What the one who lends said with its latest part, and when that was.
-    told: Option<(Nanos, Part)>,
+    told: Option<(Nanos, Lease)>,
     allowed: u64,
     refused: u64,
 }
 
-impl Purse {
+impl BudgetBorrower {
     /// One of a node that has just started: nothing is saved and nothing is lent.
-    pub fn new(now: Nanos, budget: Budget) -> Purse {
+    pub fn new(now: Nanos, budget: Budget) -> BudgetBorrower {
         let window = now / WINDOW;
-        Purse {
+        BudgetBorrower {
             budget,
             held: None,
             saved: 0.0,
@@ -165,7 +165,7 @@
     /// A part came that was asked for then. One of the same book from before what is held is out of
     /// date, and one of another book counts only once what is held is over: no two are ever used
     /// together.
-    pub fn lend(&mut self, now: Nanos, asked: Nanos, part: Part) {
+    pub fn lend(&mut self, now: Nanos, asked: Nanos, part: Lease) {
         self.count_up(now);
         let takes = self.held.is_none_or(|held| {
             if held.book == part.book {
@@ -175,14 +175,14 @@
             }
         });
         if takes {
-            let Part {
+            let Lease {
                 book,
                 no,
                 units,
                 term,
                 ..
             } = part;
-            self.held = Some(Held {
+            self.held = Some(HeldLease {
                 book,
                 no,
                 units,
@@ -257,7 +257,7 @@
         self.share = share;
     }
 
-    /// Counts up what was saved since, at the rate that held. A clock may run fast by the drift, so
+    /// ClusterCounters up what was saved since, at the rate that held. A clock may run fast by the drift, so
     /// it is counted shorter.
     fn count_up(&mut self, now: Nanos) {
         let Kind::Rate { burst } = self.budget.kind else {
@@ -322,7 +322,7 @@
     }
 
     /// What was lent last, how long ago it was asked for, and how long ago it came.
-    pub fn part(&self, now: Nanos) -> Option<(Part, Nanos, Nanos)> {
+    pub fn part(&self, now: Nanos) -> Option<(Lease, Nanos, Nanos)> {
         let ((came, part), held) = self.told.zip(self.held)?;
         Some((
             part,
@@ -349,20 +349,20 @@
 
 /// All ends of one node.
 #[derive(Clone, Debug)]
-pub struct Ends {
-    purses: Vec<Purse>,
+pub struct NodeBudgets {
+    purses: Vec<BudgetBorrower>,
     value: f64,
     rng: Pcg64Mcg,
 }
 
-impl Ends {
+impl NodeBudgets {
     /// Of a node that has just started.
-    pub fn new(now: Nanos, budgets: &[Budget]) -> Ends {
+    pub fn new(now: Nanos, budgets: &[Budget]) -> NodeBudgets {
         let purses = budgets
             .iter()
-            .map(|budget| Purse::new(now, budget.clone()))
+            .map(|budget| BudgetBorrower::new(now, budget.clone()))
             .collect();
-        Ends {
+        NodeBudgets {
             purses,
             value: 1.0,
             rng: Pcg64Mcg::seed_from_u64(now),
@@ -371,7 +371,7 @@
 
     /// With chance of its own; each end begins short of its first call by a part of one, or
     /// processes that start in one instant would all send it in one.
-    pub fn with_seed(mut self, seed: u64) -> Ends {
+    pub fn with_seed(mut self, seed: u64) -> NodeBudgets {
         self.rng = Pcg64Mcg::seed_from_u64(seed);
         for purse in &mut self.purses {
             purse.saved = -self.rng.random::<f64>();
@@ -388,7 +388,7 @@
     }
 
     /// The end of each budget, in their order.
-    pub fn purses(&mut self) -> &mut [Purse] {
+    pub fn purses(&mut self) -> &mut [BudgetBorrower] {
         &mut self.purses
     }
 
@@ -428,7 +428,7 @@
         self.purses
             .iter_mut()
             .filter(|purse| repeats || !purse.budget.repeats_only)
-            .for_each(Purse::take_one);
+            .for_each(BudgetBorrower::take_one);
         Ok(())
     }
 
@@ -491,15 +491,15 @@
         self.purses
             .iter_mut()
             .filter(|purse| repeats || !purse.budget.repeats_only)
-            .for_each(Purse::over);
+            .for_each(BudgetBorrower::over);
     }
 
     /// What is wanted of each, and held.
-    pub fn wants(&mut self, now: Nanos) -> Vec<Want> {
+    pub fn wants(&mut self, now: Nanos) -> Vec<BudgetRequest> {
         let value = self.value;
-        let want = |purse: &mut Purse| {
+        let want = |purse: &mut BudgetBorrower| {
             let (budget, holds, units) = (purse.budget.id(), purse.holds(), purse.wants(now));
-            Want {
+            BudgetRequest {
                 budget,
                 holds,
                 units,
@@ -510,7 +510,7 @@
     }
 
     /// Parts came that were asked for then.
-    pub fn lent(&mut self, now: Nanos, asked: Nanos, parts: &[(u32, Part)]) {
+    pub fn lent(&mut self, now: Nanos, asked: Nanos, parts: &[(u32, Lease)]) {
         for (budget, part) in parts {
             if let Some(purse) = self
                 .purses
--- a/crates/shared-state/src/purse/tests.rs
+++ b/crates/shared-state/src/budget_borrower/tests.rs
@@ -14,13 +14,13 @@
     }
 }
 
-fn part(no: u64, units: u32) -> Part {
-    Part {
+fn part(no: u64, units: u32) -> Lease {
+    Lease {
         book: 1,
         no,
         units,
         term: TERM,
-        ..Part::default()
+        ..Lease::default()
     }
 }
 
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_deaf_node_falls_in_steps_to_its_floor_and_is_never_at_zero() {
-    let mut purse = Purse::new(0, rate(100, 2, 10));
+    let mut purse = BudgetBorrower::new(0, rate(100, 2, 10));
     purse.lend(100, 100, part(1, 80));
     let at = |ms: u64| purse.units(100 + ms * crate::MILLISECOND);
     assert_eq!(
@@ -51,7 +51,7 @@
 /// Never more than the rate over any window, whatever was saved, and however the part changes.
 #[test]
 fn a_rate_is_kept_over_every_window() {
-    let mut purse = Purse::new(0, rate(100, 0, 10));
+    let mut purse = BudgetBorrower::new(0, rate(100, 0, 10));
     let mut taken = Vec::new();
     for ms in 0..20_000u64 {
         let now = ms * crate::MILLISECOND;
@@ -84,7 +84,7 @@
 #[test]
 fn a_smaller_part_of_calls_in_hand_is_held_only_once_they_are_over() {
     let kind = Kind::InHand { longest: SECOND };
-    let mut purse = Purse::new(
+    let mut purse = BudgetBorrower::new(
         0,
         Budget {
             kind,
@@ -102,7 +102,7 @@
 
 #[test]
 fn demand_follows_what_was_tried_and_fades() {
-    let mut purse = Purse::new(0, rate(1000, 1, 10));
+    let mut purse = BudgetBorrower::new(0, rate(1000, 1, 10));
     for ms in 0..1000 {
         let _ = purse.take(ms * crate::MILLISECOND);
     }
@@ -116,12 +116,12 @@
 
 #[test]
 fn a_part_of_another_book_waits_for_the_end_of_what_is_held() {
-    let mut purse = Purse::new(0, rate(100, 0, 10));
+    let mut purse = BudgetBorrower::new(0, rate(100, 0, 10));
     purse.lend(0, 0, part(9, 50));
     purse.lend(
         10,
         10,
-        Part {
+        Lease {
             book: 2,
             ..part(1, 80)
         },
@@ -130,7 +130,7 @@
     purse.lend(
         TERM,
         TERM,
-        Part {
+        Lease {
             book: 2,
             ..part(1, 80)
         },
@@ -150,7 +150,7 @@
         repeats_only: true,
         ..rate(10, 1, 10)
     };
-    let mut ends = Ends::new(0, &[rate(20, 2, 10), in_hand, repeats]);
+    let mut ends = NodeBudgets::new(0, &[rate(20, 2, 10), in_hand, repeats]);
     let now = SECOND;
     let allowed = (0..9).filter(|_| ends.take(now, false).is_ok()).count();
     assert_eq!(
@@ -183,7 +183,7 @@
 
 #[test]
 fn one_that_returns_cold_has_saved_nothing() {
-    let mut purse = Purse::new(7 * SECOND, rate(100, 10, 10));
+    let mut purse = BudgetBorrower::new(7 * SECOND, rate(100, 10, 10));
     assert!(purse.take(7 * SECOND).is_err());
     assert!(purse.take(8 * SECOND).is_ok());
 }
@@ -192,8 +192,8 @@
 /// before.
 #[test]
 fn a_slow_start_uses_a_share_of_the_units_and_nothing_that_was_saved() {
-    let mut ends = Ends::new(0, &[rate(100, 50, 1)]).with_seed(1);
-    let taken = |ends: &mut Ends, from: u64, until: u64| {
+    let mut ends = NodeBudgets::new(0, &[rate(100, 50, 1)]).with_seed(1);
+    let taken = |ends: &mut NodeBudgets, from: u64, until: u64| {
         (from..until)
             .filter(|ms| ends.take(ms * crate::MILLISECOND, false).is_ok())
             .count()
--- a/crates/shared-state/src/treasury.rs
+++ b/crates/shared-state/src/budget_lender.rs
@@ -3,8 +3,8 @@
 //! lender's clock, with the drift added and, where units stay in use beyond their end, the longest
 //! use.
 
-use crate::allot::{Demand, allot};
-use crate::{Nanos, Who};
+use crate::fair_share::{Demand, allot};
+use crate::{Nanos, ProcessId};
 use std::collections::BTreeMap;
 
 /// Parts of one borrower that may still be in use at once; a borrower that never answers gets no
@@ -13,7 +13,7 @@
 
 /// A part that was lent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Lent {
+struct OutstandingLease {
     no: u64,
     units: u32,
     /// After this nothing of it is in use any more.
@@ -22,13 +22,13 @@
 
 /// What is known of a borrower.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Account {
-    lent: Vec<Lent>,
+struct BorrowerAccount {
+    lent: Vec<OutstandingLease>,
     demand: Demand,
     heard: Nanos,
 }
 
-impl Account {
+impl BorrowerAccount {
     /// Units that may be in use.
     fn out(&self, now: Nanos) -> u32 {
         self.lent
@@ -42,12 +42,12 @@
 
 /// What is lent of one budget.
 #[derive(Clone, Debug)]
-pub struct Treasury {
+pub struct BudgetLender {
     /// Tells these books from all others: numbers of parts are each book's own.
     id: u64,
     /// Units there are, beside everybody's floor.
     units: u32,
-    accounts: BTreeMap<Who, Account>,
+    accounts: BTreeMap<ProcessId, BorrowerAccount>,
     next: u64,
     /// How long a part holds for its borrower, and how long after its end units may be in use yet.
     term: Nanos,
@@ -59,23 +59,30 @@
 
 /// What is lent to one that asked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct Lease {
     pub book: u64,
     pub no: u64,
     pub units: u32,
     /// Counted from when the borrower asked, by its own clock.
     pub term: Nanos,
-    /// Why it is so much: what all ask for, how many they are, and what there is to lend.
+    /// RefusalReason it is so much: what all ask for, how many they are, and what there is to lend.
     pub wanted: u32,
     pub borrowers: u32,
     pub pool: u32,
 }
 
-impl Treasury {
+impl BudgetLender {
     /// Books that are begun now. Whoever lent before may have parts out for a term and the lag.
-    pub fn new(now: Nanos, id: u64, units: u32, term: Nanos, lag: Nanos, most: usize) -> Treasury {
+    pub fn new(
+        now: Nanos,
+        id: u64,
+        units: u32,
+        term: Nanos,
+        lag: Nanos,
+        most: usize,
+    ) -> BudgetLender {
         let before = now + longer(term) + lag;
-        Treasury {
+        BudgetLender {
             id,
             units,
             accounts: BTreeMap::new(),
@@ -108,11 +115,11 @@
     pub fn ask(
         &mut self,
         now: Nanos,
-        who: Who,
+        who: ProcessId,
         (book, holds): (u64, u64),
         demand: Demand,
         lender_until: Nanos,
-    ) -> Option<Part> {
+    ) -> Option<Lease> {
         // What it holds of another book says nothing of what it may still get of this one.
         let holds = if book == self.id { holds } else { 0 };
         if !self.accounts.contains_key(&who) && self.accounts.len() >= self.most {
@@ -147,7 +154,7 @@
         }
         let units = target.min(free);
         self.next += 1;
-        account.lent.push(Lent {
+        account.lent.push(OutstandingLease {
             no: self.next,
             units,
             gone,
@@ -159,7 +166,7 @@
         let wants = self.accounts.values().map(|account| account.demand.wants);
         let wanted = wants.fold(0, u32::saturating_add);
         let (borrowers, pool) = (self.accounts.len() as u32, self.units);
-        Some(Part {
+        Some(Lease {
             book: self.id,
             no: self.next,
             units,
@@ -171,7 +178,7 @@
     }
 
     /// A borrower gives all back: it leaves.
-    pub fn give_back(&mut self, who: Who) {
+    pub fn give_back(&mut self, who: ProcessId) {
         self.accounts.remove(&who);
     }
 
@@ -182,7 +189,7 @@
     }
 
     /// What one should have, given what all want.
-    fn target(&self, who: Who) -> u32 {
+    fn target(&self, who: ProcessId) -> u32 {
         let demands: Vec<Demand> = self
             .accounts
             .values()
--- a/crates/shared-state/src/treasury/tests.rs
+++ b/crates/shared-state/src/budget_lender/tests.rs
@@ -2,8 +2,8 @@
 
 const TERM: Nanos = 1000;
 
-fn who(key: u64) -> Who {
-    Who { key, life: key }
+fn who(key: u64) -> ProcessId {
+    ProcessId { key, life: key }
 }
 
 fn wants(wants: u32) -> Demand {
@@ -14,8 +14,8 @@
     }
 }
 
-fn begun() -> Treasury {
-    Treasury::new(0, 7, 100, TERM, 0, 64)
+fn begun() -> BudgetLender {
+    BudgetLender::new(0, 7, 100, TERM, 0, 64)
 }
 
 const LATER: Nanos = 5000;
@@ -119,7 +119,7 @@
 /// Calls in hand at the end of a part go on for a while: their units are not lent again before.
 #[test]
 fn units_in_use_beyond_the_end_of_a_part_come_back_after_their_lag() {
-    let mut books = Treasury::new(0, 7, 100, TERM, 500, 64);
+    let mut books = BudgetLender::new(0, 7, 100, TERM, 500, 64);
     let _ = books.ask(LATER, who(1), (0, 0), wants(100), LONG);
     let ends = LATER + longer(TERM);
     assert_eq!(
@@ -143,7 +143,7 @@
     let mut books = begun();
     let old = books.ask(LATER, who(1), (0, 0), wants(100), LONG).unwrap();
     assert_eq!(old.units, 100);
-    let new = Who { key: 1, life: 77 };
+    let new = ProcessId { key: 1, life: 77 };
     assert_eq!(
         books
             .ask(LATER + 10, new, (0, 0), wants(100), LONG)
@@ -180,7 +180,7 @@
 
 #[test]
 fn accounts_are_bounded_and_those_long_silent_forgotten() {
-    let mut books = Treasury::new(0, 7, 100, TERM, 0, 3);
+    let mut books = BudgetLender::new(0, 7, 100, TERM, 0, 3);
     let lent = (1..=5)
         .filter(|n| books.ask(LATER, who(*n), (0, 0), wants(1), LONG).is_some())
         .count();
--- a/crates/shared-state/src/counts.rs
+++ b/crates/shared-state/src/counts.rs
@@ -1,5 +1,5 @@
-//! Counts that a fleet adds up: each process counts for itself ([`Tally`]) and tells its sums, and
-//! whoever hears them ([`Counts`]), in any order and any number of times, comes to the same. What a
+//! ClusterCounters that a fleet adds up: each process counts for itself ([`ProcessCounters`]) and tells its sums, and
+//! whoever hears them ([`ClusterCounters`]), in any order and any number of times, comes to the same. What a
 //! process counts only grows, so of two words of it the larger holds, number by number; a process
 //! that returns under its name is another one, so that nothing is counted twice.
 //!
@@ -8,9 +8,9 @@
 //! beside it, so that one who was only cut off for long is taken out of the sum again when it is
 //! heard; after that time a word of theirs would count a second time.
 
-use crate::heavy::Heavy;
-use crate::latency::{Latency, Sparse};
-use crate::{Nanos, SECOND, Who};
+use crate::heavy_hitters::HeavyHitters;
+use crate::latency_histogram::{LatencyHistogram, Sparse};
+use crate::{Nanos, ProcessId, SECOND};
 use std::collections::BTreeMap;
 
 /// How long a window is, by each process's Unix clock; how many of them a process keeps and others
@@ -18,7 +18,7 @@
 pub const WINDOW_MS: u64 = 10_000;
 pub const WINDOWS: usize = 8;
 const DETAILED: usize = 3;
-/// Rows of a process: operations, and itself.
+/// CounterRows of a process: operations, and itself.
 pub const ROWS_MAX: usize = 32;
 /// Kinds of heavy keys.
 pub const HEAVY_MAX: usize = 4;
@@ -33,7 +33,7 @@
 
 /// Numbers of an operation.
 pub const COLUMNS: usize = 8;
-pub type Row = [u64; COLUMNS];
+pub type CounterRow = [u64; COLUMNS];
 /// What stands in which column of an operation's row.
 pub mod column {
     pub const ARRIVED: usize = 0;
@@ -67,22 +67,22 @@
 }
 /// Kinds of heavy keys: who sends most, who repeats most, and which keys are over a limit of the
 /// fleet.
-pub mod heavy {
+pub mod heavy_hitters {
     pub const CALLERS: u8 = 0;
     pub const REPEATERS: u8 = 1;
     pub const OVER_LIMIT: u8 = 2;
 }
 
-/// Rows by number.
-pub type Rows = BTreeMap<u32, Row>;
+/// CounterRows by number.
+pub type CounterRows = BTreeMap<u32, CounterRow>;
 
 /// What came in a time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Window {
-    pub rows: Rows,
+pub struct CounterWindow {
+    pub rows: CounterRows,
     /// Latencies by row.
     pub latency: BTreeMap<u32, Sparse>,
-    pub heavy: BTreeMap<u8, Heavy>,
+    pub heavy: BTreeMap<u8, HeavyHitters>,
     /// The most of memory in KB, and of descriptors, that was seen in it.
     pub gauges: [u64; 2],
 }
@@ -90,16 +90,16 @@
 /// What one process says of its counts: all since its start, and some windows. One word may say a
 /// part.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Word {
-    pub who: Who,
+pub struct CounterReport {
+    pub who: ProcessId,
     /// What it runs, told by a number.
     pub label: u64,
-    pub total: Rows,
+    pub total: CounterRows,
     /// By the window's number: Unix milliseconds divided by its length.
-    pub windows: BTreeMap<u64, Window>,
+    pub windows: BTreeMap<u64, CounterWindow>,
 }
 
-fn rise(into: &mut Rows, said: &Rows) {
+fn rise(into: &mut CounterRows, said: &CounterRows) {
     for (row, numbers) in said {
         if into.len() >= ROWS_MAX && !into.contains_key(row) {
             continue;
@@ -111,7 +111,7 @@
     }
 }
 
-fn add(into: &mut Rows, more: &Rows) {
+fn add(into: &mut CounterRows, more: &CounterRows) {
     for (row, numbers) in more {
         let sum = into.entry(*row).or_default();
         sum.iter_mut()
@@ -120,7 +120,7 @@
     }
 }
 
-fn subtract(from: &mut Rows, less: &Rows) {
+fn subtract(from: &mut CounterRows, less: &CounterRows) {
     for (row, numbers) in less {
         if let Some(sum) = from.get_mut(row) {
             sum.iter_mut()
@@ -130,7 +130,7 @@
     }
 }
 
-fn sum(rows: &Rows) -> u64 {
+fn sum(rows: &CounterRows) -> u64 {
     rows.values()
         .flatten()
         .fold(0, |sum, number| sum.saturating_add(*number))
@@ -140,9 +140,9 @@
     sparse.iter().map(|(_, count)| u64::from(*count)).sum()
 }
 
-impl Window {
+impl CounterWindow {
     /// Of two words of the same window the larger holds, part by part.
-    fn rise(&mut self, said: &Window) {
+    fn rise(&mut self, said: &CounterWindow) {
         rise(&mut self.rows, &said.rows);
         for (row, sparse) in said.latency.iter().take(ROWS_MAX) {
             let held = self.latency.entry(*row).or_default();
@@ -163,10 +163,10 @@
     }
 
     /// Adds another one's.
-    pub fn add(&mut self, other: &Window) {
+    pub fn add(&mut self, other: &CounterWindow) {
         add(&mut self.rows, &other.rows);
         for (row, sparse) in &other.latency {
-            let mut latency = Latency::default();
+            let mut latency = LatencyHistogram::default();
             latency.merge(self.latency.get(row).map_or(&[], Vec::as_slice));
             latency.merge(sparse);
             self.latency.insert(*row, latency.sparse());
@@ -183,23 +183,23 @@
 
 /// What a process counts of itself.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
-    total: Rows,
-    windows: BTreeMap<u64, Window>,
+pub struct ProcessCounters {
+    total: CounterRows,
+    windows: BTreeMap<u64, CounterWindow>,
     /// Latencies of the latest window, by row.
-    latency: BTreeMap<u32, Latency>,
+    latency: BTreeMap<u32, LatencyHistogram>,
     latest: u64,
 }
 
-impl Tally {
+impl ProcessCounters {
     /// Of a process that has just started.
-    pub fn new(unix_ms: u64) -> Tally {
-        let mut tally = Tally::default();
+    pub fn new(unix_ms: u64) -> ProcessCounters {
+        let mut tally = ProcessCounters::default();
         tally.add(unix_ms, OWN, own::STARTS, 1);
         tally
     }
 
-    fn window(&mut self, unix_ms: u64) -> &mut Window {
+    fn window(&mut self, unix_ms: u64) -> &mut CounterWindow {
         let no = unix_ms / WINDOW_MS;
         if no != self.latest {
             let latency = std::mem::take(&mut self.latency);
@@ -255,8 +255,8 @@
     }
 
     /// What it has to say: all since the start, and the latest windows.
-    pub fn word(&self, who: Who, label: u64, windows: usize) -> Word {
-        let mut latest: BTreeMap<u64, Window> = self
+    pub fn word(&self, who: ProcessId, label: u64, windows: usize) -> CounterReport {
+        let mut latest: BTreeMap<u64, CounterWindow> = self
             .windows
             .iter()
             .rev()
@@ -270,7 +270,7 @@
                 .map(|(row, latency)| (*row, latency.sparse()))
                 .collect();
         }
-        Word {
+        CounterReport {
             who,
             label,
             total: self.total.clone(),
@@ -292,10 +292,10 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Process {
+struct ProcessRecord {
     label: u64,
-    total: Rows,
-    windows: BTreeMap<u64, Window>,
+    total: CounterRows,
+    windows: BTreeMap<u64, CounterWindow>,
     /// What it ran in each window, as it said when that window was its latest.
     labels: BTreeMap<u64, u64>,
     heard: Nanos,
@@ -303,23 +303,23 @@
 
 /// What is known of all counts.
 #[derive(Clone, Debug)]
-pub struct Counts {
-    processes: BTreeMap<Who, Process>,
+pub struct ClusterCounters {
+    processes: BTreeMap<ProcessId, ProcessRecord>,
     /// The sum of those who are gone, and who they were.
-    gone: Rows,
-    gone_who: BTreeMap<Who, (Nanos, Rows)>,
+    gone: CounterRows,
+    gone_who: BTreeMap<ProcessId, (Nanos, CounterRows)>,
     most: usize,
     /// Words that found no room.
     refused: u64,
 }
 
-impl Counts {
+impl ClusterCounters {
     /// Over so many processes at most.
-    pub fn new(most: usize) -> Counts {
+    pub fn new(most: usize) -> ClusterCounters {
         let (processes, gone_who) = (BTreeMap::new(), BTreeMap::new());
-        Counts {
+        ClusterCounters {
             processes,
-            gone: Rows::new(),
+            gone: CounterRows::new(),
             gone_who,
             most: most.max(1),
             refused: 0,
@@ -327,7 +327,7 @@
     }
 
     /// A word came, from the process itself or by way of another.
-    pub fn hear(&mut self, now: Nanos, word: &Word) {
+    pub fn hear(&mut self, now: Nanos, word: &CounterReport) {
         if let Some((_, counted)) = self.gone_who.get(&word.who) {
             let mut risen = counted.clone();
             rise(&mut risen, &word.total);
@@ -339,9 +339,9 @@
                 subtract(&mut self.gone, &counted);
                 self.processes.insert(
                     word.who,
-                    Process {
+                    ProcessRecord {
                         total: counted,
-                        ..Process::default()
+                        ..ProcessRecord::default()
                     },
                 );
             }
@@ -387,15 +387,15 @@
     }
 
     /// All that is known of a process, to be told to one who lacks it.
-    pub fn word(&self, who: Who) -> Option<Word> {
+    pub fn word(&self, who: ProcessId) -> Option<CounterReport> {
         let process = self.processes.get(&who)?;
-        let Process {
+        let ProcessRecord {
             label,
             total,
             windows,
             ..
         } = process.clone();
-        Some(Word {
+        Some(CounterReport {
             who,
             label,
             total,
@@ -404,7 +404,7 @@
     }
 
     /// How far each process is known: the sum of all its numbers, which only grow.
-    pub fn marks(&self) -> impl Iterator<Item = (Who, u64)> {
+    pub fn marks(&self) -> impl Iterator<Item = (ProcessId, u64)> {
         self.processes
             .iter()
             .map(|(who, process)| (*who, sum(&process.total)))
@@ -412,8 +412,8 @@
 
     /// Adds those to the sum who are gone, by the fleet's view, and long silent; forgets who they
     /// were after their time.
-    pub fn tidy(&mut self, now: Nanos, is_there: impl Fn(Who) -> bool) {
-        let silent: Vec<Who> = self
+    pub fn tidy(&mut self, now: Nanos, is_there: impl Fn(ProcessId) -> bool) {
+        let silent: Vec<ProcessId> = self
             .processes
             .iter()
             .filter(|(who, process)| now >= process.heard + GONE && !is_there(**who))
@@ -439,7 +439,7 @@
     }
 
     /// All rows over the whole fleet, since all were started.
-    pub fn total(&self) -> Rows {
+    pub fn total(&self) -> CounterRows {
         let mut total = self.gone.clone();
         self.processes
             .values()
@@ -448,9 +448,14 @@
     }
 
     /// What came in the last windows that are whole, by this clock, at the processes of a kind.
-    pub fn lately(&self, unix_ms: u64, windows: u64, is: impl Fn(Who, u64) -> bool) -> Window {
+    pub fn lately(
+        &self,
+        unix_ms: u64,
+        windows: u64,
+        is: impl Fn(ProcessId, u64) -> bool,
+    ) -> CounterWindow {
         let this = unix_ms / WINDOW_MS;
-        let mut sum = Window::default();
+        let mut sum = CounterWindow::default();
         for (_, process) in self
             .processes
             .iter()
@@ -465,7 +470,10 @@
 
     /// Windows from this one on, each with its number and what the process ran in it, and whether
     /// it is the process's first one.
-    pub fn windows(&self, from: u64) -> impl Iterator<Item = (Who, u64, u64, bool, &Window)> {
+    pub fn windows(
+        &self,
+        from: u64,
+    ) -> impl Iterator<Item = (ProcessId, u64, u64, bool, &CounterWindow)> {
         self.processes.iter().flat_map(move |(who, process)| {
             let first = process.windows.first_key_value().map(|(no, _)| *no);
             let whole = process.windows.len() < WINDOWS;
@@ -477,7 +485,7 @@
     }
 
     /// Processes that are told apart, each with what it runs.
-    pub fn processes(&self) -> impl Iterator<Item = (Who, u64)> {
+    pub fn processes(&self) -> impl Iterator<Item = (ProcessId, u64)> {
         self.processes
             .iter()
             .map(|(who, process)| (*who, process.label))
--- a/crates/shared-state/src/counts/tests.rs
+++ b/crates/shared-state/src/counts/tests.rs
@@ -3,13 +3,13 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn who(key: u64, life: u64) -> Who {
-    Who { key, life }
+fn who(key: u64, life: u64) -> ProcessId {
+    ProcessId { key, life }
 }
 
 const UNIX: u64 = 1_800_000_000_000;
 
-fn arrived(counts: &Counts) -> u64 {
+fn arrived(counts: &ClusterCounters) -> u64 {
     counts.total().get(&7).map_or(0, |row| row[column::ARRIVED])
 }
 
@@ -23,14 +23,14 @@
         let mut true_total = 0;
         for key in 1..=5 {
             for life in 0..rng.random_range(1..3) {
-                let mut tally = Tally::new(UNIX);
+                let mut tally = ProcessCounters::new(UNIX);
                 let mut unix = UNIX;
                 for _ in 0..rng.random_range(1..30) {
                     let times = rng.random_range(0..9);
                     unix += rng.random_range(0..3000);
                     tally.add(unix, 7, column::ARRIVED, times);
                     tally.took(unix, 7, rng.random_range(1..2000) * 1_000_000);
-                    tally.heavy(unix, heavy::CALLERS, rng.random_range(0..40));
+                    tally.heavy(unix, heavy_hitters::CALLERS, rng.random_range(0..40));
                     true_total += times;
                     if rng.random_bool(0.3) {
                         said.push(tally.word(who(key, life), 1, rng.random_range(0..3)));
@@ -43,17 +43,17 @@
         for at in 0..said.len() {
             if rng.random_bool(0.3) {
                 let whole = said[at].clone();
-                said[at] = Word {
-                    total: Rows::new(),
+                said[at] = CounterReport {
+                    total: CounterRows::new(),
                     ..whole.clone()
                 };
-                said.push(Word {
+                said.push(CounterReport {
                     windows: BTreeMap::new(),
                     ..whole
                 });
             }
         }
-        let mut heard: Vec<Counts> = (0..3).map(|_| Counts::new(64)).collect();
+        let mut heard: Vec<ClusterCounters> = (0..3).map(|_| ClusterCounters::new(64)).collect();
         for counts in &mut heard {
             said.shuffle(&mut rng);
             let again = rng.random_range(0..=said.len());
@@ -62,13 +62,13 @@
                 .for_each(|word| counts.hear(0, word));
         }
         // One more hears only by way of the first.
-        let mut second_hand = Counts::new(64);
-        let all: Vec<Who> = heard[0].processes().map(|(who, _)| who).collect();
+        let mut second_hand = ClusterCounters::new(64);
+        let all: Vec<ProcessId> = heard[0].processes().map(|(who, _)| who).collect();
         all.iter()
             .filter_map(|who| heard[0].word(*who))
             .for_each(|word| second_hand.hear(0, &word));
         heard.push(second_hand);
-        let sums: Vec<(u64, Window)> = heard
+        let sums: Vec<(u64, CounterWindow)> = heard
             .iter()
             .map(|c| (arrived(c), c.lately(UNIX + 200_000, 30, |_, _| true)))
             .collect();
@@ -79,11 +79,11 @@
 
 #[test]
 fn one_that_returns_under_its_name_adds_to_its_past() {
-    let mut all = Counts::new(64);
-    let mut first = Tally::new(UNIX);
+    let mut all = ClusterCounters::new(64);
+    let mut first = ProcessCounters::new(UNIX);
     first.add(UNIX, 7, column::ARRIVED, 100);
     all.hear(0, &first.word(who(1, 1), 0, 2));
-    let mut second = Tally::new(UNIX);
+    let mut second = ProcessCounters::new(UNIX);
     second.add(UNIX, 7, column::ARRIVED, 5);
     all.hear(0, &second.word(who(1, 2), 0, 2));
     all.hear(0, &first.word(who(1, 1), 0, 2)); // late
@@ -94,11 +94,11 @@
 /// gone counts no more.
 #[test]
 fn memory_is_bounded_as_processes_come_and_go() {
-    let mut all = Counts::new(50);
+    let mut all = ClusterCounters::new(50);
     let mut now = 0;
-    let mut last = Word::default();
+    let mut last = CounterReport::default();
     for life in 1..=5000u64 {
-        let mut tally = Tally::new(UNIX + now / 1_000_000);
+        let mut tally = ProcessCounters::new(UNIX + now / 1_000_000);
         tally.add(UNIX + now / 1_000_000, 7, column::ARRIVED, 3);
         last = tally.word(who(life % 20 + 1, life), 0, 2);
         all.hear(now, &last);
@@ -121,7 +121,7 @@
 /// twice.
 #[test]
 fn one_that_was_silent_for_long_and_speaks_again_counts_once() {
-    let (mut all, mut one) = (Counts::new(9), Tally::new(UNIX));
+    let (mut all, mut one) = (ClusterCounters::new(9), ProcessCounters::new(UNIX));
     one.add(UNIX, 7, column::ARRIVED, 100);
     all.hear(0, &one.word(who(1, 1), 0, 2));
     all.tidy(3600 * SECOND, |_| true); // idle, and there
@@ -138,7 +138,7 @@
 /// What a process ran in a window is what it said then, though it runs something else now.
 #[test]
 fn a_window_keeps_what_was_run_in_it() {
-    let (mut all, mut one) = (Counts::new(9), Tally::new(UNIX));
+    let (mut all, mut one) = (ClusterCounters::new(9), ProcessCounters::new(UNIX));
     for (window, label) in [(0, 1), (1, 1), (2, 2)] {
         one.add(UNIX + window * WINDOW_MS, 7, column::ARRIVED, 1);
         all.hear(0, &one.word(who(1, 1), label, 2));
@@ -153,18 +153,18 @@
 
 #[test]
 fn more_processes_and_rows_than_there_is_room_for_are_left_out() {
-    let mut all = Counts::new(3);
+    let mut all = ClusterCounters::new(3);
     for life in 1..=5 {
-        let mut tally = Tally::new(UNIX);
+        let mut tally = ProcessCounters::new(UNIX);
         tally.add(UNIX, 7, column::ARRIVED, 1);
         all.hear(0, &tally.word(who(life, life), 0, 2));
     }
     assert_eq!((arrived(&all), all.refused()), (3, 2));
-    let mut tally = Tally::new(UNIX);
+    let mut tally = ProcessCounters::new(UNIX);
     (0..100).for_each(|row| tally.add(UNIX, row, 0, 1));
     let mut wide = tally.word(who(1, 1), 0, 2);
     assert_eq!(wide.total.len(), ROWS_MAX);
-    (0..100).for_each(|row| _ = wide.total.insert(1000 + row, Row::default()));
+    (0..100).for_each(|row| _ = wide.total.insert(1000 + row, CounterRow::default()));
     all.hear(0, &wide);
     assert_eq!(all.word(who(1, 1)).unwrap().total.len(), ROWS_MAX);
 }
@@ -172,14 +172,14 @@
 /// Windows end; the latest have their details; and cohorts are told apart over the same time.
 #[test]
 fn windows_end_and_cohorts_are_told_apart() {
-    let mut all = Counts::new(9);
+    let mut all = ClusterCounters::new(9);
     for (key, label) in [(1, 10), (2, 20), (3, 20)] {
-        let mut tally = Tally::new(UNIX);
+        let mut tally = ProcessCounters::new(UNIX);
         for window in 0..100 {
             let unix = UNIX + window * WINDOW_MS;
             tally.add(unix, 7, column::ARRIVED, 2 * key);
             tally.took(unix, 7, key * 10_000_000);
-            tally.heavy(unix, heavy::CALLERS, key);
+            tally.heavy(unix, heavy_hitters::CALLERS, key);
         }
         let word = tally.word(who(key, key), label, usize::MAX);
         assert_eq!(word.windows.len(), WINDOWS);
@@ -196,7 +196,7 @@
         (6, 30, 80)
     );
     assert_eq!(how_many(&of(20, 99).latency[&7]), 2 * DETAILED as u64);
-    let mut latency = Latency::default();
+    let mut latency = LatencyHistogram::default();
     latency.merge(&of(20, 2).latency[&7]);
     assert!(latency.quantile(0.4) < 22_000_000 && latency.quantile(0.9) > 28_000_000);
 }
--- a/crates/shared-state/src/heavy.rs
+++ b/crates/shared-state/src/heavy_hitters.rs
@@ -10,16 +10,16 @@
 
 /// A summary.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heavy {
+pub struct HeavyHitters {
     /// All that came.
     pub total: u64,
     entries: BTreeMap<u64, u64>,
 }
 
-impl Heavy {
+impl HeavyHitters {
     /// As it was told; what is beyond its bounds is not taken.
-    pub fn of(total: u64, entries: impl Iterator<Item = (u64, u64)>) -> Heavy {
-        let mut heavy = Heavy {
+    pub fn of(total: u64, entries: impl Iterator<Item = (u64, u64)>) -> HeavyHitters {
+        let mut heavy = HeavyHitters {
             total,
             entries: BTreeMap::new(),
         };
@@ -49,7 +49,7 @@
     }
 
     /// Another one's are added.
-    pub fn merge(&mut self, other: &Heavy) {
+    pub fn merge(&mut self, other: &HeavyHitters) {
         self.total = self.total.saturating_add(other.total);
         for (key, times) in &other.entries {
             let count = self.entries.entry(*key).or_default();
--- a/crates/shared-state/src/heavy/tests.rs
+++ b/crates/shared-state/src/heavy_hitters/tests.rs
@@ -10,7 +10,7 @@
     for seed in 0..60 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut true_counts: BTreeMap<u64, u64> = BTreeMap::new();
-        let mut of: Vec<Heavy> = vec![Heavy::default(); rng.random_range(1..9)];
+        let mut of: Vec<HeavyHitters> = vec![HeavyHitters::default(); rng.random_range(1..9)];
         let all = rng.random_range(100..20_000u64);
         for _ in 0..all {
             let heavy = rng.random_bool(0.4);
@@ -23,7 +23,7 @@
             let n = rng.random_range(0..of.len());
             of[n].add(key, 1);
         }
-        let mut sum = Heavy::default();
+        let mut sum = HeavyHitters::default();
         while !of.is_empty() {
             let one = of.swap_remove(rng.random_range(0..of.len()));
             sum.merge(&one);
@@ -52,6 +52,6 @@
 
 #[test]
 fn what_is_told_is_bounded() {
-    let heavy = Heavy::of(10, (0..100).map(|key| (key, 1000)));
+    let heavy = HeavyHitters::of(10, (0..100).map(|key| (key, 1000)));
     assert!(heavy.most().len() == ENTRIES && heavy.most().iter().all(|(_, count)| *count <= 10));
 }
--- a/crates/shared-state/src/keyed.rs
+++ b/crates/shared-state/src/keyed_quota.rs
@@ -11,8 +11,8 @@
 //! Beside that each node has a floor: a few units of each key that were set aside for it, made at a
 //! sixteenth of the rate over all nodes. A node that hears nothing has these.
 
-pub mod books;
-pub mod wallet;
+pub mod borrower;
+pub mod lender;
 
 use crate::{MILLISECOND, Nanos, SECOND};
 
@@ -25,7 +25,7 @@
 
 /// What is limited of each key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum KeyKind {
+pub enum QuotaKind {
     /// So many in a period; so many may be saved.
     Rate {
         count: u32,
@@ -38,10 +38,10 @@
 
 /// A limit by key for the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeyBudget {
+pub struct KeyedQuota {
     /// Tells it from all others, on all nodes.
     pub name: String,
-    pub kind: KeyKind,
+    pub kind: QuotaKind,
     /// Units of each key that each node has for itself.
     pub floor: u32,
     /// Processes that run at once, at most.
@@ -55,13 +55,13 @@
     })
 }
 
-impl KeyBudget {
+impl KeyedQuota {
     /// What nodes call it to each other. The kind is in it: a limit that changes its kind is
     /// another one.
     pub fn id(&self) -> u32 {
         let kind = match self.kind {
-            KeyKind::Rate { .. } => "rate",
-            KeyKind::InHand { .. } => "in hand",
+            QuotaKind::Rate { .. } => "rate",
+            QuotaKind::InHand { .. } => "in hand",
         };
         number(&format!("{} {kind}", self.name))
     }
@@ -69,8 +69,8 @@
     /// All units of a key that may exist at once.
     fn most(&self) -> u32 {
         match self.kind {
-            KeyKind::Rate { burst, .. } => burst,
-            KeyKind::InHand { limit, .. } => limit,
+            QuotaKind::Rate { burst, .. } => burst,
+            QuotaKind::InHand { limit, .. } => limit,
         }
     }
 
@@ -90,8 +90,8 @@
         }
         if floors >= u64::from(self.most()) {
             let word = match self.kind {
-                KeyKind::Rate { .. } => "burst",
-                KeyKind::InHand { .. } => "limit",
+                QuotaKind::Rate { .. } => "burst",
+                QuotaKind::InHand { .. } => "limit",
             };
             return Err(format!(
                 "'{}': the floors of {} nodes are {floors}, and nothing of the {word} of {} is left to lend",
@@ -114,7 +114,7 @@
     /// Time for a unit that is lent to be made. The clock of the one who lends may run fast by the
     /// drift, so it is longer.
     pub fn interval(&self) -> Option<Nanos> {
-        let KeyKind::Rate { count, period, .. } = self.kind else {
+        let QuotaKind::Rate { count, period, .. } = self.kind else {
             return Some(Nanos::MAX);
         };
         let even = period.checked_div(u64::from(count))?;
@@ -128,7 +128,7 @@
 
     /// Time for a unit of a node's floor to be made.
     pub fn floor_interval(&self) -> Nanos {
-        let KeyKind::Rate { count, period, .. } = self.kind else {
+        let QuotaKind::Rate { count, period, .. } = self.kind else {
             return 0;
         };
         let even = period / u64::from(count.max(1)) + 1;
@@ -141,15 +141,15 @@
     /// How long units may be in use after their time is over.
     pub fn lag(&self) -> Nanos {
         match self.kind {
-            KeyKind::Rate { .. } => 0,
-            KeyKind::InHand { longest, .. } => longest,
+            QuotaKind::Rate { .. } => 0,
+            QuotaKind::InHand { longest, .. } => longest,
         }
     }
 }
 
 /// How often keys are asked for. The same on all nodes, as it follows from their settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rhythm {
+pub struct QuotaTiming {
     /// Between two questions of a node, in the long run.
     pub urgent: Nanos,
     /// What a node uses of a key is told, and asked for anew, this often.
@@ -160,12 +160,12 @@
     pub keep: Nanos,
 }
 
-impl Rhythm {
+impl QuotaTiming {
     /// For so many nodes at most, all of which ask one.
-    pub fn of(nodes_most: u32) -> Rhythm {
+    pub fn of(nodes_most: u32) -> QuotaTiming {
         let urgent = (250 * MILLISECOND).max(SECOND * u64::from(nodes_most) / QUESTIONS);
         let renew = 4 * urgent;
-        Rhythm {
+        QuotaTiming {
             urgent,
             renew,
             life: 3 * renew,
@@ -177,7 +177,7 @@
 /// A question about one key: what its node has left and keeps, what it gives back, and what it
 /// wants beside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeyAsk {
+pub struct KeyRequest {
     pub budget: u32,
     pub key: u64,
     pub left: u32,
@@ -187,17 +187,17 @@
 
 /// A question about some keys. Numbers grow with each question of a process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct KeysAsked {
+pub struct QuotaRequest {
     pub no: u32,
     /// The asker's time, which comes back.
     pub stamp: Nanos,
-    pub keys: Vec<KeyAsk>,
+    pub keys: Vec<KeyRequest>,
 }
 
 /// What a node gets of a key beside what it keeps; and where that is nothing, when it is worth to
 /// ask again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeyLent {
+pub struct KeyGrant {
     pub budget: u32,
     pub key: u64,
     pub adds: u32,
@@ -206,12 +206,12 @@
 
 /// The answer to a question.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct KeysLent {
+pub struct QuotaGrant {
     pub no: u32,
     pub stamp: Nanos,
     /// All that the asker has of these keys now holds for so long from its question.
     pub life: Nanos,
-    pub keys: Vec<KeyLent>,
+    pub keys: Vec<KeyGrant>,
 }
 
 #[cfg(test)]
--- a/crates/shared-state/src/keyed/wallet.rs
+++ b/crates/shared-state/src/keyed_quota/borrower.rs
@@ -2,7 +2,7 @@
 //! It never waits: a unit is here or it is not, and where it is not the caller hears when it is
 //! worth to come back.
 
-use super::{KEYS_ASKED, KeyAsk, KeyBudget, KeyKind, KeysAsked, KeysLent, Rhythm};
+use super::{KEYS_ASKED, KeyRequest, KeyedQuota, QuotaGrant, QuotaKind, QuotaRequest, QuotaTiming};
 use crate::{MILLISECOND, Nanos, shorter};
 use madderpoint_rate_limits::sketch::Times;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -21,12 +21,12 @@
 const ANSWER: Nanos = 40 * MILLISECOND;
 /// Questions that may be asked at once after a rest.
 const AT_ONCE: f64 = 4.0;
-/// Pockets of which the least lately used makes room for another key.
+/// LeasedUnitsByKey of which the least lately used makes room for another key.
 const SAMPLE: usize = 8;
 
 /// Units of a key that were lent to a node: what must hold of them is all here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Slip {
+pub struct UnitLease {
     units: u32,
     /// Until when they are good.
     until: Nanos,
@@ -35,7 +35,7 @@
     answered: bool,
 }
 
-impl Slip {
+impl UnitLease {
     /// Units that are good now.
     pub fn units(&self, now: Nanos) -> u32 {
         if now < self.until { self.units } else { 0 }
@@ -69,8 +69,8 @@
 
 /// What a node has of a key.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pocket {
-    slip: Slip,
+struct LeasedUnits {
+    slip: UnitLease,
     in_hand: u32,
     /// When a next unit of the floor would come evenly.
     floor_due: Nanos,
@@ -89,9 +89,9 @@
     later: Nanos,
 }
 
-/// Why a unit is refused.
+/// RefusalReason a unit is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RefusalReason {
     /// None is here; the one who lends is asked.
     Asked,
     /// The one who lends has none now.
@@ -104,30 +104,30 @@
 
 /// A unit is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
-    pub why: Why,
+pub struct QuotaExceeded {
+    pub why: RefusalReason,
     /// After this it is worth to ask again.
     pub pause: Nanos,
 }
 
 /// What was let through and refused of a budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct KeyTally {
+pub struct QuotaCounters {
     /// By a unit that was lent, and by the floor.
     pub lent: u64,
     pub floor: u64,
-    /// Refused, in the order of [`Why`].
+    /// QuotaExceeded, in the order of [`RefusalReason`].
     pub refused: [u64; 4],
 }
 
 type Place = (u32, u64);
-/// By a hash with a secret of its own: see [`super::books`].
-type Pockets = HashMap<Place, Pocket>;
+/// By a hash with a secret of its own: see [`super::lender`].
+type LeasedUnitsByKey = HashMap<Place, LeasedUnits>;
 
 /// What is needed of a budget for each unit, worked out once.
 #[derive(Clone, Copy, Debug)]
-struct Terms {
-    kind: KeyKind,
+struct UnitTerms {
+    kind: QuotaKind,
     floor: u32,
     pool: u32,
     floor_interval: Nanos,
@@ -135,11 +135,11 @@
     tolerance: Nanos,
 }
 
-impl Terms {
-    fn of(budget: &KeyBudget) -> Terms {
+impl UnitTerms {
+    fn of(budget: &KeyedQuota) -> UnitTerms {
         let floor_interval = budget.floor_interval();
         let tolerance = floor_interval.saturating_mul(u64::from(budget.floor.saturating_sub(1)));
-        Terms {
+        UnitTerms {
             kind: budget.kind,
             floor: budget.floor,
             pool: budget.pool(),
@@ -149,19 +149,19 @@
     }
 
     /// Whether the floor of a rate has a unit.
-    fn has_floor(&self, now: Nanos, pocket: &Pocket) -> bool {
+    fn has_floor(&self, now: Nanos, pocket: &LeasedUnits) -> bool {
         self.floor > 0 && pocket.floor_due <= now.saturating_add(self.tolerance)
     }
 }
 
 /// All pockets of a node.
-pub struct Wallet {
-    budgets: BTreeMap<u32, KeyBudget>,
-    terms: BTreeMap<u32, Terms>,
-    tallies: BTreeMap<u32, KeyTally>,
-    rhythm: Rhythm,
+pub struct QuotaBorrower {
+    budgets: BTreeMap<u32, KeyedQuota>,
+    terms: BTreeMap<u32, UnitTerms>,
+    tallies: BTreeMap<u32, QuotaCounters>,
+    rhythm: QuotaTiming,
     started: Nanos,
-    pockets: Pockets,
+    pockets: LeasedUnitsByKey,
     most: usize,
     /// Floors of keys that have no pocket.
     times: Times,
@@ -179,24 +179,24 @@
     lender_asked: Nanos,
 }
 
-impl Wallet {
+impl QuotaBorrower {
     /// Of a node that has just started: nothing is lent, and floors are empty. It takes about so
     /// many bytes.
     pub fn new(
         now: Nanos,
-        budgets: &[KeyBudget],
-        rhythm: Rhythm,
+        budgets: &[KeyedQuota],
+        rhythm: QuotaTiming,
         bytes: usize,
         seed: u64,
-    ) -> Wallet {
+    ) -> QuotaBorrower {
         let cells = (bytes / 4 / CELL_BYTES).max(64);
-        let mut wallet = Wallet {
+        let mut wallet = QuotaBorrower {
             budgets: BTreeMap::new(),
             terms: BTreeMap::new(),
             tallies: BTreeMap::new(),
             rhythm,
             started: now,
-            pockets: Pockets::default(),
+            pockets: LeasedUnitsByKey::default(),
             most: (bytes / 4 * 3 / POCKET_BYTES).max(16),
             times: Times::new(cells, seed),
             urgent: Vec::new(),
@@ -215,7 +215,7 @@
 
     /// Other limits hold from now on. What lies in pockets stays until it is used or its time is
     /// over.
-    pub fn rebudget(&mut self, budgets: &[KeyBudget]) {
+    pub fn rebudget(&mut self, budgets: &[KeyedQuota]) {
         self.budgets = budgets
             .iter()
             .map(|budget| (budget.id(), budget.clone()))
@@ -223,7 +223,7 @@
         self.terms = self
             .budgets
             .iter()
-            .map(|(id, budget)| (*id, Terms::of(budget)))
+            .map(|(id, budget)| (*id, UnitTerms::of(budget)))
             .collect();
         let ids = &self.budgets;
         self.pockets
@@ -235,14 +235,14 @@
     }
 
     /// The pocket of a key, made if it is not there; none if there is no room for one.
-    fn pocket(&mut self, now: Nanos, place: Place) -> Option<&mut Pocket> {
+    fn pocket(&mut self, now: Nanos, place: Place) -> Option<&mut LeasedUnits> {
         if self.pockets.len() >= self.most
             && !self.pockets.contains_key(&place)
             && !self.make_room(now)
         {
             return None;
         }
-        let Wallet {
+        let QuotaBorrower {
             pockets,
             terms,
             times,
@@ -259,11 +259,11 @@
             let floor_due = begins.max(times.due(place.0, place.1));
             let due = now + rhythm.renew;
             later.push_back((due, place));
-            Pocket {
+            LeasedUnits {
                 floor_due,
                 asked_at: now,
                 later: due,
-                ..Pocket::default()
+                ..LeasedUnits::default()
             }
         }))
     }
@@ -304,25 +304,25 @@
     }
 
     /// Whether one more of a key may go. Nothing is taken yet.
-    pub fn fits(&mut self, now: Nanos, budget: u32, key: u64) -> Result<(), Refused> {
+    pub fn fits(&mut self, now: Nanos, budget: u32, key: u64) -> Result<(), QuotaExceeded> {
         let Some(of) = self.terms.get(&budget).copied() else {
             return Ok(());
         };
         let (place, deaf) = ((budget, key), self.is_deaf(now));
         let (life, next) = (self.rhythm.life, self.next_question(now));
         let Some(pocket) = self.pocket(now, place) else {
-            self.tallies.entry(budget).or_default().refused[Why::Room as usize] += 1;
-            return Err(Refused {
-                why: Why::Room,
+            self.tallies.entry(budget).or_default().refused[RefusalReason::Room as usize] += 1;
+            return Err(QuotaExceeded {
+                why: RefusalReason::Room,
                 pause: life,
             });
         };
         let fits = match of.kind {
-            KeyKind::Rate { .. } => {
+            QuotaKind::Rate { .. } => {
                 pocket.tries = pocket.tries.saturating_add(1);
                 pocket.slip.units(now) > 0 || of.has_floor(now, pocket)
             }
-            KeyKind::InHand { .. } => {
+            QuotaKind::InHand { .. } => {
                 pocket.tries = pocket.tries.max(pocket.in_hand.saturating_add(1));
                 pocket.in_hand < of.floor + pocket.slip.units(now)
             }
@@ -332,29 +332,29 @@
             return Ok(());
         }
         let floor = match of.kind {
-            KeyKind::Rate { .. } if of.floor > 0 => {
+            QuotaKind::Rate { .. } if of.floor > 0 => {
                 pocket.floor_due.saturating_sub(of.tolerance + now)
             }
             _ => Nanos::MAX,
         };
         let (empty_until, was_asked) = (pocket.empty_until, pocket.urgent);
         let (why, pause) = match deaf {
-            true => (Why::Deaf, life),
-            false if empty_until > now => (Why::Short, empty_until - now),
-            false => (Why::Asked, next.saturating_sub(now) + ANSWER),
+            true => (RefusalReason::Deaf, life),
+            false if empty_until > now => (RefusalReason::Short, empty_until - now),
+            false => (RefusalReason::Asked, next.saturating_sub(now) + ANSWER),
         };
         if !was_asked && empty_until <= now {
             self.urge(now, place);
         }
         self.tallies.entry(budget).or_default().refused[why as usize] += 1;
-        Err(Refused {
+        Err(QuotaExceeded {
             why,
             pause: pause.min(floor).max(MILLISECOND),
         })
     }
 
     /// Takes one of a key that fits. Whether it is in hand from here on, and must go back through
-    /// [`Wallet::done`].
+    /// [`QuotaBorrower::done`].
     pub fn take(&mut self, now: Nanos, budget: u32, key: u64) -> bool {
         let Some(of) = self.terms.get(&budget).copied() else {
             return false;
@@ -364,7 +364,7 @@
             return false;
         };
         let (is_lent, low) = match of.kind {
-            KeyKind::Rate { .. } => {
+            QuotaKind::Rate { .. } => {
                 let lent = pocket.slip.units(now) > 0;
                 // A floor that is full would make nothing more: it goes first.
                 let full = of.floor > 0 && pocket.floor_due <= now;
@@ -376,7 +376,7 @@
                 }
                 (is_lent, pocket.slip.units(now) * 3 <= pocket.need)
             }
-            KeyKind::InHand { .. } => {
+            QuotaKind::InHand { .. } => {
                 pocket.in_hand += 1;
                 let room = of.floor + pocket.slip.units(now);
                 (pocket.in_hand > of.floor, pocket.in_hand >= room)
@@ -391,7 +391,7 @@
         if low && !quiet {
             self.urge(now, place);
         }
-        matches!(of.kind, KeyKind::InHand { .. })
+        matches!(of.kind, QuotaKind::InHand { .. })
     }
 
     /// What was taken of a number in hand is over.
@@ -442,7 +442,7 @@
     }
 
     /// The question that is due now, if one is.
-    pub fn ask(&mut self, now: Nanos) -> Option<KeysAsked> {
+    pub fn ask(&mut self, now: Nanos) -> Option<QuotaRequest> {
         self.refill(now);
         let is_due = !self.urgent.is_empty() && now >= self.urgent_since + TOGETHER
             || self.later.front().is_some_and(|(due, _)| *due <= now);
@@ -450,7 +450,7 @@
             return None;
         }
         let no = self.no + 1;
-        let mut asked = KeysAsked {
+        let mut asked = QuotaRequest {
             no,
             stamp: now,
             keys: Vec::new(),
@@ -464,7 +464,7 @@
             let Some((due, place)) = self.later.pop_front_if(|(due, _)| *due <= now) else {
                 break;
             };
-            let Rhythm { renew, keep, .. } = self.rhythm;
+            let QuotaTiming { renew, keep, .. } = self.rhythm;
             // One that was let go of meanwhile, and perhaps came anew, has another place in the
             // queue or none.
             let Some(pocket) = self
@@ -493,35 +493,35 @@
     }
 
     /// Says of a key what is left and kept, and what is wanted.
-    fn question(&mut self, now: Nanos, no: u32, place: Place, keys: &mut Vec<KeyAsk>) {
+    fn question(&mut self, now: Nanos, no: u32, place: Place, keys: &mut Vec<KeyRequest>) {
         let Some(of) = self.terms.get(&place.0).copied() else {
             return;
         };
-        let Rhythm { renew, keep, .. } = self.rhythm;
+        let QuotaTiming { renew, keep, .. } = self.rhythm;
         let Some(pocket) = self.pockets.get_mut(&place) else {
             return;
         };
         let is_used = now < pocket.used + keep;
         let tries = match of.kind {
-            KeyKind::Rate { .. } => {
+            QuotaKind::Rate { .. } => {
                 let passed = now.saturating_sub(pocket.asked_at).max(renew / 8);
                 f64::from(pocket.tries) * renew as f64 / passed as f64
             }
-            KeyKind::InHand { .. } => f64::from(pocket.tries.saturating_sub(of.floor)),
+            QuotaKind::InHand { .. } => f64::from(pocket.tries.saturating_sub(of.floor)),
         };
         pocket.lately = (f64::from(pocket.lately) * FADES).max(tries) as f32;
         let need = (f64::from(pocket.lately) * AHEAD).ceil() as u32;
-        // Who uses a key now and then has one at hand.
+        // ProcessId uses a key now and then has one at hand.
         let need = if is_used { need.max(1) } else { 0 }.min(of.pool);
         let in_use = match of.kind {
-            KeyKind::Rate { .. } => 0,
-            KeyKind::InHand { .. } => pocket.in_hand.saturating_sub(of.floor),
+            QuotaKind::Rate { .. } => 0,
+            QuotaKind::InHand { .. } => pocket.in_hand.saturating_sub(of.floor),
         };
         // What is in use is told as left, whatever became of the units that it was taken by.
         let (kept, back) = pocket.slip.ask(now, no, need.max(in_use));
         let left = kept.max(in_use);
         (pocket.need, pocket.asked_at, pocket.tries, pocket.urgent) = (need, now, 0, false);
-        keys.push(KeyAsk {
+        keys.push(KeyRequest {
             budget: place.0,
             key: place.1,
             left,
@@ -532,7 +532,7 @@
 
     /// An answer came. What it says of a key counts only if no later question was asked about that:
     /// the one who lends goes by the latest question.
-    pub fn lent(&mut self, now: Nanos, lent: &KeysLent) {
+    pub fn lent(&mut self, now: Nanos, lent: &QuotaGrant) {
         if lent.stamp > now {
             return;
         }
@@ -555,7 +555,7 @@
     pub fn let_go(&mut self) -> bool {
         self.pockets
             .values_mut()
-            .for_each(|pocket| pocket.slip = Slip::default());
+            .for_each(|pocket| pocket.slip = UnitLease::default());
         self.pockets.values().all(|pocket| pocket.in_hand == 0)
     }
 
@@ -576,7 +576,7 @@
     }
 
     /// What came of each budget.
-    pub fn tallies(&self) -> impl Iterator<Item = (&KeyBudget, KeyTally)> {
+    pub fn tallies(&self) -> impl Iterator<Item = (&KeyedQuota, QuotaCounters)> {
         self.budgets
             .iter()
             .map(|(id, budget)| (budget, self.tallies.get(id).copied().unwrap_or_default()))
--- a/crates/shared-state/src/keyed/wallet/tests.rs
+++ b/crates/shared-state/src/keyed_quota/borrower/tests.rs
@@ -1,14 +1,14 @@
-use super::super::KeyLent;
+use super::super::KeyGrant;
 use super::*;
 use crate::SECOND;
 
-fn rate(count: u32, burst: u32, floor: u32) -> KeyBudget {
-    let kind = KeyKind::Rate {
+fn rate(count: u32, burst: u32, floor: u32) -> KeyedQuota {
+    let kind = QuotaKind::Rate {
         count,
         period: SECOND,
         burst,
     };
-    KeyBudget {
+    KeyedQuota {
         name: "r".into(),
         kind,
         floor,
@@ -16,11 +16,17 @@
     }
 }
 
-fn wallet(budget: &KeyBudget) -> Wallet {
-    Wallet::new(0, std::slice::from_ref(budget), Rhythm::of(4), 1 << 20, 1)
+fn wallet(budget: &KeyedQuota) -> QuotaBorrower {
+    QuotaBorrower::new(
+        0,
+        std::slice::from_ref(budget),
+        QuotaTiming::of(4),
+        1 << 20,
+        1,
+    )
 }
 
-fn take(wallet: &mut Wallet, now: Nanos, budget: &KeyBudget, key: u64) -> bool {
+fn take(wallet: &mut QuotaBorrower, now: Nanos, budget: &KeyedQuota, key: u64) -> bool {
     let fits = wallet.fits(now, budget.id(), key).is_ok();
     if fits {
         wallet.take(now, budget.id(), key);
@@ -28,21 +34,21 @@
     fits
 }
 
-fn answer(wallet: &mut Wallet, now: Nanos, asked: &KeysAsked, adds: u32, wait: Nanos) {
+fn answer(wallet: &mut QuotaBorrower, now: Nanos, asked: &QuotaRequest, adds: u32, wait: Nanos) {
     let keys = asked
         .keys
         .iter()
-        .map(|k| KeyLent {
+        .map(|k| KeyGrant {
             budget: k.budget,
             key: k.key,
             adds,
             wait,
         })
         .collect();
-    let life = Rhythm::of(4).life;
+    let life = QuotaTiming::of(4).life;
     wallet.lent(
         now,
-        &KeysLent {
+        &QuotaGrant {
             no: asked.no,
             stamp: asked.stamp,
             life,
@@ -59,7 +65,7 @@
     let mut wallet = wallet(&budget);
     let refused = wallet.fits(T, budget.id(), 7).unwrap_err();
     assert!(
-        refused.why == Why::Asked && refused.pause <= 100 * MILLISECOND,
+        refused.why == RefusalReason::Asked && refused.pause <= 100 * MILLISECOND,
         "{refused:?}"
     );
     let due = wallet.next(T).unwrap();
@@ -80,7 +86,7 @@
     let _ = wallet.fits(T, budget.id(), 7);
     let asked = wallet.ask(T + TOGETHER).unwrap();
     answer(&mut wallet, T + SECOND, &asked, 5, 0);
-    let until = T + TOGETHER + shorter(Rhythm::of(4).life);
+    let until = T + TOGETHER + shorter(QuotaTiming::of(4).life);
     assert_eq!(
         (
             wallet.units(until - 1, budget.id(), 7),
@@ -124,7 +130,8 @@
     let refused = wallet.fits(now + SECOND, budget.id(), 7);
     assert!(
         refused.is_ok()
-            || refused.is_err_and(|r| r.why == Why::Deaf && r.pause <= 2200 * MILLISECOND)
+            || refused
+                .is_err_and(|r| r.why == RefusalReason::Deaf && r.pause <= 2200 * MILLISECOND)
     );
 }
 
@@ -132,7 +139,13 @@
 #[test]
 fn one_that_returns_cold_has_no_floor_saved() {
     let budget = rate(32, 20, 2);
-    let mut wallet = Wallet::new(T, std::slice::from_ref(&budget), Rhythm::of(4), 1 << 20, 1);
+    let mut wallet = QuotaBorrower::new(
+        T,
+        std::slice::from_ref(&budget),
+        QuotaTiming::of(4),
+        1 << 20,
+        1,
+    );
     assert!(!take(&mut wallet, T, &budget, 7) && !take(&mut wallet, T + SECOND, &budget, 9));
     assert!(take(&mut wallet, T + 3 * SECOND, &budget, 11));
 }
@@ -155,8 +168,8 @@
         .unwrap_err();
     assert_eq!(
         refused,
-        Refused {
-            why: Why::Short,
+        QuotaExceeded {
+            why: RefusalReason::Short,
             pause: 400 * MILLISECOND
         }
     );
@@ -187,11 +200,11 @@
 
 #[test]
 fn places_in_hand_are_held_until_done_whatever_becomes_of_the_part() {
-    let kind = KeyKind::InHand {
+    let kind = QuotaKind::InHand {
         limit: 10,
         longest: SECOND,
     };
-    let budget = KeyBudget {
+    let budget = KeyedQuota {
         kind,
         ..rate(1, 1, 1)
     };
@@ -216,10 +229,10 @@
 #[test]
 fn pockets_are_bounded_and_nothing_is_forgiven_by_being_pushed_out() {
     let budget = rate(32, 20, 1);
-    let mut wallet = Wallet::new(
+    let mut wallet = QuotaBorrower::new(
         0,
         std::slice::from_ref(&budget),
-        Rhythm::of(4),
+        QuotaTiming::of(4),
         64 * POCKET_BYTES,
         1,
     );
--- a/crates/shared-state/src/keyed/books.rs
+++ b/crates/shared-state/src/keyed_quota/lender.rs
@@ -2,9 +2,9 @@
 //! unit is in one place at a time: it leaves a pocket by the borrower's word, or when its time
 //! there is over by the lender's clock with the drift added.
 
-use super::{KeyAsk, KeyBudget, KeyKind, KeyLent, KeysAsked, KeysLent, Rhythm};
-use crate::treasury::longer;
-use crate::{Nanos, Who};
+use super::{KeyGrant, KeyRequest, KeyedQuota, QuotaGrant, QuotaKind, QuotaRequest, QuotaTiming};
+use crate::budget_lender::longer;
+use crate::{Nanos, ProcessId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -12,12 +12,12 @@
 /// What a key and what one pocket take, with their places in the maps.
 pub const KEY_BYTES: usize = 176;
 pub const POCKET_BYTES: usize = 40;
-/// Keys that are looked at for ageing with each question.
+/// LentKeys that are looked at for ageing with each question.
 const AGED_AT_ONCE: usize = 16;
 
 /// What a borrower has of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Pocket {
+struct BorrowerUnits {
     who: u32,
     /// The question that it had last.
     no: u32,
@@ -30,14 +30,14 @@
 
 /// A key that somebody uses.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Entry {
+pub struct LentKey {
     free: u32,
     /// Until when units were made.
     made: Nanos,
-    pockets: Vec<Pocket>,
+    pockets: Vec<BorrowerUnits>,
 }
 
-impl Entry {
+impl LentKey {
     fn out(&self) -> u32 {
         self.pockets
             .iter()
@@ -59,7 +59,7 @@
 
     /// Brings it up to now. Units that were lost with a pocket are made anew from the end of that
     /// pocket on, and not before: until then their like could still be spent.
-    fn settle(&mut self, now: Nanos, budget: &KeyBudget) {
+    fn settle(&mut self, now: Nanos, budget: &KeyedQuota) {
         let pool = budget.pool();
         let ended = self
             .pockets
@@ -68,7 +68,7 @@
             .filter(|gone| *gone <= now)
             .max();
         match (budget.kind, budget.interval()) {
-            (KeyKind::Rate { .. }, Some(interval)) => {
+            (QuotaKind::Rate { .. }, Some(interval)) => {
                 if let Some(ended) = ended {
                     self.make(ended, pool, interval);
                     self.pockets.retain(|pocket| pocket.gone > now);
@@ -85,14 +85,14 @@
 
 /// Processes by small numbers, so that a pocket takes little; with when each was heard last.
 #[derive(Clone, Debug, Default)]
-struct Borrowers {
-    numbers: BTreeMap<Who, (u32, Nanos)>,
+struct BorrowerTable {
+    numbers: BTreeMap<ProcessId, (u32, Nanos)>,
     next: u32,
 }
 
-impl Borrowers {
+impl BorrowerTable {
     /// The number of one that asks now. Those that have had nothing for so long are forgotten.
-    fn number(&mut self, now: Nanos, who: Who, silent: Nanos) -> u32 {
+    fn number(&mut self, now: Nanos, who: ProcessId, silent: Nanos) -> u32 {
         if let Some((number, heard)) = self.numbers.get_mut(&who) {
             *heard = now;
             return *number;
@@ -104,21 +104,21 @@
     }
 }
 
-/// Keys by their budget and number. All nodes number them alike, so that whoever knows by what
+/// LentKeys by their budget and number. All nodes number them alike, so that whoever knows by what
 /// could choose numbers: the map's own hash has a secret of its own.
-type Keys = HashMap<(u32, u64), Entry>;
+type LentKeys = HashMap<(u32, u64), LentKey>;
 
 /// What is lent of all keys.
 #[derive(Clone, Debug)]
-pub struct KeyBooks {
+pub struct QuotaLender {
     /// Nothing is lent, and nothing made, before: what another one lent may be in use until then.
     opens: Nanos,
     opens_after: Nanos,
-    budgets: Vec<KeyBudget>,
-    rhythm: Rhythm,
-    keys: Keys,
+    budgets: Vec<KeyedQuota>,
+    rhythm: QuotaTiming,
+    keys: LentKeys,
     ageing: VecDeque<(Nanos, (u32, u64))>,
-    borrowers: Borrowers,
+    borrowers: BorrowerTable,
     pockets: usize,
     most_keys: usize,
     most_pockets: usize,
@@ -126,25 +126,25 @@
     refused: u64,
 }
 
-impl KeyBooks {
+impl QuotaLender {
     /// Books that are begun now, of about so many bytes.
     pub fn new(
         now: Nanos,
-        budgets: &[KeyBudget],
-        rhythm: Rhythm,
+        budgets: &[KeyedQuota],
+        rhythm: QuotaTiming,
         bytes: usize,
         seed: u64,
-    ) -> KeyBooks {
-        let lag = budgets.iter().map(KeyBudget::lag).max().unwrap_or(0);
+    ) -> QuotaLender {
+        let lag = budgets.iter().map(KeyedQuota::lag).max().unwrap_or(0);
         let opens_after = longer(rhythm.life) + lag;
-        KeyBooks {
+        QuotaLender {
             opens: now + opens_after,
             opens_after,
             budgets: budgets.to_vec(),
             rhythm,
-            keys: Keys::default(),
+            keys: LentKeys::default(),
             ageing: VecDeque::new(),
-            borrowers: Borrowers::default(),
+            borrowers: BorrowerTable::default(),
             pockets: 0,
             most_keys: (bytes / 2 / KEY_BYTES).max(16),
             most_pockets: (bytes / 2 / POCKET_BYTES).max(64),
@@ -155,7 +155,7 @@
 
     /// Other limits hold from now on. Less than what is out is kept by lending nothing until enough
     /// has come back.
-    pub fn rebudget(&mut self, budgets: &[KeyBudget]) {
+    pub fn rebudget(&mut self, budgets: &[KeyedQuota]) {
         self.budgets = budgets.to_vec();
     }
 
@@ -166,13 +166,13 @@
 
     /// A borrower tells what it has of some keys and what it wants. No answer before the books are
     /// open.
-    pub fn ask(&mut self, now: Nanos, who: Who, asked: &KeysAsked) -> Option<KeysLent> {
+    pub fn ask(&mut self, now: Nanos, who: ProcessId, asked: &QuotaRequest) -> Option<QuotaGrant> {
         if now < self.opens {
             return None;
         }
         self.age(now);
         let who = self.borrowers.number(now, who, 2 * self.opens_after);
-        let mut lent = KeysLent {
+        let mut lent = QuotaGrant {
             no: asked.no,
             stamp: asked.stamp,
             life: self.rhythm.life,
@@ -186,13 +186,13 @@
         Some(lent)
     }
 
-    fn ask_key(&mut self, now: Nanos, who: u32, no: u32, ask: &KeyAsk) -> Option<KeyLent> {
+    fn ask_key(&mut self, now: Nanos, who: u32, no: u32, ask: &KeyRequest) -> Option<KeyGrant> {
         let budget = self
             .budgets
             .iter()
             .find(|budget| budget.id() == ask.budget)?;
         let place = (ask.budget, ask.key);
-        let nothing = Some(KeyLent {
+        let nothing = Some(KeyGrant {
             budget: ask.budget,
             key: ask.key,
             adds: 0,
@@ -210,7 +210,7 @@
             let free = budget.pool().min(u32::try_from(made).unwrap_or(u32::MAX));
             self.keys.insert(
                 place,
-                Entry {
+                LentKey {
                     free,
                     made: now,
                     pockets: Vec::new(),
@@ -234,7 +234,7 @@
             Err(at) => {
                 entry.pockets.insert(
                     at,
-                    Pocket {
+                    BorrowerUnits {
                         who,
                         no: 0,
                         units: 0,
@@ -267,26 +267,26 @@
     /// What the borrower of this pocket gets; nothing is said to a question that was overtaken.
     fn lend(
         now: Nanos,
-        entry: &mut Entry,
+        entry: &mut LentKey,
         at: usize,
-        budget: &KeyBudget,
-        rhythm: &Rhythm,
-        (no, ask): (u32, &KeyAsk),
+        budget: &KeyedQuota,
+        rhythm: &QuotaTiming,
+        (no, ask): (u32, &KeyRequest),
         rng: &mut Pcg64Mcg,
-    ) -> Option<KeyLent> {
+    ) -> Option<KeyGrant> {
         let pocket = &mut entry.pockets[at];
         if no <= pocket.no {
             return None;
         }
         match budget.kind {
-            KeyKind::Rate { .. } => {
+            QuotaKind::Rate { .. } => {
                 // What is not left and not given back was spent.
                 let left = ask.left.min(pocket.units);
                 entry.free += ask.back.min(pocket.units - left);
                 pocket.units = left;
             }
             // More than was lent may be in use yet by one whose time was over.
-            KeyKind::InHand { .. } => pocket.units = ask.left,
+            QuotaKind::InHand { .. } => pocket.units = ask.left,
         }
         (pocket.no, pocket.need) = (no, ask.left.saturating_add(ask.wants));
         pocket.gone = now + longer(rhythm.life) + budget.lag();
@@ -302,10 +302,10 @@
             .map(|pocket| u64::from(pocket.need))
             .sum();
         // What they lack, each as it was told last: who has what he needs has no claim on more.
-        let lack = |pocket: &Pocket| u64::from(pocket.need.saturating_sub(pocket.units));
+        let lack = |pocket: &BorrowerUnits| u64::from(pocket.need.saturating_sub(pocket.units));
         let lacks = entry.pockets.iter().map(lack).sum::<u64>().max(1);
         let share = match budget.kind {
-            KeyKind::InHand { .. } => {
+            QuotaKind::InHand { .. } => {
                 entry.free = pool.saturating_sub(out);
                 let part = f64::from(need) / needs.max(1) as f64;
                 f64::from(need).min(f64::from(pool.max(out)) * part) - f64::from(units)
@@ -327,7 +327,7 @@
         entry.pockets[at].units += adds;
         entry.free -= adds;
         debug_assert!(
-            matches!(budget.kind, KeyKind::InHand { .. })
+            matches!(budget.kind, QuotaKind::InHand { .. })
                 || entry.free + entry.out() <= pool.max(out),
             "no unit is in two places"
         );
@@ -337,12 +337,12 @@
         let wait = match (ask.wants > 0 && adds == 0, budget.kind) {
             (false, _) => 0,
             // Its part of what is made: one in so long.
-            (true, KeyKind::Rate { .. }) => interval
+            (true, QuotaKind::Rate { .. }) => interval
                 .saturating_mul(lacks / u64::from(ask.wants.max(1)))
                 .clamp(rhythm.urgent, rhythm.life),
-            (true, KeyKind::InHand { .. }) => rhythm.renew,
+            (true, QuotaKind::InHand { .. }) => rhythm.renew,
         };
-        Some(KeyLent {
+        Some(KeyGrant {
             budget: ask.budget,
             key: ask.key,
             adds,
@@ -380,7 +380,7 @@
     }
 
     /// A borrower leaves, and has nothing in use: all that it has is free.
-    pub fn give_back(&mut self, now: Nanos, who: Who) {
+    pub fn give_back(&mut self, now: Nanos, who: ProcessId) {
         let Some((number, _)) = self.borrowers.numbers.remove(&who) else {
             return;
         };
@@ -400,7 +400,7 @@
         }
     }
 
-    /// Keys that are told apart, pockets, and questions for which there was no room.
+    /// LentKeys that are told apart, pockets, and questions for which there was no room.
     pub fn figures(&self) -> (usize, usize, u64) {
         (self.keys.len(), self.pockets, self.refused)
     }
@@ -411,7 +411,11 @@
         &self,
         budget: u32,
         key: u64,
-    ) -> (Nanos, Option<&Entry>, impl Iterator<Item = (Who, u32)>) {
+    ) -> (
+        Nanos,
+        Option<&LentKey>,
+        impl Iterator<Item = (ProcessId, u32)>,
+    ) {
         let numbers = self
             .borrowers
             .numbers
--- a/crates/shared-state/src/keyed/books/tests.rs
+++ b/crates/shared-state/src/keyed_quota/lender/tests.rs
@@ -2,17 +2,17 @@
 use crate::SECOND;
 use rand::seq::SliceRandom;
 
-fn who(key: u64) -> Who {
-    Who { key, life: key }
+fn who(key: u64) -> ProcessId {
+    ProcessId { key, life: key }
 }
 
-fn rate(count: u32, burst: u32) -> KeyBudget {
-    let kind = KeyKind::Rate {
+fn rate(count: u32, burst: u32) -> KeyedQuota {
+    let kind = QuotaKind::Rate {
         count,
         period: SECOND,
         burst,
     };
-    KeyBudget {
+    KeyedQuota {
         name: "r".into(),
         kind,
         floor: 0,
@@ -20,9 +20,9 @@
     }
 }
 
-fn in_hand(limit: u32) -> KeyBudget {
-    KeyBudget {
-        kind: KeyKind::InHand {
+fn in_hand(limit: u32) -> KeyedQuota {
+    KeyedQuota {
+        kind: QuotaKind::InHand {
             limit,
             longest: SECOND,
         },
@@ -30,16 +30,22 @@
     }
 }
 
-fn books(budget: &KeyBudget) -> KeyBooks {
-    KeyBooks::new(0, std::slice::from_ref(budget), Rhythm::of(10), 1 << 20, 1)
+fn books(budget: &KeyedQuota) -> QuotaLender {
+    QuotaLender::new(
+        0,
+        std::slice::from_ref(budget),
+        QuotaTiming::of(10),
+        1 << 20,
+        1,
+    )
 }
 
-fn ask(budget: &KeyBudget, no: u32, left: u32, back: u32, wants: u32) -> KeysAsked {
+fn ask(budget: &KeyedQuota, no: u32, left: u32, back: u32, wants: u32) -> QuotaRequest {
     let budget = budget.id();
-    KeysAsked {
+    QuotaRequest {
         no,
         stamp: 0,
-        keys: vec![KeyAsk {
+        keys: vec![KeyRequest {
             budget,
             key: 7,
             left,
@@ -49,7 +55,7 @@
     }
 }
 
-fn adds(lent: Option<KeysLent>) -> Option<u32> {
+fn adds(lent: Option<QuotaGrant>) -> Option<u32> {
     lent.and_then(|lent| lent.keys.first().map(|key| key.adds))
 }
 
@@ -121,7 +127,7 @@
         adds(books.ask(now, who(1), &ask(&budget, 1, 0, 0, 20))),
         Some(20)
     );
-    let gone = now + longer(Rhythm::of(10).life);
+    let gone = now + longer(QuotaTiming::of(10).life);
     assert_eq!(
         adds(books.ask(gone - 1, who(2), &ask(&budget, 1, 0, 0, 20))),
         Some(0)
@@ -195,9 +201,9 @@
         Some(3)
     );
     // The first one is gone: its places come back after its time and the longest use.
-    let gone = now + longer(Rhythm::of(10).life) + SECOND;
+    let gone = now + longer(QuotaTiming::of(10).life) + SECOND;
     let renewed =
-        |books: &mut KeyBooks, no, at| adds(books.ask(at, who(2), &ask(&budget, no, 5, 0, 5)));
+        |books: &mut QuotaLender, no, at| adds(books.ask(at, who(2), &ask(&budget, no, 5, 0, 5)));
     assert_eq!(renewed(&mut books, 3, gone - 1), Some(0));
     assert_eq!(renewed(&mut books, 4, gone), Some(5));
 }
@@ -236,18 +242,18 @@
 #[test]
 fn memory_is_bounded_and_keys_that_nobody_has_are_forgotten() {
     let budget = rate(10, 20);
-    let mut books = KeyBooks::new(
+    let mut books = QuotaLender::new(
         0,
         std::slice::from_ref(&budget),
-        Rhythm::of(10),
+        QuotaTiming::of(10),
         2 * 100 * KEY_BYTES,
         1,
     );
     let now = books.opens() + 100 * SECOND;
-    let one = |key, no| KeysAsked {
+    let one = |key, no| QuotaRequest {
         no,
         stamp: 0,
-        keys: vec![KeyAsk {
+        keys: vec![KeyRequest {
             budget: budget.id(),
             key,
             left: 0,
--- a/crates/shared-state/src/keyed/tests.rs
+++ b/crates/shared-state/src/keyed_quota/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn rate(count: u32, burst: u32, floor: u32, nodes_most: u32) -> KeyBudget {
-    let kind = KeyKind::Rate {
+fn rate(count: u32, burst: u32, floor: u32, nodes_most: u32) -> KeyedQuota {
+    let kind = QuotaKind::Rate {
         count,
         period: SECOND,
         burst,
     };
-    KeyBudget {
+    KeyedQuota {
         name: "by-site".into(),
         kind,
         floor,
@@ -26,8 +26,8 @@
         "{told}"
     );
     assert!(rate(0, 40, 0, 40).check().is_err() && rate(1, 0, 0, 40).check().is_err());
-    let limit = KeyBudget {
-        kind: KeyKind::InHand {
+    let limit = KeyedQuota {
+        kind: QuotaKind::InHand {
             limit: 9,
             longest: SECOND,
         },
@@ -63,11 +63,11 @@
 #[test]
 fn the_one_who_lends_is_asked_at_most_so_often() {
     for nodes in [1, 10, 300, 3000, 20_000] {
-        let rhythm = Rhythm::of(nodes);
+        let rhythm = QuotaTiming::of(nodes);
         assert!(
             u64::from(nodes) * SECOND / rhythm.urgent <= 2 * QUESTIONS
                 && rhythm.life > 2 * rhythm.renew
         );
     }
-    assert_eq!(Rhythm::of(300).life, 3 * SECOND);
+    assert_eq!(QuotaTiming::of(300).life, 3 * SECOND);
 }
--- a/crates/shared-state/src/latency.rs
+++ b/crates/shared-state/src/latency_histogram.rs
@@ -15,22 +15,22 @@
 
 /// Latencies of one operation.
 #[derive(Clone, Debug)]
-pub struct Latency {
+pub struct LatencyHistogram {
     histogram: Histogram<u32>,
 }
 
-impl Default for Latency {
-    fn default() -> Latency {
+impl Default for LatencyHistogram {
+    fn default() -> LatencyHistogram {
         // These bounds are good ones, so that there is a histogram.
         let histogram = Histogram::new_with_bounds(1, LONGEST, 1).or_else(|_| Histogram::new(1));
-        Latency {
+        LatencyHistogram {
             histogram: histogram
                 .unwrap_or_else(|_| unreachable!("one significant digit is allowed")),
         }
     }
 }
 
-impl Latency {
+impl LatencyHistogram {
     /// One more took so long.
     pub fn add(&mut self, time: Nanos) {
         self.histogram
--- a/crates/shared-state/src/latency/tests.rs
+++ b/crates/shared-state/src/latency_histogram/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn parts_that_travelled_add_up_to_the_whole_within_a_digit() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let mut of = vec![Latency::default(); 7];
+    let mut of = vec![LatencyHistogram::default(); 7];
     let mut all: Vec<Nanos> = Vec::new();
     for _ in 0..20_000 {
         let time = (rng.random_range(0.0..9.0f64).exp() * 1e6) as Nanos;
@@ -15,7 +15,7 @@
         all.push(time);
     }
     all.sort_unstable();
-    let mut sum = Latency::default();
+    let mut sum = LatencyHistogram::default();
     for one in &of {
         let sparse = one.sparse();
         assert!(sparse.len() <= VALUES_MAX);
@@ -33,12 +33,12 @@
 
 #[test]
 fn what_makes_no_sense_is_held_within_bounds() {
-    let mut latency = Latency::default();
+    let mut latency = LatencyHistogram::default();
     latency.add(0);
     latency.add(Nanos::MAX);
     latency.merge(&[(0, 3), (u32::MAX, 2)]);
     assert_eq!((latency.count(), latency.quantile(0.1) > 0), (7, true));
-    let mut full = Latency::default();
+    let mut full = LatencyHistogram::default();
     (0..100_000).for_each(|n| full.add(n * 1_200_000));
     assert!(full.sparse().len() <= VALUES_MAX);
 }
--- a/crates/shared-state/src/lease.rs
+++ b/crates/shared-state/src/leader_lease.rs
@@ -1,4 +1,4 @@
-//! Who may lend: one node at a time, by the word of a majority of arbiters, for a time. No disk: an
+//! ProcessId may lend: one node at a time, by the word of a majority of arbiters, for a time. No disk: an
 //! arbiter that starts says nothing for as long as a word of its past could hold.
 //!
 //! The argument: an arbiter gives its word to one node and to no other until that word's end by its
@@ -6,24 +6,24 @@
 //! was before, and takes the time shorter by the drift. Two holders at once would each need a
 //! majority; the arbiter in both gave two words that hold at once, which it does not.
 
-use crate::{Nanos, Who, shorter};
+use crate::{Nanos, ProcessId, shorter};
 use std::collections::BTreeSet;
 
 /// The word of one arbiter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Arbiter {
+pub struct Voter {
     /// To whom it was given, in which of his rounds, and until when.
-    given: Option<(Who, u64, Nanos)>,
+    given: Option<(ProcessId, u64, Nanos)>,
     /// It says nothing before this.
     silent_until: Nanos,
     term: Nanos,
 }
 
-impl Arbiter {
+impl Voter {
     /// An arbiter that has just started, or stood still for long, and does not know what it said
     /// before.
-    pub fn new(now: Nanos, term: Nanos) -> Arbiter {
-        Arbiter {
+    pub fn new(now: Nanos, term: Nanos) -> Voter {
+        Voter {
             given: None,
             silent_until: now + term,
             term,
@@ -32,7 +32,7 @@
 
     /// Somebody asks to be the one who lends. The answer: its word for a term, or whom it was given
     /// to and for how long yet.
-    pub fn ask(&mut self, now: Nanos, who: Who, round: u64) -> Result<(), Option<Nanos>> {
+    pub fn ask(&mut self, now: Nanos, who: ProcessId, round: u64) -> Result<(), Option<Nanos>> {
         if now < self.silent_until {
             return Err(Some(self.silent_until - now));
         }
@@ -51,13 +51,13 @@
 
     /// Somebody who got no majority in a round gives the word back. What comes late, after a later
     /// round, frees nothing.
-    pub fn give_back(&mut self, who: Who, round: u64) {
+    pub fn give_back(&mut self, who: ProcessId, round: u64) {
         self.given
             .take_if(|(holder, given, _)| *holder == who && *given == round);
     }
 
     /// To whom its word is given now.
-    pub fn holder(&self, now: Nanos) -> Option<Who> {
+    pub fn holder(&self, now: Nanos) -> Option<ProcessId> {
         self.given
             .filter(|(.., until)| now < *until)
             .map(|(who, ..)| who)
--- a/crates/shared-state/src/lease/tests.rs
+++ b/crates/shared-state/src/leader_lease/tests.rs
@@ -2,13 +2,13 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn who(key: u64) -> Who {
-    Who { key, life: key }
+fn who(key: u64) -> ProcessId {
+    ProcessId { key, life: key }
 }
 
 #[test]
 fn an_arbiter_that_starts_is_silent_for_a_term_and_then_gives_its_word_to_one() {
-    let mut arbiter = Arbiter::new(100, 1000);
+    let mut arbiter = Voter::new(100, 1000);
     assert_eq!(arbiter.ask(600, who(1), 1), Err(Some(500)));
     assert_eq!(
         (arbiter.ask(1100, who(1), 2), arbiter.ask(1500, who(2), 1)),
@@ -53,8 +53,8 @@
             .map(|_| 1.0 + rng.random_range(-0.5..0.5) / crate::DRIFT as f64)
             .collect();
         let clock = |n: usize, now: u64| (now as f64 * rate[n]) as u64;
-        let mut judges: Vec<Arbiter> = (0..arbiters)
-            .map(|n| Arbiter::new(clock(n, 0), term))
+        let mut judges: Vec<Voter> = (0..arbiters)
+            .map(|n| Voter::new(clock(n, 0), term))
             .collect();
         let mut asking: Vec<Candidate> = (0..candidates)
             .map(|_| Candidate::new(arbiters, term))
@@ -78,7 +78,7 @@
             }
             if rng.random_bool(0.002) {
                 let a = rng.random_range(0..arbiters);
-                judges[a] = Arbiter::new(clock(a, now), term);
+                judges[a] = Voter::new(clock(a, now), term);
             }
             if rng.random_bool(0.02) {
                 // One who came to no majority gives the round back; that may come late, when he
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -4,33 +4,35 @@
 //!
 //! The bound holds by time and majority, never by anybody's view of who is there: a part is used
 //! only by whom it was lent to and only until its end by the borrower's own clock, and lent again
-//! only after its end by the lender's, with the drift of clocks between. Who lends is decided by a
+//! only after its end by the lender's, with the drift of clocks between. ProcessId lends is decided by a
 //! majority of a fixed set of arbiters. `docs/design/shared.md` has the argument.
 
 #![forbid(unsafe_code)]
 
-pub mod allot;
+pub mod backend_gate;
+pub mod budget_borrower;
+pub mod budget_lender;
 pub mod counts;
-pub mod gate;
-pub mod heavy;
-pub mod judge;
-pub mod keyed;
-pub mod latency;
-pub mod lease;
-pub mod purse;
-pub mod shared;
-pub mod shown;
-pub mod sim;
-pub mod treasury;
-pub mod wire;
-
-pub use allot::{Demand, allot};
-pub use counts::Counts;
-pub use gate::Gate;
-pub use judge::{Evidence, Judge, Mode, Opinion, Witnesses};
-pub use purse::{Budget, Ends, Kind, Purse};
-pub use shared::{Host, Message, Settings, Shared, Want};
-pub use treasury::Part;
+pub mod fair_share;
+pub mod heavy_hitters;
+pub mod keyed_quota;
+pub mod latency_histogram;
+pub mod leader_lease;
+pub mod messages;
+pub mod service_health;
+pub mod shared_state;
+pub mod simulation;
+pub mod status;
+
+pub use backend_gate::BackendGate;
+pub use budget_borrower::{Budget, BudgetBorrower, Kind, NodeBudgets};
+pub use budget_lender::Lease;
+pub use counts::ClusterCounters;
+pub use fair_share::{Demand, allot};
+pub use service_health::{
+    AggregatedHealth, HealthReport, HealthReports, HealthState, ServiceHealth,
+};
+pub use shared_state::{BudgetRequest, Config, Host, Message, SharedState};
 
 /// Whole nanoseconds from any fixed point.
 pub type Nanos = u64;
@@ -41,7 +43,7 @@
 /// A node: the key of its name and the number of its process, so that one that returns under its
 /// name is another borrower.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Who {
+pub struct ProcessId {
     /// The key of its name.
     pub key: u64,
     /// Its process.
--- a/crates/shared-state/src/wire.rs
+++ b/crates/shared-state/src/messages.rs
@@ -24,14 +24,14 @@
 //! | latency | 1 row, 2 values in tenths of a millisecond, each less the one before, 3 counts |
 //! | heavy keys | 1 kind, 2 all that came, 3 keys, 4 counts |
 
-use crate::counts::{self, COLUMNS, HEAVY_MAX, ROWS_MAX, Rows, WINDOWS, Word};
-use crate::heavy::{ENTRIES, Heavy};
-use crate::judge::Evidence;
-use crate::keyed::{KEYS_ASKED, KeyAsk, KeyLent, KeysAsked, KeysLent};
-use crate::latency::{Sparse, VALUES_MAX};
-use crate::shared::{Message, Want};
-use crate::treasury::Part;
-use crate::{Nanos, Who};
+use crate::budget_lender::Lease;
+use crate::counts::{self, COLUMNS, CounterReport, CounterRows, HEAVY_MAX, ROWS_MAX, WINDOWS};
+use crate::heavy_hitters::{ENTRIES, HeavyHitters};
+use crate::keyed_quota::{KEYS_ASKED, KeyGrant, KeyRequest, QuotaGrant, QuotaRequest};
+use crate::latency_histogram::{Sparse, VALUES_MAX};
+use crate::service_health::HealthReport;
+use crate::shared_state::{BudgetRequest, Message};
+use crate::{Nanos, ProcessId};
 use prost::Message as _;
 use std::collections::BTreeMap;
 
@@ -265,56 +265,56 @@
 
 /// How far an arbiter knows the counts of the processes in a range of keys.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Have {
+pub struct KnownCounters {
     pub from: u64,
     pub to: u64,
-    pub marks: Vec<(Who, u64)>,
+    pub marks: Vec<(ProcessId, u64)>,
 }
 
 /// The counts of the whole fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sums {
+pub struct ClusterTotals {
     pub processes: u32,
     /// Processes that are gone and counted.
     pub gone: u32,
-    pub total: Rows,
+    pub total: CounterRows,
     /// The last minute that is whole, and when it ended.
-    pub minute: counts::Window,
+    pub minute: counts::CounterWindow,
     pub until_ms: u64,
 }
 
 /// What a parcel is.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum ReceivedMessage {
     /// About budgets.
     Budgets(Message),
-    /// Counts of a process, or a part of them.
-    Counts(Box<Word>),
+    /// ClusterCounters of a process, or a part of them.
+    ClusterCounters(Box<CounterReport>),
     /// From one arbiter to another: what it knows of counts. The answer is what it lacks.
-    Have(Have),
+    KnownCounters(KnownCounters),
     /// To an arbiter: the counts of the whole fleet are wanted.
     AskSums,
     /// They are.
-    Sums(Box<Sums>),
+    ClusterTotals(Box<ClusterTotals>),
     /// What is seen of services, by their numbers.
-    Evidence(Vec<(u64, Evidence)>),
+    HealthReport(Vec<(u64, HealthReport)>),
 }
 
-fn process(who: Who) -> Option<Process> {
+fn process(who: ProcessId) -> Option<Process> {
     Some(Process {
         key: who.key,
         life: who.life,
     })
 }
 
-fn who(process: Option<Process>) -> Option<Who> {
-    process.map(|p| Who {
+fn who(process: Option<Process>) -> Option<ProcessId> {
+    process.map(|p| ProcessId {
         key: p.key,
         life: p.life,
     })
 }
 
-fn write_rows(rows: &Rows) -> Vec<CountRow> {
+fn write_rows(rows: &CounterRows) -> Vec<CountRow> {
     rows.iter()
         .map(|(row, numbers)| CountRow {
             row: *row,
@@ -323,9 +323,9 @@
         .collect()
 }
 
-fn read_rows(rows: &[CountRow]) -> Option<Rows> {
+fn read_rows(rows: &[CountRow]) -> Option<CounterRows> {
     let read = |row: &CountRow| {
-        let mut numbers = counts::Row::default();
+        let mut numbers = counts::CounterRow::default();
         numbers
             .iter_mut()
             .zip(&row.numbers)
@@ -367,7 +367,7 @@
     (n == latency.counts.len() && n <= VALUES_MAX).then(|| (latency.row, sparse.collect()))
 }
 
-fn write_heavy(kind: u8, heavy: &Heavy, most: usize) -> HeavyKeys {
+fn write_heavy(kind: u8, heavy: &HeavyHitters, most: usize) -> HeavyKeys {
     let (keys, counts) = heavy.most().into_iter().take(most).unzip();
     HeavyKeys {
         kind: u32::from(kind),
@@ -377,16 +377,16 @@
     }
 }
 
-fn read_heavy(heavy: &HeavyKeys) -> Option<(u8, Heavy)> {
+fn read_heavy(heavy: &HeavyKeys) -> Option<(u8, HeavyHitters)> {
     let fits = heavy.keys.len() == heavy.counts.len() && heavy.keys.len() <= ENTRIES;
     let pairs = heavy.keys.iter().copied().zip(heavy.counts.iter().copied());
     u8::try_from(heavy.kind)
         .ok()
         .filter(|_| fits)
-        .map(|kind| (kind, Heavy::of(heavy.total, pairs)))
+        .map(|kind| (kind, HeavyHitters::of(heavy.total, pairs)))
 }
 
-fn write_window(no: u64, window: &counts::Window) -> Window {
+fn write_window(no: u64, window: &counts::CounterWindow) -> Window {
     Window {
         no,
         rows: write_rows(&window.rows),
@@ -404,7 +404,7 @@
     }
 }
 
-fn read_window(window: &Window) -> Option<(u64, counts::Window)> {
+fn read_window(window: &Window) -> Option<(u64, counts::CounterWindow)> {
     let fits = window.latency.len() <= ROWS_MAX
         && window.heavy.len() <= HEAVY_MAX
         && window.gauges.len() <= 2;
@@ -413,7 +413,7 @@
         .iter_mut()
         .zip(&window.gauges)
         .for_each(|(into, gauge)| *into = *gauge);
-    let read = counts::Window {
+    let read = counts::CounterWindow {
         rows: read_rows(&window.rows)?,
         latency: window
             .latency
@@ -426,7 +426,7 @@
     fits.then_some((window.no, read))
 }
 
-fn write_counts(word: &Word) -> CountWord {
+fn write_counts(word: &CounterReport) -> CountWord {
     let windows = word
         .windows
         .iter()
@@ -440,14 +440,14 @@
     }
 }
 
-fn read_counts(word: &CountWord) -> Option<Word> {
+fn read_counts(word: &CountWord) -> Option<CounterReport> {
     let total = read_rows(&word.rows)?;
     let windows: BTreeMap<_, _> = word
         .windows
         .iter()
         .map(read_window)
         .collect::<Option<_>>()?;
-    (windows.len() <= WINDOWS).then_some(Word {
+    (windows.len() <= WINDOWS).then_some(CounterReport {
         who: who(word.who)?,
         label: word.label,
         total,
@@ -457,14 +457,14 @@
 
 /// Cuts a word into parts that each fit a parcel. As of each number the larger holds, it does not
 /// matter which of them come.
-pub fn split(word: &Word) -> Vec<Word> {
-    let empty = || Word {
-        total: Rows::new(),
+pub fn split(word: &CounterReport) -> Vec<CounterReport> {
+    let empty = || CounterReport {
+        total: CounterRows::new(),
         windows: BTreeMap::new(),
         ..word.clone()
     };
-    let mut parts: Vec<Word> = vec![empty()];
-    let mut put = |with: &dyn Fn(&mut Word)| {
+    let mut parts: Vec<CounterReport> = vec![empty()];
+    let mut put = |with: &dyn Fn(&mut CounterReport)| {
         if let Some(last) = parts.last_mut() {
             let before = last.clone();
             with(last);
@@ -519,10 +519,10 @@
 /// What a part of a word may take, with room for the frame of the parcel; the largest piece of one
 /// is smaller.
 const COUNTS_FIT: usize = PARCEL_MAX - 40;
-/// Heavy keys of each kind in sums.
+/// HeavyHitters keys of each kind in sums.
 const HEAVY_TOLD: usize = 5;
 
-fn write_sums(sums: &Sums) -> SumWord {
+fn write_sums(sums: &ClusterTotals) -> SumWord {
     let minute = &sums.minute;
     let mut word = SumWord {
         processes: sums.processes,
@@ -549,8 +549,8 @@
     word
 }
 
-fn read_sums(word: &SumWord) -> Option<Sums> {
-    let minute = counts::Window {
+fn read_sums(word: &SumWord) -> Option<ClusterTotals> {
+    let minute = counts::CounterWindow {
         rows: read_rows(&word.minute)?,
         latency: word
             .latency
@@ -561,7 +561,7 @@
         gauges: [0; 2],
     };
     let (processes, gone, until_ms) = (word.processes, word.gone, word.until_ms);
-    Some(Sums {
+    Some(ClusterTotals {
         processes,
         gone,
         total: read_rows(&word.total)?,
@@ -570,28 +570,34 @@
     })
 }
 
-fn read_have(known: &Known) -> Option<Have> {
+fn read_have(known: &Known) -> Option<KnownCounters> {
     let n = known.keys.len();
     let fits = n <= HAVE_MAX && known.lives.len() == n && known.marks.len() == n;
-    let who = known.keys.iter().zip(&known.lives).map(|(key, life)| Who {
-        key: *key,
-        life: *life,
-    });
+    let who = known
+        .keys
+        .iter()
+        .zip(&known.lives)
+        .map(|(key, life)| ProcessId {
+            key: *key,
+            life: *life,
+        });
     let marks = who.zip(known.marks.iter().copied()).collect();
-    fits.then_some(Have {
+    fits.then_some(KnownCounters {
         from: known.from,
         to: known.to,
         marks,
     })
 }
 
-/// Writes what is told. Counts that don't fit one parcel are cut by [`split`] first.
-pub fn write(told: &Told) -> Vec<u8> {
+/// Writes what is told. ClusterCounters that don't fit one parcel are cut by [`split`] first.
+pub fn write(told: &ReceivedMessage) -> Vec<u8> {
     let mut parcel = Parcel::default();
     match told {
-        Told::Budgets(message) => budgets(&mut parcel, message),
-        Told::Counts(word) => (parcel.kind, parcel.counts) = (12, Some(write_counts(word))),
-        Told::Have(have) => {
+        ReceivedMessage::Budgets(message) => budgets(&mut parcel, message),
+        ReceivedMessage::ClusterCounters(word) => {
+            (parcel.kind, parcel.counts) = (12, Some(write_counts(word)))
+        }
+        ReceivedMessage::KnownCounters(have) => {
             parcel.kind = 13;
             parcel.known = Some(Known {
                 from: have.from,
@@ -601,9 +607,11 @@
                 marks: have.marks.iter().map(|(_, mark)| *mark).collect(),
             });
         }
-        Told::AskSums => parcel.kind = 14,
-        Told::Sums(sums) => (parcel.kind, parcel.sums) = (15, Some(write_sums(sums))),
-        Told::Evidence(all) => {
+        ReceivedMessage::AskSums => parcel.kind = 14,
+        ReceivedMessage::ClusterTotals(sums) => {
+            (parcel.kind, parcel.sums) = (15, Some(write_sums(sums)))
+        }
+        ReceivedMessage::HealthReport(all) => {
             parcel.kind = 9;
             parcel.evidence = all
                 .iter()
@@ -622,8 +630,8 @@
 
 fn budgets(parcel: &mut Parcel, message: &Message) {
     match message {
-        Message::Want { no } => (parcel.kind, parcel.no) = (1, *no),
-        Message::Word {
+        Message::BudgetRequest { no } => (parcel.kind, parcel.no) = (1, *no),
+        Message::CounterReport {
             no,
             given,
             holder,
@@ -635,7 +643,7 @@
         Message::GiveBack { no } => (parcel.kind, parcel.no) = (3, *no),
         Message::Ask { stamp, zone, wants } => {
             (parcel.kind, parcel.stamp, parcel.zone) = (4, *stamp, *zone);
-            let wanted = |w: &Want| Wanted {
+            let wanted = |w: &BudgetRequest| Wanted {
                 budget: w.budget,
                 book: w.holds.0,
                 no: w.holds.1,
@@ -646,7 +654,7 @@
         }
         Message::Lend { stamp, parts } => {
             (parcel.kind, parcel.stamp) = (5, *stamp);
-            let lent = |(budget, p): &(u32, Part)| LentPart {
+            let lent = |(budget, p): &(u32, Lease)| LentPart {
                 budget: *budget,
                 book: p.book,
                 no: p.no,
@@ -691,13 +699,13 @@
 }
 
 /// What is asked of keys, or lent; nothing if its lists don't fit each other.
-fn asked(keys: Keys) -> Option<Vec<KeyAsk>> {
+fn asked(keys: Keys) -> Option<Vec<KeyRequest>> {
     let n = keys.keys.len();
     let fits = [&keys.budgets, &keys.left, &keys.back, &keys.units]
         .iter()
         .all(|list| list.len() == n);
     (fits && n <= KEYS_ASKED).then(|| {
-        let one = |at: usize| KeyAsk {
+        let one = |at: usize| KeyRequest {
             budget: keys.budgets[at],
             key: keys.keys[at],
             left: keys.left[at],
@@ -708,13 +716,13 @@
     })
 }
 
-fn keys_lent(keys: Keys) -> Option<Vec<KeyLent>> {
+fn keys_lent(keys: Keys) -> Option<Vec<KeyGrant>> {
     let n = keys.keys.len();
     let fits = [&keys.budgets, &keys.units, &keys.waits]
         .iter()
         .all(|list| list.len() == n);
     (fits && n <= KEYS_ASKED).then(|| {
-        let one = |at: usize| KeyLent {
+        let one = |at: usize| KeyGrant {
             budget: keys.budgets[at],
             key: keys.keys[at],
             adds: keys.units[at],
@@ -726,7 +734,7 @@
 
 /// Reads what was told; nothing if it can't be read, is beyond its bounds, or is of a kind that is
 /// not known.
-pub fn read(bytes: &[u8]) -> Option<Told> {
+pub fn read(bytes: &[u8]) -> Option<ReceivedMessage> {
     let parcel = Parcel::decode(bytes)
         .ok()
         .filter(|_| bytes.len() <= PARCEL_MAX)?;
@@ -734,9 +742,9 @@
         return None;
     }
     let Parcel { no, stamp, .. } = parcel;
-    Some(Told::Budgets(match parcel.kind {
-        1 => Message::Want { no },
-        2 => Message::Word {
+    Some(ReceivedMessage::Budgets(match parcel.kind {
+        1 => Message::BudgetRequest { no },
+        2 => Message::CounterReport {
             no,
             given: parcel.given,
             holder: who(parcel.who),
@@ -752,7 +760,7 @@
                     0.0
                 }
             };
-            let want = |w: &Wanted| Want {
+            let want = |w: &Wanted| BudgetRequest {
                 budget: w.budget,
                 holds: (w.book, w.no),
                 units: w.units,
@@ -769,7 +777,7 @@
             let part = |p: &LentPart| {
                 (
                     p.budget,
-                    Part {
+                    Lease {
                         book: p.book,
                         no: p.no,
                         units: p.units,
@@ -790,17 +798,25 @@
         },
         7 => Message::Leave,
         9 => {
-            return Some(Told::Evidence(
+            return Some(ReceivedMessage::HealthReport(
                 parcel.evidence.iter().filter_map(witness).collect(),
             ));
         }
-        12 => return Some(Told::Counts(Box::new(read_counts(&parcel.counts?)?))),
-        13 => return Some(Told::Have(read_have(&parcel.known?)?)),
-        14 => return Some(Told::AskSums),
-        15 => return Some(Told::Sums(Box::new(read_sums(&parcel.sums?)?))),
+        12 => {
+            return Some(ReceivedMessage::ClusterCounters(Box::new(read_counts(
+                &parcel.counts?,
+            )?)));
+        }
+        13 => return Some(ReceivedMessage::KnownCounters(read_have(&parcel.known?)?)),
+        14 => return Some(ReceivedMessage::AskSums),
+        15 => {
+            return Some(ReceivedMessage::ClusterTotals(Box::new(read_sums(
+                &parcel.sums?,
+            )?)));
+        }
         10 => {
             let no = u32::try_from(no).ok()?;
-            Message::AskKeys(KeysAsked {
+            Message::AskKeys(QuotaRequest {
                 no,
                 stamp,
                 keys: asked(parcel.keys?)?,
@@ -809,7 +825,7 @@
         11 => {
             let no = u32::try_from(no).ok()?;
             let life = parcel.life.min(3600 * crate::SECOND);
-            Message::LendKeys(KeysLent {
+            Message::LendKeys(QuotaGrant {
                 no,
                 stamp,
                 life,
@@ -820,7 +836,7 @@
     }))
 }
 
-fn witness(w: &Witness) -> Option<(u64, Evidence)> {
+fn witness(w: &Witness) -> Option<(u64, HealthReport)> {
     let level = if w.level.is_finite() {
         w.level.clamp(0.0, 1.0)
     } else {
@@ -829,7 +845,7 @@
     let failed = w.failed.min(w.tries);
     Some((
         w.service,
-        Evidence {
+        HealthReport {
             zone: w.zone,
             tries: w.tries,
             failed,
--- a/crates/shared-state/src/wire/tests.rs
+++ b/crates/shared-state/src/messages/tests.rs
@@ -2,12 +2,12 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn all() -> Vec<Told> {
-    let someone = Who {
+fn all() -> Vec<ReceivedMessage> {
+    let someone = ProcessId {
         key: 1 << 60,
         life: 77,
     };
-    let part = Part {
+    let part = Lease {
         book: 9,
         no: 3,
         units: 40,
@@ -16,21 +16,21 @@
         borrowers: 3,
         pool: 60,
     };
-    let want = Want {
+    let want = BudgetRequest {
         budget: 2,
         holds: (9, 2),
         units: 7,
         value: 1.5,
     };
     let budgets = [
-        Message::Want { no: 4 },
-        Message::Word {
+        Message::BudgetRequest { no: 4 },
+        Message::CounterReport {
             no: 4,
             given: true,
             holder: Some(someone),
             left: 0,
         },
-        Message::Word {
+        Message::CounterReport {
             no: 4,
             given: false,
             holder: None,
@@ -40,7 +40,7 @@
         Message::Ask {
             stamp: 12,
             zone: 3,
-            wants: vec![want, Want { budget: 0, ..want }],
+            wants: vec![want, BudgetRequest { budget: 0, ..want }],
         },
         Message::Lend {
             stamp: 12,
@@ -50,11 +50,11 @@
             lender: Some(someone),
         },
         Message::Leave,
-        Message::AskKeys(KeysAsked {
+        Message::AskKeys(QuotaRequest {
             no: 7,
             stamp: 12,
             keys: vec![
-                KeyAsk {
+                KeyRequest {
                     budget: 5,
                     key: 1 << 50,
                     left: 0,
@@ -64,11 +64,11 @@
                 2
             ],
         }),
-        Message::LendKeys(KeysLent {
+        Message::LendKeys(QuotaGrant {
             no: 7,
             stamp: 12,
             life: 3_000_000_000,
-            keys: vec![KeyLent {
+            keys: vec![KeyGrant {
                 budget: 5,
                 key: 1 << 50,
                 adds: 4,
@@ -76,48 +76,49 @@
             }],
         }),
     ];
-    let mut told: Vec<Told> = budgets.into_iter().map(Told::Budgets).collect();
-    let rows = Rows::from([(7, [1, 0, 300, 0, 0, 9, 1 << 40, 0]), (0, [3; COLUMNS])]);
+    let mut told: Vec<ReceivedMessage> =
+        budgets.into_iter().map(ReceivedMessage::Budgets).collect();
+    let rows = CounterRows::from([(7, [1, 0, 300, 0, 0, 9, 1 << 40, 0]), (0, [3; COLUMNS])]);
     let latency = BTreeMap::from([(7, vec![(3, 1), (200, 4), (90_000, 1)])]);
-    let heavy = BTreeMap::from([(0, Heavy::of(30, [(5, 9), (1 << 60, 8)].into_iter()))]);
-    let window = counts::Window {
+    let heavy = BTreeMap::from([(0, HeavyHitters::of(30, [(5, 9), (1 << 60, 8)].into_iter()))]);
+    let window = counts::CounterWindow {
         rows: rows.clone(),
         latency,
         heavy,
         gauges: [12_000, 40],
     };
     let windows = BTreeMap::from([(180_000_000, window.clone())]);
-    told.push(Told::Counts(Box::new(Word {
+    told.push(ReceivedMessage::ClusterCounters(Box::new(CounterReport {
         who: someone,
         label: 77,
         total: rows.clone(),
         windows,
     })));
-    told.push(Told::Have(Have {
+    told.push(ReceivedMessage::KnownCounters(KnownCounters {
         from: 0,
         to: u64::MAX,
-        marks: vec![(someone, 12), (Who::default(), 0)],
+        marks: vec![(someone, 12), (ProcessId::default(), 0)],
     }));
-    told.push(Told::AskSums);
-    let minute = counts::Window {
+    told.push(ReceivedMessage::AskSums);
+    let minute = counts::CounterWindow {
         gauges: [0; 2],
         ..window
     };
-    let sums = Sums {
+    let sums = ClusterTotals {
         processes: 3,
         gone: 1,
         total: rows,
         minute,
         until_ms: 1 << 40,
     };
-    told.push(Told::Sums(Box::new(sums)));
-    let evidence = Evidence {
+    told.push(ReceivedMessage::ClusterTotals(Box::new(sums)));
+    let evidence = HealthReport {
         zone: 1,
         tries: 20,
         failed: 3,
         level: 0.25,
     };
-    told.push(Told::Evidence(vec![(5, evidence)]));
+    told.push(ReceivedMessage::HealthReport(vec![(5, evidence)]));
     told
 }
 
@@ -132,7 +133,7 @@
 
 #[test]
 fn the_largest_question_about_keys_fits_a_parcel_and_lists_that_differ_are_refused() {
-    let key = KeyAsk {
+    let key = KeyRequest {
         budget: u32::MAX,
         key: u64::MAX,
         left: 1 << 20,
@@ -140,7 +141,7 @@
         wants: 1 << 20,
     };
     let keys = vec![key; KEYS_ASKED];
-    let bytes = write(&Told::Budgets(Message::AskKeys(KeysAsked {
+    let bytes = write(&ReceivedMessage::Budgets(Message::AskKeys(QuotaRequest {
         no: 1,
         stamp: 1 << 60,
         keys,
@@ -173,7 +174,7 @@
 #[test]
 fn words_that_don_t_fit_are_cut_and_add_up_again() {
     let mut rng = Pcg64Mcg::seed_from_u64(5);
-    let mut tally = counts::Tally::new(1 << 40);
+    let mut tally = counts::ProcessCounters::new(1 << 40);
     for n in 0..20_000u64 {
         let (unix, row) = ((1 << 40) + n * 3, rng.random_range(1..14));
         tally.add(
@@ -185,36 +186,42 @@
         tally.took(unix, row, rng.random_range(1_000_000..2_000_000_000));
         tally.heavy(unix, rng.random_range(0..3), rng.random_range(0..200));
     }
-    let word = tally.word(Who { key: 5, life: 6 }, 9, 3);
-    let (mut whole, mut parts) = (counts::Counts::new(4), counts::Counts::new(4));
+    let word = tally.word(ProcessId { key: 5, life: 6 }, 9, 3);
+    let (mut whole, mut parts) = (
+        counts::ClusterCounters::new(4),
+        counts::ClusterCounters::new(4),
+    );
     whole.hear(0, &word);
     let cut = split(&word);
     assert!(cut.len() > 10, "{}", cut.len());
     for part in cut {
-        let bytes = write(&Told::Counts(Box::new(part)));
+        let bytes = write(&ReceivedMessage::ClusterCounters(Box::new(part)));
         assert!(bytes.len() <= PARCEL_MAX, "{}", bytes.len());
-        let Some(Told::Counts(read)) = read(&bytes) else {
+        let Some(ReceivedMessage::ClusterCounters(read)) = read(&bytes) else {
             panic!("counts")
         };
         parts.hear(0, &read);
     }
     assert_eq!(whole.word(word.who), parts.word(word.who));
     let minute = whole.lately(u64::MAX, u64::MAX, |_, _| true);
-    let sums = Sums {
+    let sums = ClusterTotals {
         processes: 1,
         gone: 0,
         total: whole.total(),
         minute,
         until_ms: 1,
     };
-    assert!(write(&Told::Sums(Box::new(sums))).len() <= PARCEL_MAX);
+    assert!(write(&ReceivedMessage::ClusterTotals(Box::new(sums))).len() <= PARCEL_MAX);
 }
 
 #[test]
 fn a_later_version_is_read_as_far_as_it_is_known() {
-    let mut bytes = write(&Told::Budgets(Message::Want { no: 4 }));
+    let mut bytes = write(&ReceivedMessage::Budgets(Message::BudgetRequest { no: 4 }));
     bytes.extend([0xfa, 0x01, 0x01, b'x']); // a field 31
-    assert_eq!(read(&bytes), Some(Told::Budgets(Message::Want { no: 4 })));
+    assert_eq!(
+        read(&bytes),
+        Some(ReceivedMessage::Budgets(Message::BudgetRequest { no: 4 }))
+    );
     assert_eq!(
         read(
             &Parcel {
@@ -229,10 +236,10 @@
 
 #[test]
 fn values_that_make_no_sense_are_taken_for_ones_that_do() {
-    let wild = Told::Evidence(vec![
+    let wild = ReceivedMessage::HealthReport(vec![
         (
             5,
-            Evidence {
+            HealthReport {
                 zone: 1,
                 tries: 2,
                 failed: 9,
@@ -241,7 +248,7 @@
         ),
         (
             6,
-            Evidence {
+            HealthReport {
                 zone: 1,
                 tries: 2,
                 failed: 0,
@@ -249,7 +256,7 @@
             },
         ),
     ]);
-    let Some(Told::Evidence(read)) = read(&write(&wild)) else {
+    let Some(ReceivedMessage::HealthReport(read)) = read(&write(&wild)) else {
         panic!("evidence")
     };
     assert_eq!((read.len(), read[0].1.failed, read[0].1.level), (1, 2, 1.0));
--- a/crates/shared-state/src/judge.rs
+++ b/crates/shared-state/src/service_health.rs
@@ -6,7 +6,7 @@
 //! When it was down, few in the whole fleet try it first, chosen by hash so that all agree on whom;
 //! then load rises in steps, nobody going further than twice what the others have.
 
-use crate::{MILLISECOND, Nanos, SECOND, Who};
+use crate::{MILLISECOND, Nanos, ProcessId, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is counted is this long, and aged out after so long.
@@ -28,14 +28,14 @@
 const STEP: Nanos = 5 * SECOND;
 /// The first step of load, of all of it.
 const FIRST: f64 = 1.0 / 16.0;
-/// Who has come back does not come back once more with those who are later, for so long.
+/// ProcessId has come back does not come back once more with those who are later, for so long.
 const RISEN: Nanos = 12 * STEP;
 /// What a careful node lets through.
 const CAREFUL: f64 = 0.25;
 
 /// What a node says of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Evidence {
+pub struct HealthReport {
     pub zone: u32,
     /// In its last window.
     pub tries: u32,
@@ -44,7 +44,7 @@
     pub level: f64,
 }
 
-impl Evidence {
+impl HealthReport {
     fn failing(&self) -> f64 {
         f64::from(self.failed) / f64::from(self.tries.max(1))
     }
@@ -75,18 +75,18 @@
 
 /// What others say of a service, summed up.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Opinion {
-    /// Who say something, and who of these that it is ill; in how many zones.
+pub struct AggregatedHealth {
+    /// ProcessId say something, and who of these that it is ill; in how many zones.
     pub witnesses: u32,
     pub ill: u32,
     pub zones: u32,
     pub ill_zones: u32,
-    /// Who found it well.
+    /// ProcessId found it well.
     pub well: u32,
     /// The mean of what is let through, of those who let anything through; and the least of that.
     pub level: f64,
     pub least: f64,
-    /// Who say anything, and who of these let less than all through.
+    /// ProcessId say anything, and who of these let less than all through.
     pub speak: u32,
     pub short: u32,
     /// Whether this node is one of the few that try it while it is down, and whether it is there
@@ -95,7 +95,7 @@
     pub alone: bool,
 }
 
-impl Opinion {
+impl AggregatedHealth {
     /// Whether it comes back for enough of the others: half of those who speak, two at least.
     pub fn is_rising(&self) -> bool {
         self.least < 1.0 && self.short >= 2 && self.short * 2 >= self.speak
@@ -110,16 +110,16 @@
 
 /// What others say of services below, each for as long as it is good. Each speaks for itself only.
 #[derive(Clone, Debug)]
-pub struct Witnesses {
-    words: BTreeMap<(u64, Who), (Evidence, Nanos)>,
+pub struct HealthReports {
+    words: BTreeMap<(u64, ProcessId), (HealthReport, Nanos)>,
     most: usize,
     refused: u64,
 }
 
-impl Witnesses {
+impl HealthReports {
     /// None yet; so many words are kept.
-    pub fn new(most: usize) -> Witnesses {
-        Witnesses {
+    pub fn new(most: usize) -> HealthReports {
+        HealthReports {
             words: BTreeMap::new(),
             most: most.max(16),
             refused: 0,
@@ -127,7 +127,7 @@
     }
 
     /// Another node says what it sees.
-    pub fn hear(&mut self, now: Nanos, from: Who, service: u64, evidence: Evidence) {
+    pub fn hear(&mut self, now: Nanos, from: ProcessId, service: u64, evidence: HealthReport) {
         let place = (service, from);
         if self.words.len() >= self.most && !self.words.contains_key(&place) {
             self.words.retain(|_, (_, heard)| now < *heard + AGED);
@@ -140,17 +140,17 @@
     }
 
     /// What all say of a service now, but for who tries it.
-    pub fn opinion(&mut self, now: Nanos, service: u64) -> Opinion {
+    pub fn opinion(&mut self, now: Nanos, service: u64) -> AggregatedHealth {
         self.words.retain(|_, (_, heard)| now < *heard + AGED);
-        let first = (service, Who::default());
+        let first = (service, ProcessId::default());
         let all = self
             .words
             .range(first..)
             .take_while(|((of, _), _)| *of == service)
             .map(|(_, word)| word);
-        let mut opinion = Opinion {
+        let mut opinion = AggregatedHealth {
             least: 1.0,
-            ..Opinion::default()
+            ..AggregatedHealth::default()
         };
         let mut back = (0.0, 0u32);
         let (mut zones, mut ill_zones) = (BTreeSet::new(), BTreeSet::new());
@@ -202,44 +202,44 @@
 
 /// How a node goes about a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum HealthState {
     /// All of it goes there.
-    Open,
+    Healthy,
     /// Others say that it is ill: a part goes there, to see.
-    Careful,
+    Degraded,
     /// It failed this node: nothing goes there, but for tries.
-    Closed,
+    Unavailable,
     /// It was down, and load comes back in steps.
-    Rising,
+    Recovering,
 }
 
-impl Mode {
+impl HealthState {
     /// Its word, as logs and tables show it.
     pub fn word(self) -> &'static str {
         match self {
-            Mode::Open => "open",
-            Mode::Careful => "careful",
-            Mode::Closed => "closed",
-            Mode::Rising => "rising",
+            HealthState::Healthy => "open",
+            HealthState::Degraded => "careful",
+            HealthState::Unavailable => "closed",
+            HealthState::Recovering => "rising",
         }
     }
 }
 
 /// Two halves of a window, so that what is counted is never a whole window old.
 #[derive(Clone, Copy, Debug, Default)]
-struct Half {
+struct TwoHalfWindow {
     tries: u32,
     failed: u32,
 }
 
 /// A node's judgement on one service.
 #[derive(Clone, Debug)]
-pub struct Judge {
+pub struct ServiceHealth {
     zone: u32,
-    mode: Mode,
+    mode: HealthState,
     since: Nanos,
     level: f64,
-    halves: [Half; 2],
+    halves: [TwoHalfWindow; 2],
     half: Nanos,
     in_a_row: u32,
     /// Tries in a row that failed: so many say more than a window that was good before.
@@ -248,7 +248,7 @@
     failing_since: Nanos,
     probed: Nanos,
     /// What others say, and when that came.
-    others: Option<(Opinion, Nanos)>,
+    others: Option<(AggregatedHealth, Nanos)>,
     /// A process that has just started does not know whether the service has too: until others
     /// speak, or until then.
     unaware_until: Nanos,
@@ -269,15 +269,15 @@
     x ^ (x >> 31)
 }
 
-impl Judge {
+impl ServiceHealth {
     /// Nothing is known of the service; it counts as well.
-    pub fn new(now: Nanos, zone: u32) -> Judge {
-        Judge {
+    pub fn new(now: Nanos, zone: u32) -> ServiceHealth {
+        ServiceHealth {
             zone,
-            mode: Mode::Open,
+            mode: HealthState::Healthy,
             since: now,
             level: 1.0,
-            halves: [Half::default(); 2],
+            halves: [TwoHalfWindow::default(); 2],
             half: now / (WINDOW / 2),
             in_a_row: 0,
             failed_in_a_row: 0,
@@ -292,7 +292,7 @@
         }
     }
 
-    pub fn mode(&self) -> Mode {
+    pub fn mode(&self) -> HealthState {
         self.mode
     }
 
@@ -309,10 +309,10 @@
     /// What it lets through now, of all.
     pub fn level(&self) -> f64 {
         match self.mode {
-            Mode::Open => 1.0,
-            Mode::Careful => CAREFUL,
-            Mode::Closed => 0.0,
-            Mode::Rising => self.level,
+            HealthState::Healthy => 1.0,
+            HealthState::Degraded => CAREFUL,
+            HealthState::Unavailable => 0.0,
+            HealthState::Recovering => self.level,
         }
     }
 
@@ -320,25 +320,25 @@
     /// which are seldom by themselves.
     pub fn share(&self, now: Nanos) -> f64 {
         match self.mode {
-            Mode::Open if now < self.unaware_until => FIRST,
-            Mode::Open | Mode::Closed => 1.0,
-            Mode::Careful | Mode::Rising => self.level(),
+            HealthState::Healthy if now < self.unaware_until => FIRST,
+            HealthState::Healthy | HealthState::Unavailable => 1.0,
+            HealthState::Degraded | HealthState::Recovering => self.level(),
         }
     }
 
     fn roll(&mut self, now: Nanos) {
         let half = now / (WINDOW / 2);
         for _ in self.half..half.min(self.half + 2) {
-            self.halves = [Half::default(), self.halves[0]];
+            self.halves = [TwoHalfWindow::default(), self.halves[0]];
         }
         self.half = half;
     }
 
     /// What it says to others.
-    pub fn evidence(&mut self, now: Nanos) -> Evidence {
+    pub fn evidence(&mut self, now: Nanos) -> HealthReport {
         self.roll(now);
         let [a, b] = self.halves;
-        Evidence {
+        HealthReport {
             zone: self.zone,
             tries: a.tries + b.tries,
             failed: a.failed + b.failed,
@@ -347,14 +347,14 @@
     }
 
     /// What others say, while it is good.
-    pub fn others(&self, now: Nanos) -> Option<Opinion> {
+    pub fn others(&self, now: Nanos) -> Option<AggregatedHealth> {
         self.others
             .filter(|(_, heard)| now < *heard + AGED)
             .map(|(opinion, _)| opinion)
     }
 
     /// What others say came.
-    pub fn told(&mut self, now: Nanos, opinion: Opinion) {
+    pub fn told(&mut self, now: Nanos, opinion: AggregatedHealth) {
         self.others = Some((opinion, now));
         if opinion.speak >= 2 {
             self.unaware_until = now;
@@ -364,13 +364,13 @@
         // about now: words are good for so long, and count a window.
         let later = now > self.since + AGED + WINDOW;
         let enough = opinion.well >= 2.min(opinion.witnesses).max(1);
-        if self.mode == Mode::Closed && later && enough {
+        if self.mode == HealthState::Unavailable && later && enough {
             self.come_back(now);
         }
         self.judge(now);
     }
 
-    fn enter(&mut self, now: Nanos, mode: Mode) {
+    fn enter(&mut self, now: Nanos, mode: HealthState) {
         if self.mode != mode {
             (self.mode, self.since, self.in_a_row, self.owed) = (mode, now, 0, 0.0);
         }
@@ -386,25 +386,33 @@
         let others = self.others(now);
         let others_ill = others.is_some_and(|opinion| opinion.is_ill());
         match self.mode {
-            Mode::Open | Mode::Careful | Mode::Rising if is_ill => self.enter(now, Mode::Closed),
+            HealthState::Healthy | HealthState::Degraded | HealthState::Recovering if is_ill => {
+                self.enter(now, HealthState::Unavailable)
+            }
             // One that saw nothing of it, being idle or not there, comes back with the others and
             // not at once.
-            Mode::Open | Mode::Careful
+            HealthState::Healthy | HealthState::Degraded
                 if self.risen.is_none_or(|at| now >= at + RISEN)
                     && !own.is_well()
                     && others.is_some_and(|o| o.is_rising()) =>
             {
                 if let Some(opinion) = others.filter(|opinion| opinion.level > 0.0) {
                     self.level = opinion.least;
-                    self.enter(now, Mode::Rising);
-                } else if self.mode == Mode::Open && others_ill {
-                    self.enter(now, Mode::Careful);
+                    self.enter(now, HealthState::Recovering);
+                } else if self.mode == HealthState::Healthy && others_ill {
+                    self.enter(now, HealthState::Degraded);
                 }
             }
-            Mode::Open if !own.is_well() && others_ill => self.enter(now, Mode::Careful),
+            HealthState::Healthy if !own.is_well() && others_ill => {
+                self.enter(now, HealthState::Degraded)
+            }
             // What it sees itself goes first; else it ages out with those who said it.
-            Mode::Careful if own.is_well() || !others_ill => self.enter(now, Mode::Open),
-            Mode::Rising if now >= self.since + STEP && own.failing() <= WELL => self.rise(now),
+            HealthState::Degraded if own.is_well() || !others_ill => {
+                self.enter(now, HealthState::Healthy)
+            }
+            HealthState::Recovering if now >= self.since + STEP && own.failing() <= WELL => {
+                self.rise(now)
+            }
             _ => {}
         }
     }
@@ -421,7 +429,7 @@
             .min(1.0);
         if self.level >= 1.0 {
             self.risen = Some(now);
-            self.enter(now, Mode::Open);
+            self.enter(now, HealthState::Healthy);
         }
     }
 
@@ -440,16 +448,16 @@
     pub fn admits(&mut self, now: Nanos, thinned: bool) -> bool {
         self.judge(now);
         let goes = match self.mode {
-            Mode::Open => true,
-            Mode::Closed => {
+            HealthState::Healthy => true,
+            HealthState::Unavailable => {
                 let due = self.is_try_due(now);
                 if due {
                     self.probed = now;
                 }
                 due
             }
-            Mode::Careful | Mode::Rising if thinned => true,
-            Mode::Careful | Mode::Rising => {
+            HealthState::Degraded | HealthState::Recovering if thinned => true,
+            HealthState::Degraded | HealthState::Recovering => {
                 self.owed += self.level();
                 let goes = self.owed >= 1.0;
                 self.owed -= if goes { 1.0 } else { 0.0 };
@@ -467,10 +475,10 @@
     /// How long what needs the service does well to stay away.
     pub fn pause(&self, now: Nanos) -> Nanos {
         match self.mode {
-            Mode::Open => 0,
-            Mode::Closed => (self.probed + PROBE).saturating_sub(now).max(PROBE),
-            Mode::Careful => AGED / 2,
-            Mode::Rising => (self.since + STEP).saturating_sub(now).max(PROBE),
+            HealthState::Healthy => 0,
+            HealthState::Unavailable => (self.probed + PROBE).saturating_sub(now).max(PROBE),
+            HealthState::Degraded => AGED / 2,
+            HealthState::Recovering => (self.since + STEP).saturating_sub(now).max(PROBE),
         }
     }
 
@@ -483,7 +491,7 @@
             self.failing_since = now;
         }
         self.failed_in_a_row = if well { 0 } else { self.failed_in_a_row + 1 };
-        if self.mode == Mode::Closed {
+        if self.mode == HealthState::Unavailable {
             self.in_a_row = if well { self.in_a_row + 1 } else { 0 };
             if self.in_a_row >= PROVED {
                 self.come_back(now);
@@ -493,9 +501,9 @@
     }
 
     fn come_back(&mut self, now: Nanos) {
-        (self.halves, self.failed_in_a_row) = ([Half::default(); 2], 0);
+        (self.halves, self.failed_in_a_row) = ([TwoHalfWindow::default(); 2], 0);
         self.level = FIRST;
-        self.enter(now, Mode::Rising);
+        self.enter(now, HealthState::Recovering);
     }
 }
 
--- a/crates/shared-state/src/judge/tests.rs
+++ b/crates/shared-state/src/service_health/tests.rs
@@ -2,19 +2,19 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn who(key: u64) -> Who {
-    Who { key, life: key }
+fn who(key: u64) -> ProcessId {
+    ProcessId { key, life: key }
 }
 
 /// What a node is told by these, each in its zone, with tries and failures.
-fn said(words: impl Iterator<Item = (u64, u32, u32, u32)>) -> Opinion {
-    let mut witnesses = Witnesses::new(64);
+fn said(words: impl Iterator<Item = (u64, u32, u32, u32)>) -> AggregatedHealth {
+    let mut witnesses = HealthReports::new(64);
     for (key, zone, tries, failed) in words {
         witnesses.hear(
             SECOND,
             who(key),
             7,
-            Evidence {
+            HealthReport {
                 zone,
                 tries,
                 failed,
@@ -27,18 +27,21 @@
 
 #[test]
 fn own_tries_close_it_and_others_alone_never_do() {
-    let mut own = Judge::new(0, 0);
+    let mut own = ServiceHealth::new(0, 0);
     (0..20).for_each(|_| own.ended(SECOND, false));
     assert_eq!(
         (own.mode(), own.admits(SECOND, false)),
-        (Mode::Closed, false)
+        (HealthState::Unavailable, false)
     );
-    let mut others = Judge::new(0, 0);
+    let mut others = ServiceHealth::new(0, 0);
     others.told(
         SECOND,
         said((2..12).map(|key| (key, key as u32 % 3, 100, 100))),
     );
-    assert_eq!((others.mode(), others.level()), (Mode::Careful, CAREFUL));
+    assert_eq!(
+        (others.mode(), others.level()),
+        (HealthState::Degraded, CAREFUL)
+    );
     assert_eq!(
         (0..100).filter(|_| others.admits(SECOND, false)).count(),
         25
@@ -48,57 +51,57 @@
 /// Calls that hang are few: three in a row, with nothing well for two seconds, are enough.
 #[test]
 fn calls_that_hang_close_it_though_they_are_few() {
-    let mut hangs = Judge::new(0, 0);
+    let mut hangs = ServiceHealth::new(0, 0);
     (0..9).for_each(|_| hangs.ended(10 * SECOND, false));
     assert_eq!(
         hangs.mode(),
-        Mode::Open,
+        HealthState::Healthy,
         "nine at once may be one broken connection"
     );
     hangs.ended(11 * SECOND, true);
     (0..3).for_each(|n| hangs.ended((12 + n) * SECOND, false));
-    assert_eq!(hangs.mode(), Mode::Closed);
+    assert_eq!(hangs.mode(), HealthState::Unavailable);
 }
 
 #[test]
 fn one_sick_node_or_one_zone_is_told_from_a_sick_service() {
     let failed = |one: bool| if one { 100 } else { 0 };
-    let mut liar = Judge::new(0, 0);
+    let mut liar = ServiceHealth::new(0, 0);
     liar.told(
         SECOND,
         said((2..12).map(|key| (key, key as u32 % 3, 100, failed(key == 5)))),
     );
-    assert_eq!(liar.mode(), Mode::Open);
-    let mut zone = Judge::new(0, 0);
+    assert_eq!(liar.mode(), HealthState::Healthy);
+    let mut zone = ServiceHealth::new(0, 0);
     zone.told(
         SECOND,
         said((2..12).map(|key| (key, key as u32 % 2, 100, failed(key % 2 == 1)))),
     );
     assert_eq!(
         zone.mode(),
-        Mode::Open,
+        HealthState::Healthy,
         "a zone with a broken link of its own"
     );
     // What it sees itself goes first.
-    let mut sees = Judge::new(0, 0);
+    let mut sees = ServiceHealth::new(0, 0);
     (0..50).for_each(|_| sees.ended(SECOND, true));
     sees.told(
         SECOND,
         said((2..12).map(|key| (key, key as u32 % 3, 100, 100))),
     );
-    assert_eq!(sees.mode(), Mode::Open);
+    assert_eq!(sees.mode(), HealthState::Healthy);
 }
 
 #[test]
 fn a_word_ages_out_and_a_flood_of_words_by_one_is_one_word() {
-    let mut careful = Judge::new(0, 0);
+    let mut careful = ServiceHealth::new(0, 0);
     careful.told(
         SECOND,
         said((2..12).map(|key| (key, key as u32 % 3, 100, 100))),
     );
-    assert_eq!(careful.mode(), Mode::Careful);
+    assert_eq!(careful.mode(), HealthState::Degraded);
     assert!(careful.admits(SECOND + AGED, false));
-    assert_eq!(careful.mode(), Mode::Open);
+    assert_eq!(careful.mode(), HealthState::Healthy);
     let flood = said(
         (0..1000)
             .map(|n| (5, n % 7, 100, 100))
@@ -106,8 +109,8 @@
     );
     assert_eq!((flood.witnesses, flood.ill, flood.is_ill()), (2, 1, false));
     // Many that are none: what finds no room is not kept.
-    let mut witnesses = Witnesses::new(64);
-    (0..1000).for_each(|key| witnesses.hear(0, who(key), 7, Evidence::default()));
+    let mut witnesses = HealthReports::new(64);
+    (0..1000).for_each(|key| witnesses.hear(0, who(key), 7, HealthReport::default()));
     assert_eq!((witnesses.words.len(), witnesses.refused()), (64, 936));
 }
 
@@ -130,7 +133,7 @@
 
 #[test]
 fn a_deaf_node_goes_on_by_its_own_tries() {
-    let mut deaf = Judge::new(0, 0);
+    let mut deaf = ServiceHealth::new(0, 0);
     (0..20).for_each(|_| deaf.ended(SECOND, false));
     let now = 60 * SECOND;
     let tries = (0..200)
@@ -138,20 +141,20 @@
         .count();
     assert_eq!(tries, 4, "one in 5 s");
     (0..3).for_each(|n| deaf.ended(now + (200 + n) * SECOND / 10, true));
-    assert_eq!(deaf.mode(), Mode::Rising);
+    assert_eq!(deaf.mode(), HealthState::Recovering);
     for n in 0..400 {
         let now = now + 21 * SECOND + n * SECOND / 10;
         if deaf.admits(now, false) {
             deaf.ended(now, true);
         }
     }
-    assert_eq!(deaf.mode(), Mode::Open);
+    assert_eq!(deaf.mode(), HealthState::Healthy);
 }
 
 /// What was let in for its part of the load makes its call, unless the service closed meanwhile.
 #[test]
 fn what_was_thinned_before_is_not_thinned_again() {
-    let mut rising = Judge::new(0, 0);
+    let mut rising = ServiceHealth::new(0, 0);
     (0..20).for_each(|_| rising.ended(SECOND, false));
     assert!(!rising.admits(SECOND, true));
     (0..3).for_each(|_| rising.ended(2 * SECOND, true));
@@ -172,8 +175,10 @@
 fn play(nodes: usize, seed: u64, steps: bool) -> (u32, u64, bool) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (deaf, tick) = (nodes - 1, 10 * MILLISECOND);
-    let mut judges: Vec<Judge> = (0..nodes).map(|n| Judge::new(0, n as u32 % 3)).collect();
-    let mut heard: Vec<Witnesses> = (0..nodes).map(|_| Witnesses::new(64)).collect();
+    let mut judges: Vec<ServiceHealth> = (0..nodes)
+        .map(|n| ServiceHealth::new(0, n as u32 % 3))
+        .collect();
+    let mut heard: Vec<HealthReports> = (0..nodes).map(|_| HealthReports::new(64)).collect();
     let (mut up, mut fell, mut tried_while_down) = (true, 0, 0);
     let (mut load, mut back_at) = (0.0f64, None);
     for step in 0..20_000u64 {
@@ -194,8 +199,8 @@
                 calls += 1;
                 tried_while_down += u64::from(!up);
                 judges[n].ended(now, up);
-                if !steps && up && judges[n].mode() == Mode::Closed {
-                    judges[n].enter(now, Mode::Open);
+                if !steps && up && judges[n].mode() == HealthState::Unavailable {
+                    judges[n].enter(now, HealthState::Healthy);
                 }
             }
             if step % 50 == n as u64 % 50 {
@@ -222,7 +227,9 @@
     (
         fell,
         tried_while_down,
-        judges.iter().all(|judge| judge.mode() == Mode::Open),
+        judges
+            .iter()
+            .all(|judge| judge.mode() == HealthState::Healthy),
     )
 }
 
@@ -247,19 +254,19 @@
 /// the least of them.
 #[test]
 fn who_saw_nothing_of_a_start_comes_back_with_the_others() {
-    let word = |tries, level| Evidence {
+    let word = |tries, level| HealthReport {
         zone: 0,
         tries,
         failed: 0,
         level,
     };
     let opinion = |levels: &[f64]| {
-        let mut witnesses = Witnesses::new(64);
+        let mut witnesses = HealthReports::new(64);
         let words = levels.iter().zip(2..);
         words.for_each(|(level, key)| witnesses.hear(10 * SECOND, who(key), 7, word(3, *level)));
         witnesses.opinion(10 * SECOND, 7)
     };
-    let mut idle = Judge::new(0, 0);
+    let mut idle = ServiceHealth::new(0, 0);
     assert_eq!(
         (idle.share(SECOND), idle.share(AGED)),
         (FIRST, 1.0),
@@ -268,14 +275,17 @@
     idle.told(10 * SECOND, opinion(&[1.0, 0.25, 1.0]));
     assert_eq!(
         idle.mode(),
-        Mode::Open,
+        HealthState::Healthy,
         "one alone may have a trouble of its own"
     );
     idle.told(10 * SECOND, opinion(&[0.5, 0.25, 1.0, 0.0]));
-    assert_eq!((idle.mode(), idle.share(10 * SECOND)), (Mode::Rising, 0.25));
+    assert_eq!(
+        (idle.mode(), idle.share(10 * SECOND)),
+        (HealthState::Recovering, 0.25)
+    );
     // What sees for itself that it is well goes by that.
-    let mut sees = Judge::new(0, 0);
+    let mut sees = ServiceHealth::new(0, 0);
     (0..20).for_each(|_| sees.ended(10 * SECOND, true));
     sees.told(10 * SECOND, opinion(&[0.5, 0.25, 1.0, 0.0]));
-    assert_eq!(sees.mode(), Mode::Open);
+    assert_eq!(sees.mode(), HealthState::Healthy);
 }
