--- a/crates/shared-state/src/shared.rs
+++ b/crates/shared-state/src/shared_state.rs
@@ -1,15 +1,15 @@
 //! A node's part in what is shared: a method for each thing that happens, acting through a small
 //! [`Host`]. Some nodes are arbiters, by name; one of these lends; all borrow.
 
-use crate::allot::Demand;
-use crate::counts::{Counts, Word};
-use crate::keyed::books::KeyBooks;
-use crate::keyed::{KeyBudget, KeysAsked, KeysLent, Rhythm};
-use crate::lease::{Arbiter, Candidate};
-use crate::purse::Budget;
-use crate::treasury::{Part, Treasury};
-use crate::wire::{HAVE_MAX, Have, Sums, Told, split};
-use crate::{MILLISECOND, Nanos, SECOND, Who};
+use crate::budget_borrower::Budget;
+use crate::budget_lender::{BudgetLender, Lease};
+use crate::counts::{ClusterCounters, CounterReport};
+use crate::fair_share::Demand;
+use crate::keyed_quota::lender::QuotaLender;
+use crate::keyed_quota::{KeyedQuota, QuotaGrant, QuotaRequest, QuotaTiming};
+use crate::leader_lease::{Candidate, Voter};
+use crate::messages::{ClusterTotals, HAVE_MAX, KnownCounters, ReceivedMessage, split};
+use crate::{MILLISECOND, Nanos, ProcessId, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -17,16 +17,16 @@
 /// What a part of the shared state does to the world. None of it may wait.
 pub trait Host {
     /// Send to a node, by the key of its name.
-    fn send(&mut self, to: u64, told: Told);
+    fn send(&mut self, to: u64, told: ReceivedMessage);
     /// Write a line to the log.
     fn log(&mut self, line: &str);
     /// What this node's ends of the budgets want, and what they hold; with the time of this node at
     /// which that was so.
-    fn wants(&mut self, now: Nanos) -> (Nanos, Vec<Want>);
+    fn wants(&mut self, now: Nanos) -> (Nanos, Vec<BudgetRequest>);
     /// Parts came that were asked for then.
-    fn lent(&mut self, now: Nanos, asked: Nanos, parts: &[(u32, Part)]);
+    fn lent(&mut self, now: Nanos, asked: Nanos, parts: &[(u32, Lease)]);
     /// Units of keys came.
-    fn keys_lent(&mut self, now: Nanos, lent: KeysLent);
+    fn keys_lent(&mut self, now: Nanos, lent: QuotaGrant);
     /// The node leaves: its ends hold nothing from here on. Whether nothing of it is in hand any
     /// more.
     fn let_go(&mut self, now: Nanos) -> bool;
@@ -36,12 +36,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
     /// To an arbiter: give me your word, in this round.
-    Want { no: u64 },
+    BudgetRequest { no: u64 },
     /// An arbiter gives it, or tells who has it.
-    Word {
+    CounterReport {
         no: u64,
         given: bool,
-        holder: Option<Who>,
+        holder: Option<ProcessId>,
         left: Nanos,
     },
     /// What was given in this round is given back.
@@ -51,26 +51,26 @@
     Ask {
         stamp: Nanos,
         zone: u32,
-        wants: Vec<Want>,
+        wants: Vec<BudgetRequest>,
     },
     /// Parts, by budget; the stamp of the question comes back.
     Lend {
         stamp: Nanos,
-        parts: Vec<(u32, Part)>,
+        parts: Vec<(u32, Lease)>,
     },
     /// I do not lend; that one does, as far as I know.
-    Elsewhere { lender: Option<Who> },
+    Elsewhere { lender: Option<ProcessId> },
     /// I leave: all of it is back.
     Leave,
     /// To the one who lends: what I have of some keys and want.
-    AskKeys(KeysAsked),
+    AskKeys(QuotaRequest),
     /// What I get of them.
-    LendKeys(KeysLent),
+    LendKeys(QuotaGrant),
 }
 
 /// What is asked of one budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Want {
+pub struct BudgetRequest {
     pub budget: u32,
     /// The book and the number of the part that it holds.
     pub holds: (u64, u64),
@@ -80,15 +80,15 @@
 
 /// What a node is told.
 #[derive(Clone, Debug)]
-pub struct Settings {
-    pub me: Who,
+pub struct Config {
+    pub me: ProcessId,
     pub zone: u32,
     /// Keys of those who arbitrate, the same on all nodes; an odd number, three or five.
     pub arbiters: Vec<u64>,
     pub budgets: Vec<Budget>,
     /// Limits by key, how often keys are asked for, and the bytes that books of them may take.
-    pub keys: Vec<KeyBudget>,
-    pub rhythm: Rhythm,
+    pub keys: Vec<KeyedQuota>,
+    pub rhythm: QuotaTiming,
     pub key_bytes: usize,
     /// Processes whose counts an arbiter keeps apart; none where nothing is counted.
     pub counted: usize,
@@ -97,19 +97,19 @@
     pub part: Nanos,
     /// Between two questions of a borrower.
     pub ask: Nanos,
-    /// Borrowers that one who lends keeps accounts for.
+    /// BorrowerTable that one who lends keeps accounts for.
     pub most: usize,
 }
 
-impl Settings {
+impl Config {
     /// Usual times, which follow from the most nodes that there may be, so that the one who lends
     /// is not asked more often than it can answer: recovery after its death takes about two terms.
     pub fn usual(
-        me: Who,
+        me: ProcessId,
         arbiters: Vec<u64>,
         budgets: Vec<Budget>,
-        keys: Vec<KeyBudget>,
-    ) -> Settings {
+        keys: Vec<KeyedQuota>,
+    ) -> Config {
         let most = budgets
             .iter()
             .map(|b| b.nodes_most)
@@ -118,10 +118,10 @@
         let most = most.unwrap_or(1);
         let ask = (300 * MILLISECOND).max(SECOND * u64::from(most) / QUESTIONS);
         let part = 5 * ask;
-        let (term, rhythm) = (2 * part, Rhythm::of(most));
+        let (term, rhythm) = (2 * part, QuotaTiming::of(most));
         let key_bytes = 1 << 20;
         let (counted, most) = (0, 4096);
-        Settings {
+        Config {
             me,
             zone: 0,
             arbiters,
@@ -154,24 +154,24 @@
 const STOOD_STILL: Nanos = SECOND;
 
 /// A node's part.
-pub struct Shared<H: Host> {
+pub struct SharedState<H: Host> {
     pub host: H,
-    settings: Settings,
+    settings: Config,
     rng: Pcg64Mcg,
-    arbiter: Option<(Arbiter, Candidate)>,
+    arbiter: Option<(Voter, Candidate)>,
     /// Books by budget, while this node lends.
-    books: Option<Vec<Treasury>>,
-    key_books: Option<KeyBooks>,
-    /// Counts of all, at an arbiter; with the next page that is compared with another one's, and
+    books: Option<Vec<BudgetLender>>,
+    key_books: Option<QuotaLender>,
+    /// ClusterCounters of all, at an arbiter; with the next page that is compared with another one's, and
     /// when.
-    counts_of_all: Option<Counts>,
+    counts_of_all: Option<ClusterCounters>,
     have_from: u64,
     next_have: Nanos,
     /// The counts of the whole fleet as an arbiter told them last, when that was, and when they are
     /// asked for.
-    sums: Option<(Sums, Nanos)>,
+    sums: Option<(ClusterTotals, Nanos)>,
     next_sums: Nanos,
-    lender: Option<Who>,
+    lender: Option<ProcessId>,
     next_round: Nanos,
     next_ask: Nanos,
     /// When the one who lends answered last.
@@ -183,26 +183,26 @@
     counts: BTreeMap<&'static str, u64>,
 }
 
-impl<H: Host> Shared<H> {
+impl<H: Host> SharedState<H> {
     /// A node that has just started.
-    pub fn new(settings: Settings, seed: u64, now: Nanos, host: H) -> Shared<H> {
+    pub fn new(settings: Config, seed: u64, now: Nanos, host: H) -> SharedState<H> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let arbiters = settings.arbiters.len();
         let is_arbiter = settings.arbiters.contains(&settings.me.key);
         let next_ask = now + rng.random_range(0..settings.ask.max(1));
         let next_round = now + rng.random_range(0..settings.term / 4);
-        Shared {
+        SharedState {
             host,
             arbiter: is_arbiter.then(|| {
                 (
-                    Arbiter::new(now, settings.term),
+                    Voter::new(now, settings.term),
                     Candidate::new(arbiters, settings.term),
                 )
             }),
             books: None,
             key_books: None,
             counts_of_all: (is_arbiter && settings.counted > 0)
-                .then(|| Counts::new(settings.counted)),
+                .then(|| ClusterCounters::new(settings.counted)),
             have_from: 0,
             next_have: now + rng.random_range(0..HAVE),
             sums: None,
@@ -238,13 +238,13 @@
                 .is_some_and(|(_, candidate)| now < candidate.until())
     }
 
-    /// Who lends, as far as is known here.
-    pub fn lender(&self) -> Option<Who> {
+    /// ProcessId lends, as far as is known here.
+    pub fn lender(&self) -> Option<ProcessId> {
         self.lender
     }
 
     /// Other limits hold from now on, in the same order.
-    pub fn rebudget(&mut self, budgets: Vec<Budget>, keys: Vec<KeyBudget>) {
+    pub fn rebudget(&mut self, budgets: Vec<Budget>, keys: Vec<KeyedQuota>) {
         for (books, budget) in self.books.iter_mut().flatten().zip(&budgets) {
             books.resize(budget.pool());
         }
@@ -283,7 +283,7 @@
         if late >= STOOD_STILL {
             self.count("times it stood still");
             if let Some((arbiter, candidate)) = &mut self.arbiter {
-                *arbiter = Arbiter::new(now, self.settings.term);
+                *arbiter = Voter::new(now, self.settings.term);
                 candidate.resign();
             }
             self.close_books();
@@ -311,7 +311,7 @@
         self.promised = self.next().max(now);
     }
 
-    /// Who lends renews the words that it has; who does not tries to get them where nobody is known
+    /// ProcessId lends renews the words that it has; who does not tries to get them where nobody is known
     /// to lend.
     fn round(&mut self, now: Nanos) {
         let term = self.settings.term;
@@ -352,7 +352,8 @@
             if key == self.settings.me.key {
                 self.want(now, self.settings.me, no);
             } else {
-                self.host.send(key, Told::Budgets(Message::Want { no }));
+                self.host
+                    .send(key, ReceivedMessage::Budgets(Message::BudgetRequest { no }));
             }
         }
     }
@@ -360,12 +361,13 @@
     fn tell_arbiters(&mut self, message: Message) {
         let me = self.settings.me.key;
         for key in self.settings.arbiters.iter().filter(|key| **key != me) {
-            self.host.send(*key, Told::Budgets(message.clone()));
+            self.host
+                .send(*key, ReceivedMessage::Budgets(message.clone()));
         }
     }
 
     /// Somebody, perhaps this node, wants this arbiter's word.
-    fn want(&mut self, now: Nanos, from: Who, no: u64) {
+    fn want(&mut self, now: Nanos, from: ProcessId, no: u64) {
         let me = self.settings.me;
         let Some((arbiter, _)) = &mut self.arbiter else {
             return;
@@ -378,7 +380,7 @@
         }
         self.host.send(
             from.key,
-            Told::Budgets(Message::Word {
+            ReceivedMessage::Budgets(Message::CounterReport {
                 no,
                 given,
                 holder,
@@ -387,7 +389,7 @@
         );
     }
 
-    fn word(&mut self, now: Nanos, from: Who, no: u64, given: bool) {
+    fn word(&mut self, now: Nanos, from: ProcessId, no: u64, given: bool) {
         let place = self
             .settings
             .arbiters
@@ -399,20 +401,20 @@
         if !candidate.given(no, place) || self.books.is_some() {
             return;
         }
-        let Settings { part, most, .. } = self.settings;
+        let Config { part, most, .. } = self.settings;
         let id = self.rng.random();
         let books = self
             .settings
             .budgets
             .iter()
-            .map(|b| Treasury::new(now, id, b.pool(), part, b.lag(), most));
+            .map(|b| BudgetLender::new(now, id, b.pool(), part, b.lag(), most));
         self.books = Some(books.collect());
-        let Settings {
+        let Config {
             rhythm, key_bytes, ..
         } = self.settings;
         let keys = &self.settings.keys;
         self.key_books = (!keys.is_empty())
-            .then(|| KeyBooks::new(now, keys, rhythm, key_bytes, self.rng.random()));
+            .then(|| QuotaLender::new(now, keys, rhythm, key_bytes, self.rng.random()));
         self.lender = Some(self.settings.me);
         self.count("times it began to lend");
         self.host
@@ -440,17 +442,28 @@
         if to == self.settings.me.key {
             return self.asked(now, self.settings.me, stamp, zone, &wants);
         }
-        self.host
-            .send(to, Told::Budgets(Message::Ask { stamp, zone, wants }));
+        self.host.send(
+            to,
+            ReceivedMessage::Budgets(Message::Ask { stamp, zone, wants }),
+        );
     }
 
-    fn asked(&mut self, now: Nanos, from: Who, stamp: Nanos, zone: u32, wants: &[Want]) {
+    fn asked(
+        &mut self,
+        now: Nanos,
+        from: ProcessId,
+        stamp: Nanos,
+        zone: u32,
+        wants: &[BudgetRequest],
+    ) {
         let me = self.settings.me;
         if !self.lends(now) {
             let lender = self.lender.filter(|lender| *lender != me);
             if from != me {
-                self.host
-                    .send(from.key, Told::Budgets(Message::Elsewhere { lender }));
+                self.host.send(
+                    from.key,
+                    ReceivedMessage::Budgets(Message::Elsewhere { lender }),
+                );
             }
             return;
         }
@@ -460,7 +473,7 @@
             .map_or(0, |(_, candidate)| candidate.until());
         let books = self.books.iter_mut().flatten();
         let ids = self.settings.budgets.iter().map(Budget::id);
-        let parts: Vec<(u32, Part)> = ids
+        let parts: Vec<(u32, Lease)> = ids
             .zip(books)
             .filter_map(|(budget, books)| {
                 let want = wants.iter().find(|want| want.budget == budget)?;
@@ -475,11 +488,13 @@
         if from == me {
             return self.lent(now, stamp, &parts);
         }
-        self.host
-            .send(from.key, Told::Budgets(Message::Lend { stamp, parts }));
+        self.host.send(
+            from.key,
+            ReceivedMessage::Budgets(Message::Lend { stamp, parts }),
+        );
     }
 
-    fn lent(&mut self, now: Nanos, stamp: Nanos, parts: &[(u32, Part)]) {
+    fn lent(&mut self, now: Nanos, stamp: Nanos, parts: &[(u32, Lease)]) {
         if self.left {
             return; // what it gave back is not its own any more, whatever is under way
         }
@@ -492,19 +507,20 @@
 
     /// The node's own ends have a question about keys. Where nobody is known to lend it is lost,
     /// and asked again later.
-    pub fn ask_keys(&mut self, now: Nanos, asked: KeysAsked) {
+    pub fn ask_keys(&mut self, now: Nanos, asked: QuotaRequest) {
         self.noticed(now);
         match self.lender {
             _ if self.left => {}
             Some(lender) if lender == self.settings.me => self.keys_asked(now, lender, &asked),
-            Some(lender) => self
-                .host
-                .send(lender.key, Told::Budgets(Message::AskKeys(asked))),
+            Some(lender) => self.host.send(
+                lender.key,
+                ReceivedMessage::Budgets(Message::AskKeys(asked)),
+            ),
             None => self.count("questions about keys with nobody known who lends"),
         }
     }
 
-    fn keys_asked(&mut self, now: Nanos, from: Who, asked: &KeysAsked) {
+    fn keys_asked(&mut self, now: Nanos, from: ProcessId, asked: &QuotaRequest) {
         if !self.lends(now) {
             return; // the questions about budgets find out who does
         }
@@ -516,26 +532,29 @@
             Some(lent) if from == self.settings.me => self.keys_lent(now, lent),
             Some(lent) => self
                 .host
-                .send(from.key, Told::Budgets(Message::LendKeys(lent))),
+                .send(from.key, ReceivedMessage::Budgets(Message::LendKeys(lent))),
             None => {}
         }
     }
 
-    fn keys_lent(&mut self, now: Nanos, lent: KeysLent) {
+    fn keys_lent(&mut self, now: Nanos, lent: QuotaGrant) {
         if !self.left {
             self.host.keys_lent(now, lent);
         }
     }
 
-    // ---- Counts ----
+    // ---- ClusterCounters ----
 
     /// The node counted so far: all arbiters hear it.
-    pub fn tell_counts(&mut self, now: Nanos, word: &Word) {
+    pub fn tell_counts(&mut self, now: Nanos, word: &CounterReport) {
         self.noticed(now);
         let arbiters = self.settings.arbiters.clone();
         for part in split(word) {
             for key in arbiters.iter().filter(|key| **key != self.settings.me.key) {
-                self.host.send(*key, Told::Counts(Box::new(part.clone())));
+                self.host.send(
+                    *key,
+                    ReceivedMessage::ClusterCounters(Box::new(part.clone())),
+                );
             }
         }
         self.counts_of_all
@@ -558,7 +577,7 @@
         };
         let to = others[self.rng.random_range(0..others.len())];
         let from = self.have_from;
-        let mut marks: Vec<(Who, u64)> = counts
+        let mut marks: Vec<(ProcessId, u64)> = counts
             .marks()
             .filter(|(who, _)| who.key >= from)
             .take(HAVE_MAX + 1)
@@ -574,7 +593,7 @@
         self.have_from = next;
         self.host.send(
             to,
-            Told::Have(Have {
+            ReceivedMessage::KnownCounters(KnownCounters {
                 from,
                 to: last,
                 marks,
@@ -582,22 +601,23 @@
         );
     }
 
-    fn compared(&mut self, from: Who, have: &Have) {
+    fn compared(&mut self, from: ProcessId, have: &KnownCounters) {
         let Some(counts) = &self.counts_of_all else {
             return;
         };
-        let theirs: BTreeMap<Who, u64> = have.marks.iter().copied().collect();
+        let theirs: BTreeMap<ProcessId, u64> = have.marks.iter().copied().collect();
         let in_page = counts
             .marks()
             .filter(|(who, _)| (have.from..=have.to).contains(&who.key));
         let lacked =
             in_page.filter(|(who, mark)| theirs.get(who).is_none_or(|theirs| theirs < mark));
-        let words: Vec<Word> = lacked
+        let words: Vec<CounterReport> = lacked
             .take(LACKED)
             .filter_map(|(who, _)| counts.word(who))
             .collect();
         for part in words.iter().flat_map(split) {
-            self.host.send(from.key, Told::Counts(Box::new(part)));
+            self.host
+                .send(from.key, ReceivedMessage::ClusterCounters(Box::new(part)));
         }
     }
 
@@ -607,15 +627,15 @@
             self.sums = self.sums_now(now).map(|sums| (sums, now));
         } else if !arbiters.is_empty() {
             let to = arbiters[self.rng.random_range(0..arbiters.len())];
-            self.host.send(to, Told::AskSums);
+            self.host.send(to, ReceivedMessage::AskSums);
         }
     }
 
     /// The counts of the whole fleet, at an arbiter. Clocks count from the Unix epoch here.
-    fn sums_now(&self, now: Nanos) -> Option<Sums> {
+    fn sums_now(&self, now: Nanos) -> Option<ClusterTotals> {
         let counts = self.counts_of_all.as_ref()?;
         let until_ms = now / MILLISECOND / crate::counts::WINDOW_MS * crate::counts::WINDOW_MS;
-        Some(Sums {
+        Some(ClusterTotals {
             processes: counts.processes().count() as u32,
             gone: counts.gone() as u32,
             total: counts.total(),
@@ -625,55 +645,60 @@
     }
 
     /// The counts of the whole fleet as they were told last, and how long ago.
-    pub fn sums(&self, now: Nanos) -> Option<(&Sums, Nanos)> {
+    pub fn sums(&self, now: Nanos) -> Option<(&ClusterTotals, Nanos)> {
         self.sums
             .as_ref()
             .map(|(sums, at)| (sums, now.saturating_sub(*at)))
     }
 
     /// The counts of all processes, at an arbiter.
-    pub fn counts_of_all(&self) -> Option<&Counts> {
+    pub fn counts_of_all(&self) -> Option<&ClusterCounters> {
         self.counts_of_all.as_ref()
     }
 
     /// Those who are gone, by the view of the fleet, are added up after a while.
-    pub fn tidy(&mut self, now: Nanos, is_there: impl Fn(Who) -> bool) {
+    pub fn tidy(&mut self, now: Nanos, is_there: impl Fn(ProcessId) -> bool) {
         self.counts_of_all
             .iter_mut()
             .for_each(|counts| counts.tidy(now, &is_there));
     }
 
     /// Something was told.
-    pub fn told(&mut self, now: Nanos, from: Who, told: Told) {
+    pub fn told(&mut self, now: Nanos, from: ProcessId, told: ReceivedMessage) {
         let by_arbiter = self.settings.arbiters.contains(&from.key);
         match told {
-            Told::Budgets(message) => return self.message(now, from, message),
+            ReceivedMessage::Budgets(message) => return self.message(now, from, message),
             // Each counts for itself; arbiters tell each other what they heard.
-            Told::Counts(word) if word.who == from || by_arbiter => {
+            ReceivedMessage::ClusterCounters(word) if word.who == from || by_arbiter => {
                 self.counts_of_all
                     .iter_mut()
                     .for_each(|counts| counts.hear(now, &word));
             }
-            Told::Counts(_) => self.count("counts of others by one who is no arbiter"),
-            Told::Have(have) if by_arbiter => self.compared(from, &have),
-            Told::AskSums => {
+            ReceivedMessage::ClusterCounters(_) => {
+                self.count("counts of others by one who is no arbiter")
+            }
+            ReceivedMessage::KnownCounters(have) if by_arbiter => self.compared(from, &have),
+            ReceivedMessage::AskSums => {
                 if let Some(sums) = self.sums_now(now) {
-                    self.host.send(from.key, Told::Sums(Box::new(sums)));
+                    self.host
+                        .send(from.key, ReceivedMessage::ClusterTotals(Box::new(sums)));
                 }
             }
-            Told::Sums(sums) if by_arbiter => self.sums = Some((*sums, now)),
-            Told::Have(_) | Told::Sums(_) | Told::Evidence(_) => {}
+            ReceivedMessage::ClusterTotals(sums) if by_arbiter => self.sums = Some((*sums, now)),
+            ReceivedMessage::KnownCounters(_)
+            | ReceivedMessage::ClusterTotals(_)
+            | ReceivedMessage::HealthReport(_) => {}
         }
         self.noticed(now);
         self.promised = self.next().max(now);
     }
 
     /// A message came.
-    pub fn message(&mut self, now: Nanos, from: Who, message: Message) {
+    pub fn message(&mut self, now: Nanos, from: ProcessId, message: Message) {
         self.noticed(now);
         match message {
-            Message::Want { no } => self.want(now, from, no),
-            Message::Word {
+            Message::BudgetRequest { no } => self.want(now, from, no),
+            Message::CounterReport {
                 no, given, holder, ..
             } => {
                 if let Some(holder) = holder.filter(|_| !given) {
@@ -720,7 +745,8 @@
         self.left = true;
         let let_go = self.host.let_go(now);
         if let (Some(lender), true) = (self.lender, let_go) {
-            self.host.send(lender.key, Told::Budgets(Message::Leave));
+            self.host
+                .send(lender.key, ReceivedMessage::Budgets(Message::Leave));
         }
         if self.close_books() {
             let no = self
@@ -733,7 +759,7 @@
     }
 
     /// The books of all budgets, while this node lends, in their order.
-    pub fn books(&self) -> impl Iterator<Item = (&Budget, &Treasury)> {
+    pub fn books(&self) -> impl Iterator<Item = (&Budget, &BudgetLender)> {
         self.settings
             .budgets
             .iter()
@@ -741,7 +767,7 @@
     }
 
     /// The books by key, while this node lends.
-    pub fn key_books(&self) -> Option<&KeyBooks> {
+    pub fn key_books(&self) -> Option<&QuotaLender> {
         self.key_books.as_ref()
     }
 }
--- a/crates/shared-state/src/sim.rs
+++ b/crates/shared-state/src/simulation.rs
@@ -3,14 +3,14 @@
 //! keeps the record. Beside the machines of this package two plain ways are played: an even part by
 //! the number of nodes in sight, and a central counter.
 
-use crate::counts::{Counts, OWN, Tally, own};
-use crate::keyed::wallet::Wallet;
-use crate::keyed::{KeyBudget, KeyKind, KeysLent};
-use crate::purse::{Budget, Ends, Kind};
-use crate::shared::{Host, Message, Settings, Shared, Want};
-use crate::treasury::Part;
-use crate::wire::{Told, write};
-use crate::{MILLISECOND, Nanos, SECOND, Who};
+use crate::budget_borrower::{Budget, Kind, NodeBudgets};
+use crate::budget_lender::Lease;
+use crate::counts::{ClusterCounters, OWN, ProcessCounters, own};
+use crate::keyed_quota::borrower::QuotaBorrower;
+use crate::keyed_quota::{KeyedQuota, QuotaGrant, QuotaKind};
+use crate::messages::{ReceivedMessage, write};
+use crate::shared_state::{BudgetRequest, Config, Host, Message, SharedState};
+use crate::{MILLISECOND, Nanos, ProcessId, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -18,7 +18,7 @@
 
 /// How the limit is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum LimitStrategy {
     /// By this package.
     Leases,
     /// Each node takes the limit divided by the nodes it has in sight; sight follows the truth
@@ -30,10 +30,10 @@
 
 /// What is played.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct SimulationConfig {
     pub nodes: usize,
     pub zones: usize,
-    pub way: Way,
+    pub way: LimitStrategy,
     pub budget: Budget,
     pub loss: f64,
     pub latency: (Nanos, Nanos),
@@ -43,7 +43,7 @@
     pub sight: Nanos,
     pub seed: u64,
     /// A limit by key beside it, and the bytes for the keys of a node, and of books.
-    pub keys: Option<KeyBudget>,
+    pub keys: Option<KeyedQuota>,
     pub key_bytes: usize,
     /// Processes whose counts arbiters keep apart; none are counted if it is 0.
     pub counted: usize,
@@ -64,11 +64,11 @@
 
 impl KeyRecord {
     /// One was let through: by how many units the key is over its limit now.
-    fn came(&mut self, now: Nanos, key: u64, kind: KeyKind) -> f64 {
+    fn came(&mut self, now: Nanos, key: u64, kind: QuotaKind) -> f64 {
         let (due, in_hand) = self.keys.entry(key).or_default();
         *in_hand += 1;
         match kind {
-            KeyKind::Rate {
+            QuotaKind::Rate {
                 count,
                 period,
                 burst,
@@ -77,7 +77,7 @@
                 *due = (*due).max(now) + interval;
                 (*due - now) as f64 / interval as f64 - f64::from(burst)
             }
-            KeyKind::InHand { limit, .. } => f64::from(*in_hand) - f64::from(limit),
+            QuotaKind::InHand { limit, .. } => f64::from(*in_hand) - f64::from(limit),
         }
     }
 
@@ -89,24 +89,24 @@
 /// Tries a second of a node at a time.
 pub type Load = Box<dyn Fn(usize, Nanos) -> f64>;
 
-struct Out {
-    sent: Vec<(u64, Told)>,
-    ends: Ends,
-    wallet: Wallet,
+struct SimulatedActions {
+    sent: Vec<(u64, ReceivedMessage)>,
+    ends: NodeBudgets,
+    wallet: QuotaBorrower,
 }
 
-impl Host for Out {
-    fn send(&mut self, to: u64, told: Told) {
+impl Host for SimulatedActions {
+    fn send(&mut self, to: u64, told: ReceivedMessage) {
         self.sent.push((to, told));
     }
     fn log(&mut self, _: &str) {}
-    fn wants(&mut self, now: Nanos) -> (Nanos, Vec<Want>) {
+    fn wants(&mut self, now: Nanos) -> (Nanos, Vec<BudgetRequest>) {
         (now, self.ends.wants(now))
     }
-    fn lent(&mut self, now: Nanos, asked: Nanos, parts: &[(u32, Part)]) {
+    fn lent(&mut self, now: Nanos, asked: Nanos, parts: &[(u32, Lease)]) {
         self.ends.lent(now, asked, parts);
     }
-    fn keys_lent(&mut self, now: Nanos, lent: KeysLent) {
+    fn keys_lent(&mut self, now: Nanos, lent: QuotaGrant) {
         self.wallet.lent(now, &lent);
     }
     fn let_go(&mut self, now: Nanos) -> bool {
@@ -115,8 +115,8 @@
     }
 }
 
-struct Node {
-    shared: Option<Shared<Out>>,
+struct SimulatedNode {
+    shared: Option<SharedState<SimulatedActions>>,
     life: u64,
     rate: f64,
     still_until: Nanos,
@@ -127,13 +127,13 @@
     /// For the counter: tries that wait for an answer are not counted; this is what was allowed.
     up_since: Nanos,
     /// What it counted, and when it tells that.
-    tally: Tally,
+    tally: ProcessCounters,
     tells: Nanos,
 }
 
 /// What came of a play.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Measured {
+pub struct SimulationResult {
     /// Calls that were made, and tried.
     pub made: u64,
     pub tried: u64,
@@ -158,26 +158,26 @@
     pub by_node: Vec<u64>,
 }
 
-impl Measured {
+impl SimulationResult {
     /// Nothing yet, of so many nodes.
-    pub fn of(nodes: usize) -> Measured {
-        Measured {
+    pub fn of(nodes: usize) -> SimulationResult {
+        SimulationResult {
             by_node: vec![0; nodes],
             keys_by_node: vec![0; nodes],
-            ..Measured::default()
+            ..SimulationResult::default()
         }
     }
 }
 
 /// A fleet that shares one budget.
-pub struct Sim {
-    pub plan: Plan,
+pub struct Simulation {
+    pub plan: SimulationConfig,
     pub now: Nanos,
-    pub measured: Measured,
-    nodes: Vec<Node>,
+    pub measured: SimulationResult,
+    nodes: Vec<SimulatedNode>,
     rng: Pcg64Mcg,
     queue: BinaryHeap<Reverse<(Nanos, u64, usize, u64)>>,
-    under_way: BTreeMap<u64, (Who, Told)>,
+    under_way: BTreeMap<u64, (ProcessId, ReceivedMessage)>,
     sent: u64,
     load: Load,
     cut: Box<dyn Fn(usize, usize) -> bool>,
@@ -206,12 +206,12 @@
 const STEP: Nanos = 5 * MILLISECOND;
 const ARBITERS: usize = 3;
 
-impl Sim {
+impl Simulation {
     /// A fleet all of whose nodes start now.
-    pub fn new(plan: Plan, load: Load) -> Sim {
+    pub fn new(plan: SimulationConfig, load: Load) -> Simulation {
         let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
         let nodes = (0..plan.nodes)
-            .map(|_| Node {
+            .map(|_| SimulatedNode {
                 shared: None,
                 life: 0,
                 rate: 1.0
@@ -224,13 +224,13 @@
                 owed: 0.0,
                 saved: 0.0,
                 up_since: 0,
-                tally: Tally::default(),
+                tally: ProcessCounters::default(),
                 tells: 0,
             })
             .collect();
-        let mut sim = Sim {
+        let mut sim = Simulation {
             now: SECOND,
-            measured: Measured::of(plan.nodes),
+            measured: SimulationResult::of(plan.nodes),
             nodes,
             rng,
             queue: BinaryHeap::new(),
@@ -262,31 +262,31 @@
     /// A node starts, knowing nothing.
     pub fn start(&mut self, n: usize) {
         self.lives += 1;
-        let me = Who {
+        let me = ProcessId {
             key: n as u64 + 1,
             life: self.lives,
         };
         let arbiters = (1..=ARBITERS.min(self.plan.nodes) as u64).collect();
-        let keys: Vec<KeyBudget> = self.plan.keys.iter().cloned().collect();
-        let mut settings = Settings::usual(me, arbiters, vec![self.plan.budget.clone()], keys);
+        let keys: Vec<KeyedQuota> = self.plan.keys.iter().cloned().collect();
+        let mut settings = Config::usual(me, arbiters, vec![self.plan.budget.clone()], keys);
         (settings.key_bytes, settings.counted) = (self.plan.key_bytes, self.plan.counted);
         settings.zone = (n % self.plan.zones.max(1)) as u32;
         let seed = self.plan.seed.wrapping_mul(7919).wrapping_add(self.lives);
         let now = self.clock(n);
         let node = &mut self.nodes[n];
-        let ends = Ends::new(now, &settings.budgets);
-        let wallet = Wallet::new(
+        let ends = NodeBudgets::new(now, &settings.budgets);
+        let wallet = QuotaBorrower::new(
             now,
             &settings.keys,
             settings.rhythm,
             self.plan.key_bytes,
             seed,
         );
-        node.shared = Some(Shared::new(
+        node.shared = Some(SharedState::new(
             settings,
             seed,
             now,
-            Out {
+            SimulatedActions {
                 sent: Vec::new(),
                 ends,
                 wallet,
@@ -294,7 +294,7 @@
         ));
         (node.life, node.owed, node.saved, node.up_since) = (self.lives, 0.0, 0.0, self.now);
         (node.tally, node.tells) = (
-            Tally::new(now / MILLISECOND),
+            ProcessCounters::new(now / MILLISECOND),
             now + self.rng.random_range(0..TELLS),
         );
         self.changed();
@@ -350,7 +350,7 @@
     }
 
     /// Another limit by key, on some nodes.
-    pub fn rebudget_keys(&mut self, nodes: std::ops::Range<usize>, keys: &KeyBudget) {
+    pub fn rebudget_keys(&mut self, nodes: std::ops::Range<usize>, keys: &KeyedQuota) {
         let budgets = vec![self.plan.budget.clone()];
         for shared in self.nodes[nodes]
             .iter_mut()
@@ -362,14 +362,14 @@
     }
 
     /// What it takes on the way, with the frame of the fleet and the heads of UDP and IP.
-    fn bytes(told: &Told) -> u64 {
+    fn bytes(told: &ReceivedMessage) -> u64 {
         const FRAME: usize = 32 + 16 + 24 + 28;
         (write(told).len() + FRAME) as u64
     }
 
     /// From here on what happens is measured anew; what is in hand stays.
     pub fn measure_anew(&mut self) {
-        self.measured = Measured::of(self.nodes.len());
+        self.measured = SimulationResult::of(self.nodes.len());
         self.key_record
             .keys
             .values_mut()
@@ -383,8 +383,14 @@
 
     /// Whether one of a key may go by a plain way, for rates: an even part by the nodes in sight,
     /// or a central counter.
-    fn plain_key(&mut self, way: Way, n: usize, key: u64, kind: KeyKind) -> Result<(), Nanos> {
-        let KeyKind::Rate {
+    fn plain_key(
+        &mut self,
+        way: LimitStrategy,
+        n: usize,
+        key: u64,
+        kind: QuotaKind,
+    ) -> Result<(), Nanos> {
+        let QuotaKind::Rate {
             count,
             period,
             burst,
@@ -394,7 +400,7 @@
         };
         let even = period / u64::from(count);
         let (place, interval, most) = match way {
-            Way::EvenByView => {
+            LimitStrategy::EvenByView => {
                 let there = self.in_sight(n).max(1) as u64;
                 ((n, key), even * there, (u64::from(burst) / there).max(1))
             }
@@ -423,7 +429,8 @@
     /// A question to a central counter and its answer.
     fn asks_counter(&mut self) {
         self.measured.messages += 2;
-        self.measured.bytes += 2 * Self::bytes(&Told::Budgets(Message::Want { no: 1 }));
+        self.measured.bytes +=
+            2 * Self::bytes(&ReceivedMessage::Budgets(Message::BudgetRequest { no: 1 }));
     }
 
     /// Nodes that one has in sight: whom it saw some time ago, but for those whom it can't hear.
@@ -487,7 +494,7 @@
                 continue;
             };
             let fits = match self.plan.way {
-                Way::Leases => {
+                LimitStrategy::Leases => {
                     let fits = shared.host.wallet.fits(clock, budget.id(), key);
                     if fits.is_ok() {
                         shared.host.wallet.take(clock, budget.id(), key);
@@ -502,7 +509,7 @@
                     self.measured.keys_by_node[n] += 1;
                     let over = self.key_record.came(now, key, budget.kind);
                     self.measured.keys_over = self.measured.keys_over.max(over);
-                    if let KeyKind::InHand { longest, .. } = budget.kind {
+                    if let QuotaKind::InHand { longest, .. } = budget.kind {
                         let end = now + self.rng.random_range(longest / 8..longest);
                         self.key_hands.push(Reverse((end, n, life, key)));
                     } else {
@@ -530,15 +537,15 @@
     }
 
     /// The counts that a node knows of all, if it is an arbiter.
-    pub fn counts(&self, n: usize) -> Option<&Counts> {
+    pub fn counts(&self, n: usize) -> Option<&ClusterCounters> {
         self.nodes[n].shared.as_ref()?.counts_of_all()
     }
 
     /// Has arbiters add up those who are gone.
     pub fn tidy(&mut self) {
-        let there: Vec<Who> = (0..self.nodes.len())
+        let there: Vec<ProcessId> = (0..self.nodes.len())
             .filter(|n| self.nodes[*n].shared.is_some())
-            .map(|n| Who {
+            .map(|n| ProcessId {
                 key: n as u64 + 1,
                 life: self.nodes[n].life,
             })
@@ -570,7 +577,7 @@
     }
 
     fn carry(&mut self, n: usize) {
-        let from = Who {
+        let from = ProcessId {
             key: n as u64 + 1,
             life: self.nodes[n].life,
         };
@@ -640,11 +647,11 @@
             let now = self.clock(n);
             let node = &mut self.nodes[n];
             if let Some(shared) = &mut node.shared {
-                if shared.next() <= now && self.plan.way == Way::Leases {
+                if shared.next() <= now && self.plan.way == LimitStrategy::Leases {
                     shared.wake(now);
                 }
                 if self.plan.counted > 0 && now >= node.tells {
-                    let who = Who {
+                    let who = ProcessId {
                         key: n as u64 + 1,
                         life: node.life,
                     };
@@ -706,11 +713,11 @@
     fn may(&mut self, n: usize) -> bool {
         let now = self.clock(n);
         match self.plan.way {
-            Way::Leases => self.nodes[n]
+            LimitStrategy::Leases => self.nodes[n]
                 .shared
                 .as_mut()
                 .is_some_and(|shared| shared.host.ends.take(now, false).is_ok()),
-            Way::EvenByView => {
+            LimitStrategy::EvenByView => {
                 let there = self.in_sight(n);
                 let share = f64::from(self.plan.budget.limit) / there.max(1) as f64;
                 let node = &mut self.nodes[n];
@@ -721,7 +728,7 @@
                 node.saved -= if may { 1.0 } else { 0.0 };
                 may
             }
-            Way::Counter => {
+            LimitStrategy::Counter => {
                 let reached = n == 0 || !(self.cut)(n, 0) && !(self.cut)(0, n);
                 let lost = self.plan.loss > 0.0
                     && self.rng.random_bool(1.0 - (1.0 - self.plan.loss).powi(2));
--- a/crates/shared-state/src/shown.rs
+++ b/crates/shared-state/src/status.rs
@@ -1,20 +1,20 @@
 //! What a node holds of all that is shared, as it is shown to people, and why it holds that.
 //! Protocol Buffers, fields by number.
 
+use crate::budget_borrower::{BudgetBorrower, Kind, NodeBudgets};
 use crate::counts::{self, OWN, column, own};
-use crate::judge::Judge;
-use crate::keyed::wallet::Wallet;
-use crate::keyed::{KeyKind, number};
-use crate::latency::Latency;
-use crate::purse::{Ends, Kind, Purse};
-use crate::shared::{Host, Shared};
-use crate::wire::Sums;
-use crate::{Gate, MILLISECOND, Nanos};
+use crate::keyed_quota::borrower::QuotaBorrower;
+use crate::keyed_quota::{QuotaKind, number};
+use crate::latency_histogram::LatencyHistogram;
+use crate::messages::ClusterTotals;
+use crate::service_health::ServiceHealth;
+use crate::shared_state::{Host, SharedState};
+use crate::{BackendGate, MILLISECOND, Nanos};
 use std::fmt::Write;
 
 /// A budget on calls below.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ShownBudget {
+pub struct BudgetStatus {
     #[prost(string, tag = "1")]
     pub name: String,
     /// Whether it is a rate; else a number in hand.
@@ -42,12 +42,12 @@
     /// The part that it was lent last, if any: units, how long ago it was asked for and came, how
     /// long it is good.
     #[prost(message, optional, tag = "12")]
-    pub part: Option<ShownPart>,
+    pub part: Option<LeaseStatus>,
 }
 
 /// A part.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct ShownPart {
+pub struct LeaseStatus {
     #[prost(uint32, tag = "1")]
     pub units: u32,
     #[prost(uint64, tag = "2")]
@@ -67,7 +67,7 @@
 
 /// A limit by key.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ShownKeys {
+pub struct QuotaStatus {
     #[prost(string, tag = "1")]
     pub name: String,
     /// So many in a period, of which so many may be saved; or, with no period, so many in hand.
@@ -98,7 +98,7 @@
 
 /// The service below.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ShownService {
+pub struct ServiceStatus {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(string, tag = "2")]
@@ -131,7 +131,7 @@
 
 /// What a node that lends has out.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ShownBook {
+pub struct LenderStatus {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(uint32, tag = "2")]
@@ -144,7 +144,7 @@
 
 /// A row of counts.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ShownRow {
+pub struct CounterRowStatus {
     /// The operation's name; empty for the processes themselves.
     #[prost(string, tag = "1")]
     pub name: String,
@@ -152,7 +152,7 @@
     pub total: Vec<u64>,
     #[prost(uint64, repeated, tag = "3")]
     pub minute: Vec<u64>,
-    /// Half, and 99 of a hundred, of the last minute's took at most so long.
+    /// TwoHalfWindow, and 99 of a hundred, of the last minute's took at most so long.
     #[prost(uint64, tag = "4")]
     pub p50_us: u64,
     #[prost(uint64, tag = "5")]
@@ -161,7 +161,7 @@
 
 /// How often something happened, or came.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ShownCount {
+pub struct CounterStatus {
     #[prost(string, tag = "1")]
     pub what: String,
     #[prost(uint64, tag = "2")]
@@ -170,13 +170,13 @@
 
 /// All of it.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Shown {
+pub struct StatusSnapshot {
     #[prost(string, tag = "1")]
     pub node: String,
     #[prost(message, repeated, tag = "2")]
-    pub budgets: Vec<ShownBudget>,
+    pub budgets: Vec<BudgetStatus>,
     #[prost(message, repeated, tag = "3")]
-    pub keys: Vec<ShownKeys>,
+    pub keys: Vec<QuotaStatus>,
     /// How long ago the one who lends answered about keys, if it ever did; and whether it is waited
     /// for in vain.
     #[prost(uint64, optional, tag = "4")]
@@ -184,23 +184,23 @@
     #[prost(bool, tag = "5")]
     pub keys_deaf: bool,
     #[prost(message, optional, tag = "6")]
-    pub service: Option<ShownService>,
+    pub service: Option<ServiceStatus>,
     #[prost(uint64, tag = "7")]
     pub let_in: u64,
     #[prost(uint64, tag = "8")]
     pub turned_away: u64,
     #[prost(uint32, tag = "9")]
     pub calls_waiting: u32,
-    /// Who lends, as far as is known, by its key; and whether that is this node, with its books.
+    /// ProcessId lends, as far as is known, by its key; and whether that is this node, with its books.
     #[prost(fixed64, tag = "10")]
     pub lender: u64,
     #[prost(bool, tag = "11")]
     pub lends: bool,
     #[prost(message, repeated, tag = "12")]
-    pub books: Vec<ShownBook>,
+    pub books: Vec<LenderStatus>,
     #[prost(uint64, repeated, tag = "13")]
     pub key_books: Vec<u64>,
-    /// Counts of the whole fleet: how old they are, of how many processes, and of how many that are
+    /// ClusterCounters of the whole fleet: how old they are, of how many processes, and of how many that are
     /// gone.
     #[prost(uint64, tag = "14")]
     pub counts_age_ms: u64,
@@ -209,11 +209,11 @@
     #[prost(uint32, tag = "16")]
     pub gone: u32,
     #[prost(message, repeated, tag = "17")]
-    pub rows: Vec<ShownRow>,
+    pub rows: Vec<CounterRowStatus>,
     #[prost(message, repeated, tag = "18")]
-    pub heavy: Vec<ShownCount>,
+    pub heavy: Vec<CounterStatus>,
     #[prost(message, repeated, tag = "19")]
-    pub counted: Vec<ShownCount>,
+    pub counted: Vec<CounterStatus>,
     /// The name of the one who lends, where the view has it.
     #[prost(string, tag = "20")]
     pub lender_name: String,
@@ -223,9 +223,9 @@
     nanos / MILLISECOND
 }
 
-fn budget(now: Nanos, purse: &mut Purse) -> ShownBudget {
+fn budget(now: Nanos, purse: &mut BudgetBorrower) -> BudgetStatus {
     let (allowed, refused) = purse.tally();
-    let part = purse.part(now).map(|(part, asked, came)| ShownPart {
+    let part = purse.part(now).map(|(part, asked, came)| LeaseStatus {
         units: part.units,
         asked_ms: ms(asked),
         came_ms: ms(came),
@@ -236,7 +236,7 @@
     });
     let (wants, units, in_hand) = (purse.wants(now), purse.units(now), purse.in_hand());
     let of = purse.budget();
-    ShownBudget {
+    BudgetStatus {
         name: of.name.clone(),
         rate: matches!(of.kind, Kind::Rate { .. }),
         limit: of.limit,
@@ -252,9 +252,9 @@
     }
 }
 
-impl Shown {
+impl StatusSnapshot {
     /// What is held where calls are made: budgets.
-    pub fn with_ends(&mut self, now: Nanos, ends: &mut Ends) {
+    pub fn with_ends(&mut self, now: Nanos, ends: &mut NodeBudgets) {
         self.budgets = ends
             .purses()
             .iter_mut()
@@ -263,20 +263,20 @@
     }
 
     /// What is held of keys.
-    pub fn with_wallet(&mut self, now: Nanos, wallet: &Wallet) {
+    pub fn with_wallet(&mut self, now: Nanos, wallet: &QuotaBorrower) {
         self.keys_heard_ms = wallet.heard(now).map(ms);
         self.keys_deaf = wallet.hears_nobody(now);
         for (of, tally) in wallet.tallies() {
             let (count, period_ms, burst) = match of.kind {
-                KeyKind::Rate {
+                QuotaKind::Rate {
                     count,
                     period,
                     burst,
                 } => (count, ms(period), burst),
-                KeyKind::InHand { limit, .. } => (limit, 0, 0),
+                QuotaKind::InHand { limit, .. } => (limit, 0, 0),
             };
             let (units, keys) = wallet.holds(now, of.id());
-            self.keys.push(ShownKeys {
+            self.keys.push(QuotaStatus {
                 name: of.name.clone(),
                 count,
                 period_ms,
@@ -293,10 +293,10 @@
     }
 
     /// The judgement on the service below.
-    pub fn with_judge(&mut self, now: Nanos, name: &str, judge: &mut Judge) {
+    pub fn with_judge(&mut self, now: Nanos, name: &str, judge: &mut ServiceHealth) {
         let (seen, others) = (judge.evidence(now), judge.others(now).unwrap_or_default());
         let (passed, kept_back) = judge.tally();
-        self.service = Some(ShownService {
+        self.service = Some(ServiceStatus {
             name: name.to_owned(),
             mode: judge.mode().word().to_owned(),
             since_ms: ms(now.saturating_sub(judge.since())),
@@ -315,18 +315,23 @@
     }
 
     /// What was let in and turned away for the room below, and the calls that wait for some.
-    pub fn with_gate(&mut self, gate: &Gate, calls_waiting: usize) {
+    pub fn with_gate(&mut self, gate: &BackendGate, calls_waiting: usize) {
         (self.let_in, self.turned_away) = gate.tally();
         self.calls_waiting = calls_waiting as u32;
     }
 
-    /// Who lends, with the books of this node; and the counts of the whole fleet.
-    pub fn with_shared<H: Host>(&mut self, now: Nanos, shared: &Shared<H>, operations: &[String]) {
+    /// ProcessId lends, with the books of this node; and the counts of the whole fleet.
+    pub fn with_shared<H: Host>(
+        &mut self,
+        now: Nanos,
+        shared: &SharedState<H>,
+        operations: &[String],
+    ) {
         self.lender = shared.lender().map_or(0, |lender| lender.key);
         self.lends = shared.lends(now);
         self.books = shared
             .books()
-            .map(|(of, books)| ShownBook {
+            .map(|(of, books)| LenderStatus {
                 name: of.name.clone(),
                 out: books.out(now),
                 pool: of.pool(),
@@ -344,7 +349,7 @@
         });
         let counts = shared.counts().iter();
         self.counted = counts
-            .map(|(what, times)| ShownCount {
+            .map(|(what, times)| CounterStatus {
                 what: (*what).to_owned(),
                 times: *times,
             })
@@ -354,7 +359,7 @@
         }
     }
 
-    fn with_sums(&mut self, sums: &Sums, age: Nanos, operations: &[String]) {
+    fn with_sums(&mut self, sums: &ClusterTotals, age: Nanos, operations: &[String]) {
         (self.counts_age_ms, self.processes, self.gone) = (ms(age), sums.processes, sums.gone);
         for (row, numbers) in &sums.total {
             let name = match operations.iter().find(|name| number(name) == *row) {
@@ -362,7 +367,7 @@
                 Some(name) => name.clone(),
                 None => format!("{row:08x}"), // an operation that this node does not know
             };
-            let mut latency = Latency::default();
+            let mut latency = LatencyHistogram::default();
             latency.merge(sums.minute.latency.get(row).map_or(&[], Vec::as_slice));
             let at = |part| {
                 if latency.count() > 0 {
@@ -371,7 +376,7 @@
                     0
                 }
             };
-            self.rows.push(ShownRow {
+            self.rows.push(CounterRowStatus {
                 name,
                 total: numbers.to_vec(),
                 minute: sums
@@ -388,15 +393,17 @@
                 ["caller", "caller that repeats", "key over a limit"].get(usize::from(*kind));
             for (key, times) in heavy.most() {
                 let what = match *kind {
-                    counts::heavy::OVER_LIMIT => format!("{} {key:016x}", word.unwrap_or(&"key")),
+                    counts::heavy_hitters::OVER_LIMIT => {
+                        format!("{} {key:016x}", word.unwrap_or(&"key"))
+                    }
                     _ => format!("{} {key}", word.unwrap_or(&"key")),
                 };
-                self.heavy.push(ShownCount { what, times });
+                self.heavy.push(CounterStatus { what, times });
             }
         }
     }
 
-    /// Why the node holds what it holds, in words.
+    /// RefusalReason the node holds what it holds, in words.
     pub fn why(&self) -> Vec<String> {
         let mut lines = vec![self.who_lends()];
         lines.extend(self.budgets.iter().map(|budget| budget.why()));
@@ -414,8 +421,8 @@
                 (false, None) => "keys: nothing was asked for yet".into(),
             });
         }
-        lines.extend(self.keys.iter().map(ShownKeys::why));
-        lines.extend(self.service.iter().map(ShownService::why));
+        lines.extend(self.keys.iter().map(QuotaStatus::why));
+        lines.extend(self.service.iter().map(ServiceStatus::why));
         if self.let_in + self.turned_away > 0 {
             lines.push(format!(
                 "room below: {} let in that need a call, {} turned away before they ran, {} calls wait for room",
@@ -437,7 +444,7 @@
             (false, _) => format!("{} lends", self.lender_name),
         };
         for book in &self.books {
-            let ShownBook {
+            let LenderStatus {
                 name,
                 out,
                 pool,
@@ -461,9 +468,9 @@
     }
 }
 
-impl ShownBudget {
+impl BudgetStatus {
     fn why(&self) -> String {
-        let ShownBudget {
+        let BudgetStatus {
             name,
             limit,
             floor,
@@ -501,7 +508,7 @@
                         _ => write!(line, ": its time of {term} ms is over"),
                     };
                 }
-                let ShownPart {
+                let LeaseStatus {
                     wanted,
                     borrowers,
                     pool,
@@ -530,9 +537,9 @@
     }
 }
 
-impl ShownKeys {
+impl QuotaStatus {
     fn why(&self) -> String {
-        let ShownKeys {
+        let QuotaStatus {
             name,
             count,
             floor,
@@ -563,9 +570,9 @@
     }
 }
 
-impl ShownService {
+impl ServiceStatus {
     fn why(&self) -> String {
-        let ShownService {
+        let ServiceStatus {
             name,
             mode,
             tries,
--- a/crates/shared-state/src/shown/tests.rs
+++ b/crates/shared-state/src/status/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::purse::Budget;
-use crate::treasury::Part;
-use crate::{Mode, Opinion, SECOND};
+use crate::budget_borrower::Budget;
+use crate::budget_lender::Lease;
+use crate::{AggregatedHealth, HealthState, SECOND};
 use prost::Message;
 
 /// A node that was lent something, then hears nothing, says so at each step.
@@ -16,17 +16,17 @@
         kind,
         repeats_only: false,
     };
-    let mut ends = Ends::new(0, std::slice::from_ref(&budget));
-    let at = |ends: &mut Ends, now: Nanos| {
-        let mut shown = Shown::default();
+    let mut ends = NodeBudgets::new(0, std::slice::from_ref(&budget));
+    let at = |ends: &mut NodeBudgets, now: Nanos| {
+        let mut shown = StatusSnapshot::default();
         shown.with_ends(now, ends);
-        let read = Shown::decode(shown.encode_to_vec().as_slice()).unwrap();
+        let read = StatusSnapshot::decode(shown.encode_to_vec().as_slice()).unwrap();
         assert_eq!(read, shown);
         read.why()[1].clone()
     };
     assert!(at(&mut ends, 0).contains("may use 2, its floor of 2 alone, for nothing was lent yet"));
     let term = 1500 * MILLISECOND;
-    let part = Part {
+    let part = Lease {
         book: 1,
         no: 1,
         units: 40,
@@ -56,18 +56,18 @@
 
 #[test]
 fn a_judgement_is_told_with_its_reason() {
-    let mut judge = Judge::new(0, 1);
-    let told = |judge: &mut Judge, now| {
-        let mut shown = Shown::default();
+    let mut judge = ServiceHealth::new(0, 1);
+    let told = |judge: &mut ServiceHealth, now| {
+        let mut shown = StatusSnapshot::default();
         shown.with_judge(now, "register", judge);
         shown.why().pop().unwrap()
     };
-    let ill = Opinion {
+    let ill = AggregatedHealth {
         witnesses: 4,
         ill: 3,
         zones: 2,
         ill_zones: 2,
-        ..Opinion::default()
+        ..AggregatedHealth::default()
     };
     judge.told(SECOND, ill);
     let careful = told(&mut judge, SECOND);
@@ -76,10 +76,10 @@
         "{careful}"
     );
     (0..10).for_each(|_| judge.ended(2 * SECOND, false));
-    assert_eq!(judge.mode(), Mode::Closed);
+    assert_eq!(judge.mode(), HealthState::Unavailable);
     judge.told(
         3 * SECOND,
-        Opinion {
+        AggregatedHealth {
             prober: true,
             ..ill
         },
--- a/crates/shared-state/tests/budgets.rs
+++ b/crates/shared-state/tests/budgets.rs
@@ -1,7 +1,7 @@
 //! The hard cases of a budget that a fleet shares, over simulated time: never over the limit, and
 //! what is unused is used again soon.
 
-use madderpoint_shared_state::sim::{Load, Plan, Sim, Way};
+use madderpoint_shared_state::simulation::{LimitStrategy, Load, Simulation, SimulationConfig};
 use madderpoint_shared_state::{Budget, Kind, Nanos};
 
 const MS: Nanos = 1_000_000;
@@ -18,11 +18,11 @@
     }
 }
 
-fn plan(nodes: usize, seed: u64) -> Plan {
-    Plan {
+fn plan(nodes: usize, seed: u64) -> SimulationConfig {
+    SimulationConfig {
         nodes,
         zones: 3,
-        way: Way::Leases,
+        way: LimitStrategy::Leases,
         budget: budget(1000, 2, nodes as u32 + 10),
         loss: 0.02,
         latency: (MS / 2, 5 * MS),
@@ -41,7 +41,7 @@
 
 /// Never over, at any moment: units that all hold together, and the calls that the service below
 /// counted.
-fn run_within(sim: &mut Sim, time: Nanos) {
+fn run_within(sim: &mut Simulation, time: Nanos) {
     for _ in 0..time / (20 * MS) {
         sim.run(20 * MS);
         let (spendable, limit) = (sim.spendable(), sim.plan.budget.limit);
@@ -67,7 +67,7 @@
 }
 
 /// The share of the limit that was used in the last seconds.
-fn used(sim: &mut Sim, seconds: u64) -> f64 {
+fn used(sim: &mut Simulation, seconds: u64) -> f64 {
     let before = sim.measured.made;
     run_within(sim, seconds * S);
     (sim.measured.made - before) as f64 / seconds as f64 / f64::from(sim.plan.budget.limit)
@@ -76,7 +76,7 @@
 #[test]
 fn with_all_well_nearly_all_of_it_is_used_and_moves_to_where_it_is_needed() {
     for seed in 0..3 {
-        let mut sim = Sim::new(plan(10, seed), full());
+        let mut sim = Simulation::new(plan(10, seed), full());
         run_within(&mut sim, 10 * S);
         assert!(used(&mut sim, 5) > 0.9, "seed {seed}: even demand");
         // All of it at two nodes.
@@ -97,7 +97,7 @@
 #[test]
 fn a_partition_in_thirds_stays_within_the_limit() {
     for seed in 0..4 {
-        let mut sim = Sim::new(plan(12, seed), full());
+        let mut sim = Simulation::new(plan(12, seed), full());
         run_within(&mut sim, 10 * S);
         sim.cut(|a, b| a % 3 != b % 3);
         run_within(&mut sim, 20 * S);
@@ -112,7 +112,7 @@
 /// Two of three arbiters on one side: that side lends on, the other one has its floors.
 #[test]
 fn the_side_with_most_arbiters_goes_on() {
-    let mut sim = Sim::new(plan(9, 1), full());
+    let mut sim = Simulation::new(plan(9, 1), full());
     run_within(&mut sim, 10 * S);
     sim.cut(|a, b| (2..7).contains(&a) != (2..7).contains(&b));
     run_within(&mut sim, 12 * S);
@@ -125,7 +125,7 @@
 fn a_cut_one_way_gives_nothing_twice() {
     for seed in 0..4 {
         for lender_is_heard in [true, false] {
-            let mut sim = Sim::new(plan(8, seed), full());
+            let mut sim = Simulation::new(plan(8, seed), full());
             run_within(&mut sim, 10 * S);
             sim.cut(move |a, b| {
                 if lender_is_heard {
@@ -145,8 +145,8 @@
 #[test]
 fn pauses_crashes_and_cold_returns_by_seed_stay_within_the_limit() {
     for seed in 0..25u64 {
-        let mut sim = Sim::new(
-            Plan {
+        let mut sim = Simulation::new(
+            SimulationConfig {
                 loss: [0.0, 0.05, 0.3][seed as usize % 3],
                 ..plan(9, seed)
             },
@@ -182,10 +182,10 @@
     }
 }
 
-/// Half of the fleet is replaced while the limit is fully used.
+/// TwoHalfWindow of the fleet is replaced while the limit is fully used.
 #[test]
 fn half_the_fleet_is_replaced_with_the_limit_fully_used() {
-    let mut sim = Sim::new(plan(20, 3), full());
+    let mut sim = Simulation::new(plan(20, 3), full());
     run_within(&mut sim, 10 * S);
     for n in 0..10 {
         sim.crash(n * 2);
@@ -210,8 +210,8 @@
             kind,
             repeats_only: false,
         };
-        let mut sim = Sim::new(
-            Plan {
+        let mut sim = Simulation::new(
+            SimulationConfig {
                 budget,
                 ..plan(9, seed)
             },
@@ -244,7 +244,7 @@
 /// and parts have ended.
 #[test]
 fn a_limit_that_changes_on_half_of_the_nodes_stays_within_the_larger() {
-    let mut sim = Sim::new(plan(8, 5), full());
+    let mut sim = Simulation::new(plan(8, 5), full());
     run_within(&mut sim, 10 * S);
     let smaller = budget(400, 2, 18);
     sim.rebudget(0..4, &smaller);
@@ -262,8 +262,8 @@
         floor: 0,
         ..budget(10, 0, 100)
     };
-    let mut sim = Sim::new(
-        Plan {
+    let mut sim = Simulation::new(
+        SimulationConfig {
             budget,
             ..plan(40, 2)
         },
@@ -278,18 +278,22 @@
 #[test]
 fn the_record_tells_the_plain_ways_apart() {
     let play = |way| {
-        let mut sim = Sim::new(Plan { way, ..plan(12, 1) }, full());
+        let mut sim = Simulation::new(SimulationConfig { way, ..plan(12, 1) }, full());
         sim.run(10 * S);
         sim.cut(|a, b| a % 3 != b % 3);
         sim.run(15 * S);
         sim.measured.clone()
     };
-    let (even, counter, leases) = (play(Way::EvenByView), play(Way::Counter), play(Way::Leases));
+    let (even, counter, leases) = (
+        play(LimitStrategy::EvenByView),
+        play(LimitStrategy::Counter),
+        play(LimitStrategy::Leases),
+    );
     assert!(even.worst_over > 500.0, "{even:?}");
     assert!(leases.worst_over <= 0.0 && counter.worst_over <= 0.0);
     // Cut off from the counter a node has nothing at all; with leases it has its floor.
     let cut_off = |way| {
-        let mut sim = Sim::new(Plan { way, ..plan(12, 1) }, full());
+        let mut sim = Simulation::new(SimulationConfig { way, ..plan(12, 1) }, full());
         sim.run(10 * S);
         sim.cut(|a, b| a % 3 != b % 3);
         sim.run(3 * S);
@@ -297,21 +301,24 @@
         sim.run(10 * S);
         sim.measured.by_node[1] - before
     };
-    let (counter, leases) = (cut_off(Way::Counter), cut_off(Way::Leases));
+    let (counter, leases) = (
+        cut_off(LimitStrategy::Counter),
+        cut_off(LimitStrategy::Leases),
+    );
     assert!(
         counter == 0 && (15..=25).contains(&leases),
         "{counter} and {leases} in 10 s, of a floor of 2 a second"
     );
 }
 
-/// Counts of calls, by way of arbiters that lose each other, with killed nodes and cold returns:
+/// ClusterCounters of calls, by way of arbiters that lose each other, with killed nodes and cold returns:
 /// all come to the same, never to more than was made, and to less only by what the killed had not
 /// told.
 #[test]
 fn counts_of_all_are_the_same_everywhere_and_lose_only_what_was_not_told() {
     for seed in 0..6 {
-        let mut sim = Sim::new(
-            Plan {
+        let mut sim = Simulation::new(
+            SimulationConfig {
                 counted: 64,
                 ..plan(9, seed)
             },
@@ -365,7 +372,7 @@
     }
 }
 
-fn calls(sim: &Sim, n: usize) -> u64 {
+fn calls(sim: &Simulation, n: usize) -> u64 {
     use madderpoint_shared_state::counts::{OWN, own};
     sim.counts(n)
         .unwrap()
--- a/crates/shared-state/tests/keys.rs
+++ b/crates/shared-state/tests/keys.rs
@@ -1,18 +1,18 @@
 //! The hard cases of limits by key that a fleet shares, over simulated time: no key is ever over
 //! its limit, and what is there is used.
 
-use madderpoint_shared_state::keyed::{KeyBudget, KeyKind};
-use madderpoint_shared_state::sim::{Load, Plan, Sim, Way};
+use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaKind};
+use madderpoint_shared_state::simulation::{LimitStrategy, Load, Simulation, SimulationConfig};
 use madderpoint_shared_state::{Budget, Kind, Nanos};
 use rand::RngExt;
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1000 * MS;
 
-fn rate(count: u32, burst: u32, floor: u32, nodes_most: u32) -> KeyBudget {
-    KeyBudget {
+fn rate(count: u32, burst: u32, floor: u32, nodes_most: u32) -> KeyedQuota {
+    KeyedQuota {
         name: "by-site".into(),
-        kind: KeyKind::Rate {
+        kind: QuotaKind::Rate {
             count,
             period: S,
             burst,
@@ -22,13 +22,13 @@
     }
 }
 
-fn plan(nodes: usize, seed: u64, keys: KeyBudget) -> Plan {
+fn plan(nodes: usize, seed: u64, keys: KeyedQuota) -> SimulationConfig {
     let kind = Kind::Rate { burst: 50 * MS };
     let nodes_most = nodes as u32 + 10;
-    Plan {
+    SimulationConfig {
         nodes,
         zones: 3,
-        way: Way::Leases,
+        way: LimitStrategy::Leases,
         budget: Budget {
             name: "below".into(),
             limit: 1000,
@@ -69,11 +69,11 @@
     }
 }
 
-fn sim(nodes: usize, seed: u64, keys: KeyBudget) -> Sim {
-    Sim::new(plan(nodes, seed, keys), none())
+fn sim(nodes: usize, seed: u64, keys: KeyedQuota) -> Simulation {
+    Simulation::new(plan(nodes, seed, keys), none())
 }
 
-fn run(sim: &mut Sim, time: Nanos) {
+fn run(sim: &mut Simulation, time: Nanos) {
     sim.run(time);
     assert!(
         sim.measured.keys_over <= 0.0,
@@ -85,7 +85,7 @@
 }
 
 /// Let through a second and key, of what was wanted.
-fn made(sim: &mut Sim, seconds: u64, keys: u64) -> f64 {
+fn made(sim: &mut Simulation, seconds: u64, keys: u64) -> f64 {
     let before = sim.measured.keys_made;
     run(sim, seconds * S);
     (sim.measured.keys_made - before) as f64 / seconds as f64 / keys as f64
@@ -131,7 +131,7 @@
     }
 }
 
-fn all_cold(sim: &mut Sim) {
+fn all_cold(sim: &mut Simulation) {
     for n in 0..sim.plan.nodes {
         sim.crash(n);
         sim.start(n);
@@ -144,22 +144,22 @@
         let floor = (seed % 2) as u32;
         let loss = [0.0, 0.05, 0.3][seed as usize % 3];
         let kind = match seed % 4 {
-            3 => KeyKind::InHand {
+            3 => QuotaKind::InHand {
                 limit: 20,
                 longest: 800 * MS,
             },
-            _ => KeyKind::Rate {
+            _ => QuotaKind::Rate {
                 count: 20,
                 period: S,
                 burst: 30,
             },
         };
-        let keys = KeyBudget {
+        let keys = KeyedQuota {
             kind,
             ..rate(20, 30, floor, 16)
         };
-        let mut sim = Sim::new(
-            Plan {
+        let mut sim = Simulation::new(
+            SimulationConfig {
                 loss,
                 ..plan(9, seed, keys)
             },
@@ -259,7 +259,7 @@
     assert!(refused > 0 && passed > 0.9, "{refused} {passed}");
 }
 
-/// Half of the nodes have a smaller limit: all together keep to the larger one.
+/// TwoHalfWindow of the nodes have a smaller limit: all together keep to the larger one.
 #[test]
 fn a_limit_that_changes_on_half_of_the_nodes() {
     let mut sim = sim(8, 4, rate(40, 80, 1, 10));
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -1,11 +1,11 @@
-//! Who lends and what is lent, checked through every order of messages that are late, doubled or
+//! ProcessId lends and what is lent, checked through every order of messages that are late, doubled or
 //! lost, of ticks, of a crash with a cold return, and of nodes that stand still (which is no action
 //! for some ticks): what all may spend together is never over the limit. The machines are the
 //! package's; what is left out is the drift of clocks, which `budgets.rs` plays.
 
-use madderpoint_shared_state::lease::{Arbiter, Candidate};
-use madderpoint_shared_state::treasury::{Part, Treasury};
-use madderpoint_shared_state::{Budget, Demand, Kind, Purse, Who};
+use madderpoint_shared_state::budget_lender::{BudgetLender, Lease};
+use madderpoint_shared_state::leader_lease::{Candidate, Voter};
+use madderpoint_shared_state::{Budget, BudgetBorrower, Demand, Kind, ProcessId};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -18,30 +18,30 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Sent {
-    Want {
-        from: Who,
+    BudgetRequest {
+        from: ProcessId,
         to: usize,
         no: u64,
     },
-    Word {
-        to: Who,
+    CounterReport {
+        to: ProcessId,
         by: usize,
         no: u64,
     },
     GiveBack {
-        from: Who,
+        from: ProcessId,
         to: usize,
         no: u64,
     },
     Ask {
-        from: Who,
+        from: ProcessId,
         to: usize,
         at: u64,
         book: u64,
         holds: u64,
     },
     Lend {
-        to: Who,
+        to: ProcessId,
         at: u64,
         book: u64,
         no: u64,
@@ -51,11 +51,11 @@
 
 #[derive(Clone, Debug)]
 struct Node {
-    who: Who,
-    arbiter: Arbiter,
+    who: ProcessId,
+    arbiter: Voter,
     candidate: Candidate,
-    books: Option<Treasury>,
-    purse: Purse,
+    books: Option<BudgetLender>,
+    purse: BudgetBorrower,
 }
 
 #[derive(Clone, Debug)]
@@ -106,12 +106,12 @@
     }
 }
 
-fn books(now: u64, id: u64) -> Treasury {
-    Treasury::new(now, id, UNITS, PART, 0, 8)
+fn books(now: u64, id: u64) -> BudgetLender {
+    BudgetLender::new(now, id, UNITS, PART, 0, 8)
 }
 
-fn purse(now: u64) -> Purse {
-    Purse::new(now, budget())
+fn purse(now: u64) -> BudgetBorrower {
+    BudgetBorrower::new(now, budget())
 }
 
 impl Small {
@@ -120,12 +120,12 @@
         let now = 100;
         let nodes = (0..NODES)
             .map(|n| {
-                let who = Who {
+                let who = ProcessId {
                     key: n as u64,
                     life: n as u64 + 1,
                 };
-                let mut arbiter = Arbiter::new(0, TERM);
-                let lender = Who { key: 0, life: 1 };
+                let mut arbiter = Voter::new(0, TERM);
+                let lender = ProcessId { key: 0, life: 1 };
                 arbiter.ask(now, lender, 1).unwrap();
                 let mut candidate = Candidate::new(NODES, TERM);
                 if n == 0 {
@@ -173,16 +173,16 @@
     fn arrives(&mut self, sent: Sent) {
         let now = self.now;
         match sent {
-            Sent::Want { from, to, no } => {
+            Sent::BudgetRequest { from, to, no } => {
                 if self.nodes[to].arbiter.ask(now, from, no).is_ok() {
-                    self.send(Sent::Word {
+                    self.send(Sent::CounterReport {
                         to: from,
                         by: to,
                         no,
                     });
                 }
             }
-            Sent::Word { to, by, no } => {
+            Sent::CounterReport { to, by, no } => {
                 if let Some(n) = self.nodes.iter().position(|node| node.who == to) {
                     self.word(n, by, no);
                 }
@@ -207,7 +207,7 @@
                 let Some(books) = &mut self.nodes[to].books else {
                     return;
                 };
-                if let Some(Part {
+                if let Some(Lease {
                     book, no, units, ..
                 }) = books.ask(now, from, (book, holds), demand, until)
                 {
@@ -231,12 +231,12 @@
                     node.purse.lend(
                         now,
                         at,
-                        Part {
+                        Lease {
                             book,
                             no,
                             units,
                             term: PART,
-                            ..Part::default()
+                            ..Lease::default()
                         },
                     );
                     self.lent += usize::from(units > 0);
@@ -297,7 +297,7 @@
                     state.word(n, n, no);
                 }
                 let other = 2; // the third one has the word that decides
-                state.send(Sent::Want {
+                state.send(Sent::BudgetRequest {
                     from,
                     to: other,
                     no,
@@ -332,11 +332,11 @@
             }
             Action::CrashAndReturn(n) => {
                 state.crashes += 1;
-                let who = Who {
+                let who = ProcessId {
                     key: n as u64,
                     life: 100 + now * 10 + n as u64,
                 };
-                let (arbiter, candidate) = (Arbiter::new(now, TERM), Candidate::new(NODES, TERM));
+                let (arbiter, candidate) = (Voter::new(now, TERM), Candidate::new(NODES, TERM));
                 state.nodes[n] = Node {
                     who,
                     arbiter,
--- a/crates/shared-state/tests/model_keys.rs
+++ b/crates/shared-state/tests/model_keys.rs
@@ -3,10 +3,12 @@
 //! to lend: a rate is never over what it may be, and never more in hand than may be; and what was
 //! lost comes back. The machines are the package's; who lends is `model.rs`'s.
 
-use madderpoint_shared_state::keyed::books::KeyBooks;
-use madderpoint_shared_state::keyed::wallet::Slip;
-use madderpoint_shared_state::keyed::{KeyAsk, KeyBudget, KeyKind, KeysAsked, Rhythm};
-use madderpoint_shared_state::{Nanos, Who};
+use madderpoint_shared_state::keyed_quota::borrower::UnitLease;
+use madderpoint_shared_state::keyed_quota::lender::QuotaLender;
+use madderpoint_shared_state::keyed_quota::{
+    KeyRequest, KeyedQuota, QuotaKind, QuotaRequest, QuotaTiming,
+};
+use madderpoint_shared_state::{Nanos, ProcessId};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -22,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Sent {
     Ask {
-        who: Who,
+        who: ProcessId,
         no: u32,
         stamp: Nanos,
         left: u32,
@@ -30,7 +32,7 @@
         wants: u32,
     },
     Lend {
-        who: Who,
+        who: ProcessId,
         no: u32,
         stamp: Nanos,
         adds: u32,
@@ -39,8 +41,8 @@
 
 #[derive(Clone, Debug, PartialEq, Hash)]
 struct Borrower {
-    who: Who,
-    slip: Slip,
+    who: ProcessId,
+    slip: UnitLease,
     no: u32,
     /// When what it has in hand is over.
     hands: Vec<Nanos>,
@@ -50,7 +52,7 @@
 struct State {
     now: Nanos,
     budget: u32,
-    books: KeyBooks,
+    books: QuotaLender,
     borrowers: Vec<Borrower>,
     under_way: BTreeSet<Sent>,
     crashes: usize,
@@ -65,7 +67,7 @@
     /// All that decides what can happen next.
     fn essence(&self) -> impl PartialEq + Hash + '_ {
         let (opens, entry, numbers) = self.books.state(self.budget, 7);
-        let numbers: Vec<(Who, u32)> = numbers.collect();
+        let numbers: Vec<(ProcessId, u32)> = numbers.collect();
         let record = (self.due.max(self.now), self.over, self.spent.min(MOST + 1));
         (
             (self.now, opens, entry, numbers),
@@ -101,14 +103,14 @@
 }
 
 struct Small {
-    kind: KeyKind,
+    kind: QuotaKind,
     ticks: Nanos,
     under_way: usize,
 }
 
 impl Small {
-    fn budget(&self) -> KeyBudget {
-        KeyBudget {
+    fn budget(&self) -> KeyedQuota {
+        KeyedQuota {
             name: "k".into(),
             kind: self.kind,
             floor: 0,
@@ -116,14 +118,14 @@
         }
     }
 
-    fn books(&self, now: Nanos) -> KeyBooks {
-        let rhythm = Rhythm {
+    fn books(&self, now: Nanos) -> QuotaLender {
+        let rhythm = QuotaTiming {
             urgent: 1,
             renew: 10,
             life: LIFE,
             keep: 10_000,
         };
-        KeyBooks::new(now, &[self.budget()], rhythm, 1 << 12, 1)
+        QuotaLender::new(now, &[self.budget()], rhythm, 1 << 12, 1)
     }
 
     fn begins(&self) -> Nanos {
@@ -141,14 +143,14 @@
                 back,
                 wants,
             } => {
-                let keys = vec![KeyAsk {
+                let keys = vec![KeyRequest {
                     budget: budget.id(),
                     key: 7,
                     left,
                     back,
                     wants,
                 }];
-                let lent = state.books.ask(now, who, &KeysAsked { no, stamp, keys });
+                let lent = state.books.ask(now, who, &QuotaRequest { no, stamp, keys });
                 if let Some(key) = lent.and_then(|lent| lent.keys.first().copied()) {
                     state.under_way.insert(Sent::Lend {
                         who,
@@ -180,11 +182,11 @@
 
     fn init_states(&self) -> Vec<State> {
         let borrower = |n: usize| Borrower {
-            who: Who {
+            who: ProcessId {
                 key: n as u64 + 1,
                 life: 1,
             },
-            slip: Slip::default(),
+            slip: UnitLease::default(),
             no: 0,
             hands: Vec::new(),
         };
@@ -244,7 +246,7 @@
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
-        let is_rate = matches!(self.kind, KeyKind::Rate { .. });
+        let is_rate = matches!(self.kind, QuotaKind::Rate { .. });
         match action {
             Action::Tick(ticks) => {
                 state.now += ticks;
@@ -295,13 +297,13 @@
             }
             Action::CrashAndReturn(n) => {
                 state.crashes += 1;
-                let who = Who {
+                let who = ProcessId {
                     key: n as u64 + 1,
                     life: 100,
                 };
                 state.borrowers[n] = Borrower {
                     who,
-                    slip: Slip::default(),
+                    slip: UnitLease::default(),
                     no: 0,
                     hands: Vec::new(),
                 };
@@ -339,7 +341,7 @@
     }
 }
 
-fn check(kind: KeyKind) {
+fn check(kind: QuotaKind) {
     let model = Small {
         kind,
         ticks: 410,
@@ -361,7 +363,7 @@
 
 #[test]
 fn a_rate_holds_through_every_order_of_faults() {
-    check(KeyKind::Rate {
+    check(QuotaKind::Rate {
         count: 1,
         period: EVEN,
         burst: MOST,
@@ -370,7 +372,7 @@
 
 #[test]
 fn a_number_in_hand_holds_through_every_order_of_faults() {
-    check(KeyKind::InHand {
+    check(QuotaKind::InHand {
         limit: MOST,
         longest: LONGEST,
     });
--- a/crates/shared-state/tests/slow_start.rs
+++ b/crates/shared-state/tests/slow_start.rs
@@ -3,8 +3,10 @@
 //! different times, one hears nobody, one restarts in the middle, one was idle all the while, and
 //! all try in the same instants.
 
-use madderpoint_shared_state::judge::is_prober;
-use madderpoint_shared_state::{Budget, Ends, Judge, Kind, Mode, Nanos, Part, Who, Witnesses};
+use madderpoint_shared_state::service_health::is_prober;
+use madderpoint_shared_state::{
+    Budget, HealthReports, HealthState, Kind, Lease, Nanos, NodeBudgets, ProcessId, ServiceHealth,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -33,9 +35,9 @@
 }
 
 struct Node {
-    judge: Judge,
-    ends: Ends,
-    heard: Witnesses,
+    judge: ServiceHealth,
+    ends: NodeBudgets,
+    heard: HealthReports,
     no: u64,
 }
 
@@ -50,13 +52,13 @@
 
 /// The window that is looked at, and how a process goes about a start.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum LimitStrategy {
     Slowly,
     /// By the judgement alone, as before: units are not scaled.
     ByTheJudgementAlone,
 }
 
-fn play(nodes: usize, each: u32, window: Nanos, seed: u64, way: Way) -> Outcome {
+fn play(nodes: usize, each: u32, window: Nanos, seed: u64, way: LimitStrategy) -> Outcome {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let limit = each * nodes as u32;
     let kind = Kind::Rate { burst: 50 * MS };
@@ -70,10 +72,10 @@
         repeats_only: false,
     };
     let new = |now: Nanos, n: usize, life: u64| Node {
-        judge: Judge::new(now, n as u32 % 3),
-        ends: Ends::new(now, std::slice::from_ref(&budget))
+        judge: ServiceHealth::new(now, n as u32 % 3),
+        ends: NodeBudgets::new(now, std::slice::from_ref(&budget))
             .with_seed(seed << 20 | life << 10 | n as u64),
-        heard: Witnesses::new(64),
+        heard: HealthReports::new(64),
         no: 0,
     };
     let mut all: Vec<Node> = (0..nodes).map(|n| new(0, n, 0)).collect();
@@ -95,18 +97,18 @@
             if n != deaf && (now + phase[n]).is_multiple_of(LENDS) {
                 node.no += 1;
                 let units = budget.pool() / nodes as u32;
-                let part = Part {
+                let part = Lease {
                     book: 1 + (now / RESTART),
                     no: node.no,
                     units,
                     term: TERM,
-                    ..Part::default()
+                    ..Lease::default()
                 };
                 node.ends.lent(now, now - 5 * MS, &[(budget.id(), part)]);
             }
             let tries = n != idle || !(DOWN - 9 * S..WAKES).contains(&now);
             if tries && now.is_multiple_of(TRIES) {
-                if way == Way::Slowly {
+                if way == LimitStrategy::Slowly {
                     node.ends.slow_start(now, node.judge.share(now));
                 }
                 if node.judge.admits(now, false) && node.ends.take(now, false).is_ok() {
@@ -121,7 +123,7 @@
                 for _ in 0..3 {
                     let m = rng.random_range(0..nodes);
                     if m != n && m != deaf && !rng.random_bool(0.1) {
-                        let from = Who {
+                        let from = ProcessId {
                             key: n as u64 + 1,
                             life: 0,
                         };
@@ -157,7 +159,9 @@
         let takes = takes.max(f64::from(limit) * ramp(0) * window as f64 / S as f64);
         over = over.max(here - (takes + 2.0 * takes.sqrt() + 2.0));
     }
-    let open = all.iter().all(|node| node.judge.mode() == Mode::Open);
+    let open = all
+        .iter()
+        .all(|node| node.judge.mode() == HealthState::Healthy);
     Outcome {
         over,
         came: came.len(),
@@ -171,7 +175,7 @@
         for each in [2, 5, 10] {
             for window in [S / 2, S, 5 * S] {
                 for seed in 0..10 {
-                    let outcome = play(nodes, each, window, seed, Way::Slowly);
+                    let outcome = play(nodes, each, window, seed, LimitStrategy::Slowly);
                     let case = format!(
                         "{nodes} processes, {each} each, {window} ns, seed {seed}: {outcome:?}"
                     );
@@ -190,7 +194,7 @@
 fn without_a_slow_start_the_same_play_is_over() {
     for nodes in [5, 20, 30] {
         let over = (0..10)
-            .filter(|seed| play(nodes, 5, S, *seed, Way::ByTheJudgementAlone).over > 0.0)
+            .filter(|seed| play(nodes, 5, S, *seed, LimitStrategy::ByTheJudgementAlone).over > 0.0)
             .count();
         assert!(over >= 8, "{nodes} processes: {over} of 10");
     }
--- a/crates/test-harness/src/rig.rs
+++ b/crates/test-harness/src/rig.rs
@@ -18,7 +18,7 @@
 use madderpoint_membership::Status;
 use madderpoint_membership::observer::{Holding, Observer};
 use madderpoint_membership::seal::Keys;
-use madderpoint_shared_state::shown::Shown;
+use madderpoint_shared_state::status::StatusSnapshot;
 use prost::Message as _;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -727,7 +727,7 @@
         let (begun, mut last) = (Instant::now(), "nothing".to_owned());
         while Instant::now() < until {
             if let Some(bytes) = pages(&socket, node.bind, &mut observer, begun) {
-                let shown = Shown::decode(bytes.as_slice()).map_err(|e| e.to_string())?;
+                let shown = StatusSnapshot::decode(bytes.as_slice()).map_err(|e| e.to_string())?;
                 if has(&shown, what) {
                     return Ok(());
                 }
@@ -1137,7 +1137,7 @@
 }
 
 /// Whether a node holds this.
-fn has(shown: &Shown, what: &str) -> bool {
+fn has(shown: &StatusSnapshot, what: &str) -> bool {
     let mode = shown
         .service
         .as_ref()
