--- a/crates/membership/src/reconcile.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -4,9 +4,9 @@
 //!
 //! No step leaves a state behind: what is lost is begun anew with whoever disagrees next.
 
-use crate::member::{Epoch, Key, Life, Standing, Status};
-use crate::view::View;
-use crate::wire::{News, Range, Summary};
+use crate::member::{Epoch, Incarnation, Liveness, LivenessState, MemberKey};
+use crate::member_table::MemberTable;
+use crate::wire::{MemberUpdate, Range, Summary};
 use std::collections::BTreeMap;
 
 /// Slices of one summary, at most; and members of a range that are named rather than summed up.
@@ -33,7 +33,7 @@
 }
 
 /// Digests of all that is there.
-pub fn summary(view: &View) -> Summary {
+pub fn summary(view: &MemberTable) -> Summary {
     let digests = view.slices(slices_for(view.counts().present()));
     Summary {
         from: 0,
@@ -42,7 +42,7 @@
     }
 }
 
-fn part(view: &View, from: u64, to: u64, members: usize) -> Summary {
+fn part(view: &MemberTable, from: u64, to: u64, members: usize) -> Summary {
     let sums = slices(from, to, slices_for(members)).map(|(from, to)| view.sum(from..=to).1);
     Summary {
         from,
@@ -54,16 +54,16 @@
 /// What to say to a summary: finer ones for ranges with many members, and for others all that is
 /// there.
 #[derive(Debug, Default)]
-pub struct Finer {
+pub struct SummaryReply {
     pub summaries: Vec<Summary>,
     pub covered: Vec<Range>,
 }
 
 /// Compares a summary with what is here. The slices are looked at from this one on, so that those
 /// who ask again, or ask others, hear something else first.
-pub fn finer(view: &View, theirs: &Summary, first: usize) -> Finer {
+pub fn finer(view: &MemberTable, theirs: &Summary, first: usize) -> SummaryReply {
     let (digests, odd) = theirs.digests.as_chunks::<8>();
-    let mut finer = Finer::default();
+    let mut finer = SummaryReply::default();
     if digests.is_empty() || digests.len() > 256 || !odd.is_empty() || theirs.from > theirs.to {
         return finer;
     }
@@ -85,7 +85,7 @@
 }
 
 /// All who are present in a range, in brief.
-pub fn headers(view: &View, range: &Range) -> Vec<News> {
+pub fn headers(view: &MemberTable, range: &Range) -> Vec<MemberUpdate> {
     if range.from > range.to {
         return Vec::new();
     }
@@ -97,19 +97,22 @@
 
 /// What two nodes tell each other about some ranges.
 #[derive(Debug, Default)]
-pub struct Differences {
+pub struct RangeExchange {
     /// The other one lacks all of these.
-    pub whole: Vec<Key>,
+    pub whole: Vec<MemberKey>,
     /// It knows them, but not how they stand.
-    pub brief: Vec<Key>,
+    pub brief: Vec<MemberKey>,
     /// It knows more of these.
-    pub wants: Vec<Key>,
+    pub wants: Vec<MemberKey>,
 }
 
 /// Compares all that the other one has in some ranges with what is here.
-pub fn differences(view: &View, covered: &[Range], named: &[News]) -> Differences {
-    let mut differences = Differences::default();
-    let theirs: BTreeMap<Key, &News> = named.iter().map(|news| (Key(news.key), news)).collect();
+pub fn differences(view: &MemberTable, covered: &[Range], named: &[MemberUpdate]) -> RangeExchange {
+    let mut differences = RangeExchange::default();
+    let theirs: BTreeMap<MemberKey, &MemberUpdate> = named
+        .iter()
+        .map(|news| (MemberKey(news.key), news))
+        .collect();
     for (key, news) in &theirs {
         let Some(known) = view.get(*key) else {
             differences.wants.push(*key);
@@ -117,10 +120,10 @@
         };
         let epoch = Epoch {
             birth: news.birth,
-            life: Life(news.life),
+            life: Incarnation(news.life),
         };
-        let status = Status::from_number(news.status).unwrap_or_default();
-        let standing = Standing {
+        let status = Liveness::from_number(news.status).unwrap_or_default();
+        let standing = LivenessState {
             bump: news.bump,
             status,
         };
--- a/crates/membership/src/reconcile/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -1,16 +1,17 @@
 use super::*;
-use crate::member::{Details, Phase};
-use crate::view::Merged;
+use crate::member::{MemberDetails, Phase};
+use crate::member_table::MergeOutcome;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
 
-fn news(n: usize, bump: u32, status: Status) -> News {
+fn news(n: usize, bump: u32, status: Liveness) -> MemberUpdate {
     let (name, address) = (format!("n{n}"), SocketAddr::from(([127, 0, 0, 1], 1000)));
-    let told = Details::new(address, "a", Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
-    let key = Key::of(&name).0;
+    let told =
+        MemberDetails::new(address, "a", Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
+    let key = MemberKey::of(&name).0;
     let told = told.raw().to_vec();
-    News {
+    MemberUpdate {
         key,
         birth: 1,
         life: 1,
@@ -44,9 +45,9 @@
 
 #[test]
 fn the_digests_that_are_kept_are_those_of_the_slices() {
-    let mut view = View::new(64 << 20, None);
+    let mut view = MemberTable::new(64 << 20, None);
     for n in 0..700 {
-        let _ = view.merge(0, &news(n, 0, Status::Alive));
+        let _ = view.merge(0, &news(n, 0, Liveness::Alive));
     }
     for members in [1, 5, 30, 100, 700] {
         let n = slices_for(members);
@@ -65,21 +66,26 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let members = [0, 1, 3, 40, 300, 1500][rng.random_range(0..6)];
         let differ = rng.random_range(0.0..1.0f64).powi(3);
-        let (mut a, mut b) = (View::new(64 << 20, None), View::new(64 << 20, None));
+        let (mut a, mut b) = (
+            MemberTable::new(64 << 20, None),
+            MemberTable::new(64 << 20, None),
+        );
         for n in 0..members {
             for view in [&mut a, &mut b] {
                 if rng.random_bool(differ) {
                     match rng.random_range(0..4) {
                         0 => continue,
-                        1 => drop(view.merge(0, &news(n, 1, Status::Alive))),
+                        1 => drop(view.merge(0, &news(n, 1, Liveness::Alive))),
                         2 => {
-                            let _ = view.merge(0, &news(n, 0, Status::Alive));
-                            view.set(0, Key::of(&format!("n{n}")), Status::Dead);
+                            let _ = view.merge(0, &news(n, 0, Liveness::Alive));
+                            view.set(0, MemberKey::of(&format!("n{n}")), Liveness::Dead);
+                        }
+                        _ => {
+                            drop(view.merge(0, &news(n, rng.random_range(0..3), Liveness::Suspect)))
                         }
-                        _ => drop(view.merge(0, &news(n, rng.random_range(0..3), Status::Suspect))),
                     }
                 } else {
-                    let _ = view.merge(0, &news(n, 0, Status::Alive));
+                    let _ = view.merge(0, &news(n, 0, Liveness::Alive));
                 }
             }
         }
@@ -99,7 +105,7 @@
                 };
                 let finer = finer(here, &summary, rng.random_range(0..64));
                 open.extend(finer.summaries.into_iter().map(|summary| (!by_b, summary)));
-                let named: Vec<News> = finer
+                let named: Vec<MemberUpdate> = finer
                     .covered
                     .iter()
                     .flat_map(|range| headers(here, range))
@@ -130,9 +136,14 @@
                 told += back.len() + wants.len();
                 for news in &back {
                     // Whoever hears what is out of date says what it knows.
-                    if here.merge(0, news) == Merged::Older {
-                        let _ =
-                            there.merge(0, &here.get(Key(news.key)).unwrap().brief(Key(news.key)));
+                    if here.merge(0, news) == MergeOutcome::Older {
+                        let _ = there.merge(
+                            0,
+                            &here
+                                .get(MemberKey(news.key))
+                                .unwrap()
+                                .brief(MemberKey(news.key)),
+                        );
                     }
                 }
                 for news in &wants {
@@ -155,9 +166,9 @@
 
 #[test]
 fn what_makes_no_sense_is_answered_with_nothing() {
-    let mut view = View::new(64 << 20, None);
+    let mut view = MemberTable::new(64 << 20, None);
     for n in 0..20 {
-        let _ = view.merge(0, &news(n, 0, Status::Alive));
+        let _ = view.merge(0, &news(n, 0, Liveness::Alive));
     }
     for (from, to, digests) in [
         (9, 3, 64),
--- a/crates/membership/src/sight.rs
+++ b/crates/membership/src/cluster_size.rs
@@ -2,8 +2,8 @@
 //! that lately lost sight of many cannot tell whether they are gone or it is cut off itself, and
 //! says so; the size it goes by falls slowly.
 
-use crate::member::{Entry, Status};
-use crate::view::{Counts, View};
+use crate::member::{Liveness, MemberEntry};
+use crate::member_table::{MemberCounts, MemberTable};
 use crate::{Nanos, SECOND};
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
 
 /// How many there are: what to go by, and what lies within sight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Extent {
+pub struct SizeEstimate {
     /// What decisions go by: up at once, down slowly.
     pub size: usize,
     /// Those held to be there without a doubt.
@@ -35,10 +35,10 @@
 
 /// What decisions see.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Sight {
-    pub fleet: Extent,
+pub struct ClusterView {
+    pub fleet: SizeEstimate,
     /// The own zone.
-    pub zone: Extent,
+    pub zone: SizeEstimate,
     /// Since when the node cannot tell whether others are gone or it is cut off.
     pub unsure_since: Option<Nanos>,
     /// Equal on nodes that agree.
@@ -52,14 +52,14 @@
 
 /// A number that rises at once and falls slowly.
 #[derive(Clone, Copy, Debug, Default)]
-struct Slow {
+struct SlowDecay {
     value: usize,
     stepped: Nanos,
     /// What it was when the node became unsure.
     held: usize,
 }
 
-impl Slow {
+impl SlowDecay {
     fn follow(&mut self, now: Nanos, target: usize, unsure: bool) {
         if target >= self.value {
             (self.value, self.stepped) = (target, now);
@@ -84,28 +84,28 @@
 
 /// Keeps what decisions see.
 #[derive(Debug, Default)]
-pub struct Sizer {
-    fleet: Slow,
-    zone: Slow,
+pub struct ClusterSizeEstimator {
+    fleet: SlowDecay,
+    zone: SlowDecay,
     unsure_since: Option<Nanos>,
     /// When there was last a cause to be unsure.
     cause: Nanos,
 }
 
-impl Sizer {
+impl ClusterSizeEstimator {
     /// Looks at the view; to be called several times a second.
     pub fn look(
         &mut self,
         now: Nanos,
-        view: &View,
+        view: &MemberTable,
         own_zone: &Arc<str>,
         doubt: u32,
         mute: bool,
-    ) -> Sight {
+    ) -> ClusterView {
         let (mut lost, mut lost_here) = (0, 0);
         if view.counts().dead > 0 {
-            let is_recent = |entry: &Entry| {
-                entry.status() == Status::Dead && now.saturating_sub(entry.since) < HOLD
+            let is_recent = |entry: &MemberEntry| {
+                entry.status() == Liveness::Dead && now.saturating_sub(entry.since) < HOLD
             };
             for (_, entry) in view.iter().filter(|(_, entry)| is_recent(entry)) {
                 lost += 1;
@@ -117,12 +117,12 @@
         let unsure = self.unsure_since.is_some();
         self.fleet.follow(now, fleet.present(), unsure);
         self.zone.follow(now, zone.present(), unsure);
-        let extent = |slow: &Slow, counts: Counts, lost: usize| Extent {
+        let extent = |slow: &SlowDecay, counts: MemberCounts, lost: usize| SizeEstimate {
             size: slow.value,
             low: counts.alive,
             high: (counts.present() + lost).max(slow.value),
         };
-        Sight {
+        ClusterView {
             fleet: extent(&self.fleet, fleet, lost),
             zone: extent(&self.zone, zone, lost_here),
             unsure_since: self.unsure_since,
@@ -133,7 +133,7 @@
         }
     }
 
-    fn judge(&mut self, now: Nanos, fleet: Counts, lost: usize, doubt: u32) {
+    fn judge(&mut self, now: Nanos, fleet: MemberCounts, lost: usize, doubt: u32) {
         let before = self.fleet.value.max(fleet.present() + lost);
         let many_lost =
             lost * LOST_PART >= before && (lost > 1 || lost == 1 && fleet.present() < 2);
--- a/crates/membership/src/sight/tests.rs
+++ b/crates/membership/src/cluster_size/tests.rs
@@ -1,32 +1,32 @@
 use super::*;
-use crate::member::{Details, Key, Phase, Status};
-use crate::wire::News;
+use crate::member::{Liveness, MemberDetails, MemberKey, Phase};
+use crate::wire::MemberUpdate;
 use std::net::SocketAddr;
 
-fn fleet(members: usize) -> View {
-    let mut view = View::new(16 << 20, None);
+fn fleet(members: usize) -> MemberTable {
+    let mut view = MemberTable::new(16 << 20, None);
     for n in 0..members {
         let name = format!("n{n}");
         let address = SocketAddr::from(([127, 0, 0, 1], 1000));
         let zone = ["a", "b", "c"][n % 3];
         let told =
-            Details::new(address, zone, Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
-        let news = News {
-            key: Key::of(&name).0,
+            MemberDetails::new(address, zone, Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
+        let news = MemberUpdate {
+            key: MemberKey::of(&name).0,
             birth: 1,
             life: 1,
             name,
             told: told.raw().into(),
-            ..News::default()
+            ..MemberUpdate::default()
         };
         let _ = view.merge(0, &news);
     }
     view
 }
 
-fn set(view: &mut View, now: Nanos, names: std::ops::Range<usize>, status: Status) {
+fn set(view: &mut MemberTable, now: Nanos, names: std::ops::Range<usize>, status: Liveness) {
     for n in names {
-        view.set(now, Key::of(&format!("n{n}")), status);
+        view.set(now, MemberKey::of(&format!("n{n}")), status);
     }
 }
 
@@ -34,24 +34,24 @@
 /// says that it is unsure.
 #[test]
 fn losing_all_at_once_is_no_jump_and_is_said() {
-    let (mut view, mut sizer, zone) = (fleet(300), Sizer::default(), Arc::from("a"));
-    let mut look = |view: &View, now| sizer.look(now, view, &zone, 0, false);
+    let (mut view, mut sizer, zone) = (fleet(300), ClusterSizeEstimator::default(), Arc::from("a"));
+    let mut look = |view: &MemberTable, now| sizer.look(now, view, &zone, 0, false);
     assert_eq!(
         look(&view, SECOND).fleet,
-        Extent {
+        SizeEstimate {
             size: 300,
             low: 300,
             high: 300
         }
     );
-    set(&mut view, 2 * SECOND, 1..300, Status::Suspect);
+    set(&mut view, 2 * SECOND, 1..300, Liveness::Suspect);
     let sight = look(&view, 2 * SECOND);
     assert_eq!(
         (sight.fleet.size, sight.fleet.low, sight.fleet.high),
         (300, 1, 300)
     );
     assert_eq!(sight.unsure_since, Some(2 * SECOND));
-    set(&mut view, 3 * SECOND, 1..300, Status::Dead);
+    set(&mut view, 3 * SECOND, 1..300, Liveness::Dead);
     let (mut before, mut least) = (300, 300);
     for tenths in 30..400 {
         let sight = look(&view, tenths * SECOND / 10);
@@ -68,7 +68,7 @@
     assert_eq!(
         (sight.fleet, sight.unsure_since),
         (
-            Extent {
+            SizeEstimate {
                 size: 1,
                 low: 1,
                 high: 1
@@ -82,9 +82,9 @@
 /// himself.
 #[test]
 fn an_unsure_node_goes_by_half_of_what_it_knew() {
-    let (mut view, mut sizer, zone) = (fleet(100), Sizer::default(), Arc::from("a"));
+    let (mut view, mut sizer, zone) = (fleet(100), ClusterSizeEstimator::default(), Arc::from("a"));
     sizer.look(0, &view, &zone, 0, false);
-    set(&mut view, SECOND, 1..100, Status::Dead);
+    set(&mut view, SECOND, 1..100, Liveness::Dead);
     for second in 1..30 {
         let sight = sizer.look(second * SECOND, &view, &zone, 0, false);
         assert!(
@@ -96,17 +96,17 @@
 
 #[test]
 fn few_losses_and_those_who_say_that_they_leave_make_nobody_unsure() {
-    let (mut view, mut sizer, zone) = (fleet(12), Sizer::default(), Arc::from("a"));
+    let (mut view, mut sizer, zone) = (fleet(12), ClusterSizeEstimator::default(), Arc::from("a"));
     sizer.look(0, &view, &zone, 0, false);
-    set(&mut view, SECOND, 0..2, Status::Dead);
-    set(&mut view, SECOND, 2..8, Status::Left);
+    set(&mut view, SECOND, 0..2, Liveness::Dead);
+    set(&mut view, SECOND, 2..8, Liveness::Left);
     let sight = sizer.look(SECOND, &view, &zone, 0, false);
     assert_eq!((sight.unsure_since, sight.fleet.low), (None, 4));
     assert!(sight.fleet.high >= 6 && sight.fleet.size >= 10, "{sight:?}");
     let sight = sizer.look(40 * SECOND, &view, &zone, 0, false);
     assert_eq!(
         sight.fleet,
-        Extent {
+        SizeEstimate {
             size: 4,
             low: 4,
             high: 4
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_node_that_doubts_itself_is_unsure_as_long_as_it_does() {
-    let (view, mut sizer, zone) = (fleet(12), Sizer::default(), Arc::from("a"));
+    let (view, mut sizer, zone) = (fleet(12), ClusterSizeEstimator::default(), Arc::from("a"));
     for second in 0..400 {
         let sight = sizer.look(second * SECOND, &view, &zone, 5, false);
         assert!(sight.unsure_since.is_some(), "{second}");
@@ -132,7 +132,7 @@
 
 #[test]
 fn growth_counts_at_once() {
-    let (mut sizer, zone) = (Sizer::default(), Arc::from("a"));
+    let (mut sizer, zone) = (ClusterSizeEstimator::default(), Arc::from("a"));
     for members in [3, 30, 300] {
         assert_eq!(
             sizer
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/datagram_auth.rs
@@ -5,7 +5,7 @@
 //! the sender's life (8 each); the time it was sealed, in Unix milliseconds, and a count (6 each);
 //! the message; the MAC, 16 bytes. Numbers stand with the highest byte first.
 
-use crate::member::{Life, hash};
+use crate::member::{Incarnation, hash};
 use crate::wire::DATAGRAM_MAX;
 use crate::{Nanos, SECOND};
 use ring::digest;
@@ -22,14 +22,14 @@
 pub const OVERHEAD: usize = HEAD + MAC;
 /// The most bytes of a message.
 pub const MESSAGE_MAX: usize = DATAGRAM_MAX - OVERHEAD;
-/// Keys that may be valid at once, for a change of keys.
+/// AuthKeys that may be valid at once, for a change of keys.
 pub const KEYS_MAX: usize = 2;
 /// Bytes of a key, at least.
 const KEY_LEAST: usize = 16;
 
 /// Why a datagram was dropped. Each is counted by its word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Dropped {
+pub enum DropReason {
     /// It is none of ours.
     NoFrame,
     AnotherFrame,
@@ -45,30 +45,30 @@
     Flood,
 }
 
-impl Dropped {
+impl DropReason {
     /// Its word, as logs and counts show it.
     pub fn word(self) -> &'static str {
         match self {
-            Dropped::NoFrame => "datagrams that are none of a fleet",
-            Dropped::AnotherFrame => "datagrams of another frame version",
-            Dropped::AnotherFleet => "datagrams of another fleet",
-            Dropped::UnknownKey => "datagrams under an unknown key",
-            Dropped::BadMac => "datagrams with a wrong MAC",
-            Dropped::Replayed => "datagrams that came before",
-            Dropped::OutOfTime => "datagrams from a clock too far away",
-            Dropped::Unreadable => "datagrams that can't be read",
-            Dropped::Flood => "datagrams beyond the rate",
+            DropReason::NoFrame => "datagrams that are none of a fleet",
+            DropReason::AnotherFrame => "datagrams of another frame version",
+            DropReason::AnotherFleet => "datagrams of another fleet",
+            DropReason::UnknownKey => "datagrams under an unknown key",
+            DropReason::BadMac => "datagrams with a wrong MAC",
+            DropReason::Replayed => "datagrams that came before",
+            DropReason::OutOfTime => "datagrams from a clock too far away",
+            DropReason::Unreadable => "datagrams that can't be read",
+            DropReason::Flood => "datagrams beyond the rate",
         }
     }
 }
 
 /// The keys of a fleet: the first one seals, all open.
 #[derive(Clone)]
-pub struct Keys {
+pub struct AuthKeys {
     keys: Vec<(u8, hmac::Key)>,
 }
 
-impl fmt::Debug for Keys {
+impl fmt::Debug for AuthKeys {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_list()
             .entries(self.keys.iter().map(|(number, _)| number))
@@ -76,9 +76,9 @@
     }
 }
 
-impl Keys {
-    /// Keys from their bytes.
-    pub fn new(keys: &[Vec<u8>]) -> Result<Keys, String> {
+impl AuthKeys {
+    /// AuthKeys from their bytes.
+    pub fn new(keys: &[Vec<u8>]) -> Result<AuthKeys, String> {
         if keys.is_empty() || keys.len() > KEYS_MAX {
             return Err(format!("{} keys; expected 1 to {KEYS_MAX}", keys.len()));
         }
@@ -92,16 +92,16 @@
             let number = digest::digest(&digest::SHA256, key).as_ref()[0];
             (number, hmac::Key::new(hmac::HMAC_SHA256, key))
         });
-        Ok(Keys {
+        Ok(AuthKeys {
             keys: numbered.collect(),
         })
     }
 
     /// Whether one who goes by these and one who goes by the others understand each other: the key
     /// that either seals with is among those that the other opens with.
-    pub fn meet(&self, other: &Keys) -> bool {
+    pub fn meet(&self, other: &AuthKeys) -> bool {
         let print = |key: &hmac::Key| hmac::sign(key, b"meet");
-        let knows = |keys: &Keys, of: &Keys| {
+        let knows = |keys: &AuthKeys, of: &AuthKeys| {
             of.keys.first().is_some_and(|(_, first)| {
                 keys.keys
                     .iter()
@@ -113,7 +113,7 @@
 
     /// Reads a file of keys: one a line in hexadecimal, with blank lines and lines after `#` passed
     /// over.
-    pub fn read(text: &str) -> Result<Keys, String> {
+    pub fn read(text: &str) -> Result<AuthKeys, String> {
         let lines = text.lines().enumerate().map(|(at, line)| (at, line.trim()));
         let lines = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
         let keys: Result<Vec<_>, _> = lines
@@ -121,7 +121,7 @@
                 unhex(line).ok_or(format!("line {}: no key; expected hexadecimal", at + 1))
             })
             .collect();
-        Keys::new(&keys?)
+        AuthKeys::new(&keys?)
     }
 }
 
@@ -136,13 +136,13 @@
 
 /// Which numbers of a life came: the highest, and those of the 64 below it.
 #[derive(Clone, Copy, Debug, Default)]
-struct Window {
+struct ReplayWindow {
     highest: u64,
     seen: u64,
     heard: Nanos,
 }
 
-impl Window {
+impl ReplayWindow {
     fn take(&mut self, count: u64) -> bool {
         if count > self.highest {
             let step = count - self.highest;
@@ -184,24 +184,30 @@
 
 /// Seals what a node sends and opens what it gets.
 #[derive(Debug)]
-pub struct Seal {
+pub struct DatagramAuth {
     fleet: String,
     tag: u64,
-    keys: Keys,
-    life: Life,
+    keys: AuthKeys,
+    life: Incarnation,
     sent: u64,
     /// A first word from a life is believed only if its time is this close to ours.
     skew_ms: u64,
-    windows: BTreeMap<Life, Window>,
+    windows: BTreeMap<Incarnation, ReplayWindow>,
     most: usize,
 }
 
-impl Seal {
+impl DatagramAuth {
     /// For a node of this fleet, which keeps the numbers of so many lives.
-    pub fn new(fleet: &str, keys: Keys, life: Life, skew: Nanos, most: usize) -> Seal {
+    pub fn new(
+        fleet: &str,
+        keys: AuthKeys,
+        life: Incarnation,
+        skew: Nanos,
+        most: usize,
+    ) -> DatagramAuth {
         let tag = hash(&[fleet.as_bytes()]);
         let skew_ms = skew / crate::MILLISECOND;
-        Seal {
+        DatagramAuth {
             fleet: fleet.to_owned(),
             tag,
             keys,
@@ -214,7 +220,7 @@
     }
 
     /// Puts other keys in force.
-    pub fn rekey(&mut self, keys: Keys) {
+    pub fn rekey(&mut self, keys: AuthKeys) {
         self.keys = keys;
     }
 
@@ -249,15 +255,15 @@
         now: Nanos,
         unix_ms: u64,
         frame: &'f [u8],
-    ) -> Result<(Life, &'f [u8]), Dropped> {
+    ) -> Result<(Incarnation, &'f [u8]), DropReason> {
         if frame.len() < OVERHEAD || frame.len() > DATAGRAM_MAX || frame[..2] != MAGIC {
-            return Err(Dropped::NoFrame);
+            return Err(DropReason::NoFrame);
         }
         if frame[2] != FRAME {
-            return Err(Dropped::AnotherFrame);
+            return Err(DropReason::AnotherFrame);
         }
         if read8(&frame[4..12]) != self.tag {
-            return Err(Dropped::AnotherFleet);
+            return Err(DropReason::AnotherFleet);
         }
         let (signed, mac) = frame.split_at(frame.len() - MAC);
         let mut keys = self
@@ -267,13 +273,13 @@
             .filter(|(number, _)| *number == frame[3])
             .peekable();
         if keys.peek().is_none() {
-            return Err(Dropped::UnknownKey);
+            return Err(DropReason::UnknownKey);
         }
         let right = keys.any(|(_, key)| is_equal(&self.mac(key, signed).as_ref()[..MAC], mac));
         if !right {
-            return Err(Dropped::BadMac);
+            return Err(DropReason::BadMac);
         }
-        let life = Life(read8(&frame[12..20]));
+        let life = Incarnation(read8(&frame[12..20]));
         self.admit(
             now,
             unix_ms,
@@ -290,20 +296,20 @@
         &mut self,
         now: Nanos,
         unix_ms: u64,
-        life: Life,
+        life: Incarnation,
         sealed: u64,
         count: u64,
-    ) -> Result<(), Dropped> {
+    ) -> Result<(), DropReason> {
         if let Some(window) = self.windows.get_mut(&life) {
             window.heard = now;
             return if window.take(count) {
                 Ok(())
             } else {
-                Err(Dropped::Replayed)
+                Err(DropReason::Replayed)
             };
         }
         if sealed.abs_diff(unix_ms) > self.skew_ms {
-            return Err(Dropped::OutOfTime);
+            return Err(DropReason::OutOfTime);
         }
         if self.windows.len() >= self.most {
             let silent = self
@@ -313,9 +319,9 @@
                 .map(|(life, _)| *life);
             silent.map(|life| self.windows.remove(&life));
         }
-        let mut window = Window {
+        let mut window = ReplayWindow {
             heard: now,
-            ..Window::default()
+            ..ReplayWindow::default()
         };
         window.take(count);
         self.windows.insert(life, window);
@@ -324,15 +330,15 @@
 }
 
 /// Lives for commands that ask a node and are no members.
-pub fn observer(seed: u64) -> Life {
-    Life(seed | 1 << 63)
+pub fn observer(seed: u64) -> Incarnation {
+    Incarnation(seed | 1 << 63)
 }
 
 /// How many datagrams a second are looked at. Checking a MAC takes a microsecond or two; a stranger
 /// who floods must not take more of the node than this, nor crowd out those whose datagrams proved
 /// good.
 #[derive(Debug)]
-pub struct Gate {
+pub struct ReceiveLimiter {
     proven: HashSet<SocketAddr>,
     most: usize,
     /// Datagrams that may still be looked at, by whether their source is proven.
@@ -344,10 +350,10 @@
 /// once.
 const RATES: [f64; 2] = [4000.0, 500.0];
 
-impl Gate {
+impl ReceiveLimiter {
     /// One that keeps so many good sources in mind.
-    pub fn new(most: usize) -> Gate {
-        Gate {
+    pub fn new(most: usize) -> ReceiveLimiter {
+        ReceiveLimiter {
             proven: HashSet::new(),
             most,
             left: RATES,
--- a/crates/membership/src/seal/tests.rs
+++ b/crates/membership/src/datagram_auth/tests.rs
@@ -2,12 +2,12 @@
 
 const MINUTES: Nanos = 60 * SECOND;
 
-fn keys(seeds: &[u8]) -> Keys {
-    Keys::new(&seeds.iter().map(|seed| vec![*seed; 32]).collect::<Vec<_>>()).unwrap()
+fn keys(seeds: &[u8]) -> AuthKeys {
+    AuthKeys::new(&seeds.iter().map(|seed| vec![*seed; 32]).collect::<Vec<_>>()).unwrap()
 }
 
-fn seal(fleet: &str, seeds: &[u8], life: u64) -> Seal {
-    Seal::new(fleet, keys(seeds), Life(life), 10 * MINUTES, 4)
+fn seal(fleet: &str, seeds: &[u8], life: u64) -> DatagramAuth {
+    DatagramAuth::new(fleet, keys(seeds), Incarnation(life), 10 * MINUTES, 4)
 }
 
 #[test]
@@ -25,17 +25,17 @@
     let (mut a, mut b) = (seal("f", &[1], 1), seal("f", &[1], 2));
     let frame = a.seal(1000, b"hello");
     assert_eq!(frame.len(), OVERHEAD + 5);
-    assert_eq!(b.open(0, 2000, &frame), Ok((Life(1), &b"hello"[..])));
-    assert_eq!(b.open(0, 2000, &frame), Err(Dropped::Replayed));
+    assert_eq!(b.open(0, 2000, &frame), Ok((Incarnation(1), &b"hello"[..])));
+    assert_eq!(b.open(0, 2000, &frame), Err(DropReason::Replayed));
     assert_eq!(
         seal("g", &[1], 3).open(0, 2000, &frame),
-        Err(Dropped::AnotherFleet)
+        Err(DropReason::AnotherFleet)
     );
     assert_eq!(
         seal("f", &[2], 3).open(0, 2000, &frame),
-        Err(Dropped::UnknownKey)
+        Err(DropReason::UnknownKey)
     );
-    assert_eq!(b.open(0, 2000, b"GET / HTTP/1.1"), Err(Dropped::NoFrame));
+    assert_eq!(b.open(0, 2000, b"GET / HTTP/1.1"), Err(DropReason::NoFrame));
 }
 
 #[test]
@@ -63,7 +63,7 @@
     b.rekey(keys(&[2]));
     assert!(a.open(0, 0, &b.seal(0, b"3")).is_ok() && b.open(0, 0, &a.seal(0, b"4")).is_ok());
     a.rekey(keys(&[1]));
-    assert_eq!(b.open(0, 0, &a.seal(0, b"5")), Err(Dropped::UnknownKey));
+    assert_eq!(b.open(0, 0, &a.seal(0, b"5")), Err(DropReason::UnknownKey));
 }
 
 /// Numbers may come in any order within the window, each once; a life's clock may step as it
@@ -76,17 +76,17 @@
         .collect();
     for n in [0, 3, 1, 2, 40, 10, 90, 99, 60] {
         assert!(b.open(0, 0, &frames[n]).is_ok(), "{n}");
-        assert_eq!(b.open(0, 0, &frames[n]), Err(Dropped::Replayed), "{n}");
+        assert_eq!(b.open(0, 0, &frames[n]), Err(DropReason::Replayed), "{n}");
     }
     assert_eq!(
         b.open(0, 0, &frames[20]),
-        Err(Dropped::Replayed),
+        Err(DropReason::Replayed),
         "too old to tell"
     );
     let mut c = seal("f", &[1], 3);
     assert_eq!(
         c.open(0, 0, &frames[60]),
-        Err(Dropped::OutOfTime),
+        Err(DropReason::OutOfTime),
         "a first word from a far clock"
     );
 }
@@ -101,7 +101,7 @@
         assert!(b.open(at as Nanos, 0, frame).is_ok());
     }
     assert_eq!(b.windows.len(), 4);
-    assert_eq!(b.open(9, 0, &frames[4]), Err(Dropped::Replayed));
+    assert_eq!(b.open(9, 0, &frames[4]), Err(DropReason::Replayed));
 }
 
 #[test]
@@ -110,7 +110,7 @@
         SocketAddr::from(([127, 0, 0, 1], 1)),
         SocketAddr::from(([127, 0, 0, 1], 2)),
     );
-    let mut gate = Gate::new(10);
+    let mut gate = ReceiveLimiter::new(10);
     gate.proved(good);
     let admitted = (0..10_000).filter(|_| gate.admits(SECOND, bad)).count();
     assert_eq!(admitted, RATES[1] as usize);
@@ -125,13 +125,13 @@
         "ab".repeat(32),
         "01".repeat(16)
     );
-    assert_eq!(Keys::read(&good).unwrap().keys.len(), 2);
+    assert_eq!(AuthKeys::read(&good).unwrap().keys.len(), 2);
     for (text, told) in [
         ("", "0 keys"),
         ("zz", "line 1"),
         ("ab", "1 bytes"),
         (&format!("{good}{}", "ff".repeat(16)), "3 keys"),
     ] {
-        assert!(Keys::read(text).unwrap_err().contains(told), "{text}");
+        assert!(AuthKeys::read(text).unwrap_err().contains(told), "{text}");
     }
 }
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/dissemination_queue.rs
@@ -1,7 +1,7 @@
-//! News that still has to be spread: each piece goes out so many times, those that went out least
+//! MemberUpdate that still has to be spread: each piece goes out so many times, those that went out least
 //! first.
 
-use crate::member::Key;
+use crate::member::MemberKey;
 use std::collections::{BTreeSet, HashMap};
 
 /// How often each piece is sent, times the decimal logarithm of the fleet's size.
@@ -9,10 +9,10 @@
 
 /// Members of whom news is to be spread.
 #[derive(Debug, Default)]
-pub struct Gossip {
+pub struct DisseminationQueue {
     /// How often it went out, when it came (the latest first), and of whom.
-    queue: BTreeSet<(u32, std::cmp::Reverse<u64>, Key)>,
-    places: HashMap<Key, (u32, u64)>,
+    queue: BTreeSet<(u32, std::cmp::Reverse<u64>, MemberKey)>,
+    places: HashMap<MemberKey, (u32, u64)>,
     came: u64,
 }
 
@@ -21,9 +21,9 @@
     (COPIES * ((members + 1) as f64).log10()).ceil().max(1.0) as u32
 }
 
-impl Gossip {
+impl DisseminationQueue {
     /// There is news of a member; what was still to be spread of it is out of date.
-    pub fn push(&mut self, key: Key) {
+    pub fn push(&mut self, key: MemberKey) {
         self.drop_news(key);
         self.came += 1;
         self.places.insert(key, (0, self.came));
@@ -31,15 +31,15 @@
     }
 
     /// Nothing is to be spread of a member any more.
-    pub fn drop_news(&mut self, key: Key) {
+    pub fn drop_news(&mut self, key: MemberKey) {
         if let Some((sent, came)) = self.places.remove(&key) {
             self.queue.remove(&(sent, std::cmp::Reverse(came), key));
         }
     }
 
     /// Nothing is to be spread any more of those for whom this does not hold.
-    pub fn retain(&mut self, mut holds: impl FnMut(Key) -> bool) {
-        let gone: Vec<Key> = self
+    pub fn retain(&mut self, mut holds: impl FnMut(MemberKey) -> bool) {
+        let gone: Vec<MemberKey> = self
             .places
             .keys()
             .copied()
@@ -58,7 +58,7 @@
 
     /// Hands out members of whom news goes into a datagram, as long as `fits` takes them; each
     /// counts as sent.
-    pub fn take(&mut self, members: usize, mut fits: impl FnMut(Key) -> bool) {
+    pub fn take(&mut self, members: usize, mut fits: impl FnMut(MemberKey) -> bool) {
         let most = copies(members);
         let mut sent = Vec::new();
         for (times, came, key) in &self.queue {
--- a/crates/membership/src/gossip/tests.rs
+++ b/crates/membership/src/dissemination_queue/tests.rs
@@ -2,9 +2,9 @@
 
 #[test]
 fn each_piece_goes_out_its_number_of_times_the_least_sent_first() {
-    let mut gossip = Gossip::default();
-    (1..=6).for_each(|n| gossip.push(Key(n)));
-    let mut sent: HashMap<Key, u32> = HashMap::new();
+    let mut gossip = DisseminationQueue::default();
+    (1..=6).for_each(|n| gossip.push(MemberKey(n)));
+    let mut sent: HashMap<MemberKey, u32> = HashMap::new();
     while !gossip.is_empty() {
         let mut room = 2;
         gossip.take(99, |key| {
@@ -29,11 +29,11 @@
 
 #[test]
 fn fresh_news_of_a_member_takes_the_place_of_what_was_out() {
-    let mut gossip = Gossip::default();
-    gossip.push(Key(1));
+    let mut gossip = DisseminationQueue::default();
+    gossip.push(MemberKey(1));
     gossip.take(9, |_| true);
-    gossip.push(Key(1));
-    assert_eq!((gossip.len(), gossip.places[&Key(1)].0), (1, 0));
-    gossip.drop_news(Key(1));
+    gossip.push(MemberKey(1));
+    assert_eq!((gossip.len(), gossip.places[&MemberKey(1)].0), (1, 0));
+    gossip.drop_news(MemberKey(1));
     assert!(gossip.is_empty() && gossip.places.is_empty());
 }
--- a/crates/membership/src/history.rs
+++ b/crates/membership/src/history.rs
@@ -13,7 +13,7 @@
 
 /// What kind of change it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum ChangeKind {
     Joined,
     /// Another process has the name now.
     Replaced,
@@ -38,42 +38,42 @@
     Company,
 }
 
-impl Kind {
+impl ChangeKind {
     /// Its word, as logs show it.
     pub fn word(self) -> &'static str {
         match self {
-            Kind::Joined => "joined",
-            Kind::Replaced => "replaced",
-            Kind::Moved => "moved",
-            Kind::Suspect => "suspect",
-            Kind::Back => "back",
-            Kind::Dead => "dead",
-            Kind::Left => "left",
-            Kind::Phase => "phase",
-            Kind::Unsure => "unsure",
-            Kind::Sure => "sure",
-            Kind::Refuted => "refuted",
-            Kind::StoodStill => "stood still",
-            Kind::NameTaken => "name taken",
-            Kind::NameBack => "name back",
-            Kind::Alone => "alone",
-            Kind::Company => "no longer alone",
+            ChangeKind::Joined => "joined",
+            ChangeKind::Replaced => "replaced",
+            ChangeKind::Moved => "moved",
+            ChangeKind::Suspect => "suspect",
+            ChangeKind::Back => "back",
+            ChangeKind::Dead => "dead",
+            ChangeKind::Left => "left",
+            ChangeKind::Phase => "phase",
+            ChangeKind::Unsure => "unsure",
+            ChangeKind::Sure => "sure",
+            ChangeKind::Refuted => "refuted",
+            ChangeKind::StoodStill => "stood still",
+            ChangeKind::NameTaken => "name taken",
+            ChangeKind::NameBack => "name back",
+            ChangeKind::Alone => "alone",
+            ChangeKind::Company => "no longer alone",
         }
     }
 }
 
 /// A change.
 #[derive(Clone, Debug)]
-pub struct Happened {
+pub struct ChangeEvent {
     pub unix_ms: u64,
-    pub kind: Kind,
+    pub kind: ChangeKind,
     /// Whom it is about.
     pub name: Arc<str>,
     /// More of it, for people.
     pub more: String,
 }
 
-impl fmt::Display for Happened {
+impl fmt::Display for ChangeEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}", self.name, self.kind.word())?;
         if self.more.is_empty() {
@@ -87,16 +87,16 @@
 /// The latest changes, and what is still to be told of them.
 #[derive(Debug, Default)]
 pub struct History {
-    kept: VecDeque<Happened>,
+    kept: VecDeque<ChangeEvent>,
     second: Nanos,
     told: usize,
     /// What was not told, by kind: how often, and who was the first.
-    untold: BTreeMap<Kind, (usize, Arc<str>)>,
+    untold: BTreeMap<ChangeKind, (usize, Arc<str>)>,
 }
 
 impl History {
     /// A change; gives its line if one may be written now.
-    pub fn push(&mut self, now: Nanos, happened: Happened) -> Option<String> {
+    pub fn push(&mut self, now: Nanos, happened: ChangeEvent) -> Option<String> {
         if now / SECOND != self.second {
             (self.second, self.told) = (now / SECOND, 0);
         }
@@ -128,7 +128,7 @@
     }
 
     /// The latest changes, the last one first.
-    pub fn latest(&self) -> impl Iterator<Item = &Happened> {
+    pub fn latest(&self) -> impl Iterator<Item = &ChangeEvent> {
         self.kept.iter().rev()
     }
 }
--- a/crates/membership/src/history/tests.rs
+++ b/crates/membership/src/history/tests.rs
@@ -3,14 +3,14 @@
 #[test]
 fn a_burst_becomes_one_line_and_the_history_is_bounded() {
     let mut history = History::default();
-    let change = |n: usize, kind| Happened {
+    let change = |n: usize, kind| ChangeEvent {
         unix_ms: 0,
         kind,
         name: format!("n{n}").into(),
         more: String::new(),
     };
     let lines: Vec<String> = (0..300)
-        .filter_map(|n| history.push(SECOND, change(n, Kind::Dead)))
+        .filter_map(|n| history.push(SECOND, change(n, ChangeKind::Dead)))
         .collect();
     assert_eq!((lines.len(), &lines[0][..]), (LINES, "n0 dead"));
     assert_eq!(history.rest(SECOND), None);
@@ -26,5 +26,9 @@
         ),
         (KEPT, "n299")
     );
-    assert!(history.push(4 * SECOND, change(1, Kind::Back)).is_some());
+    assert!(
+        history
+            .push(4 * SECOND, change(1, ChangeKind::Back))
+            .is_some()
+    );
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -9,24 +9,24 @@
 
 #![forbid(unsafe_code)]
 
-pub mod fleet;
-mod gossip;
-mod health;
+mod anti_entropy;
+pub mod cluster_size;
+pub mod datagram_auth;
+mod dissemination_queue;
 pub mod history;
+mod local_health;
 pub mod member;
+pub mod member_table;
 pub mod observer;
-mod probe;
-mod reconcile;
-pub mod seal;
-pub mod sight;
-pub mod sim;
+mod probe_order;
+pub mod simulation;
 mod suspicion;
-pub mod view;
+pub mod swim;
 pub mod wire;
 
-pub use fleet::{Fleet, Host, Moment, Periods, Settings};
-pub use member::{Details, Key, Life, Part, Phase, Status};
-pub use sight::Sight;
+pub use cluster_size::ClusterView;
+pub use member::{Attachment, Incarnation, Liveness, MemberDetails, MemberKey, Phase};
+pub use swim::{ClockReading, Config, Host, Membership, Timing};
 
 /// Whole nanoseconds from any fixed point.
 pub type Nanos = u64;
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/local_health.rs
@@ -7,11 +7,11 @@
 
 /// Doubt of oneself, from none.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Health {
+pub struct LocalHealth {
     doubt: u32,
 }
 
-impl Health {
+impl LocalHealth {
     /// Waits are this many times as long.
     pub fn factor(self) -> u64 {
         u64::from(self.doubt) + 1
--- a/crates/membership/src/health/tests.rs
+++ b/crates/membership/src/local_health/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn doubt_grows_by_what_points_to_oneself_and_is_bounded() {
-    let mut health = Health::default();
+    let mut health = LocalHealth::default();
     health.unanswered(3, 0); // helpers spoke: the other is gone
     assert_eq!(health.doubt(), 0);
     health.unanswered(3, 2);
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -6,7 +6,7 @@
 //! is said of it may come in any order, twice or late, and whoever has heard the same holds the
 //! same.
 
-use crate::wire::{self, Hung, News, Told};
+use crate::wire::{self, AttachmentMessage, DetailsMessage, MemberUpdate};
 use prost::Message;
 use siphasher::sip::SipHasher24;
 use std::fmt;
@@ -34,21 +34,21 @@
 /// A member's name, hashed. Two names that share one are taken for one; at 10,000 members the
 /// chance is 3e-12.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Key(pub u64);
+pub struct MemberKey(pub u64);
 
-impl Key {
+impl MemberKey {
     /// The key of this name; never 0, which stands for nobody.
-    pub fn of(name: &str) -> Key {
-        Key(hash(&[name.as_bytes()]).max(1))
+    pub fn of(name: &str) -> MemberKey {
+        MemberKey(hash(&[name.as_bytes()]).max(1))
     }
 
     /// Stands for nobody.
-    pub const NOBODY: Key = Key(0);
+    pub const NOBODY: MemberKey = MemberKey(0);
 }
 
 /// One process, from its start to its end; drawn by chance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Life(pub u64);
+pub struct Incarnation(pub u64);
 
 /// A life, placed among the others of its name by when it began. A later start holds over an
 /// earlier one.
@@ -58,12 +58,12 @@
     /// it heard of its name.
     pub birth: u64,
     /// The process.
-    pub life: Life,
+    pub life: Incarnation,
 }
 
 /// Whether a member is held to be there. Within a bump the later word holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Status {
+pub enum Liveness {
     /// It is there.
     #[default]
     Alive,
@@ -75,20 +75,25 @@
     Left,
 }
 
-impl Status {
+impl Liveness {
     /// Whether it counts as a member.
     pub fn is_present(self) -> bool {
-        matches!(self, Status::Alive | Status::Suspect)
+        matches!(self, Liveness::Alive | Liveness::Suspect)
     }
 
     pub(crate) fn number(self) -> u32 {
         self as u32
     }
 
-    pub(crate) fn from_number(number: u32) -> Option<Status> {
-        [Status::Alive, Status::Suspect, Status::Dead, Status::Left]
-            .get(number as usize)
-            .copied()
+    pub(crate) fn from_number(number: u32) -> Option<Liveness> {
+        [
+            Liveness::Alive,
+            Liveness::Suspect,
+            Liveness::Dead,
+            Liveness::Left,
+        ]
+        .get(number as usize)
+        .copied()
     }
 
     /// Its word, as logs and tables show it.
@@ -99,15 +104,15 @@
 
 /// A standing within a life: a member that refutes raises the bump.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Standing {
+pub struct LivenessState {
     pub bump: u32,
-    pub status: Status,
+    pub status: Liveness,
 }
 
 /// What a member that stands so does when it hears that it is held to stand otherwise: it says that
 /// it is there (or that it left) by a higher bump, where the word that it heard would hold over its
 /// own.
-pub fn refutes(own: Standing, heard: Standing) -> Option<u32> {
+pub fn refutes(own: LivenessState, heard: LivenessState) -> Option<u32> {
     (heard > own).then(|| heard.bump.saturating_add(1))
 }
 
@@ -119,7 +124,7 @@
     /// At work.
     #[default]
     Serving,
-    /// Told to leave: it answers what it has read.
+    /// DetailsMessage to leave: it answers what it has read.
     Draining,
 }
 
@@ -141,7 +146,7 @@
 
 /// Something that another package hangs on an entry, by its own number and version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct Attachment {
     pub id: u32,
     pub version: u32,
     pub bytes: Vec<u8>,
@@ -150,7 +155,7 @@
 /// What a member says of itself. It travels as the member wrote it, so that what a later version
 /// adds passes through nodes that do not know it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Details {
+pub struct MemberDetails {
     /// Where it is reached.
     pub address: SocketAddr,
     /// Its zone; may be empty.
@@ -162,27 +167,27 @@
     pub wire: (u32, u32),
     /// The number and the hash of its settings.
     pub settings: (u64, u64),
-    pub parts: Vec<Part>,
+    pub parts: Vec<Attachment>,
     raw: Box<[u8]>,
     hash: u64,
 }
 
 /// Why details were not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Odd {
+pub enum DetailsError {
     TooLarge,
     Unreadable,
     BadAddress,
     BadName,
 }
 
-impl fmt::Display for Odd {
+impl fmt::Display for DetailsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Odd::TooLarge => "an entry is too large",
-            Odd::Unreadable => "an entry can't be read",
-            Odd::BadAddress => "an entry's address can't be used",
-            Odd::BadName => "an entry's name can't be used",
+            DetailsError::TooLarge => "an entry is too large",
+            DetailsError::Unreadable => "an entry can't be read",
+            DetailsError::BadAddress => "an entry's address can't be used",
+            DetailsError::BadName => "an entry's name can't be used",
         })
     }
 }
@@ -212,7 +217,7 @@
     !name.is_empty() && name.len() <= most && name.bytes().all(|b| b.is_ascii_graphic())
 }
 
-impl Details {
+impl MemberDetails {
     /// What a member says of itself now.
     pub fn new(
         address: SocketAddr,
@@ -221,9 +226,9 @@
         program: &str,
         wire: (u32, u32),
         settings: (u64, u64),
-        parts: Vec<Part>,
-    ) -> Result<Details, Odd> {
-        let told = Told {
+        parts: Vec<Attachment>,
+    ) -> Result<MemberDetails, DetailsError> {
+        let told = DetailsMessage {
             address: address_bytes(address),
             zone: zone.to_owned(),
             phase: phase as u32,
@@ -234,32 +239,32 @@
             settings_hash: settings.1,
             parts: parts
                 .into_iter()
-                .map(|p| Hung {
+                .map(|p| AttachmentMessage {
                     id: p.id,
                     version: p.version,
                     bytes: p.bytes,
                 })
                 .collect(),
         };
-        Details::read(&wire::later(told.encode_to_vec()))
+        MemberDetails::read(&wire::later(told.encode_to_vec()))
     }
 
     /// Reads what a member said. Fields that are not known stay in what is passed on.
-    pub fn read(raw: &[u8]) -> Result<Details, Odd> {
+    pub fn read(raw: &[u8]) -> Result<MemberDetails, DetailsError> {
         if raw.len() > DETAILS_MAX {
-            return Err(Odd::TooLarge);
+            return Err(DetailsError::TooLarge);
         }
-        let told = Told::decode(raw).map_err(|_| Odd::Unreadable)?;
-        let address = address_from(&told.address).ok_or(Odd::BadAddress)?;
+        let told = DetailsMessage::decode(raw).map_err(|_| DetailsError::Unreadable)?;
+        let address = address_from(&told.address).ok_or(DetailsError::BadAddress)?;
         let fits = |text: &str, most| text.is_empty() || is_name(text, most);
         if !fits(&told.zone, ZONE_MAX) || !fits(&told.program, PROGRAM_MAX) {
-            return Err(Odd::BadName);
+            return Err(DetailsError::BadName);
         }
         if told.parts.len() > PARTS_MAX {
-            return Err(Odd::TooLarge);
+            return Err(DetailsError::TooLarge);
         }
         let parts = told.parts.into_iter();
-        Ok(Details {
+        Ok(MemberDetails {
             address,
             zone: told.zone.into(),
             phase: Phase::from_number(told.phase),
@@ -267,7 +272,7 @@
             wire: (told.wire_least, told.wire_most),
             settings: (told.settings, told.settings_hash),
             parts: parts
-                .map(|p| Part {
+                .map(|p| Attachment {
                     id: p.id,
                     version: p.version,
                     bytes: p.bytes,
@@ -292,16 +297,16 @@
         let parts: usize = self
             .parts
             .iter()
-            .map(|p| p.bytes.len() + size_of::<Part>())
+            .map(|p| p.bytes.len() + size_of::<Attachment>())
             .sum();
-        size_of::<Details>() + 2 * self.raw.len() + parts + 64
+        size_of::<MemberDetails>() + 2 * self.raw.len() + parts + 64
     }
 }
 
 /// Room and load, spread without a promise: the latest word of each member that came by.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Pulse {
-    /// Counts the words of one life.
+pub struct LoadHint {
+    /// MemberCounts the words of one life.
     pub no: u16,
     /// Room left, and load, each of 255.
     pub room: u8,
@@ -310,15 +315,15 @@
 
 /// What is known of a member.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct MemberEntry {
     pub name: Arc<str>,
     pub epoch: Epoch,
-    pub standing: Standing,
-    /// Counts what it said of itself in this life.
+    pub standing: LivenessState,
+    /// MemberCounts what it said of itself in this life.
     pub revision: u32,
-    pub details: Arc<Details>,
+    pub details: Arc<MemberDetails>,
     /// The latest word of its room and load, and when it came; 0 if none did.
-    pub pulse: Pulse,
+    pub pulse: LoadHint,
     pub pulse_at: crate::Nanos,
     /// When its status here became what it is.
     pub since: crate::Nanos,
@@ -327,13 +332,13 @@
     pub(crate) stamp: u64,
 }
 
-impl Entry {
-    pub fn status(&self) -> Status {
+impl MemberEntry {
+    pub fn status(&self) -> Liveness {
         self.standing.status
     }
 
     /// Works out what it adds to digests. Suspicion adds nothing, for it passes.
-    pub(crate) fn restamp(&mut self, key: Key) {
+    pub(crate) fn restamp(&mut self, key: MemberKey) {
         self.stamp = hash(&[
             &key.0.to_le_bytes(),
             &self.epoch.birth.to_le_bytes(),
@@ -345,21 +350,21 @@
     }
 
     /// The news of it without name and details, for those who have them.
-    pub(crate) fn brief(&self, key: Key) -> News {
-        News {
+    pub(crate) fn brief(&self, key: MemberKey) -> MemberUpdate {
+        MemberUpdate {
             key: key.0,
             birth: self.epoch.birth,
             life: self.epoch.life.0,
             bump: self.standing.bump,
             status: self.standing.status.number(),
             revision: self.revision,
-            ..News::default()
+            ..MemberUpdate::default()
         }
     }
 
     /// All that is known of it.
-    pub(crate) fn full(&self, key: Key) -> News {
-        News {
+    pub(crate) fn full(&self, key: MemberKey) -> MemberUpdate {
+        MemberUpdate {
             name: self.name.to_string(),
             told: self.details.raw().to_vec(),
             ..self.brief(key)
--- a/crates/membership/src/member/tests.rs
+++ b/crates/membership/src/member/tests.rs
@@ -1,47 +1,50 @@
 use super::*;
 
-fn details(parts: Vec<Part>) -> Result<Details, Odd> {
+fn details(parts: Vec<Attachment>) -> Result<MemberDetails, DetailsError> {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    Details::new(address, "a", Phase::Serving, "0.1.0", (1, 1), (7, 8), parts)
+    MemberDetails::new(address, "a", Phase::Serving, "0.1.0", (1, 1), (7, 8), parts)
 }
 
 #[test]
 fn details_come_back_as_they_were_told_and_bounds_hold() {
-    let part = |len| Part {
+    let part = |len| Attachment {
         id: 3,
         version: 2,
         bytes: vec![1; len],
     };
     let told = details(vec![part(40)]).unwrap();
-    assert_eq!(Details::read(told.raw()).unwrap(), told);
+    assert_eq!(MemberDetails::read(told.raw()).unwrap(), told);
     assert_eq!(
         (told.phase, &told.zone[..], told.settings),
         (Phase::Serving, "a", (7, 8))
     );
-    assert_eq!(details(vec![part(DETAILS_MAX)]).unwrap_err(), Odd::TooLarge);
+    assert_eq!(
+        details(vec![part(DETAILS_MAX)]).unwrap_err(),
+        DetailsError::TooLarge
+    );
     assert_eq!(
         details(vec![part(1); PARTS_MAX + 1]).unwrap_err(),
-        Odd::TooLarge
+        DetailsError::TooLarge
     );
     let zone = "z".repeat(ZONE_MAX + 1);
     let bad = |address, zone: &str| {
-        Details::new(address, zone, Phase::Cold, "", (1, 1), (0, 0), vec![]).unwrap_err()
+        MemberDetails::new(address, zone, Phase::Cold, "", (1, 1), (0, 0), vec![]).unwrap_err()
     };
     assert_eq!(
         bad(SocketAddr::from(([127, 0, 0, 1], 9)), &zone),
-        Odd::BadName
+        DetailsError::BadName
     );
     assert_eq!(
         bad(SocketAddr::from(([127, 0, 0, 1], 9)), "a b"),
-        Odd::BadName
+        DetailsError::BadName
     );
     assert_eq!(
         bad(SocketAddr::from(([0, 0, 0, 0], 9)), "a"),
-        Odd::BadAddress
+        DetailsError::BadAddress
     );
     assert_eq!(
         bad(SocketAddr::from(([127, 0, 0, 1], 0)), "a"),
-        Odd::BadAddress
+        DetailsError::BadAddress
     );
 }
 
@@ -51,14 +54,14 @@
 fn what_a_later_version_adds_passes_through() {
     let mut raw = details(vec![]).unwrap().raw().to_vec();
     raw.extend([0xfa, 0x01, 0x03, b'n', b'e', b'w']); // field 31, bytes
-    let read = Details::read(&raw).unwrap();
+    let read = MemberDetails::read(&raw).unwrap();
     assert_eq!(read.raw(), &raw[..]);
     assert_ne!(read.hash(), details(vec![]).unwrap().hash());
 }
 
 #[test]
 fn every_cut_and_bit_of_details_is_read_or_refused() {
-    let raw = details(vec![Part {
+    let raw = details(vec![Attachment {
         id: 1,
         version: 1,
         bytes: b"abc".to_vec(),
@@ -67,11 +70,11 @@
     .raw()
     .to_vec();
     for at in 0..raw.len() {
-        let _ = Details::read(&raw[..at]);
+        let _ = MemberDetails::read(&raw[..at]);
         for bit in 0..8 {
             let mut raw = raw.clone();
             raw[at] ^= 1 << bit;
-            let _ = Details::read(&raw);
+            let _ = MemberDetails::read(&raw);
         }
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/member_table.rs
@@ -2,16 +2,17 @@
 //! equal on nodes that agree.
 
 use crate::member::{
-    Details, Entry, Epoch, Key, Life, NAME_MAX, Odd, Phase, Pulse, Standing, Status, is_name,
+    DetailsError, Epoch, Incarnation, Liveness, LivenessState, LoadHint, MemberDetails,
+    MemberEntry, MemberKey, NAME_MAX, Phase, is_name,
 };
-use crate::wire::News;
-use crate::{Nanos, history::Kind};
+use crate::wire::MemberUpdate;
+use crate::{Nanos, history::ChangeKind};
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 use std::ops::RangeInclusive;
 use std::sync::{Arc, Mutex};
 
-/// Keys that share their highest byte have their digest kept.
+/// AuthKeys that share their highest byte have their digest kept.
 const SLICES: usize = 256;
 const SLICE_SHIFT: u32 = 56;
 /// Bytes of an entry beside its name and details.
@@ -21,7 +22,7 @@
 
 /// What came of a piece of news.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Merged {
+pub enum MergeOutcome {
     /// It was known.
     Known,
     /// More is known here; whoever said it should hear that.
@@ -29,19 +30,19 @@
     /// It says something of a member or a revision whose details are not known here.
     Wanted,
     /// Its details can't be used.
-    Odd(Odd),
+    DetailsError(DetailsError),
     /// There is no room.
     Full,
     /// The view has changed.
-    Changed(Change),
+    Changed(MemberChange),
 }
 
 /// What changed of a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Change {
+pub struct MemberChange {
     /// Its status before; none if it was not known.
-    pub before: Option<Status>,
-    pub after: Status,
+    pub before: Option<Liveness>,
+    pub after: Liveness,
     /// Whether another life took the name.
     pub replaced: bool,
     /// Where it was reached before, if elsewhere.
@@ -52,55 +53,57 @@
     pub digest: bool,
 }
 
-impl Change {
+impl MemberChange {
     /// What operators are told of it; nothing where only a revision rose.
-    pub fn kind(&self) -> Option<Kind> {
-        let was = self.before.map(Status::is_present);
+    pub fn kind(&self) -> Option<ChangeKind> {
+        let was = self.before.map(Liveness::is_present);
         match (was, self.after) {
-            (None | Some(false), Status::Alive | Status::Suspect)
-                if self.before == Some(Status::Dead) =>
+            (None | Some(false), Liveness::Alive | Liveness::Suspect)
+                if self.before == Some(Liveness::Dead) =>
             {
                 Some(if self.replaced {
-                    Kind::Replaced
+                    ChangeKind::Replaced
                 } else {
-                    Kind::Back
+                    ChangeKind::Back
                 })
             }
-            (None | Some(false), Status::Alive | Status::Suspect) => Some(Kind::Joined),
-            (Some(true), Status::Dead) => Some(Kind::Dead),
-            (Some(true), Status::Left) => Some(Kind::Left),
-            (Some(true), _) if self.replaced => Some(Kind::Replaced),
-            (Some(true), Status::Suspect) if self.before == Some(Status::Alive) => {
-                Some(Kind::Suspect)
+            (None | Some(false), Liveness::Alive | Liveness::Suspect) => Some(ChangeKind::Joined),
+            (Some(true), Liveness::Dead) => Some(ChangeKind::Dead),
+            (Some(true), Liveness::Left) => Some(ChangeKind::Left),
+            (Some(true), _) if self.replaced => Some(ChangeKind::Replaced),
+            (Some(true), Liveness::Suspect) if self.before == Some(Liveness::Alive) => {
+                Some(ChangeKind::Suspect)
             }
-            (Some(true), _) if self.moved => Some(Kind::Moved),
-            (Some(true), Status::Alive) if self.before == Some(Status::Suspect) => Some(Kind::Back),
-            (Some(true), _) if self.phase.is_some() => Some(Kind::Phase),
+            (Some(true), _) if self.moved => Some(ChangeKind::Moved),
+            (Some(true), Liveness::Alive) if self.before == Some(Liveness::Suspect) => {
+                Some(ChangeKind::Back)
+            }
+            (Some(true), _) if self.phase.is_some() => Some(ChangeKind::Phase),
             _ => None,
         }
     }
 }
 
-/// Details that several views in one process share; a node keeps its own, simulated fleets keep
+/// MemberDetails that several views in one process share; a node keeps its own, simulated fleets keep
 /// each only once.
-pub type Interner = Arc<Mutex<HashMap<u64, Arc<Details>>>>;
+pub type Interner = Arc<Mutex<HashMap<u64, Arc<MemberDetails>>>>;
 
 /// How many members of a kind there are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct MemberCounts {
     pub alive: usize,
     pub suspect: usize,
     pub dead: usize,
     pub left: usize,
 }
 
-impl Counts {
-    fn of(&mut self, status: Status) -> &mut usize {
+impl MemberCounts {
+    fn of(&mut self, status: Liveness) -> &mut usize {
         match status {
-            Status::Alive => &mut self.alive,
-            Status::Suspect => &mut self.suspect,
-            Status::Dead => &mut self.dead,
-            Status::Left => &mut self.left,
+            Liveness::Alive => &mut self.alive,
+            Liveness::Suspect => &mut self.suspect,
+            Liveness::Dead => &mut self.dead,
+            Liveness::Left => &mut self.left,
         }
     }
 
@@ -116,29 +119,29 @@
 
 /// The table.
 #[derive(Debug)]
-pub struct View {
-    entries: BTreeMap<Key, Entry>,
+pub struct MemberTable {
+    entries: BTreeMap<MemberKey, MemberEntry>,
     sums: Box<[u64; SLICES]>,
     digest: u64,
-    counts: Counts,
-    zones: BTreeMap<Arc<str>, Counts>,
+    counts: MemberCounts,
+    zones: BTreeMap<Arc<str>, MemberCounts>,
     bytes: usize,
     bytes_most: usize,
     interner: Option<Interner>,
 }
 
-fn slice(key: Key) -> usize {
+fn slice(key: MemberKey) -> usize {
     (key.0 >> SLICE_SHIFT) as usize
 }
 
-impl View {
+impl MemberTable {
     /// An empty table that may take so many bytes.
-    pub fn new(bytes_most: usize, interner: Option<Interner>) -> View {
-        View {
+    pub fn new(bytes_most: usize, interner: Option<Interner>) -> MemberTable {
+        MemberTable {
             entries: BTreeMap::new(),
             sums: Box::new([0; SLICES]),
             digest: 0,
-            counts: Counts::default(),
+            counts: MemberCounts::default(),
             zones: BTreeMap::new(),
             bytes: 0,
             bytes_most,
@@ -152,33 +155,36 @@
         self.digest
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> MemberCounts {
         self.counts
     }
 
     /// The counts of one zone.
-    pub fn zone(&self, zone: &str) -> Counts {
+    pub fn zone(&self, zone: &str) -> MemberCounts {
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
     /// All zones that anybody known is in.
-    pub fn zones(&self) -> impl Iterator<Item = (&Arc<str>, &Counts)> {
+    pub fn zones(&self) -> impl Iterator<Item = (&Arc<str>, &MemberCounts)> {
         self.zones.iter()
     }
 
-    pub fn get(&self, key: Key) -> Option<&Entry> {
+    pub fn get(&self, key: MemberKey) -> Option<&MemberEntry> {
         self.entries.get(&key)
     }
 
     /// Who is there, by key.
-    pub fn iter(&self) -> impl Iterator<Item = (Key, &Entry)> {
+    pub fn iter(&self) -> impl Iterator<Item = (MemberKey, &MemberEntry)> {
         self.entries.iter().map(|(key, entry)| (*key, entry))
     }
 
     /// Those in a range of keys.
-    pub fn range(&self, range: RangeInclusive<u64>) -> impl Iterator<Item = (Key, &Entry)> {
+    pub fn range(
+        &self,
+        range: RangeInclusive<u64>,
+    ) -> impl Iterator<Item = (MemberKey, &MemberEntry)> {
         self.entries
-            .range(Key(*range.start())..=Key(*range.end()))
+            .range(MemberKey(*range.start())..=MemberKey(*range.end()))
             .map(|(key, entry)| (*key, entry))
     }
 
@@ -206,7 +212,7 @@
         self.bytes
     }
 
-    fn count(&mut self, key: Key, entry: &Entry, coming: bool) {
+    fn count(&mut self, key: MemberKey, entry: &MemberEntry, coming: bool) {
         let size = ENTRY + entry.name.len() + entry.details.bytes();
         let zone = self
             .zones
@@ -238,7 +244,7 @@
     }
 
     /// Changes an entry, with all that is counted of it.
-    fn change(&mut self, key: Key, with: impl FnOnce(&mut Entry)) {
+    fn change(&mut self, key: MemberKey, with: impl FnOnce(&mut MemberEntry)) {
         let Some(mut entry) = self.entries.remove(&key) else {
             return;
         };
@@ -249,8 +255,8 @@
         self.entries.insert(key, entry);
     }
 
-    fn details(&self, raw: &[u8]) -> Result<Arc<Details>, Odd> {
-        let details = Details::read(raw)?;
+    fn details(&self, raw: &[u8]) -> Result<Arc<MemberDetails>, DetailsError> {
+        let details = MemberDetails::read(raw)?;
         let Some(interner) = &self.interner else {
             return Ok(Arc::new(details));
         };
@@ -265,21 +271,21 @@
     }
 
     /// Takes in what was said of a member, and says what came of it.
-    pub fn merge(&mut self, now: Nanos, news: &News) -> Merged {
-        let key = Key(news.key);
-        let Some(status) = Status::from_number(news.status) else {
-            return Merged::Odd(Odd::Unreadable);
+    pub fn merge(&mut self, now: Nanos, news: &MemberUpdate) -> MergeOutcome {
+        let key = MemberKey(news.key);
+        let Some(status) = Liveness::from_number(news.status) else {
+            return MergeOutcome::DetailsError(DetailsError::Unreadable);
         };
         let epoch = Epoch {
             birth: news.birth,
-            life: Life(news.life),
+            life: Incarnation(news.life),
         };
-        let standing = Standing {
+        let standing = LivenessState {
             bump: news.bump,
             status,
         };
         match self.entries.get(&key) {
-            Some(known) if known.epoch > epoch => Merged::Older,
+            Some(known) if known.epoch > epoch => MergeOutcome::Older,
             Some(known) if known.epoch == epoch => self.grow(now, key, standing, news),
             Some(_) => self.replace(now, key, epoch, standing, news),
             None => self.insert(now, key, epoch, standing, news),
@@ -287,9 +293,15 @@
     }
 
     /// Something of the life that is known.
-    fn grow(&mut self, now: Nanos, key: Key, standing: Standing, news: &News) -> Merged {
+    fn grow(
+        &mut self,
+        now: Nanos,
+        key: MemberKey,
+        standing: LivenessState,
+        news: &MemberUpdate,
+    ) -> MergeOutcome {
         let Some(known) = self.entries.get(&key) else {
-            return Merged::Wanted;
+            return MergeOutcome::Wanted;
         };
         let (stands, revision) = (known.standing, known.revision);
         let newer = news.revision > revision;
@@ -298,22 +310,22 @@
             if standing > stands {
                 self.change(key, |entry| entry.standing = standing);
             }
-            return Merged::Wanted;
+            return MergeOutcome::Wanted;
         }
         if standing == stands && news.revision == revision {
-            return Merged::Known;
+            return MergeOutcome::Known;
         }
         if standing <= stands && !newer {
-            return Merged::Older;
+            return MergeOutcome::Older;
         }
         let details = match newer.then(|| self.details(&news.told)).transpose() {
             Ok(details) => details,
-            Err(odd) => return Merged::Odd(odd),
+            Err(odd) => return MergeOutcome::DetailsError(odd),
         };
-        let mut change = Change {
+        let mut change = MemberChange {
             before: Some(stands.status),
             digest: true,
-            ..Change::default()
+            ..MemberChange::default()
         };
         let digest = self.digest;
         self.change(key, |entry| {
@@ -333,83 +345,83 @@
             change.after = entry.status();
         });
         change.digest = digest != self.digest;
-        Merged::Changed(change)
+        MergeOutcome::Changed(change)
     }
 
     /// A later life of a name.
     fn replace(
         &mut self,
         now: Nanos,
-        key: Key,
+        key: MemberKey,
         epoch: Epoch,
-        standing: Standing,
-        news: &News,
-    ) -> Merged {
+        standing: LivenessState,
+        news: &MemberUpdate,
+    ) -> MergeOutcome {
         if news.told.is_empty() {
-            return Merged::Wanted;
+            return MergeOutcome::Wanted;
         }
         let details = match self.details(&news.told) {
             Ok(details) => details,
-            Err(odd) => return Merged::Odd(odd),
+            Err(odd) => return MergeOutcome::DetailsError(odd),
         };
-        let mut change = Change {
+        let mut change = MemberChange {
             after: standing.status,
             digest: true,
             replaced: true,
-            ..Change::default()
+            ..MemberChange::default()
         };
         self.change(key, |entry| {
             change.before = Some(entry.status());
             change.moved = entry.details.address != details.address;
-            *entry = Entry {
+            *entry = MemberEntry {
                 name: Arc::clone(&entry.name),
                 epoch,
                 standing,
                 revision: news.revision,
                 details,
-                pulse: Pulse::default(),
+                pulse: LoadHint::default(),
                 pulse_at: 0,
                 since: now,
                 stamp: 0,
             };
         });
-        Merged::Changed(change)
+        MergeOutcome::Changed(change)
     }
 
     fn insert(
         &mut self,
         now: Nanos,
-        key: Key,
+        key: MemberKey,
         epoch: Epoch,
-        standing: Standing,
-        news: &News,
-    ) -> Merged {
+        standing: LivenessState,
+        news: &MemberUpdate,
+    ) -> MergeOutcome {
         if !standing.status.is_present() {
-            return Merged::Known; // who was never known need not be remembered as gone
+            return MergeOutcome::Known; // who was never known need not be remembered as gone
         }
         if news.told.is_empty() || news.name.is_empty() {
-            return Merged::Wanted;
+            return MergeOutcome::Wanted;
         }
-        if !is_name(&news.name, NAME_MAX) || Key::of(&news.name) != key {
-            return Merged::Odd(Odd::BadName);
+        if !is_name(&news.name, NAME_MAX) || MemberKey::of(&news.name) != key {
+            return MergeOutcome::DetailsError(DetailsError::BadName);
         }
         let details = match self.details(&news.told) {
             Ok(details) => details,
-            Err(odd) => return Merged::Odd(odd),
+            Err(odd) => return MergeOutcome::DetailsError(odd),
         };
         let size = ENTRY + news.name.len() + details.bytes();
         while self.bytes + size > self.bytes_most {
             if !self.forget_one() {
-                return Merged::Full;
+                return MergeOutcome::Full;
             }
         }
-        let mut entry = Entry {
+        let mut entry = MemberEntry {
             name: news.name.as_str().into(),
             epoch,
             standing,
             revision: news.revision,
             details,
-            pulse: Pulse::default(),
+            pulse: LoadHint::default(),
             pulse_at: 0,
             since: now,
             stamp: 0,
@@ -417,15 +429,15 @@
         entry.restamp(key);
         self.count(key, &entry, true);
         self.entries.insert(key, entry);
-        Merged::Changed(Change {
+        MergeOutcome::Changed(MemberChange {
             after: standing.status,
             digest: true,
-            ..Change::default()
+            ..MemberChange::default()
         })
     }
 
     /// Suspects or buries a member at the bump that is known; true if that changed anything.
-    pub fn set(&mut self, now: Nanos, key: Key, status: Status) -> Option<Change> {
+    pub fn set(&mut self, now: Nanos, key: MemberKey, status: Liveness) -> Option<MemberChange> {
         let known = self.entries.get(&key)?;
         if known.standing.status >= status {
             return None;
@@ -435,20 +447,20 @@
             entry.standing.status = status;
             entry.since = now;
         });
-        Some(Change {
+        Some(MemberChange {
             before: Some(before),
             after: status,
             digest: digest != self.digest,
-            ..Change::default()
+            ..MemberChange::default()
         })
     }
 
     /// Takes a word of room and load; true if it is newer than what was known.
-    pub(crate) fn pulse(&mut self, now: Nanos, tag: u32, pulse: Pulse) -> Option<Key> {
+    pub(crate) fn pulse(&mut self, now: Nanos, tag: u32, pulse: LoadHint) -> Option<MemberKey> {
         let from = u64::from(tag) << 32;
         let (key, entry) = self
             .entries
-            .range_mut(Key(from)..=Key(from | u64::from(u32::MAX)))
+            .range_mut(MemberKey(from)..=MemberKey(from | u64::from(u32::MAX)))
             .next()?;
         let is_newer =
             entry.pulse_at == 0 || (1..1 << 15).contains(&pulse.no.wrapping_sub(entry.pulse.no));
@@ -463,7 +475,7 @@
         let gone = self
             .iter()
             .filter(|(_, e)| !e.status().is_present() && now - e.since.min(now) >= after);
-        let gone: Vec<Key> = gone.map(|(key, _)| key).collect();
+        let gone: Vec<MemberKey> = gone.map(|(key, _)| key).collect();
         gone.iter().for_each(|key| self.remove(*key));
         gone.len()
     }
@@ -474,14 +486,14 @@
         let gone = self
             .iter()
             .filter(|(_, entry)| !entry.status().is_present());
-        let crowd = |entry: &Entry| {
+        let crowd = |entry: &MemberEntry| {
             self.zones
                 .get(&entry.details.zone)
                 .map_or(0, |zone| zone.dead)
         };
         let first = gone.min_by_key(|(_, e)| {
             (
-                e.status() != Status::Left,
+                e.status() != Liveness::Left,
                 std::cmp::Reverse(crowd(e)),
                 e.since,
             )
@@ -494,8 +506,8 @@
     }
 
     /// Forgets everybody but one.
-    pub(crate) fn forget_all_but(&mut self, own: Key) {
-        let others: Vec<Key> = self
+    pub(crate) fn forget_all_but(&mut self, own: MemberKey) {
+        let others: Vec<MemberKey> = self
             .entries
             .keys()
             .copied()
@@ -504,7 +516,7 @@
         others.into_iter().for_each(|key| self.remove(key));
     }
 
-    pub(crate) fn remove(&mut self, key: Key) {
+    pub(crate) fn remove(&mut self, key: MemberKey) {
         if let Some(entry) = self.entries.remove(&key) {
             self.count(key, &entry, false);
         }
--- a/crates/membership/src/observer.rs
+++ b/crates/membership/src/observer.rs
@@ -2,18 +2,18 @@
 //! I/O: it says what to send, and is fed what comes.
 
 use crate::Nanos;
-use crate::member::{Details, Key, Phase, Status};
-use crate::seal::{Dropped, Keys, Seal, observer};
-use crate::wire::{Datagram, Report, kind};
+use crate::datagram_auth::{AuthKeys, DatagramAuth, DropReason, observer};
+use crate::member::{Liveness, MemberDetails, MemberKey, Phase};
+use crate::wire::{Datagram, NodeReport, kind};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// What a node holds of a member.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct MemberSnapshot {
     pub name: String,
-    pub status: Status,
+    pub status: Liveness,
     pub address: SocketAddr,
     pub zone: String,
     pub phase: Phase,
@@ -29,19 +29,19 @@
 
 /// What a node holds.
 #[derive(Clone, Debug, Default)]
-pub struct Holding {
+pub struct NodeSnapshot {
     /// How it stands itself.
-    pub report: Report,
+    pub report: NodeReport,
     pub digest: u64,
-    pub members: BTreeMap<Key, Shown>,
+    pub members: BTreeMap<MemberKey, MemberSnapshot>,
 }
 
 /// Asks one node for all that it holds, page by page.
 pub struct Observer {
-    seal: Seal,
+    seal: DatagramAuth,
     no: u32,
     cursor: u64,
-    holding: Holding,
+    holding: NodeSnapshot,
     /// What another package holds is asked for, and what has come of it.
     topic: u32,
     bytes: Vec<u8>,
@@ -52,12 +52,12 @@
 
 impl Observer {
     /// For a node of this fleet. Its life is drawn from the seed.
-    pub fn new(fleet: &str, keys: Keys, seed: u64, skew: Nanos) -> Observer {
+    pub fn new(fleet: &str, keys: AuthKeys, seed: u64, skew: Nanos) -> Observer {
         Observer {
-            seal: Seal::new(fleet, keys, observer(seed), skew, 64),
+            seal: DatagramAuth::new(fleet, keys, observer(seed), skew, 64),
             no: 0,
             cursor: 0,
-            holding: Holding::default(),
+            holding: NodeSnapshot::default(),
             topic: 0,
             bytes: Vec::new(),
         }
@@ -107,9 +107,9 @@
         now: Nanos,
         unix_ms: u64,
         frame: &[u8],
-    ) -> Result<Option<Vec<u8>>, Dropped> {
+    ) -> Result<Option<Vec<u8>>, DropReason> {
         let (_, message) = self.seal.open(now, unix_ms, frame)?;
-        let answer = Datagram::decode(message).map_err(|_| Dropped::Unreadable)?;
+        let answer = Datagram::decode(message).map_err(|_| DropReason::Unreadable)?;
         let is_it =
             answer.kind == kind::ORDERED && answer.no == self.no && answer.topic == self.topic;
         Ok(is_it.then_some(answer.parcel))
@@ -123,9 +123,9 @@
         now: Nanos,
         unix_ms: u64,
         frame: &[u8],
-    ) -> Result<(bool, Option<Vec<u8>>), Dropped> {
+    ) -> Result<(bool, Option<Vec<u8>>), DropReason> {
         let (_, message) = self.seal.open(now, unix_ms, frame)?;
-        let page = Datagram::decode(message).map_err(|_| Dropped::Unreadable)?;
+        let page = Datagram::decode(message).map_err(|_| DropReason::Unreadable)?;
         if page.kind != kind::PAGE || page.no != self.no || page.topic != self.topic {
             return Ok((false, None));
         }
@@ -145,9 +145,9 @@
         now: Nanos,
         unix_ms: u64,
         frame: &[u8],
-    ) -> Result<(bool, Option<Holding>), Dropped> {
+    ) -> Result<(bool, Option<NodeSnapshot>), DropReason> {
         let (_, message) = self.seal.open(now, unix_ms, frame)?;
-        let page = Datagram::decode(message).map_err(|_| Dropped::Unreadable)?;
+        let page = Datagram::decode(message).map_err(|_| DropReason::Unreadable)?;
         if page.kind != kind::PAGE || page.no != self.no {
             return Ok((false, None));
         }
@@ -156,7 +156,7 @@
         }
         self.holding.digest = page.digest;
         for (at, news) in page.news.iter().enumerate() {
-            let Ok(details) = Details::read(&news.told) else {
+            let Ok(details) = MemberDetails::read(&news.told) else {
                 continue;
             };
             let pulse = page
@@ -165,9 +165,9 @@
                 .0
                 .get(at)
                 .filter(|p| p[4..6] != [0, 0]);
-            let shown = Shown {
+            let shown = MemberSnapshot {
                 name: news.name.clone(),
-                status: Status::from_number(news.status).unwrap_or_default(),
+                status: Liveness::from_number(news.status).unwrap_or_default(),
                 address: details.address,
                 zone: details.zone.to_string(),
                 phase: details.phase,
@@ -179,7 +179,7 @@
                 revision: news.revision,
                 pulse: pulse.map(|p| (p[6], p[7])),
             };
-            self.holding.members.insert(Key(news.key), shown);
+            self.holding.members.insert(MemberKey(news.key), shown);
         }
         self.cursor = page.cursor;
         let done = self.cursor == 0;
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe_order.rs
@@ -1,20 +1,20 @@
 //! Who is asked next: every member once in each round, in an order drawn anew for each, so that the
 //! time until a dead one is asked has a bound.
 
-use crate::member::Key;
+use crate::member::MemberKey;
 use rand::seq::SliceRandom;
 use rand::{Rng, RngExt};
 
 /// The order of a round.
 #[derive(Debug, Default)]
-pub struct Round {
-    order: Vec<Key>,
+pub struct ProbeOrder {
+    order: Vec<MemberKey>,
     at: usize,
 }
 
-impl Round {
+impl ProbeOrder {
     /// A member came: it gets a place by chance.
-    pub fn insert(&mut self, rng: &mut impl Rng, key: Key) {
+    pub fn insert(&mut self, rng: &mut impl Rng, key: MemberKey) {
         let place = rng.random_range(0..=self.order.len());
         self.order.push(key);
         let last = self.order.len() - 1;
@@ -23,12 +23,16 @@
 
     /// Everybody is gone.
     pub fn clear(&mut self) {
-        *self = Round::default();
+        *self = ProbeOrder::default();
     }
 
     /// The next one for whom this holds. Those for whom it does not hold any more leave at the
     /// round's end.
-    pub fn next(&mut self, rng: &mut impl Rng, mut holds: impl FnMut(Key) -> bool) -> Option<Key> {
+    pub fn next(
+        &mut self,
+        rng: &mut impl Rng,
+        mut holds: impl FnMut(MemberKey) -> bool,
+    ) -> Option<MemberKey> {
         for _ in 0..2 {
             while let Some(key) = self.order.get(self.at).copied() {
                 self.at += 1;
@@ -50,8 +54,8 @@
         &self,
         rng: &mut impl Rng,
         most: usize,
-        mut holds: impl FnMut(Key) -> bool,
-    ) -> Vec<Key> {
+        mut holds: impl FnMut(MemberKey) -> bool,
+    ) -> Vec<MemberKey> {
         let mut some = Vec::with_capacity(most);
         if self.order.len() <= 4 * most {
             some.extend(self.order.iter().copied().filter(|key| holds(*key)));
--- a/crates/membership/src/probe/tests.rs
+++ b/crates/membership/src/probe_order/tests.rs
@@ -6,22 +6,22 @@
 #[test]
 fn all_are_asked_in_each_round_and_the_gone_are_not() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let mut round = Round::default();
-    (1..=50).for_each(|n| round.insert(&mut rng, Key(n)));
-    round.insert(&mut rng, Key(7)); // came again
+    let mut round = ProbeOrder::default();
+    (1..=50).for_each(|n| round.insert(&mut rng, MemberKey(n)));
+    round.insert(&mut rng, MemberKey(7)); // came again
     let mut orders = Vec::new();
     while round.at < round.order.len() {
         round.next(&mut rng, |_| true);
     }
     for _ in 0..3 {
-        let order: Vec<Key> = (0..50)
+        let order: Vec<MemberKey> = (0..50)
             .filter_map(|_| round.next(&mut rng, |_| true))
             .collect();
         assert_eq!(order.iter().collect::<BTreeSet<_>>().len(), 50);
         orders.push(order);
     }
     assert_ne!(orders[0], orders[1]);
-    let few: BTreeSet<Key> = (0..9)
+    let few: BTreeSet<MemberKey> = (0..9)
         .filter_map(|_| round.next(&mut rng, |key| key.0 <= 3))
         .collect();
     assert_eq!(few.len(), 3);
@@ -32,8 +32,8 @@
 #[test]
 fn some_by_chance_are_different_ones_for_whom_it_holds() {
     let mut rng = Pcg64Mcg::seed_from_u64(2);
-    let mut round = Round::default();
-    (1..=100).for_each(|n| round.insert(&mut rng, Key(n)));
+    let mut round = ProbeOrder::default();
+    (1..=100).for_each(|n| round.insert(&mut rng, MemberKey(n)));
     let mut all = BTreeSet::new();
     for _ in 0..500 {
         let some = round.some(&mut rng, 3, |key| key.0 > 50);
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/simulation.rs
@@ -2,12 +2,12 @@
 //! lose and delay, members that crash, pause, stall and return, zones that are cut off. All chance
 //! comes from a seed.
 
-use crate::fleet::{Extensions, Fleet, Host, Moment, Periods, Settings};
-use crate::history::Kind;
-use crate::member::{Key, Status};
-use crate::seal::Keys;
-use crate::sight::Sight;
-use crate::view::Interner;
+use crate::cluster_size::ClusterView;
+use crate::datagram_auth::AuthKeys;
+use crate::history::ChangeKind;
+use crate::member::{Liveness, MemberKey};
+use crate::member_table::Interner;
+use crate::swim::{ClockReading, Config, FeatureToggles, Host, Membership, Timing};
 use crate::{MILLISECOND, Nanos, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -24,7 +24,7 @@
 
 /// What a simulated fleet is like.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct SimulationConfig {
     pub members: usize,
     pub zones: usize,
     /// Share of datagrams that are lost.
@@ -34,24 +34,24 @@
     /// Share of members that stall, for how long at most, and how long they run in between.
     pub slow: f64,
     pub stall: (Nanos, Nanos),
-    pub periods: Periods,
-    pub extensions: Extensions,
+    pub periods: Timing,
+    pub extensions: FeatureToggles,
     /// Whether all know each other at the start; else they find each other by the first three.
     pub acquainted: bool,
     pub seed: u64,
 }
 
-impl Default for Plan {
-    fn default() -> Plan {
-        Plan {
+impl Default for SimulationConfig {
+    fn default() -> SimulationConfig {
+        SimulationConfig {
             members: 10,
             zones: 3,
             loss: 0.0,
             latency: (200_000, 2 * MILLISECOND),
             slow: 0.0,
             stall: (1500 * MILLISECOND, 3 * SECOND),
-            periods: Periods::default(),
-            extensions: Extensions::default(),
+            periods: Timing::default(),
+            extensions: FeatureToggles::default(),
             acquainted: true,
             seed: 1,
         }
@@ -60,14 +60,14 @@
 
 /// What a member did to the world.
 #[derive(Debug, Default)]
-pub struct Out {
+pub struct SimulatedActions {
     sent: Vec<(SocketAddr, Rc<[u8]>)>,
-    changed: Vec<(Kind, Key)>,
+    changed: Vec<(ChangeKind, MemberKey)>,
     /// Lines of its log, if they are kept.
     pub lines: Option<Vec<String>>,
 }
 
-impl Host for Out {
+impl Host for SimulatedActions {
     fn send(&mut self, to: SocketAddr, frame: &[u8]) {
         self.sent.push((to, frame.into()));
     }
@@ -76,8 +76,8 @@
             lines.push(line.to_owned());
         }
     }
-    fn sight(&mut self, _sight: &Sight) {}
-    fn changed(&mut self, kind: Kind, key: Key) {
+    fn sight(&mut self, _sight: &ClusterView) {}
+    fn changed(&mut self, kind: ChangeKind, key: MemberKey) {
         self.changed.push((kind, key));
     }
 }
@@ -119,13 +119,13 @@
 }
 
 /// A simulated member.
-pub struct Node {
+pub struct SimulatedNode {
     pub name: String,
-    pub key: Key,
+    pub key: MemberKey,
     pub zone: usize,
     address: SocketAddr,
     /// None while it is down.
-    pub fleet: Option<Fleet<Out>>,
+    pub fleet: Option<Membership<SimulatedActions>>,
     generation: u32,
     woken: Nanos,
     /// Nothing reaches it, and it does nothing, until then.
@@ -141,21 +141,21 @@
 }
 
 /// Whether nothing passes from one member to another.
-type Cut = Box<dyn Fn(&Node, &Node) -> bool>;
+type Cut = Box<dyn Fn(&SimulatedNode, &SimulatedNode) -> bool>;
 
 /// What is lost between two members beside the plan's share, and how much later the rest comes.
-type Rough = Box<dyn Fn(&Node, &Node) -> (f64, Nanos)>;
+type Rough = Box<dyn Fn(&SimulatedNode, &SimulatedNode) -> (f64, Nanos)>;
 
 /// A simulated fleet.
-pub struct Sim {
-    pub plan: Plan,
+pub struct Simulation {
+    pub plan: SimulationConfig,
     pub now: Nanos,
-    pub nodes: Vec<Node>,
+    pub nodes: Vec<SimulatedNode>,
     rng: Pcg64Mcg,
     queue: BinaryHeap<Reverse<Event>>,
     ordered: u64,
     places: HashMap<SocketAddr, usize>,
-    keys: HashMap<Key, usize>,
+    keys: HashMap<MemberKey, usize>,
     /// Between which nodes nothing passes: by number of the sender and of the receiver.
     cut: Cut,
     rough: Rough,
@@ -179,15 +179,15 @@
     SocketAddr::from(([10, b, c, d], 7946))
 }
 
-impl Sim {
+impl Simulation {
     /// A fleet of which nobody is up yet.
-    pub fn new(plan: Plan) -> Sim {
+    pub fn new(plan: SimulationConfig) -> Simulation {
         let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
-        let nodes: Vec<Node> = (0..plan.members)
+        let nodes: Vec<SimulatedNode> = (0..plan.members)
             .map(|n| {
                 let name = format!("n{n}");
-                Node {
-                    key: Key::of(&name),
+                SimulatedNode {
+                    key: MemberKey::of(&name),
                     name,
                     zone: n % plan.zones.max(1),
                     address: address(n),
@@ -203,7 +203,7 @@
                 }
             })
             .collect();
-        Sim {
+        Simulation {
             now: SECOND,
             rng,
             queue: BinaryHeap::new(),
@@ -233,8 +233,8 @@
     }
 
     /// A fleet all of whose members are up, and know each other if the plan says so.
-    pub fn started(plan: Plan) -> Sim {
-        let mut sim = Sim::new(plan);
+    pub fn started(plan: SimulationConfig) -> Simulation {
+        let mut sim = Simulation::new(plan);
         (0..sim.nodes.len()).for_each(|n| sim.start(n));
         if sim.plan.acquainted {
             let all: Vec<_> = sim
@@ -252,17 +252,17 @@
         sim
     }
 
-    fn moment(&self, node: usize) -> Moment {
+    fn moment(&self, node: usize) -> ClockReading {
         let unix_ms = UNIX_MS + self.now / MILLISECOND;
-        Moment {
+        ClockReading {
             now: self.now,
             unix_ms: unix_ms.saturating_add_signed(self.nodes[node].clock),
         }
     }
 
-    fn settings(&self, node: usize) -> Settings {
+    fn settings(&self, node: usize) -> Config {
         let node = &self.nodes[node];
-        Settings {
+        Config {
             fleet: "simulated".into(),
             name: node.name.clone(),
             zone: format!("z{}", node.zone),
@@ -270,11 +270,11 @@
             seeds: (0..3.min(self.nodes.len()))
                 .map(|n| self.nodes[n].address)
                 .collect(),
-            keys: Keys::new(&[vec![7; 32]]).expect("a key of 32 bytes"),
+            keys: AuthKeys::new(&[vec![7; 32]]).expect("a key of 32 bytes"),
             periods: self.plan.periods,
             program: "0.1.0".into(),
             settings: (1, 1),
-            bytes: 2 * self.plan.members * crate::view::ENTRY_USUAL + (1 << 16),
+            bytes: 2 * self.plan.members * crate::member_table::ENTRY_USUAL + (1 << 16),
             extensions: self.plan.extensions,
         }
     }
@@ -287,12 +287,12 @@
             .seed
             .wrapping_mul(1_000_003)
             .wrapping_add(self.starts);
-        let out = Out {
+        let out = SimulatedActions {
             lines: self.keep_lines.then(Vec::new),
-            ..Out::default()
+            ..SimulatedActions::default()
         };
         let (at, settings, interner) = (self.moment(n), self.settings(n), self.interner.clone());
-        let fleet = Fleet::with_interner(settings, seed, at, out, Some(interner));
+        let fleet = Membership::with_interner(settings, seed, at, out, Some(interner));
         let node = &mut self.nodes[n];
         node.fleet = Some(fleet.expect("simulated members have good names"));
         node.generation += 1;
@@ -328,13 +328,16 @@
     }
 
     /// Cuts links: those for which this holds, given sender and receiver.
-    pub fn cut(&mut self, cut: impl Fn(&Node, &Node) -> bool + 'static) {
+    pub fn cut(&mut self, cut: impl Fn(&SimulatedNode, &SimulatedNode) -> bool + 'static) {
         self.cut = Box::new(cut);
     }
 
     /// Roughens links: what share is lost, and how much later the rest comes, given sender and
     /// receiver.
-    pub fn roughen(&mut self, rough: impl Fn(&Node, &Node) -> (f64, Nanos) + 'static) {
+    pub fn roughen(
+        &mut self,
+        rough: impl Fn(&SimulatedNode, &SimulatedNode) -> (f64, Nanos) + 'static,
+    ) {
         self.rough = Box::new(rough);
     }
 
@@ -407,7 +410,7 @@
             );
         }
         for (kind, key) in changed {
-            if kind == Kind::Dead
+            if kind == ChangeKind::Dead
                 && let Some(&other) = self.keys.get(&key)
             {
                 self.found_dead(n, other);
@@ -498,7 +501,7 @@
         &mut self,
         most: Nanos,
         every: Nanos,
-        mut holds: impl FnMut(&Sim) -> bool,
+        mut holds: impl FnMut(&Simulation) -> bool,
     ) -> Option<Nanos> {
         let begun = self.now;
         while self.now < begun + most {
@@ -511,12 +514,12 @@
     }
 
     /// Whether nothing passes from one member to another.
-    pub fn is_cut(&self, from: &Node, to: &Node) -> bool {
+    pub fn is_cut(&self, from: &SimulatedNode, to: &SimulatedNode) -> bool {
         (self.cut)(from, to)
     }
 
     /// Those that are up.
-    pub fn up(&self) -> impl Iterator<Item = (&Node, &Fleet<Out>)> {
+    pub fn up(&self) -> impl Iterator<Item = (&SimulatedNode, &Membership<SimulatedActions>)> {
         self.nodes
             .iter()
             .filter_map(|node| Some((node, node.fleet.as_ref()?)))
@@ -535,9 +538,9 @@
         let Some((_, fleet)) = self.up().next() else {
             return true;
         };
-        let there = |node: &Node| {
+        let there = |node: &SimulatedNode| {
             let status = fleet.view().get(node.key).map(|entry| entry.status());
-            status.is_some_and(Status::is_present) == node.fleet.is_some()
+            status.is_some_and(Liveness::is_present) == node.fleet.is_some()
         };
         fleet.view().counts().present() == up && self.nodes.iter().all(there)
     }
@@ -580,7 +583,7 @@
 }
 
 /// Bytes of a heartbeat: the frame with name and number, and the heads of UDP and IP.
-const HEARTBEAT: usize = crate::seal::OVERHEAD + 42 + 28;
+const HEARTBEAT: usize = crate::datagram_auth::OVERHEAD + 42 + 28;
 
 /// Plays heartbeats for so long, with a crash at the end; who is silent for `missed` periods is
 /// held for dead.
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -5,7 +5,7 @@
 //! 6 s, one of 16 seeds: a member buried 13 s after the heal).
 
 use crate::Nanos;
-use crate::member::Key;
+use crate::member::MemberKey;
 use std::collections::BTreeMap;
 
 /// Others whose word shortens the wait.
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 struct Suspicion {
     since: Nanos,
-    by: Vec<Key>,
+    by: Vec<MemberKey>,
     least: Nanos,
     most: Nanos,
     /// When the last call went out first, and how often it did.
@@ -52,17 +52,17 @@
 
 /// What is due.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Due {
+pub struct DueSuspicions {
     /// Suspects to be asked a last time.
-    pub calls: Vec<Key>,
+    pub calls: Vec<MemberKey>,
     /// Suspects whose time is over.
-    pub over: Vec<Key>,
+    pub over: Vec<MemberKey>,
 }
 
 /// All that is suspected here.
 #[derive(Debug, Default)]
 pub struct Suspicions {
-    all: BTreeMap<Key, Suspicion>,
+    all: BTreeMap<MemberKey, Suspicion>,
 }
 
 impl Suspicions {
@@ -70,8 +70,8 @@
     pub fn suspect(
         &mut self,
         now: Nanos,
-        key: Key,
-        by: Key,
+        key: MemberKey,
+        by: MemberKey,
         (least, most): (Nanos, Nanos),
     ) -> bool {
         let fresh = || Suspicion {
@@ -91,12 +91,12 @@
     }
 
     /// Who suspected it last.
-    pub fn latest(&self, key: Key) -> Option<Key> {
+    pub fn latest(&self, key: MemberKey) -> Option<MemberKey> {
         self.all.get(&key)?.by.last().copied()
     }
 
     /// It is cleared, or buried.
-    pub fn clear(&mut self, key: Key) {
+    pub fn clear(&mut self, key: MemberKey) {
         self.all.remove(&key);
     }
 
@@ -118,8 +118,8 @@
     }
 
     /// What is due.
-    pub fn due(&mut self, now: Nanos, lead: Nanos) -> Due {
-        let mut due = Due::default();
+    pub fn due(&mut self, now: Nanos, lead: Nanos) -> DueSuspicions {
+        let mut due = DueSuspicions::default();
         for (key, suspicion) in self.all.iter_mut().filter(|(_, s)| s.due(lead) <= now) {
             if suspicion.calls < CALLS {
                 suspicion.called.get_or_insert(now);
--- a/crates/membership/src/suspicion/tests.rs
+++ b/crates/membership/src/suspicion/tests.rs
@@ -5,13 +5,13 @@
     let mut all = Suspicions::default();
     let mut dues = Vec::new();
     for by in 1..=6 {
-        all.suspect(100, Key(7), Key(by), (1000, 6000));
+        all.suspect(100, MemberKey(7), MemberKey(by), (1000, 6000));
         dues.push(all.next(0).unwrap());
     }
     assert_eq!((dues[0], dues[3], dues[5]), (6100, 1100, 1100));
     assert!(dues.windows(2).all(|two| two[1] <= two[0]), "{dues:?}");
     assert!(
-        !all.suspect(200, Key(7), Key(2), (1000, 6000)),
+        !all.suspect(200, MemberKey(7), MemberKey(2), (1000, 6000)),
         "the same accuser confirms nothing"
     );
 }
@@ -19,23 +19,23 @@
 #[test]
 fn nobody_is_buried_without_a_last_call_and_its_time() {
     let mut all = Suspicions::default();
-    all.suspect(100, Key(7), Key(1), (1000, 1000));
+    all.suspect(100, MemberKey(7), MemberKey(1), (1000, 1000));
     assert_eq!(
         (all.next(300), all.due(799, 300)),
-        (Some(800), Due::default())
+        (Some(800), DueSuspicions::default())
     );
-    let call = || Due {
-        calls: vec![Key(7)],
+    let call = || DueSuspicions {
+        calls: vec![MemberKey(7)],
         over: vec![],
     };
     assert_eq!(
         (all.due(850, 300), all.due(949, 300)),
-        (call(), Due::default())
+        (call(), DueSuspicions::default())
     );
     assert_eq!((all.due(950, 300), all.due(1050, 300)), (call(), call()));
     assert_eq!(
         (all.next(300), all.due(1149, 300)),
-        (Some(1150), Due::default())
+        (Some(1150), DueSuspicions::default())
     );
     all.put_off(500); // heard nothing meanwhile: called again
     assert_eq!(
@@ -44,9 +44,9 @@
     );
     assert_eq!(
         all.due(1600, 300),
-        Due {
+        DueSuspicions {
             calls: vec![],
-            over: vec![Key(7)]
+            over: vec![MemberKey(7)]
         }
     );
     assert_eq!(all.len(), 0);
--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/swim.rs
@@ -1,19 +1,20 @@
 //! A node's part in the fleet: a method for each thing that happens, acting through a small
 //! [`Host`].
 
-use crate::gossip::Gossip;
-use crate::health::Health;
-use crate::history::{Happened, History, Kind};
+use crate::anti_entropy::{self, RangeExchange};
+use crate::cluster_size::{ClusterSizeEstimator, ClusterView};
+use crate::datagram_auth::{AuthKeys, DatagramAuth, DropReason, MESSAGE_MAX, ReceiveLimiter};
+use crate::dissemination_queue::DisseminationQueue;
+use crate::history::{ChangeEvent, ChangeKind, History};
+use crate::local_health::LocalHealth;
 use crate::member::{
-    Details, Epoch, Key, Life, Odd, Part, Phase, Pulse, Standing, Status, refutes,
+    Attachment, DetailsError, Epoch, Incarnation, Liveness, LivenessState, LoadHint, MemberDetails,
+    MemberKey, Phase, refutes,
 };
-use crate::probe::Round;
-use crate::reconcile::{self, Differences};
-use crate::seal::{Dropped, Gate, Keys, MESSAGE_MAX, Seal};
-use crate::sight::{Sight, Sizer};
+use crate::member_table::{ENTRY_USUAL, Interner, MemberChange, MemberTable, MergeOutcome};
+use crate::probe_order::ProbeOrder;
 use crate::suspicion::Suspicions;
-use crate::view::{Change, ENTRY_USUAL, Interner, Merged, View};
-use crate::wire::{self, Datagram, News, Report, kind};
+use crate::wire::{self, Datagram, MemberUpdate, NodeReport, kind};
 use crate::{MILLISECOND, Nanos, SECOND};
 use prost::Message;
 use rand::seq::SliceRandom;
@@ -23,10 +24,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-mod incoming;
-mod news;
-mod probes;
-mod spread;
+mod dissemination;
+mod member_updates;
+mod probing;
+mod receiving;
 
 /// What a fleet's part does to the world. None of it may wait.
 pub trait Host {
@@ -35,9 +36,9 @@
     /// Write a line to the log: one for each change of the view, as far as the rate allows.
     fn log(&mut self, kind: &'static str, line: &str);
     /// What decisions see has changed.
-    fn sight(&mut self, sight: &Sight);
+    fn sight(&mut self, sight: &ClusterView);
     /// A parcel of another package came from a member, whose process this is.
-    fn parcel(&mut self, _from: Key, _life: Life, _topic: u32, _parcel: &[u8]) {}
+    fn parcel(&mut self, _from: MemberKey, _life: Incarnation, _topic: u32, _parcel: &[u8]) {}
     /// Somebody who has the key asks what another package holds, from a place in it on: a page of
     /// that and the place of the next one, 0 after the last. None if there is nothing, or not yet:
     /// then it will be asked again.
@@ -45,15 +46,15 @@
         None
     }
     /// Somebody who has the key and is no member wants something done by another package; answered
-    /// by [`Fleet::ordered`]. It may come again.
+    /// by [`Membership::ordered`]. It may come again.
     fn order(&mut self, _from: SocketAddr, _no: u32, _topic: u32, _order: &[u8]) {}
     /// The view has changed; told always, for those who measure.
-    fn changed(&mut self, _kind: Kind, _key: Key) {}
+    fn changed(&mut self, _kind: ChangeKind, _key: MemberKey) {}
 }
 
 /// A reading of the clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Moment {
+pub struct ClockReading {
     /// Time since any fixed point; never goes back.
     pub now: Nanos,
     /// Unix time in milliseconds, which may step.
@@ -62,7 +63,7 @@
 
 /// How often things are done, and how long they are waited for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Periods {
+pub struct Timing {
     /// Between two probes.
     pub probe: Nanos,
     /// For the answer to a probe, before others are asked to probe.
@@ -82,9 +83,9 @@
     pub skew: Nanos,
 }
 
-impl Default for Periods {
-    fn default() -> Periods {
-        Periods {
+impl Default for Timing {
+    fn default() -> Timing {
+        Timing {
             probe: SECOND,
             answer: 400 * MILLISECOND,
             gossip: 200 * MILLISECOND,
@@ -99,7 +100,7 @@
 
 /// Parts that can be left out, to measure what each is worth. In service all are on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Extensions {
+pub struct FeatureToggles {
     /// Doubt of oneself.
     pub health: bool,
     /// Suspicions that get shorter as others confirm, and suspects that are told.
@@ -110,9 +111,9 @@
     pub regain: bool,
 }
 
-impl Default for Extensions {
-    fn default() -> Extensions {
-        Extensions {
+impl Default for FeatureToggles {
+    fn default() -> FeatureToggles {
+        FeatureToggles {
             health: true,
             confirm: true,
             reconcile: true,
@@ -123,7 +124,7 @@
 
 /// What a node is told of its fleet.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct Config {
     /// The fleet's name, and the node's own.
     pub fleet: String,
     pub name: String,
@@ -132,14 +133,14 @@
     pub address: SocketAddr,
     /// Where somebody may be found.
     pub seeds: Vec<SocketAddr>,
-    pub keys: Keys,
-    pub periods: Periods,
+    pub keys: AuthKeys,
+    pub periods: Timing,
     pub program: String,
     /// Number and hash of its settings.
     pub settings: (u64, u64),
     /// Bytes that the view may take.
     pub bytes: usize,
-    pub extensions: Extensions,
+    pub extensions: FeatureToggles,
 }
 
 /// A probe goes out so often before helpers are asked; all but the first only where no answer came.
@@ -154,7 +155,7 @@
 const ERRANDS: usize = 64;
 /// Entries asked for in one datagram.
 const WANTS: usize = 32;
-/// News that fits into one datagram, roughly; with more to spread, views are compared instead.
+/// MemberUpdate that fits into one datagram, roughly; with more to spread, views are compared instead.
 const NEWS_FIT: usize = 20;
 /// Others' pulses in each datagram.
 const PULSES: usize = 7;
@@ -197,10 +198,10 @@
 
 /// A probe that waits for its answer.
 #[derive(Debug)]
-struct Flight {
+struct OutstandingProbe {
     no: u32,
-    target: Key,
-    life: Life,
+    target: MemberKey,
+    life: Incarnation,
     /// When it is asked again, in case the one before was lost on its way, or the way was cut then
     /// and is not now.
     again_at: Nanos,
@@ -213,11 +214,11 @@
 
 /// A probe for another member.
 #[derive(Debug)]
-struct Errand {
-    origin: Key,
+struct RelayedProbe {
+    origin: MemberKey,
     origin_no: u32,
-    target: Key,
-    life: Life,
+    target: MemberKey,
+    life: Incarnation,
     again_at: Nanos,
     due: Nanos,
 }
@@ -225,8 +226,8 @@
 /// Another life has this node's name, and a later birth. Either it is there, and holds the name; or
 /// it is this node's own past, remembered with a clock that was ahead.
 #[derive(Debug)]
-struct Contest {
-    holder: News,
+struct NameConflict {
+    holder: MemberUpdate,
     address: SocketAddr,
     tries: u32,
     next: Nanos,
@@ -235,16 +236,16 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Bucket {
+struct TokenBucket {
     rate: f64,
     most: f64,
     left: f64,
     filled: Nanos,
 }
 
-impl Bucket {
-    fn new((rate, most): (f64, f64), now: Nanos) -> Bucket {
-        Bucket {
+impl TokenBucket {
+    fn new((rate, most): (f64, f64), now: Nanos) -> TokenBucket {
+        TokenBucket {
             rate,
             most,
             left: most,
@@ -277,7 +278,7 @@
 }
 
 /// A datagram under construction, which never gets too large.
-struct Pack {
+struct DatagramBuilder {
     datagram: Datagram,
     size: usize,
 }
@@ -287,17 +288,17 @@
     1 + prost::length_delimiter_len(bytes) + bytes
 }
 
-impl Pack {
-    fn new(datagram: Datagram) -> Pack {
+impl DatagramBuilder {
+    fn new(datagram: Datagram) -> DatagramBuilder {
         let size = datagram.encoded_len();
-        Pack { datagram, size }
+        DatagramBuilder { datagram, size }
     }
 
     fn fits(&self, bytes: usize) -> bool {
         self.size + bytes + field((PULSES + 1) * PULSE) <= MESSAGE_MAX
     }
 
-    fn news(&mut self, news: News) -> bool {
+    fn news(&mut self, news: MemberUpdate) -> bool {
         let bytes = field(news.encoded_len());
         let fits = self.fits(bytes);
         if fits {
@@ -309,28 +310,28 @@
 }
 
 /// A node's part in the fleet.
-pub struct Fleet<H: Host> {
+pub struct Membership<H: Host> {
     /// Where it acts.
     pub host: H,
-    settings: Settings,
+    settings: Config,
     rng: Pcg64Mcg,
-    me: Key,
+    me: MemberKey,
     epoch: Epoch,
     bump: u32,
     revision: u32,
     phase: Phase,
-    parts: Vec<Part>,
-    pulse: Pulse,
+    parts: Vec<Attachment>,
+    pulse: LoadHint,
     leaving: bool,
-    view: View,
-    gossip: Gossip,
+    view: MemberTable,
+    gossip: DisseminationQueue,
     suspicions: Suspicions,
-    health: Health,
-    round: Round,
-    flight: Option<Flight>,
-    errands: BTreeMap<u32, Errand>,
-    seal: Seal,
-    gate: Gate,
+    health: LocalHealth,
+    round: ProbeOrder,
+    flight: Option<OutstandingProbe>,
+    errands: BTreeMap<u32, RelayedProbe>,
+    seal: DatagramAuth,
+    gate: ReceiveLimiter,
     no: u32,
     timers: Timers,
     /// When it asked to be woken.
@@ -340,42 +341,47 @@
     deaf_until: Nanos,
     compared: Nanos,
     changed: Nanos,
-    comparing: Bucket,
-    spreading: Bucket,
-    contest: Option<Contest>,
+    comparing: TokenBucket,
+    spreading: TokenBucket,
+    contest: Option<NameConflict>,
     /// Addresses where somebody was, before all was begun anew.
     contacts: Vec<SocketAddr>,
     alone: Option<Nanos>,
     told_alone: bool,
-    recent: Vec<Key>,
-    sizer: Sizer,
-    sight: Sight,
+    recent: Vec<MemberKey>,
+    sizer: ClusterSizeEstimator,
+    sight: ClusterView,
     history: History,
     counts: BTreeMap<&'static str, u64>,
 }
 
-impl<H: Host> Fleet<H> {
+impl<H: Host> Membership<H> {
     /// A node that has just started, and knows nobody but itself and its seeds.
-    pub fn new(settings: Settings, seed: u64, at: Moment, host: H) -> Result<Fleet<H>, Odd> {
-        Fleet::with_interner(settings, seed, at, host, None)
+    pub fn new(
+        settings: Config,
+        seed: u64,
+        at: ClockReading,
+        host: H,
+    ) -> Result<Membership<H>, DetailsError> {
+        Membership::with_interner(settings, seed, at, host, None)
     }
 
     /// The same, with details kept together with those of other nodes in this process.
     pub fn with_interner(
-        settings: Settings,
+        settings: Config,
         seed: u64,
-        at: Moment,
+        at: ClockReading,
         host: H,
         interner: Option<Interner>,
-    ) -> Result<Fleet<H>, Odd> {
+    ) -> Result<Membership<H>, DetailsError> {
         if !crate::member::is_name(&settings.name, crate::member::NAME_MAX) {
-            return Err(Odd::BadName);
+            return Err(DetailsError::BadName);
         }
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let me = Key::of(&settings.name);
-        let life = Life(rng.random::<u64>() >> 1 | 1);
+        let me = MemberKey::of(&settings.name);
+        let life = Incarnation(rng.random::<u64>() >> 1 | 1);
         let most = settings.bytes / ENTRY_USUAL + 16;
-        let seal = Seal::new(
+        let seal = DatagramAuth::new(
             &settings.fleet,
             settings.keys.clone(),
             life,
@@ -394,7 +400,7 @@
             tidy: soon(TIDY),
         };
         let bytes = settings.bytes;
-        let mut fleet = Fleet {
+        let mut fleet = Membership {
             host,
             settings,
             rng,
@@ -407,17 +413,17 @@
             revision: 0,
             phase: Phase::Cold,
             parts: Vec::new(),
-            pulse: Pulse::default(),
+            pulse: LoadHint::default(),
             leaving: false,
-            view: View::new(bytes, interner),
-            gossip: Gossip::default(),
+            view: MemberTable::new(bytes, interner),
+            gossip: DisseminationQueue::default(),
             suspicions: Suspicions::default(),
-            health: Health::default(),
-            round: Round::default(),
+            health: LocalHealth::default(),
+            round: ProbeOrder::default(),
             flight: None,
             errands: BTreeMap::new(),
             seal,
-            gate: Gate::new(2 * most),
+            gate: ReceiveLimiter::new(2 * most),
             no: 0,
             timers,
             promised: Nanos::MAX,
@@ -426,15 +432,15 @@
             deaf_until: 0,
             compared: 0,
             changed: 0,
-            comparing: Bucket::new(COMPARE, now),
-            spreading: Bucket::new(SPREAD, now),
+            comparing: TokenBucket::new(COMPARE, now),
+            spreading: TokenBucket::new(SPREAD, now),
             contest: None,
             contacts: Vec::new(),
             alone: Some(now),
             told_alone: false,
             recent: Vec::new(),
-            sizer: Sizer::default(),
-            sight: Sight::default(),
+            sizer: ClusterSizeEstimator::default(),
+            sight: ClusterView::default(),
             history: History::default(),
             counts: BTreeMap::new(),
         };
@@ -447,7 +453,7 @@
     // ---- What the node says of itself ----
 
     /// Its own key, and what this process is.
-    pub fn me(&self) -> (Key, Life) {
+    pub fn me(&self) -> (MemberKey, Incarnation) {
         (self.me, self.epoch.life)
     }
 
@@ -461,22 +467,22 @@
         self.bump
     }
 
-    fn details(&self, parts: Vec<Part>) -> Result<Details, Odd> {
+    fn details(&self, parts: Vec<Attachment>) -> Result<MemberDetails, DetailsError> {
         let s = &self.settings;
         let wire = (wire::WIRE_LEAST, wire::WIRE);
-        Details::new(
+        MemberDetails::new(
             s.address, &s.zone, self.phase, &s.program, wire, s.settings, parts,
         )
     }
 
-    fn own_news(&self) -> Result<News, Odd> {
+    fn own_news(&self) -> Result<MemberUpdate, DetailsError> {
         let details = self.details(self.parts.clone())?;
         let status = if self.leaving {
-            Status::Left
+            Liveness::Left
         } else {
-            Status::Alive
+            Liveness::Alive
         };
-        Ok(News {
+        Ok(MemberUpdate {
             key: self.me.0,
             birth: self.epoch.birth,
             life: self.epoch.life.0,
@@ -490,12 +496,12 @@
     }
 
     /// Puts what the node says of itself now into its view, and spreads it.
-    fn announce(&mut self, at: Moment) -> Result<(), Odd> {
+    fn announce(&mut self, at: ClockReading) -> Result<(), DetailsError> {
         if self.is_mute() {
             return Ok(());
         }
         let news = self.own_news()?;
-        if self.view.merge(at.now, &news) == Merged::Full {
+        if self.view.merge(at.now, &news) == MergeOutcome::Full {
             self.count("invariant: a view without room for its own node", 1);
         }
         self.changed = at.now;
@@ -503,7 +509,7 @@
         Ok(())
     }
 
-    fn say_anew(&mut self, at: Moment) {
+    fn say_anew(&mut self, at: ClockReading) {
         self.revision += 1;
         if let Err(odd) = self.announce(at) {
             debug_assert!(false, "what a node says of itself can be said: {odd}");
@@ -512,7 +518,7 @@
     }
 
     /// It is warm, or draining. The first ones that hear of a drain hear it at once.
-    pub fn set_phase(&mut self, at: Moment, phase: Phase) {
+    pub fn set_phase(&mut self, at: ClockReading, phase: Phase) {
         self.noticed(at);
         if self.phase != phase {
             self.phase = phase;
@@ -524,7 +530,7 @@
     }
 
     /// Its settings have this number and hash now.
-    pub fn set_settings(&mut self, at: Moment, settings: (u64, u64)) {
+    pub fn set_settings(&mut self, at: ClockReading, settings: (u64, u64)) {
         self.noticed(at);
         if self.settings.settings != settings {
             self.settings.settings = settings;
@@ -534,7 +540,7 @@
 
     /// Its room and load, each of 255. They spread without a promise.
     pub fn set_pulse(&mut self, room: u8, load: u8) {
-        self.pulse = Pulse {
+        self.pulse = LoadHint {
             no: self.pulse.no.wrapping_add(1),
             room,
             load,
@@ -543,7 +549,7 @@
 
     /// Hangs something on its entry, in the place of what had this number before; refused if the
     /// entry grows too large.
-    pub fn set_part(&mut self, at: Moment, part: Part) -> Result<(), Odd> {
+    pub fn set_part(&mut self, at: ClockReading, part: Attachment) -> Result<(), DetailsError> {
         self.noticed(at);
         let mut parts = self.parts.clone();
         parts.retain(|p| p.id != part.id);
@@ -563,8 +569,14 @@
         Ok(())
     }
 
-    /// Keys, seeds and periods of a new file of settings.
-    pub fn reset(&mut self, at: Moment, keys: Keys, seeds: Vec<SocketAddr>, periods: Periods) {
+    /// AuthKeys, seeds and periods of a new file of settings.
+    pub fn reset(
+        &mut self,
+        at: ClockReading,
+        keys: AuthKeys,
+        seeds: Vec<SocketAddr>,
+        periods: Timing,
+    ) {
         self.noticed(at);
         self.seal.rekey(keys.clone());
         (
@@ -576,7 +588,7 @@
 
     /// The node goes: some hear it at once and pass it on. To be called again a moment later, in
     /// case that was lost.
-    pub fn leave(&mut self, at: Moment) {
+    pub fn leave(&mut self, at: ClockReading) {
         self.noticed(at);
         if self.is_mute() {
             return;
@@ -591,22 +603,22 @@
         self.tell(at, TOLD_AT_LEAVE);
     }
 
-    fn tell(&mut self, at: Moment, most: usize) {
+    fn tell(&mut self, at: ClockReading, most: usize) {
         for key in self.others(most) {
             let Some(own) = self.own(false) else { return };
-            self.send_to(at, key, kind::GOSSIP, 0, Key::NOBODY, vec![own]);
+            self.send_to(at, key, kind::GOSSIP, 0, MemberKey::NOBODY, vec![own]);
         }
     }
 
     // ---- What is seen ----
 
     /// The view.
-    pub fn view(&self) -> &View {
+    pub fn view(&self) -> &MemberTable {
         &self.view
     }
 
     /// What decisions see.
-    pub fn sight(&self) -> &Sight {
+    pub fn sight(&self) -> &ClusterView {
         &self.sight
     }
 
@@ -629,13 +641,13 @@
         *self.counts.entry(what).or_default() += times;
     }
 
-    fn happened(&mut self, at: Moment, kind: Kind, key: Key, more: String) {
+    fn happened(&mut self, at: ClockReading, kind: ChangeKind, key: MemberKey, more: String) {
         self.host.changed(kind, key);
         let name = self
             .view
             .get(key)
             .map_or_else(|| Arc::from("?"), |entry| Arc::clone(&entry.name));
-        let happened = Happened {
+        let happened = ChangeEvent {
             unix_ms: at.unix_ms,
             kind,
             name,
@@ -674,7 +686,7 @@
 
     /// A node that wakes late has heard nothing meanwhile: that speaks against itself and against
     /// nobody else.
-    fn noticed(&mut self, at: Moment) {
+    fn noticed(&mut self, at: ClockReading) {
         let late = at.now.saturating_sub(self.promised);
         self.promised = self.next().max(at.now); // what is due from before does not show another sleep
         if late < STOOD_STILL {
@@ -688,7 +700,7 @@
         (self.flight, self.errands) = (None, BTreeMap::new());
         self.happened(
             at,
-            Kind::StoodStill,
+            ChangeKind::StoodStill,
             self.me,
             format!("for {} ms", late / MILLISECOND),
         );
@@ -699,7 +711,7 @@
 
     /// Forgets whom it knew, and keeps where some of them were. What it remembers is so old that
     /// others have forgotten who died meanwhile: told to them, the dead would seem to live.
-    fn begin_anew(&mut self, at: Moment) {
+    fn begin_anew(&mut self, at: ClockReading) {
         let present = self
             .view
             .iter()
@@ -711,7 +723,7 @@
         self.view.forget_all_but(self.me);
         self.suspicions.clear_all();
         self.round.clear();
-        self.gossip = Gossip::default();
+        self.gossip = DisseminationQueue::default();
         self.bump += 1;
         self.say_anew(at);
         (self.alone, self.told_alone, self.timers.seek) = (Some(at.now), false, at.now + DEAF);
@@ -719,7 +731,7 @@
     }
 
     /// Does what is due.
-    pub fn wake(&mut self, at: Moment) {
+    pub fn wake(&mut self, at: ClockReading) {
         self.noticed(at);
         let now = at.now;
         self.flight_due(at);
@@ -729,7 +741,7 @@
             self.ping(at, key, 0);
         }
         for key in due.over {
-            if let Some(change) = self.view.set(now, key, Status::Dead) {
+            if let Some(change) = self.view.set(now, key, Liveness::Dead) {
                 self.reacted(at, key, &change, "did not say in time that it is there");
             }
         }
@@ -768,7 +780,7 @@
         self.promised = self.next().max(at.now);
     }
 
-    fn look(&mut self, at: Moment) {
+    fn look(&mut self, at: ClockReading) {
         let zone: Arc<str> = self.settings.zone.as_str().into();
         let sight = self.sizer.look(
             at.now,
@@ -783,7 +795,7 @@
                     "{} of {} are there without a doubt, {} suspect",
                     sight.fleet.low, self.sight.fleet.size, sight.suspects
                 );
-                self.happened(at, Kind::Unsure, self.me, more);
+                self.happened(at, ChangeKind::Unsure, self.me, more);
             }
             (Some(since), None) => {
                 let more = format!(
@@ -791,7 +803,7 @@
                     (at.now - since.min(at.now)) / SECOND,
                     sight.fleet.low
                 );
-                self.happened(at, Kind::Sure, self.me, more);
+                self.happened(at, ChangeKind::Sure, self.me, more);
             }
             _ => {}
         }
@@ -806,7 +818,7 @@
         match self.alone {
             Some(_) if company => {
                 if std::mem::take(&mut self.told_alone) {
-                    self.happened(at, Kind::Company, self.me, String::new());
+                    self.happened(at, ChangeKind::Company, self.me, String::new());
                 }
                 self.alone = None;
                 self.contacts.clear();
@@ -818,44 +830,44 @@
                     && at.now >= since + 10 * SECOND =>
             {
                 self.told_alone = true;
-                self.happened(at, Kind::Alone, self.me, "no seed answers".into());
+                self.happened(at, ChangeKind::Alone, self.me, "no seed answers".into());
             }
             _ => {}
         }
     }
 }
 
-fn odd_word(odd: Odd) -> &'static str {
+fn odd_word(odd: DetailsError) -> &'static str {
     match odd {
-        Odd::TooLarge => "entries that are too large",
-        Odd::Unreadable => "entries that can't be read",
-        Odd::BadAddress => "entries with an address that can't be used",
-        Odd::BadName => "entries with a name that can't be used",
+        DetailsError::TooLarge => "entries that are too large",
+        DetailsError::Unreadable => "entries that can't be read",
+        DetailsError::BadAddress => "entries with an address that can't be used",
+        DetailsError::BadName => "entries with a name that can't be used",
     }
 }
 
-impl<H: Host> Fleet<H> {
+impl<H: Host> Membership<H> {
     /// Takes over what another view holds, for simulated fleets that begin as if they had run for
     /// long.
-    pub fn acquaint(&mut self, at: Moment, all: &[News]) {
+    pub fn acquaint(&mut self, at: ClockReading, all: &[MemberUpdate]) {
         for news in all.iter().filter(|news| news.key != self.me.0) {
-            if let Merged::Changed(change) = self.view.merge(at.now, news)
+            if let MergeOutcome::Changed(change) = self.view.merge(at.now, news)
                 && change.after.is_present()
             {
-                self.round.insert(&mut self.rng, Key(news.key));
+                self.round.insert(&mut self.rng, MemberKey(news.key));
             }
         }
-        self.gossip = Gossip::default();
+        self.gossip = DisseminationQueue::default();
         self.alone = None;
     }
 
     /// All that it would say of itself to one that knows nobody.
-    pub fn introduction(&self) -> Option<News> {
+    pub fn introduction(&self) -> Option<MemberUpdate> {
         self.own(true)
     }
 
     /// The standing of a member here.
-    pub fn standing(&self, key: Key) -> Option<(Epoch, Standing)> {
+    pub fn standing(&self, key: MemberKey) -> Option<(Epoch, LivenessState)> {
         self.view
             .get(key)
             .map(|entry| (entry.epoch, entry.standing))
--- a/crates/membership/src/fleet/spread.rs
+++ b/crates/membership/src/swim/dissemination.rs
@@ -3,19 +3,20 @@
 
 use super::*;
 
-impl<H: Host> Fleet<H> {
-    pub(super) fn others(&mut self, most: usize) -> Vec<Key> {
+impl<H: Host> Membership<H> {
+    pub(super) fn others(&mut self, most: usize) -> Vec<MemberKey> {
         let (view, me) = (&self.view, self.me);
-        let there = |key: Key| key != me && view.get(key).is_some_and(|e| e.status().is_present());
+        let there =
+            |key: MemberKey| key != me && view.get(key).is_some_and(|e| e.status().is_present());
         self.round.some(&mut self.rng, most, there)
     }
 
     /// Some other members that are held to be there, by turns.
-    pub fn some_others(&mut self, most: usize) -> Vec<Key> {
+    pub fn some_others(&mut self, most: usize) -> Vec<MemberKey> {
         self.others(most)
     }
 
-    pub(super) fn spread(&mut self, at: Moment) {
+    pub(super) fn spread(&mut self, at: ClockReading) {
         let unsettled = at.now < self.unsettled_until;
         if self.is_mute() || self.gossip.is_empty() && !unsettled {
             return;
@@ -23,7 +24,7 @@
         let crowded = self.gossip.len() > NEWS_FIT;
         let others = self.others(FANOUT);
         for key in &others {
-            self.send_to(at, *key, kind::GOSSIP, 0, Key::NOBODY, Vec::new());
+            self.send_to(at, *key, kind::GOSSIP, 0, MemberKey::NOBODY, Vec::new());
         }
         if crowded && let Some(key) = others.first() {
             self.compare(at, *key);
@@ -32,7 +33,7 @@
 
     /// Looks for one of the dead. If it is there it says so, and then views are compared: so two
     /// halves of a healed partition find each other.
-    pub(super) fn regain(&mut self, at: Moment) {
+    pub(super) fn regain(&mut self, at: ClockReading) {
         self.regains += 1;
         if !self.settings.extensions.regain
             || self.is_mute()
@@ -44,7 +45,7 @@
         let dead = self
             .view
             .iter()
-            .filter(|(_, entry)| entry.status() == Status::Dead);
+            .filter(|(_, entry)| entry.status() == Liveness::Dead);
         let (now, regains) = (at.now, self.regains);
         let due = |since: Nanos| {
             let age = now.saturating_sub(since);
@@ -54,7 +55,7 @@
                 .find(|(after, _)| age >= *after)
                 .is_none_or(|(_, turns)| regains % turns == 0)
         };
-        let mut dead: Vec<Key> = dead
+        let mut dead: Vec<MemberKey> = dead
             .filter(|(_, entry)| due(entry.since))
             .map(|(key, _)| key)
             .collect();
@@ -72,7 +73,7 @@
         // perhaps: one is told what is held here, and answers if it knows more.
         if let (Some(other), Some(entry)) = (self.others(1).first().copied(), self.view.get(key)) {
             let news = vec![entry.brief(key)];
-            self.send_to(at, other, kind::ENTRIES, 0, Key::NOBODY, news);
+            self.send_to(at, other, kind::ENTRIES, 0, MemberKey::NOBODY, news);
         }
     }
 
@@ -83,7 +84,7 @@
     }
 
     /// Tries the seeds: often while alone, else now and then those where nobody is known to be.
-    pub(super) fn seek(&mut self, at: Moment) {
+    pub(super) fn seek(&mut self, at: ClockReading) {
         let alone = self.view.counts().present() <= 1;
         self.timers.seek = at.now + if alone { SEEK_ALONE } else { SEEK };
         if self.is_mute() || self.leaving {
@@ -115,7 +116,7 @@
     }
 
     /// Begins to compare views with a member.
-    pub(super) fn compare(&mut self, at: Moment, with: Key) {
+    pub(super) fn compare(&mut self, at: ClockReading, with: MemberKey) {
         if !self.settings.extensions.reconcile
             || at.now < self.compared + COMPARE_GAP
             || !self.comparing.open(at.now)
@@ -126,7 +127,7 @@
         let Some(to) = self.view.get(with).map(|entry| entry.details.address) else {
             return;
         };
-        let summaries = vec![reconcile::summary(&self.view)];
+        let summaries = vec![anti_entropy::summary(&self.view)];
         self.count("comparisons begun", 1);
         let datagram = Datagram {
             from: self.from(),
@@ -146,12 +147,12 @@
 
     pub(super) fn send_to(
         &mut self,
-        at: Moment,
-        to: Key,
+        at: ClockReading,
+        to: MemberKey,
         kind: u32,
         no: u32,
-        target: Key,
-        news: Vec<News>,
+        target: MemberKey,
+        news: Vec<MemberUpdate>,
     ) {
         if let Some(address) = self.view.get(to).map(|entry| entry.details.address) {
             let datagram = Datagram {
@@ -168,7 +169,13 @@
 
     /// Sends a parcel of another package to a member, once; it may be lost, come late or be
     /// overtaken, but it does not come twice. False if it is too large, or there is no such member.
-    pub fn send_parcel(&mut self, at: Moment, to: Key, topic: u32, parcel: &[u8]) -> bool {
+    pub fn send_parcel(
+        &mut self,
+        at: ClockReading,
+        to: MemberKey,
+        topic: u32,
+        parcel: &[u8],
+    ) -> bool {
         let there = self
             .view
             .get(to)
@@ -191,15 +198,20 @@
     }
 
     /// Sends a datagram, filled up with news and pulses; gives its size.
-    pub(super) fn send(&mut self, at: Moment, to: SocketAddr, mut datagram: Datagram) -> usize {
+    pub(super) fn send(
+        &mut self,
+        at: ClockReading,
+        to: SocketAddr,
+        mut datagram: Datagram,
+    ) -> usize {
         if datagram.from != 0 || datagram.kind == kind::PAGE {
             datagram.digest = self.view.digest();
         }
-        let mut pack = Pack::new(datagram);
+        let mut pack = DatagramBuilder::new(datagram);
         let spreads = matches!(pack.datagram.kind, kind::PING | kind::ACK | kind::GOSSIP);
         if spreads && !self.is_mute() && self.spreading.open(at.now) {
             let before = pack.size;
-            let Fleet {
+            let Membership {
                 gossip,
                 view,
                 suspicions,
@@ -209,14 +221,14 @@
                 let Some(entry) = view.get(key) else {
                     return true;
                 };
-                // Standing alone is enough for most; who lacks the rest asks for it.
-                let told = entry.epoch.birth > 0 && entry.standing.status == Status::Alive;
+                // LivenessState alone is enough for most; who lacks the rest asks for it.
+                let told = entry.epoch.birth > 0 && entry.standing.status == Liveness::Alive;
                 let news = if told {
                     entry.full(key)
                 } else {
                     entry.brief(key)
                 };
-                pack.news(News {
+                pack.news(MemberUpdate {
                     by: suspicions.latest(key).unwrap_or_default().0,
                     ..news
                 })
@@ -258,7 +270,7 @@
 
     pub(super) fn pulses(&mut self) -> Vec<u8> {
         let mut pulses = Vec::with_capacity((PULSES + 1) * PULSE);
-        let mut push = |key: Key, pulse: Pulse| {
+        let mut push = |key: MemberKey, pulse: LoadHint| {
             pulses.extend_from_slice(&((key.0 >> 32) as u32).to_be_bytes());
             pulses.extend_from_slice(&pulse.no.to_be_bytes());
             pulses.extend_from_slice(&[pulse.room, pulse.load]);
@@ -273,12 +285,17 @@
     }
 
     /// Sends entries, and asks for others, in as many datagrams as that takes and the rate allows.
-    pub(super) fn send_entries(&mut self, at: Moment, to: SocketAddr, differences: &Differences) {
+    pub(super) fn send_entries(
+        &mut self,
+        at: ClockReading,
+        to: SocketAddr,
+        differences: &RangeExchange,
+    ) {
         let mut wants = differences.wants.clone();
         wants.sort_unstable();
         wants.dedup();
-        let mut news: Vec<News> = Vec::new();
-        let entries = |keys: &[Key], view: &View, full: bool| -> Vec<News> {
+        let mut news: Vec<MemberUpdate> = Vec::new();
+        let entries = |keys: &[MemberKey], view: &MemberTable, full: bool| -> Vec<MemberUpdate> {
             let known = keys.iter().filter_map(|key| Some((*key, view.get(*key)?)));
             known
                 .map(|(key, entry)| {
@@ -308,7 +325,7 @@
             if news.peek().is_none() && wants.is_empty() || !self.comparing.open(at.now) {
                 return;
             }
-            let mut pack = Pack::new(Datagram {
+            let mut pack = DatagramBuilder::new(Datagram {
                 from,
                 kind: kind::ENTRIES,
                 wants,
--- a/crates/membership/src/fleet/news.rs
+++ b/crates/membership/src/swim/member_updates.rs
@@ -1,10 +1,16 @@
-//! News: what is said of members, and of this node itself; and a name that two processes have.
+//! MemberUpdate: what is said of members, and of this node itself; and a name that two processes have.
 
 use super::*;
 
-impl<H: Host> Fleet<H> {
+impl<H: Host> Membership<H> {
     /// A member changed: clears or begins what belongs to that, spreads it and tells of it.
-    pub(super) fn reacted(&mut self, at: Moment, key: Key, change: &Change, more: &str) {
+    pub(super) fn reacted(
+        &mut self,
+        at: ClockReading,
+        key: MemberKey,
+        change: &MemberChange,
+        more: &str,
+    ) {
         self.changed = at.now;
         if change.before.is_none_or(|before| !before.is_present())
             && change.after.is_present()
@@ -12,19 +18,19 @@
         {
             self.round.insert(&mut self.rng, key);
         }
-        if change.after != Status::Suspect {
+        if change.after != Liveness::Suspect {
             self.suspicions.clear(key);
         }
         self.gossip.push(key);
         if let Some(kind) = change.kind() {
             let more = match (kind, self.view.get(key)) {
-                (Kind::Joined | Kind::Moved | Kind::Replaced, Some(entry)) => {
+                (ChangeKind::Joined | ChangeKind::Moved | ChangeKind::Replaced, Some(entry)) => {
                     format!(
                         "at {} in zone '{}'",
                         entry.details.address, entry.details.zone
                     )
                 }
-                (Kind::Phase, Some(entry)) => entry.details.phase.word().to_owned(),
+                (ChangeKind::Phase, Some(entry)) => entry.details.phase.word().to_owned(),
                 _ => more.to_owned(),
             };
             self.happened(at, kind, key, more);
@@ -33,19 +39,25 @@
 
     /// Something was said of a member. Gives what to say back: entries that are wanted, and those
     /// of which more is known.
-    pub(super) fn heard(&mut self, at: Moment, sender: Key, news: &News, back: &mut Differences) {
-        let key = Key(news.key);
+    pub(super) fn heard(
+        &mut self,
+        at: ClockReading,
+        sender: MemberKey,
+        news: &MemberUpdate,
+        back: &mut RangeExchange,
+    ) {
+        let key = MemberKey(news.key);
         if key == self.me && (news.life == self.epoch.life.0 || self.contests(news)) {
             return self.heard_of_self(at, news, back);
         }
         match self.view.merge(at.now, news) {
-            Merged::Known => self.confirmed(at, sender, news),
-            Merged::Older => back.brief.push(key),
-            Merged::Wanted if back.wants.len() < WANTS => back.wants.push(key),
-            Merged::Wanted => {}
-            Merged::Odd(odd) => self.count(odd_word(odd), 1),
-            Merged::Full => self.count("members for whom there is no room", 1),
-            Merged::Changed(change) => {
+            MergeOutcome::Known => self.confirmed(at, sender, news),
+            MergeOutcome::Older => back.brief.push(key),
+            MergeOutcome::Wanted if back.wants.len() < WANTS => back.wants.push(key),
+            MergeOutcome::Wanted => {}
+            MergeOutcome::DetailsError(odd) => self.count(odd_word(odd), 1),
+            MergeOutcome::Full => self.count("members for whom there is no room", 1),
+            MergeOutcome::Changed(change) => {
                 self.reacted(at, key, &change, "");
                 self.confirmed(at, sender, news);
             }
@@ -53,40 +65,49 @@
     }
 
     /// A suspicion that is told names who has it.
-    pub(super) fn confirmed(&mut self, at: Moment, sender: Key, news: &News) {
-        let key = Key(news.key);
+    pub(super) fn confirmed(&mut self, at: ClockReading, sender: MemberKey, news: &MemberUpdate) {
+        let key = MemberKey(news.key);
         let suspect = self
             .view
             .get(key)
-            .is_some_and(|entry| entry.status() == Status::Suspect);
-        if suspect && news.status == Status::Suspect.number() {
-            let by = if news.by == 0 { sender } else { Key(news.by) };
+            .is_some_and(|entry| entry.status() == Liveness::Suspect);
+        if suspect && news.status == Liveness::Suspect.number() {
+            let by = if news.by == 0 {
+                sender
+            } else {
+                MemberKey(news.by)
+            };
             self.suspect(at, key, by);
         }
     }
 
     /// Whether this is about another life that has this node's name, and holds over it.
-    pub(super) fn contests(&self, news: &News) -> bool {
+    pub(super) fn contests(&self, news: &MemberUpdate) -> bool {
         let theirs = Epoch {
             birth: news.birth,
-            life: Life(news.life),
+            life: Incarnation(news.life),
         };
         !self.is_mute() && theirs > self.epoch && news.life != self.epoch.life.0
     }
 
     /// Something was said of this node itself.
-    pub(super) fn heard_of_self(&mut self, at: Moment, news: &News, back: &mut Differences) {
-        let status = Status::from_number(news.status).unwrap_or_default();
+    pub(super) fn heard_of_self(
+        &mut self,
+        at: ClockReading,
+        news: &MemberUpdate,
+        back: &mut RangeExchange,
+    ) {
+        let status = Liveness::from_number(news.status).unwrap_or_default();
         if news.life == self.epoch.life.0 {
-            let own = Standing {
+            let own = LivenessState {
                 bump: self.bump,
                 status: if self.leaving {
-                    Status::Left
+                    Liveness::Left
                 } else {
-                    Status::Alive
+                    Liveness::Alive
                 },
             };
-            let heard = Standing {
+            let heard = LivenessState {
                 bump: news.bump,
                 status,
             };
@@ -100,7 +121,7 @@
             match refutes {
                 _ if self.is_mute() => {}
                 Some(bump) => {
-                    if self.settings.extensions.health && status == Status::Suspect {
+                    if self.settings.extensions.health && status == Liveness::Suspect {
                         self.health.suspected();
                     }
                     if bump == u32::MAX {
@@ -117,7 +138,7 @@
         if !status.is_present() {
             return self.outlive(at, news.birth, "what had its name is gone");
         }
-        let details = Details::read(&news.told).ok();
+        let details = MemberDetails::read(&news.told).ok();
         match details {
             None => back.wants.push(self.me),
             // Only one process can be reached there, and that is this one.
@@ -131,7 +152,7 @@
                     .is_some_and(|c| c.holder.life == news.life);
                 if !is_known {
                     let (holder, address) = (news.clone(), details.address);
-                    self.contest = Some(Contest {
+                    self.contest = Some(NameConflict {
                         holder,
                         address,
                         tries: 0,
@@ -143,23 +164,28 @@
         }
     }
 
-    pub(super) fn refute(&mut self, at: Moment, said: Status) {
+    pub(super) fn refute(&mut self, at: ClockReading, said: Liveness) {
         if let Err(odd) = self.announce(at) {
             self.count(odd_word(odd), 1);
         }
         self.count("times it was suspect or dead and said that it is there", 1);
-        self.happened(at, Kind::Refuted, self.me, format!("held {}", said.word()));
+        self.happened(
+            at,
+            ChangeKind::Refuted,
+            self.me,
+            format!("held {}", said.word()),
+        );
     }
 
     /// Its name is its own, by a birth later than any that was heard.
-    pub(super) fn outlive(&mut self, at: Moment, birth: u64, why: &str) {
+    pub(super) fn outlive(&mut self, at: ClockReading, birth: u64, why: &str) {
         let was_mute = self.is_mute();
         self.contest = None;
         self.epoch.birth = self.epoch.birth.max(birth).saturating_add(1);
         self.bump = 0;
         self.say_anew(at);
         if was_mute {
-            self.happened(at, Kind::NameBack, self.me, why.to_owned());
+            self.happened(at, ChangeKind::NameBack, self.me, why.to_owned());
         } else {
             self.count("times it took its name over from an earlier life", 1);
         }
@@ -168,7 +194,7 @@
     // ---- A name that two have ----
 
     /// The other life was heard, so that it is there: it came later, and has the name.
-    pub(super) fn holder_heard(&mut self, at: Moment) {
+    pub(super) fn holder_heard(&mut self, at: ClockReading) {
         let Some(contest) = &mut self.contest else {
             return;
         };
@@ -184,13 +210,13 @@
         let _ = self.view.merge(at.now, &holder);
         self.happened(
             at,
-            Kind::NameTaken,
+            ChangeKind::NameTaken,
             self.me,
             format!("a later process at {address} has it; this one says nothing of itself"),
         );
     }
 
-    pub(super) fn contest_due(&mut self, at: Moment) {
+    pub(super) fn contest_due(&mut self, at: ClockReading) {
         let Some(contest) = &mut self.contest else {
             return;
         };
@@ -210,7 +236,7 @@
         if tries > if mute { MUTE_TRIES } else { CONTEST_TRIES } {
             return self.outlive(at, birth, "what had its name does not answer");
         }
-        let from = if mute { Key::NOBODY } else { self.me };
+        let from = if mute { MemberKey::NOBODY } else { self.me };
         let ping = Datagram {
             from: from.0,
             kind: kind::PING,
--- a/crates/membership/src/fleet/probes.rs
+++ b/crates/membership/src/swim/probing.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl<H: Host> Fleet<H> {
+impl<H: Host> Membership<H> {
     pub(super) fn answer_time(&self) -> Nanos {
         self.settings.periods.answer * self.factor()
     }
@@ -21,7 +21,7 @@
     }
 
     /// Asks the next member whether it is there. The one before has had its time.
-    pub(super) fn probe(&mut self, at: Moment) {
+    pub(super) fn probe(&mut self, at: ClockReading) {
         if let Some(flight) = self.flight.take() {
             self.unanswered(at, &flight);
         }
@@ -31,7 +31,8 @@
             return;
         }
         let (view, me) = (&self.view, self.me);
-        let there = |key: Key| key != me && view.get(key).is_some_and(|e| e.status().is_present());
+        let there =
+            |key: MemberKey| key != me && view.get(key).is_some_and(|e| e.status().is_present());
         let Some(target) = self.round.next(&mut self.rng, there) else {
             return;
         };
@@ -39,11 +40,11 @@
         let life = self
             .view
             .get(target)
-            .map_or(Life(0), |entry| entry.epoch.life);
+            .map_or(Incarnation(0), |entry| entry.epoch.life);
         let answer = self.answer_time();
         let (ask_at, again_at) = (Some(at.now + answer), at.now + answer / AGAIN);
         let (no, due) = (self.no, at.now + period);
-        self.flight = Some(Flight {
+        self.flight = Some(OutstandingProbe {
             no,
             target,
             life,
@@ -58,8 +59,8 @@
 
     /// A probe tells who asks, and what is held of the one that is asked, so that a suspect hears
     /// it at once.
-    pub(super) fn ping(&mut self, at: Moment, target: Key, no: u32) {
-        let mut news: Vec<News> = self.own(true).into_iter().collect();
+    pub(super) fn ping(&mut self, at: ClockReading, target: MemberKey, no: u32) {
+        let mut news: Vec<MemberUpdate> = self.own(true).into_iter().collect();
         if self.settings.extensions.confirm {
             news.extend(self.accused(target));
         }
@@ -67,18 +68,18 @@
     }
 
     /// What is held against a member.
-    pub(super) fn accused(&self, key: Key) -> Option<News> {
+    pub(super) fn accused(&self, key: MemberKey) -> Option<MemberUpdate> {
         let entry = self
             .view
             .get(key)
-            .filter(|entry| entry.status() != Status::Alive)?;
-        Some(News {
+            .filter(|entry| entry.status() != Liveness::Alive)?;
+        Some(MemberUpdate {
             by: self.me.0,
             ..entry.brief(key)
         })
     }
 
-    pub(super) fn own(&self, full: bool) -> Option<News> {
+    pub(super) fn own(&self, full: bool) -> Option<MemberUpdate> {
         if self.is_mute() {
             return None;
         }
@@ -90,7 +91,7 @@
         })
     }
 
-    pub(super) fn flight_due(&mut self, at: Moment) {
+    pub(super) fn flight_due(&mut self, at: ClockReading) {
         let answer = self.answer_time();
         let Some(flight) = &mut self.flight else {
             return;
@@ -129,7 +130,7 @@
     }
 
     /// Errands: asked again once, given up at their end.
-    pub(super) fn errands_due(&mut self, at: Moment) {
+    pub(super) fn errands_due(&mut self, at: ClockReading) {
         let late: Vec<u32> = self
             .errands
             .iter()
@@ -152,7 +153,7 @@
             .errands
             .iter_mut()
             .filter(|(_, errand)| errand.again_at <= at.now);
-        let again: Vec<(u32, Key)> = again
+        let again: Vec<(u32, MemberKey)> = again
             .map(|(no, errand)| {
                 errand.again_at = errand.due;
                 (*no, errand.target)
@@ -165,18 +166,18 @@
 
     /// Who is to ask instead: one of the target's own zone if there is one, for the way there may
     /// be the trouble; the others by chance.
-    pub(super) fn helpers(&mut self, target: Key) -> Vec<Key> {
+    pub(super) fn helpers(&mut self, target: MemberKey) -> Vec<MemberKey> {
         let (view, me) = (&self.view, self.me);
-        let there = |key: Key| {
+        let there = |key: MemberKey| {
             key != me
                 && key != target
                 && view
                     .get(key)
-                    .is_some_and(|entry| entry.status() == Status::Alive)
+                    .is_some_and(|entry| entry.status() == Liveness::Alive)
         };
         let mut helpers = self.round.some(&mut self.rng, HELPERS, there);
         let zone = view.get(target).map(|entry| &entry.details.zone);
-        let is_near = |key: &Key| view.get(*key).map(|entry| &entry.details.zone) == zone;
+        let is_near = |key: &MemberKey| view.get(*key).map(|entry| &entry.details.zone) == zone;
         if !helpers.iter().any(is_near) {
             let near = self
                 .round
@@ -189,7 +190,7 @@
         helpers
     }
 
-    pub(super) fn unanswered(&mut self, at: Moment, flight: &Flight) {
+    pub(super) fn unanswered(&mut self, at: ClockReading, flight: &OutstandingProbe) {
         let there = self
             .view
             .get(flight.target)
@@ -216,10 +217,10 @@
         (least, (least as f64 * periods.suspicion_most) as Nanos)
     }
 
-    pub(super) fn suspect(&mut self, at: Moment, key: Key, by: Key) {
+    pub(super) fn suspect(&mut self, at: ClockReading, key: MemberKey, by: MemberKey) {
         let wait = self.suspicion();
         let is_new = self.suspicions.suspect(at.now, key, by, wait);
-        match self.view.set(at.now, key, Status::Suspect) {
+        match self.view.set(at.now, key, Liveness::Suspect) {
             Some(change) => {
                 let more = if by == self.me {
                     "does not answer"
--- a/crates/membership/src/fleet/incoming.rs
+++ b/crates/membership/src/swim/receiving.rs
@@ -2,22 +2,22 @@
 
 use super::*;
 
-impl<H: Host> Fleet<H> {
+impl<H: Host> Membership<H> {
     /// A datagram came.
-    pub fn datagram(&mut self, at: Moment, from: SocketAddr, frame: &[u8]) {
+    pub fn datagram(&mut self, at: ClockReading, from: SocketAddr, frame: &[u8]) {
         self.noticed(at);
         if at.now < self.deaf_until {
             return self.count("datagrams from before a long sleep", 1);
         }
         if !self.gate.admits(at.now, from) {
-            return self.dropped(Dropped::Flood);
+            return self.dropped(DropReason::Flood);
         }
         let (life, message) = match self.seal.open(at.now, at.unix_ms, frame) {
             Ok(opened) => opened,
             Err(why) => return self.dropped(why),
         };
         let Ok(datagram) = Datagram::decode(message) else {
-            return self.dropped(Dropped::Unreadable);
+            return self.dropped(DropReason::Unreadable);
         };
         self.gate.proved(from);
         if life == self.epoch.life {
@@ -27,12 +27,18 @@
         self.promised = self.next().max(at.now);
     }
 
-    pub(super) fn dropped(&mut self, why: Dropped) {
+    pub(super) fn dropped(&mut self, why: DropReason) {
         self.count(why.word(), 1);
     }
 
-    pub(super) fn take(&mut self, at: Moment, from: SocketAddr, life: Life, datagram: &Datagram) {
-        let sender = Key(datagram.from);
+    pub(super) fn take(
+        &mut self,
+        at: ClockReading,
+        from: SocketAddr,
+        life: Incarnation,
+        datagram: &Datagram,
+    ) {
+        let sender = MemberKey(datagram.from);
         if self
             .contest
             .as_ref()
@@ -40,7 +46,7 @@
         {
             self.holder_heard(at);
         }
-        let mut back = Differences::default();
+        let mut back = RangeExchange::default();
         for news in &datagram.news {
             self.heard(at, sender, news, &mut back);
         }
@@ -62,14 +68,15 @@
             kind::GOSSIP => {}
             kind::SUMMARY => self.summary(at, to, datagram),
             kind::HEADERS => {
-                let found = reconcile::differences(&self.view, &datagram.covered, &datagram.news);
+                let found =
+                    anti_entropy::differences(&self.view, &datagram.covered, &datagram.news);
                 back.brief.extend(found.brief);
                 back.whole.extend(found.whole);
                 back.wants.extend(found.wants);
             }
             kind::ENTRIES => back
                 .whole
-                .extend(datagram.wants.iter().map(|key| Key(*key))),
+                .extend(datagram.wants.iter().map(|key| MemberKey(*key))),
             kind::SHOW => self.show(at, from, datagram),
             kind::PAGE | kind::ORDERED => {}
             kind::ORDER => self
@@ -97,7 +104,8 @@
         back.brief.sort_unstable();
         back.brief.dedup();
         self.send_entries(at, to, &back);
-        if sender == Key::NOBODY || !matches!(datagram.kind, kind::PING | kind::ACK | kind::GOSSIP)
+        if sender == MemberKey::NOBODY
+            || !matches!(datagram.kind, kind::PING | kind::ACK | kind::GOSSIP)
         {
             return;
         }
@@ -106,10 +114,10 @@
         } else if self.gossip.len() > NEWS_FIT {
             // So much news came at once, and one met by chance knows it all: what is left is found
             // by digests. Suspicion alone stands in no digest.
-            let Fleet { gossip, view, .. } = self;
+            let Membership { gossip, view, .. } = self;
             gossip.retain(|key| {
                 view.get(key)
-                    .is_some_and(|entry| entry.status() == Status::Suspect)
+                    .is_some_and(|entry| entry.status() == Liveness::Suspect)
             });
         }
         // One that is suspected and speaks hears of it at once, whatever it speaks of; to a probe
@@ -118,13 +126,25 @@
             .accused(sender)
             .filter(|news| news.life == life.0 && datagram.kind != kind::PING);
         if let Some(accused) = accused {
-            self.send_to(at, sender, kind::GOSSIP, 0, Key::NOBODY, vec![accused]);
+            self.send_to(
+                at,
+                sender,
+                kind::GOSSIP,
+                0,
+                MemberKey::NOBODY,
+                vec![accused],
+            );
         }
     }
 
     /// Replies go where the sender says that it is reached; to one that no view holds, where its
     /// datagram came from.
-    pub(super) fn reply_to(&self, sender: Key, life: Life, from: SocketAddr) -> SocketAddr {
+    pub(super) fn reply_to(
+        &self,
+        sender: MemberKey,
+        life: Incarnation,
+        from: SocketAddr,
+    ) -> SocketAddr {
         let known = self
             .view
             .get(sender)
@@ -132,8 +152,8 @@
         known.map_or(from, |entry| entry.details.address)
     }
 
-    /// The sender's view is another one. News that is under way needs no help.
-    pub(super) fn differs(&mut self, at: Moment, sender: Key) {
+    /// The sender's view is another one. MemberUpdate that is under way needs no help.
+    pub(super) fn differs(&mut self, at: ClockReading, sender: MemberKey) {
         self.unsettled_until = at.now + UNSETTLED;
         let under_way = !self.gossip.is_empty()
             && self.gossip.len() <= NEWS_FIT
@@ -145,19 +165,20 @@
 
     pub(super) fn pinged(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         to: SocketAddr,
         datagram: &Datagram,
-        back: &mut Differences,
+        back: &mut RangeExchange,
     ) {
-        let target = Key(datagram.target);
-        if self.is_mute() || target != self.me && target != Key::NOBODY {
+        let target = MemberKey(datagram.target);
+        if self.is_mute() || target != self.me && target != MemberKey::NOBODY {
             return self.count("probes for another name", 1);
         }
         // Who asks without knowing whom hears all; the others only how it stands. A sender that is
         // held for suspect or dead hears that too.
-        let mut news: Vec<News> = self.own(target == Key::NOBODY).into_iter().collect();
-        news.extend(self.accused(Key(datagram.from)));
+        let mut news: Vec<MemberUpdate> =
+            self.own(target == MemberKey::NOBODY).into_iter().collect();
+        news.extend(self.accused(MemberKey(datagram.from)));
         back.brief.retain(|key| *key != self.me);
         let ack = Datagram {
             from: self.me.0,
@@ -170,8 +191,14 @@
         self.send(at, to, ack);
     }
 
-    pub(super) fn acked(&mut self, at: Moment, sender: Key, life: Life, datagram: &Datagram) {
-        let target = Key(datagram.target);
+    pub(super) fn acked(
+        &mut self,
+        at: ClockReading,
+        sender: MemberKey,
+        life: Incarnation,
+        datagram: &Datagram,
+    ) {
+        let target = MemberKey(datagram.target);
         if let Some(errand) = self
             .errands
             .get(&datagram.no)
@@ -201,8 +228,8 @@
         }
     }
 
-    pub(super) fn asked(&mut self, at: Moment, origin: Key, datagram: &Datagram) {
-        let target = Key(datagram.target);
+    pub(super) fn asked(&mut self, at: ClockReading, origin: MemberKey, datagram: &Datagram) {
+        let target = MemberKey(datagram.target);
         let Some(life) = self.view.get(target).map(|entry| entry.epoch.life) else {
             return;
         };
@@ -214,7 +241,7 @@
         let (no, again_at, due) = (self.no, at.now + answer / 2, at.now + answer);
         self.errands.insert(
             no,
-            Errand {
+            RelayedProbe {
                 origin,
                 origin_no: datagram.no,
                 target,
@@ -226,14 +253,14 @@
         self.ping(at, target, no);
     }
 
-    pub(super) fn summary(&mut self, at: Moment, to: SocketAddr, datagram: &Datagram) {
+    pub(super) fn summary(&mut self, at: ClockReading, to: SocketAddr, datagram: &Datagram) {
         let from = self.from();
         for summary in datagram.summaries.iter().take(4) {
             let first = self.rng.random_range(0..64);
-            let finer = reconcile::finer(&self.view, summary, first);
+            let finer = anti_entropy::finer(&self.view, summary, first);
             let mut summaries = finer.summaries.into_iter().peekable();
             while summaries.peek().is_some() && self.comparing.open(at.now) {
-                let mut pack = Pack::new(Datagram {
+                let mut pack = DatagramBuilder::new(Datagram {
                     from,
                     kind: kind::SUMMARY,
                     ..Datagram::default()
@@ -251,15 +278,20 @@
         }
     }
 
-    pub(super) fn send_headers(&mut self, at: Moment, to: SocketAddr, covered: Vec<wire::Range>) {
+    pub(super) fn send_headers(
+        &mut self,
+        at: ClockReading,
+        to: SocketAddr,
+        covered: Vec<wire::Range>,
+    ) {
         let from = self.from();
         let mut covered = covered
             .into_iter()
-            .map(|range| (range, reconcile::headers(&self.view, &range)));
+            .map(|range| (range, anti_entropy::headers(&self.view, &range)));
         let mut next = covered.next();
         let mut packs = Vec::new();
         while next.is_some() {
-            let mut pack = Pack::new(Datagram {
+            let mut pack = DatagramBuilder::new(Datagram {
                 from,
                 kind: kind::HEADERS,
                 ..Datagram::default()
@@ -289,7 +321,7 @@
         }
     }
 
-    pub(super) fn pulses_heard(&mut self, at: Moment, pulses: &[u8]) {
+    pub(super) fn pulses_heard(&mut self, at: ClockReading, pulses: &[u8]) {
         for pulse in pulses.as_chunks::<PULSE>().0.iter().take(2 * PULSES) {
             let tag = u32::from_be_bytes([pulse[0], pulse[1], pulse[2], pulse[3]]);
             let no = u16::from_be_bytes([pulse[4], pulse[5]]);
@@ -299,7 +331,7 @@
             let heard = self.view.pulse(
                 at.now,
                 tag,
-                Pulse {
+                LoadHint {
                     no,
                     room: pulse[6],
                     load: pulse[7],
@@ -315,12 +347,12 @@
         }
     }
 
-    // ---- Shown to people ----
+    // ---- MemberSnapshot to people ----
 
     /// Somebody who has the key asks what this node holds: first how it stands, then its view in
     /// pages.
-    pub(super) fn show(&mut self, at: Moment, to: SocketAddr, datagram: &Datagram) {
-        let mut pack = Pack::new(Datagram {
+    pub(super) fn show(&mut self, at: ClockReading, to: SocketAddr, datagram: &Datagram) {
+        let mut pack = DatagramBuilder::new(Datagram {
             from: self.from(),
             kind: kind::PAGE,
             no: datagram.no,
@@ -368,7 +400,14 @@
     }
 
     /// What became of an order.
-    pub fn ordered(&mut self, at: Moment, to: SocketAddr, no: u32, topic: u32, answer: &[u8]) {
+    pub fn ordered(
+        &mut self,
+        at: ClockReading,
+        to: SocketAddr,
+        no: u32,
+        topic: u32,
+        answer: &[u8],
+    ) {
         if answer.len() > wire::PARCEL_MAX {
             return self.count("answers to orders that are too large", 1);
         }
@@ -387,10 +426,10 @@
         );
     }
 
-    pub(super) fn report(&self, at: Moment) -> Report {
+    pub(super) fn report(&self, at: ClockReading) -> NodeReport {
         let (counts, sight) = (self.view.counts(), &self.sight);
         let times = |since: Nanos| (at.now.saturating_sub(since) / MILLISECOND).max(1);
-        let mut report = Report {
+        let mut report = NodeReport {
             name: self.settings.name.clone(),
             size: sight.fleet.size as u32,
             low: sight.fleet.low as u32,
@@ -406,7 +445,7 @@
         };
         let most = MESSAGE_MAX - 100;
         for (what, times) in &self.counts {
-            report.counts.push(wire::Count {
+            report.counts.push(wire::CounterMessage {
                 what: (*what).to_owned(),
                 times: *times,
             });
@@ -417,7 +456,7 @@
         }
         for happened in self.history.latest().take(16) {
             let line = happened.to_string();
-            report.changes.push(wire::Happened {
+            report.changes.push(wire::ChangeEvent {
                 unix_ms: happened.unix_ms,
                 line,
             });
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -40,7 +40,7 @@
     pub const ASK: u32 = 3;
     /// I asked, and had no answer yet; so I at least am there.
     pub const NACK: u32 = 4;
-    /// News alone.
+    /// MemberUpdate alone.
     pub const GOSSIP: u32 = 5;
     /// Digests of ranges.
     pub const SUMMARY: u32 = 6;
@@ -62,7 +62,7 @@
 
 /// What a member says of itself.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Told {
+pub struct DetailsMessage {
     /// Four or sixteen bytes of an IP address, two of a port.
     #[prost(bytes = "vec", tag = "1")]
     pub address: Vec<u8>,
@@ -81,12 +81,12 @@
     #[prost(fixed64, tag = "8")]
     pub settings_hash: u64,
     #[prost(message, repeated, tag = "9")]
-    pub parts: Vec<Hung>,
+    pub parts: Vec<AttachmentMessage>,
 }
 
 /// What another package hangs on an entry.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Hung {
+pub struct AttachmentMessage {
     #[prost(uint32, tag = "1")]
     pub id: u32,
     #[prost(uint32, tag = "2")]
@@ -97,7 +97,7 @@
 
 /// Something said of a member. Without name and details it is for those who know these.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct News {
+pub struct MemberUpdate {
     #[prost(fixed64, tag = "1")]
     pub key: u64,
     #[prost(uint64, tag = "2")]
@@ -143,7 +143,7 @@
 
 /// How a node itself stands, for those who have it shown.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Report {
+pub struct NodeReport {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(uint32, tag = "2")]
@@ -168,14 +168,14 @@
     #[prost(bool, tag = "10")]
     pub mute: bool,
     #[prost(message, repeated, tag = "11")]
-    pub counts: Vec<Count>,
+    pub counts: Vec<CounterMessage>,
     #[prost(message, repeated, tag = "12")]
-    pub changes: Vec<Happened>,
+    pub changes: Vec<ChangeEvent>,
 }
 
 /// How often something happened.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Count {
+pub struct CounterMessage {
     #[prost(string, tag = "1")]
     pub what: String,
     #[prost(uint64, tag = "2")]
@@ -184,7 +184,7 @@
 
 /// A change of the view.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Happened {
+pub struct ChangeEvent {
     #[prost(uint64, tag = "1")]
     pub unix_ms: u64,
     #[prost(string, tag = "2")]
@@ -209,7 +209,7 @@
     #[prost(fixed64, tag = "5")]
     pub digest: u64,
     #[prost(message, repeated, tag = "6")]
-    pub news: Vec<News>,
+    pub news: Vec<MemberUpdate>,
     /// Eight bytes each: the first four of a key, a number of two, room, load.
     #[prost(bytes = "vec", tag = "7")]
     pub pulses: Vec<u8>,
@@ -220,7 +220,7 @@
     #[prost(fixed64, repeated, tag = "10")]
     pub wants: Vec<u64>,
     #[prost(message, optional, tag = "11")]
-    pub report: Option<Report>,
+    pub report: Option<NodeReport>,
     /// From which key on; 0 after the last one.
     #[prost(fixed64, tag = "12")]
     pub cursor: u64,
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -2,11 +2,11 @@
 //! by their MAC and make no sense. Nothing panics, nothing is believed without its MAC, and no
 //! answer goes to what was dropped.
 
-use madderpoint_membership::fleet::Extensions;
-use madderpoint_membership::member::{Details, Key, Life, Phase, Status};
-use madderpoint_membership::seal::{Keys, Seal};
-use madderpoint_membership::wire::{Datagram, News, Summary, kind};
-use madderpoint_membership::{Fleet, Host, Moment, Nanos, Periods, Settings, Sight};
+use madderpoint_membership::datagram_auth::{AuthKeys, DatagramAuth};
+use madderpoint_membership::member::{Incarnation, Liveness, MemberDetails, MemberKey, Phase};
+use madderpoint_membership::swim::FeatureToggles;
+use madderpoint_membership::wire::{Datagram, MemberUpdate, Summary, kind};
+use madderpoint_membership::{ClockReading, ClusterView, Config, Host, Membership, Nanos, Timing};
 use prost::Message;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -16,7 +16,7 @@
 const UNIX: u64 = 1_800_000_000_000;
 
 #[derive(Default)]
-struct Sent(Vec<(SocketAddr, Vec<u8>)>, Vec<(Key, u32, Vec<u8>)>);
+struct Sent(Vec<(SocketAddr, Vec<u8>)>, Vec<(MemberKey, u32, Vec<u8>)>);
 
 impl Host for Sent {
     fn send(&mut self, to: SocketAddr, frame: &[u8]) {
@@ -24,48 +24,49 @@
         self.0.push((to, frame.to_vec()));
     }
     fn log(&mut self, _: &'static str, _: &str) {}
-    fn sight(&mut self, _: &Sight) {}
-    fn parcel(&mut self, from: Key, _: Life, topic: u32, parcel: &[u8]) {
+    fn sight(&mut self, _: &ClusterView) {}
+    fn parcel(&mut self, from: MemberKey, _: Incarnation, topic: u32, parcel: &[u8]) {
         self.1.push((from, topic, parcel.to_vec()));
     }
 }
 
-fn keys(byte: u8) -> Keys {
-    Keys::new(&[vec![byte; 32]]).unwrap()
+fn keys(byte: u8) -> AuthKeys {
+    AuthKeys::new(&[vec![byte; 32]]).unwrap()
 }
 
 fn address(n: u8) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, n], 7946))
 }
 
-fn node(fleet: &str, n: u8, key: u8) -> Fleet<Sent> {
-    let settings = Settings {
+fn node(fleet: &str, n: u8, key: u8) -> Membership<Sent> {
+    let settings = Config {
         fleet: fleet.into(),
         name: format!("n{n}"),
         zone: "a".into(),
         address: address(n),
         seeds: vec![address(1)],
         keys: keys(key),
-        periods: Periods::default(),
+        periods: Timing::default(),
         program: "0.1.0".into(),
         settings: (1, 1),
         bytes: 1 << 20,
-        extensions: Extensions::default(),
+        extensions: FeatureToggles::default(),
     };
-    Fleet::new(settings, u64::from(n), at(0), Sent::default()).unwrap()
+    Membership::new(settings, u64::from(n), at(0), Sent::default()).unwrap()
 }
 
-fn at(now: Nanos) -> Moment {
-    Moment {
+fn at(now: Nanos) -> ClockReading {
+    ClockReading {
         now: S + now,
         unix_ms: UNIX + now / 1_000_000,
     }
 }
 
-fn full(name: &str, n: u8, birth: u64, bump: u32, status: Status) -> News {
-    let told = Details::new(address(n), "a", Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
-    News {
-        key: Key::of(name).0,
+fn full(name: &str, n: u8, birth: u64, bump: u32, status: Liveness) -> MemberUpdate {
+    let told =
+        MemberDetails::new(address(n), "a", Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
+    MemberUpdate {
+        key: MemberKey::of(name).0,
         birth,
         life: birth,
         bump,
@@ -77,7 +78,7 @@
     }
 }
 
-fn no_invariant_failed(fleet: &Fleet<Sent>) {
+fn no_invariant_failed(fleet: &Membership<Sent>) {
     assert!(
         fleet
             .counts()
@@ -94,13 +95,13 @@
     let ping = Datagram {
         from: 9,
         kind: kind::PING,
-        news: vec![full("n9", 9, 1, 0, Status::Alive)],
+        news: vec![full("n9", 9, 1, 0, Liveness::Alive)],
         ..Datagram::default()
     };
     let ping = ping.encode_to_vec();
-    let mut other = Seal::new("g", keys(1), Life(5), 600 * S, 9);
-    let mut wrong_key = Seal::new("f", keys(2), Life(6), 600 * S, 9);
-    let mut far = Seal::new("f", keys(1), Life(7), 600 * S, 9);
+    let mut other = DatagramAuth::new("g", keys(1), Incarnation(5), 600 * S, 9);
+    let mut wrong_key = DatagramAuth::new("f", keys(2), Incarnation(6), 600 * S, 9);
+    let mut far = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
     let frames = [
         (b"hello".to_vec(), "datagrams that are none of a fleet"),
         (other.seal(UNIX, &ping), "datagrams of another fleet"),
@@ -155,11 +156,11 @@
 #[test]
 fn datagrams_of_a_later_version_are_read_as_far_as_they_are_known() {
     let mut fleet = node("f", 2, 1);
-    let mut seal = Seal::new("f", keys(1), Life(7), 600 * S, 9);
-    let mut news = full("n9", 9, 1, 0, Status::Alive);
+    let mut seal = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
+    let mut news = full("n9", 9, 1, 0, Liveness::Alive);
     news.told
         .extend([0x18, 0x07, 0xfa, 0x01, 0x03, b'n', b'e', b'w']); // phase 7, and a field 31
-    let mut odd = full("n8", 8, 1, 0, Status::Alive);
+    let mut odd = full("n8", 8, 1, 0, Liveness::Alive);
     odd.status = 9;
     let datagram = Datagram {
         from: news.key,
@@ -174,12 +175,12 @@
         fleet.counts().get("datagrams of a kind that is not known"),
         Some(&1)
     );
-    let entry = fleet.view().get(Key::of("n9")).unwrap();
+    let entry = fleet.view().get(MemberKey::of("n9")).unwrap();
     assert_eq!(
         (entry.details.phase, entry.details.raw()),
         (Phase::Serving, &news.told[..])
     );
-    assert!(fleet.view().get(Key::of("n8")).is_none());
+    assert!(fleet.view().get(MemberKey::of("n8")).is_none());
     // It goes on to others as it came.
     fleet.host.0.clear();
     let ask = Datagram {
@@ -199,7 +200,7 @@
     for seed in 0..30 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut fleet = node("f", 2, 1);
-        let mut seal = Seal::new("f", keys(1), Life(7), 600 * S, 9);
+        let mut seal = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
         let mut now = 0;
         for _ in 0..300 {
             now += rng.random_range(0..300_000_000);
@@ -211,7 +212,7 @@
                     n,
                     rng.random_range(0..4),
                     rng.random_range(0..4),
-                    Status::Alive,
+                    Liveness::Alive,
                 );
                 one.status = rng.random_range(0..6);
                 one.revision = rng.random_range(0..3);
@@ -233,10 +234,15 @@
                 digests: vec![3; rng.random_range(0..600)],
             };
             let datagram = Datagram {
-                from: [0, Key::of("n3").0, Key::of("n2").0][rng.random_range(0..3)],
+                from: [0, MemberKey::of("n3").0, MemberKey::of("n2").0][rng.random_range(0..3)],
                 kind: rng.random_range(0..12),
                 no: rng.random_range(0..5),
-                target: [0, Key::of("n2").0, Key::of("n4").0, rng.random()][rng.random_range(0..4)],
+                target: [
+                    0,
+                    MemberKey::of("n2").0,
+                    MemberKey::of("n4").0,
+                    rng.random(),
+                ][rng.random_range(0..4)],
                 digest: rng.random(),
                 news,
                 pulses: vec![rng.random(); rng.random_range(0..70)],
@@ -246,7 +252,7 @@
                     vec![]
                 },
                 covered: vec![],
-                wants: vec![rng.random(), Key::of("n2").0],
+                wants: vec![rng.random(), MemberKey::of("n2").0],
                 report: None,
                 cursor: any(&mut rng),
                 topic: rng.random(),
@@ -270,7 +276,7 @@
         }
         no_invariant_failed(&fleet);
         // Either it holds its name, or it says that another has it.
-        let own = fleet.view().get(Key::of("n2")).unwrap();
+        let own = fleet.view().get(MemberKey::of("n2")).unwrap();
         let (_, life) = fleet.me();
         assert!(
             own.epoch.life == life || fleet.is_mute(),
@@ -283,11 +289,11 @@
 #[test]
 fn every_cut_and_bit_of_a_datagram() {
     let mut fleet = node("f", 2, 1);
-    let mut seal = Seal::new("f", keys(1), Life(7), 600 * S, 9);
+    let mut seal = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
     let datagram = Datagram {
-        from: Key::of("n9").0,
+        from: MemberKey::of("n9").0,
         kind: kind::PING,
-        news: vec![full("n9", 9, 1, 0, Status::Alive)],
+        news: vec![full("n9", 9, 1, 0, Liveness::Alive)],
         ..Datagram::default()
     };
     let frame = seal.seal(UNIX, &datagram.encode_to_vec());
@@ -312,18 +318,18 @@
 #[test]
 fn parcels_go_between_members() {
     let (mut a, mut b) = (node("f", 1, 1), node("f", 2, 1));
-    assert!(!a.send_parcel(at(0), Key::of("n2"), 7, b"who?"));
+    assert!(!a.send_parcel(at(0), MemberKey::of("n2"), 7, b"who?"));
     let introduced = a.introduction().unwrap();
     b.acquaint(at(0), &[introduced]);
     let introduced = b.introduction().unwrap();
     a.acquaint(at(0), &[introduced]);
-    assert!(a.send_parcel(at(0), Key::of("n2"), 7, b"hello"));
-    assert!(!a.send_parcel(at(0), Key::of("n2"), 7, &[0; 1300]));
+    assert!(a.send_parcel(at(0), MemberKey::of("n2"), 7, b"hello"));
+    assert!(!a.send_parcel(at(0), MemberKey::of("n2"), 7, &[0; 1300]));
     let (to, frame) = a.host.0.pop().unwrap();
     assert_eq!(to, address(2));
     b.datagram(at(0), address(1), &frame);
     b.datagram(at(0), address(1), &frame);
-    assert_eq!(b.host.1, [(Key::of("n1"), 7, b"hello".to_vec())]);
+    assert_eq!(b.host.1, [(MemberKey::of("n1"), 7, b"hello".to_vec())]);
     let mut c = node("f", 3, 1);
     c.datagram(at(0), address(1), &frame);
     assert_eq!(
@@ -369,7 +375,7 @@
             }
         }
     }
-    let present = |fleet: &Fleet<Sent>| fleet.view().counts().present();
+    let present = |fleet: &Membership<Sent>| fleet.view().counts().present();
     assert_eq!((present(&seed), present(&a), present(&b)), (2, 2, 1));
     assert!(seed.counts()["datagrams of another fleet"] > 5);
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -3,19 +3,21 @@
 
 #![cfg(not(feature = "later"))] // a later version's messages differ on purpose
 
-use madderpoint_membership::member::{Details, Life, Part, Phase};
-use madderpoint_membership::seal::{Keys, Seal};
-use madderpoint_membership::wire::{Count, Datagram, Happened, News, Range, Report, Summary, kind};
+use madderpoint_membership::datagram_auth::{AuthKeys, DatagramAuth};
+use madderpoint_membership::member::{Attachment, Incarnation, MemberDetails, Phase};
+use madderpoint_membership::wire::{
+    ChangeEvent, CounterMessage, Datagram, MemberUpdate, NodeReport, Range, Summary, kind,
+};
 use prost::Message;
 use std::net::SocketAddr;
 
 const RECORDED: &str = include_str!("golden/datagrams.hex");
 const UNIX_MS: u64 = 1_800_000_000_123;
-const SENDER: Life = Life(0x0102_0304_0506_0708);
+const SENDER: Incarnation = Incarnation(0x0102_0304_0506_0708);
 
-fn seal(life: Life) -> Seal {
-    let keys = Keys::new(&[(0..32).collect(), vec![0xa5; 16]]).unwrap();
-    Seal::new("golden", keys, life, 600_000_000_000, 9)
+fn seal(life: Incarnation) -> DatagramAuth {
+    let keys = AuthKeys::new(&[(0..32).collect(), vec![0xa5; 16]]).unwrap();
+    DatagramAuth::new("golden", keys, life, 600_000_000_000, 9)
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -29,21 +31,21 @@
         .collect()
 }
 
-fn details(address: &str, phase: Phase) -> Details {
+fn details(address: &str, phase: Phase) -> MemberDetails {
     let parts = vec![
-        Part {
+        Attachment {
             id: 21,
             version: 22,
             bytes: vec![23, 24],
         },
-        Part {
+        Attachment {
             id: 25,
             version: 26,
             bytes: vec![27, 28, 29],
         },
     ];
     let address: SocketAddr = address.parse().unwrap();
-    Details::new(
+    MemberDetails::new(
         address,
         "zone-a",
         phase,
@@ -55,10 +57,10 @@
     .unwrap()
 }
 
-fn news() -> Vec<News> {
+fn news() -> Vec<MemberUpdate> {
     let v4 = details("192.0.2.1:7946", Phase::Draining);
     let v6 = details("[2001:db8::7]:7947", Phase::Serving);
-    let full = News {
+    let full = MemberUpdate {
         key: 0x1112_1314_1516_1718,
         birth: 1_700_000_000_001,
         life: 0x2122_2324_2526_2728,
@@ -69,14 +71,14 @@
         told: v4.raw().to_vec(),
         by: 0x3132_3334_3536_3738,
     };
-    let other = News {
+    let other = MemberUpdate {
         key: 41,
         status: 3,
         name: "node-2".into(),
         told: v6.raw().to_vec(),
         ..full.clone()
     };
-    let brief = News {
+    let brief = MemberUpdate {
         key: 42,
         status: 2,
         name: String::new(),
@@ -87,8 +89,8 @@
     vec![full, other, brief]
 }
 
-fn report() -> Report {
-    Report {
+fn report() -> NodeReport {
+    NodeReport {
         name: "node-3".into(),
         size: 51,
         low: 52,
@@ -100,16 +102,16 @@
         zone: "zone-b".into(),
         mute: true,
         counts: vec![
-            Count {
+            CounterMessage {
                 what: "first".into(),
                 times: 58,
             },
-            Count {
+            CounterMessage {
                 what: "second".into(),
                 times: 1 << 40,
             },
         ],
-        changes: vec![Happened {
+        changes: vec![ChangeEvent {
             unix_ms: 1_700_000_000_059,
             line: "node-1 left".into(),
         }],
@@ -324,7 +326,7 @@
         (plain.len(), sealed.len()),
         (messages().len(), messages().len())
     );
-    let mut receiver = seal(Life(9));
+    let mut receiver = seal(Incarnation(9));
     for ((name, message), (sealed_name, frame)) in plain.iter().zip(&sealed) {
         assert_eq!(name, sealed_name);
         assert_eq!(
@@ -346,7 +348,7 @@
         (&gossip.news[0], "192.0.2.1:7946", Phase::Draining),
         (&gossip.news[1], "[2001:db8::7]:7947", Phase::Serving),
     ] {
-        let read = Details::read(&news.told).unwrap();
+        let read = MemberDetails::read(&news.told).unwrap();
         assert_eq!(read, details(address, phase));
     }
 }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -3,15 +3,17 @@
 //! time: anybody may suspect and bury anybody else at any moment, which is worse than what any
 //! timing does.
 
-use madderpoint_membership::member::{Details, Epoch, Key, Phase, Standing, Status, refutes};
-use madderpoint_membership::view::View;
-use madderpoint_membership::wire::News;
+use madderpoint_membership::member::{
+    Epoch, Liveness, LivenessState, MemberDetails, MemberKey, Phase, refutes,
+};
+use madderpoint_membership::member_table::MemberTable;
+use madderpoint_membership::wire::MemberUpdate;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::LazyLock;
 
-type Held = (u64, u32, Status);
+type Held = (u64, u32, Liveness);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
@@ -46,16 +48,16 @@
 
 static TOLD: LazyLock<Vec<u8>> = LazyLock::new(|| {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    Details::new(address, "a", Phase::Serving, "1", (1, 1), (0, 0), vec![])
+    MemberDetails::new(address, "a", Phase::Serving, "1", (1, 1), (0, 0), vec![])
         .unwrap()
         .raw()
         .to_vec()
 });
 
-fn news(n: usize, (birth, bump, status): Held) -> News {
+fn news(n: usize, (birth, bump, status): Held) -> MemberUpdate {
     let name = format!("n{n}");
-    let key = Key::of(&name).0;
-    News {
+    let key = MemberKey::of(&name).0;
+    MemberUpdate {
         key,
         birth,
         life: birth,
@@ -69,19 +71,19 @@
 }
 
 /// The package's table, with what a node holds.
-fn table(held: &[Option<Held>]) -> View {
-    let mut view = View::new(1 << 20, None);
+fn table(held: &[Option<Held>]) -> MemberTable {
+    let mut view = MemberTable::new(1 << 20, None);
     for (n, held) in held.iter().enumerate() {
         if let Some((birth, bump, status)) = *held {
-            let _ = view.merge(0, &news(n, (birth, bump, Status::Alive)));
-            view.set(0, Key::of(&format!("n{n}")), status);
+            let _ = view.merge(0, &news(n, (birth, bump, Liveness::Alive)));
+            view.set(0, MemberKey::of(&format!("n{n}")), status);
         }
     }
     view
 }
 
-fn held(view: &View, n: usize) -> Option<Held> {
-    let entry = view.get(Key::of(&format!("n{n}")))?;
+fn held(view: &MemberTable, n: usize) -> Option<Held> {
+    let entry = view.get(MemberKey::of(&format!("n{n}")))?;
     Some((
         entry.epoch.birth,
         entry.standing.bump,
@@ -89,14 +91,14 @@
     ))
 }
 
-fn version(held: Option<Held>) -> Option<(Epoch, Standing)> {
+fn version(held: Option<Held>) -> Option<(Epoch, LivenessState)> {
     held.map(|(birth, bump, status)| {
         (
             Epoch {
                 birth,
                 ..Epoch::default()
             },
-            Standing { bump, status },
+            LivenessState { bump, status },
         )
     })
 }
@@ -109,11 +111,11 @@
         }
         if to == of {
             let (birth, bump) = self.own[of];
-            let own = Standing {
+            let own = LivenessState {
                 bump,
-                status: Status::Alive,
+                status: Liveness::Alive,
             };
-            let heard = Standing {
+            let heard = LivenessState {
                 bump: said.1,
                 status: said.2,
             };
@@ -125,7 +127,7 @@
                 self.own[of] = (birth, bump);
             }
             let (birth, bump) = self.own[of];
-            self.set(to, of, (birth, bump, Status::Alive));
+            self.set(to, of, (birth, bump, Liveness::Alive));
         } else {
             self.set(to, of, said);
         }
@@ -167,7 +169,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let n = self.members;
-        let alive = Some((2, 0, Status::Alive));
+        let alive = Some((2, 0, Liveness::Alive));
         vec![State {
             up: vec![true; n],
             own: vec![(2, 0); n],
@@ -183,8 +185,8 @@
         for i in (0..self.members).filter(up) {
             for j in (0..self.members).filter(|&j| j != i) {
                 match state.views[i][j] {
-                    Some((_, _, Status::Alive)) => actions.push(Action::Suspect(i, j)),
-                    Some((_, _, Status::Suspect)) => actions.push(Action::Bury(i, j)),
+                    Some((_, _, Liveness::Alive)) => actions.push(Action::Suspect(i, j)),
+                    Some((_, _, Liveness::Suspect)) => actions.push(Action::Bury(i, j)),
                     _ => {}
                 }
                 actions.extend((0..self.members).map(|of| Action::Tell(i, j, of)));
@@ -203,12 +205,12 @@
         match action {
             Action::Suspect(i, j) | Action::Bury(i, j) => {
                 let status = if matches!(action, Action::Bury(..)) {
-                    Status::Dead
+                    Liveness::Dead
                 } else {
-                    Status::Suspect
+                    Liveness::Suspect
                 };
                 let mut view = table(&state.views[i]);
-                view.set(0, Key::of(&format!("n{j}")), status);
+                view.set(0, MemberKey::of(&format!("n{j}")), status);
                 state.views[i][j] = held(&view, j);
             }
             Action::Tell(i, j, of) => {
@@ -228,7 +230,7 @@
                 state.up[i] = true;
                 state.own[i] = (1, 0);
                 state.views[i] = vec![None; self.members];
-                state.views[i][i] = Some((1, 0, Status::Alive));
+                state.views[i][i] = Some((1, 0, Liveness::Alive));
             }
         }
         (state != *last).then_some(state)
@@ -263,7 +265,7 @@
                     let up: Vec<usize> = (0..quiet.up.len()).filter(|&n| quiet.up[n]).collect();
                     up.iter().all(|&i| {
                         let alive =
-                            |j: &usize| matches!(quiet.views[i][*j], Some((_, _, Status::Alive)));
+                            |j: &usize| matches!(quiet.views[i][*j], Some((_, _, Liveness::Alive)));
                         up.iter().all(alive) && quiet.views[i] == quiet.views[up[0]]
                     })
                 },
@@ -274,7 +276,7 @@
                     state.views.iter().any(|v| {
                         v.iter()
                             .zip(&state.up)
-                            .any(|(h, up)| *up && matches!(h, Some((_, _, Status::Dead))))
+                            .any(|(h, up)| *up && matches!(h, Some((_, _, Liveness::Dead))))
                     })
                 },
             ),
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -1,42 +1,42 @@
 //! The hard cases of a fleet, played over simulated time: each names what must hold and how soon.
 
-use madderpoint_membership::fleet::Extensions;
-use madderpoint_membership::member::{Key, Part, Status};
-use madderpoint_membership::sim::{Plan, Sim};
+use madderpoint_membership::member::{Attachment, Liveness, MemberKey};
+use madderpoint_membership::simulation::{Simulation, SimulationConfig};
+use madderpoint_membership::swim::FeatureToggles;
 use madderpoint_membership::{Nanos, Phase};
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1000 * MS;
 
-fn fleet(members: usize, seed: u64) -> Sim {
-    Sim::started(Plan {
+fn fleet(members: usize, seed: u64) -> Simulation {
+    Simulation::started(SimulationConfig {
         members,
         seed,
-        ..Plan::default()
+        ..SimulationConfig::default()
     })
 }
 
-fn settles(sim: &mut Sim, within: Nanos) -> Nanos {
+fn settles(sim: &mut Simulation, within: Nanos) -> Nanos {
     let seed = sim.plan.seed;
     let took = sim.run_until(within, 50 * MS, |sim| sim.is_settled());
     took.unwrap_or_else(|| panic!("seed {seed}: not settled within {} ms", within / MS))
 }
 
 /// The fleet is settled, and stays so, with nobody suspected and nothing falsely buried.
-fn stays_settled(sim: &mut Sim, time: Nanos) {
+fn stays_settled(sim: &mut Simulation, time: Nanos) {
     let before = sim.false_deaths.len();
     sim.run(time);
     assert!(sim.is_settled() && sim.is_calm(), "seed {}", sim.plan.seed);
     assert_eq!(sim.false_deaths[before..], [], "seed {}", sim.plan.seed);
 }
 
-fn counted(sim: &Sim, what: &str) -> u64 {
+fn counted(sim: &Simulation, what: &str) -> u64 {
     sim.up()
         .filter_map(|(_, fleet)| fleet.counts().get(what))
         .sum()
 }
 
-fn no_invariant_failed(sim: &Sim) {
+fn no_invariant_failed(sim: &Simulation) {
     for (node, fleet) in sim.up() {
         let failed: Vec<_> = fleet
             .counts()
@@ -56,11 +56,11 @@
 fn all_that_start_at_once_and_cold_find_each_other() {
     for (members, within) in [(1, S), (2, 3 * S), (5, 3 * S), (60, 6 * S), (300, 10 * S)] {
         for seed in 0..3 {
-            let mut sim = Sim::started(Plan {
+            let mut sim = Simulation::started(SimulationConfig {
                 members,
                 seed,
                 acquainted: false,
-                ..Plan::default()
+                ..SimulationConfig::default()
             });
             settles(&mut sim, within);
             stays_settled(&mut sim, 20 * S);
@@ -147,7 +147,7 @@
     }
 }
 
-fn stays_settled_but_for_suspicion(sim: &mut Sim, time: Nanos) {
+fn stays_settled_but_for_suspicion(sim: &mut Simulation, time: Nanos) {
     for _ in 0..time / S {
         sim.run(S);
         for (node, fleet) in sim.up() {
@@ -196,7 +196,7 @@
         sim.run(39 * S);
         let dead = sim.up().filter(|(node, _)| node.name != "n3");
         let dead = dead
-            .filter(|(_, f)| f.view().get(Key::of("n3")).unwrap().status() == Status::Dead)
+            .filter(|(_, f)| f.view().get(MemberKey::of("n3")).unwrap().status() == Liveness::Dead)
             .count();
         assert_eq!(dead, 19, "seed {seed}");
         sim.run(S);
@@ -213,13 +213,13 @@
 /// It sleeps for longer than the others remember who died: it must not bring the dead back.
 #[test]
 fn one_that_slept_past_what_others_remember_brings_no_dead_back() {
-    let mut plan = Plan {
+    let mut plan = SimulationConfig {
         members: 12,
         seed: 3,
-        ..Plan::default()
+        ..SimulationConfig::default()
     };
     plan.periods.remember = 60 * S;
-    let mut sim = Sim::started(plan);
+    let mut sim = Simulation::started(plan);
     sim.run(2 * S);
     sim.pause(0, 400 * S);
     sim.run(10 * S);
@@ -230,10 +230,10 @@
         0,
         "all forgot who died"
     );
-    let ghosts = |sim: &Sim| {
+    let ghosts = |sim: &Simulation| {
         sim.up()
             .skip(1)
-            .any(|(_, f)| (1..5).any(|n| f.view().get(Key::of(&format!("n{n}"))).is_some()))
+            .any(|(_, f)| (1..5).any(|n| f.view().get(MemberKey::of(&format!("n{n}"))).is_some()))
     };
     for _ in 0..250 {
         sim.run(100 * MS);
@@ -246,11 +246,11 @@
 /// nobody.
 #[test]
 fn a_slow_node_doubts_itself_first() {
-    let mut sim = Sim::started(Plan {
+    let mut sim = Simulation::started(SimulationConfig {
         members: 30,
         slow: 0.07,
         seed: 5,
-        ..Plan::default()
+        ..SimulationConfig::default()
     });
     sim.run(600 * S);
     assert_eq!(sim.false_deaths, vec![]);
@@ -260,23 +260,23 @@
 /// Without what Lifeguard adds the same fleet buries some who are there: the tests above can fail.
 #[test]
 fn without_doubt_and_confirmation_the_living_are_buried() {
-    let extensions = Extensions {
+    let extensions = FeatureToggles {
         health: false,
         confirm: false,
-        ..Extensions::default()
+        ..FeatureToggles::default()
     };
-    let plan = Plan {
+    let plan = SimulationConfig {
         members: 30,
         slow: 0.2,
         loss: 0.5,
         seed: 5,
         extensions,
-        ..Plan::default()
+        ..SimulationConfig::default()
     };
-    let mut sim = Sim::started(plan.clone());
+    let mut sim = Simulation::started(plan.clone());
     sim.run(1200 * S);
-    let mut with = Sim::started(Plan {
-        extensions: Extensions::default(),
+    let mut with = Simulation::started(SimulationConfig {
+        extensions: FeatureToggles::default(),
         ..plan
     });
     with.run(1200 * S);
@@ -292,10 +292,10 @@
 /// joins once one is back.
 #[test]
 fn with_all_seeds_down_the_fleet_goes_on_and_a_newcomer_waits() {
-    let mut sim = Sim::new(Plan {
+    let mut sim = Simulation::new(SimulationConfig {
         members: 8,
         seed: 9,
-        ..Plan::default()
+        ..SimulationConfig::default()
     });
     sim.keep_lines = true;
     (0..7).for_each(|n| sim.start(n));
@@ -349,10 +349,10 @@
 
 #[test]
 fn clocks_that_are_minutes_apart_and_step_change_nothing() {
-    let mut sim = Sim::new(Plan {
+    let mut sim = Simulation::new(SimulationConfig {
         members: 9,
         seed: 4,
-        ..Plan::default()
+        ..SimulationConfig::default()
     });
     for n in 0..9 {
         sim.nodes[n].clock = (n as i64 - 4) * 60_000;
@@ -373,7 +373,7 @@
 fn a_drain_and_a_leave_are_told_and_no_death() {
     let mut sim = fleet(12, 2);
     sim.run(3 * S);
-    let at = madderpoint_membership::Moment {
+    let at = madderpoint_membership::ClockReading {
         now: sim.now,
         unix_ms: 1_800_000_000_000,
     };
@@ -385,7 +385,7 @@
     sim.run(2 * S);
     for (node, fleet) in sim.up() {
         assert_eq!(
-            fleet.view().get(Key::of("n5")).unwrap().details.phase,
+            fleet.view().get(MemberKey::of("n5")).unwrap().details.phase,
             Phase::Draining,
             "{}",
             node.name
@@ -417,8 +417,8 @@
         settles(&mut sim, 6 * S);
         sim.run(25 * S);
         for (node, fleet) in sim.up() {
-            let status = fleet.view().get(Key::of("n4")).unwrap().status();
-            assert_eq!(status, Status::Left, "seed {seed}, {}", node.name);
+            let status = fleet.view().get(MemberKey::of("n4")).unwrap().status();
+            assert_eq!(status, Liveness::Left, "seed {seed}, {}", node.name);
         }
     }
 }
@@ -428,12 +428,12 @@
 fn parts_reach_all_and_an_entry_has_its_bound() {
     let mut sim = fleet(12, 2);
     sim.run(S);
-    let at = madderpoint_membership::Moment {
+    let at = madderpoint_membership::ClockReading {
         now: sim.now,
         unix_ms: 1_800_000_000_000,
     };
     let fleet = sim.nodes[2].fleet.as_mut().unwrap();
-    let part = |bytes| Part {
+    let part = |bytes| Attachment {
         id: 7,
         version: 1,
         bytes,
@@ -443,7 +443,7 @@
     settles(&mut sim, 4 * S);
     for (_, fleet) in sim.up() {
         assert_eq!(
-            fleet.view().get(Key::of("n2")).unwrap().details.parts,
+            fleet.view().get(MemberKey::of("n2")).unwrap().details.parts,
             vec![part(vec![5; 60])]
         );
     }
@@ -456,11 +456,11 @@
     for seed in 0..40u64 {
         let members = [3, 4, 7, 16, 40][seed as usize % 5];
         let loss = [0.0, 0.05, 0.15][seed as usize % 3];
-        let mut sim = Sim::started(Plan {
+        let mut sim = Simulation::started(SimulationConfig {
             members,
             seed,
             loss,
-            ..Plan::default()
+            ..SimulationConfig::default()
         });
         sim.run(2 * S);
         for fault in [seed % 7, seed / 7 % 7] {
--- a/crates/node/src/classify.rs
+++ b/crates/node/src/classify.rs
@@ -2,7 +2,7 @@
 //! compiled elsewhere and swapped in one step; what is in hand keeps what it was given.
 
 use madderpoint::{Nanos, OperationId};
-use madderpoint_rate_limits::{Bucket, Limits, Over, Ticket, Why};
+use madderpoint_rate_limits::{Bucket, ExceededLimit, LimitExceeded, Permit, RateLimiter};
 use madderpoint_rules::{Facts, Path, RuleSet, Scratch, Verdict};
 use madderpoint_shared_state::keyed_quota::borrower::{QuotaBorrower, QuotaExceeded};
 use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaGrant, QuotaRequest, QuotaTiming};
@@ -30,7 +30,7 @@
 /// What an invocation holds in buckets until it is over.
 #[derive(Debug, Default)]
 pub struct Held {
-    ticket: Ticket,
+    ticket: Permit,
     /// Of limits of the whole fleet: budget and key.
     keys: Vec<(u32, u64)>,
 }
@@ -42,11 +42,11 @@
     }
 }
 
-/// Why buckets refuse a request.
+/// ExceededLimit buckets refuse a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Full {
     /// A limit of this node.
-    Node(Over),
+    Node(LimitExceeded),
     /// One of the whole fleet, with the key.
     Fleet(QuotaExceeded, u64),
 }
@@ -88,7 +88,7 @@
     set: RuleSet,
     classes: Vec<Rc<str>>,
     scratch: Scratch,
-    limits: Limits,
+    limits: RateLimiter,
     /// Budgets of the whole fleet by the place of their bucket; and this node's end of them, where
     /// there are any.
     fleet: Vec<Vec<u32>>,
@@ -109,7 +109,7 @@
             set: sheet.rules,
             classes: Vec::new(),
             scratch: Scratch::new(seed),
-            limits: Limits::new(limit_bytes, seed),
+            limits: RateLimiter::new(limit_bytes, seed),
             fleet: Vec::new(),
             wallet: None,
             rules: Vec::new(),
@@ -130,7 +130,7 @@
         self.named(now, &sheet.buckets, &sheet.fleet);
     }
 
-    /// Limits of the whole fleet are asked for from now on.
+    /// RateLimiter of the whole fleet are asked for from now on.
     pub fn join_fleet(
         &mut self,
         now: Nanos,
@@ -339,10 +339,10 @@
         for (name, tally) in self.limits.tallies().take(TOLD) {
             let _ = write!(line, "; bucket {name}: {} passed", tally.passed);
             let why = [
-                (Why::Rate, "rate"),
-                (Why::InHand, "in hand"),
-                (Why::Share, "share"),
-                (Why::Room, "room"),
+                (ExceededLimit::Rate, "rate"),
+                (ExceededLimit::InHand, "in hand"),
+                (ExceededLimit::Share, "share"),
+                (ExceededLimit::Room, "room"),
             ];
             for (why, word) in why.iter().filter(|(why, _)| tally.over[*why as usize] > 0) {
                 let _ = write!(line, ", over {word} {}", tally.over[*why as usize]);
@@ -352,7 +352,7 @@
     }
 
     #[cfg(test)]
-    pub fn limits(&self) -> &Limits {
+    pub fn limits(&self) -> &RateLimiter {
         &self.limits
     }
 
