--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -3,10 +3,10 @@
 use super::{Ended, Format};
 use crate::serve;
 use clap::Subcommand;
-use madderpoint_membership::observer::{Holding, Observer, Shown};
-use madderpoint_membership::sim::{self, Plan, Sim};
+use madderpoint_membership::observer::{MemberSnapshot, NodeSnapshot, Observer};
+use madderpoint_membership::simulation::{self, Simulation, SimulationConfig};
 use madderpoint_membership::wire::DATAGRAM_MAX;
-use madderpoint_membership::{Nanos, Status};
+use madderpoint_membership::{Liveness, Nanos};
 use madderpoint_rules::time;
 use madderpoint_settings::Known;
 use madderpoint_settings::script::{self, Action, Faulty, Script};
@@ -105,7 +105,7 @@
         /// missed for a death.
         #[arg(long, value_name = "MISSED")]
         heartbeats: Option<u32>,
-        /// Shown as a line of text for each seed, or as a line of JSON.
+        /// MemberSnapshot as a line of text for each seed, or as a line of JSON.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
@@ -149,12 +149,12 @@
                 {
                     return Err("members: 1 to 20000, loss: 0 to under 1, slow: 0 to 1".into());
                 }
-                let mut plan = Plan {
+                let mut plan = SimulationConfig {
                     members,
                     loss,
                     slow,
                     zones,
-                    ..Plan::default()
+                    ..SimulationConfig::default()
                 };
                 for part in &without {
                     match part.as_str() {
@@ -183,7 +183,14 @@
                 let (time, cut) = (span(&time)?, span(&cut)?);
                 if let Some(missed) = heartbeats {
                     for seed in seed..seed.saturating_add(seeds) {
-                        let h = sim::heartbeats(members.max(2), loss, S, missed.max(1), time, seed);
+                        let h = simulation::heartbeats(
+                            members.max(2),
+                            loss,
+                            S,
+                            missed.max(1),
+                            time,
+                            seed,
+                        );
                         println!(
                             "heartbeats, members {members} loss {loss} seed {seed}: {:.0} B/s and {:.0} datagrams/s each, {} \
                              times one that is there held for dead in {} s; crash found in {:.1} s, by all in {:.1} s",
@@ -199,7 +206,7 @@
                 }
                 for seed in seed..seed.saturating_add(seeds) {
                     let measured = simulate(
-                        Plan {
+                        SimulationConfig {
                             seed,
                             ..plan.clone()
                         },
@@ -331,7 +338,7 @@
         ))
     }
 
-    fn ask(&mut self) -> Result<Holding, String> {
+    fn ask(&mut self) -> Result<NodeSnapshot, String> {
         let wrong = |e: std::io::Error| format!("{}: {e}", self.at);
         let (mut buffer, mut tries) = ([0; DATAGRAM_MAX + 1], 0);
         loop {
@@ -367,7 +374,7 @@
     }
 }
 
-fn row(shown: &Shown) -> Value {
+fn row(shown: &MemberSnapshot) -> Value {
     json!({"name": shown.name, "status": shown.status.word(), "zone": shown.zone, "phase": shown.phase.word(),
         "address": shown.address.to_string(), "program": shown.program, "settings": shown.settings.0,
         "settings_hash": format!("{:016x}", shown.settings.1), "birth_ms": shown.birth, "bump": shown.bump,
@@ -377,7 +384,7 @@
 
 fn show(settings: &Path, at: SocketAddr, format: Format) -> Ended {
     let holding = Asker::new(settings, at)?.ask()?;
-    let mut members: Vec<&Shown> = holding.members.values().collect();
+    let mut members: Vec<&MemberSnapshot> = holding.members.values().collect();
     members.sort_by(|a, b| (&a.zone, &a.name).cmp(&(&b.zone, &b.name)));
     let report = &holding.report;
     let shared = super::shared::ask(settings, at, 4)?;
@@ -428,7 +435,7 @@
     Ok(true)
 }
 
-fn summary(holding: &Holding) -> String {
+fn summary(holding: &NodeSnapshot) -> String {
     let r = &holding.report;
     let unsure = match r.unsure_ms {
         0 => String::new(),
@@ -464,7 +471,7 @@
             }
         };
         let changes = &holding.report.changes; // the latest first
-        let is_new = |c: &&madderpoint_membership::wire::Happened| last.as_ref() != Some(*c);
+        let is_new = |c: &&madderpoint_membership::wire::ChangeEvent| last.as_ref() != Some(*c);
         let most = if last.is_none() {
             SHOWN_BEFORE
         } else {
@@ -494,11 +501,11 @@
 }
 
 /// Plays one seed: quiet time, crashes, a zone that is cut off and comes back.
-fn simulate(plan: Plan, time: Nanos, crashes: usize, cut: Nanos) -> Value {
+fn simulate(plan: SimulationConfig, time: Nanos, crashes: usize, cut: Nanos) -> Value {
     let began = Instant::now();
     let members = plan.members;
     let described = json!({"members": members, "loss": plan.loss, "slow": plan.slow, "zones": plan.zones, "seed": plan.seed});
-    let mut sim = Sim::started(plan);
+    let mut sim = Simulation::started(plan);
     sim.run(10 * S);
     sim.spent();
     let quiet_false = sim.false_deaths.len();
@@ -535,7 +542,7 @@
         fleet
             .view()
             .get(sim.nodes[0].key)
-            .is_some_and(|e| e.status() != Status::Dead)
+            .is_some_and(|e| e.status() != Liveness::Dead)
     });
     let view_bytes = sim.up().next().map_or(0, |(_, fleet)| fleet.view().bytes());
     json!({
@@ -585,8 +592,8 @@
 type InForce = Vec<(Faulty, Option<Nanos>)>;
 
 /// Has the simulated links follow the faults in force.
-fn relink(sim: &mut Sim, faults: &InForce) {
-    let meant = |faulty: &Faulty, from: &sim::Node, to: &sim::Node| {
+fn relink(sim: &mut Simulation, faults: &InForce) {
+    let meant = |faulty: &Faulty, from: &simulation::SimulatedNode, to: &simulation::SimulatedNode| {
         let (from_zone, to_zone) = (format!("z{}", from.zone), format!("z{}", to.zone));
         let one_way = faulty.from.has(&from.name, &from_zone) && faulty.to.has(&to.name, &to_zone);
         let back = faulty.from.has(&to.name, &to_zone) && faulty.to.has(&from.name, &from_zone);
@@ -611,7 +618,7 @@
 }
 
 /// Whether so many groups that hear each other each hold one digest and just each other.
-fn in_groups(sim: &Sim, sides: usize) -> bool {
+fn in_groups(sim: &Simulation, sides: usize) -> bool {
     let mut left: Vec<usize> = (0..sim.nodes.len())
         .filter(|&n| sim.nodes[n].fleet.is_some())
         .collect();
@@ -637,7 +644,7 @@
         let Some(digest) = views().next().map(|view| view.digest()) else {
             continue;
         };
-        let whole = |view: &madderpoint_membership::view::View| {
+        let whole = |view: &madderpoint_membership::member_table::MemberTable| {
             let holds = |&n: &usize| {
                 view.get(sim.nodes[n].key)
                     .is_some_and(|e| e.status().is_present())
@@ -654,18 +661,18 @@
 }
 
 /// What must come to hold.
-type Holds = Box<dyn Fn(&Sim) -> bool>;
+type Holds = Box<dyn Fn(&Simulation) -> bool>;
 
 /// Plays a timetable against a simulated fleet; says what held.
 fn play(script: &Script, members: usize, loss: f64, slow: f64) -> bool {
     let members = members.max(script.nodes);
-    let mut plan = Plan {
+    let mut plan = SimulationConfig {
         members,
         zones: script.zones,
         loss,
         slow,
         seed: script.seed,
-        ..Plan::default()
+        ..SimulationConfig::default()
     };
     for (name, value) in &script.periods {
         let Ok(time) = span(value) else { continue };
@@ -677,7 +684,7 @@
             _ => {}
         }
     }
-    let mut sim = Sim::new(plan);
+    let mut sim = Simulation::new(plan);
     (0..members)
         .filter(|n| !script.absent.contains(&format!("n{n}")))
         .for_each(|n| sim.start(n));
@@ -689,7 +696,7 @@
             .min(members - 1)
     };
     // Faults end at their times, whatever is waited for meanwhile.
-    let run_to = |sim: &mut Sim, faults: &mut InForce, until: Nanos| {
+    let run_to = |sim: &mut Simulation, faults: &mut InForce, until: Nanos| {
         while let Some(ends) = faults
             .iter()
             .filter_map(|f| f.1)
@@ -747,7 +754,7 @@
                 within,
             } => {
                 let (n, key, held) = (number(node), sim.nodes[number(other)].key, held.clone());
-                let sees = move |sim: &Sim| {
+                let sees = move |sim: &Simulation| {
                     let view = sim.nodes[n].fleet.as_ref().map(|fleet| fleet.view());
                     let found = view.map(|view| {
                         view.get(key)
--- a/crates/node/src/company.rs
+++ b/crates/node/src/company.rs
@@ -3,7 +3,7 @@
 
 use madderpoint::LoadReport;
 use madderpoint::Nanos;
-use madderpoint_membership::{Phase, Sight};
+use madderpoint_membership::{ClusterView, Phase};
 use madderpoint_shared_state::keyed_quota::QuotaRequest;
 use madderpoint_shared_state::status::StatusSnapshot;
 use madderpoint_shared_state::{BudgetRequest, HealthReport, counts};
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 pub struct Company {
     /// What is seen of the fleet; none until its part has said anything.
-    pub sight: Option<Sight>,
+    pub sight: Option<ClusterView>,
     phase: Option<Phase>,
     succeeded: u32,
     pulse: Option<(u8, u8)>,
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -17,7 +17,7 @@
     Arrival, BackendCallOutcome, ExecutionOutcome, LoadBalancerId, Nanos, OperationId, RequestId,
 };
 use madderpoint_deployment_config::DeploymentConfig;
-use madderpoint_membership::Sight;
+use madderpoint_membership::ClusterView;
 use madderpoint_rules::Verdict;
 use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaGrant, QuotaTiming};
 use madderpoint_shared_state::status::StatusSnapshot;
@@ -103,7 +103,7 @@
     /// Rules that are in force from now on.
     Ruled(Box<Sheet>),
     /// What is seen of the fleet.
-    Fleet(Box<Sight>),
+    Fleet(Box<ClusterView>),
     /// Parts of the fleet's budgets, by their places, which were asked for at that time.
     Lent(Nanos, Vec<(u32, Lease)>),
     /// Units of keys of the fleet's limits.
@@ -213,7 +213,7 @@
     }
 
     /// What is seen of the fleet, if there is one and its part has said anything.
-    pub fn sight(&self) -> Option<&Sight> {
+    pub fn sight(&self) -> Option<&ClusterView> {
         self.company.as_ref()?.sight.as_ref()
     }
 
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -335,7 +335,7 @@
             part.change_bytes = room.changes;
             let unix = move || {
                 let Moment { now, unix_ms } = clock.read();
-                madderpoint_membership::Moment { now, unix_ms }
+                madderpoint_membership::ClockReading { now, unix_ms }
             };
             // Chance of its own: the seed of the decisions is told by the platform, and may be the
             // same on many.
--- a/crates/node/src/driver/changes.rs
+++ b/crates/node/src/driver/changes.rs
@@ -5,7 +5,10 @@
 use super::STACK;
 use super::fleet_link::{Done, Poster};
 use crossbeam_channel::{Receiver, Sender, bounded};
-use madderpoint_membership::{Fleet, Host as FleetHost, Key, Moment, Nanos, Part as Hung, Status};
+use madderpoint_membership::{
+    Attachment as AttachmentMessage, ClockReading, Host as FleetHost, Liveness, MemberKey,
+    Membership, Nanos,
+};
 use madderpoint_rollout::cohort_metrics::{OperationCounts, WindowSample};
 use madderpoint_rollout::coordinator::Member;
 use madderpoint_rollout::messages::{self, CommandReply, OperatorCommand, ReceivedMessage};
@@ -238,7 +241,7 @@
 
 /// Who takes part, and how much of it may be kept.
 pub struct Among {
-    pub me: Key,
+    pub me: MemberKey,
     pub zone: u32,
     pub arbiters: Vec<u64>,
     pub operations: Vec<String>,
@@ -262,13 +265,13 @@
 }
 
 struct Called<'a, H: FleetHost> {
-    fleet: &'a Fleet<H>,
+    fleet: &'a Membership<H>,
     operations: &'a [String],
 }
 
 impl<H: FleetHost> Names for Called<'_, H> {
     fn node(&self, key: u64) -> Option<(String, String)> {
-        let entry = self.fleet.view().get(Key(key))?;
+        let entry = self.fleet.view().get(MemberKey(key))?;
         Some((entry.name.to_string(), entry.details.zone.to_string()))
     }
     fn operation(&self, row: u32) -> String {
@@ -280,7 +283,7 @@
 impl Changes {
     /// Starts the part, and the thread that checks and writes.
     pub fn start(
-        at: Moment,
+        at: ClockReading,
         changing: Changing,
         among: Among,
         poster: Poster,
@@ -377,14 +380,14 @@
     }
 
     /// Something was told.
-    pub fn told(&mut self, at: Moment, from: Key, parcel: &[u8]) {
+    pub fn told(&mut self, at: ClockReading, from: MemberKey, parcel: &[u8]) {
         if let Some(told) = messages::read(parcel) {
             self.rollout.told(at.now, at.unix_ms, from.0, told);
         }
     }
 
     /// The thread did something.
-    pub fn done(&mut self, at: Moment, done: Done) {
+    pub fn done(&mut self, at: ClockReading, done: Done) {
         let rollout = &mut self.rollout;
         self.handed |= self.kind == Kind::Program && matches!(&done, Done::Applied(_, Ok(())));
         match done {
@@ -398,7 +401,7 @@
     }
 
     /// An operator orders something.
-    pub fn order(&mut self, at: Moment, from: std::net::SocketAddr, no: u32, order: &[u8]) {
+    pub fn order(&mut self, at: ClockReading, from: std::net::SocketAddr, no: u32, order: &[u8]) {
         let answer = match OperatorCommand::decode(order) {
             Ok(order) => self.rollout.order(at.now, at.unix_ms, &order),
             Err(_) => CommandReply {
@@ -413,7 +416,7 @@
     }
 
     /// What this node counted so far.
-    pub fn counted(&mut self, at: Moment, word: &CounterReport) {
+    pub fn counted(&mut self, at: ClockReading, word: &CounterReport) {
         let mut sum = LocalMetrics::default();
         for (row, numbers) in &word.total {
             if *row == OWN {
@@ -430,8 +433,8 @@
     /// Does what is due: what the fleet and its counts look like is taken up first.
     pub fn wake<H: FleetHost>(
         &mut self,
-        at: Moment,
-        fleet: &Fleet<H>,
+        at: ClockReading,
+        fleet: &Membership<H>,
         counts: Option<&ClusterCounters>,
     ) {
         if at.now < self.next {
@@ -443,7 +446,7 @@
         let (me, _) = fleet.me();
         for (key, entry) in fleet.view().iter() {
             let there = entry.status().is_present();
-            if entry.status() == Status::Left {
+            if entry.status() == Liveness::Left {
                 continue;
             }
             members.push(Member {
@@ -468,8 +471,8 @@
     /// An arbiter takes up what all nodes counted, while a change is under way.
     fn look<H: FleetHost>(
         &mut self,
-        at: Moment,
-        fleet: &Fleet<H>,
+        at: ClockReading,
+        fleet: &Membership<H>,
         counts: Option<&ClusterCounters>,
     ) {
         let Participant { local, conduct, .. } = &self.rollout;
@@ -493,7 +496,7 @@
     }
 
     /// Sends and shows what there is to say.
-    pub fn post<H: FleetHost>(&mut self, at: Moment, fleet: &mut Fleet<H>) {
+    pub fn post<H: FleetHost>(&mut self, at: ClockReading, fleet: &mut Membership<H>) {
         let topic = topic(self.kind);
         // What this node tells itself as an arbiter, as one who conducts and as a member stays
         // here, and may be answered.
@@ -502,17 +505,17 @@
                 if to == self.rollout.local.me() {
                     self.rollout.told(at.now, at.unix_ms, to, told);
                 } else {
-                    fleet.send_parcel(at, Key(to), topic, &messages::write(&told));
+                    fleet.send_parcel(at, MemberKey(to), topic, &messages::write(&told));
                 }
             }
         }
         if messages::LATER && self.next == at.now + WAKE {
             for to in self.rollout.local.host.some(1) {
-                fleet.send_parcel(at, Key(to), topic, &messages::later_kind());
+                fleet.send_parcel(at, MemberKey(to), topic, &messages::later_kind());
             }
         }
         if let Some(report) = self.rollout.local.host.shown.take() {
-            let part = Hung {
+            let part = AttachmentMessage {
                 id: topic,
                 version: 1,
                 bytes: messages::write_part(&report),
@@ -525,7 +528,7 @@
     }
 
     /// All that is known of changes, to be shown.
-    pub fn show<H: FleetHost>(&self, at: Moment, fleet: &Fleet<H>) -> Vec<u8> {
+    pub fn show<H: FleetHost>(&self, at: ClockReading, fleet: &Membership<H>) -> Vec<u8> {
         let topic = topic(self.kind);
         let Participant { local, conduct, .. } = &self.rollout;
         let members: Vec<(Member, Option<NodeReport>)> = local
@@ -533,7 +536,7 @@
             .members
             .iter()
             .map(|member| {
-                let entry = fleet.view().get(Key(member.node));
+                let entry = fleet.view().get(MemberKey(member.node));
                 let part = entry.and_then(|e| e.details.parts.iter().find(|part| part.id == topic));
                 (
                     *member,
@@ -550,7 +553,7 @@
         let alone: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
         let conductor = conduct
             .conductor(&alone)
-            .and_then(|key| fleet.view().get(Key(key)));
+            .and_then(|key| fleet.view().get(MemberKey(key)));
         shown.conductor_at =
             conductor.map_or_else(String::new, |entry| entry.details.address.to_string());
         shown.encode_to_vec()
@@ -586,13 +589,13 @@
 /// What nodes counted, by window, from this window on.
 fn samples<H: FleetHost>(
     kind: Kind,
-    fleet: &Fleet<H>,
+    fleet: &Membership<H>,
     counts: &ClusterCounters,
     from: u64,
 ) -> Vec<(u64, Vec<WindowSample>)> {
     let mut all: BTreeMap<u64, BTreeMap<u64, WindowSample>> = BTreeMap::new();
     for (who, window, label, first, counted) in counts.windows(from) {
-        let Some(entry) = fleet.view().get(Key(who.key)) else {
+        let Some(entry) = fleet.view().get(MemberKey(who.key)) else {
             continue;
         };
         // A program is another process; what it runs is what the process says on its entry.
--- a/crates/node/src/driver/fleet_link.rs
+++ b/crates/node/src/driver/fleet_link.rs
@@ -8,9 +8,11 @@
 use crate::core::{Event, Service, With};
 use crate::log::log;
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
-use madderpoint_membership::seal::Keys;
+use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_membership::wire::DATAGRAM_MAX;
-use madderpoint_membership::{Fleet, Host, Key, Life, Moment, Nanos, Periods, Settings, Sight};
+use madderpoint_membership::{
+    ClockReading, ClusterView, Config, Host, Incarnation, MemberKey, Membership, Nanos, Timing,
+};
 use madderpoint_rollout::{Kind, Plan, RolloutId, Version};
 use madderpoint_shared_state::counts::PROCESS_BYTES;
 use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaGrant, QuotaTiming};
@@ -45,8 +47,8 @@
     /// Where it listens.
     pub bind: SocketAddr,
     /// What it says and goes by.
-    pub settings: Settings,
-    /// Keys of those who decide who lends, and the budgets that the fleet shares; none if there are
+    pub settings: Config,
+    /// AuthKeys of those who decide who lends, and the budgets that the fleet shares; none if there are
     /// none.
     pub arbiters: Vec<u64>,
     pub budgets: Vec<Budget>,
@@ -97,9 +99,9 @@
 /// What a new file of settings changes.
 #[derive(Clone, Debug)]
 pub struct Reset {
-    pub keys: Keys,
+    pub keys: AuthKeys,
     pub seeds: Vec<SocketAddr>,
-    pub periods: Periods,
+    pub periods: Timing,
     pub number: (u64, u64),
     pub budgets: Vec<Budget>,
     pub key_budgets: Vec<KeyedQuota>,
@@ -225,7 +227,7 @@
     parcels: Vec<(ProcessId, u32, Vec<u8>)>,
     events: Sender<Message>,
     /// What was seen and found no room in the core's queue.
-    unseen: Option<Sight>,
+    unseen: Option<ClusterView>,
     /// What is shared, as it was shown last, and when; and this moment.
     shown: Option<(Nanos, Vec<u8>)>,
     shares: bool,
@@ -256,7 +258,7 @@
     fn log(&mut self, kind: &'static str, line: &str) {
         crate::log::event("fleet", kind, format_args!("{line}"));
     }
-    fn parcel(&mut self, from: Key, life: Life, topic: u32, parcel: &[u8]) {
+    fn parcel(&mut self, from: MemberKey, life: Incarnation, topic: u32, parcel: &[u8]) {
         self.parcels.push((
             ProcessId {
                 key: from.0,
@@ -298,7 +300,7 @@
         };
         Some(page(bytes, from))
     }
-    fn sight(&mut self, sight: &Sight) {
+    fn sight(&mut self, sight: &ClusterView) {
         let event = Event::Fleet(Box::new(sight.clone()));
         match self.events.try_send(Message::Event(event)) {
             Ok(()) => self.unseen = None,
@@ -313,7 +315,7 @@
 pub fn start(
     part: Part,
     seed: u64,
-    clock: impl Fn() -> Moment + Send + 'static,
+    clock: impl Fn() -> ClockReading + Send + 'static,
     events: Sender<Message>,
 ) -> io::Result<(FleetLink, JoinHandle<()>)> {
     let bell = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
@@ -365,11 +367,11 @@
 fn begin(
     part: Part,
     seed: u64,
-    clock: &impl Fn() -> Moment,
+    clock: &impl Fn() -> ClockReading,
     events: Sender<Message>,
     socket: UdpSocket,
     link: &FleetLink,
-) -> io::Result<(Fleet<Hands>, Beside)> {
+) -> io::Result<(Membership<Hands>, Beside)> {
     socket.set_nonblocking(true)?;
     let zone = part.settings.zone.clone();
     log!(
@@ -398,9 +400,9 @@
         asked: Vec::new(),
         orders: Vec::new(),
     };
-    let most = part.settings.bytes / madderpoint_membership::view::ENTRY_USUAL + 16;
+    let most = part.settings.bytes / madderpoint_membership::member_table::ENTRY_USUAL + 16;
     let (rhythm, label) = (part.rhythm(), part.settings.settings.1);
-    let fleet = Fleet::new(part.settings, seed, clock(), hands)
+    let fleet = Membership::new(part.settings, seed, clock(), hands)
         .map_err(|odd| io::Error::other(odd.to_string()))?;
     let (key, life) = fleet.me();
     let me = ProcessId {
@@ -439,7 +441,7 @@
         SharedState::new(settings, seed ^ life.0, clock().now, teller)
     });
     let health = part.service.map(|service| Health {
-        service: Key::of(&service.name).0,
+        service: MemberKey::of(&service.name).0,
         witnesses: HealthReports::new(WITNESSES),
         told: 0,
     });
@@ -455,7 +457,7 @@
 
 /// Zones as numbers, which is enough to tell them apart.
 pub fn zone_number(zone: &str) -> u32 {
-    (Key::of(zone).0 >> 32) as u32
+    (MemberKey::of(zone).0 >> 32) as u32
 }
 
 type Bank = Option<SharedState<Teller>>;
@@ -485,7 +487,7 @@
 
 impl Health {
     /// This node sees so much: some others hear it, and the core hears what they say.
-    fn seen(&mut self, fleet: &mut Fleet<Hands>, at: Moment, evidence: HealthReport) {
+    fn seen(&mut self, fleet: &mut Membership<Hands>, at: ClockReading, evidence: HealthReport) {
         self.told += 1;
         let is_well = evidence.failed == 0 && evidence.level >= 1.0;
         if evidence.tries > 0 && (!is_well || self.told.is_multiple_of(TELLS_WELL))
@@ -516,9 +518,9 @@
 }
 
 fn serve(
-    mut fleet: Fleet<Hands>,
+    mut fleet: Membership<Hands>,
     beside: Beside,
-    clock: &impl Fn() -> Moment,
+    clock: &impl Fn() -> ClockReading,
     orders: &Receiver<Order>,
     bell: &OwnedFd,
 ) {
@@ -582,7 +584,7 @@
                     bank.iter()
                         .for_each(|bank| shown.with_shared(now, bank, &operations));
                     shown.node = fleet.name().to_owned();
-                    if let Some(entry) = fleet.view().get(Key(shown.lender)) {
+                    if let Some(entry) = fleet.view().get(MemberKey(shown.lender)) {
                         shown.lender_name = entry.name.to_string();
                     }
                     fleet.host.shown = Some((now, shown.encode_to_vec()));
@@ -632,7 +634,7 @@
                 continue;
             }
             if let Some(changes) = changes.iter_mut().find(|changes| is_about(changes, topic)) {
-                changes.told(clock(), Key(from.key), &parcel);
+                changes.told(clock(), MemberKey(from.key), &parcel);
                 continue;
             }
             let told = if topic == SHARED {
@@ -699,7 +701,7 @@
 }
 
 /// Sends what lending and borrowing have to say.
-fn post(fleet: &mut Fleet<Hands>, bank: &mut Bank, clock: &impl Fn() -> Moment) {
+fn post(fleet: &mut Membership<Hands>, bank: &mut Bank, clock: &impl Fn() -> ClockReading) {
     let says = bank.as_ref().is_some_and(|bank| !bank.host.sent.is_empty());
     if shared_state::messages::LATER && says {
         for key in fleet.some_others(1) {
@@ -710,12 +712,12 @@
         .iter_mut()
         .flat_map(|bank| std::mem::take(&mut bank.host.sent))
     {
-        fleet.send_parcel(clock(), Key(to), SHARED, &write_parcel(&told));
+        fleet.send_parcel(clock(), MemberKey(to), SHARED, &write_parcel(&told));
     }
 }
 
 /// Waits for a datagram, a word or the next timer.
-fn wait(fleet: &Fleet<Hands>, next: Nanos, now: Nanos, bell: &OwnedFd) {
+fn wait(fleet: &Membership<Hands>, next: Nanos, now: Nanos, bell: &OwnedFd) {
     let time = Duration::from_nanos(next.saturating_sub(now));
     let time = Timespec::try_from(time).ok();
     let mut ready = [
@@ -745,15 +747,15 @@
 }
 
 /// Has an arbiter add those up who are gone.
-fn tidy(bank: &mut SharedState<Teller>, fleet: &Fleet<Hands>, now: Nanos) {
+fn tidy(bank: &mut SharedState<Teller>, fleet: &Membership<Hands>, now: Nanos) {
     let is_there = |who: ProcessId| {
-        let entry = fleet.view().get(Key(who.key));
+        let entry = fleet.view().get(MemberKey(who.key));
         entry.is_some_and(|entry| entry.epoch.life.0 == who.life && entry.status().is_present())
     };
     bank.tidy(now, is_there);
 }
 
-fn read(fleet: &mut Fleet<Hands>, clock: &impl Fn() -> Moment) {
+fn read(fleet: &mut Membership<Hands>, clock: &impl Fn() -> ClockReading) {
     fleet.host.now = clock().now;
     // One byte more than a datagram may have, so that a larger one is known for it.
     let mut buffer = [0; DATAGRAM_MAX + 1];
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -2,8 +2,8 @@
 //! configurations and new settings.
 
 use madderpoint_deployment_config::DeploymentConfig;
-use madderpoint_membership::fleet::Extensions;
-use madderpoint_membership::seal::Keys;
+use madderpoint_membership::datagram_auth::AuthKeys;
+use madderpoint_membership::swim::FeatureToggles;
 use madderpoint_node::classify::Sheet;
 use madderpoint_node::config::{self, Identity};
 use madderpoint_node::core::Service;
@@ -68,7 +68,7 @@
 }
 
 /// The keys of a fleet. A name that is no whole path is looked for beside the settings.
-pub fn keys(settings: &Path, fleet: &FleetSettings) -> Result<Keys, String> {
+pub fn keys(settings: &Path, fleet: &FleetSettings) -> Result<AuthKeys, String> {
     let path = settings.parent().unwrap_or(Path::new("")).join(&fleet.keys);
     let wrong = |what: String| format!("fleet/@keys: {}: {what}", path.display());
     let size = std::fs::metadata(&path)
@@ -80,7 +80,7 @@
         )));
     }
     let text = std::fs::read_to_string(&path).map_err(|e| wrong(e.to_string()))?;
-    Keys::read(&text).map_err(wrong)
+    AuthKeys::read(&text).map_err(wrong)
 }
 
 /// How the node takes part in its fleet. What differs by node may be told by the environment.
@@ -111,7 +111,7 @@
     let zone = told("MADDERPOINT_ZONE")
         .or_else(|| fleet.zone.clone())
         .unwrap_or_default();
-    let settings = madderpoint_membership::Settings {
+    let settings = madderpoint_membership::Config {
         fleet: fleet.name.clone(),
         name: who.name.clone(),
         zone,
@@ -125,12 +125,12 @@
             .unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned()),
         settings: read.number,
         bytes: 0,
-        extensions: Extensions::default(),
+        extensions: FeatureToggles::default(),
     };
     let arbiters = fleet
         .arbiters
         .iter()
-        .map(|name| madderpoint_membership::Key::of(name).0)
+        .map(|name| madderpoint_membership::MemberKey::of(name).0)
         .collect();
     let (budgets, keys) = (fleet.budgets.clone(), key_budgets(read));
     let service = fleet.service.as_ref().map(|service| Service {
@@ -237,7 +237,12 @@
 }
 
 /// What the fleet's part is told of settings that take force now.
-fn reset(read: &Translator, new: &FleetSettings, now: &FleetSettings, keys: Keys) -> Box<Reset> {
+fn reset(
+    read: &Translator,
+    new: &FleetSettings,
+    now: &FleetSettings,
+    keys: AuthKeys,
+) -> Box<Reset> {
     // Limits may change; budgets that come or go, or are of another kind, wait for a restart.
     let same = same_kinds(&new.budgets, &now.budgets);
     let budgets = if same { &new.budgets } else { &now.budgets }.clone();
@@ -310,7 +315,11 @@
 }
 
 /// A version's text, read and checked by this node's own limits and names.
-fn read_version(file: &Path, content: &[u8], who: &Identity) -> Result<(Translator, Keys), String> {
+fn read_version(
+    file: &Path,
+    content: &[u8],
+    who: &Identity,
+) -> Result<(Translator, AuthKeys), String> {
     let text = std::str::from_utf8(content).map_err(|_| "it is no text".to_owned())?;
     let read = settings::read("settings", text, &with_room(who)).map_err(|what| what.first())?;
     let (Some(fleet), Some(_)) = (&read.fleet, &read.rollout) else {
--- a/crates/node/src/versions.rs
+++ b/crates/node/src/versions.rs
@@ -44,7 +44,10 @@
     if name.bytes().all(is_plain) && !name.starts_with('.') && !name.is_empty() {
         return name.to_owned();
     }
-    format!("node-{:016x}", madderpoint_membership::Key::of(name).0)
+    format!(
+        "node-{:016x}",
+        madderpoint_membership::MemberKey::of(name).0
+    )
 }
 
 /// A file of a bounded size; none if there is no such file.
--- a/crates/rate-limits/benches/limits.rs
+++ b/crates/rate-limits/benches/limits.rs
@@ -2,7 +2,7 @@
 //! Run: cargo bench -p madderpoint-rate-limits
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use madderpoint_rate_limits::{Bucket, Limits, Rate};
+use madderpoint_rate_limits::{Bucket, Rate, RateLimiter};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
@@ -33,7 +33,7 @@
     let mut group = c.benchmark_group("limits");
     for (name, keys) in [("a thousand keys", 1_000u64), ("a million keys", 1_000_000)] {
         let mut rng = Pcg64Mcg::seed_from_u64(1);
-        let mut limits = Limits::new(BYTES, 7);
+        let mut limits = RateLimiter::new(BYTES, 7);
         limits.define(
             0,
             &[Bucket {
@@ -66,7 +66,7 @@
             (plain.0.capacity() * 17) >> 10
         );
     }
-    let mut limits = Limits::new(BYTES, 7);
+    let mut limits = RateLimiter::new(BYTES, 7);
     limits.define(
         0,
         &[Bucket {
--- a/crates/rate-limits/src/lib.rs
+++ b/crates/rate-limits/src/lib.rs
@@ -1,4 +1,4 @@
-//! Limits by key: how often a key may come, how much of it may be in hand, and how keys share what
+//! RateLimiter by key: how often a key may come, how much of it may be in hand, and how keys share what
 //! is there.
 //!
 //! A bucket is a definition; each of its keys has a state of its own. Memory is bounded whatever
@@ -7,10 +7,10 @@
 //! argument, chance comes from a seed.
 //!
 //! ```
-//! use madderpoint_rate_limits::{Bucket, Limits, Rate};
+//! use madderpoint_rate_limits::{Bucket, RateLimiter, Rate};
 //!
 //! let bucket = Bucket { rate: Some(Rate::new(10, 1_000_000_000, 2).unwrap()), ..Bucket::named("by-site") };
-//! let mut limits = Limits::new(1 << 16, 7);
+//! let mut limits = RateLimiter::new(1 << 16, 7);
 //! limits.define(0, &[bucket]);
 //! assert!(limits.ask(0, &[(0, 42)]).is_ok() && limits.ask(0, &[(0, 42)]).is_ok());
 //! let over = limits.ask(0, &[(0, 42)]).unwrap_err();
@@ -23,14 +23,14 @@
 
 pub mod sketch;
 mod table;
-mod wheel;
+mod timer_wheel;
 
 #[cfg(test)]
 mod tests;
 
-use sketch::{Counts, Times};
-use table::{Entry, Table};
-use wheel::Wheel;
+use sketch::{DueTimeSketch, FrequencySketch};
+use table::{KeyState, KeyTable};
+use timer_wheel::TimerWheel;
 
 /// Whole nanoseconds from any fixed point.
 pub type Nanos = u64;
@@ -117,9 +117,9 @@
     }
 }
 
-/// Why a request is over a limit.
+/// ExceededLimit a request is over a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum ExceededLimit {
     /// Its key comes too often.
     Rate,
     /// Too much of its key is in hand.
@@ -132,25 +132,25 @@
 
 /// A request is over a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Over {
+pub struct LimitExceeded {
     /// The bucket, by its place in the definitions.
     pub bucket: u16,
-    /// Why.
-    pub why: Why,
+    /// ExceededLimit.
+    pub why: ExceededLimit,
     /// After this there is room again: known for a rate, else a guess from how long things were
     /// held.
     pub pause: Nanos,
 }
 
-/// What a request holds until it is done. It must go back through [`Limits::done`].
+/// What a request holds until it is done. It must go back through [`RateLimiter::done`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[must_use]
-pub struct Ticket {
+pub struct Permit {
     held: Vec<(u32, u64)>,
     since: Nanos,
 }
 
-impl Ticket {
+impl Permit {
     /// Whether nothing is held.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
@@ -159,10 +159,10 @@
 
 /// What has come to a bucket.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct BucketCounters {
     /// Let through.
     pub passed: u64,
-    /// Over the limit, in the order of [`Why`].
+    /// LimitExceeded the limit, in the order of [`ExceededLimit`].
     pub over: [u64; 4],
     /// In hand now, and keys that hold any.
     pub in_hand: u32,
@@ -171,16 +171,16 @@
 }
 
 /// A bucket with its state.
-struct Live {
+struct BucketState {
     /// Never used again.
     id: u32,
     bucket: Bucket,
-    tally: Tally,
+    tally: BucketCounters,
     /// The mean time for which a place was held.
     held_for: f64,
 }
 
-impl Live {
+impl BucketState {
     fn pause(&self, places: u32) -> Nanos {
         LEAST_PAUSE.max((self.held_for / f64::from(places.max(1))) as Nanos)
     }
@@ -203,33 +203,33 @@
     }
 }
 
-/// Limits of all buckets.
-pub struct Limits {
-    live: Vec<Live>,
+/// RateLimiter of all buckets.
+pub struct RateLimiter {
+    live: Vec<BucketState>,
     next_id: u32,
-    table: Table,
-    wheel: Wheel,
+    table: KeyTable,
+    wheel: TimerWheel,
     /// Due times of keys that have no entry, and how often keys came lately.
-    times: Times,
-    counts: Counts,
+    times: DueTimeSketch,
+    counts: FrequencySketch,
     now: Nanos,
     /// Where the next sample for making room begins.
     hand: usize,
     evicted: u64,
 }
 
-impl Limits {
-    /// Limits that take about so many bytes, whatever the keys.
-    pub fn new(bytes: usize, seed: u64) -> Limits {
-        let entries = (bytes * 3 / 4 / Table::ENTRY_BYTES).max(16);
+impl RateLimiter {
+    /// RateLimiter that take about so many bytes, whatever the keys.
+    pub fn new(bytes: usize, seed: u64) -> RateLimiter {
+        let entries = (bytes * 3 / 4 / KeyTable::ENTRY_BYTES).max(16);
         let cells = (bytes / 8 / 2).max(64);
-        Limits {
+        RateLimiter {
             live: Vec::new(),
             next_id: 0,
-            table: Table::new(entries),
-            wheel: Wheel::new(),
-            times: Times::new(cells / 4, seed),
-            counts: Counts::new(cells, seed.rotate_left(17)),
+            table: KeyTable::new(entries),
+            wheel: TimerWheel::new(),
+            times: DueTimeSketch::new(cells / 4, seed),
+            counts: FrequencySketch::new(cells, seed.rotate_left(17)),
             now: 0,
             hand: 0,
             evicted: 0,
@@ -245,10 +245,10 @@
             let same = before.iter().position(|live| live.bucket == *bucket);
             let live = same.map(|at| before.swap_remove(at)).unwrap_or_else(|| {
                 self.next_id += 1;
-                Live {
+                BucketState {
                     id: self.next_id,
                     bucket: bucket.clone(),
-                    tally: Tally::default(),
+                    tally: BucketCounters::default(),
                     held_for: 0.0,
                 }
             });
@@ -267,7 +267,7 @@
 
     /// A request belongs to these buckets by these keys: it passes all of them, or takes nothing of
     /// any.
-    pub fn ask(&mut self, now: Nanos, of: &[(u16, u64)]) -> Result<Ticket, Over> {
+    pub fn ask(&mut self, now: Nanos, of: &[(u16, u64)]) -> Result<Permit, LimitExceeded> {
         self.now = self.now.max(now); // a clock that goes back must not give anything twice
         self.age();
         for (i, &(place, key)) in of.iter().enumerate() {
@@ -279,7 +279,7 @@
                 return Err(over);
             }
         }
-        let mut ticket = Ticket {
+        let mut ticket = Permit {
             held: Vec::new(),
             since: self.now,
         };
@@ -293,13 +293,13 @@
 
     /// Whether a bucket has room for one more of a key; where one is needed, the key has an entry
     /// afterwards.
-    fn fits(&mut self, place: u16, key: u64) -> Result<(), Over> {
+    fn fits(&mut self, place: u16, key: u64) -> Result<(), LimitExceeded> {
         let Some(live) = self.live.get(usize::from(place)) else {
             return Ok(());
         };
         let (id, holds, rate) = (live.id, live.bucket.holds(), live.bucket.rate);
         let over = |why, pause| {
-            Err(Over {
+            Err(LimitExceeded {
                 bucket: place,
                 why,
                 pause,
@@ -318,25 +318,28 @@
         let live = &self.live[usize::from(place)];
         let (due, mine) = match at {
             Some(at) => (self.table[at].due, self.table[at].in_hand),
-            None if holds => return over(Why::Room, live.pause(1)),
+            None if holds => return over(ExceededLimit::Room, live.pause(1)),
             None => (self.times.due(id, key), 0),
         };
         if let Some(wait) = rate
             .map(|rate| rate.wait(self.now, due))
             .filter(|wait| *wait > 0)
         {
-            return over(Why::Rate, wait);
+            return over(ExceededLimit::Rate, wait);
         }
         if let Some(most) = live.bucket.in_hand.filter(|most| mine >= *most) {
-            return over(Why::InHand, live.pause(most));
+            return over(ExceededLimit::InHand, live.pause(most));
         }
         if !live.shares(mine) {
-            return over(Why::Share, live.pause(live.bucket.total.unwrap_or(1)));
+            return over(
+                ExceededLimit::Share,
+                live.pause(live.bucket.total.unwrap_or(1)),
+            );
         }
         Ok(())
     }
 
-    fn take(&mut self, place: u16, key: u64, ticket: &mut Ticket) {
+    fn take(&mut self, place: u16, key: u64, ticket: &mut Permit) {
         let Some(live) = self.live.get_mut(usize::from(place)) else {
             return;
         };
@@ -361,7 +364,7 @@
     }
 
     /// A request that had passed is over.
-    pub fn done(&mut self, now: Nanos, ticket: Ticket) {
+    pub fn done(&mut self, now: Nanos, ticket: Permit) {
         self.now = self.now.max(now);
         let held_for = self.now.saturating_sub(ticket.since) as f64;
         for (id, key) in ticket.held {
@@ -389,7 +392,7 @@
     // ---- Room ----
 
     fn insert(&mut self, bucket: u32, key: u64, due: Nanos) -> usize {
-        let at = self.table.insert(Entry {
+        let at = self.table.insert(KeyState {
             bucket,
             key,
             due,
@@ -399,7 +402,7 @@
         at
     }
 
-    fn remove(&mut self, at: usize) -> Option<Entry> {
+    fn remove(&mut self, at: usize) -> Option<KeyState> {
         self.wheel.take(at);
         self.table.remove(at)
     }
@@ -460,7 +463,7 @@
     // ---- What is seen from outside ----
 
     /// What has come to each bucket, by its place in the definitions.
-    pub fn tallies(&self) -> impl Iterator<Item = (&str, Tally)> {
+    pub fn tallies(&self) -> impl Iterator<Item = (&str, BucketCounters)> {
         self.live
             .iter()
             .map(|live| (live.bucket.name.as_str(), live.tally))
--- a/crates/rate-limits/src/sketch.rs
+++ b/crates/rate-limits/src/sketch.rs
@@ -35,17 +35,17 @@
 }
 
 /// Due times of keys.
-pub struct Times {
+pub struct DueTimeSketch {
     seed: u64,
     width: usize,
     cells: Box<[Nanos]>,
 }
 
-impl Times {
+impl DueTimeSketch {
     /// About so many cells.
-    pub fn new(cells: usize, seed: u64) -> Times {
+    pub fn new(cells: usize, seed: u64) -> DueTimeSketch {
         let width = width(cells);
-        Times {
+        DueTimeSketch {
             seed,
             width,
             cells: vec![0; width * ROWS].into(),
@@ -75,18 +75,18 @@
 }
 
 /// How often keys came lately: all counts are halved from time to time.
-pub struct Counts {
+pub struct FrequencySketch {
     seed: u64,
     width: usize,
     cells: Box<[u16]>,
     added: usize,
 }
 
-impl Counts {
+impl FrequencySketch {
     /// About so many cells.
-    pub fn new(cells: usize, seed: u64) -> Counts {
+    pub fn new(cells: usize, seed: u64) -> FrequencySketch {
         let width = width(cells);
-        Counts {
+        FrequencySketch {
             seed,
             width,
             cells: vec![0; width * ROWS].into(),
--- a/crates/rate-limits/src/table.rs
+++ b/crates/rate-limits/src/table.rs
@@ -7,7 +7,7 @@
 
 /// A key's state.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct KeyState {
     pub bucket: u32,
     pub key: u64,
     /// The theoretical arrival time: when a next one would come evenly.
@@ -34,21 +34,21 @@
     }
 }
 
-pub struct Table {
+pub struct KeyTable {
     by_key: HashMap<(u32, u64), u32, BuildHasherDefault<Plain>>,
-    entries: slab::Slab<Entry>,
+    entries: slab::Slab<KeyState>,
     /// Places that were ever in use.
     places: usize,
     most: usize,
 }
 
-impl Table {
+impl KeyTable {
     /// What a key takes: its entry, its place in the map (which is at least seven sixteenths full
     /// after it has doubled) and its link in the wheel.
     pub const ENTRY_BYTES: usize = 40 + 56 + 12;
 
-    pub fn new(most: usize) -> Table {
-        Table {
+    pub fn new(most: usize) -> KeyTable {
+        KeyTable {
             by_key: HashMap::default(),
             entries: slab::Slab::new(),
             places: 0,
@@ -73,25 +73,25 @@
         self.places.max(1)
     }
 
-    pub fn get(&self, at: usize) -> Option<&Entry> {
+    pub fn get(&self, at: usize) -> Option<&KeyState> {
         self.entries.get(at)
     }
 
-    pub fn insert(&mut self, entry: Entry) -> usize {
+    pub fn insert(&mut self, entry: KeyState) -> usize {
         let at = self.entries.insert(entry);
         self.places = self.places.max(at + 1);
         self.by_key.insert((entry.bucket, entry.key), at as u32);
         at
     }
 
-    pub fn remove(&mut self, at: usize) -> Option<Entry> {
+    pub fn remove(&mut self, at: usize) -> Option<KeyState> {
         let entry = self.entries.try_remove(at)?;
         self.by_key.remove(&(entry.bucket, entry.key));
         Some(entry)
     }
 
     /// Places whose entries are like this.
-    pub fn places_where(&self, is: impl Fn(&Entry) -> bool) -> Vec<usize> {
+    pub fn places_where(&self, is: impl Fn(&KeyState) -> bool) -> Vec<usize> {
         self.entries
             .iter()
             .filter(|(_, e)| is(e))
@@ -104,15 +104,15 @@
     }
 }
 
-impl Index<usize> for Table {
-    type Output = Entry;
-    fn index(&self, at: usize) -> &Entry {
+impl Index<usize> for KeyTable {
+    type Output = KeyState;
+    fn index(&self, at: usize) -> &KeyState {
         &self.entries[at]
     }
 }
 
-impl IndexMut<usize> for Table {
-    fn index_mut(&mut self, at: usize) -> &mut Entry {
+impl IndexMut<usize> for KeyTable {
+    fn index_mut(&mut self, at: usize) -> &mut KeyState {
         &mut self.entries[at]
     }
 }
--- a/crates/rate-limits/src/tests.rs
+++ b/crates/rate-limits/src/tests.rs
@@ -7,8 +7,8 @@
 
 const SECOND: Nanos = 1000 * MILLISECOND;
 
-fn limits(bytes: usize, bucket: Bucket) -> Limits {
-    let mut limits = Limits::new(bytes, 11);
+fn limits(bytes: usize, bucket: Bucket) -> RateLimiter {
+    let mut limits = RateLimiter::new(bytes, 11);
     limits.define(0, &[bucket]);
     limits
 }
@@ -98,7 +98,7 @@
     for _ in 0..100 {
         while limits.ask(now, &[(0, 1)]).is_ok() {}
         let over = limits.ask(now, &[(0, 1)]).unwrap_err();
-        assert_eq!(over.why, Why::Rate);
+        assert_eq!(over.why, ExceededLimit::Rate);
         assert!(
             limits.ask(now + over.pause - 1, &[(0, 1)]).is_err(),
             "not sooner"
@@ -118,7 +118,10 @@
         },
     );
     let mut held: Vec<_> = (0..3).map(|_| limits.ask(0, &[(0, 9)]).unwrap()).collect();
-    assert_eq!(limits.ask(SECOND, &[(0, 9)]).unwrap_err().why, Why::InHand);
+    assert_eq!(
+        limits.ask(SECOND, &[(0, 9)]).unwrap_err().why,
+        ExceededLimit::InHand
+    );
     let other = limits.ask(SECOND, &[(0, 8)]).unwrap();
     limits.done(2 * SECOND, held.remove(0));
     limits.done(2 * SECOND, other);
@@ -156,7 +159,7 @@
     b.push(limits.ask(0, &[(0, 3)]).expect("and one more"));
     assert_eq!(
         limits.ask(0, &[(0, 4)]).unwrap_err().why,
-        Why::Share,
+        ExceededLimit::Share,
         "all are taken"
     );
     // As the greedy key's places come back, keys that hold less get them, up to an even share of
@@ -180,7 +183,7 @@
 
 #[test]
 fn a_request_takes_of_all_its_buckets_or_of_none() {
-    let mut limits = Limits::new(1 << 16, 1);
+    let mut limits = RateLimiter::new(1 << 16, 1);
     let held = Bucket {
         in_hand: Some(1),
         ..Bucket::named("held")
@@ -206,14 +209,14 @@
         in_hand: Some(1),
         ..Bucket::named("held")
     };
-    let mut limits = Limits::new(1 << 16, 1);
+    let mut limits = RateLimiter::new(1 << 16, 1);
     limits.define(0, &[rated(1, 1), held.clone()]);
     let first = limits.ask(0, &[(0, 5), (1, 5)]).unwrap();
     // In another order, and one of them changed.
     limits.define(MILLISECOND, &[held.clone(), rated(2, 1)]);
     assert_eq!(
         limits.ask(MILLISECOND, &[(0, 5)]).unwrap_err().why,
-        Why::InHand
+        ExceededLimit::InHand
     );
     assert!(
         limits.ask(MILLISECOND, &[(1, 5)]).is_ok(),
@@ -226,7 +229,7 @@
     limits.done(MILLISECOND, first);
     assert_eq!(
         limits.ask(MILLISECOND, &[(0, 5)]).unwrap_err().why,
-        Why::InHand
+        ExceededLimit::InHand
     );
     limits.done(MILLISECOND, second);
 }
@@ -273,7 +276,7 @@
     };
     assert_eq!(
         (over.why, over.pause >= LEAST_PAUSE, tickets.len()),
-        (Why::Room, true, 16)
+        (ExceededLimit::Room, true, 16)
     );
     limits.done(SECOND, tickets.remove(0));
     let found = (0..4).find_map(|_| limits.ask(SECOND, &[(0, 99)]).ok());
--- a/crates/rate-limits/src/wheel.rs
+++ b/crates/rate-limits/src/timer_wheel.rs
@@ -16,7 +16,7 @@
     slot: u32,
 }
 
-pub struct Wheel {
+pub struct TimerWheel {
     /// The first entry of each slot.
     slots: [u32; SLOTS],
     links: Vec<Link>,
@@ -24,9 +24,9 @@
     tick: u64,
 }
 
-impl Wheel {
-    pub fn new() -> Wheel {
-        Wheel {
+impl TimerWheel {
+    pub fn new() -> TimerWheel {
+        TimerWheel {
             slots: [NONE; SLOTS],
             links: Vec::new(),
             tick: 0,
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::xml::{Element, Text};
 use crate::{Complaint, Place};
-use madderpoint_membership::{Nanos, Periods};
+use madderpoint_membership::{Nanos, Timing};
 use madderpoint_rules::time;
 use madderpoint_shared_state::{Budget, Kind};
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
     /// Where somebody may be found.
     pub seeds: Vec<SocketAddr>,
     /// How often things are done.
-    pub periods: Periods,
+    pub periods: Timing,
     /// Names of those who decide who lends.
     pub arbiters: Vec<String>,
     /// Limits on the calls below of all nodes together.
@@ -56,7 +56,7 @@
 
 /// Tells two texts of settings apart; part of what a node says of itself.
 pub fn fingerprint(text: &str) -> u64 {
-    madderpoint_membership::Key::of(text).0
+    madderpoint_membership::MemberKey::of(text).0
 }
 
 struct Reading {
@@ -260,7 +260,7 @@
         {
             reading.wrong(text, "calls-budget", "too many".into(), "8 at most");
         }
-        let mut periods = Periods::default();
+        let mut periods = Timing::default();
         if let Some(of) = element.one("periods") {
             reading.time(
                 of,
--- a/crates/shared-state/src/keyed_quota/borrower.rs
+++ b/crates/shared-state/src/keyed_quota/borrower.rs
@@ -4,7 +4,7 @@
 
 use super::{KEYS_ASKED, KeyRequest, KeyedQuota, QuotaGrant, QuotaKind, QuotaRequest, QuotaTiming};
 use crate::{MILLISECOND, Nanos, shorter};
-use madderpoint_rate_limits::sketch::Times;
+use madderpoint_rate_limits::sketch::DueTimeSketch;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// What a pocket takes, with its place in the map (which may just have doubled) and the queues; and
@@ -164,7 +164,7 @@
     pockets: LeasedUnitsByKey,
     most: usize,
     /// Floors of keys that have no pocket.
-    times: Times,
+    times: DueTimeSketch,
     /// Keys that wait for a question now, and those that are told when their time comes.
     urgent: Vec<Place>,
     urgent_since: Nanos,
@@ -198,7 +198,7 @@
             started: now,
             pockets: LeasedUnitsByKey::default(),
             most: (bytes / 4 * 3 / POCKET_BYTES).max(16),
-            times: Times::new(cells, seed),
+            times: DueTimeSketch::new(cells, seed),
             urgent: Vec::new(),
             urgent_since: 0,
             later: VecDeque::new(),
--- a/crates/test-harness/src/rig.rs
+++ b/crates/test-harness/src/rig.rs
@@ -15,9 +15,9 @@
 use crate::service::{Nature, Recorded, Service};
 use crate::wire::{self, Answer};
 use crate::worker::Worker;
-use madderpoint_membership::Status;
-use madderpoint_membership::observer::{Holding, Observer};
-use madderpoint_membership::seal::Keys;
+use madderpoint_membership::Liveness;
+use madderpoint_membership::datagram_auth::AuthKeys;
+use madderpoint_membership::observer::{NodeSnapshot, Observer};
 use madderpoint_shared_state::status::StatusSnapshot;
 use prost::Message as _;
 use rand::{RngExt, SeedableRng};
@@ -121,7 +121,7 @@
 }
 
 /// What a look found at each node, by its place.
-type Seen = Vec<Option<(Instant, Holding)>>;
+type Seen = Vec<Option<(Instant, NodeSnapshot)>>;
 
 /// What came of a play.
 #[derive(Debug, Default)]
@@ -478,7 +478,7 @@
         socket.set_read_timeout(Some(LOOK))?;
         let seed = (u64::from(std::process::id()) << 8) | u64::from(RIGS.load(SeqCst));
         thread::Builder::new().name("watch".into()).spawn(move || {
-            let keys = || Keys::new(&[KEY.to_vec()]).expect("a key of 32 bytes");
+            let keys = || AuthKeys::new(&[KEY.to_vec()]).expect("a key of 32 bytes");
             let begun = Instant::now();
             let mut observers: Vec<Observer> = (0..nodes.len())
                 .map(|n| {
@@ -722,7 +722,7 @@
             .map_err(|e| e.to_string())?;
         let seed = u64::from(std::process::id()) << 24
             | u64::from(socket.local_addr().map_or(1, |a| a.port()));
-        let keys = Keys::new(&[KEY.to_vec()])?;
+        let keys = AuthKeys::new(&[KEY.to_vec()])?;
         let mut observer = Observer::new(FLEET, keys, seed | 1 << 50, 600_000_000_000).about(1);
         let (begun, mut last) = (Instant::now(), "nothing".to_owned());
         while Instant::now() < until {
@@ -853,7 +853,7 @@
                 let member = holding.members.values().find(|member| member.name == other);
                 match member {
                     None => "unknown".to_owned(),
-                    Some(m) if held == "draining" && m.status == Status::Alive => {
+                    Some(m) if held == "draining" && m.status == Liveness::Alive => {
                         m.phase.word().to_owned()
                     }
                     Some(m) if held.contains('.') => m.program.clone(),
@@ -1094,7 +1094,7 @@
     at: SocketAddr,
     observer: &mut Observer,
     begun: Instant,
-) -> Option<Holding> {
+) -> Option<NodeSnapshot> {
     let unix = || unix_ms().parse::<u64>().unwrap_or(0);
     let mut buffer = [0; 2048];
     for _ in 0..64 {
--- a/crates/test-harness/src/rig/changes.rs
+++ b/crates/test-harness/src/rig/changes.rs
@@ -4,8 +4,8 @@
 use super::{BETWEEN, FLEET, KEY, LOOK, Rig, Seen, pages};
 use crate::record::Line;
 use crate::script::Ends;
+use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_membership::observer::Observer;
-use madderpoint_membership::seal::Keys;
 use madderpoint_rollout::chunks;
 use madderpoint_rollout::messages::{CommandReply, OperatorCommand, order};
 use madderpoint_rollout::status::StatusSnapshot;
@@ -125,7 +125,13 @@
     fn observer(&self, socket: &UdpSocket) -> Result<Observer, String> {
         let port = u64::from(socket.local_addr().map_or(1, |address| address.port()));
         let seed = u64::from(std::process::id()) << 24 | port | 1 << 51;
-        Ok(Observer::new(FLEET, Keys::new(&[KEY.to_vec()])?, seed, 600_000_000_000).about(TOPIC))
+        Ok(Observer::new(
+            FLEET,
+            AuthKeys::new(&[KEY.to_vec()])?,
+            seed,
+            600_000_000_000,
+        )
+        .about(TOPIC))
     }
 
     /// Orders something of a node, until it is taken or turned down.
