--- a/crates/node/src/outward.rs
+++ b/crates/node/src/actions.rs
@@ -1,7 +1,7 @@
 //! What the core, the desk and the driver all know: the ids of what they speak about, and what a
 //! node does to the world.
 
-use crate::company::Word;
+use crate::cluster::ClusterUpdate;
 use crate::config::Peers;
 use crate::fastcgi::Reply;
 use madderpoint::{Nanos, RequestId};
@@ -10,11 +10,11 @@
 
 /// A dispatcher's connection; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ConnId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// One call below; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct CallNo(pub u64);
+pub struct CallId(pub u64);
 
 /// A connection to the back end: its place, and how often it was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,15 +58,15 @@
 }
 
 /// What the node does to the world. None of it may wait.
-pub trait Outward {
+pub trait Actions {
     /// Write to a dispatcher.
-    fn reply(&mut self, conn: ConnId, reply: Reply);
+    fn reply(&mut self, conn: ConnectionId, reply: Reply);
     /// Close a connection after what was handed over is written, unless more has come on it.
-    fn close(&mut self, conn: ConnId, close: Close);
+    fn close(&mut self, conn: ConnectionId, close: Close);
     /// Read nothing more on a connection, but what a peer that is not paced has sent by now.
-    fn deafen(&mut self, conn: ConnId);
+    fn deafen(&mut self, conn: ConnectionId);
     /// Read on from a connection only after so long a pause, each time.
-    fn pace(&mut self, conn: ConnId, pause: Nanos);
+    fn pace(&mut self, conn: ConnectionId, pause: Nanos);
     /// Write a line to the kernel.
     fn kernel(&mut self, line: String);
     /// Send a call below over the link at this place, if it is still wanted when its turn comes;
@@ -74,7 +74,7 @@
     fn call(
         &mut self,
         place: usize,
-        call: CallNo,
+        call: CallId,
         id: RequestId,
         bytes: Vec<u8>,
         wanted: Wanted,
@@ -93,7 +93,7 @@
     /// Take what waits in the listen backlog, and then no more connections.
     fn stop_listening(&mut self);
     /// Say to the fleet how this node is; nothing where there is none.
-    fn fleet(&mut self, word: Word);
+    fn fleet(&mut self, word: ClusterUpdate);
     /// A step of an invocation, for who follows them.
     fn step(&mut self, rid: &str, what: fmt::Arguments<'_>);
     /// Write a line to the log.
--- a/crates/node/src/room.rs
+++ b/crates/node/src/capacity.rs
@@ -16,7 +16,7 @@
 
 /// Bounds on what is kept. Together they stay below the memory limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct CapacityLimits {
     /// Dispatchers' connections that may be open.
     pub connections: usize,
     /// Those above which one that is idle makes room, so that the next one finds it.
@@ -54,7 +54,7 @@
 
 /// What a node has beside what it always has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Beside {
+pub struct OptionalSubsystems {
     /// Settings of ours.
     pub settings: bool,
     /// A part in a fleet.
@@ -83,10 +83,10 @@
 /// any), a third for an arbiter's record of what both sides did.
 const FOR_CHANGES: usize = 8;
 
-impl Room {
+impl CapacityLimits {
     /// What these limits leave room for, with so many links to the back end, and with these parts
     /// beside.
-    pub fn of(limits: &Limits, links: usize, beside: Beside) -> Room {
+    pub fn of(limits: &Limits, links: usize, beside: OptionalSubsystems) -> CapacityLimits {
         let memory = (limits.memory_mb * f64::from(1 << 20)) as usize;
         let free = memory.saturating_sub(BARE);
         let aside = if beside.settings {
@@ -106,7 +106,7 @@
             .min(limits.sockets.saturating_sub(RESERVED))
             .max(1);
         let part = free / 12;
-        Room {
+        CapacityLimits {
             connections,
             spare_from: connections - connections / 8,
             unfinished: (part / connections).clamp(REQUEST, 96 << 10),
--- a/crates/node/src/room/tests.rs
+++ b/crates/node/src/capacity/tests.rs
@@ -10,13 +10,13 @@
         (192.0, 1024),
     ] {
         for parts in 0..5 {
-            let beside = Beside {
+            let beside = OptionalSubsystems {
                 settings: parts > 0,
                 fleet: parts > 1,
                 shared: parts > 2,
                 changes: parts > 3,
             };
-            let room = Room::of(
+            let room = CapacityLimits::of(
                 &Limits {
                     cores: 0.1,
                     memory_mb,
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -5,7 +5,7 @@
 mod shared;
 
 use crate::serve::{self, Logging};
-use crate::under;
+use crate::supervisor;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use hdrhistogram::Histogram;
 use madderpoint_deployment_config::DeploymentConfig;
@@ -229,7 +229,7 @@
                 arguments,
             }) => {
                 let logging = log.into();
-                under::run(under::Told {
+                supervisor::run(supervisor::Told {
                     programs,
                     start,
                     state,
--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -593,7 +593,9 @@
 
 /// Has the simulated links follow the faults in force.
 fn relink(sim: &mut Simulation, faults: &InForce) {
-    let meant = |faulty: &Faulty, from: &simulation::SimulatedNode, to: &simulation::SimulatedNode| {
+    let meant = |faulty: &Faulty,
+                 from: &simulation::SimulatedNode,
+                 to: &simulation::SimulatedNode| {
         let (from_zone, to_zone) = (format!("z{}", from.zone), format!("z{}", to.zone));
         let one_way = faulty.from.has(&from.name, &from_zone) && faulty.to.has(&to.name, &to_zone);
         let back = faulty.from.has(&to.name, &to_zone) && faulty.to.has(&from.name, &from_zone);
--- a/crates/node/src/cli/rollout.rs
+++ b/crates/node/src/cli/rollout.rs
@@ -4,8 +4,8 @@
 use super::fleet::Asker;
 use super::{Ended, Format};
 use clap::{Args, Subcommand};
-use madderpoint_node::driver::{PROGRAM_CHANGES, SETTINGS_CHANGES};
-use madderpoint_node::program;
+use madderpoint_node::io::{PROGRAM_CHANGES, SETTINGS_CHANGES};
+use madderpoint_node::program_version;
 use madderpoint_rollout::chunks;
 use madderpoint_rollout::messages::{CommandReply, OperatorCommand, order};
 use madderpoint_rollout::status::{
@@ -176,7 +176,7 @@
 
 fn start(file: &Path, at: &At, wait: bool) -> Ended {
     let said = if at.program {
-        let madderpoint_rollout::Version { number, hash } = program::version_of(file)?;
+        let madderpoint_rollout::Version { number, hash } = program_version::version_of(file)?;
         OperatorCommand {
             kind: order::OFFER,
             number,
--- a/crates/node/src/cli/shared.rs
+++ b/crates/node/src/cli/shared.rs
@@ -47,7 +47,7 @@
 
 /// What a node shows of all that is shared; none if it shares nothing.
 pub fn ask(settings: &Path, at: SocketAddr, tries: u32) -> Result<Option<StatusSnapshot>, String> {
-    let bytes = Asker::about(settings, at, madderpoint_node::driver::SHARED)?.ask_pages(tries)?;
+    let bytes = Asker::about(settings, at, madderpoint_node::io::SHARED)?.ask_pages(tries)?;
     bytes
         .map(|bytes| {
             StatusSnapshot::decode(bytes.as_slice())
--- a/crates/node/src/company.rs
+++ b/crates/node/src/cluster.rs
@@ -13,7 +13,7 @@
 
 /// What a node says of itself.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
+pub enum ClusterUpdate {
     /// What it is about.
     Phase(Phase),
     /// Its room (what it advertises, of 255) and its load (invocations in hand, 255 at most).
@@ -37,7 +37,7 @@
 
 /// The node among others.
 #[derive(Debug, Default)]
-pub struct Company {
+pub struct ClusterParticipation {
     /// What is seen of the fleet; none until its part has said anything.
     pub sight: Option<ClusterView>,
     phase: Option<Phase>,
@@ -45,22 +45,22 @@
     pulse: Option<(u8, u8)>,
 }
 
-impl Company {
-    fn enter(&mut self, phase: Phase) -> Option<Word> {
+impl ClusterParticipation {
+    fn enter(&mut self, phase: Phase) -> Option<ClusterUpdate> {
         let is_new = self.phase.is_none_or(|before| before < phase);
         is_new.then(|| {
             self.phase = Some(phase);
-            Word::Phase(phase)
+            ClusterUpdate::Phase(phase)
         })
     }
 
     /// The kernel is up.
-    pub fn booted(&mut self, cold: bool) -> Option<Word> {
+    pub fn booted(&mut self, cold: bool) -> Option<ClusterUpdate> {
         self.enter(if cold { Phase::Cold } else { Phase::Serving })
     }
 
     /// A run succeeded; enough of them, and the node is warm.
-    pub fn succeeded(&mut self) -> Option<Word> {
+    pub fn succeeded(&mut self) -> Option<ClusterUpdate> {
         self.succeeded = self.succeeded.saturating_add(1);
         if self.succeeded == WARM_AFTER {
             self.enter(Phase::Serving)
@@ -70,12 +70,17 @@
     }
 
     /// The notice to leave came.
-    pub fn drains(&mut self) -> Option<Word> {
+    pub fn drains(&mut self) -> Option<ClusterUpdate> {
         self.enter(Phase::Draining)
     }
 
     /// What the node has room for, if that is another than was said last.
-    pub fn pulse(&mut self, kind: LoadReport, advert: Option<f64>, in_hand: usize) -> Option<Word> {
+    pub fn pulse(
+        &mut self,
+        kind: LoadReport,
+        advert: Option<f64>,
+        in_hand: usize,
+    ) -> Option<ClusterUpdate> {
         let share = |part: f64| (part.clamp(0.0, 1.0) * 255.0) as u8;
         let room = match (kind, advert) {
             (LoadReport::Disabled, _) | (_, None) => 255,
@@ -85,7 +90,7 @@
         };
         let load = u8::try_from(in_hand).unwrap_or(u8::MAX);
         let is_new = self.pulse.replace((room, load)) != Some((room, load));
-        is_new.then_some(Word::Pulse { room, load })
+        is_new.then_some(ClusterUpdate::Pulse { room, load })
     }
 }
 
--- a/crates/node/src/company/tests.rs
+++ b/crates/node/src/cluster/tests.rs
@@ -2,23 +2,26 @@
 
 #[test]
 fn a_node_says_once_that_it_is_cold_warm_and_draining_and_never_goes_back() {
-    let mut company = Company::default();
-    assert_eq!(company.booted(true), Some(Word::Phase(Phase::Cold)));
+    let mut company = ClusterParticipation::default();
+    assert_eq!(
+        company.booted(true),
+        Some(ClusterUpdate::Phase(Phase::Cold))
+    );
     assert_eq!(company.booted(true), None);
-    let said: Vec<Word> = (0..200).filter_map(|_| company.succeeded()).collect();
-    assert_eq!(said, [Word::Phase(Phase::Serving)]);
+    let said: Vec<ClusterUpdate> = (0..200).filter_map(|_| company.succeeded()).collect();
+    assert_eq!(said, [ClusterUpdate::Phase(Phase::Serving)]);
     assert_eq!(
         (company.drains(), company.drains()),
-        (Some(Word::Phase(Phase::Draining)), None)
+        (Some(ClusterUpdate::Phase(Phase::Draining)), None)
     );
     assert_eq!((company.booted(false), company.succeeded()), (None, None));
 }
 
 #[test]
 fn room_is_what_the_kind_of_advert_means() {
-    let mut company = Company::default();
+    let mut company = ClusterParticipation::default();
     let mut said = |kind, advert, in_hand| match company.pulse(kind, advert, in_hand) {
-        Some(Word::Pulse { room, load }) => Some((room, load)),
+        Some(ClusterUpdate::Pulse { room, load }) => Some((room, load)),
         _ => None,
     };
     assert_eq!(said(LoadReport::Weight, Some(1.0), 3), Some((255, 3)));
--- a/crates/node/src/kernel.rs
+++ b/crates/node/src/executor.rs
@@ -71,7 +71,7 @@
 /// Reads notices over all links of a node's life.
 ///
 /// ```
-/// use madderpoint_node::kernel::{Command, End, Notice, Reader};
+/// use madderpoint_node::executor::{Command, End, Notice, Reader};
 ///
 /// let mut reader = Reader::default();
 /// assert_eq!(Command::Open(reader.open()).line(), "{\"t\":\"OPEN\",\"no\":0}\n");
--- a/crates/node/src/idempotency_cache.rs
+++ b/crates/node/src/idempotency_cache.rs
@@ -57,7 +57,7 @@
 }
 
 impl IdempotencyCache {
-    /// Room for results of so many bytes.
+    /// CapacityLimits for results of so many bytes.
     pub fn new(most_bytes: usize) -> IdempotencyCache {
         let (entries, keys, expiry) = Default::default();
         let most_keys = (most_bytes / KEY_BYTES).clamp(KEYS_LEAST, KEYS_MAX);
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/io.rs
@@ -1,33 +1,33 @@
 //! Sockets, threads and clocks: feeds the core with what comes, and writes what it hands over.
 
 mod backend_link;
-mod changes;
-mod dispatchers;
-mod fleet_link;
-mod front;
-mod kernel_link;
-mod places;
-mod reports;
-
-pub use changes::{Changing, PROGRAM_CHANGES, SETTINGS_CHANGES, Versions};
-pub use fleet_link::{Part, Reset, SHARED, zone_number};
-
+mod client_connections;
+mod client_reader;
+mod cluster_link;
+mod connection_slots;
+mod executor_link;
+mod registry_reports;
+mod rollout_link;
+
+pub use cluster_link::{Part, Reset, SHARED, zone_number};
+pub use rollout_link::{Changing, PROGRAM_CHANGES, SETTINGS_CHANGES, Versions};
+
+use crate::actions::{Actions, CallId, Close, ConnectionId, Wanted};
+use crate::capacity::{CapacityLimits, OptionalSubsystems};
 use crate::classify::Sheet;
-use crate::company::Word;
+use crate::cluster::ClusterUpdate;
 use crate::config::{Identity, Moved, Peers};
-use crate::core::{Core, Event, Moment};
-use crate::desk::BACKEND_LINKS;
 use crate::fastcgi::Reply;
 use crate::log::log;
-use crate::outward::{CallNo, Close, ConnId, Outward, Wanted};
-use crate::room::{Beside, Room};
-use backend_link::Below;
+use crate::node::{Core, Event, Moment};
+use crate::state::BACKEND_LINKS;
+use backend_link::BackendLinkCommand;
+use client_connections::Connection;
+use client_reader::{Order, Orders};
+use cluster_link::ClusterLink;
 use crossbeam_channel::{Receiver, Sender, bounded, select};
 use crossbeam_utils::atomic::AtomicCell;
-use dispatchers::Connection;
-use fleet_link::FleetLink;
-use front::{Order, Orders};
-use kernel_link::KernelLink;
+use executor_link::ExecutorLink;
 use madderpoint::{Nanos, RequestId};
 use std::collections::HashMap;
 use std::fmt;
@@ -76,9 +76,9 @@
 enum Message {
     Event(Event),
     /// A connection was accepted, from there.
-    Accepted(ConnId, IpAddr, Connection),
+    Accepted(ConnectionId, IpAddr, Connection),
     /// A link to the kernel stands; the last notice that was read before it.
-    Linked(u64, KernelLink),
+    Linked(u64, ExecutorLink),
 }
 
 fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> io::Result<()> {
@@ -125,37 +125,37 @@
 
 /// The node's hands: queues to the threads that write.
 struct Sockets {
-    conns: HashMap<ConnId, Connection>,
+    conns: HashMap<ConnectionId, Connection>,
     /// Connections with something to be done at the end of this turn.
-    dirty: Vec<ConnId>,
-    kernel: Option<KernelLink>,
-    backend: Vec<Sender<Below>>,
+    dirty: Vec<ConnectionId>,
+    kernel: Option<ExecutorLink>,
+    backend: Vec<Sender<BackendLinkCommand>>,
     addresses: Addresses,
     front: Orders,
     leaving: Arc<AtomicBool>,
-    fleet: Option<FleetLink>,
+    fleet: Option<ClusterLink>,
 }
 
-impl Outward for Sockets {
-    fn reply(&mut self, conn: ConnId, reply: Reply) {
+impl Actions for Sockets {
+    fn reply(&mut self, conn: ConnectionId, reply: Reply) {
         if let Some(connection) = self.conns.get_mut(&conn) {
             connection.reply(reply);
             self.dirty.push(conn);
         }
     }
 
-    fn close(&mut self, conn: ConnId, close: Close) {
+    fn close(&mut self, conn: ConnectionId, close: Close) {
         if let Some(connection) = self.conns.get_mut(&conn) {
             connection.close(close);
             self.dirty.push(conn);
         }
     }
 
-    fn deafen(&mut self, conn: ConnId) {
+    fn deafen(&mut self, conn: ConnectionId) {
         self.front.give(Order::Deafen(conn));
     }
 
-    fn pace(&mut self, conn: ConnId, pause: Nanos) {
+    fn pace(&mut self, conn: ConnectionId, pause: Nanos) {
         if let Some(connection) = self.conns.get(&conn) {
             connection.pace(pause);
         }
@@ -169,12 +169,12 @@
     fn call(
         &mut self,
         place: usize,
-        call: CallNo,
+        call: CallId,
         id: RequestId,
         bytes: Vec<u8>,
         wanted: Wanted,
     ) -> bool {
-        let call = Below::Call(call, id, bytes, wanted);
+        let call = BackendLinkCommand::Call(call, id, bytes, wanted);
         self.backend
             .get(place)
             .is_some_and(|queue| queue.try_send(call).is_ok())
@@ -182,13 +182,13 @@
 
     fn cancel(&mut self, place: usize, bytes: Vec<u8>) {
         if let Some(queue) = self.backend.get(place) {
-            let _ = queue.try_send(Below::Cancel(bytes));
+            let _ = queue.try_send(BackendLinkCommand::Cancel(bytes));
         }
     }
 
     fn rest(&mut self, place: usize) {
         if let Some(queue) = self.backend.get(place) {
-            let _ = queue.try_send(Below::Rest);
+            let _ = queue.try_send(BackendLinkCommand::Rest);
         }
     }
 
@@ -210,7 +210,7 @@
         self.front.give(Order::Stop);
     }
 
-    fn fleet(&mut self, word: Word) {
+    fn fleet(&mut self, word: ClusterUpdate) {
         if let Some(fleet) = &self.fleet {
             fleet.say(word);
         }
@@ -243,8 +243,8 @@
 }
 
 /// How much of each thing a node may keep, with these parts beside what it always has.
-pub fn room(who: &Identity, beside: Beside) -> Room {
-    Room::of(&who.limits, BACKEND_LINKS, beside)
+pub fn room(who: &Identity, beside: OptionalSubsystems) -> CapacityLimits {
+    CapacityLimits::of(&who.limits, BACKEND_LINKS, beside)
 }
 
 /// What a node has beside what the platform asks for.
@@ -260,13 +260,13 @@
 }
 
 impl Ours {
-    fn beside(&self) -> Beside {
+    fn beside(&self) -> OptionalSubsystems {
         let shared = self.fleet.as_ref().is_some_and(|part| part.shares());
         let changes = self
             .fleet
             .as_ref()
             .is_some_and(|part| !part.changes.is_empty());
-        Beside {
+        OptionalSubsystems {
             settings: self.rules.is_some(),
             fleet: self.fleet.is_some(),
             shared,
@@ -290,7 +290,7 @@
     let listener = ours
         .listener
         .map_or_else(|| TcpListener::bind(who.listen), Ok)?;
-    let front = front::open(listener, word, room, front_events)?;
+    let front = client_reader::open(listener, word, room, front_events)?;
     let serves = ours.serves.map(|told| -> Box<dyn FnOnce()> {
         Box::new(move || {
             let _ = go.send(());
@@ -311,12 +311,12 @@
             )?);
         }
     }
-    kernel_link::start(Arc::clone(&addresses), room.commands, events.clone())?;
-    let told = reports::Told {
+    executor_link::start(Arc::clone(&addresses), room.commands, events.clone())?;
+    let told = registry_reports::Told {
         leaving: Arc::clone(&leaving),
         handed: Arc::clone(&handed),
     };
-    reports::start(Arc::clone(&addresses), who.name.clone(), told)?;
+    registry_reports::start(Arc::clone(&addresses), who.name.clone(), told)?;
     let budgets = ours
         .fleet
         .as_ref()
@@ -339,7 +339,7 @@
             };
             // Chance of its own: the seed of the decisions is told by the platform, and may be the
             // same on many.
-            Some(fleet_link::start(
+            Some(cluster_link::start(
                 *part,
                 who.seed ^ clock.now(),
                 unix,
--- a/crates/node/src/driver/backend_link.rs
+++ b/crates/node/src/io/backend_link.rs
@@ -2,10 +2,10 @@
 //! and a reader.
 
 use super::{Addresses, CONNECT, Message, READ, spawn};
+use crate::actions::{BackendLink, CallId, Wanted, Wants};
 use crate::backend;
-use crate::core::Event;
 use crate::log::log;
-use crate::outward::{BackendLink, CallNo, Wanted, Wants};
+use crate::node::Event;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use madderpoint::RequestId;
 use std::io::{self, ErrorKind, Read, Write};
@@ -30,8 +30,8 @@
 const RETIRED: usize = 1;
 
 /// What a connection is asked for.
-pub enum Below {
-    Call(CallNo, RequestId, Vec<u8>, Wanted),
+pub enum BackendLinkCommand {
+    Call(CallId, RequestId, Vec<u8>, Wanted),
     Cancel(Vec<u8>),
     Rest,
 }
@@ -42,7 +42,7 @@
     place: usize,
     room: usize,
     events: Sender<Message>,
-) -> io::Result<Sender<Below>> {
+) -> io::Result<Sender<BackendLinkCommand>> {
     let (queue, calls) = bounded(room);
     let link = Link {
         addresses,
@@ -70,18 +70,18 @@
 }
 
 impl Link {
-    fn serve(mut self, queue: &Receiver<Below>) {
+    fn serve(mut self, queue: &Receiver<BackendLinkCommand>) {
         loop {
             match queue.recv_timeout(IDLE) {
-                Ok(Below::Call(call, id, bytes, wanted)) => {
+                Ok(BackendLinkCommand::Call(call, id, bytes, wanted)) => {
                     let event = match self.write_call(&bytes, &wanted) {
                         Ok(link) => Event::CallWritten(call, id, link),
                         Err(_) => Event::CallUnsent(call, id),
                     };
                     let _ = self.events.send(Message::Event(event));
                 }
-                Ok(Below::Cancel(bytes)) => self.cancel(&bytes),
-                Ok(Below::Rest) => {
+                Ok(BackendLinkCommand::Cancel(bytes)) => self.cancel(&bytes),
+                Ok(BackendLinkCommand::Rest) => {
                     self.end_retired(0);
                     self.close();
                 }
--- a/crates/node/src/driver/backend_link/tests.rs
+++ b/crates/node/src/io/backend_link/tests.rs
@@ -15,7 +15,7 @@
 /// A back end, a link to it, and what it tells the core.
 struct Bench {
     backend: TcpListener,
-    queue: Sender<Below>,
+    queue: Sender<BackendLinkCommand>,
     events: Receiver<Message>,
 }
 
@@ -40,7 +40,12 @@
     fn call(&self, no: u64, bytes: &[u8]) -> Wants {
         let wants = Wants::default();
         self.queue
-            .send(Below::Call(CallNo(no), ID, bytes.to_vec(), wants.wanted()))
+            .send(BackendLinkCommand::Call(
+                CallId(no),
+                ID,
+                bytes.to_vec(),
+                wants.wanted(),
+            ))
             .unwrap();
         wants
     }
@@ -85,8 +90,8 @@
     let wanted = Wants::default().wanted();
     bench
         .queue
-        .send(Below::Call(
-            CallNo(1),
+        .send(BackendLinkCommand::Call(
+            CallId(1),
             ID,
             b"invoke one 1 0\r\n\r\n".to_vec(),
             wanted,
@@ -174,7 +179,7 @@
     let bench = Bench::new();
     let _one = bench.call(1, b"invoke one 1 0\r\n\r\n");
     let first = bench.accept();
-    bench.queue.send(Below::Rest).unwrap();
+    bench.queue.send(BackendLinkCommand::Rest).unwrap();
     let _two = bench.call(2, b"invoke two 1 0\r\n\r\n");
     let mut second = bench.accept();
     assert_eq!(all(first), b"invoke one 1 0\r\n\r\n");
--- a/crates/node/src/driver/dispatchers.rs
+++ b/crates/node/src/io/client_connections.rs
@@ -1,12 +1,12 @@
 //! The core's end of dispatchers' connections: it writes as much as a socket takes at once, and a
 //! writer is started for one that does not take all.
 
-use super::front::{Order, Orders};
-use super::places::Socket;
+use super::client_reader::{Order, Orders};
+use super::connection_slots::Socket;
 use super::{spawn, write_gathered};
+use crate::actions::{Close, ConnectionId};
 use crate::fastcgi::{self, Reply};
 use crate::log::log;
-use crate::outward::{Close, ConnId};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use rustix::net::{SendAncillaryBuffer, SendFlags, sendmsg};
 use std::io::{self, ErrorKind, IoSlice};
@@ -28,7 +28,7 @@
 
 /// The core's end of a connection.
 pub struct Connection {
-    number: ConnId,
+    number: ConnectionId,
     socket: Arc<Socket>,
     /// The reader, which ends connections.
     reader: Orders,
@@ -43,7 +43,7 @@
 impl Connection {
     /// For a connection that was accepted; its reader waits for `pause` before each reading.
     pub fn new(
-        number: ConnId,
+        number: ConnectionId,
         socket: Arc<Socket>,
         pause: Arc<AtomicU64>,
         reader: Orders,
@@ -168,7 +168,7 @@
 
 /// Writes until the core lets go of the connection; orders to close it are handed on when all
 /// before them is written.
-fn write(number: ConnId, socket: &Socket, replies: &Receiver<Outgoing>, reader: &Orders) {
+fn write(number: ConnectionId, socket: &Socket, replies: &Receiver<Outgoing>, reader: &Orders) {
     let unread = &socket.places.unread;
     while let Ok(first) = replies.recv() {
         let mut batch = Vec::with_capacity(GATHERED);
--- a/crates/node/src/driver/front.rs
+++ b/crates/node/src/io/client_reader.rs
@@ -8,14 +8,14 @@
 //! a close over unread bytes resets the connection, and answers that the peer has not read go with
 //! it.
 
-use super::dispatchers::Connection;
-use super::places::{Places, Socket};
+use super::client_connections::Connection;
+use super::connection_slots::{Places, Socket};
 use super::{Message, READ, spawn};
-use crate::core::Event;
+use crate::actions::{Close, ConnectionId};
+use crate::capacity::CapacityLimits;
 use crate::fastcgi;
 use crate::log::log;
-use crate::outward::{Close, ConnId};
-use crate::room::Room;
+use crate::node::Event;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use rustix::buffer::spare_capacity;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
@@ -50,11 +50,11 @@
 /// What the reader is asked for.
 pub enum Order {
     /// To end a connection, if nothing has come on it that the core has not heard of.
-    Close(ConnId, Close),
+    Close(ConnectionId, Close),
     /// To read nothing more on a connection, but what a peer that is not paced has sent by now.
-    Deafen(ConnId),
+    Deafen(ConnectionId),
     /// To let go of a connection at once: its peer takes no answers.
-    Abort(ConnId),
+    Abort(ConnectionId),
     /// To take what waits in the listen backlog, and then no more connections.
     Stop,
 }
@@ -86,7 +86,7 @@
 pub fn open(
     listener: TcpListener,
     word: Option<Receiver<()>>,
-    room: Room,
+    room: CapacityLimits,
     events: Sender<Message>,
 ) -> io::Result<Orders> {
     log!("listening on {}", listener.local_addr()?);
@@ -164,7 +164,7 @@
     fn new(
         listener: TcpListener,
         is_shared: bool,
-        room: Room,
+        room: CapacityLimits,
         events: Sender<Message>,
     ) -> io::Result<Reader> {
         listener.set_nonblocking(true)?;
@@ -230,8 +230,8 @@
         }
         while let Ok(order) = self.inbox.try_recv() {
             match order {
-                Order::Close(ConnId(number), close) => self.close(number, close),
-                Order::Deafen(ConnId(number)) => {
+                Order::Close(ConnectionId(number), close) => self.close(number, close),
+                Order::Deafen(ConnectionId(number)) => {
                     if self
                         .reading
                         .get(&number)
@@ -247,7 +247,7 @@
                         self.deafen(number, false);
                     }
                 }
-                Order::Abort(ConnId(number)) => self.gone(number),
+                Order::Abort(ConnectionId(number)) => self.gone(number),
                 Order::Stop => {
                     self.stopping = true;
                     self.accept();
@@ -403,10 +403,10 @@
             closing,
         };
         self.reading.insert(number, reading);
-        let connection = Connection::new(ConnId(number), socket, pause, self.orders.clone());
+        let connection = Connection::new(ConnectionId(number), socket, pause, self.orders.clone());
         let _ = self
             .events
-            .send(Message::Accepted(ConnId(number), from, connection));
+            .send(Message::Accepted(ConnectionId(number), from, connection));
         self.look_at(number).inspect_err(|_| self.gone(number))
     }
 
@@ -449,16 +449,16 @@
         };
         if n == 0 {
             // It has told that nothing more comes, not that it waits for nothing.
-            hand(Event::HalfClosed(ConnId(number)));
+            hand(Event::HalfClosed(ConnectionId(number)));
             if reading.parser.is_partial() {
                 let _ = self.events.send(Message::Event(Event::CutShort));
             }
             return self.deafen(number, true);
         }
-        let front = |event| hand(Event::Front(ConnId(number), event));
+        let front = |event| hand(Event::Front(ConnectionId(number), event));
         if let Err(fastcgi::Broken(what)) = reading.parser.feed(&buffer[..n], &mut { front }) {
             log!("dispatcher: connection ended: {what}");
-            hand(Event::Garbled(ConnId(number), what));
+            hand(Event::Garbled(ConnectionId(number), what));
             return self.deafen(number, false);
         }
         let pause = reading.pause.load(SeqCst);
@@ -583,7 +583,7 @@
         }
         let _ = self
             .events
-            .send(Message::Event(Event::Disconnected(ConnId(number))));
+            .send(Message::Event(Event::Disconnected(ConnectionId(number))));
     }
 }
 
--- a/crates/node/src/driver/front/tests.rs
+++ b/crates/node/src/io/client_reader/tests.rs
@@ -2,8 +2,8 @@
 //! after the other, what would cross by chance.
 
 use super::*;
+use crate::capacity::OptionalSubsystems;
 use crate::config::Limits;
-use crate::room::Beside;
 use madderpoint_test_harness::peers::{PATIENCE, ping};
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
         let reader = Reader::new(
             listener,
             is_shared,
-            Room::of(&limits, 8, Beside::default()),
+            CapacityLimits::of(&limits, 8, OptionalSubsystems::default()),
             events,
         )
         .unwrap();
@@ -385,7 +385,10 @@
         bench.reader.reading[&number]
             .pause
             .store(u64::from(paced) * 1_000_000, SeqCst);
-        bench.reader.orders.give(Order::Deafen(ConnId(number)));
+        bench
+            .reader
+            .orders
+            .give(Order::Deafen(ConnectionId(number)));
         bench.reader.obey();
         let handed = bench.handed();
         assert_eq!(handed[1..] == [(number, "request")], !paced, "{handed:?}");
--- a/crates/node/src/driver/fleet_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -2,11 +2,11 @@
 //! nothing with the core but two bounded queues: words of the core, and what is seen of the fleet.
 //! Neither waits for the other.
 
-use super::changes::{Among, Changes, Changing, SETTINGS_CHANGES, topic};
+use super::rollout_link::{Among, Changes, Changing, SETTINGS_CHANGES, topic};
 use super::{Message, STACK};
-use crate::company::Word;
-use crate::core::{Event, Service, With};
+use crate::cluster::ClusterUpdate;
 use crate::log::log;
+use crate::node::{Event, Service, With};
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_membership::wire::DATAGRAM_MAX;
@@ -119,7 +119,7 @@
 }
 
 enum Order {
-    Word(Word),
+    ClusterUpdate(ClusterUpdate),
     Reset(Box<Reset>),
     Done(Kind, Done),
     /// Whether another process takes this one's place.
@@ -151,12 +151,12 @@
 
 /// The core's end.
 #[derive(Clone)]
-pub struct FleetLink {
+pub struct ClusterLink {
     orders: Sender<Order>,
     bell: Arc<OwnedFd>,
 }
 
-impl FleetLink {
+impl ClusterLink {
     fn order(&self, order: Order) {
         if self.orders.try_send(order).is_ok() {
             let _ = rustix::io::write(&*self.bell, &1u64.to_ne_bytes());
@@ -164,8 +164,8 @@
     }
 
     /// Has a word said. One that finds no room is lost; the next one says more.
-    pub fn say(&self, word: Word) {
-        self.order(Order::Word(word));
+    pub fn say(&self, word: ClusterUpdate) {
+        self.order(Order::ClusterUpdate(word));
     }
 
     /// Takes up what a new file says.
@@ -185,7 +185,7 @@
 const SHOWN_FOR: Nanos = 200_000_000;
 
 /// What the part that lends and borrows does to the world; what it sends goes out as parcels.
-struct Teller {
+struct SharedStateHost {
     sent: Vec<(u64, ReceivedMessage)>,
     /// What the core said last that it wants, and when; and whether nothing is in hand as it
     /// leaves.
@@ -194,7 +194,7 @@
     events: Sender<Message>,
 }
 
-impl shared_state::Host for Teller {
+impl shared_state::Host for SharedStateHost {
     fn send(&mut self, to: u64, told: ReceivedMessage) {
         self.sent.push((to, told));
     }
@@ -221,7 +221,7 @@
 }
 
 /// What the fleet's part does to the world.
-struct Hands {
+struct MembershipHost {
     socket: UdpSocket,
     /// Parcels that came and were not handed on yet.
     parcels: Vec<(ProcessId, u32, Vec<u8>)>,
@@ -251,7 +251,7 @@
     )
 }
 
-impl Host for Hands {
+impl Host for MembershipHost {
     fn send(&mut self, to: SocketAddr, frame: &[u8]) {
         let _ = self.socket.send_to(frame, to); // what is not taken is as good as lost on the way: all of it is made for that
     }
@@ -317,10 +317,10 @@
     seed: u64,
     clock: impl Fn() -> ClockReading + Send + 'static,
     events: Sender<Message>,
-) -> io::Result<(FleetLink, JoinHandle<()>)> {
+) -> io::Result<(ClusterLink, JoinHandle<()>)> {
     let bell = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
     let (orders, inbox) = bounded(WORDS);
-    let link = FleetLink { orders, bell };
+    let link = ClusterLink { orders, bell };
     let thread = thread::Builder::new()
         .name("fleet".into())
         .stack_size(STACK);
@@ -370,8 +370,8 @@
     clock: &impl Fn() -> ClockReading,
     events: Sender<Message>,
     socket: UdpSocket,
-    link: &FleetLink,
-) -> io::Result<(Membership<Hands>, Beside)> {
+    link: &ClusterLink,
+) -> io::Result<(Membership<MembershipHost>, ClusterThread)> {
     socket.set_nonblocking(true)?;
     let zone = part.settings.zone.clone();
     log!(
@@ -381,14 +381,14 @@
         socket.local_addr()?,
         part.settings.address
     );
-    let teller = Teller {
+    let teller = SharedStateHost {
         sent: Vec::new(),
         wants: (0, Vec::new()),
         free: false,
         events: events.clone(),
     };
     let shares = part.shares();
-    let hands = Hands {
+    let hands = MembershipHost {
         socket,
         parcels: Vec::new(),
         events,
@@ -445,7 +445,7 @@
         witnesses: HealthReports::new(WITNESSES),
         told: 0,
     });
-    let beside = Beside {
+    let beside = ClusterThread {
         bank,
         health,
         changes,
@@ -460,10 +460,10 @@
     (MemberKey::of(zone).0 >> 32) as u32
 }
 
-type Bank = Option<SharedState<Teller>>;
+type Bank = Option<SharedState<SharedStateHost>>;
 
 /// What lives in the fleet's thread beside the view.
-struct Beside {
+struct ClusterThread {
     bank: Bank,
     health: Option<Health>,
     changes: Vec<Changes>,
@@ -487,7 +487,12 @@
 
 impl Health {
     /// This node sees so much: some others hear it, and the core hears what they say.
-    fn seen(&mut self, fleet: &mut Membership<Hands>, at: ClockReading, evidence: HealthReport) {
+    fn seen(
+        &mut self,
+        fleet: &mut Membership<MembershipHost>,
+        at: ClockReading,
+        evidence: HealthReport,
+    ) {
         self.told += 1;
         let is_well = evidence.failed == 0 && evidence.level >= 1.0;
         if evidence.tries > 0 && (!is_well || self.told.is_multiple_of(TELLS_WELL))
@@ -518,13 +523,13 @@
 }
 
 fn serve(
-    mut fleet: Membership<Hands>,
-    beside: Beside,
+    mut fleet: Membership<MembershipHost>,
+    beside: ClusterThread,
     clock: &impl Fn() -> ClockReading,
     orders: &Receiver<Order>,
     bell: &OwnedFd,
 ) {
-    let Beside {
+    let ClusterThread {
         mut bank,
         mut health,
         mut changes,
@@ -544,22 +549,26 @@
         let _ = rustix::io::read(bell, &mut count);
         for order in orders.try_iter() {
             match order {
-                Order::Word(Word::Phase(phase)) => fleet.set_phase(clock(), phase),
-                Order::Word(Word::Pulse { room, load }) => fleet.set_pulse(room, load),
-                Order::Word(Word::Wants { at, wants }) => {
+                Order::ClusterUpdate(ClusterUpdate::Phase(phase)) => {
+                    fleet.set_phase(clock(), phase)
+                }
+                Order::ClusterUpdate(ClusterUpdate::Pulse { room, load }) => {
+                    fleet.set_pulse(room, load)
+                }
+                Order::ClusterUpdate(ClusterUpdate::Wants { at, wants }) => {
                     bank.iter_mut()
                         .for_each(|bank| bank.host.wants = (at, wants.clone()));
                 }
-                Order::Word(Word::Keys(asked)) => {
+                Order::ClusterUpdate(ClusterUpdate::Keys(asked)) => {
                     bank.iter_mut()
                         .for_each(|bank| bank.ask_keys(clock().now, asked.clone()));
                 }
-                Order::Word(Word::HealthReport(evidence)) => {
+                Order::ClusterUpdate(ClusterUpdate::HealthReport(evidence)) => {
                     health
                         .iter_mut()
                         .for_each(|health| health.seen(&mut fleet, clock(), evidence));
                 }
-                Order::Word(Word::Counts(mut word)) => {
+                Order::ClusterUpdate(ClusterUpdate::Counts(mut word)) => {
                     let (key, life) = fleet.me();
                     (word.who, word.label) = (
                         ProcessId {
@@ -579,7 +588,7 @@
                     bank.iter_mut()
                         .for_each(|bank| tidy(bank, &fleet, clock().now));
                 }
-                Order::Word(Word::StatusSnapshot(mut shown)) => {
+                Order::ClusterUpdate(ClusterUpdate::StatusSnapshot(mut shown)) => {
                     let now = clock().now;
                     bank.iter()
                         .for_each(|bank| shown.with_shared(now, bank, &operations));
@@ -589,7 +598,7 @@
                     }
                     fleet.host.shown = Some((now, shown.encode_to_vec()));
                 }
-                Order::Word(Word::LetGo(free)) => {
+                Order::ClusterUpdate(ClusterUpdate::LetGo(free)) => {
                     bank.iter_mut().for_each(|bank| bank.host.free = free)
                 }
                 Order::Reset(reset) => {
@@ -701,7 +710,11 @@
 }
 
 /// Sends what lending and borrowing have to say.
-fn post(fleet: &mut Membership<Hands>, bank: &mut Bank, clock: &impl Fn() -> ClockReading) {
+fn post(
+    fleet: &mut Membership<MembershipHost>,
+    bank: &mut Bank,
+    clock: &impl Fn() -> ClockReading,
+) {
     let says = bank.as_ref().is_some_and(|bank| !bank.host.sent.is_empty());
     if shared_state::messages::LATER && says {
         for key in fleet.some_others(1) {
@@ -717,7 +730,7 @@
 }
 
 /// Waits for a datagram, a word or the next timer.
-fn wait(fleet: &Membership<Hands>, next: Nanos, now: Nanos, bell: &OwnedFd) {
+fn wait(fleet: &Membership<MembershipHost>, next: Nanos, now: Nanos, bell: &OwnedFd) {
     let time = Duration::from_nanos(next.saturating_sub(now));
     let time = Timespec::try_from(time).ok();
     let mut ready = [
@@ -747,7 +760,7 @@
 }
 
 /// Has an arbiter add those up who are gone.
-fn tidy(bank: &mut SharedState<Teller>, fleet: &Membership<Hands>, now: Nanos) {
+fn tidy(bank: &mut SharedState<SharedStateHost>, fleet: &Membership<MembershipHost>, now: Nanos) {
     let is_there = |who: ProcessId| {
         let entry = fleet.view().get(MemberKey(who.key));
         entry.is_some_and(|entry| entry.epoch.life.0 == who.life && entry.status().is_present())
@@ -755,7 +768,7 @@
     bank.tidy(now, is_there);
 }
 
-fn read(fleet: &mut Membership<Hands>, clock: &impl Fn() -> ClockReading) {
+fn read(fleet: &mut Membership<MembershipHost>, clock: &impl Fn() -> ClockReading) {
     fleet.host.now = clock().now;
     // One byte more than a datagram may have, so that a larger one is known for it.
     let mut buffer = [0; DATAGRAM_MAX + 1];
--- a/crates/node/src/driver/places.rs
+++ b/crates/node/src/io/connection_slots.rs
@@ -1,14 +1,14 @@
 //! The places for dispatchers' connections, which the reader, the core and writers share.
 
-use super::front::Orders;
-use crate::room::Room;
+use super::client_reader::Orders;
+use crate::capacity::CapacityLimits;
 use std::net::TcpStream;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
 
 /// What is taken of what there is for connections.
 pub struct Places {
-    pub room: Room,
+    pub room: CapacityLimits,
     /// Connections that take a descriptor.
     open: AtomicUsize,
     /// Bytes of answers that wait to be written.
@@ -20,7 +20,7 @@
 
 impl Places {
     /// All of it is free.
-    pub fn new(room: Room, reader: Orders) -> Places {
+    pub fn new(room: CapacityLimits, reader: Orders) -> Places {
         let (open, unread, is_crowded) = Default::default();
         Places {
             room,
--- a/crates/node/src/driver/kernel_link.rs
+++ b/crates/node/src/io/executor_link.rs
@@ -1,9 +1,9 @@
 //! The link to the kernel: one thread that connects and reads, and a writer for each link.
 
 use super::{Addresses, CONNECT, Message, read_all, spawn, write_gathered};
-use crate::core::Event;
-use crate::kernel;
+use crate::executor;
 use crate::log::log;
+use crate::node::Event;
 use crossbeam_channel::{Sender, bounded};
 use std::io::{self, IoSlice};
 use std::net::{Shutdown, TcpStream};
@@ -17,12 +17,12 @@
 const RETRY: Duration = Duration::from_millis(50);
 
 /// The core's end of a link.
-pub struct KernelLink {
+pub struct ExecutorLink {
     stream: Arc<TcpStream>,
     queue: Sender<String>,
 }
 
-impl KernelLink {
+impl ExecutorLink {
     /// Has a line written; false, and the link ends, if the kernel does not read.
     pub fn write(&self, line: String) -> bool {
         let taken = self.queue.try_send(line).is_ok();
@@ -45,7 +45,7 @@
 }
 
 fn keep(addresses: &Addresses, lines: usize, events: &Sender<Message>) {
-    let mut reader = kernel::Reader::default();
+    let mut reader = executor::Reader::default();
     let mut told = false;
     loop {
         let (begun, address) = (Instant::now(), addresses.load().kernel);
@@ -72,7 +72,7 @@
 fn read(
     stream: Arc<TcpStream>,
     most: usize,
-    reader: &mut kernel::Reader,
+    reader: &mut executor::Reader,
     events: &Sender<Message>,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
@@ -93,7 +93,7 @@
         }
         let _ = writer.shutdown(Shutdown::Both);
     })?;
-    let link = KernelLink {
+    let link = ExecutorLink {
         stream: Arc::clone(&stream),
         queue,
     };
@@ -105,5 +105,5 @@
     };
     let read = read_all(&stream, feed);
     let _ = stream.shutdown(Shutdown::Both);
-    read.map_err(|kernel::Broken(what)| io::Error::other(what))
+    read.map_err(|executor::Broken(what)| io::Error::other(what))
 }
--- a/crates/node/src/driver/reports.rs
+++ b/crates/node/src/io/registry_reports.rs
@@ -2,7 +2,7 @@
 
 use super::{Addresses, spawn};
 use crate::log::log;
-use crate::members::{self, Phase};
+use crate::service_registry::{self, Phase};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -37,7 +37,10 @@
             return;
         }
         let phase = if out { Phase::Out } else { Phase::Up };
-        let done = report_once(address, &members::report(&address.to_string(), node, phase));
+        let done = report_once(
+            address,
+            &service_registry::report(&address.to_string(), node, phase),
+        );
         if let Err(e) = &done
             && !failing
         {
@@ -64,7 +67,7 @@
     stream.set_write_timeout(Some(STEP))?;
     stream.write_all(bytes)?;
     let until = Instant::now() + STEP;
-    let (mut answer, mut buffer) = (members::Answer::default(), [0; 512]);
+    let (mut answer, mut buffer) = (service_registry::Answer::default(), [0; 512]);
     while Instant::now() < until {
         let n = match stream.read(&mut buffer) {
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
@@ -82,7 +85,9 @@
             Ok(None) => {}
             Ok(Some(204)) => return Ok(()),
             Ok(Some(status)) => return Err(io::Error::other(format!("status {status}"))),
-            Err(members::Broken) => return Err(io::Error::other("an answer that is no HTTP")),
+            Err(service_registry::Broken) => {
+                return Err(io::Error::other("an answer that is no HTTP"));
+            }
         }
     }
     Ok(())
--- a/crates/node/src/driver/changes.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -3,7 +3,7 @@
 //! thread of its own, and neither waits for the other.
 
 use super::STACK;
-use super::fleet_link::{Done, Poster};
+use super::cluster_link::{Done, Poster};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use madderpoint_membership::{
     Attachment as AttachmentMessage, ClockReading, Host as FleetHost, Liveness, MemberKey,
@@ -146,7 +146,7 @@
 }
 
 /// What the part does to the world.
-struct Hands {
+struct RolloutHost {
     kind: Kind,
     me: u64,
     sent: Vec<(u64, ReceivedMessage)>,
@@ -158,14 +158,14 @@
     rng: Pcg64Mcg,
 }
 
-impl Hands {
+impl RolloutHost {
     fn task(&mut self, task: Task) {
         // What finds no room is asked for again.
         let _ = self.tasks.try_send(task);
     }
 }
 
-impl Host for Hands {
+impl Host for RolloutHost {
     fn send(&mut self, to: u64, told: ReceivedMessage) {
         self.sent.push((to, told));
     }
@@ -252,7 +252,7 @@
 
 /// The part.
 pub struct Changes {
-    rollout: Participant<Hands>,
+    rollout: Participant<RolloutHost>,
     kind: Kind,
     next: Nanos,
     looked: Nanos,
@@ -314,7 +314,7 @@
             work(kind, versions, &inbox, &poster);
         })?;
         let rng = Pcg64Mcg::seed_from_u64(seed ^ me.0 ^ topic(kind) as u64);
-        let hands = Hands {
+        let hands = RolloutHost {
             kind,
             me: me.0,
             sent: Vec::new(),
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -7,21 +7,21 @@
 
 #![forbid(unsafe_code)]
 
+pub mod actions;
 pub mod backend;
+pub mod capacity;
 pub mod classify;
-pub mod company;
+pub mod cluster;
 pub mod config;
-pub mod core;
-mod desk;
-pub mod driver;
+pub mod executor;
 pub mod fastcgi;
 mod idempotency_cache;
-pub mod kernel;
+pub mod io;
 pub mod log;
-pub mod members;
-pub mod outward;
-pub mod parent;
-pub mod program;
+pub mod node;
+pub mod program_version;
 pub mod request;
-pub mod room;
-pub mod versions;
+pub mod service_registry;
+mod state;
+pub mod supervisor_client;
+pub mod version_store;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -6,7 +6,7 @@
 
 mod cli;
 mod serve;
-mod under;
+mod supervisor;
 
 use clap::Parser;
 use std::process::ExitCode;
--- a/crates/node/src/core.rs
+++ b/crates/node/src/node.rs
@@ -1,17 +1,17 @@
 //! The node without its I/O: takes what happened and the time, lets [`AdmissionController`] decide,
-//! and acts through [`Outward`]. What it keeps of invocations is at the desk.
+//! and acts through [`Actions`]. What it keeps of invocations is at the desk.
 
+use crate::actions::{Actions, BackendLink, CallId, ConnectionId};
 use crate::backend;
+use crate::capacity::CapacityLimits;
 use crate::classify::{Classifier, Full, Ruled, Sheet};
-use crate::company::{Company, Word};
+use crate::cluster::{ClusterParticipation, ClusterUpdate};
 use crate::config::Moved;
-use crate::desk::counting::Counting;
-use crate::desk::{Deferred, Desk, Given, Hands, Open, Timer};
+use crate::executor::{End, Notice};
 use crate::fastcgi;
-use crate::kernel::{End, Notice};
-use crate::outward::{BackendLink, CallNo, ConnId, Outward};
 use crate::request::{Fields, Head, Rejected, Wanted};
-use crate::room::Room;
+use crate::state::metrics::Counting;
+use crate::state::{AdmissionHost, DeferredEvent, NodeState, ReplyTarget, RequestContext, Timer};
 use madderpoint::admission::AdmissionController;
 use madderpoint::{
     Arrival, BackendCallOutcome, ExecutionOutcome, LoadBalancerId, Nanos, OperationId, RequestId,
@@ -64,15 +64,15 @@
 #[derive(Debug)]
 pub enum Event {
     /// A dispatcher connected, from there.
-    Connected(ConnId, Option<IpAddr>),
+    Connected(ConnectionId, Option<IpAddr>),
     /// A connection is gone.
-    Disconnected(ConnId),
+    Disconnected(ConnectionId),
     /// Something came on a connection.
-    Front(ConnId, fastcgi::Event),
+    Front(ConnectionId, fastcgi::Event),
     /// A connection's peer has ended its side; it may still wait for answers.
-    HalfClosed(ConnId),
+    HalfClosed(ConnectionId),
     /// What came on a connection can't be read on, and why.
-    Garbled(ConnId, &'static str),
+    Garbled(ConnectionId, &'static str),
     /// A connection was ended, by its peer or for the time that it took, with a part of a request
     /// on it.
     CutShort,
@@ -87,9 +87,9 @@
     /// The kernel said something.
     Kernel(Notice),
     /// A call was written whole.
-    CallWritten(CallNo, RequestId, BackendLink),
+    CallWritten(CallId, RequestId, BackendLink),
     /// A call could not be written whole, so that it never ran.
-    CallUnsent(CallNo, RequestId),
+    CallUnsent(CallId, RequestId),
     /// The back end replied on a link.
     Reply(usize, backend::Reply),
     /// A connection to the back end ended; why, if what came on it can't be read on.
@@ -126,8 +126,8 @@
 }
 
 /// The node's state.
-pub struct Core<O: Outward> {
-    desk: Rc<RefCell<Desk<O>>>,
+pub struct Core<O: Actions> {
+    desk: Rc<RefCell<NodeState<O>>>,
     start: Rc<DeploymentConfig>,
     seed: u64,
     stop_after: Nanos,
@@ -137,9 +137,9 @@
     /// How often keys are asked for; none outside a fleet.
     rhythm: Option<QuotaTiming>,
     /// There are none before the kernel is up: it says whether the node starts cold.
-    admission: Option<AdmissionController<Hands<O>>>,
+    admission: Option<AdmissionController<AdmissionHost<O>>>,
     /// None where nodes keep no view of their fleet.
-    company: Option<Company>,
+    company: Option<ClusterParticipation>,
     /// The name of the service below that is judged, and what the budgets' ends were last said to
     /// be.
     service: String,
@@ -147,7 +147,7 @@
     keys_deaf: bool,
 }
 
-impl<O: Outward> Core<O> {
+impl<O: Actions> Core<O> {
     /// A node that waits for its kernel.
     pub fn new(
         out: O,
@@ -155,10 +155,10 @@
         seed: u64,
         stop_after: Nanos,
         has_backend: bool,
-        room: &Room,
+        room: &CapacityLimits,
     ) -> Self {
         let start = Rc::new(start);
-        let desk = Rc::new(RefCell::new(Desk::new(
+        let desk = Rc::new(RefCell::new(NodeState::new(
             out,
             Rc::clone(&start),
             has_backend,
@@ -182,7 +182,7 @@
 
     /// Takes part in a fleet from now on, and shares these budgets with it.
     pub fn join_fleet(&mut self, now: Nanos, budgets: &[Budget], rhythm: QuotaTiming, with: &With) {
-        self.company = Some(Company::default());
+        self.company = Some(ClusterParticipation::default());
         self.rhythm = Some(rhythm);
         let service = with.service.as_ref();
         let mut desk = self.desk.borrow_mut();
@@ -380,9 +380,11 @@
                 return;
             };
             match next {
-                Deferred::CallEnded(id, ending) => self.call_over(now, id, ending),
-                Deferred::NeverStarted(id) => self.ended(now, id, ExecutionOutcome::Cancelled, 0),
-                Deferred::JoinEnded(id, result) => {
+                DeferredEvent::CallEnded(id, ending) => self.call_over(now, id, ending),
+                DeferredEvent::NeverStarted(id) => {
+                    self.ended(now, id, ExecutionOutcome::Cancelled, 0)
+                }
+                DeferredEvent::JoinEnded(id, result) => {
                     let joined = self.desk.borrow_mut().joined(id, result);
                     if let Some((ending, latency)) = joined {
                         self.ended(now, id, ending, latency);
@@ -394,7 +396,7 @@
 
     // ---- Dispatchers ----
 
-    fn front(&mut self, moment: Moment, conn: ConnId, event: fastcgi::Event) {
+    fn front(&mut self, moment: Moment, conn: ConnectionId, event: fastcgi::Event) {
         self.desk.borrow_mut().came(conn);
         match event {
             fastcgi::Event::Request(request) => self.request(moment, conn, request),
@@ -412,7 +414,7 @@
         }
     }
 
-    fn request(&mut self, moment: Moment, conn: ConnId, request: fastcgi::Request) {
+    fn request(&mut self, moment: Moment, conn: ConnectionId, request: fastcgi::Request) {
         let mut desk = self.desk.borrow_mut();
         let id = request.id;
         if !desk.open(conn, &request) {
@@ -453,7 +455,7 @@
                 desk.reject(conn, id, 409, "correlation id in use");
             }
             Ok(Wanted::Invocation(head)) => {
-                let front = Open { conn, id };
+                let front = ReplyTarget { conn, id };
                 let arrived = moment.now.saturating_sub(head.age(moment.unix_ms));
                 let given = Self::given(&mut desk, front, &head, ruled, &request.body, arrived);
                 drop(desk);
@@ -497,9 +499,9 @@
 
     /// What rules give to a request, and what they have to say.
     fn rule(
-        desk: &mut Desk<O>,
+        desk: &mut NodeState<O>,
         start: &DeploymentConfig,
-        conn: ConnId,
+        conn: ConnectionId,
         fields: &Fields<'_>,
         request: &fastcgi::Request,
     ) -> Option<Ruled> {
@@ -528,8 +530,8 @@
     }
 
     fn verdict(
-        desk: &mut Desk<O>,
-        conn: ConnId,
+        desk: &mut NodeState<O>,
+        conn: ConnectionId,
         id: u16,
         of: Option<(OperationId, LoadBalancerId)>,
         verdict: &Verdict,
@@ -555,14 +557,14 @@
 
     /// What an invocation is given by its rule and its buckets; nothing if that answers it.
     fn given(
-        desk: &mut Desk<O>,
-        front: Open,
+        desk: &mut NodeState<O>,
+        front: ReplyTarget,
         head: &Head,
         ruled: Option<Ruled>,
         body: &[u8],
         arrived: Nanos,
-    ) -> Option<Given> {
-        let Open { conn, id } = front;
+    ) -> Option<RequestContext> {
+        let ReplyTarget { conn, id } = front;
         let ruled = ruled.unwrap_or_default();
         let key = desk.key(head, ruled.key, body, arrived);
         if ruled.key.is_some() && key.is_none() {
@@ -586,10 +588,10 @@
         };
         let now = desk.now;
         let Some(rules) = desk.rules.as_mut() else {
-            return Some(Given {
+            return Some(RequestContext {
                 key,
                 gated,
-                ..Given::default()
+                ..RequestContext::default()
             });
         };
         let asked = if ruled.buckets.is_empty() {
@@ -611,7 +613,7 @@
         let (pause, count, over) = match asked {
             Ok(held) => {
                 let held = held.filter(|held| !held.is_empty());
-                return Some(Given {
+                return Some(RequestContext {
                     key,
                     class: ruled.class,
                     held,
@@ -631,7 +633,14 @@
         None
     }
 
-    fn arrive(&mut self, moment: Moment, front: Open, head: Head, body: Vec<u8>, given: Given) {
+    fn arrive(
+        &mut self,
+        moment: Moment,
+        front: ReplyTarget,
+        head: Head,
+        body: Vec<u8>,
+        given: RequestContext,
+    ) {
         let age = head.age(moment.unix_ms);
         let has_subject = head.subject.is_some() || given.key.is_some();
         let (id, repeats) = self.desk.borrow_mut().take(front, &head, body, age, given);
@@ -672,7 +681,7 @@
 
     // ---- The fleet ----
 
-    fn say(&mut self, word: impl FnOnce(&mut Company) -> Option<Word>) {
+    fn say(&mut self, word: impl FnOnce(&mut ClusterParticipation) -> Option<ClusterUpdate>) {
         if let Some(word) = self.company.as_mut().and_then(word) {
             self.desk.borrow_mut().out.fleet(word);
         }
@@ -691,7 +700,7 @@
             })
         };
         if let Some(wants) = wants {
-            self.say(|_| Some(Word::Wants { at: now, wants }));
+            self.say(|_| Some(ClusterUpdate::Wants { at: now, wants }));
         }
     }
 
@@ -704,7 +713,7 @@
             desk.judged(|judge, now| judge.evidence(now))
         };
         if let Some(evidence) = evidence {
-            self.say(|_| Some(Word::HealthReport(evidence)));
+            self.say(|_| Some(ClusterUpdate::HealthReport(evidence)));
         }
     }
 
@@ -716,7 +725,7 @@
             desk.counted_word()
         };
         if let Some(word) = word {
-            self.say(|_| Some(Word::Counts(Box::new(word))));
+            self.say(|_| Some(ClusterUpdate::Counts(Box::new(word))));
         }
     }
 
@@ -739,7 +748,7 @@
                 shown.with_wallet(now, wallet);
             }
         }
-        self.say(|_| Some(Word::StatusSnapshot(Box::new(shown))));
+        self.say(|_| Some(ClusterUpdate::StatusSnapshot(Box::new(shown))));
     }
 
     /// One line where the end of a budget falls to its floor or is lent something again, and where
@@ -790,7 +799,7 @@
     fn ask_keys(&mut self) {
         let questions = self.desk.borrow_mut().questions();
         for asked in questions {
-            self.say(|_| Some(Word::Keys(asked)));
+            self.say(|_| Some(ClusterUpdate::Keys(asked)));
         }
     }
 
@@ -805,7 +814,7 @@
             let keys = desk.rules.as_mut().is_none_or(|rules| rules.let_go());
             calls && keys
         };
-        self.say(|_| Some(Word::LetGo(free)));
+        self.say(|_| Some(ClusterUpdate::LetGo(free)));
     }
 
     fn pulse(&mut self, now: Nanos) {
@@ -867,7 +876,7 @@
             // has no part in them.
             site.idempotency_key_kb = 0.0;
             let born = now.saturating_sub((up_ms * 1e6) as Nanos);
-            let hands = Hands(Rc::clone(&self.desk));
+            let hands = AdmissionHost(Rc::clone(&self.desk));
             self.admission = Some(AdmissionController::new(born, hands, site, self.seed));
         }
         self.desk.borrow_mut().booted(cold, up_ms);
--- a/crates/node/src/core/tests.rs
+++ b/crates/node/src/node/tests.rs
@@ -2,11 +2,11 @@
 //! could go wrong.
 
 use super::*;
+use crate::actions::{Close, Wanted};
 use crate::backend::Outcome;
-use crate::company::Word;
+use crate::cluster::ClusterUpdate;
 use crate::config::{Limits, Peers};
 use crate::fastcgi::{ProtocolStatus, Reply};
-use crate::outward::{Close, Wanted};
 use madderpoint::Host;
 use madderpoint_test_harness::wire::{self as support, Answer};
 use std::collections::BTreeMap;
@@ -24,39 +24,39 @@
 #[derive(Default)]
 struct Recorder {
     written: Vec<u8>,
-    closed: Vec<ConnId>,
+    closed: Vec<ConnectionId>,
     /// The latest order to close each of them, and those that are not read any more.
-    closes: BTreeMap<ConnId, Close>,
-    deaf: Vec<ConnId>,
+    closes: BTreeMap<ConnectionId, Close>,
+    deaf: Vec<ConnectionId>,
     kernel: Vec<String>,
     /// The mark of the last question for gauges.
     asked: Option<u64>,
-    calls: Vec<(usize, CallNo, RequestId, String)>,
+    calls: Vec<(usize, CallId, RequestId, String)>,
     wanted: Vec<Wanted>,
     cancelled: Vec<(usize, String)>,
     no_room_below: bool,
     stopped: bool,
     resting: Vec<usize>,
     renewed: usize,
-    paced: Vec<(ConnId, Nanos)>,
-    words: Vec<Word>,
+    paced: Vec<(ConnectionId, Nanos)>,
+    words: Vec<ClusterUpdate>,
 }
 
-impl Outward for Recorder {
-    fn reply(&mut self, _: ConnId, reply: Reply) {
+impl Actions for Recorder {
+    fn reply(&mut self, _: ConnectionId, reply: Reply) {
         reply
             .slices()
             .iter()
             .for_each(|s| self.written.extend_from_slice(s));
     }
-    fn close(&mut self, conn: ConnId, close: Close) {
+    fn close(&mut self, conn: ConnectionId, close: Close) {
         self.closed.push(conn);
         self.closes.insert(conn, close);
     }
-    fn deafen(&mut self, conn: ConnId) {
+    fn deafen(&mut self, conn: ConnectionId) {
         self.deaf.push(conn);
     }
-    fn pace(&mut self, conn: ConnId, pause: Nanos) {
+    fn pace(&mut self, conn: ConnectionId, pause: Nanos) {
         self.paced.push((conn, pause));
     }
     fn kernel(&mut self, line: String) {
@@ -68,7 +68,7 @@
     fn call(
         &mut self,
         place: usize,
-        call: CallNo,
+        call: CallId,
         id: RequestId,
         bytes: Vec<u8>,
         wanted: Wanted,
@@ -95,7 +95,7 @@
     fn stop_listening(&mut self) {
         self.stopped = true;
     }
-    fn fleet(&mut self, word: Word) {
+    fn fleet(&mut self, word: ClusterUpdate) {
         self.words.push(word);
     }
     fn step(&mut self, _: &str, _: fmt::Arguments<'_>) {}
@@ -106,7 +106,7 @@
 struct Node {
     core: Core<Recorder>,
     /// The connection in use; another one is made when it was closed.
-    conn: ConnId,
+    conn: ConnectionId,
     now: Nanos,
     /// The kernel answers a question by itself after a second, unless it is silent; the question,
     /// and since when it waits.
@@ -118,11 +118,11 @@
     /// A node whose kernel is not up.
     fn waiting(settings: &str) -> Node {
         let start = madderpoint_deployment_config::decode(settings.as_bytes()).unwrap();
-        let beside = crate::room::Beside {
+        let beside = crate::capacity::OptionalSubsystems {
             settings: true,
             ..Default::default()
         };
-        let room = Room::of(
+        let room = CapacityLimits::of(
             &Limits {
                 cores: 1.0,
                 memory_mb: 32.0,
@@ -135,12 +135,12 @@
         let (silent, question) = (false, (None, 0));
         let mut node = Node {
             core,
-            conn: ConnId(1),
+            conn: ConnectionId(1),
             now: 1000 * MS,
             silent,
             question,
         };
-        node.event(Event::Connected(ConnId(1), None));
+        node.event(Event::Connected(ConnectionId(1), None));
         node.event(Event::KernelLinked(0));
         node
     }
@@ -255,7 +255,7 @@
         ));
     }
 
-    fn last_call(&mut self) -> (usize, CallNo, RequestId, String) {
+    fn last_call(&mut self) -> (usize, CallId, RequestId, String) {
         self.core.out(|out| out.calls.last().cloned()).unwrap()
     }
 
@@ -432,8 +432,8 @@
     node.ask(1, "/call/read", A);
     node.ask(2, "/call/read", B); // held: one core
     node.kernel_lines();
-    node.event(Event::Front(ConnId(1), fastcgi::Event::Abort(2)));
-    node.event(Event::Front(ConnId(1), fastcgi::Event::Abort(1)));
+    node.event(Event::Front(ConnectionId(1), fastcgi::Event::Abort(2)));
+    node.event(Event::Front(ConnectionId(1), fastcgi::Event::Abort(1)));
     assert_eq!(
         node.kernel_lines(),
         [format!(r#"{{"t":"PREEMPT","rid":"{A}"}}"#)]
@@ -447,7 +447,7 @@
     // Both ids may be used again, on the connection and at the kernel.
     node.ask(1, "/call/read", B);
     assert_eq!(node.kernel_lines(), [sched(B, "read")]);
-    node.event(Event::Disconnected(ConnId(1)));
+    node.event(Event::Disconnected(ConnectionId(1)));
     assert_eq!(
         node.kernel_lines(),
         [format!(r#"{{"t":"PREEMPT","rid":"{B}"}}"#)]
@@ -458,7 +458,7 @@
 fn a_halt_that_crosses_an_end_leaves_nothing_behind() {
     let mut node = Node::new();
     node.ask(1, "/call/read", A);
-    node.event(Event::Front(ConnId(1), fastcgi::Event::Abort(1)));
+    node.event(Event::Front(ConnectionId(1), fastcgi::Event::Abort(1)));
     node.reap(A, End::Ok, b"late");
     assert!(node.answers().iter().all(|a| a.status.is_empty()));
     node.kernel_lines();
@@ -478,13 +478,16 @@
         body: Vec::new(),
         oversize: false,
     };
-    node.event(Event::Front(ConnId(1), fastcgi::Event::Request(check)));
+    node.event(Event::Front(
+        ConnectionId(1),
+        fastcgi::Event::Request(check),
+    ));
     assert_eq!(
         (node.statuses(), node.core.out(|out| out.closed.len())),
         (vec![(2, "200".into())], 0)
     );
     node.reap(A, End::Ok, b"");
-    assert_eq!(node.core.out(|out| out.closed.clone()), [ConnId(1)]);
+    assert_eq!(node.core.out(|out| out.closed.clone()), [ConnectionId(1)]);
 }
 
 #[test]
@@ -512,24 +515,24 @@
 #[test]
 fn connections_close_when_idle_and_only_then() {
     let mut node = Node::new();
-    node.event(Event::Connected(ConnId(2), None));
+    node.event(Event::Connected(ConnectionId(2), None));
     node.ask(1, "/call/read", A);
     node.core.desk.borrow_mut().close_idle(30 * MS);
     node.wait(1490);
     assert_eq!(node.core.out(|out| out.closed.len()), 0);
     node.wait(20); // the first request may take longer than a pause between two, but not for good
-    assert_eq!(node.core.out(|out| out.closed.clone()), [ConnId(2)]);
+    assert_eq!(node.core.out(|out| out.closed.clone()), [ConnectionId(2)]);
     node.reap(A, End::Ok, b"");
     node.wait(20);
     assert_eq!(node.core.out(|out| out.closed.len()), 1);
     node.wait(20);
     assert_eq!(
         node.core.out(|out| out.closed.clone()),
-        [ConnId(2), ConnId(1)]
+        [ConnectionId(2), ConnectionId(1)]
     );
     // What the reader had handed on before the order came was read: it is answered, and the order
     // is void.
-    assert_eq!(node.core.out(|out| out.closes[&ConnId(1)].heard), 1);
+    assert_eq!(node.core.out(|out| out.closes[&ConnectionId(1)].heard), 1);
     let (keep_conn, params) = (
         true,
         support::pairs(&support::call("/call/read", B, "3000")),
@@ -541,15 +544,21 @@
         body: b"body".to_vec(),
         oversize: false,
     };
-    node.event(Event::Front(ConnId(1), fastcgi::Event::Request(request)));
+    node.event(Event::Front(
+        ConnectionId(1),
+        fastcgi::Event::Request(request),
+    ));
     assert_eq!(node.kernel_lines()[1..], [sched(B, "read")]);
     assert_eq!(node.statuses(), [(1, "200".into())]);
     node.reap(B, End::Ok, b"");
     assert_eq!(node.statuses(), [(2, "200".into())]);
     node.wait(40);
-    assert_eq!(node.core.out(|out| out.closed[2..].to_vec()), [ConnId(1)]);
     assert_eq!(
-        node.core.out(|out| out.closes[&ConnId(1)].heard),
+        node.core.out(|out| out.closed[2..].to_vec()),
+        [ConnectionId(1)]
+    );
+    assert_eq!(
+        node.core.out(|out| out.closes[&ConnectionId(1)].heard),
         2,
         "the next order knows of it"
     );
@@ -559,7 +568,7 @@
 fn room_is_made_by_closing_strangers_first_and_then_what_is_idle_for_longest() {
     let mut node = Node::new();
     let served = |node: &mut Node, conn: u64, times: u16| {
-        node.conn = ConnId(conn);
+        node.conn = ConnectionId(conn);
         node.event(Event::Connected(node.conn, None));
         for id in 1..=times {
             node.ask(id, "/call/read", A);
@@ -572,20 +581,25 @@
     served(&mut node, 4, 1); // asked once and stayed
     served(&mut node, 5, 0); // says nothing
     node.event(Event::Crowded);
-    assert_eq!(node.core.out(|out| out.closed.clone()), [ConnId(4)]); // the silent one is young yet
+    assert_eq!(node.core.out(|out| out.closed.clone()), [ConnectionId(4)]); // the silent one is young yet
     node.wait(200);
-    node.conn = ConnId(3);
+    node.conn = ConnectionId(3);
     node.ask(9, "/call/read", A); // something is open on it
     (0..4).for_each(|_| node.event(Event::Crowded));
     assert_eq!(
         node.core.out(|out| out.closed.clone()),
-        [ConnId(4), ConnId(1), ConnId(5), ConnId(2)]
+        [
+            ConnectionId(4),
+            ConnectionId(1),
+            ConnectionId(5),
+            ConnectionId(2)
+        ]
     );
     // Above the mark each new connection makes room before it is needed.
-    (100..136).for_each(|conn| node.event(Event::Connected(ConnId(conn), None)));
+    (100..136).for_each(|conn| node.event(Event::Connected(ConnectionId(conn), None)));
     node.wait(200);
     assert_eq!(node.core.out(|out| out.closed.len()), 4);
-    node.event(Event::Connected(ConnId(200), None));
+    node.event(Event::Connected(ConnectionId(200), None));
     assert_eq!(node.core.out(|out| out.closed.len()), 5);
 }
 
@@ -602,7 +616,7 @@
         node.ask(id, "/call/dance", A);
     }
     assert_eq!(paced(&mut node), [50, 100, 200, 400, 800, 1600]);
-    assert_eq!(node.core.out(|out| out.closed.clone()), [ConnId(1)]);
+    assert_eq!(node.core.out(|out| out.closed.clone()), [ConnectionId(1)]);
     node.ask(1, "/call/read", A); // on a new connection; the kernel does not know it
     node.event(Event::Kernel(Notice::EInval {
         command: "SCHED".into(),
@@ -616,8 +630,8 @@
     let old = (node.now / MS - 4000).to_string(); // too late to be run
     (0..1000).for_each(|id| node.send(id, &support::call("/call/read", A, &old), b""));
     assert_eq!(paced(&mut node).len(), 8); // a dispatcher may be turned away at any rate
-    node.conn = ConnId(9);
-    node.event(Event::Connected(ConnId(9), None));
+    node.conn = ConnectionId(9);
+    node.event(Event::Connected(ConnectionId(9), None));
     (0..128).for_each(|id| node.send(id, &support::call("/call/read", A, &old), b""));
     assert_eq!(paced(&mut node)[8..], [50]);
 }
@@ -633,7 +647,7 @@
     node.boot();
     node.send(2, &deep, b"");
     assert_eq!(node.statuses(), [(2, "200".into())]);
-    Hands(Rc::clone(&node.core.desk)).set_health(true, false);
+    AdmissionHost(Rc::clone(&node.core.desk)).set_health(true, false);
     node.kernel_lines();
     for (id, ok, status) in [(3, true, "200"), (4, false, "503")] {
         node.send(id, &deep, b"");
@@ -857,7 +871,7 @@
     let mut node = Node::new();
     node.break_link();
     node.ask(1, "/call/pay", A);
-    node.event(Event::Front(ConnId(1), fastcgi::Event::Abort(1)));
+    node.event(Event::Front(ConnectionId(1), fastcgi::Event::Abort(1)));
     node.relink(0);
     node.info();
     assert_eq!(node.kernel_lines(), [""; 0]);
@@ -1056,7 +1070,7 @@
         (|node| node.reply(0, A, Outcome::Ok), "its reply"),
         (|node| node.reap(A, End::Stopped, b""), "the end of its run"),
         (
-            |node| node.event(Event::CallUnsent(CallNo(1), RequestId(1))),
+            |node| node.event(Event::CallUnsent(CallId(1), RequestId(1))),
             "word that it was not written",
         ),
     ];
@@ -1110,7 +1124,7 @@
 fn calls_that_cross_a_halt_are_given_up_with_the_run() {
     let mut node = Node::new();
     node.ask(1, "/call/read", A);
-    node.event(Event::Front(ConnId(1), fastcgi::Event::Abort(1)));
+    node.event(Event::Front(ConnectionId(1), fastcgi::Event::Abort(1)));
     node.call_wanted(A, 1); // crossed the halt
     assert_eq!(node.calls(), 0);
     node.reap(A, End::Stopped, b"");
@@ -1212,9 +1226,9 @@
     assert_eq!(node.kernel_lines(), [sched(B, "read")]);
     node.wait(2349); // the stop is in 150 ms
     assert_eq!(node.statuses(), [(1, "200".into()), (2, "500".into())]);
-    assert_eq!(node.core.out(|out| out.closed.clone()), [ConnId(1)]);
+    assert_eq!(node.core.out(|out| out.closed.clone()), [ConnectionId(1)]);
     assert!(!node.core.has_left());
-    node.event(Event::Disconnected(ConnId(1)));
+    node.event(Event::Disconnected(ConnectionId(1)));
     assert!(
         !node.core.has_left(),
         "a connection may wait in the listen backlog"
--- a/crates/node/src/core/tests/properties.rs
+++ b/crates/node/src/node/tests/properties.rs
@@ -3,7 +3,7 @@
 //! leaves, broken links, calls and the notice to leave.
 
 use super::*;
-use crate::kernel::Notice;
+use crate::executor::Notice;
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -177,7 +177,7 @@
     arrived: Nanos,
     due: Nanos,
     /// Where it is answered; none if its caller told that it left.
-    place: Option<(ConnId, u16)>,
+    place: Option<(ConnectionId, u16)>,
     answers: u32,
     started: Vec<Nanos>,
 }
@@ -239,7 +239,7 @@
                     .filter(|s| s.place.is_some_and(|p| p.0 == conn))
                     .for_each(|s| s.place = None);
                 self.node.event(Event::Disconnected(conn));
-                self.node.conn = ConnId(conn.0 + 1);
+                self.node.conn = ConnectionId(conn.0 + 1);
                 self.node.event(Event::Connected(self.node.conn, None));
             }
             Step::RunEnds { which, end } if self.linked && !self.running.is_empty() => {
--- a/crates/node/src/core/tests/repeats.rs
+++ b/crates/node/src/node/tests/repeats.rs
@@ -161,7 +161,7 @@
             "what must not run twice is not stopped: its repeat could only err"
         );
         node.answers();
-        node.conn = ConnId(7);
+        node.conn = ConnectionId(7);
         node.event(Event::Connected(node.conn, None));
         node.try_of(2, B, KEY, 0);
         node.reap(A, End::Ok, b"done");
@@ -343,7 +343,7 @@
         node.kernel_lines();
         if order == 2 {
             node.event(Event::Disconnected(node.conn));
-            node.conn = ConnId(9);
+            node.conn = ConnectionId(9);
             node.event(Event::Connected(node.conn, None));
         }
         if order != 1 {
--- a/crates/node/src/core/tests/rules.rs
+++ b/crates/node/src/node/tests/rules.rs
@@ -237,9 +237,9 @@
         ("429", &b"closed for now"[..])
     );
     assert_eq!(answer.fields["X-Pushback-Ms"], "500");
-    node.conn = ConnId(50);
+    node.conn = ConnectionId(50);
     node.event(Event::Connected(
-        ConnId(50),
+        ConnectionId(50),
         Some("10.1.2.3".parse().unwrap()),
     ));
     node.ask(1, "/call/read", B);
--- a/crates/node/src/core/tests/shared.rs
+++ b/crates/node/src/node/tests/shared.rs
@@ -55,7 +55,7 @@
         runs
     }
 
-    fn words(&mut self) -> Vec<Word> {
+    fn words(&mut self) -> Vec<ClusterUpdate> {
         self.core.out(|out| std::mem::take(&mut out.words))
     }
 
@@ -258,7 +258,7 @@
     assert_eq!(let_in.count(), 1, "a sixteenth");
     assert!(node.words().iter().any(|word| matches!(
         word,
-        Word::HealthReport(HealthReport {
+        ClusterUpdate::HealthReport(HealthReport {
             level: 0.0,
             zone: 1,
             ..
@@ -324,7 +324,7 @@
     );
     node.wait(30);
     let asked = node.words().into_iter().find_map(|word| match word {
-        Word::Keys(asked) => Some(asked),
+        ClusterUpdate::Keys(asked) => Some(asked),
         _ => None,
     });
     let asked = asked.unwrap();
@@ -390,12 +390,12 @@
     node.wait(5000);
     let words = node.words();
     let value = words.iter().rev().find_map(|word| match word {
-        Word::Wants { wants, .. } => Some(wants[0].value),
+        ClusterUpdate::Wants { wants, .. } => Some(wants[0].value),
         _ => None,
     });
     assert_eq!(value, Some(3.0), "five and one");
     let counted = words.iter().rev().find_map(|word| match word {
-        Word::Counts(word) => Some(word.clone()),
+        ClusterUpdate::Counts(word) => Some(word.clone()),
         _ => None,
     });
     use madderpoint_shared_state::counts::{OWN, column, own};
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -4,14 +4,14 @@
 use madderpoint_deployment_config::DeploymentConfig;
 use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_membership::swim::FeatureToggles;
+use madderpoint_node::capacity::OptionalSubsystems;
 use madderpoint_node::classify::Sheet;
 use madderpoint_node::config::{self, Identity};
-use madderpoint_node::core::Service;
-use madderpoint_node::driver::{self, Changing, Notice, Ours, Part, Reset, Versions};
+use madderpoint_node::io::{self, Changing, Notice, Ours, Part, Reset, Versions};
 use madderpoint_node::log;
-use madderpoint_node::parent::{self, ProgramVersions};
-use madderpoint_node::room::Beside;
-use madderpoint_node::versions::Directory;
+use madderpoint_node::node::Service;
+use madderpoint_node::supervisor_client::{self, ProgramVersions};
+use madderpoint_node::version_store::Directory;
 use madderpoint_rollout::{Kind as ChangeKind, PersistedState, Version};
 use madderpoint_settings::{self as settings, Complaints, FleetSettings, Known, Place, Translator};
 use madderpoint_shared_state::keyed_quota::KeyedQuota;
@@ -136,7 +136,7 @@
     let service = fleet.service.as_ref().map(|service| Service {
         name: service.name.clone(),
         slow: service.slow,
-        zone: driver::zone_number(&settings.zone),
+        zone: io::zone_number(&settings.zone),
     });
     let operations = who.start.operations.clone();
     let objectives = who
@@ -191,9 +191,9 @@
 }
 
 fn with_room(who: &Identity) -> Known {
-    let room = driver::room(
+    let room = io::room(
         who,
-        Beside {
+        OptionalSubsystems {
             settings: true,
             fleet: true,
             shared: true,
@@ -536,8 +536,8 @@
     let who = Arc::new(config::read(&path, told)?);
     logs(&who.name, logging);
     let (notices, inbox) = crossbeam_channel::bounded(1);
-    let adopted = match told(parent::UNDER) {
-        Some(_) => Some(parent::adopt()?),
+    let adopted = match told(supervisor_client::UNDER) {
+        Some(_) => Some(supervisor_client::adopt()?),
         None => None,
     };
     let beside = adopted.as_ref().is_some_and(|adopted| adopted.begin.beside);
@@ -560,7 +560,7 @@
                     .unwrap_or_default();
                 let versions = Box::new(ProgramVersions(Arc::clone(&adopted.link)));
                 part.changes.push(Changing {
-                    start: parent::start(&adopted.begin),
+                    start: supervisor_client::start(&adopted.begin),
                     plan,
                     versions,
                 });
@@ -605,5 +605,5 @@
             }
         });
     listening.map_err(|e| format!("signals: {e}"))?;
-    driver::serve(&who, ours, inbox).map_err(|e| format!("listen {}: {e}", who.listen))
+    io::serve(&who, ours, inbox).map_err(|e| format!("listen {}: {e}", who.listen))
 }
--- a/crates/node/src/members.rs
+++ b/crates/node/src/service_registry.rs
@@ -28,7 +28,7 @@
 /// Reads the status of the answer to one report.
 ///
 /// ```
-/// use madderpoint_node::members::Answer;
+/// use madderpoint_node::service_registry::Answer;
 ///
 /// let mut answer = Answer::default();
 /// assert_eq!(answer.feed(b"HTTP/1.1 204 No Con"), Ok(None));
--- a/crates/node/src/desk.rs
+++ b/crates/node/src/state.rs
@@ -1,12 +1,12 @@
 //! What the node keeps of connections, invocations, runs, calls and timers; the [`Host`] of the
 //! decisions.
 
+use crate::actions::{Actions, BackendLink, CallId, ConnectionId, Wants};
+use crate::capacity::CapacityLimits;
 use crate::classify::{Classifier, Held};
 use crate::fastcgi::Reply;
 use crate::idempotency_cache::{IdempotencyCache, Key};
-use crate::outward::{BackendLink, CallNo, ConnId, Outward, Wants};
 use crate::request::Head;
-use crate::room::Room;
 use madderpoint::{
     BackendCallOutcome, ExecutionOutcome, Gauges, Host, Idempotency, Nanos, OperationId, RequestId,
     TimerId,
@@ -22,7 +22,7 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-use counting::Counting;
+use metrics::Counting;
 
 /// Counts what must hold and does not, and stops a debug build there.
 macro_rules! invariant {
@@ -35,10 +35,10 @@
     };
 }
 
-mod calls;
-pub mod counting;
-mod front;
-mod runs;
+mod backend_calls;
+mod connections;
+mod executions;
+pub mod metrics;
 
 const MILLISECOND: Nanos = 1_000_000;
 /// Gauges are asked for so long before an alarm, and are told to it if they are no older than this.
@@ -62,7 +62,7 @@
 
 /// What an invocation was given before it is taken in hand.
 #[derive(Debug, Default)]
-pub struct Given {
+pub struct RequestContext {
     /// What it is known again by.
     pub key: Option<Key>,
     /// The class that a rule gave.
@@ -83,13 +83,13 @@
 
 /// Where an answer is owed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Open {
-    pub conn: ConnId,
+pub struct ReplyTarget {
+    pub conn: ConnectionId,
     pub id: u16,
 }
 
 /// What happens next, after the decisions have acted.
-pub enum Deferred {
+pub enum DeferredEvent {
     /// A call ended before it was sent.
     CallEnded(RequestId, BackendCallOutcome),
     /// A run was stopped that the kernel was never told of.
@@ -102,9 +102,9 @@
 pub enum Timer {
     Alarm(TimerId),
     AskGauges,
-    CallLimit(RequestId, CallNo),
+    CallLimit(RequestId, CallId),
     CheckLimit(u64),
-    Idle(ConnId, Nanos),
+    Idle(ConnectionId, Nanos),
     RenewKernel(u64),
     Doubt(RequestId),
     Leave,
@@ -122,14 +122,14 @@
 
 /// What is open on a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Asked {
+enum OpenItem {
     Unread,
-    Invocation(RequestId),
+    OpenRequest(RequestId),
     Check(u64),
 }
 
-struct Conn {
-    open: BTreeMap<u16, Asked>,
+struct ClientConnection {
+    open: BTreeMap<u16, OpenItem>,
     /// Where it comes from, as far as the driver knows.
     address: Option<IpAddr>,
     idle_since: Nanos,
@@ -151,9 +151,9 @@
 }
 
 /// What a run waits for, seen from the kernel.
-enum Wait {
+enum ExecutionWait {
     Nothing,
-    Call {
+    BackendCall {
         no: u64,
     },
     /// It was told to go on, with a reply or without one; and with which command.
@@ -165,28 +165,28 @@
 }
 
 /// A run that the kernel was asked for. `sent` counts commands; 0 = could not be sent yet.
-struct Run {
+struct Execution {
     sent: u64,
     halted: Option<u64>,
     /// Whether the kernel has spoken of it.
     seen: bool,
-    wait: Wait,
+    wait: ExecutionWait,
     /// The body of the call that it waits for.
     call_body: Vec<u8>,
 }
 
 /// Where a call is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum CallPlacement {
     /// It waits for room under the fleet's budgets, and is worth nothing after this.
     Waits { until: Nanos },
     /// It was handed to the link at this place.
     Link(usize),
 }
 
-struct Call {
-    no: CallNo,
-    place: Place,
+struct BackendCall {
+    no: CallId,
+    place: CallPlacement,
     since: Nanos,
     /// The connection on which it was written whole.
     written: Option<BackendLink>,
@@ -197,18 +197,18 @@
     wants: Wants,
 }
 
-impl Call {
+impl BackendCall {
     fn link(&self) -> Option<usize> {
         match self.place {
-            Place::Waits { .. } => None,
-            Place::Link(place) => Some(place),
+            CallPlacement::Waits { .. } => None,
+            CallPlacement::Link(place) => Some(place),
         }
     }
 }
 
 /// What is known of a link to the back end.
 #[derive(Clone, Copy, Default)]
-struct Below {
+struct BackendLinkState {
     /// Connections made there that are known to have ended.
     lost: u64,
     /// The latest call that was made anywhere when the last reply came here.
@@ -217,7 +217,7 @@
     overtaken: u32,
 }
 
-struct Invocation {
+struct OpenRequest {
     rid: String,
     op: OperationId,
     body: Vec<u8>,
@@ -225,13 +225,13 @@
     /// How long its caller waits from then on.
     patience: Nanos,
     /// `None` once it is answered or its caller has left.
-    front: Option<Open>,
-    run: Option<Run>,
+    front: Option<ReplyTarget>,
+    run: Option<Execution>,
     ran: bool,
     /// How often the kernel was told to run it, and whether none of it can have run all the same.
     asked: u32,
     never_ran: bool,
-    call: Option<Call>,
+    call: Option<BackendCall>,
     /// Whether a call that it waits for failed before; calls so far.
     call_failed: bool,
     calls: u32,
@@ -251,7 +251,7 @@
 
 /// The link to the kernel. Commands are counted; a gauge's mark tells which have arrived.
 #[derive(Default)]
-struct KernelLink {
+struct ExecutorLinkState {
     up: bool,
     /// Whether all that ended while there was no link is known, so that commands may be sent.
     synced: bool,
@@ -269,22 +269,22 @@
     seen: Nanos,
 }
 
-pub struct Desk<O: Outward> {
+pub struct NodeState<O: Actions> {
     pub out: O,
     pub now: Nanos,
-    pub deferred: VecDeque<Deferred>,
+    pub deferred: VecDeque<DeferredEvent>,
     start: Rc<DeploymentConfig>,
     has_backend: bool,
-    conns: BTreeMap<ConnId, Conn>,
-    invs: BTreeMap<RequestId, Invocation>,
+    conns: BTreeMap<ConnectionId, ClientConnection>,
+    invs: BTreeMap<RequestId, OpenRequest>,
     ids: HashMap<String, RequestId>,
     next_id: u64,
     next_call: u64,
     timers: BTreeMap<(Nanos, u64), Timer>,
     timers_set: u64,
-    kernel: KernelLink,
+    kernel: ExecutorLinkState,
     /// The links to the back end, by place.
-    below: [Below; BACKEND_LINKS],
+    below: [BackendLinkState; BACKEND_LINKS],
     cache: IdempotencyCache,
     /// By it keys that callers chose become numbers: nobody outside can make two of them meet.
     secret: RandomState,
@@ -293,7 +293,7 @@
     /// None where the fleet shares no budget.
     pub budgets: Option<Box<NodeBudgets>>,
     /// Calls that wait for room under them, and when it is looked for.
-    calls_waiting: VecDeque<(RequestId, CallNo)>,
+    calls_waiting: VecDeque<(RequestId, CallId)>,
     calls_due: Option<Nanos>,
     /// The judgement on the service below, and from when on an answer of it counts as none; what
     /// needs it is let in by both.
@@ -304,7 +304,7 @@
     pub counting: Option<Box<Counting>>,
     /// When a question about keys goes to the fleet, if one is to.
     keys_due: Option<Nanos>,
-    checks: HashMap<u64, Open>,
+    checks: HashMap<u64, ReplyTarget>,
     health: (bool, bool),
     advert: Option<f64>,
     idle_after: Nanos,
@@ -322,12 +322,17 @@
     counts_told: u64,
 }
 
-impl<O: Outward> Desk<O> {
-    pub fn new(out: O, start: Rc<DeploymentConfig>, has_backend: bool, room: &Room) -> Self {
+impl<O: Actions> NodeState<O> {
+    pub fn new(
+        out: O,
+        start: Rc<DeploymentConfig>,
+        has_backend: bool,
+        room: &CapacityLimits,
+    ) -> Self {
         let client_idle_timeout = Some(start.deployment.client_idle_timeout)
             .filter(|&idle| idle > 0)
             .unwrap_or(IDLE);
-        let mut desk = Desk {
+        let mut desk = NodeState {
             out,
             now: 0,
             deferred: VecDeque::new(),
@@ -340,7 +345,7 @@
             next_call: 0,
             timers: BTreeMap::new(),
             timers_set: 0,
-            kernel: KernelLink::default(),
+            kernel: ExecutorLinkState::default(),
             below: Default::default(),
             cache: IdempotencyCache::new(room.results),
             secret: RandomState::new(),
@@ -372,7 +377,7 @@
     }
 }
 
-impl<O: Outward> Desk<O> {
+impl<O: Actions> NodeState<O> {
     // ---- Timers and counts ----
 
     pub fn set_timer(&mut self, after: Nanos, timer: Timer) {
@@ -411,7 +416,7 @@
     }
 
     #[cfg(test)]
-    pub fn is_known(&self, conn: ConnId) -> bool {
+    pub fn is_known(&self, conn: ConnectionId) -> bool {
         self.conns.contains_key(&conn)
     }
 
@@ -420,7 +425,7 @@
     pub fn waits_for_call(&self, rid: &str) -> bool {
         let inv = self.ids.get(rid).and_then(|id| self.invs.get(id));
         inv.and_then(|inv| inv.run.as_ref())
-            .is_some_and(|run| matches!(run.wait, Wait::Call { .. }))
+            .is_some_and(|run| matches!(run.wait, ExecutionWait::BackendCall { .. }))
     }
 
     /// Looks after runs whose end was missed, and logs the counts if any has moved.
@@ -496,7 +501,7 @@
     /// A call that was allowed under the fleet's budgets is over. What lies below may still be at
     /// work on one that was given up or whose connection broke: it counts as in hand for as long as
     /// the longest call.
-    fn call_is_over(&mut self, call: &Call, may_linger: bool) {
+    fn call_is_over(&mut self, call: &BackendCall, may_linger: bool) {
         let longest = self.budgets.as_ref().and_then(|budgets| budgets.longest());
         let Some(longest) = longest.filter(|_| call.budgeted) else {
             return;
@@ -600,15 +605,15 @@
     /// Takes an invocation in hand; gives its id and what it repeats.
     pub fn take(
         &mut self,
-        front: Open,
+        front: ReplyTarget,
         head: &Head,
         body: Vec<u8>,
         age: Nanos,
-        given: Given,
+        given: RequestContext,
     ) -> (RequestId, Option<RequestId>) {
         self.next_id += 1;
         let id = RequestId(self.next_id);
-        let Given {
+        let RequestContext {
             key,
             class,
             held,
@@ -618,7 +623,7 @@
             .patience
             .unwrap_or(self.start.deployment.operations[head.op.0].client_timeout);
         let repeats = key.and_then(|key| self.cache.original(self.now, key));
-        let invocation = Invocation {
+        let invocation = OpenRequest {
             rid: head.rid.clone(),
             op: head.op,
             body,
@@ -649,7 +654,7 @@
         self.invs.insert(id, invocation);
         self.counts_arrival(head.op, head.dispatcher, repeats.is_some());
         if let Some(conn) = self.conns.get_mut(&front.conn) {
-            conn.open.insert(front.id, Asked::Invocation(id));
+            conn.open.insert(front.id, OpenItem::OpenRequest(id));
         }
         (id, repeats)
     }
@@ -715,7 +720,7 @@
     fn never_started(&mut self, id: RequestId) {
         if let Some(inv) = self.invs.get_mut(&id) {
             inv.run = None;
-            self.deferred.push_back(Deferred::NeverStarted(id));
+            self.deferred.push_back(DeferredEvent::NeverStarted(id));
             self.settle(id);
         }
     }
@@ -737,7 +742,7 @@
         }
         for joiner in inv.joiners {
             self.deferred
-                .push_back(Deferred::JoinEnded(joiner, result.clone()));
+                .push_back(DeferredEvent::JoinEnded(joiner, result.clone()));
         }
     }
 
@@ -839,9 +844,9 @@
 }
 
 /// The desk as the decisions' [`Host`].
-pub struct Hands<O: Outward>(pub Rc<RefCell<Desk<O>>>);
+pub struct AdmissionHost<O: Actions>(pub Rc<RefCell<NodeState<O>>>);
 
-impl<O: Outward> Host for Hands<O> {
+impl<O: Actions> Host for AdmissionHost<O> {
     fn start(&mut self, id: RequestId) {
         self.0.borrow_mut().run(id);
     }
@@ -900,11 +905,11 @@
             let result = result.to_vec();
             return desk
                 .deferred
-                .push_back(Deferred::JoinEnded(id, Some(result)));
+                .push_back(DeferredEvent::JoinEnded(id, Some(result)));
         }
         match original.and_then(|of| desk.invs.get_mut(&of)) {
             Some(original) => original.joiners.push(id),
-            None => desk.deferred.push_back(Deferred::JoinEnded(id, None)),
+            None => desk.deferred.push_back(DeferredEvent::JoinEnded(id, None)),
         }
     }
     fn set_health(&mut self, good: bool, from_store: bool) {
--- a/crates/node/src/desk/calls.rs
+++ b/crates/node/src/state/backend_calls.rs
@@ -1,9 +1,12 @@
 //! Calls below.
 
-use super::{BACKEND_LINKS, Below, Call, Deferred, Desk, MILLISECOND, Place, Timer, Wait};
+use super::{
+    BACKEND_LINKS, BackendCall, BackendLinkState, CallPlacement, DeferredEvent, ExecutionWait,
+    MILLISECOND, NodeState, Timer,
+};
+use crate::actions::{Actions, BackendLink, CallId, Wants};
 use crate::backend;
-use crate::kernel::Command;
-use crate::outward::{BackendLink, CallNo, Outward, Wants};
+use crate::executor::Command;
 use madderpoint::{BackendCallOutcome, Nanos, RequestId};
 use madderpoint_shared_state::counts::own;
 use madderpoint_shared_state::{HealthState, ServiceHealth};
@@ -16,7 +19,7 @@
 const CALL_WAITS: Nanos = 250 * MILLISECOND;
 const CALLS_WAITING: usize = 64;
 
-impl<O: Outward> Desk<O> {
+impl<O: Actions> NodeState<O> {
     /// The link for a call: rather one that is not silent, then the one with the fewest calls.
     fn link_for(&self, id: RequestId) -> Option<usize> {
         let mut waiting = [0; BACKEND_LINKS];
@@ -36,11 +39,11 @@
         if !inv
             .run
             .as_ref()
-            .is_some_and(|run| matches!(run.wait, Wait::Call { .. }))
+            .is_some_and(|run| matches!(run.wait, ExecutionWait::BackendCall { .. }))
         {
             return self.count("calls of runs that wait for none", 1);
         }
-        let never_ran = Deferred::CallEnded(id, BackendCallOutcome::NotExecuted);
+        let never_ran = DeferredEvent::CallEnded(id, BackendCallOutcome::NotExecuted);
         if !self.has_backend || inv.call.is_some() {
             return self.deferred.push_back(never_ran);
         }
@@ -74,13 +77,13 @@
             return self.deferred.push_back(never_ran);
         }
         self.next_call += 1;
-        let (no, until) = (CallNo(self.next_call), self.now + timeout);
-        let place = Place::Waits { until };
+        let (no, until) = (CallId(self.next_call), self.now + timeout);
+        let place = CallPlacement::Waits { until };
         let budgeted = self.budgets.is_some() && room.is_ok();
         if let Some(inv) = self.invs.get_mut(&id) {
             inv.calls += 1;
             let wants = Wants::default();
-            inv.call = Some(Call {
+            inv.call = Some(BackendCall {
                 no,
                 place,
                 since: now,
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Hands a call, for which there is room below, to a link.
+    /// AdmissionHost a call, for which there is room below, to a link.
     fn send_call(&mut self, id: RequestId, timeout: Nanos) {
         let place = self.link_for(id);
         let Some(inv) = self.invs.get_mut(&id) else {
@@ -115,7 +118,7 @@
                 .out
                 .call(place, call.no, id, bytes, call.wants.wanted())
             {
-                (call.place, call.since) = (Place::Link(place), self.now);
+                (call.place, call.since) = (CallPlacement::Link(place), self.now);
                 let repeats = call.repeats;
                 self.out.step(
                     &inv.rid,
@@ -131,8 +134,10 @@
         if let Some(call) = inv.call.take() {
             self.call_is_over(&call, false);
         }
-        self.deferred
-            .push_back(Deferred::CallEnded(id, BackendCallOutcome::NotExecuted));
+        self.deferred.push_back(DeferredEvent::CallEnded(
+            id,
+            BackendCallOutcome::NotExecuted,
+        ));
     }
 
     /// Has a timer look whether a call that waits has room.
@@ -155,8 +160,8 @@
                 .and_then(|inv| inv.call.as_ref())
                 .filter(|call| call.no == no);
             let Some((until, repeats)) = waits.and_then(|call| match call.place {
-                Place::Waits { until } => Some((until, call.repeats)),
-                Place::Link(_) => None,
+                CallPlacement::Waits { until } => Some((until, call.repeats)),
+                CallPlacement::Link(_) => None,
             }) else {
                 self.calls_waiting.pop_front(); // over before there was room
                 continue;
@@ -177,7 +182,7 @@
         }
     }
 
-    pub fn is_current(&self, id: RequestId, no: CallNo) -> bool {
+    pub fn is_current(&self, id: RequestId, no: CallId) -> bool {
         self.invs
             .get(&id)
             .and_then(|inv| inv.call.as_ref())
@@ -185,19 +190,19 @@
     }
 
     /// A call's time is up: how it ended, if it was still in hand.
-    pub fn give_up_call(&mut self, id: RequestId, no: CallNo) -> Option<BackendCallOutcome> {
+    pub fn give_up_call(&mut self, id: RequestId, no: CallId) -> Option<BackendCallOutcome> {
         if !self.is_current(id, no) {
             return None;
         }
         let inv = self.invs.get_mut(&id)?;
-        let Place::Link(place) = inv.call.as_ref()?.place else {
+        let CallPlacement::Link(place) = inv.call.as_ref()?.place else {
             self.count("calls that the fleet's budgets had no room for", 1);
             return Some(BackendCallOutcome::NotExecuted);
         };
         inv.tainted[place] = true;
         let rid = inv.rid.clone();
         self.cancel(&rid, place);
-        let Below {
+        let BackendLinkState {
             heard, overtaken, ..
         } = self.below[place];
         if overtaken >= OVERTAKEN && heard < no.0 {
@@ -212,7 +217,7 @@
     }
 
     /// A call was written whole: true if the connection is known to have ended since.
-    pub fn call_written(&mut self, no: CallNo, id: RequestId, link: BackendLink) -> bool {
+    pub fn call_written(&mut self, no: CallId, id: RequestId, link: BackendLink) -> bool {
         if !self.is_current(id, no) {
             return false;
         }
@@ -227,7 +232,7 @@
         // One that was retired may end after a newer one.
         let below = &mut self.below[link.place];
         (below.lost, below.overtaken) = (below.lost.max(link.generation + 1), 0);
-        let lost = |call: &Call| call.written == Some(link);
+        let lost = |call: &BackendCall| call.written == Some(link);
         let broke = self
             .invs
             .iter()
@@ -366,8 +371,10 @@
         let Some(run) = self.invs.get_mut(&id).and_then(|inv| inv.run.as_mut()) else {
             return;
         };
-        let Wait::Call { no } = run.wait else { return };
-        run.wait = Wait::Resumed { no, reply, sent: 0 };
+        let ExecutionWait::BackendCall { no } = run.wait else {
+            return;
+        };
+        run.wait = ExecutionWait::Resumed { no, reply, sent: 0 };
         self.resume_again(id, |sent| sent == 0);
     }
 
@@ -378,7 +385,7 @@
         };
         let rid = inv.rid.clone();
         let Some(run) = inv.run.as_mut() else { return };
-        let Wait::Resumed { no, reply, sent } = &mut run.wait else {
+        let ExecutionWait::Resumed { no, reply, sent } = &mut run.wait else {
             return;
         };
         if !lacking(*sent) {
@@ -391,7 +398,7 @@
         };
         let sent = self.command(command);
         if let Some(run) = self.invs.get_mut(&id).and_then(|inv| inv.run.as_mut()) {
-            run.wait = Wait::Resumed { no, reply, sent };
+            run.wait = ExecutionWait::Resumed { no, reply, sent };
         }
     }
 }
--- a/crates/node/src/desk/front.rs
+++ b/crates/node/src/state/connections.rs
@@ -1,9 +1,9 @@
 //! Dispatchers' connections, what is open on them, and health checks.
 
-use super::{Asked, CHECK_LIMIT, Conn, Desk, MILLISECOND, Open, Timer};
+use super::{CHECK_LIMIT, ClientConnection, MILLISECOND, NodeState, OpenItem, ReplyTarget, Timer};
+use crate::actions::{Actions, Close, ConnectionId};
+use crate::executor::Command;
 use crate::fastcgi::{MAX_OPEN, ProtocolStatus, Reply, Request};
-use crate::kernel::Command;
-use crate::outward::{Close, ConnId, Outward};
 use madderpoint::{LoadReport, Nanos, RequestId};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -26,9 +26,9 @@
 const STRIKES: u32 = 6;
 const PACE: Nanos = 25 * MILLISECOND;
 
-impl<O: Outward> Desk<O> {
-    pub fn connected(&mut self, conn: ConnId, address: Option<IpAddr>) {
-        let new = Conn {
+impl<O: Actions> NodeState<O> {
+    pub fn connected(&mut self, conn: ConnectionId, address: Option<IpAddr>) {
+        let new = ClientConnection {
             open: BTreeMap::new(),
             address,
             idle_since: self.now,
@@ -49,7 +49,7 @@
     }
 
     /// A connection is gone; gives the invocations whose callers left with it.
-    pub fn disconnected(&mut self, conn: ConnId) -> Vec<RequestId> {
+    pub fn disconnected(&mut self, conn: ConnectionId) -> Vec<RequestId> {
         let Some(conn) = self.conns.remove(&conn) else {
             return Vec::new();
         };
@@ -60,20 +60,20 @@
     }
 
     /// The dispatcher no longer waits for a request; gives the invocation whose caller left.
-    pub fn aborted(&mut self, conn: ConnId, id: u16) -> Option<RequestId> {
+    pub fn aborted(&mut self, conn: ConnectionId, id: u16) -> Option<RequestId> {
         let asked = *self.conns.get(&conn)?.open.get(&id)?;
         self.end(conn, id, Reply::end(id, ProtocolStatus::Complete));
         self.let_go(asked)
     }
 
-    fn let_go(&mut self, asked: Asked) -> Option<RequestId> {
+    fn let_go(&mut self, asked: OpenItem) -> Option<RequestId> {
         match asked {
-            Asked::Unread => None,
-            Asked::Check(mark) => {
+            OpenItem::Unread => None,
+            OpenItem::Check(mark) => {
                 self.checks.remove(&mark);
                 None
             }
-            Asked::Invocation(id) => {
+            OpenItem::OpenRequest(id) => {
                 self.invs.get_mut(&id)?.front = None;
                 self.settle(id);
                 Some(id)
@@ -83,7 +83,7 @@
 
     /// Something came on a connection. If it is being closed, the reader had handed this on before
     /// the order came, and does not carry it out: what was read is answered.
-    pub fn came(&mut self, conn: ConnId) {
+    pub fn came(&mut self, conn: ConnectionId) {
         let Some(state) = self.conns.get_mut(&conn) else {
             return;
         };
@@ -95,7 +95,7 @@
 
     /// What came is dealt with: if nothing is open now, the connection is closed, or is looked at
     /// when it was idle for long enough.
-    pub fn dealt_with(&mut self, conn: ConnId) {
+    pub fn dealt_with(&mut self, conn: ConnectionId) {
         let Some(state) = self
             .conns
             .get(&conn)
@@ -112,7 +112,7 @@
 
     /// Nothing more is read on a connection: its peer ended its side, or framing is lost. What is
     /// open on it is answered first.
-    pub fn no_more(&mut self, conn: ConnId) {
+    pub fn no_more(&mut self, conn: ConnectionId) {
         if let Some(state) = self.conns.get_mut(&conn) {
             state.last = true;
         }
@@ -120,7 +120,7 @@
     }
 
     /// Opens a request on its connection; false if what came can't have an answer of its own.
-    pub fn open(&mut self, conn: ConnId, request: &Request) -> bool {
+    pub fn open(&mut self, conn: ConnectionId, request: &Request) -> bool {
         let Some(state) = self.conns.get_mut(&conn) else {
             self.count("requests on no connection", 1);
             return false;
@@ -133,20 +133,20 @@
             self.no_more(conn);
             return false;
         }
-        state.open.insert(request.id, Asked::Unread);
+        state.open.insert(request.id, OpenItem::Unread);
         state.asked = state.asked.saturating_add(1);
         state.last |= !request.keep_conn;
         true
     }
 
-    pub fn crowded(&self, conn: ConnId) -> bool {
+    pub fn crowded(&self, conn: ConnectionId) -> bool {
         self.conns
             .get(&conn)
             .is_some_and(|c| c.open.len() > MAX_OPEN)
     }
 
     /// Writes what ends a request.
-    pub fn end(&mut self, conn: ConnId, id: u16, reply: Reply) {
+    pub fn end(&mut self, conn: ConnectionId, id: u16, reply: Reply) {
         let Some(state) = self.conns.get_mut(&conn) else {
             return;
         };
@@ -164,24 +164,24 @@
     }
 
     /// NodeBudgets a request that is one too many on its connection.
-    pub fn overload(&mut self, conn: ConnId, id: u16) {
+    pub fn overload(&mut self, conn: ConnectionId, id: u16) {
         self.turned_away(conn);
         self.end(conn, id, Reply::end(id, ProtocolStatus::Overloaded));
     }
 
     /// Answers what came before there were decisions.
-    pub fn not_up(&mut self, conn: ConnId, id: u16) {
+    pub fn not_up(&mut self, conn: ConnectionId, id: u16) {
         self.refuse(conn, id, 503, "the kernel is not up");
     }
 
     /// Answers what is malformed.
-    pub fn reject(&mut self, conn: ConnId, id: u16, status: u16, cause: &'static str) {
+    pub fn reject(&mut self, conn: ConnectionId, id: u16, status: u16, cause: &'static str) {
         self.strike(conn);
         self.refuse(conn, id, status, cause);
     }
 
     /// A run succeeded for who is at the other end.
-    pub fn succeeded(&mut self, conn: ConnId) {
+    pub fn succeeded(&mut self, conn: ConnectionId) {
         let Some(state) = self.conns.get_mut(&conn) else {
             return;
         };
@@ -192,7 +192,7 @@
     }
 
     /// Something was answered that did not succeed.
-    pub fn turned_away(&mut self, conn: ConnId) {
+    pub fn turned_away(&mut self, conn: ConnectionId) {
         let Some(state) = self.conns.get_mut(&conn).filter(|c| !c.proven) else {
             return;
         };
@@ -203,7 +203,7 @@
     }
 
     /// Something came on a connection that no dispatcher sends.
-    pub fn strike(&mut self, conn: ConnId) {
+    pub fn strike(&mut self, conn: ConnectionId) {
         let Some(state) = self.conns.get_mut(&conn).filter(|c| !c.closing) else {
             return;
         };
@@ -219,7 +219,7 @@
     }
 
     /// Where a connection comes from.
-    pub fn address(&self, conn: ConnId) -> Option<IpAddr> {
+    pub fn address(&self, conn: ConnectionId) -> Option<IpAddr> {
         self.conns.get(&conn)?.address
     }
 
@@ -230,7 +230,14 @@
 
     /// Answers what a rule or a limit decided before the decisions saw it. It never ran. The pause
     /// is told where the settings have dispatchers heed one.
-    pub fn verdict(&mut self, conn: ConnId, id: u16, status: u16, pause: Nanos, reason: &str) {
+    pub fn verdict(
+        &mut self,
+        conn: ConnectionId,
+        id: u16,
+        status: u16,
+        pause: Nanos,
+        reason: &str,
+    ) {
         self.turned_away(conn);
         let pause = pause.min(self.start.deployment.max_retry_after);
         let mut fields = self.fields() + "Content-Type: text/plain\r\n";
@@ -244,7 +251,7 @@
         );
     }
 
-    fn refuse(&mut self, conn: ConnId, id: u16, status: u16, cause: &'static str) {
+    fn refuse(&mut self, conn: ConnectionId, id: u16, status: u16, cause: &'static str) {
         self.count(cause, 1);
         let fields = self.fields() + "Content-Type: text/plain\r\n";
         self.end(
@@ -264,7 +271,7 @@
 
     // ---- Idle connections ----
 
-    fn went_idle(&mut self, conn: ConnId) {
+    fn went_idle(&mut self, conn: ConnectionId) {
         if self.closing {
             return self.close(conn);
         }
@@ -276,7 +283,7 @@
     }
 
     /// Until when a connection may be idle.
-    fn idle_until(&self, conn: ConnId) -> Nanos {
+    fn idle_until(&self, conn: ConnectionId) -> Nanos {
         let Some(state) = self.conns.get(&conn) else {
             return self.now;
         };
@@ -290,7 +297,7 @@
     }
 
     /// Has one timer look at a connection, at this time or sooner.
-    fn look_at(&mut self, conn: ConnId, due: Nanos) {
+    fn look_at(&mut self, conn: ConnectionId, due: Nanos) {
         let Some(state) = self.conns.get_mut(&conn) else {
             return;
         };
@@ -314,7 +321,7 @@
 
     /// Closes a connection if it was idle for long enough, unless an earlier look took this one's
     /// place.
-    pub fn close_if_idle(&mut self, conn: ConnId, due: Nanos) {
+    pub fn close_if_idle(&mut self, conn: ConnectionId, due: Nanos) {
         let Some(state) = self.conns.get_mut(&conn).filter(|c| c.look == Some(due)) else {
             return;
         };
@@ -331,13 +338,13 @@
     }
 
     /// Has a connection closed unless more has come on it by now.
-    pub fn close(&mut self, conn: ConnId) {
+    pub fn close(&mut self, conn: ConnectionId) {
         let proven = self.conns.get(&conn).is_some_and(|c| c.proven);
         self.close_within(conn, if proven { REST_PROVEN } else { REST });
     }
 
     /// The same, waiting so long for the rest of a request that has come in part.
-    fn close_within(&mut self, conn: ConnId, patience: Nanos) {
+    fn close_within(&mut self, conn: ConnectionId, patience: Nanos) {
         let Some(state) = self.conns.get_mut(&conn) else {
             return;
         };
@@ -358,12 +365,12 @@
     /// that never sent a whole request, then one that asked once or in vain, then another, and of
     /// these the one idle for longest.
     pub fn make_room(&mut self) {
-        let silent = |c: &Conn| c.asked == 0 && self.now < c.idle_since + YOUNG;
+        let silent = |c: &ClientConnection| c.asked == 0 && self.now < c.idle_since + YOUNG;
         let idle = self
             .conns
             .iter()
             .filter(|(_, c)| c.open.is_empty() && !c.closing && !silent(c));
-        let standing = |c: &Conn| {
+        let standing = |c: &ClientConnection| {
             if c.proven {
                 c.asked.min(2)
             } else {
@@ -379,17 +386,17 @@
 
     // ---- Health ----
 
-    pub fn check(&mut self, conn: ConnId, id: u16, deep: bool) {
+    pub fn check(&mut self, conn: ConnectionId, id: u16, deep: bool) {
         let (good, from_store) = self.health;
         let as_told = !deep || from_store || !good;
         if as_told || !self.kernel.synced {
-            return self.check_ends(Open { conn, id }, good && as_told);
+            return self.check_ends(ReplyTarget { conn, id }, good && as_told);
         }
         let mark = self.kernel.sent + 1;
         self.command(Command::Post(mark));
-        self.checks.insert(mark, Open { conn, id });
+        self.checks.insert(mark, ReplyTarget { conn, id });
         if let Some(state) = self.conns.get_mut(&conn) {
-            state.open.insert(id, Asked::Check(mark));
+            state.open.insert(id, OpenItem::Check(mark));
         }
         self.set_timer(CHECK_LIMIT, Timer::CheckLimit(mark));
     }
@@ -401,7 +408,7 @@
         }
     }
 
-    fn check_ends(&mut self, open: Open, good: bool) {
+    fn check_ends(&mut self, open: ReplyTarget, good: bool) {
         let reply = Reply::answer(
             open.id,
             if good { 200 } else { 503 },
--- a/crates/node/src/desk/runs.rs
+++ b/crates/node/src/state/executions.rs
@@ -1,9 +1,11 @@
 //! The kernel's link and what runs there.
 
-use super::{Desk, GAUGES_LEAD, Invocation, LOOK_PERIOD, MILLISECOND, Run, Timer, Wait};
+use super::{
+    Execution, ExecutionWait, GAUGES_LEAD, LOOK_PERIOD, MILLISECOND, NodeState, OpenRequest, Timer,
+};
+use crate::actions::Actions;
 use crate::config::Moved;
-use crate::kernel::{Command, End};
-use crate::outward::Outward;
+use crate::executor::{Command, End};
 use madderpoint::{Idempotency, Nanos, RequestId};
 
 /// How long a link that is to be renewed has to show that all commands arrived.
@@ -18,7 +20,7 @@
 /// What is in doubt has so long to be heard of.
 const DOUBT: Nanos = 1000 * MILLISECOND;
 
-impl<O: Outward> Desk<O> {
+impl<O: Actions> NodeState<O> {
     // ---- The link ----
 
     /// Sends a command and gives its number; 0 while it must wait until the link is in step.
@@ -168,10 +170,10 @@
     }
 
     /// The kernel has not spoken of a run since the link broke on which it was asked for: its
-    /// caller is told at once and not at its client timeout. Asked for again when that is over, the
+    /// caller is told at once and not at its client timeout. OpenItem for again when that is over, the
     /// kernel only says whether there is one.
     pub fn doubt_over(&mut self, id: RequestId) {
-        let silent = |inv: &Invocation| inv.run.as_ref().is_some_and(|run| !run.seen);
+        let silent = |inv: &OpenRequest| inv.run.as_ref().is_some_and(|run| !run.seen);
         if self.kernel.synced && self.invs.get(&id).is_some_and(silent) {
             self.answer(id, 500, "", Vec::new());
             self.start(id);
@@ -210,11 +212,11 @@
         self.out
             .step(&rid, format_args!("told to run, command {sent}"));
         if let Some(inv) = self.invs.get_mut(&id) {
-            let run = inv.run.get_or_insert_with(|| Run {
+            let run = inv.run.get_or_insert_with(|| Execution {
                 sent,
                 halted: None,
                 seen: false,
-                wait: Wait::Nothing,
+                wait: ExecutionWait::Nothing,
                 call_body: Vec::new(),
             });
             run.sent = sent;
@@ -246,8 +248,8 @@
         if !self.kernel.synced {
             return; // what happened without a link is told first
         }
-        let timeout = |inv: &Invocation| self.start.deployment.operations[inv.op.0].client_timeout;
-        let long_over = |inv: &Invocation| {
+        let timeout = |inv: &OpenRequest| self.start.deployment.operations[inv.op.0].client_timeout;
+        let long_over = |inv: &OpenRequest| {
             inv.front.is_none()
                 && inv.run.is_some()
                 && self.now > inv.arrived + timeout(inv) + LOOK_PERIOD
@@ -276,7 +278,7 @@
         };
         inv.call_failed = false;
         let run = inv.run.as_mut()?;
-        (run.seen, run.wait, run.call_body) = (true, Wait::Call { no }, body);
+        (run.seen, run.wait, run.call_body) = (true, ExecutionWait::BackendCall { no }, body);
         id
     }
 
--- a/crates/node/src/desk/counting.rs
+++ b/crates/node/src/state/metrics.rs
@@ -1,8 +1,8 @@
 //! What the node counts for the fleet: by operation, of itself, and who comes most. None of it
 //! where nothing is shared.
 
-use super::Desk;
-use crate::outward::Outward;
+use super::NodeState;
+use crate::actions::Actions;
 use crate::request::Head;
 use madderpoint::{LoadBalancerId, Nanos, OperationId};
 use madderpoint_shared_state::counts::{self, OWN, ProcessCounters, column, heavy_hitters, own};
@@ -36,7 +36,7 @@
     now / 1_000_000
 }
 
-impl<O: Outward> Desk<O> {
+impl<O: Actions> NodeState<O> {
     fn counting(&mut self, f: impl FnOnce(&mut ProcessCounters, u64)) {
         if let Some(counting) = &mut self.counting {
             f(&mut counting.tally, unix_ms(self.now));
--- a/crates/node/src/under.rs
+++ b/crates/node/src/supervisor.rs
@@ -5,9 +5,9 @@
 
 use crate::serve::{self, Logging};
 use crossbeam_channel::{Receiver, Sender, unbounded};
-use madderpoint_node::parent::UNDER;
-use madderpoint_node::versions::Directory;
-use madderpoint_node::{config, log, program};
+use madderpoint_node::supervisor_client::UNDER;
+use madderpoint_node::version_store::Directory;
+use madderpoint_node::{config, log, program_version};
 use madderpoint_rollout::process_handover::{Child, Host, StartInstructions, Supervisor};
 use madderpoint_rollout::supervisor_messages::{MessageReader, SupervisorMessage, kind};
 use madderpoint_rollout::{Kind, PersistedState, Version};
@@ -70,7 +70,7 @@
 }
 
 /// What the decisions do to the world.
-struct Hands {
+struct SupervisorHost {
     told: Told,
     listener: TcpListener,
     directory: Directory,
@@ -119,7 +119,7 @@
     }
 }
 
-impl Hands {
+impl SupervisorHost {
     fn say(&mut self, child: Child, saying: &SupervisorMessage) {
         if let Some(process) = self.processes.get_mut(&child) {
             let _ = process.stream.write_all(&saying.write()); // one that is gone is told of by its end
@@ -142,8 +142,8 @@
     }
 
     fn spawn(&mut self, child: Child, begin: &StartInstructions) -> Result<(), String> {
-        let dir = program::find(&self.told.programs, begin.version)?;
-        let file = dir.join(program::PROGRAM);
+        let dir = program_version::find(&self.told.programs, begin.version)?;
+        let file = dir.join(program_version::PROGRAM);
         let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
         let (ours, theirs) = UnixStream::pair().map_err(|e| wrong(&e))?;
         let mut process = Command::new(&file)
@@ -220,7 +220,7 @@
     }
 }
 
-impl Host for Hands {
+impl Host for SupervisorHost {
     fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), String> {
         let beside = begin.beside || !self.orphans.is_empty();
         self.spawn(
@@ -263,7 +263,7 @@
         self.directory.keep(kept, None)
     }
     fn has(&mut self, version: Version) -> Result<(), String> {
-        program::find(&self.told.programs, version).map(drop)
+        program_version::find(&self.told.programs, version).map(drop)
     }
     fn answer(&mut self, child: Child, no: u64, result: Result<(), String>) {
         self.say(child, &SupervisorMessage::done(no, &result));
@@ -301,7 +301,7 @@
     } else {
         told.programs.join(&told.start)
     };
-    let given = program::version_of(&start)?;
+    let given = program_version::version_of(&start)?;
     let directory = Directory::open(&told.state, &who.name, Kind::Program)?;
     let file = directory.path().join("processes");
     let orphans = Orphan::read(&file);
@@ -319,7 +319,7 @@
             .forever()
             .try_for_each(|signal| forwards.send(Event::Signal(signal)).ok())
     });
-    let hands = Hands {
+    let hands = SupervisorHost {
         told,
         listener,
         directory,
@@ -339,7 +339,7 @@
     Ok(())
 }
 
-fn turn(parent: &mut Supervisor<Hands>, inbox: &Receiver<Event>, now: &impl Fn() -> u64) {
+fn turn(parent: &mut Supervisor<SupervisorHost>, inbox: &Receiver<Event>, now: &impl Fn() -> u64) {
     let Ok(event) = inbox.recv_timeout(WAKE) else {
         return;
     };
--- a/crates/node/src/parent.rs
+++ b/crates/node/src/supervisor_client.rs
@@ -2,7 +2,7 @@
 //! come from it over a Unix stream, which is the node's standard input; what takes time is asked of
 //! it. A node whose parent is gone goes on without it.
 
-use crate::driver::{Notice, Versions};
+use crate::io::{Notice, Versions};
 use crate::log::log;
 use crossbeam_channel::{Sender, bounded};
 use madderpoint_rollout::node_agent::InitialState;
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -438,7 +438,7 @@
         assert!(descriptors <= 64, "{descriptors}");
         stop.store(true, SeqCst);
     });
-    // Room is there at once when they are gone.
+    // CapacityLimits is there at once when they are gone.
     let begun = Instant::now();
     assert_eq!(node.connect().ping(), "200");
     assert!(
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -3,10 +3,10 @@
 //! functions are called here.
 
 use madderpoint_node::backend::{self, Outcome};
+use madderpoint_node::executor::{self, Command as Order, End, Notice};
 use madderpoint_node::fastcgi::{self, Event, ProtocolStatus, Reply};
-use madderpoint_node::kernel::{self, Command as Order, End, Notice};
-use madderpoint_node::members::{Answer, Phase, report};
-use madderpoint_node::program::{self, version_of};
+use madderpoint_node::program_version::{self, version_of};
+use madderpoint_node::service_registry::{Answer, Phase, report};
 use madderpoint_test_harness::peers::{Dispatcher, Talk, listen, nobody, ping, reap, unix_ms};
 use madderpoint_test_harness::program::{Node, Program, told};
 use madderpoint_test_harness::wire::{self, GET_VALUES, STDIN, record, same_at_every_split};
@@ -241,7 +241,7 @@
 }
 
 fn notices(parts: &[&[u8]]) -> String {
-    let (mut reader, mut seen) = (kernel::Reader::default(), Vec::new());
+    let (mut reader, mut seen) = (executor::Reader::default(), Vec::new());
     reader.open();
     let mut sink = |notice| {
         seen.push(match notice {
@@ -438,7 +438,7 @@
 fn a_version_of_the_program_has_its_number_and_hash_as_recorded() {
     let dir = Path::new(PROGRAM.dir).join("golden-release-7");
     std::fs::create_dir_all(&dir).unwrap();
-    std::fs::write(dir.join(program::PROGRAM), "a program").unwrap();
+    std::fs::write(dir.join(program_version::PROGRAM), "a program").unwrap();
     let version = version_of(&dir).unwrap();
     assert_recorded(
         "program-version.txt",
