--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -81,7 +81,8 @@
                             view.set(0, MemberKey::of(&format!("n{n}")), Liveness::Dead);
                         }
                         _ => {
-                            drop(view.merge(0, &news(n, rng.random_range(0..3), Liveness::Suspect)))
+                            let _ =
+                                view.merge(0, &news(n, rng.random_range(0..3), Liveness::Suspect));
                         }
                     }
                 } else {
