--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -33,8 +33,8 @@
 }
 
 /// Digests of all that is there.
-pub fn summary(view: &MemberTable) -> Summary {
-    let digests = view.slices(slices_for(view.counts().present()));
+pub fn summary(member_table: &MemberTable) -> Summary {
+    let digests = member_table.slices(slices_for(member_table.counters().present()));
     Summary {
         from: 0,
         to: u64::MAX,
@@ -42,8 +42,8 @@
     }
 }
 
-fn part(view: &MemberTable, from: u64, to: u64, members: usize) -> Summary {
-    let sums = slices(from, to, slices_for(members)).map(|(from, to)| view.sum(from..=to).1);
+fn part(member_table: &MemberTable, from: u64, to: u64, members: usize) -> Summary {
+    let sums = slices(from, to, slices_for(members)).map(|(from, to)| member_table.sum(from..=to).1);
     Summary {
         from,
         to,
@@ -61,38 +61,38 @@
 
 /// Compares a summary with what is here. The slices are looked at from this one on, so that those
 /// who ask again, or ask others, hear something else first.
-pub fn finer(view: &MemberTable, theirs: &Summary, first: usize) -> SummaryReply {
-    let (digests, odd) = theirs.digests.as_chunks::<8>();
+pub fn finer(member_table: &MemberTable, theirs: &Summary, first: usize) -> SummaryReply {
+    let (digests, error) = theirs.digests.as_chunks::<8>();
     let mut finer = SummaryReply::default();
-    if digests.is_empty() || digests.len() > 256 || !odd.is_empty() || theirs.from > theirs.to {
+    if digests.is_empty() || digests.len() > 256 || !error.is_empty() || theirs.from > theirs.to {
         return finer;
     }
     let slices: Vec<(u64, u64)> = slices(theirs.from, theirs.to, digests.len()).collect();
     for at in 0..slices.len() {
         let at = (at + first) % slices.len();
         let (from, to) = slices[at];
-        let (members, sum) = view.sum(from..=to);
+        let (members, sum) = member_table.sum(from..=to);
         if sum == u64::from_le_bytes(digests[at]) {
             continue;
         }
         if members <= NAMED {
             finer.covered.push(Range { from, to });
         } else {
-            finer.summaries.push(part(view, from, to, members));
+            finer.summaries.push(part(member_table, from, to, members));
         }
     }
     finer
 }
 
 /// All who are present in a range, in brief.
-pub fn headers(view: &MemberTable, range: &Range) -> Vec<MemberUpdate> {
+pub fn headers(member_table: &MemberTable, range: &Range) -> Vec<MemberUpdate> {
     if range.from > range.to {
         return Vec::new();
     }
-    let present = view
+    let present = member_table
         .range(range.from..=range.to)
-        .filter(|(_, entry)| entry.status().is_present());
-    present.map(|(key, entry)| entry.brief(key)).collect()
+        .filter(|(_, entry)| entry.liveness().is_present());
+    present.map(|(key, entry)| entry.header_update(key)).collect()
 }
 
 /// What two nodes tell each other about some ranges.
@@ -101,46 +101,46 @@
     /// The other one lacks all of these.
     pub whole: Vec<MemberKey>,
     /// It knows them, but not how they stand.
-    pub brief: Vec<MemberKey>,
+    pub header_update: Vec<MemberKey>,
     /// It knows more of these.
     pub wants: Vec<MemberKey>,
 }
 
 /// Compares all that the other one has in some ranges with what is here.
-pub fn differences(view: &MemberTable, covered: &[Range], named: &[MemberUpdate]) -> RangeExchange {
+pub fn differences(member_table: &MemberTable, covered: &[Range], named: &[MemberUpdate]) -> RangeExchange {
     let mut differences = RangeExchange::default();
     let theirs: BTreeMap<MemberKey, &MemberUpdate> = named
         .iter()
-        .map(|news| (MemberKey(news.key), news))
+        .map(|updates| (MemberKey(updates.key), updates))
         .collect();
-    for (key, news) in &theirs {
-        let Some(known) = view.get(*key) else {
+    for (key, updates) in &theirs {
+        let Some(known) = member_table.get(*key) else {
             differences.wants.push(*key);
             continue;
         };
         let epoch = Epoch {
-            birth: news.birth,
-            life: Incarnation(news.life),
+            started_unix_ms: updates.started_unix_ms,
+            incarnation: Incarnation(updates.incarnation),
         };
-        let status = Liveness::from_number(news.status).unwrap_or_default();
-        let standing = LivenessState {
-            bump: news.bump,
-            status,
+        let liveness = Liveness::from_number(updates.liveness).unwrap_or_default();
+        let liveness_state = LivenessState {
+            refutation: updates.refutation,
+            liveness,
         };
-        if known.epoch > epoch || known.epoch == epoch && known.revision > news.revision {
+        if known.epoch > epoch || known.epoch == epoch && known.revision > updates.revision {
             differences.whole.push(*key);
-        } else if known.epoch < epoch || known.revision < news.revision {
+        } else if known.epoch < epoch || known.revision < updates.revision {
             differences.wants.push(*key);
-        } else if known.standing > standing {
-            differences.brief.push(*key);
+        } else if known.liveness_state > liveness_state {
+            differences.header_update.push(*key);
         }
         // Where theirs is newer in standing alone, the brief word that came has been taken in
         // already.
     }
     for range in covered.iter().filter(|range| range.from <= range.to) {
-        let here = view
+        let here = member_table
             .range(range.from..=range.to)
-            .filter(|(_, entry)| entry.status().is_present());
+            .filter(|(_, entry)| entry.liveness().is_present());
         differences.whole.extend(
             here.map(|(key, _)| key)
                 .filter(|key| !theirs.contains_key(key)),
--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -5,22 +5,22 @@
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
 
-fn news(n: usize, bump: u32, status: Liveness) -> MemberUpdate {
+fn updates(n: usize, refutation: u32, liveness: Liveness) -> MemberUpdate {
     let (name, address) = (format!("n{n}"), SocketAddr::from(([127, 0, 0, 1], 1000)));
-    let told =
+    let details =
         MemberDetails::new(address, "a", Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
     let key = MemberKey::of(&name).0;
-    let told = told.raw().to_vec();
+    let details = details.raw().to_vec();
     MemberUpdate {
         key,
-        birth: 1,
-        life: 1,
-        bump,
-        status: status.number(),
+        started_unix_ms: 1,
+        incarnation: 1,
+        refutation,
+        liveness: liveness.number(),
         revision: 0,
         name,
-        told,
-        by: 0,
+        details,
+        suspected_by: 0,
     }
 }
 
@@ -45,16 +45,16 @@
 
 #[test]
 fn the_digests_that_are_kept_are_those_of_the_slices() {
-    let mut view = MemberTable::new(64 << 20, None);
+    let mut member_table = MemberTable::new(64 << 20, None);
     for n in 0..700 {
-        let _ = view.merge(0, &news(n, 0, Liveness::Alive));
+        let _ = member_table.merge(0, &updates(n, 0, Liveness::Alive));
     }
     for members in [1, 5, 30, 100, 700] {
         let n = slices_for(members);
         let sums: Vec<u64> = slices(0, u64::MAX, n)
-            .map(|(from, to)| view.sum(from..=to).1)
+            .map(|(from, to)| member_table.sum(from..=to).1)
             .collect();
-        assert_eq!(view.slices(n), sums);
+        assert_eq!(member_table.slices(n), sums);
     }
 }
 
@@ -71,26 +71,26 @@
             MemberTable::new(64 << 20, None),
         );
         for n in 0..members {
-            for view in [&mut a, &mut b] {
+            for member_table in [&mut a, &mut b] {
                 if rng.random_bool(differ) {
                     match rng.random_range(0..4) {
                         0 => continue,
-                        1 => drop(view.merge(0, &news(n, 1, Liveness::Alive))),
+                        1 => drop(member_table.merge(0, &updates(n, 1, Liveness::Alive))),
                         2 => {
-                            let _ = view.merge(0, &news(n, 0, Liveness::Alive));
-                            view.set(0, MemberKey::of(&format!("n{n}")), Liveness::Dead);
+                            let _ = member_table.merge(0, &updates(n, 0, Liveness::Alive));
+                            member_table.set(0, MemberKey::of(&format!("n{n}")), Liveness::Dead);
                         }
                         _ => {
                             let _ =
-                                view.merge(0, &news(n, rng.random_range(0..3), Liveness::Suspect));
+                                member_table.merge(0, &updates(n, rng.random_range(0..3), Liveness::Suspect));
                         }
                     }
                 } else {
-                    let _ = view.merge(0, &news(n, 0, Liveness::Alive));
+                    let _ = member_table.merge(0, &updates(n, 0, Liveness::Alive));
                 }
             }
         }
-        let (mut rounds, mut told) = (0, 0);
+        let (mut rounds, mut details) = (0, 0);
         let mut open = vec![(false, summary(&a))]; // whose it is: b's if true
         while a.digest() != b.digest() {
             rounds += 1;
@@ -112,43 +112,43 @@
                     .flat_map(|range| headers(here, range))
                     .collect();
                 let (mut back, mut wants) = (Vec::new(), Vec::new());
-                for news in &named {
-                    let _ = there.merge(0, news);
+                for updates in &named {
+                    let _ = there.merge(0, updates);
                 }
                 let found = differences(there, &finer.covered, &named);
                 back.extend(
                     found
                         .whole
                         .iter()
-                        .map(|key| there.get(*key).unwrap().full(*key)),
+                        .map(|key| there.get(*key).unwrap().full_update(*key)),
                 );
                 back.extend(
                     found
-                        .brief
+                        .header_update
                         .iter()
-                        .map(|key| there.get(*key).unwrap().brief(*key)),
+                        .map(|key| there.get(*key).unwrap().header_update(*key)),
                 );
                 wants.extend(
                     found
                         .wants
                         .iter()
-                        .filter_map(|key| Some(here.get(*key)?.full(*key))),
+                        .filter_map(|key| Some(here.get(*key)?.full_update(*key))),
                 );
-                told += back.len() + wants.len();
-                for news in &back {
+                details += back.len() + wants.len();
+                for updates in &back {
                     // Whoever hears what is out of date says what it knows.
-                    if here.merge(0, news) == MergeOutcome::Older {
+                    if here.merge(0, updates) == MergeOutcome::Older {
                         let _ = there.merge(
                             0,
                             &here
-                                .get(MemberKey(news.key))
+                                .get(MemberKey(updates.key))
                                 .unwrap()
-                                .brief(MemberKey(news.key)),
+                                .header_update(MemberKey(updates.key)),
                         );
                     }
                 }
-                for news in &wants {
-                    let _ = there.merge(0, news);
+                for updates in &wants {
+                    let _ = there.merge(0, updates);
                 }
             }
             if open.is_empty() {
@@ -159,17 +159,17 @@
             }
         }
         assert!(
-            told <= 2 * members + 2,
-            "seed {seed}: {told} entries told for {members} members"
+            details <= 2 * members + 2,
+            "seed {seed}: {details} entries told for {members} members"
         );
     }
 }
 
 #[test]
 fn what_makes_no_sense_is_answered_with_nothing() {
-    let mut view = MemberTable::new(64 << 20, None);
+    let mut member_table = MemberTable::new(64 << 20, None);
     for n in 0..20 {
-        let _ = view.merge(0, &news(n, 0, Liveness::Alive));
+        let _ = member_table.merge(0, &updates(n, 0, Liveness::Alive));
     }
     for (from, to, digests) in [
         (9, 3, 64),
@@ -178,7 +178,7 @@
         (0, u64::MAX, 8 * 300),
     ] {
         let finer = finer(
-            &view,
+            &member_table,
             &Summary {
                 from,
                 to,
@@ -188,9 +188,9 @@
         );
         assert!(finer.covered.is_empty() && finer.summaries.is_empty());
     }
-    assert!(headers(&view, &Range { from: 9, to: 3 }).is_empty());
+    assert!(headers(&member_table, &Range { from: 9, to: 3 }).is_empty());
     assert!(
-        differences(&view, &[Range { from: 9, to: 3 }], &[])
+        differences(&member_table, &[Range { from: 9, to: 3 }], &[])
             .whole
             .is_empty()
     );
--- a/crates/membership/src/cluster_size.rs
+++ b/crates/membership/src/cluster_size.rs
@@ -94,39 +94,39 @@
 
 impl ClusterSizeEstimator {
     /// Looks at the view; to be called several times a second.
-    pub fn look(
+    pub fn observe(
         &mut self,
         now: Nanos,
-        view: &MemberTable,
+        member_table: &MemberTable,
         own_zone: &Arc<str>,
         doubt: u32,
         mute: bool,
     ) -> ClusterView {
         let (mut lost, mut lost_here) = (0, 0);
-        if view.counts().dead > 0 {
+        if member_table.counters().dead > 0 {
             let is_recent = |entry: &MemberEntry| {
-                entry.status() == Liveness::Dead && now.saturating_sub(entry.since) < HOLD
+                entry.liveness() == Liveness::Dead && now.saturating_sub(entry.since) < HOLD
             };
-            for (_, entry) in view.iter().filter(|(_, entry)| is_recent(entry)) {
+            for (_, entry) in member_table.iter().filter(|(_, entry)| is_recent(entry)) {
                 lost += 1;
                 lost_here += usize::from(entry.details.zone == *own_zone);
             }
         }
-        let (fleet, zone) = (view.counts(), view.zone(own_zone));
+        let (fleet, zone) = (member_table.counters(), member_table.zone(own_zone));
         self.judge(now, fleet, lost, doubt);
         let unsure = self.unsure_since.is_some();
         self.fleet.follow(now, fleet.present(), unsure);
         self.zone.follow(now, zone.present(), unsure);
-        let extent = |slow: &SlowDecay, counts: MemberCounts, lost: usize| SizeEstimate {
+        let extent = |slow: &SlowDecay, counters: MemberCounts, lost: usize| SizeEstimate {
             size: slow.value,
-            low: counts.alive,
-            high: (counts.present() + lost).max(slow.value),
+            low: counters.alive,
+            high: (counters.present() + lost).max(slow.value),
         };
         ClusterView {
             fleet: extent(&self.fleet, fleet, lost),
             zone: extent(&self.zone, zone, lost_here),
             unsure_since: self.unsure_since,
-            digest: view.digest(),
+            digest: member_table.digest(),
             suspects: fleet.suspect,
             doubt,
             mute,
--- a/crates/membership/src/cluster_size/tests.rs
+++ b/crates/membership/src/cluster_size/tests.rs
@@ -4,29 +4,29 @@
 use std::net::SocketAddr;
 
 fn fleet(members: usize) -> MemberTable {
-    let mut view = MemberTable::new(16 << 20, None);
+    let mut member_table = MemberTable::new(16 << 20, None);
     for n in 0..members {
         let name = format!("n{n}");
         let address = SocketAddr::from(([127, 0, 0, 1], 1000));
         let zone = ["a", "b", "c"][n % 3];
-        let told =
+        let details =
             MemberDetails::new(address, zone, Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
-        let news = MemberUpdate {
+        let updates = MemberUpdate {
             key: MemberKey::of(&name).0,
-            birth: 1,
-            life: 1,
+            started_unix_ms: 1,
+            incarnation: 1,
             name,
-            told: told.raw().into(),
+            details: details.raw().into(),
             ..MemberUpdate::default()
         };
-        let _ = view.merge(0, &news);
+        let _ = member_table.merge(0, &updates);
     }
-    view
+    member_table
 }
 
-fn set(view: &mut MemberTable, now: Nanos, names: std::ops::Range<usize>, status: Liveness) {
+fn set(member_table: &mut MemberTable, now: Nanos, names: std::ops::Range<usize>, liveness: Liveness) {
     for n in names {
-        view.set(now, MemberKey::of(&format!("n{n}")), status);
+        member_table.set(now, MemberKey::of(&format!("n{n}")), liveness);
     }
 }
 
@@ -34,39 +34,39 @@
 /// says that it is unsure.
 #[test]
 fn losing_all_at_once_is_no_jump_and_is_said() {
-    let (mut view, mut sizer, zone) = (fleet(300), ClusterSizeEstimator::default(), Arc::from("a"));
-    let mut look = |view: &MemberTable, now| sizer.look(now, view, &zone, 0, false);
+    let (mut member_table, mut size_estimator, zone) = (fleet(300), ClusterSizeEstimator::default(), Arc::from("a"));
+    let mut observe = |member_table: &MemberTable, now| size_estimator.observe(now, member_table, &zone, 0, false);
     assert_eq!(
-        look(&view, SECOND).fleet,
+        observe(&member_table, SECOND).fleet,
         SizeEstimate {
             size: 300,
             low: 300,
             high: 300
         }
     );
-    set(&mut view, 2 * SECOND, 1..300, Liveness::Suspect);
-    let sight = look(&view, 2 * SECOND);
+    set(&mut member_table, 2 * SECOND, 1..300, Liveness::Suspect);
+    let cluster_view = observe(&member_table, 2 * SECOND);
     assert_eq!(
-        (sight.fleet.size, sight.fleet.low, sight.fleet.high),
+        (cluster_view.fleet.size, cluster_view.fleet.low, cluster_view.fleet.high),
         (300, 1, 300)
     );
-    assert_eq!(sight.unsure_since, Some(2 * SECOND));
-    set(&mut view, 3 * SECOND, 1..300, Liveness::Dead);
+    assert_eq!(cluster_view.unsure_since, Some(2 * SECOND));
+    set(&mut member_table, 3 * SECOND, 1..300, Liveness::Dead);
     let (mut before, mut least) = (300, 300);
     for tenths in 30..400 {
-        let sight = look(&view, tenths * SECOND / 10);
-        assert!(sight.fleet.size <= before && before - sight.fleet.size <= before.div_ceil(8));
+        let cluster_view = observe(&member_table, tenths * SECOND / 10);
+        assert!(cluster_view.fleet.size <= before && before - cluster_view.fleet.size <= before.div_ceil(8));
         assert!(
-            sight.unsure_since.is_none() || sight.fleet.high >= 150,
-            "{sight:?}"
+            cluster_view.unsure_since.is_none() || cluster_view.fleet.high >= 150,
+            "{cluster_view:?}"
         );
-        (before, least) = (sight.fleet.size, least.min(sight.fleet.size));
+        (before, least) = (cluster_view.fleet.size, least.min(cluster_view.fleet.size));
     }
     assert!((1..=150).contains(&least), "{least}");
     // What was lost came to be the state of things.
-    let sight = look(&view, 120 * SECOND);
+    let cluster_view = observe(&member_table, 120 * SECOND);
     assert_eq!(
-        (sight.fleet, sight.unsure_since),
+        (cluster_view.fleet, cluster_view.unsure_since),
         (
             SizeEstimate {
                 size: 1,
@@ -82,49 +82,49 @@
 /// himself.
 #[test]
 fn an_unsure_node_goes_by_half_of_what_it_knew() {
-    let (mut view, mut sizer, zone) = (fleet(100), ClusterSizeEstimator::default(), Arc::from("a"));
-    sizer.look(0, &view, &zone, 0, false);
-    set(&mut view, SECOND, 1..100, Liveness::Dead);
+    let (mut member_table, mut size_estimator, zone) = (fleet(100), ClusterSizeEstimator::default(), Arc::from("a"));
+    size_estimator.observe(0, &member_table, &zone, 0, false);
+    set(&mut member_table, SECOND, 1..100, Liveness::Dead);
     for second in 1..30 {
-        let sight = sizer.look(second * SECOND, &view, &zone, 0, false);
+        let cluster_view = size_estimator.observe(second * SECOND, &member_table, &zone, 0, false);
         assert!(
-            sight.fleet.size >= 50 && sight.unsure_since.is_some(),
-            "{second}: {sight:?}"
+            cluster_view.fleet.size >= 50 && cluster_view.unsure_since.is_some(),
+            "{second}: {cluster_view:?}"
         );
     }
 }
 
 #[test]
 fn few_losses_and_those_who_say_that_they_leave_make_nobody_unsure() {
-    let (mut view, mut sizer, zone) = (fleet(12), ClusterSizeEstimator::default(), Arc::from("a"));
-    sizer.look(0, &view, &zone, 0, false);
-    set(&mut view, SECOND, 0..2, Liveness::Dead);
-    set(&mut view, SECOND, 2..8, Liveness::Left);
-    let sight = sizer.look(SECOND, &view, &zone, 0, false);
-    assert_eq!((sight.unsure_since, sight.fleet.low), (None, 4));
-    assert!(sight.fleet.high >= 6 && sight.fleet.size >= 10, "{sight:?}");
-    let sight = sizer.look(40 * SECOND, &view, &zone, 0, false);
+    let (mut member_table, mut size_estimator, zone) = (fleet(12), ClusterSizeEstimator::default(), Arc::from("a"));
+    size_estimator.observe(0, &member_table, &zone, 0, false);
+    set(&mut member_table, SECOND, 0..2, Liveness::Dead);
+    set(&mut member_table, SECOND, 2..8, Liveness::Left);
+    let cluster_view = size_estimator.observe(SECOND, &member_table, &zone, 0, false);
+    assert_eq!((cluster_view.unsure_since, cluster_view.fleet.low), (None, 4));
+    assert!(cluster_view.fleet.high >= 6 && cluster_view.fleet.size >= 10, "{cluster_view:?}");
+    let cluster_view = size_estimator.observe(40 * SECOND, &member_table, &zone, 0, false);
     assert_eq!(
-        sight.fleet,
+        cluster_view.fleet,
         SizeEstimate {
             size: 4,
             low: 4,
             high: 4
         }
     );
-    assert_eq!(sight.zone.size, 1);
+    assert_eq!(cluster_view.zone.size, 1);
 }
 
 #[test]
 fn a_node_that_doubts_itself_is_unsure_as_long_as_it_does() {
-    let (view, mut sizer, zone) = (fleet(12), ClusterSizeEstimator::default(), Arc::from("a"));
+    let (member_table, mut size_estimator, zone) = (fleet(12), ClusterSizeEstimator::default(), Arc::from("a"));
     for second in 0..400 {
-        let sight = sizer.look(second * SECOND, &view, &zone, 5, false);
-        assert!(sight.unsure_since.is_some(), "{second}");
+        let cluster_view = size_estimator.observe(second * SECOND, &member_table, &zone, 5, false);
+        assert!(cluster_view.unsure_since.is_some(), "{second}");
     }
     assert!(
-        sizer
-            .look(406 * SECOND, &view, &zone, 0, false)
+        size_estimator
+            .observe(406 * SECOND, &member_table, &zone, 0, false)
             .unsure_since
             .is_none()
     );
@@ -132,11 +132,11 @@
 
 #[test]
 fn growth_counts_at_once() {
-    let (mut sizer, zone) = (ClusterSizeEstimator::default(), Arc::from("a"));
+    let (mut size_estimator, zone) = (ClusterSizeEstimator::default(), Arc::from("a"));
     for members in [3, 30, 300] {
         assert_eq!(
-            sizer
-                .look(members as Nanos, &fleet(members), &zone, 0, false)
+            size_estimator
+                .observe(members as Nanos, &fleet(members), &zone, 0, false)
                 .fleet
                 .size,
             members
--- a/crates/membership/src/datagram_auth.rs
+++ b/crates/membership/src/datagram_auth.rs
@@ -47,7 +47,7 @@
 
 impl DropReason {
     /// Its word, as logs and counts show it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             DropReason::NoFrame => "datagrams that are none of a fleet",
             DropReason::AnotherFrame => "datagrams of another frame version",
@@ -139,7 +139,7 @@
 struct ReplayWindow {
     highest: u64,
     seen: u64,
-    heard: Nanos,
+    apply_update: Nanos,
 }
 
 impl ReplayWindow {
@@ -188,7 +188,7 @@
     fleet: String,
     tag: u64,
     keys: AuthKeys,
-    life: Incarnation,
+    incarnation: Incarnation,
     sent: u64,
     /// A first word from a life is believed only if its time is this close to ours.
     skew_ms: u64,
@@ -201,7 +201,7 @@
     pub fn new(
         fleet: &str,
         keys: AuthKeys,
-        life: Incarnation,
+        incarnation: Incarnation,
         skew: Nanos,
         most: usize,
     ) -> DatagramAuth {
@@ -211,7 +211,7 @@
             fleet: fleet.to_owned(),
             tag,
             keys,
-            life,
+            incarnation,
             sent: 0,
             skew_ms,
             windows: BTreeMap::new(),
@@ -232,7 +232,7 @@
         frame.extend_from_slice(&MAGIC);
         frame.extend_from_slice(&[FRAME, *number]);
         frame.extend_from_slice(&self.tag.to_be_bytes());
-        frame.extend_from_slice(&self.life.0.to_be_bytes());
+        frame.extend_from_slice(&self.incarnation.0.to_be_bytes());
         push6(&mut frame, unix_ms);
         push6(&mut frame, self.sent);
         frame.extend_from_slice(message);
@@ -279,15 +279,15 @@
         if !right {
             return Err(DropReason::BadMac);
         }
-        let life = Incarnation(read8(&frame[12..20]));
+        let incarnation = Incarnation(read8(&frame[12..20]));
         self.admit(
             now,
             unix_ms,
-            life,
+            incarnation,
             read8(&frame[20..26]),
             read8(&frame[26..32]),
         )?;
-        Ok((life, &signed[HEAD..]))
+        Ok((incarnation, &signed[HEAD..]))
     }
 
     /// Whether a datagram did not come before. Of a life that is not known yet that can't be told,
@@ -296,12 +296,12 @@
         &mut self,
         now: Nanos,
         unix_ms: u64,
-        life: Incarnation,
+        incarnation: Incarnation,
         sealed: u64,
         count: u64,
     ) -> Result<(), DropReason> {
-        if let Some(window) = self.windows.get_mut(&life) {
-            window.heard = now;
+        if let Some(window) = self.windows.get_mut(&incarnation) {
+            window.apply_update = now;
             return if window.take(count) {
                 Ok(())
             } else {
@@ -315,16 +315,16 @@
             let silent = self
                 .windows
                 .iter()
-                .min_by_key(|(_, window)| window.heard)
-                .map(|(life, _)| *life);
-            silent.map(|life| self.windows.remove(&life));
+                .min_by_key(|(_, window)| window.apply_update)
+                .map(|(incarnation, _)| *incarnation);
+            silent.map(|incarnation| self.windows.remove(&incarnation));
         }
         let mut window = ReplayWindow {
-            heard: now,
+            apply_update: now,
             ..ReplayWindow::default()
         };
         window.take(count);
-        self.windows.insert(life, window);
+        self.windows.insert(incarnation, window);
         Ok(())
     }
 }
--- a/crates/membership/src/datagram_auth/tests.rs
+++ b/crates/membership/src/datagram_auth/tests.rs
@@ -6,8 +6,8 @@
     AuthKeys::new(&seeds.iter().map(|seed| vec![*seed; 32]).collect::<Vec<_>>()).unwrap()
 }
 
-fn seal(fleet: &str, seeds: &[u8], life: u64) -> DatagramAuth {
-    DatagramAuth::new(fleet, keys(seeds), Incarnation(life), 10 * MINUTES, 4)
+fn seal(fleet: &str, seeds: &[u8], incarnation: u64) -> DatagramAuth {
+    DatagramAuth::new(fleet, keys(seeds), Incarnation(incarnation), 10 * MINUTES, 4)
 }
 
 #[test]
@@ -95,7 +95,7 @@
 fn the_numbers_of_few_lives_are_kept_and_the_most_silent_goes() {
     let mut b = seal("f", &[1], 9);
     let frames: Vec<_> = (1..=5)
-        .map(|life| seal("f", &[1], life).seal(0, b"x"))
+        .map(|incarnation| seal("f", &[1], incarnation).seal(0, b"x"))
         .collect();
     for (at, frame) in frames.iter().enumerate() {
         assert!(b.open(at as Nanos, 0, frame).is_ok());
@@ -110,12 +110,12 @@
         SocketAddr::from(([127, 0, 0, 1], 1)),
         SocketAddr::from(([127, 0, 0, 1], 2)),
     );
-    let mut gate = ReceiveLimiter::new(10);
-    gate.proved(good);
-    let admitted = (0..10_000).filter(|_| gate.admits(SECOND, bad)).count();
+    let mut receive_limiter = ReceiveLimiter::new(10);
+    receive_limiter.proved(good);
+    let admitted = (0..10_000).filter(|_| receive_limiter.admits(SECOND, bad)).count();
     assert_eq!(admitted, RATES[1] as usize);
-    assert!(gate.admits(SECOND, good));
-    assert!(!gate.admits(SECOND, bad) && gate.admits(2 * SECOND, bad));
+    assert!(receive_limiter.admits(SECOND, good));
+    assert!(!receive_limiter.admits(SECOND, bad) && receive_limiter.admits(2 * SECOND, bad));
 }
 
 #[test]
@@ -126,12 +126,12 @@
         "01".repeat(16)
     );
     assert_eq!(AuthKeys::read(&good).unwrap().keys.len(), 2);
-    for (text, told) in [
+    for (text, details) in [
         ("", "0 keys"),
         ("zz", "line 1"),
         ("ab", "1 bytes"),
         (&format!("{good}{}", "ff".repeat(16)), "3 keys"),
     ] {
-        assert!(AuthKeys::read(text).unwrap_err().contains(told), "{text}");
+        assert!(AuthKeys::read(text).unwrap_err().contains(details), "{text}");
     }
 }
--- a/crates/membership/src/dissemination_queue.rs
+++ b/crates/membership/src/dissemination_queue.rs
@@ -24,14 +24,14 @@
 impl DisseminationQueue {
     /// There is news of a member; what was still to be spread of it is out of date.
     pub fn push(&mut self, key: MemberKey) {
-        self.drop_news(key);
+        self.remove_updates(key);
         self.came += 1;
         self.places.insert(key, (0, self.came));
         self.queue.insert((0, std::cmp::Reverse(self.came), key));
     }
 
     /// Nothing is to be spread of a member any more.
-    pub fn drop_news(&mut self, key: MemberKey) {
+    pub fn remove_updates(&mut self, key: MemberKey) {
         if let Some((sent, came)) = self.places.remove(&key) {
             self.queue.remove(&(sent, std::cmp::Reverse(came), key));
         }
@@ -45,7 +45,7 @@
             .copied()
             .filter(|key| !holds(*key))
             .collect();
-        gone.into_iter().for_each(|key| self.drop_news(key));
+        gone.into_iter().for_each(|key| self.remove_updates(key));
     }
 
     pub fn len(&self) -> usize {
--- a/crates/membership/src/dissemination_queue/tests.rs
+++ b/crates/membership/src/dissemination_queue/tests.rs
@@ -2,15 +2,15 @@
 
 #[test]
 fn each_piece_goes_out_its_number_of_times_the_least_sent_first() {
-    let mut gossip = DisseminationQueue::default();
-    (1..=6).for_each(|n| gossip.push(MemberKey(n)));
+    let mut dissemination_queue = DisseminationQueue::default();
+    (1..=6).for_each(|n| dissemination_queue.push(MemberKey(n)));
     let mut sent: HashMap<MemberKey, u32> = HashMap::new();
-    while !gossip.is_empty() {
-        let mut room = 2;
-        gossip.take(99, |key| {
-            let fits = room > 0;
+    while !dissemination_queue.is_empty() {
+        let mut capacity = 2;
+        dissemination_queue.take(99, |key| {
+            let fits = capacity > 0;
             if fits {
-                room -= 1;
+                capacity -= 1;
                 *sent.entry(key).or_default() += 1;
             }
             fits
@@ -29,11 +29,11 @@
 
 #[test]
 fn fresh_news_of_a_member_takes_the_place_of_what_was_out() {
-    let mut gossip = DisseminationQueue::default();
-    gossip.push(MemberKey(1));
-    gossip.take(9, |_| true);
-    gossip.push(MemberKey(1));
-    assert_eq!((gossip.len(), gossip.places[&MemberKey(1)].0), (1, 0));
-    gossip.drop_news(MemberKey(1));
-    assert!(gossip.is_empty() && gossip.places.is_empty());
+    let mut dissemination_queue = DisseminationQueue::default();
+    dissemination_queue.push(MemberKey(1));
+    dissemination_queue.take(9, |_| true);
+    dissemination_queue.push(MemberKey(1));
+    assert_eq!((dissemination_queue.len(), dissemination_queue.places[&MemberKey(1)].0), (1, 0));
+    dissemination_queue.remove_updates(MemberKey(1));
+    assert!(dissemination_queue.is_empty() && dissemination_queue.places.is_empty());
 }
--- a/crates/membership/src/history.rs
+++ b/crates/membership/src/history.rs
@@ -40,7 +40,7 @@
 
 impl ChangeKind {
     /// Its word, as logs show it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             ChangeKind::Joined => "joined",
             ChangeKind::Replaced => "replaced",
@@ -75,7 +75,7 @@
 
 impl fmt::Display for ChangeEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {}", self.name, self.kind.word())?;
+        write!(f, "{} {}", self.name, self.kind.as_str())?;
         if self.more.is_empty() {
             Ok(())
         } else {
@@ -89,29 +89,29 @@
 pub struct History {
     kept: VecDeque<ChangeEvent>,
     second: Nanos,
-    told: usize,
+    details: usize,
     /// What was not told, by kind: how often, and who was the first.
     untold: BTreeMap<ChangeKind, (usize, Arc<str>)>,
 }
 
 impl History {
     /// A change; gives its line if one may be written now.
-    pub fn push(&mut self, now: Nanos, happened: ChangeEvent) -> Option<String> {
+    pub fn push(&mut self, now: Nanos, record_change: ChangeEvent) -> Option<String> {
         if now / SECOND != self.second {
-            (self.second, self.told) = (now / SECOND, 0);
+            (self.second, self.details) = (now / SECOND, 0);
         }
-        self.told += 1;
-        let line = (self.told <= LINES).then(|| happened.to_string());
+        self.details += 1;
+        let line = (self.details <= LINES).then(|| record_change.to_string());
         if line.is_none() {
             self.untold
-                .entry(happened.kind)
-                .or_insert((0, Arc::clone(&happened.name)))
+                .entry(record_change.kind)
+                .or_insert((0, Arc::clone(&record_change.name)))
                 .0 += 1;
         }
         if self.kept.len() >= KEPT {
             self.kept.pop_front();
         }
-        self.kept.push_back(happened);
+        self.kept.push_back(record_change);
         line
     }
 
@@ -121,10 +121,10 @@
             return None;
         }
         let untold = std::mem::take(&mut self.untold).into_iter();
-        let parts: Vec<String> = untold
-            .map(|(kind, (n, first))| format!("{n} more {} (first {first})", kind.word()))
+        let attachments: Vec<String> = untold
+            .map(|(kind, (n, first))| format!("{n} more {} (first {first})", kind.as_str()))
             .collect();
-        Some(parts.join(", "))
+        Some(attachments.join(", "))
     }
 
     /// The latest changes, the last one first.
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -13,7 +13,7 @@
 
 impl LocalHealth {
     /// Waits are this many times as long.
-    pub fn factor(self) -> u64 {
+    pub fn health_factor(self) -> u64 {
         u64::from(self.doubt) + 1
     }
 
@@ -28,8 +28,8 @@
 
     /// Nobody answered a probe, not even helpers that they asked: one more for each helper that was
     /// silent, one less if all spoke, for then it is the other that is gone.
-    pub fn unanswered(&mut self, helpers: u32, silent: u32) {
-        let worse = if helpers == 0 { 1 } else { silent };
+    pub fn on_probe_failed(&mut self, relays: u32, silent: u32) {
+        let worse = if relays == 0 { 1 } else { silent };
         self.doubt = (self.doubt + worse).min(MOST);
     }
 
--- a/crates/membership/src/local_health/tests.rs
+++ b/crates/membership/src/local_health/tests.rs
@@ -3,13 +3,13 @@
 #[test]
 fn doubt_grows_by_what_points_to_oneself_and_is_bounded() {
     let mut health = LocalHealth::default();
-    health.unanswered(3, 0); // helpers spoke: the other is gone
+    health.on_probe_failed(3, 0); // helpers spoke: the other is gone
     assert_eq!(health.doubt(), 0);
-    health.unanswered(3, 2);
+    health.on_probe_failed(3, 2);
     health.suspected();
-    assert_eq!((health.doubt(), health.factor()), (3, 4));
+    assert_eq!((health.doubt(), health.health_factor()), (3, 4));
     (0..9).for_each(|_| health.stood_still());
     assert_eq!(health.doubt(), MOST);
     (0..20).for_each(|_| health.answered());
-    assert_eq!(health.factor(), 1);
+    assert_eq!(health.health_factor(), 1);
 }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -18,7 +18,7 @@
 pub const NAME_MAX: usize = 64;
 pub const ZONE_MAX: usize = 32;
 pub const PROGRAM_MAX: usize = 32;
-pub const PARTS_MAX: usize = 8;
+pub const ATTACHMENTS_MAX: usize = 8;
 /// Bytes of all its details as they travel.
 pub const DETAILS_MAX: usize = 400;
 
@@ -43,7 +43,7 @@
     }
 
     /// Stands for nobody.
-    pub const NOBODY: MemberKey = MemberKey(0);
+    pub const NONE: MemberKey = MemberKey(0);
 }
 
 /// One process, from its start to its end; drawn by chance.
@@ -56,9 +56,9 @@
 pub struct Epoch {
     /// Unix milliseconds of the start, by the member's own clock, or one more than the highest that
     /// it heard of its name.
-    pub birth: u64,
+    pub started_unix_ms: u64,
     /// The process.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// Whether a member is held to be there. Within a bump the later word holds.
@@ -97,7 +97,7 @@
     }
 
     /// Its word, as logs and tables show it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         ["alive", "suspect", "dead", "left"][self as usize]
     }
 }
@@ -105,15 +105,15 @@
 /// A standing within a life: a member that refutes raises the bump.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LivenessState {
-    pub bump: u32,
-    pub status: Liveness,
+    pub refutation: u32,
+    pub liveness: Liveness,
 }
 
 /// What a member that stands so does when it hears that it is held to stand otherwise: it says that
 /// it is there (or that it left) by a higher bump, where the word that it heard would hold over its
 /// own.
-pub fn refutes(own: LivenessState, heard: LivenessState) -> Option<u32> {
-    (heard > own).then(|| heard.bump.saturating_add(1))
+pub fn refutes(own: LivenessState, apply_update: LivenessState) -> Option<u32> {
+    (apply_update > own).then(|| apply_update.refutation.saturating_add(1))
 }
 
 /// What a member is about.
@@ -139,7 +139,7 @@
     }
 
     /// Its word.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         ["cold", "serving", "draining"][self as usize]
     }
 }
@@ -167,7 +167,7 @@
     pub wire: (u32, u32),
     /// The number and the hash of its settings.
     pub settings: (u64, u64),
-    pub parts: Vec<Attachment>,
+    pub attachments: Vec<Attachment>,
     raw: Box<[u8]>,
     hash: u64,
 }
@@ -226,9 +226,9 @@
         program: &str,
         wire: (u32, u32),
         settings: (u64, u64),
-        parts: Vec<Attachment>,
+        attachments: Vec<Attachment>,
     ) -> Result<MemberDetails, DetailsError> {
-        let told = DetailsMessage {
+        let details = DetailsMessage {
             address: address_bytes(address),
             zone: zone.to_owned(),
             phase: phase as u32,
@@ -237,7 +237,7 @@
             wire_most: wire.1,
             settings: settings.0,
             settings_hash: settings.1,
-            parts: parts
+            attachments: attachments
                 .into_iter()
                 .map(|p| AttachmentMessage {
                     id: p.id,
@@ -246,7 +246,7 @@
                 })
                 .collect(),
         };
-        MemberDetails::read(&wire::later(told.encode_to_vec()))
+        MemberDetails::read(&wire::later(details.encode_to_vec()))
     }
 
     /// Reads what a member said. Fields that are not known stay in what is passed on.
@@ -254,24 +254,24 @@
         if raw.len() > DETAILS_MAX {
             return Err(DetailsError::TooLarge);
         }
-        let told = DetailsMessage::decode(raw).map_err(|_| DetailsError::Unreadable)?;
-        let address = address_from(&told.address).ok_or(DetailsError::BadAddress)?;
+        let details = DetailsMessage::decode(raw).map_err(|_| DetailsError::Unreadable)?;
+        let address = address_from(&details.address).ok_or(DetailsError::BadAddress)?;
         let fits = |text: &str, most| text.is_empty() || is_name(text, most);
-        if !fits(&told.zone, ZONE_MAX) || !fits(&told.program, PROGRAM_MAX) {
+        if !fits(&details.zone, ZONE_MAX) || !fits(&details.program, PROGRAM_MAX) {
             return Err(DetailsError::BadName);
         }
-        if told.parts.len() > PARTS_MAX {
+        if details.attachments.len() > ATTACHMENTS_MAX {
             return Err(DetailsError::TooLarge);
         }
-        let parts = told.parts.into_iter();
+        let attachments = details.attachments.into_iter();
         Ok(MemberDetails {
             address,
-            zone: told.zone.into(),
-            phase: Phase::from_number(told.phase),
-            program: told.program.into(),
-            wire: (told.wire_least, told.wire_most),
-            settings: (told.settings, told.settings_hash),
-            parts: parts
+            zone: details.zone.into(),
+            phase: Phase::from_number(details.phase),
+            program: details.program.into(),
+            wire: (details.wire_least, details.wire_most),
+            settings: (details.settings, details.settings_hash),
+            attachments: attachments
                 .map(|p| Attachment {
                     id: p.id,
                     version: p.version,
@@ -294,12 +294,12 @@
 
     /// Bytes that they take here, roughly.
     pub fn bytes(&self) -> usize {
-        let parts: usize = self
-            .parts
+        let attachments: usize = self
+            .attachments
             .iter()
             .map(|p| p.bytes.len() + size_of::<Attachment>())
             .sum();
-        size_of::<MemberDetails>() + 2 * self.raw.len() + parts + 64
+        size_of::<MemberDetails>() + 2 * self.raw.len() + attachments + 64
     }
 }
 
@@ -307,9 +307,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadHint {
     /// MemberCounts the words of one life.
-    pub no: u16,
+    pub number: u16,
     /// Room left, and load, each of 255.
-    pub room: u8,
+    pub capacity: u8,
     pub load: u8,
 }
 
@@ -318,56 +318,56 @@
 pub struct MemberEntry {
     pub name: Arc<str>,
     pub epoch: Epoch,
-    pub standing: LivenessState,
+    pub liveness_state: LivenessState,
     /// MemberCounts what it said of itself in this life.
     pub revision: u32,
     pub details: Arc<MemberDetails>,
     /// The latest word of its room and load, and when it came; 0 if none did.
-    pub pulse: LoadHint,
-    pub pulse_at: crate::Nanos,
+    pub load_hint: LoadHint,
+    pub load_hint_received: crate::Nanos,
     /// When its status here became what it is.
     pub since: crate::Nanos,
     /// What it adds to digests while it is present; kept, as hashing a thousand entries for each
     /// comparison took most of it.
-    pub(crate) stamp: u64,
+    pub(crate) digest_contribution: u64,
 }
 
 impl MemberEntry {
-    pub fn status(&self) -> Liveness {
-        self.standing.status
+    pub fn liveness(&self) -> Liveness {
+        self.liveness_state.liveness
     }
 
     /// Works out what it adds to digests. Suspicion adds nothing, for it passes.
-    pub(crate) fn restamp(&mut self, key: MemberKey) {
-        self.stamp = hash(&[
+    pub(crate) fn update_digest_contribution(&mut self, key: MemberKey) {
+        self.digest_contribution = hash(&[
             &key.0.to_le_bytes(),
-            &self.epoch.birth.to_le_bytes(),
-            &self.epoch.life.0.to_le_bytes(),
-            &self.standing.bump.to_le_bytes(),
+            &self.epoch.started_unix_ms.to_le_bytes(),
+            &self.epoch.incarnation.0.to_le_bytes(),
+            &self.liveness_state.refutation.to_le_bytes(),
             &self.revision.to_le_bytes(),
             &self.details.hash().to_le_bytes(),
         ]);
     }
 
     /// The news of it without name and details, for those who have them.
-    pub(crate) fn brief(&self, key: MemberKey) -> MemberUpdate {
+    pub(crate) fn header_update(&self, key: MemberKey) -> MemberUpdate {
         MemberUpdate {
             key: key.0,
-            birth: self.epoch.birth,
-            life: self.epoch.life.0,
-            bump: self.standing.bump,
-            status: self.standing.status.number(),
+            started_unix_ms: self.epoch.started_unix_ms,
+            incarnation: self.epoch.incarnation.0,
+            refutation: self.liveness_state.refutation,
+            liveness: self.liveness_state.liveness.number(),
             revision: self.revision,
             ..MemberUpdate::default()
         }
     }
 
     /// All that is known of it.
-    pub(crate) fn full(&self, key: MemberKey) -> MemberUpdate {
+    pub(crate) fn full_update(&self, key: MemberKey) -> MemberUpdate {
         MemberUpdate {
             name: self.name.to_string(),
-            told: self.details.raw().to_vec(),
-            ..self.brief(key)
+            details: self.details.raw().to_vec(),
+            ..self.header_update(key)
         }
     }
 }
--- a/crates/membership/src/member/tests.rs
+++ b/crates/membership/src/member/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn details(parts: Vec<Attachment>) -> Result<MemberDetails, DetailsError> {
+fn member_details(attachments: Vec<Attachment>) -> Result<MemberDetails, DetailsError> {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    MemberDetails::new(address, "a", Phase::Serving, "0.1.0", (1, 1), (7, 8), parts)
+    MemberDetails::new(address, "a", Phase::Serving, "0.1.0", (1, 1), (7, 8), attachments)
 }
 
 #[test]
@@ -12,18 +12,18 @@
         version: 2,
         bytes: vec![1; len],
     };
-    let told = details(vec![part(40)]).unwrap();
-    assert_eq!(MemberDetails::read(told.raw()).unwrap(), told);
+    let details = member_details(vec![part(40)]).unwrap();
+    assert_eq!(MemberDetails::read(details.raw()).unwrap(), details);
     assert_eq!(
-        (told.phase, &told.zone[..], told.settings),
+        (details.phase, &details.zone[..], details.settings),
         (Phase::Serving, "a", (7, 8))
     );
     assert_eq!(
-        details(vec![part(DETAILS_MAX)]).unwrap_err(),
+        member_details(vec![part(DETAILS_MAX)]).unwrap_err(),
         DetailsError::TooLarge
     );
     assert_eq!(
-        details(vec![part(1); PARTS_MAX + 1]).unwrap_err(),
+        member_details(vec![part(1); ATTACHMENTS_MAX + 1]).unwrap_err(),
         DetailsError::TooLarge
     );
     let zone = "z".repeat(ZONE_MAX + 1);
@@ -52,16 +52,16 @@
 /// agree on the digest.
 #[test]
 fn what_a_later_version_adds_passes_through() {
-    let mut raw = details(vec![]).unwrap().raw().to_vec();
+    let mut raw = member_details(vec![]).unwrap().raw().to_vec();
     raw.extend([0xfa, 0x01, 0x03, b'n', b'e', b'w']); // field 31, bytes
     let read = MemberDetails::read(&raw).unwrap();
     assert_eq!(read.raw(), &raw[..]);
-    assert_ne!(read.hash(), details(vec![]).unwrap().hash());
+    assert_ne!(read.hash(), member_details(vec![]).unwrap().hash());
 }
 
 #[test]
 fn every_cut_and_bit_of_details_is_read_or_refused() {
-    let raw = details(vec![Attachment {
+    let raw = member_details(vec![Attachment {
         id: 1,
         version: 1,
         bytes: b"abc".to_vec(),
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -98,8 +98,8 @@
 }
 
 impl MemberCounts {
-    fn of(&mut self, status: Liveness) -> &mut usize {
-        match status {
+    fn of(&mut self, liveness: Liveness) -> &mut usize {
+        match liveness {
             Liveness::Alive => &mut self.alive,
             Liveness::Suspect => &mut self.suspect,
             Liveness::Dead => &mut self.dead,
@@ -123,7 +123,7 @@
     entries: BTreeMap<MemberKey, MemberEntry>,
     sums: Box<[u64; SLICES]>,
     digest: u64,
-    counts: MemberCounts,
+    counters: MemberCounts,
     zones: BTreeMap<Arc<str>, MemberCounts>,
     bytes: usize,
     bytes_most: usize,
@@ -141,7 +141,7 @@
             entries: BTreeMap::new(),
             sums: Box::new([0; SLICES]),
             digest: 0,
-            counts: MemberCounts::default(),
+            counters: MemberCounts::default(),
             zones: BTreeMap::new(),
             bytes: 0,
             bytes_most,
@@ -155,8 +155,8 @@
         self.digest
     }
 
-    pub fn counts(&self) -> MemberCounts {
-        self.counts
+    pub fn counters(&self) -> MemberCounts {
+        self.counters
     }
 
     /// The counts of one zone.
@@ -192,9 +192,9 @@
     pub fn sum(&self, range: RangeInclusive<u64>) -> (usize, u64) {
         let present = self
             .range(range)
-            .filter(|(_, entry)| entry.status().is_present());
+            .filter(|(_, entry)| entry.liveness().is_present());
         present.fold((0, 0), |(n, sum), (_, entry)| {
-            (n + 1, sum.wrapping_add(entry.stamp))
+            (n + 1, sum.wrapping_add(entry.digest_contribution))
         })
     }
 
@@ -219,26 +219,26 @@
             .entry(Arc::clone(&entry.details.zone))
             .or_default();
         if coming {
-            *self.counts.of(entry.status()) += 1;
-            *zone.of(entry.status()) += 1;
+            *self.counters.of(entry.liveness()) += 1;
+            *zone.of(entry.liveness()) += 1;
             self.bytes += size;
         } else {
-            *self.counts.of(entry.status()) -= 1;
-            *zone.of(entry.status()) -= 1;
+            *self.counters.of(entry.liveness()) -= 1;
+            *zone.of(entry.liveness()) -= 1;
             if zone.all() == 0 {
                 self.zones.remove(&entry.details.zone);
             }
             self.bytes -= size;
         }
-        if entry.status().is_present() {
-            let stamp = entry.stamp;
+        if entry.liveness().is_present() {
+            let digest_contribution = entry.digest_contribution;
             let sum = &mut self.sums[slice(key)];
             if coming {
-                *sum = sum.wrapping_add(stamp);
-                self.digest = self.digest.wrapping_add(stamp);
+                *sum = sum.wrapping_add(digest_contribution);
+                self.digest = self.digest.wrapping_add(digest_contribution);
             } else {
-                *sum = sum.wrapping_sub(stamp);
-                self.digest = self.digest.wrapping_sub(stamp);
+                *sum = sum.wrapping_sub(digest_contribution);
+                self.digest = self.digest.wrapping_sub(digest_contribution);
             }
         }
     }
@@ -250,7 +250,7 @@
         };
         self.count(key, &entry, false);
         with(&mut entry);
-        entry.restamp(key);
+        entry.update_digest_contribution(key);
         self.count(key, &entry, true);
         self.entries.insert(key, entry);
     }
@@ -271,24 +271,24 @@
     }
 
     /// Takes in what was said of a member, and says what came of it.
-    pub fn merge(&mut self, now: Nanos, news: &MemberUpdate) -> MergeOutcome {
-        let key = MemberKey(news.key);
-        let Some(status) = Liveness::from_number(news.status) else {
+    pub fn merge(&mut self, now: Nanos, updates: &MemberUpdate) -> MergeOutcome {
+        let key = MemberKey(updates.key);
+        let Some(liveness) = Liveness::from_number(updates.liveness) else {
             return MergeOutcome::DetailsError(DetailsError::Unreadable);
         };
         let epoch = Epoch {
-            birth: news.birth,
-            life: Incarnation(news.life),
+            started_unix_ms: updates.started_unix_ms,
+            incarnation: Incarnation(updates.incarnation),
         };
-        let standing = LivenessState {
-            bump: news.bump,
-            status,
+        let liveness_state = LivenessState {
+            refutation: updates.refutation,
+            liveness,
         };
         match self.entries.get(&key) {
             Some(known) if known.epoch > epoch => MergeOutcome::Older,
-            Some(known) if known.epoch == epoch => self.grow(now, key, standing, news),
-            Some(_) => self.replace(now, key, epoch, standing, news),
-            None => self.insert(now, key, epoch, standing, news),
+            Some(known) if known.epoch == epoch => self.grow(now, key, liveness_state, updates),
+            Some(_) => self.replace(now, key, epoch, liveness_state, updates),
+            None => self.insert(now, key, epoch, liveness_state, updates),
         }
     }
 
@@ -297,41 +297,41 @@
         &mut self,
         now: Nanos,
         key: MemberKey,
-        standing: LivenessState,
-        news: &MemberUpdate,
+        liveness_state: LivenessState,
+        updates: &MemberUpdate,
     ) -> MergeOutcome {
         let Some(known) = self.entries.get(&key) else {
             return MergeOutcome::Wanted;
         };
-        let (stands, revision) = (known.standing, known.revision);
-        let newer = news.revision > revision;
-        if newer && news.told.is_empty() {
+        let (stands, revision) = (known.liveness_state, known.revision);
+        let newer = updates.revision > revision;
+        if newer && updates.details.is_empty() {
             // The standing may hold already; what it said is still to be asked for.
-            if standing > stands {
-                self.change(key, |entry| entry.standing = standing);
+            if liveness_state > stands {
+                self.change(key, |entry| entry.liveness_state = liveness_state);
             }
             return MergeOutcome::Wanted;
         }
-        if standing == stands && news.revision == revision {
+        if liveness_state == stands && updates.revision == revision {
             return MergeOutcome::Known;
         }
-        if standing <= stands && !newer {
+        if liveness_state <= stands && !newer {
             return MergeOutcome::Older;
         }
-        let details = match newer.then(|| self.details(&news.told)).transpose() {
+        let details = match newer.then(|| self.details(&updates.details)).transpose() {
             Ok(details) => details,
-            Err(odd) => return MergeOutcome::DetailsError(odd),
+            Err(error) => return MergeOutcome::DetailsError(error),
         };
         let mut change = MemberChange {
-            before: Some(stands.status),
+            before: Some(stands.liveness),
             digest: true,
             ..MemberChange::default()
         };
         let digest = self.digest;
         self.change(key, |entry| {
-            if standing > stands {
-                entry.standing = standing;
-                entry.since = if standing.status == stands.status {
+            if liveness_state > stands {
+                entry.liveness_state = liveness_state;
+                entry.since = if liveness_state.liveness == stands.liveness {
                     entry.since
                 } else {
                     now
@@ -340,9 +340,9 @@
             if let Some(details) = details {
                 change.moved = entry.details.address != details.address;
                 change.phase = Some(entry.details.phase).filter(|before| *before != details.phase);
-                (entry.revision, entry.details) = (news.revision, details);
+                (entry.revision, entry.details) = (updates.revision, details);
             }
-            change.after = entry.status();
+            change.after = entry.liveness();
         });
         change.digest = digest != self.digest;
         MergeOutcome::Changed(change)
@@ -354,35 +354,35 @@
         now: Nanos,
         key: MemberKey,
         epoch: Epoch,
-        standing: LivenessState,
-        news: &MemberUpdate,
+        liveness_state: LivenessState,
+        updates: &MemberUpdate,
     ) -> MergeOutcome {
-        if news.told.is_empty() {
+        if updates.details.is_empty() {
             return MergeOutcome::Wanted;
         }
-        let details = match self.details(&news.told) {
+        let details = match self.details(&updates.details) {
             Ok(details) => details,
-            Err(odd) => return MergeOutcome::DetailsError(odd),
+            Err(error) => return MergeOutcome::DetailsError(error),
         };
         let mut change = MemberChange {
-            after: standing.status,
+            after: liveness_state.liveness,
             digest: true,
             replaced: true,
             ..MemberChange::default()
         };
         self.change(key, |entry| {
-            change.before = Some(entry.status());
+            change.before = Some(entry.liveness());
             change.moved = entry.details.address != details.address;
             *entry = MemberEntry {
                 name: Arc::clone(&entry.name),
                 epoch,
-                standing,
-                revision: news.revision,
+                liveness_state,
+                revision: updates.revision,
                 details,
-                pulse: LoadHint::default(),
-                pulse_at: 0,
+                load_hint: LoadHint::default(),
+                load_hint_received: 0,
                 since: now,
-                stamp: 0,
+                digest_contribution: 0,
             };
         });
         MergeOutcome::Changed(change)
@@ -393,79 +393,79 @@
         now: Nanos,
         key: MemberKey,
         epoch: Epoch,
-        standing: LivenessState,
-        news: &MemberUpdate,
+        liveness_state: LivenessState,
+        updates: &MemberUpdate,
     ) -> MergeOutcome {
-        if !standing.status.is_present() {
+        if !liveness_state.liveness.is_present() {
             return MergeOutcome::Known; // who was never known need not be remembered as gone
         }
-        if news.told.is_empty() || news.name.is_empty() {
+        if updates.details.is_empty() || updates.name.is_empty() {
             return MergeOutcome::Wanted;
         }
-        if !is_name(&news.name, NAME_MAX) || MemberKey::of(&news.name) != key {
+        if !is_name(&updates.name, NAME_MAX) || MemberKey::of(&updates.name) != key {
             return MergeOutcome::DetailsError(DetailsError::BadName);
         }
-        let details = match self.details(&news.told) {
+        let details = match self.details(&updates.details) {
             Ok(details) => details,
-            Err(odd) => return MergeOutcome::DetailsError(odd),
+            Err(error) => return MergeOutcome::DetailsError(error),
         };
-        let size = ENTRY + news.name.len() + details.bytes();
+        let size = ENTRY + updates.name.len() + details.bytes();
         while self.bytes + size > self.bytes_most {
             if !self.forget_one() {
                 return MergeOutcome::Full;
             }
         }
         let mut entry = MemberEntry {
-            name: news.name.as_str().into(),
+            name: updates.name.as_str().into(),
             epoch,
-            standing,
-            revision: news.revision,
+            liveness_state,
+            revision: updates.revision,
             details,
-            pulse: LoadHint::default(),
-            pulse_at: 0,
+            load_hint: LoadHint::default(),
+            load_hint_received: 0,
             since: now,
-            stamp: 0,
+            digest_contribution: 0,
         };
-        entry.restamp(key);
+        entry.update_digest_contribution(key);
         self.count(key, &entry, true);
         self.entries.insert(key, entry);
         MergeOutcome::Changed(MemberChange {
-            after: standing.status,
+            after: liveness_state.liveness,
             digest: true,
             ..MemberChange::default()
         })
     }
 
     /// Suspects or buries a member at the bump that is known; true if that changed anything.
-    pub fn set(&mut self, now: Nanos, key: MemberKey, status: Liveness) -> Option<MemberChange> {
+    pub fn set(&mut self, now: Nanos, key: MemberKey, liveness: Liveness) -> Option<MemberChange> {
         let known = self.entries.get(&key)?;
-        if known.standing.status >= status {
+        if known.liveness_state.liveness >= liveness {
             return None;
         }
-        let (before, digest) = (known.status(), self.digest);
+        let (before, digest) = (known.liveness(), self.digest);
         self.change(key, |entry| {
-            entry.standing.status = status;
+            entry.liveness_state.liveness = liveness;
             entry.since = now;
         });
         Some(MemberChange {
             before: Some(before),
-            after: status,
+            after: liveness,
             digest: digest != self.digest,
             ..MemberChange::default()
         })
     }
 
     /// Takes a word of room and load; true if it is newer than what was known.
-    pub(crate) fn pulse(&mut self, now: Nanos, tag: u32, pulse: LoadHint) -> Option<MemberKey> {
+    pub(crate) fn load_hint(&mut self, now: Nanos, tag: u32, load_hint: LoadHint) -> Option<MemberKey> {
         let from = u64::from(tag) << 32;
         let (key, entry) = self
             .entries
             .range_mut(MemberKey(from)..=MemberKey(from | u64::from(u32::MAX)))
             .next()?;
         let is_newer =
-            entry.pulse_at == 0 || (1..1 << 15).contains(&pulse.no.wrapping_sub(entry.pulse.no));
+            entry.load_hint_received == 0 || (1..1 << 15).contains(&load_hint.number.wrapping_sub(entry.load_hint.number));
         is_newer.then(|| {
-            (entry.pulse, entry.pulse_at) = (pulse, now.max(1));
+            (entry.load_hint, entry.load_hint_received) = (load_hint, now.max(1));
             *key
         })
     }
@@ -474,7 +474,7 @@
     pub fn forget(&mut self, now: Nanos, after: Nanos) -> usize {
         let gone = self
             .iter()
-            .filter(|(_, e)| !e.status().is_present() && now - e.since.min(now) >= after);
+            .filter(|(_, e)| !e.liveness().is_present() && now - e.since.min(now) >= after);
         let gone: Vec<MemberKey> = gone.map(|(key, _)| key).collect();
         gone.iter().for_each(|key| self.remove(*key));
         gone.len()
@@ -485,7 +485,7 @@
     fn forget_one(&mut self) -> bool {
         let gone = self
             .iter()
-            .filter(|(_, entry)| !entry.status().is_present());
+            .filter(|(_, entry)| !entry.liveness().is_present());
         let crowd = |entry: &MemberEntry| {
             self.zones
                 .get(&entry.details.zone)
@@ -493,7 +493,7 @@
         };
         let first = gone.min_by_key(|(_, e)| {
             (
-                e.status() != Liveness::Left,
+                e.liveness() != Liveness::Left,
                 std::cmp::Reverse(crowd(e)),
                 e.since,
             )
--- a/crates/membership/src/observer.rs
+++ b/crates/membership/src/observer.rs
@@ -13,18 +13,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberSnapshot {
     pub name: String,
-    pub status: Liveness,
+    pub liveness: Liveness,
     pub address: SocketAddr,
     pub zone: String,
     pub phase: Phase,
     pub program: String,
     pub settings: (u64, u64),
-    pub birth: u64,
-    pub life: u64,
-    pub bump: u32,
+    pub started_unix_ms: u64,
+    pub incarnation: u64,
+    pub refutation: u32,
     pub revision: u32,
     /// Room and load, where a word of them came.
-    pub pulse: Option<(u8, u8)>,
+    pub load_hint: Option<(u8, u8)>,
 }
 
 /// What a node holds.
@@ -39,7 +39,7 @@
 /// Asks one node for all that it holds, page by page.
 pub struct Observer {
     seal: DatagramAuth,
-    no: u32,
+    number: u32,
     cursor: u64,
     holding: NodeSnapshot,
     /// What another package holds is asked for, and what has come of it.
@@ -55,7 +55,7 @@
     pub fn new(fleet: &str, keys: AuthKeys, seed: u64, skew: Nanos) -> Observer {
         Observer {
             seal: DatagramAuth::new(fleet, keys, observer(seed), skew, 64),
-            no: 0,
+            number: 0,
             cursor: 0,
             holding: NodeSnapshot::default(),
             topic: 0,
@@ -71,11 +71,11 @@
 
     /// The question to send: the next page, or the same one again.
     pub fn question(&mut self, unix_ms: u64) -> Vec<u8> {
-        self.no += 1;
-        let (no, cursor, topic) = (self.no, self.cursor, self.topic);
+        self.number += 1;
+        let (number, cursor, topic) = (self.number, self.cursor, self.topic);
         let datagram = Datagram {
             kind: kind::SHOW,
-            no,
+            number,
             cursor,
             topic,
             ..Datagram::default()
@@ -85,16 +85,16 @@
 
     /// An order to another package, to send; or the same one again.
     pub fn order(&mut self, unix_ms: u64, topic: u32, order: &[u8]) -> Vec<u8> {
-        self.no += 1;
+        self.number += 1;
         self.topic = topic;
-        let (kind, no, parcel) = (kind::ORDER, self.no, order.to_vec());
+        let (kind, number, payload) = (kind::ORDER, self.number, order.to_vec());
         self.seal.seal(
             unix_ms,
             &Datagram {
                 kind,
-                no,
+                number,
                 topic,
-                parcel,
+                payload,
                 ..Datagram::default()
             }
             .encode_to_vec(),
@@ -102,7 +102,7 @@
     }
 
     /// A datagram came; gives what became of the last order, if that is it.
-    pub fn ordered(
+    pub fn answer_order(
         &mut self,
         now: Nanos,
         unix_ms: u64,
@@ -111,8 +111,8 @@
         let (_, message) = self.seal.open(now, unix_ms, frame)?;
         let answer = Datagram::decode(message).map_err(|_| DropReason::Unreadable)?;
         let is_it =
-            answer.kind == kind::ORDERED && answer.no == self.no && answer.topic == self.topic;
-        Ok(is_it.then_some(answer.parcel))
+            answer.kind == kind::ORDERED && answer.number == self.number && answer.topic == self.topic;
+        Ok(is_it.then_some(answer.payload))
     }
 
     /// A datagram came; gives all that another package holds once the last page is there, and
@@ -126,13 +126,13 @@
     ) -> Result<(bool, Option<Vec<u8>>), DropReason> {
         let (_, message) = self.seal.open(now, unix_ms, frame)?;
         let page = Datagram::decode(message).map_err(|_| DropReason::Unreadable)?;
-        if page.kind != kind::PAGE || page.no != self.no || page.topic != self.topic {
+        if page.kind != kind::PAGE || page.number != self.number || page.topic != self.topic {
             return Ok((false, None));
         }
         if self.cursor == 0 {
             self.bytes.clear();
         }
-        self.bytes.extend_from_slice(&page.parcel);
+        self.bytes.extend_from_slice(&page.payload);
         self.cursor = page.cursor;
         let done = self.cursor == 0 || self.bytes.len() > BYTES_MAX;
         Ok((true, done.then(|| std::mem::take(&mut self.bytes))))
@@ -148,38 +148,38 @@
     ) -> Result<(bool, Option<NodeSnapshot>), DropReason> {
         let (_, message) = self.seal.open(now, unix_ms, frame)?;
         let page = Datagram::decode(message).map_err(|_| DropReason::Unreadable)?;
-        if page.kind != kind::PAGE || page.no != self.no {
+        if page.kind != kind::PAGE || page.number != self.number {
             return Ok((false, None));
         }
         if let Some(report) = page.report {
             self.holding.report = report;
         }
         self.holding.digest = page.digest;
-        for (at, news) in page.news.iter().enumerate() {
-            let Ok(details) = MemberDetails::read(&news.told) else {
+        for (at, updates) in page.updates.iter().enumerate() {
+            let Ok(details) = MemberDetails::read(&updates.details) else {
                 continue;
             };
-            let pulse = page
-                .pulses
+            let load_hint = page
+                .load_hints
                 .as_chunks::<8>()
                 .0
                 .get(at)
                 .filter(|p| p[4..6] != [0, 0]);
             let shown = MemberSnapshot {
-                name: news.name.clone(),
-                status: Liveness::from_number(news.status).unwrap_or_default(),
+                name: updates.name.clone(),
+                liveness: Liveness::from_number(updates.liveness).unwrap_or_default(),
                 address: details.address,
                 zone: details.zone.to_string(),
                 phase: details.phase,
                 program: details.program.to_string(),
                 settings: details.settings,
-                birth: news.birth,
-                life: news.life,
-                bump: news.bump,
-                revision: news.revision,
-                pulse: pulse.map(|p| (p[6], p[7])),
+                started_unix_ms: updates.started_unix_ms,
+                incarnation: updates.incarnation,
+                refutation: updates.refutation,
+                revision: updates.revision,
+                load_hint: load_hint.map(|p| (p[6], p[7])),
             };
-            self.holding.members.insert(MemberKey(news.key), shown);
+            self.holding.members.insert(MemberKey(updates.key), shown);
         }
         self.cursor = page.cursor;
         let done = self.cursor == 0;
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -34,8 +34,8 @@
     /// Share of members that stall, for how long at most, and how long they run in between.
     pub slow: f64,
     pub stall: (Nanos, Nanos),
-    pub periods: Timing,
-    pub extensions: FeatureToggles,
+    pub timing: Timing,
+    pub features: FeatureToggles,
     /// Whether all know each other at the start; else they find each other by the first three.
     pub acquainted: bool,
     pub seed: u64,
@@ -50,8 +50,8 @@
             latency: (200_000, 2 * MILLISECOND),
             slow: 0.0,
             stall: (1500 * MILLISECOND, 3 * SECOND),
-            periods: Timing::default(),
-            extensions: FeatureToggles::default(),
+            timing: Timing::default(),
+            features: FeatureToggles::default(),
             acquainted: true,
             seed: 1,
         }
@@ -76,7 +76,7 @@
             lines.push(line.to_owned());
         }
     }
-    fn sight(&mut self, _sight: &ClusterView) {}
+    fn cluster_view(&mut self, _sight: &ClusterView) {}
     fn changed(&mut self, kind: ChangeKind, key: MemberKey) {
         self.changed.push((kind, key));
     }
@@ -153,7 +153,7 @@
     pub nodes: Vec<SimulatedNode>,
     rng: Pcg64Mcg,
     queue: BinaryHeap<Reverse<Event>>,
-    ordered: u64,
+    answer_order: u64,
     places: HashMap<SocketAddr, usize>,
     keys: HashMap<MemberKey, usize>,
     /// Between which nodes nothing passes: by number of the sender and of the receiver.
@@ -207,7 +207,7 @@
             now: SECOND,
             rng,
             queue: BinaryHeap::new(),
-            ordered: 0,
+            answer_order: 0,
             places: nodes
                 .iter()
                 .enumerate()
@@ -245,7 +245,7 @@
             for n in 0..sim.nodes.len() {
                 let at = sim.moment(n);
                 if let Some(fleet) = &mut sim.nodes[n].fleet {
-                    fleet.acquaint(at, &all);
+                    fleet.preload(at, &all);
                 }
             }
         }
@@ -271,11 +271,11 @@
                 .map(|n| self.nodes[n].address)
                 .collect(),
             keys: AuthKeys::new(&[vec![7; 32]]).expect("a key of 32 bytes"),
-            periods: self.plan.periods,
+            timing: self.plan.timing,
             program: "0.1.0".into(),
             settings: (1, 1),
             bytes: 2 * self.plan.members * crate::member_table::ENTRY_USUAL + (1 << 16),
-            extensions: self.plan.extensions,
+            features: self.plan.features,
         }
     }
 
@@ -354,10 +354,10 @@
     }
 
     fn push(&mut self, due: Nanos, node: usize, what: What) {
-        self.ordered += 1;
+        self.answer_order += 1;
         self.queue.push(Reverse(Event {
             due,
-            order: self.ordered,
+            order: self.answer_order,
             node,
             what,
         }));
@@ -418,14 +418,14 @@
         }
     }
 
-    fn found_dead(&mut self, by: usize, other: usize) {
+    fn found_dead(&mut self, suspected_by: usize, other: usize) {
         if let Some(since) = self.nodes[other].down_since {
             self.detected.entry(other).or_insert(self.now - since);
             return;
         }
         let still = self.nodes[other].still_until > self.now;
-        let cut = (self.cut)(&self.nodes[by], &self.nodes[other])
-            || (self.cut)(&self.nodes[other], &self.nodes[by]);
+        let cut = (self.cut)(&self.nodes[suspected_by], &self.nodes[other])
+            || (self.cut)(&self.nodes[other], &self.nodes[suspected_by]);
         let last = self.false_last.get(&other).copied();
         if !still && !cut && last.is_none_or(|last| self.now > last + ONE_DEATH) {
             self.false_deaths.push((self.now, other));
@@ -527,7 +527,7 @@
 
     /// Whether all that are up hold one digest, and hold for there just those that are up.
     pub fn is_settled(&self) -> bool {
-        let mut digests = self.up().map(|(_, fleet)| fleet.view().digest());
+        let mut digests = self.up().map(|(_, fleet)| fleet.member_table().digest());
         let Some(first) = digests.next() else {
             return true;
         };
@@ -539,16 +539,16 @@
             return true;
         };
         let there = |node: &SimulatedNode| {
-            let status = fleet.view().get(node.key).map(|entry| entry.status());
-            status.is_some_and(Liveness::is_present) == node.fleet.is_some()
+            let liveness = fleet.member_table().get(node.key).map(|entry| entry.liveness());
+            liveness.is_some_and(Liveness::is_present) == node.fleet.is_some()
         };
-        fleet.view().counts().present() == up && self.nodes.iter().all(there)
+        fleet.member_table().counters().present() == up && self.nodes.iter().all(there)
     }
 
     /// Whether nobody is suspected by anybody.
     pub fn is_calm(&self) -> bool {
         self.up()
-            .all(|(_, fleet)| fleet.view().counts().suspect == 0)
+            .all(|(_, fleet)| fleet.member_table().counters().suspect == 0)
     }
 
     /// Bytes and datagrams that each member sent, on average, since the last call.
@@ -615,7 +615,7 @@
     // A crash: each has the periods that it had missed already, and its own phase.
     let left: Vec<f64> = (1..members)
         .map(|to| f64::from(missed - silent[to].min(missed)) - rng.random_range(0.0..1.0))
-        .map(|periods| periods.max(0.0) * period as f64 / SECOND as f64)
+        .map(|timing| timing.max(0.0) * period as f64 / SECOND as f64)
         .collect();
     let datagrams = (members - 1) as f64 * SECOND as f64 / period as f64;
     Heartbeats {
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 struct Suspicion {
     since: Nanos,
-    by: Vec<MemberKey>,
+    suspected_by: Vec<MemberKey>,
     least: Nanos,
     most: Nanos,
     /// When the last call went out first, and how often it did.
@@ -29,11 +29,11 @@
 impl Suspicion {
     /// When its time is over but for the last call.
     fn over(&self) -> Nanos {
-        let confirmed = self.by.len().saturating_sub(1);
-        if confirmed == 0 {
+        let confirm_suspicion = self.suspected_by.len().saturating_sub(1);
+        if confirm_suspicion == 0 {
             return self.since + self.most;
         }
-        let part = ((confirmed + 1) as f64).ln() / ((CONFIRMED + 1) as f64).ln();
+        let part = ((confirm_suspicion + 1) as f64).ln() / ((CONFIRMED + 1) as f64).ln();
         let wait = self.most as f64 - part.min(1.0) * (self.most - self.least) as f64;
         self.since + (wait as Nanos).max(self.least)
     }
@@ -71,28 +71,28 @@
         &mut self,
         now: Nanos,
         key: MemberKey,
-        by: MemberKey,
+        suspected_by: MemberKey,
         (least, most): (Nanos, Nanos),
     ) -> bool {
         let fresh = || Suspicion {
             since: now,
-            by: Vec::new(),
+            suspected_by: Vec::new(),
             least,
             most: most.max(least),
             called: None,
             calls: 0,
         };
         let suspicion = self.all.entry(key).or_insert_with(fresh);
-        let is_new = !suspicion.by.contains(&by) && suspicion.by.len() <= CONFIRMED;
+        let is_new = !suspicion.suspected_by.contains(&suspected_by) && suspicion.suspected_by.len() <= CONFIRMED;
         if is_new {
-            suspicion.by.push(by);
+            suspicion.suspected_by.push(suspected_by);
         }
         is_new
     }
 
     /// Who suspected it last.
     pub fn latest(&self, key: MemberKey) -> Option<MemberKey> {
-        self.all.get(&key)?.by.last().copied()
+        self.all.get(&key)?.suspected_by.last().copied()
     }
 
     /// It is cleared, or buried.
--- a/crates/membership/src/suspicion/tests.rs
+++ b/crates/membership/src/suspicion/tests.rs
@@ -4,8 +4,8 @@
 fn a_suspect_has_less_time_the_more_confirm_and_never_less_than_the_least() {
     let mut all = Suspicions::default();
     let mut dues = Vec::new();
-    for by in 1..=6 {
-        all.suspect(100, MemberKey(7), MemberKey(by), (1000, 6000));
+    for suspected_by in 1..=6 {
+        all.suspect(100, MemberKey(7), MemberKey(suspected_by), (1000, 6000));
         dues.push(all.next(0).unwrap());
     }
     assert_eq!((dues[0], dues[3], dues[5]), (6100, 1100, 1100));
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -36,9 +36,9 @@
     /// Write a line to the log: one for each change of the view, as far as the rate allows.
     fn log(&mut self, kind: &'static str, line: &str);
     /// What decisions see has changed.
-    fn sight(&mut self, sight: &ClusterView);
+    fn cluster_view(&mut self, cluster_view: &ClusterView);
     /// A parcel of another package came from a member, whose process this is.
-    fn parcel(&mut self, _from: MemberKey, _life: Incarnation, _topic: u32, _parcel: &[u8]) {}
+    fn payload(&mut self, _from: MemberKey, _life: Incarnation, _topic: u32, _parcel: &[u8]) {}
     /// Somebody who has the key asks what another package holds, from a place in it on: a page of
     /// that and the place of the next one, 0 after the last. None if there is nothing, or not yet:
     /// then it will be asked again.
@@ -69,14 +69,14 @@
     /// For the answer to a probe, before others are asked to probe.
     pub answer: Nanos,
     /// Between two rounds of news.
-    pub gossip: Nanos,
+    pub dissemination_queue: Nanos,
     /// The least time that a suspect has, in periods, times the decimal logarithm of the fleet's
     /// size.
     pub suspicion: f64,
     /// The most, as a multiple of the least.
-    pub suspicion_most: f64,
+    pub suspicion_max_factor: f64,
     /// Between two tries to find one of the dead again.
-    pub regain: Nanos,
+    pub probe_dead: Nanos,
     /// The dead are remembered for so long.
     pub remember: Nanos,
     /// A first word is believed only from a clock this close.
@@ -88,10 +88,10 @@
         Timing {
             probe: SECOND,
             answer: 400 * MILLISECOND,
-            gossip: 200 * MILLISECOND,
+            dissemination_queue: 200 * MILLISECOND,
             suspicion: 2.0,
-            suspicion_most: 4.0,
-            regain: SECOND,
+            suspicion_max_factor: 4.0,
+            probe_dead: SECOND,
             remember: 3600 * SECOND,
             skew: 600 * SECOND,
         }
@@ -108,7 +108,7 @@
     /// Views compared by digests.
     pub reconcile: bool,
     /// The dead probed again.
-    pub regain: bool,
+    pub probe_dead: bool,
 }
 
 impl Default for FeatureToggles {
@@ -117,7 +117,7 @@
             health: true,
             confirm: true,
             reconcile: true,
-            regain: true,
+            probe_dead: true,
         }
     }
 }
@@ -134,81 +134,81 @@
     /// Where somebody may be found.
     pub seeds: Vec<SocketAddr>,
     pub keys: AuthKeys,
-    pub periods: Timing,
+    pub timing: Timing,
     pub program: String,
     /// Number and hash of its settings.
     pub settings: (u64, u64),
     /// Bytes that the view may take.
     pub bytes: usize,
-    pub extensions: FeatureToggles,
+    pub features: FeatureToggles,
 }
 
 /// A probe goes out so often before helpers are asked; all but the first only where no answer came.
 /// At a loss of 30 % one alone fails half the time.
-const AGAIN: u64 = 3;
+const PROBE_RETRIES: u64 = 3;
 /// Helpers that are asked to probe.
-const HELPERS: usize = 3;
+const RELAYS: usize = 3;
 /// Members that news is sent to in each round, and that a leaving node tells.
-const FANOUT: usize = 3;
-const TOLD_AT_LEAVE: usize = 8;
+const GOSSIP_FANOUT: usize = 3;
+const LEAVE_FANOUT: usize = 8;
 /// Probes for others that are under way at once.
-const ERRANDS: usize = 64;
+const RELAYED_PROBES_MAX: usize = 64;
 /// Entries asked for in one datagram.
-const WANTS: usize = 32;
+const WANTS_PER_DATAGRAM: usize = 32;
 /// MemberUpdate that fits into one datagram, roughly; with more to spread, views are compared instead.
-const NEWS_FIT: usize = 20;
+const UPDATES_PER_DATAGRAM: usize = 20;
 /// Others' pulses in each datagram.
-const PULSES: usize = 7;
-const PULSE: usize = 8;
+const LOAD_HINTS_PER_DATAGRAM: usize = 7;
+const LOAD_HINT_BYTES: usize = 8;
 /// Bytes a second, and at once, for comparing views, and for spreading news.
-const COMPARE: (f64, f64) = (64e3, 256e3);
-const SPREAD: (f64, f64) = (16e3, 32e3);
+const COMPARISON_BYTES: (f64, f64) = (64e3, 256e3);
+const DISSEMINATION_BYTES: (f64, f64) = (16e3, 32e3);
 /// Between two comparisons begun by this node; and for how long views that differ are worth more
 /// rounds.
-const COMPARE_GAP: Nanos = 200 * MILLISECOND;
-const UNSETTLED: Nanos = 2 * SECOND;
+const COMPARISON_INTERVAL: Nanos = 200 * MILLISECOND;
+const UNSETTLED_TIME: Nanos = 2 * SECOND;
 /// Small news is given so long to arrive by itself before views are compared.
-const UNDER_WAY: Nanos = 600 * MILLISECOND;
+const UPDATE_TRAVEL_TIME: Nanos = 600 * MILLISECOND;
 /// How often the seeds are tried: alone, and in company.
-const SEEK_ALONE: Nanos = SECOND;
-const SEEK: Nanos = 10 * SECOND;
+const SEED_INTERVAL_ALONE: Nanos = SECOND;
+const SEED_INTERVAL: Nanos = 10 * SECOND;
 /// Seeds tried at once while alone, and addresses that are kept beside the seeds when all is begun
 /// anew.
-const SEEK_AT_ONCE: usize = 3;
-const CONTACTS: usize = 32;
+const SEEDS_AT_ONCE: usize = 3;
+const FORMER_ADDRESSES_MAX: usize = 32;
 /// The dead are probed more seldom after these times: once in so many turns.
-const REGAIN_LATER: [(Nanos, u64); 2] = [(60 * SECOND, 5), (600 * SECOND, 30)];
+const DEAD_PROBE_BACKOFF: [(Nanos, u64); 2] = [(60 * SECOND, 5), (600 * SECOND, 30)];
 /// One more is tried each time for so many dead, up to so many at once.
-const REGAIN_MORE: usize = 24;
-const REGAIN_MOST: usize = 8;
+const DEAD_PER_EXTRA_PROBE: usize = 24;
+const DEAD_PROBES_MAX: usize = 8;
 /// How often what decisions see is looked at, and the gone are tidied up.
-const LOOK: Nanos = 250 * MILLISECOND;
-const TIDY: Nanos = 5 * SECOND;
+const VIEW_INTERVAL: Nanos = 250 * MILLISECOND;
+const EXPIRY_INTERVAL: Nanos = 5 * SECOND;
 /// A wake that is so late shows that the node stood still; after a sleep so long its view is worth
 /// nothing.
-const STOOD_STILL: Nanos = 500 * MILLISECOND;
-const LONG_SLEEP: Nanos = 300 * SECOND;
+const PAUSE_THRESHOLD: Nanos = 500 * MILLISECOND;
+const LONG_PAUSE: Nanos = 300 * SECOND;
 /// After that it hears nothing for so long: what waited in its socket is as old.
-const DEAF: Nanos = 200 * MILLISECOND;
+const STALE_SOCKET_TIME: Nanos = 200 * MILLISECOND;
 /// Tries to hear whether another life that has this node's name is there, and between two looks at
 /// it later.
-const CONTEST_TRIES: u32 = 5;
-const MUTE_LOOK: Nanos = 2 * SECOND;
-const MUTE_TRIES: u32 = 6;
+const NAME_CONFLICT_PROBES: u32 = 5;
+const MUTE_PROBE_INTERVAL: Nanos = 2 * SECOND;
+const MUTE_PROBES: u32 = 6;
 
 /// A probe that waits for its answer.
 #[derive(Debug)]
 struct OutstandingProbe {
-    no: u32,
+    number: u32,
     target: MemberKey,
-    life: Incarnation,
+    incarnation: Incarnation,
     /// When it is asked again, in case the one before was lost on its way, or the way was cut then
     /// and is not now.
     again_at: Nanos,
     /// When helpers are asked, if they have not been.
     ask_at: Option<Nanos>,
     due: Nanos,
-    helpers: u32,
+    relays: u32,
     spoke: u32,
 }
 
@@ -218,7 +218,7 @@
     origin: MemberKey,
     origin_no: u32,
     target: MemberKey,
-    life: Incarnation,
+    incarnation: Incarnation,
     again_at: Nanos,
     due: Nanos,
 }
@@ -270,11 +270,11 @@
 #[derive(Debug)]
 struct Timers {
     probe: Nanos,
-    gossip: Nanos,
-    regain: Nanos,
-    seek: Nanos,
-    look: Nanos,
-    tidy: Nanos,
+    dissemination_queue: Nanos,
+    probe_dead: Nanos,
+    contact_seeds: Nanos,
+    refresh_cluster_view: Nanos,
+    expire: Nanos,
 }
 
 /// A datagram under construction, which never gets too large.
@@ -295,15 +295,15 @@
     }
 
     fn fits(&self, bytes: usize) -> bool {
-        self.size + bytes + field((PULSES + 1) * PULSE) <= MESSAGE_MAX
+        self.size + bytes + field((LOAD_HINTS_PER_DATAGRAM + 1) * LOAD_HINT_BYTES) <= MESSAGE_MAX
     }
 
-    fn news(&mut self, news: MemberUpdate) -> bool {
-        let bytes = field(news.encoded_len());
+    fn updates(&mut self, updates: MemberUpdate) -> bool {
+        let bytes = field(updates.encoded_len());
         let fits = self.fits(bytes);
         if fits {
             self.size += bytes;
-            self.datagram.news.push(news);
+            self.datagram.updates.push(updates);
         }
         fits
     }
@@ -315,44 +315,44 @@
     pub host: H,
     settings: Config,
     rng: Pcg64Mcg,
-    me: MemberKey,
+    own_key: MemberKey,
     epoch: Epoch,
-    bump: u32,
+    refutation: u32,
     revision: u32,
     phase: Phase,
-    parts: Vec<Attachment>,
-    pulse: LoadHint,
+    attachments: Vec<Attachment>,
+    load_hint: LoadHint,
     leaving: bool,
-    view: MemberTable,
-    gossip: DisseminationQueue,
+    member_table: MemberTable,
+    dissemination_queue: DisseminationQueue,
     suspicions: Suspicions,
     health: LocalHealth,
     round: ProbeOrder,
-    flight: Option<OutstandingProbe>,
-    errands: BTreeMap<u32, RelayedProbe>,
-    seal: DatagramAuth,
-    gate: ReceiveLimiter,
-    no: u32,
+    outstanding_probe: Option<OutstandingProbe>,
+    relayed_probes: BTreeMap<u32, RelayedProbe>,
+    datagram_auth: DatagramAuth,
+    receive_limiter: ReceiveLimiter,
+    number: u32,
     timers: Timers,
     /// When it asked to be woken.
-    promised: Nanos,
-    regains: u64,
+    promised_wake: Nanos,
+    recovery_rounds: u64,
     unsettled_until: Nanos,
-    deaf_until: Nanos,
-    compared: Nanos,
-    changed: Nanos,
-    comparing: TokenBucket,
-    spreading: TokenBucket,
-    contest: Option<NameConflict>,
+    ignore_received_until: Nanos,
+    last_comparison: Nanos,
+    last_change: Nanos,
+    comparison_budget: TokenBucket,
+    dissemination_budget: TokenBucket,
+    name_conflict: Option<NameConflict>,
     /// Addresses where somebody was, before all was begun anew.
-    contacts: Vec<SocketAddr>,
-    alone: Option<Nanos>,
-    told_alone: bool,
-    recent: Vec<MemberKey>,
-    sizer: ClusterSizeEstimator,
-    sight: ClusterView,
+    former_addresses: Vec<SocketAddr>,
+    alone_since: Option<Nanos>,
+    alone_reported: bool,
+    recent_load_hints: Vec<MemberKey>,
+    size_estimator: ClusterSizeEstimator,
+    cluster_view: ClusterView,
     history: History,
-    counts: BTreeMap<&'static str, u64>,
+    counters: BTreeMap<&'static str, u64>,
 }
 
 impl<H: Host> Membership<H> {
@@ -378,83 +378,83 @@
             return Err(DetailsError::BadName);
         }
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let me = MemberKey::of(&settings.name);
-        let life = Incarnation(rng.random::<u64>() >> 1 | 1);
+        let own_key = MemberKey::of(&settings.name);
+        let incarnation = Incarnation(rng.random::<u64>() >> 1 | 1);
         let most = settings.bytes / ENTRY_USUAL + 16;
-        let seal = DatagramAuth::new(
+        let datagram_auth = DatagramAuth::new(
             &settings.fleet,
             settings.keys.clone(),
-            life,
-            settings.periods.skew,
+            incarnation,
+            settings.timing.skew,
             2 * most,
         );
         let now = at.now;
         // Nodes that start together do nothing at the same moment.
         let mut soon = |period: Nanos| now + rng.random_range(0..period.max(1));
         let timers = Timers {
-            probe: soon(settings.periods.probe),
-            gossip: soon(settings.periods.gossip),
-            regain: soon(settings.periods.regain),
-            seek: soon(50 * MILLISECOND),
-            look: now + LOOK,
-            tidy: soon(TIDY),
+            probe: soon(settings.timing.probe),
+            dissemination_queue: soon(settings.timing.dissemination_queue),
+            probe_dead: soon(settings.timing.probe_dead),
+            contact_seeds: soon(50 * MILLISECOND),
+            refresh_cluster_view: now + VIEW_INTERVAL,
+            expire: soon(EXPIRY_INTERVAL),
         };
         let bytes = settings.bytes;
         let mut fleet = Membership {
             host,
             settings,
             rng,
-            me,
+            own_key,
             epoch: Epoch {
-                birth: at.unix_ms,
-                life,
+                started_unix_ms: at.unix_ms,
+                incarnation,
             },
-            bump: 0,
+            refutation: 0,
             revision: 0,
             phase: Phase::Cold,
-            parts: Vec::new(),
-            pulse: LoadHint::default(),
+            attachments: Vec::new(),
+            load_hint: LoadHint::default(),
             leaving: false,
-            view: MemberTable::new(bytes, interner),
-            gossip: DisseminationQueue::default(),
+            member_table: MemberTable::new(bytes, interner),
+            dissemination_queue: DisseminationQueue::default(),
             suspicions: Suspicions::default(),
             health: LocalHealth::default(),
             round: ProbeOrder::default(),
-            flight: None,
-            errands: BTreeMap::new(),
-            seal,
-            gate: ReceiveLimiter::new(2 * most),
-            no: 0,
+            outstanding_probe: None,
+            relayed_probes: BTreeMap::new(),
+            datagram_auth,
+            receive_limiter: ReceiveLimiter::new(2 * most),
+            number: 0,
             timers,
-            promised: Nanos::MAX,
-            regains: 0,
+            promised_wake: Nanos::MAX,
+            recovery_rounds: 0,
             unsettled_until: 0,
-            deaf_until: 0,
-            compared: 0,
-            changed: 0,
-            comparing: TokenBucket::new(COMPARE, now),
-            spreading: TokenBucket::new(SPREAD, now),
-            contest: None,
-            contacts: Vec::new(),
-            alone: Some(now),
-            told_alone: false,
-            recent: Vec::new(),
-            sizer: ClusterSizeEstimator::default(),
-            sight: ClusterView::default(),
+            ignore_received_until: 0,
+            last_comparison: 0,
+            last_change: 0,
+            comparison_budget: TokenBucket::new(COMPARISON_BYTES, now),
+            dissemination_budget: TokenBucket::new(DISSEMINATION_BYTES, now),
+            name_conflict: None,
+            former_addresses: Vec::new(),
+            alone_since: Some(now),
+            alone_reported: false,
+            recent_load_hints: Vec::new(),
+            size_estimator: ClusterSizeEstimator::default(),
+            cluster_view: ClusterView::default(),
             history: History::default(),
-            counts: BTreeMap::new(),
+            counters: BTreeMap::new(),
         };
         fleet.announce(at)?;
-        fleet.look(at);
-        fleet.promised = fleet.next().max(at.now);
+        fleet.refresh_cluster_view(at);
+        fleet.promised_wake = fleet.next().max(at.now);
         Ok(fleet)
     }
 
     // ---- What the node says of itself ----
 
     /// Its own key, and what this process is.
-    pub fn me(&self) -> (MemberKey, Incarnation) {
-        (self.me, self.epoch.life)
+    pub fn own_key(&self) -> (MemberKey, Incarnation) {
+        (self.own_key, self.epoch.incarnation)
     }
 
     /// Its own name.
@@ -463,35 +463,35 @@
     }
 
     /// The bump that its own entry stands at: how often it had to say that it is there.
-    pub fn bump(&self) -> u32 {
-        self.bump
+    pub fn refutation(&self) -> u32 {
+        self.refutation
     }
 
-    fn details(&self, parts: Vec<Attachment>) -> Result<MemberDetails, DetailsError> {
+    fn details(&self, attachments: Vec<Attachment>) -> Result<MemberDetails, DetailsError> {
         let s = &self.settings;
         let wire = (wire::WIRE_LEAST, wire::WIRE);
         MemberDetails::new(
-            s.address, &s.zone, self.phase, &s.program, wire, s.settings, parts,
+            s.address, &s.zone, self.phase, &s.program, wire, s.settings, attachments,
         )
     }
 
-    fn own_news(&self) -> Result<MemberUpdate, DetailsError> {
-        let details = self.details(self.parts.clone())?;
-        let status = if self.leaving {
+    fn own_update(&self) -> Result<MemberUpdate, DetailsError> {
+        let details = self.details(self.attachments.clone())?;
+        let liveness = if self.leaving {
             Liveness::Left
         } else {
             Liveness::Alive
         };
         Ok(MemberUpdate {
-            key: self.me.0,
-            birth: self.epoch.birth,
-            life: self.epoch.life.0,
-            bump: self.bump,
-            status: status.number(),
+            key: self.own_key.0,
+            started_unix_ms: self.epoch.started_unix_ms,
+            incarnation: self.epoch.incarnation.0,
+            refutation: self.refutation,
+            liveness: liveness.number(),
             revision: self.revision,
             name: self.settings.name.clone(),
-            told: details.raw().to_vec(),
-            by: 0,
+            details: details.raw().to_vec(),
+            suspected_by: 0,
         })
     }
 
@@ -500,72 +500,72 @@
         if self.is_mute() {
             return Ok(());
         }
-        let news = self.own_news()?;
-        if self.view.merge(at.now, &news) == MergeOutcome::Full {
+        let updates = self.own_update()?;
+        if self.member_table.merge(at.now, &updates) == MergeOutcome::Full {
             self.count("invariant: a view without room for its own node", 1);
         }
-        self.changed = at.now;
-        self.gossip.push(self.me);
+        self.last_change = at.now;
+        self.dissemination_queue.push(self.own_key);
         Ok(())
     }
 
-    fn say_anew(&mut self, at: ClockReading) {
+    fn announce_new_revision(&mut self, at: ClockReading) {
         self.revision += 1;
-        if let Err(odd) = self.announce(at) {
-            debug_assert!(false, "what a node says of itself can be said: {odd}");
+        if let Err(error) = self.announce(at) {
+            debug_assert!(false, "what a node says of itself can be said: {error}");
             self.count("invariant: what a node says of itself can be said", 1);
         }
     }
 
     /// It is warm, or draining. The first ones that hear of a drain hear it at once.
     pub fn set_phase(&mut self, at: ClockReading, phase: Phase) {
-        self.noticed(at);
+        self.detect_pause(at);
         if self.phase != phase {
             self.phase = phase;
-            self.say_anew(at);
+            self.announce_new_revision(at);
             if phase == Phase::Draining {
-                self.tell(at, FANOUT);
+                self.send_own_update(at, GOSSIP_FANOUT);
             }
         }
     }
 
     /// Its settings have this number and hash now.
     pub fn set_settings(&mut self, at: ClockReading, settings: (u64, u64)) {
-        self.noticed(at);
+        self.detect_pause(at);
         if self.settings.settings != settings {
             self.settings.settings = settings;
-            self.say_anew(at);
+            self.announce_new_revision(at);
         }
     }
 
     /// Its room and load, each of 255. They spread without a promise.
-    pub fn set_pulse(&mut self, room: u8, load: u8) {
-        self.pulse = LoadHint {
-            no: self.pulse.no.wrapping_add(1),
-            room,
+    pub fn set_load_hint(&mut self, capacity: u8, load: u8) {
+        self.load_hint = LoadHint {
+            number: self.load_hint.number.wrapping_add(1),
+            capacity,
             load,
         };
     }
 
     /// Hangs something on its entry, in the place of what had this number before; refused if the
     /// entry grows too large.
-    pub fn set_part(&mut self, at: ClockReading, part: Attachment) -> Result<(), DetailsError> {
-        self.noticed(at);
-        let mut parts = self.parts.clone();
-        parts.retain(|p| p.id != part.id);
+    pub fn set_attachment(&mut self, at: ClockReading, part: Attachment) -> Result<(), DetailsError> {
+        self.detect_pause(at);
+        let mut attachments = self.attachments.clone();
+        attachments.retain(|p| p.id != part.id);
         if !part.bytes.is_empty() {
-            parts.push(part);
+            attachments.push(part);
         }
-        parts.sort_by_key(|p| p.id);
-        if parts == self.parts {
+        attachments.sort_by_key(|p| p.id);
+        if attachments == self.attachments {
             return Ok(());
         }
-        if let Err(odd) = self.details(parts.clone()) {
+        if let Err(error) = self.details(attachments.clone()) {
             self.count("parts that did not fit the entry", 1);
-            return Err(odd);
+            return Err(error);
         }
-        self.parts = parts;
-        self.say_anew(at);
+        self.attachments = attachments;
+        self.announce_new_revision(at);
         Ok(())
     }
 
@@ -575,51 +575,51 @@
         at: ClockReading,
         keys: AuthKeys,
         seeds: Vec<SocketAddr>,
-        periods: Timing,
+        timing: Timing,
     ) {
-        self.noticed(at);
-        self.seal.rekey(keys.clone());
+        self.detect_pause(at);
+        self.datagram_auth.rekey(keys.clone());
         (
             self.settings.keys,
             self.settings.seeds,
-            self.settings.periods,
-        ) = (keys, seeds, periods);
+            self.settings.timing,
+        ) = (keys, seeds, timing);
     }
 
     /// The node goes: some hear it at once and pass it on. To be called again a moment later, in
     /// case that was lost.
     pub fn leave(&mut self, at: ClockReading) {
-        self.noticed(at);
+        self.detect_pause(at);
         if self.is_mute() {
             return;
         }
         if !self.leaving {
             self.leaving = true;
-            if let Ok(news) = self.own_news() {
-                let _ = self.view.merge(at.now, &news);
+            if let Ok(updates) = self.own_update() {
+                let _ = self.member_table.merge(at.now, &updates);
             }
-            self.gossip.push(self.me);
+            self.dissemination_queue.push(self.own_key);
         }
-        self.tell(at, TOLD_AT_LEAVE);
+        self.send_own_update(at, LEAVE_FANOUT);
     }
 
-    fn tell(&mut self, at: ClockReading, most: usize) {
-        for key in self.others(most) {
+    fn send_own_update(&mut self, at: ClockReading, most: usize) {
+        for key in self.random_present(most) {
             let Some(own) = self.own(false) else { return };
-            self.send_to(at, key, kind::GOSSIP, 0, MemberKey::NOBODY, vec![own]);
+            self.send_to(at, key, kind::GOSSIP, 0, MemberKey::NONE, vec![own]);
         }
     }
 
     // ---- What is seen ----
 
     /// The view.
-    pub fn view(&self) -> &MemberTable {
-        &self.view
+    pub fn member_table(&self) -> &MemberTable {
+        &self.member_table
     }
 
     /// What decisions see.
-    pub fn sight(&self) -> &ClusterView {
-        &self.sight
+    pub fn cluster_view(&self) -> &ClusterView {
+        &self.cluster_view
     }
 
     /// The latest changes.
@@ -628,33 +628,33 @@
     }
 
     /// How often what happened.
-    pub fn counts(&self) -> &BTreeMap<&'static str, u64> {
-        &self.counts
+    pub fn counters(&self) -> &BTreeMap<&'static str, u64> {
+        &self.counters
     }
 
     /// Whether another process has the node's name, so that this one says nothing of itself.
     pub fn is_mute(&self) -> bool {
-        self.contest.as_ref().is_some_and(|contest| contest.mute)
+        self.name_conflict.as_ref().is_some_and(|name_conflict| name_conflict.mute)
     }
 
     fn count(&mut self, what: &'static str, times: u64) {
-        *self.counts.entry(what).or_default() += times;
+        *self.counters.entry(what).or_default() += times;
     }
 
-    fn happened(&mut self, at: ClockReading, kind: ChangeKind, key: MemberKey, more: String) {
+    fn record_change(&mut self, at: ClockReading, kind: ChangeKind, key: MemberKey, more: String) {
         self.host.changed(kind, key);
         let name = self
-            .view
+            .member_table
             .get(key)
             .map_or_else(|| Arc::from("?"), |entry| Arc::clone(&entry.name));
-        let happened = ChangeEvent {
+        let record_change = ChangeEvent {
             unix_ms: at.unix_ms,
             kind,
             name,
             more,
         };
-        if let Some(line) = self.history.push(at.now, happened) {
-            self.host.log(kind.word(), &line);
+        if let Some(line) = self.history.push(at.now, record_change) {
+            self.host.log(kind.as_str(), &line);
         }
     }
 
@@ -663,182 +663,182 @@
     /// When it wants to be woken.
     pub fn next(&self) -> Nanos {
         let t = &self.timers;
-        let mut next = [t.probe, t.gossip, t.regain, t.seek, t.look, t.tidy]
+        let mut next = [t.probe, t.dissemination_queue, t.probe_dead, t.contact_seeds, t.refresh_cluster_view, t.expire]
             .into_iter()
             .min()
             .unwrap_or(0);
-        if let Some(flight) = &self.flight {
+        if let Some(outstanding_probe) = &self.outstanding_probe {
             next = next
-                .min(flight.ask_at.unwrap_or(flight.due))
-                .min(flight.again_at);
+                .min(outstanding_probe.ask_at.unwrap_or(outstanding_probe.due))
+                .min(outstanding_probe.again_at);
         }
-        if let Some(contest) = &self.contest {
-            next = next.min(contest.next);
+        if let Some(name_conflict) = &self.name_conflict {
+            next = next.min(name_conflict.next);
         }
-        let errands = self
-            .errands
+        let relayed_probes = self
+            .relayed_probes
             .values()
-            .map(|errand| errand.due.min(errand.again_at))
+            .map(|relayed_probe| relayed_probe.due.min(relayed_probe.again_at))
             .min();
-        next.min(self.suspicions.next(self.call_time()).unwrap_or(next))
-            .min(errands.unwrap_or(next))
+        next.min(self.suspicions.next(self.last_call_time()).unwrap_or(next))
+            .min(relayed_probes.unwrap_or(next))
     }
 
     /// A node that wakes late has heard nothing meanwhile: that speaks against itself and against
     /// nobody else.
-    fn noticed(&mut self, at: ClockReading) {
-        let late = at.now.saturating_sub(self.promised);
-        self.promised = self.next().max(at.now); // what is due from before does not show another sleep
-        if late < STOOD_STILL {
+    fn detect_pause(&mut self, at: ClockReading) {
+        let late = at.now.saturating_sub(self.promised_wake);
+        self.promised_wake = self.next().max(at.now); // what is due from before does not show another sleep
+        if late < PAUSE_THRESHOLD {
             return;
         }
-        if self.settings.extensions.health {
+        if self.settings.features.health {
             self.health.stood_still();
         }
         self.count("times it stood still", 1);
         self.suspicions.put_off(late);
-        (self.flight, self.errands) = (None, BTreeMap::new());
-        self.happened(
+        (self.outstanding_probe, self.relayed_probes) = (None, BTreeMap::new());
+        self.record_change(
             at,
             ChangeKind::StoodStill,
-            self.me,
+            self.own_key,
             format!("for {} ms", late / MILLISECOND),
         );
-        if late >= LONG_SLEEP.min(self.settings.periods.remember / 2) {
-            self.begin_anew(at);
+        if late >= LONG_PAUSE.min(self.settings.timing.remember / 2) {
+            self.forget_and_rejoin(at);
         }
     }
 
     /// Forgets whom it knew, and keeps where some of them were. What it remembers is so old that
     /// others have forgotten who died meanwhile: told to them, the dead would seem to live.
-    fn begin_anew(&mut self, at: ClockReading) {
+    fn forget_and_rejoin(&mut self, at: ClockReading) {
         let present = self
-            .view
+            .member_table
             .iter()
-            .filter(|(key, e)| *key != self.me && e.status().is_present());
-        let mut contacts: Vec<SocketAddr> = present.map(|(_, e)| e.details.address).collect();
-        contacts.shuffle(&mut self.rng);
-        contacts.truncate(CONTACTS);
-        self.contacts = contacts;
-        self.view.forget_all_but(self.me);
+            .filter(|(key, e)| *key != self.own_key && e.liveness().is_present());
+        let mut former_addresses: Vec<SocketAddr> = present.map(|(_, e)| e.details.address).collect();
+        former_addresses.shuffle(&mut self.rng);
+        former_addresses.truncate(FORMER_ADDRESSES_MAX);
+        self.former_addresses = former_addresses;
+        self.member_table.forget_all_but(self.own_key);
         self.suspicions.clear_all();
         self.round.clear();
-        self.gossip = DisseminationQueue::default();
-        self.bump += 1;
-        self.say_anew(at);
-        (self.alone, self.told_alone, self.timers.seek) = (Some(at.now), false, at.now + DEAF);
-        self.deaf_until = at.now + DEAF;
+        self.dissemination_queue = DisseminationQueue::default();
+        self.refutation += 1;
+        self.announce_new_revision(at);
+        (self.alone_since, self.alone_reported, self.timers.contact_seeds) = (Some(at.now), false, at.now + STALE_SOCKET_TIME);
+        self.ignore_received_until = at.now + STALE_SOCKET_TIME;
     }
 
     /// Does what is due.
     pub fn wake(&mut self, at: ClockReading) {
-        self.noticed(at);
+        self.detect_pause(at);
         let now = at.now;
-        self.flight_due(at);
-        self.errands_due(at);
-        let due = self.suspicions.due(now, self.call_time());
+        self.on_probe_timers(at);
+        self.on_relayed_probe_timers(at);
+        let due = self.suspicions.due(now, self.last_call_time());
         for key in due.calls {
             self.ping(at, key, 0);
         }
         for key in due.over {
-            if let Some(change) = self.view.set(now, key, Liveness::Dead) {
-                self.reacted(at, key, &change, "did not say in time that it is there");
+            if let Some(change) = self.member_table.set(now, key, Liveness::Dead) {
+                self.on_member_changed(at, key, &change, "did not say in time that it is there");
             }
         }
         if now >= self.timers.probe {
             self.probe(at);
         }
-        if now >= self.timers.gossip {
-            self.timers.gossip = now + self.settings.periods.gossip;
+        if now >= self.timers.dissemination_queue {
+            self.timers.dissemination_queue = now + self.settings.timing.dissemination_queue;
             self.spread(at);
         }
-        if now >= self.timers.regain {
-            self.timers.regain = now + self.settings.periods.regain;
-            self.regain(at);
+        if now >= self.timers.probe_dead {
+            self.timers.probe_dead = now + self.settings.timing.probe_dead;
+            self.probe_dead(at);
         }
-        if now >= self.timers.seek {
-            self.seek(at);
+        if now >= self.timers.contact_seeds {
+            self.contact_seeds(at);
         }
         if self
-            .contest
+            .name_conflict
             .as_ref()
-            .is_some_and(|contest| now >= contest.next)
+            .is_some_and(|name_conflict| now >= name_conflict.next)
         {
-            self.contest_due(at);
+            self.on_name_conflict_timer(at);
         }
-        if now >= self.timers.look {
-            self.timers.look = now + LOOK;
-            self.look(at);
+        if now >= self.timers.refresh_cluster_view {
+            self.timers.refresh_cluster_view = now + VIEW_INTERVAL;
+            self.refresh_cluster_view(at);
         }
-        if now >= self.timers.tidy {
-            self.timers.tidy = now + TIDY;
-            let forgot = self.view.forget(now, self.settings.periods.remember);
+        if now >= self.timers.expire {
+            self.timers.expire = now + EXPIRY_INTERVAL;
+            let forgot = self.member_table.forget(now, self.settings.timing.remember);
             if forgot > 0 {
                 self.count("members forgotten after their time", forgot as u64);
             }
         }
-        self.promised = self.next().max(at.now);
+        self.promised_wake = self.next().max(at.now);
     }
 
-    fn look(&mut self, at: ClockReading) {
+    fn refresh_cluster_view(&mut self, at: ClockReading) {
         let zone: Arc<str> = self.settings.zone.as_str().into();
-        let sight = self.sizer.look(
+        let cluster_view = self.size_estimator.observe(
             at.now,
-            &self.view,
+            &self.member_table,
             &zone,
             self.health.doubt(),
             self.is_mute(),
         );
-        match (self.sight.unsure_since, sight.unsure_since) {
+        match (self.cluster_view.unsure_since, cluster_view.unsure_since) {
             (None, Some(_)) => {
                 let more = format!(
                     "{} of {} are there without a doubt, {} suspect",
-                    sight.fleet.low, self.sight.fleet.size, sight.suspects
+                    cluster_view.fleet.low, self.cluster_view.fleet.size, cluster_view.suspects
                 );
-                self.happened(at, ChangeKind::Unsure, self.me, more);
+                self.record_change(at, ChangeKind::Unsure, self.own_key, more);
             }
             (Some(since), None) => {
                 let more = format!(
                     "after {} s, {} are there",
                     (at.now - since.min(at.now)) / SECOND,
-                    sight.fleet.low
+                    cluster_view.fleet.low
                 );
-                self.happened(at, ChangeKind::Sure, self.me, more);
+                self.record_change(at, ChangeKind::Sure, self.own_key, more);
             }
             _ => {}
         }
-        if self.sight != sight {
-            self.sight = sight;
-            self.host.sight(&self.sight);
+        if self.cluster_view != cluster_view {
+            self.cluster_view = cluster_view;
+            self.host.cluster_view(&self.cluster_view);
         }
         if let Some(line) = self.history.rest(at.now) {
             self.host.log("more", &line);
         }
-        let company = self.view.counts().present() > 1;
-        match self.alone {
+        let company = self.member_table.counters().present() > 1;
+        match self.alone_since {
             Some(_) if company => {
-                if std::mem::take(&mut self.told_alone) {
-                    self.happened(at, ChangeKind::Company, self.me, String::new());
+                if std::mem::take(&mut self.alone_reported) {
+                    self.record_change(at, ChangeKind::Company, self.own_key, String::new());
                 }
-                self.alone = None;
-                self.contacts.clear();
+                self.alone_since = None;
+                self.former_addresses.clear();
             }
-            None if !company => self.alone = Some(at.now),
+            None if !company => self.alone_since = Some(at.now),
             Some(since)
-                if !self.told_alone
-                    && !self.places().is_empty()
+                if !self.alone_reported
+                    && !self.join_addresses().is_empty()
                     && at.now >= since + 10 * SECOND =>
             {
-                self.told_alone = true;
-                self.happened(at, ChangeKind::Alone, self.me, "no seed answers".into());
+                self.alone_reported = true;
+                self.record_change(at, ChangeKind::Alone, self.own_key, "no seed answers".into());
             }
             _ => {}
         }
     }
 }
 
-fn odd_word(odd: DetailsError) -> &'static str {
-    match odd {
+fn details_error_counter(error: DetailsError) -> &'static str {
+    match error {
         DetailsError::TooLarge => "entries that are too large",
         DetailsError::Unreadable => "entries that can't be read",
         DetailsError::BadAddress => "entries with an address that can't be used",
@@ -849,16 +849,16 @@
 impl<H: Host> Membership<H> {
     /// Takes over what another view holds, for simulated fleets that begin as if they had run for
     /// long.
-    pub fn acquaint(&mut self, at: ClockReading, all: &[MemberUpdate]) {
-        for news in all.iter().filter(|news| news.key != self.me.0) {
-            if let MergeOutcome::Changed(change) = self.view.merge(at.now, news)
+    pub fn preload(&mut self, at: ClockReading, all: &[MemberUpdate]) {
+        for updates in all.iter().filter(|updates| updates.key != self.own_key.0) {
+            if let MergeOutcome::Changed(change) = self.member_table.merge(at.now, updates)
                 && change.after.is_present()
             {
-                self.round.insert(&mut self.rng, MemberKey(news.key));
+                self.round.insert(&mut self.rng, MemberKey(updates.key));
             }
         }
-        self.gossip = DisseminationQueue::default();
-        self.alone = None;
+        self.dissemination_queue = DisseminationQueue::default();
+        self.alone_since = None;
     }
 
     /// All that it would say of itself to one that knows nobody.
@@ -867,9 +867,9 @@
     }
 
     /// The standing of a member here.
-    pub fn standing(&self, key: MemberKey) -> Option<(Epoch, LivenessState)> {
-        self.view
+    pub fn liveness_state(&self, key: MemberKey) -> Option<(Epoch, LivenessState)> {
+        self.member_table
             .get(key)
-            .map(|entry| (entry.epoch, entry.standing))
+            .map(|entry| (entry.epoch, entry.liveness_state))
     }
 }
--- a/crates/membership/src/swim/dissemination.rs
+++ b/crates/membership/src/swim/dissemination.rs
@@ -4,63 +4,63 @@
 use super::*;
 
 impl<H: Host> Membership<H> {
-    pub(super) fn others(&mut self, most: usize) -> Vec<MemberKey> {
-        let (view, me) = (&self.view, self.me);
+    pub(super) fn random_present(&mut self, most: usize) -> Vec<MemberKey> {
+        let (member_table, own_key) = (&self.member_table, self.own_key);
         let there =
-            |key: MemberKey| key != me && view.get(key).is_some_and(|e| e.status().is_present());
+            |key: MemberKey| key != own_key && member_table.get(key).is_some_and(|e| e.liveness().is_present());
         self.round.some(&mut self.rng, most, there)
     }
 
     /// Some other members that are held to be there, by turns.
-    pub fn some_others(&mut self, most: usize) -> Vec<MemberKey> {
-        self.others(most)
+    pub fn random_members(&mut self, most: usize) -> Vec<MemberKey> {
+        self.random_present(most)
     }
 
     pub(super) fn spread(&mut self, at: ClockReading) {
         let unsettled = at.now < self.unsettled_until;
-        if self.is_mute() || self.gossip.is_empty() && !unsettled {
+        if self.is_mute() || self.dissemination_queue.is_empty() && !unsettled {
             return;
         }
-        let crowded = self.gossip.len() > NEWS_FIT;
-        let others = self.others(FANOUT);
+        let crowded = self.dissemination_queue.len() > UPDATES_PER_DATAGRAM;
+        let others = self.random_present(GOSSIP_FANOUT);
         for key in &others {
-            self.send_to(at, *key, kind::GOSSIP, 0, MemberKey::NOBODY, Vec::new());
+            self.send_to(at, *key, kind::GOSSIP, 0, MemberKey::NONE, Vec::new());
         }
         if crowded && let Some(key) = others.first() {
-            self.compare(at, *key);
+            self.start_comparison(at, *key);
         }
     }
 
     /// Looks for one of the dead. If it is there it says so, and then views are compared: so two
     /// halves of a healed partition find each other.
-    pub(super) fn regain(&mut self, at: ClockReading) {
-        self.regains += 1;
-        if !self.settings.extensions.regain
+    pub(super) fn probe_dead(&mut self, at: ClockReading) {
+        self.recovery_rounds += 1;
+        if !self.settings.features.probe_dead
             || self.is_mute()
             || self.leaving
-            || self.view.counts().dead == 0
+            || self.member_table.counters().dead == 0
         {
             return;
         }
         let dead = self
-            .view
+            .member_table
             .iter()
-            .filter(|(_, entry)| entry.status() == Liveness::Dead);
-        let (now, regains) = (at.now, self.regains);
+            .filter(|(_, entry)| entry.liveness() == Liveness::Dead);
+        let (now, recovery_rounds) = (at.now, self.recovery_rounds);
         let due = |since: Nanos| {
             let age = now.saturating_sub(since);
-            REGAIN_LATER
+            DEAD_PROBE_BACKOFF
                 .iter()
                 .rev()
                 .find(|(after, _)| age >= *after)
-                .is_none_or(|(_, turns)| regains % turns == 0)
+                .is_none_or(|(_, turns)| recovery_rounds % turns == 0)
         };
         let mut dead: Vec<MemberKey> = dead
             .filter(|(_, entry)| due(entry.since))
             .map(|(key, _)| key)
             .collect();
         // The more are dead the more are tried: it is not likely that so many died by themselves.
-        let tries = (1 + dead.len() / REGAIN_MORE).min(REGAIN_MOST);
+        let tries = (1 + dead.len() / DEAD_PER_EXTRA_PROBE).min(DEAD_PROBES_MAX);
         dead.shuffle(&mut self.rng);
         dead.truncate(tries);
         for key in &dead {
@@ -71,44 +71,44 @@
         };
         // Digests are of those who are present. That it left and did not die is known to some
         // perhaps: one is told what is held here, and answers if it knows more.
-        if let (Some(other), Some(entry)) = (self.others(1).first().copied(), self.view.get(key)) {
-            let news = vec![entry.brief(key)];
-            self.send_to(at, other, kind::ENTRIES, 0, MemberKey::NOBODY, news);
+        if let (Some(other), Some(entry)) = (self.random_present(1).first().copied(), self.member_table.get(key)) {
+            let updates = vec![entry.header_update(key)];
+            self.send_to(at, other, kind::ENTRIES, 0, MemberKey::NONE, updates);
         }
     }
 
-    pub(super) fn places(&self) -> Vec<SocketAddr> {
-        let all = self.settings.seeds.iter().chain(&self.contacts).copied();
+    pub(super) fn join_addresses(&self) -> Vec<SocketAddr> {
+        let all = self.settings.seeds.iter().chain(&self.former_addresses).copied();
         all.filter(|place| *place != self.settings.address)
             .collect()
     }
 
     /// Tries the seeds: often while alone, else now and then those where nobody is known to be.
-    pub(super) fn seek(&mut self, at: ClockReading) {
-        let alone = self.view.counts().present() <= 1;
-        self.timers.seek = at.now + if alone { SEEK_ALONE } else { SEEK };
+    pub(super) fn contact_seeds(&mut self, at: ClockReading) {
+        let alone = self.member_table.counters().present() <= 1;
+        self.timers.contact_seeds = at.now + if alone { SEED_INTERVAL_ALONE } else { SEED_INTERVAL };
         if self.is_mute() || self.leaving {
             return;
         }
-        let mut places = self.places();
+        let mut join_addresses = self.join_addresses();
         if !alone {
             let known = self
-                .view
+                .member_table
                 .iter()
-                .filter(|(_, entry)| entry.status().is_present());
+                .filter(|(_, entry)| entry.liveness().is_present());
             let known: Vec<SocketAddr> = known.map(|(_, entry)| entry.details.address).collect();
-            places.retain(|place| !known.contains(place));
+            join_addresses.retain(|place| !known.contains(place));
         }
-        places.shuffle(&mut self.rng);
-        for place in places
+        join_addresses.shuffle(&mut self.rng);
+        for place in join_addresses
             .into_iter()
-            .take(if alone { SEEK_AT_ONCE } else { 1 })
+            .take(if alone { SEEDS_AT_ONCE } else { 1 })
         {
-            let news = self.own(true).into_iter().collect();
+            let updates = self.own(true).into_iter().collect();
             let ping = Datagram {
-                from: self.me.0,
+                from: self.own_key.0,
                 kind: kind::PING,
-                news,
+                updates,
                 ..Datagram::default()
             };
             self.send(at, place, ping);
@@ -116,18 +116,18 @@
     }
 
     /// Begins to compare views with a member.
-    pub(super) fn compare(&mut self, at: ClockReading, with: MemberKey) {
-        if !self.settings.extensions.reconcile
-            || at.now < self.compared + COMPARE_GAP
-            || !self.comparing.open(at.now)
+    pub(super) fn start_comparison(&mut self, at: ClockReading, with: MemberKey) {
+        if !self.settings.features.reconcile
+            || at.now < self.last_comparison + COMPARISON_INTERVAL
+            || !self.comparison_budget.open(at.now)
         {
             return;
         }
-        self.compared = at.now;
-        let Some(to) = self.view.get(with).map(|entry| entry.details.address) else {
+        self.last_comparison = at.now;
+        let Some(to) = self.member_table.get(with).map(|entry| entry.details.address) else {
             return;
         };
-        let summaries = vec![anti_entropy::summary(&self.view)];
+        let summaries = vec![anti_entropy::summary(&self.member_table)];
         self.count("comparisons begun", 1);
         let datagram = Datagram {
             from: self.from(),
@@ -136,11 +136,11 @@
             ..Datagram::default()
         };
         let bytes = self.send(at, to, datagram);
-        self.comparing.spend(bytes);
+        self.comparison_budget.spend(bytes);
     }
 
     pub(super) fn from(&self) -> u64 {
-        if self.is_mute() { 0 } else { self.me.0 }
+        if self.is_mute() { 0 } else { self.own_key.0 }
     }
 
     // ---- Sending ----
@@ -150,17 +150,17 @@
         at: ClockReading,
         to: MemberKey,
         kind: u32,
-        no: u32,
+        number: u32,
         target: MemberKey,
-        news: Vec<MemberUpdate>,
+        updates: Vec<MemberUpdate>,
     ) {
-        if let Some(address) = self.view.get(to).map(|entry| entry.details.address) {
+        if let Some(address) = self.member_table.get(to).map(|entry| entry.details.address) {
             let datagram = Datagram {
                 from: self.from(),
                 kind,
-                no,
+                number,
                 target: target.0,
-                news,
+                updates,
                 ..Datagram::default()
             };
             self.send(at, address, datagram);
@@ -169,29 +169,29 @@
 
     /// Sends a parcel of another package to a member, once; it may be lost, come late or be
     /// overtaken, but it does not come twice. False if it is too large, or there is no such member.
-    pub fn send_parcel(
+    pub fn send_payload(
         &mut self,
         at: ClockReading,
         to: MemberKey,
         topic: u32,
-        parcel: &[u8],
+        payload: &[u8],
     ) -> bool {
         let there = self
-            .view
+            .member_table
             .get(to)
-            .filter(|entry| entry.status().is_present())
+            .filter(|entry| entry.liveness().is_present())
             .map(|e| e.details.address);
-        let (Some(address), false) = (there, self.is_mute() || parcel.len() > wire::PARCEL_MAX)
+        let (Some(address), false) = (there, self.is_mute() || payload.len() > wire::PAYLOAD_MAX)
         else {
             self.count("parcels that could not be sent", 1);
             return false;
         };
-        let parcel = parcel.to_vec();
+        let payload = payload.to_vec();
         let datagram = Datagram {
-            from: self.me.0,
-            kind: kind::PARCEL,
+            from: self.own_key.0,
+            kind: kind::PAYLOAD,
             topic,
-            parcel,
+            payload,
             ..Datagram::default()
         };
         self.send(at, address, datagram) > 0
@@ -205,38 +205,38 @@
         mut datagram: Datagram,
     ) -> usize {
         if datagram.from != 0 || datagram.kind == kind::PAGE {
-            datagram.digest = self.view.digest();
+            datagram.digest = self.member_table.digest();
         }
         let mut pack = DatagramBuilder::new(datagram);
         let spreads = matches!(pack.datagram.kind, kind::PING | kind::ACK | kind::GOSSIP);
-        if spreads && !self.is_mute() && self.spreading.open(at.now) {
+        if spreads && !self.is_mute() && self.dissemination_budget.open(at.now) {
             let before = pack.size;
             let Membership {
-                gossip,
-                view,
+                dissemination_queue,
+                member_table,
                 suspicions,
                 ..
             } = self;
-            gossip.take(view.counts().present(), |key| {
-                let Some(entry) = view.get(key) else {
+            dissemination_queue.take(member_table.counters().present(), |key| {
+                let Some(entry) = member_table.get(key) else {
                     return true;
                 };
                 // LivenessState alone is enough for most; who lacks the rest asks for it.
-                let told = entry.epoch.birth > 0 && entry.standing.status == Liveness::Alive;
-                let news = if told {
-                    entry.full(key)
+                let details = entry.epoch.started_unix_ms > 0 && entry.liveness_state.liveness == Liveness::Alive;
+                let updates = if details {
+                    entry.full_update(key)
                 } else {
-                    entry.brief(key)
+                    entry.header_update(key)
                 };
-                pack.news(MemberUpdate {
-                    by: suspicions.latest(key).unwrap_or_default().0,
-                    ..news
+                pack.updates(MemberUpdate {
+                    suspected_by: suspicions.latest(key).unwrap_or_default().0,
+                    ..updates
                 })
             });
-            self.spreading.spend(pack.size - before);
+            self.dissemination_budget.spend(pack.size - before);
         }
         if spreads && pack.datagram.from != 0 && !wire::LATER {
-            pack.datagram.pulses = self.pulses();
+            pack.datagram.load_hints = self.load_hints();
         }
         let mut message = pack.datagram.encode_to_vec();
         if message.len() + wire::LATER_BYTES <= MESSAGE_MAX {
@@ -251,7 +251,7 @@
             self.count("invariant: datagrams beyond their bound", 1);
             return 0;
         }
-        let frame = self.seal.seal(at.unix_ms, &message);
+        let frame = self.datagram_auth.seal(at.unix_ms, &message);
         self.host.send(to, &frame);
         if wire::LATER && pack.datagram.kind == kind::GOSSIP {
             let from = pack.datagram.from;
@@ -268,20 +268,20 @@
         frame.len()
     }
 
-    pub(super) fn pulses(&mut self) -> Vec<u8> {
-        let mut pulses = Vec::with_capacity((PULSES + 1) * PULSE);
-        let mut push = |key: MemberKey, pulse: LoadHint| {
-            pulses.extend_from_slice(&((key.0 >> 32) as u32).to_be_bytes());
-            pulses.extend_from_slice(&pulse.no.to_be_bytes());
-            pulses.extend_from_slice(&[pulse.room, pulse.load]);
+    pub(super) fn load_hints(&mut self) -> Vec<u8> {
+        let mut load_hints = Vec::with_capacity((LOAD_HINTS_PER_DATAGRAM + 1) * LOAD_HINT_BYTES);
+        let mut push = |key: MemberKey, load_hint: LoadHint| {
+            load_hints.extend_from_slice(&((key.0 >> 32) as u32).to_be_bytes());
+            load_hints.extend_from_slice(&load_hint.number.to_be_bytes());
+            load_hints.extend_from_slice(&[load_hint.capacity, load_hint.load]);
         };
-        if self.pulse.no > 0 {
-            push(self.me, self.pulse);
+        if self.load_hint.number > 0 {
+            push(self.own_key, self.load_hint);
         }
-        let some = self.recent.iter().rev().take(PULSES);
-        some.filter_map(|key| Some((*key, self.view.get(*key)?.pulse)))
-            .for_each(|(key, pulse)| push(key, pulse));
-        pulses
+        let some = self.recent_load_hints.iter().rev().take(LOAD_HINTS_PER_DATAGRAM);
+        some.filter_map(|key| Some((*key, self.member_table.get(*key)?.load_hint)))
+            .for_each(|(key, load_hint)| push(key, load_hint));
+        load_hints
     }
 
     /// Sends entries, and asks for others, in as many datagrams as that takes and the rate allows.
@@ -294,27 +294,27 @@
         let mut wants = differences.wants.clone();
         wants.sort_unstable();
         wants.dedup();
-        let mut news: Vec<MemberUpdate> = Vec::new();
-        let entries = |keys: &[MemberKey], view: &MemberTable, full: bool| -> Vec<MemberUpdate> {
-            let known = keys.iter().filter_map(|key| Some((*key, view.get(*key)?)));
+        let mut updates: Vec<MemberUpdate> = Vec::new();
+        let entries = |keys: &[MemberKey], member_table: &MemberTable, full: bool| -> Vec<MemberUpdate> {
+            let known = keys.iter().filter_map(|key| Some((*key, member_table.get(*key)?)));
             known
                 .map(|(key, entry)| {
                     if full {
-                        entry.full(key)
+                        entry.full_update(key)
                     } else {
-                        entry.brief(key)
+                        entry.header_update(key)
                     }
                 })
                 .collect()
         };
-        news.extend(entries(&differences.brief, &self.view, false));
-        news.extend(entries(&differences.whole, &self.view, true));
-        if news.is_empty() && wants.is_empty() {
+        updates.extend(entries(&differences.header_update, &self.member_table, false));
+        updates.extend(entries(&differences.whole, &self.member_table, true));
+        if updates.is_empty() && wants.is_empty() {
             return;
         }
         let from = self.from();
-        let mut news = news.into_iter().peekable();
-        let mut wants = wants.chunks(WANTS);
+        let mut updates = updates.into_iter().peekable();
+        let mut wants = wants.chunks(WANTS_PER_DATAGRAM);
         loop {
             let wants = wants
                 .next()
@@ -322,7 +322,7 @@
                 .iter()
                 .map(|key| key.0)
                 .collect::<Vec<_>>();
-            if news.peek().is_none() && wants.is_empty() || !self.comparing.open(at.now) {
+            if updates.peek().is_none() && wants.is_empty() || !self.comparison_budget.open(at.now) {
                 return;
             }
             let mut pack = DatagramBuilder::new(Datagram {
@@ -331,11 +331,11 @@
                 wants,
                 ..Datagram::default()
             });
-            while let Some(next) = news.next_if(|next| pack.fits(field(next.encoded_len()))) {
-                pack.news(next);
+            while let Some(next) = updates.next_if(|next| pack.fits(field(next.encoded_len()))) {
+                pack.updates(next);
             }
             let bytes = self.send(at, to, pack.datagram);
-            self.comparing.spend(bytes);
+            self.comparison_budget.spend(bytes);
         }
     }
 }
--- a/crates/membership/src/swim/member_updates.rs
+++ b/crates/membership/src/swim/member_updates.rs
@@ -4,155 +4,155 @@
 
 impl<H: Host> Membership<H> {
     /// A member changed: clears or begins what belongs to that, spreads it and tells of it.
-    pub(super) fn reacted(
+    pub(super) fn on_member_changed(
         &mut self,
         at: ClockReading,
         key: MemberKey,
         change: &MemberChange,
         more: &str,
     ) {
-        self.changed = at.now;
+        self.last_change = at.now;
         if change.before.is_none_or(|before| !before.is_present())
             && change.after.is_present()
-            && key != self.me
+            && key != self.own_key
         {
             self.round.insert(&mut self.rng, key);
         }
         if change.after != Liveness::Suspect {
             self.suspicions.clear(key);
         }
-        self.gossip.push(key);
+        self.dissemination_queue.push(key);
         if let Some(kind) = change.kind() {
-            let more = match (kind, self.view.get(key)) {
+            let more = match (kind, self.member_table.get(key)) {
                 (ChangeKind::Joined | ChangeKind::Moved | ChangeKind::Replaced, Some(entry)) => {
                     format!(
                         "at {} in zone '{}'",
                         entry.details.address, entry.details.zone
                     )
                 }
-                (ChangeKind::Phase, Some(entry)) => entry.details.phase.word().to_owned(),
+                (ChangeKind::Phase, Some(entry)) => entry.details.phase.as_str().to_owned(),
                 _ => more.to_owned(),
             };
-            self.happened(at, kind, key, more);
+            self.record_change(at, kind, key, more);
         }
     }
 
     /// Something was said of a member. Gives what to say back: entries that are wanted, and those
     /// of which more is known.
-    pub(super) fn heard(
+    pub(super) fn apply_update(
         &mut self,
         at: ClockReading,
         sender: MemberKey,
-        news: &MemberUpdate,
+        updates: &MemberUpdate,
         back: &mut RangeExchange,
     ) {
-        let key = MemberKey(news.key);
-        if key == self.me && (news.life == self.epoch.life.0 || self.contests(news)) {
-            return self.heard_of_self(at, news, back);
+        let key = MemberKey(updates.key);
+        if key == self.own_key && (updates.incarnation == self.epoch.incarnation.0 || self.claims_own_name(updates)) {
+            return self.apply_update_about_self(at, updates, back);
         }
-        match self.view.merge(at.now, news) {
-            MergeOutcome::Known => self.confirmed(at, sender, news),
-            MergeOutcome::Older => back.brief.push(key),
-            MergeOutcome::Wanted if back.wants.len() < WANTS => back.wants.push(key),
+        match self.member_table.merge(at.now, updates) {
+            MergeOutcome::Known => self.confirm_suspicion(at, sender, updates),
+            MergeOutcome::Older => back.header_update.push(key),
+            MergeOutcome::Wanted if back.wants.len() < WANTS_PER_DATAGRAM => back.wants.push(key),
             MergeOutcome::Wanted => {}
-            MergeOutcome::DetailsError(odd) => self.count(odd_word(odd), 1),
+            MergeOutcome::DetailsError(error) => self.count(details_error_counter(error), 1),
             MergeOutcome::Full => self.count("members for whom there is no room", 1),
             MergeOutcome::Changed(change) => {
-                self.reacted(at, key, &change, "");
-                self.confirmed(at, sender, news);
+                self.on_member_changed(at, key, &change, "");
+                self.confirm_suspicion(at, sender, updates);
             }
         }
     }
 
     /// A suspicion that is told names who has it.
-    pub(super) fn confirmed(&mut self, at: ClockReading, sender: MemberKey, news: &MemberUpdate) {
-        let key = MemberKey(news.key);
+    pub(super) fn confirm_suspicion(&mut self, at: ClockReading, sender: MemberKey, updates: &MemberUpdate) {
+        let key = MemberKey(updates.key);
         let suspect = self
-            .view
+            .member_table
             .get(key)
-            .is_some_and(|entry| entry.status() == Liveness::Suspect);
-        if suspect && news.status == Liveness::Suspect.number() {
-            let by = if news.by == 0 {
+            .is_some_and(|entry| entry.liveness() == Liveness::Suspect);
+        if suspect && updates.liveness == Liveness::Suspect.number() {
+            let suspected_by = if updates.suspected_by == 0 {
                 sender
             } else {
-                MemberKey(news.by)
+                MemberKey(updates.suspected_by)
             };
-            self.suspect(at, key, by);
+            self.suspect(at, key, suspected_by);
         }
     }
 
     /// Whether this is about another life that has this node's name, and holds over it.
-    pub(super) fn contests(&self, news: &MemberUpdate) -> bool {
+    pub(super) fn claims_own_name(&self, updates: &MemberUpdate) -> bool {
         let theirs = Epoch {
-            birth: news.birth,
-            life: Incarnation(news.life),
+            started_unix_ms: updates.started_unix_ms,
+            incarnation: Incarnation(updates.incarnation),
         };
-        !self.is_mute() && theirs > self.epoch && news.life != self.epoch.life.0
+        !self.is_mute() && theirs > self.epoch && updates.incarnation != self.epoch.incarnation.0
     }
 
     /// Something was said of this node itself.
-    pub(super) fn heard_of_self(
+    pub(super) fn apply_update_about_self(
         &mut self,
         at: ClockReading,
-        news: &MemberUpdate,
+        updates: &MemberUpdate,
         back: &mut RangeExchange,
     ) {
-        let status = Liveness::from_number(news.status).unwrap_or_default();
-        if news.life == self.epoch.life.0 {
+        let liveness = Liveness::from_number(updates.liveness).unwrap_or_default();
+        if updates.incarnation == self.epoch.incarnation.0 {
             let own = LivenessState {
-                bump: self.bump,
-                status: if self.leaving {
+                refutation: self.refutation,
+                liveness: if self.leaving {
                     Liveness::Left
                 } else {
                     Liveness::Alive
                 },
             };
-            let heard = LivenessState {
-                bump: news.bump,
-                status,
+            let apply_update = LivenessState {
+                refutation: updates.refutation,
+                liveness,
             };
             // What was said of it under an earlier birth of the same life is out of date, whatever
             // it says.
-            let refutes = if news.birth == self.epoch.birth {
-                refutes(own, heard)
+            let refutes = if updates.started_unix_ms == self.epoch.started_unix_ms {
+                refutes(own, apply_update)
             } else {
                 None
             };
             match refutes {
                 _ if self.is_mute() => {}
-                Some(bump) => {
-                    if self.settings.extensions.health && status == Liveness::Suspect {
+                Some(refutation) => {
+                    if self.settings.features.health && liveness == Liveness::Suspect {
                         self.health.suspected();
                     }
-                    if bump == u32::MAX {
-                        return self.outlive(at, news.birth, "its bumps are used up");
+                    if refutation == u32::MAX {
+                        return self.reclaim_name(at, updates.started_unix_ms, "its bumps are used up");
                     }
-                    self.bump = bump;
-                    self.refute(at, status);
+                    self.refutation = refutation;
+                    self.refute(at, liveness);
                 }
-                None if (news.birth, heard) != (self.epoch.birth, own) => back.brief.push(self.me),
+                None if (updates.started_unix_ms, apply_update) != (self.epoch.started_unix_ms, own) => back.header_update.push(self.own_key),
                 None => {}
             }
             return;
         }
-        if !status.is_present() {
-            return self.outlive(at, news.birth, "what had its name is gone");
+        if !liveness.is_present() {
+            return self.reclaim_name(at, updates.started_unix_ms, "what had its name is gone");
         }
-        let details = MemberDetails::read(&news.told).ok();
+        let details = MemberDetails::read(&updates.details).ok();
         match details {
-            None => back.wants.push(self.me),
+            None => back.wants.push(self.own_key),
             // Only one process can be reached there, and that is this one.
             Some(details) if details.address == self.settings.address => {
-                self.outlive(at, news.birth, "a past of its own");
+                self.reclaim_name(at, updates.started_unix_ms, "a past of its own");
             }
             Some(details) => {
                 let is_known = self
-                    .contest
+                    .name_conflict
                     .as_ref()
-                    .is_some_and(|c| c.holder.life == news.life);
+                    .is_some_and(|c| c.holder.incarnation == updates.incarnation);
                 if !is_known {
-                    let (holder, address) = (news.clone(), details.address);
-                    self.contest = Some(NameConflict {
+                    let (holder, address) = (updates.clone(), details.address);
+                    self.name_conflict = Some(NameConflict {
                         holder,
                         address,
                         tries: 0,
@@ -165,27 +165,27 @@
     }
 
     pub(super) fn refute(&mut self, at: ClockReading, said: Liveness) {
-        if let Err(odd) = self.announce(at) {
-            self.count(odd_word(odd), 1);
+        if let Err(error) = self.announce(at) {
+            self.count(details_error_counter(error), 1);
         }
         self.count("times it was suspect or dead and said that it is there", 1);
-        self.happened(
+        self.record_change(
             at,
             ChangeKind::Refuted,
-            self.me,
-            format!("held {}", said.word()),
+            self.own_key,
+            format!("held {}", said.as_str()),
         );
     }
 
     /// Its name is its own, by a birth later than any that was heard.
-    pub(super) fn outlive(&mut self, at: ClockReading, birth: u64, why: &str) {
+    pub(super) fn reclaim_name(&mut self, at: ClockReading, started_unix_ms: u64, why: &str) {
         let was_mute = self.is_mute();
-        self.contest = None;
-        self.epoch.birth = self.epoch.birth.max(birth).saturating_add(1);
-        self.bump = 0;
-        self.say_anew(at);
+        self.name_conflict = None;
+        self.epoch.started_unix_ms = self.epoch.started_unix_ms.max(started_unix_ms).saturating_add(1);
+        self.refutation = 0;
+        self.announce_new_revision(at);
         if was_mute {
-            self.happened(at, ChangeKind::NameBack, self.me, why.to_owned());
+            self.record_change(at, ChangeKind::NameBack, self.own_key, why.to_owned());
         } else {
             self.count("times it took its name over from an earlier life", 1);
         }
@@ -194,67 +194,67 @@
     // ---- A name that two have ----
 
     /// The other life was heard, so that it is there: it came later, and has the name.
-    pub(super) fn holder_heard(&mut self, at: ClockReading) {
-        let Some(contest) = &mut self.contest else {
+    pub(super) fn on_name_holder_heard(&mut self, at: ClockReading) {
+        let Some(name_conflict) = &mut self.name_conflict else {
             return;
         };
-        contest.tries = 0;
-        if contest.mute {
+        name_conflict.tries = 0;
+        if name_conflict.mute {
             return;
         }
-        contest.mute = true;
-        contest.next = at.now + MUTE_LOOK;
-        let (holder, address) = (contest.holder.clone(), contest.address);
-        (self.flight, self.errands) = (None, BTreeMap::new());
-        self.gossip.drop_news(self.me);
-        let _ = self.view.merge(at.now, &holder);
-        self.happened(
+        name_conflict.mute = true;
+        name_conflict.next = at.now + MUTE_PROBE_INTERVAL;
+        let (holder, address) = (name_conflict.holder.clone(), name_conflict.address);
+        (self.outstanding_probe, self.relayed_probes) = (None, BTreeMap::new());
+        self.dissemination_queue.remove_updates(self.own_key);
+        let _ = self.member_table.merge(at.now, &holder);
+        self.record_change(
             at,
             ChangeKind::NameTaken,
-            self.me,
+            self.own_key,
             format!("a later process at {address} has it; this one says nothing of itself"),
         );
     }
 
-    pub(super) fn contest_due(&mut self, at: ClockReading) {
-        let Some(contest) = &mut self.contest else {
+    pub(super) fn on_name_conflict_timer(&mut self, at: ClockReading) {
+        let Some(name_conflict) = &mut self.name_conflict else {
             return;
         };
-        contest.tries += 1;
-        let (tries, mute, address, birth) = (
-            contest.tries,
-            contest.mute,
-            contest.address,
-            contest.holder.birth,
+        name_conflict.tries += 1;
+        let (tries, mute, address, started_unix_ms) = (
+            name_conflict.tries,
+            name_conflict.mute,
+            name_conflict.address,
+            name_conflict.holder.started_unix_ms,
         );
-        contest.next = at.now
+        name_conflict.next = at.now
             + if mute {
-                MUTE_LOOK
+                MUTE_PROBE_INTERVAL
             } else {
-                self.settings.periods.answer
+                self.settings.timing.answer
             };
-        if tries > if mute { MUTE_TRIES } else { CONTEST_TRIES } {
-            return self.outlive(at, birth, "what had its name does not answer");
+        if tries > if mute { MUTE_PROBES } else { NAME_CONFLICT_PROBES } {
+            return self.reclaim_name(at, started_unix_ms, "what had its name does not answer");
         }
-        let from = if mute { MemberKey::NOBODY } else { self.me };
+        let from = if mute { MemberKey::NONE } else { self.own_key };
         let ping = Datagram {
             from: from.0,
             kind: kind::PING,
-            target: self.me.0,
+            target: self.own_key.0,
             ..Datagram::default()
         };
         self.send(at, address, ping);
         if mute {
             let gone = self
-                .view
-                .get(self.me)
-                .is_none_or(|entry| !entry.status().is_present());
+                .member_table
+                .get(self.own_key)
+                .is_none_or(|entry| !entry.liveness().is_present());
             if gone {
-                return self.outlive(at, birth, "what had its name is gone");
+                return self.reclaim_name(at, started_unix_ms, "what had its name is gone");
             }
             // Nobody tells one that no view holds: it asks.
-            if let Some(key) = self.others(1).first().copied() {
-                self.compare(at, key);
+            if let Some(key) = self.random_present(1).first().copied() {
+                self.start_comparison(at, key);
             }
         }
     }
--- a/crates/membership/src/swim/probing.rs
+++ b/crates/membership/src/swim/probing.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 impl<H: Host> Membership<H> {
-    pub(super) fn answer_time(&self) -> Nanos {
-        self.settings.periods.answer * self.factor()
+    pub(super) fn probe_timeout(&self) -> Nanos {
+        self.settings.timing.answer * self.health_factor()
     }
 
     /// A last call has this long for its answer.
-    pub(super) fn call_time(&self) -> Nanos {
-        2 * self.settings.periods.answer
+    pub(super) fn last_call_time(&self) -> Nanos {
+        2 * self.settings.timing.answer
     }
 
-    pub(super) fn factor(&self) -> u64 {
-        if self.settings.extensions.health {
-            self.health.factor()
+    pub(super) fn health_factor(&self) -> u64 {
+        if self.settings.features.health {
+            self.health.health_factor()
         } else {
             1
         }
@@ -22,60 +22,60 @@
 
     /// Asks the next member whether it is there. The one before has had its time.
     pub(super) fn probe(&mut self, at: ClockReading) {
-        if let Some(flight) = self.flight.take() {
-            self.unanswered(at, &flight);
+        if let Some(outstanding_probe) = self.outstanding_probe.take() {
+            self.on_probe_failed(at, &outstanding_probe);
         }
-        let period = self.settings.periods.probe * self.factor();
+        let period = self.settings.timing.probe * self.health_factor();
         self.timers.probe = at.now + period;
         if self.is_mute() || self.leaving {
             return;
         }
-        let (view, me) = (&self.view, self.me);
+        let (member_table, own_key) = (&self.member_table, self.own_key);
         let there =
-            |key: MemberKey| key != me && view.get(key).is_some_and(|e| e.status().is_present());
+            |key: MemberKey| key != own_key && member_table.get(key).is_some_and(|e| e.liveness().is_present());
         let Some(target) = self.round.next(&mut self.rng, there) else {
             return;
         };
-        self.no = self.no.wrapping_add(1);
-        let life = self
-            .view
+        self.number = self.number.wrapping_add(1);
+        let incarnation = self
+            .member_table
             .get(target)
-            .map_or(Incarnation(0), |entry| entry.epoch.life);
-        let answer = self.answer_time();
-        let (ask_at, again_at) = (Some(at.now + answer), at.now + answer / AGAIN);
-        let (no, due) = (self.no, at.now + period);
-        self.flight = Some(OutstandingProbe {
-            no,
+            .map_or(Incarnation(0), |entry| entry.epoch.incarnation);
+        let answer = self.probe_timeout();
+        let (ask_at, again_at) = (Some(at.now + answer), at.now + answer / PROBE_RETRIES);
+        let (number, due) = (self.number, at.now + period);
+        self.outstanding_probe = Some(OutstandingProbe {
+            number,
             target,
-            life,
+            incarnation,
             again_at,
             ask_at,
             due,
-            helpers: 0,
+            relays: 0,
             spoke: 0,
         });
-        self.ping(at, target, no);
+        self.ping(at, target, number);
     }
 
     /// A probe tells who asks, and what is held of the one that is asked, so that a suspect hears
     /// it at once.
-    pub(super) fn ping(&mut self, at: ClockReading, target: MemberKey, no: u32) {
-        let mut news: Vec<MemberUpdate> = self.own(true).into_iter().collect();
-        if self.settings.extensions.confirm {
-            news.extend(self.accused(target));
+    pub(super) fn ping(&mut self, at: ClockReading, target: MemberKey, number: u32) {
+        let mut updates: Vec<MemberUpdate> = self.own(true).into_iter().collect();
+        if self.settings.features.confirm {
+            updates.extend(self.suspicion_about(target));
         }
-        self.send_to(at, target, kind::PING, no, target, news);
+        self.send_to(at, target, kind::PING, number, target, updates);
     }
 
     /// What is held against a member.
-    pub(super) fn accused(&self, key: MemberKey) -> Option<MemberUpdate> {
+    pub(super) fn suspicion_about(&self, key: MemberKey) -> Option<MemberUpdate> {
         let entry = self
-            .view
+            .member_table
             .get(key)
-            .filter(|entry| entry.status() != Liveness::Alive)?;
+            .filter(|entry| entry.liveness() != Liveness::Alive)?;
         Some(MemberUpdate {
-            by: self.me.0,
-            ..entry.brief(key)
+            suspected_by: self.own_key.0,
+            ..entry.header_update(key)
         })
     }
 
@@ -83,154 +83,154 @@
         if self.is_mute() {
             return None;
         }
-        let entry = self.view.get(self.me)?;
+        let entry = self.member_table.get(self.own_key)?;
         Some(if full {
-            entry.full(self.me)
+            entry.full_update(self.own_key)
         } else {
-            entry.brief(self.me)
+            entry.header_update(self.own_key)
         })
     }
 
-    pub(super) fn flight_due(&mut self, at: ClockReading) {
-        let answer = self.answer_time();
-        let Some(flight) = &mut self.flight else {
+    pub(super) fn on_probe_timers(&mut self, at: ClockReading) {
+        let answer = self.probe_timeout();
+        let Some(outstanding_probe) = &mut self.outstanding_probe else {
             return;
         };
-        if at.now >= flight.due {
-            if let Some(flight) = self.flight.take() {
-                self.unanswered(at, &flight);
+        if at.now >= outstanding_probe.due {
+            if let Some(outstanding_probe) = self.outstanding_probe.take() {
+                self.on_probe_failed(at, &outstanding_probe);
             }
-        } else if flight.ask_at.is_some_and(|ask_at| at.now >= ask_at) {
-            (flight.ask_at, flight.again_at) = (None, at.now + answer);
-            let (no, target) = (flight.no, flight.target);
-            let helpers = self.helpers(target);
-            if let Some(flight) = &mut self.flight {
-                flight.helpers = helpers.len() as u32;
+        } else if outstanding_probe.ask_at.is_some_and(|ask_at| at.now >= ask_at) {
+            (outstanding_probe.ask_at, outstanding_probe.again_at) = (None, at.now + answer);
+            let (number, target) = (outstanding_probe.number, outstanding_probe.target);
+            let relays = self.relays(target);
+            if let Some(outstanding_probe) = &mut self.outstanding_probe {
+                outstanding_probe.relays = relays.len() as u32;
             }
-            for helper in helpers {
+            for relay in relays {
                 self.send_to(
                     at,
-                    helper,
+                    relay,
                     kind::ASK,
-                    no,
+                    number,
                     target,
-                    self.accused(target).into_iter().collect(),
+                    self.suspicion_about(target).into_iter().collect(),
                 );
             }
-        } else if at.now >= flight.again_at {
-            let (no, target) = (flight.no, flight.target);
-            flight.again_at = at.now
-                + if flight.ask_at.is_some() {
-                    answer / AGAIN
+        } else if at.now >= outstanding_probe.again_at {
+            let (number, target) = (outstanding_probe.number, outstanding_probe.target);
+            outstanding_probe.again_at = at.now
+                + if outstanding_probe.ask_at.is_some() {
+                    answer / PROBE_RETRIES
                 } else {
                     answer
                 };
-            self.ping(at, target, no);
+            self.ping(at, target, number);
         }
     }
 
     /// Errands: asked again once, given up at their end.
-    pub(super) fn errands_due(&mut self, at: ClockReading) {
+    pub(super) fn on_relayed_probe_timers(&mut self, at: ClockReading) {
         let late: Vec<u32> = self
-            .errands
+            .relayed_probes
             .iter()
             .filter(|(_, e)| e.due <= at.now)
-            .map(|(no, _)| *no)
+            .map(|(number, _)| *number)
             .collect();
-        for no in late {
-            if let Some(errand) = self.errands.remove(&no) {
+        for number in late {
+            if let Some(relayed_probe) = self.relayed_probes.remove(&number) {
                 self.send_to(
                     at,
-                    errand.origin,
+                    relayed_probe.origin,
                     kind::NACK,
-                    errand.origin_no,
-                    errand.target,
+                    relayed_probe.origin_no,
+                    relayed_probe.target,
                     Vec::new(),
                 );
             }
         }
         let again = self
-            .errands
+            .relayed_probes
             .iter_mut()
-            .filter(|(_, errand)| errand.again_at <= at.now);
+            .filter(|(_, relayed_probe)| relayed_probe.again_at <= at.now);
         let again: Vec<(u32, MemberKey)> = again
-            .map(|(no, errand)| {
-                errand.again_at = errand.due;
-                (*no, errand.target)
+            .map(|(number, relayed_probe)| {
+                relayed_probe.again_at = relayed_probe.due;
+                (*number, relayed_probe.target)
             })
             .collect();
-        for (no, target) in again {
-            self.ping(at, target, no);
+        for (number, target) in again {
+            self.ping(at, target, number);
         }
     }
 
     /// Who is to ask instead: one of the target's own zone if there is one, for the way there may
     /// be the trouble; the others by chance.
-    pub(super) fn helpers(&mut self, target: MemberKey) -> Vec<MemberKey> {
-        let (view, me) = (&self.view, self.me);
+    pub(super) fn relays(&mut self, target: MemberKey) -> Vec<MemberKey> {
+        let (member_table, own_key) = (&self.member_table, self.own_key);
         let there = |key: MemberKey| {
-            key != me
+            key != own_key
                 && key != target
-                && view
+                && member_table
                     .get(key)
-                    .is_some_and(|entry| entry.status() == Liveness::Alive)
+                    .is_some_and(|entry| entry.liveness() == Liveness::Alive)
         };
-        let mut helpers = self.round.some(&mut self.rng, HELPERS, there);
-        let zone = view.get(target).map(|entry| &entry.details.zone);
-        let is_near = |key: &MemberKey| view.get(*key).map(|entry| &entry.details.zone) == zone;
-        if !helpers.iter().any(is_near) {
+        let mut relays = self.round.some(&mut self.rng, RELAYS, there);
+        let zone = member_table.get(target).map(|entry| &entry.details.zone);
+        let is_near = |key: &MemberKey| member_table.get(*key).map(|entry| &entry.details.zone) == zone;
+        if !relays.iter().any(is_near) {
             let near = self
                 .round
                 .some(&mut self.rng, 1, |key| there(key) && is_near(&key));
             if let Some(near) = near.first() {
-                helpers.truncate(HELPERS - 1);
-                helpers.push(*near);
+                relays.truncate(RELAYS - 1);
+                relays.push(*near);
             }
         }
-        helpers
+        relays
     }
 
-    pub(super) fn unanswered(&mut self, at: ClockReading, flight: &OutstandingProbe) {
+    pub(super) fn on_probe_failed(&mut self, at: ClockReading, outstanding_probe: &OutstandingProbe) {
         let there = self
-            .view
-            .get(flight.target)
-            .filter(|entry| entry.status().is_present());
-        if there.is_none_or(|entry| entry.epoch.life != flight.life) {
+            .member_table
+            .get(outstanding_probe.target)
+            .filter(|entry| entry.liveness().is_present());
+        if there.is_none_or(|entry| entry.epoch.incarnation != outstanding_probe.incarnation) {
             return; // gone, or another process, meanwhile
         }
         self.count("probes without an answer", 1);
-        if self.settings.extensions.health {
+        if self.settings.features.health {
             self.health
-                .unanswered(flight.helpers, flight.helpers.saturating_sub(flight.spoke));
+                .on_probe_failed(outstanding_probe.relays, outstanding_probe.relays.saturating_sub(outstanding_probe.spoke));
         }
-        self.suspect(at, flight.target, self.me);
+        self.suspect(at, outstanding_probe.target, self.own_key);
     }
 
     /// The least and the most time that a suspect has.
     pub(super) fn suspicion(&self) -> (Nanos, Nanos) {
-        let members = self.view.counts().present().max(2) as f64;
-        let periods = &self.settings.periods;
-        let least = (periods.suspicion * members.log10().max(1.0) * periods.probe as f64) as Nanos;
-        if !self.settings.extensions.confirm || members < 3.0 {
+        let members = self.member_table.counters().present().max(2) as f64;
+        let timing = &self.settings.timing;
+        let least = (timing.suspicion * members.log10().max(1.0) * timing.probe as f64) as Nanos;
+        if !self.settings.features.confirm || members < 3.0 {
             return (least, least); // nobody is there who could confirm
         }
-        (least, (least as f64 * periods.suspicion_most) as Nanos)
+        (least, (least as f64 * timing.suspicion_max_factor) as Nanos)
     }
 
-    pub(super) fn suspect(&mut self, at: ClockReading, key: MemberKey, by: MemberKey) {
+    pub(super) fn suspect(&mut self, at: ClockReading, key: MemberKey, suspected_by: MemberKey) {
         let wait = self.suspicion();
-        let is_new = self.suspicions.suspect(at.now, key, by, wait);
-        match self.view.set(at.now, key, Liveness::Suspect) {
+        let is_new = self.suspicions.suspect(at.now, key, suspected_by, wait);
+        match self.member_table.set(at.now, key, Liveness::Suspect) {
             Some(change) => {
-                let more = if by == self.me {
+                let more = if suspected_by == self.own_key {
                     "does not answer"
                 } else {
                     "by word of another"
                 };
-                self.reacted(at, key, &change, more);
+                self.on_member_changed(at, key, &change, more);
             }
             // One more who suspects it is worth telling: it shortens the wait of the others.
-            None if is_new => self.gossip.push(key),
+            None if is_new => self.dissemination_queue.push(key),
             None => {}
         }
     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -10,7 +10,7 @@
 pub const DATAGRAM_MAX: usize = 1400;
 
 /// The most bytes of a parcel.
-pub const PARCEL_MAX: usize = 1200;
+pub const PAYLOAD_MAX: usize = 1200;
 
 /// Whether this is a build with a later version of the messages: a field more in each, one less in
 /// some, and kinds that the present version does not know. For tests of both side by side.
@@ -53,7 +53,7 @@
     /// A page of that.
     pub const PAGE: u32 = 10;
     /// Something of another package, for the one that it is sent to.
-    pub const PARCEL: u32 = 11;
+    pub const PAYLOAD: u32 = 11;
     /// Something that one who is no member and has the key wants done, of another package; and what
     /// became of it.
     pub const ORDER: u32 = 12;
@@ -81,7 +81,7 @@
     #[prost(fixed64, tag = "8")]
     pub settings_hash: u64,
     #[prost(message, repeated, tag = "9")]
-    pub parts: Vec<AttachmentMessage>,
+    pub attachments: Vec<AttachmentMessage>,
 }
 
 /// What another package hangs on an entry.
@@ -101,22 +101,22 @@
     #[prost(fixed64, tag = "1")]
     pub key: u64,
     #[prost(uint64, tag = "2")]
-    pub birth: u64,
+    pub started_unix_ms: u64,
     #[prost(fixed64, tag = "3")]
-    pub life: u64,
+    pub incarnation: u64,
     #[prost(uint32, tag = "4")]
-    pub bump: u32,
+    pub refutation: u32,
     #[prost(uint32, tag = "5")]
-    pub status: u32,
+    pub liveness: u32,
     #[prost(uint32, tag = "6")]
     pub revision: u32,
     #[prost(string, tag = "7")]
     pub name: String,
     #[prost(bytes = "vec", tag = "8")]
-    pub told: Vec<u8>,
+    pub details: Vec<u8>,
     /// Who suspects it.
     #[prost(fixed64, tag = "9")]
-    pub by: u64,
+    pub suspected_by: u64,
 }
 
 /// Digests of equal slices of a range of keys; the last slice takes what is left.
@@ -168,7 +168,7 @@
     #[prost(bool, tag = "10")]
     pub mute: bool,
     #[prost(message, repeated, tag = "11")]
-    pub counts: Vec<CounterMessage>,
+    pub counters: Vec<CounterMessage>,
     #[prost(message, repeated, tag = "12")]
     pub changes: Vec<ChangeEvent>,
 }
@@ -201,7 +201,7 @@
     pub kind: u32,
     /// The number of the probe.
     #[prost(uint32, tag = "3")]
-    pub no: u32,
+    pub number: u32,
     /// Whom it is about; 0 for whoever gets it.
     #[prost(fixed64, tag = "4")]
     pub target: u64,
@@ -209,10 +209,10 @@
     #[prost(fixed64, tag = "5")]
     pub digest: u64,
     #[prost(message, repeated, tag = "6")]
-    pub news: Vec<MemberUpdate>,
+    pub updates: Vec<MemberUpdate>,
     /// Eight bytes each: the first four of a key, a number of two, room, load.
     #[prost(bytes = "vec", tag = "7")]
-    pub pulses: Vec<u8>,
+    pub load_hints: Vec<u8>,
     #[prost(message, repeated, tag = "8")]
     pub summaries: Vec<Summary>,
     #[prost(message, repeated, tag = "9")]
@@ -228,5 +228,5 @@
     #[prost(uint32, tag = "13")]
     pub topic: u32,
     #[prost(bytes = "vec", tag = "14")]
-    pub parcel: Vec<u8>,
+    pub payload: Vec<u8>,
 }
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -24,9 +24,9 @@
         self.0.push((to, frame.to_vec()));
     }
     fn log(&mut self, _: &'static str, _: &str) {}
-    fn sight(&mut self, _: &ClusterView) {}
-    fn parcel(&mut self, from: MemberKey, _: Incarnation, topic: u32, parcel: &[u8]) {
-        self.1.push((from, topic, parcel.to_vec()));
+    fn cluster_view(&mut self, _: &ClusterView) {}
+    fn payload(&mut self, from: MemberKey, _: Incarnation, topic: u32, payload: &[u8]) {
+        self.1.push((from, topic, payload.to_vec()));
     }
 }
 
@@ -46,11 +46,11 @@
         address: address(n),
         seeds: vec![address(1)],
         keys: keys(key),
-        periods: Timing::default(),
+        timing: Timing::default(),
         program: "0.1.0".into(),
         settings: (1, 1),
         bytes: 1 << 20,
-        extensions: FeatureToggles::default(),
+        features: FeatureToggles::default(),
     };
     Membership::new(settings, u64::from(n), at(0), Sent::default()).unwrap()
 }
@@ -62,30 +62,30 @@
     }
 }
 
-fn full(name: &str, n: u8, birth: u64, bump: u32, status: Liveness) -> MemberUpdate {
-    let told =
+fn full(name: &str, n: u8, started_unix_ms: u64, refutation: u32, liveness: Liveness) -> MemberUpdate {
+    let details =
         MemberDetails::new(address(n), "a", Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
     MemberUpdate {
         key: MemberKey::of(name).0,
-        birth,
-        life: birth,
-        bump,
-        status: status as u32,
+        started_unix_ms,
+        incarnation: started_unix_ms,
+        refutation,
+        liveness: liveness as u32,
         revision: 0,
         name: name.into(),
-        told: told.raw().to_vec(),
-        by: 0,
+        details: details.raw().to_vec(),
+        suspected_by: 0,
     }
 }
 
 fn no_invariant_failed(fleet: &Membership<Sent>) {
     assert!(
         fleet
-            .counts()
+            .counters()
             .keys()
             .all(|what| !what.starts_with("invariant")),
         "{:?}",
-        fleet.counts()
+        fleet.counters()
     );
 }
 
@@ -95,7 +95,7 @@
     let ping = Datagram {
         from: 9,
         kind: kind::PING,
-        news: vec![full("n9", 9, 1, 0, Liveness::Alive)],
+        updates: vec![full("n9", 9, 1, 0, Liveness::Alive)],
         ..Datagram::default()
     };
     let ping = ping.encode_to_vec();
@@ -120,17 +120,17 @@
     ];
     for (frame, what) in frames {
         fleet.datagram(at(0), address(9), &frame);
-        assert_eq!(fleet.counts().get(what), Some(&1), "{:?}", fleet.counts());
+        assert_eq!(fleet.counters().get(what), Some(&1), "{:?}", fleet.counters());
     }
-    assert!(fleet.host.0.is_empty() && fleet.view().counts().present() == 1);
+    assert!(fleet.host.0.is_empty() && fleet.member_table().counters().present() == 1);
     let frame = far.seal(UNIX, &ping);
     fleet.datagram(at(0), address(9), &frame);
     assert_eq!(
-        (fleet.host.0.len(), fleet.view().counts().present()),
+        (fleet.host.0.len(), fleet.member_table().counters().present()),
         (1, 2)
     );
     fleet.datagram(at(0), address(9), &frame);
-    assert_eq!(fleet.counts().get("datagrams that came before"), Some(&1));
+    assert_eq!(fleet.counters().get("datagrams that came before"), Some(&1));
     assert_eq!(fleet.host.0.len(), 1);
 }
 
@@ -145,9 +145,9 @@
         );
     }
     assert!(
-        fleet.counts()["datagrams beyond the rate"] >= 19_000,
+        fleet.counters()["datagrams beyond the rate"] >= 19_000,
         "{:?}",
-        fleet.counts()
+        fleet.counters()
     );
 }
 
@@ -157,40 +157,40 @@
 fn datagrams_of_a_later_version_are_read_as_far_as_they_are_known() {
     let mut fleet = node("f", 2, 1);
     let mut seal = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
-    let mut news = full("n9", 9, 1, 0, Liveness::Alive);
-    news.told
+    let mut updates = full("n9", 9, 1, 0, Liveness::Alive);
+    updates.details
         .extend([0x18, 0x07, 0xfa, 0x01, 0x03, b'n', b'e', b'w']); // phase 7, and a field 31
-    let mut odd = full("n8", 8, 1, 0, Liveness::Alive);
-    odd.status = 9;
+    let mut error = full("n8", 8, 1, 0, Liveness::Alive);
+    error.liveness = 9;
     let datagram = Datagram {
-        from: news.key,
+        from: updates.key,
         kind: 77,
-        news: vec![news.clone(), odd],
+        updates: vec![updates.clone(), error],
         ..Datagram::default()
     };
     let mut message = datagram.encode_to_vec();
     message.extend([0xaa, 0x06, 0x02, b'h', b'i']); // a field 101
     fleet.datagram(at(0), address(9), &seal.seal(UNIX, &message));
     assert_eq!(
-        fleet.counts().get("datagrams of a kind that is not known"),
+        fleet.counters().get("datagrams of a kind that is not known"),
         Some(&1)
     );
-    let entry = fleet.view().get(MemberKey::of("n9")).unwrap();
+    let entry = fleet.member_table().get(MemberKey::of("n9")).unwrap();
     assert_eq!(
         (entry.details.phase, entry.details.raw()),
-        (Phase::Serving, &news.told[..])
+        (Phase::Serving, &updates.details[..])
     );
-    assert!(fleet.view().get(MemberKey::of("n8")).is_none());
+    assert!(fleet.member_table().get(MemberKey::of("n8")).is_none());
     // It goes on to others as it came.
     fleet.host.0.clear();
     let ask = Datagram {
         kind: kind::ENTRIES,
-        wants: vec![news.key],
+        wants: vec![updates.key],
         ..Datagram::default()
     };
     fleet.datagram(at(0), address(9), &seal.seal(UNIX, &ask.encode_to_vec()));
     let (_, frame) = fleet.host.0.pop().unwrap();
-    assert!(frame.windows(news.told.len()).any(|w| w == news.told));
+    assert!(frame.windows(updates.details.len()).any(|w| w == updates.details));
 }
 
 /// Good by their MAC, and nonsense: fields of any value, news of anybody in any standing, ranges
@@ -204,7 +204,7 @@
         let mut now = 0;
         for _ in 0..300 {
             now += rng.random_range(0..300_000_000);
-            let mut news = Vec::new();
+            let mut updates = Vec::new();
             for _ in 0..rng.random_range(0..6) {
                 let n = rng.random_range(1..6u8);
                 let mut one = full(
@@ -214,18 +214,18 @@
                     rng.random_range(0..4),
                     Liveness::Alive,
                 );
-                one.status = rng.random_range(0..6);
+                one.liveness = rng.random_range(0..6);
                 one.revision = rng.random_range(0..3);
                 if rng.random_bool(0.3) {
-                    one.told.truncate(rng.random_range(0..=one.told.len()));
+                    one.details.truncate(rng.random_range(0..=one.details.len()));
                 }
                 if rng.random_bool(0.2) {
                     one.name = String::new();
                 }
                 if rng.random_bool(0.1) {
-                    (one.birth, one.bump) = (u64::MAX - 1, u32::MAX);
+                    (one.started_unix_ms, one.refutation) = (u64::MAX - 1, u32::MAX);
                 }
-                news.push(one);
+                updates.push(one);
             }
             let any = |rng: &mut Pcg64Mcg| [0, 1, rng.random(), u64::MAX][rng.random_range(0..4)];
             let summary = Summary {
@@ -236,7 +236,7 @@
             let datagram = Datagram {
                 from: [0, MemberKey::of("n3").0, MemberKey::of("n2").0][rng.random_range(0..3)],
                 kind: rng.random_range(0..12),
-                no: rng.random_range(0..5),
+                number: rng.random_range(0..5),
                 target: [
                     0,
                     MemberKey::of("n2").0,
@@ -244,8 +244,8 @@
                     rng.random(),
                 ][rng.random_range(0..4)],
                 digest: rng.random(),
-                news,
-                pulses: vec![rng.random(); rng.random_range(0..70)],
+                updates,
+                load_hints: vec![rng.random(); rng.random_range(0..70)],
                 summaries: if rng.random_bool(0.3) {
                     vec![summary]
                 } else {
@@ -256,7 +256,7 @@
                 report: None,
                 cursor: any(&mut rng),
                 topic: rng.random(),
-                parcel: vec![5; rng.random_range(0..200)],
+                payload: vec![5; rng.random_range(0..200)],
             };
             let mut message = datagram.encode_to_vec();
             if rng.random_bool(0.2) && !message.is_empty() {
@@ -276,10 +276,10 @@
         }
         no_invariant_failed(&fleet);
         // Either it holds its name, or it says that another has it.
-        let own = fleet.view().get(MemberKey::of("n2")).unwrap();
-        let (_, life) = fleet.me();
+        let own = fleet.member_table().get(MemberKey::of("n2")).unwrap();
+        let (_, incarnation) = fleet.own_key();
         assert!(
-            own.epoch.life == life || fleet.is_mute(),
+            own.epoch.incarnation == incarnation || fleet.is_mute(),
             "seed {seed}: {own:?}"
         );
     }
@@ -293,7 +293,7 @@
     let datagram = Datagram {
         from: MemberKey::of("n9").0,
         kind: kind::PING,
-        news: vec![full("n9", 9, 1, 0, Liveness::Alive)],
+        updates: vec![full("n9", 9, 1, 0, Liveness::Alive)],
         ..Datagram::default()
     };
     let frame = seal.seal(UNIX, &datagram.encode_to_vec());
@@ -308,7 +308,7 @@
         fleet.datagram(at(now), address(9), &frame[..place]);
     }
     assert_eq!(
-        (fleet.view().counts().present(), fleet.host.0.len()),
+        (fleet.member_table().counters().present(), fleet.host.0.len()),
         (1, 0)
     );
 }
@@ -318,13 +318,13 @@
 #[test]
 fn parcels_go_between_members() {
     let (mut a, mut b) = (node("f", 1, 1), node("f", 2, 1));
-    assert!(!a.send_parcel(at(0), MemberKey::of("n2"), 7, b"who?"));
+    assert!(!a.send_payload(at(0), MemberKey::of("n2"), 7, b"who?"));
     let introduced = a.introduction().unwrap();
-    b.acquaint(at(0), &[introduced]);
+    b.preload(at(0), &[introduced]);
     let introduced = b.introduction().unwrap();
-    a.acquaint(at(0), &[introduced]);
-    assert!(a.send_parcel(at(0), MemberKey::of("n2"), 7, b"hello"));
-    assert!(!a.send_parcel(at(0), MemberKey::of("n2"), 7, &[0; 1300]));
+    a.preload(at(0), &[introduced]);
+    assert!(a.send_payload(at(0), MemberKey::of("n2"), 7, b"hello"));
+    assert!(!a.send_payload(at(0), MemberKey::of("n2"), 7, &[0; 1300]));
     let (to, frame) = a.host.0.pop().unwrap();
     assert_eq!(to, address(2));
     b.datagram(at(0), address(1), &frame);
@@ -335,7 +335,7 @@
     assert_eq!(
         (
             c.host.1.len(),
-            c.counts().get("parcels of one that is not known")
+            c.counters().get("parcels of one that is not known")
         ),
         (0, Some(&1))
     );
@@ -375,7 +375,7 @@
             }
         }
     }
-    let present = |fleet: &Membership<Sent>| fleet.view().counts().present();
+    let present = |fleet: &Membership<Sent>| fleet.member_table().counters().present();
     assert_eq!((present(&seed), present(&a), present(&b)), (2, 2, 1));
-    assert!(seed.counts()["datagrams of another fleet"] > 5);
+    assert!(seed.counters()["datagrams of another fleet"] > 5);
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -15,9 +15,9 @@
 const UNIX_MS: u64 = 1_800_000_000_123;
 const SENDER: Incarnation = Incarnation(0x0102_0304_0506_0708);
 
-fn seal(life: Incarnation) -> DatagramAuth {
+fn seal(incarnation: Incarnation) -> DatagramAuth {
     let keys = AuthKeys::new(&[(0..32).collect(), vec![0xa5; 16]]).unwrap();
-    DatagramAuth::new("golden", keys, life, 600_000_000_000, 9)
+    DatagramAuth::new("golden", keys, incarnation, 600_000_000_000, 9)
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -32,7 +32,7 @@
 }
 
 fn details(address: &str, phase: Phase) -> MemberDetails {
-    let parts = vec![
+    let attachments = vec![
         Attachment {
             id: 21,
             version: 22,
@@ -52,41 +52,41 @@
         "1.2.3",
         (3, 4),
         (500, 0x0600_0000_0000_0007),
-        parts,
+        attachments,
     )
     .unwrap()
 }
 
-fn news() -> Vec<MemberUpdate> {
+fn updates() -> Vec<MemberUpdate> {
     let v4 = details("192.0.2.1:7946", Phase::Draining);
     let v6 = details("[2001:db8::7]:7947", Phase::Serving);
     let full = MemberUpdate {
         key: 0x1112_1314_1516_1718,
-        birth: 1_700_000_000_001,
-        life: 0x2122_2324_2526_2728,
-        bump: 31,
-        status: 1,
+        started_unix_ms: 1_700_000_000_001,
+        incarnation: 0x2122_2324_2526_2728,
+        refutation: 31,
+        liveness: 1,
         revision: 32,
         name: "node-1".into(),
-        told: v4.raw().to_vec(),
-        by: 0x3132_3334_3536_3738,
+        details: v4.raw().to_vec(),
+        suspected_by: 0x3132_3334_3536_3738,
     };
     let other = MemberUpdate {
         key: 41,
-        status: 3,
+        liveness: 3,
         name: "node-2".into(),
-        told: v6.raw().to_vec(),
+        details: v6.raw().to_vec(),
         ..full.clone()
     };
-    let brief = MemberUpdate {
+    let header_update = MemberUpdate {
         key: 42,
-        status: 2,
+        liveness: 2,
         name: String::new(),
-        told: vec![],
-        by: 0,
+        details: vec![],
+        suspected_by: 0,
         ..full.clone()
     };
-    vec![full, other, brief]
+    vec![full, other, header_update]
 }
 
 fn report() -> NodeReport {
@@ -101,7 +101,7 @@
         dead: 57,
         zone: "zone-b".into(),
         mute: true,
-        counts: vec![
+        counters: vec![
             CounterMessage {
                 what: "first".into(),
                 times: 58,
@@ -123,11 +123,11 @@
     Datagram {
         from: 0x6162_6364_6566_6768,
         kind: 99,
-        no: 61,
+        number: 61,
         target: 0x7172_7374_7576_7778,
         digest: 0x8182_8384_8586_8788,
-        news: news(),
-        pulses: (1..=16).collect(),
+        updates: updates(),
+        load_hints: (1..=16).collect(),
         summaries: vec![
             Summary {
                 from: 62,
@@ -151,7 +151,7 @@
         report: Some(report()),
         cursor: 69,
         topic: 70,
-        parcel: b"parcel".to_vec(),
+        payload: b"parcel".to_vec(),
     }
 }
 
@@ -160,20 +160,20 @@
     let all = full();
     let base = Datagram {
         from: all.from,
-        no: all.no,
+        number: all.number,
         digest: all.digest,
         ..Datagram::default()
     };
-    let heard = |kind| Datagram {
+    let apply_update = |kind| Datagram {
         kind,
-        news: all.news.clone(),
-        pulses: all.pulses.clone(),
+        updates: all.updates.clone(),
+        load_hints: all.load_hints.clone(),
         ..base.clone()
     };
-    let parcel = |kind| Datagram {
+    let payload = |kind| Datagram {
         kind,
         topic: all.topic,
-        parcel: all.parcel.clone(),
+        payload: all.payload.clone(),
         ..base.clone()
     };
     vec![
@@ -181,31 +181,31 @@
             "ping",
             Datagram {
                 target: all.target,
-                ..heard(kind::PING)
+                ..apply_update(kind::PING)
             },
         ),
         (
             "ack",
             Datagram {
                 target: all.target,
-                ..heard(kind::ACK)
+                ..apply_update(kind::ACK)
             },
         ),
         (
             "ask",
             Datagram {
                 target: all.target,
-                ..heard(kind::ASK)
+                ..apply_update(kind::ASK)
             },
         ),
         (
             "nack",
             Datagram {
                 target: all.target,
-                ..heard(kind::NACK)
+                ..apply_update(kind::NACK)
             },
         ),
-        ("gossip", heard(kind::GOSSIP)),
+        ("gossip", apply_update(kind::GOSSIP)),
         (
             "summary",
             Datagram {
@@ -218,14 +218,14 @@
             "headers",
             Datagram {
                 covered: all.covered.clone(),
-                ..heard(kind::HEADERS)
+                ..apply_update(kind::HEADERS)
             },
         ),
         (
             "entries",
             Datagram {
                 wants: all.wants.clone(),
-                ..heard(kind::ENTRIES)
+                ..apply_update(kind::ENTRIES)
             },
         ),
         (
@@ -243,18 +243,18 @@
                 report: all.report.clone(),
                 cursor: all.cursor,
                 topic: 0,
-                ..heard(kind::PAGE)
+                ..apply_update(kind::PAGE)
             },
         ),
-        ("parcel", parcel(kind::PARCEL)),
+        ("parcel", payload(kind::PAYLOAD)),
         (
             "order",
             Datagram {
                 from: 0,
-                ..parcel(kind::ORDER)
+                ..payload(kind::ORDER)
             },
         ),
-        ("ordered", parcel(kind::ORDERED)),
+        ("ordered", payload(kind::ORDERED)),
         ("full", all),
     ]
 }
@@ -276,12 +276,12 @@
 
 /// The recorded bytes of all messages, plain or sealed.
 fn recorded(form: &str) -> Vec<(&'static str, Vec<u8>)> {
-    let parts = RECORDED
+    let attachments = RECORDED
         .lines()
         .map(|line| line.split(' ').collect::<Vec<_>>());
-    parts
-        .filter(|parts| parts[1] == form)
-        .map(|parts| (parts[0], unhex(parts[2])))
+    attachments
+        .filter(|attachments| attachments[1] == form)
+        .map(|attachments| (attachments[0], unhex(attachments[2])))
         .collect()
 }
 
@@ -339,16 +339,16 @@
 
 #[test]
 fn the_recorded_details_are_read_as_they_were_meant() {
-    let (_, gossip) = recorded("plain")
+    let (_, dissemination_queue) = recorded("plain")
         .into_iter()
         .find(|(name, _)| *name == "gossip")
         .unwrap();
-    let gossip = Datagram::decode(&gossip[..]).unwrap();
-    for (news, address, phase) in [
-        (&gossip.news[0], "192.0.2.1:7946", Phase::Draining),
-        (&gossip.news[1], "[2001:db8::7]:7947", Phase::Serving),
+    let dissemination_queue = Datagram::decode(&dissemination_queue[..]).unwrap();
+    for (updates, address, phase) in [
+        (&dissemination_queue.updates[0], "192.0.2.1:7946", Phase::Draining),
+        (&dissemination_queue.updates[1], "[2001:db8::7]:7947", Phase::Serving),
     ] {
-        let read = MemberDetails::read(&news.told).unwrap();
+        let read = MemberDetails::read(&updates.details).unwrap();
         assert_eq!(read, details(address, phase));
     }
 }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -54,51 +54,51 @@
         .to_vec()
 });
 
-fn news(n: usize, (birth, bump, status): Held) -> MemberUpdate {
+fn updates(n: usize, (started_unix_ms, refutation, liveness): Held) -> MemberUpdate {
     let name = format!("n{n}");
     let key = MemberKey::of(&name).0;
     MemberUpdate {
         key,
-        birth,
-        life: birth,
-        bump,
-        status: status as u32,
+        started_unix_ms,
+        incarnation: started_unix_ms,
+        refutation,
+        liveness: liveness as u32,
         revision: 0,
         name,
-        told: TOLD.clone(),
-        by: 0,
+        details: TOLD.clone(),
+        suspected_by: 0,
     }
 }
 
 /// The package's table, with what a node holds.
 fn table(held: &[Option<Held>]) -> MemberTable {
-    let mut view = MemberTable::new(1 << 20, None);
+    let mut member_table = MemberTable::new(1 << 20, None);
     for (n, held) in held.iter().enumerate() {
-        if let Some((birth, bump, status)) = *held {
-            let _ = view.merge(0, &news(n, (birth, bump, Liveness::Alive)));
-            view.set(0, MemberKey::of(&format!("n{n}")), status);
+        if let Some((started_unix_ms, refutation, liveness)) = *held {
+            let _ = member_table.merge(0, &updates(n, (started_unix_ms, refutation, Liveness::Alive)));
+            member_table.set(0, MemberKey::of(&format!("n{n}")), liveness);
         }
     }
-    view
+    member_table
 }
 
-fn held(view: &MemberTable, n: usize) -> Option<Held> {
-    let entry = view.get(MemberKey::of(&format!("n{n}")))?;
+fn held(member_table: &MemberTable, n: usize) -> Option<Held> {
+    let entry = member_table.get(MemberKey::of(&format!("n{n}")))?;
     Some((
-        entry.epoch.birth,
-        entry.standing.bump,
-        entry.standing.status,
+        entry.epoch.started_unix_ms,
+        entry.liveness_state.refutation,
+        entry.liveness_state.liveness,
     ))
 }
 
 fn version(held: Option<Held>) -> Option<(Epoch, LivenessState)> {
-    held.map(|(birth, bump, status)| {
+    held.map(|(started_unix_ms, refutation, liveness)| {
         (
             Epoch {
-                birth,
+                started_unix_ms,
                 ..Epoch::default()
             },
-            LivenessState { bump, status },
+            LivenessState { refutation, liveness },
         )
     })
 }
@@ -110,33 +110,33 @@
             return;
         }
         if to == of {
-            let (birth, bump) = self.own[of];
+            let (started_unix_ms, refutation) = self.own[of];
             let own = LivenessState {
-                bump,
-                status: Liveness::Alive,
+                refutation,
+                liveness: Liveness::Alive,
             };
-            let heard = LivenessState {
-                bump: said.1,
-                status: said.2,
+            let apply_update = LivenessState {
+                refutation: said.1,
+                liveness: said.2,
             };
-            if said.0 > birth {
+            if said.0 > started_unix_ms {
                 self.own[of] = (said.0 + 1, 0); // its past, with a clock that was ahead
-            } else if said.0 == birth
-                && let Some(bump) = refutes(own, heard)
+            } else if said.0 == started_unix_ms
+                && let Some(refutation) = refutes(own, apply_update)
             {
-                self.own[of] = (birth, bump);
+                self.own[of] = (started_unix_ms, refutation);
             }
-            let (birth, bump) = self.own[of];
-            self.set(to, of, (birth, bump, Liveness::Alive));
+            let (started_unix_ms, refutation) = self.own[of];
+            self.set(to, of, (started_unix_ms, refutation, Liveness::Alive));
         } else {
             self.set(to, of, said);
         }
     }
 
     fn set(&mut self, at: usize, of: usize, said: Held) {
-        let mut view = table(&self.views[at]);
-        let _ = view.merge(0, &news(of, said));
-        let now = held(&view, of);
+        let mut member_table = table(&self.views[at]);
+        let _ = member_table.merge(0, &updates(of, said));
+        let now = held(&member_table, of);
         self.went_back |= version(now) < version(self.views[at][of]);
         self.views[at][of] = now;
     }
@@ -204,14 +204,14 @@
         let mut state = last.clone();
         match action {
             Action::Suspect(i, j) | Action::Bury(i, j) => {
-                let status = if matches!(action, Action::Bury(..)) {
+                let liveness = if matches!(action, Action::Bury(..)) {
                     Liveness::Dead
                 } else {
                     Liveness::Suspect
                 };
-                let mut view = table(&state.views[i]);
-                view.set(0, MemberKey::of(&format!("n{j}")), status);
-                state.views[i][j] = held(&view, j);
+                let mut member_table = table(&state.views[i]);
+                member_table.set(0, MemberKey::of(&format!("n{j}")), liveness);
+                state.views[i][j] = held(&member_table, j);
             }
             Action::Tell(i, j, of) => {
                 state.under_way.insert((j, of, state.views[i][of]?));
@@ -251,7 +251,7 @@
                         all.clone().all(|j| {
                             !fresh(j)
                                 || state.views[i][j]
-                                    .is_none_or(|(_, bump, _)| bump <= state.own[j].1)
+                                    .is_none_or(|(_, refutation, _)| refutation <= state.own[j].1)
                         })
                     })
                 },
@@ -281,10 +281,10 @@
                 },
             ),
             Property::sometimes("somebody refutes", |_: &Small, state: &State| {
-                state.own.iter().any(|(_, bump)| *bump > 0)
+                state.own.iter().any(|(_, refutation)| *refutation > 0)
             }),
             Property::sometimes("somebody outlives its past", |_: &Small, state: &State| {
-                state.own.iter().any(|(birth, _)| *birth > 2)
+                state.own.iter().any(|(started_unix_ms, _)| *started_unix_ms > 2)
             }),
         ]
     }
@@ -295,7 +295,7 @@
             && state
                 .own
                 .iter()
-                .all(|(birth, bump)| *bump <= self.bumps && *birth <= 3)
+                .all(|(started_unix_ms, refutation)| *refutation <= self.bumps && *started_unix_ms <= 3)
     }
 }
 
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -32,14 +32,14 @@
 
 fn counted(sim: &Simulation, what: &str) -> u64 {
     sim.up()
-        .filter_map(|(_, fleet)| fleet.counts().get(what))
+        .filter_map(|(_, fleet)| fleet.counters().get(what))
         .sum()
 }
 
 fn no_invariant_failed(sim: &Simulation) {
     for (node, fleet) in sim.up() {
         let failed: Vec<_> = fleet
-            .counts()
+            .counters()
             .iter()
             .filter(|(what, _)| what.starts_with("invariant"))
             .collect();
@@ -128,7 +128,7 @@
     assert_eq!(sim.detected.len(), 0);
     settles(&mut sim, 5 * S);
     for (_, fleet) in sim.up() {
-        assert_eq!(fleet.view().counts().dead, 0);
+        assert_eq!(fleet.member_table().counters().dead, 0);
     }
 }
 
@@ -151,9 +151,9 @@
     for _ in 0..time / S {
         sim.run(S);
         for (node, fleet) in sim.up() {
-            let counts = fleet.view().counts();
+            let counters = fleet.member_table().counters();
             assert_eq!(
-                (counts.present(), counts.dead),
+                (counters.present(), counters.dead),
                 (5, 0),
                 "seed {}, {}",
                 sim.plan.seed,
@@ -196,15 +196,15 @@
         sim.run(39 * S);
         let dead = sim.up().filter(|(node, _)| node.name != "n3");
         let dead = dead
-            .filter(|(_, f)| f.view().get(MemberKey::of("n3")).unwrap().status() == Liveness::Dead)
+            .filter(|(_, f)| f.member_table().get(MemberKey::of("n3")).unwrap().liveness() == Liveness::Dead)
             .count();
         assert_eq!(dead, 19, "seed {seed}");
         sim.run(S);
         settles(&mut sim, 5 * S);
         let (_, fleet) = sim.up().nth(3).unwrap();
-        assert!(fleet.bump() > 0);
+        assert!(fleet.refutation() > 0);
         // It buried nobody, though it had heard nobody for so long.
-        assert_eq!(fleet.view().counts().dead, 0, "seed {seed}");
+        assert_eq!(fleet.member_table().counters().dead, 0, "seed {seed}");
         assert!(counted(&sim, "times it stood still") >= 1);
         stays_settled(&mut sim, 30 * S);
     }
@@ -218,7 +218,7 @@
         seed: 3,
         ..SimulationConfig::default()
     };
-    plan.periods.remember = 60 * S;
+    plan.timing.remember = 60 * S;
     let mut sim = Simulation::started(plan);
     sim.run(2 * S);
     sim.pause(0, 400 * S);
@@ -226,14 +226,14 @@
     (1..5).for_each(|n| sim.crash(n));
     sim.run(380 * S);
     assert_eq!(
-        sim.up().nth(1).unwrap().1.view().counts().dead,
+        sim.up().nth(1).unwrap().1.member_table().counters().dead,
         0,
         "all forgot who died"
     );
     let ghosts = |sim: &Simulation| {
         sim.up()
             .skip(1)
-            .any(|(_, f)| (1..5).any(|n| f.view().get(MemberKey::of(&format!("n{n}"))).is_some()))
+            .any(|(_, f)| (1..5).any(|n| f.member_table().get(MemberKey::of(&format!("n{n}"))).is_some()))
     };
     for _ in 0..250 {
         sim.run(100 * MS);
@@ -260,7 +260,7 @@
 /// Without what Lifeguard adds the same fleet buries some who are there: the tests above can fail.
 #[test]
 fn without_doubt_and_confirmation_the_living_are_buried() {
-    let extensions = FeatureToggles {
+    let features = FeatureToggles {
         health: false,
         confirm: false,
         ..FeatureToggles::default()
@@ -270,13 +270,13 @@
         slow: 0.2,
         loss: 0.5,
         seed: 5,
-        extensions,
+        features,
         ..SimulationConfig::default()
     };
     let mut sim = Simulation::started(plan.clone());
     sim.run(1200 * S);
     let mut with = Simulation::started(SimulationConfig {
-        extensions: FeatureToggles::default(),
+        features: FeatureToggles::default(),
         ..plan
     });
     with.run(1200 * S);
@@ -303,7 +303,7 @@
     (0..3).for_each(|n| sim.crash(n));
     sim.start(7);
     sim.run(30 * S);
-    assert_eq!(sim.up().last().unwrap().1.view().counts().present(), 1);
+    assert_eq!(sim.up().last().unwrap().1.member_table().counters().present(), 1);
     assert!(
         sim.nodes[7]
             .fleet
@@ -317,7 +317,7 @@
             .any(|l| l.contains("alone"))
     );
     for (node, fleet) in sim.up().filter(|(node, _)| node.name != "n7") {
-        assert_eq!(fleet.view().counts().present(), 4, "{}", node.name);
+        assert_eq!(fleet.member_table().counters().present(), 4, "{}", node.name);
     }
     sim.start(1);
     settles(&mut sim, 15 * S);
@@ -385,7 +385,7 @@
     sim.run(2 * S);
     for (node, fleet) in sim.up() {
         assert_eq!(
-            fleet.view().get(MemberKey::of("n5")).unwrap().details.phase,
+            fleet.member_table().get(MemberKey::of("n5")).unwrap().details.phase,
             Phase::Draining,
             "{}",
             node.name
@@ -395,7 +395,7 @@
     sim.run(2 * S);
     for (_, fleet) in sim.up() {
         assert_eq!(
-            (fleet.view().counts().left, fleet.view().counts().dead),
+            (fleet.member_table().counters().left, fleet.member_table().counters().dead),
             (1, 0)
         );
     }
@@ -417,8 +417,8 @@
         settles(&mut sim, 6 * S);
         sim.run(25 * S);
         for (node, fleet) in sim.up() {
-            let status = fleet.view().get(MemberKey::of("n4")).unwrap().status();
-            assert_eq!(status, Liveness::Left, "seed {seed}, {}", node.name);
+            let liveness = fleet.member_table().get(MemberKey::of("n4")).unwrap().liveness();
+            assert_eq!(liveness, Liveness::Left, "seed {seed}, {}", node.name);
         }
     }
 }
@@ -438,12 +438,12 @@
         version: 1,
         bytes,
     };
-    assert!(fleet.set_part(at, part(vec![1; 500])).is_err());
-    assert!(fleet.set_part(at, part(vec![5; 60])).is_ok());
+    assert!(fleet.set_attachment(at, part(vec![1; 500])).is_err());
+    assert!(fleet.set_attachment(at, part(vec![5; 60])).is_ok());
     settles(&mut sim, 4 * S);
     for (_, fleet) in sim.up() {
         assert_eq!(
-            fleet.view().get(MemberKey::of("n2")).unwrap().details.parts,
+            fleet.member_table().get(MemberKey::of("n2")).unwrap().details.attachments,
             vec![part(vec![5; 60])]
         );
     }
