--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -43,7 +43,8 @@
 }
 
 fn part(member_table: &MemberTable, from: u64, to: u64, members: usize) -> Summary {
-    let sums = slices(from, to, slices_for(members)).map(|(from, to)| member_table.sum(from..=to).1);
+    let sums =
+        slices(from, to, slices_for(members)).map(|(from, to)| member_table.sum(from..=to).1);
     Summary {
         from,
         to,
@@ -92,7 +93,9 @@
     let present = member_table
         .range(range.from..=range.to)
         .filter(|(_, entry)| entry.liveness().is_present());
-    present.map(|(key, entry)| entry.header_update(key)).collect()
+    present
+        .map(|(key, entry)| entry.header_update(key))
+        .collect()
 }
 
 /// What two nodes tell each other about some ranges.
@@ -107,7 +110,11 @@
 }
 
 /// Compares all that the other one has in some ranges with what is here.
-pub fn differences(member_table: &MemberTable, covered: &[Range], named: &[MemberUpdate]) -> RangeExchange {
+pub fn differences(
+    member_table: &MemberTable,
+    covered: &[Range],
+    named: &[MemberUpdate],
+) -> RangeExchange {
     let mut differences = RangeExchange::default();
     let theirs: BTreeMap<MemberKey, &MemberUpdate> = named
         .iter()
--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -81,8 +81,8 @@
                             member_table.set(0, MemberKey::of(&format!("n{n}")), Liveness::Dead);
                         }
                         _ => {
-                            let _ =
-                                member_table.merge(0, &updates(n, rng.random_range(0..3), Liveness::Suspect));
+                            let _ = member_table
+                                .merge(0, &updates(n, rng.random_range(0..3), Liveness::Suspect));
                         }
                     }
                 } else {
--- a/crates/membership/src/cluster_size/tests.rs
+++ b/crates/membership/src/cluster_size/tests.rs
@@ -24,7 +24,12 @@
     member_table
 }
 
-fn set(member_table: &mut MemberTable, now: Nanos, names: std::ops::Range<usize>, liveness: Liveness) {
+fn set(
+    member_table: &mut MemberTable,
+    now: Nanos,
+    names: std::ops::Range<usize>,
+    liveness: Liveness,
+) {
     for n in names {
         member_table.set(now, MemberKey::of(&format!("n{n}")), liveness);
     }
@@ -34,8 +39,11 @@
 /// says that it is unsure.
 #[test]
 fn losing_all_at_once_is_no_jump_and_is_said() {
-    let (mut member_table, mut size_estimator, zone) = (fleet(300), ClusterSizeEstimator::default(), Arc::from("a"));
-    let mut observe = |member_table: &MemberTable, now| size_estimator.observe(now, member_table, &zone, 0, false);
+    let (mut member_table, mut size_estimator, zone) =
+        (fleet(300), ClusterSizeEstimator::default(), Arc::from("a"));
+    let mut observe = |member_table: &MemberTable, now| {
+        size_estimator.observe(now, member_table, &zone, 0, false)
+    };
     assert_eq!(
         observe(&member_table, SECOND).fleet,
         SizeEstimate {
@@ -47,7 +55,11 @@
     set(&mut member_table, 2 * SECOND, 1..300, Liveness::Suspect);
     let cluster_view = observe(&member_table, 2 * SECOND);
     assert_eq!(
-        (cluster_view.fleet.size, cluster_view.fleet.low, cluster_view.fleet.high),
+        (
+            cluster_view.fleet.size,
+            cluster_view.fleet.low,
+            cluster_view.fleet.high
+        ),
         (300, 1, 300)
     );
     assert_eq!(cluster_view.unsure_since, Some(2 * SECOND));
@@ -55,7 +67,10 @@
     let (mut before, mut least) = (300, 300);
     for tenths in 30..400 {
         let cluster_view = observe(&member_table, tenths * SECOND / 10);
-        assert!(cluster_view.fleet.size <= before && before - cluster_view.fleet.size <= before.div_ceil(8));
+        assert!(
+            cluster_view.fleet.size <= before
+                && before - cluster_view.fleet.size <= before.div_ceil(8)
+        );
         assert!(
             cluster_view.unsure_since.is_none() || cluster_view.fleet.high >= 150,
             "{cluster_view:?}"
@@ -82,7 +97,8 @@
 /// himself.
 #[test]
 fn an_unsure_node_goes_by_half_of_what_it_knew() {
-    let (mut member_table, mut size_estimator, zone) = (fleet(100), ClusterSizeEstimator::default(), Arc::from("a"));
+    let (mut member_table, mut size_estimator, zone) =
+        (fleet(100), ClusterSizeEstimator::default(), Arc::from("a"));
     size_estimator.observe(0, &member_table, &zone, 0, false);
     set(&mut member_table, SECOND, 1..100, Liveness::Dead);
     for second in 1..30 {
@@ -96,13 +112,20 @@
 
 #[test]
 fn few_losses_and_those_who_say_that_they_leave_make_nobody_unsure() {
-    let (mut member_table, mut size_estimator, zone) = (fleet(12), ClusterSizeEstimator::default(), Arc::from("a"));
+    let (mut member_table, mut size_estimator, zone) =
+        (fleet(12), ClusterSizeEstimator::default(), Arc::from("a"));
     size_estimator.observe(0, &member_table, &zone, 0, false);
     set(&mut member_table, SECOND, 0..2, Liveness::Dead);
     set(&mut member_table, SECOND, 2..8, Liveness::Left);
     let cluster_view = size_estimator.observe(SECOND, &member_table, &zone, 0, false);
-    assert_eq!((cluster_view.unsure_since, cluster_view.fleet.low), (None, 4));
-    assert!(cluster_view.fleet.high >= 6 && cluster_view.fleet.size >= 10, "{cluster_view:?}");
+    assert_eq!(
+        (cluster_view.unsure_since, cluster_view.fleet.low),
+        (None, 4)
+    );
+    assert!(
+        cluster_view.fleet.high >= 6 && cluster_view.fleet.size >= 10,
+        "{cluster_view:?}"
+    );
     let cluster_view = size_estimator.observe(40 * SECOND, &member_table, &zone, 0, false);
     assert_eq!(
         cluster_view.fleet,
@@ -117,7 +140,8 @@
 
 #[test]
 fn a_node_that_doubts_itself_is_unsure_as_long_as_it_does() {
-    let (member_table, mut size_estimator, zone) = (fleet(12), ClusterSizeEstimator::default(), Arc::from("a"));
+    let (member_table, mut size_estimator, zone) =
+        (fleet(12), ClusterSizeEstimator::default(), Arc::from("a"));
     for second in 0..400 {
         let cluster_view = size_estimator.observe(second * SECOND, &member_table, &zone, 5, false);
         assert!(cluster_view.unsure_since.is_some(), "{second}");
--- a/crates/membership/src/datagram_auth/tests.rs
+++ b/crates/membership/src/datagram_auth/tests.rs
@@ -7,7 +7,13 @@
 }
 
 fn seal(fleet: &str, seeds: &[u8], incarnation: u64) -> DatagramAuth {
-    DatagramAuth::new(fleet, keys(seeds), Incarnation(incarnation), 10 * MINUTES, 4)
+    DatagramAuth::new(
+        fleet,
+        keys(seeds),
+        Incarnation(incarnation),
+        10 * MINUTES,
+        4,
+    )
 }
 
 #[test]
@@ -112,7 +118,9 @@
     );
     let mut receive_limiter = ReceiveLimiter::new(10);
     receive_limiter.proved(good);
-    let admitted = (0..10_000).filter(|_| receive_limiter.admits(SECOND, bad)).count();
+    let admitted = (0..10_000)
+        .filter(|_| receive_limiter.admits(SECOND, bad))
+        .count();
     assert_eq!(admitted, RATES[1] as usize);
     assert!(receive_limiter.admits(SECOND, good));
     assert!(!receive_limiter.admits(SECOND, bad) && receive_limiter.admits(2 * SECOND, bad));
@@ -132,6 +140,9 @@
         ("ab", "1 bytes"),
         (&format!("{good}{}", "ff".repeat(16)), "3 keys"),
     ] {
-        assert!(AuthKeys::read(text).unwrap_err().contains(details), "{text}");
+        assert!(
+            AuthKeys::read(text).unwrap_err().contains(details),
+            "{text}"
+        );
     }
 }
--- a/crates/membership/src/dissemination_queue/tests.rs
+++ b/crates/membership/src/dissemination_queue/tests.rs
@@ -33,7 +33,13 @@
     dissemination_queue.push(MemberKey(1));
     dissemination_queue.take(9, |_| true);
     dissemination_queue.push(MemberKey(1));
-    assert_eq!((dissemination_queue.len(), dissemination_queue.places[&MemberKey(1)].0), (1, 0));
+    assert_eq!(
+        (
+            dissemination_queue.len(),
+            dissemination_queue.places[&MemberKey(1)].0
+        ),
+        (1, 0)
+    );
     dissemination_queue.remove_updates(MemberKey(1));
     assert!(dissemination_queue.is_empty() && dissemination_queue.places.is_empty());
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,9 +11,11 @@
 
 mod anti_entropy;
 pub mod cluster_size;
+pub mod config;
 pub mod datagram_auth;
 mod dissemination_queue;
 pub mod history;
+pub mod host;
 mod local_health;
 pub mod member;
 pub mod member_table;
@@ -22,11 +24,14 @@
 pub mod simulation;
 mod suspicion;
 pub mod swim;
+mod token_bucket;
 pub mod wire;
 
 pub use cluster_size::ClusterView;
+pub use config::{ClockReading, Config, FeatureToggles, Timing};
+pub use host::Host;
 pub use member::{Attachment, Incarnation, Liveness, MemberDetails, MemberKey, Phase};
-pub use swim::{ClockReading, Config, Host, Membership, Timing};
+pub use swim::Membership;
 
 /// Whole nanoseconds from any fixed point.
 pub type Nanos = u64;
--- a/crates/membership/src/member/tests.rs
+++ b/crates/membership/src/member/tests.rs
@@ -2,7 +2,15 @@
 
 fn member_details(attachments: Vec<Attachment>) -> Result<MemberDetails, DetailsError> {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    MemberDetails::new(address, "a", Phase::Serving, "0.1.0", (1, 1), (7, 8), attachments)
+    MemberDetails::new(
+        address,
+        "a",
+        Phase::Serving,
+        "0.1.0",
+        (1, 1),
+        (7, 8),
+        attachments,
+    )
 }
 
 #[test]
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -456,14 +456,19 @@
     }
 
     /// Takes a word of room and load; true if it is newer than what was known.
-    pub(crate) fn load_hint(&mut self, now: Nanos, tag: u32, load_hint: LoadHint) -> Option<MemberKey> {
+    pub(crate) fn load_hint(
+        &mut self,
+        now: Nanos,
+        tag: u32,
+        load_hint: LoadHint,
+    ) -> Option<MemberKey> {
         let from = u64::from(tag) << 32;
         let (key, entry) = self
             .entries
             .range_mut(MemberKey(from)..=MemberKey(from | u64::from(u32::MAX)))
             .next()?;
-        let is_newer =
-            entry.load_hint_received == 0 || (1..1 << 15).contains(&load_hint.number.wrapping_sub(entry.load_hint.number));
+        let is_newer = entry.load_hint_received == 0
+            || (1..1 << 15).contains(&load_hint.number.wrapping_sub(entry.load_hint.number));
         is_newer.then(|| {
             (entry.load_hint, entry.load_hint_received) = (load_hint, now.max(1));
             *key
--- a/crates/membership/src/member_table/tests.rs
+++ b/crates/membership/src/member_table/tests.rs
@@ -4,7 +4,13 @@
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
 
-fn updates(name: &str, started_unix_ms: u64, refutation: u32, liveness: Liveness, revision: u32) -> MemberUpdate {
+fn updates(
+    name: &str,
+    started_unix_ms: u64,
+    refutation: u32,
+    liveness: Liveness,
+    revision: u32,
+) -> MemberUpdate {
     let address = SocketAddr::from(([127, 0, 0, 1], 1000 + revision as u16));
     let zone = if name.len().is_multiple_of(2) {
         "a"
@@ -28,7 +34,8 @@
 
 /// What a view holds, but for when it heard it.
 fn held(member_table: &MemberTable) -> Vec<(MemberKey, Epoch, LivenessState, u32, SocketAddr)> {
-    member_table.iter()
+    member_table
+        .iter()
         .map(|(k, e)| (k, e.epoch, e.liveness_state, e.revision, e.details.address))
         .collect()
 }
@@ -81,7 +88,11 @@
                 (member_table.counters().present(), member_table.digest()),
                 "seed {seed}"
             );
-            views.push((held(&member_table), member_table.digest(), member_table.slices(8)));
+            views.push((
+                held(&member_table),
+                member_table.digest(),
+                member_table.slices(8),
+            ));
         }
         assert!(
             views.windows(2).all(|two| two[0] == two[1]),
@@ -144,15 +155,27 @@
         details: vec![],
         ..updates("n", started_unix_ms, refutation, Liveness::Alive, revision)
     };
-    assert_eq!(member_table.merge(0, &header_update(1, 0, 0)), MergeOutcome::Wanted);
+    assert_eq!(
+        member_table.merge(0, &header_update(1, 0, 0)),
+        MergeOutcome::Wanted
+    );
     let _ = member_table.merge(0, &updates("n", 1, 0, Liveness::Alive, 0));
     assert!(matches!(
         member_table.merge(0, &header_update(1, 1, 0)),
         MergeOutcome::Changed(_)
     ));
-    assert_eq!(member_table.merge(0, &header_update(1, 1, 1)), MergeOutcome::Wanted);
-    assert_eq!(member_table.merge(0, &header_update(2, 0, 0)), MergeOutcome::Wanted);
-    assert_eq!(member_table.merge(0, &header_update(1, 0, 0)), MergeOutcome::Older);
+    assert_eq!(
+        member_table.merge(0, &header_update(1, 1, 1)),
+        MergeOutcome::Wanted
+    );
+    assert_eq!(
+        member_table.merge(0, &header_update(2, 0, 0)),
+        MergeOutcome::Wanted
+    );
+    assert_eq!(
+        member_table.merge(0, &header_update(1, 0, 0)),
+        MergeOutcome::Older
+    );
     let named = MemberUpdate {
         name: "other".into(),
         ..updates("x", 1, 0, Liveness::Alive, 0)
@@ -169,12 +192,17 @@
 fn a_full_view_forgets_the_gone_and_nobody_else() {
     let mut member_table = MemberTable::new(10 * ENTRY_USUAL, None);
     let mut names = 0;
-    while member_table.merge(0, &updates(&format!("n{names:03}"), 1, 0, Liveness::Alive, 0))
-        != MergeOutcome::Full
+    while member_table.merge(
+        0,
+        &updates(&format!("n{names:03}"), 1, 0, Liveness::Alive, 0),
+    ) != MergeOutcome::Full
     {
         names += 1;
     }
-    assert!(names >= 10 && member_table.bytes() <= 10 * ENTRY_USUAL, "{names}");
+    assert!(
+        names >= 10 && member_table.bytes() <= 10 * ENTRY_USUAL,
+        "{names}"
+    );
     for n in 0..3 {
         member_table.set(n, MemberKey::of(&format!("n{n:03}")), Liveness::Dead);
     }
@@ -182,7 +210,10 @@
         member_table.merge(9, &updates(&format!("m{n:03}"), 1, 0, Liveness::Alive, 0))
     };
     for n in 0..3 {
-        assert!(matches!(more(&mut member_table, n), MergeOutcome::Changed(_)));
+        assert!(matches!(
+            more(&mut member_table, n),
+            MergeOutcome::Changed(_)
+        ));
     }
     assert_eq!(more(&mut member_table, 3), MergeOutcome::Full);
     assert_eq!(
@@ -205,6 +236,9 @@
         let _ = member_table.merge(0, &updates(name, 1, 0, Liveness::Alive, 0));
         member_table.set(5, MemberKey::of(name), liveness);
     }
-    assert_eq!((member_table.forget(9, 5), member_table.forget(10, 5)), (0, 2));
+    assert_eq!(
+        (member_table.forget(9, 5), member_table.forget(10, 5)),
+        (0, 2)
+    );
     assert_eq!(member_table.iter().count(), 1);
 }
--- a/crates/membership/src/observer.rs
+++ b/crates/membership/src/observer.rs
@@ -110,8 +110,9 @@
     ) -> Result<Option<Vec<u8>>, DropReason> {
         let (_, message) = self.seal.open(now, unix_ms, frame)?;
         let answer = Datagram::decode(message).map_err(|_| DropReason::Unreadable)?;
-        let is_it =
-            answer.kind == kind::ORDERED && answer.number == self.number && answer.topic == self.topic;
+        let is_it = answer.kind == kind::ORDERED
+            && answer.number == self.number
+            && answer.topic == self.topic;
         Ok(is_it.then_some(answer.payload))
     }
 
--- /dev/null
+++ b/crates/membership/src/simulation/heartbeats.rs
@@ -0,0 +1,65 @@
+//! The plainest failure detector, to measure against: all-to-all heartbeats.
+
+use crate::{Nanos, SECOND};
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+/// Results of all-to-all heartbeats, where a member that misses some periods is declared dead.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Heartbeats {
+    /// Bytes a second that each member sends.
+    pub bytes: f64,
+    /// Datagrams a second that each member sends.
+    pub datagrams: f64,
+    /// How often some member declared a running one dead.
+    pub false_deaths: u64,
+    /// Seconds until the first member declares a crashed one dead.
+    pub found: f64,
+    /// Seconds until all members have declared it dead.
+    pub agreed: f64,
+}
+
+/// Bytes of a heartbeat: the frame with name and number, and the headers of UDP and IP.
+const HEARTBEAT_BYTES: usize = crate::datagram_auth::OVERHEAD + 42 + 28;
+
+/// Simulates heartbeats for `time`, with a crash at the end; a member silent for `missed` periods is
+/// declared dead.
+pub fn heartbeats(
+    members: usize,
+    loss: f64,
+    period: Nanos,
+    missed: u32,
+    time: Nanos,
+    seed: u64,
+) -> Heartbeats {
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
+    let rounds = time / period;
+    let mut missed_in_a_row = vec![0u32; members * members];
+    let mut false_deaths = 0;
+    for _ in 0..rounds {
+        for from in 0..members {
+            for to in (0..members).filter(|&to| to != from) {
+                let at = &mut missed_in_a_row[from * members + to];
+                *at = if loss > 0.0 && rng.random_bool(loss) {
+                    *at + 1
+                } else {
+                    0
+                };
+                false_deaths += u64::from(*at == missed);
+            }
+        }
+    }
+    // The crash: each member has already missed some periods, and has its own phase.
+    let seconds_left: Vec<f64> = (1..members)
+        .map(|to| f64::from(missed - missed_in_a_row[to].min(missed)) - rng.random_range(0.0..1.0))
+        .map(|periods| periods.max(0.0) * period as f64 / SECOND as f64)
+        .collect();
+    let datagrams = (members - 1) as f64 * SECOND as f64 / period as f64;
+    Heartbeats {
+        bytes: datagrams * HEARTBEAT_BYTES as f64,
+        datagrams,
+        false_deaths,
+        found: seconds_left.iter().copied().fold(f64::INFINITY, f64::min),
+        agreed: seconds_left.iter().copied().fold(0.0, f64::max),
+    }
+}
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -83,7 +83,8 @@
             calls: 0,
         };
         let suspicion = self.all.entry(key).or_insert_with(fresh);
-        let is_new = !suspicion.suspected_by.contains(&suspected_by) && suspicion.suspected_by.len() <= CONFIRMED;
+        let is_new = !suspicion.suspected_by.contains(&suspected_by)
+            && suspicion.suspected_by.len() <= CONFIRMED;
         if is_new {
             suspicion.suspected_by.push(suspected_by);
         }
--- a/crates/membership/src/swim/member_updates.rs
+++ b/crates/membership/src/swim/member_updates.rs
@@ -1,9 +1,19 @@
-//! MemberUpdate: what is said of members, and of this node itself; and a name that two processes have.
+//! Merging what is reported about members and about this node itself.
 
 use super::*;
 
+/// The counter for details that can't be used.
+fn details_error_counter(error: DetailsError) -> &'static str {
+    match error {
+        DetailsError::TooLarge => "entries that are too large",
+        DetailsError::Unreadable => "entries that can't be read",
+        DetailsError::BadAddress => "entries with an address that can't be used",
+        DetailsError::BadName => "entries with a name that can't be used",
+    }
+}
+
 impl<H: Host> Membership<H> {
-    /// A member changed: clears or begins what belongs to that, spreads it and tells of it.
+    /// Follows up on a changed member: probe order, suspicion, dissemination, history.
     pub(super) fn on_member_changed(
         &mut self,
         at: ClockReading,
@@ -37,8 +47,8 @@
         }
     }
 
-    /// Something was said of a member. Gives what to say back: entries that are wanted, and those
-    /// of which more is known.
+    /// Merges an update. `reply` collects what to send back: entries that are wanted, and those of
+    /// which more is known here.
     pub(super) fn apply_update(
         &mut self,
         at: ClockReading,
@@ -47,7 +57,9 @@
         back: &mut RangeExchange,
     ) {
         let key = MemberKey(updates.key);
-        if key == self.own_key && (updates.incarnation == self.epoch.incarnation.0 || self.claims_own_name(updates)) {
+        if key == self.own_key
+            && (updates.incarnation == self.epoch.incarnation.0 || self.claims_own_name(updates))
+        {
             return self.apply_update_about_self(at, updates, back);
         }
         match self.member_table.merge(at.now, updates) {
@@ -64,8 +76,8 @@
         }
     }
 
-    /// A suspicion that is told names who has it.
-    pub(super) fn confirm_suspicion(&mut self, at: ClockReading, sender: MemberKey, updates: &MemberUpdate) {
+    /// An update of a suspicion names who suspects.
+    fn confirm_suspicion(&mut self, at: ClockReading, sender: MemberKey, updates: &MemberUpdate) {
         let key = MemberKey(updates.key);
         let suspect = self
             .member_table
@@ -81,8 +93,8 @@
         }
     }
 
-    /// Whether this is about another life that has this node's name, and holds over it.
-    pub(super) fn claims_own_name(&self, updates: &MemberUpdate) -> bool {
+    /// Whether the update is about another process with this node's name that takes precedence.
+    fn claims_own_name(&self, updates: &MemberUpdate) -> bool {
         let theirs = Epoch {
             started_unix_ms: updates.started_unix_ms,
             incarnation: Incarnation(updates.incarnation),
@@ -90,8 +102,8 @@
         !self.is_mute() && theirs > self.epoch && updates.incarnation != self.epoch.incarnation.0
     }
 
-    /// Something was said of this node itself.
-    pub(super) fn apply_update_about_self(
+    /// Merges an update about this node: refutes it, or notes a name conflict.
+    fn apply_update_about_self(
         &mut self,
         at: ClockReading,
         updates: &MemberUpdate,
@@ -121,16 +133,24 @@
             match refutes {
                 _ if self.is_mute() => {}
                 Some(refutation) => {
-                    if self.settings.features.health && liveness == Liveness::Suspect {
+                    if self.config.features.health && liveness == Liveness::Suspect {
                         self.health.suspected();
                     }
                     if refutation == u32::MAX {
-                        return self.reclaim_name(at, updates.started_unix_ms, "its bumps are used up");
+                        return self.reclaim_name(
+                            at,
+                            updates.started_unix_ms,
+                            "its bumps are used up",
+                        );
                     }
                     self.refutation = refutation;
                     self.refute(at, liveness);
                 }
-                None if (updates.started_unix_ms, apply_update) != (self.epoch.started_unix_ms, own) => back.header_update.push(self.own_key),
+                None if (updates.started_unix_ms, apply_update)
+                    != (self.epoch.started_unix_ms, own) =>
+                {
+                    back.header_update.push(self.own_key)
+                }
                 None => {}
             }
             return;
@@ -142,7 +162,7 @@
         match details {
             None => back.wants.push(self.own_key),
             // Only one process can be reached there, and that is this one.
-            Some(details) if details.address == self.settings.address => {
+            Some(details) if details.address == self.config.address => {
                 self.reclaim_name(at, updates.started_unix_ms, "a past of its own");
             }
             Some(details) => {
@@ -164,7 +184,8 @@
         }
     }
 
-    pub(super) fn refute(&mut self, at: ClockReading, said: Liveness) {
+    /// Announces a higher refutation number.
+    fn refute(&mut self, at: ClockReading, said: Liveness) {
         if let Err(error) = self.announce(at) {
             self.count(details_error_counter(error), 1);
         }
@@ -176,86 +197,4 @@
             format!("held {}", said.as_str()),
         );
     }
-
-    /// Its name is its own, by a birth later than any that was heard.
-    pub(super) fn reclaim_name(&mut self, at: ClockReading, started_unix_ms: u64, why: &str) {
-        let was_mute = self.is_mute();
-        self.name_conflict = None;
-        self.epoch.started_unix_ms = self.epoch.started_unix_ms.max(started_unix_ms).saturating_add(1);
-        self.refutation = 0;
-        self.announce_new_revision(at);
-        if was_mute {
-            self.record_change(at, ChangeKind::NameBack, self.own_key, why.to_owned());
-        } else {
-            self.count("times it took its name over from an earlier life", 1);
-        }
-    }
-
-    // ---- A name that two have ----
-
-    /// The other life was heard, so that it is there: it came later, and has the name.
-    pub(super) fn on_name_holder_heard(&mut self, at: ClockReading) {
-        let Some(name_conflict) = &mut self.name_conflict else {
-            return;
-        };
-        name_conflict.tries = 0;
-        if name_conflict.mute {
-            return;
-        }
-        name_conflict.mute = true;
-        name_conflict.next = at.now + MUTE_PROBE_INTERVAL;
-        let (holder, address) = (name_conflict.holder.clone(), name_conflict.address);
-        (self.outstanding_probe, self.relayed_probes) = (None, BTreeMap::new());
-        self.dissemination_queue.remove_updates(self.own_key);
-        let _ = self.member_table.merge(at.now, &holder);
-        self.record_change(
-            at,
-            ChangeKind::NameTaken,
-            self.own_key,
-            format!("a later process at {address} has it; this one says nothing of itself"),
-        );
-    }
-
-    pub(super) fn on_name_conflict_timer(&mut self, at: ClockReading) {
-        let Some(name_conflict) = &mut self.name_conflict else {
-            return;
-        };
-        name_conflict.tries += 1;
-        let (tries, mute, address, started_unix_ms) = (
-            name_conflict.tries,
-            name_conflict.mute,
-            name_conflict.address,
-            name_conflict.holder.started_unix_ms,
-        );
-        name_conflict.next = at.now
-            + if mute {
-                MUTE_PROBE_INTERVAL
-            } else {
-                self.settings.timing.answer
-            };
-        if tries > if mute { MUTE_PROBES } else { NAME_CONFLICT_PROBES } {
-            return self.reclaim_name(at, started_unix_ms, "what had its name does not answer");
-        }
-        let from = if mute { MemberKey::NONE } else { self.own_key };
-        let ping = Datagram {
-            from: from.0,
-            kind: kind::PING,
-            target: self.own_key.0,
-            ..Datagram::default()
-        };
-        self.send(at, address, ping);
-        if mute {
-            let gone = self
-                .member_table
-                .get(self.own_key)
-                .is_none_or(|entry| !entry.liveness().is_present());
-            if gone {
-                return self.reclaim_name(at, started_unix_ms, "what had its name is gone");
-            }
-            // Nobody tells one that no view holds: it asks.
-            if let Some(key) = self.random_present(1).first().copied() {
-                self.start_comparison(at, key);
-            }
-        }
-    }
 }
--- /dev/null
+++ b/crates/membership/src/swim/observation.rs
@@ -0,0 +1,280 @@
+//! What is visible from outside: member table, cluster view, counters, history, status pages.
+
+use super::*;
+
+/// Changes that a status report lists.
+const REPORTED_CHANGES: usize = 16;
+/// A node that knows nobody reports that after this time.
+const ALONE_REPORT_DELAY: Nanos = 10 * SECOND;
+
+impl<H: Host> Membership<H> {
+    /// The member table.
+    pub fn member_table(&self) -> &MemberTable {
+        &self.member_table
+    }
+
+    /// The view on which decisions rest.
+    pub fn cluster_view(&self) -> &ClusterView {
+        &self.cluster_view
+    }
+
+    /// The latest changes.
+    pub fn history(&self) -> &History {
+        &self.history
+    }
+
+    /// Counters by name.
+    pub fn counters(&self) -> &BTreeMap<&'static str, u64> {
+        &self.counters
+    }
+
+    /// Whether another process holds this node's name, so that it publishes nothing.
+    pub fn is_mute(&self) -> bool {
+        self.name_conflict
+            .as_ref()
+            .is_some_and(|name_conflict| name_conflict.mute)
+    }
+
+    pub(super) fn count(&mut self, what: &'static str, times: u64) {
+        *self.counters.entry(what).or_default() += times;
+    }
+
+    /// Reports a change to the host, the history and the log.
+    pub(super) fn record_change(
+        &mut self,
+        at: ClockReading,
+        kind: ChangeKind,
+        key: MemberKey,
+        more: String,
+    ) {
+        self.host.member_changed(kind, key);
+        let name = self
+            .member_table
+            .get(key)
+            .map_or_else(|| Arc::from("?"), |entry| Arc::clone(&entry.name));
+        let record_change = ChangeEvent {
+            unix_ms: at.unix_ms,
+            kind,
+            name,
+            more,
+        };
+        if let Some(line) = self.history.push(at.now, record_change) {
+            self.host.log(kind.as_str(), &line);
+        }
+    }
+
+    /// Recomputes the cluster view and reports what changed in it.
+    pub(super) fn refresh_cluster_view(&mut self, at: ClockReading) {
+        let zone: Arc<str> = self.config.zone.as_str().into();
+        let cluster_view = self.size_estimator.observe(
+            at.now,
+            &self.member_table,
+            &zone,
+            self.health.doubt(),
+            self.is_mute(),
+        );
+        match (self.cluster_view.unsure_since, cluster_view.unsure_since) {
+            (None, Some(_)) => {
+                let more = format!(
+                    "{} of {} are there without a doubt, {} suspect",
+                    cluster_view.fleet.low, self.cluster_view.fleet.size, cluster_view.suspects
+                );
+                self.record_change(at, ChangeKind::Unsure, self.own_key, more);
+            }
+            (Some(since), None) => {
+                let more = format!(
+                    "after {} s, {} are there",
+                    (at.now - since.min(at.now)) / SECOND,
+                    cluster_view.fleet.low
+                );
+                self.record_change(at, ChangeKind::Sure, self.own_key, more);
+            }
+            _ => {}
+        }
+        if self.cluster_view != cluster_view {
+            self.cluster_view = cluster_view;
+            self.host.cluster_view_changed(&self.cluster_view);
+        }
+        if let Some(line) = self.history.rest(at.now) {
+            self.host.log("more", &line);
+        }
+        let company = self.member_table.counters().present() > 1;
+        match self.alone_since {
+            Some(_) if company => {
+                if std::mem::take(&mut self.alone_reported) {
+                    self.record_change(at, ChangeKind::Company, self.own_key, String::new());
+                }
+                self.alone_since = None;
+                self.former_addresses.clear();
+            }
+            None if !company => self.alone_since = Some(at.now),
+            Some(since)
+                if !self.alone_reported
+                    && !self.join_addresses().is_empty()
+                    && at.now >= since + ALONE_REPORT_DELAY =>
+            {
+                self.alone_reported = true;
+                self.record_change(
+                    at,
+                    ChangeKind::Alone,
+                    self.own_key,
+                    "no seed answers".into(),
+                );
+            }
+            _ => {}
+        }
+    }
+
+    /// Answers an observer's request: the node's report first, then its member table page by page;
+    /// or a page of another package's status.
+    pub(super) fn on_show(&mut self, at: ClockReading, to: SocketAddr, datagram: &Datagram) {
+        let mut builder = DatagramBuilder::new(Datagram {
+            from: self.from(),
+            kind: kind::PAGE,
+            number: datagram.number,
+            ..Datagram::default()
+        });
+        if datagram.topic != 0 {
+            let Some((page, next)) = self.host.status_page(datagram.topic, datagram.cursor) else {
+                return;
+            };
+            if page.len() > wire::PAYLOAD_MAX {
+                return self.count("pages that are too large", 1);
+            }
+            (
+                builder.datagram.topic,
+                builder.datagram.payload,
+                builder.datagram.cursor,
+            ) = (datagram.topic, page, next);
+            self.send(at, to, builder.datagram);
+            return;
+        }
+        if datagram.cursor == 0 {
+            builder.datagram.report = Some(self.node_report(at));
+            builder.datagram.cursor = 1;
+        } else {
+            for (key, entry) in self.member_table.range(datagram.cursor..=u64::MAX) {
+                if !builder
+                    .fits(encoded_field_len(entry.full_update(key).encoded_len()) + LOAD_HINT_BYTES)
+                {
+                    builder.datagram.cursor = key.0;
+                    break;
+                }
+                builder.push_update(entry.full_update(key));
+                let load_hint = if key == self.own_key {
+                    self.load_hint
+                } else {
+                    entry.load_hint
+                };
+                builder.size += LOAD_HINT_BYTES;
+                builder
+                    .datagram
+                    .load_hints
+                    .extend(((key.0 >> 32) as u32).to_be_bytes());
+                builder
+                    .datagram
+                    .load_hints
+                    .extend(load_hint.number.to_be_bytes());
+                builder
+                    .datagram
+                    .load_hints
+                    .extend([load_hint.capacity, load_hint.load]);
+            }
+        }
+        self.send(at, to, builder.datagram);
+    }
+
+    /// Sends the reply to an operator's command.
+    pub fn answer_command(
+        &mut self,
+        at: ClockReading,
+        to: SocketAddr,
+        number: u32,
+        topic: u32,
+        answer: &[u8],
+    ) {
+        if answer.len() > wire::PAYLOAD_MAX {
+            return self.count("answers to orders that are too large", 1);
+        }
+        let (from, kind, payload) = (self.from(), kind::ORDERED, answer.to_vec());
+        self.send(
+            at,
+            to,
+            Datagram {
+                from,
+                kind,
+                number,
+                topic,
+                payload,
+                ..Datagram::default()
+            },
+        );
+    }
+
+    fn node_report(&self, at: ClockReading) -> NodeReport {
+        let (counters, cluster_view) = (self.member_table.counters(), &self.cluster_view);
+        let times = |since: Nanos| (at.now.saturating_sub(since) / MILLISECOND).max(1);
+        let mut report = NodeReport {
+            name: self.config.name.clone(),
+            size: cluster_view.fleet.size as u32,
+            low: cluster_view.fleet.low as u32,
+            high: cluster_view.fleet.high as u32,
+            unsure_ms: cluster_view.unsure_since.map_or(0, times),
+            doubt: cluster_view.doubt,
+            suspects: counters.suspect as u32,
+            dead: counters.dead as u32,
+            zone: self.config.zone.clone(),
+            mute: self.is_mute(),
+            counters: Vec::new(),
+            changes: Vec::new(),
+        };
+        let most = MESSAGE_MAX - 100;
+        for (what, times) in &self.counters {
+            report.counters.push(wire::CounterMessage {
+                what: (*what).to_owned(),
+                times: *times,
+            });
+            if report.encoded_len() > most * 2 / 3 {
+                report.counters.pop();
+                break;
+            }
+        }
+        for record_change in self.history.latest().take(REPORTED_CHANGES) {
+            let line = record_change.to_string();
+            report.changes.push(wire::ChangeEvent {
+                unix_ms: record_change.unix_ms,
+                line,
+            });
+            if report.encoded_len() > most {
+                report.changes.pop();
+                break;
+            }
+        }
+        report
+    }
+
+    /// Merges the entries of another member table; lets simulations start with a settled cluster.
+    pub fn preload(&mut self, at: ClockReading, all: &[MemberUpdate]) {
+        for updates in all.iter().filter(|updates| updates.key != self.own_key.0) {
+            if let MergeOutcome::Changed(change) = self.member_table.merge(at.now, updates)
+                && change.after.is_present()
+            {
+                self.round.insert(&mut self.rng, MemberKey(updates.key));
+            }
+        }
+        self.dissemination_queue = DisseminationQueue::default();
+        self.alone_since = None;
+    }
+
+    /// The update that this node sends to one that knows nobody.
+    pub fn introduction(&self) -> Option<MemberUpdate> {
+        self.own_entry(true)
+    }
+
+    /// Epoch and liveness of a member as known here.
+    pub fn liveness_state(&self, key: MemberKey) -> Option<(Epoch, LivenessState)> {
+        self.member_table
+            .get(key)
+            .map(|entry| (entry.epoch, entry.liveness_state))
+    }
+}
--- a/crates/membership/src/swim/probing.rs
+++ b/crates/membership/src/swim/probing.rs
@@ -1,38 +1,76 @@
-//! Probes: who is asked whether it is there, who asks for whom, and who is suspected for it.
+//! Failure detection: direct probes, probes relayed by others, and suspicion.
 
 use super::*;
 
+/// Direct probes sent before relays are asked; retries go out only where no reply came.
+const PROBE_RETRIES: u64 = 3;
+/// Members asked to relay a probe.
+const RELAYS: usize = 3;
+
+/// A probe that waits for its acknowledgement.
+#[derive(Debug)]
+pub(super) struct OutstandingProbe {
+    pub(super) number: u32,
+    pub(super) target: MemberKey,
+    pub(super) incarnation: Incarnation,
+    /// When the probe is repeated, in case it was lost.
+    pub(super) retry_at: Nanos,
+    /// When relays are asked; `None` once they have been.
+    pub(super) relay_at: Option<Nanos>,
+    pub(super) due: Nanos,
+    /// Relays that were asked, and how many of them replied at all.
+    pub(super) relays: u32,
+    pub(super) relays_heard: u32,
+}
+
+/// A probe made on behalf of another member.
+#[derive(Debug)]
+pub(super) struct RelayedProbe {
+    pub(super) origin: MemberKey,
+    pub(super) origin_number: u32,
+    pub(super) target: MemberKey,
+    pub(super) incarnation: Incarnation,
+    pub(super) retry_at: Nanos,
+    pub(super) due: Nanos,
+}
+
 impl<H: Host> Membership<H> {
+    /// Timeout of a direct probe, stretched by local health.
     pub(super) fn probe_timeout(&self) -> Nanos {
-        self.settings.timing.answer * self.health_factor()
+        self.config.timing.answer * self.health_factor()
     }
 
-    /// A last call has this long for its answer.
+    /// Time that a suspect has to answer the last call.
     pub(super) fn last_call_time(&self) -> Nanos {
-        2 * self.settings.timing.answer
+        2 * self.config.timing.answer
     }
 
+    /// Factor by which local health stretches timeouts.
     pub(super) fn health_factor(&self) -> u64 {
-        if self.settings.features.health {
+        if self.config.features.health {
             self.health.health_factor()
         } else {
             1
         }
     }
 
-    /// Asks the next member whether it is there. The one before has had its time.
+    /// Probes the next member in the round. The previous probe has had its time.
     pub(super) fn probe(&mut self, at: ClockReading) {
         if let Some(outstanding_probe) = self.outstanding_probe.take() {
             self.on_probe_failed(at, &outstanding_probe);
         }
-        let period = self.settings.timing.probe * self.health_factor();
+        let period = self.config.timing.probe * self.health_factor();
         self.timers.probe = at.now + period;
         if self.is_mute() || self.leaving {
             return;
         }
         let (member_table, own_key) = (&self.member_table, self.own_key);
-        let there =
-            |key: MemberKey| key != own_key && member_table.get(key).is_some_and(|e| e.liveness().is_present());
+        let there = |key: MemberKey| {
+            key != own_key
+                && member_table
+                    .get(key)
+                    .is_some_and(|e| e.liveness().is_present())
+        };
         let Some(target) = self.round.next(&mut self.rng, there) else {
             return;
         };
@@ -42,32 +80,32 @@
             .get(target)
             .map_or(Incarnation(0), |entry| entry.epoch.incarnation);
         let answer = self.probe_timeout();
-        let (ask_at, again_at) = (Some(at.now + answer), at.now + answer / PROBE_RETRIES);
+        let (relay_at, retry_at) = (Some(at.now + answer), at.now + answer / PROBE_RETRIES);
         let (number, due) = (self.number, at.now + period);
         self.outstanding_probe = Some(OutstandingProbe {
             number,
             target,
             incarnation,
-            again_at,
-            ask_at,
+            retry_at,
+            relay_at,
             due,
             relays: 0,
-            spoke: 0,
+            relays_heard: 0,
         });
         self.ping(at, target, number);
     }
 
-    /// A probe tells who asks, and what is held of the one that is asked, so that a suspect hears
-    /// it at once.
+    /// Sends a probe. It carries what is known against its target, so that a suspect learns of it
+    /// at once.
     pub(super) fn ping(&mut self, at: ClockReading, target: MemberKey, number: u32) {
-        let mut updates: Vec<MemberUpdate> = self.own(true).into_iter().collect();
-        if self.settings.features.confirm {
+        let mut updates: Vec<MemberUpdate> = self.own_entry(true).into_iter().collect();
+        if self.config.features.confirm {
             updates.extend(self.suspicion_about(target));
         }
         self.send_to(at, target, kind::PING, number, target, updates);
     }
 
-    /// What is held against a member.
+    /// The suspicion or death recorded for a member, if any.
     pub(super) fn suspicion_about(&self, key: MemberKey) -> Option<MemberUpdate> {
         let entry = self
             .member_table
@@ -79,18 +117,7 @@
         })
     }
 
-    pub(super) fn own(&self, full: bool) -> Option<MemberUpdate> {
-        if self.is_mute() {
-            return None;
-        }
-        let entry = self.member_table.get(self.own_key)?;
-        Some(if full {
-            entry.full_update(self.own_key)
-        } else {
-            entry.header_update(self.own_key)
-        })
-    }
-
+    /// Retries the outstanding probe, asks relays, or gives it up, as due.
     pub(super) fn on_probe_timers(&mut self, at: ClockReading) {
         let answer = self.probe_timeout();
         let Some(outstanding_probe) = &mut self.outstanding_probe else {
@@ -100,8 +127,11 @@
             if let Some(outstanding_probe) = self.outstanding_probe.take() {
                 self.on_probe_failed(at, &outstanding_probe);
             }
-        } else if outstanding_probe.ask_at.is_some_and(|ask_at| at.now >= ask_at) {
-            (outstanding_probe.ask_at, outstanding_probe.again_at) = (None, at.now + answer);
+        } else if outstanding_probe
+            .relay_at
+            .is_some_and(|relay_at| at.now >= relay_at)
+        {
+            (outstanding_probe.relay_at, outstanding_probe.retry_at) = (None, at.now + answer);
             let (number, target) = (outstanding_probe.number, outstanding_probe.target);
             let relays = self.relays(target);
             if let Some(outstanding_probe) = &mut self.outstanding_probe {
@@ -117,10 +147,10 @@
                     self.suspicion_about(target).into_iter().collect(),
                 );
             }
-        } else if at.now >= outstanding_probe.again_at {
+        } else if at.now >= outstanding_probe.retry_at {
             let (number, target) = (outstanding_probe.number, outstanding_probe.target);
-            outstanding_probe.again_at = at.now
-                + if outstanding_probe.ask_at.is_some() {
+            outstanding_probe.retry_at = at.now
+                + if outstanding_probe.relay_at.is_some() {
                     answer / PROBE_RETRIES
                 } else {
                     answer
@@ -129,7 +159,7 @@
         }
     }
 
-    /// Errands: asked again once, given up at their end.
+    /// Retries relayed probes once, and reports those without a reply to their origin.
     pub(super) fn on_relayed_probe_timers(&mut self, at: ClockReading) {
         let late: Vec<u32> = self
             .relayed_probes
@@ -143,7 +173,7 @@
                     at,
                     relayed_probe.origin,
                     kind::NACK,
-                    relayed_probe.origin_no,
+                    relayed_probe.origin_number,
                     relayed_probe.target,
                     Vec::new(),
                 );
@@ -152,10 +182,10 @@
         let again = self
             .relayed_probes
             .iter_mut()
-            .filter(|(_, relayed_probe)| relayed_probe.again_at <= at.now);
+            .filter(|(_, relayed_probe)| relayed_probe.retry_at <= at.now);
         let again: Vec<(u32, MemberKey)> = again
             .map(|(number, relayed_probe)| {
-                relayed_probe.again_at = relayed_probe.due;
+                relayed_probe.retry_at = relayed_probe.due;
                 (*number, relayed_probe.target)
             })
             .collect();
@@ -164,9 +194,9 @@
         }
     }
 
-    /// Who is to ask instead: one of the target's own zone if there is one, for the way there may
-    /// be the trouble; the others by chance.
-    pub(super) fn relays(&mut self, target: MemberKey) -> Vec<MemberKey> {
+    /// Chooses relays by chance, at least one of them in the target's zone where there is one: the
+    /// path there may be the trouble.
+    fn relays(&mut self, target: MemberKey) -> Vec<MemberKey> {
         let (member_table, own_key) = (&self.member_table, self.own_key);
         let there = |key: MemberKey| {
             key != own_key
@@ -177,7 +207,8 @@
         };
         let mut relays = self.round.some(&mut self.rng, RELAYS, there);
         let zone = member_table.get(target).map(|entry| &entry.details.zone);
-        let is_near = |key: &MemberKey| member_table.get(*key).map(|entry| &entry.details.zone) == zone;
+        let is_near =
+            |key: &MemberKey| member_table.get(*key).map(|entry| &entry.details.zone) == zone;
         if !relays.iter().any(is_near) {
             let near = self
                 .round
@@ -190,7 +221,8 @@
         relays
     }
 
-    pub(super) fn on_probe_failed(&mut self, at: ClockReading, outstanding_probe: &OutstandingProbe) {
+    /// Suspects the target of a probe that nobody acknowledged.
+    fn on_probe_failed(&mut self, at: ClockReading, outstanding_probe: &OutstandingProbe) {
         let there = self
             .member_table
             .get(outstanding_probe.target)
@@ -199,24 +231,29 @@
             return; // gone, or another process, meanwhile
         }
         self.count("probes without an answer", 1);
-        if self.settings.features.health {
-            self.health
-                .on_probe_failed(outstanding_probe.relays, outstanding_probe.relays.saturating_sub(outstanding_probe.spoke));
+        if self.config.features.health {
+            self.health.on_probe_failed(
+                outstanding_probe.relays,
+                outstanding_probe
+                    .relays
+                    .saturating_sub(outstanding_probe.relays_heard),
+            );
         }
         self.suspect(at, outstanding_probe.target, self.own_key);
     }
 
-    /// The least and the most time that a suspect has.
-    pub(super) fn suspicion(&self) -> (Nanos, Nanos) {
+    /// Shortest and longest suspicion timeout for the present cluster size.
+    fn suspicion(&self) -> (Nanos, Nanos) {
         let members = self.member_table.counters().present().max(2) as f64;
-        let timing = &self.settings.timing;
+        let timing = &self.config.timing;
         let least = (timing.suspicion * members.log10().max(1.0) * timing.probe as f64) as Nanos;
-        if !self.settings.features.confirm || members < 3.0 {
+        if !self.config.features.confirm || members < 3.0 {
             return (least, least); // nobody is there who could confirm
         }
         (least, (least as f64 * timing.suspicion_max_factor) as Nanos)
     }
 
+    /// Records a suspicion and its source.
     pub(super) fn suspect(&mut self, at: ClockReading, key: MemberKey, suspected_by: MemberKey) {
         let wait = self.suspicion();
         let is_new = self.suspicions.suspect(at.now, key, suspected_by, wait);
--- /dev/null
+++ b/crates/membership/src/swim/sending.rs
@@ -0,0 +1,230 @@
+//! Sending: datagrams filled up with updates and load hints.
+
+use super::*;
+
+/// Load hints of other members in each datagram.
+pub(super) const LOAD_HINTS_PER_DATAGRAM: usize = 7;
+/// Bytes of an encoded load hint.
+pub(super) const LOAD_HINT_BYTES: usize = 8;
+/// Updates requested in one datagram at most.
+pub(super) const WANTS_PER_DATAGRAM: usize = 32;
+
+impl<H: Host> Membership<H> {
+    /// The sender key of datagrams; 0 while the node has lost its name.
+    pub(super) fn from(&self) -> u64 {
+        if self.is_mute() { 0 } else { self.own_key.0 }
+    }
+
+    /// Sends a datagram of the given kind to a member.
+    pub(super) fn send_to(
+        &mut self,
+        at: ClockReading,
+        to: MemberKey,
+        kind: u32,
+        number: u32,
+        target: MemberKey,
+        updates: Vec<MemberUpdate>,
+    ) {
+        if let Some(address) = self.member_table.get(to).map(|entry| entry.details.address) {
+            let datagram = Datagram {
+                from: self.from(),
+                kind,
+                number,
+                target: target.0,
+                updates,
+                ..Datagram::default()
+            };
+            self.send(at, address, datagram);
+        }
+    }
+
+    /// Sends a payload of another package to a member, once. It may be lost, late or overtaken, but
+    /// does not arrive twice. False if it is too large or there is no such member.
+    pub fn send_payload(
+        &mut self,
+        at: ClockReading,
+        to: MemberKey,
+        topic: u32,
+        payload: &[u8],
+    ) -> bool {
+        let there = self
+            .member_table
+            .get(to)
+            .filter(|entry| entry.liveness().is_present())
+            .map(|e| e.details.address);
+        let (Some(address), false) = (there, self.is_mute() || payload.len() > wire::PAYLOAD_MAX)
+        else {
+            self.count("parcels that could not be sent", 1);
+            return false;
+        };
+        let payload = payload.to_vec();
+        let datagram = Datagram {
+            from: self.own_key.0,
+            kind: kind::PAYLOAD,
+            topic,
+            payload,
+            ..Datagram::default()
+        };
+        self.send(at, address, datagram) > 0
+    }
+
+    /// Sends a datagram, filled up with updates and load hints; returns its size in bytes.
+    pub(super) fn send(
+        &mut self,
+        at: ClockReading,
+        to: SocketAddr,
+        mut datagram: Datagram,
+    ) -> usize {
+        if datagram.from != 0 || datagram.kind == kind::PAGE {
+            datagram.digest = self.member_table.digest();
+        }
+        let mut builder = DatagramBuilder::new(datagram);
+        let spreads = matches!(builder.datagram.kind, kind::PING | kind::ACK | kind::GOSSIP);
+        if spreads && !self.is_mute() && self.dissemination_budget.is_open(at.now) {
+            let before = builder.size;
+            let Membership {
+                dissemination_queue,
+                member_table,
+                suspicions,
+                ..
+            } = self;
+            dissemination_queue.take(member_table.counters().present(), |key| {
+                let Some(entry) = member_table.get(key) else {
+                    return true;
+                };
+                // LivenessState alone is enough for most; who lacks the rest asks for it.
+                let details = entry.epoch.started_unix_ms > 0
+                    && entry.liveness_state.liveness == Liveness::Alive;
+                let updates = if details {
+                    entry.full_update(key)
+                } else {
+                    entry.header_update(key)
+                };
+                builder.push_update(MemberUpdate {
+                    suspected_by: suspicions.latest(key).unwrap_or_default().0,
+                    ..updates
+                })
+            });
+            self.dissemination_budget.spend(builder.size - before);
+        }
+        if spreads && builder.datagram.from != 0 && !wire::LATER {
+            builder.datagram.load_hints = self.load_hints();
+        }
+        let mut message = builder.datagram.encode_to_vec();
+        if message.len() + wire::LATER_BYTES <= MESSAGE_MAX {
+            message = wire::later(message);
+        }
+        if message.len() > MESSAGE_MAX {
+            debug_assert!(
+                false,
+                "a datagram of kind {} has its bound",
+                builder.datagram.kind
+            );
+            self.count("invariant: datagrams beyond their bound", 1);
+            return 0;
+        }
+        let frame = self.datagram_auth.seal(at.unix_ms, &message);
+        self.host.send(to, &frame);
+        if wire::LATER && builder.datagram.kind == kind::GOSSIP {
+            let from = builder.datagram.from;
+            self.send(
+                at,
+                to,
+                Datagram {
+                    from,
+                    kind: wire::LATER_KIND,
+                    ..Datagram::default()
+                },
+            );
+        }
+        frame.len()
+    }
+
+    /// Encodes this node's load hint and the most recent ones of others.
+    fn load_hints(&mut self) -> Vec<u8> {
+        let mut load_hints = Vec::with_capacity((LOAD_HINTS_PER_DATAGRAM + 1) * LOAD_HINT_BYTES);
+        let mut push = |key: MemberKey, load_hint: LoadHint| {
+            load_hints.extend_from_slice(&((key.0 >> 32) as u32).to_be_bytes());
+            load_hints.extend_from_slice(&load_hint.number.to_be_bytes());
+            load_hints.extend_from_slice(&[load_hint.capacity, load_hint.load]);
+        };
+        if self.load_hint.number > 0 {
+            push(self.own_key, self.load_hint);
+        }
+        let some = self
+            .recent_load_hints
+            .iter()
+            .rev()
+            .take(LOAD_HINTS_PER_DATAGRAM);
+        some.filter_map(|key| Some((*key, self.member_table.get(*key)?.load_hint)))
+            .for_each(|(key, load_hint)| push(key, load_hint));
+        load_hints
+    }
+
+    /// Sends the requested entries and asks for missing ones, in as many datagrams as that takes
+    /// and the byte rate allows.
+    pub(super) fn send_entries(
+        &mut self,
+        at: ClockReading,
+        to: SocketAddr,
+        differences: &RangeExchange,
+    ) {
+        let mut wants = differences.wants.clone();
+        wants.sort_unstable();
+        wants.dedup();
+        let mut updates: Vec<MemberUpdate> = Vec::new();
+        let entries =
+            |keys: &[MemberKey], member_table: &MemberTable, full: bool| -> Vec<MemberUpdate> {
+                let known = keys
+                    .iter()
+                    .filter_map(|key| Some((*key, member_table.get(*key)?)));
+                known
+                    .map(|(key, entry)| {
+                        if full {
+                            entry.full_update(key)
+                        } else {
+                            entry.header_update(key)
+                        }
+                    })
+                    .collect()
+            };
+        updates.extend(entries(
+            &differences.header_update,
+            &self.member_table,
+            false,
+        ));
+        updates.extend(entries(&differences.whole, &self.member_table, true));
+        if updates.is_empty() && wants.is_empty() {
+            return;
+        }
+        let from = self.from();
+        let mut updates = updates.into_iter().peekable();
+        let mut wants = wants.chunks(WANTS_PER_DATAGRAM);
+        loop {
+            let wants = wants
+                .next()
+                .unwrap_or_default()
+                .iter()
+                .map(|key| key.0)
+                .collect::<Vec<_>>();
+            if updates.peek().is_none() && wants.is_empty()
+                || !self.comparison_budget.is_open(at.now)
+            {
+                return;
+            }
+            let mut builder = DatagramBuilder::new(Datagram {
+                from,
+                kind: kind::ENTRIES,
+                wants,
+                ..Datagram::default()
+            });
+            while let Some(next) =
+                updates.next_if(|next| builder.fits(encoded_field_len(next.encoded_len())))
+            {
+                builder.push_update(next);
+            }
+            let bytes = self.send(at, to, builder.datagram);
+            self.comparison_budget.spend(bytes);
+        }
+    }
+}
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -2,9 +2,9 @@
 //! by their MAC and make no sense. Nothing panics, nothing is believed without its MAC, and no
 //! answer goes to what was dropped.
 
+use madderpoint_membership::FeatureToggles;
 use madderpoint_membership::datagram_auth::{AuthKeys, DatagramAuth};
 use madderpoint_membership::member::{Incarnation, Liveness, MemberDetails, MemberKey, Phase};
-use madderpoint_membership::swim::FeatureToggles;
 use madderpoint_membership::wire::{Datagram, MemberUpdate, Summary, kind};
 use madderpoint_membership::{ClockReading, ClusterView, Config, Host, Membership, Nanos, Timing};
 use prost::Message;
@@ -24,8 +24,8 @@
         self.0.push((to, frame.to_vec()));
     }
     fn log(&mut self, _: &'static str, _: &str) {}
-    fn cluster_view(&mut self, _: &ClusterView) {}
-    fn payload(&mut self, from: MemberKey, _: Incarnation, topic: u32, payload: &[u8]) {
+    fn cluster_view_changed(&mut self, _: &ClusterView) {}
+    fn payload_received(&mut self, from: MemberKey, _: Incarnation, topic: u32, payload: &[u8]) {
         self.1.push((from, topic, payload.to_vec()));
     }
 }
@@ -62,7 +62,13 @@
     }
 }
 
-fn full(name: &str, n: u8, started_unix_ms: u64, refutation: u32, liveness: Liveness) -> MemberUpdate {
+fn full(
+    name: &str,
+    n: u8,
+    started_unix_ms: u64,
+    refutation: u32,
+    liveness: Liveness,
+) -> MemberUpdate {
     let details =
         MemberDetails::new(address(n), "a", Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
     MemberUpdate {
@@ -119,17 +125,25 @@
         ),
     ];
     for (frame, what) in frames {
-        fleet.datagram(at(0), address(9), &frame);
-        assert_eq!(fleet.counters().get(what), Some(&1), "{:?}", fleet.counters());
+        fleet.on_datagram(at(0), address(9), &frame);
+        assert_eq!(
+            fleet.counters().get(what),
+            Some(&1),
+            "{:?}",
+            fleet.counters()
+        );
     }
     assert!(fleet.host.0.is_empty() && fleet.member_table().counters().present() == 1);
     let frame = far.seal(UNIX, &ping);
-    fleet.datagram(at(0), address(9), &frame);
+    fleet.on_datagram(at(0), address(9), &frame);
     assert_eq!(
-        (fleet.host.0.len(), fleet.member_table().counters().present()),
+        (
+            fleet.host.0.len(),
+            fleet.member_table().counters().present()
+        ),
         (1, 2)
     );
-    fleet.datagram(at(0), address(9), &frame);
+    fleet.on_datagram(at(0), address(9), &frame);
     assert_eq!(fleet.counters().get("datagrams that came before"), Some(&1));
     assert_eq!(fleet.host.0.len(), 1);
 }
@@ -138,7 +152,7 @@
 fn a_flood_of_strangers_is_not_even_looked_at() {
     let mut fleet = node("f", 2, 1);
     for n in 0..20_000u32 {
-        fleet.datagram(
+        fleet.on_datagram(
             at(0),
             address((n % 200) as u8),
             &[b'm', b'f', 1, 0, 1, 2, 3],
@@ -158,7 +172,8 @@
     let mut fleet = node("f", 2, 1);
     let mut seal = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
     let mut updates = full("n9", 9, 1, 0, Liveness::Alive);
-    updates.details
+    updates
+        .details
         .extend([0x18, 0x07, 0xfa, 0x01, 0x03, b'n', b'e', b'w']); // phase 7, and a field 31
     let mut error = full("n8", 8, 1, 0, Liveness::Alive);
     error.liveness = 9;
@@ -170,9 +185,11 @@
     };
     let mut message = datagram.encode_to_vec();
     message.extend([0xaa, 0x06, 0x02, b'h', b'i']); // a field 101
-    fleet.datagram(at(0), address(9), &seal.seal(UNIX, &message));
+    fleet.on_datagram(at(0), address(9), &seal.seal(UNIX, &message));
     assert_eq!(
-        fleet.counters().get("datagrams of a kind that is not known"),
+        fleet
+            .counters()
+            .get("datagrams of a kind that is not known"),
         Some(&1)
     );
     let entry = fleet.member_table().get(MemberKey::of("n9")).unwrap();
@@ -188,9 +205,13 @@
         wants: vec![updates.key],
         ..Datagram::default()
     };
-    fleet.datagram(at(0), address(9), &seal.seal(UNIX, &ask.encode_to_vec()));
+    fleet.on_datagram(at(0), address(9), &seal.seal(UNIX, &ask.encode_to_vec()));
     let (_, frame) = fleet.host.0.pop().unwrap();
-    assert!(frame.windows(updates.details.len()).any(|w| w == updates.details));
+    assert!(
+        frame
+            .windows(updates.details.len())
+            .any(|w| w == updates.details)
+    );
 }
 
 /// Good by their MAC, and nonsense: fields of any value, news of anybody in any standing, ranges
@@ -217,7 +238,8 @@
                 one.liveness = rng.random_range(0..6);
                 one.revision = rng.random_range(0..3);
                 if rng.random_bool(0.3) {
-                    one.details.truncate(rng.random_range(0..=one.details.len()));
+                    one.details
+                        .truncate(rng.random_range(0..=one.details.len()));
                 }
                 if rng.random_bool(0.2) {
                     one.name = String::new();
@@ -264,20 +286,20 @@
                 message[place] ^= 1 << rng.random_range(0..8);
             }
             if message.len() < 1300 {
-                fleet.datagram(
+                fleet.on_datagram(
                     at(now),
                     address(9),
                     &seal.seal(UNIX + now / 1_000_000, &message),
                 );
             }
-            if fleet.next() <= at(now).now {
+            if fleet.next_wake() <= at(now).now {
                 fleet.wake(at(now));
             }
         }
         no_invariant_failed(&fleet);
         // Either it holds its name, or it says that another has it.
         let own = fleet.member_table().get(MemberKey::of("n2")).unwrap();
-        let (_, incarnation) = fleet.own_key();
+        let (_, incarnation) = fleet.identity();
         assert!(
             own.epoch.incarnation == incarnation || fleet.is_mute(),
             "seed {seed}: {own:?}"
@@ -303,12 +325,15 @@
             let mut frame = frame.clone();
             frame[place] ^= 1 << bit;
             now += 10_000_000; // so that the rate does not hide what would be believed
-            fleet.datagram(at(now), address(9), &frame);
+            fleet.on_datagram(at(now), address(9), &frame);
         }
-        fleet.datagram(at(now), address(9), &frame[..place]);
+        fleet.on_datagram(at(now), address(9), &frame[..place]);
     }
     assert_eq!(
-        (fleet.member_table().counters().present(), fleet.host.0.len()),
+        (
+            fleet.member_table().counters().present(),
+            fleet.host.0.len()
+        ),
         (1, 0)
     );
 }
@@ -327,11 +352,11 @@
     assert!(!a.send_payload(at(0), MemberKey::of("n2"), 7, &[0; 1300]));
     let (to, frame) = a.host.0.pop().unwrap();
     assert_eq!(to, address(2));
-    b.datagram(at(0), address(1), &frame);
-    b.datagram(at(0), address(1), &frame);
+    b.on_datagram(at(0), address(1), &frame);
+    b.on_datagram(at(0), address(1), &frame);
     assert_eq!(b.host.1, [(MemberKey::of("n1"), 7, b"hello".to_vec())]);
     let mut c = node("f", 3, 1);
-    c.datagram(at(0), address(1), &frame);
+    c.on_datagram(at(0), address(1), &frame);
     assert_eq!(
         (
             c.host.1.len(),
@@ -350,7 +375,7 @@
     for step in 1..200u64 {
         let now = at(step * 50_000_000);
         for fleet in [&mut seed, &mut a, &mut b] {
-            if fleet.next() <= now.now {
+            if fleet.next_wake() <= now.now {
                 fleet.wake(now);
             }
         }
@@ -371,7 +396,7 @@
             );
             let fleets = [(1, &mut seed), (2, &mut a), (3, &mut b)];
             for (_, fleet) in fleets.into_iter().filter(|(n, _)| address(*n) == to) {
-                fleet.datagram(now, from, &frame);
+                fleet.on_datagram(now, from, &frame);
             }
         }
     }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -345,8 +345,16 @@
         .unwrap();
     let dissemination_queue = Datagram::decode(&dissemination_queue[..]).unwrap();
     for (updates, address, phase) in [
-        (&dissemination_queue.updates[0], "192.0.2.1:7946", Phase::Draining),
-        (&dissemination_queue.updates[1], "[2001:db8::7]:7947", Phase::Serving),
+        (
+            &dissemination_queue.updates[0],
+            "192.0.2.1:7946",
+            Phase::Draining,
+        ),
+        (
+            &dissemination_queue.updates[1],
+            "[2001:db8::7]:7947",
+            Phase::Serving,
+        ),
     ] {
         let read = MemberDetails::read(&updates.details).unwrap();
         assert_eq!(read, details(address, phase));
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -75,7 +75,10 @@
     let mut member_table = MemberTable::new(1 << 20, None);
     for (n, held) in held.iter().enumerate() {
         if let Some((started_unix_ms, refutation, liveness)) = *held {
-            let _ = member_table.merge(0, &updates(n, (started_unix_ms, refutation, Liveness::Alive)));
+            let _ = member_table.merge(
+                0,
+                &updates(n, (started_unix_ms, refutation, Liveness::Alive)),
+            );
             member_table.set(0, MemberKey::of(&format!("n{n}")), liveness);
         }
     }
@@ -98,7 +101,10 @@
                 started_unix_ms,
                 ..Epoch::default()
             },
-            LivenessState { refutation, liveness },
+            LivenessState {
+                refutation,
+                liveness,
+            },
         )
     })
 }
@@ -284,7 +290,10 @@
                 state.own.iter().any(|(_, refutation)| *refutation > 0)
             }),
             Property::sometimes("somebody outlives its past", |_: &Small, state: &State| {
-                state.own.iter().any(|(started_unix_ms, _)| *started_unix_ms > 2)
+                state
+                    .own
+                    .iter()
+                    .any(|(started_unix_ms, _)| *started_unix_ms > 2)
             }),
         ]
     }
@@ -292,10 +301,9 @@
     fn within_boundary(&self, state: &State) -> bool {
         state.under_way.len() <= self.under_way
             && state.crashes <= self.crashes
-            && state
-                .own
-                .iter()
-                .all(|(started_unix_ms, refutation)| *refutation <= self.bumps && *started_unix_ms <= 3)
+            && state.own.iter().all(|(started_unix_ms, refutation)| {
+                *refutation <= self.bumps && *started_unix_ms <= 3
+            })
     }
 }
 
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -1,8 +1,8 @@
-//! The hard cases of a fleet, played over simulated time: each names what must hold and how soon.
+//! The hard cases of a fleet, processed over simulated time: each names what must hold and how soon.
 
+use madderpoint_membership::FeatureToggles;
 use madderpoint_membership::member::{Attachment, Liveness, MemberKey};
 use madderpoint_membership::simulation::{Simulation, SimulationConfig};
-use madderpoint_membership::swim::FeatureToggles;
 use madderpoint_membership::{Nanos, Phase};
 
 const MS: Nanos = 1_000_000;
@@ -17,7 +17,7 @@
 }
 
 fn settles(sim: &mut Simulation, within: Nanos) -> Nanos {
-    let seed = sim.plan.seed;
+    let seed = sim.config.seed;
     let took = sim.run_until(within, 50 * MS, |sim| sim.is_settled());
     took.unwrap_or_else(|| panic!("seed {seed}: not settled within {} ms", within / MS))
 }
@@ -26,8 +26,12 @@
 fn stays_settled(sim: &mut Simulation, time: Nanos) {
     let before = sim.false_deaths.len();
     sim.run(time);
-    assert!(sim.is_settled() && sim.is_calm(), "seed {}", sim.plan.seed);
-    assert_eq!(sim.false_deaths[before..], [], "seed {}", sim.plan.seed);
+    assert!(
+        sim.is_settled() && sim.is_calm(),
+        "seed {}",
+        sim.config.seed
+    );
+    assert_eq!(sim.false_deaths[before..], [], "seed {}", sim.config.seed);
 }
 
 fn counted(sim: &Simulation, what: &str) -> u64 {
@@ -46,7 +50,7 @@
         assert!(
             failed.is_empty(),
             "seed {}, {}: {failed:?}",
-            sim.plan.seed,
+            sim.config.seed,
             node.name
         );
     }
@@ -59,7 +63,7 @@
             let mut sim = Simulation::started(SimulationConfig {
                 members,
                 seed,
-                acquainted: false,
+                preloaded: false,
                 ..SimulationConfig::default()
             });
             settles(&mut sim, within);
@@ -156,7 +160,7 @@
                 (counters.present(), counters.dead),
                 (5, 0),
                 "seed {}, {}",
-                sim.plan.seed,
+                sim.config.seed,
                 node.name
             );
         }
@@ -196,7 +200,13 @@
         sim.run(39 * S);
         let dead = sim.up().filter(|(node, _)| node.name != "n3");
         let dead = dead
-            .filter(|(_, f)| f.member_table().get(MemberKey::of("n3")).unwrap().liveness() == Liveness::Dead)
+            .filter(|(_, f)| {
+                f.member_table()
+                    .get(MemberKey::of("n3"))
+                    .unwrap()
+                    .liveness()
+                    == Liveness::Dead
+            })
             .count();
         assert_eq!(dead, 19, "seed {seed}");
         sim.run(S);
@@ -213,13 +223,13 @@
 /// It sleeps for longer than the others remember who died: it must not bring the dead back.
 #[test]
 fn one_that_slept_past_what_others_remember_brings_no_dead_back() {
-    let mut plan = SimulationConfig {
+    let mut config = SimulationConfig {
         members: 12,
         seed: 3,
         ..SimulationConfig::default()
     };
-    plan.timing.remember = 60 * S;
-    let mut sim = Simulation::started(plan);
+    config.timing.remember = 60 * S;
+    let mut sim = Simulation::started(config);
     sim.run(2 * S);
     sim.pause(0, 400 * S);
     sim.run(10 * S);
@@ -231,9 +241,13 @@
         "all forgot who died"
     );
     let ghosts = |sim: &Simulation| {
-        sim.up()
-            .skip(1)
-            .any(|(_, f)| (1..5).any(|n| f.member_table().get(MemberKey::of(&format!("n{n}"))).is_some()))
+        sim.up().skip(1).any(|(_, f)| {
+            (1..5).any(|n| {
+                f.member_table()
+                    .get(MemberKey::of(&format!("n{n}")))
+                    .is_some()
+            })
+        })
     };
     for _ in 0..250 {
         sim.run(100 * MS);
@@ -242,13 +256,13 @@
     assert!(sim.is_settled());
 }
 
-/// A node so slow that none of its probes is answered in time doubts itself first, and buries
+/// A node so stalling that none of its probes is answered in time doubts itself first, and buries
 /// nobody.
 #[test]
 fn a_slow_node_doubts_itself_first() {
     let mut sim = Simulation::started(SimulationConfig {
         members: 30,
-        slow: 0.07,
+        stalling: 0.07,
         seed: 5,
         ..SimulationConfig::default()
     });
@@ -265,19 +279,19 @@
         confirm: false,
         ..FeatureToggles::default()
     };
-    let plan = SimulationConfig {
+    let config = SimulationConfig {
         members: 30,
-        slow: 0.2,
+        stalling: 0.2,
         loss: 0.5,
         seed: 5,
         features,
         ..SimulationConfig::default()
     };
-    let mut sim = Simulation::started(plan.clone());
+    let mut sim = Simulation::started(config.clone());
     sim.run(1200 * S);
     let mut with = Simulation::started(SimulationConfig {
         features: FeatureToggles::default(),
-        ..plan
+        ..config
     });
     with.run(1200 * S);
     assert!(
@@ -297,16 +311,25 @@
         seed: 9,
         ..SimulationConfig::default()
     });
-    sim.keep_lines = true;
+    sim.collect_lines = true;
     (0..7).for_each(|n| sim.start(n));
     settles(&mut sim, 5 * S);
     (0..3).for_each(|n| sim.crash(n));
     sim.start(7);
     sim.run(30 * S);
-    assert_eq!(sim.up().last().unwrap().1.member_table().counters().present(), 1);
+    assert_eq!(
+        sim.up()
+            .last()
+            .unwrap()
+            .1
+            .member_table()
+            .counters()
+            .present(),
+        1
+    );
     assert!(
         sim.nodes[7]
-            .fleet
+            .membership
             .as_ref()
             .unwrap()
             .host
@@ -317,7 +340,12 @@
             .any(|l| l.contains("alone"))
     );
     for (node, fleet) in sim.up().filter(|(node, _)| node.name != "n7") {
-        assert_eq!(fleet.member_table().counters().present(), 4, "{}", node.name);
+        assert_eq!(
+            fleet.member_table().counters().present(),
+            4,
+            "{}",
+            node.name
+        );
     }
     sim.start(1);
     settles(&mut sim, 15 * S);
@@ -334,7 +362,7 @@
         sim.start(4);
         settles(&mut sim, 3 * S);
         sim.crash(4);
-        sim.nodes[4].clock = -300_000; // five minutes back
+        sim.nodes[4].clock_error_ms = -300_000; // five minutes back
         sim.start(4);
         settles(&mut sim, 6 * S);
         let (_, fleet) = sim.up().nth(4).unwrap();
@@ -355,12 +383,12 @@
         ..SimulationConfig::default()
     });
     for n in 0..9 {
-        sim.nodes[n].clock = (n as i64 - 4) * 60_000;
+        sim.nodes[n].clock_error_ms = (n as i64 - 4) * 60_000;
         sim.start(n);
     }
     settles(&mut sim, 5 * S);
     for n in 0..9 {
-        sim.nodes[n].clock = if n % 2 == 0 { 86_400_000 } else { -86_400_000 };
+        sim.nodes[n].clock_error_ms = if n % 2 == 0 { 86_400_000 } else { -86_400_000 };
     }
     stays_settled(&mut sim, 60 * S);
     sim.cut(|from, to| (from.zone == 0) != (to.zone == 0));
@@ -378,14 +406,19 @@
         unix_ms: 1_800_000_000_000,
     };
     sim.nodes[5]
-        .fleet
+        .membership
         .as_mut()
         .unwrap()
         .set_phase(at, Phase::Draining);
     sim.run(2 * S);
     for (node, fleet) in sim.up() {
         assert_eq!(
-            fleet.member_table().get(MemberKey::of("n5")).unwrap().details.phase,
+            fleet
+                .member_table()
+                .get(MemberKey::of("n5"))
+                .unwrap()
+                .details
+                .phase,
             Phase::Draining,
             "{}",
             node.name
@@ -395,7 +428,10 @@
     sim.run(2 * S);
     for (_, fleet) in sim.up() {
         assert_eq!(
-            (fleet.member_table().counters().left, fleet.member_table().counters().dead),
+            (
+                fleet.member_table().counters().left,
+                fleet.member_table().counters().dead
+            ),
             (1, 0)
         );
     }
@@ -417,7 +453,11 @@
         settles(&mut sim, 6 * S);
         sim.run(25 * S);
         for (node, fleet) in sim.up() {
-            let liveness = fleet.member_table().get(MemberKey::of("n4")).unwrap().liveness();
+            let liveness = fleet
+                .member_table()
+                .get(MemberKey::of("n4"))
+                .unwrap()
+                .liveness();
             assert_eq!(liveness, Liveness::Left, "seed {seed}, {}", node.name);
         }
     }
@@ -432,7 +472,7 @@
         now: sim.now,
         unix_ms: 1_800_000_000_000,
     };
-    let fleet = sim.nodes[2].fleet.as_mut().unwrap();
+    let fleet = sim.nodes[2].membership.as_mut().unwrap();
     let part = |bytes| Attachment {
         id: 7,
         version: 1,
@@ -443,7 +483,12 @@
     settles(&mut sim, 4 * S);
     for (_, fleet) in sim.up() {
         assert_eq!(
-            fleet.member_table().get(MemberKey::of("n2")).unwrap().details.attachments,
+            fleet
+                .member_table()
+                .get(MemberKey::of("n2"))
+                .unwrap()
+                .details
+                .attachments,
             vec![part(vec![5; 60])]
         );
     }
@@ -481,7 +526,7 @@
         }
         sim.heal();
         for n in 0..members {
-            if sim.nodes[n].fleet.is_none() {
+            if sim.nodes[n].membership.is_none() {
                 sim.start(n);
             }
         }
