--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,24 +1,25 @@
-//! How two nodes that disagree find out about what, and tell each other just that: digests of
-//! ranges of keys, ever smaller, then what each has in a small range in brief, then the entries
-//! that one of them lacks.
+//! Anti-entropy: two nodes with different member tables find the difference and exchange just that.
 //!
-//! No step leaves a state behind: what is lost is begun anew with whoever disagrees next.
+//! They compare digests of ever smaller key ranges, then the headers of all members in a small
+//! range, then send the entries that one of them lacks. No step keeps state: if a datagram is lost,
+//! the next mismatch starts over.
 
 use crate::member::{Epoch, Incarnation, Liveness, LivenessState, MemberKey};
 use crate::member_table::MemberTable;
-use crate::wire::{MemberUpdate, Range, Summary};
+use crate::messages::{MemberUpdate, Range, Summary};
 use std::collections::BTreeMap;
 
-/// Slices of one summary, at most; and members of a range that are named rather than summed up.
+/// Slices of one summary at most.
 const SLICES_MAX: usize = 64;
-const NAMED: usize = 8;
+/// Ranges with at most this many members are answered with headers instead of digests.
+const HEADER_RANGE_MEMBERS: usize = 8;
 
-/// How many slices fit so many members, about four to each.
+/// Number of slices for a range: about four members each.
 fn slices_for(members: usize) -> usize {
     (members / 4).next_power_of_two().clamp(1, SLICES_MAX)
 }
 
-/// The ends of equal slices of a range.
+/// First and last keys of equal slices of a range.
 fn slices(from: u64, to: u64, n: usize) -> impl Iterator<Item = (u64, u64)> {
     let width = ((u128::from(to) + 1 - u128::from(from)) / n as u128).max(1);
     (0..n as u128).map_while(move |at| {
@@ -32,9 +33,9 @@
     })
 }
 
-/// Digests of all that is there.
+/// A summary of all keys.
 pub fn summary(member_table: &MemberTable) -> Summary {
-    let digests = member_table.slices(slices_for(member_table.counters().present()));
+    let digests = member_table.slice_digests(slices_for(member_table.counts().present()));
     Summary {
         from: 0,
         to: u64::MAX,
@@ -42,9 +43,9 @@
     }
 }
 
-fn part(member_table: &MemberTable, from: u64, to: u64, members: usize) -> Summary {
-    let sums =
-        slices(from, to, slices_for(members)).map(|(from, to)| member_table.sum(from..=to).1);
+fn range_summary(member_table: &MemberTable, from: u64, to: u64, members: usize) -> Summary {
+    let sums = slices(from, to, slices_for(members))
+        .map(|(from, to)| member_table.range_digest(from..=to).1);
     Summary {
         from,
         to,
@@ -52,40 +53,47 @@
     }
 }
 
-/// What to say to a summary: finer ones for ranges with many members, and for others all that is
-/// there.
+/// The reply to a summary.
 #[derive(Debug, Default)]
 pub struct SummaryReply {
+    /// Finer summaries of ranges with many members.
     pub summaries: Vec<Summary>,
+    /// Ranges to answer with headers.
     pub covered: Vec<Range>,
 }
 
-/// Compares a summary with what is here. The slices are looked at from this one on, so that those
-/// who ask again, or ask others, hear something else first.
-pub fn finer(member_table: &MemberTable, theirs: &Summary, first: usize) -> SummaryReply {
+/// Compares a summary with the own member table, beginning at the given slice, so that repeated
+/// exchanges begin with different slices.
+pub fn reply_to_summary(
+    member_table: &MemberTable,
+    theirs: &Summary,
+    first: usize,
+) -> SummaryReply {
     let (digests, error) = theirs.digests.as_chunks::<8>();
-    let mut finer = SummaryReply::default();
+    let mut reply = SummaryReply::default();
     if digests.is_empty() || digests.len() > 256 || !error.is_empty() || theirs.from > theirs.to {
-        return finer;
+        return reply;
     }
     let slices: Vec<(u64, u64)> = slices(theirs.from, theirs.to, digests.len()).collect();
     for at in 0..slices.len() {
         let at = (at + first) % slices.len();
         let (from, to) = slices[at];
-        let (members, sum) = member_table.sum(from..=to);
+        let (members, sum) = member_table.range_digest(from..=to);
         if sum == u64::from_le_bytes(digests[at]) {
             continue;
         }
-        if members <= NAMED {
-            finer.covered.push(Range { from, to });
+        if members <= HEADER_RANGE_MEMBERS {
+            reply.covered.push(Range { from, to });
         } else {
-            finer.summaries.push(part(member_table, from, to, members));
+            reply
+                .summaries
+                .push(range_summary(member_table, from, to, members));
         }
     }
-    finer
+    reply
 }
 
-/// All who are present in a range, in brief.
+/// Headers of all present members in a range.
 pub fn headers(member_table: &MemberTable, range: &Range) -> Vec<MemberUpdate> {
     if range.from > range.to {
         return Vec::new();
@@ -98,18 +106,18 @@
         .collect()
 }
 
-/// What two nodes tell each other about some ranges.
+/// Entries to exchange.
 #[derive(Debug, Default)]
 pub struct RangeExchange {
-    /// The other one lacks all of these.
+    /// Members whose complete entry the other node lacks.
     pub whole: Vec<MemberKey>,
-    /// It knows them, but not how they stand.
+    /// Members of which it lacks only the liveness state.
     pub header_update: Vec<MemberKey>,
-    /// It knows more of these.
+    /// Members of which it knows more.
     pub wants: Vec<MemberKey>,
 }
 
-/// Compares all that the other one has in some ranges with what is here.
+/// Compares the headers that the other node has in some ranges with the own member table.
 pub fn differences(
     member_table: &MemberTable,
     covered: &[Range],
@@ -141,8 +149,7 @@
         } else if known.liveness_state > liveness_state {
             differences.header_update.push(*key);
         }
-        // Where theirs is newer in standing alone, the brief word that came has been taken in
-        // already.
+        // Where only their liveness state is newer, the header has been merged already.
     }
     for range in covered.iter().filter(|range| range.from <= range.to) {
         let here = member_table
--- a/crates/membership/src/cluster_size.rs
+++ b/crates/membership/src/cluster_size.rs
@@ -1,52 +1,54 @@
-//! What decisions see of the fleet: how many there are, and how far that can be trusted. A node
-//! that lately lost sight of many cannot tell whether they are gone or it is cut off itself, and
-//! says so; the size it goes by falls slowly.
+//! The estimate of the cluster's size on which decisions rest, and how far it can be trusted.
+//!
+//! A node that recently lost many members can't tell whether they are gone or it is partitioned
+//! itself: it reports that it is unsure, and its estimate falls slowly.
 
 use crate::member::{Liveness, MemberEntry};
 use crate::member_table::{MemberCounts, MemberTable};
 use crate::{Nanos, SECOND};
 use std::sync::Arc;
 
-/// Those found dead stay within what may be there for so long.
-const HOLD: Nanos = 30 * SECOND;
-/// One part in so many lost within that time, or as much suspected at once as half, makes a node
-/// unsure.
-const LOST_PART: usize = 4;
-/// Doubt of itself from which a node is unsure of all it holds.
-const DOUBT: u32 = 4;
-/// Sure again after so long without cause to be unsure; and in any case after so long, for then it
-/// is the state of things.
-const CALM: Nanos = 5 * SECOND;
-const LONGEST: Nanos = 300 * SECOND;
-/// The size falls by one part in so many each second, at most.
-const FALL_PART: usize = 8;
+/// Members declared dead count as possibly present for this long.
+const DEAD_HOLD: Nanos = 30 * SECOND;
+/// A node becomes unsure when one member in this many was lost within [`DEAD_HOLD`], or half are
+/// suspected at once.
+const LOST_FRACTION_DIVISOR: usize = 4;
+/// Local health score from which a node is unsure.
+const UNSURE_HEALTH_SCORE: u32 = 4;
+/// A node is sure again after this long without cause for doubt.
+const CALM_TIME: Nanos = 5 * SECOND;
+/// Longest time that a node stays unsure: by then what it sees is the cluster.
+const UNSURE_MAX: Nanos = 300 * SECOND;
+/// The estimate falls by at most one part in this many each second.
+const DECAY_DIVISOR: usize = 8;
 
-/// How many there are: what to go by, and what lies within sight.
+/// An estimate of the number of members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SizeEstimate {
-    /// What decisions go by: up at once, down slowly.
+    /// The estimate to decide by: rises at once, falls slowly.
     pub size: usize,
-    /// Those held to be there without a doubt.
+    /// Members that are alive without a doubt.
     pub low: usize,
-    /// The same with suspects, and with those who were found dead lately and did not say that they
-    /// left.
+    /// Members that may be present: also suspects, and those recently declared dead.
     pub high: usize,
 }
 
-/// What decisions see.
+/// The cluster as decisions see it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClusterView {
-    pub fleet: SizeEstimate,
-    /// The own zone.
+    /// Estimate for the whole cluster.
+    pub cluster: SizeEstimate,
+    /// Estimate for the node's own zone.
     pub zone: SizeEstimate,
-    /// Since when the node cannot tell whether others are gone or it is cut off.
+    /// Since when the node can't tell whether others are gone or it is partitioned.
     pub unsure_since: Option<Nanos>,
-    /// Equal on nodes that agree.
+    /// Digest of the member table; equal on nodes that agree.
     pub digest: u64,
+    /// Members under suspicion.
     pub suspects: usize,
-    /// The node's doubt of itself.
+    /// Local health score; 0 is healthy.
     pub doubt: u32,
-    /// Whether another process has this node's name, so that it is in nobody's view.
+    /// Whether another process holds this node's name, so that nobody sees this one.
     pub mute: bool,
 }
 
@@ -55,7 +57,7 @@
 struct SlowDecay {
     value: usize,
     stepped: Nanos,
-    /// What it was when the node became unsure.
+    /// Its value when the node became unsure.
     held: usize,
 }
 
@@ -74,7 +76,7 @@
         };
         while self.value > floor && now >= self.stepped + SECOND {
             self.stepped += SECOND;
-            self.value = (self.value - self.value.div_ceil(FALL_PART)).max(floor);
+            self.value = (self.value - self.value.div_ceil(DECAY_DIVISOR)).max(floor);
         }
         if self.value <= floor {
             self.stepped = now;
@@ -82,18 +84,18 @@
     }
 }
 
-/// Keeps what decisions see.
+/// Computes the cluster view.
 #[derive(Debug, Default)]
 pub struct ClusterSizeEstimator {
     fleet: SlowDecay,
     zone: SlowDecay,
     unsure_since: Option<Nanos>,
-    /// When there was last a cause to be unsure.
+    /// When there was last cause for doubt.
     cause: Nanos,
 }
 
 impl ClusterSizeEstimator {
-    /// Looks at the view; to be called several times a second.
+    /// Recomputes the view; to be called several times a second.
     pub fn observe(
         &mut self,
         now: Nanos,
@@ -103,17 +105,17 @@
         mute: bool,
     ) -> ClusterView {
         let (mut lost, mut lost_here) = (0, 0);
-        if member_table.counters().dead > 0 {
+        if member_table.counts().dead > 0 {
             let is_recent = |entry: &MemberEntry| {
-                entry.liveness() == Liveness::Dead && now.saturating_sub(entry.since) < HOLD
+                entry.liveness() == Liveness::Dead && now.saturating_sub(entry.since) < DEAD_HOLD
             };
             for (_, entry) in member_table.iter().filter(|(_, entry)| is_recent(entry)) {
                 lost += 1;
                 lost_here += usize::from(entry.details.zone == *own_zone);
             }
         }
-        let (fleet, zone) = (member_table.counters(), member_table.zone(own_zone));
-        self.judge(now, fleet, lost, doubt);
+        let (fleet, zone) = (member_table.counts(), member_table.zone(own_zone));
+        self.update_confidence(now, fleet, lost, doubt);
         let unsure = self.unsure_since.is_some();
         self.fleet.follow(now, fleet.present(), unsure);
         self.zone.follow(now, zone.present(), unsure);
@@ -123,7 +125,7 @@
             high: (counters.present() + lost).max(slow.value),
         };
         ClusterView {
-            fleet: extent(&self.fleet, fleet, lost),
+            cluster: extent(&self.fleet, fleet, lost),
             zone: extent(&self.zone, zone, lost_here),
             unsure_since: self.unsure_since,
             digest: member_table.digest(),
@@ -133,20 +135,20 @@
         }
     }
 
-    fn judge(&mut self, now: Nanos, fleet: MemberCounts, lost: usize, doubt: u32) {
+    fn update_confidence(&mut self, now: Nanos, fleet: MemberCounts, lost: usize, doubt: u32) {
         let before = self.fleet.value.max(fleet.present() + lost);
-        let many_lost =
-            lost * LOST_PART >= before && (lost > 1 || lost == 1 && fleet.present() < 2);
+        let many_lost = lost * LOST_FRACTION_DIVISOR >= before
+            && (lost > 1 || lost == 1 && fleet.present() < 2);
         let many_suspect = fleet.suspect > 1 && fleet.suspect * 2 >= fleet.present();
-        if many_lost || many_suspect || doubt >= DOUBT {
+        if many_lost || many_suspect || doubt >= UNSURE_HEALTH_SCORE {
             self.cause = now;
             self.unsure_since.get_or_insert(now);
         }
-        let calm = now >= self.cause + CALM;
+        let calm = now >= self.cause + CALM_TIME;
         let long = self
             .unsure_since
-            .is_some_and(|since| now >= since + LONGEST)
-            && doubt < DOUBT;
+            .is_some_and(|since| now >= since + UNSURE_MAX)
+            && doubt < UNSURE_HEALTH_SCORE;
         if calm || long {
             self.unsure_since = None;
         }
--- a/crates/membership/src/cluster_size/tests.rs
+++ b/crates/membership/src/cluster_size/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::member::{Liveness, MemberDetails, MemberKey, Phase};
-use crate::wire::MemberUpdate;
+use crate::messages::MemberUpdate;
 use std::net::SocketAddr;
 
 fn fleet(members: usize) -> MemberTable {
@@ -16,7 +16,7 @@
             started_unix_ms: 1,
             incarnation: 1,
             name,
-            details: details.raw().into(),
+            details: details.encoded().into(),
             ..MemberUpdate::default()
         };
         let _ = member_table.merge(0, &updates);
@@ -31,7 +31,7 @@
     liveness: Liveness,
 ) {
     for n in names {
-        member_table.set(now, MemberKey::of(&format!("n{n}")), liveness);
+        member_table.mark(now, MemberKey::of(&format!("n{n}")), liveness);
     }
 }
 
@@ -45,7 +45,7 @@
         size_estimator.observe(now, member_table, &zone, 0, false)
     };
     assert_eq!(
-        observe(&member_table, SECOND).fleet,
+        observe(&member_table, SECOND).cluster,
         SizeEstimate {
             size: 300,
             low: 300,
@@ -56,9 +56,9 @@
     let cluster_view = observe(&member_table, 2 * SECOND);
     assert_eq!(
         (
-            cluster_view.fleet.size,
-            cluster_view.fleet.low,
-            cluster_view.fleet.high
+            cluster_view.cluster.size,
+            cluster_view.cluster.low,
+            cluster_view.cluster.high
         ),
         (300, 1, 300)
     );
@@ -68,20 +68,23 @@
     for tenths in 30..400 {
         let cluster_view = observe(&member_table, tenths * SECOND / 10);
         assert!(
-            cluster_view.fleet.size <= before
-                && before - cluster_view.fleet.size <= before.div_ceil(8)
+            cluster_view.cluster.size <= before
+                && before - cluster_view.cluster.size <= before.div_ceil(8)
         );
         assert!(
-            cluster_view.unsure_since.is_none() || cluster_view.fleet.high >= 150,
+            cluster_view.unsure_since.is_none() || cluster_view.cluster.high >= 150,
             "{cluster_view:?}"
         );
-        (before, least) = (cluster_view.fleet.size, least.min(cluster_view.fleet.size));
+        (before, least) = (
+            cluster_view.cluster.size,
+            least.min(cluster_view.cluster.size),
+        );
     }
     assert!((1..=150).contains(&least), "{least}");
     // What was lost came to be the state of things.
     let cluster_view = observe(&member_table, 120 * SECOND);
     assert_eq!(
-        (cluster_view.fleet, cluster_view.unsure_since),
+        (cluster_view.cluster, cluster_view.unsure_since),
         (
             SizeEstimate {
                 size: 1,
@@ -104,7 +107,7 @@
     for second in 1..30 {
         let cluster_view = size_estimator.observe(second * SECOND, &member_table, &zone, 0, false);
         assert!(
-            cluster_view.fleet.size >= 50 && cluster_view.unsure_since.is_some(),
+            cluster_view.cluster.size >= 50 && cluster_view.unsure_since.is_some(),
             "{second}: {cluster_view:?}"
         );
     }
@@ -119,16 +122,16 @@
     set(&mut member_table, SECOND, 2..8, Liveness::Left);
     let cluster_view = size_estimator.observe(SECOND, &member_table, &zone, 0, false);
     assert_eq!(
-        (cluster_view.unsure_since, cluster_view.fleet.low),
+        (cluster_view.unsure_since, cluster_view.cluster.low),
         (None, 4)
     );
     assert!(
-        cluster_view.fleet.high >= 6 && cluster_view.fleet.size >= 10,
+        cluster_view.cluster.high >= 6 && cluster_view.cluster.size >= 10,
         "{cluster_view:?}"
     );
     let cluster_view = size_estimator.observe(40 * SECOND, &member_table, &zone, 0, false);
     assert_eq!(
-        cluster_view.fleet,
+        cluster_view.cluster,
         SizeEstimate {
             size: 4,
             low: 4,
@@ -161,7 +164,7 @@
         assert_eq!(
             size_estimator
                 .observe(members as Nanos, &fleet(members), &zone, 0, false)
-                .fleet
+                .cluster
                 .size,
             members
         );
--- a/crates/membership/src/datagram_auth.rs
+++ b/crates/membership/src/datagram_auth.rs
@@ -1,52 +1,61 @@
-//! Datagrams are believed only if they bear the fleet's name, a keyed MAC and a number that did not
-//! come before. What fails any of these is counted and dropped without an answer.
+//! Datagram authentication: a keyed MAC and replay protection.
 //!
-//! A sealed datagram: `mf`, the frame's version, the key's number (1 byte each); the fleet's tag,
-//! the sender's life (8 each); the time it was sealed, in Unix milliseconds, and a count (6 each);
-//! the message; the MAC, 16 bytes. Numbers stand with the highest byte first.
+//! A datagram is accepted only with the cluster's tag, a valid MAC and a sequence number that was
+//! not seen before. Everything else is counted and dropped without a reply.
+//!
+//! Frame: `mf`, frame version, key number (1 byte each); cluster tag, sender's incarnation (8 each);
+//! time in Unix milliseconds, sequence number (6 each); message; MAC (16). Big-endian.
 
+use crate::Nanos;
 use crate::member::{Incarnation, hash};
-use crate::wire::DATAGRAM_MAX;
-use crate::{Nanos, SECOND};
+use crate::messages::DATAGRAM_MAX;
 use ring::digest;
 use ring::hmac;
-use std::collections::{BTreeMap, HashSet};
+use std::collections::BTreeMap;
 use std::fmt;
-use std::net::SocketAddr;
 
+/// First bytes of every frame.
 const MAGIC: [u8; 2] = *b"mf";
-const FRAME: u8 = 1;
-const HEAD: usize = 32;
-const MAC: usize = 16;
-/// Bytes that sealing adds.
-pub const OVERHEAD: usize = HEAD + MAC;
-/// The most bytes of a message.
+/// Version of the frame.
+const FRAME_VERSION: u8 = 1;
+/// Bytes before the message.
+const HEADER_BYTES: usize = 32;
+/// Bytes of the truncated MAC.
+const MAC_BYTES: usize = 16;
+/// Bytes that authentication adds to a message.
+pub const OVERHEAD: usize = HEADER_BYTES + MAC_BYTES;
+/// Bytes of a message at most.
 pub const MESSAGE_MAX: usize = DATAGRAM_MAX - OVERHEAD;
-/// AuthKeys that may be valid at once, for a change of keys.
+/// Keys that may be valid at once, for key rotation.
 pub const KEYS_MAX: usize = 2;
-/// Bytes of a key, at least.
-const KEY_LEAST: usize = 16;
+/// Bytes of a key at least.
+const KEY_BYTES_MIN: usize = 16;
 
-/// Why a datagram was dropped. Each is counted by its word.
+/// Why a datagram was dropped; each reason has a counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DropReason {
-    /// It is none of ours.
+    /// Too short, too long, or without the magic bytes.
     NoFrame,
+    /// Another frame version.
     AnotherFrame,
+    /// The tag of another cluster.
     AnotherFleet,
+    /// No key with this number.
     UnknownKey,
+    /// The MAC is wrong.
     BadMac,
-    /// It came before, or is older than what can be told from that.
+    /// Received before, or older than the replay window.
     Replayed,
-    /// A first word from a life whose clock is too far from ours.
+    /// The first datagram of an unknown incarnation whose clock is too far off.
     OutOfTime,
+    /// The message can't be decoded.
     Unreadable,
-    /// More came than is looked at.
+    /// Beyond the rate at which datagrams are checked.
     Flood,
 }
 
 impl DropReason {
-    /// Its word, as logs and counts show it.
+    /// Name of its counter.
     pub fn as_str(self) -> &'static str {
         match self {
             DropReason::NoFrame => "datagrams that are none of a fleet",
@@ -62,7 +71,24 @@
     }
 }
 
-/// The keys of a fleet: the first one seals, all open.
+/// Why keys can't be used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum KeyError {
+    /// No key, or too many.
+    #[error("{0} keys; expected 1 to {KEYS_MAX}")]
+    Count(usize),
+    /// A key has too few bytes.
+    #[error("a key of {0} bytes; expected {KEY_BYTES_MIN} at least")]
+    TooShort(usize),
+    /// A line of a key file is no hexadecimal key.
+    #[error("line {line}: no key; expected hexadecimal")]
+    NotHexadecimal {
+        /// Number of the line, from 1.
+        line: usize,
+    },
+}
+
+/// Keys of a cluster: the first one signs, all verify.
 #[derive(Clone)]
 pub struct AuthKeys {
     keys: Vec<(u8, hmac::Key)>,
@@ -77,16 +103,16 @@
 }
 
 impl AuthKeys {
-    /// AuthKeys from their bytes.
-    pub fn new(keys: &[Vec<u8>]) -> Result<AuthKeys, String> {
+    /// Keys from their bytes.
+    ///
+    /// # Errors
+    /// Where there are none, more than [`KEYS_MAX`], or one is too short.
+    pub fn new(keys: &[Vec<u8>]) -> Result<AuthKeys, KeyError> {
         if keys.is_empty() || keys.len() > KEYS_MAX {
-            return Err(format!("{} keys; expected 1 to {KEYS_MAX}", keys.len()));
+            return Err(KeyError::Count(keys.len()));
         }
-        if let Some(short) = keys.iter().find(|key| key.len() < KEY_LEAST) {
-            return Err(format!(
-                "a key of {} bytes; expected {KEY_LEAST} at least",
-                short.len()
-            ));
+        if let Some(short) = keys.iter().find(|key| key.len() < KEY_BYTES_MIN) {
+            return Err(KeyError::TooShort(short.len()));
         }
         let numbered = keys.iter().map(|key| {
             let number = digest::digest(&digest::SHA256, key).as_ref()[0];
@@ -97,35 +123,36 @@
         })
     }
 
-    /// Whether one who goes by these and one who goes by the others understand each other: the key
-    /// that either seals with is among those that the other opens with.
-    pub fn meet(&self, other: &AuthKeys) -> bool {
-        let print = |key: &hmac::Key| hmac::sign(key, b"meet");
+    /// Whether nodes with these and those keys understand each other: each side's signing key is
+    /// among the keys with which the other verifies.
+    pub fn are_compatible(&self, other: &AuthKeys) -> bool {
+        let fingerprint = |key: &hmac::Key| hmac::sign(key, b"meet");
         let knows = |keys: &AuthKeys, of: &AuthKeys| {
             of.keys.first().is_some_and(|(_, first)| {
                 keys.keys
                     .iter()
-                    .any(|(_, key)| print(key).as_ref() == print(first).as_ref())
+                    .any(|(_, key)| fingerprint(key).as_ref() == fingerprint(first).as_ref())
             })
         };
         knows(self, other) && knows(other, self)
     }
 
-    /// Reads a file of keys: one a line in hexadecimal, with blank lines and lines after `#` passed
-    /// over.
-    pub fn read(text: &str) -> Result<AuthKeys, String> {
+    /// Parses a key file: one key a line in hexadecimal; blank lines and lines that begin with `#`
+    /// are skipped.
+    ///
+    /// # Errors
+    /// Where a line is no key, or as for [`AuthKeys::new`].
+    pub fn parse(text: &str) -> Result<AuthKeys, KeyError> {
         let lines = text.lines().enumerate().map(|(at, line)| (at, line.trim()));
         let lines = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
         let keys: Result<Vec<_>, _> = lines
-            .map(|(at, line)| {
-                unhex(line).ok_or(format!("line {}: no key; expected hexadecimal", at + 1))
-            })
+            .map(|(at, line)| decode_hex(line).ok_or(KeyError::NotHexadecimal { line: at + 1 }))
             .collect();
         AuthKeys::new(&keys?)
     }
 }
 
-fn unhex(text: &str) -> Option<Vec<u8>> {
+fn decode_hex(text: &str) -> Option<Vec<u8>> {
     let digits: Option<Vec<u8>> = text
         .chars()
         .map(|c| c.to_digit(16).and_then(|d| u8::try_from(d).ok()))
@@ -134,16 +161,17 @@
     Some(digits.chunks(2).map(|two| two[0] << 4 | two[1]).collect())
 }
 
-/// Which numbers of a life came: the highest, and those of the 64 below it.
+/// Sequence numbers received of an incarnation: the highest, and a bitmap of the 64 below it.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReplayWindow {
     highest: u64,
     seen: u64,
-    apply_update: Nanos,
+    last_received: Nanos,
 }
 
 impl ReplayWindow {
-    fn take(&mut self, count: u64) -> bool {
+    /// Records a sequence number; false if it was seen before or is too old.
+    fn accept(&mut self, count: u64) -> bool {
         if count > self.highest {
             let step = count - self.highest;
             self.seen = if step < 64 {
@@ -165,8 +193,8 @@
     }
 }
 
-/// Whether two MACs are equal, in a time that does not tell where they differ.
-fn is_equal(a: &[u8], b: &[u8]) -> bool {
+/// Compares two MACs in constant time.
+fn macs_are_equal(a: &[u8], b: &[u8]) -> bool {
     let differ = a
         .iter()
         .zip(b)
@@ -174,82 +202,85 @@
     a.len() == b.len() && differ == 0
 }
 
-fn push6(frame: &mut Vec<u8>, number: u64) {
+fn push_u48(frame: &mut Vec<u8>, number: u64) {
     frame.extend_from_slice(&number.to_be_bytes()[2..]);
 }
 
-fn read8(bytes: &[u8]) -> u64 {
+fn read_big_endian(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |sum, b| sum << 8 | u64::from(*b))
 }
 
-/// Seals what a node sends and opens what it gets.
+/// Signs outgoing datagrams and verifies incoming ones.
 #[derive(Debug)]
 pub struct DatagramAuth {
-    fleet: String,
+    cluster: String,
     tag: u64,
     keys: AuthKeys,
     incarnation: Incarnation,
     sent: u64,
-    /// A first word from a life is believed only if its time is this close to ours.
+    /// Greatest clock difference at which an unknown incarnation is accepted, in milliseconds.
     skew_ms: u64,
     windows: BTreeMap<Incarnation, ReplayWindow>,
-    most: usize,
+    windows_max: usize,
 }
 
 impl DatagramAuth {
-    /// For a node of this fleet, which keeps the numbers of so many lives.
+    /// For a process of a cluster; keeps replay windows of at most `windows_max` incarnations.
     pub fn new(
-        fleet: &str,
+        cluster: &str,
         keys: AuthKeys,
         incarnation: Incarnation,
         skew: Nanos,
-        most: usize,
+        windows_max: usize,
     ) -> DatagramAuth {
-        let tag = hash(&[fleet.as_bytes()]);
+        let tag = hash(&[cluster.as_bytes()]);
         let skew_ms = skew / crate::MILLISECOND;
         DatagramAuth {
-            fleet: fleet.to_owned(),
+            cluster: cluster.to_owned(),
             tag,
             keys,
             incarnation,
             sent: 0,
             skew_ms,
             windows: BTreeMap::new(),
-            most,
+            windows_max,
         }
     }
 
-    /// Puts other keys in force.
+    /// Replaces the keys.
     pub fn rekey(&mut self, keys: AuthKeys) {
         self.keys = keys;
     }
 
-    /// Seals a message.
+    /// Signs a message; returns the frame.
     pub fn seal(&mut self, unix_ms: u64, message: &[u8]) -> Vec<u8> {
         self.sent += 1;
         let (number, key) = &self.keys.keys[0];
         let mut frame = Vec::with_capacity(OVERHEAD + message.len());
         frame.extend_from_slice(&MAGIC);
-        frame.extend_from_slice(&[FRAME, *number]);
+        frame.extend_from_slice(&[FRAME_VERSION, *number]);
         frame.extend_from_slice(&self.tag.to_be_bytes());
         frame.extend_from_slice(&self.incarnation.0.to_be_bytes());
-        push6(&mut frame, unix_ms);
-        push6(&mut frame, self.sent);
+        push_u48(&mut frame, unix_ms);
+        push_u48(&mut frame, self.sent);
         frame.extend_from_slice(message);
         let mac = self.mac(key, &frame);
-        frame.extend_from_slice(&mac.as_ref()[..MAC]);
+        frame.extend_from_slice(&mac.as_ref()[..MAC_BYTES]);
         frame
     }
 
     fn mac(&self, key: &hmac::Key, frame: &[u8]) -> hmac::Tag {
         let mut context = hmac::Context::with_key(key);
-        context.update(self.fleet.as_bytes());
+        context.update(self.cluster.as_bytes());
         context.update(&[0]);
         context.update(frame);
         context.sign()
     }
 
-    /// Opens a datagram; gives the sender's life and the message.
+    /// Verifies a frame; returns the sender's incarnation and the message.
+    ///
+    /// # Errors
+    /// The reason to drop it.
     pub fn open<'f>(
         &mut self,
         now: Nanos,
@@ -259,13 +290,13 @@
         if frame.len() < OVERHEAD || frame.len() > DATAGRAM_MAX || frame[..2] != MAGIC {
             return Err(DropReason::NoFrame);
         }
-        if frame[2] != FRAME {
+        if frame[2] != FRAME_VERSION {
             return Err(DropReason::AnotherFrame);
         }
-        if read8(&frame[4..12]) != self.tag {
+        if read_big_endian(&frame[4..12]) != self.tag {
             return Err(DropReason::AnotherFleet);
         }
-        let (signed, mac) = frame.split_at(frame.len() - MAC);
+        let (signed, mac) = frame.split_at(frame.len() - MAC_BYTES);
         let mut keys = self
             .keys
             .keys
@@ -275,113 +306,65 @@
         if keys.peek().is_none() {
             return Err(DropReason::UnknownKey);
         }
-        let right = keys.any(|(_, key)| is_equal(&self.mac(key, signed).as_ref()[..MAC], mac));
+        let right =
+            keys.any(|(_, key)| macs_are_equal(&self.mac(key, signed).as_ref()[..MAC_BYTES], mac));
         if !right {
             return Err(DropReason::BadMac);
         }
-        let incarnation = Incarnation(read8(&frame[12..20]));
-        self.admit(
+        let incarnation = Incarnation(read_big_endian(&frame[12..20]));
+        self.check_replay(
             now,
             unix_ms,
             incarnation,
-            read8(&frame[20..26]),
-            read8(&frame[26..32]),
+            read_big_endian(&frame[20..26]),
+            read_big_endian(&frame[26..32]),
         )?;
-        Ok((incarnation, &signed[HEAD..]))
+        Ok((incarnation, &signed[HEADER_BYTES..]))
     }
 
-    /// Whether a datagram did not come before. Of a life that is not known yet that can't be told,
-    /// so its time must be near; later its count is enough, whatever its clock does.
-    fn admit(
+    /// Replay protection. For an unknown incarnation the frame's time must be close to ours; after
+    /// that the sequence number is enough, whatever its clock does.
+    fn check_replay(
         &mut self,
         now: Nanos,
         unix_ms: u64,
         incarnation: Incarnation,
-        sealed: u64,
+        sealed_unix_ms: u64,
         count: u64,
     ) -> Result<(), DropReason> {
         if let Some(window) = self.windows.get_mut(&incarnation) {
-            window.apply_update = now;
-            return if window.take(count) {
+            window.last_received = now;
+            return if window.accept(count) {
                 Ok(())
             } else {
                 Err(DropReason::Replayed)
             };
         }
-        if sealed.abs_diff(unix_ms) > self.skew_ms {
+        if sealed_unix_ms.abs_diff(unix_ms) > self.skew_ms {
             return Err(DropReason::OutOfTime);
         }
-        if self.windows.len() >= self.most {
+        if self.windows.len() >= self.windows_max {
             let silent = self
                 .windows
                 .iter()
-                .min_by_key(|(_, window)| window.apply_update)
+                .min_by_key(|(_, window)| window.last_received)
                 .map(|(incarnation, _)| *incarnation);
             silent.map(|incarnation| self.windows.remove(&incarnation));
         }
         let mut window = ReplayWindow {
-            apply_update: now,
+            last_received: now,
             ..ReplayWindow::default()
         };
-        window.take(count);
+        window.accept(count);
         self.windows.insert(incarnation, window);
         Ok(())
     }
 }
 
-/// Lives for commands that ask a node and are no members.
-pub fn observer(seed: u64) -> Incarnation {
+/// Incarnations of observers, which are no members.
+pub fn observer_incarnation(seed: u64) -> Incarnation {
     Incarnation(seed | 1 << 63)
 }
 
-/// How many datagrams a second are looked at. Checking a MAC takes a microsecond or two; a stranger
-/// who floods must not take more of the node than this, nor crowd out those whose datagrams proved
-/// good.
-#[derive(Debug)]
-pub struct ReceiveLimiter {
-    proven: HashSet<SocketAddr>,
-    most: usize,
-    /// Datagrams that may still be looked at, by whether their source is proven.
-    left: [f64; 2],
-    filled: Nanos,
-}
-
-/// A second, from sources that have proved good and from others; and the same number may come at
-/// once.
-const RATES: [f64; 2] = [4000.0, 500.0];
-
-impl ReceiveLimiter {
-    /// One that keeps so many good sources in mind.
-    pub fn new(most: usize) -> ReceiveLimiter {
-        ReceiveLimiter {
-            proven: HashSet::new(),
-            most,
-            left: RATES,
-            filled: 0,
-        }
-    }
-
-    /// Whether to look at a datagram from there.
-    pub fn admits(&mut self, now: Nanos, from: SocketAddr) -> bool {
-        let passed = now.saturating_sub(self.filled) as f64 / SECOND as f64;
-        self.filled = now;
-        for (left, rate) in self.left.iter_mut().zip(RATES) {
-            *left = (*left + rate * passed).min(rate);
-        }
-        let left = &mut self.left[usize::from(!self.proven.contains(&from))];
-        let admitted = *left >= 1.0;
-        *left -= if admitted { 1.0 } else { 0.0 };
-        admitted
-    }
-
-    /// A datagram from there was good.
-    pub fn proved(&mut self, from: SocketAddr) {
-        if self.proven.len() >= self.most && !self.proven.contains(&from) {
-            self.proven.clear(); // all prove themselves again with their next one
-        }
-        self.proven.insert(from);
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/membership/src/dissemination_queue.rs
+++ b/crates/membership/src/dissemination_queue.rs
@@ -1,46 +1,48 @@
-//! MemberUpdate that still has to be spread: each piece goes out so many times, those that went out least
-//! first.
+//! Updates still to be disseminated: each is sent a bounded number of times, the least sent first.
 
 use crate::member::MemberKey;
 use std::collections::{BTreeSet, HashMap};
 
-/// How often each piece is sent, times the decimal logarithm of the fleet's size.
-const COPIES: f64 = 4.0;
+/// Transmissions of an update by each node, times the decimal logarithm of the cluster size.
+const TRANSMISSIONS_FACTOR: f64 = 4.0;
 
-/// Members of whom news is to be spread.
+/// Members about whom updates are to be sent.
 #[derive(Debug, Default)]
 pub struct DisseminationQueue {
-    /// How often it went out, when it came (the latest first), and of whom.
+    /// Transmissions so far, sequence number (the latest first), member.
     queue: BTreeSet<(u32, std::cmp::Reverse<u64>, MemberKey)>,
-    places: HashMap<MemberKey, (u32, u64)>,
-    came: u64,
+    positions: HashMap<MemberKey, (u32, u64)>,
+    last_sequence: u64,
 }
 
-/// How often a piece of news is sent by each node of so many.
-pub fn copies(members: usize) -> u32 {
-    (COPIES * ((members + 1) as f64).log10()).ceil().max(1.0) as u32
+/// How often each node of a cluster of the given size sends an update.
+pub fn transmissions(members: usize) -> u32 {
+    (TRANSMISSIONS_FACTOR * ((members + 1) as f64).log10())
+        .ceil()
+        .max(1.0) as u32
 }
 
 impl DisseminationQueue {
-    /// There is news of a member; what was still to be spread of it is out of date.
+    /// Queues the latest update about a member, in place of an older one.
     pub fn push(&mut self, key: MemberKey) {
         self.remove_updates(key);
-        self.came += 1;
-        self.places.insert(key, (0, self.came));
-        self.queue.insert((0, std::cmp::Reverse(self.came), key));
+        self.last_sequence += 1;
+        self.positions.insert(key, (0, self.last_sequence));
+        self.queue
+            .insert((0, std::cmp::Reverse(self.last_sequence), key));
     }
 
-    /// Nothing is to be spread of a member any more.
+    /// Removes the update about a member.
     pub fn remove_updates(&mut self, key: MemberKey) {
-        if let Some((sent, came)) = self.places.remove(&key) {
+        if let Some((sent, came)) = self.positions.remove(&key) {
             self.queue.remove(&(sent, std::cmp::Reverse(came), key));
         }
     }
 
-    /// Nothing is to be spread any more of those for whom this does not hold.
+    /// Keeps only members for which `holds` is true.
     pub fn retain(&mut self, mut holds: impl FnMut(MemberKey) -> bool) {
         let gone: Vec<MemberKey> = self
-            .places
+            .positions
             .keys()
             .copied()
             .filter(|key| !holds(*key))
@@ -48,18 +50,19 @@
         gone.into_iter().for_each(|key| self.remove_updates(key));
     }
 
+    /// Number of members queued.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
+    /// Whether nothing is queued.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// Hands out members of whom news goes into a datagram, as long as `fits` takes them; each
-    /// counts as sent.
+    /// Offers queued members to `fits` until it returns false; each one accepted counts as sent.
     pub fn take(&mut self, members: usize, mut fits: impl FnMut(MemberKey) -> bool) {
-        let most = copies(members);
+        let most = transmissions(members);
         let mut sent = Vec::new();
         for (times, came, key) in &self.queue {
             if !fits(*key) {
@@ -71,9 +74,9 @@
             self.queue.remove(&(times, came, key));
             if times + 1 < most {
                 self.queue.insert((times + 1, came, key));
-                self.places.insert(key, (times + 1, came.0));
+                self.positions.insert(key, (times + 1, came.0));
             } else {
-                self.places.remove(&key);
+                self.positions.remove(&key);
             }
         }
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,11 @@
-//! The view that the nodes of a fleet keep of it among themselves: who is there, in which zone and
-//! phase, running what, with what room. No I/O: it is fed datagrams and the time, says what to send
-//! and when to wake, and draws chance from a seed. After SWIM, with Lifeguard's local health,
-//! dynamic suspicion and buddies; the views are made equal by comparing digests of ranges, and the
-//! dead are probed again, so that the halves of a healed partition find each other.
+//! Cluster membership after SWIM, without I/O: failure detection, dissemination and anti-entropy.
 //!
-//! `docs/design/fleet.md` weighs the ways and gives the format byte by byte;
+//! [`Membership`] is fed datagrams and clock readings, requests side effects through [`Host`], and
+//! draws chance from a seed. Lifeguard's local health, dynamic suspicion timeouts and buddy updates
+//! are included. Member tables converge by comparing digests of key ranges, and dead members are
+//! probed again, so that the halves of a healed partition find each other.
+//!
+//! `docs/design/fleet.md` weighs the alternatives and gives the format byte by byte;
 //! `docs/operators/fleet.md` is for operators.
 
 #![forbid(unsafe_code)]
@@ -21,11 +22,12 @@
 pub mod member_table;
 pub mod observer;
 mod probe_order;
+mod receive_limiter;
 pub mod simulation;
 mod suspicion;
 pub mod swim;
 mod token_bucket;
-pub mod wire;
+pub mod messages;
 
 pub use cluster_size::ClusterView;
 pub use config::{ClockReading, Config, FeatureToggles, Timing};
@@ -33,7 +35,7 @@
 pub use member::{Attachment, Incarnation, Liveness, MemberDetails, MemberKey, Phase};
 pub use swim::Membership;
 
-/// Whole nanoseconds from any fixed point.
+/// A time or a duration in nanoseconds; times count from any fixed origin.
 pub type Nanos = u64;
 
 pub(crate) const MILLISECOND: Nanos = 1_000_000;
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,22 +1,22 @@
-//! A node's doubt of itself, after Lifeguard: a node that is slow or cut off would suspect all
-//! others. Each sign that the fault is its own makes it wait longer for answers and ask less often,
-//! before it says anything of others.
+//! Lifeguard's local health score. A node that is slow or partitioned would suspect all others, so
+//! each sign that the fault may be its own stretches its timeouts and periods.
 
-/// The most doubt; waits grow by one more than this at most.
-const MOST: u32 = 8;
+/// Highest score; timeouts are stretched by at most one more than this.
+const SCORE_MAX: u32 = 8;
 
-/// Doubt of oneself, from none.
+/// The score, from 0 (healthy).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalHealth {
     doubt: u32,
 }
 
 impl LocalHealth {
-    /// Waits are this many times as long.
+    /// Factor by which timeouts are stretched.
     pub fn health_factor(self) -> u64 {
         u64::from(self.doubt) + 1
     }
 
+    /// The score.
     pub fn doubt(self) -> u32 {
         self.doubt
     }
@@ -26,21 +26,21 @@
         self.doubt = self.doubt.saturating_sub(1);
     }
 
-    /// Nobody answered a probe, not even helpers that they asked: one more for each helper that was
-    /// silent, one less if all spoke, for then it is the other that is gone.
-    pub fn on_probe_failed(&mut self, relays: u32, silent: u32) {
+    /// A probe failed, relays included. Each silent relay speaks against this node; if all replied,
+    /// the target is the one that is gone.
+    pub fn probe_failed(&mut self, relays: u32, silent: u32) {
         let worse = if relays == 0 { 1 } else { silent };
-        self.doubt = (self.doubt + worse).min(MOST);
+        self.doubt = (self.doubt + worse).min(SCORE_MAX);
     }
 
     /// Others suspected this node.
     pub fn suspected(&mut self) {
-        self.doubt = (self.doubt + 1).min(MOST);
+        self.doubt = (self.doubt + 1).min(SCORE_MAX);
     }
 
-    /// This node stood still.
-    pub fn stood_still(&mut self) {
-        self.doubt = (self.doubt + 2).min(MOST);
+    /// This process stood still.
+    pub fn paused(&mut self) {
+        self.doubt = (self.doubt + 2).min(SCORE_MAX);
     }
 }
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,12 +1,12 @@
-//! What is known of one member, and which of two things said of it holds.
+//! What is known of one member, and which of two updates about it takes precedence.
 //!
-//! Of a name, the later life holds (by the time of its start, then by its number); within a life,
-//! standing and details are two values that only grow: the standing by bump and then by status, the
-//! details by their revision. Only the member itself raises its bump or its revision. So all that
-//! is said of it may come in any order, twice or late, and whoever has heard the same holds the
-//! same.
+//! For a name, the later incarnation wins (by start time, then by number). Within an incarnation,
+//! liveness state and details only grow: the liveness state by refutation number and then by
+//! liveness, the details by revision. Only the member itself raises its refutation number or its
+//! revision. Updates may therefore arrive in any order, twice or late: nodes that have received the
+//! same updates agree.
 
-use crate::wire::{self, AttachmentMessage, DetailsMessage, MemberUpdate};
+use crate::messages::{self, AttachmentMessage, DetailsMessage, MemberUpdate};
 use prost::Message;
 use siphasher::sip::SipHasher24;
 use std::fmt;
@@ -14,15 +14,18 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::sync::Arc;
 
-/// Bounds on what a member may say of itself.
+/// Longest name of a member, in bytes.
 pub const NAME_MAX: usize = 64;
+/// Longest name of a zone, in bytes.
 pub const ZONE_MAX: usize = 32;
+/// Longest program version, in bytes.
 pub const PROGRAM_MAX: usize = 32;
+/// Attachments of a member at most.
 pub const ATTACHMENTS_MAX: usize = 8;
-/// Bytes of all its details as they travel.
+/// Encoded bytes of a member's details at most.
 pub const DETAILS_MAX: usize = 400;
 
-/// SipHash-2-4 with these keys; both are part of the format.
+/// SipHash-2-4 with fixed keys that are part of the wire format.
 pub(crate) fn hash(bytes: &[&[u8]]) -> u64 {
     let mut hasher = SipHasher24::new_with_keys(0x6d61_6464_6572_706f, 0x696e_742d_666c_6565);
     for part in bytes {
@@ -31,52 +34,51 @@
     hasher.finish()
 }
 
-/// A member's name, hashed. Two names that share one are taken for one; at 10,000 members the
-/// chance is 3e-12.
+/// Hash of a member's name. Names that collide are taken for one; with 10,000 members the
+/// probability is 3e-12.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MemberKey(pub u64);
 
 impl MemberKey {
-    /// The key of this name; never 0, which stands for nobody.
+    /// The key of a name; never 0, which is [`MemberKey::NONE`].
     pub fn of(name: &str) -> MemberKey {
         MemberKey(hash(&[name.as_bytes()]).max(1))
     }
 
-    /// Stands for nobody.
+    /// No member.
     pub const NONE: MemberKey = MemberKey(0);
 }
 
-/// One process, from its start to its end; drawn by chance.
+/// One process of a member, from start to end; a random number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Incarnation(pub u64);
 
-/// A life, placed among the others of its name by when it began. A later start holds over an
-/// earlier one.
+/// Order of the incarnations of a name: a later start takes precedence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Epoch {
-    /// Unix milliseconds of the start, by the member's own clock, or one more than the highest that
-    /// it heard of its name.
+    /// Start time by the member's own clock, in Unix milliseconds, or one more than the highest that
+    /// it received for its name.
     pub started_unix_ms: u64,
-    /// The process.
+    /// The process; decides between equal start times.
     pub incarnation: Incarnation,
 }
 
-/// Whether a member is held to be there. Within a bump the later word holds.
+/// Liveness of a member. With equal refutation numbers the later variant wins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Liveness {
-    /// It is there.
+    /// It responds.
     #[default]
     Alive,
-    /// It did not answer, and may say that it is there.
+    /// It did not respond, and may refute the suspicion.
     Suspect,
-    /// It did not say so in time.
+    /// It did not refute in time: declared dead.
     Dead,
-    /// It said that it was leaving.
+    /// It announced that it left.
     Left,
 }
 
 impl Liveness {
-    /// Whether it counts as a member.
+    /// Whether it counts as a present member (alive or suspect).
     pub fn is_present(self) -> bool {
         matches!(self, Liveness::Alive | Liveness::Suspect)
     }
@@ -96,35 +98,36 @@
         .copied()
     }
 
-    /// Its word, as logs and tables show it.
+    /// Its name in logs and tables.
     pub fn as_str(self) -> &'static str {
         ["alive", "suspect", "dead", "left"][self as usize]
     }
 }
 
-/// A standing within a life: a member that refutes raises the bump.
+/// Liveness within an incarnation, ordered by refutation number and then by liveness.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LivenessState {
+    /// Raised by the member itself each time it contradicts a suspicion.
     pub refutation: u32,
+    /// Liveness at that refutation number.
     pub liveness: Liveness,
 }
 
-/// What a member that stands so does when it hears that it is held to stand otherwise: it says that
-/// it is there (or that it left) by a higher bump, where the word that it heard would hold over its
-/// own.
-pub fn refutes(own: LivenessState, apply_update: LivenessState) -> Option<u32> {
-    (apply_update > own).then(|| apply_update.refutation.saturating_add(1))
+/// The refutation number by which a member contradicts what others report of it; `None` where the
+/// report would not take precedence over its own state.
+pub fn refutes(own: LivenessState, reported: LivenessState) -> Option<u32> {
+    (reported > own).then(|| reported.refutation.saturating_add(1))
 }
 
-/// What a member is about.
+/// Phase of a member's life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Phase {
-    /// Started, and not yet warm.
+    /// Started and still warming up.
     Cold,
-    /// At work.
+    /// Serving.
     #[default]
     Serving,
-    /// DetailsMessage to leave: it answers what it has read.
+    /// Draining: it answers what it has read and takes nothing new.
     Draining,
 }
 
@@ -133,51 +136,60 @@
         match number {
             0 => Phase::Cold,
             2 => Phase::Draining,
-            // A phase that a later version knows is read as at work: it is there and answers.
+            // Phases of later versions are read as serving: the member exists and responds.
             _ => Phase::Serving,
         }
     }
 
-    /// Its word.
+    /// Its name in logs and tables.
     pub fn as_str(self) -> &'static str {
         ["cold", "serving", "draining"][self as usize]
     }
 }
 
-/// Something that another package hangs on an entry, by its own number and version.
+/// Data that another package attaches to a member's entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attachment {
+    /// Number of the package.
     pub id: u32,
+    /// Version of the format.
     pub version: u32,
+    /// The data; empty removes the attachment.
     pub bytes: Vec<u8>,
 }
 
-/// What a member says of itself. It travels as the member wrote it, so that what a later version
-/// adds passes through nodes that do not know it.
+/// What a member publishes about itself. It is passed on as the member encoded it, so that fields
+/// of later versions survive nodes that do not know them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberDetails {
-    /// Where it is reached.
+    /// Address at which it is reached.
     pub address: SocketAddr,
     /// Its zone; may be empty.
     pub zone: Arc<str>,
+    /// Phase of its life.
     pub phase: Phase,
-    /// The version of its program.
+    /// Version of its program.
     pub program: Arc<str>,
-    /// Versions of the datagrams that it reads, the least and the most.
+    /// Lowest and highest datagram version that it reads.
     pub wire: (u32, u32),
-    /// The number and the hash of its settings.
+    /// Number and hash of its settings.
     pub settings: (u64, u64),
+    /// Attachments by id.
     pub attachments: Vec<Attachment>,
-    raw: Box<[u8]>,
+    encoded: Box<[u8]>,
     hash: u64,
 }
 
-/// Why details were not taken.
+/// Why details can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DetailsError {
+    /// Larger than [`DETAILS_MAX`] bytes, or more than [`ATTACHMENTS_MAX`] attachments.
     TooLarge,
+    /// The encoding is broken.
     Unreadable,
+    /// The address is unspecified, multicast or malformed.
     BadAddress,
+    /// A name is empty, too long or not printable ASCII.
     BadName,
 }
 
@@ -212,13 +224,16 @@
     (port > 0 && !ip.is_unspecified() && !ip.is_multicast()).then(|| SocketAddr::new(ip, port))
 }
 
-/// A name that may stand in a line of the log and in a table.
+/// Whether a name is non-empty printable ASCII of at most `most` bytes, fit for logs and tables.
 pub fn is_name(name: &str, most: usize) -> bool {
     !name.is_empty() && name.len() <= most && name.bytes().all(|b| b.is_ascii_graphic())
 }
 
 impl MemberDetails {
-    /// What a member says of itself now.
+    /// Encodes a member's details.
+    ///
+    /// # Errors
+    /// Where they exceed a bound.
     pub fn new(
         address: SocketAddr,
         zone: &str,
@@ -246,15 +261,18 @@
                 })
                 .collect(),
         };
-        MemberDetails::read(&wire::later(details.encode_to_vec()))
+        MemberDetails::read(&messages::later(details.encode_to_vec()))
     }
 
-    /// Reads what a member said. Fields that are not known stay in what is passed on.
-    pub fn read(raw: &[u8]) -> Result<MemberDetails, DetailsError> {
-        if raw.len() > DETAILS_MAX {
+    /// Decodes details. Unknown fields stay in what is passed on.
+    ///
+    /// # Errors
+    /// Where the encoding is broken or exceeds a bound.
+    pub fn read(encoded: &[u8]) -> Result<MemberDetails, DetailsError> {
+        if encoded.len() > DETAILS_MAX {
             return Err(DetailsError::TooLarge);
         }
-        let details = DetailsMessage::decode(raw).map_err(|_| DetailsError::Unreadable)?;
+        let details = DetailsMessage::decode(encoded).map_err(|_| DetailsError::Unreadable)?;
         let address = address_from(&details.address).ok_or(DetailsError::BadAddress)?;
         let fits = |text: &str, most| text.is_empty() || is_name(text, most);
         if !fits(&details.zone, ZONE_MAX) || !fits(&details.program, PROGRAM_MAX) {
@@ -278,66 +296,72 @@
                     bytes: p.bytes,
                 })
                 .collect(),
-            raw: raw.into(),
-            hash: hash(&[raw]),
+            encoded: encoded.into(),
+            hash: hash(&[encoded]),
         })
     }
 
-    /// The details as they travel.
-    pub fn raw(&self) -> &[u8] {
-        &self.raw
+    /// The details as the member encoded them.
+    pub fn encoded(&self) -> &[u8] {
+        &self.encoded
     }
 
     pub(crate) fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Bytes that they take here, roughly.
+    /// Approximate memory in bytes.
     pub fn bytes(&self) -> usize {
         let attachments: usize = self
             .attachments
             .iter()
             .map(|p| p.bytes.len() + size_of::<Attachment>())
             .sum();
-        size_of::<MemberDetails>() + 2 * self.raw.len() + attachments + 64
+        size_of::<MemberDetails>() + 2 * self.encoded.len() + attachments + 64
     }
 }
 
-/// Room and load, spread without a promise: the latest word of each member that came by.
+/// Free capacity and load of a member, spread without a promise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadHint {
-    /// MemberCounts the words of one life.
+    /// Sequence number within an incarnation; wraps.
     pub number: u16,
-    /// Room left, and load, each of 255.
+    /// Free capacity, of 255.
     pub capacity: u8,
+    /// Load, of 255.
     pub load: u8,
 }
 
-/// What is known of a member.
+/// All that is known of a member.
 #[derive(Clone, Debug)]
 pub struct MemberEntry {
+    /// Its name.
     pub name: Arc<str>,
+    /// Its present incarnation.
     pub epoch: Epoch,
+    /// Its liveness.
     pub liveness_state: LivenessState,
-    /// MemberCounts what it said of itself in this life.
+    /// Revision of its details within the incarnation.
     pub revision: u32,
+    /// Its details.
     pub details: Arc<MemberDetails>,
-    /// The latest word of its room and load, and when it came; 0 if none did.
+    /// The latest load hint.
     pub load_hint: LoadHint,
+    /// When that was received; 0 if none was.
     pub load_hint_received: crate::Nanos,
-    /// When its status here became what it is.
+    /// When its liveness last changed here.
     pub since: crate::Nanos,
-    /// What it adds to digests while it is present; kept, as hashing a thousand entries for each
-    /// comparison took most of it.
+    /// What it adds to digests while it is present; cached, as digests are compared often.
     pub(crate) digest_contribution: u64,
 }
 
 impl MemberEntry {
+    /// Its liveness.
     pub fn liveness(&self) -> Liveness {
         self.liveness_state.liveness
     }
 
-    /// Works out what it adds to digests. Suspicion adds nothing, for it passes.
+    /// Recomputes what it adds to digests. Suspicion adds nothing, since it passes.
     pub(crate) fn update_digest_contribution(&mut self, key: MemberKey) {
         self.digest_contribution = hash(&[
             &key.0.to_le_bytes(),
@@ -349,7 +373,7 @@
         ]);
     }
 
-    /// The news of it without name and details, for those who have them.
+    /// An update without name and details, for nodes that have them.
     pub(crate) fn header_update(&self, key: MemberKey) -> MemberUpdate {
         MemberUpdate {
             key: key.0,
@@ -362,11 +386,11 @@
         }
     }
 
-    /// All that is known of it.
+    /// An update with name and details.
     pub(crate) fn full_update(&self, key: MemberKey) -> MemberUpdate {
         MemberUpdate {
             name: self.name.to_string(),
-            details: self.details.raw().to_vec(),
+            details: self.details.encoded().to_vec(),
             ..self.header_update(key)
         }
     }
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,60 +1,61 @@
-//! The table of members: what was heard of each, in bounds; counts; and digests of ranges of it,
-//! equal on nodes that agree.
+//! The member table: merged updates of each member in bounded memory, counts, and digests of key
+//! ranges that are equal on nodes that agree.
 
 use crate::member::{
     DetailsError, Epoch, Incarnation, Liveness, LivenessState, LoadHint, MemberDetails,
     MemberEntry, MemberKey, NAME_MAX, Phase, is_name,
 };
-use crate::wire::MemberUpdate;
+use crate::messages::MemberUpdate;
 use crate::{Nanos, history::ChangeKind};
-use std::collections::BTreeMap;
-use std::collections::HashMap;
+use std::collections::{BTreeMap, HashMap};
 use std::ops::RangeInclusive;
 use std::sync::{Arc, Mutex};
 
-/// AuthKeys that share their highest byte have their digest kept.
+/// Slices of the key space (by highest byte) whose digests are cached.
 const SLICES: usize = 256;
+/// Bits below the slice number in a key.
 const SLICE_SHIFT: u32 = 56;
-/// Bytes of an entry beside its name and details.
-const ENTRY: usize = 320;
-/// What an entry takes where names, zones and versions are of ordinary length.
-pub const ENTRY_USUAL: usize = 832;
+/// Bytes of an entry without name and details.
+const ENTRY_BYTES: usize = 320;
+/// Typical bytes of an entry with names, zones and versions of ordinary length.
+pub const TYPICAL_ENTRY_BYTES: usize = 832;
 
-/// What came of a piece of news.
+/// Outcome of merging an update.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It was known.
+    /// Nothing new.
     Known,
-    /// More is known here; whoever said it should hear that.
+    /// More recent information is known here; the sender should receive it.
     Older,
-    /// It says something of a member or a revision whose details are not known here.
-    Wanted,
+    /// The update refers to a member or revision whose details are missing here.
+    DetailsWanted,
     /// Its details can't be used.
     DetailsError(DetailsError),
-    /// There is no room.
+    /// No memory is left.
     Full,
-    /// The view has changed.
+    /// The member table has changed.
     Changed(MemberChange),
 }
 
-/// What changed of a member.
+/// A change of a member's entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberChange {
-    /// Its status before; none if it was not known.
+    /// Its liveness before; `None` if it was unknown.
     pub before: Option<Liveness>,
+    /// Its liveness after.
     pub after: Liveness,
-    /// Whether another life took the name.
+    /// Whether another incarnation took over the name.
     pub replaced: bool,
-    /// Where it was reached before, if elsewhere.
+    /// Whether its address changed.
     pub moved: bool,
-    /// Its phase before, if that is another.
+    /// Its former phase, if that changed.
     pub phase: Option<Phase>,
-    /// Whether its digest is another one.
+    /// Whether the table's digest changed.
     pub digest: bool,
 }
 
 impl MemberChange {
-    /// What operators are told of it; nothing where only a revision rose.
+    /// The kind of change shown to operators; `None` where only a revision rose.
     pub fn kind(&self) -> Option<ChangeKind> {
         let was = self.before.map(Liveness::is_present);
         match (was, self.after) {
@@ -84,16 +85,19 @@
     }
 }
 
-/// MemberDetails that several views in one process share; a node keeps its own, simulated fleets keep
-/// each only once.
+/// Details shared by several member tables in one process; used by simulations.
 pub type Interner = Arc<Mutex<HashMap<u64, Arc<MemberDetails>>>>;
 
-/// How many members of a kind there are.
+/// Numbers of members by liveness.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberCounts {
+    /// Alive.
     pub alive: usize,
+    /// Under suspicion.
     pub suspect: usize,
+    /// Declared dead.
     pub dead: usize,
+    /// Left.
     pub left: usize,
 }
 
@@ -107,12 +111,12 @@
         }
     }
 
-    /// Those that count as members.
+    /// Members that are present (alive or suspect).
     pub fn present(&self) -> usize {
         self.alive + self.suspect
     }
 
-    fn all(&self) -> usize {
+    fn total(&self) -> usize {
         self.alive + self.suspect + self.dead + self.left
     }
 }
@@ -121,12 +125,12 @@
 #[derive(Debug)]
 pub struct MemberTable {
     entries: BTreeMap<MemberKey, MemberEntry>,
-    sums: Box<[u64; SLICES]>,
+    cached_digests: Box<[u64; SLICES]>,
     digest: u64,
     counters: MemberCounts,
     zones: BTreeMap<Arc<str>, MemberCounts>,
     bytes: usize,
-    bytes_most: usize,
+    bytes_max: usize,
     interner: Option<Interner>,
 }
 
@@ -135,50 +139,51 @@
 }
 
 impl MemberTable {
-    /// An empty table that may take so many bytes.
-    pub fn new(bytes_most: usize, interner: Option<Interner>) -> MemberTable {
+    /// An empty table that may take `bytes_max` bytes.
+    pub fn new(bytes_max: usize, interner: Option<Interner>) -> MemberTable {
         MemberTable {
             entries: BTreeMap::new(),
-            sums: Box::new([0; SLICES]),
+            cached_digests: Box::new([0; SLICES]),
             digest: 0,
             counters: MemberCounts::default(),
             zones: BTreeMap::new(),
             bytes: 0,
-            bytes_most,
+            bytes_max,
             interner,
         }
     }
 
-    /// The digest of all who are present: equal on nodes that agree on who that is and what each
-    /// said last.
+    /// Digest of all present members: equal on nodes that agree on them and their latest revisions.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    pub fn counters(&self) -> MemberCounts {
+    /// Numbers of members by liveness.
+    pub fn counts(&self) -> MemberCounts {
         self.counters
     }
 
-    /// The counts of one zone.
+    /// Numbers of members of one zone.
     pub fn zone(&self, zone: &str) -> MemberCounts {
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
-    /// All zones that anybody known is in.
+    /// All zones with known members.
     pub fn zones(&self) -> impl Iterator<Item = (&Arc<str>, &MemberCounts)> {
         self.zones.iter()
     }
 
+    /// The entry of a member.
     pub fn get(&self, key: MemberKey) -> Option<&MemberEntry> {
         self.entries.get(&key)
     }
 
-    /// Who is there, by key.
+    /// All entries by key.
     pub fn iter(&self) -> impl Iterator<Item = (MemberKey, &MemberEntry)> {
         self.entries.iter().map(|(key, entry)| (*key, entry))
     }
 
-    /// Those in a range of keys.
+    /// Entries in a range of keys.
     pub fn range(
         &self,
         range: RangeInclusive<u64>,
@@ -188,8 +193,8 @@
             .map(|(key, entry)| (*key, entry))
     }
 
-    /// The number of those who are present in a range of keys, and their digest.
-    pub fn sum(&self, range: RangeInclusive<u64>) -> (usize, u64) {
+    /// Number and digest of the present members in a range of keys.
+    pub fn range_digest(&self, range: RangeInclusive<u64>) -> (usize, u64) {
         let present = self
             .range(range)
             .filter(|(_, entry)| entry.liveness().is_present());
@@ -198,42 +203,42 @@
         })
     }
 
-    /// The digests of `slices` equal slices of all keys, from those that are kept; a power of two,
-    /// 256 at most.
-    pub(crate) fn slices(&self, slices: usize) -> Vec<u64> {
-        self.sums
+    /// Digests of `slices` equal slices of all keys, from the cached ones; `slices` is a power of
+    /// two, 256 at most.
+    pub(crate) fn slice_digests(&self, slices: usize) -> Vec<u64> {
+        self.cached_digests
             .chunks(SLICES / slices)
             .map(|sums| sums.iter().fold(0u64, |a, b| a.wrapping_add(*b)))
             .collect()
     }
 
-    /// Bytes that it takes, roughly.
+    /// Approximate memory in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    fn count(&mut self, key: MemberKey, entry: &MemberEntry, coming: bool) {
-        let size = ENTRY + entry.name.len() + entry.details.bytes();
+    fn account(&mut self, key: MemberKey, entry: &MemberEntry, is_added: bool) {
+        let size = ENTRY_BYTES + entry.name.len() + entry.details.bytes();
         let zone = self
             .zones
             .entry(Arc::clone(&entry.details.zone))
             .or_default();
-        if coming {
+        if is_added {
             *self.counters.of(entry.liveness()) += 1;
             *zone.of(entry.liveness()) += 1;
             self.bytes += size;
         } else {
             *self.counters.of(entry.liveness()) -= 1;
             *zone.of(entry.liveness()) -= 1;
-            if zone.all() == 0 {
+            if zone.total() == 0 {
                 self.zones.remove(&entry.details.zone);
             }
             self.bytes -= size;
         }
         if entry.liveness().is_present() {
             let digest_contribution = entry.digest_contribution;
-            let sum = &mut self.sums[slice(key)];
-            if coming {
+            let sum = &mut self.cached_digests[slice(key)];
+            if is_added {
                 *sum = sum.wrapping_add(digest_contribution);
                 self.digest = self.digest.wrapping_add(digest_contribution);
             } else {
@@ -243,15 +248,15 @@
         }
     }
 
-    /// Changes an entry, with all that is counted of it.
-    fn change(&mut self, key: MemberKey, with: impl FnOnce(&mut MemberEntry)) {
+    /// Modifies an entry, and keeps counts and digests consistent.
+    fn modify(&mut self, key: MemberKey, modification: impl FnOnce(&mut MemberEntry)) {
         let Some(mut entry) = self.entries.remove(&key) else {
             return;
         };
-        self.count(key, &entry, false);
-        with(&mut entry);
+        self.account(key, &entry, false);
+        modification(&mut entry);
         entry.update_digest_contribution(key);
-        self.count(key, &entry, true);
+        self.account(key, &entry, true);
         self.entries.insert(key, entry);
     }
 
@@ -270,7 +275,7 @@
         ))
     }
 
-    /// Takes in what was said of a member, and says what came of it.
+    /// Merges an update.
     pub fn merge(&mut self, now: Nanos, updates: &MemberUpdate) -> MergeOutcome {
         let key = MemberKey(updates.key);
         let Some(liveness) = Liveness::from_number(updates.liveness) else {
@@ -286,14 +291,16 @@
         };
         match self.entries.get(&key) {
             Some(known) if known.epoch > epoch => MergeOutcome::Older,
-            Some(known) if known.epoch == epoch => self.grow(now, key, liveness_state, updates),
+            Some(known) if known.epoch == epoch => {
+                self.merge_same_incarnation(now, key, liveness_state, updates)
+            }
             Some(_) => self.replace(now, key, epoch, liveness_state, updates),
             None => self.insert(now, key, epoch, liveness_state, updates),
         }
     }
 
-    /// Something of the life that is known.
-    fn grow(
+    /// Merges an update of the known incarnation.
+    fn merge_same_incarnation(
         &mut self,
         now: Nanos,
         key: MemberKey,
@@ -301,21 +308,21 @@
         updates: &MemberUpdate,
     ) -> MergeOutcome {
         let Some(known) = self.entries.get(&key) else {
-            return MergeOutcome::Wanted;
+            return MergeOutcome::DetailsWanted;
         };
-        let (stands, revision) = (known.liveness_state, known.revision);
+        let (known_state, revision) = (known.liveness_state, known.revision);
         let newer = updates.revision > revision;
         if newer && updates.details.is_empty() {
-            // The standing may hold already; what it said is still to be asked for.
-            if liveness_state > stands {
-                self.change(key, |entry| entry.liveness_state = liveness_state);
+            // The liveness state may be merged already; the details are still missing.
+            if liveness_state > known_state {
+                self.modify(key, |entry| entry.liveness_state = liveness_state);
             }
-            return MergeOutcome::Wanted;
+            return MergeOutcome::DetailsWanted;
         }
-        if liveness_state == stands && updates.revision == revision {
+        if liveness_state == known_state && updates.revision == revision {
             return MergeOutcome::Known;
         }
-        if liveness_state <= stands && !newer {
+        if liveness_state <= known_state && !newer {
             return MergeOutcome::Older;
         }
         let details = match newer.then(|| self.details(&updates.details)).transpose() {
@@ -323,15 +330,15 @@
             Err(error) => return MergeOutcome::DetailsError(error),
         };
         let mut change = MemberChange {
-            before: Some(stands.liveness),
+            before: Some(known_state.liveness),
             digest: true,
             ..MemberChange::default()
         };
         let digest = self.digest;
-        self.change(key, |entry| {
-            if liveness_state > stands {
+        self.modify(key, |entry| {
+            if liveness_state > known_state {
                 entry.liveness_state = liveness_state;
-                entry.since = if liveness_state.liveness == stands.liveness {
+                entry.since = if liveness_state.liveness == known_state.liveness {
                     entry.since
                 } else {
                     now
@@ -348,7 +355,7 @@
         MergeOutcome::Changed(change)
     }
 
-    /// A later life of a name.
+    /// Replaces an entry by that of a later incarnation.
     fn replace(
         &mut self,
         now: Nanos,
@@ -358,7 +365,7 @@
         updates: &MemberUpdate,
     ) -> MergeOutcome {
         if updates.details.is_empty() {
-            return MergeOutcome::Wanted;
+            return MergeOutcome::DetailsWanted;
         }
         let details = match self.details(&updates.details) {
             Ok(details) => details,
@@ -370,7 +377,7 @@
             replaced: true,
             ..MemberChange::default()
         };
-        self.change(key, |entry| {
+        self.modify(key, |entry| {
             change.before = Some(entry.liveness());
             change.moved = entry.details.address != details.address;
             *entry = MemberEntry {
@@ -388,6 +395,7 @@
         MergeOutcome::Changed(change)
     }
 
+    /// Inserts the entry of an unknown member.
     fn insert(
         &mut self,
         now: Nanos,
@@ -397,10 +405,10 @@
         updates: &MemberUpdate,
     ) -> MergeOutcome {
         if !liveness_state.liveness.is_present() {
-            return MergeOutcome::Known; // who was never known need not be remembered as gone
+            return MergeOutcome::Known; // an unknown member need not be remembered as gone
         }
         if updates.details.is_empty() || updates.name.is_empty() {
-            return MergeOutcome::Wanted;
+            return MergeOutcome::DetailsWanted;
         }
         if !is_name(&updates.name, NAME_MAX) || MemberKey::of(&updates.name) != key {
             return MergeOutcome::DetailsError(DetailsError::BadName);
@@ -409,8 +417,8 @@
             Ok(details) => details,
             Err(error) => return MergeOutcome::DetailsError(error),
         };
-        let size = ENTRY + updates.name.len() + details.bytes();
-        while self.bytes + size > self.bytes_most {
+        let size = ENTRY_BYTES + updates.name.len() + details.bytes();
+        while self.bytes + size > self.bytes_max {
             if !self.forget_one() {
                 return MergeOutcome::Full;
             }
@@ -427,7 +435,7 @@
             digest_contribution: 0,
         };
         entry.update_digest_contribution(key);
-        self.count(key, &entry, true);
+        self.account(key, &entry, true);
         self.entries.insert(key, entry);
         MergeOutcome::Changed(MemberChange {
             after: liveness_state.liveness,
@@ -436,14 +444,14 @@
         })
     }
 
-    /// Suspects or buries a member at the bump that is known; true if that changed anything.
-    pub fn set(&mut self, now: Nanos, key: MemberKey, liveness: Liveness) -> Option<MemberChange> {
+    /// Marks a member suspect or dead at its known refutation number; `None` if that changes nothing.
+    pub fn mark(&mut self, now: Nanos, key: MemberKey, liveness: Liveness) -> Option<MemberChange> {
         let known = self.entries.get(&key)?;
         if known.liveness_state.liveness >= liveness {
             return None;
         }
         let (before, digest) = (known.liveness(), self.digest);
-        self.change(key, |entry| {
+        self.modify(key, |entry| {
             entry.liveness_state.liveness = liveness;
             entry.since = now;
         });
@@ -455,8 +463,9 @@
         })
     }
 
-    /// Takes a word of room and load; true if it is newer than what was known.
-    pub(crate) fn load_hint(
+    /// Merges a load hint; returns the member if the hint is newer than the known one. `tag` is the
+    /// upper half of its key.
+    pub(crate) fn merge_load_hint(
         &mut self,
         now: Nanos,
         tag: u32,
@@ -475,8 +484,8 @@
         })
     }
 
-    /// Forgets those who have been gone for so long.
-    pub fn forget(&mut self, now: Nanos, after: Nanos) -> usize {
+    /// Forgets members that have been gone for at least `after`; returns how many.
+    pub fn forget_gone(&mut self, now: Nanos, after: Nanos) -> usize {
         let gone = self
             .iter()
             .filter(|(_, e)| !e.liveness().is_present() && now - e.since.min(now) >= after);
@@ -485,13 +494,13 @@
         gone.len()
     }
 
-    /// Forgets one who is gone, to make room: one who left, else the longest dead of the zone with
-    /// the most dead, so that somebody is remembered of each zone that was lost.
+    /// Forgets one member that is gone, to free memory: one that left, else the one that is dead for
+    /// longest in the zone with the most dead, so that some of each lost zone are remembered.
     fn forget_one(&mut self) -> bool {
         let gone = self
             .iter()
             .filter(|(_, entry)| !entry.liveness().is_present());
-        let crowd = |entry: &MemberEntry| {
+        let dead_in_zone = |entry: &MemberEntry| {
             self.zones
                 .get(&entry.details.zone)
                 .map_or(0, |zone| zone.dead)
@@ -499,7 +508,7 @@
         let first = gone.min_by_key(|(_, e)| {
             (
                 e.liveness() != Liveness::Left,
-                std::cmp::Reverse(crowd(e)),
+                std::cmp::Reverse(dead_in_zone(e)),
                 e.since,
             )
         });
@@ -510,7 +519,7 @@
         true
     }
 
-    /// Forgets everybody but one.
+    /// Forgets all members but one.
     pub(crate) fn forget_all_but(&mut self, own: MemberKey) {
         let others: Vec<MemberKey> = self
             .entries
@@ -523,7 +532,7 @@
 
     pub(crate) fn remove(&mut self, key: MemberKey) {
         if let Some(entry) = self.entries.remove(&key) {
-            self.count(key, &entry, false);
+            self.account(key, &entry, false);
         }
     }
 }
--- a/crates/membership/src/member_table/tests.rs
+++ b/crates/membership/src/member_table/tests.rs
@@ -27,7 +27,7 @@
         liveness: liveness.number(),
         revision,
         name: name.into(),
-        details: details.raw().to_vec(),
+        details: details.encoded().to_vec(),
         suspected_by: 0,
     }
 }
@@ -82,16 +82,16 @@
                     assert!(before <= version, "seed {seed}: a version went back");
                 }
             }
-            let (n, sum) = member_table.sum(0..=u64::MAX);
+            let (n, sum) = member_table.range_digest(0..=u64::MAX);
             assert_eq!(
                 (n, sum),
-                (member_table.counters().present(), member_table.digest()),
+                (member_table.counts().present(), member_table.digest()),
                 "seed {seed}"
             );
             views.push((
                 held(&member_table),
                 member_table.digest(),
-                member_table.slices(8),
+                member_table.slice_digests(8),
             ));
         }
         assert!(
@@ -157,7 +157,7 @@
     };
     assert_eq!(
         member_table.merge(0, &header_update(1, 0, 0)),
-        MergeOutcome::Wanted
+        MergeOutcome::DetailsWanted
     );
     let _ = member_table.merge(0, &updates("n", 1, 0, Liveness::Alive, 0));
     assert!(matches!(
@@ -166,11 +166,11 @@
     ));
     assert_eq!(
         member_table.merge(0, &header_update(1, 1, 1)),
-        MergeOutcome::Wanted
+        MergeOutcome::DetailsWanted
     );
     assert_eq!(
         member_table.merge(0, &header_update(2, 0, 0)),
-        MergeOutcome::Wanted
+        MergeOutcome::DetailsWanted
     );
     assert_eq!(
         member_table.merge(0, &header_update(1, 0, 0)),
@@ -190,7 +190,7 @@
 /// do.
 #[test]
 fn a_full_view_forgets_the_gone_and_nobody_else() {
-    let mut member_table = MemberTable::new(10 * ENTRY_USUAL, None);
+    let mut member_table = MemberTable::new(10 * TYPICAL_ENTRY_BYTES, None);
     let mut names = 0;
     while member_table.merge(
         0,
@@ -200,11 +200,11 @@
         names += 1;
     }
     assert!(
-        names >= 10 && member_table.bytes() <= 10 * ENTRY_USUAL,
+        names >= 10 && member_table.bytes() <= 10 * TYPICAL_ENTRY_BYTES,
         "{names}"
     );
     for n in 0..3 {
-        member_table.set(n, MemberKey::of(&format!("n{n:03}")), Liveness::Dead);
+        member_table.mark(n, MemberKey::of(&format!("n{n:03}")), Liveness::Dead);
     }
     let more = |member_table: &mut MemberTable, n: usize| {
         member_table.merge(9, &updates(&format!("m{n:03}"), 1, 0, Liveness::Alive, 0))
@@ -217,7 +217,7 @@
     }
     assert_eq!(more(&mut member_table, 3), MergeOutcome::Full);
     assert_eq!(
-        member_table.counters(),
+        member_table.counts(),
         MemberCounts {
             alive: names,
             ..MemberCounts::default()
@@ -234,10 +234,13 @@
         ("n3", Liveness::Suspect),
     ] {
         let _ = member_table.merge(0, &updates(name, 1, 0, Liveness::Alive, 0));
-        member_table.set(5, MemberKey::of(name), liveness);
+        member_table.mark(5, MemberKey::of(name), liveness);
     }
     assert_eq!(
-        (member_table.forget(9, 5), member_table.forget(10, 5)),
+        (
+            member_table.forget_gone(9, 5),
+            member_table.forget_gone(10, 5)
+        ),
         (0, 2)
     );
     assert_eq!(member_table.iter().count(), 1);
--- a/crates/membership/src/observer.rs
+++ b/crates/membership/src/observer.rs
@@ -1,76 +1,89 @@
-//! One who is no member and asks a node what it holds, by the keyed datagrams that members use. No
-//! I/O: it says what to send, and is fed what comes.
+//! An observer: a tool that is no member and requests a node's status over the authenticated
+//! datagrams. No I/O: it returns what to send and is fed what arrives.
 
 use crate::Nanos;
-use crate::datagram_auth::{AuthKeys, DatagramAuth, DropReason, observer};
+use crate::datagram_auth::{AuthKeys, DatagramAuth, DropReason, observer_incarnation};
 use crate::member::{Liveness, MemberDetails, MemberKey, Phase};
-use crate::wire::{Datagram, NodeReport, kind};
+use crate::messages::{Datagram, NodeReport, kind};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What a node holds of a member.
+/// A member as a node knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberSnapshot {
+    /// Its name.
     pub name: String,
+    /// Its liveness.
     pub liveness: Liveness,
+    /// Its address.
     pub address: SocketAddr,
+    /// Its zone; may be empty.
     pub zone: String,
+    /// Its phase.
     pub phase: Phase,
+    /// Version of its program.
     pub program: String,
+    /// Number and hash of its settings.
     pub settings: (u64, u64),
+    /// Start time in Unix milliseconds.
     pub started_unix_ms: u64,
+    /// Its process.
     pub incarnation: u64,
+    /// Its refutation number.
     pub refutation: u32,
+    /// Revision of its details.
     pub revision: u32,
-    /// Room and load, where a word of them came.
+    /// Free capacity and load, of 255, where known.
     pub load_hint: Option<(u8, u8)>,
 }
 
-/// What a node holds.
+/// A node's status: its own report and its member table.
 #[derive(Clone, Debug, Default)]
 pub struct NodeSnapshot {
-    /// How it stands itself.
+    /// The node's report of itself.
     pub report: NodeReport,
+    /// Digest of its member table.
     pub digest: u64,
+    /// Its member table.
     pub members: BTreeMap<MemberKey, MemberSnapshot>,
 }
 
-/// Asks one node for all that it holds, page by page.
+/// Requests the status of one node, page by page.
 pub struct Observer {
-    seal: DatagramAuth,
+    datagram_auth: DatagramAuth,
     number: u32,
     cursor: u64,
-    holding: NodeSnapshot,
-    /// What another package holds is asked for, and what has come of it.
+    snapshot: NodeSnapshot,
+    /// The package whose status is requested (0: membership itself), and its pages so far.
     topic: u32,
     bytes: Vec<u8>,
 }
 
-/// The most bytes of what another package holds.
-const BYTES_MAX: usize = 64 << 10;
+/// Bytes of another package's status at most.
+const STATUS_BYTES_MAX: usize = 64 << 10;
 
 impl Observer {
-    /// For a node of this fleet. Its life is drawn from the seed.
-    pub fn new(fleet: &str, keys: AuthKeys, seed: u64, skew: Nanos) -> Observer {
+    /// An observer of a cluster; its incarnation is derived from the seed.
+    pub fn new(cluster: &str, keys: AuthKeys, seed: u64, skew: Nanos) -> Observer {
         Observer {
-            seal: DatagramAuth::new(fleet, keys, observer(seed), skew, 64),
+            datagram_auth: DatagramAuth::new(cluster, keys, observer_incarnation(seed), skew, 64),
             number: 0,
             cursor: 0,
-            holding: NodeSnapshot::default(),
+            snapshot: NodeSnapshot::default(),
             topic: 0,
             bytes: Vec::new(),
         }
     }
 
-    /// Asks for what another package holds from now on, in place of the view.
-    pub fn about(mut self, topic: u32) -> Observer {
+    /// Requests the status of another package in place of the member table.
+    pub fn for_topic(mut self, topic: u32) -> Observer {
         self.topic = topic;
         self
     }
 
-    /// The question to send: the next page, or the same one again.
-    pub fn question(&mut self, unix_ms: u64) -> Vec<u8> {
+    /// The datagram that requests the next page, or the same page again.
+    pub fn request(&mut self, unix_ms: u64) -> Vec<u8> {
         self.number += 1;
         let (number, cursor, topic) = (self.number, self.cursor, self.topic);
         let datagram = Datagram {
@@ -80,15 +93,15 @@
             topic,
             ..Datagram::default()
         };
-        self.seal.seal(unix_ms, &datagram.encode_to_vec())
+        self.datagram_auth.seal(unix_ms, &datagram.encode_to_vec())
     }
 
-    /// An order to another package, to send; or the same one again.
-    pub fn order(&mut self, unix_ms: u64, topic: u32, order: &[u8]) -> Vec<u8> {
+    /// The datagram that carries an operator's command to another package.
+    pub fn command(&mut self, unix_ms: u64, topic: u32, command: &[u8]) -> Vec<u8> {
         self.number += 1;
         self.topic = topic;
-        let (kind, number, payload) = (kind::ORDER, self.number, order.to_vec());
-        self.seal.seal(
+        let (kind, number, payload) = (kind::COMMAND, self.number, command.to_vec());
+        self.datagram_auth.seal(
             unix_ms,
             &Datagram {
                 kind,
@@ -101,31 +114,36 @@
         )
     }
 
-    /// A datagram came; gives what became of the last order, if that is it.
-    pub fn answer_order(
+    /// Handles a received datagram; returns the reply to the last command if this is it.
+    ///
+    /// # Errors
+    /// The reason to drop it.
+    pub fn command_reply(
         &mut self,
         now: Nanos,
         unix_ms: u64,
         frame: &[u8],
     ) -> Result<Option<Vec<u8>>, DropReason> {
-        let (_, message) = self.seal.open(now, unix_ms, frame)?;
+        let (_, message) = self.datagram_auth.open(now, unix_ms, frame)?;
         let answer = Datagram::decode(message).map_err(|_| DropReason::Unreadable)?;
-        let is_it = answer.kind == kind::ORDERED
+        let is_reply = answer.kind == kind::COMMAND_REPLY
             && answer.number == self.number
             && answer.topic == self.topic;
-        Ok(is_it.then_some(answer.payload))
+        Ok(is_reply.then_some(answer.payload))
     }
 
-    /// A datagram came; gives all that another package holds once the last page is there, and
-    /// whether this was the page that was asked for. Nodes that know nothing of such pages answer
-    /// with their view, which is none.
-    pub fn page(
+    /// Handles a received datagram; returns whether it was the requested page of another package's
+    /// status, and the whole status after the last page.
+    ///
+    /// # Errors
+    /// The reason to drop it.
+    pub fn on_status_page(
         &mut self,
         now: Nanos,
         unix_ms: u64,
         frame: &[u8],
     ) -> Result<(bool, Option<Vec<u8>>), DropReason> {
-        let (_, message) = self.seal.open(now, unix_ms, frame)?;
+        let (_, message) = self.datagram_auth.open(now, unix_ms, frame)?;
         let page = Datagram::decode(message).map_err(|_| DropReason::Unreadable)?;
         if page.kind != kind::PAGE || page.number != self.number || page.topic != self.topic {
             return Ok((false, None));
@@ -135,27 +153,30 @@
         }
         self.bytes.extend_from_slice(&page.payload);
         self.cursor = page.cursor;
-        let done = self.cursor == 0 || self.bytes.len() > BYTES_MAX;
+        let done = self.cursor == 0 || self.bytes.len() > STATUS_BYTES_MAX;
         Ok((true, done.then(|| std::mem::take(&mut self.bytes))))
     }
 
-    /// A datagram came; gives all that the node holds once the last page is there, and whether this
-    /// was the page that was asked for.
-    pub fn datagram(
+    /// Handles a received datagram; returns whether it was the requested page of the member table,
+    /// and the whole snapshot after the last page.
+    ///
+    /// # Errors
+    /// The reason to drop it.
+    pub fn on_datagram(
         &mut self,
         now: Nanos,
         unix_ms: u64,
         frame: &[u8],
     ) -> Result<(bool, Option<NodeSnapshot>), DropReason> {
-        let (_, message) = self.seal.open(now, unix_ms, frame)?;
+        let (_, message) = self.datagram_auth.open(now, unix_ms, frame)?;
         let page = Datagram::decode(message).map_err(|_| DropReason::Unreadable)?;
         if page.kind != kind::PAGE || page.number != self.number {
             return Ok((false, None));
         }
         if let Some(report) = page.report {
-            self.holding.report = report;
+            self.snapshot.report = report;
         }
-        self.holding.digest = page.digest;
+        self.snapshot.digest = page.digest;
         for (at, updates) in page.updates.iter().enumerate() {
             let Ok(details) = MemberDetails::read(&updates.details) else {
                 continue;
@@ -166,7 +187,7 @@
                 .0
                 .get(at)
                 .filter(|p| p[4..6] != [0, 0]);
-            let shown = MemberSnapshot {
+            let member = MemberSnapshot {
                 name: updates.name.clone(),
                 liveness: Liveness::from_number(updates.liveness).unwrap_or_default(),
                 address: details.address,
@@ -180,10 +201,10 @@
                 revision: updates.revision,
                 load_hint: load_hint.map(|p| (p[6], p[7])),
             };
-            self.holding.members.insert(MemberKey(updates.key), shown);
+            self.snapshot.members.insert(MemberKey(updates.key), member);
         }
         self.cursor = page.cursor;
         let done = self.cursor == 0;
-        Ok((true, done.then(|| std::mem::take(&mut self.holding))))
+        Ok((true, done.then(|| std::mem::take(&mut self.snapshot))))
     }
 }
--- a/crates/membership/src/probe_order/tests.rs
+++ b/crates/membership/src/probe_order/tests.rs
@@ -10,7 +10,7 @@
     (1..=50).for_each(|n| round.insert(&mut rng, MemberKey(n)));
     round.insert(&mut rng, MemberKey(7)); // came again
     let mut orders = Vec::new();
-    while round.at < round.order.len() {
+    while round.next_index < round.order.len() {
         round.next(&mut rng, |_| true);
     }
     for _ in 0..3 {
@@ -36,7 +36,7 @@
     (1..=100).for_each(|n| round.insert(&mut rng, MemberKey(n)));
     let mut all = BTreeSet::new();
     for _ in 0..500 {
-        let some = round.some(&mut rng, 3, |key| key.0 > 50);
+        let some = round.sample(&mut rng, 3, |key| key.0 > 50);
         assert!(some.iter().all(|key| key.0 > 50) && some.len() <= 3);
         assert_eq!(some.iter().collect::<BTreeSet<_>>().len(), some.len());
         all.extend(some);
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -287,7 +287,7 @@
             timing: self.config.timing,
             program: "0.1.0".into(),
             settings: (1, 1),
-            bytes: 2 * self.config.members * crate::member_table::ENTRY_USUAL + (1 << 16),
+            bytes: 2 * self.config.members * crate::member_table::TYPICAL_ENTRY_BYTES + (1 << 16),
             features: self.config.features,
         }
     }
@@ -565,13 +565,13 @@
                 .map(|entry| entry.liveness());
             liveness.is_some_and(Liveness::is_present) == node.membership.is_some()
         };
-        membership.member_table().counters().present() == up && self.nodes.iter().all(there)
+        membership.member_table().counts().present() == up && self.nodes.iter().all(there)
     }
 
     /// Whether no member is suspected by any.
     pub fn is_calm(&self) -> bool {
         self.up()
-            .all(|(_, membership)| membership.member_table().counters().suspect == 0)
+            .all(|(_, membership)| membership.member_table().counts().suspect == 0)
     }
 
     /// Mean bytes and datagrams sent by each member since the last call.
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,142 +1,152 @@
-//! How long a suspect has to say that it is there: long while few suspect it, shorter with each
-//! that confirms. Nobody is buried without a last call: who suspects asks the suspect itself once
-//! more, and tells it what it is held for. Without that, a suspicion from within a partition
-//! outlived the partition: its news was spent before it could reach the suspect (60 members cut for
-//! 6 s, one of 16 seeds: a member buried 13 s after the heal).
+//! Suspicion timeouts, after Lifeguard: long while few members suspect, shorter with each that
+//! confirms.
+//!
+//! No member is declared dead without a last call: whoever suspects it probes it once more and tells
+//! it of the suspicion. Otherwise a suspicion from within a partition can outlive the partition.
 
 use crate::Nanos;
 use crate::member::MemberKey;
 use std::collections::BTreeMap;
 
-/// Others whose word shortens the wait.
-pub const CONFIRMED: usize = 3;
+/// Confirmations by others that shorten the timeout to its minimum.
+pub const CONFIRMATIONS_MAX: usize = 3;
 
-/// How often a last call goes out, in case it is lost on its way.
-const CALLS: u32 = 3;
+/// Transmissions of the last call, in case some are lost.
+const LAST_CALLS: u32 = 3;
 
-/// One suspicion.
+/// One suspected member.
 #[derive(Clone, Debug)]
 struct Suspicion {
     since: Nanos,
     suspected_by: Vec<MemberKey>,
-    least: Nanos,
-    most: Nanos,
-    /// When the last call went out first, and how often it did.
-    called: Option<Nanos>,
+    timeout_min: Nanos,
+    timeout_max: Nanos,
+    /// When the last call was first sent.
+    first_call: Option<Nanos>,
     calls: u32,
 }
 
 impl Suspicion {
-    /// When its time is over but for the last call.
-    fn over(&self) -> Nanos {
+    /// When the timeout ends, last call aside.
+    fn timeout_end(&self) -> Nanos {
         let confirm_suspicion = self.suspected_by.len().saturating_sub(1);
         if confirm_suspicion == 0 {
-            return self.since + self.most;
+            return self.since + self.timeout_max;
         }
-        let part = ((confirm_suspicion + 1) as f64).ln() / ((CONFIRMED + 1) as f64).ln();
-        let wait = self.most as f64 - part.min(1.0) * (self.most - self.least) as f64;
-        self.since + (wait as Nanos).max(self.least)
+        let shrink = ((confirm_suspicion + 1) as f64).ln() / ((CONFIRMATIONS_MAX + 1) as f64).ln();
+        let timeout = self.timeout_max as f64
+            - shrink.min(1.0) * (self.timeout_max - self.timeout_min) as f64;
+        self.since + (timeout as Nanos).max(self.timeout_min)
     }
 
-    /// When something is to be done: the last call, or the end.
+    /// When the next action is due: a last call, or the end.
     fn due(&self, lead: Nanos) -> Nanos {
-        match self.called {
-            None => self.over().saturating_sub(lead),
-            Some(called) if self.calls < CALLS => {
-                called + lead / Nanos::from(CALLS) * Nanos::from(self.calls)
+        match self.first_call {
+            None => self.timeout_end().saturating_sub(lead),
+            Some(first_call) if self.calls < LAST_CALLS => {
+                first_call + lead / Nanos::from(LAST_CALLS) * Nanos::from(self.calls)
             }
-            Some(called) => self.over().max(called + lead),
+            Some(first_call) => self.timeout_end().max(first_call + lead),
         }
     }
 }
 
-/// What is due.
+/// Suspicions on which to act.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct DueSuspicions {
-    /// Suspects to be asked a last time.
-    pub calls: Vec<MemberKey>,
-    /// Suspects whose time is over.
-    pub over: Vec<MemberKey>,
+    /// Suspects to send a last call.
+    pub last_calls: Vec<MemberKey>,
+    /// Suspects to declare dead.
+    pub expired: Vec<MemberKey>,
 }
 
-/// All that is suspected here.
+/// All suspicions of this node.
 #[derive(Debug, Default)]
 pub struct Suspicions {
-    all: BTreeMap<MemberKey, Suspicion>,
+    by_member: BTreeMap<MemberKey, Suspicion>,
 }
 
 impl Suspicions {
-    /// Somebody suspects a member; true if that is new here. The wait lies between these two.
+    /// Records that a member is suspected, and by whom; true if that is new here. The timeout lies
+    /// between the given bounds.
     pub fn suspect(
         &mut self,
         now: Nanos,
         key: MemberKey,
         suspected_by: MemberKey,
-        (least, most): (Nanos, Nanos),
+        (timeout_min, timeout_max): (Nanos, Nanos),
     ) -> bool {
         let fresh = || Suspicion {
             since: now,
             suspected_by: Vec::new(),
-            least,
-            most: most.max(least),
-            called: None,
+            timeout_min,
+            timeout_max: timeout_max.max(timeout_min),
+            first_call: None,
             calls: 0,
         };
-        let suspicion = self.all.entry(key).or_insert_with(fresh);
+        let suspicion = self.by_member.entry(key).or_insert_with(fresh);
         let is_new = !suspicion.suspected_by.contains(&suspected_by)
-            && suspicion.suspected_by.len() <= CONFIRMED;
+            && suspicion.suspected_by.len() <= CONFIRMATIONS_MAX;
         if is_new {
             suspicion.suspected_by.push(suspected_by);
         }
         is_new
     }
 
-    /// Who suspected it last.
+    /// The latest member to suspect it.
     pub fn latest(&self, key: MemberKey) -> Option<MemberKey> {
-        self.all.get(&key)?.suspected_by.last().copied()
+        self.by_member.get(&key)?.suspected_by.last().copied()
     }
 
-    /// It is cleared, or buried.
+    /// Ends a suspicion: refuted, or declared dead.
     pub fn clear(&mut self, key: MemberKey) {
-        self.all.remove(&key);
+        self.by_member.remove(&key);
     }
 
+    /// Ends all suspicions.
     pub fn clear_all(&mut self) {
-        self.all.clear();
+        self.by_member.clear();
     }
 
-    /// The node stood still for so long: what it did not hear meanwhile speaks against nobody.
-    pub fn put_off(&mut self, time: Nanos) {
-        for suspicion in self.all.values_mut() {
+    /// Postpones all timeouts: this process stood still, which speaks against nobody.
+    pub fn postpone(&mut self, time: Nanos) {
+        for suspicion in self.by_member.values_mut() {
             suspicion.since += time;
-            (suspicion.called, suspicion.calls) = (None, 0);
+            (suspicion.first_call, suspicion.calls) = (None, 0);
         }
     }
 
-    /// When the next one is due, if a last call has this long for its answer.
+    /// When the next action is due; `lead` is the time for a reply to a last call.
     pub fn next(&self, lead: Nanos) -> Option<Nanos> {
-        self.all.values().map(|suspicion| suspicion.due(lead)).min()
+        self.by_member
+            .values()
+            .map(|suspicion| suspicion.due(lead))
+            .min()
     }
 
-    /// What is due.
+    /// Takes the suspicions on which to act now.
     pub fn due(&mut self, now: Nanos, lead: Nanos) -> DueSuspicions {
         let mut due = DueSuspicions::default();
-        for (key, suspicion) in self.all.iter_mut().filter(|(_, s)| s.due(lead) <= now) {
-            if suspicion.calls < CALLS {
-                suspicion.called.get_or_insert(now);
+        for (key, suspicion) in self
+            .by_member
+            .iter_mut()
+            .filter(|(_, s)| s.due(lead) <= now)
+        {
+            if suspicion.calls < LAST_CALLS {
+                suspicion.first_call.get_or_insert(now);
                 suspicion.calls += 1;
-                due.calls.push(*key);
+                due.last_calls.push(*key);
             } else {
-                due.over.push(*key);
+                due.expired.push(*key);
             }
         }
-        due.over.iter().for_each(|key| self.clear(*key));
+        due.expired.iter().for_each(|key| self.clear(*key));
         due
     }
 
     #[cfg(test)]
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.by_member.len()
     }
 }
 
--- a/crates/membership/src/suspicion/tests.rs
+++ b/crates/membership/src/suspicion/tests.rs
@@ -25,8 +25,8 @@
         (Some(800), DueSuspicions::default())
     );
     let call = || DueSuspicions {
-        calls: vec![MemberKey(7)],
-        over: vec![],
+        last_calls: vec![MemberKey(7)],
+        expired: vec![],
     };
     assert_eq!(
         (all.due(850, 300), all.due(949, 300)),
@@ -37,7 +37,7 @@
         (all.next(300), all.due(1149, 300)),
         (Some(1150), DueSuspicions::default())
     );
-    all.put_off(500); // heard nothing meanwhile: called again
+    all.postpone(500); // heard nothing meanwhile: called again
     assert_eq!(
         (all.due(1300, 300), all.due(1400, 300), all.due(1500, 300)),
         (call(), call(), call())
@@ -45,8 +45,8 @@
     assert_eq!(
         all.due(1600, 300),
         DueSuspicions {
-            calls: vec![],
-            over: vec![MemberKey(7)]
+            last_calls: vec![],
+            expired: vec![MemberKey(7)]
         }
     );
     assert_eq!(all.len(), 0);
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -9,7 +9,7 @@
 use crate::anti_entropy::{self, RangeExchange};
 use crate::cluster_size::{ClusterSizeEstimator, ClusterView};
 use crate::config::{ClockReading, Config, Timing};
-use crate::datagram_auth::{AuthKeys, DatagramAuth, DropReason, MESSAGE_MAX, ReceiveLimiter};
+use crate::datagram_auth::{AuthKeys, DatagramAuth, DropReason, MESSAGE_MAX};
 use crate::dissemination_queue::DisseminationQueue;
 use crate::history::{ChangeEvent, ChangeKind, History};
 use crate::host::Host;
@@ -18,11 +18,12 @@
     Attachment, DetailsError, Epoch, Incarnation, Liveness, LivenessState, LoadHint, MemberDetails,
     MemberKey, Phase, refutes,
 };
-use crate::member_table::{ENTRY_USUAL, Interner, MemberChange, MemberTable, MergeOutcome};
+use crate::member_table::{Interner, MemberChange, MemberTable, MergeOutcome, TYPICAL_ENTRY_BYTES};
 use crate::probe_order::ProbeOrder;
+use crate::receive_limiter::ReceiveLimiter;
 use crate::suspicion::Suspicions;
 use crate::token_bucket::TokenBucket;
-use crate::wire::{self, Datagram, MemberUpdate, NodeReport, kind};
+use crate::messages::{self, Datagram, MemberUpdate, NodeReport, kind};
 use crate::{MILLISECOND, Nanos, SECOND};
 use prost::Message;
 use rand::seq::SliceRandom;
@@ -72,8 +73,8 @@
     member_table: MemberTable,
     dissemination_queue: DisseminationQueue,
     suspicions: Suspicions,
-    health: LocalHealth,
-    round: ProbeOrder,
+    local_health: LocalHealth,
+    probe_order: ProbeOrder,
     outstanding_probe: Option<OutstandingProbe>,
     relayed_probes: BTreeMap<u32, RelayedProbe>,
     datagram_auth: DatagramAuth,
@@ -130,7 +131,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let own_key = MemberKey::of(&config.name);
         let incarnation = Incarnation(rng.random::<u64>() >> 1 | 1);
-        let most = config.bytes / ENTRY_USUAL + 16;
+        let most = config.bytes / TYPICAL_ENTRY_BYTES + 16;
         let datagram_auth = DatagramAuth::new(
             &config.fleet,
             config.keys.clone(),
@@ -168,8 +169,8 @@
             member_table: MemberTable::new(bytes, interner),
             dissemination_queue: DisseminationQueue::default(),
             suspicions: Suspicions::default(),
-            health: LocalHealth::default(),
-            round: ProbeOrder::default(),
+            local_health: LocalHealth::default(),
+            probe_order: ProbeOrder::default(),
             outstanding_probe: None,
             relayed_probes: BTreeMap::new(),
             datagram_auth,
--- a/crates/membership/src/swim/comparison.rs
+++ b/crates/membership/src/swim/comparison.rs
@@ -58,7 +58,7 @@
         let from = self.from();
         for summary in datagram.summaries.iter().take(SUMMARIES_PER_DATAGRAM) {
             let first = self.rng.random_range(0..64);
-            let finer = anti_entropy::finer(&self.member_table, summary, first);
+            let finer = anti_entropy::reply_to_summary(&self.member_table, summary, first);
             let mut summaries = finer.summaries.into_iter().peekable();
             while summaries.peek().is_some() && self.comparison_budget.is_open(at.now) {
                 let mut builder = DatagramBuilder::new(Datagram {
@@ -81,7 +81,7 @@
     }
 
     /// Sends the headers of all members in the given ranges.
-    fn send_headers(&mut self, at: ClockReading, to: SocketAddr, covered: Vec<wire::Range>) {
+    fn send_headers(&mut self, at: ClockReading, to: SocketAddr, covered: Vec<messages::Range>) {
         let from = self.from();
         let mut covered = covered
             .into_iter()
--- a/crates/membership/src/swim/datagram_builder.rs
+++ b/crates/membership/src/swim/datagram_builder.rs
@@ -2,7 +2,7 @@
 
 use super::sending::{LOAD_HINT_BYTES, LOAD_HINTS_PER_DATAGRAM};
 use crate::datagram_auth::MESSAGE_MAX;
-use crate::wire::{Datagram, MemberUpdate};
+use crate::messages::{Datagram, MemberUpdate};
 use prost::Message;
 
 /// Encoded bytes of a length-delimited field with content of the given size.
--- a/crates/membership/src/swim/dissemination.rs
+++ b/crates/membership/src/swim/dissemination.rs
@@ -28,7 +28,7 @@
                     .get(key)
                     .is_some_and(|e| e.liveness().is_present())
         };
-        self.round.some(&mut self.rng, most, there)
+        self.probe_order.sample(&mut self.rng, most, there)
     }
 
     /// Some other present members, by chance.
@@ -60,7 +60,7 @@
         if !self.config.features.probe_dead
             || self.is_mute()
             || self.leaving
-            || self.member_table.counters().dead == 0
+            || self.member_table.counts().dead == 0
         {
             return;
         }
@@ -116,7 +116,7 @@
     /// Contacts seeds: often while the node knows nobody, else now and then those where no member
     /// is known.
     pub(super) fn contact_seeds(&mut self, at: ClockReading) {
-        let alone = self.member_table.counters().present() <= 1;
+        let alone = self.member_table.counts().present() <= 1;
         self.timers.contact_seeds = at.now
             + if alone {
                 SEED_INTERVAL_ALONE
--- a/crates/membership/src/swim/member_updates.rs
+++ b/crates/membership/src/swim/member_updates.rs
@@ -26,7 +26,7 @@
             && change.after.is_present()
             && key != self.own_key
         {
-            self.round.insert(&mut self.rng, key);
+            self.probe_order.insert(&mut self.rng, key);
         }
         if change.after != Liveness::Suspect {
             self.suspicions.clear(key);
@@ -65,8 +65,10 @@
         match self.member_table.merge(at.now, updates) {
             MergeOutcome::Known => self.confirm_suspicion(at, sender, updates),
             MergeOutcome::Older => back.header_update.push(key),
-            MergeOutcome::Wanted if back.wants.len() < WANTS_PER_DATAGRAM => back.wants.push(key),
-            MergeOutcome::Wanted => {}
+            MergeOutcome::DetailsWanted if back.wants.len() < WANTS_PER_DATAGRAM => {
+                back.wants.push(key)
+            }
+            MergeOutcome::DetailsWanted => {}
             MergeOutcome::DetailsError(error) => self.count(details_error_counter(error), 1),
             MergeOutcome::Full => self.count("members for whom there is no room", 1),
             MergeOutcome::Changed(change) => {
@@ -134,7 +136,7 @@
                 _ if self.is_mute() => {}
                 Some(refutation) => {
                     if self.config.features.health && liveness == Liveness::Suspect {
-                        self.health.suspected();
+                        self.local_health.suspected();
                     }
                     if refutation == u32::MAX {
                         return self.reclaim_name(
--- a/crates/membership/src/swim/observation.rs
+++ b/crates/membership/src/swim/observation.rs
@@ -70,14 +70,14 @@
             at.now,
             &self.member_table,
             &zone,
-            self.health.doubt(),
+            self.local_health.doubt(),
             self.is_mute(),
         );
         match (self.cluster_view.unsure_since, cluster_view.unsure_since) {
             (None, Some(_)) => {
                 let more = format!(
                     "{} of {} are there without a doubt, {} suspect",
-                    cluster_view.fleet.low, self.cluster_view.fleet.size, cluster_view.suspects
+                    cluster_view.cluster.low, self.cluster_view.cluster.size, cluster_view.suspects
                 );
                 self.record_change(at, ChangeKind::Unsure, self.own_key, more);
             }
@@ -85,7 +85,7 @@
                 let more = format!(
                     "after {} s, {} are there",
                     (at.now - since.min(at.now)) / SECOND,
-                    cluster_view.fleet.low
+                    cluster_view.cluster.low
                 );
                 self.record_change(at, ChangeKind::Sure, self.own_key, more);
             }
@@ -95,10 +95,10 @@
             self.cluster_view = cluster_view;
             self.host.cluster_view_changed(&self.cluster_view);
         }
-        if let Some(line) = self.history.rest(at.now) {
+        if let Some(line) = self.history.suppressed_line(at.now) {
             self.host.log("more", &line);
         }
-        let company = self.member_table.counters().present() > 1;
+        let company = self.member_table.counts().present() > 1;
         match self.alone_since {
             Some(_) if company => {
                 if std::mem::take(&mut self.alone_reported) {
@@ -138,7 +138,7 @@
             let Some((page, next)) = self.host.status_page(datagram.topic, datagram.cursor) else {
                 return;
             };
-            if page.len() > wire::PAYLOAD_MAX {
+            if page.len() > messages::PAYLOAD_MAX {
                 return self.count("pages that are too large", 1);
             }
             (
@@ -193,10 +193,10 @@
         topic: u32,
         answer: &[u8],
     ) {
-        if answer.len() > wire::PAYLOAD_MAX {
+        if answer.len() > messages::PAYLOAD_MAX {
             return self.count("answers to orders that are too large", 1);
         }
-        let (from, kind, payload) = (self.from(), kind::ORDERED, answer.to_vec());
+        let (from, kind, payload) = (self.from(), kind::COMMAND_REPLY, answer.to_vec());
         self.send(
             at,
             to,
@@ -212,13 +212,13 @@
     }
 
     fn node_report(&self, at: ClockReading) -> NodeReport {
-        let (counters, cluster_view) = (self.member_table.counters(), &self.cluster_view);
+        let (counters, cluster_view) = (self.member_table.counts(), &self.cluster_view);
         let times = |since: Nanos| (at.now.saturating_sub(since) / MILLISECOND).max(1);
         let mut report = NodeReport {
             name: self.config.name.clone(),
-            size: cluster_view.fleet.size as u32,
-            low: cluster_view.fleet.low as u32,
-            high: cluster_view.fleet.high as u32,
+            size: cluster_view.cluster.size as u32,
+            low: cluster_view.cluster.low as u32,
+            high: cluster_view.cluster.high as u32,
             unsure_ms: cluster_view.unsure_since.map_or(0, times),
             doubt: cluster_view.doubt,
             suspects: counters.suspect as u32,
@@ -230,7 +230,7 @@
         };
         let most = MESSAGE_MAX - 100;
         for (what, times) in &self.counters {
-            report.counters.push(wire::CounterMessage {
+            report.counters.push(messages::CounterMessage {
                 what: (*what).to_owned(),
                 times: *times,
             });
@@ -241,7 +241,7 @@
         }
         for record_change in self.history.latest().take(REPORTED_CHANGES) {
             let line = record_change.to_string();
-            report.changes.push(wire::ChangeEvent {
+            report.changes.push(messages::ChangeEvent {
                 unix_ms: record_change.unix_ms,
                 line,
             });
@@ -259,7 +259,8 @@
             if let MergeOutcome::Changed(change) = self.member_table.merge(at.now, updates)
                 && change.after.is_present()
             {
-                self.round.insert(&mut self.rng, MemberKey(updates.key));
+                self.probe_order
+                    .insert(&mut self.rng, MemberKey(updates.key));
             }
         }
         self.dissemination_queue = DisseminationQueue::default();
--- a/crates/membership/src/swim/own_entry.rs
+++ b/crates/membership/src/swim/own_entry.rs
@@ -11,7 +11,7 @@
     /// Encodes the node's details with the given attachments.
     fn details(&self, attachments: Vec<Attachment>) -> Result<MemberDetails, DetailsError> {
         let config = &self.config;
-        let wire = (wire::WIRE_LEAST, wire::WIRE);
+        let wire = (messages::VERSION_MIN, messages::VERSION);
         MemberDetails::new(
             config.address,
             &config.zone,
@@ -39,7 +39,7 @@
             liveness: liveness.number(),
             revision: self.revision,
             name: self.config.name.clone(),
-            details: details.raw().to_vec(),
+            details: details.encoded().to_vec(),
             suspected_by: 0,
         })
     }
--- a/crates/membership/src/swim/probing.rs
+++ b/crates/membership/src/swim/probing.rs
@@ -48,7 +48,7 @@
     /// Factor by which local health stretches timeouts.
     pub(super) fn health_factor(&self) -> u64 {
         if self.config.features.health {
-            self.health.health_factor()
+            self.local_health.health_factor()
         } else {
             1
         }
@@ -71,7 +71,7 @@
                     .get(key)
                     .is_some_and(|e| e.liveness().is_present())
         };
-        let Some(target) = self.round.next(&mut self.rng, there) else {
+        let Some(target) = self.probe_order.next(&mut self.rng, there) else {
             return;
         };
         self.number = self.number.wrapping_add(1);
@@ -205,14 +205,14 @@
                     .get(key)
                     .is_some_and(|entry| entry.liveness() == Liveness::Alive)
         };
-        let mut relays = self.round.some(&mut self.rng, RELAYS, there);
+        let mut relays = self.probe_order.sample(&mut self.rng, RELAYS, there);
         let zone = member_table.get(target).map(|entry| &entry.details.zone);
         let is_near =
             |key: &MemberKey| member_table.get(*key).map(|entry| &entry.details.zone) == zone;
         if !relays.iter().any(is_near) {
             let near = self
-                .round
-                .some(&mut self.rng, 1, |key| there(key) && is_near(&key));
+                .probe_order
+                .sample(&mut self.rng, 1, |key| there(key) && is_near(&key));
             if let Some(near) = near.first() {
                 relays.truncate(RELAYS - 1);
                 relays.push(*near);
@@ -232,7 +232,7 @@
         }
         self.count("probes without an answer", 1);
         if self.config.features.health {
-            self.health.on_probe_failed(
+            self.local_health.probe_failed(
                 outstanding_probe.relays,
                 outstanding_probe
                     .relays
@@ -244,7 +244,7 @@
 
     /// Shortest and longest suspicion timeout for the present cluster size.
     fn suspicion(&self) -> (Nanos, Nanos) {
-        let members = self.member_table.counters().present().max(2) as f64;
+        let members = self.member_table.counts().present().max(2) as f64;
         let timing = &self.config.timing;
         let least = (timing.suspicion * members.log10().max(1.0) * timing.probe as f64) as Nanos;
         if !self.config.features.confirm || members < 3.0 {
@@ -257,7 +257,7 @@
     pub(super) fn suspect(&mut self, at: ClockReading, key: MemberKey, suspected_by: MemberKey) {
         let wait = self.suspicion();
         let is_new = self.suspicions.suspect(at.now, key, suspected_by, wait);
-        match self.member_table.set(at.now, key, Liveness::Suspect) {
+        match self.member_table.mark(at.now, key, Liveness::Suspect) {
             Some(change) => {
                 let more = if suspected_by == self.own_key {
                     "does not answer"
--- a/crates/membership/src/swim/receiving.rs
+++ b/crates/membership/src/swim/receiving.rs
@@ -22,7 +22,7 @@
         let Ok(datagram) = Datagram::decode(message) else {
             return self.dropped(DropReason::Unreadable);
         };
-        self.receive_limiter.proved(from);
+        self.receive_limiter.mark_proven(from);
         if incarnation == self.epoch.incarnation {
             return self.count("datagrams of its own", 1);
         }
@@ -86,8 +86,8 @@
                 .whole
                 .extend(datagram.wants.iter().map(|key| MemberKey(*key))),
             kind::SHOW => self.on_show(at, from, datagram),
-            kind::PAGE | kind::ORDERED => {}
-            kind::ORDER => {
+            kind::PAGE | kind::COMMAND_REPLY => {}
+            kind::COMMAND => {
                 self.host
                     .command_received(from, datagram.number, datagram.topic, &datagram.payload)
             }
@@ -235,7 +235,7 @@
         if sender != target || incarnation == outstanding_probe.incarnation {
             self.outstanding_probe = None;
             if self.config.features.health {
-                self.health.answered();
+                self.local_health.answered();
             }
         }
     }
@@ -286,7 +286,7 @@
             if tag == (self.own_key.0 >> 32) as u32 {
                 continue;
             }
-            let apply_update = self.member_table.load_hint(
+            let apply_update = self.member_table.merge_load_hint(
                 at.now,
                 tag,
                 LoadHint {
--- a/crates/membership/src/swim/sending.rs
+++ b/crates/membership/src/swim/sending.rs
@@ -52,7 +52,7 @@
             .get(to)
             .filter(|entry| entry.liveness().is_present())
             .map(|e| e.details.address);
-        let (Some(address), false) = (there, self.is_mute() || payload.len() > wire::PAYLOAD_MAX)
+        let (Some(address), false) = (there, self.is_mute() || payload.len() > messages::PAYLOAD_MAX)
         else {
             self.count("parcels that could not be sent", 1);
             return false;
@@ -88,7 +88,7 @@
                 suspicions,
                 ..
             } = self;
-            dissemination_queue.take(member_table.counters().present(), |key| {
+            dissemination_queue.take(member_table.counts().present(), |key| {
                 let Some(entry) = member_table.get(key) else {
                     return true;
                 };
@@ -107,12 +107,12 @@
             });
             self.dissemination_budget.spend(builder.size - before);
         }
-        if spreads && builder.datagram.from != 0 && !wire::LATER {
+        if spreads && builder.datagram.from != 0 && !messages::LATER {
             builder.datagram.load_hints = self.load_hints();
         }
         let mut message = builder.datagram.encode_to_vec();
-        if message.len() + wire::LATER_BYTES <= MESSAGE_MAX {
-            message = wire::later(message);
+        if message.len() + messages::LATER_BYTES <= MESSAGE_MAX {
+            message = messages::later(message);
         }
         if message.len() > MESSAGE_MAX {
             debug_assert!(
@@ -125,14 +125,14 @@
         }
         let frame = self.datagram_auth.seal(at.unix_ms, &message);
         self.host.send(to, &frame);
-        if wire::LATER && builder.datagram.kind == kind::GOSSIP {
+        if messages::LATER && builder.datagram.kind == kind::GOSSIP {
             let from = builder.datagram.from;
             self.send(
                 at,
                 to,
                 Datagram {
                     from,
-                    kind: wire::LATER_KIND,
+                    kind: messages::LATER_KIND,
                     ..Datagram::default()
                 },
             );
--- a/crates/membership/src/swim/timers.rs
+++ b/crates/membership/src/swim/timers.rs
@@ -67,10 +67,10 @@
             return;
         }
         if self.config.features.health {
-            self.health.stood_still();
+            self.local_health.paused();
         }
         self.count("times it stood still", 1);
-        self.suspicions.put_off(late);
+        self.suspicions.postpone(late);
         (self.outstanding_probe, self.relayed_probes) = (None, BTreeMap::new());
         self.record_change(
             at,
@@ -97,7 +97,7 @@
         self.former_addresses = former_addresses;
         self.member_table.forget_all_but(self.own_key);
         self.suspicions.clear_all();
-        self.round.clear();
+        self.probe_order.clear();
         self.dissemination_queue = DisseminationQueue::default();
         self.refutation += 1;
         self.announce_new_revision(at);
@@ -116,11 +116,11 @@
         self.on_probe_timers(at);
         self.on_relayed_probe_timers(at);
         let due = self.suspicions.due(now, self.last_call_time());
-        for key in due.calls {
+        for key in due.last_calls {
             self.ping(at, key, 0);
         }
-        for key in due.over {
-            if let Some(change) = self.member_table.set(now, key, Liveness::Dead) {
+        for key in due.expired {
+            if let Some(change) = self.member_table.mark(now, key, Liveness::Dead) {
                 self.on_member_changed(at, key, &change, "did not say in time that it is there");
             }
         }
@@ -151,7 +151,9 @@
         }
         if now >= self.timers.expire {
             self.timers.expire = now + EXPIRY_INTERVAL;
-            let forgot = self.member_table.forget(now, self.config.timing.remember);
+            let forgot = self
+                .member_table
+                .forget_gone(now, self.config.timing.remember);
             if forgot > 0 {
                 self.count("members forgotten after their time", forgot as u64);
             }
--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -5,7 +5,7 @@
 use clap::Subcommand;
 use madderpoint_membership::observer::{MemberSnapshot, NodeSnapshot, Observer};
 use madderpoint_membership::simulation::{self, Simulation, SimulationConfig};
-use madderpoint_membership::wire::DATAGRAM_MAX;
+use madderpoint_membership::messages::DATAGRAM_MAX;
 use madderpoint_membership::{Liveness, Nanos};
 use madderpoint_rules::time;
 use madderpoint_settings::Known;
@@ -471,7 +471,7 @@
             }
         };
         let changes = &holding.report.changes; // the latest first
-        let is_new = |c: &&madderpoint_membership::wire::ChangeEvent| last.as_ref() != Some(*c);
+        let is_new = |c: &&madderpoint_membership::messages::ChangeEvent| last.as_ref() != Some(*c);
         let most = if last.is_none() {
             SHOWN_BEFORE
         } else {
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -9,7 +9,7 @@
 use crate::node::{Event, Service, With};
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 use madderpoint_membership::datagram_auth::AuthKeys;
-use madderpoint_membership::wire::DATAGRAM_MAX;
+use madderpoint_membership::messages::DATAGRAM_MAX;
 use madderpoint_membership::{
     ClockReading, ClusterView, Config, Host, Incarnation, MemberKey, Membership, Nanos, Timing,
 };
