--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -25,24 +25,24 @@
     pub generation: u64,
 }
 
-/// What keeps a call wanted: it is so until this is dropped.
+/// What keeps a call token: it is so until this is dropped.
 #[derive(Debug, Default)]
-pub struct Wants(Arc<()>);
+pub struct CallInterest(Arc<()>);
 
-impl Wants {
+impl CallInterest {
     /// For who writes the call.
-    pub fn wanted(&self) -> Wanted {
-        Wanted(Arc::downgrade(&self.0))
+    pub fn token(&self) -> CallInterestToken {
+        CallInterestToken(Arc::downgrade(&self.0))
     }
 }
 
-/// Whether a call is still wanted.
+/// Whether a call is still token.
 #[derive(Clone, Debug)]
-pub struct Wanted(Weak<()>);
+pub struct CallInterestToken(Weak<()>);
 
-impl Wanted {
+impl CallInterestToken {
     /// Whether its run still waits for it.
-    pub fn is_so(&self) -> bool {
+    pub fn is_wanted(&self) -> bool {
         self.0.strong_count() > 0
     }
 }
@@ -60,42 +60,42 @@
 /// What the node does to the world. None of it may wait.
 pub trait Actions {
     /// Write to a dispatcher.
-    fn reply(&mut self, conn: ConnectionId, reply: Reply);
+    fn send_reply(&mut self, conn: ConnectionId, reply: Reply);
     /// Close a connection after what was handed over is written, unless more has come on it.
-    fn close(&mut self, conn: ConnectionId, close: Close);
+    fn close_connection(&mut self, conn: ConnectionId, close: Close);
     /// Read nothing more on a connection, but what a peer that is not paced has sent by now.
-    fn deafen(&mut self, conn: ConnectionId);
+    fn stop_reading(&mut self, conn: ConnectionId);
     /// Read on from a connection only after so long a pause, each time.
-    fn pace(&mut self, conn: ConnectionId, pause: Nanos);
+    fn pace_reading(&mut self, conn: ConnectionId, pause: Nanos);
     /// Write a line to the kernel.
-    fn kernel(&mut self, line: String);
-    /// Send a call below over the link at this place, if it is still wanted when its turn comes;
+    fn send_executor_command(&mut self, line: String);
+    /// Send a call below over the link at this place, if it is still token when its turn comes;
     /// false if that has no room.
-    fn call(
+    fn send_backend_call(
         &mut self,
         place: usize,
         call: CallId,
         id: RequestId,
         bytes: Vec<u8>,
-        wanted: Wanted,
+        token: CallInterestToken,
     ) -> bool;
     /// Give a call up over the link that it was sent on.
-    fn cancel(&mut self, place: usize, bytes: Vec<u8>);
+    fn cancel_backend_call(&mut self, place: usize, bytes: Vec<u8>);
     /// Close the link at this place: no call is in hand on it.
-    fn rest(&mut self, place: usize);
+    fn close_backend_link(&mut self, place: usize);
     /// From now on peers are reached at these addresses; gives whether the kernel is at another
     /// one.
-    fn moved(&mut self, peers: Peers) -> bool;
+    fn change_peers(&mut self, peers: Peers) -> bool;
     /// Close the link to the kernel; another one takes its place.
-    fn renew_kernel(&mut self);
+    fn reconnect_executor(&mut self);
     /// Tell dispatchers that the node is leaving.
-    fn leaving(&mut self);
+    fn announce_drain(&mut self);
     /// Take what waits in the listen backlog, and then no more connections.
     fn stop_listening(&mut self);
     /// Say to the fleet how this node is; nothing where there is none.
-    fn fleet(&mut self, word: ClusterUpdate);
+    fn update_cluster(&mut self, word: ClusterUpdate);
     /// A step of an invocation, for who follows them.
-    fn step(&mut self, rid: &str, what: fmt::Arguments<'_>);
+    fn trace_step(&mut self, rid: &str, what: fmt::Arguments<'_>);
     /// Write a line to the log.
     fn log(&mut self, line: fmt::Arguments<'_>);
 }
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -17,22 +17,22 @@
     /// What it is about.
     Phase(Phase),
     /// Its room (what it advertises, of 255) and its load (invocations in hand, 255 at most).
-    Pulse { room: u8, load: u8 },
+    LoadHint { room: u8, load: u8 },
     /// What it wants of the budgets, and holds, at this time.
-    Wants {
+    BudgetRequests {
         at: Nanos,
         wants: Vec<BudgetRequest>,
     },
     /// What it has of some keys of the fleet's limits, and wants.
-    Keys(QuotaRequest),
+    QuotaRequest(QuotaRequest),
     /// What it sees of the service below.
     HealthReport(HealthReport),
     /// What it counted so far.
-    Counts(Box<counts::CounterReport>),
+    Counters(Box<counts::CounterReport>),
     /// What it holds of all that is shared, to be shown.
     StatusSnapshot(Box<StatusSnapshot>),
     /// It holds nothing of the budgets any more; whether none of it is in hand.
-    LetGo(bool),
+    LeasesReleased(bool),
 }
 
 /// The node among others.
@@ -90,7 +90,7 @@
         };
         let load = u8::try_from(in_hand).unwrap_or(u8::MAX);
         let is_new = self.pulse.replace((room, load)) != Some((room, load));
-        is_new.then_some(ClusterUpdate::Pulse { room, load })
+        is_new.then_some(ClusterUpdate::LoadHint { room, load })
     }
 }
 
--- a/crates/node/src/cluster/tests.rs
+++ b/crates/node/src/cluster/tests.rs
@@ -21,7 +21,7 @@
 fn room_is_what_the_kind_of_advert_means() {
     let mut company = ClusterParticipation::default();
     let mut said = |kind, advert, in_hand| match company.pulse(kind, advert, in_hand) {
-        Some(ClusterUpdate::Pulse { room, load }) => Some((room, load)),
+        Some(ClusterUpdate::LoadHint { room, load }) => Some((room, load)),
         _ => None,
     };
     assert_eq!(said(LoadReport::Weight, Some(1.0), 3), Some((255, 3)));
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -12,14 +12,14 @@
 pub use cluster_link::{Part, Reset, SHARED, zone_number};
 pub use rollout_link::{Changing, PROGRAM_CHANGES, SETTINGS_CHANGES, Versions};
 
-use crate::actions::{Actions, CallId, Close, ConnectionId, Wanted};
+use crate::actions::{Actions, CallId, CallInterestToken, Close, ConnectionId};
 use crate::capacity::{CapacityLimits, OptionalSubsystems};
-use crate::classify::Sheet;
 use crate::cluster::ClusterUpdate;
 use crate::config::{Identity, Moved, Peers};
 use crate::fastcgi::Reply;
 use crate::log::log;
-use crate::node::{Core, Event, Moment};
+use crate::node::{Event, Moment, Node};
+use crate::request_rules::CompiledRuleSet;
 use crate::state::BACKEND_LINKS;
 use backend_link::BackendLinkCommand;
 use client_connections::Connection;
@@ -67,7 +67,7 @@
     /// That its configuration was replaced.
     Moved(Moved),
     /// That its rules were replaced.
-    Ruled(Box<Sheet>),
+    Ruled(Box<CompiledRuleSet>),
     /// That what it is told of its fleet was replaced.
     Fleet(Box<Reset>),
 }
@@ -137,42 +137,42 @@
 }
 
 impl Actions for Sockets {
-    fn reply(&mut self, conn: ConnectionId, reply: Reply) {
+    fn send_reply(&mut self, conn: ConnectionId, reply: Reply) {
         if let Some(connection) = self.conns.get_mut(&conn) {
             connection.reply(reply);
             self.dirty.push(conn);
         }
     }
 
-    fn close(&mut self, conn: ConnectionId, close: Close) {
+    fn close_connection(&mut self, conn: ConnectionId, close: Close) {
         if let Some(connection) = self.conns.get_mut(&conn) {
             connection.close(close);
             self.dirty.push(conn);
         }
     }
 
-    fn deafen(&mut self, conn: ConnectionId) {
+    fn stop_reading(&mut self, conn: ConnectionId) {
         self.front.give(Order::Deafen(conn));
     }
 
-    fn pace(&mut self, conn: ConnectionId, pause: Nanos) {
+    fn pace_reading(&mut self, conn: ConnectionId, pause: Nanos) {
         if let Some(connection) = self.conns.get(&conn) {
             connection.pace(pause);
         }
     }
 
-    fn kernel(&mut self, line: String) {
+    fn send_executor_command(&mut self, line: String) {
         // One line that is left out would leave a gap, so none may follow it on that link.
         self.kernel.take_if(|link| !link.write(line));
     }
 
-    fn call(
+    fn send_backend_call(
         &mut self,
         place: usize,
         call: CallId,
         id: RequestId,
         bytes: Vec<u8>,
-        wanted: Wanted,
+        wanted: CallInterestToken,
     ) -> bool {
         let call = BackendLinkCommand::Call(call, id, bytes, wanted);
         self.backend
@@ -180,29 +180,29 @@
             .is_some_and(|queue| queue.try_send(call).is_ok())
     }
 
-    fn cancel(&mut self, place: usize, bytes: Vec<u8>) {
+    fn cancel_backend_call(&mut self, place: usize, bytes: Vec<u8>) {
         if let Some(queue) = self.backend.get(place) {
             let _ = queue.try_send(BackendLinkCommand::Cancel(bytes));
         }
     }
 
-    fn rest(&mut self, place: usize) {
+    fn close_backend_link(&mut self, place: usize) {
         if let Some(queue) = self.backend.get(place) {
             let _ = queue.try_send(BackendLinkCommand::Rest);
         }
     }
 
-    fn moved(&mut self, peers: Peers) -> bool {
+    fn change_peers(&mut self, peers: Peers) -> bool {
         self.addresses.swap(peers).kernel != peers.kernel
     }
 
-    fn renew_kernel(&mut self) {
+    fn reconnect_executor(&mut self) {
         if let Some(link) = self.kernel.take() {
             link.close();
         }
     }
 
-    fn leaving(&mut self) {
+    fn announce_drain(&mut self) {
         self.leaving.store(true, SeqCst);
     }
 
@@ -210,13 +210,13 @@
         self.front.give(Order::Stop);
     }
 
-    fn fleet(&mut self, word: ClusterUpdate) {
+    fn update_cluster(&mut self, word: ClusterUpdate) {
         if let Some(fleet) = &self.fleet {
             fleet.say(word);
         }
     }
 
-    fn step(&mut self, rid: &str, what: fmt::Arguments<'_>) {
+    fn trace_step(&mut self, rid: &str, what: fmt::Arguments<'_>) {
         crate::log::step(rid, what);
     }
 
@@ -254,7 +254,7 @@
     pub listener: Option<TcpListener>,
     pub serves: Option<Box<dyn FnOnce()>>,
     /// Rules, from settings of ours.
-    pub rules: Option<Box<Sheet>>,
+    pub rules: Option<Box<CompiledRuleSet>>,
     /// Its part in a fleet.
     pub fleet: Option<Box<Part>>,
 }
@@ -358,8 +358,8 @@
                     hands.store(true, SeqCst);
                     Event::Drain
                 }
-                Notice::Moved(moved) => Event::Moved(moved),
-                Notice::Ruled(sheet) => Event::Ruled(sheet),
+                Notice::Moved(moved) => Event::ConfigChanged(moved),
+                Notice::Ruled(sheet) => Event::RulesChanged(sheet),
                 Notice::Fleet(reset) => {
                     told.iter().for_each(|fleet| fleet.reset((*reset).clone()));
                     continue;
@@ -381,7 +381,7 @@
         fleet,
     };
     let stop_after = who.stop_after.as_nanos() as Nanos;
-    let mut core = Core::new(
+    let mut core = Node::new(
         sockets,
         who.start.clone(),
         who.seed,
@@ -393,7 +393,7 @@
         core.join_fleet(clock.now(), &budgets, rhythm, &with);
     }
     if let Some(sheet) = ours.rules {
-        core.handle(clock.read(), Event::Ruled(sheet));
+        core.handle(clock.read(), Event::RulesChanged(sheet));
     }
     run(&mut core, clock, &inbox, serves);
     core.let_go(clock.now());
@@ -408,7 +408,7 @@
 /// Takes what waits, then fires the timers that are due, so that what came in counts before a
 /// time-out.
 fn run(
-    core: &mut Core<Sockets>,
+    core: &mut Node<Sockets>,
     clock: Clock,
     inbox: &Inbox,
     mut serves: Option<Box<dyn FnOnce()>>,
@@ -431,7 +431,7 @@
 
 /// Waits for something, then takes all that peers sent and a share of what dispatchers did; false
 /// if nothing came.
-fn turn(core: &mut Core<Sockets>, clock: Clock, inbox: &Inbox, wait: Duration) -> bool {
+fn turn(core: &mut Node<Sockets>, clock: Clock, inbox: &Inbox, wait: Duration) -> bool {
     let first = select! {
         recv(inbox.peers) -> message => message,
         recv(inbox.front) -> message => message,
@@ -450,7 +450,7 @@
     true
 }
 
-fn take(core: &mut Core<Sockets>, clock: Clock, message: Message) {
+fn take(core: &mut Node<Sockets>, clock: Clock, message: Message) {
     let event = match message {
         Message::Event(event) => event,
         Message::Accepted(conn, from, connection) => {
@@ -459,12 +459,12 @@
         }
         Message::Linked(last, link) => {
             core.out(|out| out.kernel = Some(link));
-            Event::KernelLinked(last)
+            Event::ExecutorConnected(last)
         }
     };
     match &event {
         Event::Disconnected(conn) => drop(core.out(|out| out.conns.remove(conn))),
-        Event::KernelLost => core.out(|out| out.kernel = None),
+        Event::ExecutorDisconnected => core.out(|out| out.kernel = None),
         _ => {}
     }
     core.handle(clock.read(), event);
--- a/crates/node/src/io/backend_link.rs
+++ b/crates/node/src/io/backend_link.rs
@@ -2,7 +2,7 @@
 //! and a reader.
 
 use super::{Addresses, CONNECT, Message, READ, spawn};
-use crate::actions::{BackendLink, CallId, Wanted, Wants};
+use crate::actions::{BackendLink, CallId, CallInterest, CallInterestToken};
 use crate::backend;
 use crate::log::log;
 use crate::node::Event;
@@ -31,7 +31,7 @@
 
 /// What a connection is asked for.
 pub enum BackendLinkCommand {
-    Call(CallId, RequestId, Vec<u8>, Wanted),
+    Call(CallId, RequestId, Vec<u8>, CallInterestToken),
     Cancel(Vec<u8>),
     Rest,
 }
@@ -75,8 +75,8 @@
             match queue.recv_timeout(IDLE) {
                 Ok(BackendLinkCommand::Call(call, id, bytes, wanted)) => {
                     let event = match self.write_call(&bytes, &wanted) {
-                        Ok(link) => Event::CallWritten(call, id, link),
-                        Err(_) => Event::CallUnsent(call, id),
+                        Ok(link) => Event::BackendCallWritten(call, id, link),
+                        Err(_) => Event::BackendCallNotSent(call, id),
                     };
                     let _ = self.events.send(Message::Event(event));
                 }
@@ -88,7 +88,7 @@
                 Err(RecvTimeoutError::Timeout) if self.stream.is_some() => {
                     let _ = self
                         .events
-                        .send(Message::Event(Event::BackendQuiet(self.place)));
+                        .send(Message::Event(Event::BackendIdle(self.place)));
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -99,10 +99,10 @@
     /// Gives a call up; where no such call is, it means nothing. A part of the line would spoil the
     /// next one.
     fn cancel(&mut self, bytes: &[u8]) {
-        let wants = Wants::default();
+        let wants = CallInterest::default();
         let current = self.stream.iter().map(|(_, stream)| stream);
         for stream in current.chain(&self.retired) {
-            if write_while_wanted(stream, bytes, &wants.wanted()).is_err() {
+            if write_while_wanted(stream, bytes, &wants.token()).is_err() {
                 let _ = stream.shutdown(Shutdown::Both);
             }
         }
@@ -124,7 +124,7 @@
 
     /// Writes a call whole, if it is wanted still. Where the connection ended before it took all of
     /// it, nothing ran, and the call goes out on a new one.
-    fn write_call(&mut self, bytes: &[u8], wanted: &Wanted) -> io::Result<BackendLink> {
+    fn write_call(&mut self, bytes: &[u8], wanted: &CallInterestToken) -> io::Result<BackendLink> {
         let kept = self.stream.is_some();
         let written = self
             .connected()
@@ -137,7 +137,7 @@
             Err(Unwritten::Untouched) => Err(ErrorKind::TimedOut.into()),
             Err(Unwritten::Broken(e)) => {
                 self.close();
-                if kept && wanted.is_so() {
+                if kept && wanted.is_wanted() {
                     self.write_call(bytes, wanted)
                 } else {
                     Err(e)
@@ -202,11 +202,11 @@
 fn write_while_wanted(
     mut stream: &TcpStream,
     bytes: &[u8],
-    wanted: &Wanted,
+    wanted: &CallInterestToken,
 ) -> Result<(), Unwritten> {
     let (mut written, mut blocked) = (0, 0);
     while written < bytes.len() {
-        if written == 0 && !wanted.is_so() {
+        if written == 0 && !wanted.is_wanted() {
             return Err(Unwritten::Untouched);
         }
         match stream.write(&bytes[written..]) {
@@ -215,7 +215,7 @@
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 blocked += 1;
-                let in_vain = written > 0 && !wanted.is_so();
+                let in_vain = written > 0 && !wanted.is_wanted();
                 if blocked >= BLOCKED_MOST || in_vain {
                     return Err(Unwritten::Broken(e)); // the rest of the call is never written
                 }
@@ -232,7 +232,7 @@
         log!("back end: connection ended: {what}");
     }
     let _ = stream.shutdown(Shutdown::Both);
-    let _ = events.send(Message::Event(Event::BackendLost(link, cause)));
+    let _ = events.send(Message::Event(Event::BackendDisconnected(link, cause)));
 }
 
 fn read_whole_replies(
@@ -247,7 +247,7 @@
             Ok(0) => return Ok(()),
             Ok(n) => {
                 let mut hand = |reply| {
-                    let _ = events.send(Message::Event(Event::Reply(link.place, reply)));
+                    let _ = events.send(Message::Event(Event::BackendReply(link.place, reply)));
                 };
                 parser
                     .feed(&buffer[..n], &mut hand)
--- a/crates/node/src/io/backend_link/tests.rs
+++ b/crates/node/src/io/backend_link/tests.rs
@@ -37,14 +37,14 @@
     }
 
     /// Hands a call over; gives what keeps it wanted.
-    fn call(&self, no: u64, bytes: &[u8]) -> Wants {
-        let wants = Wants::default();
+    fn call(&self, no: u64, bytes: &[u8]) -> CallInterest {
+        let wants = CallInterest::default();
         self.queue
             .send(BackendLinkCommand::Call(
                 CallId(no),
                 ID,
                 bytes.to_vec(),
-                wants.wanted(),
+                wants.token(),
             ))
             .unwrap();
         wants
@@ -68,8 +68,8 @@
         let mut calls = Vec::new();
         while calls.last().is_none_or(|&(no, _)| no != last) {
             match self.event() {
-                Event::CallWritten(no, ..) => calls.push((no.0, true)),
-                Event::CallUnsent(no, _) => calls.push((no.0, false)),
+                Event::BackendCallWritten(no, ..) => calls.push((no.0, true)),
+                Event::BackendCallNotSent(no, _) => calls.push((no.0, false)),
                 _ => {}
             }
         }
@@ -87,7 +87,7 @@
 #[test]
 fn a_call_that_is_not_wanted_any_more_is_not_written() {
     let bench = Bench::new();
-    let wanted = Wants::default().wanted();
+    let wanted = CallInterest::default().token();
     bench
         .queue
         .send(BackendLinkCommand::Call(
@@ -144,7 +144,7 @@
         begun.elapsed()
     );
     let lost = loop {
-        if let Event::BackendLost(link, _) = bench.event() {
+        if let Event::BackendDisconnected(link, _) = bench.event() {
             break link;
         }
     };
@@ -161,10 +161,10 @@
         stream.write_all(piece.as_bytes()).unwrap();
     }
     assert_eq!(bench.until(1), [(1, true)]);
-    assert!(matches!(bench.event(), Event::Reply(0, reply) if reply.body == b"repl"));
+    assert!(matches!(bench.event(), Event::BackendReply(0, reply) if reply.body == b"repl"));
     stream.write_all(b"two ok 100\r\nonly this").unwrap();
     let begun = Instant::now();
-    while !matches!(bench.event(), Event::BackendLost(_, cause) if cause == Some("reply cut short"))
+    while !matches!(bench.event(), Event::BackendDisconnected(_, cause) if cause == Some("reply cut short"))
     {
     }
     assert!(
--- a/crates/node/src/io/client_reader.rs
+++ b/crates/node/src/io/client_reader.rs
@@ -371,7 +371,9 @@
                 return self.gone(number);
             }
         }
-        let _ = self.events.send(Message::Event(Event::Crowded));
+        let _ = self
+            .events
+            .send(Message::Event(Event::ConnectionLimitReached));
     }
 
     /// The backlog is empty, or another process's: no more connections are taken.
@@ -381,7 +383,7 @@
             // without end.
             let _ = epoll::delete(&self.poll, &listener);
             drop(listener);
-            let _ = self.events.send(Message::Event(Event::NotListening));
+            let _ = self.events.send(Message::Event(Event::ListenerClosed));
         }
     }
 
@@ -451,14 +453,14 @@
             // It has told that nothing more comes, not that it waits for nothing.
             hand(Event::HalfClosed(ConnectionId(number)));
             if reading.parser.is_partial() {
-                let _ = self.events.send(Message::Event(Event::CutShort));
+                let _ = self.events.send(Message::Event(Event::RequestTruncated));
             }
             return self.deafen(number, true);
         }
-        let front = |event| hand(Event::Front(ConnectionId(number), event));
+        let front = |event| hand(Event::LoadBalancer(ConnectionId(number), event));
         if let Err(fastcgi::Broken(what)) = reading.parser.feed(&buffer[..n], &mut { front }) {
             log!("dispatcher: connection ended: {what}");
-            hand(Event::Garbled(ConnectionId(number), what));
+            hand(Event::ProtocolError(ConnectionId(number), what));
             return self.deafen(number, false);
         }
         let pause = reading.pause.load(SeqCst);
@@ -531,7 +533,7 @@
         };
         let _ = reading.socket.stream.shutdown(Shutdown::Write);
         if reading.parser.is_partial() && matches!(reading.state, State::Read | State::Rests) {
-            let _ = self.events.send(Message::Event(Event::CutShort));
+            let _ = self.events.send(Message::Event(Event::RequestTruncated));
         }
         if reading.state == (State::Deaf { ended: true }) || !self.places.has_one() {
             return self.gone(number);
--- a/crates/node/src/io/client_reader/tests.rs
+++ b/crates/node/src/io/client_reader/tests.rs
@@ -76,15 +76,15 @@
         let mut handed = Vec::new();
         for message in self.events.try_iter() {
             handed.push(match message {
-                Message::Event(Event::Front(conn, fastcgi::Event::Request(_))) => {
+                Message::Event(Event::LoadBalancer(conn, fastcgi::Event::Request(_))) => {
                     (conn.0, "request")
                 }
                 Message::Event(Event::HalfClosed(conn)) => (conn.0, "half-closed"),
-                Message::Event(Event::Garbled(conn, _)) => (conn.0, "garbled"),
+                Message::Event(Event::ProtocolError(conn, _)) => (conn.0, "garbled"),
                 Message::Event(Event::Disconnected(conn)) => (conn.0, "gone"),
-                Message::Event(Event::CutShort) => (0, "cut short"),
-                Message::Event(Event::Crowded) => (0, "crowded"),
-                Message::Event(Event::NotListening) => (0, "not listening"),
+                Message::Event(Event::RequestTruncated) => (0, "cut short"),
+                Message::Event(Event::ConnectionLimitReached) => (0, "crowded"),
+                Message::Event(Event::ListenerClosed) => (0, "not listening"),
                 Message::Accepted(conn, _, connection) => {
                     self.taken.push(connection);
                     (conn.0, "accepted")
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -6,7 +6,7 @@
 use super::{Message, STACK};
 use crate::cluster::ClusterUpdate;
 use crate::log::log;
-use crate::node::{Event, Service, With};
+use crate::node::{Event, SharedService, SharedStateOptions};
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_membership::wire::DATAGRAM_MAX;
@@ -57,7 +57,7 @@
     pub key_bytes: usize,
     /// The service below that the fleet judges together, if it does; and words of others about it
     /// that are kept.
-    pub service: Option<Service>,
+    pub service: Option<SharedService>,
     /// Names of the operations, for those who have counts shown; and the bytes for other processes'
     /// counts.
     pub operations: Vec<String>,
@@ -79,8 +79,8 @@
     }
 
     /// What the core takes part in.
-    pub fn with(&self) -> With {
-        With {
+    pub fn with(&self) -> SharedStateOptions {
+        SharedStateOptions {
             service: self.service.clone(),
             counts: !self.arbiters.is_empty(),
         }
@@ -207,13 +207,13 @@
     fn keys_lent(&mut self, _: Nanos, lent: QuotaGrant) {
         let _ = self
             .events
-            .try_send(Message::Event(Event::QuotaGrant(Box::new(lent))));
+            .try_send(Message::Event(Event::QuotaGranted(Box::new(lent))));
     }
     fn lent(&mut self, _: Nanos, asked: Nanos, parts: &[(u32, shared_state::Lease)]) {
         // A part that finds no room is not used: it ends by itself.
         let _ = self
             .events
-            .try_send(Message::Event(Event::Lent(asked, parts.to_vec())));
+            .try_send(Message::Event(Event::LeasesGranted(asked, parts.to_vec())));
     }
     fn let_go(&mut self, _: Nanos) -> bool {
         self.free
@@ -295,13 +295,13 @@
             .filter(|(at, _)| self.now < at + SHOWN_FOR);
         let Some((_, bytes)) = fresh else {
             // The core is asked; who asks comes again, and finds it then.
-            let _ = self.events.try_send(Message::Event(Event::Show));
+            let _ = self.events.try_send(Message::Event(Event::StatusRequested));
             return None;
         };
         Some(page(bytes, from))
     }
     fn sight(&mut self, sight: &ClusterView) {
-        let event = Event::Fleet(Box::new(sight.clone()));
+        let event = Event::ClusterChanged(Box::new(sight.clone()));
         match self.events.try_send(Message::Event(event)) {
             Ok(()) => self.unseen = None,
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
@@ -552,14 +552,14 @@
                 Order::ClusterUpdate(ClusterUpdate::Phase(phase)) => {
                     fleet.set_phase(clock(), phase)
                 }
-                Order::ClusterUpdate(ClusterUpdate::Pulse { room, load }) => {
+                Order::ClusterUpdate(ClusterUpdate::LoadHint { room, load }) => {
                     fleet.set_pulse(room, load)
                 }
-                Order::ClusterUpdate(ClusterUpdate::Wants { at, wants }) => {
+                Order::ClusterUpdate(ClusterUpdate::BudgetRequests { at, wants }) => {
                     bank.iter_mut()
                         .for_each(|bank| bank.host.wants = (at, wants.clone()));
                 }
-                Order::ClusterUpdate(ClusterUpdate::Keys(asked)) => {
+                Order::ClusterUpdate(ClusterUpdate::QuotaRequest(asked)) => {
                     bank.iter_mut()
                         .for_each(|bank| bank.ask_keys(clock().now, asked.clone()));
                 }
@@ -568,7 +568,7 @@
                         .iter_mut()
                         .for_each(|health| health.seen(&mut fleet, clock(), evidence));
                 }
-                Order::ClusterUpdate(ClusterUpdate::Counts(mut word)) => {
+                Order::ClusterUpdate(ClusterUpdate::Counters(mut word)) => {
                     let (key, life) = fleet.me();
                     (word.who, word.label) = (
                         ProcessId {
@@ -598,7 +598,7 @@
                     }
                     fleet.host.shown = Some((now, shown.encode_to_vec()));
                 }
-                Order::ClusterUpdate(ClusterUpdate::LetGo(free)) => {
+                Order::ClusterUpdate(ClusterUpdate::LeasesReleased(free)) => {
                     bank.iter_mut().for_each(|bank| bank.host.free = free)
                 }
                 Order::Reset(reset) => {
@@ -612,7 +612,7 @@
                     }
                     if let Some(bank) = &mut bank {
                         bank.rebudget(reset.budgets.clone(), reset.key_budgets);
-                        let event = Event::Rebudget(reset.budgets);
+                        let event = Event::BudgetsChanged(reset.budgets);
                         let _ = fleet.host.events.send(Message::Event(event));
                     }
                 }
--- a/crates/node/src/io/executor_link.rs
+++ b/crates/node/src/io/executor_link.rs
@@ -55,7 +55,7 @@
                 if let Err(e) = read(Arc::new(stream), lines, &mut reader, events) {
                     log!("kernel: {e}");
                 }
-                let _ = events.send(Message::Event(Event::KernelLost));
+                let _ = events.send(Message::Event(Event::ExecutorDisconnected));
             }
             Err(e) if !told => {
                 told = true;
@@ -100,7 +100,7 @@
     let _ = events.send(Message::Linked(reader.open(), link));
     let feed = |bytes: &[u8]| {
         reader.feed(bytes, &mut |notice| {
-            let _ = events.send(Message::Event(Event::Kernel(notice)));
+            let _ = events.send(Message::Event(Event::Executor(notice)));
         })
     };
     let read = read_all(&stream, feed);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -10,7 +10,6 @@
 pub mod actions;
 pub mod backend;
 pub mod capacity;
-pub mod classify;
 pub mod cluster;
 pub mod config;
 pub mod executor;
@@ -21,6 +20,7 @@
 pub mod node;
 pub mod program_version;
 pub mod request;
+pub mod request_rules;
 pub mod service_registry;
 mod state;
 pub mod supervisor_client;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -4,12 +4,12 @@
 use crate::actions::{Actions, BackendLink, CallId, ConnectionId};
 use crate::backend;
 use crate::capacity::CapacityLimits;
-use crate::classify::{Classifier, Full, Ruled, Sheet};
 use crate::cluster::{ClusterParticipation, ClusterUpdate};
 use crate::config::Moved;
 use crate::executor::{End, Notice};
 use crate::fastcgi;
-use crate::request::{Fields, Head, Rejected, Wanted};
+use crate::request::{Fields, RequestError, RequestHead, RequestKind};
+use crate::request_rules::{CompiledRuleSet, LimitReached, RequestRules, RuleOutcome};
 use crate::state::metrics::Counting;
 use crate::state::{AdmissionHost, DeferredEvent, NodeState, ReplyTarget, RequestContext, Timer};
 use madderpoint::admission::AdmissionController;
@@ -42,16 +42,16 @@
 
 /// What a node shares with its fleet beside budgets.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct With {
+pub struct SharedStateOptions {
     /// The service below that is judged together.
-    pub service: Option<Service>,
+    pub service: Option<SharedService>,
     /// Whether counts are added up.
     pub counts: bool,
 }
 
 /// The service below that the fleet judges together.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Service {
+pub struct SharedService {
     /// Its name, the same on all nodes.
     pub name: String,
     /// A call that takes longer counts as one that failed.
@@ -68,52 +68,52 @@
     /// A connection is gone.
     Disconnected(ConnectionId),
     /// Something came on a connection.
-    Front(ConnectionId, fastcgi::Event),
+    LoadBalancer(ConnectionId, fastcgi::Event),
     /// A connection's peer has ended its side; it may still wait for answers.
     HalfClosed(ConnectionId),
     /// What came on a connection can't be read on, and why.
-    Garbled(ConnectionId, &'static str),
+    ProtocolError(ConnectionId, &'static str),
     /// A connection was ended, by its peer or for the time that it took, with a part of a request
     /// on it.
-    CutShort,
+    RequestTruncated,
     /// There is no room for another connection.
-    Crowded,
+    ConnectionLimitReached,
     /// The listen backlog was taken, and no connection comes any more.
-    NotListening,
+    ListenerClosed,
     /// A link to the kernel stands; the last notice that was read before it.
-    KernelLinked(u64),
+    ExecutorConnected(u64),
     /// The link to the kernel broke.
-    KernelLost,
+    ExecutorDisconnected,
     /// The kernel said something.
-    Kernel(Notice),
+    Executor(Notice),
     /// A call was written whole.
-    CallWritten(CallId, RequestId, BackendLink),
+    BackendCallWritten(CallId, RequestId, BackendLink),
     /// A call could not be written whole, so that it never ran.
-    CallUnsent(CallId, RequestId),
+    BackendCallNotSent(CallId, RequestId),
     /// The back end replied on a link.
-    Reply(usize, backend::Reply),
+    BackendReply(usize, backend::Reply),
     /// A connection to the back end ended; why, if what came on it can't be read on.
-    BackendLost(BackendLink, Option<&'static str>),
+    BackendDisconnected(BackendLink, Option<&'static str>),
     /// Nothing was sent on the link at this place for a while.
-    BackendQuiet(usize),
+    BackendIdle(usize),
     /// The notice to leave.
     Drain,
     /// A new configuration.
-    Moved(Moved),
+    ConfigChanged(Moved),
     /// Rules that are in force from now on.
-    Ruled(Box<Sheet>),
+    RulesChanged(Box<CompiledRuleSet>),
     /// What is seen of the fleet.
-    Fleet(Box<ClusterView>),
+    ClusterChanged(Box<ClusterView>),
     /// Parts of the fleet's budgets, by their places, which were asked for at that time.
-    Lent(Nanos, Vec<(u32, Lease)>),
+    LeasesGranted(Nanos, Vec<(u32, Lease)>),
     /// Units of keys of the fleet's limits.
-    QuotaGrant(Box<QuotaGrant>),
+    QuotaGranted(Box<QuotaGrant>),
     /// Limits of the fleet's budgets that hold from now on.
-    Rebudget(Vec<Budget>),
+    BudgetsChanged(Vec<Budget>),
     /// What others say of the service below.
     AggregatedHealth(AggregatedHealth),
     /// What is held of all that is shared is to be shown.
-    Show,
+    StatusRequested,
 }
 
 /// A reading of the clocks.
@@ -126,7 +126,7 @@
 }
 
 /// The node's state.
-pub struct Core<O: Actions> {
+pub struct Node<O: Actions> {
     desk: Rc<RefCell<NodeState<O>>>,
     start: Rc<DeploymentConfig>,
     seed: u64,
@@ -147,7 +147,7 @@
     keys_deaf: bool,
 }
 
-impl<O: Actions> Core<O> {
+impl<O: Actions> Node<O> {
     /// A node that waits for its kernel.
     pub fn new(
         out: O,
@@ -164,7 +164,7 @@
             has_backend,
             room,
         )));
-        Core {
+        Node {
             desk,
             start,
             seed,
@@ -181,31 +181,37 @@
     }
 
     /// Takes part in a fleet from now on, and shares these budgets with it.
-    pub fn join_fleet(&mut self, now: Nanos, budgets: &[Budget], rhythm: QuotaTiming, with: &With) {
+    pub fn join_fleet(
+        &mut self,
+        now: Nanos,
+        budgets: &[Budget],
+        rhythm: QuotaTiming,
+        with: &SharedStateOptions,
+    ) {
         self.company = Some(ClusterParticipation::default());
         self.rhythm = Some(rhythm);
         let service = with.service.as_ref();
         let mut desk = self.desk.borrow_mut();
         desk.now = now;
-        desk.set_timer(PULSE, Timer::Pulse);
+        desk.set_timer(PULSE, Timer::LoadHint);
         if !budgets.is_empty() {
             // The seed of the decisions may be the same on many.
             desk.budgets = Some(Box::new(
                 NodeBudgets::new(now, budgets).with_seed(self.seed ^ now),
             ));
-            desk.set_timer(WANTS, Timer::Wants);
+            desk.set_timer(WANTS, Timer::BudgetRequests);
         }
         if let Some(service) = service {
             desk.judge = Some(Box::new(ServiceHealth::new(now, service.zone)));
             desk.slow = service.slow;
-            desk.set_timer(EVIDENCE, Timer::Evidence);
+            desk.set_timer(EVIDENCE, Timer::HealthReport);
         }
         if !budgets.is_empty() || service.is_some() {
             desk.gate = Some(Box::new(BackendGate::new(now)));
         }
         if with.counts {
             desk.counting = Some(Box::new(Counting::new(now, &self.start.operations)));
-            desk.set_timer(COUNTS, Timer::Counts);
+            desk.set_timer(COUNTS, Timer::CounterReport);
         }
         self.service = service
             .map(|service| service.name.clone())
@@ -253,34 +259,34 @@
 
     fn timer(&mut self, now: Nanos, timer: Timer) {
         match timer {
-            Timer::Alarm(alarm) => {
+            Timer::Admission(alarm) => {
                 let gauges = self.desk.borrow().gauges();
                 if let Some(admission) = &mut self.admission {
                     admission.on_timer(now, alarm, gauges);
                 }
             }
-            Timer::CallLimit(id, no) => {
+            Timer::BackendCallTimeout(id, no) => {
                 let given_up = self.desk.borrow_mut().give_up_call(id, no);
                 if let Some(ending) = given_up {
                     self.call_over(now, id, ending);
                 }
             }
-            Timer::AskGauges => self.desk.borrow_mut().ask_gauges(),
-            Timer::CheckLimit(mark) => self.desk.borrow_mut().checked(mark, false),
-            Timer::Idle(conn, due) => self.desk.borrow_mut().close_if_idle(conn, due),
-            Timer::RenewKernel(mark) => self.desk.borrow_mut().settled(mark),
-            Timer::Doubt(id) => self.desk.borrow_mut().doubt_over(id),
-            Timer::Leave => self.desk.borrow_mut().leave(),
-            Timer::Hush => self.desk.borrow_mut().hush(),
-            Timer::Over => self.desk.borrow_mut().over(),
-            Timer::Look => self.desk.borrow_mut().look(),
-            Timer::Pulse => self.pulse(now),
-            Timer::Wants => self.wants(now),
-            Timer::Keys => self.ask_keys(),
-            Timer::Lingered(repeats) => self.desk.borrow_mut().room_came(repeats),
-            Timer::CallRoom => self.desk.borrow_mut().send_waiting(),
-            Timer::Evidence => self.evidence(),
-            Timer::Counts => self.tell_counts(),
+            Timer::RequestGauges => self.desk.borrow_mut().ask_gauges(),
+            Timer::HealthCheckTimeout(mark) => self.desk.borrow_mut().checked(mark, false),
+            Timer::IdleConnection(conn, due) => self.desk.borrow_mut().close_if_idle(conn, due),
+            Timer::ReconnectExecutor(mark) => self.desk.borrow_mut().settled(mark),
+            Timer::UncertainExecution(id) => self.desk.borrow_mut().doubt_over(id),
+            Timer::StopAccepting => self.desk.borrow_mut().leave(),
+            Timer::QuietPeriod => self.desk.borrow_mut().hush(),
+            Timer::DrainOver => self.desk.borrow_mut().over(),
+            Timer::Housekeeping => self.desk.borrow_mut().look(),
+            Timer::LoadHint => self.pulse(now),
+            Timer::BudgetRequests => self.wants(now),
+            Timer::QuotaRequests => self.ask_keys(),
+            Timer::AbandonedCallExpired(repeats) => self.desk.borrow_mut().room_came(repeats),
+            Timer::QueuedCalls => self.desk.borrow_mut().send_waiting(),
+            Timer::HealthReport => self.evidence(),
+            Timer::CounterReport => self.tell_counts(),
         }
     }
 
@@ -294,42 +300,42 @@
                 let left = self.desk.borrow_mut().disconnected(conn);
                 left.into_iter().for_each(|id| self.caller_left(now, id));
             }
-            Event::Front(conn, event) => self.front(moment, conn, event),
-            Event::HalfClosed(conn) | Event::Garbled(conn, _) => {
+            Event::LoadBalancer(conn, event) => self.front(moment, conn, event),
+            Event::HalfClosed(conn) | Event::ProtocolError(conn, _) => {
                 let mut desk = self.desk.borrow_mut();
-                if let Event::Garbled(_, cause) = event {
+                if let Event::ProtocolError(_, cause) = event {
                     desk.count(cause, 1);
                 }
                 desk.came(conn);
                 desk.no_more(conn);
             }
-            Event::NotListening => self.desk.borrow_mut().not_listening(),
-            Event::Crowded => {
+            Event::ListenerClosed => self.desk.borrow_mut().not_listening(),
+            Event::ConnectionLimitReached => {
                 let mut desk = self.desk.borrow_mut();
                 desk.count("connections beyond the limit", 1);
                 desk.make_room();
             }
-            Event::KernelLinked(last) => self.desk.borrow_mut().kernel_linked(last),
-            Event::KernelLost => self.desk.borrow_mut().kernel_lost(),
-            Event::Kernel(notice) => self.notice(now, notice),
-            Event::CallWritten(no, id, link) => {
+            Event::ExecutorConnected(last) => self.desk.borrow_mut().kernel_linked(last),
+            Event::ExecutorDisconnected => self.desk.borrow_mut().kernel_lost(),
+            Event::Executor(notice) => self.notice(now, notice),
+            Event::BackendCallWritten(no, id, link) => {
                 let broke = self.desk.borrow_mut().call_written(no, id, link);
                 if broke {
                     self.call_over(now, id, BackendCallOutcome::PossiblyExecuted);
                 }
             }
-            Event::CallUnsent(no, id) => {
+            Event::BackendCallNotSent(no, id) => {
                 let is_current = self.desk.borrow().is_current(id, no);
                 if is_current {
                     self.call_over(now, id, BackendCallOutcome::NotExecuted);
                 }
             }
-            Event::Reply(place, reply) => self.reply(now, place, reply),
-            Event::CutShort => self
+            Event::BackendReply(place, reply) => self.reply(now, place, reply),
+            Event::RequestTruncated => self
                 .desk
                 .borrow_mut()
                 .count("dispatcher: request cut short", 1),
-            Event::BackendLost(link, cause) => {
+            Event::BackendDisconnected(link, cause) => {
                 cause
                     .into_iter()
                     .for_each(|cause| self.desk.borrow_mut().count(cause, 1));
@@ -338,17 +344,17 @@
                     .into_iter()
                     .for_each(|id| self.call_over(now, id, BackendCallOutcome::PossiblyExecuted));
             }
-            Event::BackendQuiet(place) => self.desk.borrow_mut().backend_quiet(place),
+            Event::BackendIdle(place) => self.desk.borrow_mut().backend_quiet(place),
             Event::Drain => self.drain(now),
-            Event::Moved(moved) => self.desk.borrow_mut().moved(&moved),
-            Event::Ruled(sheet) => self.ruled(now, *sheet),
-            Event::Lent(asked, parts) => {
+            Event::ConfigChanged(moved) => self.desk.borrow_mut().moved(&moved),
+            Event::RulesChanged(sheet) => self.ruled(now, *sheet),
+            Event::LeasesGranted(asked, parts) => {
                 if let Some(budgets) = &mut self.desk.borrow_mut().budgets {
                     budgets.lent(now, asked, &parts);
                 }
                 self.tell_floors(now);
             }
-            Event::QuotaGrant(lent) => {
+            Event::QuotaGranted(lent) => {
                 if let Some(rules) = &mut self.desk.borrow_mut().rules {
                     rules.lent(now, &lent);
                 }
@@ -358,13 +364,13 @@
                     .borrow_mut()
                     .judged(|judge, now| judge.told(now, opinion));
             }
-            Event::Show => self.show(now),
-            Event::Rebudget(limits) => {
+            Event::StatusRequested => self.show(now),
+            Event::BudgetsChanged(limits) => {
                 if let Some(budgets) = &mut self.desk.borrow_mut().budgets {
                     budgets.rebudget(&limits);
                 }
             }
-            Event::Fleet(sight) => {
+            Event::ClusterChanged(sight) => {
                 if let Some(company) = &mut self.company {
                     company.sight = Some(*sight);
                 }
@@ -380,11 +386,11 @@
                 return;
             };
             match next {
-                DeferredEvent::CallEnded(id, ending) => self.call_over(now, id, ending),
-                DeferredEvent::NeverStarted(id) => {
+                DeferredEvent::BackendCallEnded(id, ending) => self.call_over(now, id, ending),
+                DeferredEvent::ExecutionNeverStarted(id) => {
                     self.ended(now, id, ExecutionOutcome::Cancelled, 0)
                 }
-                DeferredEvent::JoinEnded(id, result) => {
+                DeferredEvent::CoalescedEnded(id, result) => {
                     let joined = self.desk.borrow_mut().joined(id, result);
                     if let Some((ending, latency)) = joined {
                         self.ended(now, id, ending, latency);
@@ -408,7 +414,7 @@
             }
             fastcgi::Event::Reply(reply) => {
                 let mut desk = self.desk.borrow_mut();
-                desk.out.reply(conn, reply);
+                desk.out.send_reply(conn, reply);
                 desk.dealt_with(conn);
             }
         }
@@ -424,7 +430,7 @@
             return desk.overload(conn, id);
         }
         let fields = match Fields::of(&request) {
-            Err(Rejected(status, cause)) => return desk.reject(conn, id, status, cause),
+            Err(RequestError(status, cause)) => return desk.reject(conn, id, status, cause),
             Ok(fields) => fields,
         };
         let ruled = match self.admission {
@@ -446,15 +452,15 @@
             moment.unix_ms,
             ruled.as_ref().and_then(|r| r.operation),
         ) {
-            Err(Rejected(status, cause)) => desk.reject(conn, id, status, cause),
-            Ok(Wanted::Check { deep }) => desk.check(conn, id, deep),
-            Ok(Wanted::Invocation(_)) if self.admission.is_none() => {
+            Err(RequestError(status, cause)) => desk.reject(conn, id, status, cause),
+            Ok(RequestKind::HealthCheck { deep }) => desk.check(conn, id, deep),
+            Ok(RequestKind::Call(_)) if self.admission.is_none() => {
                 desk.not_up(conn, id);
             }
-            Ok(Wanted::Invocation(head)) if desk.knows(&head.rid) => {
+            Ok(RequestKind::Call(head)) if desk.knows(&head.rid) => {
                 desk.reject(conn, id, 409, "correlation id in use");
             }
-            Ok(Wanted::Invocation(head)) => {
+            Ok(RequestKind::Call(head)) => {
                 let front = ReplyTarget { conn, id };
                 let arrived = moment.now.saturating_sub(head.age(moment.unix_ms));
                 let given = Self::given(&mut desk, front, &head, ruled, &request.body, arrived);
@@ -469,7 +475,7 @@
     // ---- Rules ----
 
     /// Rules were read and checked: they hold for what comes from now on.
-    fn ruled(&mut self, now: Nanos, sheet: Sheet) {
+    fn ruled(&mut self, now: Nanos, sheet: CompiledRuleSet) {
         let mut desk = self.desk.borrow_mut();
         let (rules, buckets) = (sheet.rules.rules().len(), sheet.buckets.len());
         let (bytes, worst) = (sheet.rules.bytes() >> 10, sheet.rules.worst());
@@ -481,7 +487,7 @@
         match &mut desk.rules {
             Some(classifier) => classifier.replace(now, sheet),
             None => {
-                desk.rules = Some(Box::new(Classifier::new(
+                desk.rules = Some(Box::new(RequestRules::new(
                     now,
                     sheet,
                     self.limit_bytes,
@@ -504,7 +510,7 @@
         conn: ConnectionId,
         fields: &Fields<'_>,
         request: &fastcgi::Request,
-    ) -> Option<Ruled> {
+    ) -> Option<RuleOutcome> {
         if !fields.is_ruled() {
             return None;
         }
@@ -559,8 +565,8 @@
     fn given(
         desk: &mut NodeState<O>,
         front: ReplyTarget,
-        head: &Head,
-        ruled: Option<Ruled>,
+        head: &RequestHead,
+        ruled: Option<RuleOutcome>,
         body: &[u8],
         arrived: Nanos,
     ) -> Option<RequestContext> {
@@ -620,8 +626,8 @@
                     gated,
                 });
             }
-            Err(Full::Node(over)) => (over.pause, "throttled by a limit", None),
-            Err(Full::Fleet(refused, key)) => (
+            Err(LimitReached::Node(over)) => (over.pause, "throttled by a limit", None),
+            Err(LimitReached::Fleet(refused, key)) => (
                 refused.pause,
                 "throttled by a limit of the fleet",
                 Some(key),
@@ -637,7 +643,7 @@
         &mut self,
         moment: Moment,
         front: ReplyTarget,
-        head: Head,
+        head: RequestHead,
         body: Vec<u8>,
         given: RequestContext,
     ) {
@@ -683,7 +689,7 @@
 
     fn say(&mut self, word: impl FnOnce(&mut ClusterParticipation) -> Option<ClusterUpdate>) {
         if let Some(word) = self.company.as_mut().and_then(word) {
-            self.desk.borrow_mut().out.fleet(word);
+            self.desk.borrow_mut().out.update_cluster(word);
         }
     }
 
@@ -692,7 +698,7 @@
     fn wants(&mut self, now: Nanos) {
         let wants = {
             let mut desk = self.desk.borrow_mut();
-            desk.set_timer(WANTS, Timer::Wants);
+            desk.set_timer(WANTS, Timer::BudgetRequests);
             let value = desk.mean_value();
             desk.budgets.as_mut().map(|budgets| {
                 value.into_iter().for_each(|value| budgets.set_value(value));
@@ -700,7 +706,7 @@
             })
         };
         if let Some(wants) = wants {
-            self.say(|_| Some(ClusterUpdate::Wants { at: now, wants }));
+            self.say(|_| Some(ClusterUpdate::BudgetRequests { at: now, wants }));
         }
     }
 
@@ -708,7 +714,7 @@
     fn evidence(&mut self) {
         let evidence = {
             let mut desk = self.desk.borrow_mut();
-            desk.set_timer(EVIDENCE, Timer::Evidence);
+            desk.set_timer(EVIDENCE, Timer::HealthReport);
             desk.judged(|judge, now| judge.judge(now));
             desk.judged(|judge, now| judge.evidence(now))
         };
@@ -721,11 +727,11 @@
     fn tell_counts(&mut self) {
         let word = {
             let mut desk = self.desk.borrow_mut();
-            desk.set_timer(COUNTS, Timer::Counts);
+            desk.set_timer(COUNTS, Timer::CounterReport);
             desk.counted_word()
         };
         if let Some(word) = word {
-            self.say(|_| Some(ClusterUpdate::Counts(Box::new(word))));
+            self.say(|_| Some(ClusterUpdate::Counters(Box::new(word))));
         }
     }
 
@@ -799,7 +805,7 @@
     fn ask_keys(&mut self) {
         let questions = self.desk.borrow_mut().questions();
         for asked in questions {
-            self.say(|_| Some(ClusterUpdate::Keys(asked)));
+            self.say(|_| Some(ClusterUpdate::QuotaRequest(asked)));
         }
     }
 
@@ -814,14 +820,14 @@
             let keys = desk.rules.as_mut().is_none_or(|rules| rules.let_go());
             calls && keys
         };
-        self.say(|_| Some(ClusterUpdate::LetGo(free)));
+        self.say(|_| Some(ClusterUpdate::LeasesReleased(free)));
     }
 
     fn pulse(&mut self, now: Nanos) {
         self.tell_floors(now);
         let (in_hand, advert) = {
             let mut desk = self.desk.borrow_mut();
-            desk.set_timer(PULSE, Timer::Pulse);
+            desk.set_timer(PULSE, Timer::LoadHint);
             (desk.in_hand(), desk.advert())
         };
         let kind = self.start.deployment.advert;
--- a/crates/node/src/node/tests.rs
+++ b/crates/node/src/node/tests.rs
@@ -2,7 +2,7 @@
 //! could go wrong.
 
 use super::*;
-use crate::actions::{Close, Wanted};
+use crate::actions::{CallInterestToken, Close};
 use crate::backend::Outcome;
 use crate::cluster::ClusterUpdate;
 use crate::config::{Limits, Peers};
@@ -32,7 +32,7 @@
     /// The mark of the last question for gauges.
     asked: Option<u64>,
     calls: Vec<(usize, CallId, RequestId, String)>,
-    wanted: Vec<Wanted>,
+    wanted: Vec<CallInterestToken>,
     cancelled: Vec<(usize, String)>,
     no_room_below: bool,
     stopped: bool,
@@ -43,68 +43,68 @@
 }
 
 impl Actions for Recorder {
-    fn reply(&mut self, _: ConnectionId, reply: Reply) {
+    fn send_reply(&mut self, _: ConnectionId, reply: Reply) {
         reply
             .slices()
             .iter()
             .for_each(|s| self.written.extend_from_slice(s));
     }
-    fn close(&mut self, conn: ConnectionId, close: Close) {
+    fn close_connection(&mut self, conn: ConnectionId, close: Close) {
         self.closed.push(conn);
         self.closes.insert(conn, close);
     }
-    fn deafen(&mut self, conn: ConnectionId) {
+    fn stop_reading(&mut self, conn: ConnectionId) {
         self.deaf.push(conn);
     }
-    fn pace(&mut self, conn: ConnectionId, pause: Nanos) {
+    fn pace_reading(&mut self, conn: ConnectionId, pause: Nanos) {
         self.paced.push((conn, pause));
     }
-    fn kernel(&mut self, line: String) {
+    fn send_executor_command(&mut self, line: String) {
         match line.strip_prefix(r#"{"t":"SYSINFO","mark":""#) {
             Some(rest) => self.asked = rest.split('"').next().map(|mark| mark.parse().unwrap()),
             None => self.kernel.push(line.trim_end().to_owned()),
         }
     }
-    fn call(
+    fn send_backend_call(
         &mut self,
         place: usize,
         call: CallId,
         id: RequestId,
         bytes: Vec<u8>,
-        wanted: Wanted,
+        wanted: CallInterestToken,
     ) -> bool {
         self.wanted.push(wanted);
         self.calls
             .push((place, call, id, String::from_utf8(bytes).unwrap()));
         !self.no_room_below
     }
-    fn cancel(&mut self, place: usize, bytes: Vec<u8>) {
+    fn cancel_backend_call(&mut self, place: usize, bytes: Vec<u8>) {
         self.cancelled
             .push((place, String::from_utf8(bytes).unwrap()));
     }
-    fn rest(&mut self, place: usize) {
+    fn close_backend_link(&mut self, place: usize) {
         self.resting.push(place);
     }
-    fn moved(&mut self, _: Peers) -> bool {
+    fn change_peers(&mut self, _: Peers) -> bool {
         true
     }
-    fn renew_kernel(&mut self) {
+    fn reconnect_executor(&mut self) {
         self.renewed += 1;
     }
-    fn leaving(&mut self) {}
+    fn announce_drain(&mut self) {}
     fn stop_listening(&mut self) {
         self.stopped = true;
     }
-    fn fleet(&mut self, word: ClusterUpdate) {
+    fn update_cluster(&mut self, word: ClusterUpdate) {
         self.words.push(word);
     }
-    fn step(&mut self, _: &str, _: fmt::Arguments<'_>) {}
+    fn trace_step(&mut self, _: &str, _: fmt::Arguments<'_>) {}
     fn log(&mut self, _: fmt::Arguments<'_>) {}
 }
 
 /// A node whose clock the test turns. The node's time is also the Unix time.
-struct Node {
-    core: Core<Recorder>,
+struct TestNode {
+    core: Node<Recorder>,
     /// The connection in use; another one is made when it was closed.
     conn: ConnectionId,
     now: Nanos,
@@ -114,9 +114,9 @@
     question: (Option<u64>, Nanos),
 }
 
-impl Node {
+impl TestNode {
     /// A node whose kernel is not up.
-    fn waiting(settings: &str) -> Node {
+    fn waiting(settings: &str) -> TestNode {
         let start = madderpoint_deployment_config::decode(settings.as_bytes()).unwrap();
         let beside = crate::capacity::OptionalSubsystems {
             settings: true,
@@ -131,9 +131,9 @@
             4,
             beside,
         );
-        let core = Core::new(Recorder::default(), start, 7, 3000 * MS, true, &room);
+        let core = Node::new(Recorder::default(), start, 7, 3000 * MS, true, &room);
         let (silent, question) = (false, (None, 0));
-        let mut node = Node {
+        let mut node = TestNode {
             core,
             conn: ConnectionId(1),
             now: 1000 * MS,
@@ -141,23 +141,23 @@
             question,
         };
         node.event(Event::Connected(ConnectionId(1), None));
-        node.event(Event::KernelLinked(0));
+        node.event(Event::ExecutorConnected(0));
         node
     }
 
-    fn with(settings: &str) -> Node {
-        let mut node = Node::waiting(settings);
+    fn with(settings: &str) -> TestNode {
+        let mut node = TestNode::waiting(settings);
         node.boot();
         node.kernel_lines();
         node
     }
 
-    fn new() -> Node {
-        Node::with(support::SETTINGS)
+    fn new() -> TestNode {
+        TestNode::with(support::SETTINGS)
     }
 
     fn boot(&mut self) {
-        self.event(Event::Kernel(Notice::Booted {
+        self.event(Event::Executor(Notice::Booted {
             cold: false,
             up_ms: 0.0,
         }));
@@ -167,7 +167,7 @@
     /// The kernel answers the last question for gauges.
     fn info(&mut self) {
         let mark = self.core.out(|out| out.asked).unwrap();
-        self.event(Event::Kernel(Notice::Info {
+        self.event(Event::Executor(Notice::Info {
             mark,
             values: vec![0.5, 0.1],
         }));
@@ -219,7 +219,10 @@
             body,
             oversize: false,
         };
-        self.event(Event::Front(self.conn, fastcgi::Event::Request(request)));
+        self.event(Event::LoadBalancer(
+            self.conn,
+            fastcgi::Event::Request(request),
+        ));
     }
 
     fn ask(&mut self, id: u16, path: &str, rid: &str) {
@@ -228,7 +231,7 @@
     }
 
     fn reap(&mut self, rid: &str, end: End, body: &[u8]) {
-        self.event(Event::Kernel(Notice::Reap {
+        self.event(Event::Executor(Notice::Reap {
             rid: rid.into(),
             end,
             time_ms: 5.0,
@@ -237,7 +240,7 @@
     }
 
     fn call_wanted(&mut self, rid: &str, no: u64) {
-        self.event(Event::Kernel(Notice::IoReq {
+        self.event(Event::Executor(Notice::IoReq {
             no,
             rid: rid.into(),
             body: b"call".to_vec(),
@@ -245,7 +248,7 @@
     }
 
     fn reply(&mut self, place: usize, rid: &str, outcome: Outcome) {
-        self.event(Event::Reply(
+        self.event(Event::BackendReply(
             place,
             backend::Reply {
                 id: rid.into(),
@@ -281,17 +284,17 @@
     }
 
     fn break_link(&mut self) {
-        self.event(Event::KernelLost);
+        self.event(Event::ExecutorDisconnected);
     }
 
     /// A new link, up to where the kernel sends what was missed.
     fn relink(&mut self, last: u64) {
-        self.event(Event::KernelLinked(last));
+        self.event(Event::ExecutorConnected(last));
         assert_eq!(
             self.kernel_lines(),
             [format!(r#"{{"t":"OPEN","no":{last}}}"#)]
         );
-        self.event(Event::Kernel(Notice::Booted {
+        self.event(Event::Executor(Notice::Booted {
             cold: false,
             up_ms: 100.0,
         }));
@@ -310,7 +313,7 @@
 
 #[test]
 fn an_invocation_gets_the_kernels_bytes_once() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(9, "/call/read", A);
     assert_eq!(node.kernel_lines(), [sched(A, "read")]);
     node.reap(A, End::Ok, b"\0\xffresult");
@@ -326,7 +329,7 @@
 
 #[test]
 fn a_failed_run_is_an_error_and_a_late_arrival_is_throttled_for_good() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/read", A);
     node.reap(A, End::Error, b"");
     node.wait(5000);
@@ -343,7 +346,7 @@
 
 #[test]
 fn an_arrival_from_the_future_counts_from_now() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.send(1, &support::call("/call/read", A, "5000"), b"body");
     node.wait(2900);
     assert_eq!(node.statuses(), []);
@@ -353,7 +356,7 @@
 
 #[test]
 fn what_cannot_be_read_gets_one_proper_answer() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     let good = support::call("/call/read", A, "1000");
     let but = |name: &'static str, value: Option<&'static str>| {
         let mut params: Vec<_> = good.iter().copied().filter(|(n, _)| *n != name).collect();
@@ -412,7 +415,7 @@
 
 #[test]
 fn more_than_may_be_open_is_turned_away_unseen() {
-    let mut node = Node::with(&support::SETTINGS.replace("\"Cores\": 1", "\"Cores\": 12"));
+    let mut node = TestNode::with(&support::SETTINGS.replace("\"Cores\": 1", "\"Cores\": 12"));
     for id in 0..=fastcgi::MAX_OPEN as u16 {
         node.ask(id, "/call/read", &format!("{id:016x}"));
     }
@@ -428,12 +431,18 @@
 
 #[test]
 fn a_caller_that_left_is_owed_nothing() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/read", A);
     node.ask(2, "/call/read", B); // held: one core
     node.kernel_lines();
-    node.event(Event::Front(ConnectionId(1), fastcgi::Event::Abort(2)));
-    node.event(Event::Front(ConnectionId(1), fastcgi::Event::Abort(1)));
+    node.event(Event::LoadBalancer(
+        ConnectionId(1),
+        fastcgi::Event::Abort(2),
+    ));
+    node.event(Event::LoadBalancer(
+        ConnectionId(1),
+        fastcgi::Event::Abort(1),
+    ));
     assert_eq!(
         node.kernel_lines(),
         [format!(r#"{{"t":"PREEMPT","rid":"{A}"}}"#)]
@@ -456,9 +465,12 @@
 
 #[test]
 fn a_halt_that_crosses_an_end_leaves_nothing_behind() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/read", A);
-    node.event(Event::Front(ConnectionId(1), fastcgi::Event::Abort(1)));
+    node.event(Event::LoadBalancer(
+        ConnectionId(1),
+        fastcgi::Event::Abort(1),
+    ));
     node.reap(A, End::Ok, b"late");
     assert!(node.answers().iter().all(|a| a.status.is_empty()));
     node.kernel_lines();
@@ -468,7 +480,7 @@
 
 #[test]
 fn a_connection_that_is_not_to_be_kept_closes_after_its_last_answer() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/read", A);
     let params = support::pairs(&[("SCRIPT_NAME", "/ping")]);
     let check = fastcgi::Request {
@@ -478,7 +490,7 @@
         body: Vec::new(),
         oversize: false,
     };
-    node.event(Event::Front(
+    node.event(Event::LoadBalancer(
         ConnectionId(1),
         fastcgi::Event::Request(check),
     ));
@@ -492,7 +504,7 @@
 
 #[test]
 fn an_id_begun_twice_ends_its_connection_after_the_first_answer_and_runs_nothing_more() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/read", A);
     node.ask(1, "/call/read", B);
     assert_eq!(node.kernel_lines(), [sched(A, "read")]);
@@ -514,7 +526,7 @@
 
 #[test]
 fn connections_close_when_idle_and_only_then() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.event(Event::Connected(ConnectionId(2), None));
     node.ask(1, "/call/read", A);
     node.core.desk.borrow_mut().close_idle(30 * MS);
@@ -544,7 +556,7 @@
         body: b"body".to_vec(),
         oversize: false,
     };
-    node.event(Event::Front(
+    node.event(Event::LoadBalancer(
         ConnectionId(1),
         fastcgi::Event::Request(request),
     ));
@@ -566,8 +578,8 @@
 
 #[test]
 fn room_is_made_by_closing_strangers_first_and_then_what_is_idle_for_longest() {
-    let mut node = Node::new();
-    let served = |node: &mut Node, conn: u64, times: u16| {
+    let mut node = TestNode::new();
+    let served = |node: &mut TestNode, conn: u64, times: u16| {
         node.conn = ConnectionId(conn);
         node.event(Event::Connected(node.conn, None));
         for id in 1..=times {
@@ -580,12 +592,12 @@
     served(&mut node, 3, 2);
     served(&mut node, 4, 1); // asked once and stayed
     served(&mut node, 5, 0); // says nothing
-    node.event(Event::Crowded);
+    node.event(Event::ConnectionLimitReached);
     assert_eq!(node.core.out(|out| out.closed.clone()), [ConnectionId(4)]); // the silent one is young yet
     node.wait(200);
     node.conn = ConnectionId(3);
     node.ask(9, "/call/read", A); // something is open on it
-    (0..4).for_each(|_| node.event(Event::Crowded));
+    (0..4).for_each(|_| node.event(Event::ConnectionLimitReached));
     assert_eq!(
         node.core.out(|out| out.closed.clone()),
         [
@@ -606,8 +618,8 @@
 /// One that asks again as soon as it is turned away once took a node's processor to itself.
 #[test]
 fn strangers_are_read_ever_more_slowly_and_then_closed() {
-    let mut node = Node::new();
-    let paced = |node: &mut Node| {
+    let mut node = TestNode::new();
+    let paced = |node: &mut TestNode| {
         node.core
             .out(|out| out.paced.iter().map(|p| p.1 / MS).collect::<Vec<_>>())
     };
@@ -618,7 +630,7 @@
     assert_eq!(paced(&mut node), [50, 100, 200, 400, 800, 1600]);
     assert_eq!(node.core.out(|out| out.closed.clone()), [ConnectionId(1)]);
     node.ask(1, "/call/read", A); // on a new connection; the kernel does not know it
-    node.event(Event::Kernel(Notice::EInval {
+    node.event(Event::Executor(Notice::EInval {
         command: "SCHED".into(),
         rid: A.into(),
     }));
@@ -641,7 +653,7 @@
 #[test]
 fn checks_are_answered_from_store_or_by_work_and_never_wait_for_long() {
     let deep = [("SCRIPT_NAME", "/ping"), ("QUERY_STRING", "x=2&e2e=1")];
-    let mut node = Node::waiting(support::SETTINGS);
+    let mut node = TestNode::waiting(support::SETTINGS);
     node.send(1, &deep, b"");
     assert_eq!(node.statuses(), [(1, "503".into())]);
     node.boot();
@@ -653,7 +665,7 @@
         node.send(id, &deep, b"");
         let post = node.kernel_lines().pop().unwrap();
         let mark = post.split('"').nth(7).unwrap().parse().unwrap();
-        node.event(Event::Kernel(Notice::Posted { mark, ok }));
+        node.event(Event::Executor(Notice::Posted { mark, ok }));
         assert_eq!(node.statuses(), [(id, status.into())]);
     }
     node.send(5, &deep, b"");
@@ -666,7 +678,7 @@
 
 #[test]
 fn alarms_get_fresh_gauges_and_wait_for_none() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.core.out(|out| out.asked = None);
     node.wait(480); // shortly before the first alarm
     node.info();
@@ -682,7 +694,7 @@
 
 #[test]
 fn nothing_is_read_before_the_kernel_is_up() {
-    let mut node = Node::waiting(support::SETTINGS);
+    let mut node = TestNode::waiting(support::SETTINGS);
     node.ask(1, "/call/read", A);
     assert_eq!(node.statuses(), [(1, "503".into())]);
     node.boot();
@@ -692,7 +704,7 @@
 
 #[test]
 fn a_run_that_ended_without_a_link_is_answered_and_not_run_again() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/pay", A);
     node.kernel_lines();
     node.break_link();
@@ -705,7 +717,7 @@
 
 #[test]
 fn commands_wait_until_the_link_is_in_step() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.break_link();
     node.ask(1, "/call/pay", A);
     assert_eq!(node.kernel_lines(), [""; 0]);
@@ -719,7 +731,7 @@
 
 #[test]
 fn only_what_may_run_twice_is_sent_again() {
-    let mut node = Node::with(&support::SETTINGS.replace("\"Cores\": 1", "\"Cores\": 3"));
+    let mut node = TestNode::with(&support::SETTINGS.replace("\"Cores\": 1", "\"Cores\": 3"));
     node.ask(1, "/call/read", A);
     node.ask(2, "/call/pay", B);
     assert_eq!(node.kernel_lines().len(), 2);
@@ -742,7 +754,7 @@
 /// A run in doubt once held its caller until the client timeout.
 #[test]
 fn a_run_in_doubt_errs_soon_and_gives_its_place_back() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/pay", A);
     let asked = node.core.out(|out| out.asked);
     node.wait(10);
@@ -762,7 +774,7 @@
 
 #[test]
 fn a_new_configuration_moves_the_kernels_link_without_doubt() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     let address = ([127, 0, 0, 1], 1).into();
     let peers = Peers {
         kernel: address,
@@ -771,7 +783,7 @@
     };
     node.ask(1, "/call/pay", A);
     assert_eq!(node.kernel_lines(), [sched(A, "pay")]);
-    node.event(Event::Moved(Moved {
+    node.event(Event::ConfigChanged(Moved {
         peers,
         kept: vec![],
     }));
@@ -789,13 +801,13 @@
     assert_eq!(node.counted("runs in doubt after a broken link"), 0);
     node.reap(A, End::Ok, b"result");
     assert_eq!(node.kernel_lines(), [sched(B, "read")]);
-    node.event(Event::Moved(Moved {
+    node.event(Event::ConfigChanged(Moved {
         peers,
         kept: vec![],
     }));
     node.wait(150); // a kernel that says nothing is not waited for
     assert_eq!(node.core.out(|out| out.renewed), 2);
-    node.event(Event::Moved(Moved {
+    node.event(Event::ConfigChanged(Moved {
         peers,
         kept: vec![],
     })); // nor is a link that is going already
@@ -806,8 +818,8 @@
 /// client timeout.
 #[test]
 fn a_link_that_brings_nothing_is_made_anew_and_a_late_kernel_is_waited_for() {
-    let renewed = |node: &mut Node| node.core.out(|out| out.renewed);
-    let mut node = Node::new();
+    let renewed = |node: &mut TestNode| node.core.out(|out| out.renewed);
+    let mut node = TestNode::new();
     node.silent = true;
     node.wait(1900);
     node.ask(1, "/call/read", A);
@@ -838,14 +850,14 @@
     node.wait(1000);
     assert_eq!(renewed(&mut node), 1);
     // Before BOOTED the kernel may take its time.
-    let mut node = Node::waiting(support::SETTINGS);
+    let mut node = TestNode::waiting(support::SETTINGS);
     node.wait(30_000);
     assert_eq!(renewed(&mut node), 0);
 }
 
 #[test]
 fn a_reply_that_found_no_link_is_handed_over_later() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/read", A);
     node.call_wanted(A, 1);
     node.break_link();
@@ -868,10 +880,13 @@
 
 #[test]
 fn a_run_stopped_before_the_kernel_heard_of_it_is_over() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.break_link();
     node.ask(1, "/call/pay", A);
-    node.event(Event::Front(ConnectionId(1), fastcgi::Event::Abort(1)));
+    node.event(Event::LoadBalancer(
+        ConnectionId(1),
+        fastcgi::Event::Abort(1),
+    ));
     node.relink(0);
     node.info();
     assert_eq!(node.kernel_lines(), [""; 0]);
@@ -881,7 +896,7 @@
 
 #[test]
 fn a_run_whose_end_was_missed_gives_its_place_back() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/pay", A);
     node.kernel_lines();
     node.break_link();
@@ -899,13 +914,13 @@
 
 #[test]
 fn a_run_that_the_kernel_does_not_take_errs() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/read", A);
-    node.event(Event::Kernel(Notice::EInval {
+    node.event(Event::Executor(Notice::EInval {
         command: "SCHED".into(),
         rid: A.into(),
     }));
-    node.event(Event::Kernel(Notice::EInval {
+    node.event(Event::Executor(Notice::EInval {
         command: "NOIO".into(),
         rid: "zz".into(),
     }));
@@ -917,7 +932,7 @@
 
 #[test]
 fn a_call_goes_out_whole_and_its_reply_comes_back_unchanged() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/read", A);
     node.call_wanted(A, 1);
     let (_, _, _, bytes) = node.last_call();
@@ -935,7 +950,7 @@
 
 #[test]
 fn a_late_reply_is_not_taken_for_a_newer_calls() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/read", A);
     node.call_wanted(A, 1);
     node.wait(1);
@@ -968,16 +983,16 @@
         ("/call/pay", true, 1),
         ("/call/pay", false, 2),
     ] {
-        let mut node = Node::new();
+        let mut node = TestNode::new();
         node.ask(1, path, A);
         node.call_wanted(A, 1);
         let (_, no, id, _) = node.last_call();
         if written {
-            node.event(Event::CallWritten(no, id, link(1)));
-            node.event(Event::BackendLost(link(1), None));
+            node.event(Event::BackendCallWritten(no, id, link(1)));
+            node.event(Event::BackendDisconnected(link(1), None));
         } else {
-            node.event(Event::BackendLost(link(1), None)); // another call's connection
-            node.event(Event::CallUnsent(no, id));
+            node.event(Event::BackendDisconnected(link(1), None)); // another call's connection
+            node.event(Event::BackendCallNotSent(no, id));
         }
         assert_eq!(node.calls(), again, "{path} {written}");
         assert_eq!(node.statuses().len(), 2 - again, "{path} {written}");
@@ -986,7 +1001,7 @@
 
 #[test]
 fn a_connection_that_ended_before_word_of_its_call_came_counts() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/pay", A);
     node.call_wanted(A, 1);
     let (_, no, id, _) = node.last_call();
@@ -994,24 +1009,27 @@
         place: 0,
         generation: 1,
     };
-    node.event(Event::BackendLost(link, None));
+    node.event(Event::BackendDisconnected(link, None));
     assert_eq!(node.statuses(), []);
-    node.event(Event::CallWritten(no, id, link));
+    node.event(Event::BackendCallWritten(no, id, link));
     assert_eq!(node.statuses(), [(1, "500".into())]);
 }
 
 /// What a peer spoils is counted by its cause, and nothing that is owed goes with it.
 #[test]
 fn what_is_malformed_or_cut_is_counted_by_cause() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/read", A);
     let link = BackendLink {
         place: 0,
         generation: 1,
     };
-    node.event(Event::Garbled(node.conn, "record of an unknown version"));
-    node.event(Event::CutShort);
-    node.event(Event::BackendLost(link, Some("reply cut short")));
+    node.event(Event::ProtocolError(
+        node.conn,
+        "record of an unknown version",
+    ));
+    node.event(Event::RequestTruncated);
+    node.event(Event::BackendDisconnected(link, Some("reply cut short")));
     let counted = |what: &str| node.core.desk.borrow().counted(what);
     let causes = [
         "record of an unknown version",
@@ -1025,14 +1043,14 @@
 
 #[test]
 fn a_quiet_link_rests_only_when_no_reply_is_awaited_on_it() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/pay", A);
     node.call_wanted(A, 1);
-    node.event(Event::BackendQuiet(0));
-    node.event(Event::BackendQuiet(1));
+    node.event(Event::BackendIdle(0));
+    node.event(Event::BackendIdle(1));
     assert_eq!(node.core.out(|out| out.resting.clone()), [1]);
     node.reply(0, A, Outcome::Ok);
-    node.event(Event::BackendQuiet(0));
+    node.event(Event::BackendIdle(0));
     assert_eq!(node.core.out(|out| out.resting.clone()), [1, 0]);
 }
 
@@ -1040,9 +1058,9 @@
 /// either. With all calls on one connection every later one timed out.
 #[test]
 fn calls_are_spread_and_go_round_a_link_that_has_gone_silent() {
-    let mut node = Node::with(&support::SETTINGS.replace("\"Cores\": 1", "\"Cores\": 20"));
+    let mut node = TestNode::with(&support::SETTINGS.replace("\"Cores\": 1", "\"Cores\": 20"));
     let mut n = 0;
-    let mut next = |node: &mut Node| {
+    let mut next = |node: &mut TestNode| {
         n += 1u16;
         let rid = format!("{n:016x}");
         node.ask(n, "/call/read", &rid);
@@ -1064,25 +1082,25 @@
 
 #[test]
 fn a_call_is_wanted_until_its_limit_its_end_or_that_of_its_run() {
-    type Way = fn(&mut Node);
+    type Way = fn(&mut TestNode);
     let ways: [(Way, &str); 4] = [
         (|node| node.wait(2980), "its limit"),
         (|node| node.reply(0, A, Outcome::Ok), "its reply"),
         (|node| node.reap(A, End::Stopped, b""), "the end of its run"),
         (
-            |node| node.event(Event::CallUnsent(CallId(1), RequestId(1))),
+            |node| node.event(Event::BackendCallNotSent(CallId(1), RequestId(1))),
             "word that it was not written",
         ),
     ];
     for (way, what) in ways {
-        let mut node = Node::new();
+        let mut node = TestNode::new();
         node.ask(1, "/call/pay", A);
         node.call_wanted(A, 1);
         let wanted = node.core.out(|out| out.wanted[0].clone());
-        assert!(wanted.is_so());
+        assert!(wanted.is_wanted());
         way(&mut node);
         assert!(
-            !wanted.is_so(),
+            !wanted.is_wanted(),
             "after {what} it must not be written any more"
         );
     }
@@ -1096,7 +1114,7 @@
         (Outcome::Internal, false),
         (Outcome::Deadline, false),
     ] {
-        let mut node = Node::new();
+        let mut node = TestNode::new();
         node.ask(1, "/call/pay", A);
         node.call_wanted(A, 1);
         node.reply(0, A, outcome);
@@ -1110,7 +1128,7 @@
 
 #[test]
 fn a_call_that_finds_no_room_never_ran() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.core.out(|out| out.no_room_below = true);
     node.ask(1, "/call/pay", A);
     node.call_wanted(A, 1);
@@ -1122,9 +1140,12 @@
 
 #[test]
 fn calls_that_cross_a_halt_are_given_up_with_the_run() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/read", A);
-    node.event(Event::Front(ConnectionId(1), fastcgi::Event::Abort(1)));
+    node.event(Event::LoadBalancer(
+        ConnectionId(1),
+        fastcgi::Event::Abort(1),
+    ));
     node.call_wanted(A, 1); // crossed the halt
     assert_eq!(node.calls(), 0);
     node.reap(A, End::Stopped, b"");
@@ -1142,8 +1163,8 @@
 
 #[test]
 fn like_reads_share_a_result_while_it_is_fresh() {
-    let mut node = Node::with(&support::SETTINGS.replace("\"Fresh\": 0.0", "\"Fresh\": 1.0"));
-    let ask = |node: &mut Node, id, rid| {
+    let mut node = TestNode::with(&support::SETTINGS.replace("\"Fresh\": 0.0", "\"Fresh\": 1.0"));
+    let ask = |node: &mut TestNode, id, rid| {
         let arrived = (node.now / MS).to_string();
         let mut params = support::call("/call/read", rid, &arrived);
         params.push(("HTTP_X_SUBJECT", "7f3a9c21e0b4d655"));
@@ -1174,8 +1195,8 @@
 fn reads_about_one_subject_are_alike_only_with_one_body_and_tenant() {
     let settings = support::SETTINGS.replace("\"Fresh\": 0.0", "\"Fresh\": 1.0");
     let mut node =
-        Node::with(&settings.replace("}]}", r#"}, {"Name": "other", "QuotaRps": 50.0}]}"#));
-    let ask = |node: &mut Node, id, rid, tenant, body: &[u8]| {
+        TestNode::with(&settings.replace("}]}", r#"}, {"Name": "other", "QuotaRps": 50.0}]}"#));
+    let ask = |node: &mut TestNode, id, rid, tenant, body: &[u8]| {
         let params = support::call("/call/read", rid, "1000");
         let params: Vec<_> = params
             .into_iter()
@@ -1208,7 +1229,7 @@
 
 #[test]
 fn a_drain_answers_all_and_runs_nothing_past_the_grace() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/read", A);
     node.event(Event::Drain);
     node.wait(400);
@@ -1233,13 +1254,13 @@
         !node.core.has_left(),
         "a connection may wait in the listen backlog"
     );
-    node.event(Event::NotListening);
+    node.event(Event::ListenerClosed);
     assert!(node.core.has_left());
 }
 
 #[test]
 fn a_notice_before_the_kernel_is_up_holds_afterwards() {
-    let mut node = Node::waiting(support::SETTINGS);
+    let mut node = TestNode::waiting(support::SETTINGS);
     node.event(Event::Drain);
     node.wait(100);
     node.boot();
--- a/crates/node/src/node/tests/properties.rs
+++ b/crates/node/src/node/tests/properties.rs
@@ -185,7 +185,7 @@
 /// The world round a node: what was sent, and what the kernel, as it is played here, knows of runs.
 struct World {
     site: Site,
-    node: Node,
+    node: TestNode,
     sent: Vec<Sent>,
     next: u16,
     /// Runs at the kernel, and the number of the last notice.
@@ -197,7 +197,7 @@
 
 impl World {
     fn new(site: Site) -> World {
-        let mut node = Node::with(&site.settings);
+        let mut node = TestNode::with(&site.settings);
         node.now += 100_000 * MS;
         node.core.fire(node.now);
         node.info();
@@ -229,7 +229,7 @@
                     let (conn, id) = self.sent[at].place.unwrap();
                     self.sent[at].place = None;
                     self.node
-                        .event(Event::Front(conn, fastcgi::Event::Abort(id)));
+                        .event(Event::LoadBalancer(conn, fastcgi::Event::Abort(id)));
                 }
             }
             Step::ConnectionEnds => {
@@ -282,8 +282,8 @@
             }
             Step::LinkBack if !self.linked => {
                 self.linked = true;
-                self.node.event(Event::KernelLinked(self.notice));
-                self.node.event(Event::Kernel(Notice::Booted {
+                self.node.event(Event::ExecutorConnected(self.notice));
+                self.node.event(Event::Executor(Notice::Booted {
                     cold: false,
                     up_ms: 100.0,
                 }));
@@ -361,7 +361,7 @@
             oversize: false,
         };
         self.node
-            .event(Event::Front(conn, fastcgi::Event::Request(request)));
+            .event(Event::LoadBalancer(conn, fastcgi::Event::Request(request)));
     }
 
     /// In small parts, so that what is due is seen when it is.
--- a/crates/node/src/node/tests/repeats.rs
+++ b/crates/node/src/node/tests/repeats.rs
@@ -6,7 +6,7 @@
 const C: &str = "00000000000000cc";
 const KEY: &str = "35703cb5dbe0981838ed43bf61d23a03";
 
-impl Node {
+impl TestNode {
     /// A try of the tokened operation, which reached the machine so long ago.
     fn try_of(&mut self, id: u16, rid: &str, key: &str, age_ms: u64) {
         self.try_as(id, rid, &[("HTTP_X_OPERATION_KEY", key)], age_ms, b"body");
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_repeat_is_known_by_the_platforms_key_and_never_runs() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.try_of(1, A, KEY, 0);
     node.try_of(2, B, KEY, 0);
     assert_eq!(
@@ -70,7 +70,7 @@
     let settings = support::SETTINGS
         .replace("}]}", r#"}, {"Name": "other", "QuotaRps": 50.0}]}"#)
         .to_owned();
-    let mut node = Node::with(&settings);
+    let mut node = TestNode::with(&settings);
     node.ran();
     // The same key of another tenant is another invocation: nobody gets another customer's result.
     node.try_as(
@@ -103,7 +103,7 @@
 
 #[test]
 fn what_is_no_key_is_refused_and_not_run_unprotected() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     let long = "k".repeat(256);
     for key in ["", &long, "a\u{7f}b", "sch\u{f6}n"] {
         node.try_of(1, A, key, 0);
@@ -115,7 +115,7 @@
 #[test]
 fn the_window_counts_by_arrival_at_the_machine_however_late_a_repeat_is_read() {
     // Read 900 ms after the window of 5 s, but it reached the machine within it.
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ran();
     node.wait(5900);
     node.try_of(2, B, KEY, 950);
@@ -124,7 +124,7 @@
         (vec![done()], 0)
     );
     // The very end, by what the protocol allows clocks to differ.
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ran();
     node.wait(5049);
     node.try_of(2, B, KEY, 0);
@@ -133,7 +133,7 @@
         (vec![done()], 0)
     );
     // What arrives later is a new invocation, and is known by the same key from then on.
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ran();
     node.wait(5100);
     node.try_of(2, B, KEY, 0);
@@ -148,11 +148,11 @@
 #[test]
 fn a_repeat_after_the_first_callers_connection_is_gone_gets_the_result() {
     for aborted in [true, false] {
-        let mut node = Node::new();
+        let mut node = TestNode::new();
         node.try_of(1, A, KEY, 0);
         node.kernel_lines();
         match aborted {
-            true => node.event(Event::Front(node.conn, fastcgi::Event::Abort(1))),
+            true => node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(1))),
             false => node.event(Event::Disconnected(node.conn)),
         }
         assert_eq!(
@@ -175,7 +175,7 @@
 
 #[test]
 fn what_its_caller_left_before_it_ran_may_come_again() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     // One core: what comes is held.
     for n in 0..2u16 {
         node.ask(n + 10, "/call/read", &format!("{n:016x}"));
@@ -183,7 +183,7 @@
     node.kernel_lines();
     node.try_of(1, A, KEY, 0);
     assert_eq!(node.kernel_lines().len(), 0, "it is held");
-    node.event(Event::Front(node.conn, fastcgi::Event::Abort(1)));
+    node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(1)));
     node.try_of(2, B, KEY, 0);
     node.answers();
     for n in 0..2u16 {
@@ -198,10 +198,10 @@
 #[test]
 fn what_the_kernel_did_not_take_up_leaves_no_key_behind() {
     // A stranger has seen a key; the kernel knows no such request, so that nothing ran.
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.try_of(1, A, KEY, 0);
     node.kernel_lines();
-    node.event(Event::Kernel(Notice::EInval {
+    node.event(Event::Executor(Notice::EInval {
         command: "SCHED".into(),
         rid: A.into(),
     }));
@@ -209,9 +209,9 @@
     node.try_of(2, B, KEY, 0);
     assert_eq!(node.kernel_lines(), [sched(B, "book")]);
     // MOOT to the one command that was ever given: nothing was started.
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.try_of(1, A, KEY, 0);
-    node.event(Event::Front(node.conn, fastcgi::Event::Abort(1)));
+    node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(1)));
     node.reap(A, End::Moot, b"");
     node.kernel_lines();
     node.answers();
@@ -223,7 +223,7 @@
 fn moot_to_a_second_question_proves_nothing() {
     // The end of a run was lost with its link; asked after it, the kernel only knows that none goes
     // on.
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.try_of(1, A, KEY, 0);
     node.kernel_lines();
     node.break_link();
@@ -244,7 +244,7 @@
 fn a_callers_patience_counts_where_it_is_told() {
     let told = support::SETTINGS.replace(r#""Cores": 1"#, r#""Cores": 1, "PassesDeadline": true"#);
     let patience = |settings: &str, more: &[(&str, &str)]| {
-        let mut node = Node::with(settings);
+        let mut node = TestNode::with(settings);
         let call = [support::call("/call/read", A, "900"), more.to_vec()].concat();
         node.send(1, &call, b"body");
         let from = node.now;
@@ -285,7 +285,7 @@
 
 #[test]
 fn a_repeat_of_what_is_in_doubt_after_a_broken_link_does_not_run() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.try_of(1, A, KEY, 0);
     assert_eq!(node.kernel_lines(), [sched(A, "book")]);
     node.break_link();
@@ -316,7 +316,7 @@
 
 #[test]
 fn a_repeat_while_there_is_no_link_waits_with_the_first_one() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.break_link();
     node.try_of(1, A, KEY, 0);
     node.try_of(2, B, KEY, 0);
@@ -338,7 +338,7 @@
 fn a_repeat_that_is_read_in_the_turn_of_the_runs_end_gets_the_result() {
     // Before the end, after it, and when its first caller's connection went between.
     for order in 0..3 {
-        let mut node = Node::new();
+        let mut node = TestNode::new();
         node.try_of(1, A, KEY, 0);
         node.kernel_lines();
         if order == 2 {
@@ -364,10 +364,10 @@
 
 #[test]
 fn a_stop_that_was_lost_with_its_link_is_sent_again() {
-    let mut node = Node::new();
+    let mut node = TestNode::new();
     node.ask(1, "/call/read", A);
     node.kernel_lines();
-    node.event(Event::Front(node.conn, fastcgi::Event::Abort(1)));
+    node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(1)));
     let stop = format!(r#"{{"t":"PREEMPT","rid":"{A}"}}"#);
     assert_eq!(node.kernel_lines(), std::slice::from_ref(&stop));
     node.break_link();
@@ -387,7 +387,7 @@
 #[test]
 fn repeats_that_wait_are_answered_in_a_drain_whatever_becomes_of_the_first() {
     for end in [Some(End::Ok), Some(End::Error), None] {
-        let mut node = Node::new();
+        let mut node = TestNode::new();
         node.try_of(1, A, KEY, 0);
         node.try_of(2, B, KEY, 0);
         node.event(Event::Drain);
--- a/crates/node/src/node/tests/rules.rs
+++ b/crates/node/src/node/tests/rules.rs
@@ -1,7 +1,7 @@
 //! Rules and limits at the core: what they give reaches the decisions, and the four rules hold.
 
 use super::*;
-use crate::classify::Sheet;
+use crate::request_rules::CompiledRuleSet;
 use madderpoint_settings::Known;
 
 const C: &str = "00000000000000cc";
@@ -15,19 +15,19 @@
     )
 }
 
-fn sheet(rules: &str) -> Box<Sheet> {
+fn sheet(rules: &str) -> Box<CompiledRuleSet> {
     read_sheet(rules, "")
 }
 
 /// Rules with limits of the whole fleet.
-pub fn fleet_sheet(rules: &str) -> Box<Sheet> {
+pub fn fleet_sheet(rules: &str) -> Box<CompiledRuleSet> {
     read_sheet(
         rules,
         "<fleet name=\"f\" keys=\"k\"><arbiter name=\"n0\"/></fleet>",
     )
 }
 
-fn read_sheet(rules: &str, fleet: &str) -> Box<Sheet> {
+fn read_sheet(rules: &str, fleet: &str) -> Box<CompiledRuleSet> {
     let start = madderpoint_deployment_config::decode(settings().as_bytes()).unwrap();
     let effects = start.deployment.operations.iter().map(|o| o.effect);
     let operations = Some(start.operations.iter().cloned().zip(effects).collect());
@@ -40,17 +40,17 @@
     let read =
         madderpoint_settings::read("rules.xml", &text, &known).unwrap_or_else(|e| panic!("{e}"));
     let book = read.rules.unwrap();
-    Box::new(Sheet {
+    Box::new(CompiledRuleSet {
         rules: book.rules,
         buckets: book.buckets,
         fleet: book.fleet,
     })
 }
 
-impl Node {
-    fn ruled(rules: &str) -> Node {
-        let mut node = Node::with(&settings());
-        node.event(Event::Ruled(sheet(rules)));
+impl TestNode {
+    fn ruled(rules: &str) -> TestNode {
+        let mut node = TestNode::with(&settings());
+        node.event(Event::RulesChanged(sheet(rules)));
         node
     }
 
@@ -66,7 +66,7 @@
         answers.remove(0)
     }
 
-    fn tally(&self, class: &str) -> crate::classify::ClassTally {
+    fn tally(&self, class: &str) -> crate::request_rules::ClassTally {
         self.core.desk.borrow().rules.as_ref().unwrap().class(class)
     }
 }
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_rule_gives_the_operation_and_the_class() {
-    let mut node = Node::ruled(
+    let mut node = TestNode::ruled(
         r#"<rule name="old"><when>script.startsWith("/old/")</when><give operation="read" class="old"/></rule>"#,
     );
     node.ask(1, "/old/7", A);
@@ -97,7 +97,7 @@
 
 #[test]
 fn what_must_run_once_is_known_again_by_the_key_that_a_rule_gave() {
-    let mut node = Node::ruled(KEYED);
+    let mut node = TestNode::ruled(KEYED);
     let key = [("HTTP_X_KEY", "k1")];
     node.ask_with(1, "/old/book/1", A, &key, b"body");
     assert_eq!(node.kernel_lines(), [sched(A, "book")]);
@@ -147,7 +147,7 @@
 #[test]
 fn what_may_have_run_is_not_run_again_though_it_left_no_result() {
     for end in [End::Error, End::Stopped] {
-        let mut node = Node::ruled(KEYED);
+        let mut node = TestNode::ruled(KEYED);
         let key = [("HTTP_X_KEY", "k1")];
         node.ask_with(1, "/old/book/1", A, &key, b"body");
         node.reap(A, end, b"");
@@ -162,10 +162,10 @@
         );
     }
     // Its caller left while it ran, and it ended after its client timeout.
-    let mut node = Node::ruled(KEYED);
+    let mut node = TestNode::ruled(KEYED);
     let key = [("HTTP_X_KEY", "k1")];
     node.ask_with(1, "/old/book/1", A, &key, b"body");
-    node.event(Event::Front(node.conn, fastcgi::Event::Abort(1)));
+    node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(1)));
     node.wait(3500);
     node.reap(A, End::Error, b"");
     node.answers();
@@ -179,7 +179,7 @@
 
 #[test]
 fn what_never_ran_may_come_again_under_its_key() {
-    let mut node = Node::ruled(KEYED);
+    let mut node = TestNode::ruled(KEYED);
     let key = [("HTTP_X_KEY", "k1")];
     // It comes too late to be run.
     let params = [support::call("/old/book/1", A, "500"), key.to_vec()].concat();
@@ -189,10 +189,10 @@
     node.ask_with(2, "/old/book/1", B, &key, b"body");
     assert_eq!(node.kernel_lines().len(), 1);
     // Nor does one whose run was never asked for, as there was no link.
-    let mut node = Node::ruled(KEYED);
+    let mut node = TestNode::ruled(KEYED);
     node.break_link();
     node.ask_with(1, "/old/book/1", A, &key, b"body");
-    node.event(Event::Front(node.conn, fastcgi::Event::Abort(1)));
+    node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(1)));
     node.wait(3500);
     node.answers();
     node.relink(0);
@@ -208,7 +208,7 @@
 
 #[test]
 fn keys_that_find_no_room_are_throttled_and_not_run_unprotected() {
-    let mut node = Node::ruled(KEYED);
+    let mut node = TestNode::ruled(KEYED);
     let mut ran = 0;
     for i in 0..8300u32 {
         let (rid, key) = (format!("{i:016x}"), format!("k{i}"));
@@ -226,7 +226,7 @@
 
 #[test]
 fn verdicts_are_answered_at_once_with_a_pause_no_longer_than_the_settings_have() {
-    let mut node = Node::ruled(
+    let mut node = TestNode::ruled(
         r#"<rule name="later"><when>params.HTTP_X_SITE == "7"</when><throttle pause="10m" reason="closed for now"/></rule>
         <rule name="never"><when>caller.address in net("10.0.0.0/8")</when><error status="403" reason="not from there"/></rule>"#,
     );
@@ -259,7 +259,7 @@
 
 #[test]
 fn a_bucket_has_room_again_when_what_it_holds_is_over() {
-    let mut node = Node::ruled(
+    let mut node = TestNode::ruled(
         r#"<bucket name="site" in-hand="1"/><rule name="r"><when>operation == "read"</when>
         <give class="reads"><limit bucket="site">params.HTTP_X_SITE</limit></give></rule>"#,
     );
@@ -279,7 +279,7 @@
     node.ask_with(4, "/call/read", B, &seven, b"body");
     assert_eq!(node.statuses(), [], "the first one's place is free");
     // The caller leaves before it runs: that gives the place back too.
-    node.event(Event::Front(node.conn, fastcgi::Event::Abort(4)));
+    node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(4)));
     node.answers();
     node.ask_with(5, "/call/read", D, &seven, b"body");
     assert_eq!(node.statuses(), []);
@@ -299,10 +299,10 @@
             <give operation="read" class="c"><limit bucket="all">"all"</limit></give></rule>"#
         ))
     };
-    let mut node = Node::with(&settings());
-    node.event(Event::Ruled(limited("script == \"/a\"")));
+    let mut node = TestNode::with(&settings());
+    node.event(Event::RulesChanged(limited("script == \"/a\"")));
     node.ask(1, "/a", A);
-    node.event(Event::Ruled(limited("script == \"/b\"")));
+    node.event(Event::RulesChanged(limited("script == \"/b\"")));
     // The bucket's definition stayed, and with it what it holds.
     node.ask(2, "/b", B);
     assert_eq!(node.one_answer().status, "429");
@@ -313,7 +313,7 @@
     node.ask(4, "/b", D);
     assert_eq!(node.kernel_lines().len(), 2);
     // Without any rules, what is still held is given back to nobody, and nothing is limited.
-    node.event(Event::Ruled(sheet("")));
+    node.event(Event::RulesChanged(sheet("")));
     node.reap(D, End::Ok, b"r");
     node.ask(5, "/call/read", B);
     assert_eq!(node.kernel_lines().len(), 1);
@@ -321,7 +321,7 @@
 
 #[test]
 fn a_rule_that_errs_does_not_match_and_is_counted() {
-    let mut node = Node::ruled(
+    let mut node = TestNode::ruled(
         r#"<rule name="bad"><when>10 / int(params.N) == 1</when><error status="403" reason="ten"/></rule>
         <rule name="good"><when>true</when><give class="rest"/></rule>"#,
     );
@@ -360,7 +360,7 @@
 
 #[test]
 fn a_drain_with_full_buckets_answers_all_and_runs_nothing_late() {
-    let mut node = Node::ruled(
+    let mut node = TestNode::ruled(
         r#"<bucket name="all" in-hand="2"/><rule name="r"><when>true</when>
         <give><limit bucket="all">"all"</limit></give></rule>"#,
     );
@@ -387,13 +387,13 @@
         !node.core.has_left(),
         "a connection may wait in the listen backlog"
     );
-    node.event(Event::NotListening);
+    node.event(Event::ListenerClosed);
     assert!(node.core.has_left());
 }
 
 #[test]
 fn a_new_key_for_each_invocation_takes_no_more_memory_than_there_is() {
-    let mut node = Node::ruled(
+    let mut node = TestNode::ruled(
         r#"<bucket name="each" rate="1/h" burst="1"/><rule name="r"><when>operation == "read"</when>
         <give class="c"><limit bucket="each">params.HTTP_X_CORRELATION_ID</limit></give></rule>"#,
     );
--- a/crates/node/src/node/tests/shared.rs
+++ b/crates/node/src/node/tests/shared.rs
@@ -20,19 +20,19 @@
     }
 }
 
-fn service() -> Service {
-    Service {
+fn service() -> SharedService {
+    SharedService {
         name: "register".into(),
         slow: Some(200 * MS),
         zone: 1,
     }
 }
 
-impl Node {
+impl TestNode {
     /// A node that is part of a fleet, two seconds later.
-    fn joined(budgets: &[Budget], service: Option<&Service>) -> Node {
-        let mut node = Node::with(&settings());
-        let with = With {
+    fn joined(budgets: &[Budget], service: Option<&SharedService>) -> TestNode {
+        let mut node = TestNode::with(&settings());
+        let with = SharedStateOptions {
             service: service.cloned(),
             counts: true,
         };
@@ -72,7 +72,7 @@
 /// whole.
 #[test]
 fn a_call_waits_for_room_that_comes_soon_and_is_refused_where_it_does_not() {
-    let mut node = Node::joined(&[rate(10)], None);
+    let mut node = TestNode::joined(&[rate(10)], None);
     assert!(node.run_to_call(1, "/call/pay", A));
     assert_eq!(node.calls(), 1);
     node.reply(0, A, Outcome::Ok);
@@ -85,7 +85,7 @@
     let (.., bytes) = node.last_call();
     assert!(bytes.starts_with(&format!("invoke {B} ")), "{bytes}");
     // One a second: the second call finds none soon. It never ran, and what needs it errs at once.
-    let mut node = Node::joined(&[rate(1)], None);
+    let mut node = TestNode::joined(&[rate(1)], None);
     node.wait(1000);
     assert!(node.run_to_call(1, "/call/pay", A) && node.calls() == 1);
     node.reply(0, A, Outcome::Ok);
@@ -102,7 +102,7 @@
 /// A caller that leaves while its call waits leaves nothing behind: the room goes to the next one.
 #[test]
 fn a_run_that_ends_while_its_call_waits_gives_its_turn_up() {
-    let mut node = Node::joined(&[rate(10)], None);
+    let mut node = TestNode::joined(&[rate(10)], None);
     assert!(node.run_to_call(1, "/call/read", A));
     node.reply(0, A, Outcome::Ok);
     node.reap(A, End::Ok, b"r");
@@ -126,7 +126,7 @@
         kind,
         ..rate(1)
     };
-    let ends = |node: &Node| {
+    let ends = |node: &TestNode| {
         node.core
             .desk
             .borrow_mut()
@@ -141,7 +141,7 @@
         (Outcome::Overload, false),
         (Outcome::Internal, false),
     ] {
-        let mut node = Node::joined(std::slice::from_ref(&in_hand), None);
+        let mut node = TestNode::joined(std::slice::from_ref(&in_hand), None);
         assert!(node.run_to_call(1, "/call/read", A) && ends(&node) == 1);
         node.reply(0, A, outcome);
         node.reap(A, End::Ok, b"r");
@@ -155,7 +155,7 @@
 /// What can't make its call is turned away before it runs, with the time when there is room.
 #[test]
 fn what_needs_a_call_is_let_in_for_the_room_there_is() {
-    let mut node = Node::joined(&[rate(10)], None);
+    let mut node = TestNode::joined(&[rate(10)], None);
     let (mut let_in, mut pauses) = (0, Vec::new());
     for n in 0..100 {
         let rid = rid(n);
@@ -196,7 +196,7 @@
         repeats_only: true,
         ..rate(1)
     };
-    let mut node = Node::joined(&[rate(1000), repeats], None);
+    let mut node = TestNode::joined(&[rate(1000), repeats], None);
     assert!(node.run_to_call(1, "/call/pay", A));
     node.reply(0, A, Outcome::Overload);
     assert_eq!(node.calls(), 2, "one repeat in a second");
@@ -214,7 +214,7 @@
 /// does not goes on without; when a try is due, one is let in for it.
 #[test]
 fn a_service_that_fails_is_closed_and_tried_and_load_comes_back_in_steps() {
-    let mut node = Node::joined(&[], Some(&service()));
+    let mut node = TestNode::joined(&[], Some(&service()));
     for n in 0..10 {
         assert!(node.run_to_call(1, "/call/pay", &rid(n)));
         node.reply(0, &rid(n), Outcome::Internal);
@@ -268,7 +268,7 @@
 
 #[test]
 fn a_slow_service_counts_as_one_that_fails() {
-    let mut node = Node::joined(&[], Some(&service()));
+    let mut node = TestNode::joined(&[], Some(&service()));
     let mut calls = 0;
     while node.mode() == HealthState::Healthy {
         let rid = rid(calls);
@@ -289,7 +289,7 @@
 /// Others alone make it careful, and never close it.
 #[test]
 fn what_others_say_makes_a_node_careful_for_as_long_as_they_say_it() {
-    let mut node = Node::joined(&[], Some(&service()));
+    let mut node = TestNode::joined(&[], Some(&service()));
     let ill = AggregatedHealth {
         witnesses: 6,
         ill: 6,
@@ -312,8 +312,8 @@
 /// goes out at once, and what comes lets the next ones in.
 #[test]
 fn a_limit_by_key_of_the_fleet_asks_and_lets_in_what_was_lent() {
-    let mut node = Node::joined(&[], None);
-    node.event(Event::Ruled(fleet_sheet(
+    let mut node = TestNode::joined(&[], None);
+    node.event(Event::RulesChanged(fleet_sheet(
         &BUCKET.replace("caller.name", "tenant"),
     )));
     node.words();
@@ -324,7 +324,7 @@
     );
     node.wait(30);
     let asked = node.words().into_iter().find_map(|word| match word {
-        ClusterUpdate::Keys(asked) => Some(asked),
+        ClusterUpdate::QuotaRequest(asked) => Some(asked),
         _ => None,
     });
     let asked = asked.unwrap();
@@ -336,7 +336,7 @@
         wait: 0,
     };
     let keys = asked.keys.iter().map(lent).collect();
-    node.event(Event::QuotaGrant(Box::new(QuotaGrant {
+    node.event(Event::QuotaGranted(Box::new(QuotaGrant {
         no: asked.no,
         stamp: asked.stamp,
         life: 3 * S,
@@ -344,7 +344,7 @@
     })));
     node.ask(2, "/call/read", B);
     assert_eq!(node.kernel_lines(), [sched(B, "read")]);
-    let lent = |node: &Node| {
+    let lent = |node: &TestNode| {
         let desk = node.core.desk.borrow();
         let wallet = desk.rules.as_ref().unwrap().wallet().unwrap();
         wallet.tallies().map(|(_, tally)| tally.lent).sum::<u64>()
@@ -371,12 +371,12 @@
         "\"Effect\": \"non_idempotent\", \"LateWorth\": 0.0, \"Points\": 1.0",
         "\"Effect\": \"non_idempotent\", \"LateWorth\": 0.0, \"Points\": 5.0",
     );
-    let mut node = Node::with(&settings);
+    let mut node = TestNode::with(&settings);
     node.core.join_fleet(
         node.now,
         &[rate(100)],
         QuotaTiming::of(3),
-        &With {
+        &SharedStateOptions {
             service: None,
             counts: true,
         },
@@ -390,12 +390,12 @@
     node.wait(5000);
     let words = node.words();
     let value = words.iter().rev().find_map(|word| match word {
-        ClusterUpdate::Wants { wants, .. } => Some(wants[0].value),
+        ClusterUpdate::BudgetRequests { wants, .. } => Some(wants[0].value),
         _ => None,
     });
     assert_eq!(value, Some(3.0), "five and one");
     let counted = words.iter().rev().find_map(|word| match word {
-        ClusterUpdate::Counts(word) => Some(word.clone()),
+        ClusterUpdate::Counters(word) => Some(word.clone()),
         _ => None,
     });
     use madderpoint_shared_state::counts::{OWN, column, own};
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -20,19 +20,19 @@
 
 /// What is asked for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wanted {
+pub enum RequestKind {
     /// A health check; a deep one asks whether work gets done.
-    Check {
+    HealthCheck {
         /// Whether it is deep.
         deep: bool,
     },
     /// An invocation.
-    Invocation(Head),
+    Call(RequestHead),
 }
 
 /// An invocation's fields.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Head {
+pub struct RequestHead {
     /// Correlation id: 16 hex digits, as they came.
     pub rid: String,
     /// When it came to the machine, in Unix milliseconds.
@@ -56,7 +56,7 @@
     pub patience: Option<Nanos>,
 }
 
-impl Head {
+impl RequestHead {
     /// How long ago it reached the machine, never less than nothing.
     pub fn age(&self, unix_ms: u64) -> Nanos {
         unix_ms
@@ -67,7 +67,7 @@
 
 /// Why a request is answered without the decisions: a status and its cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rejected(pub u16, pub &'static str);
+pub struct RequestError(pub u16, pub &'static str);
 
 /// A request's fields as they came, read in place.
 #[derive(Clone, Copy, Debug, Default)]
@@ -88,8 +88,8 @@
     oversize: bool,
 }
 
-fn malformed(what: &'static str) -> Rejected {
-    Rejected(400, what)
+fn malformed(what: &'static str) -> RequestError {
+    RequestError(400, what)
 }
 
 /// Reads what a request asks for.
@@ -97,13 +97,13 @@
     start: &DeploymentConfig,
     unix_ms: u64,
     request: &fastcgi::Request,
-) -> Result<Wanted, Rejected> {
+) -> Result<RequestKind, RequestError> {
     Fields::of(request)?.wanted(start, unix_ms, None)
 }
 
 impl<'a> Fields<'a> {
     /// The fields of a request; of those with one name the last counts.
-    pub fn of(request: &'a fastcgi::Request) -> Result<Fields<'a>, Rejected> {
+    pub fn of(request: &'a fastcgi::Request) -> Result<Fields<'a>, RequestError> {
         let mut fields = Fields {
             oversize: request.oversize,
             ..Fields::default()
@@ -188,29 +188,29 @@
         start: &DeploymentConfig,
         unix_ms: u64,
         ruled: Option<OperationId>,
-    ) -> Result<Wanted, Rejected> {
+    ) -> Result<RequestKind, RequestError> {
         let path = self.path.ok_or(malformed("no SCRIPT_NAME"))?;
         if path == "/ping" {
             let deep = self
                 .query
                 .is_some_and(|q| q.split('&').any(|part| part == "e2e=1"));
-            return Ok(Wanted::Check { deep });
+            return Ok(RequestKind::HealthCheck { deep });
         }
         let op = match ruled {
             Some(op) => op,
             None => {
                 let operation = path
                     .strip_prefix("/call/")
-                    .ok_or(Rejected(404, "unknown path"))?;
+                    .ok_or(RequestError(404, "unknown path"))?;
                 let op = start.operations.iter().position(|name| name == operation);
-                OperationId(op.ok_or(Rejected(404, "unknown operation"))?)
+                OperationId(op.ok_or(RequestError(404, "unknown operation"))?)
             }
         };
         if self.method != Some("POST") {
-            return Err(Rejected(405, "method is not POST"));
+            return Err(RequestError(405, "method is not POST"));
         }
         if self.oversize {
-            return Err(Rejected(413, "parameters or body too large"));
+            return Err(RequestError(413, "parameters or body too large"));
         }
         let rid = self
             .rid
@@ -236,7 +236,7 @@
             .position(|t| self.org == Some(t.as_str()))
             .map(TenantId);
         if tenant.is_none() && !start.tenants.is_empty() {
-            return Err(Rejected(404, "unknown tenant"));
+            return Err(RequestError(404, "unknown tenant"));
         }
         let agreed = &start.deployment.operations[op.0];
         let timeout_ms = agreed.client_timeout / 1_000_000;
@@ -266,7 +266,7 @@
             Some(Ok(subject)) => Some(subject),
             Some(Err(_)) => return Err(malformed("X-Subject")),
         };
-        Ok(Wanted::Invocation(Head {
+        Ok(RequestKind::Call(RequestHead {
             rid: rid.ok_or(malformed("X-Correlation-Id"))?.to_owned(),
             arrived_ms: arrived.filter(in_time).ok_or(malformed("X-Arrived-Ms"))?,
             op,
--- a/crates/node/src/classify.rs
+++ b/crates/node/src/request_rules.rs
@@ -18,7 +18,7 @@
 
 /// Rules and buckets as they were read and checked.
 #[derive(Debug, Default)]
-pub struct Sheet {
+pub struct CompiledRuleSet {
     /// The rules.
     pub rules: RuleSet,
     /// Their buckets.
@@ -29,13 +29,13 @@
 
 /// What an invocation holds in buckets until it is over.
 #[derive(Debug, Default)]
-pub struct Held {
+pub struct HeldPermits {
     ticket: Permit,
     /// Of limits of the whole fleet: budget and key.
     keys: Vec<(u32, u64)>,
 }
 
-impl Held {
+impl HeldPermits {
     /// Whether nothing is held.
     pub fn is_empty(&self) -> bool {
         self.ticket.is_empty() && self.keys.is_empty()
@@ -44,7 +44,7 @@
 
 /// ExceededLimit buckets refuse a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Full {
+pub enum LimitReached {
     /// A limit of this node.
     Node(LimitExceeded),
     /// One of the whole fleet, with the key.
@@ -53,7 +53,7 @@
 
 /// What a rule gave to a request.
 #[derive(Clone, Debug, Default)]
-pub struct Ruled {
+pub struct RuleOutcome {
     /// The operation.
     pub operation: Option<OperationId>,
     /// The key as a number.
@@ -84,7 +84,7 @@
 }
 
 /// The rules in force, their buckets and tallies.
-pub struct Classifier {
+pub struct RequestRules {
     set: RuleSet,
     classes: Vec<Rc<str>>,
     scratch: Scratch,
@@ -102,10 +102,10 @@
     told: u64,
 }
 
-impl Classifier {
+impl RequestRules {
     /// Rules to be in force from now on; the limits take about so many bytes.
-    pub fn new(now: Nanos, sheet: Sheet, limit_bytes: usize, seed: u64) -> Classifier {
-        let mut classifier = Classifier {
+    pub fn new(now: Nanos, sheet: CompiledRuleSet, limit_bytes: usize, seed: u64) -> RequestRules {
+        let mut classifier = RequestRules {
             set: sheet.rules,
             classes: Vec::new(),
             scratch: Scratch::new(seed),
@@ -125,7 +125,7 @@
 
     /// Takes other rules in place of those in force. Buckets whose definition stayed keep what they
     /// count.
-    pub fn replace(&mut self, now: Nanos, sheet: Sheet) {
+    pub fn replace(&mut self, now: Nanos, sheet: CompiledRuleSet) {
         self.set = sheet.rules;
         self.named(now, &sheet.buckets, &sheet.fleet);
     }
@@ -173,7 +173,7 @@
     }
 
     /// What the first rule that matches gives.
-    pub fn rule(&mut self, now: Nanos, facts: &Facts<'_>) -> Option<Ruled> {
+    pub fn rule(&mut self, now: Nanos, facts: &Facts<'_>) -> Option<RuleOutcome> {
         let decision = self.set.decide(facts, &mut self.scratch, Path::Index);
         self.exhausted += u64::from(decision.exhausted);
         for (place, fault) in decision.faults {
@@ -201,7 +201,7 @@
             }
             told = Some(line);
         }
-        Some(Ruled {
+        Some(RuleOutcome {
             operation: given.rule.operation.map(OperationId),
             key: given.key,
             class: given
@@ -215,10 +215,10 @@
     }
 
     /// Puts a request into its buckets, if all have room.
-    pub fn ask(&mut self, now: Nanos, buckets: &[(u16, u64)]) -> Result<Held, Full> {
+    pub fn ask(&mut self, now: Nanos, buckets: &[(u16, u64)]) -> Result<HeldPermits, LimitReached> {
         let Some(wallet) = &mut self.wallet else {
-            let ticket = self.limits.ask(now, buckets).map_err(Full::Node)?;
-            return Ok(Held {
+            let ticket = self.limits.ask(now, buckets).map_err(LimitReached::Node)?;
+            return Ok(HeldPermits {
                 ticket,
                 keys: Vec::new(),
             });
@@ -240,16 +240,16 @@
             }
         }
         if let Some((refused, key)) = full {
-            return Err(Full::Fleet(refused, key));
+            return Err(LimitReached::Fleet(refused, key));
         }
         // The node's own limits come last, so that what they take is never for nothing.
-        let ticket = self.limits.ask(now, buckets).map_err(Full::Node)?;
+        let ticket = self.limits.ask(now, buckets).map_err(LimitReached::Node)?;
         keys.retain(|(id, key)| wallet.take(now, *id, *key));
-        Ok(Held { ticket, keys })
+        Ok(HeldPermits { ticket, keys })
     }
 
     /// What held places in buckets is over.
-    pub fn done(&mut self, now: Nanos, held: Held) {
+    pub fn done(&mut self, now: Nanos, held: HeldPermits) {
         self.limits.done(now, held.ticket);
         if let Some(wallet) = &mut self.wallet {
             held.keys
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -5,11 +5,11 @@
 use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_membership::swim::FeatureToggles;
 use madderpoint_node::capacity::OptionalSubsystems;
-use madderpoint_node::classify::Sheet;
 use madderpoint_node::config::{self, Identity};
 use madderpoint_node::io::{self, Changing, Notice, Ours, Part, Reset, Versions};
 use madderpoint_node::log;
-use madderpoint_node::node::Service;
+use madderpoint_node::node::SharedService;
+use madderpoint_node::request_rules::CompiledRuleSet;
 use madderpoint_node::supervisor_client::{self, ProgramVersions};
 use madderpoint_node::version_store::Directory;
 use madderpoint_rollout::{Kind as ChangeKind, PersistedState, Version};
@@ -133,7 +133,7 @@
         .map(|name| madderpoint_membership::MemberKey::of(name).0)
         .collect();
     let (budgets, keys) = (fleet.budgets.clone(), key_budgets(read));
-    let service = fleet.service.as_ref().map(|service| Service {
+    let service = fleet.service.as_ref().map(|service| SharedService {
         name: service.name.clone(),
         slow: service.slow,
         zone: io::zone_number(&settings.zone),
@@ -174,19 +174,19 @@
 }
 
 /// The rules of a file; one without rules has an empty set, so that those before it end.
-fn sheet(read: &mut Translator) -> Box<Sheet> {
+fn sheet(read: &mut Translator) -> Box<CompiledRuleSet> {
     let secret = read.fleet.as_ref().map_or(0, |fleet| fleet.secret);
     match read.rules.take() {
         Some(mut book) => {
             book.rules
                 .share(book.fleet.iter().map(|(place, _)| *place), secret);
-            Box::new(Sheet {
+            Box::new(CompiledRuleSet {
                 rules: book.rules,
                 buckets: book.buckets,
                 fleet: book.fleet,
             })
         }
-        None => Box::new(Sheet::default()),
+        None => Box::new(CompiledRuleSet::default()),
     }
 }
 
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -1,12 +1,12 @@
 //! What the node keeps of connections, invocations, runs, calls and timers; the [`Host`] of the
 //! decisions.
 
-use crate::actions::{Actions, BackendLink, CallId, ConnectionId, Wants};
+use crate::actions::{Actions, BackendLink, CallId, CallInterest, ConnectionId};
 use crate::capacity::CapacityLimits;
-use crate::classify::{Classifier, Held};
 use crate::fastcgi::Reply;
 use crate::idempotency_cache::{IdempotencyCache, Key};
-use crate::request::Head;
+use crate::request::RequestHead;
+use crate::request_rules::{HeldPermits, RequestRules};
 use madderpoint::{
     BackendCallOutcome, ExecutionOutcome, Gauges, Host, Idempotency, Nanos, OperationId, RequestId,
     TimerId,
@@ -68,7 +68,7 @@
     /// The class that a rule gave.
     pub class: Option<Rc<str>>,
     /// Places that it holds in buckets.
-    pub held: Option<Held>,
+    pub held: Option<HeldPermits>,
     /// Whether it was let in for the room that there is below.
     pub gated: bool,
 }
@@ -91,33 +91,33 @@
 /// What happens next, after the decisions have acted.
 pub enum DeferredEvent {
     /// A call ended before it was sent.
-    CallEnded(RequestId, BackendCallOutcome),
+    BackendCallEnded(RequestId, BackendCallOutcome),
     /// A run was stopped that the kernel was never told of.
-    NeverStarted(RequestId),
+    ExecutionNeverStarted(RequestId),
     /// What a join waited for is known: a result, or none.
-    JoinEnded(RequestId, Option<Vec<u8>>),
+    CoalescedEnded(RequestId, Option<Vec<u8>>),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    Alarm(TimerId),
-    AskGauges,
-    CallLimit(RequestId, CallId),
-    CheckLimit(u64),
-    Idle(ConnectionId, Nanos),
-    RenewKernel(u64),
-    Doubt(RequestId),
-    Leave,
-    Hush,
-    Over,
-    Look,
-    Pulse,
-    Wants,
-    Keys,
-    CallRoom,
-    Lingered(bool),
-    Evidence,
-    Counts,
+    Admission(TimerId),
+    RequestGauges,
+    BackendCallTimeout(RequestId, CallId),
+    HealthCheckTimeout(u64),
+    IdleConnection(ConnectionId, Nanos),
+    ReconnectExecutor(u64),
+    UncertainExecution(RequestId),
+    StopAccepting,
+    QuietPeriod,
+    DrainOver,
+    Housekeeping,
+    LoadHint,
+    BudgetRequests,
+    QuotaRequests,
+    QueuedCalls,
+    AbandonedCallExpired(bool),
+    HealthReport,
+    CounterReport,
 }
 
 /// What is open on a connection.
@@ -194,7 +194,7 @@
     budgeted: bool,
     repeats: bool,
     /// While this is here the call may still be written.
-    wants: Wants,
+    wants: CallInterest,
 }
 
 impl BackendCall {
@@ -246,7 +246,7 @@
     joiners: Vec<RequestId>,
     /// What rules gave: its class, and the places that it holds in buckets.
     class: Option<Rc<str>>,
-    held: Option<Held>,
+    held: Option<HeldPermits>,
 }
 
 /// The link to the kernel. Commands are counted; a gauge's mark tells which have arrived.
@@ -289,7 +289,7 @@
     /// By it keys that callers chose become numbers: nobody outside can make two of them meet.
     secret: RandomState,
     /// None where no rules are set: nothing is asked then.
-    pub rules: Option<Box<Classifier>>,
+    pub rules: Option<Box<RequestRules>>,
     /// None where the fleet shares no budget.
     pub budgets: Option<Box<NodeBudgets>>,
     /// Calls that wait for room under them, and when it is looked for.
@@ -372,7 +372,7 @@
             counts: BTreeMap::new(),
             counts_told: 0,
         };
-        desk.set_timer(LOOK_PERIOD, Timer::Look);
+        desk.set_timer(LOOK_PERIOD, Timer::Housekeeping);
         desk
     }
 }
@@ -430,7 +430,7 @@
 
     /// Looks after runs whose end was missed, and logs the counts if any has moved.
     pub fn look(&mut self) {
-        self.set_timer(LOOK_PERIOD, Timer::Look);
+        self.set_timer(LOOK_PERIOD, Timer::Housekeeping);
         self.ask_after_runs();
         let total = self.counts.values().sum();
         if total != self.counts_told {
@@ -481,7 +481,7 @@
             && self.keys_due.is_none_or(|armed| due < armed)
         {
             self.keys_due = Some(due);
-            self.set_timer(due.saturating_sub(self.now), Timer::Keys);
+            self.set_timer(due.saturating_sub(self.now), Timer::QuotaRequests);
         }
     }
 
@@ -508,7 +508,7 @@
         };
         let left = (call.since + longest).saturating_sub(self.now);
         if may_linger && call.link().is_some() && left > 0 {
-            return self.set_timer(left, Timer::Lingered(call.repeats));
+            return self.set_timer(left, Timer::AbandonedCallExpired(call.repeats));
         }
         self.room_came(call.repeats);
     }
@@ -521,7 +521,7 @@
         budgets.over(repeats);
         if !self.calls_waiting.is_empty() && budgets.is_full(self.now).is_none() {
             self.calls_due = None;
-            self.set_timer(0, Timer::CallRoom);
+            self.set_timer(0, Timer::QueuedCalls);
         }
     }
 
@@ -558,7 +558,13 @@
     /// What an invocation is known again by: the key that a rule gave, where its operation has a
     /// use for one, else the one that it bears, or what a read is about. Nobody meets another
     /// tenant's.
-    pub fn key(&self, head: &Head, ruled: Option<u64>, body: &[u8], arrived: Nanos) -> Option<Key> {
+    pub fn key(
+        &self,
+        head: &RequestHead,
+        ruled: Option<u64>,
+        body: &[u8],
+        arrived: Nanos,
+    ) -> Option<Key> {
         let effect = self.effect(head.op);
         let shares =
             self.start.deployment.shared_answer_ttl > 0 && effect == Idempotency::Idempotent;
@@ -606,7 +612,7 @@
     pub fn take(
         &mut self,
         front: ReplyTarget,
-        head: &Head,
+        head: &RequestHead,
         body: Vec<u8>,
         age: Nanos,
         given: RequestContext,
@@ -646,7 +652,7 @@
             class,
             held,
         };
-        self.out.step(
+        self.out.trace_step(
             &head.rid,
             format_args!("read, age {} ms", age / MILLISECOND),
         );
@@ -672,7 +678,7 @@
             return;
         };
         let (class, arrived) = (inv.class.clone(), inv.arrived);
-        self.out.step(
+        self.out.trace_step(
             &inv.rid,
             format_args!(
                 "answered {status} after {} ms",
@@ -720,7 +726,8 @@
     fn never_started(&mut self, id: RequestId) {
         if let Some(inv) = self.invs.get_mut(&id) {
             inv.run = None;
-            self.deferred.push_back(DeferredEvent::NeverStarted(id));
+            self.deferred
+                .push_back(DeferredEvent::ExecutionNeverStarted(id));
             self.settle(id);
         }
     }
@@ -742,7 +749,7 @@
         }
         for joiner in inv.joiners {
             self.deferred
-                .push_back(DeferredEvent::JoinEnded(joiner, result.clone()));
+                .push_back(DeferredEvent::CoalescedEnded(joiner, result.clone()));
         }
     }
 
@@ -775,14 +782,14 @@
         }
         self.leaving = Some(self.now);
         self.stop = self.now + left;
-        self.out.leaving();
+        self.out.announce_drain();
         self.out.log(format_args!(
             "notice to leave: stop in {} ms",
             left / MILLISECOND
         ));
-        self.set_timer(left.min(grace), Timer::Leave);
-        self.set_timer(left, Timer::Hush);
-        self.set_timer(left + LAST_WORDS, Timer::Over);
+        self.set_timer(left.min(grace), Timer::StopAccepting);
+        self.set_timer(left, Timer::QuietPeriod);
+        self.set_timer(left + LAST_WORDS, Timer::DrainOver);
         true
     }
 
@@ -811,7 +818,7 @@
     pub fn hush(&mut self) {
         for (&id, conn) in &mut self.conns {
             conn.last = true;
-            self.out.deafen(id);
+            self.out.stop_reading(id);
         }
         let idle: Vec<_> = self
             .conns
@@ -905,11 +912,13 @@
             let result = result.to_vec();
             return desk
                 .deferred
-                .push_back(DeferredEvent::JoinEnded(id, Some(result)));
+                .push_back(DeferredEvent::CoalescedEnded(id, Some(result)));
         }
         match original.and_then(|of| desk.invs.get_mut(&of)) {
             Some(original) => original.joiners.push(id),
-            None => desk.deferred.push_back(DeferredEvent::JoinEnded(id, None)),
+            None => desk
+                .deferred
+                .push_back(DeferredEvent::CoalescedEnded(id, None)),
         }
     }
     fn set_health(&mut self, good: bool, from_store: bool) {
@@ -923,8 +932,8 @@
     }
     fn set_timer(&mut self, alarm: TimerId, after: Nanos) {
         let desk = &mut *self.0.borrow_mut();
-        desk.set_timer(after.saturating_sub(GAUGES_LEAD), Timer::AskGauges);
-        desk.set_timer(after, Timer::Alarm(alarm));
+        desk.set_timer(after.saturating_sub(GAUGES_LEAD), Timer::RequestGauges);
+        desk.set_timer(after, Timer::Admission(alarm));
     }
     fn log(&mut self, line: fmt::Arguments<'_>) {
         self.0.borrow_mut().out.log(line);
--- a/crates/node/src/state/backend_calls.rs
+++ b/crates/node/src/state/backend_calls.rs
@@ -4,7 +4,7 @@
     BACKEND_LINKS, BackendCall, BackendLinkState, CallPlacement, DeferredEvent, ExecutionWait,
     MILLISECOND, NodeState, Timer,
 };
-use crate::actions::{Actions, BackendLink, CallId, Wants};
+use crate::actions::{Actions, BackendLink, CallId, CallInterest};
 use crate::backend;
 use crate::executor::Command;
 use madderpoint::{BackendCallOutcome, Nanos, RequestId};
@@ -43,7 +43,7 @@
         {
             return self.count("calls of runs that wait for none", 1);
         }
-        let never_ran = DeferredEvent::CallEnded(id, BackendCallOutcome::NotExecuted);
+        let never_ran = DeferredEvent::BackendCallEnded(id, BackendCallOutcome::NotExecuted);
         if !self.has_backend || inv.call.is_some() {
             return self.deferred.push_back(never_ran);
         }
@@ -82,7 +82,7 @@
         let budgeted = self.budgets.is_some() && room.is_ok();
         if let Some(inv) = self.invs.get_mut(&id) {
             inv.calls += 1;
-            let wants = Wants::default();
+            let wants = CallInterest::default();
             inv.call = Some(BackendCall {
                 no,
                 place,
@@ -93,7 +93,7 @@
                 wants,
             });
         }
-        self.set_timer(timeout, Timer::CallLimit(id, no));
+        self.set_timer(timeout, Timer::BackendCallTimeout(id, no));
         match room {
             Ok(()) => self.send_call(id, timeout),
             Err(pause) => {
@@ -116,11 +116,11 @@
             let bytes = backend::invoke(&inv.rid, timeout.div_ceil(MILLISECOND), &run.call_body);
             if self
                 .out
-                .call(place, call.no, id, bytes, call.wants.wanted())
+                .send_backend_call(place, call.no, id, bytes, call.wants.token())
             {
                 (call.place, call.since) = (CallPlacement::Link(place), self.now);
                 let repeats = call.repeats;
-                self.out.step(
+                self.out.trace_step(
                     &inv.rid,
                     format_args!(
                         "calls below on link {place}, for {} ms",
@@ -134,7 +134,7 @@
         if let Some(call) = inv.call.take() {
             self.call_is_over(&call, false);
         }
-        self.deferred.push_back(DeferredEvent::CallEnded(
+        self.deferred.push_back(DeferredEvent::BackendCallEnded(
             id,
             BackendCallOutcome::NotExecuted,
         ));
@@ -145,7 +145,7 @@
         let due = self.now + pause.max(MILLISECOND);
         if self.calls_due.is_none_or(|armed| due < armed) {
             self.calls_due = Some(due);
-            self.set_timer(due - self.now, Timer::CallRoom);
+            self.set_timer(due - self.now, Timer::QueuedCalls);
         }
     }
 
@@ -207,13 +207,13 @@
         } = self.below[place];
         if overtaken >= OVERTAKEN && heard < no.0 {
             self.count("back end: connections gone silent", 1);
-            self.out.rest(place); // what else waits there would wait in vain
+            self.out.close_backend_link(place); // what else waits there would wait in vain
         }
         Some(BackendCallOutcome::Abandoned)
     }
 
     pub fn cancel(&mut self, rid: &str, place: usize) {
-        self.out.cancel(place, backend::cancel(rid));
+        self.out.cancel_backend_call(place, backend::cancel(rid));
     }
 
     /// A call was written whole: true if the connection is known to have ended since.
@@ -255,14 +255,14 @@
                 .as_ref()
                 .is_some_and(|call| call.link() == Some(place))
         }) {
-            self.out.rest(place);
+            self.out.close_backend_link(place);
         }
     }
 
     /// A reply came: gives the invocation whose call it ends.
     pub fn replied(&mut self, place: usize, reply: &backend::Reply) -> Option<RequestId> {
         let id = self.ids.get(&reply.id).copied();
-        self.out.step(
+        self.out.trace_step(
             &reply.id,
             format_args!("reply {:?} on link {place}", reply.outcome),
         );
--- a/crates/node/src/state/connections.rs
+++ b/crates/node/src/state/connections.rs
@@ -129,7 +129,7 @@
             // Whose answer would be whose? What was asked first is answered, and nothing after that
             // is read.
             self.count("request ids begun twice", 1);
-            self.out.deafen(conn);
+            self.out.stop_reading(conn);
             self.no_more(conn);
             return false;
         }
@@ -152,7 +152,7 @@
         };
         let was_open = state.open.remove(&id).is_some();
         invariant!(self, was_open, "an answer goes to what is open");
-        self.out.reply(conn, reply);
+        self.out.send_reply(conn, reply);
         let Some(state) = self.conns.get(&conn).filter(|c| c.open.is_empty()) else {
             return;
         };
@@ -187,7 +187,7 @@
         };
         (state.proven, state.turned_away) = (true, 0);
         if std::mem::take(&mut state.strikes) > 0 {
-            self.out.pace(conn, 0);
+            self.out.pace_reading(conn, 0);
         }
     }
 
@@ -212,9 +212,9 @@
         let out = state.strikes >= STRIKES;
         state.last |= out;
         let pause = PACE << state.strikes.min(STRIKES);
-        self.out.pace(conn, pause);
+        self.out.pace_reading(conn, pause);
         if out {
-            self.out.deafen(conn);
+            self.out.stop_reading(conn);
         }
     }
 
@@ -303,7 +303,10 @@
         };
         if state.look.is_none_or(|look| look > due) {
             state.look = Some(due);
-            self.set_timer(due.saturating_sub(self.now), Timer::Idle(conn, due));
+            self.set_timer(
+                due.saturating_sub(self.now),
+                Timer::IdleConnection(conn, due),
+            );
         }
     }
 
@@ -352,7 +355,7 @@
             return;
         }
         let left = self.stop.saturating_sub(self.now);
-        self.out.close(
+        self.out.close_connection(
             conn,
             Close {
                 heard: state.heard,
@@ -398,7 +401,7 @@
         if let Some(state) = self.conns.get_mut(&conn) {
             state.open.insert(id, OpenItem::Check(mark));
         }
-        self.set_timer(CHECK_LIMIT, Timer::CheckLimit(mark));
+        self.set_timer(CHECK_LIMIT, Timer::HealthCheckTimeout(mark));
     }
 
     /// The kernel did the work of a check, or the check has waited for long enough.
--- a/crates/node/src/state/executions.rs
+++ b/crates/node/src/state/executions.rs
@@ -29,14 +29,14 @@
             return 0;
         }
         self.kernel.sent += 1;
-        self.out.kernel(command.line());
+        self.out.send_executor_command(command.line());
         self.kernel.sent
     }
 
     pub fn kernel_linked(&mut self, last: u64) {
         (self.kernel.up, self.kernel.synced, self.kernel.renewing) = (true, false, false);
         (self.kernel.waits, self.kernel.unanswered) = (false, 0);
-        self.out.kernel(Command::Open(last).line());
+        self.out.send_executor_command(Command::Open(last).line());
     }
 
     pub fn kernel_lost(&mut self) {
@@ -57,15 +57,15 @@
             "new configuration: kernel {}, members {}, back end {:?}; until a restart the old {kept:?} hold",
             peers.kernel, peers.members, peers.backend
         ));
-        if !self.out.moved(*peers) {
+        if !self.out.change_peers(*peers) {
             return;
         }
         if !self.kernel.synced {
-            return self.out.renew_kernel(); // no commands are on their way
+            return self.out.reconnect_executor(); // no commands are on their way
         }
         (self.kernel.synced, self.kernel.renewing) = (false, true);
         self.kernel.sync = self.kernel.sent + 1;
-        self.set_timer(SETTLE, Timer::RenewKernel(self.kernel.sync));
+        self.set_timer(SETTLE, Timer::ReconnectExecutor(self.kernel.sync));
         self.ask();
     }
 
@@ -73,7 +73,7 @@
     pub fn settled(&mut self, mark: u64) {
         if self.kernel.renewing && mark >= self.kernel.sync {
             (self.kernel.up, self.kernel.renewing) = (false, false);
-            self.out.renew_kernel();
+            self.out.reconnect_executor();
         }
     }
 
@@ -109,7 +109,7 @@
                 "kernel: link gone silent, {} in hand",
                 self.invs.len()
             ));
-            self.out.renew_kernel();
+            self.out.reconnect_executor();
         }
     }
 
@@ -119,7 +119,8 @@
         }
         self.kernel.asked = self.now;
         self.kernel.sent += 1;
-        self.out.kernel(Command::SysInfo(self.kernel.sent).line());
+        self.out
+            .send_executor_command(Command::SysInfo(self.kernel.sent).line());
     }
 
     pub fn info(&mut self, mark: u64, values: Vec<f64>) {
@@ -159,7 +160,7 @@
                     self.start(id)
                 } else {
                     self.count("runs in doubt after a broken link", 1);
-                    self.set_timer(DOUBT, Timer::Doubt(id));
+                    self.set_timer(DOUBT, Timer::UncertainExecution(id));
                 }
             }
             self.resume_again(id, lacks);
@@ -210,7 +211,7 @@
             body: &body,
         });
         self.out
-            .step(&rid, format_args!("told to run, command {sent}"));
+            .trace_step(&rid, format_args!("told to run, command {sent}"));
         if let Some(inv) = self.invs.get_mut(&id) {
             let run = inv.run.get_or_insert_with(|| Execution {
                 sent,
@@ -222,7 +223,7 @@
             run.sent = sent;
             inv.asked += u32::from(sent > 0);
             if self.effect(op) != Idempotency::Idempotent {
-                self.set_timer(MARK, Timer::AskGauges);
+                self.set_timer(MARK, Timer::RequestGauges);
             }
         }
     }
@@ -297,7 +298,7 @@
         // To a second command MOOT only says that no run goes on: the first one may have run, and
         // its end been lost.
         inv.never_ran = end == End::Moot && inv.asked == 1;
-        self.out.step(rid, format_args!("run over: {end:?}"));
+        self.out.trace_step(rid, format_args!("run over: {end:?}"));
         let call = inv.call.take();
         if let Some(call) = call {
             self.call_is_over(&call, true);
--- a/crates/node/src/state/metrics.rs
+++ b/crates/node/src/state/metrics.rs
@@ -3,7 +3,7 @@
 
 use super::NodeState;
 use crate::actions::Actions;
-use crate::request::Head;
+use crate::request::RequestHead;
 use madderpoint::{LoadBalancerId, Nanos, OperationId};
 use madderpoint_shared_state::counts::{self, OWN, ProcessCounters, column, heavy_hitters, own};
 use madderpoint_shared_state::keyed_quota::number;
@@ -102,7 +102,7 @@
 
     /// An invocation was throttled before the decisions saw it: for a limit, of which the key is
     /// told where it is one of the whole fleet, or for the room below.
-    pub fn counts_refusal(&mut self, head: &Head, over: Option<u64>, for_room: bool) {
+    pub fn counts_refusal(&mut self, head: &RequestHead, over: Option<u64>, for_room: bool) {
         self.counts_turned_away((head.op, head.dispatcher), 429);
         if for_room {
             self.counts_own(own::NO_ROOM, 1);
