--- a/crates/node/src/capacity/tests.rs
+++ b/crates/node/src/capacity/tests.rs
@@ -1,7 +1,9 @@
+//! The bounds together, for small and large processes.
+
 use super::*;
 
 #[test]
-fn all_bounds_together_stay_below_the_memory_that_is_told() {
+fn all_bounds_together_stay_below_the_memory_limit() {
     for (memory_mb, sockets) in [
         (32.0, 384),
         (48.0, 512),
@@ -9,29 +11,29 @@
         (192.0, 512),
         (192.0, 1024),
     ] {
-        for parts in 0..5 {
-            let beside = OptionalSubsystems {
-                settings: parts > 0,
-                fleet: parts > 1,
-                shared: parts > 2,
-                changes: parts > 3,
+        for count in 0..5 {
+            let subsystems = OptionalSubsystems {
+                settings: count > 0,
+                cluster: count > 1,
+                shared_state: count > 2,
+                rollouts: count > 3,
             };
-            let room = CapacityLimits::of(
+            let capacity = CapacityLimits::of(
                 &Limits {
                     cores: 0.1,
                     memory_mb,
                     sockets,
                 },
                 4,
-                beside,
+                subsystems,
             );
             assert!(
-                room.total(4) < memory_mb as usize * (1 << 20),
-                "{memory_mb} MB: {room:?}"
+                capacity.total_bytes(4) < memory_mb as usize * (1 << 20),
+                "{memory_mb} MB: {capacity:?}"
             );
             assert!(
-                room.connections > sockets / 2,
-                "dispatchers may open half of {sockets}: {room:?}"
+                capacity.connections > sockets / 2,
+                "load balancers may open half of {sockets}: {capacity:?}"
             );
         }
     }
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -1,51 +1,59 @@
-//! What the core has to do with the fleet: what is seen of it, and what this node says of itself.
-//! The decisions work the same with no fleet at all, and nothing waits for it.
+//! What the node knows of its cluster, and what it says of itself there. Decisions work the same
+//! without a cluster, and nothing waits for it.
 
-use madderpoint::LoadReport;
-use madderpoint::Nanos;
+use madderpoint::{LoadReport, Nanos};
 use madderpoint_membership::{ClusterView, Phase};
 use madderpoint_shared_state::keyed_quota::QuotaRequest;
 use madderpoint_shared_state::status::StatusSnapshot;
 use madderpoint_shared_state::{BudgetRequest, HealthReport, counts};
 
-/// Runs that succeeded before a node that started cold counts as warm.
+/// Successful executions after which a node that started cold counts as warm.
 const WARM_AFTER: u32 = 64;
 
 /// What a node says of itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClusterUpdate {
-    /// What it is about.
+    /// The phase of its process.
     Phase(Phase),
-    /// Its room (what it advertises, of 255) and its load (invocations in hand, 255 at most).
-    LoadHint { room: u8, load: u8 },
-    /// What it wants of the budgets, and holds, at this time.
+    /// Its load hint.
+    LoadHint {
+        /// What it has room for, 255 at most.
+        capacity: u8,
+        /// Requests in flight, 255 at most.
+        load: u8,
+    },
+    /// What it requests of the budgets, and has of them.
     BudgetRequests {
+        /// When the requests were made.
         at: Nanos,
-        wants: Vec<BudgetRequest>,
+        /// One for each budget.
+        requests: Vec<BudgetRequest>,
     },
-    /// What it has of some keys of the fleet's limits, and wants.
+    /// What it requests of keyed quotas, and has of them.
     QuotaRequest(QuotaRequest),
-    /// What it sees of the service below.
+    /// What it sees of the backend service.
     HealthReport(HealthReport),
-    /// What it counted so far.
+    /// What it has counted so far.
     Counters(Box<counts::CounterReport>),
-    /// What it holds of all that is shared, to be shown.
+    /// Its part of a status snapshot.
     StatusSnapshot(Box<StatusSnapshot>),
-    /// It holds nothing of the budgets any more; whether none of it is in hand.
+    /// It uses no leases any more; whether none of their units is in use.
     LeasesReleased(bool),
 }
 
-/// The node among others.
+/// The node as a member of its cluster.
 #[derive(Debug, Default)]
 pub struct ClusterParticipation {
-    /// What is seen of the fleet; none until its part has said anything.
-    pub sight: Option<ClusterView>,
+    /// What is seen of the cluster; none until membership has said anything.
+    pub view: Option<ClusterView>,
     phase: Option<Phase>,
-    succeeded: u32,
-    pulse: Option<(u8, u8)>,
+    executions_succeeded: u32,
+    /// The capacity and load that were sent last.
+    load_hint: Option<(u8, u8)>,
 }
 
 impl ClusterParticipation {
+    /// Enters a phase; nothing if the node is in it or in a later one.
     fn enter(&mut self, phase: Phase) -> Option<ClusterUpdate> {
         let is_new = self.phase.is_none_or(|before| before < phase);
         is_new.then(|| {
@@ -54,43 +62,43 @@
         })
     }
 
-    /// The kernel is up.
-    pub fn booted(&mut self, cold: bool) -> Option<ClusterUpdate> {
-        self.enter(if cold { Phase::Cold } else { Phase::Serving })
+    /// The executor is up.
+    pub fn executor_booted(&mut self, is_cold: bool) -> Option<ClusterUpdate> {
+        self.enter(if is_cold { Phase::Cold } else { Phase::Serving })
     }
 
-    /// A run succeeded; enough of them, and the node is warm.
-    pub fn succeeded(&mut self) -> Option<ClusterUpdate> {
-        self.succeeded = self.succeeded.saturating_add(1);
-        if self.succeeded == WARM_AFTER {
+    /// An execution succeeded; enough of them, and the node is warm.
+    pub fn execution_succeeded(&mut self) -> Option<ClusterUpdate> {
+        self.executions_succeeded = self.executions_succeeded.saturating_add(1);
+        if self.executions_succeeded == WARM_AFTER {
             self.enter(Phase::Serving)
         } else {
             None
         }
     }
 
-    /// The notice to leave came.
-    pub fn drains(&mut self) -> Option<ClusterUpdate> {
+    /// The drain began.
+    pub fn drain_started(&mut self) -> Option<ClusterUpdate> {
         self.enter(Phase::Draining)
     }
 
-    /// What the node has room for, if that is another than was said last.
-    pub fn pulse(
+    /// The load hint, if it is another than was sent last.
+    pub fn load_hint(
         &mut self,
         kind: LoadReport,
-        advert: Option<f64>,
-        in_hand: usize,
+        load_report: Option<f64>,
+        in_flight: usize,
     ) -> Option<ClusterUpdate> {
-        let share = |part: f64| (part.clamp(0.0, 1.0) * 255.0) as u8;
-        let room = match (kind, advert) {
+        let share = |fraction: f64| (fraction.clamp(0.0, 1.0) * 255.0) as u8;
+        let capacity = match (kind, load_report) {
             (LoadReport::Disabled, _) | (_, None) => 255,
             (LoadReport::SheddingLevel, Some(held_back)) => share(1.0 - held_back),
             (LoadReport::Weight, Some(weight)) => share(weight),
             (LoadReport::Credit, Some(credit)) => credit.clamp(0.0, 255.0) as u8,
         };
-        let load = u8::try_from(in_hand).unwrap_or(u8::MAX);
-        let is_new = self.pulse.replace((room, load)) != Some((room, load));
-        is_new.then_some(ClusterUpdate::LoadHint { room, load })
+        let load = u8::try_from(in_flight).unwrap_or(u8::MAX);
+        let is_new = self.load_hint.replace((capacity, load)) != Some((capacity, load));
+        is_new.then_some(ClusterUpdate::LoadHint { capacity, load })
     }
 }
 
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -268,9 +268,9 @@
             .is_some_and(|part| !part.changes.is_empty());
         OptionalSubsystems {
             settings: self.rules.is_some(),
-            fleet: self.fleet.is_some(),
-            shared,
-            changes,
+            cluster: self.fleet.is_some(),
+            shared_state: shared,
+            rollouts: changes,
         }
     }
 }
@@ -279,7 +279,7 @@
 pub fn serve(who: &Identity, ours: Ours, notices: Receiver<Notice>) -> io::Result<()> {
     let clock = Clock::start();
     let room = room(who, ours.beside());
-    let (front_events, front_inbox) = bounded(room.front_events);
+    let (front_events, front_inbox) = bounded(room.load_balancer_events);
     let (events, peers_inbox) = bounded(room.peer_events);
     let inbox = Inbox {
         front: front_inbox,
@@ -306,12 +306,16 @@
             backend.push(backend_link::start(
                 Arc::clone(&addresses),
                 place,
-                room.calls,
+                room.backend_calls,
                 events.clone(),
             )?);
         }
     }
-    executor_link::start(Arc::clone(&addresses), room.commands, events.clone())?;
+    executor_link::start(
+        Arc::clone(&addresses),
+        room.executor_commands,
+        events.clone(),
+    )?;
     let told = registry_reports::Told {
         leaving: Arc::clone(&leaving),
         handed: Arc::clone(&handed),
@@ -329,10 +333,10 @@
         .unwrap_or_default();
     let fleet = match ours.fleet {
         Some(mut part) => {
-            part.settings.bytes = room.fleet;
-            part.key_bytes = room.key_books;
-            part.count_bytes = room.counts;
-            part.change_bytes = room.changes;
+            part.settings.bytes = room.member_table_bytes;
+            part.key_bytes = room.quota_lender_bytes;
+            part.count_bytes = room.counter_bytes;
+            part.change_bytes = room.rollout_bytes;
             let unix = move || {
                 let Moment { now, unix_ms } = clock.read();
                 madderpoint_membership::ClockReading { now, unix_ms }
@@ -390,15 +394,15 @@
         &room,
     );
     if let Some(rhythm) = rhythm {
-        core.join_fleet(clock.now(), &budgets, rhythm, &with);
+        core.join_cluster(clock.now(), &budgets, rhythm, &with);
     }
     if let Some(sheet) = ours.rules {
         core.handle(clock.read(), Event::RulesChanged(sheet));
     }
     run(&mut core, clock, &inbox, serves);
-    core.let_go(clock.now());
+    core.release_leases(clock.now());
     let handed = handed.load(SeqCst);
-    core.out(|out| out.fleet.iter().for_each(|fleet| fleet.leave(handed)));
+    core.with_actions(|out| out.fleet.iter().for_each(|fleet| fleet.leave(handed)));
     if let Some(thread) = fleet_thread {
         let _ = thread.join();
     }
@@ -413,7 +417,7 @@
     inbox: &Inbox,
     mut serves: Option<Box<dyn FnOnce()>>,
 ) {
-    while !core.has_left() {
+    while !core.has_drained() {
         if let Some(serves) = serves.take_if(|_| core.is_up()) {
             serves();
         }
@@ -424,8 +428,8 @@
             let until = clock.now() + LET_IN_MOST;
             while clock.now() < until && turn(core, clock, inbox, LET_IN) {}
         }
-        core.fire(clock.now());
-        core.out(Sockets::flush);
+        core.fire_timers(clock.now());
+        core.with_actions(Sockets::flush);
     }
 }
 
@@ -454,17 +458,17 @@
     let event = match message {
         Message::Event(event) => event,
         Message::Accepted(conn, from, connection) => {
-            core.out(|out| out.conns.insert(conn, connection));
+            core.with_actions(|out| out.conns.insert(conn, connection));
             Event::Connected(conn, Some(from))
         }
         Message::Linked(last, link) => {
-            core.out(|out| out.kernel = Some(link));
+            core.with_actions(|out| out.kernel = Some(link));
             Event::ExecutorConnected(last)
         }
     };
     match &event {
-        Event::Disconnected(conn) => drop(core.out(|out| out.conns.remove(conn))),
-        Event::ExecutorDisconnected => core.out(|out| out.kernel = None),
+        Event::Disconnected(conn) => drop(core.with_actions(|out| out.conns.remove(conn))),
+        Event::ExecutorDisconnected => core.with_actions(|out| out.kernel = None),
         _ => {}
     }
     core.handle(clock.read(), event);
--- a/crates/node/src/io/client_connections.rs
+++ b/crates/node/src/io/client_connections.rs
@@ -98,7 +98,7 @@
         for reply in std::mem::take(&mut self.replies) {
             let size = reply.size();
             let unread = self.socket.places.unread.fetch_add(size, SeqCst);
-            if unread > self.socket.places.room.unread
+            if unread > self.socket.places.room.unread_answer_bytes
                 || writer.try_send(Outgoing::Reply(reply)).is_err()
             {
                 self.socket.places.unread.fetch_sub(size, SeqCst);
--- a/crates/node/src/io/client_reader.rs
+++ b/crates/node/src/io/client_reader.rs
@@ -394,7 +394,8 @@
         let places = &self.places;
         let socket = Arc::new(Socket::new(stream, places));
         let pause = Arc::new(AtomicU64::new(0));
-        let parser = fastcgi::Parser::new(places.room.connections, places.room.unfinished);
+        let parser =
+            fastcgi::Parser::new(places.room.connections, places.room.partial_request_bytes);
         let (state, handed, closing) = (State::Read, 0, None);
         let reading = Reading {
             socket: Arc::clone(&socket),
@@ -489,8 +490,8 @@
     fn close(&mut self, number: u64, close: Close) {
         self.take_all(number);
         if let Some(reading) = self.reading.get_mut(&number) {
-            let until = Instant::now() + Duration::from_nanos(close.patience);
-            reading.closing = Some((close.heard, until));
+            let until = Instant::now() + Duration::from_nanos(close.partial_request_wait);
+            reading.closing = Some((close.events_handled, until));
             self.later.push(Reverse((until, number)));
         }
         self.finish_close(number);
--- a/crates/node/src/io/client_reader/tests.rs
+++ b/crates/node/src/io/client_reader/tests.rs
@@ -99,8 +99,8 @@
         self.reader.close(
             number,
             Close {
-                heard,
-                patience: patience_ms * 1_000_000,
+                events_handled: heard,
+                partial_request_wait: patience_ms * 1_000_000,
             },
         );
     }
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -552,12 +552,12 @@
                 Order::ClusterUpdate(ClusterUpdate::Phase(phase)) => {
                     fleet.set_phase(clock(), phase)
                 }
-                Order::ClusterUpdate(ClusterUpdate::LoadHint { room, load }) => {
-                    fleet.set_pulse(room, load)
+                Order::ClusterUpdate(ClusterUpdate::LoadHint { capacity, load }) => {
+                    fleet.set_pulse(capacity, load)
                 }
-                Order::ClusterUpdate(ClusterUpdate::BudgetRequests { at, wants }) => {
+                Order::ClusterUpdate(ClusterUpdate::BudgetRequests { at, requests }) => {
                     bank.iter_mut()
-                        .for_each(|bank| bank.host.wants = (at, wants.clone()));
+                        .for_each(|bank| bank.host.wants = (at, requests.clone()));
                 }
                 Order::ClusterUpdate(ClusterUpdate::QuotaRequest(asked)) => {
                     bank.iter_mut()
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! A madderpoint node: dispatchers, the kernel, the back end and the membership service on real
+//! A madderpoint node: load balancers, the executor, the backend and the service registry on real
 //! sockets, round the decisions of [`madderpoint::admission`].
 //!
-//! [`fastcgi`], [`kernel`], [`backend`] and [`members`] are protocols: fed bytes, they know no
-//! socket, clock or thread. [`core`] is the node without its I/O. [`driver`] has the sockets and
+//! [`fastcgi`], [`executor`], [`backend`] and [`service_registry`] are protocols: fed bytes, they
+//! know no socket, clock or thread. [`node`] is the node without its I/O, [`io`] has the sockets and
 //! threads.
 
 #![forbid(unsafe_code)]
@@ -17,9 +17,11 @@
 mod idempotency_cache;
 pub mod io;
 pub mod log;
+pub mod metrics;
 pub mod node;
 pub mod program_version;
 pub mod request;
+pub mod request_error;
 pub mod request_rules;
 pub mod service_registry;
 mod state;
--- /dev/null
+++ b/crates/node/src/node/cluster_reports.rs
@@ -0,0 +1,223 @@
+//! What the node hears from its cluster, and what it tells it.
+
+use super::Node;
+use crate::actions::Actions;
+use crate::cluster::{ClusterParticipation, ClusterUpdate};
+use crate::state::Timer;
+use madderpoint::Nanos;
+use madderpoint_membership::ClusterView;
+use madderpoint_shared_state::keyed_quota::QuotaGrant;
+use madderpoint_shared_state::status::StatusSnapshot;
+use madderpoint_shared_state::{AggregatedHealth, Budget, Lease};
+
+/// Time between two load hints.
+pub(super) const LOAD_HINT_PERIOD: Nanos = 1_000_000_000;
+/// Time between two requests for units of budgets.
+pub(super) const BUDGET_REQUEST_PERIOD: Nanos = 250_000_000;
+/// Time between two health reports.
+pub(super) const HEALTH_REPORT_PERIOD: Nanos = 500_000_000;
+/// Time between two counter reports.
+pub(super) const COUNTER_REPORT_PERIOD: Nanos = 5_000_000_000;
+
+impl<A: Actions> Node<A> {
+    /// Tells the cluster what its participant has to say, if there is one and it has anything.
+    pub(super) fn update_cluster(
+        &mut self,
+        update: impl FnOnce(&mut ClusterParticipation) -> Option<ClusterUpdate>,
+    ) {
+        if let Some(update) = self.cluster.as_mut().and_then(update) {
+            self.state.borrow_mut().actions.update_cluster(update);
+        }
+    }
+
+    pub(super) fn on_cluster_changed(&mut self, view: ClusterView) {
+        if let Some(cluster) = &mut self.cluster {
+            cluster.view = Some(view);
+        }
+    }
+
+    pub(super) fn on_leases_granted(
+        &mut self,
+        now: Nanos,
+        requested_at: Nanos,
+        leases: &[(u32, Lease)],
+    ) {
+        if let Some(budgets) = &mut self.state.borrow_mut().shared.budgets {
+            budgets.lent(now, requested_at, leases);
+        }
+        self.log_lease_changes(now);
+    }
+
+    pub(super) fn on_quota_granted(&mut self, now: Nanos, grant: &QuotaGrant) {
+        if let Some(rules) = &mut self.state.borrow_mut().rules {
+            rules.quota_granted(now, grant);
+        }
+    }
+
+    pub(super) fn on_budgets_changed(&mut self, limits: &[Budget]) {
+        if let Some(budgets) = &mut self.state.borrow_mut().shared.budgets {
+            budgets.rebudget(limits);
+        }
+    }
+
+    pub(super) fn on_aggregated_health(&mut self, others: AggregatedHealth) {
+        self.state
+            .borrow_mut()
+            .with_service_health(|health, now| health.told(now, others));
+    }
+
+    /// Requests units of the budgets. While the node drains, it only reports what has become free.
+    pub(super) fn send_budget_requests(&mut self, now: Nanos) {
+        let requests = {
+            let mut state = self.state.borrow_mut();
+            state.set_timer(BUDGET_REQUEST_PERIOD, Timer::BudgetRequests);
+            let weight = state.mean_priority_weight();
+            state.shared.budgets.as_mut().map(|budgets| {
+                if let Some(weight) = weight {
+                    budgets.set_value(weight);
+                }
+                budgets.wants(now)
+            })
+        };
+        if let Some(requests) = requests {
+            self.update_cluster(|_| Some(ClusterUpdate::BudgetRequests { at: now, requests }));
+        }
+    }
+
+    /// Reports what this node sees of the backend service.
+    pub(super) fn send_health_report(&mut self) {
+        let report = {
+            let mut state = self.state.borrow_mut();
+            state.set_timer(HEALTH_REPORT_PERIOD, Timer::HealthReport);
+            state.with_service_health(|health, now| health.judge(now));
+            state.with_service_health(|health, now| health.evidence(now))
+        };
+        if let Some(report) = report {
+            self.update_cluster(|_| Some(ClusterUpdate::HealthReport(report)));
+        }
+    }
+
+    /// Reports what was counted so far.
+    pub(super) fn send_counter_report(&mut self) {
+        let report = {
+            let mut state = self.state.borrow_mut();
+            state.set_timer(COUNTER_REPORT_PERIOD, Timer::CounterReport);
+            state.counter_report()
+        };
+        if let Some(report) = report {
+            self.update_cluster(|_| Some(ClusterUpdate::Counters(Box::new(report))));
+        }
+    }
+
+    /// Sends this node's part of a status snapshot.
+    pub(super) fn send_status_snapshot(&mut self, now: Nanos) {
+        let mut snapshot = StatusSnapshot::default();
+        {
+            let mut state = self.state.borrow_mut();
+            let queued_calls = state.queued_calls();
+            if let Some(budgets) = &mut state.shared.budgets {
+                snapshot.with_ends(now, budgets);
+            }
+            if let Some(health) = &mut state.shared.service_health {
+                snapshot.with_judge(now, &self.service_name, health);
+            }
+            if let Some(gate) = &state.shared.backend_gate {
+                snapshot.with_gate(gate, queued_calls);
+            }
+            if let Some(borrower) = state
+                .rules
+                .as_ref()
+                .and_then(|rules| rules.quota_borrower())
+            {
+                snapshot.with_wallet(now, borrower);
+            }
+        }
+        self.update_cluster(|_| Some(ClusterUpdate::StatusSnapshot(Box::new(snapshot))));
+    }
+
+    /// Logs where a budget or the quotas fall to their guaranteed floors, or have a lease again.
+    fn log_lease_changes(&mut self, now: Nanos) {
+        let mut state = self.state.borrow_mut();
+        let state = &mut *state;
+        let mut lines = Vec::new();
+        if let Some(budgets) = &mut state.shared.budgets {
+            let borrowers = budgets.purses();
+            self.budgets_at_floor.resize(borrowers.len(), true);
+            for (borrower, before) in borrowers.iter().zip(&mut self.budgets_at_floor) {
+                let is_at_floor = borrower.is_at_floor(now);
+                if std::mem::replace(before, is_at_floor) != is_at_floor {
+                    let budget = borrower.budget();
+                    let what = if is_at_floor {
+                        "at its floor, nothing is lent"
+                    } else {
+                        "lent a part"
+                    };
+                    let (units, limit) = (borrower.units(now), budget.limit);
+                    lines.push(format!(
+                        "budget '{}': {what}; may use {units} of {limit}",
+                        budget.name
+                    ));
+                }
+            }
+        }
+        if let Some(borrower) = state
+            .rules
+            .as_ref()
+            .and_then(|rules| rules.quota_borrower())
+        {
+            let has_no_lender = borrower.hears_nobody(now);
+            if std::mem::replace(&mut self.quotas_without_lender, has_no_lender) != has_no_lender {
+                let what = if has_no_lender {
+                    "nobody who lends is heard, floors only"
+                } else {
+                    "heard again"
+                };
+                lines.push(format!(
+                    "keys of the fleet: {what}; {} keys here",
+                    borrower.keys()
+                ));
+            }
+        }
+        lines
+            .iter()
+            .for_each(|line| state.actions.log(format_args!("{line}")));
+    }
+
+    /// Requests units of keyed quotas.
+    pub(super) fn send_quota_requests(&mut self) {
+        let requests = self.state.borrow_mut().due_quota_requests();
+        for request in requests {
+            self.update_cluster(|_| Some(ClusterUpdate::QuotaRequest(request)));
+        }
+    }
+
+    /// Sends the load hint, if it has changed.
+    pub(super) fn send_load_hint(&mut self, now: Nanos) {
+        self.log_lease_changes(now);
+        let (in_flight, load_report) = {
+            let mut state = self.state.borrow_mut();
+            state.set_timer(LOAD_HINT_PERIOD, Timer::LoadHint);
+            (state.in_flight(), state.load_report())
+        };
+        let kind = self.config.deployment.advert;
+        self.update_cluster(|cluster| cluster.load_hint(kind, load_report, in_flight));
+    }
+
+    /// The node ends: its leases are not used any more.
+    pub fn release_leases(&mut self, now: Nanos) {
+        let is_free = {
+            let mut state = self.state.borrow_mut();
+            let budgets_free = state
+                .shared
+                .budgets
+                .as_mut()
+                .is_none_or(|budgets| budgets.let_go(now));
+            let quotas_free = state
+                .rules
+                .as_mut()
+                .is_none_or(|rules| rules.release_leases());
+            budgets_free && quotas_free
+        };
+        self.update_cluster(|_| Some(ClusterUpdate::LeasesReleased(is_free)));
+    }
+}
--- /dev/null
+++ b/crates/node/src/node/load_balancer.rs
@@ -0,0 +1,170 @@
+//! Load balancers' connections and requests.
+
+use super::{Moment, Node};
+use crate::actions::{Actions, ConnectionId};
+use crate::fastcgi;
+use crate::metrics::Metric;
+use crate::request::{Fields, RequestHead, RequestKind};
+use crate::request_error::RequestError;
+use crate::state::{ReplyTarget, RequestContext};
+use madderpoint::{Arrival, Nanos, RequestId};
+
+impl<A: Actions> Node<A> {
+    pub(super) fn on_disconnected(&mut self, now: Nanos, connection_id: ConnectionId) {
+        let cancelled = self.state.borrow_mut().disconnected(connection_id);
+        cancelled
+            .into_iter()
+            .for_each(|id| self.client_cancelled(now, id));
+    }
+
+    /// A connection's peer ended its side, or what it sends can't be read on, and why.
+    pub(super) fn on_input_ended(
+        &mut self,
+        connection_id: ConnectionId,
+        cause: Option<&'static str>,
+    ) {
+        let mut state = self.state.borrow_mut();
+        if let Some(cause) = cause {
+            state.count(Metric::ProtocolError(cause), 1);
+        }
+        state.event_received(connection_id);
+        state.input_ended(connection_id);
+    }
+
+    pub(super) fn on_connection_limit_reached(&mut self) {
+        let mut state = self.state.borrow_mut();
+        state.count(Metric::ConnectionsOverLimit, 1);
+        state.evict_idle_connection();
+    }
+
+    pub(super) fn on_load_balancer_event(
+        &mut self,
+        moment: Moment,
+        connection_id: ConnectionId,
+        event: fastcgi::Event,
+    ) {
+        self.state.borrow_mut().event_received(connection_id);
+        match event {
+            fastcgi::Event::Request(request) => self.on_request(moment, connection_id, request),
+            fastcgi::Event::Abort(fastcgi_id) => {
+                let target = ReplyTarget {
+                    connection_id,
+                    fastcgi_id,
+                };
+                let cancelled = self.state.borrow_mut().aborted(target);
+                if let Some(id) = cancelled {
+                    self.client_cancelled(moment.now, id);
+                }
+                self.state.borrow_mut().event_handled(connection_id);
+            }
+            fastcgi::Event::Reply(reply) => {
+                let mut state = self.state.borrow_mut();
+                state.actions.send_reply(connection_id, reply);
+                state.event_handled(connection_id);
+            }
+        }
+    }
+
+    fn on_request(
+        &mut self,
+        moment: Moment,
+        connection_id: ConnectionId,
+        request: fastcgi::Request,
+    ) {
+        let mut state = self.state.borrow_mut();
+        let target = ReplyTarget {
+            connection_id,
+            fastcgi_id: request.id,
+        };
+        if !state.open_on_connection(connection_id, &request) {
+            return;
+        }
+        if state.has_too_many_open(connection_id) {
+            return state.reject_overloaded(target);
+        }
+        let fields = match Fields::of(&request) {
+            Err(error) => return state.reject_with_strike(target, error),
+            Ok(fields) => fields,
+        };
+        let outcome = match self.admission {
+            Some(_) if state.rules.is_some() => {
+                Self::evaluate_rules(&mut state, &self.config, connection_id, &fields, &request)
+            }
+            _ => None,
+        };
+        if let Some(outcome) = &outcome
+            && let Some(verdict) = &outcome.verdict
+        {
+            let counted = fields
+                .operation_and_load_balancer(&self.config)
+                .map(|(operation, from)| (outcome.operation.unwrap_or(operation), from));
+            return Self::answer_verdict(&mut state, target, counted, verdict);
+        }
+        let operation = outcome.as_ref().and_then(|outcome| outcome.operation);
+        match fields.kind(&self.config, moment.unix_ms, operation) {
+            Err(error) => state.reject_with_strike(target, error),
+            Ok(RequestKind::HealthCheck { is_deep }) => state.health_check(target, is_deep),
+            Ok(RequestKind::Call(_)) if self.admission.is_none() => {
+                state.reject(target, RequestError::ExecutorNotUp);
+            }
+            Ok(RequestKind::Call(head)) if state.is_in_flight(&head.correlation_id) => {
+                state.reject_with_strike(target, RequestError::CorrelationIdInUse);
+            }
+            Ok(RequestKind::Call(head)) => {
+                let arrived = moment.now.saturating_sub(head.age(moment.unix_ms));
+                let context = Self::admit_by_policy(
+                    &mut state,
+                    target,
+                    &head,
+                    outcome.unwrap_or_default(),
+                    &request.body,
+                    arrived,
+                );
+                drop(state);
+                if let Some(context) = context {
+                    self.on_arrival(moment, target, head, request.body, context);
+                }
+            }
+        }
+    }
+
+    /// Hands a request to the admission controller.
+    fn on_arrival(
+        &mut self,
+        moment: Moment,
+        target: ReplyTarget,
+        head: RequestHead,
+        body: Vec<u8>,
+        context: RequestContext,
+    ) {
+        let age = head.age(moment.unix_ms);
+        let has_subject = head.subject.is_some() || context.idempotency_key.is_some();
+        let (id, repeats) = self
+            .state
+            .borrow_mut()
+            .open_request(target, &head, body, age, context);
+        let arrival = Arrival {
+            id,
+            op: head.operation,
+            tenant: head.tenant,
+            dispatcher: head.load_balancer,
+            has_subject,
+            time_left: head
+                .client_timeout
+                .map(|timeout| timeout.saturating_sub(age)),
+            work_hint: head.expected_work_s,
+            queued_kb: head.queued_kb,
+            age,
+            repeats,
+        };
+        if let Some(admission) = &mut self.admission {
+            admission.on_arrival(moment.now, arrival);
+        }
+    }
+
+    fn client_cancelled(&mut self, now: Nanos, id: RequestId) {
+        if let Some(admission) = &mut self.admission {
+            admission.on_client_cancelled(now, id);
+        }
+    }
+}
--- a/crates/node/src/node/tests/shared.rs
+++ b/crates/node/src/node/tests/cluster_limits.rs
@@ -1,10 +1,10 @@
-//! What the fleet shares, at the core: budgets, judgements and limits by key bound what goes below
+//! What the fleet shares, at the node: budgets, judgements and limits by key bound what goes below
 //! and what is let in.
 
-use super::rules::{fleet_sheet, settings};
-use super::*;
-use madderpoint_shared_state::keyed_quota::{KeyGrant, KeyRequest};
-use madderpoint_shared_state::{HealthReport, HealthState, Kind};
+use super::rules::{cluster_rules, settings};
+use super::support::*;
+use madderpoint_shared_state::keyed_quota::{KeyGrant, KeyRequest, QuotaGrant};
+use madderpoint_shared_state::{AggregatedHealth, HealthReport, HealthState, Kind};
 
 const S: Nanos = 1000 * MS;
 
@@ -30,37 +30,45 @@
 
 impl TestNode {
     /// A node that is part of a fleet, two seconds later.
-    fn joined(budgets: &[Budget], service: Option<&SharedService>) -> TestNode {
-        let mut node = TestNode::with(&settings());
+    fn in_cluster(budgets: &[Budget], service: Option<&SharedService>) -> TestNode {
+        let mut node = TestNode::with_settings(&settings());
         let with = SharedStateOptions {
             service: service.cloned(),
             counts: true,
         };
-        node.core
-            .join_fleet(node.now, budgets, QuotaTiming::of(3), &with);
+        node.node
+            .join_cluster(node.now, budgets, QuotaTiming::of(3), &with);
         node.wait(2000);
         node
     }
 
     /// Has one run up to its call; whether it was let in.
     fn run_to_call(&mut self, id: u16, path: &str, rid: &str) -> bool {
-        self.ask(id, path, rid);
+        self.call(id, path, rid);
         let runs = self
-            .kernel_lines()
+            .executor_commands()
             .iter()
             .any(|line| line.contains("SCHED") && line.contains(rid));
         if runs {
-            self.call_wanted(rid, 1);
+            self.need_backend_call(rid, 1);
         }
         runs
     }
 
-    fn words(&mut self) -> Vec<ClusterUpdate> {
-        self.core.out(|out| std::mem::take(&mut out.words))
+    fn cluster_updates(&mut self) -> Vec<ClusterUpdate> {
+        self.node
+            .with_actions(|actions| std::mem::take(&mut actions.cluster_updates))
     }
 
-    fn mode(&self) -> HealthState {
-        self.core.desk.borrow().judge.as_ref().unwrap().mode()
+    fn health_state(&self) -> HealthState {
+        self.node
+            .state
+            .borrow()
+            .shared
+            .service_health
+            .as_ref()
+            .unwrap()
+            .mode()
     }
 }
 
@@ -71,12 +79,12 @@
 /// Of ten calls a second the next one finds room within a tenth: it waits for that, and is sent
 /// whole.
 #[test]
-fn a_call_waits_for_room_that_comes_soon_and_is_refused_where_it_does_not() {
-    let mut node = TestNode::joined(&[rate(10)], None);
+fn a_call_waits_for_budget_that_is_free_soon_and_else_is_refused() {
+    let mut node = TestNode::in_cluster(&[rate(10)], None);
     assert!(node.run_to_call(1, "/call/pay", A));
     assert_eq!(node.calls(), 1);
-    node.reply(0, A, Outcome::Ok);
-    node.reap(A, End::Ok, b"r");
+    node.reply_to_call(0, A, Outcome::Ok);
+    node.end_execution(A, End::Ok, b"r");
     node.answers();
     assert!(node.run_to_call(2, "/call/pay", B));
     assert_eq!((node.calls(), node.statuses()), (1, vec![]));
@@ -85,32 +93,35 @@
     let (.., bytes) = node.last_call();
     assert!(bytes.starts_with(&format!("invoke {B} ")), "{bytes}");
     // One a second: the second call finds none soon. It never ran, and what needs it errs at once.
-    let mut node = TestNode::joined(&[rate(1)], None);
+    let mut node = TestNode::in_cluster(&[rate(1)], None);
     node.wait(1000);
     assert!(node.run_to_call(1, "/call/pay", A) && node.calls() == 1);
-    node.reply(0, A, Outcome::Ok);
-    node.reap(A, End::Ok, b"r");
+    node.reply_to_call(0, A, Outcome::Ok);
+    node.end_execution(A, End::Ok, b"r");
     node.answers();
     assert!(node.run_to_call(2, "/call/pay", B));
     assert_eq!(
         (node.calls(), node.statuses()),
         (1, vec![(2, "500".into())])
     );
-    assert!(node.counted("calls that the fleet's budgets had no room for") > 0);
+    assert!(node.counted("backend calls refused by the cluster's budgets") > 0);
 }
 
 /// A caller that leaves while its call waits leaves nothing behind: the room goes to the next one.
 #[test]
-fn a_run_that_ends_while_its_call_waits_gives_its_turn_up() {
-    let mut node = TestNode::joined(&[rate(10)], None);
+fn an_execution_that_ends_while_its_call_is_queued_gives_its_turn_up() {
+    let mut node = TestNode::in_cluster(&[rate(10)], None);
     assert!(node.run_to_call(1, "/call/read", A));
-    node.reply(0, A, Outcome::Ok);
-    node.reap(A, End::Ok, b"r");
+    node.reply_to_call(0, A, Outcome::Ok);
+    node.end_execution(A, End::Ok, b"r");
     assert!(node.run_to_call(2, "/call/pay", B) && node.calls() == 1);
-    node.reap(B, End::Error, b"");
+    node.end_execution(B, End::Error, b"");
     node.wait(200);
     assert_eq!(
-        (node.calls(), node.core.out(|out| out.cancelled.len())),
+        (
+            node.calls(),
+            node.node.with_actions(|actions| actions.cancelled.len())
+        ),
         (1, 0)
     );
     assert!(node.run_to_call(3, "/call/pay", "00000000000000cc") && node.calls() == 2);
@@ -119,7 +130,7 @@
 /// What lies below may be at work yet on a call that was given up: it counts as in hand for as long
 /// as the longest call.
 #[test]
-fn a_call_that_was_given_up_counts_as_in_hand_for_its_longest_time() {
+fn an_abandoned_call_occupies_its_budget_for_the_longest_call() {
     let kind = Kind::InHand { longest: 500 * MS };
     let in_hand = Budget {
         name: "hands".into(),
@@ -127,9 +138,10 @@
         ..rate(1)
     };
     let ends = |node: &TestNode| {
-        node.core
-            .desk
+        node.node
+            .state
             .borrow_mut()
+            .shared
             .budgets
             .as_mut()
             .unwrap()
@@ -141,10 +153,10 @@
         (Outcome::Overload, false),
         (Outcome::Internal, false),
     ] {
-        let mut node = TestNode::joined(std::slice::from_ref(&in_hand), None);
+        let mut node = TestNode::in_cluster(std::slice::from_ref(&in_hand), None);
         assert!(node.run_to_call(1, "/call/read", A) && ends(&node) == 1);
-        node.reply(0, A, outcome);
-        node.reap(A, End::Ok, b"r");
+        node.reply_to_call(0, A, outcome);
+        node.end_execution(A, End::Ok, b"r");
         // One that never ran was called again, and that call is given up with the run.
         assert_eq!(ends(&node) == 0, frees, "{outcome:?}");
         node.wait(501);
@@ -154,16 +166,16 @@
 
 /// What can't make its call is turned away before it runs, with the time when there is room.
 #[test]
-fn what_needs_a_call_is_let_in_for_the_room_there_is() {
-    let mut node = TestNode::joined(&[rate(10)], None);
+fn requests_that_need_a_call_are_admitted_by_the_free_budget() {
+    let mut node = TestNode::in_cluster(&[rate(10)], None);
     let (mut let_in, mut pauses) = (0, Vec::new());
     for n in 0..100 {
         let rid = rid(n);
         if node.run_to_call(n as u16 % 50 + 1, "/call/pay", &rid) {
             let_in += 1;
             node.wait(19);
-            node.reply(0, &rid, Outcome::Ok);
-            node.reap(&rid, End::Ok, b"r");
+            node.reply_to_call(0, &rid, Outcome::Ok);
+            node.end_execution(&rid, End::Ok, b"r");
         }
         for answer in node
             .answers()
@@ -183,47 +195,47 @@
     assert!((0..20).all(|n| {
         let rid = rid(500 + n);
         let runs = node.run_to_call(60, "/call/read", &rid);
-        node.reap(&rid, End::Ok, b"r");
+        node.end_execution(&rid, End::Ok, b"r");
         node.answers();
         runs
     }));
 }
 
 #[test]
-fn repeats_of_calls_have_a_budget_of_their_own() {
+fn retries_have_a_budget_of_their_own() {
     let repeats = Budget {
         name: "repeats".into(),
         repeats_only: true,
         ..rate(1)
     };
-    let mut node = TestNode::joined(&[rate(1000), repeats], None);
+    let mut node = TestNode::in_cluster(&[rate(1000), repeats], None);
     assert!(node.run_to_call(1, "/call/pay", A));
-    node.reply(0, A, Outcome::Overload);
+    node.reply_to_call(0, A, Outcome::Overload);
     assert_eq!(node.calls(), 2, "one repeat in a second");
-    node.reply(0, A, Outcome::Overload);
+    node.reply_to_call(0, A, Outcome::Overload);
     assert_eq!(
         (node.calls(), node.statuses()),
         (2, vec![(1, "500".into())])
     );
     // A first call is no repeat.
-    node.reap(A, End::Stopped, b"");
+    node.end_execution(A, End::Stopped, b"");
     assert!(node.run_to_call(2, "/call/pay", B) && node.calls() == 3);
 }
 
 /// Ten calls in a row fail: the service is closed to this node. What needs it is turned away, what
 /// does not goes on without; when a try is due, one is let in for it.
 #[test]
-fn a_service_that_fails_is_closed_and_tried_and_load_comes_back_in_steps() {
-    let mut node = TestNode::joined(&[], Some(&service()));
+fn a_failing_service_gets_no_calls_and_then_recovers_in_steps() {
+    let mut node = TestNode::in_cluster(&[], Some(&service()));
     for n in 0..10 {
         assert!(node.run_to_call(1, "/call/pay", &rid(n)));
-        node.reply(0, &rid(n), Outcome::Internal);
-        node.reap(&rid(n), End::Stopped, b"");
+        node.reply_to_call(0, &rid(n), Outcome::Internal);
+        node.end_execution(&rid(n), End::Stopped, b"");
         node.answers();
     }
-    assert_eq!(node.mode(), HealthState::Unavailable);
+    assert_eq!(node.health_state(), HealthState::Unavailable);
     let calls = node.calls();
-    node.ask(1, "/call/pay", A);
+    node.call(1, "/call/pay", A);
     let answer = &node.answers()[0];
     assert_eq!(
         (&answer.status[..], &answer.fields["X-Pushback-Ms"][..]),
@@ -232,31 +244,33 @@
     assert!(node.run_to_call(2, "/call/read", B));
     assert_eq!(node.calls(), calls, "kept back");
     assert!(
-        node.kernel_lines().iter().any(|line| line.contains("NOIO")),
+        node.executor_commands()
+            .iter()
+            .any(|line| line.contains("NOIO")),
         "it goes on without its call"
     );
-    node.reap(B, End::Ok, b"r");
+    node.end_execution(B, End::Ok, b"r");
     // It hears nobody: a try each 5 s.
     let mut tries = 0;
     for n in 100..220 {
         node.wait(100);
         if node.run_to_call(3, "/call/pay", &rid(n)) {
             tries += 1;
-            node.reply(0, &rid(n), Outcome::Ok);
-            node.reap(&rid(n), End::Ok, b"r");
+            node.reply_to_call(0, &rid(n), Outcome::Ok);
+            node.end_execution(&rid(n), End::Ok, b"r");
         }
         node.answers();
     }
-    assert_eq!((tries, node.mode()), (3, HealthState::Recovering));
+    assert_eq!((tries, node.health_state()), (3, HealthState::Recovering));
     let let_in = (300..316).filter(|n| {
         let runs = node.run_to_call(4, "/call/pay", &rid(*n));
-        node.reply(0, &rid(*n), Outcome::Ok);
-        node.reap(&rid(*n), End::Ok, b"r");
+        node.reply_to_call(0, &rid(*n), Outcome::Ok);
+        node.end_execution(&rid(*n), End::Ok, b"r");
         node.answers();
         runs
     });
     assert_eq!(let_in.count(), 1, "a sixteenth");
-    assert!(node.words().iter().any(|word| matches!(
+    assert!(node.cluster_updates().iter().any(|word| matches!(
         word,
         ClusterUpdate::HealthReport(HealthReport {
             level: 0.0,
@@ -267,10 +281,10 @@
 }
 
 #[test]
-fn a_slow_service_counts_as_one_that_fails() {
-    let mut node = TestNode::joined(&[], Some(&service()));
+fn slow_calls_count_as_failed() {
+    let mut node = TestNode::in_cluster(&[], Some(&service()));
     let mut calls = 0;
-    while node.mode() == HealthState::Healthy {
+    while node.health_state() == HealthState::Healthy {
         let rid = rid(calls);
         assert!(
             calls < 10 && node.run_to_call(1, "/call/pay", &rid),
@@ -278,18 +292,21 @@
         );
         node.wait(300);
         let (place, ..) = node.last_call();
-        node.reply(place, &rid, Outcome::Ok);
-        node.reap(&rid, End::Ok, b"r");
+        node.reply_to_call(place, &rid, Outcome::Ok);
+        node.end_execution(&rid, End::Ok, b"r");
         node.answers();
         calls += 1;
     }
-    assert_eq!((node.mode(), calls > 5), (HealthState::Unavailable, true));
+    assert_eq!(
+        (node.health_state(), calls > 5),
+        (HealthState::Unavailable, true)
+    );
 }
 
 /// Others alone make it careful, and never close it.
 #[test]
-fn what_others_say_makes_a_node_careful_for_as_long_as_they_say_it() {
-    let mut node = TestNode::joined(&[], Some(&service()));
+fn health_reports_of_others_degrade_a_service_while_they_last() {
+    let mut node = TestNode::in_cluster(&[], Some(&service()));
     let ill = AggregatedHealth {
         witnesses: 6,
         ill: 6,
@@ -298,9 +315,9 @@
         ..AggregatedHealth::default()
     };
     node.event(Event::AggregatedHealth(ill));
-    assert_eq!(node.mode(), HealthState::Degraded);
+    assert_eq!(node.health_state(), HealthState::Degraded);
     node.wait(6000);
-    assert_eq!(node.mode(), HealthState::Healthy);
+    assert_eq!(node.health_state(), HealthState::Healthy);
 }
 
 const BUCKET: &str = r#"<bucket name="by-org" scope="fleet" nodes-most="4" rate="100/s" burst="50"/>
@@ -311,22 +328,25 @@
 /// The first one of a key is throttled with a short pause, for nothing is lent yet; the question
 /// goes out at once, and what comes lets the next ones in.
 #[test]
-fn a_limit_by_key_of_the_fleet_asks_and_lets_in_what_was_lent() {
-    let mut node = TestNode::joined(&[], None);
-    node.event(Event::RulesChanged(fleet_sheet(
+fn a_keyed_quota_requests_units_and_admits_what_was_granted() {
+    let mut node = TestNode::in_cluster(&[], None);
+    node.event(Event::RulesChanged(cluster_rules(
         &BUCKET.replace("caller.name", "tenant"),
     )));
-    node.words();
-    node.ask(1, "/call/read", A);
+    node.cluster_updates();
+    node.call(1, "/call/read", A);
     let refused = node.answers().remove(0);
     assert!(
         refused.status == "429" && refused.fields["X-Pushback-Ms"].parse::<u64>().unwrap() <= 60
     );
     node.wait(30);
-    let asked = node.words().into_iter().find_map(|word| match word {
-        ClusterUpdate::QuotaRequest(asked) => Some(asked),
-        _ => None,
-    });
+    let asked = node
+        .cluster_updates()
+        .into_iter()
+        .find_map(|word| match word {
+            ClusterUpdate::QuotaRequest(asked) => Some(asked),
+            _ => None,
+        });
     let asked = asked.unwrap();
     assert_eq!(asked.keys.len(), 2, "both budgets at once: {asked:?}");
     let lent = |ask: &KeyRequest| KeyGrant {
@@ -342,37 +362,50 @@
         life: 3 * S,
         keys,
     })));
-    node.ask(2, "/call/read", B);
-    assert_eq!(node.kernel_lines(), [sched(B, "read")]);
+    node.call(2, "/call/read", B);
+    assert_eq!(node.executor_commands(), [start_command(B, "read")]);
     let lent = |node: &TestNode| {
-        let desk = node.core.desk.borrow();
-        let wallet = desk.rules.as_ref().unwrap().wallet().unwrap();
-        wallet.tallies().map(|(_, tally)| tally.lent).sum::<u64>()
+        let state = node.node.state.borrow();
+        let borrower = state.rules.as_ref().unwrap().quota_borrower().unwrap();
+        borrower.tallies().map(|(_, tally)| tally.lent).sum::<u64>()
     };
     assert_eq!(lent(&node), 2);
     assert!(
-        !node.core.desk.borrow_mut().rules.as_mut().unwrap().let_go(),
+        !node
+            .node
+            .state
+            .borrow_mut()
+            .rules
+            .as_mut()
+            .unwrap()
+            .release_leases(),
         "one is in hand"
     );
-    node.reap(B, End::Ok, b"r");
+    node.end_execution(B, End::Ok, b"r");
     assert!(
-        node.core.desk.borrow_mut().rules.as_mut().unwrap().let_go(),
+        node.node
+            .state
+            .borrow_mut()
+            .rules
+            .as_mut()
+            .unwrap()
+            .release_leases(),
         "nothing is in hand any more"
     );
-    assert!(node.counted("throttled by a limit of the fleet") >= 1);
+    assert!(node.counted("rejected by a limit of the cluster") >= 1);
 }
 
 /// What a unit of a budget is worth here is told with what is wanted; and what was counted, each
 /// five seconds.
 #[test]
-fn what_is_worth_more_and_what_was_counted_is_told() {
+fn priority_weights_and_counters_are_reported() {
     let mut settings = settings();
     settings = settings.replace(
         "\"Effect\": \"non_idempotent\", \"LateWorth\": 0.0, \"Points\": 1.0",
         "\"Effect\": \"non_idempotent\", \"LateWorth\": 0.0, \"Points\": 5.0",
     );
-    let mut node = TestNode::with(&settings);
-    node.core.join_fleet(
+    let mut node = TestNode::with_settings(&settings);
+    node.node.join_cluster(
         node.now,
         &[rate(100)],
         QuotaTiming::of(3),
@@ -383,14 +416,14 @@
     );
     node.wait(1000);
     assert!(node.run_to_call(1, "/call/pay", A));
-    node.reply(0, A, Outcome::Ok);
-    node.reap(A, End::Ok, b"r");
-    node.ask(2, "/call/read", B);
-    node.reap(B, End::Error, b"");
+    node.reply_to_call(0, A, Outcome::Ok);
+    node.end_execution(A, End::Ok, b"r");
+    node.call(2, "/call/read", B);
+    node.end_execution(B, End::Error, b"");
     node.wait(5000);
-    let words = node.words();
+    let words = node.cluster_updates();
     let value = words.iter().rev().find_map(|word| match word {
-        ClusterUpdate::BudgetRequests { wants, .. } => Some(wants[0].value),
+        ClusterUpdate::BudgetRequests { requests, .. } => Some(requests[0].value),
         _ => None,
     });
     assert_eq!(value, Some(3.0), "five and one");
--- /dev/null
+++ b/crates/node/src/node/tests/connections.rs
@@ -0,0 +1,213 @@
+//! Connections: when they are closed, for whom room is made, and how unidentified peers are slowed
+//! down.
+
+use super::support::*;
+
+#[test]
+fn requests_beyond_the_most_that_may_be_open_are_rejected_as_overload() {
+    let mut node =
+        TestNode::with_settings(&wire::SETTINGS.replace("\"Cores\": 1", "\"Cores\": 12"));
+    for id in 0..=fastcgi::MAX_OPEN as u16 {
+        node.call(id, "/call/read", &format!("{id:016x}"));
+    }
+    let answers = node.answers();
+    let unseen = |a: &Answer| a.protocol_status == ProtocolStatus::Overloaded as u8;
+    assert!(
+        answers
+            .iter()
+            .all(|a| unseen(a) == (a.id == fastcgi::MAX_OPEN as u16)),
+        "{answers:?}"
+    );
+}
+
+#[test]
+fn a_connection_without_keep_alive_closes_after_its_last_answer() {
+    let mut node = TestNode::new();
+    node.call(1, "/call/read", A);
+    let params = wire::pairs(&[("SCRIPT_NAME", "/ping")]);
+    let check = fastcgi::Request {
+        id: 2,
+        keep_conn: false,
+        params,
+        body: Vec::new(),
+        oversize: false,
+    };
+    node.event(Event::LoadBalancer(
+        ConnectionId(1),
+        fastcgi::Event::Request(check),
+    ));
+    assert_eq!(
+        (
+            node.statuses(),
+            node.node.with_actions(|actions| actions.closed.len())
+        ),
+        (vec![(2, "200".into())], 0)
+    );
+    node.end_execution(A, End::Ok, b"");
+    assert_eq!(
+        node.node.with_actions(|actions| actions.closed.clone()),
+        [ConnectionId(1)]
+    );
+}
+
+#[test]
+fn a_duplicate_fastcgi_id_closes_its_connection_after_the_first_answer() {
+    let mut node = TestNode::new();
+    node.call(1, "/call/read", A);
+    node.call(1, "/call/read", B);
+    assert_eq!(node.executor_commands(), [start_command(A, "read")]);
+    let conn = node.connection_id;
+    assert_eq!(
+        node.node
+            .with_actions(|actions| (actions.not_read.clone(), actions.closed.len())),
+        (vec![conn], 0)
+    );
+    node.end_execution(A, End::Ok, b"first");
+    assert_eq!(
+        node.answers()
+            .iter()
+            .map(|a| &a.body[..])
+            .collect::<Vec<_>>(),
+        [b"first"]
+    );
+    assert_eq!(
+        node.node.with_actions(|actions| actions.closed.clone()),
+        [conn]
+    );
+}
+
+#[test]
+fn connections_close_when_idle_and_only_then() {
+    let mut node = TestNode::new();
+    node.event(Event::Connected(ConnectionId(2), None));
+    node.call(1, "/call/read", A);
+    node.node.state.borrow_mut().set_idle_timeout(30 * MS);
+    node.wait(1490);
+    assert_eq!(node.node.with_actions(|actions| actions.closed.len()), 0);
+    node.wait(20); // the first request may take longer than a pause between two, but not for good
+    assert_eq!(
+        node.node.with_actions(|actions| actions.closed.clone()),
+        [ConnectionId(2)]
+    );
+    node.end_execution(A, End::Ok, b"");
+    node.wait(20);
+    assert_eq!(node.node.with_actions(|actions| actions.closed.len()), 1);
+    node.wait(20);
+    assert_eq!(
+        node.node.with_actions(|actions| actions.closed.clone()),
+        [ConnectionId(2), ConnectionId(1)]
+    );
+    // What the reader had handed on before the order came was read: it is answered, and the order
+    // is void.
+    assert_eq!(
+        node.node
+            .with_actions(|actions| actions.close_orders[&ConnectionId(1)].events_handled),
+        1
+    );
+    let (keep_conn, params) = (true, wire::pairs(&wire::call("/call/read", B, "3000")));
+    let request = fastcgi::Request {
+        id: 2,
+        keep_conn,
+        params,
+        body: b"body".to_vec(),
+        oversize: false,
+    };
+    node.event(Event::LoadBalancer(
+        ConnectionId(1),
+        fastcgi::Event::Request(request),
+    ));
+    assert_eq!(node.executor_commands()[1..], [start_command(B, "read")]);
+    assert_eq!(node.statuses(), [(1, "200".into())]);
+    node.end_execution(B, End::Ok, b"");
+    assert_eq!(node.statuses(), [(2, "200".into())]);
+    node.wait(40);
+    assert_eq!(
+        node.node
+            .with_actions(|actions| actions.closed[2..].to_vec()),
+        [ConnectionId(1)]
+    );
+    assert_eq!(
+        node.node
+            .with_actions(|actions| actions.close_orders[&ConnectionId(1)].events_handled),
+        2,
+        "the next order knows of it"
+    );
+}
+
+#[test]
+fn eviction_prefers_unidentified_peers_and_then_the_longest_idle() {
+    let mut node = TestNode::new();
+    let served = |node: &mut TestNode, conn: u64, times: u16| {
+        node.connection_id = ConnectionId(conn);
+        node.event(Event::Connected(node.connection_id, None));
+        for id in 1..=times {
+            node.call(id, "/call/read", A);
+            node.end_execution(A, End::Ok, b"");
+        }
+        node.wait(10);
+    };
+    served(&mut node, 2, 2); // a dispatcher's, idle for longest
+    served(&mut node, 3, 2);
+    served(&mut node, 4, 1); // asked once and stayed
+    served(&mut node, 5, 0); // says nothing
+    node.event(Event::ConnectionLimitReached);
+    assert_eq!(
+        node.node.with_actions(|actions| actions.closed.clone()),
+        [ConnectionId(4)]
+    ); // the silent one is young yet
+    node.wait(200);
+    node.connection_id = ConnectionId(3);
+    node.call(9, "/call/read", A); // something is open on it
+    (0..4).for_each(|_| node.event(Event::ConnectionLimitReached));
+    assert_eq!(
+        node.node.with_actions(|actions| actions.closed.clone()),
+        [
+            ConnectionId(4),
+            ConnectionId(1),
+            ConnectionId(5),
+            ConnectionId(2)
+        ]
+    );
+    // Above the mark each new connection makes room before it is needed.
+    (100..136).for_each(|conn| node.event(Event::Connected(ConnectionId(conn), None)));
+    node.wait(200);
+    assert_eq!(node.node.with_actions(|actions| actions.closed.len()), 4);
+    node.event(Event::Connected(ConnectionId(200), None));
+    assert_eq!(node.node.with_actions(|actions| actions.closed.len()), 5);
+}
+
+/// One that asks again as soon as it is turned away once took a node's processor to itself.
+#[test]
+fn unidentified_peers_are_read_ever_more_slowly_and_then_closed() {
+    let mut node = TestNode::new();
+    let paced = |node: &mut TestNode| {
+        node.node
+            .with_actions(|actions| actions.paced.iter().map(|p| p.1 / MS).collect::<Vec<_>>())
+    };
+    for id in 1..=6 {
+        assert_eq!(node.node.with_actions(|actions| actions.closed.len()), 0);
+        node.call(id, "/call/dance", A);
+    }
+    assert_eq!(paced(&mut node), [50, 100, 200, 400, 800, 1600]);
+    assert_eq!(
+        node.node.with_actions(|actions| actions.closed.clone()),
+        [ConnectionId(1)]
+    );
+    node.call(1, "/call/read", A); // on a new connection; the kernel does not know it
+    node.event(Event::Executor(Notice::EInval {
+        command: "SCHED".into(),
+        rid: A.into(),
+    }));
+    assert_eq!(paced(&mut node).len(), 7);
+    node.call(2, "/call/read", B); // but this succeeds
+    node.end_execution(B, End::Ok, b"");
+    assert_eq!(paced(&mut node)[7..], [0]);
+    node.wait(5000);
+    let old = (node.now / MS - 4000).to_string(); // too late to be run
+    (0..1000).for_each(|id| node.send(id, &wire::call("/call/read", A, &old), b""));
+    assert_eq!(paced(&mut node).len(), 8); // a dispatcher may be turned away at any rate
+    node.connection_id = ConnectionId(9);
+    node.event(Event::Connected(ConnectionId(9), None));
+    (0..128).for_each(|id| node.send(id, &wire::call("/call/read", A, &old), b""));
+    assert_eq!(paced(&mut node)[8..], [50]);
+}
--- /dev/null
+++ b/crates/node/src/node/tests/executor_link.rs
@@ -0,0 +1,258 @@
+//! The link to the executor: what is sent again after a break, and what is uncertain.
+
+use super::support::*;
+
+#[test]
+fn requests_are_rejected_before_the_executor_is_up() {
+    let mut node = TestNode::without_executor(wire::SETTINGS);
+    node.call(1, "/call/read", A);
+    assert_eq!(node.statuses(), [(1, "503".into())]);
+    node.boot_executor();
+    node.call(1, "/call/read", A);
+    assert_eq!(node.executor_commands()[1..], [start_command(A, "read")]);
+}
+
+#[test]
+fn an_execution_that_ended_without_a_link_is_answered_and_not_started_again() {
+    let mut node = TestNode::new();
+    node.call(1, "/call/pay", A);
+    node.executor_commands();
+    node.break_link();
+    node.reconnect(0);
+    node.end_execution(A, End::Ok, b"paid");
+    node.answer_gauges();
+    assert_eq!(node.executor_commands(), [""; 0]);
+    assert_eq!(node.statuses(), [(1, "200".into())]);
+}
+
+#[test]
+fn commands_wait_until_the_link_is_in_step() {
+    let mut node = TestNode::new();
+    node.break_link();
+    node.call(1, "/call/pay", A);
+    assert_eq!(node.executor_commands(), [""; 0]);
+    node.reconnect(4);
+    assert_eq!(node.executor_commands(), [""; 0]);
+    node.break_link(); // once more, in the middle of the replay
+    node.reconnect(4);
+    node.answer_gauges();
+    assert_eq!(node.executor_commands(), [start_command(A, "pay")]);
+}
+
+#[test]
+fn only_idempotent_requests_are_started_again_after_a_broken_link() {
+    let mut node = TestNode::with_settings(&wire::SETTINGS.replace("\"Cores\": 1", "\"Cores\": 3"));
+    node.call(1, "/call/read", A);
+    node.call(2, "/call/pay", B);
+    assert_eq!(node.executor_commands().len(), 2);
+    node.break_link();
+    node.reconnect(0);
+    node.answer_gauges();
+    assert_eq!(node.executor_commands(), [start_command(A, "read")]);
+    assert_eq!(node.counted("executions uncertain after a broken link"), 1);
+    // Gauges that came back show that the commands before them arrived: then nothing is in doubt.
+    node.wait(480);
+    node.answer_gauges();
+    node.break_link();
+    node.reconnect(0);
+    node.answer_gauges();
+    assert_eq!(node.executor_commands(), [""; 0]);
+    node.wait(3000);
+    assert_eq!(node.statuses().len(), 2);
+}
+
+/// A run in doubt once held its caller until the client timeout.
+#[test]
+fn an_uncertain_execution_fails_soon_and_frees_its_place() {
+    let mut node = TestNode::new();
+    node.call(1, "/call/pay", A);
+    let asked = node.node.with_actions(|actions| actions.gauges_requested);
+    node.wait(10);
+    assert!(node.node.with_actions(|actions| actions.gauges_requested) > asked); // a mark follows soon: it would have settled this
+    assert_eq!(node.executor_commands(), [start_command(A, "pay")]);
+    node.break_link();
+    node.reconnect(0);
+    node.answer_gauges();
+    node.executor_commands();
+    node.wait(1000);
+    assert_eq!(node.statuses(), [(1, "500".into())]);
+    assert_eq!(node.executor_commands(), [start_command(A, "pay")]); // its request is over: this only asks
+    node.end_execution(A, End::Moot, b"");
+    node.call(2, "/call/pay", B);
+    assert_eq!(node.executor_commands(), [start_command(B, "pay")]);
+}
+
+#[test]
+fn a_new_configuration_moves_the_executors_link_without_uncertain_executions() {
+    let mut node = TestNode::new();
+    let address = ([127, 0, 0, 1], 1).into();
+    let peers = Peers {
+        kernel: address,
+        members: address,
+        backend: Some(address),
+    };
+    node.call(1, "/call/pay", A);
+    assert_eq!(node.executor_commands(), [start_command(A, "pay")]);
+    node.event(Event::ConfigChanged(Moved {
+        peers,
+        kept: vec![],
+    }));
+    node.call(2, "/call/read", B);
+    assert_eq!(
+        (
+            node.executor_commands(),
+            node.node
+                .with_actions(|actions| actions.executor_reconnects)
+        ),
+        (vec![], 0)
+    ); // on its way, and waiting
+    node.answer_gauges();
+    assert_eq!(
+        node.node
+            .with_actions(|actions| actions.executor_reconnects),
+        1
+    );
+    node.answer_gauges(); // the old link says nothing that counts any more
+    node.break_link();
+    node.reconnect(0);
+    node.answer_gauges();
+    assert_eq!(node.counted("executions uncertain after a broken link"), 0);
+    node.end_execution(A, End::Ok, b"result");
+    assert_eq!(node.executor_commands(), [start_command(B, "read")]);
+    node.event(Event::ConfigChanged(Moved {
+        peers,
+        kept: vec![],
+    }));
+    node.wait(150); // a kernel that says nothing is not waited for
+    assert_eq!(
+        node.node
+            .with_actions(|actions| actions.executor_reconnects),
+        2
+    );
+    node.event(Event::ConfigChanged(Moved {
+        peers,
+        kept: vec![],
+    })); // nor is a link that is going already
+    assert_eq!(
+        node.node
+            .with_actions(|actions| actions.executor_reconnects),
+        3
+    );
+}
+
+/// Half a notice and then nothing, on a link that stays open: all that ran once waited for its
+/// client timeout.
+#[test]
+fn a_silent_link_is_replaced_and_a_late_executor_is_waited_for() {
+    let reconnects = |node: &mut TestNode| {
+        node.node
+            .with_actions(|actions| actions.executor_reconnects)
+    };
+    let mut node = TestNode::new();
+    node.silent = true;
+    node.wait(1900);
+    node.call(1, "/call/read", A);
+    assert_eq!(reconnects(&mut node), 0);
+    node.wait(1200);
+    assert_eq!(
+        (
+            reconnects(&mut node),
+            node.counted("executor: links gone silent")
+        ),
+        (1, 1)
+    );
+    node.break_link();
+    node.executor_commands();
+    node.reconnect(0);
+    node.answer_gauges();
+    assert_eq!(node.executor_commands(), [start_command(A, "read")]);
+    // It answers within its time, if late each time.
+    for _ in 0..10 {
+        node.wait(1500);
+        node.answer_gauges();
+    }
+    assert_eq!(reconnects(&mut node), 1);
+    // The machine stood still: what came meanwhile is heard before another look.
+    node.now += 60_000 * MS;
+    node.node.fire_timers(node.now);
+    node.answer_gauges();
+    node.wait(1000);
+    assert_eq!(reconnects(&mut node), 1);
+    // Before BOOTED the kernel may take its time.
+    let mut node = TestNode::without_executor(wire::SETTINGS);
+    node.wait(30_000);
+    assert_eq!(reconnects(&mut node), 0);
+}
+
+#[test]
+fn a_reply_that_comes_without_a_link_is_sent_on_the_next_one() {
+    let mut node = TestNode::new();
+    node.call(1, "/call/read", A);
+    node.need_backend_call(A, 1);
+    node.break_link();
+    node.reply_to_call(0, A, Outcome::Ok);
+    node.executor_commands();
+    node.reconnect(1);
+    node.answer_gauges();
+    let done = format!(r#"{{"t":"IODONE","rid":"{A}","b64":"cmVwbHk="}}"#);
+    assert_eq!(node.executor_commands(), std::slice::from_ref(&done));
+    node.break_link(); // it may not have arrived
+    node.reconnect(1);
+    node.answer_gauges();
+    assert_eq!(node.executor_commands(), [done]);
+    node.break_link();
+    node.reconnect(1);
+    node.need_backend_call(A, 2); // it had: the run came to its next call
+    node.answer_gauges();
+    assert_eq!((node.executor_commands(), node.calls()), (vec![], 2));
+}
+
+#[test]
+fn an_execution_cancelled_before_its_start_was_sent_has_ended() {
+    let mut node = TestNode::new();
+    node.break_link();
+    node.call(1, "/call/pay", A);
+    node.event(Event::LoadBalancer(
+        ConnectionId(1),
+        fastcgi::Event::Abort(1),
+    ));
+    node.reconnect(0);
+    node.answer_gauges();
+    assert_eq!(node.executor_commands(), [""; 0]);
+    node.call(2, "/call/pay", B); // its place is free
+    assert_eq!(node.executor_commands(), [start_command(B, "pay")]);
+}
+
+#[test]
+fn an_execution_whose_end_was_missed_frees_its_place() {
+    let mut node = TestNode::new();
+    node.call(1, "/call/pay", A);
+    node.executor_commands();
+    node.break_link();
+    node.wait(20_000); // nobody is asked without a link
+    node.reconnect(0);
+    node.answer_gauges();
+    node.executor_commands();
+    node.wait(11_000); // it erred at its client timeout, and nobody has heard of it since
+    assert_eq!(node.statuses(), [(1, "500".into())]);
+    assert!(node.executor_commands().contains(&start_command(A, "pay")));
+    node.end_execution(A, End::Moot, b"");
+    node.call(2, "/call/pay", B);
+    assert_eq!(node.executor_commands(), [start_command(B, "pay")]);
+}
+
+#[test]
+fn a_request_whose_start_the_executor_refuses_fails() {
+    let mut node = TestNode::new();
+    node.call(1, "/call/read", A);
+    node.event(Event::Executor(Notice::EInval {
+        command: "SCHED".into(),
+        rid: A.into(),
+    }));
+    node.event(Event::Executor(Notice::EInval {
+        command: "NOIO".into(),
+        rid: "zz".into(),
+    }));
+    assert_eq!(node.statuses(), [(1, "500".into())]);
+    assert_eq!(node.counted("executor: commands refused"), 2);
+}
--- /dev/null
+++ b/crates/node/src/node/tests/health_checks.rs
@@ -0,0 +1,44 @@
+//! Health checks and gauges.
+
+use super::support::*;
+
+#[test]
+fn health_checks_are_answered_from_store_or_by_work_and_in_time() {
+    let deep = [("SCRIPT_NAME", "/ping"), ("QUERY_STRING", "x=2&e2e=1")];
+    let mut node = TestNode::without_executor(wire::SETTINGS);
+    node.send(1, &deep, b"");
+    assert_eq!(node.statuses(), [(1, "503".into())]);
+    node.boot_executor();
+    node.send(2, &deep, b"");
+    assert_eq!(node.statuses(), [(2, "200".into())]);
+    AdmissionHost(Rc::clone(&node.node.state)).set_health(true, false);
+    node.executor_commands();
+    for (id, ok, status) in [(3, true, "200"), (4, false, "503")] {
+        node.send(id, &deep, b"");
+        let post = node.executor_commands().pop().unwrap();
+        let mark = post.split('"').nth(7).unwrap().parse().unwrap();
+        node.event(Event::Executor(Notice::Posted { mark, ok }));
+        assert_eq!(node.statuses(), [(id, status.into())]);
+    }
+    node.send(5, &deep, b"");
+    node.wait(2000);
+    assert_eq!(node.statuses(), [(5, "503".into())]);
+    node.break_link();
+    node.send(6, &deep, b"");
+    assert_eq!(node.statuses(), [(6, "503".into())]);
+}
+
+#[test]
+fn admission_timers_get_fresh_gauges_and_wait_for_none() {
+    let mut node = TestNode::new();
+    node.node
+        .with_actions(|actions| actions.gauges_requested = None);
+    node.wait(480); // shortly before the first alarm
+    node.answer_gauges();
+    assert_eq!(node.node.state.borrow().gauges().cpu_busy, Some(0.5));
+    node.wait(101);
+    assert_eq!(node.node.state.borrow().gauges().cpu_busy, None);
+    let due = node.node.next_timer().unwrap();
+    node.wait(1000); // the kernel says nothing
+    assert!(node.node.next_timer().unwrap() > due + 500 * MS);
+}
--- a/crates/node/src/node/tests/repeats.rs
+++ b/crates/node/src/node/tests/idempotency.rs
@@ -1,7 +1,7 @@
 //! Repeats of tokened operations, which bear the key that the platform sends: what ran within the
 //! window never runs again, whatever crosses it.
 
-use super::*;
+use super::support::*;
 
 const C: &str = "00000000000000cc";
 const KEY: &str = "35703cb5dbe0981838ed43bf61d23a03";
@@ -15,7 +15,7 @@
     fn try_as(&mut self, id: u16, rid: &str, more: &[(&str, &str)], age_ms: u64, body: &[u8]) {
         let arrived = (self.now / MS - age_ms).to_string();
         let named = |(name, _): &(&str, &str)| more.iter().all(|(n, _)| n != name);
-        let call = support::call("/call/book", rid, &arrived);
+        let call = wire::call("/call/book", rid, &arrived);
         let params: Vec<_> = call
             .into_iter()
             .filter(named)
@@ -27,8 +27,8 @@
     /// Runs the first try to its end.
     fn ran(&mut self) {
         self.try_of(1, A, KEY, 0);
-        assert_eq!(self.kernel_lines(), [sched(A, "book")]);
-        self.reap(A, End::Ok, b"done");
+        assert_eq!(self.executor_commands(), [start_command(A, "book")]);
+        self.end_execution(A, End::Ok, b"done");
         assert_eq!(self.statuses(), [(1, "200".into())]);
     }
 
@@ -45,32 +45,32 @@
 }
 
 #[test]
-fn a_repeat_is_known_by_the_platforms_key_and_never_runs() {
+fn a_repeat_with_the_same_idempotency_key_never_runs() {
     let mut node = TestNode::new();
     node.try_of(1, A, KEY, 0);
     node.try_of(2, B, KEY, 0);
     assert_eq!(
-        node.kernel_lines(),
-        [sched(A, "book")],
+        node.executor_commands(),
+        [start_command(A, "book")],
         "the repeat waits for what it repeats"
     );
-    node.reap(A, End::Ok, b"done");
+    node.end_execution(A, End::Ok, b"done");
     assert_eq!(node.bodies(), [done(), done()]);
     node.wait(4900);
     node.try_of(3, C, KEY, 0);
     assert_eq!(
-        (node.bodies(), node.kernel_lines().len()),
+        (node.bodies(), node.executor_commands().len()),
         (vec![done()], 0),
         "from what is kept"
     );
 }
 
 #[test]
-fn keys_of_tenants_operations_and_bodies_do_not_meet() {
-    let settings = support::SETTINGS
+fn keys_of_tenants_and_operations_are_separate_and_other_bodies_conflict() {
+    let settings = wire::SETTINGS
         .replace("}]}", r#"}, {"Name": "other", "QuotaRps": 50.0}]}"#)
         .to_owned();
-    let mut node = TestNode::with(&settings);
+    let mut node = TestNode::with_settings(&settings);
     node.ran();
     // The same key of another tenant is another invocation: nobody gets another customer's result.
     node.try_as(
@@ -80,36 +80,36 @@
         0,
         b"body",
     );
-    assert_eq!(node.kernel_lines(), [sched(B, "book")]);
+    assert_eq!(node.executor_commands(), [start_command(B, "book")]);
     // With another body it is a mistake of the callers, which is told.
     node.try_as(3, C, &[("HTTP_X_OPERATION_KEY", KEY)], 0, b"else");
     assert_eq!(
-        (&node.statuses()[..], node.kernel_lines().len()),
+        (&node.statuses()[..], node.executor_commands().len()),
         (&[(3, "409".into())][..], 0)
     );
-    node.reap(B, End::Ok, b"theirs");
+    node.end_execution(B, End::Ok, b"theirs");
     // An operation that may run again has no use for it.
     node.send(
         4,
         &[
-            support::call("/call/read", C, "1000"),
+            wire::call("/call/read", C, "1000"),
             vec![("HTTP_X_OPERATION_KEY", KEY)],
         ]
         .concat(),
         b"body",
     );
-    assert_eq!(node.kernel_lines(), [sched(C, "read")]);
+    assert_eq!(node.executor_commands(), [start_command(C, "read")]);
 }
 
 #[test]
-fn what_is_no_key_is_refused_and_not_run_unprotected() {
+fn an_invalid_key_is_rejected_and_not_run_unprotected() {
     let mut node = TestNode::new();
     let long = "k".repeat(256);
     for key in ["", &long, "a\u{7f}b", "sch\u{f6}n"] {
         node.try_of(1, A, key, 0);
         assert_eq!(node.statuses(), [(1, "400".into())], "{key:?}");
     }
-    assert_eq!(node.kernel_lines().len(), 0);
+    assert_eq!(node.executor_commands().len(), 0);
 }
 
 #[test]
@@ -120,7 +120,7 @@
     node.wait(5900);
     node.try_of(2, B, KEY, 950);
     assert_eq!(
-        (node.bodies(), node.kernel_lines().len()),
+        (node.bodies(), node.executor_commands().len()),
         (vec![done()], 0)
     );
     // The very end, by what the protocol allows clocks to differ.
@@ -129,7 +129,7 @@
     node.wait(5049);
     node.try_of(2, B, KEY, 0);
     assert_eq!(
-        (node.bodies(), node.kernel_lines().len()),
+        (node.bodies(), node.executor_commands().len()),
         (vec![done()], 0)
     );
     // What arrives later is a new invocation, and is known by the same key from then on.
@@ -137,8 +137,8 @@
     node.ran();
     node.wait(5100);
     node.try_of(2, B, KEY, 0);
-    assert_eq!(node.kernel_lines(), [sched(B, "book")]);
-    node.reap(B, End::Ok, b"two");
+    assert_eq!(node.executor_commands(), [start_command(B, "book")]);
+    node.end_execution(B, End::Ok, b"two");
     node.answers();
     node.wait(4000);
     node.try_of(3, C, KEY, 0);
@@ -146,27 +146,30 @@
 }
 
 #[test]
-fn a_repeat_after_the_first_callers_connection_is_gone_gets_the_result() {
+fn a_repeat_gets_the_result_after_the_first_connection_is_gone() {
     for aborted in [true, false] {
         let mut node = TestNode::new();
         node.try_of(1, A, KEY, 0);
-        node.kernel_lines();
+        node.executor_commands();
         match aborted {
-            true => node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(1))),
-            false => node.event(Event::Disconnected(node.conn)),
+            true => node.event(Event::LoadBalancer(
+                node.connection_id,
+                fastcgi::Event::Abort(1),
+            )),
+            false => node.event(Event::Disconnected(node.connection_id)),
         }
         assert_eq!(
-            node.kernel_lines().len(),
+            node.executor_commands().len(),
             0,
             "what must not run twice is not stopped: its repeat could only err"
         );
         node.answers();
-        node.conn = ConnectionId(7);
-        node.event(Event::Connected(node.conn, None));
+        node.connection_id = ConnectionId(7);
+        node.event(Event::Connected(node.connection_id, None));
         node.try_of(2, B, KEY, 0);
-        node.reap(A, End::Ok, b"done");
+        node.end_execution(A, End::Ok, b"done");
         assert_eq!(
-            (node.bodies(), node.kernel_lines().len()),
+            (node.bodies(), node.executor_commands().len()),
             (vec![done()], 0),
             "aborted {aborted}"
         );
@@ -174,78 +177,84 @@
 }
 
 #[test]
-fn what_its_caller_left_before_it_ran_may_come_again() {
+fn a_request_cancelled_before_it_ran_may_come_again() {
     let mut node = TestNode::new();
-    // One core: what comes is held.
+    // One node: what comes is held.
     for n in 0..2u16 {
-        node.ask(n + 10, "/call/read", &format!("{n:016x}"));
+        node.call(n + 10, "/call/read", &format!("{n:016x}"));
     }
-    node.kernel_lines();
+    node.executor_commands();
     node.try_of(1, A, KEY, 0);
-    assert_eq!(node.kernel_lines().len(), 0, "it is held");
-    node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(1)));
+    assert_eq!(node.executor_commands().len(), 0, "it is held");
+    node.event(Event::LoadBalancer(
+        node.connection_id,
+        fastcgi::Event::Abort(1),
+    ));
     node.try_of(2, B, KEY, 0);
     node.answers();
     for n in 0..2u16 {
-        node.reap(&format!("{n:016x}"), End::Ok, b"");
+        node.end_execution(&format!("{n:016x}"), End::Ok, b"");
     }
     assert!(
-        node.kernel_lines().contains(&sched(B, "book")),
+        node.executor_commands().contains(&start_command(B, "book")),
         "nothing had run under its key"
     );
 }
 
 #[test]
-fn what_the_kernel_did_not_take_up_leaves_no_key_behind() {
+fn a_request_that_the_executor_did_not_start_leaves_no_key_behind() {
     // A stranger has seen a key; the kernel knows no such request, so that nothing ran.
     let mut node = TestNode::new();
     node.try_of(1, A, KEY, 0);
-    node.kernel_lines();
+    node.executor_commands();
     node.event(Event::Executor(Notice::EInval {
         command: "SCHED".into(),
         rid: A.into(),
     }));
     assert_eq!(node.statuses(), [(1, "500".into())]);
     node.try_of(2, B, KEY, 0);
-    assert_eq!(node.kernel_lines(), [sched(B, "book")]);
+    assert_eq!(node.executor_commands(), [start_command(B, "book")]);
     // MOOT to the one command that was ever given: nothing was started.
     let mut node = TestNode::new();
     node.try_of(1, A, KEY, 0);
-    node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(1)));
-    node.reap(A, End::Moot, b"");
-    node.kernel_lines();
+    node.event(Event::LoadBalancer(
+        node.connection_id,
+        fastcgi::Event::Abort(1),
+    ));
+    node.end_execution(A, End::Moot, b"");
+    node.executor_commands();
     node.answers();
     node.try_of(2, B, KEY, 0);
-    assert_eq!(node.kernel_lines(), [sched(B, "book")]);
+    assert_eq!(node.executor_commands(), [start_command(B, "book")]);
 }
 
 #[test]
-fn moot_to_a_second_question_proves_nothing() {
+fn moot_after_a_second_start_proves_nothing() {
     // The end of a run was lost with its link; asked after it, the kernel only knows that none goes
     // on.
     let mut node = TestNode::new();
     node.try_of(1, A, KEY, 0);
-    node.kernel_lines();
+    node.executor_commands();
     node.break_link();
-    node.relink(0);
-    node.info();
+    node.reconnect(0);
+    node.answer_gauges();
     node.wait(1100);
     assert_eq!(node.statuses(), [(1, "500".into())], "in doubt");
-    node.reap(A, End::Moot, b"");
-    node.kernel_lines();
+    node.end_execution(A, End::Moot, b"");
+    node.executor_commands();
     node.try_of(2, B, KEY, 0);
     assert_eq!(
-        (node.statuses(), node.kernel_lines().len()),
+        (node.statuses(), node.executor_commands().len()),
         (vec![(2, "500".into())], 0)
     );
 }
 
 #[test]
-fn a_callers_patience_counts_where_it_is_told() {
-    let told = support::SETTINGS.replace(r#""Cores": 1"#, r#""Cores": 1, "PassesDeadline": true"#);
+fn the_clients_timeout_counts_where_it_is_sent() {
+    let told = wire::SETTINGS.replace(r#""Cores": 1"#, r#""Cores": 1, "PassesDeadline": true"#);
     let patience = |settings: &str, more: &[(&str, &str)]| {
-        let mut node = TestNode::with(settings);
-        let call = [support::call("/call/read", A, "900"), more.to_vec()].concat();
+        let mut node = TestNode::with_settings(settings);
+        let call = [wire::call("/call/read", A, "900"), more.to_vec()].concat();
         node.send(1, &call, b"body");
         let from = node.now;
         loop {
@@ -277,39 +286,39 @@
         );
     }
     // Where the settings say that it is not passed on, it means nothing.
-    let (_, after) = patience(support::SETTINGS, &[("HTTP_X_DEADLINE_MS", "700")]);
+    let (_, after) = patience(wire::SETTINGS, &[("HTTP_X_DEADLINE_MS", "700")]);
     assert!((2800..2900).contains(&after), "after {after} ms");
 }
 
 // ---- Against the kernel's link ----
 
 #[test]
-fn a_repeat_of_what_is_in_doubt_after_a_broken_link_does_not_run() {
+fn a_repeat_of_an_uncertain_request_does_not_run() {
     let mut node = TestNode::new();
     node.try_of(1, A, KEY, 0);
-    assert_eq!(node.kernel_lines(), [sched(A, "book")]);
+    assert_eq!(node.executor_commands(), [start_command(A, "book")]);
     node.break_link();
     node.try_of(2, B, KEY, 0);
-    node.relink(0);
-    node.info();
+    node.reconnect(0);
+    node.answer_gauges();
     assert_eq!(
-        node.kernel_lines().len(),
+        node.executor_commands().len(),
         0,
         "the first may run at this moment"
     );
     node.wait(1000);
     assert_eq!(node.statuses(), [(1, "500".into())]);
     assert_eq!(
-        node.kernel_lines(),
-        [sched(A, "book")],
+        node.executor_commands(),
+        [start_command(A, "book")],
         "its request is over: this only asks whether there is a run"
     );
     // There was one, and its end comes: the repeat that waited gets the result, and so does one
     // that comes later.
-    node.reap(A, End::Ok, b"done");
+    node.end_execution(A, End::Ok, b"done");
     node.try_of(3, C, KEY, 0);
     assert_eq!(
-        (node.bodies(), node.kernel_lines().len()),
+        (node.bodies(), node.executor_commands().len()),
         (vec![done(), done()], 0)
     );
 }
@@ -320,36 +329,36 @@
     node.break_link();
     node.try_of(1, A, KEY, 0);
     node.try_of(2, B, KEY, 0);
-    node.relink(0);
-    node.info();
-    assert_eq!(node.kernel_lines(), [sched(A, "book")]);
+    node.reconnect(0);
+    node.answer_gauges();
+    assert_eq!(node.executor_commands(), [start_command(A, "book")]);
     // The link breaks again as the result is on its way; the kernel tells it once more.
     node.break_link();
-    node.relink(0);
-    node.reap(A, End::Ok, b"done");
-    node.info();
+    node.reconnect(0);
+    node.end_execution(A, End::Ok, b"done");
+    node.answer_gauges();
     assert_eq!(
-        (node.bodies(), node.kernel_lines().len()),
+        (node.bodies(), node.executor_commands().len()),
         (vec![done(), done()], 0)
     );
 }
 
 #[test]
-fn a_repeat_that_is_read_in_the_turn_of_the_runs_end_gets_the_result() {
+fn a_repeat_that_is_read_as_the_execution_ends_gets_the_result() {
     // Before the end, after it, and when its first caller's connection went between.
     for order in 0..3 {
         let mut node = TestNode::new();
         node.try_of(1, A, KEY, 0);
-        node.kernel_lines();
+        node.executor_commands();
         if order == 2 {
-            node.event(Event::Disconnected(node.conn));
-            node.conn = ConnectionId(9);
-            node.event(Event::Connected(node.conn, None));
+            node.event(Event::Disconnected(node.connection_id));
+            node.connection_id = ConnectionId(9);
+            node.event(Event::Connected(node.connection_id, None));
         }
         if order != 1 {
             node.try_of(2, B, KEY, 0);
         }
-        node.reap(A, End::Ok, b"done");
+        node.end_execution(A, End::Ok, b"done");
         if order == 1 {
             node.try_of(2, B, KEY, 0);
         }
@@ -358,34 +367,37 @@
             answers.len() == if order == 2 { 1 } else { 2 } && answers.iter().all(|a| *a == done()),
             "{order}"
         );
-        assert_eq!(node.kernel_lines().len(), 0);
+        assert_eq!(node.executor_commands().len(), 0);
     }
 }
 
 #[test]
-fn a_stop_that_was_lost_with_its_link_is_sent_again() {
+fn a_cancellation_that_was_lost_with_its_link_is_sent_again() {
     let mut node = TestNode::new();
-    node.ask(1, "/call/read", A);
-    node.kernel_lines();
-    node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(1)));
+    node.call(1, "/call/read", A);
+    node.executor_commands();
+    node.event(Event::LoadBalancer(
+        node.connection_id,
+        fastcgi::Event::Abort(1),
+    ));
     let stop = format!(r#"{{"t":"PREEMPT","rid":"{A}"}}"#);
-    assert_eq!(node.kernel_lines(), std::slice::from_ref(&stop));
+    assert_eq!(node.executor_commands(), std::slice::from_ref(&stop));
     node.break_link();
-    node.relink(0);
-    node.info();
-    assert!(node.kernel_lines().contains(&stop));
+    node.reconnect(0);
+    node.answer_gauges();
+    assert!(node.executor_commands().contains(&stop));
     // A run that ended over the old link is not stopped over the new one.
-    node.reap(A, End::Stopped, b"");
+    node.end_execution(A, End::Stopped, b"");
     node.break_link();
-    node.relink(1);
-    node.info();
-    assert_eq!(node.kernel_lines().len(), 0);
+    node.reconnect(1);
+    node.answer_gauges();
+    assert_eq!(node.executor_commands().len(), 0);
 }
 
 // ---- In a drain ----
 
 #[test]
-fn repeats_that_wait_are_answered_in_a_drain_whatever_becomes_of_the_first() {
+fn waiting_repeats_are_answered_in_a_drain_however_the_first_ends() {
     for end in [Some(End::Ok), Some(End::Error), None] {
         let mut node = TestNode::new();
         node.try_of(1, A, KEY, 0);
@@ -394,9 +406,9 @@
         node.event(Event::Drain);
         node.wait(600); // past the grace
         node.try_of(3, C, KEY, 0);
-        assert_eq!(node.kernel_lines(), [sched(A, "book")]);
+        assert_eq!(node.executor_commands(), [start_command(A, "book")]);
         if let Some(end) = end {
-            node.reap(A, end, b"done");
+            node.end_execution(A, end, b"done");
         }
         node.wait(2400);
         let mut statuses = node.statuses();
--- /dev/null
+++ b/crates/node/src/node/tests/requests.rs
@@ -0,0 +1,154 @@
+//! Requests: what is answered, and how what cannot be read is.
+
+use super::support::*;
+
+#[test]
+fn a_request_is_answered_once_with_the_executors_bytes() {
+    let mut node = TestNode::new();
+    node.call(9, "/call/read", A);
+    assert_eq!(node.executor_commands(), [start_command(A, "read")]);
+    node.end_execution(A, End::Ok, b"\0\xffresult");
+    node.end_execution(A, End::Ok, b"again");
+    let answers = node.answers();
+    assert_eq!(answers.len(), 1);
+    assert_eq!(
+        (answers[0].id, &answers[0].status[..], &answers[0].body[..]),
+        (9, "200", &b"\0\xffresult"[..])
+    );
+    assert_eq!(node.counted("executor: ends of unknown executions"), 1);
+}
+
+#[test]
+fn a_failed_execution_is_an_error_and_a_late_arrival_is_rejected_with_stop_trying() {
+    let mut node = TestNode::new();
+    node.call(1, "/call/read", A);
+    node.end_execution(A, End::Error, b"");
+    node.wait(5000);
+    node.send(2, &wire::call("/call/read", B, "1000"), b"");
+    let answers = node.answers();
+    assert_eq!(
+        (&answers[0].status[..], &answers[1].status[..]),
+        ("500", "429")
+    );
+    assert_eq!(answers[1].fields["X-Stop-Trying"], "1");
+    assert!(answers[1].fields.contains_key("X-Backend-Says"));
+    assert_eq!(node.executor_commands().len(), 1);
+}
+
+#[test]
+fn an_arrival_from_the_future_counts_from_now() {
+    let mut node = TestNode::new();
+    node.send(1, &wire::call("/call/read", A, "5000"), b"body");
+    node.wait(2900);
+    assert_eq!(node.statuses(), []);
+    node.wait(100);
+    assert_eq!(node.statuses(), [(1, "500".into())]);
+}
+
+#[test]
+fn a_malformed_request_gets_one_answer_by_its_cause() {
+    let mut node = TestNode::new();
+    let good = wire::call("/call/read", A, "1000");
+    let but = |name: &'static str, value: Option<&'static str>| {
+        let mut params: Vec<_> = good.iter().copied().filter(|(n, _)| *n != name).collect();
+        params.extend(value.map(|v| (name, v)));
+        params
+    };
+    let cases = [
+        (but("SCRIPT_NAME", Some("/call/dance")), "404"),
+        (but("SCRIPT_NAME", Some("/else")), "404"),
+        (but("SCRIPT_NAME", None), "400"),
+        (but("REQUEST_METHOD", Some("GET")), "405"),
+        (but("HTTP_X_CORRELATION_ID", Some("aa")), "400"),
+        (but("HTTP_X_ARRIVED_MS", Some("-5")), "400"),
+        (but("HTTP_X_ARRIVED_MS", None), "400"),
+        (but("HTTP_X_ARRIVED_MS", Some("9999999")), "400"),
+        (
+            but("HTTP_X_ARRIVED_MS", Some("18446744073709551615")),
+            "400",
+        ),
+        (but("HTTP_X_CRITICALITY", Some("1.5")), "400"),
+        (but("HTTP_X_CRITICALITY", Some("inf")), "400"),
+        (but("HTTP_X_ESTIMATE_MS", Some("-1")), "400"),
+        (but("HTTP_X_ORG", Some("nobody")), "404"),
+        (but("HTTP_X_ORG", None), "404"),
+        (but("HTTP_X_UPSTREAM_PEER", Some("-1")), "400"),
+        (but("HTTP_X_ESTIMATE_MS", Some("NaN")), "400"),
+        (but("HTTP_X_NEED_KB", Some("2000")), "400"),
+        (but("HTTP_X_NEED_KB", Some("0")), "400"),
+        (but("HTTP_X_NEED_KB", None), "400"),
+        (but("HTTP_X_SUBJECT", Some("xyz")), "400"),
+    ];
+    for (i, (params, status)) in cases.iter().enumerate() {
+        node.send(i as u16, params, b"");
+        assert_eq!(
+            node.statuses(),
+            [(i as u16, status.to_string())],
+            "{params:?}"
+        );
+    }
+    assert_eq!(node.executor_commands().len(), 0);
+    let long_past = wire::call("/call/read", A, "1000");
+    node.now = 100_000 * MS;
+    node.send(49, &long_past, b"");
+    assert_eq!(node.statuses(), [(49, "400".into())]);
+    node.now = 1000 * MS;
+    // Without hints it is served.
+    let mut params = but("HTTP_X_ESTIMATE_MS", None);
+    params.retain(|(n, _)| *n != "HTTP_X_UPSTREAM_PEER");
+    params.push(("HTTP_X_UPSTREAM_PEER", "4000000000000")); // numbers are always new
+    node.send(50, &params, b"body");
+    assert_eq!(node.executor_commands(), [start_command(A, "read")]);
+    // Its id may not be used beside it.
+    node.call(51, "/call/read", A);
+    assert_eq!(node.statuses(), [(51, "409".into())]);
+}
+
+#[test]
+fn a_cancelled_request_gets_no_answer_and_its_ids_are_free() {
+    let mut node = TestNode::new();
+    node.call(1, "/call/read", A);
+    node.call(2, "/call/read", B); // held: one core
+    node.executor_commands();
+    node.event(Event::LoadBalancer(
+        ConnectionId(1),
+        fastcgi::Event::Abort(2),
+    ));
+    node.event(Event::LoadBalancer(
+        ConnectionId(1),
+        fastcgi::Event::Abort(1),
+    ));
+    assert_eq!(
+        node.executor_commands(),
+        [format!(r#"{{"t":"PREEMPT","rid":"{A}"}}"#)]
+    );
+    node.end_execution(A, End::Stopped, b"");
+    let ends = node.answers();
+    assert!(
+        ends.len() == 2 && ends.iter().all(|a| a.status.is_empty()),
+        "{ends:?}"
+    );
+    // Both ids may be used again, on the connection and at the kernel.
+    node.call(1, "/call/read", B);
+    assert_eq!(node.executor_commands(), [start_command(B, "read")]);
+    node.event(Event::Disconnected(ConnectionId(1)));
+    assert_eq!(
+        node.executor_commands(),
+        [format!(r#"{{"t":"PREEMPT","rid":"{B}"}}"#)]
+    );
+}
+
+#[test]
+fn a_cancellation_that_races_with_the_end_leaves_nothing_behind() {
+    let mut node = TestNode::new();
+    node.call(1, "/call/read", A);
+    node.event(Event::LoadBalancer(
+        ConnectionId(1),
+        fastcgi::Event::Abort(1),
+    ));
+    node.end_execution(A, End::Ok, b"late");
+    assert!(node.answers().iter().all(|a| a.status.is_empty()));
+    node.executor_commands();
+    node.call(2, "/call/read", B);
+    assert_eq!(node.executor_commands(), [start_command(B, "read")]);
+}
--- a/crates/node/src/node/tests/rules.rs
+++ b/crates/node/src/node/tests/rules.rs
@@ -1,6 +1,6 @@
-//! Rules and limits at the core: what they give reaches the decisions, and the four rules hold.
+//! Rules and limits at the node: what they give reaches the decisions, and the four rules hold.
 
-use super::*;
+use super::support::*;
 use crate::request_rules::CompiledRuleSet;
 use madderpoint_settings::Known;
 
@@ -9,25 +9,25 @@
 
 /// Dispatchers here heed pauses of up to half a second.
 pub fn settings() -> String {
-    support::SETTINGS.replace(
+    wire::SETTINGS.replace(
         r#""RetryAfter": false, "MaxRetryAfter": 0.0"#,
         r#""RetryAfter": true, "MaxRetryAfter": 0.5"#,
     )
 }
 
-fn sheet(rules: &str) -> Box<CompiledRuleSet> {
-    read_sheet(rules, "")
+fn rules_without_cluster(rules: &str) -> Box<CompiledRuleSet> {
+    compile(rules, "")
 }
 
 /// Rules with limits of the whole fleet.
-pub fn fleet_sheet(rules: &str) -> Box<CompiledRuleSet> {
-    read_sheet(
+pub fn cluster_rules(rules: &str) -> Box<CompiledRuleSet> {
+    compile(
         rules,
         "<fleet name=\"f\" keys=\"k\"><arbiter name=\"n0\"/></fleet>",
     )
 }
 
-fn read_sheet(rules: &str, fleet: &str) -> Box<CompiledRuleSet> {
+fn compile(rules: &str, fleet: &str) -> Box<CompiledRuleSet> {
     let start = madderpoint_deployment_config::decode(settings().as_bytes()).unwrap();
     let effects = start.deployment.operations.iter().map(|o| o.effect);
     let operations = Some(start.operations.iter().cloned().zip(effects).collect());
@@ -39,24 +39,24 @@
     let text = format!("<translator version=\"1\"><rules>{rules}</rules>{fleet}</translator>");
     let read =
         madderpoint_settings::read("rules.xml", &text, &known).unwrap_or_else(|e| panic!("{e}"));
-    let book = read.rules.unwrap();
+    let compiled = read.rules.unwrap();
     Box::new(CompiledRuleSet {
-        rules: book.rules,
-        buckets: book.buckets,
-        fleet: book.fleet,
+        rules: compiled.rules,
+        buckets: compiled.buckets,
+        fleet: compiled.fleet,
     })
 }
 
 impl TestNode {
-    fn ruled(rules: &str) -> TestNode {
-        let mut node = TestNode::with(&settings());
-        node.event(Event::RulesChanged(sheet(rules)));
+    fn with_rules(rules: &str) -> TestNode {
+        let mut node = TestNode::with_settings(&settings());
+        node.event(Event::RulesChanged(rules_without_cluster(rules)));
         node
     }
 
-    fn ask_with(&mut self, id: u16, path: &str, rid: &str, more: &[(&str, &str)], body: &[u8]) {
+    fn call_with(&mut self, id: u16, path: &str, rid: &str, more: &[(&str, &str)], body: &[u8]) {
         let arrived = (self.now / MS).to_string();
-        let params = [support::call(path, rid, &arrived), more.to_vec()].concat();
+        let params = [wire::call(path, rid, &arrived), more.to_vec()].concat();
         self.send(id, &params, body);
     }
 
@@ -66,8 +66,14 @@
         answers.remove(0)
     }
 
-    fn tally(&self, class: &str) -> crate::request_rules::ClassTally {
-        self.core.desk.borrow().rules.as_ref().unwrap().class(class)
+    fn class_counts(&self, class: &str) -> crate::request_rules::ClassCounts {
+        self.node
+            .state
+            .borrow()
+            .rules
+            .as_ref()
+            .unwrap()
+            .class_counts(class)
     }
 }
 
@@ -76,35 +82,35 @@
 
 #[test]
 fn a_rule_gives_the_operation_and_the_class() {
-    let mut node = TestNode::ruled(
+    let mut node = TestNode::with_rules(
         r#"<rule name="old"><when>script.startsWith("/old/")</when><give operation="read" class="old"/></rule>"#,
     );
-    node.ask(1, "/old/7", A);
-    assert_eq!(node.kernel_lines(), [sched(A, "read")]);
-    node.reap(A, End::Ok, b"r");
+    node.call(1, "/old/7", A);
+    assert_eq!(node.executor_commands(), [start_command(A, "read")]);
+    node.end_execution(A, End::Ok, b"r");
     assert_eq!(node.one_answer().status, "200");
-    node.ask(2, "/other/7", B);
+    node.call(2, "/other/7", B);
     assert_eq!(
         node.one_answer().status,
         "404",
         "what no rule matches is as without rules"
     );
-    node.ask(3, "/call/pay", C);
-    assert_eq!(node.kernel_lines(), [sched(C, "pay")]);
-    let tally = node.tally("old");
+    node.call(3, "/call/pay", C);
+    assert_eq!(node.executor_commands(), [start_command(C, "pay")]);
+    let tally = node.class_counts("old");
     assert_eq!((tally.arrived, tally.answered), (1, [1, 0, 0]));
 }
 
 #[test]
-fn what_must_run_once_is_known_again_by_the_key_that_a_rule_gave() {
-    let mut node = TestNode::ruled(KEYED);
+fn a_rules_key_makes_repeats_known() {
+    let mut node = TestNode::with_rules(KEYED);
     let key = [("HTTP_X_KEY", "k1")];
-    node.ask_with(1, "/old/book/1", A, &key, b"body");
-    assert_eq!(node.kernel_lines(), [sched(A, "book")]);
+    node.call_with(1, "/old/book/1", A, &key, b"body");
+    assert_eq!(node.executor_commands(), [start_command(A, "book")]);
     // A repeat while it runs waits for its result.
-    node.ask_with(2, "/old/book/1", B, &key, b"body");
-    assert_eq!(node.kernel_lines(), [""; 0]);
-    node.reap(A, End::Ok, b"done");
+    node.call_with(2, "/old/book/1", B, &key, b"body");
+    assert_eq!(node.executor_commands(), [""; 0]);
+    node.end_execution(A, End::Ok, b"done");
     let answers = node.answers();
     assert!(
         answers.len() == 2
@@ -115,107 +121,113 @@
     );
     // One that comes later is answered from what is kept, until the window of 5 s is over.
     node.wait(4000);
-    node.ask_with(3, "/old/book/1", C, &key, b"body");
+    node.call_with(3, "/old/book/1", C, &key, b"body");
     assert_eq!(
-        (node.one_answer().body, node.kernel_lines().len()),
+        (node.one_answer().body, node.executor_commands().len()),
         (b"done".to_vec(), 0)
     );
     // Another body under the same key is a mistake, which is told and never run.
-    node.ask_with(4, "/old/book/1", D, &key, b"other");
+    node.call_with(4, "/old/book/1", D, &key, b"other");
     let answer = node.one_answer();
     assert_eq!(
         (&answer.status[..], &answer.body[..]),
         ("409", &b"key in use with another body"[..])
     );
-    assert_eq!(node.kernel_lines().len(), 0);
+    assert_eq!(node.executor_commands().len(), 0);
     // Another key is another invocation.
-    node.ask_with(
+    node.call_with(
         5,
         "/old/book/1",
         "00000000000000e1",
         &[("HTTP_X_KEY", "k2")],
         b"body",
     );
-    assert_eq!(node.kernel_lines().len(), 1);
-    node.reap("00000000000000e1", End::Ok, b"two");
+    assert_eq!(node.executor_commands().len(), 1);
+    node.end_execution("00000000000000e1", End::Ok, b"two");
     node.answers();
     node.wait(1100);
-    node.ask_with(6, "/old/book/1", "00000000000000e2", &key, b"body");
-    assert_eq!(node.kernel_lines().len(), 1, "the window is over");
+    node.call_with(6, "/old/book/1", "00000000000000e2", &key, b"body");
+    assert_eq!(node.executor_commands().len(), 1, "the window is over");
 }
 
 #[test]
-fn what_may_have_run_is_not_run_again_though_it_left_no_result() {
+fn a_keyed_request_that_may_have_run_is_not_run_again_without_a_result() {
     for end in [End::Error, End::Stopped] {
-        let mut node = TestNode::ruled(KEYED);
+        let mut node = TestNode::with_rules(KEYED);
         let key = [("HTTP_X_KEY", "k1")];
-        node.ask_with(1, "/old/book/1", A, &key, b"body");
-        node.reap(A, end, b"");
+        node.call_with(1, "/old/book/1", A, &key, b"body");
+        node.end_execution(A, end, b"");
         node.wait(100);
         assert_eq!(node.one_answer().status, "500");
-        node.kernel_lines();
-        node.ask_with(2, "/old/book/1", B, &key, b"body");
+        node.executor_commands();
+        node.call_with(2, "/old/book/1", B, &key, b"body");
         assert_eq!(
-            (node.one_answer().status, node.kernel_lines().len()),
+            (node.one_answer().status, node.executor_commands().len()),
             ("500".into(), 0),
             "{end:?}"
         );
     }
     // Its caller left while it ran, and it ended after its client timeout.
-    let mut node = TestNode::ruled(KEYED);
+    let mut node = TestNode::with_rules(KEYED);
     let key = [("HTTP_X_KEY", "k1")];
-    node.ask_with(1, "/old/book/1", A, &key, b"body");
-    node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(1)));
+    node.call_with(1, "/old/book/1", A, &key, b"body");
+    node.event(Event::LoadBalancer(
+        node.connection_id,
+        fastcgi::Event::Abort(1),
+    ));
     node.wait(3500);
-    node.reap(A, End::Error, b"");
+    node.end_execution(A, End::Error, b"");
     node.answers();
-    node.kernel_lines();
-    node.ask_with(2, "/old/book/1", B, &key, b"body");
+    node.executor_commands();
+    node.call_with(2, "/old/book/1", B, &key, b"body");
     assert_eq!(
-        (node.one_answer().status, node.kernel_lines().len()),
+        (node.one_answer().status, node.executor_commands().len()),
         ("500".into(), 0)
     );
 }
 
 #[test]
-fn what_never_ran_may_come_again_under_its_key() {
-    let mut node = TestNode::ruled(KEYED);
+fn a_keyed_request_that_never_ran_may_come_again() {
+    let mut node = TestNode::with_rules(KEYED);
     let key = [("HTTP_X_KEY", "k1")];
     // It comes too late to be run.
-    let params = [support::call("/old/book/1", A, "500"), key.to_vec()].concat();
+    let params = [wire::call("/old/book/1", A, "500"), key.to_vec()].concat();
     node.wait(3000);
     node.send(1, &params, b"body");
     assert_eq!(node.one_answer().status, "429");
-    node.ask_with(2, "/old/book/1", B, &key, b"body");
-    assert_eq!(node.kernel_lines().len(), 1);
+    node.call_with(2, "/old/book/1", B, &key, b"body");
+    assert_eq!(node.executor_commands().len(), 1);
     // Nor does one whose run was never asked for, as there was no link.
-    let mut node = TestNode::ruled(KEYED);
+    let mut node = TestNode::with_rules(KEYED);
     node.break_link();
-    node.ask_with(1, "/old/book/1", A, &key, b"body");
-    node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(1)));
+    node.call_with(1, "/old/book/1", A, &key, b"body");
+    node.event(Event::LoadBalancer(
+        node.connection_id,
+        fastcgi::Event::Abort(1),
+    ));
     node.wait(3500);
     node.answers();
-    node.relink(0);
-    node.info();
-    node.kernel_lines();
-    node.ask_with(2, "/old/book/1", B, &key, b"body");
+    node.reconnect(0);
+    node.answer_gauges();
+    node.executor_commands();
+    node.call_with(2, "/old/book/1", B, &key, b"body");
     assert_eq!(
-        node.kernel_lines().len(),
+        node.executor_commands().len(),
         1,
         "nothing had run under this key"
     );
 }
 
 #[test]
-fn keys_that_find_no_room_are_throttled_and_not_run_unprotected() {
-    let mut node = TestNode::ruled(KEYED);
+fn keys_beyond_the_caches_room_are_rejected_and_not_run_unprotected() {
+    let mut node = TestNode::with_rules(KEYED);
     let mut ran = 0;
     for i in 0..8300u32 {
         let (rid, key) = (format!("{i:016x}"), format!("k{i}"));
-        node.ask_with(1, "/old/book/1", &rid, &[("HTTP_X_KEY", &key)], b"body");
-        if !node.kernel_lines().is_empty() {
+        node.call_with(1, "/old/book/1", &rid, &[("HTTP_X_KEY", &key)], b"body");
+        if !node.executor_commands().is_empty() {
             ran += 1;
-            node.reap(&rid, End::Ok, b"r");
+            node.end_execution(&rid, End::Ok, b"r");
         }
     }
     let answers = node.answers();
@@ -225,189 +237,192 @@
 }
 
 #[test]
-fn verdicts_are_answered_at_once_with_a_pause_no_longer_than_the_settings_have() {
-    let mut node = TestNode::ruled(
+fn verdicts_are_answered_at_once_with_a_bounded_retry_after() {
+    let mut node = TestNode::with_rules(
         r#"<rule name="later"><when>params.HTTP_X_SITE == "7"</when><throttle pause="10m" reason="closed for now"/></rule>
         <rule name="never"><when>caller.address in net("10.0.0.0/8")</when><error status="403" reason="not from there"/></rule>"#,
     );
-    node.ask_with(1, "/call/read", A, &[("HTTP_X_SITE", "7")], b"");
+    node.call_with(1, "/call/read", A, &[("HTTP_X_SITE", "7")], b"");
     let answer = node.one_answer();
     assert_eq!(
         (&answer.status[..], &answer.body[..]),
         ("429", &b"closed for now"[..])
     );
     assert_eq!(answer.fields["X-Pushback-Ms"], "500");
-    node.conn = ConnectionId(50);
+    node.connection_id = ConnectionId(50);
     node.event(Event::Connected(
         ConnectionId(50),
         Some("10.1.2.3".parse().unwrap()),
     ));
-    node.ask(1, "/call/read", B);
+    node.call(1, "/call/read", B);
     assert_eq!(node.one_answer().status, "403");
-    assert_eq!(node.kernel_lines(), [""; 0]);
+    assert_eq!(node.executor_commands(), [""; 0]);
     // A check is no invocation: rules are not asked.
     node.send(2, &[("SCRIPT_NAME", "/ping")], b"");
     assert_eq!(node.one_answer().status, "200");
     assert_eq!(
         (
-            node.counted("throttled by a rule"),
-            node.counted("errored by a rule")
+            node.counted("rejected by a rule"),
+            node.counted("failed by a rule")
         ),
         (1, 1)
     );
 }
 
 #[test]
-fn a_bucket_has_room_again_when_what_it_holds_is_over() {
-    let mut node = TestNode::ruled(
+fn a_bucket_admits_again_when_a_permit_is_released() {
+    let mut node = TestNode::with_rules(
         r#"<bucket name="site" in-hand="1"/><rule name="r"><when>operation == "read"</when>
         <give class="reads"><limit bucket="site">params.HTTP_X_SITE</limit></give></rule>"#,
     );
     let seven = [("HTTP_X_SITE", "7")];
-    node.ask_with(1, "/call/read", A, &seven, b"body");
-    node.ask_with(2, "/call/read", B, &seven, b"body");
+    node.call_with(1, "/call/read", A, &seven, b"body");
+    node.call_with(2, "/call/read", B, &seven, b"body");
     let answer = node.one_answer();
     assert_eq!(
         (answer.id, &answer.status[..], &answer.body[..]),
         (2, "429", &b"over a limit"[..])
     );
     assert!(answer.fields.contains_key("X-Pushback-Ms"));
-    node.ask_with(3, "/call/read", C, &[("HTTP_X_SITE", "8")], b"body");
+    node.call_with(3, "/call/read", C, &[("HTTP_X_SITE", "8")], b"body");
     assert_eq!(node.statuses(), [], "another key has room");
-    node.reap(A, End::Ok, b"");
+    node.end_execution(A, End::Ok, b"");
     assert_eq!(node.statuses(), [(1, "200".into())]);
-    node.ask_with(4, "/call/read", B, &seven, b"body");
+    node.call_with(4, "/call/read", B, &seven, b"body");
     assert_eq!(node.statuses(), [], "the first one's place is free");
     // The caller leaves before it runs: that gives the place back too.
-    node.event(Event::LoadBalancer(node.conn, fastcgi::Event::Abort(4)));
+    node.event(Event::LoadBalancer(
+        node.connection_id,
+        fastcgi::Event::Abort(4),
+    ));
     node.answers();
-    node.ask_with(5, "/call/read", D, &seven, b"body");
+    node.call_with(5, "/call/read", D, &seven, b"body");
     assert_eq!(node.statuses(), []);
-    node.reap(C, End::Ok, b"");
-    node.reap(D, End::Ok, b"");
+    node.end_execution(C, End::Ok, b"");
+    node.end_execution(D, End::Ok, b"");
     assert_eq!(node.statuses(), [(3, "200".into()), (5, "200".into())]);
-    let tally = node.tally("reads");
+    let tally = node.class_counts("reads");
     assert_eq!((tally.arrived, tally.answered[1]), (5, 1));
-    assert_eq!(node.counted("throttled by a limit"), 1);
+    assert_eq!(node.counted("rejected by a limit"), 1);
 }
 
 #[test]
-fn what_is_in_hand_keeps_what_it_was_given_when_rules_change() {
+fn requests_in_flight_keep_what_they_were_given_when_rules_change() {
     let limited = |when: &str| {
-        sheet(&format!(
+        rules_without_cluster(&format!(
             r#"<bucket name="all" in-hand="1"/><rule name="r"><when>{when}</when>
             <give operation="read" class="c"><limit bucket="all">"all"</limit></give></rule>"#
         ))
     };
-    let mut node = TestNode::with(&settings());
+    let mut node = TestNode::with_settings(&settings());
     node.event(Event::RulesChanged(limited("script == \"/a\"")));
-    node.ask(1, "/a", A);
+    node.call(1, "/a", A);
     node.event(Event::RulesChanged(limited("script == \"/b\"")));
     // The bucket's definition stayed, and with it what it holds.
-    node.ask(2, "/b", B);
+    node.call(2, "/b", B);
     assert_eq!(node.one_answer().status, "429");
-    node.ask(3, "/a", C);
+    node.call(3, "/a", C);
     assert_eq!(node.one_answer().status, "404", "the rule before is gone");
-    node.reap(A, End::Ok, b"r");
+    node.end_execution(A, End::Ok, b"r");
     assert_eq!(node.one_answer().status, "200");
-    node.ask(4, "/b", D);
-    assert_eq!(node.kernel_lines().len(), 2);
+    node.call(4, "/b", D);
+    assert_eq!(node.executor_commands().len(), 2);
     // Without any rules, what is still held is given back to nobody, and nothing is limited.
-    node.event(Event::RulesChanged(sheet("")));
-    node.reap(D, End::Ok, b"r");
-    node.ask(5, "/call/read", B);
-    assert_eq!(node.kernel_lines().len(), 1);
+    node.event(Event::RulesChanged(rules_without_cluster("")));
+    node.end_execution(D, End::Ok, b"r");
+    node.call(5, "/call/read", B);
+    assert_eq!(node.executor_commands().len(), 1);
 }
 
 #[test]
-fn a_rule_that_errs_does_not_match_and_is_counted() {
-    let mut node = TestNode::ruled(
+fn a_failing_rule_does_not_match_and_is_counted() {
+    let mut node = TestNode::with_rules(
         r#"<rule name="bad"><when>10 / int(params.N) == 1</when><error status="403" reason="ten"/></rule>
         <rule name="good"><when>true</when><give class="rest"/></rule>"#,
     );
     for (id, n, status) in [(1, "0", "200"), (2, "x", "200"), (3, "10", "403")] {
         let rid = format!("{id:016x}");
-        node.ask_with(id, "/call/read", &rid, &[("N", n)], b"");
-        node.reap(&rid, End::Ok, b"");
+        node.call_with(id, "/call/read", &rid, &[("N", n)], b"");
+        node.end_execution(&rid, End::Ok, b"");
         assert_eq!(node.one_answer().status, status, "N = {n}");
     }
-    node.ask(4, "/call/read", A); // N is absent
+    node.call(4, "/call/read", A); // N is absent
     let line = node
-        .core
-        .desk
+        .node
+        .state
         .borrow_mut()
         .rules
         .as_mut()
         .unwrap()
-        .tallies()
+        .changed_counts()
         .unwrap();
     assert!(
         line.contains("matched 4") && line.contains("erred 3"),
         "{line}"
     );
     assert_eq!(
-        node.core
-            .desk
+        node.node
+            .state
             .borrow_mut()
             .rules
             .as_mut()
             .unwrap()
-            .tallies(),
+            .changed_counts(),
         None,
         "told once"
     );
 }
 
 #[test]
-fn a_drain_with_full_buckets_answers_all_and_runs_nothing_late() {
-    let mut node = TestNode::ruled(
+fn a_drain_with_exhausted_buckets_answers_all_and_starts_nothing_late() {
+    let mut node = TestNode::with_rules(
         r#"<bucket name="all" in-hand="2"/><rule name="r"><when>true</when>
         <give><limit bucket="all">"all"</limit></give></rule>"#,
     );
-    node.ask(1, "/call/read", A);
-    node.ask(2, "/call/read", B);
-    node.ask(3, "/call/read", C);
+    node.call(1, "/call/read", A);
+    node.call(2, "/call/read", B);
+    node.call(3, "/call/read", C);
     node.event(Event::Drain);
-    node.ask(4, "/call/read", D);
+    node.call(4, "/call/read", D);
     assert_eq!(node.statuses(), [(3, "429".into()), (4, "429".into())]);
-    node.reap(A, End::Ok, b"");
+    node.end_execution(A, End::Ok, b"");
     node.wait(2900);
     let statuses = node.statuses();
     assert_eq!(statuses.len(), 2, "{statuses:?}");
     assert_eq!(
-        node.kernel_lines()
+        node.executor_commands()
             .iter()
             .filter(|l| l.contains("SCHED"))
             .count(),
         2
     );
-    let conn = node.conn;
+    let conn = node.connection_id;
     node.event(Event::Disconnected(conn));
     assert!(
-        !node.core.has_left(),
+        !node.node.has_drained(),
         "a connection may wait in the listen backlog"
     );
     node.event(Event::ListenerClosed);
-    assert!(node.core.has_left());
+    assert!(node.node.has_drained());
 }
 
 #[test]
-fn a_new_key_for_each_invocation_takes_no_more_memory_than_there_is() {
-    let mut node = TestNode::ruled(
+fn a_new_key_for_each_request_stays_within_the_memory_bound() {
+    let mut node = TestNode::with_rules(
         r#"<bucket name="each" rate="1/h" burst="1"/><rule name="r"><when>operation == "read"</when>
         <give class="c"><limit bucket="each">params.HTTP_X_CORRELATION_ID</limit></give></rule>"#,
     );
     for i in 0..20_000u32 {
         let rid = format!("{i:016x}");
-        node.ask(1, "/call/read", &rid);
-        if !node.kernel_lines().is_empty() {
-            node.reap(&rid, End::Ok, b"");
+        node.call(1, "/call/read", &rid);
+        if !node.executor_commands().is_empty() {
+            node.end_execution(&rid, End::Ok, b"");
         }
     }
     assert_eq!(node.answers().len(), 20_000);
     let (keys, bytes) = {
-        let desk = node.core.desk.borrow();
-        let limits = desk.rules.as_ref().unwrap().limits();
+        let state = node.node.state.borrow();
+        let limits = state.rules.as_ref().unwrap().limiter();
         (limits.keys(), limits.bytes())
     };
     assert!(
--- /dev/null
+++ b/crates/node/src/node/tests/support.rs
@@ -0,0 +1,319 @@
+//! A node with a recorder in place of its I/O, and the requests, notices and replies that tests send
+//! it.
+
+pub use super::super::*;
+pub use crate::actions::{BackendLink, CallId, Close, ConnectionId};
+pub use crate::backend::{self, Outcome};
+pub use crate::cluster::ClusterUpdate;
+pub use crate::config::{Limits, Moved, Peers};
+pub use crate::executor::{End, Notice};
+pub use crate::fastcgi::{self, ProtocolStatus, Reply};
+pub use madderpoint::{Host, RequestId};
+pub use madderpoint_test_harness::wire::{self, Answer};
+pub use std::collections::BTreeMap;
+
+use crate::actions::CallInterestToken;
+use std::fmt;
+
+pub const MS: Nanos = 1_000_000;
+pub const A: &str = "00000000000000aa";
+pub const B: &str = "00000000000000bb";
+
+#[derive(Default)]
+pub struct Recorder {
+    pub written: Vec<u8>,
+    pub closed: Vec<ConnectionId>,
+    /// The latest order to close each of them, and those that are not read any more.
+    pub close_orders: BTreeMap<ConnectionId, Close>,
+    pub not_read: Vec<ConnectionId>,
+    pub executor_commands: Vec<String>,
+    /// The mark of the last question for gauges.
+    pub gauges_requested: Option<u64>,
+    pub calls: Vec<(usize, CallId, RequestId, String)>,
+    pub tokens: Vec<CallInterestToken>,
+    pub cancelled: Vec<(usize, String)>,
+    pub links_are_full: bool,
+    pub has_stopped_listening: bool,
+    pub closed_links: Vec<usize>,
+    pub executor_reconnects: usize,
+    pub paced: Vec<(ConnectionId, Nanos)>,
+    pub cluster_updates: Vec<ClusterUpdate>,
+}
+
+impl Actions for Recorder {
+    fn send_reply(&mut self, _: ConnectionId, reply: Reply) {
+        reply
+            .slices()
+            .iter()
+            .for_each(|s| self.written.extend_from_slice(s));
+    }
+    fn close_connection(&mut self, conn: ConnectionId, close: Close) {
+        self.closed.push(conn);
+        self.close_orders.insert(conn, close);
+    }
+    fn stop_reading(&mut self, conn: ConnectionId) {
+        self.not_read.push(conn);
+    }
+    fn pace_reading(&mut self, conn: ConnectionId, pause: Nanos) {
+        self.paced.push((conn, pause));
+    }
+    fn send_executor_command(&mut self, line: String) {
+        match line.strip_prefix(r#"{"t":"SYSINFO","mark":""#) {
+            Some(rest) => {
+                self.gauges_requested = rest.split('"').next().map(|mark| mark.parse().unwrap())
+            }
+            None => self.executor_commands.push(line.trim_end().to_owned()),
+        }
+    }
+    fn send_backend_call(
+        &mut self,
+        place: usize,
+        call: CallId,
+        id: RequestId,
+        bytes: Vec<u8>,
+        token: CallInterestToken,
+    ) -> bool {
+        self.tokens.push(token);
+        self.calls
+            .push((place, call, id, String::from_utf8(bytes).unwrap()));
+        !self.links_are_full
+    }
+    fn cancel_backend_call(&mut self, place: usize, bytes: Vec<u8>) {
+        self.cancelled
+            .push((place, String::from_utf8(bytes).unwrap()));
+    }
+    fn close_backend_link(&mut self, place: usize) {
+        self.closed_links.push(place);
+    }
+    fn change_peers(&mut self, _: Peers) -> bool {
+        true
+    }
+    fn reconnect_executor(&mut self) {
+        self.executor_reconnects += 1;
+    }
+    fn announce_drain(&mut self) {}
+    fn stop_listening(&mut self) {
+        self.has_stopped_listening = true;
+    }
+    fn update_cluster(&mut self, word: ClusterUpdate) {
+        self.cluster_updates.push(word);
+    }
+    fn trace_step(&mut self, _: &str, _: fmt::Arguments<'_>) {}
+    fn log(&mut self, _: fmt::Arguments<'_>) {}
+}
+
+/// A node whose clock the test turns. The node's time is also the Unix time.
+pub struct TestNode {
+    pub node: Node<Recorder>,
+    /// The connection in use; another one is made when it was closed.
+    pub connection_id: ConnectionId,
+    pub now: Nanos,
+    /// The kernel answers a question by itself after a second, unless it is silent; the question,
+    /// and since when it waits.
+    pub silent: bool,
+    pub question: (Option<u64>, Nanos),
+}
+
+impl TestNode {
+    /// A node whose kernel is not up.
+    pub fn without_executor(settings: &str) -> TestNode {
+        let start = madderpoint_deployment_config::decode(settings.as_bytes()).unwrap();
+        let beside = crate::capacity::OptionalSubsystems {
+            settings: true,
+            ..Default::default()
+        };
+        let room = CapacityLimits::of(
+            &Limits {
+                cores: 1.0,
+                memory_mb: 32.0,
+                sockets: 64,
+            },
+            4,
+            beside,
+        );
+        let node = Node::new(Recorder::default(), start, 7, 3000 * MS, true, &room);
+        let (silent, question) = (false, (None, 0));
+        let mut node = TestNode {
+            node,
+            connection_id: ConnectionId(1),
+            now: 1000 * MS,
+            silent,
+            question,
+        };
+        node.event(Event::Connected(ConnectionId(1), None));
+        node.event(Event::ExecutorConnected(0));
+        node
+    }
+
+    pub fn with_settings(settings: &str) -> TestNode {
+        let mut node = TestNode::without_executor(settings);
+        node.boot_executor();
+        node.executor_commands();
+        node
+    }
+
+    pub fn new() -> TestNode {
+        TestNode::with_settings(wire::SETTINGS)
+    }
+
+    pub fn boot_executor(&mut self) {
+        self.event(Event::Executor(Notice::Booted {
+            cold: false,
+            up_ms: 0.0,
+        }));
+        self.answer_gauges();
+    }
+
+    /// The kernel answers the last question for gauges.
+    pub fn answer_gauges(&mut self) {
+        let mark = self
+            .node
+            .with_actions(|actions| actions.gauges_requested)
+            .unwrap();
+        self.event(Event::Executor(Notice::Info {
+            mark,
+            values: vec![0.5, 0.1],
+        }));
+    }
+
+    pub fn event(&mut self, event: Event) {
+        let moment = Moment {
+            now: self.now,
+            unix_ms: self.now / MS,
+        };
+        self.node.handle(moment, event);
+    }
+
+    pub fn wait(&mut self, ms: u64) {
+        let until = self.now + ms * MS;
+        while let Some(due) = self.node.next_timer().filter(|&due| due <= until) {
+            self.now = due;
+            self.node.fire_timers(due);
+            self.answer_gauges_when_due();
+        }
+        self.now = until;
+        self.node.fire_timers(until);
+    }
+
+    pub fn answer_gauges_when_due(&mut self) {
+        let asked = self.node.with_actions(|actions| actions.gauges_requested);
+        if self.silent || asked == self.question.0 {
+            return;
+        }
+        if self.question.1 == 0 {
+            self.question.1 = self.now;
+        } else if self.now >= self.question.1 + 1000 * MS {
+            self.question = (asked, 0);
+            self.answer_gauges();
+        }
+    }
+
+    pub fn send(&mut self, id: u16, params: &[(&str, &str)], body: &[u8]) {
+        let conn = self.connection_id;
+        if self
+            .node
+            .with_actions(|actions| actions.closed.contains(&conn))
+        {
+            self.connection_id.0 += 100;
+            self.event(Event::Connected(self.connection_id, None));
+        }
+        let (params, body) = (wire::pairs(params), body.to_vec());
+        let request = fastcgi::Request {
+            id,
+            keep_conn: true,
+            params,
+            body,
+            oversize: false,
+        };
+        self.event(Event::LoadBalancer(
+            self.connection_id,
+            fastcgi::Event::Request(request),
+        ));
+    }
+
+    pub fn call(&mut self, id: u16, path: &str, rid: &str) {
+        let arrived = (self.now / MS).to_string();
+        self.send(id, &wire::call(path, rid, &arrived), b"body");
+    }
+
+    pub fn end_execution(&mut self, rid: &str, end: End, body: &[u8]) {
+        self.event(Event::Executor(Notice::Reap {
+            rid: rid.into(),
+            end,
+            time_ms: 5.0,
+            body: body.to_vec(),
+        }));
+    }
+
+    pub fn need_backend_call(&mut self, rid: &str, no: u64) {
+        self.event(Event::Executor(Notice::IoReq {
+            no,
+            rid: rid.into(),
+            body: b"call".to_vec(),
+        }));
+    }
+
+    pub fn reply_to_call(&mut self, place: usize, rid: &str, outcome: Outcome) {
+        self.event(Event::BackendReply(
+            place,
+            backend::Reply {
+                id: rid.into(),
+                outcome,
+                body: b"reply".to_vec(),
+            },
+        ));
+    }
+
+    pub fn last_call(&mut self) -> (usize, CallId, RequestId, String) {
+        self.node
+            .with_actions(|actions| actions.calls.last().cloned())
+            .unwrap()
+    }
+
+    pub fn calls(&mut self) -> usize {
+        self.node.with_actions(|actions| actions.calls.len())
+    }
+
+    pub fn answers(&mut self) -> Vec<Answer> {
+        self.node
+            .with_actions(|actions| wire::answers(&mut actions.written, &mut BTreeMap::new()))
+    }
+
+    pub fn statuses(&mut self) -> Vec<(u16, String)> {
+        self.answers()
+            .into_iter()
+            .map(|a| (a.id, a.status))
+            .collect()
+    }
+
+    /// What the kernel was told, but for questions for gauges.
+    pub fn executor_commands(&mut self) -> Vec<String> {
+        self.node
+            .with_actions(|actions| std::mem::take(&mut actions.executor_commands))
+    }
+
+    pub fn break_link(&mut self) {
+        self.event(Event::ExecutorDisconnected);
+    }
+
+    /// A new link, up to where the kernel sends what was missed.
+    pub fn reconnect(&mut self, last: u64) {
+        self.event(Event::ExecutorConnected(last));
+        assert_eq!(
+            self.executor_commands(),
+            [format!(r#"{{"t":"OPEN","no":{last}}}"#)]
+        );
+        self.event(Event::Executor(Notice::Booted {
+            cold: false,
+            up_ms: 100.0,
+        }));
+    }
+
+    pub fn counted(&self, what: &str) -> u64 {
+        self.node.state.borrow().metrics().total(what)
+    }
+}
+
+pub fn start_command(rid: &str, route: &str) -> String {
+    format!(r#"{{"t":"SCHED","rid":"{rid}","route":"{route}","b64":"Ym9keQ=="}}"#)
+}
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,22 +1,26 @@
 //! What a FastCGI request asks for: its parameters read in place.
 
 use crate::fastcgi;
-use madderpoint::{Idempotency, LoadBalancerId, Nanos, OperationId, TenantId};
+use crate::request_error::RequestError;
+use madderpoint::{Idempotency, LoadBalancerId, Nanos, Operation, OperationId, TenantId};
 use madderpoint_deployment_config::DeploymentConfig;
 use madderpoint_rules::Facts;
 
-/// The memory that may be booked for one invocation, in KB.
-const NEED_KB_MAX: f64 = 2000.0;
+/// Nanoseconds in a millisecond.
+const MILLISECOND: Nanos = 1_000_000;
+/// Below this lies the memory that may be booked for one request, in KB.
+const MEMORY_KB_MAX: f64 = 2000.0;
 /// The longest work that an estimate may name, in milliseconds.
 const ESTIMATE_MS_MAX: f64 = 600_000.0;
 /// How far an arrival may lie in the future, and before its client timeout, in milliseconds: clocks
 /// differ, and machines stand still, but not by more. What lies further off is no time of arrival,
-/// and must not be taken for a queue of that length.
-const AHEAD_MS: u64 = 5_000;
-const OVERDUE_MS: u64 = 60_000;
-/// The longest that a caller may say it waits, in milliseconds, and the longest idempotency key.
-const PATIENCE_MS_MAX: f64 = 86_400_000.0;
-const TOKEN_MAX: usize = 255;
+/// and must not count as time in a queue.
+const ARRIVAL_AHEAD_MS: u64 = 5_000;
+const ARRIVAL_OVERDUE_MS: u64 = 60_000;
+/// The longest that a client may say it waits, in milliseconds.
+const CLIENT_TIMEOUT_MS_MAX: f64 = 86_400_000.0;
+/// The longest idempotency key, in bytes.
+const IDEMPOTENCY_KEY_MAX: usize = 255;
 
 /// What is asked for.
 #[derive(Clone, Debug, PartialEq)]
@@ -24,261 +28,317 @@
     /// A health check; a deep one asks whether work gets done.
     HealthCheck {
         /// Whether it is deep.
-        deep: bool,
+        is_deep: bool,
     },
-    /// An invocation.
+    /// A call of an operation.
     Call(RequestHead),
 }
 
-/// An invocation's fields.
+/// A request's fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestHead {
-    /// Correlation id: 16 hex digits, as they came.
-    pub rid: String,
-    /// When it came to the machine, in Unix milliseconds.
+    /// Correlation id: 16 hexadecimal digits, as they came.
+    pub correlation_id: String,
+    /// When it reached the machine, in Unix milliseconds.
     pub arrived_ms: u64,
     /// The operation.
-    pub op: OperationId,
-    /// The tenant, if the settings name it.
+    pub operation: OperationId,
+    /// The tenant, if the deployment has tenants.
     pub tenant: Option<TenantId>,
-    /// The dispatcher.
-    pub dispatcher: LoadBalancerId,
+    /// The load balancer that sent it.
+    pub load_balancer: LoadBalancerId,
     /// The work to expect, in seconds.
-    pub work_hint: Option<f64>,
-    /// The memory that is booked while it is held.
+    pub expected_work_s: Option<f64>,
+    /// The memory that is booked while it is queued, in KB.
     pub queued_kb: f64,
     /// What a read is about.
     pub subject: Option<u64>,
-    /// The idempotency key of a tokened operation: a repeat bears the same one.
-    pub token: Option<String>,
-    /// How long its caller waits from the arrival on, where the settings have that told; never over
-    /// the client timeout.
-    pub patience: Option<Nanos>,
+    /// The idempotency key of a keyed operation.
+    pub idempotency_key: Option<String>,
+    /// How long its client waits from the arrival on, where the deployment has that sent along;
+    /// never over the operation's client timeout.
+    pub client_timeout: Option<Nanos>,
 }
 
 impl RequestHead {
-    /// How long ago it reached the machine, never less than nothing.
+    /// How long ago it reached the machine; 0 if that lies in the future.
     pub fn age(&self, unix_ms: u64) -> Nanos {
         unix_ms
             .saturating_sub(self.arrived_ms)
-            .saturating_mul(1_000_000)
+            .saturating_mul(MILLISECOND)
     }
 }
 
-/// Why a request is answered without the decisions: a status and its cause.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RequestError(pub u16, pub &'static str);
-
 /// A request's fields as they came, read in place.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fields<'a> {
     path: Option<&'a str>,
     method: Option<&'a str>,
     query: Option<&'a str>,
-    rid: Option<&'a str>,
-    arrived: Option<&'a str>,
-    peer: Option<&'a str>,
-    org: Option<&'a str>,
-    estimate: Option<&'a str>,
-    need: Option<&'a str>,
-    rank: Option<&'a str>,
+    correlation_id: Option<&'a str>,
+    arrived_ms: Option<&'a str>,
+    load_balancer: Option<&'a str>,
+    tenant: Option<&'a str>,
+    estimate_ms: Option<&'a str>,
+    memory_kb: Option<&'a str>,
+    criticality: Option<&'a str>,
     subject: Option<&'a str>,
-    token: Option<&'a str>,
-    patience: Option<&'a str>,
-    oversize: bool,
-}
-
-fn malformed(what: &'static str) -> RequestError {
-    RequestError(400, what)
+    idempotency_key: Option<&'a str>,
+    client_timeout_ms: Option<&'a str>,
+    is_oversize: bool,
 }
 
 /// Reads what a request asks for.
 pub fn read(
-    start: &DeploymentConfig,
+    config: &DeploymentConfig,
     unix_ms: u64,
     request: &fastcgi::Request,
 ) -> Result<RequestKind, RequestError> {
-    Fields::of(request)?.wanted(start, unix_ms, None)
+    Fields::of(request)?.kind(config, unix_ms, None)
 }
 
 impl<'a> Fields<'a> {
     /// The fields of a request; of those with one name the last counts.
     pub fn of(request: &'a fastcgi::Request) -> Result<Fields<'a>, RequestError> {
         let mut fields = Fields {
-            oversize: request.oversize,
+            is_oversize: request.oversize,
             ..Fields::default()
         };
         for pair in fastcgi::pairs(&request.params) {
-            let (name, value) = pair.map_err(|e| malformed(e.0))?;
-            let place = match name {
+            let (name, value) = pair.map_err(|e| RequestError::MalformedParameters(e.0))?;
+            let field = match name {
                 b"SCRIPT_NAME" => &mut fields.path,
                 b"REQUEST_METHOD" => &mut fields.method,
                 b"QUERY_STRING" => &mut fields.query,
-                b"HTTP_X_CORRELATION_ID" => &mut fields.rid,
-                b"HTTP_X_ARRIVED_MS" => &mut fields.arrived,
-                b"HTTP_X_UPSTREAM_PEER" => &mut fields.peer,
-                b"HTTP_X_ORG" => &mut fields.org,
-                b"HTTP_X_ESTIMATE_MS" => &mut fields.estimate,
-                b"HTTP_X_NEED_KB" => &mut fields.need,
-                b"HTTP_X_CRITICALITY" => &mut fields.rank,
+                b"HTTP_X_CORRELATION_ID" => &mut fields.correlation_id,
+                b"HTTP_X_ARRIVED_MS" => &mut fields.arrived_ms,
+                b"HTTP_X_UPSTREAM_PEER" => &mut fields.load_balancer,
+                b"HTTP_X_ORG" => &mut fields.tenant,
+                b"HTTP_X_ESTIMATE_MS" => &mut fields.estimate_ms,
+                b"HTTP_X_NEED_KB" => &mut fields.memory_kb,
+                b"HTTP_X_CRITICALITY" => &mut fields.criticality,
                 b"HTTP_X_SUBJECT" => &mut fields.subject,
-                b"HTTP_X_OPERATION_KEY" => &mut fields.token,
-                b"HTTP_X_DEADLINE_MS" => &mut fields.patience,
+                b"HTTP_X_OPERATION_KEY" => &mut fields.idempotency_key,
+                b"HTTP_X_DEADLINE_MS" => &mut fields.client_timeout_ms,
                 _ => continue,
             };
-            *place = Some(str::from_utf8(value).map_err(|_| malformed("a parameter is no text"))?);
+            *field = Some(str::from_utf8(value).map_err(|_| RequestError::ParameterNotText)?);
         }
         Ok(fields)
     }
 
-    /// Whether rules are asked about it: it has come whole, has a path and is no health check.
-    pub fn is_ruled(&self) -> bool {
-        !self.oversize && self.path.is_some_and(|path| path != "/ping")
+    /// Whether rules are evaluated for it: it has come whole, has a path and is no health check.
+    pub fn is_subject_to_rules(&self) -> bool {
+        !self.is_oversize && self.path.is_some_and(|path| path != "/ping")
     }
 
-    /// The operation that its path names, and who sent it, as far as they are known: enough to be
-    /// counted by.
-    pub fn counted(&self, start: &DeploymentConfig) -> Option<(OperationId, LoadBalancerId)> {
-        let operation = self.path?.strip_prefix("/call/")?;
-        let op = start.operations.iter().position(|name| name == operation)?;
+    /// The operation that its path names, and the load balancer, as far as they are known: enough
+    /// to count the request.
+    pub fn operation_and_load_balancer(
+        &self,
+        config: &DeploymentConfig,
+    ) -> Option<(OperationId, LoadBalancerId)> {
+        let name = self.path?.strip_prefix("/call/")?;
+        let index = config.operations.iter().position(|known| known == name)?;
+        let load_balancer = self.load_balancer.and_then(|id| id.parse().ok());
         Some((
-            OperationId(op),
-            LoadBalancerId(self.peer.and_then(|peer| peer.parse().ok()).unwrap_or(0)),
+            OperationId(index),
+            LoadBalancerId(load_balancer.unwrap_or(0)),
         ))
     }
 
     /// It as rules see it, but for what only its connection and its parameters as a whole tell.
-    pub fn facts(&self, start: &'a DeploymentConfig) -> Facts<'a> {
+    pub fn facts(&self, config: &'a DeploymentConfig) -> Facts<'a> {
         let path = self.path.unwrap_or_default();
         let operation = path
             .strip_prefix("/call/")
-            .and_then(|o| start.operations.iter().find(|n| *n == o));
+            .and_then(|name| config.operations.iter().find(|known| *known == name));
         let tenant = self
-            .org
-            .and_then(|org| start.tenants.iter().find(|t| *t == org));
+            .tenant
+            .and_then(|name| config.tenants.iter().find(|known| *known == name));
         let number = |text: Option<&str>| {
-            text.and_then(|t| t.parse::<f64>().ok())
-                .filter(|n| n.is_finite())
+            text.and_then(|text| text.parse::<f64>().ok())
+                .filter(|number| number.is_finite())
         };
-        let estimate = number(self.estimate).filter(|ms| (0.0..=ESTIMATE_MS_MAX).contains(ms));
+        let estimate_ms =
+            number(self.estimate_ms).filter(|ms| (0.0..=ESTIMATE_MS_MAX).contains(ms));
         let arrived = self
-            .arrived
-            .and_then(|t| t.parse::<u64>().ok())
-            .and_then(|ms| ms.checked_mul(1_000_000));
+            .arrived_ms
+            .and_then(|ms| ms.parse::<u64>().ok())
+            .and_then(|ms| ms.checked_mul(MILLISECOND));
         Facts {
             operation: operation.map(String::as_str),
             tenant: tenant.map(String::as_str),
             script: path,
             method: self.method.unwrap_or_default(),
             front: "fastcgi",
-            estimate: estimate.map(|ms| (ms * 1e6) as i64),
-            need: number(self.need),
-            rank: number(self.rank),
-            peer: self.peer.and_then(|p| p.parse().ok()),
+            estimate: estimate_ms.map(|ms| (ms * 1e6) as i64),
+            need: number(self.memory_kb),
+            rank: number(self.criticality),
+            peer: self.load_balancer.and_then(|id| id.parse().ok()),
             arrived: arrived
-                .and_then(|a| i64::try_from(a).ok())
+                .and_then(|arrived| i64::try_from(arrived).ok())
                 .unwrap_or_default(),
             ..Facts::default()
         }
     }
 
     /// What is asked for; a rule may have given another operation than the path names.
-    pub fn wanted(
+    pub fn kind(
         &self,
-        start: &DeploymentConfig,
+        config: &DeploymentConfig,
         unix_ms: u64,
-        ruled: Option<OperationId>,
+        operation_by_rule: Option<OperationId>,
     ) -> Result<RequestKind, RequestError> {
-        let path = self.path.ok_or(malformed("no SCRIPT_NAME"))?;
+        let path = self.path.ok_or(RequestError::NoPath)?;
         if path == "/ping" {
-            let deep = self
+            let is_deep = self
                 .query
-                .is_some_and(|q| q.split('&').any(|part| part == "e2e=1"));
-            return Ok(RequestKind::HealthCheck { deep });
+                .is_some_and(|query| query.split('&').any(|part| part == "e2e=1"));
+            return Ok(RequestKind::HealthCheck { is_deep });
         }
-        let op = match ruled {
-            Some(op) => op,
-            None => {
-                let operation = path
-                    .strip_prefix("/call/")
-                    .ok_or(RequestError(404, "unknown path"))?;
-                let op = start.operations.iter().position(|name| name == operation);
-                OperationId(op.ok_or(RequestError(404, "unknown operation"))?)
-            }
+        let operation = match operation_by_rule {
+            Some(operation) => operation,
+            None => operation_of_path(config, path)?,
         };
         if self.method != Some("POST") {
-            return Err(RequestError(405, "method is not POST"));
+            return Err(RequestError::MethodNotPost);
         }
-        if self.oversize {
-            return Err(RequestError(413, "parameters or body too large"));
+        if self.is_oversize {
+            return Err(RequestError::TooLarge);
+        }
+        self.head(config, unix_ms, operation).map(RequestKind::Call)
+    }
+
+    /// The order of the checks decides which error a request with several is answered.
+    fn head(
+        &self,
+        config: &DeploymentConfig,
+        unix_ms: u64,
+        operation: OperationId,
+    ) -> Result<RequestHead, RequestError> {
+        let agreed = &config.deployment.operations[operation.0];
+        let expected_work_s = self.expected_work_s()?;
+        self.check_criticality()?;
+        let tenant = self.tenant_id(config)?;
+        let idempotency_key = self.idempotency_key(agreed)?;
+        let client_timeout = self.client_timeout(config, agreed)?;
+        let subject = self
+            .subject
+            .map(|text| u64::from_str_radix(text, 16))
+            .transpose()
+            .map_err(|_| RequestError::InvalidSubject)?;
+        let correlation_id = self
+            .correlation_id
+            .filter(|id| id.len() == 16 && id.bytes().all(|byte| byte.is_ascii_hexdigit()))
+            .ok_or(RequestError::InvalidCorrelationId)?;
+        let arrived_ms = self.arrival_ms(unix_ms, agreed)?;
+        // Load balancers that are started anew have new numbers, without end.
+        let load_balancer: Option<u64> = self.load_balancer.and_then(|id| id.parse().ok());
+        let load_balancer = load_balancer.ok_or(RequestError::InvalidPeer)?;
+        let memory_kb: Option<f64> = self.memory_kb.and_then(|kb| kb.parse().ok());
+        Ok(RequestHead {
+            correlation_id: correlation_id.to_owned(),
+            arrived_ms,
+            operation,
+            tenant,
+            load_balancer: LoadBalancerId(load_balancer),
+            expected_work_s,
+            queued_kb: memory_kb
+                .filter(|&kb| kb > 0.0 && kb < MEMORY_KB_MAX)
+                .ok_or(RequestError::InvalidMemory)?,
+            subject,
+            idempotency_key: idempotency_key.map(str::to_owned),
+            client_timeout,
+        })
+    }
+
+    fn expected_work_s(&self) -> Result<Option<f64>, RequestError> {
+        match self.estimate_ms.map(str::parse::<f64>) {
+            None => Ok(None),
+            Some(Ok(ms)) if (0.0..=ESTIMATE_MS_MAX).contains(&ms) => {
+                Ok((ms > 0.0).then_some(ms / 1e3))
+            }
+            Some(_) => Err(RequestError::InvalidEstimate),
         }
-        let rid = self
-            .rid
-            .filter(|r| r.len() == 16 && r.bytes().all(|b| b.is_ascii_hexdigit()));
-        let arrived: Option<u64> = self.arrived.and_then(|t| t.parse().ok());
-        // New dispatchers have new numbers, without end.
-        let peer: Option<u64> = self.peer.and_then(|p| p.parse().ok());
-        let need: Option<f64> = self.need.and_then(|n| n.parse().ok());
-        let work_hint = match self.estimate.map(str::parse::<f64>) {
-            None => None,
-            Some(Ok(ms)) if (0.0..=ESTIMATE_MS_MAX).contains(&ms) => (ms > 0.0).then_some(ms / 1e3),
-            Some(_) => return Err(malformed("X-Estimate-Ms")),
+    }
+
+    fn check_criticality(&self) -> Result<(), RequestError> {
+        let is_valid = |text: &str| {
+            text.parse()
+                .is_ok_and(|criticality: f64| (0.0..=1.0).contains(&criticality))
         };
-        if self
-            .rank
-            .is_some_and(|r| !r.parse().is_ok_and(|r: f64| (0.0..=1.0).contains(&r)))
-        {
-            return Err(malformed("X-Criticality"));
+        match self.criticality {
+            Some(text) if !is_valid(text) => Err(RequestError::InvalidCriticality),
+            _ => Ok(()),
         }
-        let tenant = start
+    }
+
+    fn tenant_id(&self, config: &DeploymentConfig) -> Result<Option<TenantId>, RequestError> {
+        let tenant = config
             .tenants
             .iter()
-            .position(|t| self.org == Some(t.as_str()))
+            .position(|name| self.tenant == Some(name.as_str()))
             .map(TenantId);
-        if tenant.is_none() && !start.tenants.is_empty() {
-            return Err(RequestError(404, "unknown tenant"));
+        if tenant.is_none() && !config.tenants.is_empty() {
+            return Err(RequestError::UnknownTenant);
         }
-        let agreed = &start.deployment.operations[op.0];
-        let timeout_ms = agreed.client_timeout / 1_000_000;
-        // What bears a key that can't be one would run without protection, so it does not run.
-        let token = self.token.filter(|_| agreed.effect == Idempotency::Keyed);
-        let is_token =
-            |t: &str| (1..=TOKEN_MAX).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_graphic());
-        if token.is_some_and(|t| !is_token(t)) {
-            return Err(malformed("X-Operation-Key"));
+        Ok(tenant)
+    }
+
+    fn idempotency_key(&self, agreed: &Operation) -> Result<Option<&'a str>, RequestError> {
+        let key = self
+            .idempotency_key
+            .filter(|_| agreed.effect == Idempotency::Keyed);
+        let is_valid = |key: &str| {
+            (1..=IDEMPOTENCY_KEY_MAX).contains(&key.len())
+                && key.bytes().all(|byte| byte.is_ascii_graphic())
+        };
+        // With a key that can't be one it would run without protection, so it does not run.
+        if key.is_some_and(|key| !is_valid(key)) {
+            return Err(RequestError::InvalidOperationKey);
         }
-        let patience = match self
-            .patience
-            .filter(|_| start.passes_deadline)
-            .map(str::parse::<f64>)
-        {
-            None => None,
-            Some(Ok(ms)) if (0.0..=PATIENCE_MS_MAX).contains(&ms) => {
-                Some(((ms * 1e6) as Nanos).min(agreed.client_timeout))
+        Ok(key)
+    }
+
+    fn client_timeout(
+        &self,
+        config: &DeploymentConfig,
+        agreed: &Operation,
+    ) -> Result<Option<Nanos>, RequestError> {
+        let sent = self
+            .client_timeout_ms
+            .filter(|_| config.passes_deadline)
+            .map(str::parse::<f64>);
+        match sent {
+            None => Ok(None),
+            Some(Ok(ms)) if (0.0..=CLIENT_TIMEOUT_MS_MAX).contains(&ms) => {
+                Ok(Some(((ms * 1e6) as Nanos).min(agreed.client_timeout)))
             }
-            Some(_) => return Err(malformed("X-Deadline-Ms")),
-        };
-        let in_time = |&t: &u64| {
-            t <= unix_ms + AHEAD_MS && t.saturating_add(timeout_ms + OVERDUE_MS) >= unix_ms
-        };
-        let subject = match self.subject.map(|s| u64::from_str_radix(s, 16)) {
-            None => None,
-            Some(Ok(subject)) => Some(subject),
-            Some(Err(_)) => return Err(malformed("X-Subject")),
-        };
-        Ok(RequestKind::Call(RequestHead {
-            rid: rid.ok_or(malformed("X-Correlation-Id"))?.to_owned(),
-            arrived_ms: arrived.filter(in_time).ok_or(malformed("X-Arrived-Ms"))?,
-            op,
-            tenant,
-            dispatcher: LoadBalancerId(peer.ok_or(malformed("X-Upstream-Peer"))?),
-            work_hint,
-            queued_kb: need
-                .filter(|&n| n > 0.0 && n < NEED_KB_MAX)
-                .ok_or(malformed("X-Need-Kb"))?,
-            subject,
-            token: token.map(str::to_owned),
-            patience,
-        }))
+            Some(_) => Err(RequestError::InvalidDeadline),
+        }
     }
+
+    fn arrival_ms(&self, unix_ms: u64, agreed: &Operation) -> Result<u64, RequestError> {
+        let timeout_ms = agreed.client_timeout / MILLISECOND;
+        let arrived_ms: Option<u64> = self.arrived_ms.and_then(|ms| ms.parse().ok());
+        arrived_ms
+            .filter(|&ms| {
+                ms <= unix_ms + ARRIVAL_AHEAD_MS
+                    && ms.saturating_add(timeout_ms + ARRIVAL_OVERDUE_MS) >= unix_ms
+            })
+            .ok_or(RequestError::InvalidArrivalTime)
+    }
+}
+
+fn operation_of_path(config: &DeploymentConfig, path: &str) -> Result<OperationId, RequestError> {
+    let name = path
+        .strip_prefix("/call/")
+        .ok_or(RequestError::UnknownPath)?;
+    config
+        .operations
+        .iter()
+        .position(|known| known == name)
+        .map(OperationId)
+        .ok_or(RequestError::UnknownOperation)
 }
--- a/crates/node/src/request_rules.rs
+++ b/crates/node/src/request_rules.rs
@@ -1,5 +1,5 @@
-//! What rules give to a request before the decisions see it, and what came of them. The rules are
-//! compiled elsewhere and swapped in one step; what is in hand keeps what it was given.
+//! The rules and limits in force, as requests meet them before the admission controller does. A rule
+//! set is compiled elsewhere and swapped in one step; requests in flight keep what they were given.
 
 use madderpoint::{Nanos, OperationId};
 use madderpoint_rate_limits::{Bucket, ExceededLimit, LimitExceeded, Permit, RateLimiter};
@@ -10,11 +10,10 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// Rules of which one line of the log tells that they erred, or of which classes and buckets are
-/// told.
-const TOLD: usize = 8;
-/// Between two lines that tell of the same rule's errors.
-const TELL_AGAIN: Nanos = 10_000_000_000;
+/// The most rules with errors that wait for a log line, and the most classes and buckets in one.
+const LOGGED_MAX: usize = 8;
+/// Time between two log lines on errors of the same rule.
+const FAULT_LOG_PERIOD: Nanos = 10_000_000_000;
 
 /// Rules and buckets as they were read and checked.
 #[derive(Debug, Default)]
@@ -23,32 +22,32 @@
     pub rules: RuleSet,
     /// Their buckets.
     pub buckets: Vec<Bucket>,
-    /// Those that are limits of the whole fleet, with their places.
+    /// Those that are limits of the whole cluster, with their indices.
     pub fleet: Vec<(usize, KeyedQuota)>,
 }
 
-/// What an invocation holds in buckets until it is over.
+/// What a request holds of buckets until it ends.
 #[derive(Debug, Default)]
 pub struct HeldPermits {
-    ticket: Permit,
-    /// Of limits of the whole fleet: budget and key.
-    keys: Vec<(u32, u64)>,
+    permit: Permit,
+    /// Of limits of the whole cluster: quota and key.
+    quotas: Vec<(u32, u64)>,
 }
 
 impl HeldPermits {
     /// Whether nothing is held.
     pub fn is_empty(&self) -> bool {
-        self.ticket.is_empty() && self.keys.is_empty()
+        self.permit.is_empty() && self.quotas.is_empty()
     }
 }
 
-/// ExceededLimit buckets refuse a request.
+/// A limit that has no unit for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitReached {
     /// A limit of this node.
     Node(LimitExceeded),
-    /// One of the whole fleet, with the key.
-    Fleet(QuotaExceeded, u64),
+    /// One of the whole cluster, with the key.
+    Cluster(QuotaExceeded, u64),
 }
 
 /// What a rule gave to a request.
@@ -56,7 +55,7 @@
 pub struct RuleOutcome {
     /// The operation.
     pub operation: Option<OperationId>,
-    /// The key as a number.
+    /// The idempotency key as a number.
     pub key: Option<u64>,
     /// The class.
     pub class: Option<Rc<str>>,
@@ -65,132 +64,139 @@
     /// Buckets, each with its key.
     pub buckets: Vec<(u16, u64)>,
     /// A line for the log.
-    pub told: Option<String>,
+    pub log_line: Option<String>,
 }
 
-/// What came of the invocations of a class.
+/// How many requests of a class came, and how they were answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ClassTally {
+pub struct ClassCounts {
     /// Read.
     pub arrived: u64,
-    /// Answered, by how: succeeded, throttled, errored.
+    /// Answered, by how: succeeded, rejected, failed.
     pub answered: [u64; 3],
 }
 
 #[derive(Default)]
-struct RuleTally {
-    faults: u64,
-    told: Option<Nanos>,
+struct RuleFaults {
+    count: u64,
+    logged_at: Option<Nanos>,
 }
 
-/// The rules in force, their buckets and tallies.
+/// The rules in force, their buckets and counts.
 pub struct RequestRules {
-    set: RuleSet,
+    rule_set: RuleSet,
     classes: Vec<Rc<str>>,
     scratch: Scratch,
-    limits: RateLimiter,
-    /// Budgets of the whole fleet by the place of their bucket; and this node's end of them, where
-    /// there are any.
-    fleet: Vec<Vec<u32>>,
-    wallet: Option<QuotaBorrower>,
-    rules: Vec<RuleTally>,
-    by_class: BTreeMap<Rc<str>, ClassTally>,
-    /// Lines for the log that came up while a request was looked at.
-    lines: Vec<String>,
+    limiter: RateLimiter,
+    /// Quotas of the cluster, by the index of their bucket.
+    quotas_of_buckets: Vec<Vec<u32>>,
+    /// This node's end of them, where there are any.
+    quota_borrower: Option<QuotaBorrower>,
+    faults: Vec<RuleFaults>,
+    by_class: BTreeMap<Rc<str>, ClassCounts>,
+    /// Log lines on rules that erred.
+    fault_lines: Vec<String>,
     matched: u64,
+    /// Requests whose evaluation stopped at its cost limit.
     exhausted: u64,
-    told: u64,
+    /// The sum of all counts when they were logged last.
+    logged_sum: u64,
 }
 
 impl RequestRules {
-    /// Rules to be in force from now on; the limits take about so many bytes.
-    pub fn new(now: Nanos, sheet: CompiledRuleSet, limit_bytes: usize, seed: u64) -> RequestRules {
-        let mut classifier = RequestRules {
-            set: sheet.rules,
+    /// Rules that are in force from now on; limits take about this many bytes.
+    pub fn new(now: Nanos, compiled: CompiledRuleSet, limit_bytes: usize, seed: u64) -> Self {
+        let mut rules = RequestRules {
+            rule_set: compiled.rules,
             classes: Vec::new(),
             scratch: Scratch::new(seed),
-            limits: RateLimiter::new(limit_bytes, seed),
-            fleet: Vec::new(),
-            wallet: None,
-            rules: Vec::new(),
+            limiter: RateLimiter::new(limit_bytes, seed),
+            quotas_of_buckets: Vec::new(),
+            quota_borrower: None,
+            faults: Vec::new(),
             by_class: BTreeMap::new(),
-            lines: Vec::new(),
+            fault_lines: Vec::new(),
             matched: 0,
             exhausted: 0,
-            told: 0,
+            logged_sum: 0,
         };
-        classifier.named(now, &sheet.buckets, &sheet.fleet);
-        classifier
+        rules.define(now, &compiled.buckets, &compiled.fleet);
+        rules
     }
 
     /// Takes other rules in place of those in force. Buckets whose definition stayed keep what they
     /// count.
-    pub fn replace(&mut self, now: Nanos, sheet: CompiledRuleSet) {
-        self.set = sheet.rules;
-        self.named(now, &sheet.buckets, &sheet.fleet);
+    pub fn replace(&mut self, now: Nanos, compiled: CompiledRuleSet) {
+        self.rule_set = compiled.rules;
+        self.define(now, &compiled.buckets, &compiled.fleet);
     }
 
-    /// RateLimiter of the whole fleet are asked for from now on.
-    pub fn join_fleet(
+    /// From now on units of these quotas are requested from the cluster.
+    pub fn join_cluster(
         &mut self,
         now: Nanos,
-        keys: &[KeyedQuota],
-        rhythm: QuotaTiming,
+        quotas: &[KeyedQuota],
+        timing: QuotaTiming,
         bytes: usize,
         seed: u64,
     ) {
-        match &mut self.wallet {
-            Some(wallet) => wallet.rebudget(keys),
-            None if keys.is_empty() => {}
-            None => self.wallet = Some(QuotaBorrower::new(now, keys, rhythm, bytes, seed)),
+        match &mut self.quota_borrower {
+            Some(borrower) => borrower.rebudget(quotas),
+            None if quotas.is_empty() => {}
+            None => {
+                self.quota_borrower = Some(QuotaBorrower::new(now, quotas, timing, bytes, seed))
+            }
         }
     }
 
-    fn named(&mut self, now: Nanos, buckets: &[Bucket], fleet: &[(usize, KeyedQuota)]) {
-        self.limits.define(now, buckets);
-        self.fleet = vec![Vec::new(); buckets.len()];
-        for (place, budget) in fleet {
-            if let Some(of) = self.fleet.get_mut(*place) {
-                of.push(budget.id());
+    fn define(&mut self, now: Nanos, buckets: &[Bucket], quotas: &[(usize, KeyedQuota)]) {
+        self.limiter.define(now, buckets);
+        self.quotas_of_buckets = vec![Vec::new(); buckets.len()];
+        for (bucket, quota) in quotas {
+            if let Some(quotas) = self.quotas_of_buckets.get_mut(*bucket) {
+                quotas.push(quota.id());
             }
         }
         self.classes = self
-            .set
+            .rule_set
             .classes()
             .iter()
             .map(|name| Rc::from(name.as_str()))
             .collect();
         let classes = &self.classes;
-        self.by_class.retain(|class, _| classes.contains(class)); // names come and go with reloads without end
-        self.rules.clear();
-        self.rules
-            .resize_with(self.set.rules().len(), RuleTally::default);
+        self.by_class.retain(|class, _| classes.contains(class)); // else it grows with each reload
+        self.faults.clear();
+        self.faults
+            .resize_with(self.rule_set.rules().len(), RuleFaults::default);
     }
 
     /// The rules in force.
-    pub fn rules(&self) -> &RuleSet {
-        &self.set
+    pub fn rule_set(&self) -> &RuleSet {
+        &self.rule_set
     }
 
     /// What the first rule that matches gives.
-    pub fn rule(&mut self, now: Nanos, facts: &Facts<'_>) -> Option<RuleOutcome> {
-        let decision = self.set.decide(facts, &mut self.scratch, Path::Index);
+    pub fn evaluate(&mut self, now: Nanos, facts: &Facts<'_>) -> Option<RuleOutcome> {
+        let decision = self.rule_set.decide(facts, &mut self.scratch, Path::Index);
         self.exhausted += u64::from(decision.exhausted);
-        for (place, fault) in decision.faults {
-            let tally = &mut self.rules[place];
-            tally.faults += 1;
-            if tally.told.is_none_or(|told| now >= told + TELL_AGAIN) && self.lines.len() < TOLD {
-                tally.told = Some(now);
-                let name = &self.set.rules()[place].name;
-                self.lines.push(format!(
+        for (index, fault) in decision.faults {
+            let faults = &mut self.faults[index];
+            faults.count += 1;
+            let is_due = faults
+                .logged_at
+                .is_none_or(|logged| now >= logged + FAULT_LOG_PERIOD);
+            if is_due && self.fault_lines.len() < LOGGED_MAX {
+                faults.logged_at = Some(now);
+                let name = &self.rule_set.rules()[index].name;
+                self.fault_lines.push(format!(
                     "rules: '{name}' erred and so did not match: {fault} ({} times)",
-                    tally.faults
+                    faults.count
                 ));
             }
         }
         let given = decision.given?;
         self.matched += 1;
-        let mut told = None;
+        let mut log_line = None;
         if !given.facts.is_empty() {
             let mut line = format!("rules: '{}'", given.rule.name);
             for (name, value) in &given.facts {
@@ -199,99 +205,104 @@
             if let Some(rank) = given.rank {
                 let _ = write!(line, " rank={rank}");
             }
-            told = Some(line);
+            log_line = Some(line);
         }
+        let class = given.rule.class.map(usize::from);
         Some(RuleOutcome {
             operation: given.rule.operation.map(OperationId),
             key: given.key,
-            class: given
-                .rule
-                .class
-                .map(|class| Rc::clone(&self.classes[usize::from(class)])),
+            class: class.map(|index| Rc::clone(&self.classes[index])),
             verdict: given.rule.verdict.clone(),
             buckets: given.buckets.to_vec(),
-            told,
+            log_line,
         })
     }
 
-    /// Puts a request into its buckets, if all have room.
-    pub fn ask(&mut self, now: Nanos, buckets: &[(u16, u64)]) -> Result<HeldPermits, LimitReached> {
-        let Some(wallet) = &mut self.wallet else {
-            let ticket = self.limits.ask(now, buckets).map_err(LimitReached::Node)?;
+    /// Takes permits of buckets, if all have a unit.
+    pub fn acquire(
+        &mut self,
+        now: Nanos,
+        buckets: &[(u16, u64)],
+    ) -> Result<HeldPermits, LimitReached> {
+        let Some(borrower) = &mut self.quota_borrower else {
+            let permit = self.limiter.ask(now, buckets).map_err(LimitReached::Node)?;
             return Ok(HeldPermits {
-                ticket,
-                keys: Vec::new(),
+                permit,
+                quotas: Vec::new(),
             });
         };
-        let mut keys: Vec<(u32, u64)> = Vec::new();
-        let mut full: Option<(QuotaExceeded, u64)> = None;
-        for (place, key) in buckets {
-            for id in self.fleet.get(usize::from(*place)).into_iter().flatten() {
-                if keys.contains(&(*id, *key)) {
+        let mut quotas: Vec<(u32, u64)> = Vec::new();
+        let mut longest_wait: Option<(QuotaExceeded, u64)> = None;
+        for (bucket, key) in buckets {
+            let of_bucket = self.quotas_of_buckets.get(usize::from(*bucket));
+            for id in of_bucket.into_iter().flatten() {
+                if quotas.contains(&(*id, *key)) {
                     continue;
                 }
-                keys.push((*id, *key));
-                // All are looked at, so that all that lacks is asked for together.
-                if let Err(refused) = wallet.fits(now, *id, *key)
-                    && full.is_none_or(|(before, _)| before.pause < refused.pause)
+                quotas.push((*id, *key));
+                // All are looked at, so that all that lacks is requested together.
+                if let Err(exceeded) = borrower.fits(now, *id, *key)
+                    && longest_wait.is_none_or(|(longest, _)| longest.pause < exceeded.pause)
                 {
-                    full = Some((refused, *key));
+                    longest_wait = Some((exceeded, *key));
                 }
             }
         }
-        if let Some((refused, key)) = full {
-            return Err(LimitReached::Fleet(refused, key));
+        if let Some((exceeded, key)) = longest_wait {
+            return Err(LimitReached::Cluster(exceeded, key));
         }
         // The node's own limits come last, so that what they take is never for nothing.
-        let ticket = self.limits.ask(now, buckets).map_err(LimitReached::Node)?;
-        keys.retain(|(id, key)| wallet.take(now, *id, *key));
-        Ok(HeldPermits { ticket, keys })
+        let permit = self.limiter.ask(now, buckets).map_err(LimitReached::Node)?;
+        quotas.retain(|(id, key)| borrower.take(now, *id, *key));
+        Ok(HeldPermits { permit, quotas })
     }
 
-    /// What held places in buckets is over.
-    pub fn done(&mut self, now: Nanos, held: HeldPermits) {
-        self.limits.done(now, held.ticket);
-        if let Some(wallet) = &mut self.wallet {
-            held.keys
+    /// A request that held permits has ended.
+    pub fn release(&mut self, now: Nanos, held: HeldPermits) {
+        self.limiter.done(now, held.permit);
+        if let Some(borrower) = &mut self.quota_borrower {
+            held.quotas
                 .iter()
-                .for_each(|(id, key)| wallet.done(*id, *key));
+                .for_each(|(id, key)| borrower.done(*id, *key));
         }
     }
 
-    /// This node's end of the limits of the whole fleet.
-    pub fn wallet(&self) -> Option<&QuotaBorrower> {
-        self.wallet.as_ref()
+    /// This node's end of the cluster's quotas.
+    pub fn quota_borrower(&self) -> Option<&QuotaBorrower> {
+        self.quota_borrower.as_ref()
     }
 
-    /// When it has a question for the fleet.
-    pub fn next_question(&self, now: Nanos) -> Option<Nanos> {
-        self.wallet.as_ref()?.next(now)
+    /// When the next quota request is due.
+    pub fn next_quota_request(&self, now: Nanos) -> Option<Nanos> {
+        self.quota_borrower.as_ref()?.next(now)
     }
 
-    /// The question for the fleet that is due.
-    pub fn question(&mut self, now: Nanos) -> Option<QuotaRequest> {
-        self.wallet.as_mut()?.ask(now)
+    /// The quota request that is due.
+    pub fn quota_request(&mut self, now: Nanos) -> Option<QuotaRequest> {
+        self.quota_borrower.as_mut()?.ask(now)
     }
 
-    /// The fleet answered.
-    pub fn lent(&mut self, now: Nanos, lent: &QuotaGrant) {
-        if let Some(wallet) = &mut self.wallet {
-            wallet.lent(now, lent);
+    /// The cluster granted units of quotas.
+    pub fn quota_granted(&mut self, now: Nanos, grant: &QuotaGrant) {
+        if let Some(borrower) = &mut self.quota_borrower {
+            borrower.lent(now, grant);
         }
     }
 
-    /// The node leaves: nothing that was lent is used any more. Whether nothing of it is in hand.
-    pub fn let_go(&mut self) -> bool {
-        self.wallet.as_mut().is_none_or(QuotaBorrower::let_go)
+    /// The node leaves: no lease is used any more. Whether none of their units is in use.
+    pub fn release_leases(&mut self) -> bool {
+        self.quota_borrower
+            .as_mut()
+            .is_none_or(QuotaBorrower::let_go)
     }
 
-    /// An invocation of a class was read.
-    pub fn arrived(&mut self, class: &Rc<str>) {
+    /// A request of a class was read.
+    pub fn count_arrival(&mut self, class: &Rc<str>) {
         self.by_class.entry(Rc::clone(class)).or_default().arrived += 1;
     }
 
-    /// One was answered so.
-    pub fn answered(&mut self, class: &Rc<str>, status: u16) {
+    /// One was answered with this status.
+    pub fn count_answer(&mut self, class: &Rc<str>, status: u16) {
         let how = match status {
             200 => 0,
             429 | 503 => 1,
@@ -300,21 +311,21 @@
         self.by_class.entry(Rc::clone(class)).or_default().answered[how] += 1;
     }
 
-    /// Lines for the log that came up.
-    pub fn lines(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.lines)
+    /// Takes the log lines on rules that erred.
+    pub fn take_fault_lines(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.fault_lines)
     }
 
-    /// What the rules did since the start, if that is more than when it was told last.
-    pub fn tallies(&mut self) -> Option<String> {
-        let faults: u64 = self.rules.iter().map(|rule| rule.faults).sum();
-        let over: u64 = self
-            .limits
+    /// A log line with all counts since the start; none if no count has moved since the last one.
+    pub fn changed_counts(&mut self) -> Option<String> {
+        let faults: u64 = self.faults.iter().map(|rule| rule.count).sum();
+        let over_limit: u64 = self
+            .limiter
             .tallies()
-            .map(|(_, t)| t.over.iter().sum::<u64>())
+            .map(|(_, counts)| counts.over.iter().sum::<u64>())
             .sum();
-        let total = self.matched + self.exhausted + faults + over;
-        if std::mem::replace(&mut self.told, total) == total {
+        let sum = self.matched + self.exhausted + faults + over_limit;
+        if std::mem::replace(&mut self.logged_sum, sum) == sum {
             return None;
         }
         let mut line = format!("rules: matched {}", self.matched);
@@ -328,36 +339,49 @@
                 self.exhausted
             );
         }
-        for (class, tally) in self.by_class.iter().take(TOLD) {
-            let [succeeded, throttled, errored] = tally.answered;
-            let arrived = tally.arrived;
+        self.write_class_counts(&mut line);
+        self.write_bucket_counts(&mut line);
+        Some(line)
+    }
+
+    fn write_class_counts(&self, line: &mut String) {
+        for (class, counts) in self.by_class.iter().take(LOGGED_MAX) {
+            let [succeeded, rejected, failed] = counts.answered;
+            let arrived = counts.arrived;
             let _ = write!(
                 line,
-                "; class {class}: {arrived} read, {succeeded} succeeded, {throttled} throttled, {errored} errored"
+                "; class {class}: {arrived} read, {succeeded} succeeded, {rejected} rejected, {failed} failed"
             );
         }
-        for (name, tally) in self.limits.tallies().take(TOLD) {
-            let _ = write!(line, "; bucket {name}: {} passed", tally.passed);
-            let why = [
+    }
+
+    fn write_bucket_counts(&self, line: &mut String) {
+        for (name, counts) in self.limiter.tallies().take(LOGGED_MAX) {
+            let _ = write!(line, "; bucket {name}: {} passed", counts.passed);
+            let limits = [
                 (ExceededLimit::Rate, "rate"),
-                (ExceededLimit::InHand, "in hand"),
+                (ExceededLimit::InHand, "in flight"),
                 (ExceededLimit::Share, "share"),
                 (ExceededLimit::Room, "room"),
             ];
-            for (why, word) in why.iter().filter(|(why, _)| tally.over[*why as usize] > 0) {
-                let _ = write!(line, ", over {word} {}", tally.over[*why as usize]);
+            for (limit, name) in limits {
+                let exceeded = counts.over[limit as usize];
+                if exceeded > 0 {
+                    let _ = write!(line, ", over {name} {exceeded}");
+                }
             }
         }
-        Some(line)
     }
 
+    /// The limits.
     #[cfg(test)]
-    pub fn limits(&self) -> &RateLimiter {
-        &self.limits
+    pub fn limiter(&self) -> &RateLimiter {
+        &self.limiter
     }
 
+    /// The counts of a class.
     #[cfg(test)]
-    pub fn class(&self, name: &str) -> ClassTally {
+    pub fn class_counts(&self, name: &str) -> ClassCounts {
         self.by_class.get(name).copied().unwrap_or_default()
     }
 }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -195,14 +195,14 @@
         who,
         OptionalSubsystems {
             settings: true,
-            fleet: true,
-            shared: true,
-            changes: true,
+            cluster: true,
+            shared_state: true,
+            rollouts: true,
         },
     );
     Known {
-        bytes: room.rules,
-        file_bytes: room.settings_file,
+        bytes: room.rule_bytes,
+        file_bytes: room.settings_file_bytes,
         ..known(&who.start)
     }
 }
--- /dev/null
+++ b/crates/node/src/state/cluster_counters.rs
@@ -0,0 +1,148 @@
+//! What the node counts for the cluster: by operation, of itself, and which clients come most. None
+//! of it where nothing is shared.
+
+use super::NodeState;
+use crate::actions::Actions;
+use crate::request::RequestHead;
+use madderpoint::{LoadBalancerId, Nanos, OperationId};
+use madderpoint_shared_state::counts::{self, OWN, ProcessCounters, column, heavy_hitters, own};
+use madderpoint_shared_state::keyed_quota::number;
+
+/// Priority weight is counted in thousandths.
+const THOUSANDTHS: f64 = 1000.0;
+
+/// The node's counters.
+#[derive(Debug)]
+pub struct ClusterCounting {
+    counters: ProcessCounters,
+    /// The rows of operations, in their order.
+    rows: Vec<u32>,
+}
+
+impl ClusterCounting {
+    /// Of a node that has just started.
+    pub fn new(now: Nanos, operations: &[String]) -> ClusterCounting {
+        // The row of a name is its hash. One in four thousand million meets the process's own row.
+        let rows = operations.iter().map(|name| number(name)).collect();
+        ClusterCounting {
+            counters: ProcessCounters::new(unix_ms(now)),
+            rows,
+        }
+    }
+}
+
+/// The node's time counts from the Unix epoch.
+fn unix_ms(now: Nanos) -> u64 {
+    now / 1_000_000
+}
+
+impl<A: Actions> NodeState<A> {
+    fn with_counters(&mut self, f: impl FnOnce(&mut ProcessCounters, u64)) {
+        if let Some(counting) = &mut self.cluster_counting {
+            f(&mut counting.counters, unix_ms(self.now));
+        }
+    }
+
+    fn counter_row(&self, operation: OperationId) -> Option<u32> {
+        Some(self.cluster_counting.as_ref()?.rows[operation.0])
+    }
+
+    /// Something of the node itself happened, counted in this column.
+    pub fn count_own(&mut self, column: usize, times: u64) {
+        self.with_counters(|counters, unix_ms| counters.add(unix_ms, OWN, column, times));
+    }
+
+    /// A request was read.
+    pub fn count_arrival(
+        &mut self,
+        operation: OperationId,
+        load_balancer: LoadBalancerId,
+        is_repeat: bool,
+    ) {
+        let Some(row) = self.counter_row(operation) else {
+            return;
+        };
+        let weight = self.config.deployment.operations[operation.0].priority_weight;
+        self.with_counters(|counters, unix_ms| {
+            counters.add(unix_ms, row, column::ARRIVED, 1);
+            counters.add(unix_ms, row, column::ASKED, (weight * THOUSANDTHS) as u64);
+            counters.heavy(unix_ms, heavy_hitters::CALLERS, load_balancer.0);
+            if is_repeat {
+                counters.add(unix_ms, row, column::REPEATS, 1);
+                counters.heavy(unix_ms, heavy_hitters::REPEATERS, load_balancer.0);
+            }
+        });
+    }
+
+    /// A request that was counted as read was answered, this long after its arrival.
+    pub fn count_answer(&mut self, operation: OperationId, status: u16, latency: Nanos) {
+        let Some(row) = self.counter_row(operation) else {
+            return;
+        };
+        let operation = &self.config.deployment.operations[operation.0];
+        let is_late = latency > operation.latency_objective;
+        let fraction = if is_late {
+            operation.late_weight_fraction
+        } else {
+            1.0
+        };
+        let earned = (operation.priority_weight * fraction * THOUSANDTHS) as u64;
+        self.with_counters(|counters, unix_ms| match status {
+            200 => {
+                counters.add(unix_ms, row, column::SUCCEEDED, 1);
+                counters.add(unix_ms, row, column::LATE, u64::from(is_late));
+                counters.add(unix_ms, row, column::EARNED, earned);
+                counters.took(unix_ms, row, latency);
+            }
+            429 | 503 => counters.add(unix_ms, row, column::THROTTLED, 1),
+            _ => counters.add(unix_ms, row, column::ERRORED, 1),
+        });
+    }
+
+    /// A request was answered before the admission controller saw it: by a rule, or for its key.
+    pub fn count_early_answer(
+        &mut self,
+        operation: OperationId,
+        load_balancer: LoadBalancerId,
+        status: u16,
+    ) {
+        self.count_arrival(operation, load_balancer, false);
+        self.count_answer(operation, status, 0);
+    }
+
+    /// A request was rejected for a limit before the admission controller saw it; with the key, if
+    /// it is a limit of the whole cluster.
+    pub fn count_over_limit(&mut self, head: &RequestHead, cluster_key: Option<u64>) {
+        self.count_early_answer(head.operation, head.load_balancer, 429);
+        if let Some(key) = cluster_key {
+            self.count_own(own::OVER_LIMIT, 1);
+            self.with_counters(|counters, unix_ms| {
+                counters.heavy(unix_ms, heavy_hitters::OVER_LIMIT, key)
+            });
+        }
+    }
+
+    /// A request was rejected by the backend gate.
+    pub fn count_gate_rejection(&mut self, head: &RequestHead) {
+        self.count_early_answer(head.operation, head.load_balancer, 429);
+        self.count_own(own::NO_ROOM, 1);
+    }
+
+    /// The mean priority weight of what arrived lately: what a unit of the cluster's budgets is
+    /// worth at this node.
+    pub fn mean_priority_weight(&self) -> Option<f64> {
+        let counters = &self.cluster_counting.as_ref()?.counters;
+        let (weight, arrived) = (
+            counters.lately(column::ASKED),
+            counters.lately(column::ARRIVED),
+        );
+        (arrived > 0).then(|| weight as f64 / THOUSANDTHS / arrived as f64)
+    }
+
+    /// The counter report, without who sends it.
+    pub fn counter_report(&self) -> Option<counts::CounterReport> {
+        // With the window before this one: what came to it since the last report is in no other.
+        let counting = self.cluster_counting.as_ref()?;
+        Some(counting.counters.word(Default::default(), 0, 2))
+    }
+}
