--- a/crates/node/src/state/connections.rs
+++ b/crates/node/src/state/connections.rs
@@ -1,81 +1,120 @@
-//! Dispatchers' connections, what is open on them, and health checks.
+//! Load balancers' connections and what is open on them.
 
-use super::{CHECK_LIMIT, ClientConnection, MILLISECOND, NodeState, OpenItem, ReplyTarget, Timer};
+use super::requests::ReplyTarget;
+use super::{MILLISECOND, NodeState};
 use crate::actions::{Actions, Close, ConnectionId};
-use crate::executor::Command;
 use crate::fastcgi::{MAX_OPEN, ProtocolStatus, Reply, Request};
+use crate::metrics::Metric;
+use crate::request_error::RequestError;
 use madderpoint::{LoadReport, Nanos, RequestId};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// The first whole request is to come within this, and a second one within that: who connects and
-/// says nothing, or asks once and stays, takes others' room.
-const FIRST_REQUEST: Nanos = 1500 * MILLISECOND;
-const SECOND_REQUEST: Nanos = 1000 * MILLISECOND;
-/// The rest of a request that has come in part is waited for so long before its connection is
-/// closed: of a stranger's and of a dispatcher's, whose network may be slow.
-const REST: Nanos = 1000 * MILLISECOND;
-const REST_PROVEN: Nanos = 3000 * MILLISECOND;
-/// A connection this young is not closed to make room: its first request may be on its way.
-const YOUNG: Nanos = 200 * MILLISECOND;
-/// A connection on which nothing has succeeded yet gets a strike for what is malformed or unknown
-/// to the kernel, and for so many answers in a row that turn it away. With each strike the pause
-/// before it is read on doubles, and after the last it is closed. Who asks again as soon as it is
-/// turned away thus costs next to nothing.
-const TURNED_AWAY: u32 = 128;
+/// When a connection is closed, the rest of a request that has come in part is waited for this
+/// long: of an unidentified peer, and of a load balancer, whose network may be slow.
+const PARTIAL_REQUEST_WAIT: Nanos = 1000 * MILLISECOND;
+const PARTIAL_REQUEST_WAIT_IDENTIFIED: Nanos = 3000 * MILLISECOND;
+/// Answers in a row without success that count as a strike of an unidentified peer.
+const UNSUCCESSFUL_ANSWERS_PER_STRIKE: u32 = 128;
+/// Strikes after which a connection is closed.
 const STRIKES: u32 = 6;
+/// Pause before an unidentified peer is read on; doubled with each strike.
 const PACE: Nanos = 25 * MILLISECOND;
 
-impl<O: Actions> NodeState<O> {
-    pub fn connected(&mut self, conn: ConnectionId, address: Option<IpAddr>) {
+/// What is open under a FastCGI request id.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum OpenItem {
+    /// A request that is being looked at.
+    Unread,
+    /// A request in flight.
+    Request(RequestId),
+    /// A deep health check, by its mark at the executor.
+    HealthCheck(u64),
+}
+
+/// A load balancer's connection.
+pub struct ClientConnection {
+    /// What is open, by FastCGI request id.
+    pub open: BTreeMap<u16, OpenItem>,
+    /// Where it comes from, as far as known.
+    pub address: Option<IpAddr>,
+    /// When the last answer on it was written, or it connected.
+    pub idle_since: Nanos,
+    /// Whole requests that came.
+    pub requests_received: u8,
+    /// Whether a request on it has succeeded: an unidentified peer's never gets that far.
+    pub is_identified: bool,
+    /// Answers without success since the last strike.
+    unsuccessful_answers: u32,
+    /// Times that it sent what no load balancer sends.
+    pub strikes: u32,
+    /// When a timer looks whether it is idle, if one is set.
+    pub idle_check_at: Option<Nanos>,
+    /// Whether it is to be closed once nothing is open.
+    pub close_when_done: bool,
+    /// Events of it that were handled.
+    events_handled: u64,
+    /// Whether an order to close it is on its way. An event that comes first makes it void.
+    pub is_closing: bool,
+}
+
+impl<A: Actions> NodeState<A> {
+    /// A load balancer connected.
+    pub fn connected(&mut self, connection_id: ConnectionId, address: Option<IpAddr>) {
         let new = ClientConnection {
             open: BTreeMap::new(),
             address,
             idle_since: self.now,
-            asked: 0,
-            proven: false,
-            turned_away: 0,
+            requests_received: 0,
+            is_identified: false,
+            unsuccessful_answers: 0,
             strikes: 0,
-            look: None,
-            last: false,
-            heard: 0,
-            closing: false,
+            idle_check_at: None,
+            close_when_done: false,
+            events_handled: 0,
+            is_closing: false,
         };
-        self.conns.insert(conn, new);
-        self.went_idle(conn);
-        if self.conns.len() > self.spare_from {
-            self.make_room();
+        self.connections.insert(connection_id, new);
+        self.became_idle(connection_id);
+        if self.connections.len() > self.idle.eviction_threshold {
+            self.evict_idle_connection();
         }
     }
 
-    /// A connection is gone; gives the invocations whose callers left with it.
-    pub fn disconnected(&mut self, conn: ConnectionId) -> Vec<RequestId> {
-        let Some(conn) = self.conns.remove(&conn) else {
+    /// A connection is gone; gives the requests whose clients are gone with it.
+    pub fn disconnected(&mut self, connection_id: ConnectionId) -> Vec<RequestId> {
+        let Some(connection) = self.connections.remove(&connection_id) else {
             return Vec::new();
         };
-        conn.open
+        connection
+            .open
             .into_values()
-            .filter_map(|asked| self.let_go(asked))
+            .filter_map(|item| self.detach(item))
             .collect()
     }
 
-    /// The dispatcher no longer waits for a request; gives the invocation whose caller left.
-    pub fn aborted(&mut self, conn: ConnectionId, id: u16) -> Option<RequestId> {
-        let asked = *self.conns.get(&conn)?.open.get(&id)?;
-        self.end(conn, id, Reply::end(id, ProtocolStatus::Complete));
-        self.let_go(asked)
+    /// The load balancer aborted a request; gives the one that its client cancelled.
+    pub fn aborted(&mut self, target: ReplyTarget) -> Option<RequestId> {
+        let connection = self.connections.get(&target.connection_id)?;
+        let item = *connection.open.get(&target.fastcgi_id)?;
+        self.finish(
+            target,
+            Reply::end(target.fastcgi_id, ProtocolStatus::Complete),
+        );
+        self.detach(item)
     }
 
-    fn let_go(&mut self, asked: OpenItem) -> Option<RequestId> {
-        match asked {
+    /// Nobody waits any more for what was open.
+    fn detach(&mut self, item: OpenItem) -> Option<RequestId> {
+        match item {
             OpenItem::Unread => None,
-            OpenItem::Check(mark) => {
-                self.checks.remove(&mark);
+            OpenItem::HealthCheck(mark) => {
+                self.health_checks.remove(mark);
                 None
             }
-            OpenItem::OpenRequest(id) => {
-                self.invs.get_mut(&id)?.front = None;
-                self.settle(id);
+            OpenItem::Request(id) => {
+                self.requests.get_mut(&id)?.reply_target = None;
+                self.remove_if_done(id);
                 Some(id)
             }
         }
@@ -83,341 +122,261 @@
 
     /// Something came on a connection. If it is being closed, the reader had handed this on before
     /// the order came, and does not carry it out: what was read is answered.
-    pub fn came(&mut self, conn: ConnectionId) {
-        let Some(state) = self.conns.get_mut(&conn) else {
+    pub fn event_received(&mut self, connection_id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&connection_id) else {
             return;
         };
-        state.heard += 1;
-        if std::mem::take(&mut state.closing) {
-            self.count("closes that what came made void", 1);
+        connection.events_handled += 1;
+        if std::mem::take(&mut connection.is_closing) {
+            self.count(Metric::VoidedCloses, 1);
         }
     }
 
-    /// What came is dealt with: if nothing is open now, the connection is closed, or is looked at
-    /// when it was idle for long enough.
-    pub fn dealt_with(&mut self, conn: ConnectionId) {
-        let Some(state) = self
-            .conns
-            .get(&conn)
-            .filter(|c| c.open.is_empty() && !c.closing)
+    /// What came is handled: if nothing is open now, the connection is closed, or a timer is set
+    /// for when it has been idle for long enough.
+    pub fn event_handled(&mut self, connection_id: ConnectionId) {
+        let Some(connection) = self
+            .connections
+            .get(&connection_id)
+            .filter(|connection| connection.open.is_empty() && !connection.is_closing)
         else {
             return;
         };
-        if state.last || self.closing {
-            return self.close(conn);
+        if connection.close_when_done || self.drain.closes_connections {
+            return self.close_connection(connection_id);
         }
-        let due = self.idle_until(conn).max(self.now);
-        self.look_at(conn, due);
+        let due = self.idle_deadline(connection_id).max(self.now);
+        self.set_idle_check(connection_id, due);
     }
 
     /// Nothing more is read on a connection: its peer ended its side, or framing is lost. What is
     /// open on it is answered first.
-    pub fn no_more(&mut self, conn: ConnectionId) {
-        if let Some(state) = self.conns.get_mut(&conn) {
-            state.last = true;
+    pub fn input_ended(&mut self, connection_id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(&connection_id) {
+            connection.close_when_done = true;
         }
-        self.dealt_with(conn);
+        self.event_handled(connection_id);
     }
 
     /// Opens a request on its connection; false if what came can't have an answer of its own.
-    pub fn open(&mut self, conn: ConnectionId, request: &Request) -> bool {
-        let Some(state) = self.conns.get_mut(&conn) else {
-            self.count("requests on no connection", 1);
+    pub fn open_on_connection(&mut self, connection_id: ConnectionId, request: &Request) -> bool {
+        let Some(connection) = self.connections.get_mut(&connection_id) else {
+            self.count(Metric::RequestsWithoutConnection, 1);
             return false;
         };
-        if state.open.contains_key(&request.id) {
-            // Whose answer would be whose? What was asked first is answered, and nothing after that
-            // is read.
-            self.count("request ids begun twice", 1);
-            self.out.stop_reading(conn);
-            self.no_more(conn);
+        if connection.open.contains_key(&request.id) {
+            // An answer could not be told from the first request's: that one is answered, and
+            // nothing after it is read.
+            self.count(Metric::DuplicateRequestIds, 1);
+            self.actions.stop_reading(connection_id);
+            self.input_ended(connection_id);
             return false;
         }
-        state.open.insert(request.id, OpenItem::Unread);
-        state.asked = state.asked.saturating_add(1);
-        state.last |= !request.keep_conn;
+        connection.open.insert(request.id, OpenItem::Unread);
+        connection.requests_received = connection.requests_received.saturating_add(1);
+        connection.close_when_done |= !request.keep_conn;
         true
     }
 
-    pub fn crowded(&self, conn: ConnectionId) -> bool {
-        self.conns
-            .get(&conn)
-            .is_some_and(|c| c.open.len() > MAX_OPEN)
+    /// Whether more is open on a connection than may be.
+    pub fn has_too_many_open(&self, connection_id: ConnectionId) -> bool {
+        self.connections
+            .get(&connection_id)
+            .is_some_and(|connection| connection.open.len() > MAX_OPEN)
     }
 
     /// Writes what ends a request.
-    pub fn end(&mut self, conn: ConnectionId, id: u16, reply: Reply) {
-        let Some(state) = self.conns.get_mut(&conn) else {
+    pub fn finish(&mut self, target: ReplyTarget, reply: Reply) {
+        let ReplyTarget {
+            connection_id,
+            fastcgi_id,
+        } = target;
+        let Some(connection) = self.connections.get_mut(&connection_id) else {
             return;
         };
-        let was_open = state.open.remove(&id).is_some();
-        invariant!(self, was_open, "an answer goes to what is open");
-        self.out.send_reply(conn, reply);
-        let Some(state) = self.conns.get(&conn).filter(|c| c.open.is_empty()) else {
+        let was_open = connection.open.remove(&fastcgi_id).is_some();
+        invariant!(self, was_open, "an answer goes to an open request");
+        self.actions.send_reply(connection_id, reply);
+        let Some(connection) = self
+            .connections
+            .get(&connection_id)
+            .filter(|connection| connection.open.is_empty())
+        else {
             return;
         };
-        if state.last || self.closing {
-            self.close(conn);
+        if connection.close_when_done || self.drain.closes_connections {
+            self.close_connection(connection_id);
         } else {
-            self.went_idle(conn);
-        }
-    }
-
-    /// NodeBudgets a request that is one too many on its connection.
-    pub fn overload(&mut self, conn: ConnectionId, id: u16) {
-        self.turned_away(conn);
-        self.end(conn, id, Reply::end(id, ProtocolStatus::Overloaded));
-    }
-
-    /// Answers what came before there were decisions.
-    pub fn not_up(&mut self, conn: ConnectionId, id: u16) {
-        self.refuse(conn, id, 503, "the kernel is not up");
-    }
-
-    /// Answers what is malformed.
-    pub fn reject(&mut self, conn: ConnectionId, id: u16, status: u16, cause: &'static str) {
-        self.strike(conn);
-        self.refuse(conn, id, status, cause);
-    }
-
-    /// A run succeeded for who is at the other end.
-    pub fn succeeded(&mut self, conn: ConnectionId) {
-        let Some(state) = self.conns.get_mut(&conn) else {
-            return;
-        };
-        (state.proven, state.turned_away) = (true, 0);
-        if std::mem::take(&mut state.strikes) > 0 {
-            self.out.pace_reading(conn, 0);
+            self.became_idle(connection_id);
         }
     }
 
-    /// Something was answered that did not succeed.
-    pub fn turned_away(&mut self, conn: ConnectionId) {
-        let Some(state) = self.conns.get_mut(&conn).filter(|c| !c.proven) else {
-            return;
-        };
-        state.turned_away += 1;
-        if state.turned_away >= TURNED_AWAY {
-            self.strike(conn);
-        }
-    }
-
-    /// Something came on a connection that no dispatcher sends.
-    pub fn strike(&mut self, conn: ConnectionId) {
-        let Some(state) = self.conns.get_mut(&conn).filter(|c| !c.closing) else {
-            return;
-        };
-        state.turned_away = 0;
-        state.strikes += 1;
-        let out = state.strikes >= STRIKES;
-        state.last |= out;
-        let pause = PACE << state.strikes.min(STRIKES);
-        self.out.pace_reading(conn, pause);
-        if out {
-            self.out.stop_reading(conn);
-        }
+    /// Ends a request that is one too many on its connection.
+    pub fn reject_overloaded(&mut self, target: ReplyTarget) {
+        self.answered_without_success(target.connection_id);
+        self.finish(
+            target,
+            Reply::end(target.fastcgi_id, ProtocolStatus::Overloaded),
+        );
     }
 
-    /// Where a connection comes from.
-    pub fn address(&self, conn: ConnectionId) -> Option<IpAddr> {
-        self.conns.get(&conn)?.address
+    /// Answers a request that no load balancer sends.
+    pub fn reject_with_strike(&mut self, target: ReplyTarget, error: RequestError) {
+        self.strike(target.connection_id);
+        self.reject(target, error);
     }
 
-    /// The longest pause that dispatchers heed; 0 = they heed none.
-    pub fn max_retry_after(&self) -> Nanos {
-        self.start.deployment.max_retry_after
+    /// Answers a request with what is wrong.
+    pub fn reject(&mut self, target: ReplyTarget, error: RequestError) {
+        self.count(error.metric(), 1);
+        let headers = self.response_headers() + "Content-Type: text/plain\r\n";
+        let body = error.reason().as_bytes().to_vec();
+        self.finish(
+            target,
+            Reply::answer(target.fastcgi_id, error.status(), &headers, body),
+        );
     }
 
-    /// Answers what a rule or a limit decided before the decisions saw it. It never ran. The pause
-    /// is told where the settings have dispatchers heed one.
-    pub fn verdict(
+    /// Answers what a rule or a limit decided before the admission controller saw it. It never ran.
+    /// `retry_after` is sent where the deployment has load balancers heed one.
+    pub fn reject_by_policy(
         &mut self,
-        conn: ConnectionId,
-        id: u16,
+        target: ReplyTarget,
         status: u16,
-        pause: Nanos,
+        retry_after: Nanos,
         reason: &str,
     ) {
-        self.turned_away(conn);
-        let pause = pause.min(self.start.deployment.max_retry_after);
-        let mut fields = self.fields() + "Content-Type: text/plain\r\n";
-        if pause > 0 && status == 429 {
-            fields += &format!("X-Pushback-Ms: {}\r\n", pause.div_ceil(MILLISECOND));
+        self.answered_without_success(target.connection_id);
+        let retry_after = retry_after.min(self.max_retry_after());
+        let mut headers = self.response_headers() + "Content-Type: text/plain\r\n";
+        if retry_after > 0 && status == 429 {
+            headers += &format!("X-Pushback-Ms: {}\r\n", retry_after.div_ceil(MILLISECOND));
         }
-        self.end(
-            conn,
-            id,
-            Reply::answer(id, status, &fields, reason.as_bytes().to_vec()),
+        self.finish(
+            target,
+            Reply::answer(
+                target.fastcgi_id,
+                status,
+                &headers,
+                reason.as_bytes().to_vec(),
+            ),
         );
     }
 
-    fn refuse(&mut self, conn: ConnectionId, id: u16, status: u16, cause: &'static str) {
-        self.count(cause, 1);
-        let fields = self.fields() + "Content-Type: text/plain\r\n";
-        self.end(
-            conn,
-            id,
-            Reply::answer(id, status, &fields, cause.as_bytes().to_vec()),
-        );
-    }
-
-    /// The fields that go with every answer and check.
-    pub fn fields(&self) -> String {
-        let told = self.start.deployment.advert != LoadReport::Disabled;
-        self.advert
-            .filter(|_| told)
-            .map_or_else(String::new, |v| format!("X-Backend-Says: {v:.4}\r\n"))
+    /// The headers that go with every answer and health check.
+    pub fn response_headers(&self) -> String {
+        let is_sent = self.config.deployment.advert != LoadReport::Disabled;
+        self.load_report
+            .filter(|_| is_sent)
+            .map_or_else(String::new, |value| {
+                format!("X-Backend-Says: {value:.4}\r\n")
+            })
     }
 
-    // ---- Idle connections ----
-
-    fn went_idle(&mut self, conn: ConnectionId) {
-        if self.closing {
-            return self.close(conn);
-        }
-        if let Some(state) = self.conns.get_mut(&conn) {
-            state.idle_since = self.now;
-            let due = self.idle_until(conn);
-            self.look_at(conn, due);
+    /// A request on a connection succeeded.
+    pub fn answered_with_success(&mut self, connection_id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&connection_id) else {
+            return;
+        };
+        (connection.is_identified, connection.unsuccessful_answers) = (true, 0);
+        if std::mem::take(&mut connection.strikes) > 0 {
+            self.actions.pace_reading(connection_id, 0);
         }
     }
 
-    /// Until when a connection may be idle.
-    fn idle_until(&self, conn: ConnectionId) -> Nanos {
-        let Some(state) = self.conns.get(&conn) else {
-            return self.now;
-        };
-        let after = match state.asked {
-            0 => FIRST_REQUEST,
-            1 => self.idle_after.min(SECOND_REQUEST),
-            _ if state.strikes > 0 => self.idle_after.min(FIRST_REQUEST),
-            _ => self.idle_after,
+    /// A request on a connection was answered without success. Enough of these in a row are a
+    /// strike of an unidentified peer, so that one that asks again at once costs next to nothing.
+    pub fn answered_without_success(&mut self, connection_id: ConnectionId) {
+        let Some(connection) = self
+            .connections
+            .get_mut(&connection_id)
+            .filter(|connection| !connection.is_identified)
+        else {
+            return;
         };
-        state.idle_since + after
+        connection.unsuccessful_answers += 1;
+        if connection.unsuccessful_answers >= UNSUCCESSFUL_ANSWERS_PER_STRIKE {
+            self.strike(connection_id);
+        }
     }
 
-    /// Has one timer look at a connection, at this time or sooner.
-    fn look_at(&mut self, conn: ConnectionId, due: Nanos) {
-        let Some(state) = self.conns.get_mut(&conn) else {
+    /// Something came on a connection that no load balancer sends. With each strike the pause
+    /// before it is read on doubles; after the last one it is closed.
+    pub fn strike(&mut self, connection_id: ConnectionId) {
+        let Some(connection) = self
+            .connections
+            .get_mut(&connection_id)
+            .filter(|connection| !connection.is_closing)
+        else {
             return;
         };
-        if state.look.is_none_or(|look| look > due) {
-            state.look = Some(due);
-            self.set_timer(
-                due.saturating_sub(self.now),
-                Timer::IdleConnection(conn, due),
-            );
+        connection.unsuccessful_answers = 0;
+        connection.strikes += 1;
+        let is_last = connection.strikes >= STRIKES;
+        connection.close_when_done |= is_last;
+        let pause = PACE << connection.strikes.min(STRIKES);
+        self.actions.pace_reading(connection_id, pause);
+        if is_last {
+            self.actions.stop_reading(connection_id);
         }
     }
 
-    pub fn close_idle(&mut self, after: Nanos) {
-        self.idle_after = if after == 0 {
-            self.client_idle_timeout
-        } else {
-            after
-        };
-        let idle = self.conns.iter().filter(|(_, c)| c.open.is_empty());
-        let idle: Vec<_> = idle.map(|(&id, _)| (id, self.idle_until(id))).collect();
-        idle.into_iter()
-            .for_each(|(conn, due)| self.look_at(conn, due));
+    /// Where a connection comes from.
+    pub fn address(&self, connection_id: ConnectionId) -> Option<IpAddr> {
+        self.connections.get(&connection_id)?.address
     }
 
-    /// Closes a connection if it was idle for long enough, unless an earlier look took this one's
-    /// place.
-    pub fn close_if_idle(&mut self, conn: ConnectionId, due: Nanos) {
-        let Some(state) = self.conns.get_mut(&conn).filter(|c| c.look == Some(due)) else {
-            return;
-        };
-        state.look = None;
-        if !state.open.is_empty() {
-            return;
-        }
-        let closes = self.idle_until(conn);
-        if closes <= self.now {
-            self.close(conn)
-        } else {
-            self.look_at(conn, closes)
-        }
+    /// The longest Retry-After that load balancers heed; 0 = they heed none.
+    pub fn max_retry_after(&self) -> Nanos {
+        self.config.deployment.max_retry_after
     }
 
     /// Has a connection closed unless more has come on it by now.
-    pub fn close(&mut self, conn: ConnectionId) {
-        let proven = self.conns.get(&conn).is_some_and(|c| c.proven);
-        self.close_within(conn, if proven { REST_PROVEN } else { REST });
+    pub fn close_connection(&mut self, connection_id: ConnectionId) {
+        let is_identified = self
+            .connections
+            .get(&connection_id)
+            .is_some_and(|connection| connection.is_identified);
+        let wait = if is_identified {
+            PARTIAL_REQUEST_WAIT_IDENTIFIED
+        } else {
+            PARTIAL_REQUEST_WAIT
+        };
+        self.close_connection_within(connection_id, wait);
     }
 
-    /// The same, waiting so long for the rest of a request that has come in part.
-    fn close_within(&mut self, conn: ConnectionId, patience: Nanos) {
-        let Some(state) = self.conns.get_mut(&conn) else {
+    /// The same, waiting this long for the rest of a request that has come in part.
+    fn close_connection_within(&mut self, connection_id: ConnectionId, wait: Nanos) {
+        let Some(connection) = self.connections.get_mut(&connection_id) else {
             return;
         };
-        if std::mem::replace(&mut state.closing, true) {
+        if std::mem::replace(&mut connection.is_closing, true) {
             return;
         }
-        let left = self.stop.saturating_sub(self.now);
-        self.out.close_connection(
-            conn,
+        let until_stop = self.drain.stops_at.saturating_sub(self.now);
+        self.actions.close_connection(
+            connection_id,
             Close {
-                heard: state.heard,
-                patience: patience.min(left),
+                events_handled: connection.events_handled,
+                partial_request_wait: wait.min(until_stop),
             },
         );
     }
 
-    /// Closes a connection on which nothing is open, so that another one finds room: rather one
-    /// that never sent a whole request, then one that asked once or in vain, then another, and of
-    /// these the one idle for longest.
-    pub fn make_room(&mut self) {
-        let silent = |c: &ClientConnection| c.asked == 0 && self.now < c.idle_since + YOUNG;
-        let idle = self
-            .conns
-            .iter()
-            .filter(|(_, c)| c.open.is_empty() && !c.closing && !silent(c));
-        let standing = |c: &ClientConnection| {
-            if c.proven {
-                c.asked.min(2)
-            } else {
-                c.asked.min(1)
-            }
+    /// Closes a connection to make room for another: one that others wait for, so that half a
+    /// request of an unidentified peer is not waited for.
+    pub fn evict(&mut self, connection_id: ConnectionId, is_identified: bool) {
+        let wait = if is_identified {
+            PARTIAL_REQUEST_WAIT
+        } else {
+            0
         };
-        if let Some((&conn, state)) = idle.min_by_key(|(_, c)| (standing(c), c.idle_since)) {
-            // Others wait for the place that half a request of a stranger takes.
-            let patience = if state.proven { REST } else { 0 };
-            self.close_within(conn, patience);
-        }
-    }
-
-    // ---- Health ----
-
-    pub fn check(&mut self, conn: ConnectionId, id: u16, deep: bool) {
-        let (good, from_store) = self.health;
-        let as_told = !deep || from_store || !good;
-        if as_told || !self.kernel.synced {
-            return self.check_ends(ReplyTarget { conn, id }, good && as_told);
-        }
-        let mark = self.kernel.sent + 1;
-        self.command(Command::Post(mark));
-        self.checks.insert(mark, ReplyTarget { conn, id });
-        if let Some(state) = self.conns.get_mut(&conn) {
-            state.open.insert(id, OpenItem::Check(mark));
-        }
-        self.set_timer(CHECK_LIMIT, Timer::HealthCheckTimeout(mark));
+        self.close_connection_within(connection_id, wait);
     }
 
-    /// The kernel did the work of a check, or the check has waited for long enough.
-    pub fn checked(&mut self, mark: u64, ok: bool) {
-        if let Some(open) = self.checks.remove(&mark) {
-            self.check_ends(open, ok);
-        }
-    }
-
-    fn check_ends(&mut self, open: ReplyTarget, good: bool) {
-        let reply = Reply::answer(
-            open.id,
-            if good { 200 } else { 503 },
-            &self.fields(),
-            Vec::new(),
-        );
-        self.end(open.conn, open.id, reply);
+    /// Whether a connection is known.
+    #[cfg(test)]
+    pub fn is_known(&self, connection_id: ConnectionId) -> bool {
+        self.connections.contains_key(&connection_id)
     }
 }
--- /dev/null
+++ b/crates/node/src/state/drain.rs
@@ -0,0 +1,116 @@
+//! Leaving: from the order to drain to the end of the process.
+
+use super::{MILLISECOND, NodeState, Timer};
+use crate::actions::{Actions, ConnectionId};
+use madderpoint::Nanos;
+
+/// After the last answers were due, peers have this long to take them before the process ends.
+const FLUSH_TIME: Nanos = 100 * MILLISECOND;
+
+/// How far the node is with leaving.
+#[derive(Debug)]
+pub struct DrainState {
+    /// When the drain began.
+    pub started: Option<Nanos>,
+    /// When all is to be written out.
+    pub stops_at: Nanos,
+    /// Whether connections are closed as soon as nothing is open on them.
+    pub closes_connections: bool,
+    /// Whether connections may still come.
+    is_listening: bool,
+    /// Whether the time to leave is over.
+    is_over: bool,
+}
+
+impl Default for DrainState {
+    fn default() -> DrainState {
+        DrainState {
+            started: None,
+            stops_at: Nanos::MAX,
+            closes_connections: false,
+            is_listening: true,
+            is_over: false,
+        }
+    }
+}
+
+impl<A: Actions> NodeState<A> {
+    /// Begins to drain; false if that has begun before. All is to be written out after `stop_after`.
+    pub fn start_drain(&mut self, stop_after: Nanos, grace: Nanos) -> bool {
+        if self.drain.started.is_some() {
+            return false;
+        }
+        self.drain.started = Some(self.now);
+        self.drain.stops_at = self.now + stop_after;
+        self.actions.announce_drain();
+        self.actions.log(format_args!(
+            "drain: stop in {} ms",
+            stop_after / MILLISECOND
+        ));
+        self.set_timer(stop_after.min(grace), Timer::StopAccepting);
+        self.set_timer(stop_after, Timer::QuietPeriod);
+        self.set_timer(stop_after + FLUSH_TIME, Timer::DrainOver);
+        true
+    }
+
+    /// Whether the drain has begun.
+    pub fn is_draining(&self) -> bool {
+        self.drain.started.is_some()
+    }
+
+    /// The drain grace is over: nothing that comes would run, and connections are closed as soon as
+    /// nothing is open on them.
+    pub fn stop_accepting(&mut self) {
+        self.drain.closes_connections = true;
+        self.actions.log(format_args!(
+            "no more connections are accepted after those that wait; {} open, {} in flight",
+            self.connections.len(),
+            self.requests.len()
+        ));
+        self.actions.stop_listening();
+        self.close_connections_without_requests();
+    }
+
+    /// All that was read is answered: nothing more is read.
+    pub fn start_quiet_period(&mut self) {
+        for (&id, connection) in &mut self.connections {
+            connection.close_when_done = true;
+            self.actions.stop_reading(id);
+        }
+        self.close_connections_without_requests();
+    }
+
+    fn close_connections_without_requests(&mut self) {
+        let idle: Vec<ConnectionId> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.open.is_empty())
+            .map(|(&id, _)| id)
+            .collect();
+        idle.into_iter().for_each(|id| self.close_connection(id));
+    }
+
+    /// The listen backlog is empty, and no connection comes any more.
+    pub fn listener_closed(&mut self) {
+        self.drain.is_listening = false;
+    }
+
+    /// The time to leave is over: what peers have not ended yet ends with the process.
+    pub fn end_drain(&mut self) {
+        self.drain.is_over = true;
+        if !self.connections.is_empty() {
+            self.actions.log(format_args!(
+                "left with {} connections that their peers did not end",
+                self.connections.len()
+            ));
+        }
+    }
+
+    /// Whether the process may end.
+    pub fn has_drained(&self) -> bool {
+        self.drain.is_over
+            || self.drain.closes_connections
+                && !self.drain.is_listening
+                && self.connections.is_empty()
+    }
+}
--- a/crates/node/src/state/executions.rs
+++ b/crates/node/src/state/executions.rs
@@ -1,335 +1,316 @@
-//! The kernel's link and what runs there.
+//! Executions: what the executor runs for requests.
 
-use super::{
-    Execution, ExecutionWait, GAUGES_LEAD, LOOK_PERIOD, MILLISECOND, NodeState, OpenRequest, Timer,
-};
+use super::{HOUSEKEEPING_PERIOD, MILLISECOND, NodeState, Timer};
 use crate::actions::Actions;
-use crate::config::Moved;
 use crate::executor::{Command, End};
+use crate::metrics::Metric;
 use madderpoint::{Idempotency, Nanos, RequestId};
 
-/// How long a link that is to be renewed has to show that all commands arrived.
-const SETTLE: Nanos = 100 * MILLISECOND;
-/// At most so long after the command to run what must not run twice, a question follows whose
-/// answer shows that it arrived: only what lies between is in doubt when a link breaks.
-const MARK: Nanos = 10 * MILLISECOND;
-/// A link whose kernel has not answered for so many times so long is silent, and is made anew.
-/// Counted by looks and not by the clock, for of a machine that stood still only one is late.
-const SILENT_LOOKS: u32 = 5;
-const SILENT_LOOK: Nanos = 400 * MILLISECOND;
-/// What is in doubt has so long to be heard of.
-const DOUBT: Nanos = 1000 * MILLISECOND;
+/// After the command to start what must not run twice gauges are requested within this. Their mark
+/// shows that the command arrived: only what was sent in between is uncertain when the link breaks.
+const START_MARK_DELAY: Nanos = 10 * MILLISECOND;
 
-impl<O: Actions> NodeState<O> {
-    // ---- The link ----
-
-    /// Sends a command and gives its number; 0 while it must wait until the link is in step.
-    pub fn command(&mut self, command: Command<'_>) -> u64 {
-        if !self.kernel.synced {
-            return 0;
-        }
-        self.kernel.sent += 1;
-        self.out.send_executor_command(command.line());
-        self.kernel.sent
-    }
-
-    pub fn kernel_linked(&mut self, last: u64) {
-        (self.kernel.up, self.kernel.synced, self.kernel.renewing) = (true, false, false);
-        (self.kernel.waits, self.kernel.unanswered) = (false, 0);
-        self.out.send_executor_command(Command::Open(last).line());
-    }
+/// What an execution waits for at the executor.
+#[derive(Debug)]
+pub enum ExecutionWait {
+    /// Nothing: it runs.
+    Nothing,
+    /// A backend call, by the number of the notice that wants it.
+    BackendCall {
+        /// The notice's number.
+        notice: u64,
+    },
+    /// Nothing any more: it was told to go on.
+    Resumed {
+        /// The number of the notice that wanted the call.
+        notice: u64,
+        /// The reply to the call; none if it goes on without.
+        reply: Option<Vec<u8>>,
+        /// The number of the command; 0 = it could not be sent yet.
+        command: u64,
+    },
+}
 
-    pub fn kernel_lost(&mut self) {
-        (self.kernel.up, self.kernel.synced, self.kernel.renewing) = (false, false, false);
-        self.out.log(format_args!(
-            "kernel: link lost, {} in hand",
-            self.invs.len()
-        ));
-    }
+/// An execution that the executor was told to start.
+#[derive(Debug)]
+pub struct Execution {
+    /// The number of the command to start it; 0 = it could not be sent yet.
+    pub start_command: u64,
+    /// The number of the command to cancel it, if there is one; 0 = it could not be sent yet.
+    pub cancel_command: Option<u64>,
+    /// Whether the executor has spoken of it.
+    pub is_acknowledged: bool,
+    /// What it waits for.
+    pub wait: ExecutionWait,
+    /// The body of the backend call that it waits for.
+    pub call_body: Vec<u8>,
+}
 
-    /// A new configuration. The kernel's link moves once the answer to one more question shows that
-    /// what was written on the old one has arrived; commands wait meanwhile. A link that was cut
-    /// off at once would put in doubt what was on its way, and what must not run twice would err
-    /// for it.
-    pub fn moved(&mut self, moved: &Moved) {
-        let Moved { peers, kept } = moved;
-        self.out.log(format_args!(
-            "new configuration: kernel {}, members {}, back end {:?}; until a restart the old {kept:?} hold",
-            peers.kernel, peers.members, peers.backend
-        ));
-        if !self.out.change_peers(*peers) {
+impl<A: Actions> NodeState<A> {
+    /// Starts a request's execution.
+    pub fn start_execution(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else {
             return;
-        }
-        if !self.kernel.synced {
-            return self.out.reconnect_executor(); // no commands are on their way
-        }
-        (self.kernel.synced, self.kernel.renewing) = (false, true);
-        self.kernel.sync = self.kernel.sent + 1;
-        self.set_timer(SETTLE, Timer::ReconnectExecutor(self.kernel.sync));
-        self.ask();
-    }
-
-    /// What was written on a link that is to be renewed has arrived, or has had its time.
-    pub fn settled(&mut self, mark: u64) {
-        if self.kernel.renewing && mark >= self.kernel.sync {
-            (self.kernel.up, self.kernel.renewing) = (false, false);
-            self.out.reconnect_executor();
-        }
-    }
-
-    /// All that was missed follows; the answer to a question asked now comes after it.
-    pub fn booted(&mut self, cold: bool, up_ms: f64) {
-        let state = if cold { "cold" } else { "warm" };
-        self.out.log(format_args!(
-            "kernel: linked, started {state} {up_ms:.0} ms ago"
-        ));
-        self.kernel.sync = self.kernel.sent + 1;
-        self.ask();
+        };
+        let runs_twice =
+            request.has_run && self.idempotency(request.operation) != Idempotency::Idempotent;
+        let arrived = request.arrived;
+        let is_late = self
+            .drain
+            .started
+            .is_some_and(|started| arrived > started + self.config.deployment.drain_grace);
+        let is_awaited = request.reply_target.is_some();
+        invariant!(
+            self,
+            !runs_twice,
+            "a request that must not run twice runs once"
+        );
+        invariant!(
+            self,
+            !is_late,
+            "a request that arrives after the drain grace does not run"
+        );
+        invariant!(
+            self,
+            is_awaited,
+            "only a request that awaits an answer is run"
+        );
+        self.send_start(id);
     }
 
-    pub fn ask_gauges(&mut self) {
-        self.watch_silence();
-        if self.kernel.synced && self.now >= self.kernel.asked + GAUGES_LEAD / 2 {
-            self.ask();
+    /// Sends the command to start, for the first time or again.
+    pub fn send_start(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let (correlation_id, body) = (request.correlation_id.clone(), request.body.clone());
+        let operation = request.operation;
+        let route = self.config.operations[operation.0].clone();
+        let command = self.send_command(Command::Sched {
+            rid: &correlation_id,
+            route: &route,
+            body: &body,
+        });
+        self.actions.trace_step(
+            &correlation_id,
+            format_args!("started by command {command}"),
+        );
+        if let Some(request) = self.requests.get_mut(&id) {
+            let execution = request.execution.get_or_insert_with(|| Execution {
+                start_command: command,
+                cancel_command: None,
+                is_acknowledged: false,
+                wait: ExecutionWait::Nothing,
+                call_body: Vec::new(),
+            });
+            execution.start_command = command;
+            request.start_commands += u32::from(command > 0);
+            if self.idempotency(operation) != Idempotency::Idempotent {
+                self.set_timer(START_MARK_DELAY, Timer::RequestGauges);
+            }
         }
     }
 
-    /// A link that is open and brings nothing would hold all that runs until its client timeout.
-    fn watch_silence(&mut self) {
-        let kernel = &mut self.kernel;
-        if !kernel.up || !kernel.waits || self.now < kernel.seen + SILENT_LOOK {
+    /// Cancels a request's execution.
+    pub fn cancel_execution(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else {
             return;
+        };
+        let Some(execution) = &request.execution else {
+            return;
+        };
+        if execution.start_command == 0 {
+            return self.drop_unsent_execution(id);
         }
-        (kernel.seen, kernel.unanswered) = (self.now, kernel.unanswered + 1);
-        if kernel.unanswered >= SILENT_LOOKS {
-            (kernel.up, kernel.synced, kernel.renewing) = (false, false, false);
-            (kernel.waits, kernel.unanswered) = (false, 0);
-            self.count("kernel: links gone silent", 1);
-            self.out.log(format_args!(
-                "kernel: link gone silent, {} in hand",
-                self.invs.len()
-            ));
-            self.out.reconnect_executor();
-        }
-    }
-
-    fn ask(&mut self) {
-        if !std::mem::replace(&mut self.kernel.waits, true) {
-            (self.kernel.unanswered, self.kernel.seen) = (0, self.now);
+        let correlation_id = request.correlation_id.clone();
+        let command = self.send_command(Command::Preempt(&correlation_id));
+        if let Some(execution) = self.execution_mut(id) {
+            execution.cancel_command = Some(command);
         }
-        self.kernel.asked = self.now;
-        self.kernel.sent += 1;
-        self.out
-            .send_executor_command(Command::SysInfo(self.kernel.sent).line());
     }
 
-    pub fn info(&mut self, mark: u64, values: Vec<f64>) {
-        self.kernel.gauges = Some((self.now, self.start.gauges(values.into_iter())));
-        (self.kernel.waits, self.kernel.unanswered) = (mark < self.kernel.sent, 0);
-        self.kernel.seen = self.now;
-        let arrived = self.kernel.arrived;
-        self.kernel.arrived = arrived.max(mark);
-        if self.kernel.renewing {
-            self.settled(mark);
-        } else if self.kernel.up && !self.kernel.synced && mark >= self.kernel.sync {
-            self.kernel.synced = true;
-            self.catch_up(arrived);
-        }
+    fn execution_mut(&mut self, id: RequestId) -> Option<&mut Execution> {
+        self.requests.get_mut(&id)?.execution.as_mut()
     }
 
-    /// Sends what waited for the link, and again what may not have arrived over the one before.
-    fn catch_up(&mut self, arrived: u64) {
-        let lacks = |sent: u64| sent == 0 || sent > arrived;
-        let running: Vec<_> = self
-            .invs
-            .iter()
-            .filter(|(_, inv)| inv.run.is_some())
-            .map(|(&id, _)| id)
-            .collect();
-        for id in running {
-            let Some(inv) = self.invs.get(&id) else {
-                continue;
-            };
-            let Some(run) = &inv.run else { continue };
-            // What may not run twice could have ended this moment, so it is only started if it
-            // never was.
-            let again = self.effect(inv.op) == Idempotency::Idempotent || inv.front.is_none();
-            let (sent, halted, seen) = (run.sent, run.halted, run.seen);
-            if !seen && lacks(sent) {
-                if sent == 0 || again {
-                    self.start(id)
-                } else {
-                    self.count("runs in doubt after a broken link", 1);
-                    self.set_timer(DOUBT, Timer::UncertainExecution(id));
-                }
-            }
-            self.resume_again(id, lacks);
-            if halted.is_some_and(lacks) {
-                self.halt(id);
-            }
-        }
+    /// An execution has come to a backend call; gives its request.
+    pub fn backend_call_needed(
+        &mut self,
+        correlation_id: &str,
+        notice: u64,
+        body: Vec<u8>,
+    ) -> Option<RequestId> {
+        let id = self.request_ids.get(correlation_id).copied();
+        let request = id
+            .and_then(|id| self.requests.get_mut(&id))
+            .filter(|request| request.execution.is_some());
+        let Some(request) = request else {
+            self.count(Metric::CallsOfUnknownExecutions, 1);
+            return None;
+        };
+        request.last_call_failed = false;
+        let execution = request.execution.as_mut()?;
+        execution.is_acknowledged = true;
+        execution.wait = ExecutionWait::BackendCall { notice };
+        execution.call_body = body;
+        id
     }
 
-    /// The kernel has not spoken of a run since the link broke on which it was asked for: its
-    /// caller is told at once and not at its client timeout. OpenItem for again when that is over, the
-    /// kernel only says whether there is one.
-    pub fn doubt_over(&mut self, id: RequestId) {
-        let silent = |inv: &OpenRequest| inv.run.as_ref().is_some_and(|run| !run.seen);
-        if self.kernel.synced && self.invs.get(&id).is_some_and(silent) {
-            self.answer(id, 500, "", Vec::new());
-            self.start(id);
-        }
+    /// Whether an execution waits for a backend call.
+    pub fn waits_for_backend_call(&self, id: RequestId) -> bool {
+        self.requests
+            .get(&id)
+            .and_then(|request| request.execution.as_ref())
+            .is_some_and(|execution| matches!(execution.wait, ExecutionWait::BackendCall { .. }))
     }
 
-    // ---- Runs ----
-
-    pub fn run(&mut self, id: RequestId) {
-        let Some(inv) = self.invs.get(&id) else {
+    /// Lets an execution go on, with the reply to its backend call or without one.
+    pub fn resume_execution(&mut self, id: RequestId, reply: Option<Vec<u8>>) {
+        let Some(execution) = self.execution_mut(id) else {
             return;
         };
-        let twice = inv.ran && self.effect(inv.op) != Idempotency::Idempotent;
-        let late = self
-            .leaving
-            .is_some_and(|notice| inv.arrived > notice + self.start.deployment.drain_grace);
-        let wanted = inv.front.is_some();
-        invariant!(self, !twice, "what must not run twice runs once");
-        invariant!(self, !late, "what arrives past the grace does not run");
-        invariant!(self, wanted, "only what is owed an answer is run");
-        self.start(id);
-    }
-
-    fn start(&mut self, id: RequestId) {
-        let Some(inv) = self.invs.get(&id) else {
+        let ExecutionWait::BackendCall { notice } = execution.wait else {
             return;
         };
-        let (rid, body) = (inv.rid.clone(), inv.body.clone());
-        let op = inv.op;
-        let route = self.start.operations[op.0].clone();
-        let sent = self.command(Command::Sched {
-            rid: &rid,
-            route: &route,
-            body: &body,
-        });
-        self.out
-            .trace_step(&rid, format_args!("told to run, command {sent}"));
-        if let Some(inv) = self.invs.get_mut(&id) {
-            let run = inv.run.get_or_insert_with(|| Execution {
-                sent,
-                halted: None,
-                seen: false,
-                wait: ExecutionWait::Nothing,
-                call_body: Vec::new(),
-            });
-            run.sent = sent;
-            inv.asked += u32::from(sent > 0);
-            if self.effect(op) != Idempotency::Idempotent {
-                self.set_timer(MARK, Timer::RequestGauges);
-            }
-        }
+        execution.wait = ExecutionWait::Resumed {
+            notice,
+            reply,
+            command: 0,
+        };
+        self.resend_resume(id, |command| command == 0);
     }
 
-    pub fn halt(&mut self, id: RequestId) {
-        let Some(inv) = self.invs.get(&id) else {
+    /// Sends the command to go on, if it was not sent yet or is lacking at the executor.
+    pub fn resend_resume(&mut self, id: RequestId, is_lacking: impl Fn(u64) -> bool) {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(run) = &inv.run else { return };
-        if run.sent == 0 {
-            return self.never_started(id);
-        }
-        let rid = inv.rid.clone();
-        let sent = self.command(Command::Preempt(&rid));
-        if let Some(run) = self.invs.get_mut(&id).and_then(|inv| inv.run.as_mut()) {
-            run.halted = Some(sent);
-        }
-    }
-
-    /// Asks again for runs that nobody has waited on for long: as their request is over, the kernel
-    /// says MOOT if there is no such run (its end was missed), and does nothing if there is.
-    pub fn ask_after_runs(&mut self) {
-        if !self.kernel.synced {
-            return; // what happened without a link is told first
-        }
-        let timeout = |inv: &OpenRequest| self.start.deployment.operations[inv.op.0].client_timeout;
-        let long_over = |inv: &OpenRequest| {
-            inv.front.is_none()
-                && inv.run.is_some()
-                && self.now > inv.arrived + timeout(inv) + LOOK_PERIOD
+        let correlation_id = request.correlation_id.clone();
+        let Some(execution) = request.execution.as_mut() else {
+            return;
         };
-        let over: Vec<_> = self
-            .invs
-            .iter()
-            .filter(|(_, inv)| long_over(inv))
-            .map(|(&id, _)| id)
-            .collect();
-        for id in over {
-            self.count("runs long over that were asked after", 1);
-            self.start(id);
+        let ExecutionWait::Resumed {
+            notice,
+            reply,
+            command,
+        } = &mut execution.wait
+        else {
+            return;
+        };
+        if !is_lacking(*command) {
+            return;
         }
-    }
-
-    /// A run has come to a call.
-    pub fn call_asked(&mut self, rid: &str, no: u64, body: Vec<u8>) -> Option<RequestId> {
-        let id = self.ids.get(rid).copied();
-        let inv = id
-            .and_then(|id| self.invs.get_mut(&id))
-            .filter(|inv| inv.run.is_some());
-        let Some(inv) = inv else {
-            self.count("kernel: calls of what does not run", 1);
-            return None;
+        let (notice, reply) = (*notice, reply.take());
+        let command = match &reply {
+            Some(body) => Command::IoDone {
+                rid: &correlation_id,
+                body,
+            },
+            None => Command::NoIo {
+                rid: &correlation_id,
+                no: notice,
+            },
         };
-        inv.call_failed = false;
-        let run = inv.run.as_mut()?;
-        (run.seen, run.wait, run.call_body) = (true, ExecutionWait::BackendCall { no }, body);
-        id
+        let command = self.send_command(command);
+        if let Some(execution) = self.execution_mut(id) {
+            execution.wait = ExecutionWait::Resumed {
+                notice,
+                reply,
+                command,
+            };
+        }
     }
 
-    /// A run is over: answers its caller.
-    pub fn reaped(&mut self, rid: &str, end: End, body: Vec<u8>) -> Option<RequestId> {
-        let id = self.ids.get(rid).copied();
-        let inv = id
-            .and_then(|id| self.invs.get_mut(&id))
-            .filter(|inv| inv.run.is_some());
-        let (Some(id), Some(inv)) = (id, inv) else {
-            self.count("kernel: ends of what does not run", 1);
+    /// An execution has ended: its request is answered.
+    pub fn execution_ended(
+        &mut self,
+        correlation_id: &str,
+        end: End,
+        body: Vec<u8>,
+    ) -> Option<RequestId> {
+        let id = self.request_ids.get(correlation_id).copied();
+        let request = id
+            .and_then(|id| self.requests.get_mut(&id))
+            .filter(|request| request.execution.is_some());
+        let (Some(id), Some(request)) = (id, request) else {
+            self.count(Metric::EndsOfUnknownExecutions, 1);
             return None;
         };
-        inv.run = None;
-        inv.ran |= end != End::Moot;
-        // To a second command MOOT only says that no run goes on: the first one may have run, and
+        request.execution = None;
+        request.has_run |= end != End::Moot;
+        // To a second command MOOT only says that nothing runs now: the first one may have run, and
         // its end been lost.
-        inv.never_ran = end == End::Moot && inv.asked == 1;
-        self.out.trace_step(rid, format_args!("run over: {end:?}"));
-        let call = inv.call.take();
-        if let Some(call) = call {
-            self.call_is_over(&call, true);
+        request.never_ran = end == End::Moot && request.start_commands == 1;
+        self.actions
+            .trace_step(correlation_id, format_args!("execution ended: {end:?}"));
+        if let Some(call) = request.backend_call.take() {
+            self.release_budget(&call, true);
             call.link()
                 .into_iter()
-                .for_each(|place| self.cancel(rid, place));
+                .for_each(|link| self.cancel_backend_call(correlation_id, link));
         }
         match end {
             End::Ok => {
-                let fresh = self.start.deployment.shared_answer_ttl;
-                self.cache.keep(id, &body, self.now + fresh);
+                let fresh_until = self.now + self.config.deployment.shared_answer_ttl;
+                self.idempotency_cache.store(id, &body, fresh_until);
                 self.answer(id, 200, "", body);
             }
             End::Error => self.answer(id, 500, "", Vec::new()),
             End::Stopped | End::Moot => {}
         }
-        self.settle(id);
+        self.remove_if_done(id);
         Some(id)
     }
 
-    /// The kernel did not carry a command out.
-    pub fn einval(&mut self, command: &str, rid: &str) -> Option<RequestId> {
-        self.count("kernel: commands not carried out", 1);
-        let id = self.ids.get(rid).copied().filter(|_| command == "SCHED")?;
-        let inv = self.invs.get_mut(&id)?;
-        inv.run.take_if(|run| !run.seen)?;
-        inv.never_ran = true; // no command for it was ever carried out
-        if let Some(front) = inv.front {
-            self.strike(front.conn); // the kernel never heard of it: no dispatcher's
+    /// The executor refused a command; gives the request that it can't run.
+    pub fn command_refused(&mut self, command: &str, correlation_id: &str) -> Option<RequestId> {
+        self.count(Metric::RefusedCommands, 1);
+        let id = self
+            .request_ids
+            .get(correlation_id)
+            .copied()
+            .filter(|_| command == "SCHED")?;
+        let request = self.requests.get_mut(&id)?;
+        request
+            .execution
+            .take_if(|execution| !execution.is_acknowledged)?;
+        request.never_ran = true; // no command for it was ever carried out
+        if let Some(target) = request.reply_target {
+            self.strike(target.connection_id); // load balancers send what the executor knows
         }
         self.answer(id, 500, "", Vec::new());
         Some(id)
     }
+
+    /// Starts executions again on which nobody has waited for long: as their requests are over, the
+    /// executor says MOOT if there is no such execution (its end was missed), and does nothing if
+    /// there is.
+    pub fn ask_for_overdue_executions(&mut self) {
+        if !self.executor.is_in_step() {
+            return; // what happened without a link is told first
+        }
+        let overdue: Vec<RequestId> = self
+            .requests
+            .iter()
+            .filter(|(_, request)| {
+                let operation = &self.config.deployment.operations[request.operation.0];
+                request.reply_target.is_none()
+                    && request.execution.is_some()
+                    && self.now > request.arrived + operation.client_timeout + HOUSEKEEPING_PERIOD
+            })
+            .map(|(&id, _)| id)
+            .collect();
+        for id in overdue {
+            self.count(Metric::OverdueExecutions, 1);
+            self.send_start(id);
+        }
+    }
+
+    /// Whether the execution of a correlation id waits for a backend call.
+    #[cfg(test)]
+    pub fn waits_for_call(&self, correlation_id: &str) -> bool {
+        self.request_ids
+            .get(correlation_id)
+            .is_some_and(|&id| self.waits_for_backend_call(id))
+    }
 }
--- /dev/null
+++ b/crates/node/src/state/requests.rs
@@ -0,0 +1,323 @@
+//! Requests in flight: from reading to the one answer and the end of all that goes on for them.
+
+use super::backend_calls::{BACKEND_LINKS, BackendCall};
+use super::connections::OpenItem;
+use super::executions::Execution;
+use super::{DeferredEvent, MILLISECOND, NodeState};
+use crate::actions::{Actions, ConnectionId};
+use crate::fastcgi::Reply;
+use crate::idempotency_cache::IdempotencyKey;
+use crate::metrics::Metric;
+use crate::request::RequestHead;
+use crate::request_error::RequestError;
+use crate::request_rules::HeldPermits;
+use madderpoint::{ExecutionOutcome, Idempotency, Nanos, OperationId, RequestId};
+use std::collections::hash_map::DefaultHasher;
+use std::hash::{BuildHasher, Hasher};
+use std::rc::Rc;
+
+/// Where an answer is owed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReplyTarget {
+    /// The connection.
+    pub connection_id: ConnectionId,
+    /// The FastCGI request id there.
+    pub fastcgi_id: u16,
+}
+
+/// What a request was given by rules and limits before it reaches the admission controller.
+#[derive(Debug, Default)]
+pub struct RequestContext {
+    /// What a repeat of it is known by.
+    pub idempotency_key: Option<IdempotencyKey>,
+    /// The class that a rule gave.
+    pub class: Option<Rc<str>>,
+    /// Its permits of buckets.
+    pub permits: Option<HeldPermits>,
+    /// Whether the backend gate admitted it.
+    pub is_gated: bool,
+}
+
+/// A request that is not answered yet, or for which something goes on.
+pub struct OpenRequest {
+    /// Correlation id.
+    pub correlation_id: String,
+    /// The operation.
+    pub operation: OperationId,
+    /// The body.
+    pub body: Vec<u8>,
+    /// When it reached the machine.
+    pub arrived: Nanos,
+    /// How long its client waits from then on.
+    client_timeout: Nanos,
+    /// Where its answer is owed; none once it is answered or its client has cancelled it.
+    pub reply_target: Option<ReplyTarget>,
+    /// Its execution, while one is wanted or goes on.
+    pub execution: Option<Execution>,
+    /// Whether an execution of it has ended.
+    pub has_run: bool,
+    /// How often the executor was told to run it.
+    pub start_commands: u32,
+    /// Whether none of it can have run all the same.
+    pub never_ran: bool,
+    /// Its backend call, if one is wanted or under way.
+    pub backend_call: Option<BackendCall>,
+    /// Whether the call before the present one failed, so that the next one is a retry.
+    pub last_call_failed: bool,
+    /// Backend calls so far.
+    pub backend_calls: u32,
+    /// Whether the backend gate admitted it.
+    pub is_gated: bool,
+    /// Links to the backend on which a late reply to one of its calls may come.
+    pub tainted_links: [bool; BACKEND_LINKS],
+    /// What a repeat of it is known by.
+    pub idempotency_key: Option<IdempotencyKey>,
+    /// The request that it repeats.
+    pub repeat_of: Option<RequestId>,
+    /// When it was coalesced with that one.
+    pub coalesced_at: Option<Nanos>,
+    /// Requests that are coalesced with it.
+    pub coalesced: Vec<RequestId>,
+    class: Option<Rc<str>>,
+    permits: Option<HeldPermits>,
+}
+
+/// Tells bodies apart. It is not secret: a client that makes two bodies with one fingerprint only
+/// gets the first one's answer for both.
+fn fingerprint(body: &[u8]) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    hasher.write(body);
+    hasher.finish()
+}
+
+impl<A: Actions> NodeState<A> {
+    /// Whether a request with this correlation id is in flight.
+    pub fn is_in_flight(&self, correlation_id: &str) -> bool {
+        self.request_ids.contains_key(correlation_id)
+    }
+
+    /// What a repeat of a request is known by: the key that a rule gave, where its operation has a
+    /// use for one, else its idempotency key, or what a read is about. Tenants never share one.
+    pub fn idempotency_key(
+        &self,
+        head: &RequestHead,
+        rule_key: Option<u64>,
+        body: &[u8],
+        arrived: Nanos,
+    ) -> Option<IdempotencyKey> {
+        let idempotency = self.idempotency(head.operation);
+        let shares_results =
+            self.config.deployment.shared_answer_ttl > 0 && idempotency == Idempotency::Idempotent;
+        let once = idempotency == Idempotency::Keyed;
+        let tenant = head.tenant.map(|tenant| tenant.0);
+        let by_rule = rule_key.map(|key| self.key_hasher.hash_one((tenant, key)));
+        let by_client = head
+            .idempotency_key
+            .as_ref()
+            .map(|key| self.key_hasher.hash_one((tenant, key)));
+        match by_rule.or(by_client.filter(|_| once)) {
+            Some(subject) if shares_results || once => Some(IdempotencyKey {
+                operation: head.operation.0,
+                subject,
+                body: Some(fingerprint(body)),
+                once,
+                arrived,
+            }),
+            // What is asked about a subject is in the body: only the same question has the same
+            // answer.
+            _ => head
+                .subject
+                .filter(|_| shares_results)
+                .map(|subject| IdempotencyKey {
+                    operation: head.operation.0,
+                    subject: self.key_hasher.hash_one((tenant, subject, body)),
+                    body: None,
+                    once: false,
+                    arrived,
+                }),
+        }
+    }
+
+    /// Checks that a request with this key may be admitted.
+    pub fn check_idempotency_key(&mut self, key: &IdempotencyKey) -> Result<(), RequestError> {
+        if self.idempotency_cache.conflicts(self.now, key) {
+            return Err(RequestError::IdempotencyKeyConflict);
+        }
+        let is_new = key.once && self.idempotency_cache.original(self.now, *key).is_none();
+        // What must run once is not run where nothing would remember that it did.
+        if is_new && !self.idempotency_cache.has_room(self.now) {
+            return Err(RequestError::IdempotencyCacheFull);
+        }
+        Ok(())
+    }
+
+    /// Opens a request; gives its id and the request that it repeats.
+    pub fn open_request(
+        &mut self,
+        target: ReplyTarget,
+        head: &RequestHead,
+        body: Vec<u8>,
+        age: Nanos,
+        context: RequestContext,
+    ) -> (RequestId, Option<RequestId>) {
+        self.last_request_id += 1;
+        let id = RequestId(self.last_request_id);
+        let client_timeout = head
+            .client_timeout
+            .unwrap_or(self.config.deployment.operations[head.operation.0].client_timeout);
+        let repeat_of = context
+            .idempotency_key
+            .and_then(|key| self.idempotency_cache.original(self.now, key));
+        let request = OpenRequest {
+            correlation_id: head.correlation_id.clone(),
+            operation: head.operation,
+            body,
+            arrived: self.now.saturating_sub(age),
+            client_timeout,
+            reply_target: Some(target),
+            execution: None,
+            has_run: false,
+            start_commands: 0,
+            never_ran: false,
+            backend_call: None,
+            last_call_failed: false,
+            backend_calls: 0,
+            is_gated: context.is_gated,
+            tainted_links: [false; BACKEND_LINKS],
+            idempotency_key: context.idempotency_key,
+            repeat_of,
+            coalesced_at: None,
+            coalesced: Vec::new(),
+            class: context.class,
+            permits: context.permits,
+        };
+        self.actions.trace_step(
+            &head.correlation_id,
+            format_args!("read, age {} ms", age / MILLISECOND),
+        );
+        self.request_ids.insert(head.correlation_id.clone(), id);
+        self.requests.insert(id, request);
+        self.count_arrival(head.operation, head.load_balancer, repeat_of.is_some());
+        if let Some(connection) = self.connections.get_mut(&target.connection_id) {
+            connection
+                .open
+                .insert(target.fastcgi_id, OpenItem::Request(id));
+        }
+        (id, repeat_of)
+    }
+
+    /// Whether an operation may run again.
+    pub fn idempotency(&self, operation: OperationId) -> Idempotency {
+        self.config.deployment.operations[operation.0].effect
+    }
+
+    /// Writes the one answer of a request; nothing if it has had it or its client has cancelled it.
+    pub fn answer(&mut self, id: RequestId, status: u16, more_headers: &str, body: Vec<u8>) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(target) = request.reply_target.take() else {
+            return;
+        };
+        let (operation, class) = (request.operation, request.class.clone());
+        let (arrived, client_timeout) = (request.arrived, request.client_timeout);
+        self.actions.trace_step(
+            &request.correlation_id,
+            format_args!(
+                "answered {status} after {} ms",
+                (self.now - arrived) / MILLISECOND
+            ),
+        );
+        if self.now > arrived + client_timeout {
+            self.count(Metric::LateAnswers, 1);
+        }
+        self.count_answer(operation, status, self.now.saturating_sub(arrived));
+        match status {
+            200 => self.answered_with_success(target.connection_id),
+            _ => self.answered_without_success(target.connection_id),
+        }
+        if let (Some(class), Some(rules)) = (&class, &mut self.rules) {
+            rules.count_answer(class, status);
+        }
+        let headers = self.response_headers() + more_headers;
+        self.finish(
+            target,
+            Reply::answer(target.fastcgi_id, status, &headers, body),
+        );
+        self.remove_if_done(id);
+    }
+
+    /// Removes a request that is answered and of which nothing goes on.
+    pub fn remove_if_done(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if request.reply_target.is_some() {
+            return;
+        }
+        match &request.execution {
+            Some(execution) if execution.start_command == 0 => self.drop_unsent_execution(id),
+            Some(_) => {}
+            None => self.remove(id),
+        }
+    }
+
+    /// Drops an execution of which the executor has not been told.
+    pub fn drop_unsent_execution(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.execution = None;
+            self.deferred
+                .push_back(DeferredEvent::ExecutionNeverStarted(id));
+            self.remove_if_done(id);
+        }
+    }
+
+    fn remove(&mut self, id: RequestId) {
+        let Some(request) = self.requests.remove(&id) else {
+            return;
+        };
+        self.request_ids.remove(&request.correlation_id);
+        if let Some(gate) = self
+            .shared
+            .backend_gate
+            .as_mut()
+            .filter(|_| request.is_gated && request.has_run)
+        {
+            gate.ran(request.backend_calls);
+        }
+        if let (Some(permits), Some(rules)) = (request.permits, &mut self.rules) {
+            rules.release(self.now, permits);
+        }
+        let result = self.idempotency_cache.result(id).map(<[u8]>::to_vec);
+        if result.is_none() {
+            let may_have_run = request.start_commands > 0 && !request.never_ran;
+            self.idempotency_cache
+                .ended_without_result(id, may_have_run);
+        }
+        for coalesced in request.coalesced {
+            self.deferred
+                .push_back(DeferredEvent::CoalescedEnded(coalesced, result.clone()));
+        }
+    }
+
+    /// Answers a request that was coalesced with another; gives how that ended and how long this
+    /// one waited for it.
+    pub fn answer_coalesced(
+        &mut self,
+        id: RequestId,
+        result: Option<Vec<u8>>,
+    ) -> Option<(ExecutionOutcome, Nanos)> {
+        let request = self.requests.get(&id)?;
+        let latency = self.now - request.coalesced_at?;
+        let outcome = if result.is_some() {
+            ExecutionOutcome::Succeeded
+        } else {
+            ExecutionOutcome::Failed
+        };
+        match result {
+            Some(body) => self.answer(id, 200, "", body),
+            None => self.answer(id, 500, "", Vec::new()),
+        }
+        Some((outcome, latency))
+    }
+}
--- a/crates/node/tests/rules.rs
+++ b/crates/node/tests/rules.rs
@@ -182,7 +182,7 @@
         });
         worker.wait_started(1);
         node.terminate();
-        node.logged("notice to leave");
+        node.logged("drain: stop in");
         worker.hold(false);
         loading.join().unwrap();
     });
