--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -18,7 +18,7 @@
 use crate::config::{Identity, Moved, Peers};
 use crate::fastcgi::Reply;
 use crate::log::log;
-use crate::node::{Event, Moment, Node};
+use crate::node::{ClockReading, Event, Node};
 use crate::request_rules::CompiledRuleSet;
 use crate::state::BACKEND_LINKS;
 use backend_link::BackendLinkCommand;
@@ -111,8 +111,8 @@
         }
     }
 
-    fn read(self) -> Moment {
-        Moment {
+    fn read(self) -> ClockReading {
+        ClockReading {
             now: self.now(),
             unix_ms: unix().as_millis() as u64,
         }
@@ -338,7 +338,7 @@
             part.count_bytes = room.counter_bytes;
             part.change_bytes = room.rollout_bytes;
             let unix = move || {
-                let Moment { now, unix_ms } = clock.read();
+                let ClockReading { now, unix_ms } = clock.read();
                 madderpoint_membership::ClockReading { now, unix_ms }
             };
             // Chance of its own: the seed of the decisions is told by the platform, and may be the
--- a/crates/node/src/io/backend_link.rs
+++ b/crates/node/src/io/backend_link.rs
@@ -75,7 +75,11 @@
             match queue.recv_timeout(IDLE) {
                 Ok(BackendLinkCommand::Call(call, id, bytes, wanted)) => {
                     let event = match self.write_call(&bytes, &wanted) {
-                        Ok(link) => Event::BackendCallWritten(call, id, link),
+                        Ok(link) => Event::BackendCallWritten {
+                            call,
+                            request: id,
+                            link,
+                        },
                         Err(_) => Event::BackendCallNotSent(call, id),
                     };
                     let _ = self.events.send(Message::Event(event));
--- a/crates/node/src/io/backend_link/tests.rs
+++ b/crates/node/src/io/backend_link/tests.rs
@@ -68,7 +68,7 @@
         let mut calls = Vec::new();
         while calls.last().is_none_or(|&(no, _)| no != last) {
             match self.event() {
-                Event::BackendCallWritten(no, ..) => calls.push((no.0, true)),
+                Event::BackendCallWritten { call, .. } => calls.push((call.0, true)),
                 Event::BackendCallNotSent(no, _) => calls.push((no.0, false)),
                 _ => {}
             }
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -82,7 +82,7 @@
     pub fn with(&self) -> SharedStateOptions {
         SharedStateOptions {
             service: self.service.clone(),
-            counts: !self.arbiters.is_empty(),
+            counts_for_cluster: !self.arbiters.is_empty(),
         }
     }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -34,7 +34,7 @@
 use cluster_reports::{
     BUDGET_REQUEST_PERIOD, COUNTER_REPORT_PERIOD, HEALTH_REPORT_PERIOD, LOAD_HINT_PERIOD,
 };
-pub use event::{Event, Moment};
+pub use event::{ClockReading, Event};
 
 /// Kept back from the time to the stop, for answers to be written out.
 const WRITE_OUT_TIME: Nanos = 150_000_000;
@@ -45,7 +45,7 @@
     /// The backend service whose health is watched together.
     pub service: Option<SharedService>,
     /// Whether counters are added up.
-    pub counts: bool,
+    pub counts_for_cluster: bool,
 }
 
 /// A backend service whose health the cluster watches together.
@@ -54,7 +54,7 @@
     /// Its name, the same on all nodes.
     pub name: String,
     /// A call that takes longer counts as failed.
-    pub slow: Option<Nanos>,
+    pub slow_call_threshold: Option<Nanos>,
     /// The node's zone as a number.
     pub zone: u32,
 }
@@ -135,13 +135,13 @@
         }
         if let Some(service) = service {
             state.shared.service_health = Some(Box::new(ServiceHealth::new(now, service.zone)));
-            state.shared.slow_call_threshold = service.slow;
+            state.shared.slow_call_threshold = service.slow_call_threshold;
             state.set_timer(HEALTH_REPORT_PERIOD, Timer::HealthReport);
         }
         if !budgets.is_empty() || service.is_some() {
             state.shared.backend_gate = Some(Box::new(BackendGate::new(now)));
         }
-        if options.counts {
+        if options.counts_for_cluster {
             let counting = ClusterCounting::new(now, &self.config.operations);
             state.cluster_counting = Some(Box::new(counting));
             state.set_timer(COUNTER_REPORT_PERIOD, Timer::CounterReport);
@@ -232,13 +232,13 @@
     }
 
     /// Handles what happened.
-    pub fn handle(&mut self, moment: Moment, event: Event) {
-        let now = moment.now;
+    pub fn handle(&mut self, clock: ClockReading, event: Event) {
+        let now = clock.now;
         self.state.borrow_mut().now = now;
         match event {
             Event::Connected(id, address) => self.state.borrow_mut().connected(id, address),
             Event::Disconnected(id) => self.on_disconnected(now, id),
-            Event::LoadBalancer(id, event) => self.on_load_balancer_event(moment, id, event),
+            Event::LoadBalancer(id, event) => self.on_load_balancer_event(clock, id, event),
             Event::HalfClosed(id) => self.on_input_ended(id, None),
             Event::ProtocolError(id, cause) => self.on_input_ended(id, Some(cause)),
             Event::RequestTruncated => self.count(Metric::TruncatedRequests),
@@ -247,9 +247,11 @@
             Event::ExecutorConnected(last) => self.state.borrow_mut().executor_connected(last),
             Event::ExecutorDisconnected => self.state.borrow_mut().executor_disconnected(),
             Event::Executor(notice) => self.on_executor_notice(now, notice),
-            Event::BackendCallWritten(call, id, link) => {
-                self.on_backend_call_written(now, call, id, link)
-            }
+            Event::BackendCallWritten {
+                call,
+                request,
+                link,
+            } => self.on_backend_call_written(now, call, request, link),
             Event::BackendCallNotSent(call, id) => self.on_backend_call_not_sent(now, call, id),
             Event::BackendReply(link, reply) => self.on_backend_reply(now, link, reply),
             Event::BackendDisconnected(link, cause) => {
--- a/crates/node/src/node/cluster_reports.rs
+++ b/crates/node/src/node/cluster_reports.rs
@@ -148,9 +148,9 @@
                 if std::mem::replace(before, is_at_floor) != is_at_floor {
                     let budget = borrower.budget();
                     let what = if is_at_floor {
-                        "at its floor, nothing is lent"
+                        "at its guaranteed floor, no lease"
                     } else {
-                        "lent a part"
+                        "lease granted"
                     };
                     let (units, limit) = (borrower.units(now), budget.limit);
                     lines.push(format!(
@@ -168,12 +168,12 @@
             let has_no_lender = borrower.hears_nobody(now);
             if std::mem::replace(&mut self.quotas_without_lender, has_no_lender) != has_no_lender {
                 let what = if has_no_lender {
-                    "nobody who lends is heard, floors only"
+                    "no lender is heard, guaranteed floors only"
                 } else {
-                    "heard again"
+                    "a lender is heard again"
                 };
                 lines.push(format!(
-                    "keys of the fleet: {what}; {} keys here",
+                    "keyed quotas: {what}; {} keys here",
                     borrower.keys()
                 ));
             }
--- a/crates/node/src/node/event.rs
+++ b/crates/node/src/node/event.rs
@@ -39,7 +39,14 @@
     /// The executor sent a notice.
     Executor(Notice),
     /// A backend call was written whole.
-    BackendCallWritten(CallId, RequestId, BackendLink),
+    BackendCallWritten {
+        /// The call.
+        call: CallId,
+        /// Its request.
+        request: RequestId,
+        /// The connection.
+        link: BackendLink,
+    },
     /// A backend call could not be written whole, so that it never ran.
     BackendCallNotSent(CallId, RequestId),
     /// The backend replied on the link at this index.
@@ -70,7 +77,7 @@
 
 /// A reading of the clocks.
 #[derive(Clone, Copy, Debug)]
-pub struct Moment {
+pub struct ClockReading {
     /// Time since any fixed point; never goes back.
     pub now: Nanos,
     /// Unix time in milliseconds.
--- a/crates/node/src/node/load_balancer.rs
+++ b/crates/node/src/node/load_balancer.rs
@@ -1,6 +1,6 @@
 //! Load balancers' connections and requests.
 
-use super::{Moment, Node};
+use super::{ClockReading, Node};
 use crate::actions::{Actions, ConnectionId};
 use crate::fastcgi;
 use crate::metrics::Metric;
@@ -39,13 +39,13 @@
 
     pub(super) fn on_load_balancer_event(
         &mut self,
-        moment: Moment,
+        clock: ClockReading,
         connection_id: ConnectionId,
         event: fastcgi::Event,
     ) {
         self.state.borrow_mut().event_received(connection_id);
         match event {
-            fastcgi::Event::Request(request) => self.on_request(moment, connection_id, request),
+            fastcgi::Event::Request(request) => self.on_request(clock, connection_id, request),
             fastcgi::Event::Abort(fastcgi_id) => {
                 let target = ReplyTarget {
                     connection_id,
@@ -53,7 +53,7 @@
                 };
                 let cancelled = self.state.borrow_mut().aborted(target);
                 if let Some(id) = cancelled {
-                    self.client_cancelled(moment.now, id);
+                    self.client_cancelled(clock.now, id);
                 }
                 self.state.borrow_mut().event_handled(connection_id);
             }
@@ -67,7 +67,7 @@
 
     fn on_request(
         &mut self,
-        moment: Moment,
+        clock: ClockReading,
         connection_id: ConnectionId,
         request: fastcgi::Request,
     ) {
@@ -92,16 +92,17 @@
             }
             _ => None,
         };
-        if let Some(outcome) = &outcome
-            && let Some(verdict) = &outcome.verdict
+        let operation = outcome.as_ref().and_then(|outcome| outcome.operation);
+        if let Some(verdict) = outcome
+            .as_ref()
+            .and_then(|outcome| outcome.verdict.as_ref())
         {
             let counted = fields
                 .operation_and_load_balancer(&self.config)
-                .map(|(operation, from)| (outcome.operation.unwrap_or(operation), from));
+                .map(|(by_path, from)| (operation.unwrap_or(by_path), from));
             return Self::answer_verdict(&mut state, target, counted, verdict);
         }
-        let operation = outcome.as_ref().and_then(|outcome| outcome.operation);
-        match fields.kind(&self.config, moment.unix_ms, operation) {
+        match fields.kind(&self.config, clock.unix_ms, operation) {
             Err(error) => state.reject_with_strike(target, error),
             Ok(RequestKind::HealthCheck { is_deep }) => state.health_check(target, is_deep),
             Ok(RequestKind::Call(_)) if self.admission.is_none() => {
@@ -111,18 +112,17 @@
                 state.reject_with_strike(target, RequestError::CorrelationIdInUse);
             }
             Ok(RequestKind::Call(head)) => {
-                let arrived = moment.now.saturating_sub(head.age(moment.unix_ms));
                 let context = Self::admit_by_policy(
                     &mut state,
                     target,
                     &head,
                     outcome.unwrap_or_default(),
                     &request.body,
-                    arrived,
+                    clock.now.saturating_sub(head.age(clock.unix_ms)),
                 );
                 drop(state);
                 if let Some(context) = context {
-                    self.on_arrival(moment, target, head, request.body, context);
+                    self.on_arrival(clock, target, head, request.body, context);
                 }
             }
         }
@@ -131,13 +131,13 @@
     /// Hands a request to the admission controller.
     fn on_arrival(
         &mut self,
-        moment: Moment,
+        clock: ClockReading,
         target: ReplyTarget,
         head: RequestHead,
         body: Vec<u8>,
         context: RequestContext,
     ) {
-        let age = head.age(moment.unix_ms);
+        let age = head.age(clock.unix_ms);
         let has_subject = head.subject.is_some() || context.idempotency_key.is_some();
         let (id, repeats) = self
             .state
@@ -158,7 +158,7 @@
             repeats,
         };
         if let Some(admission) = &mut self.admission {
-            admission.on_arrival(moment.now, arrival);
+            admission.on_arrival(clock.now, arrival);
         }
     }
 
--- a/crates/node/src/node/request_policy.rs
+++ b/crates/node/src/node/request_policy.rs
@@ -20,7 +20,7 @@
         let (rules, buckets) = (compiled.rules.rules().len(), compiled.buckets.len());
         let (kib, max_cost) = (compiled.rules.bytes() >> 10, compiled.rules.worst());
         let quotas: Vec<KeyedQuota> = compiled
-            .fleet
+            .quotas
             .iter()
             .map(|(_, quota)| quota.clone())
             .collect();
--- a/crates/node/src/node/tests/backend_calls.rs
+++ b/crates/node/src/node/tests/backend_calls.rs
@@ -60,7 +60,11 @@
         node.need_backend_call(A, 1);
         let (_, no, id, _) = node.last_call();
         if written {
-            node.event(Event::BackendCallWritten(no, id, link(1)));
+            node.event(Event::BackendCallWritten {
+                call: no,
+                request: id,
+                link: link(1),
+            });
             node.event(Event::BackendDisconnected(link(1), None));
         } else {
             node.event(Event::BackendDisconnected(link(1), None)); // another call's connection
@@ -83,7 +87,11 @@
     };
     node.event(Event::BackendDisconnected(link, None));
     assert_eq!(node.statuses(), []);
-    node.event(Event::BackendCallWritten(no, id, link));
+    node.event(Event::BackendCallWritten {
+        call: no,
+        request: id,
+        link,
+    });
     assert_eq!(node.statuses(), [(1, "500".into())]);
 }
 
--- a/crates/node/src/node/tests/cluster_limits.rs
+++ b/crates/node/src/node/tests/cluster_limits.rs
@@ -23,7 +23,7 @@
 fn service() -> SharedService {
     SharedService {
         name: "register".into(),
-        slow: Some(200 * MS),
+        slow_call_threshold: Some(200 * MS),
         zone: 1,
     }
 }
@@ -34,7 +34,7 @@
         let mut node = TestNode::with_settings(&settings());
         let with = SharedStateOptions {
             service: service.cloned(),
-            counts: true,
+            counts_for_cluster: true,
         };
         node.node
             .join_cluster(node.now, budgets, QuotaTiming::of(3), &with);
@@ -411,7 +411,7 @@
         QuotaTiming::of(3),
         &SharedStateOptions {
             service: None,
-            counts: true,
+            counts_for_cluster: true,
         },
     );
     node.wait(1000);
--- a/crates/node/src/node/tests/idempotency.rs
+++ b/crates/node/src/node/tests/idempotency.rs
@@ -304,7 +304,7 @@
     assert_eq!(
         node.executor_commands().len(),
         0,
-        "the first may run at this moment"
+        "the first may run at this clock"
     );
     node.wait(1000);
     assert_eq!(node.statuses(), [(1, "500".into())]);
--- a/crates/node/src/node/tests/rules.rs
+++ b/crates/node/src/node/tests/rules.rs
@@ -43,7 +43,7 @@
     Box::new(CompiledRuleSet {
         rules: compiled.rules,
         buckets: compiled.buckets,
-        fleet: compiled.fleet,
+        quotas: compiled.fleet,
     })
 }
 
--- a/crates/node/src/node/tests/support.rs
+++ b/crates/node/src/node/tests/support.rs
@@ -177,11 +177,11 @@
     }
 
     pub fn event(&mut self, event: Event) {
-        let moment = Moment {
+        let clock = ClockReading {
             now: self.now,
             unix_ms: self.now / MS,
         };
-        self.node.handle(moment, event);
+        self.node.handle(clock, event);
     }
 
     pub fn wait(&mut self, ms: u64) {
--- a/crates/node/src/request_rules.rs
+++ b/crates/node/src/request_rules.rs
@@ -23,7 +23,7 @@
     /// Their buckets.
     pub buckets: Vec<Bucket>,
     /// Those that are limits of the whole cluster, with their indices.
-    pub fleet: Vec<(usize, KeyedQuota)>,
+    pub quotas: Vec<(usize, KeyedQuota)>,
 }
 
 /// What a request holds of buckets until it ends.
@@ -120,7 +120,7 @@
             exhausted: 0,
             logged_sum: 0,
         };
-        rules.define(now, &compiled.buckets, &compiled.fleet);
+        rules.define(now, &compiled.buckets, &compiled.quotas);
         rules
     }
 
@@ -128,7 +128,7 @@
     /// count.
     pub fn replace(&mut self, now: Nanos, compiled: CompiledRuleSet) {
         self.rule_set = compiled.rules;
-        self.define(now, &compiled.buckets, &compiled.fleet);
+        self.define(now, &compiled.buckets, &compiled.quotas);
     }
 
     /// From now on units of these quotas are requested from the cluster.
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -135,7 +135,7 @@
     let (budgets, keys) = (fleet.budgets.clone(), key_budgets(read));
     let service = fleet.service.as_ref().map(|service| SharedService {
         name: service.name.clone(),
-        slow: service.slow,
+        slow_call_threshold: service.slow,
         zone: io::zone_number(&settings.zone),
     });
     let operations = who.start.operations.clone();
@@ -183,7 +183,7 @@
             Box::new(CompiledRuleSet {
                 rules: book.rules,
                 buckets: book.buckets,
-                fleet: book.fleet,
+                quotas: book.fleet,
             })
         }
         None => Box::new(CompiledRuleSet::default()),
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -2,8 +2,8 @@
 //!
 //! [`Node`](crate::node::Node) brings the events in; the admission controller acts on the same
 //! state through [`AdmissionHost`], which holds the other end of the shared reference. What follows
-//! from such an action for the admission controller itself can't be told while it still decides: it
-//! waits as a [`DeferredEvent`] until the controller has returned.
+//! from such an action for the admission controller itself can't reach it while it still decides:
+//! it waits as a [`DeferredEvent`] until the controller has returned.
 //!
 //! Each part has its own file: [`connections`], [`idle_connections`] and [`health_checks`] towards
 //! load balancers; [`requests`]; [`executor_link`] and [`executions`]; [`backend_calls`];
@@ -70,7 +70,7 @@
 /// Time between two logs of the counts, and between two searches for overdue executions.
 const HOUSEKEEPING_PERIOD: Nanos = 10_000 * MILLISECOND;
 
-/// What the admission controller is told once it has returned.
+/// An event for the admission controller that came up while it was deciding.
 pub enum DeferredEvent {
     /// A backend call ended before it was sent.
     BackendCallEnded(RequestId, BackendCallOutcome),
@@ -86,7 +86,7 @@
     pub actions: A,
     /// The time of the event that is being handled.
     pub now: Nanos,
-    /// What is to be told to the admission controller next, in this order.
+    /// Events for the admission controller, in this order.
     pub deferred: VecDeque<DeferredEvent>,
     config: Rc<DeploymentConfig>,
     timers: Timers,
@@ -195,7 +195,7 @@
         self.load_report
     }
 
-    /// The total of a name in the log.
+    /// The totals.
     #[cfg(test)]
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
--- a/crates/node/src/state/connections.rs
+++ b/crates/node/src/state/connections.rs
@@ -11,15 +11,16 @@
 use std::net::IpAddr;
 
 /// When a connection is closed, the rest of a request that has come in part is waited for this
-/// long: of an unidentified peer, and of a load balancer, whose network may be slow.
+/// long.
 const PARTIAL_REQUEST_WAIT: Nanos = 1000 * MILLISECOND;
+/// The same on the connection of an identified peer, whose network may be slow.
 const PARTIAL_REQUEST_WAIT_IDENTIFIED: Nanos = 3000 * MILLISECOND;
 /// Answers in a row without success that count as a strike of an unidentified peer.
 const UNSUCCESSFUL_ANSWERS_PER_STRIKE: u32 = 128;
 /// Strikes after which a connection is closed.
 const STRIKES: u32 = 6;
-/// Pause before an unidentified peer is read on; doubled with each strike.
-const PACE: Nanos = 25 * MILLISECOND;
+/// Half the pause before each read after the first strike; the pause doubles with each strike.
+const READ_PAUSE_BASE: Nanos = 25 * MILLISECOND;
 
 /// What is open under a FastCGI request id.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -314,7 +315,7 @@
         connection.strikes += 1;
         let is_last = connection.strikes >= STRIKES;
         connection.close_when_done |= is_last;
-        let pause = PACE << connection.strikes.min(STRIKES);
+        let pause = READ_PAUSE_BASE << connection.strikes.min(STRIKES);
         self.actions.pace_reading(connection_id, pause);
         if is_last {
             self.actions.stop_reading(connection_id);
--- a/crates/node/src/state/executor_link.rs
+++ b/crates/node/src/state/executor_link.rs
@@ -14,9 +14,10 @@
 const GAUGES_FRESH: Nanos = 100 * MILLISECOND;
 /// A link that is to be replaced has this long to show that all commands arrived.
 const RECONNECT_TIMEOUT: Nanos = 100 * MILLISECOND;
-/// A link is silent once this many checks, this far apart, found no answer. Checks are counted and
-/// not the clock, for of a machine that stood still only one is late.
+/// A link is silent once this many checks found no answer. Checks are counted and not the clock,
+/// for of a machine that stood still only one is late.
 const SILENT_CHECKS: u32 = 5;
+/// The least time between two such checks.
 const SILENT_CHECK_PERIOD: Nanos = 400 * MILLISECOND;
 /// An execution of which it is not known whether it runs has this long to be heard of.
 const UNCERTAIN_TIMEOUT: Nanos = 1000 * MILLISECOND;
--- a/crates/node/src/state/idle_connections.rs
+++ b/crates/node/src/state/idle_connections.rs
@@ -7,9 +7,9 @@
 
 /// The idle timeout where the deployment names none.
 const DEFAULT_IDLE_TIMEOUT: Nanos = 60_000 * MILLISECOND;
-/// The first whole request is to come within this, and a second one within that: a peer that
-/// connects and sends nothing, or sends one request and stays, takes others' room.
+/// The first whole request is to come within this: a peer that sends nothing takes others' room.
 const FIRST_REQUEST: Nanos = 1500 * MILLISECOND;
+/// The longest idle timeout after the first request: so does one that sends one and stays.
 const SECOND_REQUEST: Nanos = 1000 * MILLISECOND;
 /// A connection this young is not closed to make room: its first request may be on its way.
 const YOUNG: Nanos = 200 * MILLISECOND;
--- a/crates/node/src/state/shared_limits.rs
+++ b/crates/node/src/state/shared_limits.rs
@@ -126,8 +126,8 @@
             let own = health.evidence(self.now);
             let others = health.others(self.now).unwrap_or_default();
             self.actions.log(format_args!(
-                "service below: {}->{}, {} of {} calls failed lately, {} of {} others in {} of {} zones say it is ill, \
-                 {:.0} % goes there",
+                "backend service: {}->{}, {} of {} calls failed lately, \
+                 {} of {} others in {} of {} zones report it unhealthy, {:.0} % of calls admitted",
                 state_before.word(),
                 state.word(),
                 own.failed,
