--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -1,5 +1,7 @@
 //! Side effects that the node may request from its I/O, and the ids that both use.
 
+#![warn(missing_docs)]
+
 use crate::cluster::ClusterUpdate;
 use crate::config::Peers;
 use crate::fastcgi::Reply;
--- a/crates/node/src/capacity.rs
+++ b/crates/node/src/capacity.rs
@@ -1,6 +1,8 @@
 //! How much of each thing the node may keep. All bounds follow from the process's limits, and
 //! together they stay below its memory. The measurements behind the constants: `docs/capacity.md`.
 
+#![warn(missing_docs)]
+
 use crate::config::Limits;
 
 /// Descriptors left for all that is no load balancer's connection: standard streams, signals, the
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -1,6 +1,8 @@
 //! What the node knows of its cluster, and what it says of itself there. Decisions work the same
 //! without a cluster, and nothing waits for it.
 
+#![warn(missing_docs)]
+
 use madderpoint::{LoadReport, Nanos};
 use madderpoint_membership::{ClusterView, Phase};
 use madderpoint_shared_state::keyed_quota::QuotaRequest;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,5 +1,7 @@
 //! What the node counts since its start, and the names under which the log shows the counts.
 
+#![warn(missing_docs)]
+
 use crate::request_error::RequestError;
 use std::collections::BTreeMap;
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,14 +1,16 @@
 //! The node without its I/O: takes [`Event`]s and the time, has the [`AdmissionController`] decide,
 //! and acts through [`Actions`].
 //!
-//! The node and the admission controller share one [`NodeState`]: the controller reaches it through
-//! its host, [`AdmissionHost`], while it handles a call of the node. So the node never keeps the
+//! The node and the admission controller share one `NodeState`: the controller reaches it through
+//! its host, `AdmissionHost`, while it handles a call of the node. So the node never keeps the
 //! state borrowed over a call of the controller. What such a call brings up for the controller
-//! itself waits in the state as a [`DeferredEvent`] and is handled before the next event.
+//! itself waits in the state as a `DeferredEvent` and is handled before the next event.
 //!
-//! [`load_balancer`] takes requests, [`request_policy`] has rules and limits look at them,
-//! [`execution`] takes what the executor and the backend say, [`cluster_reports`] tells the cluster
-//! about this node.
+//! `node/load_balancer.rs` takes requests, `node/request_policy.rs` has rules and limits look at
+//! them, `node/execution.rs` takes what the executor and the backend say, `node/cluster_reports.rs`
+//! tells the cluster about this node.
+
+#![warn(missing_docs)]
 
 use crate::actions::Actions;
 use crate::capacity::CapacityLimits;
--- a/crates/node/src/node/tests/backend_calls.rs
+++ b/crates/node/src/node/tests/backend_calls.rs
@@ -30,7 +30,7 @@
     node.need_backend_call(A, 2);
     node.executor_commands();
     let (first, ..) = node.last_call();
-    node.wait(20); // far longer: it is given up and made again
+    node.wait(20); // far longer: it is abandoned and made again
     assert_eq!(
         node.node.with_actions(|actions| actions.cancelled.clone()),
         [(first, format!("cancel {A}\r\n"))]
@@ -95,7 +95,7 @@
     assert_eq!(node.statuses(), [(1, "500".into())]);
 }
 
-/// What a peer spoils is counted by its cause, and nothing that is owed goes with it.
+/// A protocol error is counted by its cause, and no answer is lost with it.
 #[test]
 fn protocol_errors_are_counted_by_cause() {
     let mut node = TestNode::new();
@@ -142,7 +142,7 @@
     );
 }
 
-/// A back end that swallows one reply and keeps the connection open answers no other call on it
+/// A backend that swallows one reply and keeps the connection open answers no other call on it
 /// either. With all calls on one connection every later one timed out.
 #[test]
 fn calls_are_spread_and_avoid_a_silent_link() {
@@ -151,16 +151,16 @@
     let mut n = 0;
     let mut next = |node: &mut TestNode| {
         n += 1u16;
-        let rid = format!("{n:016x}");
-        node.call(n, "/call/read", &rid);
-        node.need_backend_call(&rid, n.into());
-        (node.last_call().0, rid)
+        let correlation_id = format!("{n:016x}");
+        node.call(n, "/call/read", &correlation_id);
+        node.need_backend_call(&correlation_id, n.into());
+        (node.last_call().0, correlation_id)
     };
     assert_eq!(next(&mut node).0, 0); // this one gets no reply
     for _ in 0..8 {
-        let (place, rid) = next(&mut node);
+        let (place, correlation_id) = next(&mut node);
         assert_eq!(place, 1);
-        node.reply_to_call(1, &rid, Outcome::Ok);
+        node.reply_to_call(1, &correlation_id, Outcome::Ok);
     }
     let places: Vec<_> = (0..9).map(|_| next(&mut node).0).collect();
     assert_eq!(places, [1, 2, 3, 4, 5, 6, 7, 1, 2]);
@@ -246,7 +246,7 @@
         ConnectionId(1),
         fastcgi::Event::Abort(1),
     ));
-    node.need_backend_call(A, 1); // crossed the halt
+    node.need_backend_call(A, 1); // raced with the cancellation
     assert_eq!(node.calls(), 0);
     node.end_execution(A, End::Stopped, b"");
     node.need_backend_call(A, 2);
--- a/crates/node/src/node/tests/cluster_limits.rs
+++ b/crates/node/src/node/tests/cluster_limits.rs
@@ -1,5 +1,5 @@
-//! What the fleet shares, at the node: budgets, judgements and limits by key bound what goes below
-//! and what is let in.
+//! What the cluster shares, at the node: budgets, service health and keyed quotas bound backend
+//! calls and admissions.
 
 use super::rules::{cluster_rules, settings};
 use super::support::*;
@@ -29,7 +29,7 @@
 }
 
 impl TestNode {
-    /// A node that is part of a fleet, two seconds later.
+    /// A node that is part of a cluster, two seconds later.
     fn in_cluster(budgets: &[Budget], service: Option<&SharedService>) -> TestNode {
         let mut node = TestNode::with_settings(&settings());
         let with = SharedStateOptions {
@@ -42,15 +42,15 @@
         node
     }
 
-    /// Has one run up to its call; whether it was let in.
-    fn run_to_call(&mut self, id: u16, path: &str, rid: &str) -> bool {
-        self.call(id, path, rid);
+    /// Has a request run up to its backend call; whether it was admitted.
+    fn run_to_call(&mut self, id: u16, path: &str, correlation_id: &str) -> bool {
+        self.call(id, path, correlation_id);
         let runs = self
             .executor_commands()
             .iter()
-            .any(|line| line.contains("SCHED") && line.contains(rid));
+            .any(|line| line.contains("SCHED") && line.contains(correlation_id));
         if runs {
-            self.need_backend_call(rid, 1);
+            self.need_backend_call(correlation_id, 1);
         }
         runs
     }
@@ -72,7 +72,7 @@
     }
 }
 
-fn rid(n: u64) -> String {
+fn correlation_id(n: u64) -> String {
     format!("{n:016x}")
 }
 
@@ -92,7 +92,8 @@
     assert_eq!(node.calls(), 2);
     let (.., bytes) = node.last_call();
     assert!(bytes.starts_with(&format!("invoke {B} ")), "{bytes}");
-    // One a second: the second call finds none soon. It never ran, and what needs it errs at once.
+    // One a second: the second call finds none soon. It never ran, and the request that needs it
+    // fails at once.
     let mut node = TestNode::in_cluster(&[rate(1)], None);
     node.wait(1000);
     assert!(node.run_to_call(1, "/call/pay", A) && node.calls() == 1);
@@ -107,7 +108,7 @@
     assert!(node.counted("backend calls refused by the cluster's budgets") > 0);
 }
 
-/// A caller that leaves while its call waits leaves nothing behind: the room goes to the next one.
+/// A request that is cancelled while its call is queued leaves nothing behind: the next call goes.
 #[test]
 fn an_execution_that_ends_while_its_call_is_queued_gives_its_turn_up() {
     let mut node = TestNode::in_cluster(&[rate(10)], None);
@@ -127,8 +128,8 @@
     assert!(node.run_to_call(3, "/call/pay", "00000000000000cc") && node.calls() == 2);
 }
 
-/// What lies below may be at work yet on a call that was given up: it counts as in hand for as long
-/// as the longest call.
+/// The backend may still be at work on an abandoned call: it occupies its budget for as long as the
+/// longest call.
 #[test]
 fn an_abandoned_call_occupies_its_budget_for_the_longest_call() {
     let kind = Kind::InHand { longest: 500 * MS };
@@ -157,25 +158,26 @@
         assert!(node.run_to_call(1, "/call/read", A) && ends(&node) == 1);
         node.reply_to_call(0, A, outcome);
         node.end_execution(A, End::Ok, b"r");
-        // One that never ran was called again, and that call is given up with the run.
+        // One that never ran was made again, and that call is abandoned with the execution.
         assert_eq!(ends(&node) == 0, frees, "{outcome:?}");
         node.wait(501);
         assert_eq!(ends(&node), 0);
     }
 }
 
-/// What can't make its call is turned away before it runs, with the time when there is room.
+/// A request whose call would find no room is rejected before it runs, with the time when there is
+/// some.
 #[test]
 fn requests_that_need_a_call_are_admitted_by_the_free_budget() {
     let mut node = TestNode::in_cluster(&[rate(10)], None);
     let (mut let_in, mut pauses) = (0, Vec::new());
     for n in 0..100 {
-        let rid = rid(n);
-        if node.run_to_call(n as u16 % 50 + 1, "/call/pay", &rid) {
+        let correlation_id = correlation_id(n);
+        if node.run_to_call(n as u16 % 50 + 1, "/call/pay", &correlation_id) {
             let_in += 1;
             node.wait(19);
-            node.reply_to_call(0, &rid, Outcome::Ok);
-            node.end_execution(&rid, End::Ok, b"r");
+            node.reply_to_call(0, &correlation_id, Outcome::Ok);
+            node.end_execution(&correlation_id, End::Ok, b"r");
         }
         for answer in node
             .answers()
@@ -191,11 +193,11 @@
         pauses.len() > 60 && pauses.iter().all(|ms| (1..=110).contains(ms)),
         "{pauses:?}"
     );
-    // What can do without its call is not held to that.
+    // A request that can do without its call is admitted all the same.
     assert!((0..20).all(|n| {
-        let rid = rid(500 + n);
-        let runs = node.run_to_call(60, "/call/read", &rid);
-        node.end_execution(&rid, End::Ok, b"r");
+        let correlation_id = correlation_id(500 + n);
+        let runs = node.run_to_call(60, "/call/read", &correlation_id);
+        node.end_execution(&correlation_id, End::Ok, b"r");
         node.answers();
         runs
     }));
@@ -217,20 +219,20 @@
         (node.calls(), node.statuses()),
         (2, vec![(1, "500".into())])
     );
-    // A first call is no repeat.
+    // A first call is no retry.
     node.end_execution(A, End::Stopped, b"");
     assert!(node.run_to_call(2, "/call/pay", B) && node.calls() == 3);
 }
 
-/// Ten calls in a row fail: the service is closed to this node. What needs it is turned away, what
-/// does not goes on without; when a try is due, one is let in for it.
+/// Ten calls in a row fail: the service is unavailable to this node. Requests that need it are
+/// rejected, others go on without; when a try is due, one is admitted for it.
 #[test]
 fn a_failing_service_gets_no_calls_and_then_recovers_in_steps() {
     let mut node = TestNode::in_cluster(&[], Some(&service()));
     for n in 0..10 {
-        assert!(node.run_to_call(1, "/call/pay", &rid(n)));
-        node.reply_to_call(0, &rid(n), Outcome::Internal);
-        node.end_execution(&rid(n), End::Stopped, b"");
+        assert!(node.run_to_call(1, "/call/pay", &correlation_id(n)));
+        node.reply_to_call(0, &correlation_id(n), Outcome::Internal);
+        node.end_execution(&correlation_id(n), End::Stopped, b"");
         node.answers();
     }
     assert_eq!(node.health_state(), HealthState::Unavailable);
@@ -250,22 +252,22 @@
         "it goes on without its call"
     );
     node.end_execution(B, End::Ok, b"r");
-    // It hears nobody: a try each 5 s.
+    // No other node is heard: a try each 5 s.
     let mut tries = 0;
     for n in 100..220 {
         node.wait(100);
-        if node.run_to_call(3, "/call/pay", &rid(n)) {
+        if node.run_to_call(3, "/call/pay", &correlation_id(n)) {
             tries += 1;
-            node.reply_to_call(0, &rid(n), Outcome::Ok);
-            node.end_execution(&rid(n), End::Ok, b"r");
+            node.reply_to_call(0, &correlation_id(n), Outcome::Ok);
+            node.end_execution(&correlation_id(n), End::Ok, b"r");
         }
         node.answers();
     }
     assert_eq!((tries, node.health_state()), (3, HealthState::Recovering));
     let let_in = (300..316).filter(|n| {
-        let runs = node.run_to_call(4, "/call/pay", &rid(*n));
-        node.reply_to_call(0, &rid(*n), Outcome::Ok);
-        node.end_execution(&rid(*n), End::Ok, b"r");
+        let runs = node.run_to_call(4, "/call/pay", &correlation_id(*n));
+        node.reply_to_call(0, &correlation_id(*n), Outcome::Ok);
+        node.end_execution(&correlation_id(*n), End::Ok, b"r");
         node.answers();
         runs
     });
@@ -285,15 +287,15 @@
     let mut node = TestNode::in_cluster(&[], Some(&service()));
     let mut calls = 0;
     while node.health_state() == HealthState::Healthy {
-        let rid = rid(calls);
+        let correlation_id = correlation_id(calls);
         assert!(
-            calls < 10 && node.run_to_call(1, "/call/pay", &rid),
+            calls < 10 && node.run_to_call(1, "/call/pay", &correlation_id),
             "{calls}"
         );
         node.wait(300);
         let (place, ..) = node.last_call();
-        node.reply_to_call(place, &rid, Outcome::Ok);
-        node.end_execution(&rid, End::Ok, b"r");
+        node.reply_to_call(place, &correlation_id, Outcome::Ok);
+        node.end_execution(&correlation_id, End::Ok, b"r");
         node.answers();
         calls += 1;
     }
@@ -303,7 +305,7 @@
     );
 }
 
-/// Others alone make it careful, and never close it.
+/// Reports of others alone degrade it, and never make it unavailable.
 #[test]
 fn health_reports_of_others_degrade_a_service_while_they_last() {
     let mut node = TestNode::in_cluster(&[], Some(&service()));
@@ -325,8 +327,8 @@
     <rule name="all"><when>true</when><give>
         <limit bucket="by-org">caller.name</limit><limit bucket="hands">caller.name</limit></give></rule>"#;
 
-/// The first one of a key is throttled with a short pause, for nothing is lent yet; the question
-/// goes out at once, and what comes lets the next ones in.
+/// The first request of a key is rejected with a short Retry-After, for there is no lease yet; the
+/// quota request goes out at once, and what is granted admits the next ones.
 #[test]
 fn a_keyed_quota_requests_units_and_admits_what_was_granted() {
     let mut node = TestNode::in_cluster(&[], None);
@@ -395,8 +397,7 @@
     assert!(node.counted("rejected by a limit of the cluster") >= 1);
 }
 
-/// What a unit of a budget is worth here is told with what is wanted; and what was counted, each
-/// five seconds.
+/// The worth of a unit of a budget goes with the budget requests, and counters each five seconds.
 #[test]
 fn priority_weights_and_counters_are_reported() {
     let mut settings = settings();
--- a/crates/node/src/node/tests/connections.rs
+++ b/crates/node/src/node/tests/connections.rs
@@ -146,10 +146,10 @@
         }
         node.wait(10);
     };
-    served(&mut node, 2, 2); // a dispatcher's, idle for longest
+    served(&mut node, 2, 2); // a load balancer's, idle for longest
     served(&mut node, 3, 2);
-    served(&mut node, 4, 1); // asked once and stayed
-    served(&mut node, 5, 0); // says nothing
+    served(&mut node, 4, 1); // sent one request and stayed
+    served(&mut node, 5, 0); // sends nothing
     node.event(Event::ConnectionLimitReached);
     assert_eq!(
         node.node.with_actions(|actions| actions.closed.clone()),
@@ -176,7 +176,7 @@
     assert_eq!(node.node.with_actions(|actions| actions.closed.len()), 5);
 }
 
-/// One that asks again as soon as it is turned away once took a node's processor to itself.
+/// A peer that sends again as soon as it is rejected must not take the processor to itself.
 #[test]
 fn unidentified_peers_are_read_ever_more_slowly_and_then_closed() {
     let mut node = TestNode::new();
@@ -193,7 +193,7 @@
         node.node.with_actions(|actions| actions.closed.clone()),
         [ConnectionId(1)]
     );
-    node.call(1, "/call/read", A); // on a new connection; the kernel does not know it
+    node.call(1, "/call/read", A); // on a new connection; the executor does not know it
     node.event(Event::Executor(Notice::EInval {
         command: "SCHED".into(),
         rid: A.into(),
@@ -205,7 +205,7 @@
     node.wait(5000);
     let old = (node.now / MS - 4000).to_string(); // too late to be run
     (0..1000).for_each(|id| node.send(id, &wire::call("/call/read", A, &old), b""));
-    assert_eq!(paced(&mut node).len(), 8); // a dispatcher may be turned away at any rate
+    assert_eq!(paced(&mut node).len(), 8); // a load balancer may be rejected at any rate
     node.connection_id = ConnectionId(9);
     node.event(Event::Connected(ConnectionId(9), None));
     (0..128).for_each(|id| node.send(id, &wire::call("/call/read", A, &old), b""));
--- a/crates/node/src/node/tests/executor_link.rs
+++ b/crates/node/src/node/tests/executor_link.rs
@@ -50,7 +50,7 @@
     node.answer_gauges();
     assert_eq!(node.executor_commands(), [start_command(A, "read")]);
     assert_eq!(node.counted("executions uncertain after a broken link"), 1);
-    // Gauges that came back show that the commands before them arrived: then nothing is in doubt.
+    // Gauges that came back show that the commands before them arrived: then nothing is uncertain.
     node.wait(480);
     node.answer_gauges();
     node.break_link();
@@ -61,14 +61,15 @@
     assert_eq!(node.statuses().len(), 2);
 }
 
-/// A run in doubt once held its caller until the client timeout.
+/// The client of an uncertain execution does not wait for its client timeout.
 #[test]
 fn an_uncertain_execution_fails_soon_and_frees_its_place() {
     let mut node = TestNode::new();
     node.call(1, "/call/pay", A);
     let asked = node.node.with_actions(|actions| actions.gauges_requested);
     node.wait(10);
-    assert!(node.node.with_actions(|actions| actions.gauges_requested) > asked); // a mark follows soon: it would have settled this
+    // A mark follows soon: it would have settled this.
+    assert!(node.node.with_actions(|actions| actions.gauges_requested) > asked);
     assert_eq!(node.executor_commands(), [start_command(A, "pay")]);
     node.break_link();
     node.reconnect(0);
@@ -76,7 +77,8 @@
     node.executor_commands();
     node.wait(1000);
     assert_eq!(node.statuses(), [(1, "500".into())]);
-    assert_eq!(node.executor_commands(), [start_command(A, "pay")]); // its request is over: this only asks
+    // Its request is over: this only asks.
+    assert_eq!(node.executor_commands(), [start_command(A, "pay")]);
     node.end_execution(A, End::Moot, b"");
     node.call(2, "/call/pay", B);
     assert_eq!(node.executor_commands(), [start_command(B, "pay")]);
@@ -123,7 +125,7 @@
         peers,
         kept: vec![],
     }));
-    node.wait(150); // a kernel that says nothing is not waited for
+    node.wait(150); // an executor that says nothing is not waited for
     assert_eq!(
         node.node
             .with_actions(|actions| actions.executor_reconnects),
@@ -140,7 +142,7 @@
     );
 }
 
-/// Half a notice and then nothing, on a link that stays open: all that ran once waited for its
+/// Half a notice and then nothing, on a link that stays open: what runs must not wait for its
 /// client timeout.
 #[test]
 fn a_silent_link_is_replaced_and_a_late_executor_is_waited_for() {
@@ -149,7 +151,7 @@
             .with_actions(|actions| actions.executor_reconnects)
     };
     let mut node = TestNode::new();
-    node.silent = true;
+    node.is_executor_silent = true;
     node.wait(1900);
     node.call(1, "/call/read", A);
     assert_eq!(reconnects(&mut node), 0);
@@ -172,13 +174,13 @@
         node.answer_gauges();
     }
     assert_eq!(reconnects(&mut node), 1);
-    // The machine stood still: what came meanwhile is heard before another look.
+    // The machine stood still: what came meanwhile is handled before another check.
     node.now += 60_000 * MS;
     node.node.fire_timers(node.now);
     node.answer_gauges();
     node.wait(1000);
     assert_eq!(reconnects(&mut node), 1);
-    // Before BOOTED the kernel may take its time.
+    // Before BOOTED the executor may take its time.
     let mut node = TestNode::without_executor(wire::SETTINGS);
     node.wait(30_000);
     assert_eq!(reconnects(&mut node), 0);
@@ -202,7 +204,7 @@
     assert_eq!(node.executor_commands(), [done]);
     node.break_link();
     node.reconnect(1);
-    node.need_backend_call(A, 2); // it had: the run came to its next call
+    node.need_backend_call(A, 2); // it had: the execution came to its next call
     node.answer_gauges();
     assert_eq!((node.executor_commands(), node.calls()), (vec![], 2));
 }
@@ -229,11 +231,11 @@
     node.call(1, "/call/pay", A);
     node.executor_commands();
     node.break_link();
-    node.wait(20_000); // nobody is asked without a link
+    node.wait(20_000); // nothing can be asked without a link
     node.reconnect(0);
     node.answer_gauges();
     node.executor_commands();
-    node.wait(11_000); // it erred at its client timeout, and nobody has heard of it since
+    node.wait(11_000); // it failed at its client timeout, and nothing was heard of it since
     assert_eq!(node.statuses(), [(1, "500".into())]);
     assert!(node.executor_commands().contains(&start_command(A, "pay")));
     node.end_execution(A, End::Moot, b"");
--- a/crates/node/src/node/tests/health_checks.rs
+++ b/crates/node/src/node/tests/health_checks.rs
@@ -33,12 +33,12 @@
     let mut node = TestNode::new();
     node.node
         .with_actions(|actions| actions.gauges_requested = None);
-    node.wait(480); // shortly before the first alarm
+    node.wait(480); // shortly before the first timer
     node.answer_gauges();
     assert_eq!(node.node.state.borrow().gauges().cpu_busy, Some(0.5));
     node.wait(101);
     assert_eq!(node.node.state.borrow().gauges().cpu_busy, None);
     let due = node.node.next_timer().unwrap();
-    node.wait(1000); // the kernel says nothing
+    node.wait(1000); // the executor says nothing
     assert!(node.node.next_timer().unwrap() > due + 500 * MS);
 }
--- a/crates/node/src/node/tests/idempotency.rs
+++ b/crates/node/src/node/tests/idempotency.rs
@@ -1,5 +1,5 @@
-//! Repeats of tokened operations, which bear the key that the platform sends: what ran within the
-//! window never runs again, whatever crosses it.
+//! Repeats of keyed operations, which have the idempotency key that the platform sends: what ran
+//! within the window never runs again, whatever races with it.
 
 use super::support::*;
 
@@ -7,15 +7,28 @@
 const KEY: &str = "35703cb5dbe0981838ed43bf61d23a03";
 
 impl TestNode {
-    /// A try of the tokened operation, which reached the machine so long ago.
-    fn try_of(&mut self, id: u16, rid: &str, key: &str, age_ms: u64) {
-        self.try_as(id, rid, &[("HTTP_X_OPERATION_KEY", key)], age_ms, b"body");
+    /// A try of the keyed operation, which reached the machine so long ago.
+    fn try_of(&mut self, id: u16, correlation_id: &str, key: &str, age_ms: u64) {
+        self.try_as(
+            id,
+            correlation_id,
+            &[("HTTP_X_OPERATION_KEY", key)],
+            age_ms,
+            b"body",
+        );
     }
 
-    fn try_as(&mut self, id: u16, rid: &str, more: &[(&str, &str)], age_ms: u64, body: &[u8]) {
+    fn try_as(
+        &mut self,
+        id: u16,
+        correlation_id: &str,
+        more: &[(&str, &str)],
+        age_ms: u64,
+        body: &[u8],
+    ) {
         let arrived = (self.now / MS - age_ms).to_string();
         let named = |(name, _): &(&str, &str)| more.iter().all(|(n, _)| n != name);
-        let call = wire::call("/call/book", rid, &arrived);
+        let call = wire::call("/call/book", correlation_id, &arrived);
         let params: Vec<_> = call
             .into_iter()
             .filter(named)
@@ -72,7 +85,7 @@
         .to_owned();
     let mut node = TestNode::with_settings(&settings);
     node.ran();
-    // The same key of another tenant is another invocation: nobody gets another customer's result.
+    // The same key of another tenant is another request: nobody gets another customer's result.
     node.try_as(
         2,
         B,
@@ -81,7 +94,7 @@
         b"body",
     );
     assert_eq!(node.executor_commands(), [start_command(B, "book")]);
-    // With another body it is a mistake of the callers, which is told.
+    // With another body it is a mistake of the clients, which is answered as one.
     node.try_as(3, C, &[("HTTP_X_OPERATION_KEY", KEY)], 0, b"else");
     assert_eq!(
         (&node.statuses()[..], node.executor_commands().len()),
@@ -132,7 +145,7 @@
         (node.bodies(), node.executor_commands().len()),
         (vec![done()], 0)
     );
-    // What arrives later is a new invocation, and is known by the same key from then on.
+    // What arrives later is a new request, and is known by the same key from then on.
     let mut node = TestNode::new();
     node.ran();
     node.wait(5100);
@@ -179,7 +192,7 @@
 #[test]
 fn a_request_cancelled_before_it_ran_may_come_again() {
     let mut node = TestNode::new();
-    // One node: what comes is held.
+    // One core: what comes is queued.
     for n in 0..2u16 {
         node.call(n + 10, "/call/read", &format!("{n:016x}"));
     }
@@ -203,7 +216,7 @@
 
 #[test]
 fn a_request_that_the_executor_did_not_start_leaves_no_key_behind() {
-    // A stranger has seen a key; the kernel knows no such request, so that nothing ran.
+    // An unidentified peer has seen a key; the executor knows no such request, so that nothing ran.
     let mut node = TestNode::new();
     node.try_of(1, A, KEY, 0);
     node.executor_commands();
@@ -230,7 +243,7 @@
 
 #[test]
 fn moot_after_a_second_start_proves_nothing() {
-    // The end of a run was lost with its link; asked after it, the kernel only knows that none goes
+    // The end of an execution was lost with its link; the executor only knows that none goes
     // on.
     let mut node = TestNode::new();
     node.try_of(1, A, KEY, 0);
@@ -264,13 +277,13 @@
             node.wait(1);
         }
     };
-    // It reached the machine 100 ms ago, and its caller waits for 700 ms from then.
+    // It reached the machine 100 ms ago, and its client waits for 700 ms from then.
     let (status, after) = patience(&told, &[("HTTP_X_DEADLINE_MS", "700")]);
     assert!(
         status == "500" && (500..600).contains(&after),
         "{status} after {after} ms"
     );
-    // Never longer than its operation's client timeout, and that where nothing is told.
+    // Never longer than its operation's client timeout, and that where nothing is sent.
     for more in [&[("HTTP_X_DEADLINE_MS", "9000")][..], &[]] {
         let (status, after) = patience(&told, more);
         assert!(
@@ -290,7 +303,7 @@
     assert!((2800..2900).contains(&after), "after {after} ms");
 }
 
-// ---- Against the kernel's link ----
+// ---- The executor's link ----
 
 #[test]
 fn a_repeat_of_an_uncertain_request_does_not_run() {
@@ -332,7 +345,7 @@
     node.reconnect(0);
     node.answer_gauges();
     assert_eq!(node.executor_commands(), [start_command(A, "book")]);
-    // The link breaks again as the result is on its way; the kernel tells it once more.
+    // The link breaks again as the result is on its way; the executor tells it once more.
     node.break_link();
     node.reconnect(0);
     node.end_execution(A, End::Ok, b"done");
@@ -345,7 +358,7 @@
 
 #[test]
 fn a_repeat_that_is_read_as_the_execution_ends_gets_the_result() {
-    // Before the end, after it, and when its first caller's connection went between.
+    // Before the end, after it, and when the first connection went between.
     for order in 0..3 {
         let mut node = TestNode::new();
         node.try_of(1, A, KEY, 0);
@@ -386,7 +399,7 @@
     node.reconnect(0);
     node.answer_gauges();
     assert!(node.executor_commands().contains(&stop));
-    // A run that ended over the old link is not stopped over the new one.
+    // An execution that ended over the old link is not cancelled over the new one.
     node.end_execution(A, End::Stopped, b"");
     node.break_link();
     node.reconnect(1);
--- a/crates/node/src/node/tests/properties.rs
+++ b/crates/node/src/node/tests/properties.rs
@@ -1,6 +1,6 @@
 //! Any deployment, and events in any order, against the four rules: the node is given operations
-//! with odd names, any idempotency, times, windows and limits, and requests, repeats, aborts, broken
-//! links, backend calls and the order to drain.
+//! with odd names, any idempotency, times, windows and limits, and requests, repeats, aborts,
+//! broken links, backend calls and the order to drain.
 
 use super::support::*;
 use crate::executor::Notice;
@@ -171,7 +171,7 @@
 
 /// A request as the test sent it.
 struct SentRequest {
-    rid: String,
+    correlation_id: String,
     operation: usize,
     key: usize,
     arrived: Nanos,
@@ -250,23 +250,28 @@
                 let index = self.running.swap_remove(which % self.running.len());
                 let end = [End::Ok, End::Ok, End::Error, End::Stopped][usize::from(end % 4)];
                 self.last_notice += 1;
-                let rid = self.sent[index].rid.clone();
-                self.node.end_execution(&rid, end, b"result");
+                let correlation_id = self.sent[index].correlation_id.clone();
+                self.node.end_execution(&correlation_id, end, b"result");
             }
             Step::ExecutionNeedsCall(which) if self.is_linked && !self.running.is_empty() => {
                 let index = self.running[which % self.running.len()];
-                let rid = self.sent[index].rid.clone();
-                let works = !self.node.node.state.borrow().waits_for_call(&rid);
+                let correlation_id = self.sent[index].correlation_id.clone();
+                let works = !self
+                    .node
+                    .node
+                    .state
+                    .borrow()
+                    .waits_for_call(&correlation_id);
                 if works && self.deployment.operations[self.sent[index].operation].calls {
                     self.last_notice += 1;
                     let no = self.last_notice;
-                    self.node.need_backend_call(&rid, no);
+                    self.node.need_backend_call(&correlation_id, no);
                 }
             }
             Step::Reply { which, outcome } if self.node.calls() > 0 => {
                 let calls = self.node.node.with_actions(|actions| actions.calls.clone());
                 let (place, _, _, line) = &calls[which % calls.len()];
-                let rid = line.split(' ').nth(1).unwrap().to_owned();
+                let correlation_id = line.split(' ').nth(1).unwrap().to_owned();
                 let outcomes = [
                     Outcome::Ok,
                     Outcome::Overload,
@@ -276,7 +281,7 @@
                 ];
                 self.node.reply_to_call(
                     *place,
-                    &rid,
+                    &correlation_id,
                     outcomes[usize::from(outcome) % outcomes.len()],
                 );
             }
@@ -328,11 +333,11 @@
             timeout_ms,
             ..
         } = self.deployment.operations[operation].clone();
-        let rid = format!("{:016x}", self.sent.len() + 1);
+        let correlation_id = format!("{:016x}", self.sent.len() + 1);
         let arrived = self.node.now - age_ms * MS;
         let path = format!("/call/{name}");
         let (arrived_ms, key_text) = ((arrived / MS).to_string(), format!("{key:032x}"));
-        let mut params: Vec<(&str, &str)> = wire::call(&path, &rid, &arrived_ms);
+        let mut params: Vec<(&str, &str)> = wire::call(&path, &correlation_id, &arrived_ms);
         params.retain(|(name, _)| *name != "HTTP_X_ORG");
         let tenants = self.deployment.tenants.clone();
         if !tenants.is_empty() {
@@ -354,7 +359,7 @@
         let (params, body) = (wire::pairs(&params), key_text.as_bytes().to_vec());
         let due = (arrived + timeout_ms * MS).max(self.node.now);
         self.sent.push(SentRequest {
-            rid,
+            correlation_id,
             operation,
             key,
             arrived,
@@ -395,13 +400,14 @@
             if command["t"] == "SCHED" && self.is_linked {
                 self.start_requested(now, command["rid"].as_str().unwrap());
             } else if command["t"] == "PREEMPT" && self.is_linked {
-                let has_id =
-                    |index: usize| self.sent[index].rid == command["rid"].as_str().unwrap();
+                let has_id = |index: usize| {
+                    self.sent[index].correlation_id == command["rid"].as_str().unwrap()
+                };
                 if let Some(place) = self.running.iter().position(|&index| has_id(index)) {
                     let index = self.running.swap_remove(place);
                     self.last_notice += 1;
-                    let rid = self.sent[index].rid.clone();
-                    self.node.end_execution(&rid, End::Stopped, b"");
+                    let correlation_id = self.sent[index].correlation_id.clone();
+                    self.node.end_execution(&correlation_id, End::Stopped, b"");
                 }
             }
         }
@@ -414,11 +420,11 @@
             let Some(index) = index else { continue };
             let sent = &mut self.sent[index];
             sent.answers += 1;
-            assert_eq!(sent.answers, 1, "{}: one answer", sent.rid);
+            assert_eq!(sent.answers, 1, "{}: one answer", sent.correlation_id);
             assert!(
                 now <= sent.due + 50 * MS,
                 "{}: {} ms late",
-                sent.rid,
+                sent.correlation_id,
                 (now - sent.due) / MS
             );
             let effect = self.deployment.operations[sent.operation].effect;
@@ -426,7 +432,7 @@
                 assert!(
                     !["429", "503"].contains(&&answer.status[..]),
                     "{}: ran, and is throttled",
-                    sent.rid
+                    sent.correlation_id
                 );
             }
         }
@@ -435,21 +441,25 @@
             assert!(
                 !self.waits(index) || now <= sent.due + 50 * MS,
                 "{}: no answer in its time",
-                sent.rid
+                sent.correlation_id
             );
         }
     }
 
     /// The executor is told to start a request: for one that runs nothing happens, for one that is
     /// over the answer is MOOT.
-    fn start_requested(&mut self, now: Nanos, rid: &str) {
-        let index = self.sent.iter().position(|s| s.rid == rid).unwrap();
+    fn start_requested(&mut self, now: Nanos, correlation_id: &str) {
+        let index = self
+            .sent
+            .iter()
+            .position(|s| s.correlation_id == correlation_id)
+            .unwrap();
         if self.running.contains(&index) {
             return;
         }
         if !self.waits(index) {
             self.last_notice += 1;
-            return self.node.end_execution(rid, End::Moot, b"");
+            return self.node.end_execution(correlation_id, End::Moot, b"");
         }
         let (operation, key, arrived) = (
             self.sent[index].operation,
@@ -460,7 +470,10 @@
             effect, window_ms, ..
         } = self.deployment.operations[operation];
         if effect == Effect::NonIdempotent {
-            assert!(self.sent[index].started.is_empty(), "{rid}: runs twice");
+            assert!(
+                self.sent[index].started.is_empty(),
+                "{correlation_id}: runs twice"
+            );
         }
         if effect == Effect::Keyed {
             let alike = |s: &&SentRequest| {
@@ -469,14 +482,18 @@
             for other in self.sent.iter().filter(alike) {
                 let in_window =
                     arrived <= other.arrived + window_ms * MS && other.arrived <= arrived;
-                assert!(!in_window, "{rid}: {} of its key has run", other.rid);
+                assert!(
+                    !in_window,
+                    "{correlation_id}: {} of its key has run",
+                    other.correlation_id
+                );
             }
         }
         if let Some(drain_started) = self.drain_started {
             let grace = drain_started + self.deployment.grace_ms * MS;
             assert!(
                 arrived <= grace + MS,
-                "{rid}: arrived past the grace and runs"
+                "{correlation_id}: arrived past the grace and runs"
             );
         }
         self.sent[index].started.push(now);
--- a/crates/node/src/node/tests/requests.rs
+++ b/crates/node/src/node/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: what is answered, and how what cannot be read is.
+//! What requests are answered, and malformed ones.
 
 use super::support::*;
 
@@ -108,7 +108,7 @@
 fn a_cancelled_request_gets_no_answer_and_its_ids_are_free() {
     let mut node = TestNode::new();
     node.call(1, "/call/read", A);
-    node.call(2, "/call/read", B); // held: one core
+    node.call(2, "/call/read", B); // queued: one core
     node.executor_commands();
     node.event(Event::LoadBalancer(
         ConnectionId(1),
@@ -128,7 +128,7 @@
         ends.len() == 2 && ends.iter().all(|a| a.status.is_empty()),
         "{ends:?}"
     );
-    // Both ids may be used again, on the connection and at the kernel.
+    // Both ids may be used again, on the connection and at the executor.
     node.call(1, "/call/read", B);
     assert_eq!(node.executor_commands(), [start_command(B, "read")]);
     node.event(Event::Disconnected(ConnectionId(1)));
--- a/crates/node/src/node/tests/rules.rs
+++ b/crates/node/src/node/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Rules and limits at the node: what they give reaches the decisions, and the four rules hold.
+//! Rules and limits at the node: what they give reaches the admission controller, and the four rules
+//! hold.
 
 use super::support::*;
 use crate::request_rules::CompiledRuleSet;
@@ -7,7 +8,7 @@
 const C: &str = "00000000000000cc";
 const D: &str = "00000000000000dd";
 
-/// Dispatchers here heed pauses of up to half a second.
+/// Load balancers here heed a Retry-After of up to half a second.
 pub fn settings() -> String {
     wire::SETTINGS.replace(
         r#""RetryAfter": false, "MaxRetryAfter": 0.0"#,
@@ -19,7 +20,7 @@
     compile(rules, "")
 }
 
-/// Rules with limits of the whole fleet.
+/// Rules with limits of the whole cluster.
 pub fn cluster_rules(rules: &str) -> Box<CompiledRuleSet> {
     compile(
         rules,
@@ -54,9 +55,16 @@
         node
     }
 
-    fn call_with(&mut self, id: u16, path: &str, rid: &str, more: &[(&str, &str)], body: &[u8]) {
+    fn call_with(
+        &mut self,
+        id: u16,
+        path: &str,
+        correlation_id: &str,
+        more: &[(&str, &str)],
+        body: &[u8],
+    ) {
         let arrived = (self.now / MS).to_string();
-        let params = [wire::call(path, rid, &arrived), more.to_vec()].concat();
+        let params = [wire::call(path, correlation_id, &arrived), more.to_vec()].concat();
         self.send(id, &params, body);
     }
 
@@ -119,14 +127,14 @@
                 .all(|a| a.status == "200" && a.body == b"done"),
         "{answers:?}"
     );
-    // One that comes later is answered from what is kept, until the window of 5 s is over.
+    // One that comes later is answered from the cache, until the window of 5 s is over.
     node.wait(4000);
     node.call_with(3, "/old/book/1", C, &key, b"body");
     assert_eq!(
         (node.one_answer().body, node.executor_commands().len()),
         (b"done".to_vec(), 0)
     );
-    // Another body under the same key is a mistake, which is told and never run.
+    // Another body under the same key is a mistake, which is answered as one and never run.
     node.call_with(4, "/old/book/1", D, &key, b"other");
     let answer = node.one_answer();
     assert_eq!(
@@ -134,7 +142,7 @@
         ("409", &b"key in use with another body"[..])
     );
     assert_eq!(node.executor_commands().len(), 0);
-    // Another key is another invocation.
+    // Another key is another request.
     node.call_with(
         5,
         "/old/book/1",
@@ -167,7 +175,7 @@
             "{end:?}"
         );
     }
-    // Its caller left while it ran, and it ended after its client timeout.
+    // Its client cancelled it while it ran, and it ended after its client timeout.
     let mut node = TestNode::with_rules(KEYED);
     let key = [("HTTP_X_KEY", "k1")];
     node.call_with(1, "/old/book/1", A, &key, b"body");
@@ -197,7 +205,7 @@
     assert_eq!(node.one_answer().status, "429");
     node.call_with(2, "/old/book/1", B, &key, b"body");
     assert_eq!(node.executor_commands().len(), 1);
-    // Nor does one whose run was never asked for, as there was no link.
+    // Nor does one whose start was never sent, as there was no link.
     let mut node = TestNode::with_rules(KEYED);
     node.break_link();
     node.call_with(1, "/old/book/1", A, &key, b"body");
@@ -223,11 +231,17 @@
     let mut node = TestNode::with_rules(KEYED);
     let mut ran = 0;
     for i in 0..8300u32 {
-        let (rid, key) = (format!("{i:016x}"), format!("k{i}"));
-        node.call_with(1, "/old/book/1", &rid, &[("HTTP_X_KEY", &key)], b"body");
+        let (correlation_id, key) = (format!("{i:016x}"), format!("k{i}"));
+        node.call_with(
+            1,
+            "/old/book/1",
+            &correlation_id,
+            &[("HTTP_X_KEY", &key)],
+            b"body",
+        );
         if !node.executor_commands().is_empty() {
             ran += 1;
-            node.end_execution(&rid, End::Ok, b"r");
+            node.end_execution(&correlation_id, End::Ok, b"r");
         }
     }
     let answers = node.answers();
@@ -257,7 +271,7 @@
     node.call(1, "/call/read", B);
     assert_eq!(node.one_answer().status, "403");
     assert_eq!(node.executor_commands(), [""; 0]);
-    // A check is no invocation: rules are not asked.
+    // A health check is no call: no rules are evaluated.
     node.send(2, &[("SCRIPT_NAME", "/ping")], b"");
     assert_eq!(node.one_answer().status, "200");
     assert_eq!(
@@ -290,7 +304,7 @@
     assert_eq!(node.statuses(), [(1, "200".into())]);
     node.call_with(4, "/call/read", B, &seven, b"body");
     assert_eq!(node.statuses(), [], "the first one's place is free");
-    // The caller leaves before it runs: that gives the place back too.
+    // The client cancels before it runs: that frees the permit too.
     node.event(Event::LoadBalancer(
         node.connection_id,
         fastcgi::Event::Abort(4),
@@ -327,7 +341,7 @@
     assert_eq!(node.one_answer().status, "200");
     node.call(4, "/b", D);
     assert_eq!(node.executor_commands().len(), 2);
-    // Without any rules, what is still held is given back to nobody, and nothing is limited.
+    // Without any rules, what is still held goes to nobody, and nothing is limited.
     node.event(Event::RulesChanged(rules_without_cluster("")));
     node.end_execution(D, End::Ok, b"r");
     node.call(5, "/call/read", B);
@@ -341,9 +355,9 @@
         <rule name="good"><when>true</when><give class="rest"/></rule>"#,
     );
     for (id, n, status) in [(1, "0", "200"), (2, "x", "200"), (3, "10", "403")] {
-        let rid = format!("{id:016x}");
-        node.call_with(id, "/call/read", &rid, &[("N", n)], b"");
-        node.end_execution(&rid, End::Ok, b"");
+        let correlation_id = format!("{id:016x}");
+        node.call_with(id, "/call/read", &correlation_id, &[("N", n)], b"");
+        node.end_execution(&correlation_id, End::Ok, b"");
         assert_eq!(node.one_answer().status, status, "N = {n}");
     }
     node.call(4, "/call/read", A); // N is absent
@@ -413,10 +427,10 @@
         <give class="c"><limit bucket="each">params.HTTP_X_CORRELATION_ID</limit></give></rule>"#,
     );
     for i in 0..20_000u32 {
-        let rid = format!("{i:016x}");
-        node.call(1, "/call/read", &rid);
+        let correlation_id = format!("{i:016x}");
+        node.call(1, "/call/read", &correlation_id);
         if !node.executor_commands().is_empty() {
-            node.end_execution(&rid, End::Ok, b"");
+            node.end_execution(&correlation_id, End::Ok, b"");
         }
     }
     assert_eq!(node.answers().len(), 20_000);
--- a/crates/node/src/node/tests/support.rs
+++ b/crates/node/src/node/tests/support.rs
@@ -23,11 +23,12 @@
 pub struct Recorder {
     pub written: Vec<u8>,
     pub closed: Vec<ConnectionId>,
-    /// The latest order to close each of them, and those that are not read any more.
+    /// The latest order to close each of them.
     pub close_orders: BTreeMap<ConnectionId, Close>,
+    /// Connections that are not read any more.
     pub not_read: Vec<ConnectionId>,
     pub executor_commands: Vec<String>,
-    /// The mark of the last question for gauges.
+    /// The mark of the last request for gauges.
     pub gauges_requested: Option<u64>,
     pub calls: Vec<(usize, CallId, RequestId, String)>,
     pub tokens: Vec<CallInterestToken>,
@@ -95,8 +96,8 @@
     fn stop_listening(&mut self) {
         self.has_stopped_listening = true;
     }
-    fn update_cluster(&mut self, word: ClusterUpdate) {
-        self.cluster_updates.push(word);
+    fn update_cluster(&mut self, update: ClusterUpdate) {
+        self.cluster_updates.push(update);
     }
     fn trace_step(&mut self, _: &str, _: fmt::Arguments<'_>) {}
     fn log(&mut self, _: fmt::Arguments<'_>) {}
@@ -108,37 +109,37 @@
     /// The connection in use; another one is made when it was closed.
     pub connection_id: ConnectionId,
     pub now: Nanos,
-    /// The kernel answers a question by itself after a second, unless it is silent; the question,
-    /// and since when it waits.
-    pub silent: bool,
-    pub question: (Option<u64>, Nanos),
+    /// Whether the executor answers no request for gauges; else it does so after a second.
+    pub is_executor_silent: bool,
+    /// The request for gauges that has no answer yet, and since when.
+    pub gauges_request: (Option<u64>, Nanos),
 }
 
 impl TestNode {
-    /// A node whose kernel is not up.
+    /// A node whose executor is not up.
     pub fn without_executor(settings: &str) -> TestNode {
-        let start = madderpoint_deployment_config::decode(settings.as_bytes()).unwrap();
-        let beside = crate::capacity::OptionalSubsystems {
+        let config = madderpoint_deployment_config::decode(settings.as_bytes()).unwrap();
+        let subsystems = crate::capacity::OptionalSubsystems {
             settings: true,
             ..Default::default()
         };
-        let room = CapacityLimits::of(
+        let capacity = CapacityLimits::of(
             &Limits {
                 cores: 1.0,
                 memory_mb: 32.0,
                 sockets: 64,
             },
             4,
-            beside,
+            subsystems,
         );
-        let node = Node::new(Recorder::default(), start, 7, 3000 * MS, true, &room);
-        let (silent, question) = (false, (None, 0));
+        let node = Node::new(Recorder::default(), config, 7, 3000 * MS, true, &capacity);
+        let (is_executor_silent, gauges_request) = (false, (None, 0));
         let mut node = TestNode {
             node,
             connection_id: ConnectionId(1),
             now: 1000 * MS,
-            silent,
-            question,
+            is_executor_silent,
+            gauges_request,
         };
         node.event(Event::Connected(ConnectionId(1), None));
         node.event(Event::ExecutorConnected(0));
@@ -164,7 +165,7 @@
         self.answer_gauges();
     }
 
-    /// The kernel answers the last question for gauges.
+    /// The executor answers the last request for gauges.
     pub fn answer_gauges(&mut self) {
         let mark = self
             .node
@@ -197,13 +198,13 @@
 
     pub fn answer_gauges_when_due(&mut self) {
         let asked = self.node.with_actions(|actions| actions.gauges_requested);
-        if self.silent || asked == self.question.0 {
+        if self.is_executor_silent || asked == self.gauges_request.0 {
             return;
         }
-        if self.question.1 == 0 {
-            self.question.1 = self.now;
-        } else if self.now >= self.question.1 + 1000 * MS {
-            self.question = (asked, 0);
+        if self.gauges_request.1 == 0 {
+            self.gauges_request.1 = self.now;
+        } else if self.now >= self.gauges_request.1 + 1000 * MS {
+            self.gauges_request = (asked, 0);
             self.answer_gauges();
         }
     }
@@ -231,33 +232,33 @@
         ));
     }
 
-    pub fn call(&mut self, id: u16, path: &str, rid: &str) {
+    pub fn call(&mut self, id: u16, path: &str, correlation_id: &str) {
         let arrived = (self.now / MS).to_string();
-        self.send(id, &wire::call(path, rid, &arrived), b"body");
+        self.send(id, &wire::call(path, correlation_id, &arrived), b"body");
     }
 
-    pub fn end_execution(&mut self, rid: &str, end: End, body: &[u8]) {
+    pub fn end_execution(&mut self, correlation_id: &str, end: End, body: &[u8]) {
         self.event(Event::Executor(Notice::Reap {
-            rid: rid.into(),
+            rid: correlation_id.into(),
             end,
             time_ms: 5.0,
             body: body.to_vec(),
         }));
     }
 
-    pub fn need_backend_call(&mut self, rid: &str, no: u64) {
+    pub fn need_backend_call(&mut self, correlation_id: &str, no: u64) {
         self.event(Event::Executor(Notice::IoReq {
             no,
-            rid: rid.into(),
+            rid: correlation_id.into(),
             body: b"call".to_vec(),
         }));
     }
 
-    pub fn reply_to_call(&mut self, place: usize, rid: &str, outcome: Outcome) {
+    pub fn reply_to_call(&mut self, place: usize, correlation_id: &str, outcome: Outcome) {
         self.event(Event::BackendReply(
             place,
             backend::Reply {
-                id: rid.into(),
+                id: correlation_id.into(),
                 outcome,
                 body: b"reply".to_vec(),
             },
@@ -286,7 +287,7 @@
             .collect()
     }
 
-    /// What the kernel was told, but for questions for gauges.
+    /// The commands to the executor, but for requests for gauges.
     pub fn executor_commands(&mut self) -> Vec<String> {
         self.node
             .with_actions(|actions| std::mem::take(&mut actions.executor_commands))
@@ -296,7 +297,7 @@
         self.event(Event::ExecutorDisconnected);
     }
 
-    /// A new link, up to where the kernel sends what was missed.
+    /// A new link, up to where the executor sends what was missed.
     pub fn reconnect(&mut self, last: u64) {
         self.event(Event::ExecutorConnected(last));
         assert_eq!(
@@ -314,6 +315,6 @@
     }
 }
 
-pub fn start_command(rid: &str, route: &str) -> String {
-    format!(r#"{{"t":"SCHED","rid":"{rid}","route":"{route}","b64":"Ym9keQ=="}}"#)
+pub fn start_command(correlation_id: &str, route: &str) -> String {
+    format!(r#"{{"t":"SCHED","rid":"{correlation_id}","route":"{route}","b64":"Ym9keQ=="}}"#)
 }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,5 +1,7 @@
 //! What a FastCGI request asks for: its parameters read in place.
 
+#![warn(missing_docs)]
+
 use crate::fastcgi;
 use crate::request_error::RequestError;
 use madderpoint::{Idempotency, LoadBalancerId, Nanos, Operation, OperationId, TenantId};
--- a/crates/node/src/request_error.rs
+++ b/crates/node/src/request_error.rs
@@ -1,5 +1,7 @@
 //! Why a request is answered without asking the admission controller.
 
+#![warn(missing_docs)]
+
 /// A request that is answered at once, by cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.reason())]
--- a/crates/node/src/request_rules.rs
+++ b/crates/node/src/request_rules.rs
@@ -1,6 +1,8 @@
 //! The rules and limits in force, as requests meet them before the admission controller does. A rule
 //! set is compiled elsewhere and swapped in one step; requests in flight keep what they were given.
 
+#![warn(missing_docs)]
+
 use madderpoint::{Nanos, OperationId};
 use madderpoint_rate_limits::{Bucket, ExceededLimit, LimitExceeded, Permit, RateLimiter};
 use madderpoint_rules::{Facts, Path, RuleSet, Scratch, Verdict};
