--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -80,7 +80,7 @@
         bytes: Vec<u8>,
         token: CallInterestToken,
     ) -> bool;
-    /// Tell the backend, over the link that a call was sent on, that its reply is no longer awaited.
+    /// Tell the backend, over the link that a call was sent on, that no reply is awaited any more.
     fn cancel_backend_call(&mut self, link: usize, bytes: Vec<u8>);
     /// Close the link at this index: no reply is awaited on it.
     fn close_backend_link(&mut self, link: usize);
--- a/crates/node/src/capacity.rs
+++ b/crates/node/src/capacity.rs
@@ -36,7 +36,7 @@
 /// one before, one on trial, and two that come in), a third for a voter's record of the cohorts.
 const ROLLOUT_SHARE: usize = 8;
 
-/// Bounds on what is kept.
+/// Bounds on what the node stores and queues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CapacityLimits {
     /// Load balancers' connections that may be open.
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -1,4 +1,4 @@
-//! What the node knows of its cluster, and what it says of itself there. Decisions work the same
+//! What the node knows of its cluster, and what it reports of itself there. Decisions work the same
 //! without a cluster, and nothing waits for it.
 
 #![warn(missing_docs)]
@@ -12,7 +12,7 @@
 /// Successful executions after which a node that started cold counts as warm.
 const WARM_AFTER: u32 = 64;
 
-/// What a node says of itself.
+/// What a node reports of itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClusterUpdate {
     /// The phase of its process.
@@ -46,7 +46,7 @@
 /// The node as a member of its cluster.
 #[derive(Debug, Default)]
 pub struct ClusterParticipation {
-    /// What is seen of the cluster; none until membership has said anything.
+    /// What is seen of the cluster; none until membership has reported.
     pub view: Option<ClusterView>,
     phase: Option<Phase>,
     executions_succeeded: u32,
--- a/crates/node/src/idempotency_cache.rs
+++ b/crates/node/src/idempotency_cache.rs
@@ -4,7 +4,7 @@
 use madderpoint::{Nanos, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
-/// The most keys that are kept.
+/// The most keys that are retained.
 const KEYS_MAX: usize = 8192;
 /// Bytes that a key takes in the maps; all keys may take as much as the results.
 const KEY_BYTES: usize = 256;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -2,8 +2,8 @@
 //! sockets, round the decisions of [`madderpoint::admission`].
 //!
 //! [`fastcgi`], [`executor`], [`backend`] and [`service_registry`] are protocols: fed bytes, they
-//! know no socket, clock or thread. [`node`] is the node without its I/O, [`io`] has the sockets and
-//! threads.
+//! know no socket, clock or thread. [`node`] is the node without its I/O, [`io`] has the sockets
+//! and threads.
 
 #![forbid(unsafe_code)]
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -7,8 +7,8 @@
 //! itself waits in the state as a `DeferredEvent` and is handled before the next event.
 //!
 //! `node/load_balancer.rs` takes requests, `node/request_policy.rs` has rules and limits look at
-//! them, `node/execution.rs` takes what the executor and the backend say, `node/cluster_reports.rs`
-//! tells the cluster about this node.
+//! them, `node/execution.rs` takes notices of the executor and replies of the backend,
+//! `node/cluster_reports.rs` tells the cluster about this node.
 
 #![warn(missing_docs)]
 
@@ -153,7 +153,7 @@
             .unwrap_or_default();
     }
 
-    /// What is seen of the cluster, if there is one and membership has said anything.
+    /// What is seen of the cluster, if there is one and membership has reported.
     pub fn cluster_view(&self) -> Option<&ClusterView> {
         self.cluster.as_ref()?.view.as_ref()
     }
--- a/crates/node/src/node/cluster_reports.rs
+++ b/crates/node/src/node/cluster_reports.rs
@@ -1,4 +1,4 @@
-//! What the node hears from its cluster, and what it tells it.
+//! What the cluster grants and reports to this node, and what this node reports to it.
 
 use super::Node;
 use crate::actions::Actions;
@@ -20,7 +20,7 @@
 pub(super) const COUNTER_REPORT_PERIOD: Nanos = 5_000_000_000;
 
 impl<A: Actions> Node<A> {
-    /// Tells the cluster what its participant has to say, if there is one and it has anything.
+    /// Sends the cluster an update, if the node is in one and there is any.
     pub(super) fn update_cluster(
         &mut self,
         update: impl FnOnce(&mut ClusterParticipation) -> Option<ClusterUpdate>,
--- a/crates/node/src/node/execution.rs
+++ b/crates/node/src/node/execution.rs
@@ -1,4 +1,4 @@
-//! What the executor and the backend say.
+//! Notices of the executor and replies of the backend.
 
 use super::Node;
 use crate::actions::{Actions, BackendLink, CallId};
--- a/crates/node/src/node/tests/rules.rs
+++ b/crates/node/src/node/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Rules and limits at the node: what they give reaches the admission controller, and the four rules
-//! hold.
+//! Rules and limits at the node: what they give reaches the admission controller, and the four
+//! rules hold.
 
 use super::support::*;
 use crate::request_rules::CompiledRuleSet;
--- a/crates/node/src/node/tests/support.rs
+++ b/crates/node/src/node/tests/support.rs
@@ -1,5 +1,5 @@
-//! A node with a recorder in place of its I/O, and the requests, notices and replies that tests send
-//! it.
+//! A node with a recorder in place of its I/O, and the requests, notices and replies that tests
+//! send it.
 
 pub use super::super::*;
 pub use crate::actions::{BackendLink, CallId, Close, ConnectionId};
@@ -48,15 +48,15 @@
             .iter()
             .for_each(|s| self.written.extend_from_slice(s));
     }
-    fn close_connection(&mut self, conn: ConnectionId, close: Close) {
-        self.closed.push(conn);
-        self.close_orders.insert(conn, close);
+    fn close_connection(&mut self, connection_id: ConnectionId, close: Close) {
+        self.closed.push(connection_id);
+        self.close_orders.insert(connection_id, close);
     }
-    fn stop_reading(&mut self, conn: ConnectionId) {
-        self.not_read.push(conn);
+    fn stop_reading(&mut self, connection_id: ConnectionId) {
+        self.not_read.push(connection_id);
     }
-    fn pace_reading(&mut self, conn: ConnectionId, pause: Nanos) {
-        self.paced.push((conn, pause));
+    fn pace_reading(&mut self, connection_id: ConnectionId, pause: Nanos) {
+        self.paced.push((connection_id, pause));
     }
     fn send_executor_command(&mut self, line: String) {
         match line.strip_prefix(r#"{"t":"SYSINFO","mark":""#) {
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -16,8 +16,8 @@
 const ESTIMATE_MS_MAX: f64 = 600_000.0;
 /// How far an arrival may lie in the future, in milliseconds: clocks differ, but not by more.
 const ARRIVAL_AHEAD_MS: u64 = 5_000;
-/// How long before the client timeout an arrival may lie, in milliseconds: machines stand still, but
-/// not for longer. What lies further off is no time of arrival, and must not count as time in a
+/// How long before the client timeout an arrival may lie, in milliseconds: machines stand still,
+/// but not for longer. What lies further off is no time of arrival, and must not count as time in a
 /// queue.
 const ARRIVAL_OVERDUE_MS: u64 = 60_000;
 /// The longest that a client may say it waits, in milliseconds.
--- a/crates/node/src/request_rules.rs
+++ b/crates/node/src/request_rules.rs
@@ -1,5 +1,5 @@
-//! The rules and limits in force, as requests meet them before the admission controller does. A rule
-//! set is compiled elsewhere and swapped in one step; requests in flight keep what they were given.
+//! The rules and limits in force, as requests meet them before the admission controller does. A
+//! rule set is compiled elsewhere and swapped in one step; requests in flight keep what they were given.
 
 #![warn(missing_docs)]
 
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -74,7 +74,7 @@
 pub enum DeferredEvent {
     /// A backend call ended before it was sent.
     BackendCallEnded(RequestId, BackendCallOutcome),
-    /// An execution was cancelled of which the executor was never told.
+    /// An execution was cancelled whose start was never sent.
     ExecutionNeverStarted(RequestId),
     /// What a coalesced request waited for has ended: with a result, or without.
     CoalescedEnded(RequestId, Option<Vec<u8>>),
--- a/crates/node/src/state/connections.rs
+++ b/crates/node/src/state/connections.rs
@@ -166,8 +166,8 @@
             return false;
         };
         if connection.open.contains_key(&request.id) {
-            // An answer could not be told from the first request's: that one is answered, and
-            // nothing after it is read.
+            // The answers of both would look alike: the first request is answered, and nothing
+            // after it is read.
             self.count(Metric::DuplicateRequestIds, 1);
             self.actions.stop_reading(connection_id);
             self.input_ended(connection_id);
--- a/crates/node/src/state/drain.rs
+++ b/crates/node/src/state/drain.rs
@@ -35,7 +35,8 @@
 }
 
 impl<A: Actions> NodeState<A> {
-    /// Begins to drain; false if that has begun before. All is to be written out after `stop_after`.
+    /// Begins to drain; false if that has begun before. After `stop_after` all is to be written
+    /// out.
     pub fn start_drain(&mut self, stop_after: Nanos, grace: Nanos) -> bool {
         if self.drain.started.is_some() {
             return false;
--- a/crates/node/src/state/executions.rs
+++ b/crates/node/src/state/executions.rs
@@ -20,7 +20,7 @@
         /// The notice's number.
         notice: u64,
     },
-    /// Nothing any more: it was told to go on.
+    /// Nothing any more: the command to go on was given.
     Resumed {
         /// The number of the notice that wanted the call.
         notice: u64,
@@ -31,7 +31,7 @@
     },
 }
 
-/// An execution that the executor was told to start.
+/// An execution for which a start was ordered.
 #[derive(Debug)]
 pub struct Execution {
     /// The number of the command to start it; 0 = it could not be sent yet.
@@ -287,7 +287,7 @@
     /// there is.
     pub fn ask_for_overdue_executions(&mut self) {
         if !self.executor.is_in_step() {
-            return; // what happened without a link is told first
+            return; // what happened without a link is replayed first
         }
         let overdue: Vec<RequestId> = self
             .requests
--- a/crates/node/src/state/requests.rs
+++ b/crates/node/src/state/requests.rs
@@ -56,7 +56,7 @@
     pub execution: Option<Execution>,
     /// Whether an execution of it has ended.
     pub has_run: bool,
-    /// How often the executor was told to run it.
+    /// How many commands to start it were sent.
     pub start_commands: u32,
     /// Whether none of it can have run all the same.
     pub never_ran: bool,
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Drops an execution of which the executor has not been told.
+    /// Drops an execution whose start was never sent.
     pub fn drop_unsent_execution(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.execution = None;
