--- a/crates/node/src/node/load_balancer.rs
+++ b/crates/node/src/node/load_balancer.rs
@@ -6,6 +6,7 @@
 use crate::metrics::Metric;
 use crate::request::{Fields, RequestHead, RequestKind};
 use crate::request_error::RequestError;
+use crate::request_rules::RuleOutcome;
 use crate::state::{ReplyTarget, RequestContext};
 use madderpoint::{Arrival, Nanos, RequestId};
 
@@ -108,26 +109,40 @@
             Ok(RequestKind::Call(_)) if self.admission.is_none() => {
                 state.reject(target, RequestError::ExecutorNotUp);
             }
-            Ok(RequestKind::Call(head)) if state.is_in_flight(&head.correlation_id) => {
-                state.reject_with_strike(target, RequestError::CorrelationIdInUse);
-            }
             Ok(RequestKind::Call(head)) => {
-                let context = Self::admit_by_policy(
-                    &mut state,
+                drop(state);
+                self.on_call(
+                    clock,
                     target,
-                    &head,
+                    head,
+                    request.body,
                     outcome.unwrap_or_default(),
-                    &request.body,
-                    clock.now.saturating_sub(head.age(clock.unix_ms)),
                 );
-                drop(state);
-                if let Some(context) = context {
-                    self.on_arrival(clock, target, head, request.body, context);
-                }
             }
         }
     }
 
+    /// Admits a well-formed call by keys and limits, and hands it to the admission controller.
+    fn on_call(
+        &mut self,
+        clock: ClockReading,
+        target: ReplyTarget,
+        head: RequestHead,
+        body: Vec<u8>,
+        outcome: RuleOutcome,
+    ) {
+        let mut state = self.state.borrow_mut();
+        if state.is_in_flight(&head.correlation_id) {
+            return state.reject_with_strike(target, RequestError::CorrelationIdInUse);
+        }
+        let arrived = clock.now.saturating_sub(head.age(clock.unix_ms));
+        let context = Self::admit_by_policy(&mut state, target, &head, outcome, &body, arrived);
+        drop(state);
+        if let Some(context) = context {
+            self.on_arrival(clock, target, head, body, context);
+        }
+    }
+
     /// Hands a request to the admission controller.
     fn on_arrival(
         &mut self,
--- a/crates/node/src/node/request_policy.rs
+++ b/crates/node/src/node/request_policy.rs
@@ -35,7 +35,8 @@
             rules.join_cluster(now, &quotas, timing, self.quota_bytes, self.seed);
         }
         state.actions.log(format_args!(
-            "rules: {rules} in force with {buckets} buckets, {kib} KiB, at most {max_cost} units for a request"
+            "rules: {rules} in force with {buckets} buckets, {kib} KiB, \
+             at most {max_cost} units for a request"
         ));
     }
 
