--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -12,14 +12,14 @@
 pub use cluster_link::{Part, Reset, SHARED, zone_number};
 pub use rollout_link::{Changing, PROGRAM_CHANGES, SETTINGS_CHANGES, Versions};
 
-use crate::actions::{Actions, CallId, Close, ConnectionId, Wanted};
+use crate::actions::{Actions, CallId, CallInterestToken, Close, ConnectionId};
 use crate::capacity::{CapacityLimits, OptionalSubsystems};
-use crate::classify::Sheet;
 use crate::cluster::ClusterUpdate;
 use crate::config::{Identity, Moved, Peers};
 use crate::fastcgi::Reply;
 use crate::log::log;
-use crate::node::{Core, Event, Moment};
+use crate::node::{ClockReading, Event, Node};
+use crate::request_rules::CompiledRuleSet;
 use crate::state::BACKEND_LINKS;
 use backend_link::BackendLinkCommand;
 use client_connections::Connection;
@@ -67,7 +67,7 @@
     /// That its configuration was replaced.
     Moved(Moved),
     /// That its rules were replaced.
-    Ruled(Box<Sheet>),
+    Ruled(Box<CompiledRuleSet>),
     /// That what it is told of its fleet was replaced.
     Fleet(Box<Reset>),
 }
@@ -111,8 +111,8 @@
         }
     }
 
-    fn read(self) -> Moment {
-        Moment {
+    fn read(self) -> ClockReading {
+        ClockReading {
             now: self.now(),
             unix_ms: unix().as_millis() as u64,
         }
@@ -137,42 +137,42 @@
 }
 
 impl Actions for Sockets {
-    fn reply(&mut self, conn: ConnectionId, reply: Reply) {
+    fn send_reply(&mut self, conn: ConnectionId, reply: Reply) {
         if let Some(connection) = self.conns.get_mut(&conn) {
             connection.reply(reply);
             self.dirty.push(conn);
         }
     }
 
-    fn close(&mut self, conn: ConnectionId, close: Close) {
+    fn close_connection(&mut self, conn: ConnectionId, close: Close) {
         if let Some(connection) = self.conns.get_mut(&conn) {
             connection.close(close);
             self.dirty.push(conn);
         }
     }
 
-    fn deafen(&mut self, conn: ConnectionId) {
+    fn stop_reading(&mut self, conn: ConnectionId) {
         self.front.give(Order::Deafen(conn));
     }
 
-    fn pace(&mut self, conn: ConnectionId, pause: Nanos) {
+    fn pace_reading(&mut self, conn: ConnectionId, pause: Nanos) {
         if let Some(connection) = self.conns.get(&conn) {
             connection.pace(pause);
         }
     }
 
-    fn kernel(&mut self, line: String) {
+    fn send_executor_command(&mut self, line: String) {
         // One line that is left out would leave a gap, so none may follow it on that link.
         self.kernel.take_if(|link| !link.write(line));
     }
 
-    fn call(
+    fn send_backend_call(
         &mut self,
         place: usize,
         call: CallId,
         id: RequestId,
         bytes: Vec<u8>,
-        wanted: Wanted,
+        wanted: CallInterestToken,
     ) -> bool {
         let call = BackendLinkCommand::Call(call, id, bytes, wanted);
         self.backend
@@ -180,29 +180,29 @@
             .is_some_and(|queue| queue.try_send(call).is_ok())
     }
 
-    fn cancel(&mut self, place: usize, bytes: Vec<u8>) {
+    fn cancel_backend_call(&mut self, place: usize, bytes: Vec<u8>) {
         if let Some(queue) = self.backend.get(place) {
             let _ = queue.try_send(BackendLinkCommand::Cancel(bytes));
         }
     }
 
-    fn rest(&mut self, place: usize) {
+    fn close_backend_link(&mut self, place: usize) {
         if let Some(queue) = self.backend.get(place) {
             let _ = queue.try_send(BackendLinkCommand::Rest);
         }
     }
 
-    fn moved(&mut self, peers: Peers) -> bool {
+    fn change_peers(&mut self, peers: Peers) -> bool {
         self.addresses.swap(peers).kernel != peers.kernel
     }
 
-    fn renew_kernel(&mut self) {
+    fn reconnect_executor(&mut self) {
         if let Some(link) = self.kernel.take() {
             link.close();
         }
     }
 
-    fn leaving(&mut self) {
+    fn announce_drain(&mut self) {
         self.leaving.store(true, SeqCst);
     }
 
@@ -210,13 +210,13 @@
         self.front.give(Order::Stop);
     }
 
-    fn fleet(&mut self, word: ClusterUpdate) {
+    fn update_cluster(&mut self, word: ClusterUpdate) {
         if let Some(fleet) = &self.fleet {
             fleet.say(word);
         }
     }
 
-    fn step(&mut self, rid: &str, what: fmt::Arguments<'_>) {
+    fn trace_step(&mut self, rid: &str, what: fmt::Arguments<'_>) {
         crate::log::step(rid, what);
     }
 
@@ -254,7 +254,7 @@
     pub listener: Option<TcpListener>,
     pub serves: Option<Box<dyn FnOnce()>>,
     /// Rules, from settings of ours.
-    pub rules: Option<Box<Sheet>>,
+    pub rules: Option<Box<CompiledRuleSet>>,
     /// Its part in a fleet.
     pub fleet: Option<Box<Part>>,
 }
@@ -268,9 +268,9 @@
             .is_some_and(|part| !part.changes.is_empty());
         OptionalSubsystems {
             settings: self.rules.is_some(),
-            fleet: self.fleet.is_some(),
-            shared,
-            changes,
+            cluster: self.fleet.is_some(),
+            shared_state: shared,
+            rollouts: changes,
         }
     }
 }
@@ -279,7 +279,7 @@
 pub fn serve(who: &Identity, ours: Ours, notices: Receiver<Notice>) -> io::Result<()> {
     let clock = Clock::start();
     let room = room(who, ours.beside());
-    let (front_events, front_inbox) = bounded(room.front_events);
+    let (front_events, front_inbox) = bounded(room.load_balancer_events);
     let (events, peers_inbox) = bounded(room.peer_events);
     let inbox = Inbox {
         front: front_inbox,
@@ -306,12 +306,16 @@
             backend.push(backend_link::start(
                 Arc::clone(&addresses),
                 place,
-                room.calls,
+                room.backend_calls,
                 events.clone(),
             )?);
         }
     }
-    executor_link::start(Arc::clone(&addresses), room.commands, events.clone())?;
+    executor_link::start(
+        Arc::clone(&addresses),
+        room.executor_commands,
+        events.clone(),
+    )?;
     let told = registry_reports::Told {
         leaving: Arc::clone(&leaving),
         handed: Arc::clone(&handed),
@@ -329,12 +333,12 @@
         .unwrap_or_default();
     let fleet = match ours.fleet {
         Some(mut part) => {
-            part.settings.bytes = room.fleet;
-            part.key_bytes = room.key_books;
-            part.count_bytes = room.counts;
-            part.change_bytes = room.changes;
+            part.settings.bytes = room.member_table_bytes;
+            part.key_bytes = room.quota_lender_bytes;
+            part.count_bytes = room.counter_bytes;
+            part.change_bytes = room.rollout_bytes;
             let unix = move || {
-                let Moment { now, unix_ms } = clock.read();
+                let ClockReading { now, unix_ms } = clock.read();
                 madderpoint_membership::ClockReading { now, unix_ms }
             };
             // Chance of its own: the seed of the decisions is told by the platform, and may be the
@@ -358,8 +362,8 @@
                     hands.store(true, SeqCst);
                     Event::Drain
                 }
-                Notice::Moved(moved) => Event::Moved(moved),
-                Notice::Ruled(sheet) => Event::Ruled(sheet),
+                Notice::Moved(moved) => Event::ConfigChanged(moved),
+                Notice::Ruled(sheet) => Event::RulesChanged(sheet),
                 Notice::Fleet(reset) => {
                     told.iter().for_each(|fleet| fleet.reset((*reset).clone()));
                     continue;
@@ -381,7 +385,7 @@
         fleet,
     };
     let stop_after = who.stop_after.as_nanos() as Nanos;
-    let mut core = Core::new(
+    let mut core = Node::new(
         sockets,
         who.start.clone(),
         who.seed,
@@ -390,15 +394,15 @@
         &room,
     );
     if let Some(rhythm) = rhythm {
-        core.join_fleet(clock.now(), &budgets, rhythm, &with);
+        core.join_cluster(clock.now(), &budgets, rhythm, &with);
     }
     if let Some(sheet) = ours.rules {
-        core.handle(clock.read(), Event::Ruled(sheet));
+        core.handle(clock.read(), Event::RulesChanged(sheet));
     }
     run(&mut core, clock, &inbox, serves);
-    core.let_go(clock.now());
+    core.release_leases(clock.now());
     let handed = handed.load(SeqCst);
-    core.out(|out| out.fleet.iter().for_each(|fleet| fleet.leave(handed)));
+    core.with_actions(|out| out.fleet.iter().for_each(|fleet| fleet.leave(handed)));
     if let Some(thread) = fleet_thread {
         let _ = thread.join();
     }
@@ -408,12 +412,12 @@
 /// Takes what waits, then fires the timers that are due, so that what came in counts before a
 /// time-out.
 fn run(
-    core: &mut Core<Sockets>,
+    core: &mut Node<Sockets>,
     clock: Clock,
     inbox: &Inbox,
     mut serves: Option<Box<dyn FnOnce()>>,
 ) {
-    while !core.has_left() {
+    while !core.has_drained() {
         if let Some(serves) = serves.take_if(|_| core.is_up()) {
             serves();
         }
@@ -424,14 +428,14 @@
             let until = clock.now() + LET_IN_MOST;
             while clock.now() < until && turn(core, clock, inbox, LET_IN) {}
         }
-        core.fire(clock.now());
-        core.out(Sockets::flush);
+        core.fire_timers(clock.now());
+        core.with_actions(Sockets::flush);
     }
 }
 
 /// Waits for something, then takes all that peers sent and a share of what dispatchers did; false
 /// if nothing came.
-fn turn(core: &mut Core<Sockets>, clock: Clock, inbox: &Inbox, wait: Duration) -> bool {
+fn turn(core: &mut Node<Sockets>, clock: Clock, inbox: &Inbox, wait: Duration) -> bool {
     let first = select! {
         recv(inbox.peers) -> message => message,
         recv(inbox.front) -> message => message,
@@ -450,21 +454,21 @@
     true
 }
 
-fn take(core: &mut Core<Sockets>, clock: Clock, message: Message) {
+fn take(core: &mut Node<Sockets>, clock: Clock, message: Message) {
     let event = match message {
         Message::Event(event) => event,
         Message::Accepted(conn, from, connection) => {
-            core.out(|out| out.conns.insert(conn, connection));
+            core.with_actions(|out| out.conns.insert(conn, connection));
             Event::Connected(conn, Some(from))
         }
         Message::Linked(last, link) => {
-            core.out(|out| out.kernel = Some(link));
-            Event::KernelLinked(last)
+            core.with_actions(|out| out.kernel = Some(link));
+            Event::ExecutorConnected(last)
         }
     };
     match &event {
-        Event::Disconnected(conn) => drop(core.out(|out| out.conns.remove(conn))),
-        Event::KernelLost => core.out(|out| out.kernel = None),
+        Event::Disconnected(conn) => drop(core.with_actions(|out| out.conns.remove(conn))),
+        Event::ExecutorDisconnected => core.with_actions(|out| out.kernel = None),
         _ => {}
     }
     core.handle(clock.read(), event);
--- a/crates/node/src/io/client_reader.rs
+++ b/crates/node/src/io/client_reader.rs
@@ -371,7 +371,9 @@
                 return self.gone(number);
             }
         }
-        let _ = self.events.send(Message::Event(Event::Crowded));
+        let _ = self
+            .events
+            .send(Message::Event(Event::ConnectionLimitReached));
     }
 
     /// The backlog is empty, or another process's: no more connections are taken.
@@ -381,7 +383,7 @@
             // without end.
             let _ = epoll::delete(&self.poll, &listener);
             drop(listener);
-            let _ = self.events.send(Message::Event(Event::NotListening));
+            let _ = self.events.send(Message::Event(Event::ListenerClosed));
         }
     }
 
@@ -392,7 +394,8 @@
         let places = &self.places;
         let socket = Arc::new(Socket::new(stream, places));
         let pause = Arc::new(AtomicU64::new(0));
-        let parser = fastcgi::Parser::new(places.room.connections, places.room.unfinished);
+        let parser =
+            fastcgi::Parser::new(places.room.connections, places.room.partial_request_bytes);
         let (state, handed, closing) = (State::Read, 0, None);
         let reading = Reading {
             socket: Arc::clone(&socket),
@@ -451,14 +454,14 @@
             // It has told that nothing more comes, not that it waits for nothing.
             hand(Event::HalfClosed(ConnectionId(number)));
             if reading.parser.is_partial() {
-                let _ = self.events.send(Message::Event(Event::CutShort));
+                let _ = self.events.send(Message::Event(Event::RequestTruncated));
             }
             return self.deafen(number, true);
         }
-        let front = |event| hand(Event::Front(ConnectionId(number), event));
+        let front = |event| hand(Event::LoadBalancer(ConnectionId(number), event));
         if let Err(fastcgi::Broken(what)) = reading.parser.feed(&buffer[..n], &mut { front }) {
             log!("dispatcher: connection ended: {what}");
-            hand(Event::Garbled(ConnectionId(number), what));
+            hand(Event::ProtocolError(ConnectionId(number), what));
             return self.deafen(number, false);
         }
         let pause = reading.pause.load(SeqCst);
@@ -487,8 +490,8 @@
     fn close(&mut self, number: u64, close: Close) {
         self.take_all(number);
         if let Some(reading) = self.reading.get_mut(&number) {
-            let until = Instant::now() + Duration::from_nanos(close.patience);
-            reading.closing = Some((close.heard, until));
+            let until = Instant::now() + Duration::from_nanos(close.partial_request_wait);
+            reading.closing = Some((close.events_handled, until));
             self.later.push(Reverse((until, number)));
         }
         self.finish_close(number);
@@ -531,7 +534,7 @@
         };
         let _ = reading.socket.stream.shutdown(Shutdown::Write);
         if reading.parser.is_partial() && matches!(reading.state, State::Read | State::Rests) {
-            let _ = self.events.send(Message::Event(Event::CutShort));
+            let _ = self.events.send(Message::Event(Event::RequestTruncated));
         }
         if reading.state == (State::Deaf { ended: true }) || !self.places.has_one() {
             return self.gone(number);
