--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -20,6 +20,7 @@
 mod local_health;
 pub mod member;
 pub mod member_table;
+pub mod messages;
 pub mod observer;
 mod probe_order;
 mod receive_limiter;
@@ -27,7 +28,6 @@
 mod suspicion;
 pub mod swim;
 mod token_bucket;
-pub mod messages;
 
 pub use cluster_size::ClusterView;
 pub use config::{ClockReading, Config, FeatureToggles, Timing};
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -19,11 +19,11 @@
     MemberKey, Phase, refutes,
 };
 use crate::member_table::{Interner, MemberChange, MemberTable, MergeOutcome, TYPICAL_ENTRY_BYTES};
+use crate::messages::{self, Datagram, MemberUpdate, NodeReport, kind};
 use crate::probe_order::ProbeOrder;
 use crate::receive_limiter::ReceiveLimiter;
 use crate::suspicion::Suspicions;
 use crate::token_bucket::TokenBucket;
-use crate::messages::{self, Datagram, MemberUpdate, NodeReport, kind};
 use crate::{MILLISECOND, Nanos, SECOND};
 use prost::Message;
 use rand::seq::SliceRandom;
--- a/crates/membership/src/swim/sending.rs
+++ b/crates/membership/src/swim/sending.rs
@@ -52,8 +52,10 @@
             .get(to)
             .filter(|entry| entry.liveness().is_present())
             .map(|e| e.details.address);
-        let (Some(address), false) = (there, self.is_mute() || payload.len() > messages::PAYLOAD_MAX)
-        else {
+        let (Some(address), false) = (
+            there,
+            self.is_mute() || payload.len() > messages::PAYLOAD_MAX,
+        ) else {
             self.count("parcels that could not be sent", 1);
             return false;
         };
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -304,7 +304,9 @@
         .collect();
     assert_eq!(
         kinds,
-        (kind::PING..=kind::COMMAND_REPLY).chain([99]).collect::<Vec<_>>()
+        (kind::PING..=kind::COMMAND_REPLY)
+            .chain([99])
+            .collect::<Vec<_>>()
     );
 }
 
--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -3,9 +3,9 @@
 use super::{Ended, Format};
 use crate::serve;
 use clap::Subcommand;
+use madderpoint_membership::messages::DATAGRAM_MAX;
 use madderpoint_membership::observer::{MemberSnapshot, NodeSnapshot, Observer};
 use madderpoint_membership::simulation::{self, Simulation, SimulationConfig};
-use madderpoint_membership::messages::DATAGRAM_MAX;
 use madderpoint_membership::{Liveness, Nanos};
 use madderpoint_rules::time;
 use madderpoint_settings::Known;
@@ -105,7 +105,7 @@
         /// missed for a death.
         #[arg(long, value_name = "MISSED")]
         heartbeats: Option<u32>,
-        /// MemberSnapshot as a line of text for each seed, or as a line of JSON.
+        /// Shown as a line of text for each seed, or as a line of JSON.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
@@ -152,16 +152,16 @@
                 let mut plan = SimulationConfig {
                     members,
                     loss,
-                    slow,
+                    stalling: slow,
                     zones,
                     ..SimulationConfig::default()
                 };
                 for part in &without {
                     match part.as_str() {
-                        "health" => plan.extensions.health = false,
-                        "confirm" => plan.extensions.confirm = false,
-                        "reconcile" => plan.extensions.reconcile = false,
-                        "regain" => plan.extensions.regain = false,
+                        "health" => plan.features.health = false,
+                        "confirm" => plan.features.confirm = false,
+                        "reconcile" => plan.features.reconcile = false,
+                        "regain" => plan.features.probe_dead = false,
                         other => {
                             return Err(format!(
                                 "--without {other}: expected health, confirm, reconcile or regain"
@@ -281,7 +281,7 @@
     /// Asks for what another package holds.
     pub fn about(settings: &Path, at: SocketAddr, topic: u32) -> Result<Asker, String> {
         let mut asker = Asker::new(settings, at)?;
-        asker.observer = asker.observer.about(topic);
+        asker.observer = asker.observer.for_topic(topic);
         let soon = asker.socket.set_read_timeout(Some(SOON));
         soon.map_err(|e| format!("no socket: {e}"))?;
         Ok(asker)
@@ -293,7 +293,7 @@
         let (mut buffer, mut left) = ([0; DATAGRAM_MAX + 1], tries);
         while left > 0 {
             left -= 1;
-            let question = self.observer.question(unix_ms());
+            let question = self.observer.request(unix_ms());
             self.socket.send_to(&question, self.at).map_err(wrong)?;
             let until = Instant::now() + SOON;
             while Instant::now() < until {
@@ -301,7 +301,7 @@
                     break;
                 };
                 let now = self.begun.elapsed().as_nanos() as Nanos;
-                match self.observer.page(now, unix_ms(), &buffer[..n]) {
+                match self.observer.on_status_page(now, unix_ms(), &buffer[..n]) {
                     Ok((_, Some(bytes))) => return Ok(Some(bytes)),
                     Ok((true, None)) => {
                         left = tries; // the next page
@@ -319,7 +319,7 @@
         let wrong = |e: std::io::Error| format!("{}: {e}", self.at);
         let mut buffer = [0; DATAGRAM_MAX + 1];
         for _ in 0..ORDERS {
-            let frame = self.observer.order(unix_ms(), topic, order);
+            let frame = self.observer.command(unix_ms(), topic, order);
             self.socket.send_to(&frame, self.at).map_err(wrong)?;
             let until = Instant::now() + ANSWER;
             while Instant::now() < until {
@@ -327,7 +327,8 @@
                     continue;
                 };
                 let now = self.begun.elapsed().as_nanos() as Nanos;
-                if let Ok(Some(answer)) = self.observer.ordered(now, unix_ms(), &buffer[..n]) {
+                if let Ok(Some(answer)) = self.observer.command_reply(now, unix_ms(), &buffer[..n])
+                {
                     return Ok(answer);
                 }
             }
@@ -342,14 +343,14 @@
         let wrong = |e: std::io::Error| format!("{}: {e}", self.at);
         let (mut buffer, mut tries) = ([0; DATAGRAM_MAX + 1], 0);
         loop {
-            let question = self.observer.question(unix_ms());
+            let question = self.observer.request(unix_ms());
             self.socket.send_to(&question, self.at).map_err(wrong)?;
             let until = Instant::now() + ANSWER;
             loop {
                 let read = match self.socket.recv_from(&mut buffer) {
                     Ok((n, _)) => {
                         let now = self.begun.elapsed().as_nanos() as Nanos;
-                        self.observer.datagram(now, unix_ms(), &buffer[..n]).ok()
+                        self.observer.on_datagram(now, unix_ms(), &buffer[..n]).ok()
                     }
                     Err(_) => None,
                 };
@@ -375,11 +376,11 @@
 }
 
 fn row(shown: &MemberSnapshot) -> Value {
-    json!({"name": shown.name, "status": shown.status.word(), "zone": shown.zone, "phase": shown.phase.word(),
+    json!({"name": shown.name, "status": shown.liveness.as_str(), "zone": shown.zone, "phase": shown.phase.as_str(),
         "address": shown.address.to_string(), "program": shown.program, "settings": shown.settings.0,
-        "settings_hash": format!("{:016x}", shown.settings.1), "birth_ms": shown.birth, "bump": shown.bump,
-        "life": format!("{:016x}", shown.life), "revision": shown.revision,
-        "room": shown.pulse.map(|p| p.0), "load": shown.pulse.map(|p| p.1)})
+        "settings_hash": format!("{:016x}", shown.settings.1), "birth_ms": shown.started_unix_ms, "bump": shown.refutation,
+        "life": format!("{:016x}", shown.incarnation), "revision": shown.revision,
+        "room": shown.load_hint.map(|p| p.0), "load": shown.load_hint.map(|p| p.1)})
 }
 
 fn show(settings: &Path, at: SocketAddr, format: Format) -> Ended {
@@ -390,7 +391,7 @@
     let shared = super::shared::ask(settings, at, 4)?;
     if format == Format::Json {
         let counts: BTreeMap<_, _> = report
-            .counts
+            .counters
             .iter()
             .map(|c| (c.what.clone(), c.times))
             .collect();
@@ -413,22 +414,24 @@
         "name", "zone", "status", "phase", "address", "program", "settings", "bump", "room", "load"
     );
     for m in members {
-        let (room, load) = m.pulse.map_or(("-".into(), "-".into()), |(room, load)| {
-            (room.to_string(), load.to_string())
-        });
+        let (room, load) = m
+            .load_hint
+            .map_or(("-".into(), "-".into()), |(room, load)| {
+                (room.to_string(), load.to_string())
+            });
         println!(
             "{:<16} {:<8} {:<8} {:<9} {:<22} {:<12} {:>8} {:>5} {room:>5} {load:>5}",
             m.name,
             m.zone,
-            m.status.word(),
-            m.phase.word(),
+            m.liveness.as_str(),
+            m.phase.as_str(),
             m.address,
             m.program,
             m.settings.0,
-            m.bump
+            m.refutation
         );
     }
-    for count in &report.counts {
+    for count in &report.counters {
         println!("{:>8}  {}", count.times, count.what);
     }
     shared.iter().for_each(super::shared::print);
@@ -504,14 +507,14 @@
 fn simulate(plan: SimulationConfig, time: Nanos, crashes: usize, cut: Nanos) -> Value {
     let began = Instant::now();
     let members = plan.members;
-    let described = json!({"members": members, "loss": plan.loss, "slow": plan.slow, "zones": plan.zones, "seed": plan.seed});
+    let described = json!({"members": members, "loss": plan.loss, "slow": plan.stalling, "zones": plan.zones, "seed": plan.seed});
     let mut sim = Simulation::started(plan);
     sim.run(10 * S);
-    sim.spent();
+    sim.take_traffic();
     let quiet_false = sim.false_deaths.len();
     sim.run(time);
     let seconds = time as f64 / 1e9;
-    let (bytes, datagrams) = sim.spent();
+    let (bytes, datagrams) = sim.take_traffic();
     let false_deaths = sim.false_deaths.len() - quiet_false;
     // Crashes: when the first one finds it, and when all agree.
     let mut agreed = Vec::new();
@@ -527,24 +530,27 @@
     found.sort_unstable();
     agreed.sort_unstable();
     let _ = sim.run_until(60 * S, 50 * MS, |sim| sim.is_settled());
-    sim.spent();
+    sim.take_traffic();
     let mut healed = Value::Null;
-    if cut > 0 && sim.plan.zones > 1 {
+    if cut > 0 && sim.config.zones > 1 {
         sim.cut(|from, to| (from.zone == 0) != (to.zone == 0));
         sim.run(cut);
         sim.heal();
-        sim.spent();
+        sim.take_traffic();
         let took = sim.run_until(60 * S, 50 * MS, |sim| sim.is_settled());
-        let (bytes, _) = sim.spent();
+        let (bytes, _) = sim.take_traffic();
         healed = json!({"cut_s": cut as f64 / 1e9, "settled_s": took.map(|t| t as f64 / 1e9), "bytes_each": bytes.round()});
     }
     let settled = sim.up().all(|(_, fleet)| {
         fleet
-            .view()
+            .member_table()
             .get(sim.nodes[0].key)
-            .is_some_and(|e| e.status() != Liveness::Dead)
+            .is_some_and(|e| e.liveness() != Liveness::Dead)
     });
-    let view_bytes = sim.up().next().map_or(0, |(_, fleet)| fleet.view().bytes());
+    let view_bytes = sim
+        .up()
+        .next()
+        .map_or(0, |(_, fleet)| fleet.member_table().bytes());
     json!({
         "plan": described,
         "quiet": {"seconds": seconds, "bytes_s_each": (bytes / seconds).round(), "datagrams_s_each": (datagrams / seconds * 10.0).round() / 10.0,
@@ -552,8 +558,8 @@
         "crash": {"times": found.len(), "found_s_p50": quantile(&found, 0.5), "found_s_p99": quantile(&found, 0.99),
             "agreed_s_p50": quantile(&agreed, 0.5), "agreed_s_p99": quantile(&agreed, 0.99)},
         "heal": healed, "node_0_there": settled, "view_bytes": view_bytes,
-        "events": sim.played, "real_s": (began.elapsed().as_secs_f64() * 10.0).round() / 10.0,
-        "cpu_us_event": (began.elapsed().as_secs_f64() * 1e7 / sim.played.max(1) as f64).round() / 10.0,
+        "events": sim.processed, "real_s": (began.elapsed().as_secs_f64() * 10.0).round() / 10.0,
+        "cpu_us_event": (began.elapsed().as_secs_f64() * 1e7 / sim.processed.max(1) as f64).round() / 10.0,
     })
 }
 
@@ -608,7 +614,7 @@
         .collect();
     let rough: Vec<Faulty> = faults.iter().map(|f| f.0.clone()).collect();
     sim.cut(move |from, to| cuts.iter().any(|faulty| meant(faulty, from, to)));
-    sim.roughen(move |from, to| {
+    sim.degrade_links(move |from, to| {
         let here = rough.iter().filter(|faulty| meant(faulty, from, to));
         here.fold((0.0, 0), |(loss, late), faulty| {
             (
@@ -622,7 +628,7 @@
 /// Whether so many groups that hear each other each hold one digest and just each other.
 fn in_groups(sim: &Simulation, sides: usize) -> bool {
     let mut left: Vec<usize> = (0..sim.nodes.len())
-        .filter(|&n| sim.nodes[n].fleet.is_some())
+        .filter(|&n| sim.nodes[n].membership.is_some())
         .collect();
     let mut groups = 0;
     while let Some(first) = left.pop() {
@@ -640,8 +646,8 @@
         let views = || {
             group
                 .iter()
-                .filter_map(|&n| sim.nodes[n].fleet.as_ref())
-                .map(|fleet| fleet.view())
+                .filter_map(|&n| sim.nodes[n].membership.as_ref())
+                .map(|fleet| fleet.member_table())
         };
         let Some(digest) = views().next().map(|view| view.digest()) else {
             continue;
@@ -649,7 +655,7 @@
         let whole = |view: &madderpoint_membership::member_table::MemberTable| {
             let holds = |&n: &usize| {
                 view.get(sim.nodes[n].key)
-                    .is_some_and(|e| e.status().is_present())
+                    .is_some_and(|e| e.liveness().is_present())
             };
             view.digest() == digest
                 && view.counts().present() == group.len()
@@ -672,17 +678,17 @@
         members,
         zones: script.zones,
         loss,
-        slow,
+        stalling: slow,
         seed: script.seed,
         ..SimulationConfig::default()
     };
     for (name, value) in &script.periods {
         let Ok(time) = span(value) else { continue };
         match name.as_str() {
-            "probe" => plan.periods.probe = time,
-            "answer" => plan.periods.answer = time,
-            "gossip" => plan.periods.gossip = time,
-            "regain" => plan.periods.regain = time,
+            "probe" => plan.timing.probe = time,
+            "answer" => plan.timing.answer = time,
+            "gossip" => plan.timing.gossip = time,
+            "regain" => plan.timing.probe_dead = time,
             _ => {}
         }
     }
@@ -757,10 +763,13 @@
             } => {
                 let (n, key, held) = (number(node), sim.nodes[number(other)].key, held.clone());
                 let sees = move |sim: &Simulation| {
-                    let view = sim.nodes[n].fleet.as_ref().map(|fleet| fleet.view());
+                    let view = sim.nodes[n]
+                        .membership
+                        .as_ref()
+                        .map(|fleet| fleet.member_table());
                     let found = view.map(|view| {
                         view.get(key)
-                            .map_or("unknown", |entry| entry.status().word())
+                            .map_or("unknown", |entry| entry.liveness().as_str())
                     });
                     found == Some(held.as_str())
                 };
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -258,7 +258,7 @@
     fn log(&mut self, kind: &'static str, line: &str) {
         crate::log::event("fleet", kind, format_args!("{line}"));
     }
-    fn parcel(&mut self, from: MemberKey, life: Incarnation, topic: u32, parcel: &[u8]) {
+    fn payload_received(&mut self, from: MemberKey, life: Incarnation, topic: u32, parcel: &[u8]) {
         self.parcels.push((
             ProcessId {
                 key: from.0,
@@ -268,12 +268,12 @@
             parcel.to_vec(),
         ));
     }
-    fn order(&mut self, from: SocketAddr, no: u32, topic: u32, order: &[u8]) {
+    fn command_received(&mut self, from: SocketAddr, no: u32, topic: u32, order: &[u8]) {
         if self.orders.len() < ORDERS {
             self.orders.push((from, no, topic, order.to_vec()));
         }
     }
-    fn show(&mut self, topic: u32, from: u64) -> Option<(Vec<u8>, u64)> {
+    fn status_page(&mut self, topic: u32, from: u64) -> Option<(Vec<u8>, u64)> {
         if topic != SHARED {
             // The pages of one look are of one moment; the first one has them made anew.
             let fresh = self
@@ -300,7 +300,7 @@
         };
         Some(page(bytes, from))
     }
-    fn sight(&mut self, sight: &ClusterView) {
+    fn cluster_view_changed(&mut self, sight: &ClusterView) {
         let event = Event::ClusterChanged(Box::new(sight.clone()));
         match self.events.try_send(Message::Event(event)) {
             Ok(()) => self.unseen = None,
@@ -400,11 +400,11 @@
         asked: Vec::new(),
         orders: Vec::new(),
     };
-    let most = part.settings.bytes / madderpoint_membership::member_table::ENTRY_USUAL + 16;
+    let most = part.settings.bytes / madderpoint_membership::member_table::TYPICAL_ENTRY_BYTES + 16;
     let (rhythm, label) = (part.rhythm(), part.settings.settings.1);
     let fleet = Membership::new(part.settings, seed, clock(), hands)
         .map_err(|odd| io::Error::other(odd.to_string()))?;
-    let (key, life) = fleet.me();
+    let (key, life) = fleet.identity();
     let me = ProcessId {
         key: key.0,
         life: life.0,
@@ -502,19 +502,19 @@
                 self.service,
                 evidence,
             )]));
-            for key in fleet.some_others(TELLS) {
-                fleet.send_parcel(at, key, SHARED, &parcel);
+            for key in fleet.random_members(TELLS) {
+                fleet.send_payload(at, key, SHARED, &parcel);
             }
         }
         let mut opinion = self.witnesses.opinion(at.now, self.service);
-        let (me, _) = fleet.me();
+        let (me, _) = fleet.identity();
         let members = fleet
-            .view()
+            .member_table()
             .iter()
-            .filter(|(_, entry)| entry.status().is_present());
+            .filter(|(_, entry)| entry.liveness().is_present());
         opinion.prober =
             service_health::is_prober(at.now, me.0, self.service, members.map(|(key, _)| key.0));
-        opinion.alone = fleet.view().counts().present() <= 1;
+        opinion.alone = fleet.member_table().counts().present() <= 1;
         let _ = fleet
             .host
             .events
@@ -540,7 +540,7 @@
         let next = bank
             .as_ref()
             .map_or(Nanos::MAX, SharedState::next)
-            .min(fleet.next());
+            .min(fleet.next_wake());
         let next = going_on(&changes)
             .map(|changes| changes.next())
             .fold(next, Nanos::min);
@@ -553,7 +553,7 @@
                     fleet.set_phase(clock(), phase)
                 }
                 Order::ClusterUpdate(ClusterUpdate::LoadHint { capacity, load }) => {
-                    fleet.set_pulse(capacity, load)
+                    fleet.set_load_hint(capacity, load)
                 }
                 Order::ClusterUpdate(ClusterUpdate::BudgetRequests { at, requests }) => {
                     bank.iter_mut()
@@ -569,7 +569,7 @@
                         .for_each(|health| health.seen(&mut fleet, clock(), evidence));
                 }
                 Order::ClusterUpdate(ClusterUpdate::Counters(mut word)) => {
-                    let (key, life) = fleet.me();
+                    let (key, life) = fleet.identity();
                     (word.who, word.label) = (
                         ProcessId {
                             key: key.0,
@@ -593,7 +593,7 @@
                     bank.iter()
                         .for_each(|bank| shown.with_shared(now, bank, &operations));
                     shown.node = fleet.name().to_owned();
-                    if let Some(entry) = fleet.view().get(MemberKey(shown.lender)) {
+                    if let Some(entry) = fleet.member_table().get(MemberKey(shown.lender)) {
                         shown.lender_name = entry.name.to_string();
                     }
                     fleet.host.shown = Some((now, shown.encode_to_vec()));
@@ -602,7 +602,7 @@
                     bank.iter_mut().for_each(|bank| bank.host.free = free)
                 }
                 Order::Reset(reset) => {
-                    fleet.reset(clock(), reset.keys, reset.seeds, reset.periods);
+                    fleet.reconfigure(clock(), reset.keys, reset.seeds, reset.periods);
                     fleet.set_settings(clock(), reset.number);
                     label = reset.number.1;
                     if let Some(plan) = &reset.plan {
@@ -633,7 +633,7 @@
             }
         }
         read(&mut fleet, clock);
-        if clock().now >= fleet.next() {
+        if clock().now >= fleet.next_wake() {
             fleet.wake(clock());
         }
         // While another process is being started in this one's place nothing else changes.
@@ -691,7 +691,7 @@
             }
         }
         if let Some(sight) = fleet.host.unseen.take() {
-            fleet.host.sight(&sight);
+            fleet.host.cluster_view_changed(&sight);
         }
     }
 }
@@ -717,15 +717,15 @@
 ) {
     let says = bank.as_ref().is_some_and(|bank| !bank.host.sent.is_empty());
     if shared_state::messages::LATER && says {
-        for key in fleet.some_others(1) {
-            fleet.send_parcel(clock(), key, SHARED, &shared_state::messages::later_kind());
+        for key in fleet.random_members(1) {
+            fleet.send_payload(clock(), key, SHARED, &shared_state::messages::later_kind());
         }
     }
     for (to, told) in bank
         .iter_mut()
         .flat_map(|bank| std::mem::take(&mut bank.host.sent))
     {
-        fleet.send_parcel(clock(), MemberKey(to), SHARED, &write_parcel(&told));
+        fleet.send_payload(clock(), MemberKey(to), SHARED, &write_parcel(&told));
     }
 }
 
@@ -762,8 +762,10 @@
 /// Has an arbiter add those up who are gone.
 fn tidy(bank: &mut SharedState<SharedStateHost>, fleet: &Membership<MembershipHost>, now: Nanos) {
     let is_there = |who: ProcessId| {
-        let entry = fleet.view().get(MemberKey(who.key));
-        entry.is_some_and(|entry| entry.epoch.life.0 == who.life && entry.status().is_present())
+        let entry = fleet.member_table().get(MemberKey(who.key));
+        entry.is_some_and(|entry| {
+            entry.epoch.incarnation.0 == who.life && entry.liveness().is_present()
+        })
     };
     bank.tidy(now, is_there);
 }
@@ -774,7 +776,7 @@
     let mut buffer = [0; DATAGRAM_MAX + 1];
     for _ in 0..TURN {
         match fleet.host.socket.recv_from(&mut buffer) {
-            Ok((n, from)) => fleet.datagram(clock(), from, &buffer[..n]),
+            Ok((n, from)) => fleet.on_datagram(clock(), from, &buffer[..n]),
             Err(e) if e.kind() == ErrorKind::WouldBlock => return,
             Err(_) => {} // a port that nobody listens on: it will be found dead
         }
--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -271,7 +271,7 @@
 
 impl<H: FleetHost> Names for Called<'_, H> {
     fn node(&self, key: u64) -> Option<(String, String)> {
-        let entry = self.fleet.view().get(MemberKey(key))?;
+        let entry = self.fleet.member_table().get(MemberKey(key))?;
         Some((entry.name.to_string(), entry.details.zone.to_string()))
     }
     fn operation(&self, row: u32) -> String {
@@ -443,10 +443,10 @@
         self.next = at.now + WAKE;
         let topic = topic(self.kind);
         let (mut members, mut digests) = (Vec::new(), Vec::new());
-        let (me, _) = fleet.me();
-        for (key, entry) in fleet.view().iter() {
-            let there = entry.status().is_present();
-            if entry.status() == Liveness::Left {
+        let (me, _) = fleet.identity();
+        for (key, entry) in fleet.member_table().iter() {
+            let there = entry.liveness().is_present();
+            if entry.liveness() == Liveness::Left {
                 continue;
             }
             members.push(Member {
@@ -454,7 +454,11 @@
                 zone: super::zone_number(&entry.details.zone),
                 there,
             });
-            let part = entry.details.parts.iter().find(|part| part.id == topic);
+            let part = entry
+                .details
+                .attachments
+                .iter()
+                .find(|part| part.id == topic);
             if let Some(report) = part
                 .filter(|_| there && key != me)
                 .and_then(|p| messages::read_part(&p.bytes))
@@ -505,13 +509,13 @@
                 if to == self.rollout.local.me() {
                     self.rollout.told(at.now, at.unix_ms, to, told);
                 } else {
-                    fleet.send_parcel(at, MemberKey(to), topic, &messages::write(&told));
+                    fleet.send_payload(at, MemberKey(to), topic, &messages::write(&told));
                 }
             }
         }
         if messages::LATER && self.next == at.now + WAKE {
             for to in self.rollout.local.host.some(1) {
-                fleet.send_parcel(at, MemberKey(to), topic, &messages::later_kind());
+                fleet.send_payload(at, MemberKey(to), topic, &messages::later_kind());
             }
         }
         if let Some(report) = self.rollout.local.host.shown.take() {
@@ -520,10 +524,10 @@
                 version: 1,
                 bytes: messages::write_part(&report),
             };
-            let _ = fleet.set_part(at, part); // one that does not fit is counted there
+            let _ = fleet.set_attachment(at, part); // one that does not fit is counted there
         }
         while let Some((to, no, answer)) = self.answers.pop_front() {
-            fleet.ordered(at, to, no, topic, &answer.encode_to_vec());
+            fleet.answer_command(at, to, no, topic, &answer.encode_to_vec());
         }
     }
 
@@ -536,8 +540,9 @@
             .members
             .iter()
             .map(|member| {
-                let entry = fleet.view().get(MemberKey(member.node));
-                let part = entry.and_then(|e| e.details.parts.iter().find(|part| part.id == topic));
+                let entry = fleet.member_table().get(MemberKey(member.node));
+                let part =
+                    entry.and_then(|e| e.details.attachments.iter().find(|part| part.id == topic));
                 (
                     *member,
                     part.and_then(|part| messages::read_part(&part.bytes)),
@@ -553,7 +558,7 @@
         let alone: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
         let conductor = conduct
             .conductor(&alone)
-            .and_then(|key| fleet.view().get(MemberKey(key)));
+            .and_then(|key| fleet.member_table().get(MemberKey(key)));
         shown.conductor_at =
             conductor.map_or_else(String::new, |entry| entry.details.address.to_string());
         shown.encode_to_vec()
@@ -595,16 +600,16 @@
 ) -> Vec<(u64, Vec<WindowSample>)> {
     let mut all: BTreeMap<u64, BTreeMap<u64, WindowSample>> = BTreeMap::new();
     for (who, window, label, first, counted) in counts.windows(from) {
-        let Some(entry) = fleet.view().get(MemberKey(who.key)) else {
+        let Some(entry) = fleet.member_table().get(MemberKey(who.key)) else {
             continue;
         };
         // A program is another process; what it runs is what the process says on its entry.
         let label = match kind {
             Kind::Settings => label,
-            Kind::Program if entry.epoch.life.0 == who.life => {
+            Kind::Program if entry.epoch.incarnation.0 == who.life => {
                 let part = entry
                     .details
-                    .parts
+                    .attachments
                     .iter()
                     .find(|part| part.id == PROGRAM_CHANGES);
                 match part.and_then(|part| messages::read_part(&part.bytes)) {
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -2,8 +2,8 @@
 //! configurations and new settings.
 
 use madderpoint_deployment_config::DeploymentConfig;
+use madderpoint_membership::FeatureToggles;
 use madderpoint_membership::datagram_auth::AuthKeys;
-use madderpoint_membership::swim::FeatureToggles;
 use madderpoint_node::capacity::OptionalSubsystems;
 use madderpoint_node::config::{self, Identity};
 use madderpoint_node::io::{self, Changing, Notice, Ours, Part, Reset, Versions};
@@ -80,7 +80,7 @@
         )));
     }
     let text = std::fs::read_to_string(&path).map_err(|e| wrong(e.to_string()))?;
-    AuthKeys::read(&text).map_err(wrong)
+    AuthKeys::parse(&text).map_err(|error| wrong(error.to_string()))
 }
 
 /// How the node takes part in its fleet. What differs by node may be told by the environment.
@@ -118,14 +118,14 @@
         address: advertise,
         seeds: fleet.seeds.clone(),
         keys: keys(file, fleet)?,
-        periods: fleet.periods,
+        timing: fleet.periods,
         program: fleet
             .program
             .clone()
             .unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned()),
         settings: read.number,
         bytes: 0,
-        extensions: FeatureToggles::default(),
+        features: FeatureToggles::default(),
     };
     let arbiters = fleet
         .arbiters
@@ -348,7 +348,7 @@
                     "{kept:?} of <fleet> can change with a restart only"
                 ));
             }
-            if !keys(&self.file, &now.fleet)?.meet(&new_keys) {
+            if !keys(&self.file, &now.fleet)?.are_compatible(&new_keys) {
                 let what = "old and new nodes would not understand each other: add the new key first, after the old one";
                 return Err(format!("fleet/@keys: {what}"));
             }
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -286,7 +286,7 @@
             reading.time(
                 of,
                 "regain",
-                &mut periods.regain,
+                &mut periods.probe_dead,
                 50 * MILLISECOND,
                 600 * SECOND,
             );
@@ -299,7 +299,7 @@
             );
             reading.time(of, "skew", &mut periods.skew, SECOND, 24 * 3600 * SECOND);
             reading.factor(of, "suspicion", &mut periods.suspicion, 0.5);
-            reading.factor(of, "suspicion-most", &mut periods.suspicion_most, 1.0);
+            reading.factor(of, "suspicion-most", &mut periods.suspicion_max_factor, 1.0);
             if let Some(text) = of.get("answer").or(of.get("probe"))
                 && periods.answer >= periods.probe
             {
--- a/crates/test-harness/src/rig.rs
+++ b/crates/test-harness/src/rig.rs
@@ -722,8 +722,8 @@
             .map_err(|e| e.to_string())?;
         let seed = u64::from(std::process::id()) << 24
             | u64::from(socket.local_addr().map_or(1, |a| a.port()));
-        let keys = AuthKeys::new(&[KEY.to_vec()])?;
-        let mut observer = Observer::new(FLEET, keys, seed | 1 << 50, 600_000_000_000).about(1);
+        let keys = AuthKeys::new(&[KEY.to_vec()]).map_err(|error| error.to_string())?;
+        let mut observer = Observer::new(FLEET, keys, seed | 1 << 50, 600_000_000_000).for_topic(1);
         let (begun, mut last) = (Instant::now(), "nothing".to_owned());
         while Instant::now() < until {
             if let Some(bytes) = pages(&socket, node.bind, &mut observer, begun) {
@@ -820,7 +820,7 @@
                 let there = holding
                     .members
                     .values()
-                    .filter(|member| member.status.is_present());
+                    .filter(|member| member.liveness.is_present());
                 let there: BTreeSet<&str> = there.map(|member| member.name.as_str()).collect();
                 if there != names {
                     return Some(format!(
@@ -853,11 +853,11 @@
                 let member = holding.members.values().find(|member| member.name == other);
                 match member {
                     None => "unknown".to_owned(),
-                    Some(m) if held == "draining" && m.status == Liveness::Alive => {
-                        m.phase.word().to_owned()
+                    Some(m) if held == "draining" && m.liveness == Liveness::Alive => {
+                        m.phase.as_str().to_owned()
                     }
                     Some(m) if held.contains('.') => m.program.clone(),
-                    Some(m) => m.status.word().to_owned(),
+                    Some(m) => m.liveness.as_str().to_owned(),
                 }
             }
         };
@@ -1098,12 +1098,12 @@
     let unix = || unix_ms().parse::<u64>().unwrap_or(0);
     let mut buffer = [0; 2048];
     for _ in 0..64 {
-        let question = observer.question(unix());
+        let question = observer.request(unix());
         socket.send_to(&question, at).ok()?;
         loop {
             let (n, from) = socket.recv_from(&mut buffer).ok()?;
             let now = begun.elapsed().as_nanos() as u64;
-            match observer.datagram(now, unix(), &buffer[..n]) {
+            match observer.on_datagram(now, unix(), &buffer[..n]) {
                 Ok((_, Some(holding))) if from == at => return Some(holding),
                 Ok((true, None)) if from == at => break,
                 _ => {} // late, from another look
@@ -1123,10 +1123,10 @@
     let unix = || unix_ms().parse::<u64>().unwrap_or(0);
     let mut buffer = [0; 2048];
     for _ in 0..64 {
-        socket.send_to(&observer.question(unix()), at).ok()?;
+        socket.send_to(&observer.request(unix()), at).ok()?;
         loop {
             let (n, _) = socket.recv_from(&mut buffer).ok()?;
-            match observer.page(begun.elapsed().as_nanos() as u64, unix(), &buffer[..n]) {
+            match observer.on_status_page(begun.elapsed().as_nanos() as u64, unix(), &buffer[..n]) {
                 Ok((_, Some(bytes))) => return Some(bytes),
                 Ok((true, None)) => break,
                 _ => {}
--- a/crates/test-harness/src/rig/changes.rs
+++ b/crates/test-harness/src/rig/changes.rs
@@ -127,11 +127,11 @@
         let seed = u64::from(std::process::id()) << 24 | port | 1 << 51;
         Ok(Observer::new(
             FLEET,
-            AuthKeys::new(&[KEY.to_vec()])?,
+            AuthKeys::new(&[KEY.to_vec()]).map_err(|error| error.to_string())?,
             seed,
             600_000_000_000,
         )
-        .about(TOPIC))
+        .for_topic(TOPIC))
     }
 
     /// Orders something of a node, until it is taken or turned down.
@@ -145,13 +145,13 @@
             (self.observer(&socket)?, Instant::now(), [0; 2048]);
         while begun.elapsed() < TAKEN {
             let unix = || crate::peers::unix_ms().parse::<u64>().unwrap_or(0);
-            let frame = observer.order(unix(), TOPIC, &said.encode_to_vec());
+            let frame = observer.command(unix(), TOPIC, &said.encode_to_vec());
             socket
                 .send_to(&frame, node.bind)
                 .map_err(|e| e.to_string())?;
             while let Ok((n, _)) = socket.recv_from(&mut buffer) {
                 let now = begun.elapsed().as_nanos() as u64;
-                let Ok(Some(answer)) = observer.ordered(now, unix(), &buffer[..n]) else {
+                let Ok(Some(answer)) = observer.command_reply(now, unix(), &buffer[..n]) else {
                     continue;
                 };
                 let answer = CommandReply::decode(answer.as_slice()).map_err(|e| e.to_string())?;
