--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -266,7 +266,7 @@
             _ => nanos(s.dedup_window.unwrap_or(0.0), &at("DedupWindow"))?,
         };
         operations.push(Operation {
-            effect,
+            idempotency: effect,
             latency_objective: positive(s.aim, &at("Aim"))?
                 .min(positive(s.deadline, &at("Deadline"))?),
             objective_per_work: figure(s.aim_stretch, &at("AimStretch"))?,
@@ -309,24 +309,24 @@
         memory_kb: figure(extra.mem_limit_kb, "Extra.MemLimitKb")?,
         run_memory_factor: figure(extra.run_factor, "Extra.RunFactor")?,
         idempotency_key_kb: figure(extra.key_kb, "Extra.KeyKb")?,
-        cold: extra.cold,
+        starts_cold: extra.cold,
         cold_speed_fraction: figure(rules.cold_from, "Rules.ColdFrom")?,
         warm_up_time: nanos(rules.cold, "Rules.Cold")?,
         max_runnable_per_core: figure(rules.tip_multiple, "Rules.TipMultiple")?,
         drain_grace: nanos(rules.stop_sending_within, "Rules.StopSendingWithin")?,
-        step: nanos(facts.step, "Step")?,
+        read_interval: nanos(facts.step, "Step")?,
         nodes: count(facts.servers, 0, "Servers")?,
-        dispatchers: count(extra.clients_total, 0, "Extra.ClientsTotal")?,
+        load_balancers: count(extra.clients_total, 0, "Extra.ClientsTotal")?,
         client_idle_timeout: nanos(extra.idle, "Extra.Idle")?,
-        below,
+        downstream: below,
         downstream_call_limit: shared(extra.fair_calls, "Extra.FairCalls")?,
         downstream_call_window: nanos(
             shared(extra.calls_over, "Extra.CallsOver")?,
             "Extra.CallsOver",
         )?,
         abandoned_call_linger: nanos(shared(extra.linger, "Extra.Linger")?, "Extra.Linger")?,
-        halt: word(&extra.halt, "Extra.Halt", &halts)?,
-        advert: word(&extra.advert, "Extra.Advert", &adverts)?,
+        preemption: word(&extra.halt, "Extra.Halt", &halts)?,
+        load_report: word(&extra.advert, "Extra.Advert", &adverts)?,
         shared_answer_ttl: nanos(extra.fresh, "Extra.Fresh")?,
         max_retry_after: if ceilings.retry_after {
             max_retry_after
--- a/crates/deployment-config/src/tests.rs
+++ b/crates/deployment-config/src/tests.rs
@@ -85,11 +85,11 @@
         (1.5, 200_000_000, 1_000_000_000)
     );
     assert_eq!(
-        (operations[1].effect, operations[1].idempotency_window),
+        (operations[1].idempotency, operations[1].idempotency_window),
         (Idempotency::Keyed, 5_000_000_000)
     );
     assert_eq!(
-        (operations[2].effect, operations[2].calls_downstream),
+        (operations[2].idempotency, operations[2].calls_downstream),
         (Idempotency::NonIdempotent, false)
     );
     assert_eq!(
@@ -279,7 +279,7 @@
                 prop_assert!(site.memory_kb.is_finite() && site.max_runnable_per_core.is_finite());
                 for operation in &site.operations {
                     prop_assert!(operation.client_timeout > 0 && operation.latency_objective <= operation.client_timeout);
-                    prop_assert!(operation.effect != Idempotency::Keyed || operation.idempotency_window > 0);
+                    prop_assert!(operation.idempotency != Idempotency::Keyed || operation.idempotency_window > 0);
                 }
             }
             // What is named may be a part of what was changed, or what it is to agree with.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -646,15 +646,15 @@
         let (id, repeats) = self.desk.borrow_mut().take(front, &head, body, age, given);
         let arrival = Arrival {
             id,
-            op: head.op,
+            operation: head.op,
             tenant: head.tenant,
-            dispatcher: head.dispatcher,
+            load_balancer: head.dispatcher,
             has_subject,
             time_left: head.patience.map(|patience| patience.saturating_sub(age)),
             work_hint: head.work_hint,
             queued_kb: head.queued_kb,
             age,
-            repeats,
+            duplicate_of: repeats,
         };
         if let Some(admission) = &mut self.admission {
             admission.on_arrival(moment.now, arrival);
@@ -824,7 +824,7 @@
             desk.set_timer(PULSE, Timer::Pulse);
             (desk.in_hand(), desk.advert())
         };
-        let kind = self.start.deployment.advert;
+        let kind = self.start.deployment.load_report;
         self.say(|company| company.pulse(kind, advert, in_hand));
     }
 
@@ -871,7 +871,7 @@
         // A node that was to leave before its kernel came up takes nothing up.
         if self.admission.is_none() && !self.desk.borrow().is_leaving() {
             let mut site = self.start.deployment.clone();
-            site.cold = cold;
+            site.starts_cold = cold;
             // Keys and results are kept in this process, under its own limit: the kernel's memory
             // has no part in them.
             site.idempotency_key_kb = 0.0;
--- a/crates/node/src/node/tests/rules.rs
+++ b/crates/node/src/node/tests/rules.rs
@@ -29,7 +29,7 @@
 
 fn read_sheet(rules: &str, fleet: &str) -> Box<Sheet> {
     let start = madderpoint_deployment_config::decode(settings().as_bytes()).unwrap();
-    let effects = start.deployment.operations.iter().map(|o| o.effect);
+    let effects = start.deployment.operations.iter().map(|o| o.idempotency);
     let operations = Some(start.operations.iter().cloned().zip(effects).collect());
     let known = Known {
         operations,
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -43,7 +43,7 @@
 
 /// The names and effects that a configuration's settings have.
 pub fn known(start: &DeploymentConfig) -> Known {
-    let effects = start.deployment.operations.iter().map(|o| o.effect);
+    let effects = start.deployment.operations.iter().map(|o| o.idempotency);
     Known {
         operations: Some(start.operations.iter().cloned().zip(effects).collect()),
         tenants: Some(start.tenants.clone()),
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -660,7 +660,7 @@
     }
 
     fn effect(&self, op: OperationId) -> Idempotency {
-        self.start.deployment.operations[op.0].effect
+        self.start.deployment.operations[op.0].idempotency
     }
 
     /// Writes the one answer of an invocation; nothing if it has had it or its caller has left.
--- a/crates/node/src/state/connections.rs
+++ b/crates/node/src/state/connections.rs
@@ -263,7 +263,7 @@
 
     /// The fields that go with every answer and check.
     pub fn fields(&self) -> String {
-        let told = self.start.deployment.advert != LoadReport::Disabled;
+        let told = self.start.deployment.load_report != LoadReport::Disabled;
         self.advert
             .filter(|_| told)
             .map_or_else(String::new, |v| format!("X-Backend-Says: {v:.4}\r\n"))
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -152,9 +152,9 @@
         let repeats = present(fields.u64("Forerunner")?).map(RequestId);
         Ok(Arrival {
             id,
-            op: OperationId(op),
+            operation: OperationId(op),
             tenant: (tenant < self.start.tenants.len()).then_some(TenantId(tenant)),
-            dispatcher,
+            load_balancer: dispatcher,
             has_subject: subject != 0,
             time_left: if self.start.passes_deadline {
                 present(time_left)
@@ -164,7 +164,7 @@
             work_hint: (opts & 1 != 0 && work > 0.0).then_some(work),
             queued_kb: f64::from(queued_kb.max(0.0)),
             age,
-            repeats,
+            duplicate_of: repeats,
         })
     }
 
--- /dev/null
+++ b/src/admission/request.rs
@@ -0,0 +1,139 @@
+//! The requests that are open at this node, by id and by slot.
+
+use super::deadlines::RequestTimes;
+use crate::{Arrival, Nanos, RequestId};
+use slab::Slab;
+use std::collections::HashMap;
+use std::ops::{Index, IndexMut};
+
+/// How far a request has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RequestState {
+    /// Waits to be started.
+    Queued,
+    /// Waits for the result of the request that it repeats.
+    Coalesced,
+    /// Runs.
+    Running,
+    /// Runs, and wants a backend call that is not yet made.
+    AwaitsCall,
+    /// Runs, and its backend call is in flight.
+    Calling,
+}
+
+/// A request that was read and is neither answered and gone nor stopped.
+pub(super) struct Request {
+    pub(super) id: RequestId,
+    /// Index of its operation.
+    pub(super) operation: usize,
+    /// Index of its tenant.
+    pub(super) tenant: Option<usize>,
+    pub(super) times: RequestTimes,
+    /// Memory that it takes while it is queued, in kilobytes.
+    pub(super) queued_kb: f64,
+    /// Its work, in seconds of a standard core, where a hint says so; else 1.
+    pub(super) size: f64,
+    pub(super) state: RequestState,
+    /// Whether the client has its answer or has left, while the work goes on.
+    pub(super) is_answered: bool,
+    /// Attempts of its present backend call that failed.
+    pub(super) failed_calls: u8,
+}
+
+impl Request {
+    pub(super) fn new(arrival: &Arrival, times: RequestTimes) -> Self {
+        Request {
+            id: arrival.id,
+            operation: arrival.operation.0,
+            tenant: arrival.tenant.map(|tenant| tenant.0),
+            times,
+            queued_kb: arrival.queued_kb,
+            size: arrival.work_hint.unwrap_or(1.0),
+            state: if arrival.duplicate_of.is_some() {
+                RequestState::Coalesced
+            } else {
+                RequestState::Queued
+            },
+            is_answered: false,
+            failed_calls: 0,
+        }
+    }
+
+    /// Whether it has waited for less than a fifth of its time, so that its client loses little by
+    /// trying another node.
+    pub(super) fn is_young(&self, now: Nanos) -> bool {
+        let RequestTimes {
+            arrived_at,
+            answer_by,
+            ..
+        } = self.times;
+        now - arrived_at < answer_by.saturating_sub(arrived_at) / 5
+    }
+}
+
+/// The open requests. A slot is a request's place until it is removed; slots are reused, and rules
+/// that look at all requests go by slot.
+pub(super) struct RequestTable {
+    slab: Slab<Request>,
+    slots: HashMap<RequestId, usize>,
+}
+
+impl RequestTable {
+    pub(super) fn new() -> Self {
+        RequestTable {
+            slab: Slab::with_capacity(256),
+            slots: HashMap::with_capacity(512),
+        }
+    }
+
+    pub(super) fn insert(&mut self, request: Request) -> usize {
+        let id = request.id;
+        let slot = self.slab.insert(request);
+        self.slots.insert(id, slot);
+        slot
+    }
+
+    /// Removes the request in an occupied slot.
+    pub(super) fn remove(&mut self, slot: usize) -> Request {
+        let request = self.slab.remove(slot);
+        self.slots.remove(&request.id);
+        request
+    }
+
+    /// The slot of an open request.
+    pub(super) fn slot(&self, id: RequestId) -> Option<usize> {
+        self.slots.get(&id).copied()
+    }
+
+    /// All slots, occupied or not.
+    pub(super) fn slots(&self) -> std::ops::Range<usize> {
+        0..self.slab.capacity()
+    }
+
+    pub(super) fn get(&self, slot: usize) -> Option<&Request> {
+        self.slab.get(slot)
+    }
+
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Request> {
+        self.slab.iter_mut().map(|(_, request)| request)
+    }
+
+    #[cfg(test)]
+    pub(super) fn len(&self) -> usize {
+        self.slab.len()
+    }
+}
+
+impl Index<usize> for RequestTable {
+    type Output = Request;
+
+    fn index(&self, slot: usize) -> &Request {
+        &self.slab[slot]
+    }
+}
+
+impl IndexMut<usize> for RequestTable {
+    fn index_mut(&mut self, slot: usize) -> &mut Request {
+        &mut self.slab[slot]
+    }
+}
