--- a/crates/deployment-config/src/tests.rs
+++ b/crates/deployment-config/src/tests.rs
@@ -1,6 +1,7 @@
 //! Settings of any customer are either taken as they are or refused with the field named.
 
 use super::*;
+use madderpoint::Idempotency;
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
@@ -29,7 +30,7 @@
 }
 
 fn read(value: &Value) -> Result<DeploymentConfig, String> {
-    decode(value.to_string().as_bytes())
+    decode(value.to_string().as_bytes()).map_err(|error| error.to_string())
 }
 
 /// The paths of all fields, by their JSON pointers.
@@ -66,16 +67,16 @@
 
 #[test]
 fn settings_are_read_as_they_stand() {
-    let start = read(&whole()).unwrap();
-    assert_eq!(start.operations, ["gun-sorgu", "gun-yaz", "öde"]);
-    assert_eq!(start.tenants, ["acme", "b ü/%&"]);
+    let config = read(&whole()).unwrap();
+    assert_eq!(config.operations, ["gun-sorgu", "gun-yaz", "öde"]);
+    assert_eq!(config.tenants, ["acme", "b ü/%&"]);
     let Deployment {
         operations,
         downstream_call_limit,
         abandoned_call_linger,
         max_retry_after,
         ..
-    } = start.deployment;
+    } = config.deployment;
     assert_eq!(
         (
             downstream_call_limit,
@@ -271,13 +272,13 @@
             }
         }
         match read(&settings) {
-            Ok(start) => {
-                let site = &start.deployment;
-                prop_assert!(site.cores > 0 && !site.operations.is_empty());
-                prop_assert_eq!(site.operations.len(), start.operations.len());
-                prop_assert_eq!(site.tenants.len(), start.tenants.len());
-                prop_assert!(site.memory_kb.is_finite() && site.max_runnable_per_core.is_finite());
-                for operation in &site.operations {
+            Ok(config) => {
+                let deployment = &config.deployment;
+                prop_assert!(deployment.cores > 0 && !deployment.operations.is_empty());
+                prop_assert_eq!(deployment.operations.len(), config.operations.len());
+                prop_assert_eq!(deployment.tenants.len(), config.tenants.len());
+                prop_assert!(deployment.memory_kb.is_finite() && deployment.max_runnable_per_core.is_finite());
+                for operation in &deployment.operations {
                     prop_assert!(operation.client_timeout > 0 && operation.latency_objective <= operation.client_timeout);
                     prop_assert!(operation.idempotency != Idempotency::Keyed || operation.idempotency_window > 0);
                 }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -241,7 +241,9 @@
         let agreed = &start.deployment.operations[op.0];
         let timeout_ms = agreed.client_timeout / 1_000_000;
         // What bears a key that can't be one would run without protection, so it does not run.
-        let token = self.token.filter(|_| agreed.idempotency == Idempotency::Keyed);
+        let token = self
+            .token
+            .filter(|_| agreed.idempotency == Idempotency::Keyed);
         let is_token =
             |t: &str| (1..=TOKEN_MAX).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_graphic());
         if token.is_some_and(|t| !is_token(t)) {
--- /dev/null
+++ b/crates/simulator-adapter/src/fields.rs
@@ -0,0 +1,107 @@
+//! Bounds-checked reading of a record's fields. Numbers are big-endian.
+
+use crate::error::{Cause, Malformed};
+use madderpoint::Nanos;
+use std::borrow::Cow;
+
+/// Reads the fields of one record, or the records of one body.
+pub(crate) struct Fields<'a> {
+    bytes: &'a [u8],
+    /// Bytes read so far.
+    read: usize,
+    /// Offset of `bytes` in the batch.
+    base: usize,
+    record: Cow<'static, str>,
+}
+
+impl<'a> Fields<'a> {
+    /// Reads `bytes` of a record of this name, which begin at offset `base` of the batch.
+    pub(crate) fn new(bytes: &'a [u8], base: usize, record: impl Into<Cow<'static, str>>) -> Self {
+        Fields {
+            bytes,
+            read: 0,
+            base,
+            record: record.into(),
+        }
+    }
+
+    /// Whether all is read.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.read >= self.bytes.len()
+    }
+
+    /// Offset in the batch of what is read next.
+    pub(crate) fn offset(&self) -> usize {
+        self.base + self.read
+    }
+
+    /// An error at this offset.
+    pub(crate) fn malformed(&self, field: &'static str, cause: impl Into<Cause>) -> Malformed {
+        Malformed {
+            record: self.record.to_string(),
+            field,
+            offset: self.offset(),
+            cause: cause.into(),
+        }
+    }
+
+    pub(crate) fn bytes(&mut self, field: &'static str, len: usize) -> Result<&'a [u8], Malformed> {
+        let left = self.bytes.len() - self.read;
+        if len > left {
+            return Err(self.malformed(field, Cause::CutShort { needed: len, left }));
+        }
+        self.read += len;
+        Ok(&self.bytes[self.read - len..self.read])
+    }
+
+    fn array<const N: usize>(&mut self, field: &'static str) -> Result<[u8; N], Malformed> {
+        let mut array = [0; N];
+        array.copy_from_slice(self.bytes(field, N)?);
+        Ok(array)
+    }
+
+    pub(crate) fn u8(&mut self, field: &'static str) -> Result<u8, Malformed> {
+        Ok(u8::from_be_bytes(self.array(field)?))
+    }
+
+    pub(crate) fn u16(&mut self, field: &'static str) -> Result<u16, Malformed> {
+        Ok(u16::from_be_bytes(self.array(field)?))
+    }
+
+    pub(crate) fn u32(&mut self, field: &'static str) -> Result<u32, Malformed> {
+        Ok(u32::from_be_bytes(self.array(field)?))
+    }
+
+    pub(crate) fn u64(&mut self, field: &'static str) -> Result<u64, Malformed> {
+        Ok(u64::from_be_bytes(self.array(field)?))
+    }
+
+    /// A finite number.
+    pub(crate) fn f32(&mut self, field: &'static str) -> Result<f32, Malformed> {
+        let value = f32::from_be_bytes(self.array(field)?);
+        if value.is_finite() {
+            Ok(value)
+        } else {
+            Err(self.malformed(field, Cause::NotFinite))
+        }
+    }
+
+    /// A finite number.
+    pub(crate) fn f64(&mut self, field: &'static str) -> Result<f64, Malformed> {
+        let value = f64::from_be_bytes(self.array(field)?);
+        if value.is_finite() {
+            Ok(value)
+        } else {
+            Err(self.malformed(field, Cause::NotFinite))
+        }
+    }
+
+    /// A time in seconds, as whole nanoseconds.
+    pub(crate) fn nanos(&mut self, field: &'static str) -> Result<Nanos, Malformed> {
+        let seconds = self.f64(field)?;
+        if seconds < 0.0 {
+            return Err(self.malformed(field, Cause::NegativeTime(seconds)));
+        }
+        Ok((seconds * 1e9).round() as Nanos)
+    }
+}
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -1,6 +1,7 @@
-//! Frame-level tests of the adapter.
+//! Batches in, replies or errors out.
 
-use super::*;
+use crate::adapter::Adapter;
+use madderpoint_deployment_config::decode;
 
 const FACTS: &str = r#"{"Ceilings": {"RetryAfter": true, "MaxRetryAfter": 1.0},
     "Extra": {"Advert": "weight", "Below": "none", "ClientsTotal": 4, "Cold": false, "Cores": 2, "Fresh": 0.0, "Halt": "none",
@@ -52,7 +53,9 @@
 
 fn serve(input: &[u8]) -> (Result<(), String>, Vec<u8>) {
     let mut output = Vec::new();
-    let result = Adapter::default().serve(&mut &input[..], &mut output);
+    let result = Adapter::default()
+        .serve(&mut &input[..], &mut output)
+        .map_err(|error| error.to_string());
     (result, output)
 }
 
@@ -71,14 +74,14 @@
 
 #[test]
 fn gauges_are_read_by_name() {
-    let text = facts::decode(FACTS.as_bytes()).map(|s| s.gauges);
-    assert_eq!(text, Ok(vec!["novel".to_owned(), "cpu_busy".to_owned()]));
+    let names = decode(FACTS.as_bytes()).map(|config| config.gauges);
+    assert_eq!(names, Ok(vec!["novel".to_owned(), "cpu_busy".to_owned()]));
 }
 
 #[test]
 fn broken_input_is_named() {
     let cut = &batch(&[request(0)])[..40];
-    let alarm = record(21, &[&[0, 3], &[0; 8], &[2], &[0; 4]]);
+    let timer = record(21, &[&[0, 3], &[0; 8], &[2], &[0; 4]]);
     let negative = FACTS.replace("9000.0", "-1.0");
     for (input, expected) in [
         (
@@ -94,7 +97,7 @@
             "record req, field I, offset 19: no instance 3",
         ),
         (batch(&[init(FACTS), request(4)]), "field Kind"),
-        (batch(&[init(FACTS), alarm]), "field Feedback"),
+        (batch(&[init(FACTS), timer]), "field Feedback"),
         (batch(&[init("{}")]), "record init, field Facts"),
         (batch(&[init(&negative)]), "Extra.MemLimitKb is -1"),
         (vec![255; 12], "field header"),
