--- a/crates/deployment-config/src/error.rs
+++ b/crates/deployment-config/src/error.rs
@@ -13,7 +13,7 @@
     WrongType {
         /// Path of the field.
         field: String,
-        /// What the JSON decoder says of it.
+        /// The message of the JSON decoder.
         cause: String,
     },
     /// A time is negative, or longer than [`DeploymentError::LONGEST_TIME_S`].
--- a/crates/deployment-config/src/fields.rs
+++ b/crates/deployment-config/src/fields.rs
@@ -78,7 +78,7 @@
         })
 }
 
-/// Names by which requests are told apart: none is empty, none stands twice.
+/// Names that requests refer to: none is empty, and all are different.
 pub(crate) fn distinct<'a>(
     names: impl Iterator<Item = &'a str>,
     list: &'static str,
--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -16,7 +16,7 @@
 
 use madderpoint::{Deployment, Gauges};
 
-/// What a node is told at its start.
+/// The decoded settings of a node.
 #[derive(Clone)]
 pub struct DeploymentConfig {
     /// What the decisions go by.
@@ -27,7 +27,7 @@
     pub tenants: Vec<String>,
     /// Names of the gauges, in the order of their values.
     pub gauges: Vec<String>,
-    /// Whether requests say how long their client still waits.
+    /// Whether requests carry the time that their client still waits.
     pub passes_deadline: bool,
 }
 
--- a/crates/deployment-config/src/tests.rs
+++ b/crates/deployment-config/src/tests.rs
@@ -1,11 +1,11 @@
-//! Settings of any customer are either taken as they are or refused with the field named.
+//! Settings of any deployment are either taken as they are or refused with the field named.
 
 use super::*;
 use madderpoint::Idempotency;
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-/// Settings in which every field of the wire's page that matters here stands.
+/// Settings with every field of the wire that matters here.
 fn whole() -> Value {
     json!({
         "Ceilings": {"CpuUsPerRequest": 0.0, "CpuUsPerS": 60047, "MaxRetryAfter": 1.0, "RetryAfter": true},
@@ -50,7 +50,7 @@
     }
 }
 
-/// What the page lets a site leave out, and what has no use here.
+/// Fields that are optional or have no use here.
 fn may_be_absent(name: &str) -> bool {
     [
         "AimStretch",
@@ -114,7 +114,7 @@
         };
         map.remove(name);
         let read = read(&settings);
-        // A window of what is no tokened operation means nothing.
+        // Without idempotency keys a window has no use.
         let means_nothing = name == "DedupWindow" && !parent.ends_with("/1");
         match read {
             Ok(_) => assert!(
@@ -156,7 +156,7 @@
             *place = wrong.clone();
             match read(&settings) {
                 Err(e) => assert!(e.contains(name), "{path} as {wrong}: {e}"),
-                // A name may be any text; null is as if it stood not there, and flags are flags.
+                // A name may be any text; null is as good as absent, and a flag may be true.
                 Ok(_) => assert!(
                     wrong == json!("novel") && name == "Name"
                         || wrong == json!(true) && place_is_flag(name)
@@ -283,7 +283,7 @@
                     prop_assert!(operation.idempotency != Idempotency::Keyed || operation.idempotency_window > 0);
                 }
             }
-            // What is named may be a part of what was changed, or what it is to agree with.
+            // The field named may be a part of the one changed, or one that it must agree with.
             Err(e) => {
                 let parts = ["Name", "Aim", "Deadline", "Services", "Below", "Class", "Degraded", "Calls", "Linger"];
                 let named = names.iter().any(|name| e.contains(name)) || parts.iter().any(|part| e.contains(part))
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -24,8 +24,8 @@
 /// All nodes that the simulator plays.
 #[derive(Default)]
 pub(crate) struct Adapter {
-    /// Nodes by their number. `None` once the decisions have failed for a node: the simulator was
-    /// told, and the node gets no more events.
+    /// Nodes by their number. `None` once the decisions have panicked for a node: that was
+    /// reported, and the node gets no more events.
     instances: BTreeMap<u16, Option<Instance>>,
     reply: Rc<RefCell<Reply>>,
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -59,7 +59,7 @@
         self.write(action, &[&id.0.to_be_bytes()]);
     }
 
-    /// Writes a text, cut to what its length field can say.
+    /// Writes a text, cut to what its length field can express.
     pub(crate) fn write_text(&self, action: Action, text: &str) {
         let end = text.floor_char_boundary(text.len().min(usize::from(u16::MAX)));
         self.write(
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -4,10 +4,10 @@
 //! The ordinary path is Dynamic Beta RED (`beta_red`): each arrival moves the averaged queue length
 //! and is rejected with the chance that the refusal curve gives for it; at each update the virtual
 //! target and the concurrency limit are walked. Queued requests start in the order of their value
-//! density (`queue`) within the concurrency limit, the runnable limit (`concurrency_limit`) and
-//! memory (`memory`). Every request is answered before its deadline (`deadlines`), its backend calls
-//! keep to the node's part downstream (`backend_calls`), and load balancers learn how much traffic
-//! to hold back (`load_report`, `drain`).
+//! density (`queue`), within the concurrency limit, the runnable limit (`concurrency_limit`) and
+//! memory (`memory`). Every request is answered before its deadline (`deadlines`), its backend
+//! calls keep to the node's part downstream (`backend_calls`), and load balancers learn how much
+//! traffic to hold back (`load_report`, `drain`).
 //!
 //! Invariants: exactly one answer for each request; nothing that must not run twice is started or
 //! called a second time; random draws come from the seed alone and in the order of events, so that
@@ -141,10 +141,10 @@
             self.memory.add_key(now + lifetime);
         }
         self.queue.push(slot);
-        let has_room = self.concurrency.cores_have_room();
+        let has_spare_cpu = self.concurrency.has_spare_cpu();
         if self
             .beta_red
-            .rejects(self.queue.len(), has_room, &mut self.random)
+            .rejects(self.queue.len(), has_spare_cpu, &mut self.random)
         {
             let candidate = self
                 .queue
@@ -211,7 +211,7 @@
                 FailedCall::Retry => self.try_call(now, slot, false),
             }
         }
-        self.make_wanted_calls(now, false);
+        self.make_pending_calls(now, false);
     }
 
     /// An execution or a coalesced wait ended, `latency` after its start; where it succeeded or
@@ -241,7 +241,7 @@
         }
         self.remove(slot);
         self.start_queued(now);
-        self.make_wanted_calls(now, false);
+        self.make_pending_calls(now, false);
     }
 
     /// The client of a request no longer waits.
@@ -270,7 +270,7 @@
             self.update(now, &gauges);
         }
         self.start_queued(now);
-        self.make_wanted_calls(now, timer == UPDATE_TIMER);
+        self.make_pending_calls(now, timer == UPDATE_TIMER);
     }
 
     /// The node is to leave, and the process will be stopped after `left`.
@@ -308,8 +308,9 @@
         slot
     }
 
-    /// How long an arrival's idempotency key is to be kept, where it has one that no earlier attempt
-    /// brought: keyed operations for their window, reads as long as their answer may serve others.
+    /// How long an arrival's idempotency key is to be retained: for keyed operations their window,
+    /// for reads as long as their answer may serve others. `None` if it has no key, or one that an
+    /// earlier attempt has registered.
     fn key_lifetime(&self, arrival: &Arrival) -> Option<Nanos> {
         let agreed = &self.operations[arrival.operation.0].agreed;
         let shared_ttl = self.deployment.shared_answer_ttl;
@@ -325,7 +326,7 @@
             deployment: &self.deployment,
             operations: &self.operations,
             tenants: &self.tenants,
-            cores_have_room: self.concurrency.cores_have_room(),
+            has_spare_cpu: self.concurrency.has_spare_cpu(),
         }
     }
 
@@ -334,7 +335,7 @@
     }
 
     /// Starts queued requests while the concurrency limit, the runnable limit and memory allow.
-    /// Executions that wait for a backend call leave their cores to others.
+    /// Executions that wait for a backend call use no core.
     fn start_queued(&mut self, now: Nanos) {
         while self.running - self.calls.waiting < self.concurrency.limit as usize
             && self.running
@@ -375,10 +376,10 @@
 
     // ---- Backend calls ----
 
-    /// Makes the calls that executions want, as far as there is room; those with a failed attempt
-    /// only `at_update`.
-    fn make_wanted_calls(&mut self, now: Nanos, at_update: bool) {
-        if !self.calls.any_wanted() {
+    /// Makes the calls that executions wait for, as far as there is capacity; those with a failed
+    /// attempt only `at_update`.
+    fn make_pending_calls(&mut self, now: Nanos, at_update: bool) {
+        if !self.calls.any_pending() {
             return;
         }
         for slot in self.requests.slots() {
@@ -392,7 +393,7 @@
         }
     }
 
-    /// Makes the call that an execution wants, skips it, or lets it wait for room.
+    /// Makes the call that an execution waits for, skips it, or lets it wait for capacity.
     fn try_call(&mut self, now: Nanos, slot: usize, has_waited: bool) {
         let Some(request) = self.requests.get(slot) else {
             return;
--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -12,8 +12,8 @@
         if request.state == RequestState::Coalesced {
             self.host.fail(request.id);
         } else {
-            // Neither lateness nor an overload that the load report speaks of is cured by trying the
-            // next node.
+            // Trying another node helps neither against lateness nor against an overload of the
+            // whole cluster.
             let stop_trying = now >= request.times.objective_at
                 || self.signals.is_shedding()
                     && self.tenants.cluster_reaches_quotas(&self.deployment);
@@ -25,7 +25,7 @@
         self.remove(slot);
     }
 
-    /// Answers all that is due; work that goes on keeps its place until it ends.
+    /// Answers all that is due; work that goes on is counted as running until it ends.
     pub(super) fn answer_due(&mut self, now: Nanos) {
         self.deadline_timer.fired();
         let mut next = Nanos::MAX;
@@ -58,11 +58,11 @@
         }
     }
 
-    /// Stops, where that can be done, work for which nobody waits any more.
+    /// Stops work that nobody waits for any more, where that can be done.
     pub(super) fn stop_work(&mut self, slot: usize) {
         let request = &mut self.requests[slot];
         request.is_answered = true;
-        // A repeat within the window is served from what a keyed execution brings; if it was
+        // A repeat within the window is served from the result of a keyed execution; if that was
         // stopped, the repeat could only fail.
         let serves_repeats =
             self.operations[request.operation].agreed.idempotency == Idempotency::Keyed;
--- a/src/admission/backend_calls.rs
+++ b/src/admission/backend_calls.rs
@@ -1,4 +1,4 @@
-//! Backend calls: how long an attempt may take, whether there is room for it downstream, and what
+//! Backend calls: how long an attempt may take, whether downstream has capacity for it, and what
 //! follows when it fails.
 //!
 //! A shared service survives a mean number of calls in flight, of which this node has its part:
@@ -18,17 +18,17 @@
 /// How many times its usual time a call may take before it is abandoned.
 const CALL_TIME_FACTOR: f64 = 16.0;
 
-/// What becomes of an execution that wants a backend call.
+/// What happens to an execution that needs a backend call.
 pub(super) enum CallDecision {
     /// The call is made, and abandoned after `timeout`.
     Call { timeout: Nanos },
     /// The execution goes on without it.
     Skip,
-    /// It waits for room downstream.
+    /// It waits for capacity downstream.
     Wait,
 }
 
-/// What becomes of an execution whose backend call failed.
+/// What happens to an execution whose backend call failed.
 pub(super) enum FailedCall {
     /// It goes on without the call.
     Skip,
@@ -63,12 +63,12 @@
     }
 
     /// Whether there are executions whose call is not yet made.
-    pub(super) fn any_wanted(&self) -> bool {
+    pub(super) fn any_pending(&self) -> bool {
         self.waiting > self.in_flight
     }
 
-    /// Whether a request's call is made now. `has_waited` says that it waited for an update, or that
-    /// many calls before it did: such a call is skipped where that earns something.
+    /// Whether a request's call is made now. A call without capacity is skipped, where that earns
+    /// something, if it `has_waited` until an update or more calls than cores are waiting.
     pub(super) fn decide(
         &self,
         now: Nanos,
@@ -79,7 +79,7 @@
     ) -> CallDecision {
         let timeout = self.timeout(now, request, operation, deployment);
         let usual = (operation.call_time_s * 1e9) as Nanos;
-        if self.has_room(deployment) && timeout > usual {
+        if self.has_capacity(deployment) && timeout > usual {
             CallDecision::Call { timeout }
         } else if is_skippable(operation)
             && (has_waited || self.waiting - self.in_flight > deployment.cores)
@@ -90,9 +90,9 @@
         }
     }
 
-    /// How long a call may take: what is left until the answer is due, or half of what is left of
-    /// the objective where the call can be skipped; and no longer than it usually does, or than the
-    /// limit has room for.
+    /// How long a call may take: the time until the answer is due, or half the time until the
+    /// objective ends where the call can be skipped; at most some multiple of its usual time, and
+    /// at most what the limit allows.
     fn timeout(
         &self,
         now: Nanos,
@@ -109,8 +109,8 @@
         };
         let repeatable = operation.agreed.idempotency == Idempotency::Idempotent;
         if operation.call_time_s > 0.0 && (skippable || repeatable) {
-            // A call that hangs must not occupy its execution; but abandoning it before it would
-            // have lingered out spares the backend nothing.
+            // A call that hangs must not block its execution for long; but abandoning it before
+            // the lingering time relieves the backend of nothing.
             let patience = (CALL_TIME_FACTOR * operation.call_time_s * 1e9) as Nanos;
             timeout = timeout.min(linger + patience);
         }
@@ -123,7 +123,7 @@
         timeout
     }
 
-    fn has_room(&self, deployment: &Deployment) -> bool {
+    fn has_capacity(&self, deployment: &Deployment) -> bool {
         deployment.downstream != Downstream::SharedService
             || self.in_flight < deployment.downstream_call_limit.max(1.0) as usize
     }
@@ -147,9 +147,9 @@
         self.paid_back_at = self.paid_back_at.max(now) + owed as Nanos;
     }
 
-    /// Whether a call with so many failed attempts is not to be attempted again. Only what is known
-    /// not to have run downstream, or may run twice, is; and the less often the more calls fail:
-    /// attempts that all nodes repeat would keep down what is down.
+    /// Whether a call is not attempted again after this many failed attempts. Only a call that is
+    /// known not to have run downstream, or may run twice, is repeated; and the less often the more
+    /// calls fail, since retries of all nodes would prevent a backend from recovering.
     pub(super) fn gives_up(
         &self,
         failed_attempts: u8,
--- a/src/admission/beta_red.rs
+++ b/src/admission/beta_red.rs
@@ -14,8 +14,8 @@
 
 /// theta: spread of the refusal curve, sigma = theta sqrt(mu (1 - mu)).
 const CURVE_SPREAD: f64 = 0.1;
-/// w: weight of an arrival in q_avg. High, since a node with few arrivals must not judge by old
-/// news.
+/// w: weight of an arrival in q_avg. High, so that a node with few arrivals forgets old
+/// ones soon.
 pub(super) const AVERAGING_WEIGHT: f64 = 0.3;
 /// T_target as a share of the shortest latency objective.
 const TARGET_DELAY_FRACTION: f64 = 0.25;
@@ -65,7 +65,7 @@
 
     /// Algorithm 3, line 5: q_avg with an arrival that reached the machine `age` ago. What came
     /// after it and is unread counts as queued (arrival rate times age), or slow reading would hide
-    /// the queue; the bound keeps one arrival of any claimed age from standing for more than B.
+    /// the queue; the bound limits what one arrival that claims any age can count for.
     pub(super) fn observe_arrival(&mut self, queued: usize, age: Nanos) {
         self.queue_length =
             (queued as f64 + self.arrival_rate * seconds(age)).min(self.queue_bound);
@@ -77,18 +77,18 @@
     pub(super) fn rejects(
         &self,
         queued: usize,
-        cores_have_room: bool,
+        has_spare_cpu: bool,
         random: &mut impl Rng,
     ) -> bool {
         queued as f64 > self.queue_bound
-            || (!self.rests(cores_have_room)
+            || (!self.is_paused(has_spare_cpu)
                 && random.random::<f64>() < self.rejection_probability())
     }
 
-    /// Whether the random rejection rests: cores show room, or fewer requests than cores are queued
-    /// and unread.
-    fn rests(&self, cores_have_room: bool) -> bool {
-        cores_have_room || self.queue_length < self.cores
+    /// Whether the random rejection is paused: the cores have spare time, or fewer requests than
+    /// cores are queued and unread.
+    fn is_paused(&self, has_spare_cpu: bool) -> bool {
+        has_spare_cpu || self.queue_length < self.cores
     }
 
     /// Section 4: the refusal curve I_{q_avg/B}(alpha, beta) in terms of its mean mu and of theta:
@@ -117,14 +117,14 @@
 
     /// Equation 10: q_target = C T_target, with C the best completions a second of the last minute;
     /// and B from it, capped by the requests that memory can queue.
-    pub(super) fn update_targets(&mut self, memory_room: f64) {
+    pub(super) fn update_targets(&mut self, memory_capacity: f64) {
         let span_s = UPDATES_PER_SPAN as f64 * seconds(UPDATE_INTERVAL);
         let most = self.completions.iter().fold(0.0, |a: f64, &b| a.max(b));
         let capacity_per_s = most / span_s;
         self.target =
             (capacity_per_s * TARGET_DELAY_FRACTION * self.shortest_objective_s).max(self.cores);
         self.queue_bound = (QUEUE_BOUND_FACTOR * self.target)
-            .min(memory_room)
+            .min(memory_capacity)
             .max(self.cores + 2.0);
         self.update = (self.update + 1) % (CAPACITY_SPANS * UPDATES_PER_SPAN);
         if self.update.is_multiple_of(UPDATES_PER_SPAN) {
@@ -133,13 +133,13 @@
     }
 
     /// Algorithm 3, lines 7 to 13: moves the virtual target by mu (1 - mu)(q_target - q_avg). While
-    /// the rejection rests it goes back to q_target instead, so that a calm spell does not wind it
-    /// up against the next surge.
-    pub(super) fn walk(&mut self, cores_have_room: bool) {
+    /// the rejection is paused it returns to q_target instead, so that a calm spell does not wind
+    /// it up against the next surge.
+    pub(super) fn walk(&mut self, has_spare_cpu: bool) {
         let mean = self.virtual_target / self.queue_bound;
         let step = mean * (1.0 - mean) * (self.target - self.averaged_queue);
         let back = LEARNING_RATE * (self.target - self.virtual_target);
-        self.virtual_target += if self.rests(cores_have_room) {
+        self.virtual_target += if self.is_paused(has_spare_cpu) {
             back
         } else {
             step
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -3,7 +3,7 @@
 
 use crate::{Deployment, Gauges, Nanos};
 
-/// Cores that are busy for this share of their time show no room.
+/// Cores that are busy for this share of their time count as full.
 const FULL_SHARE: f64 = 0.9;
 /// Executions take long when they take this many times as long as short ones of their operation.
 const LONG_RUN_RATIO: f64 = 3.0;
@@ -11,7 +11,7 @@
 const USABLE_FRACTION: f64 = 0.85;
 
 /// The most requests that may run at once, not counting those that wait for a backend call, which
-/// leave their cores to others.
+/// use no core.
 pub(super) struct ConcurrencyLimit {
     cores: f64,
     most: f64,
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Whether the cores show room.
-    pub(super) fn cores_have_room(&self) -> bool {
+    /// Whether the cores have spare time.
+    pub(super) fn has_spare_cpu(&self) -> bool {
         self.busy_share < FULL_SHARE
     }
 
-    /// Counts an execution that succeeded and took so many times the short run time.
+    /// Counts an execution that succeeded and took `run_ratio` times the short run time.
     pub(super) fn observe_run(&mut self, run_ratio: f64) {
         self.ended += 1.0;
         self.run_ratios += run_ratio;
@@ -58,7 +58,7 @@
             0.0
         };
         // Judged once as many executions have ended as may run at once: single ones on a small node
-        // say nothing.
+        // prove nothing.
         if self.ended >= self.limit {
             let runs_long =
                 self.busy_share >= FULL_SHARE && self.run_ratios > LONG_RUN_RATIO * self.ended;
--- a/src/admission/deadlines.rs
+++ b/src/admission/deadlines.rs
@@ -12,7 +12,7 @@
 pub(super) struct RequestTimes {
     /// When it reached the machine.
     pub(super) arrived_at: Nanos,
-    /// Until then an answer keeps its whole weight.
+    /// Until then an answer earns its whole weight.
     pub(super) objective_at: Nanos,
     /// When it is answered at the latest.
     pub(super) answer_by: Nanos,
@@ -20,8 +20,8 @@
 
 impl RequestTimes {
     /// The times of an arrival. The client timeout counts from arrival at the machine, unless the
-    /// request says how long its client still waits; an objective ends with the deadline at the
-    /// latest. `stops_at` is the end of the process, where it is known.
+    /// request carries the time that its client still waits; an objective ends with the deadline at
+    /// the latest. `stops_at` is the end of the process, where it is known.
     pub(super) fn new(
         now: Nanos,
         arrival: &Arrival,
--- a/src/admission/load_report.rs
+++ b/src/admission/load_report.rs
@@ -1,5 +1,5 @@
 //! Signals to load balancers: the shedding level, the load report that carries it, and whether idle
-//! connections are kept.
+//! connections stay open.
 
 use super::deadlines::ANSWER_MARGIN;
 use super::measure::{LEARNING_RATE, seconds};
@@ -14,7 +14,7 @@
 /// The highest level: some traffic must come for the level to fall again.
 const HIGHEST_LEVEL: f64 = 0.95;
 /// Idle connections are closed when load balancers come back to one less often than this in their
-/// idle timeout, and kept again when more often than that; the gap keeps it from flapping.
+/// idle timeout, and stay open again above the second figure; the gap prevents flapping.
 const CLOSE_BELOW_RETURNS: f64 = 0.7;
 const KEEP_ABOVE_RETURNS: f64 = 1.4;
 
@@ -29,7 +29,7 @@
     pub(super) arrivals: f64,
 }
 
-/// What load balancers are being told.
+/// What load balancers see of this node.
 pub(super) struct LoadSignals {
     /// The fraction of the traffic that the load report holds back.
     pub(super) shedding_level: f64,
@@ -49,10 +49,10 @@
         self.shedding_level > REJECTED_GOAL
     }
 
-    /// Walks the shedding level: down while cores show room, else by the error of the goal. Load
-    /// report and rejection thus follow the same mechanism.
-    pub(super) fn update_level(&mut self, cores_have_room: bool, window: &UpdateWindow) {
-        if cores_have_room {
+    /// Walks the shedding level: down while the cores have spare time, else by the error of the
+    /// goal. Load report and rejection thus follow the same mechanism.
+    pub(super) fn update_level(&mut self, has_spare_cpu: bool, window: &UpdateWindow) {
+        if has_spare_cpu {
             self.shedding_level *= 1.0 - LEARNING_RATE;
             return;
         }
@@ -66,7 +66,7 @@
     }
 
     /// After which idle time connections are to be closed, when that changes. Idle connections take
-    /// places and memory: they are kept if load balancers mostly come back to them.
+    /// places and memory: they stay open if load balancers mostly come back to them.
     pub(super) fn update_idle_timeout(
         &mut self,
         arrival_rate: f64,
--- a/src/admission/memory.rs
+++ b/src/admission/memory.rs
@@ -20,7 +20,7 @@
     idempotency_key_kb: f64,
     /// What open requests take by own count.
     pub(super) counted_kb: f64,
-    /// How many times the own count the gauge shows: what operations really take is nowhere said.
+    /// How many times the own count the gauge shows: nobody declares what operations really take.
     pub(super) gauge_factor: f64,
     /// What a typical request takes while it is queued.
     pub(super) typical_request_kb: f64,
@@ -94,7 +94,7 @@
     }
 
     /// How many typical requests memory can queue beside `running` of them that run.
-    pub(super) fn queue_room(&self, running: f64) -> f64 {
+    pub(super) fn queue_capacity(&self, running: f64) -> f64 {
         let running_kb = running * self.run_memory_factor * self.typical_request_kb;
         let free_kb = (self.memory_kb * USABLE_FRACTION - self.all_keys_kb()) / self.gauge_factor
             - running_kb;
--- a/src/admission/mode.rs
+++ b/src/admission/mode.rs
@@ -9,7 +9,7 @@
     Rejecting,
     /// The queue has reached its bound: every arrival leads to a rejection.
     QueueFull,
-    /// The node was told to leave.
+    /// The node has had its notice to leave.
     Draining,
 }
 
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -14,12 +14,12 @@
     pub(super) deployment: &'a Deployment,
     pub(super) operations: &'a [OperationProfile],
     pub(super) tenants: &'a TenantRates,
-    pub(super) cores_have_room: bool,
+    pub(super) has_spare_cpu: bool,
 }
 
 impl Valuation<'_> {
     /// Priority weight for an expected second of running (or for each unit of work, where the
-    /// deployment weighs so) of an answer in time. Traffic over a tenant's quota bears no mark, so
+    /// deployment weighs so) of an answer in time. Traffic over a tenant's quota is not marked, so
     /// all of that tenant's counts in proportion.
     pub(super) fn value_density(&self, request: &Request) -> f64 {
         let run_time_s = if self.deployment.weighted_by_work {
@@ -38,11 +38,11 @@
         self.operations[request.operation].run_time_s * request.size
     }
 
-    /// The fraction of its weight that a request would earn if it were started now. While cores show
-    /// room, only what is late already counts: an expectation may err, and nothing else wants the
-    /// core.
+    /// The fraction of its weight that a request would earn if it were started now. While the cores
+    /// have spare time, only what is late already counts: an expectation may err, and nothing else
+    /// wants the core.
     fn expected_fraction(&self, now: Nanos, request: &Request) -> f64 {
-        let run_time_s = if self.cores_have_room {
+        let run_time_s = if self.has_spare_cpu {
             0.0
         } else {
             self.expected_run_time_s(request)
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -31,7 +31,7 @@
     pub(super) times: RequestTimes,
     /// Memory that it takes while it is queued, in kilobytes.
     pub(super) queued_kb: f64,
-    /// Its work, in seconds of a standard core, where a hint says so; else 1.
+    /// Its work, in seconds of a standard core, where a hint gives it; else 1.
     pub(super) size: f64,
     pub(super) state: RequestState,
     /// Whether the client has its answer or has left, while the work goes on.
--- a/src/admission/tenants.rs
+++ b/src/admission/tenants.rs
@@ -44,7 +44,7 @@
         (deployment.tenants[tenant].quota_per_s / cluster_rate).min(1.0)
     }
 
-    /// Whether other nodes are likely to be overloaded too, as far as the tenants' quotas say;
+    /// Whether other nodes are likely to be overloaded too, as far as the tenants' quotas show;
     /// always where there are no tenants.
     pub(super) fn cluster_reaches_quotas(&self, deployment: &Deployment) -> bool {
         let rate: f64 = self.traffic.iter().map(|tenant| tenant.rate).sum();
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -211,7 +211,7 @@
 fn walk(controller: &mut AdmissionController<RecordingHost>) {
     controller
         .beta_red
-        .walk(controller.concurrency.cores_have_room());
+        .walk(controller.concurrency.has_spare_cpu());
 }
 
 fn update_limit(controller: &mut AdmissionController<RecordingHost>, gauges: &Gauges) {
--- a/src/admission/tests/backend_calls.rs
+++ b/src/admission/tests/backend_calls.rs
@@ -23,8 +23,7 @@
 
 #[test]
 fn failing_backends_get_fewer_retries() {
-    // Guards against tries that all nodes repeat at a tier that refuses: four attempts for each
-    // invocation.
+    // Guards against retries of all nodes at a tier that rejects: four attempts for each request.
     let mut controller = controller(Deployment {
         downstream: Downstream::Tier,
         ..deployment()
@@ -48,16 +47,16 @@
     assert_eq!(
         controller.host.effects,
         [Effect::CallBackend(2, 1820 * MS)],
-        "the abandoned one lingers and is booked"
+        "the abandoned call lingers and is booked"
     );
     controller.operations[0].agreed.weight_fraction_without_call = 0.5;
-    controller.make_wanted_calls(S, true);
+    controller.make_pending_calls(S, true);
     assert_eq!(controller.host.effects[1..], [Effect::SkipCall(0)]);
 }
 
 #[test]
 fn a_limit_below_one_holds_in_the_mean() {
-    // Half of 0.5 over 5 s flows back, half can be used at once, lingering included.
+    // Half of 0.5 over 5 s is paid back over time, half can be used at once, lingering included.
     let mut controller = controller(Deployment {
         downstream_call_limit: 0.5,
         ..deployment()
@@ -65,23 +64,22 @@
     put(&mut controller, 0..2, RequestState::AwaitsCall);
     controller.operations[0].call_time_s = 0.2;
     controller.operations[0].agreed.idempotency = Idempotency::Keyed;
-    controller.make_wanted_calls(MS, false);
+    controller.make_pending_calls(MS, false);
     assert_eq!(controller.host.effects, [Effect::CallBackend(0, 1050 * MS)]);
     controller.on_backend_call_ended(S, RequestId(0), BackendCallOutcome::Succeeded, S);
-    controller.make_wanted_calls(1500 * MS, false);
+    controller.make_pending_calls(1500 * MS, false);
     assert_eq!(
         controller.host.effects.len(),
         1,
-        "1 s used, 0.125 s of it made good"
+        "1 s used, 0.125 s of it paid back"
     );
-    controller.make_wanted_calls(3 * S, false);
+    controller.make_pending_calls(3 * S, false);
     assert_eq!(controller.host.effects[1], Effect::CallBackend(1, 550 * MS));
 }
 
 #[test]
 fn a_call_waits_for_room_before_it_is_skipped() {
-    // Guards against small shares: a third of the calls were skipped while what lies below stood
-    // idle.
+    // Guards against small limits: a third of the calls were skipped while the backend was idle.
     let mut controller = controller(Deployment {
         downstream_call_limit: 1.0,
         ..deployment()
@@ -127,7 +125,7 @@
     put(&mut controller, 0..2, RequestState::AwaitsCall);
     controller.requests[1].operation = 1;
     controller.operations[1].agreed.weight_fraction_without_call = 0.5;
-    controller.make_wanted_calls(MS, true);
+    controller.make_pending_calls(MS, true);
     assert_eq!(controller.host.effects, [Effect::SkipCall(1)]);
     controller.answer_due(8 * S);
     assert!(controller.host.effects.contains(&Effect::Fail(0)));
--- a/src/admission/tests/beta_red.rs
+++ b/src/admission/tests/beta_red.rs
@@ -38,7 +38,7 @@
 
 #[test]
 fn unread_requests_count_as_queued() {
-    // Guards against slow reading that hides the queue: held 0 while invocations waited 0.6 s
+    // Guards against slow reading that hides the queue: none queued while requests waited 0.6 s
     // unread.
     let mut controller = controller(deployment());
     controller.beta_red.arrival_rate = 20.0;
@@ -144,8 +144,8 @@
     assert_eq!(controller.queue.len(), 21);
 }
 
-/// An arrival that says it is old once counted as a queue of that length: a stranger's word for
-/// hours shut the node to everybody for a dozen arrivals.
+/// An arrival that claims to be old once counted as a queue of that length: the claim of an
+/// unidentified peer closed the node to everybody for a dozen arrivals.
 #[test]
 fn one_arrival_cannot_stand_for_more_than_the_queue_bound() {
     let mut controller = controller(deployment());
--- a/src/admission/tests/deadlines.rs
+++ b/src/admission/tests/deadlines.rs
@@ -45,7 +45,7 @@
     put(&mut controller, 0..1, RequestState::Running);
     controller.on_client_cancelled(MS, RequestId(0));
     assert_eq!(controller.host.effects, [Effect::Stop(0)]);
-    assert_eq!(controller.running, 1, "until the host says so");
+    assert_eq!(controller.running, 1, "until the host reports its end");
 }
 
 #[test]
--- a/src/admission/tests/drain.rs
+++ b/src/admission/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving.
+//! Draining.
 
 use super::*;
 
@@ -19,8 +19,8 @@
             Effect::ReportLoad(0.0)
         ]
     );
-    // One of few nodes serves on while it may: sent away at once, its callers would leave the
-    // others no room.
+    // One of few nodes serves on while it may: its clients, sent away at once, would overload the
+    // others.
     controller.host.effects.clear();
     for (nodes, now) in [
         (2, 2 * S),
--- a/src/admission/tests/idempotency.rs
+++ b/src/admission/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Nothing runs twice that must not.
+//! Operations that must not run twice.
 
 use super::*;
 
@@ -29,7 +29,7 @@
             &controller.host.released_keys[..]
         ),
         (&[][..], &[1][..]),
-        "stopped, its repeat could only err"
+        "stopped, its repeat could only fail"
     );
     controller.on_execution_ended(2 * MS, RequestId(2), ExecutionOutcome::Succeeded, MS);
     assert_eq!(controller.running, 0);
--- a/src/admission/tests/load_report.rs
+++ b/src/admission/tests/load_report.rs
@@ -62,7 +62,7 @@
 
 #[test]
 fn clients_may_try_other_nodes_while_the_cluster_is_within_its_quotas() {
-    // Guards against slow nodes that keep invocations from others with room.
+    // Guards against slow nodes that withhold requests from others with capacity.
     let mut controller = controller(deployment());
     put(&mut controller, 0..2, RequestState::Queued);
     controller.signals.shedding_level = 0.5;
--- a/src/admission/tests/memory.rs
+++ b/src/admission/tests/memory.rs
@@ -5,7 +5,7 @@
 #[test]
 fn memory_bounds_admission() {
     let mut controller = controller(deployment());
-    controller.memory.counted_kb = 4245.0; // doubled until the gauge has spoken
+    controller.memory.counted_kb = 4245.0; // doubled until the gauge has been read
     controller.on_arrival(MS, arrival(1));
     assert_eq!(controller.host.effects, [Effect::Reject(1, false)]);
 }
--- a/src/admission/tests/queue.rs
+++ b/src/admission/tests/queue.rs
@@ -15,7 +15,7 @@
     assert_eq!(
         shed_candidate(&controller, 3 * S, 1),
         1,
-        "held too long to be sent elsewhere"
+        "queued too long to try another node"
     );
 }
 
@@ -49,7 +49,7 @@
 
 #[test]
 fn large_work_runs_while_cores_show_room() {
-    // Guards against nodes that refuse the large ones for good though nothing else wants the core.
+    // Guards against nodes that reject large requests for good though nothing else wants the core.
     let mut controller = controller(deployment());
     put(&mut controller, 0..1, RequestState::Queued);
     (
--- a/src/admission/updates.rs
+++ b/src/admission/updates.rs
@@ -14,7 +14,7 @@
         self.concurrency.update(!self.queue.is_empty(), gauges);
         self.beta_red.update_arrival_rate(self.window.arrivals);
         self.update_targets();
-        self.beta_red.walk(self.concurrency.cores_have_room());
+        self.beta_red.walk(self.concurrency.has_spare_cpu());
         self.update_signals(now);
         let queue_is_full = self.queue.len() as f64 >= self.beta_red.queue_bound;
         let any_rejected = self.window.value_rejected > 0.0;
@@ -27,13 +27,13 @@
     }
 
     pub(super) fn update_targets(&mut self) {
-        let memory_room = self.memory.queue_room(self.concurrency.limit);
-        self.beta_red.update_targets(memory_room);
+        let memory_capacity = self.memory.queue_capacity(self.concurrency.limit);
+        self.beta_red.update_targets(memory_capacity);
     }
 
     pub(super) fn update_signals(&mut self, now: Nanos) {
-        let has_room = self.concurrency.cores_have_room();
-        self.signals.update_level(has_room, &self.window);
+        let has_spare_cpu = self.concurrency.has_spare_cpu();
+        self.signals.update_level(has_spare_cpu, &self.window);
         self.tenants.update();
         self.send_load_report(now);
         let arrival_rate = self.beta_red.arrival_rate;
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -53,7 +53,7 @@
 pub struct Operation {
     /// Whether it may run again.
     pub idempotency: Idempotency,
-    /// An answer within this keeps its whole weight.
+    /// An answer within this earns its whole weight.
     pub latency_objective: Nanos,
     /// The objective grows by this multiple of the request's own work.
     pub objective_per_work: f64,
@@ -72,7 +72,7 @@
     pub weight_fraction_without_call: f64,
 }
 
-/// One of those who share the cluster.
+/// A customer that shares the cluster with others.
 #[derive(Clone, Debug)]
 pub struct Tenant {
     /// Requests a second within its quota, over all nodes.
--- a/src/events.rs
+++ b/src/events.rs
@@ -1,4 +1,4 @@
-//! What happens at a node, in the words in which the host reports it: identifiers, arrivals,
+//! What happens at a node, as the host reports it: identifiers, arrivals,
 //! outcomes and gauges.
 
 /// A point in time or a span of it, in whole nanoseconds; points count from any fixed origin.
@@ -37,9 +37,9 @@
     pub load_balancer: LoadBalancerId,
     /// Whether it names a subject, so that reads of the same can share an answer.
     pub has_subject: bool,
-    /// How long its client still waits, where the request says so.
+    /// How long its client still waits, where the request carries it.
     pub time_left: Option<Nanos>,
-    /// The work that it should take, in seconds of a standard core, where the request says so.
+    /// The work that it should take, in seconds of a standard core, where the request carries it.
     pub work_hint: Option<f64>,
     /// Memory that it takes while it is queued, in kilobytes.
     pub queued_kb: f64,
