--- a/crates/deployment-config/src/tests.rs
+++ b/crates/deployment-config/src/tests.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn settings_are_read_as_they_stand() {
+fn settings_are_read_as_written() {
     let config = read(&whole()).unwrap();
     assert_eq!(config.operations, ["gun-sorgu", "gun-yaz", "öde"]);
     assert_eq!(config.tenants, ["acme", "b ü/%&"]);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn what_can_not_be_worked_with_is_refused_with_its_name() {
+fn unusable_values_are_refused_with_the_name_of_the_field() {
     for (path, wrong, named) in [
         ("/Services", json!([]), "Services is empty"),
         (
