--- a/crates/node/src/node/cluster_reports.rs
+++ b/crates/node/src/node/cluster_reports.rs
@@ -199,7 +199,7 @@
             state.set_timer(LOAD_HINT_PERIOD, Timer::LoadHint);
             (state.in_flight(), state.load_report())
         };
-        let kind = self.config.deployment.advert;
+        let kind = self.config.deployment.load_report;
         self.update_cluster(|cluster| cluster.load_hint(kind, load_report, in_flight));
     }
 
