--- a/crates/node/src/node/execution.rs
+++ b/crates/node/src/node/execution.rs
@@ -62,7 +62,7 @@
         // A node that was to drain before its executor came up admits nothing.
         if self.admission.is_none() && !self.state.borrow().is_draining() {
             let mut deployment = self.config.deployment.clone();
-            deployment.cold = is_cold;
+            deployment.starts_cold = is_cold;
             // Keys and results are kept in this process, under its own limit: the executor's memory
             // has no part in them.
             deployment.idempotency_key_kb = 0.0;
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -292,7 +292,7 @@
     fn idempotency_key(&self, agreed: &Operation) -> Result<Option<&'a str>, RequestError> {
         let key = self
             .idempotency_key
-            .filter(|_| agreed.effect == Idempotency::Keyed);
+            .filter(|_| agreed.idempotency == Idempotency::Keyed);
         let is_valid = |key: &str| {
             (1..=IDEMPOTENCY_KEY_MAX).contains(&key.len())
                 && key.bytes().all(|byte| byte.is_ascii_graphic())
--- a/crates/node/src/state/requests.rs
+++ b/crates/node/src/state/requests.rs
@@ -208,7 +208,7 @@
 
     /// Whether an operation may run again.
     pub fn idempotency(&self, operation: OperationId) -> Idempotency {
-        self.config.deployment.operations[operation.0].effect
+        self.config.deployment.operations[operation.0].idempotency
     }
 
     /// Writes the one answer of a request; nothing if it has had it or its client has cancelled it.
