--- a/crates/node/src/cli/rollout.rs
+++ b/crates/node/src/cli/rollout.rs
@@ -1,4 +1,4 @@
-//! `madderpoint rollout`: changes of the settings or the program of a fleet in stages: begun,
+//! `madderpoint rollout`: rollouts of the settings or the program of a fleet in stages: begun,
 //! looked at, halted, taken back.
 
 use super::fleet::Asker;
@@ -57,7 +57,7 @@
     #[command(
         after_help = "Example: madderpoint rollout start new.xml --settings translator.xml --at 10.0.0.4:7946"
     )]
-    DeploymentConfig {
+    Start {
         /// The file, with a higher number than that in force.
         file: PathBuf,
         #[command(flatten)]
@@ -67,7 +67,7 @@
         #[arg(long)]
         wait: bool,
     },
-    /// Show the change that is under way, or the last one: stages, nodes, judgement with its
+    /// Show the rollout that is under way, or the last one: stages, nodes, judgement with its
     /// figures.
     #[command(
         after_help = "Example: madderpoint rollout status --settings translator.xml --at 10.0.0.4:7946"
@@ -79,30 +79,30 @@
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Halt a change: who runs it runs it on, and it goes no further.
+    /// Halt a rollout: who runs it runs it on, and it goes no further.
     #[command(
         after_help = "Example: madderpoint rollout halt --settings translator.xml --at 10.0.0.4:7946 --why 'calls pile up'"
     )]
     Halt {
         #[command(flatten)]
         at: At,
-        /// The change; the current one if it is not told.
-        #[arg(long, value_name = "CHANGE")]
-        change: Option<String>,
+        /// The rollout; the current one if it is not told.
+        #[arg(long = "change", value_name = "CHANGE")]
+        rollout: Option<String>,
         /// Why, for all who look later.
         #[arg(long, default_value = "")]
         why: String,
     },
-    /// Take a change back: all run what was before.
+    /// Take a rollout back: all run what was before.
     #[command(
         after_help = "Example: madderpoint rollout back --settings translator.xml --at 10.0.0.4:7946"
     )]
     Back {
         #[command(flatten)]
         at: At,
-        /// The change; the current one if it is not told.
-        #[arg(long, value_name = "CHANGE")]
-        change: Option<String>,
+        /// The rollout; the current one if it is not told.
+        #[arg(long = "change", value_name = "CHANGE")]
+        rollout: Option<String>,
         /// Why, for all who look later.
         #[arg(long, default_value = "")]
         why: String,
@@ -115,7 +115,7 @@
         #[command(flatten)]
         at: At,
     },
-    /// Draw both sides of a change over time (SVG), from the record of an arbiter or from what
+    /// Draw both sides of a rollout over time (SVG), from the record of a voter or from what
     /// `status --format json` printed.
     #[command(
         after_help = "Example: madderpoint rollout plot --settings translator.xml --at 10.0.0.4:7946 --to change.svg"
@@ -133,21 +133,23 @@
     /// Carries the call out.
     pub fn run(self) -> Ended {
         match self {
-            Command::DeploymentConfig { file, at, wait } => start(&file, &at, wait),
+            Command::Start { file, at, wait } => start(&file, &at, wait),
             Command::Status { at, format } => status(&at, format),
-            Command::Halt { at, change, why } => end(&at, order::HALT, change.as_deref(), &why),
-            Command::Back { at, change, why } => end(&at, order::BACK, change.as_deref(), &why),
+            Command::Halt { at, rollout, why } => end(&at, order::HALT, rollout.as_deref(), &why),
+            Command::Back { at, rollout, why } => {
+                end(&at, order::ROLL_BACK, rollout.as_deref(), &why)
+            }
             Command::Explain { at } => explain(&at),
             Command::Plot { at, to } => plot(&at, &to),
         }
     }
 }
 
-fn ordered(at: &At, said: &OperatorCommand) -> Result<CommandReply, String> {
+fn ordered(at: &At, command: &OperatorCommand) -> Result<CommandReply, String> {
     let mut asker = Asker::about(&at.settings, at.at, at.topic())?;
     let until = Instant::now() + LOOK;
     loop {
-        let answer = asker.order(at.topic(), &said.encode_to_vec())?;
+        let answer = asker.order(at.topic(), &command.encode_to_vec())?;
         let answer = CommandReply::decode(answer.as_slice())
             .map_err(|e| format!("{}: its answer can't be read: {e}", at.at))?;
         if answer.state != 1 || Instant::now() > until {
@@ -166,7 +168,7 @@
             } else {
                 format!(": {}", answer.why)
             };
-            println!("change {:016x}{more}", answer.change);
+            println!("change {:016x}{more}", answer.rollout);
         }
         1 => println!("not taken yet: {}", answer.why),
         _ => println!("turned down: {}", answer.why),
@@ -175,7 +177,7 @@
 }
 
 fn start(file: &Path, at: &At, wait: bool) -> Ended {
-    let said = if at.program {
+    let command = if at.program {
         let madderpoint_rollout::Version { number, hash } = program_version::version_of(file)?;
         OperatorCommand {
             kind: order::OFFER,
@@ -196,19 +198,19 @@
         }
         let digest = chunks::digest(&content).to_vec();
         for no in 0..chunks::count(content.len()) {
-            let Some(bytes) = chunks::piece(&content, no) else {
+            let Some(bytes) = chunks::chunk(&content, no) else {
                 break;
             };
             let (size, digest, bytes) = (content.len() as u32, digest.clone(), bytes.to_vec());
-            let piece = OperatorCommand {
-                kind: order::PIECE,
+            let chunk = OperatorCommand {
+                kind: order::CHUNK,
                 no,
                 bytes,
                 size,
                 digest,
                 ..OperatorCommand::default()
             };
-            let answer = ordered(at, &piece)?;
+            let answer = ordered(at, &chunk)?;
             if answer.state != 0 {
                 return Ok(taken(&answer));
             }
@@ -219,20 +221,20 @@
             ..OperatorCommand::default()
         }
     };
-    let answer = ordered(at, &said)?;
+    let answer = ordered(at, &command)?;
     if !taken(&answer) || !wait {
         return Ok(answer.state == 0);
     }
-    follow(at, answer.change)
+    follow(at, answer.rollout)
 }
 
-/// Tells each stage of a change until it is over.
+/// Tells each stage of a rollout until it is over.
 fn follow(at: &At, id: u64) -> Ended {
     let mut before = (u32::MAX, String::new());
     let mut lost = 0;
     loop {
         thread::sleep(Duration::from_millis(500));
-        let Ok(shown) = ask(at) else {
+        let Ok(shown) = request(at) else {
             lost += 1;
             if lost > 60 {
                 return Err(format!(
@@ -243,15 +245,15 @@
             continue;
         };
         lost = 0;
-        let Some(change) = shown.changes.iter().find(|change| change.id == id) else {
+        let Some(rollout) = shown.rollouts.iter().find(|rollout| rollout.id == id) else {
             continue;
         };
-        let now = (change.stage, change.fate.clone());
+        let now = (rollout.stage, rollout.outcome.clone());
         if now != before {
-            println!("{}", summary(change, &shown));
+            println!("{}", summary(rollout, &shown));
             before = now;
         }
-        match change.fate.as_str() {
+        match rollout.outcome.as_str() {
             "open" => {}
             "done" => return Ok(true),
             _ => return Ok(false),
@@ -259,23 +261,23 @@
     }
 }
 
-fn end(at: &At, kind: u32, change: Option<&str>, why: &str) -> Ended {
-    let change = match change {
+fn end(at: &At, kind: u32, rollout: Option<&str>, why: &str) -> Ended {
+    let rollout = match rollout {
         Some(text) => u64::from_str_radix(text, 16)
             .map_err(|_| format!("{text}: no change, 16 hex digits"))?,
         None => 0,
     };
-    let said = OperatorCommand {
+    let command = OperatorCommand {
         kind,
-        change,
+        rollout,
         why: why.to_owned(),
         program: at.program,
         ..OperatorCommand::default()
     };
-    Ok(taken(&ordered(at, &said)?))
+    Ok(taken(&ordered(at, &command)?))
 }
 
-fn ask(at: &At) -> Result<StatusSnapshot, String> {
+fn request(at: &At) -> Result<StatusSnapshot, String> {
     let bytes = Asker::about(&at.settings, at.at, at.topic())?.ask_pages(TRIES)?;
     let bytes = bytes.ok_or_else(|| {
         let what = if at.program {
@@ -295,57 +297,57 @@
 /// What the conductor shows, which has the judgement; or what this node does, if that can't be
 /// reached.
 fn ask_conductor(at: &At) -> Result<(StatusSnapshot, Option<StatusSnapshot>), String> {
-    let shown = ask(at)?;
-    let conductor = match shown.conductor_at.parse() {
-        Ok(there) if shown.conductor != shown.node => ask(&At {
+    let shown = request(at)?;
+    let acting_coordinator = match shown.coordinator_address.parse() {
+        Ok(there) if shown.coordinator != shown.node => request(&At {
             at: there,
             ..at.clone()
         })
         .ok(),
         _ => None,
     };
-    Ok((shown, conductor))
+    Ok((shown, acting_coordinator))
 }
 
 fn version(of: Option<&VersionStatus>) -> String {
     of.map_or_else(|| "-".to_owned(), |version| version.version().to_string())
 }
 
-fn summary(change: &RolloutStatus, shown: &StatusSnapshot) -> String {
-    let stages = change.stages.len();
-    let of = match change.stage as usize {
+fn summary(rollout: &RolloutStatus, shown: &StatusSnapshot) -> String {
+    let stages = rollout.stages.len();
+    let of = match rollout.stage as usize {
         0 => "has not begun".to_owned(),
         stage if stage > stages => "through all stages".to_owned(),
-        stage => format!("stage {stage} of {stages} ({})", change.stages[stage - 1]),
+        stage => format!("stage {stage} of {stages} ({})", rollout.stages[stage - 1]),
     };
-    let why = if change.why.is_empty() {
+    let why = if rollout.why.is_empty() {
         String::new()
     } else {
-        format!(", {}", change.why)
+        format!(", {}", rollout.why)
     };
-    let by = if change.by.is_empty() {
+    let by = if rollout.by.is_empty() {
         String::new()
     } else {
-        format!(" (by {})", change.by)
+        format!(" (by {})", rollout.by)
     };
     let waits = match shown.waits.as_str() {
         "" => String::new(),
-        waits if change.fate == "open" => format!("; waits: {waits}"),
+        waits if rollout.outcome == "open" => format!("; waits: {waits}"),
         _ => String::new(),
     };
     format!(
         "change {:016x}: {} in place of {}, {of}, {}{why}{by}{waits}",
-        change.id,
-        version(change.version.as_ref()),
-        version(change.base.as_ref()),
-        change.fate
+        rollout.id,
+        version(rollout.version.as_ref()),
+        version(rollout.base.as_ref()),
+        rollout.outcome
     )
 }
 
 fn node(node: &NodeStatusEntry) -> Value {
     json!({"name": node.name, "zone": node.zone, "there": node.there, "in_stage": node.in_stage,
         "version": node.running.map(|v| v.number), "hash": node.running.map(|v| format!("{:016x}", v.hash)),
-        "since_ms": node.since_ms, "stand": node.stand, "died": node.died, "why": node.why})
+        "since_ms": node.since_ms, "stand": node.status, "died": node.crashes, "why": node.why})
 }
 
 fn point(point: &CohortPointStatus, window_ms: u64) -> Value {
@@ -356,13 +358,13 @@
 
 /// All of it, for programs. Pairs are of the old and of the new side.
 fn as_json(shown: &StatusSnapshot, judged: &StatusSnapshot) -> Value {
-    let changes: Vec<Value> = shown
-        .changes
+    let rollouts: Vec<Value> = shown
+        .rollouts
         .iter()
         .map(|c| {
             json!({"change": format!("{:016x}", c.id), "version": c.version.map(|v| v.number),
                 "hash": c.version.map(|v| format!("{:016x}", v.hash)), "base": c.base.map(|v| v.number),
-                "stage": c.stage, "stages": c.stages, "fate": c.fate, "why": c.why, "by": c.by,
+                "stage": c.stage, "stages": c.stages, "fate": c.outcome, "why": c.why, "by": c.by,
                 "ended_ms": c.ended_ms, "offered_by": c.offered_by, "offered_ms": c.offered_ms,
                 "agreement": c.agreement, "electorate": c.electorate})
         })
@@ -376,21 +378,21 @@
         })
         .collect();
     json!({"node": shown.node, "at_ms": shown.at_ms, "running": shown.running.map(|v| v.number),
-        "good": shown.good.map(|v| v.number), "conductor": shown.conductor, "waits": judged.waits,
-        "changes": changes, "nodes": judged.nodes.iter().map(node).collect::<Vec<_>>(),
+        "good": shown.good.map(|v| v.number), "conductor": shown.coordinator, "waits": judged.waits,
+        "changes": rollouts, "nodes": judged.nodes.iter().map(node).collect::<Vec<_>>(),
         "nodes_in_all": judged.nodes_in_all, "verdict": judged.verdict, "findings": findings,
         "sample_new_old": judged.sample, "judged_new_old": judged.judged,
         "points": judged.points.iter().map(|p| point(p, judged.window_ms)).collect::<Vec<_>>()})
 }
 
 fn status(at: &At, format: Format) -> Ended {
-    let (shown, conductor) = ask_conductor(at)?;
-    let judged = conductor.as_ref().unwrap_or(&shown);
+    let (shown, acting_coordinator) = ask_conductor(at)?;
+    let judged = acting_coordinator.as_ref().unwrap_or(&shown);
     if format == Format::Json {
         println!("{:#}", as_json(&shown, judged));
         return Ok(true);
     }
-    let Some(first) = shown.changes.first() else {
+    let Some(first) = shown.rollouts.first() else {
         println!(
             "no change is known; {} runs version {}",
             shown.node,
@@ -399,17 +401,17 @@
         return Ok(true);
     };
     let current = shown
-        .changes
+        .rollouts
         .iter()
-        .find(|change| change.fate == "open")
+        .find(|rollout| rollout.outcome == "open")
         .unwrap_or(first);
     println!("{}", summary(current, judged));
-    for change in shown
-        .changes
+    for rollout in shown
+        .rollouts
         .iter()
-        .filter(|change| change.id != current.id)
+        .filter(|rollout| rollout.id != current.id)
     {
-        println!("  beside: {}", summary(change, &StatusSnapshot::default()));
+        println!("  beside: {}", summary(rollout, &StatusSnapshot::default()));
     }
     if !judged.verdict.is_empty() {
         let pair = |of: &[u64]| {
@@ -419,7 +421,7 @@
             ]
         };
         let ([new, old], [news, olds]) = (pair(&judged.sample), pair(&judged.judged));
-        println!("judgement by {}: {}", shown.conductor, judged.verdict);
+        println!("judgement by {}: {}", shown.coordinator, judged.verdict);
         println!("  {new} invocations at {news} new nodes, {old} at {olds} old ones");
         let head = [
             "operation",
@@ -470,7 +472,7 @@
             yes(node.in_stage),
             version(node.running.as_ref()),
             since,
-            node.stand,
+            node.status,
             node.why
         );
     }
@@ -478,7 +480,7 @@
 }
 
 fn explain(at: &At) -> Ended {
-    let shown = ask(at)?;
+    let shown = request(at)?;
     println!("{}:", shown.node);
     shown.reasons.iter().for_each(|line| println!("  {line}"));
     Ok(true)
@@ -488,8 +490,8 @@
 type Drawn = fn(&CohortPointStatus, usize) -> f64;
 
 fn plot(at: &At, to: &Path) -> Ended {
-    let (shown, conductor) = ask_conductor(at)?;
-    let judged = conductor.as_ref().unwrap_or(&shown);
+    let (shown, acting_coordinator) = ask_conductor(at)?;
+    let judged = acting_coordinator.as_ref().unwrap_or(&shown);
     if judged.points.is_empty() {
         return Err(format!(
             "{}: there is no record: no change was under way since its start",
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -113,8 +113,8 @@
 #[derive(Debug)]
 pub enum Done {
     Checked(RolloutId, Result<(), String>),
-    LookedInto(u64, Result<Version, String>),
-    Kept(u64, Result<(), String>),
+    OfferChecked(u64, Result<Version, String>),
+    Persisted(u64, Result<(), String>),
     Applied(Version, Result<(), String>),
 }
 
@@ -419,7 +419,7 @@
         let among = Among {
             me: key,
             zone,
-            arbiters: part.arbiters.clone(),
+            voters: part.arbiters.clone(),
             operations: part.operations.clone(),
             objectives: part.objectives.clone(),
             bytes: part.change_bytes,
@@ -643,7 +643,7 @@
                 continue;
             }
             if let Some(changes) = changes.iter_mut().find(|changes| is_about(changes, topic)) {
-                changes.told(clock(), MemberKey(from.key), &parcel);
+                changes.handle_message(clock(), MemberKey(from.key), &parcel);
                 continue;
             }
             let told = if topic == SHARED {
@@ -671,7 +671,7 @@
         for (from, no, topic, order) in std::mem::take(&mut fleet.host.orders) {
             let of = changes.iter_mut().find(|changes| is_about(changes, topic));
             of.into_iter()
-                .for_each(|changes| changes.order(clock(), from, no, &order));
+                .for_each(|changes| changes.handle_command(clock(), from, no, &order));
         }
         let asked = std::mem::take(&mut fleet.host.asked);
         for changes in changes
--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -1,4 +1,4 @@
-//! A node's part in changes of its settings or its program, beside its part in the fleet: words
+//! A node's part in rollouts of its settings or its program, beside its part in the fleet: words
 //! travel as the fleet's parcels, what takes time (checks, writes, what takes force) is done by a
 //! thread of its own, and neither waits for the other.
 
@@ -38,7 +38,7 @@
 /// What the thread that checks and writes may have before it: one thing of each kind is asked for
 /// at a time.
 const TASKS: usize = 8;
-/// A node's record takes about so much, for each side of a change: two dozen operations' parts.
+/// A node's record takes about so much, for each side of a rollout: two dozen operations' parts.
 const NODE_RECORD: usize = 12 << 10;
 /// What takes less than this part of the latency objective is quick enough for any caller; in the
 /// histogram's units.
@@ -57,7 +57,7 @@
     }
 }
 
-/// What a change does to this node, and where versions are kept. It may take its time: it has a
+/// What a rollout does to this node, and where versions are kept. It may take its time: it has a
 /// thread.
 pub trait Versions: Send {
     /// Looks whether this can be run here, and says which version it is.
@@ -67,20 +67,20 @@
         content: Option<&[u8]>,
     ) -> Result<Version, String>;
     /// Writes what is kept.
-    fn keep(
+    fn persist(
         &mut self,
-        kept: &PersistedState,
+        persisted: &PersistedState,
         content: Option<(Version, &[u8])>,
     ) -> Result<(), String>;
     /// Runs a version from here on.
     fn apply(&mut self, version: Version) -> Result<(), String>;
 }
 
-/// A node's part in changes of one kind.
+/// A node's part in rollouts of one kind.
 pub struct Changing {
     /// What the node starts with.
     pub start: InitialState,
-    /// How a change that is offered here goes out.
+    /// How a rollout that is offered here goes out.
     pub plan: Plan,
     pub versions: Box<dyn Versions>,
 }
@@ -96,18 +96,18 @@
 
 enum Task {
     Check {
-        change: RolloutId,
+        rollout: RolloutId,
         version: Version,
         content: Option<Vec<u8>>,
     },
-    LookInto {
+    CheckOffer {
         no: u64,
         version: Option<Version>,
         content: Option<Vec<u8>>,
     },
-    Keep {
+    Persist {
         no: u64,
-        kept: Box<PersistedState>,
+        persisted: Box<PersistedState>,
         content: Option<(Version, Vec<u8>)>,
     },
     Apply(Version),
@@ -117,7 +117,7 @@
     for task in tasks {
         let done = match task {
             Task::Check {
-                change,
+                rollout,
                 version,
                 content,
             } => {
@@ -126,18 +126,22 @@
                     true => Ok(()),
                     false => Err(format!("it says that it is version {found}, not {version}")),
                 });
-                Done::Checked(change, found)
+                Done::Checked(rollout, found)
             }
-            Task::LookInto {
+            Task::CheckOffer {
                 no,
                 version,
                 content,
-            } => Done::LookedInto(no, versions.check(version, content.as_deref())),
-            Task::Keep { no, kept, content } => {
+            } => Done::OfferChecked(no, versions.check(version, content.as_deref())),
+            Task::Persist {
+                no,
+                persisted,
+                content,
+            } => {
                 let content = content
                     .as_ref()
                     .map(|(version, content)| (*version, content.as_slice()));
-                Done::Kept(no, versions.keep(&kept, content))
+                Done::Persisted(no, versions.persist(&persisted, content))
             }
             Task::Apply(version) => Done::Applied(version, versions.apply(version)),
         };
@@ -166,8 +170,8 @@
 }
 
 impl Host for RolloutHost {
-    fn send(&mut self, to: u64, told: ReceivedMessage) {
-        self.sent.push((to, told));
+    fn send(&mut self, to: u64, message: ReceivedMessage) {
+        self.sent.push((to, message));
     }
     fn log(&mut self, line: &str) {
         let part = match self.kind {
@@ -176,7 +180,7 @@
         };
         crate::log::event("rollout", part, format_args!("{part}: {line}"));
     }
-    fn some(&mut self, most: usize) -> Vec<u64> {
+    fn random_peers(&mut self, most: usize) -> Vec<u64> {
         let others = self
             .members
             .iter()
@@ -186,7 +190,7 @@
             .map(|_| there[self.rng.random_range(0..there.len())])
             .collect()
     }
-    fn differs(&mut self, digest: u64) -> Option<u64> {
+    fn peer_with_other_digest(&mut self, digest: u64) -> Option<u64> {
         // From a place of its own on, so that not all ask the same one.
         let from = if self.digests.is_empty() {
             0
@@ -203,24 +207,29 @@
     fn show(&mut self, report: &NodeReport) {
         self.shown = Some(report.clone());
     }
-    fn check(&mut self, change: RolloutId, version: Version, content: Option<Vec<u8>>) {
+    fn check(&mut self, rollout: RolloutId, version: Version, content: Option<Vec<u8>>) {
         self.task(Task::Check {
-            change,
+            rollout,
             version,
             content,
         });
     }
-    fn look_into(&mut self, no: u64, version: Option<Version>, content: Option<Vec<u8>>) {
-        self.task(Task::LookInto {
+    fn check_offer(&mut self, no: u64, version: Option<Version>, content: Option<Vec<u8>>) {
+        self.task(Task::CheckOffer {
             no,
             version,
             content,
         });
     }
-    fn keep(&mut self, no: u64, kept: &PersistedState, content: Option<(Version, Vec<u8>)>) {
-        self.task(Task::Keep {
+    fn persist(
+        &mut self,
+        no: u64,
+        persisted: &PersistedState,
+        content: Option<(Version, Vec<u8>)>,
+    ) {
+        self.task(Task::Persist {
             no,
-            kept: Box::new(kept.clone()),
+            persisted: Box::new(persisted.clone()),
             content,
         });
     }
@@ -243,7 +252,7 @@
 pub struct Among {
     pub me: MemberKey,
     pub zone: u32,
-    pub arbiters: Vec<u64>,
+    pub voters: Vec<u64>,
     pub operations: Vec<String>,
     pub objectives: Vec<Nanos>,
     pub bytes: usize,
@@ -252,7 +261,7 @@
 
 /// The part.
 pub struct Changes {
-    rollout: Participant<RolloutHost>,
+    participant: Participant<RolloutHost>,
     kind: Kind,
     next: Nanos,
     looked: Nanos,
@@ -296,13 +305,13 @@
         let Among {
             me,
             zone,
-            arbiters,
+            voters,
             operations,
             objectives,
             bytes,
             seed,
         } = among;
-        let kind = start.kept.kind;
+        let kind = start.persisted.kind;
         let (tasks, inbox) = bounded(TASKS);
         // Settings are read there, whose expressions nest in each other.
         let thread = thread::Builder::new()
@@ -329,12 +338,12 @@
             windows: Vec::new(),
             rng,
         };
-        let mut rollout = Participant::new(
+        let mut participant = Participant::new(
             at.now,
             at.unix_ms,
             (me.0, zone),
             start,
-            arbiters,
+            voters,
             WINDOW_MS,
             hands,
         );
@@ -342,19 +351,19 @@
             .iter()
             .map(|name| (number(name), name.clone()))
             .collect();
-        let quick = operations.iter().zip(&objectives);
-        let quick = quick
+        let fast_enough = operations.iter().zip(&objectives);
+        let fast_enough = fast_enough
             .map(|(name, objective)| (number(name), (objective / QUICK / TENTH) as u32))
             .collect();
-        rollout.conduct = rollout
-            .conduct
+        participant.coordinator = participant
+            .coordinator
             .with_names(names)
-            .with_room(bytes / NODE_RECORD)
-            .with_quick(quick);
-        rollout.plan = plan;
+            .with_capacity(bytes / NODE_RECORD)
+            .with_fast_enough(fast_enough);
+        participant.plan = plan;
         let answers = VecDeque::new();
         Ok(Changes {
-            rollout,
+            participant,
             kind,
             next: 0,
             looked: 0,
@@ -374,40 +383,51 @@
         self.next
     }
 
-    /// New settings tell how changes go out.
+    /// New settings tell how rollouts go out.
     pub fn set_plan(&mut self, plan: Plan) {
-        self.rollout.plan = plan;
+        self.participant.plan = plan;
     }
 
     /// Something was told.
-    pub fn told(&mut self, at: ClockReading, from: MemberKey, parcel: &[u8]) {
-        if let Some(told) = messages::read(parcel) {
-            self.rollout.told(at.now, at.unix_ms, from.0, told);
+    pub fn handle_message(&mut self, at: ClockReading, from: MemberKey, parcel: &[u8]) {
+        if let Some(message) = messages::decode(parcel) {
+            self.participant
+                .handle_message(at.now, at.unix_ms, from.0, message);
         }
     }
 
     /// The thread did something.
     pub fn done(&mut self, at: ClockReading, done: Done) {
-        let rollout = &mut self.rollout;
+        let participant = &mut self.participant;
         self.handed |= self.kind == Kind::Program && matches!(&done, Done::Applied(_, Ok(())));
         match done {
-            Done::Checked(change, found) => rollout.local.checked(at.now, change, found),
-            Done::LookedInto(no, found) => rollout.looked_into(at.now, at.unix_ms, no, found),
-            Done::Kept(no, result) => rollout.local.kept(at.now, no, result),
-            Done::Applied(version, result) => {
-                rollout.local.applied(at.now, at.unix_ms, version, result)
+            Done::Checked(rollout, found) => {
+                participant.agent.check_finished(at.now, rollout, found)
+            }
+            Done::OfferChecked(no, found) => {
+                participant.offer_checked(at.now, at.unix_ms, no, found)
             }
+            Done::Persisted(no, result) => participant.agent.persist_finished(at.now, no, result),
+            Done::Applied(version, result) => participant
+                .agent
+                .apply_finished(at.now, at.unix_ms, version, result),
         }
     }
 
     /// An operator orders something.
-    pub fn order(&mut self, at: ClockReading, from: std::net::SocketAddr, no: u32, order: &[u8]) {
+    pub fn handle_command(
+        &mut self,
+        at: ClockReading,
+        from: std::net::SocketAddr,
+        no: u32,
+        order: &[u8],
+    ) {
         let answer = match OperatorCommand::decode(order) {
-            Ok(order) => self.rollout.order(at.now, at.unix_ms, &order),
+            Ok(order) => self.participant.handle_command(at.now, at.unix_ms, &order),
             Err(_) => CommandReply {
                 state: 2,
                 why: "this order can't be read".into(),
-                change: 0,
+                rollout: 0,
             },
         };
         if self.answers.len() < ANSWERS {
@@ -427,7 +447,8 @@
             sum.succeeded += numbers[column::SUCCEEDED];
             sum.errored += numbers[column::ERRORED];
         }
-        self.rollout.own(at.now, at.unix_ms, sum);
+        self.participant
+            .record_local_metrics(at.now, at.unix_ms, sum);
     }
 
     /// Does what is due: what the fleet and its counts look like is taken up first.
@@ -457,68 +478,75 @@
             let part = entry.details.parts.iter().find(|part| part.id == topic);
             if let Some(report) = part
                 .filter(|_| there && key != me)
-                .and_then(|p| messages::read_part(&p.bytes))
+                .and_then(|p| messages::decode_attachment(&p.bytes))
             {
                 digests.push((key.0, report.digest));
             }
         }
-        let hands = &mut self.rollout.local.host;
+        let hands = &mut self.participant.agent.host;
         (hands.members, hands.digests) = (members, digests);
         self.look(at, fleet, counts);
-        self.rollout.wake(at.now, at.unix_ms);
+        self.participant.wake(at.now, at.unix_ms);
     }
 
-    /// An arbiter takes up what all nodes counted, while a change is under way.
+    /// A voter takes up what all nodes counted, while a rollout is under way.
     fn look<H: FleetHost>(
         &mut self,
         at: ClockReading,
         fleet: &Membership<H>,
         counts: Option<&ClusterCounters>,
     ) {
-        let Participant { local, conduct, .. } = &self.rollout;
-        let under_way = local.changes().under_way(self.kind).map(|change| change.id);
-        let (Some(change), Some(counts)) = (under_way.filter(|_| conduct.is_arbiter()), counts)
+        let Participant {
+            agent, coordinator, ..
+        } = &self.participant;
+        let in_progress = agent
+            .rollouts()
+            .in_progress(self.kind)
+            .map(|rollout| rollout.id);
+        let (Some(rollout), Some(counts)) =
+            (in_progress.filter(|_| coordinator.is_voter()), counts)
         else {
             return;
         };
-        let recorded = conduct
+        let recorded = coordinator
             .record()
-            .is_some_and(|record| record.change == change);
+            .is_some_and(|record| record.rollout == rollout);
         if recorded && at.now < self.looked + LOOK {
             return;
         }
         self.looked = at.now;
-        let from = conduct
-            .wants_counts(local.changes())
+        let from = coordinator
+            .next_wanted_window(agent.rollouts())
             .filter(|_| recorded)
             .unwrap_or(0);
-        self.rollout.local.host.windows = samples(self.kind, fleet, counts, from);
+        self.participant.agent.host.windows = samples(self.kind, fleet, counts, from);
     }
 
     /// Sends and shows what there is to say.
     pub fn post<H: FleetHost>(&mut self, at: ClockReading, fleet: &mut Membership<H>) {
         let topic = topic(self.kind);
-        // What this node tells itself as an arbiter, as one who conducts and as a member stays
+        // What this node tells itself as a voter, as one who conducts and as a member stays
         // here, and may be answered.
-        while !self.rollout.local.host.sent.is_empty() {
-            for (to, told) in std::mem::take(&mut self.rollout.local.host.sent) {
-                if to == self.rollout.local.me() {
-                    self.rollout.told(at.now, at.unix_ms, to, told);
+        while !self.participant.agent.host.sent.is_empty() {
+            for (to, message) in std::mem::take(&mut self.participant.agent.host.sent) {
+                if to == self.participant.agent.me() {
+                    self.participant
+                        .handle_message(at.now, at.unix_ms, to, message);
                 } else {
-                    fleet.send_parcel(at, MemberKey(to), topic, &messages::write(&told));
+                    fleet.send_parcel(at, MemberKey(to), topic, &messages::encode(&message));
                 }
             }
         }
         if messages::LATER && self.next == at.now + WAKE {
-            for to in self.rollout.local.host.some(1) {
+            for to in self.participant.agent.host.random_peers(1) {
                 fleet.send_parcel(at, MemberKey(to), topic, &messages::later_kind());
             }
         }
-        if let Some(report) = self.rollout.local.host.shown.take() {
+        if let Some(report) = self.participant.agent.host.shown.take() {
             let part = AttachmentMessage {
                 id: topic,
                 version: 1,
-                bytes: messages::write_part(&report),
+                bytes: messages::encode_attachment(&report),
             };
             let _ = fleet.set_part(at, part); // one that does not fit is counted there
         }
@@ -527,11 +555,13 @@
         }
     }
 
-    /// All that is known of changes, to be shown.
+    /// All that is known of rollouts, to be shown.
     pub fn show<H: FleetHost>(&self, at: ClockReading, fleet: &Membership<H>) -> Vec<u8> {
         let topic = topic(self.kind);
-        let Participant { local, conduct, .. } = &self.rollout;
-        let members: Vec<(Member, Option<NodeReport>)> = local
+        let Participant {
+            agent, coordinator, ..
+        } = &self.participant;
+        let members: Vec<(Member, Option<NodeReport>)> = agent
             .host
             .members
             .iter()
@@ -540,7 +570,7 @@
                 let part = entry.and_then(|e| e.details.parts.iter().find(|part| part.id == topic));
                 (
                     *member,
-                    part.and_then(|part| messages::read_part(&part.bytes)),
+                    part.and_then(|part| messages::decode_attachment(&part.bytes)),
                 )
             })
             .collect();
@@ -548,34 +578,34 @@
             fleet,
             operations: &self.operations,
         };
-        let mut shown = StatusSnapshot::of(at.unix_ms, local, conduct, &members, &names);
+        let mut shown = StatusSnapshot::of(at.unix_ms, agent, coordinator, &members, &names);
         shown.window_ms = WINDOW_MS;
         let alone: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
-        let conductor = conduct
-            .conductor(&alone)
+        let acting_coordinator = coordinator
+            .acting_coordinator(&alone)
             .and_then(|key| fleet.view().get(MemberKey(key)));
-        shown.conductor_at =
-            conductor.map_or_else(String::new, |entry| entry.details.address.to_string());
+        shown.coordinator_address =
+            acting_coordinator.map_or_else(String::new, |entry| entry.details.address.to_string());
         shown.encode_to_vec()
     }
 
-    /// Whether another process is being started to take this one's place: nothing else may change
+    /// Whether another process is being started to take this one's place: nothing else may rollout
     /// then.
     pub fn hands_over(&self) -> bool {
-        self.kind == Kind::Program && (self.handed || self.rollout.local.is_applying())
+        self.kind == Kind::Program && (self.handed || self.participant.agent.is_applying())
     }
 
     /// The node ends, by notice: what it had on trial did not die, and that is written before the
     /// process is gone. Where another process takes its place, that one has it on trial, and
     /// writes.
     pub fn leave(&mut self, handed: bool) {
-        let kept = Box::new(self.rollout.local.leave());
+        let persisted = Box::new(self.participant.agent.leave());
         let (tasks, _) = bounded(0);
-        let tasks = std::mem::replace(&mut self.rollout.local.host.tasks, tasks);
+        let tasks = std::mem::replace(&mut self.participant.agent.host.tasks, tasks);
         if !handed {
-            let _ = tasks.try_send(Task::Keep {
+            let _ = tasks.try_send(Task::Persist {
                 no: 0,
-                kept,
+                persisted,
                 content: None,
             });
         }
@@ -607,7 +637,7 @@
                     .parts
                     .iter()
                     .find(|part| part.id == PROGRAM_CHANGES);
-                match part.and_then(|part| messages::read_part(&part.bytes)) {
+                match part.and_then(|part| messages::decode_attachment(&part.bytes)) {
                     Some(report) => report.running.hash,
                     None => continue,
                 }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -357,12 +357,12 @@
         Ok(Version { number, hash })
     }
 
-    fn keep(
+    fn persist(
         &mut self,
         kept: &PersistedState,
         content: Option<(Version, &[u8])>,
     ) -> Result<(), String> {
-        self.directory.keep(kept, content)
+        self.directory.persist(kept, content)
     }
 
     fn apply(&mut self, version: Version) -> Result<(), String> {
--- a/crates/node/src/supervisor.rs
+++ b/crates/node/src/supervisor.rs
@@ -71,7 +71,7 @@
 
 /// What the decisions do to the world.
 struct SupervisorHost {
-    told: Told,
+    message: Told,
     listener: TcpListener,
     directory: Directory,
     processes: BTreeMap<Child, Process>,
@@ -102,7 +102,7 @@
         Some(Orphan { pid, started })
     }
 
-    fn is_there(&self) -> bool {
+    fn is_present(&self) -> bool {
         Orphan::of(self.pid).as_ref() == Some(self)
     }
 
@@ -115,12 +115,12 @@
                 started: started.to_owned(),
             })
         });
-        lines.filter(Orphan::is_there).collect()
+        lines.filter(Orphan::is_present).collect()
     }
 }
 
 impl SupervisorHost {
-    fn say(&mut self, child: Child, saying: &SupervisorMessage) {
+    fn reply(&mut self, child: Child, saying: &SupervisorMessage) {
         if let Some(process) = self.processes.get_mut(&child) {
             let _ = process.stream.write_all(&saying.write()); // one that is gone is told of by its end
         }
@@ -142,12 +142,12 @@
     }
 
     fn spawn(&mut self, child: Child, begin: &StartInstructions) -> Result<(), String> {
-        let dir = program_version::find(&self.told.programs, begin.version)?;
+        let dir = program_version::find(&self.message.programs, begin.version)?;
         let file = dir.join(program_version::PROGRAM);
         let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
         let (ours, theirs) = UnixStream::pair().map_err(|e| wrong(&e))?;
         let mut process = Command::new(&file)
-            .args(&self.told.arguments)
+            .args(&self.message.arguments)
             .env(UNDER, "1")
             .stdin(Stdio::from(OwnedFd::from(theirs)))
             .spawn()
@@ -155,13 +155,13 @@
         let pid = Pid::from_raw(process.id() as i32);
         let alive = Arc::new(Mutex::new(pid));
         let (reading, ended) = (ours.try_clone().map_err(|e| wrong(&e))?, Arc::clone(&alive));
-        let (events, told) = (self.events.clone(), self.events.clone());
+        let (events, message) = (self.events.clone(), self.events.clone());
         thread::spawn(move || read(child, reading, &events));
         thread::spawn(move || {
             let status = process.wait();
             *ended.lock().unwrap_or_else(PoisonError::into_inner) = None;
             let how = status.map_or_else(|e| e.to_string(), |status| status.to_string());
-            let _ = told.send(Event::Ended(child, how));
+            let _ = message.send(Event::Ended(child, how));
         });
         let sent = hand(
             &ours,
@@ -232,9 +232,9 @@
         )
     }
     fn in_charge(&mut self, child: Child) {
-        self.say(child, &SupervisorMessage::plain(kind::IN_CHARGE));
+        self.reply(child, &SupervisorMessage::plain(kind::IN_CHARGE));
         for orphan in std::mem::take(&mut self.orphans) {
-            if orphan.is_there()
+            if orphan.is_present()
                 && let Some(pid) = Pid::from_raw(orphan.pid)
             {
                 log::line(format_args!(
@@ -247,7 +247,7 @@
         self.note();
     }
     fn hand_over(&mut self, child: Child) {
-        self.say(child, &SupervisorMessage::plain(kind::HAND_OVER));
+        self.reply(child, &SupervisorMessage::plain(kind::HAND_OVER));
     }
     fn leave(&mut self, child: Child) {
         if let Some(process) = self.processes.get(&child) {
@@ -259,14 +259,14 @@
             process.signal(Signal::KILL);
         }
     }
-    fn keep(&mut self, kept: &PersistedState) -> Result<(), String> {
-        self.directory.keep(kept, None)
+    fn persist(&mut self, persisted: &PersistedState) -> Result<(), String> {
+        self.directory.persist(persisted, None)
     }
     fn has(&mut self, version: Version) -> Result<(), String> {
-        program_version::find(&self.told.programs, version).map(drop)
+        program_version::find(&self.message.programs, version).map(drop)
     }
     fn answer(&mut self, child: Child, no: u64, result: Result<(), String>) {
-        self.say(child, &SupervisorMessage::done(no, &result));
+        self.reply(child, &SupervisorMessage::done(no, &result));
     }
     fn log(&mut self, line: &str) {
         log::event("parent", "program", format_args!("{line}"));
@@ -290,19 +290,19 @@
 }
 
 /// Runs until all processes have left after the notice to leave.
-pub fn run(told: Told) -> Result<(), String> {
+pub fn run(message: Told) -> Result<(), String> {
     let mut signals =
         Signals::new([SIGTERM, SIGINT, SIGHUP, SIGUSR2]).map_err(|e| format!("signals: {e}"))?;
     let path = PathBuf::from(std::env::var_os("PROXY_CONFIG").ok_or("PROXY_CONFIG is not set")?);
     let who = config::read(&path, |name| std::env::var(name).ok())?;
-    serve::logs(&who.name, told.logging);
-    let start = if told.start.is_dir() {
-        told.start.clone()
+    serve::logs(&who.name, message.logging);
+    let start = if message.start.is_dir() {
+        message.start.clone()
     } else {
-        told.programs.join(&told.start)
+        message.programs.join(&message.start)
     };
     let given = program_version::version_of(&start)?;
-    let directory = Directory::open(&told.state, &who.name, Kind::Program)?;
+    let directory = Directory::open(&message.state, &who.name, Kind::Program)?;
     let file = directory.path().join("processes");
     let orphans = Orphan::read(&file);
     let listener = listen(who.listen).map_err(|e| format!("listen {}: {e}", who.listen))?;
@@ -311,7 +311,7 @@
         "parent: has {at}, starts on version {given}, {} processes from before",
         orphans.len()
     ));
-    let (kept, fresh) = directory.read_kept();
+    let (persisted, fresh) = directory.read_state();
     let (events, inbox) = unbounded();
     let forwards = events.clone();
     thread::spawn(move || {
@@ -320,7 +320,7 @@
             .try_for_each(|signal| forwards.send(Event::Signal(signal)).ok())
     });
     let hands = SupervisorHost {
-        told,
+        message,
         listener,
         directory,
         processes: BTreeMap::new(),
@@ -331,7 +331,7 @@
     let begun = Instant::now();
     let now = || begun.elapsed().as_nanos() as u64 + 1;
     let stop = (who.stop_after + SLACK).as_nanos() as u64;
-    let mut parent = Supervisor::new(now(), kept, fresh, given, stop, hands);
+    let mut parent = Supervisor::new(now(), persisted, fresh, given, stop, hands);
     while !parent.is_over() {
         turn(&mut parent, &inbox, &now);
         parent.wake(now());
@@ -360,8 +360,8 @@
         }
         Event::Said(child, saying) => match saying.kind {
             kind::READY => parent.ready(now(), child),
-            kind::KEEP => match PersistedState::read(&saying.kept) {
-                Ok(kept) => parent.keep(child, saying.no, kept),
+            kind::KEEP => match PersistedState::decode(&saying.persisted) {
+                Ok(persisted) => parent.persist(child, saying.no, persisted),
                 Err(broken) => parent
                     .host
                     .answer(child, saying.no, Err(broken.word().into())),
--- a/crates/node/src/supervisor_client.rs
+++ b/crates/node/src/supervisor_client.rs
@@ -193,7 +193,7 @@
 }
 
 impl Link {
-    fn say(&self, saying: &SupervisorMessage) -> Result<(), String> {
+    fn reply(&self, saying: &SupervisorMessage) -> Result<(), String> {
         let mut stream = self.stream.lock().unwrap_or_else(PoisonError::into_inner);
         stream
             .write_all(&saying.write())
@@ -202,13 +202,13 @@
 
     /// The node serves.
     pub fn ready(&self) {
-        if let Err(what) = self.say(&SupervisorMessage::plain(kind::READY)) {
+        if let Err(what) = self.reply(&SupervisorMessage::plain(kind::READY)) {
             log!("{what}");
         }
     }
 
     /// Asks the parent for something, and waits for the answer.
-    fn ask(&self, saying: impl FnOnce(u64) -> SupervisorMessage) -> Result<(), String> {
+    fn request(&self, saying: impl FnOnce(u64) -> SupervisorMessage) -> Result<(), String> {
         let no = self.asked.fetch_add(1, SeqCst) + 1;
         let (answers, answer) = bounded(1);
         self.answers
@@ -218,7 +218,7 @@
         if self.gone.load(SeqCst) {
             return Err("the parent is gone".into());
         }
-        self.say(&saying(no))?;
+        self.reply(&saying(no))?;
         let answer = answer.recv_timeout(ANSWER);
         self.answers
             .lock()
@@ -236,33 +236,37 @@
     fn check(&mut self, version: Option<Version>, _: Option<&[u8]>) -> Result<Version, String> {
         let version = version.ok_or("a program is told by its version")?;
         self.0
-            .ask(|no| SupervisorMessage::about(kind::CHECK, no, version))?;
+            .request(|no| SupervisorMessage::about(kind::CHECK, no, version))?;
         Ok(version)
     }
 
-    fn keep(&mut self, kept: &PersistedState, _: Option<(Version, &[u8])>) -> Result<(), String> {
-        self.0.ask(|no| SupervisorMessage {
+    fn persist(
+        &mut self,
+        persisted: &PersistedState,
+        _: Option<(Version, &[u8])>,
+    ) -> Result<(), String> {
+        self.0.request(|no| SupervisorMessage {
             kind: kind::KEEP,
             no,
-            kept: kept.write(),
+            persisted: persisted.encode(),
             ..SupervisorMessage::default()
         })
     }
 
     fn apply(&mut self, version: Version) -> Result<(), String> {
         self.0
-            .ask(|no| SupervisorMessage::about(kind::APPLY, no, version))
+            .request(|no| SupervisorMessage::about(kind::APPLY, no, version))
     }
 }
 
 /// What a node starts with, of its program.
 pub fn start(begin: &StartInstructions) -> InitialState {
     InitialState {
-        kept: begin.kept.clone(),
+        persisted: begin.persisted.clone(),
         running: begin.version,
         contents: Vec::new(),
         new_content: None,
-        died: begin.died,
+        crashed: begin.crashed,
         fresh: begin.fresh,
     }
 }
--- a/crates/node/src/version_store.rs
+++ b/crates/node/src/version_store.rs
@@ -117,7 +117,7 @@
             }
         }
         if let Some(read) = &self.read
-            && read_bounded(&self.kept_file(), FILE_MAX)
+            && read_bounded(&self.state_file(), FILE_MAX)
                 .ok()
                 .flatten()
                 .as_ref()
@@ -131,7 +131,7 @@
         Ok(())
     }
 
-    fn kept_file(&self) -> PathBuf {
+    fn state_file(&self) -> PathBuf {
         self.dir.join(format!("{}.kept", word(self.kind)))
     }
 
@@ -197,9 +197,9 @@
 
     /// Writes what is kept, and a content with it, which goes first; then contents that nobody
     /// needs any more go.
-    pub fn keep(
+    pub fn persist(
         &mut self,
-        kept: &PersistedState,
+        persisted: &PersistedState,
         content: Option<(Version, &[u8])>,
     ) -> Result<(), String> {
         self.take(BEFORE)?;
@@ -208,15 +208,15 @@
             self.write(&self.content_file(version), bytes)
                 .map_err(wrong)?;
         }
-        self.write(&self.kept_file(), &kept.write())
+        self.write(&self.state_file(), &persisted.encode())
             .map_err(wrong)?;
-        let open = kept
+        let open = persisted
             .head
             .as_ref()
             .filter(|head| !head.is_over())
             .map(|head| head.version);
         let newest = content.map(|(version, _)| version);
-        let needed: Vec<Version> = kept.needed().chain(open).chain(newest).collect();
+        let needed: Vec<Version> = persisted.needed().chain(open).chain(newest).collect();
         let most = needed
             .iter()
             .map(|version| version.number)
@@ -232,17 +232,17 @@
     }
 
     /// What is kept, and whether nothing was.
-    pub fn read_kept(&self) -> (PersistedState, bool) {
-        let path = self.kept_file();
+    pub fn read_state(&self) -> (PersistedState, bool) {
+        let path = self.state_file();
         let read = match read_bounded(&path, FILE_MAX) {
             Ok(None) => return (PersistedState::new(self.kind), true),
             Ok(Some(bytes)) => {
-                PersistedState::read(&bytes).map_err(|broken| broken.word().to_owned())
+                PersistedState::decode(&bytes).map_err(|broken| broken.word().to_owned())
             }
             Err(e) => Err(e.to_string()),
         };
         match read {
-            Ok(kept) if kept.kind == self.kind => (kept, false),
+            Ok(persisted) if persisted.kind == self.kind => (persisted, false),
             read => {
                 let what = read.err().unwrap_or_else(|| "of another kind".into());
                 log!(
@@ -266,14 +266,14 @@
     ) -> Result<Begun<T>, String> {
         let is_beside = self.lock.is_none();
         if is_beside {
-            self.read = read_bounded(&self.kept_file(), FILE_MAX).ok().flatten();
+            self.read = read_bounded(&self.state_file(), FILE_MAX).ok().flatten();
         }
-        let (mut kept, fresh) = self.read_kept();
+        let (mut persisted, fresh) = self.read_state();
         let (given_version, given_content) = given.unwrap_or_default();
-        let trial = kept.trial.filter(|_| is_beside);
-        let (all, died) = match trial {
+        let trial = persisted.trial.filter(|_| is_beside);
+        let (all, crashed) = match trial {
             Some(trial) => (vec![trial.version], None),
-            None => kept.begin(given_version),
+            None => persisted.start_candidates(given_version),
         };
         let contents = self.contents();
         let mut first_wrong = None;
@@ -292,11 +292,11 @@
                     let contents = contents.iter().filter_map(here).collect();
                     let new_content = (!on_disk).then_some(content);
                     let start = InitialState {
-                        kept,
+                        persisted,
                         running: version,
                         contents,
                         new_content,
-                        died,
+                        crashed,
                         fresh,
                     };
                     return Ok(Begun { start, runs: what });
--- a/crates/node/src/version_store/tests.rs
+++ b/crates/node/src/version_store/tests.rs
@@ -36,48 +36,48 @@
         (begun.runs.as_str(), begun.start.running, begun.start.fresh),
         ("one", v(1), true)
     );
-    let mut kept = begun.start.kept;
-    kept.found_good(v(1));
-    one.keep(&kept, Some((v(1), b"one"))).unwrap();
-    kept.trial = Some(Trial {
-        change: RolloutId(5),
+    let mut persisted = begun.start.persisted;
+    persisted.promote(v(1));
+    one.persist(&persisted, Some((v(1), b"one"))).unwrap();
+    persisted.trial = Some(Trial {
+        rollout: RolloutId(5),
         version: v(2),
         tries: 1,
     });
-    one.keep(&kept, Some((v(2), b"two"))).unwrap();
+    one.persist(&persisted, Some((v(2), b"two"))).unwrap();
     // Killed on trial, and in the middle of a write.
     fs::write(root.join(plain("n/1")).join("settings.new"), b"cut").unwrap();
     drop(one);
     let mut one = open().unwrap();
     let begun = one.begin(Some((v(1), b"one".to_vec())), text).unwrap();
     assert_eq!(
-        (begun.runs.as_str(), begun.start.died.unwrap().version),
+        (begun.runs.as_str(), begun.start.crashed.unwrap().version),
         ("one", v(2))
     );
-    assert!(!begun.start.fresh && begun.start.kept.deaths(v(2)) == 1);
+    assert!(!begun.start.fresh && begun.start.persisted.crashes(v(2)) == 1);
     // Found good in the end; what it is given by hand is old, or is not there at all, and is
     // not what it starts on.
-    let mut kept = begun.start.kept;
-    kept.found_good(v(2));
-    one.keep(&kept, None).unwrap();
+    let mut persisted = begun.start.persisted;
+    persisted.promote(v(2));
+    one.persist(&persisted, None).unwrap();
     assert_eq!(
         one.begin(Some((v(1), b"one".to_vec())), text).unwrap().runs,
         "two"
     );
     assert_eq!(one.begin(None, text).unwrap().runs, "two");
     // The last good one can't be read any more: the one before it is run.
-    one.keep(&kept, Some((v(2), b"bad"))).unwrap();
+    one.persist(&persisted, Some((v(2), b"bad"))).unwrap();
     assert_eq!(one.begin(None, text).unwrap().runs, "one");
     // What is kept is damaged: the node begins anew with what it is given, and the file is set
     // aside.
-    fs::write(one.kept_file(), b"mpv1 and something").unwrap();
+    fs::write(one.state_file(), b"mpv1 and something").unwrap();
     assert!(
         one.begin(Some((v(1), b"one".to_vec())), text)
             .unwrap()
             .start
             .fresh
     );
-    assert!(one.kept_file().with_extension("broken").exists());
+    assert!(one.state_file().with_extension("broken").exists());
     assert!(one.begin(None, text).is_err());
     let _ = fs::remove_dir_all(&root);
 }
@@ -86,23 +86,23 @@
 fn one_that_starts_beside_another_reads_and_writes_only_when_that_one_is_gone() {
     let root = dir("beside");
     let mut old = Directory::open(&root, "n1", Kind::Settings).unwrap();
-    let mut kept = PersistedState::new(Kind::Settings);
-    kept.found_good(v(1));
-    kept.trial = Some(Trial {
-        change: RolloutId(5),
+    let mut persisted = PersistedState::new(Kind::Settings);
+    persisted.promote(v(1));
+    persisted.trial = Some(Trial {
+        rollout: RolloutId(5),
         version: v(2),
         tries: 1,
     });
-    old.keep(&kept, Some((v(2), b"two"))).unwrap();
+    old.persist(&persisted, Some((v(2), b"two"))).unwrap();
     let mut new = Directory::beside(&root, "n1", Kind::Settings).unwrap();
     let begun = new.begin(Some((v(1), b"one".to_vec())), text).unwrap();
     assert_eq!(
         (
             begun.runs.as_str(),
-            begun.start.died,
-            begun.start.kept.trial
+            begun.start.crashed,
+            begun.start.persisted.trial
         ),
-        ("two", None, kept.trial)
+        ("two", None, persisted.trial)
     );
     assert!(
         new.take(Duration::ZERO)
@@ -110,15 +110,15 @@
             .contains("another process")
     );
     drop(old);
-    new.keep(&begun.start.kept, None).unwrap();
+    new.persist(&begun.start.persisted, None).unwrap();
     // What the one before wrote after it was read is not written over.
     let mut late = Directory::beside(&root, "n1", Kind::Settings).unwrap();
     late.begin(None, text).unwrap();
-    kept.found_good(v(2));
-    new.keep(&kept, None).unwrap();
+    persisted.promote(v(2));
+    new.persist(&persisted, None).unwrap();
     drop(new);
     assert!(
-        late.keep(&begun.start.kept, None)
+        late.persist(&begun.start.persisted, None)
             .unwrap_err()
             .contains("was changed")
     );
@@ -129,14 +129,14 @@
 fn contents_that_nobody_needs_go_and_others_stay() {
     let root = dir("room");
     let mut one = Directory::open(&root, "n1", Kind::Settings).unwrap();
-    let mut kept = PersistedState::new(Kind::Settings);
+    let mut persisted = PersistedState::new(Kind::Settings);
     for number in 1..20 {
-        one.keep(&kept, Some((v(number), b"text"))).unwrap();
-        kept.found_good(v(number));
-        one.keep(&kept, None).unwrap();
+        one.persist(&persisted, Some((v(number), b"text"))).unwrap();
+        persisted.promote(v(number));
+        one.persist(&persisted, None).unwrap();
     }
-    one.keep(&kept, Some((v(30), b"staged"))).unwrap();
-    one.keep(&kept, None).unwrap();
+    one.persist(&persisted, Some((v(30), b"staged"))).unwrap();
+    one.persist(&persisted, None).unwrap();
     let mut left = one.contents();
     left.sort();
     assert_eq!(left, [v(18), v(19), v(30)]);
--- a/crates/rollout/examples/compare.rs
+++ b/crates/rollout/examples/compare.rs
@@ -2,7 +2,7 @@
 //! many good ones are stopped, how many bad ones pass, by the size of their harm, and what they
 //! cost. Prints a table; with a path, draws what bad ones cost as SVG.
 //!
-//! `cargo run --release -p madderpoint-rollout --example compare [changes] [nodes,nodes...]
+//! `cargo run --release -p madderpoint-rollout --example compare [rollouts] [nodes,nodes...]
 //! [plot.svg]`
 
 use madderpoint_rollout::canary_analysis::AnalysisMethod;
@@ -15,7 +15,7 @@
 const SECOND: f64 = 1e9;
 const SIZES: [f64; 7] = [0.01, 0.02, 0.03, 0.05, 0.1, 0.3, 1.0];
 
-fn play(nodes: usize, effect: Effect, out: Out, changes: u64) -> Vec<TrialResult> {
+fn play(nodes: usize, effect: Effect, out: Out, rollouts: u64) -> Vec<TrialResult> {
     let trial = Trial {
         nodes,
         zones: 4,
@@ -31,7 +31,7 @@
             .map(|part| {
                 let trial = &trial;
                 scope.spawn(move || {
-                    (part..changes)
+                    (part..rollouts)
                         .step_by(threads as usize)
                         .map(|seed| trial.play(seed))
                         .collect::<Vec<_>>()
@@ -56,7 +56,7 @@
 
 fn main() -> Result<(), Box<dyn Error>> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let changes = arguments.first().map_or(Ok(200), |n| n.parse())?;
+    let rollouts = arguments.first().map_or(Ok(200), |n| n.parse())?;
     let sizes: Vec<usize> = match arguments.get(1) {
         Some(list) => list.split(',').map(str::parse).collect::<Result<_, _>>()?,
         None => vec![10, 300],
@@ -75,16 +75,16 @@
     let mut lines: Vec<(String, Vec<(f64, f64)>)> = Vec::new();
     for nodes in sizes {
         for (name, out) in ways {
-            let good = play(nodes, Effect::NONE, out, changes);
+            let good = play(nodes, Effect::NONE, out, rollouts);
             let stopped =
-                good.iter().filter(|outcome| outcome.stopped).count() as f64 / changes as f64;
+                good.iter().filter(|outcome| outcome.stopped).count() as f64 / rollouts as f64;
             // Of those that were stopped, those that came to no judgement in their time, and were
             // halted as they stood.
             let halted = good
                 .iter()
                 .filter(|outcome| outcome.what == NO_JUDGEMENT)
                 .count() as f64
-                / changes as f64;
+                / rollouts as f64;
             let minutes: Vec<f64> = good
                 .iter()
                 .filter(|o| !o.stopped)
@@ -106,7 +106,7 @@
                         ..Effect::NONE
                     },
                     out,
-                    changes.min(200),
+                    rollouts.min(200),
                 );
                 let passed =
                     bad.iter().filter(|outcome| !outcome.stopped).count() as f64 / bad.len() as f64;
--- a/crates/rollout/src/canary_analysis.rs
+++ b/crates/rollout/src/canary_analysis.rs
@@ -13,10 +13,10 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// The chance of stopping a change that harms nobody, over all looks, operations and measures of a
+/// The chance of stopping a rollout that harms nobody, over all looks, operations and measures of a
 /// stage.
 pub const FALSE_STOP: f64 = 0.01;
-/// The chance of passing a stage with a change that harms by the margin, for each measure.
+/// The chance of passing a stage with a rollout that harms by the margin, for each measure.
 pub const MISSED: f64 = 0.05;
 /// Sizes of harm that are looked for, in margins.
 const SIZES: [f64; 3] = [1.0, 4.0, 16.0];
@@ -366,7 +366,7 @@
 fn compare(
     record: &CohortMetrics,
     plan: &Plan,
-    way: AnalysisMethod,
+    method: AnalysisMethod,
     operation: u32,
     measure: Metric,
 ) -> Option<Comparison> {
@@ -390,9 +390,9 @@
         evidence,
         margin,
     };
-    match way {
+    match method {
         AnalysisMethod::Nodes | AnalysisMethod::NodesNow => {
-            if way == AnalysisMethod::Nodes {
+            if method == AnalysisMethod::Nodes {
                 adjust(&mut new, &mut old);
             }
             let (harm, variance) = difference(&new, &old, spread(&old, margin))?;
@@ -476,10 +476,10 @@
 
 /// CrashCounts and invariants: counts by node and time, of which chance is known. What the others had in
 /// the same time tells how often such a thing happens today; without any, once in a node's day.
-fn counts(record: &CohortMetrics, deaths: &CrashCounts) -> Vec<Comparison> {
-    let [new_time, old_time] = deaths
+fn counts(record: &CohortMetrics, crashes: &CrashCounts) -> Vec<Comparison> {
+    let [new_time, old_time] = crashes
         .nodes
-        .map(|nodes| (nodes as f64 * deaths.windows).max(1.0));
+        .map(|nodes| (nodes as f64 * crashes.windows).max(1.0));
     let sum = |side| {
         record
             .side(side)
@@ -511,7 +511,7 @@
         1,
     );
     // One death may be chance; of two on trial, where the others live, one is not.
-    push("deaths on trial", deaths.died, 2);
+    push("deaths on trial", crashes.crashes, 2);
     findings
 }
 
@@ -519,7 +519,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CrashCounts {
     /// On trial, and of the others.
-    pub died: [u64; 2],
+    pub crashes: [u64; 2],
     /// Of how many nodes that are in the stage, and that are not.
     pub nodes: [u64; 2],
     /// In how many windows' time.
@@ -531,8 +531,8 @@
     record: &CohortMetrics,
     plan: &Plan,
     stage: u32,
-    deaths: &CrashCounts,
-    way: AnalysisMethod,
+    crashes: &CrashCounts,
+    method: AnalysisMethod,
 ) -> AnalysisResult {
     let operations = record.operations();
     let mut findings: Vec<Comparison> = Vec::new();
@@ -540,17 +540,17 @@
         findings.extend(
             Metric::ALL
                 .iter()
-                .filter_map(|m| compare(record, plan, way, *operation, *m)),
+                .filter_map(|m| compare(record, plan, method, *operation, *m)),
         );
     }
     let shares = findings.len();
-    if matches!(way, AnalysisMethod::Nodes | AnalysisMethod::NodesNow) {
+    if matches!(method, AnalysisMethod::Nodes | AnalysisMethod::NodesNow) {
         findings.extend(rises(record));
     }
     // All ways take deaths for what they are: they differ in what they make of shares.
-    let counted = counts(record, deaths);
+    let counted = counts(record, crashes);
     let tests = findings.len().max(1) as f64;
-    let enough = match way {
+    let enough = match method {
         AnalysisMethod::Fixed => 1.0,
         // A rank test that is looked at each window without a thought of that.
         AnalysisMethod::Ranks => 1.0 / FALSE_STOP,
@@ -575,9 +575,9 @@
         } else {
             2.0 / FALSE_STOP
         };
-        // The plain ways would stop all changes if they looked at a handful.
+        // The plain ways would stop all rollouts if they looked at a handful.
         let plain =
-            finding.margin > 0.0 && matches!(way, AnalysisMethod::Fixed | AnalysisMethod::Ranks);
+            finding.margin > 0.0 && matches!(method, AnalysisMethod::Fixed | AnalysisMethod::Ranks);
         finding.evidence >= enough
             && finding.harm >= finding.margin / 2.0
             && (!plain || sample[0] >= least)
@@ -605,14 +605,14 @@
             finding.margin > 0.0
                 && most(finding.harm, finding.chance.powi(2)) > finding.margin * wide
         };
-        // What is seldom can't be told from chance: it must not hold a change up that is fine by
+        // What is seldom can't be told from chance: it must not hold a rollout up that is fine by
         // all that is not.
-        let told = |finding: &&Comparison| finding.chance < finding.margin;
+        let message = |finding: &&Comparison| finding.chance < finding.margin;
         let looked = || {
             findings
                 .iter()
-                .filter(|_| way != AnalysisMethod::Fixed && way != AnalysisMethod::Ranks)
-                .filter(told)
+                .filter(|_| method != AnalysisMethod::Fixed && method != AnalysisMethod::Ranks)
+                .filter(message)
                 .filter(unsure)
         };
         let why = |finding: &Comparison| {
--- a/crates/rollout/src/canary_analysis/tests.rs
+++ b/crates/rollout/src/canary_analysis/tests.rs
@@ -114,7 +114,7 @@
 }
 
 /// The one node of the first stage is a machine that always erred more: that is no fault of the
-/// change.
+/// rollout.
 #[test]
 fn a_slow_machine_among_the_new_ones_is_no_harm() {
     for seed in 0..20 {
@@ -154,20 +154,20 @@
     for window in 0..6 {
         record.after(window, &fleet.samples(false, 0.0, 100, 0.0, window));
     }
-    let judged = |record: &CohortMetrics, died| {
-        let deaths = CrashCounts {
-            died,
+    let judged = |record: &CohortMetrics, crashes| {
+        let crashes = CrashCounts {
+            crashes,
             nodes: [3, 27],
             windows: 6.0,
         };
-        judge(record, &Plan::default(), 1, &deaths, AnalysisMethod::Nodes).verdict
+        judge(record, &Plan::default(), 1, &crashes, AnalysisMethod::Nodes).verdict
     };
     assert!(
         !matches!(judged(&record, [1, 0]), Verdict::Harm(_)),
         "one may be chance"
     );
     assert!(matches!(judged(&record, [2, 0]), Verdict::Harm(_)));
-    // Old ones die as well: then it is the day and not the change.
+    // Old ones die as well: then it is the day and not the rollout.
     assert!(!matches!(judged(&record, [3, 27]), Verdict::Harm(_)));
     record.nodes.get_mut(&1).unwrap().invariants = 3;
     assert!(matches!(judged(&record, [0, 0]), Verdict::Harm(_)));
@@ -198,8 +198,8 @@
 }
 
 /// A version that throttled all was taken back from one node in the middle of a window, and a good
-/// change follows. What that node did in that window was held for its past: the others of its zone
-/// then looked worse than they were, and the change waited for good.
+/// rollout follows. What that node did in that window was held for its past: the others of its zone
+/// then looked worse than they were, and the rollout waited for good.
 #[test]
 fn what_a_version_that_was_taken_back_did_does_not_hold_up_the_next_change() {
     for seed in 0..20 {
--- a/crates/rollout/src/chunks/tests.rs
+++ b/crates/rollout/src/chunks/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::rollout::tests::change;
+use crate::rollout::tests::rollout;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -7,7 +7,7 @@
     Rollout {
         bytes: content.len() as u32,
         digest: digest(content),
-        ..change(1, 2)
+        ..rollout(1, 2)
     }
 }
 
@@ -18,27 +18,27 @@
         let size = rng.random_range(1..40_000);
         let content: Vec<u8> = (0..size).map(|_| rng.random()).collect();
         let mut fetch = ChunkFetch::new(&of(&content)).unwrap();
-        let (mut now, mut under_way) = (1, Vec::new());
+        let (mut now, mut in_progress) = (1, Vec::new());
         let whole = loop {
             now += 20 * MILLISECOND;
-            if let Some((first, count)) = fetch.ask(now) {
-                assert!(count <= AT_ONCE);
+            if let Some((first, count)) = fetch.next_request(now) {
+                assert!(count <= CHUNKS_PER_REQUEST);
                 for no in first..first + count {
                     if rng.random_bool(0.3) {
                         continue;
                     }
-                    under_way.push(no);
-                    under_way.extend(rng.random_bool(0.2).then_some(no));
+                    in_progress.push(no);
+                    in_progress.extend(rng.random_bool(0.2).then_some(no));
                 }
             }
-            while !under_way.is_empty() && rng.random_bool(0.8) {
-                let no = under_way.swap_remove(rng.random_range(0..under_way.len()));
-                fetch.piece(no, piece(&content, no).unwrap());
+            while !in_progress.is_empty() && rng.random_bool(0.8) {
+                let no = in_progress.swap_remove(rng.random_range(0..in_progress.len()));
+                fetch.insert(no, chunk(&content, no).unwrap());
             }
-            match fetch.fetched() {
-                FetchProgress::NodeMetric => {}
-                FetchProgress::Whole(whole) => break whole,
-                FetchProgress::MalformedMessage { .. } => panic!("seed {seed}"),
+            match fetch.progress() {
+                FetchProgress::Incomplete => {}
+                FetchProgress::Complete(whole) => break whole,
+                FetchProgress::Corrupt { .. } => panic!("seed {seed}"),
             }
             assert!(now < 600 * 1000 * MILLISECOND, "seed {seed}");
         };
@@ -51,15 +51,15 @@
     let content = vec![7; 3000];
     let mut fetch = ChunkFetch::new(&of(&content)).unwrap();
     for round in 1..=3 {
-        fetch.piece(0, &[1; PIECE]);
-        fetch.piece(1, &[7; PIECE]);
-        fetch.piece(9, &[7; PIECE]); // none of it
-        fetch.piece(2, &[7; 5]); // too short
-        assert_eq!(fetch.fetched(), FetchProgress::NodeMetric);
-        fetch.piece(2, &[7; 3000 - 2 * PIECE]);
+        fetch.insert(0, &[1; CHUNK_BYTES]);
+        fetch.insert(1, &[7; CHUNK_BYTES]);
+        fetch.insert(9, &[7; CHUNK_BYTES]); // none of it
+        fetch.insert(2, &[7; 5]); // too short
+        assert_eq!(fetch.progress(), FetchProgress::Incomplete);
+        fetch.insert(2, &[7; 3000 - 2 * CHUNK_BYTES]);
         assert_eq!(
-            fetch.fetched(),
-            FetchProgress::MalformedMessage {
+            fetch.progress(),
+            FetchProgress::Corrupt {
                 given_up: round == 3
             }
         );
@@ -67,7 +67,7 @@
     assert!(
         ChunkFetch::new(&Rollout {
             bytes: CONTENT_MAX as u32 + 1,
-            ..change(1, 2)
+            ..rollout(1, 2)
         })
         .is_none()
     );
--- a/crates/rollout/src/cohort_metrics.rs
+++ b/crates/rollout/src/cohort_metrics.rs
@@ -1,14 +1,14 @@
-//! What came of a change's nodes and of the others over the same time, node by node: what the
+//! What came of a rollout's nodes and of the others over the same time, node by node: what the
 //! judgement goes by.
 //!
-//! Fed with each node's counts of each window. What a node did before the change began is kept
+//! Fed with each node's counts of each window. What a node did before the rollout began is kept
 //! beside: machines differ, and what a slow one did before tells how slow it is.
 
 use crate::rollout::{RolloutId, Version};
 use crate::stages::place;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Nodes that are kept apart, at either end of the change's order: those that run it first, and
+/// Nodes that are kept apart, at either end of the rollout's order: those that run it first, and
 /// those that run it last. The others are in the common shares only.
 pub const NODES_MAX: usize = 300;
 /// Operations that are judged each for itself.
@@ -229,7 +229,7 @@
 pub struct NodeHistory {
     pub zone: u32,
     pub side: Option<Cohort>,
-    /// Before the change began, and in this stage on the side that it is on, by operation.
+    /// Before the rollout began, and in this stage on the side that it is on, by operation.
     pub before: BTreeMap<u32, NodeMetrics>,
     pub after: BTreeMap<u32, NodeMetrics>,
     pub memory: LinearTrend,
@@ -325,10 +325,10 @@
         .map(|(value, _)| value + SLOWER.max(value / 10))
 }
 
-/// The record of one change.
+/// The record of one rollout.
 #[derive(Clone, Debug, Default)]
 pub struct CohortMetrics {
-    pub change: RolloutId,
+    pub rollout: RolloutId,
     pub version: Version,
     pub base: Version,
     pub nodes: BTreeMap<u64, NodeHistory>,
@@ -336,7 +336,7 @@
     /// millisecond.
     pub slow_from: BTreeMap<u32, u32>,
     /// Below this nothing is slow, by operation, in the same units.
-    quick: BTreeMap<u32, u32>,
+    fast_enough: BTreeMap<u32, u32>,
     latencies: BTreeMap<u32, BTreeMap<u32, u64>>,
     pub history: VecDeque<CohortPoint>,
     /// Nodes that ran something else than the base in their last window.
@@ -347,10 +347,10 @@
 }
 
 impl CohortMetrics {
-    /// Of a change that begins now.
-    pub fn new(change: RolloutId, version: Version, base: Version) -> CohortMetrics {
+    /// Of a rollout that begins now.
+    pub fn new(rollout: RolloutId, version: Version, base: Version) -> CohortMetrics {
         CohortMetrics {
-            change,
+            rollout,
             version,
             base,
             room: NODES_MAX,
@@ -359,15 +359,15 @@
     }
 
     /// With room for so many nodes at either end.
-    pub fn with_room(mut self, nodes: usize) -> CohortMetrics {
+    pub fn with_capacity(mut self, nodes: usize) -> CohortMetrics {
         self.room = nodes.clamp(4, NODES_MAX);
         self
     }
 
     /// Where what takes less than so long, by operation in tenths of a millisecond, is quick enough
     /// for any caller.
-    pub fn with_quick(mut self, quick: BTreeMap<u32, u32>) -> CohortMetrics {
-        self.quick = quick;
+    pub fn with_fast_enough(mut self, fast_enough: BTreeMap<u32, u32>) -> CohortMetrics {
+        self.fast_enough = fast_enough;
         self
     }
 
@@ -380,7 +380,7 @@
         Some(of)
     }
 
-    /// The change begins: these are the windows before, in which all that counts ran the base.
+    /// The rollout begins: these are the windows before, in which all that counts ran the base.
     pub fn begin(&mut self, windows: &[(u64, Vec<WindowSample>)]) {
         let mut pure = |samples: &Vec<WindowSample>| -> Vec<WindowSample> {
             let is_pure = |sample: &&WindowSample| self.ran_base(sample) && !sample.cold;
@@ -397,7 +397,7 @@
         let mut all: Vec<(u64, u64)> = windows
             .iter()
             .flat_map(|(_, samples)| samples)
-            .map(|s| (place(self.change, s.node), s.node))
+            .map(|s| (place(self.rollout, s.node), s.node))
             .collect();
         all.sort_unstable();
         all.dedup();
@@ -427,7 +427,7 @@
 
     /// Whether a node ran the base for all of a window. The one in which it came back to it has
     /// what it did before as well, which may be what a version was taken back for: as a past of its
-    /// own it would make a good change look like harm, or hide some. To be asked of each window in
+    /// own it would make a good rollout look like harm, or hide some. To be asked of each window in
     /// turn.
     fn ran_base(&mut self, sample: &WindowSample) -> bool {
         if sample.label != self.base.hash {
@@ -465,8 +465,8 @@
                     .iter()
                     .for_each(|(value, count)| *of.entry(*value).or_default() += u64::from(*count));
                 if let Some(value) = nine_in_ten(of) {
-                    let quick = self.quick.get(operation).copied().unwrap_or(0);
-                    self.slow_from.insert(*operation, value.max(quick));
+                    let fast_enough = self.fast_enough.get(operation).copied().unwrap_or(0);
+                    self.slow_from.insert(*operation, value.max(fast_enough));
                     self.latencies.remove(operation);
                 }
             }
--- a/crates/rollout/src/cohort_metrics/tests.rs
+++ b/crates/rollout/src/cohort_metrics/tests.rs
@@ -198,8 +198,8 @@
         (record.arrived(Cohort::Canary), record.history[3].nodes),
         (0, [0, 0])
     );
-    // One of another version until the change began comes back in its first window.
-    let mut late = super::CohortMetrics::new(record.change, record.version, record.base);
+    // One of another version until the rollout began comes back in its first window.
+    let mut late = super::CohortMetrics::new(record.rollout, record.version, record.base);
     late.begin(&[window(0, 99, 100)]);
     late.stage_begins(1);
     late.after(1, &[sample(1, 1, 7, &[]), sample(2, 1, 100, &[])]);
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -1,18 +1,20 @@
-//! Conducting a change: one arbiter asks all nodes how they stand, judges the stage by what was
-//! counted, and has the arbiters agree on what comes next. Safety does not rest on there being one:
+//! Conducting a rollout: one voter asks all nodes how they stand, judges the stage by what was
+//! counted, and has the voters agree on what comes next. Safety does not rest on there being one:
 //! see [`crate::paxos`]. What it knows beside is asked for anew by whoever conducts next.
 //!
-//! A change goes on only if more than half of the fleet as last agreed on, and all nodes of its
+//! A rollout goes on only if more than half of the fleet as last agreed on, and all nodes of its
 //! stage that are there, have answered lately and know of no end. Towards safety it needs nobody.
 
 use crate::canary_analysis::{self, AnalysisMethod, AnalysisResult, CrashCounts, Verdict};
 use crate::cohort_metrics::{Cohort, CohortMetrics, NODES_MAX, WindowSample};
 use crate::messages::ReceivedMessage;
-use crate::node_agent::{DEATHS, NodeReport, NodeStatus};
-use crate::paxos::{Ballot, PaxosReply, PaxosRequest, PaxosRound, Proposal, RoundStep, known};
+use crate::node_agent::{MAX_CRASHES, NodeReport, NodeStatus};
+use crate::paxos::{
+    Ballot, PaxosReply, PaxosRequest, PaxosRound, Proposal, RoundStep, last_agreement,
+};
 use crate::rollout::{Kind, Outcome, Rollout, RolloutId, RolloutTable, Version};
 use crate::stages::{Progress, seconds};
-use crate::{MILLISECOND, Nanos, SECOND, mix};
+use crate::{MILLISECOND, Nanos, SECOND, splitmix64};
 use std::collections::BTreeMap;
 
 /// A node, as the fleet's view has it.
@@ -25,25 +27,25 @@
 }
 
 /// CrashCounts are counted by windows of about this length.
-const WINDOW: Nanos = 10 * SECOND;
+const CRASH_WINDOW: Nanos = 10 * SECOND;
 /// All nodes are asked once in this time, or in so much for each of them if that is longer.
-const POLL: Nanos = 2 * SECOND;
-const POLL_EACH: Nanos = 5 * MILLISECOND;
+const POLL_INTERVAL: Nanos = 2 * SECOND;
+const POLL_INTERVAL_PER_NODE: Nanos = 5 * MILLISECOND;
 /// A round that came to nothing is followed by another after about this.
-const AGAIN: Nanos = 500 * MILLISECOND;
+const ROUND_BACKOFF: Nanos = 500 * MILLISECOND;
 /// What the fleet was agreed to be holds so long against seeing fewer.
-const ELECTORATE_HOLDS: Nanos = 3600 * SECOND;
-/// A change begins without those who don't answer after this; others take the place of a stage's
+const ELECTORATE_LIFETIME: Nanos = 3600 * SECOND;
+/// A rollout begins without those who don't answer after this; others take the place of a stage's
 /// nodes that are all gone.
-const STRAGGLERS: Nanos = 60 * SECOND;
-/// A change whose content most nodes can't get hold of in this time does not begin: who offered it
+const STRAGGLER_WAIT: Nanos = 60 * SECOND;
+/// A rollout whose content most nodes can't get hold of in this time does not begin: who offered it
 /// is gone.
-const NOWHERE: Nanos = 180 * SECOND;
-const REPLACED: Nanos = 30 * SECOND;
-/// With nobody left to compare with: so much less succeeds than before, as a share, and the change
+const CONTENT_LOST_AFTER: Nanos = 180 * SECOND;
+const REPLACE_DEPARTED_AFTER: Nanos = 30 * SECOND;
+/// With nobody left to compare with: so much less succeeds than before, as a share, and the rollout
 /// goes no further.
-const COLLAPSE: f64 = 0.3;
-const COLLAPSE_SAMPLE: u64 = 200;
+const COLLAPSE_MARGIN: f64 = 0.3;
+const COLLAPSE_MIN_REQUESTS: u64 = 200;
 
 /// What is to be done next.
 #[derive(Clone, Debug, PartialEq)]
@@ -52,8 +54,8 @@
     Wait(String),
     Propose(Proposal),
     End {
-        change: RolloutId,
-        fate: Outcome,
+        rollout: RolloutId,
+        outcome: Outcome,
         why: String,
     },
 }
@@ -63,8 +65,8 @@
 pub enum CoordinatorAction {
     Send(u64, ReceivedMessage),
     End {
-        change: RolloutId,
-        fate: Outcome,
+        rollout: RolloutId,
+        outcome: Outcome,
         why: String,
     },
     Agreed(Proposal),
@@ -76,21 +78,21 @@
     report: NodeReport,
 }
 
-/// The part of an arbiter: it keeps the record of what is under way, and conducts when it is its
+/// The part of a voter: it keeps the record of what is under way, and conducts when it is its
 /// turn.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     me: u64,
     kind: Kind,
-    arbiters: Vec<u64>,
+    voters: Vec<u64>,
     poll: u32,
     polled: Nanos,
-    heard: BTreeMap<u64, ReceivedReport>,
+    reports: BTreeMap<u64, ReceivedReport>,
     round: Option<PaxosRound>,
     highest: Ballot,
     not_before: Nanos,
-    /// Since when the last agreement is known here, and since when a change that has not begun is.
-    seq: u64,
+    /// Since when the last agreement is known here, and since when a rollout that has not begun is.
+    agreement: u64,
     since: Nanos,
     offered: Option<(RolloutId, Nanos)>,
     /// Since when no node of the stage is there.
@@ -99,37 +101,37 @@
     counted: u64,
     judgement: Option<AnalysisResult>,
     line: String,
-    way: AnalysisMethod,
+    method: AnalysisMethod,
     names: BTreeMap<u32, String>,
     room: usize,
-    quick: BTreeMap<u32, u32>,
+    fast_enough: BTreeMap<u32, u32>,
 }
 
 /// What a step is decided by.
 struct StepInputs<'a> {
     now: Nanos,
     unix_ms: u64,
-    changes: &'a RolloutTable,
+    rollouts: &'a RolloutTable,
     members: &'a [Member],
     electorate: u32,
 }
 
 impl Coordinator {
-    /// The part of this node among these arbiters.
-    pub fn new(now: Nanos, me: u64, kind: Kind, arbiters: Vec<u64>) -> Coordinator {
+    /// The part of this node among these voters.
+    pub fn new(now: Nanos, me: u64, kind: Kind, voters: Vec<u64>) -> Coordinator {
         Coordinator {
             me,
             kind,
-            arbiters,
+            voters,
             // Answers to a conductor before it under the same name must not be taken for answers to
             // this one.
-            poll: (mix(me ^ now) as u32) & 0x0fff_ffff,
+            poll: (splitmix64(me ^ now) as u32) & 0x0fff_ffff,
             polled: 0,
-            heard: BTreeMap::new(),
+            reports: BTreeMap::new(),
             round: None,
             highest: Ballot::default(),
             not_before: 0,
-            seq: 0,
+            agreement: 0,
             since: now,
             offered: None,
             deserted: None,
@@ -137,16 +139,16 @@
             counted: 0,
             judgement: None,
             line: String::new(),
-            way: AnalysisMethod::Nodes,
+            method: AnalysisMethod::Nodes,
             names: BTreeMap::new(),
             room: NODES_MAX,
-            quick: BTreeMap::new(),
+            fast_enough: BTreeMap::new(),
         }
     }
 
     /// Judged in another way, to compare.
-    pub fn with_way(mut self, way: AnalysisMethod) -> Coordinator {
-        self.way = way;
+    pub fn with_method(mut self, method: AnalysisMethod) -> Coordinator {
+        self.method = method;
         self
     }
 
@@ -157,44 +159,44 @@
     }
 
     /// Keeps so many nodes apart in its record.
-    pub fn with_room(mut self, nodes: usize) -> Coordinator {
+    pub fn with_capacity(mut self, nodes: usize) -> Coordinator {
         self.room = nodes;
         self
     }
 
     /// What takes less than so long, by operation in tenths of a millisecond, is quick enough for
     /// any caller.
-    pub fn with_quick(mut self, quick: BTreeMap<u32, u32>) -> Coordinator {
-        self.quick = quick;
+    pub fn with_fast_enough(mut self, fast_enough: BTreeMap<u32, u32>) -> Coordinator {
+        self.fast_enough = fast_enough;
         self
     }
 
-    /// The arbiters are others from here on.
-    pub fn set_arbiters(&mut self, arbiters: Vec<u64>) {
-        if arbiters != self.arbiters {
-            self.arbiters = arbiters;
+    /// The voters are others from here on.
+    pub fn set_voters(&mut self, voters: Vec<u64>) {
+        if voters != self.voters {
+            self.voters = voters;
             self.round = None;
         }
     }
 
     /// Whether this node keeps a record.
-    pub fn is_arbiter(&self) -> bool {
-        self.arbiters.contains(&self.me)
+    pub fn is_voter(&self) -> bool {
+        self.voters.contains(&self.me)
     }
 
-    /// Whether it is its turn: the first of the arbiters that are there conducts.
-    pub fn conducts(&self, members: &[Member]) -> bool {
-        self.conductor(members) == Some(self.me)
+    /// Whether it is its turn: the first of the voters that are there conducts.
+    pub fn is_coordinating(&self, members: &[Member]) -> bool {
+        self.acting_coordinator(members) == Some(self.me)
     }
 
     /// Who conducts, as far as this node sees.
-    pub fn conductor(&self, members: &[Member]) -> Option<u64> {
-        let is_there =
+    pub fn acting_coordinator(&self, members: &[Member]) -> Option<u64> {
+        let is_present =
             |node: u64| node == self.me || members.iter().any(|m| m.node == node && m.there);
-        self.arbiters.iter().copied().find(|node| is_there(*node))
+        self.voters.iter().copied().find(|node| is_present(*node))
     }
 
-    /// The record of the change that is under way, or was last.
+    /// The record of the rollout that is under way, or was last.
     pub fn record(&self) -> Option<&CohortMetrics> {
         self.record.as_ref()
     }
@@ -211,57 +213,57 @@
 
     /// How a node stood when it was last heard.
     pub fn report(&self, node: u64) -> Option<&NodeReport> {
-        self.heard.get(&node).map(|heard| &heard.report)
+        self.reports.get(&node).map(|received| &received.report)
     }
 
-    fn is_fresh(&self, heard: &ReceivedReport) -> bool {
-        self.poll.wrapping_sub(heard.no) <= 1
+    fn is_fresh(&self, received: &ReceivedReport) -> bool {
+        self.poll.wrapping_sub(received.no) <= 1
     }
 
     // ---- What is counted ----
 
-    /// The next window that is wanted; nothing while no change is under way here.
-    pub fn wants_counts(&self, changes: &RolloutTable) -> Option<u64> {
+    /// The next window that is wanted; nothing while no rollout is under way here.
+    pub fn next_wanted_window(&self, rollouts: &RolloutTable) -> Option<u64> {
         let begun =
-            changes.under_way(self.kind).is_some() && self.record.is_some() && self.is_arbiter();
+            rollouts.in_progress(self.kind).is_some() && self.record.is_some() && self.is_voter();
         begun.then_some(self.counted)
     }
 
     /// What nodes did in a window that is over.
-    pub fn counted(&mut self, window: u64, samples: &[WindowSample]) {
+    pub fn record_window(&mut self, window: u64, samples: &[WindowSample]) {
         if let Some(record) = self.record.as_mut().filter(|_| window >= self.counted) {
             record.after(window, samples);
             self.counted = window + 1;
         }
     }
 
-    /// Looks at what is known; if a change has begun, what was counted before is asked for.
-    fn follow(
+    /// Looks at what is known; if a rollout has begun, what was counted before is asked for.
+    fn follow_rollout(
         &mut self,
         now: Nanos,
-        changes: &RolloutTable,
+        rollouts: &RolloutTable,
         windows: &mut dyn FnMut() -> Vec<(u64, Vec<WindowSample>)>,
     ) {
-        let seq = known(changes, self.kind);
-        if seq != self.seq {
-            (self.seq, self.since) = (seq, now);
+        let agreement = last_agreement(rollouts, self.kind);
+        if agreement != self.agreement {
+            (self.agreement, self.since) = (agreement, now);
             (self.deserted, self.judgement) = (None, None);
         }
-        let next = changes.next(self.kind).map(|change| change.id);
+        let next = rollouts.next(self.kind).map(|rollout| rollout.id);
         if self.offered.map(|(id, _)| id) != next {
             self.offered = next.map(|id| (id, now));
         }
-        let Some(change) = changes.under_way(self.kind).filter(|_| self.is_arbiter()) else {
+        let Some(rollout) = rollouts.in_progress(self.kind).filter(|_| self.is_voter()) else {
             return;
         };
         if self
             .record
             .as_ref()
-            .is_none_or(|record| record.change != change.id)
+            .is_none_or(|record| record.rollout != rollout.id)
         {
-            let mut record = CohortMetrics::new(change.id, change.version, change.base)
-                .with_room(self.room)
-                .with_quick(self.quick.clone());
+            let mut record = CohortMetrics::new(rollout.id, rollout.version, rollout.base)
+                .with_capacity(self.room)
+                .with_fast_enough(self.fast_enough.clone());
             let windows = windows();
             self.counted = windows
                 .iter()
@@ -274,31 +276,32 @@
         if let Some(record) = self
             .record
             .as_mut()
-            .filter(|record| record.stage() != change.reach.stage)
+            .filter(|record| record.stage() != rollout.progress.stage)
         {
-            record.stage_begins(change.reach.stage);
+            record.stage_begins(rollout.progress.stage);
         }
     }
 
     // ---- Words ----
 
     /// A node answered.
-    pub fn report_came(&mut self, from: u64, no: u32, report: NodeReport) {
-        self.heard.insert(from, ReceivedReport { no, report });
+    pub fn handle_report(&mut self, from: u64, no: u32, report: NodeReport) {
+        self.reports.insert(from, ReceivedReport { no, report });
     }
 
-    /// An arbiter answered.
-    pub fn said(&mut self, now: Nanos, from: u64, say: &PaxosReply) -> Vec<CoordinatorAction> {
-        let Some(round) = self
-            .round
-            .as_mut()
-            .filter(|_| self.arbiters.contains(&from))
-        else {
+    /// A voter answered.
+    pub fn handle_paxos_reply(
+        &mut self,
+        now: Nanos,
+        from: u64,
+        reply: &PaxosReply,
+    ) -> Vec<CoordinatorAction> {
+        let Some(round) = self.round.as_mut().filter(|_| self.voters.contains(&from)) else {
             return Vec::new();
         };
-        match round.said(from, say) {
+        match round.handle_reply(from, reply) {
             RoundStep::Wait => Vec::new(),
-            RoundStep::PaxosRequest(ask) => self.ask(&ask),
+            RoundStep::Request(request) => self.request_all_voters(&request),
             RoundStep::Agreed(proposal) => {
                 self.round = None;
                 vec![CoordinatorAction::Agreed(proposal)]
@@ -311,11 +314,14 @@
         }
     }
 
-    fn ask(&self, ask: &PaxosRequest) -> Vec<CoordinatorAction> {
-        self.arbiters
+    fn request_all_voters(&self, request: &PaxosRequest) -> Vec<CoordinatorAction> {
+        self.voters
             .iter()
             .map(|to| {
-                CoordinatorAction::Send(*to, ReceivedMessage::PaxosRequest(self.kind, ask.clone()))
+                CoordinatorAction::Send(
+                    *to,
+                    ReceivedMessage::PaxosRequest(self.kind, request.clone()),
+                )
             })
             .collect()
     }
@@ -323,8 +329,8 @@
     fn give_up(&mut self, now: Nanos) {
         self.round = None;
         // Two who conduct at once must not go on getting into each other's way.
-        let part = mix(self.me ^ now) % AGAIN;
-        self.not_before = now + AGAIN + part;
+        let part = splitmix64(self.me ^ now) % ROUND_BACKOFF;
+        self.not_before = now + ROUND_BACKOFF + part;
     }
 
     // ---- Time ----
@@ -334,153 +340,163 @@
         &mut self,
         now: Nanos,
         unix_ms: u64,
-        changes: &RolloutTable,
+        rollouts: &RolloutTable,
         members: &[Member],
         windows: &mut dyn FnMut() -> Vec<(u64, Vec<WindowSample>)>,
     ) -> Vec<CoordinatorAction> {
-        self.follow(now, changes, windows);
-        if !self.conducts(members) {
+        self.follow_rollout(now, rollouts, windows);
+        if !self.is_coordinating(members) {
             self.round = None;
-            self.heard.clear();
+            self.reports.clear();
             self.line.clear();
             return Vec::new();
         }
-        let Some(change) = changes
-            .under_way(self.kind)
-            .or_else(|| changes.next(self.kind))
+        let Some(rollout) = rollouts
+            .in_progress(self.kind)
+            .or_else(|| rollouts.next(self.kind))
         else {
             self.line.clear();
             return Vec::new();
         };
-        let mut acts = Vec::new();
-        if now >= self.polled + POLL.max(POLL_EACH * members.len() as u64) {
+        let mut actions = Vec::new();
+        if now >= self.polled + POLL_INTERVAL.max(POLL_INTERVAL_PER_NODE * members.len() as u64) {
             (self.polled, self.poll) = (now, self.poll.wrapping_add(1));
             let poll = ReceivedMessage::Poll {
                 no: self.poll,
-                change: change.id,
-                stage: change.reach.stage,
-                fate: change.fate,
+                rollout: rollout.id,
+                stage: rollout.progress.stage,
+                outcome: rollout.outcome,
             };
-            acts.extend(
+            actions.extend(
                 members
                     .iter()
                     .filter(|member| member.there)
                     .map(|m| CoordinatorAction::Send(m.node, poll.clone())),
             );
             let is_known = |node: &u64| members.iter().any(|member| member.node == *node);
-            self.heard.retain(|node, _| is_known(node));
+            self.reports.retain(|node, _| is_known(node));
         }
-        if self.round.as_ref().is_some_and(|round| round.is_over(now)) {
+        if self
+            .round
+            .as_ref()
+            .is_some_and(|round| round.is_timed_out(now))
+        {
             self.give_up(now);
         }
         if self.round.is_some() || now < self.not_before {
-            return acts;
+            return actions;
         }
-        match self.step(now, unix_ms, changes, members) {
+        match self.step(now, unix_ms, rollouts, members) {
             Step::Wait(why) => self.line = why,
-            Step::End { change, fate, why } => {
-                acts.push(CoordinatorAction::End { change, fate, why })
-            }
+            Step::End {
+                rollout,
+                outcome,
+                why,
+            } => actions.push(CoordinatorAction::End {
+                rollout,
+                outcome,
+                why,
+            }),
             Step::Propose(proposal) => {
                 let ballot = Ballot {
                     round: self.highest.round + 1,
                     by: self.me,
                 };
                 self.highest = ballot;
-                self.line = format!("has stage {} agreed on", proposal.reach.stage);
-                let (round, ask) = PaxosRound::begin(now, ballot, proposal, self.arbiters.len());
+                self.line = format!("has stage {} agreed on", proposal.progress.stage);
+                let (round, request) = PaxosRound::begin(now, ballot, proposal, self.voters.len());
                 self.round = Some(round);
-                acts.extend(self.ask(&ask));
+                actions.extend(self.request_all_voters(&request));
             }
         }
-        acts
+        actions
     }
 
     /// How many the fleet is to be taken for: those that are known, and no fewer than was agreed on
     /// lately.
-    fn electorate(&self, now: Nanos, changes: &RolloutTable, members: &[Member]) -> u32 {
-        let agreed = changes
+    fn electorate(&self, now: Nanos, rollouts: &RolloutTable, members: &[Member]) -> u32 {
+        let agreed = rollouts
             .head(self.kind)
-            .filter(|_| now < self.since + ELECTORATE_HOLDS);
-        (members.len() as u32).max(agreed.map_or(0, |head| head.reach.electorate))
+            .filter(|_| now < self.since + ELECTORATE_LIFETIME);
+        (members.len() as u32).max(agreed.map_or(0, |head| head.progress.electorate))
     }
 
-    /// Reports that came lately about a change.
-    fn fresh(&self, change: RolloutId) -> impl Iterator<Item = (u64, &NodeReport)> {
-        let heard = self
-            .heard
+    /// Reports that came lately about a rollout.
+    fn fresh_reports(&self, rollout: RolloutId) -> impl Iterator<Item = (u64, &NodeReport)> {
+        let received = self
+            .reports
             .iter()
-            .filter(move |(_, h)| self.is_fresh(h) && h.report.change == change);
-        heard.map(|(node, heard)| (*node, &heard.report))
+            .filter(move |(_, h)| self.is_fresh(h) && h.report.rollout == rollout);
+        received.map(|(node, received)| (*node, &received.report))
     }
 
     fn step(
         &mut self,
         now: Nanos,
         unix_ms: u64,
-        changes: &RolloutTable,
+        rollouts: &RolloutTable,
         members: &[Member],
     ) -> Step {
-        let electorate = self.electorate(now, changes, members);
+        let electorate = self.electorate(now, rollouts, members);
         let facts = StepInputs {
             now,
             unix_ms,
-            changes,
+            rollouts,
             members,
             electorate,
         };
-        if let Some(end) = self.superseded(changes) {
+        if let Some(end) = self.reject_superseded(rollouts) {
             return end;
         }
-        let arbiters = self.arbiters.iter().filter(|node| {
+        let voters = self.voters.iter().filter(|node| {
             **node == self.me
                 || members
                     .iter()
                     .any(|member| member.node == **node && member.there)
         });
-        let (there, all) = (arbiters.count(), self.arbiters.len());
+        let (there, all) = (voters.count(), self.voters.len());
         if there * 2 <= all {
             return Step::Wait(format!(
                 "{there} of {all} arbiters are there, more than half are needed"
             ));
         }
-        match (changes.under_way(self.kind), changes.next(self.kind)) {
-            (Some(change), _) => self.goes_on(&facts, change),
-            (None, Some(change)) => self.begins(&facts, change),
+        match (rollouts.in_progress(self.kind), rollouts.next(self.kind)) {
+            (Some(rollout), _) => self.step_in_progress(&facts, rollout),
+            (None, Some(rollout)) => self.step_before_start(&facts, rollout),
             (None, None) => Step::Wait(String::new()),
         }
     }
 
     /// Those that can't begin any more, for another is in force or under way: they are told so.
-    fn superseded(&self, changes: &RolloutTable) -> Option<Step> {
-        let ahead = changes.under_way(self.kind).or_else(|| {
-            let done = changes
-                .iter()
-                .filter(|change| change.kind == self.kind && change.fate == Outcome::Completed);
-            done.max_by_key(|change| change.reach.seq)
+    fn reject_superseded(&self, rollouts: &RolloutTable) -> Option<Step> {
+        let ahead = rollouts.in_progress(self.kind).or_else(|| {
+            let done = rollouts.iter().filter(|rollout| {
+                rollout.kind == self.kind && rollout.outcome == Outcome::Completed
+            });
+            done.max_by_key(|rollout| rollout.progress.agreement)
         })?;
-        let late = changes.iter().find(|change| {
-            let waits = change.kind == self.kind
-                && change.fate == Outcome::InProgress
-                && change.reach.seq == 0;
-            waits && change.version.number <= ahead.version.number
+        let late = rollouts.iter().find(|rollout| {
+            let waits = rollout.kind == self.kind
+                && rollout.outcome == Outcome::InProgress
+                && rollout.progress.agreement == 0;
+            waits && rollout.version.number <= ahead.version.number
         })?;
-        let word = if ahead.fate == Outcome::Completed {
+        let word = if ahead.outcome == Outcome::Completed {
             "in force"
         } else {
             "under way"
         };
         let why = format!("version {} is {word}, change {}", ahead.version, ahead.id);
         Some(Step::End {
-            change: late.id,
-            fate: Outcome::Rejected,
+            rollout: late.id,
+            outcome: Outcome::Rejected,
             why,
         })
     }
 
     /// More than half of the fleet answered, or why it can't go on.
-    fn quorum(&self, facts: &StepInputs<'_>, change: &Rollout) -> Result<(), String> {
-        let fresh = self.fresh(change.id).count() as u32;
+    fn quorum(&self, facts: &StepInputs<'_>, rollout: &Rollout) -> Result<(), String> {
+        let fresh = self.fresh_reports(rollout.id).count() as u32;
         if fresh * 2 <= facts.electorate {
             return Err(format!(
                 "{fresh} of {} nodes answer, more than half are needed",
@@ -488,22 +504,22 @@
             ));
         }
         if let Some((node, report)) = self
-            .fresh(change.id)
-            .find(|(_, report)| report.fate > change.fate)
+            .fresh_reports(rollout.id)
+            .find(|(_, report)| report.outcome > rollout.outcome)
         {
             return Err(format!(
                 "node {node:016x} knows that it is {}",
-                report.fate.word()
+                report.outcome.word()
             ));
         }
         Ok(())
     }
 
     /// The nodes that turned a version down, and why.
-    fn turned_down(&self, change: &Rollout) -> Option<String> {
+    fn rejection(&self, rollout: &Rollout) -> Option<String> {
         let mut nodes = self
-            .fresh(change.id)
-            .filter(|(_, report)| report.stand == NodeStatus::Rejected);
+            .fresh_reports(rollout.id)
+            .filter(|(_, report)| report.status == NodeStatus::Rejected);
         let (_, first) = nodes.next()?;
         let why = if first.why.is_empty() {
             "it can't be run"
@@ -516,77 +532,80 @@
         })
     }
 
-    fn propose(&self, facts: &StepInputs<'_>, change: &Rollout, again: bool) -> Step {
+    fn propose(&self, facts: &StepInputs<'_>, rollout: &Rollout, again: bool) -> Step {
         let nodes: Vec<(u64, u32)> = facts
             .members
             .iter()
             .filter(|member| member.there)
             .map(|member| (member.node, member.zone))
             .collect();
-        let (reach, seq) = (&change.reach, known(facts.changes, self.kind) + 1);
+        let (progress, agreement) = (
+            &rollout.progress,
+            last_agreement(facts.rollouts, self.kind) + 1,
+        );
         // What is agreed on is the fleet that is there: those that were lost long ago do not hold
         // the next ones up.
         let electorate = nodes.len() as u32;
-        let reach = match again {
-            true => reach.again(change.id, &change.plan, &nodes, seq, electorate),
-            false => reach.next(change.id, &change.plan, &nodes, seq, electorate),
+        let progress = match again {
+            true => progress.again(rollout.id, &rollout.plan, &nodes, agreement, electorate),
+            false => progress.next(rollout.id, &rollout.plan, &nodes, agreement, electorate),
         };
-        match reach {
-            Some(reach) => {
-                let reach = Progress {
+        match progress {
+            Some(progress) => {
+                let progress = Progress {
                     at_ms: facts.unix_ms,
-                    ..reach
+                    ..progress
                 };
                 Step::Propose(Proposal {
-                    change: change.id,
-                    reach,
+                    rollout: rollout.id,
+                    progress,
                 })
             }
             None => Step::Wait("there is no stage after this one".into()),
         }
     }
 
-    fn begins(&self, facts: &StepInputs<'_>, change: &Rollout) -> Step {
+    fn step_before_start(&self, facts: &StepInputs<'_>, rollout: &Rollout) -> Step {
         let good = self
-            .fresh(change.id)
+            .fresh_reports(rollout.id)
             .map(|(_, report)| report.good)
             .max()
             .unwrap_or_default();
-        if change.version.number <= good.number {
+        if rollout.version.number <= good.number {
             let why = format!("version {good} is in force at some nodes");
             return Step::End {
-                change: change.id,
-                fate: Outcome::Rejected,
+                rollout: rollout.id,
+                outcome: Outcome::Rejected,
                 why,
             };
         }
-        if let Some(why) = self.turned_down(change) {
+        if let Some(why) = self.rejection(rollout) {
             return Step::End {
-                change: change.id,
-                fate: Outcome::Rejected,
+                rollout: rollout.id,
+                outcome: Outcome::Rejected,
                 why,
             };
         }
-        if let Err(why) = self.quorum(facts, change) {
+        if let Err(why) = self.quorum(facts, rollout) {
             return Step::Wait(why);
         }
         let staged = self
-            .fresh(change.id)
-            .filter(|(_, report)| report.stand >= NodeStatus::Staged)
+            .fresh_reports(rollout.id)
+            .filter(|(_, report)| report.status >= NodeStatus::Staged)
             .count();
         let there = facts.members.iter().filter(|member| member.there).count();
         let waited = self
             .offered
-            .is_some_and(|(_, since)| facts.now > since + STRAGGLERS);
+            .is_some_and(|(_, since)| facts.now > since + STRAGGLER_WAIT);
         if staged < there && !waited || staged as u32 * 2 <= facts.electorate {
             let why = format!("it is staged at {staged} of {there} nodes");
             let too_long = self
                 .offered
-                .is_some_and(|(_, since)| facts.now > since + NOWHERE);
+                .is_some_and(|(_, since)| facts.now > since + CONTENT_LOST_AFTER);
             return match too_long && staged as u32 * 2 <= facts.electorate {
                 true => Step::End {
-                    change: change.id,
-                    fate: Outcome::Rejected,
+                    rollout: rollout.id,
+                    outcome: Outcome::Rejected,
                     why: format!("{why}, and its content may be lost"),
                 },
                 false => Step::Wait(why),
@@ -594,44 +613,46 @@
         }
         // What was halted and not taken back is taken back now: there is one base to go out from.
         let halted = facts
-            .changes
+            .rollouts
             .iter()
-            .find(|c| c.kind == self.kind && c.fate == Outcome::Halted);
+            .find(|c| c.kind == self.kind && c.outcome == Outcome::Halted);
         if let Some(halted) = halted {
-            let why = format!("change {} begins in its place", change.id);
+            let why = format!("change {} begins in its place", rollout.id);
             return Step::End {
-                change: halted.id,
-                fate: Outcome::RolledBack,
+                rollout: halted.id,
+                outcome: Outcome::RolledBack,
                 why,
             };
         }
-        self.propose(facts, change, false)
+        self.propose(facts, rollout, false)
     }
 
     /// CrashCounts on trial, and of the others in this stage.
-    fn deaths(&self, facts: &StepInputs<'_>, change: &Rollout) -> CrashCounts {
-        let mut deaths = [0, 0];
+    fn crash_counts(&self, facts: &StepInputs<'_>, rollout: &Rollout) -> CrashCounts {
+        let mut crashes = [0, 0];
         let is_new = |report: &NodeReport| {
-            report.change == change.id
-                && matches!(report.stand, NodeStatus::Starting | NodeStatus::OnTrial)
+            report.rollout == rollout.id
+                && matches!(report.status, NodeStatus::Starting | NodeStatus::OnTrial)
         };
-        for (node, heard) in &self.heard {
-            let report = &heard.report;
-            let is_there = facts
+        for (node, received) in &self.reports {
+            let report = &received.report;
+            let is_present = facts
                 .members
                 .iter()
                 .any(|member| member.node == *node && member.there);
             match () {
-                () if report.died > 0 && report.change == change.id => {
-                    let in_stage = report.died_ms > change.reach.at_ms;
-                    deaths[0] += u64::from(if in_stage { report.died } else { 0 });
+                () if report.crashes > 0 && report.rollout == rollout.id => {
+                    let in_stage = report.last_crash_ms > rollout.progress.at_ms;
+                    crashes[0] += u64::from(if in_stage { report.crashes } else { 0 });
                 }
-                () if !is_there && is_new(report) => deaths[0] += 1,
-                () if !is_there => deaths[1] += 1,
+                () if !is_present && is_new(report) => crashes[0] += 1,
+                () if !is_present => crashes[1] += 1,
                 // It runs what it ran before, and has done so since it started: after the stage
                 // began.
-                () if report.running == change.base && report.since_ms > change.reach.at_ms => {
-                    deaths[1] += 1
+                () if report.running == rollout.base
+                    && report.since_ms > rollout.progress.at_ms =>
+                {
+                    crashes[1] += 1
                 }
                 () => {}
             }
@@ -639,50 +660,54 @@
         let in_stage = facts
             .members
             .iter()
-            .filter(|m| change.reach.has(change.id, m.node, m.zone))
+            .filter(|m| rollout.progress.has(rollout.id, m.node, m.zone))
             .count() as u64;
         let nodes = [in_stage, facts.members.len() as u64 - in_stage];
         let held = facts.now - self.since.min(facts.now);
         CrashCounts {
-            died: deaths,
+            crashes: crashes,
             nodes,
-            windows: held as f64 / WINDOW as f64,
+            windows: held as f64 / CRASH_WINDOW as f64,
         }
     }
 
-    fn goes_on(&mut self, facts: &StepInputs<'_>, change: &Rollout) -> Step {
-        let end = |fate, why| Step::End {
-            change: change.id,
-            fate,
+    fn step_in_progress(&mut self, facts: &StepInputs<'_>, rollout: &Rollout) -> Step {
+        let end = |outcome, why| Step::End {
+            rollout: rollout.id,
+            outcome,
             why,
         };
-        if let Some(why) = self.turned_down(change) {
+        if let Some(why) = self.rejection(rollout) {
             return end(Outcome::RolledBack, why);
         }
-        let deaths = self.deaths(facts, change);
-        let stage = change.reach.stage;
-        let judged = self
-            .record
-            .as_ref()
-            .map(|record| canary_analysis::judge(record, &change.plan, stage, &deaths, self.way));
-        let verdict = judged
-            .as_ref()
-            .map(|judged| (judged.verdict.clone(), judged.line(&|op| self.name(op))));
+        let crashes = self.crash_counts(facts, rollout);
+        let stage = rollout.progress.stage;
+        let judged = self.record.as_ref().map(|record| {
+            canary_analysis::judge(record, &rollout.plan, stage, &crashes, self.method)
+        });
+        let verdict = judged.as_ref().map(|judged| {
+            (
+                judged.verdict.clone(),
+                judged.line(&|op| self.operation_name(op)),
+            )
+        });
         self.judgement = judged;
         if let Some((Verdict::Harm(_), line)) = &verdict {
             return end(Outcome::RolledBack, line.clone());
         }
-        if let Err(why) = self.quorum(facts, change) {
+        if let Err(why) = self.quorum(facts, rollout) {
             return Step::Wait(why);
         }
-        let (held, plan) = (facts.now - self.since.min(facts.now), &change.plan);
+        let (held, plan) = (facts.now - self.since.min(facts.now), &rollout.plan);
         let Some(of) = plan.stage(stage) else {
             return Step::Wait(String::new());
         };
         let mine: Vec<&Member> = facts
             .members
             .iter()
-            .filter(|member| member.there && change.reach.has(change.id, member.node, member.zone))
+            .filter(|member| {
+                member.there && rollout.progress.has(rollout.id, member.node, member.zone)
+            })
             .collect();
         if mine.is_empty() {
             // Those that are lost may run it all the same: only those that left are replaced, so
@@ -690,7 +715,7 @@
             let lost = facts
                 .members
                 .iter()
-                .any(|m| !m.there && change.reach.has(change.id, m.node, m.zone));
+                .any(|m| !m.there && rollout.progress.has(rollout.id, m.node, m.zone));
             let since = *self.deserted.get_or_insert(facts.now);
             return match () {
                 () if held > of.longest => end(
@@ -701,20 +726,22 @@
                     ),
                 ),
                 () if lost => Step::Wait("the nodes of its stage are lost".into()),
-                () if facts.now > since + REPLACED => self.propose(facts, change, true),
+                () if facts.now > since + REPLACE_DEPARTED_AFTER => {
+                    self.propose(facts, rollout, true)
+                }
                 () => Step::Wait("the nodes of its stage left".into()),
             };
         }
         self.deserted = None;
         let not_yet = mine.iter().find(|member| {
-            let heard = self
-                .heard
+            let received = self
+                .reports
                 .get(&member.node)
-                .filter(|heard| self.is_fresh(heard));
-            heard.is_none_or(|heard| {
-                let report = &heard.report;
-                report.change != change.id
-                    || report.running != change.version && report.died < DEATHS
+                .filter(|received| self.is_fresh(received));
+            received.is_none_or(|received| {
+                let report = &received.report;
+                report.rollout != rollout.id
+                    || report.running != rollout.version && report.crashes < MAX_CRASHES
             })
         });
         let waits = match (not_yet, &verdict) {
@@ -731,8 +758,8 @@
             _ => None,
         };
         let others = facts.members.iter().any(|member| {
-            let runs_base = |heard: &ReceivedReport| heard.report.running == change.base;
-            member.there && self.heard.get(&member.node).is_some_and(runs_base)
+            let runs_base = |received: &ReceivedReport| received.report.running == rollout.base;
+            member.there && self.reports.get(&member.node).is_some_and(runs_base)
         });
         let waits = waits.or(match verdict {
             _ if !others => None,
@@ -754,13 +781,13 @@
             // Nobody is left to compare with: what was before must do.
             None if !others => match self.collapsed() {
                 Some(why) => end(Outcome::Halted, why),
-                None => self.propose(facts, change, false),
+                None => self.propose(facts, rollout, false),
             },
-            None => self.propose(facts, change, false),
+            None => self.propose(facts, rollout, false),
         }
     }
 
-    fn name(&self, operation: u32) -> String {
+    fn operation_name(&self, operation: u32) -> String {
         self.names
             .get(&operation)
             .cloned()
@@ -779,11 +806,11 @@
                 }
             }
         }
-        if before[1] < COLLAPSE_SAMPLE || after[1] < COLLAPSE_SAMPLE {
+        if before[1] < COLLAPSE_MIN_REQUESTS || after[1] < COLLAPSE_MIN_REQUESTS {
             return None;
         }
         let share = |of: [u64; 2]| of[0] as f64 / of[1] as f64;
-        (share(after) < share(before) - COLLAPSE).then(|| {
+        (share(after) < share(before) - COLLAPSE_MARGIN).then(|| {
             format!(
                 "{:.0} % succeed with nobody left to compare with, {:.0} % did before",
                 share(after) * 100.0,
@@ -794,15 +821,15 @@
 
     /// How many nodes of the stage run the new version, how many are to, and how many the fleet
     /// has, as last heard.
-    pub fn standing(&self, change: &Rollout, members: &[Member]) -> [usize; 3] {
+    pub fn stage_counts(&self, rollout: &Rollout, members: &[Member]) -> [usize; 3] {
         let is_in = |member: &&Member| {
-            member.there && change.reach.has(change.id, member.node, member.zone)
+            member.there && rollout.progress.has(rollout.id, member.node, member.zone)
         };
         let runs =
             |version: Version, node: u64| self.report(node).is_some_and(|r| r.running == version);
         let running = members
             .iter()
-            .filter(|m| m.there && runs(change.version, m.node))
+            .filter(|m| m.there && runs(rollout.version, m.node))
             .count();
         [
             running,
--- a/crates/rollout/src/messages.rs
+++ b/crates/rollout/src/messages.rs
@@ -1,19 +1,19 @@
-//! What nodes tell each other about changes, as it travels in the fleet's parcels; what a node
+//! What nodes tell each other about rollouts, as it travels in the fleet's parcels; what a node
 //! hangs on its entry; what operators order; and what is shown. Protocol Buffers, fields by number:
 //! one that is not known is passed over, a kind that is not known is no message.
 //!
 //! | field of `Parcel` | is |
 //! | --- | --- |
-//! | 1 | kind: 1 changes, 2 poll, 3 report, 4 ask for pieces, 5 piece, 6 prepare, 7 accept, 8 promised, 9 accepted, 10 refused |
-//! | 2 | changes |
+//! | 1 | kind: 1 rollouts, 2 poll, 3 report, 4 ask for pieces, 5 piece, 6 prepare, 7 accept, 8 promised, 9 accepted, 10 refused |
+//! | 2 | rollouts |
 //! | 3 | whether an answer is wanted |
 //! | 4 | number of a poll, or the first piece |
-//! | 5 | change |
+//! | 5 | rollout |
 //! | 6 | a report |
 //! | 7 | how many pieces |
 //! | 8 | bytes of a piece |
 //! | 9 | stage |
-//! | 10 | fate |
+//! | 10 | outcome |
 //! | 11 | number of an agreement |
 //! | 12 | ballot |
 //! | 13 | the ballot in which a proposal was accepted, or which was promised |
@@ -31,10 +31,10 @@
 
 /// The most bytes of a parcel, and of a piece of content in one.
 pub const PARCEL_MAX: usize = 1200;
-pub const PIECE: usize = 1024;
+pub const CHUNK_BYTES: usize = 1024;
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct OneVersion {
+struct VersionWire {
     #[prost(uint64, tag = "1")]
     number: u64,
     #[prost(fixed64, tag = "2")]
@@ -42,7 +42,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct OneStage {
+struct StageWire {
     #[prost(uint32, tag = "1")]
     share: u32,
     #[prost(uint32, tag = "2")]
@@ -56,9 +56,9 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct OnePlan {
+struct PlanWire {
     #[prost(message, repeated, tag = "1")]
-    stages: Vec<OneStage>,
+    stages: Vec<StageWire>,
     #[prost(uint32, tag = "2")]
     of_zone: u32,
     #[prost(uint32, tag = "3")]
@@ -66,7 +66,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct OneReach {
+struct ProgressWire {
     #[prost(uint32, tag = "1")]
     stage: u32,
     #[prost(fixed32, repeated, tag = "2")]
@@ -82,13 +82,13 @@
     #[prost(uint32, tag = "6")]
     electorate: u32,
     #[prost(uint64, tag = "7")]
-    seq: u64,
+    agreement: u64,
     #[prost(uint64, tag = "8")]
     at_ms: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct OneBallot {
+struct BallotWire {
     #[prost(uint64, tag = "1")]
     round: u64,
     #[prost(fixed64, tag = "2")]
@@ -96,28 +96,28 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct OneProposal {
+struct ProposalWire {
     #[prost(fixed64, tag = "1")]
-    change: u64,
+    rollout: u64,
     #[prost(message, optional, tag = "2")]
-    reach: Option<OneReach>,
+    progress: Option<ProgressWire>,
 }
 
-/// An arbiter's vote, as it is kept.
+/// A voter's vote, as it is kept.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct OneVote {
+pub(crate) struct VoteWire {
     #[prost(uint64, tag = "1")]
-    seq: u64,
+    agreement: u64,
     #[prost(message, optional, tag = "2")]
-    promised: Option<OneBallot>,
+    promised: Option<BallotWire>,
     #[prost(message, optional, tag = "3")]
-    accepted_in: Option<OneBallot>,
+    accepted_in: Option<BallotWire>,
     #[prost(message, optional, tag = "4")]
-    accepted: Option<OneProposal>,
+    accepted: Option<ProposalWire>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct OneReason {
+struct ReasonWire {
     #[prost(uint64, tag = "1")]
     at_ms: u64,
     #[prost(fixed64, tag = "2")]
@@ -126,17 +126,17 @@
     why: String,
 }
 
-/// A change, as it travels and is kept.
+/// A rollout, as it travels and is kept.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct OneChange {
+pub(crate) struct RolloutWire {
     #[prost(fixed64, tag = "1")]
     id: u64,
     #[prost(uint32, tag = "2")]
     kind: u32,
     #[prost(message, optional, tag = "3")]
-    version: Option<OneVersion>,
+    version: Option<VersionWire>,
     #[prost(message, optional, tag = "4")]
-    base: Option<OneVersion>,
+    base: Option<VersionWire>,
     #[prost(bytes = "vec", tag = "5")]
     digest: Vec<u8>,
     #[prost(uint32, tag = "6")]
@@ -146,39 +146,39 @@
     #[prost(uint64, tag = "8")]
     at_ms: u64,
     #[prost(message, optional, tag = "9")]
-    plan: Option<OnePlan>,
+    plan: Option<PlanWire>,
     #[prost(message, optional, tag = "10")]
-    reach: Option<OneReach>,
+    progress: Option<ProgressWire>,
     #[prost(uint32, tag = "11")]
-    fate: u32,
+    outcome: u32,
     #[prost(message, optional, tag = "12")]
-    reason: Option<OneReason>,
+    reason: Option<ReasonWire>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct OneReport {
+struct ReportWire {
     #[prost(fixed64, tag = "1")]
-    change: u64,
+    rollout: u64,
     #[prost(uint32, tag = "2")]
     stage: u32,
     #[prost(uint32, tag = "3")]
-    fate: u32,
+    outcome: u32,
     #[prost(uint32, tag = "4")]
-    stand: u32,
+    status: u32,
     #[prost(message, optional, tag = "5")]
-    running: Option<OneVersion>,
+    running: Option<VersionWire>,
     #[prost(uint64, tag = "6")]
     since_ms: u64,
     #[prost(uint32, tag = "7")]
-    died: u32,
+    crashes: u32,
     #[prost(string, tag = "8")]
     why: String,
     #[prost(fixed64, tag = "9")]
     digest: u64,
     #[prost(message, optional, tag = "10")]
-    good: Option<OneVersion>,
+    good: Option<VersionWire>,
     #[prost(uint64, tag = "11")]
-    died_ms: u64,
+    last_crash_ms: u64,
 }
 
 /// Whether this is a build with a later version of the messages: a field more in each, one less in
@@ -192,9 +192,9 @@
 /// A parcel of a kind that the present version does not know.
 pub fn later_kind() -> Vec<u8> {
     later(
-        Parcel {
+        MessageWire {
             kind: LATER_KIND,
-            ..Parcel::default()
+            ..MessageWire::default()
         }
         .encode_to_vec(),
     )
@@ -209,19 +209,19 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct Parcel {
+struct MessageWire {
     #[prost(uint32, tag = "1")]
     kind: u32,
     #[prost(message, repeated, tag = "2")]
-    changes: Vec<OneChange>,
+    rollouts: Vec<RolloutWire>,
     #[prost(bool, tag = "3")]
     answer: bool,
     #[prost(uint32, tag = "4")]
     no: u32,
     #[prost(fixed64, tag = "5")]
-    change: u64,
+    rollout: u64,
     #[prost(message, optional, tag = "6")]
-    report: Option<OneReport>,
+    report: Option<ReportWire>,
     #[prost(uint32, tag = "7")]
     count: u32,
     #[prost(bytes = "vec", tag = "8")]
@@ -229,15 +229,15 @@
     #[prost(uint32, tag = "9")]
     stage: u32,
     #[prost(uint32, tag = "10")]
-    fate: u32,
+    outcome: u32,
     #[prost(uint64, tag = "11")]
-    seq: u64,
+    agreement: u64,
     #[prost(message, optional, tag = "12")]
-    ballot: Option<OneBallot>,
+    ballot: Option<BallotWire>,
     #[prost(message, optional, tag = "13")]
-    earlier: Option<OneBallot>,
+    earlier: Option<BallotWire>,
     #[prost(message, optional, tag = "14")]
-    proposal: Option<OneProposal>,
+    proposal: Option<ProposalWire>,
     #[prost(bool, tag = "15")]
     again: bool,
     #[prost(uint32, tag = "16")]
@@ -247,76 +247,76 @@
 /// What a parcel is.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReceivedMessage {
-    /// What is known of changes; whether what the other one knows is wanted.
-    RolloutTable {
-        changes: Vec<Rollout>,
+    /// What is known of rollouts; whether what the other one knows is wanted.
+    Rollouts {
+        rollouts: Vec<Rollout>,
         answer: bool,
     },
     /// From the one who conducts: how do you stand to this, which has come so far as I know?
     Poll {
         no: u32,
-        change: RolloutId,
+        rollout: RolloutId,
         stage: u32,
-        fate: Outcome,
+        outcome: Outcome,
     },
     /// The answer.
     NodeReport {
         no: u32,
         report: NodeReport,
     },
-    /// Pieces of a change's content are wanted: so many from this one on.
-    AskPieces {
-        change: RolloutId,
+    /// Pieces of a rollout's content are wanted: so many from this one on.
+    ChunkRequest {
+        rollout: RolloutId,
         first: u32,
         count: u32,
     },
     /// One of them.
-    Piece {
-        change: RolloutId,
+    Chunk {
+        rollout: RolloutId,
         no: u32,
         bytes: Vec<u8>,
     },
-    /// From the one who conducts to an arbiter, of this kind of change; and back.
+    /// From the one who conducts to a voter, of this kind of rollout; and back.
     PaxosRequest(Kind, PaxosRequest),
     PaxosReply(Kind, PaxosReply),
 }
 
-fn one(version: Version) -> Option<OneVersion> {
-    Some(OneVersion {
+fn encode_decode_version(version: Version) -> Option<VersionWire> {
+    Some(VersionWire {
         number: version.number,
         hash: version.hash,
     })
 }
 
-fn version(one: Option<OneVersion>) -> Version {
-    one.map_or(Version::default(), |one| Version {
-        number: one.number,
-        hash: one.hash,
+fn decode_version(encode_version: Option<VersionWire>) -> Version {
+    encode_version.map_or(Version::default(), |encode_version| Version {
+        number: encode_version.number,
+        hash: encode_version.hash,
     })
 }
 
-fn ms(time: Nanos) -> u32 {
+fn saturating_ms(time: Nanos) -> u32 {
     u32::try_from(time / MILLISECOND).unwrap_or(u32::MAX)
 }
 
-fn write_plan(plan: &Plan) -> OnePlan {
-    let stage = |stage: &Stage| OneStage {
+fn encode_plan(plan: &Plan) -> PlanWire {
+    let stage = |stage: &Stage| StageWire {
         share: stage.share,
-        least_ms: ms(stage.least),
-        longest_ms: ms(stage.longest),
+        least_ms: saturating_ms(stage.least),
+        longest_ms: saturating_ms(stage.longest),
         sample: stage.sample,
-        spread_ms: ms(stage.spread),
+        spread_ms: saturating_ms(stage.spread),
     };
-    OnePlan {
+    PlanWire {
         stages: plan.stages.iter().map(stage).collect(),
         of_zone: plan.of_zone,
         margin: plan.margin,
     }
 }
 
-fn read_plan(plan: &OnePlan) -> Option<Plan> {
+fn decode_plan(plan: &PlanWire) -> Option<Plan> {
     let nanos = |ms: u32| u64::from(ms) * MILLISECOND;
-    let stage = |stage: &OneStage| Stage {
+    let stage = |stage: &StageWire| Stage {
         share: stage.share,
         least: nanos(stage.least_ms),
         longest: nanos(stage.longest_ms),
@@ -332,118 +332,118 @@
     plan.check().is_ok().then_some(plan)
 }
 
-fn write_reach(reach: &Progress) -> OneReach {
-    let zones: Vec<u32> = reach.until.keys().copied().collect();
-    OneReach {
-        stage: reach.stage,
+fn encode_progress(progress: &Progress) -> ProgressWire {
+    let zones: Vec<u32> = progress.until.keys().copied().collect();
+    ProgressWire {
+        stage: progress.stage,
         before: zones
             .iter()
-            .map(|zone| reach.before.get(zone).copied().unwrap_or(0))
+            .map(|zone| progress.before.get(zone).copied().unwrap_or(0))
             .collect(),
-        until: reach.until.values().copied().collect(),
+        until: progress.until.values().copied().collect(),
         zones,
-        all: reach.all,
-        electorate: reach.electorate,
-        seq: reach.seq,
-        at_ms: reach.at_ms,
+        all: progress.all,
+        electorate: progress.electorate,
+        agreement: progress.agreement,
+        at_ms: progress.at_ms,
     }
 }
 
-fn read_reach(reach: &OneReach) -> Option<Progress> {
-    let n = reach.zones.len();
-    if n > ZONES_MAX || reach.before.len() != n || reach.until.len() != n {
+fn decode_progress(progress: &ProgressWire) -> Option<Progress> {
+    let n = progress.zones.len();
+    if n > ZONES_MAX || progress.before.len() != n || progress.until.len() != n {
         return None;
     }
     let by_zone = |of: &[u64]| -> BTreeMap<u32, u64> {
-        reach
+        progress
             .zones
             .iter()
             .copied()
             .zip(of.iter().copied())
             .collect()
     };
-    let mut before = by_zone(&reach.before);
+    let mut before = by_zone(&progress.before);
     before.retain(|_, before| *before > 0);
     Some(Progress {
-        stage: reach.stage,
+        stage: progress.stage,
         before,
-        until: by_zone(&reach.until),
-        all: reach.all,
-        electorate: reach.electorate,
-        seq: reach.seq,
-        at_ms: reach.at_ms,
+        until: by_zone(&progress.until),
+        all: progress.all,
+        electorate: progress.electorate,
+        agreement: progress.agreement,
+        at_ms: progress.at_ms,
     })
 }
 
-fn write_ballot(ballot: Ballot) -> Option<OneBallot> {
-    Some(OneBallot {
+fn encode_ballot(ballot: Ballot) -> Option<BallotWire> {
+    Some(BallotWire {
         round: ballot.round,
         by: ballot.by,
     })
 }
 
-fn read_ballot(ballot: Option<OneBallot>) -> Ballot {
+fn decode_ballot(ballot: Option<BallotWire>) -> Ballot {
     ballot.map_or(Ballot::default(), |ballot| Ballot {
         round: ballot.round,
         by: ballot.by,
     })
 }
 
-fn write_proposal(proposal: &Proposal) -> OneProposal {
-    OneProposal {
-        change: proposal.change.0,
-        reach: Some(write_reach(&proposal.reach)),
+fn encode_proposal(proposal: &Proposal) -> ProposalWire {
+    ProposalWire {
+        rollout: proposal.rollout.0,
+        progress: Some(encode_progress(&proposal.progress)),
     }
 }
 
-fn read_proposal(proposal: &OneProposal) -> Option<Proposal> {
+fn decode_proposal(proposal: &ProposalWire) -> Option<Proposal> {
     Some(Proposal {
-        change: RolloutId(proposal.change),
-        reach: read_reach(proposal.reach.as_ref()?)?,
+        rollout: RolloutId(proposal.rollout),
+        progress: decode_progress(proposal.progress.as_ref()?)?,
     })
 }
 
-pub(crate) fn write_vote(vote: &Vote) -> OneVote {
-    OneVote {
-        seq: vote.seq,
-        promised: write_ballot(vote.promised),
+pub(crate) fn encode_vote(vote: &Vote) -> VoteWire {
+    VoteWire {
+        agreement: vote.agreement,
+        promised: encode_ballot(vote.promised),
         accepted_in: vote
             .accepted
             .as_ref()
-            .and_then(|(ballot, _)| write_ballot(*ballot)),
+            .and_then(|(ballot, _)| encode_ballot(*ballot)),
         accepted: vote
             .accepted
             .as_ref()
-            .map(|(_, proposal)| write_proposal(proposal)),
+            .map(|(_, proposal)| encode_proposal(proposal)),
     }
 }
 
-pub(crate) fn read_vote(vote: &OneVote) -> Vote {
-    let accepted = vote.accepted.as_ref().and_then(read_proposal);
+pub(crate) fn decode_vote(vote: &VoteWire) -> Vote {
+    let accepted = vote.accepted.as_ref().and_then(decode_proposal);
     Vote {
-        seq: vote.seq,
-        promised: read_ballot(vote.promised),
-        accepted: accepted.map(|proposal| (read_ballot(vote.accepted_in), proposal)),
+        agreement: vote.agreement,
+        promised: decode_ballot(vote.promised),
+        accepted: accepted.map(|proposal| (decode_ballot(vote.accepted_in), proposal)),
     }
 }
 
-pub(crate) fn write_change(change: &Rollout) -> OneChange {
-    OneChange {
-        id: change.id.0,
-        kind: change.kind as u32,
-        version: one(change.version),
-        base: one(change.base),
-        digest: change.digest.to_vec(),
-        bytes: change.bytes,
-        by: change.by,
-        at_ms: change.at_ms,
-        plan: Some(write_plan(&change.plan)),
-        reach: Some(write_reach(&change.reach)),
-        fate: change.fate as u32,
-        reason: (change.fate > Outcome::InProgress).then(|| OneReason {
-            at_ms: change.reason.at_ms,
-            by: change.reason.by,
-            why: change.reason.why.clone(),
+pub(crate) fn encode_rollout(rollout: &Rollout) -> RolloutWire {
+    RolloutWire {
+        id: rollout.id.0,
+        kind: rollout.kind as u32,
+        version: encode_decode_version(rollout.version),
+        base: encode_decode_version(rollout.base),
+        digest: rollout.digest.to_vec(),
+        bytes: rollout.bytes,
+        by: rollout.by,
+        at_ms: rollout.at_ms,
+        plan: Some(encode_plan(&rollout.plan)),
+        progress: Some(encode_progress(&rollout.progress)),
+        outcome: rollout.outcome as u32,
+        reason: (rollout.outcome > Outcome::InProgress).then(|| ReasonWire {
+            at_ms: rollout.reason.at_ms,
+            by: rollout.reason.by,
+            why: rollout.reason.why.clone(),
         }),
     }
 }
@@ -454,27 +454,27 @@
         .copied()
 }
 
-pub(crate) fn read_change(change: &OneChange) -> Option<Rollout> {
-    let reason = change
+pub(crate) fn decode_rollout(rollout: &RolloutWire) -> Option<Rollout> {
+    let reason = rollout
         .reason
         .as_ref()
         .filter(|reason| reason.why.len() <= REASON_MAX);
     Some(Rollout {
-        id: RolloutId(change.id),
-        kind: kind(change.kind)?,
-        version: version(change.version),
-        base: version(change.base),
-        digest: change.digest.as_slice().try_into().ok()?,
-        bytes: change.bytes,
-        by: change.by,
-        at_ms: change.at_ms,
-        plan: read_plan(change.plan.as_ref()?)?,
-        reach: change
-            .reach
+        id: RolloutId(rollout.id),
+        kind: kind(rollout.kind)?,
+        version: decode_version(rollout.version),
+        base: decode_version(rollout.base),
+        digest: rollout.digest.as_slice().try_into().ok()?,
+        bytes: rollout.bytes,
+        by: rollout.by,
+        at_ms: rollout.at_ms,
+        plan: decode_plan(rollout.plan.as_ref()?)?,
+        progress: rollout
+            .progress
             .as_ref()
-            .map_or(Some(Progress::default()), read_reach)?,
-        // A fate that a later version knows is taken for the one nearest to safety.
-        fate: Outcome::from_number(change.fate).unwrap_or(Outcome::RolledBack),
+            .map_or(Some(Progress::default()), decode_progress)?,
+        // A outcome that a later version knows is taken for the one nearest to safety.
+        outcome: Outcome::from_number(rollout.outcome).unwrap_or(Outcome::RolledBack),
         reason: reason.map_or(Reason::default(), |r| Reason {
             at_ms: r.at_ms,
             by: r.by,
@@ -483,111 +483,116 @@
     })
 }
 
-fn write_report(report: &NodeReport) -> OneReport {
-    OneReport {
-        change: report.change.0,
+fn encode_report(report: &NodeReport) -> ReportWire {
+    ReportWire {
+        rollout: report.rollout.0,
         stage: report.stage,
-        fate: report.fate as u32,
-        stand: report.stand as u32,
-        running: one(report.running),
+        outcome: report.outcome as u32,
+        status: report.status as u32,
+        running: encode_decode_version(report.running),
         since_ms: report.since_ms,
-        died: report.died,
+        crashes: report.crashes,
         why: report.why.clone(),
         digest: report.digest,
-        good: one(report.good),
+        good: encode_decode_version(report.good),
         // A field that a later version drops.
-        died_ms: if LATER { 0 } else { report.died_ms },
+        last_crash_ms: if LATER { 0 } else { report.last_crash_ms },
     }
 }
 
-fn read_report(report: &OneReport) -> NodeReport {
+fn decode_report(report: &ReportWire) -> NodeReport {
     NodeReport {
-        change: RolloutId(report.change),
+        rollout: RolloutId(report.rollout),
         stage: report.stage,
-        fate: Outcome::from_number(report.fate).unwrap_or(Outcome::RolledBack),
-        stand: NodeStatus::from_number(report.stand),
-        running: version(report.running),
+        outcome: Outcome::from_number(report.outcome).unwrap_or(Outcome::RolledBack),
+        status: NodeStatus::from_number(report.status),
+        running: decode_version(report.running),
         since_ms: report.since_ms,
-        died: report.died,
+        crashes: report.crashes,
         why: Reason::new(0, 0, &report.why).why,
         digest: report.digest,
-        good: version(report.good),
-        died_ms: report.died_ms,
+        good: decode_version(report.good),
+        last_crash_ms: report.last_crash_ms,
     }
 }
 
-/// Writes what is told. RolloutTable that don't fit one parcel are told in several: see [`changes`].
-pub fn write(told: &ReceivedMessage) -> Vec<u8> {
-    let mut parcel = Parcel::default();
-    match told {
-        ReceivedMessage::RolloutTable { changes, answer } => {
+/// Writes what is told. RolloutTable that don't fit one parcel are told in several: see [`rollouts`].
+pub fn encode(message: &ReceivedMessage) -> Vec<u8> {
+    let mut parcel = MessageWire::default();
+    match message {
+        ReceivedMessage::Rollouts { rollouts, answer } => {
             parcel.kind = 1;
-            parcel.changes = changes.iter().map(write_change).collect();
+            parcel.rollouts = rollouts.iter().map(encode_rollout).collect();
             parcel.answer = *answer;
         }
         ReceivedMessage::Poll {
             no,
-            change,
+            rollout,
             stage,
-            fate,
+            outcome,
         } => {
-            (parcel.kind, parcel.no, parcel.change) = (2, *no, change.0);
-            (parcel.stage, parcel.fate) = (*stage, *fate as u32);
+            (parcel.kind, parcel.no, parcel.rollout) = (2, *no, rollout.0);
+            (parcel.stage, parcel.outcome) = (*stage, *outcome as u32);
         }
         ReceivedMessage::NodeReport { no, report } => {
-            (parcel.kind, parcel.no, parcel.report) = (3, *no, Some(write_report(report)));
+            (parcel.kind, parcel.no, parcel.report) = (3, *no, Some(encode_report(report)));
         }
-        ReceivedMessage::AskPieces {
-            change,
+        ReceivedMessage::ChunkRequest {
+            rollout,
             first,
             count,
         } => {
-            (parcel.kind, parcel.change, parcel.no, parcel.count) = (4, change.0, *first, *count);
+            (parcel.kind, parcel.rollout, parcel.no, parcel.count) = (4, rollout.0, *first, *count);
         }
-        ReceivedMessage::Piece { change, no, bytes } => {
-            (parcel.kind, parcel.change, parcel.no) = (5, change.0, *no);
+        ReceivedMessage::Chunk { rollout, no, bytes } => {
+            (parcel.kind, parcel.rollout, parcel.no) = (5, rollout.0, *no);
             parcel.bytes.clone_from(bytes);
         }
-        ReceivedMessage::PaxosRequest(kind, ask) => {
+        ReceivedMessage::PaxosRequest(kind, request) => {
             parcel.of = *kind as u32;
-            match ask {
-                PaxosRequest::Prepare { seq, ballot } => {
-                    (parcel.kind, parcel.seq, parcel.ballot) = (6, *seq, write_ballot(*ballot));
+            match request {
+                PaxosRequest::Prepare { agreement, ballot } => {
+                    (parcel.kind, parcel.agreement, parcel.ballot) =
+                        (6, *agreement, encode_ballot(*ballot));
                 }
                 PaxosRequest::Accept {
                     ballot,
                     proposal,
                     again,
                 } => {
-                    (parcel.kind, parcel.ballot, parcel.again) = (7, write_ballot(*ballot), *again);
-                    parcel.proposal = Some(write_proposal(proposal));
+                    (parcel.kind, parcel.ballot, parcel.again) =
+                        (7, encode_ballot(*ballot), *again);
+                    parcel.proposal = Some(encode_proposal(proposal));
                 }
             }
         }
-        ReceivedMessage::PaxosReply(kind, say) => {
+        ReceivedMessage::PaxosReply(kind, reply) => {
             parcel.of = *kind as u32;
-            match say {
+            match reply {
                 PaxosReply::Promised {
-                    seq,
+                    agreement,
                     ballot,
                     accepted,
                 } => {
-                    (parcel.kind, parcel.seq, parcel.ballot) = (8, *seq, write_ballot(*ballot));
+                    (parcel.kind, parcel.agreement, parcel.ballot) =
+                        (8, *agreement, encode_ballot(*ballot));
                     if let Some((earlier, proposal)) = accepted {
                         (parcel.earlier, parcel.proposal) =
-                            (write_ballot(*earlier), Some(write_proposal(proposal)));
+                            (encode_ballot(*earlier), Some(encode_proposal(proposal)));
                     }
                 }
-                PaxosReply::Accepted { seq, ballot } => {
-                    (parcel.kind, parcel.seq, parcel.ballot) = (9, *seq, write_ballot(*ballot));
+                PaxosReply::Accepted { agreement, ballot } => {
+                    (parcel.kind, parcel.agreement, parcel.ballot) =
+                        (9, *agreement, encode_ballot(*ballot));
                 }
                 PaxosReply::Refused {
-                    seq,
+                    agreement,
                     ballot,
                     promised,
                 } => {
-                    (parcel.kind, parcel.seq, parcel.ballot) = (10, *seq, write_ballot(*ballot));
-                    parcel.earlier = write_ballot(*promised);
+                    (parcel.kind, parcel.agreement, parcel.ballot) =
+                        (10, *agreement, encode_ballot(*ballot));
+                    parcel.earlier = encode_ballot(*promised);
                 }
             }
         }
@@ -595,77 +600,81 @@
     later(parcel.encode_to_vec())
 }
 
-/// Words about changes, in as many parcels as they need; the last one asks for an answer, if one is
+/// Words about rollouts, in as many parcels as they need; the last one asks for an answer, if one is
 /// wanted.
-pub fn changes<'c>(all: impl Iterator<Item = &'c Rollout>, answer: bool) -> Vec<ReceivedMessage> {
+pub fn rollouts<'c>(all: impl Iterator<Item = &'c Rollout>, answer: bool) -> Vec<ReceivedMessage> {
     let mut parcels: Vec<Vec<Rollout>> = vec![Vec::new()];
     let mut size = 0;
-    for change in all {
-        let more = write_change(change).encoded_len() + 4;
+    for rollout in all {
+        let more = encode_rollout(rollout).encoded_len() + 4;
         if size + more > PARCEL_MAX - 16 {
             parcels.push(Vec::new());
             size = 0;
         }
         size += more;
         if let Some(last) = parcels.last_mut() {
-            last.push(change.clone());
+            last.push(rollout.clone());
         }
     }
     let last = parcels.len() - 1;
-    let told = |(at, changes)| ReceivedMessage::RolloutTable {
-        changes,
+    let message = |(at, rollouts)| ReceivedMessage::Rollouts {
+        rollouts,
         answer: answer && at == last,
     };
-    parcels.into_iter().enumerate().map(told).collect()
+    parcels.into_iter().enumerate().map(message).collect()
 }
 
 /// Reads what was told; nothing if it can't be read, is beyond its bounds, or is of a kind that is
 /// not known.
-pub fn read(bytes: &[u8]) -> Option<ReceivedMessage> {
-    let parcel = Parcel::decode(bytes)
+pub fn decode(bytes: &[u8]) -> Option<ReceivedMessage> {
+    let parcel = MessageWire::decode(bytes)
         .ok()
         .filter(|_| bytes.len() <= PARCEL_MAX)?;
-    let (no, change) = (parcel.no, RolloutId(parcel.change));
+    let (no, rollout) = (parcel.no, RolloutId(parcel.rollout));
     Some(match parcel.kind {
-        1 if parcel.changes.len() <= CHANGES_MAX => ReceivedMessage::RolloutTable {
+        1 if parcel.rollouts.len() <= CHANGES_MAX => ReceivedMessage::Rollouts {
             // One that can't be read leaves the others as they are.
-            changes: parcel.changes.iter().filter_map(read_change).collect(),
+            rollouts: parcel.rollouts.iter().filter_map(decode_rollout).collect(),
             answer: parcel.answer,
         },
         2 => {
-            let fate = Outcome::from_number(parcel.fate).unwrap_or(Outcome::RolledBack);
+            let outcome = Outcome::from_number(parcel.outcome).unwrap_or(Outcome::RolledBack);
             ReceivedMessage::Poll {
                 no,
-                change,
+                rollout,
                 stage: parcel.stage,
-                fate,
+                outcome,
             }
         }
         3 => ReceivedMessage::NodeReport {
             no,
-            report: read_report(&parcel.report?),
+            report: decode_report(&parcel.report?),
         },
-        4 => ReceivedMessage::AskPieces {
-            change,
+        4 => ReceivedMessage::ChunkRequest {
+            rollout,
             first: no,
             count: parcel.count,
         },
-        5 if parcel.bytes.len() <= PIECE => ReceivedMessage::Piece {
-            change,
+        5 if parcel.bytes.len() <= CHUNK_BYTES => ReceivedMessage::Chunk {
+            rollout,
             no,
             bytes: parcel.bytes,
         },
-        6..=10 => return read_vote_parcel(&parcel),
+        6..=10 => return decode_paxos(&parcel),
         _ => return None,
     })
 }
 
-fn read_vote_parcel(parcel: &Parcel) -> Option<ReceivedMessage> {
-    let (of, seq, ballot) = (kind(parcel.of)?, parcel.seq, read_ballot(parcel.ballot));
+fn decode_paxos(parcel: &MessageWire) -> Option<ReceivedMessage> {
+    let (of, agreement, ballot) = (
+        kind(parcel.of)?,
+        parcel.agreement,
+        decode_ballot(parcel.ballot),
+    );
     // One that is there and can't be read must not be taken for none.
-    let proposal = parcel.proposal.as_ref().map(read_proposal);
+    let proposal = parcel.proposal.as_ref().map(decode_proposal);
     Some(match parcel.kind {
-        6 => ReceivedMessage::PaxosRequest(of, PaxosRequest::Prepare { seq, ballot }),
+        6 => ReceivedMessage::PaxosRequest(of, PaxosRequest::Prepare { agreement, ballot }),
         7 => ReceivedMessage::PaxosRequest(
             of,
             PaxosRequest::Accept {
@@ -677,34 +686,34 @@
         8 => {
             let accepted = match proposal {
                 None => None,
-                Some(proposal) => Some((read_ballot(parcel.earlier), proposal?)),
+                Some(proposal) => Some((decode_ballot(parcel.earlier), proposal?)),
             };
             ReceivedMessage::PaxosReply(
                 of,
                 PaxosReply::Promised {
-                    seq,
+                    agreement,
                     ballot,
                     accepted,
                 },
             )
         }
-        9 => ReceivedMessage::PaxosReply(of, PaxosReply::Accepted { seq, ballot }),
+        9 => ReceivedMessage::PaxosReply(of, PaxosReply::Accepted { agreement, ballot }),
         _ => ReceivedMessage::PaxosReply(
             of,
             PaxosReply::Refused {
-                seq,
+                agreement,
                 ballot,
-                promised: read_ballot(parcel.earlier),
+                promised: decode_ballot(parcel.earlier),
             },
         ),
     })
 }
 
 /// What a node hangs on its entry: its report.
-pub fn write_part(report: &NodeReport) -> Vec<u8> {
+pub fn encode_attachment(report: &NodeReport) -> Vec<u8> {
     // Why is told to those who ask: an entry has little room.
     later(
-        write_report(&NodeReport {
+        encode_report(&NodeReport {
             why: String::new(),
             ..report.clone()
         })
@@ -713,10 +722,10 @@
 }
 
 /// Reads it.
-pub fn read_part(bytes: &[u8]) -> Option<NodeReport> {
-    OneReport::decode(bytes)
+pub fn decode_attachment(bytes: &[u8]) -> Option<NodeReport> {
+    ReportWire::decode(bytes)
         .ok()
-        .map(|report| read_report(&report))
+        .map(|report| decode_report(&report))
 }
 
 /// What an operator orders.
@@ -740,9 +749,9 @@
     pub number: u64,
     #[prost(fixed64, tag = "7")]
     pub hash: u64,
-    /// The change that is halted or taken back.
+    /// The rollout that is halted or taken back.
     #[prost(fixed64, tag = "8")]
-    pub change: u64,
+    pub rollout: u64,
     #[prost(string, tag = "9")]
     pub why: String,
     #[prost(bool, tag = "10")]
@@ -751,10 +760,10 @@
 
 /// The kinds of orders.
 pub mod order {
-    pub const PIECE: u32 = 1;
+    pub const CHUNK: u32 = 1;
     pub const OFFER: u32 = 2;
     pub const HALT: u32 = 3;
-    pub const BACK: u32 = 4;
+    pub const ROLL_BACK: u32 = 4;
 }
 
 /// What became of an order.
@@ -766,7 +775,7 @@
     #[prost(string, tag = "2")]
     pub why: String,
     #[prost(fixed64, tag = "3")]
-    pub change: u64,
+    pub rollout: u64,
 }
 
 #[cfg(test)]
--- a/crates/rollout/src/messages/tests.rs
+++ b/crates/rollout/src/messages/tests.rs
@@ -1,32 +1,32 @@
 use super::*;
-use crate::rollout::tests::change;
+use crate::rollout::tests::rollout;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 fn report() -> NodeReport {
     NodeReport {
-        change: RolloutId(7),
+        rollout: RolloutId(7),
         stage: 2,
-        fate: Outcome::Halted,
-        stand: NodeStatus::OnTrial,
+        outcome: Outcome::Halted,
+        status: NodeStatus::OnTrial,
         running: Version {
             number: 3,
             hash: 1 << 60,
         },
         good: Version { number: 2, hash: 5 },
         since_ms: 1 << 40,
-        died: 1,
-        died_ms: 1 << 41,
+        crashes: 1,
+        last_crash_ms: 1 << 41,
         why: "said so".into(),
         digest: 99,
     }
 }
 
 fn all() -> Vec<ReceivedMessage> {
-    let mut far = change(3, 9);
+    let mut far = rollout(3, 9);
     let until = BTreeMap::from([(1, 1 << 62), (7, u64::MAX)]);
-    far.reach = Progress {
-        seq: 31,
+    far.progress = Progress {
+        agreement: 31,
         stage: 2,
         before: BTreeMap::from([(7, 5)]),
         until,
@@ -42,39 +42,45 @@
         Ballot { round: 2, by: 5 },
     );
     let proposal = Proposal {
-        change: RolloutId(3),
-        reach: far.reach.clone(),
+        rollout: RolloutId(3),
+        progress: far.progress.clone(),
     };
-    (far.fate, far.reason) = (
+    (far.outcome, far.reason) = (
         Outcome::RolledBack,
         Reason::new(1 << 40, 6, "book errs: 0.31 of the new, 0.01 of the old"),
     );
     vec![
-        ReceivedMessage::RolloutTable {
-            changes: vec![change(1, 2), far],
+        ReceivedMessage::Rollouts {
+            rollouts: vec![rollout(1, 2), far],
             answer: true,
         },
         ReceivedMessage::Poll {
             no: 4,
-            change: RolloutId(1 << 63),
+            rollout: RolloutId(1 << 63),
             stage: 2,
-            fate: Outcome::InProgress,
+            outcome: Outcome::InProgress,
         },
         ReceivedMessage::NodeReport {
             no: 4,
             report: report(),
         },
-        ReceivedMessage::AskPieces {
-            change: RolloutId(3),
+        ReceivedMessage::ChunkRequest {
+            rollout: RolloutId(3),
             first: 17,
             count: 8,
         },
-        ReceivedMessage::Piece {
-            change: RolloutId(3),
+        ReceivedMessage::Chunk {
+            rollout: RolloutId(3),
             no: 17,
-            bytes: vec![7; PIECE],
+            bytes: vec![7; CHUNK_BYTES],
         },
-        ReceivedMessage::PaxosRequest(Kind::Program, PaxosRequest::Prepare { seq: 31, ballot }),
+        ReceivedMessage::PaxosRequest(
+            Kind::Program,
+            PaxosRequest::Prepare {
+                agreement: 31,
+                ballot,
+            },
+        ),
         ReceivedMessage::PaxosRequest(
             Kind::Settings,
             PaxosRequest::Accept {
@@ -86,7 +92,7 @@
         ReceivedMessage::PaxosReply(
             Kind::Settings,
             PaxosReply::Promised {
-                seq: 31,
+                agreement: 31,
                 ballot,
                 accepted: Some((promised, proposal)),
             },
@@ -94,16 +100,22 @@
         ReceivedMessage::PaxosReply(
             Kind::Program,
             PaxosReply::Promised {
-                seq: 31,
+                agreement: 31,
                 ballot,
                 accepted: None,
             },
         ),
-        ReceivedMessage::PaxosReply(Kind::Settings, PaxosReply::Accepted { seq: 31, ballot }),
+        ReceivedMessage::PaxosReply(
+            Kind::Settings,
+            PaxosReply::Accepted {
+                agreement: 31,
+                ballot,
+            },
+        ),
         ReceivedMessage::PaxosReply(
             Kind::Settings,
             PaxosReply::Refused {
-                seq: 31,
+                agreement: 31,
                 ballot,
                 promised,
             },
@@ -113,15 +125,15 @@
 
 #[test]
 fn what_is_told_is_read_as_it_was_meant() {
-    for told in all() {
-        let bytes = write(&told);
-        assert!(bytes.len() <= PARCEL_MAX, "{told:?}");
-        assert_eq!(read(&bytes), Some(told));
+    for message in all() {
+        let bytes = encode(&message);
+        assert!(bytes.len() <= PARCEL_MAX, "{message:?}");
+        assert_eq!(decode(&bytes), Some(message));
     }
-    let part = write_part(&report());
+    let part = encode_attachment(&report());
     assert!(part.len() < 90, "{}", part.len());
     assert_eq!(
-        read_part(&part),
+        decode_attachment(&part),
         Some(NodeReport {
             why: String::new(),
             ..report()
@@ -131,31 +143,32 @@
 
 #[test]
 fn many_changes_are_told_in_parcels_that_fit() {
-    let mut all: Vec<Rollout> = (1..=CHANGES_MAX as u64).map(|id| change(id, id)).collect();
-    for change in &mut all {
-        change.reach.until = (0..ZONES_MAX as u32).map(|zone| (zone, 1 << 60)).collect();
-        (change.fate, change.reason) = (
+    let mut all: Vec<Rollout> = (1..=CHANGES_MAX as u64).map(|id| rollout(id, id)).collect();
+    for rollout in &mut all {
+        rollout.progress.until = (0..ZONES_MAX as u32).map(|zone| (zone, 1 << 60)).collect();
+        (rollout.outcome, rollout.reason) = (
             Outcome::Halted,
             Reason::new(1 << 41, 1 << 60, &"x".repeat(REASON_MAX)),
         );
     }
-    let told = changes(all.iter(), true);
-    let read: Vec<ReceivedMessage> = told
+    let message = rollouts(all.iter(), true);
+    let read: Vec<ReceivedMessage> = message
         .iter()
-        .map(|told| read(&write(told)).unwrap())
+        .map(|message| decode(&encode(message)).unwrap())
         .collect();
-    assert_eq!(read, told);
-    let heard: Vec<Rollout> = read
+    assert_eq!(read, message);
+    let received: Vec<Rollout> = read
         .iter()
-        .flat_map(|told| match told {
-            ReceivedMessage::RolloutTable { changes, .. } => changes.clone(),
+        .flat_map(|message| match message {
+            ReceivedMessage::Rollouts { rollouts, .. } => rollouts.clone(),
             _ => Vec::new(),
         })
         .collect();
-    assert_eq!(heard, all);
+    assert_eq!(received, all);
     assert_eq!(
-        told.iter()
-            .filter(|t| matches!(t, ReceivedMessage::RolloutTable { answer: true, .. }))
+        message
+            .iter()
+            .filter(|t| matches!(t, ReceivedMessage::Rollouts { answer: true, .. }))
             .count(),
         1
     );
@@ -165,46 +178,46 @@
 /// taken for safe.
 #[test]
 fn a_later_version_is_read_as_far_as_it_is_known() {
-    let mut parcel = Parcel {
+    let mut parcel = MessageWire {
         kind: 1,
-        changes: vec![write_change(&change(1, 2))],
-        ..Parcel::default()
+        rollouts: vec![encode_rollout(&rollout(1, 2))],
+        ..MessageWire::default()
     };
-    parcel.changes[0].fate = 9;
+    parcel.rollouts[0].outcome = 9;
     let mut bytes = parcel.encode_to_vec();
     bytes.extend([0xfa, 0x01, 0x01, b'x']); // a field 31
-    let Some(ReceivedMessage::RolloutTable { changes, .. }) = read(&bytes) else {
+    let Some(ReceivedMessage::Rollouts { rollouts, .. }) = decode(&bytes) else {
         panic!("changes")
     };
-    assert_eq!(changes[0].fate, Outcome::RolledBack);
+    assert_eq!(rollouts[0].outcome, Outcome::RolledBack);
     assert_eq!(
-        read(
-            &Parcel {
+        decode(
+            &MessageWire {
                 kind: 40,
-                ..Parcel::default()
+                ..MessageWire::default()
             }
             .encode_to_vec()
         ),
         None
     );
-    parcel.changes.push(OneChange {
+    parcel.rollouts.push(RolloutWire {
         kind: 7,
-        ..parcel.changes[0].clone()
+        ..parcel.rollouts[0].clone()
     });
-    let Some(ReceivedMessage::RolloutTable { changes, .. }) = read(&parcel.encode_to_vec()) else {
+    let Some(ReceivedMessage::Rollouts { rollouts, .. }) = decode(&parcel.encode_to_vec()) else {
         panic!("changes")
     };
     assert_eq!(
-        changes.len(),
+        rollouts.len(),
         1,
         "a kind of change that is not known is passed over"
     );
     assert_eq!(
-        read_report(&OneReport {
-            stand: 77,
-            ..OneReport::default()
+        decode_report(&ReportWire {
+            status: 77,
+            ..ReportWire::default()
         })
-        .stand,
+        .status,
         NodeStatus::Unknown
     );
 }
@@ -212,14 +225,14 @@
 #[test]
 fn every_cut_and_bit_is_read_or_refused() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    for told in all() {
-        let bytes = write(&told);
+    for message in all() {
+        let bytes = encode(&message);
         for at in 0..bytes.len().min(400) {
-            let _ = read(&bytes[..at]);
+            let _ = decode(&bytes[..at]);
             for bit in 0..8 {
                 let mut bytes = bytes.clone();
                 bytes[at] ^= 1 << bit;
-                let _ = read(&bytes);
+                let _ = decode(&bytes);
             }
         }
     }
@@ -227,6 +240,6 @@
         let noise: Vec<u8> = (0..rng.random_range(0..300))
             .map(|_| rng.random())
             .collect();
-        let _ = (read(&noise), read_part(&noise));
+        let _ = (decode(&noise), decode_attachment(&noise));
     }
 }
