--- a/crates/rollout/src/node_agent.rs
+++ b/crates/rollout/src/node_agent.rs
@@ -1,7 +1,7 @@
-//! A node's part in changes of one kind: a method for each thing that happens, acting through a
+//! A node's part in rollouts of one kind: a method for each thing that happens, acting through a
 //! small [`Host`].
 //!
-//! The life of a change here: known, fetched, checked by the node itself, staged (its content is on
+//! The life of a rollout here: known, fetched, checked by the node itself, staged (its content is on
 //! the disk), and when its stage comes on trial: first that is written, then it takes force. On
 //! trial it stays until the fleet finds it good or takes it back. What is written is always enough
 //! to start on the last good version.
@@ -9,7 +9,7 @@
 use crate::chunks::{self, ChunkFetch, FetchProgress};
 use crate::cohort_metrics::WindowSample;
 use crate::coordinator::Member;
-use crate::messages::{ReceivedMessage, changes as in_parcels};
+use crate::messages::{ReceivedMessage, rollouts as rollout_messages};
 use crate::paxos::{self, PaxosReply, PaxosRequest, VoterAction};
 use crate::persisted_state::{PersistedState, Trial};
 use crate::rollout::{Kind, Outcome, Reason, Rollout, RolloutId, RolloutTable, Version};
@@ -21,32 +21,32 @@
 /// method.
 pub trait Host {
     /// Send to a node, by the key of its name.
-    fn send(&mut self, to: u64, told: ReceivedMessage);
-    /// Write a line to the log: one for each change of what the node does about a change.
+    fn send(&mut self, to: u64, message: ReceivedMessage);
+    /// Write a line to the log: one for each rollout of what the node does about a rollout.
     fn log(&mut self, line: &str);
     /// Some other nodes that are there, by turns.
-    fn some(&mut self, most: usize) -> Vec<u64>;
-    /// One that is there and knows other changes, by the digest that it shows; if there is one.
-    fn differs(&mut self, digest: u64) -> Option<u64>;
+    fn random_peers(&mut self, most: usize) -> Vec<u64>;
+    /// One that is there and knows other rollouts, by the digest that it shows; if there is one.
+    fn peer_with_other_digest(&mut self, digest: u64) -> Option<u64>;
     /// Show this to the fleet, on the node's entry.
     fn show(&mut self, report: &NodeReport);
     /// Check a version by its content; answered by [`NodeAgent::checked`].
-    fn check(&mut self, change: RolloutId, version: Version, content: Option<Vec<u8>>);
+    fn check(&mut self, rollout: RolloutId, version: Version, content: Option<Vec<u8>>);
     /// Write what is kept, and a content with it; contents that are not needed any more may go.
     /// Answered by [`NodeAgent::kept`].
-    fn keep(&mut self, no: u64, kept: &PersistedState, content: Option<(Version, Vec<u8>)>);
+    fn persist(&mut self, no: u64, persisted: &PersistedState, content: Option<(Version, Vec<u8>)>);
     /// Run this version from here on; answered by [`NodeAgent::applied`].
     fn apply(&mut self, version: Version);
     /// The fleet as this node sees it, itself among it.
     fn members(&mut self) -> Vec<Member>;
     /// Look into a content that is offered here, or into a program's version; answered by
     /// [`crate::Participant::looked_into`]. A host that takes no orders is never asked.
-    fn look_into(&mut self, _no: u64, _version: Option<Version>, _content: Option<Vec<u8>>) {}
+    fn check_offer(&mut self, _no: u64, _version: Option<Version>, _content: Option<Vec<u8>>) {}
     /// What all nodes counted in these windows, as far as it is known here.
     fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<WindowSample>)>;
 }
 
-/// How a node stands to the change that it goes by.
+/// How a node stands to the rollout that it goes by.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum NodeStatus {
     /// It goes by none.
@@ -104,36 +104,36 @@
 /// What a node starts with.
 #[derive(Clone, Debug, Default)]
 pub struct InitialState {
-    pub kept: PersistedState,
+    pub persisted: PersistedState,
     pub running: Version,
     /// Contents that its disk has.
     pub contents: Vec<(Version, Vec<u8>)>,
     /// The content of what it runs, if that is not on its disk yet.
     pub new_content: Option<Vec<u8>>,
     /// The version that died here on trial, if one did.
-    pub died: Option<Trial>,
+    pub crashed: Option<Trial>,
     /// Whether nothing was on its disk.
     pub fresh: bool,
 }
 
-/// What a node says of itself: which version it runs since when, and how it stands to which change.
+/// What a node says of itself: which version it runs since when, and how it stands to which rollout.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeReport {
-    pub change: RolloutId,
-    /// What it knows of that change.
+    pub rollout: RolloutId,
+    /// What it knows of that rollout.
     pub stage: u32,
-    pub fate: Outcome,
-    pub stand: NodeStatus,
+    pub outcome: Outcome,
+    pub status: NodeStatus,
     pub running: Version,
     /// The last good one: what it starts on.
     pub good: Version,
     /// Unix milliseconds.
     pub since_ms: u64,
     /// How often the version died here, and when it did last, by the Unix clock.
-    pub died: u32,
-    pub died_ms: u64,
+    pub crashes: u32,
+    pub last_crash_ms: u64,
     pub why: String,
-    /// Of all changes that it knows.
+    /// Of all rollouts that it knows.
     pub digest: u64,
 }
 
@@ -146,37 +146,37 @@
     pub invariants: u64,
 }
 
-/// Between two words to one whose changes differ.
-const COMPARE: Nanos = SECOND;
+/// Between two words to one whose rollouts differ.
+const DIGEST_INTERVAL: Nanos = SECOND;
 /// Nodes that hear of something new at once.
-const TELL: usize = 3;
+const ANNOUNCE_FANOUT: usize = 3;
 /// A check, a write or a swap that was not answered for so long is asked for again.
-const ANSWER: Nanos = 20 * SECOND;
+const OPERATION_TIMEOUT: Nanos = 20 * SECOND;
 /// After a death the version is tried once more, after this; who dies twice takes it back.
-const AGAIN: Nanos = 20 * SECOND;
-pub(crate) const DEATHS: u32 = 2;
+const RETRY_AFTER_CRASH: Nanos = 20 * SECOND;
+pub(crate) const MAX_CRASHES: u32 = 2;
 /// What could not be written is tried again after this.
-const REWRITE: Nanos = 10 * SECOND;
+const PERSIST_RETRY_INTERVAL: Nanos = 10 * SECOND;
 /// A node alone halts what is plainly bad: of so many invocations since, so much less succeed than
 /// of as many before.
-const OWN_SAMPLE: u64 = 50;
-const OWN_LESS: f64 = 0.5;
+const LOCAL_MIN_REQUESTS: u64 = 50;
+const LOCAL_SUCCESS_DROP: f64 = 0.5;
 /// One that starts with nothing on its disk and hears of agreements within this may have lost what
 /// it voted, and takes no part for as long at most.
-const NEW: Nanos = 600 * SECOND;
+const VOTE_LOSS_PERIOD: Nanos = 600 * SECOND;
 /// RolloutTable that are over are forgotten after this.
-const REMEMBERED: Nanos = 7 * 24 * 3600 * SECOND;
+const ROLLOUT_RETENTION: Nanos = 7 * 24 * 3600 * SECOND;
 
 /// What is waited for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum PendingOperation {
     Nothing,
     Check {
-        change: RolloutId,
+        rollout: RolloutId,
         since: Nanos,
     },
     /// A write, and what follows it.
-    Keep {
+    Persist {
         no: u64,
         then: Continuation,
         since: Nanos,
@@ -190,8 +190,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Continuation {
     /// Nothing more.
-    Rest,
-    /// The content of a change is staged.
+    Nothing,
+    /// The content of a rollout is staged.
     Staged(RolloutId),
     /// A version takes force, on trial or back.
     Apply(Version),
@@ -205,35 +205,35 @@
     kind: Kind,
     me: u64,
     zone: u32,
-    kept: PersistedState,
-    pub(crate) changes: RolloutTable,
+    persisted: PersistedState,
+    pub(crate) rollouts: RolloutTable,
     running: Version,
     since_ms: u64,
-    died_ms: u64,
-    waits: PendingOperation,
-    writes: u64,
-    /// What is asked of this node as an arbiter, and by whom.
-    asked: Option<(u64, PaxosRequest)>,
+    last_crash_ms: u64,
+    pending: PendingOperation,
+    write_count: u64,
+    /// What is asked of this node as a voter, and by whom.
+    voter_request: Option<(u64, PaxosRequest)>,
     /// When it started, if nothing was on its disk.
-    born: Option<Nanos>,
+    empty_disk_since: Option<Nanos>,
     started: Nanos,
     abstained: bool,
     /// Since when what is kept is not on the disk as it should be, or was last tried.
-    unwritten: Option<Nanos>,
+    persist_failed_at: Option<Nanos>,
     fetch: Option<ChunkFetch>,
     /// Contents by version, as far as they are here: of what is staged, so that others can be told.
     contents: BTreeMap<Version, Vec<u8>>,
     staged: BTreeMap<Version, bool>,
-    turned_down: BTreeMap<Version, String>,
+    rejected: BTreeMap<Version, String>,
     /// When this node heard that it is in a stage; and when it may try again after a death.
-    heard_stage: Option<(RolloutId, u32, Nanos)>,
+    stage_first_seen: Option<(RolloutId, u32, Nanos)>,
     not_before: Nanos,
-    compared: Nanos,
+    last_digest_exchange: Nanos,
     report: NodeReport,
     /// What the node came to before and since the version on trial took force.
-    own_before: LocalMetrics,
-    own_begun: Option<LocalMetrics>,
-    own_last: LocalMetrics,
+    local_before: LocalMetrics,
+    local_at_trial_start: Option<LocalMetrics>,
+    local_latest: LocalMetrics,
 }
 
 impl<H: Host> NodeAgent<H> {
@@ -246,85 +246,85 @@
         host: H,
     ) -> NodeAgent<H> {
         let InitialState {
-            kept,
+            persisted,
             running,
             contents,
             new_content,
-            died,
+            crashed,
             fresh,
         } = start;
-        let mut local = NodeAgent {
+        let mut agent = NodeAgent {
             host,
-            kind: kept.kind,
+            kind: persisted.kind,
             me,
             zone,
-            kept,
-            changes: RolloutTable::default(),
+            persisted,
+            rollouts: RolloutTable::default(),
             running,
             since_ms: unix_ms,
-            died_ms: if died.is_some() { unix_ms } else { 0 },
-            waits: PendingOperation::Nothing,
-            writes: 0,
-            asked: None,
-            born: fresh.then_some(now),
+            last_crash_ms: if crashed.is_some() { unix_ms } else { 0 },
+            pending: PendingOperation::Nothing,
+            write_count: 0,
+            voter_request: None,
+            empty_disk_since: fresh.then_some(now),
             started: now,
             abstained: false,
-            unwritten: None,
+            persist_failed_at: None,
             fetch: None,
             contents: contents.into_iter().collect(),
             staged: BTreeMap::new(),
-            turned_down: BTreeMap::new(),
-            heard_stage: None,
+            rejected: BTreeMap::new(),
+            stage_first_seen: None,
             not_before: 0,
-            compared: now,
+            last_digest_exchange: now,
             report: NodeReport::default(),
-            own_before: LocalMetrics::default(),
-            own_begun: None,
-            own_last: LocalMetrics::default(),
+            local_before: LocalMetrics::default(),
+            local_at_trial_start: None,
+            local_latest: LocalMetrics::default(),
         };
-        if let Some(head) = &local.kept.head {
-            local.changes.hear(head);
+        if let Some(head) = &agent.persisted.head {
+            agent.rollouts.merge(head);
         }
-        if let Some(trial) = died {
-            local.not_before = now + AGAIN;
-            local.host.log(&format!(
+        if let Some(trial) = crashed {
+            agent.not_before = now + RETRY_AFTER_CRASH;
+            agent.host.log(&format!(
                 "version {} died on trial here, started on the last good one, {}",
                 trial.version, running
             ));
         }
         // A program whose turn it is to be tried starts on trial; else what it starts on is good,
         // as far as it goes.
-        let is_trial = local
-            .kept
+        let is_trial = agent
+            .persisted
             .trial
             .is_some_and(|trial| trial.version == running);
-        if !is_trial && local.kept.good != Some(running) {
-            local.kept.found_good(running);
+        if !is_trial && agent.persisted.good != Some(running) {
+            agent.persisted.promote(running);
         }
         if let Some(content) = &new_content {
-            local.contents.insert(running, content.clone());
+            agent.contents.insert(running, content.clone());
         }
-        local.write(
+        agent.persist(
             now,
-            Continuation::Rest,
+            Continuation::Nothing,
             new_content.map(|content| (running, content)),
         );
-        local.look(now);
-        local
+        agent.proceed(now);
+        agent
     }
 
     /// The node ends, by notice: what is on trial did not die. Gives what is to be written before
     /// the process ends.
     pub fn leave(&mut self) -> PersistedState {
-        self.kept.trial = None;
-        self.kept.clone()
+        self.persisted.trial = None;
+        self.persisted.clone()
     }
 
     // ---- What is known ----
 
-    /// All changes that are known.
-    pub fn changes(&self) -> &RolloutTable {
-        &self.changes
+    /// All rollouts that are known.
+    pub fn rollouts(&self) -> &RolloutTable {
+        &self.rollouts
     }
 
     /// What it has a part in changing.
@@ -339,7 +339,7 @@
 
     /// Whether another version is taking force at this moment.
     pub fn is_applying(&self) -> bool {
-        matches!(self.waits, PendingOperation::Apply { .. })
+        matches!(self.pending, PendingOperation::Apply { .. })
     }
 
     /// What it says of itself.
@@ -353,8 +353,8 @@
     }
 
     /// What is on the disk, or will be.
-    pub fn kept_now(&self) -> &PersistedState {
-        &self.kept
+    pub fn persisted_state(&self) -> &PersistedState {
+        &self.persisted
     }
 
     /// A version's content, if it is here.
@@ -363,84 +363,85 @@
     }
 
     /// Why a version was turned down here.
-    pub fn why_not(&self, version: Version) -> Option<&str> {
-        self.turned_down.get(&version).map(String::as_str)
+    pub fn rejection_reason(&self, version: Version) -> Option<&str> {
+        self.rejected.get(&version).map(String::as_str)
     }
 
     // ---- Words ----
 
-    /// The node itself offers a change.
-    pub fn offer(&mut self, now: Nanos, change: Rollout, content: Option<Vec<u8>>) {
+    /// The node itself offers a rollout.
+    pub fn offer(&mut self, now: Nanos, rollout: Rollout, content: Option<Vec<u8>>) {
         if let Some(content) = content {
-            self.contents.insert(change.version, content);
+            self.contents.insert(rollout.version, content);
         }
-        self.hear(now, &change);
+        self.learn(now, &rollout);
     }
 
-    /// Somebody here moves a change towards safety: an operator, or a look at its figures.
+    /// Somebody here moves a rollout towards safety: an operator, or a look at its figures.
     pub fn end(
         &mut self,
         now: Nanos,
         unix_ms: u64,
         id: RolloutId,
-        fate: Outcome,
+        outcome: Outcome,
         why: &str,
     ) -> bool {
         let ends = self
-            .changes
-            .end(id, fate, Reason::new(unix_ms, self.me, why));
+            .rollouts
+            .end(id, outcome, Reason::new(unix_ms, self.me, why));
         if ends {
             self.host
-                .log(&format!("change {id}: {}, {why}", fate.word()));
-            self.tell_some();
-            self.look(now);
+                .log(&format!("change {id}: {}, {why}", outcome.word()));
+            self.announce();
+            self.proceed(now);
         }
         ends
     }
 
-    /// The arbiters agreed that a change has come so far.
-    pub fn advance(&mut self, now: Nanos, id: RolloutId, reach: &Progress) -> bool {
-        let advances = self.changes.advance(id, reach);
+    /// The voters agreed that a rollout has come so far.
+    pub fn advance(&mut self, now: Nanos, id: RolloutId, progress: &Progress) -> bool {
+        let advances = self.rollouts.advance(id, progress);
         if advances {
-            let line = match self.changes.get(id) {
-                Some(change) if change.fate == Outcome::Completed => {
+            let line = match self.rollouts.get(id) {
+                Some(rollout) if rollout.outcome == Outcome::Completed => {
                     "done, the whole fleet runs it".to_owned()
                 }
-                _ => format!("stage {} begins", reach.stage),
+                _ => format!("stage {} begins", progress.stage),
             };
             self.host.log(&format!("change {id}: {line}"));
-            self.tell_some();
-            self.look(now);
+            self.announce();
+            self.proceed(now);
         }
         advances
     }
 
-    fn hear(&mut self, now: Nanos, said: &Rollout) -> bool {
-        if said.kind != self.kind {
+    fn learn(&mut self, now: Nanos, received: &Rollout) -> bool {
+        if received.kind != self.kind {
             return false;
         }
         let before = self
-            .changes
-            .get(said.id)
-            .map(|change| (change.fate, change.reach.stage));
-        if !self.changes.hear(said) {
+            .rollouts
+            .get(received.id)
+            .map(|rollout| (rollout.outcome, rollout.progress.stage));
+        if !self.rollouts.merge(received) {
             return false;
         }
-        if let Some(change) = self.changes.get(said.id) {
-            let (fate, stage) = before.unwrap_or((Outcome::InProgress, 0));
-            let (id, version) = (change.id, change.version);
-            let line = match change.fate {
-                now if now > fate => Some(format!(
+        if let Some(rollout) = self.rollouts.get(received.id) {
+            let (outcome, stage) = before.unwrap_or((Outcome::InProgress, 0));
+            let (id, version) = (rollout.id, rollout.version);
+            let line = match rollout.outcome {
+                now if now > outcome => Some(format!(
                     "change {id}: {}, {}",
                     now.word(),
-                    change.reason.why
+                    rollout.reason.why
+                )),
+                Outcome::InProgress if rollout.progress.stage > stage => Some(format!(
+                    "change {id}: stage {} begins",
+                    rollout.progress.stage
                 )),
-                Outcome::InProgress if change.reach.stage > stage => {
-                    Some(format!("change {id}: stage {} begins", change.reach.stage))
-                }
                 Outcome::InProgress if before.is_none() => Some(format!(
                     "change {id}: {version} is offered in place of {}",
-                    change.base
+                    rollout.base
                 )),
                 _ => None,
             };
@@ -448,98 +449,98 @@
                 self.host.log(&line);
             }
         }
-        self.tell_some();
-        self.look(now);
+        self.announce();
+        self.proceed(now);
         true
     }
 
-    fn tell_some(&mut self) {
-        for to in self.host.some(TELL) {
-            for told in in_parcels(self.changes.iter(), false) {
-                self.host.send(to, told);
+    fn announce(&mut self) {
+        for to in self.host.random_peers(ANNOUNCE_FANOUT) {
+            for message in rollout_messages(self.rollouts.iter(), false) {
+                self.host.send(to, message);
             }
         }
     }
 
     /// Something was told.
-    pub fn told(&mut self, now: Nanos, from: u64, told: ReceivedMessage) {
-        match told {
-            ReceivedMessage::RolloutTable { changes, answer } => {
-                let mine: Vec<Rollout> = changes
+    pub fn handle_message(&mut self, now: Nanos, from: u64, message: ReceivedMessage) {
+        match message {
+            ReceivedMessage::Rollouts { rollouts, answer } => {
+                let mine: Vec<Rollout> = rollouts
                     .into_iter()
-                    .filter(|change| change.kind == self.kind)
+                    .filter(|rollout| rollout.kind == self.kind)
                     .collect();
-                for change in &mine {
-                    self.hear(now, change);
+                for rollout in &mine {
+                    self.learn(now, rollout);
                 }
                 if answer {
-                    for told in in_parcels(self.changes.iter(), false) {
-                        self.host.send(from, told);
+                    for message in rollout_messages(self.rollouts.iter(), false) {
+                        self.host.send(from, message);
                     }
                 }
             }
             ReceivedMessage::Poll {
                 no,
-                change,
+                rollout,
                 stage,
-                fate,
+                outcome,
             } => {
-                if self.changes.get(change).is_none()
-                    && !self.changes.iter().any(|c| c.id == change)
+                if self.rollouts.get(rollout).is_none()
+                    && !self.rollouts.iter().any(|c| c.id == rollout)
                 {
                     // It knows nothing of it yet, and asks.
-                    in_parcels(self.changes.iter(), true)
+                    rollout_messages(self.rollouts.iter(), true)
                         .into_iter()
-                        .for_each(|told| self.host.send(from, told));
+                        .for_each(|message| self.host.send(from, message));
                 }
-                let report = self.report_on(change);
-                if (report.stage, report.fate) > (stage, fate) {
+                let report = self.report_on(rollout);
+                if (report.stage, report.outcome) > (stage, outcome) {
                     // It knows more than the one who conducts.
-                    in_parcels(self.changes.iter(), true)
+                    rollout_messages(self.rollouts.iter(), true)
                         .into_iter()
-                        .for_each(|told| self.host.send(from, told));
-                } else if (report.stage, report.fate) < (stage, fate) {
-                    self.compared = 0; // and the other way round
+                        .for_each(|message| self.host.send(from, message));
+                } else if (report.stage, report.outcome) < (stage, outcome) {
+                    self.last_digest_exchange = 0; // and the other way round
                 }
                 self.host
                     .send(from, ReceivedMessage::NodeReport { no, report });
             }
-            ReceivedMessage::AskPieces {
-                change,
+            ReceivedMessage::ChunkRequest {
+                rollout,
                 first,
                 count,
             } => {
-                let version = self.changes.get(change).map(|change| change.version);
+                let version = self.rollouts.get(rollout).map(|rollout| rollout.version);
                 let content = version.and_then(|version| self.contents.get(&version));
-                let pieces: Vec<(u32, Vec<u8>)> = (first
-                    ..first.saturating_add(count.min(chunks::AT_ONCE)))
-                    .filter_map(|no| Some((no, chunks::piece(content?, no)?.to_vec())))
+                let chunks: Vec<(u32, Vec<u8>)> = (first
+                    ..first.saturating_add(count.min(chunks::CHUNKS_PER_REQUEST)))
+                    .filter_map(|no| Some((no, chunks::chunk(content?, no)?.to_vec())))
                     .collect();
-                for (no, bytes) in pieces {
+                for (no, bytes) in chunks {
                     self.host
-                        .send(from, ReceivedMessage::Piece { change, no, bytes });
+                        .send(from, ReceivedMessage::Chunk { rollout, no, bytes });
                 }
             }
-            ReceivedMessage::Piece { change, no, bytes } => {
-                if let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.change == change) {
-                    fetch.piece(no, &bytes);
-                    self.look(now);
+            ReceivedMessage::Chunk { rollout, no, bytes } => {
+                if let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.rollout == rollout) {
+                    fetch.insert(no, &bytes);
+                    self.proceed(now);
                 }
             }
-            ReceivedMessage::PaxosRequest(kind, ask) => {
+            ReceivedMessage::PaxosRequest(kind, request) => {
                 // Of two the later one holds: the earlier is asked again, or given up.
-                self.asked = Some((from, ask)).filter(|_| kind == self.kind);
-                self.look(now);
+                self.voter_request = Some((from, request)).filter(|_| kind == self.kind);
+                self.proceed(now);
             }
             ReceivedMessage::NodeReport { .. } | ReceivedMessage::PaxosReply(..) => {}
         }
     }
 
-    /// The report, on this change.
-    fn report_on(&self, change: RolloutId) -> NodeReport {
+    /// The report, on this rollout.
+    fn report_on(&self, rollout: RolloutId) -> NodeReport {
         NodeReport {
-            change,
-            ..self.report_of(self.changes.get(change))
+            rollout,
+            ..self.report_of(self.rollouts.get(rollout))
         }
     }
 
@@ -547,175 +548,183 @@
 
     /// Does what is due; to be called some times a second.
     pub fn wake(&mut self, now: Nanos, unix_ms: u64) {
-        let late = |since: Nanos| now > since + ANSWER;
-        match &self.waits {
+        let late = |since: Nanos| now > since + OPERATION_TIMEOUT;
+        match &self.pending {
             PendingOperation::Check { since, .. }
-            | PendingOperation::Keep { since, .. }
+            | PendingOperation::Persist { since, .. }
             | PendingOperation::Apply { since, .. }
                 if late(*since) =>
             {
                 self.host
                     .log("what was asked of this node was not answered, and is asked for again");
-                self.waits = PendingOperation::Nothing;
+                self.pending = PendingOperation::Nothing;
             }
             _ => {}
         }
         // A disk that has room again gets what it lacks: else the node would start on what is no
         // more.
-        if self.waits == PendingOperation::Nothing
-            && self.unwritten.is_some_and(|since| now >= since + REWRITE)
+        if self.pending == PendingOperation::Nothing
+            && self
+                .persist_failed_at
+                .is_some_and(|since| now >= since + PERSIST_RETRY_INTERVAL)
         {
-            self.write(now, Continuation::Rest, None);
+            self.persist(now, Continuation::Nothing, None);
         }
-        if now >= self.compared + COMPARE {
-            self.compared = now;
-            self.changes.tidy(unix_ms, REMEMBERED);
-            if let Some(other) = self.host.differs(self.changes.digest()) {
-                in_parcels(self.changes.iter(), true)
+        if now >= self.last_digest_exchange + DIGEST_INTERVAL {
+            self.last_digest_exchange = now;
+            self.rollouts.remove_expired(unix_ms, ROLLOUT_RETENTION);
+            if let Some(other) = self.host.peer_with_other_digest(self.rollouts.digest()) {
+                rollout_messages(self.rollouts.iter(), true)
                     .into_iter()
-                    .for_each(|told| self.host.send(other, told));
+                    .for_each(|message| self.host.send(other, message));
             }
         }
-        self.look(now);
+        self.proceed(now);
     }
 
     /// What the node itself came to so far: a version that is plainly bad is taken back without
     /// asking anybody.
-    pub fn own(&mut self, now: Nanos, unix_ms: u64, own: LocalMetrics) {
+    pub fn record_local_metrics(&mut self, now: Nanos, unix_ms: u64, own: LocalMetrics) {
         let Some(trial) = self
-            .kept
+            .persisted
             .trial
             .filter(|trial| trial.version == self.running)
         else {
             // The last two words before a trial are what it is compared with.
-            (self.own_before, self.own_begun) = (LocalMetrics { ..self.own_last }, None);
-            self.own_last = own;
+            (self.local_before, self.local_at_trial_start) = (
+                LocalMetrics {
+                    ..self.local_latest
+                },
+                None,
+            );
+            self.local_latest = own;
             return;
         };
-        let begun = *self.own_begun.get_or_insert(own);
-        self.own_last = own;
+        let begun = *self.local_at_trial_start.get_or_insert(own);
+        self.local_latest = own;
         let since = |of: fn(&LocalMetrics) -> u64| of(&own).saturating_sub(of(&begun));
-        let before = |of: fn(&LocalMetrics) -> u64| of(&begun).saturating_sub(of(&self.own_before));
+        let before =
+            |of: fn(&LocalMetrics) -> u64| of(&begun).saturating_sub(of(&self.local_before));
         let invariants = since(|own| own.invariants);
         if invariants > 0 {
             let why = format!("{invariants} invariants did not hold at one node");
-            self.end(now, unix_ms, trial.change, Outcome::RolledBack, &why);
+            self.end(now, unix_ms, trial.rollout, Outcome::RolledBack, &why);
             return;
         }
         let (arrived, arrived_before) = (since(|own| own.arrived), before(|own| own.arrived));
-        if arrived < OWN_SAMPLE || arrived_before < OWN_SAMPLE {
+        if arrived < LOCAL_MIN_REQUESTS || arrived_before < LOCAL_MIN_REQUESTS {
             return;
         }
         let share = since(|own| own.succeeded) as f64 / arrived as f64;
         let share_before = before(|own| own.succeeded) as f64 / arrived_before as f64;
-        if share < share_before - OWN_LESS {
+        if share < share_before - LOCAL_SUCCESS_DROP {
             let why = format!(
                 "{:.0} % succeed at one node, {:.0} % did before",
                 share * 100.0,
                 share_before * 100.0
             );
-            self.end(now, unix_ms, trial.change, Outcome::RolledBack, &why);
+            self.end(now, unix_ms, trial.rollout, Outcome::RolledBack, &why);
         }
     }
 
     // ---- What is done ----
 
     fn of_kind(&self) -> impl Iterator<Item = &Rollout> {
-        self.changes
+        self.rollouts
             .iter()
-            .filter(|change| change.kind == self.kind)
+            .filter(|rollout| rollout.kind == self.kind)
     }
 
     /// The last one that is done and is not here yet.
-    fn missed(&self) -> Option<&Rollout> {
-        let good = self.kept.good.unwrap_or(self.running);
-        let done = self.of_kind().filter(|change| {
-            change.fate == Outcome::Completed && change.version.number > good.number
+    fn missing_completed(&self) -> Option<&Rollout> {
+        let good = self.persisted.good.unwrap_or(self.running);
+        let done = self.of_kind().filter(|rollout| {
+            rollout.outcome == Outcome::Completed && rollout.version.number > good.number
         });
-        done.filter(|change| !self.turned_down.contains_key(&change.version))
-            .max_by_key(|change| change.reach.seq)
+        done.filter(|rollout| !self.rejected.contains_key(&rollout.version))
+            .max_by_key(|rollout| rollout.progress.agreement)
     }
 
     /// The one that was taken back and runs here.
-    fn undone(&self) -> Option<&Rollout> {
-        self.of_kind().find(|change| {
-            matches!(change.fate, Outcome::Rejected | Outcome::RolledBack)
-                && change.version == self.running
+    fn running_rolled_back(&self) -> Option<&Rollout> {
+        self.of_kind().find(|rollout| {
+            matches!(rollout.outcome, Outcome::Rejected | Outcome::RolledBack)
+                && rollout.version == self.running
         })
     }
 
-    /// The change that this node is shown to go by.
-    fn mine(&self) -> Option<&Rollout> {
+    /// The rollout that this node is shown to go by.
+    fn shown_rollout(&self) -> Option<&Rollout> {
         let trial = self
-            .kept
+            .persisted
             .trial
-            .and_then(|trial| self.changes.get(trial.change));
-        let under_way = self.changes.under_way(self.kind);
+            .and_then(|trial| self.rollouts.get(trial.rollout));
+        let in_progress = self.rollouts.in_progress(self.kind);
         let current = || {
-            self.changes
+            self.rollouts
                 .current(self.kind)
-                .or_else(|| self.changes.head(self.kind))
+                .or_else(|| self.rollouts.head(self.kind))
         };
         trial
-            .or_else(|| self.undone())
-            .or(under_way)
-            .or_else(|| self.missed())
+            .or_else(|| self.running_rolled_back())
+            .or(in_progress)
+            .or_else(|| self.missing_completed())
             .or_else(current)
     }
 
     /// Looks at what is to be done next, and does it.
-    fn look(&mut self, now: Nanos) {
-        self.learn_of_agreements(now);
-        if self.waits == PendingOperation::Nothing {
-            self.vote(now);
+    fn proceed(&mut self, now: Nanos) {
+        self.detect_lost_votes(now);
+        if self.pending == PendingOperation::Nothing {
+            self.answer_voter_request(now);
         }
         // What was agreed on and how it ended is on the disk, so that who starts anew does not go
         // by what is over.
-        let head = |change: &Rollout| (change.id, change.reach.seq, change.fate);
-        if self.waits == PendingOperation::Nothing
-            && self.changes.head(self.kind).map(head) != self.kept.head.as_ref().map(head)
+        let head = |rollout: &Rollout| (rollout.id, rollout.progress.agreement, rollout.outcome);
+        if self.pending == PendingOperation::Nothing
+            && self.rollouts.head(self.kind).map(head) != self.persisted.head.as_ref().map(head)
         {
-            self.write(now, Continuation::Rest, None);
+            self.persist(now, Continuation::Nothing, None);
         }
-        if self.waits == PendingOperation::Nothing {
-            self.go_on(now);
+        if self.pending == PendingOperation::Nothing {
+            self.update_running_version(now);
         }
-        if self.waits == PendingOperation::Nothing {
-            self.prepare(now);
+        if self.pending == PendingOperation::Nothing {
+            self.stage_next(now);
         }
-        let report = self.report_of(self.mine());
+        let report = self.report_of(self.shown_rollout());
         if report != self.report {
             self.report = report;
             self.host.show(&self.report);
         }
     }
 
-    /// An arbiter that starts without anything on its disk, in a fleet that has agreed on things,
+    /// A voter that starts without anything on its disk, in a fleet that has agreed on things,
     /// may have lost its votes: it takes part again after two more agreements, when nothing that it
     /// can have voted on is open; or after so long that whoever can have counted its vote has long
     /// brought that to its end.
-    fn learn_of_agreements(&mut self, now: Nanos) {
-        let known = paxos::known(&self.changes, self.kind);
-        let Some(born) = self.born.filter(|_| known > 0) else {
+    fn detect_lost_votes(&mut self, now: Nanos) {
+        let known = paxos::last_agreement(&self.rollouts, self.kind);
+        let Some(empty_disk_since) = self.empty_disk_since.filter(|_| known > 0) else {
             return;
         };
-        self.born = None;
-        if now < born + NEW && self.kept.vote.is_none() {
-            self.kept.abstains_to = known + 2;
+        self.empty_disk_since = None;
+        if now < empty_disk_since + VOTE_LOSS_PERIOD && self.persisted.vote.is_none() {
+            self.persisted.abstains_to = known + 2;
         }
     }
 
-    /// What is asked of an arbiter: its vote is written before it is told.
-    fn vote(&mut self, now: Nanos) {
-        let Some((from, ask)) = self.asked.take() else {
+    /// What is asked of a voter: its vote is written before it is told.
+    fn answer_voter_request(&mut self, now: Nanos) {
+        let Some((from, request)) = self.voter_request.take() else {
             return;
         };
-        let seq = match &ask {
-            PaxosRequest::Prepare { seq, .. } => *seq,
-            PaxosRequest::Accept { proposal, .. } => proposal.reach.seq,
+        let agreement = match &request {
+            PaxosRequest::Prepare { agreement, .. } => *agreement,
+            PaxosRequest::Accept { proposal, .. } => proposal.progress.agreement,
         };
-        if seq <= self.kept.abstains_to && now < self.started + NEW {
-            let from = self.kept.abstains_to + 1;
+        if agreement <= self.persisted.abstains_to && now < self.started + VOTE_LOSS_PERIOD {
+            let from = self.persisted.abstains_to + 1;
             if !std::mem::replace(&mut self.abstained, true) {
                 self.host.log(&format!(
                     "nothing was on the disk: votes on changes from agreement {from} on"
@@ -723,37 +732,37 @@
             }
             return;
         }
-        let vote = self.kept.vote.clone().unwrap_or_default();
-        match vote.asked(&self.changes, self.kind, &ask) {
-            VoterAction::PaxosReply(say) => self
+        let vote = self.persisted.vote.clone().unwrap_or_default();
+        match vote.handle_request(&self.rollouts, self.kind, &request) {
+            VoterAction::Reply(reply) => self
                 .host
-                .send(from, ReceivedMessage::PaxosReply(self.kind, say)),
-            VoterAction::Write(vote, say) => {
-                self.kept.vote = Some(vote);
-                self.write(now, Continuation::PaxosReply(from, say), None);
+                .send(from, ReceivedMessage::PaxosReply(self.kind, reply)),
+            VoterAction::Persist(vote, reply) => {
+                self.persisted.vote = Some(vote);
+                self.persist(now, Continuation::PaxosReply(from, reply), None);
             }
-            VoterAction::Behind => in_parcels(self.changes.iter(), true)
+            VoterAction::Behind => rollout_messages(self.rollouts.iter(), true)
                 .into_iter()
-                .for_each(|told| self.host.send(from, told)),
-            VoterAction::Ahead => in_parcels(self.changes.iter(), false)
+                .for_each(|message| self.host.send(from, message)),
+            VoterAction::Ahead => rollout_messages(self.rollouts.iter(), false)
                 .into_iter()
-                .for_each(|told| self.host.send(from, told)),
+                .for_each(|message| self.host.send(from, message)),
         }
     }
 
     /// What this node runs: whether it is to be another version by what is known.
-    fn go_on(&mut self, now: Nanos) {
-        if let Some(trial) = self.kept.trial {
-            let Some(change) = self.changes.get(trial.change).cloned() else {
+    fn update_running_version(&mut self, now: Nanos) {
+        if let Some(trial) = self.persisted.trial {
+            let Some(rollout) = self.rollouts.get(trial.rollout).cloned() else {
                 // Only what is over is forgotten: it was taken back, or another one is in force.
-                return self.take_back(now, trial.version, self.running);
+                return self.roll_back(now, trial.version, self.running);
             };
-            return match change.wants(self.me, self.zone) {
-                Some(false) => self.take_back(now, trial.version, change.base),
+            return match rollout.assignment(self.me, self.zone) {
+                Some(false) => self.roll_back(now, trial.version, rollout.base),
                 Some(true)
-                    if change.fate == Outcome::Completed && self.running == trial.version =>
+                    if rollout.outcome == Outcome::Completed && self.running == trial.version =>
                 {
-                    self.found_good(now, trial.version);
+                    self.promote(now, trial.version);
                 }
                 Some(true) | None => {}
             };
@@ -761,79 +770,86 @@
         if now < self.not_before {
             return;
         }
-        if let Some((version, base)) = self.undone().map(|change| (change.version, change.base)) {
-            return self.take_back(now, version, base);
+        if let Some((version, base)) = self
+            .running_rolled_back()
+            .map(|rollout| (rollout.version, rollout.base))
+        {
+            return self.roll_back(now, version, base);
         }
         let in_stage = self
-            .changes
-            .under_way(self.kind)
-            .filter(|c| c.wants(self.me, self.zone) == Some(true));
-        let Some(change) = self.missed().or(in_stage).cloned() else {
+            .rollouts
+            .in_progress(self.kind)
+            .filter(|c| c.assignment(self.me, self.zone) == Some(true));
+        let Some(rollout) = self.missing_completed().or(in_stage).cloned() else {
             return;
         };
-        let version = change.version;
+        let version = rollout.version;
         if self.running != version
             && self.staged.contains_key(&version)
-            && self.kept.deaths(version) < DEATHS
+            && self.persisted.crashes(version) < MAX_CRASHES
         {
-            self.begin(now, &change);
+            self.start_trial(now, &rollout);
         }
     }
 
     /// What may be begun later is fetched and checked: what is missing here, then what is under
     /// way, then what goes next.
-    fn prepare(&mut self, now: Nanos) {
-        let under_way = self.changes.under_way(self.kind);
-        let all = [self.missed(), under_way, self.changes.next(self.kind)];
+    fn stage_next(&mut self, now: Nanos) {
+        let in_progress = self.rollouts.in_progress(self.kind);
+        let all = [
+            self.missing_completed(),
+            in_progress,
+            self.rollouts.next(self.kind),
+        ];
         let is_here = |version: Version| {
             self.staged.contains_key(&version)
-                || self.turned_down.contains_key(&version)
+                || self.rejected.contains_key(&version)
                 || version == self.running
         };
-        let change = all
+        let rollout = all
             .into_iter()
             .flatten()
-            .find(|change| !is_here(change.version))
+            .find(|rollout| !is_here(rollout.version))
             .cloned();
-        match change {
-            Some(change) => self.stage(now, &change),
+        match rollout {
+            Some(rollout) => self.fetch_and_check(now, &rollout),
             None => self.fetch = None,
         }
     }
 
-    /// Fetches, checks and writes a change's content.
-    fn stage(&mut self, now: Nanos, change: &Rollout) {
-        let has = self.contents.contains_key(&change.version);
-        if change.kind == Kind::Settings && !has {
+    /// Fetches, checks and writes a rollout's content.
+    fn fetch_and_check(&mut self, now: Nanos, rollout: &Rollout) {
+        let has = self.contents.contains_key(&rollout.version);
+        if rollout.kind == Kind::Settings && !has {
             if self
                 .fetch
                 .as_ref()
-                .is_none_or(|fetch| fetch.change != change.id)
+                .is_none_or(|fetch| fetch.rollout != rollout.id)
             {
-                self.fetch = ChunkFetch::new(change);
+                self.fetch = ChunkFetch::new(rollout);
             }
             let Some(fetch) = &mut self.fetch else {
-                return self.turn_down(change, "its content is too large");
+                return self.reject(rollout, "its content is too large");
             };
-            match fetch.fetched() {
-                FetchProgress::Whole(content) => {
-                    self.contents.insert(change.version, content);
+            match fetch.progress() {
+                FetchProgress::Complete(content) => {
+                    self.contents.insert(rollout.version, content);
                     self.fetch = None;
                 }
-                FetchProgress::MalformedMessage { given_up: true } => {
-                    return self.turn_down(change, "its content is not what its hash says");
+                FetchProgress::Corrupt { given_up: true } => {
+                    return self.reject(rollout, "its content is not what its hash says");
                 }
-                FetchProgress::MalformedMessage { given_up: false } | FetchProgress::NodeMetric => {
-                    if let Some((first, count)) = fetch.ask(now) {
+                FetchProgress::Corrupt { given_up: false } | FetchProgress::Incomplete => {
+                    if let Some((first, count)) = fetch.next_request(now) {
                         // Whoever offered it has it; others may.
-                        let mut to = self.host.some(1);
-                        to.push(change.by);
+                        let mut to = self.host.random_peers(1);
+                        to.push(rollout.by);
                         to.dedup();
                         for to in to {
                             self.host.send(
                                 to,
-                                ReceivedMessage::AskPieces {
-                                    change: change.id,
+                                ReceivedMessage::ChunkRequest {
+                                    rollout: rollout.id,
                                     first,
                                     count,
                                 },
@@ -844,104 +860,106 @@
                 }
             }
         }
-        self.waits = PendingOperation::Check {
-            change: change.id,
+        self.pending = PendingOperation::Check {
+            rollout: rollout.id,
             since: now,
         };
-        let content = self.contents.get(&change.version).cloned();
-        self.host.check(change.id, change.version, content);
+        let content = self.contents.get(&rollout.version).cloned();
+        self.host.check(rollout.id, rollout.version, content);
     }
 
-    fn turn_down(&mut self, change: &Rollout, why: &str) {
+    fn reject(&mut self, rollout: &Rollout, why: &str) {
         self.host
-            .log(&format!("change {}: turned down here, {why}", change.id));
-        self.turned_down.insert(change.version, why.to_owned());
-        self.contents.remove(&change.version);
+            .log(&format!("change {}: turned down here, {why}", rollout.id));
+        self.rejected.insert(rollout.version, why.to_owned());
+        self.contents.remove(&rollout.version);
         self.fetch = None;
     }
 
     /// A check was carried out.
-    pub fn checked(&mut self, now: Nanos, id: RolloutId, result: Result<(), String>) {
-        if !matches!(self.waits, PendingOperation::Check { change, .. } if change == id) {
+    pub fn check_finished(&mut self, now: Nanos, id: RolloutId, result: Result<(), String>) {
+        if !matches!(self.pending, PendingOperation::Check { rollout, .. } if rollout == id) {
             return; // asked for again meanwhile
         }
-        self.waits = PendingOperation::Nothing;
-        let Some(change) = self.changes.get(id).cloned() else {
+        self.pending = PendingOperation::Nothing;
+        let Some(rollout) = self.rollouts.get(id).cloned() else {
             return;
         };
         match result {
-            Err(why) => self.turn_down(&change, &why),
+            Err(why) => self.reject(&rollout, &why),
             Ok(()) => {
                 let content = self
                     .contents
-                    .get(&change.version)
+                    .get(&rollout.version)
                     .cloned()
-                    .map(|c| (change.version, c));
-                self.write(now, Continuation::Staged(id), content);
+                    .map(|c| (rollout.version, c));
+                self.persist(now, Continuation::Staged(id), content);
             }
         }
-        self.look(now);
+        self.proceed(now);
     }
 
-    fn write(&mut self, now: Nanos, then: Continuation, content: Option<(Version, Vec<u8>)>) {
-        self.writes += 1;
-        self.kept.head = self.changes.head(self.kind).cloned();
-        self.waits = PendingOperation::Keep {
-            no: self.writes,
+    fn persist(&mut self, now: Nanos, then: Continuation, content: Option<(Version, Vec<u8>)>) {
+        self.write_count += 1;
+        self.persisted.head = self.rollouts.head(self.kind).cloned();
+        self.pending = PendingOperation::Persist {
+            no: self.write_count,
             then,
             since: now,
         };
-        let kept = self.kept.clone();
-        self.host.keep(self.writes, &kept, content);
+        let persisted = self.persisted.clone();
+        self.host.persist(self.write_count, &persisted, content);
     }
 
     /// A write was carried out, or could not be.
-    pub fn kept(&mut self, now: Nanos, no: u64, result: Result<(), String>) {
-        let then = match &self.waits {
-            PendingOperation::Keep {
-                no: waits, then, ..
-            } if *waits == no => then.clone(),
+    pub fn persist_finished(&mut self, now: Nanos, no: u64, result: Result<(), String>) {
+        let then = match &self.pending {
+            PendingOperation::Persist {
+                no: pending, then, ..
+            } if *pending == no => then.clone(),
             _ => return,
         };
-        self.waits = PendingOperation::Nothing;
-        let was_unwritten = self.unwritten.take().is_some();
+        self.pending = PendingOperation::Nothing;
+        let was_unwritten = self.persist_failed_at.take().is_some();
         if result.is_err() {
-            self.unwritten = Some(now);
+            self.persist_failed_at = Some(now);
         } else if was_unwritten {
             self.host.log("what is in force is written again");
         }
         match (then, result) {
-            (Continuation::Rest, Ok(())) => {}
-            (Continuation::Rest, Err(_)) if was_unwritten => {} // told before
-            (Continuation::Rest, Err(why)) => self
+            (Continuation::Nothing, Ok(())) => {}
+            (Continuation::Nothing, Err(_)) if was_unwritten => {} // told before
+            (Continuation::Nothing, Err(why)) => self
                 .host
                 .log(&format!("what is in force could not be written: {why}")),
             (Continuation::Staged(id), result) => {
-                if let Some(change) = self.changes.get(id).cloned() {
+                if let Some(rollout) = self.rollouts.get(id).cloned() {
                     match result {
                         Ok(()) => {
                             self.host.log(&format!(
                                 "change {id}: version {} is staged",
-                                change.version
+                                rollout.version
                             ));
-                            self.staged.insert(change.version, true);
+                            self.staged.insert(rollout.version, true);
                         }
                         Err(why) => {
-                            self.turn_down(&change, &format!("it could not be written: {why}"))
+                            self.reject(&rollout, &format!("it could not be written: {why}"))
                         }
                     }
                 }
             }
-            (Continuation::PaxosReply(to, say), Ok(())) => self
+            (Continuation::PaxosReply(to, reply), Ok(())) => self
                 .host
-                .send(to, ReceivedMessage::PaxosReply(self.kind, say)),
+                .send(to, ReceivedMessage::PaxosReply(self.kind, reply)),
             (Continuation::PaxosReply(..), Err(why)) => self
                 .host
                 .log(&format!("a vote could not be written: {why}")),
             // It was halted meanwhile: who has not begun does not begin.
-            (Continuation::Apply(_), Ok(())) if self.is_halted_trial() => self.kept.trial = None,
+            (Continuation::Apply(_), Ok(())) if self.is_pending_trial_halted() => {
+                self.persisted.trial = None
+            }
             (Continuation::Apply(version), Ok(())) => {
-                self.waits = PendingOperation::Apply {
+                self.pending = PendingOperation::Apply {
                     version,
                     since: now,
                 };
@@ -949,88 +967,90 @@
             }
             // Towards safety it goes without its note; a version on trial must be noted before it
             // takes force.
-            (Continuation::Apply(version), Err(why)) if self.kept.trial.is_none() => {
+            (Continuation::Apply(version), Err(why)) if self.persisted.trial.is_none() => {
                 self.host.log(&format!(
                     "goes back though that could not be written: {why}"
                 ));
-                self.waits = PendingOperation::Apply {
+                self.pending = PendingOperation::Apply {
                     version,
                     since: now,
                 };
                 self.host.apply(version);
             }
             (Continuation::Apply(_), Err(why)) => {
-                if let Some(change) = self
-                    .kept
+                if let Some(rollout) = self
+                    .persisted
                     .trial
                     .take()
-                    .and_then(|trial| self.changes.get(trial.change).cloned())
+                    .and_then(|trial| self.rollouts.get(trial.rollout).cloned())
                 {
-                    self.turn_down(
-                        &change,
+                    self.reject(
+                        &rollout,
                         &format!("its trial could not be written down: {why}"),
                     );
                 }
             }
         }
-        self.look(now);
+        self.proceed(now);
     }
 
-    fn is_halted_trial(&self) -> bool {
+    fn is_pending_trial_halted(&self) -> bool {
         let trial = self
-            .kept
+            .persisted
             .trial
             .filter(|trial| trial.version != self.running);
         trial
-            .and_then(|trial| self.changes.get(trial.change))
-            .is_some_and(|change| change.fate > Outcome::Completed)
+            .and_then(|trial| self.rollouts.get(trial.rollout))
+            .is_some_and(|rollout| rollout.outcome > Outcome::Completed)
     }
 
     /// A version's turn has come here: in its slot it is written down as on trial, and then takes
     /// force.
-    fn begin(&mut self, now: Nanos, change: &Rollout) {
-        let stage = change.reach.stage;
-        let heard = match self.heard_stage {
-            Some((id, of, heard)) if (id, of) == (change.id, stage) => heard,
+    fn start_trial(&mut self, now: Nanos, rollout: &Rollout) {
+        let stage = rollout.progress.stage;
+        let received = match self.stage_first_seen {
+            Some((id, of, received)) if (id, of) == (rollout.id, stage) => received,
             _ => {
-                self.heard_stage = Some((change.id, stage, now));
+                self.stage_first_seen = Some((rollout.id, stage, now));
                 now
             }
         };
-        let spread = change.plan.stage(stage).map_or(0, |stage| stage.spread);
-        let slot = if change.fate == Outcome::Completed {
+        let spread = rollout.plan.stage(stage).map_or(0, |stage| stage.spread);
+        let slot = if rollout.outcome == Outcome::Completed {
             0
         } else {
-            change.reach.slot(change.id, self.me, self.zone, spread)
+            rollout
+                .progress
+                .slot(rollout.id, self.me, self.zone, spread)
         };
-        if now < heard + slot {
+        if now < received + slot {
             return;
         }
-        let tries = self.kept.deaths(change.version) + 1;
-        self.kept.trial = Some(Trial {
-            change: change.id,
-            version: change.version,
+        let tries = self.persisted.crashes(rollout.version) + 1;
+        self.persisted.trial = Some(Trial {
+            rollout: rollout.id,
+            version: rollout.version,
             tries,
         });
-        self.write(now, Continuation::Apply(change.version), None);
+        self.persist(now, Continuation::Apply(rollout.version), None);
     }
 
     /// A version runs now, or can't be run.
-    pub fn applied(
+    pub fn apply_finished(
         &mut self,
         now: Nanos,
         unix_ms: u64,
         version: Version,
         result: Result<(), String>,
     ) {
-        if !matches!(self.waits, PendingOperation::Apply { version: waits, .. } if waits == version)
+        if !matches!(self.pending, PendingOperation::Apply { version: pending, .. } if pending == version)
         {
             return;
         }
-        self.waits = PendingOperation::Nothing;
+        self.pending = PendingOperation::Nothing;
         match result {
             Ok(()) => {
-                let word = if self.kept.trial.is_some() {
+                let word = if self.persisted.trial.is_some() {
                     "on trial"
                 } else {
                     "in force"
@@ -1040,63 +1060,68 @@
                     self.running
                 ));
                 (self.running, self.since_ms) = (version, unix_ms);
-                self.own_begun = None;
+                self.local_at_trial_start = None;
             }
             Err(why) => {
                 self.host
                     .log(&format!("version {version} can't be run: {why}"));
                 // What can't be gone back to is tried again, and shown until then.
-                self.not_before = now + AGAIN;
-                if let Some(trial) = self.kept.trial.take_if(|trial| trial.version == version) {
-                    self.kept.turn_down(version, DEATHS);
-                    self.turned_down.insert(version, why.clone());
-                    self.write(now, Continuation::Rest, None);
+                self.not_before = now + RETRY_AFTER_CRASH;
+                if let Some(trial) = self
+                    .persisted
+                    .trial
+                    .take_if(|trial| trial.version == version)
+                {
+                    self.persisted.reject(version, MAX_CRASHES);
+                    self.rejected.insert(version, why.clone());
+                    self.persist(now, Continuation::Nothing, None);
                     self.end(
                         now,
                         unix_ms,
-                        trial.change,
+                        trial.rollout,
                         Outcome::RolledBack,
                         &format!("it can't be run at one node: {why}"),
                     );
                 }
             }
         }
-        self.look(now);
+        self.proceed(now);
     }
 
-    fn found_good(&mut self, now: Nanos, version: Version) {
-        if self.kept.good != Some(version) || self.kept.trial.is_some() {
-            self.kept.found_good(version);
+    fn promote(&mut self, now: Nanos, version: Version) {
+        if self.persisted.good != Some(version) || self.persisted.trial.is_some() {
+            self.persisted.promote(version);
             self.host.log(&format!(
                 "version {version} is good, and the one to start on"
             ));
             self.forget_contents();
-            self.write(now, Continuation::Rest, None);
+            self.persist(now, Continuation::Nothing, None);
         }
     }
 
     /// Back to the last good version; of one that was found good and is taken back later, to the
     /// one before.
-    fn take_back(&mut self, now: Nanos, version: Version, base: Version) {
-        self.kept.trial = None;
-        self.kept.turn_down(version, self.kept.deaths(version));
-        if self.kept.good == Some(version) {
-            self.kept.good = self.kept.before.take().or(Some(base));
+    fn roll_back(&mut self, now: Nanos, version: Version, base: Version) {
+        self.persisted.trial = None;
+        self.persisted
+            .reject(version, self.persisted.crashes(version));
+        if self.persisted.good == Some(version) {
+            self.persisted.good = self.persisted.before.take().or(Some(base));
         }
-        let to = self.kept.good.unwrap_or(base);
-        self.own_begun = None;
+        let to = self.persisted.good.unwrap_or(base);
+        self.local_at_trial_start = None;
         self.staged.remove(&version);
         if self.running == to {
-            return self.write(now, Continuation::Rest, None);
+            return self.persist(now, Continuation::Nothing, None);
         }
-        self.write(now, Continuation::Apply(to), None);
+        self.persist(now, Continuation::Apply(to), None);
     }
 
     /// Contents of versions that are neither kept nor offered make room.
     fn forget_contents(&mut self) {
-        let needed: Vec<Version> = self.kept.needed().collect();
+        let needed: Vec<Version> = self.persisted.needed().collect();
         let open = |version: &Version| {
-            self.changes
+            self.rollouts
                 .iter()
                 .any(|c| c.version == *version && !c.is_over())
         };
@@ -1104,54 +1129,54 @@
             .retain(|version, _| needed.contains(version) || open(version));
     }
 
-    /// How it stands to a change.
-    fn stand(&self, change: &Rollout) -> NodeStatus {
-        let version = change.version;
+    /// How it stands to a rollout.
+    fn node_status(&self, rollout: &Rollout) -> NodeStatus {
+        let version = rollout.version;
         let trial = self
-            .kept
+            .persisted
             .trial
             .is_some_and(|trial| trial.version == version);
         match () {
-            () if self.running == version && self.kept.good == Some(version) => {
+            () if self.running == version && self.persisted.good == Some(version) => {
                 NodeStatus::Promoted
             }
             () if self.running == version && trial => NodeStatus::OnTrial,
             () if trial => NodeStatus::Starting,
-            () if matches!(change.fate, Outcome::Rejected | Outcome::RolledBack) => {
-                match self.kept.is_turned_down(version) {
+            () if matches!(rollout.outcome, Outcome::Rejected | Outcome::RolledBack) => {
+                match self.persisted.is_rejected(version) {
                     true => NodeStatus::RolledBack,
                     false => NodeStatus::Offered,
                 }
             }
-            () if self.kept.deaths(version) > 0 => NodeStatus::Crashed,
-            () if self.turned_down.contains_key(&version) => NodeStatus::Rejected,
+            () if self.persisted.crashes(version) > 0 => NodeStatus::Crashed,
+            () if self.rejected.contains_key(&version) => NodeStatus::Rejected,
             () if self.staged.contains_key(&version) => NodeStatus::Staged,
             () => NodeStatus::Offered,
         }
     }
 
-    fn report_of(&self, change: Option<&Rollout>) -> NodeReport {
-        let of = change.map(|change| change.version);
+    fn report_of(&self, rollout: Option<&Rollout>) -> NodeReport {
+        let of = rollout.map(|rollout| rollout.version);
         NodeReport {
-            change: change.map_or(RolloutId(0), |change| change.id),
-            stage: change.map_or(0, |change| change.reach.stage),
-            fate: change.map_or(Outcome::InProgress, |change| change.fate),
-            stand: change.map_or(NodeStatus::Unknown, |change| self.stand(change)),
+            rollout: rollout.map_or(RolloutId(0), |rollout| rollout.id),
+            stage: rollout.map_or(0, |rollout| rollout.progress.stage),
+            outcome: rollout.map_or(Outcome::InProgress, |rollout| rollout.outcome),
+            status: rollout.map_or(NodeStatus::Unknown, |rollout| self.node_status(rollout)),
             running: self.running,
-            good: self.kept.good.unwrap_or_default(),
+            good: self.persisted.good.unwrap_or_default(),
             since_ms: self.since_ms,
-            died: of.map_or(0, |version| self.kept.deaths(version)),
-            died_ms: self.died_ms,
+            crashes: of.map_or(0, |version| self.persisted.crashes(version)),
+            last_crash_ms: self.last_crash_ms,
             why: of
-                .and_then(|version| self.turned_down.get(&version))
+                .and_then(|version| self.rejected.get(&version))
                 .cloned()
                 .unwrap_or_default(),
-            digest: self.changes.digest(),
+            digest: self.rollouts.digest(),
         }
     }
 
     /// Why the node runs what it runs, in words.
-    pub fn why(&self, unix_ms: u64) -> Vec<String> {
+    pub fn explain(&self, unix_ms: u64) -> Vec<String> {
         let ago = |since: u64| seconds(unix_ms.saturating_sub(since) * MILLISECOND);
         let mut lines = vec![format!(
             "runs version {} since {} ago",
@@ -1161,32 +1186,32 @@
         let shown = |version: Option<Version>| version.map_or("none".to_owned(), |v| v.to_string());
         lines.push(format!(
             "the last good one is {}, before it {}; it starts on the last good one",
-            shown(self.kept.good),
-            shown(self.kept.before)
+            shown(self.persisted.good),
+            shown(self.persisted.before)
         ));
-        if let Some(change) = self.mine() {
-            let wants = match change.wants(self.me, self.zone) {
+        if let Some(rollout) = self.shown_rollout() {
+            let assignment = match rollout.assignment(self.me, self.zone) {
                 Some(true) => "this node is in its stage",
-                Some(false) if change.fate == Outcome::InProgress => {
+                Some(false) if rollout.outcome == Outcome::InProgress => {
                     "this node is not in its stage"
                 }
                 Some(false) => "this node goes back, or never went",
                 None => "this node stays as it is",
             };
             lines.push(format!(
-                "change {}: {} in place of {}, stage {} of {}, {}{}; {wants}; it is {} here{}",
-                change.id,
-                change.version,
-                change.base,
-                change.reach.stage,
-                change.plan.stages.len(),
-                change.fate.word(),
-                if change.fate > Outcome::InProgress {
-                    format!(" ({})", change.reason.why)
+                "change {}: {} in place of {}, stage {} of {}, {}{}; {assignment}; it is {} here{}",
+                rollout.id,
+                rollout.version,
+                rollout.base,
+                rollout.progress.stage,
+                rollout.plan.stages.len(),
+                rollout.outcome.word(),
+                if rollout.outcome > Outcome::InProgress {
+                    format!(" ({})", rollout.reason.why)
                 } else {
                     String::new()
                 },
-                self.report.stand.word(),
+                self.report.status.word(),
                 if self.report.why.is_empty() {
                     String::new()
                 } else {
@@ -1194,9 +1219,9 @@
                 }
             ));
         }
-        for (version, died) in &self.kept.turned_down {
+        for (version, crashes) in &self.persisted.rejected {
             lines.push(format!(
-                "version {version} was taken back or turned down here, and died {died} times"
+                "version {version} was taken back or turned down here, and died {crashes} times"
             ));
         }
         lines
--- a/crates/rollout/src/operator_commands.rs
+++ b/crates/rollout/src/operator_commands.rs
@@ -1,19 +1,19 @@
 //! What operators order of a node: a content in pieces, which may come in any order and more than
-//! once; that it is offered to the fleet, once the node itself has looked into it; that a change is
+//! once; that it is offered to the fleet, once the node itself has looked into it; that a rollout is
 //! halted or taken back. The same order may come again, for its answer may have been lost: it is
 //! answered as before and has no second effect.
 
 use crate::chunks::{self, CONTENT_MAX};
-use crate::messages::{CommandReply, OperatorCommand, PIECE, order};
+use crate::messages::{CHUNK_BYTES, CommandReply, OperatorCommand, order};
 use crate::rollout::{Kind, Outcome, Reason, Rollout, RolloutId, RolloutTable, Version};
 use crate::stages::{Plan, Progress};
-use crate::{Nanos, SECOND, mix};
+use crate::{Nanos, SECOND, splitmix64};
 use std::collections::VecDeque;
 
 /// A content whose pieces stopped coming makes room for another after this.
-const GIVEN_UP: Nanos = 10 * SECOND;
+const INCOMING_IDLE_TIMEOUT: Nanos = 10 * SECOND;
 /// Offers whose answers are remembered.
-const REMEMBERED: usize = 8;
+const REMEMBERED_OFFERS: usize = 8;
 
 /// What became of an order.
 pub mod state {
@@ -22,11 +22,11 @@
     pub const REFUSED: u32 = 2;
 }
 
-fn answer(state: u32, why: &str, change: u64) -> CommandReply {
+fn answer(state: u32, why: &str, rollout: u64) -> CommandReply {
     CommandReply {
         state,
         why: why.to_owned(),
-        change,
+        rollout,
     }
 }
 
@@ -44,102 +44,102 @@
 }
 
 /// What an offer is told apart by: the digest of a content, or a program's version.
-type Mark = ([u8; 32], Version);
+type OfferKey = ([u8; 32], Version);
 
 #[derive(Clone, Debug)]
 enum CommandOutcome {
-    LookedInto { no: u64, since: Nanos },
-    Over(CommandReply),
+    Checking { no: u64, since: Nanos },
+    Answered(CommandReply),
 }
 
 /// What is to be done about an order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandAction {
     /// It is answered.
-    VoterAction(CommandReply),
+    Reply(CommandReply),
     /// The node is to look into this, and tell what came of it; the order is answered with "later"
     /// until then.
-    LookInto {
+    CheckOffer {
         no: u64,
         version: Option<Version>,
         content: Option<Vec<u8>>,
     },
-    /// A change is to be moved towards safety.
+    /// A rollout is to be moved towards safety.
     End {
         id: RolloutId,
-        fate: Outcome,
+        outcome: Outcome,
         why: String,
     },
 }
 
-/// OperatorCommands to one node, about changes of one kind.
+/// OperatorCommands to one node, about rollouts of one kind.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorCommands {
     incoming: Option<Incoming>,
-    offers: VecDeque<(Mark, CommandOutcome)>,
-    looks: u64,
+    offers: VecDeque<(OfferKey, CommandOutcome)>,
+    check_count: u64,
 }
 
 /// A look into a content that was not answered for so long may be asked for again.
-const ANSWER: Nanos = 20 * SECOND;
+const CHECK_TIMEOUT: Nanos = 20 * SECOND;
 
 impl OperatorCommands {
     /// An order came.
-    pub fn order(
+    pub fn handle(
         &mut self,
         now: Nanos,
         kind: Kind,
-        changes: &RolloutTable,
-        said: &OperatorCommand,
+        rollouts: &RolloutTable,
+        command: &OperatorCommand,
     ) -> CommandAction {
-        match said.kind {
-            order::PIECE if kind == Kind::Settings => {
-                CommandAction::VoterAction(self.piece(now, said))
+        match command.kind {
+            order::CHUNK if kind == Kind::Settings => {
+                CommandAction::Reply(self.chunk(now, command))
             }
-            order::OFFER => self.offer(now, kind, said),
-            order::HALT | order::BACK => {
-                let fate = if said.kind == order::HALT {
+            order::OFFER => self.offer(now, kind, command),
+            order::HALT | order::ROLL_BACK => {
+                let outcome = if command.kind == order::HALT {
                     Outcome::Halted
                 } else {
                     Outcome::RolledBack
                 };
-                let change = match said.change {
-                    0 => changes.current(kind).or_else(|| changes.head(kind)),
-                    id => changes
+                let rollout = match command.rollout {
+                    0 => rollouts.current(kind).or_else(|| rollouts.head(kind)),
+                    id => rollouts
                         .get(RolloutId(id))
-                        .filter(|change| change.kind == kind),
+                        .filter(|rollout| rollout.kind == kind),
                 };
-                let Some(change) = change else {
-                    return CommandAction::VoterAction(refused("no such change is known here"));
+                let Some(rollout) = rollout else {
+                    return CommandAction::Reply(refused("no such change is known here"));
                 };
-                if change.fate >= fate || change.fate == Outcome::Rejected {
-                    let why = format!("it is {} already", change.fate.word());
-                    return CommandAction::VoterAction(answer(state::TAKEN, &why, change.id.0));
+                if rollout.outcome >= outcome || rollout.outcome == Outcome::Rejected {
+                    let why = format!("it is {} already", rollout.outcome.word());
+                    return CommandAction::Reply(answer(state::TAKEN, &why, rollout.id.0));
                 }
-                if fate == Outcome::Halted && change.fate == Outcome::Completed {
-                    return CommandAction::VoterAction(refused(
+                if outcome == Outcome::Halted && rollout.outcome == Outcome::Completed {
+                    return CommandAction::Reply(refused(
                         "it is done and can't be halted, only taken back",
                     ));
                 }
-                let why = if said.why.is_empty() {
+                let why = if command.why.is_empty() {
                     "an operator said so"
                 } else {
-                    &said.why
+                    &command.why
                 };
                 CommandAction::End {
-                    id: change.id,
-                    fate,
+                    id: rollout.id,
+                    outcome,
                     why: why.to_owned(),
                 }
             }
-            _ => CommandAction::VoterAction(refused("this order is not known here")),
+            _ => CommandAction::Reply(refused("this order is not known here")),
         }
     }
 
-    fn piece(&mut self, now: Nanos, said: &OperatorCommand) -> CommandReply {
+    fn chunk(&mut self, now: Nanos, command: &OperatorCommand) -> CommandReply {
         let (size, Ok(digest)) = (
-            said.size as usize,
-            <[u8; 32]>::try_from(said.digest.as_slice()),
+            command.size as usize,
+            <[u8; 32]>::try_from(command.digest.as_slice()),
         ) else {
             return refused("a piece of nothing that can be named");
         };
@@ -148,7 +148,7 @@
         }
         let is_it = |incoming: &Incoming| incoming.digest == digest && incoming.bytes.len() == size;
         if let Some(other) = self.incoming.as_ref().filter(|incoming| !is_it(incoming)) {
-            if now < other.since + GIVEN_UP && !other.have.iter().all(|have| *have) {
+            if now < other.since + INCOMING_IDLE_TIMEOUT && !other.have.iter().all(|have| *have) {
                 return answer(state::LATER, "another content is coming in", 0);
             }
             self.incoming = None;
@@ -159,21 +159,21 @@
             have: vec![false; chunks::count(size) as usize],
             since: now,
         });
-        let from = (said.no as usize).saturating_mul(PIECE);
-        if from >= size || said.bytes.len() != PIECE.min(size - from) {
+        let from = (command.no as usize).saturating_mul(CHUNK_BYTES);
+        if from >= size || command.bytes.len() != CHUNK_BYTES.min(size - from) {
             return refused("a piece that does not fit");
         }
-        incoming.bytes[from..from + said.bytes.len()].copy_from_slice(&said.bytes);
-        incoming.have[said.no as usize] = true;
+        incoming.bytes[from..from + command.bytes.len()].copy_from_slice(&command.bytes);
+        incoming.have[command.no as usize] = true;
         incoming.since = now;
         answer(state::TAKEN, "", 0)
     }
 
-    fn offer(&mut self, now: Nanos, kind: Kind, said: &OperatorCommand) -> CommandAction {
-        let digest = <[u8; 32]>::try_from(said.digest.as_slice()).unwrap_or_default();
+    fn offer(&mut self, now: Nanos, kind: Kind, command: &OperatorCommand) -> CommandAction {
+        let digest = <[u8; 32]>::try_from(command.digest.as_slice()).unwrap_or_default();
         let version = Version {
-            number: said.number,
-            hash: said.hash,
+            number: command.number,
+            hash: command.hash,
         };
         let mark = (
             digest,
@@ -185,17 +185,13 @@
         );
         if let Some((_, outcome)) = self.offers.iter().find(|(of, _)| *of == mark) {
             match outcome {
-                CommandOutcome::Over(answered) => {
-                    return CommandAction::VoterAction(answered.clone());
+                CommandOutcome::Answered(answered) => {
+                    return CommandAction::Reply(answered.clone());
                 }
-                CommandOutcome::LookedInto { since, .. } if now < since + ANSWER => {
-                    return CommandAction::VoterAction(answer(
-                        state::LATER,
-                        "the node looks into it",
-                        0,
-                    ));
+                CommandOutcome::Checking { since, .. } if now < since + CHECK_TIMEOUT => {
+                    return CommandAction::Reply(answer(state::LATER, "the node looks into it", 0));
                 }
-                CommandOutcome::LookedInto { .. } => self.offers.retain(|(of, _)| *of != mark),
+                CommandOutcome::Checking { .. } => self.offers.retain(|(of, _)| *of != mark),
             }
         }
         let (version, content) = match kind {
@@ -205,44 +201,42 @@
                     incoming.digest == digest && incoming.have.iter().all(|have| *have)
                 });
                 let Some(whole) = whole else {
-                    return CommandAction::VoterAction(refused(
+                    return CommandAction::Reply(refused(
                         "pieces of it are missing here; order it anew",
                     ));
                 };
                 if chunks::digest(&whole.bytes) != digest {
                     self.incoming = None;
-                    return CommandAction::VoterAction(refused(
-                        "its content is not what its hash says",
-                    ));
+                    return CommandAction::Reply(refused("its content is not what its hash says"));
                 }
                 (None, Some(whole.bytes.clone()))
             }
         };
-        self.looks += 1;
-        let no = self.looks;
+        self.check_count += 1;
+        let no = self.check_count;
         self.offers
-            .push_back((mark, CommandOutcome::LookedInto { no, since: now }));
-        while self.offers.len() > REMEMBERED {
+            .push_back((mark, CommandOutcome::Checking { no, since: now }));
+        while self.offers.len() > REMEMBERED_OFFERS {
             self.offers.pop_front();
         }
-        CommandAction::LookInto {
+        CommandAction::CheckOffer {
             no,
             version,
             content,
         }
     }
 
-    /// The node looked into an offer; gives the change to be offered to the fleet, if it is one.
-    pub fn looked_into(
+    /// The node looked into an offer; gives the rollout to be offered to the fleet, if it is one.
+    pub fn offer_checked(
         &mut self,
         no: u64,
         found: Result<Version, String>,
         (kind, me, unix_ms): (Kind, u64, u64),
-        changes: &RolloutTable,
+        rollouts: &RolloutTable,
         good: Version,
         plan: &Plan,
     ) -> Option<(Rollout, Option<Vec<u8>>)> {
-        let is_it = |outcome: &CommandOutcome| matches!(outcome, CommandOutcome::LookedInto { no: of, .. } if *of == no);
+        let is_it = |outcome: &CommandOutcome| matches!(outcome, CommandOutcome::Checking { no: of, .. } if *of == no);
         let at = self.offers.iter().position(|(_, outcome)| is_it(outcome))?;
         let (digest, _) = self.offers[at].0;
         let (answered, offered) = match found {
@@ -252,7 +246,7 @@
                 (refused(&why), None)
             }
             Ok(version) => {
-                match changes
+                match rollouts
                     .iter()
                     .find(|c| c.kind == kind && c.version == version && !c.is_over())
                 {
@@ -266,8 +260,10 @@
                             .take()
                             .filter(|incoming| incoming.digest == digest);
                         let content = whole.map(|incoming| incoming.bytes);
-                        let id = RolloutId(mix(version.hash ^ mix(me ^ mix(unix_ms))));
-                        let change = Rollout {
+                        let id = RolloutId(splitmix64(
+                            version.hash ^ splitmix64(me ^ splitmix64(unix_ms)),
+                        ));
+                        let rollout = Rollout {
                             id,
                             kind,
                             version,
@@ -277,16 +273,16 @@
                             by: me,
                             at_ms: unix_ms,
                             plan: plan.clone(),
-                            reach: Progress::default(),
-                            fate: Outcome::InProgress,
+                            progress: Progress::default(),
+                            outcome: Outcome::InProgress,
                             reason: Reason::default(),
                         };
-                        (answer(state::TAKEN, "", id.0), Some((change, content)))
+                        (answer(state::TAKEN, "", id.0), Some((rollout, content)))
                     }
                 }
             }
         };
-        self.offers[at].1 = CommandOutcome::Over(answered);
+        self.offers[at].1 = CommandOutcome::Answered(answered);
         offered
     }
 }
--- a/crates/rollout/src/operator_commands/tests.rs
+++ b/crates/rollout/src/operator_commands/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::rollout::tests::change;
+use crate::rollout::tests::rollout;
 
-fn piece(content: &[u8], no: u32) -> OperatorCommand {
-    let bytes = chunks::piece(content, no).unwrap().to_vec();
+fn chunk(content: &[u8], no: u32) -> OperatorCommand {
+    let bytes = chunks::chunk(content, no).unwrap().to_vec();
     let (size, digest) = (content.len() as u32, chunks::digest(content).to_vec());
     OperatorCommand {
-        kind: order::PIECE,
+        kind: order::CHUNK,
         no,
         bytes,
         size,
@@ -24,13 +24,13 @@
 
 fn state(act: &CommandAction) -> Option<u32> {
     match act {
-        CommandAction::VoterAction(answered) => Some(answered.state),
+        CommandAction::Reply(answered) => Some(answered.state),
         _ => None,
     }
 }
 
-fn ordered(orders: &mut OperatorCommands, now: Nanos, said: &OperatorCommand) -> CommandAction {
-    orders.order(now, Kind::Settings, &RolloutTable::default(), said)
+fn ordered(orders: &mut OperatorCommands, now: Nanos, received: &OperatorCommand) -> CommandAction {
+    orders.handle(now, Kind::Settings, &RolloutTable::default(), received)
 }
 
 fn looked(
@@ -40,7 +40,7 @@
 ) -> Option<Rollout> {
     let good = Version { number: 4, hash: 1 };
     let of = (Kind::Settings, 7, 1000);
-    let offered = orders.looked_into(
+    let offered = orders.offer_checked(
         no,
         found,
         of,
@@ -48,9 +48,9 @@
         good,
         &Plan::default(),
     );
-    offered.map(|(change, content)| {
-        assert_eq!(content.map(|c| c.len() as u32), Some(change.bytes));
-        change
+    offered.map(|(rollout, content)| {
+        assert_eq!(content.map(|c| c.len() as u32), Some(rollout.bytes));
+        rollout
     })
 }
 
@@ -63,11 +63,11 @@
     );
     for no in [2, 0, 0, 1] {
         assert_eq!(
-            state(&ordered(&mut orders, 0, &piece(&content, no))),
+            state(&ordered(&mut orders, 0, &chunk(&content, no))),
             Some(state::TAKEN)
         );
     }
-    let CommandAction::LookInto {
+    let CommandAction::CheckOffer {
         no,
         content: Some(whole),
         ..
@@ -84,9 +84,9 @@
         number: 5,
         hash: 55,
     };
-    let change = looked(&mut orders, no, Ok(version)).unwrap();
+    let rollout = looked(&mut orders, no, Ok(version)).unwrap();
     assert_eq!(
-        (change.version, change.base.number, change.by),
+        (rollout.version, rollout.base.number, rollout.by),
         (version, 4, 7)
     );
     assert!(
@@ -96,26 +96,26 @@
     let again = ordered(&mut orders, 2, &offer(&content));
     assert_eq!(
         again,
-        CommandAction::VoterAction(answer(state::TAKEN, "", change.id.0))
+        CommandAction::Reply(answer(state::TAKEN, "", rollout.id.0))
     );
 }
 
 #[test]
 fn what_is_bad_old_or_spoilt_is_refused_with_the_reason() {
     let (content, mut orders) = (vec![9; 100], OperatorCommands::default());
-    let mut spoilt = piece(&content, 0);
+    let mut spoilt = chunk(&content, 0);
     spoilt.bytes[5] ^= 1;
     ordered(&mut orders, 0, &spoilt);
     assert_eq!(
         state(&ordered(&mut orders, 0, &offer(&content))),
         Some(state::REFUSED)
     );
-    ordered(&mut orders, 0, &piece(&content, 0));
-    let CommandAction::LookInto { no, .. } = ordered(&mut orders, 0, &offer(&content)) else {
+    ordered(&mut orders, 0, &chunk(&content, 0));
+    let CommandAction::CheckOffer { no, .. } = ordered(&mut orders, 0, &offer(&content)) else {
         panic!()
     };
     assert!(looked(&mut orders, no, Ok(Version { number: 4, hash: 9 })).is_none());
-    let CommandAction::VoterAction(answered) = ordered(&mut orders, 0, &offer(&content)) else {
+    let CommandAction::Reply(answered) = ordered(&mut orders, 0, &offer(&content)) else {
         panic!()
     };
     assert!(
@@ -124,19 +124,23 @@
         answered.why
     );
     let other = vec![8; 2000];
-    ordered(&mut orders, 0, &piece(&other, 0));
+    ordered(&mut orders, 0, &chunk(&other, 0));
     assert_eq!(
-        state(&ordered(&mut orders, 0, &piece(&content, 0))),
+        state(&ordered(&mut orders, 0, &chunk(&content, 0))),
         Some(state::LATER),
         "one at a time"
     );
     assert_eq!(
-        state(&ordered(&mut orders, GIVEN_UP, &piece(&content, 0))),
+        state(&ordered(
+            &mut orders,
+            INCOMING_IDLE_TIMEOUT,
+            &chunk(&content, 0)
+        )),
         Some(state::TAKEN)
     );
     let large = OperatorCommand {
         size: CONTENT_MAX as u32 + 1,
-        ..piece(&content, 0)
+        ..chunk(&content, 0)
     };
     assert_eq!(
         state(&ordered(&mut orders, 0, &large)),
@@ -148,7 +152,7 @@
             0,
             &OperatorCommand {
                 no: 9,
-                ..piece(&content, 0)
+                ..chunk(&content, 0)
             }
         )),
         Some(state::REFUSED)
@@ -157,42 +161,48 @@
 
 #[test]
 fn a_halt_or_a_way_back_is_for_the_current_change_and_is_taken_again() {
-    let (mut changes, mut orders) = (RolloutTable::default(), OperatorCommands::default());
+    let (mut rollouts, mut orders) = (RolloutTable::default(), OperatorCommands::default());
     let halt = OperatorCommand {
         kind: order::HALT,
         ..OperatorCommand::default()
     };
     let back = OperatorCommand {
-        kind: order::BACK,
+        kind: order::ROLL_BACK,
         why: "it smells".into(),
         ..OperatorCommand::default()
     };
-    let mut act = |changes: &RolloutTable, said: &OperatorCommand| {
-        orders.order(0, Kind::Settings, changes, said)
+    let mut act = |rollouts: &RolloutTable, received: &OperatorCommand| {
+        orders.handle(0, Kind::Settings, rollouts, received)
     };
-    assert_eq!(state(&act(&changes, &halt)), Some(state::REFUSED));
-    changes.hear(&change(3, 9));
+    assert_eq!(state(&act(&rollouts, &halt)), Some(state::REFUSED));
+    rollouts.merge(&rollout(3, 9));
     assert!(matches!(
-        act(&changes, &halt),
+        act(&rollouts, &halt),
         CommandAction::End {
             id: RolloutId(3),
-            fate: Outcome::Halted,
+            outcome: Outcome::Halted,
             ..
         }
     ));
-    changes.end(RolloutId(3), Outcome::Halted, Reason::new(1, 1, "x"));
-    assert_eq!(state(&act(&changes, &halt)), Some(state::TAKEN));
+    rollouts.end(RolloutId(3), Outcome::Halted, Reason::new(1, 1, "x"));
+    assert_eq!(state(&act(&rollouts, &halt)), Some(state::TAKEN));
     let CommandAction::End {
-        fate: Outcome::RolledBack,
+        outcome: Outcome::RolledBack,
         why,
         ..
-    } = act(&changes, &back)
+    } = act(&rollouts, &back)
     else {
         panic!()
     };
     assert_eq!(why, "it smells");
     assert_eq!(
-        state(&act(&changes, &OperatorCommand { change: 99, ..back })),
+        state(&act(
+            &rollouts,
+            &OperatorCommand {
+                rollout: 99,
+                ..back
+            }
+        )),
         Some(state::REFUSED)
     );
     let program = OperatorCommand {
@@ -201,9 +211,9 @@
         hash: 8,
         ..OperatorCommand::default()
     };
-    let act = orders.order(0, Kind::Program, &changes, &program);
+    let act = orders.handle(0, Kind::Program, &rollouts, &program);
     let version = Some(Version { number: 7, hash: 8 });
     assert!(
-        matches!(act, CommandAction::LookInto { version: v, content: None, .. } if v == version)
+        matches!(act, CommandAction::CheckOffer { version: v, content: None, .. } if v == version)
     );
 }
--- a/crates/rollout/src/participant.rs
+++ b/crates/rollout/src/participant.rs
@@ -1,4 +1,4 @@
-//! All of a node's part in changes of one kind: its own, and if it is an arbiter its votes, the
+//! All of a node's part in rollouts of one kind: its own, and if it is a voter its votes, the
 //! record and the conducting.
 
 use crate::coordinator::{Coordinator, CoordinatorAction};
@@ -12,168 +12,193 @@
 
 /// A window is looked at so long after its end: nodes tell their counts each five seconds, and
 /// words are on their way.
-const WORDS: u64 = 6000;
+const COUNTER_REPORT_DELAY_MS: u64 = 6000;
 
 /// The part.
 pub struct Participant<H: Host> {
-    pub local: NodeAgent<H>,
-    pub conduct: Coordinator,
-    /// How a change that is offered here goes out.
+    pub agent: NodeAgent<H>,
+    pub coordinator: Coordinator,
+    /// How a rollout that is offered here goes out.
     pub plan: Plan,
-    orders: OperatorCommands,
+    commands: OperatorCommands,
     window_ms: u64,
-    looked: Nanos,
+    last_window_check: Nanos,
 }
 
 impl<H: Host> Participant<H> {
-    /// Of a node that has just started, among these arbiters, in a fleet that counts in windows of
+    /// Of a node that has just started, among these voters, in a fleet that counts in windows of
     /// so many milliseconds.
     pub fn new(
         now: Nanos,
         unix_ms: u64,
         (me, zone): (u64, u32),
         start: InitialState,
-        arbiters: Vec<u64>,
+        voters: Vec<u64>,
         window_ms: u64,
         host: H,
     ) -> Participant<H> {
-        let kind = start.kept.kind;
+        let kind = start.persisted.kind;
         Participant {
-            local: NodeAgent::new(now, unix_ms, (me, zone), start, host),
-            conduct: Coordinator::new(now, me, kind, arbiters),
+            agent: NodeAgent::new(now, unix_ms, (me, zone), start, host),
+            coordinator: Coordinator::new(now, me, kind, voters),
             plan: Plan::default(),
-            orders: OperatorCommands::default(),
+            commands: OperatorCommands::default(),
             window_ms,
-            looked: 0,
+            last_window_check: 0,
         }
     }
 
     /// Something was told.
-    pub fn told(&mut self, now: Nanos, unix_ms: u64, from: u64, told: ReceivedMessage) {
-        match told {
+    pub fn handle_message(
+        &mut self,
+        now: Nanos,
+        unix_ms: u64,
+        from: u64,
+        message: ReceivedMessage,
+    ) {
+        match message {
             ReceivedMessage::NodeReport { no, report } => {
-                self.conduct.report_came(from, no, report)
+                self.coordinator.handle_report(from, no, report)
             }
-            ReceivedMessage::PaxosReply(kind, say) if kind == self.local.kind() => {
-                let acts = self.conduct.said(now, from, &say);
-                self.act(now, unix_ms, acts);
+            ReceivedMessage::PaxosReply(kind, reply) if kind == self.agent.kind() => {
+                let actions = self.coordinator.handle_paxos_reply(now, from, &reply);
+                self.perform(now, unix_ms, actions);
             }
-            told => self.local.told(now, from, told),
+            message => self.agent.handle_message(now, from, message),
         }
     }
 
     /// Does what is due; to be called some times a second.
     pub fn wake(&mut self, now: Nanos, unix_ms: u64) {
-        self.local.wake(now, unix_ms);
-        if !self.conduct.is_arbiter() {
+        self.agent.wake(now, unix_ms);
+        if !self.coordinator.is_voter() {
             return;
         }
-        if now >= self.looked + SECOND {
-            self.looked = now;
-            let wanted = self.conduct.wants_counts(self.local.changes());
+        if now >= self.last_window_check + SECOND {
+            self.last_window_check = now;
+            let wanted = self.coordinator.next_wanted_window(self.agent.rollouts());
             // The latest window that is over, and of which words have come.
-            let over = (unix_ms.saturating_sub(WORDS) / self.window_ms).checked_sub(1);
+            let over =
+                (unix_ms.saturating_sub(COUNTER_REPORT_DELAY_MS) / self.window_ms).checked_sub(1);
             if let (Some(from), Some(over)) = (wanted, over)
                 && over >= from
             {
-                for (window, samples) in self.local.host.windows(from, over) {
-                    self.conduct.counted(window, &samples);
+                for (window, samples) in self.agent.host.windows(from, over) {
+                    self.coordinator.record_window(window, &samples);
                 }
             }
         }
-        let members = self.local.host.members();
-        let over = (unix_ms.saturating_sub(WORDS) / self.window_ms).saturating_sub(1);
-        let acts = {
-            let NodeAgent { host, changes, .. } = &mut self.local;
-            self.conduct.wake(now, unix_ms, changes, &members, &mut || {
-                host.windows(0, over)
-            })
+        let members = self.agent.host.members();
+        let over =
+            (unix_ms.saturating_sub(COUNTER_REPORT_DELAY_MS) / self.window_ms).saturating_sub(1);
+        let actions = {
+            let NodeAgent { host, rollouts, .. } = &mut self.agent;
+            self.coordinator
+                .wake(now, unix_ms, rollouts, &members, &mut || {
+                    host.windows(0, over)
+                })
         };
-        self.act(now, unix_ms, acts);
+        self.perform(now, unix_ms, actions);
     }
 
-    fn act(&mut self, now: Nanos, unix_ms: u64, acts: Vec<CoordinatorAction>) {
-        for act in acts {
-            match act {
-                CoordinatorAction::Send(to, told) if to == self.local.me() => {
-                    self.told(now, unix_ms, to, told)
+    fn perform(&mut self, now: Nanos, unix_ms: u64, actions: Vec<CoordinatorAction>) {
+        for action in actions {
+            match action {
+                CoordinatorAction::Send(to, message) if to == self.agent.me() => {
+                    self.handle_message(now, unix_ms, to, message)
                 }
-                CoordinatorAction::Send(to, told) => self.local.host.send(to, told),
-                CoordinatorAction::End { change, fate, why } => {
-                    self.local.end(now, unix_ms, change, fate, &why);
+                CoordinatorAction::Send(to, message) => self.agent.host.send(to, message),
+                CoordinatorAction::End {
+                    rollout,
+                    outcome,
+                    why,
+                } => {
+                    self.agent.end(now, unix_ms, rollout, outcome, &why);
                 }
-                CoordinatorAction::Agreed(Proposal { change, reach }) => {
-                    self.local.advance(now, change, &reach);
+                CoordinatorAction::Agreed(Proposal { rollout, progress }) => {
+                    self.agent.advance(now, rollout, &progress);
                 }
             }
         }
     }
 
-    /// Offers a change here, whose content was checked.
-    pub fn offer(&mut self, now: Nanos, change: Rollout, content: Option<Vec<u8>>) {
-        self.local.offer(now, change, content);
+    /// Offers a rollout here, whose content was checked.
+    pub fn offer(&mut self, now: Nanos, rollout: Rollout, content: Option<Vec<u8>>) {
+        self.agent.offer(now, rollout, content);
     }
 
-    /// An operator halts a change, or takes it back.
+    /// An operator halts a rollout, or takes it back.
     pub fn end(
         &mut self,
         now: Nanos,
         unix_ms: u64,
         id: RolloutId,
-        fate: Outcome,
+        outcome: Outcome,
         why: &str,
     ) -> bool {
-        self.local.end(now, unix_ms, id, fate, why)
+        self.agent.end(now, unix_ms, id, outcome, why)
     }
 
     /// An operator orders something; gives what became of it.
-    pub fn order(&mut self, now: Nanos, unix_ms: u64, said: &OperatorCommand) -> CommandReply {
-        let kind = self.local.kind();
-        match self.orders.order(now, kind, self.local.changes(), said) {
-            operator_commands::CommandAction::VoterAction(answer) => answer,
-            operator_commands::CommandAction::LookInto {
+    pub fn handle_command(
+        &mut self,
+        now: Nanos,
+        unix_ms: u64,
+        command: &OperatorCommand,
+    ) -> CommandReply {
+        let kind = self.agent.kind();
+        match self
+            .commands
+            .handle(now, kind, self.agent.rollouts(), command)
+        {
+            operator_commands::CommandAction::Reply(answer) => answer,
+            operator_commands::CommandAction::CheckOffer {
                 no,
                 version,
                 content,
             } => {
-                self.local.host.look_into(no, version, content);
+                self.agent.host.check_offer(no, version, content);
                 CommandReply {
                     state: state::LATER,
                     why: "the node looks into it".into(),
-                    change: 0,
+                    rollout: 0,
                 }
             }
-            operator_commands::CommandAction::End { id, fate, why } => {
-                self.local.end(now, unix_ms, id, fate, &why);
+            operator_commands::CommandAction::End { id, outcome, why } => {
+                self.agent.end(now, unix_ms, id, outcome, &why);
                 CommandReply {
                     state: state::TAKEN,
                     why: String::new(),
-                    change: id.0,
+                    rollout: id.0,
                 }
             }
         }
     }
 
     /// The node looked into an offer, and found which version it is, or why it can't be run.
-    pub fn looked_into(
+    pub fn offer_checked(
         &mut self,
         now: Nanos,
         unix_ms: u64,
         no: u64,
         found: Result<Version, String>,
     ) {
-        let of = (self.local.kind(), self.local.me(), unix_ms);
-        let good = self.local.kept_now().good.unwrap_or(self.local.running());
+        let of = (self.agent.kind(), self.agent.me(), unix_ms);
+        let good = self
+            .agent
+            .persisted_state()
+            .good
+            .unwrap_or(self.agent.running());
         let offered =
-            self.orders
-                .looked_into(no, found, of, self.local.changes(), good, &self.plan);
-        if let Some((change, content)) = offered {
-            self.local.offer(now, change, content);
+            self.commands
+                .offer_checked(no, found, of, self.agent.rollouts(), good, &self.plan);
+        if let Some((rollout, content)) = offered {
+            self.agent.offer(now, rollout, content);
         }
     }
 
     /// What the node itself came to.
-    pub fn own(&mut self, now: Nanos, unix_ms: u64, own: LocalMetrics) {
-        self.local.own(now, unix_ms, own);
+    pub fn record_local_metrics(&mut self, now: Nanos, unix_ms: u64, own: LocalMetrics) {
+        self.agent.record_local_metrics(now, unix_ms, own);
     }
 }
--- a/crates/rollout/src/paxos.rs
+++ b/crates/rollout/src/paxos.rs
@@ -1,11 +1,11 @@
-//! How the arbiters agree on what comes next: single decrees, one after the other, by majority
+//! How the voters agree on what comes next: single decrees, one after the other, by majority
 //! (Paxos as Lamport has it in "Paxos Made Simple"). Each agreement has a number; the next one is
-//! voted on by arbiters that know all before it. So there is at most one agreement of a number,
+//! voted on by voters that know all before it. So there is at most one agreement of a number,
 //! whoever conducts, however many at once, and of two halves at most one goes on.
 //!
-//! An arbiter's vote is on its disk before it is told. What it takes part in is bounded by what it
-//! knows: it starts nothing for a change that it knows to be halted. A value that may have been
-//! agreed on already is carried through even so, for the numbers have no holes; as the change is
+//! A voter's vote is on its disk before it is told. What it takes part in is bounded by what it
+//! knows: it starts nothing for a rollout that it knows to be halted. A value that may have been
+//! agreed on already is carried through even so, for the numbers have no holes; as the rollout is
 //! halted nobody begins anything by it.
 
 use crate::rollout::{Kind, Outcome, RolloutId, RolloutTable};
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A round that came to nothing in this time is given up.
-pub const ROUND: Nanos = 4 * SECOND;
+pub const ROUND_TIMEOUT: Nanos = 4 * SECOND;
 
 /// Whose round it is: the higher holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -23,28 +23,28 @@
     pub by: u64,
 }
 
-/// What is voted on: that a change has come this far. Its number is in the reach.
+/// What is voted on: that a rollout has come this far. Its number is in the progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Proposal {
-    pub change: RolloutId,
-    pub reach: Progress,
+    pub rollout: RolloutId,
+    pub progress: Progress,
 }
 
-/// What an arbiter has voted, of the agreement that comes next.
+/// What a voter has voted, of the agreement that comes next.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Vote {
-    pub seq: u64,
+    pub agreement: u64,
     /// It takes no part in rounds before this one.
     pub promised: Ballot,
     pub accepted: Option<(Ballot, Proposal)>,
 }
 
-/// What is asked of an arbiter.
+/// What is asked of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PaxosRequest {
     /// Take no part in rounds before mine; and what have you voted for?
-    Prepare { seq: u64, ballot: Ballot },
-    /// Vote for this. Again, if an arbiter had voted for it in a round before.
+    Prepare { agreement: u64, ballot: Ballot },
+    /// Vote for this. Again, if a voter had voted for it in a round before.
     Accept {
         ballot: Ballot,
         proposal: Proposal,
@@ -56,17 +56,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PaxosReply {
     Promised {
-        seq: u64,
+        agreement: u64,
         ballot: Ballot,
         accepted: Option<(Ballot, Proposal)>,
     },
     Accepted {
-        seq: u64,
+        agreement: u64,
         ballot: Ballot,
     },
     /// Its promise was given to another round, or what it knows speaks against it.
     Refused {
-        seq: u64,
+        agreement: u64,
         ballot: Ballot,
         promised: Ballot,
     },
@@ -76,66 +76,71 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VoterAction {
     /// PaxosReply this at once.
-    PaxosReply(PaxosReply),
+    Reply(PaxosReply),
     /// Write the vote, and then say this.
-    Write(Vote, PaxosReply),
-    /// This arbiter lacks agreements before that one: it asks for them.
+    Persist(Vote, PaxosReply),
+    /// This voter lacks agreements before that one: it asks for them.
     Behind,
     /// It knows that one to be agreed on already, and tells.
     Ahead,
 }
 
 /// The number of the last agreement that is known.
-pub fn known(changes: &RolloutTable, kind: Kind) -> u64 {
-    changes
+pub fn last_agreement(rollouts: &RolloutTable, kind: Kind) -> u64 {
+    rollouts
         .iter()
-        .filter(|change| change.kind == kind)
-        .map(|change| change.reach.seq)
+        .filter(|rollout| rollout.kind == kind)
+        .map(|rollout| rollout.progress.agreement)
         .max()
         .unwrap_or(0)
 }
 
 impl Vote {
     /// Something is asked, and this is known.
-    pub fn asked(&self, changes: &RolloutTable, kind: Kind, ask: &PaxosRequest) -> VoterAction {
-        let (seq, ballot) = match ask {
-            PaxosRequest::Prepare { seq, ballot } => (*seq, *ballot),
+    pub fn handle_request(
+        &self,
+        rollouts: &RolloutTable,
+        kind: Kind,
+        request: &PaxosRequest,
+    ) -> VoterAction {
+        let (agreement, ballot) = match request {
+            PaxosRequest::Prepare { agreement, ballot } => (*agreement, *ballot),
             PaxosRequest::Accept {
                 ballot, proposal, ..
-            } => (proposal.reach.seq, *ballot),
+            } => (proposal.progress.agreement, *ballot),
         };
-        let known = known(changes, kind);
+        let last_agreement = last_agreement(rollouts, kind);
         // What it voted on before may have been agreed on, so that it can't take part in what comes
         // after without knowing.
-        if seq > known + 1 {
+        if agreement > last_agreement + 1 {
             return VoterAction::Behind;
         }
-        if seq <= known {
+        if agreement <= last_agreement {
             return VoterAction::Ahead;
         }
-        let mut vote = if self.seq == seq {
+        let mut vote = if self.agreement == agreement {
             self.clone()
         } else {
             Vote {
-                seq,
+                agreement,
                 ..Vote::default()
             }
         };
         if ballot < vote.promised {
-            return VoterAction::PaxosReply(PaxosReply::Refused {
-                seq,
+            return VoterAction::Reply(PaxosReply::Refused {
+                agreement,
                 ballot,
                 promised: vote.promised,
             });
         }
-        match ask {
+        match request {
             PaxosRequest::Prepare { .. } => {
                 let accepted = vote.accepted.clone();
                 vote.promised = ballot;
-                VoterAction::Write(
+                VoterAction::Persist(
                     vote,
                     PaxosReply::Promised {
-                        seq,
+                        agreement,
                         ballot,
                         accepted,
                     },
@@ -144,23 +149,23 @@
             PaxosRequest::Accept {
                 proposal, again, ..
             } => {
-                let change = changes.get(proposal.change);
-                let Some(change) = change else {
+                let rollout = rollouts.get(proposal.rollout);
+                let Some(rollout) = rollout else {
                     return VoterAction::Behind;
                 };
-                let other = changes
-                    .under_way(kind)
-                    .is_some_and(|other| other.id != proposal.change);
-                if !again && (change.fate != Outcome::InProgress || other) {
-                    return VoterAction::PaxosReply(PaxosReply::Refused {
-                        seq,
+                let other = rollouts
+                    .in_progress(kind)
+                    .is_some_and(|other| other.id != proposal.rollout);
+                if !again && (rollout.outcome != Outcome::InProgress || other) {
+                    return VoterAction::Reply(PaxosReply::Refused {
+                        agreement,
                         ballot,
                         promised: vote.promised,
                     });
                 }
                 vote.promised = ballot;
                 vote.accepted = Some((ballot, proposal.clone()));
-                VoterAction::Write(vote, PaxosReply::Accepted { seq, ballot })
+                VoterAction::Persist(vote, PaxosReply::Accepted { agreement, ballot })
             }
         }
     }
@@ -170,10 +175,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PaxosRound {
     pub ballot: Ballot,
-    pub seq: u64,
+    pub agreement: u64,
     since: Nanos,
     majority: usize,
-    wished: Proposal,
+    preferred: Proposal,
     promised: BTreeMap<u64, Option<(Ballot, Proposal)>>,
     proposed: Option<Proposal>,
     accepted: BTreeSet<u64>,
@@ -181,59 +186,59 @@
     highest: Ballot,
 }
 
-/// What follows from what an arbiter said.
+/// What follows from what a voter said.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoundStep {
     Wait,
-    /// All arbiters are asked this.
-    PaxosRequest(PaxosRequest),
+    /// All voters are asked this.
+    Request(PaxosRequest),
     Agreed(Proposal),
     /// It comes to nothing; a next round is to be higher than this.
     GiveUp(Ballot),
 }
 
 impl PaxosRound {
-    /// Begins one for a proposal, among so many arbiters; with what they are asked.
+    /// Begins one for a proposal, among so many voters; with what they are asked.
     pub fn begin(
         now: Nanos,
         ballot: Ballot,
-        wished: Proposal,
-        arbiters: usize,
+        preferred: Proposal,
+        voters: usize,
     ) -> (PaxosRound, PaxosRequest) {
-        let seq = wished.reach.seq;
+        let agreement = preferred.progress.agreement;
         let round = PaxosRound {
             ballot,
-            seq,
+            agreement,
             since: now,
-            majority: arbiters / 2 + 1,
-            wished,
+            majority: voters / 2 + 1,
+            preferred,
             promised: BTreeMap::new(),
             proposed: None,
             accepted: BTreeSet::new(),
             refused: BTreeSet::new(),
             highest: ballot,
         };
-        (round, PaxosRequest::Prepare { seq, ballot })
+        (round, PaxosRequest::Prepare { agreement, ballot })
     }
 
     /// Whether it has come to nothing in its time.
-    pub fn is_over(&self, now: Nanos) -> bool {
-        now > self.since + ROUND
+    pub fn is_timed_out(&self, now: Nanos) -> bool {
+        now > self.since + ROUND_TIMEOUT
     }
 
-    /// The change that is carried through.
-    pub fn change(&self) -> RolloutId {
-        self.proposed.as_ref().unwrap_or(&self.wished).change
+    /// The rollout that is carried through.
+    pub fn rollout(&self) -> RolloutId {
+        self.proposed.as_ref().unwrap_or(&self.preferred).rollout
     }
 
-    /// An arbiter said something.
-    pub fn said(&mut self, from: u64, say: &PaxosReply) -> RoundStep {
-        match say {
+    /// A voter said something.
+    pub fn handle_reply(&mut self, from: u64, reply: &PaxosReply) -> RoundStep {
+        match reply {
             PaxosReply::Promised {
-                seq,
+                agreement,
                 ballot,
                 accepted,
-            } if (*seq, *ballot) == (self.seq, self.ballot) => {
+            } if (*agreement, *ballot) == (self.agreement, self.ballot) => {
                 self.promised.insert(from, accepted.clone());
                 if self.proposed.is_some() || self.promised.len() < self.majority {
                     return RoundStep::Wait;
@@ -244,15 +249,19 @@
                     .flatten()
                     .max_by_key(|(ballot, _)| *ballot);
                 let again = last.is_some();
-                let proposal = last.map_or(&self.wished, |(_, proposal)| proposal).clone();
+                let proposal = last
+                    .map_or(&self.preferred, |(_, proposal)| proposal)
+                    .clone();
                 self.proposed = Some(proposal.clone());
-                RoundStep::PaxosRequest(PaxosRequest::Accept {
+                RoundStep::Request(PaxosRequest::Accept {
                     ballot: self.ballot,
                     proposal,
                     again,
                 })
             }
-            PaxosReply::Accepted { seq, ballot } if (*seq, *ballot) == (self.seq, self.ballot) => {
+            PaxosReply::Accepted { agreement, ballot }
+                if (*agreement, *ballot) == (self.agreement, self.ballot) =>
+            {
                 self.accepted.insert(from);
                 match &self.proposed {
                     Some(proposal) if self.accepted.len() >= self.majority => {
@@ -262,10 +271,10 @@
                 }
             }
             PaxosReply::Refused {
-                seq,
+                agreement,
                 ballot,
                 promised,
-            } if (*seq, *ballot) == (self.seq, self.ballot) => {
+            } if (*agreement, *ballot) == (self.agreement, self.ballot) => {
                 self.refused.insert(from);
                 self.highest = self.highest.max(*promised);
                 if self.refused.len() >= self.majority {
--- a/crates/rollout/src/persisted_state.rs
+++ b/crates/rollout/src/persisted_state.rs
@@ -6,7 +6,7 @@
 //! that the node died on trial: it starts on the last good version, and does not try that one again
 //! by itself.
 
-use crate::messages::{self, OneChange, OneVote};
+use crate::messages::{self, RolloutWire, VoteWire};
 use crate::paxos::Vote;
 use crate::rollout::{Kind, Rollout, RolloutId, Version};
 use prost::Message;
@@ -20,7 +20,7 @@
 /// A version on trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Trial {
-    pub change: RolloutId,
+    pub rollout: RolloutId,
     pub version: Version,
     /// How often it was begun here.
     pub tries: u32,
@@ -36,11 +36,11 @@
     pub before: Option<Version>,
     pub trial: Option<Trial>,
     /// Versions that died here, or were taken back or turned down, with how often they died.
-    pub turned_down: Vec<(Version, u32)>,
-    /// The change of the last agreement, so that the fleet goes on with it if all of it starts at
+    pub rejected: Vec<(Version, u32)>,
+    /// The rollout of the last agreement, so that the fleet goes on with it if all of it starts at
     /// once.
     pub head: Option<Rollout>,
-    /// What this node voted as an arbiter, and the last agreement that it takes no part in.
+    /// What this node voted as a voter, and the last agreement that it takes no part in.
     pub vote: Option<Vote>,
     pub abstains_to: u64,
 }
@@ -68,46 +68,46 @@
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct OneVersion {
+struct VersionWire {
     #[prost(uint64, tag = "1")]
     number: u64,
     #[prost(fixed64, tag = "2")]
     hash: u64,
     #[prost(uint32, tag = "3")]
-    died: u32,
+    crashes: u32,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct Body {
+struct PersistedStateWire {
     #[prost(message, optional, tag = "1")]
-    good: Option<OneVersion>,
+    good: Option<VersionWire>,
     #[prost(message, optional, tag = "2")]
-    before: Option<OneVersion>,
+    before: Option<VersionWire>,
     #[prost(fixed64, tag = "3")]
-    change: u64,
+    rollout: u64,
     #[prost(message, optional, tag = "4")]
-    trial: Option<OneVersion>,
+    trial: Option<VersionWire>,
     #[prost(message, repeated, tag = "5")]
-    turned_down: Vec<OneVersion>,
+    rejected: Vec<VersionWire>,
     #[prost(uint32, tag = "6")]
     kind: u32,
     #[prost(message, optional, tag = "7")]
-    head: Option<OneChange>,
+    head: Option<RolloutWire>,
     #[prost(message, optional, tag = "8")]
-    vote: Option<OneVote>,
+    vote: Option<VoteWire>,
     #[prost(uint64, tag = "9")]
     abstains_to: u64,
 }
 
-fn one(version: Version, died: u32) -> OneVersion {
-    OneVersion {
+fn one(version: Version, crashes: u32) -> VersionWire {
+    VersionWire {
         number: version.number,
         hash: version.hash,
-        died,
+        crashes,
     }
 }
 
-fn version(one: &OneVersion) -> Version {
+fn version(one: &VersionWire) -> Version {
     Version {
         number: one.number,
         hash: one.hash,
@@ -125,20 +125,20 @@
 
     /// The file: its mark, the bytes of what follows (4, lowest first), their CRC-32 (4), and what
     /// follows.
-    pub fn write(&self) -> Vec<u8> {
-        let body = Body {
+    pub fn encode(&self) -> Vec<u8> {
+        let body = PersistedStateWire {
             good: self.good.map(|v| one(v, 0)),
             before: self.before.map(|v| one(v, 0)),
-            change: self.trial.map_or(0, |trial| trial.change.0),
+            rollout: self.trial.map_or(0, |trial| trial.rollout.0),
             trial: self.trial.map(|trial| one(trial.version, trial.tries)),
-            turned_down: self
-                .turned_down
+            rejected: self
+                .rejected
                 .iter()
-                .map(|(v, died)| one(*v, *died))
+                .map(|(v, crashes)| one(*v, *crashes))
                 .collect(),
             kind: self.kind as u32,
-            head: self.head.as_ref().map(messages::write_change),
-            vote: self.vote.as_ref().map(messages::write_vote),
+            head: self.head.as_ref().map(messages::encode_rollout),
+            vote: self.vote.as_ref().map(messages::encode_vote),
             abstains_to: self.abstains_to,
         };
         let body = messages::later(body.encode_to_vec());
@@ -150,7 +150,7 @@
     }
 
     /// Reads a file.
-    pub fn read(bytes: &[u8]) -> Result<PersistedState, PersistedStateError> {
+    pub fn decode(bytes: &[u8]) -> Result<PersistedState, PersistedStateError> {
         let word = |at: usize| bytes.get(at..at + 4).and_then(|four| four.try_into().ok());
         let (Some(magic), Some(length), Some(crc)) = (word(0), word(4), word(8)) else {
             return Err(PersistedStateError::NotOne);
@@ -169,11 +169,11 @@
         if bytes.len() > FILE_MAX || crc32fast::hash(body) != u32::from_le_bytes(crc) {
             return Err(PersistedStateError::Damaged);
         }
-        let body = Body::decode(body).map_err(|_| PersistedStateError::Damaged)?;
+        let body = PersistedStateWire::decode(body).map_err(|_| PersistedStateError::Damaged)?;
         let trial = body.trial.as_ref().map(|trial| Trial {
-            change: RolloutId(body.change),
+            rollout: RolloutId(body.rollout),
             version: version(trial),
-            tries: trial.died,
+            tries: trial.crashes,
         });
         Ok(PersistedState {
             kind: if body.kind == 1 {
@@ -184,14 +184,14 @@
             good: body.good.as_ref().map(version),
             before: body.before.as_ref().map(version),
             trial,
-            turned_down: body
-                .turned_down
+            rejected: body
+                .rejected
                 .iter()
                 .take(TURNED_DOWN)
-                .map(|v| (version(v), v.died))
+                .map(|v| (version(v), v.crashes))
                 .collect(),
-            head: body.head.as_ref().and_then(messages::read_change),
-            vote: body.vote.as_ref().map(messages::read_vote),
+            head: body.head.as_ref().and_then(messages::decode_rollout),
+            vote: body.vote.as_ref().map(messages::decode_vote),
             abstains_to: body.abstains_to,
         })
     }
@@ -200,14 +200,14 @@
     /// this by hand; and the version that died on trial, if one did, which is noted as such. What
     /// is given by hand goes first only if its number is higher than that of the last good one, and
     /// it was not taken back here: it may be the file of long ago that the machine was set up with,
-    /// or one that was laid there beside a change.
-    pub fn begin(&mut self, given: Version) -> (Vec<Version>, Option<Trial>) {
-        let died = self.trial.take();
-        if let Some(trial) = died {
-            self.died(trial.version);
+    /// or one that was laid there beside a rollout.
+    pub fn start_candidates(&mut self, given: Version) -> (Vec<Version>, Option<Trial>) {
+        let crashes = self.trial.take();
+        if let Some(trial) = crashes {
+            self.record_crash(trial.version);
         }
         let is_newer =
-            self.good.is_none_or(|good| given.number > good.number) && !self.is_turned_down(given);
+            self.good.is_none_or(|good| given.number > good.number) && !self.is_rejected(given);
         let first = Some(given).filter(|_| is_newer);
         let mut all: Vec<Version> = first
             .into_iter()
@@ -221,46 +221,46 @@
             seen.push(*version);
             is_new
         });
-        (all, died)
+        (all, crashes)
     }
 
     /// A version died on trial here.
-    pub fn died(&mut self, version: Version) {
-        match self.turned_down.iter_mut().find(|(v, _)| *v == version) {
-            Some((_, died)) => *died += 1,
-            None => self.turn_down(version, 1),
+    pub fn record_crash(&mut self, version: Version) {
+        match self.rejected.iter_mut().find(|(v, _)| *v == version) {
+            Some((_, crashes)) => *crashes += 1,
+            None => self.reject(version, 1),
         }
     }
 
     /// A version is not to be run here.
-    pub fn turn_down(&mut self, version: Version, died: u32) {
-        self.turned_down.retain(|(v, _)| *v != version);
-        self.turned_down.push((version, died));
-        let over = self.turned_down.len().saturating_sub(TURNED_DOWN);
-        self.turned_down.drain(..over);
+    pub fn reject(&mut self, version: Version, crashes: u32) {
+        self.rejected.retain(|(v, _)| *v != version);
+        self.rejected.push((version, crashes));
+        let over = self.rejected.len().saturating_sub(TURNED_DOWN);
+        self.rejected.drain(..over);
     }
 
     /// Whether a version died here, or was taken back or turned down.
-    pub fn is_turned_down(&self, version: Version) -> bool {
-        self.turned_down.iter().any(|(v, _)| *v == version)
+    pub fn is_rejected(&self, version: Version) -> bool {
+        self.rejected.iter().any(|(v, _)| *v == version)
     }
 
     /// How often a version died here.
-    pub fn deaths(&self, version: Version) -> u32 {
-        self.turned_down
+    pub fn crashes(&self, version: Version) -> u32 {
+        self.rejected
             .iter()
             .find(|(v, _)| *v == version)
-            .map_or(0, |(_, died)| *died)
+            .map_or(0, |(_, crashes)| *crashes)
     }
 
     /// What is on trial is good: it is in force from here on.
-    pub fn found_good(&mut self, version: Version) {
+    pub fn promote(&mut self, version: Version) {
         self.trial = None;
         if self.good != Some(version) {
             self.before = self.good;
             self.good = Some(version);
         }
-        self.turned_down.retain(|(v, _)| *v != version);
+        self.rejected.retain(|(v, _)| *v != version);
     }
 
     /// Versions whose content must stay on the disk.
--- a/crates/rollout/src/process_handover.rs
+++ b/crates/rollout/src/process_handover.rs
@@ -19,9 +19,9 @@
 /// What a process starts with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartInstructions {
-    pub kept: PersistedState,
+    pub persisted: PersistedState,
     pub version: Version,
-    pub died: Option<Trial>,
+    pub crashed: Option<Trial>,
     pub fresh: bool,
     /// Whether another one serves meanwhile: then it waits until it is told that it is in charge.
     pub beside: bool,
@@ -39,24 +39,24 @@
     fn leave(&mut self, child: Child);
     fn kill(&mut self, child: Child);
     /// Write what is kept; it is on the disk when this returns.
-    fn keep(&mut self, kept: &PersistedState) -> Result<(), String>;
+    fn persist(&mut self, persisted: &PersistedState) -> Result<(), String>;
     /// Whether a version is here.
     fn has(&mut self, version: Version) -> Result<(), String>;
     /// VoterAction a question of a process.
     fn answer(&mut self, child: Child, no: u64, result: Result<(), String>);
-    /// One line a change.
+    /// One line a rollout.
     fn log(&mut self, line: &str);
 }
 
 /// A new one is ready within this, or is none.
-const READY: Nanos = 30 * SECOND;
+const READY_TIMEOUT: Nanos = 30 * SECOND;
 /// Between two starts of what dies at once: doubled each time, up to the longest; one that lived so
 /// long was no such one.
-const AGAIN: Nanos = SECOND;
-const AGAIN_MOST: Nanos = 30 * SECOND;
-const LIVED: Nanos = 60 * SECOND;
+const MIN_RESTART_DELAY: Nanos = SECOND;
+const MAX_RESTART_DELAY: Nanos = 30 * SECOND;
+const STABLE_AFTER: Nanos = 60 * SECOND;
 /// What died at once so often goes after the others that may run.
-const DEATHS_AT_ONCE: u32 = 3;
+const MAX_QUICK_CRASHES: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
 struct Process {
@@ -75,20 +75,20 @@
 /// The parent.
 pub struct Supervisor<H: Host> {
     pub host: H,
-    kept: PersistedState,
+    persisted: PersistedState,
     fresh: bool,
     /// What the operator gave to start on.
     given: Version,
     /// What an old one may take to leave.
     stop: Nanos,
-    charge: Option<Process>,
+    in_charge_process: Option<Process>,
     starting: Option<Starting>,
     leaving: Vec<Process>,
     children: u64,
-    died: Option<Trial>,
+    crashed: Option<Trial>,
     /// None is started before this; and how often in a row one died at once.
     not_before: Nanos,
-    deaths: u32,
+    quick_crashes: u32,
     /// How often a version died at once since one lived; what does not even come to serve counts as
     /// if it had died often enough.
     failures: BTreeMap<Version, u32>,
@@ -99,7 +99,7 @@
     /// A parent that read this from its disk, and starts a process.
     pub fn new(
         now: Nanos,
-        kept: PersistedState,
+        persisted: PersistedState,
         fresh: bool,
         given: Version,
         stop: Nanos,
@@ -107,17 +107,17 @@
     ) -> Supervisor<H> {
         let mut parent = Supervisor {
             host,
-            kept,
+            persisted,
             fresh,
             given,
             stop,
-            charge: None,
+            in_charge_process: None,
             starting: None,
             leaving: Vec::new(),
             children: 0,
-            died: None,
+            crashed: None,
             not_before: 0,
-            deaths: 0,
+            quick_crashes: 0,
             failures: BTreeMap::new(),
             ends: false,
         };
@@ -127,23 +127,31 @@
 
     /// Which process is in charge, and what it runs.
     pub fn in_charge(&self) -> Option<(Child, Version)> {
-        self.charge.map(|process| (process.child, process.version))
+        self.in_charge_process
+            .map(|process| (process.child, process.version))
     }
 
     /// Whether all is over.
     pub fn is_over(&self) -> bool {
-        self.ends && self.charge.is_none() && self.starting.is_none() && self.leaving.is_empty()
+        self.ends
+            && self.in_charge_process.is_none()
+            && self.starting.is_none()
+            && self.leaving.is_empty()
     }
 
     /// Starts one where there is none: of the versions that it may, the first that is here.
     fn start_one(&mut self, now: Nanos) {
-        if self.ends || self.charge.is_some() || self.starting.is_some() || now < self.not_before {
+        if self.ends
+            || self.in_charge_process.is_some()
+            || self.starting.is_some()
+            || now < self.not_before
+        {
             return;
         }
-        let (all, died) = self.kept.begin(self.given);
-        if let Some(trial) = died {
-            self.died = Some(trial);
-            if let Err(why) = self.host.keep(&self.kept) {
+        let (all, crashed) = self.persisted.start_candidates(self.given);
+        if let Some(trial) = crashed {
+            self.crashed = Some(trial);
+            if let Err(why) = self.host.persist(&self.persisted) {
                 self.host.log(&format!(
                     "that version {} died could not be written: {why}",
                     trial.version
@@ -154,7 +162,7 @@
         // others.
         let mut all = all;
         all.sort_by_key(|version| {
-            self.failures.get(version).copied().unwrap_or(0) / DEATHS_AT_ONCE
+            self.failures.get(version).copied().unwrap_or(0) / MAX_QUICK_CRASHES
         });
         for version in all {
             let started = self
@@ -172,8 +180,9 @@
     }
 
     fn wait_longer(&mut self, now: Nanos) {
-        self.not_before = now + (AGAIN << self.deaths.min(8)).min(AGAIN_MOST);
-        self.deaths += 1;
+        self.not_before =
+            now + (MIN_RESTART_DELAY << self.quick_crashes.min(8)).min(MAX_RESTART_DELAY);
+        self.quick_crashes += 1;
     }
 
     fn start(
@@ -184,11 +193,11 @@
     ) -> Result<(), String> {
         self.children += 1;
         let child = Child(self.children);
-        let beside = self.charge.is_some();
+        let beside = self.in_charge_process.is_some();
         let begin = StartInstructions {
-            kept: self.kept.clone(),
+            persisted: self.persisted.clone(),
             version,
-            died: self.died,
+            crashed: self.crashed,
             fresh: self.fresh,
             beside,
         };
@@ -223,8 +232,8 @@
             ..starting.process
         };
         self.host.in_charge(child);
-        (self.died, self.fresh) = (None, false);
-        match self.charge.replace(process) {
+        (self.crashed, self.fresh) = (None, false);
+        match self.in_charge_process.replace(process) {
             Some(old) => {
                 let line = format!(
                     "version {} serves, {} is told to leave",
@@ -241,19 +250,19 @@
     }
 
     /// What is to be kept; only the one in charge, or the only one that is there, says what.
-    pub fn keep(&mut self, child: Child, no: u64, kept: PersistedState) {
+    pub fn persist(&mut self, child: Child, no: u64, persisted: PersistedState) {
         let only = self
             .starting
-            .filter(|_| self.charge.is_none())
+            .filter(|_| self.in_charge_process.is_none())
             .map(|starting| starting.process.child);
-        if self.charge.map(|process| process.child).or(only) != Some(child) {
+        if self.in_charge_process.map(|process| process.child).or(only) != Some(child) {
             return self
                 .host
                 .answer(child, no, Err("another process is in charge".into()));
         }
-        let written = self.host.keep(&kept);
+        let written = self.host.persist(&persisted);
         if written.is_ok() {
-            self.kept = kept;
+            self.persisted = persisted;
         }
         self.host.answer(child, no, written);
     }
@@ -267,12 +276,15 @@
     /// The one in charge wants another version to take its place. It is answered only if that can't
     /// be: else it is told to leave.
     pub fn apply(&mut self, now: Nanos, child: Child, no: u64, version: Version) {
-        let Some(charge) = self.charge.filter(|process| process.child == child) else {
+        let Some(in_charge_process) = self
+            .in_charge_process
+            .filter(|process| process.child == child)
+        else {
             return self
                 .host
                 .answer(child, no, Err("another process is in charge".into()));
         };
-        if charge.version == version {
+        if in_charge_process.version == version {
             return self.host.answer(child, no, Ok(()));
         }
         if self.starting.is_some() || self.ends {
@@ -294,16 +306,16 @@
     /// The operator wants the node renewed: another process of the version in charge takes its
     /// place, without a gap.
     pub fn renew(&mut self, now: Nanos) {
-        let Some(charge) = self
-            .charge
+        let Some(in_charge_process) = self
+            .in_charge_process
             .filter(|_| self.starting.is_none() && !self.ends)
         else {
             return;
         };
-        if let Err(why) = self.start(now, charge.version, None) {
+        if let Err(why) = self.start(now, in_charge_process.version, None) {
             self.host.log(&format!(
                 "version {} can't be started anew: {why}",
-                charge.version
+                in_charge_process.version
             ));
         }
     }
@@ -325,21 +337,24 @@
         {
             self.failed(now, &starting, &format!("it ended before it served, {how}"));
         }
-        if let Some(process) = self.charge.take_if(|process| process.child == child) {
+        if let Some(process) = self
+            .in_charge_process
+            .take_if(|process| process.child == child)
+        {
             if self.ends {
                 return;
             }
             self.host
                 .log(&format!("version {} died, {how}", process.version));
-            if now >= process.since + LIVED {
-                (self.deaths, self.failures) = (0, BTreeMap::new());
+            if now >= process.since + STABLE_AFTER {
+                (self.quick_crashes, self.failures) = (0, BTreeMap::new());
             } else {
                 *self.failures.entry(process.version).or_default() += 1;
             }
-            if self.deaths > 0 {
+            if self.quick_crashes > 0 {
                 self.wait_longer(now);
             } else {
-                self.deaths = 1; // the first time at once
+                self.quick_crashes = 1; // the first time at once
             }
             // One that is being started takes its place when it serves; else one is started now.
             self.start_one(now);
@@ -351,12 +366,12 @@
         let version = starting.process.version;
         self.host
             .log(&format!("version {version} did not come to serve: {why}"));
-        match (starting.asked, self.charge) {
-            (Some((child, no)), Some(charge)) if charge.child == child => {
+        match (starting.asked, self.in_charge_process) {
+            (Some((child, no)), Some(in_charge_process)) if in_charge_process.child == child => {
                 self.host.answer(child, no, Err(why.to_owned()));
             }
             _ => {
-                *self.failures.entry(version).or_default() += DEATHS_AT_ONCE;
+                *self.failures.entry(version).or_default() += MAX_QUICK_CRASHES;
                 self.wait_longer(now);
                 self.start_one(now);
             }
@@ -369,7 +384,7 @@
     pub fn wake(&mut self, now: Nanos) {
         if let Some(starting) = self
             .starting
-            .take_if(|starting| now > starting.process.since + READY)
+            .take_if(|starting| now > starting.process.since + READY_TIMEOUT)
         {
             self.host.kill(starting.process.child);
             self.failed(now, &starting, "it was not ready in time");
@@ -398,7 +413,7 @@
                 ..starting.process
             });
         }
-        if let Some(process) = self.charge.take() {
+        if let Some(process) = self.in_charge_process.take() {
             self.host.leave(process.child);
             self.leaving.push(Process {
                 since: now,
@@ -408,8 +423,8 @@
     }
 
     /// What is on the disk.
-    pub fn kept(&self) -> &PersistedState {
-        &self.kept
+    pub fn persisted(&self) -> &PersistedState {
+        &self.persisted
     }
 }
 
--- a/crates/rollout/src/process_handover/tests.rs
+++ b/crates/rollout/src/process_handover/tests.rs
@@ -36,11 +36,11 @@
     fn kill(&mut self, child: Child) {
         self.told_to_leave.insert(child);
     }
-    fn keep(&mut self, kept: &PersistedState) -> Result<(), String> {
+    fn persist(&mut self, persisted: &PersistedState) -> Result<(), String> {
         if self.full {
             return Err("no room".into());
         }
-        self.disk = Some(kept.clone());
+        self.disk = Some(persisted.clone());
         Ok(())
     }
     fn has(&mut self, version: Version) -> Result<(), String> {
@@ -68,22 +68,22 @@
 const STOP: Nanos = 5 * SECOND;
 
 fn serving(number: u64) -> Supervisor<World> {
-    let mut kept = PersistedState::new(Kind::Program);
-    kept.found_good(v(number));
-    let mut parent = Supervisor::new(0, kept, false, v(number), STOP, World::default());
+    let mut persisted = PersistedState::new(Kind::Program);
+    persisted.promote(v(number));
+    let mut parent = Supervisor::new(0, persisted, false, v(number), STOP, World::default());
     let child = parent.host.started[0].0;
     parent.ready(1, child);
     parent
 }
 
-fn on_trial(kept: &PersistedState, number: u64) -> PersistedState {
+fn on_trial(persisted: &PersistedState, number: u64) -> PersistedState {
     PersistedState {
         trial: Some(Trial {
-            change: RolloutId(1),
+            rollout: RolloutId(1),
             version: v(number),
             tries: 1,
         }),
-        ..kept.clone()
+        ..persisted.clone()
     }
 }
 
@@ -91,16 +91,18 @@
 fn a_new_one_serves_before_the_old_one_is_told_to_leave() {
     let mut parent = serving(1);
     let old = Child(1);
-    let kept = on_trial(parent.kept(), 2);
-    parent.keep(old, 7, kept);
+    let persisted = on_trial(parent.persisted(), 2);
+    parent.persist(old, 7, persisted);
     parent.apply(SECOND, old, 8, v(2));
     let (new, begin) = parent.host.started[1].clone();
-    assert!(begin.beside && begin.kept.trial.is_some() && parent.host.told_to_leave.is_empty());
+    assert!(
+        begin.beside && begin.persisted.trial.is_some() && parent.host.told_to_leave.is_empty()
+    );
     parent.ready(2 * SECOND, new);
     assert_eq!(parent.host.in_charge, [old, new]);
     assert!(parent.host.told_to_leave.contains(&old) && parent.in_charge() == Some((new, v(2))));
     // The old one has nothing to write any more, and gets no answer but the notice.
-    parent.keep(old, 9, PersistedState::new(Kind::Program));
+    parent.persist(old, 9, PersistedState::new(Kind::Program));
     assert!(
         parent
             .host
@@ -135,7 +137,7 @@
     parent.apply(SECOND, Child(1), 8, v(2));
     parent.ended(SECOND, Child(2), "killed");
     parent.apply(2 * SECOND, Child(1), 9, v(2));
-    parent.wake(2 * SECOND + READY + 1);
+    parent.wake(2 * SECOND + READY_TIMEOUT + 1);
     parent.host.lacks.insert(3);
     parent.apply(40 * SECOND, Child(1), 10, v(3));
     let failed: Vec<u64> = parent
@@ -153,8 +155,8 @@
 #[test]
 fn one_that_dies_on_trial_is_followed_by_the_last_good_one() {
     let mut parent = serving(1);
-    let kept = on_trial(parent.kept(), 2);
-    parent.keep(Child(1), 7, kept);
+    let persisted = on_trial(parent.persisted(), 2);
+    parent.persist(Child(1), 7, persisted);
     parent.apply(SECOND, Child(1), 8, v(2));
     parent.ready(2 * SECOND, Child(2));
     parent.ended(3 * SECOND, Child(1), "well");
@@ -163,21 +165,21 @@
     assert_eq!(
         (
             begin.version,
-            begin.died.unwrap().version,
-            begin.kept.deaths(v(2))
+            begin.crashed.unwrap().version,
+            begin.persisted.crashes(v(2))
         ),
         (v(1), v(2), 1)
     );
-    assert_eq!(parent.host.disk.as_ref().unwrap().deaths(v(2)), 1);
+    assert_eq!(parent.host.disk.as_ref().unwrap().crashes(v(2)), 1);
 }
 
 #[test]
 fn a_good_version_that_does_not_come_to_serve_is_followed_by_the_one_before() {
-    let mut kept = PersistedState::new(Kind::Program);
+    let mut persisted = PersistedState::new(Kind::Program);
     [1, 2]
         .into_iter()
-        .for_each(|number| kept.found_good(v(number)));
-    let mut parent = Supervisor::new(0, kept, false, v(1), STOP, World::default());
+        .for_each(|number| persisted.promote(v(number)));
+    let mut parent = Supervisor::new(0, persisted, false, v(1), STOP, World::default());
     assert_eq!(parent.host.started[0].1.version, v(2));
     parent.ended(SECOND, Child(1), "dead");
     parent.wake(10 * SECOND);
@@ -188,11 +190,11 @@
 
 #[test]
 fn a_good_version_that_dies_at_once_thrice_is_followed_by_the_one_before() {
-    let mut kept = PersistedState::new(Kind::Program);
+    let mut persisted = PersistedState::new(Kind::Program);
     [1, 2]
         .into_iter()
-        .for_each(|number| kept.found_good(v(number)));
-    let mut parent = Supervisor::new(0, kept, false, v(1), STOP, World::default());
+        .for_each(|number| persisted.promote(v(number)));
+    let mut parent = Supervisor::new(0, persisted, false, v(1), STOP, World::default());
     let mut now = 0;
     while parent.host.started.len() < 4 {
         now += SECOND;
@@ -246,8 +248,8 @@
                 0 | 1 => {
                     if let Some((child, _)) = parent.in_charge() {
                         number += 1;
-                        let kept = on_trial(parent.kept(), number);
-                        parent.keep(child, no, kept);
+                        let persisted = on_trial(parent.persisted(), number);
+                        parent.persist(child, no, persisted);
                         parent.apply(now, child, no + 1000, v(number));
                     }
                 }
@@ -264,9 +266,9 @@
                 }
                 5 => {
                     if let Some((child, version)) = parent.in_charge() {
-                        let mut kept = parent.kept().clone();
-                        kept.found_good(version);
-                        parent.keep(child, no, kept);
+                        let mut persisted = parent.persisted().clone();
+                        persisted.promote(version);
+                        parent.persist(child, no, persisted);
                     }
                 }
                 6 => parent.host.full = rng.random_bool(0.3),
@@ -290,19 +292,19 @@
         }
         // One that was being started may have taken too long; the next one comes after its
         // pause.
-        parent.wake(now + AGAIN_MOST + 1);
+        parent.wake(now + MAX_RESTART_DELAY + 1);
         if parent.starting.is_none() {
-            parent.wake(now + 2 * AGAIN_MOST + 2);
+            parent.wake(now + 2 * MAX_RESTART_DELAY + 2);
         }
-        now += 2 * AGAIN_MOST;
+        now += 2 * MAX_RESTART_DELAY;
         assert!(
             parent.in_charge().is_some() || parent.starting.is_some(),
             "seed {seed}"
         );
-        parent.leave(now + 2 * AGAIN_MOST);
+        parent.leave(now + 2 * MAX_RESTART_DELAY);
         let left: Vec<Child> = parent.host.there.keys().copied().collect();
         left.into_iter()
-            .for_each(|child| parent.ended(now + 2 * AGAIN_MOST, child, "well"));
+            .for_each(|child| parent.ended(now + 2 * MAX_RESTART_DELAY, child, "well"));
         assert!(
             parent.is_over(),
             "seed {seed}: {:?} {:?}",
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -1,6 +1,6 @@
-//! What the fleet knows of a change: a value that merges in any order, any number of times, and
-//! only ever moves on. Of two words about one change the later stage holds, and the fate that is
-//! nearer to safety: whoever halts needs nobody, and nothing that is said later brings a change
+//! What the fleet knows of a rollout: a value that merges in any order, any number of times, and
+//! only ever moves on. Of two words about one rollout the later stage holds, and the outcome that is
+//! nearer to safety: whoever halts needs nobody, and nothing that is said later brings a rollout
 //! back.
 
 use crate::Nanos;
@@ -26,7 +26,7 @@
     }
 }
 
-/// One change, drawn from who offered what and when.
+/// One rollout, drawn from who offered what and when.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RolloutId(pub u64);
 
@@ -46,7 +46,7 @@
     Program,
 }
 
-/// What has become of a change, from the farthest to the nearest to safety.
+/// What has become of a rollout, from the farthest to the nearest to safety.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Outcome {
     /// It goes on, as far as stages are agreed.
@@ -106,7 +106,7 @@
     }
 }
 
-/// A change.
+/// A rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rollout {
     pub id: RolloutId,
@@ -122,36 +122,36 @@
     pub at_ms: u64,
     pub plan: Plan,
     // What grows.
-    pub reach: Progress,
-    pub fate: Outcome,
+    pub progress: Progress,
+    pub outcome: Outcome,
     pub reason: Reason,
 }
 
 impl Rollout {
-    /// The place of a change among those that have not begun: the higher version first, of these
+    /// The place of a rollout among those that have not begun: the higher version first, of these
     /// the one offered first.
     pub fn order(&self) -> (std::cmp::Reverse<u64>, u64, RolloutId) {
         (std::cmp::Reverse(self.version.number), self.at_ms, self.id)
     }
 
     /// Whether it has begun, and is not over.
-    pub fn is_under_way(&self) -> bool {
-        self.fate == Outcome::InProgress && self.reach.stage > 0
+    pub fn is_in_progress(&self) -> bool {
+        self.outcome == Outcome::InProgress && self.progress.stage > 0
     }
 
     /// Whether nothing more becomes of it by itself.
     pub fn is_over(&self) -> bool {
         matches!(
-            self.fate,
+            self.outcome,
             Outcome::Completed | Outcome::Rejected | Outcome::RolledBack
         )
     }
 
     /// Whether a node is to run the new version by what is known here; none if it is to stay as it
     /// is.
-    pub fn wants(&self, node: u64, zone: u32) -> Option<bool> {
-        match self.fate {
-            Outcome::InProgress => Some(self.reach.has(self.id, node, zone)),
+    pub fn assignment(&self, node: u64, zone: u32) -> Option<bool> {
+        match self.outcome {
+            Outcome::InProgress => Some(self.progress.has(self.id, node, zone)),
             Outcome::Completed => Some(true),
             Outcome::Halted => None,
             Outcome::Rejected | Outcome::RolledBack => Some(false),
@@ -159,62 +159,69 @@
     }
 
     /// Moves towards safety. What is nearer to it already stays.
-    pub fn end(&mut self, fate: Outcome, reason: Reason) -> bool {
-        let ends = fate > self.fate;
+    pub fn end(&mut self, outcome: Outcome, reason: Reason) -> bool {
+        let ends = outcome > self.outcome;
         if ends {
-            (self.fate, self.reason) = (fate, reason);
+            (self.outcome, self.reason) = (outcome, reason);
         }
         ends
     }
 
-    /// Another word about the same change; whether anything is new in it.
-    pub fn merge(&mut self, said: &Rollout) -> bool {
+    /// Another word about the same rollout; whether anything is new in it.
+    pub fn merge(&mut self, other: &Rollout) -> bool {
         // Of two reasons for the same the one that was first, so that all come to one.
-        let nearer = said.fate > self.fate
-            || said.fate == self.fate
-                && said.fate > Outcome::InProgress
-                && said.reason < self.reason;
+        let nearer = other.outcome > self.outcome
+            || other.outcome == self.outcome
+                && other.outcome > Outcome::InProgress
+                && other.reason < self.reason;
         if nearer {
-            (self.fate, self.reason) = (said.fate, said.reason.clone());
+            (self.outcome, self.reason) = (other.outcome, other.reason.clone());
         }
-        let farther = self.reached(&said.reach);
+        let farther = self.record_progress(&other.progress);
         nearer || farther
     }
 
     /// It was agreed that it has come this far. Agreements are numbered; there are no two of a
     /// number.
-    fn reached(&mut self, reach: &Progress) -> bool {
-        let farther = reach.seq > self.reach.seq;
+    fn record_progress(&mut self, progress: &Progress) -> bool {
+        let farther = progress.agreement > self.progress.agreement;
         if farther {
-            self.reach = reach.clone();
+            self.progress = progress.clone();
         }
-        if self.fate <= Outcome::Completed && self.plan.is_beyond(self.reach.stage) {
-            (self.fate, self.reason) = (Outcome::Completed, Reason::default());
+        if self.outcome <= Outcome::Completed && self.plan.is_beyond(self.progress.stage) {
+            (self.outcome, self.reason) = (Outcome::Completed, Reason::default());
         }
         farther
     }
 
     /// A number that two words share if they say the same.
     fn print(&self) -> u64 {
-        let print = crate::mix(self.id.0 ^ crate::mix(self.reach.seq << 3 ^ self.fate as u64));
-        crate::mix(print ^ self.reason.at_ms ^ self.reason.by)
+        let print = crate::splitmix64(
+            self.id.0 ^ crate::splitmix64(self.progress.agreement << 3 ^ self.outcome as u64),
+        );
+        crate::splitmix64(print ^ self.reason.at_ms ^ self.reason.by)
     }
 
     /// The place among those that are remembered: what is under way, then what may begin, by its
     /// order, then what is over, the latest first.
     fn rank(&self) -> (u8, std::cmp::Reverse<u64>, u64, RolloutId) {
         let (number, at, id) = self.order();
-        match self.fate {
-            Outcome::InProgress | Outcome::Halted if self.reach.seq > 0 => {
-                (0, std::cmp::Reverse(self.reach.seq), at, id)
+        match self.outcome {
+            Outcome::InProgress | Outcome::Halted if self.progress.agreement > 0 => {
+                (0, std::cmp::Reverse(self.progress.agreement), at, id)
             }
             Outcome::InProgress => (1, number, at, id),
-            _ => (2, std::cmp::Reverse(self.at_ms), self.reach.seq, id),
+            _ => (
+                2,
+                std::cmp::Reverse(self.at_ms),
+                self.progress.agreement,
+                id,
+            ),
         }
     }
 }
 
-/// All changes that a node knows.
+/// All rollouts that a node knows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutTable {
     all: BTreeMap<RolloutId, Rollout>,
@@ -235,24 +242,24 @@
         let of = self
             .all
             .values()
-            .filter(|change| change.kind == kind && change.reach.seq > 0);
-        of.max_by_key(|change| change.reach.seq)
+            .filter(|rollout| rollout.kind == kind && rollout.progress.agreement > 0);
+        of.max_by_key(|rollout| rollout.progress.agreement)
     }
 
-    /// A word about a change; whether anything is new in it. Which ones are remembered follows from
+    /// A word about a rollout; whether anything is new in it. Which ones are remembered follows from
     /// what was heard, and not from the order, so that all come to the same.
-    pub fn hear(&mut self, said: &Rollout) -> bool {
-        if let Some(known) = self.all.get_mut(&said.id) {
-            return known.merge(said);
+    pub fn merge(&mut self, other: &Rollout) -> bool {
+        if let Some(known) = self.all.get_mut(&other.id) {
+            return known.merge(other);
         }
-        let mut said = said.clone();
-        if said.fate == Outcome::InProgress {
-            said.reason = Reason::default();
+        let mut other = other.clone();
+        if other.outcome == Outcome::InProgress {
+            other.reason = Reason::default();
         }
-        let reach = std::mem::take(&mut said.reach);
-        said.reached(&reach);
-        let id = said.id;
-        self.all.insert(id, said);
+        let progress = std::mem::take(&mut other.progress);
+        other.record_progress(&progress);
+        let id = other.id;
+        self.all.insert(id, other);
         if self.all.len() <= CHANGES_MAX {
             return true;
         }
@@ -261,7 +268,7 @@
             .all
             .values()
             .filter(|c| !heads.contains(&Some(c.id)))
-            .max_by_key(|change| change.rank());
+            .max_by_key(|rollout| rollout.rank());
         let Some(last) = last.map(|last| last.id) else {
             return true;
         };
@@ -269,37 +276,38 @@
         last != id
     }
 
-    /// Moves a change towards safety.
-    pub fn end(&mut self, id: RolloutId, fate: Outcome, reason: Reason) -> bool {
+    /// Moves a rollout towards safety.
+    pub fn end(&mut self, id: RolloutId, outcome: Outcome, reason: Reason) -> bool {
         self.all
             .get_mut(&id)
-            .is_some_and(|change| change.end(fate, reason))
+            .is_some_and(|rollout| rollout.end(outcome, reason))
     }
 
-    /// It was agreed that a change has come this far.
-    pub fn advance(&mut self, id: RolloutId, reach: &Progress) -> bool {
+    /// It was agreed that a rollout has come this far.
+    pub fn advance(&mut self, id: RolloutId, progress: &Progress) -> bool {
         self.all
             .get_mut(&id)
-            .is_some_and(|change| change.reached(reach))
+            .is_some_and(|rollout| rollout.record_progress(progress))
     }
 
-    /// The change that is under way, of a kind. While this node lacks the end of one there may seem
+    /// The rollout that is under way, of a kind. While this node lacks the end of one there may seem
     /// to be two: the later holds.
-    pub fn under_way(&self, kind: Kind) -> Option<&Rollout> {
+    pub fn in_progress(&self, kind: Kind) -> Option<&Rollout> {
         self.all
             .values()
-            .filter(|c| c.kind == kind && c.is_under_way())
-            .max_by_key(|change| change.reach.seq)
+            .filter(|c| c.kind == kind && c.is_in_progress())
+            .max_by_key(|rollout| rollout.progress.agreement)
     }
 
     /// The one that goes next: the first in the order of those that have not begun.
     pub fn next(&self, kind: Kind) -> Option<&Rollout> {
-        let waits =
-            |c: &&Rollout| c.kind == kind && c.fate == Outcome::InProgress && c.reach.stage == 0;
+        let waits = |c: &&Rollout| {
+            c.kind == kind && c.outcome == Outcome::InProgress && c.progress.stage == 0
+        };
         self.all
             .values()
             .filter(waits)
-            .min_by_key(|change| change.order())
+            .min_by_key(|rollout| rollout.order())
     }
 
     /// The one that a node goes by now: under way, or halted and not taken back, or else the next.
@@ -308,10 +316,10 @@
             let halted = self
                 .all
                 .values()
-                .filter(|c| c.kind == kind && c.fate == Outcome::Halted);
-            halted.max_by_key(|change| change.reach.seq)
+                .filter(|c| c.kind == kind && c.outcome == Outcome::Halted);
+            halted.max_by_key(|rollout| rollout.progress.agreement)
         };
-        self.under_way(kind)
+        self.in_progress(kind)
             .or_else(halted)
             .or_else(|| self.next(kind))
     }
@@ -320,21 +328,21 @@
     pub fn digest(&self) -> u64 {
         self.all
             .values()
-            .fold(0, |sum, change| sum.wrapping_add(change.print()))
+            .fold(0, |sum, rollout| sum.wrapping_add(rollout.print()))
     }
 
     /// Forgets what was over long ago.
-    pub fn tidy(&mut self, now_ms: u64, keep: Nanos) {
-        let keep_ms = keep / crate::MILLISECOND;
+    pub fn remove_expired(&mut self, now_ms: u64, persist: Nanos) {
+        let keep_ms = persist / crate::MILLISECOND;
         let heads = [Kind::Settings, Kind::Program].map(|kind| self.head(kind).map(|head| head.id));
-        self.all.retain(|id, change| {
+        self.all.retain(|id, rollout| {
             heads.contains(&Some(*id))
-                || !change.is_over()
+                || !rollout.is_over()
                 || now_ms
-                    < change
+                    < rollout
                         .reason
                         .at_ms
-                        .max(change.at_ms)
+                        .max(rollout.at_ms)
                         .saturating_add(keep_ms)
         });
     }
@@ -347,13 +355,13 @@
     use rand::{RngExt, SeedableRng};
     use rand_pcg::Pcg64Mcg;
 
-    pub(crate) fn change(id: u64, number: u64) -> Rollout {
+    pub(crate) fn rollout(id: u64, number: u64) -> Rollout {
         Rollout {
             id: RolloutId(id),
             kind: Kind::Settings,
             version: Version {
                 number,
-                hash: crate::mix(number ^ id),
+                hash: crate::splitmix64(number ^ id),
             },
             base: Version {
                 number: 1,
@@ -364,16 +372,16 @@
             by: 5,
             at_ms: 1000 + id,
             plan: Plan::default(),
-            reach: Progress::default(),
-            fate: Outcome::InProgress,
+            progress: Progress::default(),
+            outcome: Outcome::InProgress,
             reason: Reason::default(),
         }
     }
 
-    fn reach(stage: u32) -> Progress {
+    fn progress(stage: u32) -> Progress {
         let until = BTreeMap::from([(0, u64::from(stage) << 50)]);
         Progress {
-            seq: u64::from(stage),
+            agreement: u64::from(stage),
             stage,
             until,
             ..Progress::default()
@@ -389,10 +397,10 @@
             let mut words: Vec<Rollout> = Vec::new();
             for id in 1..4 {
                 for _ in 0..rng.random_range(1..8) {
-                    let mut word = change(id, 2);
-                    word.reach = reach(rng.random_range(0..8));
+                    let mut word = rollout(id, 2);
+                    word.progress = progress(rng.random_range(0..8));
                     if rng.random_bool(0.4) {
-                        word.fate = Outcome::from_number(rng.random_range(1..5)).unwrap();
+                        word.outcome = Outcome::from_number(rng.random_range(1..5)).unwrap();
                         let why = ["a", "b"][rng.random_range(0..2)];
                         word.reason =
                             Reason::new(rng.random_range(0..9), rng.random_range(0..3), why);
@@ -400,27 +408,28 @@
                     words.push(word);
                 }
             }
-            let mut heard: Vec<RolloutTable> = vec![RolloutTable::default(); 4];
-            for changes in &mut heard {
+            let mut received: Vec<RolloutTable> = vec![RolloutTable::default(); 4];
+            for rollouts in &mut received {
                 words.shuffle(&mut rng);
                 let again = rng.random_range(0..words.len());
                 for word in words.iter().chain(&words[..again]) {
-                    let before = changes.get(word.id).cloned();
-                    changes.hear(word);
-                    let after = changes.get(word.id).unwrap();
+                    let before = rollouts.get(word.id).cloned();
+                    rollouts.merge(word);
+                    let after = rollouts.get(word.id).unwrap();
                     assert!(
-                        before.is_none_or(
-                            |b| after.fate >= b.fate && after.reach.stage >= b.reach.stage
-                        )
+                        before.is_none_or(|b| after.outcome >= b.outcome
+                            && after.progress.stage >= b.progress.stage)
                     );
                 }
             }
             // One more hears by way of the first.
             let mut second = RolloutTable::default();
-            heard[0].iter().for_each(|change| _ = second.hear(change));
-            heard.push(second);
+            received[0]
+                .iter()
+                .for_each(|rollout| _ = second.merge(rollout));
+            received.push(second);
             assert!(
-                heard
+                received
                     .windows(2)
                     .all(|two| two[0] == two[1] && two[0].digest() == two[1].digest()),
                 "{seed}"
@@ -430,68 +439,72 @@
 
     #[test]
     fn a_halt_is_not_undone_and_nothing_advances_after_it() {
-        let mut changes = RolloutTable::default();
-        changes.hear(&change(1, 2));
+        let mut rollouts = RolloutTable::default();
+        rollouts.merge(&rollout(1, 2));
         assert!(
-            changes.advance(RolloutId(1), &reach(1)) && !changes.advance(RolloutId(1), &reach(1))
+            rollouts.advance(RolloutId(1), &progress(1))
+                && !rollouts.advance(RolloutId(1), &progress(1))
         );
-        assert!(changes.end(RolloutId(1), Outcome::Halted, Reason::new(5, 1, "seen")));
-        assert!(!changes.end(RolloutId(1), Outcome::Completed, Reason::new(6, 2, "no")));
+        assert!(rollouts.end(RolloutId(1), Outcome::Halted, Reason::new(5, 1, "seen")));
+        assert!(!rollouts.end(RolloutId(1), Outcome::Completed, Reason::new(6, 2, "no")));
         let late = Rollout {
-            reach: reach(2),
-            ..change(1, 2)
+            progress: progress(2),
+            ..rollout(1, 2)
         };
-        changes.hear(&late); // it was agreed on elsewhere before the halt was heard there
-        let known = changes.get(RolloutId(1)).unwrap();
+        rollouts.merge(&late); // it was agreed on elsewhere before the halt was heard there
+        let known = rollouts.get(RolloutId(1)).unwrap();
         assert_eq!(
-            (known.reach.stage, known.fate, known.wants(3, 0)),
+            (known.progress.stage, known.outcome, known.assignment(3, 0)),
             (2, Outcome::Halted, None)
         );
-        assert!(changes.end(RolloutId(1), Outcome::RolledBack, Reason::new(9, 1, "back")));
-        assert_eq!(changes.get(RolloutId(1)).unwrap().wants(3, 0), Some(false));
+        assert!(rollouts.end(RolloutId(1), Outcome::RolledBack, Reason::new(9, 1, "back")));
+        assert_eq!(
+            rollouts.get(RolloutId(1)).unwrap().assignment(3, 0),
+            Some(false)
+        );
     }
 
     #[test]
     fn the_highest_version_goes_next_and_of_like_ones_the_first() {
-        let mut changes = RolloutTable::default();
+        let mut rollouts = RolloutTable::default();
         [(1, 5), (2, 9), (3, 9), (4, 7)]
             .iter()
-            .for_each(|(id, number)| _ = changes.hear(&change(*id, *number)));
-        assert_eq!(changes.next(Kind::Settings).unwrap().id, RolloutId(2));
-        changes.advance(RolloutId(4), &reach(1));
+            .for_each(|(id, number)| _ = rollouts.merge(&rollout(*id, *number)));
+        assert_eq!(rollouts.next(Kind::Settings).unwrap().id, RolloutId(2));
+        rollouts.advance(RolloutId(4), &progress(1));
         assert_eq!(
-            changes.current(Kind::Settings).unwrap().id,
+            rollouts.current(Kind::Settings).unwrap().id,
             RolloutId(4),
             "what has begun goes first"
         );
-        assert!(changes.next(Kind::Program).is_none());
+        assert!(rollouts.next(Kind::Program).is_none());
     }
 
     /// A hundred versions are offered: memory stays, what is under way stays, and the highest ones
     /// are kept.
     #[test]
     fn changes_are_bounded_and_what_is_under_way_is_kept() {
-        let mut changes = RolloutTable::default();
-        changes.hear(&change(1, 2));
-        changes.advance(RolloutId(1), &reach(1));
+        let mut rollouts = RolloutTable::default();
+        rollouts.merge(&rollout(1, 2));
+        rollouts.advance(RolloutId(1), &progress(1));
         for id in 2..=100 {
-            changes.hear(&change(id, id));
+            rollouts.merge(&rollout(id, id));
         }
         assert_eq!(
             (
-                changes.iter().count(),
-                changes.under_way(Kind::Settings).unwrap().id
+                rollouts.iter().count(),
+                rollouts.in_progress(Kind::Settings).unwrap().id
             ),
             (CHANGES_MAX, RolloutId(1))
         );
-        assert_eq!(changes.next(Kind::Settings).unwrap().version.number, 100);
+        assert_eq!(rollouts.next(Kind::Settings).unwrap().version.number, 100);
         let mut over = RolloutTable::default();
         for id in 1..=40 {
-            over.hear(&change(id, id));
+            over.merge(&rollout(id, id));
             over.end(RolloutId(id), Outcome::Rejected, Reason::new(id, 1, ""));
         }
         assert!(over.iter().count() <= CHANGES_MAX && over.get(RolloutId(40)).is_some());
-        over.tidy(10_000_000, 3600 * crate::SECOND);
+        over.remove_expired(10_000_000, 3600 * crate::SECOND);
         assert_eq!(over.iter().count(), 0);
     }
 
@@ -501,40 +514,46 @@
         for seed in 0..200 {
             let mut rng = Pcg64Mcg::seed_from_u64(seed);
             let mut all: Vec<Rollout> = (1..=40)
-                .map(|id| change(id, rng.random_range(2..30)))
+                .map(|id| rollout(id, rng.random_range(2..30)))
                 .collect();
-            for change in &mut all {
+            for rollout in &mut all {
                 if rng.random_bool(0.5) {
-                    change.fate = Outcome::Rejected;
+                    rollout.outcome = Outcome::Rejected;
                 }
             }
-            all[5].reach = reach(3);
-            let heard = |all: &[Rollout]| {
-                let mut changes = RolloutTable::default();
-                all.iter().for_each(|change| _ = changes.hear(change));
-                changes
+            all[5].progress = progress(3);
+            let received = |all: &[Rollout]| {
+                let mut rollouts = RolloutTable::default();
+                all.iter().for_each(|rollout| _ = rollouts.merge(rollout));
+                rollouts
             };
-            let one = heard(&all);
+            let one = received(&all);
             all.shuffle(&mut rng);
-            assert_eq!(one, heard(&all), "{seed}");
-            assert_eq!(one.head(Kind::Settings).map(|head| head.reach.seq), Some(3));
+            assert_eq!(one, received(&all), "{seed}");
+            assert_eq!(
+                one.head(Kind::Settings).map(|head| head.progress.agreement),
+                Some(3)
+            );
         }
     }
 
     /// The agreement beyond the last stage is that it is done.
     #[test]
     fn beyond_the_last_stage_a_change_is_done() {
-        let mut changes = RolloutTable::default();
-        changes.hear(&change(1, 2));
-        (1..=6).for_each(|stage| _ = changes.advance(RolloutId(1), &reach(stage)));
-        assert_eq!(changes.get(RolloutId(1)).unwrap().fate, Outcome::Completed);
+        let mut rollouts = RolloutTable::default();
+        rollouts.merge(&rollout(1, 2));
+        (1..=6).for_each(|stage| _ = rollouts.advance(RolloutId(1), &progress(stage)));
+        assert_eq!(
+            rollouts.get(RolloutId(1)).unwrap().outcome,
+            Outcome::Completed
+        );
         let mut halted = RolloutTable::default();
-        halted.hear(&Rollout {
-            fate: Outcome::Halted,
-            ..change(1, 2)
+        halted.merge(&Rollout {
+            outcome: Outcome::Halted,
+            ..rollout(1, 2)
         });
-        halted.hear(changes.get(RolloutId(1)).unwrap());
-        assert_eq!(halted.get(RolloutId(1)).unwrap().fate, Outcome::Halted);
+        halted.merge(rollouts.get(RolloutId(1)).unwrap());
+        assert_eq!(halted.get(RolloutId(1)).unwrap().outcome, Outcome::Halted);
     }
 
     #[test]
--- a/crates/rollout/src/simulation.rs
+++ b/crates/rollout/src/simulation.rs
@@ -15,7 +15,7 @@
 use crate::persisted_state::PersistedState;
 use crate::rollout::{Kind, Outcome, Rollout, RolloutId, Version};
 use crate::stages::{Plan, Progress};
-use crate::{MILLISECOND, Nanos, SECOND, mix};
+use crate::{MILLISECOND, Nanos, SECOND, splitmix64};
 pub use load::{Effect, Load, Noise, Runs};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -38,14 +38,14 @@
     pub seed: u64,
     pub nodes: usize,
     pub zones: u32,
-    pub arbiters: usize,
+    pub voters: usize,
     /// Invocations of a node in a window.
     pub each: f64,
     pub noise: Noise,
     /// Messages that are lost, as a share.
     pub loss: f64,
     pub plan: Plan,
-    pub way: AnalysisMethod,
+    pub method: AnalysisMethod,
 }
 
 impl Shape {
@@ -55,12 +55,12 @@
             seed,
             nodes,
             zones: 3,
-            arbiters: if nodes < 3 { 1 } else { 3 },
+            voters: if nodes < 3 { 1 } else { 3 },
             each: 200.0,
             noise: Noise::NONE,
             loss: 0.0,
             plan: Plan::default(),
-            way: AnalysisMethod::Nodes,
+            method: AnalysisMethod::Nodes,
         }
     }
 }
@@ -68,12 +68,12 @@
 #[derive(Clone, Debug)]
 enum Task {
     Check {
-        change: RolloutId,
+        rollout: RolloutId,
         version: Version,
     },
-    Keep {
+    Persist {
         no: u64,
-        kept: Box<PersistedState>,
+        persisted: Box<PersistedState>,
         content: Option<(Version, Vec<u8>)>,
     },
     Apply(Version),
@@ -81,7 +81,7 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    ReceivedMessage { from: usize, bytes: Vec<u8> },
+    Message { from: usize, bytes: Vec<u8> },
     Task(Task),
     Wake,
 }
@@ -133,15 +133,15 @@
 }
 
 impl Host for SimHost {
-    fn send(&mut self, to: u64, told: ReceivedMessage) {
-        self.out.push((to, told));
+    fn send(&mut self, to: u64, message: ReceivedMessage) {
+        self.out.push((to, message));
     }
 
     fn log(&mut self, line: &str) {
         self.lines.push(line.to_owned());
     }
 
-    fn some(&mut self, most: usize) -> Vec<u64> {
+    fn random_peers(&mut self, most: usize) -> Vec<u64> {
         let there: Vec<u64> = self
             .board
             .members
@@ -154,7 +154,7 @@
             .collect()
     }
 
-    fn differs(&mut self, digest: u64) -> Option<u64> {
+    fn peer_with_other_digest(&mut self, digest: u64) -> Option<u64> {
         let others = &self.board.digests;
         // From a place of its own on, so that not all ask the same one.
         let from = if others.is_empty() {
@@ -174,14 +174,19 @@
         self.shown = report.clone();
     }
 
-    fn check(&mut self, change: RolloutId, version: Version, _content: Option<Vec<u8>>) {
-        self.tasks.push(Task::Check { change, version });
+    fn check(&mut self, rollout: RolloutId, version: Version, _content: Option<Vec<u8>>) {
+        self.tasks.push(Task::Check { rollout, version });
     }
 
-    fn keep(&mut self, no: u64, kept: &PersistedState, content: Option<(Version, Vec<u8>)>) {
-        self.tasks.push(Task::Keep {
+    fn persist(
+        &mut self,
+        no: u64,
+        persisted: &PersistedState,
+        content: Option<(Version, Vec<u8>)>,
+    ) {
+        self.tasks.push(Task::Persist {
             no,
-            kept: Box::new(kept.clone()),
+            persisted: Box::new(persisted.clone()),
             content,
         });
     }
@@ -213,14 +218,14 @@
 
 #[derive(Clone, Debug, Default)]
 struct Disk {
-    kept: Vec<u8>,
+    persisted: Vec<u8>,
     contents: BTreeMap<Version, Vec<u8>>,
     full: bool,
 }
 
 struct Node {
     key: u64,
-    rollout: Option<Participant<SimHost>>,
+    participant: Option<Participant<SimHost>>,
     life: u64,
     disk: Disk,
     side: usize,
@@ -264,14 +269,14 @@
     next_board: Nanos,
     effects: BTreeMap<Version, Effect>,
     /// Reaches by number, as any node knows them.
-    reaches: BTreeMap<u64, (RolloutId, Progress)>,
+    progress_by_agreement: BTreeMap<u64, (RolloutId, Progress)>,
     pub tally: Tally,
     base: Version,
 }
 
 /// A node's key.
 fn key(node: usize) -> u64 {
-    mix(node as u64 + 1)
+    splitmix64(node as u64 + 1)
 }
 
 impl Fleet {
@@ -286,7 +291,7 @@
         );
         let base = Version {
             number: 1,
-            hash: mix(1),
+            hash: splitmix64(1),
         };
         let mut fleet = Fleet {
             nodes: Vec::new(),
@@ -301,7 +306,7 @@
             next_window: 0,
             next_board: 0,
             effects: BTreeMap::from([(base, Effect::NONE)]),
-            reaches: BTreeMap::new(),
+            progress_by_agreement: BTreeMap::new(),
             tally: Tally::default(),
             base,
             shape,
@@ -320,7 +325,7 @@
         self.keys.insert(key(node), node);
         self.nodes.push(Node {
             key: key(node),
-            rollout: None,
+            participant: None,
             life: 0,
             disk: Disk::default(),
             side: 0,
@@ -353,11 +358,11 @@
 
     /// A node's process starts, with what is on its disk.
     pub fn start(&mut self, node: usize) {
-        if self.nodes[node].rollout.is_some() {
+        if self.nodes[node].participant.is_some() {
             return;
         }
         let unix = self.unix_ms(node);
-        let arbiters = (0..self.shape.arbiters).map(key).collect();
+        let voters = (0..self.shape.voters).map(key).collect();
         let board = self.board(self.nodes[node].side);
         let rng = Pcg64Mcg::seed_from_u64(self.rng.random());
         let (zone, me, now, base) = (
@@ -367,15 +372,15 @@
             self.base,
         );
         let of = &mut self.nodes[node];
-        let fresh = of.disk.kept.is_empty();
-        let mut kept = if fresh {
+        let fresh = of.disk.persisted.is_empty();
+        let mut persisted = if fresh {
             PersistedState::new(Kind::Settings)
         } else {
             // The disk is written whole or not at all.
-            PersistedState::read(&of.disk.kept)
+            PersistedState::decode(&of.disk.persisted)
                 .unwrap_or_else(|broken| panic!("node {node}: {}", broken.word()))
         };
-        let (starts, died) = kept.begin(base);
+        let (starts, crashed) = persisted.start_candidates(base);
         let has = |version: &Version| *version == base || of.disk.contents.contains_key(version);
         let running = starts.into_iter().find(has).unwrap_or(base);
         let new_content = (!of.disk.contents.contains_key(&running)).then(|| vec![0; 100]);
@@ -395,30 +400,30 @@
             rng,
         };
         let start = InitialState {
-            kept,
+            persisted,
             running,
             contents,
             new_content,
-            died,
+            crashed,
             fresh,
         };
-        let mut rollout = Participant::new(
+        let mut participant = Participant::new(
             now,
             unix,
             (me, zone),
             start,
-            arbiters,
+            voters,
             WINDOW / MILLISECOND,
             host,
         );
-        rollout.conduct = Coordinator::new(
+        participant.coordinator = Coordinator::new(
             now,
             me,
             Kind::Settings,
-            (0..self.shape.arbiters).map(key).collect(),
+            (0..self.shape.voters).map(key).collect(),
         )
-        .with_way(self.shape.way);
-        of.rollout = Some(rollout);
+        .with_method(self.shape.method);
+        of.participant = Some(participant);
         of.life += 1;
         (of.since, of.started, of.ran_since) = (now, now, now);
         let first = self.rng.random_range(0..WAKE);
@@ -431,7 +436,7 @@
     pub fn crash(&mut self, node: usize) {
         let now = self.now;
         let of = &mut self.nodes[node];
-        if of.rollout.take().is_some() {
+        if of.participant.take().is_some() {
             of.since = now;
         }
     }
@@ -498,44 +503,44 @@
     pub fn offer(&mut self, at: usize, number: u64, effect: Effect) -> RolloutId {
         let version = Version {
             number,
-            hash: mix(number ^ 0xabc ^ u64::from(at as u32) << 40),
+            hash: splitmix64(number ^ 0xabc ^ u64::from(at as u32) << 40),
         };
         self.effects.insert(version, effect);
-        let id = RolloutId(mix(version.hash ^ self.now));
+        let id = RolloutId(splitmix64(version.hash ^ self.now));
         let content: Vec<u8> = (0..3000u32)
-            .map(|n| mix(version.hash ^ u64::from(n)) as u8)
+            .map(|n| splitmix64(version.hash ^ u64::from(n)) as u8)
             .collect();
         let unix = self.unix_ms(at);
         let by = self.nodes[at].key;
         let plan = self.shape.plan.clone();
         let now = self.now;
-        let Some(rollout) = &mut self.nodes[at].rollout else {
+        let Some(participant) = &mut self.nodes[at].participant else {
             return id;
         };
-        let change = Rollout {
+        let rollout = Rollout {
             id,
             kind: Kind::Settings,
             version,
-            base: rollout.local.running(),
+            base: participant.agent.running(),
             digest: chunks::digest(&content),
             bytes: content.len() as u32,
             by,
             at_ms: unix,
             plan,
-            reach: Progress::default(),
-            fate: Outcome::InProgress,
+            progress: Progress::default(),
+            outcome: Outcome::InProgress,
             reason: Default::default(),
         };
-        rollout.offer(now, change, Some(content));
+        participant.offer(now, rollout, Some(content));
         self.after(at);
         id
     }
 
-    /// Halts a change at a node, or takes it back.
-    pub fn end(&mut self, at: usize, id: RolloutId, fate: Outcome) {
+    /// Halts a rollout at a node, or takes it back.
+    pub fn end(&mut self, at: usize, id: RolloutId, outcome: Outcome) {
         let (now, unix) = (self.now, self.unix_ms(at));
-        if let Some(rollout) = &mut self.nodes[at].rollout {
-            rollout.end(now, unix, id, fate, "an operator said so");
+        if let Some(participant) = &mut self.nodes[at].participant {
+            participant.end(now, unix, id, outcome, "an operator said so");
         }
         self.after(at);
     }
@@ -545,9 +550,9 @@
     /// What a node runs; none if it is not there.
     pub fn runs(&self, node: usize) -> Option<Version> {
         self.nodes[node]
-            .rollout
+            .participant
             .as_ref()
-            .map(|rollout| rollout.local.running())
+            .map(|participant| participant.agent.running())
     }
 
     /// How many run a version of this number.
@@ -557,23 +562,28 @@
             .count()
     }
 
-    /// What a node knows of a change.
+    /// What a node knows of a rollout.
     pub fn known(&self, node: usize, id: RolloutId) -> Option<&Rollout> {
-        self.nodes[node].rollout.as_ref()?.local.changes().get(id)
+        self.nodes[node]
+            .participant
+            .as_ref()?
+            .agent
+            .rollouts()
+            .get(id)
     }
 
-    /// The fate of a change as a node knows it.
-    pub fn fate(&self, node: usize, id: RolloutId) -> Option<Outcome> {
-        self.known(node, id).map(|change| change.fate)
+    /// The outcome of a rollout as a node knows it.
+    pub fn outcome(&self, node: usize, id: RolloutId) -> Option<Outcome> {
+        self.known(node, id).map(|rollout| rollout.outcome)
     }
 
-    /// Whether all that are there know this fate of it.
-    pub fn all_know(&self, id: RolloutId, fate: Outcome) -> bool {
+    /// Whether all that are there know this outcome of it.
+    pub fn all_know(&self, id: RolloutId, outcome: Outcome) -> bool {
         let there = (0..self.nodes.len())
-            .filter(|node| self.nodes[*node].rollout.is_some() && !self.nodes[*node].paused);
+            .filter(|node| self.nodes[*node].participant.is_some() && !self.nodes[*node].paused);
         there
             .into_iter()
-            .all(|node| self.fate(node, id) == Some(fate))
+            .all(|node| self.outcome(node, id) == Some(outcome))
     }
 
     /// The fleet as a node sees it.
@@ -587,15 +597,15 @@
     }
 
     /// A node's part.
-    pub fn rollout(&self, node: usize) -> Option<&Participant<SimHost>> {
-        self.nodes[node].rollout.as_ref()
+    pub fn participant(&self, node: usize) -> Option<&Participant<SimHost>> {
+        self.nodes[node].participant.as_ref()
     }
 
-    /// The farthest stage that anybody knows of a change.
+    /// The farthest stage that anybody knows of a rollout.
     pub fn stage(&self, id: RolloutId) -> u32 {
         let stages = (0..self.nodes.len())
             .filter_map(|node| self.known(node, id))
-            .map(|change| change.reach.stage);
+            .map(|rollout| rollout.progress.stage);
         stages.max().unwrap_or(0)
     }
 
@@ -603,13 +613,13 @@
     pub fn in_stage(&self, id: RolloutId) -> Vec<usize> {
         let farthest = (0..self.nodes.len())
             .filter_map(|node| self.known(node, id))
-            .max_by_key(|c| c.reach.seq);
-        let Some(change) = farthest else {
+            .max_by_key(|c| c.progress.agreement);
+        let Some(rollout) = farthest else {
             return Vec::new();
         };
         let is_in = |node: &usize| {
-            change
-                .reach
+            rollout
+                .progress
                 .has(id, self.nodes[*node].key, self.load.zone(*node))
         };
         (0..self.nodes.len()).filter(is_in).collect()
@@ -683,13 +693,13 @@
             node, life, event, ..
         } = queued;
         let of = &self.nodes[node];
-        if of.rollout.is_none() || life.is_some_and(|life| life != of.life) {
+        if of.participant.is_none() || life.is_some_and(|life| life != of.life) {
             return;
         }
         if of.paused {
             // What is on its way to a process that stands still is there when it goes on, as far as
             // buffers go.
-            if !matches!(event, Event::ReceivedMessage { .. }) {
+            if !matches!(event, Event::Message { .. }) {
                 self.push(SECOND, node, life, event);
             }
             return;
@@ -698,25 +708,25 @@
         match event {
             Event::Wake => {
                 let board = self.board(self.nodes[node].side);
-                if let Some(rollout) = &mut self.nodes[node].rollout {
-                    rollout.local.host.board = board;
-                    rollout.wake(now, unix);
+                if let Some(participant) = &mut self.nodes[node].participant {
+                    participant.agent.host.board = board;
+                    participant.wake(now, unix);
                 }
                 self.push(WAKE, node, life, Event::Wake);
             }
-            Event::ReceivedMessage { from, bytes } => {
+            Event::Message { from, bytes } => {
                 if self.nodes[from].side != self.nodes[node].side {
                     return;
                 }
-                let Some(told) = messages::read(&bytes) else {
+                let Some(message) = messages::decode(&bytes) else {
                     self.tally
                         .broken
                         .push(format!("a parcel of {} bytes can't be read", bytes.len()));
                     return;
                 };
                 let from = self.nodes[from].key;
-                if let Some(rollout) = &mut self.nodes[node].rollout {
-                    rollout.told(now, unix, from, told);
+                if let Some(participant) = &mut self.nodes[node].participant {
+                    participant.handle_message(now, unix, from, message);
                 }
             }
             Event::Task(task) => self.task(node, task),
@@ -727,12 +737,13 @@
     fn task(&mut self, node: usize, task: Task) {
         let (now, unix) = (self.now, self.unix_ms(node));
         match task {
-            Task::Check { change, version } => {
+            Task::Check { rollout, version } => {
                 let unfit = self
                     .effects
                     .get(&version)
                     .map_or(0.0, |effect| effect.unfit);
-                let place = (mix(self.nodes[node].key ^ version.hash) % 10_000) as f64 / 10_000.0;
+                let place =
+                    (splitmix64(self.nodes[node].key ^ version.hash) % 10_000) as f64 / 10_000.0;
                 let result = if place < unfit {
                     Err("its limits are too small".to_owned())
                 } else {
@@ -741,11 +752,15 @@
                 if result.is_ok() {
                     self.nodes[node].checked.insert(version);
                 }
-                if let Some(rollout) = &mut self.nodes[node].rollout {
-                    rollout.local.checked(now, change, result);
+                if let Some(participant) = &mut self.nodes[node].participant {
+                    participant.agent.check_finished(now, rollout, result);
                 }
             }
-            Task::Keep { no, kept, content } => {
+            Task::Persist {
+                no,
+                persisted,
+                content,
+            } => {
                 let of = &mut self.nodes[node];
                 let result = if of.disk.full {
                     Err("no space left on device".to_owned())
@@ -753,16 +768,16 @@
                     Ok(())
                 };
                 if result.is_ok() {
-                    of.disk.kept = kept.write();
+                    of.disk.persisted = persisted.encode();
                     of.disk.contents.extend(content);
-                    if of.disk.kept.len() > crate::persisted_state::FILE_MAX {
+                    if of.disk.persisted.len() > crate::persisted_state::FILE_MAX {
                         self.tally
                             .broken
-                            .push(format!("{} bytes are kept", of.disk.kept.len()));
+                            .push(format!("{} bytes are kept", of.disk.persisted.len()));
                     }
                 }
-                if let Some(rollout) = &mut of.rollout {
-                    rollout.local.kept(now, no, result);
+                if let Some(participant) = &mut of.participant {
+                    participant.agent.persist_finished(now, no, result);
                 }
             }
             Task::Apply(version) => {
@@ -776,8 +791,8 @@
                 if result.is_ok() {
                     of.ran_since = now;
                 }
-                if let Some(rollout) = &mut of.rollout {
-                    rollout.local.applied(now, unix, version, result);
+                if let Some(participant) = &mut of.participant {
+                    participant.agent.apply_finished(now, unix, version, result);
                 }
             }
         }
@@ -785,11 +800,11 @@
 
     /// Sends on what a node has put out, and looks whether what it does is allowed.
     fn after(&mut self, node: usize) {
-        let Some(rollout) = &mut self.nodes[node].rollout else {
+        let Some(participant) = &mut self.nodes[node].participant else {
             return;
         };
-        let out = std::mem::take(&mut rollout.local.host.out);
-        let tasks = std::mem::take(&mut rollout.local.host.tasks);
+        let out = std::mem::take(&mut participant.agent.host.out);
+        let tasks = std::mem::take(&mut participant.agent.host.tasks);
         let life = self.nodes[node].life;
         for task in tasks {
             if let Task::Apply(version) = &task {
@@ -798,8 +813,8 @@
             let time = self.rng.random_range(MILLISECOND..20 * MILLISECOND);
             self.push(time, node, Some(life), Event::Task(task));
         }
-        for (to, told) in out {
-            let bytes = messages::write(&told);
+        for (to, message) in out {
+            let bytes = messages::encode(&message);
             self.tally.messages += 1;
             self.tally.bytes += bytes.len() as u64;
             if bytes.len() > PARCEL_MAX {
@@ -815,7 +830,7 @@
                 continue;
             }
             let time = self.rng.random_range(MILLISECOND..10 * MILLISECOND);
-            self.push(time, to, None, Event::ReceivedMessage { from: node, bytes });
+            self.push(time, to, None, Event::Message { from: node, bytes });
         }
         self.allowed(node);
     }
@@ -823,33 +838,35 @@
     /// A node is about to run a version.
     fn may_begin(&mut self, node: usize, version: Version) {
         let of = &self.nodes[node];
-        let Some(rollout) = &of.rollout else { return };
-        let kept = rollout.local.kept_now();
-        let going_back = kept.trial.is_none_or(|trial| trial.version != version);
+        let Some(participant) = &of.participant else {
+            return;
+        };
+        let persisted = participant.agent.persisted_state();
+        let going_back = persisted.trial.is_none_or(|trial| trial.version != version);
         if !of.checked.contains(&version) {
             self.tally.broken.push(format!(
                 "node {node} begins {version} without having checked it"
             ));
         }
         if !going_back && version.number > 1 {
-            let ended = rollout
-                .local
-                .changes()
+            let ended = participant
+                .agent
+                .rollouts()
                 .iter()
-                .any(|c| c.version == version && c.fate > Outcome::Completed);
-            let other = rollout
-                .local
-                .changes()
+                .any(|c| c.version == version && c.outcome > Outcome::Completed);
+            let other = participant
+                .agent
+                .rollouts()
                 .iter()
-                .any(|c| c.version == version && c.fate <= Outcome::Completed);
+                .any(|c| c.version == version && c.outcome <= Outcome::Completed);
             if ended && !other {
                 self.tally.broken.push(format!(
                     "node {node} begins {version}, of which it knows that it is halted"
                 ));
             }
-            let on_disk = PersistedState::read(&of.disk.kept)
+            let on_disk = PersistedState::decode(&of.disk.persisted)
                 .ok()
-                .and_then(|kept| kept.trial)
+                .and_then(|persisted| persisted.trial)
                 .map(|trial| trial.version);
             if on_disk != Some(version) {
                 self.tally.broken.push(format!(
@@ -861,44 +878,49 @@
 
     /// What must always hold.
     fn allowed(&mut self, node: usize) {
-        let Some(rollout) = &self.nodes[node].rollout else {
+        let Some(participant) = &self.nodes[node].participant else {
             return;
         };
-        let local = &rollout.local;
-        let running = local.running();
-        for change in local.changes().iter().filter(|change| change.reach.seq > 0) {
+        let agent = &participant.agent;
+        let running = agent.running();
+        for rollout in agent
+            .rollouts()
+            .iter()
+            .filter(|rollout| rollout.progress.agreement > 0)
+        {
             let known = self
-                .reaches
-                .entry(change.reach.seq)
-                .or_insert_with(|| (change.id, change.reach.clone()));
-            if *known != (change.id, change.reach.clone()) {
-                self.tally
-                    .broken
-                    .push(format!("two agreements of number {}", change.reach.seq));
+                .progress_by_agreement
+                .entry(rollout.progress.agreement)
+                .or_insert_with(|| (rollout.id, rollout.progress.clone()));
+            if *known != (rollout.id, rollout.progress.clone()) {
+                self.tally.broken.push(format!(
+                    "two agreements of number {}",
+                    rollout.progress.agreement
+                ));
             }
         }
-        let of_running = local
-            .changes()
+        let of_running = agent
+            .rollouts()
             .iter()
-            .find(|change| change.version == running);
-        if let Some(change) = of_running {
+            .find(|rollout| rollout.version == running);
+        if let Some(rollout) = of_running {
             self.tally.ran.insert((running, node));
             // Nobody runs what no agreement has given it.
             let farthest = self
-                .reaches
+                .progress_by_agreement
                 .values()
-                .filter(|(id, _)| *id == change.id)
-                .max_by_key(|(_, reach)| reach.seq);
+                .filter(|(id, _)| *id == rollout.id)
+                .max_by_key(|(_, progress)| progress.agreement);
             let zone = self.load.zone(node);
-            let may =
-                farthest.is_some_and(|(_, reach)| reach.has(change.id, self.nodes[node].key, zone));
+            let may = farthest
+                .is_some_and(|(_, progress)| progress.has(rollout.id, self.nodes[node].key, zone));
             if !may {
                 self.tally.broken.push(format!(
                     "node {node} runs {running} and is not in its stage"
                 ));
             }
         }
-        if local.kept_now().good.is_none() {
+        if agent.persisted_state().good.is_none() {
             self.tally
                 .broken
                 .push(format!("node {node} has no last good version"));
@@ -920,7 +942,7 @@
                 ..Board::default()
             };
             for (no, node) in self.nodes.iter().enumerate() {
-                let is_here = node.rollout.is_some() && !node.paused && node.side == side;
+                let is_here = node.participant.is_some() && !node.paused && node.side == side;
                 let seen_at = node.since + SEEN;
                 let there = if self.now >= seen_at {
                     is_here
@@ -937,10 +959,10 @@
                 });
                 if is_here {
                     board.keys.insert(node.key);
-                    if let Some(rollout) = &node.rollout {
+                    if let Some(participant) = &node.participant {
                         board
                             .digests
-                            .push((node.key, rollout.local.report().digest));
+                            .push((node.key, participant.agent.report().digest));
                     }
                 }
             }
@@ -958,10 +980,10 @@
         let mut dead = Vec::new();
         for node in 0..self.nodes.len() {
             let of = &self.nodes[node];
-            let (Some(rollout), false) = (&of.rollout, of.paused) else {
+            let (Some(participant), false) = (&of.participant, of.paused) else {
                 continue;
             };
-            let version = rollout.local.running();
+            let version = participant.agent.running();
             let runs = Runs {
                 label: version.hash,
                 effect: self.effects.get(&version).copied().unwrap_or_default(),
@@ -992,11 +1014,11 @@
         }
     }
 
-    /// How a node stands to the change that it goes by.
-    pub fn stand(&self, node: usize) -> Option<NodeStatus> {
+    /// How a node stands to the rollout that it goes by.
+    pub fn node_status(&self, node: usize) -> Option<NodeStatus> {
         self.nodes[node]
-            .rollout
+            .participant
             .as_ref()
-            .map(|rollout| rollout.local.report().stand)
+            .map(|participant| participant.agent.report().status)
     }
 }
