--- a/crates/rollout/src/simulation/trial.rs
+++ b/crates/rollout/src/simulation/trial.rs
@@ -1,5 +1,5 @@
-//! A change's stages without the messages between: what is judged and when, over many changes by
-//! seed. For tables of false stops, missed harm and what a bad change costs.
+//! A rollout's stages without the messages between: what is judged and when, over many rollouts by
+//! seed. For tables of false stops, missed harm and what a bad rollout costs.
 
 use super::load::{Effect, Load, Noise, Runs};
 use super::{WINDOW, key};
@@ -7,9 +7,9 @@
 use crate::cohort_metrics::{CohortMetrics, OperationCounts, WindowSample};
 use crate::rollout::{RolloutId, Version};
 use crate::stages::{Plan, Progress};
-use crate::{Nanos, mix};
+use crate::{Nanos, splitmix64};
 
-/// How a change goes out.
+/// How a rollout goes out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Out {
     /// In stages, judged so.
@@ -45,10 +45,10 @@
     pub out: Out,
 }
 
-/// What a change that came to no judgement is halted by.
+/// What a rollout that came to no judgement is halted by.
 pub const NO_JUDGEMENT: &str = "no judgement";
 const BEFORE: u64 = 8;
-/// After a change went out at once it is looked at for so long.
+/// After a rollout went out at once it is looked at for so long.
 const AT_ONCE: u64 = 60;
 
 impl Trial {
@@ -59,7 +59,7 @@
             Version { number: 1, hash: 1 },
             Version { number: 2, hash: 2 },
         );
-        let mut record = CohortMetrics::new(RolloutId(mix(seed)), new, old);
+        let mut record = CohortMetrics::new(RolloutId(splitmix64(seed)), new, old);
         let (mut window, mut windows) = (0, Vec::new());
         let mut before = OperationCounts::default();
         for _ in 0..BEFORE {
@@ -74,7 +74,7 @@
         record.begin(&windows);
         let asked = before.asked as f64 / 1000.0 / BEFORE as f64;
         match self.out {
-            Out::Stages(way) => self.stages(&mut load, record, window, way, asked),
+            Out::Stages(method) => self.stages(&mut load, record, window, method, asked),
             Out::AtOnce => self.at_once(&mut load, before, window, asked),
         }
     }
@@ -114,30 +114,34 @@
         load: &mut Load,
         mut record: CohortMetrics,
         mut window: u64,
-        way: AnalysisMethod,
+        method: AnalysisMethod,
         asked: f64,
     ) -> TrialResult {
         let nodes: Vec<(u64, u32)> = (0..self.nodes)
             .map(|node| (key(node), load.zone(node)))
             .collect();
-        let (mut reach, change, begin) = (Progress::default(), record.change, window);
+        let (mut progress, rollout, begin) = (Progress::default(), record.rollout, window);
         let mut begun: Vec<Option<u64>> = vec![None; self.nodes];
         let mut outcome = TrialResult {
             asked,
             ..TrialResult::default()
         };
-        let mut died = [0, 0];
-        while let Some(next) =
-            reach.next(change, &self.plan, &nodes, reach.seq + 1, self.nodes as u32)
-        {
-            reach = next;
-            let Some(stage) = self.plan.stage(reach.stage) else {
+        let mut crashes = [0, 0];
+        while let Some(next) = progress.next(
+            rollout,
+            &self.plan,
+            &nodes,
+            progress.agreement + 1,
+            self.nodes as u32,
+        ) {
+            progress = next;
+            let Some(stage) = self.plan.stage(progress.stage) else {
                 break;
             };
-            outcome.stage = reach.stage;
-            record.stage_begins(reach.stage);
+            outcome.stage = progress.stage;
+            record.stage_begins(progress.stage);
             for (at, (node, zone)) in nodes.iter().enumerate() {
-                if begun[at].is_none() && reach.has(change, *node, *zone) {
+                if begun[at].is_none() && progress.has(rollout, *node, *zone) {
                     begun[at] = Some(window);
                 }
             }
@@ -160,7 +164,7 @@
                         since,
                         age: 100,
                     }) {
-                        died[usize::from(begun[node].is_none())] += 1;
+                        crashes[usize::from(begun[node].is_none())] += 1;
                     }
                 }
                 record.after(window, &samples);
@@ -169,13 +173,13 @@
                 let held = (window - since) * WINDOW;
                 let new = begun.iter().flatten().count() as u64;
                 let nodes = [new, self.nodes as u64 - new];
-                let deaths = CrashCounts {
-                    died,
+                let crashes = CrashCounts {
+                    crashes,
                     nodes,
                     windows: (window - begin) as f64,
                 };
-                let judged = judge(&record, &self.plan, reach.stage, &deaths, way);
-                let is_last = self.plan.is_last(reach.stage);
+                let judged = judge(&record, &self.plan, progress.stage, &crashes, method);
+                let is_last = self.plan.is_last(progress.stage);
                 match judged.verdict {
                     Verdict::Harm(harm) => {
                         let what = harm.first().map_or("", |finding| finding.what);
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -1,12 +1,12 @@
-//! The stages of a change: how many nodes are in each, which ones, and when each of them begins.
+//! The stages of a rollout: how many nodes are in each, which ones, and when each of them begins.
 //!
 //! Which nodes are in a stage follows from a threshold for each zone: a node is in it if the hash
-//! of the change and its name lies at or below its zone's threshold. So all agree on who is in,
-//! whatever they see of the fleet, and a node that joins in mid-change knows at once what its stage
+//! of the rollout and its name lies at or below its zone's threshold. So all agree on who is in,
+//! whatever they see of the fleet, and a node that joins in mid-rollout knows at once what its stage
 //! says; and thresholds only rise, so that who is in stays in.
 
 use crate::rollout::RolloutId;
-use crate::{MILLISECOND, Nanos, SECOND, mix};
+use crate::{MILLISECOND, Nanos, SECOND, splitmix64};
 use std::collections::BTreeMap;
 
 /// Stages that a plan may have.
@@ -30,13 +30,13 @@
     pub spread: Nanos,
 }
 
-/// How a change goes out.
+/// How a rollout goes out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     pub stages: Vec<Stage>,
     /// No more of a zone than this is in a stage before the last, in thousandths.
     pub of_zone: u32,
-    /// A share of what is asked that callers may lose to a change and it is still taken for good,
+    /// A share of what is asked that callers may lose to a rollout and it is still taken for good,
     /// in thousandths.
     pub margin: u32,
 }
@@ -112,12 +112,12 @@
     }
 }
 
-/// How far a change has reached.
+/// How far a rollout has reached.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Progress {
-    /// The number of the agreement, among those of all changes of its kind; 0 while it is only
+    /// The number of the agreement, among those of all rollouts of its kind; 0 while it is only
     /// offered.
-    pub seq: u64,
+    pub agreement: u64,
     /// The stage, from 1; one more than there are once it is done.
     pub stage: u32,
     /// Thresholds by zone: of the stage before, and of this one. With none for a zone nobody of it
@@ -132,26 +132,26 @@
     pub at_ms: u64,
 }
 
-/// Where a node stands in a change's order.
-pub fn place(change: RolloutId, node: u64) -> u64 {
-    mix(node ^ mix(change.0))
+/// Where a node stands in a rollout's order.
+pub fn place(rollout: RolloutId, node: u64) -> u64 {
+    splitmix64(node ^ splitmix64(rollout.0))
 }
 
 impl Progress {
     /// Whether a node is in the stage.
-    pub fn has(&self, change: RolloutId, node: u64, zone: u32) -> bool {
+    pub fn has(&self, rollout: RolloutId, node: u64, zone: u32) -> bool {
         self.stage > 0
             && (self.all
                 || self
                     .until
                     .get(&zone)
-                    .is_some_and(|until| place(change, node) <= *until))
+                    .is_some_and(|until| place(rollout, node) <= *until))
     }
 
     /// How long after it heard of the stage a node begins: those that were in before at once, the
     /// others one after the other.
-    pub fn slot(&self, change: RolloutId, node: u64, zone: u32, spread: Nanos) -> Nanos {
-        let (at, before) = (place(change, node), self.before.get(&zone).copied());
+    pub fn slot(&self, rollout: RolloutId, node: u64, zone: u32, spread: Nanos) -> Nanos {
+        let (at, before) = (place(rollout, node), self.before.get(&zone).copied());
         if before.is_some_and(|before| at <= before) {
             return 0;
         }
@@ -165,42 +165,42 @@
         (spread as f64 * part.clamp(0.0, 1.0)) as Nanos
     }
 
-    /// The reach of the next stage among these nodes, by zone, as this agreement.
+    /// The progress of the next stage among these nodes, by zone, as this agreement.
     pub fn next(
         &self,
-        change: RolloutId,
+        rollout: RolloutId,
         plan: &Plan,
         nodes: &[(u64, u32)],
-        seq: u64,
+        agreement: u64,
         electorate: u32,
     ) -> Option<Progress> {
-        self.to(self.stage + 1, change, plan, nodes, seq, electorate)
+        self.to(self.stage + 1, rollout, plan, nodes, agreement, electorate)
     }
 
     /// The same stage with others in place of those that are gone.
     pub fn again(
         &self,
-        change: RolloutId,
+        rollout: RolloutId,
         plan: &Plan,
         nodes: &[(u64, u32)],
-        seq: u64,
+        agreement: u64,
         electorate: u32,
     ) -> Option<Progress> {
-        self.to(self.stage, change, plan, nodes, seq, electorate)
+        self.to(self.stage, rollout, plan, nodes, agreement, electorate)
     }
 
     fn to(
         &self,
         number: u32,
-        change: RolloutId,
+        rollout: RolloutId,
         plan: &Plan,
         nodes: &[(u64, u32)],
-        seq: u64,
+        agreement: u64,
         electorate: u32,
     ) -> Option<Progress> {
         if plan.is_beyond(number) {
             let done = Progress {
-                seq,
+                agreement,
                 stage: number,
                 all: true,
                 electorate,
@@ -212,7 +212,7 @@
         let mut zones: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
         nodes
             .iter()
-            .for_each(|(node, zone)| zones.entry(*zone).or_default().push(place(change, *node)));
+            .for_each(|(node, zone)| zones.entry(*zone).or_default().push(place(rollout, *node)));
         zones.values_mut().for_each(|places| places.sort_unstable());
         let wanted = match stage.share {
             0 => 1,
@@ -221,7 +221,7 @@
         let all = stage.share == 1000;
         let mut until = self.until.clone();
         if !all {
-            for (zone, count) in Self::spread(change, &zones, wanted, plan.of_zone, self) {
+            for (zone, count) in Self::spread(rollout, &zones, wanted, plan.of_zone, self) {
                 let Some(last) = count.checked_sub(1).and_then(|at| zones[&zone].get(at)) else {
                     continue;
                 };
@@ -231,7 +231,7 @@
         }
         let (before, electorate) = (self.until.clone(), electorate.max(1));
         Some(Progress {
-            seq,
+            agreement,
             stage: number,
             before,
             until,
@@ -244,7 +244,7 @@
     /// How many of each zone: by the zones' sizes, those with the largest remainder first and of
     /// these by hash, none beyond what may be of a zone, and none fewer than are in already.
     fn spread(
-        change: RolloutId,
+        rollout: RolloutId,
         zones: &BTreeMap<u32, Vec<u64>>,
         wanted: usize,
         of_zone: u32,
@@ -271,7 +271,7 @@
             let remainder = wanted * zones[zone].len() % all.max(1);
             (
                 std::cmp::Reverse(remainder),
-                mix(u64::from(*zone) ^ mix(change.0)),
+                splitmix64(u64::from(*zone) ^ splitmix64(rollout.0)),
             )
         });
         while counts.values().sum::<usize>() < wanted {
--- a/crates/rollout/src/stages/tests.rs
+++ b/crates/rollout/src/stages/tests.rs
@@ -3,13 +3,15 @@
 const CHANGE: RolloutId = RolloutId(77);
 
 fn fleet(nodes: u64, zones: u64) -> Vec<(u64, u32)> {
-    (0..nodes).map(|n| (mix(n), (n % zones) as u32)).collect()
+    (0..nodes)
+        .map(|n| (splitmix64(n), (n % zones) as u32))
+        .collect()
 }
 
-fn of_zone(reach: &Progress, nodes: &[(u64, u32)], zone: u32) -> usize {
+fn of_zone(progress: &Progress, nodes: &[(u64, u32)], zone: u32) -> usize {
     nodes
         .iter()
-        .filter(|(node, of)| *of == zone && reach.has(CHANGE, *node, zone))
+        .filter(|(node, of)| *of == zone && progress.has(CHANGE, *node, zone))
         .count()
 }
 
@@ -31,25 +33,25 @@
 
 #[test]
 fn stages_are_spread_over_zones_and_who_is_in_stays_in() {
-    for change in 0..50 {
-        let change = RolloutId(change);
+    for rollout in 0..50 {
+        let rollout = RolloutId(rollout);
         let (nodes, plan) = (fleet(100, 4), plan(&[0, 50, 200, 500, 1000], 500));
-        let mut reach = Progress::default();
+        let mut progress = Progress::default();
         let mut before: Vec<u64> = Vec::new();
         // Half of each of four zones of 25 is 12.
         for (at, wanted) in [1, 5, 20, 48, 100].into_iter().enumerate() {
-            reach = reach
-                .next(change, &plan, &nodes, at as u64 + 1, 100)
+            progress = progress
+                .next(rollout, &plan, &nodes, at as u64 + 1, 100)
                 .unwrap();
             let now: Vec<u64> = nodes
                 .iter()
-                .filter(|(n, z)| reach.has(change, *n, *z))
+                .filter(|(n, z)| progress.has(rollout, *n, *z))
                 .map(|(n, _)| *n)
                 .collect();
             assert_eq!(
-                (reach.stage, now.len()),
+                (progress.stage, now.len()),
                 (at as u32 + 1, wanted),
-                "{change:?}"
+                "{rollout:?}"
             );
             assert!(
                 before.iter().all(|node| now.contains(node)),
@@ -59,7 +61,7 @@
                 let by_zone = (0..4).map(|zone| {
                     nodes
                         .iter()
-                        .filter(|(n, z)| *z == zone && reach.has(change, *n, *z))
+                        .filter(|(n, z)| *z == zone && progress.has(rollout, *n, *z))
                         .count()
                 });
                 let by_zone: Vec<usize> = by_zone.collect();
@@ -68,8 +70,8 @@
             }
             before = now;
         }
-        let done = reach.next(change, &plan, &nodes, 6, 100).unwrap();
-        assert!(plan.is_beyond(done.stage) && done.next(change, &plan, &nodes, 7, 100).is_none());
+        let done = progress.next(rollout, &plan, &nodes, 6, 100).unwrap();
+        assert!(plan.is_beyond(done.stage) && done.next(rollout, &plan, &nodes, 7, 100).is_none());
     }
 }
 
@@ -79,7 +81,7 @@
     let nodes: Vec<(u64, u32)> = (0..17)
         .map(|n| {
             (
-                mix(n),
+                splitmix64(n),
                 if n < 12 {
                     0
                 } else if n < 15 {
@@ -90,12 +92,12 @@
             )
         })
         .collect();
-    let reach = Progress::default()
+    let progress = Progress::default()
         .next(CHANGE, &plan(&[900, 1000], 250), &nodes, 1, 17)
         .unwrap();
-    let counts = [0, 1, 2].map(|zone| of_zone(&reach, &nodes, zone));
+    let counts = [0, 1, 2].map(|zone| of_zone(&progress, &nodes, zone));
     assert_eq!(counts, [3, 1, 1]);
-    let last = reach
+    let last = progress
         .next(CHANGE, &plan(&[900, 1000], 250), &nodes, 1, 17)
         .unwrap();
     assert_eq!(
@@ -109,11 +111,11 @@
 fn nodes_that_join_are_in_by_their_place_and_nodes_begin_one_after_the_other() {
     let nodes = fleet(300, 3);
     let plan = plan(&[200, 1000], 500);
-    let reach = Progress::default()
+    let progress = Progress::default()
         .next(CHANGE, &plan, &nodes, 1, 300)
         .unwrap();
     let joined = (1000..4000u64)
-        .filter(|n| reach.has(CHANGE, mix(*n), 1))
+        .filter(|n| progress.has(CHANGE, splitmix64(*n), 1))
         .count();
     assert!(
         (450..750).contains(&joined),
@@ -121,8 +123,8 @@
     );
     let mut slots: Vec<Nanos> = nodes
         .iter()
-        .filter(|(node, zone)| reach.has(CHANGE, *node, *zone))
-        .map(|(node, zone)| reach.slot(CHANGE, *node, *zone, 10 * SECOND))
+        .filter(|(node, zone)| progress.has(CHANGE, *node, *zone))
+        .map(|(node, zone)| progress.slot(CHANGE, *node, *zone, 10 * SECOND))
         .collect();
     slots.sort_unstable();
     assert!(slots[0] < 2 * SECOND && slots[slots.len() - 1] <= 10 * SECOND);
@@ -130,10 +132,10 @@
         slots.windows(2).all(|two| two[1] - two[0] < 3 * SECOND),
         "{slots:?}"
     );
-    let last = reach.next(CHANGE, &plan, &nodes, 1, 300).unwrap();
+    let last = progress.next(CHANGE, &plan, &nodes, 1, 300).unwrap();
     let (node, zone) = *nodes
         .iter()
-        .find(|(node, zone)| reach.has(CHANGE, *node, *zone))
+        .find(|(node, zone)| progress.has(CHANGE, *node, *zone))
         .unwrap();
     assert_eq!(
         last.slot(CHANGE, node, zone, 10 * SECOND),
@@ -148,10 +150,10 @@
     let first = Progress::default()
         .next(CHANGE, &plan, &nodes, 1, 30)
         .unwrap();
-    let is_in = |reach: &Progress| -> Vec<(u64, u32)> {
+    let is_in = |progress: &Progress| -> Vec<(u64, u32)> {
         nodes
             .iter()
-            .filter(|(node, zone)| reach.has(CHANGE, *node, *zone))
+            .filter(|(node, zone)| progress.has(CHANGE, *node, *zone))
             .copied()
             .collect()
     };
@@ -174,13 +176,13 @@
 #[test]
 fn plans_that_make_no_sense_are_refused() {
     assert_eq!(Plan::default().check(), Ok(()));
-    for (shares, told) in [
+    for (shares, message) in [
         (&[][..], "0 stages"),
         (&[100, 100, 1000], "larger than the one before"),
         (&[0, 500], "the whole fleet"),
     ] {
         assert!(
-            plan(shares, 500).check().unwrap_err().contains(told),
+            plan(shares, 500).check().unwrap_err().contains(message),
             "{shares:?}"
         );
     }
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -1,4 +1,4 @@
-//! What a node tells of changes to those who ask: what it runs and why, the stages, how each node
+//! What a node tells of rollouts to those who ask: what it runs and why, the stages, how each node
 //! stands, and where it keeps the record, the judgement with its figures and both cohorts over
 //! time. Protocol Buffers, in pages.
 
@@ -26,7 +26,7 @@
     pub hash: u64,
 }
 
-/// A change.
+/// A rollout.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RolloutStatus {
     #[prost(fixed64, tag = "1")]
@@ -42,7 +42,7 @@
     #[prost(string, repeated, tag = "6")]
     pub stages: Vec<String>,
     #[prost(string, tag = "7")]
-    pub fate: String,
+    pub outcome: String,
     #[prost(string, tag = "8")]
     pub why: String,
     #[prost(string, tag = "9")]
@@ -75,9 +75,9 @@
     #[prost(uint64, tag = "6")]
     pub since_ms: u64,
     #[prost(string, tag = "7")]
-    pub stand: String,
+    pub status: String,
     #[prost(uint32, tag = "8")]
-    pub died: u32,
+    pub crashes: u32,
     #[prost(string, tag = "9")]
     pub why: String,
 }
@@ -140,15 +140,15 @@
     #[prost(string, repeated, tag = "5")]
     pub reasons: Vec<String>,
     #[prost(string, tag = "6")]
-    pub conductor: String,
+    pub coordinator: String,
     /// Where the conductor's part in the fleet listens.
     #[prost(string, tag = "7")]
-    pub conductor_at: String,
+    pub coordinator_address: String,
     /// What the conductor waits for, if this is it.
     #[prost(string, tag = "8")]
     pub waits: String,
     #[prost(message, repeated, tag = "9")]
-    pub changes: Vec<RolloutStatus>,
+    pub rollouts: Vec<RolloutStatus>,
     #[prost(message, repeated, tag = "10")]
     pub nodes: Vec<NodeStatusEntry>,
     #[prost(uint32, tag = "11")]
@@ -209,21 +209,21 @@
     )
 }
 
-fn change(of: &Rollout, names: &impl Names) -> RolloutStatus {
+fn rollout(of: &Rollout, names: &impl Names) -> RolloutStatus {
     let name = |key: u64| {
         names
             .node(key)
             .map_or_else(|| format!("{key:016x}"), |(name, _)| name)
     };
-    let ended = of.fate > Outcome::InProgress;
+    let ended = of.outcome > Outcome::InProgress;
     RolloutStatus {
         id: of.id.0,
         kind: of.kind as u32,
         version: version(of.version),
         base: version(of.base),
-        stage: of.reach.stage,
+        stage: of.progress.stage,
         stages: of.plan.stages.iter().map(stage).collect(),
-        fate: of.fate.word().to_owned(),
+        outcome: of.outcome.word().to_owned(),
         why: of.reason.why.clone(),
         by: if ended && of.reason.by > 0 {
             name(of.reason.by)
@@ -233,8 +233,8 @@
         ended_ms: of.reason.at_ms,
         offered_by: name(of.by),
         offered_ms: of.at_ms,
-        agreement: of.reach.seq,
-        electorate: of.reach.electorate,
+        agreement: of.progress.agreement,
+        electorate: of.progress.electorate,
     }
 }
 
@@ -269,8 +269,8 @@
 }
 
 /// Points in time, thinned out evenly where there are many, with the last one in any case.
-fn points(conduct: &Coordinator) -> Vec<CohortPointStatus> {
-    let Some(record) = conduct.record() else {
+fn points(coordinator: &Coordinator) -> Vec<CohortPointStatus> {
+    let Some(record) = coordinator.record() else {
         return Vec::new();
     };
     let step = record.history.len().div_ceil(POINTS).max(1);
@@ -284,51 +284,54 @@
     /// What a node tells: itself, and the fleet as its members show themselves.
     pub fn of<H: Host>(
         unix_ms: u64,
-        local: &NodeAgent<H>,
-        conduct: &Coordinator,
+        agent: &NodeAgent<H>,
+        coordinator: &Coordinator,
         members: &[(Member, Option<NodeReport>)],
         names: &impl Names,
     ) -> StatusSnapshot {
-        let changes = local.changes();
-        let kind = local.kind();
-        let current = changes.current(kind).or_else(|| changes.head(kind));
+        let rollouts = agent.rollouts();
+        let kind = agent.kind();
+        let current = rollouts.current(kind).or_else(|| rollouts.head(kind));
         let alone: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
-        let conductor = conduct.conductor(&alone);
-        let mut all: Vec<RolloutStatus> = changes
+        let acting = coordinator.acting_coordinator(&alone);
+        let mut all: Vec<RolloutStatus> = rollouts
             .iter()
             .filter(|of| of.kind == kind)
-            .map(|of| change(of, names))
+            .map(|of| rollout(of, names))
             .collect();
-        all.sort_by_key(|change| std::cmp::Reverse((change.agreement, change.offered_ms)));
+        all.sort_by_key(|rollout| std::cmp::Reverse((rollout.agreement, rollout.offered_ms)));
         let mut nodes: Vec<NodeStatusEntry> = members
             .iter()
-            .map(|(member, said)| {
-                // Who conducts has heard more of it than it shows to all, while the change goes on.
+            .map(|(member, report)| {
+                // Who conducts has heard more of it than it shows to all, while the rollout goes on.
                 let goes_on = current
-                    .filter(|change| change.fate == Outcome::InProgress)
-                    .map(|change| change.id);
-                let heard = conduct
+                    .filter(|rollout| rollout.outcome == Outcome::InProgress)
+                    .map(|rollout| rollout.id);
+                let received = coordinator
                     .report(member.node)
-                    .filter(|heard| Some(heard.change) == goes_on);
-                let said = heard.or(said.as_ref());
+                    .filter(|received| Some(received.rollout) == goes_on);
+                let report = received.or(report.as_ref());
                 let (name, zone) = names.node(member.node).unwrap_or_default();
                 NodeStatusEntry {
                     name,
                     zone,
                     there: member.there,
-                    in_stage: current.is_some_and(|c| c.reach.has(c.id, member.node, member.zone)),
-                    running: said.and_then(|said| version(said.running)),
-                    since_ms: said.map_or(0, |said| said.since_ms),
-                    stand: said.map_or("unknown", |said| said.stand.word()).to_owned(),
-                    died: said.map_or(0, |said| said.died),
-                    why: said.map(|said| said.why.clone()).unwrap_or_default(),
+                    in_stage: current
+                        .is_some_and(|c| c.progress.has(c.id, member.node, member.zone)),
+                    running: report.and_then(|report| version(report.running)),
+                    since_ms: report.map_or(0, |report| report.since_ms),
+                    status: report
+                        .map_or("unknown", |report| report.status.word())
+                        .to_owned(),
+                    crashes: report.map_or(0, |report| report.crashes),
+                    why: report.map(|report| report.why.clone()).unwrap_or_default(),
                 }
             })
             .collect();
         nodes.sort_by(|a, b| (!a.in_stage, &a.zone, &a.name).cmp(&(!b.in_stage, &b.zone, &b.name)));
         let nodes_in_all = nodes.len() as u32;
         nodes.truncate(NODES);
-        let judgement = conduct.judgement();
+        let judgement = coordinator.judgement();
         let verdict = judgement.map_or_else(String::new, |judged| match &judged.verdict {
             Verdict::Harm(_) => "harm".to_owned(),
             Verdict::Fine => "fine".to_owned(),
@@ -341,23 +344,23 @@
             .take(FINDINGS);
         StatusSnapshot {
             node: names
-                .node(local.me())
+                .node(agent.me())
                 .map_or_else(String::new, |(name, _)| name),
             at_ms: unix_ms,
             kind: kind as u32,
-            running: version(local.running()),
-            good: local.kept_now().good.and_then(version),
-            reasons: local.why(unix_ms),
-            conductor: conductor
+            running: version(agent.running()),
+            good: agent.persisted_state().good.and_then(version),
+            reasons: agent.explain(unix_ms),
+            coordinator: acting
                 .and_then(|key| names.node(key))
                 .map_or_else(String::new, |(name, _)| name),
-            conductor_at: String::new(),
-            waits: if conductor == Some(local.me()) {
-                conduct.line().to_owned()
+            coordinator_address: String::new(),
+            waits: if acting == Some(agent.me()) {
+                coordinator.line().to_owned()
             } else {
                 String::new()
             },
-            changes: all,
+            rollouts: all,
             nodes,
             nodes_in_all,
             verdict,
@@ -366,7 +369,7 @@
             judged: judgement.map_or_else(Vec::new, |judged| {
                 judged.nodes.iter().map(|n| *n as u64).collect()
             }),
-            points: points(conduct),
+            points: points(coordinator),
             window_ms: 0,
         }
     }
--- a/crates/rollout/src/status/tests.rs
+++ b/crates/rollout/src/status/tests.rs
@@ -25,16 +25,16 @@
         },
     );
     fleet.run(90_000_000_000);
-    let rollout = fleet.rollout(0).unwrap();
+    let rollout = fleet.participant(0).unwrap();
     let members = fleet.members(0);
     let all: Vec<(Member, Option<NodeReport>)> = members
         .iter()
-        .map(|member| (*member, rollout.conduct.report(member.node).cloned()))
+        .map(|member| (*member, rollout.coordinator.report(member.node).cloned()))
         .collect();
     let shown = StatusSnapshot::of(
         fleet.clock(0),
-        &rollout.local,
-        &rollout.conduct,
+        &rollout.agent,
+        &rollout.coordinator,
         &all,
         &Plain,
     );
@@ -45,7 +45,7 @@
         (
             shown.nodes.len(),
             shown.nodes_in_all,
-            shown.changes[0].stage
+            shown.rollouts[0].stage
         ),
         (10, 10, 1)
     );
--- a/crates/rollout/src/supervisor_messages.rs
+++ b/crates/rollout/src/supervisor_messages.rs
@@ -38,7 +38,7 @@
     pub no: u64,
     /// What is kept, as it is on the disk.
     #[prost(bytes = "vec", tag = "3")]
-    pub kept: Vec<u8>,
+    pub persisted: Vec<u8>,
     #[prost(uint64, tag = "4")]
     pub number: u64,
     #[prost(fixed64, tag = "5")]
@@ -47,7 +47,7 @@
     pub refused: bool,
     #[prost(string, tag = "7")]
     pub why: String,
-    /// Of a version that died on trial: how often it was begun, its change and itself; tries are 0
+    /// Of a version that died on trial: how often it was begun, its rollout and itself; tries are 0
     /// if none did.
     #[prost(uint32, tag = "8")]
     pub died_tries: u32,
@@ -105,12 +105,12 @@
 
     /// What a process starts with.
     pub fn begin(begin: &StartInstructions) -> SupervisorMessage {
-        let died = begin.died;
-        let of = died.map(|trial| trial.version).unwrap_or_default();
+        let crashed = begin.crashed;
+        let of = crashed.map(|trial| trial.version).unwrap_or_default();
         SupervisorMessage {
-            kept: begin.kept.write(),
-            died_tries: died.map_or(0, |trial| trial.tries.max(1)),
-            died_change: died.map_or(0, |trial| trial.change.0),
+            persisted: begin.persisted.encode(),
+            died_tries: crashed.map_or(0, |trial| trial.tries.max(1)),
+            died_change: crashed.map_or(0, |trial| trial.rollout.0),
             died_number: of.number,
             died_hash: of.hash,
             fresh: begin.fresh,
@@ -126,16 +126,16 @@
             hash: self.died_hash,
         };
         let trial = Trial {
-            change: RolloutId(self.died_change),
+            rollout: RolloutId(self.died_change),
             version,
             tries: self.died_tries,
         };
         Some(StartInstructions {
-            kept: PersistedState::read(&self.kept)
+            persisted: PersistedState::decode(&self.persisted)
                 .ok()
                 .filter(|_| self.kind == kind::BEGIN)?,
             version: self.version(),
-            died: (self.died_tries > 0).then_some(trial),
+            crashed: (self.died_tries > 0).then_some(trial),
             fresh: self.fresh,
             beside: self.beside,
         })
--- a/crates/rollout/src/supervisor_messages/tests.rs
+++ b/crates/rollout/src/supervisor_messages/tests.rs
@@ -3,17 +3,17 @@
 
 #[test]
 fn sayings_come_in_any_pieces_and_unknown_fields_are_passed_over() {
-    let mut kept = PersistedState::new(Kind::Program);
-    kept.found_good(Version { number: 3, hash: 9 });
+    let mut persisted = PersistedState::new(Kind::Program);
+    persisted.promote(Version { number: 3, hash: 9 });
     let trial = Trial {
-        change: RolloutId(5),
+        rollout: RolloutId(5),
         version: Version { number: 4, hash: 8 },
         tries: 1,
     };
     let begin = StartInstructions {
-        kept,
+        persisted,
         version: Version { number: 3, hash: 9 },
-        died: Some(trial),
+        crashed: Some(trial),
         fresh: false,
         beside: true,
     };
--- a/crates/rollout/tests/fleets.rs
+++ b/crates/rollout/tests/fleets.rs
@@ -30,20 +30,24 @@
 }
 
 fn line(fleet: &Fleet) -> String {
-    let node = (0..fleet.count()).find(|node| fleet.rollout(*node).is_some());
-    let Some(rollout) = node.and_then(|node| fleet.rollout(node)) else {
+    let node = (0..fleet.count()).find(|node| fleet.participant(*node).is_some());
+    let Some(rollout) = node.and_then(|node| fleet.participant(node)) else {
         return String::new();
     };
-    let changes = rollout.local.changes().iter().map(|c| {
+    let rollouts = rollout.agent.rollouts().iter().map(|c| {
         format!(
             "\n{} stage {}: {} {}",
             c.version,
-            c.reach.stage,
-            c.fate.word(),
+            c.progress.stage,
+            c.outcome.word(),
             c.reason.why
         )
     });
-    format!("{}{}", rollout.conduct.line(), changes.collect::<String>())
+    format!(
+        "{}{}",
+        rollout.coordinator.line(),
+        rollouts.collect::<String>()
+    )
 }
 
 #[test]
@@ -118,7 +122,7 @@
         slower: 1.0,
         ..Effect::NONE
     };
-    for (effect, at_most, told) in [
+    for (effect, at_most, message) in [
         (leak, 3, "memory"),
         (seldom, 3, ""),
         (crash, 2, "deaths"),
@@ -131,17 +135,17 @@
             "{effect:?}: {}",
             line(&fleet)
         );
-        let change = fleet.known(3, id).unwrap();
+        let rollout = fleet.known(3, id).unwrap();
         assert!(
-            change.reach.stage <= at_most,
+            rollout.progress.stage <= at_most,
             "{effect:?} came to stage {}: {}",
-            change.reach.stage,
+            rollout.progress.stage,
             line(&fleet)
         );
         assert!(
-            change.reason.why.contains(told),
+            rollout.reason.why.contains(message),
             "{effect:?}: {}",
-            change.reason.why
+            rollout.reason.why
         );
         fleet.run(MINUTE);
         assert_eq!(fleet.running(2), 0);
@@ -202,12 +206,12 @@
     );
     assert!(
         fleet
-            .rollout(0)
+            .participant(0)
             .unwrap()
-            .local
-            .changes()
+            .agent
+            .rollouts()
             .iter()
-            .all(|change| change.fate > Outcome::InProgress)
+            .all(|rollout| rollout.outcome > Outcome::InProgress)
     );
     fine(&fleet);
 }
@@ -219,7 +223,7 @@
         let one = fleet.offer(1, 2, Effect::NONE);
         fleet.run(SECOND / 100 * (seed % 3));
         let two = fleet.offer(6, 2, Effect::NONE);
-        let ended = |fleet: &Fleet, id| fleet.fate(3, id).unwrap_or_default();
+        let ended = |fleet: &Fleet, id| fleet.outcome(3, id).unwrap_or_default();
         assert!(
             fleet.until(20 * MINUTE, |fleet| ended(fleet, one) > Outcome::InProgress
                 && ended(fleet, two) > Outcome::InProgress)
@@ -313,14 +317,14 @@
     fine(&fleet);
 }
 
-/// The arbiters are split evenly off: neither half goes on.
+/// The voters are split evenly off: neither half goes on.
 #[test]
 fn without_most_arbiters_or_most_nodes_nothing_goes_on() {
     for small in [vec![0, 1], vec![2, 3, 4, 5, 6, 7, 8, 9]] {
         let mut fleet = Fleet::new(shape(8, 10));
         let id = fleet.offer(5, 2, Effect::NONE);
         assert!(fleet.until(10 * MINUTE, |fleet| fleet.stage(id) == 2));
-        fleet.split(&small); // most arbiters are on one side, most nodes on the other
+        fleet.split(&small); // most voters are on one side, most nodes on the other
         let stage = fleet.stage(id);
         fleet.run(10 * MINUTE);
         assert_eq!(
@@ -347,8 +351,8 @@
     fleet.run(10 * MINUTE);
     assert!(
         (0..5).all(|node| fleet
-            .fate(node, id)
-            .is_none_or(|fate| fate == Outcome::Rejected)),
+            .outcome(node, id)
+            .is_none_or(|outcome| outcome == Outcome::Rejected)),
         "{}",
         line(&fleet)
     );
@@ -459,7 +463,7 @@
     for number in 2..=4 {
         let id = fleet.offer(2, number, Effect::NONE);
         assert!(
-            fleet.until(30 * MINUTE, |fleet| fleet.fate(0, id)
+            fleet.until(30 * MINUTE, |fleet| fleet.outcome(0, id)
                 == Some(Outcome::Completed)),
             "{number}: {}",
             line(&fleet)
@@ -479,7 +483,7 @@
     fine(&fleet);
 }
 
-/// An arbiter is set up anew in mid-change, and knows nothing of what it promised: it takes part
+/// A voter is set up anew in mid-rollout, and knows nothing of what it promised: it takes part
 /// again once that is past.
 #[test]
 fn an_arbiter_that_lost_its_disk_abstains_for_two_agreements() {
@@ -491,8 +495,8 @@
     assert_eq!(fleet.runs(2).unwrap().number, 1);
     let voted = |fleet: &Fleet| {
         fleet
-            .rollout(2)
-            .is_some_and(|rollout| rollout.local.kept_now().vote.is_some())
+            .participant(2)
+            .is_some_and(|rollout| rollout.agent.persisted_state().vote.is_some())
     };
     assert!(
         fleet.until(20 * MINUTE, |fleet| fleet.stage(id) == 3),
@@ -531,7 +535,7 @@
     fleet.run(MINUTE);
     fleet.crash(node);
     fleet.start(node);
-    let says = |fleet: &Fleet| fleet.rollout(node).unwrap().local.host.lines.join("; ");
+    let says = |fleet: &Fleet| fleet.participant(node).unwrap().agent.host.lines.join("; ");
     assert!(!says(&fleet).contains("died on trial"), "{}", says(&fleet));
     fine(&fleet);
 }
@@ -595,7 +599,7 @@
         line(&fleet)
     );
     assert_eq!(
-        (fleet.fate(0, three), fleet.running(4)),
+        (fleet.outcome(0, three), fleet.running(4)),
         (Some(Outcome::RolledBack), 8)
     );
     fleet.end(3, four, Outcome::RolledBack);
@@ -657,8 +661,8 @@
                 6 => fleet.heal(),
                 7 => {
                     let open = fleet
-                        .rollout(node)
-                        .and_then(|r| r.local.changes().iter().map(|c| c.id).last());
+                        .participant(node)
+                        .and_then(|r| r.agent.rollouts().iter().map(|c| c.id).last());
                     if let Some(id) = open {
                         fleet.end(
                             node,
@@ -696,8 +700,8 @@
             "seed {seed}: {:#?}",
             fleet.tally.broken
         );
-        let ended = fleet.fate(0, id);
-        // The day has trouble of its own: a good change may be stopped, by chance, and then all are
+        let ended = fleet.outcome(0, id);
+        // The day has trouble of its own: a good rollout may be stopped, by chance, and then all are
         // on what was before.
         if !done {
             assert!(
@@ -718,7 +722,7 @@
 
 #[test]
 fn a_conductor_is_the_first_arbiter_that_is_there() {
-    let conduct = |me| Coordinator::new(0, me, Default::default(), vec![5, 6, 7]);
+    let coordinator = |me| Coordinator::new(0, me, Default::default(), vec![5, 6, 7]);
     let member = |node, there| madderpoint_rollout::Member {
         node,
         zone: 0,
@@ -731,8 +735,8 @@
         member(9, true),
     ];
     assert_eq!(
-        [5, 6, 7, 9].map(|me| conduct(me).conducts(&members)),
+        [5, 6, 7, 9].map(|me| coordinator(me).is_coordinating(&members)),
         [true, true, false, false]
     );
-    assert!(!conduct(9).is_arbiter());
+    assert!(!coordinator(9).is_voter());
 }
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Wire and file formats must stay byte for byte alike: nodes of two versions run side by side, and
 //! a new program reads the files of an old one. What each message, file and status was is recorded
 //! in `tests/golden`, a line `name hex` for each, and is compared whole: a line that is missing,
-//! added or moved fails too. A record is changed only by hand, with a change of the format that is
+//! added or moved fails too. A record is changed only by hand, with a rollout of the format that is
 //! meant.
 
 // A later version differs by intent.
@@ -9,7 +9,7 @@
 
 use madderpoint_rollout::chunks;
 use madderpoint_rollout::messages::{
-    self, CommandReply, OperatorCommand, PIECE, ReceivedMessage, order,
+    self, CHUNK_BYTES, CommandReply, OperatorCommand, ReceivedMessage, order,
 };
 use madderpoint_rollout::node_agent::{NodeReport, NodeStatus};
 use madderpoint_rollout::operator_commands::{CommandAction, OperatorCommands};
@@ -48,6 +48,27 @@
     NodeStatus::Crashed,
 ];
 
+/// The label of an outcome's lines in the record; it does not follow the variant's name.
+fn outcome_label(outcome: Outcome) -> &'static str {
+    ["Open", "Done", "Refused", "Halted", "Back"][outcome as usize]
+}
+
+/// The same of a node's status.
+fn status_label(status: NodeStatus) -> &'static str {
+    let labels = [
+        "Unknown",
+        "Known",
+        "TurnedDown",
+        "Staged",
+        "Beginning",
+        "OnTrial",
+        "Good",
+        "TakenBack",
+        "Died",
+    ];
+    labels[status as usize]
+}
+
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
@@ -116,9 +137,9 @@
     }
 }
 
-fn reach() -> Progress {
+fn progress() -> Progress {
     Progress {
-        seq: 31,
+        agreement: 31,
         stage: 2,
         before: BTreeMap::from([(7, 0x0102_0304_0506_0708)]),
         until: BTreeMap::from([(3, 0x1112_1314_1516_1718), (7, u64::MAX)]),
@@ -143,11 +164,11 @@
     }
 }
 
-/// A change; the reason of one that is open is not told.
-fn change(kind: Kind, fate: Outcome) -> Rollout {
+/// A rollout; the reason of one that is open is not told.
+fn rollout(kind: Kind, outcome: Outcome) -> Rollout {
     let reason = Reason::new(1_700_000_000_456, 0x3344_5566_7788_99aa, "book errs: é");
     Rollout {
-        id: RolloutId(0x4455_6677_8899_aa00 + fate as u64),
+        id: RolloutId(0x4455_6677_8899_aa00 + outcome as u64),
         kind,
         version: version(5),
         base: version(4),
@@ -156,9 +177,9 @@
         by: 0x5566_7788_99aa_bbcc,
         at_ms: 1_700_000_000_789,
         plan: plan(),
-        reach: reach(),
-        fate,
-        reason: if fate == Outcome::InProgress {
+        progress: progress(),
+        outcome,
+        reason: if outcome == Outcome::InProgress {
             Reason::default()
         } else {
             reason
@@ -166,17 +187,17 @@
     }
 }
 
-fn report(fate: Outcome, stand: NodeStatus) -> NodeReport {
+fn report(outcome: Outcome, status: NodeStatus) -> NodeReport {
     NodeReport {
-        change: RolloutId(0x4455_6677_8899_aabb),
+        rollout: RolloutId(0x4455_6677_8899_aabb),
         stage: 3,
-        fate,
-        stand,
+        outcome,
+        status,
         running: version(6),
         good: version(7),
         since_ms: 1_700_000_001_111,
-        died: 8,
-        died_ms: 1_700_000_002_222,
+        crashes: 8,
+        last_crash_ms: 1_700_000_002_222,
         why: "said so".into(),
         digest: 0x6677_8899_aabb_ccdd,
     }
@@ -184,30 +205,30 @@
 
 fn proposal() -> Proposal {
     Proposal {
-        change: RolloutId(0x4455_6677_8899_aabb),
-        reach: reach(),
+        rollout: RolloutId(0x4455_6677_8899_aabb),
+        progress: progress(),
     }
 }
 
 fn trial() -> Trial {
     Trial {
-        change: RolloutId(0x4455_6677_8899_aa03),
+        rollout: RolloutId(0x4455_6677_8899_aa03),
         version: version(5),
         tries: 2,
     }
 }
 
 /// The file of a node in mid-trial, with a vote of its own.
-fn kept(kind: Kind) -> PersistedState {
+fn persisted(kind: Kind) -> PersistedState {
     PersistedState {
         kind,
         good: Some(version(4)),
         before: Some(version(3)),
         trial: Some(trial()),
-        turned_down: vec![(version(1), 6), (version(2), 7)],
-        head: Some(change(kind, Outcome::Halted)),
+        rejected: vec![(version(1), 6), (version(2), 7)],
+        head: Some(rollout(kind, Outcome::Halted)),
         vote: Some(Vote {
-            seq: 32,
+            agreement: 32,
             promised: ballot(9),
             accepted: Some((ballot(8), proposal())),
         }),
@@ -215,53 +236,53 @@
     }
 }
 
-/// What the fleet tells of changes, polls, pieces and votes.
+/// What the fleet tells of rollouts, polls, pieces and votes.
 fn parcels() -> Vec<(String, ReceivedMessage)> {
     let id = RolloutId(0x4455_6677_8899_aabb);
     let mut all = Vec::new();
     for kind in [Kind::Settings, Kind::Program] {
-        for fate in FATES {
-            let changes = vec![change(kind, fate)];
+        for outcome in FATES {
+            let rollouts = vec![rollout(kind, outcome)];
             all.push((
-                format!("changes-{kind:?}-{fate:?}"),
-                ReceivedMessage::RolloutTable {
-                    changes,
+                format!("changes-{kind:?}-{}", outcome_label(outcome)),
+                ReceivedMessage::Rollouts {
+                    rollouts,
                     answer: true,
                 },
             ));
         }
     }
     let two = vec![
-        change(Kind::Settings, Outcome::InProgress),
-        change(Kind::Program, Outcome::RolledBack),
+        rollout(Kind::Settings, Outcome::InProgress),
+        rollout(Kind::Program, Outcome::RolledBack),
     ];
     all.push(named(
         "changes-two",
-        ReceivedMessage::RolloutTable {
-            changes: two,
+        ReceivedMessage::Rollouts {
+            rollouts: two,
             answer: false,
         },
     ));
-    for fate in FATES {
+    for outcome in FATES {
         all.push((
-            format!("poll-{fate:?}"),
+            format!("poll-{}", outcome_label(outcome)),
             ReceivedMessage::Poll {
                 no: 4,
-                change: id,
+                rollout: id,
                 stage: 2,
-                fate,
+                outcome,
             },
         ));
-        let report = report(fate, NodeStatus::OnTrial);
+        let report = report(outcome, NodeStatus::OnTrial);
         all.push((
-            format!("report-{fate:?}"),
+            format!("report-{}", outcome_label(outcome)),
             ReceivedMessage::NodeReport { no: 5, report },
         ));
     }
     all.push(named(
         "ask-pieces",
-        ReceivedMessage::AskPieces {
-            change: id,
+        ReceivedMessage::ChunkRequest {
+            rollout: id,
             first: 17,
             count: 8,
         },
@@ -269,18 +290,18 @@
     let bytes = (1..=40).collect();
     all.push(named(
         "piece",
-        ReceivedMessage::Piece {
-            change: id,
+        ReceivedMessage::Chunk {
+            rollout: id,
             no: 17,
             bytes,
         },
     ));
-    let (seq, ballot, promised) = (31, ballot(3), ballot(2));
+    let (agreement, ballot, promised) = (31, ballot(3), ballot(2));
     for kind in [Kind::Settings, Kind::Program] {
-        let mut add = |name: &str, told| all.push((format!("{name}-{kind:?}"), told));
+        let mut add = |name: &str, message| all.push((format!("{name}-{kind:?}"), message));
         add(
             "prepare",
-            ReceivedMessage::PaxosRequest(kind, PaxosRequest::Prepare { seq, ballot }),
+            ReceivedMessage::PaxosRequest(kind, PaxosRequest::Prepare { agreement, ballot }),
         );
         for again in [false, true] {
             let accept = PaxosRequest::Accept {
@@ -298,7 +319,7 @@
             ReceivedMessage::PaxosReply(
                 kind,
                 PaxosReply::Promised {
-                    seq,
+                    agreement,
                     ballot,
                     accepted: None,
                 },
@@ -310,7 +331,7 @@
             ReceivedMessage::PaxosReply(
                 kind,
                 PaxosReply::Promised {
-                    seq,
+                    agreement,
                     ballot,
                     accepted,
                 },
@@ -318,14 +339,14 @@
         );
         add(
             "accepted",
-            ReceivedMessage::PaxosReply(kind, PaxosReply::Accepted { seq, ballot }),
+            ReceivedMessage::PaxosReply(kind, PaxosReply::Accepted { agreement, ballot }),
         );
         add(
             "refused",
             ReceivedMessage::PaxosReply(
                 kind,
                 PaxosReply::Refused {
-                    seq,
+                    agreement,
                     ballot,
                     promised,
                 },
@@ -337,46 +358,46 @@
 
 #[test]
 fn each_parcel_is_written_as_recorded_and_read_back() {
-    holds("parcels.hex", &parcels(), messages::write, |bytes| {
-        messages::read(bytes).unwrap()
+    holds("parcels.hex", &parcels(), messages::encode, |bytes| {
+        messages::decode(bytes).unwrap()
     });
 }
 
 #[test]
 fn many_changes_are_told_in_the_recorded_parcels() {
-    let changes: Vec<Rollout> = FATES
+    let rollouts: Vec<Rollout> = FATES
         .iter()
-        .map(|fate| change(Kind::Program, *fate))
+        .map(|outcome| rollout(Kind::Program, *outcome))
         .collect();
-    let told = messages::changes(changes.iter(), true);
-    let all: Vec<_> = told
+    let message = messages::rollouts(rollouts.iter(), true);
+    let all: Vec<_> = message
         .into_iter()
         .enumerate()
-        .map(|(at, told)| (format!("parcel-{at}"), told))
+        .map(|(at, message)| (format!("parcel-{at}"), message))
         .collect();
-    holds("many_changes.hex", &all, messages::write, |bytes| {
-        messages::read(bytes).unwrap()
+    holds("many_changes.hex", &all, messages::encode, |bytes| {
+        messages::decode(bytes).unwrap()
     });
 }
 
 #[test]
 fn a_report_on_an_entry_is_written_as_recorded_and_read_back() {
-    let one = |stand| {
+    let one = |status| {
         (
-            format!("{stand:?}"),
+            status_label(status).to_owned(),
             NodeReport {
                 why: String::new(),
-                ..report(Outcome::Halted, stand)
+                ..report(Outcome::Halted, status)
             },
         )
     };
     let all: Vec<_> = STANDS.into_iter().map(one).collect();
-    holds("entries.hex", &all, messages::write_part, |bytes| {
-        messages::read_part(bytes).unwrap()
+    holds("entries.hex", &all, messages::encode_attachment, |bytes| {
+        messages::decode_attachment(bytes).unwrap()
     });
-    let with_why = messages::write_part(&report(Outcome::Halted, NodeStatus::Crashed));
+    let with_why = messages::encode_attachment(&report(Outcome::Halted, NodeStatus::Crashed));
     assert_eq!(
-        messages::read_part(&with_why).as_ref(),
+        messages::decode_attachment(&with_why).as_ref(),
         all.last().map(|(_, report)| report)
     );
 }
@@ -391,15 +412,15 @@
         digest: (101..=132).collect(),
         number: 6,
         hash: 0x1122_3344_5566_7788,
-        change: 0x4455_6677_8899_aabb,
+        rollout: 0x4455_6677_8899_aabb,
         why: "it smells: é".into(),
         program: true,
     };
     let kinds = [
-        ("piece", order::PIECE),
+        ("piece", order::CHUNK),
         ("offer", order::OFFER),
         ("halt", order::HALT),
-        ("back", order::BACK),
+        ("back", order::ROLL_BACK),
     ];
     message_holds(
         "orders.hex",
@@ -411,10 +432,10 @@
 fn answers() -> Vec<(String, CommandReply)> {
     let content: Vec<u8> = (0..1500).map(|at| at as u8).collect();
     let digest = chunks::digest(&content).to_vec();
-    let piece = |no| OperatorCommand {
-        kind: order::PIECE,
+    let chunk = |no| OperatorCommand {
+        kind: order::CHUNK,
         no,
-        bytes: chunks::piece(&content, no).unwrap().to_vec(),
+        bytes: chunks::chunk(&content, no).unwrap().to_vec(),
         size: 1500,
         digest: digest.clone(),
         ..OperatorCommand::default()
@@ -428,40 +449,49 @@
         kind: order::HALT,
         ..OperatorCommand::default()
     };
-    let (mut orders, mut changes) = (OperatorCommands::default(), RolloutTable::default());
-    let answer =
-        |orders: &mut OperatorCommands,
-         changes: &RolloutTable,
-         name: &str,
-         said: &OperatorCommand| match orders.order(1, Kind::Settings, changes, said) {
-            CommandAction::VoterAction(answer) => Some(named(name, answer)),
-            _ => None,
-        };
+    let (mut commands, mut rollouts) = (OperatorCommands::default(), RolloutTable::default());
+    let answer = |commands: &mut OperatorCommands,
+                  rollouts: &RolloutTable,
+                  name: &str,
+                  received: &OperatorCommand| match commands.handle(
+        1,
+        Kind::Settings,
+        rollouts,
+        received,
+    ) {
+        CommandAction::Reply(answer) => Some(named(name, answer)),
+        _ => None,
+    };
     let mut all = vec![
-        answer(&mut orders, &changes, "pieces-missing", &offer),
-        answer(&mut orders, &changes, "piece-taken", &piece(0)),
-        answer(&mut orders, &changes, "last-piece-taken", &piece(1)),
-        answer(&mut orders, &changes, "nothing-to-halt", &halt),
+        answer(&mut commands, &rollouts, "pieces-missing", &offer),
+        answer(&mut commands, &rollouts, "piece-taken", &chunk(0)),
+        answer(&mut commands, &rollouts, "last-piece-taken", &chunk(1)),
+        answer(&mut commands, &rollouts, "nothing-to-halt", &halt),
     ];
     assert!(matches!(
-        orders.order(1, Kind::Settings, &changes, &offer),
-        CommandAction::LookInto { no: 1, .. }
+        commands.handle(1, Kind::Settings, &rollouts, &offer),
+        CommandAction::CheckOffer { no: 1, .. }
     ));
-    all.push(answer(&mut orders, &changes, "looked-into", &offer));
+    all.push(answer(&mut commands, &rollouts, "looked-into", &offer));
     let of = (Kind::Settings, 0x5566_7788_99aa_bbcc, 1_700_000_000_789);
-    let offered = orders
-        .looked_into(1, Ok(version(5)), of, &changes, version(4), &plan())
+    let offered = commands
+        .offer_checked(1, Ok(version(5)), of, &rollouts, version(4), &plan())
         .unwrap();
-    all.push(answer(&mut orders, &changes, "offered", &offer));
+    all.push(answer(&mut commands, &rollouts, "offered", &offer));
     let halt = OperatorCommand {
-        change: offered.0.id.0,
+        rollout: offered.0.id.0,
         ..halt
     };
-    changes.hear(&Rollout {
-        fate: Outcome::RolledBack,
+    rollouts.merge(&Rollout {
+        outcome: Outcome::RolledBack,
         ..offered.0
     });
-    all.push(answer(&mut orders, &changes, "taken-back-already", &halt));
+    all.push(answer(
+        &mut commands,
+        &rollouts,
+        "taken-back-already",
+        &halt,
+    ));
     all.into_iter().map(Option::unwrap).collect()
 }
 
@@ -472,10 +502,10 @@
 
 /// What a parent says to a process.
 fn of_the_parent() -> Vec<(String, SupervisorMessage)> {
-    let begin = |kind, died, fresh, beside| StartInstructions {
-        kept: kept(kind),
+    let begin = |kind, crashed, fresh, beside| StartInstructions {
+        persisted: persisted(kind),
         version: version(5),
-        died,
+        crashed,
         fresh,
         beside,
     };
@@ -498,15 +528,15 @@
 
 /// What a process says to its parent.
 fn of_the_process() -> Vec<(String, SupervisorMessage)> {
-    let keep = SupervisorMessage {
+    let persist = SupervisorMessage {
         kind: kind::KEEP,
         no: 13,
-        kept: kept(Kind::Program).write(),
+        persisted: persisted(Kind::Program).encode(),
         ..SupervisorMessage::default()
     };
     vec![
         named("ready", SupervisorMessage::plain(kind::READY)),
-        named("keep", keep),
+        named("keep", persist),
         named(
             "check",
             SupervisorMessage::about(kind::CHECK, 14, version(5)),
@@ -523,7 +553,7 @@
     SupervisorMessage {
         kind: 77,
         no: 16,
-        kept: vec![1, 2, 3],
+        persisted: vec![1, 2, 3],
         number: 17,
         hash: 18,
         refused: true,
@@ -574,14 +604,14 @@
         .filter_map(|line| take(&unhex(line.split_once(' ').unwrap().1)).as_begin())
         .collect();
     assert_eq!(begins.len(), 2);
-    assert_eq!(begins[0].kept, kept(Kind::Settings));
+    assert_eq!(begins[0].persisted, persisted(Kind::Settings));
     assert_eq!(
-        (begins[0].died, begins[0].fresh, begins[0].beside),
+        (begins[0].crashed, begins[0].fresh, begins[0].beside),
         (Some(trial()), true, false)
     );
-    assert_eq!(begins[1].kept, kept(Kind::Program));
+    assert_eq!(begins[1].persisted, persisted(Kind::Program));
     assert_eq!(
-        (begins[1].died, begins[1].fresh, begins[1].beside),
+        (begins[1].crashed, begins[1].fresh, begins[1].beside),
         (None, false, true)
     );
     assert!(begins.iter().all(|begin| begin.version == version(5)));
@@ -590,16 +620,16 @@
 #[test]
 fn the_file_of_a_node_in_mid_trial_is_written_as_recorded_and_read_back() {
     let mut first = PersistedState::new(Kind::Settings);
-    first.found_good(version(4));
+    first.promote(version(4));
     first.trial = Some(trial());
     let all = [
-        named("settings", kept(Kind::Settings)),
-        named("program", kept(Kind::Program)),
+        named("settings", persisted(Kind::Settings)),
+        named("program", persisted(Kind::Program)),
         named("first-trial", first),
         named("nothing", PersistedState::new(Kind::Program)),
     ];
-    holds("kept.hex", &all, PersistedState::write, |bytes| {
-        PersistedState::read(bytes).unwrap()
+    holds("kept.hex", &all, PersistedState::encode, |bytes| {
+        PersistedState::decode(bytes).unwrap()
     });
 }
 
@@ -613,14 +643,14 @@
 
 /// A status with each field.
 fn shown() -> StatusSnapshot {
-    let change = RolloutStatus {
+    let rollout = RolloutStatus {
         id: 0x4455_6677_8899_aabb,
         kind: 1,
         version: shown_version(5),
         base: shown_version(4),
         stage: 2,
         stages: vec!["one node".into(), "all".into()],
-        fate: "halted".into(),
+        outcome: "halted".into(),
         why: "book errs".into(),
         by: "n1".into(),
         ended_ms: 1_700_000_000_456,
@@ -636,8 +666,8 @@
         in_stage: true,
         running: shown_version(6),
         since_ms: 1_700_000_001_111,
-        stand: "on trial".into(),
-        died: 8,
+        status: "on trial".into(),
+        crashes: 8,
         why: "said so".into(),
     };
     let finding = ComparisonStatus {
@@ -667,10 +697,10 @@
         kind: 1,
         running: shown_version(7),
         reasons: vec!["one".into(), "two".into()],
-        conductor: "n5".into(),
-        conductor_at: "192.0.2.1:7".into(),
+        coordinator: "n5".into(),
+        coordinator_address: "192.0.2.1:7".into(),
         waits: "for a sample".into(),
-        changes: vec![change],
+        rollouts: vec![rollout],
         nodes: vec![node],
         nodes_in_all: 301,
         verdict: "fine".into(),
@@ -690,9 +720,9 @@
 
 #[test]
 fn words_and_pieces_are_as_recorded() {
-    let content: Vec<u8> = (0..PIECE + 20).map(|at| at as u8).collect();
-    let fates = FATES.map(|fate| format!("fate {}: {}\n", fate as u32, fate.word()));
-    let stands = STANDS.map(|stand| format!("stand {}: {}\n", stand as u32, stand.word()));
+    let content: Vec<u8> = (0..CHUNK_BYTES + 20).map(|at| at as u8).collect();
+    let fates = FATES.map(|outcome| format!("fate {}: {}\n", outcome as u32, outcome.word()));
+    let stands = STANDS.map(|status| format!("stand {}: {}\n", status as u32, status.word()));
     let (id, of) = (RolloutId(0x4455_6677_8899_aabb), version(5));
     let mut lines = [fates.concat(), stands.concat()].concat();
     lines += &format!("version: {of}\nchange: {id}\n");
@@ -702,11 +732,11 @@
         content.len(),
         chunks::count(content.len())
     );
-    lines += &format!("last piece: {}\n", hex(chunks::piece(&content, 1).unwrap()));
+    lines += &format!("last piece: {}\n", hex(chunks::chunk(&content, 1).unwrap()));
     // All nodes must come to the same about who is in a stage, and about what they know.
     lines += &format!("place: {:016x}\n", place(id, 0x5566_7788_99aa_bbcc));
     let mut known = RolloutTable::default();
-    known.hear(&change(Kind::Settings, Outcome::Halted));
+    known.merge(&rollout(Kind::Settings, Outcome::Halted));
     lines += &format!("digest of what is known: {:016x}\n", known.digest());
     compare("words.txt", &lines);
 }
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -1,4 +1,4 @@
-//! The rules by which a fleet agrees on a change and ends it, checked through every order of
+//! The rules by which a fleet agrees on a rollout and ends it, checked through every order of
 //! messages that arrive, are late or lost (a split is no more than that), of nodes that crash and
 //! return, of two that conduct at once, and of halts heard anywhere: there are no two agreements of
 //! a number, so that of two halves at most one goes on; nobody runs what it did not check or what
@@ -6,7 +6,8 @@
 //! the package's.
 
 use madderpoint_rollout::paxos::{
-    Ballot, PaxosReply, PaxosRequest, PaxosRound, Proposal, RoundStep, Vote, VoterAction, known,
+    Ballot, PaxosReply, PaxosRequest, PaxosRound, Proposal, RoundStep, Vote, VoterAction,
+    last_agreement,
 };
 use madderpoint_rollout::rollout::{
     Kind, Outcome, Reason, Rollout, RolloutId, RolloutTable, Version,
@@ -24,22 +25,22 @@
     PaxosRequest {
         from: usize,
         to: usize,
-        ask: PaxosRequest,
+        request: PaxosRequest,
     },
     PaxosReply {
         from: usize,
         to: usize,
-        say: PaxosReply,
+        reply: PaxosReply,
     },
 }
 
 #[derive(Clone, Debug)]
 struct Node {
-    changes: RolloutTable,
+    rollouts: RolloutTable,
     vote: Vote,
     /// What is on its disk of the last agreement that it knows.
     head: Option<Rollout>,
-    /// Its round, and the arbiter that it does not reach.
+    /// Its round, and the voter that it does not progress.
     round: Option<(PaxosRound, usize)>,
     running: u64,
     good: u64,
@@ -51,7 +52,7 @@
 #[derive(Clone, Debug)]
 struct State {
     nodes: Vec<Node>,
-    under_way: BTreeSet<Sent>,
+    in_progress: BTreeSet<Sent>,
     /// What was agreed on, by number; two of a number are kept apart.
     agreed: BTreeSet<(u64, RolloutId, Progress)>,
     rounds: usize,
@@ -60,10 +61,10 @@
     carried: bool,
 }
 
-fn words(changes: &RolloutTable) -> Vec<(RolloutId, Progress, Outcome)> {
-    changes
+fn words(rollouts: &RolloutTable) -> Vec<(RolloutId, Progress, Outcome)> {
+    rollouts
         .iter()
-        .map(|change| (change.id, change.reach.clone(), change.fate))
+        .map(|rollout| (rollout.id, rollout.progress.clone(), rollout.outcome))
         .collect()
 }
 
@@ -76,9 +77,9 @@
                 let head = n
                     .head
                     .as_ref()
-                    .map(|head| (head.id, head.reach.clone(), head.fate));
+                    .map(|head| (head.id, head.progress.clone(), head.outcome));
                 (
-                    words(&n.changes),
+                    words(&n.rollouts),
                     &n.vote,
                     head,
                     &n.round,
@@ -88,7 +89,7 @@
             .collect();
         (
             nodes,
-            &self.under_way,
+            &self.in_progress,
             &self.agreed,
             (self.rounds, self.halts, self.crashes, self.carried),
         )
@@ -109,7 +110,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
-    /// It begins a round for a change; one arbiter it does not reach.
+    /// It begins a round for a rollout; one voter it does not progress.
     Begins(usize, RolloutId, usize),
     Arrives(Sent),
     Tells(usize, usize),
@@ -119,16 +120,16 @@
     GoesBack(usize),
 }
 
-/// A small fleet: so many nodes, of which the first three are arbiters, and what may happen to it
+/// A small fleet: so many nodes, of which the first three are voters, and what may happen to it
 /// how often.
 struct Small {
     nodes: usize,
-    changes: u64,
+    rollouts: u64,
     rounds: usize,
     halts: usize,
     crashes: usize,
     /// Who may conduct.
-    conduct: Vec<usize>,
+    coordinator: Vec<usize>,
     /// Whether nodes run what is agreed on, or it is looked at agreements alone.
     run: bool,
     /// Messages that are under way at once.
@@ -141,14 +142,14 @@
 
 impl Default for Small {
     fn default() -> Small {
-        let conduct = vec![0, 1];
+        let coordinator = vec![0, 1];
         Small {
             nodes: 3,
-            changes: 1,
+            rollouts: 1,
             rounds: 2,
             halts: 0,
             crashes: 0,
-            conduct,
+            coordinator,
             run: true,
             at_once: 4,
             unfit: None,
@@ -157,7 +158,7 @@
 }
 
 impl Small {
-    fn change(&self, id: u64) -> Rollout {
+    fn rollout(&self, id: u64) -> Rollout {
         let stage = Stage {
             share: 0,
             ..Plan::default().stages[0]
@@ -188,27 +189,30 @@
                 stages,
                 ..Plan::default()
             },
-            reach: Progress::default(),
-            fate: Outcome::InProgress,
+            progress: Progress::default(),
+            outcome: Outcome::InProgress,
             reason: Reason::default(),
         }
     }
 
     /// What a node may do by what it knows.
-    fn wants(&self, node: &Node, n: usize) -> Option<(Outcome, u64, bool)> {
-        let change = node.changes.under_way(K).or_else(|| {
-            let over = node.changes.iter().filter(|change| change.reach.seq > 0);
-            over.max_by_key(|change| change.reach.seq)
+    fn assignment(&self, node: &Node, n: usize) -> Option<(Outcome, u64, bool)> {
+        let rollout = node.rollouts.in_progress(K).or_else(|| {
+            let over = node
+                .rollouts
+                .iter()
+                .filter(|rollout| rollout.progress.agreement > 0);
+            over.max_by_key(|rollout| rollout.progress.agreement)
         })?;
         Some((
-            change.fate,
-            change.version.number,
-            change.wants(n as u64 + 1, 0)?,
+            rollout.outcome,
+            rollout.version.number,
+            rollout.assignment(n as u64 + 1, 0)?,
         ))
     }
 
     fn write(node: &mut Node) {
-        node.head = node.changes.head(K).cloned();
+        node.head = node.rollouts.head(K).cloned();
     }
 }
 
@@ -217,10 +221,10 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let mut changes = RolloutTable::default();
-        (1..=self.changes).for_each(|id| _ = changes.hear(&self.change(id)));
+        let mut rollouts = RolloutTable::default();
+        (1..=self.rollouts).for_each(|id| _ = rollouts.merge(&self.rollout(id)));
         let node = |n: usize| Node {
-            changes: changes.clone(),
+            rollouts: rollouts.clone(),
             vote: Vote::default(),
             head: None,
             round: None,
@@ -228,13 +232,13 @@
             good: OLD,
             checked: match self.unfit == Some(n) {
                 true => BTreeSet::from([OLD]),
-                false => (OLD..=OLD + self.changes).collect(),
+                false => (OLD..=OLD + self.rollouts).collect(),
             },
             late: false,
         };
         vec![State {
             nodes: (0..self.nodes).map(node).collect(),
-            under_way: BTreeSet::new(),
+            in_progress: BTreeSet::new(),
             agreed: BTreeSet::new(),
             rounds: 0,
             halts: 0,
@@ -245,37 +249,37 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         if state.rounds < self.rounds {
-            for n in &self.conduct {
+            for n in &self.coordinator {
                 let node = &state.nodes[*n];
-                let under_way = node.changes.under_way(K).map(|change| change.id);
+                let in_progress = node.rollouts.in_progress(K).map(|rollout| rollout.id);
                 // Whoever conducts has its own order here: any is as good.
                 let open = node
-                    .changes
+                    .rollouts
                     .iter()
-                    .filter(|c| c.fate == Outcome::InProgress && c.reach.seq == 0);
-                let all: Vec<RolloutId> = match under_way {
+                    .filter(|c| c.outcome == Outcome::InProgress && c.progress.agreement == 0);
+                let all: Vec<RolloutId> = match in_progress {
                     Some(id) => vec![id],
-                    None => open.map(|change| change.id).collect(),
+                    None => open.map(|rollout| rollout.id).collect(),
                 };
                 for id in all {
                     actions.extend((0..ARBITERS).map(|not| Action::Begins(*n, id, not)));
                 }
             }
         }
-        actions.extend(state.under_way.iter().cloned().map(Action::Arrives));
+        actions.extend(state.in_progress.iter().cloned().map(Action::Arrives));
         for (n, node) in state.nodes.iter().enumerate() {
             for (m, other) in state.nodes.iter().enumerate() {
-                if words(&node.changes) != words(&other.changes) {
+                if words(&node.rollouts) != words(&other.rollouts) {
                     actions.push(Action::Tells(n, m));
                 }
             }
-            if state.halts < self.halts && node.changes.under_way(K).is_some() {
+            if state.halts < self.halts && node.rollouts.in_progress(K).is_some() {
                 actions.push(Action::Halts(n));
             }
             if state.crashes < self.crashes {
                 actions.push(Action::CrashAndReturn(n));
             }
-            match self.wants(node, n).filter(|_| self.run) {
+            match self.assignment(node, n).filter(|_| self.run) {
                 Some((_, version, true)) if node.running != version => {
                     actions.push(Action::Runs(n))
                 }
@@ -293,16 +297,19 @@
             Action::Begins(n, id, not) => {
                 state.rounds += 1;
                 let node = &mut state.nodes[n];
-                let change = node.changes.get(id)?.clone();
-                let (seq, stage) = (known(&node.changes, K) + 1, change.reach.stage + 1);
+                let rollout = node.rollouts.get(id)?.clone();
+                let (agreement, stage) = (
+                    last_agreement(&node.rollouts, K) + 1,
+                    rollout.progress.stage + 1,
+                );
                 // What is wished for differs by who wishes it: they see other fleets.
                 let until = BTreeMap::from([(0, u64::MAX / 8 * (n as u64 + 4))]);
-                let all = change
+                let all = rollout
                     .plan
                     .stage(stage)
                     .is_none_or(|stage| stage.share == 1000);
-                let reach = Progress {
-                    seq,
+                let progress = Progress {
+                    agreement,
                     stage,
                     until,
                     all,
@@ -312,59 +319,66 @@
                     round: state.rounds as u64,
                     by: n as u64,
                 };
-                let (round, ask) =
-                    PaxosRound::begin(0, ballot, Proposal { change: id, reach }, ARBITERS);
+                let (round, request) = PaxosRound::begin(
+                    0,
+                    ballot,
+                    Proposal {
+                        rollout: id,
+                        progress,
+                    },
+                    ARBITERS,
+                );
                 node.round = Some((round, not));
-                let reached = (0..ARBITERS).filter(|to| *to != not);
-                reached.for_each(|to| {
-                    _ = state.under_way.insert(Sent::PaxosRequest {
+                let record_progress = (0..ARBITERS).filter(|to| *to != not);
+                record_progress.for_each(|to| {
+                    _ = state.in_progress.insert(Sent::PaxosRequest {
                         from: n,
                         to,
-                        ask: ask.clone(),
+                        request: request.clone(),
                     })
                 });
             }
             Action::Arrives(sent) => {
-                state.under_way.remove(&sent);
+                state.in_progress.remove(&sent);
                 match sent {
-                    Sent::PaxosRequest { from, to, ask } => {
+                    Sent::PaxosRequest { from, to, request } => {
                         let node = &mut state.nodes[to];
-                        let say = match node.vote.asked(&node.changes, K, &ask) {
-                            VoterAction::PaxosReply(say) => say,
-                            VoterAction::Write(vote, say) => {
+                        let reply = match node.vote.handle_request(&node.rollouts, K, &request) {
+                            VoterAction::Reply(reply) => reply,
+                            VoterAction::Persist(vote, reply) => {
                                 node.vote = vote;
                                 Small::write(node);
-                                say
+                                reply
                             }
                             VoterAction::Behind | VoterAction::Ahead => return Some(state),
                         };
-                        state.under_way.insert(Sent::PaxosReply {
+                        state.in_progress.insert(Sent::PaxosReply {
                             from: to,
                             to: from,
-                            say,
+                            reply,
                         });
                     }
-                    Sent::PaxosReply { from, to, say } => {
+                    Sent::PaxosReply { from, to, reply } => {
                         let node = &mut state.nodes[to];
                         let (round, not) = node.round.as_mut()?;
                         let not = *not;
-                        match round.said(from as u64, &say) {
+                        match round.handle_reply(from as u64, &reply) {
                             RoundStep::Wait => {}
-                            RoundStep::PaxosRequest(ask) => {
+                            RoundStep::Request(request) => {
                                 state.carried |=
-                                    matches!(&ask, PaxosRequest::Accept { again: true, .. });
-                                let reached = (0..ARBITERS).filter(|at| *at != not);
-                                let asks = reached.map(|at| Sent::PaxosRequest {
+                                    matches!(&request, PaxosRequest::Accept { again: true, .. });
+                                let record_progress = (0..ARBITERS).filter(|at| *at != not);
+                                let asks = record_progress.map(|at| Sent::PaxosRequest {
                                     from: to,
                                     to: at,
-                                    ask: ask.clone(),
+                                    request: request.clone(),
                                 });
-                                state.under_way.extend(asks);
+                                state.in_progress.extend(asks);
                             }
-                            RoundStep::Agreed(Proposal { change, reach }) => {
+                            RoundStep::Agreed(Proposal { rollout, progress }) => {
                                 node.round = None;
-                                node.changes.advance(change, &reach);
-                                state.agreed.insert((reach.seq, change, reach));
+                                node.rollouts.advance(rollout, &progress);
+                                state.agreed.insert((progress.agreement, rollout, progress));
                             }
                             RoundStep::GiveUp(_) => node.round = None,
                         }
@@ -372,21 +386,22 @@
                 }
             }
             Action::Tells(n, m) => {
-                let said: Vec<Rollout> = state.nodes[n].changes.iter().cloned().collect();
-                said.iter()
-                    .for_each(|change| _ = state.nodes[m].changes.hear(change));
+                let received: Vec<Rollout> = state.nodes[n].rollouts.iter().cloned().collect();
+                received
+                    .iter()
+                    .for_each(|rollout| _ = state.nodes[m].rollouts.merge(rollout));
             }
             Action::Halts(n) => {
                 state.halts += 1;
-                let id = state.nodes[n].changes.under_way(K)?.id;
-                let fate = if state.halts == 1 {
+                let id = state.nodes[n].rollouts.in_progress(K)?.id;
+                let outcome = if state.halts == 1 {
                     Outcome::Halted
                 } else {
                     Outcome::RolledBack
                 };
                 state.nodes[n]
-                    .changes
-                    .end(id, fate, Reason::new(n as u64, n as u64, ""));
+                    .rollouts
+                    .end(id, outcome, Reason::new(n as u64, n as u64, ""));
             }
             Action::CrashAndReturn(n) => {
                 state.crashes += 1;
@@ -394,21 +409,21 @@
                 (node.round, node.running) = (None, node.good);
                 // What was offered and had not begun is offered again by the others; what was
                 // agreed on is on the disk.
-                let mut changes = RolloutTable::default();
-                (1..=self.changes).for_each(|id| _ = changes.hear(&self.change(id)));
-                node.head.iter().for_each(|head| _ = changes.hear(head));
-                node.changes = changes;
+                let mut rollouts = RolloutTable::default();
+                (1..=self.rollouts).for_each(|id| _ = rollouts.merge(&self.rollout(id)));
+                node.head.iter().for_each(|head| _ = rollouts.merge(head));
+                node.rollouts = rollouts;
             }
             Action::Runs(n) => {
-                let (fate, version, _) = self.wants(&state.nodes[n], n)?;
+                let (outcome, version, _) = self.assignment(&state.nodes[n], n)?;
                 let node = &mut state.nodes[n];
                 if !node.checked.contains(&version) {
                     return None;
                 }
-                node.late |= fate > Outcome::Completed;
+                node.late |= outcome > Outcome::Completed;
                 Small::write(node);
                 node.running = version;
-                if fate == Outcome::Completed {
+                if outcome == Outcome::Completed {
                     node.good = version;
                 }
             }
@@ -434,12 +449,18 @@
                     let known = s
                         .nodes
                         .iter()
-                        .flat_map(|node| node.changes.iter())
-                        .filter(|c| c.reach.seq > 0);
-                    let known =
-                        known.map(|change| (change.reach.seq, change.id, change.reach.clone()));
+                        .flat_map(|node| node.rollouts.iter())
+                        .filter(|c| c.progress.agreement > 0);
+                    let known = known.map(|rollout| {
+                        (
+                            rollout.progress.agreement,
+                            rollout.id,
+                            rollout.progress.clone(),
+                        )
+                    });
                     let all: BTreeSet<_> = s.agreed.iter().cloned().chain(known).collect();
-                    let numbers: BTreeSet<u64> = all.iter().map(|(seq, ..)| *seq).collect();
+                    let numbers: BTreeSet<u64> =
+                        all.iter().map(|(agreement, ..)| *agreement).collect();
                     all.len() == numbers.len()
                 },
             ),
@@ -447,8 +468,8 @@
                 "nobody runs what no agreement gives it",
                 |_: &Small, s: &State| {
                     s.nodes.iter().enumerate().all(|(n, node)| {
-                        let mine = |(_, id, reach): &&(u64, RolloutId, Progress)| {
-                            OLD + id.0 == node.running && reach.has(*id, n as u64 + 1, 0)
+                        let mine = |(_, id, progress): &&(u64, RolloutId, Progress)| {
+                            OLD + id.0 == node.running && progress.has(*id, n as u64 + 1, 0)
                         };
                         node.running == OLD || s.agreed.iter().any(|of| mine(&of))
                     })
@@ -490,7 +511,7 @@
     fn within_boundary(&self, state: &State) -> bool {
         // What never arrives is lost; so many at once are enough for all of one round to meet all
         // of another.
-        state.under_way.len() <= self.at_once
+        state.in_progress.len() <= self.at_once
     }
 }
 
@@ -532,14 +553,14 @@
     });
 }
 
-/// Two changes, each begun by another node.
+/// Two rollouts, each begun by another node.
 #[test]
 fn two_changes_begin_at_once() {
     check(Small {
-        changes: 2,
+        rollouts: 2,
         halts: 1,
         crashes: 1,
-        conduct: vec![0, 2],
+        coordinator: vec![0, 2],
         ..Small::default()
     });
 }
--- a/crates/test-harness/src/rig/changes.rs
+++ b/crates/test-harness/src/rig/changes.rs
@@ -1,5 +1,5 @@
-//! The rig's part in changes of settings: it offers them, looks what has become of them, and judges
-//! the joined record of all nodes by what the rules of a change allow.
+//! The rig's part in rollouts of settings: it offers them, looks what has become of them, and judges
+//! the joined record of all nodes by what the rules of a rollout allow.
 
 use super::{BETWEEN, FLEET, KEY, LOOK, Rig, Seen, pages};
 use crate::record::Line;
@@ -16,11 +16,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The topic of changes of settings.
+/// The topic of rollouts of settings.
 const TOPIC: u32 = 2;
 /// What taking an offer may take.
 const TAKEN: Duration = Duration::from_secs(20);
-/// A change that is too large for nodes with little memory has so many bytes.
+/// A rollout that is too large for nodes with little memory has so many bytes.
 const LARGE: usize = 400 << 10;
 
 impl Rig {
@@ -76,8 +76,8 @@
         self.setting.dir.join(name)
     }
 
-    /// Settings with a change in them.
-    fn changed(&self, number: u64, change: &str) -> String {
+    /// Settings with a rollout in them.
+    fn changed(&self, number: u64, rollout: &str) -> String {
         let rule = |when: &str, then: &str| {
             format!("<rules><rule name=\"v{number}\"><when>{when}</when>{then}</rule></rules>")
         };
@@ -87,7 +87,7 @@
         } else {
             base
         };
-        match change {
+        match rollout {
             "throttles" => self.settings(
                 number,
                 &rule("true", "<throttle pause=\"50ms\" reason=\"new\"/>"),
@@ -135,7 +135,7 @@
     }
 
     /// Orders something of a node, until it is taken or turned down.
-    fn order(&self, n: usize, said: &OperatorCommand) -> Result<CommandReply, String> {
+    fn order(&self, n: usize, command: &OperatorCommand) -> Result<CommandReply, String> {
         let node = &self.nodes[n];
         let socket = UdpSocket::bind((node.bind.ip(), 0)).map_err(|e| e.to_string())?;
         socket
@@ -145,7 +145,7 @@
             (self.observer(&socket)?, Instant::now(), [0; 2048]);
         while begun.elapsed() < TAKEN {
             let unix = || crate::peers::unix_ms().parse::<u64>().unwrap_or(0);
-            let frame = observer.order(unix(), TOPIC, &said.encode_to_vec());
+            let frame = observer.order(unix(), TOPIC, &command.encode_to_vec());
             socket
                 .send_to(&frame, node.bind)
                 .map_err(|e| e.to_string())?;
@@ -170,20 +170,20 @@
         at: usize,
         node: &str,
         number: u64,
-        change: &str,
-        turned_down: bool,
+        rollout: &str,
+        rejected: bool,
     ) {
         let (n, begun) = (self.node(node), Instant::now());
-        let content = self.changed(number, change).into_bytes();
+        let content = self.changed(number, rollout).into_bytes();
         let digest = chunks::digest(&content).to_vec();
         let mut answer = Err("nothing to offer".to_owned());
         for no in 0..chunks::count(content.len()) {
-            let bytes = chunks::piece(&content, no).unwrap_or_default().to_vec();
+            let bytes = chunks::chunk(&content, no).unwrap_or_default().to_vec();
             let (size, digest) = (content.len() as u32, digest.clone());
             answer = self.order(
                 n,
                 &OperatorCommand {
-                    kind: order::PIECE,
+                    kind: order::CHUNK,
                     no,
                     bytes,
                     size,
@@ -206,14 +206,17 @@
             );
         }
         match answer {
-            Ok(answer) if (answer.state == 2) == turned_down => {
-                let word = if turned_down {
+            Ok(answer) if (answer.state == 2) == rejected => {
+                let word = if rejected {
                     format!("turned down: {}", answer.why)
                 } else {
                     "taken".into()
                 };
-                self.record
-                    .note(node, "rig", format!("settings {number} ({change}): {word}"));
+                self.record.note(
+                    node,
+                    "rig",
+                    format!("settings {number} ({rollout}): {word}"),
+                );
                 self.took(format!("settings {number} offered, step {at}"), begun);
             }
             Ok(answer) => self.fail(format!(
@@ -241,13 +244,13 @@
     }
 
     pub(super) fn end_change(&mut self, at: usize, node: &str, back: bool) {
-        let kind = if back { order::BACK } else { order::HALT };
-        let said = OperatorCommand {
+        let kind = if back { order::ROLL_BACK } else { order::HALT };
+        let command = OperatorCommand {
             kind,
             why: "the timetable says so".into(),
             ..OperatorCommand::default()
         };
-        match self.order(self.node(node), &said) {
+        match self.order(self.node(node), &command) {
             Ok(answer) if answer.state == 0 => {}
             other => self.fail(format!(
                 "step {at}: {node} did not take the order: {other:?}"
@@ -295,7 +298,7 @@
         None
     }
 
-    /// Waits until nodes know a change as this.
+    /// Waits until nodes know a rollout as this.
     pub(super) fn change_is(
         &mut self,
         at: usize,
@@ -303,7 +306,7 @@
         is: (u64, &str, u32),
         within: Duration,
     ) {
-        let (begun, (number, fate, stage)) = (Instant::now(), is);
+        let (begun, (number, outcome, stage)) = (Instant::now(), is);
         let mut left: Vec<usize> = (0..self.nodes.len())
             .filter(|&n| {
                 to.has(&self.nodes[n].place.name, &self.nodes[n].place.zone) && self.is_up(n)
@@ -314,7 +317,7 @@
             left.retain(|&n| match self.knows(n, number) {
                 Some((known_fate, known_stage, line)) => {
                     last = format!("{}: {line}", self.nodes[n].place.name);
-                    (!fate.is_empty() && known_fate != fate) || known_stage < stage
+                    (!outcome.is_empty() && known_fate != outcome) || known_stage < stage
                 }
                 None => {
                     last = format!("{}: knows no change to {number}", self.nodes[n].place.name);
@@ -326,7 +329,7 @@
         if left.is_empty() {
             self.record.note("rig", "change", last.clone());
             self.took(
-                format!("settings {number}: {fate} stage {stage}, step {at}"),
+                format!("settings {number}: {outcome} stage {stage}, step {at}"),
                 begun,
             );
         } else {
@@ -341,13 +344,13 @@
             });
             let lines: Vec<String> = lines.collect();
             let what = format!(
-                "settings {number} not {fate} stage {stage} in {within:?}; {last}; {lines:#?}"
+                "settings {number} not {outcome} stage {stage} in {within:?}; {last}; {lines:#?}"
             );
             self.fail(format!("step {at}: {what}"));
         }
     }
 
-    /// What a node knows of the change to settings of this number: what became of it, its stage,
+    /// What a node knows of the rollout to settings of this number: what became of it, its stage,
     /// and all in words.
     fn knows(&self, n: usize, number: u64) -> Option<(String, u32, String)> {
         let node = &self.nodes[n];
@@ -356,20 +359,20 @@
         let (mut observer, begun) = (self.observer(&socket).ok()?, Instant::now());
         let bytes = (0..4).find_map(|_| pages(&socket, node.bind, &mut observer, begun))?;
         let shown = StatusSnapshot::decode(bytes.as_slice()).ok()?;
-        let is_it = |change: &&madderpoint_rollout::status::RolloutStatus| {
-            change
+        let is_it = |rollout: &&madderpoint_rollout::status::RolloutStatus| {
+            rollout
                 .version
                 .is_some_and(|version| version.number == number)
         };
-        let change = shown.changes.iter().find(is_it)?;
+        let rollout = shown.rollouts.iter().find(is_it)?;
         let line = format!(
             "{} stage {} {}; {} {}",
-            change.fate, change.stage, change.why, shown.waits, shown.verdict
+            rollout.outcome, rollout.stage, rollout.why, shown.waits, shown.verdict
         );
-        Some((change.fate.clone(), change.stage, line))
+        Some((rollout.outcome.clone(), rollout.stage, line))
     }
 
-    /// Looks over what all nodes said they did about changes.
+    /// Looks over what all nodes said they did about rollouts.
     pub(super) fn changes_are_allowed(&mut self, lines: &[Line]) {
         let mut checked = Checked::default();
         for line in lines {
@@ -405,7 +408,7 @@
     ended: BTreeMap<String, String>,
 }
 
-/// Holds the joined record against what the rules of a change allow.
+/// Holds the joined record against what the rules of a rollout allow.
 #[derive(Debug, Default)]
 pub struct Checked {
     nodes: BTreeMap<String, Node>,
@@ -445,17 +448,17 @@
         }
     }
 
-    /// A line of a node about changes of settings.
+    /// A line of a node about rollouts of settings.
     pub fn line(&mut self, who: &str, line: &str) {
         let Some(line) = line.strip_prefix("settings: ") else {
             return;
         };
         let node = self.nodes.entry(who.to_owned()).or_default();
         let mut wrong = |what: &str| self.wrong.push(format!("{who}: {what}: {line}"));
-        let change = line
+        let rollout = line
             .strip_prefix("change ")
             .and_then(|rest| rest.split_once(": "));
-        if let Some((id, rest)) = change {
+        if let Some((id, rest)) = rollout {
             if let Some(stage) = number_after(rest, "stage ").filter(|_| rest.ends_with("begins")) {
                 if node.ended.contains_key(id) {
                     wrong("a stage begins after the change was heard to have ended");
@@ -465,9 +468,9 @@
                 }
                 node.stages.insert(id.to_owned(), stage);
             }
-            for fate in ["refused", "halted", "back", "done"] {
-                if rest.starts_with(&format!("{fate},")) {
-                    node.ended.insert(id.to_owned(), fate.to_owned());
+            for outcome in ["refused", "halted", "back", "done"] {
+                if rest.starts_with(&format!("{outcome},")) {
+                    node.ended.insert(id.to_owned(), outcome.to_owned());
                 }
             }
             if let Some(number) =
