--- a/crates/node/src/capacity.rs
+++ b/crates/node/src/capacity.rs
@@ -137,7 +137,7 @@
             + READING * self.settings_file
             + self.fleet / 2 * 3
             + 3 * self.keys;
-        let come_in = 2 * madderpoint_rollout::chunks::CONTENT_MAX;
+        let come_in = 2 * madderpoint_rollout::chunks::MAX_CONTENT_BYTES;
         let contents = if self.changes > 0 {
             3 * self.settings_file + come_in
         } else {
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -229,7 +229,7 @@
                 arguments,
             }) => {
                 let logging = log.into();
-                supervisor::run(supervisor::Told {
+                supervisor::run(supervisor::SupervisorOptions {
                     programs,
                     start,
                     state,
@@ -237,6 +237,7 @@
                     logging,
                 })
                 .map(|()| true)
+                .map_err(|error| error.to_string())
             }
             Some(Command::Fleet { command }) => command.run(),
             Some(Command::Shared { command }) => command.run(),
--- a/crates/node/src/cli/rollout.rs
+++ b/crates/node/src/cli/rollout.rs
@@ -178,7 +178,8 @@
 
 fn start(file: &Path, at: &At, wait: bool) -> Ended {
     let command = if at.program {
-        let madderpoint_rollout::Version { number, hash } = program_version::version_of(file)?;
+        let madderpoint_rollout::Version { number, hash } =
+            program_version::version_of(file).map_err(|error| error.to_string())?;
         OperatorCommand {
             kind: order::OFFER,
             number,
@@ -188,12 +189,12 @@
         }
     } else {
         let content = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-        if content.len() > chunks::CONTENT_MAX {
+        if content.len() > chunks::MAX_CONTENT_BYTES {
             return Err(format!(
                 "{}: {} bytes, {} at most",
                 file.display(),
                 content.len(),
-                chunks::CONTENT_MAX
+                chunks::MAX_CONTENT_BYTES
             ));
         }
         let digest = chunks::digest(&content).to_vec();
@@ -345,7 +346,7 @@
 }
 
 fn node(node: &NodeStatusEntry) -> Value {
-    json!({"name": node.name, "zone": node.zone, "there": node.there, "in_stage": node.in_stage,
+    json!({"name": node.name, "zone": node.zone, "there": node.present, "in_stage": node.in_stage,
         "version": node.running.map(|v| v.number), "hash": node.running.map(|v| format!("{:016x}", v.hash)),
         "since_ms": node.since_ms, "stand": node.status, "died": node.crashes, "why": node.why})
 }
@@ -468,7 +469,7 @@
             "{:<16} {:<8} {:<5} {:<6} {:<22} {:>7} s {:<12} {}",
             node.name,
             node.zone,
-            yes(node.there),
+            yes(node.present),
             yes(node.in_stage),
             version(node.running.as_ref()),
             since,
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -10,7 +10,7 @@
 mod rollout_link;
 
 pub use cluster_link::{Part, Reset, SHARED, zone_number};
-pub use rollout_link::{Changing, PROGRAM_CHANGES, SETTINGS_CHANGES, Versions};
+pub use rollout_link::{PROGRAM_CHANGES, RolloutSetup, SETTINGS_CHANGES, VersionError, Versions};
 
 use crate::actions::{Actions, CallId, Close, ConnectionId, Wanted};
 use crate::capacity::{CapacityLimits, OptionalSubsystems};
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -2,7 +2,9 @@
 //! nothing with the core but two bounded queues: words of the core, and what is seen of the fleet.
 //! Neither waits for the other.
 
-use super::rollout_link::{Among, Changes, Changing, SETTINGS_CHANGES, topic};
+use super::rollout_link::{
+    RolloutContext, RolloutLink, RolloutSetup, SETTINGS_CHANGES, TaskResult, topic,
+};
 use super::{Message, STACK};
 use crate::cluster::ClusterUpdate;
 use crate::log::log;
@@ -13,7 +15,7 @@
 use madderpoint_membership::{
     ClockReading, ClusterView, Config, Host, Incarnation, MemberKey, Membership, Nanos, Timing,
 };
-use madderpoint_rollout::{Kind, Plan, RolloutId, Version};
+use madderpoint_rollout::{Kind, Plan};
 use madderpoint_shared_state::counts::PROCESS_BYTES;
 use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaGrant, QuotaTiming};
 use madderpoint_shared_state::messages::{
@@ -68,7 +70,7 @@
     pub waits: bool,
     /// Its parts in changes of the settings and of the program, and the bytes for the record of
     /// them.
-    pub changes: Vec<Changing>,
+    pub changes: Vec<RolloutSetup>,
     pub change_bytes: usize,
 }
 
@@ -109,19 +111,10 @@
     pub plan: Option<Plan>,
 }
 
-/// What the thread that checks and writes versions did.
-#[derive(Debug)]
-pub enum Done {
-    Checked(RolloutId, Result<(), String>),
-    OfferChecked(u64, Result<Version, String>),
-    Persisted(u64, Result<(), String>),
-    Applied(Version, Result<(), String>),
-}
-
 enum Order {
     ClusterUpdate(ClusterUpdate),
     Reset(Box<Reset>),
-    Done(Kind, Done),
+    Done(Kind, TaskResult),
     /// Whether another process takes this one's place.
     Leave(bool),
 }
@@ -138,7 +131,7 @@
 
 impl Poster {
     /// Something was done, about changes of this kind.
-    pub fn done(&self, kind: Kind, done: Done) {
+    pub fn done(&self, kind: Kind, done: TaskResult) {
         if self
             .orders
             .send_timeout(Order::Done(kind, done), TOLD)
@@ -416,7 +409,7 @@
     };
     let mut changes = Vec::new();
     for changing in part.changes {
-        let among = Among {
+        let context = RolloutContext {
             me: key,
             zone,
             voters: part.arbiters.clone(),
@@ -425,7 +418,9 @@
             bytes: part.change_bytes,
             seed: seed ^ life.0,
         };
-        changes.push(Changes::start(clock(), changing, among, poster.clone())?);
+        let poster = poster.clone();
+        let results = Box::new(move |kind, result| poster.done(kind, result));
+        changes.push(RolloutLink::start(clock(), changing, context, results)?);
     }
     let bank = (!part.arbiters.is_empty()).then(|| {
         let usual = shared_state::Config::usual(me, part.arbiters, part.budgets, part.keys);
@@ -466,7 +461,7 @@
 struct ClusterThread {
     bank: Bank,
     health: Option<Health>,
-    changes: Vec<Changes>,
+    changes: Vec<RolloutLink>,
     /// What the node's counts are told by: the hash of its settings; and names of operations.
     label: u64,
     operations: Vec<String>,
@@ -542,7 +537,7 @@
             .map_or(Nanos::MAX, SharedState::next)
             .min(fleet.next());
         let next = going_on(&changes)
-            .map(|changes| changes.next())
+            .map(|changes| changes.next_wake())
             .fold(next, Nanos::min);
         wait(&fleet, next, clock().now, bell);
         let mut count = [0; 8];
@@ -582,7 +577,7 @@
                     }
                     changes
                         .iter_mut()
-                        .for_each(|changes| changes.counted(clock(), &word));
+                        .for_each(|changes| changes.record_local_counts(clock(), &word));
                     bank.iter_mut()
                         .for_each(|bank| bank.tell_counts(clock().now, &word));
                     bank.iter_mut()
@@ -619,7 +614,7 @@
                 Order::Done(kind, done) => {
                     if let Some(changes) = changes.iter_mut().find(|changes| changes.kind() == kind)
                     {
-                        changes.done(clock(), done);
+                        changes.task_done(clock(), done);
                     }
                 }
                 Order::Leave(handed) => {
@@ -637,7 +632,7 @@
             fleet.wake(clock());
         }
         // While another process is being started in this one's place nothing else changes.
-        let hands_over = changes.iter().any(Changes::hands_over);
+        let hands_over = changes.iter().any(RolloutLink::hands_over);
         for (from, topic, parcel) in std::mem::take(&mut fleet.host.parcels) {
             if hands_over && topic == SETTINGS_CHANGES {
                 continue;
@@ -686,7 +681,7 @@
             changes.post(clock(), &mut fleet);
             let topic = topic(changes.kind());
             if asked.contains(&topic) {
-                let shown = (clock().now, changes.show(clock(), &fleet));
+                let shown = (clock().now, changes.status_snapshot(clock(), &fleet));
                 fleet.host.pages.insert(topic, shown);
             }
         }
@@ -698,14 +693,14 @@
 
 /// Those that go on: while another process is being started in this one's place, only the
 /// program's.
-fn going_on(changes: &[Changes]) -> impl Iterator<Item = &Changes> {
-    let hands_over = changes.iter().any(Changes::hands_over);
+fn going_on(changes: &[RolloutLink]) -> impl Iterator<Item = &RolloutLink> {
+    let hands_over = changes.iter().any(RolloutLink::hands_over);
     changes
         .iter()
         .filter(move |of| !hands_over || of.kind() == Kind::Program)
 }
 
-fn is_about(changes: &Changes, of: u32) -> bool {
+fn is_about(changes: &RolloutLink, of: u32) -> bool {
     topic(changes.kind()) == of
 }
 
--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -1,55 +1,65 @@
-//! A node's part in rollouts of its settings or its program, beside its part in the fleet: words
-//! travel as the fleet's parcels, what takes time (checks, writes, what takes force) is done by a
-//! thread of its own, and neither waits for the other.
+//! A node's part in rollouts of its settings or its program, beside its part in the cluster: its
+//! messages travel as the membership's payloads, what takes time (checks, writes, swaps) is done by
+//! a thread of its own ([`version_worker`]), and neither waits for the other.
+//!
+//! The thread of the cluster link owns it and calls it: [`RolloutLink::handle_message`] and
+//! [`RolloutLink::handle_command`] for what comes, [`RolloutLink::task_done`] for what the worker
+//! did, [`RolloutLink::wake`] and [`RolloutLink::post`] in turn.
+
+mod host;
+mod version_worker;
+mod window_samples;
 
 use super::STACK;
-use super::cluster_link::{Done, Poster};
 use crossbeam_channel::{Receiver, Sender, bounded};
+use host::RolloutHost;
 use madderpoint_membership::{
-    Attachment as AttachmentMessage, ClockReading, Host as FleetHost, Liveness, MemberKey,
-    Membership, Nanos,
+    Attachment, ClockReading, Host as MembershipHost, Liveness, MemberKey, Membership, Nanos,
 };
-use madderpoint_rollout::cohort_metrics::{OperationCounts, WindowSample};
-use madderpoint_rollout::coordinator::Member;
-use madderpoint_rollout::messages::{self, CommandReply, OperatorCommand, ReceivedMessage};
-use madderpoint_rollout::node_agent::{Host, InitialState, LocalMetrics};
+use madderpoint_rollout::messages::{self, CommandReply, OperatorCommand};
+use madderpoint_rollout::node_agent::{InitialState, LocalMetrics, NodeIdentity};
+use madderpoint_rollout::operator_commands::state;
 use madderpoint_rollout::status::{Names, StatusSnapshot};
-use madderpoint_rollout::{
-    Kind, NodeReport, Participant, PersistedState, Plan, RolloutId, Version,
-};
+use madderpoint_rollout::{Host as _, Kind, Member, NodeReport, Participant, Plan};
 use madderpoint_shared_state::counts::{
     ClusterCounters, CounterReport, OWN, WINDOW_MS, column, own,
 };
 use madderpoint_shared_state::keyed_quota::number;
 use prost::Message as _;
-use rand::{RngExt, SeedableRng};
+use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 use std::io;
+use std::net::SocketAddr;
 use std::thread;
 use std::time::Duration;
+pub use version_worker::{ResultSender, TaskResult, VersionError, Versions};
+use version_worker::{Task, work};
+use window_samples::samples;
 
-/// The topics of parcels, pages, orders and parts of entries.
+/// The topic of rollouts of settings, for payloads, pages, commands and attachments.
 pub const SETTINGS_CHANGES: u32 = 2;
+/// The same of the program.
 pub const PROGRAM_CHANGES: u32 = 3;
-/// Between two looks at what is due, and at what nodes counted.
-const WAKE: Nanos = 200_000_000;
-const LOOK: Nanos = 1_000_000_000;
-/// What the thread that checks and writes may have before it: one thing of each kind is asked for
-/// at a time.
-const TASKS: usize = 8;
-/// A node's record takes about so much, for each side of a rollout: two dozen operations' parts.
-const NODE_RECORD: usize = 12 << 10;
-/// What takes less than this part of the latency objective is quick enough for any caller; in the
-/// histogram's units.
-const QUICK: Nanos = 10;
-const TENTH: Nanos = 100_000;
-/// How long a node that leaves waits for what it writes last.
-const LEAVES: Duration = Duration::from_millis(300);
-/// Answers that wait for the fleet's part to send them.
-const ANSWERS: usize = 32;
+/// Time between two wake-ups.
+const WAKE_INTERVAL: Nanos = 200_000_000;
+/// Time between two looks at what nodes counted, while a rollout is in progress.
+const COUNTS_INTERVAL: Nanos = 1_000_000_000;
+/// Tasks that the worker may have before it: one of each kind is asked for at a time.
+const QUEUED_TASKS: usize = 8;
+/// Bytes that a node takes in the metrics, for each end of the rollout's order, with two dozen
+/// operations.
+const NODE_RECORD_BYTES: usize = 12 << 10;
+/// A latency below the latency objective divided by this is never slow.
+const OBJECTIVE_DIVISOR: Nanos = 10;
+/// The unit of the latency histograms: a tenth of a millisecond.
+const HISTOGRAM_UNIT: Nanos = 100_000;
+/// How long a node that leaves waits for its last write.
+const LAST_WRITE_WAIT: Duration = Duration::from_millis(300);
+/// Replies to commands that may wait to be sent.
+const QUEUED_REPLIES: usize = 32;
 
-/// The topic of a kind.
+/// The topic of rollouts of a kind.
 pub fn topic(kind: Kind) -> u32 {
     match kind {
         Kind::Settings => SETTINGS_CHANGES,
@@ -57,230 +67,73 @@
     }
 }
 
-/// What a rollout does to this node, and where versions are kept. It may take its time: it has a
-/// thread.
-pub trait Versions: Send {
-    /// Looks whether this can be run here, and says which version it is.
-    fn check(
-        &mut self,
-        version: Option<Version>,
-        content: Option<&[u8]>,
-    ) -> Result<Version, String>;
-    /// Writes what is kept.
-    fn persist(
-        &mut self,
-        persisted: &PersistedState,
-        content: Option<(Version, &[u8])>,
-    ) -> Result<(), String>;
-    /// Runs a version from here on.
-    fn apply(&mut self, version: Version) -> Result<(), String>;
-}
-
-/// A node's part in rollouts of one kind.
-pub struct Changing {
-    /// What the node starts with.
+/// What a node's part in rollouts of one kind starts with.
+pub struct RolloutSetup {
+    /// What was on the node's disk.
     pub start: InitialState,
-    /// How a rollout that is offered here goes out.
+    /// The plan of rollouts that are offered here.
     pub plan: Plan,
+    /// What checks, stores and applies versions.
     pub versions: Box<dyn Versions>,
 }
 
-impl std::fmt::Debug for Changing {
+impl std::fmt::Debug for RolloutSetup {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Changing")
+        f.debug_struct("RolloutSetup")
             .field("start", &self.start)
             .field("plan", &self.plan)
             .finish_non_exhaustive()
     }
 }
 
-enum Task {
-    Check {
-        rollout: RolloutId,
-        version: Version,
-        content: Option<Vec<u8>>,
-    },
-    CheckOffer {
-        no: u64,
-        version: Option<Version>,
-        content: Option<Vec<u8>>,
-    },
-    Persist {
-        no: u64,
-        persisted: Box<PersistedState>,
-        content: Option<(Version, Vec<u8>)>,
-    },
-    Apply(Version),
-}
-
-fn work(kind: Kind, mut versions: Box<dyn Versions>, tasks: &Receiver<Task>, poster: &Poster) {
-    for task in tasks {
-        let done = match task {
-            Task::Check {
-                rollout,
-                version,
-                content,
-            } => {
-                let found = versions.check(Some(version), content.as_deref());
-                let found = found.and_then(|found| match found == version {
-                    true => Ok(()),
-                    false => Err(format!("it says that it is version {found}, not {version}")),
-                });
-                Done::Checked(rollout, found)
-            }
-            Task::CheckOffer {
-                no,
-                version,
-                content,
-            } => Done::OfferChecked(no, versions.check(version, content.as_deref())),
-            Task::Persist {
-                no,
-                persisted,
-                content,
-            } => {
-                let content = content
-                    .as_ref()
-                    .map(|(version, content)| (*version, content.as_slice()));
-                Done::Persisted(no, versions.persist(&persisted, content))
-            }
-            Task::Apply(version) => Done::Applied(version, versions.apply(version)),
-        };
-        poster.done(kind, done);
-    }
-}
-
-/// What the part does to the world.
-struct RolloutHost {
-    kind: Kind,
-    me: u64,
-    sent: Vec<(u64, ReceivedMessage)>,
-    tasks: Sender<Task>,
-    shown: Option<NodeReport>,
-    members: Vec<Member>,
-    digests: Vec<(u64, u64)>,
-    windows: Vec<(u64, Vec<WindowSample>)>,
-    rng: Pcg64Mcg,
-}
-
-impl RolloutHost {
-    fn task(&mut self, task: Task) {
-        // What finds no room is asked for again.
-        let _ = self.tasks.try_send(task);
-    }
-}
-
-impl Host for RolloutHost {
-    fn send(&mut self, to: u64, message: ReceivedMessage) {
-        self.sent.push((to, message));
-    }
-    fn log(&mut self, line: &str) {
-        let part = match self.kind {
-            Kind::Settings => "settings",
-            Kind::Program => "program",
-        };
-        crate::log::event("rollout", part, format_args!("{part}: {line}"));
-    }
-    fn random_peers(&mut self, most: usize) -> Vec<u64> {
-        let others = self
-            .members
-            .iter()
-            .filter(|member| member.there && member.node != self.me);
-        let there: Vec<u64> = others.map(|member| member.node).collect();
-        (0..most.min(there.len()))
-            .map(|_| there[self.rng.random_range(0..there.len())])
-            .collect()
-    }
-    fn peer_with_other_digest(&mut self, digest: u64) -> Option<u64> {
-        // From a place of its own on, so that not all ask the same one.
-        let from = if self.digests.is_empty() {
-            0
-        } else {
-            self.rng.random_range(0..self.digests.len())
-        };
-        let (before, after) = self.digests.split_at(from);
-        after
-            .iter()
-            .chain(before)
-            .find(|(_, other)| *other != digest)
-            .map(|(node, _)| *node)
-    }
-    fn show(&mut self, report: &NodeReport) {
-        self.shown = Some(report.clone());
-    }
-    fn check(&mut self, rollout: RolloutId, version: Version, content: Option<Vec<u8>>) {
-        self.task(Task::Check {
-            rollout,
-            version,
-            content,
-        });
-    }
-    fn check_offer(&mut self, no: u64, version: Option<Version>, content: Option<Vec<u8>>) {
-        self.task(Task::CheckOffer {
-            no,
-            version,
-            content,
-        });
-    }
-    fn persist(
-        &mut self,
-        no: u64,
-        persisted: &PersistedState,
-        content: Option<(Version, Vec<u8>)>,
-    ) {
-        self.task(Task::Persist {
-            no,
-            persisted: Box::new(persisted.clone()),
-            content,
-        });
-    }
-    fn apply(&mut self, version: Version) {
-        self.task(Task::Apply(version));
-    }
-    fn members(&mut self) -> Vec<Member> {
-        self.members.clone()
-    }
-    fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<WindowSample>)> {
-        self.windows
-            .iter()
-            .filter(|(window, _)| (from..=until).contains(window))
-            .cloned()
-            .collect()
-    }
-}
-
-/// Who takes part, and how much of it may be kept.
-pub struct Among {
+/// The node among the others, and how much its part may keep.
+pub struct RolloutContext {
+    /// The key of its name.
     pub me: MemberKey,
+    /// The number of its zone.
     pub zone: u32,
+    /// The keys of the voters, in the order in which they coordinate.
     pub voters: Vec<u64>,
+    /// Names of the operations.
     pub operations: Vec<String>,
+    /// Their latency objectives.
     pub objectives: Vec<Nanos>,
+    /// Bytes for the metrics.
     pub bytes: usize,
+    /// Seeds what is random.
     pub seed: u64,
 }
 
-/// The part.
-pub struct Changes {
+/// A reply that waits to be sent.
+struct QueuedReply {
+    to: SocketAddr,
+    number: u32,
+    reply: CommandReply,
+}
+
+/// A node's part in rollouts of one kind.
+pub struct RolloutLink {
     participant: Participant<RolloutHost>,
     kind: Kind,
-    next: Nanos,
-    looked: Nanos,
+    next_wake: Nanos,
+    counts_seen: Nanos,
     operations: Vec<String>,
-    /// Ends with the thread that checks and writes.
-    worker: Receiver<()>,
-    answers: VecDeque<(std::net::SocketAddr, u32, CommandReply)>,
+    /// Disconnected once the worker has ended.
+    worker_ended: Receiver<()>,
+    replies: VecDeque<QueuedReply>,
     /// Whether another process has taken this one's place.
-    handed: bool,
+    handed_over: bool,
 }
 
-struct Called<'a, H: FleetHost> {
-    fleet: &'a Membership<H>,
+/// Names for those who read a status.
+struct ClusterNames<'a, H: MembershipHost> {
+    membership: &'a Membership<H>,
     operations: &'a [String],
 }
 
-impl<H: FleetHost> Names for Called<'_, H> {
+impl<H: MembershipHost> Names for ClusterNames<'_, H> {
     fn node(&self, key: u64) -> Option<(String, String)> {
-        let entry = self.fleet.view().get(MemberKey(key))?;
+        let entry = self.membership.view().get(MemberKey(key))?;
         Some((entry.name.to_string(), entry.details.zone.to_string()))
     }
     fn operation(&self, row: u32) -> String {
@@ -289,106 +142,73 @@
     }
 }
 
-impl Changes {
+impl RolloutLink {
     /// Starts the part, and the thread that checks and writes.
     pub fn start(
         at: ClockReading,
-        changing: Changing,
-        among: Among,
-        poster: Poster,
-    ) -> io::Result<Changes> {
-        let Changing {
+        setup: RolloutSetup,
+        context: RolloutContext,
+        results: ResultSender,
+    ) -> io::Result<RolloutLink> {
+        let RolloutSetup {
             start,
             plan,
             versions,
-        } = changing;
-        let Among {
-            me,
-            zone,
-            voters,
-            operations,
-            objectives,
-            bytes,
-            seed,
-        } = among;
+        } = setup;
         let kind = start.persisted.kind;
-        let (tasks, inbox) = bounded(TASKS);
+        let (tasks, inbox) = bounded(QUEUED_TASKS);
         // Settings are read there, whose expressions nest in each other.
         let thread = thread::Builder::new()
             .name("versions".into())
             .stack_size(8 * STACK);
-        let (ends, worker) = bounded(0);
+        let (ended, worker_ended) = bounded(0);
         thread.spawn(move || {
-            let _ends: Sender<()> = ends;
-            work(kind, versions, &inbox, &poster);
+            let _ended: Sender<()> = ended;
+            work(kind, versions, &inbox, &results);
         })?;
-        let rng = Pcg64Mcg::seed_from_u64(seed ^ me.0 ^ topic(kind) as u64);
-        let hands = RolloutHost {
+        let host = RolloutHost {
             kind,
-            me: me.0,
+            me: context.me.0,
             sent: Vec::new(),
             tasks,
             shown: None,
             members: vec![Member {
-                node: me.0,
-                zone,
-                there: true,
+                node: context.me.0,
+                zone: context.zone,
+                present: true,
             }],
             digests: Vec::new(),
             windows: Vec::new(),
-            rng,
+            rng: Pcg64Mcg::seed_from_u64(context.seed ^ context.me.0 ^ topic(kind) as u64),
         };
-        let mut participant = Participant::new(
-            at.now,
-            at.unix_ms,
-            (me.0, zone),
-            start,
-            voters,
-            WINDOW_MS,
-            hands,
-        );
-        let names = operations
-            .iter()
-            .map(|name| (number(name), name.clone()))
-            .collect();
-        let fast_enough = operations.iter().zip(&objectives);
-        let fast_enough = fast_enough
-            .map(|(name, objective)| (number(name), (objective / QUICK / TENTH) as u32))
-            .collect();
-        participant.coordinator = participant
-            .coordinator
-            .with_names(names)
-            .with_capacity(bytes / NODE_RECORD)
-            .with_fast_enough(fast_enough);
-        participant.plan = plan;
-        let answers = VecDeque::new();
-        Ok(Changes {
-            participant,
+        Ok(RolloutLink {
+            participant: participant(at, start, plan, &context, host),
             kind,
-            next: 0,
-            looked: 0,
-            operations,
-            worker,
-            answers,
-            handed: false,
+            next_wake: 0,
+            counts_seen: 0,
+            operations: context.operations,
+            worker_ended,
+            replies: VecDeque::new(),
+            handed_over: false,
         })
     }
 
+    /// What its rollouts change.
     pub fn kind(&self) -> Kind {
         self.kind
     }
 
-    /// When there is something to do next.
-    pub fn next(&self) -> Nanos {
-        self.next
+    /// When it wants to be woken next.
+    pub fn next_wake(&self) -> Nanos {
+        self.next_wake
     }
 
-    /// New settings tell how rollouts go out.
+    /// Sets the plan of rollouts that are offered here from now on.
     pub fn set_plan(&mut self, plan: Plan) {
         self.participant.plan = plan;
     }
 
-    /// Something was told.
+    /// Takes up a message of another node.
     pub fn handle_message(&mut self, at: ClockReading, from: MemberKey, parcel: &[u8]) {
         if let Some(message) = messages::decode(parcel) {
             self.participant
@@ -396,49 +216,58 @@
         }
     }
 
-    /// The thread did something.
-    pub fn done(&mut self, at: ClockReading, done: Done) {
+    /// Takes up what the worker did.
+    pub fn task_done(&mut self, at: ClockReading, result: TaskResult) {
         let participant = &mut self.participant;
-        self.handed |= self.kind == Kind::Program && matches!(&done, Done::Applied(_, Ok(())));
-        match done {
-            Done::Checked(rollout, found) => {
-                participant.agent.check_finished(at.now, rollout, found)
+        self.handed_over |=
+            self.kind == Kind::Program && matches!(&result, TaskResult::Applied(_, Ok(())));
+        match result {
+            TaskResult::Checked(rollout, result) => {
+                participant.agent.check_finished(at.now, rollout, result)
             }
-            Done::OfferChecked(no, found) => {
+            TaskResult::OfferChecked(no, found) => {
                 participant.offer_checked(at.now, at.unix_ms, no, found)
             }
-            Done::Persisted(no, result) => participant.agent.persist_finished(at.now, no, result),
-            Done::Applied(version, result) => participant
+            TaskResult::Persisted(no, result) => {
+                participant.agent.persist_finished(at.now, no, result)
+            }
+            TaskResult::Applied(version, result) => participant
                 .agent
                 .apply_finished(at.now, at.unix_ms, version, result),
         }
     }
 
-    /// An operator orders something.
+    /// Takes up an operator's command; the reply is sent with the next [`RolloutLink::post`].
     pub fn handle_command(
         &mut self,
         at: ClockReading,
-        from: std::net::SocketAddr,
-        no: u32,
-        order: &[u8],
+        from: SocketAddr,
+        number: u32,
+        command: &[u8],
     ) {
-        let answer = match OperatorCommand::decode(order) {
-            Ok(order) => self.participant.handle_command(at.now, at.unix_ms, &order),
+        let reply = match OperatorCommand::decode(command) {
+            Ok(command) => self
+                .participant
+                .handle_command(at.now, at.unix_ms, &command),
             Err(_) => CommandReply {
-                state: 2,
+                state: state::REFUSED,
                 why: "this order can't be read".into(),
                 rollout: 0,
             },
         };
-        if self.answers.len() < ANSWERS {
-            self.answers.push_back((from, no, answer));
+        if self.replies.len() < QUEUED_REPLIES {
+            self.replies.push_back(QueuedReply {
+                to: from,
+                number,
+                reply,
+            });
         }
     }
 
-    /// What this node counted so far.
-    pub fn counted(&mut self, at: ClockReading, word: &CounterReport) {
+    /// Takes up what this node counted so far.
+    pub fn record_local_counts(&mut self, at: ClockReading, report: &CounterReport) {
         let mut sum = LocalMetrics::default();
-        for (row, numbers) in &word.total {
+        for (row, numbers) in &report.total {
             if *row == OWN {
                 sum.invariants += numbers[own::INVARIANTS];
                 continue;
@@ -451,49 +280,49 @@
             .record_local_metrics(at.now, at.unix_ms, sum);
     }
 
-    /// Does what is due: what the fleet and its counts look like is taken up first.
-    pub fn wake<H: FleetHost>(
+    /// Does what is due, by what the membership and its counts look like now.
+    pub fn wake<H: MembershipHost>(
         &mut self,
         at: ClockReading,
-        fleet: &Membership<H>,
+        membership: &Membership<H>,
         counts: Option<&ClusterCounters>,
     ) {
-        if at.now < self.next {
+        if at.now < self.next_wake {
             return;
         }
-        self.next = at.now + WAKE;
+        self.next_wake = at.now + WAKE_INTERVAL;
         let topic = topic(self.kind);
         let (mut members, mut digests) = (Vec::new(), Vec::new());
-        let (me, _) = fleet.me();
-        for (key, entry) in fleet.view().iter() {
-            let there = entry.status().is_present();
+        let (me, _) = membership.me();
+        for (key, entry) in membership.view().iter() {
+            let present = entry.status().is_present();
             if entry.status() == Liveness::Left {
                 continue;
             }
             members.push(Member {
                 node: key.0,
                 zone: super::zone_number(&entry.details.zone),
-                there,
+                present,
             });
             let part = entry.details.parts.iter().find(|part| part.id == topic);
             if let Some(report) = part
-                .filter(|_| there && key != me)
+                .filter(|_| present && key != me)
                 .and_then(|p| messages::decode_attachment(&p.bytes))
             {
                 digests.push((key.0, report.digest));
             }
         }
-        let hands = &mut self.participant.agent.host;
-        (hands.members, hands.digests) = (members, digests);
-        self.look(at, fleet, counts);
+        let host = &mut self.participant.agent.host;
+        (host.members, host.digests) = (members, digests);
+        self.refresh_windows(at, membership, counts);
         self.participant.wake(at.now, at.unix_ms);
     }
 
     /// A voter takes up what all nodes counted, while a rollout is under way.
-    fn look<H: FleetHost>(
+    fn refresh_windows<H: MembershipHost>(
         &mut self,
         at: ClockReading,
-        fleet: &Membership<H>,
+        membership: &Membership<H>,
         counts: Option<&ClusterCounters>,
     ) {
         let Participant {
@@ -509,21 +338,21 @@
             return;
         };
         let recorded = coordinator
-            .record()
+            .metrics()
             .is_some_and(|record| record.rollout == rollout);
-        if recorded && at.now < self.looked + LOOK {
+        if recorded && at.now < self.counts_seen + COUNTS_INTERVAL {
             return;
         }
-        self.looked = at.now;
+        self.counts_seen = at.now;
         let from = coordinator
             .next_wanted_window(agent.rollouts())
             .filter(|_| recorded)
             .unwrap_or(0);
-        self.participant.agent.host.windows = samples(self.kind, fleet, counts, from);
+        self.participant.agent.host.windows = samples(self.kind, membership, counts, from);
     }
 
     /// Sends and shows what there is to say.
-    pub fn post<H: FleetHost>(&mut self, at: ClockReading, fleet: &mut Membership<H>) {
+    pub fn post<H: MembershipHost>(&mut self, at: ClockReading, membership: &mut Membership<H>) {
         let topic = topic(self.kind);
         // What this node tells itself as a voter, as one who conducts and as a member stays
         // here, and may be answered.
@@ -533,30 +362,40 @@
                     self.participant
                         .handle_message(at.now, at.unix_ms, to, message);
                 } else {
-                    fleet.send_parcel(at, MemberKey(to), topic, &messages::encode(&message));
+                    membership.send_parcel(at, MemberKey(to), topic, &messages::encode(&message));
                 }
             }
         }
-        if messages::LATER && self.next == at.now + WAKE {
+        if messages::LATER && self.next_wake == at.now + WAKE_INTERVAL {
             for to in self.participant.agent.host.random_peers(1) {
-                fleet.send_parcel(at, MemberKey(to), topic, &messages::later_kind());
+                membership.send_parcel(at, MemberKey(to), topic, &messages::later_kind());
             }
         }
         if let Some(report) = self.participant.agent.host.shown.take() {
-            let part = AttachmentMessage {
+            let part = Attachment {
                 id: topic,
                 version: 1,
                 bytes: messages::encode_attachment(&report),
             };
-            let _ = fleet.set_part(at, part); // one that does not fit is counted there
+            let _ = membership.set_part(at, part); // one that does not fit is counted there
         }
-        while let Some((to, no, answer)) = self.answers.pop_front() {
-            fleet.ordered(at, to, no, topic, &answer.encode_to_vec());
+        while let Some(queued) = self.replies.pop_front() {
+            membership.ordered(
+                at,
+                queued.to,
+                queued.number,
+                topic,
+                &queued.reply.encode_to_vec(),
+            );
         }
     }
 
-    /// All that is known of rollouts, to be shown.
-    pub fn show<H: FleetHost>(&self, at: ClockReading, fleet: &Membership<H>) -> Vec<u8> {
+    /// All that a status command shows, encoded.
+    pub fn status_snapshot<H: MembershipHost>(
+        &self,
+        at: ClockReading,
+        membership: &Membership<H>,
+    ) -> Vec<u8> {
         let topic = topic(self.kind);
         let Participant {
             agent, coordinator, ..
@@ -566,7 +405,7 @@
             .members
             .iter()
             .map(|member| {
-                let entry = fleet.view().get(MemberKey(member.node));
+                let entry = membership.view().get(MemberKey(member.node));
                 let part = entry.and_then(|e| e.details.parts.iter().find(|part| part.id == topic));
                 (
                     *member,
@@ -574,8 +413,8 @@
                 )
             })
             .collect();
-        let names = Called {
-            fleet,
+        let names = ClusterNames {
+            membership,
             operations: &self.operations,
         };
         let mut shown = StatusSnapshot::of(at.unix_ms, agent, coordinator, &members, &names);
@@ -583,7 +422,7 @@
         let alone: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
         let acting_coordinator = coordinator
             .acting_coordinator(&alone)
-            .and_then(|key| fleet.view().get(MemberKey(key)));
+            .and_then(|key| membership.view().get(MemberKey(key)));
         shown.coordinator_address =
             acting_coordinator.map_or_else(String::new, |entry| entry.details.address.to_string());
         shown.encode_to_vec()
@@ -592,17 +431,17 @@
     /// Whether another process is being started to take this one's place: nothing else may rollout
     /// then.
     pub fn hands_over(&self) -> bool {
-        self.kind == Kind::Program && (self.handed || self.participant.agent.is_applying())
+        self.kind == Kind::Program && (self.handed_over || self.participant.agent.is_applying())
     }
 
     /// The node ends, by notice: what it had on trial did not die, and that is written before the
     /// process is gone. Where another process takes its place, that one has it on trial, and
     /// writes.
-    pub fn leave(&mut self, handed: bool) {
+    pub fn leave(&mut self, handed_over: bool) {
         let persisted = Box::new(self.participant.agent.leave());
         let (tasks, _) = bounded(0);
         let tasks = std::mem::replace(&mut self.participant.agent.host.tasks, tasks);
-        if !handed {
+        if !handed_over {
             let _ = tasks.try_send(Task::Persist {
                 no: 0,
                 persisted,
@@ -612,83 +451,50 @@
         drop(tasks);
         // A disk that takes longer leaves the note of a trial behind: then that counts as a death,
         // which is the safe side.
-        let _ = self.worker.recv_timeout(LEAVES);
+        let _ = self.worker_ended.recv_timeout(LAST_WRITE_WAIT);
     }
 }
 
-/// What nodes counted, by window, from this window on.
-fn samples<H: FleetHost>(
-    kind: Kind,
-    fleet: &Membership<H>,
-    counts: &ClusterCounters,
-    from: u64,
-) -> Vec<(u64, Vec<WindowSample>)> {
-    let mut all: BTreeMap<u64, BTreeMap<u64, WindowSample>> = BTreeMap::new();
-    for (who, window, label, first, counted) in counts.windows(from) {
-        let Some(entry) = fleet.view().get(MemberKey(who.key)) else {
-            continue;
-        };
-        // A program is another process; what it runs is what the process says on its entry.
-        let label = match kind {
-            Kind::Settings => label,
-            Kind::Program if entry.epoch.life.0 == who.life => {
-                let part = entry
-                    .details
-                    .parts
-                    .iter()
-                    .find(|part| part.id == PROGRAM_CHANGES);
-                match part.and_then(|part| messages::decode_attachment(&part.bytes)) {
-                    Some(report) => report.running.hash,
-                    None => continue,
-                }
-            }
-            Kind::Program => continue,
-        };
-        let mut sample = WindowSample {
-            node: who.key,
-            zone: super::zone_number(&entry.details.zone),
-            label,
-            cold: first,
-            memory_kb: counted.gauges[0],
-            descriptors: counted.gauges[1],
-            ..WindowSample::default()
-        };
-        for (row, numbers) in &counted.rows {
-            if *row == OWN {
-                sample.invariants = numbers[own::INVARIANTS];
-                continue;
-            }
-            let cell = OperationCounts {
-                arrived: numbers[column::ARRIVED],
-                succeeded: numbers[column::SUCCEEDED],
-                throttled: numbers[column::THROTTLED],
-                errored: numbers[column::ERRORED],
-                late: numbers[column::LATE],
-                earned: numbers[column::EARNED],
-                asked: numbers[column::ASKED],
-                ..OperationCounts::default()
-            };
-            let latencies = counted.latency.get(row).cloned().unwrap_or_default();
-            sample.operations.insert(*row, (cell, latencies));
-        }
-        // Of two processes under one name in a window the one that did more tells of it.
-        let arrived = |sample: &WindowSample| {
-            sample
-                .operations
-                .values()
-                .map(|(cell, _)| cell.arrived)
-                .sum::<u64>()
-        };
-        match all.entry(window).or_default().entry(who.key) {
-            std::collections::btree_map::Entry::Vacant(place) => _ = place.insert(sample),
-            std::collections::btree_map::Entry::Occupied(mut held) => {
-                if arrived(&sample) > arrived(held.get()) {
-                    held.insert(sample);
-                }
-            }
-        }
-    }
-    all.into_iter()
-        .map(|(window, nodes)| (window, nodes.into_values().collect()))
-        .collect()
+/// The part of a node that has just started.
+fn participant(
+    at: ClockReading,
+    start: InitialState,
+    plan: Plan,
+    context: &RolloutContext,
+    host: RolloutHost,
+) -> Participant<RolloutHost> {
+    let identity = NodeIdentity {
+        key: context.me.0,
+        zone: context.zone,
+    };
+    let mut participant = Participant::new(
+        at.now,
+        at.unix_ms,
+        identity,
+        start,
+        context.voters.clone(),
+        WINDOW_MS,
+        host,
+    );
+    let names = context
+        .operations
+        .iter()
+        .map(|name| (number(name), name.clone()))
+        .collect();
+    let fast_enough = context
+        .operations
+        .iter()
+        .zip(&context.objectives)
+        .map(|(name, objective)| {
+            let latency = objective / OBJECTIVE_DIVISOR / HISTOGRAM_UNIT;
+            (number(name), latency as u32)
+        })
+        .collect();
+    participant.coordinator = participant
+        .coordinator
+        .with_names(names)
+        .with_capacity(context.bytes / NODE_RECORD_BYTES)
+        .with_fast_enough(fast_enough);
+    participant.plan = plan;
+    participant
 }
--- /dev/null
+++ b/crates/node/src/io/rollout_link/host.rs
@@ -0,0 +1,118 @@
+//! What a node's part in rollouts asks for, collected until the link carries it out.
+
+use super::version_worker::Task;
+use crossbeam_channel::Sender;
+use madderpoint_rollout::cohort_metrics::WindowSample;
+use madderpoint_rollout::messages::ReceivedMessage;
+use madderpoint_rollout::{Host, Kind, Member, NodeReport, PersistedState, RolloutId, Version};
+use rand::RngExt;
+use rand_pcg::Pcg64Mcg;
+
+/// The host of a [`madderpoint_rollout::Participant`].
+pub(super) struct RolloutHost {
+    pub(super) kind: Kind,
+    pub(super) me: u64,
+    pub(super) sent: Vec<(u64, ReceivedMessage)>,
+    pub(super) tasks: Sender<Task>,
+    pub(super) shown: Option<NodeReport>,
+    pub(super) members: Vec<Member>,
+    pub(super) digests: Vec<(u64, u64)>,
+    pub(super) windows: Vec<(u64, Vec<WindowSample>)>,
+    pub(super) rng: Pcg64Mcg,
+}
+
+impl RolloutHost {
+    fn task(&mut self, task: Task) {
+        // What finds no room is asked for again.
+        let _ = self.tasks.try_send(task);
+    }
+}
+
+impl Host for RolloutHost {
+    fn send(&mut self, to: u64, message: ReceivedMessage) {
+        self.sent.push((to, message));
+    }
+
+    fn log(&mut self, line: &str) {
+        let part = match self.kind {
+            Kind::Settings => "settings",
+            Kind::Program => "program",
+        };
+        crate::log::event("rollout", part, format_args!("{part}: {line}"));
+    }
+
+    fn random_peers(&mut self, most: usize) -> Vec<u64> {
+        let others = self
+            .members
+            .iter()
+            .filter(|member| member.present && member.node != self.me);
+        let present: Vec<u64> = others.map(|member| member.node).collect();
+        (0..most.min(present.len()))
+            .map(|_| present[self.rng.random_range(0..present.len())])
+            .collect()
+    }
+
+    fn peer_with_other_digest(&mut self, digest: u64) -> Option<u64> {
+        // From a place of its own on, so that not all ask the same one.
+        let from = if self.digests.is_empty() {
+            0
+        } else {
+            self.rng.random_range(0..self.digests.len())
+        };
+        let (before, after) = self.digests.split_at(from);
+        after
+            .iter()
+            .chain(before)
+            .find(|(_, other)| *other != digest)
+            .map(|(node, _)| *node)
+    }
+
+    fn show(&mut self, report: &NodeReport) {
+        self.shown = Some(report.clone());
+    }
+
+    fn check(&mut self, rollout: RolloutId, version: Version, content: Option<Vec<u8>>) {
+        self.task(Task::Check {
+            rollout,
+            version,
+            content,
+        });
+    }
+
+    fn check_offer(&mut self, no: u64, version: Option<Version>, content: Option<Vec<u8>>) {
+        self.task(Task::CheckOffer {
+            no,
+            version,
+            content,
+        });
+    }
+
+    fn persist(
+        &mut self,
+        no: u64,
+        persisted: &PersistedState,
+        content: Option<(Version, Vec<u8>)>,
+    ) {
+        self.task(Task::Persist {
+            no,
+            persisted: Box::new(persisted.clone()),
+            content,
+        });
+    }
+
+    fn apply(&mut self, version: Version) {
+        self.task(Task::Apply(version));
+    }
+
+    fn members(&mut self) -> Vec<Member> {
+        self.members.clone()
+    }
+
+    fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<WindowSample>)> {
+        self.windows
+            .iter()
+            .filter(|(window, _)| (from..=until).contains(window))
+            .cloned()
+            .collect()
+    }
+}
--- /dev/null
+++ b/crates/node/src/io/rollout_link/window_samples.rs
@@ -0,0 +1,100 @@
+//! What all nodes counted, as the canary analysis wants it.
+
+use super::PROGRAM_CHANGES;
+use crate::io::zone_number;
+use madderpoint_membership::member::MemberEntry;
+use madderpoint_membership::{Host as MembershipHost, MemberKey, Membership};
+use madderpoint_rollout::Kind;
+use madderpoint_rollout::cohort_metrics::{OperationCounts, WindowSample};
+use madderpoint_rollout::messages;
+use madderpoint_shared_state::counts::{ClusterCounters, CounterWindow, OWN, column, own};
+use std::collections::BTreeMap;
+
+/// What nodes counted from this window on, by window and node.
+pub(super) fn samples<H: MembershipHost>(
+    kind: Kind,
+    membership: &Membership<H>,
+    counts: &ClusterCounters,
+    from: u64,
+) -> Vec<(u64, Vec<WindowSample>)> {
+    let mut all: BTreeMap<u64, BTreeMap<u64, WindowSample>> = BTreeMap::new();
+    for (process, window, label, first, counted) in counts.windows(from) {
+        let Some(entry) = membership.view().get(MemberKey(process.key)) else {
+            continue;
+        };
+        // A program is another process; what it runs is what the process reports on its entry.
+        let label = match kind {
+            Kind::Settings => label,
+            Kind::Program if entry.epoch.life.0 == process.life => {
+                let part = entry
+                    .details
+                    .parts
+                    .iter()
+                    .find(|part| part.id == PROGRAM_CHANGES);
+                match part.and_then(|part| messages::decode_attachment(&part.bytes)) {
+                    Some(report) => report.running.hash,
+                    None => continue,
+                }
+            }
+            Kind::Program => continue,
+        };
+        let sample = window_sample(entry, process.key, label, first, counted);
+        // Of two processes under one name in a window the one that did more tells of it.
+        let arrived = |sample: &WindowSample| {
+            sample
+                .operations
+                .values()
+                .map(|(cell, _)| cell.arrived)
+                .sum::<u64>()
+        };
+        match all.entry(window).or_default().entry(process.key) {
+            std::collections::btree_map::Entry::Vacant(vacant) => _ = vacant.insert(sample),
+            std::collections::btree_map::Entry::Occupied(mut known) => {
+                if arrived(&sample) > arrived(known.get()) {
+                    known.insert(sample);
+                }
+            }
+        }
+    }
+    all.into_iter()
+        .map(|(window, nodes)| (window, nodes.into_values().collect()))
+        .collect()
+}
+
+/// One node's counts in one window.
+fn window_sample(
+    entry: &MemberEntry,
+    node: u64,
+    label: u64,
+    is_first: bool,
+    counted: &CounterWindow,
+) -> WindowSample {
+    let mut sample = WindowSample {
+        node,
+        zone: zone_number(&entry.details.zone),
+        label,
+        cold: is_first,
+        memory_kb: counted.gauges[0],
+        descriptors: counted.gauges[1],
+        ..WindowSample::default()
+    };
+    for (row, numbers) in &counted.rows {
+        if *row == OWN {
+            sample.invariants = numbers[own::INVARIANTS];
+            continue;
+        }
+        let counts = OperationCounts {
+            arrived: numbers[column::ARRIVED],
+            succeeded: numbers[column::SUCCEEDED],
+            throttled: numbers[column::THROTTLED],
+            errored: numbers[column::ERRORED],
+            late: numbers[column::LATE],
+            earned: numbers[column::EARNED],
+            asked: numbers[column::ASKED],
+            ..OperationCounts::default()
+        };
+        let latencies = counted.latency.get(row).cloned().unwrap_or_default();
+        sample.operations.insert(*row, (counts, latencies));
+    }
+    sample
+}
--- a/crates/node/src/program_version/tests.rs
+++ b/crates/node/src/program_version/tests.rs
@@ -25,6 +25,7 @@
     assert!(
         find(&root, other)
             .unwrap_err()
+            .to_string()
             .contains("release-8 has version 8")
     );
     assert!(version_of(&root.join("9")).is_err() && version_of(&root.join("notes")).is_err());
@@ -37,6 +38,7 @@
             }
         )
         .unwrap_err()
+        .to_string()
         .contains("no directory")
     );
     let _ = fs::remove_dir_all(&root);
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -7,11 +7,11 @@
 use madderpoint_node::capacity::OptionalSubsystems;
 use madderpoint_node::classify::Sheet;
 use madderpoint_node::config::{self, Identity};
-use madderpoint_node::io::{self, Changing, Notice, Ours, Part, Reset, Versions};
+use madderpoint_node::io::{self, Notice, Ours, Part, Reset, RolloutSetup, VersionError, Versions};
 use madderpoint_node::log;
 use madderpoint_node::node::Service;
 use madderpoint_node::supervisor_client::{self, ProgramVersions};
-use madderpoint_node::version_store::Directory;
+use madderpoint_node::version_store::VersionStore;
 use madderpoint_rollout::{Kind as ChangeKind, PersistedState, Version};
 use madderpoint_settings::{self as settings, Complaints, FleetSettings, Known, Place, Translator};
 use madderpoint_shared_state::keyed_quota::KeyedQuota;
@@ -307,7 +307,7 @@
 
 /// Versions of our settings.
 struct SettingsVersions {
-    directory: Directory,
+    directory: VersionStore,
     file: PathBuf,
     who: Arc<Identity>,
     in_force: Arc<Mutex<InForce>>,
@@ -338,19 +338,25 @@
 }
 
 impl Versions for SettingsVersions {
-    fn check(&mut self, _: Option<Version>, content: Option<&[u8]>) -> Result<Version, String> {
-        let (read, new_keys) = read_version(&self.file, content.unwrap_or_default(), &self.who)?;
+    fn check(
+        &mut self,
+        _: Option<Version>,
+        content: Option<&[u8]>,
+    ) -> Result<Version, VersionError> {
+        let (read, new_keys) = read_version(&self.file, content.unwrap_or_default(), &self.who)
+            .map_err(VersionError::Settings)?;
         let now = self.in_force();
         if let Some(fleet) = &read.fleet {
             let kept = until_a_restart(fleet, &now.fleet);
             if !kept.is_empty() {
-                return Err(format!(
+                return Err(VersionError::Settings(format!(
                     "{kept:?} of <fleet> can change with a restart only"
-                ));
+                )));
             }
-            if !keys(&self.file, &now.fleet)?.meet(&new_keys) {
+            let keys = keys(&self.file, &now.fleet).map_err(VersionError::Settings)?;
+            if !keys.meet(&new_keys) {
                 let what = "old and new nodes would not understand each other: add the new key first, after the old one";
-                return Err(format!("fleet/@keys: {what}"));
+                return Err(VersionError::Settings(format!("fleet/@keys: {what}")));
             }
         }
         let (number, hash) = read.number;
@@ -361,15 +367,16 @@
         &mut self,
         kept: &PersistedState,
         content: Option<(Version, &[u8])>,
-    ) -> Result<(), String> {
-        self.directory.persist(kept, content)
+    ) -> Result<(), VersionError> {
+        Ok(self.directory.persist(kept, content)?)
     }
 
-    fn apply(&mut self, version: Version) -> Result<(), String> {
+    fn apply(&mut self, version: Version) -> Result<(), VersionError> {
         let content = self.directory.content(version)?;
-        let (mut read, keys) = read_version(&self.file, &content, &self.who)?;
+        let (mut read, keys) =
+            read_version(&self.file, &content, &self.who).map_err(VersionError::Settings)?;
         let Some(new) = read.fleet.clone() else {
-            return Err("it has no <fleet>".into());
+            return Err(VersionError::Settings("it has no <fleet>".into()));
         };
         let told = {
             let mut now = self.in_force();
@@ -386,8 +393,8 @@
                 .send(notice)
                 .map_err(|_| "the node ends".to_owned())
         };
-        tell(Notice::Fleet(told))?;
-        tell(Notice::Ruled(sheet(&mut read)))
+        tell(Notice::Fleet(told)).map_err(VersionError::Settings)?;
+        tell(Notice::Ruled(sheet(&mut read))).map_err(VersionError::Settings)
     }
 }
 
@@ -430,7 +437,7 @@
 struct Started {
     read: Translator,
     /// Versions are kept: what is in force, and the node's part in changes.
-    changing: Option<(Arc<Mutex<InForce>>, Changing)>,
+    changing: Option<(Arc<Mutex<InForce>>, RolloutSetup)>,
 }
 
 /// Reads the settings; where versions are kept, those that the node is to start on.
@@ -451,9 +458,9 @@
             .map_err(|e| format!("settings not taken:\n{e}"));
     };
     let open = if beside {
-        Directory::beside
+        VersionStore::beside
     } else {
-        Directory::open
+        VersionStore::open
     };
     let mut directory =
         open(&dir, &who.name, ChangeKind::Settings).map_err(|e| format!("rollout/@dir: {e}"))?;
@@ -485,7 +492,7 @@
         Err(complaints) => format!("settings not taken:\n{complaints}"),
         Ok(_) => format!("settings not taken: {what}"),
     })?;
-    let (read, version) = (begun.runs, begun.start.running);
+    let (read, version) = (begun.running, begun.state.running);
     let Some(fleet) = read.fleet.clone() else {
         return Err("settings not taken: no <fleet>".into());
     };
@@ -506,8 +513,8 @@
         .as_ref()
         .map(|rollout| rollout.plan.clone())
         .unwrap_or_default();
-    let changing = Changing {
-        start: begun.start,
+    let changing = RolloutSetup {
+        start: begun.state,
         plan,
         versions: Box::new(versions),
     };
@@ -537,7 +544,7 @@
     logs(&who.name, logging);
     let (notices, inbox) = crossbeam_channel::bounded(1);
     let adopted = match told(supervisor_client::UNDER) {
-        Some(_) => Some(supervisor_client::adopt()?),
+        Some(_) => Some(supervisor_client::adopt().map_err(|error| error.to_string())?),
         None => None,
     };
     let beside = adopted.as_ref().is_some_and(|adopted| adopted.begin.beside);
@@ -559,7 +566,7 @@
                     .map(|rollout| rollout.plan.clone())
                     .unwrap_or_default();
                 let versions = Box::new(ProgramVersions(Arc::clone(&adopted.link)));
-                part.changes.push(Changing {
+                part.changes.push(RolloutSetup {
                     start: supervisor_client::start(&adopted.begin),
                     plan,
                     versions,
--- /dev/null
+++ b/crates/node/src/supervisor/host.rs
@@ -0,0 +1,184 @@
+//! Starts processes, talks to them and signals them.
+
+use super::orphans::Orphan;
+use super::sockets::{read_messages, send_with_socket};
+use super::{Event, SupervisorOptions};
+use crossbeam_channel::Sender;
+use madderpoint_node::supervisor_client::UNDER;
+use madderpoint_node::version_store::VersionStore;
+use madderpoint_node::{log, program_version};
+use madderpoint_rollout::process_handover::{Child, Host, StartInstructions};
+use madderpoint_rollout::supervisor_messages::{SupervisorMessage, kind};
+use madderpoint_rollout::{HostError, PersistedState, Version};
+use rustix::process::{Pid, Signal, kill_process};
+use std::collections::BTreeMap;
+use std::io::{self, Write};
+use std::net::TcpListener;
+use std::os::fd::OwnedFd;
+use std::os::unix::net::UnixStream;
+use std::path::PathBuf;
+use std::process::{Command, Stdio};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::thread;
+
+/// A process that was started. Its number is signalled only while it was not waited for.
+pub(super) struct Process {
+    stream: UnixStream,
+    alive: Arc<Mutex<Option<Pid>>>,
+}
+
+impl Process {
+    /// Sends it a signal, if it still runs.
+    pub(super) fn signal(&self, signal: Signal) {
+        let alive = self.alive.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(pid) = *alive {
+            let _ = kill_process(pid, signal);
+        }
+    }
+}
+
+/// What the decisions of the supervisor do.
+pub(super) struct SupervisorHost {
+    pub(super) options: SupervisorOptions,
+    pub(super) listener: TcpListener,
+    pub(super) store: VersionStore,
+    pub(super) processes: BTreeMap<Child, Process>,
+    pub(super) events: Sender<Event>,
+    /// Processes of a parent before this one, which go on serving until one of ours does.
+    pub(super) orphans: Vec<Orphan>,
+    /// Where the processes are noted for a supervisor that comes after this one.
+    pub(super) processes_file: PathBuf,
+}
+
+impl SupervisorHost {
+    fn send(&mut self, child: Child, message: &SupervisorMessage) {
+        if let Some(process) = self.processes.get_mut(&child) {
+            let _ = process.stream.write_all(&message.write()); // one that is gone is told of by its end
+        }
+    }
+
+    /// Writes down who is there, for a parent that comes after this one.
+    pub(super) fn note(&self) {
+        let own = self.processes.values().filter_map(|process| {
+            let pid = *process.alive.lock().unwrap_or_else(PoisonError::into_inner);
+            Orphan::of(pid?.as_raw_nonzero().get())
+        });
+        let all: Vec<String> = own
+            .chain(self.orphans.iter().cloned())
+            .map(|o| format!("{} {}\n", o.pid, o.started))
+            .collect();
+        if let Err(e) = std::fs::write(&self.processes_file, all.concat()) {
+            log::line(format_args!(
+                "parent: {}: {e}",
+                self.processes_file.display()
+            ));
+        }
+    }
+
+    fn spawn(&mut self, child: Child, begin: &StartInstructions) -> Result<(), HostError> {
+        let dir = program_version::find(&self.options.programs, begin.version)
+            .map_err(|error| HostError::new(error.to_string()))?;
+        let file = dir.join(program_version::PROGRAM);
+        let failed = |e: io::Error| HostError::new(format!("{}: {e}", file.display()));
+        let (ours, theirs) = UnixStream::pair().map_err(failed)?;
+        let mut process = Command::new(&file)
+            .args(&self.options.arguments)
+            .env(UNDER, "1")
+            .stdin(Stdio::from(OwnedFd::from(theirs)))
+            .spawn()
+            .map_err(failed)?;
+        let pid = Pid::from_raw(process.id() as i32);
+        let alive = Arc::new(Mutex::new(pid));
+        let (reading, ended) = (ours.try_clone().map_err(failed)?, Arc::clone(&alive));
+        let (events, ends) = (self.events.clone(), self.events.clone());
+        thread::spawn(move || read_messages(child, reading, &events));
+        thread::spawn(move || {
+            let status = process.wait();
+            *ended.lock().unwrap_or_else(PoisonError::into_inner) = None;
+            let how = status.map_or_else(|e| e.to_string(), |status| status.to_string());
+            let _ = ends.send(Event::Ended(child, how));
+        });
+        let sent = send_with_socket(
+            &ours,
+            &SupervisorMessage::begin(begin).write(),
+            &self.listener,
+        );
+        let started = Process {
+            stream: ours,
+            alive,
+        };
+        if let Err(e) = sent {
+            // It ended already, or takes nothing: its end tells the rest.
+            log::line(format_args!("parent: {}: {e}", file.display()));
+            started.signal(Signal::KILL);
+        }
+        self.processes.insert(child, started);
+        self.note();
+        Ok(())
+    }
+}
+
+impl Host for SupervisorHost {
+    fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), HostError> {
+        let beside = begin.beside || !self.orphans.is_empty();
+        self.spawn(
+            child,
+            &StartInstructions {
+                beside,
+                ..begin.clone()
+            },
+        )
+    }
+
+    fn in_charge(&mut self, child: Child) {
+        self.send(child, &SupervisorMessage::plain(kind::IN_CHARGE));
+        for orphan in std::mem::take(&mut self.orphans) {
+            if orphan.is_running()
+                && let Some(pid) = Pid::from_raw(orphan.pid)
+            {
+                log::line(format_args!(
+                    "parent: process {} of the parent before is told to leave",
+                    orphan.pid
+                ));
+                let _ = kill_process(pid, Signal::TERM);
+            }
+        }
+        self.note();
+    }
+
+    fn hand_over(&mut self, child: Child) {
+        self.send(child, &SupervisorMessage::plain(kind::HAND_OVER));
+    }
+
+    fn leave(&mut self, child: Child) {
+        if let Some(process) = self.processes.get(&child) {
+            process.signal(Signal::TERM);
+        }
+    }
+
+    fn kill(&mut self, child: Child) {
+        if let Some(process) = self.processes.get(&child) {
+            process.signal(Signal::KILL);
+        }
+    }
+
+    fn persist(&mut self, persisted: &PersistedState) -> Result<(), HostError> {
+        self.store
+            .persist(persisted, None)
+            .map_err(|error| HostError::new(error.to_string()))
+    }
+
+    fn has(&mut self, version: Version) -> Result<(), HostError> {
+        program_version::find(&self.options.programs, version)
+            .map(drop)
+            .map_err(|error| HostError::new(error.to_string()))
+    }
+
+    fn answer(&mut self, child: Child, no: u64, result: Result<(), HostError>) {
+        self.send(child, &SupervisorMessage::done(no, &result));
+    }
+
+    fn log(&mut self, line: &str) {
+        log::event("parent", "program", format_args!("{line}"));
+    }
+}
--- a/crates/node/src/supervisor_client.rs
+++ b/crates/node/src/supervisor_client.rs
@@ -1,8 +1,8 @@
-//! A node that a parent started: the listening socket and what is kept of versions of the program
-//! come from it over a Unix stream, which is the node's standard input; what takes time is asked of
-//! it. A node whose parent is gone goes on without it.
+//! A node that a supervisor started: the listening socket and the persisted state of the program's
+//! versions come from it over a Unix stream, which is the node's standard input; checks, writes and
+//! swaps are asked of it. A node whose supervisor is gone goes on without it.
 
-use crate::io::{Notice, Versions};
+use crate::io::{Notice, VersionError, Versions};
 use crate::log::log;
 use crossbeam_channel::{Sender, bounded};
 use madderpoint_rollout::node_agent::InitialState;
@@ -17,20 +17,41 @@
 use std::os::fd::AsFd;
 use std::os::unix::net::UnixStream;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::Duration;
 
-/// Tells a program that a parent started it.
+/// The environment variable that tells a program that a supervisor started it.
 pub const UNDER: &str = "MADDERPOINT_UNDER";
-/// How long a node waits for what it starts with, and for an answer: longer than a new one may take
-/// to be ready.
-const BEGINS: Duration = Duration::from_secs(10);
-const ANSWER: Duration = Duration::from_secs(60);
+/// How long a node waits for what it starts with.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a node waits for an answer: longer than a new process may take to be ready.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-type Answers = Arc<Mutex<HashMap<u64, Sender<Result<(), String>>>>>;
+/// Why the supervisor did not do what the node asked, or what it sent can't be taken up.
+#[derive(Debug, thiserror::Error)]
+pub enum SupervisorClientError {
+    /// What the supervisor hands over at the start can't be read.
+    #[error("{UNDER} is set, and what the parent says can't be read: {0}")]
+    Handover(String),
+    /// It can't be written to.
+    #[error("the parent can't be told: {0}")]
+    Write(#[from] std::io::Error),
+    /// It has ended.
+    #[error("the parent is gone")]
+    Gone,
+    /// It did not answer within [`ANSWER_TIMEOUT`].
+    #[error("the parent did not answer")]
+    NoAnswer,
+    /// It answered that it can't be done, and why.
+    #[error("{0}")]
+    Refused(String),
+}
+
+/// Requests that wait for their answers, by number.
+type Answers = Arc<Mutex<HashMap<u64, Sender<Result<(), SupervisorClientError>>>>>;
 
-/// The stream to the parent.
+/// The stream to the supervisor.
 #[derive(Debug)]
 pub struct Link {
     stream: Mutex<UnixStream>,
@@ -39,62 +60,53 @@
     gone: AtomicBool,
 }
 
-/// What came from the parent.
+/// What the supervisor handed over.
 #[derive(Debug)]
 pub struct Adopted {
+    /// The stream to the supervisor.
     pub link: Arc<Link>,
+    /// What the process starts with.
     pub begin: StartInstructions,
+    /// The listening socket.
     pub listener: Option<TcpListener>,
     reading: UnixStream,
     reader: MessageReader,
 }
 
-/// Takes up what the parent hands over.
-pub fn adopt() -> Result<Adopted, String> {
-    let wrong = |what: &dyn std::fmt::Display| {
-        format!("{UNDER} is set, and what the parent says can't be read: {what}")
-    };
+/// Takes up what the supervisor hands over.
+pub fn adopt() -> Result<Adopted, SupervisorClientError> {
+    let unreadable = |e: &dyn std::fmt::Display| SupervisorClientError::Handover(e.to_string());
     let stdin = std::io::stdin()
         .as_fd()
         .try_clone_to_owned()
-        .map_err(|e| wrong(&e))?;
+        .map_err(|e| unreadable(&e))?;
     let mut stream = UnixStream::from(stdin);
     stream
-        .set_read_timeout(Some(BEGINS))
-        .map_err(|e| wrong(&e))?;
+        .set_read_timeout(Some(START_TIMEOUT))
+        .map_err(|e| unreadable(&e))?;
     let (mut reader, mut listener) = (MessageReader::default(), None);
     let begin = loop {
         let mut buffer = [0; 4096];
-        let n = if listener.is_none() {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-            let mut control = RecvAncillaryBuffer::new(&mut space);
-            let mut into = [IoSliceMut::new(&mut buffer)];
-            let got = recvmsg(&stream, &mut into, &mut control, RecvFlags::CMSG_CLOEXEC)
-                .map_err(|e| wrong(&e))?;
-            for message in control.drain() {
-                if let RecvAncillaryMessage::ScmRights(mut sockets) = message {
-                    listener = sockets.next().map(TcpListener::from);
-                }
-            }
-            got.bytes
+        let read = if listener.is_none() {
+            receive_with_socket(&stream, &mut buffer, &mut listener).map_err(|e| unreadable(&e))?
         } else {
-            stream.read(&mut buffer).map_err(|e| wrong(&e))?
+            stream.read(&mut buffer).map_err(|e| unreadable(&e))?
         };
-        if n == 0 {
-            return Err(wrong(&"it is gone"));
+        if read == 0 {
+            return Err(unreadable(&"it is gone"));
         }
-        reader.feed(&buffer[..n]);
-        if let Some(saying) = reader.take().map_err(|_| wrong(&"it is no saying"))? {
-            break saying
+        reader.feed(&buffer[..read]);
+        if let Some(message) = reader.take().map_err(|_| unreadable(&"it is no saying"))? {
+            break message
                 .as_begin()
-                .ok_or_else(|| wrong(&"it does not say what to start with"))?;
+                .ok_or_else(|| unreadable(&"it does not say what to start with"))?;
         }
     };
     if listener.is_none() {
-        return Err(wrong(&"no listening socket came"));
+        return Err(unreadable(&"no listening socket came"));
     }
-    stream.set_read_timeout(None).map_err(|e| wrong(&e))?;
-    let reading = stream.try_clone().map_err(|e| wrong(&e))?;
+    stream.set_read_timeout(None).map_err(|e| unreadable(&e))?;
+    let reading = stream.try_clone().map_err(|e| unreadable(&e))?;
     let link = Arc::new(Link {
         stream: Mutex::new(stream),
         answers: Answers::default(),
@@ -110,6 +122,24 @@
     })
 }
 
+/// Reads from the stream, and takes the listening socket if it comes beside the bytes.
+fn receive_with_socket(
+    stream: &UnixStream,
+    buffer: &mut [u8],
+    listener: &mut Option<TcpListener>,
+) -> std::io::Result<usize> {
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+    let mut control = RecvAncillaryBuffer::new(&mut space);
+    let mut into = [IoSliceMut::new(buffer)];
+    let received = recvmsg(stream, &mut into, &mut control, RecvFlags::CMSG_CLOEXEC)?;
+    for message in control.drain() {
+        if let RecvAncillaryMessage::ScmRights(mut sockets) = message {
+            *listener = sockets.next().map(TcpListener::from);
+        }
+    }
+    Ok(received.bytes)
+}
+
 impl Adopted {
     /// Listens to the parent from here on.
     pub fn listen(self, notices: Sender<Notice>) -> std::io::Result<()> {
@@ -139,51 +169,22 @@
     let mut buffer = [0; 4096];
     loop {
         match reader.take() {
-            Ok(Some(saying)) => {
-                match saying.kind {
-                    kind::IN_CHARGE => in_charge = true,
-                    kind::HAND_OVER => {
-                        // The other version runs now: that is what was asked for last, and there is
-                        // no other answer to it.
-                        let asked = std::mem::take(
-                            &mut *link.answers.lock().unwrap_or_else(PoisonError::into_inner),
-                        );
-                        asked.into_values().for_each(|asked| _ = asked.send(Ok(())));
-                        let _ = notices.send(Notice::HandOver);
-                    }
-                    kind::DONE => {
-                        let result = if saying.refused {
-                            Err(saying.why)
-                        } else {
-                            Ok(())
-                        };
-                        let asked = link
-                            .answers
-                            .lock()
-                            .unwrap_or_else(PoisonError::into_inner)
-                            .remove(&saying.no);
-                        asked
-                            .into_iter()
-                            .for_each(|asked| _ = asked.send(result.clone()));
-                    }
-                    _ => {}
-                }
+            Ok(Some(message)) => {
+                in_charge |= message.kind == kind::IN_CHARGE;
+                link.take_up(message, notices);
                 continue;
             }
             Ok(None) => {}
             Err(_) => break,
         }
         match stream.read(&mut buffer) {
-            Ok(n) if n > 0 => reader.feed(&buffer[..n]),
+            Ok(read) if read > 0 => reader.feed(&buffer[..read]),
             Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
             _ => break,
         }
     }
     link.gone.store(true, SeqCst);
-    link.answers
-        .lock()
-        .unwrap_or_else(PoisonError::into_inner)
-        .clear();
+    link.answers().clear();
     if in_charge {
         log!("the parent is gone: the node goes on without it, and can't change its program");
     } else {
@@ -193,50 +194,80 @@
 }
 
 impl Link {
-    fn reply(&self, saying: &SupervisorMessage) -> Result<(), String> {
+    fn answers(&self) -> MutexGuard<'_, HashMap<u64, Sender<Result<(), SupervisorClientError>>>> {
+        self.answers.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn send(&self, message: &SupervisorMessage) -> Result<(), SupervisorClientError> {
         let mut stream = self.stream.lock().unwrap_or_else(PoisonError::into_inner);
-        stream
-            .write_all(&saying.write())
-            .map_err(|e| format!("the parent can't be told: {e}"))
+        Ok(stream.write_all(&message.write())?)
+    }
+
+    /// Takes up a message of the supervisor.
+    fn take_up(&self, message: SupervisorMessage, notices: &Sender<Notice>) {
+        match message.kind {
+            kind::HAND_OVER => {
+                // The other version runs now: that is what was asked for last, and there is no other
+                // answer to it.
+                let waiting = std::mem::take(&mut *self.answers());
+                waiting
+                    .into_values()
+                    .for_each(|waiting| _ = waiting.send(Ok(())));
+                let _ = notices.send(Notice::HandOver);
+            }
+            kind::DONE => {
+                let result = if message.refused {
+                    Err(SupervisorClientError::Refused(message.why))
+                } else {
+                    Ok(())
+                };
+                let waiting = self.answers().remove(&message.no);
+                if let Some(waiting) = waiting {
+                    let _ = waiting.send(result);
+                }
+            }
+            _ => {}
+        }
     }
 
     /// The node serves.
     pub fn ready(&self) {
-        if let Err(what) = self.reply(&SupervisorMessage::plain(kind::READY)) {
+        if let Err(what) = self.send(&SupervisorMessage::plain(kind::READY)) {
             log!("{what}");
         }
     }
 
-    /// Asks the parent for something, and waits for the answer.
-    fn request(&self, saying: impl FnOnce(u64) -> SupervisorMessage) -> Result<(), String> {
-        let no = self.asked.fetch_add(1, SeqCst) + 1;
+    /// Asks the supervisor for something, and waits for the answer.
+    fn request(
+        &self,
+        message: impl FnOnce(u64) -> SupervisorMessage,
+    ) -> Result<(), SupervisorClientError> {
+        let number = self.asked.fetch_add(1, SeqCst) + 1;
         let (answers, answer) = bounded(1);
-        self.answers
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .insert(no, answers);
+        self.answers().insert(number, answers);
         if self.gone.load(SeqCst) {
-            return Err("the parent is gone".into());
+            return Err(SupervisorClientError::Gone);
         }
-        self.reply(&saying(no))?;
-        let answer = answer.recv_timeout(ANSWER);
-        self.answers
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .remove(&no);
-        answer.unwrap_or_else(|_| Err("the parent did not answer".into()))
+        self.send(&message(number))?;
+        let answer = answer.recv_timeout(ANSWER_TIMEOUT);
+        self.answers().remove(&number);
+        answer.unwrap_or(Err(SupervisorClientError::NoAnswer))
     }
 }
 
-/// Versions of the program, which the parent keeps.
+/// Versions of the program, which the supervisor stores.
 #[derive(Debug)]
 pub struct ProgramVersions(pub Arc<Link>);
 
 impl Versions for ProgramVersions {
-    fn check(&mut self, version: Option<Version>, _: Option<&[u8]>) -> Result<Version, String> {
-        let version = version.ok_or("a program is told by its version")?;
+    fn check(
+        &mut self,
+        version: Option<Version>,
+        _: Option<&[u8]>,
+    ) -> Result<Version, VersionError> {
+        let version = version.ok_or(VersionError::NoVersion)?;
         self.0
-            .request(|no| SupervisorMessage::about(kind::CHECK, no, version))?;
+            .request(|number| SupervisorMessage::about(kind::CHECK, number, version))?;
         Ok(version)
     }
 
@@ -244,18 +275,19 @@
         &mut self,
         persisted: &PersistedState,
         _: Option<(Version, &[u8])>,
-    ) -> Result<(), String> {
-        self.0.request(|no| SupervisorMessage {
+    ) -> Result<(), VersionError> {
+        Ok(self.0.request(|no| SupervisorMessage {
             kind: kind::KEEP,
             no,
             persisted: persisted.encode(),
             ..SupervisorMessage::default()
-        })
+        })?)
     }
 
-    fn apply(&mut self, version: Version) -> Result<(), String> {
-        self.0
-            .request(|no| SupervisorMessage::about(kind::APPLY, no, version))
+    fn apply(&mut self, version: Version) -> Result<(), VersionError> {
+        Ok(self
+            .0
+            .request(|number| SupervisorMessage::about(kind::APPLY, number, version))?)
     }
 }
 
--- a/crates/node/src/version_store.rs
+++ b/crates/node/src/version_store.rs
@@ -4,9 +4,9 @@
 //! the new ones.
 
 use crate::log::log;
-use madderpoint_rollout::chunks::CONTENT_MAX;
+use madderpoint_rollout::chunks::MAX_CONTENT_BYTES;
 use madderpoint_rollout::node_agent::InitialState;
-use madderpoint_rollout::persisted_state::{FILE_MAX, PersistedState};
+use madderpoint_rollout::persisted_state::{MAX_FILE_BYTES, PersistedState};
 use madderpoint_rollout::{Kind, Version};
 use std::fs::{self, File, TryLockError};
 use std::io::{self, ErrorKind, Read, Write};
@@ -15,31 +15,66 @@
 use std::time::{Duration, Instant};
 
 /// Files of contents that are looked at; there are a handful.
-const CONTENTS: usize = 64;
+const MAX_CONTENT_FILES: usize = 64;
+
+/// Why the store can't be read or written.
+#[derive(Debug, thiserror::Error)]
+pub enum VersionStoreError {
+    /// A file or directory can't be read or written.
+    #[error("{}: {source}", path.display())]
+    Io {
+        /// The file or directory.
+        path: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// Another process of this node has it.
+    #[error("{}: another process has it", .0.display())]
+    InUse(PathBuf),
+    /// The process before this one wrote after this one had read.
+    #[error("{}: what is kept was changed by the process before, after it was read", .0.display())]
+    Changed(PathBuf),
+    /// A content is not there.
+    #[error("{}: there is no such file", .0.display())]
+    Missing(PathBuf),
+}
+
+impl VersionStoreError {
+    fn io(path: &Path) -> impl FnOnce(io::Error) -> VersionStoreError {
+        let path = path.to_owned();
+        move |source| VersionStoreError::Io { path, source }
+    }
+}
+
+/// The node is not started: no version that it may start on can be run.
+#[derive(Debug, thiserror::Error)]
+#[error("{0}")]
+pub struct NoVersionToStartOn(String);
 
 /// The directory, of one node; no other process writes there at the same time.
 #[derive(Debug)]
-pub struct Directory {
+pub struct VersionStore {
     dir: PathBuf,
     kind: Kind,
     lock: Option<File>,
     /// What was read while another process had it: it must be the same when that one is gone.
-    read: Option<Vec<u8>>,
+    read_before_lock: Option<Vec<u8>>,
 }
 
-/// How long the process before this one is waited for, and between two looks.
-const BEFORE: Duration = Duration::from_secs(15);
-const LOOK: Duration = Duration::from_millis(20);
+/// How long the process before this one is waited for.
+const PREVIOUS_PROCESS_WAIT: Duration = Duration::from_secs(15);
+/// Time between two attempts to take the lock.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-fn word(kind: Kind) -> &'static str {
+fn file_prefix(kind: Kind) -> &'static str {
     match kind {
         Kind::Settings => "settings",
         Kind::Program => "program",
     }
 }
 
-/// A name that is one part of a path: what is not plain is told by a number.
-fn plain(name: &str) -> String {
+/// A name that is one part of a path: one with other characters is replaced by its hash.
+fn path_component(name: &str) -> String {
     let is_plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-');
     if name.bytes().all(is_plain) && !name.starts_with('.') && !name.is_empty() {
         return name.to_owned();
@@ -65,18 +100,20 @@
     Ok(Some(bytes))
 }
 
-/// What a node starts with, and the text of what it runs.
+/// What a node starts with, and what the caller made of the version that it runs.
 #[derive(Debug)]
-pub struct Begun<T> {
-    pub start: InitialState,
-    pub runs: T,
+pub struct Start<T> {
+    /// What the node agent starts with.
+    pub state: InitialState,
+    /// What the caller made of the version's content.
+    pub running: T,
 }
 
-impl Directory {
+impl VersionStore {
     /// The part of a directory that is this node's: several nodes of a machine may be told the same
     /// one.
-    pub fn open(dir: &Path, node: &str, kind: Kind) -> Result<Directory, String> {
-        let mut directory = Directory::beside(dir, node, kind)?;
+    pub fn open(dir: &Path, node: &str, kind: Kind) -> Result<VersionStore, VersionStoreError> {
+        let mut directory = VersionStore::beside(dir, node, kind)?;
         directory.take(Duration::ZERO)?;
         Ok(directory)
     }
@@ -88,57 +125,59 @@
 
     /// The same, while another process of this node may still have it: it is read, and written only
     /// once that one is gone.
-    pub fn beside(dir: &Path, node: &str, kind: Kind) -> Result<Directory, String> {
-        let dir = dir.join(plain(node));
-        fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-        Ok(Directory {
+    pub fn beside(dir: &Path, node: &str, kind: Kind) -> Result<VersionStore, VersionStoreError> {
+        let dir = dir.join(path_component(node));
+        fs::create_dir_all(&dir).map_err(VersionStoreError::io(&dir))?;
+        Ok(VersionStore {
             dir,
             kind,
             lock: None,
-            read: None,
+            read_before_lock: None,
         })
     }
 
     /// Has it for this process alone.
-    fn take(&mut self, within: Duration) -> Result<(), String> {
+    fn take(&mut self, within: Duration) -> Result<(), VersionStoreError> {
         if self.lock.is_some() {
             return Ok(());
         }
-        let wrong = |what: &dyn std::fmt::Display| format!("{}: {what}", self.dir.display());
-        let lock = File::create(self.dir.join(format!("{}.lock", word(self.kind))))
-            .map_err(|e| wrong(&e))?;
+        let file = format!("{}.lock", file_prefix(self.kind));
+        let io_error = || VersionStoreError::io(&self.dir);
+        let lock = File::create(self.dir.join(file)).map_err(io_error())?;
         let begun = Instant::now();
         loop {
             match lock.try_lock() {
                 Ok(()) => break,
-                Err(TryLockError::WouldBlock) if begun.elapsed() < within => thread::sleep(LOOK),
-                Err(TryLockError::WouldBlock) => return Err(wrong(&"another process has it")),
-                Err(TryLockError::Error(e)) => return Err(wrong(&e)),
+                Err(TryLockError::WouldBlock) if begun.elapsed() < within => {
+                    thread::sleep(LOCK_RETRY_INTERVAL)
+                }
+                Err(TryLockError::WouldBlock) => {
+                    return Err(VersionStoreError::InUse(self.dir.clone()));
+                }
+                Err(TryLockError::Error(e)) => return Err(io_error()(e)),
             }
         }
-        if let Some(read) = &self.read
-            && read_bounded(&self.state_file(), FILE_MAX)
+        if let Some(read) = &self.read_before_lock
+            && read_bounded(&self.state_file(), MAX_FILE_BYTES)
                 .ok()
                 .flatten()
                 .as_ref()
                 != Some(read)
         {
-            return Err(wrong(
-                &"what is kept was changed by the process before, after it was read",
-            ));
+            return Err(VersionStoreError::Changed(self.dir.clone()));
         }
-        (self.lock, self.read) = (Some(lock), None);
+        (self.lock, self.read_before_lock) = (Some(lock), None);
         Ok(())
     }
 
     fn state_file(&self) -> PathBuf {
-        self.dir.join(format!("{}.kept", word(self.kind)))
+        self.dir.join(format!("{}.kept", file_prefix(self.kind)))
     }
 
     fn content_file(&self, version: Version) -> PathBuf {
         self.dir.join(format!(
             "{}-{}-{:016x}",
-            word(self.kind),
+            file_prefix(self.kind),
             version.number,
             version.hash
         ))
@@ -147,7 +186,7 @@
     /// The version that a file's name tells.
     fn version_of(&self, name: &str) -> Option<Version> {
         let (number, hash) = name
-            .strip_prefix(word(self.kind))?
+            .strip_prefix(file_prefix(self.kind))?
             .strip_prefix('-')?
             .split_once('-')?;
         let hash = if hash.len() == 16 {
@@ -183,16 +222,15 @@
         let names = all.filter_map(|entry| entry.ok()?.file_name().into_string().ok());
         names
             .filter_map(|name| self.version_of(&name))
-            .take(CONTENTS)
+            .take(MAX_CONTENT_FILES)
             .collect()
     }
 
     /// A content that is on the disk.
-    pub fn content(&self, version: Version) -> Result<Vec<u8>, String> {
+    pub fn content(&self, version: Version) -> Result<Vec<u8>, VersionStoreError> {
         let path = self.content_file(version);
-        let read =
-            read_bounded(&path, CONTENT_MAX).map_err(|e| format!("{}: {e}", path.display()))?;
-        read.ok_or_else(|| format!("{}: there is no such file", path.display()))
+        let read = read_bounded(&path, MAX_CONTENT_BYTES).map_err(VersionStoreError::io(&path))?;
+        read.ok_or(VersionStoreError::Missing(path))
     }
 
     /// Writes what is kept, and a content with it, which goes first; then contents that nobody
@@ -201,15 +239,15 @@
         &mut self,
         persisted: &PersistedState,
         content: Option<(Version, &[u8])>,
-    ) -> Result<(), String> {
-        self.take(BEFORE)?;
-        let wrong = |e: io::Error| format!("{}: {e}", self.dir.display());
+    ) -> Result<(), VersionStoreError> {
+        self.take(PREVIOUS_PROCESS_WAIT)?;
+        let io_error = || VersionStoreError::io(&self.dir);
         if let Some((version, bytes)) = content {
             self.write(&self.content_file(version), bytes)
-                .map_err(wrong)?;
+                .map_err(io_error())?;
         }
         self.write(&self.state_file(), &persisted.encode())
-            .map_err(wrong)?;
+            .map_err(io_error())?;
         let open = persisted
             .head
             .as_ref()
@@ -234,7 +272,7 @@
     /// What is kept, and whether nothing was.
     pub fn read_state(&self) -> (PersistedState, bool) {
         let path = self.state_file();
-        let read = match read_bounded(&path, FILE_MAX) {
+        let read = match read_bounded(&path, MAX_FILE_BYTES) {
             Ok(None) => return (PersistedState::new(self.kind), true),
             Ok(Some(bytes)) => {
                 PersistedState::decode(&bytes).map_err(|broken| broken.word().to_owned())
@@ -262,52 +300,52 @@
     pub fn begin<T>(
         &mut self,
         given: Option<(Version, Vec<u8>)>,
-        mut runs: impl FnMut(Version, &[u8]) -> Result<T, String>,
-    ) -> Result<Begun<T>, String> {
+        mut run: impl FnMut(Version, &[u8]) -> Result<T, String>,
+    ) -> Result<Start<T>, NoVersionToStartOn> {
         let is_beside = self.lock.is_none();
         if is_beside {
-            self.read = read_bounded(&self.state_file(), FILE_MAX).ok().flatten();
+            self.read_before_lock = read_bounded(&self.state_file(), MAX_FILE_BYTES)
+                .ok()
+                .flatten();
         }
         let (mut persisted, fresh) = self.read_state();
         let (given_version, given_content) = given.unwrap_or_default();
         let trial = persisted.trial.filter(|_| is_beside);
-        let (all, crashed) = match trial {
+        let (candidates, crashed) = match trial {
             Some(trial) => (vec![trial.version], None),
             None => persisted.start_candidates(given_version),
         };
-        let contents = self.contents();
-        let mut first_wrong = None;
-        for version in all
+        let on_disk = self.contents();
+        let mut first_error = None;
+        for version in candidates
             .into_iter()
             .filter(|version| *version != Version::default())
         {
-            let on_disk = contents.contains(&version);
             let content = match version == given_version {
                 true => Ok(given_content.clone()),
-                false => self.content(version),
+                false => self.content(version).map_err(|error| error.to_string()),
             };
-            match content.and_then(|content| Ok((runs(version, &content)?, content))) {
-                Ok((what, content)) => {
-                    let here = |version: &Version| Some((*version, self.content(*version).ok()?));
-                    let contents = contents.iter().filter_map(here).collect();
-                    let new_content = (!on_disk).then_some(content);
-                    let start = InitialState {
+            match content.and_then(|content| Ok((run(version, &content)?, content))) {
+                Ok((running, content)) => {
+                    let read = |version: &Version| Some((*version, self.content(*version).ok()?));
+                    let state = InitialState {
                         persisted,
                         running: version,
-                        contents,
-                        new_content,
+                        contents: on_disk.iter().filter_map(read).collect(),
+                        new_content: (!on_disk.contains(&version)).then_some(content),
                         crashed,
                         fresh,
                     };
-                    return Ok(Begun { start, runs: what });
+                    return Ok(Start { state, running });
                 }
                 Err(what) => {
                     log!("version {version} can't be started on: {what}");
-                    first_wrong.get_or_insert(what);
+                    first_error.get_or_insert(what);
                 }
             }
         }
-        Err(first_wrong.unwrap_or_else(|| "there is no version to start on".into()))
+        let none = || "there is no version to start on".to_owned();
+        Err(NoVersionToStartOn(first_error.unwrap_or_else(none)))
     }
 }
 
--- a/crates/rollout/src/canary_analysis/tests.rs
+++ b/crates/rollout/src/canary_analysis/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 use crate::cohort_metrics::{OperationCounts, WindowSample};
-use crate::rollout::{RolloutId, Version};
+use crate::identifiers::{RolloutId, Version};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeMap;
 
 fn record() -> CohortMetrics {
     let version = |number| Version {
@@ -72,7 +73,7 @@
     let mut last = None;
     for window in 8..30 {
         record.after(window, &fleet.samples(false, harm, 100, memory, window));
-        let judged = judge(
+        let judged = analyse(
             &record,
             &Plan::default(),
             1,
@@ -160,7 +161,7 @@
             nodes: [3, 27],
             windows: 6.0,
         };
-        judge(record, &Plan::default(), 1, &crashes, AnalysisMethod::Nodes).verdict
+        analyse(record, &Plan::default(), 1, &crashes, AnalysisMethod::Nodes).verdict
     };
     assert!(
         !matches!(judged(&record, [1, 0]), Verdict::Harm(_)),
@@ -184,7 +185,7 @@
     record.begin(&[]);
     record.stage_begins(1);
     (0..4).for_each(|window| record.after(window, &fleet.samples(false, 0.0, 30, 0.0, window)));
-    let judged = judge(
+    let judged = analyse(
         &record,
         &Plan::default(),
         1,
@@ -226,7 +227,7 @@
         fleet.new = 1;
         (4..12)
             .for_each(|window| record.after(window, &fleet.samples(false, 0.0, 130, 0.0, window)));
-        let judged = judge(
+        let judged = analyse(
             &record,
             &Plan::default(),
             1,
--- a/crates/rollout/src/chunks.rs
+++ b/crates/rollout/src/chunks.rs
@@ -1,12 +1,14 @@
 //! A rollout's content in bounded pieces: asked for a few at a time, from whoever has it, and
 //! believed by its hash alone.
 
-use crate::messages::CHUNK_BYTES;
-use crate::rollout::{Rollout, RolloutId};
+use crate::identifiers::RolloutId;
+use crate::rollout::Rollout;
 use crate::{MILLISECOND, Nanos};
 
 /// The most bytes of a content.
-pub const CONTENT_MAX: usize = 512 << 10;
+pub const MAX_CONTENT_BYTES: usize = 512 << 10;
+/// Bytes of a chunk; the last one may be shorter.
+pub const CHUNK_BYTES: usize = 1024;
 /// Pieces asked for at once, and how long they are waited for.
 pub const CHUNKS_PER_REQUEST: u32 = 8;
 const CHUNK_TIMEOUT: Nanos = 400 * MILLISECOND;
@@ -34,6 +36,7 @@
 /// Content that is being fetched.
 #[derive(Clone, Debug)]
 pub struct ChunkFetch {
+    /// The rollout whose content is fetched.
     pub rollout: RolloutId,
     digest: [u8; 32],
     content: Vec<u8>,
@@ -45,19 +48,22 @@
 /// What has come of a fetch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchProgress {
-    /// Pieces are missing.
+    /// Chunks are missing.
     Incomplete,
-    /// All of it, as it should be.
+    /// The whole content, as its digest says.
     Complete(Vec<u8>),
-    /// It came whole and was not what it should be, and is begun anew; or given up.
-    Corrupt { given_up: bool },
+    /// The content came whole and its digest differs: it is fetched anew, or given up.
+    Corrupt {
+        /// Whether it is given up.
+        given_up: bool,
+    },
 }
 
 impl ChunkFetch {
     /// The content of a rollout; none if it is beyond its bound.
     pub fn new(rollout: &Rollout) -> Option<ChunkFetch> {
         let bytes = rollout.bytes as usize;
-        (bytes <= CONTENT_MAX).then(|| ChunkFetch {
+        (bytes <= MAX_CONTENT_BYTES).then(|| ChunkFetch {
             rollout: rollout.id,
             digest: rollout.digest,
             content: vec![0; bytes],
--- a/crates/rollout/src/chunks/tests.rs
+++ b/crates/rollout/src/chunks/tests.rs
@@ -66,7 +66,7 @@
     }
     assert!(
         ChunkFetch::new(&Rollout {
-            bytes: CONTENT_MAX as u32 + 1,
+            bytes: MAX_CONTENT_BYTES as u32 + 1,
             ..rollout(1, 2)
         })
         .is_none()
--- a/crates/rollout/src/cohort_metrics/tests.rs
+++ b/crates/rollout/src/cohort_metrics/tests.rs
@@ -1,3 +1,4 @@
+use super::baseline::SLOWER;
 use super::*;
 
 fn sample(node: u64, label: u64, arrived: u64, latencies: &[(u32, u32)]) -> WindowSample {
@@ -51,7 +52,7 @@
     }
     let (new, old) = (&record.nodes[&1], &record.nodes[&2]);
     assert_eq!(
-        (new.side, old.side),
+        (new.cohort, old.cohort),
         (Some(Cohort::Canary), Some(Cohort::Baseline))
     );
     assert_eq!(
@@ -152,7 +153,7 @@
     let samples: Vec<WindowSample> = (0..2000).map(|node| sample(node, 1, 1, &[])).collect();
     record.begin(&[(0, samples.clone())]);
     record.after(1, &samples);
-    assert_eq!(record.nodes.len(), 2 * NODES_MAX);
+    assert_eq!(record.nodes.len(), 2 * MAX_NODES_EACH_END);
     let first = (0..2000)
         .min_by_key(|node| place(RolloutId(1), *node))
         .unwrap();
@@ -191,7 +192,7 @@
         record.after(no, &[sample(1, label, arrived, &[])]);
     }
     assert_eq!(
-        (record.nodes[&1].side, record.nodes[&1].after[&7].arrived),
+        (record.nodes[&1].cohort, record.nodes[&1].after[&7].arrived),
         (Some(Cohort::Baseline), 10)
     );
     assert_eq!(
--- /dev/null
+++ b/crates/rollout/src/coordinator/advance.rs
@@ -0,0 +1,284 @@
+//! Whether the stage that runs has shown enough for the next one.
+
+use super::{Coordinator, ReceivedReport, Step, StepInputs};
+use crate::canary_analysis::{self, CrashCounts, Verdict};
+use crate::cohort_metrics::Cohort;
+use crate::member::Member;
+use crate::node_report::{MAX_CRASHES, NodeReport, NodeStatus};
+use crate::rollout::{Outcome, Rollout};
+use crate::stages::{Stage, seconds};
+use crate::{Nanos, SECOND};
+
+/// Crashes are counted by windows of about this length.
+const CRASH_WINDOW: Nanos = 10 * SECOND;
+/// Nodes of a stage that all left are replaced by others after this.
+const REPLACE_DEPARTED_AFTER: Nanos = 30 * SECOND;
+/// Without a baseline cohort, a share of successes lower than before by more than this halts the
+/// rollout.
+const COLLAPSE_MARGIN: f64 = 0.3;
+/// Requests before and after that this comparison needs at least.
+const COLLAPSE_MIN_REQUESTS: u64 = 200;
+
+/// What the analysis of a stage came to, with its figures in a line.
+struct StageVerdict {
+    verdict: Verdict,
+    line: String,
+}
+
+/// The present nodes that the stage includes.
+fn present_in_stage<'a>(inputs: &StepInputs<'a>, rollout: &Rollout) -> Vec<&'a Member> {
+    let includes = |member: &&Member| {
+        member.present
+            && rollout
+                .progress
+                .includes(rollout.id, member.node, member.zone)
+    };
+    inputs.members.iter().filter(includes).collect()
+}
+
+/// Rule: a stage lasts its least duration.
+fn least_duration_not_over(stage: &Stage, elapsed: Nanos) -> Option<String> {
+    (elapsed < stage.min_duration).then(|| {
+        format!(
+            "{} of {} have passed",
+            seconds(elapsed),
+            seconds(stage.min_duration)
+        )
+    })
+}
+
+/// Rule: something was counted.
+fn nothing_counted(verdict: &Option<StageVerdict>) -> Option<String> {
+    verdict
+        .is_none()
+        .then(|| "nothing is counted yet".to_owned())
+}
+
+/// Rule: the analysis found the stage fine. Where too little comes to tell, time must do: nothing
+/// has shown harm in all of the longest duration. Without a baseline cohort it does not apply.
+fn analysis_not_done(
+    verdict: Option<StageVerdict>,
+    has_baseline: bool,
+    stage: &Stage,
+    elapsed: Nanos,
+) -> Option<String> {
+    match verdict?.verdict {
+        _ if !has_baseline => None,
+        Verdict::Wait(why) => Some(why),
+        Verdict::Unsure(why) if elapsed <= stage.max_duration => Some(why),
+        _ => None,
+    }
+}
+
+impl Coordinator {
+    /// Crashes on trial, and of the other nodes, in this stage.
+    fn crash_counts(&self, inputs: &StepInputs<'_>, rollout: &Rollout) -> CrashCounts {
+        let mut crashes = [0, 0];
+        let is_on_trial = |report: &NodeReport| {
+            report.rollout == rollout.id
+                && matches!(report.status, NodeStatus::Starting | NodeStatus::OnTrial)
+        };
+        for (node, received) in &self.reports {
+            let report = &received.report;
+            let is_present = inputs
+                .members
+                .iter()
+                .any(|member| member.node == *node && member.present);
+            match () {
+                () if report.crashes > 0 && report.rollout == rollout.id => {
+                    let in_stage = report.last_crash_ms > rollout.progress.at_ms;
+                    crashes[0] += u64::from(if in_stage { report.crashes } else { 0 });
+                }
+                () if !is_present && is_on_trial(report) => crashes[0] += 1,
+                () if !is_present => crashes[1] += 1,
+                // It runs what it ran before, and has done so since it started: after the stage
+                // began.
+                () if report.running == rollout.base
+                    && report.since_ms > rollout.progress.at_ms =>
+                {
+                    crashes[1] += 1
+                }
+                () => {}
+            }
+        }
+        let in_stage = inputs
+            .members
+            .iter()
+            .filter(|m| rollout.progress.includes(rollout.id, m.node, m.zone))
+            .count() as u64;
+        let nodes = [in_stage, inputs.members.len() as u64 - in_stage];
+        CrashCounts {
+            crashes,
+            nodes,
+            windows: self.stage_elapsed(inputs) as f64 / CRASH_WINDOW as f64,
+        }
+    }
+
+    /// The next step of the rollout in progress. The rules, in their order: an end that a node
+    /// reports, harm, quorum, nodes in the stage, all of them on the new version, the least
+    /// duration, the analysis; past the longest duration the rollout is halted.
+    pub(super) fn step_in_progress(&mut self, inputs: &StepInputs<'_>, rollout: &Rollout) -> Step {
+        if let Some(why) = self.rejection(rollout) {
+            return Step::end(rollout, Outcome::RolledBack, why);
+        }
+        let verdict = self.analyse_stage(inputs, rollout);
+        if let Some(StageVerdict {
+            verdict: Verdict::Harm(_),
+            line,
+        }) = &verdict
+        {
+            return Step::end(rollout, Outcome::RolledBack, line.clone());
+        }
+        if let Err(why) = self.check_quorum(inputs, rollout) {
+            return Step::Wait(why);
+        }
+        let number = rollout.progress.stage;
+        let Some(stage) = rollout.plan.stage(number) else {
+            return Step::Wait(String::new());
+        };
+        let in_stage = present_in_stage(inputs, rollout);
+        if in_stage.is_empty() {
+            return self.step_without_nodes(inputs, rollout, stage);
+        }
+        self.deserted = None;
+        let elapsed = self.stage_elapsed(inputs);
+        let has_baseline = self.has_baseline_nodes(inputs, rollout);
+        let waits = self
+            .not_running_yet(rollout, &in_stage)
+            .or_else(|| least_duration_not_over(stage, elapsed))
+            .or_else(|| nothing_counted(&verdict))
+            .or_else(|| analysis_not_done(verdict, has_baseline, stage, elapsed));
+        match waits {
+            Some(why) if elapsed > stage.max_duration => Step::end(
+                rollout,
+                Outcome::Halted,
+                format!(
+                    "stage {number} came to no judgement in {}: {why}",
+                    seconds(stage.max_duration)
+                ),
+            ),
+            Some(why) => Step::Wait(why),
+            // Nobody is left to compare with: what was before must do.
+            None if !has_baseline => match self.collapsed() {
+                Some(why) => Step::end(rollout, Outcome::Halted, why),
+                None => self.propose(inputs, rollout, false),
+            },
+            None => self.propose(inputs, rollout, false),
+        }
+    }
+
+    /// Time since the last agreement became known here.
+    fn stage_elapsed(&self, inputs: &StepInputs<'_>) -> Nanos {
+        inputs.now - self.since.min(inputs.now)
+    }
+
+    /// Analyses the stage by the metrics so far; none while there are no metrics.
+    fn analyse_stage(
+        &mut self,
+        inputs: &StepInputs<'_>,
+        rollout: &Rollout,
+    ) -> Option<StageVerdict> {
+        let crashes = self.crash_counts(inputs, rollout);
+        let stage = rollout.progress.stage;
+        let analysis = self.metrics.as_ref().map(|metrics| {
+            canary_analysis::analyse(metrics, &rollout.plan, stage, &crashes, self.method)
+        });
+        let verdict = analysis.as_ref().map(|analysis| StageVerdict {
+            verdict: analysis.verdict.clone(),
+            line: analysis.line(&|operation| self.operation_name(operation)),
+        });
+        self.analysis = analysis;
+        verdict
+    }
+
+    /// No node of the stage is present. Lost ones may run the new version all the same: only those
+    /// that left are replaced, so that no more nodes run it than the stage allows.
+    fn step_without_nodes(
+        &mut self,
+        inputs: &StepInputs<'_>,
+        rollout: &Rollout,
+        stage: &Stage,
+    ) -> Step {
+        let is_any_lost = inputs.members.iter().any(|member| {
+            let progress = &rollout.progress;
+            !member.present && progress.includes(rollout.id, member.node, member.zone)
+        });
+        let since = *self.deserted.get_or_insert(inputs.now);
+        if self.stage_elapsed(inputs) > stage.max_duration {
+            let why = format!(
+                "no node of stage {} was there for {}",
+                rollout.progress.stage,
+                seconds(stage.max_duration)
+            );
+            return Step::end(rollout, Outcome::Halted, why);
+        }
+        if is_any_lost {
+            return Step::Wait("the nodes of its stage are lost".into());
+        }
+        if inputs.now > since + REPLACE_DEPARTED_AFTER {
+            return self.propose(inputs, rollout, true);
+        }
+        Step::Wait("the nodes of its stage left".into())
+    }
+
+    /// Rule: each present node of the stage has lately reported to run the new version, or to have
+    /// given it up after its crashes.
+    fn not_running_yet(&self, rollout: &Rollout, in_stage: &[&Member]) -> Option<String> {
+        let runs = |report: &NodeReport| {
+            report.rollout == rollout.id
+                && (report.running == rollout.version || report.crashes >= MAX_CRASHES)
+        };
+        let missing = in_stage.iter().find(|member| {
+            let received = self
+                .reports
+                .get(&member.node)
+                .filter(|received| self.is_fresh(received));
+            received.is_none_or(|received| !runs(&received.report))
+        })?;
+        Some(format!(
+            "node {:016x} of its stage does not run it yet",
+            missing.node
+        ))
+    }
+
+    /// Whether any present node is known to run the version that is replaced.
+    fn has_baseline_nodes(&self, inputs: &StepInputs<'_>, rollout: &Rollout) -> bool {
+        inputs.members.iter().any(|member| {
+            let runs_base = |received: &ReceivedReport| received.report.running == rollout.base;
+            member.present && self.reports.get(&member.node).is_some_and(runs_base)
+        })
+    }
+
+    fn operation_name(&self, operation: u32) -> String {
+        self.names
+            .get(&operation)
+            .cloned()
+            .unwrap_or_else(|| format!("{operation:08x}"))
+    }
+
+    /// Why the rollout goes no further if much less succeeds at the canary cohort than before: the
+    /// rule for stages without a baseline cohort.
+    fn collapsed(&self) -> Option<String> {
+        let metrics = self.metrics.as_ref()?;
+        let (mut before, mut after) = ([0, 0], [0, 0]);
+        for (_, node) in metrics.cohort(Cohort::Canary) {
+            for (sum, cells) in [(&mut before, &node.before), (&mut after, &node.after)] {
+                for cell in cells.values() {
+                    sum[0] += cell.succeeded;
+                    sum[1] += cell.arrived;
+                }
+            }
+        }
+        if before[1] < COLLAPSE_MIN_REQUESTS || after[1] < COLLAPSE_MIN_REQUESTS {
+            return None;
+        }
+        let share = |of: [u64; 2]| of[0] as f64 / of[1] as f64;
+        (share(after) < share(before) - COLLAPSE_MARGIN).then(|| {
+            format!(
+                "{:.0} % succeed with nobody left to compare with, {:.0} % did before",
+                share(after) * 100.0,
+                share(before) * 100.0
+            )
+        })
+    }
+}
--- /dev/null
+++ b/crates/rollout/src/messages/decode.rs
@@ -0,0 +1,234 @@
+//! From bytes to messages; what is beyond its bounds or of an unknown kind is no message.
+
+use super::message::{MAX_MESSAGE_BYTES, ReceivedMessage};
+use super::wire::{
+    BallotWire, MessageWire, PlanWire, ProgressWire, ProposalWire, ReportWire, RolloutWire,
+    StageWire, VersionWire, VoteWire,
+};
+use crate::MILLISECOND;
+use crate::chunks::CHUNK_BYTES;
+use crate::identifiers::{Kind, RolloutId, Version};
+use crate::node_report::{NodeReport, NodeStatus};
+use crate::paxos::{Ballot, PaxosReply, PaxosRequest, Proposal, Vote};
+use crate::rollout::{MAX_REASON_BYTES, Outcome, Reason, Rollout};
+use crate::rollout_table::MAX_ROLLOUTS;
+use crate::stages::{MAX_STAGES, MAX_ZONES, Plan, Progress, Stage};
+use prost::Message as _;
+use std::collections::BTreeMap;
+
+fn decode_version(version: Option<VersionWire>) -> Version {
+    version.map_or(Version::default(), |version| Version {
+        number: version.number,
+        hash: version.hash,
+    })
+}
+
+fn decode_plan(plan: &PlanWire) -> Option<Plan> {
+    let nanos = |ms: u32| u64::from(ms) * MILLISECOND;
+    let stage = |stage: &StageWire| Stage {
+        share_permille: stage.share_permille,
+        min_duration: nanos(stage.least_ms),
+        max_duration: nanos(stage.longest_ms),
+        min_requests: stage.min_requests,
+        start_spread: nanos(stage.spread_ms),
+    };
+    let stages = plan.stages.iter().take(MAX_STAGES + 1).map(stage).collect();
+    let plan = Plan {
+        stages,
+        max_zone_permille: plan.max_zone_permille,
+        margin_permille: plan.margin_permille,
+    };
+    plan.check().is_ok().then_some(plan)
+}
+
+fn decode_progress(progress: &ProgressWire) -> Option<Progress> {
+    let n = progress.zones.len();
+    if n > MAX_ZONES || progress.previous_thresholds.len() != n || progress.thresholds.len() != n {
+        return None;
+    }
+    let by_zone = |of: &[u64]| -> BTreeMap<u32, u64> {
+        progress
+            .zones
+            .iter()
+            .copied()
+            .zip(of.iter().copied())
+            .collect()
+    };
+    let mut before = by_zone(&progress.previous_thresholds);
+    before.retain(|_, before| *before > 0);
+    Some(Progress {
+        stage: progress.stage,
+        previous_thresholds: before,
+        thresholds: by_zone(&progress.thresholds),
+        whole_cluster: progress.whole_cluster,
+        electorate: progress.electorate,
+        agreement: progress.agreement,
+        at_ms: progress.at_ms,
+    })
+}
+
+fn decode_ballot(ballot: Option<BallotWire>) -> Ballot {
+    ballot.map_or(Ballot::default(), |ballot| Ballot {
+        round: ballot.round,
+        by: ballot.by,
+    })
+}
+
+fn decode_proposal(proposal: &ProposalWire) -> Option<Proposal> {
+    Some(Proposal {
+        rollout: RolloutId(proposal.rollout),
+        progress: decode_progress(proposal.progress.as_ref()?)?,
+    })
+}
+
+pub(crate) fn decode_vote(vote: &VoteWire) -> Vote {
+    let accepted = vote.accepted.as_ref().and_then(decode_proposal);
+    Vote {
+        agreement: vote.agreement,
+        promised: decode_ballot(vote.promised),
+        accepted: accepted.map(|proposal| (decode_ballot(vote.accepted_in), proposal)),
+    }
+}
+
+fn kind(number: u32) -> Option<Kind> {
+    [Kind::Settings, Kind::Program]
+        .get(number as usize)
+        .copied()
+}
+
+pub(crate) fn decode_rollout(rollout: &RolloutWire) -> Option<Rollout> {
+    let reason = rollout
+        .reason
+        .as_ref()
+        .filter(|reason| reason.why.len() <= MAX_REASON_BYTES);
+    Some(Rollout {
+        id: RolloutId(rollout.id),
+        kind: kind(rollout.kind)?,
+        version: decode_version(rollout.version),
+        base: decode_version(rollout.base),
+        digest: rollout.digest.as_slice().try_into().ok()?,
+        bytes: rollout.bytes,
+        by: rollout.by,
+        at_ms: rollout.at_ms,
+        plan: decode_plan(rollout.plan.as_ref()?)?,
+        progress: rollout
+            .progress
+            .as_ref()
+            .map_or(Some(Progress::default()), decode_progress)?,
+        // A outcome that a later version knows is taken for the one nearest to safety.
+        outcome: Outcome::from_number(rollout.outcome).unwrap_or(Outcome::RolledBack),
+        reason: reason.map_or(Reason::default(), |r| Reason {
+            at_ms: r.at_ms,
+            by: r.by,
+            why: r.why.clone(),
+        }),
+    })
+}
+
+pub(super) fn decode_report(report: &ReportWire) -> NodeReport {
+    NodeReport {
+        rollout: RolloutId(report.rollout),
+        stage: report.stage,
+        outcome: Outcome::from_number(report.outcome).unwrap_or(Outcome::RolledBack),
+        status: NodeStatus::from_number(report.status),
+        running: decode_version(report.running),
+        since_ms: report.since_ms,
+        crashes: report.crashes,
+        why: Reason::new(0, 0, &report.why).why,
+        digest: report.digest,
+        good: decode_version(report.good),
+        last_crash_ms: report.last_crash_ms,
+    }
+}
+
+/// Reads what was told; nothing if it can't be read, is beyond its bounds, or is of a kind that is
+/// not known.
+pub fn decode(bytes: &[u8]) -> Option<ReceivedMessage> {
+    let parcel = MessageWire::decode(bytes)
+        .ok()
+        .filter(|_| bytes.len() <= MAX_MESSAGE_BYTES)?;
+    let (no, rollout) = (parcel.no, RolloutId(parcel.rollout));
+    Some(match parcel.kind {
+        1 if parcel.rollouts.len() <= MAX_ROLLOUTS => ReceivedMessage::Rollouts {
+            // One that can't be read leaves the others as they are.
+            rollouts: parcel.rollouts.iter().filter_map(decode_rollout).collect(),
+            answer: parcel.answer,
+        },
+        2 => {
+            let outcome = Outcome::from_number(parcel.outcome).unwrap_or(Outcome::RolledBack);
+            ReceivedMessage::Poll {
+                no,
+                rollout,
+                stage: parcel.stage,
+                outcome,
+            }
+        }
+        3 => ReceivedMessage::NodeReport {
+            no,
+            report: decode_report(&parcel.report?),
+        },
+        4 => ReceivedMessage::ChunkRequest {
+            rollout,
+            first: no,
+            count: parcel.count,
+        },
+        5 if parcel.bytes.len() <= CHUNK_BYTES => ReceivedMessage::Chunk {
+            rollout,
+            no,
+            bytes: parcel.bytes,
+        },
+        6..=10 => return decode_paxos(&parcel),
+        _ => return None,
+    })
+}
+
+fn decode_paxos(parcel: &MessageWire) -> Option<ReceivedMessage> {
+    let (of, agreement, ballot) = (
+        kind(parcel.of)?,
+        parcel.agreement,
+        decode_ballot(parcel.ballot),
+    );
+    // One that is there and can't be read must not be taken for none.
+    let proposal = parcel.proposal.as_ref().map(decode_proposal);
+    Some(match parcel.kind {
+        6 => ReceivedMessage::PaxosRequest(of, PaxosRequest::Prepare { agreement, ballot }),
+        7 => ReceivedMessage::PaxosRequest(
+            of,
+            PaxosRequest::Accept {
+                ballot,
+                proposal: proposal??,
+                again: parcel.again,
+            },
+        ),
+        8 => {
+            let accepted = match proposal {
+                None => None,
+                Some(proposal) => Some((decode_ballot(parcel.earlier), proposal?)),
+            };
+            ReceivedMessage::PaxosReply(
+                of,
+                PaxosReply::Promised {
+                    agreement,
+                    ballot,
+                    accepted,
+                },
+            )
+        }
+        9 => ReceivedMessage::PaxosReply(of, PaxosReply::Accepted { agreement, ballot }),
+        _ => ReceivedMessage::PaxosReply(
+            of,
+            PaxosReply::Refused {
+                agreement,
+                ballot,
+                promised: decode_ballot(parcel.earlier),
+            },
+        ),
+    })
+}
+
+/// Reads it.
+pub fn decode_attachment(bytes: &[u8]) -> Option<NodeReport> {
+    ReportWire::decode(bytes)
+        .ok()
+        .map(|report| decode_report(&report))
+}
--- /dev/null
+++ b/crates/rollout/src/messages/encode.rs
@@ -0,0 +1,248 @@
+//! From messages to bytes.
+
+use super::later::{LATER, later};
+use super::message::{MAX_MESSAGE_BYTES, ReceivedMessage};
+use super::wire::{
+    BallotWire, MessageWire, PlanWire, ProgressWire, ProposalWire, ReasonWire, ReportWire,
+    RolloutWire, StageWire, VersionWire, VoteWire,
+};
+use crate::identifiers::Version;
+use crate::node_report::NodeReport;
+use crate::paxos::{Ballot, PaxosReply, PaxosRequest, Proposal, Vote};
+use crate::rollout::{Outcome, Rollout};
+use crate::stages::{Plan, Progress, Stage};
+use crate::{MILLISECOND, Nanos};
+use prost::Message as _;
+
+fn encode_version(version: Version) -> Option<VersionWire> {
+    Some(VersionWire {
+        number: version.number,
+        hash: version.hash,
+    })
+}
+
+fn saturating_ms(time: Nanos) -> u32 {
+    u32::try_from(time / MILLISECOND).unwrap_or(u32::MAX)
+}
+
+fn encode_plan(plan: &Plan) -> PlanWire {
+    let stage = |stage: &Stage| StageWire {
+        share_permille: stage.share_permille,
+        least_ms: saturating_ms(stage.min_duration),
+        longest_ms: saturating_ms(stage.max_duration),
+        min_requests: stage.min_requests,
+        spread_ms: saturating_ms(stage.start_spread),
+    };
+    PlanWire {
+        stages: plan.stages.iter().map(stage).collect(),
+        max_zone_permille: plan.max_zone_permille,
+        margin_permille: plan.margin_permille,
+    }
+}
+
+fn encode_progress(progress: &Progress) -> ProgressWire {
+    let zones: Vec<u32> = progress.thresholds.keys().copied().collect();
+    ProgressWire {
+        stage: progress.stage,
+        previous_thresholds: zones
+            .iter()
+            .map(|zone| progress.previous_thresholds.get(zone).copied().unwrap_or(0))
+            .collect(),
+        thresholds: progress.thresholds.values().copied().collect(),
+        zones,
+        whole_cluster: progress.whole_cluster,
+        electorate: progress.electorate,
+        agreement: progress.agreement,
+        at_ms: progress.at_ms,
+    }
+}
+
+fn encode_ballot(ballot: Ballot) -> Option<BallotWire> {
+    Some(BallotWire {
+        round: ballot.round,
+        by: ballot.by,
+    })
+}
+
+fn encode_proposal(proposal: &Proposal) -> ProposalWire {
+    ProposalWire {
+        rollout: proposal.rollout.0,
+        progress: Some(encode_progress(&proposal.progress)),
+    }
+}
+
+pub(crate) fn encode_vote(vote: &Vote) -> VoteWire {
+    VoteWire {
+        agreement: vote.agreement,
+        promised: encode_ballot(vote.promised),
+        accepted_in: vote
+            .accepted
+            .as_ref()
+            .and_then(|(ballot, _)| encode_ballot(*ballot)),
+        accepted: vote
+            .accepted
+            .as_ref()
+            .map(|(_, proposal)| encode_proposal(proposal)),
+    }
+}
+
+pub(crate) fn encode_rollout(rollout: &Rollout) -> RolloutWire {
+    RolloutWire {
+        id: rollout.id.0,
+        kind: rollout.kind as u32,
+        version: encode_version(rollout.version),
+        base: encode_version(rollout.base),
+        digest: rollout.digest.to_vec(),
+        bytes: rollout.bytes,
+        by: rollout.by,
+        at_ms: rollout.at_ms,
+        plan: Some(encode_plan(&rollout.plan)),
+        progress: Some(encode_progress(&rollout.progress)),
+        outcome: rollout.outcome as u32,
+        reason: (rollout.outcome > Outcome::InProgress).then(|| ReasonWire {
+            at_ms: rollout.reason.at_ms,
+            by: rollout.reason.by,
+            why: rollout.reason.why.clone(),
+        }),
+    }
+}
+
+fn encode_report(report: &NodeReport) -> ReportWire {
+    ReportWire {
+        rollout: report.rollout.0,
+        stage: report.stage,
+        outcome: report.outcome as u32,
+        status: report.status as u32,
+        running: encode_version(report.running),
+        since_ms: report.since_ms,
+        crashes: report.crashes,
+        why: report.why.clone(),
+        digest: report.digest,
+        good: encode_version(report.good),
+        // A field that a later version drops.
+        last_crash_ms: if LATER { 0 } else { report.last_crash_ms },
+    }
+}
+
+/// Writes what is told. RolloutTable that don't fit one parcel are told in several: see [`rollouts`].
+pub fn encode(message: &ReceivedMessage) -> Vec<u8> {
+    let mut parcel = MessageWire::default();
+    match message {
+        ReceivedMessage::Rollouts { rollouts, answer } => {
+            parcel.kind = 1;
+            parcel.rollouts = rollouts.iter().map(encode_rollout).collect();
+            parcel.answer = *answer;
+        }
+        ReceivedMessage::Poll {
+            no,
+            rollout,
+            stage,
+            outcome,
+        } => {
+            (parcel.kind, parcel.no, parcel.rollout) = (2, *no, rollout.0);
+            (parcel.stage, parcel.outcome) = (*stage, *outcome as u32);
+        }
+        ReceivedMessage::NodeReport { no, report } => {
+            (parcel.kind, parcel.no, parcel.report) = (3, *no, Some(encode_report(report)));
+        }
+        ReceivedMessage::ChunkRequest {
+            rollout,
+            first,
+            count,
+        } => {
+            (parcel.kind, parcel.rollout, parcel.no, parcel.count) = (4, rollout.0, *first, *count);
+        }
+        ReceivedMessage::Chunk { rollout, no, bytes } => {
+            (parcel.kind, parcel.rollout, parcel.no) = (5, rollout.0, *no);
+            parcel.bytes.clone_from(bytes);
+        }
+        ReceivedMessage::PaxosRequest(kind, request) => {
+            parcel.of = *kind as u32;
+            match request {
+                PaxosRequest::Prepare { agreement, ballot } => {
+                    (parcel.kind, parcel.agreement, parcel.ballot) =
+                        (6, *agreement, encode_ballot(*ballot));
+                }
+                PaxosRequest::Accept {
+                    ballot,
+                    proposal,
+                    again,
+                } => {
+                    (parcel.kind, parcel.ballot, parcel.again) =
+                        (7, encode_ballot(*ballot), *again);
+                    parcel.proposal = Some(encode_proposal(proposal));
+                }
+            }
+        }
+        ReceivedMessage::PaxosReply(kind, reply) => {
+            parcel.of = *kind as u32;
+            match reply {
+                PaxosReply::Promised {
+                    agreement,
+                    ballot,
+                    accepted,
+                } => {
+                    (parcel.kind, parcel.agreement, parcel.ballot) =
+                        (8, *agreement, encode_ballot(*ballot));
+                    if let Some((earlier, proposal)) = accepted {
+                        (parcel.earlier, parcel.proposal) =
+                            (encode_ballot(*earlier), Some(encode_proposal(proposal)));
+                    }
+                }
+                PaxosReply::Accepted { agreement, ballot } => {
+                    (parcel.kind, parcel.agreement, parcel.ballot) =
+                        (9, *agreement, encode_ballot(*ballot));
+                }
+                PaxosReply::Refused {
+                    agreement,
+                    ballot,
+                    promised,
+                } => {
+                    (parcel.kind, parcel.agreement, parcel.ballot) =
+                        (10, *agreement, encode_ballot(*ballot));
+                    parcel.earlier = encode_ballot(*promised);
+                }
+            }
+        }
+    }
+    later(parcel.encode_to_vec())
+}
+
+/// Words about rollouts, in as many parcels as they need; the last one asks for an answer, if one is
+/// wanted.
+pub fn rollout_messages<'c>(
+    all: impl Iterator<Item = &'c Rollout>,
+    answer: bool,
+) -> Vec<ReceivedMessage> {
+    let mut parcels: Vec<Vec<Rollout>> = vec![Vec::new()];
+    let mut size = 0;
+    for rollout in all {
+        let more = encode_rollout(rollout).encoded_len() + 4;
+        if size + more > MAX_MESSAGE_BYTES - 16 {
+            parcels.push(Vec::new());
+            size = 0;
+        }
+        size += more;
+        if let Some(last) = parcels.last_mut() {
+            last.push(rollout.clone());
+        }
+    }
+    let last = parcels.len() - 1;
+    let message = |(at, rollouts)| ReceivedMessage::Rollouts {
+        rollouts,
+        answer: answer && at == last,
+    };
+    parcels.into_iter().enumerate().map(message).collect()
+}
+
+/// What a node hangs on its entry: its report.
+pub fn encode_attachment(report: &NodeReport) -> Vec<u8> {
+    // Why is told to those who ask: an entry has little room.
+    later(
+        encode_report(&NodeReport {
+            why: String::new(),
+            ..report.clone()
+        })
+        .encode_to_vec(),
+    )
+}
--- a/crates/rollout/src/messages/tests.rs
+++ b/crates/rollout/src/messages/tests.rs
@@ -1,7 +1,18 @@
+use super::decode::decode_report;
+use super::wire::{MessageWire, ReportWire};
 use super::*;
+use crate::chunks::CHUNK_BYTES;
+use crate::identifiers::{Kind, RolloutId, Version};
+use crate::node_report::{NodeReport, NodeStatus};
+use crate::paxos::{Ballot, PaxosReply, PaxosRequest, Proposal};
 use crate::rollout::tests::rollout;
+use crate::rollout::{MAX_REASON_BYTES, Outcome, Reason, Rollout};
+use crate::rollout_table::MAX_ROLLOUTS;
+use crate::stages::{MAX_ZONES, Progress};
+use prost::Message as _;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeMap;
 
 fn report() -> NodeReport {
     NodeReport {
@@ -24,13 +35,13 @@
 
 fn all() -> Vec<ReceivedMessage> {
     let mut far = rollout(3, 9);
-    let until = BTreeMap::from([(1, 1 << 62), (7, u64::MAX)]);
+    let thresholds = BTreeMap::from([(1, 1 << 62), (7, u64::MAX)]);
     far.progress = Progress {
         agreement: 31,
         stage: 2,
-        before: BTreeMap::from([(7, 5)]),
-        until,
-        all: false,
+        previous_thresholds: BTreeMap::from([(7, 5)]),
+        thresholds,
+        whole_cluster: false,
         electorate: 12,
         at_ms: 1 << 41,
     };
@@ -127,7 +138,7 @@
 fn what_is_told_is_read_as_it_was_meant() {
     for message in all() {
         let bytes = encode(&message);
-        assert!(bytes.len() <= PARCEL_MAX, "{message:?}");
+        assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{message:?}");
         assert_eq!(decode(&bytes), Some(message));
     }
     let part = encode_attachment(&report());
@@ -143,15 +154,17 @@
 
 #[test]
 fn many_changes_are_told_in_parcels_that_fit() {
-    let mut all: Vec<Rollout> = (1..=CHANGES_MAX as u64).map(|id| rollout(id, id)).collect();
+    let mut all: Vec<Rollout> = (1..=MAX_ROLLOUTS as u64)
+        .map(|id| rollout(id, id))
+        .collect();
     for rollout in &mut all {
-        rollout.progress.until = (0..ZONES_MAX as u32).map(|zone| (zone, 1 << 60)).collect();
+        rollout.progress.thresholds = (0..MAX_ZONES as u32).map(|zone| (zone, 1 << 60)).collect();
         (rollout.outcome, rollout.reason) = (
             Outcome::Halted,
-            Reason::new(1 << 41, 1 << 60, &"x".repeat(REASON_MAX)),
+            Reason::new(1 << 41, 1 << 60, &"x".repeat(MAX_REASON_BYTES)),
         );
     }
-    let message = rollouts(all.iter(), true);
+    let message = rollout_messages(all.iter(), true);
     let read: Vec<ReceivedMessage> = message
         .iter()
         .map(|message| decode(&encode(message)).unwrap())
--- /dev/null
+++ b/crates/rollout/src/node_agent/explain.rs
@@ -0,0 +1,109 @@
+//! The node's report, and why it runs what it runs.
+
+use super::NodeAgent;
+use crate::MILLISECOND;
+use crate::host::Host;
+use crate::identifiers::{RolloutId, Version};
+use crate::node_report::{NodeReport, NodeStatus};
+use crate::rollout::{Assignment, Outcome, Rollout};
+use crate::stages::seconds;
+
+impl<H: Host> NodeAgent<H> {
+    /// How it stands to a rollout.
+    fn node_status(&self, rollout: &Rollout) -> NodeStatus {
+        let version = rollout.version;
+        let trial = self
+            .persisted
+            .trial
+            .is_some_and(|trial| trial.version == version);
+        match () {
+            () if self.running == version && self.persisted.good == Some(version) => {
+                NodeStatus::Promoted
+            }
+            () if self.running == version && trial => NodeStatus::OnTrial,
+            () if trial => NodeStatus::Starting,
+            () if matches!(rollout.outcome, Outcome::Rejected | Outcome::RolledBack) => {
+                match self.persisted.is_rejected(version) {
+                    true => NodeStatus::RolledBack,
+                    false => NodeStatus::Offered,
+                }
+            }
+            () if self.persisted.crashes(version) > 0 => NodeStatus::Crashed,
+            () if self.rejected.contains_key(&version) => NodeStatus::Rejected,
+            () if self.staged.contains(&version) => NodeStatus::Staged,
+            () => NodeStatus::Offered,
+        }
+    }
+
+    pub(super) fn report_of(&self, rollout: Option<&Rollout>) -> NodeReport {
+        let of = rollout.map(|rollout| rollout.version);
+        NodeReport {
+            rollout: rollout.map_or(RolloutId(0), |rollout| rollout.id),
+            stage: rollout.map_or(0, |rollout| rollout.progress.stage),
+            outcome: rollout.map_or(Outcome::InProgress, |rollout| rollout.outcome),
+            status: rollout.map_or(NodeStatus::Unknown, |rollout| self.node_status(rollout)),
+            running: self.running,
+            good: self.persisted.good.unwrap_or_default(),
+            since_ms: self.since_ms,
+            crashes: of.map_or(0, |version| self.persisted.crashes(version)),
+            last_crash_ms: self.last_crash_ms,
+            why: of
+                .and_then(|version| self.rejected.get(&version))
+                .cloned()
+                .unwrap_or_default(),
+            digest: self.rollouts.digest(),
+        }
+    }
+
+    /// Why the node runs what it runs, in words.
+    pub fn explain(&self, unix_ms: u64) -> Vec<String> {
+        let ago = |since: u64| seconds(unix_ms.saturating_sub(since) * MILLISECOND);
+        let mut lines = vec![format!(
+            "runs version {} since {} ago",
+            self.running,
+            ago(self.since_ms)
+        )];
+        let shown = |version: Option<Version>| version.map_or("none".to_owned(), |v| v.to_string());
+        lines.push(format!(
+            "the last good one is {}, before it {}; it starts on the last good one",
+            shown(self.persisted.good),
+            shown(self.persisted.before)
+        ));
+        if let Some(rollout) = self.shown_rollout() {
+            let assignment = match rollout.assignment(self.me, self.zone) {
+                Assignment::NewVersion => "this node is in its stage",
+                Assignment::BaseVersion if rollout.outcome == Outcome::InProgress => {
+                    "this node is not in its stage"
+                }
+                Assignment::BaseVersion => "this node goes back, or never went",
+                Assignment::Unchanged => "this node stays as it is",
+            };
+            lines.push(format!(
+                "change {}: {} in place of {}, stage {} of {}, {}{}; {assignment}; it is {} here{}",
+                rollout.id,
+                rollout.version,
+                rollout.base,
+                rollout.progress.stage,
+                rollout.plan.stages.len(),
+                rollout.outcome.word(),
+                if rollout.outcome > Outcome::InProgress {
+                    format!(" ({})", rollout.reason.why)
+                } else {
+                    String::new()
+                },
+                self.report.status.word(),
+                if self.report.why.is_empty() {
+                    String::new()
+                } else {
+                    format!(": {}", self.report.why)
+                }
+            ));
+        }
+        for (version, crashes) in &self.persisted.rejected {
+            lines.push(format!(
+                "version {version} was taken back or turned down here, and died {crashes} times"
+            ));
+        }
+        lines
+    }
+}
--- /dev/null
+++ b/crates/rollout/src/node_agent/messaging.rs
@@ -0,0 +1,203 @@
+//! What other nodes and operators tell this node: offers, copies of rollouts, polls, requests for
+//! chunks; and the spreading of what is new.
+
+use super::NodeAgent;
+use crate::Nanos;
+use crate::chunks;
+use crate::host::Host;
+use crate::identifiers::RolloutId;
+use crate::messages::{ReceivedMessage, rollout_messages};
+use crate::node_report::NodeReport;
+use crate::rollout::{Outcome, Reason, Rollout};
+use crate::stages::Progress;
+
+/// Peers that are sent what is new at once.
+const ANNOUNCE_FANOUT: usize = 3;
+
+impl<H: Host> NodeAgent<H> {
+    /// The node itself offers a rollout.
+    pub fn offer(&mut self, now: Nanos, rollout: Rollout, content: Option<Vec<u8>>) {
+        if let Some(content) = content {
+            self.contents.insert(rollout.version, content);
+        }
+        self.learn(now, &rollout);
+    }
+
+    /// Somebody here moves a rollout towards safety: an operator, or a look at its figures.
+    pub fn end(
+        &mut self,
+        now: Nanos,
+        unix_ms: u64,
+        id: RolloutId,
+        outcome: Outcome,
+        why: &str,
+    ) -> bool {
+        let ends = self
+            .rollouts
+            .end(id, outcome, Reason::new(unix_ms, self.me, why));
+        if ends {
+            self.host
+                .log(&format!("change {id}: {}, {why}", outcome.word()));
+            self.announce();
+            self.proceed(now);
+        }
+        ends
+    }
+
+    /// The voters agreed that a rollout has come so far.
+    pub fn advance(&mut self, now: Nanos, id: RolloutId, progress: &Progress) -> bool {
+        let advances = self.rollouts.advance(id, progress);
+        if advances {
+            let line = match self.rollouts.get(id) {
+                Some(rollout) if rollout.outcome == Outcome::Completed => {
+                    "done, the whole fleet runs it".to_owned()
+                }
+                _ => format!("stage {} begins", progress.stage),
+            };
+            self.host.log(&format!("change {id}: {line}"));
+            self.announce();
+            self.proceed(now);
+        }
+        advances
+    }
+
+    fn learn(&mut self, now: Nanos, received: &Rollout) -> bool {
+        if received.kind != self.kind {
+            return false;
+        }
+        let before = self
+            .rollouts
+            .get(received.id)
+            .map(|rollout| (rollout.outcome, rollout.progress.stage));
+        if !self.rollouts.merge(received) {
+            return false;
+        }
+        if let Some(rollout) = self.rollouts.get(received.id) {
+            let (outcome, stage) = before.unwrap_or((Outcome::InProgress, 0));
+            let (id, version) = (rollout.id, rollout.version);
+            let line = match rollout.outcome {
+                now if now > outcome => Some(format!(
+                    "change {id}: {}, {}",
+                    now.word(),
+                    rollout.reason.why
+                )),
+                Outcome::InProgress if rollout.progress.stage > stage => Some(format!(
+                    "change {id}: stage {} begins",
+                    rollout.progress.stage
+                )),
+                Outcome::InProgress if before.is_none() => Some(format!(
+                    "change {id}: {version} is offered in place of {}",
+                    rollout.base
+                )),
+                _ => None,
+            };
+            if let Some(line) = line {
+                self.host.log(&line);
+            }
+        }
+        self.announce();
+        self.proceed(now);
+        true
+    }
+
+    fn announce(&mut self) {
+        for to in self.host.random_peers(ANNOUNCE_FANOUT) {
+            self.send_rollouts(to, false);
+        }
+    }
+
+    /// Sends all known rollouts to a node; with `answer` it is asked to send what it knows.
+    pub(super) fn send_rollouts(&mut self, to: u64, answer: bool) {
+        for message in rollout_messages(self.rollouts.iter(), answer) {
+            self.host.send(to, message);
+        }
+    }
+
+    /// Something was told.
+    pub fn handle_message(&mut self, now: Nanos, from: u64, message: ReceivedMessage) {
+        match message {
+            ReceivedMessage::Rollouts { rollouts, answer } => {
+                let mine: Vec<Rollout> = rollouts
+                    .into_iter()
+                    .filter(|rollout| rollout.kind == self.kind)
+                    .collect();
+                for rollout in &mine {
+                    self.learn(now, rollout);
+                }
+                if answer {
+                    self.send_rollouts(from, false);
+                }
+            }
+            ReceivedMessage::Poll {
+                no,
+                rollout,
+                stage,
+                outcome,
+            } => {
+                self.answer_poll(from, no, (rollout, stage, outcome));
+            }
+            ReceivedMessage::ChunkRequest {
+                rollout,
+                first,
+                count,
+            } => {
+                self.send_chunks(from, rollout, first, count);
+            }
+            ReceivedMessage::Chunk { rollout, no, bytes } => {
+                if let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.rollout == rollout) {
+                    fetch.insert(no, &bytes);
+                    self.proceed(now);
+                }
+            }
+            ReceivedMessage::PaxosRequest(kind, request) => {
+                // Of two the later one holds: the earlier is asked again, or given up.
+                self.voter_request = Some((from, request)).filter(|_| kind == self.kind);
+                self.proceed(now);
+            }
+            ReceivedMessage::NodeReport { .. } | ReceivedMessage::PaxosReply(..) => {}
+        }
+    }
+
+    /// Reports to the coordinator, which knows this of a rollout. If either knows more than the
+    /// other, rollouts are exchanged.
+    fn answer_poll(
+        &mut self,
+        from: u64,
+        poll: u32,
+        (rollout, stage, outcome): (RolloutId, u32, Outcome),
+    ) {
+        if self.rollouts.get(rollout).is_none() {
+            self.send_rollouts(from, true);
+        }
+        let report = self.report_on(rollout);
+        if (report.stage, report.outcome) > (stage, outcome) {
+            self.send_rollouts(from, true);
+        } else if (report.stage, report.outcome) < (stage, outcome) {
+            self.last_digest_exchange = 0;
+        }
+        self.host
+            .send(from, ReceivedMessage::NodeReport { no: poll, report });
+    }
+
+    /// Sends chunks of a rollout's content, as far as it is here.
+    fn send_chunks(&mut self, to: u64, rollout: RolloutId, first: u32, count: u32) {
+        let version = self.rollouts.get(rollout).map(|rollout| rollout.version);
+        let content = version.and_then(|version| self.contents.get(&version));
+        let chunks: Vec<(u32, Vec<u8>)> = (first
+            ..first.saturating_add(count.min(chunks::CHUNKS_PER_REQUEST)))
+            .filter_map(|index| Some((index, chunks::chunk(content?, index)?.to_vec())))
+            .collect();
+        for (no, bytes) in chunks {
+            self.host
+                .send(to, ReceivedMessage::Chunk { rollout, no, bytes });
+        }
+    }
+
+    /// The report, on this rollout.
+    fn report_on(&self, rollout: RolloutId) -> NodeReport {
+        NodeReport {
+            rollout,
+            ..self.report_of(self.rollouts.get(rollout))
+        }
+    }
+}
--- /dev/null
+++ b/crates/rollout/src/node_agent/persistence.rs
@@ -0,0 +1,127 @@
+//! Writes to disk, and what follows each of them.
+
+use super::{Continuation, NodeAgent, PendingOperation};
+use crate::Nanos;
+use crate::host::Host;
+use crate::host_error::HostError;
+use crate::identifiers::{RolloutId, Version};
+use crate::messages::ReceivedMessage;
+use crate::rollout::Outcome;
+
+impl<H: Host> NodeAgent<H> {
+    /// Asks the host to write the persisted state, and a content with it.
+    pub(super) fn persist(
+        &mut self,
+        now: Nanos,
+        then: Continuation,
+        content: Option<(Version, Vec<u8>)>,
+    ) {
+        self.write_count += 1;
+        self.persisted.head = self.rollouts.head(self.kind).cloned();
+        self.pending = PendingOperation::Persist {
+            no: self.write_count,
+            then,
+            since: now,
+        };
+        let persisted = self.persisted.clone();
+        self.host.persist(self.write_count, &persisted, content);
+    }
+
+    /// The host wrote what [`Host::persist`] asked for, or could not.
+    pub fn persist_finished(&mut self, now: Nanos, no: u64, result: Result<(), HostError>) {
+        let then = match &self.pending {
+            PendingOperation::Persist {
+                no: pending, then, ..
+            } if *pending == no => then.clone(),
+            _ => return,
+        };
+        self.pending = PendingOperation::Nothing;
+        let was_unwritten = self.persist_failed_at.take().is_some();
+        if result.is_err() {
+            self.persist_failed_at = Some(now);
+        } else if was_unwritten {
+            self.host.log("what is in force is written again");
+        }
+        match (then, result) {
+            (Continuation::Nothing, Ok(())) => {}
+            (Continuation::Nothing, Err(_)) if was_unwritten => {} // told before
+            (Continuation::Nothing, Err(why)) => self
+                .host
+                .log(&format!("what is in force could not be written: {why}")),
+            (Continuation::Staged(id), result) => self.stage_finished(id, result),
+            (Continuation::PaxosReply(to, reply), Ok(())) => self
+                .host
+                .send(to, ReceivedMessage::PaxosReply(self.kind, reply)),
+            (Continuation::PaxosReply(..), Err(why)) => self
+                .host
+                .log(&format!("a vote could not be written: {why}")),
+            (Continuation::Apply(version), result) => self.apply_noted(now, version, result),
+        }
+        self.proceed(now);
+    }
+
+    /// The content of a rollout is on disk, or could not be written.
+    fn stage_finished(&mut self, id: RolloutId, result: Result<(), HostError>) {
+        let Some(rollout) = self.rollouts.get(id).cloned() else {
+            return;
+        };
+        match result {
+            Ok(()) => {
+                self.host.log(&format!(
+                    "change {id}: version {} is staged",
+                    rollout.version
+                ));
+                self.staged.insert(rollout.version);
+            }
+            Err(why) => self.reject(&rollout, &format!("it could not be written: {why}")),
+        }
+    }
+
+    /// What is about to run is noted on disk, or could not be. A rollback goes on without its note;
+    /// a trial must be noted before it is applied.
+    fn apply_noted(&mut self, now: Nanos, version: Version, result: Result<(), HostError>) {
+        match result {
+            // It was halted meanwhile: a node that has not begun does not begin.
+            Ok(()) if self.is_pending_trial_halted() => self.persisted.trial = None,
+            Ok(()) => self.apply(now, version),
+            Err(why) if self.persisted.trial.is_none() => {
+                self.host.log(&format!(
+                    "goes back though that could not be written: {why}"
+                ));
+                self.apply(now, version);
+            }
+            Err(why) => {
+                if let Some(rollout) = self
+                    .persisted
+                    .trial
+                    .take()
+                    .and_then(|trial| self.rollouts.get(trial.rollout).cloned())
+                {
+                    self.reject(
+                        &rollout,
+                        &format!("its trial could not be written down: {why}"),
+                    );
+                }
+            }
+        }
+    }
+
+    fn apply(&mut self, now: Nanos, version: Version) {
+        self.pending = PendingOperation::Apply {
+            version,
+            since: now,
+        };
+        self.host.apply(version);
+    }
+
+    /// Whether the version that is noted to run next belongs to a rollout that has ended since.
+    fn is_pending_trial_halted(&self) -> bool {
+        let trial = self
+            .persisted
+            .trial
+            .filter(|trial| trial.version != self.running);
+        trial
+            .and_then(|trial| self.rollouts.get(trial.rollout))
+            .is_some_and(|rollout| rollout.outcome > Outcome::Completed)
+    }
+}
--- a/crates/rollout/src/operator_commands.rs
+++ b/crates/rollout/src/operator_commands.rs
@@ -3,9 +3,13 @@
 //! halted or taken back. The same order may come again, for its answer may have been lost: it is
 //! answered as before and has no second effect.
 
-use crate::chunks::{self, CONTENT_MAX};
-use crate::messages::{CHUNK_BYTES, CommandReply, OperatorCommand, order};
-use crate::rollout::{Kind, Outcome, Reason, Rollout, RolloutId, RolloutTable, Version};
+use crate::chunks::CHUNK_BYTES;
+use crate::chunks::{self, MAX_CONTENT_BYTES};
+use crate::host_error::HostError;
+use crate::identifiers::{Kind, RolloutId, Version};
+use crate::messages::{CommandReply, OperatorCommand, order};
+use crate::rollout::{Outcome, Reason, Rollout};
+use crate::rollout_table::RolloutTable;
 use crate::stages::{Plan, Progress};
 use crate::{Nanos, SECOND, splitmix64};
 use std::collections::VecDeque;
@@ -17,8 +21,11 @@
 
 /// What became of an order.
 pub mod state {
+    /// Done.
     pub const TAKEN: u32 = 0;
+    /// Not done yet; to be asked again.
     pub const LATER: u32 = 1;
+    /// Rejected.
     pub const REFUSED: u32 = 2;
 }
 
@@ -55,19 +62,24 @@
 /// What is to be done about an order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandAction {
-    /// It is answered.
+    /// The operator gets this reply.
     Reply(CommandReply),
-    /// The node is to look into this, and tell what came of it; the order is answered with "later"
-    /// until then.
+    /// The host is to check an offer; the command is answered with "later" until then.
     CheckOffer {
+        /// The number of the check.
         no: u64,
+        /// The version of a program.
         version: Option<Version>,
+        /// The content of settings.
         content: Option<Vec<u8>>,
     },
-    /// A rollout is to be moved towards safety.
+    /// A rollout is to end.
     End {
+        /// The rollout.
         id: RolloutId,
+        /// Its outcome.
         outcome: Outcome,
+        /// The reason.
         why: String,
     },
 }
@@ -143,8 +155,10 @@
         ) else {
             return refused("a piece of nothing that can be named");
         };
-        if size == 0 || size > CONTENT_MAX {
-            return refused(&format!("{size} bytes, 1 to {CONTENT_MAX} are possible"));
+        if size == 0 || size > MAX_CONTENT_BYTES {
+            return refused(&format!(
+                "{size} bytes, 1 to {MAX_CONTENT_BYTES} are possible"
+            ));
         }
         let is_it = |incoming: &Incoming| incoming.digest == digest && incoming.bytes.len() == size;
         if let Some(other) = self.incoming.as_ref().filter(|incoming| !is_it(incoming)) {
@@ -230,7 +244,7 @@
     pub fn offer_checked(
         &mut self,
         no: u64,
-        found: Result<Version, String>,
+        found: Result<Version, HostError>,
         (kind, me, unix_ms): (Kind, u64, u64),
         rollouts: &RolloutTable,
         good: Version,
@@ -240,7 +254,7 @@
         let at = self.offers.iter().position(|(_, outcome)| is_it(outcome))?;
         let (digest, _) = self.offers[at].0;
         let (answered, offered) = match found {
-            Err(why) => (refused(&why), None),
+            Err(why) => (refused(&why.to_string()), None),
             Ok(version) if version.number <= good.number => {
                 let why = format!("version {version} is not higher than {good}, which is in force");
                 (refused(&why), None)
--- a/crates/rollout/src/operator_commands/tests.rs
+++ b/crates/rollout/src/operator_commands/tests.rs
@@ -36,7 +36,7 @@
 fn looked(
     orders: &mut OperatorCommands,
     no: u64,
-    found: Result<Version, String>,
+    found: Result<Version, HostError>,
 ) -> Option<Rollout> {
     let good = Version { number: 4, hash: 1 };
     let of = (Kind::Settings, 7, 1000);
@@ -139,7 +139,7 @@
         Some(state::TAKEN)
     );
     let large = OperatorCommand {
-        size: CONTENT_MAX as u32 + 1,
+        size: MAX_CONTENT_BYTES as u32 + 1,
         ..chunk(&content, 0)
     };
     assert_eq!(
--- a/crates/rollout/src/participant.rs
+++ b/crates/rollout/src/participant.rs
@@ -2,11 +2,15 @@
 //! record and the conducting.
 
 use crate::coordinator::{Coordinator, CoordinatorAction};
+use crate::host::Host;
+use crate::host_error::HostError;
+use crate::identifiers::{RolloutId, Version};
 use crate::messages::{CommandReply, OperatorCommand, ReceivedMessage};
-use crate::node_agent::{Host, InitialState, LocalMetrics, NodeAgent};
+use crate::node_agent::NodeIdentity;
+use crate::node_agent::{InitialState, LocalMetrics, NodeAgent};
 use crate::operator_commands::{self, OperatorCommands, state};
 use crate::paxos::Proposal;
-use crate::rollout::{Outcome, Rollout, RolloutId, Version};
+use crate::rollout::{Outcome, Rollout};
 use crate::stages::Plan;
 use crate::{Nanos, SECOND};
 
@@ -16,11 +20,15 @@
 
 /// The part.
 pub struct Participant<H: Host> {
+    /// The node's own part.
     pub agent: NodeAgent<H>,
+    /// Its part as a voter.
     pub coordinator: Coordinator,
-    /// How a rollout that is offered here goes out.
+    /// The plan of rollouts that are offered here.
     pub plan: Plan,
+    /// Operators' commands.
     commands: OperatorCommands,
+    /// The span of a window of counts, in milliseconds.
     window_ms: u64,
     last_window_check: Nanos,
 }
@@ -31,7 +39,7 @@
     pub fn new(
         now: Nanos,
         unix_ms: u64,
-        (me, zone): (u64, u32),
+        identity: NodeIdentity,
         start: InitialState,
         voters: Vec<u64>,
         window_ms: u64,
@@ -39,8 +47,8 @@
     ) -> Participant<H> {
         let kind = start.persisted.kind;
         Participant {
-            agent: NodeAgent::new(now, unix_ms, (me, zone), start, host),
-            coordinator: Coordinator::new(now, me, kind, voters),
+            agent: NodeAgent::new(now, unix_ms, identity, start, host),
+            coordinator: Coordinator::new(now, identity.key, kind, voters),
             plan: Plan::default(),
             commands: OperatorCommands::default(),
             window_ms,
@@ -181,7 +189,7 @@
         now: Nanos,
         unix_ms: u64,
         no: u64,
-        found: Result<Version, String>,
+        found: Result<Version, HostError>,
     ) {
         let of = (self.agent.kind(), self.agent.me(), unix_ms);
         let good = self
--- a/crates/rollout/src/paxos.rs
+++ b/crates/rollout/src/paxos.rs
@@ -8,7 +8,9 @@
 //! agreed on already is carried through even so, for the numbers have no holes; as the rollout is
 //! halted nobody begins anything by it.
 
-use crate::rollout::{Kind, Outcome, RolloutId, RolloutTable};
+use crate::identifiers::{Kind, RolloutId};
+use crate::rollout::Outcome;
+use crate::rollout_table::RolloutTable;
 use crate::stages::Progress;
 use crate::{Nanos, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,35 +21,49 @@
 /// Whose round it is: the higher holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ballot {
+    /// The round.
     pub round: u64,
+    /// The key of the coordinator whose round it is.
     pub by: u64,
 }
 
 /// What is voted on: that a rollout has come this far. Its number is in the progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Proposal {
+    /// The rollout.
     pub rollout: RolloutId,
+    /// How far it is to have come; the number of the agreement is in it.
     pub progress: Progress,
 }
 
 /// What a voter has voted, of the agreement that comes next.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Vote {
+    /// The number of the agreement that is voted on.
     pub agreement: u64,
-    /// It takes no part in rounds before this one.
+    /// The voter takes no part in rounds before this one.
     pub promised: Ballot,
+    /// What it voted for, and in which round.
     pub accepted: Option<(Ballot, Proposal)>,
 }
 
 /// What is asked of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PaxosRequest {
-    /// Take no part in rounds before mine; and what have you voted for?
-    Prepare { agreement: u64, ballot: Ballot },
-    /// Vote for this. Again, if a voter had voted for it in a round before.
+    /// Take no part in rounds before this one; and what have you voted for?
+    Prepare {
+        /// The number of the agreement.
+        agreement: u64,
+        /// The round.
+        ballot: Ballot,
+    },
+    /// Vote for this.
     Accept {
+        /// The round.
         ballot: Ballot,
+        /// The proposal.
         proposal: Proposal,
+        /// Whether a voter had voted for it in a round before.
         again: bool,
     },
 }
@@ -55,19 +71,29 @@
 /// What it says.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PaxosReply {
+    /// The promise that was asked for.
     Promised {
+        /// The number of the agreement.
         agreement: u64,
+        /// The round.
         ballot: Ballot,
+        /// What the voter voted for before, and in which round.
         accepted: Option<(Ballot, Proposal)>,
     },
+    /// The vote that was asked for.
     Accepted {
+        /// The number of the agreement.
         agreement: u64,
+        /// The round.
         ballot: Ballot,
     },
-    /// Its promise was given to another round, or what it knows speaks against it.
+    /// The promise was given to another round, or what the voter knows speaks against it.
     Refused {
+        /// The number of the agreement.
         agreement: u64,
+        /// The round.
         ballot: Ballot,
+        /// The round to which the voter is bound.
         promised: Ballot,
     },
 }
@@ -75,13 +101,13 @@
 /// What comes of something that was asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VoterAction {
-    /// PaxosReply this at once.
+    /// Reply at once.
     Reply(PaxosReply),
-    /// Write the vote, and then say this.
+    /// Write the vote to disk, and then reply.
     Persist(Vote, PaxosReply),
-    /// This voter lacks agreements before that one: it asks for them.
+    /// The voter lacks agreements before this one, and asks for them.
     Behind,
-    /// It knows that one to be agreed on already, and tells.
+    /// The voter knows this one to be agreed on, and sends what it knows.
     Ahead,
 }
 
@@ -174,26 +200,38 @@
 /// A round of the one who conducts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PaxosRound {
+    /// Whose round it is.
     pub ballot: Ballot,
+    /// The number of the agreement that is sought.
     pub agreement: u64,
+    /// When it began.
     since: Nanos,
+    /// Voters that must agree.
     majority: usize,
+    /// What the coordinator wants to be agreed on.
     preferred: Proposal,
+    /// Promises, by voter, with what each had voted for.
     promised: BTreeMap<u64, Option<(Ballot, Proposal)>>,
+    /// What the voters were asked to vote for.
     proposed: Option<Proposal>,
+    /// Voters that voted for it.
     accepted: BTreeSet<u64>,
+    /// Voters that refused.
     refused: BTreeSet<u64>,
+    /// The highest ballot that was seen.
     highest: Ballot,
 }
 
 /// What follows from what a voter said.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoundStep {
+    /// Nothing yet.
     Wait,
     /// All voters are asked this.
     Request(PaxosRequest),
+    /// A majority agreed.
     Agreed(Proposal),
-    /// It comes to nothing; a next round is to be higher than this.
+    /// The round failed; the next one must be higher than this.
     GiveUp(Ballot),
 }
 
--- a/crates/rollout/src/persisted_state.rs
+++ b/crates/rollout/src/persisted_state.rs
@@ -6,21 +6,24 @@
 //! that the node died on trial: it starts on the last good version, and does not try that one again
 //! by itself.
 
+use crate::identifiers::{Kind, RolloutId, Version};
 use crate::messages::{self, RolloutWire, VoteWire};
 use crate::paxos::Vote;
-use crate::rollout::{Kind, Rollout, RolloutId, Version};
+use crate::rollout::Rollout;
 use prost::Message;
 
 const MAGIC: [u8; 4] = *b"mpv1";
 /// Versions that were turned down and are remembered.
 const TURNED_DOWN: usize = 16;
 /// The most bytes of the file.
-pub const FILE_MAX: usize = 4096;
+pub const MAX_FILE_BYTES: usize = 4096;
 
 /// A version on trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Trial {
+    /// The rollout.
     pub rollout: RolloutId,
+    /// Its version.
     pub version: Version,
     /// How often it was begun here.
     pub tries: u32,
@@ -29,19 +32,21 @@
 /// What is kept, of one kind.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
+    /// What its versions are of.
     pub kind: Kind,
-    /// What is in force and was found good; none before the first: what the operator gave.
+    /// The last promoted version; none before the first one.
     pub good: Option<Version>,
-    /// The good one before it, whose content is still here.
+    /// The promoted version before it, whose content is still here.
     pub before: Option<Version>,
+    /// The version on trial.
     pub trial: Option<Trial>,
-    /// Versions that died here, or were taken back or turned down, with how often they died.
+    /// Versions that crashed, were rejected or rolled back here, with how often they crashed.
     pub rejected: Vec<(Version, u32)>,
-    /// The rollout of the last agreement, so that the fleet goes on with it if all of it starts at
-    /// once.
+    /// The rollout of the last agreement, so that a cluster that starts all at once goes on with it.
     pub head: Option<Rollout>,
-    /// What this node voted as a voter, and the last agreement that it takes no part in.
+    /// The node's vote as a voter.
     pub vote: Option<Vote>,
+    /// The last agreement in which it takes no part.
     pub abstains_to: u64,
 }
 
@@ -166,7 +171,7 @@
         let body = bytes
             .get(12..12 + u32::from_le_bytes(length) as usize)
             .ok_or(PersistedStateError::NotOne)?;
-        if bytes.len() > FILE_MAX || crc32fast::hash(body) != u32::from_le_bytes(crc) {
+        if bytes.len() > MAX_FILE_BYTES || crc32fast::hash(body) != u32::from_le_bytes(crc) {
             return Err(PersistedStateError::Damaged);
         }
         let body = PersistedStateWire::decode(body).map_err(|_| PersistedStateError::Damaged)?;
--- a/crates/rollout/src/persisted_state/tests.rs
+++ b/crates/rollout/src/persisted_state/tests.rs
@@ -2,7 +2,7 @@
 use crate::paxos::{Ballot, Proposal};
 use crate::rollout::tests::rollout;
 use crate::rollout::{Outcome, Reason};
-use crate::stages::{Progress, ZONES_MAX};
+use crate::stages::{MAX_ZONES, Progress};
 
 fn v(number: u64) -> Version {
     Version {
@@ -19,18 +19,18 @@
     });
     let rejected = (10..20).map(|n| (v(n), n as u32 % 3)).collect();
     let mut head = rollout(9, 3);
-    let until = (0..ZONES_MAX as u32).map(|zone| (zone, 1 << 60));
+    let until = (0..MAX_ZONES as u32).map(|zone| (zone, 1 << 60));
     head.progress = Progress {
         agreement: 31,
         stage: 2,
-        until: until.clone().collect(),
+        thresholds: until.clone().collect(),
         ..Progress::default()
     };
     (head.outcome, head.reason) = (
         Outcome::Halted,
         Reason::new(1 << 41, 1 << 60, &"x".repeat(200)),
     );
-    head.progress.before = until.collect();
+    head.progress.previous_thresholds = until.collect();
     let proposal = Proposal {
         rollout: RolloutId(9),
         progress: Progress {
@@ -66,7 +66,7 @@
 fn what_is_written_is_read_and_every_cut_and_bit_is_found() {
     for persisted in [PersistedState::new(Kind::Program), full()] {
         let file = persisted.encode();
-        assert!(file.len() <= FILE_MAX);
+        assert!(file.len() <= MAX_FILE_BYTES);
         assert_eq!(PersistedState::decode(&file), Ok(persisted.clone()));
         for at in 0..file.len() {
             assert!(PersistedState::decode(&file[..at]).is_err(), "cut at {at}");
@@ -140,7 +140,7 @@
     assert_eq!(
         (
             persisted.rejected.len(),
-            persisted.encode().len() <= FILE_MAX
+            persisted.encode().len() <= MAX_FILE_BYTES
         ),
         (TURNED_DOWN, true)
     );
--- a/crates/rollout/src/process_handover.rs
+++ b/crates/rollout/src/process_handover.rs
@@ -7,8 +7,9 @@
 //! time in which one that died is started anew. What is on the disk is written by the one in charge
 //! alone.
 
+use crate::host_error::HostError;
+use crate::identifiers::Version;
 use crate::persisted_state::{PersistedState, Trial};
-use crate::rollout::Version;
 use crate::{Nanos, SECOND};
 use std::collections::BTreeMap;
 
@@ -19,32 +20,37 @@
 /// What a process starts with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartInstructions {
+    /// The persisted state.
     pub persisted: PersistedState,
+    /// The version that the process is of.
     pub version: Version,
+    /// The trial that crashed before this start, if one did.
     pub crashed: Option<Trial>,
+    /// Whether the disk was empty.
     pub fresh: bool,
-    /// Whether another one serves meanwhile: then it waits until it is told that it is in charge.
+    /// Whether another process serves meanwhile: then this one waits until it is told that it is in charge.
     pub beside: bool,
 }
 
 /// What the decisions do to the world.
 pub trait Host {
-    /// InitialState a process; what becomes of it is told by [`Supervisor::ready`] and [`Supervisor::ended`].
-    fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), String>;
-    /// Tell it that it is in charge.
+    /// Starts a process; what becomes of it is told to [`Supervisor::ready`] and [`Supervisor::ended`].
+    fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), HostError>;
+    /// Tells it that it is in charge.
     fn in_charge(&mut self, child: Child);
-    /// Tell it to leave and that another one takes its place.
+    /// Tells it to leave, as another process takes its place.
     fn hand_over(&mut self, child: Child);
-    /// Give it the notice to leave for good.
+    /// Gives it the notice to leave for good.
     fn leave(&mut self, child: Child);
+    /// Kills it.
     fn kill(&mut self, child: Child);
-    /// Write what is kept; it is on the disk when this returns.
-    fn persist(&mut self, persisted: &PersistedState) -> Result<(), String>;
-    /// Whether a version is here.
-    fn has(&mut self, version: Version) -> Result<(), String>;
-    /// VoterAction a question of a process.
-    fn answer(&mut self, child: Child, no: u64, result: Result<(), String>);
-    /// One line a rollout.
+    /// Writes the persisted state; it is on disk when this returns.
+    fn persist(&mut self, persisted: &PersistedState) -> Result<(), HostError>;
+    /// Whether a version is on this machine, or why it can't be started.
+    fn has(&mut self, version: Version) -> Result<(), HostError>;
+    /// Answers a request of a process.
+    fn answer(&mut self, child: Child, no: u64, result: Result<(), HostError>);
+    /// Writes a line to the log.
     fn log(&mut self, line: &str);
 }
 
@@ -74,24 +80,33 @@
 
 /// The parent.
 pub struct Supervisor<H: Host> {
+    /// Whoever embeds it.
     pub host: H,
+    /// What is on disk.
     persisted: PersistedState,
+    /// Whether the disk was empty.
     fresh: bool,
-    /// What the operator gave to start on.
+    /// The version that the operator gave to start on.
     given: Version,
-    /// What an old one may take to leave.
+    /// The time that a process may take to leave.
     stop: Nanos,
+    /// The process in charge.
     in_charge_process: Option<Process>,
+    /// The process that does not serve yet.
     starting: Option<Starting>,
+    /// Processes that were told to leave.
     leaving: Vec<Process>,
+    /// Processes started so far; numbers them.
     children: u64,
+    /// The trial that crashed, until a process serves again.
     crashed: Option<Trial>,
-    /// None is started before this; and how often in a row one died at once.
+    /// No process is started before this.
     not_before: Nanos,
+    /// Crashes in a row of processes that lived shortly.
     quick_crashes: u32,
-    /// How often a version died at once since one lived; what does not even come to serve counts as
-    /// if it had died often enough.
+    /// Such crashes by version; not to serve at all counts as [`MAX_QUICK_CRASHES`].
     failures: BTreeMap<Version, u32>,
+    /// Whether all is to end.
     ends: bool,
 }
 
@@ -190,7 +205,7 @@
         now: Nanos,
         version: Version,
         asked: Option<(Child, u64)>,
-    ) -> Result<(), String> {
+    ) -> Result<(), HostError> {
         self.children += 1;
         let child = Child(self.children);
         let beside = self.in_charge_process.is_some();
@@ -368,7 +383,7 @@
             .log(&format!("version {version} did not come to serve: {why}"));
         match (starting.asked, self.in_charge_process) {
             (Some((child, no)), Some(in_charge_process)) if in_charge_process.child == child => {
-                self.host.answer(child, no, Err(why.to_owned()));
+                self.host.answer(child, no, Err(why.into()));
             }
             _ => {
                 *self.failures.entry(version).or_default() += MAX_QUICK_CRASHES;
--- a/crates/rollout/src/process_handover/tests.rs
+++ b/crates/rollout/src/process_handover/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::rollout::{Kind, RolloutId};
+use crate::identifiers::{Kind, RolloutId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
     there: BTreeMap<Child, Version>,
     told_to_leave: BTreeSet<Child>,
     in_charge: Vec<Child>,
-    answers: Vec<(Child, u64, Result<(), String>)>,
+    answers: Vec<(Child, u64, Result<(), HostError>)>,
     lacks: BTreeSet<u64>,
     disk: Option<PersistedState>,
     full: bool,
@@ -19,7 +19,7 @@
 }
 
 impl Host for World {
-    fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), String> {
+    fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), HostError> {
         self.started.push((child, begin.clone()));
         self.there.insert(child, begin.version);
         Ok(())
@@ -36,21 +36,21 @@
     fn kill(&mut self, child: Child) {
         self.told_to_leave.insert(child);
     }
-    fn persist(&mut self, persisted: &PersistedState) -> Result<(), String> {
+    fn persist(&mut self, persisted: &PersistedState) -> Result<(), HostError> {
         if self.full {
             return Err("no room".into());
         }
         self.disk = Some(persisted.clone());
         Ok(())
     }
-    fn has(&mut self, version: Version) -> Result<(), String> {
+    fn has(&mut self, version: Version) -> Result<(), HostError> {
         if self.lacks.contains(&version.number) {
             Err("it is not here".into())
         } else {
             Ok(())
         }
     }
-    fn answer(&mut self, child: Child, no: u64, result: Result<(), String>) {
+    fn answer(&mut self, child: Child, no: u64, result: Result<(), HostError>) {
         self.answers.push((child, no, result));
     }
     fn log(&mut self, line: &str) {
--- a/crates/rollout/src/simulation/load.rs
+++ b/crates/rollout/src/simulation/load.rs
@@ -2,10 +2,14 @@
 //! jumps, processes that are cold; and what a version does to all that.
 
 use crate::cohort_metrics::{OperationCounts, WindowSample};
+use crate::{Nanos, SECOND, splitmix64};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
+/// The span of a window of counts.
+pub const WINDOW: Nanos = 10 * SECOND;
+
 /// Operations, with their part of what comes, their billed value in thousandths, and their usual
 /// latency in tenths of a millisecond.
 pub const OPERATIONS: [(u32, f64, u64, f64); 3] = [
@@ -32,19 +36,19 @@
 pub struct Effect {
     /// Of one operation only.
     pub operation: Option<u32>,
-    /// So much more errs, and is throttled, as shares of what comes.
+    /// The share of requests that fails on top.
     pub errored: f64,
+    /// The share of requests that is rejected on top.
     pub throttled: f64,
-    /// It takes so much longer, as a share.
+    /// How much longer requests take, as a share.
     pub slower: f64,
-    /// It starts so many windows after the version took force.
+    /// It starts this many windows after the version was applied.
     pub after: u64,
-    /// Memory rises so much with each window, as a share; and what errs once it is thrice what it
-    /// was.
+    /// How much memory rises with each window, as a share; at three times what it was requests fail.
     pub leaks: f64,
-    /// The chance of dying with each window.
+    /// The chance of a crash in each window.
     pub dies: f64,
-    /// The share of nodes that turn it down.
+    /// The share of nodes that reject the version.
     pub unfit: f64,
 }
 
@@ -71,17 +75,19 @@
 /// How much there is of what makes nodes differ.
 #[derive(Clone, Copy, Debug)]
 pub struct Noise {
-    /// The mean share of errors of a node, and how far its own may be from that, as a share of it.
+    /// The mean share of failures of a node.
     pub errs: f64,
+    /// How far a node's own share may be from the mean, as a share of it.
     pub differs: f64,
-    /// The share of machines that are slow, and how much longer they take.
+    /// The share of machines that are slow.
     pub slow: f64,
+    /// How much longer they take.
     pub slower: f64,
-    /// Chances in each window: that a zone falls in trouble, and that traffic jumps; both last some
-    /// windows.
+    /// The chance in each window that a zone falls in trouble; it lasts some windows.
     pub trouble: f64,
+    /// The chance in each window that traffic jumps; it lasts some windows.
     pub jump: f64,
-    /// Chance with each window that a node dies by itself.
+    /// The chance in each window that a node crashes by itself.
     pub dies: f64,
 }
 
@@ -114,6 +120,11 @@
     slower: f64,
 }
 
+/// A node's key.
+pub(super) fn key(node: usize) -> u64 {
+    splitmix64(node as u64 + 1)
+}
+
 /// The load of a fleet.
 #[derive(Clone, Debug)]
 pub struct Load {
@@ -129,10 +140,13 @@
 /// What a node runs in a window.
 #[derive(Clone, Copy, Debug)]
 pub struct Runs {
+    /// The hash of the version.
     pub label: u64,
+    /// What the version does.
     pub effect: Effect,
-    /// Windows since it took force, and since the process started.
+    /// Windows since the version was applied.
     pub since: u64,
+    /// Windows since the process started.
     pub age: u64,
 }
 
--- a/crates/rollout/src/simulation/trial.rs
+++ b/crates/rollout/src/simulation/trial.rs
@@ -1,52 +1,61 @@
-//! A rollout's stages without the messages between: what is judged and when, over many rollouts by
+//! A rollout's stages without the messages between: what is analysed and when, over many rollouts by
 //! seed. For tables of false stops, missed harm and what a bad rollout costs.
 
-use super::load::{Effect, Load, Noise, Runs};
-use super::{WINDOW, key};
-use crate::canary_analysis::{AnalysisMethod, CrashCounts, Verdict, judge};
+use super::load::{Effect, Load, Noise, Runs, WINDOW, key};
+use crate::canary_analysis::{AnalysisMethod, CrashCounts, Verdict, analyse};
 use crate::cohort_metrics::{CohortMetrics, OperationCounts, WindowSample};
-use crate::rollout::{RolloutId, Version};
-use crate::stages::{Plan, Progress};
+use crate::identifiers::{RolloutId, Version};
+use crate::stages::{NextAgreement, Plan, Progress};
 use crate::{Nanos, splitmix64};
 
 /// How a rollout goes out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Out {
-    /// In stages, judged so.
+    /// In stages, analysed by this method.
     Stages(AnalysisMethod),
-    /// Everywhere at once; taken back if for two windows so much less succeeds than in the windows
-    /// before, by the plan's margin.
+    /// Everywhere at once; rolled back if for two windows the share of successes is lower than before by
+    /// the plan's margin.
     AtOnce,
 }
 
 /// What became of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TrialResult {
+    /// Whether it was stopped.
     pub stopped: bool,
     /// By what.
     pub what: &'static str,
-    /// The stage it came to, and the time it took.
+    /// The stage it came to.
     pub stage: u32,
+    /// The time it took.
     pub time: Nanos,
-    /// Billed value that it cost, and what was asked for in a window by all of the fleet.
+    /// Priority weight that it cost.
     pub cost: f64,
+    /// Priority weight that the whole cluster is asked for in a window.
     pub asked: f64,
 }
 
 /// What is simulated.
 #[derive(Clone, Debug)]
 pub struct Trial {
+    /// How many nodes.
     pub nodes: usize,
+    /// How many zones.
     pub zones: u32,
+    /// Requests of a node in a window.
     pub each: f64,
+    /// How much nodes differ by themselves.
     pub noise: Noise,
+    /// The plan.
     pub plan: Plan,
+    /// What the new version does.
     pub effect: Effect,
+    /// How it goes out.
     pub out: Out,
 }
 
-/// What a rollout that came to no judgement is halted by.
-pub const NO_JUDGEMENT: &str = "no judgement";
+/// What a rollout that came to no analysement is halted by.
+pub const NO_JUDGEMENT: &str = "no analysement";
 const BEFORE: u64 = 8;
 /// After a rollout went out at once it is looked at for so long.
 const AT_ONCE: u64 = 60;
@@ -127,13 +136,13 @@
             ..TrialResult::default()
         };
         let mut crashes = [0, 0];
-        while let Some(next) = progress.next(
+        while let Some(next) = progress.next(&NextAgreement {
             rollout,
-            &self.plan,
-            &nodes,
-            progress.agreement + 1,
-            self.nodes as u32,
-        ) {
+            plan: &self.plan,
+            nodes: &nodes,
+            agreement: progress.agreement + 1,
+            electorate: self.nodes as u32,
+        }) {
             progress = next;
             let Some(stage) = self.plan.stage(progress.stage) else {
                 break;
@@ -141,7 +150,7 @@
             outcome.stage = progress.stage;
             record.stage_begins(progress.stage);
             for (at, (node, zone)) in nodes.iter().enumerate() {
-                if begun[at].is_none() && progress.has(rollout, *node, *zone) {
+                if begun[at].is_none() && progress.includes(rollout, *node, *zone) {
                     begun[at] = Some(window);
                 }
             }
@@ -178,9 +187,9 @@
                     nodes,
                     windows: (window - begin) as f64,
                 };
-                let judged = judge(&record, &self.plan, progress.stage, &crashes, method);
+                let analysed = analyse(&record, &self.plan, progress.stage, &crashes, method);
                 let is_last = self.plan.is_last(progress.stage);
-                match judged.verdict {
+                match analysed.verdict {
                     Verdict::Harm(harm) => {
                         let what = harm.first().map_or("", |finding| finding.what);
                         return TrialResult {
@@ -189,14 +198,14 @@
                             ..outcome
                         };
                     }
-                    _ if held < stage.least => {}
+                    _ if held < stage.min_duration => {}
                     // With nobody left to compare with it goes by what else there is: see
                     // `conduct`.
                     _ if is_last => break,
                     Verdict::Fine => break,
-                    Verdict::Unsure(_) if held > stage.longest => break,
+                    Verdict::Unsure(_) if held > stage.max_duration => break,
                     Verdict::Unsure(_) => {}
-                    Verdict::Wait(_) if held > stage.longest => {
+                    Verdict::Wait(_) if held > stage.max_duration => {
                         return TrialResult {
                             stopped: true,
                             what: NO_JUDGEMENT,
@@ -223,7 +232,7 @@
             ..TrialResult::default()
         };
         let share = |cell: &OperationCounts| cell.succeeded as f64 / cell.arrived.max(1) as f64;
-        let margin = f64::from(self.plan.margin) / 1000.0;
+        let margin = f64::from(self.plan.margin_permille) / 1000.0;
         let (begin, mut bad) = (window, 0);
         while window < begin + AT_ONCE {
             let (samples, cost) = self.window(load, window, &|_| Some(window - begin));
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -5,50 +5,76 @@
 //! whatever they see of the fleet, and a node that joins in mid-rollout knows at once what its stage
 //! says; and thresholds only rise, so that who is in stays in.
 
-use crate::rollout::RolloutId;
+use crate::identifiers::RolloutId;
 use crate::{MILLISECOND, Nanos, SECOND, splitmix64};
 use std::collections::BTreeMap;
 
 /// Stages that a plan may have.
-pub const STAGES_MAX: usize = 12;
+pub const MAX_STAGES: usize = 12;
 /// Zones that are told apart in a stage; nodes of others are in the last stage only.
-pub const ZONES_MAX: usize = 24;
+pub const MAX_ZONES: usize = 24;
 /// A zone of no more nodes than this gives one at a time until the last stage.
-const FEW: usize = 3;
+const SMALL_ZONE_NODES: usize = 3;
+
+/// Why a plan can't be followed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum PlanError {
+    /// The number of stages is out of bounds.
+    #[error("{0} stages; 1 to {MAX_STAGES} are possible")]
+    StageCount(usize),
+    /// A stage has no larger share than the one before it.
+    #[error("each stage must be larger than the one before")]
+    StageNotLarger,
+    /// The last stage leaves nodes out.
+    #[error("the last stage must be the whole fleet")]
+    LastStageNotWhole,
+    /// A stage's least duration is above its longest.
+    #[error("a stage lasts {} s at least and {} s at most", min / SECOND, max / SECOND)]
+    Durations {
+        /// The least duration.
+        min: Nanos,
+        /// The longest duration.
+        max: Nanos,
+    },
+    /// The share of a zone or the margin is out of bounds.
+    #[error("a share of a zone is from 0.001 to 1, a margin from 0.001 to 0.5")]
+    Shares,
+}
 
 /// One stage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stage {
-    /// The share of the fleet that runs the new version, in thousandths; 0 stands for one node.
-    pub share: u32,
-    /// It lasts so long at least, and for no longer than so long without a judgement.
-    pub least: Nanos,
-    pub longest: Nanos,
-    /// Invocations that the new nodes have answered before it is judged to be well.
-    pub sample: u32,
-    /// The nodes of the stage begin spread over this time.
-    pub spread: Nanos,
+    /// The share of the cluster that runs the new version, in thousandths; 0 stands for one node.
+    pub share_permille: u32,
+    /// The stage lasts at least this long.
+    pub min_duration: Nanos,
+    /// Without a verdict the rollout is halted after this.
+    pub max_duration: Nanos,
+    /// Requests at the canary nodes before the stage can be fine.
+    pub min_requests: u32,
+    /// The nodes of the stage start spread over this time.
+    pub start_spread: Nanos,
 }
 
 /// How a rollout goes out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
+    /// The stages, each larger than the one before.
     pub stages: Vec<Stage>,
-    /// No more of a zone than this is in a stage before the last, in thousandths.
-    pub of_zone: u32,
-    /// A share of what is asked that callers may lose to a rollout and it is still taken for good,
-    /// in thousandths.
-    pub margin: u32,
+    /// The most of a zone in a stage before the last, in thousandths.
+    pub max_zone_permille: u32,
+    /// The share of priority weight that a version may lose and still count as fine, in thousandths.
+    pub margin_permille: u32,
 }
 
 impl Default for Plan {
     fn default() -> Plan {
         let stage = |share, least, sample| Stage {
-            share,
-            least: least * SECOND,
-            longest: 1800 * SECOND,
-            sample,
-            spread: 10 * SECOND,
+            share_permille: share,
+            min_duration: least * SECOND,
+            max_duration: 1800 * SECOND,
+            min_requests: sample,
+            start_spread: 10 * SECOND,
         };
         Plan {
             stages: vec![
@@ -58,40 +84,40 @@
                 stage(500, 120, 2000),
                 stage(1000, 120, 2000),
             ],
-            of_zone: 500,
-            margin: 20,
+            max_zone_permille: 500,
+            margin_permille: 20,
         }
     }
 }
 
 impl Plan {
-    /// What is wrong with it.
-    pub fn check(&self) -> Result<(), String> {
-        if self.stages.is_empty() || self.stages.len() > STAGES_MAX {
-            return Err(format!(
-                "{} stages; 1 to {STAGES_MAX} are possible",
-                self.stages.len()
-            ));
+    /// Checks the plan against its bounds.
+    pub fn check(&self) -> Result<(), PlanError> {
+        if self.stages.is_empty() || self.stages.len() > MAX_STAGES {
+            return Err(PlanError::StageCount(self.stages.len()));
+        }
+        let grows = |two: &[Stage]| two[1].share_permille > two[0].share_permille;
+        if !self.stages.windows(2).all(grows) {
+            return Err(PlanError::StageNotLarger);
         }
         if self
             .stages
-            .windows(2)
-            .any(|two| two[1].share <= two[0].share)
+            .last()
+            .is_none_or(|last| last.share_permille != 1000)
         {
-            return Err("each stage must be larger than the one before".into());
-        }
-        if self.stages.last().is_none_or(|last| last.share != 1000) {
-            return Err("the last stage must be the whole fleet".into());
+            return Err(PlanError::LastStageNotWhole);
         }
-        if let Some(stage) = self.stages.iter().find(|stage| stage.least > stage.longest) {
-            return Err(format!(
-                "a stage lasts {} s at least and {} s at most",
-                stage.least / SECOND,
-                stage.longest / SECOND
-            ));
+        let is_reversed = |stage: &&Stage| stage.min_duration > stage.max_duration;
+        if let Some(stage) = self.stages.iter().find(is_reversed) {
+            return Err(PlanError::Durations {
+                min: stage.min_duration,
+                max: stage.max_duration,
+            });
         }
-        if !(1..=1000).contains(&self.of_zone) || !(1..=500).contains(&self.margin) {
-            return Err("a share of a zone is from 0.001 to 1, a margin from 0.001 to 0.5".into());
+        if !(1..=1000).contains(&self.max_zone_permille)
+            || !(1..=500).contains(&self.margin_permille)
+        {
+            return Err(PlanError::Shares);
         }
         Ok(())
     }
@@ -115,98 +141,100 @@
 /// How far a rollout has reached.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Progress {
-    /// The number of the agreement, among those of all rollouts of its kind; 0 while it is only
-    /// offered.
+    /// The number of the agreement, among those of all rollouts of its kind; 0 while it is only offered.
     pub agreement: u64,
-    /// The stage, from 1; one more than there are once it is done.
+    /// The stage, from 1; one more than the plan has once it is completed.
     pub stage: u32,
-    /// Thresholds by zone: of the stage before, and of this one. With none for a zone nobody of it
-    /// is in.
-    pub before: BTreeMap<u32, u64>,
-    pub until: BTreeMap<u32, u64>,
-    /// Whether it is the whole fleet, in whatever zone.
-    pub all: bool,
-    /// How many nodes there were when it was agreed on, the most that could be seen.
+    /// Thresholds of the stage before, by zone.
+    pub previous_thresholds: BTreeMap<u32, u64>,
+    /// Thresholds of this stage, by zone; of a zone without one no node is included.
+    pub thresholds: BTreeMap<u32, u64>,
+    /// Whether all nodes are included, in whatever zone.
+    pub whole_cluster: bool,
+    /// How many nodes the cluster was agreed to have.
     pub electorate: u32,
-    /// When, by the Unix clock of who proposed it, in milliseconds.
+    /// When it was proposed, Unix milliseconds of the proposer.
     pub at_ms: u64,
 }
 
-/// Where a node stands in a rollout's order.
+/// What the next progress of a rollout is drawn from.
+#[derive(Clone, Copy, Debug)]
+pub struct NextAgreement<'a> {
+    /// The rollout.
+    pub rollout: RolloutId,
+    /// Its plan.
+    pub plan: &'a Plan,
+    /// The present nodes: key and zone.
+    pub nodes: &'a [(u64, u32)],
+    /// The number that the agreement gets.
+    pub agreement: u64,
+    /// How many nodes the cluster is taken to have.
+    pub electorate: u32,
+}
+
+/// Where a node stands in a rollout's order: low places come first.
 pub fn place(rollout: RolloutId, node: u64) -> u64 {
     splitmix64(node ^ splitmix64(rollout.0))
 }
 
 impl Progress {
-    /// Whether a node is in the stage.
-    pub fn has(&self, rollout: RolloutId, node: u64, zone: u32) -> bool {
+    /// Whether the stage includes a node.
+    pub fn includes(&self, rollout: RolloutId, node: u64, zone: u32) -> bool {
         self.stage > 0
-            && (self.all
+            && (self.whole_cluster
                 || self
-                    .until
+                    .thresholds
                     .get(&zone)
                     .is_some_and(|until| place(rollout, node) <= *until))
     }
 
-    /// How long after it heard of the stage a node begins: those that were in before at once, the
-    /// others one after the other.
+    /// How long after it first saw the stage a node starts: those of the stage before at once, the others
+    /// one after the other.
     pub fn slot(&self, rollout: RolloutId, node: u64, zone: u32, spread: Nanos) -> Nanos {
-        let (at, before) = (place(rollout, node), self.before.get(&zone).copied());
+        let (at, before) = (
+            place(rollout, node),
+            self.previous_thresholds.get(&zone).copied(),
+        );
         if before.is_some_and(|before| at <= before) {
             return 0;
         }
         let from = before.unwrap_or(0);
-        let until = if self.all {
+        let until = if self.whole_cluster {
             u64::MAX
         } else {
-            self.until.get(&zone).copied().unwrap_or(u64::MAX)
+            self.thresholds.get(&zone).copied().unwrap_or(u64::MAX)
         };
         let part = at.saturating_sub(from) as f64 / (until.saturating_sub(from).max(1)) as f64;
         (spread as f64 * part.clamp(0.0, 1.0)) as Nanos
     }
 
-    /// The progress of the next stage among these nodes, by zone, as this agreement.
-    pub fn next(
-        &self,
-        rollout: RolloutId,
-        plan: &Plan,
-        nodes: &[(u64, u32)],
-        agreement: u64,
-        electorate: u32,
-    ) -> Option<Progress> {
-        self.to(self.stage + 1, rollout, plan, nodes, agreement, electorate)
+    /// The progress at the next stage, as this agreement; none past the end of the plan.
+    pub fn next(&self, agreement: &NextAgreement<'_>) -> Option<Progress> {
+        self.at_stage(self.stage + 1, agreement)
     }
 
-    /// The same stage with others in place of those that are gone.
-    pub fn again(
-        &self,
-        rollout: RolloutId,
-        plan: &Plan,
-        nodes: &[(u64, u32)],
-        agreement: u64,
-        electorate: u32,
-    ) -> Option<Progress> {
-        self.to(self.stage, rollout, plan, nodes, agreement, electorate)
+    /// The same stage with other nodes in place of those that are gone.
+    pub fn again(&self, agreement: &NextAgreement<'_>) -> Option<Progress> {
+        self.at_stage(self.stage, agreement)
     }
 
-    fn to(
-        &self,
-        number: u32,
-        rollout: RolloutId,
-        plan: &Plan,
-        nodes: &[(u64, u32)],
-        agreement: u64,
-        electorate: u32,
-    ) -> Option<Progress> {
+    fn at_stage(&self, number: u32, agreement: &NextAgreement<'_>) -> Option<Progress> {
+        let NextAgreement {
+            rollout,
+            plan,
+            nodes,
+            agreement,
+            electorate,
+        } = *agreement;
         if plan.is_beyond(number) {
-            let done = Progress {
+            let completed = Progress {
                 agreement,
                 stage: number,
-                all: true,
+                whole_cluster: true,
                 electorate,
                 ..self.clone()
             };
-            return (number as usize == plan.stages.len() + 1).then_some(done);
+            return (number as usize == plan.stages.len() + 1).then_some(completed);
         }
         let stage = plan.stage(number)?;
         let mut zones: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
@@ -214,29 +242,29 @@
             .iter()
             .for_each(|(node, zone)| zones.entry(*zone).or_default().push(place(rollout, *node)));
         zones.values_mut().for_each(|places| places.sort_unstable());
-        let wanted = match stage.share {
+        let wanted = match stage.share_permille {
             0 => 1,
             share => (nodes.len() * share as usize).div_ceil(1000),
         };
-        let all = stage.share == 1000;
-        let mut until = self.until.clone();
-        if !all {
-            for (zone, count) in Self::spread(rollout, &zones, wanted, plan.of_zone, self) {
+        let whole_cluster = stage.share_permille == 1000;
+        let mut thresholds = self.thresholds.clone();
+        if !whole_cluster {
+            for (zone, count) in Self::spread(rollout, &zones, wanted, plan.max_zone_permille, self)
+            {
                 let Some(last) = count.checked_sub(1).and_then(|at| zones[&zone].get(at)) else {
                     continue;
                 };
-                let threshold = until.entry(zone).or_insert(*last);
+                let threshold = thresholds.entry(zone).or_insert(*last);
                 *threshold = (*threshold).max(*last);
             }
         }
-        let (before, electorate) = (self.until.clone(), electorate.max(1));
         Some(Progress {
             agreement,
             stage: number,
-            before,
-            until,
-            all,
-            electorate,
+            previous_thresholds: self.thresholds.clone(),
+            thresholds,
+            whole_cluster,
+            electorate: electorate.max(1),
             at_ms: 0,
         })
     }
@@ -247,22 +275,22 @@
         rollout: RolloutId,
         zones: &BTreeMap<u32, Vec<u64>>,
         wanted: usize,
-        of_zone: u32,
-        before: &Progress,
+        max_zone_permille: u32,
+        current: &Progress,
     ) -> BTreeMap<u32, usize> {
         let all: usize = zones.values().map(Vec::len).sum();
         let most = |places: usize| match places {
-            places if places <= FEW => 1,
-            places => (places * of_zone as usize / 1000).max(1),
+            places if places <= SMALL_ZONE_NODES => 1,
+            places => (places * max_zone_permille as usize / 1000).max(1),
         };
         let held = |zone: &u32, places: &[u64]| {
-            let threshold = before.until.get(zone).copied();
+            let threshold = current.thresholds.get(zone).copied();
             threshold.map_or(0, |until| {
                 places.iter().filter(|place| **place <= until).count()
             })
         };
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
-        for (zone, places) in zones.iter().take(ZONES_MAX) {
+        for (zone, places) in zones.iter().take(MAX_ZONES) {
             let even = wanted * places.len() / all.max(1);
             counts.insert(*zone, even.min(most(places.len())).max(held(zone, places)));
         }
@@ -297,9 +325,10 @@
     }
 }
 
-/// Times of plans lie within this.
-pub const LEAST_MIN: Nanos = 100 * MILLISECOND;
-pub const LONGEST_MAX: Nanos = 7 * 24 * 3600 * SECOND;
+/// The shortest duration that a plan may set.
+pub const MIN_STAGE_DURATION: Nanos = 100 * MILLISECOND;
+/// The longest duration that a plan may set.
+pub const MAX_STAGE_DURATION: Nanos = 7 * 24 * 3600 * SECOND;
 
 #[cfg(test)]
 mod tests;
