--- a/crates/rollout/src/stages/tests.rs
+++ b/crates/rollout/src/stages/tests.rs
@@ -1,32 +1,63 @@
 use super::*;
 
+/// The next progress with its inputs one after the other.
+trait NextFor {
+    fn next_for(
+        &self,
+        rollout: RolloutId,
+        plan: &Plan,
+        nodes: &[(u64, u32)],
+        agreement: u64,
+        electorate: u32,
+    ) -> Option<Progress>;
+}
+
+impl NextFor for Progress {
+    fn next_for(
+        &self,
+        rollout: RolloutId,
+        plan: &Plan,
+        nodes: &[(u64, u32)],
+        agreement: u64,
+        electorate: u32,
+    ) -> Option<Progress> {
+        self.next(&NextAgreement {
+            rollout,
+            plan,
+            nodes,
+            agreement,
+            electorate,
+        })
+    }
+}
+
 const CHANGE: RolloutId = RolloutId(77);
 
-fn fleet(nodes: u64, zones: u64) -> Vec<(u64, u32)> {
+fn cluster(nodes: u64, zones: u64) -> Vec<(u64, u32)> {
     (0..nodes)
         .map(|n| (splitmix64(n), (n % zones) as u32))
         .collect()
 }
 
-fn of_zone(progress: &Progress, nodes: &[(u64, u32)], zone: u32) -> usize {
+fn max_zone_permille(progress: &Progress, nodes: &[(u64, u32)], zone: u32) -> usize {
     nodes
         .iter()
-        .filter(|(node, of)| *of == zone && progress.has(CHANGE, *node, zone))
+        .filter(|(node, of)| *of == zone && progress.includes(CHANGE, *node, zone))
         .count()
 }
 
-fn plan(shares: &[u32], of_zone: u32) -> Plan {
+fn plan(shares: &[u32], max_zone_permille: u32) -> Plan {
     let stage = Plan::default().stages[0];
     let stages = shares
         .iter()
         .map(|share| Stage {
-            share: *share,
+            share_permille: *share,
             ..stage
         })
         .collect();
     Plan {
         stages,
-        of_zone,
+        max_zone_permille,
         ..Plan::default()
     }
 }
@@ -35,17 +66,17 @@
 fn stages_are_spread_over_zones_and_who_is_in_stays_in() {
     for rollout in 0..50 {
         let rollout = RolloutId(rollout);
-        let (nodes, plan) = (fleet(100, 4), plan(&[0, 50, 200, 500, 1000], 500));
+        let (nodes, plan) = (cluster(100, 4), plan(&[0, 50, 200, 500, 1000], 500));
         let mut progress = Progress::default();
         let mut before: Vec<u64> = Vec::new();
         // Half of each of four zones of 25 is 12.
         for (at, wanted) in [1, 5, 20, 48, 100].into_iter().enumerate() {
             progress = progress
-                .next(rollout, &plan, &nodes, at as u64 + 1, 100)
+                .next_for(rollout, &plan, &nodes, at as u64 + 1, 100)
                 .unwrap();
             let now: Vec<u64> = nodes
                 .iter()
-                .filter(|(n, z)| progress.has(rollout, *n, *z))
+                .filter(|(n, z)| progress.includes(rollout, *n, *z))
                 .map(|(n, _)| *n)
                 .collect();
             assert_eq!(
@@ -61,7 +92,7 @@
                 let by_zone = (0..4).map(|zone| {
                     nodes
                         .iter()
-                        .filter(|(n, z)| *z == zone && progress.has(rollout, *n, *z))
+                        .filter(|(n, z)| *z == zone && progress.includes(rollout, *n, *z))
                         .count()
                 });
                 let by_zone: Vec<usize> = by_zone.collect();
@@ -70,8 +101,10 @@
             }
             before = now;
         }
-        let done = progress.next(rollout, &plan, &nodes, 6, 100).unwrap();
-        assert!(plan.is_beyond(done.stage) && done.next(rollout, &plan, &nodes, 7, 100).is_none());
+        let done = progress.next_for(rollout, &plan, &nodes, 6, 100).unwrap();
+        assert!(
+            plan.is_beyond(done.stage) && done.next_for(rollout, &plan, &nodes, 7, 100).is_none()
+        );
     }
 }
 
@@ -93,29 +126,32 @@
         })
         .collect();
     let progress = Progress::default()
-        .next(CHANGE, &plan(&[900, 1000], 250), &nodes, 1, 17)
+        .next_for(CHANGE, &plan(&[900, 1000], 250), &nodes, 1, 17)
         .unwrap();
-    let counts = [0, 1, 2].map(|zone| of_zone(&progress, &nodes, zone));
+    let counts = [0, 1, 2].map(|zone| max_zone_permille(&progress, &nodes, zone));
     assert_eq!(counts, [3, 1, 1]);
     let last = progress
-        .next(CHANGE, &plan(&[900, 1000], 250), &nodes, 1, 17)
+        .next_for(CHANGE, &plan(&[900, 1000], 250), &nodes, 1, 17)
         .unwrap();
     assert_eq!(
-        [0, 1, 2].map(|zone| of_zone(&last, &nodes, zone)),
+        [0, 1, 2].map(|zone| max_zone_permille(&last, &nodes, zone)),
         [12, 3, 2]
     );
-    assert!(last.has(CHANGE, 999, 7), "and whoever comes, from wherever");
+    assert!(
+        last.includes(CHANGE, 999, 7),
+        "and whoever comes, from wherever"
+    );
 }
 
 #[test]
 fn nodes_that_join_are_in_by_their_place_and_nodes_begin_one_after_the_other() {
-    let nodes = fleet(300, 3);
+    let nodes = cluster(300, 3);
     let plan = plan(&[200, 1000], 500);
     let progress = Progress::default()
-        .next(CHANGE, &plan, &nodes, 1, 300)
+        .next_for(CHANGE, &plan, &nodes, 1, 300)
         .unwrap();
     let joined = (1000..4000u64)
-        .filter(|n| progress.has(CHANGE, splitmix64(*n), 1))
+        .filter(|n| progress.includes(CHANGE, splitmix64(*n), 1))
         .count();
     assert!(
         (450..750).contains(&joined),
@@ -123,7 +159,7 @@
     );
     let mut slots: Vec<Nanos> = nodes
         .iter()
-        .filter(|(node, zone)| progress.has(CHANGE, *node, *zone))
+        .filter(|(node, zone)| progress.includes(CHANGE, *node, *zone))
         .map(|(node, zone)| progress.slot(CHANGE, *node, *zone, 10 * SECOND))
         .collect();
     slots.sort_unstable();
@@ -132,10 +168,10 @@
         slots.windows(2).all(|two| two[1] - two[0] < 3 * SECOND),
         "{slots:?}"
     );
-    let last = progress.next(CHANGE, &plan, &nodes, 1, 300).unwrap();
+    let last = progress.next_for(CHANGE, &plan, &nodes, 1, 300).unwrap();
     let (node, zone) = *nodes
         .iter()
-        .find(|(node, zone)| progress.has(CHANGE, *node, *zone))
+        .find(|(node, zone)| progress.includes(CHANGE, *node, *zone))
         .unwrap();
     assert_eq!(
         last.slot(CHANGE, node, zone, 10 * SECOND),
@@ -146,14 +182,14 @@
 
 #[test]
 fn others_take_the_place_of_nodes_that_are_gone() {
-    let (nodes, plan) = (fleet(30, 3), plan(&[0, 100, 1000], 500));
+    let (nodes, plan) = (cluster(30, 3), plan(&[0, 100, 1000], 500));
     let first = Progress::default()
-        .next(CHANGE, &plan, &nodes, 1, 30)
+        .next_for(CHANGE, &plan, &nodes, 1, 30)
         .unwrap();
     let is_in = |progress: &Progress| -> Vec<(u64, u32)> {
         nodes
             .iter()
-            .filter(|(node, zone)| progress.has(CHANGE, *node, *zone))
+            .filter(|(node, zone)| progress.includes(CHANGE, *node, *zone))
             .copied()
             .collect()
     };
@@ -163,7 +199,15 @@
         .filter(|node| **node != gone)
         .copied()
         .collect();
-    let again = first.again(CHANGE, &plan, &left, 2, 30).unwrap();
+    let again = first
+        .again(&NextAgreement {
+            rollout: CHANGE,
+            plan: &plan,
+            nodes: &left,
+            agreement: 2,
+            electorate: 30,
+        })
+        .unwrap();
     let now = is_in(&again);
     assert_eq!(
         (again.stage, now.len()),
@@ -182,22 +226,26 @@
         (&[0, 500], "the whole fleet"),
     ] {
         assert!(
-            plan(shares, 500).check().unwrap_err().contains(message),
+            plan(shares, 500)
+                .check()
+                .unwrap_err()
+                .to_string()
+                .contains(message),
             "{shares:?}"
         );
     }
     assert!(
         plan(&[1000], 0).check().is_err()
             && Plan {
-                margin: 0,
+                margin_permille: 0,
                 ..Plan::default()
             }
             .check()
             .is_err()
     );
     let stage = Stage {
-        least: 2 * SECOND,
-        longest: SECOND,
+        min_duration: 2 * SECOND,
+        max_duration: SECOND,
         ..Plan::default().stages[4]
     };
     assert!(
@@ -207,6 +255,7 @@
         }
         .check()
         .unwrap_err()
+        .to_string()
         .contains("2 s at least")
     );
 }
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -4,9 +4,13 @@
 
 use crate::canary_analysis::{Comparison, Verdict};
 use crate::cohort_metrics::{CohortPoint, OperationCounts};
-use crate::coordinator::{Coordinator, Member};
-use crate::node_agent::{Host, NodeAgent, NodeReport};
-use crate::rollout::{Outcome, Rollout, Version};
+use crate::coordinator::Coordinator;
+use crate::host::Host;
+use crate::identifiers::Version;
+use crate::member::Member;
+use crate::node_agent::NodeAgent;
+use crate::node_report::NodeReport;
+use crate::rollout::{Outcome, Rollout};
 use crate::stages::{Stage, seconds};
 use std::collections::BTreeMap;
 
@@ -17,164 +21,221 @@
 /// More than this is as good as certain.
 const EVIDENCE: f64 = 1e9;
 
-/// A version.
+/// A version, as it is shown.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct VersionStatus {
+    /// Its number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
+    /// Its hash.
     #[prost(fixed64, tag = "2")]
     pub hash: u64,
 }
 
-/// A rollout.
+/// A rollout, as it is shown.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RolloutStatus {
+    /// Its identifier.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
+    /// What it changes: 0 settings, 1 the program.
     #[prost(uint32, tag = "2")]
     pub kind: u32,
+    /// What it brings.
     #[prost(message, optional, tag = "3")]
     pub version: Option<VersionStatus>,
+    /// What it replaces.
     #[prost(message, optional, tag = "4")]
     pub base: Option<VersionStatus>,
+    /// Its stage, from 1; one more than there are once it is completed.
     #[prost(uint32, tag = "5")]
     pub stage: u32,
+    /// The plan's stages in words.
     #[prost(string, repeated, tag = "6")]
     pub stages: Vec<String>,
+    /// Its outcome in a word.
     #[prost(string, tag = "7")]
     pub outcome: String,
+    /// Why it ended.
     #[prost(string, tag = "8")]
     pub why: String,
+    /// Who ended it.
     #[prost(string, tag = "9")]
     pub by: String,
+    /// When it ended, Unix milliseconds.
     #[prost(uint64, tag = "10")]
     pub ended_ms: u64,
+    /// Who offered it.
     #[prost(string, tag = "11")]
     pub offered_by: String,
+    /// When it was offered, Unix milliseconds.
     #[prost(uint64, tag = "12")]
     pub offered_ms: u64,
+    /// The number of its last agreement.
     #[prost(uint64, tag = "13")]
     pub agreement: u64,
+    /// How many nodes the cluster was agreed to have.
     #[prost(uint32, tag = "14")]
     pub electorate: u32,
 }
 
-/// A node.
+/// A node, as it is shown.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct NodeStatusEntry {
+    /// Its name.
     #[prost(string, tag = "1")]
     pub name: String,
+    /// Its zone.
     #[prost(string, tag = "2")]
     pub zone: String,
+    /// Whether it is alive.
     #[prost(bool, tag = "3")]
-    pub there: bool,
+    pub present: bool,
+    /// Whether the stage includes it.
     #[prost(bool, tag = "4")]
     pub in_stage: bool,
+    /// The version that it runs.
     #[prost(message, optional, tag = "5")]
     pub running: Option<VersionStatus>,
+    /// Since when, Unix milliseconds.
     #[prost(uint64, tag = "6")]
     pub since_ms: u64,
+    /// How it stands to the rollout, in words.
     #[prost(string, tag = "7")]
     pub status: String,
+    /// How often the version crashed there.
     #[prost(uint32, tag = "8")]
     pub crashes: u32,
+    /// Why it rejects the version.
     #[prost(string, tag = "9")]
     pub why: String,
 }
 
-/// One comparison.
+/// A comparison, as it is shown.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ComparisonStatus {
+    /// The operation; empty for the process itself.
     #[prost(string, tag = "1")]
     pub operation: String,
+    /// What is compared.
     #[prost(string, tag = "2")]
     pub what: String,
+    /// The value at the canary nodes.
     #[prost(double, tag = "3")]
     pub new: f64,
+    /// What was expected there by the baseline nodes.
     #[prost(double, tag = "4")]
     pub old: f64,
+    /// By how much the canary does worse.
     #[prost(double, tag = "5")]
     pub harm: f64,
+    /// The standard error of that.
     #[prost(double, tag = "6")]
     pub error: f64,
+    /// Evidence for harm, a likelihood ratio.
     #[prost(double, tag = "7")]
     pub evidence: f64,
     #[prost(double, tag = "8")]
+    /// The harm that still counts as none.
     pub margin: f64,
 }
 
-/// Both cohorts in a window: the old ones first.
+/// Both cohorts in a window: baseline first, then canary.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CohortPointStatus {
+    /// The window's number.
     #[prost(uint64, tag = "1")]
     pub window: u64,
+    /// The stage.
     #[prost(uint32, tag = "2")]
     pub stage: u32,
+    /// Nodes.
     #[prost(uint32, repeated, tag = "3")]
     pub nodes: Vec<u32>,
+    /// Requests that arrived.
     #[prost(uint64, repeated, tag = "4")]
     pub arrived: Vec<u64>,
+    /// Requests that succeeded.
     #[prost(uint64, repeated, tag = "5")]
     pub succeeded: Vec<u64>,
+    /// Requests that were rejected.
     #[prost(uint64, repeated, tag = "6")]
     pub throttled: Vec<u64>,
+    /// Requests that failed.
     #[prost(uint64, repeated, tag = "7")]
     pub errored: Vec<u64>,
+    /// Successes past their latency objective.
     #[prost(uint64, repeated, tag = "8")]
     pub late: Vec<u64>,
+    /// Mean memory in KiB.
     #[prost(float, repeated, tag = "9")]
     pub memory_kb: Vec<f32>,
 }
 
-/// All of it.
+/// All that a status command shows.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StatusSnapshot {
+    /// The node that shows it.
     #[prost(string, tag = "1")]
     pub node: String,
+    /// When, Unix milliseconds.
     #[prost(uint64, tag = "2")]
     pub at_ms: u64,
+    /// What is changed: 0 settings, 1 the program.
     #[prost(uint32, tag = "3")]
     pub kind: u32,
+    /// The version that the node runs.
     #[prost(message, optional, tag = "4")]
     pub running: Option<VersionStatus>,
+    /// Why it runs that, in lines.
     #[prost(string, repeated, tag = "5")]
     pub reasons: Vec<String>,
+    /// The coordinator's name.
     #[prost(string, tag = "6")]
     pub coordinator: String,
-    /// Where the conductor's part in the fleet listens.
+    /// Where the coordinator's part in the cluster listens.
     #[prost(string, tag = "7")]
     pub coordinator_address: String,
-    /// What the conductor waits for, if this is it.
+    /// What the coordinator waits for, if the node is the coordinator.
     #[prost(string, tag = "8")]
     pub waits: String,
+    /// All rollouts, the last agreement first.
     #[prost(message, repeated, tag = "9")]
     pub rollouts: Vec<RolloutStatus>,
+    /// The nodes.
     #[prost(message, repeated, tag = "10")]
     pub nodes: Vec<NodeStatusEntry>,
+    /// How many nodes there are, shown or not.
     #[prost(uint32, tag = "11")]
     pub nodes_in_all: u32,
+    /// The last verdict in words.
     #[prost(string, tag = "12")]
     pub verdict: String,
+    /// Its comparisons.
     #[prost(message, repeated, tag = "13")]
     pub findings: Vec<ComparisonStatus>,
-    /// Invocations at the new and at the old ones in this stage, and how many nodes of each are
-    /// judged by.
+    /// Requests in this stage: canary, baseline.
     #[prost(uint64, repeated, tag = "14")]
     pub sample: Vec<u64>,
+    /// Nodes that were compared: canary, baseline.
     #[prost(uint64, repeated, tag = "15")]
     pub judged: Vec<u64>,
+    /// Both cohorts over time.
     #[prost(message, repeated, tag = "16")]
     pub points: Vec<CohortPointStatus>,
+    /// The span of a window, in milliseconds.
     #[prost(uint64, tag = "17")]
     pub window_ms: u64,
+    /// The node's last promoted version.
     #[prost(message, optional, tag = "18")]
     pub good: Option<VersionStatus>,
 }
 
-/// How nodes and operations are called.
+/// What nodes and operations are called.
 pub trait Names {
     /// A node's name and zone.
     fn node(&self, key: u64) -> Option<(String, String)>;
+    /// An operation's name.
     fn operation(&self, number: u32) -> String;
 }
 
@@ -196,16 +257,16 @@
 }
 
 fn stage(stage: &Stage) -> String {
-    let share = match stage.share {
+    let share = match stage.share_permille {
         0 => "one node".to_owned(),
         1000 => "all".to_owned(),
         share => format!("{} %", f64::from(share) / 10.0),
     };
     format!(
         "{share}, {} to {}, {} invocations",
-        seconds(stage.least),
-        seconds(stage.longest),
-        stage.sample
+        seconds(stage.min_duration),
+        seconds(stage.max_duration),
+        stage.min_requests
     )
 }
 
@@ -270,7 +331,7 @@
 
 /// Points in time, thinned out evenly where there are many, with the last one in any case.
 fn points(coordinator: &Coordinator) -> Vec<CohortPointStatus> {
-    let Some(record) = coordinator.record() else {
+    let Some(record) = coordinator.metrics() else {
         return Vec::new();
     };
     let step = record.history.len().div_ceil(POINTS).max(1);
@@ -315,9 +376,9 @@
                 NodeStatusEntry {
                     name,
                     zone,
-                    there: member.there,
+                    present: member.present,
                     in_stage: current
-                        .is_some_and(|c| c.progress.has(c.id, member.node, member.zone)),
+                        .is_some_and(|c| c.progress.includes(c.id, member.node, member.zone)),
                     running: report.and_then(|report| version(report.running)),
                     since_ms: report.map_or(0, |report| report.since_ms),
                     status: report
@@ -331,14 +392,14 @@
         nodes.sort_by(|a, b| (!a.in_stage, &a.zone, &a.name).cmp(&(!b.in_stage, &b.zone, &b.name)));
         let nodes_in_all = nodes.len() as u32;
         nodes.truncate(NODES);
-        let judgement = coordinator.judgement();
-        let verdict = judgement.map_or_else(String::new, |judged| match &judged.verdict {
+        let analysis = coordinator.analysis();
+        let verdict = analysis.map_or_else(String::new, |judged| match &judged.verdict {
             Verdict::Harm(_) => "harm".to_owned(),
             Verdict::Fine => "fine".to_owned(),
             Verdict::Wait(why) => format!("waits: {why}"),
             Verdict::Unsure(why) => format!("nothing speaks for harm, not sure yet: {why}"),
         });
-        let findings = judgement
+        let findings = analysis
             .iter()
             .flat_map(|judged| &judged.findings)
             .take(FINDINGS);
@@ -365,8 +426,8 @@
             nodes_in_all,
             verdict,
             findings: findings.map(|of| finding(of, names)).collect(),
-            sample: judgement.map_or_else(Vec::new, |judged| judged.sample.to_vec()),
-            judged: judgement.map_or_else(Vec::new, |judged| {
+            sample: analysis.map_or_else(Vec::new, |judged| judged.sample.to_vec()),
+            judged: analysis.map_or_else(Vec::new, |judged| {
                 judged.nodes.iter().map(|n| *n as u64).collect()
             }),
             points: points(coordinator),
@@ -377,7 +438,7 @@
     /// How many that are there run each version, by its number.
     pub fn by_version(&self) -> BTreeMap<u64, usize> {
         let mut all = BTreeMap::new();
-        for node in self.nodes.iter().filter(|node| node.there) {
+        for node in self.nodes.iter().filter(|node| node.present) {
             if let Some(running) = &node.running {
                 *all.entry(running.number).or_default() += 1;
             }
--- a/crates/rollout/src/status/tests.rs
+++ b/crates/rollout/src/status/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::simulation::{Effect, Fleet, Shape};
+use crate::simulation::{Effect, Shape, SimulatedCluster};
 use prost::Message;
 
 struct Plain;
@@ -14,9 +14,9 @@
 
 #[test]
 fn a_status_has_the_stage_the_nodes_and_the_judgement() {
-    let mut fleet = Fleet::new(Shape::new(1, 10));
-    fleet.run(60_000_000_000);
-    fleet.offer(
+    let mut cluster = SimulatedCluster::new(Shape::new(1, 10));
+    cluster.run(60_000_000_000);
+    cluster.offer(
         3,
         2,
         Effect {
@@ -24,15 +24,15 @@
             ..Effect::NONE
         },
     );
-    fleet.run(90_000_000_000);
-    let rollout = fleet.participant(0).unwrap();
-    let members = fleet.members(0);
+    cluster.run(90_000_000_000);
+    let rollout = cluster.participant(0).unwrap();
+    let members = cluster.members(0);
     let all: Vec<(Member, Option<NodeReport>)> = members
         .iter()
         .map(|member| (*member, rollout.coordinator.report(member.node).cloned()))
         .collect();
     let shown = StatusSnapshot::of(
-        fleet.clock(0),
+        cluster.clock(0),
         &rollout.agent,
         &rollout.coordinator,
         &all,
--- a/crates/rollout/src/supervisor_messages.rs
+++ b/crates/rollout/src/supervisor_messages.rs
@@ -3,68 +3,81 @@
 //! over, a saying that is not known is none, so that an old parent and a new program, or the other
 //! way round, understand each other.
 
+use crate::host_error::HostError;
+use crate::identifiers::{RolloutId, Version};
 use crate::persisted_state::{PersistedState, Trial};
 use crate::process_handover::StartInstructions;
-use crate::rollout::{RolloutId, Version};
 use prost::Message;
 
-/// The most bytes of a saying.
-pub const SAYING_MAX: usize = 16 << 10;
+/// The most bytes of a message.
+pub const MAX_MESSAGE_BYTES: usize = 16 << 10;
 
-/// Kinds of sayings.
+/// Kinds of messages.
 pub mod kind {
-    /// From the parent: what the process starts with; with it comes the listening socket.
+    /// From the supervisor: what the process starts with; with it comes the listening socket.
     pub const BEGIN: u32 = 1;
-    /// That it is in charge; that another one takes its place, and it is to leave.
+    /// From the supervisor: the process is in charge.
     pub const IN_CHARGE: u32 = 2;
+    /// From the supervisor: another process takes its place, and it is to leave.
     pub const HAND_OVER: u32 = 3;
-    /// The answer to a question.
+    /// From the supervisor: the answer to a request.
     pub const DONE: u32 = 4;
-    /// From a process: that it serves; what is to be kept; whether a version is here; that one is
-    /// to take its place.
+    /// From a process: it serves.
     pub const READY: u32 = 5;
+    /// From a process: this is to be persisted.
     pub const KEEP: u32 = 6;
+    /// From a process: is this version on the machine?
     pub const CHECK: u32 = 7;
+    /// From a process: this version is to take its place.
     pub const APPLY: u32 = 8;
 }
 
-/// A saying.
+/// A message between a supervisor and its process.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SupervisorMessage {
+    /// One of [`kind`].
     #[prost(uint32, tag = "1")]
     pub kind: u32,
-    /// The number of a question, and of its answer.
+    /// The number of a request, and of its answer.
     #[prost(uint64, tag = "2")]
     pub no: u64,
-    /// What is kept, as it is on the disk.
+    /// The persisted state, as it is on disk.
     #[prost(bytes = "vec", tag = "3")]
     pub persisted: Vec<u8>,
+    /// The number of a version.
     #[prost(uint64, tag = "4")]
     pub number: u64,
+    /// The hash of a version.
     #[prost(fixed64, tag = "5")]
     pub hash: u64,
+    /// Whether a request was rejected.
     #[prost(bool, tag = "6")]
     pub refused: bool,
+    /// Why.
     #[prost(string, tag = "7")]
     pub why: String,
-    /// Of a version that died on trial: how often it was begun, its rollout and itself; tries are 0
-    /// if none did.
+    /// Of a trial that crashed: how often it was begun; 0 if none crashed.
     #[prost(uint32, tag = "8")]
     pub died_tries: u32,
+    /// Of a trial that crashed: its rollout.
     #[prost(fixed64, tag = "9")]
     pub died_change: u64,
+    /// Of a trial that crashed: the number of its version.
     #[prost(uint64, tag = "10")]
     pub died_number: u64,
+    /// Of a trial that crashed: the hash of its version.
     #[prost(fixed64, tag = "11")]
     pub died_hash: u64,
+    /// Whether the disk was empty.
     #[prost(bool, tag = "12")]
     pub fresh: bool,
+    /// Whether another process serves meanwhile.
     #[prost(bool, tag = "13")]
     pub beside: bool,
 }
 
 impl SupervisorMessage {
-    /// One that says nothing but its kind.
+    /// A message with nothing but its kind.
     pub fn plain(kind: u32) -> SupervisorMessage {
         SupervisorMessage {
             kind,
@@ -80,7 +93,7 @@
         }
     }
 
-    /// A question about a version.
+    /// A request about a version.
     pub fn about(kind: u32, no: u64, version: Version) -> SupervisorMessage {
         SupervisorMessage {
             kind,
@@ -91,9 +104,13 @@
         }
     }
 
-    /// An answer.
-    pub fn done(no: u64, result: &Result<(), String>) -> SupervisorMessage {
-        let why = result.as_ref().err().cloned().unwrap_or_default();
+    /// The answer to a request.
+    pub fn done(no: u64, result: &Result<(), HostError>) -> SupervisorMessage {
+        let why = result
+            .as_ref()
+            .err()
+            .map(ToString::to_string)
+            .unwrap_or_default();
         SupervisorMessage {
             kind: kind::DONE,
             no,
@@ -119,7 +136,7 @@
         }
     }
 
-    /// The same, read.
+    /// Reads what a process starts with; none if the message is another one or can't be read.
     pub fn as_begin(&self) -> Option<StartInstructions> {
         let version = Version {
             number: self.died_number,
@@ -148,29 +165,29 @@
     }
 }
 
-/// Bytes that came.
+/// Cuts a stream of bytes into messages.
 #[derive(Debug, Default)]
 pub struct MessageReader {
     bytes: Vec<u8>,
 }
 
-/// The other side says what can't be.
+/// The other side sent what is no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MalformedMessage;
 
 impl MessageReader {
-    /// More came.
+    /// Takes up bytes that came.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole saying, if there is one.
+    /// The next whole message, if there is one.
     pub fn take(&mut self) -> Result<Option<SupervisorMessage>, MalformedMessage> {
         let Some(length) = self.bytes.first_chunk::<4>() else {
             return Ok(None);
         };
         let length = u32::from_le_bytes(*length) as usize;
-        if length > SAYING_MAX {
+        if length > MAX_MESSAGE_BYTES {
             return Err(MalformedMessage);
         }
         let Some(body) = self.bytes.get(4..4 + length) else {
--- a/crates/rollout/src/supervisor_messages/tests.rs
+++ b/crates/rollout/src/supervisor_messages/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::rollout::Kind;
+use crate::identifiers::Kind;
 
 #[test]
 fn sayings_come_in_any_pieces_and_unknown_fields_are_passed_over() {
@@ -17,7 +17,7 @@
         fresh: false,
         beside: true,
     };
-    let failed = Err("it is not here".to_owned());
+    let failed = Err("it is not here".into());
     let all = [
         SupervisorMessage::begin(&begin),
         SupervisorMessage::plain(kind::READY),
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -8,17 +8,16 @@
 #![cfg(not(feature = "later"))]
 
 use madderpoint_rollout::chunks;
-use madderpoint_rollout::messages::{
-    self, CHUNK_BYTES, CommandReply, OperatorCommand, ReceivedMessage, order,
-};
-use madderpoint_rollout::node_agent::{NodeReport, NodeStatus};
+use madderpoint_rollout::chunks::CHUNK_BYTES;
+use madderpoint_rollout::identifiers::{Kind, RolloutId, Version};
+use madderpoint_rollout::messages::{self, CommandReply, OperatorCommand, ReceivedMessage, order};
+use madderpoint_rollout::node_report::{NodeReport, NodeStatus};
 use madderpoint_rollout::operator_commands::{CommandAction, OperatorCommands};
 use madderpoint_rollout::paxos::{Ballot, PaxosReply, PaxosRequest, Proposal, Vote};
 use madderpoint_rollout::persisted_state::{PersistedState, Trial};
 use madderpoint_rollout::process_handover::StartInstructions;
-use madderpoint_rollout::rollout::{
-    Kind, Outcome, Reason, Rollout, RolloutId, RolloutTable, Version,
-};
+use madderpoint_rollout::rollout::{Outcome, Reason, Rollout};
+use madderpoint_rollout::rollout_table::RolloutTable;
 use madderpoint_rollout::stages::{Plan, Progress, Stage, place};
 use madderpoint_rollout::status::{
     CohortPointStatus, ComparisonStatus, NodeStatusEntry, RolloutStatus, StatusSnapshot,
@@ -141,9 +140,9 @@
     Progress {
         agreement: 31,
         stage: 2,
-        before: BTreeMap::from([(7, 0x0102_0304_0506_0708)]),
-        until: BTreeMap::from([(3, 0x1112_1314_1516_1718), (7, u64::MAX)]),
-        all: true,
+        previous_thresholds: BTreeMap::from([(7, 0x0102_0304_0506_0708)]),
+        thresholds: BTreeMap::from([(3, 0x1112_1314_1516_1718), (7, u64::MAX)]),
+        whole_cluster: true,
         electorate: 340,
         at_ms: 1_700_000_000_123,
     }
@@ -151,16 +150,16 @@
 
 fn plan() -> Plan {
     let stage = |share, n: u64| Stage {
-        share,
-        least: (60 + n) * 1_000_000_000,
-        longest: (1800 + n) * 1_000_000_000,
-        sample: 200 + n as u32,
-        spread: (10_000 + n) * 1_000_000,
+        share_permille: share,
+        min_duration: (60 + n) * 1_000_000_000,
+        max_duration: (1800 + n) * 1_000_000_000,
+        min_requests: 200 + n as u32,
+        start_spread: (10_000 + n) * 1_000_000,
     };
     Plan {
         stages: vec![stage(0, 1), stage(250, 2), stage(1000, 3)],
-        of_zone: 400,
-        margin: 21,
+        max_zone_permille: 400,
+        margin_permille: 21,
     }
 }
 
@@ -369,7 +368,7 @@
         .iter()
         .map(|outcome| rollout(Kind::Program, *outcome))
         .collect();
-    let message = messages::rollouts(rollouts.iter(), true);
+    let message = messages::rollout_messages(rollouts.iter(), true);
     let all: Vec<_> = message
         .into_iter()
         .enumerate()
@@ -509,7 +508,7 @@
         fresh,
         beside,
     };
-    let refused = Err("it is not here: é".to_owned());
+    let refused = Err("it is not here: é".into());
     vec![
         named(
             "begin-settings",
@@ -662,7 +661,7 @@
     let node = NodeStatusEntry {
         name: "n3".into(),
         zone: "a".into(),
-        there: true,
+        present: true,
         in_stage: true,
         running: shown_version(6),
         since_ms: 1_700_000_001_111,
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -5,13 +5,13 @@
 //! it knows to be halted; and a last good version is always there. The votes, rounds and words are
 //! the package's.
 
+use madderpoint_rollout::identifiers::{Kind, RolloutId, Version};
 use madderpoint_rollout::paxos::{
     Ballot, PaxosReply, PaxosRequest, PaxosRound, Proposal, RoundStep, Vote, VoterAction,
     last_agreement,
 };
-use madderpoint_rollout::rollout::{
-    Kind, Outcome, Reason, Rollout, RolloutId, RolloutTable, Version,
-};
+use madderpoint_rollout::rollout::{Assignment, Outcome, Reason, Rollout};
+use madderpoint_rollout::rollout_table::RolloutTable;
 use madderpoint_rollout::stages::{Plan, Progress, Stage};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -160,13 +160,13 @@
 impl Small {
     fn rollout(&self, id: u64) -> Rollout {
         let stage = Stage {
-            share: 0,
+            share_permille: 0,
             ..Plan::default().stages[0]
         };
         let stages = vec![
             stage,
             Stage {
-                share: 1000,
+                share_permille: 1000,
                 ..stage
             },
         ];
@@ -204,11 +204,12 @@
                 .filter(|rollout| rollout.progress.agreement > 0);
             over.max_by_key(|rollout| rollout.progress.agreement)
         })?;
-        Some((
-            rollout.outcome,
-            rollout.version.number,
-            rollout.assignment(n as u64 + 1, 0)?,
-        ))
+        let is_new = match rollout.assignment(n as u64 + 1, 0) {
+            Assignment::NewVersion => true,
+            Assignment::BaseVersion => false,
+            Assignment::Unchanged => return None,
+        };
+        Some((rollout.outcome, rollout.version.number, is_new))
     }
 
     fn write(node: &mut Node) {
@@ -303,16 +304,16 @@
                     rollout.progress.stage + 1,
                 );
                 // What is wished for differs by who wishes it: they see other fleets.
-                let until = BTreeMap::from([(0, u64::MAX / 8 * (n as u64 + 4))]);
+                let thresholds = BTreeMap::from([(0, u64::MAX / 8 * (n as u64 + 4))]);
                 let all = rollout
                     .plan
                     .stage(stage)
-                    .is_none_or(|stage| stage.share == 1000);
+                    .is_none_or(|stage| stage.share_permille == 1000);
                 let progress = Progress {
                     agreement,
                     stage,
-                    until,
-                    all,
+                    thresholds,
+                    whole_cluster: all,
                     ..Progress::default()
                 };
                 let ballot = Ballot {
@@ -469,7 +470,7 @@
                 |_: &Small, s: &State| {
                     s.nodes.iter().enumerate().all(|(n, node)| {
                         let mine = |(_, id, progress): &&(u64, RolloutId, Progress)| {
-                            OLD + id.0 == node.running && progress.has(*id, n as u64 + 1, 0)
+                            OLD + id.0 == node.running && progress.includes(*id, n as u64 + 1, 0)
                         };
                         node.running == OLD || s.agreed.iter().any(|of| mine(&of))
                     })
--- a/crates/settings/src/rollout.rs
+++ b/crates/settings/src/rollout.rs
@@ -3,7 +3,7 @@
 use crate::xml::{Element, Text};
 use crate::{Complaint, Place};
 use madderpoint_rollout::Nanos;
-use madderpoint_rollout::stages::{LEAST_MIN, LONGEST_MAX, Plan, Stage};
+use madderpoint_rollout::stages::{MAX_STAGE_DURATION, MIN_STAGE_DURATION, Plan, Stage};
 use madderpoint_rules::time;
 
 const MILLISECOND: Nanos = 1_000_000;
@@ -56,7 +56,7 @@
     fn time(&mut self, of: &Element, name: &str, into: &mut Nanos, least: Nanos) {
         let Some(text) = of.get(name) else { return };
         let time = time::span(&text.value).and_then(|time| Nanos::try_from(time).ok());
-        match time.filter(|time| (least..=LONGEST_MAX).contains(time)) {
+        match time.filter(|time| (least..=MAX_STAGE_DURATION).contains(time)) {
             Some(time) => *into = time,
             None => {
                 let expected = format!("{} ms to 7 days", least / MILLISECOND);
@@ -86,17 +86,27 @@
             );
         }
         let mut stage = Stage {
-            share: share?,
+            share_permille: share?,
             ..*usual
         };
-        self.time(element, "least", &mut stage.least, LEAST_MIN);
-        self.time(element, "longest", &mut stage.longest, LEAST_MIN);
-        self.time(element, "spread", &mut stage.spread, 0);
+        self.time(
+            element,
+            "least",
+            &mut stage.min_duration,
+            MIN_STAGE_DURATION,
+        );
+        self.time(
+            element,
+            "longest",
+            &mut stage.max_duration,
+            MIN_STAGE_DURATION,
+        );
+        self.time(element, "spread", &mut stage.start_spread, 0);
         if let Some(sample) = element
             .get("sample")
             .and_then(|text| text.value.parse().ok())
         {
-            stage.sample = sample;
+            stage.min_requests = sample;
         }
         Some(stage)
     }
@@ -110,8 +120,8 @@
         };
         let mut plan = Plan::default();
         let usual = plan.stages[1];
-        reading.share(element, "of-zone", &mut plan.of_zone);
-        reading.share(element, "margin", &mut plan.margin);
+        reading.share(element, "of-zone", &mut plan.max_zone_permille);
+        reading.share(element, "margin", &mut plan.margin_permille);
         let stages: Vec<Stage> = element
             .all("stage")
             .filter_map(|stage| reading.stage(stage, &usual))
@@ -125,7 +135,7 @@
             reading.complaints.push(Complaint {
                 place,
                 field: "rollout".into(),
-                what,
+                what: what.to_string(),
                 expected,
             });
         }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -450,15 +450,26 @@
         .unwrap()
         .rollout
         .unwrap();
-    let shares: Vec<u32> = read.plan.stages.iter().map(|stage| stage.share).collect();
+    let shares: Vec<u32> = read
+        .plan
+        .stages
+        .iter()
+        .map(|stage| stage.share_permille)
+        .collect();
     assert_eq!(
         (read.dir.as_str(), shares),
         ("/var/lib/m", vec![0, 250, 1000])
     );
     let (first, second) = (&read.plan.stages[0], &read.plan.stages[1]);
-    assert_eq!((first.least, first.sample), (2_000_000_000, 9));
-    assert_eq!((second.longest, second.spread), (3_600_000_000_000, 0));
-    assert_eq!((read.plan.of_zone, read.plan.margin), (300, 10));
+    assert_eq!((first.min_duration, first.min_requests), (2_000_000_000, 9));
+    assert_eq!(
+        (second.max_duration, second.start_spread),
+        (3_600_000_000_000, 0)
+    );
+    assert_eq!(
+        (read.plan.max_zone_permille, read.plan.margin_permille),
+        (300, 10)
+    );
     let usual = plan_of(&rollout("", ""));
     assert_eq!(usual.stages.len(), 5);
 }
