--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -7,6 +7,7 @@
 //! did, [`RolloutLink::wake`] and [`RolloutLink::post`] in turn.
 
 mod host;
+mod status;
 mod version_worker;
 mod window_samples;
 
@@ -19,8 +20,7 @@
 use madderpoint_rollout::messages::{self, CommandReply, OperatorCommand};
 use madderpoint_rollout::node_agent::{InitialState, LocalMetrics, NodeIdentity};
 use madderpoint_rollout::operator_commands::state;
-use madderpoint_rollout::status::{Names, StatusSnapshot};
-use madderpoint_rollout::{Host as _, Kind, Member, NodeReport, Participant, Plan};
+use madderpoint_rollout::{Host as _, Kind, Member, Participant, Plan};
 use madderpoint_shared_state::counts::{
     ClusterCounters, CounterReport, OWN, WINDOW_MS, column, own,
 };
@@ -125,23 +125,6 @@
     handed_over: bool,
 }
 
-/// Names for those who read a status.
-struct ClusterNames<'a, H: MembershipHost> {
-    membership: &'a Membership<H>,
-    operations: &'a [String],
-}
-
-impl<H: MembershipHost> Names for ClusterNames<'_, H> {
-    fn node(&self, key: u64) -> Option<(String, String)> {
-        let entry = self.membership.view().get(MemberKey(key))?;
-        Some((entry.name.to_string(), entry.details.zone.to_string()))
-    }
-    fn operation(&self, row: u32) -> String {
-        let name = self.operations.iter().find(|name| number(name) == row);
-        name.cloned().unwrap_or_else(|| format!("{row:08x}"))
-    }
-}
-
 impl RolloutLink {
     /// Starts the part, and the thread that checks and writes.
     pub fn start(
@@ -390,44 +373,6 @@
         }
     }
 
-    /// All that a status command shows, encoded.
-    pub fn status_snapshot<H: MembershipHost>(
-        &self,
-        at: ClockReading,
-        membership: &Membership<H>,
-    ) -> Vec<u8> {
-        let topic = topic(self.kind);
-        let Participant {
-            agent, coordinator, ..
-        } = &self.participant;
-        let members: Vec<(Member, Option<NodeReport>)> = agent
-            .host
-            .members
-            .iter()
-            .map(|member| {
-                let entry = membership.view().get(MemberKey(member.node));
-                let part = entry.and_then(|e| e.details.parts.iter().find(|part| part.id == topic));
-                (
-                    *member,
-                    part.and_then(|part| messages::decode_attachment(&part.bytes)),
-                )
-            })
-            .collect();
-        let names = ClusterNames {
-            membership,
-            operations: &self.operations,
-        };
-        let mut shown = StatusSnapshot::of(at.unix_ms, agent, coordinator, &members, &names);
-        shown.window_ms = WINDOW_MS;
-        let alone: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
-        let acting_coordinator = coordinator
-            .acting_coordinator(&alone)
-            .and_then(|key| membership.view().get(MemberKey(key)));
-        shown.coordinator_address =
-            acting_coordinator.map_or_else(String::new, |entry| entry.details.address.to_string());
-        shown.encode_to_vec()
-    }
-
     /// Whether another process is being started to take this one's place: nothing else may rollout
     /// then.
     pub fn hands_over(&self) -> bool {
--- a/crates/rollout/src/canary_analysis.rs
+++ b/crates/rollout/src/canary_analysis.rs
@@ -38,7 +38,7 @@
     Harm(Vec<Comparison>),
     /// It does not do worse by the margin, as far as the stated chances go.
     Fine,
-    /// It can't be told yet: why.
+    /// It is too early to say: why.
     Wait(String),
     /// Nothing shows harm, and it can't be ruled out yet: why.
     Unsure(String),
--- a/crates/rollout/src/canary_analysis/comparison.rs
+++ b/crates/rollout/src/canary_analysis/comparison.rs
@@ -67,7 +67,7 @@
 }
 
 impl Comparison {
-    /// In words.
+    /// In a line.
     pub fn line(&self, name: &dyn Fn(u32) -> String) -> String {
         let of = self
             .operation
@@ -96,7 +96,7 @@
     pub windows: f64,
 }
 
-/// One operation by one measure.
+/// One operation by one metric.
 pub(super) fn compare(
     record: &CohortMetrics,
     plan: &Plan,
@@ -153,7 +153,7 @@
     }
 }
 
-/// Memory and descriptors: whether they rise faster than at the old nodes, drawn out over an hour,
+/// Memory and descriptors: whether they rise faster than at the baseline nodes, extrapolated to an hour,
 /// as a share of what there is.
 pub(super) fn rises(record: &CohortMetrics) -> Vec<Comparison> {
     let mut findings = Vec::new();
@@ -207,8 +207,8 @@
     findings
 }
 
-/// CrashCounts and invariants: counts by node and time, of which chance is known. What the others had in
-/// the same time tells how often such a thing happens today; without any, once in a node's day.
+/// Crashes and invariants: counts by node and time, whose chance is known. What the baseline had in the
+/// same time shows how often such a thing happens today; without any, once in a node's day.
 pub(super) fn counts(record: &CohortMetrics, crashes: &CrashCounts) -> Vec<Comparison> {
     let [new_time, old_time] = crashes
         .nodes
@@ -243,7 +243,7 @@
         [sum(Cohort::Canary), sum(Cohort::Baseline)],
         1,
     );
-    // One death may be chance; of two on trial, where the others live, one is not.
+    // One crash may be chance; of two on trial, where the others live, one is not.
     push("deaths on trial", crashes.crashes, 2);
     findings
 }
--- a/crates/rollout/src/canary_analysis/shares.rs
+++ b/crates/rollout/src/canary_analysis/shares.rs
@@ -26,7 +26,7 @@
     variance: f64,
 }
 
-/// The shares of a side's nodes: how far each is from what was to be expected of it.
+/// The shares of a cohort's nodes: how far each is from what was expected of it.
 pub(super) fn shares(
     record: &CohortMetrics,
     cohort: Cohort,
@@ -80,7 +80,7 @@
         .collect()
 }
 
-/// The common share of a side, and what was expected of it.
+/// The common share of a cohort, and what was expected of it.
 pub(super) fn pooled(
     record: &CohortMetrics,
     cohort: Cohort,
@@ -96,6 +96,7 @@
     (all > 0).then(|| (bad as f64 / all as f64, expected / all as f64))
 }
 
+/// The mean; 0 of nothing.
 pub(super) fn mean(values: impl Iterator<Item = f64> + Clone) -> f64 {
     let count = values.clone().count();
     if count == 0 {
@@ -105,10 +106,10 @@
     }
 }
 
-/// Takes out of each share what the node's own past tells: machines differ, and a slow one was slow
-/// before. As much of its distance from its zone is taken as is its own rather than chance (the
-/// best linear prediction by two variances, as CUPED does with one slope for all: here a node with
-/// little past keeps more of its share).
+/// Takes out of each share what the node's own past predicts: machines differ, and a slow one was slow
+/// before. As much of its distance from its zone is taken as is its own rather than chance (the best
+/// linear prediction by two variances, as CUPED does with one slope for all: here a node with little
+/// past keeps more of its share).
 pub(super) fn adjust(new: &mut [NodeShare], old: &mut [NodeShare]) {
     let mut zones: BTreeMap<u32, Vec<Baseline>> = BTreeMap::new();
     for share in new.iter().chain(old.iter()) {
@@ -131,7 +132,7 @@
     let own = (squares - chance).max(0.0) / degrees;
     for share in new.iter_mut().chain(old) {
         if let Some(past) = share.before.filter(|_| zones[&share.zone].len() > 1) {
-            // One that stands far out differs by itself whatever the others do.
+            // One that is far out differs by itself whatever the others do.
             let far = past.value - centre(share.zone);
             let out = 1.0 - past.variance / (far * far).max(1e-12);
             share.value -= (own / (own + past.variance)).max(out) * far;
@@ -139,7 +140,7 @@
     }
 }
 
-/// How much the old nodes differ beyond chance, within their zones. Few of them tell little of
+/// How much the baseline nodes differ beyond chance, within their zones. Few of them show little of
 /// that: two more are taken to differ by half of the margin.
 pub(super) fn spread(old: &[NodeShare], margin: f64) -> f64 {
     let mut zones: BTreeMap<u32, Vec<&NodeShare>> = BTreeMap::new();
@@ -161,7 +162,7 @@
     (((squares - chance).max(0.0) + prior) / (degrees + PRIOR)).sqrt()
 }
 
-/// By how much the new ones are above the old ones, zone by zone, and the variance of that.
+/// By how much the canary is above the baseline, zone by zone, and the variance of that.
 pub(super) fn difference(new: &[NodeShare], old: &[NodeShare], spread: f64) -> Option<(f64, f64)> {
     let mut zones: BTreeMap<u32, (Vec<NodeShare>, Vec<NodeShare>)> = BTreeMap::new();
     new.iter()
--- a/crates/rollout/src/chunks.rs
+++ b/crates/rollout/src/chunks.rs
@@ -1,5 +1,5 @@
-//! A rollout's content in bounded pieces: asked for a few at a time, from whoever has it, and
-//! believed by its hash alone.
+//! A rollout's content in bounded chunks: requested a few at a time, from any node that has it, and
+//! believed by its digest alone.
 
 use crate::identifiers::RolloutId;
 use crate::rollout::Rollout;
@@ -9,10 +9,11 @@
 pub const MAX_CONTENT_BYTES: usize = 512 << 10;
 /// Bytes of a chunk; the last one may be shorter.
 pub const CHUNK_BYTES: usize = 1024;
-/// Pieces asked for at once, and how long they are waited for.
+/// Chunks that are requested at once.
 pub const CHUNKS_PER_REQUEST: u32 = 8;
+/// Requested chunks are waited for this long.
 const CHUNK_TIMEOUT: Nanos = 400 * MILLISECOND;
-/// Whole contents that were not what they should be, before none is asked for any more.
+/// Complete contents with a wrong digest after which the fetch is given up.
 const MAX_CORRUPT_FETCHES: u32 = 3;
 
 /// The SHA-256 of a content.
@@ -22,12 +23,12 @@
     digest
 }
 
-/// How many pieces so many bytes are.
+/// How many chunks a content of this many bytes has.
 pub fn count(bytes: usize) -> u32 {
     bytes.div_ceil(CHUNK_BYTES) as u32
 }
 
-/// A piece of a content.
+/// A chunk of a content.
 pub fn chunk(content: &[u8], no: u32) -> Option<&[u8]> {
     let from = (no as usize).checked_mul(CHUNK_BYTES)?;
     (from < content.len()).then(|| &content[from..content.len().min(from + CHUNK_BYTES)])
@@ -45,7 +46,7 @@
     corrupt_fetches: u32,
 }
 
-/// What has come of a fetch.
+/// How far a fetch has come.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchProgress {
     /// Chunks are missing.
@@ -73,7 +74,7 @@
         })
     }
 
-    /// Pieces to ask for now: the first one, and how many.
+    /// Chunks to request now: the index of the first one, and how many.
     pub fn next_request(&mut self, now: Nanos) -> Option<(u32, u32)> {
         if now < self.asked + CHUNK_TIMEOUT && self.asked > 0 {
             return None;
@@ -88,7 +89,7 @@
         Some((first as u32, run as u32))
     }
 
-    /// A piece came.
+    /// Takes up a chunk; one that does not fit is dropped.
     pub fn insert(&mut self, no: u32, bytes: &[u8]) {
         let from = no as usize * CHUNK_BYTES;
         let fits =
@@ -109,7 +110,7 @@
         }
     }
 
-    /// What there is.
+    /// How far it has come; a complete content is taken out.
     pub fn progress(&mut self) -> FetchProgress {
         if self.have.iter().any(|have| !have) {
             return FetchProgress::Incomplete;
--- a/crates/rollout/src/cohort_metrics.rs
+++ b/crates/rollout/src/cohort_metrics.rs
@@ -1,8 +1,8 @@
-//! What came of the canary and of the baseline nodes over the same time, node by node: the input of
-//! the canary analysis.
+//! What came of the canary and of the baseline nodes over the same time, node by node: the input of the
+//! canary analysis.
 //!
-//! Fed with each node's counts of each window. What a node did before the rollout began is kept
-//! beside: machines differ, and what a slow one did before tells how slow it is.
+//! Fed with each node's counts of each window. What a node did before the rollout began is recorded as
+//! well: machines differ, and its past shows how slow a slow one is by itself.
 
 mod baseline;
 mod counts;
@@ -17,14 +17,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 pub use trend::LinearTrend;
 
-/// Nodes that are kept apart at either end of the rollout's order: those that run the new version first,
-/// and those that run it last. The others are in the common shares only.
+/// Nodes that are kept apart at either end of the rollout's order: those that run the new version
+/// first, and those that run it last. The others are in the common shares only.
 pub const MAX_NODES_EACH_END: usize = 300;
 
 /// Operations that are compared each for itself.
 pub const MAX_OPERATIONS: usize = 16;
 
-/// Windows of both cohorts that are kept for tables and plots.
+/// Windows of both cohorts that are remembered for tables and plots.
 const HISTORY: usize = 720;
 
 /// Bytes that a node takes here with eight operations.
@@ -55,6 +55,39 @@
     settled: u32,
 }
 
+impl NodeHistory {
+    /// The node came over to a cohort: its first window there is mixed, and counts for neither.
+    fn enter(&mut self, cohort: Cohort) {
+        self.cohort = Some(cohort);
+        (self.after, self.windows, self.settled) = (BTreeMap::new(), 0, 0);
+        (self.memory, self.descriptors) = Default::default();
+        self.invariants = 0;
+    }
+
+    /// Takes up invariants; whether the rest of the window counts.
+    fn counts_window(&mut self, sample: &WindowSample, cohort: Cohort) -> bool {
+        self.invariants += sample.invariants;
+        self.settled += 1;
+        !(sample.cold || self.settled < 2 && cohort == Cohort::Canary)
+    }
+
+    fn add_window(
+        &mut self,
+        x: f64,
+        sample: &WindowSample,
+        cells: &OperationCountsList,
+        usual: &BaselineRates,
+    ) {
+        self.windows += 1;
+        for (operation, cell) in cells {
+            let parts = usual.parts(sample.zone, *operation, cell);
+            self.after.entry(*operation).or_default().add(&parts);
+        }
+        self.memory.add(x, sample.memory_kb as f64);
+        self.descriptors.add(x, sample.descriptors as f64);
+    }
+}
+
 /// Both cohorts in one window, for tables and plots.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CohortPoint {
@@ -96,7 +129,7 @@
 }
 
 impl CohortMetrics {
-    /// Of a rollout that begins now.
+    /// The metrics of a rollout that begins now.
     pub fn new(rollout: RolloutId, version: Version, base: Version) -> CohortMetrics {
         CohortMetrics {
             rollout,
@@ -107,14 +140,13 @@
         }
     }
 
-    /// With room for so many nodes at either end.
+    /// Keeps this many nodes apart at either end.
     pub fn with_capacity(mut self, nodes: usize) -> CohortMetrics {
         self.room = nodes.clamp(4, MAX_NODES_EACH_END);
         self
     }
 
-    /// Where what takes less than so long, by operation in tenths of a millisecond, is quick enough
-    /// for any caller.
+    /// Latencies that are fast enough for any client, by operation, in tenths of a millisecond.
     pub fn with_fast_enough(mut self, fast_enough: BTreeMap<u32, u32>) -> CohortMetrics {
         self.fast_enough = fast_enough;
         self
@@ -129,7 +161,7 @@
         Some(of)
     }
 
-    /// The rollout begins: these are the windows before, in which all that counts ran the base.
+    /// The rollout begins: takes up the windows before it, as far as nodes ran the base.
     pub fn begin(&mut self, windows: &[(u64, Vec<WindowSample>)]) {
         let mut pure = |samples: &Vec<WindowSample>| -> Vec<WindowSample> {
             let is_pure = |sample: &&WindowSample| self.ran_base(sample) && !sample.cold;
@@ -174,10 +206,9 @@
         }
     }
 
-    /// Whether a node ran the base for all of a window. The one in which it came back to it has
-    /// what it did before as well, which may be what a version was taken back for: as a past of its
-    /// own it would make a good rollout look like harm, or hide some. To be asked of each window in
-    /// turn.
+    /// Whether a node ran the base for all of a window. The window in which it came back to it also has
+    /// what it did before, which may be what a version was rolled back for: as a past of its own it would
+    /// make a good version look like harm, or hide some. To be asked of each window in turn.
     fn ran_base(&mut self, sample: &WindowSample) -> bool {
         if sample.label != self.base.hash {
             self.elsewhere.insert(sample.node);
@@ -205,7 +236,7 @@
             .collect()
     }
 
-    /// What was not known before is learnt from the old ones beside the new.
+    /// Latencies of operations that were not known before are learnt from baseline nodes.
     fn learn(&mut self, sample: &WindowSample) {
         for (operation, (_, latencies)) in sample.operations.iter().take(MAX_OPERATIONS) {
             if !self.slow_from.contains_key(operation) {
@@ -222,7 +253,7 @@
         }
     }
 
-    /// A stage begins: what comes from here on is what it is judged by.
+    /// A stage begins: what comes from here on is what it is analysed by.
     pub fn stage_begins(&mut self, stage: u32) {
         self.stage = stage;
         for node in self.nodes.values_mut() {
@@ -232,14 +263,14 @@
         }
     }
 
-    /// What nodes did in a window since.
+    /// Takes up what nodes counted in a window since the rollout began.
     pub fn after(&mut self, window: u64, samples: &[WindowSample]) {
         if self.first_window == 0 {
             self.first_window = window;
         }
         let x = (window - self.first_window.min(window)) as f64;
         let new = self.version.hash;
-        // What runs something else tells nothing of this.
+        // Nodes on any other version are left out.
         let with_cohort: Vec<(&WindowSample, Cohort)> = samples
             .iter()
             .filter_map(|sample| match self.ran_base(sample) {
@@ -273,24 +304,11 @@
                 continue;
             };
             if node.cohort != Some(*cohort) {
-                // It came over: its first window is mixed, and says nothing of either side.
-                node.cohort = Some(*cohort);
-                (node.after, node.windows, node.settled) = (BTreeMap::new(), 0, 0);
-                (node.memory, node.descriptors) = Default::default();
-                node.invariants = 0;
-            }
-            node.invariants += sample.invariants;
-            node.settled += 1;
-            if sample.cold || node.settled < 2 && *cohort == Cohort::Canary {
-                continue;
+                node.enter(*cohort);
             }
-            node.windows += 1;
-            for (operation, cell) in cells {
-                let parts = usual.parts(sample.zone, *operation, cell);
-                node.after.entry(*operation).or_default().add(&parts);
+            if node.counts_window(sample, *cohort) {
+                node.add_window(x, sample, cells, &usual);
             }
-            node.memory.add(x, sample.memory_kb as f64);
-            node.descriptors.add(x, sample.descriptors as f64);
         }
         for cohort in 0..2 {
             point.memory_kb[cohort] /= f64::from(point.nodes[cohort].max(1));
@@ -306,14 +324,14 @@
         self.stage
     }
 
-    /// Nodes on a side.
+    /// The nodes of a cohort.
     pub fn cohort(&self, cohort: Cohort) -> impl Iterator<Item = (&u64, &NodeHistory)> {
         self.nodes
             .iter()
             .filter(move |(_, node)| node.cohort == Some(cohort))
     }
 
-    /// Invocations that arrived at a side in this stage.
+    /// Requests that arrived at a cohort in this stage.
     pub fn arrived(&self, cohort: Cohort) -> u64 {
         self.cohort(cohort)
             .flat_map(|(_, node)| node.after.values())
--- a/crates/rollout/src/cohort_metrics/counts.rs
+++ b/crates/rollout/src/cohort_metrics/counts.rs
@@ -30,7 +30,7 @@
         Metric::Slow,
     ];
 
-    /// What harms, and of how much; and how many invocations lie behind it.
+    /// What harms, of how much, and how many requests are behind it.
     pub(super) fn of(self, cell: &OperationCounts) -> ([u64; 2], u64) {
         match self {
             Metric::Errored => ([cell.errored, cell.arrived], cell.arrived),
--- a/crates/rollout/src/cohort_metrics/trend.rs
+++ b/crates/rollout/src/cohort_metrics/trend.rs
@@ -34,9 +34,9 @@
         }
     }
 
-    /// How much it rises with each window, and the variance of that by how far the values lie from
-    /// the line. They are taken to lie off by some `usual` part of the mean, as if four more
-    /// windows had shown that. Nothing of fewer than four.
+    /// How much it rises with each window, and the variance of that by how far the values are from the line.
+    /// They are taken to be off by some `usual` part of the mean, as if four more windows had shown that.
+    /// None of fewer than four.
     pub fn slope(&self, usual: f64) -> Option<(f64, f64)> {
         let n = self.count;
         let spread = self.sum_xx - self.sum_x * self.sum_x / n;
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -13,7 +13,9 @@
 //! `advance.rs`, one function for each rule.
 
 mod advance;
+mod follow;
 mod start;
+mod voting;
 
 use crate::canary_analysis::{AnalysisMethod, AnalysisResult};
 use crate::cohort_metrics::{CohortMetrics, MAX_NODES_EACH_END, WindowSample};
@@ -21,9 +23,7 @@
 use crate::member::Member;
 use crate::messages::ReceivedMessage;
 use crate::node_report::NodeReport;
-use crate::paxos::{
-    Ballot, PaxosReply, PaxosRequest, PaxosRound, Proposal, RoundStep, last_agreement,
-};
+use crate::paxos::{Ballot, PaxosRound, Proposal};
 use crate::rollout::{Outcome, Rollout};
 use crate::rollout_table::RolloutTable;
 use crate::{MILLISECOND, Nanos, SECOND, splitmix64};
@@ -34,8 +34,6 @@
 const POLL_INTERVAL: Nanos = 2 * SECOND;
 /// See [`POLL_INTERVAL`].
 const POLL_INTERVAL_PER_NODE: Nanos = 5 * MILLISECOND;
-/// A round of voting that failed is followed by the next one after this, and up to as much again.
-const ROUND_BACKOFF: Nanos = 500 * MILLISECOND;
 /// The number of nodes that was agreed on counts for this long against seeing fewer.
 const ELECTORATE_LIFETIME: Nanos = 3600 * SECOND;
 
@@ -161,7 +159,7 @@
 }
 
 impl Coordinator {
-    /// The part of this node among these voters.
+    /// The part of this node among these voters, in the order in which they coordinate.
     pub fn new(now: Nanos, me: u64, kind: Kind, voters: Vec<u64>) -> Coordinator {
         Coordinator {
             me,
@@ -190,32 +188,31 @@
         }
     }
 
-    /// Judged in another way, to compare.
+    /// Analysed by another method, to compare.
     pub fn with_method(mut self, method: AnalysisMethod) -> Coordinator {
         self.method = method;
         self
     }
 
-    /// Operations by their names, for reasons that people read.
+    /// Names of operations, for reasons that people read.
     pub fn with_names(mut self, names: BTreeMap<u32, String>) -> Coordinator {
         self.names = names;
         self
     }
 
-    /// Keeps so many nodes apart in its record.
+    /// Keeps this many nodes apart at either end in its metrics.
     pub fn with_capacity(mut self, nodes: usize) -> Coordinator {
         self.room = nodes;
         self
     }
 
-    /// What takes less than so long, by operation in tenths of a millisecond, is quick enough for
-    /// any caller.
+    /// Latencies that are fast enough for any client, by operation, in tenths of a millisecond.
     pub fn with_fast_enough(mut self, fast_enough: BTreeMap<u32, u32>) -> Coordinator {
         self.fast_enough = fast_enough;
         self
     }
 
-    /// The voters are others from here on.
+    /// Replaces the voters.
     pub fn set_voters(&mut self, voters: Vec<u64>) {
         if voters != self.voters {
             self.voters = voters;
@@ -223,39 +220,39 @@
         }
     }
 
-    /// Whether this node keeps a record.
+    /// Whether this node is a voter, and keeps metrics.
     pub fn is_voter(&self) -> bool {
         self.voters.contains(&self.me)
     }
 
-    /// Whether it is its turn: the first of the voters that are there conducts.
+    /// Whether it is this node's turn: the first present voter coordinates.
     pub fn is_coordinating(&self, members: &[Member]) -> bool {
         self.acting_coordinator(members) == Some(self.me)
     }
 
-    /// Who conducts, as far as this node sees.
+    /// The key of the coordinator, as far as this node sees.
     pub fn acting_coordinator(&self, members: &[Member]) -> Option<u64> {
         let is_present =
             |node: u64| node == self.me || members.iter().any(|m| m.node == node && m.present);
         self.voters.iter().copied().find(|node| is_present(*node))
     }
 
-    /// The record of the rollout that is under way, or was last.
+    /// The metrics of the rollout in progress, or of the last one.
     pub fn metrics(&self) -> Option<&CohortMetrics> {
         self.metrics.as_ref()
     }
 
-    /// The last judgement.
+    /// The last analysis.
     pub fn analysis(&self) -> Option<&AnalysisResult> {
         self.analysis.as_ref()
     }
 
-    /// What it waits for, in words.
+    /// What it waits for.
     pub fn line(&self) -> &str {
         &self.line
     }
 
-    /// How a node stood when it was last heard.
+    /// A node's last report.
     pub fn report(&self, node: u64) -> Option<&NodeReport> {
         self.reports.get(&node).map(|received| &received.report)
     }
@@ -264,116 +261,12 @@
         self.poll.wrapping_sub(received.no) <= 1
     }
 
-    /// The next window that is wanted; nothing while no rollout is under way here.
-    pub fn next_wanted_window(&self, rollouts: &RolloutTable) -> Option<u64> {
-        let begun =
-            rollouts.in_progress(self.kind).is_some() && self.metrics.is_some() && self.is_voter();
-        begun.then_some(self.counted)
-    }
-
-    /// What nodes did in a window that is over.
-    pub fn record_window(&mut self, window: u64, samples: &[WindowSample]) {
-        if let Some(metrics) = self.metrics.as_mut().filter(|_| window >= self.counted) {
-            metrics.after(window, samples);
-            self.counted = window + 1;
-        }
-    }
-
-    /// Looks at what is known; if a rollout has begun, what was counted before is asked for.
-    fn follow_rollout(
-        &mut self,
-        now: Nanos,
-        rollouts: &RolloutTable,
-        windows: &mut dyn FnMut() -> Windows,
-    ) {
-        let agreement = last_agreement(rollouts, self.kind);
-        if agreement != self.agreement {
-            (self.agreement, self.since) = (agreement, now);
-            (self.deserted, self.analysis) = (None, None);
-        }
-        let next = rollouts.next(self.kind).map(|rollout| rollout.id);
-        if self.offered.map(|(id, _)| id) != next {
-            self.offered = next.map(|id| (id, now));
-        }
-        let Some(rollout) = rollouts.in_progress(self.kind).filter(|_| self.is_voter()) else {
-            return;
-        };
-        if self
-            .metrics
-            .as_ref()
-            .is_none_or(|metrics| metrics.rollout != rollout.id)
-        {
-            let mut metrics = CohortMetrics::new(rollout.id, rollout.version, rollout.base)
-                .with_capacity(self.room)
-                .with_fast_enough(self.fast_enough.clone());
-            let windows = windows();
-            self.counted = windows
-                .iter()
-                .map(|(window, _)| window + 1)
-                .max()
-                .unwrap_or(self.counted);
-            metrics.begin(&windows);
-            self.metrics = Some(metrics);
-        }
-        if let Some(metrics) = self
-            .metrics
-            .as_mut()
-            .filter(|metrics| metrics.stage() != rollout.progress.stage)
-        {
-            metrics.stage_begins(rollout.progress.stage);
-        }
-    }
-
-    /// A node answered.
+    /// Takes up a node's answer to a poll.
     pub fn handle_report(&mut self, from: u64, no: u32, report: NodeReport) {
         self.reports.insert(from, ReceivedReport { no, report });
     }
 
-    /// A voter answered.
-    pub fn handle_paxos_reply(
-        &mut self,
-        now: Nanos,
-        from: u64,
-        reply: &PaxosReply,
-    ) -> Vec<CoordinatorAction> {
-        let Some(round) = self.round.as_mut().filter(|_| self.voters.contains(&from)) else {
-            return Vec::new();
-        };
-        match round.handle_reply(from, reply) {
-            RoundStep::Wait => Vec::new(),
-            RoundStep::Request(request) => self.request_all_voters(&request),
-            RoundStep::Agreed(proposal) => {
-                self.round = None;
-                vec![CoordinatorAction::Agreed(proposal)]
-            }
-            RoundStep::GiveUp(highest) => {
-                self.highest = self.highest.max(highest);
-                self.give_up(now);
-                Vec::new()
-            }
-        }
-    }
-
-    fn request_all_voters(&self, request: &PaxosRequest) -> Vec<CoordinatorAction> {
-        self.voters
-            .iter()
-            .map(|to| {
-                CoordinatorAction::Send(
-                    *to,
-                    ReceivedMessage::PaxosRequest(self.kind, request.clone()),
-                )
-            })
-            .collect()
-    }
-
-    fn give_up(&mut self, now: Nanos) {
-        self.round = None;
-        // Two who conduct at once must not go on getting into each other's way.
-        let part = splitmix64(self.me ^ now) % ROUND_BACKOFF;
-        self.not_before = now + ROUND_BACKOFF + part;
-    }
-
-    /// Does what is due; to be called some times a second.
+    /// Does what is due; to be called a few times a second.
     pub fn wake(
         &mut self,
         now: Nanos,
@@ -450,21 +343,8 @@
             .collect()
     }
 
-    /// Begins a round of voting on a proposal.
-    fn begin_round(&mut self, now: Nanos, proposal: Proposal) -> Vec<CoordinatorAction> {
-        let ballot = Ballot {
-            round: self.highest.round + 1,
-            by: self.me,
-        };
-        self.highest = ballot;
-        self.line = format!("has stage {} agreed on", proposal.progress.stage);
-        let (round, request) = PaxosRound::begin(now, ballot, proposal, self.voters.len());
-        self.round = Some(round);
-        self.request_all_voters(&request)
-    }
-
-    /// How many the fleet is to be taken for: those that are known, and no fewer than was agreed on
-    /// lately.
+    /// How many nodes the cluster is taken to have: those that are known, and no fewer than were agreed
+    /// on lately.
     fn electorate(&self, now: Nanos, rollouts: &RolloutTable, members: &[Member]) -> u32 {
         let agreed = rollouts
             .head(self.kind)
@@ -472,7 +352,7 @@
         (members.len() as u32).max(agreed.map_or(0, |head| head.progress.electorate))
     }
 
-    /// Reports that came lately about a rollout.
+    /// Reports about a rollout that answer one of the last two polls.
     fn fresh_reports(&self, rollout: RolloutId) -> impl Iterator<Item = (u64, &NodeReport)> {
         let received = self
             .reports
@@ -509,24 +389,6 @@
         }
     }
 
-    /// Rule: more than half of the voters are present, or why the rollout waits.
-    fn check_voters(&self, members: &[Member]) -> Result<(), String> {
-        let is_present = |node: u64| {
-            node == self.me
-                || members
-                    .iter()
-                    .any(|member| member.node == node && member.present)
-        };
-        let voters = self.voters.iter().filter(|node| is_present(**node));
-        let (present, all) = (voters.count(), self.voters.len());
-        if present * 2 <= all {
-            return Err(format!(
-                "{present} of {all} arbiters are there, more than half are needed"
-            ));
-        }
-        Ok(())
-    }
-
     /// How far the nodes of the stage have come, by their last reports.
     pub fn stage_counts(&self, rollout: &Rollout, members: &[Member]) -> StageCounts {
         let is_in = |member: &&Member| {
--- a/crates/rollout/src/coordinator/start.rs
+++ b/crates/rollout/src/coordinator/start.rs
@@ -16,7 +16,7 @@
 const CONTENT_LOST_AFTER: Nanos = 180 * SECOND;
 
 impl Coordinator {
-    /// Rejects a rollout that can't begin any more, for a version as new is in force or under way.
+    /// Rejects a rollout that can't begin any more, for a version as new is in force or in progress.
     pub(super) fn reject_superseded(&self, rollouts: &RolloutTable) -> Option<Step> {
         let ahead = rollouts.in_progress(self.kind).or_else(|| {
             let done = rollouts.iter().filter(|rollout| {
@@ -120,7 +120,7 @@
 
     /// The next step of an offered rollout. The rules, in their order: its version is newer than
     /// what is in force, no node rejects it, quorum, staged at enough nodes, no halted rollout
-    /// stands in its way.
+    /// is in its way.
     pub(super) fn step_before_start(&self, inputs: &StepInputs<'_>, rollout: &Rollout) -> Step {
         if let Some(why) = self.outdated(rollout) {
             return Step::end(rollout, Outcome::Rejected, why);
--- a/crates/rollout/src/host_error.rs
+++ b/crates/rollout/src/host_error.rs
@@ -1,7 +1,7 @@
 //! Why a host could not do what it was asked to.
 
 /// Why a check, a write or a swap of versions failed. Its text becomes part of reasons that are
-/// agreed on, stored and shown, so that it is kept as text whatever the host's own error was.
+/// agreed on, stored and shown, so that it is text whatever the host's own error was.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct HostError(String);
--- a/crates/rollout/src/messages/decode.rs
+++ b/crates/rollout/src/messages/decode.rs
@@ -141,69 +141,64 @@
     }
 }
 
-/// Reads what was told; nothing if it can't be read, is beyond its bounds, or is of a kind that is
-/// not known.
+/// Decodes a message; none if it can't be read, is beyond its bounds, or is of an unknown kind.
 pub fn decode(bytes: &[u8]) -> Option<ReceivedMessage> {
-    let parcel = MessageWire::decode(bytes)
+    let wire = MessageWire::decode(bytes)
         .ok()
         .filter(|_| bytes.len() <= MAX_MESSAGE_BYTES)?;
-    let (no, rollout) = (parcel.no, RolloutId(parcel.rollout));
-    Some(match parcel.kind {
-        1 if parcel.rollouts.len() <= MAX_ROLLOUTS => ReceivedMessage::Rollouts {
+    let (no, rollout) = (wire.no, RolloutId(wire.rollout));
+    Some(match wire.kind {
+        1 if wire.rollouts.len() <= MAX_ROLLOUTS => ReceivedMessage::Rollouts {
             // One that can't be read leaves the others as they are.
-            rollouts: parcel.rollouts.iter().filter_map(decode_rollout).collect(),
-            answer: parcel.answer,
+            rollouts: wire.rollouts.iter().filter_map(decode_rollout).collect(),
+            answer: wire.answer,
         },
         2 => {
-            let outcome = Outcome::from_number(parcel.outcome).unwrap_or(Outcome::RolledBack);
+            let outcome = Outcome::from_number(wire.outcome).unwrap_or(Outcome::RolledBack);
             ReceivedMessage::Poll {
                 no,
                 rollout,
-                stage: parcel.stage,
+                stage: wire.stage,
                 outcome,
             }
         }
         3 => ReceivedMessage::NodeReport {
             no,
-            report: decode_report(&parcel.report?),
+            report: decode_report(&wire.report?),
         },
         4 => ReceivedMessage::ChunkRequest {
             rollout,
             first: no,
-            count: parcel.count,
+            count: wire.count,
         },
-        5 if parcel.bytes.len() <= CHUNK_BYTES => ReceivedMessage::Chunk {
+        5 if wire.bytes.len() <= CHUNK_BYTES => ReceivedMessage::Chunk {
             rollout,
             no,
-            bytes: parcel.bytes,
+            bytes: wire.bytes,
         },
-        6..=10 => return decode_paxos(&parcel),
+        6..=10 => return decode_paxos(&wire),
         _ => return None,
     })
 }
 
-fn decode_paxos(parcel: &MessageWire) -> Option<ReceivedMessage> {
-    let (of, agreement, ballot) = (
-        kind(parcel.of)?,
-        parcel.agreement,
-        decode_ballot(parcel.ballot),
-    );
+fn decode_paxos(wire: &MessageWire) -> Option<ReceivedMessage> {
+    let (of, agreement, ballot) = (kind(wire.of)?, wire.agreement, decode_ballot(wire.ballot));
     // One that is there and can't be read must not be taken for none.
-    let proposal = parcel.proposal.as_ref().map(decode_proposal);
-    Some(match parcel.kind {
+    let proposal = wire.proposal.as_ref().map(decode_proposal);
+    Some(match wire.kind {
         6 => ReceivedMessage::PaxosRequest(of, PaxosRequest::Prepare { agreement, ballot }),
         7 => ReceivedMessage::PaxosRequest(
             of,
             PaxosRequest::Accept {
                 ballot,
                 proposal: proposal??,
-                again: parcel.again,
+                again: wire.again,
             },
         ),
         8 => {
             let accepted = match proposal {
                 None => None,
-                Some(proposal) => Some((decode_ballot(parcel.earlier), proposal?)),
+                Some(proposal) => Some((decode_ballot(wire.earlier), proposal?)),
             };
             ReceivedMessage::PaxosReply(
                 of,
@@ -220,13 +215,13 @@
             PaxosReply::Refused {
                 agreement,
                 ballot,
-                promised: decode_ballot(parcel.earlier),
+                promised: decode_ballot(wire.earlier),
             },
         ),
     })
 }
 
-/// Reads it.
+/// Decodes an attachment.
 pub fn decode_attachment(bytes: &[u8]) -> Option<NodeReport> {
     ReportWire::decode(bytes)
         .ok()
--- a/crates/rollout/src/messages/encode.rs
+++ b/crates/rollout/src/messages/encode.rs
@@ -124,14 +124,14 @@
     }
 }
 
-/// Writes what is told. RolloutTable that don't fit one parcel are told in several: see [`rollouts`].
+/// Encodes a message. Rollouts that don't fit one go into several: see [`rollout_messages`].
 pub fn encode(message: &ReceivedMessage) -> Vec<u8> {
-    let mut parcel = MessageWire::default();
+    let mut wire = MessageWire::default();
     match message {
         ReceivedMessage::Rollouts { rollouts, answer } => {
-            parcel.kind = 1;
-            parcel.rollouts = rollouts.iter().map(encode_rollout).collect();
-            parcel.answer = *answer;
+            wire.kind = 1;
+            wire.rollouts = rollouts.iter().map(encode_rollout).collect();
+            wire.answer = *answer;
         }
         ReceivedMessage::Poll {
             no,
@@ -139,105 +139,107 @@
             stage,
             outcome,
         } => {
-            (parcel.kind, parcel.no, parcel.rollout) = (2, *no, rollout.0);
-            (parcel.stage, parcel.outcome) = (*stage, *outcome as u32);
+            (wire.kind, wire.no, wire.rollout) = (2, *no, rollout.0);
+            (wire.stage, wire.outcome) = (*stage, *outcome as u32);
         }
         ReceivedMessage::NodeReport { no, report } => {
-            (parcel.kind, parcel.no, parcel.report) = (3, *no, Some(encode_report(report)));
+            (wire.kind, wire.no, wire.report) = (3, *no, Some(encode_report(report)));
         }
         ReceivedMessage::ChunkRequest {
             rollout,
             first,
             count,
         } => {
-            (parcel.kind, parcel.rollout, parcel.no, parcel.count) = (4, rollout.0, *first, *count);
+            (wire.kind, wire.rollout, wire.no, wire.count) = (4, rollout.0, *first, *count);
         }
         ReceivedMessage::Chunk { rollout, no, bytes } => {
-            (parcel.kind, parcel.rollout, parcel.no) = (5, rollout.0, *no);
-            parcel.bytes.clone_from(bytes);
+            (wire.kind, wire.rollout, wire.no) = (5, rollout.0, *no);
+            wire.bytes.clone_from(bytes);
         }
         ReceivedMessage::PaxosRequest(kind, request) => {
-            parcel.of = *kind as u32;
-            match request {
-                PaxosRequest::Prepare { agreement, ballot } => {
-                    (parcel.kind, parcel.agreement, parcel.ballot) =
-                        (6, *agreement, encode_ballot(*ballot));
-                }
-                PaxosRequest::Accept {
-                    ballot,
-                    proposal,
-                    again,
-                } => {
-                    (parcel.kind, parcel.ballot, parcel.again) =
-                        (7, encode_ballot(*ballot), *again);
-                    parcel.proposal = Some(encode_proposal(proposal));
-                }
-            }
+            wire.of = *kind as u32;
+            encode_paxos_request(&mut wire, request);
         }
         ReceivedMessage::PaxosReply(kind, reply) => {
-            parcel.of = *kind as u32;
-            match reply {
-                PaxosReply::Promised {
-                    agreement,
-                    ballot,
-                    accepted,
-                } => {
-                    (parcel.kind, parcel.agreement, parcel.ballot) =
-                        (8, *agreement, encode_ballot(*ballot));
-                    if let Some((earlier, proposal)) = accepted {
-                        (parcel.earlier, parcel.proposal) =
-                            (encode_ballot(*earlier), Some(encode_proposal(proposal)));
-                    }
-                }
-                PaxosReply::Accepted { agreement, ballot } => {
-                    (parcel.kind, parcel.agreement, parcel.ballot) =
-                        (9, *agreement, encode_ballot(*ballot));
-                }
-                PaxosReply::Refused {
-                    agreement,
-                    ballot,
-                    promised,
-                } => {
-                    (parcel.kind, parcel.agreement, parcel.ballot) =
-                        (10, *agreement, encode_ballot(*ballot));
-                    parcel.earlier = encode_ballot(*promised);
-                }
+            wire.of = *kind as u32;
+            encode_paxos_reply(&mut wire, reply);
+        }
+    }
+    later(wire.encode_to_vec())
+}
+
+fn encode_paxos_request(wire: &mut MessageWire, request: &PaxosRequest) {
+    match request {
+        PaxosRequest::Prepare { agreement, ballot } => {
+            (wire.kind, wire.agreement, wire.ballot) = (6, *agreement, encode_ballot(*ballot));
+        }
+        PaxosRequest::Accept {
+            ballot,
+            proposal,
+            again,
+        } => {
+            (wire.kind, wire.ballot, wire.again) = (7, encode_ballot(*ballot), *again);
+            wire.proposal = Some(encode_proposal(proposal));
+        }
+    }
+}
+
+fn encode_paxos_reply(wire: &mut MessageWire, reply: &PaxosReply) {
+    match reply {
+        PaxosReply::Promised {
+            agreement,
+            ballot,
+            accepted,
+        } => {
+            (wire.kind, wire.agreement, wire.ballot) = (8, *agreement, encode_ballot(*ballot));
+            if let Some((earlier, proposal)) = accepted {
+                (wire.earlier, wire.proposal) =
+                    (encode_ballot(*earlier), Some(encode_proposal(proposal)));
             }
         }
+        PaxosReply::Accepted { agreement, ballot } => {
+            (wire.kind, wire.agreement, wire.ballot) = (9, *agreement, encode_ballot(*ballot));
+        }
+        PaxosReply::Refused {
+            agreement,
+            ballot,
+            promised,
+        } => {
+            (wire.kind, wire.agreement, wire.ballot) = (10, *agreement, encode_ballot(*ballot));
+            wire.earlier = encode_ballot(*promised);
+        }
     }
-    later(parcel.encode_to_vec())
 }
 
-/// Words about rollouts, in as many parcels as they need; the last one asks for an answer, if one is
-/// wanted.
+/// Rollouts in as many messages as they need; the last one asks for an answer, if one is wanted.
 pub fn rollout_messages<'c>(
     all: impl Iterator<Item = &'c Rollout>,
     answer: bool,
 ) -> Vec<ReceivedMessage> {
-    let mut parcels: Vec<Vec<Rollout>> = vec![Vec::new()];
+    let mut messages: Vec<Vec<Rollout>> = vec![Vec::new()];
     let mut size = 0;
     for rollout in all {
         let more = encode_rollout(rollout).encoded_len() + 4;
         if size + more > MAX_MESSAGE_BYTES - 16 {
-            parcels.push(Vec::new());
+            messages.push(Vec::new());
             size = 0;
         }
         size += more;
-        if let Some(last) = parcels.last_mut() {
+        if let Some(last) = messages.last_mut() {
             last.push(rollout.clone());
         }
     }
-    let last = parcels.len() - 1;
+    let last = messages.len() - 1;
     let message = |(at, rollouts)| ReceivedMessage::Rollouts {
         rollouts,
         answer: answer && at == last,
     };
-    parcels.into_iter().enumerate().map(message).collect()
+    messages.into_iter().enumerate().map(message).collect()
 }
 
-/// What a node hangs on its entry: its report.
+/// What a node attaches to its membership entry: its report without the reason.
 pub fn encode_attachment(report: &NodeReport) -> Vec<u8> {
-    // Why is told to those who ask: an entry has little room.
+    // The reason is sent to those that poll: an entry has little room.
     later(
         encode_report(&NodeReport {
             why: String::new(),
--- a/crates/rollout/src/messages/tests.rs
+++ b/crates/rollout/src/messages/tests.rs
@@ -191,13 +191,13 @@
 /// taken for safe.
 #[test]
 fn a_later_version_is_read_as_far_as_it_is_known() {
-    let mut parcel = MessageWire {
+    let mut wire = MessageWire {
         kind: 1,
         rollouts: vec![encode_rollout(&rollout(1, 2))],
         ..MessageWire::default()
     };
-    parcel.rollouts[0].outcome = 9;
-    let mut bytes = parcel.encode_to_vec();
+    wire.rollouts[0].outcome = 9;
+    let mut bytes = wire.encode_to_vec();
     bytes.extend([0xfa, 0x01, 0x01, b'x']); // a field 31
     let Some(ReceivedMessage::Rollouts { rollouts, .. }) = decode(&bytes) else {
         panic!("changes")
@@ -213,11 +213,11 @@
         ),
         None
     );
-    parcel.rollouts.push(RolloutWire {
+    wire.rollouts.push(RolloutWire {
         kind: 7,
-        ..parcel.rollouts[0].clone()
+        ..wire.rollouts[0].clone()
     });
-    let Some(ReceivedMessage::Rollouts { rollouts, .. }) = decode(&parcel.encode_to_vec()) else {
+    let Some(ReceivedMessage::Rollouts { rollouts, .. }) = decode(&wire.encode_to_vec()) else {
         panic!("changes")
     };
     assert_eq!(
--- a/crates/rollout/src/messages/wire.rs
+++ b/crates/rollout/src/messages/wire.rs
@@ -43,7 +43,8 @@
     pub(super) stage: u32,
     #[prost(fixed32, repeated, tag = "2")]
     pub(super) zones: Vec<u32>,
-    /// By zone: before, and until; a zone with none before has 0, and nobody stands there but by a
+    /// Thresholds by zone, of the stage before and of this one; a zone with none before has 0, and a
+    /// node's place is that only by a
     /// chance of 2^-64.
     #[prost(fixed64, repeated, tag = "3")]
     pub(super) previous_thresholds: Vec<u64>,
--- a/crates/rollout/src/node_agent.rs
+++ b/crates/rollout/src/node_agent.rs
@@ -119,7 +119,7 @@
 
 /// A node's own part in rollouts of one kind.
 pub struct NodeAgent<H: Host> {
-    /// Whoever embeds it.
+    /// The embedder.
     pub host: H,
     /// What its rollouts change.
     kind: Kind,
@@ -171,7 +171,7 @@
     local_before: LocalMetrics,
     /// Local totals when the trial began.
     local_at_trial_start: Option<LocalMetrics>,
-    /// Local totals as last told.
+    /// The last local totals.
     local_latest: LocalMetrics,
 }
 
@@ -258,8 +258,8 @@
         self.proceed(now);
     }
 
-    /// The node ends, by notice: what is on trial did not die. Gives what is to be written before
-    /// the process ends.
+    /// The node ends by notice: what is on trial did not crash. Gives what is to be written before the
+    /// process ends.
     pub fn leave(&mut self) -> PersistedState {
         self.persisted.trial = None;
         self.persisted.clone()
@@ -270,7 +270,7 @@
         &self.rollouts
     }
 
-    /// What it has a part in changing.
+    /// What its rollouts change.
     pub fn kind(&self) -> Kind {
         self.kind
     }
@@ -280,22 +280,22 @@
         self.me
     }
 
-    /// Whether another version is taking force at this moment.
+    /// Whether another version is being applied at this moment.
     pub fn is_applying(&self) -> bool {
         matches!(self.pending, PendingOperation::Apply { .. })
     }
 
-    /// What it says of itself.
+    /// The node's last report.
     pub fn report(&self) -> &NodeReport {
         &self.report
     }
 
-    /// What it runs.
+    /// The version that it runs.
     pub fn running(&self) -> Version {
         self.running
     }
 
-    /// What is on the disk, or will be.
+    /// What is on disk, or will be once the pending write has ended.
     pub fn persisted_state(&self) -> &PersistedState {
         &self.persisted
     }
@@ -305,12 +305,12 @@
         self.contents.get(&version).map(Vec::as_slice)
     }
 
-    /// Why a version was turned down here.
+    /// Why a version was rejected here.
     pub fn rejection_reason(&self, version: Version) -> Option<&str> {
         self.rejected.get(&version).map(String::as_str)
     }
 
-    /// Does what is due; to be called some times a second.
+    /// Does what is due; to be called a few times a second.
     pub fn wake(&mut self, now: Nanos, unix_ms: u64) {
         let late = |since: Nanos| now > since + OPERATION_TIMEOUT;
         match &self.pending {
@@ -344,7 +344,7 @@
         self.proceed(now);
     }
 
-    /// Looks at what is to be done next, and does it.
+    /// Finds what is to be done next, and does it.
     fn proceed(&mut self, now: Nanos) {
         self.detect_lost_votes(now);
         if self.pending == PendingOperation::Nothing {
--- a/crates/rollout/src/node_agent/explain.rs
+++ b/crates/rollout/src/node_agent/explain.rs
@@ -9,7 +9,7 @@
 use crate::stages::seconds;
 
 impl<H: Host> NodeAgent<H> {
-    /// How it stands to a rollout.
+    /// The node's status in a rollout.
     fn node_status(&self, rollout: &Rollout) -> NodeStatus {
         let version = rollout.version;
         let trial = self
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Why the node runs what it runs, in words.
+    /// Why the node runs what it runs, in lines.
     pub fn explain(&self, unix_ms: u64) -> Vec<String> {
         let ago = |since: u64| seconds(unix_ms.saturating_sub(since) * MILLISECOND);
         let mut lines = vec![format!(
--- a/crates/rollout/src/node_agent/local_metrics.rs
+++ b/crates/rollout/src/node_agent/local_metrics.rs
@@ -1,4 +1,4 @@
-//! The node's own look at a version on trial: what is plainly bad here is rolled back without asking
+//! The node's own check of a version on trial: what is plainly bad here is rolled back without asking
 //! anybody.
 
 use super::NodeAgent;
@@ -26,15 +26,14 @@
 }
 
 impl<H: Host> NodeAgent<H> {
-    /// What the node itself came to so far: a version that is plainly bad is taken back without
-    /// asking anybody.
+    /// Takes up the node's totals so far: a version that is plainly bad is rolled back without asking anybody.
     pub fn record_local_metrics(&mut self, now: Nanos, unix_ms: u64, own: LocalMetrics) {
         let Some(trial) = self
             .persisted
             .trial
             .filter(|trial| trial.version == self.running)
         else {
-            // The last two words before a trial are what it is compared with.
+            // A trial is compared with the time between the last two totals before it.
             (self.local_before, self.local_at_trial_start) = (
                 LocalMetrics {
                     ..self.local_latest
--- a/crates/rollout/src/node_agent/messaging.rs
+++ b/crates/rollout/src/node_agent/messaging.rs
@@ -1,5 +1,5 @@
-//! What other nodes and operators tell this node: offers, copies of rollouts, polls, requests for
-//! chunks; and the spreading of what is new.
+//! What other nodes and operators send: offers, copies of rollouts, polls, requests for chunks; and the
+//! spreading of what is new.
 
 use super::NodeAgent;
 use crate::Nanos;
@@ -23,7 +23,7 @@
         self.learn(now, &rollout);
     }
 
-    /// Somebody here moves a rollout towards safety: an operator, or a look at its figures.
+    /// Moves a rollout towards safety, for an operator or by figures of this node; whether it moved.
     pub fn end(
         &mut self,
         now: Nanos,
@@ -44,7 +44,7 @@
         ends
     }
 
-    /// The voters agreed that a rollout has come so far.
+    /// Takes up progress that the voters agreed on; whether it was new.
     pub fn advance(&mut self, now: Nanos, id: RolloutId, progress: &Progress) -> bool {
         let advances = self.rollouts.advance(id, progress);
         if advances {
@@ -61,6 +61,7 @@
         advances
     }
 
+    /// Takes up a copy of a rollout, and spreads what is new in it.
     fn learn(&mut self, now: Nanos, received: &Rollout) -> bool {
         if received.kind != self.kind {
             return false;
@@ -100,6 +101,7 @@
         true
     }
 
+    /// Sends all known rollouts to some peers.
     fn announce(&mut self) {
         for to in self.host.random_peers(ANNOUNCE_FANOUT) {
             self.send_rollouts(to, false);
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Something was told.
+    /// Takes up a message.
     pub fn handle_message(&mut self, now: Nanos, from: u64, message: ReceivedMessage) {
         match message {
             ReceivedMessage::Rollouts { rollouts, answer } => {
@@ -193,7 +195,7 @@
         }
     }
 
-    /// The report, on this rollout.
+    /// The node's report on this rollout.
     fn report_on(&self, rollout: RolloutId) -> NodeReport {
         NodeReport {
             rollout,
--- a/crates/rollout/src/node_agent/persistence.rs
+++ b/crates/rollout/src/node_agent/persistence.rs
@@ -44,7 +44,7 @@
         }
         match (then, result) {
             (Continuation::Nothing, Ok(())) => {}
-            (Continuation::Nothing, Err(_)) if was_unwritten => {} // told before
+            (Continuation::Nothing, Err(_)) if was_unwritten => {} // logged before
             (Continuation::Nothing, Err(why)) => self
                 .host
                 .log(&format!("what is in force could not be written: {why}")),
--- a/crates/rollout/src/node_agent/staging.rs
+++ b/crates/rollout/src/node_agent/staging.rs
@@ -10,8 +10,8 @@
 use crate::rollout::Rollout;
 
 impl<H: Host> NodeAgent<H> {
-    /// What may be begun later is fetched and checked: what is missing here, then what is under
-    /// way, then what goes next.
+    /// Fetches and checks what may begin later: what is missing here, then what is in progress, then what
+    /// begins next.
     pub(super) fn stage_next(&mut self, now: Nanos) {
         let in_progress = self.rollouts.in_progress(self.kind);
         let all = [
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Fetches, checks and writes a rollout's content.
+    /// Fetches a rollout's content, chunk by chunk, and then has it checked.
     fn fetch_and_check(&mut self, now: Nanos, rollout: &Rollout) {
         let has = self.contents.contains_key(&rollout.version);
         if rollout.kind == Kind::Settings && !has {
@@ -59,7 +59,7 @@
                 }
                 FetchProgress::Corrupt { given_up: false } | FetchProgress::Incomplete => {
                     if let Some((first, count)) = fetch.next_request(now) {
-                        // Whoever offered it has it; others may.
+                        // The node that offered it has it; others may.
                         let mut to = self.host.random_peers(1);
                         to.push(rollout.by);
                         to.dedup();
@@ -86,6 +86,7 @@
         self.host.check(rollout.id, rollout.version, content);
     }
 
+    /// The node does not run this version, and reports why.
     pub(super) fn reject(&mut self, rollout: &Rollout, why: &str) {
         self.host
             .log(&format!("change {}: turned down here, {why}", rollout.id));
@@ -94,7 +95,7 @@
         self.fetch = None;
     }
 
-    /// A check was carried out.
+    /// The host checked what [`Host::check`] asked for.
     pub fn check_finished(&mut self, now: Nanos, id: RolloutId, result: Result<(), HostError>) {
         if !matches!(self.pending, PendingOperation::Check { rollout, .. } if rollout == id) {
             return; // asked for again meanwhile
@@ -117,7 +118,7 @@
         self.proceed(now);
     }
 
-    /// Contents of versions that are neither kept nor offered make room.
+    /// Drops contents of versions that are neither needed nor offered.
     pub(super) fn forget_contents(&mut self) {
         let needed: Vec<Version> = self.persisted.needed().collect();
         let open = |version: &Version| {
--- a/crates/rollout/src/node_agent/trial.rs
+++ b/crates/rollout/src/node_agent/trial.rs
@@ -10,8 +10,7 @@
 use crate::rollout::{Outcome, Rollout};
 
 impl<H: Host> NodeAgent<H> {
-    /// A version's turn has come here: in its slot it is written down as on trial, and then takes
-    /// force.
+    /// A version's stage has come here: in the node's slot the trial is written to disk, and then applied.
     pub(super) fn start_trial(&mut self, now: Nanos, rollout: &Rollout) {
         let stage = rollout.progress.stage;
         let first_seen = match self.stage_first_seen {
@@ -48,7 +47,7 @@
         self.persist(now, Continuation::Apply(rollout.version), None);
     }
 
-    /// A version runs now, or can't be run.
+    /// The host runs what [`Host::apply`] asked for, or can't.
     pub fn apply_finished(
         &mut self,
         now: Nanos,
@@ -101,6 +100,7 @@
         self.proceed(now);
     }
 
+    /// The rollout was completed: the version is the one to start on.
     pub(super) fn promote(&mut self, now: Nanos, version: Version) {
         if self.persisted.good != Some(version) || self.persisted.trial.is_some() {
             self.persisted.promote(version);
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Back to the last good version; of one that was found good and is taken back later, to the
-    /// one before.
+    /// Back to the last promoted version; of one that was promoted and is rolled back later, to the one
+    /// before.
     pub(super) fn roll_back(&mut self, now: Nanos, version: Version, base: Version) {
         self.persisted.trial = None;
         self.persisted
--- a/crates/rollout/src/node_agent/voting.rs
+++ b/crates/rollout/src/node_agent/voting.rs
@@ -11,10 +11,9 @@
 const VOTE_LOSS_PERIOD: Nanos = 600 * SECOND;
 
 impl<H: Host> NodeAgent<H> {
-    /// A voter that starts without anything on its disk, in a fleet that has agreed on things,
-    /// may have lost its votes: it takes part again after two more agreements, when nothing that it
-    /// can have voted on is open; or after so long that whoever can have counted its vote has long
-    /// brought that to its end.
+    /// A voter that starts with an empty disk, in a cluster that has agreed on things, may have lost its
+    /// vote. It abstains for two agreements, after which nothing that it can have voted on is open; or for
+    /// [`VOTE_LOSS_PERIOD`], by which time any round that counted its vote has long ended.
     pub(super) fn detect_lost_votes(&mut self, now: Nanos) {
         let known = last_agreement(&self.rollouts, self.kind);
         let Some(empty_disk_since) = self.empty_disk_since.filter(|_| known > 0) else {
@@ -26,7 +25,7 @@
         }
     }
 
-    /// What is asked of a voter: its vote is written before it is told.
+    /// Answers what the coordinator asked: the vote is on disk before the reply goes out.
     pub(super) fn answer_voter_request(&mut self, now: Nanos) {
         let Some((from, request)) = self.voter_request.take() else {
             return;
--- a/crates/rollout/src/operator_commands.rs
+++ b/crates/rollout/src/operator_commands.rs
@@ -1,7 +1,7 @@
-//! What operators order of a node: a content in pieces, which may come in any order and more than
-//! once; that it is offered to the fleet, once the node itself has looked into it; that a rollout is
-//! halted or taken back. The same order may come again, for its answer may have been lost: it is
-//! answered as before and has no second effect.
+//! Operators' commands to one node: a content in chunks, which may come in any order and more than once;
+//! to offer it to the cluster, once the node itself has checked it; to halt a rollout or roll it back.
+//! A command may come again, for its reply may have been lost: it is replied to as before and has no
+//! second effect.
 
 use crate::chunks::CHUNK_BYTES;
 use crate::chunks::{self, MAX_CONTENT_BYTES};
@@ -14,12 +14,12 @@
 use crate::{Nanos, SECOND, splitmix64};
 use std::collections::VecDeque;
 
-/// A content whose pieces stopped coming makes room for another after this.
+/// A content whose chunks stopped coming makes room for another after this.
 const INCOMING_IDLE_TIMEOUT: Nanos = 10 * SECOND;
-/// Offers whose answers are remembered.
+/// Offers whose replies are remembered.
 const REMEMBERED_OFFERS: usize = 8;
 
-/// What became of an order.
+/// What became of a command.
 pub mod state {
     /// Done.
     pub const TAKEN: u32 = 0;
@@ -41,7 +41,7 @@
     answer(state::REFUSED, why, 0)
 }
 
-/// A content that comes in pieces.
+/// A content that comes in chunks.
 #[derive(Clone, Debug)]
 struct Incoming {
     digest: [u8; 32],
@@ -50,7 +50,7 @@
     since: Nanos,
 }
 
-/// What an offer is told apart by: the digest of a content, or a program's version.
+/// What identifies an offer: the digest of a content, or a program's version.
 type OfferKey = ([u8; 32], Version);
 
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
     Answered(CommandReply),
 }
 
-/// What is to be done about an order.
+/// What is to be done about a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandAction {
     /// The operator gets this reply.
@@ -84,7 +84,7 @@
     },
 }
 
-/// OperatorCommands to one node, about rollouts of one kind.
+/// Commands to one node, about rollouts of one kind.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorCommands {
     incoming: Option<Incoming>,
@@ -92,11 +92,11 @@
     check_count: u64,
 }
 
-/// A look into a content that was not answered for so long may be asked for again.
+/// A check that was not answered within this may be asked for again.
 const CHECK_TIMEOUT: Nanos = 20 * SECOND;
 
 impl OperatorCommands {
-    /// An order came.
+    /// Takes up a command.
     pub fn handle(
         &mut self,
         now: Nanos,
@@ -240,7 +240,7 @@
         }
     }
 
-    /// The node looked into an offer; gives the rollout to be offered to the fleet, if it is one.
+    /// The host has checked an offer; gives the rollout to be offered to the cluster, if it is one.
     pub fn offer_checked(
         &mut self,
         no: u64,
--- a/crates/rollout/src/participant.rs
+++ b/crates/rollout/src/participant.rs
@@ -1,5 +1,5 @@
-//! All of a node's part in rollouts of one kind: its own, and if it is a voter its votes, the
-//! record and the conducting.
+//! All of a node's part in rollouts of one kind: its own agent, and if it is a voter its votes, the
+//! metrics and the coordination.
 
 use crate::coordinator::{Coordinator, CoordinatorAction};
 use crate::host::Host;
@@ -14,11 +14,11 @@
 use crate::stages::Plan;
 use crate::{Nanos, SECOND};
 
-/// A window is looked at so long after its end: nodes tell their counts each five seconds, and
-/// words are on their way.
+/// A window is taken up this long after its end, in milliseconds: nodes send their counts every five
+/// seconds, and messages take a moment.
 const COUNTER_REPORT_DELAY_MS: u64 = 6000;
 
-/// The part.
+/// A node's part in rollouts of one kind.
 pub struct Participant<H: Host> {
     /// The node's own part.
     pub agent: NodeAgent<H>,
@@ -34,8 +34,8 @@
 }
 
 impl<H: Host> Participant<H> {
-    /// Of a node that has just started, among these voters, in a fleet that counts in windows of
-    /// so many milliseconds.
+    /// Of a node that has just started, among these voters, in a cluster that counts in windows of
+    /// `window_ms`.
     pub fn new(
         now: Nanos,
         unix_ms: u64,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Something was told.
+    /// Takes up a message.
     pub fn handle_message(
         &mut self,
         now: Nanos,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Does what is due; to be called some times a second.
+    /// Does what is due; to be called a few times a second.
     pub fn wake(&mut self, now: Nanos, unix_ms: u64) {
         self.agent.wake(now, unix_ms);
         if !self.coordinator.is_voter() {
@@ -85,7 +85,7 @@
         if now >= self.last_window_check + SECOND {
             self.last_window_check = now;
             let wanted = self.coordinator.next_wanted_window(self.agent.rollouts());
-            // The latest window that is over, and of which words have come.
+            // The latest window that has ended and of which counts have come.
             let over =
                 (unix_ms.saturating_sub(COUNTER_REPORT_DELAY_MS) / self.window_ms).checked_sub(1);
             if let (Some(from), Some(over)) = (wanted, over)
@@ -130,12 +130,12 @@
         }
     }
 
-    /// Offers a rollout here, whose content was checked.
+    /// Offers a rollout here whose content was checked.
     pub fn offer(&mut self, now: Nanos, rollout: Rollout, content: Option<Vec<u8>>) {
         self.agent.offer(now, rollout, content);
     }
 
-    /// An operator halts a rollout, or takes it back.
+    /// An operator halts a rollout or rolls it back; whether its outcome moved.
     pub fn end(
         &mut self,
         now: Nanos,
@@ -147,7 +147,7 @@
         self.agent.end(now, unix_ms, id, outcome, why)
     }
 
-    /// An operator orders something; gives what became of it.
+    /// Takes up an operator's command; gives the reply.
     pub fn handle_command(
         &mut self,
         now: Nanos,
@@ -183,7 +183,7 @@
         }
     }
 
-    /// The node looked into an offer, and found which version it is, or why it can't be run.
+    /// The host has checked an offer: which version it is, or why it can't be run.
     pub fn offer_checked(
         &mut self,
         now: Nanos,
@@ -205,7 +205,7 @@
         }
     }
 
-    /// What the node itself came to.
+    /// Takes up the node's own totals.
     pub fn record_local_metrics(&mut self, now: Nanos, unix_ms: u64, own: LocalMetrics) {
         self.agent.record_local_metrics(now, unix_ms, own);
     }
--- a/crates/rollout/src/paxos.rs
+++ b/crates/rollout/src/paxos.rs
@@ -1,12 +1,11 @@
-//! How the voters agree on what comes next: single decrees, one after the other, by majority
-//! (Paxos as Lamport has it in "Paxos Made Simple"). Each agreement has a number; the next one is
-//! voted on by voters that know all before it. So there is at most one agreement of a number,
-//! whoever conducts, however many at once, and of two halves at most one goes on.
+//! How the voters agree on what comes next: single decrees, one after the other, by majority (Paxos
+//! as in Lamport, "Paxos Made Simple"). Each agreement has a number; the next one is voted on by
+//! voters that know all before it. So there is at most one agreement of a number, however many
+//! coordinators there are at once, and of the two sides of a split at most one goes on.
 //!
-//! A voter's vote is on its disk before it is told. What it takes part in is bounded by what it
-//! knows: it starts nothing for a rollout that it knows to be halted. A value that may have been
-//! agreed on already is carried through even so, for the numbers have no holes; as the rollout is
-//! halted nobody begins anything by it.
+//! A vote is on the voter's disk before it is sent. A voter starts nothing for a rollout that it
+//! knows to be halted. A value that may have been agreed on already is carried through even so, for
+//! the numbers have no holes; as the rollout is halted no node begins anything by it.
 
 use crate::identifiers::{Kind, RolloutId};
 use crate::rollout::Outcome;
@@ -15,10 +14,10 @@
 use crate::{Nanos, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A round that came to nothing in this time is given up.
+/// A round that did not succeed within this is given up.
 pub const ROUND_TIMEOUT: Nanos = 4 * SECOND;
 
-/// Whose round it is: the higher holds.
+/// Identifies a round: the higher one wins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ballot {
     /// The round.
@@ -27,7 +26,7 @@
     pub by: u64,
 }
 
-/// What is voted on: that a rollout has come this far. Its number is in the progress.
+/// What is voted on: that a rollout has come this far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Proposal {
     /// The rollout.
@@ -36,7 +35,7 @@
     pub progress: Progress,
 }
 
-/// What a voter has voted, of the agreement that comes next.
+/// A voter's vote on the agreement that comes next.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Vote {
     /// The number of the agreement that is voted on.
@@ -47,7 +46,7 @@
     pub accepted: Option<(Ballot, Proposal)>,
 }
 
-/// What is asked of a voter.
+/// What the coordinator asks of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PaxosRequest {
     /// Take no part in rounds before this one; and what have you voted for?
@@ -68,7 +67,7 @@
     },
 }
 
-/// What it says.
+/// What a voter replies.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PaxosReply {
     /// The promise that was asked for.
@@ -98,7 +97,7 @@
     },
 }
 
-/// What comes of something that was asked.
+/// What a voter does about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VoterAction {
     /// Reply at once.
@@ -122,7 +121,7 @@
 }
 
 impl Vote {
-    /// Something is asked, and this is known.
+    /// What a voter does about a request, by the rollouts that it knows.
     pub fn handle_request(
         &self,
         rollouts: &RolloutTable,
@@ -144,7 +143,7 @@
         if agreement <= last_agreement {
             return VoterAction::Ahead;
         }
-        let mut vote = if self.agreement == agreement {
+        let vote = if self.agreement == agreement {
             self.clone()
         } else {
             Vote {
@@ -160,44 +159,54 @@
             });
         }
         match request {
-            PaxosRequest::Prepare { .. } => {
-                let accepted = vote.accepted.clone();
-                vote.promised = ballot;
-                VoterAction::Persist(
-                    vote,
-                    PaxosReply::Promised {
-                        agreement,
-                        ballot,
-                        accepted,
-                    },
-                )
-            }
+            PaxosRequest::Prepare { .. } => vote.promise(ballot),
             PaxosRequest::Accept {
                 proposal, again, ..
-            } => {
-                let rollout = rollouts.get(proposal.rollout);
-                let Some(rollout) = rollout else {
-                    return VoterAction::Behind;
-                };
-                let other = rollouts
-                    .in_progress(kind)
-                    .is_some_and(|other| other.id != proposal.rollout);
-                if !again && (rollout.outcome != Outcome::InProgress || other) {
-                    return VoterAction::Reply(PaxosReply::Refused {
-                        agreement,
-                        ballot,
-                        promised: vote.promised,
-                    });
-                }
-                vote.promised = ballot;
-                vote.accepted = Some((ballot, proposal.clone()));
-                VoterAction::Persist(vote, PaxosReply::Accepted { agreement, ballot })
-            }
+            } => vote.accept(rollouts, kind, ballot, proposal, *again),
+        }
+    }
+
+    fn promise(mut self, ballot: Ballot) -> VoterAction {
+        let reply = PaxosReply::Promised {
+            agreement: self.agreement,
+            ballot,
+            accepted: self.accepted.clone(),
+        };
+        self.promised = ballot;
+        VoterAction::Persist(self, reply)
+    }
+
+    /// Votes for a proposal. A new one must be of a rollout that is in progress and of no other than
+    /// the one that has begun; one that may have been agreed on already is voted for all the same.
+    fn accept(
+        mut self,
+        rollouts: &RolloutTable,
+        kind: Kind,
+        ballot: Ballot,
+        proposal: &Proposal,
+        again: bool,
+    ) -> VoterAction {
+        let agreement = self.agreement;
+        let Some(rollout) = rollouts.get(proposal.rollout) else {
+            return VoterAction::Behind;
+        };
+        let is_other_in_progress = rollouts
+            .in_progress(kind)
+            .is_some_and(|other| other.id != proposal.rollout);
+        if !again && (rollout.outcome != Outcome::InProgress || is_other_in_progress) {
+            return VoterAction::Reply(PaxosReply::Refused {
+                agreement,
+                ballot,
+                promised: self.promised,
+            });
         }
+        self.promised = ballot;
+        self.accepted = Some((ballot, proposal.clone()));
+        VoterAction::Persist(self, PaxosReply::Accepted { agreement, ballot })
     }
 }
 
-/// A round of the one who conducts.
+/// A coordinator's round of voting.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PaxosRound {
     /// Whose round it is.
@@ -222,7 +231,7 @@
     highest: Ballot,
 }
 
-/// What follows from what a voter said.
+/// What follows from a reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoundStep {
     /// Nothing yet.
@@ -236,7 +245,7 @@
 }
 
 impl PaxosRound {
-    /// Begins one for a proposal, among so many voters; with what they are asked.
+    /// Begins a round for a proposal among this many voters; with what they are asked.
     pub fn begin(
         now: Nanos,
         ballot: Ballot,
@@ -259,7 +268,7 @@
         (round, PaxosRequest::Prepare { agreement, ballot })
     }
 
-    /// Whether it has come to nothing in its time.
+    /// Whether its time is over.
     pub fn is_timed_out(&self, now: Nanos) -> bool {
         now > self.since + ROUND_TIMEOUT
     }
@@ -269,7 +278,7 @@
         self.proposed.as_ref().unwrap_or(&self.preferred).rollout
     }
 
-    /// A voter said something.
+    /// Takes up a voter's reply.
     pub fn handle_reply(&mut self, from: u64, reply: &PaxosReply) -> RoundStep {
         match reply {
             PaxosReply::Promised {
--- a/crates/rollout/src/persisted_state.rs
+++ b/crates/rollout/src/persisted_state.rs
@@ -1,9 +1,9 @@
-//! What a node keeps on disk of its versions, so that it starts on the right one whatever happened:
-//! a small file, written whole to another name, synced, and put in its place.
-//! `docs/design/rollout.md` has it byte by byte.
+//! What a node persists of its versions, so that it starts on the right one whatever happened: a small
+//! file, written whole to another name, synced, and renamed. `docs/design/rollout.md` has it byte by
+//! byte.
 //!
-//! Rules: what is on trial is written before it takes force. A file that says so at the start means
-//! that the node died on trial: it starts on the last good version, and does not try that one again
+//! Rules: a trial is written before it is applied. A file that names a trial at the start means that
+//! the node crashed on trial: it starts on the last promoted version, and does not try that one again
 //! by itself.
 
 use crate::identifiers::{Kind, RolloutId, Version};
@@ -13,7 +13,7 @@
 use prost::Message;
 
 const MAGIC: [u8; 4] = *b"mpv1";
-/// Versions that were turned down and are remembered.
+/// Rejected versions that are remembered.
 const TURNED_DOWN: usize = 16;
 /// The most bytes of the file.
 pub const MAX_FILE_BYTES: usize = 4096;
@@ -29,7 +29,7 @@
     pub tries: u32,
 }
 
-/// What is kept, of one kind.
+/// What is persisted of one kind.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
     /// What its versions are of.
@@ -50,7 +50,7 @@
     pub abstains_to: u64,
 }
 
-/// What a file can't be read for.
+/// Why a file can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PersistedStateError {
     /// It is cut, or another file.
@@ -120,7 +120,7 @@
 }
 
 impl PersistedState {
-    /// Nothing kept yet.
+    /// Nothing persisted yet.
     pub fn new(kind: Kind) -> PersistedState {
         PersistedState {
             kind,
@@ -128,8 +128,7 @@
         }
     }
 
-    /// The file: its mark, the bytes of what follows (4, lowest first), their CRC-32 (4), and what
-    /// follows.
+    /// The file: its mark, the length of the body (4 bytes, little-endian), its CRC-32 (4), and the body.
     pub fn encode(&self) -> Vec<u8> {
         let body = PersistedStateWire {
             good: self.good.map(|v| one(v, 0)),
@@ -201,11 +200,11 @@
         })
     }
 
-    /// The node starts: gives what it may start on, the first that can be run, where it is given
-    /// this by hand; and the version that died on trial, if one did, which is noted as such. What
-    /// is given by hand goes first only if its number is higher than that of the last good one, and
-    /// it was not taken back here: it may be the file of long ago that the machine was set up with,
-    /// or one that was laid there beside a rollout.
+    /// The node starts: gives the versions that it may start on, the first that can be run; and the trial
+    /// that crashed, if one did, which is counted. `given` is what the operator gave by hand. It goes first
+    /// only if its number is higher than that of the last promoted version, and it was not rejected here:
+    /// it may be the file that the machine was set up with long ago, or one that was placed there beside a
+    /// rollout.
     pub fn start_candidates(&mut self, given: Version) -> (Vec<Version>, Option<Trial>) {
         let crashes = self.trial.take();
         if let Some(trial) = crashes {
@@ -229,7 +228,7 @@
         (all, crashes)
     }
 
-    /// A version died on trial here.
+    /// A version crashed on trial here.
     pub fn record_crash(&mut self, version: Version) {
         match self.rejected.iter_mut().find(|(v, _)| *v == version) {
             Some((_, crashes)) => *crashes += 1,
@@ -245,12 +244,12 @@
         self.rejected.drain(..over);
     }
 
-    /// Whether a version died here, or was taken back or turned down.
+    /// Whether a version crashed, was rejected or rolled back here.
     pub fn is_rejected(&self, version: Version) -> bool {
         self.rejected.iter().any(|(v, _)| *v == version)
     }
 
-    /// How often a version died here.
+    /// How often a version crashed here.
     pub fn crashes(&self, version: Version) -> u32 {
         self.rejected
             .iter()
@@ -258,7 +257,7 @@
             .map_or(0, |(_, crashes)| *crashes)
     }
 
-    /// What is on trial is good: it is in force from here on.
+    /// The version on trial is in force from here on.
     pub fn promote(&mut self, version: Version) {
         self.trial = None;
         if self.good != Some(version) {
@@ -268,7 +267,7 @@
         self.rejected.retain(|(v, _)| *v != version);
     }
 
-    /// Versions whose content must stay on the disk.
+    /// Versions whose content must stay on disk.
     pub fn needed(&self) -> impl Iterator<Item = Version> {
         self.good
             .into_iter()
--- a/crates/rollout/src/process_handover.rs
+++ b/crates/rollout/src/process_handover.rs
@@ -1,11 +1,10 @@
-//! A small parent's decisions: which version of the program runs, how a new one takes the place of
-//! an old one on the same listening socket, and what is started when one dies. No I/O: fed what
-//! happens and the time, it acts through [`Host`].
+//! A supervisor's decisions: which version of the program runs, how a new process takes the place of an
+//! old one on the same listening socket, and what is started when one crashes. No I/O: fed what happens
+//! and the time, it acts through [`Host`].
 //!
-//! Rules: the old one is told to leave only once the new one serves and was told that it is in
-//! charge, so that at every moment at least one is there that nobody told to leave, but for the
-//! time in which one that died is started anew. What is on the disk is written by the one in charge
-//! alone.
+//! Rules: the old process gets the notice to leave only once the new one serves and knows that it is in
+//! charge, so that at every moment at least one process serves that has no such notice, but for the time
+//! in which one that crashed is started anew. What is on disk is written by the process in charge alone.
 
 use crate::host_error::HostError;
 use crate::identifiers::Version;
@@ -13,7 +12,7 @@
 use crate::{Nanos, SECOND};
 use std::collections::BTreeMap;
 
-/// A process that the parent started.
+/// A process that the supervisor started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Child(pub u64);
 
@@ -28,17 +27,17 @@
     pub crashed: Option<Trial>,
     /// Whether the disk was empty.
     pub fresh: bool,
-    /// Whether another process serves meanwhile: then this one waits until it is told that it is in charge.
+    /// Whether another process serves meanwhile: then this one waits until it is in charge.
     pub beside: bool,
 }
 
-/// What the decisions do to the world.
+/// What the decisions do.
 pub trait Host {
-    /// Starts a process; what becomes of it is told to [`Supervisor::ready`] and [`Supervisor::ended`].
+    /// Starts a process; [`Supervisor::ready`] and [`Supervisor::ended`] take up what becomes of it.
     fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), HostError>;
-    /// Tells it that it is in charge.
+    /// Lets it know that it is in charge.
     fn in_charge(&mut self, child: Child);
-    /// Tells it to leave, as another process takes its place.
+    /// Gives it the notice to leave, as another process takes its place.
     fn hand_over(&mut self, child: Child);
     /// Gives it the notice to leave for good.
     fn leave(&mut self, child: Child);
@@ -54,14 +53,15 @@
     fn log(&mut self, line: &str);
 }
 
-/// A new one is ready within this, or is none.
+/// A new process is ready within this, or is killed.
 const READY_TIMEOUT: Nanos = 30 * SECOND;
-/// Between two starts of what dies at once: doubled each time, up to the longest; one that lived so
-/// long was no such one.
+/// Time between two starts of what crashes at once; doubled each time.
 const MIN_RESTART_DELAY: Nanos = SECOND;
+/// The longest time between two starts.
 const MAX_RESTART_DELAY: Nanos = 30 * SECOND;
+/// A process that lived this long did not crash at once.
 const STABLE_AFTER: Nanos = 60 * SECOND;
-/// What died at once so often goes after the others that may run.
+/// A version that crashed at once this often goes after the others that may run.
 const MAX_QUICK_CRASHES: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
@@ -78,9 +78,9 @@
     asked: Option<(Child, u64)>,
 }
 
-/// The parent.
+/// The supervisor.
 pub struct Supervisor<H: Host> {
-    /// Whoever embeds it.
+    /// The embedder.
     pub host: H,
     /// What is on disk.
     persisted: PersistedState,
@@ -94,7 +94,7 @@
     in_charge_process: Option<Process>,
     /// The process that does not serve yet.
     starting: Option<Starting>,
-    /// Processes that were told to leave.
+    /// Processes that got the notice to leave.
     leaving: Vec<Process>,
     /// Processes started so far; numbers them.
     children: u64,
@@ -111,7 +111,7 @@
 }
 
 impl<H: Host> Supervisor<H> {
-    /// A parent that read this from its disk, and starts a process.
+    /// A supervisor that read this from its disk; it starts a process.
     pub fn new(
         now: Nanos,
         persisted: PersistedState,
@@ -140,13 +140,13 @@
         parent
     }
 
-    /// Which process is in charge, and what it runs.
+    /// The process in charge, and its version.
     pub fn in_charge(&self) -> Option<(Child, Version)> {
         self.in_charge_process
             .map(|process| (process.child, process.version))
     }
 
-    /// Whether all is over.
+    /// Whether all processes have ended.
     pub fn is_over(&self) -> bool {
         self.ends
             && self.in_charge_process.is_none()
@@ -154,7 +154,7 @@
             && self.leaving.is_empty()
     }
 
-    /// Starts one where there is none: of the versions that it may, the first that is here.
+    /// Starts a process if there is none: of the versions that it may run, the first that is here.
     fn start_one(&mut self, now: Nanos) {
         if self.ends
             || self.in_charge_process.is_some()
@@ -173,7 +173,7 @@
                 ));
             }
         }
-        // What did not come to serve lately, or died at once again and again, goes after the
+        // What did not come to serve lately, or crashed at once again and again, goes after the
         // others.
         let mut all = all;
         all.sort_by_key(|version| {
@@ -264,7 +264,7 @@
         }
     }
 
-    /// What is to be kept; only the one in charge, or the only one that is there, says what.
+    /// A process wants this persisted; only the one in charge may, or the only one that there is.
     pub fn persist(&mut self, child: Child, no: u64, persisted: PersistedState) {
         let only = self
             .starting
@@ -282,14 +282,14 @@
         self.host.answer(child, no, written);
     }
 
-    /// Whether a version can be run here.
+    /// A process asks whether a version can be run here.
     pub fn check(&mut self, child: Child, no: u64, version: Version) {
         let here = self.host.has(version);
         self.host.answer(child, no, here);
     }
 
-    /// The one in charge wants another version to take its place. It is answered only if that can't
-    /// be: else it is told to leave.
+    /// The process in charge wants another version to take its place. It is answered only if that is not
+    /// possible: else it gets the notice to leave.
     pub fn apply(&mut self, now: Nanos, child: Child, no: u64, version: Version) {
         let Some(in_charge_process) = self
             .in_charge_process
@@ -318,8 +318,8 @@
         }
     }
 
-    /// The operator wants the node renewed: another process of the version in charge takes its
-    /// place, without a gap.
+    /// The operator wants the process renewed: another one of the version in charge takes its place,
+    /// without a gap.
     pub fn renew(&mut self, now: Nanos) {
         let Some(in_charge_process) = self
             .in_charge_process
@@ -376,7 +376,7 @@
         }
     }
 
-    /// What was started does not serve.
+    /// A process did not come to serve.
     fn failed(&mut self, now: Nanos, starting: &Starting, why: &str) {
         let version = starting.process.version;
         self.host
@@ -395,7 +395,7 @@
 
     // ---- Time and notices ----
 
-    /// Does what is due; to be called some times a second.
+    /// Does what is due; to be called a few times a second.
     pub fn wake(&mut self, now: Nanos) {
         if let Some(starting) = self
             .starting
@@ -416,7 +416,7 @@
         self.start_one(now);
     }
 
-    /// The parent itself got the notice to leave: all leave.
+    /// The supervisor itself got the notice to leave: all processes get it.
     pub fn leave(&mut self, now: Nanos) {
         if std::mem::replace(&mut self.ends, true) {
             return;
@@ -437,7 +437,7 @@
         }
     }
 
-    /// What is on the disk.
+    /// What is on disk.
     pub fn persisted(&self) -> &PersistedState {
         &self.persisted
     }
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -32,7 +32,7 @@
 }
 
 impl Outcome {
-    /// Its word, as tables show it.
+    /// What it is called in tables.
     pub fn word(self) -> &'static str {
         ["open", "done", "refused", "halted", "back"][self as usize]
     }
--- a/crates/rollout/src/simulation/cluster.rs
+++ b/crates/rollout/src/simulation/cluster.rs
@@ -57,7 +57,7 @@
 }
 
 impl Shape {
-    /// So many nodes on a day without trouble.
+    /// A cluster of this many nodes on a day without trouble.
     pub fn new(seed: u64, nodes: usize) -> Shape {
         Shape {
             seed,
@@ -96,6 +96,37 @@
     checked: BTreeSet<Version>,
 }
 
+impl Disk {
+    /// What a process finds at its start.
+    fn initial_state(&self, node: usize, base: Version) -> InitialState {
+        let fresh = self.persisted.is_empty();
+        let mut persisted = if fresh {
+            PersistedState::new(Kind::Settings)
+        } else {
+            // The disk is written whole or not at all.
+            PersistedState::decode(&self.persisted)
+                .unwrap_or_else(|broken| panic!("node {node}: {}", broken.word()))
+        };
+        let (starts, crashed) = persisted.start_candidates(base);
+        let has = |version: &Version| *version == base || self.contents.contains_key(version);
+        let running = starts.into_iter().find(has).unwrap_or(base);
+        let new_content = (!self.contents.contains_key(&running)).then(|| vec![0; 100]);
+        let contents = self
+            .contents
+            .iter()
+            .map(|(version, content)| (*version, content.clone()))
+            .collect();
+        InitialState {
+            persisted,
+            running,
+            contents,
+            new_content,
+            crashed,
+            fresh,
+        }
+    }
+}
+
 /// Totals of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct SimulationTotals {
@@ -205,7 +236,7 @@
         self.now
     }
 
-    /// How many nodes there are, of which all but the dead ones run.
+    /// How many nodes there are, running or not.
     pub fn count(&self) -> usize {
         self.nodes.len()
     }
@@ -226,24 +257,7 @@
             self.base,
         );
         let of = &mut self.nodes[node];
-        let fresh = of.disk.persisted.is_empty();
-        let mut persisted = if fresh {
-            PersistedState::new(Kind::Settings)
-        } else {
-            // The disk is written whole or not at all.
-            PersistedState::decode(&of.disk.persisted)
-                .unwrap_or_else(|broken| panic!("node {node}: {}", broken.word()))
-        };
-        let (starts, crashed) = persisted.start_candidates(base);
-        let has = |version: &Version| *version == base || of.disk.contents.contains_key(version);
-        let running = starts.into_iter().find(has).unwrap_or(base);
-        let new_content = (!of.disk.contents.contains_key(&running)).then(|| vec![0; 100]);
-        let contents = of
-            .disk
-            .contents
-            .iter()
-            .map(|(version, content)| (*version, content.clone()))
-            .collect();
+        let start = of.disk.initial_state(node, base);
         let host = SimHost {
             me,
             out: Vec::new(),
@@ -253,14 +267,6 @@
             board,
             rng,
         };
-        let start = InitialState {
-            persisted,
-            running,
-            contents,
-            new_content,
-            crashed,
-            fresh,
-        };
         let mut participant = Participant::new(
             now,
             unix,
@@ -311,7 +317,7 @@
         node
     }
 
-    /// A node's process stands still, or goes on.
+    /// A node's process stops running for a while, or goes on.
     pub fn pause(&mut self, node: usize, paused: bool) {
         (self.nodes[node].paused, self.nodes[node].since) = (paused, self.now);
     }
@@ -335,7 +341,7 @@
         self.nodes[node].clock += ms;
     }
 
-    /// The fleet is split: these nodes are on one side, the others on the other.
+    /// The cluster is split: these nodes are on one side, the others on the other.
     pub fn split(&mut self, side: &[usize]) {
         for (no, node) in self.nodes.iter_mut().enumerate() {
             let now = usize::from(side.contains(&no));
@@ -388,7 +394,7 @@
         id
     }
 
-    /// Halts a rollout at a node, or takes it back.
+    /// An operator halts a rollout at a node, or rolls it back.
     pub fn end(&mut self, at: usize, id: RolloutId, outcome: Outcome) {
         let (now, unix) = (self.now, self.unix_ms(at));
         if let Some(participant) = &mut self.nodes[at].participant {
--- a/crates/rollout/src/simulation/cluster/events.rs
+++ b/crates/rollout/src/simulation/cluster/events.rs
@@ -12,7 +12,7 @@
 use rand::RngExt;
 use std::rc::Rc;
 
-/// Windows that are kept for those who ask later.
+/// Windows that are remembered.
 const WINDOWS: usize = 8;
 
 /// A node that is gone, or has come, is seen to be so after this.
@@ -72,13 +72,13 @@
 }
 
 impl SimulatedCluster {
-    /// Goes on for so long.
+    /// Goes on for this long.
     pub fn run(&mut self, time: Nanos) {
         let until = self.now + time;
         self.go(until, &|_| false);
     }
 
-    /// Goes on until this is so, or for so long at most; whether it came to be so.
+    /// Goes on until the condition holds, or for `most`; whether it came to hold.
     pub fn until(&mut self, most: Nanos, is: impl Fn(&SimulatedCluster) -> bool) -> bool {
         let until = self.now + most;
         self.go(until, &is)
@@ -287,7 +287,7 @@
         Rc::clone(&self.boards[side])
     }
 
-    /// What is seen on either side.
+    /// Renews what nodes see of each other, for either side of a split.
     pub(super) fn refresh(&mut self) {
         let board = |side: usize| {
             let mut board = Board {
--- a/crates/rollout/src/simulation/cluster/observation.rs
+++ b/crates/rollout/src/simulation/cluster/observation.rs
@@ -1,4 +1,4 @@
-//! What tests look at in a simulated cluster.
+//! What tests observe of a simulated cluster.
 
 use super::SimulatedCluster;
 use super::host::SimHost;
@@ -9,7 +9,7 @@
 use crate::rollout::{Outcome, Rollout};
 
 impl SimulatedCluster {
-    /// What a node runs; none if it is not there.
+    /// The version that a node runs; none if it is down.
     pub fn runs(&self, node: usize) -> Option<Version> {
         self.nodes[node]
             .participant
@@ -48,7 +48,7 @@
             .all(|node| self.outcome(node, id) == Some(outcome))
     }
 
-    /// The fleet as a node sees it.
+    /// The cluster as a node sees it.
     pub fn members(&self, node: usize) -> Vec<Member> {
         self.boards[self.nodes[node].side].members.clone()
     }
@@ -87,7 +87,7 @@
         (0..self.nodes.len()).filter(is_in).collect()
     }
 
-    /// How a node stands to the rollout that it goes by.
+    /// How a node stands to the rollout that it follows.
     pub fn node_status(&self, node: usize) -> Option<NodeStatus> {
         self.nodes[node]
             .participant
--- a/crates/rollout/src/simulation/load.rs
+++ b/crates/rollout/src/simulation/load.rs
@@ -1,7 +1,7 @@
 //! What simulated nodes get and make of it: machines that differ, zones in trouble, traffic that
 //! jumps, processes that are cold; and what a version does to all that.
 
-use crate::cohort_metrics::{OperationCounts, WindowSample};
+use crate::cohort_metrics::{Latencies, OperationCounts, WindowSample};
 use crate::{Nanos, SECOND, splitmix64};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -10,8 +10,8 @@
 /// The span of a window of counts.
 pub const WINDOW: Nanos = 10 * SECOND;
 
-/// Operations, with their part of what comes, their billed value in thousandths, and their usual
-/// latency in tenths of a millisecond.
+/// Operations: number, share of the requests, priority weight in thousandths, and usual latency in tenths
+/// of a millisecond.
 pub const OPERATIONS: [(u32, f64, u64, f64); 3] = [
     (11, 0.7, 1000, 200.0),
     (12, 0.25, 2000, 450.0),
@@ -125,7 +125,7 @@
     splitmix64(node as u64 + 1)
 }
 
-/// The load of a fleet.
+/// The load of a cluster.
 #[derive(Clone, Debug)]
 pub struct Load {
     rng: Pcg64Mcg,
@@ -151,7 +151,7 @@
 }
 
 impl Load {
-    /// For so many nodes in so many zones, each of which gets about so much in a window.
+    /// For this many nodes in this many zones, each of which gets about `each` requests in a window.
     pub fn new(seed: u64, nodes: usize, zones: u32, each: f64, noise: Noise) -> Load {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let machines = (0..nodes)
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Whether a node dies in this window.
+    /// Whether a node crashes in this window.
     pub fn dies(&mut self, runs: &Runs) -> bool {
         let by_version = if runs.since >= runs.effect.after {
             runs.effect.dies
@@ -242,10 +242,62 @@
         (value.round().max(0.0) as u64).min(n)
     }
 
-    /// What a node counts in a window; with the billed value that its version cost, beside what it
+    /// Counts, latencies and lost priority weight of one operation at a node in a window.
+    fn operation_counts(
+        &mut self,
+        (_, part, value, usual): (u32, f64, u64, f64),
+        effect: &Effect,
+        machine: Machine,
+        trouble: f64,
+        is_full: bool,
+    ) -> (OperationCounts, Latencies, f64) {
+        let jump = self.jump.1;
+        let many = (self.each * part * jump * 4.0) as u64;
+        let arrived = self.of(many, 0.25);
+        // A jump is more than there is room for: some are rejected, everywhere alike.
+        let throttled_share = if jump > 1.2 {
+            (1.0 - 1.2 / jump) * 0.5
+        } else {
+            0.0
+        };
+        let throttled = self.of(
+            arrived,
+            throttled_share + (1.0 - throttled_share) * effect.throttled,
+        );
+        let ran = arrived - throttled;
+        let full = if is_full { 0.5 } else { 0.0 };
+        let errs = machine.errs + trouble;
+        let errored = self.of(ran, errs + (1.0 - errs) * (effect.errored + full));
+        let succeeded = ran - errored;
+        let slower = (1.0 + machine.slower) * (1.0 + effect.slower) * (1.0 + trouble);
+        let mut latencies = Vec::new();
+        let mut late = 0;
+        for (times, chance) in SHAPE {
+            let count = self.of(succeeded, chance);
+            if count > 0 {
+                latencies.push(((usual * times * slower) as u32, count as u32));
+                late += if times * slower > LATE { count } else { 0 };
+            }
+        }
+        let harm = effect.throttled + (1.0 - effect.throttled) * (effect.errored + full);
+        let lost = arrived as f64 * value as f64 * harm.min(1.0) / 1000.0;
+        let counts = OperationCounts {
+            arrived,
+            succeeded,
+            throttled,
+            errored,
+            late: late.min(succeeded),
+            earned: succeeded * value,
+            asked: arrived * value,
+            ..OperationCounts::default()
+        };
+        (counts, latencies, lost)
+    }
+
+    /// What a node counts in a window; with the priority weight that its version cost, beside what it
     /// would have earned.
     pub fn sample(&mut self, node: usize, key: u64, runs: &Runs) -> (WindowSample, f64) {
-        let (zone, machine, jump) = (self.zone(node), self.machines[node], self.jump.1);
+        let (zone, machine) = (self.zone(node), self.machines[node]);
         let trouble = self.trouble.get(&zone).map_or(0.0, |(_, much)| *much);
         let acts = runs.since >= runs.effect.after;
         let memory = 4000.0
@@ -256,51 +308,16 @@
                     } else {
                         0.0
                     });
+        let is_full = memory > 12_000.0;
         let mut cost = 0.0;
         let mut operations = BTreeMap::new();
-        for (operation, part, value, usual) in OPERATIONS {
-            let touches = acts && runs.effect.operation.is_none_or(|only| only == operation);
+        for operation in OPERATIONS {
+            let touches = acts && runs.effect.operation.is_none_or(|only| only == operation.0);
             let effect = if touches { runs.effect } else { Effect::NONE };
-            let many = (self.each * part * jump * 4.0) as u64;
-            let arrived = self.of(many, 0.25);
-            // A jump is more than there is room for: some are throttled, everywhere alike.
-            let throttled_share = if jump > 1.2 {
-                (1.0 - 1.2 / jump) * 0.5
-            } else {
-                0.0
-            };
-            let throttled = self.of(
-                arrived,
-                throttled_share + (1.0 - throttled_share) * effect.throttled,
-            );
-            let ran = arrived - throttled;
-            let full = if memory > 12_000.0 { 0.5 } else { 0.0 };
-            let errs = machine.errs + trouble;
-            let errored = self.of(ran, errs + (1.0 - errs) * (effect.errored + full));
-            let succeeded = ran - errored;
-            let slower = (1.0 + machine.slower) * (1.0 + effect.slower) * (1.0 + trouble);
-            let mut latencies = Vec::new();
-            let mut late = 0;
-            for (times, chance) in SHAPE {
-                let count = self.of(succeeded, chance);
-                if count > 0 {
-                    latencies.push(((usual * times * slower) as u32, count as u32));
-                    late += if times * slower > LATE { count } else { 0 };
-                }
-            }
-            let harm = effect.throttled + (1.0 - effect.throttled) * (effect.errored + full);
-            cost += arrived as f64 * value as f64 * harm.min(1.0) / 1000.0;
-            let cell = OperationCounts {
-                arrived,
-                succeeded,
-                throttled,
-                errored,
-                late: late.min(succeeded),
-                earned: succeeded * value,
-                asked: arrived * value,
-                ..OperationCounts::default()
-            };
-            operations.insert(operation, (cell, latencies));
+            let (counts, latencies, lost) =
+                self.operation_counts(operation, &effect, machine, trouble, is_full);
+            cost += lost;
+            operations.insert(operation.0, (counts, latencies));
         }
         let memory_kb = (memory * (1.0 + self.rng.random_range(-0.01..0.01))) as u64;
         let descriptors = 40 + self.rng.random_range(0..3);
--- a/crates/rollout/src/simulation/trial.rs
+++ b/crates/rollout/src/simulation/trial.rs
@@ -5,7 +5,7 @@
 use crate::canary_analysis::{AnalysisMethod, CrashCounts, Verdict, analyse};
 use crate::cohort_metrics::{CohortMetrics, OperationCounts, WindowSample};
 use crate::identifiers::{RolloutId, Version};
-use crate::stages::{NextAgreement, Plan, Progress};
+use crate::stages::{NextAgreement, Plan, Progress, Stage};
 use crate::{Nanos, splitmix64};
 
 /// How a rollout goes out.
@@ -57,7 +57,7 @@
 /// What a rollout that came to no analysement is halted by.
 pub const NO_JUDGEMENT: &str = "no analysement";
 const BEFORE: u64 = 8;
-/// After a rollout went out at once it is looked at for so long.
+/// Windows for which a rollout that went out at once is observed.
 const AT_ONCE: u64 = 60;
 
 impl Trial {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// What all nodes count in a window; each runs the new version for so many windows, or not.
+    /// What all nodes count in a window; `since` gives for how many windows a node runs the new version.
     fn window(
         &self,
         load: &mut Load,
@@ -121,21 +121,29 @@
     fn stages(
         &self,
         load: &mut Load,
-        mut record: CohortMetrics,
-        mut window: u64,
+        record: CohortMetrics,
+        window: u64,
         method: AnalysisMethod,
         asked: f64,
     ) -> TrialResult {
         let nodes: Vec<(u64, u32)> = (0..self.nodes)
             .map(|node| (key(node), load.zone(node)))
             .collect();
-        let (mut progress, rollout, begin) = (Progress::default(), record.rollout, window);
-        let mut begun: Vec<Option<u64>> = vec![None; self.nodes];
-        let mut outcome = TrialResult {
-            asked,
-            ..TrialResult::default()
+        let (mut progress, rollout) = (Progress::default(), record.rollout);
+        let mut run = StagedRun {
+            trial: self,
+            load,
+            record,
+            method,
+            window,
+            begin: window,
+            begun: vec![None; self.nodes],
+            crashes: [0, 0],
+            outcome: TrialResult {
+                asked,
+                ..TrialResult::default()
+            },
         };
-        let mut crashes = [0, 0];
         while let Some(next) = progress.next(&NextAgreement {
             rollout,
             plan: &self.plan,
@@ -147,76 +155,22 @@
             let Some(stage) = self.plan.stage(progress.stage) else {
                 break;
             };
-            outcome.stage = progress.stage;
-            record.stage_begins(progress.stage);
+            run.outcome.stage = progress.stage;
+            run.record.stage_begins(progress.stage);
             for (at, (node, zone)) in nodes.iter().enumerate() {
-                if begun[at].is_none() && progress.includes(rollout, *node, *zone) {
-                    begun[at] = Some(window);
+                if run.begun[at].is_none() && progress.includes(rollout, *node, *zone) {
+                    run.begun[at] = Some(run.window);
                 }
             }
-            let since = window;
-            loop {
-                let (samples, cost) = self.window(load, window, &|node| {
-                    begun[node].map(|begun| window - begun)
-                });
-                outcome.cost += cost;
-                for node in 0..self.nodes {
-                    let since = begun[node].map_or(0, |begun| window - begun);
-                    let effect = if begun[node].is_some() {
-                        self.effect
-                    } else {
-                        Effect::NONE
-                    };
-                    if load.dies(&Runs {
-                        label: 0,
-                        effect,
-                        since,
-                        age: 100,
-                    }) {
-                        crashes[usize::from(begun[node].is_none())] += 1;
-                    }
-                }
-                record.after(window, &samples);
-                window += 1;
-                outcome.time = (window - begin) * WINDOW;
-                let held = (window - since) * WINDOW;
-                let new = begun.iter().flatten().count() as u64;
-                let nodes = [new, self.nodes as u64 - new];
-                let crashes = CrashCounts {
-                    crashes,
-                    nodes,
-                    windows: (window - begin) as f64,
+            if let Some(what) = run.stage(progress.stage, stage) {
+                return TrialResult {
+                    stopped: true,
+                    what,
+                    ..run.outcome
                 };
-                let analysed = analyse(&record, &self.plan, progress.stage, &crashes, method);
-                let is_last = self.plan.is_last(progress.stage);
-                match analysed.verdict {
-                    Verdict::Harm(harm) => {
-                        let what = harm.first().map_or("", |finding| finding.what);
-                        return TrialResult {
-                            stopped: true,
-                            what,
-                            ..outcome
-                        };
-                    }
-                    _ if held < stage.min_duration => {}
-                    // With nobody left to compare with it goes by what else there is: see
-                    // `conduct`.
-                    _ if is_last => break,
-                    Verdict::Fine => break,
-                    Verdict::Unsure(_) if held > stage.max_duration => break,
-                    Verdict::Unsure(_) => {}
-                    Verdict::Wait(_) if held > stage.max_duration => {
-                        return TrialResult {
-                            stopped: true,
-                            what: NO_JUDGEMENT,
-                            ..outcome
-                        };
-                    }
-                    Verdict::Wait(_) => {}
-                }
             }
         }
-        outcome
+        run.outcome
     }
 
     fn at_once(
@@ -260,5 +214,78 @@
     }
 }
 
+/// A rollout in stages while it is played.
+struct StagedRun<'a> {
+    trial: &'a Trial,
+    load: &'a mut Load,
+    record: CohortMetrics,
+    method: AnalysisMethod,
+    /// The next window, and the one in which it began.
+    window: u64,
+    begin: u64,
+    /// By node, the window in which it began to run the new version.
+    begun: Vec<Option<u64>>,
+    /// On trial; of the other nodes.
+    crashes: [u64; 2],
+    outcome: TrialResult,
+}
+
+impl StagedRun<'_> {
+    /// Plays a stage to its end; by what it was stopped, if it was.
+    fn stage(&mut self, number: u32, stage: &Stage) -> Option<&'static str> {
+        let since = self.window;
+        loop {
+            self.play_window();
+            let held = (self.window - since) * WINDOW;
+            let new = self.begun.iter().flatten().count() as u64;
+            let crashes = CrashCounts {
+                crashes: self.crashes,
+                nodes: [new, self.trial.nodes as u64 - new],
+                windows: (self.window - self.begin) as f64,
+            };
+            let plan = &self.trial.plan;
+            let analysis = analyse(&self.record, plan, number, &crashes, self.method);
+            match analysis.verdict {
+                Verdict::Harm(harm) => {
+                    return Some(harm.first().map_or("", |finding| finding.what));
+                }
+                _ if held < stage.min_duration => {}
+                // Without a baseline cohort it goes by what else there is: see `coordinator`.
+                _ if plan.is_last(number) => return None,
+                Verdict::Fine => return None,
+                Verdict::Unsure(_) if held > stage.max_duration => return None,
+                Verdict::Unsure(_) => {}
+                Verdict::Wait(_) if held > stage.max_duration => return Some(NO_JUDGEMENT),
+                Verdict::Wait(_) => {}
+            }
+        }
+    }
+
+    fn play_window(&mut self) {
+        let (window, begun) = (self.window, &self.begun);
+        let since = |node: usize| begun[node].map(|begun| window - begun);
+        let (samples, cost) = self.trial.window(self.load, window, &since);
+        self.outcome.cost += cost;
+        for begun in begun {
+            let effect = if begun.is_some() {
+                self.trial.effect
+            } else {
+                Effect::NONE
+            };
+            if self.load.dies(&Runs {
+                label: 0,
+                effect,
+                since: begun.map_or(0, |begun| window - begun),
+                age: 100,
+            }) {
+                self.crashes[usize::from(begun.is_none())] += 1;
+            }
+        }
+        self.record.after(window, &samples);
+        self.window += 1;
+        self.outcome.time = (self.window - self.begin) * WINDOW;
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -1,9 +1,9 @@
-//! The stages of a rollout: how many nodes are in each, which ones, and when each of them begins.
+//! The stages of a rollout: how many nodes are in each, which ones, and when each of them starts.
 //!
-//! Which nodes are in a stage follows from a threshold for each zone: a node is in it if the hash
-//! of the rollout and its name lies at or below its zone's threshold. So all agree on who is in,
-//! whatever they see of the fleet, and a node that joins in mid-rollout knows at once what its stage
-//! says; and thresholds only rise, so that who is in stays in.
+//! Which nodes a stage includes follows from a threshold for each zone: a node is included if the hash
+//! of the rollout and its name is at or below its zone's threshold. So all nodes agree on it, whatever
+//! they see of the cluster, and a node that joins during a rollout knows at once whether it is included;
+//! and thresholds only rise, so that a node that is included stays included.
 
 use crate::identifiers::RolloutId;
 use crate::{MILLISECOND, Nanos, SECOND, splitmix64};
@@ -11,7 +11,7 @@
 
 /// Stages that a plan may have.
 pub const MAX_STAGES: usize = 12;
-/// Zones that are told apart in a stage; nodes of others are in the last stage only.
+/// Zones that a stage distinguishes; nodes of others are in the last stage only.
 pub const MAX_ZONES: usize = 24;
 /// A zone of no more nodes than this gives one at a time until the last stage.
 const SMALL_ZONE_NODES: usize = 3;
@@ -172,7 +172,7 @@
     pub electorate: u32,
 }
 
-/// Where a node stands in a rollout's order: low places come first.
+/// A node's place in a rollout's order: low places come first.
 pub fn place(rollout: RolloutId, node: u64) -> u64 {
     splitmix64(node ^ splitmix64(rollout.0))
 }
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -1,6 +1,6 @@
-//! What a node tells of rollouts to those who ask: what it runs and why, the stages, how each node
-//! stands, and where it keeps the record, the judgement with its figures and both cohorts over
-//! time. Protocol Buffers, in pages.
+//! What a node shows of rollouts to those who ask: what it runs and why, the stages, the status of
+//! each node, and where it has the metrics, the verdict with its figures and both cohorts over time.
+//! Protocol Buffers, in pages.
 
 use crate::canary_analysis::{Comparison, Verdict};
 use crate::cohort_metrics::{CohortPoint, OperationCounts};
@@ -14,11 +14,13 @@
 use crate::stages::{Stage, seconds};
 use std::collections::BTreeMap;
 
-/// Nodes and points in time that are shown.
+/// Nodes that are shown.
 const NODES: usize = 300;
+/// Points in time that are shown.
 const POINTS: usize = 180;
+/// Comparisons that are shown.
 const FINDINGS: usize = 24;
-/// More than this is as good as certain.
+/// The highest evidence that is shown.
 const EVIDENCE: f64 = 1e9;
 
 /// A version, as it is shown.
@@ -341,8 +343,49 @@
     thin
 }
 
+fn verdict_line(verdict: &Verdict) -> String {
+    match verdict {
+        Verdict::Harm(_) => "harm".to_owned(),
+        Verdict::Fine => "fine".to_owned(),
+        Verdict::Wait(why) => format!("waits: {why}"),
+        Verdict::Unsure(why) => format!("nothing speaks for harm, not sure yet: {why}"),
+    }
+}
+
+/// A node by the report on its entry, or by its last answer to this coordinator while the rollout is
+/// in progress: that one is newer.
+fn node_entry(
+    member: &Member,
+    attached: Option<&NodeReport>,
+    current: Option<&Rollout>,
+    coordinator: &Coordinator,
+    names: &impl Names,
+) -> NodeStatusEntry {
+    let in_progress = current
+        .filter(|rollout| rollout.outcome == Outcome::InProgress)
+        .map(|rollout| rollout.id);
+    let received = coordinator
+        .report(member.node)
+        .filter(|received| Some(received.rollout) == in_progress);
+    let report = received.or(attached);
+    let (name, zone) = names.node(member.node).unwrap_or_default();
+    NodeStatusEntry {
+        name,
+        zone,
+        present: member.present,
+        in_stage: current.is_some_and(|c| c.progress.includes(c.id, member.node, member.zone)),
+        running: report.and_then(|report| version(report.running)),
+        since_ms: report.map_or(0, |report| report.since_ms),
+        status: report
+            .map_or("unknown", |report| report.status.word())
+            .to_owned(),
+        crashes: report.map_or(0, |report| report.crashes),
+        why: report.map(|report| report.why.clone()).unwrap_or_default(),
+    }
+}
+
 impl StatusSnapshot {
-    /// What a node tells: itself, and the fleet as its members show themselves.
+    /// What a node shows: itself, and the cluster by the reports of its members.
     pub fn of<H: Host>(
         unix_ms: u64,
         agent: &NodeAgent<H>,
@@ -364,41 +407,14 @@
         let mut nodes: Vec<NodeStatusEntry> = members
             .iter()
             .map(|(member, report)| {
-                // Who conducts has heard more of it than it shows to all, while the rollout goes on.
-                let goes_on = current
-                    .filter(|rollout| rollout.outcome == Outcome::InProgress)
-                    .map(|rollout| rollout.id);
-                let received = coordinator
-                    .report(member.node)
-                    .filter(|received| Some(received.rollout) == goes_on);
-                let report = received.or(report.as_ref());
-                let (name, zone) = names.node(member.node).unwrap_or_default();
-                NodeStatusEntry {
-                    name,
-                    zone,
-                    present: member.present,
-                    in_stage: current
-                        .is_some_and(|c| c.progress.includes(c.id, member.node, member.zone)),
-                    running: report.and_then(|report| version(report.running)),
-                    since_ms: report.map_or(0, |report| report.since_ms),
-                    status: report
-                        .map_or("unknown", |report| report.status.word())
-                        .to_owned(),
-                    crashes: report.map_or(0, |report| report.crashes),
-                    why: report.map(|report| report.why.clone()).unwrap_or_default(),
-                }
+                node_entry(member, report.as_ref(), current, coordinator, names)
             })
             .collect();
         nodes.sort_by(|a, b| (!a.in_stage, &a.zone, &a.name).cmp(&(!b.in_stage, &b.zone, &b.name)));
         let nodes_in_all = nodes.len() as u32;
         nodes.truncate(NODES);
         let analysis = coordinator.analysis();
-        let verdict = analysis.map_or_else(String::new, |judged| match &judged.verdict {
-            Verdict::Harm(_) => "harm".to_owned(),
-            Verdict::Fine => "fine".to_owned(),
-            Verdict::Wait(why) => format!("waits: {why}"),
-            Verdict::Unsure(why) => format!("nothing speaks for harm, not sure yet: {why}"),
-        });
+        let verdict = analysis.map_or_else(String::new, |analysis| verdict_line(&analysis.verdict));
         let findings = analysis
             .iter()
             .flat_map(|judged| &judged.findings)
@@ -435,7 +451,7 @@
         }
     }
 
-    /// How many that are there run each version, by its number.
+    /// How many present nodes run each version, by its number.
     pub fn by_version(&self) -> BTreeMap<u64, usize> {
         let mut all = BTreeMap::new();
         for node in self.nodes.iter().filter(|node| node.present) {
--- a/crates/rollout/src/supervisor_messages.rs
+++ b/crates/rollout/src/supervisor_messages.rs
@@ -1,7 +1,6 @@
-//! What a parent and the processes that it starts say to each other, over a stream: each saying
-//! after its length (4 bytes, lowest first). Fields by number: one that is not known is passed
-//! over, a saying that is not known is none, so that an old parent and a new program, or the other
-//! way round, understand each other.
+//! What a supervisor and the processes that it starts tell each other over a stream: each message after
+//! its length (4 bytes, little-endian). Fields by number: an unknown one is skipped, and an unknown kind
+//! is ignored, so that a supervisor and a program of different versions understand each other.
 
 use crate::host_error::HostError;
 use crate::identifiers::{RolloutId, Version};
