--- a/crates/node/src/cli/rollout.rs
+++ b/crates/node/src/cli/rollout.rs
@@ -181,7 +181,7 @@
             let (size, digest, bytes) = (content.len() as u32, digest.clone(), bytes.to_vec());
             let chunk = OperatorCommand {
                 kind: order::CHUNK,
-                no,
+                chunk: no,
                 bytes,
                 size,
                 digest,
--- /dev/null
+++ b/crates/node/src/cli/rollout/display.rs
@@ -0,0 +1,198 @@
+//! What `rollout status` and `rollout explain` print.
+
+use super::target::{At, request_status, request_with_coordinator};
+use crate::cli::{Ended, Format};
+use madderpoint_rollout::status::{
+    CohortPointStatus, NodeStatusEntry, RolloutStatus, StatusSnapshot, VersionStatus,
+};
+use serde_json::{Value, json};
+
+/// `rollout status`.
+pub(super) fn status(at: &At, format: Format) -> Ended {
+    let (shown, coordinator) = request_with_coordinator(at)?;
+    let judged = coordinator.as_ref().unwrap_or(&shown);
+    if format == Format::Json {
+        println!("{:#}", as_json(&shown, judged));
+        return Ok(true);
+    }
+    let Some(first) = shown.rollouts.first() else {
+        println!(
+            "no change is known; {} runs version {}",
+            shown.node,
+            version(shown.running.as_ref())
+        );
+        return Ok(true);
+    };
+    let current = shown
+        .rollouts
+        .iter()
+        .find(|rollout| rollout.outcome == "open")
+        .unwrap_or(first);
+    println!("{}", summary(current, judged));
+    for rollout in shown
+        .rollouts
+        .iter()
+        .filter(|rollout| rollout.id != current.id)
+    {
+        println!("  beside: {}", summary(rollout, &StatusSnapshot::default()));
+    }
+    if !judged.verdict.is_empty() {
+        print_verdict(&shown, judged);
+    }
+    print_nodes(judged);
+    Ok(true)
+}
+
+/// Prints the verdict and its comparisons.
+fn print_verdict(shown: &StatusSnapshot, judged: &StatusSnapshot) {
+    let pair = |of: &[u64]| {
+        [
+            of.first().copied().unwrap_or(0),
+            of.get(1).copied().unwrap_or(0),
+        ]
+    };
+    let ([new, old], [news, olds]) = (pair(&judged.sample), pair(&judged.judged));
+    println!("judgement by {}: {}", shown.coordinator, judged.verdict);
+    println!("  {new} invocations at {news} new nodes, {old} at {olds} old ones");
+    let head = [
+        "operation",
+        "what",
+        "new",
+        "old",
+        "harm",
+        "+-",
+        "evidence",
+        "margin",
+    ];
+    if !judged.findings.is_empty() {
+        println!(
+            "  {:<16} {:<11} {:>8} {:>8} {:>8} {:>8} {:>9} {:>7}",
+            head[0], head[1], head[2], head[3], head[4], head[5], head[6], head[7]
+        );
+    }
+    for f in &judged.findings {
+        let operation = if f.operation.is_empty() {
+            "all"
+        } else {
+            &f.operation
+        };
+        println!(
+            "  {operation:<16} {:<11} {:>8.4} {:>8.4} {:>8.4} {:>8.4} {:>9.1} {:>7.3}",
+            f.what, f.new, f.old, f.harm, f.error, f.evidence, f.margin
+        );
+    }
+}
+
+/// Prints the nodes, and how many run each version.
+fn print_nodes(judged: &StatusSnapshot) {
+    let running: Vec<String> = judged
+        .by_version()
+        .iter()
+        .map(|(number, nodes)| format!("{nodes} run {number}"))
+        .collect();
+    println!("{} nodes: {}", judged.nodes_in_all, running.join(", "));
+    println!(
+        "{:<16} {:<8} {:<5} {:<6} {:<22} {:>9} {:<12} why",
+        "node", "zone", "there", "stage", "version", "for", "stands"
+    );
+    for node in &judged.nodes {
+        let yes = |is: bool| if is { "yes" } else { "no" };
+        let since = judged.at_ms.saturating_sub(node.since_ms) / 1000;
+        println!(
+            "{:<16} {:<8} {:<5} {:<6} {:<22} {:>7} s {:<12} {}",
+            node.name,
+            node.zone,
+            yes(node.present),
+            yes(node.in_stage),
+            version(node.running.as_ref()),
+            since,
+            node.status,
+            node.why
+        );
+    }
+}
+
+/// `rollout explain`.
+pub(super) fn explain(at: &At) -> Ended {
+    let shown = request_status(at)?;
+    println!("{}:", shown.node);
+    shown.reasons.iter().for_each(|line| println!("  {line}"));
+    Ok(true)
+}
+
+/// A rollout in a line.
+pub(super) fn summary(rollout: &RolloutStatus, shown: &StatusSnapshot) -> String {
+    let stages = rollout.stages.len();
+    let of = match rollout.stage as usize {
+        0 => "has not begun".to_owned(),
+        stage if stage > stages => "through all stages".to_owned(),
+        stage => format!("stage {stage} of {stages} ({})", rollout.stages[stage - 1]),
+    };
+    let why = if rollout.why.is_empty() {
+        String::new()
+    } else {
+        format!(", {}", rollout.why)
+    };
+    let by = if rollout.by.is_empty() {
+        String::new()
+    } else {
+        format!(" (by {})", rollout.by)
+    };
+    let waits = match shown.waits.as_str() {
+        "" => String::new(),
+        waits if rollout.outcome == "open" => format!("; waits: {waits}"),
+        _ => String::new(),
+    };
+    format!(
+        "change {:016x}: {} in place of {}, {of}, {}{why}{by}{waits}",
+        rollout.id,
+        version(rollout.version.as_ref()),
+        version(rollout.base.as_ref()),
+        rollout.outcome
+    )
+}
+
+fn version(of: Option<&VersionStatus>) -> String {
+    of.map_or_else(|| "-".to_owned(), |version| version.version().to_string())
+}
+
+fn node(node: &NodeStatusEntry) -> Value {
+    json!({"name": node.name, "zone": node.zone, "there": node.present, "in_stage": node.in_stage,
+        "version": node.running.map(|v| v.number), "hash": node.running.map(|v| format!("{:016x}", v.hash)),
+        "since_ms": node.since_ms, "stand": node.status, "died": node.crashes, "why": node.why})
+}
+
+fn point(point: &CohortPointStatus, window_ms: u64) -> Value {
+    json!({"unix_ms": point.window * window_ms, "stage": point.stage, "nodes": point.nodes, "arrived": point.arrived,
+        "succeeded": point.succeeded, "throttled": point.throttled, "errored": point.errored, "late": point.late,
+        "memory_kb": point.memory_kb})
+}
+
+/// All of it, for programs. Pairs are of the old and of the new version.
+fn as_json(shown: &StatusSnapshot, judged: &StatusSnapshot) -> Value {
+    let rollouts: Vec<Value> = shown
+        .rollouts
+        .iter()
+        .map(|c| {
+            json!({"change": format!("{:016x}", c.id), "version": c.version.map(|v| v.number),
+                "hash": c.version.map(|v| format!("{:016x}", v.hash)), "base": c.base.map(|v| v.number),
+                "stage": c.stage, "stages": c.stages, "fate": c.outcome, "why": c.why, "by": c.by,
+                "ended_ms": c.ended_ms, "offered_by": c.offered_by, "offered_ms": c.offered_ms,
+                "agreement": c.agreement, "electorate": c.electorate})
+        })
+        .collect();
+    let findings: Vec<Value> = judged
+        .findings
+        .iter()
+        .map(|f| {
+            json!({"operation": f.operation, "what": f.what, "new": f.new, "old": f.old, "harm": f.harm,
+                "error": f.error, "evidence": f.evidence, "margin": f.margin})
+        })
+        .collect();
+    json!({"node": shown.node, "at_ms": shown.at_ms, "running": shown.running.map(|v| v.number),
+        "good": shown.promoted.map(|v| v.number), "conductor": shown.coordinator, "waits": judged.waits,
+        "changes": rollouts, "nodes": judged.nodes.iter().map(node).collect::<Vec<_>>(),
+        "nodes_in_all": judged.nodes_in_all, "verdict": judged.verdict, "findings": findings,
+        "sample_new_old": judged.sample, "judged_new_old": judged.judged,
+        "points": judged.points.iter().map(|p| point(p, judged.window_ms)).collect::<Vec<_>>()})
+}
--- /dev/null
+++ b/crates/node/src/cli/rollout/target.rs
@@ -0,0 +1,72 @@
+//! The node that a command is about, and what it shows.
+
+use crate::cli::fleet::Asker;
+use clap::Args;
+use madderpoint_node::io::{PROGRAM_CHANGES, SETTINGS_CHANGES};
+use madderpoint_rollout::status::StatusSnapshot;
+use prost::Message;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// How often a node is asked for what it shows, before it is given up.
+const STATUS_TRIES: u32 = 25;
+
+/// Which node is asked, and about what.
+#[derive(Args, Clone)]
+pub struct At {
+    /// The settings with the fleet's name and keys.
+    #[arg(long, value_name = "FILE")]
+    pub(super) settings: PathBuf,
+    /// Where the node's part in the fleet listens; any node will do.
+    #[arg(long, value_name = "ADDRESS")]
+    pub(super) at: SocketAddr,
+    /// About the program, not the settings.
+    #[arg(long)]
+    pub(super) program: bool,
+}
+
+impl At {
+    /// The topic of its rollouts.
+    pub(super) fn topic(&self) -> u32 {
+        if self.program {
+            PROGRAM_CHANGES
+        } else {
+            SETTINGS_CHANGES
+        }
+    }
+}
+
+/// What the node shows.
+pub(super) fn request_status(at: &At) -> Result<StatusSnapshot, String> {
+    let bytes = Asker::about(&at.settings, at.at, at.topic())?.ask_pages(STATUS_TRIES)?;
+    let bytes = bytes.ok_or_else(|| {
+        let what = if at.program {
+            "the program"
+        } else {
+            "settings"
+        };
+        format!(
+            "{}: it shows nothing: nobody is there, or it has no part in changes of {what}",
+            at.at
+        )
+    })?;
+    StatusSnapshot::decode(bytes.as_slice())
+        .map_err(|e| format!("{}: what it shows can't be read: {e}", at.at))
+}
+
+/// What the node shows, and what the coordinator does, which has the verdict; nothing of the latter if
+/// it is the node itself or can't be reached.
+pub(super) fn request_with_coordinator(
+    at: &At,
+) -> Result<(StatusSnapshot, Option<StatusSnapshot>), String> {
+    let shown = request_status(at)?;
+    let coordinator = match shown.coordinator_address.parse() {
+        Ok(there) if shown.coordinator != shown.node => request_status(&At {
+            at: there,
+            ..at.clone()
+        })
+        .ok(),
+        _ => None,
+    };
+    Ok((shown, coordinator))
+}
--- /dev/null
+++ b/crates/node/src/io/rollout_link/status.rs
@@ -0,0 +1,67 @@
+//! What `rollout status` and `rollout explain` show.
+
+use super::{RolloutLink, topic};
+use madderpoint_membership::{ClockReading, Host as MembershipHost, MemberKey, Membership};
+use madderpoint_rollout::messages;
+use madderpoint_rollout::status::{Names, StatusSnapshot};
+use madderpoint_rollout::{Member, NodeReport, Participant};
+use madderpoint_shared_state::counts::WINDOW_MS;
+use madderpoint_shared_state::keyed_quota::number;
+use prost::Message as _;
+
+/// Names for those who read a status.
+struct ClusterNames<'a, H: MembershipHost> {
+    membership: &'a Membership<H>,
+    operations: &'a [String],
+}
+
+impl<H: MembershipHost> Names for ClusterNames<'_, H> {
+    fn node(&self, key: u64) -> Option<(String, String)> {
+        let entry = self.membership.view().get(MemberKey(key))?;
+        Some((entry.name.to_string(), entry.details.zone.to_string()))
+    }
+    fn operation(&self, row: u32) -> String {
+        let name = self.operations.iter().find(|name| number(name) == row);
+        name.cloned().unwrap_or_else(|| format!("{row:08x}"))
+    }
+}
+
+impl RolloutLink {
+    /// All that a status command shows, encoded.
+    pub fn status_snapshot<H: MembershipHost>(
+        &self,
+        at: ClockReading,
+        membership: &Membership<H>,
+    ) -> Vec<u8> {
+        let topic = topic(self.kind);
+        let Participant {
+            agent, coordinator, ..
+        } = &self.participant;
+        let members: Vec<(Member, Option<NodeReport>)> = agent
+            .host
+            .members
+            .iter()
+            .map(|member| {
+                let entry = membership.view().get(MemberKey(member.node));
+                let part = entry.and_then(|e| e.details.parts.iter().find(|part| part.id == topic));
+                (
+                    *member,
+                    part.and_then(|part| messages::decode_attachment(&part.bytes)),
+                )
+            })
+            .collect();
+        let names = ClusterNames {
+            membership,
+            operations: &self.operations,
+        };
+        let mut shown = StatusSnapshot::of(at.unix_ms, agent, coordinator, &members, &names);
+        shown.window_ms = WINDOW_MS;
+        let alone: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
+        let acting_coordinator = coordinator
+            .acting_coordinator(&alone)
+            .and_then(|key| membership.view().get(MemberKey(key)));
+        shown.coordinator_address =
+            acting_coordinator.map_or_else(String::new, |entry| entry.details.address.to_string());
+        shown.encode_to_vec()
+    }
+}
--- a/crates/node/src/supervisor.rs
+++ b/crates/node/src/supervisor.rs
@@ -165,15 +165,15 @@
         Event::Message(child, message) => match message.kind {
             kind::READY => supervisor.ready(now(), child),
             kind::KEEP => match PersistedState::decode(&message.persisted) {
-                Ok(persisted) => supervisor.persist(child, message.no, persisted),
-                Err(broken) => {
-                    supervisor
-                        .host
-                        .answer(child, message.no, Err(HostError::from(broken.word())))
-                }
+                Ok(persisted) => supervisor.persist(child, message.request, persisted),
+                Err(broken) => supervisor.host.answer(
+                    child,
+                    message.request,
+                    Err(HostError::from(broken.word())),
+                ),
             },
-            kind::CHECK => supervisor.check(child, message.no, message.version()),
-            kind::APPLY => supervisor.apply(now(), child, message.no, message.version()),
+            kind::CHECK => supervisor.check(child, message.request, message.version()),
+            kind::APPLY => supervisor.apply(now(), child, message.request, message.version()),
             _ => {}
         },
     }
--- a/crates/node/src/supervisor_client.rs
+++ b/crates/node/src/supervisor_client.rs
@@ -221,7 +221,7 @@
                 } else {
                     Ok(())
                 };
-                let waiting = self.answers().remove(&message.no);
+                let waiting = self.answers().remove(&message.request);
                 if let Some(waiting) = waiting {
                     let _ = waiting.send(result);
                 }
@@ -278,7 +278,7 @@
     ) -> Result<(), VersionError> {
         Ok(self.0.request(|no| SupervisorMessage {
             kind: kind::KEEP,
-            no,
+            request: no,
             persisted: persisted.encode(),
             ..SupervisorMessage::default()
         })?)
--- a/crates/rollout/src/chunks.rs
+++ b/crates/rollout/src/chunks.rs
@@ -29,8 +29,8 @@
 }
 
 /// A chunk of a content.
-pub fn chunk(content: &[u8], no: u32) -> Option<&[u8]> {
-    let from = (no as usize).checked_mul(CHUNK_BYTES)?;
+pub fn chunk(content: &[u8], index: u32) -> Option<&[u8]> {
+    let from = (index as usize).checked_mul(CHUNK_BYTES)?;
     (from < content.len()).then(|| &content[from..content.len().min(from + CHUNK_BYTES)])
 }
 
@@ -90,22 +90,22 @@
     }
 
     /// Takes up a chunk; one that does not fit is dropped.
-    pub fn insert(&mut self, no: u32, bytes: &[u8]) {
-        let from = no as usize * CHUNK_BYTES;
+    pub fn insert(&mut self, index: u32, bytes: &[u8]) {
+        let from = index as usize * CHUNK_BYTES;
         let fits =
             from < self.content.len() && bytes.len() == CHUNK_BYTES.min(self.content.len() - from);
-        if !fits || self.have[no as usize] {
+        if !fits || self.have[index as usize] {
             return;
         }
         self.content[from..from + bytes.len()].copy_from_slice(bytes);
-        self.have[no as usize] = true;
+        self.have[index as usize] = true;
         // All that was asked for is here: the next ones may be asked for at once.
         let first = self
             .have
             .iter()
             .position(|have| !have)
             .unwrap_or(self.have.len());
-        if first as u32 > no || first.is_multiple_of(CHUNKS_PER_REQUEST as usize) {
+        if first as u32 > index || first.is_multiple_of(CHUNKS_PER_REQUEST as usize) {
             self.asked = 0;
         }
     }
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -100,7 +100,7 @@
 /// A node's last report, and the poll that it answers.
 #[derive(Clone, Debug)]
 struct ReceivedReport {
-    no: u32,
+    poll: u32,
     report: NodeReport,
 }
 
@@ -258,12 +258,12 @@
     }
 
     fn is_fresh(&self, received: &ReceivedReport) -> bool {
-        self.poll.wrapping_sub(received.no) <= 1
+        self.poll.wrapping_sub(received.poll) <= 1
     }
 
     /// Takes up a node's answer to a poll.
-    pub fn handle_report(&mut self, from: u64, no: u32, report: NodeReport) {
-        self.reports.insert(from, ReceivedReport { no, report });
+    pub fn handle_report(&mut self, from: u64, poll: u32, report: NodeReport) {
+        self.reports.insert(from, ReceivedReport { poll, report });
     }
 
     /// Does what is due; to be called a few times a second.
@@ -329,7 +329,7 @@
         }
         (self.polled, self.poll) = (now, self.poll.wrapping_add(1));
         let poll = ReceivedMessage::Poll {
-            no: self.poll,
+            poll: self.poll,
             rollout: rollout.id,
             stage: rollout.progress.stage,
             outcome: rollout.outcome,
--- a/crates/rollout/src/coordinator/start.rs
+++ b/crates/rollout/src/coordinator/start.rs
@@ -150,7 +150,7 @@
     fn outdated(&self, rollout: &Rollout) -> Option<String> {
         let good = self
             .fresh_reports(rollout.id)
-            .map(|(_, report)| report.good)
+            .map(|(_, report)| report.promoted)
             .max()
             .unwrap_or_default();
         (rollout.version.number <= good.number)
--- a/crates/rollout/src/host.rs
+++ b/crates/rollout/src/host.rs
@@ -24,14 +24,19 @@
     fn check(&mut self, rollout: RolloutId, version: Version, content: Option<Vec<u8>>);
     /// Writes the persisted state, and a content with it; contents that are not needed any more may go.
     /// Answered by [`crate::NodeAgent::persist_finished`].
-    fn persist(&mut self, no: u64, persisted: &PersistedState, content: Option<(Version, Vec<u8>)>);
+    fn persist(
+        &mut self,
+        write: u64,
+        persisted: &PersistedState,
+        content: Option<(Version, Vec<u8>)>,
+    );
     /// Runs this version from here on; answered by [`crate::NodeAgent::apply_finished`].
     fn apply(&mut self, version: Version);
     /// The cluster as this node sees it, itself included.
     fn members(&mut self) -> Vec<Member>;
     /// Checks a content that an operator offers, or a program's version; answered by
     /// [`crate::Participant::offer_checked`]. A host that takes no commands is never asked.
-    fn check_offer(&mut self, _no: u64, _version: Option<Version>, _content: Option<Vec<u8>>) {}
+    fn check_offer(&mut self, _check: u64, _version: Option<Version>, _content: Option<Vec<u8>>) {}
     /// What all nodes counted in these windows, as far as it is known here.
     fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<WindowSample>)>;
 }
--- a/crates/rollout/src/messages/command.rs
+++ b/crates/rollout/src/messages/command.rs
@@ -8,7 +8,7 @@
     pub kind: u32,
     /// Of content: the index of the chunk.
     #[prost(uint32, tag = "2")]
-    pub no: u32,
+    pub chunk: u32,
     /// The bytes of the chunk.
     #[prost(bytes = "vec", tag = "3")]
     pub bytes: Vec<u8>,
--- a/crates/rollout/src/messages/decode.rs
+++ b/crates/rollout/src/messages/decode.rs
@@ -136,7 +136,7 @@
         crashes: report.crashes,
         why: Reason::new(0, 0, &report.why).why,
         digest: report.digest,
-        good: decode_version(report.good),
+        promoted: decode_version(report.promoted),
         last_crash_ms: report.last_crash_ms,
     }
 }
@@ -146,7 +146,7 @@
     let wire = MessageWire::decode(bytes)
         .ok()
         .filter(|_| bytes.len() <= MAX_MESSAGE_BYTES)?;
-    let (no, rollout) = (wire.no, RolloutId(wire.rollout));
+    let (number, rollout) = (wire.number, RolloutId(wire.rollout));
     Some(match wire.kind {
         1 if wire.rollouts.len() <= MAX_ROLLOUTS => ReceivedMessage::Rollouts {
             // One that can't be read leaves the others as they are.
@@ -156,24 +156,24 @@
         2 => {
             let outcome = Outcome::from_number(wire.outcome).unwrap_or(Outcome::RolledBack);
             ReceivedMessage::Poll {
-                no,
+                poll: number,
                 rollout,
                 stage: wire.stage,
                 outcome,
             }
         }
         3 => ReceivedMessage::NodeReport {
-            no,
+            poll: number,
             report: decode_report(&wire.report?),
         },
         4 => ReceivedMessage::ChunkRequest {
             rollout,
-            first: no,
+            first: number,
             count: wire.count,
         },
         5 if wire.bytes.len() <= CHUNK_BYTES => ReceivedMessage::Chunk {
             rollout,
-            no,
+            index: number,
             bytes: wire.bytes,
         },
         6..=10 => return decode_paxos(&wire),
--- a/crates/rollout/src/messages/encode.rs
+++ b/crates/rollout/src/messages/encode.rs
@@ -118,7 +118,7 @@
         crashes: report.crashes,
         why: report.why.clone(),
         digest: report.digest,
-        good: encode_version(report.good),
+        promoted: encode_version(report.promoted),
         // A field that a later version drops.
         last_crash_ms: if LATER { 0 } else { report.last_crash_ms },
     }
@@ -134,26 +134,30 @@
             wire.answer = *answer;
         }
         ReceivedMessage::Poll {
-            no,
+            poll,
             rollout,
             stage,
             outcome,
         } => {
-            (wire.kind, wire.no, wire.rollout) = (2, *no, rollout.0);
+            (wire.kind, wire.number, wire.rollout) = (2, *poll, rollout.0);
             (wire.stage, wire.outcome) = (*stage, *outcome as u32);
         }
-        ReceivedMessage::NodeReport { no, report } => {
-            (wire.kind, wire.no, wire.report) = (3, *no, Some(encode_report(report)));
+        ReceivedMessage::NodeReport { poll, report } => {
+            (wire.kind, wire.number, wire.report) = (3, *poll, Some(encode_report(report)));
         }
         ReceivedMessage::ChunkRequest {
             rollout,
             first,
             count,
         } => {
-            (wire.kind, wire.rollout, wire.no, wire.count) = (4, rollout.0, *first, *count);
+            (wire.kind, wire.rollout, wire.number, wire.count) = (4, rollout.0, *first, *count);
         }
-        ReceivedMessage::Chunk { rollout, no, bytes } => {
-            (wire.kind, wire.rollout, wire.no) = (5, rollout.0, *no);
+        ReceivedMessage::Chunk {
+            rollout,
+            index,
+            bytes,
+        } => {
+            (wire.kind, wire.rollout, wire.number) = (5, rollout.0, *index);
             wire.bytes.clone_from(bytes);
         }
         ReceivedMessage::PaxosRequest(kind, request) => {
--- a/crates/rollout/src/messages/message.rs
+++ b/crates/rollout/src/messages/message.rs
@@ -21,7 +21,7 @@
     /// From the coordinator: how does the node stand to a rollout of which this is known?
     Poll {
         /// The number of the poll.
-        no: u32,
+        poll: u32,
         /// The rollout.
         rollout: RolloutId,
         /// Its stage as the coordinator knows it.
@@ -32,7 +32,7 @@
     /// The answer to a poll.
     NodeReport {
         /// The number of the poll.
-        no: u32,
+        poll: u32,
         /// The report.
         report: NodeReport,
     },
@@ -50,7 +50,7 @@
         /// The rollout.
         rollout: RolloutId,
         /// The index of the chunk.
-        no: u32,
+        index: u32,
         /// Its bytes.
         bytes: Vec<u8>,
     },
--- a/crates/rollout/src/messages/tests.rs
+++ b/crates/rollout/src/messages/tests.rs
@@ -24,7 +24,7 @@
             number: 3,
             hash: 1 << 60,
         },
-        good: Version { number: 2, hash: 5 },
+        promoted: Version { number: 2, hash: 5 },
         since_ms: 1 << 40,
         crashes: 1,
         last_crash_ms: 1 << 41,
@@ -66,13 +66,13 @@
             answer: true,
         },
         ReceivedMessage::Poll {
-            no: 4,
+            poll: 4,
             rollout: RolloutId(1 << 63),
             stage: 2,
             outcome: Outcome::InProgress,
         },
         ReceivedMessage::NodeReport {
-            no: 4,
+            poll: 4,
             report: report(),
         },
         ReceivedMessage::ChunkRequest {
@@ -82,7 +82,7 @@
         },
         ReceivedMessage::Chunk {
             rollout: RolloutId(3),
-            no: 17,
+            index: 17,
             bytes: vec![7; CHUNK_BYTES],
         },
         ReceivedMessage::PaxosRequest(
--- a/crates/rollout/src/messages/wire.rs
+++ b/crates/rollout/src/messages/wire.rs
@@ -153,7 +153,7 @@
     #[prost(fixed64, tag = "9")]
     pub(super) digest: u64,
     #[prost(message, optional, tag = "10")]
-    pub(super) good: Option<VersionWire>,
+    pub(super) promoted: Option<VersionWire>,
     #[prost(uint64, tag = "11")]
     pub(super) last_crash_ms: u64,
 }
@@ -168,7 +168,7 @@
     #[prost(bool, tag = "3")]
     pub(super) answer: bool,
     #[prost(uint32, tag = "4")]
-    pub(super) no: u32,
+    pub(super) number: u32,
     #[prost(fixed64, tag = "5")]
     pub(super) rollout: u64,
     #[prost(message, optional, tag = "6")]
--- a/crates/rollout/src/node_agent.rs
+++ b/crates/rollout/src/node_agent.rs
@@ -88,7 +88,7 @@
     Check { rollout: RolloutId, since: Nanos },
     /// A write, and what follows it.
     Persist {
-        no: u64,
+        write: u64,
         then: Continuation,
         since: Nanos,
     },
@@ -244,7 +244,7 @@
             .persisted
             .trial
             .is_some_and(|trial| trial.version == running);
-        if !is_trial && self.persisted.good != Some(running) {
+        if !is_trial && self.persisted.promoted != Some(running) {
             self.persisted.promote(running);
         }
         if let Some(content) = &new_content {
--- a/crates/rollout/src/node_agent/assignment.rs
+++ b/crates/rollout/src/node_agent/assignment.rs
@@ -16,7 +16,7 @@
 
     /// The last completed rollout whose version is not promoted here yet.
     pub(super) fn missing_completed(&self) -> Option<&Rollout> {
-        let good = self.persisted.good.unwrap_or(self.running);
+        let good = self.persisted.promoted.unwrap_or(self.running);
         let done = self.of_kind().filter(|rollout| {
             rollout.outcome == Outcome::Completed && rollout.version.number > good.number
         });
--- a/crates/rollout/src/node_agent/explain.rs
+++ b/crates/rollout/src/node_agent/explain.rs
@@ -17,7 +17,7 @@
             .trial
             .is_some_and(|trial| trial.version == version);
         match () {
-            () if self.running == version && self.persisted.good == Some(version) => {
+            () if self.running == version && self.persisted.promoted == Some(version) => {
                 NodeStatus::Promoted
             }
             () if self.running == version && trial => NodeStatus::OnTrial,
@@ -43,7 +43,7 @@
             outcome: rollout.map_or(Outcome::InProgress, |rollout| rollout.outcome),
             status: rollout.map_or(NodeStatus::Unknown, |rollout| self.node_status(rollout)),
             running: self.running,
-            good: self.persisted.good.unwrap_or_default(),
+            promoted: self.persisted.promoted.unwrap_or_default(),
             since_ms: self.since_ms,
             crashes: of.map_or(0, |version| self.persisted.crashes(version)),
             last_crash_ms: self.last_crash_ms,
@@ -66,8 +66,8 @@
         let shown = |version: Option<Version>| version.map_or("none".to_owned(), |v| v.to_string());
         lines.push(format!(
             "the last good one is {}, before it {}; it starts on the last good one",
-            shown(self.persisted.good),
-            shown(self.persisted.before)
+            shown(self.persisted.promoted),
+            shown(self.persisted.previous)
         ));
         if let Some(rollout) = self.shown_rollout() {
             let assignment = match rollout.assignment(self.me, self.zone) {
--- a/crates/rollout/src/node_agent/messaging.rs
+++ b/crates/rollout/src/node_agent/messaging.rs
@@ -131,12 +131,12 @@
                 }
             }
             ReceivedMessage::Poll {
-                no,
+                poll,
                 rollout,
                 stage,
                 outcome,
             } => {
-                self.answer_poll(from, no, (rollout, stage, outcome));
+                self.answer_poll(from, poll, (rollout, stage, outcome));
             }
             ReceivedMessage::ChunkRequest {
                 rollout,
@@ -145,9 +145,13 @@
             } => {
                 self.send_chunks(from, rollout, first, count);
             }
-            ReceivedMessage::Chunk { rollout, no, bytes } => {
+            ReceivedMessage::Chunk {
+                rollout,
+                index,
+                bytes,
+            } => {
                 if let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.rollout == rollout) {
-                    fetch.insert(no, &bytes);
+                    fetch.insert(index, &bytes);
                     self.proceed(now);
                 }
             }
@@ -178,7 +182,7 @@
             self.last_digest_exchange = 0;
         }
         self.host
-            .send(from, ReceivedMessage::NodeReport { no: poll, report });
+            .send(from, ReceivedMessage::NodeReport { poll, report });
     }
 
     /// Sends chunks of a rollout's content, as far as it is here.
@@ -189,9 +193,15 @@
             ..first.saturating_add(count.min(chunks::CHUNKS_PER_REQUEST)))
             .filter_map(|index| Some((index, chunks::chunk(content?, index)?.to_vec())))
             .collect();
-        for (no, bytes) in chunks {
-            self.host
-                .send(to, ReceivedMessage::Chunk { rollout, no, bytes });
+        for (index, bytes) in chunks {
+            self.host.send(
+                to,
+                ReceivedMessage::Chunk {
+                    rollout,
+                    index,
+                    bytes,
+                },
+            );
         }
     }
 
--- a/crates/rollout/src/node_agent/persistence.rs
+++ b/crates/rollout/src/node_agent/persistence.rs
@@ -19,7 +19,7 @@
         self.write_count += 1;
         self.persisted.head = self.rollouts.head(self.kind).cloned();
         self.pending = PendingOperation::Persist {
-            no: self.write_count,
+            write: self.write_count,
             then,
             since: now,
         };
@@ -28,11 +28,13 @@
     }
 
     /// The host wrote what [`Host::persist`] asked for, or could not.
-    pub fn persist_finished(&mut self, now: Nanos, no: u64, result: Result<(), HostError>) {
+    pub fn persist_finished(&mut self, now: Nanos, write: u64, result: Result<(), HostError>) {
         let then = match &self.pending {
             PendingOperation::Persist {
-                no: pending, then, ..
-            } if *pending == no => then.clone(),
+                write: pending,
+                then,
+                ..
+            } if *pending == write => then.clone(),
             _ => return,
         };
         self.pending = PendingOperation::Nothing;
--- a/crates/rollout/src/node_agent/trial.rs
+++ b/crates/rollout/src/node_agent/trial.rs
@@ -102,7 +102,7 @@
 
     /// The rollout was completed: the version is the one to start on.
     pub(super) fn promote(&mut self, now: Nanos, version: Version) {
-        if self.persisted.good != Some(version) || self.persisted.trial.is_some() {
+        if self.persisted.promoted != Some(version) || self.persisted.trial.is_some() {
             self.persisted.promote(version);
             self.host.log(&format!(
                 "version {version} is good, and the one to start on"
@@ -118,10 +118,10 @@
         self.persisted.trial = None;
         self.persisted
             .reject(version, self.persisted.crashes(version));
-        if self.persisted.good == Some(version) {
-            self.persisted.good = self.persisted.before.take().or(Some(base));
+        if self.persisted.promoted == Some(version) {
+            self.persisted.promoted = self.persisted.previous.take().or(Some(base));
         }
-        let to = self.persisted.good.unwrap_or(base);
+        let to = self.persisted.promoted.unwrap_or(base);
         self.local_at_trial_start = None;
         self.staged.remove(&version);
         if self.running == to {
--- a/crates/rollout/src/node_report.rs
+++ b/crates/rollout/src/node_report.rs
@@ -77,7 +77,7 @@
     /// The version that it runs.
     pub running: Version,
     /// The last promoted version: what it starts on.
-    pub good: Version,
+    pub promoted: Version,
     /// Since when it runs, Unix milliseconds.
     pub since_ms: u64,
     /// How often the rollout's version crashed here.
--- a/crates/rollout/src/operator_commands.rs
+++ b/crates/rollout/src/operator_commands.rs
@@ -55,7 +55,7 @@
 
 #[derive(Clone, Debug)]
 enum CommandOutcome {
-    Checking { no: u64, since: Nanos },
+    Checking { check: u64, since: Nanos },
     Answered(CommandReply),
 }
 
@@ -67,7 +67,7 @@
     /// The host is to check an offer; the command is answered with "later" until then.
     CheckOffer {
         /// The number of the check.
-        no: u64,
+        check: u64,
         /// The version of a program.
         version: Option<Version>,
         /// The content of settings.
@@ -173,12 +173,12 @@
             have: vec![false; chunks::count(size) as usize],
             since: now,
         });
-        let from = (command.no as usize).saturating_mul(CHUNK_BYTES);
+        let from = (command.chunk as usize).saturating_mul(CHUNK_BYTES);
         if from >= size || command.bytes.len() != CHUNK_BYTES.min(size - from) {
             return refused("a piece that does not fit");
         }
         incoming.bytes[from..from + command.bytes.len()].copy_from_slice(&command.bytes);
-        incoming.have[command.no as usize] = true;
+        incoming.have[command.chunk as usize] = true;
         incoming.since = now;
         answer(state::TAKEN, "", 0)
     }
@@ -227,14 +227,14 @@
             }
         };
         self.check_count += 1;
-        let no = self.check_count;
+        let check = self.check_count;
         self.offers
-            .push_back((mark, CommandOutcome::Checking { no, since: now }));
+            .push_back((mark, CommandOutcome::Checking { check, since: now }));
         while self.offers.len() > REMEMBERED_OFFERS {
             self.offers.pop_front();
         }
         CommandAction::CheckOffer {
-            no,
+            check,
             version,
             content,
         }
@@ -243,14 +243,14 @@
     /// The host has checked an offer; gives the rollout to be offered to the cluster, if it is one.
     pub fn offer_checked(
         &mut self,
-        no: u64,
+        check: u64,
         found: Result<Version, HostError>,
         (kind, me, unix_ms): (Kind, u64, u64),
         rollouts: &RolloutTable,
         good: Version,
         plan: &Plan,
     ) -> Option<(Rollout, Option<Vec<u8>>)> {
-        let is_it = |outcome: &CommandOutcome| matches!(outcome, CommandOutcome::Checking { no: of, .. } if *of == no);
+        let is_it = |outcome: &CommandOutcome| matches!(outcome, CommandOutcome::Checking { check: of, .. } if *of == check);
         let at = self.offers.iter().position(|(_, outcome)| is_it(outcome))?;
         let (digest, _) = self.offers[at].0;
         let (answered, offered) = match found {
--- a/crates/rollout/src/operator_commands/tests.rs
+++ b/crates/rollout/src/operator_commands/tests.rs
@@ -6,7 +6,7 @@
     let (size, digest) = (content.len() as u32, chunks::digest(content).to_vec());
     OperatorCommand {
         kind: order::CHUNK,
-        no,
+        chunk: no,
         bytes,
         size,
         digest,
@@ -68,7 +68,7 @@
         );
     }
     let CommandAction::CheckOffer {
-        no,
+        check: no,
         content: Some(whole),
         ..
     } = ordered(&mut orders, 0, &offer(&content))
@@ -111,7 +111,8 @@
         Some(state::REFUSED)
     );
     ordered(&mut orders, 0, &chunk(&content, 0));
-    let CommandAction::CheckOffer { no, .. } = ordered(&mut orders, 0, &offer(&content)) else {
+    let CommandAction::CheckOffer { check: no, .. } = ordered(&mut orders, 0, &offer(&content))
+    else {
         panic!()
     };
     assert!(looked(&mut orders, no, Ok(Version { number: 4, hash: 9 })).is_none());
@@ -151,7 +152,7 @@
             &mut orders,
             0,
             &OperatorCommand {
-                no: 9,
+                chunk: 9,
                 ..chunk(&content, 0)
             }
         )),
--- a/crates/rollout/src/participant.rs
+++ b/crates/rollout/src/participant.rs
@@ -65,8 +65,8 @@
         message: ReceivedMessage,
     ) {
         match message {
-            ReceivedMessage::NodeReport { no, report } => {
-                self.coordinator.handle_report(from, no, report)
+            ReceivedMessage::NodeReport { poll, report } => {
+                self.coordinator.handle_report(from, poll, report)
             }
             ReceivedMessage::PaxosReply(kind, reply) if kind == self.agent.kind() => {
                 let actions = self.coordinator.handle_paxos_reply(now, from, &reply);
@@ -161,11 +161,11 @@
         {
             operator_commands::CommandAction::Reply(answer) => answer,
             operator_commands::CommandAction::CheckOffer {
-                no,
+                check,
                 version,
                 content,
             } => {
-                self.agent.host.check_offer(no, version, content);
+                self.agent.host.check_offer(check, version, content);
                 CommandReply {
                     state: state::LATER,
                     why: "the node looks into it".into(),
@@ -188,18 +188,18 @@
         &mut self,
         now: Nanos,
         unix_ms: u64,
-        no: u64,
+        check: u64,
         found: Result<Version, HostError>,
     ) {
         let of = (self.agent.kind(), self.agent.me(), unix_ms);
         let good = self
             .agent
             .persisted_state()
-            .good
+            .promoted
             .unwrap_or(self.agent.running());
         let offered =
             self.commands
-                .offer_checked(no, found, of, self.agent.rollouts(), good, &self.plan);
+                .offer_checked(check, found, of, self.agent.rollouts(), good, &self.plan);
         if let Some((rollout, content)) = offered {
             self.agent.offer(now, rollout, content);
         }
--- a/crates/rollout/src/persisted_state.rs
+++ b/crates/rollout/src/persisted_state.rs
@@ -35,9 +35,9 @@
     /// What its versions are of.
     pub kind: Kind,
     /// The last promoted version; none before the first one.
-    pub good: Option<Version>,
+    pub promoted: Option<Version>,
     /// The promoted version before it, whose content is still here.
-    pub before: Option<Version>,
+    pub previous: Option<Version>,
     /// The version on trial.
     pub trial: Option<Trial>,
     /// Versions that crashed, were rejected or rolled back here, with how often they crashed.
@@ -85,9 +85,9 @@
 #[derive(Clone, PartialEq, prost::Message)]
 struct PersistedStateWire {
     #[prost(message, optional, tag = "1")]
-    good: Option<VersionWire>,
+    promoted: Option<VersionWire>,
     #[prost(message, optional, tag = "2")]
-    before: Option<VersionWire>,
+    previous: Option<VersionWire>,
     #[prost(fixed64, tag = "3")]
     rollout: u64,
     #[prost(message, optional, tag = "4")]
@@ -131,8 +131,8 @@
     /// The file: its mark, the length of the body (4 bytes, little-endian), its CRC-32 (4), and the body.
     pub fn encode(&self) -> Vec<u8> {
         let body = PersistedStateWire {
-            good: self.good.map(|v| one(v, 0)),
-            before: self.before.map(|v| one(v, 0)),
+            promoted: self.promoted.map(|v| one(v, 0)),
+            previous: self.previous.map(|v| one(v, 0)),
             rollout: self.trial.map_or(0, |trial| trial.rollout.0),
             trial: self.trial.map(|trial| one(trial.version, trial.tries)),
             rejected: self
@@ -185,8 +185,8 @@
             } else {
                 Kind::Settings
             },
-            good: body.good.as_ref().map(version),
-            before: body.before.as_ref().map(version),
+            promoted: body.promoted.as_ref().map(version),
+            previous: body.previous.as_ref().map(version),
             trial,
             rejected: body
                 .rejected
@@ -211,12 +211,12 @@
             self.record_crash(trial.version);
         }
         let is_newer =
-            self.good.is_none_or(|good| given.number > good.number) && !self.is_rejected(given);
+            self.promoted.is_none_or(|good| given.number > good.number) && !self.is_rejected(given);
         let first = Some(given).filter(|_| is_newer);
         let mut all: Vec<Version> = first
             .into_iter()
-            .chain(self.good)
-            .chain(self.before)
+            .chain(self.promoted)
+            .chain(self.previous)
             .chain([given])
             .collect();
         let mut seen = Vec::new();
@@ -260,18 +260,18 @@
     /// The version on trial is in force from here on.
     pub fn promote(&mut self, version: Version) {
         self.trial = None;
-        if self.good != Some(version) {
-            self.before = self.good;
-            self.good = Some(version);
+        if self.promoted != Some(version) {
+            self.previous = self.promoted;
+            self.promoted = Some(version);
         }
         self.rejected.retain(|(v, _)| *v != version);
     }
 
     /// Versions whose content must stay on disk.
     pub fn needed(&self) -> impl Iterator<Item = Version> {
-        self.good
+        self.promoted
             .into_iter()
-            .chain(self.before)
+            .chain(self.previous)
             .chain(self.trial.map(|trial| trial.version))
     }
 }
--- a/crates/rollout/src/persisted_state/tests.rs
+++ b/crates/rollout/src/persisted_state/tests.rs
@@ -52,8 +52,8 @@
     };
     PersistedState {
         kind: Kind::Settings,
-        good: Some(v(2)),
-        before: Some(v(1)),
+        promoted: Some(v(2)),
+        previous: Some(v(1)),
         trial,
         rejected,
         head: Some(head),
@@ -123,7 +123,10 @@
     });
     assert_eq!(persisted.needed().collect::<Vec<_>>(), [v(1), v(2)]);
     persisted.promote(v(2));
-    assert_eq!((persisted.good, persisted.before), (Some(v(2)), Some(v(1))));
+    assert_eq!(
+        (persisted.promoted, persisted.previous),
+        (Some(v(2)), Some(v(1)))
+    );
     assert_eq!(
         persisted.start_candidates(v(1)).0,
         [v(2), v(1)],
@@ -135,7 +138,7 @@
         "and what is newer goes first"
     );
     persisted.promote(v(2));
-    assert_eq!(persisted.before, Some(v(1)));
+    assert_eq!(persisted.previous, Some(v(1)));
     (30..60).for_each(|n| persisted.reject(v(n), 0));
     assert_eq!(
         (
--- a/crates/rollout/src/process_handover.rs
+++ b/crates/rollout/src/process_handover.rs
@@ -48,7 +48,7 @@
     /// Whether a version is on this machine, or why it can't be started.
     fn has(&mut self, version: Version) -> Result<(), HostError>;
     /// Answers a request of a process.
-    fn answer(&mut self, child: Child, no: u64, result: Result<(), HostError>);
+    fn answer(&mut self, child: Child, request: u64, result: Result<(), HostError>);
     /// Writes a line to the log.
     fn log(&mut self, line: &str);
 }
@@ -265,7 +265,7 @@
     }
 
     /// A process wants this persisted; only the one in charge may, or the only one that there is.
-    pub fn persist(&mut self, child: Child, no: u64, persisted: PersistedState) {
+    pub fn persist(&mut self, child: Child, request: u64, persisted: PersistedState) {
         let only = self
             .starting
             .filter(|_| self.in_charge_process.is_none())
@@ -273,48 +273,48 @@
         if self.in_charge_process.map(|process| process.child).or(only) != Some(child) {
             return self
                 .host
-                .answer(child, no, Err("another process is in charge".into()));
+                .answer(child, request, Err("another process is in charge".into()));
         }
         let written = self.host.persist(&persisted);
         if written.is_ok() {
             self.persisted = persisted;
         }
-        self.host.answer(child, no, written);
+        self.host.answer(child, request, written);
     }
 
     /// A process asks whether a version can be run here.
-    pub fn check(&mut self, child: Child, no: u64, version: Version) {
+    pub fn check(&mut self, child: Child, request: u64, version: Version) {
         let here = self.host.has(version);
-        self.host.answer(child, no, here);
+        self.host.answer(child, request, here);
     }
 
     /// The process in charge wants another version to take its place. It is answered only if that is not
     /// possible: else it gets the notice to leave.
-    pub fn apply(&mut self, now: Nanos, child: Child, no: u64, version: Version) {
+    pub fn apply(&mut self, now: Nanos, child: Child, request: u64, version: Version) {
         let Some(in_charge_process) = self
             .in_charge_process
             .filter(|process| process.child == child)
         else {
             return self
                 .host
-                .answer(child, no, Err("another process is in charge".into()));
+                .answer(child, request, Err("another process is in charge".into()));
         };
         if in_charge_process.version == version {
-            return self.host.answer(child, no, Ok(()));
+            return self.host.answer(child, request, Ok(()));
         }
         if self.starting.is_some() || self.ends {
             return self.host.answer(
                 child,
-                no,
+                request,
                 Err("another one is being started, or all of it ends".into()),
             );
         }
         let started = self
             .host
             .has(version)
-            .and_then(|()| self.start(now, version, Some((child, no))));
+            .and_then(|()| self.start(now, version, Some((child, request))));
         if let Err(why) = started {
-            self.host.answer(child, no, Err(why));
+            self.host.answer(child, request, Err(why));
         }
     }
 
@@ -382,8 +382,10 @@
         self.host
             .log(&format!("version {version} did not come to serve: {why}"));
         match (starting.asked, self.in_charge_process) {
-            (Some((child, no)), Some(in_charge_process)) if in_charge_process.child == child => {
-                self.host.answer(child, no, Err(why.into()));
+            (Some((child, request)), Some(in_charge_process))
+                if in_charge_process.child == child =>
+            {
+                self.host.answer(child, request, Err(why.into()));
             }
             _ => {
                 *self.failures.entry(version).or_default() += MAX_QUICK_CRASHES;
--- a/crates/rollout/src/simulation/cluster.rs
+++ b/crates/rollout/src/simulation/cluster.rs
@@ -343,8 +343,8 @@
 
     /// The cluster is split: these nodes are on one side, the others on the other.
     pub fn split(&mut self, side: &[usize]) {
-        for (no, node) in self.nodes.iter_mut().enumerate() {
-            let now = usize::from(side.contains(&no));
+        for (number, node) in self.nodes.iter_mut().enumerate() {
+            let now = usize::from(side.contains(&number));
             if now != node.side {
                 (node.side, node.since) = (now, self.now);
             }
--- a/crates/rollout/src/simulation/cluster/events.rs
+++ b/crates/rollout/src/simulation/cluster/events.rs
@@ -26,7 +26,7 @@
         version: Version,
     },
     Persist {
-        no: u64,
+        number: u64,
         persisted: Box<PersistedState>,
         content: Option<(Version, Vec<u8>)>,
     },
@@ -44,7 +44,7 @@
 /// An event and when it happens.
 pub(super) struct Queued {
     pub(super) at: Nanos,
-    pub(super) no: u64,
+    pub(super) number: u64,
     pub(super) node: usize,
     /// Of the process that it is for, if it is for one.
     pub(super) life: Option<u64>,
@@ -53,7 +53,7 @@
 
 impl PartialEq for Queued {
     fn eq(&self, other: &Queued) -> bool {
-        (self.at, self.no) == (other.at, other.no)
+        (self.at, self.number) == (other.at, other.number)
     }
 }
 
@@ -67,7 +67,7 @@
 
 impl Ord for Queued {
     fn cmp(&self, other: &Queued) -> std::cmp::Ordering {
-        (other.at, other.no).cmp(&(self.at, self.no))
+        (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
@@ -126,7 +126,7 @@
         self.queued += 1;
         self.queue.push(Queued {
             at: self.now + after,
-            no: self.queued,
+            number: self.queued,
             node,
             life,
             event,
@@ -202,7 +202,7 @@
                 }
             }
             Task::Persist {
-                no,
+                number,
                 persisted,
                 content,
             } => {
@@ -222,7 +222,7 @@
                     }
                 }
                 if let Some(participant) = &mut of.participant {
-                    participant.agent.persist_finished(now, no, result);
+                    participant.agent.persist_finished(now, number, result);
                 }
             }
             Task::Apply(version) => {
@@ -294,7 +294,7 @@
                 windows: Rc::clone(&self.windows),
                 ..Board::default()
             };
-            for (no, node) in self.nodes.iter().enumerate() {
+            for (number, node) in self.nodes.iter().enumerate() {
                 let is_here = node.participant.is_some() && !node.paused && node.side == side;
                 let seen_at = node.since + SEEN;
                 let present = if self.now >= seen_at {
@@ -307,7 +307,7 @@
                 }
                 board.members.push(Member {
                     node: node.key,
-                    zone: self.load.zone(no),
+                    zone: self.load.zone(number),
                     present,
                 });
                 if is_here {
--- a/crates/rollout/src/simulation/cluster/host.rs
+++ b/crates/rollout/src/simulation/cluster/host.rs
@@ -83,12 +83,12 @@
 
     fn persist(
         &mut self,
-        no: u64,
+        number: u64,
         persisted: &PersistedState,
         content: Option<(Version, Vec<u8>)>,
     ) {
         self.tasks.push(Task::Persist {
-            no,
+            number,
             persisted: Box::new(persisted.clone()),
             content,
         });
--- a/crates/rollout/src/simulation/cluster/invariants.rs
+++ b/crates/rollout/src/simulation/cluster/invariants.rs
@@ -92,7 +92,7 @@
                 ));
             }
         }
-        if agent.persisted_state().good.is_none() {
+        if agent.persisted_state().promoted.is_none() {
             self.totals
                 .broken
                 .push(format!("node {node} has no last good version"));
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -230,7 +230,7 @@
     pub window_ms: u64,
     /// The node's last promoted version.
     #[prost(message, optional, tag = "18")]
-    pub good: Option<VersionStatus>,
+    pub promoted: Option<VersionStatus>,
 }
 
 /// What nodes and operations are called.
@@ -426,7 +426,7 @@
             at_ms: unix_ms,
             kind: kind as u32,
             running: version(agent.running()),
-            good: agent.persisted_state().good.and_then(version),
+            promoted: agent.persisted_state().promoted.and_then(version),
             reasons: agent.explain(unix_ms),
             coordinator: acting
                 .and_then(|key| names.node(key))
--- a/crates/rollout/src/supervisor_messages.rs
+++ b/crates/rollout/src/supervisor_messages.rs
@@ -39,7 +39,7 @@
     pub kind: u32,
     /// The number of a request, and of its answer.
     #[prost(uint64, tag = "2")]
-    pub no: u64,
+    pub request: u64,
     /// The persisted state, as it is on disk.
     #[prost(bytes = "vec", tag = "3")]
     pub persisted: Vec<u8>,
@@ -93,10 +93,10 @@
     }
 
     /// A request about a version.
-    pub fn about(kind: u32, no: u64, version: Version) -> SupervisorMessage {
+    pub fn about(kind: u32, request: u64, version: Version) -> SupervisorMessage {
         SupervisorMessage {
             kind,
-            no,
+            request,
             number: version.number,
             hash: version.hash,
             ..SupervisorMessage::default()
@@ -104,7 +104,7 @@
     }
 
     /// The answer to a request.
-    pub fn done(no: u64, result: &Result<(), HostError>) -> SupervisorMessage {
+    pub fn done(request: u64, result: &Result<(), HostError>) -> SupervisorMessage {
         let why = result
             .as_ref()
             .err()
@@ -112,7 +112,7 @@
             .unwrap_or_default();
         SupervisorMessage {
             kind: kind::DONE,
-            no,
+            request,
             refused: result.is_err(),
             why,
             ..SupervisorMessage::default()
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -193,7 +193,7 @@
         outcome,
         status,
         running: version(6),
-        good: version(7),
+        promoted: version(7),
         since_ms: 1_700_000_001_111,
         crashes: 8,
         last_crash_ms: 1_700_000_002_222,
@@ -221,8 +221,8 @@
 fn persisted(kind: Kind) -> PersistedState {
     PersistedState {
         kind,
-        good: Some(version(4)),
-        before: Some(version(3)),
+        promoted: Some(version(4)),
+        previous: Some(version(3)),
         trial: Some(trial()),
         rejected: vec![(version(1), 6), (version(2), 7)],
         head: Some(rollout(kind, Outcome::Halted)),
@@ -266,7 +266,7 @@
         all.push((
             format!("poll-{}", outcome_label(outcome)),
             ReceivedMessage::Poll {
-                no: 4,
+                poll: 4,
                 rollout: id,
                 stage: 2,
                 outcome,
@@ -275,7 +275,7 @@
         let report = report(outcome, NodeStatus::OnTrial);
         all.push((
             format!("report-{}", outcome_label(outcome)),
-            ReceivedMessage::NodeReport { no: 5, report },
+            ReceivedMessage::NodeReport { poll: 5, report },
         ));
     }
     all.push(named(
@@ -291,7 +291,7 @@
         "piece",
         ReceivedMessage::Chunk {
             rollout: id,
-            no: 17,
+            index: 17,
             bytes,
         },
     ));
@@ -405,7 +405,7 @@
 fn each_order_is_written_as_recorded_and_read_back() {
     let full = |kind| OperatorCommand {
         kind,
-        no: 9,
+        chunk: 9,
         bytes: (1..=20).collect(),
         size: 9236,
         digest: (101..=132).collect(),
@@ -433,7 +433,7 @@
     let digest = chunks::digest(&content).to_vec();
     let chunk = |no| OperatorCommand {
         kind: order::CHUNK,
-        no,
+        chunk: no,
         bytes: chunks::chunk(&content, no).unwrap().to_vec(),
         size: 1500,
         digest: digest.clone(),
@@ -469,7 +469,7 @@
     ];
     assert!(matches!(
         commands.handle(1, Kind::Settings, &rollouts, &offer),
-        CommandAction::CheckOffer { no: 1, .. }
+        CommandAction::CheckOffer { check: 1, .. }
     ));
     all.push(answer(&mut commands, &rollouts, "looked-into", &offer));
     let of = (Kind::Settings, 0x5566_7788_99aa_bbcc, 1_700_000_000_789);
@@ -529,7 +529,7 @@
 fn of_the_process() -> Vec<(String, SupervisorMessage)> {
     let persist = SupervisorMessage {
         kind: kind::KEEP,
-        no: 13,
+        request: 13,
         persisted: persisted(Kind::Program).encode(),
         ..SupervisorMessage::default()
     };
@@ -551,7 +551,7 @@
 fn full_saying() -> SupervisorMessage {
     SupervisorMessage {
         kind: 77,
-        no: 16,
+        request: 16,
         persisted: vec![1, 2, 3],
         number: 17,
         hash: 18,
@@ -708,7 +708,7 @@
         judged: vec![63, 64],
         points: vec![point],
         window_ms: 5000,
-        good: shown_version(8),
+        promoted: shown_version(8),
     }
 }
 
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -43,7 +43,7 @@
     /// Its round, and the voter that it does not progress.
     round: Option<(PaxosRound, usize)>,
     running: u64,
-    good: u64,
+    promoted: u64,
     checked: BTreeSet<u64>,
     /// It began something that it knew to be halted.
     late: bool,
@@ -83,7 +83,7 @@
                     &n.vote,
                     head,
                     &n.round,
-                    (n.running, n.good, &n.checked, n.late),
+                    (n.running, n.promoted, &n.checked, n.late),
                 )
             })
             .collect();
@@ -230,7 +230,7 @@
             head: None,
             round: None,
             running: OLD,
-            good: OLD,
+            promoted: OLD,
             checked: match self.unfit == Some(n) {
                 true => BTreeSet::from([OLD]),
                 false => (OLD..=OLD + self.rollouts).collect(),
@@ -407,7 +407,7 @@
             Action::CrashAndReturn(n) => {
                 state.crashes += 1;
                 let node = &mut state.nodes[n];
-                (node.round, node.running) = (None, node.good);
+                (node.round, node.running) = (None, node.promoted);
                 // What was offered and had not begun is offered again by the others; what was
                 // agreed on is on the disk.
                 let mut rollouts = RolloutTable::default();
@@ -425,17 +425,17 @@
                 Small::write(node);
                 node.running = version;
                 if outcome == Outcome::Completed {
-                    node.good = version;
+                    node.promoted = version;
                 }
             }
             Action::GoesBack(n) => {
                 let node = &mut state.nodes[n];
-                node.good = if node.good == node.running {
+                node.promoted = if node.promoted == node.running {
                     OLD
                 } else {
-                    node.good
+                    node.promoted
                 };
-                node.running = node.good;
+                node.running = node.promoted;
                 Small::write(node);
             }
         }
@@ -493,7 +493,7 @@
                 |_: &Small, s: &State| {
                     s.nodes
                         .iter()
-                        .all(|node| node.good >= OLD && node.checked.contains(&node.good))
+                        .all(|node| node.promoted >= OLD && node.checked.contains(&node.promoted))
                 },
             ),
             Property::sometimes("two stages are agreed on", |_: &Small, s: &State| {
--- a/crates/test-harness/src/rig/changes.rs
+++ b/crates/test-harness/src/rig/changes.rs
@@ -187,7 +187,7 @@
                 n,
                 &OperatorCommand {
                     kind: order::CHUNK,
-                    no,
+                    chunk: no,
                     bytes,
                     size,
                     digest,
