--- a/crates/node/src/capacity.rs
+++ b/crates/node/src/capacity.rs
@@ -140,7 +140,7 @@
             + READING_FACTOR * self.settings_file_bytes
             + self.member_table_bytes / 2 * 3
             + 3 * self.quota_bytes;
-        let incoming = 2 * madderpoint_rollout::chunks::CONTENT_MAX;
+        let incoming = 2 * madderpoint_rollout::chunks::MAX_CONTENT_BYTES;
         let contents = if self.rollout_bytes > 0 {
             3 * self.settings_file_bytes + incoming
         } else {
--- a/crates/rollout/src/canary_analysis/tests.rs
+++ b/crates/rollout/src/canary_analysis/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 use crate::cohort_metrics::{OperationCounts, WindowSample};
-use crate::rollout::{RolloutId, Version};
+use crate::identifiers::{RolloutId, Version};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeMap;
 
 fn record() -> CohortMetrics {
     let version = |number| Version {
@@ -72,7 +73,7 @@
     let mut last = None;
     for window in 8..30 {
         record.after(window, &fleet.samples(false, harm, 100, memory, window));
-        let judged = judge(
+        let judged = analyse(
             &record,
             &Plan::default(),
             1,
@@ -114,7 +115,7 @@
 }
 
 /// The one node of the first stage is a machine that always erred more: that is no fault of the
-/// change.
+/// rollout.
 #[test]
 fn a_slow_machine_among_the_new_ones_is_no_harm() {
     for seed in 0..20 {
@@ -154,20 +155,20 @@
     for window in 0..6 {
         record.after(window, &fleet.samples(false, 0.0, 100, 0.0, window));
     }
-    let judged = |record: &CohortMetrics, died| {
-        let deaths = CrashCounts {
-            died,
+    let judged = |record: &CohortMetrics, crashes| {
+        let crashes = CrashCounts {
+            crashes,
             nodes: [3, 27],
             windows: 6.0,
         };
-        judge(record, &Plan::default(), 1, &deaths, AnalysisMethod::Nodes).verdict
+        analyse(record, &Plan::default(), 1, &crashes, AnalysisMethod::Nodes).verdict
     };
     assert!(
         !matches!(judged(&record, [1, 0]), Verdict::Harm(_)),
         "one may be chance"
     );
     assert!(matches!(judged(&record, [2, 0]), Verdict::Harm(_)));
-    // Old ones die as well: then it is the day and not the change.
+    // Old ones die as well: then it is the day and not the rollout.
     assert!(!matches!(judged(&record, [3, 27]), Verdict::Harm(_)));
     record.nodes.get_mut(&1).unwrap().invariants = 3;
     assert!(matches!(judged(&record, [0, 0]), Verdict::Harm(_)));
@@ -184,7 +185,7 @@
     record.begin(&[]);
     record.stage_begins(1);
     (0..4).for_each(|window| record.after(window, &fleet.samples(false, 0.0, 30, 0.0, window)));
-    let judged = judge(
+    let judged = analyse(
         &record,
         &Plan::default(),
         1,
@@ -198,8 +199,8 @@
 }
 
 /// A version that throttled all was taken back from one node in the middle of a window, and a good
-/// change follows. What that node did in that window was held for its past: the others of its zone
-/// then looked worse than they were, and the change waited for good.
+/// rollout follows. What that node did in that window was held for its past: the others of its zone
+/// then looked worse than they were, and the rollout waited for good.
 #[test]
 fn what_a_version_that_was_taken_back_did_does_not_hold_up_the_next_change() {
     for seed in 0..20 {
@@ -226,7 +227,7 @@
         fleet.new = 1;
         (4..12)
             .for_each(|window| record.after(window, &fleet.samples(false, 0.0, 130, 0.0, window)));
-        let judged = judge(
+        let judged = analyse(
             &record,
             &Plan::default(),
             1,
--- a/crates/rollout/src/operator_commands.rs
+++ b/crates/rollout/src/operator_commands.rs
@@ -1,32 +1,39 @@
-//! What operators order of a node: a content in pieces, which may come in any order and more than
-//! once; that it is offered to the fleet, once the node itself has looked into it; that a change is
-//! halted or taken back. The same order may come again, for its answer may have been lost: it is
-//! answered as before and has no second effect.
+//! Operators' commands to one node: a content in chunks, which may come in any order and more than once;
+//! to offer it to the cluster, once the node itself has checked it; to halt a rollout or roll it back.
+//! A command may come again, for its reply may have been lost: it is replied to as before and has no
+//! second effect.
 
-use crate::chunks::{self, CONTENT_MAX};
-use crate::messages::{CommandReply, OperatorCommand, PIECE, order};
-use crate::rollout::{Kind, Outcome, Reason, Rollout, RolloutId, RolloutTable, Version};
+use crate::chunks::CHUNK_BYTES;
+use crate::chunks::{self, MAX_CONTENT_BYTES};
+use crate::host_error::HostError;
+use crate::identifiers::{Kind, RolloutId, Version};
+use crate::messages::{CommandReply, OperatorCommand, order};
+use crate::rollout::{Outcome, Reason, Rollout};
+use crate::rollout_table::RolloutTable;
 use crate::stages::{Plan, Progress};
-use crate::{Nanos, SECOND, mix};
+use crate::{Nanos, SECOND, splitmix64};
 use std::collections::VecDeque;
 
-/// A content whose pieces stopped coming makes room for another after this.
-const GIVEN_UP: Nanos = 10 * SECOND;
-/// Offers whose answers are remembered.
-const REMEMBERED: usize = 8;
+/// A content whose chunks stopped coming makes room for another after this.
+const INCOMING_IDLE_TIMEOUT: Nanos = 10 * SECOND;
+/// Offers whose replies are remembered.
+const REMEMBERED_OFFERS: usize = 8;
 
-/// What became of an order.
+/// What became of a command.
 pub mod state {
+    /// Done.
     pub const TAKEN: u32 = 0;
+    /// Not done yet; to be asked again.
     pub const LATER: u32 = 1;
+    /// Rejected.
     pub const REFUSED: u32 = 2;
 }
 
-fn answer(state: u32, why: &str, change: u64) -> CommandReply {
+fn answer(state: u32, why: &str, rollout: u64) -> CommandReply {
     CommandReply {
         state,
         why: why.to_owned(),
-        change,
+        rollout,
     }
 }
 
@@ -34,7 +41,7 @@
     answer(state::REFUSED, why, 0)
 }
 
-/// A content that comes in pieces.
+/// A content that comes in chunks.
 #[derive(Clone, Debug)]
 struct Incoming {
     digest: [u8; 32],
@@ -43,112 +50,119 @@
     since: Nanos,
 }
 
-/// What an offer is told apart by: the digest of a content, or a program's version.
-type Mark = ([u8; 32], Version);
+/// What identifies an offer: the digest of a content, or a program's version.
+type OfferKey = ([u8; 32], Version);
 
 #[derive(Clone, Debug)]
 enum CommandOutcome {
-    LookedInto { no: u64, since: Nanos },
-    Over(CommandReply),
+    Checking { check: u64, since: Nanos },
+    Answered(CommandReply),
 }
 
-/// What is to be done about an order.
+/// What is to be done about a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandAction {
-    /// It is answered.
-    VoterAction(CommandReply),
-    /// The node is to look into this, and tell what came of it; the order is answered with "later"
-    /// until then.
-    LookInto {
-        no: u64,
+    /// The operator gets this reply.
+    Reply(CommandReply),
+    /// The host is to check an offer; the command is answered with "later" until then.
+    CheckOffer {
+        /// The number of the check.
+        check: u64,
+        /// The version of a program.
         version: Option<Version>,
+        /// The content of settings.
         content: Option<Vec<u8>>,
     },
-    /// A change is to be moved towards safety.
+    /// A rollout is to end.
     End {
+        /// The rollout.
         id: RolloutId,
-        fate: Outcome,
+        /// Its outcome.
+        outcome: Outcome,
+        /// The reason.
         why: String,
     },
 }
 
-/// OperatorCommands to one node, about changes of one kind.
+/// Commands to one node, about rollouts of one kind.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorCommands {
     incoming: Option<Incoming>,
-    offers: VecDeque<(Mark, CommandOutcome)>,
-    looks: u64,
+    offers: VecDeque<(OfferKey, CommandOutcome)>,
+    check_count: u64,
 }
 
-/// A look into a content that was not answered for so long may be asked for again.
-const ANSWER: Nanos = 20 * SECOND;
+/// A check that was not answered within this may be asked for again.
+const CHECK_TIMEOUT: Nanos = 20 * SECOND;
 
 impl OperatorCommands {
-    /// An order came.
-    pub fn order(
+    /// Takes up a command.
+    pub fn handle(
         &mut self,
         now: Nanos,
         kind: Kind,
-        changes: &RolloutTable,
-        said: &OperatorCommand,
+        rollouts: &RolloutTable,
+        command: &OperatorCommand,
     ) -> CommandAction {
-        match said.kind {
-            order::PIECE if kind == Kind::Settings => {
-                CommandAction::VoterAction(self.piece(now, said))
+        match command.kind {
+            order::CHUNK if kind == Kind::Settings => {
+                CommandAction::Reply(self.chunk(now, command))
             }
-            order::OFFER => self.offer(now, kind, said),
-            order::HALT | order::BACK => {
-                let fate = if said.kind == order::HALT {
+            order::OFFER => self.offer(now, kind, command),
+            order::HALT | order::ROLL_BACK => {
+                let outcome = if command.kind == order::HALT {
                     Outcome::Halted
                 } else {
                     Outcome::RolledBack
                 };
-                let change = match said.change {
-                    0 => changes.current(kind).or_else(|| changes.head(kind)),
-                    id => changes
+                let rollout = match command.rollout {
+                    0 => rollouts.current(kind).or_else(|| rollouts.head(kind)),
+                    id => rollouts
                         .get(RolloutId(id))
-                        .filter(|change| change.kind == kind),
+                        .filter(|rollout| rollout.kind == kind),
                 };
-                let Some(change) = change else {
-                    return CommandAction::VoterAction(refused("no such change is known here"));
+                let Some(rollout) = rollout else {
+                    return CommandAction::Reply(refused("no such change is known here"));
                 };
-                if change.fate >= fate || change.fate == Outcome::Rejected {
-                    let why = format!("it is {} already", change.fate.word());
-                    return CommandAction::VoterAction(answer(state::TAKEN, &why, change.id.0));
+                if rollout.outcome >= outcome || rollout.outcome == Outcome::Rejected {
+                    let why = format!("it is {} already", rollout.outcome.word());
+                    return CommandAction::Reply(answer(state::TAKEN, &why, rollout.id.0));
                 }
-                if fate == Outcome::Halted && change.fate == Outcome::Completed {
-                    return CommandAction::VoterAction(refused(
+                if outcome == Outcome::Halted && rollout.outcome == Outcome::Completed {
+                    return CommandAction::Reply(refused(
                         "it is done and can't be halted, only taken back",
                     ));
                 }
-                let why = if said.why.is_empty() {
+                let why = if command.why.is_empty() {
                     "an operator said so"
                 } else {
-                    &said.why
+                    &command.why
                 };
                 CommandAction::End {
-                    id: change.id,
-                    fate,
+                    id: rollout.id,
+                    outcome,
                     why: why.to_owned(),
                 }
             }
-            _ => CommandAction::VoterAction(refused("this order is not known here")),
+            _ => CommandAction::Reply(refused("this order is not known here")),
         }
     }
 
-    fn piece(&mut self, now: Nanos, said: &OperatorCommand) -> CommandReply {
+    fn chunk(&mut self, now: Nanos, command: &OperatorCommand) -> CommandReply {
         let (size, Ok(digest)) = (
-            said.size as usize,
-            <[u8; 32]>::try_from(said.digest.as_slice()),
+            command.size as usize,
+            <[u8; 32]>::try_from(command.digest.as_slice()),
         ) else {
             return refused("a piece of nothing that can be named");
         };
-        if size == 0 || size > CONTENT_MAX {
-            return refused(&format!("{size} bytes, 1 to {CONTENT_MAX} are possible"));
+        if size == 0 || size > MAX_CONTENT_BYTES {
+            return refused(&format!(
+                "{size} bytes, 1 to {MAX_CONTENT_BYTES} are possible"
+            ));
         }
         let is_it = |incoming: &Incoming| incoming.digest == digest && incoming.bytes.len() == size;
         if let Some(other) = self.incoming.as_ref().filter(|incoming| !is_it(incoming)) {
-            if now < other.since + GIVEN_UP && !other.have.iter().all(|have| *have) {
+            if now < other.since + INCOMING_IDLE_TIMEOUT && !other.have.iter().all(|have| *have) {
                 return answer(state::LATER, "another content is coming in", 0);
             }
             self.incoming = None;
@@ -159,21 +173,21 @@
             have: vec![false; chunks::count(size) as usize],
             since: now,
         });
-        let from = (said.no as usize).saturating_mul(PIECE);
-        if from >= size || said.bytes.len() != PIECE.min(size - from) {
+        let from = (command.chunk as usize).saturating_mul(CHUNK_BYTES);
+        if from >= size || command.bytes.len() != CHUNK_BYTES.min(size - from) {
             return refused("a piece that does not fit");
         }
-        incoming.bytes[from..from + said.bytes.len()].copy_from_slice(&said.bytes);
-        incoming.have[said.no as usize] = true;
+        incoming.bytes[from..from + command.bytes.len()].copy_from_slice(&command.bytes);
+        incoming.have[command.chunk as usize] = true;
         incoming.since = now;
         answer(state::TAKEN, "", 0)
     }
 
-    fn offer(&mut self, now: Nanos, kind: Kind, said: &OperatorCommand) -> CommandAction {
-        let digest = <[u8; 32]>::try_from(said.digest.as_slice()).unwrap_or_default();
+    fn offer(&mut self, now: Nanos, kind: Kind, command: &OperatorCommand) -> CommandAction {
+        let digest = <[u8; 32]>::try_from(command.digest.as_slice()).unwrap_or_default();
         let version = Version {
-            number: said.number,
-            hash: said.hash,
+            number: command.number,
+            hash: command.hash,
         };
         let mark = (
             digest,
@@ -185,17 +199,13 @@
         );
         if let Some((_, outcome)) = self.offers.iter().find(|(of, _)| *of == mark) {
             match outcome {
-                CommandOutcome::Over(answered) => {
-                    return CommandAction::VoterAction(answered.clone());
+                CommandOutcome::Answered(answered) => {
+                    return CommandAction::Reply(answered.clone());
                 }
-                CommandOutcome::LookedInto { since, .. } if now < since + ANSWER => {
-                    return CommandAction::VoterAction(answer(
-                        state::LATER,
-                        "the node looks into it",
-                        0,
-                    ));
+                CommandOutcome::Checking { since, .. } if now < since + CHECK_TIMEOUT => {
+                    return CommandAction::Reply(answer(state::LATER, "the node looks into it", 0));
                 }
-                CommandOutcome::LookedInto { .. } => self.offers.retain(|(of, _)| *of != mark),
+                CommandOutcome::Checking { .. } => self.offers.retain(|(of, _)| *of != mark),
             }
         }
         let (version, content) = match kind {
@@ -205,54 +215,52 @@
                     incoming.digest == digest && incoming.have.iter().all(|have| *have)
                 });
                 let Some(whole) = whole else {
-                    return CommandAction::VoterAction(refused(
+                    return CommandAction::Reply(refused(
                         "pieces of it are missing here; order it anew",
                     ));
                 };
                 if chunks::digest(&whole.bytes) != digest {
                     self.incoming = None;
-                    return CommandAction::VoterAction(refused(
-                        "its content is not what its hash says",
-                    ));
+                    return CommandAction::Reply(refused("its content is not what its hash says"));
                 }
                 (None, Some(whole.bytes.clone()))
             }
         };
-        self.looks += 1;
-        let no = self.looks;
+        self.check_count += 1;
+        let check = self.check_count;
         self.offers
-            .push_back((mark, CommandOutcome::LookedInto { no, since: now }));
-        while self.offers.len() > REMEMBERED {
+            .push_back((mark, CommandOutcome::Checking { check, since: now }));
+        while self.offers.len() > REMEMBERED_OFFERS {
             self.offers.pop_front();
         }
-        CommandAction::LookInto {
-            no,
+        CommandAction::CheckOffer {
+            check,
             version,
             content,
         }
     }
 
-    /// The node looked into an offer; gives the change to be offered to the fleet, if it is one.
-    pub fn looked_into(
+    /// The host has checked an offer; gives the rollout to be offered to the cluster, if it is one.
+    pub fn offer_checked(
         &mut self,
-        no: u64,
-        found: Result<Version, String>,
+        check: u64,
+        found: Result<Version, HostError>,
         (kind, me, unix_ms): (Kind, u64, u64),
-        changes: &RolloutTable,
+        rollouts: &RolloutTable,
         good: Version,
         plan: &Plan,
     ) -> Option<(Rollout, Option<Vec<u8>>)> {
-        let is_it = |outcome: &CommandOutcome| matches!(outcome, CommandOutcome::LookedInto { no: of, .. } if *of == no);
+        let is_it = |outcome: &CommandOutcome| matches!(outcome, CommandOutcome::Checking { check: of, .. } if *of == check);
         let at = self.offers.iter().position(|(_, outcome)| is_it(outcome))?;
         let (digest, _) = self.offers[at].0;
         let (answered, offered) = match found {
-            Err(why) => (refused(&why), None),
+            Err(why) => (refused(&why.to_string()), None),
             Ok(version) if version.number <= good.number => {
                 let why = format!("version {version} is not higher than {good}, which is in force");
                 (refused(&why), None)
             }
             Ok(version) => {
-                match changes
+                match rollouts
                     .iter()
                     .find(|c| c.kind == kind && c.version == version && !c.is_over())
                 {
@@ -266,8 +274,10 @@
                             .take()
                             .filter(|incoming| incoming.digest == digest);
                         let content = whole.map(|incoming| incoming.bytes);
-                        let id = RolloutId(mix(version.hash ^ mix(me ^ mix(unix_ms))));
-                        let change = Rollout {
+                        let id = RolloutId(splitmix64(
+                            version.hash ^ splitmix64(me ^ splitmix64(unix_ms)),
+                        ));
+                        let rollout = Rollout {
                             id,
                             kind,
                             version,
@@ -277,16 +287,16 @@
                             by: me,
                             at_ms: unix_ms,
                             plan: plan.clone(),
-                            reach: Progress::default(),
-                            fate: Outcome::InProgress,
+                            progress: Progress::default(),
+                            outcome: Outcome::InProgress,
                             reason: Reason::default(),
                         };
-                        (answer(state::TAKEN, "", id.0), Some((change, content)))
+                        (answer(state::TAKEN, "", id.0), Some((rollout, content)))
                     }
                 }
             }
         };
-        self.offers[at].1 = CommandOutcome::Over(answered);
+        self.offers[at].1 = CommandOutcome::Answered(answered);
         offered
     }
 }
--- a/crates/rollout/src/process_handover.rs
+++ b/crates/rollout/src/process_handover.rs
@@ -1,62 +1,68 @@
-//! A small parent's decisions: which version of the program runs, how a new one takes the place of
-//! an old one on the same listening socket, and what is started when one dies. No I/O: fed what
-//! happens and the time, it acts through [`Host`].
+//! A supervisor's decisions: which version of the program runs, how a new process takes the place of an
+//! old one on the same listening socket, and what is started when one crashes. No I/O: fed what happens
+//! and the time, it acts through [`Host`].
 //!
-//! Rules: the old one is told to leave only once the new one serves and was told that it is in
-//! charge, so that at every moment at least one is there that nobody told to leave, but for the
-//! time in which one that died is started anew. What is on the disk is written by the one in charge
-//! alone.
+//! Rules: the old process gets the notice to leave only once the new one serves and knows that it is in
+//! charge, so that at every moment at least one process serves that has no such notice, but for the time
+//! in which one that crashed is started anew. What is on disk is written by the process in charge alone.
 
+use crate::host_error::HostError;
+use crate::identifiers::Version;
 use crate::persisted_state::{PersistedState, Trial};
-use crate::rollout::Version;
 use crate::{Nanos, SECOND};
 use std::collections::BTreeMap;
 
-/// A process that the parent started.
+/// A process that the supervisor started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Child(pub u64);
 
 /// What a process starts with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartInstructions {
-    pub kept: PersistedState,
+    /// The persisted state.
+    pub persisted: PersistedState,
+    /// The version that the process is of.
     pub version: Version,
-    pub died: Option<Trial>,
+    /// The trial that crashed before this start, if one did.
+    pub crashed: Option<Trial>,
+    /// Whether the disk was empty.
     pub fresh: bool,
-    /// Whether another one serves meanwhile: then it waits until it is told that it is in charge.
+    /// Whether another process serves meanwhile: then this one waits until it is in charge.
     pub beside: bool,
 }
 
-/// What the decisions do to the world.
+/// What the decisions do.
 pub trait Host {
-    /// InitialState a process; what becomes of it is told by [`Supervisor::ready`] and [`Supervisor::ended`].
-    fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), String>;
-    /// Tell it that it is in charge.
+    /// Starts a process; [`Supervisor::ready`] and [`Supervisor::ended`] take up what becomes of it.
+    fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), HostError>;
+    /// Lets it know that it is in charge.
     fn in_charge(&mut self, child: Child);
-    /// Tell it to leave and that another one takes its place.
+    /// Gives it the notice to leave, as another process takes its place.
     fn hand_over(&mut self, child: Child);
-    /// Give it the notice to leave for good.
+    /// Gives it the notice to leave for good.
     fn leave(&mut self, child: Child);
+    /// Kills it.
     fn kill(&mut self, child: Child);
-    /// Write what is kept; it is on the disk when this returns.
-    fn keep(&mut self, kept: &PersistedState) -> Result<(), String>;
-    /// Whether a version is here.
-    fn has(&mut self, version: Version) -> Result<(), String>;
-    /// VoterAction a question of a process.
-    fn answer(&mut self, child: Child, no: u64, result: Result<(), String>);
-    /// One line a change.
+    /// Writes the persisted state; it is on disk when this returns.
+    fn persist(&mut self, persisted: &PersistedState) -> Result<(), HostError>;
+    /// Whether a version is on this machine, or why it can't be started.
+    fn has(&mut self, version: Version) -> Result<(), HostError>;
+    /// Answers a request of a process.
+    fn answer(&mut self, child: Child, request: u64, result: Result<(), HostError>);
+    /// Writes a line to the log.
     fn log(&mut self, line: &str);
 }
 
-/// A new one is ready within this, or is none.
-const READY: Nanos = 30 * SECOND;
-/// Between two starts of what dies at once: doubled each time, up to the longest; one that lived so
-/// long was no such one.
-const AGAIN: Nanos = SECOND;
-const AGAIN_MOST: Nanos = 30 * SECOND;
-const LIVED: Nanos = 60 * SECOND;
-/// What died at once so often goes after the others that may run.
-const DEATHS_AT_ONCE: u32 = 3;
+/// A new process is ready within this, or is killed.
+const READY_TIMEOUT: Nanos = 30 * SECOND;
+/// Time between two starts of what crashes at once; doubled each time.
+const MIN_RESTART_DELAY: Nanos = SECOND;
+/// The longest time between two starts.
+const MAX_RESTART_DELAY: Nanos = 30 * SECOND;
+/// A process that lived this long did not crash at once.
+const STABLE_AFTER: Nanos = 60 * SECOND;
+/// A version that crashed at once this often goes after the others that may run.
+const MAX_QUICK_CRASHES: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
 struct Process {
@@ -72,34 +78,43 @@
     asked: Option<(Child, u64)>,
 }
 
-/// The parent.
+/// The supervisor.
 pub struct Supervisor<H: Host> {
+    /// The embedder.
     pub host: H,
-    kept: PersistedState,
+    /// What is on disk.
+    persisted: PersistedState,
+    /// Whether the disk was empty.
     fresh: bool,
-    /// What the operator gave to start on.
+    /// The version that the operator gave to start on.
     given: Version,
-    /// What an old one may take to leave.
+    /// The time that a process may take to leave.
     stop: Nanos,
-    charge: Option<Process>,
+    /// The process in charge.
+    in_charge_process: Option<Process>,
+    /// The process that does not serve yet.
     starting: Option<Starting>,
+    /// Processes that got the notice to leave.
     leaving: Vec<Process>,
+    /// Processes started so far; numbers them.
     children: u64,
-    died: Option<Trial>,
-    /// None is started before this; and how often in a row one died at once.
+    /// The trial that crashed, until a process serves again.
+    crashed: Option<Trial>,
+    /// No process is started before this.
     not_before: Nanos,
-    deaths: u32,
-    /// How often a version died at once since one lived; what does not even come to serve counts as
-    /// if it had died often enough.
+    /// Crashes in a row of processes that lived shortly.
+    quick_crashes: u32,
+    /// Such crashes by version; not to serve at all counts as [`MAX_QUICK_CRASHES`].
     failures: BTreeMap<Version, u32>,
+    /// Whether all is to end.
     ends: bool,
 }
 
 impl<H: Host> Supervisor<H> {
-    /// A parent that read this from its disk, and starts a process.
+    /// A supervisor that read this from its disk; it starts a process.
     pub fn new(
         now: Nanos,
-        kept: PersistedState,
+        persisted: PersistedState,
         fresh: bool,
         given: Version,
         stop: Nanos,
@@ -107,17 +122,17 @@
     ) -> Supervisor<H> {
         let mut parent = Supervisor {
             host,
-            kept,
+            persisted,
             fresh,
             given,
             stop,
-            charge: None,
+            in_charge_process: None,
             starting: None,
             leaving: Vec::new(),
             children: 0,
-            died: None,
+            crashed: None,
             not_before: 0,
-            deaths: 0,
+            quick_crashes: 0,
             failures: BTreeMap::new(),
             ends: false,
         };
@@ -125,36 +140,44 @@
         parent
     }
 
-    /// Which process is in charge, and what it runs.
+    /// The process in charge, and its version.
     pub fn in_charge(&self) -> Option<(Child, Version)> {
-        self.charge.map(|process| (process.child, process.version))
+        self.in_charge_process
+            .map(|process| (process.child, process.version))
     }
 
-    /// Whether all is over.
+    /// Whether all processes have ended.
     pub fn is_over(&self) -> bool {
-        self.ends && self.charge.is_none() && self.starting.is_none() && self.leaving.is_empty()
+        self.ends
+            && self.in_charge_process.is_none()
+            && self.starting.is_none()
+            && self.leaving.is_empty()
     }
 
-    /// Starts one where there is none: of the versions that it may, the first that is here.
+    /// Starts a process if there is none: of the versions that it may run, the first that is here.
     fn start_one(&mut self, now: Nanos) {
-        if self.ends || self.charge.is_some() || self.starting.is_some() || now < self.not_before {
+        if self.ends
+            || self.in_charge_process.is_some()
+            || self.starting.is_some()
+            || now < self.not_before
+        {
             return;
         }
-        let (all, died) = self.kept.begin(self.given);
-        if let Some(trial) = died {
-            self.died = Some(trial);
-            if let Err(why) = self.host.keep(&self.kept) {
+        let (all, crashed) = self.persisted.start_candidates(self.given);
+        if let Some(trial) = crashed {
+            self.crashed = Some(trial);
+            if let Err(why) = self.host.persist(&self.persisted) {
                 self.host.log(&format!(
                     "that version {} died could not be written: {why}",
                     trial.version
                 ));
             }
         }
-        // What did not come to serve lately, or died at once again and again, goes after the
+        // What did not come to serve lately, or crashed at once again and again, goes after the
         // others.
         let mut all = all;
         all.sort_by_key(|version| {
-            self.failures.get(version).copied().unwrap_or(0) / DEATHS_AT_ONCE
+            self.failures.get(version).copied().unwrap_or(0) / MAX_QUICK_CRASHES
         });
         for version in all {
             let started = self
@@ -172,8 +195,9 @@
     }
 
     fn wait_longer(&mut self, now: Nanos) {
-        self.not_before = now + (AGAIN << self.deaths.min(8)).min(AGAIN_MOST);
-        self.deaths += 1;
+        self.not_before =
+            now + (MIN_RESTART_DELAY << self.quick_crashes.min(8)).min(MAX_RESTART_DELAY);
+        self.quick_crashes += 1;
     }
 
     fn start(
@@ -181,14 +205,14 @@
         now: Nanos,
         version: Version,
         asked: Option<(Child, u64)>,
-    ) -> Result<(), String> {
+    ) -> Result<(), HostError> {
         self.children += 1;
         let child = Child(self.children);
-        let beside = self.charge.is_some();
+        let beside = self.in_charge_process.is_some();
         let begin = StartInstructions {
-            kept: self.kept.clone(),
+            persisted: self.persisted.clone(),
             version,
-            died: self.died,
+            crashed: self.crashed,
             fresh: self.fresh,
             beside,
         };
@@ -223,8 +247,8 @@
             ..starting.process
         };
         self.host.in_charge(child);
-        (self.died, self.fresh) = (None, false);
-        match self.charge.replace(process) {
+        (self.crashed, self.fresh) = (None, false);
+        match self.in_charge_process.replace(process) {
             Some(old) => {
                 let line = format!(
                     "version {} serves, {} is told to leave",
@@ -240,70 +264,73 @@
         }
     }
 
-    /// What is to be kept; only the one in charge, or the only one that is there, says what.
-    pub fn keep(&mut self, child: Child, no: u64, kept: PersistedState) {
+    /// A process wants this persisted; only the one in charge may, or the only one that there is.
+    pub fn persist(&mut self, child: Child, request: u64, persisted: PersistedState) {
         let only = self
             .starting
-            .filter(|_| self.charge.is_none())
+            .filter(|_| self.in_charge_process.is_none())
             .map(|starting| starting.process.child);
-        if self.charge.map(|process| process.child).or(only) != Some(child) {
+        if self.in_charge_process.map(|process| process.child).or(only) != Some(child) {
             return self
                 .host
-                .answer(child, no, Err("another process is in charge".into()));
+                .answer(child, request, Err("another process is in charge".into()));
         }
-        let written = self.host.keep(&kept);
+        let written = self.host.persist(&persisted);
         if written.is_ok() {
-            self.kept = kept;
+            self.persisted = persisted;
         }
-        self.host.answer(child, no, written);
+        self.host.answer(child, request, written);
     }
 
-    /// Whether a version can be run here.
-    pub fn check(&mut self, child: Child, no: u64, version: Version) {
+    /// A process asks whether a version can be run here.
+    pub fn check(&mut self, child: Child, request: u64, version: Version) {
         let here = self.host.has(version);
-        self.host.answer(child, no, here);
+        self.host.answer(child, request, here);
     }
 
-    /// The one in charge wants another version to take its place. It is answered only if that can't
-    /// be: else it is told to leave.
-    pub fn apply(&mut self, now: Nanos, child: Child, no: u64, version: Version) {
-        let Some(charge) = self.charge.filter(|process| process.child == child) else {
+    /// The process in charge wants another version to take its place. It is answered only if that is not
+    /// possible: else it gets the notice to leave.
+    pub fn apply(&mut self, now: Nanos, child: Child, request: u64, version: Version) {
+        let Some(in_charge_process) = self
+            .in_charge_process
+            .filter(|process| process.child == child)
+        else {
             return self
                 .host
-                .answer(child, no, Err("another process is in charge".into()));
+                .answer(child, request, Err("another process is in charge".into()));
         };
-        if charge.version == version {
-            return self.host.answer(child, no, Ok(()));
+        if in_charge_process.version == version {
+            return self.host.answer(child, request, Ok(()));
         }
         if self.starting.is_some() || self.ends {
             return self.host.answer(
                 child,
-                no,
+                request,
                 Err("another one is being started, or all of it ends".into()),
             );
         }
         let started = self
             .host
             .has(version)
-            .and_then(|()| self.start(now, version, Some((child, no))));
+            .and_then(|()| self.start(now, version, Some((child, request))));
         if let Err(why) = started {
-            self.host.answer(child, no, Err(why));
+            self.host.answer(child, request, Err(why));
         }
     }
 
-    /// The operator wants the node renewed: another process of the version in charge takes its
-    /// place, without a gap.
+    /// The operator wants the process renewed: another one of the version in charge takes its place,
+    /// without a gap.
     pub fn renew(&mut self, now: Nanos) {
-        let Some(charge) = self
-            .charge
+        let Some(in_charge_process) = self
+            .in_charge_process
             .filter(|_| self.starting.is_none() && !self.ends)
         else {
             return;
         };
-        if let Err(why) = self.start(now, charge.version, None) {
+        if let Err(why) = self.start(now, in_charge_process.version, None) {
             self.host.log(&format!(
                 "version {} can't be started anew: {why}",
-                charge.version
+                in_charge_process.version
             ));
         }
     }
@@ -325,38 +352,43 @@
         {
             self.failed(now, &starting, &format!("it ended before it served, {how}"));
         }
-        if let Some(process) = self.charge.take_if(|process| process.child == child) {
+        if let Some(process) = self
+            .in_charge_process
+            .take_if(|process| process.child == child)
+        {
             if self.ends {
                 return;
             }
             self.host
                 .log(&format!("version {} died, {how}", process.version));
-            if now >= process.since + LIVED {
-                (self.deaths, self.failures) = (0, BTreeMap::new());
+            if now >= process.since + STABLE_AFTER {
+                (self.quick_crashes, self.failures) = (0, BTreeMap::new());
             } else {
                 *self.failures.entry(process.version).or_default() += 1;
             }
-            if self.deaths > 0 {
+            if self.quick_crashes > 0 {
                 self.wait_longer(now);
             } else {
-                self.deaths = 1; // the first time at once
+                self.quick_crashes = 1; // the first time at once
             }
             // One that is being started takes its place when it serves; else one is started now.
             self.start_one(now);
         }
     }
 
-    /// What was started does not serve.
+    /// A process did not come to serve.
     fn failed(&mut self, now: Nanos, starting: &Starting, why: &str) {
         let version = starting.process.version;
         self.host
             .log(&format!("version {version} did not come to serve: {why}"));
-        match (starting.asked, self.charge) {
-            (Some((child, no)), Some(charge)) if charge.child == child => {
-                self.host.answer(child, no, Err(why.to_owned()));
+        match (starting.asked, self.in_charge_process) {
+            (Some((child, request)), Some(in_charge_process))
+                if in_charge_process.child == child =>
+            {
+                self.host.answer(child, request, Err(why.into()));
             }
             _ => {
-                *self.failures.entry(version).or_default() += DEATHS_AT_ONCE;
+                *self.failures.entry(version).or_default() += MAX_QUICK_CRASHES;
                 self.wait_longer(now);
                 self.start_one(now);
             }
@@ -365,11 +397,11 @@
 
     // ---- Time and notices ----
 
-    /// Does what is due; to be called some times a second.
+    /// Does what is due; to be called a few times a second.
     pub fn wake(&mut self, now: Nanos) {
         if let Some(starting) = self
             .starting
-            .take_if(|starting| now > starting.process.since + READY)
+            .take_if(|starting| now > starting.process.since + READY_TIMEOUT)
         {
             self.host.kill(starting.process.child);
             self.failed(now, &starting, "it was not ready in time");
@@ -386,7 +418,7 @@
         self.start_one(now);
     }
 
-    /// The parent itself got the notice to leave: all leave.
+    /// The supervisor itself got the notice to leave: all processes get it.
     pub fn leave(&mut self, now: Nanos) {
         if std::mem::replace(&mut self.ends, true) {
             return;
@@ -398,7 +430,7 @@
                 ..starting.process
             });
         }
-        if let Some(process) = self.charge.take() {
+        if let Some(process) = self.in_charge_process.take() {
             self.host.leave(process.child);
             self.leaving.push(Process {
                 since: now,
@@ -407,9 +439,9 @@
         }
     }
 
-    /// What is on the disk.
-    pub fn kept(&self) -> &PersistedState {
-        &self.kept
+    /// What is on disk.
+    pub fn persisted(&self) -> &PersistedState {
+        &self.persisted
     }
 }
 
--- a/crates/rollout/src/simulation/load.rs
+++ b/crates/rollout/src/simulation/load.rs
@@ -1,13 +1,17 @@
 //! What simulated nodes get and make of it: machines that differ, zones in trouble, traffic that
 //! jumps, processes that are cold; and what a version does to all that.
 
-use crate::cohort_metrics::{OperationCounts, WindowSample};
+use crate::cohort_metrics::{Latencies, OperationCounts, WindowSample};
+use crate::{Nanos, SECOND, splitmix64};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Operations, with their part of what comes, their billed value in thousandths, and their usual
-/// latency in tenths of a millisecond.
+/// The span of a window of counts.
+pub const WINDOW: Nanos = 10 * SECOND;
+
+/// Operations: number, share of the requests, priority weight in thousandths, and usual latency in tenths
+/// of a millisecond.
 pub const OPERATIONS: [(u32, f64, u64, f64); 3] = [
     (11, 0.7, 1000, 200.0),
     (12, 0.25, 2000, 450.0),
@@ -32,19 +36,19 @@
 pub struct Effect {
     /// Of one operation only.
     pub operation: Option<u32>,
-    /// So much more errs, and is throttled, as shares of what comes.
+    /// The share of requests that fails on top.
     pub errored: f64,
+    /// The share of requests that is rejected on top.
     pub throttled: f64,
-    /// It takes so much longer, as a share.
+    /// How much longer requests take, as a share.
     pub slower: f64,
-    /// It starts so many windows after the version took force.
+    /// It starts this many windows after the version was applied.
     pub after: u64,
-    /// Memory rises so much with each window, as a share; and what errs once it is thrice what it
-    /// was.
+    /// How much memory rises with each window, as a share; at three times what it was requests fail.
     pub leaks: f64,
-    /// The chance of dying with each window.
+    /// The chance of a crash in each window.
     pub dies: f64,
-    /// The share of nodes that turn it down.
+    /// The share of nodes that reject the version.
     pub unfit: f64,
 }
 
@@ -71,17 +75,19 @@
 /// How much there is of what makes nodes differ.
 #[derive(Clone, Copy, Debug)]
 pub struct Noise {
-    /// The mean share of errors of a node, and how far its own may be from that, as a share of it.
+    /// The mean share of failures of a node.
     pub errs: f64,
+    /// How far a node's own share may be from the mean, as a share of it.
     pub differs: f64,
-    /// The share of machines that are slow, and how much longer they take.
+    /// The share of machines that are slow.
     pub slow: f64,
+    /// How much longer they take.
     pub slower: f64,
-    /// Chances in each window: that a zone falls in trouble, and that traffic jumps; both last some
-    /// windows.
+    /// The chance in each window that a zone falls in trouble; it lasts some windows.
     pub trouble: f64,
+    /// The chance in each window that traffic jumps; it lasts some windows.
     pub jump: f64,
-    /// Chance with each window that a node dies by itself.
+    /// The chance in each window that a node crashes by itself.
     pub dies: f64,
 }
 
@@ -114,7 +120,12 @@
     slower: f64,
 }
 
-/// The load of a fleet.
+/// A node's key.
+pub(super) fn key(node: usize) -> u64 {
+    splitmix64(node as u64 + 1)
+}
+
+/// The load of a cluster.
 #[derive(Clone, Debug)]
 pub struct Load {
     rng: Pcg64Mcg,
@@ -129,15 +140,18 @@
 /// What a node runs in a window.
 #[derive(Clone, Copy, Debug)]
 pub struct Runs {
+    /// The hash of the version.
     pub label: u64,
+    /// What the version does.
     pub effect: Effect,
-    /// Windows since it took force, and since the process started.
+    /// Windows since the version was applied.
     pub since: u64,
+    /// Windows since the process started.
     pub age: u64,
 }
 
 impl Load {
-    /// For so many nodes in so many zones, each of which gets about so much in a window.
+    /// For this many nodes in this many zones, each of which gets about `each` requests in a window.
     pub fn new(seed: u64, nodes: usize, zones: u32, each: f64, noise: Noise) -> Load {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let machines = (0..nodes)
@@ -196,7 +210,7 @@
         }
     }
 
-    /// Whether a node dies in this window.
+    /// Whether a node crashes in this window.
     pub fn dies(&mut self, runs: &Runs) -> bool {
         let by_version = if runs.since >= runs.effect.after {
             runs.effect.dies
@@ -228,10 +242,62 @@
         (value.round().max(0.0) as u64).min(n)
     }
 
-    /// What a node counts in a window; with the billed value that its version cost, beside what it
+    /// Counts, latencies and lost priority weight of one operation at a node in a window.
+    fn operation_counts(
+        &mut self,
+        (_, part, value, usual): (u32, f64, u64, f64),
+        effect: &Effect,
+        machine: Machine,
+        trouble: f64,
+        is_full: bool,
+    ) -> (OperationCounts, Latencies, f64) {
+        let jump = self.jump.1;
+        let many = (self.each * part * jump * 4.0) as u64;
+        let arrived = self.of(many, 0.25);
+        // A jump is more than there is room for: some are rejected, everywhere alike.
+        let throttled_share = if jump > 1.2 {
+            (1.0 - 1.2 / jump) * 0.5
+        } else {
+            0.0
+        };
+        let throttled = self.of(
+            arrived,
+            throttled_share + (1.0 - throttled_share) * effect.throttled,
+        );
+        let ran = arrived - throttled;
+        let full = if is_full { 0.5 } else { 0.0 };
+        let errs = machine.errs + trouble;
+        let errored = self.of(ran, errs + (1.0 - errs) * (effect.errored + full));
+        let succeeded = ran - errored;
+        let slower = (1.0 + machine.slower) * (1.0 + effect.slower) * (1.0 + trouble);
+        let mut latencies = Vec::new();
+        let mut late = 0;
+        for (times, chance) in SHAPE {
+            let count = self.of(succeeded, chance);
+            if count > 0 {
+                latencies.push(((usual * times * slower) as u32, count as u32));
+                late += if times * slower > LATE { count } else { 0 };
+            }
+        }
+        let harm = effect.throttled + (1.0 - effect.throttled) * (effect.errored + full);
+        let lost = arrived as f64 * value as f64 * harm.min(1.0) / 1000.0;
+        let counts = OperationCounts {
+            arrived,
+            succeeded,
+            throttled,
+            errored,
+            late: late.min(succeeded),
+            earned: succeeded * value,
+            asked: arrived * value,
+            ..OperationCounts::default()
+        };
+        (counts, latencies, lost)
+    }
+
+    /// What a node counts in a window; with the priority weight that its version cost, beside what it
     /// would have earned.
     pub fn sample(&mut self, node: usize, key: u64, runs: &Runs) -> (WindowSample, f64) {
-        let (zone, machine, jump) = (self.zone(node), self.machines[node], self.jump.1);
+        let (zone, machine) = (self.zone(node), self.machines[node]);
         let trouble = self.trouble.get(&zone).map_or(0.0, |(_, much)| *much);
         let acts = runs.since >= runs.effect.after;
         let memory = 4000.0
@@ -242,51 +308,16 @@
                     } else {
                         0.0
                     });
+        let is_full = memory > 12_000.0;
         let mut cost = 0.0;
         let mut operations = BTreeMap::new();
-        for (operation, part, value, usual) in OPERATIONS {
-            let touches = acts && runs.effect.operation.is_none_or(|only| only == operation);
+        for operation in OPERATIONS {
+            let touches = acts && runs.effect.operation.is_none_or(|only| only == operation.0);
             let effect = if touches { runs.effect } else { Effect::NONE };
-            let many = (self.each * part * jump * 4.0) as u64;
-            let arrived = self.of(many, 0.25);
-            // A jump is more than there is room for: some are throttled, everywhere alike.
-            let throttled_share = if jump > 1.2 {
-                (1.0 - 1.2 / jump) * 0.5
-            } else {
-                0.0
-            };
-            let throttled = self.of(
-                arrived,
-                throttled_share + (1.0 - throttled_share) * effect.throttled,
-            );
-            let ran = arrived - throttled;
-            let full = if memory > 12_000.0 { 0.5 } else { 0.0 };
-            let errs = machine.errs + trouble;
-            let errored = self.of(ran, errs + (1.0 - errs) * (effect.errored + full));
-            let succeeded = ran - errored;
-            let slower = (1.0 + machine.slower) * (1.0 + effect.slower) * (1.0 + trouble);
-            let mut latencies = Vec::new();
-            let mut late = 0;
-            for (times, chance) in SHAPE {
-                let count = self.of(succeeded, chance);
-                if count > 0 {
-                    latencies.push(((usual * times * slower) as u32, count as u32));
-                    late += if times * slower > LATE { count } else { 0 };
-                }
-            }
-            let harm = effect.throttled + (1.0 - effect.throttled) * (effect.errored + full);
-            cost += arrived as f64 * value as f64 * harm.min(1.0) / 1000.0;
-            let cell = OperationCounts {
-                arrived,
-                succeeded,
-                throttled,
-                errored,
-                late: late.min(succeeded),
-                earned: succeeded * value,
-                asked: arrived * value,
-                ..OperationCounts::default()
-            };
-            operations.insert(operation, (cell, latencies));
+            let (counts, latencies, lost) =
+                self.operation_counts(operation, &effect, machine, trouble, is_full);
+            cost += lost;
+            operations.insert(operation.0, (counts, latencies));
         }
         let memory_kb = (memory * (1.0 + self.rng.random_range(-0.01..0.01))) as u64;
         let descriptors = 40 + self.rng.random_range(0..3);
--- a/crates/rollout/src/simulation/trial.rs
+++ b/crates/rollout/src/simulation/trial.rs
@@ -1,54 +1,63 @@
-//! A change's stages without the messages between: what is judged and when, over many changes by
-//! seed. For tables of false stops, missed harm and what a bad change costs.
+//! A rollout's stages without the messages between: what is analysed and when, over many rollouts by
+//! seed. For tables of false stops, missed harm and what a bad rollout costs.
 
-use super::load::{Effect, Load, Noise, Runs};
-use super::{WINDOW, key};
-use crate::canary_analysis::{AnalysisMethod, CrashCounts, Verdict, judge};
+use super::load::{Effect, Load, Noise, Runs, WINDOW, key};
+use crate::canary_analysis::{AnalysisMethod, CrashCounts, Verdict, analyse};
 use crate::cohort_metrics::{CohortMetrics, OperationCounts, WindowSample};
-use crate::rollout::{RolloutId, Version};
-use crate::stages::{Plan, Progress};
-use crate::{Nanos, mix};
+use crate::identifiers::{RolloutId, Version};
+use crate::stages::{NextAgreement, Plan, Progress, Stage};
+use crate::{Nanos, splitmix64};
 
-/// How a change goes out.
+/// How a rollout goes out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Out {
-    /// In stages, judged so.
+    /// In stages, analysed by this method.
     Stages(AnalysisMethod),
-    /// Everywhere at once; taken back if for two windows so much less succeeds than in the windows
-    /// before, by the plan's margin.
+    /// Everywhere at once; rolled back if for two windows the share of successes is lower than before by
+    /// the plan's margin.
     AtOnce,
 }
 
 /// What became of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TrialResult {
+    /// Whether it was stopped.
     pub stopped: bool,
     /// By what.
     pub what: &'static str,
-    /// The stage it came to, and the time it took.
+    /// The stage it came to.
     pub stage: u32,
+    /// The time it took.
     pub time: Nanos,
-    /// Billed value that it cost, and what was asked for in a window by all of the fleet.
+    /// Priority weight that it cost.
     pub cost: f64,
+    /// Priority weight that the whole cluster is asked for in a window.
     pub asked: f64,
 }
 
 /// What is simulated.
 #[derive(Clone, Debug)]
 pub struct Trial {
+    /// How many nodes.
     pub nodes: usize,
+    /// How many zones.
     pub zones: u32,
+    /// Requests of a node in a window.
     pub each: f64,
+    /// How much nodes differ by themselves.
     pub noise: Noise,
+    /// The plan.
     pub plan: Plan,
+    /// What the new version does.
     pub effect: Effect,
+    /// How it goes out.
     pub out: Out,
 }
 
-/// What a change that came to no judgement is halted by.
-pub const NO_JUDGEMENT: &str = "no judgement";
+/// What a rollout that came to no analysement is halted by.
+pub const NO_JUDGEMENT: &str = "no analysement";
 const BEFORE: u64 = 8;
-/// After a change went out at once it is looked at for so long.
+/// Windows for which a rollout that went out at once is observed.
 const AT_ONCE: u64 = 60;
 
 impl Trial {
@@ -59,7 +68,7 @@
             Version { number: 1, hash: 1 },
             Version { number: 2, hash: 2 },
         );
-        let mut record = CohortMetrics::new(RolloutId(mix(seed)), new, old);
+        let mut record = CohortMetrics::new(RolloutId(splitmix64(seed)), new, old);
         let (mut window, mut windows) = (0, Vec::new());
         let mut before = OperationCounts::default();
         for _ in 0..BEFORE {
@@ -74,12 +83,12 @@
         record.begin(&windows);
         let asked = before.asked as f64 / 1000.0 / BEFORE as f64;
         match self.out {
-            Out::Stages(way) => self.stages(&mut load, record, window, way, asked),
+            Out::Stages(method) => self.stages(&mut load, record, window, method, asked),
             Out::AtOnce => self.at_once(&mut load, before, window, asked),
         }
     }
 
-    /// What all nodes count in a window; each runs the new version for so many windows, or not.
+    /// What all nodes count in a window; `since` gives for how many windows a node runs the new version.
     fn window(
         &self,
         load: &mut Load,
@@ -112,98 +121,56 @@
     fn stages(
         &self,
         load: &mut Load,
-        mut record: CohortMetrics,
-        mut window: u64,
-        way: AnalysisMethod,
+        record: CohortMetrics,
+        window: u64,
+        method: AnalysisMethod,
         asked: f64,
     ) -> TrialResult {
         let nodes: Vec<(u64, u32)> = (0..self.nodes)
             .map(|node| (key(node), load.zone(node)))
             .collect();
-        let (mut reach, change, begin) = (Progress::default(), record.change, window);
-        let mut begun: Vec<Option<u64>> = vec![None; self.nodes];
-        let mut outcome = TrialResult {
-            asked,
-            ..TrialResult::default()
+        let (mut progress, rollout) = (Progress::default(), record.rollout);
+        let mut run = StagedRun {
+            trial: self,
+            load,
+            record,
+            method,
+            window,
+            begin: window,
+            begun: vec![None; self.nodes],
+            crashes: [0, 0],
+            outcome: TrialResult {
+                asked,
+                ..TrialResult::default()
+            },
         };
-        let mut died = [0, 0];
-        while let Some(next) =
-            reach.next(change, &self.plan, &nodes, reach.seq + 1, self.nodes as u32)
-        {
-            reach = next;
-            let Some(stage) = self.plan.stage(reach.stage) else {
+        while let Some(next) = progress.next(&NextAgreement {
+            rollout,
+            plan: &self.plan,
+            nodes: &nodes,
+            agreement: progress.agreement + 1,
+            electorate: self.nodes as u32,
+        }) {
+            progress = next;
+            let Some(stage) = self.plan.stage(progress.stage) else {
                 break;
             };
-            outcome.stage = reach.stage;
-            record.stage_begins(reach.stage);
+            run.outcome.stage = progress.stage;
+            run.record.stage_begins(progress.stage);
             for (at, (node, zone)) in nodes.iter().enumerate() {
-                if begun[at].is_none() && reach.has(change, *node, *zone) {
-                    begun[at] = Some(window);
+                if run.begun[at].is_none() && progress.includes(rollout, *node, *zone) {
+                    run.begun[at] = Some(run.window);
                 }
             }
-            let since = window;
-            loop {
-                let (samples, cost) = self.window(load, window, &|node| {
-                    begun[node].map(|begun| window - begun)
-                });
-                outcome.cost += cost;
-                for node in 0..self.nodes {
-                    let since = begun[node].map_or(0, |begun| window - begun);
-                    let effect = if begun[node].is_some() {
-                        self.effect
-                    } else {
-                        Effect::NONE
-                    };
-                    if load.dies(&Runs {
-                        label: 0,
-                        effect,
-                        since,
-                        age: 100,
-                    }) {
-                        died[usize::from(begun[node].is_none())] += 1;
-                    }
-                }
-                record.after(window, &samples);
-                window += 1;
-                outcome.time = (window - begin) * WINDOW;
-                let held = (window - since) * WINDOW;
-                let new = begun.iter().flatten().count() as u64;
-                let nodes = [new, self.nodes as u64 - new];
-                let deaths = CrashCounts {
-                    died,
-                    nodes,
-                    windows: (window - begin) as f64,
+            if let Some(what) = run.stage(progress.stage, stage) {
+                return TrialResult {
+                    stopped: true,
+                    what,
+                    ..run.outcome
                 };
-                let judged = judge(&record, &self.plan, reach.stage, &deaths, way);
-                let is_last = self.plan.is_last(reach.stage);
-                match judged.verdict {
-                    Verdict::Harm(harm) => {
-                        let what = harm.first().map_or("", |finding| finding.what);
-                        return TrialResult {
-                            stopped: true,
-                            what,
-                            ..outcome
-                        };
-                    }
-                    _ if held < stage.least => {}
-                    // With nobody left to compare with it goes by what else there is: see
-                    // `conduct`.
-                    _ if is_last => break,
-                    Verdict::Fine => break,
-                    Verdict::Unsure(_) if held > stage.longest => break,
-                    Verdict::Unsure(_) => {}
-                    Verdict::Wait(_) if held > stage.longest => {
-                        return TrialResult {
-                            stopped: true,
-                            what: NO_JUDGEMENT,
-                            ..outcome
-                        };
-                    }
-                    Verdict::Wait(_) => {}
-                }
             }
         }
-        outcome
+        run.outcome
     }
 
     fn at_once(
@@ -219,7 +186,7 @@
             ..TrialResult::default()
         };
         let share = |cell: &OperationCounts| cell.succeeded as f64 / cell.arrived.max(1) as f64;
-        let margin = f64::from(self.plan.margin) / 1000.0;
+        let margin = f64::from(self.plan.margin_permille) / 1000.0;
         let (begin, mut bad) = (window, 0);
         while window < begin + AT_ONCE {
             let (samples, cost) = self.window(load, window, &|_| Some(window - begin));
@@ -247,5 +214,78 @@
     }
 }
 
+/// A rollout in stages while it is played.
+struct StagedRun<'a> {
+    trial: &'a Trial,
+    load: &'a mut Load,
+    record: CohortMetrics,
+    method: AnalysisMethod,
+    /// The next window, and the one in which it began.
+    window: u64,
+    begin: u64,
+    /// By node, the window in which it began to run the new version.
+    begun: Vec<Option<u64>>,
+    /// On trial; of the other nodes.
+    crashes: [u64; 2],
+    outcome: TrialResult,
+}
+
+impl StagedRun<'_> {
+    /// Plays a stage to its end; by what it was stopped, if it was.
+    fn stage(&mut self, number: u32, stage: &Stage) -> Option<&'static str> {
+        let since = self.window;
+        loop {
+            self.play_window();
+            let held = (self.window - since) * WINDOW;
+            let new = self.begun.iter().flatten().count() as u64;
+            let crashes = CrashCounts {
+                crashes: self.crashes,
+                nodes: [new, self.trial.nodes as u64 - new],
+                windows: (self.window - self.begin) as f64,
+            };
+            let plan = &self.trial.plan;
+            let analysis = analyse(&self.record, plan, number, &crashes, self.method);
+            match analysis.verdict {
+                Verdict::Harm(harm) => {
+                    return Some(harm.first().map_or("", |finding| finding.what));
+                }
+                _ if held < stage.min_duration => {}
+                // Without a baseline cohort it goes by what else there is: see `coordinator`.
+                _ if plan.is_last(number) => return None,
+                Verdict::Fine => return None,
+                Verdict::Unsure(_) if held > stage.max_duration => return None,
+                Verdict::Unsure(_) => {}
+                Verdict::Wait(_) if held > stage.max_duration => return Some(NO_JUDGEMENT),
+                Verdict::Wait(_) => {}
+            }
+        }
+    }
+
+    fn play_window(&mut self) {
+        let (window, begun) = (self.window, &self.begun);
+        let since = |node: usize| begun[node].map(|begun| window - begun);
+        let (samples, cost) = self.trial.window(self.load, window, &since);
+        self.outcome.cost += cost;
+        for begun in begun {
+            let effect = if begun.is_some() {
+                self.trial.effect
+            } else {
+                Effect::NONE
+            };
+            if self.load.dies(&Runs {
+                label: 0,
+                effect,
+                since: begun.map_or(0, |begun| window - begun),
+                age: 100,
+            }) {
+                self.crashes[usize::from(begun.is_none())] += 1;
+            }
+        }
+        self.record.after(window, &samples);
+        self.window += 1;
+        self.outcome.time = (self.window - self.begin) * WINDOW;
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/rollout/src/supervisor_messages.rs
+++ b/crates/rollout/src/supervisor_messages.rs
@@ -1,70 +1,82 @@
-//! What a parent and the processes that it starts say to each other, over a stream: each saying
-//! after its length (4 bytes, lowest first). Fields by number: one that is not known is passed
-//! over, a saying that is not known is none, so that an old parent and a new program, or the other
-//! way round, understand each other.
+//! What a supervisor and the processes that it starts tell each other over a stream: each message after
+//! its length (4 bytes, little-endian). Fields by number: an unknown one is skipped, and an unknown kind
+//! is ignored, so that a supervisor and a program of different versions understand each other.
 
+use crate::host_error::HostError;
+use crate::identifiers::{RolloutId, Version};
 use crate::persisted_state::{PersistedState, Trial};
 use crate::process_handover::StartInstructions;
-use crate::rollout::{RolloutId, Version};
 use prost::Message;
 
-/// The most bytes of a saying.
-pub const SAYING_MAX: usize = 16 << 10;
+/// The most bytes of a message.
+pub const MAX_MESSAGE_BYTES: usize = 16 << 10;
 
-/// Kinds of sayings.
+/// Kinds of messages.
 pub mod kind {
-    /// From the parent: what the process starts with; with it comes the listening socket.
+    /// From the supervisor: what the process starts with; with it comes the listening socket.
     pub const BEGIN: u32 = 1;
-    /// That it is in charge; that another one takes its place, and it is to leave.
+    /// From the supervisor: the process is in charge.
     pub const IN_CHARGE: u32 = 2;
+    /// From the supervisor: another process takes its place, and it is to leave.
     pub const HAND_OVER: u32 = 3;
-    /// The answer to a question.
+    /// From the supervisor: the answer to a request.
     pub const DONE: u32 = 4;
-    /// From a process: that it serves; what is to be kept; whether a version is here; that one is
-    /// to take its place.
+    /// From a process: it serves.
     pub const READY: u32 = 5;
+    /// From a process: this is to be persisted.
     pub const KEEP: u32 = 6;
+    /// From a process: is this version on the machine?
     pub const CHECK: u32 = 7;
+    /// From a process: this version is to take its place.
     pub const APPLY: u32 = 8;
 }
 
-/// A saying.
+/// A message between a supervisor and its process.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SupervisorMessage {
+    /// One of [`kind`].
     #[prost(uint32, tag = "1")]
     pub kind: u32,
-    /// The number of a question, and of its answer.
+    /// The number of a request, and of its answer.
     #[prost(uint64, tag = "2")]
-    pub no: u64,
-    /// What is kept, as it is on the disk.
+    pub request: u64,
+    /// The persisted state, as it is on disk.
     #[prost(bytes = "vec", tag = "3")]
-    pub kept: Vec<u8>,
+    pub persisted: Vec<u8>,
+    /// The number of a version.
     #[prost(uint64, tag = "4")]
     pub number: u64,
+    /// The hash of a version.
     #[prost(fixed64, tag = "5")]
     pub hash: u64,
+    /// Whether a request was rejected.
     #[prost(bool, tag = "6")]
     pub refused: bool,
+    /// Why.
     #[prost(string, tag = "7")]
     pub why: String,
-    /// Of a version that died on trial: how often it was begun, its change and itself; tries are 0
-    /// if none did.
+    /// Of a trial that crashed: how often it was begun; 0 if none crashed.
     #[prost(uint32, tag = "8")]
     pub died_tries: u32,
+    /// Of a trial that crashed: its rollout.
     #[prost(fixed64, tag = "9")]
     pub died_change: u64,
+    /// Of a trial that crashed: the number of its version.
     #[prost(uint64, tag = "10")]
     pub died_number: u64,
+    /// Of a trial that crashed: the hash of its version.
     #[prost(fixed64, tag = "11")]
     pub died_hash: u64,
+    /// Whether the disk was empty.
     #[prost(bool, tag = "12")]
     pub fresh: bool,
+    /// Whether another process serves meanwhile.
     #[prost(bool, tag = "13")]
     pub beside: bool,
 }
 
 impl SupervisorMessage {
-    /// One that says nothing but its kind.
+    /// A message with nothing but its kind.
     pub fn plain(kind: u32) -> SupervisorMessage {
         SupervisorMessage {
             kind,
@@ -80,23 +92,27 @@
         }
     }
 
-    /// A question about a version.
-    pub fn about(kind: u32, no: u64, version: Version) -> SupervisorMessage {
+    /// A request about a version.
+    pub fn about(kind: u32, request: u64, version: Version) -> SupervisorMessage {
         SupervisorMessage {
             kind,
-            no,
+            request,
             number: version.number,
             hash: version.hash,
             ..SupervisorMessage::default()
         }
     }
 
-    /// An answer.
-    pub fn done(no: u64, result: &Result<(), String>) -> SupervisorMessage {
-        let why = result.as_ref().err().cloned().unwrap_or_default();
+    /// The answer to a request.
+    pub fn done(request: u64, result: &Result<(), HostError>) -> SupervisorMessage {
+        let why = result
+            .as_ref()
+            .err()
+            .map(ToString::to_string)
+            .unwrap_or_default();
         SupervisorMessage {
             kind: kind::DONE,
-            no,
+            request,
             refused: result.is_err(),
             why,
             ..SupervisorMessage::default()
@@ -105,12 +121,12 @@
 
     /// What a process starts with.
     pub fn begin(begin: &StartInstructions) -> SupervisorMessage {
-        let died = begin.died;
-        let of = died.map(|trial| trial.version).unwrap_or_default();
+        let crashed = begin.crashed;
+        let of = crashed.map(|trial| trial.version).unwrap_or_default();
         SupervisorMessage {
-            kept: begin.kept.write(),
-            died_tries: died.map_or(0, |trial| trial.tries.max(1)),
-            died_change: died.map_or(0, |trial| trial.change.0),
+            persisted: begin.persisted.encode(),
+            died_tries: crashed.map_or(0, |trial| trial.tries.max(1)),
+            died_change: crashed.map_or(0, |trial| trial.rollout.0),
             died_number: of.number,
             died_hash: of.hash,
             fresh: begin.fresh,
@@ -119,23 +135,23 @@
         }
     }
 
-    /// The same, read.
+    /// Reads what a process starts with; none if the message is another one or can't be read.
     pub fn as_begin(&self) -> Option<StartInstructions> {
         let version = Version {
             number: self.died_number,
             hash: self.died_hash,
         };
         let trial = Trial {
-            change: RolloutId(self.died_change),
+            rollout: RolloutId(self.died_change),
             version,
             tries: self.died_tries,
         };
         Some(StartInstructions {
-            kept: PersistedState::read(&self.kept)
+            persisted: PersistedState::decode(&self.persisted)
                 .ok()
                 .filter(|_| self.kind == kind::BEGIN)?,
             version: self.version(),
-            died: (self.died_tries > 0).then_some(trial),
+            crashed: (self.died_tries > 0).then_some(trial),
             fresh: self.fresh,
             beside: self.beside,
         })
@@ -148,29 +164,29 @@
     }
 }
 
-/// Bytes that came.
+/// Cuts a stream of bytes into messages.
 #[derive(Debug, Default)]
 pub struct MessageReader {
     bytes: Vec<u8>,
 }
 
-/// The other side says what can't be.
+/// The other side sent what is no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MalformedMessage;
 
 impl MessageReader {
-    /// More came.
+    /// Takes up bytes that came.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole saying, if there is one.
+    /// The next whole message, if there is one.
     pub fn take(&mut self) -> Result<Option<SupervisorMessage>, MalformedMessage> {
         let Some(length) = self.bytes.first_chunk::<4>() else {
             return Ok(None);
         };
         let length = u32::from_le_bytes(*length) as usize;
-        if length > SAYING_MAX {
+        if length > MAX_MESSAGE_BYTES {
             return Err(MalformedMessage);
         }
         let Some(body) = self.bytes.get(4..4 + length) else {
--- a/crates/test-harness/src/rig/changes.rs
+++ b/crates/test-harness/src/rig/changes.rs
@@ -1,5 +1,7 @@
-//! The rig's part in changes of settings: it offers them, looks what has become of them, and judges
-//! the joined record of all nodes by what the rules of a change allow.
+//! The fault scenario runner's part in rollouts of settings: it offers them, looks what has become of
+//! them, and checks the joined record of all nodes against the rules of a rollout.
+
+mod record_check;
 
 use super::{BETWEEN, FLEET, KEY, LOOK, Rig, Seen, pages};
 use crate::record::Line;
@@ -10,18 +12,19 @@
 use madderpoint_rollout::messages::{CommandReply, OperatorCommand, order};
 use madderpoint_rollout::status::StatusSnapshot;
 use prost::Message as _;
-use std::collections::{BTreeMap, BTreeSet};
+pub use record_check::Checked;
+use std::collections::BTreeMap;
 use std::net::UdpSocket;
 use std::path::PathBuf;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The topic of changes of settings.
+/// The topic of rollouts of settings.
 const TOPIC: u32 = 2;
-/// What taking an offer may take.
-const TAKEN: Duration = Duration::from_secs(20);
-/// A change that is too large for nodes with little memory has so many bytes.
-const LARGE: usize = 400 << 10;
+/// How long a command may take until its final reply.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(20);
+/// Bytes of a rollout that is too large for nodes with little memory.
+const LARGE_BYTES: usize = 400 << 10;
 
 impl Rig {
     /// Settings of the fleet: all nodes have the same, but for what the environment tells them.
@@ -76,8 +79,8 @@
         self.setting.dir.join(name)
     }
 
-    /// Settings with a change in them.
-    fn changed(&self, number: u64, change: &str) -> String {
+    /// Settings with a rollout in them.
+    fn changed(&self, number: u64, rollout: &str) -> String {
         let rule = |when: &str, then: &str| {
             format!("<rules><rule name=\"v{number}\"><when>{when}</when>{then}</rule></rules>")
         };
@@ -87,7 +90,7 @@
         } else {
             base
         };
-        match change {
+        match rollout {
             "throttles" => self.settings(
                 number,
                 &rule("true", "<throttle pause=\"50ms\" reason=\"new\"/>"),
@@ -108,7 +111,7 @@
             "large" => self.settings(
                 number,
                 &good,
-                &format!("<!--{}-->", "x".repeat(LARGE)),
+                &format!("<!--{}-->", "x".repeat(LARGE_BYTES)),
                 None,
             ),
             "keys" => {
@@ -135,7 +138,7 @@
     }
 
     /// Orders something of a node, until it is taken or turned down.
-    fn order(&self, n: usize, said: &OperatorCommand) -> Result<CommandReply, String> {
+    fn order(&self, n: usize, command: &OperatorCommand) -> Result<CommandReply, String> {
         let node = &self.nodes[n];
         let socket = UdpSocket::bind((node.bind.ip(), 0)).map_err(|e| e.to_string())?;
         socket
@@ -143,9 +146,9 @@
             .map_err(|e| e.to_string())?;
         let (mut observer, begun, mut buffer) =
             (self.observer(&socket)?, Instant::now(), [0; 2048]);
-        while begun.elapsed() < TAKEN {
+        while begun.elapsed() < COMMAND_TIMEOUT {
             let unix = || crate::peers::unix_ms().parse::<u64>().unwrap_or(0);
-            let frame = observer.command(unix(), TOPIC, &said.encode_to_vec());
+            let frame = observer.command(unix(), TOPIC, &command.encode_to_vec());
             socket
                 .send_to(&frame, node.bind)
                 .map_err(|e| e.to_string())?;
@@ -170,21 +173,21 @@
         at: usize,
         node: &str,
         number: u64,
-        change: &str,
-        turned_down: bool,
+        rollout: &str,
+        rejected: bool,
     ) {
         let (n, begun) = (self.node(node), Instant::now());
-        let content = self.changed(number, change).into_bytes();
+        let content = self.changed(number, rollout).into_bytes();
         let digest = chunks::digest(&content).to_vec();
         let mut answer = Err("nothing to offer".to_owned());
         for no in 0..chunks::count(content.len()) {
-            let bytes = chunks::piece(&content, no).unwrap_or_default().to_vec();
+            let bytes = chunks::chunk(&content, no).unwrap_or_default().to_vec();
             let (size, digest) = (content.len() as u32, digest.clone());
             answer = self.order(
                 n,
                 &OperatorCommand {
-                    kind: order::PIECE,
-                    no,
+                    kind: order::CHUNK,
+                    chunk: no,
                     bytes,
                     size,
                     digest,
@@ -206,14 +209,17 @@
             );
         }
         match answer {
-            Ok(answer) if (answer.state == 2) == turned_down => {
-                let word = if turned_down {
+            Ok(answer) if (answer.state == 2) == rejected => {
+                let word = if rejected {
                     format!("turned down: {}", answer.why)
                 } else {
                     "taken".into()
                 };
-                self.record
-                    .note(node, "rig", format!("settings {number} ({change}): {word}"));
+                self.record.note(
+                    node,
+                    "rig",
+                    format!("settings {number} ({rollout}): {word}"),
+                );
                 self.took(format!("settings {number} offered, step {at}"), begun);
             }
             Ok(answer) => self.fail(format!(
@@ -241,13 +247,13 @@
     }
 
     pub(super) fn end_change(&mut self, at: usize, node: &str, back: bool) {
-        let kind = if back { order::BACK } else { order::HALT };
-        let said = OperatorCommand {
+        let kind = if back { order::ROLL_BACK } else { order::HALT };
+        let command = OperatorCommand {
             kind,
             why: "the timetable says so".into(),
             ..OperatorCommand::default()
         };
-        match self.order(self.node(node), &said) {
+        match self.order(self.node(node), &command) {
             Ok(answer) if answer.state == 0 => {}
             other => self.fail(format!(
                 "step {at}: {node} did not take the order: {other:?}"
@@ -295,7 +301,7 @@
         None
     }
 
-    /// Waits until nodes know a change as this.
+    /// Waits until nodes know a rollout as this.
     pub(super) fn change_is(
         &mut self,
         at: usize,
@@ -303,7 +309,7 @@
         is: (u64, &str, u32),
         within: Duration,
     ) {
-        let (begun, (number, fate, stage)) = (Instant::now(), is);
+        let (begun, (number, outcome, stage)) = (Instant::now(), is);
         let mut left: Vec<usize> = (0..self.nodes.len())
             .filter(|&n| {
                 to.has(&self.nodes[n].place.name, &self.nodes[n].place.zone) && self.is_up(n)
@@ -314,7 +320,7 @@
             left.retain(|&n| match self.knows(n, number) {
                 Some((known_fate, known_stage, line)) => {
                     last = format!("{}: {line}", self.nodes[n].place.name);
-                    (!fate.is_empty() && known_fate != fate) || known_stage < stage
+                    (!outcome.is_empty() && known_fate != outcome) || known_stage < stage
                 }
                 None => {
                     last = format!("{}: knows no change to {number}", self.nodes[n].place.name);
@@ -326,7 +332,7 @@
         if left.is_empty() {
             self.record.note("rig", "change", last.clone());
             self.took(
-                format!("settings {number}: {fate} stage {stage}, step {at}"),
+                format!("settings {number}: {outcome} stage {stage}, step {at}"),
                 begun,
             );
         } else {
@@ -341,13 +347,13 @@
             });
             let lines: Vec<String> = lines.collect();
             let what = format!(
-                "settings {number} not {fate} stage {stage} in {within:?}; {last}; {lines:#?}"
+                "settings {number} not {outcome} stage {stage} in {within:?}; {last}; {lines:#?}"
             );
             self.fail(format!("step {at}: {what}"));
         }
     }
 
-    /// What a node knows of the change to settings of this number: what became of it, its stage,
+    /// What a node knows of the rollout to settings of this number: what became of it, its stage,
     /// and all in words.
     fn knows(&self, n: usize, number: u64) -> Option<(String, u32, String)> {
         let node = &self.nodes[n];
@@ -356,20 +362,20 @@
         let (mut observer, begun) = (self.observer(&socket).ok()?, Instant::now());
         let bytes = (0..4).find_map(|_| pages(&socket, node.bind, &mut observer, begun))?;
         let shown = StatusSnapshot::decode(bytes.as_slice()).ok()?;
-        let is_it = |change: &&madderpoint_rollout::status::RolloutStatus| {
-            change
+        let is_it = |rollout: &&madderpoint_rollout::status::RolloutStatus| {
+            rollout
                 .version
                 .is_some_and(|version| version.number == number)
         };
-        let change = shown.changes.iter().find(is_it)?;
+        let rollout = shown.rollouts.iter().find(is_it)?;
         let line = format!(
             "{} stage {} {}; {} {}",
-            change.fate, change.stage, change.why, shown.waits, shown.verdict
+            rollout.outcome, rollout.stage, rollout.why, shown.waits, shown.verdict
         );
-        Some((change.fate.clone(), change.stage, line))
+        Some((rollout.outcome.clone(), rollout.stage, line))
     }
 
-    /// Looks over what all nodes said they did about changes.
+    /// Looks over what all nodes said they did about rollouts.
     pub(super) fn changes_are_allowed(&mut self, lines: &[Line]) {
         let mut checked = Checked::default();
         for line in lines {
@@ -394,115 +400,5 @@
     }
 }
 
-/// What a node said of its versions so far.
-#[derive(Debug, Default)]
-struct Node {
-    running: Option<u64>,
-    trial: Option<u64>,
-    staged: BTreeSet<u64>,
-    good: BTreeSet<u64>,
-    stages: BTreeMap<String, u64>,
-    ended: BTreeMap<String, String>,
-}
-
-/// Holds the joined record against what the rules of a change allow.
-#[derive(Debug, Default)]
-pub struct Checked {
-    nodes: BTreeMap<String, Node>,
-    /// Nodes that were told to leave, and did not start since.
-    stopped: BTreeSet<String>,
-    /// Nodes that left by notice before this start.
-    left: BTreeSet<String>,
-    /// The most nodes with each number on trial at once.
-    pub most: BTreeMap<u64, usize>,
-    pub wrong: Vec<String>,
-}
-
-/// The number that follows a word in a line.
-fn number_after(line: &str, word: &str) -> Option<u64> {
-    let (_, rest) = line.split_once(word)?;
-    let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
-    digits.parse().ok()
-}
-
-impl Checked {
-    /// A node starts anew.
-    fn starts(&mut self, who: &str) {
-        let before = self
-            .nodes
-            .insert(who.to_owned(), Node::default())
-            .unwrap_or_default();
-        // What it has on its disk is as before.
-        let node = Node {
-            staged: before.staged,
-            ..Node::default()
-        };
-        self.nodes.insert(who.to_owned(), node);
-        if self.stopped.remove(who) {
-            self.left.insert(who.to_owned());
-        } else {
-            self.left.remove(who);
-        }
-    }
-
-    /// A line of a node about changes of settings.
-    pub fn line(&mut self, who: &str, line: &str) {
-        let Some(line) = line.strip_prefix("settings: ") else {
-            return;
-        };
-        let node = self.nodes.entry(who.to_owned()).or_default();
-        let mut wrong = |what: &str| self.wrong.push(format!("{who}: {what}: {line}"));
-        let change = line
-            .strip_prefix("change ")
-            .and_then(|rest| rest.split_once(": "));
-        if let Some((id, rest)) = change {
-            if let Some(stage) = number_after(rest, "stage ").filter(|_| rest.ends_with("begins")) {
-                if node.ended.contains_key(id) {
-                    wrong("a stage begins after the change was heard to have ended");
-                }
-                if node.stages.get(id).is_some_and(|before| stage <= *before) {
-                    wrong("a stage begins that is not after the one before");
-                }
-                node.stages.insert(id.to_owned(), stage);
-            }
-            for fate in ["refused", "halted", "back", "done"] {
-                if rest.starts_with(&format!("{fate},")) {
-                    node.ended.insert(id.to_owned(), fate.to_owned());
-                }
-            }
-            if let Some(number) =
-                number_after(rest, "version ").filter(|_| rest.ends_with("is staged"))
-            {
-                node.staged.insert(number);
-            }
-            return;
-        }
-        let Some(number) = number_after(line, "version ") else {
-            return;
-        };
-        if line.contains("died on trial here") && self.left.contains(who) {
-            wrong("a version is held for dead on trial, and the node left by notice");
-        }
-        if line.contains("is on trial") {
-            if !node.staged.contains(&number) {
-                wrong("a version is on trial that was not checked and written here");
-            }
-            (node.running, node.trial) = (Some(number), Some(number));
-        } else if line.contains("is in force") {
-            (node.running, node.trial) = (Some(number), None);
-        } else if line.contains("is good") {
-            node.good.insert(number);
-            node.trial = None;
-        }
-        let on_trial = self
-            .nodes
-            .values()
-            .filter(|node| node.trial == Some(number))
-            .count();
-        let most = self.most.entry(number).or_default();
-        *most = (*most).max(on_trial);
-    }
-}
-
 #[cfg(test)]
 mod tests;
