--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -96,6 +96,4 @@
     fn fleet(&mut self, word: ClusterUpdate);
     /// A step of an invocation, for who follows them.
     fn step(&mut self, rid: &str, what: fmt::Arguments<'_>);
-    /// Write a line to the log.
-    fn log(&mut self, line: fmt::Arguments<'_>);
 }
--- a/crates/node/src/classify.rs
+++ b/crates/node/src/classify.rs
@@ -183,7 +183,7 @@
                 tally.told = Some(now);
                 let name = &self.set.rules()[place].name;
                 self.lines.push(format!(
-                    "rules: '{name}' erred and so did not match: {fault} ({} times)",
+                    "'{name}' erred and so did not match: {fault} ({} times)",
                     tally.faults
                 ));
             }
@@ -192,7 +192,7 @@
         self.matched += 1;
         let mut told = None;
         if !given.facts.is_empty() {
-            let mut line = format!("rules: '{}'", given.rule.name);
+            let mut line = format!("'{}'", given.rule.name);
             for (name, value) in &given.facts {
                 let _ = write!(line, " {name}={value:?}");
             }
@@ -317,7 +317,7 @@
         if std::mem::replace(&mut self.told, total) == total {
             return None;
         }
-        let mut line = format!("rules: matched {}", self.matched);
+        let mut line = format!("matched {}", self.matched);
         if faults > 0 {
             let _ = write!(line, ", erred {faults}");
         }
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -4,12 +4,13 @@
 mod rollout;
 mod shared;
 
-use crate::serve::{self, Logging};
+use crate::serve;
 use crate::supervisor;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use hdrhistogram::Histogram;
 use madderpoint_deployment_config::DeploymentConfig;
 use madderpoint_identity::{Bundle, Bundles, jwt, x509};
+use madderpoint_node::log;
 use madderpoint_rules::ruleset::Why;
 use madderpoint_rules::{Path as Search, RuleSet, Scratch, Verdict, time};
 use madderpoint_settings::asked::Asked;
@@ -55,10 +56,19 @@
     Json,
 }
 
-impl From<Log> for Logging {
-    fn from(log: Log) -> Logging {
-        Logging {
-            json: log.log == Form::Json,
+impl From<Form> for log::Form {
+    fn from(form: Form) -> log::Form {
+        match form {
+            Form::Plain => log::Form::Plain,
+            Form::Json => log::Form::Json,
+        }
+    }
+}
+
+impl From<Log> for log::Options {
+    fn from(log: Log) -> log::Options {
+        log::Options {
+            form: log.log.into(),
             follow: log.follow,
         }
     }
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -18,7 +18,7 @@
 use crate::cluster::ClusterUpdate;
 use crate::config::{Identity, Moved, Peers};
 use crate::fastcgi::Reply;
-use crate::log::log;
+use crate::log::part;
 use crate::node::{Core, Event, Moment};
 use crate::state::BACKEND_LINKS;
 use backend_link::BackendLinkCommand;
@@ -217,11 +217,7 @@
     }
 
     fn step(&mut self, rid: &str, what: fmt::Arguments<'_>) {
-        crate::log::step(rid, what);
-    }
-
-    fn log(&mut self, line: fmt::Arguments<'_>) {
-        log!("{line}");
+        tracing::trace!(target: part::REQUEST, event = "step", rid, "{what}");
     }
 }
 
--- a/crates/node/src/io/backend_link.rs
+++ b/crates/node/src/io/backend_link.rs
@@ -4,7 +4,7 @@
 use super::{Addresses, CONNECT, Message, READ, spawn};
 use crate::actions::{BackendLink, CallId, Wanted, Wants};
 use crate::backend;
-use crate::log::log;
+use crate::log::part;
 use crate::node::Event;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use madderpoint::RequestId;
@@ -12,6 +12,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::time::Duration;
+use tracing::warn;
 
 /// The core is told of a connection on which nothing was sent for so long. The back end closes idle
 /// ones after 10 s, or earlier, or forgets them, and then a call meets a reset that may as well
@@ -229,7 +230,7 @@
 fn read_replies(stream: &TcpStream, link: BackendLink, events: &Sender<Message>) {
     let cause = read_whole_replies(stream, link, events).err();
     if let Some(what) = cause {
-        log!("back end: connection ended: {what}");
+        warn!(target: part::BACKEND, link = link.place, error = %what, "connection closed: protocol error");
     }
     let _ = stream.shutdown(Shutdown::Both);
     let _ = events.send(Message::Event(Event::BackendLost(link, cause)));
--- a/crates/node/src/io/client_connections.rs
+++ b/crates/node/src/io/client_connections.rs
@@ -6,7 +6,7 @@
 use super::{spawn, write_gathered};
 use crate::actions::{Close, ConnectionId};
 use crate::fastcgi::{self, Reply};
-use crate::log::log;
+use crate::log::part;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use rustix::net::{SendAncillaryBuffer, SendFlags, sendmsg};
 use std::io::{self, ErrorKind, IoSlice};
@@ -14,6 +14,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 use std::time::Duration;
+use tracing::warn;
 
 /// Answers that may wait for one connection's writer, and answers written with one call.
 const REPLIES: usize = 2 * fastcgi::MAX_OPEN;
@@ -83,7 +84,7 @@
                     return self.end(); // the peer is gone
                 }
                 if let Err(e) = self.start_writer() {
-                    log!("dispatcher: connection ended, no writer: {e}");
+                    warn!(target: part::LOAD_BALANCER, connection = self.number.0, error = %e, "connection closed: no writer thread could be started");
                     return self.end();
                 }
             }
@@ -102,7 +103,7 @@
                 || writer.try_send(Outgoing::Reply(reply)).is_err()
             {
                 self.socket.places.unread.fetch_sub(size, SeqCst);
-                log!("dispatcher: connection ended, its peer does not read");
+                warn!(target: part::LOAD_BALANCER, connection = self.number.0, "connection closed: the peer does not read");
                 return self.end();
             }
         }
--- a/crates/node/src/io/client_reader.rs
+++ b/crates/node/src/io/client_reader.rs
@@ -14,7 +14,7 @@
 use crate::actions::{Close, ConnectionId};
 use crate::capacity::CapacityLimits;
 use crate::fastcgi;
-use crate::log::log;
+use crate::log::part;
 use crate::node::Event;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use rustix::buffer::spare_capacity;
@@ -30,6 +30,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 use std::time::{Duration, Instant};
+use tracing::{error, info, warn};
 
 /// Sockets that are looked at after one wait, and connections accepted in a row.
 const READY: usize = 64;
@@ -89,7 +90,8 @@
     room: CapacityLimits,
     events: Sender<Message>,
 ) -> io::Result<Orders> {
-    log!("listening on {}", listener.local_addr()?);
+    let address = listener.local_addr()?;
+    info!(target: part::LOAD_BALANCER, %address, "listening");
     let reader = Reader::new(listener, word.is_some(), room, events)?;
     let orders = reader.orders.clone();
     if word.is_none() {
@@ -99,7 +101,7 @@
         if let Some(word) = word
             && let (Ok(()), Err(e)) = (word.recv(), reader.look_at_listener())
         {
-            log!("dispatcher: no connection is taken: {e}");
+            error!(target: part::LOAD_BALANCER, error = %e, "listening failed: no connection is accepted");
         }
         reader.serve();
     })?;
@@ -200,7 +202,10 @@
             let wait = wait.and_then(|wait| Timespec::try_from(wait).ok());
             match epoll::wait(&self.poll, spare_capacity(&mut ready), wait.as_ref()) {
                 Err(Errno::INTR) | Ok(_) => {}
-                Err(e) => return log!("dispatcher: no more is read: {e}"),
+                Err(e) => {
+                    error!(target: part::LOAD_BALANCER, error = %e, "reading failed: all connections stop");
+                    return;
+                }
             }
             for event in ready.drain(..) {
                 match event.data.u64() {
@@ -270,7 +275,7 @@
             (State::Rests, _) => {
                 reading.state = State::Read;
                 if let Err(e) = self.look_at(number) {
-                    log!("dispatcher: not read any more: {e}");
+                    warn!(target: part::LOAD_BALANCER, connection = number, error = %e, "connection closed: it cannot be polled");
                     self.gone(number);
                 }
             }
@@ -338,14 +343,14 @@
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) => {
-                    log!("dispatcher: no connection taken: {e}");
+                    warn!(target: part::LOAD_BALANCER, error = %e, "accept failed");
                     return self.crowded();
                 }
             }
         }
         match self.look_at_listener().map_err(|e| e.raw_os_error()) {
             Err(e) if e != Some(Errno::EXIST.raw_os_error()) => {
-                log!("dispatcher: no connection is taken: error {e:?}");
+                error!(target: part::LOAD_BALANCER, error = ?e, "listening failed: no connection is accepted");
             }
             _ => {}
         }
@@ -457,7 +462,7 @@
         }
         let front = |event| hand(Event::Front(ConnectionId(number), event));
         if let Err(fastcgi::Broken(what)) = reading.parser.feed(&buffer[..n], &mut { front }) {
-            log!("dispatcher: connection ended: {what}");
+            warn!(target: part::LOAD_BALANCER, connection = number, error = %what, "connection closed: protocol error");
             hand(Event::Garbled(ConnectionId(number), what));
             return self.deafen(number, false);
         }
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -5,7 +5,7 @@
 use super::rollout_link::{Among, Changes, Changing, SETTINGS_CHANGES, topic};
 use super::{Message, STACK};
 use crate::cluster::ClusterUpdate;
-use crate::log::log;
+use crate::log::part;
 use crate::node::{Event, Service, With};
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 use madderpoint_membership::datagram_auth::AuthKeys;
@@ -33,6 +33,7 @@
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
+use tracing::{error, info, warn};
 
 /// Words that may wait for the fleet's part.
 const WORDS: usize = 64;
@@ -199,7 +200,7 @@
         self.sent.push((to, told));
     }
     fn log(&mut self, line: &str) {
-        crate::log::event("shared", "lends", format_args!("{line}"));
+        info!(target: part::SHARED_STATE, event = "leader", "{line}");
     }
     fn wants(&mut self, _: Nanos) -> (Nanos, Vec<BudgetRequest>) {
         self.wants.clone()
@@ -256,7 +257,7 @@
         let _ = self.socket.send_to(frame, to); // what is not taken is as good as lost on the way: all of it is made for that
     }
     fn log(&mut self, kind: &'static str, line: &str) {
-        crate::log::event("fleet", kind, format_args!("{line}"));
+        info!(target: part::CLUSTER, event = kind, "{line}");
     }
     fn parcel(&mut self, from: MemberKey, life: Incarnation, topic: u32, parcel: &[u8]) {
         self.parcels.push((
@@ -354,7 +355,9 @@
         };
         match begin(part, seed, &clock, events, socket, &own) {
             Ok((fleet, beside)) => serve(fleet, beside, &clock, &inbox, &own.bell),
-            Err(e) => log!("fleet: no part in it: {e}"),
+            Err(e) => {
+                error!(target: part::CLUSTER, error = %e, "start failed: the node takes no part in the cluster")
+            }
         }
     };
     Ok((link, thread.spawn(waiting)?))
@@ -374,12 +377,13 @@
 ) -> io::Result<(Membership<MembershipHost>, ClusterThread)> {
     socket.set_nonblocking(true)?;
     let zone = part.settings.zone.clone();
-    log!(
-        "fleet {}: {} on {}, reached at {}",
-        part.settings.fleet,
-        part.settings.name,
-        socket.local_addr()?,
-        part.settings.address
+    info!(
+        target: part::CLUSTER,
+        cluster = %part.settings.fleet,
+        member = %part.settings.name,
+        bind = %socket.local_addr()?,
+        advertise = %part.settings.address,
+        "started"
     );
     let teller = SharedStateHost {
         sent: Vec::new(),
@@ -740,7 +744,7 @@
     match poll(&mut ready, time.as_ref()) {
         Ok(_) | Err(Errno::INTR) => {}
         Err(e) => {
-            log!("fleet: waiting failed: {e}");
+            warn!(target: part::CLUSTER, error = %e, "poll failed");
             thread::sleep(Duration::from_millis(100)); // so that what fails each time takes no core
         }
     }
--- a/crates/node/src/io/executor_link.rs
+++ b/crates/node/src/io/executor_link.rs
@@ -2,7 +2,7 @@
 
 use super::{Addresses, CONNECT, Message, read_all, spawn, write_gathered};
 use crate::executor;
-use crate::log::log;
+use crate::log::part;
 use crate::node::Event;
 use crossbeam_channel::{Sender, bounded};
 use std::io::{self, IoSlice};
@@ -10,6 +10,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
+use tracing::warn;
 
 /// Lines written with one call.
 const GATHERED: usize = 16;
@@ -27,7 +28,7 @@
     pub fn write(&self, line: String) -> bool {
         let taken = self.queue.try_send(line).is_ok();
         if !taken {
-            log!("kernel: link ended, the kernel does not read");
+            warn!(target: part::EXECUTOR, "connection closed: the executor does not read");
             self.close();
         }
         taken
@@ -53,13 +54,13 @@
             Ok(stream) => {
                 told = false;
                 if let Err(e) = read(Arc::new(stream), lines, &mut reader, events) {
-                    log!("kernel: {e}");
+                    warn!(target: part::EXECUTOR, error = %e, "connection failed");
                 }
                 let _ = events.send(Message::Event(Event::KernelLost));
             }
             Err(e) if !told => {
                 told = true;
-                log!("kernel: no link: {e}");
+                warn!(target: part::EXECUTOR, error = %e, "connect failed");
             }
             Err(_) => {}
         }
--- a/crates/node/src/io/registry_reports.rs
+++ b/crates/node/src/io/registry_reports.rs
@@ -1,7 +1,7 @@
 //! Reports to the membership service, on a thread of their own.
 
 use super::{Addresses, spawn};
-use crate::log::log;
+use crate::log::part;
 use crate::service_registry::{self, Phase};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,6 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::thread;
 use std::time::{Duration, Instant};
+use tracing::{info, warn};
 
 /// Between two reports to the membership service, after one that failed, and what each step of one
 /// may take.
@@ -44,10 +45,10 @@
         if let Err(e) = &done
             && !failing
         {
-            log!("members: report failed: {e}");
+            warn!(target: part::SERVICE_REGISTRY, error = %e, "report failed");
         }
         if done.is_ok() && failing {
-            log!("members: reports arrive again");
+            info!(target: part::SERVICE_REGISTRY, "reports succeed again");
         }
         failing = done.is_err();
         let rest = if failing { RETRY } else { PERIOD };
--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -174,7 +174,7 @@
             Kind::Settings => "settings",
             Kind::Program => "program",
         };
-        crate::log::event("rollout", part, format_args!("{part}: {line}"));
+        tracing::info!(target: crate::log::part::ROLLOUT, event = part, "{part}: {line}");
     }
     fn some(&mut self, most: usize) -> Vec<u64> {
         let others = self
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,128 +1,346 @@
-//! The node's log: lines on standard error, so many a second at most. Plain by default; as JSON
-//! lines, each with its time, node, part and event, where that is asked for.
+//! The node's log: `tracing` events, written as lines to standard error, at most
+//! [`LINES_PER_SECOND`] of them.
+//!
+//! Every event names the part of the node that it comes from as its target ([`part`]) and says
+//! what happened in a constant message, with what belongs to it in fields:
+//!
+//! ```
+//! use madderpoint_node::log::part;
+//!
+//! tracing::warn!(target: part::EXECUTOR, error = "refused", "connect failed");
+//! ```
+//!
+//! The plain form of it is `madderpoint: executor: connect failed error="refused"`. The JSON form
+//! is one object with `timestamp` (Unix time in nanoseconds), `level`, `message` (the text of the
+//! plain form after the part), `node`, `part`, `event` and each field. `event` is the message, or,
+//! where the message is built as the node runs, the field of that name.
+//!
+//! Events of level `TRACE` are the steps of single requests. They are written only where they are
+//! asked for, and then without regard to the rate.
 
-use std::fmt;
+use serde_json::Value;
+use std::fmt::{self, Write};
 use std::io;
-use std::sync::OnceLock;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
-use std::time::{SystemTime, UNIX_EPOCH};
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tracing::field::{Field, Visit};
+use tracing::level_filters::LevelFilter;
+use tracing::{Event, Level, Subscriber};
 use tracing_subscriber::fmt::format::Writer;
-use tracing_subscriber::fmt::time::FormatTime;
+use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
+use tracing_subscriber::registry::LookupSpan;
 
-/// Lines a second.
-const MOST: u64 = 40;
+/// The parts of the node that write to the log: targets of events.
+pub mod part {
+    /// Decisions: changes of mode.
+    pub const ADMISSION: &str = "admission";
+    /// Calls of executions, and the backend that they go to.
+    pub const BACKEND: &str = "backend";
+    /// Membership of the cluster.
+    pub const CLUSTER: &str = "cluster";
+    /// The file that `PROXY_CONFIG` names.
+    pub const CONFIGURATION: &str = "configuration";
+    /// The connection to the executor.
+    pub const EXECUTOR: &str = "executor";
+    /// Connections of load balancers.
+    pub const LOAD_BALANCER: &str = "load balancer";
+    /// The log itself.
+    pub const LOG: &str = "log";
+    /// Totals of the node's counters.
+    pub const METRICS: &str = "metrics";
+    /// The node as a whole.
+    pub const NODE: &str = "node";
+    /// Steps of single requests.
+    pub const REQUEST: &str = "request";
+    /// Rollouts of settings and of the program.
+    pub const ROLLOUT: &str = "rollout";
+    /// Rules and their limits.
+    pub const RULES: &str = "rules";
+    /// Reports to the service registry.
+    pub const SERVICE_REGISTRY: &str = "service registry";
+    /// The settings file.
+    pub const SETTINGS: &str = "settings";
+    /// Budgets, quotas and counters of the cluster.
+    pub const SHARED_STATE: &str = "shared";
+    /// The supervisor, and the connection to it.
+    pub const SUPERVISOR: &str = "supervisor";
+}
+
+/// The field that names an event whose message is not constant.
+const EVENT_FIELD: &str = "event";
+/// The field in which `tracing` passes the message.
+const MESSAGE_FIELD: &str = "message";
+
+/// The most lines in one second of the system's clock.
+const LINES_PER_SECOND: u64 = 40;
 
-static SECOND: AtomicU64 = AtomicU64::new(0);
-static WRITTEN: AtomicU64 = AtomicU64::new(0);
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
-/// The node's name, where lines are JSON.
-static JSON: OnceLock<String> = OnceLock::new();
-/// Whether the steps of each invocation are written too.
-static FOLLOWS: AtomicBool = AtomicBool::new(false);
+/// The form of the lines.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Form {
+    /// Text for people.
+    #[default]
+    Plain,
+    /// One JSON object a line.
+    Json,
+}
+
+/// What is written to the log, and how.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Options {
+    /// The form of the lines.
+    pub form: Form,
+    /// Whether the steps of each request are written too.
+    pub follow: bool,
+}
 
-/// Unix time in nanoseconds, so that the lines of several processes can be put in order.
-struct UnixNanos;
+/// From here on events are written to standard error. Later calls change nothing.
+pub fn start(node: &str, options: Options) {
+    let level = if options.follow {
+        LevelFilter::TRACE
+    } else {
+        LevelFilter::INFO
+    };
+    let format = LineFormat {
+        node: node.to_owned(),
+        form: options.form,
+        rate: RateLimit::default(),
+    };
+    let _ = tracing_subscriber::fmt()
+        .event_format(format)
+        .with_max_level(level)
+        .with_writer(io::stderr)
+        .try_init();
+}
+
+/// Permits so many lines a second, and counts the others.
+#[derive(Debug, Default)]
+struct RateLimit {
+    /// The second that is counted, in Unix time.
+    second: AtomicU64,
+    /// Lines asked for in it.
+    asked: AtomicU64,
+    /// Lines left out since the last one that was permitted.
+    left_out: AtomicU64,
+}
 
-impl FormatTime for UnixNanos {
-    fn format_time(&self, w: &mut Writer<'_>) -> fmt::Result {
-        let now = SystemTime::now()
+impl RateLimit {
+    /// Whether another line may be written in this second, and how many were left out before it.
+    fn permit(&self, second: u64) -> Option<u64> {
+        if self.second.swap(second, Relaxed) != second {
+            self.asked.store(0, Relaxed);
+        }
+        if self.asked.fetch_add(1, Relaxed) >= LINES_PER_SECOND {
+            self.left_out.fetch_add(1, Relaxed);
+            return None;
+        }
+        Some(self.left_out.swap(0, Relaxed))
+    }
+}
+
+/// Writes events as lines.
+struct LineFormat {
+    /// The node's name, for JSON.
+    node: String,
+    form: Form,
+    rate: RateLimit,
+}
+
+impl<S, N> FormatEvent<S, N> for LineFormat
+where
+    S: Subscriber + for<'a> LookupSpan<'a>,
+    N: for<'a> FormatFields<'a> + 'static,
+{
+    fn format_event(
+        &self,
+        _: &FmtContext<'_, S, N>,
+        mut writer: Writer<'_>,
+        event: &Event<'_>,
+    ) -> fmt::Result {
+        let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        write!(w, "{}", now.as_nanos())
+        let level = *event.metadata().level();
+        if level < Level::TRACE {
+            match self.rate.permit(unix.as_secs()) {
+                None => return Ok(()), // nothing was put into the writer, and so nothing is written
+                Some(0) => {}
+                Some(count) => self.write_left_out(&mut writer, unix, count)?,
+            }
+        }
+        let line = Line {
+            unix,
+            level,
+            part: event.metadata().target(),
+        };
+        match self.form {
+            Form::Plain => {
+                line.write_plain(&mut writer, |visitor| event.record(visitor))?;
+            }
+            Form::Json => {
+                let mut fields = JsonFields::default();
+                event.record(&mut fields);
+                line.write_json(&mut writer, &self.node, &fields)?;
+            }
+        }
+        Ok(())
     }
 }
 
-/// From here on lines are JSON.
-pub fn as_json(node: &str) {
-    let format = tracing_subscriber::fmt()
-        .json()
-        .flatten_event(true)
-        .with_current_span(false)
-        .with_span_list(false)
-        .with_target(false)
-        .with_timer(UnixNanos)
-        .with_writer(io::stderr);
-    if format.try_init().is_ok() {
-        let _ = JSON.set(node.to_owned());
+impl LineFormat {
+    fn write_left_out(&self, writer: &mut Writer<'_>, unix: Duration, count: u64) -> fmt::Result {
+        let line = Line {
+            unix,
+            level: Level::WARN,
+            part: part::LOG,
+        };
+        let message = "lines left out";
+        match self.form {
+            Form::Plain => line.write_plain(writer, |text| {
+                text.message(format_args!("{message}"));
+                text.field("count", format_args!("{count}"));
+            }),
+            Form::Json => {
+                let mut fields = JsonFields::default();
+                fields.set_message(message.to_owned());
+                fields.push("count", Value::from(count), format_args!("{count}"));
+                line.write_json(writer, &self.node, &fields)
+            }
+        }
     }
 }
 
-/// From here on the steps of each invocation are written, without regard to the rate: for tests,
-/// and for a look.
-pub fn follow_invocations() {
-    FOLLOWS.store(true, Relaxed);
+/// What all lines have.
+struct Line<'a> {
+    /// Unix time.
+    unix: Duration,
+    level: Level,
+    part: &'a str,
 }
 
-/// Whether the steps of invocations are written.
-pub fn follows() -> bool {
-    FOLLOWS.load(Relaxed)
+impl Line<'_> {
+    fn write_plain(
+        &self,
+        writer: &mut Writer<'_>,
+        record: impl FnOnce(&mut PlainFields<'_, '_>),
+    ) -> fmt::Result {
+        write!(writer, "madderpoint: {}: ", self.part)?;
+        let mut fields = PlainFields {
+            writer,
+            result: Ok(()),
+        };
+        record(&mut fields);
+        fields.result?;
+        writeln!(writer)
+    }
+
+    fn write_json(&self, writer: &mut Writer<'_>, node: &str, fields: &JsonFields) -> fmt::Result {
+        let text = |text: &str| Value::from(text);
+        let event = fields.event.as_ref().unwrap_or(&fields.name);
+        write!(
+            writer,
+            r#"{{"timestamp":"{}","level":"{}","message":{},"node":{},"part":{},"event":{}"#,
+            self.unix.as_nanos(),
+            self.level,
+            text(&fields.message),
+            text(node),
+            text(self.part),
+            text(event),
+        )?;
+        for (name, value) in &fields.fields {
+            write!(writer, ",{}:{value}", text(name))?;
+        }
+        writeln!(writer, "}}")
+    }
 }
 
-/// Whether another line may be written now, and how many were left out before it.
-fn permit() -> Option<u64> {
-    let second = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .map_or(0, |t| t.as_secs());
-    permit_in(second)
+/// Writes the message and, after it, the fields as ` name=value`.
+struct PlainFields<'a, 'w> {
+    writer: &'a mut Writer<'w>,
+    result: fmt::Result,
 }
 
-fn permit_in(second: u64) -> Option<u64> {
-    if SECOND.swap(second, Relaxed) != second {
-        WRITTEN.store(0, Relaxed);
+impl PlainFields<'_, '_> {
+    fn message(&mut self, text: fmt::Arguments<'_>) {
+        self.result = self.result.and_then(|()| self.writer.write_fmt(text));
     }
-    if WRITTEN.fetch_add(1, Relaxed) >= MOST {
-        LEFT_OUT.fetch_add(1, Relaxed);
-        return None;
+
+    fn field(&mut self, name: &str, value: fmt::Arguments<'_>) {
+        self.result = self
+            .result
+            .and_then(|()| write!(self.writer, " {name}={value}"));
     }
-    Some(LEFT_OUT.swap(0, Relaxed))
 }
 
-fn write(part: &str, event: &str, line: fmt::Arguments<'_>) {
-    match JSON.get() {
-        Some(node) => tracing::info!(node, part, event, "{line}"),
-        None if part.is_empty() => eprintln!("madderpoint: {line}"),
-        None => eprintln!("madderpoint: {part}: {line}"),
+impl Visit for PlainFields<'_, '_> {
+    fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
+        match field.name() {
+            EVENT_FIELD => {}
+            MESSAGE_FIELD => self.message(format_args!("{value:?}")),
+            name => self.field(name, format_args!("{value:?}")),
+        }
     }
 }
 
-/// Writes a line, unless too many were written this second.
-pub fn line(line: fmt::Arguments<'_>) {
-    event("", "", line);
+/// Collects what a JSON line is made of.
+#[derive(Default)]
+struct JsonFields {
+    /// The message without the fields.
+    name: String,
+    /// The message and the fields, as in the plain form.
+    message: String,
+    /// The field that names the event, if there is one.
+    event: Option<String>,
+    fields: Vec<(&'static str, Value)>,
 }
 
-/// Writes what happened in a part of the node, unless too many lines were written this second.
-pub fn event(part: &str, event: &str, line: fmt::Arguments<'_>) {
-    if let Some(left_out) = permit() {
-        if left_out > 0 {
-            write(
-                "",
-                "left out",
-                format_args!("log: {left_out} lines left out"),
-            );
-        }
-        write(part, event, line);
+impl JsonFields {
+    fn set_message(&mut self, text: String) {
+        self.message.insert_str(0, &text);
+        self.name = text;
+    }
+
+    fn push(&mut self, name: &'static str, value: Value, text: fmt::Arguments<'_>) {
+        let _ = write!(self.message, " {name}={text}"); // a string takes all that is written
+        self.fields.push((name, value));
     }
 }
 
-/// Writes a step of an invocation, where they are followed.
-pub fn step(rid: &str, what: fmt::Arguments<'_>) {
-    if !follows() {
-        return;
+impl Visit for JsonFields {
+    fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
+        match field.name() {
+            EVENT_FIELD => self.event = Some(format!("{value:?}")),
+            MESSAGE_FIELD => self.set_message(format!("{value:?}")),
+            name => {
+                let text = format!("{value:?}");
+                self.push(name, Value::from(text.as_str()), format_args!("{text}"));
+            }
+        }
     }
-    match JSON.get() {
-        Some(node) => tracing::info!(node, part = "invocation", event = "step", rid, "{what}"),
-        None => eprintln!("madderpoint: {rid}: {what}"),
+
+    fn record_str(&mut self, field: &Field, value: &str) {
+        match field.name() {
+            EVENT_FIELD => self.event = Some(value.to_owned()),
+            MESSAGE_FIELD => self.set_message(value.to_owned()),
+            name => self.push(name, Value::from(value), format_args!("{value:?}")),
+        }
     }
-}
 
-/// Writes a line to the log, unless too many were written this second.
-#[macro_export]
-macro_rules! log {
-    ($($text:tt)*) => {
-        $crate::log::line(format_args!($($text)*))
-    };
+    fn record_f64(&mut self, field: &Field, value: f64) {
+        self.push(field.name(), Value::from(value), format_args!("{value:?}"));
+    }
+
+    fn record_i64(&mut self, field: &Field, value: i64) {
+        self.push(field.name(), Value::from(value), format_args!("{value}"));
+    }
+
+    fn record_u64(&mut self, field: &Field, value: u64) {
+        self.push(field.name(), Value::from(value), format_args!("{value}"));
+    }
+
+    fn record_bool(&mut self, field: &Field, value: bool) {
+        self.push(field.name(), Value::from(value), format_args!("{value}"));
+    }
 }
-pub use log;
 
 #[cfg(test)]
 mod tests;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -9,6 +9,7 @@
 use crate::config::Moved;
 use crate::executor::{End, Notice};
 use crate::fastcgi;
+use crate::log::part;
 use crate::request::{Fields, Head, Rejected, Wanted};
 use crate::state::metrics::Counting;
 use crate::state::{AdmissionHost, DeferredEvent, NodeState, ReplyTarget, RequestContext, Timer};
@@ -27,6 +28,7 @@
 use std::cell::RefCell;
 use std::net::IpAddr;
 use std::rc::Rc;
+use tracing::{info, warn};
 
 /// Kept back from the time between the notice to leave and the stop, for answers to be written out.
 const WRITE_OUT: Nanos = 150_000_000;
@@ -492,9 +494,14 @@
         if let (Some(rhythm), Some(rules)) = (self.rhythm, &mut desk.rules) {
             rules.join_fleet(now, &keys, rhythm, self.key_bytes, self.seed);
         }
-        desk.out.log(format_args!(
-            "rules: {rules} in force with {buckets} buckets, {bytes} KiB, at most {worst} units for a request"
-        ));
+        info!(
+            target: part::RULES,
+            rules,
+            buckets,
+            size_kib = bytes,
+            most_units_per_request = worst,
+            "rules in force"
+        );
     }
 
     /// What rules give to a request, and what they have to say.
@@ -521,10 +528,10 @@
         };
         let ruled = rules.rule(now, &facts);
         for line in rules.lines() {
-            desk.out.log(format_args!("{line}"));
+            warn!(target: part::RULES, event = "rule failed", "{line}");
         }
         if let Some(line) = ruled.as_ref().and_then(|ruled| ruled.told.as_ref()) {
-            desk.out.log(format_args!("{line}"));
+            info!(target: part::RULES, event = "facts", "{line}");
         }
         ruled
     }
@@ -756,43 +763,33 @@
     fn tell_floors(&mut self, now: Nanos) {
         let mut desk = self.desk.borrow_mut();
         let desk = &mut *desk;
-        let mut lines = Vec::new();
         if let Some(budgets) = &mut desk.budgets {
             self.at_floor.resize(budgets.purses().len(), true);
             for (purse, before) in budgets.purses().iter().zip(&mut self.at_floor) {
                 let at_floor = purse.is_at_floor(now);
                 if std::mem::replace(before, at_floor) != at_floor {
                     let of = purse.budget();
-                    let word = if at_floor {
-                        "at its floor, nothing is lent"
+                    let (name, units, limit) = (&of.name, purse.units(now), of.limit);
+                    let message = if at_floor {
+                        "no lease: only the guaranteed floor may be used"
                     } else {
-                        "lent a part"
+                        "lease granted"
                     };
-                    let (units, limit) = (purse.units(now), of.limit);
-                    lines.push(format!(
-                        "budget '{}': {word}; may use {units} of {limit}",
-                        of.name
-                    ));
+                    info!(target: part::SHARED_STATE, budget = %name, units, limit, "{message}");
                 }
             }
         }
         if let Some(wallet) = desk.rules.as_ref().and_then(|rules| rules.wallet()) {
             let deaf = wallet.hears_nobody(now);
             if std::mem::replace(&mut self.keys_deaf, deaf) != deaf {
-                let word = if deaf {
-                    "nobody who lends is heard, floors only"
+                let message = if deaf {
+                    "no lender of quotas heard: only guaranteed floors may be used"
                 } else {
-                    "heard again"
+                    "a lender of quotas heard again"
                 };
-                lines.push(format!(
-                    "keys of the fleet: {word}; {} keys here",
-                    wallet.keys()
-                ));
+                info!(target: part::SHARED_STATE, keys = wallet.keys(), "{message}");
             }
         }
-        lines
-            .iter()
-            .for_each(|line| desk.out.log(format_args!("{line}")));
     }
 
     /// Asks the fleet for what is wanted of keys.
--- a/crates/node/src/node/tests.rs
+++ b/crates/node/src/node/tests.rs
@@ -99,7 +99,6 @@
         self.words.push(word);
     }
     fn step(&mut self, _: &str, _: fmt::Arguments<'_>) {}
-    fn log(&mut self, _: fmt::Arguments<'_>) {}
 }
 
 /// A node whose clock the test turns. The node's time is also the Unix time.
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -8,7 +8,7 @@
 use madderpoint_node::classify::Sheet;
 use madderpoint_node::config::{self, Identity};
 use madderpoint_node::io::{self, Changing, Notice, Ours, Part, Reset, Versions};
-use madderpoint_node::log;
+use madderpoint_node::log::{self, part};
 use madderpoint_node::node::Service;
 use madderpoint_node::supervisor_client::{self, ProgramVersions};
 use madderpoint_node::version_store::Directory;
@@ -22,6 +22,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
+use tracing::warn;
 
 /// Stack of the thread that waits for signals; where it reads settings too, their expressions nest
 /// in each other.
@@ -32,15 +33,6 @@
 /// What a file of keys may have.
 const KEY_FILE_MOST: u64 = 4096;
 
-/// How the node's log is written.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Logging {
-    /// As JSON lines.
-    pub json: bool,
-    /// With the steps of each invocation.
-    pub follow: bool,
-}
-
 /// The names and effects that a configuration's settings have.
 pub fn known(start: &DeploymentConfig) -> Known {
     let effects = start.deployment.operations.iter().map(|o| o.effect);
@@ -266,18 +258,21 @@
     });
     let (keys, mut read) = match read {
         Ok(read) => read,
-        Err(what) => return log!("new settings not taken, those before stay: {what}"),
+        Err(what) => {
+            warn!(target: part::SETTINGS, error = %what, "new settings rejected: the current ones stay in force");
+            return;
+        }
     };
     match (keys, &read.fleet, now) {
         (Some(keys), Some(new), Some(now)) => {
             let kept = until_a_restart(new, now);
             if !kept.is_empty() {
-                log!("new settings: until a restart the old {kept:?} of <fleet> hold");
+                warn!(target: part::SETTINGS, fields = ?kept, "changes of <fleet> need a restart");
             }
             tell(Notice::Fleet(reset(&read, new, now, keys)));
         }
         (None, None, None) => {}
-        _ => log!("new settings: <fleet> comes and goes with a restart only"),
+        _ => warn!(target: part::SETTINGS, "to add or remove <fleet> needs a restart"),
     }
     tell(Notice::Ruled(sheet(&mut read)));
 }
@@ -398,19 +393,28 @@
         let now = in_force.lock().unwrap_or_else(PoisonError::into_inner);
         let keys = match keys(file, &now.fleet) {
             Ok(keys) => keys,
-            Err(what) => return log!("new keys not taken, those before stay: {what}"),
+            Err(what) => {
+                warn!(target: part::SETTINGS, error = %what, "new keys rejected: the current ones stay in force");
+                return;
+            }
         };
         match read(file, &with_room(who)) {
-            Ok(read) if read.number != (now.version.number, now.version.hash) => log!(
-                "new settings: the file has version {}, {} is in force; a change goes out by 'rollout start'",
-                read.number.0,
-                now.version
-            ),
+            Ok(read) if read.number != (now.version.number, now.version.hash) => {
+                warn!(
+                    target: part::SETTINGS,
+                    file_version = read.number.0,
+                    in_force = %now.version,
+                    "new settings not in force: they need 'rollout start'"
+                );
+            }
             Ok(_) => {}
-            Err(what) => log!(
-                "new settings not taken, those before stay: {}",
-                what.first()
-            ),
+            Err(what) => {
+                warn!(
+                    target: part::SETTINGS,
+                    error = %what.first(),
+                    "new settings rejected: the current ones stay in force"
+                );
+            }
         }
         let fleet = &now.fleet;
         Box::new(Reset {
@@ -470,7 +474,7 @@
             ))
         }
         Err(what) => {
-            log!("{}; the node starts on what was in force", what.first());
+            warn!(target: part::SETTINGS, error = %what.first(), "settings rejected: the node starts on the version in force");
             None
         }
     };
@@ -517,24 +521,14 @@
     })
 }
 
-/// Has the log written so.
-pub fn logs(node: &str, logging: Logging) {
-    if logging.json {
-        log::as_json(node);
-    }
-    if logging.follow {
-        log::follow_invocations();
-    }
-}
-
 /// Serves until the notice to leave has been carried out.
-pub fn serve(settings: Option<PathBuf>, logging: Logging) -> Result<(), String> {
+pub fn serve(settings: Option<PathBuf>, logging: log::Options) -> Result<(), String> {
     // First of all, so that neither signal ever ends the process by its default.
     let mut signals = Signals::new([SIGTERM, SIGHUP]).map_err(|e| format!("signals: {e}"))?;
     let path = PathBuf::from(std::env::var_os("PROXY_CONFIG").ok_or("PROXY_CONFIG is not set")?);
     let told = |name: &str| std::env::var(name).ok();
     let who = Arc::new(config::read(&path, told)?);
-    logs(&who.name, logging);
+    log::start(&who.name, logging);
     let (notices, inbox) = crossbeam_channel::bounded(1);
     let adopted = match told(supervisor_client::UNDER) {
         Some(_) => Some(supervisor_client::adopt()?),
@@ -595,7 +589,7 @@
                 }
                 match config::reread(&path, told, &first) {
                     Ok(moved) => tell(Notice::Moved(moved)),
-                    Err(what) => log!("new configuration not taken, the one before stays: {what}"),
+                    Err(what) => warn!(target: part::CONFIGURATION, error = %what, "new configuration rejected: the current one stays in force"),
                 }
                 match (&settings, &in_force) {
                     (Some(file), Some(in_force)) => rekey(file, &first, in_force, tell),
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -22,7 +22,9 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
+use crate::log::part;
 use metrics::Counting;
+use tracing::{info, warn};
 
 /// Counts what must hold and does not, and stops a debug build there.
 macro_rules! invariant {
@@ -440,10 +442,10 @@
                 .iter()
                 .map(|(what, n)| format!("{what} {n}"))
                 .collect();
-            self.out.log(format_args!("counts: {}", counts.join(", ")));
+            info!(target: part::METRICS, event = "totals", "{}", counts.join(", "));
         }
         if let Some(line) = self.rules.as_mut().and_then(|rules| rules.tallies()) {
-            self.out.log(format_args!("{line}"));
+            info!(target: part::RULES, event = "totals", "{line}");
         }
     }
 
@@ -776,10 +778,7 @@
         self.leaving = Some(self.now);
         self.stop = self.now + left;
         self.out.leaving();
-        self.out.log(format_args!(
-            "notice to leave: stop in {} ms",
-            left / MILLISECOND
-        ));
+        info!(target: part::NODE, stop_in_ms = left / MILLISECOND, "drain begins");
         self.set_timer(left.min(grace), Timer::Leave);
         self.set_timer(left, Timer::Hush);
         self.set_timer(left + LAST_WORDS, Timer::Over);
@@ -794,9 +793,12 @@
     pub fn leave(&mut self) {
         self.closing = true;
         let (conns, hand) = (self.conns.len(), self.invs.len());
-        self.out.log(format_args!(
-            "no more connections are taken after those that wait; {conns} open, {hand} in hand"
-        ));
+        info!(
+            target: part::LOAD_BALANCER,
+            connections = conns,
+            requests = hand,
+            "listening ends: the connections in the backlog are the last"
+        );
         self.out.stop_listening();
         let idle: Vec<_> = self
             .conns
@@ -831,10 +833,8 @@
     pub fn over(&mut self) {
         self.over = true;
         if !self.conns.is_empty() {
-            self.out.log(format_args!(
-                "left with {} connections that their peers did not end",
-                self.conns.len()
-            ));
+            let connections = self.conns.len();
+            warn!(target: part::NODE, connections, "stopped with connections that their peers left open");
         }
     }
 
@@ -927,6 +927,6 @@
         desk.set_timer(after, Timer::Alarm(alarm));
     }
     fn log(&mut self, line: fmt::Arguments<'_>) {
-        self.0.borrow_mut().out.log(line);
+        info!(target: part::ADMISSION, event = "mode", "{line}");
     }
 }
--- a/crates/node/src/state/backend_calls.rs
+++ b/crates/node/src/state/backend_calls.rs
@@ -7,9 +7,11 @@
 use crate::actions::{Actions, BackendLink, CallId, Wants};
 use crate::backend;
 use crate::executor::Command;
+use crate::log::part;
 use madderpoint::{BackendCallOutcome, Nanos, RequestId};
 use madderpoint_shared_state::counts::own;
 use madderpoint_shared_state::{HealthState, ServiceHealth};
+use tracing::{info, warn};
 
 /// A link that so many replies on others have overtaken has gone silent: it is passed over, and
 /// closed when a call on it comes to its time limit.
@@ -239,10 +241,8 @@
             .filter(|(_, inv)| inv.call.as_ref().is_some_and(lost));
         let broke: Vec<_> = broke.map(|(&id, _)| id).collect();
         if !broke.is_empty() {
-            self.out.log(format_args!(
-                "back end: connection ended with {} calls",
-                broke.len()
-            ));
+            let calls = broke.len();
+            warn!(target: part::BACKEND, link = link.place, calls, "connection lost with calls under way");
         }
         broke
     }
@@ -349,19 +349,19 @@
         if mode != before || level > was && mode == HealthState::Recovering {
             let seen = judge.evidence(self.now);
             let others = judge.others(self.now).unwrap_or_default();
-            self.out.log(format_args!(
-                "service below: {}->{}, {} of {} calls failed lately, {} of {} others in {} of {} zones say it is ill, \
-                 {:.0} % goes there",
-                before.word(),
-                mode.word(),
-                seen.failed,
-                seen.tries,
-                others.ill,
-                others.witnesses,
-                others.ill_zones,
-                others.zones,
-                level * 100.0
-            ));
+            info!(
+                target: part::BACKEND,
+                from = %before.word(),
+                to = %mode.word(),
+                failed = seen.failed,
+                calls = seen.tries,
+                reporters_against = others.ill,
+                reporters = others.witnesses,
+                zones_against = others.ill_zones,
+                zones = others.zones,
+                admitted_percent = (level * 100.0).round(),
+                "service health changed"
+            );
         }
         Some(result)
     }
--- a/crates/node/src/state/executions.rs
+++ b/crates/node/src/state/executions.rs
@@ -6,7 +6,9 @@
 use crate::actions::Actions;
 use crate::config::Moved;
 use crate::executor::{Command, End};
+use crate::log::part;
 use madderpoint::{Idempotency, Nanos, RequestId};
+use tracing::{info, warn};
 
 /// How long a link that is to be renewed has to show that all commands arrived.
 const SETTLE: Nanos = 100 * MILLISECOND;
@@ -41,10 +43,7 @@
 
     pub fn kernel_lost(&mut self) {
         (self.kernel.up, self.kernel.synced, self.kernel.renewing) = (false, false, false);
-        self.out.log(format_args!(
-            "kernel: link lost, {} in hand",
-            self.invs.len()
-        ));
+        warn!(target: part::EXECUTOR, requests = self.invs.len(), "connection lost");
     }
 
     /// A new configuration. The kernel's link moves once the answer to one more question shows that
@@ -53,10 +52,14 @@
     /// for it.
     pub fn moved(&mut self, moved: &Moved) {
         let Moved { peers, kept } = moved;
-        self.out.log(format_args!(
-            "new configuration: kernel {}, members {}, back end {:?}; until a restart the old {kept:?} hold",
-            peers.kernel, peers.members, peers.backend
-        ));
+        info!(
+            target: part::CONFIGURATION,
+            executor = %peers.kernel,
+            service_registry = %peers.members,
+            backend = ?peers.backend,
+            needs_restart = ?kept,
+            "new configuration in force"
+        );
         if !self.out.moved(*peers) {
             return;
         }
@@ -79,10 +82,7 @@
 
     /// All that was missed follows; the answer to a question asked now comes after it.
     pub fn booted(&mut self, cold: bool, up_ms: f64) {
-        let state = if cold { "cold" } else { "warm" };
-        self.out.log(format_args!(
-            "kernel: linked, started {state} {up_ms:.0} ms ago"
-        ));
+        info!(target: part::EXECUTOR, cold, up_ms = up_ms.round(), "connected");
         self.kernel.sync = self.kernel.sent + 1;
         self.ask();
     }
@@ -105,10 +105,7 @@
             (kernel.up, kernel.synced, kernel.renewing) = (false, false, false);
             (kernel.waits, kernel.unanswered) = (false, 0);
             self.count("kernel: links gone silent", 1);
-            self.out.log(format_args!(
-                "kernel: link gone silent, {} in hand",
-                self.invs.len()
-            ));
+            warn!(target: part::EXECUTOR, requests = self.invs.len(), "connection silent: it is renewed");
             self.out.renew_kernel();
         }
     }
--- a/crates/node/src/supervisor.rs
+++ b/crates/node/src/supervisor.rs
@@ -3,11 +3,11 @@
 //! beside the old, and goes back if that does not come to serve or dies. If it is killed the node
 //! goes on without it; a parent that is started then takes the place of that node without a gap.
 
-use crate::serve::{self, Logging};
 use crossbeam_channel::{Receiver, Sender, unbounded};
+use madderpoint_node::log::{self, part};
 use madderpoint_node::supervisor_client::UNDER;
 use madderpoint_node::version_store::Directory;
-use madderpoint_node::{config, log, program_version};
+use madderpoint_node::{config, program_version};
 use madderpoint_rollout::process_handover::{Child, Host, StartInstructions, Supervisor};
 use madderpoint_rollout::supervisor_messages::{MessageReader, SupervisorMessage, kind};
 use madderpoint_rollout::{Kind, PersistedState, Version};
@@ -29,6 +29,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
+use tracing::{info, warn};
 
 /// Between two looks at what is due.
 const WAKE: Duration = Duration::from_millis(100);
@@ -45,7 +46,7 @@
     pub state: PathBuf,
     /// Arguments for the program.
     pub arguments: Vec<String>,
-    pub logging: Logging,
+    pub logging: log::Options,
 }
 
 enum Event {
@@ -137,7 +138,7 @@
             .map(|o| format!("{} {}\n", o.pid, o.started))
             .collect();
         if let Err(e) = std::fs::write(&self.file, all.concat()) {
-            log::line(format_args!("parent: {}: {e}", self.file.display()));
+            warn!(target: part::SUPERVISOR, path = %self.file.display(), error = %e, "list of processes not written");
         }
     }
 
@@ -174,7 +175,7 @@
         };
         if let Err(e) = sent {
             // It ended already, or takes nothing: its end tells the rest.
-            log::line(format_args!("parent: {}: {e}", file.display()));
+            warn!(target: part::SUPERVISOR, program = %file.display(), error = %e, "start instructions not delivered");
             started.signal(Signal::KILL);
         }
         self.processes.insert(child, started);
@@ -213,7 +214,8 @@
                 Ok(Some(saying)) => _ = events.send(Event::Said(child, saying)),
                 Ok(None) => break,
                 Err(_) => {
-                    return log::line(format_args!("parent: a process says what can't be read"));
+                    warn!(target: part::SUPERVISOR, "message of a process cannot be read: no more is read of it");
+                    return;
                 }
             }
         }
@@ -237,10 +239,11 @@
             if orphan.is_there()
                 && let Some(pid) = Pid::from_raw(orphan.pid)
             {
-                log::line(format_args!(
-                    "parent: process {} of the parent before is told to leave",
-                    orphan.pid
-                ));
+                info!(
+                    target: part::SUPERVISOR,
+                    pid = orphan.pid,
+                    "process of the previous supervisor is told to drain"
+                );
                 let _ = kill_process(pid, Signal::TERM);
             }
         }
@@ -269,7 +272,7 @@
         self.say(child, &SupervisorMessage::done(no, &result));
     }
     fn log(&mut self, line: &str) {
-        log::event("parent", "program", format_args!("{line}"));
+        info!(target: part::SUPERVISOR, event = "program", "{line}");
     }
 }
 
@@ -295,7 +298,7 @@
         Signals::new([SIGTERM, SIGINT, SIGHUP, SIGUSR2]).map_err(|e| format!("signals: {e}"))?;
     let path = PathBuf::from(std::env::var_os("PROXY_CONFIG").ok_or("PROXY_CONFIG is not set")?);
     let who = config::read(&path, |name| std::env::var(name).ok())?;
-    serve::logs(&who.name, told.logging);
+    log::start(&who.name, told.logging);
     let start = if told.start.is_dir() {
         told.start.clone()
     } else {
@@ -307,10 +310,13 @@
     let orphans = Orphan::read(&file);
     let listener = listen(who.listen).map_err(|e| format!("listen {}: {e}", who.listen))?;
     let at = listener.local_addr().map_err(|e| e.to_string())?;
-    log::line(format_args!(
-        "parent: has {at}, starts on version {given}, {} processes from before",
-        orphans.len()
-    ));
+    info!(
+        target: part::SUPERVISOR,
+        address = %at,
+        program = %given,
+        previous_processes = orphans.len(),
+        "socket opened"
+    );
     let (kept, fresh) = directory.read_kept();
     let (events, inbox) = unbounded();
     let forwards = events.clone();
--- a/crates/node/src/supervisor_client.rs
+++ b/crates/node/src/supervisor_client.rs
@@ -3,7 +3,7 @@
 //! it. A node whose parent is gone goes on without it.
 
 use crate::io::{Notice, Versions};
-use crate::log::log;
+use crate::log::part;
 use crossbeam_channel::{Sender, bounded};
 use madderpoint_rollout::node_agent::InitialState;
 use madderpoint_rollout::process_handover::StartInstructions;
@@ -20,6 +20,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 use std::time::Duration;
+use tracing::warn;
 
 /// Tells a program that a parent started it.
 pub const UNDER: &str = "MADDERPOINT_UNDER";
@@ -185,9 +186,9 @@
         .unwrap_or_else(PoisonError::into_inner)
         .clear();
     if in_charge {
-        log!("the parent is gone: the node goes on without it, and can't change its program");
+        warn!(target: part::SUPERVISOR, "supervisor lost: the node goes on, and cannot change its program");
     } else {
-        log!("the parent is gone before this node was in charge: it leaves to the one that is");
+        warn!(target: part::SUPERVISOR, "supervisor lost before the handover: this process stops");
         let _ = notices.send(Notice::HandOver);
     }
 }
@@ -203,7 +204,7 @@
     /// The node serves.
     pub fn ready(&self) {
         if let Err(what) = self.say(&SupervisorMessage::plain(kind::READY)) {
-            log!("{what}");
+            warn!(target: part::SUPERVISOR, error = %what, "readiness not reported");
         }
     }
 
--- a/crates/node/src/version_store.rs
+++ b/crates/node/src/version_store.rs
@@ -3,7 +3,7 @@
 //! another name, synced and put in their place, so that a cut at any moment leaves the old ones or
 //! the new ones.
 
-use crate::log::log;
+use crate::log::part;
 use madderpoint_rollout::chunks::CONTENT_MAX;
 use madderpoint_rollout::node_agent::InitialState;
 use madderpoint_rollout::persisted_state::{FILE_MAX, PersistedState};
@@ -13,6 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::thread;
 use std::time::{Duration, Instant};
+use tracing::warn;
 
 /// Files of contents that are looked at; there are a handful.
 const CONTENTS: usize = 64;
@@ -245,9 +246,11 @@
             Ok(kept) if kept.kind == self.kind => (kept, false),
             read => {
                 let what = read.err().unwrap_or_else(|| "of another kind".into());
-                log!(
-                    "{}: {what}; set aside, the node begins anew with what it is given",
-                    path.display()
+                warn!(
+                    target: part::ROLLOUT,
+                    path = %path.display(),
+                    error = %what,
+                    "persisted state cannot be read: set aside, the node starts on what it is given"
                 );
                 let _ = fs::rename(&path, path.with_extension("broken"));
                 (PersistedState::new(self.kind), true)
@@ -302,7 +305,7 @@
                     return Ok(Begun { start, runs: what });
                 }
                 Err(what) => {
-                    log!("version {version} can't be started on: {what}");
+                    warn!(target: part::ROLLOUT, %version, error = %what, "version cannot be started");
                     first_wrong.get_or_insert(what);
                 }
             }
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -181,7 +181,7 @@
             .unwrap();
     }
     node.terminate();
-    node.logged("no more connections are taken after those that wait");
+    node.logged("listening ends: the connections in the backlog are the last");
     for (n, dispatcher) in busy.into_iter().enumerate() {
         link.say(&reap(n as u64 + 1, &format!("{n:016x}"), "OK"));
         assert_eq!(statuses(&rest(dispatcher)), ["200"]);
@@ -260,7 +260,7 @@
     let mut dispatcher = node.connect();
     assert_eq!(dispatcher.ask(&call(1, A)).status, "503");
     node.terminate();
-    node.logged("notice to leave");
+    node.logged("drain begins");
     // It comes up in the drain: nothing is taken up any more.
     link.say("{\"t\":\"BOOTED\",\"status\":\"COLD\",\"time_ms\":0}\n");
     assert_eq!(dispatcher.ask(&call(2, B)).status, "503");
@@ -276,11 +276,11 @@
     let mut dispatcher = node.connect();
     dispatcher.run(&mut link, 1, A);
     node.terminate();
-    node.logged("notice to leave");
+    node.logged("drain begins");
     let kernel2 = listen();
     node.reload(&told(at(&kernel2), nobody(), nobody(), 1024));
     node.terminate();
-    node.logged("new configuration");
+    node.logged("new configuration in force");
     let settled: serde_json::Value = serde_json::from_str(&link.line()).unwrap();
     link.say(&format!(
         "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -364,17 +364,17 @@
     for (text, told) in [("zz", "no key"), ("", "0 keys")] {
         std::fs::write(&keys, text).unwrap();
         node.signal("-HUP");
-        assert!(node.logged("new settings not taken").contains(told));
+        assert!(node.logged("new settings rejected").contains(told));
     }
     assert_eq!(show(&by_old), Some(0));
     std::fs::write(&keys, format!("{new}\n{old}\n")).unwrap(); // both are valid, the new one seals
     node.signal("-HUP");
-    node.logged("rules: 0 in force");
+    node.logged("rules in force rules=0");
     assert_eq!(show(&by_new), Some(0));
     std::fs::write(&own, "<translator version=\"1\"><fleet/></translator>").unwrap();
     node.signal("-HUP");
     assert!(
-        node.logged("new settings not taken")
+        node.logged("new settings rejected")
             .contains("'name' is missing")
     );
     assert_eq!(show(&by_new), Some(0));
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -187,7 +187,7 @@
         (&good.replace("\"Cores\": 1", "\"Cores\": 0"), "Extra.Cores"),
     ] {
         node.reload(text);
-        assert!(node.logged("new configuration not taken").contains(named));
+        assert!(node.logged("new configuration rejected").contains(named));
     }
     let mut link = Talk::boot(&kernel, 0, "");
     let mut dispatcher = node.connect();
@@ -200,7 +200,7 @@
     let (kernel2, backend2, members2) = (listen(), listen(), listen());
     let moved = told(at(&kernel2), at(&backend2), at(&members2), 1024);
     node.reload(&moved.replace("\"sockets\": 1024", "\"sockets\": 999"));
-    assert!(node.logged("until a restart the old ").contains("limits"));
+    assert!(node.logged("needs_restart=").contains("limits"));
     let settled: Value = serde_json::from_str(&link.line()).unwrap(); // what was sent before it has arrived
     link.say(&format!(
         "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
@@ -283,7 +283,7 @@
     let ended = AtomicBool::new(false);
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            node.logged("connection ended, its peer does not read");
+            node.logged("connection closed: the peer does not read");
             ended.store(true, SeqCst);
         });
         let mut rest = &pings[..];
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -589,8 +589,8 @@
     assert!(under.under_load(|_| thread::sleep(Duration::from_millis(500))) > 50);
     let (parent, log) = Under::parent(&under.programs, &under.config, &under.settings, under.at);
     (under.parent, under.log) = (parent, log);
-    under.logged("1 processes from before");
-    under.logged("of the parent before is told to leave");
+    under.logged("previous_processes=1");
+    under.logged("process of the previous supervisor is told to drain");
     let until = Instant::now() + PATIENCE;
     while PathBuf::from(format!("/proc/{}", second[0])).exists() {
         assert!(
--- a/crates/node/tests/rules.rs
+++ b/crates/node/tests/rules.rs
@@ -141,10 +141,10 @@
         while !loading.is_finished() && reloads < 16 {
             std::fs::write(&settings, broken[reloads / 2 % 3]).unwrap();
             node.signal("-HUP");
-            node.logged("new settings not taken, those before stay: ");
+            node.logged("new settings rejected: the current ones stay in force");
             std::fs::write(&settings, whole(RULES)).unwrap();
             node.signal("-HUP");
-            node.logged("rules: 5 in force");
+            node.logged("rules in force rules=5");
             reloads += 2;
         }
     });
@@ -182,7 +182,7 @@
         });
         worker.wait_started(1);
         node.terminate();
-        node.logged("notice to leave");
+        node.logged("drain begins");
         worker.hold(false);
         loading.join().unwrap();
     });
--- a/crates/test-harness/src/program.rs
+++ b/crates/test-harness/src/program.rs
@@ -96,7 +96,7 @@
             listen: nobody(),
             path,
         };
-        node.listen = node.logged("listening on ").parse().unwrap();
+        node.listen = node.logged("listening address=").parse().unwrap();
         node
     }
 
--- a/crates/test-harness/src/rig.rs
+++ b/crates/test-harness/src/rig.rs
@@ -409,7 +409,7 @@
         let (listens, listening) = std::sync::mpsc::channel();
         thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                if let Some((_, rest)) = line.split_once("listening on ") {
+                if let Some((_, rest)) = line.split_once("listening address=") {
                     let address = rest.split('"').next().unwrap_or_default();
                     let _ = listens.send(address.parse::<SocketAddr>());
                 }
