--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -1,38 +1,69 @@
-//! The back end's protocol: lines that end in CR LF, bodies with their length told before them.
+//! The protocol of backend calls: lines that end in CR LF, and bodies whose length the line before
+//! them states.
+//!
+//! [`Parser`] is fed bytes split anywhere and knows no socket, clock or thread.
 
-/// The longest line and the largest reply.
+use thiserror::Error;
+
+/// The longest line of a reply, in bytes.
 const LINE_MAX: usize = 256;
+/// The largest body of a reply, in bytes.
 const BODY_MAX: usize = 8 * 1024;
 
-/// How a call ended.
+/// How a backend call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// With a reply.
     Ok,
-    /// Turned away unseen.
+    /// It was rejected and did not run.
     Overload,
     /// It failed, and may have had its effect.
     Internal,
-    /// It ran out of time, or its run has ended.
+    /// It ran out of time, or its execution has ended.
     Deadline,
-    /// No run waits for it.
+    /// No execution waits for it.
     Stale,
 }
 
-/// A reply.
+/// A reply to a backend call.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reply {
     /// The id of the call.
     pub id: String,
     /// How it ended.
     pub outcome: Outcome,
-    /// The bytes of the reply.
+    /// What the execution is given; empty unless the call succeeded.
     pub body: Vec<u8>,
 }
 
-/// Framing was lost.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Broken(pub &'static str);
+/// Why the replies on a connection can't be read on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("{}", self.as_str())]
+pub enum ReadError {
+    /// The body of a reply is not followed by CR LF.
+    MissingLineEnd,
+    /// A line is longer than 256 bytes.
+    LineTooLong,
+    /// A line is no head of a reply.
+    UnknownLine,
+    /// The body of a reply is longer than 8 KiB.
+    ReplyTooLarge,
+    /// A part of a reply was read, and its rest did not come in time.
+    CutShort,
+}
+
+impl ReadError {
+    /// The text for logs and counters.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            ReadError::MissingLineEnd => "no CR LF after a reply",
+            ReadError::LineTooLong => "line too long",
+            ReadError::UnknownLine => "a line that is no reply",
+            ReadError::ReplyTooLarge => "reply too large",
+            ReadError::CutShort => "reply cut short",
+        }
+    }
+}
 
 /// Reads the replies on one connection.
 ///
@@ -47,46 +78,51 @@
 /// ```
 #[derive(Default)]
 pub struct Parser {
+    /// The part of a line that was read.
     line: Vec<u8>,
-    /// A reply whose bytes are coming, and how many are missing, CR LF included.
+    /// A reply whose body is being read, and the bytes that are missing, CR LF included.
     open: Option<(Reply, usize)>,
 }
 
 impl Parser {
-    /// Whether a part of a reply has come, and the rest has not.
+    /// Whether a part of a reply was read, and its rest was not.
     pub fn is_partial(&self) -> bool {
         !self.line.is_empty() || self.open.is_some()
     }
 
-    /// Takes the next bytes and hands on what they complete.
-    pub fn feed(&mut self, mut bytes: &[u8], sink: &mut impl FnMut(Reply)) -> Result<(), Broken> {
+    /// Reads the next bytes, and passes the replies that they complete to the sink.
+    pub fn feed(
+        &mut self,
+        mut bytes: &[u8],
+        sink: &mut impl FnMut(Reply),
+    ) -> Result<(), ReadError> {
         while !bytes.is_empty() {
             if let Some((mut reply, missing)) = self.open.take() {
-                let n = bytes.len().min(missing);
-                reply.body.extend_from_slice(&bytes[..n]);
-                bytes = &bytes[n..];
-                if n < missing {
-                    self.open = Some((reply, missing - n));
+                let length = bytes.len().min(missing);
+                reply.body.extend_from_slice(&bytes[..length]);
+                bytes = &bytes[length..];
+                if length < missing {
+                    self.open = Some((reply, missing - length));
                 } else if reply.body.ends_with(b"\r\n") {
                     reply.body.truncate(reply.body.len() - 2);
                     sink(reply);
                 } else {
-                    return Err(Broken("no CR LF after a reply"));
+                    return Err(ReadError::MissingLineEnd);
                 }
                 continue;
             }
             let end = bytes.iter().position(|&b| b == b'\n');
-            let n = end.map_or(bytes.len(), |e| e + 1);
-            if self.line.len() + n > LINE_MAX {
-                return Err(Broken("line too long"));
+            let length = end.map_or(bytes.len(), |end| end + 1);
+            if self.line.len() + length > LINE_MAX {
+                return Err(ReadError::LineTooLong);
             }
-            self.line.extend_from_slice(&bytes[..n]);
-            bytes = &bytes[n..];
+            self.line.extend_from_slice(&bytes[..length]);
+            bytes = &bytes[length..];
             if end.is_some() {
                 let line = std::mem::take(&mut self.line);
-                let (reply, len) = head(&line).ok_or(Broken("a line that is no reply"))?;
+                let (reply, len) = head(&line).ok_or(ReadError::UnknownLine)?;
                 match len {
-                    Some(len) if len > BODY_MAX => return Err(Broken("reply too large")),
+                    Some(len) if len > BODY_MAX => return Err(ReadError::ReplyTooLarge),
                     Some(len) => self.open = Some((reply, len + 2)),
                     None => sink(reply),
                 }
@@ -96,7 +132,7 @@
     }
 }
 
-/// Reads a reply's line and the length of what follows it.
+/// Decodes the line of a reply, and the length of the body that follows it.
 fn head(line: &[u8]) -> Option<(Reply, Option<usize>)> {
     let text = str::from_utf8(line.strip_suffix(b"\r\n")?).ok()?;
     let mut words = text.split(' ');
@@ -123,7 +159,7 @@
     ))
 }
 
-/// The bytes of a call.
+/// The bytes of a call, to be answered within `wait_ms` milliseconds.
 pub fn invoke(id: &str, wait_ms: u64, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!("invoke {id} {wait_ms} {}\r\n", body.len()).into_bytes();
     bytes.extend_from_slice(body);
@@ -131,7 +167,7 @@
     bytes
 }
 
-/// The bytes that give a call up.
+/// The bytes that abandon a call.
 pub fn cancel(id: &str) -> Vec<u8> {
     format!("cancel {id}\r\n").into_bytes()
 }
--- a/crates/node/src/backend/tests.rs
+++ b/crates/node/src/backend/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use madderpoint_test_harness::wire::{damaged, same_at_every_split};
 
-fn read(parts: &[&[u8]]) -> (Vec<Reply>, Result<(), Broken>) {
+fn read(parts: &[&[u8]]) -> (Vec<Reply>, Result<(), ReadError>) {
     let (mut parser, mut replies) = (Parser::default(), Vec::new());
     let result = parts
         .iter()
--- a/crates/node/src/executor.rs
+++ b/crates/node/src/executor.rs
@@ -1,56 +1,130 @@
-//! The kernel's link: JSON objects, one on each line. Knows which notices were read and what is
-//! missing.
+//! The protocol of the connection to the executor: JSON objects, one on each line. The executor
+//! sends notices, most of them numbered; the node sends commands.
+//!
+//! The [`Reader`] knows no socket, clock or thread. It outlives connections: on each new one the
+//! executor is asked for the notices after the last that was read, and each is passed on once.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde::Deserialize;
 use std::borrow::Cow;
 use std::fmt::Write;
+use thiserror::Error;
 
-/// The longest line; no notice comes near.
+/// The longest line, in bytes.
 const LINE_MAX: usize = 16 * 1024;
 
-/// How a run ended.
+/// How an execution ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// With a result.
     Ok,
     /// With an error.
     Error,
-    /// It was stopped, or came to a call when nobody waited any more.
+    /// It was preempted, or came to a backend call after its client had gone.
     Stopped,
-    /// Nothing was started.
+    /// It was never started.
     Moot,
 }
 
-/// What the kernel says.
+/// Something that the executor should not have sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Anomaly {
+    /// A line that is no known notice.
+    UnreadableLine,
+    /// A notice whose number was read before.
+    RepeatedNotice,
+    /// A notice that a new connection should have begun with.
+    LostNotice,
+}
+
+impl Anomaly {
+    /// The name of its counter.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Anomaly::UnreadableLine => "kernel: lines that make no sense",
+            Anomaly::RepeatedNotice => "kernel: notices that came twice",
+            Anomaly::LostNotice => "kernel: notices that are gone",
+        }
+    }
+}
+
+/// What the executor sends.
 #[derive(Debug, PartialEq)]
 pub enum Notice {
-    /// The kernel is up since so many milliseconds.
-    Booted { cold: bool, up_ms: f64 },
-    /// A run is over.
+    /// The executor has been up for `up_ms` milliseconds.
+    Booted {
+        /// Whether it started without its caches.
+        cold: bool,
+        /// Milliseconds since its start.
+        up_ms: f64,
+    },
+    /// An execution has ended.
     Reap {
+        /// The request's correlation id.
         rid: String,
+        /// How it ended.
         end: End,
+        /// Milliseconds that it took, by the executor's account.
         time_ms: f64,
+        /// The result; empty unless it ended with one.
+        body: Vec<u8>,
+    },
+    /// An execution waits for a backend call.
+    IoReq {
+        /// The notice's number, which a refusal names.
+        no: u64,
+        /// The request's correlation id.
+        rid: String,
+        /// What is to be sent to the backend.
         body: Vec<u8>,
     },
-    /// A run waits for a call.
-    IoReq { no: u64, rid: String, body: Vec<u8> },
-    /// The gauges, in the order of the settings.
-    Info { mark: u64, values: Vec<f64> },
-    /// The work of a deep health check was done.
-    Posted { mark: u64, ok: bool },
+    /// The executor gauges.
+    Info {
+        /// The number of the command that asked for them.
+        mark: u64,
+        /// Their values, in the order of the deployment's settings.
+        values: Vec<f64>,
+    },
+    /// The work of a deep health check has ended.
+    Posted {
+        /// The number of the command that asked for it.
+        mark: u64,
+        /// Whether it succeeded.
+        ok: bool,
+    },
     /// A command was not carried out.
-    EInval { command: String, rid: String },
-    /// Something that ought not to come, and how often it did.
-    Odd(&'static str, u64),
+    EInval {
+        /// The command's name.
+        command: String,
+        /// The request's correlation id; empty where the command concerned none.
+        rid: String,
+    },
+    /// Something that the executor should not have sent, and how often.
+    Odd(Anomaly, u64),
+}
+
+/// Why the connection can't be read on; it must be renewed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("{}", self.as_str())]
+pub enum ReadError {
+    /// A line is longer than 16 KiB.
+    LineTooLong,
+    /// The numbers of two notices on one connection are not consecutive.
+    MissingNotice,
 }
 
-/// The link can't be read on: it must be renewed.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Broken(pub &'static str);
+impl ReadError {
+    /// The text for logs.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            ReadError::LineTooLong => "line too long",
+            ReadError::MissingNotice => "a notice is missing",
+        }
+    }
+}
 
+/// The fields of a notice on the wire.
 #[derive(Deserialize)]
 struct Line<'a> {
     #[serde(borrow)]
@@ -68,7 +142,7 @@
     v: Option<Vec<f64>>,
 }
 
-/// Reads notices over all links of a node's life.
+/// Reads the notices of all connections in a process's life.
 ///
 /// ```
 /// use madderpoint_node::executor::{Command, End, Notice, Reader};
@@ -85,73 +159,80 @@
 /// ```
 #[derive(Default)]
 pub struct Reader {
+    /// The part of a line that was read.
     line: Vec<u8>,
+    /// The number of the last notice that was read.
     last: u64,
-    /// Whether no numbered notice was read on this link.
-    fresh: bool,
+    /// Whether no numbered notice was read on this connection.
+    is_fresh: bool,
 }
 
 impl Reader {
-    /// A new link begins; gives the number of the last notice that was read.
+    /// A new connection begins. Gives the number of the last notice that was read.
     pub fn open(&mut self) -> u64 {
         self.line.clear();
-        self.fresh = true;
+        self.is_fresh = true;
         self.last
     }
 
-    /// Takes the next bytes and hands on each notice once.
-    pub fn feed(&mut self, mut bytes: &[u8], sink: &mut impl FnMut(Notice)) -> Result<(), Broken> {
+    /// Reads the next bytes, and passes each notice to the sink once.
+    pub fn feed(
+        &mut self,
+        mut bytes: &[u8],
+        sink: &mut impl FnMut(Notice),
+    ) -> Result<(), ReadError> {
         while let Some(end) = bytes.iter().position(|&b| b == b'\n') {
             let (rest, next) = (&bytes[..end], &bytes[end + 1..]);
             bytes = next;
             if self.line.is_empty() {
-                self.read(rest, sink)?; // most lines come whole and are read in place
+                self.read_line(rest, sink)?; // most lines come whole and are read in place
                 continue;
             }
             let mut line = std::mem::take(&mut self.line);
             line.extend_from_slice(rest);
-            self.read(&line, sink)?;
+            self.read_line(&line, sink)?;
         }
         self.line.extend_from_slice(bytes);
         if self.line.len() > LINE_MAX {
-            Err(Broken("line too long"))
+            Err(ReadError::LineTooLong)
         } else {
             Ok(())
         }
     }
 
-    fn read(&mut self, line: &[u8], sink: &mut impl FnMut(Notice)) -> Result<(), Broken> {
+    fn read_line(&mut self, line: &[u8], sink: &mut impl FnMut(Notice)) -> Result<(), ReadError> {
         if line.len() > LINE_MAX {
-            return Err(Broken("line too long"));
+            return Err(ReadError::LineTooLong);
         }
         let Ok(parsed) = serde_json::from_slice::<Line>(line) else {
-            sink(Notice::Odd("kernel: lines that make no sense", 1));
+            sink(Notice::Odd(Anomaly::UnreadableLine, 1));
             return Ok(());
         };
         if let Some(no) = parsed.no {
             if no <= self.last {
-                sink(Notice::Odd("kernel: notices that came twice", 1));
+                sink(Notice::Odd(Anomaly::RepeatedNotice, 1));
                 return Ok(());
             }
             let gap = no - self.last - 1;
-            if gap > 0 && !self.fresh {
-                return Err(Broken("a notice is missing"));
+            if gap > 0 && !self.is_fresh {
+                return Err(ReadError::MissingNotice);
             }
             if gap > 0 {
-                sink(Notice::Odd("kernel: notices that are gone", gap));
+                sink(Notice::Odd(Anomaly::LostNotice, gap));
             }
-            (self.last, self.fresh) = (no, false);
+            (self.last, self.is_fresh) = (no, false);
         }
         match notice(parsed) {
             Some(Some(notice)) => sink(notice),
             Some(None) => {}
-            None => sink(Notice::Odd("kernel: lines that make no sense", 1)),
+            None => sink(Notice::Odd(Anomaly::UnreadableLine, 1)),
         }
         Ok(())
     }
 }
 
-/// What a line means: `None` if nothing that is known, `Some(None)` if a remark.
+/// Decodes a line: `None` if it is no known notice, `Some(None)` if it is a notice without meaning
+/// for the node.
 fn notice(line: Line<'_>) -> Option<Option<Notice>> {
     let rid = line.rid.map(Cow::into_owned);
     let mark = line.mark.and_then(|m| m.parse().ok());
@@ -162,7 +243,7 @@
             up_ms: line.time_ms?.max(0.0),
         },
         "REAP" => {
-            // Whatever it says of the end, the run is over: without a result that can be read it
+            // Whatever its status, the execution is over: without a result that can be read it
             // failed.
             let (end, body) = match (&*line.status?, body(line.b64)) {
                 ("OK", Some(body)) => (End::Ok, body),
@@ -199,31 +280,44 @@
     }))
 }
 
-/// What is asked of the kernel.
+/// What the executor is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command<'a> {
-    /// Begin a link: notices after this one are wanted.
+    /// Begin a connection: send the notices after the one of this number.
     Open(u64),
-    /// Run a request.
+    /// Start the execution of a request.
     Sched {
+        /// The request's correlation id.
         rid: &'a str,
+        /// The operation's name.
         route: &'a str,
+        /// The request's body.
         body: &'a [u8],
     },
-    /// Stop a run.
+    /// Stop the execution of the request with this correlation id.
     Preempt(&'a str),
-    /// The reply to a call.
-    IoDone { rid: &'a str, body: &'a [u8] },
-    /// Go on without the call that a notice asked for.
-    NoIo { rid: &'a str, no: u64 },
-    /// Tell the gauges.
+    /// Continue an execution with the reply to its backend call.
+    IoDone {
+        /// The request's correlation id.
+        rid: &'a str,
+        /// The reply.
+        body: &'a [u8],
+    },
+    /// Continue an execution without the backend call that it asked for.
+    NoIo {
+        /// The request's correlation id.
+        rid: &'a str,
+        /// The number of the notice that asked for it.
+        no: u64,
+    },
+    /// Send the executor gauges; the number comes back with them.
     SysInfo(u64),
-    /// Do the work of a deep health check.
+    /// Do the work of a deep health check; the number comes back with its result.
     Post(u64),
 }
 
 impl Command<'_> {
-    /// The line for it.
+    /// Its line, with the line feed.
     pub fn line(&self) -> String {
         let mut line = String::with_capacity(64);
         let quoted = |text: &str| serde_json::Value::from(text).to_string();
--- a/crates/node/src/executor/tests.rs
+++ b/crates/node/src/executor/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use madderpoint_test_harness::wire::{damaged, same_at_every_split};
 
-fn read(parts: &[&[u8]]) -> (Vec<Notice>, Result<(), Broken>) {
+fn read(parts: &[&[u8]]) -> (Vec<Notice>, Result<(), ReadError>) {
     let (mut reader, mut notices) = (Reader::default(), Vec::new());
     assert_eq!(reader.open(), 0);
     let result = parts
@@ -10,7 +10,7 @@
     (notices, result)
 }
 
-fn feed(reader: &mut Reader, text: &str) -> (Vec<Notice>, Result<(), Broken>) {
+fn feed(reader: &mut Reader, text: &str) -> (Vec<Notice>, Result<(), ReadError>) {
     let mut notices = Vec::new();
     let result = reader.feed(text.as_bytes(), &mut |notice| notices.push(notice));
     (notices, result)
@@ -71,7 +71,7 @@
     assert_eq!((first.len(), reader.open()), (2, 2));
     let (second, _) = feed(&mut reader, &(moot(2) + &moot(3)));
     assert_eq!(second.len(), 2);
-    assert_eq!(second[0], Notice::Odd("kernel: notices that came twice", 1));
+    assert_eq!(second[0], Notice::Odd(Anomaly::RepeatedNotice, 1));
     assert_eq!(reader.open(), 3); // and again, in the middle of the replay
     assert_eq!(feed(&mut reader, &moot(4)).0.len(), 1);
 }
@@ -86,7 +86,7 @@
     let (notices, result) = feed(&mut reader, &moot(3));
     assert_eq!(
         (&notices[0], notices.len(), result),
-        (&Notice::Odd("kernel: notices that are gone", 1), 2, Ok(()))
+        (&Notice::Odd(Anomaly::LostNotice, 1), 2, Ok(()))
     );
 }
 
@@ -102,10 +102,7 @@
         let (notices, result) = read(&[line.as_bytes()]);
         assert_eq!(
             (notices, result),
-            (
-                vec![Notice::Odd("kernel: lines that make no sense", 1)],
-                Ok(())
-            ),
+            (vec![Notice::Odd(Anomaly::UnreadableLine, 1)], Ok(())),
             "{line}"
         );
     }
@@ -117,7 +114,7 @@
         vec![b'x'; LINE_MAX + 1],
         [vec![b'x'; LINE_MAX + 1], b"\n".to_vec()].concat(),
     ] {
-        assert_eq!(read(&[&line[..]]).1, Err(Broken("line too long")));
+        assert_eq!(read(&[&line[..]]).1, Err(ReadError::LineTooLong));
     }
 }
 
--- a/crates/node/src/fastcgi.rs
+++ b/crates/node/src/fastcgi.rs
@@ -1,22 +1,28 @@
-//! FastCGI 1.0 as a responder: a parser that is fed bytes split anywhere, and the answers to be
-//! written.
+//! FastCGI 1.0 in the role of a responder: a parser of the records of one connection, and the
+//! encoder of answers.
+//!
+//! The parser is fed bytes split anywhere and knows no socket, clock or thread. What it keeps is
+//! bounded: unfinished requests by number and bytes, and what is skipped between two whole requests.
+//! After a [`ParseError`] no further byte of the connection can be read.
 
 use std::io::IoSlice;
+use thiserror::Error;
 
 /// Requests that may be open on one connection.
 pub const MAX_OPEN: usize = 32;
-/// The largest body of a request.
+/// The largest body of a request, in bytes.
 pub const BODY_MAX: usize = 2048;
-/// The most that a request's parameters may take.
+/// The most that a request's parameters may take, in bytes.
 const PARAMS_MAX: usize = 4096;
-/// Bytes that may be passed over between two whole requests: what is too large, belongs to no open
-/// request or pads. Bodies of many megabytes and records without end would take all the processor's
-/// time to be skipped.
-const PASSED_OVER_MAX: usize = 64 * 1024;
-/// The most that is kept of a record that is no stream.
-const SIDE_MAX: usize = 1024;
+/// Bytes that may be skipped between two whole requests: content that is too large or belongs to
+/// no open request, headers and padding. To skip more would take the processor's time for nothing.
+const SKIPPED_MAX: usize = 64 * 1024;
+/// Bytes that are kept of a record that is not part of a stream.
+const DISCRETE_MAX: usize = 1024;
+/// Size of a record's header, in bytes.
 const HEADER: usize = 8;
 
+// Values of the protocol: the version, then record types.
 const VERSION: u8 = 1;
 const BEGIN_REQUEST: u8 = 1;
 const ABORT_REQUEST: u8 = 2;
@@ -28,51 +34,78 @@
 const GET_VALUES_RESULT: u8 = 10;
 const UNKNOWN_TYPE: u8 = 11;
 
+/// The only role that is played here, in BEGIN_REQUEST.
 const RESPONDER: u16 = 1;
+/// The flag of BEGIN_REQUEST that the connection stays open after the answer.
 const KEEP_CONN: u8 = 1;
 
-/// How a request ended, as END_REQUEST says it.
+/// How a request ended, in END_REQUEST.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolStatus {
-    /// It was dealt with.
+    /// It was answered.
     Complete = 0,
-    /// It was turned away unseen.
+    /// It was rejected: too many are open on the connection.
     Overloaded = 2,
-    /// It asked for a role that is not played here.
+    /// It asked for a role other than responder.
     UnknownRole = 3,
 }
 
-/// A request that has come whole.
+/// A request that was read whole.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Request {
     /// Its id on the connection.
     pub id: u16,
     /// Whether the connection is to stay open after the answer.
     pub keep_conn: bool,
-    /// Parameters as they came, for [`pairs`].
+    /// The encoded parameters, for [`pairs`].
     pub params: Vec<u8>,
-    /// The body; cut when it is over [`BODY_MAX`].
+    /// The body, cut off at [`BODY_MAX`] bytes.
     pub body: Vec<u8>,
-    /// Whether parameters or body were larger than may be.
+    /// Whether parameters or body were over their bounds and have been cut off.
     pub oversize: bool,
 }
 
-/// What the parser found.
+/// What the parser has read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Event {
     /// A whole request.
     Request(Request),
-    /// The dispatcher no longer waits for this request.
+    /// The load balancer no longer waits for the request of this id.
     Abort(u16),
-    /// The parser itself answers with this.
+    /// The parser answers this itself.
     Reply(Reply),
 }
 
-/// Framing was lost: nothing that follows on the connection can be read.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Broken(pub &'static str);
+/// Why the bytes of a connection can't be read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("{}", self.as_str())]
+pub enum ParseError {
+    /// The header of a record has another version than 1.
+    UnknownVersion,
+    /// A BEGIN_REQUEST record has less content than role and flags take.
+    BeginCutShort,
+    /// A request was begun with the id of one that is still being read.
+    IdBegunTwice,
+    /// More than 64 KiB were skipped since the last whole request.
+    TooMuchSkipped,
+    /// The length of a name or value goes past the end of the bytes.
+    PairCutShort,
+}
+
+impl ParseError {
+    /// The text for logs and counters.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            ParseError::UnknownVersion => "record of an unknown version",
+            ParseError::BeginCutShort => "BEGIN_REQUEST cut short",
+            ParseError::IdBegunTwice => "request id begun twice",
+            ParseError::TooMuchSkipped => "too much that is no request",
+            ParseError::PairCutShort => "name-value pair cut short",
+        }
+    }
+}
 
-/// Bytes to be written, gathered from up to three places.
+/// Bytes to be written, in up to three parts, so that the body need not be copied.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
     head: Vec<u8>,
@@ -81,12 +114,12 @@
 }
 
 impl Reply {
-    /// Bytes in all.
+    /// Size of all parts in bytes.
     pub fn size(&self) -> usize {
         self.head.len() + self.body.len() + self.tail.len()
     }
 
-    /// Bytes as they are.
+    /// A reply of these bytes.
     pub fn raw(head: Vec<u8>) -> Reply {
         Reply {
             head,
@@ -94,7 +127,7 @@
         }
     }
 
-    /// The parts in their order.
+    /// The parts, in the order in which they are written.
     pub fn slices(&self) -> [IoSlice<'_>; 3] {
         [
             IoSlice::new(&self.head),
@@ -103,7 +136,8 @@
         ]
     }
 
-    /// An answer: a CGI response on STDOUT, then the end of the request.
+    /// An answer: a CGI response on STDOUT, then the end of the request. `fields` are header lines,
+    /// each with its CR LF; header and body take 65,535 bytes at most.
     pub fn answer(id: u16, status: u16, fields: &str, body: Vec<u8>) -> Reply {
         let text = format!("Status: {status}\r\n{fields}\r\n");
         let len = text.len() + body.len();
@@ -121,7 +155,7 @@
         Reply { head, body, tail }
     }
 
-    /// The end of a request with nothing on STDOUT.
+    /// The end of a request without a response.
     pub fn end(id: u16, status: ProtocolStatus) -> Reply {
         let mut head = Vec::with_capacity(2 * HEADER);
         end(&mut head, id, status);
@@ -142,8 +176,8 @@
     out.extend_from_slice(&[0, 0, 0, 0, status as u8, 0, 0, 0]);
 }
 
-/// Name-value pairs read in place; ends with an error where the bytes are cut or a length is wrong.
-pub fn pairs(mut bytes: &[u8]) -> impl Iterator<Item = Result<(&[u8], &[u8]), Broken>> {
+/// Name-value pairs, read in place. Ends after [`ParseError::PairCutShort`], if there is one.
+pub fn pairs(mut bytes: &[u8]) -> impl Iterator<Item = Result<(&[u8], &[u8]), ParseError>> {
     std::iter::from_fn(move || {
         if bytes.is_empty() {
             return None;
@@ -152,7 +186,7 @@
         if pair.is_none() {
             bytes = &[];
         }
-        Some(pair.ok_or(Broken("name-value pair cut short")))
+        Some(pair.ok_or(ParseError::PairCutShort))
     })
 }
 
@@ -171,22 +205,22 @@
     Some(u32::from_be_bytes([first & 0x7f, rest[0], rest[1], rest[2]]) as usize)
 }
 
-/// A request of which a part has come.
-struct Opening {
+/// A request of which a part was read.
+struct Unfinished {
     request: Request,
     params_done: bool,
 }
 
-/// The record whose content is being read.
+/// The record whose content is being read, with the bytes that are still to come.
 #[derive(Clone, Copy, Default)]
 struct Record {
     kind: u8,
     id: u16,
-    left: usize,
-    padding: usize,
+    content_left: usize,
+    padding_left: usize,
 }
 
-/// Reads one connection's records.
+/// Reads the records of one connection.
 ///
 /// ```
 /// use madderpoint_node::fastcgi::{Event, Parser};
@@ -202,116 +236,123 @@
 pub struct Parser {
     max_conns: usize,
     header: [u8; HEADER],
-    have: usize,
+    /// Bytes of the header that were read.
+    header_read: usize,
     record: Option<Record>,
-    /// Content of a record that is no stream.
-    side: Vec<u8>,
-    opening: Vec<Opening>,
-    /// The most that unfinished requests may take together, and what was passed over since the last
-    /// whole one.
-    unfinished: usize,
-    passed_over: usize,
+    /// Content of a record that is not part of a stream.
+    discrete: Vec<u8>,
+    unfinished: Vec<Unfinished>,
+    /// The most that unfinished requests may take together, in bytes.
+    unfinished_max: usize,
+    /// Bytes skipped since the last whole request.
+    skipped: usize,
 }
 
 impl Parser {
-    /// A parser for a new connection; `max_conns` is what GET_VALUES tells, `unfinished` the most
-    /// that the parts of requests may take.
-    pub fn new(max_conns: usize, unfinished: usize) -> Parser {
+    /// A parser for a new connection. `max_conns` is the number of connections that GET_VALUES is
+    /// answered with, `unfinished_max` the most that requests not yet whole may take, in bytes.
+    pub fn new(max_conns: usize, unfinished_max: usize) -> Parser {
         Parser {
             max_conns,
             header: [0; HEADER],
-            have: 0,
+            header_read: 0,
             record: None,
-            side: Vec::new(),
-            opening: Vec::new(),
-            unfinished,
-            passed_over: 0,
+            discrete: Vec::new(),
+            unfinished: Vec::new(),
+            unfinished_max,
+            skipped: 0,
         }
     }
 
-    /// Whether a part of a record or of a request has come, and the rest has not.
+    /// Whether a part of a record or of a request was read, and its rest was not.
     pub fn is_partial(&self) -> bool {
-        self.have > 0 || self.record.is_some() || !self.opening.is_empty()
+        self.header_read > 0 || self.record.is_some() || !self.unfinished.is_empty()
     }
 
-    /// Takes the next bytes and hands on what they complete.
-    pub fn feed(&mut self, mut bytes: &[u8], sink: &mut impl FnMut(Event)) -> Result<(), Broken> {
+    /// Reads the next bytes, and passes what they complete to the sink.
+    pub fn feed(
+        &mut self,
+        mut bytes: &[u8],
+        sink: &mut impl FnMut(Event),
+    ) -> Result<(), ParseError> {
         loop {
             let Some(mut record) = self.record.take() else {
                 if bytes.is_empty() {
                     return Ok(());
                 }
-                let n = bytes.len().min(HEADER - self.have);
-                self.header[self.have..self.have + n].copy_from_slice(&bytes[..n]);
-                self.have += n;
-                bytes = &bytes[n..];
-                if self.have == HEADER {
-                    self.record = Some(self.start()?);
+                let length = bytes.len().min(HEADER - self.header_read);
+                self.header[self.header_read..self.header_read + length]
+                    .copy_from_slice(&bytes[..length]);
+                self.header_read += length;
+                bytes = &bytes[length..];
+                if self.header_read == HEADER {
+                    self.record = Some(self.start_record()?);
                 }
                 continue;
             };
-            let n = bytes.len().min(record.left);
-            let kept = self.content(record, &bytes[..n]);
-            record.left -= n;
-            let skipped = (bytes.len() - n).min(record.padding);
-            record.padding -= skipped;
-            bytes = &bytes[n + skipped..];
-            self.pass_over(n - kept + skipped)?;
-            if record.left > 0 || record.padding > 0 {
+            let length = bytes.len().min(record.content_left);
+            let kept = self.read_content(record, &bytes[..length]);
+            record.content_left -= length;
+            let padding = (bytes.len() - length).min(record.padding_left);
+            record.padding_left -= padding;
+            bytes = &bytes[length + padding..];
+            self.skip(length - kept + padding)?;
+            if record.content_left > 0 || record.padding_left > 0 {
                 self.record = Some(record);
                 return Ok(());
             }
-            self.have = 0;
-            self.finish(record, sink)?;
+            self.header_read = 0;
+            self.finish_record(record, sink)?;
         }
     }
 
-    fn start(&mut self) -> Result<Record, Broken> {
+    fn start_record(&mut self) -> Result<Record, ParseError> {
         let [version, kind, i1, i0, l1, l0, padding, _] = self.header;
         if version != VERSION {
-            return Err(Broken("record of an unknown version"));
+            return Err(ParseError::UnknownVersion);
         }
-        self.side.clear();
-        let left = usize::from(u16::from_be_bytes([l1, l0]));
+        self.discrete.clear();
         Ok(Record {
             kind,
             id: u16::from_be_bytes([i1, i0]),
-            left,
-            padding: usize::from(padding),
+            content_left: usize::from(u16::from_be_bytes([l1, l0])),
+            padding_left: usize::from(padding),
         })
     }
 
-    fn opening(&mut self, id: u16) -> Option<&mut Opening> {
-        self.opening.iter_mut().find(|o| o.request.id == id)
+    fn unfinished(&mut self, id: u16) -> Option<&mut Unfinished> {
+        self.unfinished
+            .iter_mut()
+            .find(|unfinished| unfinished.request.id == id)
     }
 
-    fn pass_over(&mut self, bytes: usize) -> Result<(), Broken> {
-        self.passed_over += bytes;
-        if self.passed_over > PASSED_OVER_MAX {
-            Err(Broken("too much that is no request"))
+    fn skip(&mut self, bytes: usize) -> Result<(), ParseError> {
+        self.skipped += bytes;
+        if self.skipped > SKIPPED_MAX {
+            Err(ParseError::TooMuchSkipped)
         } else {
             Ok(())
         }
     }
 
-    /// Takes content; gives how much of it was kept for a request.
-    fn content(&mut self, record: Record, bytes: &[u8]) -> usize {
+    /// Reads content of a record; gives how many bytes of it were kept for a request.
+    fn read_content(&mut self, record: Record, bytes: &[u8]) -> usize {
         let stream = record.kind == PARAMS || record.kind == STDIN;
         if record.id == 0 || !stream {
-            let n = bytes.len().min(SIDE_MAX - self.side.len());
-            self.side.extend_from_slice(&bytes[..n]);
+            let kept = bytes.len().min(DISCRETE_MAX - self.discrete.len());
+            self.discrete.extend_from_slice(&bytes[..kept]);
             return 0;
         }
-        let unfinished: usize = self
-            .opening
+        let taken: usize = self
+            .unfinished
             .iter()
-            .map(|o| o.request.params.len() + o.request.body.len())
+            .map(|unfinished| unfinished.request.params.len() + unfinished.request.body.len())
             .sum();
-        let room = self.unfinished.saturating_sub(unfinished);
-        let Some(Opening {
+        let room = self.unfinished_max.saturating_sub(taken);
+        let Some(Unfinished {
             request,
             params_done,
-        }) = self.opening(record.id)
+        }) = self.unfinished(record.id)
         else {
             return 0;
         };
@@ -320,16 +361,20 @@
             PARAMS => (&mut request.params, PARAMS_MAX),
             _ => (&mut request.body, BODY_MAX),
         };
-        let n = bytes.len().min(most - stream.len()).min(room);
-        stream.extend_from_slice(&bytes[..n]);
-        request.oversize |= n < bytes.len();
-        n
+        let kept = bytes.len().min(most - stream.len()).min(room);
+        stream.extend_from_slice(&bytes[..kept]);
+        request.oversize |= kept < bytes.len();
+        kept
     }
 
-    /// A record has come whole.
-    fn finish(&mut self, record: Record, sink: &mut impl FnMut(Event)) -> Result<(), Broken> {
+    /// A record was read whole.
+    fn finish_record(
+        &mut self,
+        record: Record,
+        sink: &mut impl FnMut(Event),
+    ) -> Result<(), ParseError> {
         let empty = self.header[4..6] == [0, 0];
-        self.pass_over(HEADER)?;
+        self.skip(HEADER)?;
         match (record.kind, record.id) {
             (GET_VALUES, 0) => sink(Event::Reply(self.values()?)),
             (kind, 0) => {
@@ -342,39 +387,46 @@
                 }));
             }
             (BEGIN_REQUEST, id) => return self.begin(id, sink),
-            (ABORT_REQUEST, id) => match self.opening.iter().position(|o| o.request.id == id) {
-                Some(at) => {
-                    self.opening.swap_remove(at);
+            (ABORT_REQUEST, id) => match self
+                .unfinished
+                .iter()
+                .position(|unfinished| unfinished.request.id == id)
+            {
+                Some(index) => {
+                    self.unfinished.swap_remove(index);
                     sink(Event::Reply(Reply::end(id, ProtocolStatus::Complete)));
                 }
                 None => sink(Event::Abort(id)),
             },
             (PARAMS, id) if empty => {
-                if let Some(opening) = self.opening(id) {
-                    opening.params_done = true;
+                if let Some(unfinished) = self.unfinished(id) {
+                    unfinished.params_done = true;
                 }
             }
             (STDIN, id) if empty => {
-                let whole = |o: &Opening| o.request.id == id && o.params_done;
-                if let Some(at) = self.opening.iter().position(whole) {
-                    self.passed_over = 0;
-                    sink(Event::Request(self.opening.swap_remove(at).request));
+                let is_whole =
+                    |unfinished: &Unfinished| unfinished.request.id == id && unfinished.params_done;
+                if let Some(index) = self.unfinished.iter().position(is_whole) {
+                    self.skipped = 0;
+                    sink(Event::Request(self.unfinished.swap_remove(index).request));
                 }
             }
-            _ => {} // content was taken; records of ids that are not open are passed over, as laid down
+            // Content was read already. Records of ids that are not open are ignored, as the
+            // protocol demands.
+            _ => {}
         }
         Ok(())
     }
 
-    fn begin(&mut self, id: u16, sink: &mut impl FnMut(Event)) -> Result<(), Broken> {
-        let &[r1, r0, flags, ..] = self.side.as_slice() else {
-            return Err(Broken("BEGIN_REQUEST cut short"));
+    fn begin(&mut self, id: u16, sink: &mut impl FnMut(Event)) -> Result<(), ParseError> {
+        let &[r1, r0, flags, ..] = self.discrete.as_slice() else {
+            return Err(ParseError::BeginCutShort);
         };
-        if self.opening(id).is_some() {
-            return Err(Broken("request id begun twice"));
+        if self.unfinished(id).is_some() {
+            return Err(ParseError::IdBegunTwice);
         }
-        let refusal = match u16::from_be_bytes([r1, r0]) {
-            RESPONDER if self.opening.len() < MAX_OPEN => {
+        let status = match u16::from_be_bytes([r1, r0]) {
+            RESPONDER if self.unfinished.len() < MAX_OPEN => {
                 let (keep_conn, params, body) = (flags & KEEP_CONN != 0, Vec::new(), Vec::new());
                 let request = Request {
                     id,
@@ -383,7 +435,7 @@
                     body,
                     oversize: false,
                 };
-                self.opening.push(Opening {
+                self.unfinished.push(Unfinished {
                     request,
                     params_done: false,
                 });
@@ -392,19 +444,19 @@
             RESPONDER => ProtocolStatus::Overloaded,
             _ => ProtocolStatus::UnknownRole,
         };
-        sink(Event::Reply(Reply::end(id, refusal)));
+        sink(Event::Reply(Reply::end(id, status)));
         Ok(())
     }
 
-    /// The answer to GET_VALUES: of what was asked for, what is known here.
-    fn values(&self) -> Result<Reply, Broken> {
+    /// The answer to GET_VALUES: those of the variables asked for that are known here.
+    fn values(&self) -> Result<Reply, ParseError> {
         let known = [
             ("FCGI_MAX_CONNS", self.max_conns),
             ("FCGI_MAX_REQS", self.max_conns * MAX_OPEN),
             ("FCGI_MPXS_CONNS", 1),
         ];
         let mut body = Vec::new();
-        for pair in pairs(&self.side) {
+        for pair in pairs(&self.discrete) {
             let (name, _) = pair?;
             if let Some((name, value)) = known.iter().find(|(n, _)| n.as_bytes() == name) {
                 let value = value.to_string();
--- a/crates/node/src/fastcgi/tests.rs
+++ b/crates/node/src/fastcgi/tests.rs
@@ -3,7 +3,7 @@
     self as support, begin, damaged, record, same_at_every_split,
 };
 
-fn read(parts: &[&[u8]]) -> (Vec<Event>, Result<(), Broken>) {
+fn read(parts: &[&[u8]]) -> (Vec<Event>, Result<(), ParseError>) {
     let (mut parser, mut events) = (Parser::new(976, 65536), Vec::new());
     let result = parts
         .iter()
@@ -11,7 +11,7 @@
     (events, result)
 }
 
-fn read_whole(bytes: &[u8]) -> (Vec<Event>, Result<(), Broken>) {
+fn read_whole(bytes: &[u8]) -> (Vec<Event>, Result<(), ParseError>) {
     read(&[bytes])
 }
 
@@ -120,7 +120,8 @@
     let mut parser = Parser::new(1, 65536);
     parser.feed(&sequence, &mut |_| ()).unwrap();
     assert!(
-        parser.opening[0].request.oversize && parser.opening[0].request.params.len() == PARAMS_MAX
+        parser.unfinished[0].request.oversize
+            && parser.unfinished[0].request.params.len() == PARAMS_MAX
     );
 }
 
@@ -135,7 +136,11 @@
         .concat();
         parser.feed(&part, &mut |_| ()).unwrap();
     }
-    let kept: usize = parser.opening.iter().map(|o| o.request.params.len()).sum();
+    let kept: usize = parser
+        .unfinished
+        .iter()
+        .map(|o| o.request.params.len())
+        .sum();
     assert_eq!(kept, 70_000);
 }
 
@@ -161,7 +166,7 @@
         let mut fed = 0;
         while parser.feed(&part, &mut |_| ()).is_ok() {
             fed += part.len();
-            assert!(fed < 4 * PASSED_OVER_MAX, "{part:?}");
+            assert!(fed < 4 * SKIPPED_MAX, "{part:?}");
         }
     }
     let mut parser = Parser::new(1, 65536); // but whole requests may go on for good
--- a/crates/node/src/io/backend_link.rs
+++ b/crates/node/src/io/backend_link.rs
@@ -229,18 +229,21 @@
 
 fn read_replies(stream: &TcpStream, link: BackendLink, events: &Sender<Message>) {
     let cause = read_whole_replies(stream, link, events).err();
-    if let Some(what) = cause {
-        warn!(target: part::BACKEND, link = link.place, error = %what, "connection closed: protocol error");
+    if let Some(cause) = cause {
+        warn!(target: part::BACKEND, link = link.place, error = %cause, "connection closed: protocol error");
     }
     let _ = stream.shutdown(Shutdown::Both);
-    let _ = events.send(Message::Event(Event::BackendLost(link, cause)));
+    let _ = events.send(Message::Event(Event::BackendLost(
+        link,
+        cause.map(backend::ReadError::as_str),
+    )));
 }
 
 fn read_whole_replies(
     mut stream: &TcpStream,
     link: BackendLink,
     events: &Sender<Message>,
-) -> Result<(), &'static str> {
+) -> Result<(), backend::ReadError> {
     let (mut parser, mut buffer) = (backend::Parser::default(), [0; READ]);
     let (mut waits, mut was_partial) = (0, false);
     loop {
@@ -250,9 +253,7 @@
                 let mut hand = |reply| {
                     let _ = events.send(Message::Event(Event::Reply(link.place, reply)));
                 };
-                parser
-                    .feed(&buffer[..n], &mut hand)
-                    .map_err(|backend::Broken(what)| what)?;
+                parser.feed(&buffer[..n], &mut hand)?;
                 waits = 0;
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -261,7 +262,7 @@
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 waits += 1;
                 if waits >= CUT_MOST {
-                    return Err("reply cut short");
+                    return Err(backend::ReadError::CutShort);
                 }
             }
             Err(_) => return Ok(()),
--- a/crates/node/src/io/client_reader.rs
+++ b/crates/node/src/io/client_reader.rs
@@ -461,9 +461,9 @@
             return self.deafen(number, true);
         }
         let front = |event| hand(Event::Front(ConnectionId(number), event));
-        if let Err(fastcgi::Broken(what)) = reading.parser.feed(&buffer[..n], &mut { front }) {
-            warn!(target: part::LOAD_BALANCER, connection = number, error = %what, "connection closed: protocol error");
-            hand(Event::Garbled(ConnectionId(number), what));
+        if let Err(cause) = reading.parser.feed(&buffer[..n], &mut { front }) {
+            warn!(target: part::LOAD_BALANCER, connection = number, error = %cause, "connection closed: protocol error");
+            hand(Event::Garbled(ConnectionId(number), cause.as_str()));
             return self.deafen(number, false);
         }
         let pause = reading.pause.load(SeqCst);
--- a/crates/node/src/io/executor_link.rs
+++ b/crates/node/src/io/executor_link.rs
@@ -106,5 +106,5 @@
     };
     let read = read_all(&stream, feed);
     let _ = stream.shutdown(Shutdown::Both);
-    read.map_err(|executor::Broken(what)| io::Error::other(what))
+    read.map_err(io::Error::other)
 }
--- a/crates/node/src/io/registry_reports.rs
+++ b/crates/node/src/io/registry_reports.rs
@@ -86,9 +86,7 @@
             Ok(None) => {}
             Ok(Some(204)) => return Ok(()),
             Ok(Some(status)) => return Err(io::Error::other(format!("status {status}"))),
-            Err(service_registry::Broken) => {
-                return Err(io::Error::other("an answer that is no HTTP"));
-            }
+            Err(e) => return Err(io::Error::other(e)),
         }
     }
     Ok(())
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -832,7 +832,7 @@
             Notice::Booted { cold, up_ms } => self.booted(now, cold, up_ms),
             Notice::Info { mark, values } => self.desk.borrow_mut().info(mark, values),
             Notice::Posted { mark, ok } => self.desk.borrow_mut().checked(mark, ok),
-            Notice::Odd(what, times) => self.desk.borrow_mut().count(what, times),
+            Notice::Odd(anomaly, times) => self.desk.borrow_mut().count(anomaly.as_str(), times),
             Notice::EInval { command, rid } => {
                 let lost = self.desk.borrow_mut().einval(&command, &rid);
                 lost.into_iter()
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -109,7 +109,7 @@
             ..Fields::default()
         };
         for pair in fastcgi::pairs(&request.params) {
-            let (name, value) = pair.map_err(|e| malformed(e.0))?;
+            let (name, value) = pair.map_err(|e| malformed(e.as_str()))?;
             let place = match name {
                 b"SCRIPT_NAME" => &mut fields.path,
                 b"REQUEST_METHOD" => &mut fields.method,
--- a/crates/node/src/service_registry.rs
+++ b/crates/node/src/service_registry.rs
@@ -1,19 +1,23 @@
-//! The membership service's protocol: a report is one HTTP/1.1 call.
+//! The protocol of the service registry: a report is one HTTP/1.1 request, and only the status of
+//! its answer matters.
 
-/// The most that is read of an answer's head.
+use thiserror::Error;
+
+/// The most that is read of an answer's head, in bytes.
 const HEAD_MAX: usize = 4096;
-const HEADERS: usize = 32;
+/// Header fields that an answer may have.
+const HEADERS_MAX: usize = 32;
 
-/// What a report says.
+/// What a report says of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// The node takes invocations.
+    /// It accepts requests.
     Up,
-    /// It is leaving.
+    /// It drains.
     Out,
 }
 
-/// The bytes of a report.
+/// The bytes of a report of the node to the service registry at `host`.
 pub fn report(host: &str, node: &str, phase: Phase) -> Vec<u8> {
     let word = if phase == Phase::Up { "UP" } else { "OUT" };
     let body = format!("{{\"phase\":\"{word}\"}}");
@@ -40,20 +44,21 @@
     head: Vec<u8>,
 }
 
-/// The answer can't be read.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Broken;
+/// The answer is no HTTP response, or its head is longer than 4 KiB.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("an answer that is no HTTP")]
+pub struct AnswerError;
 
 impl Answer {
-    /// Takes the next bytes; gives the status once the head is whole.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<u16>, Broken> {
+    /// Reads the next bytes; gives the status once the head is whole.
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<u16>, AnswerError> {
         self.head.extend_from_slice(bytes);
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
         let mut response = httparse::Response::new(&mut headers);
         match response.parse(&self.head) {
             Ok(httparse::Status::Complete(_)) => Ok(response.code),
             Ok(httparse::Status::Partial) if self.head.len() < HEAD_MAX => Ok(None),
-            _ => Err(Broken),
+            _ => Err(AnswerError),
         }
     }
 }
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -83,7 +83,7 @@
     let broken = parts
         .iter()
         .find_map(|part| parser.feed(part, &mut sink).err());
-    seen.extend(broken.map(|broken| format!("broken: {}", broken.0)));
+    seen.extend(broken.map(|broken| format!("broken: {}", broken.as_str())));
     if seen.is_empty() {
         "nothing".to_owned()
     } else {
@@ -146,7 +146,7 @@
     let read = |bytes: &[u8]| {
         let pairs = fastcgi::pairs(bytes).map(|pair| match pair {
             Ok((name, value)) => format!("{}={}", hex(name), hex(value)),
-            Err(broken) => format!("broken: {}", broken.0),
+            Err(broken) => format!("broken: {}", broken.as_str()),
         });
         pairs.collect::<Vec<_>>().join("; ")
     };
@@ -269,13 +269,13 @@
             Notice::Info { mark, values } => format!("info mark={mark} values={values:?}"),
             Notice::Posted { mark, ok } => format!("posted mark={mark} ok={ok}"),
             Notice::EInval { command, rid } => format!("einval command={command} rid={rid}"),
-            Notice::Odd(what, times) => format!("odd {what}: {times}"),
+            Notice::Odd(anomaly, times) => format!("odd {}: {times}", anomaly.as_str()),
         });
     };
     let broken = parts
         .iter()
         .find_map(|part| reader.feed(part, &mut sink).err());
-    seen.extend(broken.map(|broken| format!("broken: {}", broken.0)));
+    seen.extend(broken.map(|broken| format!("broken: {}", broken.as_str())));
     seen.push(format!("last={}", reader.open()));
     seen.join("; ")
 }
@@ -371,7 +371,7 @@
     let broken = parts
         .iter()
         .find_map(|part| parser.feed(part, &mut sink).err());
-    seen.extend(broken.map(|broken| format!("broken: {}", broken.0)));
+    seen.extend(broken.map(|broken| format!("broken: {}", broken.as_str())));
     seen.join("; ")
 }
 
