--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -2,7 +2,7 @@
 //! node does to the world.
 
 use crate::cluster::ClusterUpdate;
-use crate::config::Peers;
+use crate::config::PeerAddresses;
 use crate::fastcgi::Reply;
 use madderpoint::{Nanos, RequestId};
 use std::fmt;
@@ -85,7 +85,7 @@
     fn rest(&mut self, place: usize);
     /// From now on peers are reached at these addresses; gives whether the kernel is at another
     /// one.
-    fn moved(&mut self, peers: Peers) -> bool;
+    fn moved(&mut self, peers: PeerAddresses) -> bool;
     /// Close the link to the kernel; another one takes its place.
     fn renew_kernel(&mut self);
     /// Tell dispatchers that the node is leaving.
--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -252,7 +252,7 @@
         let fleet = read
             .fleet
             .ok_or_else(|| format!("{}: no <fleet>", settings.display()))?;
-        let keys = serve::keys(settings, &fleet)?;
+        let keys = serve::read_keys(settings, &fleet).map_err(|e| e.to_string())?;
         let any: SocketAddr = if at.is_ipv4() {
             ([0, 0, 0, 0], 0).into()
         } else {
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,39 +1,47 @@
-//! The file that tells a node who it is and whom it speaks with.
+//! The node's configuration: the JSON file that `PROXY_CONFIG` names, with the node's identity, the
+//! addresses of its peers, its resource limits, and the deployment's settings.
+//!
+//! It is read at start and again on SIGHUP. In a running process only the addresses of peers can
+//! change; [`reread`] names the other fields that differ.
 
-use madderpoint_deployment_config::{self as facts, DeploymentConfig};
+use madderpoint_deployment_config::{self as deployment_config, DeploymentConfig};
 use serde::Deserialize;
 use serde_json::value::RawValue;
+use std::io;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
+use thiserror::Error;
 
-#[derive(Deserialize)]
-struct File {
-    name: String,
-    listen: SocketAddr,
-    #[serde(flatten)]
-    peers: Peers,
-    seed: String,
-    stop_ms: f64,
-    limits: Limits,
-    settings: Box<RawValue>,
-}
+/// Descriptors below which no node can serve.
+const SOCKETS_MIN: usize = 64;
+/// Memory below which no node can serve, in MB.
+const MEMORY_MIN_MB: f64 = 16.0;
+/// The longest time from the start of the drain to the stop, in milliseconds.
+const STOP_MAX_MS: f64 = 3_600_000.0;
 
-/// Addresses of those that the node speaks to; they may move while it runs.
+/// The environment variable that repeats the node's name.
+const NAME_VARIABLE: &str = "PROXY_NAME";
+/// The environment variable that repeats the address that the node listens on.
+const LISTEN_VARIABLE: &str = "PROXY_LISTEN";
+
+/// Addresses of the node's peers; they may change while it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub struct Peers {
-    /// The kernel on the same machine.
-    pub kernel: SocketAddr,
-    /// The membership service.
-    pub members: SocketAddr,
-    /// What calls go to; absent in the last tier.
+pub struct PeerAddresses {
+    /// The executor on the same machine.
+    #[serde(rename = "kernel")]
+    pub executor: SocketAddr,
+    /// The service registry.
+    #[serde(rename = "members")]
+    pub service_registry: SocketAddr,
+    /// The backend; absent in the last tier.
     pub backend: Option<SocketAddr>,
 }
 
 /// What the process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Limits {
-    /// Share of a core.
+    /// Processor time, in cores.
     pub cores: f64,
     /// Memory in MB; over it the node is killed.
     pub memory_mb: f64,
@@ -41,124 +49,201 @@
     pub sockets: usize,
 }
 
-/// All that a node is told at its start.
-pub struct Identity {
+/// All that a node is given at its start.
+pub struct NodeConfig {
     /// Its name, the same after a restart.
     pub name: String,
-    /// Where dispatchers connect.
+    /// Where load balancers connect.
     pub listen: SocketAddr,
-    /// Whom it speaks to.
-    pub peers: Peers,
-    /// For random numbers.
+    /// The addresses of its peers.
+    pub peers: PeerAddresses,
+    /// The seed of the decisions' random numbers.
     pub seed: u64,
-    /// From the notice to leave to the stop.
+    /// From the start of the drain to the stop.
     pub stop_after: Duration,
     /// What the process may use.
     pub limits: Limits,
-    /// The settings, decoded and as they stood.
-    pub start: DeploymentConfig,
+    /// The deployment, decoded from `settings`.
+    pub deployment: DeploymentConfig,
+    /// The same as JSON, to be compared with that of a later file.
     settings: serde_json::Value,
 }
 
-/// Descriptors and memory below which no node can serve.
-const LEAST_DESCRIPTORS: usize = 64;
-const LEAST_MEMORY_MB: f64 = 16.0;
-/// The longest time from the notice to leave to the stop that makes sense.
-const LONGEST_STOP_MS: f64 = 3_600_000.0;
+/// What a later file changes.
+#[derive(Debug, PartialEq, Eq)]
+pub struct ConfigUpdate {
+    /// The peers' addresses from now on.
+    pub peers: PeerAddresses,
+    /// Fields that differ and can change with a restart only.
+    pub needs_restart: Vec<&'static str>,
+}
 
-/// Reads and checks the file; an error names the file and the field.
-pub fn read(path: &Path, told: impl Fn(&str) -> Option<String>) -> Result<Identity, String> {
-    let wrong = |what: String| format!("{}: {what}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|e| wrong(e.to_string()))?;
-    let file: File = serde_json::from_str(&text).map_err(|e| wrong(e.to_string()))?;
-    if told("PROXY_NAME").is_some_and(|name| name != file.name) {
-        return Err(wrong(format!(
-            "name is {:?}, but PROXY_NAME says otherwise",
-            file.name
-        )));
-    }
-    if told("PROXY_LISTEN").is_some_and(|listen| listen != file.listen.to_string()) {
-        return Err(wrong(format!(
-            "listen is {}, but PROXY_LISTEN says otherwise",
-            file.listen
-        )));
-    }
-    let seed = u64::from_str_radix(&file.seed, 16)
-        .map_err(|_| wrong(format!("seed is no hexadecimal number: {:?}", file.seed)))?;
-    if !(0.0..=LONGEST_STOP_MS).contains(&file.stop_ms) {
-        return Err(wrong(format!("stop_ms is {}", file.stop_ms)));
-    }
-    if file.limits.sockets < LEAST_DESCRIPTORS {
-        return Err(wrong(format!("limits.sockets is {}", file.limits.sockets)));
-    }
-    if !file.limits.memory_mb.is_finite() || file.limits.memory_mb < LEAST_MEMORY_MB {
-        return Err(wrong(format!(
-            "limits.memory_mb is {}",
-            file.limits.memory_mb
-        )));
-    }
-    if !file.limits.cores.is_finite() || file.limits.cores <= 0.0 {
-        return Err(wrong(format!("limits.cores is {}", file.limits.cores)));
-    }
-    let start = facts::decode(file.settings.get().as_bytes())
-        .map_err(|e| wrong(format!("settings: {e}")))?;
-    Ok(Identity {
-        name: file.name,
-        listen: file.listen,
-        peers: file.peers,
-        seed,
-        stop_after: Duration::from_secs_f64(file.stop_ms / 1e3),
-        limits: file.limits,
-        start,
-        settings: serde_json::from_str(file.settings.get())
-            .map_err(|e| wrong(format!("settings: {e}")))?,
+/// Why a configuration is rejected.
+#[derive(Debug, Error)]
+#[error("{}: {problem}", path.display())]
+pub struct ConfigError {
+    /// The file.
+    pub path: PathBuf,
+    /// What is wrong with it.
+    pub problem: ConfigProblem,
+}
+
+/// What is wrong with a configuration.
+#[derive(Debug, Error)]
+pub enum ConfigProblem {
+    /// The file can't be read.
+    #[error("{0}")]
+    Unreadable(#[from] io::Error),
+    /// It is not the expected JSON.
+    #[error("{0}")]
+    Malformed(#[from] serde_json::Error),
+    /// An environment variable has another value than the field that it repeats.
+    #[error("{field} is {value}, but {variable} says otherwise")]
+    EnvironmentDiffers {
+        /// The field.
+        field: &'static str,
+        /// Its value.
+        value: String,
+        /// The environment variable.
+        variable: &'static str,
+    },
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("seed is no hexadecimal number: {0:?}")]
+    Seed(String),
+    /// A number is outside its bounds.
+    #[error("{field} is {value}")]
+    OutOfBounds {
+        /// The field.
+        field: &'static str,
+        /// Its value.
+        value: f64,
+    },
+    /// The deployment's settings are wrong.
+    #[error("settings: {0}")]
+    Settings(String),
+}
+
+/// The file as it is written.
+#[derive(Deserialize)]
+struct File {
+    name: String,
+    listen: SocketAddr,
+    #[serde(flatten)]
+    peers: PeerAddresses,
+    seed: String,
+    stop_ms: f64,
+    limits: Limits,
+    settings: Box<RawValue>,
+}
+
+/// Reads and checks the file. `environment` gives the values of environment variables.
+pub fn read(
+    path: &Path,
+    environment: impl Fn(&str) -> Option<String>,
+) -> Result<NodeConfig, ConfigError> {
+    read_checked(path, environment).map_err(|problem| ConfigError {
+        path: path.to_owned(),
+        problem,
     })
 }
 
-/// Reads a file that took the place of the one `now` in force; gives the new addresses, and the
-/// fields that differ but hold until a restart. The seed is new in every file and means nothing
-/// here.
+/// Reads a file that took the place of the one that `current` was read from. The seed is new in
+/// every file and is not compared.
 pub fn reread(
     path: &Path,
-    told: impl Fn(&str) -> Option<String>,
-    now: &Identity,
-) -> Result<Moved, String> {
-    let new = read(path, told)?;
+    environment: impl Fn(&str) -> Option<String>,
+    current: &NodeConfig,
+) -> Result<ConfigUpdate, ConfigError> {
+    let new = read(path, environment)?;
+    let has_backend = |config: &NodeConfig| config.peers.backend.is_some();
     let fields = [
-        ("name", new.name == now.name),
-        ("listen", new.listen == now.listen),
-        ("stop_ms", new.stop_after == now.stop_after),
-        ("limits", new.limits == now.limits),
-        ("settings", new.settings == now.settings),
-        (
-            "backend",
-            new.peers.backend.is_some() == now.peers.backend.is_some(),
-        ),
+        ("name", new.name == current.name),
+        ("listen", new.listen == current.listen),
+        ("stop_ms", new.stop_after == current.stop_after),
+        ("limits", new.limits == current.limits),
+        ("settings", new.settings == current.settings),
+        ("backend", has_backend(&new) == has_backend(current)),
     ];
-    let kept = fields
+    let needs_restart = fields
         .into_iter()
-        .filter(|(_, same)| !same)
+        .filter(|(_, is_same)| !is_same)
         .map(|(field, _)| field)
         .collect();
-    // Whether there is a back end is a fact like the settings; only its address may change.
-    let backend = now
+    // Whether there is a backend is a fact like the settings; only its address may change.
+    let backend = current
         .peers
         .backend
-        .and(new.peers.backend.or(now.peers.backend));
-    Ok(Moved {
-        peers: Peers {
+        .and(new.peers.backend.or(current.peers.backend));
+    Ok(ConfigUpdate {
+        peers: PeerAddresses {
             backend,
             ..new.peers
         },
-        kept,
+        needs_restart,
     })
 }
 
-/// What a new file changes.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Moved {
-    /// Where the peers are now.
-    pub peers: Peers,
-    /// Fields that differ and hold until a restart.
-    pub kept: Vec<&'static str>,
+fn read_checked(
+    path: &Path,
+    environment: impl Fn(&str) -> Option<String>,
+) -> Result<NodeConfig, ConfigProblem> {
+    let text = std::fs::read_to_string(path)?;
+    let file: File = serde_json::from_str(&text)?;
+    if environment(NAME_VARIABLE).is_some_and(|name| name != file.name) {
+        return Err(ConfigProblem::EnvironmentDiffers {
+            field: "name",
+            value: format!("{:?}", file.name),
+            variable: NAME_VARIABLE,
+        });
+    }
+    if environment(LISTEN_VARIABLE).is_some_and(|listen| listen != file.listen.to_string()) {
+        return Err(ConfigProblem::EnvironmentDiffers {
+            field: "listen",
+            value: file.listen.to_string(),
+            variable: LISTEN_VARIABLE,
+        });
+    }
+    let Ok(seed) = u64::from_str_radix(&file.seed, 16) else {
+        return Err(ConfigProblem::Seed(file.seed));
+    };
+    check_bounds(&file)?;
+    let deployment = deployment_config::decode(file.settings.get().as_bytes())
+        .map_err(ConfigProblem::Settings)?;
+    Ok(NodeConfig {
+        name: file.name,
+        listen: file.listen,
+        peers: file.peers,
+        seed,
+        stop_after: Duration::from_secs_f64(file.stop_ms / 1e3),
+        limits: file.limits,
+        deployment,
+        settings: serde_json::from_str(file.settings.get())
+            .map_err(|e| ConfigProblem::Settings(e.to_string()))?,
+    })
+}
+
+fn check_bounds(file: &File) -> Result<(), ConfigProblem> {
+    let Limits {
+        cores,
+        memory_mb,
+        sockets,
+    } = file.limits;
+    let checks = [
+        (
+            "stop_ms",
+            file.stop_ms,
+            (0.0..=STOP_MAX_MS).contains(&file.stop_ms),
+        ),
+        ("limits.sockets", sockets as f64, sockets >= SOCKETS_MIN),
+        (
+            "limits.memory_mb",
+            memory_mb,
+            memory_mb.is_finite() && memory_mb >= MEMORY_MIN_MB,
+        ),
+        ("limits.cores", cores, cores.is_finite() && cores > 0.0),
+    ];
+    match checks.into_iter().find(|(_, _, is_within)| !is_within) {
+        Some((field, value, _)) => Err(ConfigProblem::OutOfBounds { field, value }),
+        None => Ok(()),
+    }
 }
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -16,7 +16,7 @@
 use crate::capacity::{CapacityLimits, OptionalSubsystems};
 use crate::classify::Sheet;
 use crate::cluster::ClusterUpdate;
-use crate::config::{Identity, Moved, Peers};
+use crate::config::{ConfigUpdate, NodeConfig, PeerAddresses};
 use crate::fastcgi::Reply;
 use crate::log::part;
 use crate::node::{Core, Event, Moment};
@@ -54,22 +54,22 @@
 const LET_IN_MOST: Nanos = 50_000_000;
 
 /// Where peers are reached now; looked at before each connect.
-type Addresses = Arc<AtomicCell<Peers>>;
+type Addresses = Arc<AtomicCell<PeerAddresses>>;
 
-/// What the process is told from outside.
+/// What a running node is told from outside: by signals, by its supervisor, by rollouts.
 #[derive(Debug)]
-pub enum Notice {
-    /// To leave.
-    Leave,
-    /// To leave, for another process of this node takes its place: nobody is told that the node
-    /// goes.
+pub enum ControlMessage {
+    /// Drain and stop.
+    Drain,
+    /// Drain and stop, for another process of this node takes over: neither the service registry
+    /// nor the cluster hears that the node leaves.
     HandOver,
-    /// That its configuration was replaced.
-    Moved(Moved),
-    /// That its rules were replaced.
-    Ruled(Box<Sheet>),
-    /// That what it is told of its fleet was replaced.
-    Fleet(Box<Reset>),
+    /// The configuration was replaced.
+    Config(ConfigUpdate),
+    /// The rules were replaced.
+    Rules(Box<Sheet>),
+    /// The settings of the cluster were replaced.
+    Cluster(Box<Reset>),
 }
 
 /// What reaches the core's thread.
@@ -192,8 +192,8 @@
         }
     }
 
-    fn moved(&mut self, peers: Peers) -> bool {
-        self.addresses.swap(peers).kernel != peers.kernel
+    fn moved(&mut self, peers: PeerAddresses) -> bool {
+        self.addresses.swap(peers).executor != peers.executor
     }
 
     fn renew_kernel(&mut self) {
@@ -238,33 +238,34 @@
     peers: Receiver<Message>,
 }
 
-/// How much of each thing a node may keep, with these parts beside what it always has.
-pub fn room(who: &Identity, beside: OptionalSubsystems) -> CapacityLimits {
-    CapacityLimits::of(&who.limits, BACKEND_LINKS, beside)
+/// The bounds on what a node keeps, with these subsystems beside what it always has.
+pub fn capacity_limits(config: &NodeConfig, beside: OptionalSubsystems) -> CapacityLimits {
+    CapacityLimits::of(&config.limits, BACKEND_LINKS, beside)
 }
 
-/// What a node has beside what the platform asks for.
+/// What a node may have beside what the platform demands.
 #[derive(Default)]
-pub struct Ours {
-    /// The socket to listen on, where a parent has it; and what is done once the node serves.
+pub struct OptionalParts {
+    /// The socket to listen on, where a supervisor holds it.
     pub listener: Option<TcpListener>,
-    pub serves: Option<Box<dyn FnOnce()>>,
-    /// Rules, from settings of ours.
+    /// Called once the node serves.
+    pub on_serving: Option<Box<dyn FnOnce()>>,
+    /// Rules of the settings file.
     pub rules: Option<Box<Sheet>>,
-    /// Its part in a fleet.
-    pub fleet: Option<Box<Part>>,
+    /// Its part in a cluster.
+    pub cluster: Option<Box<Part>>,
 }
 
-impl Ours {
+impl OptionalParts {
     fn beside(&self) -> OptionalSubsystems {
-        let shared = self.fleet.as_ref().is_some_and(|part| part.shares());
+        let shared = self.cluster.as_ref().is_some_and(|part| part.shares());
         let changes = self
-            .fleet
+            .cluster
             .as_ref()
             .is_some_and(|part| !part.changes.is_empty());
         OptionalSubsystems {
             settings: self.rules.is_some(),
-            fleet: self.fleet.is_some(),
+            fleet: self.cluster.is_some(),
             shared,
             changes,
         }
@@ -272,9 +273,13 @@
 }
 
 /// Runs the node until it has left.
-pub fn serve(who: &Identity, ours: Ours, notices: Receiver<Notice>) -> io::Result<()> {
+pub fn serve(
+    config: &NodeConfig,
+    ours: OptionalParts,
+    notices: Receiver<ControlMessage>,
+) -> io::Result<()> {
     let clock = Clock::start();
-    let room = room(who, ours.beside());
+    let room = capacity_limits(config, ours.beside());
     let (front_events, front_inbox) = bounded(room.front_events);
     let (events, peers_inbox) = bounded(room.peer_events);
     let inbox = Inbox {
@@ -285,9 +290,9 @@
     let word = ours.listener.as_ref().map(|_| word);
     let listener = ours
         .listener
-        .map_or_else(|| TcpListener::bind(who.listen), Ok)?;
+        .map_or_else(|| TcpListener::bind(config.listen), Ok)?;
     let front = client_reader::open(listener, word, room, front_events)?;
-    let serves = ours.serves.map(|told| -> Box<dyn FnOnce()> {
+    let serves = ours.on_serving.map(|told| -> Box<dyn FnOnce()> {
         Box::new(move || {
             let _ = go.send(());
             told();
@@ -295,9 +300,9 @@
     });
     let handed = Arc::new(AtomicBool::new(false));
     let leaving = Arc::new(AtomicBool::new(false));
-    let addresses = Arc::new(AtomicCell::new(who.peers));
+    let addresses = Arc::new(AtomicCell::new(config.peers));
     let mut backend = Vec::new();
-    if who.peers.backend.is_some() {
+    if config.peers.backend.is_some() {
         for place in 0..BACKEND_LINKS {
             backend.push(backend_link::start(
                 Arc::clone(&addresses),
@@ -312,18 +317,18 @@
         leaving: Arc::clone(&leaving),
         handed: Arc::clone(&handed),
     };
-    registry_reports::start(Arc::clone(&addresses), who.name.clone(), told)?;
+    registry_reports::start(Arc::clone(&addresses), config.name.clone(), told)?;
     let budgets = ours
-        .fleet
+        .cluster
         .as_ref()
         .map_or(Vec::new(), |part| part.budgets.clone());
-    let rhythm = ours.fleet.as_ref().map(|part| part.rhythm());
+    let rhythm = ours.cluster.as_ref().map(|part| part.rhythm());
     let with = ours
-        .fleet
+        .cluster
         .as_ref()
         .map(|part| part.with())
         .unwrap_or_default();
-    let fleet = match ours.fleet {
+    let fleet = match ours.cluster {
         Some(mut part) => {
             part.settings.bytes = room.fleet;
             part.key_bytes = room.key_books;
@@ -337,7 +342,7 @@
             // same on many.
             Some(cluster_link::start(
                 *part,
-                who.seed ^ clock.now(),
+                config.seed ^ clock.now(),
                 unix,
                 events.clone(),
             )?)
@@ -349,14 +354,14 @@
     spawn("notices", move || {
         while let Ok(notice) = notices.recv() {
             let event = match notice {
-                Notice::Leave => Event::Drain,
-                Notice::HandOver => {
+                ControlMessage::Drain => Event::Drain,
+                ControlMessage::HandOver => {
                     hands.store(true, SeqCst);
                     Event::Drain
                 }
-                Notice::Moved(moved) => Event::Moved(moved),
-                Notice::Ruled(sheet) => Event::Ruled(sheet),
-                Notice::Fleet(reset) => {
+                ControlMessage::Config(update) => Event::Moved(update),
+                ControlMessage::Rules(sheet) => Event::Ruled(sheet),
+                ControlMessage::Cluster(reset) => {
                     told.iter().for_each(|fleet| fleet.reset((*reset).clone()));
                     continue;
                 }
@@ -376,11 +381,11 @@
         leaving,
         fleet,
     };
-    let stop_after = who.stop_after.as_nanos() as Nanos;
+    let stop_after = config.stop_after.as_nanos() as Nanos;
     let mut core = Core::new(
         sockets,
-        who.start.clone(),
-        who.seed,
+        config.deployment.clone(),
+        config.seed,
         stop_after,
         has_backend,
         &room,
--- a/crates/node/src/io/backend_link/tests.rs
+++ b/crates/node/src/io/backend_link/tests.rs
@@ -2,7 +2,7 @@
 //! cut.
 
 use super::*;
-use crate::config::Peers;
+use crate::config::PeerAddresses;
 use crossbeam_utils::atomic::AtomicCell;
 use madderpoint_test_harness::peers::{PATIENCE, listen, nobody};
 use std::net::TcpListener;
@@ -22,9 +22,9 @@
 impl Bench {
     fn new() -> Bench {
         let backend = listen();
-        let peers = Peers {
-            kernel: nobody(),
-            members: nobody(),
+        let peers = PeerAddresses {
+            executor: nobody(),
+            service_registry: nobody(),
             backend: Some(backend.local_addr().unwrap()),
         };
         let (events, inbox) = bounded(100);
--- a/crates/node/src/io/executor_link.rs
+++ b/crates/node/src/io/executor_link.rs
@@ -49,7 +49,7 @@
     let mut reader = executor::Reader::default();
     let mut told = false;
     loop {
-        let (begun, address) = (Instant::now(), addresses.load().kernel);
+        let (begun, address) = (Instant::now(), addresses.load().executor);
         match TcpStream::connect_timeout(&address, CONNECT) {
             Ok(stream) => {
                 told = false;
@@ -64,7 +64,7 @@
             }
             Err(_) => {}
         }
-        if addresses.load().kernel == address {
+        if addresses.load().executor == address {
             thread::sleep(RETRY.saturating_sub(begun.elapsed()));
         }
     }
--- a/crates/node/src/io/registry_reports.rs
+++ b/crates/node/src/io/registry_reports.rs
@@ -32,7 +32,7 @@
 fn report(addresses: &Addresses, node: &str, told: &Told) {
     let (leaving, mut failing) = (&told.leaving, false);
     loop {
-        let address = addresses.load().members;
+        let address = addresses.load().service_registry;
         let out = leaving.load(SeqCst);
         if told.handed.load(SeqCst) {
             return;
@@ -55,7 +55,7 @@
         let until = Instant::now() + rest;
         while Instant::now() < until
             && leaving.load(SeqCst) == out
-            && addresses.load().members == address
+            && addresses.load().service_registry == address
         {
             thread::sleep(Duration::from_millis(50).min(rest));
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -6,7 +6,7 @@
 use crate::capacity::CapacityLimits;
 use crate::classify::{Classifier, Full, Ruled, Sheet};
 use crate::cluster::{ClusterParticipation, ClusterUpdate};
-use crate::config::Moved;
+use crate::config::ConfigUpdate;
 use crate::executor::{End, Notice};
 use crate::fastcgi;
 use crate::log::part;
@@ -101,7 +101,7 @@
     /// The notice to leave.
     Drain,
     /// A new configuration.
-    Moved(Moved),
+    Moved(ConfigUpdate),
     /// Rules that are in force from now on.
     Ruled(Box<Sheet>),
     /// What is seen of the fleet.
--- a/crates/node/src/node/tests.rs
+++ b/crates/node/src/node/tests.rs
@@ -5,7 +5,7 @@
 use crate::actions::{Close, Wanted};
 use crate::backend::Outcome;
 use crate::cluster::ClusterUpdate;
-use crate::config::{Limits, Peers};
+use crate::config::{ConfigUpdate, Limits, PeerAddresses};
 use crate::fastcgi::{ProtocolStatus, Reply};
 use madderpoint::Host;
 use madderpoint_test_harness::wire::{self as support, Answer};
@@ -85,7 +85,7 @@
     fn rest(&mut self, place: usize) {
         self.resting.push(place);
     }
-    fn moved(&mut self, _: Peers) -> bool {
+    fn moved(&mut self, _: PeerAddresses) -> bool {
         true
     }
     fn renew_kernel(&mut self) {
@@ -763,16 +763,16 @@
 fn a_new_configuration_moves_the_kernels_link_without_doubt() {
     let mut node = Node::new();
     let address = ([127, 0, 0, 1], 1).into();
-    let peers = Peers {
-        kernel: address,
-        members: address,
+    let peers = PeerAddresses {
+        executor: address,
+        service_registry: address,
         backend: Some(address),
     };
     node.ask(1, "/call/pay", A);
     assert_eq!(node.kernel_lines(), [sched(A, "pay")]);
-    node.event(Event::Moved(Moved {
+    node.event(Event::Moved(ConfigUpdate {
         peers,
-        kept: vec![],
+        needs_restart: vec![],
     }));
     node.ask(2, "/call/read", B);
     assert_eq!(
@@ -788,15 +788,15 @@
     assert_eq!(node.counted("runs in doubt after a broken link"), 0);
     node.reap(A, End::Ok, b"result");
     assert_eq!(node.kernel_lines(), [sched(B, "read")]);
-    node.event(Event::Moved(Moved {
+    node.event(Event::Moved(ConfigUpdate {
         peers,
-        kept: vec![],
+        needs_restart: vec![],
     }));
     node.wait(150); // a kernel that says nothing is not waited for
     assert_eq!(node.core.out(|out| out.renewed), 2);
-    node.event(Event::Moved(Moved {
+    node.event(Event::Moved(ConfigUpdate {
         peers,
-        kept: vec![],
+        needs_restart: vec![],
     })); // nor is a link that is going already
     assert_eq!(node.core.out(|out| out.renewed), 3);
 }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,603 +1,197 @@
-//! Starts a node from the file that `PROXY_CONFIG` names, and hands it the notice to leave, new
-//! configurations and new settings.
-
-use madderpoint_deployment_config::DeploymentConfig;
-use madderpoint_membership::datagram_auth::AuthKeys;
-use madderpoint_membership::swim::FeatureToggles;
-use madderpoint_node::capacity::OptionalSubsystems;
-use madderpoint_node::classify::Sheet;
-use madderpoint_node::config::{self, Identity};
-use madderpoint_node::io::{self, Changing, Notice, Ours, Part, Reset, Versions};
-use madderpoint_node::log::{self, part};
-use madderpoint_node::node::Service;
-use madderpoint_node::supervisor_client::{self, ProgramVersions};
-use madderpoint_node::version_store::Directory;
-use madderpoint_rollout::{Kind as ChangeKind, PersistedState, Version};
-use madderpoint_settings::{self as settings, Complaints, FleetSettings, Known, Place, Translator};
-use madderpoint_shared_state::keyed_quota::KeyedQuota;
-use madderpoint_shared_state::{Budget, Kind};
+//! `madderpoint serve`: starts a node from the file that `PROXY_CONFIG` names and, where one is
+//! given, from a settings file; then passes SIGTERM, new configurations and new settings on to it.
+
+mod cluster;
+mod reload;
+mod settings;
+mod versions;
+
+pub use settings::{known, read, read_keys};
+
+use crossbeam_channel::Sender;
+use madderpoint_node::config::{self, ConfigError, NodeConfig};
+use madderpoint_node::io::{self, Changing, ControlMessage, OptionalParts};
+use madderpoint_node::log;
+use madderpoint_node::supervisor_client::{self, Adopted, ProgramVersions};
+use madderpoint_settings::{Complaints, FleetSettings};
+use reload::Reloader;
+use settings::SettingsError;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::thread;
-use tracing::warn;
+use thiserror::Error;
+use versions::{InForce, LoadedSettings};
 
-/// Stack of the thread that waits for signals; where it reads settings too, their expressions nest
-/// in each other.
+/// Stack of the thread that waits for signals, in bytes.
 const STACK: usize = 128 * 1024;
-const STACK_TO_READ: usize = 1024 * 1024;
-/// The port of the fleet where none is set.
-const FLEET_PORT: u16 = 7946;
-/// What a file of keys may have.
-const KEY_FILE_MOST: u64 = 4096;
-
-/// The names and effects that a configuration's settings have.
-pub fn known(start: &DeploymentConfig) -> Known {
-    let effects = start.deployment.operations.iter().map(|o| o.effect);
-    Known {
-        operations: Some(start.operations.iter().cloned().zip(effects).collect()),
-        tenants: Some(start.tenants.clone()),
-        ..Known::anything()
-    }
-}
-
-/// Reads a file of our settings.
-pub fn read(path: &Path, known: &Known) -> Result<Translator, Complaints> {
-    let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| {
-        let (field, expected) = (String::new(), "a file of settings".to_owned());
-        let complaint = settings::Complaint {
-            place: Place::Whole,
-            field,
-            what: e.to_string(),
-            expected,
-        };
-        Complaints::new(&name, "", vec![complaint])
-    })?;
-    settings::read(&name, &text, known)
-}
-
-/// The keys of a fleet. A name that is no whole path is looked for beside the settings.
-pub fn keys(settings: &Path, fleet: &FleetSettings) -> Result<AuthKeys, String> {
-    let path = settings.parent().unwrap_or(Path::new("")).join(&fleet.keys);
-    let wrong = |what: String| format!("fleet/@keys: {}: {what}", path.display());
-    let size = std::fs::metadata(&path)
-        .map_err(|e| wrong(e.to_string()))?
-        .len();
-    if size > KEY_FILE_MOST {
-        return Err(wrong(format!(
-            "{size} bytes; expected {KEY_FILE_MOST} at most"
-        )));
-    }
-    let text = std::fs::read_to_string(&path).map_err(|e| wrong(e.to_string()))?;
-    AuthKeys::read(&text).map_err(wrong)
-}
-
-/// How the node takes part in its fleet. What differs by node may be told by the environment.
-fn part(
-    file: &Path,
-    read: &Translator,
-    who: &Identity,
-    told: impl Fn(&str) -> Option<String>,
-) -> Result<Option<Box<Part>>, String> {
-    let Some(fleet) = &read.fleet else {
-        return Ok(None);
-    };
-    let address = |name: &str, set: Option<SocketAddr>| match told(name) {
-        Some(text) => text
-            .parse()
-            .map(Some)
-            .map_err(|_| format!("{name}: {text:?} is no address")),
-        None => Ok(set),
-    };
-    let usual = SocketAddr::new(who.listen.ip(), FLEET_PORT);
-    let bind = address("MADDERPOINT_FLEET_BIND", fleet.bind)?.unwrap_or(usual);
-    let advertise = address("MADDERPOINT_FLEET_ADVERTISE", fleet.advertise)?.unwrap_or(bind);
-    if advertise.ip().is_unspecified() || advertise.port() == 0 {
-        return Err(format!(
-            "fleet/@advertise: nobody can reach {advertise}; expected an address of this node"
-        ));
-    }
-    let zone = told("MADDERPOINT_ZONE")
-        .or_else(|| fleet.zone.clone())
-        .unwrap_or_default();
-    let settings = madderpoint_membership::Config {
-        fleet: fleet.name.clone(),
-        name: who.name.clone(),
-        zone,
-        address: advertise,
-        seeds: fleet.seeds.clone(),
-        keys: keys(file, fleet)?,
-        periods: fleet.periods,
-        program: fleet
-            .program
-            .clone()
-            .unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned()),
-        settings: read.number,
-        bytes: 0,
-        extensions: FeatureToggles::default(),
+/// The same where it reads settings too, whose expressions nest in each other.
+const SETTINGS_STACK: usize = 1024 * 1024;
+
+/// The environment variable that names the configuration.
+const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
+
+/// Why a node does not start.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// Signals can't be received.
+    #[error("signals: {0}")]
+    Signals(std::io::Error),
+    /// `PROXY_CONFIG` is not set.
+    #[error("{CONFIG_VARIABLE} is not set")]
+    ConfigNotSet,
+    /// The configuration is rejected.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// What the supervisor hands over can't be taken up.
+    #[error("{0}")]
+    Supervisor(String),
+    /// No thread could be started that listens to the supervisor.
+    #[error("supervisor: {0}")]
+    SupervisorLink(std::io::Error),
+    /// The settings file has errors; they are shown with their lines.
+    #[error("settings not taken:\n{0}")]
+    SettingsFile(Box<Complaints>),
+    /// The settings can't be used on this node.
+    #[error("settings not taken: {0}")]
+    Settings(#[from] SettingsError),
+    /// No version of the settings that is kept can be run.
+    #[error("settings not taken: {0}")]
+    NoVersion(String),
+    /// The directory of versions can't be used.
+    #[error("rollout/@dir: {0}")]
+    VersionStore(String),
+    /// The settings file can't be read.
+    #[error("{}: {error}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        error: std::io::Error,
+    },
+    /// The node can't listen, or its threads can't be started.
+    #[error("listen {address}: {error}")]
+    Listen {
+        /// Where load balancers were to connect.
+        address: SocketAddr,
+        /// Why not.
+        error: std::io::Error,
+    },
+}
+
+/// The value of an environment variable.
+fn environment(name: &str) -> Option<String> {
+    std::env::var(name).ok()
+}
+
+/// Serves until the drain is over.
+pub fn serve(settings: Option<PathBuf>, logging: log::Options) -> Result<(), StartError> {
+    // First of all, so that neither signal ever ends the process by its default.
+    let signals = Signals::new([SIGTERM, SIGHUP]).map_err(StartError::Signals)?;
+    let path = std::env::var_os(CONFIG_VARIABLE).ok_or(StartError::ConfigNotSet)?;
+    let path = PathBuf::from(path);
+    let config = Arc::new(config::read(&path, environment)?);
+    log::start(&config.name, logging);
+    let (control, control_inbox) = crossbeam_channel::bounded(1);
+    let adopted = match environment(supervisor_client::UNDER) {
+        Some(_) => Some(supervisor_client::adopt().map_err(StartError::Supervisor)?),
+        None => None,
     };
-    let arbiters = fleet
-        .arbiters
-        .iter()
-        .map(|name| madderpoint_membership::MemberKey::of(name).0)
-        .collect();
-    let (budgets, keys) = (fleet.budgets.clone(), key_budgets(read));
-    let service = fleet.service.as_ref().map(|service| Service {
-        name: service.name.clone(),
-        slow: service.slow,
-        zone: io::zone_number(&settings.zone),
-    });
-    let operations = who.start.operations.clone();
-    let objectives = who
-        .start
-        .deployment
-        .operations
-        .iter()
-        .map(|of| of.latency_objective)
-        .collect();
-    let (key_bytes, count_bytes, change_bytes) = (0, 0, 0); // as there is room for
-    Ok(Some(Box::new(Part {
-        bind,
-        settings,
-        arbiters,
-        budgets,
-        keys,
-        key_bytes,
-        service,
-        operations,
-        objectives,
-        count_bytes,
-        waits: false,
-        changes: Vec::new(),
-        change_bytes,
-    })))
-}
-
-/// Limits by key of the whole fleet, as the rules' buckets have them.
-fn key_budgets(read: &Translator) -> Vec<KeyedQuota> {
-    read.rules
-        .iter()
-        .flat_map(|rules| &rules.fleet)
-        .map(|(_, budget)| budget.clone())
-        .collect()
-}
-
-/// The rules of a file; one without rules has an empty set, so that those before it end.
-fn sheet(read: &mut Translator) -> Box<Sheet> {
-    let secret = read.fleet.as_ref().map_or(0, |fleet| fleet.secret);
-    match read.rules.take() {
-        Some(mut book) => {
-            book.rules
-                .share(book.fleet.iter().map(|(place, _)| *place), secret);
-            Box::new(Sheet {
-                rules: book.rules,
-                buckets: book.buckets,
-                fleet: book.fleet,
-            })
-        }
-        None => Box::new(Sheet::default()),
+    let mut parts = OptionalParts::default();
+    let (mut fleet, mut in_force) = (None, None);
+    if let Some(file) = &settings {
+        (fleet, in_force) = load_settings(file, &config, &control, adopted.as_ref(), &mut parts)?;
     }
-}
-
-fn with_room(who: &Identity) -> Known {
-    let room = io::room(
-        who,
-        OptionalSubsystems {
-            settings: true,
-            fleet: true,
-            shared: true,
-            changes: true,
-        },
-    );
-    Known {
-        bytes: room.rules,
-        file_bytes: room.settings_file,
-        ..known(&who.start)
+    if let Some(adopted) = adopted {
+        listen_to_supervisor(adopted, control.clone(), &mut parts)?;
     }
-}
-
-/// Whether two lists hold the same budgets, but for their figures.
-fn same_kinds(a: &[Budget], b: &[Budget]) -> bool {
-    let kind = |budget: &Budget| {
-        (
-            budget.name.clone(),
-            matches!(budget.kind, Kind::Rate { .. }),
-        )
+    let reloader = Reloader {
+        config_path: path,
+        config: Arc::clone(&config),
+        settings,
+        fleet,
+        in_force,
+        control,
     };
-    a.iter().map(kind).eq(b.iter().map(kind))
-}
-
-/// The fields of `<fleet>` that differ and hold until a restart.
-fn until_a_restart(new: &FleetSettings, now: &FleetSettings) -> Vec<&'static str> {
-    let kept = [
-        ("name", new.name == now.name),
-        ("zone", new.zone == now.zone),
-        ("bind", new.bind == now.bind),
-        ("advertise", new.advertise == now.advertise),
-        ("program", new.program == now.program),
-        ("arbiter", new.arbiters == now.arbiters),
-        ("calls-budget", same_kinds(&new.budgets, &now.budgets)),
-        ("service", new.service == now.service),
-    ];
-    kept.iter()
-        .filter(|(_, same)| !same)
-        .map(|(field, _)| *field)
-        .collect()
-}
-
-/// What the fleet's part is told of settings that take force now.
-fn reset(
-    read: &Translator,
-    new: &FleetSettings,
-    now: &FleetSettings,
-    keys: AuthKeys,
-) -> Box<Reset> {
-    // Limits may change; budgets that come or go, or are of another kind, wait for a restart.
-    let same = same_kinds(&new.budgets, &now.budgets);
-    let budgets = if same { &new.budgets } else { &now.budgets }.clone();
-    Box::new(Reset {
-        keys,
-        seeds: new.seeds.clone(),
-        periods: new.periods,
-        number: read.number,
-        budgets,
-        key_budgets: key_budgets(read),
-        plan: read.rollout.as_ref().map(|rollout| rollout.plan.clone()),
+    start_signal_thread(signals, reloader)?;
+    io::serve(&config, parts, control_inbox).map_err(|error| StartError::Listen {
+        address: config.listen,
+        error,
     })
 }
 
-/// A new file of settings: all of it is taken or none.
-fn reread(file: &Path, who: &Identity, now: Option<&FleetSettings>, tell: impl Fn(Notice)) {
-    let read = read(file, &with_room(who)).map_err(|what| what.first());
-    let read = read.and_then(|read| match &read.fleet {
-        Some(fleet) => keys(file, fleet).map(|keys| (Some(keys), read)),
-        None => Ok((None, read)),
-    });
-    let (keys, mut read) = match read {
-        Ok(read) => read,
-        Err(what) => {
-            warn!(target: part::SETTINGS, error = %what, "new settings rejected: the current ones stay in force");
-            return;
-        }
-    };
-    match (keys, &read.fleet, now) {
-        (Some(keys), Some(new), Some(now)) => {
-            let kept = until_a_restart(new, now);
-            if !kept.is_empty() {
-                warn!(target: part::SETTINGS, fields = ?kept, "changes of <fleet> need a restart");
-            }
-            tell(Notice::Fleet(reset(&read, new, now, keys)));
-        }
-        (None, None, None) => {}
-        _ => warn!(target: part::SETTINGS, "to add or remove <fleet> needs a restart"),
-    }
-    tell(Notice::Ruled(sheet(&mut read)));
-}
-
-/// Where versions are kept, if they are: told by the environment, or by the settings, beside whose
-/// file it then is.
-fn versions_dir(
-    file: &Path,
-    read: Option<&Translator>,
-    told: impl Fn(&str) -> Option<String>,
-) -> Option<PathBuf> {
-    let set = || {
-        read.and_then(|read| read.rollout.as_ref())
-            .map(|rollout| rollout.dir.clone())
-    };
-    let dir = told("MADDERPOINT_ROLLOUT_DIR").or_else(set)?;
-    Some(file.parent().unwrap_or(Path::new("")).join(dir))
-}
-
-/// What is in force, for the threads that may change it.
-#[derive(Debug)]
-struct InForce {
-    version: Version,
-    fleet: FleetSettings,
-    budgets: Vec<KeyedQuota>,
-}
-
-/// Versions of our settings.
-struct SettingsVersions {
-    directory: Directory,
-    file: PathBuf,
-    who: Arc<Identity>,
-    in_force: Arc<Mutex<InForce>>,
-    notices: crossbeam_channel::Sender<Notice>,
-}
-
-/// A version's text, read and checked by this node's own limits and names.
-fn read_version(
-    file: &Path,
-    content: &[u8],
-    who: &Identity,
-) -> Result<(Translator, AuthKeys), String> {
-    let text = std::str::from_utf8(content).map_err(|_| "it is no text".to_owned())?;
-    let read = settings::read("settings", text, &with_room(who)).map_err(|what| what.first())?;
-    let (Some(fleet), Some(_)) = (&read.fleet, &read.rollout) else {
-        return Err(
-            "it has no <fleet> or no <rollout>: these come and go with a restart only".into(),
-        );
-    };
-    let keys = keys(file, fleet)?;
-    Ok((read, keys))
-}
-
-impl SettingsVersions {
-    fn in_force(&self) -> std::sync::MutexGuard<'_, InForce> {
-        self.in_force.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-}
-
-impl Versions for SettingsVersions {
-    fn check(&mut self, _: Option<Version>, content: Option<&[u8]>) -> Result<Version, String> {
-        let (read, new_keys) = read_version(&self.file, content.unwrap_or_default(), &self.who)?;
-        let now = self.in_force();
-        if let Some(fleet) = &read.fleet {
-            let kept = until_a_restart(fleet, &now.fleet);
-            if !kept.is_empty() {
-                return Err(format!(
-                    "{kept:?} of <fleet> can change with a restart only"
-                ));
-            }
-            if !keys(&self.file, &now.fleet)?.meet(&new_keys) {
-                let what = "old and new nodes would not understand each other: add the new key first, after the old one";
-                return Err(format!("fleet/@keys: {what}"));
-            }
-        }
-        let (number, hash) = read.number;
-        Ok(Version { number, hash })
-    }
-
-    fn keep(
-        &mut self,
-        kept: &PersistedState,
-        content: Option<(Version, &[u8])>,
-    ) -> Result<(), String> {
-        self.directory.keep(kept, content)
-    }
-
-    fn apply(&mut self, version: Version) -> Result<(), String> {
-        let content = self.directory.content(version)?;
-        let (mut read, keys) = read_version(&self.file, &content, &self.who)?;
-        let Some(new) = read.fleet.clone() else {
-            return Err("it has no <fleet>".into());
-        };
-        let told = {
-            let mut now = self.in_force();
-            let told = reset(&read, &new, &now.fleet, keys);
-            *now = InForce {
-                version,
-                fleet: new,
-                budgets: told.key_budgets.clone(),
-            };
-            told
-        };
-        let tell = |notice| {
-            self.notices
-                .send(notice)
-                .map_err(|_| "the node ends".to_owned())
-        };
-        tell(Notice::Fleet(told))?;
-        tell(Notice::Ruled(sheet(&mut read)))
-    }
-}
-
-/// With changes in stages a file by hand is not taken in mid-run: only the fleet's keys are read
-/// anew.
-fn rekey(file: &Path, who: &Identity, in_force: &Mutex<InForce>, tell: impl Fn(Notice)) {
-    let reset = {
-        let now = in_force.lock().unwrap_or_else(PoisonError::into_inner);
-        let keys = match keys(file, &now.fleet) {
-            Ok(keys) => keys,
-            Err(what) => {
-                warn!(target: part::SETTINGS, error = %what, "new keys rejected: the current ones stay in force");
-                return;
-            }
-        };
-        match read(file, &with_room(who)) {
-            Ok(read) if read.number != (now.version.number, now.version.hash) => {
-                warn!(
-                    target: part::SETTINGS,
-                    file_version = read.number.0,
-                    in_force = %now.version,
-                    "new settings not in force: they need 'rollout start'"
-                );
-            }
-            Ok(_) => {}
-            Err(what) => {
-                warn!(
-                    target: part::SETTINGS,
-                    error = %what.first(),
-                    "new settings rejected: the current ones stay in force"
-                );
-            }
-        }
-        let fleet = &now.fleet;
-        Box::new(Reset {
-            keys,
-            seeds: fleet.seeds.clone(),
-            periods: fleet.periods,
-            number: (now.version.number, now.version.hash),
-            budgets: fleet.budgets.clone(),
-            key_budgets: now.budgets.clone(),
-            plan: None,
-        })
-    };
-    tell(Notice::Fleet(reset));
-}
-
-/// What a node with settings of ours starts with.
-struct Started {
-    read: Translator,
-    /// Versions are kept: what is in force, and the node's part in changes.
-    changing: Option<(Arc<Mutex<InForce>>, Changing)>,
-}
+/// The `<fleet>` that the node starts with, and what is in force where versions are kept.
+type ClusterState = (Option<FleetSettings>, Option<Arc<Mutex<InForce>>>);
 
-/// Reads the settings; where versions are kept, those that the node is to start on.
-fn start(
+/// Reads the settings file and sets up what the node has by it.
+fn load_settings(
     file: &Path,
-    who: &Arc<Identity>,
-    notices: &crossbeam_channel::Sender<Notice>,
-    beside: bool,
-    told: impl Fn(&str) -> Option<String>,
-) -> Result<Started, String> {
-    let given = read(file, &with_room(who));
-    let Some(dir) = versions_dir(file, given.as_ref().ok(), &told) else {
-        return given
-            .map(|read| Started {
-                read,
-                changing: None,
-            })
-            .map_err(|e| format!("settings not taken:\n{e}"));
-    };
-    let open = if beside {
-        Directory::beside
-    } else {
-        Directory::open
-    };
-    let mut directory =
-        open(&dir, &who.name, ChangeKind::Settings).map_err(|e| format!("rollout/@dir: {e}"))?;
-    // What is given may be broken or gone: what was in force is on the disk.
-    let content = match &given {
-        Ok(read) => {
-            let bytes = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-            Some((
-                Version {
-                    number: read.number.0,
-                    hash: read.number.1,
-                },
-                bytes,
-            ))
-        }
-        Err(what) => {
-            warn!(target: part::SETTINGS, error = %what.first(), "settings rejected: the node starts on the version in force");
-            None
-        }
-    };
-    let begun = directory.begin(content, |version, content| {
-        let (read, _) = read_version(file, content, who)?;
-        match read.number == (version.number, version.hash) {
-            true => Ok(read),
-            false => Err("its content is not what its name says".into()),
-        }
-    });
-    let begun = begun.map_err(|what| match &given {
-        Err(complaints) => format!("settings not taken:\n{complaints}"),
-        Ok(_) => format!("settings not taken: {what}"),
-    })?;
-    let (read, version) = (begun.runs, begun.start.running);
-    let Some(fleet) = read.fleet.clone() else {
-        return Err("settings not taken: no <fleet>".into());
-    };
-    let in_force = Arc::new(Mutex::new(InForce {
-        version,
-        fleet,
-        budgets: key_budgets(&read),
-    }));
-    let versions = SettingsVersions {
-        directory,
-        file: file.to_owned(),
-        who: Arc::clone(who),
-        in_force: Arc::clone(&in_force),
-        notices: notices.clone(),
-    };
-    let plan = read
-        .rollout
-        .as_ref()
-        .map(|rollout| rollout.plan.clone())
-        .unwrap_or_default();
-    let changing = Changing {
-        start: begun.start,
-        plan,
-        versions: Box::new(versions),
-    };
-    Ok(Started {
-        read,
-        changing: Some((in_force, changing)),
-    })
-}
-
-/// Serves until the notice to leave has been carried out.
-pub fn serve(settings: Option<PathBuf>, logging: log::Options) -> Result<(), String> {
-    // First of all, so that neither signal ever ends the process by its default.
-    let mut signals = Signals::new([SIGTERM, SIGHUP]).map_err(|e| format!("signals: {e}"))?;
-    let path = PathBuf::from(std::env::var_os("PROXY_CONFIG").ok_or("PROXY_CONFIG is not set")?);
-    let told = |name: &str| std::env::var(name).ok();
-    let who = Arc::new(config::read(&path, told)?);
-    log::start(&who.name, logging);
-    let (notices, inbox) = crossbeam_channel::bounded(1);
-    let adopted = match told(supervisor_client::UNDER) {
-        Some(_) => Some(supervisor_client::adopt()?),
-        None => None,
-    };
-    let beside = adopted.as_ref().is_some_and(|adopted| adopted.begin.beside);
-    let (mut ours, mut fleet, mut in_force) = (Ours::default(), None, None);
-    if let Some(file) = &settings {
-        let Started { mut read, changing } = start(file, &who, &notices, beside, told)?;
-        ours.fleet =
-            part(file, &read, &who, told).map_err(|e| format!("settings not taken: {e}"))?;
-        if let (Some(part), Some((now, changing))) = (&mut ours.fleet, changing) {
-            part.changes.push(changing);
-            in_force = Some(now);
+    config: &Arc<NodeConfig>,
+    control: &Sender<ControlMessage>,
+    adopted: Option<&Adopted>,
+    parts: &mut OptionalParts,
+) -> Result<ClusterState, StartError> {
+    let is_beside = adopted.is_some_and(|adopted| adopted.begin.beside);
+    let LoadedSettings {
+        mut read,
+        versions: settings_versions,
+    } = versions::load(file, config, control, is_beside)?;
+    parts.cluster = cluster::participation(file, &read, config)?;
+    let mut in_force = None;
+    if let Some(cluster) = &mut parts.cluster {
+        if let Some((state, changing)) = settings_versions {
+            cluster.changes.push(changing);
+            in_force = Some(state);
         }
-        if let (Some(part), Some(adopted)) = (&mut ours.fleet, &adopted) {
-            part.waits = true;
-            if part.shares() {
-                let plan = read
-                    .rollout
-                    .as_ref()
-                    .map(|rollout| rollout.plan.clone())
-                    .unwrap_or_default();
-                let versions = Box::new(ProgramVersions(Arc::clone(&adopted.link)));
-                part.changes.push(Changing {
+        if let Some(adopted) = adopted {
+            cluster.waits = true;
+            if cluster.shares() {
+                cluster.changes.push(Changing {
                     start: supervisor_client::start(&adopted.begin),
-                    plan,
-                    versions,
+                    plan: settings::plan(&read),
+                    versions: Box::new(ProgramVersions(Arc::clone(&adopted.link))),
                 });
             }
         }
-        ours.rules = Some(sheet(&mut read));
-        fleet = read.fleet;
-    }
-    if let Some(mut adopted) = adopted {
-        let link = Arc::clone(&adopted.link);
-        ours.listener = adopted.listener.take();
-        ours.serves = Some(Box::new(move || link.ready()));
-        adopted
-            .listen(notices.clone())
-            .map_err(|e| format!("parent: {e}"))?;
     }
-    let first = Arc::clone(&who);
-    let stack = if settings.is_some() {
-        STACK_TO_READ
+    parts.rules = Some(settings::take_rules(&mut read));
+    Ok((read.fleet, in_force))
+}
+
+/// Takes over the supervisor's socket, reports to it once the node serves, and passes on what it
+/// asks for.
+fn listen_to_supervisor(
+    mut adopted: Adopted,
+    control: Sender<ControlMessage>,
+    parts: &mut OptionalParts,
+) -> Result<(), StartError> {
+    let link = Arc::clone(&adopted.link);
+    parts.listener = adopted.listener.take();
+    parts.on_serving = Some(Box::new(move || link.ready()));
+    adopted.listen(control).map_err(StartError::SupervisorLink)
+}
+
+fn start_signal_thread(mut signals: Signals, reloader: Reloader) -> Result<(), StartError> {
+    let stack = if reloader.settings.is_some() {
+        SETTINGS_STACK
     } else {
         STACK
     };
-    let listening = thread::Builder::new()
+    let work = move || {
+        for signal in signals.forever() {
+            if signal == SIGTERM {
+                reloader.send(ControlMessage::Drain);
+            } else {
+                reloader.reload();
+            }
+        }
+    };
+    thread::Builder::new()
         .name("signals".into())
         .stack_size(stack)
-        .spawn(move || {
-            let tell = |notice| drop(notices.send(notice));
-            for signal in signals.forever() {
-                if signal == SIGTERM {
-                    tell(Notice::Leave);
-                    continue;
-                }
-                match config::reread(&path, told, &first) {
-                    Ok(moved) => tell(Notice::Moved(moved)),
-                    Err(what) => warn!(target: part::CONFIGURATION, error = %what, "new configuration rejected: the current one stays in force"),
-                }
-                match (&settings, &in_force) {
-                    (Some(file), Some(in_force)) => rekey(file, &first, in_force, tell),
-                    (Some(file), None) => reread(file, &first, fleet.as_ref(), tell),
-                    (None, _) => {}
-                }
-            }
-        });
-    listening.map_err(|e| format!("signals: {e}"))?;
-    io::serve(&who, ours, inbox).map_err(|e| format!("listen {}: {e}", who.listen))
+        .spawn(work)
+        .map(drop)
+        .map_err(StartError::Signals)
 }
--- /dev/null
+++ b/crates/node/src/serve/reload.rs
@@ -0,0 +1,132 @@
+//! What SIGHUP brings: the configuration is read again, and the settings file or, where settings
+//! change by rollouts, the cluster's keys. A bad file changes nothing.
+
+use super::settings::{self, SettingsError, known_on_node, read_keys, take_rules};
+use super::versions::{InForce, lock, version_of};
+use super::{cluster, environment};
+use crossbeam_channel::Sender;
+use madderpoint_membership::datagram_auth::AuthKeys;
+use madderpoint_node::config::{self, NodeConfig};
+use madderpoint_node::io::{ControlMessage, Reset};
+use madderpoint_node::log::part;
+use madderpoint_settings::{FleetSettings, Translator};
+use std::path::{Path, PathBuf};
+use std::sync::{Arc, Mutex};
+use tracing::warn;
+
+/// Reads files again and sends the running node what has changed.
+pub struct Reloader {
+    /// The file of the configuration.
+    pub config_path: PathBuf,
+    /// The configuration in force.
+    pub config: Arc<NodeConfig>,
+    /// The settings file.
+    pub settings: Option<PathBuf>,
+    /// The `<fleet>` that the node started with.
+    pub fleet: Option<FleetSettings>,
+    /// What is in force, where settings change by rollouts.
+    pub in_force: Option<Arc<Mutex<InForce>>>,
+    /// Where the running node is told.
+    pub control: Sender<ControlMessage>,
+}
+
+impl Reloader {
+    /// Sends the running node a message; one that has stopped gets none.
+    pub fn send(&self, message: ControlMessage) {
+        let _ = self.control.send(message);
+    }
+
+    /// Reads all files again.
+    pub fn reload(&self) {
+        match config::reread(&self.config_path, environment, &self.config) {
+            Ok(update) => self.send(ControlMessage::Config(update)),
+            Err(e) => warn!(
+                target: part::CONFIGURATION,
+                error = %e,
+                "new configuration rejected: the current one stays in force"
+            ),
+        }
+        match (&self.settings, &self.in_force) {
+            (Some(file), Some(in_force)) => self.reload_keys(file, in_force),
+            (Some(file), None) => self.reload_settings(file),
+            (None, _) => {}
+        }
+    }
+
+    /// Takes a new settings file: all of it or nothing.
+    fn reload_settings(&self, file: &Path) {
+        let (keys, mut read) = match self.read_settings(file) {
+            Ok(new) => new,
+            Err(e) => return settings_rejected(&e.to_string()),
+        };
+        match (keys, &read.fleet, &self.fleet) {
+            (Some(keys), Some(new), Some(current)) => {
+                let fields = cluster::fields_needing_restart(new, current);
+                if !fields.is_empty() {
+                    warn!(target: part::SETTINGS, ?fields, "changes of <fleet> need a restart");
+                }
+                let update = cluster::update(&read, new, current, keys);
+                self.send(ControlMessage::Cluster(update));
+            }
+            (None, None, None) => {}
+            _ => warn!(target: part::SETTINGS, "to add or remove <fleet> needs a restart"),
+        }
+        self.send(ControlMessage::Rules(take_rules(&mut read)));
+    }
+
+    fn read_settings(&self, file: &Path) -> Result<(Option<AuthKeys>, Translator), SettingsError> {
+        let read = settings::read(file, &known_on_node(&self.config))
+            .map_err(|complaints| SettingsError::Invalid(complaints.first()))?;
+        let keys = match &read.fleet {
+            Some(fleet) => Some(read_keys(file, fleet)?),
+            None => None,
+        };
+        Ok((keys, read))
+    }
+
+    /// Takes new keys of the cluster only: the file itself takes effect by a rollout.
+    fn reload_keys(&self, file: &Path, in_force: &Mutex<InForce>) {
+        let update = {
+            let current = lock(in_force);
+            let keys = match read_keys(file, &current.fleet) {
+                Ok(keys) => keys,
+                Err(e) => {
+                    warn!(
+                        target: part::SETTINGS,
+                        error = %e,
+                        "new keys rejected: the current ones stay in force"
+                    );
+                    return;
+                }
+            };
+            match settings::read(file, &known_on_node(&self.config)) {
+                Ok(read) if version_of(&read) != current.version => warn!(
+                    target: part::SETTINGS,
+                    file_version = read.number.0,
+                    in_force = %current.version,
+                    "new settings not in force: they need 'rollout start'"
+                ),
+                Ok(_) => {}
+                Err(complaints) => settings_rejected(&complaints.first()),
+            }
+            Box::new(Reset {
+                keys,
+                seeds: current.fleet.seeds.clone(),
+                periods: current.fleet.periods,
+                number: (current.version.number, current.version.hash),
+                budgets: current.fleet.budgets.clone(),
+                key_budgets: current.quotas.clone(),
+                plan: None,
+            })
+        };
+        self.send(ControlMessage::Cluster(update));
+    }
+}
+
+fn settings_rejected(error: &str) {
+    warn!(
+        target: part::SETTINGS,
+        error = %error,
+        "new settings rejected: the current ones stay in force"
+    );
+}
--- /dev/null
+++ b/crates/node/src/serve/settings.rs
@@ -0,0 +1,163 @@
+//! Reading a settings file, and what of it the node's parts are given.
+
+use madderpoint_deployment_config::DeploymentConfig;
+use madderpoint_membership::datagram_auth::AuthKeys;
+use madderpoint_node::capacity::OptionalSubsystems;
+use madderpoint_node::classify::Sheet;
+use madderpoint_node::config::NodeConfig;
+use madderpoint_node::io;
+use madderpoint_rollout::Plan;
+use madderpoint_settings::{self as settings, Complaints, FleetSettings, Known, Place, Translator};
+use madderpoint_shared_state::keyed_quota::KeyedQuota;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
+
+/// The largest file of keys, in bytes.
+const KEY_FILE_MAX: u64 = 4096;
+
+/// Why settings can't be used on this node, or not now.
+#[derive(Debug, Error)]
+pub enum SettingsError {
+    /// The file has errors: the first one, and how many more.
+    #[error("{0}")]
+    Invalid(String),
+    /// The content of a version is not UTF-8.
+    #[error("it is no text")]
+    NotText,
+    /// The file of the cluster's keys can't be used.
+    #[error("fleet/@keys: {}: {problem}", path.display())]
+    Keys {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        problem: String,
+    },
+    /// Nodes with the old keys and nodes with the new ones would have none in common.
+    #[error(
+        "fleet/@keys: old and new nodes would not understand each other: add the new key first, \
+         after the old one"
+    )]
+    NoCommonKey,
+    /// An environment variable is no address.
+    #[error("{variable}: {text:?} is no address")]
+    Address {
+        /// The variable.
+        variable: &'static str,
+        /// Its value.
+        text: String,
+    },
+    /// Other nodes can't reach the address that this one advertises.
+    #[error("fleet/@advertise: nobody can reach {0}; expected an address of this node")]
+    Unreachable(SocketAddr),
+    /// There is no cluster in the settings, but the node is in one.
+    #[error("it has no <fleet>")]
+    NoCluster,
+    /// There is no cluster or no rollout in the settings, but the node takes part in rollouts.
+    #[error("it has no <fleet> or no <rollout>: these come and go with a restart only")]
+    NoClusterOrRollout,
+    /// Fields that differ can change with a restart only.
+    #[error("{0:?} of <fleet> can change with a restart only")]
+    NeedsRestart(Vec<&'static str>),
+    /// The content of a version has another number or hash than the version.
+    #[error("its content is not what its name says")]
+    OtherContent,
+    /// The directory of versions failed.
+    #[error("{0}")]
+    VersionStore(String),
+    /// The node has stopped meanwhile.
+    #[error("the node ends")]
+    Stopped,
+}
+
+/// The names and idempotencies that a deployment's settings define.
+pub fn known(config: &DeploymentConfig) -> Known {
+    let effects = config.deployment.operations.iter().map(|o| o.effect);
+    Known {
+        operations: Some(config.operations.iter().cloned().zip(effects).collect()),
+        tenants: Some(config.tenants.clone()),
+        ..Known::anything()
+    }
+}
+
+/// The same, with the bounds on sizes that follow from the node's limits.
+pub fn known_on_node(config: &NodeConfig) -> Known {
+    let capacity = io::capacity_limits(
+        config,
+        OptionalSubsystems {
+            settings: true,
+            fleet: true,
+            shared: true,
+            changes: true,
+        },
+    );
+    Known {
+        bytes: capacity.rules,
+        file_bytes: capacity.settings_file,
+        ..known(&config.deployment)
+    }
+}
+
+/// Reads and checks a settings file.
+pub fn read(path: &Path, known: &Known) -> Result<Translator, Complaints> {
+    let name = path.display().to_string();
+    let text = std::fs::read_to_string(path).map_err(|e| {
+        let complaint = settings::Complaint {
+            place: Place::Whole,
+            field: String::new(),
+            what: e.to_string(),
+            expected: "a file of settings".to_owned(),
+        };
+        Complaints::new(&name, "", vec![complaint])
+    })?;
+    settings::read(&name, &text, known)
+}
+
+/// Reads the keys of a cluster. A relative path starts at the directory of the settings file.
+pub fn read_keys(settings: &Path, fleet: &FleetSettings) -> Result<AuthKeys, SettingsError> {
+    let path = settings.parent().unwrap_or(Path::new("")).join(&fleet.keys);
+    read_key_file(&path).map_err(|problem| SettingsError::Keys { path, problem })
+}
+
+fn read_key_file(path: &Path) -> Result<AuthKeys, String> {
+    let size = std::fs::metadata(path).map_err(|e| e.to_string())?.len();
+    if size > KEY_FILE_MAX {
+        return Err(format!("{size} bytes; expected {KEY_FILE_MAX} at most"));
+    }
+    let text = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
+    AuthKeys::read(&text)
+}
+
+/// The quotas by key of the whole cluster, from the buckets of the rules.
+pub fn keyed_quotas(read: &Translator) -> Vec<KeyedQuota> {
+    read.rules
+        .iter()
+        .flat_map(|rules| &rules.fleet)
+        .map(|(_, quota)| quota.clone())
+        .collect()
+}
+
+/// How rollouts that are started here proceed; the default plan without `<rollout>`.
+pub fn plan(read: &Translator) -> Plan {
+    read.rollout
+        .as_ref()
+        .map(|rollout| rollout.plan.clone())
+        .unwrap_or_default()
+}
+
+/// Takes the rules out of the settings. Without rules the set is empty, so that earlier ones end.
+pub fn take_rules(read: &mut Translator) -> Box<Sheet> {
+    let secret = read.fleet.as_ref().map_or(0, |fleet| fleet.secret);
+    match read.rules.take() {
+        Some(mut book) => {
+            book.rules
+                .share(book.fleet.iter().map(|(place, _)| *place), secret);
+            Box::new(Sheet {
+                rules: book.rules,
+                buckets: book.buckets,
+                fleet: book.fleet,
+            })
+        }
+        None => Box::new(Sheet::default()),
+    }
+}
--- a/crates/node/src/state/executions.rs
+++ b/crates/node/src/state/executions.rs
@@ -4,7 +4,7 @@
     Execution, ExecutionWait, GAUGES_LEAD, LOOK_PERIOD, MILLISECOND, NodeState, OpenRequest, Timer,
 };
 use crate::actions::Actions;
-use crate::config::Moved;
+use crate::config::ConfigUpdate;
 use crate::executor::{Command, End};
 use crate::log::part;
 use madderpoint::{Idempotency, Nanos, RequestId};
@@ -50,14 +50,17 @@
     /// what was written on the old one has arrived; commands wait meanwhile. A link that was cut
     /// off at once would put in doubt what was on its way, and what must not run twice would err
     /// for it.
-    pub fn moved(&mut self, moved: &Moved) {
-        let Moved { peers, kept } = moved;
+    pub fn moved(&mut self, moved: &ConfigUpdate) {
+        let ConfigUpdate {
+            peers,
+            needs_restart,
+        } = moved;
         info!(
             target: part::CONFIGURATION,
-            executor = %peers.kernel,
-            service_registry = %peers.members,
+            executor = %peers.executor,
+            service_registry = %peers.service_registry,
             backend = ?peers.backend,
-            needs_restart = ?kept,
+            needs_restart = ?needs_restart,
             "new configuration in force"
         );
         if !self.out.moved(*peers) {
--- a/crates/node/src/supervisor.rs
+++ b/crates/node/src/supervisor.rs
@@ -297,7 +297,7 @@
     let mut signals =
         Signals::new([SIGTERM, SIGINT, SIGHUP, SIGUSR2]).map_err(|e| format!("signals: {e}"))?;
     let path = PathBuf::from(std::env::var_os("PROXY_CONFIG").ok_or("PROXY_CONFIG is not set")?);
-    let who = config::read(&path, |name| std::env::var(name).ok())?;
+    let who = config::read(&path, |name| std::env::var(name).ok()).map_err(|e| e.to_string())?;
     log::start(&who.name, told.logging);
     let start = if told.start.is_dir() {
         told.start.clone()
--- a/crates/node/src/supervisor_client.rs
+++ b/crates/node/src/supervisor_client.rs
@@ -2,7 +2,7 @@
 //! come from it over a Unix stream, which is the node's standard input; what takes time is asked of
 //! it. A node whose parent is gone goes on without it.
 
-use crate::io::{Notice, Versions};
+use crate::io::{ControlMessage, Versions};
 use crate::log::part;
 use crossbeam_channel::{Sender, bounded};
 use madderpoint_rollout::node_agent::InitialState;
@@ -113,7 +113,7 @@
 
 impl Adopted {
     /// Listens to the parent from here on.
-    pub fn listen(self, notices: Sender<Notice>) -> std::io::Result<()> {
+    pub fn listen(self, notices: Sender<ControlMessage>) -> std::io::Result<()> {
         let Adopted {
             link,
             begin,
@@ -135,7 +135,7 @@
     mut in_charge: bool,
     mut stream: UnixStream,
     mut reader: MessageReader,
-    notices: &Sender<Notice>,
+    notices: &Sender<ControlMessage>,
 ) {
     let mut buffer = [0; 4096];
     loop {
@@ -150,7 +150,7 @@
                             &mut *link.answers.lock().unwrap_or_else(PoisonError::into_inner),
                         );
                         asked.into_values().for_each(|asked| _ = asked.send(Ok(())));
-                        let _ = notices.send(Notice::HandOver);
+                        let _ = notices.send(ControlMessage::HandOver);
                     }
                     kind::DONE => {
                         let result = if saying.refused {
@@ -189,7 +189,7 @@
         warn!(target: part::SUPERVISOR, "supervisor lost: the node goes on, and cannot change its program");
     } else {
         warn!(target: part::SUPERVISOR, "supervisor lost before the handover: this process stops");
-        let _ = notices.send(Notice::HandOver);
+        let _ = notices.send(ControlMessage::HandOver);
     }
 }
 
