--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -1,60 +1,51 @@
-//! Sockets, threads and clocks: feeds the core with what comes, and writes what it hands over.
+//! The node's sockets, threads and clock round [`crate::node::Core`].
+//!
+//! [`serve`] starts the threads and then runs the core on its own thread. Other threads read and
+//! write sockets; they send the core messages through bounded queues ([`inbox`]), and the core's
+//! side effects go to their queues ([`sockets`]) without ever blocking it.
 
 mod backend_link;
 mod client_connections;
 mod client_reader;
+mod clock;
 mod cluster_link;
 mod connection_slots;
+mod event_loop;
 mod executor_link;
+mod executor_writer;
+mod inbox;
+mod reader_commands;
 mod registry_reports;
 mod rollout_link;
+mod sockets;
+mod stream;
+mod threads;
 
 pub use cluster_link::{Part, Reset, SHARED, zone_number};
 pub use rollout_link::{Changing, PROGRAM_CHANGES, SETTINGS_CHANGES, Versions};
 
-use crate::actions::{Actions, CallId, Close, ConnectionId, Wanted};
 use crate::capacity::{CapacityLimits, OptionalSubsystems};
 use crate::classify::Sheet;
-use crate::cluster::ClusterUpdate;
-use crate::config::{ConfigUpdate, NodeConfig, PeerAddresses};
-use crate::fastcgi::Reply;
-use crate::log::part;
+use crate::config::{ConfigUpdate, NodeConfig};
 use crate::node::{Core, Event, Moment};
 use crate::state::BACKEND_LINKS;
 use backend_link::BackendLinkCommand;
-use client_connections::Connection;
-use client_reader::{Order, Orders};
+use clock::Clock;
 use cluster_link::ClusterLink;
-use crossbeam_channel::{Receiver, Sender, bounded, select};
+use crossbeam_channel::{Receiver, Sender, bounded};
 use crossbeam_utils::atomic::AtomicCell;
-use executor_link::ExecutorLink;
-use madderpoint::{Nanos, RequestId};
-use std::collections::HashMap;
-use std::fmt;
-use std::io::{self, ErrorKind, IoSlice, Read, Write};
-use std::net::{IpAddr, TcpListener, TcpStream};
+use inbox::{Inbox, Message};
+use madderpoint::Nanos;
+use reader_commands::ReaderHandle;
+use registry_reports::NodePhase;
+use sockets::Sockets;
+use std::io;
+use std::net::TcpListener;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
-use std::thread;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-
-/// Stack of every thread but the first.
-const STACK: usize = 128 * 1024;
-/// Bytes taken from a socket at once.
-const READ: usize = 4096;
-/// Events of dispatchers that are taken before the core turns to the other peers and the timers
-/// again.
-const FRONT_TURN: usize = 64;
-/// What connecting to a peer may take.
-const CONNECT: Duration = Duration::from_millis(500);
-/// A timer later than this shows that the machine stood still. Before it fires, what came meanwhile
-/// is let in until nothing has come for a moment, or for the longest time.
-const STOOD_STILL: Nanos = 20_000_000;
-const LET_IN: Duration = Duration::from_millis(3);
-const LET_IN_MOST: Nanos = 50_000_000;
-
-/// Where peers are reached now; looked at before each connect.
-type Addresses = Arc<AtomicCell<PeerAddresses>>;
+use std::thread::JoinHandle;
+use stream::Addresses;
+use threads::spawn;
 
 /// What a running node is told from outside: by signals, by its supervisor, by rollouts.
 #[derive(Debug)]
@@ -72,177 +63,6 @@
     Cluster(Box<Reset>),
 }
 
-/// What reaches the core's thread.
-enum Message {
-    Event(Event),
-    /// A connection was accepted, from there.
-    Accepted(ConnectionId, IpAddr, Connection),
-    /// A link to the kernel stands; the last notice that was read before it.
-    Linked(u64, ExecutorLink),
-}
-
-fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    thread::Builder::new()
-        .name(name.into())
-        .stack_size(STACK)
-        .spawn(work)
-        .map(drop)
-}
-
-/// The node's clocks. Its own time counts from the Unix epoch, so that what came long before the
-/// node started has its place too, but never jumps with the system's clock.
-#[derive(Clone, Copy)]
-struct Clock {
-    started: Instant,
-    unix: Duration,
-}
-
-fn unix() -> Duration {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
-}
-
-impl Clock {
-    fn start() -> Clock {
-        Clock {
-            started: Instant::now(),
-            unix: unix(),
-        }
-    }
-
-    fn read(self) -> Moment {
-        Moment {
-            now: self.now(),
-            unix_ms: unix().as_millis() as u64,
-        }
-    }
-
-    fn now(self) -> Nanos {
-        (self.unix + self.started.elapsed()).as_nanos() as Nanos
-    }
-}
-
-/// The node's hands: queues to the threads that write.
-struct Sockets {
-    conns: HashMap<ConnectionId, Connection>,
-    /// Connections with something to be done at the end of this turn.
-    dirty: Vec<ConnectionId>,
-    kernel: Option<ExecutorLink>,
-    backend: Vec<Sender<BackendLinkCommand>>,
-    addresses: Addresses,
-    front: Orders,
-    leaving: Arc<AtomicBool>,
-    fleet: Option<ClusterLink>,
-}
-
-impl Actions for Sockets {
-    fn reply(&mut self, conn: ConnectionId, reply: Reply) {
-        if let Some(connection) = self.conns.get_mut(&conn) {
-            connection.reply(reply);
-            self.dirty.push(conn);
-        }
-    }
-
-    fn close(&mut self, conn: ConnectionId, close: Close) {
-        if let Some(connection) = self.conns.get_mut(&conn) {
-            connection.close(close);
-            self.dirty.push(conn);
-        }
-    }
-
-    fn deafen(&mut self, conn: ConnectionId) {
-        self.front.give(Order::Deafen(conn));
-    }
-
-    fn pace(&mut self, conn: ConnectionId, pause: Nanos) {
-        if let Some(connection) = self.conns.get(&conn) {
-            connection.pace(pause);
-        }
-    }
-
-    fn kernel(&mut self, line: String) {
-        // One line that is left out would leave a gap, so none may follow it on that link.
-        self.kernel.take_if(|link| !link.write(line));
-    }
-
-    fn call(
-        &mut self,
-        place: usize,
-        call: CallId,
-        id: RequestId,
-        bytes: Vec<u8>,
-        wanted: Wanted,
-    ) -> bool {
-        let call = BackendLinkCommand::Call(call, id, bytes, wanted);
-        self.backend
-            .get(place)
-            .is_some_and(|queue| queue.try_send(call).is_ok())
-    }
-
-    fn cancel(&mut self, place: usize, bytes: Vec<u8>) {
-        if let Some(queue) = self.backend.get(place) {
-            let _ = queue.try_send(BackendLinkCommand::Cancel(bytes));
-        }
-    }
-
-    fn rest(&mut self, place: usize) {
-        if let Some(queue) = self.backend.get(place) {
-            let _ = queue.try_send(BackendLinkCommand::Rest);
-        }
-    }
-
-    fn moved(&mut self, peers: PeerAddresses) -> bool {
-        self.addresses.swap(peers).executor != peers.executor
-    }
-
-    fn renew_kernel(&mut self) {
-        if let Some(link) = self.kernel.take() {
-            link.close();
-        }
-    }
-
-    fn leaving(&mut self) {
-        self.leaving.store(true, SeqCst);
-    }
-
-    fn stop_listening(&mut self) {
-        self.front.give(Order::Stop);
-    }
-
-    fn fleet(&mut self, word: ClusterUpdate) {
-        if let Some(fleet) = &self.fleet {
-            fleet.say(word);
-        }
-    }
-
-    fn step(&mut self, rid: &str, what: fmt::Arguments<'_>) {
-        tracing::trace!(target: part::REQUEST, event = "step", rid, "{what}");
-    }
-}
-
-impl Sockets {
-    /// Writes what this turn has brought for dispatchers, all answers to a connection at once.
-    fn flush(&mut self) {
-        for conn in self.dirty.drain(..) {
-            if let Some(connection) = self.conns.get_mut(&conn) {
-                connection.flush();
-            }
-        }
-    }
-}
-
-/// What waits for the core: dispatchers' events apart from all others, which they must not hold up.
-struct Inbox {
-    front: Receiver<Message>,
-    peers: Receiver<Message>,
-}
-
-/// The bounds on what a node keeps, with these subsystems beside what it always has.
-pub fn capacity_limits(config: &NodeConfig, beside: OptionalSubsystems) -> CapacityLimits {
-    CapacityLimits::of(&config.limits, BACKEND_LINKS, beside)
-}
-
 /// What a node may have beside what the platform demands.
 #[derive(Default)]
 pub struct OptionalParts {
@@ -257,245 +77,202 @@
 }
 
 impl OptionalParts {
-    fn beside(&self) -> OptionalSubsystems {
-        let shared = self.cluster.as_ref().is_some_and(|part| part.shares());
-        let changes = self
-            .cluster
-            .as_ref()
-            .is_some_and(|part| !part.changes.is_empty());
+    fn subsystems(&self) -> OptionalSubsystems {
+        let cluster = self.cluster.as_ref();
         OptionalSubsystems {
             settings: self.rules.is_some(),
-            fleet: self.cluster.is_some(),
-            shared,
-            changes,
+            fleet: cluster.is_some(),
+            shared: cluster.is_some_and(|part| part.shares()),
+            changes: cluster.is_some_and(|part| !part.changes.is_empty()),
         }
     }
 }
 
-/// Runs the node until it has left.
+/// The bounds on what a node keeps, with these subsystems beside what it always has.
+pub fn capacity_limits(config: &NodeConfig, subsystems: OptionalSubsystems) -> CapacityLimits {
+    CapacityLimits::of(&config.limits, BACKEND_LINKS, subsystems)
+}
+
+/// Runs the node until it has stopped. An error if it can't listen or can't start its threads.
 pub fn serve(
     config: &NodeConfig,
-    ours: OptionalParts,
-    notices: Receiver<ControlMessage>,
+    mut parts: OptionalParts,
+    control: Receiver<ControlMessage>,
 ) -> io::Result<()> {
     let clock = Clock::start();
-    let room = capacity_limits(config, ours.beside());
-    let (front_events, front_inbox) = bounded(room.front_events);
-    let (events, peers_inbox) = bounded(room.peer_events);
-    let inbox = Inbox {
-        front: front_inbox,
-        peers: peers_inbox,
-    };
-    let (go, word) = bounded(1);
-    let word = ours.listener.as_ref().map(|_| word);
-    let listener = ours
-        .listener
-        .map_or_else(|| TcpListener::bind(config.listen), Ok)?;
-    let front = client_reader::open(listener, word, room, front_events)?;
-    let serves = ours.on_serving.map(|told| -> Box<dyn FnOnce()> {
-        Box::new(move || {
-            let _ = go.send(());
-            told();
-        })
-    });
-    let handed = Arc::new(AtomicBool::new(false));
-    let leaving = Arc::new(AtomicBool::new(false));
-    let addresses = Arc::new(AtomicCell::new(config.peers));
-    let mut backend = Vec::new();
-    if config.peers.backend.is_some() {
-        for place in 0..BACKEND_LINKS {
-            backend.push(backend_link::start(
-                Arc::clone(&addresses),
-                place,
-                room.calls,
-                events.clone(),
-            )?);
-        }
-    }
-    executor_link::start(Arc::clone(&addresses), room.commands, events.clone())?;
-    let told = registry_reports::Told {
-        leaving: Arc::clone(&leaving),
-        handed: Arc::clone(&handed),
-    };
-    registry_reports::start(Arc::clone(&addresses), config.name.clone(), told)?;
-    let budgets = ours
+    let capacity = capacity_limits(config, parts.subsystems());
+    let (client_events, clients) = bounded(capacity.front_events);
+    let (events, peers) = bounded(capacity.peer_events);
+    let inbox = Inbox { clients, peers };
+    let (reader, on_serving) = open_listener(config, &mut parts, capacity, client_events)?;
+    let links = start_peer_links(config, &capacity, &events)?;
+    let participation = parts
         .cluster
         .as_ref()
-        .map_or(Vec::new(), |part| part.budgets.clone());
-    let rhythm = ours.cluster.as_ref().map(|part| part.rhythm());
-    let with = ours
+        .map(|part| (part.budgets.clone(), part.rhythm(), part.with()));
+    let cluster = parts
         .cluster
-        .as_ref()
-        .map(|part| part.with())
-        .unwrap_or_default();
-    let fleet = match ours.cluster {
-        Some(mut part) => {
-            part.settings.bytes = room.fleet;
-            part.key_bytes = room.key_books;
-            part.count_bytes = room.counts;
-            part.change_bytes = room.changes;
-            let unix = move || {
-                let Moment { now, unix_ms } = clock.read();
-                madderpoint_membership::ClockReading { now, unix_ms }
-            };
-            // Chance of its own: the seed of the decisions is told by the platform, and may be the
-            // same on many.
-            Some(cluster_link::start(
-                *part,
-                config.seed ^ clock.now(),
-                unix,
-                events.clone(),
-            )?)
-        }
-        None => None,
+        .map(|part| start_cluster(part, &capacity, config.seed, clock, events.clone()))
+        .transpose()?;
+    let (cluster, cluster_thread) = cluster.unzip();
+    let control_thread = ControlThread {
+        control,
+        events,
+        cluster: cluster.clone(),
+        is_handed_over: Arc::clone(&links.phase.is_handed_over),
     };
-    let (fleet, fleet_thread) = fleet.unzip();
-    let (told, hands) = (fleet.clone(), Arc::clone(&handed));
-    spawn("notices", move || {
-        while let Ok(notice) = notices.recv() {
-            let event = match notice {
-                ControlMessage::Drain => Event::Drain,
-                ControlMessage::HandOver => {
-                    hands.store(true, SeqCst);
-                    Event::Drain
-                }
-                ControlMessage::Config(update) => Event::Moved(update),
-                ControlMessage::Rules(sheet) => Event::Ruled(sheet),
-                ControlMessage::Cluster(reset) => {
-                    told.iter().for_each(|fleet| fleet.reset((*reset).clone()));
-                    continue;
-                }
-            };
-            let _ = events.send(Message::Event(event));
-        }
-    })?;
-    let has_backend = !backend.is_empty();
-    let (conns, dirty) = (HashMap::new(), Vec::new());
-    let sockets = Sockets {
-        conns,
-        dirty,
-        kernel: None,
-        backend,
-        addresses,
-        front,
-        leaving,
-        fleet,
-    };
-    let stop_after = config.stop_after.as_nanos() as Nanos;
+    spawn("notices", move || control_thread.run())?;
+    let has_backend = !links.backend.is_empty();
+    let NodePhase {
+        is_draining,
+        is_handed_over,
+    } = links.phase;
+    let sockets = Sockets::new(links.backend, links.addresses, reader, is_draining, cluster);
     let mut core = Core::new(
         sockets,
         config.deployment.clone(),
         config.seed,
-        stop_after,
+        config.stop_after.as_nanos() as Nanos,
         has_backend,
-        &room,
+        &capacity,
     );
-    if let Some(rhythm) = rhythm {
+    if let Some((budgets, rhythm, with)) = participation {
         core.join_fleet(clock.now(), &budgets, rhythm, &with);
     }
-    if let Some(sheet) = ours.rules {
-        core.handle(clock.read(), Event::Ruled(sheet));
+    if let Some(rules) = parts.rules {
+        core.handle(clock.read(), Event::Ruled(rules));
     }
-    run(&mut core, clock, &inbox, serves);
+    event_loop::run(&mut core, clock, &inbox, on_serving);
     core.let_go(clock.now());
-    let handed = handed.load(SeqCst);
-    core.out(|out| out.fleet.iter().for_each(|fleet| fleet.leave(handed)));
-    if let Some(thread) = fleet_thread {
+    let is_handed_over = is_handed_over.load(SeqCst);
+    core.out(|sockets| sockets.leave_cluster(is_handed_over));
+    if let Some(thread) = cluster_thread {
         let _ = thread.join();
     }
     Ok(())
 }
 
-/// Takes what waits, then fires the timers that are due, so that what came in counts before a
-/// time-out.
-fn run(
-    core: &mut Core<Sockets>,
-    clock: Clock,
-    inbox: &Inbox,
-    mut serves: Option<Box<dyn FnOnce()>>,
-) {
-    while !core.has_left() {
-        if let Some(serves) = serves.take_if(|_| core.is_up()) {
-            serves();
-        }
-        let due = core.next_timer().unwrap_or(Nanos::MAX);
-        let wait = Duration::from_nanos(due.saturating_sub(clock.now()));
-        turn(core, clock, inbox, wait);
-        if clock.now() > due.saturating_add(STOOD_STILL) {
-            let until = clock.now() + LET_IN_MOST;
-            while clock.now() < until && turn(core, clock, inbox, LET_IN) {}
-        }
-        core.fire(clock.now());
-        core.out(Sockets::flush);
-    }
+/// What is called once the node serves.
+type OnServing = Option<Box<dyn FnOnce()>>;
+
+/// Listens for load balancers. Where a supervisor holds the socket, another process may accept from
+/// it until this one serves: only then are connections accepted here.
+fn open_listener(
+    config: &NodeConfig,
+    parts: &mut OptionalParts,
+    capacity: CapacityLimits,
+    events: Sender<Message>,
+) -> io::Result<(ReaderHandle, OnServing)> {
+    let (start_accepting, start) = bounded(1);
+    let start = parts.listener.as_ref().map(|_| start);
+    let listener = parts
+        .listener
+        .take()
+        .map_or_else(|| TcpListener::bind(config.listen), Ok)?;
+    let reader = client_reader::open(listener, start, capacity, events)?;
+    let on_serving = parts
+        .on_serving
+        .take()
+        .map(|on_serving| -> Box<dyn FnOnce()> {
+            Box::new(move || {
+                let _ = start_accepting.send(());
+                on_serving();
+            })
+        });
+    Ok((reader, on_serving))
 }
 
-/// Waits for something, then takes all that peers sent and a share of what dispatchers did; false
-/// if nothing came.
-fn turn(core: &mut Core<Sockets>, clock: Clock, inbox: &Inbox, wait: Duration) -> bool {
-    let first = select! {
-        recv(inbox.peers) -> message => message,
-        recv(inbox.front) -> message => message,
-        default(wait) => return false,
-    };
-    first
-        .into_iter()
-        .for_each(|message| take(core, clock, message));
-    let peers = inbox.peers.try_iter().take(inbox.peers.len());
-    peers.for_each(|message| take(core, clock, message));
-    inbox
-        .front
-        .try_iter()
-        .take(FRONT_TURN)
-        .for_each(|message| take(core, clock, message));
-    true
+/// The links to all peers but load balancers.
+struct PeerLinks {
+    addresses: Addresses,
+    /// The queue of each backend link.
+    backend: Vec<Sender<BackendLinkCommand>>,
+    /// What the reports to the service registry depend on.
+    phase: NodePhase,
 }
 
-fn take(core: &mut Core<Sockets>, clock: Clock, message: Message) {
-    let event = match message {
-        Message::Event(event) => event,
-        Message::Accepted(conn, from, connection) => {
-            core.out(|out| out.conns.insert(conn, connection));
-            Event::Connected(conn, Some(from))
-        }
-        Message::Linked(last, link) => {
-            core.out(|out| out.kernel = Some(link));
-            Event::KernelLinked(last)
-        }
-    };
-    match &event {
-        Event::Disconnected(conn) => drop(core.out(|out| out.conns.remove(conn))),
-        Event::KernelLost => core.out(|out| out.kernel = None),
-        _ => {}
-    }
-    core.handle(clock.read(), event);
+/// Starts the threads that speak to the backend, the executor and the service registry.
+fn start_peer_links(
+    config: &NodeConfig,
+    capacity: &CapacityLimits,
+    events: &Sender<Message>,
+) -> io::Result<PeerLinks> {
+    let addresses = Arc::new(AtomicCell::new(config.peers));
+    let backend = start_backend_links(config, &addresses, capacity, events)?;
+    executor_link::start(Arc::clone(&addresses), capacity.commands, events.clone())?;
+    let phase = NodePhase::default();
+    registry_reports::start(Arc::clone(&addresses), config.name.clone(), phase.clone())?;
+    Ok(PeerLinks {
+        addresses,
+        backend,
+        phase,
+    })
 }
 
-/// Reads a socket into the sink until it ends.
-fn read_all<E>(
-    mut stream: &TcpStream,
-    mut sink: impl FnMut(&[u8]) -> Result<(), E>,
-) -> Result<(), E> {
-    let mut buffer = [0; READ];
-    loop {
-        match stream.read(&mut buffer) {
-            Ok(0) => return Ok(()),
-            Ok(n) => sink(&buffer[..n])?,
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(_) => return Ok(()),
-        }
+/// Starts the threads that call the backend, if there is one; gives their queues.
+fn start_backend_links(
+    config: &NodeConfig,
+    addresses: &Addresses,
+    capacity: &CapacityLimits,
+    events: &Sender<Message>,
+) -> io::Result<Vec<Sender<BackendLinkCommand>>> {
+    if config.peers.backend.is_none() {
+        return Ok(Vec::new());
     }
+    (0..BACKEND_LINKS)
+        .map(|index| {
+            backend_link::start(Arc::clone(addresses), index, capacity.calls, events.clone())
+        })
+        .collect()
+}
+
+fn start_cluster(
+    mut part: Box<Part>,
+    capacity: &CapacityLimits,
+    seed: u64,
+    clock: Clock,
+    events: Sender<Message>,
+) -> io::Result<(ClusterLink, JoinHandle<()>)> {
+    part.settings.bytes = capacity.fleet;
+    part.key_bytes = capacity.key_books;
+    part.count_bytes = capacity.counts;
+    part.change_bytes = capacity.changes;
+    let read_clock = move || {
+        let Moment { now, unix_ms } = clock.read();
+        madderpoint_membership::ClockReading { now, unix_ms }
+    };
+    // Randomness of its own: the seed of the decisions is given by the platform, and may be the
+    // same on many nodes.
+    cluster_link::start(*part, seed ^ clock.now(), read_clock, events)
+}
+
+/// Passes on what the node is told from outside.
+struct ControlThread {
+    control: Receiver<ControlMessage>,
+    events: Sender<Message>,
+    cluster: Option<ClusterLink>,
+    is_handed_over: Arc<AtomicBool>,
 }
 
-fn write_gathered(mut stream: &TcpStream, mut slices: &mut [IoSlice<'_>]) -> io::Result<()> {
-    IoSlice::advance_slices(&mut slices, 0);
-    while !slices.is_empty() {
-        match stream.write_vectored(slices) {
-            Ok(0) => return Err(ErrorKind::WriteZero.into()),
-            Ok(n) => IoSlice::advance_slices(&mut slices, n),
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) => return Err(e),
+impl ControlThread {
+    fn run(self) {
+        while let Ok(message) = self.control.recv() {
+            let event = match message {
+                ControlMessage::Drain => Event::Drain,
+                ControlMessage::HandOver => {
+                    self.is_handed_over.store(true, SeqCst);
+                    Event::Drain
+                }
+                ControlMessage::Config(update) => Event::Moved(update),
+                ControlMessage::Rules(rules) => Event::Ruled(rules),
+                ControlMessage::Cluster(update) => {
+                    if let Some(cluster) = &self.cluster {
+                        cluster.reset(*update);
+                    }
+                    continue;
+                }
+            };
+            let _ = self.events.send(Message::Event(event));
         }
     }
-    Ok(())
 }
--- a/crates/node/src/io/backend_link.rs
+++ b/crates/node/src/io/backend_link.rs
@@ -1,7 +1,9 @@
-//! Connections to the back end: each has a thread that connects when a call needs it and writes,
-//! and a reader.
+//! Links to the backend: each has a thread that connects when a call needs it and writes, and a
+//! reader for each connection.
 
-use super::{Addresses, CONNECT, Message, READ, spawn};
+use super::inbox::Message;
+use super::stream::{Addresses, CONNECT, READ};
+use super::threads::spawn;
 use crate::actions::{BackendLink, CallId, Wanted, Wants};
 use crate::backend;
 use crate::log::part;
@@ -14,58 +16,63 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// The core is told of a connection on which nothing was sent for so long. The back end closes idle
-/// ones after 10 s, or earlier, or forgets them, and then a call meets a reset that may as well
-/// stand for a lost reply.
+/// The core is told of a connection on which nothing was sent for so long. The backend may close
+/// idle connections, and a call that meets the reset looks like one whose reply was lost.
 const IDLE: Duration = Duration::from_secs(1);
 
-/// A back end that takes no byte for so many times so long does not read; between them it is seen
-/// whether a call that was written in part is still wanted.
-const BLOCKED: Duration = Duration::from_millis(50);
-const BLOCKED_MOST: u32 = 20;
-/// A reply of which a part has come, and for so many times so long nothing more, was cut.
-const CUT: Duration = Duration::from_millis(200);
-const CUT_MOST: u32 = 5;
+/// Timeout of one write. After each it is looked whether a call that was written in part is still
+/// wanted.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(50);
+/// Writes in a row that time out on a backend that does not read.
+const WRITE_TIMEOUTS_MAX: u32 = 20;
+/// Timeout of one read after a part of a reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(200);
+/// Reads in a row that time out on a reply that is cut short.
+const REPLY_TIMEOUTS_MAX: u32 = 5;
 
 /// Connections to earlier addresses that a link keeps for their replies.
-const RETIRED: usize = 1;
+const RETIRED_MAX: usize = 1;
 
-/// What a connection is asked for.
+/// What a link is asked for.
 pub enum BackendLinkCommand {
+    /// To write a call, given by its bytes, while it is wanted.
     Call(CallId, RequestId, Vec<u8>, Wanted),
+    /// To write the bytes that abandon a call, on all connections.
     Cancel(Vec<u8>),
-    Rest,
+    /// To end all connections until another call is made.
+    Close,
 }
 
-/// Starts the thread for the link at this place.
+/// Starts the thread of the link with this index; `commands_max` commands may wait for it.
 pub fn start(
     addresses: Addresses,
-    place: usize,
-    room: usize,
+    index: usize,
+    commands_max: usize,
     events: Sender<Message>,
 ) -> io::Result<Sender<BackendLinkCommand>> {
-    let (queue, calls) = bounded(room);
+    let (queue, commands) = bounded(commands_max);
     let link = Link {
         addresses,
-        place,
+        index,
         events,
-        made: 0,
+        generation: 0,
         stream: None,
         retired: Vec::new(),
     };
-    spawn("back end", move || link.serve(&calls))?;
+    spawn("back end", move || link.serve(&commands))?;
     Ok(queue)
 }
 
-/// One connection to the back end, made when a call needs it.
+/// A link: one connection at a time, made when a call needs it.
 struct Link {
     addresses: Addresses,
-    place: usize,
+    index: usize,
     events: Sender<Message>,
-    made: u64,
+    /// Connections made so far; the number of the present one.
+    generation: u64,
     /// The connection, and where it leads.
     stream: Option<(SocketAddr, Arc<TcpStream>)>,
-    /// Connections to where the back end was before. Their calls get their replies while it gives
+    /// Connections to the backend's earlier addresses. Their calls get their replies while it gives
     /// any.
     retired: Vec<Arc<TcpStream>>,
 }
@@ -82,14 +89,14 @@
                     let _ = self.events.send(Message::Event(event));
                 }
                 Ok(BackendLinkCommand::Cancel(bytes)) => self.cancel(&bytes),
-                Ok(BackendLinkCommand::Rest) => {
+                Ok(BackendLinkCommand::Close) => {
                     self.end_retired(0);
                     self.close();
                 }
                 Err(RecvTimeoutError::Timeout) if self.stream.is_some() => {
                     let _ = self
                         .events
-                        .send(Message::Event(Event::BackendQuiet(self.place)));
+                        .send(Message::Event(Event::BackendQuiet(self.index)));
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -97,8 +104,8 @@
         }
     }
 
-    /// Gives a call up; where no such call is, it means nothing. A part of the line would spoil the
-    /// next one.
+    /// Abandons a call; on a connection without the call it means nothing. A connection that took a
+    /// part of the line only is of no further use.
     fn cancel(&mut self, bytes: &[u8]) {
         let wants = Wants::default();
         let current = self.stream.iter().map(|(_, stream)| stream);
@@ -109,11 +116,11 @@
         }
     }
 
-    /// Ends the oldest connections to where the back end was before.
-    fn end_retired(&mut self, but: usize) {
-        let most = self.retired.len().saturating_sub(but);
+    /// Ends the oldest connections to earlier addresses, all but so many.
+    fn end_retired(&mut self, kept: usize) {
+        let ended = self.retired.len().saturating_sub(kept);
         self.retired
-            .drain(..most)
+            .drain(..ended)
             .for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
     }
 
@@ -123,22 +130,22 @@
         }
     }
 
-    /// Writes a call whole, if it is wanted still. Where the connection ended before it took all of
-    /// it, nothing ran, and the call goes out on a new one.
+    /// Writes a whole call, if it is still wanted. Where an old connection ended before it took all
+    /// of it, nothing ran, and the call is written on a new one.
     fn write_call(&mut self, bytes: &[u8], wanted: &Wanted) -> io::Result<BackendLink> {
-        let kept = self.stream.is_some();
+        let is_reused = self.stream.is_some();
         let written = self
             .connected()
             .and_then(|stream| write_while_wanted(&stream, bytes, wanted));
         match written {
             Ok(()) => Ok(BackendLink {
-                place: self.place,
-                generation: self.made,
+                place: self.index,
+                generation: self.generation,
             }),
-            Err(Unwritten::Untouched) => Err(ErrorKind::TimedOut.into()),
-            Err(Unwritten::Broken(e)) => {
+            Err(WriteError::Unwanted) => Err(ErrorKind::TimedOut.into()),
+            Err(WriteError::Failed(e)) => {
                 self.close();
-                if kept && wanted.is_so() {
+                if is_reused && wanted.is_so() {
                     self.write_call(bytes, wanted)
                 } else {
                     Err(e)
@@ -147,7 +154,7 @@
         }
     }
 
-    fn connected(&mut self) -> Result<Arc<TcpStream>, Unwritten> {
+    fn connected(&mut self) -> Result<Arc<TcpStream>, WriteError> {
         let address = self
             .addresses
             .load()
@@ -160,19 +167,19 @@
             }
             Some((_, old)) => {
                 self.retired.push(old);
-                self.end_retired(RETIRED);
+                self.end_retired(RETIRED_MAX);
             }
             None => {}
         }
         let stream = TcpStream::connect_timeout(&address, CONNECT)?;
         stream.set_nodelay(true)?;
-        stream.set_write_timeout(Some(BLOCKED))?;
+        stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         let stream = Arc::new(stream);
-        self.made += 1;
+        self.generation += 1;
         let (reader, events) = (Arc::clone(&stream), self.events.clone());
         let link = BackendLink {
-            place: self.place,
-            generation: self.made,
+            place: self.index,
+            generation: self.generation,
         };
         spawn("back end read", move || {
             read_replies(&reader, link, &events)
@@ -184,44 +191,44 @@
 
 /// Why a call was not written whole.
 #[derive(Debug)]
-enum Unwritten {
-    /// It was not wanted any more, and no byte of it was written.
-    Untouched,
+enum WriteError {
+    /// It was no longer wanted, and no byte of it was written.
+    Unwanted,
     /// The connection is of no further use.
-    Broken(io::Error),
+    Failed(io::Error),
 }
 
-impl From<io::Error> for Unwritten {
-    fn from(e: io::Error) -> Unwritten {
-        Unwritten::Broken(e)
+impl From<io::Error> for WriteError {
+    fn from(e: io::Error) -> WriteError {
+        WriteError::Failed(e)
     }
 }
 
-/// Writes to a connection that makes nobody wait for long. A call that waited for its turn or for
-/// the back end to read, and whose run has gone on meanwhile, must not reach the back end any more:
-/// it would be taken for the run's next one.
+/// Writes with the timeout that the stream has. A call that waited for its turn or for the backend
+/// to read, and whose execution has gone on meanwhile, must not reach the backend any more: it would
+/// be taken for the execution's next call.
 fn write_while_wanted(
     mut stream: &TcpStream,
     bytes: &[u8],
     wanted: &Wanted,
-) -> Result<(), Unwritten> {
-    let (mut written, mut blocked) = (0, 0);
+) -> Result<(), WriteError> {
+    let (mut written, mut timeouts) = (0, 0);
     while written < bytes.len() {
         if written == 0 && !wanted.is_so() {
-            return Err(Unwritten::Untouched);
+            return Err(WriteError::Unwanted);
         }
         match stream.write(&bytes[written..]) {
-            Ok(0) => return Err(Unwritten::Broken(ErrorKind::WriteZero.into())),
-            Ok(n) => (written, blocked) = (written + n, 0),
+            Ok(0) => return Err(WriteError::Failed(ErrorKind::WriteZero.into())),
+            Ok(n) => (written, timeouts) = (written + n, 0),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                blocked += 1;
-                let in_vain = written > 0 && !wanted.is_so();
-                if blocked >= BLOCKED_MOST || in_vain {
-                    return Err(Unwritten::Broken(e)); // the rest of the call is never written
+                timeouts += 1;
+                let is_in_vain = written > 0 && !wanted.is_so();
+                if timeouts >= WRITE_TIMEOUTS_MAX || is_in_vain {
+                    return Err(WriteError::Failed(e)); // the rest of the call is never written
                 }
             }
-            Err(e) => return Err(Unwritten::Broken(e)),
+            Err(e) => return Err(WriteError::Failed(e)),
         }
     }
     Ok(())
@@ -245,30 +252,29 @@
     events: &Sender<Message>,
 ) -> Result<(), backend::ReadError> {
     let (mut parser, mut buffer) = (backend::Parser::default(), [0; READ]);
-    let (mut waits, mut was_partial) = (0, false);
+    let (mut timeouts, mut was_partial) = (0, false);
     loop {
         match stream.read(&mut buffer) {
             Ok(0) => return Ok(()),
             Ok(n) => {
-                let mut hand = |reply| {
+                let mut sink = |reply| {
                     let _ = events.send(Message::Event(Event::Reply(link.place, reply)));
                 };
-                parser.feed(&buffer[..n], &mut hand)?;
-                waits = 0;
+                parser.feed(&buffer[..n], &mut sink)?;
+                timeouts = 0;
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            // Nothing has come for a while after a part of a reply: all other replies wait behind
-            // it.
+            // The rest of a reply does not come, and all other replies wait behind it.
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                waits += 1;
-                if waits >= CUT_MOST {
+                timeouts += 1;
+                if timeouts >= REPLY_TIMEOUTS_MAX {
                     return Err(backend::ReadError::CutShort);
                 }
             }
             Err(_) => return Ok(()),
         }
         if std::mem::replace(&mut was_partial, parser.is_partial()) != parser.is_partial() {
-            let _ = stream.set_read_timeout(parser.is_partial().then_some(CUT));
+            let _ = stream.set_read_timeout(parser.is_partial().then_some(REPLY_TIMEOUT));
         }
     }
 }
--- a/crates/node/src/io/backend_link/tests.rs
+++ b/crates/node/src/io/backend_link/tests.rs
@@ -139,7 +139,7 @@
     let held = bench.accept();
     assert_eq!(bench.until(1), [(1, false)]);
     assert!(
-        begun.elapsed() >= BLOCKED * BLOCKED_MOST,
+        begun.elapsed() >= WRITE_TIMEOUT * WRITE_TIMEOUTS_MAX,
         "{:?}",
         begun.elapsed()
     );
@@ -168,7 +168,7 @@
     {
     }
     assert!(
-        begun.elapsed() >= CUT * (CUT_MOST - 1),
+        begun.elapsed() >= REPLY_TIMEOUT * (REPLY_TIMEOUTS_MAX - 1),
         "{:?}",
         begun.elapsed()
     );
@@ -179,7 +179,7 @@
     let bench = Bench::new();
     let _one = bench.call(1, b"invoke one 1 0\r\n\r\n");
     let first = bench.accept();
-    bench.queue.send(BackendLinkCommand::Rest).unwrap();
+    bench.queue.send(BackendLinkCommand::Close).unwrap();
     let _two = bench.call(2, b"invoke two 1 0\r\n\r\n");
     let mut second = bench.accept();
     assert_eq!(all(first), b"invoke one 1 0\r\n\r\n");
--- a/crates/node/src/io/client_connections.rs
+++ b/crates/node/src/io/client_connections.rs
@@ -1,9 +1,10 @@
-//! The core's end of dispatchers' connections: it writes as much as a socket takes at once, and a
-//! writer is started for one that does not take all.
+//! The core's end of load balancers' connections: it writes as much as a socket takes at once, and
+//! starts a writer thread for one that does not take all.
 
-use super::client_reader::{Order, Orders};
 use super::connection_slots::Socket;
-use super::{spawn, write_gathered};
+use super::reader_commands::{ReaderCommand, ReaderHandle};
+use super::stream::write_gathered;
+use super::threads::spawn;
 use crate::actions::{Close, ConnectionId};
 use crate::fastcgi::{self, Reply};
 use crate::log::part;
@@ -16,14 +17,18 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Answers that may wait for one connection's writer, and answers written with one call.
-const REPLIES: usize = 2 * fastcgi::MAX_OPEN;
+/// Answers that may wait for one connection's writer.
+const REPLIES_MAX: usize = 2 * fastcgi::MAX_OPEN;
+/// Answers written with one call.
 const GATHERED: usize = 16;
-/// Who takes no byte of an answer for so long is gone.
-const UNREAD: Duration = Duration::from_secs(3);
+/// A peer that takes no byte of an answer for so long is gone.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
+/// What a writer is given.
 enum Outgoing {
+    /// An answer.
     Reply(Reply),
+    /// The command to close the connection after all answers before it.
     Close(Close),
 }
 
@@ -31,48 +36,51 @@
 pub struct Connection {
     number: ConnectionId,
     socket: Arc<Socket>,
-    /// The reader, which ends connections.
-    reader: Orders,
-    /// Answers of this turn, and the order to close the connection after them.
+    /// The reader, which closes connections.
+    reader: ReaderHandle,
+    /// Answers of this turn.
     replies: Vec<Reply>,
-    closes: Option<Close>,
+    /// The command to close the connection after them.
+    close: Option<Close>,
+    /// The queue of the writer thread, once one was needed.
     writer: Option<Sender<Outgoing>>,
-    /// Nanoseconds to wait before each reading.
+    /// How long the reader waits before each reading, in nanoseconds.
     pause: Arc<AtomicU64>,
 }
 
 impl Connection {
-    /// For a connection that was accepted; its reader waits for `pause` before each reading.
+    /// For a connection that was accepted. Its reader waits for `pause` nanoseconds before each
+    /// reading.
     pub fn new(
         number: ConnectionId,
         socket: Arc<Socket>,
         pause: Arc<AtomicU64>,
-        reader: Orders,
+        reader: ReaderHandle,
     ) -> Connection {
         Connection {
             number,
             socket,
             reader,
             replies: Vec::new(),
-            closes: None,
+            close: None,
             writer: None,
             pause,
         }
     }
 
-    /// Takes an answer, to be written with the others of this turn.
+    /// Adds an answer to those that are written at the end of this turn.
     pub fn reply(&mut self, reply: Reply) {
         self.replies.push(reply);
     }
 
-    /// Has the connection closed after what was handed over is written.
+    /// Has the connection closed after all answers so far.
     pub fn close(&mut self, close: Close) {
-        self.closes = Some(close);
+        self.close = Some(close);
     }
 
-    /// Has the reader wait before each reading.
-    pub fn pace(&self, nanos: u64) {
-        self.pause.store(nanos, SeqCst);
+    /// Has the reader wait so many nanoseconds before each reading.
+    pub fn pace(&self, pause: u64) {
+        self.pause.store(pause, SeqCst);
     }
 
     /// Writes the answers of this turn without waiting. What the socket does not take goes to a
@@ -81,34 +89,36 @@
         while self.writer.is_none() && !self.replies.is_empty() {
             if let Err(e) = self.write_now() {
                 if e.kind() != ErrorKind::WouldBlock {
-                    return self.end(); // the peer is gone
+                    return self.abort(); // the peer is gone
                 }
                 if let Err(e) = self.start_writer() {
                     warn!(target: part::LOAD_BALANCER, connection = self.number.0, error = %e, "connection closed: no writer thread could be started");
-                    return self.end();
+                    return self.abort();
                 }
             }
         }
-        let closes = self.closes.take();
+        let close = self.close.take();
         let Some(writer) = &self.writer else {
-            if closes.is_some_and(|close| !self.reader.give(Order::Close(self.number, close))) {
-                self.end();
+            if close
+                .is_some_and(|close| !self.reader.send(ReaderCommand::Close(self.number, close)))
+            {
+                self.abort();
             }
             return;
         };
         for reply in std::mem::take(&mut self.replies) {
             let size = reply.size();
-            let unread = self.socket.places.unread.fetch_add(size, SeqCst);
-            if unread > self.socket.places.room.unread
+            let unwritten = self.socket.slots.unwritten.fetch_add(size, SeqCst);
+            if unwritten > self.socket.slots.capacity.unread
                 || writer.try_send(Outgoing::Reply(reply)).is_err()
             {
-                self.socket.places.unread.fetch_sub(size, SeqCst);
+                self.socket.slots.unwritten.fetch_sub(size, SeqCst);
                 warn!(target: part::LOAD_BALANCER, connection = self.number.0, "connection closed: the peer does not read");
-                return self.end();
+                return self.abort();
             }
         }
-        if closes.is_some_and(|close| writer.try_send(Outgoing::Close(close)).is_err()) {
-            self.end();
+        if close.is_some_and(|close| writer.try_send(Outgoing::Close(close)).is_err()) {
+            self.abort();
         }
     }
 
@@ -151,26 +161,31 @@
     }
 
     fn start_writer(&mut self) -> io::Result<()> {
-        self.socket.stream.set_write_timeout(Some(UNREAD))?;
-        let (queue, replies) = bounded(REPLIES);
+        self.socket.stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
+        let (queue, replies) = bounded(REPLIES_MAX);
         let (number, socket, reader) = (self.number, Arc::clone(&self.socket), self.reader.clone());
         spawn("write", move || write(number, &socket, &replies, &reader))?;
         self.writer = Some(queue);
         Ok(())
     }
 
-    /// Its peer takes no answers: there is nothing more to be done for it.
-    fn end(&mut self) {
+    /// The peer takes no answers: the connection ends at once.
+    fn abort(&mut self) {
         self.replies.clear();
-        let _ = self.socket.stream.shutdown(Shutdown::Both); // a writer that waits is to wait no longer
-        self.reader.give(Order::Abort(self.number));
+        let _ = self.socket.stream.shutdown(Shutdown::Both); // so that a blocked writer returns
+        self.reader.send(ReaderCommand::Abort(self.number));
     }
 }
 
-/// Writes until the core lets go of the connection; orders to close it are handed on when all
-/// before them is written.
-fn write(number: ConnectionId, socket: &Socket, replies: &Receiver<Outgoing>, reader: &Orders) {
-    let unread = &socket.places.unread;
+/// Writes until the core lets go of the connection. A command to close it is passed to the reader
+/// when all answers before it are written.
+fn write(
+    number: ConnectionId,
+    socket: &Socket,
+    replies: &Receiver<Outgoing>,
+    reader: &ReaderHandle,
+) {
+    let unwritten = &socket.slots.unwritten;
     while let Ok(first) = replies.recv() {
         let mut batch = Vec::with_capacity(GATHERED);
         let mut close = None;
@@ -178,7 +193,7 @@
         while let Some(outgoing) = next {
             match outgoing {
                 Outgoing::Reply(reply) => batch.push(reply),
-                Outgoing::Close(order) => close = Some(order),
+                Outgoing::Close(command) => close = Some(command),
             }
             next = if batch.len() < GATHERED && close.is_none() {
                 replies.try_recv().ok()
@@ -188,18 +203,19 @@
         }
         let mut slices: Vec<_> = batch.iter().flat_map(Reply::slices).collect();
         let written = write_gathered(&socket.stream, &mut slices);
-        unread.fetch_sub(batch.iter().map(Reply::size).sum(), SeqCst);
-        let ordered = close.is_none_or(|close| reader.give(Order::Close(number, close)));
-        if written.is_err() || !ordered {
+        unwritten.fetch_sub(batch.iter().map(Reply::size).sum(), SeqCst);
+        let is_passed_on =
+            close.is_none_or(|close| reader.send(ReaderCommand::Close(number, close)));
+        if written.is_err() || !is_passed_on {
             let _ = socket.stream.shutdown(Shutdown::Both);
-            reader.give(Order::Abort(number));
+            reader.send(ReaderCommand::Abort(number));
             break;
         }
     }
-    // What is still handed over until the core knows that the connection is gone waits for nobody.
+    // Answers that come until the core knows that the connection is gone are dropped.
     for outgoing in replies {
         if let Outgoing::Reply(reply) = outgoing {
-            unread.fetch_sub(reply.size(), SeqCst);
+            unwritten.fetch_sub(reply.size(), SeqCst);
         }
     }
 }
--- a/crates/node/src/io/client_reader/tests.rs
+++ b/crates/node/src/io/client_reader/tests.rs
@@ -1,12 +1,17 @@
 //! The reader by itself, on loopback sockets and with no thread of its own: each test does, one
 //! after the other, what would cross by chance.
 
+use super::close::{LINGER, LINGER_BYTES};
 use super::*;
+use crate::actions::Close;
 use crate::capacity::OptionalSubsystems;
 use crate::config::Limits;
+use crate::io::client_connections::Connection;
+use crate::io::stream::READ;
+use crate::node::Event;
 use madderpoint_test_harness::peers::{PATIENCE, ping};
 use std::io::{Read, Write};
-use std::net::SocketAddr;
+use std::net::{Shutdown, SocketAddr, TcpStream};
 
 /// A reader for so few connections, and what it hands to the core.
 struct Bench {
@@ -34,7 +39,7 @@
             events,
         )
         .unwrap();
-        assert_eq!(reader.places.room.connections, 2);
+        assert_eq!(reader.slots.capacity.connections, 2);
         Bench {
             reader,
             events: inbox,
@@ -56,10 +61,10 @@
     /// Reads until so much has come.
     fn take(&mut self, number: u64, bytes: usize) {
         let mut taken = 0;
-        let socket = Arc::clone(&self.reader.reading[&number].socket);
+        let socket = Arc::clone(&self.reader.connections[&number].socket);
         while taken < bytes {
             let waiting = socket.stream.peek(&mut [0; READ]).unwrap_or(0);
-            if waiting > 0 && self.reader.take(number) == Took::Some {
+            if waiting > 0 && self.reader.read_once(number) == ReadOutcome::Data {
                 taken += waiting;
             }
         }
@@ -67,7 +72,7 @@
 
     /// Waits until so much has come, and leaves it unread.
     fn holds(&self, number: u64, bytes: usize) {
-        let stream = &self.reader.reading[&number].socket.stream;
+        let stream = &self.reader.connections[&number].socket.stream;
         while stream.peek(&mut [0; 2 * READ]).unwrap_or(0) < bytes {}
     }
 
@@ -107,19 +112,19 @@
 
     fn state(&self, number: u64) -> Option<State> {
         self.reader
-            .reading
+            .connections
             .get(&number)
-            .map(|reading| reading.state)
+            .map(|connection| connection.state)
     }
 
     /// Lets time pass until a connection has come so far.
     fn pass(&mut self, number: u64, far: impl Fn(Option<State>) -> bool) {
         while !far(self.state(number)) {
-            let Reverse((due, later)) = self.reader.later.pop().expect("something is due");
+            let Reverse((due, later)) = self.reader.timers.pop().expect("something is due");
             while Instant::now() < due {
                 std::thread::yield_now();
             }
-            self.reader.look_again(later);
+            self.reader.on_timer(later);
         }
     }
 }
@@ -144,12 +149,12 @@
     assert_eq!(bench.handed(), [(number, "accepted"), (number, "request")]);
     assert_eq!(
         bench.state(number),
-        Some(State::Read),
+        Some(State::Reading),
         "what was read is owed an answer"
     );
     // The next order knows of it.
     bench.close(number, 1, 0);
-    assert!(matches!(bench.state(number), Some(State::Lingers { .. })));
+    assert!(matches!(bench.state(number), Some(State::Lingering { .. })));
     assert_eq!(reads_end(&client).unwrap(), 0);
 }
 
@@ -160,7 +165,7 @@
     client.write_all(&ping(1)).unwrap();
     bench.take(number, ping(1).len());
     bench.close(number, 0, 0);
-    assert_eq!(bench.state(number), Some(State::Read));
+    assert_eq!(bench.state(number), Some(State::Reading));
 }
 
 #[test]
@@ -172,21 +177,26 @@
     client.write_all(half).unwrap();
     bench.take(number, half.len());
     bench.close(number, 0, 60_000);
-    assert_eq!(bench.state(number), Some(State::Read));
+    assert_eq!(bench.state(number), Some(State::Reading));
     client.write_all(rest).unwrap();
     bench.take(number, rest.len());
     bench.reader.finish_close(number);
     assert_eq!(bench.handed(), [(number, "accepted"), (number, "request")]);
     assert_eq!(
-        (bench.state(number), bench.reader.reading[&number].closing),
-        (Some(State::Read), None)
+        (
+            bench.state(number),
+            bench.reader.connections[&number].closing
+        ),
+        (Some(State::Reading), None)
     );
     // Half a record at the moment of the close, and the rest never.
     client.write_all(&half[..5]).unwrap();
     bench.take(number, 5);
     bench.close(number, 1, 20);
-    assert_eq!(bench.state(number), Some(State::Read));
-    bench.pass(number, |state| matches!(state, Some(State::Lingers { .. })));
+    assert_eq!(bench.state(number), Some(State::Reading));
+    bench.pass(number, |state| {
+        matches!(state, Some(State::Lingering { .. }))
+    });
     assert_eq!(reads_end(&client).unwrap(), 0);
     assert_eq!(bench.handed(), [(0, "cut short")]);
     // One that ends its side in the middle of a request is told apart from one that has asked.
@@ -194,8 +204,8 @@
     client.write_all(&half[..5]).unwrap();
     bench.take(number, 5);
     client.shutdown(Shutdown::Write).unwrap();
-    while bench.state(number) == Some(State::Read) {
-        bench.reader.take(number);
+    while bench.state(number) == Some(State::Reading) {
+        bench.reader.read_once(number);
     }
     assert_eq!(
         bench.handed()[1..],
@@ -208,7 +218,7 @@
     let mut bench = Bench::new(false);
     let (mut client, number) = bench.client();
     bench.handed();
-    let socket = Arc::clone(&bench.reader.reading[&number].socket);
+    let socket = Arc::clone(&bench.reader.connections[&number].socket);
     (&socket.stream).write_all(b"the last answer").unwrap();
     bench.close(number, 0, 0);
     // A request that crosses the close, seen by nobody, and read by the lingering socket.
@@ -268,17 +278,17 @@
     let (_three, third) = bench.client();
     assert_eq!(bench.handed(), [(third, "accepted")]);
     // One that lingered gives its place to who comes.
-    bench.reader.gone(third);
+    bench.reader.remove(third);
     bench.handed();
     bench.taken.pop();
     bench.close(second, 0, 0);
-    assert!(matches!(bench.state(second), Some(State::Lingers { .. })));
+    assert!(matches!(bench.state(second), Some(State::Lingering { .. })));
     let (_four, fourth) = bench.client();
     let _five = connect(bench.address);
     bench.reader.accept();
     assert_eq!(bench.handed(), [(fourth, "accepted"), (second, "gone")]);
     bench.taken.remove(0);
-    bench.reader.obey(); // the place that came free rang
+    bench.reader.run_commands(); // the place that came free rang
     while bench.handed() != [(fourth + 1, "accepted")] {
         bench.reader.accept();
     }
@@ -290,8 +300,8 @@
     let (mut client, number) = bench.client();
     client.write_all(&ping(1)).unwrap();
     client.shutdown(Shutdown::Write).unwrap();
-    while bench.state(number) != Some(State::Deaf { ended: true }) {
-        bench.reader.take(number);
+    while bench.state(number) != Some(State::Stopped { peer_ended: true }) {
+        bench.reader.read_once(number);
     }
     assert_eq!(
         bench.handed(),
@@ -304,7 +314,7 @@
     bench.close(number, 1, 0);
     assert_eq!(
         bench.state(number),
-        Some(State::Deaf { ended: true }),
+        Some(State::Stopped { peer_ended: true }),
         "it was not heard of yet"
     );
     bench.close(number, 2, 0);
@@ -319,8 +329,8 @@
     client
         .write_all(&[ping(1), vec![0xff; 100]].concat())
         .unwrap();
-    while bench.state(number) == Some(State::Read) {
-        bench.reader.take(number);
+    while bench.state(number) == Some(State::Reading) {
+        bench.reader.read_once(number);
     }
     assert_eq!(
         bench.handed(),
@@ -330,7 +340,10 @@
             (number, "garbled")
         ]
     );
-    assert_eq!(bench.state(number), Some(State::Deaf { ended: false }));
+    assert_eq!(
+        bench.state(number),
+        Some(State::Stopped { peer_ended: false })
+    );
 }
 
 #[test]
@@ -340,17 +353,17 @@
     clients
         .iter_mut()
         .for_each(|client| client.write_all(&ping(1)).unwrap());
-    bench.reader.orders.give(Order::Stop);
-    bench.reader.obey();
+    bench.reader.handle.send(ReaderCommand::StopListening);
+    bench.reader.run_commands();
     assert_eq!(bench.handed(), [(1, "accepted"), (2, "accepted")]);
     // All places are taken: the listener is given up once there is one for the next, and it finds
     // nobody.
     bench.reader.accept();
     assert_eq!(bench.handed(), [(0, "crowded")]);
     bench.taken.pop();
-    bench.reader.gone(2);
+    bench.reader.remove(2);
     assert_eq!(bench.handed(), [(2, "gone")]);
-    bench.reader.obey();
+    bench.reader.run_commands();
     assert_eq!(bench.handed(), [(0, "not listening")]);
     assert!(TcpStream::connect(bench.address).is_err());
     // Orders to close that the core gives at once do not beat the requests that had come.
@@ -365,8 +378,8 @@
     let other = bench.reader.listener.as_ref().unwrap().try_clone().unwrap();
     let mut client = connect(bench.address);
     client.write_all(&ping(1)).unwrap();
-    bench.reader.orders.give(Order::Stop);
-    bench.reader.obey();
+    bench.reader.handle.send(ReaderCommand::StopListening);
+    bench.reader.run_commands();
     assert_eq!(bench.handed(), [(0, "not listening")]);
     other.set_nonblocking(false).unwrap();
     let (mut taken, _) = other.accept().unwrap();
@@ -382,16 +395,19 @@
         let (mut client, number) = bench.client();
         client.write_all(&ping(1)).unwrap();
         bench.holds(number, ping(1).len());
-        bench.reader.reading[&number]
+        bench.reader.connections[&number]
             .pause
             .store(u64::from(paced) * 1_000_000, SeqCst);
         bench
             .reader
-            .orders
-            .give(Order::Deafen(ConnectionId(number)));
-        bench.reader.obey();
+            .handle
+            .send(ReaderCommand::StopReading(ConnectionId(number)));
+        bench.reader.run_commands();
         let handed = bench.handed();
         assert_eq!(handed[1..] == [(number, "request")], !paced, "{handed:?}");
-        assert_eq!(bench.state(number), Some(State::Deaf { ended: false }));
+        assert_eq!(
+            bench.state(number),
+            Some(State::Stopped { peer_ended: false })
+        );
     }
 }
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -2,8 +2,9 @@
 //! nothing with the core but two bounded queues: words of the core, and what is seen of the fleet.
 //! Neither waits for the other.
 
+use super::inbox::Message;
 use super::rollout_link::{Among, Changes, Changing, SETTINGS_CHANGES, topic};
-use super::{Message, STACK};
+use super::threads::STACK;
 use crate::cluster::ClusterUpdate;
 use crate::log::part;
 use crate::node::{Event, Service, With};
--- a/crates/node/src/io/executor_link.rs
+++ b/crates/node/src/io/executor_link.rs
@@ -1,10 +1,14 @@
-//! The link to the kernel: one thread that connects and reads, and a writer for each link.
+//! The connection to the executor: one thread that connects and reads, and a writer for each
+//! connection.
 
-use super::{Addresses, CONNECT, Message, read_all, spawn, write_gathered};
+use super::executor_writer::ExecutorWriter;
+use super::inbox::Message;
+use super::stream::{Addresses, CONNECT, read_all, write_gathered};
+use super::threads::spawn;
 use crate::executor;
 use crate::log::part;
 use crate::node::Event;
-use crossbeam_channel::{Sender, bounded};
+use crossbeam_channel::{Receiver, Sender, bounded};
 use std::io::{self, IoSlice};
 use std::net::{Shutdown, TcpStream};
 use std::sync::Arc;
@@ -14,52 +18,31 @@
 
 /// Lines written with one call.
 const GATHERED: usize = 16;
-/// Between the starts of two links, or tries to make one.
+/// The least time between the starts of two connections, or of two attempts to connect.
 const RETRY: Duration = Duration::from_millis(50);
 
-/// The core's end of a link.
-pub struct ExecutorLink {
-    stream: Arc<TcpStream>,
-    queue: Sender<String>,
-}
-
-impl ExecutorLink {
-    /// Has a line written; false, and the link ends, if the kernel does not read.
-    pub fn write(&self, line: String) -> bool {
-        let taken = self.queue.try_send(line).is_ok();
-        if !taken {
-            warn!(target: part::EXECUTOR, "connection closed: the executor does not read");
-            self.close();
-        }
-        taken
-    }
-
-    /// Ends the link; what was handed over may be lost.
-    pub fn close(&self) {
-        let _ = self.stream.shutdown(Shutdown::Both);
-    }
-}
-
-/// Keeps a link to the kernel from here on.
-pub fn start(addresses: Addresses, lines: usize, events: Sender<Message>) -> io::Result<()> {
-    spawn("kernel", move || keep(&addresses, lines, &events))
+/// Keeps the executor connected from here on. `lines_max` lines may wait to be written.
+pub fn start(addresses: Addresses, lines_max: usize, events: Sender<Message>) -> io::Result<()> {
+    spawn("kernel", move || {
+        keep_connected(&addresses, lines_max, &events);
+    })
 }
 
-fn keep(addresses: &Addresses, lines: usize, events: &Sender<Message>) {
+fn keep_connected(addresses: &Addresses, lines_max: usize, events: &Sender<Message>) {
     let mut reader = executor::Reader::default();
-    let mut told = false;
+    let mut is_failure_logged = false;
     loop {
         let (begun, address) = (Instant::now(), addresses.load().executor);
         match TcpStream::connect_timeout(&address, CONNECT) {
             Ok(stream) => {
-                told = false;
-                if let Err(e) = read(Arc::new(stream), lines, &mut reader, events) {
+                is_failure_logged = false;
+                if let Err(e) = read(Arc::new(stream), lines_max, &mut reader, events) {
                     warn!(target: part::EXECUTOR, error = %e, "connection failed");
                 }
                 let _ = events.send(Message::Event(Event::KernelLost));
             }
-            Err(e) if !told => {
-                told = true;
+            Err(e) if !is_failure_logged => {
+                is_failure_logged = true;
                 warn!(target: part::EXECUTOR, error = %e, "connect failed");
             }
             Err(_) => {}
@@ -70,41 +53,42 @@
     }
 }
 
+/// Reads a connection until it ends.
 fn read(
     stream: Arc<TcpStream>,
-    most: usize,
+    lines_max: usize,
     reader: &mut executor::Reader,
     events: &Sender<Message>,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let (queue, lines) = bounded::<String>(most);
-    let writer = Arc::clone(&stream);
-    spawn("kernel write", move || {
-        while let Ok(first) = lines.recv() {
-            let batch: Vec<_> = std::iter::once(first)
-                .chain(lines.try_iter().take(GATHERED - 1))
-                .collect();
-            let mut slices: Vec<_> = batch
-                .iter()
-                .map(|line| IoSlice::new(line.as_bytes()))
-                .collect();
-            if write_gathered(&writer, &mut slices).is_err() {
-                break;
-            }
-        }
-        let _ = writer.shutdown(Shutdown::Both);
-    })?;
-    let link = ExecutorLink {
-        stream: Arc::clone(&stream),
-        queue,
-    };
-    let _ = events.send(Message::Linked(reader.open(), link));
+    let (queue, lines) = bounded::<String>(lines_max);
+    let writing = Arc::clone(&stream);
+    spawn("kernel write", move || write(&writing, &lines))?;
+    let writer = ExecutorWriter::new(Arc::clone(&stream), queue);
+    let _ = events.send(Message::ExecutorConnected(reader.open(), writer));
     let feed = |bytes: &[u8]| {
         reader.feed(bytes, &mut |notice| {
             let _ = events.send(Message::Event(Event::Kernel(notice)));
         })
     };
-    let read = read_all(&stream, feed);
+    let result = read_all(&stream, feed);
+    let _ = stream.shutdown(Shutdown::Both);
+    result.map_err(io::Error::other)
+}
+
+/// Writes lines until the core lets go of the connection or it fails.
+fn write(stream: &TcpStream, lines: &Receiver<String>) {
+    while let Ok(first) = lines.recv() {
+        let batch: Vec<_> = std::iter::once(first)
+            .chain(lines.try_iter().take(GATHERED - 1))
+            .collect();
+        let mut slices: Vec<_> = batch
+            .iter()
+            .map(|line| IoSlice::new(line.as_bytes()))
+            .collect();
+        if write_gathered(stream, &mut slices).is_err() {
+            break;
+        }
+    }
     let _ = stream.shutdown(Shutdown::Both);
-    read.map_err(io::Error::other)
 }
--- a/crates/node/src/io/registry_reports.rs
+++ b/crates/node/src/io/registry_reports.rs
@@ -1,6 +1,7 @@
-//! Reports to the membership service, on a thread of their own.
+//! Reports to the service registry, on a thread of their own.
 
-use super::{Addresses, spawn};
+use super::stream::Addresses;
+use super::threads::spawn;
 use crate::log::part;
 use crate::service_registry::{self, Phase};
 use std::io::{self, ErrorKind, Read, Write};
@@ -11,53 +12,58 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Between two reports to the membership service, after one that failed, and what each step of one
-/// may take.
+/// Between two reports.
 const PERIOD: Duration = Duration::from_millis(800);
+/// Between a report that failed and the next one.
 const RETRY: Duration = Duration::from_millis(200);
+/// What each step of a report may take: connecting, writing, and waiting for the answer.
 const STEP: Duration = Duration::from_millis(400);
+/// How often it is looked whether the next report is due or the node's state has changed.
+const POLL: Duration = Duration::from_millis(50);
 
-/// What the reports go by: whether the node leaves; and whether another process takes its place,
-/// which then reports.
-pub struct Told {
-    pub leaving: Arc<AtomicBool>,
-    pub handed: Arc<AtomicBool>,
+/// What the reports depend on.
+#[derive(Clone, Default)]
+pub struct NodePhase {
+    /// Whether the node drains.
+    pub is_draining: Arc<AtomicBool>,
+    /// Whether another process of this node takes over; then that one reports.
+    pub is_handed_over: Arc<AtomicBool>,
 }
 
-/// Reports from here on that the node is up, or that it is leaving.
-pub fn start(addresses: Addresses, node: String, told: Told) -> io::Result<()> {
-    spawn("reports", move || report(&addresses, &node, &told))
+/// Reports from here on that the node is up, or that it drains.
+pub fn start(addresses: Addresses, node: String, phase: NodePhase) -> io::Result<()> {
+    spawn("reports", move || report(&addresses, &node, &phase))
 }
 
-fn report(addresses: &Addresses, node: &str, told: &Told) {
-    let (leaving, mut failing) = (&told.leaving, false);
+fn report(addresses: &Addresses, node: &str, phase: &NodePhase) {
+    let mut is_failing = false;
     loop {
         let address = addresses.load().service_registry;
-        let out = leaving.load(SeqCst);
-        if told.handed.load(SeqCst) {
+        let is_draining = phase.is_draining.load(SeqCst);
+        if phase.is_handed_over.load(SeqCst) {
             return;
         }
-        let phase = if out { Phase::Out } else { Phase::Up };
-        let done = report_once(
+        let reported = if is_draining { Phase::Out } else { Phase::Up };
+        let result = report_once(
             address,
-            &service_registry::report(&address.to_string(), node, phase),
+            &service_registry::report(&address.to_string(), node, reported),
         );
-        if let Err(e) = &done
-            && !failing
+        if let Err(e) = &result
+            && !is_failing
         {
             warn!(target: part::SERVICE_REGISTRY, error = %e, "report failed");
         }
-        if done.is_ok() && failing {
+        if result.is_ok() && is_failing {
             info!(target: part::SERVICE_REGISTRY, "reports succeed again");
         }
-        failing = done.is_err();
-        let rest = if failing { RETRY } else { PERIOD };
-        let until = Instant::now() + rest;
+        is_failing = result.is_err();
+        let pause = if is_failing { RETRY } else { PERIOD };
+        let until = Instant::now() + pause;
         while Instant::now() < until
-            && leaving.load(SeqCst) == out
+            && phase.is_draining.load(SeqCst) == is_draining
             && addresses.load().service_registry == address
         {
-            thread::sleep(Duration::from_millis(50).min(rest));
+            thread::sleep(POLL.min(pause));
         }
     }
 }
@@ -70,19 +76,19 @@
     let until = Instant::now() + STEP;
     let (mut answer, mut buffer) = (service_registry::Answer::default(), [0; 512]);
     while Instant::now() < until {
-        let n = match stream.read(&mut buffer) {
+        let length = match stream.read(&mut buffer) {
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-            // It has arrived and counts without an answer: to send it again at once would only add
-            // to the load.
+            // It was sent and counts without an answer: to send it again at once would only add to
+            // the load.
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 return Ok(());
             }
             read => read?,
         };
-        if n == 0 {
+        if length == 0 {
             return Err(ErrorKind::UnexpectedEof.into());
         }
-        match answer.feed(&buffer[..n]) {
+        match answer.feed(&buffer[..length]) {
             Ok(None) => {}
             Ok(Some(204)) => return Ok(()),
             Ok(Some(status)) => return Err(io::Error::other(format!("status {status}"))),
--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -2,8 +2,8 @@
 //! travel as the fleet's parcels, what takes time (checks, writes, what takes force) is done by a
 //! thread of its own, and neither waits for the other.
 
-use super::STACK;
 use super::cluster_link::{Done, Poster};
+use super::threads::STACK;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use madderpoint_membership::{
     Attachment as AttachmentMessage, ClockReading, Host as FleetHost, Liveness, MemberKey,
--- /dev/null
+++ b/crates/node/src/io/sockets.rs
@@ -0,0 +1,171 @@
+//! The side effects that the core requests, as queues to the threads that carry them out.
+
+use super::backend_link::BackendLinkCommand;
+use super::client_connections::Connection;
+use super::cluster_link::ClusterLink;
+use super::executor_writer::ExecutorWriter;
+use super::reader_commands::{ReaderCommand, ReaderHandle};
+use super::stream::Addresses;
+use crate::actions::{Actions, CallId, Close, ConnectionId, Wanted};
+use crate::cluster::ClusterUpdate;
+use crate::config::PeerAddresses;
+use crate::fastcgi::Reply;
+use crate::log::part;
+use crossbeam_channel::Sender;
+use madderpoint::{Nanos, RequestId};
+use std::collections::HashMap;
+use std::fmt;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
+
+/// The core's ends of all connections. No call blocks.
+pub struct Sockets {
+    connections: HashMap<ConnectionId, Connection>,
+    /// Connections with something to be done at the end of this turn.
+    unflushed: Vec<ConnectionId>,
+    executor: Option<ExecutorWriter>,
+    backend: Vec<Sender<BackendLinkCommand>>,
+    addresses: Addresses,
+    reader: ReaderHandle,
+    /// Whether the node drains; read by the reports to the service registry.
+    is_draining: Arc<AtomicBool>,
+    cluster: Option<ClusterLink>,
+}
+
+impl Sockets {
+    /// Without connections yet. `backend` has the queue of each backend link.
+    pub fn new(
+        backend: Vec<Sender<BackendLinkCommand>>,
+        addresses: Addresses,
+        reader: ReaderHandle,
+        is_draining: Arc<AtomicBool>,
+        cluster: Option<ClusterLink>,
+    ) -> Sockets {
+        Sockets {
+            connections: HashMap::new(),
+            unflushed: Vec::new(),
+            executor: None,
+            backend,
+            addresses,
+            reader,
+            is_draining,
+            cluster,
+        }
+    }
+
+    /// A load balancer has connected.
+    pub fn add_connection(&mut self, id: ConnectionId, connection: Connection) {
+        self.connections.insert(id, connection);
+    }
+
+    /// A load balancer's connection has ended.
+    pub fn remove_connection(&mut self, id: ConnectionId) {
+        self.connections.remove(&id);
+    }
+
+    /// The executor is connected, or no longer.
+    pub fn set_executor(&mut self, writer: Option<ExecutorWriter>) {
+        self.executor = writer;
+    }
+
+    /// Leaves the cluster, unless another process of this node takes over.
+    pub fn leave_cluster(&self, is_handed_over: bool) {
+        if let Some(cluster) = &self.cluster {
+            cluster.leave(is_handed_over);
+        }
+    }
+
+    /// Writes the answers of this turn, all answers to a connection at once.
+    pub fn flush(&mut self) {
+        for id in self.unflushed.drain(..) {
+            if let Some(connection) = self.connections.get_mut(&id) {
+                connection.flush();
+            }
+        }
+    }
+}
+
+impl Actions for Sockets {
+    fn reply(&mut self, id: ConnectionId, reply: Reply) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.reply(reply);
+            self.unflushed.push(id);
+        }
+    }
+
+    fn close(&mut self, id: ConnectionId, close: Close) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.close(close);
+            self.unflushed.push(id);
+        }
+    }
+
+    fn deafen(&mut self, id: ConnectionId) {
+        self.reader.send(ReaderCommand::StopReading(id));
+    }
+
+    fn pace(&mut self, id: ConnectionId, pause: Nanos) {
+        if let Some(connection) = self.connections.get(&id) {
+            connection.pace(pause);
+        }
+    }
+
+    fn kernel(&mut self, line: String) {
+        // One line that is left out would leave a gap, so none may follow it on that connection.
+        self.executor.take_if(|writer| !writer.write(line));
+    }
+
+    fn call(
+        &mut self,
+        place: usize,
+        call: CallId,
+        id: RequestId,
+        bytes: Vec<u8>,
+        wanted: Wanted,
+    ) -> bool {
+        let call = BackendLinkCommand::Call(call, id, bytes, wanted);
+        self.backend
+            .get(place)
+            .is_some_and(|queue| queue.try_send(call).is_ok())
+    }
+
+    fn cancel(&mut self, place: usize, bytes: Vec<u8>) {
+        if let Some(queue) = self.backend.get(place) {
+            let _ = queue.try_send(BackendLinkCommand::Cancel(bytes));
+        }
+    }
+
+    fn rest(&mut self, place: usize) {
+        if let Some(queue) = self.backend.get(place) {
+            let _ = queue.try_send(BackendLinkCommand::Close);
+        }
+    }
+
+    fn moved(&mut self, peers: PeerAddresses) -> bool {
+        self.addresses.swap(peers).executor != peers.executor
+    }
+
+    fn renew_kernel(&mut self) {
+        if let Some(writer) = self.executor.take() {
+            writer.close();
+        }
+    }
+
+    fn leaving(&mut self) {
+        self.is_draining.store(true, SeqCst);
+    }
+
+    fn stop_listening(&mut self) {
+        self.reader.send(ReaderCommand::StopListening);
+    }
+
+    fn fleet(&mut self, update: ClusterUpdate) {
+        if let Some(cluster) = &self.cluster {
+            cluster.say(update);
+        }
+    }
+
+    fn step(&mut self, rid: &str, what: fmt::Arguments<'_>) {
+        tracing::trace!(target: part::REQUEST, event = "step", rid, "{what}");
+    }
+}
