--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -12,5 +12,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    cli::Line::parse().run()
+    cli::CommandLine::parse().run()
 }
