--- a/crates/node/src/cli/check.rs
+++ b/crates/node/src/cli/check.rs
@@ -33,8 +33,8 @@
     });
     match format {
         Format::Text => println!(
-            "{}: good; {count} rules, {buckets} buckets, {cases} cases; {} KiB; dearest rule {rule_units} units, a request \
-             at most {request_units}",
+            "{}: good; {count} rules, {buckets} buckets, {cases} cases; {} KiB; \
+             dearest rule {rule_units} units, a request at most {request_units}",
             file.path.display(),
             bytes >> 10
         ),
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -47,7 +47,7 @@
 use stream::Addresses;
 use threads::spawn;
 
-/// What a running node is told from outside: by signals, by its supervisor, by rollouts.
+/// Commands to a running node: from signals, its supervisor and rollouts.
 #[derive(Debug)]
 pub enum ControlMessage {
     /// Drain and stop.
@@ -121,7 +121,7 @@
         cluster: cluster.clone(),
         is_handed_over: Arc::clone(&links.phase.is_handed_over),
     };
-    spawn("notices", move || control_thread.run())?;
+    spawn("control", move || control_thread.run())?;
     let has_backend = !links.backend.is_empty();
     let NodePhase {
         is_draining,
@@ -246,7 +246,7 @@
     cluster_link::start(*part, seed ^ clock.now(), read_clock, events)
 }
 
-/// Passes on what the node is told from outside.
+/// Passes control messages on to the core and to the cluster's thread.
 struct ControlThread {
     control: Receiver<ControlMessage>,
     events: Sender<Message>,
--- a/crates/node/src/io/backend_link.rs
+++ b/crates/node/src/io/backend_link.rs
@@ -16,8 +16,9 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// The core is told of a connection on which nothing was sent for so long. The backend may close
-/// idle connections, and a call that meets the reset looks like one whose reply was lost.
+/// After this time without a command the core gets an event, and may have the connection closed:
+/// the backend may close idle connections, and a call that meets the reset looks like one whose
+/// reply was lost.
 const IDLE: Duration = Duration::from_secs(1);
 
 /// Timeout of one write. After each it is looked whether a call that was written in part is still
@@ -59,7 +60,7 @@
         stream: None,
         retired: Vec::new(),
     };
-    spawn("back end", move || link.serve(&commands))?;
+    spawn("backend", move || link.serve(&commands))?;
     Ok(queue)
 }
 
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Ends the oldest connections to earlier addresses, all but so many.
+    /// Ends the oldest connections to earlier addresses, until `kept` are left.
     fn end_retired(&mut self, kept: usize) {
         let ended = self.retired.len().saturating_sub(kept);
         self.retired
@@ -181,9 +182,7 @@
             place: self.index,
             generation: self.generation,
         };
-        spawn("back end read", move || {
-            read_replies(&reader, link, &events)
-        })?;
+        spawn("backend read", move || read_replies(&reader, link, &events))?;
         self.stream = Some((address, Arc::clone(&stream)));
         Ok(stream)
     }
@@ -237,7 +236,12 @@
 fn read_replies(stream: &TcpStream, link: BackendLink, events: &Sender<Message>) {
     let cause = read_whole_replies(stream, link, events).err();
     if let Some(cause) = cause {
-        warn!(target: part::BACKEND, link = link.place, error = %cause, "connection closed: protocol error");
+        warn!(
+            target: part::BACKEND,
+            link = link.place,
+            error = %cause,
+            "connection closed: protocol error"
+        );
     }
     let _ = stream.shutdown(Shutdown::Both);
     let _ = events.send(Message::Event(Event::BackendLost(
--- a/crates/node/src/io/client_connections.rs
+++ b/crates/node/src/io/client_connections.rs
@@ -21,7 +21,7 @@
 const REPLIES_MAX: usize = 2 * fastcgi::MAX_OPEN;
 /// Answers written with one call.
 const GATHERED: usize = 16;
-/// A peer that takes no byte of an answer for so long is gone.
+/// Timeout of one write: a peer that takes no byte in that time is gone.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What a writer is given.
@@ -78,7 +78,7 @@
         self.close = Some(close);
     }
 
-    /// Has the reader wait so many nanoseconds before each reading.
+    /// Has the reader wait before each reading; `pause` in nanoseconds.
     pub fn pace(&self, pause: u64) {
         self.pause.store(pause, SeqCst);
     }
@@ -92,7 +92,12 @@
                     return self.abort(); // the peer is gone
                 }
                 if let Err(e) = self.start_writer() {
-                    warn!(target: part::LOAD_BALANCER, connection = self.number.0, error = %e, "connection closed: no writer thread could be started");
+                    warn!(
+                        target: part::LOAD_BALANCER,
+                        connection = self.number.0,
+                        error = %e,
+                        "connection closed: no writer thread could be started"
+                    );
                     return self.abort();
                 }
             }
@@ -113,7 +118,11 @@
                 || writer.try_send(Outgoing::Reply(reply)).is_err()
             {
                 self.socket.slots.unwritten.fetch_sub(size, SeqCst);
-                warn!(target: part::LOAD_BALANCER, connection = self.number.0, "connection closed: the peer does not read");
+                warn!(
+                    target: part::LOAD_BALANCER,
+                    connection = self.number.0,
+                    "connection closed: the peer does not read"
+                );
                 return self.abort();
             }
         }
@@ -177,7 +186,7 @@
     }
 }
 
-/// Writes until the core lets go of the connection. A command to close it is passed to the reader
+/// Writes until the core has dropped the queue. A command to close it is passed to the reader
 /// when all answers before it are written.
 fn write(
     number: ConnectionId,
--- a/crates/node/src/io/client_reader.rs
+++ b/crates/node/src/io/client_reader.rs
@@ -58,11 +58,15 @@
     if start.is_none() {
         reader.watch_listener()?;
     }
-    spawn("front", move || {
+    spawn("client reader", move || {
         if let Some(start) = start
             && let (Ok(()), Err(e)) = (start.recv(), reader.watch_listener())
         {
-            error!(target: part::LOAD_BALANCER, error = %e, "listening failed: no connection is accepted");
+            error!(
+                target: part::LOAD_BALANCER,
+                error = %e,
+                "listening failed: no connection is accepted"
+            );
         }
         reader.serve();
     })?;
@@ -79,7 +83,8 @@
     /// It is no longer read: its peer has ended its side, its framing is lost, or the core wants no
     /// more of it.
     Stopped { peer_ended: bool },
-    /// Nothing more is written on it, and what comes is dropped: so many bytes, and until then.
+    /// Nothing more is written on it, and what comes is dropped: until then, and `left` more bytes
+    /// at most.
     Lingering { until: Instant, left: usize },
 }
 
@@ -172,7 +177,11 @@
             match epoll::wait(&self.poll, spare_capacity(&mut ready), wait.as_ref()) {
                 Err(Errno::INTR) | Ok(_) => {}
                 Err(e) => {
-                    error!(target: part::LOAD_BALANCER, error = %e, "reading failed: all connections stop");
+                    error!(
+                        target: part::LOAD_BALANCER,
+                        error = %e,
+                        "reading failed: all connections stop"
+                    );
                     return;
                 }
             }
@@ -246,7 +255,12 @@
             (State::Paused, _) => {
                 connection.state = State::Reading;
                 if let Err(e) = self.watch(number) {
-                    warn!(target: part::LOAD_BALANCER, connection = number, error = %e, "connection closed: it cannot be polled");
+                    warn!(
+                        target: part::LOAD_BALANCER,
+                        connection = number,
+                        error = %e,
+                        "connection closed: it cannot be polled"
+                    );
                     self.remove(number);
                 }
             }
--- a/crates/node/src/io/client_reader/accept.rs
+++ b/crates/node/src/io/client_reader/accept.rs
@@ -59,7 +59,11 @@
         }
         match self.watch_listener().map_err(|e| e.raw_os_error()) {
             Err(e) if e != Some(Errno::EXIST.raw_os_error()) => {
-                error!(target: part::LOAD_BALANCER, error = ?e, "listening failed: no connection is accepted");
+                error!(
+                    target: part::LOAD_BALANCER,
+                    error = ?e,
+                    "listening failed: no connection is accepted"
+                );
             }
             _ => {}
         }
--- a/crates/node/src/io/client_reader/close.rs
+++ b/crates/node/src/io/client_reader/close.rs
@@ -114,7 +114,8 @@
         let Some(connection) = self.connections.remove(&number) else {
             return;
         };
-        let _ = epoll::delete(&self.poll, &connection.socket.stream); // the core or a writer may still have it
+        // Not left to the socket's end: the core or a writer may still have it.
+        let _ = epoll::delete(&self.poll, &connection.socket.stream);
         let _ = connection.socket.stream.shutdown(Shutdown::Both);
         drop(connection);
         while self
--- a/crates/node/src/io/client_reader/read.rs
+++ b/crates/node/src/io/client_reader/read.rs
@@ -63,7 +63,12 @@
         }
         let request = |event| send(Event::Front(ConnectionId(number), event));
         if let Err(cause) = connection.parser.feed(&buffer[..length], &mut { request }) {
-            warn!(target: part::LOAD_BALANCER, connection = number, error = %cause, "connection closed: protocol error");
+            warn!(
+                target: part::LOAD_BALANCER,
+                connection = number,
+                error = %cause,
+                "connection closed: protocol error"
+            );
             send(Event::Garbled(ConnectionId(number), cause.as_str()));
             return self.stop_reading(number, false);
         }
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -357,7 +357,11 @@
         match begin(part, seed, &clock, events, socket, &own) {
             Ok((fleet, beside)) => serve(fleet, beside, &clock, &inbox, &own.bell),
             Err(e) => {
-                error!(target: part::CLUSTER, error = %e, "start failed: the node takes no part in the cluster")
+                error!(
+                    target: part::CLUSTER,
+                    error = %e,
+                    "start failed: the node takes no part in the cluster"
+                )
             }
         }
     };
--- a/crates/node/src/io/executor_link.rs
+++ b/crates/node/src/io/executor_link.rs
@@ -23,7 +23,7 @@
 
 /// Keeps the executor connected from here on. `lines_max` lines may wait to be written.
 pub fn start(addresses: Addresses, lines_max: usize, events: Sender<Message>) -> io::Result<()> {
-    spawn("kernel", move || {
+    spawn("executor", move || {
         keep_connected(&addresses, lines_max, &events);
     })
 }
@@ -63,7 +63,7 @@
     stream.set_nodelay(true)?;
     let (queue, lines) = bounded::<String>(lines_max);
     let writing = Arc::clone(&stream);
-    spawn("kernel write", move || write(&writing, &lines))?;
+    spawn("executor write", move || write(&writing, &lines))?;
     let writer = ExecutorWriter::new(Arc::clone(&stream), queue);
     let _ = events.send(Message::ExecutorConnected(reader.open(), writer));
     let feed = |bytes: &[u8]| {
@@ -76,7 +76,7 @@
     result.map_err(io::Error::other)
 }
 
-/// Writes lines until the core lets go of the connection or it fails.
+/// Writes lines until the core has dropped the queue or the connection fails.
 fn write(stream: &TcpStream, lines: &Receiver<String>) {
     while let Ok(first) = lines.recv() {
         let batch: Vec<_> = std::iter::once(first)
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -112,7 +112,7 @@
         .try_init();
 }
 
-/// Permits so many lines a second, and counts the others.
+/// Permits [`LINES_PER_SECOND`], and counts the other lines.
 #[derive(Debug, Default)]
 struct RateLimit {
     /// The second that is counted, in Unix time.
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -45,7 +45,7 @@
     /// The configuration is rejected.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// What the supervisor hands over can't be taken up.
+    /// The handover from the supervisor failed.
     #[error("{0}")]
     Supervisor(String),
     /// No thread could be started that listens to the supervisor.
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -26,7 +26,7 @@
     pub fleet: Option<FleetSettings>,
     /// What is in force, where settings change by rollouts.
     pub in_force: Option<Arc<Mutex<InForce>>>,
-    /// Where the running node is told.
+    /// The running node's queue.
     pub control: Sender<ControlMessage>,
 }
 
--- a/crates/node/src/serve/versions.rs
+++ b/crates/node/src/serve/versions.rs
@@ -9,8 +9,9 @@
 use madderpoint_node::io::{Changing, ControlMessage, Versions};
 use madderpoint_node::log::part;
 use madderpoint_node::version_store::Directory;
+use madderpoint_rollout::node_agent::InitialState;
 use madderpoint_rollout::{Kind, PersistedState, Version};
-use madderpoint_settings::{FleetSettings, Translator};
+use madderpoint_settings::{Complaints, FleetSettings, Translator};
 use madderpoint_shared_state::keyed_quota::KeyedQuota;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -68,7 +69,40 @@
     };
     let mut directory =
         open(&directory, &config.name, Kind::Settings).map_err(StartError::VersionStore)?;
-    // The given file may be broken or gone: what was in force is on the disk.
+    let (read, start) = begin(&mut directory, file, given, config)?;
+    let Some(fleet) = read.fleet.clone() else {
+        return Err(StartError::NoVersion("no <fleet>".into()));
+    };
+    let in_force = Arc::new(Mutex::new(InForce {
+        version: start.running,
+        fleet,
+        quotas: keyed_quotas(&read),
+    }));
+    let changing = Changing {
+        start,
+        plan: settings::plan(&read),
+        versions: Box::new(SettingsVersions {
+            directory,
+            file: file.to_owned(),
+            config: Arc::clone(config),
+            in_force: Arc::clone(&in_force),
+            control: control.clone(),
+        }),
+    };
+    Ok(LoadedSettings {
+        read,
+        versions: Some((in_force, changing)),
+    })
+}
+
+/// Decides on the version to start on. The given file may be broken or gone: what was in force is
+/// on the disk.
+fn begin(
+    directory: &mut Directory,
+    file: &Path,
+    given: Result<Translator, Box<Complaints>>,
+    config: &NodeConfig,
+) -> Result<(Translator, InitialState), StartError> {
     let content = match &given {
         Ok(read) => {
             let bytes = std::fs::read(file).map_err(|error| StartError::Unreadable {
@@ -93,35 +127,11 @@
             false => Err(SettingsError::OtherContent.to_string()),
         }
     });
-    let begun = match (begun, given) {
-        (Ok(begun), _) => begun,
-        (Err(_), Err(complaints)) => return Err(StartError::SettingsFile(complaints)),
-        (Err(problem), Ok(_)) => return Err(StartError::NoVersion(problem)),
-    };
-    let read = begun.runs;
-    let Some(fleet) = read.fleet.clone() else {
-        return Err(StartError::NoVersion("no <fleet>".into()));
-    };
-    let in_force = Arc::new(Mutex::new(InForce {
-        version: begun.start.running,
-        fleet,
-        quotas: keyed_quotas(&read),
-    }));
-    let changing = Changing {
-        start: begun.start,
-        plan: settings::plan(&read),
-        versions: Box::new(SettingsVersions {
-            directory,
-            file: file.to_owned(),
-            config: Arc::clone(config),
-            in_force: Arc::clone(&in_force),
-            control: control.clone(),
-        }),
-    };
-    Ok(LoadedSettings {
-        read,
-        versions: Some((in_force, changing)),
-    })
+    match (begun, given) {
+        (Ok(begun), _) => Ok((begun.runs, begun.start)),
+        (Err(_), Err(complaints)) => Err(StartError::SettingsFile(complaints)),
+        (Err(problem), Ok(_)) => Err(StartError::NoVersion(problem)),
+    }
 }
 
 /// Where versions are kept, if they are. A relative path starts at the directory of the settings
--- a/crates/node/src/service_registry.rs
+++ b/crates/node/src/service_registry.rs
@@ -22,7 +22,8 @@
     let word = if phase == Phase::Up { "UP" } else { "OUT" };
     let body = format!("{{\"phase\":\"{word}\"}}");
     format!(
-        "PUT /members/{node} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\nContent-Type: application/json\r\n\
+        "PUT /members/{node} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n\
+         Content-Type: application/json\r\n\
          Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -834,7 +834,11 @@
         self.over = true;
         if !self.conns.is_empty() {
             let connections = self.conns.len();
-            warn!(target: part::NODE, connections, "stopped with connections that their peers left open");
+            warn!(
+                target: part::NODE,
+                connections,
+                "stopped with connections that their peers left open"
+            );
         }
     }
 
--- a/crates/node/src/state/backend_calls.rs
+++ b/crates/node/src/state/backend_calls.rs
@@ -242,7 +242,12 @@
         let broke: Vec<_> = broke.map(|(&id, _)| id).collect();
         if !broke.is_empty() {
             let calls = broke.len();
-            warn!(target: part::BACKEND, link = link.place, calls, "connection lost with calls under way");
+            warn!(
+                target: part::BACKEND,
+                link = link.place,
+                calls,
+                "connection lost with calls under way"
+            );
         }
         broke
     }
--- a/crates/node/src/state/executions.rs
+++ b/crates/node/src/state/executions.rs
@@ -108,7 +108,11 @@
             (kernel.up, kernel.synced, kernel.renewing) = (false, false, false);
             (kernel.waits, kernel.unanswered) = (false, 0);
             self.count("kernel: links gone silent", 1);
-            warn!(target: part::EXECUTOR, requests = self.invs.len(), "connection silent: it is renewed");
+            warn!(
+                target: part::EXECUTOR,
+                requests = self.invs.len(),
+                "connection silent: it is renewed"
+            );
             self.out.renew_kernel();
         }
     }
--- a/crates/node/src/supervisor.rs
+++ b/crates/node/src/supervisor.rs
@@ -138,7 +138,12 @@
             .map(|o| format!("{} {}\n", o.pid, o.started))
             .collect();
         if let Err(e) = std::fs::write(&self.file, all.concat()) {
-            warn!(target: part::SUPERVISOR, path = %self.file.display(), error = %e, "list of processes not written");
+            warn!(
+                target: part::SUPERVISOR,
+                path = %self.file.display(),
+                error = %e,
+                "list of processes not written"
+            );
         }
     }
 
@@ -175,7 +180,12 @@
         };
         if let Err(e) = sent {
             // It ended already, or takes nothing: its end tells the rest.
-            warn!(target: part::SUPERVISOR, program = %file.display(), error = %e, "start instructions not delivered");
+            warn!(
+                target: part::SUPERVISOR,
+                program = %file.display(),
+                error = %e,
+                "start instructions not delivered"
+            );
             started.signal(Signal::KILL);
         }
         self.processes.insert(child, started);
@@ -214,7 +224,10 @@
                 Ok(Some(saying)) => _ = events.send(Event::Said(child, saying)),
                 Ok(None) => break,
                 Err(_) => {
-                    warn!(target: part::SUPERVISOR, "message of a process cannot be read: no more is read of it");
+                    warn!(
+                        target: part::SUPERVISOR,
+                        "message of a process cannot be read: no more is read of it"
+                    );
                     return;
                 }
             }
--- a/crates/node/src/supervisor_client.rs
+++ b/crates/node/src/supervisor_client.rs
@@ -186,7 +186,10 @@
         .unwrap_or_else(PoisonError::into_inner)
         .clear();
     if in_charge {
-        warn!(target: part::SUPERVISOR, "supervisor lost: the node goes on, and cannot change its program");
+        warn!(
+            target: part::SUPERVISOR,
+            "supervisor lost: the node goes on, and cannot change its program"
+        );
     } else {
         warn!(target: part::SUPERVISOR, "supervisor lost before the handover: this process stops");
         let _ = notices.send(ControlMessage::HandOver);
--- a/crates/node/src/version_store.rs
+++ b/crates/node/src/version_store.rs
@@ -305,7 +305,12 @@
                     return Ok(Begun { start, runs: what });
                 }
                 Err(what) => {
-                    warn!(target: part::ROLLOUT, %version, error = %what, "version cannot be started");
+                    warn!(
+                        target: part::ROLLOUT,
+                        %version,
+                        error = %what,
+                        "version cannot be started"
+                    );
                     first_wrong.get_or_insert(what);
                 }
             }
