--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -10,6 +10,10 @@
 /// The largest body of a reply, in bytes.
 const BODY_MAX: usize = 8 * 1024;
 
+/// Words that begin the lines of calls.
+const INVOKE: &str = "invoke";
+const CANCEL: &str = "cancel";
+
 /// How a backend call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
@@ -25,6 +29,20 @@
     Stale,
 }
 
+impl Outcome {
+    /// The outcome that a word on the wire stands for.
+    fn from_word(word: &str) -> Option<Outcome> {
+        Some(match word {
+            "ok" => Outcome::Ok,
+            "overload" => Outcome::Overload,
+            "internal" => Outcome::Internal,
+            "deadline" => Outcome::Deadline,
+            "stale" => Outcome::Stale,
+            _ => return None,
+        })
+    }
+}
+
 /// A reply to a backend call.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reply {
@@ -137,14 +155,7 @@
     let text = str::from_utf8(line.strip_suffix(b"\r\n")?).ok()?;
     let mut words = text.split(' ');
     let (id, word, len) = (words.next()?, words.next()?, words.next());
-    let outcome = match word {
-        "ok" => Outcome::Ok,
-        "overload" => Outcome::Overload,
-        "internal" => Outcome::Internal,
-        "deadline" => Outcome::Deadline,
-        "stale" => Outcome::Stale,
-        _ => return None,
-    };
+    let outcome = Outcome::from_word(word)?;
     if words.next().is_some() || len.is_some() != (outcome == Outcome::Ok) {
         return None;
     }
@@ -161,7 +172,7 @@
 
 /// The bytes of a call, to be answered within `wait_ms` milliseconds.
 pub fn invoke(id: &str, wait_ms: u64, body: &[u8]) -> Vec<u8> {
-    let mut bytes = format!("invoke {id} {wait_ms} {}\r\n", body.len()).into_bytes();
+    let mut bytes = format!("{INVOKE} {id} {wait_ms} {}\r\n", body.len()).into_bytes();
     bytes.extend_from_slice(body);
     bytes.extend_from_slice(b"\r\n");
     bytes
@@ -169,7 +180,7 @@
 
 /// The bytes that abandon a call.
 pub fn cancel(id: &str) -> Vec<u8> {
-    format!("cancel {id}\r\n").into_bytes()
+    format!("{CANCEL} {id}\r\n").into_bytes()
 }
 
 #[cfg(test)]
--- a/crates/node/src/executor.rs
+++ b/crates/node/src/executor.rs
@@ -14,6 +14,33 @@
 /// The longest line, in bytes.
 const LINE_MAX: usize = 16 * 1024;
 
+/// Names of notices on the wire, and the values of their status.
+mod notice_name {
+    pub const BOOTED: &str = "BOOTED";
+    pub const REAP: &str = "REAP";
+    pub const IOREQ: &str = "IOREQ";
+    pub const INFO: &str = "INFO";
+    pub const POSTED: &str = "POSTED";
+    pub const EINVAL: &str = "EINVAL";
+    pub const DMESG: &str = "DMESG";
+
+    pub const COLD: &str = "COLD";
+    pub const OK: &str = "OK";
+    pub const STOPPED: &str = "STOPPED";
+    pub const MOOT: &str = "MOOT";
+}
+
+/// Names of commands on the wire.
+mod command_name {
+    pub const OPEN: &str = "OPEN";
+    pub const SCHED: &str = "SCHED";
+    pub const PREEMPT: &str = "PREEMPT";
+    pub const IODONE: &str = "IODONE";
+    pub const NOIO: &str = "NOIO";
+    pub const SYSINFO: &str = "SYSINFO";
+    pub const POST: &str = "POST";
+}
+
 /// How an execution ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
@@ -238,17 +265,17 @@
     let mark = line.mark.and_then(|m| m.parse().ok());
     let body = |b64: Option<Cow<'_, str>>| STANDARD.decode(b64?.as_bytes()).ok();
     Some(Some(match &*line.t {
-        "BOOTED" => Notice::Booted {
-            cold: line.status? == "COLD",
+        notice_name::BOOTED => Notice::Booted {
+            cold: line.status? == notice_name::COLD,
             up_ms: line.time_ms?.max(0.0),
         },
-        "REAP" => {
+        notice_name::REAP => {
             // Whatever its status, the execution is over: without a result that can be read it
             // failed.
             let (end, body) = match (&*line.status?, body(line.b64)) {
-                ("OK", Some(body)) => (End::Ok, body),
-                ("STOPPED", _) => (End::Stopped, Vec::new()),
-                ("MOOT", _) => (End::Moot, Vec::new()),
+                (notice_name::OK, Some(body)) => (End::Ok, body),
+                (notice_name::STOPPED, _) => (End::Stopped, Vec::new()),
+                (notice_name::MOOT, _) => (End::Moot, Vec::new()),
                 _ => (End::Error, Vec::new()),
             };
             Notice::Reap {
@@ -258,24 +285,24 @@
                 body,
             }
         }
-        "IOREQ" => Notice::IoReq {
+        notice_name::IOREQ => Notice::IoReq {
             no: line.no?,
             rid: rid?,
             body: body(line.b64)?,
         },
-        "INFO" => Notice::Info {
+        notice_name::INFO => Notice::Info {
             mark: mark?,
             values: line.v?,
         },
-        "POSTED" => Notice::Posted {
+        notice_name::POSTED => Notice::Posted {
             mark: mark?,
-            ok: line.status? == "OK",
+            ok: line.status? == notice_name::OK,
         },
-        "EINVAL" => Notice::EInval {
+        notice_name::EINVAL => Notice::EInval {
             command: line.status?.into_owned(),
             rid: rid.unwrap_or_default(),
         },
-        "DMESG" => return Some(None),
+        notice_name::DMESG => return Some(None),
         _ => return None,
     }))
 }
@@ -319,28 +346,31 @@
 impl Command<'_> {
     /// Its line, with the line feed.
     pub fn line(&self) -> String {
+        use command_name::{IODONE, NOIO, OPEN, POST, PREEMPT, SCHED, SYSINFO};
         let mut line = String::with_capacity(64);
         let quoted = |text: &str| serde_json::Value::from(text).to_string();
         let done = match *self {
-            Command::Open(no) => write!(line, r#"{{"t":"OPEN","no":{no}}}"#),
+            Command::Open(no) => write!(line, r#"{{"t":"{OPEN}","no":{no}}}"#),
             Command::Sched { rid, route, body } => {
                 let (route, body) = (quoted(route), STANDARD.encode(body));
                 write!(
                     line,
-                    r#"{{"t":"SCHED","rid":"{rid}","route":{route},"b64":"{body}"}}"#
+                    r#"{{"t":"{SCHED}","rid":"{rid}","route":{route},"b64":"{body}"}}"#
                 )
             }
-            Command::Preempt(rid) => write!(line, r#"{{"t":"PREEMPT","rid":"{rid}"}}"#),
+            Command::Preempt(rid) => write!(line, r#"{{"t":"{PREEMPT}","rid":"{rid}"}}"#),
             Command::IoDone { rid, body } => {
                 write!(
                     line,
-                    r#"{{"t":"IODONE","rid":"{rid}","b64":"{}"}}"#,
+                    r#"{{"t":"{IODONE}","rid":"{rid}","b64":"{}"}}"#,
                     STANDARD.encode(body)
                 )
             }
-            Command::NoIo { rid, no } => write!(line, r#"{{"t":"NOIO","rid":"{rid}","no":{no}}}"#),
-            Command::SysInfo(mark) => write!(line, r#"{{"t":"SYSINFO","mark":"{mark}"}}"#),
-            Command::Post(mark) => write!(line, r#"{{"t":"POST","mark":"{mark}"}}"#),
+            Command::NoIo { rid, no } => {
+                write!(line, r#"{{"t":"{NOIO}","rid":"{rid}","no":{no}}}"#)
+            }
+            Command::SysInfo(mark) => write!(line, r#"{{"t":"{SYSINFO}","mark":"{mark}"}}"#),
+            Command::Post(mark) => write!(line, r#"{{"t":"{POST}","mark":"{mark}"}}"#),
         };
         debug_assert!(done.is_ok(), "a string takes all that is written");
         line.push('\n');
--- a/crates/node/src/service_registry.rs
+++ b/crates/node/src/service_registry.rs
@@ -17,10 +17,19 @@
     Out,
 }
 
+impl Phase {
+    /// Its name on the wire.
+    fn as_str(self) -> &'static str {
+        match self {
+            Phase::Up => "UP",
+            Phase::Out => "OUT",
+        }
+    }
+}
+
 /// The bytes of a report of the node to the service registry at `host`.
 pub fn report(host: &str, node: &str, phase: Phase) -> Vec<u8> {
-    let word = if phase == Phase::Up { "UP" } else { "OUT" };
-    let body = format!("{{\"phase\":\"{word}\"}}");
+    let body = format!("{{\"phase\":\"{}\"}}", phase.as_str());
     format!(
         "PUT /members/{node} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n\
          Content-Type: application/json\r\n\
