--- a/crates/node/src/backend/tests.rs
+++ b/crates/node/src/backend/tests.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn calls_tell_their_length() {
+fn calls_state_their_length() {
     assert_eq!(
         invoke("00aa", 250, b"a\r\nb"),
         b"invoke 00aa 250 4\r\na\r\nb\r\n"
--- a/crates/node/src/executor/tests.rs
+++ b/crates/node/src/executor/tests.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_replay_after_a_break_is_taken_once_each() {
+fn notices_replayed_after_a_break_are_read_once() {
     let mut reader = Reader::default();
     reader.open();
     let (first, _) = feed(&mut reader, &(moot(1) + &moot(2) + &moot(3)[..20])); // cut in the middle of a line
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_missing_notice_renews_the_link_unless_it_is_gone_for_good() {
+fn a_missing_notice_renews_the_connection_unless_it_is_lost_for_good() {
     let mut reader = Reader::default();
     reader.open();
     feed(&mut reader, &moot(1)).1.unwrap();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_told_and_passed_over() {
+fn unreadable_lines_are_reported_and_skipped() {
     for line in [
         "{\"t\":\"IOREQ\",\"no\":1,\"b64\":\"\"}\n",
         "{\"t\":\"SONG\"}\n",
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_overlong_line_breaks_the_link() {
+fn an_overlong_line_ends_the_connection() {
     for line in [
         vec![b'x'; LINE_MAX + 1],
         [vec![b'x'; LINE_MAX + 1], b"\n".to_vec()].concat(),
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_run_whose_end_cannot_be_read_has_failed() {
+fn an_execution_whose_end_cannot_be_read_has_failed() {
     for rest in [
         "\"OK\",\"b64\":\"%%%\"",
         "\"OK\"",
--- a/crates/node/src/fastcgi/tests.rs
+++ b/crates/node/src/fastcgi/tests.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_is_too_large_is_cut_and_marked() {
+fn requests_that_are_too_large_are_cut_and_marked() {
     let sequence = support::request(1, &[("A", "b")], &[1; BODY_MAX + 1]);
     let (events, _) = read_whole(&sequence);
     assert!(matches!(&events[..], [Event::Request(r)] if r.oversize && r.body.len() == BODY_MAX));
@@ -147,7 +147,7 @@
 /// Bodies of 60 MB and records without end were once read to their end, at the cost of all other
 /// connections.
 #[test]
-fn what_goes_on_without_a_request_ends_the_connection() {
+fn too_many_bytes_without_a_request_end_the_connection() {
     let record = |kind, id, len| record(kind, id, &vec![7; len], 9);
     let half = [
         begin(1, 1, true),
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn what_is_not_played_here_is_ended_as_laid_down() {
+fn unsupported_records_are_answered_as_the_protocol_demands() {
     let too_many: Vec<u8> = (1..=MAX_OPEN as u16 + 1)
         .flat_map(|id| begin(id, 1, true))
         .collect();
--- a/crates/node/src/io/backend_link/tests.rs
+++ b/crates/node/src/io/backend_link/tests.rs
@@ -1,4 +1,4 @@
-//! A link to a back end that is played here: what it does not read in time, and replies that are
+//! A link to a backend that is played here: what it does not read in time, and replies that are
 //! cut.
 
 use super::*;
@@ -12,7 +12,7 @@
 /// No socket's buffers take as much.
 const HUGE: usize = 32 << 20;
 
-/// A back end, a link to it, and what it tells the core.
+/// A backend, a link to it, and what it reports to the core.
 struct Bench {
     backend: TcpListener,
     queue: Sender<BackendLinkCommand>,
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_call_that_is_not_wanted_any_more_is_not_written() {
+fn a_call_that_is_no_longer_wanted_is_not_written() {
     let bench = Bench::new();
     let wanted = Wants::default().wanted();
     bench
@@ -104,10 +104,10 @@
     assert_eq!(&line, b"invoke two 1 0\r\n\r\n");
 }
 
-/// The back end reads nothing. Calls that wait behind one that it does not take pass their limits:
+/// The backend reads nothing. Calls that wait behind one that it does not take pass their limits:
 /// when it reads again, none of them reaches it, and a call that is wanted does.
 #[test]
-fn what_waits_for_a_back_end_that_does_not_read_is_not_written_after_its_time() {
+fn calls_that_wait_for_a_backend_that_does_not_read_are_not_written_after_their_time() {
     let bench = Bench::new();
     let first = bench.call(1, &vec![b'x'; HUGE]);
     let stream = bench.accept();
@@ -129,10 +129,10 @@
     drop(third);
 }
 
-/// Nobody gives the call up, and the back end does not read for good: the connection ends, and all
+/// Nobody gives the call up, and the backend does not read for good: the connection ends, and all
 /// on it is known to be lost.
 #[test]
-fn a_back_end_that_does_not_read_for_a_second_loses_its_connection() {
+fn a_backend_that_does_not_read_for_a_second_loses_its_connection() {
     let bench = Bench::new();
     let begun = Instant::now();
     let _first = bench.call(1, &vec![b'x'; HUGE]);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_call_that_meets_the_end_of_a_resting_connection_goes_out_on_a_new_one() {
+fn a_call_that_meets_the_end_of_an_idle_connection_is_written_on_a_new_one() {
     let bench = Bench::new();
     let _one = bench.call(1, b"invoke one 1 0\r\n\r\n");
     let first = bench.accept();
--- a/crates/node/src/io/client_reader/tests.rs
+++ b/crates/node/src/io/client_reader/tests.rs
@@ -13,7 +13,7 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-/// A reader for so few connections, and what it hands to the core.
+/// A reader for so few connections, and what it sends to the core.
 struct Bench {
     reader: Reader,
     events: Receiver<Message>,
@@ -76,7 +76,7 @@
         while stream.peek(&mut [0; 2 * READ]).unwrap_or(0) < bytes {}
     }
 
-    /// What was handed to the core since, by connection.
+    /// What was sent to the core since, by connection.
     fn handed(&mut self) -> Vec<(u64, &'static str)> {
         let mut handed = Vec::new();
         for message in self.events.try_iter() {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_request_in_the_buffer_as_its_connection_is_closed_is_handed_on_and_the_close_is_void() {
+fn a_request_in_the_buffer_as_its_connection_is_closed_is_read_and_the_close_is_void() {
     let mut bench = Bench::new(false);
     let (mut client, number) = bench.client();
     client.write_all(&ping(1)).unwrap();
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn what_was_handed_on_and_not_heard_of_makes_a_close_void() {
+fn an_event_that_the_core_has_not_heard_of_makes_a_close_void() {
     let mut bench = Bench::new(false);
     let (mut client, number) = bench.client();
     client.write_all(&ping(1)).unwrap();
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn what_comes_after_the_end_of_writing_is_dropped_and_destroys_no_answer() {
+fn bytes_after_the_end_of_writing_are_dropped_and_destroy_no_answer() {
     let mut bench = Bench::new(false);
     let (mut client, number) = bench.client();
     bench.handed();
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn where_there_is_no_room_nothing_lingers_and_the_next_one_is_taken() {
+fn without_a_free_slot_nothing_lingers_and_the_next_connection_is_accepted() {
     let mut bench = Bench::new(false);
     let (_one, first) = bench.client();
     let (_two, second) = bench.client();
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn who_ended_its_side_is_told_of_and_let_go_of_after_its_answers() {
+fn a_half_closed_connection_is_reported_and_dropped_after_its_answers() {
     let mut bench = Bench::new(false);
     let (mut client, number) = bench.client();
     client.write_all(&ping(1)).unwrap();
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn lost_framing_is_told_of_after_the_requests_before_it() {
+fn lost_framing_is_reported_after_the_requests_before_it() {
     let mut bench = Bench::new(false);
     let (mut client, number) = bench.client();
     client
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn the_backlog_is_taken_before_the_listener_goes() {
+fn the_backlog_is_accepted_before_the_listener_closes() {
     let mut bench = Bench::new(false);
     let mut clients: Vec<_> = (0..2).map(|_| connect(bench.address)).collect();
     clients
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn the_backlog_of_a_socket_that_another_process_has_too_is_left_to_it() {
+fn the_backlog_of_a_shared_socket_is_left_to_the_other_process() {
     let mut bench = Bench::new(true);
     let other = bench.reader.listener.as_ref().unwrap().try_clone().unwrap();
     let mut client = connect(bench.address);
@@ -389,7 +389,7 @@
 }
 
 #[test]
-fn who_is_not_read_any_more_is_read_once_more_unless_it_is_paced() {
+fn a_connection_whose_reading_ends_is_read_once_more_unless_it_is_paced() {
     for paced in [false, true] {
         let mut bench = Bench::new(false);
         let (mut client, number) = bench.client();
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -1,4 +1,4 @@
-//! Two events that cross, forced: a peer that writes at the moment it sees an end, a kernel that
+//! Two events that cross, forced: a peer that writes at the moment it sees an end, an executor that
 //! answers on command, a listener with no room, a service that hangs at a step. The program is
 //! started, all else is played here, and all waiting is for something to come. What each guards
 //! against: docs/acceptance.md.
@@ -29,24 +29,24 @@
     support::request(id, &support::call("/call/read", rid, &unix_ms()), b"body")
 }
 
-/// A node whose kernel is up, with these changes to its configuration.
+/// A node whose executor is up, with these changes to its configuration.
 fn node_with(changes: &[(&str, &str)]) -> (Node, TcpListener, Talk) {
-    let kernel = listen();
+    let executor = listen();
     let config = changes.iter().fold(
-        told(at(&kernel), nobody(), nobody(), 1024),
+        told(at(&executor), nobody(), nobody(), 1024),
         |text, (from, to)| text.replace(from, to),
     );
     let node = Node::started(PROGRAM, &config, &[]);
-    let link = Talk::boot(&kernel, 0, "");
-    let mut dispatcher = node.connect();
-    while dispatcher.ping() != "200" {}
-    (node, kernel, link)
+    let link = Talk::boot(&executor, 0, "");
+    let mut balancer = node.connect();
+    while balancer.ping() != "200" {}
+    (node, executor, link)
 }
 
 /// All that comes until the connection ends.
-fn rest(mut dispatcher: Dispatcher) -> Vec<Answer> {
-    while dispatcher.read() > 0 {}
-    dispatcher.done
+fn rest(mut balancer: Dispatcher) -> Vec<Answer> {
+    while balancer.read() > 0 {}
+    balancer.done
 }
 
 fn statuses(answers: &[Answer]) -> Vec<&str> {
@@ -58,53 +58,53 @@
 /// Who ends only its side has not told that it waits for nothing: the protocol has ABORT_REQUEST
 /// for that.
 #[test]
-fn who_ends_its_side_after_a_whole_request_gets_its_answer() {
-    let (node, _kernel, mut link) = node_with(&[]);
-    let mut dispatcher = node.connect();
-    dispatcher
+fn a_peer_that_half_closes_after_a_whole_request_gets_its_answer() {
+    let (node, _executor, mut link) = node_with(&[]);
+    let mut balancer = node.connect();
+    balancer
         .stream
         .write_all(&[call(1, A), ping(2)].concat())
         .unwrap();
-    dispatcher.stream.shutdown(Shutdown::Write).unwrap();
+    balancer.stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!(link.command()["rid"], A);
     assert_eq!(
-        dispatcher.answer().id,
+        balancer.answer().id,
         2,
         "it was read, and the end of its side with it or soon after"
     );
     link.say(&reap(1, A, "OK"));
-    assert_eq!(statuses(&rest(dispatcher)), ["200"]);
+    assert_eq!(statuses(&rest(balancer)), ["200"]);
 }
 
 #[test]
-fn an_answer_is_not_destroyed_by_what_its_peer_sent_after_the_request() {
-    let (node, _kernel, _link) = node_with(&[]);
+fn an_answer_is_not_lost_by_what_its_peer_sent_after_the_request() {
+    let (node, _executor, _link) = node_with(&[]);
     for bytes in [
         vec![0xff; 20_000],
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
         ping(1),
         ping(1)[..9].to_vec(),
     ] {
-        let mut dispatcher = node.connect();
-        let mut writer = dispatcher.stream.try_clone().unwrap();
+        let mut balancer = node.connect();
+        let mut writer = balancer.stream.try_clone().unwrap();
         writer.write_all(&[ping(1), bytes].concat()).unwrap();
         // The answer is there, and nothing of it was read before all of that was written.
-        assert!(dispatcher.stream.peek(&mut [0; 4096]).is_ok_and(|n| n > 0));
+        assert!(balancer.stream.peek(&mut [0; 4096]).is_ok_and(|n| n > 0));
         let _ = writer.shutdown(Shutdown::Write);
         let mut answers = Vec::new();
-        while dispatcher.read() > 0 {
-            answers.append(&mut dispatcher.done);
+        while balancer.read() > 0 {
+            answers.append(&mut balancer.done);
         }
-        answers.append(&mut dispatcher.done);
+        answers.append(&mut balancer.done);
         assert_eq!(answers[0].status, "200", "{answers:?}");
     }
 }
 
-/// A request that is written as the node's end is seen is not run: the dispatcher sends it again
+/// A request that is written as the node's end is seen is not run: the load balancer sends it again
 /// elsewhere.
 #[test]
-fn what_is_written_at_the_sight_of_an_end_does_not_run() {
-    let (node, _kernel, mut link) = node_with(&[]);
+fn a_request_written_as_the_end_is_seen_does_not_run() {
+    let (node, _executor, mut link) = node_with(&[]);
     let mut resting = node.connect();
     assert_eq!(resting.read(), 0, "nothing was asked in 1.5 s");
     let _ = resting.stream.write_all(&call(1, A));
@@ -127,23 +127,23 @@
 #[test]
 fn requests_against_the_end_of_idle_connections_are_answered_or_see_the_end() {
     // Connections rest for 30 ms at most.
-    let (node, _kernel, _link) = node_with(&[("\"Idle\": 15.0", "\"Idle\": 0.03")]);
+    let (node, _executor, _link) = node_with(&[("\"Idle\": 15.0", "\"Idle\": 0.03")]);
     let mut crossed = 0;
     for round in 0..60u64 {
-        let mut dispatcher = node.connect();
-        assert_eq!(dispatcher.ping(), "200");
-        assert_eq!(dispatcher.ping(), "200");
+        let mut balancer = node.connect();
+        assert_eq!(balancer.ping(), "200");
+        assert_eq!(balancer.ping(), "200");
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_micros(29_000 + round * 50) {
             std::hint::spin_loop();
         }
-        let ended_before = dispatcher.has_ended();
-        let mut stream = dispatcher.stream.try_clone().unwrap();
+        let ended_before = balancer.has_ended();
+        let mut stream = balancer.stream.try_clone().unwrap();
         if stream.write_all(&ping(1)).is_err() {
             continue;
         }
-        while dispatcher.done.is_empty() && dispatcher.read() > 0 {}
-        if dispatcher.done.is_empty() {
+        while balancer.done.is_empty() && balancer.read() > 0 {}
+        if balancer.done.is_empty() {
             crossed += 1;
         } else {
             assert!(!ended_before, "an answer after the end");
@@ -157,34 +157,34 @@
 /// Connections that the system took before the notice, with whole requests in their buffers, wait
 /// in the listen backlog while all places are taken. They are owed an answer.
 #[test]
-fn requests_in_the_listen_backlog_are_answered_when_the_node_leaves() {
-    let (mut node, _kernel, mut link) = node_with(&[
+fn requests_in_the_listen_backlog_are_answered_in_a_drain() {
+    let (mut node, _executor, mut link) = node_with(&[
         ("\"sockets\": 1024", "\"sockets\": 64"),
         ("\"Cores\": 1", "\"Cores\": 64"),
     ]);
     // Each place has a request that runs, so that none is given up for another.
     let mut busy = Vec::new();
     for n in 0..32u16 {
-        let mut dispatcher = node.connect();
-        dispatcher
+        let mut balancer = node.connect();
+        balancer
             .stream
             .write_all(&call(1, &format!("{n:016x}")))
             .unwrap();
         assert_eq!(link.command()["rid"], format!("{n:016x}"));
-        busy.push(dispatcher);
+        busy.push(balancer);
     }
     let mut waiting: Vec<_> = (0..5).map(|_| node.connect()).collect();
-    for (n, dispatcher) in waiting.iter_mut().enumerate() {
-        dispatcher
+    for (n, balancer) in waiting.iter_mut().enumerate() {
+        balancer
             .stream
             .write_all(&call(1, &format!("b{n:015x}")))
             .unwrap();
     }
     node.terminate();
     node.logged("listening ends: the connections in the backlog are the last");
-    for (n, dispatcher) in busy.into_iter().enumerate() {
+    for (n, balancer) in busy.into_iter().enumerate() {
         link.say(&reap(n as u64 + 1, &format!("{n:016x}"), "OK"));
-        assert_eq!(statuses(&rest(dispatcher)), ["200"]);
+        assert_eq!(statuses(&rest(balancer)), ["200"]);
     }
     // They reached the machine before the notice, so that they may run.
     for n in 0..waiting.len() {
@@ -192,17 +192,17 @@
         assert_eq!(&command["t"], "SCHED", "{command}");
         link.say(&reap(n as u64 + 33, command["rid"].as_str().unwrap(), "OK"));
     }
-    for dispatcher in waiting {
-        assert_eq!(statuses(&rest(dispatcher)), ["200"]);
+    for balancer in waiting {
+        assert_eq!(statuses(&rest(balancer)), ["200"]);
     }
     assert_eq!(node.wait().code(), Some(0));
 }
 
-/// A stranger is read only after a pause; what it has sent by then is in the buffer when the node
+/// An unidentified peer is read only after a pause; what it has sent by then is in the buffer when the node
 /// leaves.
 #[test]
-fn a_request_on_a_connection_that_is_read_slowly_is_answered_when_the_node_leaves() {
-    let (mut node, _kernel, _link) = node_with(&[("\"stop_ms\": 2000", "\"stop_ms\": 400")]);
+fn a_request_on_a_paced_connection_is_answered_in_a_drain() {
+    let (mut node, _executor, _link) = node_with(&[("\"stop_ms\": 2000", "\"stop_ms\": 400")]);
     let mut stranger = node.connect();
     for id in 1..=5 {
         let request = support::request(id, &support::call("/call/dance", A, &unix_ms()), b"");
@@ -221,8 +221,8 @@
 }
 
 #[test]
-fn who_rests_until_the_node_ends_it_does_not_hold_up_the_end() {
-    let (mut node, _kernel, mut link) = node_with(&[]);
+fn an_idle_peer_does_not_delay_the_end_of_a_drain() {
+    let (mut node, _executor, mut link) = node_with(&[]);
     let mut resting = node.connect();
     assert_eq!(
         (resting.ping(), resting.ping()),
@@ -252,33 +252,33 @@
 }
 
 #[test]
-fn a_drain_before_the_kernel_is_up_runs_nothing_and_ends_in_time() {
-    let kernel = listen();
-    let mut node = Node::start(PROGRAM, at(&kernel), nobody(), nobody(), 1024);
-    let mut link = Talk::accept(&kernel);
+fn a_drain_before_the_executor_is_up_runs_nothing_and_ends_in_time() {
+    let executor = listen();
+    let mut node = Node::start(PROGRAM, at(&executor), nobody(), nobody(), 1024);
+    let mut link = Talk::accept(&executor);
     assert_eq!(link.line(), "{\"t\":\"OPEN\",\"no\":0}");
-    let mut dispatcher = node.connect();
-    assert_eq!(dispatcher.ask(&call(1, A)).status, "503");
+    let mut balancer = node.connect();
+    assert_eq!(balancer.ask(&call(1, A)).status, "503");
     node.terminate();
     node.logged("drain begins");
     // It comes up in the drain: nothing is taken up any more.
     link.say("{\"t\":\"BOOTED\",\"status\":\"COLD\",\"time_ms\":0}\n");
-    assert_eq!(dispatcher.ask(&call(2, B)).status, "503");
+    assert_eq!(balancer.ask(&call(2, B)).status, "503");
     assert_eq!(link.command_until_closed(), None);
     assert_eq!(node.wait().code(), Some(0));
 }
 
-/// A second notice, a new configuration and a new kernel's link, all while a run goes on in the
+/// A second notice, a new configuration and a connection to a new executor, all while a run goes on in the
 /// drain.
 #[test]
-fn a_drain_goes_on_through_a_second_notice_and_a_move_of_the_kernel() {
-    let (mut node, kernel, mut link) = node_with(&[]);
-    let mut dispatcher = node.connect();
-    dispatcher.run(&mut link, 1, A);
+fn a_drain_goes_on_through_a_second_sigterm_and_a_new_executor_address() {
+    let (mut node, executor, mut link) = node_with(&[]);
+    let mut balancer = node.connect();
+    balancer.run(&mut link, 1, A);
     node.terminate();
     node.logged("drain begins");
-    let kernel2 = listen();
-    node.reload(&told(at(&kernel2), nobody(), nobody(), 1024));
+    let executor2 = listen();
+    node.reload(&told(at(&executor2), nobody(), nobody(), 1024));
     node.terminate();
     node.logged("new configuration in force");
     let settled: serde_json::Value = serde_json::from_str(&link.line()).unwrap();
@@ -286,18 +286,18 @@
         "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
         settled["mark"]
     ));
-    let mut link = Talk::boot(&kernel2, 0, "");
+    let mut link = Talk::boot(&executor2, 0, "");
     link.say(&reap(1, A, "OK"));
-    assert_eq!(statuses(&rest(dispatcher)), ["200"]);
+    assert_eq!(statuses(&rest(balancer)), ["200"]);
     assert_eq!(node.wait().code(), Some(0));
-    drop(kernel);
+    drop(executor);
 }
 
 // ---- Reports ----
 
 /// The body of a report, at the end of its connection's request.
-fn report(members: &TcpListener) -> (Talk, String) {
-    let mut talk = Talk::accept(members);
+fn report(registry: &TcpListener) -> (Talk, String) {
+    let mut talk = Talk::accept(registry);
     talk.line();
     while !talk.line().is_empty() {}
     let mut body = String::new();
@@ -310,7 +310,7 @@
 /// A service that hangs at each step of a report holds up neither the start nor the notice that the
 /// node leaves, nor its end.
 #[test]
-fn a_service_that_hangs_at_any_step_holds_up_nothing() {
+fn a_service_registry_that_hangs_at_any_step_delays_nothing() {
     for step in [
         "accepts nothing",
         "reads nothing",
@@ -318,40 +318,40 @@
         "answers half",
         "refuses",
     ] {
-        let (kernel, members) = (listen(), listen());
+        let (executor, registry) = (listen(), listen());
         let begun = Instant::now();
-        let mut node = Node::start(PROGRAM, at(&kernel), nobody(), at(&members), 1024);
+        let mut node = Node::start(PROGRAM, at(&executor), nobody(), at(&registry), 1024);
         let mut kept = Vec::new(); // connections that are held as they are
         match step {
             "accepts nothing" => {}
-            "reads nothing" => kept.push(Talk::accept(&members)),
-            "answers nothing" => kept.push(report(&members).0),
+            "reads nothing" => kept.push(Talk::accept(&registry)),
+            "answers nothing" => kept.push(report(&registry).0),
             "answers half" => {
-                let mut talk = report(&members).0;
+                let mut talk = report(&registry).0;
                 talk.say("HTTP/1.1 204 No");
                 kept.push(talk);
             }
-            _ => drop(Talk::accept(&members)), // a reset, for its report was not read
+            _ => drop(Talk::accept(&registry)), // a reset, for its report was not read
         }
-        let mut link = Talk::boot(&kernel, 0, "");
-        let mut dispatcher = node.connect();
-        while dispatcher.ping() != "200" {}
+        let mut link = Talk::boot(&executor, 0, "");
+        let mut balancer = node.connect();
+        while balancer.ping() != "200" {}
         assert!(
             begun.elapsed() < Duration::from_secs(5),
             "{step}: ready after {:?}",
             begun.elapsed()
         );
-        dispatcher.run(&mut link, 1, A);
+        balancer.run(&mut link, 1, A);
         let noticed = Instant::now();
         node.terminate();
-        while report(&members).1 != "{\"phase\":\"OUT\"}" {}
+        while report(&registry).1 != "{\"phase\":\"OUT\"}" {}
         assert!(
             noticed.elapsed() < Duration::from_millis(1000),
             "{step}: told after {:?}",
             noticed.elapsed()
         );
         link.say(&reap(1, A, "OK"));
-        assert_eq!(statuses(&rest(dispatcher)), ["200"], "{step}");
+        assert_eq!(statuses(&rest(balancer)), ["200"], "{step}");
         // Nobody takes the last reports.
         assert_eq!(node.wait().code(), Some(0), "{step}");
         assert!(
@@ -363,19 +363,19 @@
 }
 
 #[test]
-fn reports_resume_when_the_service_is_back_and_follow_it_where_it_moves() {
-    let (kernel, members) = (listen(), listen());
-    let address = at(&members);
-    drop(members); // away at the start
-    let mut node = Node::start(PROGRAM, at(&kernel), nobody(), address, 1024);
+fn reports_resume_when_the_service_registry_is_back_and_follow_its_address() {
+    let (executor, registry) = (listen(), listen());
+    let address = at(&registry);
+    drop(registry); // away at the start
+    let mut node = Node::start(PROGRAM, at(&executor), nobody(), address, 1024);
     node.logged("report failed");
-    let _link = Talk::boot(&kernel, 0, "");
-    let members = TcpListener::bind(address).unwrap();
-    assert_eq!(report(&members).1, "{\"phase\":\"UP\"}");
+    let _link = Talk::boot(&executor, 0, "");
+    let registry = TcpListener::bind(address).unwrap();
+    assert_eq!(report(&registry).1, "{\"phase\":\"UP\"}");
     // It hangs as it is moved: the new one hears at once.
-    let (held, _) = report(&members);
+    let (held, _) = report(&registry);
     let moved = listen();
-    node.reload(&told(at(&kernel), nobody(), at(&moved), 1024));
+    node.reload(&told(at(&executor), nobody(), at(&moved), 1024));
     let begun = Instant::now();
     assert_eq!(report(&moved).1, "{\"phase\":\"UP\"}");
     assert!(
@@ -383,21 +383,21 @@
         "{:?}",
         begun.elapsed()
     );
-    drop((held, members));
+    drop((held, registry));
 }
 
 // ---- Floods ----
 
-/// Clients that say nothing, or half a request, take all places while the membership service is
-/// away. Dispatchers get in, the kernel's link is made anew, and reports arrive as soon as the
+/// Clients that say nothing, or half a request, take all places while the service registry is
+/// away. Load balancers get in, the connection to the executor is made anew, and reports arrive as soon as the
 /// service is back.
 #[test]
-fn a_flood_leaves_room_for_dispatchers_links_and_reports() {
-    let (kernel, members) = (listen(), listen());
-    let address = at(&members);
-    drop(members);
-    let mut node = Node::start(PROGRAM, at(&kernel), nobody(), address, 64);
-    let link = Talk::boot(&kernel, 0, "");
+fn a_flood_leaves_room_for_load_balancers_connections_and_reports() {
+    let (executor, registry) = (listen(), listen());
+    let address = at(&registry);
+    drop(registry);
+    let mut node = Node::start(PROGRAM, at(&executor), nobody(), address, 64);
+    let link = Talk::boot(&executor, 0, "");
     let stop = AtomicBool::new(false);
     let listen_at = node.listen;
     std::thread::scope(|scope| {
@@ -420,18 +420,18 @@
                 }
             });
         }
-        // The kernel's link breaks in the flood and is made again.
+        // The executor's link breaks in the flood and is made again.
         drop(link);
-        let mut link = Talk::boot(&kernel, 0, "");
+        let mut link = Talk::boot(&executor, 0, "");
         for n in 0..5u64 {
             let rid = format!("{n:016x}");
-            let mut dispatcher = node.connect();
-            dispatcher.run(&mut link, 1, &rid);
+            let mut balancer = node.connect();
+            balancer.run(&mut link, 1, &rid);
             link.say(&reap(n + 1, &rid, "OK"));
-            assert_eq!(dispatcher.answer().status, "200");
+            assert_eq!(balancer.answer().status, "200");
         }
-        let members = TcpListener::bind(address).unwrap();
-        assert_eq!(report(&members).1, "{\"phase\":\"UP\"}");
+        let registry = TcpListener::bind(address).unwrap();
+        assert_eq!(report(&registry).1, "{\"phase\":\"UP\"}");
         let descriptors = std::fs::read_dir(format!("/proc/{}/fd", node.child.id()))
             .unwrap()
             .count();
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -1,5 +1,5 @@
-//! Starts the program and speaks to it over sockets. The kernel, the back end, the membership
-//! service and the dispatchers are played here, on free ports; all waiting is for something to
+//! Starts the program and speaks to it over sockets. The executor, the backend, the service
+//! registry and the load balancers are played here, on free ports; all waiting is for something to
 //! come.
 
 use madderpoint_test_harness::peers::{
@@ -23,25 +23,25 @@
 const B: &str = "00000000000000bb";
 
 #[test]
-fn one_succeeds_one_errs_and_one_is_throttled() {
-    let (node, _kernel, mut link) = Node::with_kernel(PROGRAM);
-    let mut dispatcher = node.connect();
-    let command = dispatcher.run(&mut link, 1, A);
+fn one_succeeds_one_fails_and_one_is_rejected() {
+    let (node, _executor, mut link) = Node::with_kernel(PROGRAM);
+    let mut balancer = node.connect();
+    let command = balancer.run(&mut link, 1, A);
     assert_eq!(
         (&command["route"], &command["b64"]),
         (&"read".into(), &"AGJvZHk=".into())
     );
     link.say(&reap(1, A, "OK"));
-    let answer = dispatcher.answer();
+    let answer = balancer.answer();
     assert_eq!(
         (answer.id, &answer.status[..], &answer.body[..]),
         (1, "200", &b"\0\xff"[..])
     );
-    dispatcher.run(&mut link, 1, B);
+    balancer.run(&mut link, 1, B);
     link.say(&reap(2, B, "ERROR"));
-    assert_eq!(dispatcher.answer().status, "500");
+    assert_eq!(balancer.answer().status, "500");
     let late = (unix_ms().parse::<u64>().unwrap() - 4000).to_string();
-    let answer = dispatcher.ask(&support::request(
+    let answer = balancer.ask(&support::request(
         2,
         &support::call("/call/read", A, &late),
         b"",
@@ -51,36 +51,36 @@
 }
 
 #[test]
-fn a_kernel_that_starts_late_is_waited_for() {
-    let kernel = listen();
+fn an_executor_that_starts_late_is_waited_for() {
+    let executor = listen();
     let node = Node::start(
         PROGRAM,
-        kernel.local_addr().unwrap(),
+        executor.local_addr().unwrap(),
         nobody(),
         nobody(),
         1024,
     );
-    let mut dispatcher = node.connect();
-    assert_eq!(dispatcher.ping(), "503");
-    let mut link = Talk::boot(&kernel, 0, "");
-    while dispatcher.ping() != "200" {}
-    dispatcher.run(&mut link, 2, B);
+    let mut balancer = node.connect();
+    assert_eq!(balancer.ping(), "503");
+    let mut link = Talk::boot(&executor, 0, "");
+    while balancer.ping() != "200" {}
+    balancer.run(&mut link, 2, B);
 }
 
 #[test]
-fn a_call_below_comes_back() {
-    let (kernel, backend) = (listen(), listen());
+fn a_backend_call_gets_its_reply() {
+    let (executor, backend) = (listen(), listen());
     let node = Node::start(
         PROGRAM,
-        kernel.local_addr().unwrap(),
+        executor.local_addr().unwrap(),
         backend.local_addr().unwrap(),
         nobody(),
         1024,
     );
-    let mut link = Talk::boot(&kernel, 0, "");
-    let mut dispatcher = node.connect();
-    while dispatcher.ping() != "200" {}
-    dispatcher.run(&mut link, 1, A);
+    let mut link = Talk::boot(&executor, 0, "");
+    let mut balancer = node.connect();
+    while balancer.ping() != "200" {}
+    balancer.run(&mut link, 1, A);
     link.say(&wants_call(1, A));
     let mut below = Talk::accept(&backend);
     let line = below.line();
@@ -96,88 +96,88 @@
         (&"IODONE".into(), &"YQ0KYg==".into())
     );
     link.say(&reap(2, A, "OK"));
-    assert_eq!(dispatcher.answer().status, "200");
+    assert_eq!(balancer.answer().status, "200");
 }
 
 #[test]
-fn a_run_does_without_a_back_end_that_refuses() {
-    let (node, _kernel, mut link) = Node::with_kernel(PROGRAM);
-    let mut dispatcher = node.connect();
-    dispatcher.run(&mut link, 1, B);
+fn an_execution_goes_on_without_a_backend_that_refuses() {
+    let (node, _executor, mut link) = Node::with_kernel(PROGRAM);
+    let mut balancer = node.connect();
+    balancer.run(&mut link, 1, B);
     link.say(&wants_call(1, B));
     let command = link.command();
     assert_eq!((&command["t"], &command["no"]), (&"NOIO".into(), &1.into()));
 }
 
 #[test]
-fn a_link_that_breaks_in_the_middle_of_a_run_loses_nothing() {
-    let (node, kernel, mut link) = Node::with_kernel(PROGRAM);
-    let mut dispatcher = node.connect();
-    dispatcher.run(&mut link, 1, A);
+fn an_executor_connection_that_breaks_during_an_execution_loses_nothing() {
+    let (node, executor, mut link) = Node::with_kernel(PROGRAM);
+    let mut balancer = node.connect();
+    balancer.run(&mut link, 1, A);
     link.say(&reap(1, A, "OK")[..25]);
     drop(link); // in the middle of a line
-    let mut link = Talk::boot(&kernel, 0, &reap(1, A, "OK"));
-    assert_eq!(dispatcher.answer().status, "200");
-    dispatcher.run(&mut link, 1, B); // and nothing before it
+    let mut link = Talk::boot(&executor, 0, &reap(1, A, "OK"));
+    assert_eq!(balancer.answer().status, "200");
+    balancer.run(&mut link, 1, B); // and nothing before it
 }
 
 #[test]
-fn what_the_kernel_should_not_say_is_survived() {
-    let (node, kernel, mut link) = Node::with_kernel(PROGRAM);
+fn unexpected_lines_of_the_executor_are_survived() {
+    let (node, executor, mut link) = Node::with_kernel(PROGRAM);
     link.say("{\"t\":\"SONG\"}\n{broken\n{\"t\":\"EINVAL\",\"status\":\"NOIO\",\"rid\":\"zz\"}\n");
     link.say(&reap(1, "ffffffffffffffff", "OK"));
-    let mut dispatcher = node.connect();
-    dispatcher.run(&mut link, 1, A);
+    let mut balancer = node.connect();
+    balancer.run(&mut link, 1, A);
     link.say(&"x".repeat(40_000)); // no line ends: the link is renewed
-    let mut link = Talk::boot(&kernel, 1, &reap(2, A, "OK"));
-    assert_eq!(dispatcher.answer().status, "200");
-    dispatcher.run(&mut link, 1, B);
+    let mut link = Talk::boot(&executor, 1, &reap(2, A, "OK"));
+    assert_eq!(balancer.answer().status, "200");
+    balancer.run(&mut link, 1, B);
 }
 
 #[test]
-fn a_drain_answers_what_runs_tells_the_members_and_ends_with_0() {
-    let (kernel, members) = (listen(), listen());
+fn a_drain_answers_what_runs_reports_to_the_service_registry_and_exits_with_0() {
+    let (executor, registry) = (listen(), listen());
     let mut node = Node::start(
         PROGRAM,
-        kernel.local_addr().unwrap(),
+        executor.local_addr().unwrap(),
         nobody(),
-        members.local_addr().unwrap(),
+        registry.local_addr().unwrap(),
         1024,
     );
-    let report = |members: &TcpListener| {
-        let mut talk = Talk::accept(members);
+    let report = |registry: &TcpListener| {
+        let mut talk = Talk::accept(registry);
         let head = talk.line();
         while !talk.line().is_empty() {}
         let body = talk.exactly("{\"phase\":\"UP\"}".len());
         talk.say("HTTP/1.1 204 No Content\r\n\r\n");
         (head, String::from_utf8(body).unwrap())
     };
-    let (head, body) = report(&members);
+    let (head, body) = report(&registry);
     assert_eq!(
         (&head[..], &body[..]),
         ("PUT /members/n3 HTTP/1.1", "{\"phase\":\"UP\"}")
     );
-    let mut link = Talk::boot(&kernel, 0, "");
-    let mut dispatcher = node.connect();
-    while dispatcher.ping() != "200" {}
-    dispatcher.run(&mut link, 1, A);
+    let mut link = Talk::boot(&executor, 0, "");
+    let mut balancer = node.connect();
+    while balancer.ping() != "200" {}
+    balancer.run(&mut link, 1, A);
     node.terminate();
-    while report(&members).1 != "{\"phase\":\"OUT\"" {}
+    while report(&registry).1 != "{\"phase\":\"OUT\"" {}
     node.terminate();
     link.say(&reap(1, A, "OK"));
-    assert_eq!(dispatcher.answer().status, "200");
-    assert_eq!(dispatcher.read(), 0);
+    assert_eq!(balancer.answer().status, "200");
+    assert_eq!(balancer.read(), 0);
     assert_eq!(node.wait().code(), Some(0));
 }
 
 /// SIGHUP once ended the process. A run and a call that are under way when all peers move lose
 /// nothing, and what can't be read changes nothing.
 #[test]
-fn a_new_configuration_moves_all_links_and_a_bad_one_changes_nothing() {
-    let (kernel, backend, members) = (listen(), listen(), listen());
+fn a_new_configuration_moves_all_connections_and_a_bad_one_changes_nothing() {
+    let (executor, backend, registry) = (listen(), listen(), listen());
     let at = |l: &TcpListener| l.local_addr().unwrap();
-    let mut node = Node::start(PROGRAM, at(&kernel), at(&backend), at(&members), 1024);
-    let good = told(at(&kernel), at(&backend), at(&members), 1024);
+    let mut node = Node::start(PROGRAM, at(&executor), at(&backend), at(&registry), 1024);
+    let good = told(at(&executor), at(&backend), at(&registry), 1024);
     for (text, named) in [
         (&good[..200], "EOF"),
         (
@@ -189,16 +189,16 @@
         node.reload(text);
         assert!(node.logged("new configuration rejected").contains(named));
     }
-    let mut link = Talk::boot(&kernel, 0, "");
-    let mut dispatcher = node.connect();
-    while dispatcher.ping() != "200" {}
-    dispatcher.run(&mut link, 1, A);
+    let mut link = Talk::boot(&executor, 0, "");
+    let mut balancer = node.connect();
+    while balancer.ping() != "200" {}
+    balancer.run(&mut link, 1, A);
     link.say(&wants_call(1, A));
     let mut below = Talk::accept(&backend);
     below.line();
     below.exactly(4);
-    let (kernel2, backend2, members2) = (listen(), listen(), listen());
-    let moved = told(at(&kernel2), at(&backend2), at(&members2), 1024);
+    let (executor2, backend2, registry2) = (listen(), listen(), listen());
+    let moved = told(at(&executor2), at(&backend2), at(&registry2), 1024);
     node.reload(&moved.replace("\"sockets\": 1024", "\"sockets\": 999"));
     assert!(node.logged("needs_restart=").contains("limits"));
     let settled: Value = serde_json::from_str(&link.line()).unwrap(); // what was sent before it has arrived
@@ -206,16 +206,16 @@
         "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
         settled["mark"]
     ));
-    let mut link = Talk::boot(&kernel2, 1, "");
-    below.say(&format!("{A} ok 1\r\na\r\n")); // the old back end still replies
+    let mut link = Talk::boot(&executor2, 1, "");
+    below.say(&format!("{A} ok 1\r\na\r\n")); // the old backend still replies
     let command = link.command();
     assert_eq!(
         (&command["t"], &command["b64"]),
         (&"IODONE".into(), &"YQ==".into())
     );
     link.say(&reap(2, A, "OK"));
-    assert_eq!(dispatcher.answer().status, "200");
-    dispatcher.run(&mut link, 2, B);
+    assert_eq!(balancer.answer().status, "200");
+    balancer.run(&mut link, 2, B);
     link.say(&wants_call(3, B));
     assert!(
         Talk::accept(&backend2)
@@ -223,24 +223,24 @@
             .starts_with(&format!("invoke {B} "))
     );
     assert!(
-        Talk::accept(&members2)
+        Talk::accept(&registry2)
             .line()
             .starts_with("PUT /members/n3 ")
     );
 }
 
 #[test]
-fn odd_answers_of_the_members_do_not_matter() {
-    let (kernel, members) = (listen(), listen());
+fn unexpected_answers_of_the_service_registry_do_not_matter() {
+    let (executor, registry) = (listen(), listen());
     let node = Node::start(
         PROGRAM,
-        kernel.local_addr().unwrap(),
+        executor.local_addr().unwrap(),
         nobody(),
-        members.local_addr().unwrap(),
+        registry.local_addr().unwrap(),
         1024,
     );
-    let _link = Talk::boot(&kernel, 0, "");
-    let mut dispatcher = node.connect();
+    let _link = Talk::boot(&executor, 0, "");
+    let mut balancer = node.connect();
     for answer in [
         "",
         "HTTP/1.1 2",
@@ -248,14 +248,14 @@
         "no such thing\r\n\r\n",
         "HTTP/1.1 204 \r\n\r\n",
     ] {
-        Talk::accept(&members).say(answer);
-        while dispatcher.ping() != "200" {}
+        Talk::accept(&registry).say(answer);
+        while balancer.ping() != "200" {}
     }
 }
 
 #[test]
 fn broken_framing_and_silence_hurt_only_their_own_connection() {
-    let (node, _kernel, _link) = Node::with_kernel(PROGRAM);
+    let (node, _executor, _link) = Node::with_kernel(PROGRAM);
     let mut good = node.connect();
     let mut half = node.connect();
     half.stream
@@ -275,8 +275,8 @@
 }
 
 #[test]
-fn a_dispatcher_that_does_not_read_delays_nobody() {
-    let (mut node, _kernel, _link) = Node::with_kernel(PROGRAM);
+fn a_load_balancer_that_does_not_read_delays_no_other() {
+    let (mut node, _executor, _link) = Node::with_kernel(PROGRAM);
     let (mut deaf, mut good) = (node.connect(), node.connect());
     deaf.stream.set_nonblocking(true).unwrap();
     let pings: Vec<u8> = (1..=30).flat_map(ping).collect();
@@ -300,18 +300,18 @@
 
 #[test]
 fn short_of_descriptors_idle_connections_make_room() {
-    let kernel = listen();
+    let executor = listen();
     let node = Node::start(
         PROGRAM,
-        kernel.local_addr().unwrap(),
+        executor.local_addr().unwrap(),
         nobody(),
         nobody(),
         64,
     );
-    let _link = Talk::boot(&kernel, 0, "");
+    let _link = Talk::boot(&executor, 0, "");
     let mut all: Vec<_> = (0..60).map(|_| node.connect()).collect();
-    for dispatcher in &mut all {
-        dispatcher.stream.write_all(&ping(1)).unwrap();
+    for balancer in &mut all {
+        balancer.stream.write_all(&ping(1)).unwrap();
     }
     // Each was either answered or closed unread to make room; the last ones find room.
     let answered = all
@@ -329,7 +329,7 @@
 fn several_hundred_connections_fit() {
     let node = Node::start(PROGRAM, nobody(), nobody(), nobody(), 1024);
     let mut all: Vec<_> = (0..400).map(|_| node.connect()).collect();
-    assert!(all.iter_mut().all(|dispatcher| dispatcher.ping() == "503"));
+    assert!(all.iter_mut().all(|balancer| balancer.ping() == "503"));
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).unwrap();
     let figure = |name: &str| -> usize {
         let line = status.lines().find(|line| line.starts_with(name)).unwrap();
@@ -382,8 +382,8 @@
     );
 }
 
-/// As a kernel: runs what it knows at once, and knows nothing else, until the link ends.
-fn kernel_that_knows(mut link: Talk, known: &'static str) {
+/// As an executor: runs what it knows at once, and knows nothing else, until the link ends.
+fn executor_that_runs(mut link: Talk, known: &'static str) {
     let mut no = 0;
     while let Some(command) = link.command_until_closed() {
         let rid = command["rid"].as_str().unwrap_or_default().to_owned();
@@ -400,11 +400,11 @@
 }
 
 /// Each kind of bad client is refused, told of an error or closed within 3 s of connecting, never
-/// served, and a good dispatcher beside all of them is served all the while.
+/// served, and a good load balancer beside all of them is served all the while.
 #[test]
-fn bad_clients_are_turned_away_in_time_and_harm_nobody() {
-    let (node, _kernel, link) = Node::with_kernel(PROGRAM);
-    let link = std::thread::spawn(|| kernel_that_knows(link, "aaaa"));
+fn bad_clients_are_rejected_in_time_and_harm_no_other() {
+    let (node, _executor, link) = Node::with_kernel(PROGRAM);
+    let link = std::thread::spawn(|| executor_that_runs(link, "aaaa"));
     let now = unix_ms();
     let call = |id: u16, path: &str, rid: &str| {
         support::request(id, &support::call(path, rid, &now), b"body")
@@ -447,7 +447,7 @@
         with("HTTP_X_CRITICALITY", "-1"),
         with("HTTP_X_ARRIVED_MS", "99999999999999"),
         with("HTTP_X_CORRELATION_ID", ""),
-        call(1, "/call/read", B), // unknown to the kernel
+        call(1, "/call/read", B), // unknown to the executor
         [call(1, "/call/read", B), call(1, "/call/read", B)].concat(), // two under one number
         (0..300)
             .flat_map(|id| call(id, "/call/read", &format!("{id:016x}")))
@@ -514,8 +514,8 @@
 
 /// Connections that come and go leave no thread and no descriptor behind.
 #[test]
-fn what_short_connections_took_is_given_back() {
-    let (node, _kernel, _link) = Node::with_kernel(PROGRAM);
+fn short_connections_leave_no_thread_and_no_descriptor() {
+    let (node, _executor, _link) = Node::with_kernel(PROGRAM);
     let pid = node.child.id();
     let threads = || {
         std::fs::read_dir(format!("/proc/{pid}/task"))
@@ -530,7 +530,7 @@
     let (threads_before, descriptors_before) = (threads(), descriptors());
     for _ in 0..40 {
         let mut all: Vec<_> = (0..50).map(|_| node.connect()).collect();
-        assert!(all.iter_mut().all(|dispatcher| dispatcher.ping() == "200"));
+        assert!(all.iter_mut().all(|balancer| balancer.ping() == "200"));
     }
     let begun = Instant::now();
     while threads() > threads_before || descriptors() > descriptors_before {
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn the_line_run_ends_in_one_program_without_settings_of_ours() {
+fn the_line_run_ends_in_one_program_without_a_settings_file() {
     let deploy = fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../deploy/balancer.toml"
@@ -96,17 +96,17 @@
 
 #[test]
 fn without_settings_it_opens_tcp_over_ipv4_only_starts_no_program_and_rests() {
-    let (kernel, members) = (listen(), listen());
+    let (executor, registry) = (listen(), listen());
     let node = Node::start(
         PROGRAM,
-        kernel.local_addr().unwrap(),
+        executor.local_addr().unwrap(),
         nobody(),
-        members.local_addr().unwrap(),
+        registry.local_addr().unwrap(),
         1024,
     );
-    let _link = madderpoint_test_harness::peers::Talk::boot(&kernel, 0, "");
-    let mut dispatcher = node.connect();
-    while dispatcher.ping() != "200" {}
+    let _link = madderpoint_test_harness::peers::Talk::boot(&executor, 0, "");
+    let mut balancer = node.connect();
+    while balancer.ping() != "200" {}
     let pid = node.child.id();
     // The pair that signals come through is the only pair of Unix sockets; nobody comes to it.
     let opened = sockets(pid);
@@ -135,7 +135,7 @@
 
 /// The same looks see a part of ours that is on, so that they would see it in `run`.
 #[test]
-fn a_fleet_that_is_set_shows_in_the_same_looks() {
+fn a_cluster_that_is_set_shows_in_the_same_looks() {
     let keys = PROGRAM.file("keys", &"07".repeat(32));
     let settings = format!(
         "<translator version=\"1\"><fleet name=\"f\" keys=\"{}\" bind=\"127.0.0.1:1\" advertise=\"127.0.0.1:9\"/></translator>",
--- a/crates/node/tests/rules.rs
+++ b/crates/node/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The program with a file of rules, on sockets: what rules give is seen at the kernel's wire,
+//! The program with a file of rules, on sockets: what rules give is seen at the executor's wire,
 //! throttles carry their pause, reloads under load lose nothing, and every request gets one final
 //! answer.
 
@@ -30,7 +30,7 @@
     format!("<translator version=\"1\">\n<rules>\n{rules}\n</rules>\n</translator>\n")
 }
 
-/// A node with rules, and the kernel that works for it.
+/// A node with rules, and the executor that works for it.
 fn node(rules: &Path) -> (Node, Worker) {
     let worker = Worker::start();
     let config = told(worker.address, nobody(), nobody(), 1024).replace(
@@ -38,8 +38,8 @@
         "\"RetryAfter\": true, \"MaxRetryAfter\": 2.0",
     );
     let node = Node::started(PROGRAM, &config, &["--settings", rules.to_str().unwrap()]);
-    let mut dispatcher = node.connect();
-    while dispatcher.ping() != "200" {}
+    let mut balancer = node.connect();
+    while balancer.ping() != "200" {}
     (node, worker)
 }
 
@@ -56,14 +56,14 @@
 "#;
 
 #[test]
-fn what_rules_give_is_seen_at_the_kernel_and_in_the_answers() {
+fn what_rules_give_is_seen_at_the_executor_and_in_the_answers() {
     let (node, worker) = node(&file(RULES));
-    let mut dispatcher = node.connect();
+    let mut balancer = node.connect();
     let mut ask = |path: &str, site: Option<&str>| {
         let (rid, arrived) = (load::rid(), unix_ms());
         let mut params = wire::call(path, &rid, &arrived);
         params.extend(site.map(|site| ("HTTP_X_SITE", site)));
-        dispatcher.ask(&wire::request(1, &params, b"body"))
+        balancer.ask(&wire::request(1, &params, b"body"))
     };
     assert_eq!(ask("/old/read", None).status, "200");
     assert_eq!(worker.wait_started(1)[0].route, "read");
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn under_load_with_a_reload_after_the_other_every_request_gets_one_answer() {
+fn under_load_with_reload_after_reload_every_request_gets_one_answer() {
     let settings = file(RULES);
     let (mut node, worker) = node(&settings);
     let (checker, stop) = (Mutex::new(Checker::default()), AtomicBool::new(false));
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_file_that_is_bad_at_the_start_is_told_whole_and_nothing_starts() {
+fn a_file_that_is_bad_at_the_start_is_shown_whole_and_nothing_starts() {
     let worker = Worker::start();
     let config = PROGRAM.config(&told(worker.address, nobody(), nobody(), 1024));
     let bad = file(
@@ -312,7 +312,7 @@
 /// rules -- --ignored --nocapture
 #[test]
 #[ignore = "a measurement"]
-fn cpu_of_a_request_with_the_dearest_rule_and_without() {
+fn cpu_of_a_request_with_the_most_expensive_rule_and_without() {
     let dearest = "<parameter name=\"W\" most=\"985B\"/><rule name=\"w\"><when><![CDATA[params.W.matches(\"(ab|cd)*e\")]]>\
         </when><give class=\"c\"/></rule>";
     let classify = "<bucket name=\"b\" rate=\"100000/s\" burst=\"1000\"/><rule name=\"r\"><when>operation == \"read\"</when>\
@@ -332,8 +332,8 @@
                 .flat_map(|path| ["--settings", path.to_str().unwrap()])
                 .collect();
             let node = Node::started(PROGRAM, &config, &arguments);
-            let mut dispatcher = node.connect();
-            while dispatcher.ping() != "200" {}
+            let mut balancer = node.connect();
+            while balancer.ping() != "200" {}
             let before = ticks(node.child.id());
             let (checker, stop) = (Mutex::new(Checker::default()), AtomicBool::new(false));
             // A worker that remembers all runs looks through them for each; this one forgets.
