--- a/crates/node/src/cli/identity.rs
+++ b/crates/node/src/cli/identity.rs
@@ -11,6 +11,7 @@
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
+use thiserror::Error;
 
 /// Commands about SPIFFE identities.
 #[derive(Subcommand)]
@@ -90,13 +91,24 @@
 }
 
 /// An identity, and the Unix time in nanoseconds until which it is valid; or why it is not.
-type Checked = Result<(SpiffeId, u64), String>;
+type Checked = Result<(SpiffeId, u64), IdentityError>;
+
+/// Why a file proves no identity.
+#[derive(Debug, Error)]
+enum IdentityError {
+    /// A token does not.
+    #[error("{0}")]
+    Token(jwt::Refused),
+    /// A chain of certificates does not.
+    #[error("{0}")]
+    Chain(x509::Refused),
+}
 
 fn check_token(content: &[u8], bundles: &Bundles, audience: &str, now: u64) -> Checked {
     let token = String::from_utf8_lossy(content);
     jwt::check(token.trim(), bundles, &[audience], now, 0)
         .map(|proven| (proven.id, proven.not_after))
-        .map_err(|e| e.to_string())
+        .map_err(IdentityError::Token)
 }
 
 fn check_chain(
@@ -110,7 +122,7 @@
         .map_err(|e| CommandError::file(file, FileProblem::NotPem(format!("{e:?}"))))?;
     Ok(x509::check(&chain, bundles, x509::Role::Caller, now, 0)
         .map(|proven| (proven.id, proven.not_after))
-        .map_err(|e| e.to_string()))
+        .map_err(IdentityError::Chain))
 }
 
 fn show(checked: Checked, format: Format) {
@@ -124,6 +136,6 @@
                 json!({"good": true, "id": id.as_str(), "until": until(ends)})
             );
         }
-        (Err(why), Format::Json) => println!("{}", json!({"good": false, "why": why})),
+        (Err(why), Format::Json) => println!("{}", json!({"good": false, "why": why.to_string()})),
     }
 }
--- a/crates/node/src/cli/rules.rs
+++ b/crates/node/src/cli/rules.rs
@@ -116,12 +116,12 @@
     let given = decision
         .given
         .as_ref()
-        .map(|given| given_as_json(&book, given));
+        .map(|given| outcome_json(&book, given));
     let limit = book.rules.request_limit();
     if format == Format::Json {
         let rules: Vec<_> = explained
             .iter()
-            .map(|why| why_as_json(&book.rules.rules()[why.place].name, why))
+            .map(|why| explanation_json(&book.rules.rules()[why.place].name, why))
             .collect();
         let whole = json!({"given": given, "units": decision.cost, "limit": limit,
             "evaluated": decision.asked, "rules": rules});
@@ -129,7 +129,7 @@
         return Ok(true);
     }
     for why in &explained {
-        print_why(&book, why);
+        print_explanation(&book, why);
     }
     match &given {
         Some(given) => println!("given: {given}"),
@@ -143,7 +143,7 @@
 }
 
 /// What the rule that matches gives the request.
-fn given_as_json(book: &Rulebook, given: &Given<'_>) -> Value {
+fn outcome_json(book: &Rulebook, given: &Given<'_>) -> Value {
     let rule = given.rule;
     let verdict = match &rule.verdict {
         Some(Verdict::Throttle { pause, reason }) => {
@@ -174,7 +174,7 @@
     })
 }
 
-fn print_why(book: &Rulebook, why: &Why) {
+fn print_explanation(book: &Rulebook, why: &Why) {
     let rule = &book.rules.rules()[why.place];
     let path = if why.evaluated {
         "evaluated"
@@ -195,7 +195,7 @@
     );
 }
 
-fn why_as_json(name: &str, why: &Why) -> Value {
+fn explanation_json(name: &str, why: &Why) -> Value {
     let failed = why
         .failed
         .as_ref()
--- a/crates/node/src/serve/settings.rs
+++ b/crates/node/src/serve/settings.rs
@@ -31,7 +31,7 @@
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
-        problem: String,
+        problem: KeyFileProblem,
     },
     /// Nodes with the old keys and nodes with the new ones would have none in common.
     #[error(
@@ -70,6 +70,20 @@
     Stopped,
 }
 
+/// What is wrong with a file of keys.
+#[derive(Debug, Error)]
+pub enum KeyFileProblem {
+    /// It can't be read.
+    #[error("{0}")]
+    Unreadable(#[from] std::io::Error),
+    /// It has more than 4 KiB; so many bytes.
+    #[error("{0} bytes; expected {KEY_FILE_MAX} at most")]
+    TooLarge(u64),
+    /// A line is no key, or there are too few or too many.
+    #[error("{0}")]
+    Invalid(String),
+}
+
 /// The names and idempotencies that a deployment's settings define.
 pub fn known(config: &DeploymentConfig) -> Known {
     let effects = config.deployment.operations.iter().map(|o| o.effect);
@@ -119,13 +133,13 @@
     read_key_file(&path).map_err(|problem| SettingsError::Keys { path, problem })
 }
 
-fn read_key_file(path: &Path) -> Result<AuthKeys, String> {
-    let size = std::fs::metadata(path).map_err(|e| e.to_string())?.len();
+fn read_key_file(path: &Path) -> Result<AuthKeys, KeyFileProblem> {
+    let size = std::fs::metadata(path)?.len();
     if size > KEY_FILE_MAX {
-        return Err(format!("{size} bytes; expected {KEY_FILE_MAX} at most"));
+        return Err(KeyFileProblem::TooLarge(size));
     }
-    let text = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
-    AuthKeys::read(&text)
+    let text = std::fs::read_to_string(path)?;
+    AuthKeys::read(&text).map_err(KeyFileProblem::Invalid)
 }
 
 /// The quotas by key of the whole cluster, from the buckets of the rules.
