--- a/crates/node/src/log/tests.rs
+++ b/crates/node/src/log/tests.rs
@@ -36,6 +36,10 @@
 }
 
 fn lines(form: Form, rate: RateLimit, events: impl FnOnce()) -> Vec<String> {
+    lines_at(LevelFilter::INFO, form, rate, events)
+}
+
+fn lines_at(level: LevelFilter, form: Form, rate: RateLimit, events: impl FnOnce()) -> Vec<String> {
     let written = Written::default();
     let format = LineFormat {
         node: "n3".into(),
@@ -44,7 +48,7 @@
     };
     let subscriber = tracing_subscriber::fmt()
         .event_format(format)
-        .with_max_level(LevelFilter::INFO)
+        .with_max_level(level)
         .with_writer(written.clone())
         .finish();
     tracing::subscriber::with_default(subscriber, events);
@@ -107,3 +111,39 @@
         (&json!("log"), &json!("lines left out"), &json!(7))
     );
 }
+
+#[test]
+fn steps_of_requests_are_written_without_regard_to_the_rate() {
+    let steps = 3 * LINES_PER_SECOND as usize;
+    let events = || {
+        for number in 0..steps {
+            let rid = "00aa";
+            tracing::trace!(target: part::REQUEST, event = "step", rid, "read, {number}");
+        }
+    };
+    let plain = lines_at(
+        LevelFilter::TRACE,
+        Form::Plain,
+        RateLimit::default(),
+        events,
+    );
+    assert_eq!(plain.len(), steps);
+    assert_eq!(plain[0], "madderpoint: request: read, 0 rid=\"00aa\"");
+    let events = || {
+        for _ in 0..2 * steps {
+            tracing::info!(target: part::NODE, "too much");
+        }
+    };
+    let limited = lines_at(
+        LevelFilter::TRACE,
+        Form::Plain,
+        RateLimit::default(),
+        events,
+    );
+    // The events may fall into two seconds.
+    assert!(
+        limited.len() <= 2 * LINES_PER_SECOND as usize + 1,
+        "{}",
+        limited.len()
+    );
+}
