--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -1,4 +1,4 @@
-//! The node's sockets, threads and clock round [`crate::node::Core`].
+//! The node's sockets, threads and clock round [`crate::node::Node`].
 //!
 //! [`serve`] starts the threads and then runs the core on its own thread. Other threads read and
 //! write sockets; they send the core messages through bounded queues ([`inbox`]), and the core's
@@ -25,9 +25,9 @@
 pub use rollout_link::{Changing, PROGRAM_CHANGES, SETTINGS_CHANGES, Versions};
 
 use crate::capacity::{CapacityLimits, OptionalSubsystems};
-use crate::classify::Sheet;
 use crate::config::{ConfigUpdate, NodeConfig};
-use crate::node::{Core, Event, Moment};
+use crate::node::{ClockReading, Event, Node};
+use crate::request_rules::CompiledRuleSet;
 use crate::state::BACKEND_LINKS;
 use backend_link::BackendLinkCommand;
 use clock::Clock;
@@ -58,7 +58,7 @@
     /// The configuration was replaced.
     Config(ConfigUpdate),
     /// The rules were replaced.
-    Rules(Box<Sheet>),
+    Rules(Box<CompiledRuleSet>),
     /// The settings of the cluster were replaced.
     Cluster(Box<Reset>),
 }
@@ -71,7 +71,7 @@
     /// Called once the node serves.
     pub on_serving: Option<Box<dyn FnOnce()>>,
     /// Rules of the settings file.
-    pub rules: Option<Box<Sheet>>,
+    pub rules: Option<Box<CompiledRuleSet>>,
     /// Its part in a cluster.
     pub cluster: Option<Box<Part>>,
 }
@@ -81,9 +81,9 @@
         let cluster = self.cluster.as_ref();
         OptionalSubsystems {
             settings: self.rules.is_some(),
-            fleet: cluster.is_some(),
-            shared: cluster.is_some_and(|part| part.shares()),
-            changes: cluster.is_some_and(|part| !part.changes.is_empty()),
+            cluster: cluster.is_some(),
+            shared_state: cluster.is_some_and(|part| part.shares()),
+            rollouts: cluster.is_some_and(|part| !part.changes.is_empty()),
         }
     }
 }
@@ -101,7 +101,7 @@
 ) -> io::Result<()> {
     let clock = Clock::start();
     let capacity = capacity_limits(config, parts.subsystems());
-    let (client_events, clients) = bounded(capacity.front_events);
+    let (client_events, clients) = bounded(capacity.load_balancer_events);
     let (events, peers) = bounded(capacity.peer_events);
     let inbox = Inbox { clients, peers };
     let (reader, on_serving) = open_listener(config, &mut parts, capacity, client_events)?;
@@ -128,7 +128,7 @@
         is_handed_over,
     } = links.phase;
     let sockets = Sockets::new(links.backend, links.addresses, reader, is_draining, cluster);
-    let mut core = Core::new(
+    let mut core = Node::new(
         sockets,
         config.deployment.clone(),
         config.seed,
@@ -137,15 +137,15 @@
         &capacity,
     );
     if let Some((budgets, rhythm, with)) = participation {
-        core.join_fleet(clock.now(), &budgets, rhythm, &with);
+        core.join_cluster(clock.now(), &budgets, rhythm, &with);
     }
     if let Some(rules) = parts.rules {
-        core.handle(clock.read(), Event::Ruled(rules));
+        core.handle(clock.read(), Event::RulesChanged(rules));
     }
     event_loop::run(&mut core, clock, &inbox, on_serving);
-    core.let_go(clock.now());
+    core.release_leases(clock.now());
     let is_handed_over = is_handed_over.load(SeqCst);
-    core.out(|sockets| sockets.leave_cluster(is_handed_over));
+    core.with_actions(|sockets| sockets.leave_cluster(is_handed_over));
     if let Some(thread) = cluster_thread {
         let _ = thread.join();
     }
@@ -199,7 +199,11 @@
 ) -> io::Result<PeerLinks> {
     let addresses = Arc::new(AtomicCell::new(config.peers));
     let backend = start_backend_links(config, &addresses, capacity, events)?;
-    executor_link::start(Arc::clone(&addresses), capacity.commands, events.clone())?;
+    executor_link::start(
+        Arc::clone(&addresses),
+        capacity.executor_commands,
+        events.clone(),
+    )?;
     let phase = NodePhase::default();
     registry_reports::start(Arc::clone(&addresses), config.name.clone(), phase.clone())?;
     Ok(PeerLinks {
@@ -221,7 +225,12 @@
     }
     (0..BACKEND_LINKS)
         .map(|index| {
-            backend_link::start(Arc::clone(addresses), index, capacity.calls, events.clone())
+            backend_link::start(
+                Arc::clone(addresses),
+                index,
+                capacity.backend_calls,
+                events.clone(),
+            )
         })
         .collect()
 }
@@ -233,12 +242,12 @@
     clock: Clock,
     events: Sender<Message>,
 ) -> io::Result<(ClusterLink, JoinHandle<()>)> {
-    part.settings.bytes = capacity.fleet;
-    part.key_bytes = capacity.key_books;
-    part.count_bytes = capacity.counts;
-    part.change_bytes = capacity.changes;
+    part.settings.bytes = capacity.member_table_bytes;
+    part.key_bytes = capacity.quota_lender_bytes;
+    part.count_bytes = capacity.counter_bytes;
+    part.change_bytes = capacity.rollout_bytes;
     let read_clock = move || {
-        let Moment { now, unix_ms } = clock.read();
+        let ClockReading { now, unix_ms } = clock.read();
         madderpoint_membership::ClockReading { now, unix_ms }
     };
     // Randomness of its own: the seed of the decisions is given by the platform, and may be the
@@ -263,8 +272,8 @@
                     self.is_handed_over.store(true, SeqCst);
                     Event::Drain
                 }
-                ControlMessage::Config(update) => Event::Moved(update),
-                ControlMessage::Rules(rules) => Event::Ruled(rules),
+                ControlMessage::Config(update) => Event::ConfigChanged(update),
+                ControlMessage::Rules(rules) => Event::RulesChanged(rules),
                 ControlMessage::Cluster(update) => {
                     if let Some(cluster) = &self.cluster {
                         cluster.reset(*update);
--- a/crates/node/src/io/backend_link.rs
+++ b/crates/node/src/io/backend_link.rs
@@ -4,7 +4,7 @@
 use super::inbox::Message;
 use super::stream::{Addresses, CONNECT, READ};
 use super::threads::spawn;
-use crate::actions::{BackendLink, CallId, Wanted, Wants};
+use crate::actions::{BackendLink, CallId, CallInterest, CallInterestToken};
 use crate::backend;
 use crate::log::part;
 use crate::node::Event;
@@ -37,7 +37,7 @@
 /// What a link is asked for.
 pub enum BackendLinkCommand {
     /// To write a call, given by its bytes, while it is wanted.
-    Call(CallId, RequestId, Vec<u8>, Wanted),
+    Call(CallId, RequestId, Vec<u8>, CallInterestToken),
     /// To write the bytes that abandon a call, on all connections.
     Cancel(Vec<u8>),
     /// To end all connections until another call is made.
@@ -82,10 +82,14 @@
     fn serve(mut self, queue: &Receiver<BackendLinkCommand>) {
         loop {
             match queue.recv_timeout(IDLE) {
-                Ok(BackendLinkCommand::Call(call, id, bytes, wanted)) => {
-                    let event = match self.write_call(&bytes, &wanted) {
-                        Ok(link) => Event::CallWritten(call, id, link),
-                        Err(_) => Event::CallUnsent(call, id),
+                Ok(BackendLinkCommand::Call(call, id, bytes, token)) => {
+                    let event = match self.write_call(&bytes, &token) {
+                        Ok(link) => Event::BackendCallWritten {
+                            call,
+                            request: id,
+                            link,
+                        },
+                        Err(_) => Event::BackendCallNotSent(call, id),
                     };
                     let _ = self.events.send(Message::Event(event));
                 }
@@ -97,7 +101,7 @@
                 Err(RecvTimeoutError::Timeout) if self.stream.is_some() => {
                     let _ = self
                         .events
-                        .send(Message::Event(Event::BackendQuiet(self.index)));
+                        .send(Message::Event(Event::BackendIdle(self.index)));
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -108,10 +112,10 @@
     /// Abandons a call; on a connection without the call it means nothing. A connection that took a
     /// part of the line only is of no further use.
     fn cancel(&mut self, bytes: &[u8]) {
-        let wants = Wants::default();
+        let interest = CallInterest::default();
         let current = self.stream.iter().map(|(_, stream)| stream);
         for stream in current.chain(&self.retired) {
-            if write_while_wanted(stream, bytes, &wants.wanted()).is_err() {
+            if write_while_wanted(stream, bytes, &interest.token()).is_err() {
                 let _ = stream.shutdown(Shutdown::Both);
             }
         }
@@ -133,11 +137,11 @@
 
     /// Writes a whole call, if it is still wanted. Where an old connection ended before it took all
     /// of it, nothing ran, and the call is written on a new one.
-    fn write_call(&mut self, bytes: &[u8], wanted: &Wanted) -> io::Result<BackendLink> {
+    fn write_call(&mut self, bytes: &[u8], token: &CallInterestToken) -> io::Result<BackendLink> {
         let is_reused = self.stream.is_some();
         let written = self
             .connected()
-            .and_then(|stream| write_while_wanted(&stream, bytes, wanted));
+            .and_then(|stream| write_while_wanted(&stream, bytes, token));
         match written {
             Ok(()) => Ok(BackendLink {
                 place: self.index,
@@ -146,8 +150,8 @@
             Err(WriteError::Unwanted) => Err(ErrorKind::TimedOut.into()),
             Err(WriteError::Failed(e)) => {
                 self.close();
-                if is_reused && wanted.is_so() {
-                    self.write_call(bytes, wanted)
+                if is_reused && token.is_wanted() {
+                    self.write_call(bytes, token)
                 } else {
                     Err(e)
                 }
@@ -209,11 +213,11 @@
 fn write_while_wanted(
     mut stream: &TcpStream,
     bytes: &[u8],
-    wanted: &Wanted,
+    token: &CallInterestToken,
 ) -> Result<(), WriteError> {
     let (mut written, mut timeouts) = (0, 0);
     while written < bytes.len() {
-        if written == 0 && !wanted.is_so() {
+        if written == 0 && !token.is_wanted() {
             return Err(WriteError::Unwanted);
         }
         match stream.write(&bytes[written..]) {
@@ -222,7 +226,7 @@
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 timeouts += 1;
-                let is_in_vain = written > 0 && !wanted.is_so();
+                let is_in_vain = written > 0 && !token.is_wanted();
                 if timeouts >= WRITE_TIMEOUTS_MAX || is_in_vain {
                     return Err(WriteError::Failed(e)); // the rest of the call is never written
                 }
@@ -244,10 +248,7 @@
         );
     }
     let _ = stream.shutdown(Shutdown::Both);
-    let _ = events.send(Message::Event(Event::BackendLost(
-        link,
-        cause.map(backend::ReadError::as_str),
-    )));
+    let _ = events.send(Message::Event(Event::BackendDisconnected(link, cause)));
 }
 
 fn read_whole_replies(
@@ -262,7 +263,7 @@
             Ok(0) => return Ok(()),
             Ok(n) => {
                 let mut sink = |reply| {
-                    let _ = events.send(Message::Event(Event::Reply(link.place, reply)));
+                    let _ = events.send(Message::Event(Event::BackendReply(link.place, reply)));
                 };
                 parser.feed(&buffer[..n], &mut sink)?;
                 timeouts = 0;
--- a/crates/node/src/io/client_connections.rs
+++ b/crates/node/src/io/client_connections.rs
@@ -114,7 +114,7 @@
         for reply in std::mem::take(&mut self.replies) {
             let size = reply.size();
             let unwritten = self.socket.slots.unwritten.fetch_add(size, SeqCst);
-            if unwritten > self.socket.slots.capacity.unread
+            if unwritten > self.socket.slots.capacity.unread_answer_bytes
                 || writer.try_send(Outgoing::Reply(reply)).is_err()
             {
                 self.socket.slots.unwritten.fetch_sub(size, SeqCst);
--- a/crates/node/src/io/client_reader/accept.rs
+++ b/crates/node/src/io/client_reader/accept.rs
@@ -89,7 +89,9 @@
                 return self.remove(number);
             }
         }
-        let _ = self.events.send(Message::Event(Event::Crowded));
+        let _ = self
+            .events
+            .send(Message::Event(Event::ConnectionLimitReached));
     }
 
     /// The backlog is empty, or left to another process: no more connections are accepted.
@@ -99,7 +101,7 @@
             // without end.
             let _ = epoll::delete(&self.poll, &listener);
             drop(listener);
-            let _ = self.events.send(Message::Event(Event::NotListening));
+            let _ = self.events.send(Message::Event(Event::ListenerClosed));
         }
     }
 
@@ -111,7 +113,10 @@
         let slots = &self.slots;
         let socket = Arc::new(Socket::new(stream, slots));
         let pause = Arc::new(AtomicU64::new(0));
-        let parser = fastcgi::Parser::new(slots.capacity.connections, slots.capacity.unfinished);
+        let parser = fastcgi::Parser::new(
+            slots.capacity.connections,
+            slots.capacity.partial_request_bytes,
+        );
         let connection = ReadConnection {
             socket: Arc::clone(&socket),
             parser,
--- a/crates/node/src/io/client_reader/close.rs
+++ b/crates/node/src/io/client_reader/close.rs
@@ -26,8 +26,8 @@
     pub(super) fn close(&mut self, number: u64, close: Close) {
         self.read_rest(number);
         if let Some(connection) = self.connections.get_mut(&number) {
-            let until = Instant::now() + Duration::from_nanos(close.patience);
-            connection.closing = Some((close.heard, until));
+            let until = Instant::now() + Duration::from_nanos(close.partial_request_wait);
+            connection.closing = Some((close.events_handled, until));
             self.timers.push(Reverse((until, number)));
         }
         self.finish_close(number);
@@ -72,7 +72,7 @@
         if connection.parser.is_partial()
             && matches!(connection.state, State::Reading | State::Paused)
         {
-            let _ = self.events.send(Message::Event(Event::CutShort));
+            let _ = self.events.send(Message::Event(Event::RequestTruncated));
         }
         if connection.state == (State::Stopped { peer_ended: true }) || !self.slots.has_free() {
             return self.remove(number);
--- a/crates/node/src/io/client_reader/read.rs
+++ b/crates/node/src/io/client_reader/read.rs
@@ -57,11 +57,11 @@
             // The peer sends nothing more; it may still wait for answers.
             send(Event::HalfClosed(ConnectionId(number)));
             if connection.parser.is_partial() {
-                let _ = self.events.send(Message::Event(Event::CutShort));
+                let _ = self.events.send(Message::Event(Event::RequestTruncated));
             }
             return self.stop_reading(number, true);
         }
-        let request = |event| send(Event::Front(ConnectionId(number), event));
+        let request = |event| send(Event::LoadBalancer(ConnectionId(number), event));
         if let Err(cause) = connection.parser.feed(&buffer[..length], &mut { request }) {
             warn!(
                 target: part::LOAD_BALANCER,
@@ -69,7 +69,7 @@
                 error = %cause,
                 "connection closed: protocol error"
             );
-            send(Event::Garbled(ConnectionId(number), cause.as_str()));
+            send(Event::ProtocolError(ConnectionId(number), cause));
             return self.stop_reading(number, false);
         }
         let pause = connection.pause.load(SeqCst);
--- a/crates/node/src/io/clock.rs
+++ b/crates/node/src/io/clock.rs
@@ -1,6 +1,6 @@
 //! The node's clock.
 
-use crate::node::Moment;
+use crate::node::ClockReading;
 use madderpoint::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -23,8 +23,8 @@
     }
 
     /// The node's time, and the system's.
-    pub fn read(self) -> Moment {
-        Moment {
+    pub fn read(self) -> ClockReading {
+        ClockReading {
             now: self.now(),
             unix_ms: unix().as_millis() as u64,
         }
--- a/crates/node/src/io/event_loop.rs
+++ b/crates/node/src/io/event_loop.rs
@@ -4,7 +4,7 @@
 use super::clock::Clock;
 use super::inbox::{Inbox, Message};
 use super::sockets::Sockets;
-use crate::node::{Core, Event};
+use crate::node::{Event, Node};
 use crossbeam_channel::select;
 use madderpoint::Nanos;
 use std::time::Duration;
@@ -22,12 +22,12 @@
 /// Runs the core until the node has stopped; calls `on_serving` once it serves. Takes the messages
 /// that wait, then fires the timers that are due, so that what has arrived counts before a timeout.
 pub fn run(
-    core: &mut Core<Sockets>,
+    core: &mut Node<Sockets>,
     clock: Clock,
     inbox: &Inbox,
     mut on_serving: Option<Box<dyn FnOnce()>>,
 ) {
-    while !core.has_left() {
+    while !core.has_drained() {
         if let Some(on_serving) = on_serving.take_if(|_| core.is_up()) {
             on_serving();
         }
@@ -38,13 +38,13 @@
             let until = clock.now() + CATCH_UP_MAX;
             while clock.now() < until && take_messages(core, clock, inbox, CATCH_UP_QUIET) {}
         }
-        core.fire(clock.now());
-        core.out(Sockets::flush);
+        core.fire_timers(clock.now());
+        core.with_actions(Sockets::flush);
     }
 }
 
 /// Waits for a message, then takes all of peers and a batch of load balancers'; false if none came.
-fn take_messages(core: &mut Core<Sockets>, clock: Clock, inbox: &Inbox, wait: Duration) -> bool {
+fn take_messages(core: &mut Node<Sockets>, clock: Clock, inbox: &Inbox, wait: Duration) -> bool {
     let first = select! {
         recv(inbox.peers) -> message => message,
         recv(inbox.clients) -> message => message,
@@ -63,21 +63,21 @@
     true
 }
 
-fn take(core: &mut Core<Sockets>, clock: Clock, message: Message) {
+fn take(core: &mut Node<Sockets>, clock: Clock, message: Message) {
     let event = match message {
         Message::Event(event) => event,
         Message::Accepted(id, from, connection) => {
-            core.out(|sockets| sockets.add_connection(id, connection));
+            core.with_actions(|sockets| sockets.add_connection(id, connection));
             Event::Connected(id, Some(from))
         }
         Message::ExecutorConnected(last, writer) => {
-            core.out(|sockets| sockets.set_executor(Some(writer)));
-            Event::KernelLinked(last)
+            core.with_actions(|sockets| sockets.set_executor(Some(writer)));
+            Event::ExecutorConnected(last)
         }
     };
     match &event {
-        Event::Disconnected(id) => core.out(|sockets| sockets.remove_connection(*id)),
-        Event::KernelLost => core.out(|sockets| sockets.set_executor(None)),
+        Event::Disconnected(id) => core.with_actions(|sockets| sockets.remove_connection(*id)),
+        Event::ExecutorDisconnected => core.with_actions(|sockets| sockets.set_executor(None)),
         _ => {}
     }
     core.handle(clock.read(), event);
--- a/crates/node/src/io/executor_link.rs
+++ b/crates/node/src/io/executor_link.rs
@@ -39,7 +39,7 @@
                 if let Err(e) = read(Arc::new(stream), lines_max, &mut reader, events) {
                     warn!(target: part::EXECUTOR, error = %e, "connection failed");
                 }
-                let _ = events.send(Message::Event(Event::KernelLost));
+                let _ = events.send(Message::Event(Event::ExecutorDisconnected));
             }
             Err(e) if !is_failure_logged => {
                 is_failure_logged = true;
@@ -68,7 +68,7 @@
     let _ = events.send(Message::ExecutorConnected(reader.open(), writer));
     let feed = |bytes: &[u8]| {
         reader.feed(bytes, &mut |notice| {
-            let _ = events.send(Message::Event(Event::Kernel(notice)));
+            let _ = events.send(Message::Event(Event::Executor(notice)));
         })
     };
     let result = read_all(&stream, feed);
--- a/crates/node/src/io/sockets.rs
+++ b/crates/node/src/io/sockets.rs
@@ -6,7 +6,7 @@
 use super::executor_writer::ExecutorWriter;
 use super::reader_commands::{ReaderCommand, ReaderHandle};
 use super::stream::Addresses;
-use crate::actions::{Actions, CallId, Close, ConnectionId, Wanted};
+use crate::actions::{Actions, CallId, CallInterestToken, Close, ConnectionId};
 use crate::cluster::ClusterUpdate;
 use crate::config::PeerAddresses;
 use crate::fastcgi::Reply;
@@ -86,72 +86,72 @@
 }
 
 impl Actions for Sockets {
-    fn reply(&mut self, id: ConnectionId, reply: Reply) {
+    fn send_reply(&mut self, id: ConnectionId, reply: Reply) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.reply(reply);
             self.unflushed.push(id);
         }
     }
 
-    fn close(&mut self, id: ConnectionId, close: Close) {
+    fn close_connection(&mut self, id: ConnectionId, close: Close) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.close(close);
             self.unflushed.push(id);
         }
     }
 
-    fn deafen(&mut self, id: ConnectionId) {
+    fn stop_reading(&mut self, id: ConnectionId) {
         self.reader.send(ReaderCommand::StopReading(id));
     }
 
-    fn pace(&mut self, id: ConnectionId, pause: Nanos) {
+    fn pace_reading(&mut self, id: ConnectionId, pause: Nanos) {
         if let Some(connection) = self.connections.get(&id) {
             connection.pace(pause);
         }
     }
 
-    fn kernel(&mut self, line: String) {
+    fn send_executor_command(&mut self, line: String) {
         // One line that is left out would leave a gap, so none may follow it on that connection.
         self.executor.take_if(|writer| !writer.write(line));
     }
 
-    fn call(
+    fn send_backend_call(
         &mut self,
-        place: usize,
+        link: usize,
         call: CallId,
-        id: RequestId,
+        request: RequestId,
         bytes: Vec<u8>,
-        wanted: Wanted,
+        token: CallInterestToken,
     ) -> bool {
-        let call = BackendLinkCommand::Call(call, id, bytes, wanted);
+        let call = BackendLinkCommand::Call(call, request, bytes, token);
         self.backend
-            .get(place)
+            .get(link)
             .is_some_and(|queue| queue.try_send(call).is_ok())
     }
 
-    fn cancel(&mut self, place: usize, bytes: Vec<u8>) {
-        if let Some(queue) = self.backend.get(place) {
+    fn cancel_backend_call(&mut self, link: usize, bytes: Vec<u8>) {
+        if let Some(queue) = self.backend.get(link) {
             let _ = queue.try_send(BackendLinkCommand::Cancel(bytes));
         }
     }
 
-    fn rest(&mut self, place: usize) {
-        if let Some(queue) = self.backend.get(place) {
+    fn close_backend_link(&mut self, link: usize) {
+        if let Some(queue) = self.backend.get(link) {
             let _ = queue.try_send(BackendLinkCommand::Close);
         }
     }
 
-    fn moved(&mut self, peers: PeerAddresses) -> bool {
+    fn change_peers(&mut self, peers: PeerAddresses) -> bool {
         self.addresses.swap(peers).executor != peers.executor
     }
 
-    fn renew_kernel(&mut self) {
+    fn reconnect_executor(&mut self) {
         if let Some(writer) = self.executor.take() {
             writer.close();
         }
     }
 
-    fn leaving(&mut self) {
+    fn announce_drain(&mut self) {
         self.is_draining.store(true, SeqCst);
     }
 
@@ -159,13 +159,13 @@
         self.reader.send(ReaderCommand::StopListening);
     }
 
-    fn fleet(&mut self, update: ClusterUpdate) {
+    fn update_cluster(&mut self, update: ClusterUpdate) {
         if let Some(cluster) = &self.cluster {
             cluster.say(update);
         }
     }
 
-    fn step(&mut self, rid: &str, what: fmt::Arguments<'_>) {
-        tracing::trace!(target: part::REQUEST, event = "step", rid, "{what}");
+    fn trace_step(&mut self, correlation_id: &str, step: fmt::Arguments<'_>) {
+        tracing::trace!(target: part::REQUEST, event = "step", rid = correlation_id, "{step}");
     }
 }
--- /dev/null
+++ b/crates/node/src/node/tests/cluster_limits.rs
@@ -0,0 +1,447 @@
+//! What the cluster shares, at the node: budgets, service health and keyed quotas bound backend
+//! calls and admissions.
+
+use super::rules::{cluster_rules, settings};
+use super::support::*;
+use madderpoint_shared_state::keyed_quota::{KeyGrant, KeyRequest, QuotaGrant};
+use madderpoint_shared_state::{AggregatedHealth, HealthReport, HealthState, Kind};
+
+const S: Nanos = 1000 * MS;
+
+fn rate(limit: u32) -> Budget {
+    let kind = Kind::Rate { burst: 50 * MS };
+    Budget {
+        name: "b".into(),
+        limit,
+        floor: limit,
+        nodes_most: 1,
+        kind,
+        repeats_only: false,
+    }
+}
+
+fn service() -> SharedService {
+    SharedService {
+        name: "register".into(),
+        slow_call_threshold: Some(200 * MS),
+        zone: 1,
+    }
+}
+
+impl TestNode {
+    /// A node that is part of a cluster, two seconds later.
+    fn in_cluster(budgets: &[Budget], service: Option<&SharedService>) -> TestNode {
+        let mut node = TestNode::with_settings(&settings());
+        let with = SharedStateOptions {
+            service: service.cloned(),
+            counts_for_cluster: true,
+        };
+        node.node
+            .join_cluster(node.now, budgets, QuotaTiming::of(3), &with);
+        node.wait(2000);
+        node
+    }
+
+    /// Has a request run up to its backend call; whether it was admitted.
+    fn run_to_call(&mut self, id: u16, path: &str, correlation_id: &str) -> bool {
+        self.call(id, path, correlation_id);
+        let runs = self
+            .executor_commands()
+            .iter()
+            .any(|line| line.contains("SCHED") && line.contains(correlation_id));
+        if runs {
+            self.need_backend_call(correlation_id, 1);
+        }
+        runs
+    }
+
+    fn cluster_updates(&mut self) -> Vec<ClusterUpdate> {
+        self.node
+            .with_actions(|actions| std::mem::take(&mut actions.cluster_updates))
+    }
+
+    fn health_state(&self) -> HealthState {
+        self.node
+            .state
+            .borrow()
+            .shared
+            .service_health
+            .as_ref()
+            .unwrap()
+            .mode()
+    }
+}
+
+fn correlation_id(n: u64) -> String {
+    format!("{n:016x}")
+}
+
+/// Of ten calls a second the next one finds room within a tenth: it waits for that, and is sent
+/// whole.
+#[test]
+fn a_call_waits_for_budget_that_is_free_soon_and_else_is_refused() {
+    let mut node = TestNode::in_cluster(&[rate(10)], None);
+    assert!(node.run_to_call(1, "/call/pay", A));
+    assert_eq!(node.calls(), 1);
+    node.reply_to_call(0, A, Outcome::Ok);
+    node.end_execution(A, End::Ok, b"r");
+    node.answers();
+    assert!(node.run_to_call(2, "/call/pay", B));
+    assert_eq!((node.calls(), node.statuses()), (1, vec![]));
+    node.wait(110);
+    assert_eq!(node.calls(), 2);
+    let (.., bytes) = node.last_call();
+    assert!(bytes.starts_with(&format!("invoke {B} ")), "{bytes}");
+    // One a second: the second call finds none soon. It never ran, and the request that needs it
+    // fails at once.
+    let mut node = TestNode::in_cluster(&[rate(1)], None);
+    node.wait(1000);
+    assert!(node.run_to_call(1, "/call/pay", A) && node.calls() == 1);
+    node.reply_to_call(0, A, Outcome::Ok);
+    node.end_execution(A, End::Ok, b"r");
+    node.answers();
+    assert!(node.run_to_call(2, "/call/pay", B));
+    assert_eq!(
+        (node.calls(), node.statuses()),
+        (1, vec![(2, "500".into())])
+    );
+    assert!(node.counted("backend calls refused by the cluster's budgets") > 0);
+}
+
+/// A request that is cancelled while its call is queued leaves nothing behind: the next call goes.
+#[test]
+fn an_execution_that_ends_while_its_call_is_queued_gives_its_turn_up() {
+    let mut node = TestNode::in_cluster(&[rate(10)], None);
+    assert!(node.run_to_call(1, "/call/read", A));
+    node.reply_to_call(0, A, Outcome::Ok);
+    node.end_execution(A, End::Ok, b"r");
+    assert!(node.run_to_call(2, "/call/pay", B) && node.calls() == 1);
+    node.end_execution(B, End::Error, b"");
+    node.wait(200);
+    assert_eq!(
+        (
+            node.calls(),
+            node.node.with_actions(|actions| actions.cancelled.len())
+        ),
+        (1, 0)
+    );
+    assert!(node.run_to_call(3, "/call/pay", "00000000000000cc") && node.calls() == 2);
+}
+
+/// The backend may still be at work on an abandoned call: it occupies its budget for as long as the
+/// longest call.
+#[test]
+fn an_abandoned_call_occupies_its_budget_for_the_longest_call() {
+    let kind = Kind::InHand { longest: 500 * MS };
+    let in_hand = Budget {
+        name: "hands".into(),
+        kind,
+        ..rate(1)
+    };
+    let ends = |node: &TestNode| {
+        node.node
+            .state
+            .borrow_mut()
+            .shared
+            .budgets
+            .as_mut()
+            .unwrap()
+            .purses()[0]
+            .in_hand()
+    };
+    for (outcome, frees) in [
+        (Outcome::Ok, true),
+        (Outcome::Overload, false),
+        (Outcome::Internal, false),
+    ] {
+        let mut node = TestNode::in_cluster(std::slice::from_ref(&in_hand), None);
+        assert!(node.run_to_call(1, "/call/read", A) && ends(&node) == 1);
+        node.reply_to_call(0, A, outcome);
+        node.end_execution(A, End::Ok, b"r");
+        // One that never ran was made again, and that call is abandoned with the execution.
+        assert_eq!(ends(&node) == 0, frees, "{outcome:?}");
+        node.wait(501);
+        assert_eq!(ends(&node), 0);
+    }
+}
+
+/// A request whose call would find no room is rejected before it runs, with the time when there is
+/// some.
+#[test]
+fn requests_that_need_a_call_are_admitted_by_the_free_budget() {
+    let mut node = TestNode::in_cluster(&[rate(10)], None);
+    let (mut let_in, mut pauses) = (0, Vec::new());
+    for n in 0..100 {
+        let correlation_id = correlation_id(n);
+        if node.run_to_call(n as u16 % 50 + 1, "/call/pay", &correlation_id) {
+            let_in += 1;
+            node.wait(19);
+            node.reply_to_call(0, &correlation_id, Outcome::Ok);
+            node.end_execution(&correlation_id, End::Ok, b"r");
+        }
+        for answer in node
+            .answers()
+            .iter()
+            .filter(|answer| answer.status == "429")
+        {
+            pauses.push(answer.fields["X-Pushback-Ms"].parse::<u64>().unwrap());
+        }
+        node.wait(20);
+    }
+    assert!((19..=26).contains(&let_in), "{let_in} in 2 s and more");
+    assert!(
+        pauses.len() > 60 && pauses.iter().all(|ms| (1..=110).contains(ms)),
+        "{pauses:?}"
+    );
+    // A request that can do without its call is admitted all the same.
+    assert!((0..20).all(|n| {
+        let correlation_id = correlation_id(500 + n);
+        let runs = node.run_to_call(60, "/call/read", &correlation_id);
+        node.end_execution(&correlation_id, End::Ok, b"r");
+        node.answers();
+        runs
+    }));
+}
+
+#[test]
+fn retries_have_a_budget_of_their_own() {
+    let repeats = Budget {
+        name: "repeats".into(),
+        repeats_only: true,
+        ..rate(1)
+    };
+    let mut node = TestNode::in_cluster(&[rate(1000), repeats], None);
+    assert!(node.run_to_call(1, "/call/pay", A));
+    node.reply_to_call(0, A, Outcome::Overload);
+    assert_eq!(node.calls(), 2, "one repeat in a second");
+    node.reply_to_call(0, A, Outcome::Overload);
+    assert_eq!(
+        (node.calls(), node.statuses()),
+        (2, vec![(1, "500".into())])
+    );
+    // A first call is no retry.
+    node.end_execution(A, End::Stopped, b"");
+    assert!(node.run_to_call(2, "/call/pay", B) && node.calls() == 3);
+}
+
+/// Ten calls in a row fail: the service is unavailable to this node. Requests that need it are
+/// rejected, others go on without; when a try is due, one is admitted for it.
+#[test]
+fn a_failing_service_gets_no_calls_and_then_recovers_in_steps() {
+    let mut node = TestNode::in_cluster(&[], Some(&service()));
+    for n in 0..10 {
+        assert!(node.run_to_call(1, "/call/pay", &correlation_id(n)));
+        node.reply_to_call(0, &correlation_id(n), Outcome::Internal);
+        node.end_execution(&correlation_id(n), End::Stopped, b"");
+        node.answers();
+    }
+    assert_eq!(node.health_state(), HealthState::Unavailable);
+    let calls = node.calls();
+    node.call(1, "/call/pay", A);
+    let answer = &node.answers()[0];
+    assert_eq!(
+        (&answer.status[..], &answer.fields["X-Pushback-Ms"][..]),
+        ("429", "500")
+    );
+    assert!(node.run_to_call(2, "/call/read", B));
+    assert_eq!(node.calls(), calls, "kept back");
+    assert!(
+        node.executor_commands()
+            .iter()
+            .any(|line| line.contains("NOIO")),
+        "it goes on without its call"
+    );
+    node.end_execution(B, End::Ok, b"r");
+    // No other node is heard: a try each 5 s.
+    let mut tries = 0;
+    for n in 100..220 {
+        node.wait(100);
+        if node.run_to_call(3, "/call/pay", &correlation_id(n)) {
+            tries += 1;
+            node.reply_to_call(0, &correlation_id(n), Outcome::Ok);
+            node.end_execution(&correlation_id(n), End::Ok, b"r");
+        }
+        node.answers();
+    }
+    assert_eq!((tries, node.health_state()), (3, HealthState::Recovering));
+    let let_in = (300..316).filter(|n| {
+        let runs = node.run_to_call(4, "/call/pay", &correlation_id(*n));
+        node.reply_to_call(0, &correlation_id(*n), Outcome::Ok);
+        node.end_execution(&correlation_id(*n), End::Ok, b"r");
+        node.answers();
+        runs
+    });
+    assert_eq!(let_in.count(), 1, "a sixteenth");
+    assert!(node.cluster_updates().iter().any(|word| matches!(
+        word,
+        ClusterUpdate::HealthReport(HealthReport {
+            level: 0.0,
+            zone: 1,
+            ..
+        })
+    )));
+}
+
+#[test]
+fn slow_calls_count_as_failed() {
+    let mut node = TestNode::in_cluster(&[], Some(&service()));
+    let mut calls = 0;
+    while node.health_state() == HealthState::Healthy {
+        let correlation_id = correlation_id(calls);
+        assert!(
+            calls < 10 && node.run_to_call(1, "/call/pay", &correlation_id),
+            "{calls}"
+        );
+        node.wait(300);
+        let (place, ..) = node.last_call();
+        node.reply_to_call(place, &correlation_id, Outcome::Ok);
+        node.end_execution(&correlation_id, End::Ok, b"r");
+        node.answers();
+        calls += 1;
+    }
+    assert_eq!(
+        (node.health_state(), calls > 5),
+        (HealthState::Unavailable, true)
+    );
+}
+
+/// Reports of others alone degrade it, and never make it unavailable.
+#[test]
+fn health_reports_of_others_degrade_a_service_while_they_last() {
+    let mut node = TestNode::in_cluster(&[], Some(&service()));
+    let ill = AggregatedHealth {
+        witnesses: 6,
+        ill: 6,
+        zones: 3,
+        ill_zones: 3,
+        ..AggregatedHealth::default()
+    };
+    node.event(Event::AggregatedHealth(ill));
+    assert_eq!(node.health_state(), HealthState::Degraded);
+    node.wait(6000);
+    assert_eq!(node.health_state(), HealthState::Healthy);
+}
+
+const BUCKET: &str = r#"<bucket name="by-org" scope="fleet" nodes-most="4" rate="100/s" burst="50"/>
+    <bucket name="hands" scope="fleet" nodes-most="4" in-hand="8"/>
+    <rule name="all"><when>true</when><give>
+        <limit bucket="by-org">caller.name</limit><limit bucket="hands">caller.name</limit></give></rule>"#;
+
+/// The first request of a key is rejected with a short Retry-After, for there is no lease yet; the
+/// quota request goes out at once, and what is granted admits the next ones.
+#[test]
+fn a_keyed_quota_requests_units_and_admits_what_was_granted() {
+    let mut node = TestNode::in_cluster(&[], None);
+    node.event(Event::RulesChanged(cluster_rules(
+        &BUCKET.replace("caller.name", "tenant"),
+    )));
+    node.cluster_updates();
+    node.call(1, "/call/read", A);
+    let refused = node.answers().remove(0);
+    assert!(
+        refused.status == "429" && refused.fields["X-Pushback-Ms"].parse::<u64>().unwrap() <= 60
+    );
+    node.wait(30);
+    let asked = node
+        .cluster_updates()
+        .into_iter()
+        .find_map(|word| match word {
+            ClusterUpdate::QuotaRequest(asked) => Some(asked),
+            _ => None,
+        });
+    let asked = asked.unwrap();
+    assert_eq!(asked.keys.len(), 2, "both budgets at once: {asked:?}");
+    let lent = |ask: &KeyRequest| KeyGrant {
+        budget: ask.budget,
+        key: ask.key,
+        adds: 2,
+        wait: 0,
+    };
+    let keys = asked.keys.iter().map(lent).collect();
+    node.event(Event::QuotaGranted(Box::new(QuotaGrant {
+        no: asked.no,
+        stamp: asked.stamp,
+        life: 3 * S,
+        keys,
+    })));
+    node.call(2, "/call/read", B);
+    assert_eq!(node.executor_commands(), [start_command(B, "read")]);
+    let lent = |node: &TestNode| {
+        let state = node.node.state.borrow();
+        let borrower = state.rules.as_ref().unwrap().quota_borrower().unwrap();
+        borrower.tallies().map(|(_, tally)| tally.lent).sum::<u64>()
+    };
+    assert_eq!(lent(&node), 2);
+    assert!(
+        !node
+            .node
+            .state
+            .borrow_mut()
+            .rules
+            .as_mut()
+            .unwrap()
+            .release_leases(),
+        "one is in hand"
+    );
+    node.end_execution(B, End::Ok, b"r");
+    assert!(
+        node.node
+            .state
+            .borrow_mut()
+            .rules
+            .as_mut()
+            .unwrap()
+            .release_leases(),
+        "nothing is in hand any more"
+    );
+    assert!(node.counted("rejected by a limit of the cluster") >= 1);
+}
+
+/// The worth of a unit of a budget goes with the budget requests, and counters each five seconds.
+#[test]
+fn priority_weights_and_counters_are_reported() {
+    let mut settings = settings();
+    settings = settings.replace(
+        "\"Effect\": \"non_idempotent\", \"LateWorth\": 0.0, \"Points\": 1.0",
+        "\"Effect\": \"non_idempotent\", \"LateWorth\": 0.0, \"Points\": 5.0",
+    );
+    let mut node = TestNode::with_settings(&settings);
+    node.node.join_cluster(
+        node.now,
+        &[rate(100)],
+        QuotaTiming::of(3),
+        &SharedStateOptions {
+            service: None,
+            counts_for_cluster: true,
+        },
+    );
+    node.wait(1000);
+    assert!(node.run_to_call(1, "/call/pay", A));
+    node.reply_to_call(0, A, Outcome::Ok);
+    node.end_execution(A, End::Ok, b"r");
+    node.call(2, "/call/read", B);
+    node.end_execution(B, End::Error, b"");
+    node.wait(5000);
+    let words = node.cluster_updates();
+    let value = words.iter().rev().find_map(|word| match word {
+        ClusterUpdate::BudgetRequests { requests, .. } => Some(requests[0].value),
+        _ => None,
+    });
+    assert_eq!(value, Some(3.0), "five and one");
+    let counted = words.iter().rev().find_map(|word| match word {
+        ClusterUpdate::Counters(word) => Some(word.clone()),
+        _ => None,
+    });
+    use madderpoint_shared_state::counts::{OWN, column, own};
+    let total = counted.unwrap().total;
+    let row = |name: &str| total[&madderpoint_shared_state::keyed_quota::number(name)];
+    assert_eq!(
+        (row("pay")[column::SUCCEEDED], row("pay")[column::EARNED]),
+        (1, 5000)
+    );
+    assert_eq!(
+        (row("read")[column::ARRIVED], row("read")[column::ERRORED]),
+        (1, 1)
+    );
+    assert_eq!((total[&OWN][own::CALLS], total[&OWN][own::STARTS]), (1, 1));
+}
--- a/crates/node/src/serve/cluster.rs
+++ b/crates/node/src/serve/cluster.rs
@@ -8,7 +8,7 @@
 use madderpoint_membership::{Config, MemberKey};
 use madderpoint_node::config::NodeConfig;
 use madderpoint_node::io::{self, Part, Reset};
-use madderpoint_node::node::Service;
+use madderpoint_node::node::SharedService;
 use madderpoint_settings::{FleetSettings, Translator};
 use madderpoint_shared_state::{Budget, Kind};
 use std::net::SocketAddr;
@@ -52,9 +52,9 @@
         extensions: FeatureToggles::default(),
     };
     let voters = fleet.arbiters.iter().map(|name| MemberKey::of(name).0);
-    let service = fleet.service.as_ref().map(|service| Service {
+    let service = fleet.service.as_ref().map(|service| SharedService {
         name: service.name.clone(),
-        slow: service.slow,
+        slow_call_threshold: service.slow,
         zone: io::zone_number(&settings.zone),
     });
     let operations = &config.deployment.deployment.operations;
--- a/crates/node/src/serve/settings.rs
+++ b/crates/node/src/serve/settings.rs
@@ -3,9 +3,9 @@
 use madderpoint_deployment_config::DeploymentConfig;
 use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_node::capacity::OptionalSubsystems;
-use madderpoint_node::classify::Sheet;
 use madderpoint_node::config::NodeConfig;
 use madderpoint_node::io;
+use madderpoint_node::request_rules::CompiledRuleSet;
 use madderpoint_rollout::Plan;
 use madderpoint_settings::{self as settings, Complaints, FleetSettings, Known, Place, Translator};
 use madderpoint_shared_state::keyed_quota::KeyedQuota;
@@ -100,14 +100,14 @@
         config,
         OptionalSubsystems {
             settings: true,
-            fleet: true,
-            shared: true,
-            changes: true,
+            cluster: true,
+            shared_state: true,
+            rollouts: true,
         },
     );
     Known {
-        bytes: capacity.rules,
-        file_bytes: capacity.settings_file,
+        bytes: capacity.rule_bytes,
+        file_bytes: capacity.settings_file_bytes,
         ..known(&config.deployment)
     }
 }
@@ -160,18 +160,18 @@
 }
 
 /// Takes the rules out of the settings. Without rules the set is empty, so that earlier ones end.
-pub fn take_rules(read: &mut Translator) -> Box<Sheet> {
+pub fn take_rules(read: &mut Translator) -> Box<CompiledRuleSet> {
     let secret = read.fleet.as_ref().map_or(0, |fleet| fleet.secret);
     match read.rules.take() {
         Some(mut book) => {
             book.rules
                 .share(book.fleet.iter().map(|(place, _)| *place), secret);
-            Box::new(Sheet {
+            Box::new(CompiledRuleSet {
                 rules: book.rules,
                 buckets: book.buckets,
-                fleet: book.fleet,
+                quotas: book.fleet,
             })
         }
-        None => Box::new(Sheet::default()),
+        None => Box::new(CompiledRuleSet::default()),
     }
 }
