--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,24 +1,25 @@
-//! How two nodes that disagree find out about what, and tell each other just that: digests of
-//! ranges of keys, ever smaller, then what each has in a small range in brief, then the entries
-//! that one of them lacks.
+//! Anti-entropy: two nodes with different member tables find the difference and exchange just that.
 //!
-//! No step leaves a state behind: what is lost is begun anew with whoever disagrees next.
+//! They compare digests of ever smaller key ranges, then the headers of all members in a small
+//! range, then send the entries that one of them lacks. No step keeps state: if a datagram is lost,
+//! the next mismatch starts over.
 
 use crate::member::{Epoch, Incarnation, Liveness, LivenessState, MemberKey};
 use crate::member_table::MemberTable;
-use crate::wire::{MemberUpdate, Range, Summary};
+use crate::messages::{MemberUpdate, Range, Summary};
 use std::collections::BTreeMap;
 
-/// Slices of one summary, at most; and members of a range that are named rather than summed up.
+/// Slices of one summary at most.
 const SLICES_MAX: usize = 64;
-const NAMED: usize = 8;
+/// Ranges with at most this many members are answered with headers instead of digests.
+const HEADER_RANGE_MEMBERS: usize = 8;
 
-/// How many slices fit so many members, about four to each.
+/// Number of slices for a range: about four members each.
 fn slices_for(members: usize) -> usize {
     (members / 4).next_power_of_two().clamp(1, SLICES_MAX)
 }
 
-/// The ends of equal slices of a range.
+/// First and last keys of equal slices of a range.
 fn slices(from: u64, to: u64, n: usize) -> impl Iterator<Item = (u64, u64)> {
     let width = ((u128::from(to) + 1 - u128::from(from)) / n as u128).max(1);
     (0..n as u128).map_while(move |at| {
@@ -32,9 +33,9 @@
     })
 }
 
-/// Digests of all that is there.
-pub fn summary(view: &MemberTable) -> Summary {
-    let digests = view.slices(slices_for(view.counts().present()));
+/// A summary of all keys.
+pub fn summary(member_table: &MemberTable) -> Summary {
+    let digests = member_table.slice_digests(slices_for(member_table.counts().present()));
     Summary {
         from: 0,
         to: u64::MAX,
@@ -42,8 +43,9 @@
     }
 }
 
-fn part(view: &MemberTable, from: u64, to: u64, members: usize) -> Summary {
-    let sums = slices(from, to, slices_for(members)).map(|(from, to)| view.sum(from..=to).1);
+fn range_summary(member_table: &MemberTable, from: u64, to: u64, members: usize) -> Summary {
+    let sums = slices(from, to, slices_for(members))
+        .map(|(from, to)| member_table.range_digest(from..=to).1);
     Summary {
         from,
         to,
@@ -51,96 +53,108 @@
     }
 }
 
-/// What to say to a summary: finer ones for ranges with many members, and for others all that is
-/// there.
+/// The reply to a summary.
 #[derive(Debug, Default)]
 pub struct SummaryReply {
+    /// Finer summaries of ranges with many members.
     pub summaries: Vec<Summary>,
+    /// Ranges to answer with headers.
     pub covered: Vec<Range>,
 }
 
-/// Compares a summary with what is here. The slices are looked at from this one on, so that those
-/// who ask again, or ask others, hear something else first.
-pub fn finer(view: &MemberTable, theirs: &Summary, first: usize) -> SummaryReply {
-    let (digests, odd) = theirs.digests.as_chunks::<8>();
-    let mut finer = SummaryReply::default();
-    if digests.is_empty() || digests.len() > 256 || !odd.is_empty() || theirs.from > theirs.to {
-        return finer;
+/// Compares a summary with the own member table, beginning at the given slice, so that repeated
+/// exchanges begin with different slices.
+pub fn reply_to_summary(
+    member_table: &MemberTable,
+    theirs: &Summary,
+    first: usize,
+) -> SummaryReply {
+    let (digests, error) = theirs.digests.as_chunks::<8>();
+    let mut reply = SummaryReply::default();
+    if digests.is_empty() || digests.len() > 256 || !error.is_empty() || theirs.from > theirs.to {
+        return reply;
     }
     let slices: Vec<(u64, u64)> = slices(theirs.from, theirs.to, digests.len()).collect();
     for at in 0..slices.len() {
         let at = (at + first) % slices.len();
         let (from, to) = slices[at];
-        let (members, sum) = view.sum(from..=to);
+        let (members, sum) = member_table.range_digest(from..=to);
         if sum == u64::from_le_bytes(digests[at]) {
             continue;
         }
-        if members <= NAMED {
-            finer.covered.push(Range { from, to });
+        if members <= HEADER_RANGE_MEMBERS {
+            reply.covered.push(Range { from, to });
         } else {
-            finer.summaries.push(part(view, from, to, members));
+            reply
+                .summaries
+                .push(range_summary(member_table, from, to, members));
         }
     }
-    finer
+    reply
 }
 
-/// All who are present in a range, in brief.
-pub fn headers(view: &MemberTable, range: &Range) -> Vec<MemberUpdate> {
+/// Headers of all present members in a range.
+pub fn headers(member_table: &MemberTable, range: &Range) -> Vec<MemberUpdate> {
     if range.from > range.to {
         return Vec::new();
     }
-    let present = view
+    let present = member_table
         .range(range.from..=range.to)
-        .filter(|(_, entry)| entry.status().is_present());
-    present.map(|(key, entry)| entry.brief(key)).collect()
+        .filter(|(_, entry)| entry.liveness().is_present());
+    present
+        .map(|(key, entry)| entry.header_update(key))
+        .collect()
 }
 
-/// What two nodes tell each other about some ranges.
+/// Entries to exchange.
 #[derive(Debug, Default)]
 pub struct RangeExchange {
-    /// The other one lacks all of these.
+    /// Members whose complete entry the other node lacks.
     pub whole: Vec<MemberKey>,
-    /// It knows them, but not how they stand.
-    pub brief: Vec<MemberKey>,
-    /// It knows more of these.
+    /// Members of which it lacks only the liveness state.
+    pub header_update: Vec<MemberKey>,
+    /// Members of which it knows more.
     pub wants: Vec<MemberKey>,
 }
 
-/// Compares all that the other one has in some ranges with what is here.
-pub fn differences(view: &MemberTable, covered: &[Range], named: &[MemberUpdate]) -> RangeExchange {
+/// Compares the headers that the other node has in some ranges with the own member table.
+pub fn differences(
+    member_table: &MemberTable,
+    covered: &[Range],
+    named: &[MemberUpdate],
+) -> RangeExchange {
     let mut differences = RangeExchange::default();
     let theirs: BTreeMap<MemberKey, &MemberUpdate> = named
         .iter()
-        .map(|news| (MemberKey(news.key), news))
+        .map(|updates| (MemberKey(updates.key), updates))
         .collect();
-    for (key, news) in &theirs {
-        let Some(known) = view.get(*key) else {
+    for (key, updates) in &theirs {
+        let Some(known) = member_table.get(*key) else {
             differences.wants.push(*key);
             continue;
         };
         let epoch = Epoch {
-            birth: news.birth,
-            life: Incarnation(news.life),
+            started_unix_ms: updates.started_unix_ms,
+            incarnation: Incarnation(updates.incarnation),
         };
-        let status = Liveness::from_number(news.status).unwrap_or_default();
-        let standing = LivenessState {
-            bump: news.bump,
-            status,
+        let liveness = Liveness::from_number(updates.liveness).unwrap_or_default();
+        let liveness_state = LivenessState {
+            refutation: updates.refutation,
+            liveness,
         };
-        if known.epoch > epoch || known.epoch == epoch && known.revision > news.revision {
+        if known.epoch > epoch || known.epoch == epoch && known.revision > updates.revision {
             differences.whole.push(*key);
-        } else if known.epoch < epoch || known.revision < news.revision {
+        } else if known.epoch < epoch || known.revision < updates.revision {
             differences.wants.push(*key);
-        } else if known.standing > standing {
-            differences.brief.push(*key);
+        } else if known.liveness_state > liveness_state {
+            differences.header_update.push(*key);
         }
-        // Where theirs is newer in standing alone, the brief word that came has been taken in
-        // already.
+        // Where only their liveness state is newer, the header has been merged already.
     }
     for range in covered.iter().filter(|range| range.from <= range.to) {
-        let here = view
+        let here = member_table
             .range(range.from..=range.to)
-            .filter(|(_, entry)| entry.status().is_present());
+            .filter(|(_, entry)| entry.liveness().is_present());
         differences.whole.extend(
             here.map(|(key, _)| key)
                 .filter(|key| !theirs.contains_key(key)),
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,12 +1,12 @@
-//! What is known of one member, and which of two things said of it holds.
+//! What is known of one member, and which of two updates about it takes precedence.
 //!
-//! Of a name, the later life holds (by the time of its start, then by its number); within a life,
-//! standing and details are two values that only grow: the standing by bump and then by status, the
-//! details by their revision. Only the member itself raises its bump or its revision. So all that
-//! is said of it may come in any order, twice or late, and whoever has heard the same holds the
-//! same.
+//! For a name, the later incarnation wins (by start time, then by number). Within an incarnation,
+//! liveness state and details only grow: the liveness state by refutation number and then by
+//! liveness, the details by revision. Only the member itself raises its refutation number or its
+//! revision. Updates may therefore arrive in any order, twice or late: nodes that have received the
+//! same updates agree.
 
-use crate::wire::{self, AttachmentMessage, DetailsMessage, MemberUpdate};
+use crate::messages::{self, AttachmentMessage, DetailsMessage, MemberUpdate};
 use prost::Message;
 use siphasher::sip::SipHasher24;
 use std::fmt;
@@ -14,15 +14,18 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::sync::Arc;
 
-/// Bounds on what a member may say of itself.
+/// Longest name of a member, in bytes.
 pub const NAME_MAX: usize = 64;
+/// Longest name of a zone, in bytes.
 pub const ZONE_MAX: usize = 32;
+/// Longest program version, in bytes.
 pub const PROGRAM_MAX: usize = 32;
-pub const PARTS_MAX: usize = 8;
-/// Bytes of all its details as they travel.
+/// Attachments of a member at most.
+pub const ATTACHMENTS_MAX: usize = 8;
+/// Encoded bytes of a member's details at most.
 pub const DETAILS_MAX: usize = 400;
 
-/// SipHash-2-4 with these keys; both are part of the format.
+/// SipHash-2-4 with fixed keys that are part of the wire format.
 pub(crate) fn hash(bytes: &[&[u8]]) -> u64 {
     let mut hasher = SipHasher24::new_with_keys(0x6d61_6464_6572_706f, 0x696e_742d_666c_6565);
     for part in bytes {
@@ -31,52 +34,51 @@
     hasher.finish()
 }
 
-/// A member's name, hashed. Two names that share one are taken for one; at 10,000 members the
-/// chance is 3e-12.
+/// Hash of a member's name. Names that collide are taken for one; with 10,000 members the
+/// probability is 3e-12.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MemberKey(pub u64);
 
 impl MemberKey {
-    /// The key of this name; never 0, which stands for nobody.
+    /// The key of a name; never 0, which is [`MemberKey::NONE`].
     pub fn of(name: &str) -> MemberKey {
         MemberKey(hash(&[name.as_bytes()]).max(1))
     }
 
-    /// Stands for nobody.
-    pub const NOBODY: MemberKey = MemberKey(0);
+    /// No member.
+    pub const NONE: MemberKey = MemberKey(0);
 }
 
-/// One process, from its start to its end; drawn by chance.
+/// One process of a member, from start to end; a random number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Incarnation(pub u64);
 
-/// A life, placed among the others of its name by when it began. A later start holds over an
-/// earlier one.
+/// Order of the incarnations of a name: a later start takes precedence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Epoch {
-    /// Unix milliseconds of the start, by the member's own clock, or one more than the highest that
-    /// it heard of its name.
-    pub birth: u64,
-    /// The process.
-    pub life: Incarnation,
+    /// Start time by the member's own clock, in Unix milliseconds, or one more than the highest that
+    /// it received for its name.
+    pub started_unix_ms: u64,
+    /// The process; decides between equal start times.
+    pub incarnation: Incarnation,
 }
 
-/// Whether a member is held to be there. Within a bump the later word holds.
+/// Liveness of a member. With equal refutation numbers the later variant wins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Liveness {
-    /// It is there.
+    /// It responds.
     #[default]
     Alive,
-    /// It did not answer, and may say that it is there.
+    /// It did not respond, and may refute the suspicion.
     Suspect,
-    /// It did not say so in time.
+    /// It did not refute in time: declared dead.
     Dead,
-    /// It said that it was leaving.
+    /// It announced that it left.
     Left,
 }
 
 impl Liveness {
-    /// Whether it counts as a member.
+    /// Whether it counts as a present member (alive or suspect).
     pub fn is_present(self) -> bool {
         matches!(self, Liveness::Alive | Liveness::Suspect)
     }
@@ -96,35 +98,36 @@
         .copied()
     }
 
-    /// Its word, as logs and tables show it.
-    pub fn word(self) -> &'static str {
+    /// Its name in logs and tables.
+    pub fn as_str(self) -> &'static str {
         ["alive", "suspect", "dead", "left"][self as usize]
     }
 }
 
-/// A standing within a life: a member that refutes raises the bump.
+/// Liveness within an incarnation, ordered by refutation number and then by liveness.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LivenessState {
-    pub bump: u32,
-    pub status: Liveness,
+    /// Raised by the member itself each time it contradicts a suspicion.
+    pub refutation: u32,
+    /// Liveness at that refutation number.
+    pub liveness: Liveness,
 }
 
-/// What a member that stands so does when it hears that it is held to stand otherwise: it says that
-/// it is there (or that it left) by a higher bump, where the word that it heard would hold over its
-/// own.
-pub fn refutes(own: LivenessState, heard: LivenessState) -> Option<u32> {
-    (heard > own).then(|| heard.bump.saturating_add(1))
+/// The refutation number by which a member contradicts what others report of it; `None` where the
+/// report would not take precedence over its own state.
+pub fn refutes(own: LivenessState, reported: LivenessState) -> Option<u32> {
+    (reported > own).then(|| reported.refutation.saturating_add(1))
 }
 
-/// What a member is about.
+/// Phase of a member's life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Phase {
-    /// Started, and not yet warm.
+    /// Started and still warming up.
     Cold,
-    /// At work.
+    /// Serving.
     #[default]
     Serving,
-    /// DetailsMessage to leave: it answers what it has read.
+    /// Draining: it answers what it has read and takes nothing new.
     Draining,
 }
 
@@ -133,51 +136,60 @@
         match number {
             0 => Phase::Cold,
             2 => Phase::Draining,
-            // A phase that a later version knows is read as at work: it is there and answers.
+            // Phases of later versions are read as serving: the member exists and responds.
             _ => Phase::Serving,
         }
     }
 
-    /// Its word.
-    pub fn word(self) -> &'static str {
+    /// Its name in logs and tables.
+    pub fn as_str(self) -> &'static str {
         ["cold", "serving", "draining"][self as usize]
     }
 }
 
-/// Something that another package hangs on an entry, by its own number and version.
+/// Data that another package attaches to a member's entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attachment {
+    /// Number of the package.
     pub id: u32,
+    /// Version of the format.
     pub version: u32,
+    /// The data; empty removes the attachment.
     pub bytes: Vec<u8>,
 }
 
-/// What a member says of itself. It travels as the member wrote it, so that what a later version
-/// adds passes through nodes that do not know it.
+/// What a member publishes about itself. It is passed on as the member encoded it, so that fields
+/// of later versions survive nodes that do not know them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberDetails {
-    /// Where it is reached.
+    /// Address at which it is reached.
     pub address: SocketAddr,
     /// Its zone; may be empty.
     pub zone: Arc<str>,
+    /// Phase of its life.
     pub phase: Phase,
-    /// The version of its program.
+    /// Version of its program.
     pub program: Arc<str>,
-    /// Versions of the datagrams that it reads, the least and the most.
+    /// Lowest and highest datagram version that it reads.
     pub wire: (u32, u32),
-    /// The number and the hash of its settings.
+    /// Number and hash of its settings.
     pub settings: (u64, u64),
-    pub parts: Vec<Attachment>,
-    raw: Box<[u8]>,
+    /// Attachments by id.
+    pub attachments: Vec<Attachment>,
+    encoded: Box<[u8]>,
     hash: u64,
 }
 
-/// Why details were not taken.
+/// Why details can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DetailsError {
+    /// Larger than [`DETAILS_MAX`] bytes, or more than [`ATTACHMENTS_MAX`] attachments.
     TooLarge,
+    /// The encoding is broken.
     Unreadable,
+    /// The address is unspecified, multicast or malformed.
     BadAddress,
+    /// A name is empty, too long or not printable ASCII.
     BadName,
 }
 
@@ -212,13 +224,16 @@
     (port > 0 && !ip.is_unspecified() && !ip.is_multicast()).then(|| SocketAddr::new(ip, port))
 }
 
-/// A name that may stand in a line of the log and in a table.
+/// Whether a name is non-empty printable ASCII of at most `most` bytes, fit for logs and tables.
 pub fn is_name(name: &str, most: usize) -> bool {
     !name.is_empty() && name.len() <= most && name.bytes().all(|b| b.is_ascii_graphic())
 }
 
 impl MemberDetails {
-    /// What a member says of itself now.
+    /// Encodes a member's details.
+    ///
+    /// # Errors
+    /// Where they exceed a bound.
     pub fn new(
         address: SocketAddr,
         zone: &str,
@@ -226,9 +241,9 @@
         program: &str,
         wire: (u32, u32),
         settings: (u64, u64),
-        parts: Vec<Attachment>,
+        attachments: Vec<Attachment>,
     ) -> Result<MemberDetails, DetailsError> {
-        let told = DetailsMessage {
+        let details = DetailsMessage {
             address: address_bytes(address),
             zone: zone.to_owned(),
             phase: phase as u32,
@@ -237,7 +252,7 @@
             wire_most: wire.1,
             settings: settings.0,
             settings_hash: settings.1,
-            parts: parts
+            attachments: attachments
                 .into_iter()
                 .map(|p| AttachmentMessage {
                     id: p.id,
@@ -246,128 +261,137 @@
                 })
                 .collect(),
         };
-        MemberDetails::read(&wire::later(told.encode_to_vec()))
+        MemberDetails::read(&messages::later(details.encode_to_vec()))
     }
 
-    /// Reads what a member said. Fields that are not known stay in what is passed on.
-    pub fn read(raw: &[u8]) -> Result<MemberDetails, DetailsError> {
-        if raw.len() > DETAILS_MAX {
+    /// Decodes details. Unknown fields stay in what is passed on.
+    ///
+    /// # Errors
+    /// Where the encoding is broken or exceeds a bound.
+    pub fn read(encoded: &[u8]) -> Result<MemberDetails, DetailsError> {
+        if encoded.len() > DETAILS_MAX {
             return Err(DetailsError::TooLarge);
         }
-        let told = DetailsMessage::decode(raw).map_err(|_| DetailsError::Unreadable)?;
-        let address = address_from(&told.address).ok_or(DetailsError::BadAddress)?;
+        let details = DetailsMessage::decode(encoded).map_err(|_| DetailsError::Unreadable)?;
+        let address = address_from(&details.address).ok_or(DetailsError::BadAddress)?;
         let fits = |text: &str, most| text.is_empty() || is_name(text, most);
-        if !fits(&told.zone, ZONE_MAX) || !fits(&told.program, PROGRAM_MAX) {
+        if !fits(&details.zone, ZONE_MAX) || !fits(&details.program, PROGRAM_MAX) {
             return Err(DetailsError::BadName);
         }
-        if told.parts.len() > PARTS_MAX {
+        if details.attachments.len() > ATTACHMENTS_MAX {
             return Err(DetailsError::TooLarge);
         }
-        let parts = told.parts.into_iter();
+        let attachments = details.attachments.into_iter();
         Ok(MemberDetails {
             address,
-            zone: told.zone.into(),
-            phase: Phase::from_number(told.phase),
-            program: told.program.into(),
-            wire: (told.wire_least, told.wire_most),
-            settings: (told.settings, told.settings_hash),
-            parts: parts
+            zone: details.zone.into(),
+            phase: Phase::from_number(details.phase),
+            program: details.program.into(),
+            wire: (details.wire_least, details.wire_most),
+            settings: (details.settings, details.settings_hash),
+            attachments: attachments
                 .map(|p| Attachment {
                     id: p.id,
                     version: p.version,
                     bytes: p.bytes,
                 })
                 .collect(),
-            raw: raw.into(),
-            hash: hash(&[raw]),
+            encoded: encoded.into(),
+            hash: hash(&[encoded]),
         })
     }
 
-    /// The details as they travel.
-    pub fn raw(&self) -> &[u8] {
-        &self.raw
+    /// The details as the member encoded them.
+    pub fn encoded(&self) -> &[u8] {
+        &self.encoded
     }
 
     pub(crate) fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Bytes that they take here, roughly.
+    /// Approximate memory in bytes.
     pub fn bytes(&self) -> usize {
-        let parts: usize = self
-            .parts
+        let attachments: usize = self
+            .attachments
             .iter()
             .map(|p| p.bytes.len() + size_of::<Attachment>())
             .sum();
-        size_of::<MemberDetails>() + 2 * self.raw.len() + parts + 64
+        size_of::<MemberDetails>() + 2 * self.encoded.len() + attachments + 64
     }
 }
 
-/// Room and load, spread without a promise: the latest word of each member that came by.
+/// Free capacity and load of a member, spread without a promise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadHint {
-    /// MemberCounts the words of one life.
-    pub no: u16,
-    /// Room left, and load, each of 255.
-    pub room: u8,
+    /// Sequence number within an incarnation; wraps.
+    pub number: u16,
+    /// Free capacity, of 255.
+    pub capacity: u8,
+    /// Load, of 255.
     pub load: u8,
 }
 
-/// What is known of a member.
+/// All that is known of a member.
 #[derive(Clone, Debug)]
 pub struct MemberEntry {
+    /// Its name.
     pub name: Arc<str>,
+    /// Its present incarnation.
     pub epoch: Epoch,
-    pub standing: LivenessState,
-    /// MemberCounts what it said of itself in this life.
+    /// Its liveness.
+    pub liveness_state: LivenessState,
+    /// Revision of its details within the incarnation.
     pub revision: u32,
+    /// Its details.
     pub details: Arc<MemberDetails>,
-    /// The latest word of its room and load, and when it came; 0 if none did.
-    pub pulse: LoadHint,
-    pub pulse_at: crate::Nanos,
-    /// When its status here became what it is.
+    /// The latest load hint.
+    pub load_hint: LoadHint,
+    /// When that was received; 0 if none was.
+    pub load_hint_received: crate::Nanos,
+    /// When its liveness last changed here.
     pub since: crate::Nanos,
-    /// What it adds to digests while it is present; kept, as hashing a thousand entries for each
-    /// comparison took most of it.
-    pub(crate) stamp: u64,
+    /// What it adds to digests while it is present; cached, as digests are compared often.
+    pub(crate) digest_contribution: u64,
 }
 
 impl MemberEntry {
-    pub fn status(&self) -> Liveness {
-        self.standing.status
+    /// Its liveness.
+    pub fn liveness(&self) -> Liveness {
+        self.liveness_state.liveness
     }
 
-    /// Works out what it adds to digests. Suspicion adds nothing, for it passes.
-    pub(crate) fn restamp(&mut self, key: MemberKey) {
-        self.stamp = hash(&[
+    /// Recomputes what it adds to digests. Suspicion adds nothing, since it passes.
+    pub(crate) fn update_digest_contribution(&mut self, key: MemberKey) {
+        self.digest_contribution = hash(&[
             &key.0.to_le_bytes(),
-            &self.epoch.birth.to_le_bytes(),
-            &self.epoch.life.0.to_le_bytes(),
-            &self.standing.bump.to_le_bytes(),
+            &self.epoch.started_unix_ms.to_le_bytes(),
+            &self.epoch.incarnation.0.to_le_bytes(),
+            &self.liveness_state.refutation.to_le_bytes(),
             &self.revision.to_le_bytes(),
             &self.details.hash().to_le_bytes(),
         ]);
     }
 
-    /// The news of it without name and details, for those who have them.
-    pub(crate) fn brief(&self, key: MemberKey) -> MemberUpdate {
+    /// An update without name and details, for nodes that have them.
+    pub(crate) fn header_update(&self, key: MemberKey) -> MemberUpdate {
         MemberUpdate {
             key: key.0,
-            birth: self.epoch.birth,
-            life: self.epoch.life.0,
-            bump: self.standing.bump,
-            status: self.standing.status.number(),
+            started_unix_ms: self.epoch.started_unix_ms,
+            incarnation: self.epoch.incarnation.0,
+            refutation: self.liveness_state.refutation,
+            liveness: self.liveness_state.liveness.number(),
             revision: self.revision,
             ..MemberUpdate::default()
         }
     }
 
-    /// All that is known of it.
-    pub(crate) fn full(&self, key: MemberKey) -> MemberUpdate {
+    /// An update with name and details.
+    pub(crate) fn full_update(&self, key: MemberKey) -> MemberUpdate {
         MemberUpdate {
             name: self.name.to_string(),
-            told: self.details.raw().to_vec(),
-            ..self.brief(key)
+            details: self.details.encoded().to_vec(),
+            ..self.header_update(key)
         }
     }
 }
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,60 +1,61 @@
-//! The table of members: what was heard of each, in bounds; counts; and digests of ranges of it,
-//! equal on nodes that agree.
+//! The member table: merged updates of each member in bounded memory, counts, and digests of key
+//! ranges that are equal on nodes that agree.
 
 use crate::member::{
     DetailsError, Epoch, Incarnation, Liveness, LivenessState, LoadHint, MemberDetails,
     MemberEntry, MemberKey, NAME_MAX, Phase, is_name,
 };
-use crate::wire::MemberUpdate;
+use crate::messages::MemberUpdate;
 use crate::{Nanos, history::ChangeKind};
-use std::collections::BTreeMap;
-use std::collections::HashMap;
+use std::collections::{BTreeMap, HashMap};
 use std::ops::RangeInclusive;
 use std::sync::{Arc, Mutex};
 
-/// AuthKeys that share their highest byte have their digest kept.
+/// Slices of the key space (by highest byte) whose digests are cached.
 const SLICES: usize = 256;
+/// Bits below the slice number in a key.
 const SLICE_SHIFT: u32 = 56;
-/// Bytes of an entry beside its name and details.
-const ENTRY: usize = 320;
-/// What an entry takes where names, zones and versions are of ordinary length.
-pub const ENTRY_USUAL: usize = 832;
+/// Bytes of an entry without name and details.
+const ENTRY_BYTES: usize = 320;
+/// Typical bytes of an entry with names, zones and versions of ordinary length.
+pub const TYPICAL_ENTRY_BYTES: usize = 832;
 
-/// What came of a piece of news.
+/// Outcome of merging an update.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It was known.
+    /// Nothing new.
     Known,
-    /// More is known here; whoever said it should hear that.
+    /// More recent information is known here; the sender should receive it.
     Older,
-    /// It says something of a member or a revision whose details are not known here.
-    Wanted,
+    /// The update refers to a member or revision whose details are missing here.
+    DetailsWanted,
     /// Its details can't be used.
     DetailsError(DetailsError),
-    /// There is no room.
+    /// No memory is left.
     Full,
-    /// The view has changed.
+    /// The member table has changed.
     Changed(MemberChange),
 }
 
-/// What changed of a member.
+/// A change of a member's entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberChange {
-    /// Its status before; none if it was not known.
+    /// Its liveness before; `None` if it was unknown.
     pub before: Option<Liveness>,
+    /// Its liveness after.
     pub after: Liveness,
-    /// Whether another life took the name.
+    /// Whether another incarnation took over the name.
     pub replaced: bool,
-    /// Where it was reached before, if elsewhere.
+    /// Whether its address changed.
     pub moved: bool,
-    /// Its phase before, if that is another.
+    /// Its former phase, if that changed.
     pub phase: Option<Phase>,
-    /// Whether its digest is another one.
+    /// Whether the table's digest changed.
     pub digest: bool,
 }
 
 impl MemberChange {
-    /// What operators are told of it; nothing where only a revision rose.
+    /// The kind of change shown to operators; `None` where only a revision rose.
     pub fn kind(&self) -> Option<ChangeKind> {
         let was = self.before.map(Liveness::is_present);
         match (was, self.after) {
@@ -84,22 +85,25 @@
     }
 }
 
-/// MemberDetails that several views in one process share; a node keeps its own, simulated fleets keep
-/// each only once.
+/// Details shared by several member tables in one process; used by simulations.
 pub type Interner = Arc<Mutex<HashMap<u64, Arc<MemberDetails>>>>;
 
-/// How many members of a kind there are.
+/// Numbers of members by liveness.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberCounts {
+    /// Alive.
     pub alive: usize,
+    /// Under suspicion.
     pub suspect: usize,
+    /// Declared dead.
     pub dead: usize,
+    /// Left.
     pub left: usize,
 }
 
 impl MemberCounts {
-    fn of(&mut self, status: Liveness) -> &mut usize {
-        match status {
+    fn of(&mut self, liveness: Liveness) -> &mut usize {
+        match liveness {
             Liveness::Alive => &mut self.alive,
             Liveness::Suspect => &mut self.suspect,
             Liveness::Dead => &mut self.dead,
@@ -107,12 +111,12 @@
         }
     }
 
-    /// Those that count as members.
+    /// Members that are present (alive or suspect).
     pub fn present(&self) -> usize {
         self.alive + self.suspect
     }
 
-    fn all(&self) -> usize {
+    fn total(&self) -> usize {
         self.alive + self.suspect + self.dead + self.left
     }
 }
@@ -121,12 +125,12 @@
 #[derive(Debug)]
 pub struct MemberTable {
     entries: BTreeMap<MemberKey, MemberEntry>,
-    sums: Box<[u64; SLICES]>,
+    cached_digests: Box<[u64; SLICES]>,
     digest: u64,
-    counts: MemberCounts,
+    counters: MemberCounts,
     zones: BTreeMap<Arc<str>, MemberCounts>,
     bytes: usize,
-    bytes_most: usize,
+    bytes_max: usize,
     interner: Option<Interner>,
 }
 
@@ -135,50 +139,51 @@
 }
 
 impl MemberTable {
-    /// An empty table that may take so many bytes.
-    pub fn new(bytes_most: usize, interner: Option<Interner>) -> MemberTable {
+    /// An empty table that may take `bytes_max` bytes.
+    pub fn new(bytes_max: usize, interner: Option<Interner>) -> MemberTable {
         MemberTable {
             entries: BTreeMap::new(),
-            sums: Box::new([0; SLICES]),
+            cached_digests: Box::new([0; SLICES]),
             digest: 0,
-            counts: MemberCounts::default(),
+            counters: MemberCounts::default(),
             zones: BTreeMap::new(),
             bytes: 0,
-            bytes_most,
+            bytes_max,
             interner,
         }
     }
 
-    /// The digest of all who are present: equal on nodes that agree on who that is and what each
-    /// said last.
+    /// Digest of all present members: equal on nodes that agree on them and their latest revisions.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
+    /// Numbers of members by liveness.
     pub fn counts(&self) -> MemberCounts {
-        self.counts
+        self.counters
     }
 
-    /// The counts of one zone.
+    /// Numbers of members of one zone.
     pub fn zone(&self, zone: &str) -> MemberCounts {
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
-    /// All zones that anybody known is in.
+    /// All zones with known members.
     pub fn zones(&self) -> impl Iterator<Item = (&Arc<str>, &MemberCounts)> {
         self.zones.iter()
     }
 
+    /// The entry of a member.
     pub fn get(&self, key: MemberKey) -> Option<&MemberEntry> {
         self.entries.get(&key)
     }
 
-    /// Who is there, by key.
+    /// All entries by key.
     pub fn iter(&self) -> impl Iterator<Item = (MemberKey, &MemberEntry)> {
         self.entries.iter().map(|(key, entry)| (*key, entry))
     }
 
-    /// Those in a range of keys.
+    /// Entries in a range of keys.
     pub fn range(
         &self,
         range: RangeInclusive<u64>,
@@ -188,70 +193,70 @@
             .map(|(key, entry)| (*key, entry))
     }
 
-    /// The number of those who are present in a range of keys, and their digest.
-    pub fn sum(&self, range: RangeInclusive<u64>) -> (usize, u64) {
+    /// Number and digest of the present members in a range of keys.
+    pub fn range_digest(&self, range: RangeInclusive<u64>) -> (usize, u64) {
         let present = self
             .range(range)
-            .filter(|(_, entry)| entry.status().is_present());
+            .filter(|(_, entry)| entry.liveness().is_present());
         present.fold((0, 0), |(n, sum), (_, entry)| {
-            (n + 1, sum.wrapping_add(entry.stamp))
+            (n + 1, sum.wrapping_add(entry.digest_contribution))
         })
     }
 
-    /// The digests of `slices` equal slices of all keys, from those that are kept; a power of two,
-    /// 256 at most.
-    pub(crate) fn slices(&self, slices: usize) -> Vec<u64> {
-        self.sums
+    /// Digests of `slices` equal slices of all keys, from the cached ones; `slices` is a power of
+    /// two, 256 at most.
+    pub(crate) fn slice_digests(&self, slices: usize) -> Vec<u64> {
+        self.cached_digests
             .chunks(SLICES / slices)
             .map(|sums| sums.iter().fold(0u64, |a, b| a.wrapping_add(*b)))
             .collect()
     }
 
-    /// Bytes that it takes, roughly.
+    /// Approximate memory in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    fn count(&mut self, key: MemberKey, entry: &MemberEntry, coming: bool) {
-        let size = ENTRY + entry.name.len() + entry.details.bytes();
+    fn account(&mut self, key: MemberKey, entry: &MemberEntry, is_added: bool) {
+        let size = ENTRY_BYTES + entry.name.len() + entry.details.bytes();
         let zone = self
             .zones
             .entry(Arc::clone(&entry.details.zone))
             .or_default();
-        if coming {
-            *self.counts.of(entry.status()) += 1;
-            *zone.of(entry.status()) += 1;
+        if is_added {
+            *self.counters.of(entry.liveness()) += 1;
+            *zone.of(entry.liveness()) += 1;
             self.bytes += size;
         } else {
-            *self.counts.of(entry.status()) -= 1;
-            *zone.of(entry.status()) -= 1;
-            if zone.all() == 0 {
+            *self.counters.of(entry.liveness()) -= 1;
+            *zone.of(entry.liveness()) -= 1;
+            if zone.total() == 0 {
                 self.zones.remove(&entry.details.zone);
             }
             self.bytes -= size;
         }
-        if entry.status().is_present() {
-            let stamp = entry.stamp;
-            let sum = &mut self.sums[slice(key)];
-            if coming {
-                *sum = sum.wrapping_add(stamp);
-                self.digest = self.digest.wrapping_add(stamp);
+        if entry.liveness().is_present() {
+            let digest_contribution = entry.digest_contribution;
+            let sum = &mut self.cached_digests[slice(key)];
+            if is_added {
+                *sum = sum.wrapping_add(digest_contribution);
+                self.digest = self.digest.wrapping_add(digest_contribution);
             } else {
-                *sum = sum.wrapping_sub(stamp);
-                self.digest = self.digest.wrapping_sub(stamp);
+                *sum = sum.wrapping_sub(digest_contribution);
+                self.digest = self.digest.wrapping_sub(digest_contribution);
             }
         }
     }
 
-    /// Changes an entry, with all that is counted of it.
-    fn change(&mut self, key: MemberKey, with: impl FnOnce(&mut MemberEntry)) {
+    /// Modifies an entry, and keeps counts and digests consistent.
+    fn modify(&mut self, key: MemberKey, modification: impl FnOnce(&mut MemberEntry)) {
         let Some(mut entry) = self.entries.remove(&key) else {
             return;
         };
-        self.count(key, &entry, false);
-        with(&mut entry);
-        entry.restamp(key);
-        self.count(key, &entry, true);
+        self.account(key, &entry, false);
+        modification(&mut entry);
+        entry.update_digest_contribution(key);
+        self.account(key, &entry, true);
         self.entries.insert(key, entry);
     }
 
@@ -270,68 +275,70 @@
         ))
     }
 
-    /// Takes in what was said of a member, and says what came of it.
-    pub fn merge(&mut self, now: Nanos, news: &MemberUpdate) -> MergeOutcome {
-        let key = MemberKey(news.key);
-        let Some(status) = Liveness::from_number(news.status) else {
+    /// Merges an update.
+    pub fn merge(&mut self, now: Nanos, updates: &MemberUpdate) -> MergeOutcome {
+        let key = MemberKey(updates.key);
+        let Some(liveness) = Liveness::from_number(updates.liveness) else {
             return MergeOutcome::DetailsError(DetailsError::Unreadable);
         };
         let epoch = Epoch {
-            birth: news.birth,
-            life: Incarnation(news.life),
+            started_unix_ms: updates.started_unix_ms,
+            incarnation: Incarnation(updates.incarnation),
         };
-        let standing = LivenessState {
-            bump: news.bump,
-            status,
+        let liveness_state = LivenessState {
+            refutation: updates.refutation,
+            liveness,
         };
         match self.entries.get(&key) {
             Some(known) if known.epoch > epoch => MergeOutcome::Older,
-            Some(known) if known.epoch == epoch => self.grow(now, key, standing, news),
-            Some(_) => self.replace(now, key, epoch, standing, news),
-            None => self.insert(now, key, epoch, standing, news),
+            Some(known) if known.epoch == epoch => {
+                self.merge_same_incarnation(now, key, liveness_state, updates)
+            }
+            Some(_) => self.replace(now, key, epoch, liveness_state, updates),
+            None => self.insert(now, key, epoch, liveness_state, updates),
         }
     }
 
-    /// Something of the life that is known.
-    fn grow(
+    /// Merges an update of the known incarnation.
+    fn merge_same_incarnation(
         &mut self,
         now: Nanos,
         key: MemberKey,
-        standing: LivenessState,
-        news: &MemberUpdate,
+        liveness_state: LivenessState,
+        updates: &MemberUpdate,
     ) -> MergeOutcome {
         let Some(known) = self.entries.get(&key) else {
-            return MergeOutcome::Wanted;
+            return MergeOutcome::DetailsWanted;
         };
-        let (stands, revision) = (known.standing, known.revision);
-        let newer = news.revision > revision;
-        if newer && news.told.is_empty() {
-            // The standing may hold already; what it said is still to be asked for.
-            if standing > stands {
-                self.change(key, |entry| entry.standing = standing);
+        let (known_state, revision) = (known.liveness_state, known.revision);
+        let newer = updates.revision > revision;
+        if newer && updates.details.is_empty() {
+            // The liveness state may be merged already; the details are still missing.
+            if liveness_state > known_state {
+                self.modify(key, |entry| entry.liveness_state = liveness_state);
             }
-            return MergeOutcome::Wanted;
+            return MergeOutcome::DetailsWanted;
         }
-        if standing == stands && news.revision == revision {
+        if liveness_state == known_state && updates.revision == revision {
             return MergeOutcome::Known;
         }
-        if standing <= stands && !newer {
+        if liveness_state <= known_state && !newer {
             return MergeOutcome::Older;
         }
-        let details = match newer.then(|| self.details(&news.told)).transpose() {
+        let details = match newer.then(|| self.details(&updates.details)).transpose() {
             Ok(details) => details,
-            Err(odd) => return MergeOutcome::DetailsError(odd),
+            Err(error) => return MergeOutcome::DetailsError(error),
         };
         let mut change = MemberChange {
-            before: Some(stands.status),
+            before: Some(known_state.liveness),
             digest: true,
             ..MemberChange::default()
         };
         let digest = self.digest;
-        self.change(key, |entry| {
-            if standing > stands {
-                entry.standing = standing;
-                entry.since = if standing.status == stands.status {
+        self.modify(key, |entry| {
+            if liveness_state > known_state {
+                entry.liveness_state = liveness_state;
+                entry.since = if liveness_state.liveness == known_state.liveness {
                     entry.since
                 } else {
                     now
@@ -340,161 +347,168 @@
             if let Some(details) = details {
                 change.moved = entry.details.address != details.address;
                 change.phase = Some(entry.details.phase).filter(|before| *before != details.phase);
-                (entry.revision, entry.details) = (news.revision, details);
+                (entry.revision, entry.details) = (updates.revision, details);
             }
-            change.after = entry.status();
+            change.after = entry.liveness();
         });
         change.digest = digest != self.digest;
         MergeOutcome::Changed(change)
     }
 
-    /// A later life of a name.
+    /// Replaces an entry by that of a later incarnation.
     fn replace(
         &mut self,
         now: Nanos,
         key: MemberKey,
         epoch: Epoch,
-        standing: LivenessState,
-        news: &MemberUpdate,
+        liveness_state: LivenessState,
+        updates: &MemberUpdate,
     ) -> MergeOutcome {
-        if news.told.is_empty() {
-            return MergeOutcome::Wanted;
+        if updates.details.is_empty() {
+            return MergeOutcome::DetailsWanted;
         }
-        let details = match self.details(&news.told) {
+        let details = match self.details(&updates.details) {
             Ok(details) => details,
-            Err(odd) => return MergeOutcome::DetailsError(odd),
+            Err(error) => return MergeOutcome::DetailsError(error),
         };
         let mut change = MemberChange {
-            after: standing.status,
+            after: liveness_state.liveness,
             digest: true,
             replaced: true,
             ..MemberChange::default()
         };
-        self.change(key, |entry| {
-            change.before = Some(entry.status());
+        self.modify(key, |entry| {
+            change.before = Some(entry.liveness());
             change.moved = entry.details.address != details.address;
             *entry = MemberEntry {
                 name: Arc::clone(&entry.name),
                 epoch,
-                standing,
-                revision: news.revision,
+                liveness_state,
+                revision: updates.revision,
                 details,
-                pulse: LoadHint::default(),
-                pulse_at: 0,
+                load_hint: LoadHint::default(),
+                load_hint_received: 0,
                 since: now,
-                stamp: 0,
+                digest_contribution: 0,
             };
         });
         MergeOutcome::Changed(change)
     }
 
+    /// Inserts the entry of an unknown member.
     fn insert(
         &mut self,
         now: Nanos,
         key: MemberKey,
         epoch: Epoch,
-        standing: LivenessState,
-        news: &MemberUpdate,
+        liveness_state: LivenessState,
+        updates: &MemberUpdate,
     ) -> MergeOutcome {
-        if !standing.status.is_present() {
-            return MergeOutcome::Known; // who was never known need not be remembered as gone
+        if !liveness_state.liveness.is_present() {
+            return MergeOutcome::Known; // an unknown member need not be remembered as gone
         }
-        if news.told.is_empty() || news.name.is_empty() {
-            return MergeOutcome::Wanted;
+        if updates.details.is_empty() || updates.name.is_empty() {
+            return MergeOutcome::DetailsWanted;
         }
-        if !is_name(&news.name, NAME_MAX) || MemberKey::of(&news.name) != key {
+        if !is_name(&updates.name, NAME_MAX) || MemberKey::of(&updates.name) != key {
             return MergeOutcome::DetailsError(DetailsError::BadName);
         }
-        let details = match self.details(&news.told) {
+        let details = match self.details(&updates.details) {
             Ok(details) => details,
-            Err(odd) => return MergeOutcome::DetailsError(odd),
+            Err(error) => return MergeOutcome::DetailsError(error),
         };
-        let size = ENTRY + news.name.len() + details.bytes();
-        while self.bytes + size > self.bytes_most {
+        let size = ENTRY_BYTES + updates.name.len() + details.bytes();
+        while self.bytes + size > self.bytes_max {
             if !self.forget_one() {
                 return MergeOutcome::Full;
             }
         }
         let mut entry = MemberEntry {
-            name: news.name.as_str().into(),
+            name: updates.name.as_str().into(),
             epoch,
-            standing,
-            revision: news.revision,
+            liveness_state,
+            revision: updates.revision,
             details,
-            pulse: LoadHint::default(),
-            pulse_at: 0,
+            load_hint: LoadHint::default(),
+            load_hint_received: 0,
             since: now,
-            stamp: 0,
+            digest_contribution: 0,
         };
-        entry.restamp(key);
-        self.count(key, &entry, true);
+        entry.update_digest_contribution(key);
+        self.account(key, &entry, true);
         self.entries.insert(key, entry);
         MergeOutcome::Changed(MemberChange {
-            after: standing.status,
+            after: liveness_state.liveness,
             digest: true,
             ..MemberChange::default()
         })
     }
 
-    /// Suspects or buries a member at the bump that is known; true if that changed anything.
-    pub fn set(&mut self, now: Nanos, key: MemberKey, status: Liveness) -> Option<MemberChange> {
+    /// Marks a member suspect or dead at its known refutation number; `None` if that changes nothing.
+    pub fn mark(&mut self, now: Nanos, key: MemberKey, liveness: Liveness) -> Option<MemberChange> {
         let known = self.entries.get(&key)?;
-        if known.standing.status >= status {
+        if known.liveness_state.liveness >= liveness {
             return None;
         }
-        let (before, digest) = (known.status(), self.digest);
-        self.change(key, |entry| {
-            entry.standing.status = status;
+        let (before, digest) = (known.liveness(), self.digest);
+        self.modify(key, |entry| {
+            entry.liveness_state.liveness = liveness;
             entry.since = now;
         });
         Some(MemberChange {
             before: Some(before),
-            after: status,
+            after: liveness,
             digest: digest != self.digest,
             ..MemberChange::default()
         })
     }
 
-    /// Takes a word of room and load; true if it is newer than what was known.
-    pub(crate) fn pulse(&mut self, now: Nanos, tag: u32, pulse: LoadHint) -> Option<MemberKey> {
+    /// Merges a load hint; returns the member if the hint is newer than the known one. `tag` is the
+    /// upper half of its key.
+    pub(crate) fn merge_load_hint(
+        &mut self,
+        now: Nanos,
+        tag: u32,
+        load_hint: LoadHint,
+    ) -> Option<MemberKey> {
         let from = u64::from(tag) << 32;
         let (key, entry) = self
             .entries
             .range_mut(MemberKey(from)..=MemberKey(from | u64::from(u32::MAX)))
             .next()?;
-        let is_newer =
-            entry.pulse_at == 0 || (1..1 << 15).contains(&pulse.no.wrapping_sub(entry.pulse.no));
+        let is_newer = entry.load_hint_received == 0
+            || (1..1 << 15).contains(&load_hint.number.wrapping_sub(entry.load_hint.number));
         is_newer.then(|| {
-            (entry.pulse, entry.pulse_at) = (pulse, now.max(1));
+            (entry.load_hint, entry.load_hint_received) = (load_hint, now.max(1));
             *key
         })
     }
 
-    /// Forgets those who have been gone for so long.
-    pub fn forget(&mut self, now: Nanos, after: Nanos) -> usize {
+    /// Forgets members that have been gone for at least `after`; returns how many.
+    pub fn forget_gone(&mut self, now: Nanos, after: Nanos) -> usize {
         let gone = self
             .iter()
-            .filter(|(_, e)| !e.status().is_present() && now - e.since.min(now) >= after);
+            .filter(|(_, e)| !e.liveness().is_present() && now - e.since.min(now) >= after);
         let gone: Vec<MemberKey> = gone.map(|(key, _)| key).collect();
         gone.iter().for_each(|key| self.remove(*key));
         gone.len()
     }
 
-    /// Forgets one who is gone, to make room: one who left, else the longest dead of the zone with
-    /// the most dead, so that somebody is remembered of each zone that was lost.
+    /// Forgets one member that is gone, to free memory: one that left, else the one that is dead for
+    /// longest in the zone with the most dead, so that some of each lost zone are remembered.
     fn forget_one(&mut self) -> bool {
         let gone = self
             .iter()
-            .filter(|(_, entry)| !entry.status().is_present());
-        let crowd = |entry: &MemberEntry| {
+            .filter(|(_, entry)| !entry.liveness().is_present());
+        let dead_in_zone = |entry: &MemberEntry| {
             self.zones
                 .get(&entry.details.zone)
                 .map_or(0, |zone| zone.dead)
         };
         let first = gone.min_by_key(|(_, e)| {
             (
-                e.status() != Liveness::Left,
-                std::cmp::Reverse(crowd(e)),
+                e.liveness() != Liveness::Left,
+                std::cmp::Reverse(dead_in_zone(e)),
                 e.since,
             )
         });
@@ -505,7 +519,7 @@
         true
     }
 
-    /// Forgets everybody but one.
+    /// Forgets all members but one.
     pub(crate) fn forget_all_but(&mut self, own: MemberKey) {
         let others: Vec<MemberKey> = self
             .entries
@@ -518,7 +532,7 @@
 
     pub(crate) fn remove(&mut self, key: MemberKey) {
         if let Some(entry) = self.entries.remove(&key) {
-            self.count(key, &entry, false);
+            self.account(key, &entry, false);
         }
     }
 }
--- a/crates/node/src/cli/error.rs
+++ b/crates/node/src/cli/error.rs
@@ -52,7 +52,7 @@
     Missing,
     /// The deployment's settings in it are wrong.
     #[error("settings: {0}")]
-    Deployment(String),
+    Deployment(madderpoint_deployment_config::DeploymentError),
     /// A request in it is no JSON object.
     #[error("not an object")]
     NotObject,
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -120,7 +120,10 @@
     },
     /// The deployment's settings are wrong.
     #[error("settings: {0}")]
-    Settings(String),
+    Settings(deployment_config::DeploymentError),
+    /// The deployment's settings are no JSON object.
+    #[error("settings: {0}")]
+    SettingsNotObject(serde_json::Error),
 }
 
 /// The file as it is written.
@@ -218,7 +221,7 @@
         limits: file.limits,
         deployment,
         settings: serde_json::from_str(file.settings.get())
-            .map_err(|e| ConfigProblem::Settings(e.to_string()))?,
+            .map_err(ConfigProblem::SettingsNotObject)?,
     })
 }
 
--- a/crates/node/src/node/load_balancer.rs
+++ b/crates/node/src/node/load_balancer.rs
@@ -160,9 +160,9 @@
             .open_request(target, &head, body, age, context);
         let arrival = Arrival {
             id,
-            op: head.operation,
+            operation: head.operation,
             tenant: head.tenant,
-            dispatcher: head.load_balancer,
+            load_balancer: head.load_balancer,
             has_subject,
             time_left: head
                 .client_timeout
@@ -170,7 +170,7 @@
             work_hint: head.expected_work_s,
             queued_kb: head.queued_kb,
             age,
-            repeats,
+            duplicate_of: repeats,
         };
         if let Some(admission) = &mut self.admission {
             admission.on_arrival(clock.now, arrival);
--- a/crates/node/src/serve/cluster.rs
+++ b/crates/node/src/serve/cluster.rs
@@ -3,8 +3,8 @@
 
 use super::environment;
 use super::settings::{SettingsError, keyed_quotas, read_keys};
+use madderpoint_membership::FeatureToggles;
 use madderpoint_membership::datagram_auth::AuthKeys;
-use madderpoint_membership::swim::FeatureToggles;
 use madderpoint_membership::{Config, MemberKey};
 use madderpoint_node::config::NodeConfig;
 use madderpoint_node::io::{self, Part, Reset};
@@ -42,14 +42,14 @@
         address: advertise,
         seeds: fleet.seeds.clone(),
         keys: read_keys(file, fleet)?,
-        periods: fleet.periods,
+        timing: fleet.periods,
         program: fleet
             .program
             .clone()
             .unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned()),
         settings: read.number,
         bytes: 0,
-        extensions: FeatureToggles::default(),
+        features: FeatureToggles::default(),
     };
     let voters = fleet.arbiters.iter().map(|name| MemberKey::of(name).0);
     let service = fleet.service.as_ref().map(|service| SharedService {
--- a/crates/node/src/serve/settings.rs
+++ b/crates/node/src/serve/settings.rs
@@ -1,7 +1,7 @@
 //! Reading a settings file, and what of it the node's parts are given.
 
 use madderpoint_deployment_config::DeploymentConfig;
-use madderpoint_membership::datagram_auth::AuthKeys;
+use madderpoint_membership::datagram_auth::{AuthKeys, KeyError};
 use madderpoint_node::capacity::OptionalSubsystems;
 use madderpoint_node::config::NodeConfig;
 use madderpoint_node::io;
@@ -81,12 +81,12 @@
     TooLarge(u64),
     /// A line is no key, or there are too few or too many.
     #[error("{0}")]
-    Invalid(String),
+    Invalid(KeyError),
 }
 
 /// The names and idempotencies that a deployment's settings define.
 pub fn known(config: &DeploymentConfig) -> Known {
-    let effects = config.deployment.operations.iter().map(|o| o.effect);
+    let effects = config.deployment.operations.iter().map(|o| o.idempotency);
     Known {
         operations: Some(config.operations.iter().cloned().zip(effects).collect()),
         tenants: Some(config.tenants.clone()),
@@ -139,7 +139,7 @@
         return Err(KeyFileProblem::TooLarge(size));
     }
     let text = std::fs::read_to_string(path)?;
-    AuthKeys::read(&text).map_err(KeyFileProblem::Invalid)
+    AuthKeys::parse(&text).map_err(KeyFileProblem::Invalid)
 }
 
 /// The quotas by key of the whole cluster, from the buckets of the rules.
--- a/crates/node/src/serve/versions.rs
+++ b/crates/node/src/serve/versions.rs
@@ -186,7 +186,7 @@
             if !fields.is_empty() {
                 return Err(SettingsError::NeedsRestart(fields));
             }
-            if !read_keys(&self.file, &current.fleet)?.meet(&new_keys) {
+            if !read_keys(&self.file, &current.fleet)?.are_compatible(&new_keys) {
                 return Err(SettingsError::NoCommonKey);
             }
         }
--- a/crates/node/src/state/connections.rs
+++ b/crates/node/src/state/connections.rs
@@ -266,7 +266,7 @@
 
     /// The headers that go with every answer and health check.
     pub fn response_headers(&self) -> String {
-        let is_sent = self.config.deployment.advert != LoadReport::Disabled;
+        let is_sent = self.config.deployment.load_report != LoadReport::Disabled;
         self.load_report
             .filter(|_| is_sent)
             .map_or_else(String::new, |value| {
