--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -3,7 +3,7 @@
 #![warn(missing_docs)]
 
 use crate::cluster::ClusterUpdate;
-use crate::config::Peers;
+use crate::config::PeerAddresses;
 use crate::fastcgi::Reply;
 use madderpoint::{Nanos, RequestId};
 use std::fmt;
@@ -85,7 +85,7 @@
     /// Close the link at this index: no reply is awaited on it.
     fn close_backend_link(&mut self, link: usize);
     /// From now on peers are reached at these addresses; gives whether the executor's is another.
-    fn change_peers(&mut self, peers: Peers) -> bool;
+    fn change_peers(&mut self, peers: PeerAddresses) -> bool;
     /// Close the link to the executor; another one takes its place.
     fn reconnect_executor(&mut self);
     /// Tell the service registry that the node drains.
@@ -96,6 +96,4 @@
     fn update_cluster(&mut self, update: ClusterUpdate);
     /// Trace a step of a request.
     fn trace_step(&mut self, correlation_id: &str, step: fmt::Arguments<'_>);
-    /// Write a line to the log.
-    fn log(&mut self, line: fmt::Arguments<'_>);
 }
--- a/crates/node/src/backend/tests.rs
+++ b/crates/node/src/backend/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use madderpoint_test_harness::wire::{damaged, same_at_every_split};
 
-fn read(parts: &[&[u8]]) -> (Vec<Reply>, Result<(), Broken>) {
+fn read(parts: &[&[u8]]) -> (Vec<Reply>, Result<(), ReadError>) {
     let (mut parser, mut replies) = (Parser::default(), Vec::new());
     let result = parts
         .iter()
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn calls_tell_their_length() {
+fn calls_state_their_length() {
     assert_eq!(
         invoke("00aa", 250, b"a\r\nb"),
         b"invoke 00aa 250 4\r\na\r\nb\r\n"
--- a/crates/node/src/executor/tests.rs
+++ b/crates/node/src/executor/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use madderpoint_test_harness::wire::{damaged, same_at_every_split};
 
-fn read(parts: &[&[u8]]) -> (Vec<Notice>, Result<(), Broken>) {
+fn read(parts: &[&[u8]]) -> (Vec<Notice>, Result<(), ReadError>) {
     let (mut reader, mut notices) = (Reader::default(), Vec::new());
     assert_eq!(reader.open(), 0);
     let result = parts
@@ -10,7 +10,7 @@
     (notices, result)
 }
 
-fn feed(reader: &mut Reader, text: &str) -> (Vec<Notice>, Result<(), Broken>) {
+fn feed(reader: &mut Reader, text: &str) -> (Vec<Notice>, Result<(), ReadError>) {
     let mut notices = Vec::new();
     let result = reader.feed(text.as_bytes(), &mut |notice| notices.push(notice));
     (notices, result)
@@ -64,20 +64,20 @@
 }
 
 #[test]
-fn a_replay_after_a_break_is_taken_once_each() {
+fn notices_replayed_after_a_break_are_read_once() {
     let mut reader = Reader::default();
     reader.open();
     let (first, _) = feed(&mut reader, &(moot(1) + &moot(2) + &moot(3)[..20])); // cut in the middle of a line
     assert_eq!((first.len(), reader.open()), (2, 2));
     let (second, _) = feed(&mut reader, &(moot(2) + &moot(3)));
     assert_eq!(second.len(), 2);
-    assert_eq!(second[0], Notice::Odd("kernel: notices that came twice", 1));
+    assert_eq!(second[0], Notice::Odd(Anomaly::RepeatedNotice, 1));
     assert_eq!(reader.open(), 3); // and again, in the middle of the replay
     assert_eq!(feed(&mut reader, &moot(4)).0.len(), 1);
 }
 
 #[test]
-fn a_missing_notice_renews_the_link_unless_it_is_gone_for_good() {
+fn a_missing_notice_renews_the_connection_unless_it_is_lost_for_good() {
     let mut reader = Reader::default();
     reader.open();
     feed(&mut reader, &moot(1)).1.unwrap();
@@ -86,12 +86,12 @@
     let (notices, result) = feed(&mut reader, &moot(3));
     assert_eq!(
         (&notices[0], notices.len(), result),
-        (&Notice::Odd("kernel: notices that are gone", 1), 2, Ok(()))
+        (&Notice::Odd(Anomaly::LostNotice, 1), 2, Ok(()))
     );
 }
 
 #[test]
-fn what_makes_no_sense_is_told_and_passed_over() {
+fn unreadable_lines_are_reported_and_skipped() {
     for line in [
         "{\"t\":\"IOREQ\",\"no\":1,\"b64\":\"\"}\n",
         "{\"t\":\"SONG\"}\n",
@@ -102,22 +102,19 @@
         let (notices, result) = read(&[line.as_bytes()]);
         assert_eq!(
             (notices, result),
-            (
-                vec![Notice::Odd("kernel: lines that make no sense", 1)],
-                Ok(())
-            ),
+            (vec![Notice::Odd(Anomaly::UnreadableLine, 1)], Ok(())),
             "{line}"
         );
     }
 }
 
 #[test]
-fn an_overlong_line_breaks_the_link() {
+fn an_overlong_line_ends_the_connection() {
     for line in [
         vec![b'x'; LINE_MAX + 1],
         [vec![b'x'; LINE_MAX + 1], b"\n".to_vec()].concat(),
     ] {
-        assert_eq!(read(&[&line[..]]).1, Err(Broken("line too long")));
+        assert_eq!(read(&[&line[..]]).1, Err(ReadError::LineTooLong));
     }
 }
 
@@ -168,7 +165,7 @@
 }
 
 #[test]
-fn a_run_whose_end_cannot_be_read_has_failed() {
+fn an_execution_whose_end_cannot_be_read_has_failed() {
     for rest in [
         "\"OK\",\"b64\":\"%%%\"",
         "\"OK\"",
--- a/crates/node/src/fastcgi/tests.rs
+++ b/crates/node/src/fastcgi/tests.rs
@@ -3,7 +3,7 @@
     self as support, begin, damaged, record, same_at_every_split,
 };
 
-fn read(parts: &[&[u8]]) -> (Vec<Event>, Result<(), Broken>) {
+fn read(parts: &[&[u8]]) -> (Vec<Event>, Result<(), ParseError>) {
     let (mut parser, mut events) = (Parser::new(976, 65536), Vec::new());
     let result = parts
         .iter()
@@ -11,7 +11,7 @@
     (events, result)
 }
 
-fn read_whole(bytes: &[u8]) -> (Vec<Event>, Result<(), Broken>) {
+fn read_whole(bytes: &[u8]) -> (Vec<Event>, Result<(), ParseError>) {
     read(&[bytes])
 }
 
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_is_too_large_is_cut_and_marked() {
+fn requests_that_are_too_large_are_cut_and_marked() {
     let sequence = support::request(1, &[("A", "b")], &[1; BODY_MAX + 1]);
     let (events, _) = read_whole(&sequence);
     assert!(matches!(&events[..], [Event::Request(r)] if r.oversize && r.body.len() == BODY_MAX));
@@ -120,7 +120,8 @@
     let mut parser = Parser::new(1, 65536);
     parser.feed(&sequence, &mut |_| ()).unwrap();
     assert!(
-        parser.opening[0].request.oversize && parser.opening[0].request.params.len() == PARAMS_MAX
+        parser.unfinished[0].request.oversize
+            && parser.unfinished[0].request.params.len() == PARAMS_MAX
     );
 }
 
@@ -135,14 +136,18 @@
         .concat();
         parser.feed(&part, &mut |_| ()).unwrap();
     }
-    let kept: usize = parser.opening.iter().map(|o| o.request.params.len()).sum();
+    let kept: usize = parser
+        .unfinished
+        .iter()
+        .map(|o| o.request.params.len())
+        .sum();
     assert_eq!(kept, 70_000);
 }
 
 /// Bodies of 60 MB and records without end were once read to their end, at the cost of all other
 /// connections.
 #[test]
-fn what_goes_on_without_a_request_ends_the_connection() {
+fn too_many_bytes_without_a_request_end_the_connection() {
     let record = |kind, id, len| record(kind, id, &vec![7; len], 9);
     let half = [
         begin(1, 1, true),
@@ -161,7 +166,7 @@
         let mut fed = 0;
         while parser.feed(&part, &mut |_| ()).is_ok() {
             fed += part.len();
-            assert!(fed < 4 * PASSED_OVER_MAX, "{part:?}");
+            assert!(fed < 4 * SKIPPED_MAX, "{part:?}");
         }
     }
     let mut parser = Parser::new(1, 65536); // but whole requests may go on for good
@@ -170,7 +175,7 @@
 }
 
 #[test]
-fn what_is_not_played_here_is_ended_as_laid_down() {
+fn unsupported_records_are_answered_as_the_protocol_demands() {
     let too_many: Vec<u8> = (1..=MAX_OPEN as u16 + 1)
         .flat_map(|id| begin(id, 1, true))
         .collect();
--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -11,7 +11,7 @@
 mod version_worker;
 mod window_samples;
 
-use super::STACK;
+use super::threads::STACK;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use host::RolloutHost;
 use madderpoint_membership::{
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,14 @@
 //! A madderpoint node: load balancers, the executor, the backend and the service registry on real
 //! sockets, round the decisions of [`madderpoint::admission`].
 //!
-//! [`fastcgi`], [`executor`], [`backend`] and [`service_registry`] are protocols: fed bytes, they
-//! know no socket, clock or thread. [`node`] is the node without its I/O, [`io`] has the sockets
-//! and threads.
+//! - Protocols, fed bytes, without sockets, clocks and threads: [`fastcgi`], [`executor`],
+//!   [`backend`], [`service_registry`].
+//! - The node without its I/O: [`node`] takes events and requests [`actions`]; it reads requests by
+//!   [`request`] ([`request_error`]), applies [`request_rules`], takes part in the [`cluster`] and
+//!   counts in [`metrics`], within the bounds of [`capacity`].
+//! - Sockets and threads round it: [`io`].
+//! - Start and operation: [`config`], [`log`], [`program_version`], [`version_store`],
+//!   [`supervisor_client`].
 
 #![forbid(unsafe_code)]
 
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -3,6 +3,7 @@
 #![warn(missing_docs)]
 
 use crate::request_error::RequestError;
+use crate::{backend, executor, fastcgi};
 use std::collections::BTreeMap;
 
 /// Something that the node counts.
@@ -12,10 +13,12 @@
     Invariant(&'static str),
     /// Requests answered without the admission controller, by cause.
     RequestRejected(RequestError),
-    /// Connections whose peer sent what can't be read, by the parser's cause.
-    ProtocolError(&'static str),
-    /// Odd notices of the executor, by the parser's cause.
-    ExecutorNotice(&'static str),
+    /// Connections of load balancers that can't be read on, by the parser's cause.
+    ProtocolError(fastcgi::ParseError),
+    /// Connections to the backend that can't be read on, by the parser's cause.
+    BackendProtocolError(backend::ReadError),
+    /// What the executor should not have sent, by kind.
+    ExecutorAnomaly(executor::Anomaly),
     /// Answers written after the request's client timeout.
     LateAnswers,
     /// Orders to close a connection that were void, for an event was on its way.
@@ -71,7 +74,9 @@
             Metric::Invariant(name) => name,
             Metric::RequestRejected(RequestError::ExecutorNotUp) => "the executor is not up",
             Metric::RequestRejected(error) => error.reason(),
-            Metric::ProtocolError(cause) | Metric::ExecutorNotice(cause) => cause,
+            Metric::ProtocolError(cause) => cause.as_str(),
+            Metric::BackendProtocolError(cause) => cause.as_str(),
+            Metric::ExecutorAnomaly(anomaly) => anomaly.as_str(),
             Metric::LateAnswers => "answers after the client timeout",
             Metric::VoidedCloses => "closes voided by a new event",
             Metric::TruncatedRequests => "load balancer: request cut short",
--- a/crates/node/src/node/cluster_reports.rs
+++ b/crates/node/src/node/cluster_reports.rs
@@ -3,12 +3,14 @@
 use super::Node;
 use crate::actions::Actions;
 use crate::cluster::{ClusterParticipation, ClusterUpdate};
+use crate::log::part;
 use crate::state::Timer;
 use madderpoint::Nanos;
 use madderpoint_membership::ClusterView;
 use madderpoint_shared_state::keyed_quota::QuotaGrant;
 use madderpoint_shared_state::status::StatusSnapshot;
 use madderpoint_shared_state::{AggregatedHealth, Budget, Lease};
+use tracing::info;
 
 /// Time between two load hints.
 pub(super) const LOAD_HINT_PERIOD: Nanos = 1_000_000_000;
@@ -139,7 +141,6 @@
     fn log_lease_changes(&mut self, now: Nanos) {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        let mut lines = Vec::new();
         if let Some(budgets) = &mut state.shared.budgets {
             let borrowers = budgets.purses();
             self.budgets_at_floor.resize(borrowers.len(), true);
@@ -147,16 +148,13 @@
                 let is_at_floor = borrower.is_at_floor(now);
                 if std::mem::replace(before, is_at_floor) != is_at_floor {
                     let budget = borrower.budget();
-                    let what = if is_at_floor {
-                        "at its guaranteed floor, no lease"
+                    let (name, units, limit) = (&budget.name, borrower.units(now), budget.limit);
+                    let message = if is_at_floor {
+                        "no lease: only the guaranteed floor may be used"
                     } else {
                         "lease granted"
                     };
-                    let (units, limit) = (borrower.units(now), budget.limit);
-                    lines.push(format!(
-                        "budget '{}': {what}; may use {units} of {limit}",
-                        budget.name
-                    ));
+                    info!(target: part::SHARED_STATE, budget = %name, units, limit, "{message}");
                 }
             }
         }
@@ -167,20 +165,14 @@
         {
             let has_no_lender = borrower.hears_nobody(now);
             if std::mem::replace(&mut self.quotas_without_lender, has_no_lender) != has_no_lender {
-                let what = if has_no_lender {
-                    "no lender is heard, guaranteed floors only"
+                let message = if has_no_lender {
+                    "no lender of quotas heard: only guaranteed floors may be used"
                 } else {
-                    "a lender is heard again"
+                    "a lender of quotas heard again"
                 };
-                lines.push(format!(
-                    "keyed quotas: {what}; {} keys here",
-                    borrower.keys()
-                ));
+                info!(target: part::SHARED_STATE, keys = borrower.keys(), "{message}");
             }
         }
-        lines
-            .iter()
-            .for_each(|line| state.actions.log(format_args!("{line}")));
     }
 
     /// Requests units of keyed quotas.
--- a/crates/node/src/node/event.rs
+++ b/crates/node/src/node/event.rs
@@ -2,7 +2,7 @@
 
 use crate::actions::{BackendLink, CallId, ConnectionId};
 use crate::backend;
-use crate::config::Moved;
+use crate::config::ConfigUpdate;
 use crate::executor::Notice;
 use crate::fastcgi;
 use crate::request_rules::CompiledRuleSet;
@@ -24,7 +24,7 @@
     /// A connection's peer has ended its side; it may still wait for answers.
     HalfClosed(ConnectionId),
     /// What came on a connection can't be read on, and why.
-    ProtocolError(ConnectionId, &'static str),
+    ProtocolError(ConnectionId, fastcgi::ParseError),
     /// A connection was ended, by its peer or for the time that it took, with a part of a request
     /// on it.
     RequestTruncated,
@@ -52,13 +52,13 @@
     /// The backend replied on the link at this index.
     BackendReply(usize, backend::Reply),
     /// A connection to the backend ended; why, if what came on it can't be read on.
-    BackendDisconnected(BackendLink, Option<&'static str>),
+    BackendDisconnected(BackendLink, Option<backend::ReadError>),
     /// Nothing was sent on the link at this index for a while.
     BackendIdle(usize),
     /// The node is to drain.
     Drain,
     /// The configuration was replaced.
-    ConfigChanged(Moved),
+    ConfigChanged(ConfigUpdate),
     /// These rules are in force from now on.
     RulesChanged(Box<CompiledRuleSet>),
     /// What is seen of the cluster.
--- a/crates/node/src/node/execution.rs
+++ b/crates/node/src/node/execution.rs
@@ -22,8 +22,8 @@
                 self.state.borrow_mut().gauges_received(mark, values);
             }
             Notice::Posted { mark, ok } => self.state.borrow_mut().health_check_done(mark, ok),
-            Notice::Odd(cause, times) => {
-                let metric = Metric::ExecutorNotice(cause);
+            Notice::Odd(anomaly, times) => {
+                let metric = Metric::ExecutorAnomaly(anomaly);
                 self.state.borrow_mut().count(metric, times);
             }
             Notice::EInval { command, rid } => {
@@ -118,10 +118,10 @@
         &mut self,
         now: Nanos,
         link: BackendLink,
-        cause: Option<&'static str>,
+        cause: Option<backend::ReadError>,
     ) {
         if let Some(cause) = cause {
-            self.count(Metric::ProtocolError(cause));
+            self.count(Metric::BackendProtocolError(cause));
         }
         let cut_off = self.state.borrow_mut().backend_disconnected(link);
         cut_off
--- a/crates/node/src/node/load_balancer.rs
+++ b/crates/node/src/node/load_balancer.rs
@@ -22,7 +22,7 @@
     pub(super) fn on_input_ended(
         &mut self,
         connection_id: ConnectionId,
-        cause: Option<&'static str>,
+        cause: Option<fastcgi::ParseError>,
     ) {
         let mut state = self.state.borrow_mut();
         if let Some(cause) = cause {
--- a/crates/node/src/node/request_policy.rs
+++ b/crates/node/src/node/request_policy.rs
@@ -4,6 +4,7 @@
 use super::Node;
 use crate::actions::{Actions, ConnectionId};
 use crate::fastcgi;
+use crate::log::part;
 use crate::metrics::Metric;
 use crate::request::{Fields, RequestHead};
 use crate::request_rules::{CompiledRuleSet, HeldPermits, LimitReached, RequestRules, RuleOutcome};
@@ -12,6 +13,7 @@
 use madderpoint_deployment_config::DeploymentConfig;
 use madderpoint_rules::Verdict;
 use madderpoint_shared_state::keyed_quota::KeyedQuota;
+use tracing::{info, warn};
 
 impl<A: Actions> Node<A> {
     /// Rules were read and checked: they hold for what comes from now on.
@@ -34,10 +36,14 @@
         if let (Some(timing), Some(rules)) = (self.quota_timing, &mut state.rules) {
             rules.join_cluster(now, &quotas, timing, self.quota_bytes, self.seed);
         }
-        state.actions.log(format_args!(
-            "rules: {rules} in force with {buckets} buckets, {kib} KiB, \
-             at most {max_cost} units for a request"
-        ));
+        info!(
+            target: part::RULES,
+            rules,
+            buckets,
+            size_kib = kib,
+            most_units_per_request = max_cost,
+            "rules in force"
+        );
     }
 
     /// What rules give to a request, with their log lines written.
@@ -64,13 +70,13 @@
         };
         let outcome = rules.evaluate(now, &facts);
         for line in rules.take_fault_lines() {
-            state.actions.log(format_args!("{line}"));
+            warn!(target: part::RULES, event = "rule failed", "{line}");
         }
         if let Some(line) = outcome
             .as_ref()
             .and_then(|outcome| outcome.log_line.as_ref())
         {
-            state.actions.log(format_args!("{line}"));
+            info!(target: part::RULES, event = "facts", "{line}");
         }
         outcome
     }
--- a/crates/node/src/node/tests/backend_calls.rs
+++ b/crates/node/src/node/tests/backend_calls.rs
@@ -106,10 +106,13 @@
     };
     node.event(Event::ProtocolError(
         node.connection_id,
-        "record of an unknown version",
+        fastcgi::ParseError::UnknownVersion,
     ));
     node.event(Event::RequestTruncated);
-    node.event(Event::BackendDisconnected(link, Some("reply cut short")));
+    node.event(Event::BackendDisconnected(
+        link,
+        Some(backend::ReadError::CutShort),
+    ));
     let counted = |what: &str| node.node.state.borrow().metrics().total(what);
     let causes = [
         "record of an unknown version",
--- a/crates/node/src/node/tests/executor_link.rs
+++ b/crates/node/src/node/tests/executor_link.rs
@@ -88,16 +88,16 @@
 fn a_new_configuration_moves_the_executors_link_without_uncertain_executions() {
     let mut node = TestNode::new();
     let address = ([127, 0, 0, 1], 1).into();
-    let peers = Peers {
-        kernel: address,
-        members: address,
+    let peers = PeerAddresses {
+        executor: address,
+        service_registry: address,
         backend: Some(address),
     };
     node.call(1, "/call/pay", A);
     assert_eq!(node.executor_commands(), [start_command(A, "pay")]);
-    node.event(Event::ConfigChanged(Moved {
+    node.event(Event::ConfigChanged(ConfigUpdate {
         peers,
-        kept: vec![],
+        needs_restart: vec![],
     }));
     node.call(2, "/call/read", B);
     assert_eq!(
@@ -121,9 +121,9 @@
     assert_eq!(node.counted("executions uncertain after a broken link"), 0);
     node.end_execution(A, End::Ok, b"result");
     assert_eq!(node.executor_commands(), [start_command(B, "read")]);
-    node.event(Event::ConfigChanged(Moved {
+    node.event(Event::ConfigChanged(ConfigUpdate {
         peers,
-        kept: vec![],
+        needs_restart: vec![],
     }));
     node.wait(150); // an executor that says nothing is not waited for
     assert_eq!(
@@ -131,9 +131,9 @@
             .with_actions(|actions| actions.executor_reconnects),
         2
     );
-    node.event(Event::ConfigChanged(Moved {
+    node.event(Event::ConfigChanged(ConfigUpdate {
         peers,
-        kept: vec![],
+        needs_restart: vec![],
     })); // nor is a link that is going already
     assert_eq!(
         node.node
--- a/crates/node/src/node/tests/support.rs
+++ b/crates/node/src/node/tests/support.rs
@@ -5,7 +5,7 @@
 pub use crate::actions::{BackendLink, CallId, Close, ConnectionId};
 pub use crate::backend::{self, Outcome};
 pub use crate::cluster::ClusterUpdate;
-pub use crate::config::{Limits, Moved, Peers};
+pub use crate::config::{ConfigUpdate, Limits, PeerAddresses};
 pub use crate::executor::{End, Notice};
 pub use crate::fastcgi::{self, ProtocolStatus, Reply};
 pub use madderpoint::{Host, RequestId};
@@ -86,7 +86,7 @@
     fn close_backend_link(&mut self, place: usize) {
         self.closed_links.push(place);
     }
-    fn change_peers(&mut self, _: Peers) -> bool {
+    fn change_peers(&mut self, _: PeerAddresses) -> bool {
         true
     }
     fn reconnect_executor(&mut self) {
@@ -100,7 +100,6 @@
         self.cluster_updates.push(update);
     }
     fn trace_step(&mut self, _: &str, _: fmt::Arguments<'_>) {}
-    fn log(&mut self, _: fmt::Arguments<'_>) {}
 }
 
 /// A node whose clock the test turns. The node's time is also the Unix time.
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -108,7 +108,7 @@
             ..Fields::default()
         };
         for pair in fastcgi::pairs(&request.params) {
-            let (name, value) = pair.map_err(|e| RequestError::MalformedParameters(e.0))?;
+            let (name, value) = pair.map_err(RequestError::MalformedParameters)?;
             let field = match name {
                 b"SCRIPT_NAME" => &mut fields.path,
                 b"REQUEST_METHOD" => &mut fields.method,
--- a/crates/node/src/request_error.rs
+++ b/crates/node/src/request_error.rs
@@ -2,12 +2,14 @@
 
 #![warn(missing_docs)]
 
+use crate::fastcgi;
+
 /// A request that is answered at once, by cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.reason())]
 pub enum RequestError {
     /// The FastCGI parameters can't be read, and why.
-    MalformedParameters(&'static str),
+    MalformedParameters(fastcgi::ParseError),
     /// A parameter that is read is not UTF-8.
     ParameterNotText,
     /// The parameters or the body are over their bounds.
@@ -69,7 +71,7 @@
     /// The body of the answer.
     pub fn reason(self) -> &'static str {
         match self {
-            RequestError::MalformedParameters(cause) => cause,
+            RequestError::MalformedParameters(cause) => cause.as_str(),
             RequestError::ParameterNotText => "a parameter is no text",
             RequestError::TooLarge => "parameters or body too large",
             RequestError::NoPath => "no SCRIPT_NAME",
--- a/crates/node/src/request_rules.rs
+++ b/crates/node/src/request_rules.rs
@@ -191,7 +191,7 @@
                 faults.logged_at = Some(now);
                 let name = &self.rule_set.rules()[index].name;
                 self.fault_lines.push(format!(
-                    "rules: '{name}' erred and so did not match: {fault} ({} times)",
+                    "'{name}' erred and so did not match: {fault} ({} times)",
                     faults.count
                 ));
             }
@@ -200,7 +200,7 @@
         self.matched += 1;
         let mut log_line = None;
         if !given.facts.is_empty() {
-            let mut line = format!("rules: '{}'", given.rule.name);
+            let mut line = format!("'{}'", given.rule.name);
             for (name, value) in &given.facts {
                 let _ = write!(line, " {name}={value:?}");
             }
@@ -330,7 +330,7 @@
         if std::mem::replace(&mut self.logged_sum, sum) == sum {
             return None;
         }
-        let mut line = format!("rules: matched {}", self.matched);
+        let mut line = format!("matched {}", self.matched);
         if faults > 0 {
             let _ = write!(line, ", erred {faults}");
         }
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -13,6 +13,7 @@
 use crate::actions::Actions;
 use crate::capacity::CapacityLimits;
 use crate::idempotency_cache::IdempotencyCache;
+use crate::log::part;
 use crate::metrics::{Metric, Metrics};
 use crate::request_rules::RequestRules;
 use madderpoint::{BackendCallOutcome, Nanos, RequestId};
@@ -20,6 +21,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::hash::RandomState;
 use std::rc::Rc;
+use tracing::info;
 
 /// Counts what must hold and does not, and stops a debug build there.
 macro_rules! invariant {
@@ -178,10 +180,10 @@
         self.set_timer(HOUSEKEEPING_PERIOD, Timer::Housekeeping);
         self.ask_for_overdue_executions();
         if let Some(totals) = self.metrics.take_changed() {
-            self.actions.log(format_args!("counts: {totals}"));
+            info!(target: part::METRICS, event = "totals", "{totals}");
         }
         if let Some(line) = self.rules.as_mut().and_then(|rules| rules.changed_counts()) {
-            self.actions.log(format_args!("{line}"));
+            info!(target: part::RULES, event = "totals", "{line}");
         }
     }
 
--- a/crates/node/src/state/admission_host.rs
+++ b/crates/node/src/state/admission_host.rs
@@ -3,10 +3,12 @@
 use super::executor_link::GAUGES_LEAD;
 use super::{DeferredEvent, MILLISECOND, NodeState, Timer};
 use crate::actions::Actions;
+use crate::log::part;
 use madderpoint::{Host, Idempotency, Nanos, RequestId, TimerId};
 use std::cell::RefCell;
 use std::fmt;
 use std::rc::Rc;
+use tracing::info;
 
 /// An idempotency window counts what arrives this much later too, as the protocol has clocks differ
 /// by this for every time limit.
@@ -127,6 +129,6 @@
     }
 
     fn log(&mut self, line: fmt::Arguments<'_>) {
-        self.0.borrow_mut().actions.log(line);
+        info!(target: part::ADMISSION, event = "mode", "{line}");
     }
 }
--- a/crates/node/src/state/backend_calls.rs
+++ b/crates/node/src/state/backend_calls.rs
@@ -3,10 +3,12 @@
 use super::{DeferredEvent, MILLISECOND, NodeState, Timer};
 use crate::actions::{Actions, BackendLink, CallId, CallInterest};
 use crate::backend;
+use crate::log::part;
 use crate::metrics::Metric;
 use madderpoint::{BackendCallOutcome, Nanos, RequestId};
 use madderpoint_shared_state::counts::own;
 use std::collections::VecDeque;
+use tracing::warn;
 
 /// Connections to the backend. What spoils one is lost for all calls on it, so calls are spread. A
 /// call avoids a link on which a late reply to an earlier call of its request may still come.
@@ -385,10 +387,12 @@
             .map(|(&id, _)| id)
             .collect();
         if !cut_off.is_empty() {
-            self.actions.log(format_args!(
-                "backend: connection ended with {} calls",
-                cut_off.len()
-            ));
+            warn!(
+                target: part::BACKEND,
+                link = link.place,
+                calls = cut_off.len(),
+                "connection lost with calls under way"
+            );
         }
         cut_off
     }
--- a/crates/node/src/state/drain.rs
+++ b/crates/node/src/state/drain.rs
@@ -2,7 +2,9 @@
 
 use super::{MILLISECOND, NodeState, Timer};
 use crate::actions::{Actions, ConnectionId};
+use crate::log::part;
 use madderpoint::Nanos;
+use tracing::{info, warn};
 
 /// After the last answers were due, peers have this long to take them before the process ends.
 const FLUSH_TIME: Nanos = 100 * MILLISECOND;
@@ -44,10 +46,7 @@
         self.drain.started = Some(self.now);
         self.drain.stops_at = self.now + stop_after;
         self.actions.announce_drain();
-        self.actions.log(format_args!(
-            "drain: stop in {} ms",
-            stop_after / MILLISECOND
-        ));
+        info!(target: part::NODE, stop_in_ms = stop_after / MILLISECOND, "drain begins");
         self.set_timer(stop_after.min(grace), Timer::StopAccepting);
         self.set_timer(stop_after, Timer::QuietPeriod);
         self.set_timer(stop_after + FLUSH_TIME, Timer::DrainOver);
@@ -63,11 +62,12 @@
     /// nothing is open on them.
     pub fn stop_accepting(&mut self) {
         self.drain.closes_connections = true;
-        self.actions.log(format_args!(
-            "no more connections are accepted after those that wait; {} open, {} in flight",
-            self.connections.len(),
-            self.requests.len()
-        ));
+        info!(
+            target: part::LOAD_BALANCER,
+            connections = self.connections.len(),
+            requests = self.requests.len(),
+            "listening ends: the connections in the backlog are the last"
+        );
         self.actions.stop_listening();
         self.close_connections_without_requests();
     }
@@ -100,10 +100,11 @@
     pub fn end_drain(&mut self) {
         self.drain.is_over = true;
         if !self.connections.is_empty() {
-            self.actions.log(format_args!(
-                "left with {} connections that their peers did not end",
-                self.connections.len()
-            ));
+            warn!(
+                target: part::NODE,
+                connections = self.connections.len(),
+                "stopped with connections that their peers left open"
+            );
         }
     }
 
--- a/crates/node/src/state/executor_link.rs
+++ b/crates/node/src/state/executor_link.rs
@@ -3,10 +3,12 @@
 
 use super::{MILLISECOND, NodeState, Timer};
 use crate::actions::Actions;
-use crate::config::Moved;
+use crate::config::ConfigUpdate;
 use crate::executor::Command;
+use crate::log::part;
 use crate::metrics::Metric;
 use madderpoint::{Gauges, Idempotency, Nanos, RequestId};
+use tracing::{info, warn};
 
 /// Gauges are requested this long before a timer of the admission controller.
 pub const GAUGES_LEAD: Nanos = 20 * MILLISECOND;
@@ -86,10 +88,7 @@
     /// The link broke.
     pub fn executor_disconnected(&mut self) {
         self.mark_executor_down();
-        self.actions.log(format_args!(
-            "executor: link lost, {} in flight",
-            self.requests.len()
-        ));
+        warn!(target: part::EXECUTOR, requests = self.requests.len(), "connection lost");
     }
 
     fn mark_executor_down(&mut self) {
@@ -105,12 +104,19 @@
     /// request for gauges shows that what was written on the old one has arrived; commands wait
     /// meanwhile. If it were cut off at once, it would not be known of the executions on their way
     /// whether they run.
-    pub fn config_changed(&mut self, changed: &Moved) {
-        let Moved { peers, kept } = changed;
-        self.actions.log(format_args!(
-            "new configuration: kernel {}, members {}, back end {:?}; until a restart the old {kept:?} hold",
-            peers.kernel, peers.members, peers.backend
-        ));
+    pub fn config_changed(&mut self, changed: &ConfigUpdate) {
+        let ConfigUpdate {
+            peers,
+            needs_restart,
+        } = changed;
+        info!(
+            target: part::CONFIGURATION,
+            executor = %peers.executor,
+            service_registry = %peers.service_registry,
+            backend = ?peers.backend,
+            needs_restart = ?needs_restart,
+            "new configuration in force"
+        );
         if !self.actions.change_peers(*peers) {
             return;
         }
@@ -138,10 +144,7 @@
     /// The executor is up and sends all that was missed; the answer to a request made now comes
     /// after that.
     pub fn executor_booted(&mut self, is_cold: bool, up_ms: f64) {
-        let start = if is_cold { "cold" } else { "warm" };
-        self.actions.log(format_args!(
-            "executor: linked, started {start} {up_ms:.0} ms ago"
-        ));
+        info!(target: part::EXECUTOR, cold = is_cold, up_ms = up_ms.round(), "connected");
         self.executor.step_mark = self.executor.next_command();
         self.request_gauges();
     }
@@ -171,10 +174,11 @@
             (executor.awaits_answer, executor.silent_checks) = (false, 0);
             self.mark_executor_down();
             self.count(Metric::SilentExecutorLinks, 1);
-            self.actions.log(format_args!(
-                "executor: link gone silent, {} in flight",
-                self.requests.len()
-            ));
+            warn!(
+                target: part::EXECUTOR,
+                requests = self.requests.len(),
+                "connection silent: it is renewed"
+            );
             self.actions.reconnect_executor();
         }
     }
--- a/crates/node/src/state/shared_limits.rs
+++ b/crates/node/src/state/shared_limits.rs
@@ -5,9 +5,11 @@
 use super::{NodeState, Timer};
 use crate::actions::Actions;
 use crate::idempotency_cache::IdempotencyKey;
+use crate::log::part;
 use madderpoint::{Nanos, OperationId};
 use madderpoint_shared_state::keyed_quota::QuotaRequest;
 use madderpoint_shared_state::{BackendGate, HealthState, NodeBudgets, ServiceHealth};
+use tracing::info;
 
 /// This node's end of what is shared.
 #[derive(Default)]
@@ -125,19 +127,19 @@
         if state != state_before || level > level_before && state == HealthState::Recovering {
             let own = health.evidence(self.now);
             let others = health.others(self.now).unwrap_or_default();
-            self.actions.log(format_args!(
-                "backend service: {}->{}, {} of {} calls failed lately, \
-                 {} of {} others in {} of {} zones report it unhealthy, {:.0} % of calls admitted",
-                state_before.word(),
-                state.word(),
-                own.failed,
-                own.tries,
-                others.ill,
-                others.witnesses,
-                others.ill_zones,
-                others.zones,
-                level * 100.0
-            ));
+            info!(
+                target: part::BACKEND,
+                from = %state_before.word(),
+                to = %state.word(),
+                failed = own.failed,
+                calls = own.tries,
+                reporters_against = others.ill,
+                reporters = others.witnesses,
+                zones_against = others.ill_zones,
+                zones = others.zones,
+                admitted_percent = (level * 100.0).round(),
+                "service health changed"
+            );
         }
         Some(result)
     }
--- a/crates/node/src/supervisor.rs
+++ b/crates/node/src/supervisor.rs
@@ -8,12 +8,12 @@
 mod orphans;
 mod sockets;
 
-use crate::serve::{self, Logging};
 use crossbeam_channel::{Receiver, unbounded};
 use host::SupervisorHost;
+use madderpoint_node::log::{self, part};
 use madderpoint_node::program_version::ProgramVersionError;
 use madderpoint_node::version_store::{VersionStore, VersionStoreError};
-use madderpoint_node::{config, log, program_version};
+use madderpoint_node::{config, program_version};
 use madderpoint_rollout::process_handover::{Child, Host as _, Supervisor};
 use madderpoint_rollout::supervisor_messages::{SupervisorMessage, kind};
 use madderpoint_rollout::{HostError, Kind, PersistedState};
@@ -28,6 +28,7 @@
 use std::path::PathBuf;
 use std::thread;
 use std::time::{Duration, Instant};
+use tracing::info;
 
 /// Time between two wake-ups.
 const WAKE_INTERVAL: Duration = Duration::from_millis(100);
@@ -43,7 +44,7 @@
     pub state: PathBuf,
     /// Arguments for the program.
     pub arguments: Vec<String>,
-    pub logging: Logging,
+    pub logging: log::Options,
 }
 
 /// Why the supervisor does not start.
@@ -91,7 +92,7 @@
     let path = PathBuf::from(std::env::var_os("PROXY_CONFIG").ok_or(SupervisorError::NoConfig)?);
     let identity = config::read(&path, |name| std::env::var(name).ok())
         .map_err(|error| SupervisorError::Config(error.to_string()))?;
-    serve::logs(&identity.name, options.logging);
+    log::start(&identity.name, options.logging);
     let start = if options.start.is_dir() {
         options.start.clone()
     } else {
@@ -106,10 +107,13 @@
         source,
     })?;
     let at = listener.local_addr().map_err(SupervisorError::Address)?;
-    log::line(format_args!(
-        "parent: has {at}, starts on version {given}, {} processes from before",
-        orphans.len()
-    ));
+    info!(
+        target: part::SUPERVISOR,
+        address = %at,
+        program = %given,
+        previous_processes = orphans.len(),
+        "socket opened"
+    );
     let (persisted, fresh) = store.read_state();
     let (events, inbox) = unbounded();
     let forwards = events.clone();
--- a/crates/node/src/supervisor/host.rs
+++ b/crates/node/src/supervisor/host.rs
@@ -4,9 +4,10 @@
 use super::sockets::{read_messages, send_with_socket};
 use super::{Event, SupervisorOptions};
 use crossbeam_channel::Sender;
+use madderpoint_node::log::part;
+use madderpoint_node::program_version;
 use madderpoint_node::supervisor_client::UNDER;
 use madderpoint_node::version_store::VersionStore;
-use madderpoint_node::{log, program_version};
 use madderpoint_rollout::process_handover::{Child, Host, StartInstructions};
 use madderpoint_rollout::supervisor_messages::{SupervisorMessage, kind};
 use madderpoint_rollout::{HostError, PersistedState, Version};
@@ -20,6 +21,7 @@
 use std::process::{Command, Stdio};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
+use tracing::{info, warn};
 
 /// A process that was started. Its number is signalled only while it was not waited for.
 pub(super) struct Process {
@@ -68,10 +70,12 @@
             .map(|o| format!("{} {}\n", o.pid, o.started))
             .collect();
         if let Err(e) = std::fs::write(&self.processes_file, all.concat()) {
-            log::line(format_args!(
-                "parent: {}: {e}",
-                self.processes_file.display()
-            ));
+            warn!(
+                target: part::SUPERVISOR,
+                path = %self.processes_file.display(),
+                error = %e,
+                "list of processes not written"
+            );
         }
     }
 
@@ -109,7 +113,12 @@
         };
         if let Err(e) = sent {
             // It ended already, or takes nothing: its end tells the rest.
-            log::line(format_args!("parent: {}: {e}", file.display()));
+            warn!(
+                target: part::SUPERVISOR,
+                program = %file.display(),
+                error = %e,
+                "start instructions not delivered"
+            );
             started.signal(Signal::KILL);
         }
         self.processes.insert(child, started);
@@ -136,10 +145,11 @@
             if orphan.is_running()
                 && let Some(pid) = Pid::from_raw(orphan.pid)
             {
-                log::line(format_args!(
-                    "parent: process {} of the parent before is told to leave",
-                    orphan.pid
-                ));
+                info!(
+                    target: part::SUPERVISOR,
+                    pid = orphan.pid,
+                    "process of the previous supervisor is told to drain"
+                );
                 let _ = kill_process(pid, Signal::TERM);
             }
         }
@@ -179,6 +189,6 @@
     }
 
     fn log(&mut self, line: &str) {
-        log::event("parent", "program", format_args!("{line}"));
+        info!(target: part::SUPERVISOR, event = "program", "{line}");
     }
 }
--- a/crates/node/src/supervisor/sockets.rs
+++ b/crates/node/src/supervisor/sockets.rs
@@ -2,7 +2,7 @@
 
 use super::Event;
 use crossbeam_channel::Sender;
-use madderpoint_node::log;
+use madderpoint_node::log::part;
 use madderpoint_rollout::process_handover::Child;
 use madderpoint_rollout::supervisor_messages::MessageReader;
 use rustix::net::sockopt::{set_socket_reuseaddr, set_socket_reuseport};
@@ -14,6 +14,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::AsFd;
 use std::os::unix::net::UnixStream;
+use tracing::warn;
 
 /// Connections that may wait to be accepted.
 const BACKLOG: i32 = 1024;
@@ -53,7 +54,11 @@
                 Ok(Some(message)) => _ = events.send(Event::Message(child, message)),
                 Ok(None) => break,
                 Err(_) => {
-                    return log::line(format_args!("parent: a process says what can't be read"));
+                    warn!(
+                        target: part::SUPERVISOR,
+                        "message of a process cannot be read: no more is read of it"
+                    );
+                    return;
                 }
             }
         }
--- a/crates/node/src/supervisor_client.rs
+++ b/crates/node/src/supervisor_client.rs
@@ -2,8 +2,8 @@
 //! versions come from it over a Unix stream, which is the node's standard input; checks, writes and
 //! swaps are asked of it. A node whose supervisor is gone goes on without it.
 
-use crate::io::{Notice, VersionError, Versions};
-use crate::log::log;
+use crate::io::{ControlMessage, VersionError, Versions};
+use crate::log::part;
 use crossbeam_channel::{Sender, bounded};
 use madderpoint_rollout::node_agent::InitialState;
 use madderpoint_rollout::process_handover::StartInstructions;
@@ -20,6 +20,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::Duration;
+use tracing::warn;
 
 /// The environment variable that tells a program that a supervisor started it.
 pub const UNDER: &str = "MADDERPOINT_UNDER";
@@ -142,7 +143,7 @@
 
 impl Adopted {
     /// Listens to the parent from here on.
-    pub fn listen(self, notices: Sender<Notice>) -> std::io::Result<()> {
+    pub fn listen(self, control: Sender<ControlMessage>) -> std::io::Result<()> {
         let Adopted {
             link,
             begin,
@@ -154,7 +155,7 @@
         let in_charge = !begin.beside;
         thread::Builder::new()
             .name("parent".into())
-            .spawn(move || listen(&link, in_charge, reading, reader, &notices))?;
+            .spawn(move || listen(&link, in_charge, reading, reader, &control))?;
         Ok(())
     }
 }
@@ -164,14 +165,14 @@
     mut in_charge: bool,
     mut stream: UnixStream,
     mut reader: MessageReader,
-    notices: &Sender<Notice>,
+    control: &Sender<ControlMessage>,
 ) {
     let mut buffer = [0; 4096];
     loop {
         match reader.take() {
             Ok(Some(message)) => {
                 in_charge |= message.kind == kind::IN_CHARGE;
-                link.take_up(message, notices);
+                link.take_up(message, control);
                 continue;
             }
             Ok(None) => {}
@@ -186,10 +187,13 @@
     link.gone.store(true, SeqCst);
     link.answers().clear();
     if in_charge {
-        log!("the parent is gone: the node goes on without it, and can't change its program");
+        warn!(
+            target: part::SUPERVISOR,
+            "supervisor lost: the node goes on, and cannot change its program"
+        );
     } else {
-        log!("the parent is gone before this node was in charge: it leaves to the one that is");
-        let _ = notices.send(Notice::HandOver);
+        warn!(target: part::SUPERVISOR, "supervisor lost before the handover: this process stops");
+        let _ = control.send(ControlMessage::HandOver);
     }
 }
 
@@ -204,7 +208,7 @@
     }
 
     /// Takes up a message of the supervisor.
-    fn take_up(&self, message: SupervisorMessage, notices: &Sender<Notice>) {
+    fn take_up(&self, message: SupervisorMessage, control: &Sender<ControlMessage>) {
         match message.kind {
             kind::HAND_OVER => {
                 // The other version runs now: that is what was asked for last, and there is no other
@@ -213,7 +217,7 @@
                 waiting
                     .into_values()
                     .for_each(|waiting| _ = waiting.send(Ok(())));
-                let _ = notices.send(Notice::HandOver);
+                let _ = control.send(ControlMessage::HandOver);
             }
             kind::DONE => {
                 let result = if message.refused {
@@ -232,8 +236,8 @@
 
     /// The node serves.
     pub fn ready(&self) {
-        if let Err(what) = self.send(&SupervisorMessage::plain(kind::READY)) {
-            log!("{what}");
+        if let Err(error) = self.send(&SupervisorMessage::plain(kind::READY)) {
+            warn!(target: part::SUPERVISOR, %error, "readiness not reported");
         }
     }
 
--- a/crates/node/src/version_store.rs
+++ b/crates/node/src/version_store.rs
@@ -3,7 +3,7 @@
 //! another name, synced and put in their place, so that a cut at any moment leaves the old ones or
 //! the new ones.
 
-use crate::log::log;
+use crate::log::part;
 use madderpoint_rollout::chunks::MAX_CONTENT_BYTES;
 use madderpoint_rollout::node_agent::InitialState;
 use madderpoint_rollout::persisted_state::{MAX_FILE_BYTES, PersistedState};
@@ -13,6 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::thread;
 use std::time::{Duration, Instant};
+use tracing::warn;
 
 /// Files of contents that are looked at; there are a handful.
 const MAX_CONTENT_FILES: usize = 64;
@@ -283,9 +284,11 @@
             Ok(persisted) if persisted.kind == self.kind => (persisted, false),
             read => {
                 let what = read.err().unwrap_or_else(|| "of another kind".into());
-                log!(
-                    "{}: {what}; set aside, the node begins anew with what it is given",
-                    path.display()
+                warn!(
+                    target: part::ROLLOUT,
+                    path = %path.display(),
+                    error = %what,
+                    "persisted state cannot be read: set aside, the node starts on what it is given"
                 );
                 let _ = fs::rename(&path, path.with_extension("broken"));
                 (PersistedState::new(self.kind), true)
@@ -339,7 +342,12 @@
                     return Ok(Start { state, running });
                 }
                 Err(what) => {
-                    log!("version {version} can't be started on: {what}");
+                    warn!(
+                        target: part::ROLLOUT,
+                        %version,
+                        error = %what,
+                        "version cannot be started"
+                    );
                     first_error.get_or_insert(what);
                 }
             }
