--- a/crates/node/src/cli/shared.rs
+++ b/crates/node/src/cli/shared.rs
@@ -3,7 +3,7 @@
 use super::fleet::Asker;
 use super::{Ended, Format};
 use clap::Subcommand;
-use madderpoint_shared_state::counts::COLUMNS;
+use madderpoint_shared_state::counters::COLUMNS;
 use madderpoint_shared_state::status::{CounterRowStatus, CounterStatus, StatusSnapshot, columns};
 use prost::Message;
 use serde_json::{Map, Value, json};
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -6,7 +6,7 @@
 use madderpoint_membership::{ClusterView, Phase};
 use madderpoint_shared_state::keyed_quota::QuotaRequest;
 use madderpoint_shared_state::status::StatusSnapshot;
-use madderpoint_shared_state::{BudgetRequest, HealthReport, counts};
+use madderpoint_shared_state::{BudgetRequest, HealthReport, counters};
 
 /// Runs that succeeded before a node that started cold counts as warm.
 const WARM_AFTER: u32 = 64;
@@ -28,7 +28,7 @@
     /// What it sees of the service below.
     HealthReport(HealthReport),
     /// What it counted so far.
-    Counts(Box<counts::CounterReport>),
+    Counts(Box<counters::CounterReport>),
     /// What it holds of all that is shared, to be shown.
     StatusSnapshot(Box<StatusSnapshot>),
     /// It holds nothing of the budgets any more; whether none of it is in hand.
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -14,7 +14,7 @@
     ClockReading, ClusterView, Config, Host, Incarnation, MemberKey, Membership, Nanos, Timing,
 };
 use madderpoint_rollout::{Kind, Plan, RolloutId, Version};
-use madderpoint_shared_state::counts::PROCESS_BYTES;
+use madderpoint_shared_state::counters::PROCESS_BYTES;
 use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaGrant, QuotaTiming};
 use madderpoint_shared_state::messages::{
     PARCEL_MAX, ReceivedMessage, read as read_parcel, write as write_parcel,
--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -17,7 +17,7 @@
 use madderpoint_rollout::{
     Kind, NodeReport, Participant, PersistedState, Plan, RolloutId, Version,
 };
-use madderpoint_shared_state::counts::{
+use madderpoint_shared_state::counters::{
     ClusterCounters, CounterReport, OWN, WINDOW_MS, column, own,
 };
 use madderpoint_shared_state::keyed_quota::number;
--- a/crates/node/src/node/tests/shared.rs
+++ b/crates/node/src/node/tests/shared.rs
@@ -398,7 +398,7 @@
         ClusterUpdate::Counts(word) => Some(word.clone()),
         _ => None,
     });
-    use madderpoint_shared_state::counts::{OWN, column, own};
+    use madderpoint_shared_state::counters::{OWN, column, own};
     let total = counted.unwrap().total;
     let row = |name: &str| total[&madderpoint_shared_state::keyed_quota::number(name)];
     assert_eq!(
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -30,7 +30,7 @@
         if !$holds {
             debug_assert!(false, $name);
             $desk.count(concat!("invariant: ", $name), 1);
-            $desk.counts_own(madderpoint_shared_state::counts::own::INVARIANTS, 1);
+            $desk.counts_own(madderpoint_shared_state::counters::own::INVARIANTS, 1);
         }
     };
 }
--- a/crates/node/src/state/backend_calls.rs
+++ b/crates/node/src/state/backend_calls.rs
@@ -8,7 +8,7 @@
 use crate::backend;
 use crate::executor::Command;
 use madderpoint::{BackendCallOutcome, Nanos, RequestId};
-use madderpoint_shared_state::counts::own;
+use madderpoint_shared_state::counters::own;
 use madderpoint_shared_state::{HealthState, ServiceHealth};
 
 /// A link that so many replies on others have overtaken has gone silent: it is passed over, and
--- a/crates/node/src/state/metrics.rs
+++ b/crates/node/src/state/metrics.rs
@@ -5,7 +5,7 @@
 use crate::actions::Actions;
 use crate::request::Head;
 use madderpoint::{LoadBalancerId, Nanos, OperationId};
-use madderpoint_shared_state::counts::{self, OWN, ProcessCounters, column, heavy_hitters, own};
+use madderpoint_shared_state::counters::{self, OWN, ProcessCounters, column, heavy_kind, own};
 use madderpoint_shared_state::keyed_quota::number;
 
 /// Billed value is counted in thousandths.
@@ -57,10 +57,10 @@
         self.counting(|tally, unix| {
             tally.add(unix, row, column::ARRIVED, 1);
             tally.add(unix, row, column::ASKED, (value * THOUSANDTHS) as u64);
-            tally.heavy(unix, heavy_hitters::CALLERS, dispatcher.0);
+            tally.heavy(unix, heavy_kind::CALLERS, dispatcher.0);
             if repeats {
                 tally.add(unix, row, column::REPEATS, 1);
-                tally.heavy(unix, heavy_hitters::REPEATERS, dispatcher.0);
+                tally.heavy(unix, heavy_kind::REPEATERS, dispatcher.0);
             }
         });
     }
@@ -109,7 +109,7 @@
         }
         if let Some(key) = over {
             self.counts_own(own::OVER_LIMIT, 1);
-            self.counting(|tally, unix| tally.heavy(unix, heavy_hitters::OVER_LIMIT, key));
+            self.counting(|tally, unix| tally.heavy(unix, heavy_kind::OVER_LIMIT, key));
         }
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// What there is to say of it, without who says it.
-    pub fn counted_word(&self) -> Option<counts::CounterReport> {
+    pub fn counted_word(&self) -> Option<counters::CounterReport> {
         // The window before this one too: what came to it since the last word is told with it.
         Some(self.counting.as_ref()?.tally.word(Default::default(), 0, 2))
     }
--- a/crates/shared-state/benches/checks.rs
+++ b/crates/shared-state/benches/checks.rs
@@ -2,7 +2,7 @@
 //! take. Run: cargo bench -p madderpoint-shared-state
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use madderpoint_shared_state::counts::{OWN, ProcessCounters, column, heavy_hitters};
+use madderpoint_shared_state::counters::{OWN, ProcessCounters, column, heavy_kind};
 use madderpoint_shared_state::keyed_quota::borrower::QuotaBorrower;
 use madderpoint_shared_state::keyed_quota::lender::QuotaLender;
 use madderpoint_shared_state::keyed_quota::{
@@ -145,7 +145,7 @@
             let unix = now / 1_000_000;
             tally.add(unix, 7, column::ARRIVED, 1);
             tally.add(unix, 7, column::ASKED, 1000);
-            tally.heavy(unix, heavy_hitters::CALLERS, now % 64);
+            tally.heavy(unix, heavy_kind::CALLERS, now % 64);
             tally.add(unix, 7, column::SUCCEEDED, 1);
             tally.add(unix, 7, column::EARNED, 1000);
             tally.took(unix, 7, now % S);
--- a/crates/shared-state/src/backend_gate.rs
+++ b/crates/shared-state/src/backend_gate.rs
@@ -1,7 +1,7 @@
 //! What needs a call that can't be made is turned away before it runs, at once and with the time at
 //! which it is worth to come back. Else it would run up to its call, hold a core, and err there.
 
-use crate::budget_borrower::NodeBudgets;
+use crate::budget::NodeBudgets;
 use crate::service_health::{HealthState, ServiceHealth};
 use crate::{MILLISECOND, Nanos, SECOND};
 
--- a/crates/shared-state/src/backend_gate/tests.rs
+++ b/crates/shared-state/src/backend_gate/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::budget_borrower::{Budget, Kind};
+use crate::budget::{Budget, Kind};
 
 fn ends(limit: u32) -> NodeBudgets {
     let kind = Kind::Rate { burst: SECOND / 20 };
--- a/crates/shared-state/src/budget_lender.rs
+++ b/crates/shared-state/src/budget/lender.rs
@@ -3,7 +3,8 @@
 //! lender's clock, with the drift added and, where units stay in use beyond their end, the longest
 //! use.
 
-use crate::fair_share::{Demand, allot};
+use super::Lease;
+use super::fair_share::{Demand, allot};
 use crate::{Nanos, ProcessId};
 use std::collections::BTreeMap;
 
@@ -57,20 +58,6 @@
     most: usize,
 }
 
-/// What is lent to one that asked.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Lease {
-    pub book: u64,
-    pub no: u64,
-    pub units: u32,
-    /// Counted from when the borrower asked, by its own clock.
-    pub term: Nanos,
-    /// RefusalReason it is so much: what all ask for, how many they are, and what there is to lend.
-    pub wanted: u32,
-    pub borrowers: u32,
-    pub pool: u32,
-}
-
 impl BudgetLender {
     /// Books that are begun now. Whoever lent before may have parts out for a term and the lag.
     pub fn new(
--- a/crates/shared-state/src/counts/tests.rs
+++ b/crates/shared-state/src/counters/tests.rs
@@ -1,4 +1,6 @@
+use super::cluster_counters::{DETAILED, GONE};
 use super::*;
+use crate::SECOND;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -30,7 +32,7 @@
                     unix += rng.random_range(0..3000);
                     tally.add(unix, 7, column::ARRIVED, times);
                     tally.took(unix, 7, rng.random_range(1..2000) * 1_000_000);
-                    tally.heavy(unix, heavy_hitters::CALLERS, rng.random_range(0..40));
+                    tally.heavy(unix, heavy_kind::CALLERS, rng.random_range(0..40));
                     true_total += times;
                     if rng.random_bool(0.3) {
                         said.push(tally.word(who(key, life), 1, rng.random_range(0..3)));
@@ -179,7 +181,7 @@
             let unix = UNIX + window * WINDOW_MS;
             tally.add(unix, 7, column::ARRIVED, 2 * key);
             tally.took(unix, 7, key * 10_000_000);
-            tally.heavy(unix, heavy_hitters::CALLERS, key);
+            tally.heavy(unix, heavy_kind::CALLERS, key);
         }
         let word = tally.word(who(key, key), label, usize::MAX);
         assert_eq!(word.windows.len(), WINDOWS);
--- a/crates/shared-state/src/keyed_quota/borrower.rs
+++ b/crates/shared-state/src/keyed_quota/borrower.rs
@@ -2,8 +2,14 @@
 //! It never waits: a unit is here or it is not, and where it is not the caller hears when it is
 //! worth to come back.
 
-use super::{KEYS_ASKED, KeyRequest, KeyedQuota, QuotaGrant, QuotaKind, QuotaRequest, QuotaTiming};
-use crate::{MILLISECOND, Nanos, shorter};
+mod requests;
+mod unit_lease;
+mod view;
+
+pub use unit_lease::UnitLease;
+
+use super::{KeyedQuota, QuotaKind, QuotaTiming};
+use crate::{MILLISECOND, Nanos};
 use madderpoint_rate_limits::sketch::DueTimeSketch;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -24,49 +30,6 @@
 /// LeasedUnitsByKey of which the least lately used makes room for another key.
 const SAMPLE: usize = 8;
 
-/// Units of a key that were lent to a node: what must hold of them is all here.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct UnitLease {
-    units: u32,
-    /// Until when they are good.
-    until: Nanos,
-    /// The latest question about them, and whether that was answered.
-    asked: u32,
-    answered: bool,
-}
-
-impl UnitLease {
-    /// Units that are good now.
-    pub fn units(&self, now: Nanos) -> u32 {
-        if now < self.until { self.units } else { 0 }
-    }
-
-    /// One of them is spent.
-    pub fn spend(&mut self) {
-        self.units -= 1;
-    }
-
-    /// A question goes out. Of the units that are good so many are kept, and the rest is not used
-    /// from here on; any answer to an earlier question counts for nothing. What is kept, and what
-    /// is given back.
-    pub fn ask(&mut self, now: Nanos, no: u32, keep: u32) -> (u32, u32) {
-        let units = self.units(now);
-        (self.units, self.asked, self.answered) = (units.min(keep), no, false);
-        (self.units, units - self.units)
-    }
-
-    /// An answer came: units that are good until then, as all are that were kept. Whether it
-    /// counts.
-    pub fn answer(&mut self, now: Nanos, no: u32, adds: u32, until: Nanos) -> bool {
-        if self.asked != no || self.answered {
-            return false;
-        }
-        (self.units, self.until, self.answered) =
-            (self.units(now).saturating_add(adds), until, true);
-        true
-    }
-}
-
 /// What a node has of a key.
 #[derive(Clone, Copy, Debug, Default)]
 struct LeasedUnits {
@@ -411,200 +374,6 @@
             self.urgent.push(place);
         }
     }
-
-    // ---- Questions ----
-
-    fn refill(&mut self, now: Nanos) {
-        let passed = now.saturating_sub(self.counted) as f64 / self.rhythm.urgent as f64;
-        (self.saved, self.counted) = ((self.saved + passed).min(AT_ONCE), now);
-    }
-
-    /// When the next question may go out, if one is wanted now.
-    fn next_question(&self, now: Nanos) -> Nanos {
-        let passed = now.saturating_sub(self.counted) as f64 / self.rhythm.urgent as f64;
-        let lacks = (1.0 - self.saved - passed).max(0.0);
-        let since = if self.urgent.is_empty() {
-            now
-        } else {
-            self.urgent_since
-        };
-        (since + TOGETHER).max(now + (lacks * self.rhythm.urgent as f64) as Nanos)
-    }
-
-    /// When it wants to ask, if at all.
-    pub fn next(&self, now: Nanos) -> Option<Nanos> {
-        let due = match (self.urgent.is_empty(), self.later.front()) {
-            (false, _) => now,
-            (true, Some((due, _))) => *due,
-            (true, None) => return None,
-        };
-        Some(due.max(self.next_question(now)))
-    }
-
-    /// The question that is due now, if one is.
-    pub fn ask(&mut self, now: Nanos) -> Option<QuotaRequest> {
-        self.refill(now);
-        let is_due = !self.urgent.is_empty() && now >= self.urgent_since + TOGETHER
-            || self.later.front().is_some_and(|(due, _)| *due <= now);
-        if self.saved < 1.0 || !is_due {
-            return None;
-        }
-        let no = self.no + 1;
-        let mut asked = QuotaRequest {
-            no,
-            stamp: now,
-            keys: Vec::new(),
-        };
-        let most = self.urgent.len().min(KEYS_ASKED);
-        for place in self.urgent.drain(..most).collect::<Vec<_>>() {
-            self.question(now, no, place, &mut asked.keys);
-        }
-        self.urgent_since = now;
-        while asked.keys.len() < KEYS_ASKED {
-            let Some((due, place)) = self.later.pop_front_if(|(due, _)| *due <= now) else {
-                break;
-            };
-            let QuotaTiming { renew, keep, .. } = self.rhythm;
-            // One that was let go of meanwhile, and perhaps came anew, has another place in the
-            // queue or none.
-            let Some(pocket) = self
-                .pockets
-                .get_mut(&place)
-                .filter(|pocket| pocket.later == due)
-            else {
-                continue;
-            };
-            if pocket.in_hand == 0 && pocket.slip.units(now) == 0 && now >= pocket.used + keep {
-                self.forget(now, place);
-                continue;
-            }
-            pocket.later = now + renew;
-            let was_asked = now < pocket.asked_at + renew && pocket.slip.asked > 0;
-            self.later.push_back((now + renew, place));
-            if !was_asked {
-                self.question(now, no, place, &mut asked.keys);
-            }
-        }
-        if asked.keys.is_empty() {
-            return None;
-        }
-        (self.no, self.saved, self.lender_asked) = (no, self.saved - 1.0, now);
-        Some(asked)
-    }
-
-    /// Says of a key what is left and kept, and what is wanted.
-    fn question(&mut self, now: Nanos, no: u32, place: Place, keys: &mut Vec<KeyRequest>) {
-        let Some(of) = self.terms.get(&place.0).copied() else {
-            return;
-        };
-        let QuotaTiming { renew, keep, .. } = self.rhythm;
-        let Some(pocket) = self.pockets.get_mut(&place) else {
-            return;
-        };
-        let is_used = now < pocket.used + keep;
-        let tries = match of.kind {
-            QuotaKind::Rate { .. } => {
-                let passed = now.saturating_sub(pocket.asked_at).max(renew / 8);
-                f64::from(pocket.tries) * renew as f64 / passed as f64
-            }
-            QuotaKind::InHand { .. } => f64::from(pocket.tries.saturating_sub(of.floor)),
-        };
-        pocket.lately = (f64::from(pocket.lately) * FADES).max(tries) as f32;
-        let need = (f64::from(pocket.lately) * AHEAD).ceil() as u32;
-        // ProcessId uses a key now and then has one at hand.
-        let need = if is_used { need.max(1) } else { 0 }.min(of.pool);
-        let in_use = match of.kind {
-            QuotaKind::Rate { .. } => 0,
-            QuotaKind::InHand { .. } => pocket.in_hand.saturating_sub(of.floor),
-        };
-        // What is in use is told as left, whatever became of the units that it was taken by.
-        let (kept, back) = pocket.slip.ask(now, no, need.max(in_use));
-        let left = kept.max(in_use);
-        (pocket.need, pocket.asked_at, pocket.tries, pocket.urgent) = (need, now, 0, false);
-        keys.push(KeyRequest {
-            budget: place.0,
-            key: place.1,
-            left,
-            back,
-            wants: need.saturating_sub(left),
-        });
-    }
-
-    /// An answer came. What it says of a key counts only if no later question was asked about that:
-    /// the one who lends goes by the latest question.
-    pub fn lent(&mut self, now: Nanos, lent: &QuotaGrant) {
-        if lent.stamp > now {
-            return;
-        }
-        self.heard = self.heard.max(now);
-        let until = lent
-            .stamp
-            .saturating_add(shorter(lent.life.min(self.rhythm.life)));
-        for key in &lent.keys {
-            let Some(pocket) = self.pockets.get_mut(&(key.budget, key.key)) else {
-                continue;
-            };
-            if pocket.slip.answer(now, lent.no, key.adds, until) {
-                pocket.empty_until = if key.wait > 0 { now + key.wait } else { 0 };
-            }
-        }
-    }
-
-    /// The node leaves: nothing that was lent is used from here on. Whether nothing of it is in
-    /// hand.
-    pub fn let_go(&mut self) -> bool {
-        self.pockets
-            .values_mut()
-            .for_each(|pocket| pocket.slip = UnitLease::default());
-        self.pockets.values().all(|pocket| pocket.in_hand == 0)
-    }
-
-    // ---- What is seen from outside ----
-
-    /// Units that could be spent of a key now, of what was lent.
-    pub fn units(&self, now: Nanos, budget: u32, key: u64) -> u32 {
-        self.pockets
-            .get(&(budget, key))
-            .map_or(0, |pocket| pocket.slip.units(now))
-    }
-
-    /// What is in hand of a key.
-    pub fn in_hand(&self, budget: u32, key: u64) -> u32 {
-        self.pockets
-            .get(&(budget, key))
-            .map_or(0, |pocket| pocket.in_hand)
-    }
-
-    /// What came of each budget.
-    pub fn tallies(&self) -> impl Iterator<Item = (&KeyedQuota, QuotaCounters)> {
-        self.budgets
-            .iter()
-            .map(|(id, budget)| (budget, self.tallies.get(id).copied().unwrap_or_default()))
-    }
-
-    /// Units lent and keys with any, of a budget.
-    pub fn holds(&self, now: Nanos, budget: u32) -> (u64, usize) {
-        let of = self.pockets.iter().filter(|((id, _), _)| *id == budget);
-        let units = of
-            .map(|(_, pocket)| u64::from(pocket.slip.units(now)))
-            .filter(|units| *units > 0);
-        units.fold((0, 0), |(sum, keys), units| (sum + units, keys + 1))
-    }
-
-    /// How long ago one who lends was heard; none if never.
-    pub fn heard(&self, now: Nanos) -> Option<Nanos> {
-        (self.heard > 0).then(|| now.saturating_sub(self.heard))
-    }
-
-    /// Whether the floors are all that there is.
-    pub fn hears_nobody(&self, now: Nanos) -> bool {
-        self.is_deaf(now)
-    }
-
-    /// Keys that are told apart.
-    pub fn keys(&self) -> usize {
-        self.pockets.len()
-    }
 }
 
 #[cfg(test)]
--- a/crates/shared-state/src/keyed_quota/borrower/tests.rs
+++ b/crates/shared-state/src/keyed_quota/borrower/tests.rs
@@ -1,6 +1,8 @@
 use super::super::KeyGrant;
 use super::*;
 use crate::SECOND;
+use crate::keyed_quota::{QuotaGrant, QuotaRequest};
+use crate::shorter;
 
 fn rate(count: u32, burst: u32, floor: u32) -> KeyedQuota {
     let kind = QuotaKind::Rate {
--- a/crates/shared-state/src/keyed_quota/lender.rs
+++ b/crates/shared-state/src/keyed_quota/lender.rs
@@ -3,7 +3,7 @@
 //! there is over by the lender's clock with the drift added.
 
 use super::{KeyGrant, KeyRequest, KeyedQuota, QuotaGrant, QuotaKind, QuotaRequest, QuotaTiming};
-use crate::budget_lender::longer;
+use crate::budget::lender::longer;
 use crate::{Nanos, ProcessId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -10,13 +10,9 @@
 #![forbid(unsafe_code)]
 
 pub mod backend_gate;
-pub mod budget_borrower;
-pub mod budget_lender;
-pub mod counts;
-pub mod fair_share;
-pub mod heavy_hitters;
+pub mod budget;
+pub mod counters;
 pub mod keyed_quota;
-pub mod latency_histogram;
 pub mod leader_lease;
 pub mod messages;
 pub mod service_health;
@@ -25,14 +21,14 @@
 pub mod status;
 
 pub use backend_gate::BackendGate;
-pub use budget_borrower::{Budget, BudgetBorrower, Kind, NodeBudgets};
-pub use budget_lender::Lease;
-pub use counts::ClusterCounters;
-pub use fair_share::{Demand, allot};
+pub use budget::fair_share::{Demand, allot};
+pub use budget::{Budget, BudgetBorrower, BudgetRequest, Kind, Lease, NodeBudgets};
+pub use counters::ClusterCounters;
+pub use messages::Message;
 pub use service_health::{
     AggregatedHealth, HealthReport, HealthReports, HealthState, ServiceHealth,
 };
-pub use shared_state::{BudgetRequest, Config, Host, Message, SharedState};
+pub use shared_state::{Config, Host, SharedState};
 
 /// Whole nanoseconds from any fixed point.
 pub type Nanos = u64;
--- a/crates/shared-state/src/messages/tests.rs
+++ b/crates/shared-state/src/messages/tests.rs
@@ -1,6 +1,11 @@
+use super::wire::Keys;
 use super::*;
+use crate::counters::heavy_hitters::HeavyHitters;
+use crate::counters::{self, COLUMNS};
+use crate::keyed_quota::{KEYS_ASKED, KeyGrant, KeyRequest};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeMap;
 
 fn all() -> Vec<ReceivedMessage> {
     let someone = ProcessId {
@@ -81,7 +86,7 @@
     let rows = CounterRows::from([(7, [1, 0, 300, 0, 0, 9, 1 << 40, 0]), (0, [3; COLUMNS])]);
     let latency = BTreeMap::from([(7, vec![(3, 1), (200, 4), (90_000, 1)])]);
     let heavy = BTreeMap::from([(0, HeavyHitters::of(30, [(5, 9), (1 << 60, 8)].into_iter()))]);
-    let window = counts::CounterWindow {
+    let window = counters::CounterWindow {
         rows: rows.clone(),
         latency,
         heavy,
@@ -100,7 +105,7 @@
         marks: vec![(someone, 12), (ProcessId::default(), 0)],
     }));
     told.push(ReceivedMessage::AskSums);
-    let minute = counts::CounterWindow {
+    let minute = counters::CounterWindow {
         gauges: [0; 2],
         ..window
     };
@@ -174,7 +179,7 @@
 #[test]
 fn words_that_don_t_fit_are_cut_and_add_up_again() {
     let mut rng = Pcg64Mcg::seed_from_u64(5);
-    let mut tally = counts::ProcessCounters::new(1 << 40);
+    let mut tally = counters::ProcessCounters::new(1 << 40);
     for n in 0..20_000u64 {
         let (unix, row) = ((1 << 40) + n * 3, rng.random_range(1..14));
         tally.add(
@@ -188,8 +193,8 @@
     }
     let word = tally.word(ProcessId { key: 5, life: 6 }, 9, 3);
     let (mut whole, mut parts) = (
-        counts::ClusterCounters::new(4),
-        counts::ClusterCounters::new(4),
+        counters::ClusterCounters::new(4),
+        counters::ClusterCounters::new(4),
     );
     whole.hear(0, &word);
     let cut = split(&word);
--- a/crates/shared-state/src/service_health.rs
+++ b/crates/shared-state/src/service_health.rs
@@ -6,8 +6,15 @@
 //! When it was down, few in the whole fleet try it first, chosen by hash so that all agree on whom;
 //! then load rises in steps, nobody going further than twice what the others have.
 
-use crate::{MILLISECOND, Nanos, ProcessId, SECOND};
-use std::collections::{BTreeMap, BTreeSet};
+mod aggregation;
+mod outlier_detection;
+mod recovery_ramp;
+mod report;
+
+pub use aggregation::{AggregatedHealth, HealthReports, is_prober};
+pub use report::HealthReport;
+
+use crate::{MILLISECOND, Nanos, SECOND};
 
 /// What is counted is this long, and aged out after so long.
 const WINDOW: Nanos = 2 * SECOND;
@@ -33,173 +40,6 @@
 /// What a careful node lets through.
 const CAREFUL: f64 = 0.25;
 
-/// What a node says of a service.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct HealthReport {
-    pub zone: u32,
-    /// In its last window.
-    pub tries: u32,
-    pub failed: u32,
-    /// What it lets through, of all.
-    pub level: f64,
-}
-
-impl HealthReport {
-    fn failing(&self) -> f64 {
-        f64::from(self.failed) / f64::from(self.tries.max(1))
-    }
-
-    fn is_ill(&self) -> bool {
-        self.tries >= TRIES && self.failing() >= ILL || self.level == 0.0
-    }
-
-    fn is_well(&self) -> bool {
-        self.tries >= TRIES && self.failing() <= WELL
-    }
-
-    /// Whether it found it well just now. Where there are few calls at all, some that all went well
-    /// are as much as there is; one that comes back has proved it with those before. Else fleets
-    /// with some calls a second and node would hear nobody but those who closed it, and come back
-    /// one tryer after the other.
-    fn found_well(&self) -> bool {
-        let enough = if self.level < 1.0 { 1 } else { PROVED };
-        self.is_well() || self.failed == 0 && self.tries >= enough
-    }
-
-    /// Whether it says anything: one that tries too little knows nothing, unless it has closed the
-    /// service to itself.
-    fn tells(&self) -> bool {
-        self.tries >= TRIES || self.level == 0.0 || self.found_well()
-    }
-}
-
-/// What others say of a service, summed up.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct AggregatedHealth {
-    /// ProcessId say something, and who of these that it is ill; in how many zones.
-    pub witnesses: u32,
-    pub ill: u32,
-    pub zones: u32,
-    pub ill_zones: u32,
-    /// ProcessId found it well.
-    pub well: u32,
-    /// The mean of what is let through, of those who let anything through; and the least of that.
-    pub level: f64,
-    pub least: f64,
-    /// ProcessId say anything, and who of these let less than all through.
-    pub speak: u32,
-    pub short: u32,
-    /// Whether this node is one of the few that try it while it is down, and whether it is there
-    /// alone.
-    pub prober: bool,
-    pub alone: bool,
-}
-
-impl AggregatedHealth {
-    /// Whether it comes back for enough of the others: half of those who speak, two at least.
-    pub fn is_rising(&self) -> bool {
-        self.least < 1.0 && self.short >= 2 && self.short * 2 >= self.speak
-    }
-
-    /// Whether enough of the others, in more than one zone where there are more, say that it is
-    /// ill: half of those who see it, two at least, and not one zone alone.
-    pub fn is_ill(&self) -> bool {
-        self.ill >= 2 && self.ill * 2 >= self.witnesses && (self.zones < 2 || self.ill_zones >= 2)
-    }
-}
-
-/// What others say of services below, each for as long as it is good. Each speaks for itself only.
-#[derive(Clone, Debug)]
-pub struct HealthReports {
-    words: BTreeMap<(u64, ProcessId), (HealthReport, Nanos)>,
-    most: usize,
-    refused: u64,
-}
-
-impl HealthReports {
-    /// None yet; so many words are kept.
-    pub fn new(most: usize) -> HealthReports {
-        HealthReports {
-            words: BTreeMap::new(),
-            most: most.max(16),
-            refused: 0,
-        }
-    }
-
-    /// Another node says what it sees.
-    pub fn hear(&mut self, now: Nanos, from: ProcessId, service: u64, evidence: HealthReport) {
-        let place = (service, from);
-        if self.words.len() >= self.most && !self.words.contains_key(&place) {
-            self.words.retain(|_, (_, heard)| now < *heard + AGED);
-            if self.words.len() >= self.most {
-                self.refused += 1;
-                return;
-            }
-        }
-        self.words.insert(place, (evidence, now));
-    }
-
-    /// What all say of a service now, but for who tries it.
-    pub fn opinion(&mut self, now: Nanos, service: u64) -> AggregatedHealth {
-        self.words.retain(|_, (_, heard)| now < *heard + AGED);
-        let first = (service, ProcessId::default());
-        let all = self
-            .words
-            .range(first..)
-            .take_while(|((of, _), _)| *of == service)
-            .map(|(_, word)| word);
-        let mut opinion = AggregatedHealth {
-            least: 1.0,
-            ..AggregatedHealth::default()
-        };
-        let mut back = (0.0, 0u32);
-        let (mut zones, mut ill_zones) = (BTreeSet::new(), BTreeSet::new());
-        for (evidence, _) in all {
-            opinion.speak += 1;
-            opinion.short += u32::from(evidence.level < 1.0);
-            if evidence.level > 0.0 {
-                back = (back.0 + evidence.level, back.1 + 1);
-                opinion.least = opinion.least.min(evidence.level);
-            }
-            if !evidence.tells() {
-                continue;
-            }
-            opinion.witnesses += 1;
-            zones.insert(evidence.zone);
-            if evidence.is_ill() {
-                opinion.ill += 1;
-                ill_zones.insert(evidence.zone);
-            }
-            opinion.well += u32::from(evidence.found_well());
-        }
-        opinion.level = if back.1 > 0 {
-            back.0 / f64::from(back.1)
-        } else {
-            0.0
-        };
-        (opinion.zones, opinion.ill_zones) = (zones.len() as u32, ill_zones.len() as u32);
-        opinion
-    }
-
-    /// Words that found no room.
-    pub fn refused(&self) -> u64 {
-        self.refused
-    }
-}
-
-/// Whether a node is one of the few of those there that try a service while it is down. They take
-/// turns, and as all go by the same hash, those who see the same members agree.
-pub fn is_prober(now: Nanos, me: u64, service: u64, members: impl Iterator<Item = u64>) -> bool {
-    let round = now / (10 * PROBE);
-    let rank = |key: u64| mix(key ^ mix(service ^ round));
-    let own = rank(me);
-    members
-        .filter(|key| *key != me && rank(*key) < own)
-        .take(PROBES)
-        .count()
-        < PROBES
-}
-
 /// How a node goes about a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthState {
@@ -261,14 +101,6 @@
     kept_back: u64,
 }
 
-/// Mixes a number well enough to spread choices; splitmix64.
-fn mix(mut x: u64) -> u64 {
-    x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
-}
-
 impl ServiceHealth {
     /// Nothing is known of the service; it counts as well.
     pub fn new(now: Nanos, zone: u32) -> ServiceHealth {
@@ -353,86 +185,12 @@
             .map(|(opinion, _)| opinion)
     }
 
-    /// What others say came.
-    pub fn told(&mut self, now: Nanos, opinion: AggregatedHealth) {
-        self.others = Some((opinion, now));
-        if opinion.speak >= 2 {
-            self.unaware_until = now;
-        }
-        // Others find it well again: then this node may come back too, in the first step, though it
-        // did not try it. What they said when it fell, and what they counted before, is no word
-        // about now: words are good for so long, and count a window.
-        let later = now > self.since + AGED + WINDOW;
-        let enough = opinion.well >= 2.min(opinion.witnesses).max(1);
-        if self.mode == HealthState::Unavailable && later && enough {
-            self.come_back(now);
-        }
-        self.judge(now);
-    }
-
     fn enter(&mut self, now: Nanos, mode: HealthState) {
         if self.mode != mode {
             (self.mode, self.since, self.in_a_row, self.owed) = (mode, now, 0, 0.0);
         }
     }
 
-    /// Looks at what there is, of which some may have aged out.
-    pub fn judge(&mut self, now: Nanos) {
-        let own = self.evidence(now);
-        // Where calls hang there are few, and each says more.
-        let hangs = self.failed_in_a_row >= PROVED && now >= self.failing_since + WINDOW;
-        let is_ill =
-            own.tries >= TRIES && own.failing() >= ILL || self.failed_in_a_row >= TRIES || hangs;
-        let others = self.others(now);
-        let others_ill = others.is_some_and(|opinion| opinion.is_ill());
-        match self.mode {
-            HealthState::Healthy | HealthState::Degraded | HealthState::Recovering if is_ill => {
-                self.enter(now, HealthState::Unavailable)
-            }
-            // One that saw nothing of it, being idle or not there, comes back with the others and
-            // not at once.
-            HealthState::Healthy | HealthState::Degraded
-                if self.risen.is_none_or(|at| now >= at + RISEN)
-                    && !own.is_well()
-                    && others.is_some_and(|o| o.is_rising()) =>
-            {
-                if let Some(opinion) = others.filter(|opinion| opinion.level > 0.0) {
-                    self.level = opinion.least;
-                    self.enter(now, HealthState::Recovering);
-                } else if self.mode == HealthState::Healthy && others_ill {
-                    self.enter(now, HealthState::Degraded);
-                }
-            }
-            HealthState::Healthy if !own.is_well() && others_ill => {
-                self.enter(now, HealthState::Degraded)
-            }
-            // What it sees itself goes first; else it ages out with those who said it.
-            HealthState::Degraded if own.is_well() || !others_ill => {
-                self.enter(now, HealthState::Healthy)
-            }
-            HealthState::Recovering if now >= self.since + STEP && own.failing() <= WELL => {
-                self.rise(now)
-            }
-            _ => {}
-        }
-    }
-
-    /// One step further, but not beyond twice what the others let through, who come back with it.
-    fn rise(&mut self, now: Nanos) {
-        let others = self
-            .others(now)
-            .map(|opinion| opinion.level)
-            .filter(|level| *level > 0.0);
-        self.since = now;
-        self.level = (self.level * 2.0)
-            .min(others.unwrap_or(1.0).max(FIRST) * 2.0)
-            .min(1.0);
-        if self.level >= 1.0 {
-            self.risen = Some(now);
-            self.enter(now, HealthState::Healthy);
-        }
-    }
-
     /// Whether a try is due from this node while the service is down. One that hears nobody tries
     /// by itself, more seldom.
     pub fn is_try_due(&self, now: Nanos) -> bool {
@@ -499,12 +257,6 @@
         }
         self.judge(now);
     }
-
-    fn come_back(&mut self, now: Nanos) {
-        (self.halves, self.failed_in_a_row) = ([TwoHalfWindow::default(); 2], 0);
-        self.level = FIRST;
-        self.enter(now, HealthState::Recovering);
-    }
 }
 
 #[cfg(test)]
--- a/crates/shared-state/src/service_health/tests.rs
+++ b/crates/shared-state/src/service_health/tests.rs
@@ -1,6 +1,9 @@
+use super::aggregation::mix;
 use super::*;
+use crate::ProcessId;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeSet;
 
 fn who(key: u64) -> ProcessId {
     ProcessId { key, life: key }
--- a/crates/shared-state/src/status/tests.rs
+++ b/crates/shared-state/src/status/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::budget_borrower::Budget;
-use crate::budget_lender::Lease;
+use crate::budget::Budget;
+use crate::budget::Lease;
 use crate::{AggregatedHealth, HealthState, SECOND};
 use prost::Message;
 
--- a/crates/shared-state/tests/budgets.rs
+++ b/crates/shared-state/tests/budgets.rs
@@ -373,7 +373,7 @@
 }
 
 fn calls(sim: &Simulation, n: usize) -> u64 {
-    use madderpoint_shared_state::counts::{OWN, own};
+    use madderpoint_shared_state::counters::{OWN, own};
     sim.counts(n)
         .unwrap()
         .total()
--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -3,8 +3,8 @@
 
 #![cfg(not(feature = "later"))] // a later version's messages differ on purpose
 
-use madderpoint_shared_state::counts::{self, CounterReport, CounterRows};
-use madderpoint_shared_state::heavy_hitters::HeavyHitters;
+use madderpoint_shared_state::counters::heavy_hitters::HeavyHitters;
+use madderpoint_shared_state::counters::{self, CounterReport, CounterRows};
 use madderpoint_shared_state::keyed_quota::{KeyGrant, KeyRequest, QuotaGrant, QuotaRequest};
 use madderpoint_shared_state::messages::{self, ClusterTotals, KnownCounters, ReceivedMessage};
 use madderpoint_shared_state::{BudgetRequest, HealthReport, Lease, Message, ProcessId};
@@ -134,19 +134,19 @@
 fn rows(first: u64) -> CounterRows {
     let row = |first: u64| std::array::from_fn(|at| first + at as u64);
     CounterRows::from([
-        (counts::OWN, row(first)),
+        (counters::OWN, row(first)),
         (0xa1a2_a3a4, row(1 << 40 | first)),
     ])
 }
 
-fn window(first: u64, gauges: [u64; 2]) -> counts::CounterWindow {
+fn window(first: u64, gauges: [u64; 2]) -> counters::CounterWindow {
     let latency = BTreeMap::from([(0xa1a2_a3a4, vec![(31, 32), (400, 33), (90_000, 34)])]);
     let heavy = |total| HeavyHitters::of(total, [(1 << 61 | total, 41), (43, 42)].into_iter());
     let heavy = BTreeMap::from([
-        (counts::heavy_hitters::REPEATERS, heavy(90)),
-        (counts::heavy_hitters::OVER_LIMIT, heavy(91)),
+        (counters::heavy_kind::REPEATERS, heavy(90)),
+        (counters::heavy_kind::OVER_LIMIT, heavy(91)),
     ]);
-    counts::CounterWindow {
+    counters::CounterWindow {
         rows: rows(first),
         latency,
         heavy,
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -3,9 +3,9 @@
 //! for some ticks): what all may spend together is never over the limit. The machines are the
 //! package's; what is left out is the drift of clocks, which `budgets.rs` plays.
 
-use madderpoint_shared_state::budget_lender::{BudgetLender, Lease};
+use madderpoint_shared_state::budget::lender::BudgetLender;
 use madderpoint_shared_state::leader_lease::{Candidate, Voter};
-use madderpoint_shared_state::{Budget, BudgetBorrower, Demand, Kind, ProcessId};
+use madderpoint_shared_state::{Budget, BudgetBorrower, Demand, Kind, Lease, ProcessId};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
