--- a/crates/node/src/classify.rs
+++ b/crates/node/src/classify.rs
@@ -140,7 +140,7 @@
         seed: u64,
     ) {
         match &mut self.wallet {
-            Some(wallet) => wallet.rebudget(keys),
+            Some(wallet) => wallet.update_quotas(keys),
             None if keys.is_empty() => {}
             None => self.wallet = Some(QuotaBorrower::new(now, keys, rhythm, bytes, seed)),
         }
@@ -232,8 +232,8 @@
                 }
                 keys.push((*id, *key));
                 // All are looked at, so that all that lacks is asked for together.
-                if let Err(refused) = wallet.fits(now, *id, *key)
-                    && full.is_none_or(|(before, _)| before.pause < refused.pause)
+                if let Err(refused) = wallet.check(now, *id, *key)
+                    && full.is_none_or(|(before, _)| before.retry_after < refused.retry_after)
                 {
                     full = Some((refused, *key));
                 }
@@ -244,7 +244,7 @@
         }
         // The node's own limits come last, so that what they take is never for nothing.
         let ticket = self.limits.ask(now, buckets).map_err(Full::Node)?;
-        keys.retain(|(id, key)| wallet.take(now, *id, *key));
+        keys.retain(|(id, key)| wallet.acquire(now, *id, *key));
         Ok(Held { ticket, keys })
     }
 
@@ -254,7 +254,7 @@
         if let Some(wallet) = &mut self.wallet {
             held.keys
                 .iter()
-                .for_each(|(id, key)| wallet.done(*id, *key));
+                .for_each(|(id, key)| wallet.release(*id, *key));
         }
     }
 
@@ -265,24 +265,24 @@
 
     /// When it has a question for the fleet.
     pub fn next_question(&self, now: Nanos) -> Option<Nanos> {
-        self.wallet.as_ref()?.next(now)
+        self.wallet.as_ref()?.next_request_at(now)
     }
 
     /// The question for the fleet that is due.
     pub fn question(&mut self, now: Nanos) -> Option<QuotaRequest> {
-        self.wallet.as_mut()?.ask(now)
+        self.wallet.as_mut()?.next_request(now)
     }
 
     /// The fleet answered.
     pub fn lent(&mut self, now: Nanos, lent: &QuotaGrant) {
         if let Some(wallet) = &mut self.wallet {
-            wallet.lent(now, lent);
+            wallet.receive_grant(now, lent);
         }
     }
 
     /// The node leaves: nothing that was lent is used any more. Whether nothing of it is in hand.
     pub fn let_go(&mut self) -> bool {
-        self.wallet.as_mut().is_none_or(QuotaBorrower::let_go)
+        self.wallet.as_mut().is_none_or(QuotaBorrower::drop_leases)
     }
 
     /// An invocation of a class was read.
--- a/crates/node/src/cli/shared.rs
+++ b/crates/node/src/cli/shared.rs
@@ -4,7 +4,9 @@
 use super::{Ended, Format};
 use clap::Subcommand;
 use madderpoint_shared_state::counters::COLUMNS;
-use madderpoint_shared_state::status::{CounterRowStatus, CounterStatus, StatusSnapshot, columns};
+use madderpoint_shared_state::status::{
+    CounterRowStatus, CounterStatus, StatusSnapshot, column_heads,
+};
 use prost::Message;
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
@@ -66,7 +68,7 @@
         Format::Json => println!("{:#}", as_json(&shown)),
         Format::Text => {
             println!("{}:", shown.node);
-            shown.why().iter().for_each(|line| println!("  {line}"));
+            shown.explain().iter().for_each(|line| println!("  {line}"));
         }
     }
     Ok(true)
@@ -74,18 +76,18 @@
 
 /// Budgets, keys, the judgement and counts, as a table.
 pub fn print(shown: &StatusSnapshot) {
-    shown.why().iter().for_each(|line| println!("{line}"));
+    shown.explain().iter().for_each(|line| println!("{line}"));
     if shown.rows.is_empty() {
         return;
     }
     println!(
         "counts of {} processes and {} that are gone, {:.1} s old; of the last minute, and in all:",
         shown.processes,
-        shown.gone,
-        shown.counts_age_ms as f64 / 1e3
+        shown.retired,
+        shown.totals_age_ms as f64 / 1e3
     );
     for row in &shown.rows {
-        let heads = columns(row.name.is_empty());
+        let heads = column_heads(row.name.is_empty());
         let name = if row.name.is_empty() {
             "processes"
         } else {
@@ -114,13 +116,13 @@
             .for_each(|count| println!("{:>8}  {}", count.times, count.what));
     }
     shown
-        .counted
+        .event_counts
         .iter()
         .for_each(|count| println!("{:>8}  {}", count.times, count.what));
 }
 
 fn row(row: &CounterRowStatus) -> Value {
-    let heads = columns(row.name.is_empty());
+    let heads = column_heads(row.name.is_empty());
     let numbers = |of: &[u64]| -> Map<String, Value> {
         (0..COLUMNS)
             .map(|at| {
@@ -142,39 +144,36 @@
         .budgets
         .iter()
         .map(|b| {
-            let part = b.part.as_ref().map(|p| {
-                json!({"units": p.units, "asked_ms": p.asked_ms, "came_ms": p.came_ms, "term_ms": p.term_ms,
-                    "wanted": p.wanted, "borrowers": p.borrowers, "pool": p.pool})
+            let part = b.lease.as_ref().map(|p| {
+                json!({"units": p.units, "asked_ms": p.requested_ms_ago, "came_ms": p.granted_ms_ago, "term_ms": p.duration_ms,
+                    "wanted": p.total_demand, "borrowers": p.borrowers, "pool": p.pool})
             });
-            json!({"name": b.name, "kind": if b.rate { "a-second" } else { "in-hand" }, "limit": b.limit,
-                "floor": b.floor, "nodes_most": b.nodes_most, "repeats_only": b.repeats_only, "units": b.units,
-                "wants": b.wants, "in_hand": b.in_hand, "allowed": b.allowed, "refused": b.refused, "part": part})
+            json!({"name": b.name, "kind": if b.is_rate { "a-second" } else { "in-hand" }, "limit": b.limit,
+                "floor": b.floor, "nodes_most": b.max_nodes, "repeats_only": b.retries_only, "units": b.units,
+                "wants": b.demand, "in_hand": b.in_flight, "allowed": b.allowed, "refused": b.refused, "part": part})
         })
         .collect();
-    let keys: Vec<Value> = shown
-        .keys
-        .iter()
+    let keys: Vec<Value> = shown.quotas.iter()
         .map(|k| {
             json!({"name": k.name, "count": k.count, "period_ms": k.period_ms, "burst": k.burst, "floor": k.floor,
-                "nodes_most": k.nodes_most, "lent": k.lent, "by_floor": k.by_floor, "refused": k.refused,
+                "nodes_most": k.max_nodes, "lent": k.by_lease, "by_floor": k.by_floor, "refused": k.refused,
                 "units": k.units, "keys": k.keys})
         })
         .collect();
     let service = shown.service.as_ref().map(|s| {
-        json!({"name": s.name, "mode": s.mode, "since_ms": s.since_ms, "level": s.level, "tries": s.tries,
-            "failed": s.failed, "witnesses": s.witnesses, "ill": s.ill, "zones": s.zones, "ill_zones": s.ill_zones,
-            "prober": s.prober, "alone": s.alone, "passed": s.passed, "kept_back": s.kept_back})
+        json!({"name": s.name, "mode": s.state, "since_ms": s.since_ms, "level": s.admitted_share, "tries": s.calls,
+            "failed": s.failed, "witnesses": s.reporters, "ill": s.failing, "zones": s.zones, "ill_zones": s.failing_zones,
+            "prober": s.is_prober, "alone": s.is_alone, "passed": s.admitted, "kept_back": s.held_back})
     });
-    let books: Vec<Value> = shown
-        .books
+    let books: Vec<Value> = shown.lenders
         .iter()
-        .map(|b| json!({"name": b.name, "out": b.out, "pool": b.pool, "borrowers": b.borrowers}))
+        .map(|b| json!({"name": b.name, "out": b.outstanding, "pool": b.pool, "borrowers": b.borrowers}))
         .collect();
-    json!({"node": shown.node, "lends": shown.lends, "lender": shown.lender_name, "books": books,
-        "key_books": shown.key_books, "budgets": budgets, "keys": keys, "keys_heard_ms": shown.keys_heard_ms,
-        "keys_deaf": shown.keys_deaf, "service": service, "let_in": shown.let_in, "turned_away": shown.turned_away,
-        "calls_waiting": shown.calls_waiting, "processes": shown.processes, "gone": shown.gone,
-        "counts_age_ms": shown.counts_age_ms, "rows": shown.rows.iter().map(row).collect::<Vec<_>>(),
+    json!({"node": shown.node, "lends": shown.is_leader, "lender": shown.leader_name, "books": books,
+        "key_books": shown.quota_lender, "budgets": budgets, "keys": keys, "keys_heard_ms": shown.quota_grant_ms_ago,
+        "keys_deaf": shown.is_quota_cut_off, "service": service, "let_in": shown.gate_admitted, "turned_away": shown.gate_rejected,
+        "calls_waiting": shown.calls_waiting, "processes": shown.processes, "gone": shown.retired,
+        "counts_age_ms": shown.totals_age_ms, "rows": shown.rows.iter().map(row).collect::<Vec<_>>(),
         "heavy": shown.heavy.iter().map(count).collect::<Vec<_>>(),
-        "counted": shown.counted.iter().map(count).collect::<Vec<_>>(), "why": shown.why()})
+        "counted": shown.event_counts.iter().map(count).collect::<Vec<_>>(), "why": shown.explain()})
 }
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -17,7 +17,7 @@
 use madderpoint_shared_state::counters::PROCESS_BYTES;
 use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaGrant, QuotaTiming};
 use madderpoint_shared_state::messages::{
-    PARCEL_MAX, ReceivedMessage, read as read_parcel, write as write_parcel,
+    MAX_PAYLOAD_BYTES, SharedMessage, decode as read_parcel, encode as write_parcel,
 };
 use madderpoint_shared_state::{
     self as shared_state, Budget, BudgetRequest, HealthReport, HealthReports, ProcessId,
@@ -88,11 +88,11 @@
 
     /// How often keys are asked for: by the most nodes that any limit is made for.
     pub fn rhythm(&self) -> QuotaTiming {
-        let budgets = self.budgets.iter().map(|budget| budget.nodes_most);
+        let budgets = self.budgets.iter().map(|budget| budget.max_nodes);
         let most = budgets
-            .chain(self.keys.iter().map(|budget| budget.nodes_most))
+            .chain(self.keys.iter().map(|budget| budget.max_nodes))
             .max();
-        QuotaTiming::of(most.unwrap_or(1))
+        QuotaTiming::for_nodes(most.unwrap_or(1))
     }
 }
 
@@ -186,7 +186,7 @@
 
 /// What the part that lends and borrows does to the world; what it sends goes out as parcels.
 struct SharedStateHost {
-    sent: Vec<(u64, ReceivedMessage)>,
+    sent: Vec<(u64, SharedMessage)>,
     /// What the core said last that it wants, and when; and whether nothing is in hand as it
     /// leaves.
     wants: (Nanos, Vec<BudgetRequest>),
@@ -195,27 +195,27 @@
 }
 
 impl shared_state::Host for SharedStateHost {
-    fn send(&mut self, to: u64, told: ReceivedMessage) {
+    fn send(&mut self, to: u64, told: SharedMessage) {
         self.sent.push((to, told));
     }
     fn log(&mut self, line: &str) {
         crate::log::event("shared", "lends", format_args!("{line}"));
     }
-    fn wants(&mut self, _: Nanos) -> (Nanos, Vec<BudgetRequest>) {
+    fn lease_requests(&mut self, _: Nanos) -> (Nanos, Vec<BudgetRequest>) {
         self.wants.clone()
     }
-    fn keys_lent(&mut self, _: Nanos, lent: QuotaGrant) {
+    fn receive_quota_grant(&mut self, _: Nanos, lent: QuotaGrant) {
         let _ = self
             .events
             .try_send(Message::Event(Event::QuotaGrant(Box::new(lent))));
     }
-    fn lent(&mut self, _: Nanos, asked: Nanos, parts: &[(u32, shared_state::Lease)]) {
+    fn receive_leases(&mut self, _: Nanos, asked: Nanos, parts: &[(u32, shared_state::Lease)]) {
         // A part that finds no room is not used: it ends by itself.
         let _ = self
             .events
             .try_send(Message::Event(Event::Lent(asked, parts.to_vec())));
     }
-    fn let_go(&mut self, _: Nanos) -> bool {
+    fn drop_leases(&mut self, _: Nanos) -> bool {
         self.free
     }
 }
@@ -244,7 +244,7 @@
 /// A page of what is shown, from there on.
 fn page(bytes: &[u8], from: u64) -> (Vec<u8>, u64) {
     let from = usize::try_from(from).unwrap_or(usize::MAX).min(bytes.len());
-    let to = (from + PARCEL_MAX).min(bytes.len());
+    let to = (from + MAX_PAYLOAD_BYTES).min(bytes.len());
     (
         bytes[from..to].to_vec(),
         if to < bytes.len() { to as u64 } else { 0 },
@@ -262,7 +262,7 @@
         self.parcels.push((
             ProcessId {
                 key: from.0,
-                life: life.0,
+                incarnation: life.0,
             },
             topic,
             parcel.to_vec(),
@@ -407,7 +407,7 @@
     let (key, life) = fleet.me();
     let me = ProcessId {
         key: key.0,
-        life: life.0,
+        incarnation: life.0,
     };
     let zone = zone_number(&zone);
     let poster = Poster {
@@ -428,14 +428,14 @@
         changes.push(Changes::start(clock(), changing, among, poster.clone())?);
     }
     let bank = (!part.arbiters.is_empty()).then(|| {
-        let usual = shared_state::Config::usual(me, part.arbiters, part.budgets, part.keys);
+        let usual = shared_state::Config::with_defaults(me, part.arbiters, part.budgets, part.keys);
         let counted = (part.count_bytes / PROCESS_BYTES).max(4);
         let settings = shared_state::Config {
             zone,
-            most,
-            rhythm,
-            counted,
-            key_bytes: part.key_bytes,
+            max_borrowers: most,
+            quota_timing: rhythm,
+            max_counted_processes: counted,
+            quota_lender_bytes: part.key_bytes,
             ..usual
         };
         SharedState::new(settings, seed ^ life.0, clock().now, teller)
@@ -494,11 +494,11 @@
         evidence: HealthReport,
     ) {
         self.told += 1;
-        let is_well = evidence.failed == 0 && evidence.level >= 1.0;
-        if evidence.tries > 0 && (!is_well || self.told.is_multiple_of(TELLS_WELL))
-            || evidence.level < 1.0
+        let is_well = evidence.failed == 0 && evidence.admitted_share >= 1.0;
+        if evidence.calls > 0 && (!is_well || self.told.is_multiple_of(TELLS_WELL))
+            || evidence.admitted_share < 1.0
         {
-            let parcel = write_parcel(&ReceivedMessage::HealthReport(vec![(
+            let parcel = write_parcel(&SharedMessage::HealthReports(vec![(
                 self.service,
                 evidence,
             )]));
@@ -506,15 +506,15 @@
                 fleet.send_parcel(at, key, SHARED, &parcel);
             }
         }
-        let mut opinion = self.witnesses.opinion(at.now, self.service);
+        let mut opinion = self.witnesses.aggregate(at.now, self.service);
         let (me, _) = fleet.me();
         let members = fleet
             .view()
             .iter()
             .filter(|(_, entry)| entry.status().is_present());
-        opinion.prober =
+        opinion.is_prober =
             service_health::is_prober(at.now, me.0, self.service, members.map(|(key, _)| key.0));
-        opinion.alone = fleet.view().counts().present() <= 1;
+        opinion.is_alone = fleet.view().counts().present() <= 1;
         let _ = fleet
             .host
             .events
@@ -539,7 +539,7 @@
     loop {
         let next = bank
             .as_ref()
-            .map_or(Nanos::MAX, SharedState::next)
+            .map_or(Nanos::MAX, SharedState::next_wake)
             .min(fleet.next());
         let next = going_on(&changes)
             .map(|changes| changes.next())
@@ -561,7 +561,7 @@
                 }
                 Order::ClusterUpdate(ClusterUpdate::Keys(asked)) => {
                     bank.iter_mut()
-                        .for_each(|bank| bank.ask_keys(clock().now, asked.clone()));
+                        .for_each(|bank| bank.request_quota(clock().now, asked.clone()));
                 }
                 Order::ClusterUpdate(ClusterUpdate::HealthReport(evidence)) => {
                     health
@@ -570,10 +570,10 @@
                 }
                 Order::ClusterUpdate(ClusterUpdate::Counts(mut word)) => {
                     let (key, life) = fleet.me();
-                    (word.who, word.label) = (
+                    (word.process, word.version) = (
                         ProcessId {
                             key: key.0,
-                            life: life.0,
+                            incarnation: life.0,
                         },
                         label,
                     );
@@ -584,17 +584,17 @@
                         .iter_mut()
                         .for_each(|changes| changes.counted(clock(), &word));
                     bank.iter_mut()
-                        .for_each(|bank| bank.tell_counts(clock().now, &word));
+                        .for_each(|bank| bank.report_counters(clock().now, &word));
                     bank.iter_mut()
                         .for_each(|bank| tidy(bank, &fleet, clock().now));
                 }
                 Order::ClusterUpdate(ClusterUpdate::StatusSnapshot(mut shown)) => {
                     let now = clock().now;
                     bank.iter()
-                        .for_each(|bank| shown.with_shared(now, bank, &operations));
+                        .for_each(|bank| shown.with_shared_state(now, bank, &operations));
                     shown.node = fleet.name().to_owned();
-                    if let Some(entry) = fleet.view().get(MemberKey(shown.lender)) {
-                        shown.lender_name = entry.name.to_string();
+                    if let Some(entry) = fleet.view().get(MemberKey(shown.leader)) {
+                        shown.leader_name = entry.name.to_string();
                     }
                     fleet.host.shown = Some((now, shown.encode_to_vec()));
                 }
@@ -611,7 +611,7 @@
                             .for_each(|changes| changes.set_plan(plan.clone()));
                     }
                     if let Some(bank) = &mut bank {
-                        bank.rebudget(reset.budgets.clone(), reset.key_budgets);
+                        bank.update_limits(reset.budgets.clone(), reset.key_budgets);
                         let event = Event::Rebudget(reset.budgets);
                         let _ = fleet.host.events.send(Message::Event(event));
                     }
@@ -652,19 +652,19 @@
                 None
             };
             match (told, &mut bank, &mut health) {
-                (Some(ReceivedMessage::HealthReport(all)), _, Some(health)) => {
+                (Some(SharedMessage::HealthReports(all)), _, Some(health)) => {
                     let all = all
                         .into_iter()
                         .filter(|(service, _)| *service == health.service);
                     all.for_each(|(of, evidence)| {
-                        health.witnesses.hear(clock().now, from, of, evidence)
+                        health.witnesses.receive(clock().now, from, of, evidence)
                     });
                 }
-                (Some(told), Some(bank), _) => bank.told(clock().now, from, told),
+                (Some(told), Some(bank), _) => bank.receive(clock().now, from, told),
                 _ => {}
             }
         }
-        if let Some(bank) = bank.as_mut().filter(|bank| clock().now >= bank.next()) {
+        if let Some(bank) = bank.as_mut().filter(|bank| clock().now >= bank.next_wake()) {
             bank.wake(clock().now);
         }
         post(&mut fleet, &mut bank, clock);
@@ -681,7 +681,7 @@
             changes.wake(
                 clock(),
                 &fleet,
-                bank.as_ref().and_then(SharedState::counts_of_all),
+                bank.as_ref().and_then(SharedState::cluster_counters),
             );
             changes.post(clock(), &mut fleet);
             let topic = topic(changes.kind());
@@ -716,9 +716,14 @@
     clock: &impl Fn() -> ClockReading,
 ) {
     let says = bank.as_ref().is_some_and(|bank| !bank.host.sent.is_empty());
-    if shared_state::messages::LATER && says {
+    if shared_state::messages::IS_LATER_VERSION && says {
         for key in fleet.some_others(1) {
-            fleet.send_parcel(clock(), key, SHARED, &shared_state::messages::later_kind());
+            fleet.send_parcel(
+                clock(),
+                key,
+                SHARED,
+                &shared_state::messages::unknown_kind_payload(),
+            );
         }
     }
     for (to, told) in bank
@@ -763,9 +768,11 @@
 fn tidy(bank: &mut SharedState<SharedStateHost>, fleet: &Membership<MembershipHost>, now: Nanos) {
     let is_there = |who: ProcessId| {
         let entry = fleet.view().get(MemberKey(who.key));
-        entry.is_some_and(|entry| entry.epoch.life.0 == who.life && entry.status().is_present())
+        entry.is_some_and(|entry| {
+            entry.epoch.life.0 == who.incarnation && entry.status().is_present()
+        })
     };
-    bank.tidy(now, is_there);
+    bank.retire_processes(now, is_there);
 }
 
 fn read(fleet: &mut Membership<MembershipHost>, clock: &impl Fn() -> ClockReading) {
--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -18,9 +18,10 @@
     Kind, NodeReport, Participant, PersistedState, Plan, RolloutId, Version,
 };
 use madderpoint_shared_state::counters::{
-    ClusterCounters, CounterReport, OWN, WINDOW_MS, column, own,
+    ClusterCounters, CounterReport, PROCESS_ROW, ProcessWindow, WINDOW_MS, operation_column,
+    process_column,
 };
-use madderpoint_shared_state::keyed_quota::number;
+use madderpoint_shared_state::keyed_quota::name_hash;
 use prost::Message as _;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -275,7 +276,7 @@
         Some((entry.name.to_string(), entry.details.zone.to_string()))
     }
     fn operation(&self, row: u32) -> String {
-        let name = self.operations.iter().find(|name| number(name) == row);
+        let name = self.operations.iter().find(|name| name_hash(name) == row);
         name.cloned().unwrap_or_else(|| format!("{row:08x}"))
     }
 }
@@ -340,11 +341,11 @@
         );
         let names = operations
             .iter()
-            .map(|name| (number(name), name.clone()))
+            .map(|name| (name_hash(name), name.clone()))
             .collect();
         let quick = operations.iter().zip(&objectives);
         let quick = quick
-            .map(|(name, objective)| (number(name), (objective / QUICK / TENTH) as u32))
+            .map(|(name, objective)| (name_hash(name), (objective / QUICK / TENTH) as u32))
             .collect();
         rollout.conduct = rollout
             .conduct
@@ -419,13 +420,13 @@
     pub fn counted(&mut self, at: ClockReading, word: &CounterReport) {
         let mut sum = LocalMetrics::default();
         for (row, numbers) in &word.total {
-            if *row == OWN {
-                sum.invariants += numbers[own::INVARIANTS];
+            if *row == PROCESS_ROW {
+                sum.invariants += numbers[process_column::INVARIANT_VIOLATIONS];
                 continue;
             }
-            sum.arrived += numbers[column::ARRIVED];
-            sum.succeeded += numbers[column::SUCCEEDED];
-            sum.errored += numbers[column::ERRORED];
+            sum.arrived += numbers[operation_column::ARRIVED];
+            sum.succeeded += numbers[operation_column::SUCCEEDED];
+            sum.errored += numbers[operation_column::FAILED];
         }
         self.rollout.own(at.now, at.unix_ms, sum);
     }
@@ -594,14 +595,21 @@
     from: u64,
 ) -> Vec<(u64, Vec<WindowSample>)> {
     let mut all: BTreeMap<u64, BTreeMap<u64, WindowSample>> = BTreeMap::new();
-    for (who, window, label, first, counted) in counts.windows(from) {
+    for ProcessWindow {
+        process: who,
+        number: window,
+        version: label,
+        is_first: first,
+        window: counted,
+    } in counts.windows(from)
+    {
         let Some(entry) = fleet.view().get(MemberKey(who.key)) else {
             continue;
         };
         // A program is another process; what it runs is what the process says on its entry.
         let label = match kind {
             Kind::Settings => label,
-            Kind::Program if entry.epoch.life.0 == who.life => {
+            Kind::Program if entry.epoch.life.0 == who.incarnation => {
                 let part = entry
                     .details
                     .parts
@@ -624,18 +632,18 @@
             ..WindowSample::default()
         };
         for (row, numbers) in &counted.rows {
-            if *row == OWN {
-                sample.invariants = numbers[own::INVARIANTS];
+            if *row == PROCESS_ROW {
+                sample.invariants = numbers[process_column::INVARIANT_VIOLATIONS];
                 continue;
             }
             let cell = OperationCounts {
-                arrived: numbers[column::ARRIVED],
-                succeeded: numbers[column::SUCCEEDED],
-                throttled: numbers[column::THROTTLED],
-                errored: numbers[column::ERRORED],
-                late: numbers[column::LATE],
-                earned: numbers[column::EARNED],
-                asked: numbers[column::ASKED],
+                arrived: numbers[operation_column::ARRIVED],
+                succeeded: numbers[operation_column::SUCCEEDED],
+                throttled: numbers[operation_column::REJECTED],
+                errored: numbers[operation_column::FAILED],
+                late: numbers[operation_column::LATE],
+                earned: numbers[operation_column::EARNED_WEIGHT],
+                asked: numbers[operation_column::OFFERED_WEIGHT],
                 ..OperationCounts::default()
             };
             let latencies = counted.latency.get(row).cloned().unwrap_or_default();
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -344,7 +344,7 @@
             Event::Ruled(sheet) => self.ruled(now, *sheet),
             Event::Lent(asked, parts) => {
                 if let Some(budgets) = &mut self.desk.borrow_mut().budgets {
-                    budgets.lent(now, asked, &parts);
+                    budgets.receive_leases(now, asked, &parts);
                 }
                 self.tell_floors(now);
             }
@@ -356,12 +356,12 @@
             Event::AggregatedHealth(opinion) => {
                 self.desk
                     .borrow_mut()
-                    .judged(|judge, now| judge.told(now, opinion));
+                    .judged(|judge, now| judge.receive_reports(now, opinion));
             }
             Event::Show => self.show(now),
             Event::Rebudget(limits) => {
                 if let Some(budgets) = &mut self.desk.borrow_mut().budgets {
-                    budgets.rebudget(&limits);
+                    budgets.update_budgets(&limits);
                 }
             }
             Event::Fleet(sight) => {
@@ -622,7 +622,7 @@
             }
             Err(Full::Node(over)) => (over.pause, "throttled by a limit", None),
             Err(Full::Fleet(refused, key)) => (
-                refused.pause,
+                refused.retry_after,
                 "throttled by a limit of the fleet",
                 Some(key),
             ),
@@ -696,7 +696,7 @@
             let value = desk.mean_value();
             desk.budgets.as_mut().map(|budgets| {
                 value.into_iter().for_each(|value| budgets.set_value(value));
-                budgets.wants(now)
+                budgets.requests(now)
             })
         };
         if let Some(wants) = wants {
@@ -709,8 +709,8 @@
         let evidence = {
             let mut desk = self.desk.borrow_mut();
             desk.set_timer(EVIDENCE, Timer::Evidence);
-            desk.judged(|judge, now| judge.judge(now));
-            desk.judged(|judge, now| judge.evidence(now))
+            desk.judged(|judge, now| judge.evaluate(now));
+            desk.judged(|judge, now| judge.report(now))
         };
         if let Some(evidence) = evidence {
             self.say(|_| Some(ClusterUpdate::HealthReport(evidence)));
@@ -737,15 +737,15 @@
             let waiting = desk.calls_waiting();
             desk.budgets
                 .iter_mut()
-                .for_each(|ends| shown.with_ends(now, ends));
+                .for_each(|ends| shown.with_budgets(now, ends));
             desk.judge
                 .iter_mut()
-                .for_each(|judge| shown.with_judge(now, &self.service, judge));
+                .for_each(|judge| shown.with_service(now, &self.service, judge));
             desk.gate
                 .iter()
                 .for_each(|gate| shown.with_gate(gate, waiting));
             if let Some(wallet) = desk.rules.as_ref().and_then(|rules| rules.wallet()) {
-                shown.with_wallet(now, wallet);
+                shown.with_quotas(now, wallet);
             }
         }
         self.say(|_| Some(ClusterUpdate::StatusSnapshot(Box::new(shown))));
@@ -758,8 +758,8 @@
         let desk = &mut *desk;
         let mut lines = Vec::new();
         if let Some(budgets) = &mut desk.budgets {
-            self.at_floor.resize(budgets.purses().len(), true);
-            for (purse, before) in budgets.purses().iter().zip(&mut self.at_floor) {
+            self.at_floor.resize(budgets.borrowers().len(), true);
+            for (purse, before) in budgets.borrowers().iter().zip(&mut self.at_floor) {
                 let at_floor = purse.is_at_floor(now);
                 if std::mem::replace(before, at_floor) != at_floor {
                     let of = purse.budget();
@@ -777,7 +777,7 @@
             }
         }
         if let Some(wallet) = desk.rules.as_ref().and_then(|rules| rules.wallet()) {
-            let deaf = wallet.hears_nobody(now);
+            let deaf = wallet.is_cut_off(now);
             if std::mem::replace(&mut self.keys_deaf, deaf) != deaf {
                 let word = if deaf {
                     "nobody who lends is heard, floors only"
@@ -786,7 +786,7 @@
                 };
                 lines.push(format!(
                     "keys of the fleet: {word}; {} keys here",
-                    wallet.keys()
+                    wallet.tracked_keys()
                 ));
             }
         }
@@ -810,7 +810,7 @@
             let calls = desk
                 .budgets
                 .as_mut()
-                .is_none_or(|budgets| budgets.let_go(now));
+                .is_none_or(|budgets| budgets.drop_leases(now));
             let keys = desk.rules.as_mut().is_none_or(|rules| rules.let_go());
             calls && keys
         };
--- a/crates/node/src/node/tests/shared.rs
+++ b/crates/node/src/node/tests/shared.rs
@@ -4,19 +4,19 @@
 use super::rules::{fleet_sheet, settings};
 use super::*;
 use madderpoint_shared_state::keyed_quota::{KeyGrant, KeyRequest};
-use madderpoint_shared_state::{HealthReport, HealthState, Kind};
+use madderpoint_shared_state::{BudgetKind, HealthReport, HealthState};
 
 const S: Nanos = 1000 * MS;
 
 fn rate(limit: u32) -> Budget {
-    let kind = Kind::Rate { burst: 50 * MS };
+    let kind = BudgetKind::Rate { burst: 50 * MS };
     Budget {
         name: "b".into(),
         limit,
         floor: limit,
-        nodes_most: 1,
+        max_nodes: 1,
         kind,
-        repeats_only: false,
+        retries_only: false,
     }
 }
 
@@ -37,7 +37,7 @@
             counts: true,
         };
         node.core
-            .join_fleet(node.now, budgets, QuotaTiming::of(3), &with);
+            .join_fleet(node.now, budgets, QuotaTiming::for_nodes(3), &with);
         node.wait(2000);
         node
     }
@@ -60,7 +60,7 @@
     }
 
     fn mode(&self) -> HealthState {
-        self.core.desk.borrow().judge.as_ref().unwrap().mode()
+        self.core.desk.borrow().judge.as_ref().unwrap().state()
     }
 }
 
@@ -120,7 +120,9 @@
 /// as the longest call.
 #[test]
 fn a_call_that_was_given_up_counts_as_in_hand_for_its_longest_time() {
-    let kind = Kind::InHand { longest: 500 * MS };
+    let kind = BudgetKind::InFlight {
+        max_call_time: 500 * MS,
+    };
     let in_hand = Budget {
         name: "hands".into(),
         kind,
@@ -133,8 +135,8 @@
             .budgets
             .as_mut()
             .unwrap()
-            .purses()[0]
-            .in_hand()
+            .borrowers()[0]
+            .in_flight()
     };
     for (outcome, frees) in [
         (Outcome::Ok, true),
@@ -193,7 +195,7 @@
 fn repeats_of_calls_have_a_budget_of_their_own() {
     let repeats = Budget {
         name: "repeats".into(),
-        repeats_only: true,
+        retries_only: true,
         ..rate(1)
     };
     let mut node = Node::joined(&[rate(1000), repeats], None);
@@ -259,7 +261,7 @@
     assert!(node.words().iter().any(|word| matches!(
         word,
         ClusterUpdate::HealthReport(HealthReport {
-            level: 0.0,
+            admitted_share: 0.0,
             zone: 1,
             ..
         })
@@ -291,10 +293,10 @@
 fn what_others_say_makes_a_node_careful_for_as_long_as_they_say_it() {
     let mut node = Node::joined(&[], Some(&service()));
     let ill = AggregatedHealth {
-        witnesses: 6,
-        ill: 6,
+        reporters: 6,
+        failing: 6,
         zones: 3,
-        ill_zones: 3,
+        failing_zones: 3,
         ..AggregatedHealth::default()
     };
     node.event(Event::AggregatedHealth(ill));
@@ -330,16 +332,16 @@
     let asked = asked.unwrap();
     assert_eq!(asked.keys.len(), 2, "both budgets at once: {asked:?}");
     let lent = |ask: &KeyRequest| KeyGrant {
-        budget: ask.budget,
+        quota: ask.quota,
         key: ask.key,
-        adds: 2,
-        wait: 0,
+        added: 2,
+        retry_after: 0,
     };
     let keys = asked.keys.iter().map(lent).collect();
     node.event(Event::QuotaGrant(Box::new(QuotaGrant {
-        no: asked.no,
-        stamp: asked.stamp,
-        life: 3 * S,
+        number: asked.number,
+        request_sent_at: asked.sent_at,
+        lease_duration: 3 * S,
         keys,
     })));
     node.ask(2, "/call/read", B);
@@ -347,7 +349,10 @@
     let lent = |node: &Node| {
         let desk = node.core.desk.borrow();
         let wallet = desk.rules.as_ref().unwrap().wallet().unwrap();
-        wallet.tallies().map(|(_, tally)| tally.lent).sum::<u64>()
+        wallet
+            .counters()
+            .map(|(_, tally)| tally.by_lease)
+            .sum::<u64>()
     };
     assert_eq!(lent(&node), 2);
     assert!(
@@ -375,7 +380,7 @@
     node.core.join_fleet(
         node.now,
         &[rate(100)],
-        QuotaTiming::of(3),
+        QuotaTiming::for_nodes(3),
         &With {
             service: None,
             counts: true,
@@ -398,16 +403,28 @@
         ClusterUpdate::Counts(word) => Some(word.clone()),
         _ => None,
     });
-    use madderpoint_shared_state::counters::{OWN, column, own};
+    use madderpoint_shared_state::counters::{PROCESS_ROW, operation_column, process_column};
     let total = counted.unwrap().total;
-    let row = |name: &str| total[&madderpoint_shared_state::keyed_quota::number(name)];
+    let row = |name: &str| total[&madderpoint_shared_state::keyed_quota::name_hash(name)];
     assert_eq!(
-        (row("pay")[column::SUCCEEDED], row("pay")[column::EARNED]),
+        (
+            row("pay")[operation_column::SUCCEEDED],
+            row("pay")[operation_column::EARNED_WEIGHT]
+        ),
         (1, 5000)
     );
     assert_eq!(
-        (row("read")[column::ARRIVED], row("read")[column::ERRORED]),
+        (
+            row("read")[operation_column::ARRIVED],
+            row("read")[operation_column::FAILED]
+        ),
+        (1, 1)
+    );
+    assert_eq!(
+        (
+            total[&PROCESS_ROW][process_column::CALLS],
+            total[&PROCESS_ROW][process_column::STARTS]
+        ),
         (1, 1)
     );
-    assert_eq!((total[&OWN][own::CALLS], total[&OWN][own::STARTS]), (1, 1));
 }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -15,7 +15,7 @@
 use madderpoint_rollout::{Kind as ChangeKind, PersistedState, Version};
 use madderpoint_settings::{self as settings, Complaints, FleetSettings, Known, Place, Translator};
 use madderpoint_shared_state::keyed_quota::KeyedQuota;
-use madderpoint_shared_state::{Budget, Kind};
+use madderpoint_shared_state::{Budget, BudgetKind};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::net::SocketAddr;
@@ -212,7 +212,7 @@
     let kind = |budget: &Budget| {
         (
             budget.name.clone(),
-            matches!(budget.kind, Kind::Rate { .. }),
+            matches!(budget.kind, BudgetKind::Rate { .. }),
         )
     };
     a.iter().map(kind).eq(b.iter().map(kind))
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -30,7 +30,10 @@
         if !$holds {
             debug_assert!(false, $name);
             $desk.count(concat!("invariant: ", $name), 1);
-            $desk.counts_own(madderpoint_shared_state::counters::own::INVARIANTS, 1);
+            $desk.counts_own(
+                madderpoint_shared_state::counters::process_column::INVARIANT_VIOLATIONS,
+                1,
+            );
         }
     };
 }
@@ -502,7 +505,10 @@
     /// work on one that was given up or whose connection broke: it counts as in hand for as long as
     /// the longest call.
     fn call_is_over(&mut self, call: &BackendCall, may_linger: bool) {
-        let longest = self.budgets.as_ref().and_then(|budgets| budgets.longest());
+        let longest = self
+            .budgets
+            .as_ref()
+            .and_then(|budgets| budgets.max_call_time());
         let Some(longest) = longest.filter(|_| call.budgeted) else {
             return;
         };
@@ -518,8 +524,8 @@
         let Some(budgets) = &mut self.budgets else {
             return;
         };
-        budgets.over(repeats);
-        if !self.calls_waiting.is_empty() && budgets.is_full(self.now).is_none() {
+        budgets.release(repeats);
+        if !self.calls_waiting.is_empty() && budgets.retry_after_if_full(self.now).is_none() {
             self.calls_due = None;
             self.set_timer(0, Timer::CallRoom);
         }
@@ -731,7 +737,7 @@
         };
         self.ids.remove(&inv.rid);
         if let Some(gate) = self.gate.as_mut().filter(|_| inv.is_gated && inv.ran) {
-            gate.ran(inv.calls);
+            gate.request_ended(inv.calls);
         }
         if let (Some(held), Some(rules)) = (inv.held, &mut self.rules) {
             rules.done(self.now, held);
--- a/crates/node/src/state/backend_calls.rs
+++ b/crates/node/src/state/backend_calls.rs
@@ -8,7 +8,7 @@
 use crate::backend;
 use crate::executor::Command;
 use madderpoint::{BackendCallOutcome, Nanos, RequestId};
-use madderpoint_shared_state::counters::own;
+use madderpoint_shared_state::counters::process_column;
 use madderpoint_shared_state::{HealthState, ServiceHealth};
 
 /// A link that so many replies on others have overtaken has gone silent: it is passed over, and
@@ -55,7 +55,7 @@
             .unwrap_or(true)
         {
             self.count("calls kept back from a service that is ill", 1);
-            self.counts_own(own::CALLS_REFUSED, 1);
+            self.counts_own(process_column::CALLS_OVER_BUDGET, 1);
             return self.deferred.push_back(never_ran);
         }
         let longest = self.start.deployment.operations[op.0].client_timeout;
@@ -66,14 +66,14 @@
             None => Ok(()),
             // Those that wait go first.
             Some(budgets) if !self.calls_waiting.is_empty() => {
-                Err(budgets.wait_for(now, self.calls_waiting.len()))
+                Err(budgets.expected_wait(now, self.calls_waiting.len()))
             }
-            Some(budgets) => budgets.take(now, repeats),
+            Some(budgets) => budgets.acquire(now, repeats),
         };
         let most = CALL_WAITS.min(timeout / 4);
         if room.is_err_and(|pause| pause > most || self.calls_waiting.len() >= CALLS_WAITING) {
             self.count("calls that the fleet's budgets had no room for", 1);
-            self.counts_own(own::CALLS_REFUSED, 1);
+            self.counts_own(process_column::CALLS_OVER_BUDGET, 1);
             return self.deferred.push_back(never_ran);
         }
         self.next_call += 1;
@@ -127,8 +127,8 @@
                         timeout / MILLISECOND
                     ),
                 );
-                self.counts_own(own::CALLS, 1);
-                return self.counts_own(own::CALLS_REPEATED, u64::from(repeats));
+                self.counts_own(process_column::CALLS, 1);
+                return self.counts_own(process_column::CALLS_RETRIED, u64::from(repeats));
             }
         }
         if let Some(call) = inv.call.take() {
@@ -170,7 +170,7 @@
             if let Some(Err(pause)) = self
                 .budgets
                 .as_mut()
-                .map(|budgets| budgets.take(now, repeats))
+                .map(|budgets| budgets.acquire(now, repeats))
             {
                 return self.arm_calls(pause);
             }
@@ -319,10 +319,10 @@
         if call.link().is_some() {
             let slow = self.slow.is_some_and(|slow| latency > slow);
             self.judged(|judge, now| {
-                judge.ended(now, ending == BackendCallOutcome::Succeeded && !slow)
+                judge.call_ended(now, ending == BackendCallOutcome::Succeeded && !slow)
             });
             self.counts_own(
-                own::CALLS_FAILED,
+                process_column::CALLS_FAILED,
                 u64::from(ending != BackendCallOutcome::Succeeded),
             );
         }
@@ -335,7 +335,7 @@
     /// it allows: the sum of what all nodes send rises with the service, however much is wanted.
     pub fn start_slowly(&mut self) {
         if let (Some(budgets), Some(judge)) = (&mut self.budgets, &self.judge) {
-            budgets.slow_start(self.now, judge.share(self.now));
+            budgets.set_usable_share(self.now, judge.budget_share(self.now));
         }
     }
 
@@ -343,22 +343,22 @@
     /// the service otherwise since.
     pub fn judged<T>(&mut self, f: impl FnOnce(&mut ServiceHealth, Nanos) -> T) -> Option<T> {
         let judge = self.judge.as_mut()?;
-        let (before, was) = (judge.mode(), judge.level());
+        let (before, was) = (judge.state(), judge.admitted_share());
         let result = f(judge, self.now);
-        let (mode, level) = (judge.mode(), judge.level());
+        let (mode, level) = (judge.state(), judge.admitted_share());
         if mode != before || level > was && mode == HealthState::Recovering {
-            let seen = judge.evidence(self.now);
+            let seen = judge.report(self.now);
             let others = judge.others(self.now).unwrap_or_default();
             self.out.log(format_args!(
                 "service below: {}->{}, {} of {} calls failed lately, {} of {} others in {} of {} zones say it is ill, \
                  {:.0} % goes there",
-                before.word(),
-                mode.word(),
+                before.label(),
+                mode.label(),
                 seen.failed,
-                seen.tries,
-                others.ill,
-                others.witnesses,
-                others.ill_zones,
+                seen.calls,
+                others.failing,
+                others.reporters,
+                others.failing_zones,
                 others.zones,
                 level * 100.0
             ));
--- a/crates/node/src/state/metrics.rs
+++ b/crates/node/src/state/metrics.rs
@@ -5,8 +5,10 @@
 use crate::actions::Actions;
 use crate::request::Head;
 use madderpoint::{LoadBalancerId, Nanos, OperationId};
-use madderpoint_shared_state::counters::{self, OWN, ProcessCounters, column, heavy_kind, own};
-use madderpoint_shared_state::keyed_quota::number;
+use madderpoint_shared_state::counters::{
+    self, PROCESS_ROW, ProcessCounters, heavy_kind, operation_column, process_column,
+};
+use madderpoint_shared_state::keyed_quota::name_hash;
 
 /// Billed value is counted in thousandths.
 const THOUSANDTHS: f64 = 1000.0;
@@ -23,7 +25,7 @@
     /// Of a node that has just started.
     pub fn new(now: Nanos, operations: &[String]) -> Counting {
         // A name that comes to the process's own row counts there: one in four thousand million.
-        let rows = operations.iter().map(|name| number(name)).collect();
+        let rows = operations.iter().map(|name| name_hash(name)).collect();
         Counting {
             tally: ProcessCounters::new(unix_ms(now)),
             rows,
@@ -45,7 +47,7 @@
 
     /// Something of the node itself happened.
     pub fn counts_own(&mut self, column: usize, times: u64) {
-        self.counting(|tally, unix| tally.add(unix, OWN, column, times));
+        self.counting(|tally, unix| tally.add(unix, PROCESS_ROW, column, times));
     }
 
     /// An invocation was read.
@@ -55,12 +57,17 @@
         };
         let value = self.start.deployment.operations[op.0].priority_weight;
         self.counting(|tally, unix| {
-            tally.add(unix, row, column::ARRIVED, 1);
-            tally.add(unix, row, column::ASKED, (value * THOUSANDTHS) as u64);
-            tally.heavy(unix, heavy_kind::CALLERS, dispatcher.0);
+            tally.add(unix, row, operation_column::ARRIVED, 1);
+            tally.add(
+                unix,
+                row,
+                operation_column::OFFERED_WEIGHT,
+                (value * THOUSANDTHS) as u64,
+            );
+            tally.record_key(unix, heavy_kind::CLIENTS, dispatcher.0);
             if repeats {
-                tally.add(unix, row, column::REPEATS, 1);
-                tally.heavy(unix, heavy_kind::REPEATERS, dispatcher.0);
+                tally.add(unix, row, operation_column::REPEATS, 1);
+                tally.record_key(unix, heavy_kind::REPEATERS, dispatcher.0);
             }
         });
     }
@@ -80,13 +87,13 @@
         let earned = (operation.priority_weight * part * THOUSANDTHS) as u64;
         self.counting(|tally, unix| match status {
             200 => {
-                tally.add(unix, row, column::SUCCEEDED, 1);
-                tally.add(unix, row, column::LATE, u64::from(is_late));
-                tally.add(unix, row, column::EARNED, earned);
-                tally.took(unix, row, latency);
+                tally.add(unix, row, operation_column::SUCCEEDED, 1);
+                tally.add(unix, row, operation_column::LATE, u64::from(is_late));
+                tally.add(unix, row, operation_column::EARNED_WEIGHT, earned);
+                tally.record_latency(unix, row, latency);
             }
-            429 | 503 => tally.add(unix, row, column::THROTTLED, 1),
-            _ => tally.add(unix, row, column::ERRORED, 1),
+            429 | 503 => tally.add(unix, row, operation_column::REJECTED, 1),
+            _ => tally.add(unix, row, operation_column::FAILED, 1),
         });
     }
 
@@ -105,24 +112,32 @@
     pub fn counts_refusal(&mut self, head: &Head, over: Option<u64>, for_room: bool) {
         self.counts_turned_away((head.op, head.dispatcher), 429);
         if for_room {
-            self.counts_own(own::NO_ROOM, 1);
+            self.counts_own(process_column::NO_BACKEND_ROOM, 1);
         }
         if let Some(key) = over {
-            self.counts_own(own::OVER_LIMIT, 1);
-            self.counting(|tally, unix| tally.heavy(unix, heavy_kind::OVER_LIMIT, key));
+            self.counts_own(process_column::OVER_QUOTA, 1);
+            self.counting(|tally, unix| tally.record_key(unix, heavy_kind::OVER_QUOTA, key));
         }
     }
 
     /// The mean billed value of what came lately: what a unit of the fleet's budgets is worth here.
     pub fn mean_value(&self) -> Option<f64> {
         let tally = &self.counting.as_ref()?.tally;
-        let (asked, arrived) = (tally.lately(column::ASKED), tally.lately(column::ARRIVED));
+        let (asked, arrived) = (
+            tally.recent(operation_column::OFFERED_WEIGHT),
+            tally.recent(operation_column::ARRIVED),
+        );
         (arrived > 0).then(|| asked as f64 / THOUSANDTHS / arrived as f64)
     }
 
     /// What there is to say of it, without who says it.
     pub fn counted_word(&self) -> Option<counters::CounterReport> {
         // The window before this one too: what came to it since the last word is told with it.
-        Some(self.counting.as_ref()?.tally.word(Default::default(), 0, 2))
+        Some(
+            self.counting
+                .as_ref()?
+                .tally
+                .report(Default::default(), 0, 2),
+        )
     }
 }
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::{Complaint, Place};
 use madderpoint_membership::{Nanos, Timing};
 use madderpoint_rules::time;
-use madderpoint_shared_state::{Budget, Kind};
+use madderpoint_shared_state::{Budget, BudgetKind};
 use std::net::SocketAddr;
 
 /// The most seeds that are of use.
@@ -123,8 +123,13 @@
             600 * SECOND,
         );
         let (limit, kind) = match (number("a-second"), number("in-hand")) {
-            (Some(limit), None) => (limit, Kind::Rate { burst }),
-            (None, Some(limit)) => (limit, Kind::InHand { longest }),
+            (Some(limit), None) => (limit, BudgetKind::Rate { burst }),
+            (None, Some(limit)) => (
+                limit,
+                BudgetKind::InFlight {
+                    max_call_time: longest,
+                },
+            ),
             _ => {
                 self.wrong(
                     name,
@@ -135,18 +140,23 @@
                 return None;
             }
         };
-        let (floor, nodes_most) = (number("floor")?, number("nodes-most")?);
-        let repeats_only = text("of").is_some_and(|of| of.value == "repeats");
+        let (floor, max_nodes) = (number("floor")?, number("nodes-most")?);
+        let retries_only = text("of").is_some_and(|of| of.value == "repeats");
         let budget = Budget {
             name: name.value.clone(),
             limit,
             floor,
-            nodes_most,
+            max_nodes,
             kind,
-            repeats_only,
+            retries_only,
         };
-        if let Err(what) = budget.check() {
-            self.wrong(name, &field, what, "floors that the limit has room for");
+        if let Err(error) = budget.check() {
+            self.wrong(
+                name,
+                &field,
+                error.to_string(),
+                "floors that the limit has room for",
+            );
             return None;
         }
         Some(budget)
--- a/crates/settings/src/rulebook.rs
+++ b/crates/settings/src/rulebook.rs
@@ -294,22 +294,22 @@
         }),
         number("in-hand")
             .zip(longest)
-            .map(|(limit, longest)| QuotaKind::InHand { limit, longest }),
+            .map(|(limit, max_hold)| QuotaKind::InFlight { limit, max_hold }),
     ];
     let floor = number("floor").unwrap_or(0);
     let budget = |kind| KeyedQuota {
         name: name.to_owned(),
         kind,
         floor,
-        nodes_most,
+        max_nodes: nodes_most,
     };
     let budgets: Vec<KeyedQuota> = kinds.into_iter().flatten().map(budget).collect();
     for budget in &budgets {
-        if let (Err(what), Some(written)) = (budget.check(), element.get("name")) {
+        if let (Err(error), Some(written)) = (budget.check(), element.get("name")) {
             reading.wrong(
                 written,
                 &field,
-                what,
+                error.to_string(),
                 "more of it, fewer nodes or a lower floor",
             );
         }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -541,13 +541,16 @@
                 period,
                 burst: 60
             },
-            QuotaKind::InHand { limit: 50, longest }
+            QuotaKind::InFlight {
+                limit: 50,
+                max_hold: longest
+            }
         ]
     );
     assert_eq!(
         (
             rules.fleet[0].1.floor,
-            rules.fleet[1].1.nodes_most,
+            rules.fleet[1].1.max_nodes,
             rules.buckets[0].rate
         ),
         (1, 40, None)
--- a/crates/shared-state/benches/checks.rs
+++ b/crates/shared-state/benches/checks.rs
@@ -2,14 +2,16 @@
 //! take. Run: cargo bench -p madderpoint-shared-state
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use madderpoint_shared_state::counters::{OWN, ProcessCounters, column, heavy_kind};
+use madderpoint_shared_state::counters::{
+    PROCESS_ROW, ProcessCounters, heavy_kind, operation_column,
+};
 use madderpoint_shared_state::keyed_quota::borrower::QuotaBorrower;
-use madderpoint_shared_state::keyed_quota::lender::QuotaLender;
+use madderpoint_shared_state::keyed_quota::lender::{QuotaLender, QuotaLenderSize};
 use madderpoint_shared_state::keyed_quota::{
     KeyGrant, KeyRequest, KeyedQuota, QuotaGrant, QuotaKind, QuotaRequest, QuotaTiming,
 };
 use madderpoint_shared_state::{
-    BackendGate, Budget, Kind, Nanos, NodeBudgets, ProcessId, ServiceHealth,
+    BackendGate, Budget, BudgetKind, Nanos, NodeBudgets, ProcessId, ServiceHealth,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -17,18 +19,24 @@
 
 const S: Nanos = 1_000_000_000;
 
-fn budgets() -> Vec<Budget> {
+fn all_budgets() -> Vec<Budget> {
     let budget = |name: &str, limit, kind| Budget {
         name: name.into(),
         limit,
         floor: 1_000_000,
-        nodes_most: 1,
+        max_nodes: 1,
         kind,
-        repeats_only: false,
+        retries_only: false,
     };
     vec![
-        budget("rate", 1_000_000, Kind::Rate { burst: S / 20 }),
-        budget("hands", 1_000_000, Kind::InHand { longest: 10 * S }),
+        budget("rate", 1_000_000, BudgetKind::Rate { burst: S / 20 }),
+        budget(
+            "in-flight",
+            1_000_000,
+            BudgetKind::InFlight {
+                max_call_time: 10 * S,
+            },
+        ),
     ]
 }
 
@@ -42,7 +50,7 @@
         name: "by-site".into(),
         kind,
         floor: 1,
-        nodes_most: 300,
+        max_nodes: 300,
     }
 }
 
@@ -58,73 +66,75 @@
 
 fn checks(c: &mut Criterion) {
     let mut group = c.benchmark_group("checks");
-    let (mut ends, mut now) = (NodeBudgets::new(0, &budgets()), S);
+    let (mut budgets, mut now) = (NodeBudgets::new(0, &all_budgets()), S);
     group.bench_function("a call under two budgets, and its end", |b| {
         b.iter(|| {
             now += 10_000;
-            if black_box(ends.take(now, false)).is_ok() {
-                ends.over(false);
+            if black_box(budgets.acquire(now, false)).is_ok() {
+                budgets.release(false);
             }
         });
     });
-    let mut judge = ServiceHealth::new(0, 1);
-    group.bench_function("a call by judgement, and its end", |b| {
+    let mut health = ServiceHealth::new(0, 1);
+    group.bench_function("a call by health, and its end", |b| {
         b.iter(|| {
             now += 10_000;
-            if black_box(judge.admits(now, false)) {
-                judge.ended(now, true);
+            if black_box(health.admits(now, false)) {
+                health.call_ended(now, true);
             }
         });
     });
-    let (mut gate, mut ends) = (BackendGate::new(0), NodeBudgets::new(0, &budgets()));
+    let (mut gate, mut budgets) = (BackendGate::new(0), NodeBudgets::new(0, &all_budgets()));
     group.bench_function("the gate", |b| {
         b.iter(|| {
             now += 10_000;
-            black_box(gate.admits(now, Some(&mut ends), Some(&mut judge)))
+            black_box(gate.admits(now, Some(&mut budgets), Some(&mut health)))
         });
     });
     for keys in [100u64, 100_000] {
-        let budget = by_key(1_000_000, 2_000_000);
+        let quota = by_key(1_000_000, 2_000_000);
         let before = resident_kib();
         // So quick a rhythm that all keys are lent something at once.
-        let rhythm = QuotaTiming {
-            urgent: 1,
-            renew: 3600 * S,
-            life: 3600 * S,
-            keep: 3600 * S,
+        let timing = QuotaTiming {
+            request_interval: 1,
+            renewal_interval: 3600 * S,
+            lease_duration: 3600 * S,
+            idle_timeout: 3600 * S,
         };
-        let mut wallet = QuotaBorrower::new(0, std::slice::from_ref(&budget), rhythm, 48 << 20, 7);
-        let id = budget.id();
+        let mut borrower = QuotaBorrower::new(0, std::slice::from_ref(&quota), timing, 48 << 20, 7);
+        let id = quota.id();
         let mut now = 1000 * S;
         for key in 0..keys {
-            let _ = wallet.fits(now, id, key);
+            let _ = borrower.check(now, id, key);
         }
         for _ in 0..keys / 48 + 100 {
             now += S / 50;
-            let Some(asked) = wallet.ask(now) else { break };
-            let keys = asked
+            let Some(request) = borrower.next_request(now) else {
+                break;
+            };
+            let keys = request
                 .keys
                 .iter()
-                .map(|k| KeyGrant {
-                    budget: k.budget,
-                    key: k.key,
-                    adds: 1_000_000,
-                    wait: 0,
+                .map(|key| KeyGrant {
+                    quota: key.quota,
+                    key: key.key,
+                    added: 1_000_000,
+                    retry_after: 0,
                 })
                 .collect();
-            wallet.lent(
+            borrower.receive_grant(
                 now,
                 &QuotaGrant {
-                    no: asked.no,
-                    stamp: asked.stamp,
-                    life: 3600 * S,
+                    number: request.number,
+                    request_sent_at: request.sent_at,
+                    lease_duration: 3600 * S,
                     keys,
                 },
             );
         }
         println!(
-            "wallet: {} keys, {} KiB",
-            wallet.keys(),
+            "borrower: {} keys, {} KiB",
+            borrower.tracked_keys(),
             resident_kib().saturating_sub(before)
         );
         let mut rng = Pcg64Mcg::seed_from_u64(1);
@@ -132,24 +142,24 @@
             b.iter(|| {
                 now += 1000;
                 let key = rng.random_range(0..keys);
-                if black_box(wallet.fits(now, id, key)).is_ok() {
-                    wallet.take(now, id, key);
+                if black_box(borrower.check(now, id, key)).is_ok() {
+                    borrower.acquire(now, id, key);
                 }
             });
         });
     }
-    let mut tally = ProcessCounters::new(0);
-    group.bench_function("counting an invocation", |b| {
+    let mut counters = ProcessCounters::new(0);
+    group.bench_function("counting a request", |b| {
         b.iter(|| {
             now += 1000;
             let unix = now / 1_000_000;
-            tally.add(unix, 7, column::ARRIVED, 1);
-            tally.add(unix, 7, column::ASKED, 1000);
-            tally.heavy(unix, heavy_kind::CALLERS, now % 64);
-            tally.add(unix, 7, column::SUCCEEDED, 1);
-            tally.add(unix, 7, column::EARNED, 1000);
-            tally.took(unix, 7, now % S);
-            tally.add(unix, OWN, 0, 1);
+            counters.add(unix, 7, operation_column::ARRIVED, 1);
+            counters.add(unix, 7, operation_column::OFFERED_WEIGHT, 1000);
+            counters.record_key(unix, heavy_kind::CLIENTS, now % 64);
+            counters.add(unix, 7, operation_column::SUCCEEDED, 1);
+            counters.add(unix, 7, operation_column::EARNED_WEIGHT, 1000);
+            counters.record_latency(unix, 7, now % S);
+            counters.add(unix, PROCESS_ROW, 0, 1);
         });
     });
     group.finish();
@@ -157,54 +167,72 @@
 
 /// A question of 48 keys at the books of the one who lends, with 300 nodes and a hundred thousand
 /// keys.
-fn books(c: &mut Criterion) {
-    let budget = by_key(100, 2000);
+fn quota_lender(c: &mut Criterion) {
+    let quota = by_key(100, 2000);
     let before = resident_kib();
-    let mut books = QuotaLender::new(
+    let mut lender = QuotaLender::new(
         0,
-        std::slice::from_ref(&budget),
-        QuotaTiming::of(300),
+        std::slice::from_ref(&quota),
+        QuotaTiming::for_nodes(300),
         128 << 20,
         7,
     );
     let mut rng = Pcg64Mcg::seed_from_u64(2);
     let mut now = 1000 * S;
-    let mut no = 0;
+    let mut number = 0;
     let mut question = |rng: &mut Pcg64Mcg| {
-        no += 1;
+        number += 1;
         let key = |rng: &mut Pcg64Mcg| KeyRequest {
-            budget: budget.id(),
+            quota: quota.id(),
             key: rng.random_range(0..100_000),
-            left: 0,
-            back: 0,
-            wants: 1,
+            kept: 0,
+            released: 0,
+            wanted: 1,
         };
         (
             rng.random_range(1..=300),
             QuotaRequest {
-                no,
-                stamp: 0,
+                number,
+                sent_at: 0,
                 keys: (0..48).map(|_| key(rng)).collect(),
             },
         )
     };
     for _ in 0..20_000 {
-        let (who, asked) = question(&mut rng);
-        let _ = books.ask(now, ProcessId { key: who, life: 1 }, &asked);
+        let (borrower_key, request) = question(&mut rng);
+        let _ = lender.request(
+            now,
+            ProcessId {
+                key: borrower_key,
+                incarnation: 1,
+            },
+            &request,
+        );
     }
-    let (keys, pockets, refused) = books.figures();
+    let QuotaLenderSize {
+        keys,
+        leases,
+        refused,
+    } = lender.size();
     println!(
-        "books: {keys} keys, {pockets} pockets, {refused} refused, {} KiB",
+        "lender: {keys} keys, {leases} leases, {refused} refused, {} KiB",
         resident_kib().saturating_sub(before)
     );
-    c.bench_function("books: a question of 48 of 100,000 keys", |b| {
+    c.bench_function("lender: a request of 48 of 100,000 keys", |b| {
         b.iter(|| {
             now += 100_000;
-            let (who, asked) = question(&mut rng);
-            black_box(books.ask(now, ProcessId { key: who, life: 1 }, &asked))
+            let (borrower_key, request) = question(&mut rng);
+            black_box(lender.request(
+                now,
+                ProcessId {
+                    key: borrower_key,
+                    incarnation: 1,
+                },
+                &request,
+            ))
         });
     });
 }
 
-criterion_group!(benches, checks, books);
+criterion_group!(benches, checks, quota_lender);
 criterion_main!(benches);
--- a/crates/shared-state/examples/compare.rs
+++ b/crates/shared-state/examples/compare.rs
@@ -9,42 +9,42 @@
 use madderpoint_shared_state::simulation::{
     KeyLoad, LimitStrategy, Load, Simulation, SimulationConfig,
 };
-use madderpoint_shared_state::{Budget, Kind, Nanos};
+use madderpoint_shared_state::{Budget, BudgetKind, Nanos};
 use rand::RngExt;
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1000 * MS;
-const WAYS: [LimitStrategy; 3] = [
+const STRATEGIES: [LimitStrategy; 3] = [
     LimitStrategy::Leases,
     LimitStrategy::EvenByView,
     LimitStrategy::Counter,
 ];
 
-fn plan(nodes: usize, way: LimitStrategy, seed: u64) -> SimulationConfig {
+fn config(nodes: usize, strategy: LimitStrategy, seed: u64) -> SimulationConfig {
     let limit = 100 * nodes as u32;
-    let nodes_most = nodes as u32 * 5 / 4;
-    let kind = Kind::Rate { burst: 50 * MS };
+    let max_nodes = nodes as u32 * 5 / 4;
+    let kind = BudgetKind::Rate { burst: 50 * MS };
     let budget = Budget {
         name: "b".into(),
         limit,
         floor: 2,
-        nodes_most,
+        max_nodes,
         kind,
-        repeats_only: false,
+        retries_only: false,
     };
     SimulationConfig {
         nodes,
         zones: 3,
-        way,
+        strategy,
         budget,
         loss: 0.01,
         latency: (MS / 2, 5 * MS),
-        drift: 0.005,
-        sight: 5 * S,
+        clock_drift: 0.005,
+        view_delay: 5 * S,
         seed,
-        keys: None,
-        key_bytes: 0,
-        counted: 0,
+        quota: None,
+        quota_bytes: 0,
+        max_counted_processes: 0,
     }
 }
 
@@ -70,36 +70,37 @@
 
 /// Seconds that a fleet of this size has to settle: terms get longer with it.
 fn settle(sim: &mut Simulation) {
-    let time = if sim.plan.nodes > 600 { 60 } else { 12 };
+    let time = if sim.config.nodes > 600 { 60 } else { 12 };
     sim.run(time * S);
-    sim.measure_anew();
+    sim.reset_result();
 }
 
-fn line(name: &str, way: LimitStrategy, seconds: u64, sim: &Simulation) {
-    let m = &sim.measured;
-    let limit = f64::from(sim.plan.budget.limit);
-    let nodes = sim.plan.nodes as f64;
+fn line(name: &str, strategy: LimitStrategy, seconds: u64, sim: &Simulation) {
+    let m = &sim.result;
+    let limit = f64::from(sim.config.budget.limit);
+    let nodes = sim.config.nodes as f64;
     println!(
-        "| {} | {name} | {way:?} | {:.2} | {:.2} | {} | {:.1} | {:.0} |",
-        sim.plan.nodes,
-        m.made as f64 / seconds as f64 / limit,
-        m.worst_over / limit,
-        m.seconds_over,
+        "| {} | {name} | {strategy:?} | {:.2} | {:.2} | {} | {:.1} | {:.0} |",
+        sim.config.nodes,
+        m.calls_made as f64 / seconds as f64 / limit,
+        m.max_over_limit / limit,
+        m.seconds_over_limit,
         m.messages as f64 / seconds as f64 / nodes,
         m.bytes as f64 / seconds as f64 / nodes
     );
 }
 
 /// Until nine tenths of the limit are in use after all demand has moved to others.
-fn adapts(nodes: usize, way: LimitStrategy) -> Option<Nanos> {
-    let mut sim = Simulation::new(plan(nodes, way, 1), skewed());
+fn adapts(nodes: usize, strategy: LimitStrategy) -> Option<Nanos> {
+    let mut sim = Simulation::new(config(nodes, strategy, 1), skewed());
     settle(&mut sim);
-    sim.load(Box::new(|n, _| if n % 5 == 1 { 1000.0 } else { 1.0 }));
+    sim.set_load(Box::new(|n, _| if n % 5 == 1 { 1000.0 } else { 1.0 }));
     let begun = sim.now;
     while sim.now < begun + 60 * S {
-        let before = sim.measured.made;
+        let before = sim.result.calls_made;
         sim.run(200 * MS);
-        if (sim.measured.made - before) as f64 >= 0.9 * f64::from(sim.plan.budget.limit) / 5.0 {
+        if (sim.result.calls_made - before) as f64 >= 0.9 * f64::from(sim.config.budget.limit) / 5.0
+        {
             return Some(sim.now - begun);
         }
     }
@@ -112,45 +113,47 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for nodes in sizes.iter().copied() {
-        for way in WAYS {
+        for strategy in STRATEGIES {
             for (name, load) in [
                 ("even demand", even as fn() -> Load),
                 ("skewed", skewed),
                 ("moving", moving),
             ] {
-                let mut sim = Simulation::new(plan(nodes, way, 1), load());
+                let mut sim = Simulation::new(config(nodes, strategy, 1), load());
                 settle(&mut sim);
                 sim.run(20 * S);
-                line(name, way, 20, &sim);
+                line(name, strategy, 20, &sim);
             }
-            let mut sim = Simulation::new(plan(nodes, way, 1), even());
+            let mut sim = Simulation::new(config(nodes, strategy, 1), even());
             settle(&mut sim);
-            sim.cut(|a, b| a % 3 != b % 3);
+            sim.cut_links(|a, b| a % 3 != b % 3);
             sim.run(20 * S);
-            line("cut in thirds", way, 20, &sim);
-            let mut sim = Simulation::new(plan(nodes, way, 1), even());
+            line("cut in thirds", strategy, 20, &sim);
+            let mut sim = Simulation::new(config(nodes, strategy, 1), even());
             settle(&mut sim);
             for n in 0..nodes / 2 {
                 sim.crash(n * 2);
                 sim.run(20 * S / (nodes as u64 / 2).max(1));
                 sim.start(n * 2);
             }
-            line("half replaced in 20 s", way, 20, &sim);
-            let mut sim = Simulation::new(plan(nodes, way, 1), even());
+            line("half replaced in 20 s", strategy, 20, &sim);
+            let mut sim = Simulation::new(config(nodes, strategy, 1), even());
             settle(&mut sim);
             sim.crash(0);
             sim.run(20 * S);
-            line("the first node dies", way, 20, &sim);
-            let adapted = adapts(nodes, way).map_or("never".to_owned(), |time| {
+            line("the first node dies", strategy, 20, &sim);
+            let adapted = adapts(nodes, strategy).map_or("never".to_owned(), |time| {
                 format!("{:.1} s", time as f64 / 1e9)
             });
-            println!("| {nodes} | nine tenths in use after a move | {way:?} | {adapted} | | | | |");
+            println!(
+                "| {nodes} | nine tenths in use after a move | {strategy:?} | {adapted} | | | | |"
+            );
         }
     }
 }
 
 /// Keys of a tenth as many as nodes, at least five; each 20 a second, 4 a node saved.
-fn key_plan(nodes: usize, way: LimitStrategy, seed: u64) -> (SimulationConfig, u64) {
+fn key_config(nodes: usize, strategy: LimitStrategy, seed: u64) -> (SimulationConfig, u64) {
     let (most, keys) = (nodes as u32 * 5 / 4, (nodes as u64 / 10).max(5));
     let kind = QuotaKind::Rate {
         count: 20,
@@ -161,13 +164,13 @@
         name: "k".into(),
         kind,
         floor: 1,
-        nodes_most: most,
+        max_nodes: most,
     };
     (
         SimulationConfig {
-            keys: Some(budget),
-            key_bytes: 4 << 20,
-            ..plan(nodes, way, seed)
+            quota: Some(budget),
+            quota_bytes: 4 << 20,
+            ..config(nodes, strategy, seed)
         },
         keys,
     )
@@ -215,7 +218,7 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for nodes in sizes.iter().copied() {
-        for way in WAYS {
+        for strategy in STRATEGIES {
             for (name, wanted) in [
                 ("under: 6 of 20 a second, spread", 6.0),
                 ("over: 60 of 20 a second, spread", 60.0),
@@ -223,26 +226,26 @@
                 ("over, and it moves every 10 s", 60.0),
                 ("over, cut in thirds", 60.0),
             ] {
-                let (plan, keys) = key_plan(nodes, way, 1);
-                let mut sim = Simulation::new(plan, Box::new(|_, _| 0.0));
-                sim.key_load(match name {
+                let (config, keys) = key_config(nodes, strategy, 1);
+                let mut sim = Simulation::new(config, Box::new(|_, _| 0.0));
+                sim.set_key_load(match name {
                     "over, at one node of twenty" => at_few(nodes, keys, wanted, false),
                     "over, and it moves every 10 s" => at_few(nodes, keys, wanted, true),
                     _ => spread(nodes, keys, wanted),
                 });
                 sim.run(if nodes > 600 { 150 * S } else { 40 * S });
                 if name == "over, cut in thirds" {
-                    sim.cut(|a, b| a % 3 != b % 3);
+                    sim.cut_links(|a, b| a % 3 != b % 3);
                 }
-                sim.measure_anew();
+                sim.reset_result();
                 sim.run(30 * S);
-                let m = &sim.measured;
+                let m = &sim.result;
                 let may = wanted.min(20.0) * keys as f64 * 30.0;
                 println!(
-                    "| {nodes} | {keys} | {name} | {way:?} | {:.2} | {:.2} | {:.0} | {:.1} | {:.0} |",
-                    m.keys_made as f64 / may,
+                    "| {nodes} | {keys} | {name} | {strategy:?} | {:.2} | {:.2} | {:.0} | {:.1} | {:.0} |",
+                    m.keys_admitted as f64 / may,
                     m.keys_refused as f64 / m.keys_wanted.max(1) as f64,
-                    m.keys_over.max(0.0),
+                    m.max_key_over_limit.max(0.0),
                     m.messages as f64 / 30.0 / nodes as f64,
                     m.bytes as f64 / 30.0 / nodes as f64
                 );
--- a/crates/shared-state/src/backend_gate.rs
+++ b/crates/shared-state/src/backend_gate.rs
@@ -1,131 +1,144 @@
-//! What needs a call that can't be made is turned away before it runs, at once and with the time at
-//! which it is worth to come back. Else it would run up to its call, hold a core, and err there.
+//! Admits requests that need a backend call only as fast as calls find room. Others are rejected
+//! before they run, with the time to come back: a request that runs up to a call that can't be made
+//! would use a core and fail there.
 
 use crate::budget::NodeBudgets;
-use crate::service_health::{HealthState, ServiceHealth};
+use crate::service_health::{HealthState, ServiceHealth, take_credit};
 use crate::{MILLISECOND, Nanos, SECOND};
 
-/// What may be saved up, as a time.
-const SAVED: Nanos = 250 * MILLISECOND;
-/// A run's calls move the mean by this.
-const LEARN: f64 = 0.05;
-/// Of the room below so much is filled: calls don't come as evenly as runs are let in.
-const FILLS: f64 = 0.95;
-const LEAST_CALLS: f64 = 0.05;
-/// Between two that are let in to try a service that is down.
-const TRY: Nanos = 500 * MILLISECOND;
+/// The time whose unused admissions may be saved up, in nanoseconds.
+const BURST: Nanos = 250 * MILLISECOND;
+/// The fewest admissions that may be saved up.
+const MIN_BURST_REQUESTS: f64 = 2.0;
+/// The weight of one request in the mean of calls for a request.
+const CALLS_MEAN_WEIGHT: f64 = 0.05;
+/// The least mean of calls for a request.
+const MIN_CALLS_PER_REQUEST: f64 = 0.05;
+/// The part of the calls a second that is admitted: calls come less evenly than requests.
+const ADMITTED_PART: f64 = 0.95;
+/// The time between two requests that are admitted to probe an unavailable service, in nanoseconds.
+const PROBE_INTERVAL: Nanos = 500 * MILLISECOND;
+/// The bounds of a Retry-After, in nanoseconds.
+const RETRY_AFTER_BOUNDS: (Nanos, Nanos) = (MILLISECOND, 10 * SECOND);
 
-/// Lets in so many of those that need a call as there is room below.
+/// Requests that were admitted and rejected.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct GateCounts {
+    /// Requests that were admitted.
+    pub admitted: u64,
+    /// Requests that were rejected.
+    pub rejected: u64,
+}
+
+/// Admits requests that need a backend call by the room there is for calls.
 #[derive(Clone, Debug)]
 pub struct BackendGate {
-    saved: f64,
-    counted: Nanos,
-    /// Calls that a run makes, on average.
-    calls: f64,
-    /// What is owed to the level of a service that is thinned out.
-    owed: f64,
-    tried: Nanos,
-    let_in: u64,
-    turned_away: u64,
+    /// Requests that may be admitted now, as of `refilled_at`.
+    tokens: f64,
+    refilled_at: Nanos,
+    /// The mean number of calls for a request.
+    calls_per_request: f64,
+    /// Accumulates the admitted share of a service that is thinned out.
+    admission_credit: f64,
+    last_probe_at: Nanos,
+    counts: GateCounts,
 }
 
 impl BackendGate {
-    /// Nothing is saved.
+    /// A gate without saved admissions.
     pub fn new(now: Nanos) -> BackendGate {
         BackendGate {
-            saved: 0.0,
-            counted: now,
-            calls: 1.0,
-            owed: 0.0,
-            tried: 0,
-            let_in: 0,
-            turned_away: 0,
+            tokens: 0.0,
+            refilled_at: now,
+            calls_per_request: 1.0,
+            admission_credit: 0.0,
+            last_probe_at: 0,
+            counts: GateCounts::default(),
         }
     }
 
-    /// Whether one more may run; else when it is worth to come back.
+    /// Whether one more request may run; else after how many nanoseconds it should come back.
     pub fn admits(
         &mut self,
         now: Nanos,
-        ends: Option<&mut NodeBudgets>,
-        judge: Option<&mut ServiceHealth>,
+        budgets: Option<&mut NodeBudgets>,
+        health: Option<&mut ServiceHealth>,
     ) -> Result<(), Nanos> {
-        let service = judge.map_or(Ok(()), |judge| self.service(now, judge));
-        let room = match (&service, ends) {
-            (Ok(()), Some(ends)) => self.room(now, ends),
+        let by_health = health.map_or(Ok(()), |health| self.check_health(now, health));
+        let by_room = match (&by_health, budgets) {
+            (Ok(()), Some(budgets)) => self.check_room(now, budgets),
             _ => Ok(()),
         };
-        let admits = service.and(room);
+        let admits = by_health.and(by_room);
         *(if admits.is_ok() {
-            &mut self.let_in
+            &mut self.counts.admitted
         } else {
-            &mut self.turned_away
+            &mut self.counts.rejected
         }) += 1;
         admits
     }
 
-    /// By what the service below is judged to be.
-    fn service(&mut self, now: Nanos, judge: &mut ServiceHealth) -> Result<(), Nanos> {
-        let goes = match judge.mode() {
+    /// Admits by the health of the backend service.
+    fn check_health(&mut self, now: Nanos, health: &mut ServiceHealth) -> Result<(), Nanos> {
+        let admits = match health.state() {
             HealthState::Healthy => true,
-            // Those who try it need something to try it with.
+            // A prober needs a request to probe it with.
             HealthState::Unavailable => {
-                let tries = judge.is_try_due(now) && now >= self.tried + TRY;
-                if tries {
-                    self.tried = now;
+                let probes = health.is_probe_due(now) && now >= self.last_probe_at + PROBE_INTERVAL;
+                if probes {
+                    self.last_probe_at = now;
                 }
-                tries
+                probes
             }
             HealthState::Degraded | HealthState::Recovering => {
-                self.owed += judge.level();
-                let goes = self.owed >= 1.0;
-                self.owed -= if goes { 1.0 } else { 0.0 };
-                goes
+                take_credit(&mut self.admission_credit, health.admitted_share())
             }
         };
-        if goes {
+        if admits {
             Ok(())
         } else {
-            Err(judge.pause(now).max(MILLISECOND))
+            Err(health.retry_after(now).max(MILLISECOND))
         }
     }
 
-    /// By the budgets: as many runs as they have calls for.
-    fn room(&mut self, now: Nanos, ends: &mut NodeBudgets) -> Result<(), Nanos> {
-        if let Some(pause) = ends.is_full(now) {
-            ends.wished(now);
-            return Err(pause.max(MILLISECOND));
+    /// Admits by the budgets: as many requests as there are calls for.
+    fn check_room(&mut self, now: Nanos, budgets: &mut NodeBudgets) -> Result<(), Nanos> {
+        if let Some(retry_after) = budgets.retry_after_if_full(now) {
+            budgets.note_unmet_demand(now);
+            return Err(retry_after.max(MILLISECOND));
         }
-        let Some(units) = ends.a_second(now) else {
+        let Some(calls_per_second) = budgets.calls_per_second(now) else {
             return Ok(());
         };
-        let rate = FILLS * units / self.calls;
-        let passed =
-            now.saturating_sub(std::mem::replace(&mut self.counted, now)) as f64 / SECOND as f64;
-        let most = (rate * SAVED as f64 / SECOND as f64).max(2.0);
-        self.saved = (self.saved + rate * passed).min(most);
-        if self.saved >= 1.0 {
-            self.saved -= 1.0;
+        let rate = ADMITTED_PART * calls_per_second / self.calls_per_request;
+        let passed = now.saturating_sub(std::mem::replace(&mut self.refilled_at, now)) as f64
+            / SECOND as f64;
+        let most = (rate * BURST as f64 / SECOND as f64).max(MIN_BURST_REQUESTS);
+        self.tokens = (self.tokens + rate * passed).min(most);
+        if self.tokens >= 1.0 {
+            self.tokens -= 1.0;
             return Ok(());
         }
-        // What is turned away here never comes to its call, and is wanted all the same.
-        ends.wished(now);
-        let pause = if rate > 0.0 {
-            ((1.0 - self.saved) / rate * SECOND as f64) as Nanos
+        // A request that is rejected here never attempts its call, which is demand all the same.
+        budgets.note_unmet_demand(now);
+        let retry_after = if rate > 0.0 {
+            ((1.0 - self.tokens) / rate * SECOND as f64) as Nanos
         } else {
             SECOND
         };
-        Err(pause.clamp(MILLISECOND, 10 * SECOND))
+        Err(retry_after.clamp(RETRY_AFTER_BOUNDS.0, RETRY_AFTER_BOUNDS.1))
     }
 
-    /// A run that was let in is over, and made so many calls.
-    pub fn ran(&mut self, calls: u32) {
-        self.calls = (self.calls + LEARN * (f64::from(calls) - self.calls)).max(LEAST_CALLS);
+    /// A request that was admitted has ended after this many calls.
+    pub fn request_ended(&mut self, calls: u32) {
+        let distance = f64::from(calls) - self.calls_per_request;
+        self.calls_per_request =
+            (self.calls_per_request + CALLS_MEAN_WEIGHT * distance).max(MIN_CALLS_PER_REQUEST);
     }
 
-    /// How many were let in and turned away.
-    pub fn tally(&self) -> (u64, u64) {
-        (self.let_in, self.turned_away)
+    /// Requests that were admitted and rejected.
+    pub fn counts(&self) -> GateCounts {
+        self.counts
     }
 }
 
--- a/crates/shared-state/src/budget/borrower.rs
+++ b/crates/shared-state/src/budget/borrower.rs
@@ -1,80 +1,107 @@
-//! A node's end of a budget: its floor, which was always its own, and the part that it was lent;
-//! what it may spend now.
+//! A node's end of a budget: its guaranteed floor and its current lease, and what it may use of
+//! them now.
+//!
+//! A lease counts from the instant at which it was requested, shortened by the clock drift bound,
+//! and shrinks towards its end, so that a node that reaches nobody falls to its floor in steps. At
+//! most one lease counts at a time: a lease of another lender only after the held one has expired.
 
-use super::{Budget, Kind, Lease};
-use crate::{Nanos, SECOND, shorter};
+use super::{Budget, BudgetKind, Lease, LeaseId};
+use crate::clock::drift_shortened;
+use crate::{Nanos, SECOND};
 
 mod node_budgets;
 pub use node_budgets::NodeBudgets;
 
-/// A part as its borrower has it.
+/// The window over which demand is counted, in nanoseconds.
+const DEMAND_WINDOW: Nanos = SECOND / 4;
+/// Windows of demand that are kept.
+const DEMAND_WINDOWS: usize = 3;
+/// The requested units as a multiple of the recent demand, so that a rise finds some.
+const DEMAND_HEADROOM: f64 = 1.25;
+/// A call that found no unit may try again after this part of the longest call.
+pub(super) const RETRY_PART_OF_CALL: Nanos = 8;
+
+/// The lease that a borrower holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct HeldLease {
-    book: u64,
-    no: u64,
+    id: LeaseId,
     units: u32,
-    /// When it was asked for: its time counts from there.
-    from: Nanos,
-    term: Nanos,
+    requested_at: Nanos,
+    duration: Nanos,
 }
 
 impl HeldLease {
-    /// What of it may be used now: all in the first half of its time, then half, then a quarter, so
-    /// that one who hears nothing falls in steps.
+    /// Units that may be used now: all in the first half of the lease, half in its third quarter, a
+    /// quarter in its last.
     fn units(&self, now: Nanos) -> u32 {
-        let (age, term) = (now.saturating_sub(self.from), shorter(self.term));
+        let age = now.saturating_sub(self.requested_at);
+        let duration = drift_shortened(self.duration);
         match age {
-            age if age < term / 2 => self.units,
-            age if age < term / 4 * 3 => self.units / 2,
-            age if age < term => self.units / 4,
+            age if age < duration / 2 => self.units,
+            age if age < duration / 4 * 3 => self.units / 2,
+            age if age < duration => self.units / 4,
             _ => 0,
         }
     }
 }
 
-/// Windows over which demand is counted.
-const WINDOW: Nanos = SECOND / 4;
-/// What is asked for beyond what was wanted lately, so that a rise finds some.
-const AHEAD: f64 = 1.25;
+/// The latest lease, with its age.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LeaseAge {
+    /// The lease.
+    pub lease: Lease,
+    /// Time since it was requested, in nanoseconds.
+    pub since_request: Nanos,
+    /// Time since it was received, in nanoseconds.
+    pub since_grant: Nanos,
+}
+
+/// Calls that a budget allowed and refused.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct CallCounts {
+    /// Calls that found a unit.
+    pub allowed: u64,
+    /// Calls that found none.
+    pub refused: u64,
+}
 
 /// A node's end of a budget.
 #[derive(Clone, Debug)]
 pub struct BudgetBorrower {
     budget: Budget,
     held: Option<HeldLease>,
-    /// Calls that may be made at once, of a rate; with when they were counted up.
-    saved: f64,
-    counted: Nanos,
-    /// Of its units, the share that is used while what lies below starts slowly.
-    share: f64,
-    in_hand: u32,
-    /// Tries in this window and in the two before, taken or not.
-    tries: [u32; 3],
+    /// Of a rate: calls that may be made at once, as of `refilled_at`.
+    tokens: f64,
+    refilled_at: Nanos,
+    /// The share of its units that is used while the backend starts slowly.
+    usable_share: f64,
+    in_flight: u32,
+    /// Attempts in the current window and in those before, allowed or not.
+    attempts: [u32; DEMAND_WINDOWS],
+    /// The current window's number.
     window: Nanos,
-    peak: u32,
-    /// What the one who lends said with its latest part, and when that was.
-    told: Option<(Nanos, Lease)>,
-    allowed: u64,
-    refused: u64,
+    /// The most in flight that was attempted lately.
+    peak_in_flight: u32,
+    /// When the latest lease was received, and what it says.
+    latest_grant: Option<(Nanos, Lease)>,
+    counts: CallCounts,
 }
 
 impl BudgetBorrower {
-    /// One of a node that has just started: nothing is saved and nothing is lent.
+    /// The end of a node that has just started: without tokens or a lease.
     pub fn new(now: Nanos, budget: Budget) -> BudgetBorrower {
-        let window = now / WINDOW;
         BudgetBorrower {
             budget,
             held: None,
-            saved: 0.0,
-            counted: now,
-            share: 1.0,
-            in_hand: 0,
-            tries: [0; 3],
-            window,
-            peak: 0,
-            told: None,
-            allowed: 0,
-            refused: 0,
+            tokens: 0.0,
+            refilled_at: now,
+            usable_share: 1.0,
+            in_flight: 0,
+            attempts: [0; DEMAND_WINDOWS],
+            window: now / DEMAND_WINDOW,
+            peak_in_flight: 0,
+            latest_grant: None,
+            counts: CallCounts::default(),
         }
     }
 
@@ -83,198 +110,203 @@
         &self.budget
     }
 
-    /// Another limit, floor or number of nodes. What is held stays until its time is over.
-    pub fn rebudget(&mut self, budget: Budget) {
+    /// Changes the limit, floor or number of nodes. A held lease lasts until it expires.
+    pub fn update_budget(&mut self, budget: Budget) {
         self.budget = budget;
     }
 
-    /// Units that are this node's now: its floor, and what it was lent.
+    /// Units that this node may use now: its floor and its lease.
     pub fn units(&self, now: Nanos) -> u32 {
         self.budget.floor + self.held.map_or(0, |held| held.units(now))
     }
 
-    /// A part came that was asked for then. One of the same book from before what is held is out of
-    /// date, and one of another book counts only once what is held is over: no two are ever used
-    /// together.
-    pub fn lend(&mut self, now: Nanos, asked: Nanos, part: Lease) {
-        self.count_up(now);
-        let takes = self.held.is_none_or(|held| {
-            if held.book == part.book {
-                part.no > held.no
+    /// Receives a lease that was requested at `requested_at`. Of the same lender only a later lease
+    /// replaces the held one; of another lender only after the held one has expired, so that no two
+    /// are ever used together.
+    pub fn receive_lease(&mut self, now: Nanos, requested_at: Nanos, lease: Lease) {
+        self.refill(now);
+        let replaces = self.held.is_none_or(|held| {
+            if held.id.lender == lease.id.lender {
+                lease.id.number > held.id.number
             } else {
-                now >= held.from + shorter(held.term)
+                now >= held.requested_at + drift_shortened(held.duration)
             }
         });
-        if takes {
-            let Lease {
-                book,
-                no,
-                units,
-                term,
-                ..
-            } = part;
+        if replaces {
             self.held = Some(HeldLease {
-                book,
-                no,
-                units,
-                from: asked,
-                term,
+                id: lease.id,
+                units: lease.units,
+                requested_at,
+                duration: lease.duration,
             });
-            self.told = Some((now, part));
+            self.latest_grant = Some((now, lease));
         }
     }
 
-    /// What was lent is not used any more.
-    pub fn drop_part(&mut self, now: Nanos) {
-        self.count_up(now);
+    /// Stops using the lease.
+    pub fn drop_lease(&mut self, now: Nanos) {
+        self.refill(now);
         self.held = None;
-        self.count_up(now);
+        self.refill(now);
     }
 
-    /// Which part of which book it holds, to be told to the lender. A smaller one counts as held
-    /// only once no more is in hand.
-    pub fn holds(&self) -> (u64, u64) {
+    /// The lease that it holds, to be reported to the lender. A smaller one counts as held only once
+    /// no more than it allows is in flight.
+    pub fn held_lease(&self) -> LeaseId {
         match (self.held, self.budget.kind) {
-            (Some(held), Kind::Rate { .. }) => (held.book, held.no),
-            (Some(held), Kind::InHand { .. }) if self.in_hand <= self.budget.floor + held.units => {
-                (held.book, held.no)
+            (Some(held), BudgetKind::Rate { .. }) => held.id,
+            (Some(held), BudgetKind::InFlight { .. })
+                if self.in_flight <= self.budget.floor + held.units =>
+            {
+                held.id
             }
-            _ => (0, 0),
+            _ => LeaseId::default(),
         }
     }
 
-    /// What it wants to be lent, by what was tried lately.
-    pub fn wants(&mut self, now: Nanos) -> u32 {
-        self.roll(now);
-        let wanted = match self.budget.kind {
-            Kind::Rate { .. } => {
-                let most = self.tries.iter().copied().max().unwrap_or(0);
-                f64::from(most) * (SECOND / WINDOW) as f64
+    /// Units to request beside the floor, by the recent attempts.
+    pub fn demand(&mut self, now: Nanos) -> u32 {
+        self.roll_windows(now);
+        let demand = match self.budget.kind {
+            BudgetKind::Rate { .. } => {
+                let most = self.attempts.iter().copied().max().unwrap_or(0);
+                f64::from(most) * (SECOND / DEMAND_WINDOW) as f64
             }
-            Kind::InHand { .. } => f64::from(self.peak.max(self.in_hand)),
+            BudgetKind::InFlight { .. } => f64::from(self.peak_in_flight.max(self.in_flight)),
         };
-        ((wanted * AHEAD).ceil() as u32)
+        ((demand * DEMAND_HEADROOM).ceil() as u32)
             .saturating_sub(self.budget.floor)
             .min(self.budget.pool())
     }
 
-    fn roll(&mut self, now: Nanos) {
-        let window = now / WINDOW;
-        for _ in self.window..window.min(self.window + 3) {
-            self.tries.rotate_right(1);
-            self.tries[0] = 0;
-            // Of calls in hand: what was reached lately fades by a quarter each window.
-            self.peak = self.in_hand.max(self.peak - self.peak / 4);
+    fn roll_windows(&mut self, now: Nanos) {
+        let window = now / DEMAND_WINDOW;
+        for _ in self.window..window.min(self.window + DEMAND_WINDOWS as u64) {
+            self.attempts.rotate_right(1);
+            self.attempts[0] = 0;
+            // The peak fades by a quarter each window.
+            self.peak_in_flight = self
+                .in_flight
+                .max(self.peak_in_flight - self.peak_in_flight / 4);
         }
         self.window = window;
     }
 
-    /// Calls a second that are its own now.
-    fn a_second(&self, now: Nanos) -> f64 {
-        f64::from(self.units(now)) * self.share
+    /// Counts an attempt towards the demand.
+    fn note_attempt(&mut self) {
+        self.attempts[0] = self.attempts[0].saturating_add(1);
+    }
+
+    /// Counts towards the demand that one more call was wanted in flight.
+    fn note_peak(&mut self) {
+        self.peak_in_flight = self.peak_in_flight.max(self.in_flight + 1);
+    }
+
+    /// Calls a second that it may make now.
+    fn calls_per_second(&self, now: Nanos) -> f64 {
+        f64::from(self.units(now)) * self.usable_share
     }
 
-    /// From now on this share of its units is used. Where it falls, what was saved goes but for a
-    /// part of one call: nodes that learn of a start in the same instant must not all send one
-    /// then.
-    fn slow_start(&mut self, now: Nanos, share: f64, part: f64) {
-        if share == self.share {
+    /// Uses only this share of its units from now on. Where the share falls, saved tokens are cut to
+    /// `kept_tokens`, less than one call: nodes that learn of a start in the same instant must not
+    /// all send a call at once.
+    fn set_usable_share(&mut self, now: Nanos, share: f64, kept_tokens: f64) {
+        if share == self.usable_share {
             return;
         }
-        self.count_up(now);
-        if share < self.share {
-            self.saved = self.saved.min(part);
+        self.refill(now);
+        if share < self.usable_share {
+            self.tokens = self.tokens.min(kept_tokens);
         }
-        self.share = share;
+        self.usable_share = share;
     }
 
-    /// ClusterCounters up what was saved since, at the rate that held. A clock may run fast by the drift, so
-    /// it is counted shorter.
-    fn count_up(&mut self, now: Nanos) {
-        let Kind::Rate { burst } = self.budget.kind else {
+    /// Adds the tokens of the time since the last refill. A clock may run fast, so the time counts
+    /// as shortened by the drift bound.
+    fn refill(&mut self, now: Nanos) {
+        let BudgetKind::Rate { burst } = self.budget.kind else {
             return;
         };
-        let units = self.a_second(now);
-        let most = (units * burst as f64 / SECOND as f64).max(if units > 0.0 { 1.0 } else { 0.0 });
-        // The units of this moment are the least since the last count: parts only shrink in
-        // between.
-        let passed = shorter(now.saturating_sub(self.counted));
-        self.saved = (self.saved + units * passed as f64 / SECOND as f64).min(most);
-        self.counted = now;
+        // A lease only shrinks between two refills: the units of this moment are the least since.
+        let rate = self.calls_per_second(now);
+        let most = (rate * burst as f64 / SECOND as f64).max(if rate > 0.0 { 1.0 } else { 0.0 });
+        let passed = drift_shortened(now.saturating_sub(self.refilled_at));
+        self.tokens = (self.tokens + rate * passed as f64 / SECOND as f64).min(most);
+        self.refilled_at = now;
     }
 
-    /// Whether one more call may be made now; else after how long it is worth to ask again. Nothing
-    /// is taken yet; what is wanted is told to the one who lends in any case.
-    pub fn fits(&mut self, now: Nanos) -> Result<(), Nanos> {
-        self.roll(now);
-        self.tries[0] = self.tries[0].saturating_add(1);
-        let fits = match self.budget.kind {
-            Kind::Rate { .. } => {
-                self.count_up(now);
-                let units = self.a_second(now);
-                match self.saved {
-                    saved if saved >= 1.0 => Ok(()),
-                    saved if units > 0.0 => Err(((1.0 - saved) / units * SECOND as f64) as Nanos),
+    /// Checks whether one more call may be made now, and counts the attempt; else returns after how
+    /// many nanoseconds to try again. Nothing is taken.
+    pub fn check(&mut self, now: Nanos) -> Result<(), Nanos> {
+        self.roll_windows(now);
+        self.note_attempt();
+        let checked = match self.budget.kind {
+            BudgetKind::Rate { .. } => {
+                self.refill(now);
+                let rate = self.calls_per_second(now);
+                match self.tokens {
+                    tokens if tokens >= 1.0 => Ok(()),
+                    tokens if rate > 0.0 => Err(((1.0 - tokens) / rate * SECOND as f64) as Nanos),
                     _ => Err(SECOND),
                 }
             }
-            Kind::InHand { longest } => {
-                self.peak = self.peak.max(self.in_hand + 1);
-                if self.in_hand < self.units(now) {
+            BudgetKind::InFlight { max_call_time } => {
+                self.note_peak();
+                if self.in_flight < self.units(now) {
                     Ok(())
                 } else {
-                    Err(longest / 8)
+                    Err(max_call_time / RETRY_PART_OF_CALL)
                 }
             }
         };
-        self.refused += u64::from(fits.is_err());
-        fits.map_err(|pause| pause.max(1))
+        self.counts.refused += u64::from(checked.is_err());
+        checked.map_err(|retry_after| retry_after.max(1))
     }
 
-    /// Takes one call that fits.
-    pub fn take_one(&mut self) {
-        self.allowed += 1;
+    /// Takes a unit for a call that was checked in this instant.
+    pub fn acquire_checked(&mut self) {
+        self.counts.allowed += 1;
         match self.budget.kind {
-            Kind::Rate { .. } => self.saved -= 1.0,
-            Kind::InHand { .. } => self.in_hand += 1,
+            BudgetKind::Rate { .. } => self.tokens -= 1.0,
+            BudgetKind::InFlight { .. } => self.in_flight += 1,
         }
     }
 
-    /// The same in one step.
-    pub fn take(&mut self, now: Nanos) -> Result<(), Nanos> {
-        self.fits(now)?;
-        self.take_one();
+    /// Checks for a unit and takes it; else returns after how many nanoseconds to try again.
+    pub fn acquire(&mut self, now: Nanos) -> Result<(), Nanos> {
+        self.check(now)?;
+        self.acquire_checked();
         Ok(())
     }
 
-    /// Whether nothing that was lent is in use any more: the floor is all there is.
+    /// Whether no leased units are in use: the floor is all there is.
     pub fn is_at_floor(&self, now: Nanos) -> bool {
         self.held.is_none_or(|held| held.units(now) == 0)
     }
 
-    /// What was lent last, how long ago it was asked for, and how long ago it came.
-    pub fn part(&self, now: Nanos) -> Option<(Lease, Nanos, Nanos)> {
-        let ((came, part), held) = self.told.zip(self.held)?;
-        Some((
-            part,
-            now.saturating_sub(held.from),
-            now.saturating_sub(came),
-        ))
+    /// The latest lease with its age, if one is held.
+    pub fn latest_lease(&self, now: Nanos) -> Option<LeaseAge> {
+        let ((received_at, lease), held) = self.latest_grant.zip(self.held)?;
+        Some(LeaseAge {
+            lease,
+            since_request: now.saturating_sub(held.requested_at),
+            since_grant: now.saturating_sub(received_at),
+        })
     }
 
     /// Calls that were allowed and refused.
-    pub fn tally(&self) -> (u64, u64) {
-        (self.allowed, self.refused)
+    pub fn counts(&self) -> CallCounts {
+        self.counts
     }
 
-    /// A call in hand is over.
-    pub fn over(&mut self) {
-        self.in_hand = self.in_hand.saturating_sub(1);
+    /// A call has ended.
+    pub fn release(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Calls in hand.
-    pub fn in_hand(&self) -> u32 {
-        self.in_hand
+    /// Calls in flight.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 }
 
--- a/crates/shared-state/src/budget/borrower/node_budgets.rs
+++ b/crates/shared-state/src/budget/borrower/node_budgets.rs
@@ -1,191 +1,191 @@
-//! All budgets of one node.
+//! All budgets of one node: a call takes a unit of each budget that it counts for, or of none.
 
-use super::BudgetBorrower;
-use crate::budget::{Budget, BudgetRequest, Kind, Lease};
+use super::{BudgetBorrower, RETRY_PART_OF_CALL};
+use crate::budget::{Budget, BudgetKind, BudgetRequest, Lease};
 use crate::{Nanos, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// All ends of one node.
+/// The least rate, in calls a second, that a wait is computed by.
+const MIN_RATE_FOR_WAIT: f64 = 1e-3;
+
+/// A node's ends of all budgets.
 #[derive(Clone, Debug)]
 pub struct NodeBudgets {
-    purses: Vec<BudgetBorrower>,
+    borrowers: Vec<BudgetBorrower>,
     value: f64,
     rng: Pcg64Mcg,
 }
 
 impl NodeBudgets {
-    /// Of a node that has just started.
+    /// The ends of a node that has just started.
     pub fn new(now: Nanos, budgets: &[Budget]) -> NodeBudgets {
-        let purses = budgets
+        let borrowers = budgets
             .iter()
             .map(|budget| BudgetBorrower::new(now, budget.clone()))
             .collect();
         NodeBudgets {
-            purses,
+            borrowers,
             value: 1.0,
             rng: Pcg64Mcg::seed_from_u64(now),
         }
     }
 
-    /// With chance of its own; each end begins short of its first call by a part of one, or
-    /// processes that start in one instant would all send it in one.
+    /// Seeds its random draws. Each end begins a random part of a call short of its first one:
+    /// processes that start in one instant would else all send it in one.
     pub fn with_seed(mut self, seed: u64) -> NodeBudgets {
         self.rng = Pcg64Mcg::seed_from_u64(seed);
-        for purse in &mut self.purses {
-            purse.saved = -self.rng.random::<f64>();
+        for borrower in &mut self.borrowers {
+            borrower.tokens = -self.rng.random::<f64>();
         }
         self
     }
 
-    /// From now on this share of the rates is used: what lies below starts slowly.
-    pub fn slow_start(&mut self, now: Nanos, share: f64) {
-        for purse in &mut self.purses {
-            let part = self.rng.random();
-            purse.slow_start(now, share, part);
+    /// Uses only this share of the rates from now on, because the backend starts slowly.
+    pub fn set_usable_share(&mut self, now: Nanos, share: f64) {
+        for borrower in &mut self.borrowers {
+            let kept_tokens = self.rng.random();
+            borrower.set_usable_share(now, share, kept_tokens);
         }
     }
 
-    /// The end of each budget, in their order.
-    pub fn purses(&mut self) -> &mut [BudgetBorrower] {
-        &mut self.purses
+    /// The end of each budget, in the order of the budgets.
+    pub fn borrowers(&mut self) -> &mut [BudgetBorrower] {
+        &mut self.borrowers
     }
 
-    /// Other limits hold from now on.
-    pub fn rebudget(&mut self, budgets: &[Budget]) {
-        for purse in &mut self.purses {
+    /// Changes the limits of the budgets that are known by their ids; others are passed over.
+    pub fn update_budgets(&mut self, budgets: &[Budget]) {
+        for borrower in &mut self.borrowers {
             if let Some(budget) = budgets
                 .iter()
-                .find(|budget| budget.id() == purse.budget.id())
+                .find(|budget| budget.id() == borrower.budget.id())
             {
-                purse.rebudget(budget.clone());
+                borrower.update_budget(budget.clone());
             }
         }
     }
 
-    /// How much a unit is worth to this node, against others.
+    /// Sets the value of a unit to this node, compared with others.
     pub fn set_value(&mut self, value: f64) {
         self.value = value;
     }
 
-    /// Whether one more call may be made under all budgets that it counts for; else when it is
-    /// worth to ask again. It takes of all or of none.
-    pub fn take(&mut self, now: Nanos, repeats: bool) -> Result<(), Nanos> {
-        let mut pause = None;
-        for purse in self
-            .purses
+    fn counting(&mut self, is_retry: bool) -> impl Iterator<Item = &mut BudgetBorrower> {
+        self.borrowers
             .iter_mut()
-            .filter(|purse| repeats || !purse.budget.repeats_only)
-        {
-            if let Err(more) = purse.fits(now) {
-                pause = Some(pause.map_or(more, |pause: Nanos| pause.max(more)));
+            .filter(move |borrower| is_retry || !borrower.budget.retries_only)
+    }
+
+    /// Takes a unit of each budget that the call counts for, or of none; then returns after how many
+    /// nanoseconds to try again.
+    pub fn acquire(&mut self, now: Nanos, is_retry: bool) -> Result<(), Nanos> {
+        let mut retry_after = None;
+        for borrower in self.counting(is_retry) {
+            if let Err(wait) = borrower.check(now) {
+                retry_after = Some(retry_after.map_or(wait, |longest: Nanos| longest.max(wait)));
             }
         }
-        if let Some(pause) = pause {
-            return Err(pause);
+        if let Some(retry_after) = retry_after {
+            return Err(retry_after);
         }
-        self.purses
-            .iter_mut()
-            .filter(|purse| repeats || !purse.budget.repeats_only)
-            .for_each(BudgetBorrower::take_one);
+        self.counting(is_retry)
+            .for_each(BudgetBorrower::acquire_checked);
         Ok(())
     }
 
-    /// Calls a second that may be made now by the budgets of rates that all calls count for; none
-    /// if there is no such.
-    pub fn a_second(&self, now: Nanos) -> Option<f64> {
-        let rates = self.purses.iter().filter(|purse| {
-            matches!(purse.budget.kind, Kind::Rate { .. }) && !purse.budget.repeats_only
+    /// Calls a second that the budgets by rate that all calls count for allow now; none if there is
+    /// no such budget.
+    pub fn calls_per_second(&self, now: Nanos) -> Option<f64> {
+        let rates = self.borrowers.iter().filter(|borrower| {
+            matches!(borrower.budget.kind, BudgetKind::Rate { .. }) && !borrower.budget.retries_only
         });
-        rates.map(|purse| purse.a_second(now)).reduce(f64::min)
+        rates
+            .map(|borrower| borrower.calls_per_second(now))
+            .reduce(f64::min)
     }
 
-    /// How long a call may be in hand, where that is limited.
-    pub fn longest(&self) -> Option<Nanos> {
-        let of = self
-            .purses
+    /// The longest that a call may be in flight, in nanoseconds, where a budget bounds that.
+    pub fn max_call_time(&self) -> Option<Nanos> {
+        let times = self
+            .borrowers
             .iter()
-            .filter_map(|purse| match purse.budget.kind {
-                Kind::InHand { longest } => Some(longest),
-                Kind::Rate { .. } => None,
+            .filter_map(|borrower| match borrower.budget.kind {
+                BudgetKind::InFlight { max_call_time } => Some(max_call_time),
+                BudgetKind::Rate { .. } => None,
             });
-        of.max()
+        times.max()
     }
 
-    /// How long it takes until so many more calls have found room, if they come one after the
-    /// other: a guess.
-    pub fn wait_for(&self, now: Nanos, calls: usize) -> Nanos {
+    /// An estimate of the time until this many more calls have found a unit, in nanoseconds.
+    pub fn expected_wait(&self, now: Nanos, calls: usize) -> Nanos {
         let each = self
-            .a_second(now)
-            .map_or(0.0, |units| SECOND as f64 / units.max(1e-3));
+            .calls_per_second(now)
+            .map_or(0.0, |rate| SECOND as f64 / rate.max(MIN_RATE_FOR_WAIT));
         (each * calls as f64) as Nanos
     }
 
-    /// When it is worth to ask again, if no more calls in hand are allowed now.
-    pub fn is_full(&self, now: Nanos) -> Option<Nanos> {
-        self.purses
+    /// After how many nanoseconds to try again, if no more calls in flight are allowed now.
+    pub fn retry_after_if_full(&self, now: Nanos) -> Option<Nanos> {
+        self.borrowers
             .iter()
-            .filter(|purse| !purse.budget.repeats_only)
-            .find_map(|purse| match purse.budget.kind {
-                Kind::InHand { longest } if purse.in_hand >= purse.units(now) => Some(longest / 8),
+            .filter(|borrower| !borrower.budget.retries_only)
+            .find_map(|borrower| match borrower.budget.kind {
+                BudgetKind::InFlight { max_call_time }
+                    if borrower.in_flight >= borrower.units(now) =>
+                {
+                    Some(max_call_time / RETRY_PART_OF_CALL)
+                }
                 _ => None,
             })
     }
 
-    /// A call would have been made if there were room.
-    pub fn wished(&mut self, now: Nanos) {
-        for purse in self
-            .purses
-            .iter_mut()
-            .filter(|purse| !purse.budget.repeats_only)
-        {
-            purse.roll(now);
-            purse.tries[0] = purse.tries[0].saturating_add(1);
-            purse.peak = purse.peak.max(purse.in_hand + 1);
+    /// Counts towards the demand a call that was not attempted for want of units.
+    pub fn note_unmet_demand(&mut self, now: Nanos) {
+        for borrower in self.counting(false) {
+            borrower.roll_windows(now);
+            borrower.note_attempt();
+            borrower.note_peak();
         }
     }
 
-    /// A call that was allowed is over.
-    pub fn over(&mut self, repeats: bool) {
-        self.purses
-            .iter_mut()
-            .filter(|purse| repeats || !purse.budget.repeats_only)
-            .for_each(BudgetBorrower::over);
+    /// A call that was allowed has ended.
+    pub fn release(&mut self, is_retry: bool) {
+        self.counting(is_retry).for_each(BudgetBorrower::release);
     }
 
-    /// What is wanted of each, and held.
-    pub fn wants(&mut self, now: Nanos) -> Vec<BudgetRequest> {
+    /// The requests for leases of all budgets.
+    pub fn requests(&mut self, now: Nanos) -> Vec<BudgetRequest> {
         let value = self.value;
-        let want = |purse: &mut BudgetBorrower| {
-            let (budget, holds, units) = (purse.budget.id(), purse.holds(), purse.wants(now));
-            BudgetRequest {
-                budget,
-                holds,
-                units,
-                value,
-            }
+        let request = |borrower: &mut BudgetBorrower| BudgetRequest {
+            budget: borrower.budget.id(),
+            held: borrower.held_lease(),
+            units: borrower.demand(now),
+            value,
         };
-        self.purses.iter_mut().map(want).collect()
+        self.borrowers.iter_mut().map(request).collect()
     }
 
-    /// Parts came that were asked for then.
-    pub fn lent(&mut self, now: Nanos, asked: Nanos, parts: &[(u32, Lease)]) {
-        for (budget, part) in parts {
-            if let Some(purse) = self
-                .purses
+    /// Receives leases by budget id that were requested at `requested_at`.
+    pub fn receive_leases(&mut self, now: Nanos, requested_at: Nanos, leases: &[(u32, Lease)]) {
+        for (budget, lease) in leases {
+            if let Some(borrower) = self
+                .borrowers
                 .iter_mut()
-                .find(|purse| purse.budget.id() == *budget)
+                .find(|borrower| borrower.budget.id() == *budget)
             {
-                purse.lend(now, asked, *part);
+                borrower.receive_lease(now, requested_at, *lease);
             }
         }
     }
 
-    /// Nothing that was lent is used from here on; whether nothing is in hand.
-    pub fn let_go(&mut self, now: Nanos) -> bool {
-        self.purses
+    /// Stops using all leases. Returns whether no call is in flight.
+    pub fn drop_leases(&mut self, now: Nanos) -> bool {
+        self.borrowers
             .iter_mut()
-            .for_each(|purse| purse.drop_part(now));
-        self.purses.iter().all(|purse| purse.in_hand == 0)
+            .for_each(|borrower| borrower.drop_lease(now));
+        self.borrowers
+            .iter()
+            .all(|borrower| borrower.in_flight == 0)
     }
 }
--- a/crates/shared-state/src/budget/fair_share/tests.rs
+++ b/crates/shared-state/src/budget/fair_share/tests.rs
@@ -2,8 +2,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn demand(zone: u32, wants: u32, value: f64) -> Demand {
-    Demand { zone, wants, value }
+fn demand(zone: u32, units: u32, value: f64) -> Demand {
+    Demand { zone, units, value }
 }
 
 #[test]
@@ -14,7 +14,7 @@
         demand(1, 50, 1.0),
         demand(1, 0, 1.0),
     ];
-    assert_eq!(allot(100, &demands), [20, 10, 60, 10]);
+    assert_eq!(allocate(100, &demands), [20, 10, 60, 10]);
 }
 
 #[test]
@@ -25,21 +25,21 @@
         demand(1, 100, 1.0),
         demand(1, 5, 1.0),
     ];
-    let given = allot(60, &demands);
-    assert_eq!(given.iter().sum::<u32>(), 60);
-    assert!((28..=32).contains(&(given[0] + given[1])), "{given:?}");
+    let shares = allocate(60, &demands);
+    assert_eq!(shares.iter().sum::<u32>(), 60);
+    assert!((28..=32).contains(&(shares[0] + shares[1])), "{shares:?}");
     assert!(
-        given[0] > given[1] && given[1] > 5 && given[3] == 5,
-        "{given:?}"
+        shares[0] > shares[1] && shares[1] > 5 && shares[3] == 5,
+        "{shares:?}"
     );
 }
 
 #[test]
 fn more_nodes_than_units_is_no_more_than_the_units() {
     let demands: Vec<Demand> = (0..10).map(|n| demand(n % 2, 5, 1.0)).collect();
-    let given = allot(3, &demands);
+    let shares = allocate(3, &demands);
     assert_eq!(
-        (given.iter().sum::<u32>(), given.iter().max()),
+        (shares.iter().sum::<u32>(), shares.iter().max()),
         (3, Some(&1))
     );
 }
@@ -48,7 +48,7 @@
 fn never_more_than_there_is_and_all_of_it_whatever_is_asked() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     for _ in 0..2000 {
-        let room = rng.random_range(0..500);
+        let pool = rng.random_range(0..500);
         let demands: Vec<Demand> = (0..rng.random_range(0..30))
             .map(|_| {
                 demand(
@@ -58,11 +58,11 @@
                 )
             })
             .collect();
-        let given = allot(room, &demands);
-        let sum: u32 = given.iter().sum();
-        assert_eq!(sum, if demands.is_empty() { 0 } else { room });
-        let wanted: u32 = demands.iter().map(|d| d.wants).sum();
-        let lacks = demands.iter().zip(&given).any(|(d, g)| *g < d.wants);
-        assert!(!lacks || wanted > room, "{room} {demands:?} {given:?}");
+        let shares = allocate(pool, &demands);
+        let sum: u32 = shares.iter().sum();
+        assert_eq!(sum, if demands.is_empty() { 0 } else { pool });
+        let wanted: u32 = demands.iter().map(|d| d.units).sum();
+        let lacks = demands.iter().zip(&shares).any(|(d, g)| *g < d.units);
+        assert!(!lacks || wanted > pool, "{pool} {demands:?} {shares:?}");
     }
 }
--- a/crates/shared-state/src/budget/lender.rs
+++ b/crates/shared-state/src/budget/lender.rs
@@ -1,203 +1,231 @@
-//! The books of who lends: what is out, to whom, until when. A unit is lent again only when its
-//! borrower said that it holds a later and smaller part, or when the earlier one has ended by the
-//! lender's clock, with the drift added and, where units stay in use beyond their end, the longest
-//! use.
-
-use super::Lease;
-use super::fair_share::{Demand, allot};
+//! The leader's end of a budget: which leases are outstanding, of whom, until when.
+//!
+//! A unit is granted again only when its borrower reported that it holds a later and smaller lease,
+//! or when the earlier lease has expired on the lender's clock, extended by the clock drift bound and
+//! by the longest that units stay in use beyond their lease.
+//!
+//! No two leaders' leases overlap either: a lender exists only while
+//! [`leader_lease`](crate::leader_lease) makes its node the leader, grants nothing for the first
+//! lease duration and use after expiry, in which its predecessor's leases end, and grants no lease
+//! that would outlast the leader lease.
+
+use super::fair_share::{Demand, allocate};
+use super::{Lease, LeaseId};
+use crate::clock::drift_extended;
 use crate::{Nanos, ProcessId};
 use std::collections::BTreeMap;
 
-/// Parts of one borrower that may still be in use at once; a borrower that never answers gets no
-/// more.
-const PARTS: usize = 16;
+/// The most leases of one borrower that may still be in use at once. A borrower that acknowledges
+/// none of them gets no more.
+const MAX_LEASES_PER_BORROWER: usize = 16;
+/// A borrower without units is forgotten after this many times its longest possible use of a lease.
+const SILENT_LEASE_TIMES: u64 = 4;
 
-/// A part that was lent.
+/// A lease that was granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct OutstandingLease {
-    no: u64,
+    number: u64,
     units: u32,
-    /// After this nothing of it is in use any more.
-    gone: Nanos,
+    /// From this time on none of its units is in use.
+    expired_at: Nanos,
 }
 
 /// What is known of a borrower.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct BorrowerAccount {
-    lent: Vec<OutstandingLease>,
+    leases: Vec<OutstandingLease>,
     demand: Demand,
-    heard: Nanos,
+    last_request_at: Nanos,
 }
 
 impl BorrowerAccount {
-    /// Units that may be in use.
-    fn out(&self, now: Nanos) -> u32 {
-        self.lent
+    /// Units that may be in use. A borrower uses one lease at a time.
+    fn outstanding(&self, now: Nanos) -> u32 {
+        self.leases
             .iter()
-            .filter(|lent| lent.gone > now)
-            .map(|lent| lent.units)
+            .filter(|lease| lease.expired_at > now)
+            .map(|lease| lease.units)
             .max()
             .unwrap_or(0)
     }
 }
 
-/// What is lent of one budget.
+/// The outstanding leases of one budget.
 #[derive(Clone, Debug)]
 pub struct BudgetLender {
-    /// Tells these books from all others: numbers of parts are each book's own.
+    /// Tells this lender from all others: lease numbers are each lender's own.
     id: u64,
-    /// Units there are, beside everybody's floor.
-    units: u32,
+    /// Units that there are beside all floors.
+    pool: u32,
     accounts: BTreeMap<ProcessId, BorrowerAccount>,
-    next: u64,
-    /// How long a part holds for its borrower, and how long after its end units may be in use yet.
-    term: Nanos,
-    lag: Nanos,
-    /// Units that were out under whoever lent before, until then.
-    before: Nanos,
-    most: usize,
+    last_number: u64,
+    lease_duration: Nanos,
+    use_after_expiry: Nanos,
+    /// Until this time units of the previous leader's leases may be in use.
+    opens_at: Nanos,
+    max_borrowers: usize,
 }
 
 impl BudgetLender {
-    /// Books that are begun now. Whoever lent before may have parts out for a term and the lag.
+    /// A lender whose leadership begins now. `pool` are the units beside the floors;
+    /// `use_after_expiry` bounds in nanoseconds how long units stay in use beyond a lease.
     pub fn new(
         now: Nanos,
         id: u64,
-        units: u32,
-        term: Nanos,
-        lag: Nanos,
-        most: usize,
+        pool: u32,
+        lease_duration: Nanos,
+        use_after_expiry: Nanos,
+        max_borrowers: usize,
     ) -> BudgetLender {
-        let before = now + longer(term) + lag;
         BudgetLender {
             id,
-            units,
+            pool,
             accounts: BTreeMap::new(),
-            next: 0,
-            term,
-            lag,
-            before,
-            most,
+            last_number: 0,
+            lease_duration,
+            use_after_expiry,
+            opens_at: now + drift_extended(lease_duration) + use_after_expiry,
+            max_borrowers,
         }
     }
 
-    /// Units that may be in use by all together.
-    pub fn out(&self, now: Nanos) -> u32 {
-        let out = self.accounts.values().map(|account| account.out(now)).sum();
-        if now < self.before {
-            self.units.max(out)
+    /// Units that may be in use by all borrowers together.
+    pub fn outstanding(&self, now: Nanos) -> u32 {
+        let outstanding = self
+            .accounts
+            .values()
+            .map(|account| account.outstanding(now))
+            .sum();
+        if now < self.opens_at {
+            self.pool.max(outstanding)
         } else {
-            out
+            outstanding
         }
     }
 
-    /// Another limit holds from now on. Less than what is out is kept by lending nothing until
-    /// enough has come back.
-    pub fn resize(&mut self, units: u32) {
-        self.units = units;
+    /// Changes the pool. If more units are outstanding, nothing is granted until enough have come
+    /// back.
+    pub fn resize(&mut self, pool: u32) {
+        self.pool = pool;
     }
 
-    /// A borrower asks: of the parts of this book it holds none but this one any more, and wants so
-    /// much. It gets what there is for it now.
-    pub fn ask(
+    /// Answers a borrower's request. `held` is the only lease of this lender that it may still use.
+    /// Returns none where nothing may be granted now: before the previous leader's leases have ended,
+    /// where the lease would outlast `leader_until`, or where there is no room for the borrower.
+    pub fn request(
         &mut self,
         now: Nanos,
-        who: ProcessId,
-        (book, holds): (u64, u64),
+        borrower: ProcessId,
+        held: LeaseId,
         demand: Demand,
-        lender_until: Nanos,
+        leader_until: Nanos,
     ) -> Option<Lease> {
-        // What it holds of another book says nothing of what it may still get of this one.
-        let holds = if book == self.id { holds } else { 0 };
-        if !self.accounts.contains_key(&who) && self.accounts.len() >= self.most {
+        self.record_request(now, borrower, held, demand)?;
+        // The next leader waits for a lease duration, and all leases of this one end before.
+        if now < self.opens_at || now + self.lease_duration > leader_until {
             return None;
         }
-        let account = self.accounts.entry(who).or_default();
-        account
-            .lent
-            .retain(|lent| lent.no >= holds && lent.gone > now);
-        (account.demand, account.heard) = (demand, now);
-        self.forget(now);
-        if now < self.before {
-            return None;
-        }
-        let (term, gone) = (self.term, now + longer(self.term) + self.lag);
-        // Nothing is out when the next one who lends begins his books: he waits for a term, and
-        // these end before.
-        if now + self.term > lender_until {
-            return None;
-        }
-        let target = self.target(who);
+        let target = self.fair_share(borrower);
         let others: u32 = self
             .accounts
             .iter()
-            .filter(|(w, _)| **w != who)
-            .map(|(_, a)| a.out(now))
+            .filter(|(process, _)| **process != borrower)
+            .map(|(_, account)| account.outstanding(now))
             .sum();
-        let free = self.units.saturating_sub(others);
-        let account = self.accounts.get_mut(&who)?;
-        if account.lent.len() >= PARTS {
+        let free = self.pool.saturating_sub(others);
+        let account = self.accounts.get_mut(&borrower)?;
+        if account.leases.len() >= MAX_LEASES_PER_BORROWER {
             return None;
         }
         let units = target.min(free);
-        self.next += 1;
-        account.lent.push(OutstandingLease {
-            no: self.next,
+        self.last_number += 1;
+        account.leases.push(OutstandingLease {
+            number: self.last_number,
             units,
-            gone,
+            expired_at: now + drift_extended(self.lease_duration) + self.use_after_expiry,
         });
         debug_assert!(
-            others + units <= self.units.max(others),
-            "no unit is lent twice"
+            others + units <= self.pool.max(others),
+            "no unit is granted twice"
         );
-        let wants = self.accounts.values().map(|account| account.demand.wants);
-        let wanted = wants.fold(0, u32::saturating_add);
-        let (borrowers, pool) = (self.accounts.len() as u32, self.units);
-        Some(Lease {
-            book: self.id,
-            no: self.next,
+        Some(self.lease(units))
+    }
+
+    /// Takes up what a request says of its borrower; none if there is no room for another borrower.
+    fn record_request(
+        &mut self,
+        now: Nanos,
+        borrower: ProcessId,
+        held: LeaseId,
+        demand: Demand,
+    ) -> Option<()> {
+        // A lease of another lender says nothing of the leases of this one.
+        let held = if held.lender == self.id {
+            held.number
+        } else {
+            0
+        };
+        if !self.accounts.contains_key(&borrower) && self.accounts.len() >= self.max_borrowers {
+            return None;
+        }
+        let account = self.accounts.entry(borrower).or_default();
+        account
+            .leases
+            .retain(|lease| lease.number >= held && lease.expired_at > now);
+        (account.demand, account.last_request_at) = (demand, now);
+        self.forget_silent(now);
+        Some(())
+    }
+
+    /// The latest lease, of this many units.
+    fn lease(&self, units: u32) -> Lease {
+        let demands = self.accounts.values().map(|account| account.demand.units);
+        Lease {
+            id: LeaseId {
+                lender: self.id,
+                number: self.last_number,
+            },
             units,
-            term,
-            wanted,
-            borrowers,
-            pool,
-        })
+            duration: self.lease_duration,
+            total_demand: demands.fold(0, u32::saturating_add),
+            borrowers: self.accounts.len() as u32,
+            pool: self.pool,
+        }
     }
 
-    /// A borrower gives all back: it leaves.
-    pub fn give_back(&mut self, who: ProcessId) {
-        self.accounts.remove(&who);
+    /// A borrower that leaves releases all its leases.
+    pub fn release(&mut self, borrower: ProcessId) {
+        self.accounts.remove(&borrower);
     }
 
-    fn forget(&mut self, now: Nanos) {
-        let silent = 4 * (self.term + self.lag);
-        self.accounts
-            .retain(|_, account| account.out(now) > 0 || now < account.heard + silent);
+    fn forget_silent(&mut self, now: Nanos) {
+        let silent = SILENT_LEASE_TIMES * (self.lease_duration + self.use_after_expiry);
+        self.accounts.retain(|_, account| {
+            account.outstanding(now) > 0 || now < account.last_request_at + silent
+        });
     }
 
-    /// What one should have, given what all want.
-    fn target(&self, who: ProcessId) -> u32 {
+    /// The units that one borrower should have, given the demands of all.
+    fn fair_share(&self, borrower: ProcessId) -> u32 {
         let demands: Vec<Demand> = self
             .accounts
             .values()
             .map(|account| account.demand.clone())
             .collect();
-        let place = self.accounts.keys().position(|w| *w == who);
-        place
-            .and_then(|at| allot(self.units, &demands).get(at).copied())
+        let index = self
+            .accounts
+            .keys()
+            .position(|process| *process == borrower);
+        index
+            .and_then(|index| allocate(self.pool, &demands).get(index).copied())
             .unwrap_or(0)
     }
 
-    /// Those who have an account.
+    /// How many borrowers have an account.
     pub fn borrowers(&self) -> usize {
         self.accounts.len()
     }
 }
 
-/// A time that has surely passed by another clock when it has passed by this one.
-pub(crate) fn longer(time: Nanos) -> Nanos {
-    time + time / crate::DRIFT + time / crate::DRIFT / crate::DRIFT + 1
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/shared-state/src/budget/lender/tests.rs
+++ b/crates/shared-state/src/budget/lender/tests.rs
@@ -1,20 +1,28 @@
 use super::*;
 
+/// The duration of a lease.
 const TERM: Nanos = 1000;
 
-fn who(key: u64) -> ProcessId {
-    ProcessId { key, life: key }
+fn id(lender: u64, number: u64) -> LeaseId {
+    LeaseId { lender, number }
 }
 
-fn wants(wants: u32) -> Demand {
+fn process(key: u64) -> ProcessId {
+    ProcessId {
+        key,
+        incarnation: key,
+    }
+}
+
+fn demand(units: u32) -> Demand {
     Demand {
         zone: 0,
-        wants,
+        units,
         value: 1.0,
     }
 }
 
-fn begun() -> BudgetLender {
+fn new_lender() -> BudgetLender {
     BudgetLender::new(0, 7, 100, TERM, 0, 64)
 }
 
@@ -23,70 +31,88 @@
 
 #[test]
 fn nothing_is_lent_until_what_was_out_before_is_gone() {
-    let mut books = begun();
+    let mut lender = new_lender();
     assert_eq!(
         (
-            books.ask(500, who(1), (0, 0), wants(9), LONG),
-            books.out(500)
+            lender.request(500, process(1), id(0, 0), demand(9), LONG),
+            lender.outstanding(500)
         ),
         (None, 100)
     );
-    assert!(books.ask(1100, who(1), (0, 0), wants(9), LONG).is_some());
+    assert!(
+        lender
+            .request(1100, process(1), id(0, 0), demand(9), LONG)
+            .is_some()
+    );
 }
 
 #[test]
 fn a_unit_moves_only_when_its_holder_said_that_it_let_go_or_its_time_is_over() {
-    let mut books = begun();
-    let first = books.ask(LATER, who(1), (0, 0), wants(100), LONG).unwrap();
+    let mut lender = new_lender();
+    let first = lender
+        .request(LATER, process(1), id(0, 0), demand(100), LONG)
+        .unwrap();
     assert_eq!(first.units, 100);
     // Another one comes and wants half: there is nothing yet.
     assert_eq!(
-        books
-            .ask(LATER, who(2), (0, 0), wants(100), LONG)
+        lender
+            .request(LATER, process(2), id(0, 0), demand(100), LONG)
             .unwrap()
             .units,
         0
     );
     // The first one hears that it has half now, but has not said so.
-    let second = books
-        .ask(LATER + 100, who(1), (7, first.no), wants(100), LONG)
+    let second = lender
+        .request(
+            LATER + 100,
+            process(1),
+            id(7, first.id.number),
+            demand(100),
+            LONG,
+        )
         .unwrap();
     assert_eq!(second.units, 50);
     assert_eq!(
-        books
-            .ask(LATER + 200, who(2), (0, 0), wants(100), LONG)
+        lender
+            .request(LATER + 200, process(2), id(0, 0), demand(100), LONG)
             .unwrap()
             .units,
         0
     );
     // It holds the second part and no other.
-    let _ = books.ask(LATER + 300, who(1), (7, second.no), wants(100), LONG);
+    let _ = lender.request(
+        LATER + 300,
+        process(1),
+        id(7, second.id.number),
+        demand(100),
+        LONG,
+    );
     assert_eq!(
-        books
-            .ask(LATER + 300, who(2), (0, 0), wants(100), LONG)
+        lender
+            .request(LATER + 300, process(2), id(0, 0), demand(100), LONG)
             .unwrap()
             .units,
         50
     );
     // It is heard of no more: its units come back after their time, and not before.
-    let ends = LATER + 300 + longer(TERM);
+    let ends = LATER + 300 + drift_extended(TERM);
     assert_eq!(
-        books
-            .ask(ends - 1, who(2), (0, 0), wants(100), LONG)
+        lender
+            .request(ends - 1, process(2), id(0, 0), demand(100), LONG)
             .unwrap()
             .units,
         50
     );
     assert_eq!(
-        books
-            .ask(ends, who(2), (0, 0), wants(100), LONG)
+        lender
+            .request(ends, process(2), id(0, 0), demand(100), LONG)
             .unwrap()
             .units,
         50
     ); // the first one is still owed its half
     assert_eq!(
-        books
-            .ask(ends + 5 * TERM, who(2), (0, 0), wants(100), LONG)
+        lender
+            .request(ends + 5 * TERM, process(2), id(0, 0), demand(100), LONG)
             .unwrap()
             .units,
         100
@@ -97,19 +123,19 @@
 /// lent.
 #[test]
 fn what_is_held_of_another_book_frees_nothing() {
-    let mut books = begun();
+    let mut lender = new_lender();
     assert_eq!(
-        books
-            .ask(LATER, who(1), (0, 0), wants(100), LONG)
+        lender
+            .request(LATER, process(1), id(0, 0), demand(100), LONG)
             .unwrap()
             .units,
         100
     );
-    let _ = books.ask(LATER + 1, who(2), (0, 0), wants(100), LONG);
-    let _ = books.ask(LATER + 2, who(1), (3, 99), wants(100), LONG);
+    let _ = lender.request(LATER + 1, process(2), id(0, 0), demand(100), LONG);
+    let _ = lender.request(LATER + 2, process(1), id(3, 99), demand(100), LONG);
     assert_eq!(
-        books
-            .ask(LATER + 3, who(2), (3, 99), wants(100), LONG)
+        lender
+            .request(LATER + 3, process(2), id(3, 99), demand(100), LONG)
             .unwrap()
             .units,
         0
@@ -119,19 +145,19 @@
 /// Calls in hand at the end of a part go on for a while: their units are not lent again before.
 #[test]
 fn units_in_use_beyond_the_end_of_a_part_come_back_after_their_lag() {
-    let mut books = BudgetLender::new(0, 7, 100, TERM, 500, 64);
-    let _ = books.ask(LATER, who(1), (0, 0), wants(100), LONG);
-    let ends = LATER + longer(TERM);
+    let mut lender = BudgetLender::new(0, 7, 100, TERM, 500, 64);
+    let _ = lender.request(LATER, process(1), id(0, 0), demand(100), LONG);
+    let ends = LATER + drift_extended(TERM);
     assert_eq!(
-        books
-            .ask(ends + 499, who(2), (0, 0), wants(100), LONG)
+        lender
+            .request(ends + 499, process(2), id(0, 0), demand(100), LONG)
             .unwrap()
             .units,
         0
     );
     assert!(
-        books
-            .ask(ends + 500, who(2), (0, 0), wants(100), LONG)
+        lender
+            .request(ends + 500, process(2), id(0, 0), demand(100), LONG)
             .unwrap()
             .units
             >= 50
@@ -140,13 +166,18 @@
 
 #[test]
 fn one_that_returns_under_its_name_is_another_borrower() {
-    let mut books = begun();
-    let old = books.ask(LATER, who(1), (0, 0), wants(100), LONG).unwrap();
+    let mut lender = new_lender();
+    let old = lender
+        .request(LATER, process(1), id(0, 0), demand(100), LONG)
+        .unwrap();
     assert_eq!(old.units, 100);
-    let new = ProcessId { key: 1, life: 77 };
+    let new = ProcessId {
+        key: 1,
+        incarnation: 77,
+    };
     assert_eq!(
-        books
-            .ask(LATER + 10, new, (0, 0), wants(100), LONG)
+        lender
+            .request(LATER + 10, new, id(0, 0), demand(100), LONG)
             .unwrap()
             .units,
         0
@@ -155,36 +186,54 @@
 
 #[test]
 fn a_smaller_limit_lends_nothing_until_enough_came_back_and_no_part_outlives_the_lender() {
-    let mut books = begun();
-    let part = books.ask(LATER, who(1), (0, 0), wants(100), LONG).unwrap();
-    books.resize(30);
+    let mut lender = new_lender();
+    let lease = lender
+        .request(LATER, process(1), id(0, 0), demand(100), LONG)
+        .unwrap();
+    lender.resize(30);
     assert_eq!(
-        books
-            .ask(LATER + 1, who(2), (0, 0), wants(30), LONG)
+        lender
+            .request(LATER + 1, process(2), id(0, 0), demand(30), LONG)
             .unwrap()
             .units,
         0
     );
     assert_eq!(
-        books
-            .ask(LATER + 2, who(1), (7, part.no), wants(100), LONG)
+        lender
+            .request(
+                LATER + 2,
+                process(1),
+                id(7, lease.id.number),
+                demand(100),
+                LONG
+            )
             .unwrap()
             .units,
         15
     );
     assert_eq!(
-        books.ask(LATER + 3, who(1), (7, part.no), wants(100), LATER + 500),
+        lender.request(
+            LATER + 3,
+            process(1),
+            id(7, lease.id.number),
+            demand(100),
+            LATER + 500
+        ),
         None
     );
 }
 
 #[test]
 fn accounts_are_bounded_and_those_long_silent_forgotten() {
-    let mut books = BudgetLender::new(0, 7, 100, TERM, 0, 3);
-    let lent = (1..=5)
-        .filter(|n| books.ask(LATER, who(*n), (0, 0), wants(1), LONG).is_some())
+    let mut lender = BudgetLender::new(0, 7, 100, TERM, 0, 3);
+    let granted = (1..=5)
+        .filter(|n| {
+            lender
+                .request(LATER, process(*n), id(0, 0), demand(1), LONG)
+                .is_some()
+        })
         .count();
-    assert_eq!((lent, books.borrowers()), (3, 3));
-    let _ = books.ask(LATER + 20 * TERM, who(1), (0, 0), wants(1), LONG);
-    assert_eq!(books.borrowers(), 1);
+    assert_eq!((granted, lender.borrowers()), (3, 3));
+    let _ = lender.request(LATER + 20 * TERM, process(1), id(0, 0), demand(1), LONG);
+    assert_eq!(lender.borrowers(), 1);
 }
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -1,19 +1,20 @@
-//! ClusterCounters that a fleet adds up: each process counts for itself ([`ProcessCounters`]) and tells its sums, and
-//! whoever hears them ([`ClusterCounters`]), in any order and any number of times, comes to the same. What a
-//! process counts only grows, so of two words of it the larger holds, number by number; a process
-//! that returns under its name is another one, so that nothing is counted twice.
+//! Counters that a cluster adds up: each process counts for itself ([`ProcessCounters`]) and reports
+//! its sums; whoever receives the reports ([`ClusterCounters`]), in any order and any number of
+//! times, comes to the same totals. What a process counts only grows, so of two reports the larger
+//! number counts, column by column; a node that restarts is another process, so that nothing is
+//! counted twice.
 //!
-//! A killed process takes with it what it had not told. Memory is bounded: windows end, and
-//! processes that are gone from the fleet and long silent are added to one sum. They are remembered
-//! beside it, so that one who was only cut off for long is taken out of the sum again when it is
-//! heard; after that time a word of theirs would count a second time.
+//! A killed process takes with it what it had not reported. Memory is bounded: windows expire, and
+//! processes that have left the cluster and were silent for long are added to one sum. They are
+//! remembered beside it, so that one that was only cut off is taken out of the sum again; after that
+//! time its reports would count a second time.
 
 mod cluster_counters;
 pub mod heavy_hitters;
 pub mod latency_histogram;
 mod process_counters;
 
-pub use cluster_counters::ClusterCounters;
+pub use cluster_counters::{ClusterCounters, ProcessWindow};
 pub use process_counters::ProcessCounters;
 
 use crate::ProcessId;
@@ -21,99 +22,123 @@
 use latency_histogram::{LatencyHistogram, Sparse};
 use std::collections::BTreeMap;
 
-/// How long a window is, by each process's Unix clock; how many of them a process keeps and others
-/// keep of it; and of how many of these others keep latencies and heavy keys.
+/// The length of a window, by each process's Unix clock, in milliseconds.
 pub const WINDOW_MS: u64 = 10_000;
+/// Windows of a process that are kept.
 pub const WINDOWS: usize = 8;
-/// CounterRows of a process: operations, and itself.
-pub const ROWS_MAX: usize = 32;
-/// Kinds of heavy keys.
-pub const HEAVY_MAX: usize = 4;
-/// What a process takes here: eight rows, their windows, four operations' latencies and three kinds
-/// of heavy keys, measured and rounded up.
+/// The most rows of a process: operations, and the process itself.
+pub const MAX_ROWS: usize = 32;
+/// The most kinds of heavy keys.
+pub const MAX_HEAVY_KINDS: usize = 4;
+/// Bytes that a process takes in [`ClusterCounters`]: eight rows, their windows, four operations'
+/// latencies and three kinds of heavy keys, measured and rounded up.
 pub const PROCESS_BYTES: usize = 12 << 10;
-
-/// Numbers of an operation.
+/// Columns of a row.
 pub const COLUMNS: usize = 8;
+
+/// The numbers of an operation, or of the process itself.
 pub type CounterRow = [u64; COLUMNS];
-/// What stands in which column of an operation's row.
-pub mod column {
+/// Rows by the hash of the operation's name; [`PROCESS_ROW`] is the process itself.
+pub type CounterRows = BTreeMap<u32, CounterRow>;
+
+/// The row of the process itself.
+pub const PROCESS_ROW: u32 = 0;
+
+/// Columns of an operation's row.
+pub mod operation_column {
+    /// Requests that arrived.
     pub const ARRIVED: usize = 0;
+    /// Requests that succeeded.
     pub const SUCCEEDED: usize = 1;
-    pub const THROTTLED: usize = 2;
-    pub const ERRORED: usize = 3;
-    /// Succeeded after the latency objective.
+    /// Requests that were rejected.
+    pub const REJECTED: usize = 2;
+    /// Requests that failed.
+    pub const FAILED: usize = 3;
+    /// Requests that succeeded after the latency objective.
     pub const LATE: usize = 4;
-    /// Billed value that was earned and that was asked for, in thousandths.
-    pub const EARNED: usize = 5;
-    pub const ASKED: usize = 6;
-    /// Repeats of an earlier one.
+    /// Priority weight of the answers in time, in thousandths.
+    pub const EARNED_WEIGHT: usize = 5;
+    /// Priority weight of all requests, in thousandths.
+    pub const OFFERED_WEIGHT: usize = 6;
+    /// Repeats of an earlier request.
     pub const REPEATS: usize = 7;
 }
-/// The row of the process itself, and what stands in its columns.
-pub const OWN: u32 = 0;
-pub mod own {
-    /// Calls below that were made, that failed, that repeat one which failed, and that found no
-    /// room.
+
+/// Columns of the process's own row.
+pub mod process_column {
+    /// Backend calls that were made.
     pub const CALLS: usize = 0;
+    /// Backend calls that failed.
     pub const CALLS_FAILED: usize = 1;
-    pub const CALLS_REPEATED: usize = 2;
-    pub const CALLS_REFUSED: usize = 3;
-    /// Throttled by limits of the whole fleet, and for the room below.
-    pub const OVER_LIMIT: usize = 4;
-    pub const NO_ROOM: usize = 5;
-    /// What must hold and did not.
-    pub const INVARIANTS: usize = 6;
-    /// Starts of the process: one.
+    /// Backend calls that retry a failed one.
+    pub const CALLS_RETRIED: usize = 2;
+    /// Backend calls for which a budget had no unit.
+    pub const CALLS_OVER_BUDGET: usize = 3;
+    /// Requests rejected by keyed quotas.
+    pub const OVER_QUOTA: usize = 4;
+    /// Requests rejected because their backend call would find no room.
+    pub const NO_BACKEND_ROOM: usize = 5;
+    /// Violations of invariants.
+    pub const INVARIANT_VIOLATIONS: usize = 6;
+    /// Starts of the process: 1.
     pub const STARTS: usize = 7;
 }
-/// Kinds of heavy keys: who sends most, who repeats most, and which keys are over a limit of the
-/// fleet.
+
+/// Kinds of heavy keys.
 pub mod heavy_kind {
-    pub const CALLERS: u8 = 0;
+    /// Clients by their requests.
+    pub const CLIENTS: u8 = 0;
+    /// Clients by their repeats.
     pub const REPEATERS: u8 = 1;
-    pub const OVER_LIMIT: u8 = 2;
+    /// Keys over a keyed quota.
+    pub const OVER_QUOTA: u8 = 2;
 }
 
-/// CounterRows by number.
-pub type CounterRows = BTreeMap<u32, CounterRow>;
-
-/// What came in a time.
+/// What was counted in a time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CounterWindow {
+    /// Counts.
     pub rows: CounterRows,
     /// Latencies by row.
     pub latency: BTreeMap<u32, Sparse>,
+    /// Heavy keys by kind.
     pub heavy: BTreeMap<u8, HeavyHitters>,
-    /// The most of memory in KB, and of descriptors, that was seen in it.
+    /// The most memory in KB, and the most file descriptors, that were seen.
     pub gauges: [u64; 2],
 }
 
-/// What one process says of its counts: all since its start, and some windows. One word may say a
-/// part.
+/// What one process reports of its counters, or a part of that.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CounterReport {
-    pub who: ProcessId,
-    /// What it runs, told by a number.
-    pub label: u64,
+    /// The process.
+    pub process: ProcessId,
+    /// The version that it runs, as a number.
+    pub version: u64,
+    /// Counts since its start.
     pub total: CounterRows,
-    /// By the window's number: Unix milliseconds divided by its length.
+    /// Windows by their number: Unix milliseconds divided by [`WINDOW_MS`].
     pub windows: BTreeMap<u64, CounterWindow>,
 }
 
-fn rise(into: &mut CounterRows, said: &CounterRows) {
-    for (row, numbers) in said {
-        if into.len() >= ROWS_MAX && !into.contains_key(row) {
+/// Raises each number to the reported one, if that is larger.
+fn raise_rows(into: &mut CounterRows, reported: &CounterRows) {
+    for (row, numbers) in reported {
+        if into.len() >= MAX_ROWS && !into.contains_key(row) {
             continue;
         }
-        let held = into.entry(*row).or_default();
-        held.iter_mut()
-            .zip(numbers)
-            .for_each(|(held, said)| *held = (*held).max(*said));
+        let known = into.entry(*row).or_default();
+        raise(known, numbers);
     }
 }
 
-fn add(into: &mut CounterRows, more: &CounterRows) {
+fn raise(known: &mut [u64], reported: &[u64]) {
+    known
+        .iter_mut()
+        .zip(reported)
+        .for_each(|(known, reported)| *known = (*known).max(*reported));
+}
+
+fn add_rows(into: &mut CounterRows, more: &CounterRows) {
     for (row, numbers) in more {
         let sum = into.entry(*row).or_default();
         sum.iter_mut()
@@ -122,7 +147,7 @@
     }
 }
 
-fn subtract(from: &mut CounterRows, less: &CounterRows) {
+fn subtract_rows(from: &mut CounterRows, less: &CounterRows) {
     for (row, numbers) in less {
         if let Some(sum) = from.get_mut(row) {
             sum.iter_mut()
@@ -132,41 +157,39 @@
     }
 }
 
-fn sum(rows: &CounterRows) -> u64 {
+/// The sum of all numbers, which only grows.
+fn sum_rows(rows: &CounterRows) -> u64 {
     rows.values()
         .flatten()
         .fold(0, |sum, number| sum.saturating_add(*number))
 }
 
-fn how_many(sparse: &Sparse) -> u64 {
+fn latency_count(sparse: &Sparse) -> u64 {
     sparse.iter().map(|(_, count)| u64::from(*count)).sum()
 }
 
 impl CounterWindow {
-    /// Of two words of the same window the larger holds, part by part.
-    fn rise(&mut self, said: &CounterWindow) {
-        rise(&mut self.rows, &said.rows);
-        for (row, sparse) in said.latency.iter().take(ROWS_MAX) {
-            let held = self.latency.entry(*row).or_default();
-            if how_many(sparse) > how_many(held) {
-                held.clone_from(sparse);
+    /// Takes up another report of the same window: the larger counts, part by part.
+    fn raise(&mut self, reported: &CounterWindow) {
+        raise_rows(&mut self.rows, &reported.rows);
+        for (row, sparse) in reported.latency.iter().take(MAX_ROWS) {
+            let known = self.latency.entry(*row).or_default();
+            if latency_count(sparse) > latency_count(known) {
+                known.clone_from(sparse);
             }
         }
-        for (kind, heavy) in said.heavy.iter().take(HEAVY_MAX) {
-            let held = self.heavy.entry(*kind).or_default();
-            if heavy.total > held.total {
-                held.clone_from(heavy);
+        for (kind, heavy) in reported.heavy.iter().take(MAX_HEAVY_KINDS) {
+            let known = self.heavy.entry(*kind).or_default();
+            if heavy.total > known.total {
+                known.clone_from(heavy);
             }
         }
-        self.gauges
-            .iter_mut()
-            .zip(&said.gauges)
-            .for_each(|(held, said)| *held = (*held).max(*said));
+        raise(&mut self.gauges, &reported.gauges);
     }
 
-    /// Adds another one's.
+    /// Adds the counts of another process or window.
     pub fn add(&mut self, other: &CounterWindow) {
-        add(&mut self.rows, &other.rows);
+        add_rows(&mut self.rows, &other.rows);
         for (row, sparse) in &other.latency {
             let mut latency = LatencyHistogram::default();
             latency.merge(self.latency.get(row).map_or(&[], Vec::as_slice));
@@ -176,10 +199,7 @@
         for (kind, heavy) in &other.heavy {
             self.heavy.entry(*kind).or_default().merge(heavy);
         }
-        self.gauges
-            .iter_mut()
-            .zip(&other.gauges)
-            .for_each(|(held, said)| *held = (*held).max(*said));
+        raise(&mut self.gauges, &other.gauges);
     }
 }
 
--- a/crates/shared-state/src/counters/cluster_counters.rs
+++ b/crates/shared-state/src/counters/cluster_counters.rs
@@ -1,224 +1,263 @@
-//! The counts of all processes.
+//! The counters of all processes of a cluster, as a voter keeps them.
 
 use super::{
-    CounterReport, CounterRows, CounterWindow, WINDOW_MS, WINDOWS, add, rise, subtract, sum,
+    CounterReport, CounterRows, CounterWindow, WINDOW_MS, WINDOWS, add_rows, raise_rows,
+    subtract_rows, sum_rows,
 };
 use crate::{Nanos, ProcessId, SECOND};
 use std::collections::BTreeMap;
 
-pub(super) const DETAILED: usize = 3;
-/// A process that is gone and was silent for so long is added to the sum.
-pub(super) const GONE: Nanos = 600 * SECOND;
-/// And is remembered beside it for so long: longer than a partition that anybody should leave
-/// alone, and than the fleet believes a datagram.
-const REMEMBERED: Nanos = 24 * 3600 * SECOND;
+/// Of a process's windows, the latest ones whose latencies and heavy keys are kept.
+pub(super) const DETAILED_WINDOWS: usize = 3;
+/// A process that has left and was silent for this long is added to the sum, in nanoseconds.
+pub(super) const RETIRE_AFTER: Nanos = 600 * SECOND;
+/// It is remembered beside the sum for this long, in nanoseconds: longer than a partition should
+/// last, and than a datagram is accepted.
+const REMEMBER_RETIRED: Nanos = 24 * 3600 * SECOND;
+/// Retired processes are remembered up to this many times the processes that are kept apart.
+const RETIRED_PER_PROCESS: usize = 4;
 
+/// What is known of a process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ProcessRecord {
-    label: u64,
+    version: u64,
     total: CounterRows,
     windows: BTreeMap<u64, CounterWindow>,
-    /// What it ran in each window, as it said when that window was its latest.
-    labels: BTreeMap<u64, u64>,
-    heard: Nanos,
+    /// The version that it ran in each window, as reported when that window was its latest.
+    versions: BTreeMap<u64, u64>,
+    /// When a report last brought something new.
+    updated_at: Nanos,
 }
 
-/// What is known of all counts.
+impl ProcessRecord {
+    /// How far it is known: changes with each report that brings something new.
+    fn extent(&self) -> (u64, Option<u64>) {
+        let latest = self.windows.last_key_value().map(|(number, _)| *number);
+        (sum_rows(&self.total), latest)
+    }
+
+    fn merge(&mut self, report: &CounterReport) {
+        self.version = report.version;
+        if let Some((latest, _)) = report.windows.last_key_value() {
+            self.versions.insert(*latest, report.version);
+            while self.versions.len() > WINDOWS {
+                self.versions.pop_first();
+            }
+        }
+        raise_rows(&mut self.total, &report.total);
+        for (number, reported) in &report.windows {
+            let oldest = self.windows.first_key_value().map(|(first, _)| *first);
+            let is_full = self.windows.len() >= WINDOWS && !self.windows.contains_key(number);
+            if is_full && oldest.is_some_and(|first| *number < first) {
+                continue;
+            }
+            self.windows.entry(*number).or_default().raise(reported);
+            while self.windows.len() > WINDOWS {
+                self.windows.pop_first();
+            }
+        }
+        let older = self.windows.iter_mut().rev().skip(DETAILED_WINDOWS);
+        older.for_each(|(_, window)| (window.latency, window.heavy) = Default::default());
+    }
+}
+
+/// A window of a process.
+#[derive(Clone, Copy, Debug)]
+pub struct ProcessWindow<'a> {
+    /// The process.
+    pub process: ProcessId,
+    /// The window's number: Unix milliseconds divided by [`WINDOW_MS`].
+    pub number: u64,
+    /// The version that the process ran in it.
+    pub version: u64,
+    /// Whether it is the process's first window.
+    pub is_first: bool,
+    /// What was counted.
+    pub window: &'a CounterWindow,
+}
+
+/// The counters of all processes.
 #[derive(Clone, Debug)]
 pub struct ClusterCounters {
     processes: BTreeMap<ProcessId, ProcessRecord>,
-    /// The sum of those who are gone, and who they were.
-    gone: CounterRows,
-    gone_who: BTreeMap<ProcessId, (Nanos, CounterRows)>,
-    most: usize,
-    /// Words that found no room.
+    /// The sum of the processes that have left, and when each was added with which counts.
+    retired_total: CounterRows,
+    retired: BTreeMap<ProcessId, (Nanos, CounterRows)>,
+    max_processes: usize,
+    /// Reports for which there was no room.
     refused: u64,
 }
 
 impl ClusterCounters {
-    /// Over so many processes at most.
-    pub fn new(most: usize) -> ClusterCounters {
-        let (processes, gone_who) = (BTreeMap::new(), BTreeMap::new());
+    /// Counters of at most this many processes that are kept apart.
+    pub fn new(max_processes: usize) -> ClusterCounters {
         ClusterCounters {
-            processes,
-            gone: CounterRows::new(),
-            gone_who,
-            most: most.max(1),
+            processes: BTreeMap::new(),
+            retired_total: CounterRows::new(),
+            retired: BTreeMap::new(),
+            max_processes: max_processes.max(1),
             refused: 0,
         }
     }
 
-    /// A word came, from the process itself or by way of another.
-    pub fn hear(&mut self, now: Nanos, word: &CounterReport) {
-        if let Some((_, counted)) = self.gone_who.get(&word.who) {
-            let mut risen = counted.clone();
-            rise(&mut risen, &word.total);
-            if risen == *counted {
-                return; // all of it is in the sum
-            }
-            // It was only cut off: out of the sum with it.
-            if let Some((_, counted)) = self.gone_who.remove(&word.who) {
-                subtract(&mut self.gone, &counted);
-                self.processes.insert(
-                    word.who,
-                    ProcessRecord {
-                        total: counted,
-                        ..ProcessRecord::default()
-                    },
-                );
-            }
+    /// Takes up a report, from the process itself or by way of another.
+    pub fn merge(&mut self, now: Nanos, report: &CounterReport) {
+        if self.is_retired_with(report) {
+            return;
         }
-        let is_new = !self.processes.contains_key(&word.who);
-        if is_new && self.processes.len() >= self.most {
+        let is_new = !self.processes.contains_key(&report.process);
+        if is_new && self.processes.len() >= self.max_processes {
             self.refused += 1;
             return;
         }
-        let process = self.processes.entry(word.who).or_default();
-        let before = (
-            sum(&process.total),
-            process.windows.last_key_value().map(|(no, _)| *no),
-        );
-        process.label = word.label;
-        if let Some((latest, _)) = word.windows.last_key_value() {
-            process.labels.insert(*latest, word.label);
-            while process.labels.len() > WINDOWS {
-                process.labels.pop_first();
-            }
+        let process = self.processes.entry(report.process).or_default();
+        let before = process.extent();
+        process.merge(report);
+        if is_new || before != process.extent() {
+            process.updated_at = now;
         }
-        rise(&mut process.total, &word.total);
-        for (no, said) in &word.windows {
-            let oldest = process.windows.first_key_value().map(|(first, _)| *first);
-            let full = process.windows.len() >= WINDOWS && !process.windows.contains_key(no);
-            if full && oldest.is_some_and(|first| *no < first) {
-                continue;
-            }
-            process.windows.entry(*no).or_default().rise(said);
-            while process.windows.len() > WINDOWS {
-                process.windows.pop_first();
-            }
+    }
+
+    /// Whether the sum of retired processes holds all of a report. A retired process that reports
+    /// more was only cut off: it is taken out of the sum again.
+    fn is_retired_with(&mut self, report: &CounterReport) -> bool {
+        let Some((_, counted)) = self.retired.get(&report.process) else {
+            return false;
+        };
+        let mut raised = counted.clone();
+        raise_rows(&mut raised, &report.total);
+        if raised == *counted {
+            return true;
         }
-        let older = process.windows.iter_mut().rev().skip(DETAILED);
-        older.for_each(|(_, window)| (window.latency, window.heavy) = Default::default());
-        let after = (
-            sum(&process.total),
-            process.windows.last_key_value().map(|(no, _)| *no),
-        );
-        if is_new || before != after {
-            process.heard = now;
+        if let Some((_, counted)) = self.retired.remove(&report.process) {
+            subtract_rows(&mut self.retired_total, &counted);
+            self.processes.insert(
+                report.process,
+                ProcessRecord {
+                    total: counted,
+                    ..ProcessRecord::default()
+                },
+            );
         }
+        false
     }
 
-    /// All that is known of a process, to be told to one who lacks it.
-    pub fn word(&self, who: ProcessId) -> Option<CounterReport> {
-        let process = self.processes.get(&who)?;
-        let ProcessRecord {
-            label,
-            total,
-            windows,
-            ..
-        } = process.clone();
+    /// All that is known of a process, to be sent to a voter that lacks it.
+    pub fn report(&self, process: ProcessId) -> Option<CounterReport> {
+        let record = self.processes.get(&process)?;
         Some(CounterReport {
-            who,
-            label,
-            total,
-            windows,
+            process,
+            version: record.version,
+            total: record.total.clone(),
+            windows: record.windows.clone(),
         })
     }
 
     /// How far each process is known: the sum of all its numbers, which only grow.
-    pub fn marks(&self) -> impl Iterator<Item = (ProcessId, u64)> {
+    pub fn progress(&self) -> impl Iterator<Item = (ProcessId, u64)> {
         self.processes
             .iter()
-            .map(|(who, process)| (*who, sum(&process.total)))
+            .map(|(process, record)| (*process, sum_rows(&record.total)))
     }
 
-    /// Adds those to the sum who are gone, by the fleet's view, and long silent; forgets who they
-    /// were after their time.
-    pub fn tidy(&mut self, now: Nanos, is_there: impl Fn(ProcessId) -> bool) {
+    /// Adds processes to the sum that have left the cluster and were silent for long, and forgets
+    /// retired ones after their time.
+    pub fn retire(&mut self, now: Nanos, is_member: impl Fn(ProcessId) -> bool) {
         let silent: Vec<ProcessId> = self
             .processes
             .iter()
-            .filter(|(who, process)| now >= process.heard + GONE && !is_there(**who))
-            .map(|(who, _)| *who)
+            .filter(|(process, record)| {
+                now >= record.updated_at + RETIRE_AFTER && !is_member(**process)
+            })
+            .map(|(process, _)| *process)
             .collect();
-        for who in silent {
-            if let Some(process) = self.processes.remove(&who) {
-                add(&mut self.gone, &process.total);
-                self.gone_who.insert(who, (now, process.total));
+        for process in silent {
+            if let Some(record) = self.processes.remove(&process) {
+                add_rows(&mut self.retired_total, &record.total);
+                self.retired.insert(process, (now, record.total));
             }
         }
-        self.gone_who
-            .retain(|_, (since, _)| now < *since + REMEMBERED);
-        // Whoever is remembered longest goes first.
-        while self.gone_who.len() > 4 * self.most {
+        self.retired
+            .retain(|_, (since, _)| now < *since + REMEMBER_RETIRED);
+        while self.retired.len() > RETIRED_PER_PROCESS * self.max_processes {
             let oldest = self
-                .gone_who
+                .retired
                 .iter()
                 .min_by_key(|(_, (since, _))| *since)
-                .map(|(who, _)| *who);
-            oldest.map(|who| self.gone_who.remove(&who));
+                .map(|(process, _)| *process);
+            oldest.map(|process| self.retired.remove(&process));
         }
     }
 
-    /// All rows over the whole fleet, since all were started.
+    /// All rows over the whole cluster, since each process started.
     pub fn total(&self) -> CounterRows {
-        let mut total = self.gone.clone();
+        let mut total = self.retired_total.clone();
         self.processes
             .values()
-            .for_each(|process| add(&mut total, &process.total));
+            .for_each(|record| add_rows(&mut total, &record.total));
         total
     }
 
-    /// What came in the last windows that are whole, by this clock, at the processes of a kind.
-    pub fn lately(
+    /// The sum of the last complete windows, at the processes that `includes` picks by id and
+    /// version.
+    pub fn recent(
         &self,
         unix_ms: u64,
         windows: u64,
-        is: impl Fn(ProcessId, u64) -> bool,
+        includes: impl Fn(ProcessId, u64) -> bool,
     ) -> CounterWindow {
-        let this = unix_ms / WINDOW_MS;
+        let current = unix_ms / WINDOW_MS;
         let mut sum = CounterWindow::default();
-        for (_, process) in self
+        for (_, record) in self
             .processes
             .iter()
-            .filter(|(who, process)| is(**who, process.label))
+            .filter(|(process, record)| includes(**process, record.version))
         {
-            for (_, window) in process.windows.range(this.saturating_sub(windows)..this) {
+            for (_, window) in record
+                .windows
+                .range(current.saturating_sub(windows)..current)
+            {
                 sum.add(window);
             }
         }
         sum
     }
 
-    /// Windows from this one on, each with its number and what the process ran in it, and whether
-    /// it is the process's first one.
-    pub fn windows(
-        &self,
-        from: u64,
-    ) -> impl Iterator<Item = (ProcessId, u64, u64, bool, &CounterWindow)> {
-        self.processes.iter().flat_map(move |(who, process)| {
-            let first = process.windows.first_key_value().map(|(no, _)| *no);
-            let whole = process.windows.len() < WINDOWS;
-            process.windows.range(from..).map(move |(no, window)| {
-                let label = process.labels.get(no).copied().unwrap_or(process.label);
-                (*who, *no, label, whole && first == Some(*no), window)
-            })
+    /// All windows from this number on.
+    pub fn windows(&self, from: u64) -> impl Iterator<Item = ProcessWindow<'_>> {
+        self.processes.iter().flat_map(move |(process, record)| {
+            let first = record.windows.first_key_value().map(|(number, _)| *number);
+            let is_complete = record.windows.len() < WINDOWS;
+            record
+                .windows
+                .range(from..)
+                .map(move |(number, window)| ProcessWindow {
+                    process: *process,
+                    number: *number,
+                    version: record
+                        .versions
+                        .get(number)
+                        .copied()
+                        .unwrap_or(record.version),
+                    is_first: is_complete && first == Some(*number),
+                    window,
+                })
         })
     }
 
-    /// Processes that are told apart, each with what it runs.
+    /// Processes that are kept apart, each with its version.
     pub fn processes(&self) -> impl Iterator<Item = (ProcessId, u64)> {
         self.processes
             .iter()
-            .map(|(who, process)| (*who, process.label))
+            .map(|(process, record)| (*process, record.version))
     }
 
-    /// Those that are remembered beside the sum.
-    pub fn gone(&self) -> usize {
-        self.gone_who.len()
+    /// How many retired processes are remembered beside the sum.
+    pub fn retired(&self) -> usize {
+        self.retired.len()
     }
 
-    /// Words of processes for which there was no room.
+    /// Reports of processes for which there was no room.
     pub fn refused(&self) -> u64 {
         self.refused
     }
--- a/crates/shared-state/src/counters/heavy_hitters.rs
+++ b/crates/shared-state/src/counters/heavy_hitters.rs
@@ -1,24 +1,24 @@
-//! Which keys come most, in little memory: a Misra-Gries summary. Of a key that came n times among
-//! all it holds at most n, and at least n less the error, which is at most all that came divided by
-//! one more than the entries. Summaries of several processes add up to one with the same promise
-//! for all of them together (Agarwal and others, Mergeable summaries, 2012).
+//! The most frequent keys, in little memory: a Misra-Gries summary. A key that occurred n times is
+//! counted at most n times, and at least n less the error, which is at most all occurrences divided
+//! by one more than the entries. Summaries of several processes add up to one with the same bound for
+//! all of them together (Agarwal and others, Mergeable summaries, 2012).
 
 use std::collections::BTreeMap;
 
-/// Entries of a summary: keys with more than one in 25 of all that came are surely in it.
+/// Entries of a summary: keys with more than one in 25 of all occurrences are surely in it.
 pub const ENTRIES: usize = 24;
 
 /// A summary.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeavyHitters {
-    /// All that came.
+    /// All occurrences of all keys.
     pub total: u64,
     entries: BTreeMap<u64, u64>,
 }
 
 impl HeavyHitters {
-    /// As it was told; what is beyond its bounds is not taken.
-    pub fn of(total: u64, entries: impl Iterator<Item = (u64, u64)>) -> HeavyHitters {
+    /// A summary from a message; entries beyond [`ENTRIES`] are ignored, counts capped at the total.
+    pub fn from_parts(total: u64, entries: impl Iterator<Item = (u64, u64)>) -> HeavyHitters {
         let mut heavy = HeavyHitters {
             total,
             entries: BTreeMap::new(),
@@ -29,7 +29,7 @@
         heavy
     }
 
-    /// A key came so often.
+    /// Counts occurrences of a key.
     pub fn add(&mut self, key: u64, times: u64) {
         self.total = self.total.saturating_add(times);
         if self.entries.len() < ENTRIES || self.entries.contains_key(&key) {
@@ -37,7 +37,7 @@
             *count = count.saturating_add(times);
             return;
         }
-        // It stands against all others alike: what is gone with it is gone from each of them.
+        // It cancels against all entries alike.
         let less = self.entries.values().copied().min().unwrap_or(0).min(times);
         self.entries.retain(|_, count| {
             *count -= less;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Another one's are added.
+    /// Adds another summary.
     pub fn merge(&mut self, other: &HeavyHitters) {
         self.total = self.total.saturating_add(other.total);
         for (key, times) in &other.entries {
@@ -58,8 +58,8 @@
         self.prune();
     }
 
-    /// Takes from all entries what the first one beyond their number has, so that it and those
-    /// below are gone.
+    /// Subtracts from all entries the count of the first one beyond their bound, so that it and
+    /// those below go.
     fn prune(&mut self) {
         if self.entries.len() <= ENTRIES {
             return;
@@ -73,22 +73,22 @@
         });
     }
 
-    /// By how much a count may be too low at most.
+    /// The most by which a count may be too low.
     pub fn error(&self) -> u64 {
-        // What is missing was taken from more than so many entries alike.
-        let held: u64 = self.entries.values().sum();
-        (self.total - held.min(self.total)) / (ENTRIES as u64 + 1)
+        // What is missing was subtracted from more than `ENTRIES` entries alike.
+        let counted: u64 = self.entries.values().sum();
+        (self.total - counted.min(self.total)) / (ENTRIES as u64 + 1)
     }
 
-    /// The keys that came most, the first ones first.
-    pub fn most(&self) -> Vec<(u64, u64)> {
-        let mut most: Vec<(u64, u64)> = self
+    /// Keys with their counts, the most frequent ones first.
+    pub fn top(&self) -> Vec<(u64, u64)> {
+        let mut top: Vec<(u64, u64)> = self
             .entries
             .iter()
             .map(|(key, count)| (*key, *count))
             .collect();
-        most.sort_unstable_by_key(|(key, count)| (std::cmp::Reverse(*count), *key));
-        most
+        top.sort_unstable_by_key(|(key, count)| (std::cmp::Reverse(*count), *key));
+        top
     }
 }
 
--- a/crates/shared-state/src/counters/heavy_hitters/tests.rs
+++ b/crates/shared-state/src/counters/heavy_hitters/tests.rs
@@ -34,7 +34,7 @@
             "seed {seed}: {} of {all}",
             sum.error()
         );
-        assert!(sum.most().len() <= ENTRIES);
+        assert!(sum.top().len() <= ENTRIES);
         for (key, count) in &true_counts {
             let held = sum.entries.get(key).copied().unwrap_or(0);
             assert!(
@@ -42,7 +42,7 @@
                 "seed {seed}: key {key}, {held} of {count}"
             );
         }
-        let first: Vec<u64> = sum.most().iter().take(4).map(|(key, _)| *key).collect();
+        let first: Vec<u64> = sum.top().iter().take(4).map(|(key, _)| *key).collect();
         assert!(
             all < 2000 || first.iter().all(|key| *key < 4),
             "seed {seed}: {first:?}"
@@ -52,6 +52,6 @@
 
 #[test]
 fn what_is_told_is_bounded() {
-    let heavy = HeavyHitters::of(10, (0..100).map(|key| (key, 1000)));
-    assert!(heavy.most().len() == ENTRIES && heavy.most().iter().all(|(_, count)| *count <= 10));
+    let heavy = HeavyHitters::from_parts(10, (0..100).map(|key| (key, 1000)));
+    assert!(heavy.top().len() == ENTRIES && heavy.top().iter().all(|(_, count)| *count <= 10));
 }
--- a/crates/shared-state/src/counters/latency_histogram.rs
+++ b/crates/shared-state/src/counters/latency_histogram.rs
@@ -1,16 +1,16 @@
-//! Latencies as a histogram that travels and adds up: of each latency it holds the value to one
-//! significant digit.
+//! Latencies as a histogram that can be sent and added up: each latency to one significant digit.
 
 use crate::{Nanos, SECOND};
 use hdrhistogram::Histogram;
 
-/// In these units, and no longer than so many of them.
+/// The unit of the histogram's values, in nanoseconds.
 const UNIT: Nanos = 100_000;
-const LONGEST: u64 = 120 * SECOND / UNIT;
-/// Values that a word of one histogram holds at most.
-pub const VALUES_MAX: usize = 160;
+/// The largest value, in units; longer latencies count as this.
+const MAX_VALUE: u64 = 120 * SECOND / UNIT;
+/// The most values of one histogram in a message.
+pub const MAX_SPARSE_VALUES: usize = 160;
 
-/// A histogram as it travels: values in tenths of a millisecond, with how often each came.
+/// A histogram in a message: values in tenths of a millisecond, each with its count.
 pub type Sparse = Vec<(u32, u32)>;
 
 /// Latencies of one operation.
@@ -21,8 +21,7 @@
 
 impl Default for LatencyHistogram {
     fn default() -> LatencyHistogram {
-        // These bounds are good ones, so that there is a histogram.
-        let histogram = Histogram::new_with_bounds(1, LONGEST, 1).or_else(|_| Histogram::new(1));
+        let histogram = Histogram::new_with_bounds(1, MAX_VALUE, 1).or_else(|_| Histogram::new(1));
         LatencyHistogram {
             histogram: histogram
                 .unwrap_or_else(|_| unreachable!("one significant digit is allowed")),
@@ -31,54 +30,54 @@
 }
 
 impl LatencyHistogram {
-    /// One more took so long.
-    pub fn add(&mut self, time: Nanos) {
+    /// Records a latency.
+    pub fn record(&mut self, latency: Nanos) {
         self.histogram
-            .saturating_record((time / UNIT).clamp(1, LONGEST));
+            .saturating_record((latency / UNIT).clamp(1, MAX_VALUE));
     }
 
-    /// All that another one holds is added.
+    /// Adds another histogram.
     pub fn merge(&mut self, sparse: &[(u32, u32)]) {
         for (value, count) in sparse {
-            let value = u64::from(*value).clamp(1, LONGEST);
+            let value = u64::from(*value).clamp(1, MAX_VALUE);
             self.histogram.saturating_record_n(value, *count);
         }
     }
 
-    /// As it travels.
+    /// The histogram for a message, of at most [`MAX_SPARSE_VALUES`] values.
     pub fn sparse(&self) -> Sparse {
         let values = self.histogram.iter_recorded();
         let mut sparse: Sparse = values
-            .map(|v| (v.value_iterated_to() as u32, v.count_at_value()))
+            .map(|value| (value.value_iterated_to() as u32, value.count_at_value()))
             .collect();
-        // So many different ones are rare: then neighbours are told as one, by the larger of both.
-        while sparse.len() > VALUES_MAX {
-            let two = |two: &[(u32, u32)]| {
-                let count = two
+        // Where there are more, neighbours are merged into the larger of both.
+        while sparse.len() > MAX_SPARSE_VALUES {
+            let merge = |pair: &[(u32, u32)]| {
+                let count = pair
                     .iter()
                     .map(|(_, count)| *count)
                     .fold(0, u32::saturating_add);
-                (two[two.len() - 1].0, count)
+                (pair[pair.len() - 1].0, count)
             };
-            sparse = sparse.chunks(2).map(two).collect();
+            sparse = sparse.chunks(2).map(merge).collect();
         }
         sparse
     }
 
-    /// How many.
+    /// How many latencies were recorded.
     pub fn count(&self) -> u64 {
         self.histogram.len()
     }
 
-    /// What so large a part took at most.
-    pub fn quantile(&self, part: f64) -> Nanos {
-        self.histogram.value_at_quantile(part) * UNIT
+    /// The latency that this fraction of all stayed within, in nanoseconds.
+    pub fn quantile(&self, fraction: f64) -> Nanos {
+        self.histogram.value_at_quantile(fraction) * UNIT
     }
 
-    /// How many took longer.
-    pub fn longer_than(&self, time: Nanos) -> u64 {
-        let until = self.histogram.count_between(0, (time / UNIT).max(1));
-        self.histogram.len().saturating_sub(until)
+    /// How many latencies exceeded this one.
+    pub fn longer_than(&self, latency: Nanos) -> u64 {
+        let within = self.histogram.count_between(0, (latency / UNIT).max(1));
+        self.histogram.len().saturating_sub(within)
     }
 }
 
--- a/crates/shared-state/src/counters/latency_histogram/tests.rs
+++ b/crates/shared-state/src/counters/latency_histogram/tests.rs
@@ -11,14 +11,14 @@
     for _ in 0..20_000 {
         let time = (rng.random_range(0.0..9.0f64).exp() * 1e6) as Nanos;
         let n = rng.random_range(0..of.len());
-        of[n].add(time);
+        of[n].record(time);
         all.push(time);
     }
     all.sort_unstable();
     let mut sum = LatencyHistogram::default();
     for one in &of {
         let sparse = one.sparse();
-        assert!(sparse.len() <= VALUES_MAX);
+        assert!(sparse.len() <= MAX_SPARSE_VALUES);
         sum.merge(&sparse);
     }
     assert_eq!(sum.count(), 20_000);
@@ -34,11 +34,11 @@
 #[test]
 fn what_makes_no_sense_is_held_within_bounds() {
     let mut latency = LatencyHistogram::default();
-    latency.add(0);
-    latency.add(Nanos::MAX);
+    latency.record(0);
+    latency.record(Nanos::MAX);
     latency.merge(&[(0, 3), (u32::MAX, 2)]);
     assert_eq!((latency.count(), latency.quantile(0.1) > 0), (7, true));
     let mut full = LatencyHistogram::default();
-    (0..100_000).for_each(|n| full.add(n * 1_200_000));
-    assert!(full.sparse().len() <= VALUES_MAX);
+    (0..100_000).for_each(|n| full.record(n * 1_200_000));
+    assert!(full.sparse().len() <= MAX_SPARSE_VALUES);
 }
--- a/crates/shared-state/src/counters/process_counters.rs
+++ b/crates/shared-state/src/counters/process_counters.rs
@@ -1,31 +1,38 @@
 //! What a process counts of itself.
 
 use super::latency_histogram::LatencyHistogram;
-use super::{CounterReport, CounterRows, CounterWindow, OWN, ROWS_MAX, WINDOW_MS, WINDOWS, own};
+use super::{
+    CounterReport, CounterRows, CounterWindow, MAX_ROWS, PROCESS_ROW, WINDOW_MS, WINDOWS,
+    process_column,
+};
 use crate::{Nanos, ProcessId};
 use std::collections::BTreeMap;
 
-/// What a process counts of itself.
+/// Windows that [`ProcessCounters::recent`] covers.
+const RECENT_WINDOWS: usize = 2;
+
+/// The counters of this process.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessCounters {
     total: CounterRows,
     windows: BTreeMap<u64, CounterWindow>,
     /// Latencies of the latest window, by row.
     latency: BTreeMap<u32, LatencyHistogram>,
+    /// The latest window's number.
     latest: u64,
 }
 
 impl ProcessCounters {
-    /// Of a process that has just started.
+    /// The counters of a process that has just started.
     pub fn new(unix_ms: u64) -> ProcessCounters {
-        let mut tally = ProcessCounters::default();
-        tally.add(unix_ms, OWN, own::STARTS, 1);
-        tally
+        let mut counters = ProcessCounters::default();
+        counters.add(unix_ms, PROCESS_ROW, process_column::STARTS, 1);
+        counters
     }
 
     fn window(&mut self, unix_ms: u64) -> &mut CounterWindow {
-        let no = unix_ms / WINDOW_MS;
-        if no != self.latest {
+        let number = unix_ms / WINDOW_MS;
+        if number != self.latest {
             let latency = std::mem::take(&mut self.latency);
             if let Some(window) = self.windows.get_mut(&self.latest) {
                 window.latency = latency
@@ -33,18 +40,18 @@
                     .map(|(row, latency)| (*row, latency.sparse()))
                     .collect();
             }
-            self.latest = no;
+            self.latest = number;
         }
-        while self.windows.len() >= WINDOWS && !self.windows.contains_key(&no) {
+        while self.windows.len() >= WINDOWS && !self.windows.contains_key(&number) {
             self.windows.pop_first();
         }
-        self.windows.entry(no).or_default()
+        self.windows.entry(number).or_default()
     }
 
-    /// Something came so often.
+    /// Adds to a column of a row. Rows beyond [`MAX_ROWS`] are not counted.
     pub fn add(&mut self, unix_ms: u64, row: u32, column: usize, times: u64) {
         let window = self.window(unix_ms);
-        if window.rows.len() >= ROWS_MAX && !window.rows.contains_key(&row) {
+        if window.rows.len() >= MAX_ROWS && !window.rows.contains_key(&row) {
             return;
         }
         let of_window = window.rows.entry(row).or_default();
@@ -53,16 +60,16 @@
         of_all[column] = of_all[column].saturating_add(times);
     }
 
-    /// One of a row took so long.
-    pub fn took(&mut self, unix_ms: u64, row: u32, time: Nanos) {
+    /// Records a latency of an operation.
+    pub fn record_latency(&mut self, unix_ms: u64, row: u32, latency: Nanos) {
         let _ = self.window(unix_ms);
-        if self.latency.len() < ROWS_MAX || self.latency.contains_key(&row) {
-            self.latency.entry(row).or_default().add(time);
+        if self.latency.len() < MAX_ROWS || self.latency.contains_key(&row) {
+            self.latency.entry(row).or_default().record(latency);
         }
     }
 
-    /// A key came.
-    pub fn heavy(&mut self, unix_ms: u64, kind: u8, key: u64) {
+    /// Records one occurrence of a key of a kind of heavy keys.
+    pub fn record_key(&mut self, unix_ms: u64, kind: u8, key: u64) {
         self.window(unix_ms)
             .heavy
             .entry(kind)
@@ -70,22 +77,19 @@
             .add(key, 1);
     }
 
-    /// The gauges stand so.
-    pub fn gauges(&mut self, unix_ms: u64, gauges: [u64; 2]) {
-        let held = &mut self.window(unix_ms).gauges;
-        held.iter_mut()
-            .zip(gauges)
-            .for_each(|(held, seen)| *held = (*held).max(seen));
+    /// Records memory in KB and file descriptors; the most in a window counts.
+    pub fn record_gauges(&mut self, unix_ms: u64, gauges: [u64; 2]) {
+        super::raise(&mut self.window(unix_ms).gauges, &gauges);
     }
 
-    /// What it has to say: all since the start, and the latest windows.
-    pub fn word(&self, who: ProcessId, label: u64, windows: usize) -> CounterReport {
+    /// The report of all counts since the start and of this many of the latest windows.
+    pub fn report(&self, process: ProcessId, version: u64, windows: usize) -> CounterReport {
         let mut latest: BTreeMap<u64, CounterWindow> = self
             .windows
             .iter()
             .rev()
             .take(windows)
-            .map(|(no, window)| (*no, window.clone()))
+            .map(|(number, window)| (*number, window.clone()))
             .collect();
         if let Some(window) = latest.get_mut(&self.latest) {
             window.latency = self
@@ -95,21 +99,22 @@
                 .collect();
         }
         CounterReport {
-            who,
-            label,
+            process,
+            version,
             total: self.total.clone(),
             windows: latest,
         }
     }
 
-    /// Of all operations, in the latest two windows.
-    pub fn lately(&self, column: usize) -> u64 {
-        let latest = self.windows.values().rev().take(2);
-        let rows = latest.flat_map(|window| window.rows.iter().filter(|(row, _)| **row != OWN));
+    /// A column over all operations, in the latest two windows.
+    pub fn recent(&self, column: usize) -> u64 {
+        let latest = self.windows.values().rev().take(RECENT_WINDOWS);
+        let rows =
+            latest.flat_map(|window| window.rows.iter().filter(|(row, _)| **row != PROCESS_ROW));
         rows.map(|(_, numbers)| numbers[column]).sum()
     }
 
-    /// Since the start.
+    /// A column of a row since the start.
     pub fn total(&self, row: u32, column: usize) -> u64 {
         self.total.get(&row).map_or(0, |row| row[column])
     }
--- a/crates/shared-state/src/counters/tests.rs
+++ b/crates/shared-state/src/counters/tests.rs
@@ -1,18 +1,21 @@
-use super::cluster_counters::{DETAILED, GONE};
+use super::cluster_counters::{DETAILED_WINDOWS, RETIRE_AFTER};
 use super::*;
 use crate::SECOND;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn who(key: u64, life: u64) -> ProcessId {
-    ProcessId { key, life }
+fn process(key: u64, incarnation: u64) -> ProcessId {
+    ProcessId { key, incarnation }
 }
 
 const UNIX: u64 = 1_800_000_000_000;
 
 fn arrived(counts: &ClusterCounters) -> u64 {
-    counts.total().get(&7).map_or(0, |row| row[column::ARRIVED])
+    counts
+        .total()
+        .get(&7)
+        .map_or(0, |row| row[operation_column::ARRIVED])
 }
 
 /// Words in any order, in any groups, in parts, any number of times, and by way of others: all
@@ -21,58 +24,67 @@
 fn whoever_heard_the_same_counts_the_same() {
     for seed in 0..60 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut said = Vec::new();
+        let mut reports = Vec::new();
         let mut true_total = 0;
         for key in 1..=5 {
             for life in 0..rng.random_range(1..3) {
-                let mut tally = ProcessCounters::new(UNIX);
+                let mut counters = ProcessCounters::new(UNIX);
                 let mut unix = UNIX;
                 for _ in 0..rng.random_range(1..30) {
                     let times = rng.random_range(0..9);
                     unix += rng.random_range(0..3000);
-                    tally.add(unix, 7, column::ARRIVED, times);
-                    tally.took(unix, 7, rng.random_range(1..2000) * 1_000_000);
-                    tally.heavy(unix, heavy_kind::CALLERS, rng.random_range(0..40));
+                    counters.add(unix, 7, operation_column::ARRIVED, times);
+                    counters.record_latency(unix, 7, rng.random_range(1..2000) * 1_000_000);
+                    counters.record_key(unix, heavy_kind::CLIENTS, rng.random_range(0..40));
                     true_total += times;
                     if rng.random_bool(0.3) {
-                        said.push(tally.word(who(key, life), 1, rng.random_range(0..3)));
+                        reports.push(counters.report(
+                            process(key, life),
+                            1,
+                            rng.random_range(0..3),
+                        ));
                     }
                 }
-                said.push(tally.word(who(key, life), 1, WINDOWS));
+                reports.push(counters.report(process(key, life), 1, WINDOWS));
             }
         }
         // Some words come in two parts.
-        for at in 0..said.len() {
+        for at in 0..reports.len() {
             if rng.random_bool(0.3) {
-                let whole = said[at].clone();
-                said[at] = CounterReport {
+                let whole = reports[at].clone();
+                reports[at] = CounterReport {
                     total: CounterRows::new(),
                     ..whole.clone()
                 };
-                said.push(CounterReport {
+                reports.push(CounterReport {
                     windows: BTreeMap::new(),
                     ..whole
                 });
             }
         }
-        let mut heard: Vec<ClusterCounters> = (0..3).map(|_| ClusterCounters::new(64)).collect();
-        for counts in &mut heard {
-            said.shuffle(&mut rng);
-            let again = rng.random_range(0..=said.len());
-            said.iter()
-                .chain(&said[..again])
-                .for_each(|word| counts.hear(0, word));
+        let mut receivers: Vec<ClusterCounters> =
+            (0..3).map(|_| ClusterCounters::new(64)).collect();
+        for counts in &mut receivers {
+            reports.shuffle(&mut rng);
+            let again = rng.random_range(0..=reports.len());
+            reports
+                .iter()
+                .chain(&reports[..again])
+                .for_each(|report| counts.merge(0, report));
         }
         // One more hears only by way of the first.
         let mut second_hand = ClusterCounters::new(64);
-        let all: Vec<ProcessId> = heard[0].processes().map(|(who, _)| who).collect();
+        let all: Vec<ProcessId> = receivers[0]
+            .processes()
+            .map(|(process, _)| process)
+            .collect();
         all.iter()
-            .filter_map(|who| heard[0].word(*who))
-            .for_each(|word| second_hand.hear(0, &word));
-        heard.push(second_hand);
-        let sums: Vec<(u64, CounterWindow)> = heard
+            .filter_map(|process| receivers[0].report(*process))
+            .for_each(|report| second_hand.merge(0, &report));
+        receivers.push(second_hand);
+        let sums: Vec<(u64, CounterWindow)> = receivers
             .iter()
-            .map(|c| (arrived(c), c.lately(UNIX + 200_000, 30, |_, _| true)))
+            .map(|c| (arrived(c), c.recent(UNIX + 200_000, 30, |_, _| true)))
             .collect();
         assert!(sums.windows(2).all(|two| two[0] == two[1]), "seed {seed}");
         assert_eq!(sums[0].0, true_total, "seed {seed}");
@@ -83,13 +95,19 @@
 fn one_that_returns_under_its_name_adds_to_its_past() {
     let mut all = ClusterCounters::new(64);
     let mut first = ProcessCounters::new(UNIX);
-    first.add(UNIX, 7, column::ARRIVED, 100);
-    all.hear(0, &first.word(who(1, 1), 0, 2));
+    first.add(UNIX, 7, operation_column::ARRIVED, 100);
+    all.merge(0, &first.report(process(1, 1), 0, 2));
     let mut second = ProcessCounters::new(UNIX);
-    second.add(UNIX, 7, column::ARRIVED, 5);
-    all.hear(0, &second.word(who(1, 2), 0, 2));
-    all.hear(0, &first.word(who(1, 1), 0, 2)); // late
-    assert_eq!((arrived(&all), all.total()[&OWN][own::STARTS]), (105, 2));
+    second.add(UNIX, 7, operation_column::ARRIVED, 5);
+    all.merge(0, &second.report(process(1, 2), 0, 2));
+    all.merge(0, &first.report(process(1, 1), 0, 2)); // late
+    assert_eq!(
+        (
+            arrived(&all),
+            all.total()[&PROCESS_ROW][process_column::STARTS]
+        ),
+        (105, 2)
+    );
 }
 
 /// Nodes come and go for weeks: memory stays, the sum goes on, and a late word of one who is
@@ -100,22 +118,22 @@
     let mut now = 0;
     let mut last = CounterReport::default();
     for life in 1..=5000u64 {
-        let mut tally = ProcessCounters::new(UNIX + now / 1_000_000);
-        tally.add(UNIX + now / 1_000_000, 7, column::ARRIVED, 3);
-        last = tally.word(who(life % 20 + 1, life), 0, 2);
-        all.hear(now, &last);
+        let mut counters = ProcessCounters::new(UNIX + now / 1_000_000);
+        counters.add(UNIX + now / 1_000_000, 7, operation_column::ARRIVED, 3);
+        last = counters.report(process(life % 20 + 1, life), 0, 2);
+        all.merge(now, &last);
         now += 120 * SECOND;
-        all.tidy(now, |_| false);
+        all.retire(now, |_| false);
     }
     assert_eq!((arrived(&all), all.refused()), (15_000, 0));
     assert!(
-        all.processes().count() <= 6 && all.gone() <= 200,
+        all.processes().count() <= 6 && all.retired() <= 200,
         "{}",
-        all.gone()
+        all.retired()
     );
-    now += GONE;
-    all.tidy(now, |_| false);
-    all.hear(now, &last);
+    now += RETIRE_AFTER;
+    all.retire(now, |_| false);
+    all.merge(now, &last);
     assert_eq!(arrived(&all), 15_000);
 }
 
@@ -124,16 +142,16 @@
 #[test]
 fn one_that_was_silent_for_long_and_speaks_again_counts_once() {
     let (mut all, mut one) = (ClusterCounters::new(9), ProcessCounters::new(UNIX));
-    one.add(UNIX, 7, column::ARRIVED, 100);
-    all.hear(0, &one.word(who(1, 1), 0, 2));
-    all.tidy(3600 * SECOND, |_| true); // idle, and there
+    one.add(UNIX, 7, operation_column::ARRIVED, 100);
+    all.merge(0, &one.report(process(1, 1), 0, 2));
+    all.retire(3600 * SECOND, |_| true); // idle, and there
     assert_eq!(all.processes().count(), 1);
-    all.tidy(3600 * SECOND, |_| false); // cut off
+    all.retire(3600 * SECOND, |_| false); // cut off
     assert_eq!((all.processes().count(), arrived(&all)), (0, 100));
-    all.hear(3600 * SECOND, &one.word(who(1, 1), 0, 2));
+    all.merge(3600 * SECOND, &one.report(process(1, 1), 0, 2));
     assert_eq!((all.processes().count(), arrived(&all)), (0, 100));
-    one.add(UNIX, 7, column::ARRIVED, 5);
-    all.hear(3601 * SECOND, &one.word(who(1, 1), 0, 2));
+    one.add(UNIX, 7, operation_column::ARRIVED, 5);
+    all.merge(3601 * SECOND, &one.report(process(1, 1), 0, 2));
     assert_eq!((all.processes().count(), arrived(&all)), (1, 105));
 }
 
@@ -141,13 +159,13 @@
 #[test]
 fn a_window_keeps_what_was_run_in_it() {
     let (mut all, mut one) = (ClusterCounters::new(9), ProcessCounters::new(UNIX));
-    for (window, label) in [(0, 1), (1, 1), (2, 2)] {
-        one.add(UNIX + window * WINDOW_MS, 7, column::ARRIVED, 1);
-        all.hear(0, &one.word(who(1, 1), label, 2));
+    for (window, version) in [(0, 1), (1, 1), (2, 2)] {
+        one.add(UNIX + window * WINDOW_MS, 7, operation_column::ARRIVED, 1);
+        all.merge(0, &one.report(process(1, 1), version, 2));
     }
     let ran: Vec<(u64, bool)> = all
         .windows(0)
-        .map(|(_, _, label, first, _)| (label, first))
+        .map(|window| (window.version, window.is_first))
         .collect();
     assert_eq!(ran, [(1, true), (1, false), (2, false)]);
     assert_eq!(all.windows(UNIX / WINDOW_MS + 2).count(), 1);
@@ -157,38 +175,38 @@
 fn more_processes_and_rows_than_there_is_room_for_are_left_out() {
     let mut all = ClusterCounters::new(3);
     for life in 1..=5 {
-        let mut tally = ProcessCounters::new(UNIX);
-        tally.add(UNIX, 7, column::ARRIVED, 1);
-        all.hear(0, &tally.word(who(life, life), 0, 2));
+        let mut counters = ProcessCounters::new(UNIX);
+        counters.add(UNIX, 7, operation_column::ARRIVED, 1);
+        all.merge(0, &counters.report(process(life, life), 0, 2));
     }
     assert_eq!((arrived(&all), all.refused()), (3, 2));
-    let mut tally = ProcessCounters::new(UNIX);
-    (0..100).for_each(|row| tally.add(UNIX, row, 0, 1));
-    let mut wide = tally.word(who(1, 1), 0, 2);
-    assert_eq!(wide.total.len(), ROWS_MAX);
+    let mut counters = ProcessCounters::new(UNIX);
+    (0..100).for_each(|row| counters.add(UNIX, row, 0, 1));
+    let mut wide = counters.report(process(1, 1), 0, 2);
+    assert_eq!(wide.total.len(), MAX_ROWS);
     (0..100).for_each(|row| _ = wide.total.insert(1000 + row, CounterRow::default()));
-    all.hear(0, &wide);
-    assert_eq!(all.word(who(1, 1)).unwrap().total.len(), ROWS_MAX);
+    all.merge(0, &wide);
+    assert_eq!(all.report(process(1, 1)).unwrap().total.len(), MAX_ROWS);
 }
 
 /// Windows end; the latest have their details; and cohorts are told apart over the same time.
 #[test]
 fn windows_end_and_cohorts_are_told_apart() {
     let mut all = ClusterCounters::new(9);
-    for (key, label) in [(1, 10), (2, 20), (3, 20)] {
-        let mut tally = ProcessCounters::new(UNIX);
+    for (key, version) in [(1, 10), (2, 20), (3, 20)] {
+        let mut counters = ProcessCounters::new(UNIX);
         for window in 0..100 {
             let unix = UNIX + window * WINDOW_MS;
-            tally.add(unix, 7, column::ARRIVED, 2 * key);
-            tally.took(unix, 7, key * 10_000_000);
-            tally.heavy(unix, heavy_kind::CALLERS, key);
+            counters.add(unix, 7, operation_column::ARRIVED, 2 * key);
+            counters.record_latency(unix, 7, key * 10_000_000);
+            counters.record_key(unix, heavy_kind::CLIENTS, key);
         }
-        let word = tally.word(who(key, key), label, usize::MAX);
-        assert_eq!(word.windows.len(), WINDOWS);
-        all.hear(0, &word);
+        let report = counters.report(process(key, key), version, usize::MAX);
+        assert_eq!(report.windows.len(), WINDOWS);
+        all.merge(0, &report);
     }
     let at = UNIX + 100 * WINDOW_MS;
-    let of = |label, windows| all.lately(at, windows, |_, of| of == label);
+    let of = |version, windows| all.recent(at, windows, |_, of| of == version);
     assert_eq!(
         (
             of(10, 3).rows[&7][0],
@@ -197,7 +215,10 @@
         ),
         (6, 30, 80)
     );
-    assert_eq!(how_many(&of(20, 99).latency[&7]), 2 * DETAILED as u64);
+    assert_eq!(
+        latency_count(&of(20, 99).latency[&7]),
+        2 * DETAILED_WINDOWS as u64
+    );
     let mut latency = LatencyHistogram::default();
     latency.merge(&of(20, 2).latency[&7]);
     assert!(latency.quantile(0.4) < 22_000_000 && latency.quantile(0.9) > 28_000_000);
