--- a/crates/shared-state/src/keyed_quota/borrower/requests.rs
+++ b/crates/shared-state/src/keyed_quota/borrower/requests.rs
@@ -1,160 +1,200 @@
-//! Requests.
+//! What a node requests of the lender, when, and how it takes up grants.
+//!
+//! Keys that run out are queued as urgent and share a request; the others are renewed in turn. A
+//! token bucket bounds the requests of a node.
 
-use super::{AHEAD, AT_ONCE, FADES, Place, QuotaBorrower, TOGETHER, UnitLease};
+use super::{
+    DEMAND_DECAY, DEMAND_HEADROOM, KeyId, QuotaBorrower, REQUEST_BATCH_DELAY, REQUEST_BURST,
+    UnitLease,
+};
+use crate::Nanos;
+use crate::clock::drift_shortened;
 use crate::keyed_quota::{
-    KEYS_ASKED, KeyRequest, QuotaGrant, QuotaKind, QuotaRequest, QuotaTiming,
+    KeyRequest, MAX_KEYS_PER_REQUEST, QuotaGrant, QuotaKind, QuotaRequest, QuotaTiming,
 };
-use crate::{Nanos, shorter};
+
+/// The use of a key is measured over at least this part of a renewal interval.
+const MIN_MEASURED_PART: Nanos = 8;
 
 impl QuotaBorrower {
-    pub(super) fn refill(&mut self, now: Nanos) {
-        let passed = now.saturating_sub(self.counted) as f64 / self.rhythm.urgent as f64;
-        (self.saved, self.counted) = ((self.saved + passed).min(AT_ONCE), now);
+    pub(super) fn queue_urgent(&mut self, now: Nanos, id: KeyId) {
+        if let Some(key) = self.keys.get_mut(&id) {
+            key.is_urgent = true;
+            if self.urgent.is_empty() {
+                self.urgent_since = now;
+            }
+            self.urgent.push(id);
+        }
+    }
+
+    /// Requests that became allowed since the last refill.
+    fn new_tokens(&self, now: Nanos) -> f64 {
+        now.saturating_sub(self.refilled_at) as f64 / self.timing.request_interval as f64
+    }
+
+    fn refill(&mut self, now: Nanos) {
+        let passed = self.new_tokens(now);
+        self.request_tokens = (self.request_tokens + passed).min(REQUEST_BURST);
+        self.refilled_at = now;
     }
 
-    /// When the next question may go out, if one is wanted now.
-    pub(super) fn next_question(&self, now: Nanos) -> Nanos {
-        let passed = now.saturating_sub(self.counted) as f64 / self.rhythm.urgent as f64;
-        let lacks = (1.0 - self.saved - passed).max(0.0);
+    /// When the next request may be sent, if one is wanted now.
+    pub(super) fn next_request_allowed(&self, now: Nanos) -> Nanos {
+        let passed = self.new_tokens(now);
+        let missing = (1.0 - self.request_tokens - passed).max(0.0);
         let since = if self.urgent.is_empty() {
             now
         } else {
             self.urgent_since
         };
-        (since + TOGETHER).max(now + (lacks * self.rhythm.urgent as f64) as Nanos)
+        (since + REQUEST_BATCH_DELAY)
+            .max(now + (missing * self.timing.request_interval as f64) as Nanos)
     }
 
-    /// When it wants to ask, if at all.
-    pub fn next(&self, now: Nanos) -> Option<Nanos> {
-        let due = match (self.urgent.is_empty(), self.later.front()) {
+    /// When [`QuotaBorrower::next_request`] is to be called next, if at all.
+    pub fn next_request_at(&self, now: Nanos) -> Option<Nanos> {
+        let due = match (self.urgent.is_empty(), self.renewals.front()) {
             (false, _) => now,
             (true, Some((due, _))) => *due,
             (true, None) => return None,
         };
-        Some(due.max(self.next_question(now)))
+        Some(due.max(self.next_request_allowed(now)))
     }
 
-    /// The question that is due now, if one is.
-    pub fn ask(&mut self, now: Nanos) -> Option<QuotaRequest> {
+    /// The request that is due now, if one is. The caller sends it to the lender.
+    pub fn next_request(&mut self, now: Nanos) -> Option<QuotaRequest> {
         self.refill(now);
-        let is_due = !self.urgent.is_empty() && now >= self.urgent_since + TOGETHER
-            || self.later.front().is_some_and(|(due, _)| *due <= now);
-        if self.saved < 1.0 || !is_due {
+        let is_due = !self.urgent.is_empty() && now >= self.urgent_since + REQUEST_BATCH_DELAY
+            || self.renewals.front().is_some_and(|(due, _)| *due <= now);
+        if self.request_tokens < 1.0 || !is_due {
             return None;
         }
-        let no = self.no + 1;
-        let mut asked = QuotaRequest {
-            no,
-            stamp: now,
+        let number = self.last_request + 1;
+        let mut request = QuotaRequest {
+            number,
+            sent_at: now,
             keys: Vec::new(),
         };
-        let most = self.urgent.len().min(KEYS_ASKED);
-        for place in self.urgent.drain(..most).collect::<Vec<_>>() {
-            self.question(now, no, place, &mut asked.keys);
+        let urgent = self.urgent.len().min(MAX_KEYS_PER_REQUEST);
+        for id in self.urgent.drain(..urgent).collect::<Vec<_>>() {
+            self.request_key(now, number, id, &mut request.keys);
         }
         self.urgent_since = now;
-        while asked.keys.len() < KEYS_ASKED {
-            let Some((due, place)) = self.later.pop_front_if(|(due, _)| *due <= now) else {
+        self.add_renewals(now, &mut request);
+        if request.keys.is_empty() {
+            return None;
+        }
+        self.last_request = number;
+        self.request_tokens -= 1.0;
+        self.last_request_at = now;
+        Some(request)
+    }
+
+    /// Fills a request with keys whose renewal is due, and forgets keys that are out of use.
+    fn add_renewals(&mut self, now: Nanos, request: &mut QuotaRequest) {
+        let QuotaTiming {
+            renewal_interval,
+            idle_timeout,
+            ..
+        } = self.timing;
+        while request.keys.len() < MAX_KEYS_PER_REQUEST {
+            let Some((due, id)) = self.renewals.pop_front_if(|(due, _)| *due <= now) else {
                 break;
             };
-            let QuotaTiming { renew, keep, .. } = self.rhythm;
-            // One that was let go of meanwhile, and perhaps came anew, has another place in the
-            // queue or none.
-            let Some(pocket) = self
-                .pockets
-                .get_mut(&place)
-                .filter(|pocket| pocket.later == due)
-            else {
+            // A key that was evicted meanwhile, and perhaps came anew, has another entry or none.
+            let Some(key) = self.keys.get_mut(&id).filter(|key| key.renewal_due == due) else {
                 continue;
             };
-            if pocket.in_hand == 0 && pocket.slip.units(now) == 0 && now >= pocket.used + keep {
-                self.forget(now, place);
+            if key.in_flight == 0 && key.lease.units(now) == 0 && now >= key.used_at + idle_timeout
+            {
+                self.forget(now, id);
                 continue;
             }
-            pocket.later = now + renew;
-            let was_asked = now < pocket.asked_at + renew && pocket.slip.asked > 0;
-            self.later.push_back((now + renew, place));
-            if !was_asked {
-                self.question(now, no, place, &mut asked.keys);
+            key.renewal_due = now + renewal_interval;
+            let is_recent = now < key.requested_at + renewal_interval && key.lease.was_requested();
+            self.renewals.push_back((now + renewal_interval, id));
+            if !is_recent {
+                self.request_key(now, request.number, id, &mut request.keys);
             }
         }
-        if asked.keys.is_empty() {
-            return None;
-        }
-        (self.no, self.saved, self.lender_asked) = (no, self.saved - 1.0, now);
-        Some(asked)
     }
 
-    /// Says of a key what is left and kept, and what is wanted.
-    pub(super) fn question(
-        &mut self,
-        now: Nanos,
-        no: u32,
-        place: Place,
-        keys: &mut Vec<KeyRequest>,
-    ) {
-        let Some(of) = self.terms.get(&place.0).copied() else {
+    /// Adds a key to a request: what is kept and released of it, and what is wanted.
+    fn request_key(&mut self, now: Nanos, number: u32, id: KeyId, keys: &mut Vec<KeyRequest>) {
+        let Some(terms) = self.terms.get(&id.0).copied() else {
             return;
         };
-        let QuotaTiming { renew, keep, .. } = self.rhythm;
-        let Some(pocket) = self.pockets.get_mut(&place) else {
+        let QuotaTiming {
+            renewal_interval,
+            idle_timeout,
+            ..
+        } = self.timing;
+        let Some(key) = self.keys.get_mut(&id) else {
             return;
         };
-        let is_used = now < pocket.used + keep;
-        let tries = match of.kind {
+        let is_used = now < key.used_at + idle_timeout;
+        let attempts = match terms.kind {
             QuotaKind::Rate { .. } => {
-                let passed = now.saturating_sub(pocket.asked_at).max(renew / 8);
-                f64::from(pocket.tries) * renew as f64 / passed as f64
+                let passed = now
+                    .saturating_sub(key.requested_at)
+                    .max(renewal_interval / MIN_MEASURED_PART);
+                f64::from(key.attempts) * renewal_interval as f64 / passed as f64
             }
-            QuotaKind::InHand { .. } => f64::from(pocket.tries.saturating_sub(of.floor)),
+            QuotaKind::InFlight { .. } => f64::from(key.attempts.saturating_sub(terms.floor)),
         };
-        pocket.lately = (f64::from(pocket.lately) * FADES).max(tries) as f32;
-        let need = (f64::from(pocket.lately) * AHEAD).ceil() as u32;
-        // ProcessId uses a key now and then has one at hand.
-        let need = if is_used { need.max(1) } else { 0 }.min(of.pool);
-        let in_use = match of.kind {
+        key.recent_use = (f64::from(key.recent_use) * DEMAND_DECAY).max(attempts) as f32;
+        let demand = (f64::from(key.recent_use) * DEMAND_HEADROOM).ceil() as u32;
+        // A key that is used now and then keeps one unit here.
+        let demand = if is_used { demand.max(1) } else { 0 }.min(terms.pool);
+        let in_use = match terms.kind {
             QuotaKind::Rate { .. } => 0,
-            QuotaKind::InHand { .. } => pocket.in_hand.saturating_sub(of.floor),
+            QuotaKind::InFlight { .. } => key.in_flight.saturating_sub(terms.floor),
         };
-        // What is in use is told as left, whatever became of the units that it was taken by.
-        let (kept, back) = pocket.slip.ask(now, no, need.max(in_use));
-        let left = kept.max(in_use);
-        (pocket.need, pocket.asked_at, pocket.tries, pocket.urgent) = (need, now, 0, false);
+        // What is in use is reported as kept, even if its lease has expired meanwhile.
+        let (kept, released) = key.lease.request(now, number, demand.max(in_use));
+        let kept = kept.max(in_use);
+        (key.demand, key.requested_at, key.attempts, key.is_urgent) = (demand, now, 0, false);
         keys.push(KeyRequest {
-            budget: place.0,
-            key: place.1,
-            left,
-            back,
-            wants: need.saturating_sub(left),
+            quota: id.0,
+            key: id.1,
+            kept,
+            released,
+            wanted: demand.saturating_sub(kept),
         });
     }
 
-    /// An answer came. What it says of a key counts only if no later question was asked about that:
-    /// the one who lends goes by the latest question.
-    pub fn lent(&mut self, now: Nanos, lent: &QuotaGrant) {
-        if lent.stamp > now {
+    /// Receives a grant. It counts for a key only if no later request was sent about that, because
+    /// the lender goes by the latest request. A grant from the future is ignored.
+    pub fn receive_grant(&mut self, now: Nanos, grant: &QuotaGrant) {
+        if grant.request_sent_at > now {
             return;
         }
-        self.heard = self.heard.max(now);
-        let until = lent
-            .stamp
-            .saturating_add(shorter(lent.life.min(self.rhythm.life)));
-        for key in &lent.keys {
-            let Some(pocket) = self.pockets.get_mut(&(key.budget, key.key)) else {
+        self.last_grant_at = self.last_grant_at.max(now);
+        let expires_at = grant.request_sent_at.saturating_add(drift_shortened(
+            grant.lease_duration.min(self.timing.lease_duration),
+        ));
+        for granted in &grant.keys {
+            let Some(key) = self.keys.get_mut(&(granted.quota, granted.key)) else {
                 continue;
             };
-            if pocket.slip.answer(now, lent.no, key.adds, until) {
-                pocket.empty_until = if key.wait > 0 { now + key.wait } else { 0 };
+            if key
+                .lease
+                .receive_grant(now, grant.number, granted.added, expires_at)
+            {
+                key.exhausted_until = if granted.retry_after > 0 {
+                    now + granted.retry_after
+                } else {
+                    0
+                };
             }
         }
     }
 
-    /// The node leaves: nothing that was lent is used from here on. Whether nothing of it is in
-    /// hand.
-    pub fn let_go(&mut self) -> bool {
-        self.pockets
+    /// The node leaves: no leased unit is used from now on. Returns whether nothing is in flight.
+    pub fn drop_leases(&mut self) -> bool {
+        self.keys
             .values_mut()
-            .for_each(|pocket| pocket.slip = UnitLease::default());
-        self.pockets.values().all(|pocket| pocket.in_hand == 0)
+            .for_each(|key| key.lease = UnitLease::default());
+        self.keys.values().all(|key| key.in_flight == 0)
     }
 }
--- a/crates/shared-state/src/keyed_quota/borrower/unit_lease.rs
+++ b/crates/shared-state/src/keyed_quota/borrower/unit_lease.rs
@@ -1,46 +1,56 @@
-//! Units.
+//! Leased units of one key, as their borrower counts them. All rules that keep a unit from being used
+//! twice on the borrower's side are here; the model checks use this type as it is.
 
 use crate::Nanos;
 
-/// Units of a key that were lent to a node: what must hold of them is all here.
+/// Units of a key that are leased to a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct UnitLease {
-    pub(super) units: u32,
-    /// Until when they are good.
-    until: Nanos,
-    /// The latest question about them, and whether that was answered.
-    pub(super) asked: u32,
-    answered: bool,
+    units: u32,
+    expires_at: Nanos,
+    /// The latest request about them, and whether that was answered.
+    request: u32,
+    is_answered: bool,
 }
 
 impl UnitLease {
-    /// Units that are good now.
+    /// Units that may be used now.
     pub fn units(&self, now: Nanos) -> u32 {
-        if now < self.until { self.units } else { 0 }
+        if now < self.expires_at { self.units } else { 0 }
     }
 
-    /// One of them is spent.
+    /// Spends one unit, of which there must be one.
     pub fn spend(&mut self) {
         self.units -= 1;
     }
 
-    /// A question goes out. Of the units that are good so many are kept, and the rest is not used
-    /// from here on; any answer to an earlier question counts for nothing. What is kept, and what
-    /// is given back.
-    pub fn ask(&mut self, now: Nanos, no: u32, keep: u32) -> (u32, u32) {
+    /// Whether a request about them was ever sent.
+    pub(super) fn was_requested(&self) -> bool {
+        self.request > 0
+    }
+
+    /// A request is sent. Of the valid units at most `keep` are kept, and the rest is not used from
+    /// now on; grants for earlier requests become void. Returns the units kept and released.
+    pub fn request(&mut self, now: Nanos, number: u32, keep: u32) -> (u32, u32) {
         let units = self.units(now);
-        (self.units, self.asked, self.answered) = (units.min(keep), no, false);
+        (self.units, self.request, self.is_answered) = (units.min(keep), number, false);
         (self.units, units - self.units)
     }
 
-    /// An answer came: units that are good until then, as all are that were kept. Whether it
-    /// counts.
-    pub fn answer(&mut self, now: Nanos, no: u32, adds: u32, until: Nanos) -> bool {
-        if self.asked != no || self.answered {
+    /// A grant is received: all units, those that were kept too, are valid until `expires_at`.
+    /// Returns whether it counts: only the first answer to the latest request does.
+    pub fn receive_grant(
+        &mut self,
+        now: Nanos,
+        number: u32,
+        added: u32,
+        expires_at: Nanos,
+    ) -> bool {
+        if self.request != number || self.is_answered {
             return false;
         }
-        (self.units, self.until, self.answered) =
-            (self.units(now).saturating_add(adds), until, true);
+        (self.units, self.expires_at, self.is_answered) =
+            (self.units(now).saturating_add(added), expires_at, true);
         true
     }
 }
--- a/crates/shared-state/src/keyed_quota/borrower/view.rs
+++ b/crates/shared-state/src/keyed_quota/borrower/view.rs
@@ -1,52 +1,57 @@
-//! Seen from outside.
+//! What others read of a node's end of the quotas: for status, logs and tests.
 
 use super::{QuotaBorrower, QuotaCounters};
 use crate::Nanos;
 use crate::keyed_quota::KeyedQuota;
 
+/// Leased units of a quota.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LeasedTotals {
+    /// Units of all keys.
+    pub units: u64,
+    /// Keys with any.
+    pub keys: usize,
+}
+
 impl QuotaBorrower {
-    /// Units that could be spent of a key now, of what was lent.
-    pub fn units(&self, now: Nanos, budget: u32, key: u64) -> u32 {
-        self.pockets
-            .get(&(budget, key))
-            .map_or(0, |pocket| pocket.slip.units(now))
+    /// Leased units of a key that may be used now.
+    pub fn units(&self, now: Nanos, quota: u32, key: u64) -> u32 {
+        self.keys
+            .get(&(quota, key))
+            .map_or(0, |key| key.lease.units(now))
     }
 
-    /// What is in hand of a key.
-    pub fn in_hand(&self, budget: u32, key: u64) -> u32 {
-        self.pockets
-            .get(&(budget, key))
-            .map_or(0, |pocket| pocket.in_hand)
+    /// How many of a key are in flight.
+    pub fn in_flight(&self, quota: u32, key: u64) -> u32 {
+        self.keys.get(&(quota, key)).map_or(0, |key| key.in_flight)
     }
 
-    /// What came of each budget.
-    pub fn tallies(&self) -> impl Iterator<Item = (&KeyedQuota, QuotaCounters)> {
-        self.budgets
+    /// What was admitted and refused under each quota.
+    pub fn counters(&self) -> impl Iterator<Item = (&KeyedQuota, QuotaCounters)> {
+        self.quotas
             .iter()
-            .map(|(id, budget)| (budget, self.tallies.get(id).copied().unwrap_or_default()))
+            .map(|(id, quota)| (quota, self.counters.get(id).copied().unwrap_or_default()))
     }
 
-    /// Units lent and keys with any, of a budget.
-    pub fn holds(&self, now: Nanos, budget: u32) -> (u64, usize) {
-        let of = self.pockets.iter().filter(|((id, _), _)| *id == budget);
-        let units = of
-            .map(|(_, pocket)| u64::from(pocket.slip.units(now)))
+    /// Leased units of a quota, over all keys.
+    pub fn leased(&self, now: Nanos, quota: u32) -> LeasedTotals {
+        let of_quota = self.keys.iter().filter(|((id, _), _)| *id == quota);
+        let units = of_quota
+            .map(|(_, key)| u64::from(key.lease.units(now)))
             .filter(|units| *units > 0);
-        units.fold((0, 0), |(sum, keys), units| (sum + units, keys + 1))
-    }
-
-    /// How long ago one who lends was heard; none if never.
-    pub fn heard(&self, now: Nanos) -> Option<Nanos> {
-        (self.heard > 0).then(|| now.saturating_sub(self.heard))
+        units.fold(LeasedTotals::default(), |sum, units| LeasedTotals {
+            units: sum.units + units,
+            keys: sum.keys + 1,
+        })
     }
 
-    /// Whether the floors are all that there is.
-    pub fn hears_nobody(&self, now: Nanos) -> bool {
-        self.is_deaf(now)
+    /// Time since the last grant, in nanoseconds; none if there was none.
+    pub fn since_last_grant(&self, now: Nanos) -> Option<Nanos> {
+        (self.last_grant_at > 0).then(|| now.saturating_sub(self.last_grant_at))
     }
 
-    /// Keys that are told apart.
-    pub fn keys(&self) -> usize {
-        self.pockets.len()
+    /// Keys with a state of their own.
+    pub fn tracked_keys(&self) -> usize {
+        self.keys.len()
     }
 }
--- a/crates/shared-state/src/keyed_quota/tests.rs
+++ b/crates/shared-state/src/keyed_quota/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn rate(count: u32, burst: u32, floor: u32, nodes_most: u32) -> KeyedQuota {
+fn rate(count: u32, burst: u32, floor: u32, max_nodes: u32) -> KeyedQuota {
     let kind = QuotaKind::Rate {
         count,
         period: SECOND,
@@ -10,7 +10,7 @@
         name: "by-site".into(),
         kind,
         floor,
-        nodes_most,
+        max_nodes,
     }
 }
 
@@ -20,20 +20,26 @@
         (rate(10, 60, 1, 40).check(), rate(10, 60, 1, 40).pool()),
         (Ok(()), 20)
     );
-    let told = rate(10, 40, 1, 40).check().unwrap_err();
+    let error = rate(10, 40, 1, 40).check().unwrap_err().to_string();
     assert!(
-        told.contains("floors of 40 nodes are 40") && told.contains("burst of 40"),
-        "{told}"
+        error.contains("floors of 40 nodes are 40") && error.contains("burst of 40"),
+        "{error}"
     );
     assert!(rate(0, 40, 0, 40).check().is_err() && rate(1, 0, 0, 40).check().is_err());
     let limit = KeyedQuota {
-        kind: QuotaKind::InHand {
+        kind: QuotaKind::InFlight {
             limit: 9,
-            longest: SECOND,
+            max_hold: SECOND,
         },
         ..rate(1, 1, 3, 3)
     };
-    assert!(limit.check().unwrap_err().contains("limit of 9"));
+    assert!(
+        limit
+            .check()
+            .unwrap_err()
+            .to_string()
+            .contains("limit of 9")
+    );
     assert!(
         limit.id() != rate(1, 1, 3, 3).id(),
         "another kind is another budget"
@@ -45,29 +51,29 @@
 #[test]
 fn what_is_made_is_no_more_than_the_rate() {
     for (count, floor, nodes) in [(1, 0, 5), (10, 1, 40), (999, 3, 300), (100_000, 1, 3000)] {
-        let budget = rate(count, floor * nodes + 5, floor, nodes);
-        let fast = 1.0 + 1.0 / (crate::DRIFT as f64 - 1.0);
-        let lent = fast * SECOND as f64 / budget.interval().unwrap() as f64;
+        let quota = rate(count, floor * nodes + 5, floor, nodes);
+        let fast = 1.0 + 1.0 / (crate::CLOCK_DRIFT_PARTS as f64 - 1.0);
+        let leased = fast * SECOND as f64 / quota.unit_interval().unwrap() as f64;
         let floors = match floor {
             0 => 0.0,
-            _ => f64::from(nodes) * fast * SECOND as f64 / budget.floor_interval() as f64,
+            _ => f64::from(nodes) * fast * SECOND as f64 / quota.floor_interval() as f64,
         };
         assert!(
-            lent + floors <= f64::from(count),
-            "{count}: {lent} and {floors}"
+            leased + floors <= f64::from(count),
+            "{count}: {leased} and {floors}"
         );
-        assert!(lent > 0.89 * f64::from(count), "{count}: {lent}");
+        assert!(leased > 0.89 * f64::from(count), "{count}: {leased}");
     }
 }
 
 #[test]
 fn the_one_who_lends_is_asked_at_most_so_often() {
     for nodes in [1, 10, 300, 3000, 20_000] {
-        let rhythm = QuotaTiming::of(nodes);
+        let timing = QuotaTiming::for_nodes(nodes);
         assert!(
-            u64::from(nodes) * SECOND / rhythm.urgent <= 2 * QUESTIONS
-                && rhythm.life > 2 * rhythm.renew
+            u64::from(nodes) * SECOND / timing.request_interval <= 2 * LENDER_REQUESTS_PER_SECOND
+                && timing.lease_duration > 2 * timing.renewal_interval
         );
     }
-    assert_eq!(QuotaTiming::of(300).life, 3 * SECOND);
+    assert_eq!(QuotaTiming::for_nodes(300).lease_duration, 3 * SECOND);
 }
--- a/crates/shared-state/src/messages/decode.rs
+++ b/crates/shared-state/src/messages/decode.rs
@@ -1,300 +1,202 @@
-//! Reads messages.
+//! Decodes messages and checks their bounds.
 
-use super::wire::{
-    CountRow, CountWord, HeavyKeys, Keys, Known, Latencies, LentPart, Parcel, Process, SumWord,
-    Wanted, Window, Witness,
-};
-use super::{ClusterTotals, HAVE_MAX, KnownCounters, Message, PARCEL_MAX, ReceivedMessage};
-use crate::budget::{BudgetRequest, Lease};
-use crate::counters::heavy_hitters::{ENTRIES, HeavyHitters};
-use crate::counters::latency_histogram::{Sparse, VALUES_MAX};
-use crate::counters::{
-    COLUMNS, CounterReport, CounterRow, CounterRows, CounterWindow, HEAVY_MAX, ROWS_MAX, WINDOWS,
-};
-use crate::keyed_quota::{KEYS_ASKED, KeyGrant, KeyRequest, QuotaGrant, QuotaRequest};
+use super::decode_counters::{decode_counters, decode_totals};
+use super::wire::{GrantedLease, Keys, Known, LeaseRequest, Payload, Process, ServiceReport, kind};
+use super::{BudgetMessage, KnownCounters, MAX_KNOWN_PROCESSES, MAX_PAYLOAD_BYTES, SharedMessage};
+use crate::budget::{BudgetRequest, Lease, LeaseId};
+use crate::keyed_quota::{KeyGrant, KeyRequest, MAX_KEYS_PER_REQUEST, QuotaGrant, QuotaRequest};
 use crate::service_health::HealthReport;
-use crate::{Nanos, ProcessId};
+use crate::{MILLISECOND, Nanos, ProcessId, SECOND};
 use prost::Message as _;
-use std::collections::BTreeMap;
 
-/// Reads what was told; nothing if it can't be read, is beyond its bounds, or is of a kind that is
-/// not known.
-pub fn read(bytes: &[u8]) -> Option<ReceivedMessage> {
-    let parcel = Parcel::decode(bytes)
+/// The most budgets in a message.
+const MAX_BUDGETS: usize = 64;
+/// The longest duration of a lease, in nanoseconds; longer ones are cut.
+const MAX_LEASE_DURATION: Nanos = 3600 * SECOND;
+/// The largest value of a unit; larger ones are cut.
+const MAX_VALUE: f64 = 1e6;
+
+/// Decodes a message; none if it can't be decoded, exceeds a bound, or is of an unknown kind.
+pub fn decode(bytes: &[u8]) -> Option<SharedMessage> {
+    let payload = Payload::decode(bytes)
         .ok()
-        .filter(|_| bytes.len() <= PARCEL_MAX)?;
-    if parcel.wants.len() > BUDGETS_MAX || parcel.parts.len() > BUDGETS_MAX {
+        .filter(|_| bytes.len() <= MAX_PAYLOAD_BYTES)?;
+    if payload.lease_requests.len() > MAX_BUDGETS || payload.leases.len() > MAX_BUDGETS {
         return None;
     }
-    let Parcel { no, stamp, .. } = parcel;
-    Some(ReceivedMessage::Budgets(match parcel.kind {
-        1 => Message::BudgetRequest { no },
-        2 => Message::CounterReport {
-            no,
-            given: parcel.given,
-            holder: who(parcel.who),
-            left: parcel.left,
-        },
-        3 => Message::GiveBack { no },
-        4 => {
-            // A value that is no number would upset who gets how much.
-            let sane = |value: f64| {
-                if value.is_finite() {
-                    value.clamp(0.0, 1e6)
-                } else {
-                    0.0
-                }
-            };
-            let want = |w: &Wanted| BudgetRequest {
-                budget: w.budget,
-                holds: (w.book, w.no),
-                units: w.units,
-                value: sane(w.value),
-            };
-            Message::Ask {
-                stamp,
-                zone: parcel.zone,
-                wants: parcel.wants.iter().map(want).collect(),
-            }
-        }
-        5 => {
-            let longest: Nanos = 3600 * crate::SECOND;
-            let part = |p: &LentPart| {
-                (
-                    p.budget,
-                    Lease {
-                        book: p.book,
-                        no: p.no,
-                        units: p.units,
-                        term: p.term.min(longest),
-                        wanted: p.wanted,
-                        borrowers: p.borrowers,
-                        pool: p.pool,
-                    },
-                )
-            };
-            Message::Lend {
-                stamp,
-                parts: parcel.parts.iter().map(part).collect(),
-            }
-        }
-        6 => Message::Elsewhere {
-            lender: who(parcel.who),
-        },
-        7 => Message::Leave,
-        9 => {
-            return Some(ReceivedMessage::HealthReport(
-                parcel.evidence.iter().filter_map(witness).collect(),
-            ));
-        }
-        12 => {
-            return Some(ReceivedMessage::ClusterCounters(Box::new(read_counts(
-                &parcel.counts?,
-            )?)));
-        }
-        13 => return Some(ReceivedMessage::KnownCounters(read_have(&parcel.known?)?)),
-        14 => return Some(ReceivedMessage::AskSums),
-        15 => {
-            return Some(ReceivedMessage::ClusterTotals(Box::new(read_sums(
-                &parcel.sums?,
-            )?)));
+    Some(match payload.kind {
+        kind::HEALTH_REPORTS => SharedMessage::HealthReports(
+            payload
+                .health_reports
+                .iter()
+                .filter_map(decode_health)
+                .collect(),
+        ),
+        kind::COUNTER_REPORT => {
+            SharedMessage::CounterReport(Box::new(decode_counters(&payload.counters?)?))
         }
-        10 => {
-            let no = u32::try_from(no).ok()?;
-            Message::AskKeys(QuotaRequest {
-                no,
-                stamp,
-                keys: asked(parcel.keys?)?,
-            })
-        }
-        11 => {
-            let no = u32::try_from(no).ok()?;
-            let life = parcel.life.min(3600 * crate::SECOND);
-            Message::LendKeys(QuotaGrant {
-                no,
-                stamp,
-                life,
-                keys: keys_lent(parcel.keys?)?,
-            })
-        }
-        _ => return None,
-    }))
-}
-
-/// Bounds on what is read.
-const BUDGETS_MAX: usize = 64;
-
-pub(super) fn who(process: Option<Process>) -> Option<ProcessId> {
-    process.map(|p| ProcessId {
-        key: p.key,
-        life: p.life,
+        kind::KNOWN_COUNTERS => SharedMessage::KnownCounters(decode_known(&payload.known?)?),
+        kind::TOTALS_REQUEST => SharedMessage::TotalsRequest,
+        kind::TOTALS => SharedMessage::ClusterTotals(Box::new(decode_totals(&payload.totals?)?)),
+        _ => SharedMessage::Budgets(decode_budgets(payload)?),
     })
 }
 
-pub(super) fn witness(w: &Witness) -> Option<(u64, HealthReport)> {
-    let level = if w.level.is_finite() {
-        w.level.clamp(0.0, 1.0)
-    } else {
-        return None;
-    };
-    let failed = w.failed.min(w.tries);
-    Some((
-        w.service,
-        HealthReport {
-            zone: w.zone,
-            tries: w.tries,
-            failed,
-            level,
+fn decode_budgets(payload: Payload) -> Option<BudgetMessage> {
+    let Payload {
+        number, sent_at, ..
+    } = payload;
+    Some(match payload.kind {
+        kind::VOTE_REQUEST => BudgetMessage::VoteRequest { round: number },
+        kind::VOTE => BudgetMessage::Vote {
+            round: number,
+            is_granted: payload.is_granted,
+            holder: payload.process.map(decode_process),
+            bound_for: payload.bound_for,
         },
-    ))
-}
-
-/// What is asked of keys, or lent; nothing if its lists don't fit each other.
-pub(super) fn asked(keys: Keys) -> Option<Vec<KeyRequest>> {
-    let n = keys.keys.len();
-    let fits = [&keys.budgets, &keys.left, &keys.back, &keys.units]
-        .iter()
-        .all(|list| list.len() == n);
-    (fits && n <= KEYS_ASKED).then(|| {
-        let one = |at: usize| KeyRequest {
-            budget: keys.budgets[at],
-            key: keys.keys[at],
-            left: keys.left[at],
-            back: keys.back[at],
-            wants: keys.units[at],
-        };
-        (0..n).map(one).collect()
-    })
-}
-
-pub(super) fn keys_lent(keys: Keys) -> Option<Vec<KeyGrant>> {
-    let n = keys.keys.len();
-    let fits = [&keys.budgets, &keys.units, &keys.waits]
-        .iter()
-        .all(|list| list.len() == n);
-    (fits && n <= KEYS_ASKED).then(|| {
-        let one = |at: usize| KeyGrant {
-            budget: keys.budgets[at],
-            key: keys.keys[at],
-            adds: keys.units[at],
-            wait: u64::from(keys.waits[at]) * crate::MILLISECOND,
-        };
-        (0..n).map(one).collect()
+        kind::VOTE_RELEASE => BudgetMessage::VoteRelease { round: number },
+        kind::LEASE_REQUEST => BudgetMessage::LeaseRequest {
+            sent_at,
+            zone: payload.zone,
+            requests: payload
+                .lease_requests
+                .iter()
+                .map(decode_lease_request)
+                .collect(),
+        },
+        kind::LEASE_GRANT => BudgetMessage::LeaseGrant {
+            request_sent_at: sent_at,
+            leases: payload.leases.iter().map(decode_lease).collect(),
+        },
+        kind::REDIRECT => BudgetMessage::Redirect {
+            leader: payload.process.map(decode_process),
+        },
+        kind::LEAVE => BudgetMessage::Leave,
+        kind::QUOTA_REQUEST => BudgetMessage::QuotaRequest(QuotaRequest {
+            number: u32::try_from(number).ok()?,
+            sent_at,
+            keys: decode_key_requests(payload.keys?)?,
+        }),
+        kind::QUOTA_GRANT => BudgetMessage::QuotaGrant(QuotaGrant {
+            number: u32::try_from(number).ok()?,
+            request_sent_at: sent_at,
+            lease_duration: payload.key_lease_duration.min(MAX_LEASE_DURATION),
+            keys: decode_key_grants(payload.keys?)?,
+        }),
+        _ => return None,
     })
 }
 
-pub(super) fn read_rows(rows: &[CountRow]) -> Option<CounterRows> {
-    let read = |row: &CountRow| {
-        let mut numbers = CounterRow::default();
-        numbers
-            .iter_mut()
-            .zip(&row.numbers)
-            .for_each(|(into, number)| *into = *number);
-        (row.numbers.len() <= COLUMNS).then_some((row.row, numbers))
-    };
-    if rows.len() > ROWS_MAX {
-        None
-    } else {
-        rows.iter().map(read).collect()
+pub(super) fn decode_process(process: Process) -> ProcessId {
+    ProcessId {
+        key: process.key,
+        incarnation: process.incarnation,
     }
 }
 
-pub(super) fn read_latency(latency: &Latencies) -> Option<(u32, Sparse)> {
-    let n = latency.values.len();
-    let mut at = 0u32;
-    let sparse = latency
-        .values
-        .iter()
-        .zip(&latency.counts)
-        .map(|(more, count)| {
-            at = at.saturating_add(*more);
-            (at, *count)
-        });
-    (n == latency.counts.len() && n <= VALUES_MAX).then(|| (latency.row, sparse.collect()))
-}
-
-pub(super) fn read_heavy(heavy: &HeavyKeys) -> Option<(u8, HeavyHitters)> {
-    let fits = heavy.keys.len() == heavy.counts.len() && heavy.keys.len() <= ENTRIES;
-    let pairs = heavy.keys.iter().copied().zip(heavy.counts.iter().copied());
-    u8::try_from(heavy.kind)
-        .ok()
-        .filter(|_| fits)
-        .map(|kind| (kind, HeavyHitters::of(heavy.total, pairs)))
+fn decode_lease_request(request: &LeaseRequest) -> BudgetRequest {
+    BudgetRequest {
+        budget: request.budget,
+        held: LeaseId {
+            lender: request.held_lender,
+            number: request.held_number,
+        },
+        units: request.units,
+        // A value that is no number would upset who gets how many units.
+        value: if request.value.is_finite() {
+            request.value.clamp(0.0, MAX_VALUE)
+        } else {
+            0.0
+        },
+    }
 }
 
-pub(super) fn read_window(window: &Window) -> Option<(u64, CounterWindow)> {
-    let fits = window.latency.len() <= ROWS_MAX
-        && window.heavy.len() <= HEAVY_MAX
-        && window.gauges.len() <= 2;
-    let mut gauges = [0; 2];
-    gauges
-        .iter_mut()
-        .zip(&window.gauges)
-        .for_each(|(into, gauge)| *into = *gauge);
-    let read = CounterWindow {
-        rows: read_rows(&window.rows)?,
-        latency: window
-            .latency
-            .iter()
-            .map(read_latency)
-            .collect::<Option<_>>()?,
-        heavy: window.heavy.iter().map(read_heavy).collect::<Option<_>>()?,
-        gauges,
-    };
-    fits.then_some((window.no, read))
+fn decode_lease(lease: &GrantedLease) -> (u32, Lease) {
+    (
+        lease.budget,
+        Lease {
+            id: LeaseId {
+                lender: lease.lender,
+                number: lease.number,
+            },
+            units: lease.units,
+            duration: lease.duration.min(MAX_LEASE_DURATION),
+            total_demand: lease.total_demand,
+            borrowers: lease.borrowers,
+            pool: lease.pool,
+        },
+    )
 }
 
-pub(super) fn read_counts(word: &CountWord) -> Option<CounterReport> {
-    let total = read_rows(&word.rows)?;
-    let windows: BTreeMap<_, _> = word
-        .windows
+/// Decodes key requests; none if the lists differ in length or are too long.
+fn decode_key_requests(keys: Keys) -> Option<Vec<KeyRequest>> {
+    let count = keys.keys.len();
+    let fits = [&keys.quotas, &keys.kept, &keys.released, &keys.units]
         .iter()
-        .map(read_window)
-        .collect::<Option<_>>()?;
-    (windows.len() <= WINDOWS).then_some(CounterReport {
-        who: who(word.who)?,
-        label: word.label,
-        total,
-        windows,
+        .all(|list| list.len() == count);
+    (fits && count <= MAX_KEYS_PER_REQUEST).then(|| {
+        let request = |index: usize| KeyRequest {
+            quota: keys.quotas[index],
+            key: keys.keys[index],
+            kept: keys.kept[index],
+            released: keys.released[index],
+            wanted: keys.units[index],
+        };
+        (0..count).map(request).collect()
     })
 }
 
-pub(super) fn read_sums(word: &SumWord) -> Option<ClusterTotals> {
-    let minute = CounterWindow {
-        rows: read_rows(&word.minute)?,
-        latency: word
-            .latency
-            .iter()
-            .map(read_latency)
-            .collect::<Option<_>>()?,
-        heavy: word.heavy.iter().map(read_heavy).collect::<Option<_>>()?,
-        gauges: [0; 2],
-    };
-    let (processes, gone, until_ms) = (word.processes, word.gone, word.until_ms);
-    Some(ClusterTotals {
-        processes,
-        gone,
-        total: read_rows(&word.total)?,
-        minute,
-        until_ms,
+/// Decodes key grants; none if the lists differ in length or are too long.
+fn decode_key_grants(keys: Keys) -> Option<Vec<KeyGrant>> {
+    let count = keys.keys.len();
+    let fits = [&keys.quotas, &keys.units, &keys.waits_ms]
+        .iter()
+        .all(|list| list.len() == count);
+    (fits && count <= MAX_KEYS_PER_REQUEST).then(|| {
+        let grant = |index: usize| KeyGrant {
+            quota: keys.quotas[index],
+            key: keys.keys[index],
+            added: keys.units[index],
+            retry_after: u64::from(keys.waits_ms[index]) * MILLISECOND,
+        };
+        (0..count).map(grant).collect()
     })
 }
 
-pub(super) fn read_have(known: &Known) -> Option<KnownCounters> {
-    let n = known.keys.len();
-    let fits = n <= HAVE_MAX && known.lives.len() == n && known.marks.len() == n;
-    let who = known
+/// Decodes known counters; none if the lists differ in length or are too long.
+fn decode_known(known: &Known) -> Option<KnownCounters> {
+    let count = known.keys.len();
+    let fits = count <= MAX_KNOWN_PROCESSES
+        && known.incarnations.len() == count
+        && known.progress.len() == count;
+    let processes = known
         .keys
         .iter()
-        .zip(&known.lives)
-        .map(|(key, life)| ProcessId {
+        .zip(&known.incarnations)
+        .map(|(key, incarnation)| ProcessId {
             key: *key,
-            life: *life,
+            incarnation: *incarnation,
         });
-    let marks = who.zip(known.marks.iter().copied()).collect();
+    let progress = processes.zip(known.progress.iter().copied()).collect();
     fits.then_some(KnownCounters {
-        from: known.from,
-        to: known.to,
-        marks,
+        first_key: known.first_key,
+        last_key: known.last_key,
+        progress,
     })
 }
+
+/// Decodes a health report; none if its share is no number.
+fn decode_health(report: &ServiceReport) -> Option<(u64, HealthReport)> {
+    if !report.admitted_share.is_finite() {
+        return None;
+    }
+    Some((
+        report.service,
+        HealthReport {
+            zone: report.zone,
+            calls: report.calls,
+            failed: report.failed.min(report.calls),
+            admitted_share: report.admitted_share.clamp(0.0, 1.0),
+        },
+    ))
+}
--- a/crates/shared-state/src/messages/encode.rs
+++ b/crates/shared-state/src/messages/encode.rs
@@ -1,224 +1,189 @@
-//! Writes messages.
+//! Encodes messages.
 
-use super::wire::{
-    CountRow, CountWord, HeavyKeys, Keys, Known, Latencies, LentPart, Parcel, Process, SumWord,
-    Wanted, Window, Witness,
-};
-use super::{COUNTS_FIT, ClusterTotals, Message, ReceivedMessage, later};
+use super::encode_counters::{encode_counters, encode_totals};
+use super::wire::{GrantedLease, Keys, Known, LeaseRequest, Payload, Process, ServiceReport, kind};
+use super::{BudgetMessage, KnownCounters, SharedMessage, add_later_field};
 use crate::budget::{BudgetRequest, Lease};
-use crate::counters::heavy_hitters::{ENTRIES, HeavyHitters};
-use crate::counters::latency_histogram::Sparse;
-use crate::counters::{CounterReport, CounterRows, CounterWindow};
-use crate::{Nanos, ProcessId};
+use crate::keyed_quota::{QuotaGrant, QuotaRequest};
+use crate::service_health::HealthReport;
+use crate::{MILLISECOND, ProcessId};
 use prost::Message as _;
 
-/// HeavyHitters keys of each kind in sums.
-const HEAVY_TOLD: usize = 5;
+/// Encodes a message. A counter report that does not fit one payload is to be cut by
+/// [`split_report`](super::split_report) first.
+pub fn encode(message: &SharedMessage) -> Vec<u8> {
+    let payload = match message {
+        SharedMessage::Budgets(message) => encode_budgets(message),
+        SharedMessage::CounterReport(report) => Payload {
+            kind: kind::COUNTER_REPORT,
+            counters: Some(encode_counters(report)),
+            ..Payload::default()
+        },
+        SharedMessage::KnownCounters(known) => Payload {
+            kind: kind::KNOWN_COUNTERS,
+            known: Some(encode_known(known)),
+            ..Payload::default()
+        },
+        SharedMessage::TotalsRequest => of_kind(kind::TOTALS_REQUEST),
+        SharedMessage::ClusterTotals(totals) => Payload {
+            kind: kind::TOTALS,
+            totals: Some(encode_totals(totals)),
+            ..Payload::default()
+        },
+        SharedMessage::HealthReports(reports) => Payload {
+            kind: kind::HEALTH_REPORTS,
+            health_reports: reports.iter().map(encode_health).collect(),
+            ..Payload::default()
+        },
+    };
+    add_later_field(payload.encode_to_vec())
+}
 
-/// Writes what is told. ClusterCounters that don't fit one parcel are cut by [`split`] first.
-pub fn write(told: &ReceivedMessage) -> Vec<u8> {
-    let mut parcel = Parcel::default();
-    match told {
-        ReceivedMessage::Budgets(message) => budgets(&mut parcel, message),
-        ReceivedMessage::ClusterCounters(word) => {
-            (parcel.kind, parcel.counts) = (12, Some(write_counts(word)))
-        }
-        ReceivedMessage::KnownCounters(have) => {
-            parcel.kind = 13;
-            parcel.known = Some(Known {
-                from: have.from,
-                to: have.to,
-                keys: have.marks.iter().map(|(who, _)| who.key).collect(),
-                lives: have.marks.iter().map(|(who, _)| who.life).collect(),
-                marks: have.marks.iter().map(|(_, mark)| *mark).collect(),
-            });
-        }
-        ReceivedMessage::AskSums => parcel.kind = 14,
-        ReceivedMessage::ClusterTotals(sums) => {
-            (parcel.kind, parcel.sums) = (15, Some(write_sums(sums)))
-        }
-        ReceivedMessage::HealthReport(all) => {
-            parcel.kind = 9;
-            parcel.evidence = all
-                .iter()
-                .map(|(service, e)| Witness {
-                    service: *service,
-                    zone: e.zone,
-                    tries: e.tries,
-                    failed: e.failed,
-                    level: e.level,
-                })
-                .collect();
-        }
+fn of_kind(kind: u32) -> Payload {
+    Payload {
+        kind,
+        ..Payload::default()
     }
-    later(parcel.encode_to_vec())
 }
 
-pub(super) fn budgets(parcel: &mut Parcel, message: &Message) {
+fn encode_budgets(message: &BudgetMessage) -> Payload {
     match message {
-        Message::BudgetRequest { no } => (parcel.kind, parcel.no) = (1, *no),
-        Message::CounterReport {
-            no,
-            given,
+        BudgetMessage::VoteRequest { round } => Payload {
+            number: *round,
+            ..of_kind(kind::VOTE_REQUEST)
+        },
+        BudgetMessage::Vote {
+            round,
+            is_granted,
             holder,
-            left,
-        } => {
-            (parcel.kind, parcel.no, parcel.given, parcel.left) = (2, *no, *given, *left);
-            parcel.who = holder.and_then(process);
-        }
-        Message::GiveBack { no } => (parcel.kind, parcel.no) = (3, *no),
-        Message::Ask { stamp, zone, wants } => {
-            (parcel.kind, parcel.stamp, parcel.zone) = (4, *stamp, *zone);
-            let wanted = |w: &BudgetRequest| Wanted {
-                budget: w.budget,
-                book: w.holds.0,
-                no: w.holds.1,
-                units: w.units,
-                value: w.value,
-            };
-            parcel.wants = wants.iter().map(wanted).collect();
-        }
-        Message::Lend { stamp, parts } => {
-            (parcel.kind, parcel.stamp) = (5, *stamp);
-            let lent = |(budget, p): &(u32, Lease)| LentPart {
-                budget: *budget,
-                book: p.book,
-                no: p.no,
-                units: p.units,
-                term: p.term,
-                wanted: p.wanted,
-                borrowers: p.borrowers,
-                pool: p.pool,
-            };
-            parcel.parts = parts.iter().map(lent).collect();
-        }
-        Message::Elsewhere { lender } => (parcel.kind, parcel.who) = (6, lender.and_then(process)),
-        Message::Leave => parcel.kind = 7,
-        Message::AskKeys(asked) => {
-            (parcel.kind, parcel.no, parcel.stamp) = (10, u64::from(asked.no), asked.stamp);
-            let all = &asked.keys;
-            parcel.keys = Some(Keys {
-                budgets: all.iter().map(|k| k.budget).collect(),
-                keys: all.iter().map(|k| k.key).collect(),
-                left: all.iter().map(|k| k.left).collect(),
-                back: all.iter().map(|k| k.back).collect(),
-                units: all.iter().map(|k| k.wants).collect(),
-                waits: Vec::new(),
-            });
-        }
-        Message::LendKeys(lent) => {
-            (parcel.kind, parcel.no, parcel.stamp) = (11, u64::from(lent.no), lent.stamp);
-            parcel.life = lent.life;
-            let (all, ms) = (&lent.keys, |nanos: Nanos| {
-                nanos.div_ceil(crate::MILLISECOND) as u32
-            });
-            parcel.keys = Some(Keys {
-                budgets: all.iter().map(|k| k.budget).collect(),
-                keys: all.iter().map(|k| k.key).collect(),
-                left: Vec::new(),
-                back: Vec::new(),
-                units: all.iter().map(|k| k.adds).collect(),
-                waits: all.iter().map(|k| ms(k.wait)).collect(),
-            });
-        }
+            bound_for,
+        } => Payload {
+            number: *round,
+            is_granted: *is_granted,
+            bound_for: *bound_for,
+            process: holder.map(encode_process),
+            ..of_kind(kind::VOTE)
+        },
+        BudgetMessage::VoteRelease { round } => Payload {
+            number: *round,
+            ..of_kind(kind::VOTE_RELEASE)
+        },
+        BudgetMessage::LeaseRequest {
+            sent_at,
+            zone,
+            requests,
+        } => Payload {
+            sent_at: *sent_at,
+            zone: *zone,
+            lease_requests: requests.iter().map(encode_lease_request).collect(),
+            ..of_kind(kind::LEASE_REQUEST)
+        },
+        BudgetMessage::LeaseGrant {
+            request_sent_at,
+            leases,
+        } => Payload {
+            sent_at: *request_sent_at,
+            leases: leases.iter().map(encode_lease).collect(),
+            ..of_kind(kind::LEASE_GRANT)
+        },
+        BudgetMessage::Redirect { leader } => Payload {
+            process: leader.map(encode_process),
+            ..of_kind(kind::REDIRECT)
+        },
+        BudgetMessage::Leave => of_kind(kind::LEAVE),
+        BudgetMessage::QuotaRequest(request) => encode_quota_request(request),
+        BudgetMessage::QuotaGrant(grant) => encode_quota_grant(grant),
     }
 }
 
-pub(super) fn process(who: ProcessId) -> Option<Process> {
-    Some(Process {
-        key: who.key,
-        life: who.life,
-    })
-}
-
-pub(super) fn write_rows(rows: &CounterRows) -> Vec<CountRow> {
-    rows.iter()
-        .map(|(row, numbers)| CountRow {
-            row: *row,
-            numbers: numbers.to_vec(),
-        })
-        .collect()
+pub(super) fn encode_process(process: ProcessId) -> Process {
+    Process {
+        key: process.key,
+        incarnation: process.incarnation,
+    }
 }
 
-pub(super) fn write_latency(row: u32, sparse: &Sparse) -> Latencies {
-    let before = std::iter::once(0).chain(sparse.iter().map(|(value, _)| *value));
-    let values = sparse
-        .iter()
-        .zip(before)
-        .map(|((value, _), before)| value.saturating_sub(before))
-        .collect();
-    Latencies {
-        row,
-        values,
-        counts: sparse.iter().map(|(_, count)| *count).collect(),
+fn encode_lease_request(request: &BudgetRequest) -> LeaseRequest {
+    LeaseRequest {
+        budget: request.budget,
+        held_lender: request.held.lender,
+        held_number: request.held.number,
+        units: request.units,
+        value: request.value,
     }
 }
 
-pub(super) fn write_heavy(kind: u8, heavy: &HeavyHitters, most: usize) -> HeavyKeys {
-    let (keys, counts) = heavy.most().into_iter().take(most).unzip();
-    HeavyKeys {
-        kind: u32::from(kind),
-        total: heavy.total,
-        keys,
-        counts,
+fn encode_lease((budget, lease): &(u32, Lease)) -> GrantedLease {
+    GrantedLease {
+        budget: *budget,
+        lender: lease.id.lender,
+        number: lease.id.number,
+        units: lease.units,
+        duration: lease.duration,
+        total_demand: lease.total_demand,
+        borrowers: lease.borrowers,
+        pool: lease.pool,
     }
 }
 
-pub(super) fn write_window(no: u64, window: &CounterWindow) -> Window {
-    Window {
-        no,
-        rows: write_rows(&window.rows),
-        latency: window
-            .latency
-            .iter()
-            .map(|(row, sparse)| write_latency(*row, sparse))
-            .collect(),
-        heavy: window
-            .heavy
-            .iter()
-            .map(|(kind, heavy)| write_heavy(*kind, heavy, ENTRIES))
-            .collect(),
-        gauges: window.gauges.to_vec(),
+fn encode_quota_request(request: &QuotaRequest) -> Payload {
+    let keys = &request.keys;
+    Payload {
+        number: u64::from(request.number),
+        sent_at: request.sent_at,
+        keys: Some(Keys {
+            quotas: keys.iter().map(|key| key.quota).collect(),
+            keys: keys.iter().map(|key| key.key).collect(),
+            kept: keys.iter().map(|key| key.kept).collect(),
+            released: keys.iter().map(|key| key.released).collect(),
+            units: keys.iter().map(|key| key.wanted).collect(),
+            waits_ms: Vec::new(),
+        }),
+        ..of_kind(kind::QUOTA_REQUEST)
     }
 }
 
-pub(super) fn write_counts(word: &CounterReport) -> CountWord {
-    let windows = word
-        .windows
-        .iter()
-        .map(|(no, window)| write_window(*no, window))
-        .collect();
-    CountWord {
-        who: process(word.who),
-        label: word.label,
-        rows: write_rows(&word.total),
-        windows,
+fn encode_quota_grant(grant: &QuotaGrant) -> Payload {
+    let keys = &grant.keys;
+    Payload {
+        number: u64::from(grant.number),
+        sent_at: grant.request_sent_at,
+        key_lease_duration: grant.lease_duration,
+        keys: Some(Keys {
+            quotas: keys.iter().map(|key| key.quota).collect(),
+            keys: keys.iter().map(|key| key.key).collect(),
+            kept: Vec::new(),
+            released: Vec::new(),
+            units: keys.iter().map(|key| key.added).collect(),
+            waits_ms: keys
+                .iter()
+                .map(|key| key.retry_after.div_ceil(MILLISECOND) as u32)
+                .collect(),
+        }),
+        ..of_kind(kind::QUOTA_GRANT)
     }
 }
 
-pub(super) fn write_sums(sums: &ClusterTotals) -> SumWord {
-    let minute = &sums.minute;
-    let mut word = SumWord {
-        processes: sums.processes,
-        gone: sums.gone,
-        total: write_rows(&sums.total),
-        minute: write_rows(&minute.rows),
-        heavy: minute
-            .heavy
+fn encode_known(known: &KnownCounters) -> Known {
+    let progress = &known.progress;
+    Known {
+        first_key: known.first_key,
+        last_key: known.last_key,
+        keys: progress.iter().map(|(process, _)| process.key).collect(),
+        incarnations: progress
             .iter()
-            .map(|(kind, heavy)| write_heavy(*kind, heavy, HEAVY_TOLD))
+            .map(|(process, _)| process.incarnation)
             .collect(),
-        latency: minute
-            .latency
-            .iter()
-            .map(|(row, sparse)| write_latency(*row, sparse))
-            .collect(),
-        until_ms: sums.until_ms,
-    };
-    // Of many operations the last ones are told without latencies, then not at all.
-    while word.encoded_len() > COUNTS_FIT
-        && (word.latency.pop().is_some() || word.minute.pop().is_some())
-    {}
-    while word.encoded_len() > COUNTS_FIT && word.total.pop().is_some() {}
-    word
+        progress: progress.iter().map(|(_, sum)| *sum).collect(),
+    }
+}
+
+fn encode_health((service, report): &(u64, HealthReport)) -> ServiceReport {
+    ServiceReport {
+        service: *service,
+        zone: report.zone,
+        calls: report.calls,
+        failed: report.failed,
+        admitted_share: report.admitted_share,
+    }
 }
--- a/crates/shared-state/src/messages/split.rs
+++ b/crates/shared-state/src/messages/split.rs
@@ -1,68 +1,72 @@
-//! Cuts reports.
+//! Cuts counter reports to the size of payloads.
 
-use super::COUNTS_FIT;
-use super::encode::write_counts;
-use crate::counters::{CounterReport, CounterRows};
+use super::MAX_COUNTERS_BYTES;
+use super::encode_counters::encode_counters;
+use crate::counters::{CounterReport, CounterRows, CounterWindow};
 use prost::Message as _;
 use std::collections::BTreeMap;
 
-/// Cuts a word into parts that each fit a parcel. As of each number the larger holds, it does not
-/// matter which of them come.
-pub fn split(word: &CounterReport) -> Vec<CounterReport> {
-    let empty = || CounterReport {
-        total: CounterRows::new(),
-        windows: BTreeMap::new(),
-        ..word.clone()
-    };
-    let mut parts: Vec<CounterReport> = vec![empty()];
-    let mut put = |with: &dyn Fn(&mut CounterReport)| {
-        if let Some(last) = parts.last_mut() {
-            let before = last.clone();
-            with(last);
-            if write_counts(last).encoded_len() <= COUNTS_FIT {
-                return;
-            }
-            *last = before;
-        }
-        let mut next = empty();
-        with(&mut next);
-        parts.push(next);
-    };
-    for (row, numbers) in &word.total {
-        put(&|part| _ = part.total.insert(*row, *numbers));
+/// Cuts a report into parts that each fit a payload. As the larger of two numbers counts, parts may
+/// arrive in any order, or not at all.
+pub fn split_report(report: &CounterReport) -> Vec<CounterReport> {
+    let mut splitter = Splitter::new(report);
+    for (row, numbers) in &report.total {
+        splitter.add(&|part| _ = part.total.insert(*row, *numbers));
     }
-    for (no, window) in &word.windows {
-        put(&|part| part.windows.entry(*no).or_default().gauges = window.gauges);
+    for (number, window) in &report.windows {
+        splitter.add(&|part| window_of(part, *number).gauges = window.gauges);
         for (row, numbers) in &window.rows {
-            put(&|part| {
-                _ = part
-                    .windows
-                    .entry(*no)
-                    .or_default()
-                    .rows
-                    .insert(*row, *numbers)
-            });
+            splitter.add(&|part| _ = window_of(part, *number).rows.insert(*row, *numbers));
         }
         for (row, sparse) in &window.latency {
-            put(&|part| {
-                _ = part
-                    .windows
-                    .entry(*no)
-                    .or_default()
+            splitter.add(&|part| {
+                _ = window_of(part, *number)
                     .latency
                     .insert(*row, sparse.clone())
             });
         }
         for (kind, heavy) in &window.heavy {
-            put(&|part| {
-                _ = part
-                    .windows
-                    .entry(*no)
-                    .or_default()
-                    .heavy
-                    .insert(*kind, heavy.clone())
-            });
+            splitter.add(&|part| _ = window_of(part, *number).heavy.insert(*kind, heavy.clone()));
+        }
+    }
+    splitter.parts
+}
+
+fn window_of(part: &mut CounterReport, number: u64) -> &mut CounterWindow {
+    part.windows.entry(number).or_default()
+}
+
+struct Splitter {
+    /// A part without counters.
+    empty: CounterReport,
+    parts: Vec<CounterReport>,
+}
+
+impl Splitter {
+    fn new(report: &CounterReport) -> Splitter {
+        let empty = CounterReport {
+            total: CounterRows::new(),
+            windows: BTreeMap::new(),
+            ..report.clone()
+        };
+        Splitter {
+            parts: vec![empty.clone()],
+            empty,
+        }
+    }
+
+    /// Adds a piece to the last part, or to a new one where it does not fit.
+    fn add(&mut self, add_piece: &dyn Fn(&mut CounterReport)) {
+        if let Some(last) = self.parts.last_mut() {
+            let before = last.clone();
+            add_piece(last);
+            if encode_counters(last).encoded_len() <= MAX_COUNTERS_BYTES {
+                return;
+            }
+            *last = before;
         }
+        let mut next = self.empty.clone();
+        add_piece(&mut next);
+        self.parts.push(next);
     }
-    parts
 }
--- a/crates/shared-state/src/messages/tests.rs
+++ b/crates/shared-state/src/messages/tests.rs
@@ -1,91 +1,106 @@
 use super::wire::Keys;
 use super::*;
+use crate::budget::LeaseId;
 use crate::counters::heavy_hitters::HeavyHitters;
 use crate::counters::{self, COLUMNS};
-use crate::keyed_quota::{KEYS_ASKED, KeyGrant, KeyRequest};
+use crate::keyed_quota::{KeyGrant, KeyRequest, MAX_KEYS_PER_REQUEST};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-fn all() -> Vec<ReceivedMessage> {
+fn all() -> Vec<SharedMessage> {
     let someone = ProcessId {
         key: 1 << 60,
-        life: 77,
+        incarnation: 77,
     };
-    let part = Lease {
-        book: 9,
-        no: 3,
+    let lease = Lease {
+        id: LeaseId {
+            lender: 9,
+            number: 3,
+        },
         units: 40,
-        term: 1_500_000_000,
-        wanted: 90,
+        duration: 1_500_000_000,
+        total_demand: 90,
         borrowers: 3,
         pool: 60,
     };
-    let want = BudgetRequest {
+    let request = BudgetRequest {
         budget: 2,
-        holds: (9, 2),
+        held: LeaseId {
+            lender: 9,
+            number: 2,
+        },
         units: 7,
         value: 1.5,
     };
     let budgets = [
-        Message::BudgetRequest { no: 4 },
-        Message::CounterReport {
-            no: 4,
-            given: true,
+        BudgetMessage::VoteRequest { round: 4 },
+        BudgetMessage::Vote {
+            round: 4,
+            is_granted: true,
             holder: Some(someone),
-            left: 0,
+            bound_for: 0,
         },
-        Message::CounterReport {
-            no: 4,
-            given: false,
+        BudgetMessage::Vote {
+            round: 4,
+            is_granted: false,
             holder: None,
-            left: 9,
+            bound_for: 9,
         },
-        Message::GiveBack { no: 4 },
-        Message::Ask {
-            stamp: 12,
+        BudgetMessage::VoteRelease { round: 4 },
+        BudgetMessage::LeaseRequest {
+            sent_at: 12,
             zone: 3,
-            wants: vec![want, BudgetRequest { budget: 0, ..want }],
+            requests: vec![
+                request,
+                BudgetRequest {
+                    budget: 0,
+                    ..request
+                },
+            ],
         },
-        Message::Lend {
-            stamp: 12,
-            parts: vec![(2, part)],
+        BudgetMessage::LeaseGrant {
+            request_sent_at: 12,
+            leases: vec![(2, lease)],
         },
-        Message::Elsewhere {
-            lender: Some(someone),
+        BudgetMessage::Redirect {
+            leader: Some(someone),
         },
-        Message::Leave,
-        Message::AskKeys(QuotaRequest {
-            no: 7,
-            stamp: 12,
+        BudgetMessage::Leave,
+        BudgetMessage::QuotaRequest(QuotaRequest {
+            number: 7,
+            sent_at: 12,
             keys: vec![
                 KeyRequest {
-                    budget: 5,
+                    quota: 5,
                     key: 1 << 50,
-                    left: 0,
-                    back: 300,
-                    wants: 2
+                    kept: 0,
+                    released: 300,
+                    wanted: 2
                 };
                 2
             ],
         }),
-        Message::LendKeys(QuotaGrant {
-            no: 7,
-            stamp: 12,
-            life: 3_000_000_000,
+        BudgetMessage::QuotaGrant(QuotaGrant {
+            number: 7,
+            request_sent_at: 12,
+            lease_duration: 3_000_000_000,
             keys: vec![KeyGrant {
-                budget: 5,
+                quota: 5,
                 key: 1 << 50,
-                adds: 4,
-                wait: 250_000_000,
+                added: 4,
+                retry_after: 250_000_000,
             }],
         }),
     ];
-    let mut told: Vec<ReceivedMessage> =
-        budgets.into_iter().map(ReceivedMessage::Budgets).collect();
+    let mut messages: Vec<SharedMessage> =
+        budgets.into_iter().map(SharedMessage::Budgets).collect();
     let rows = CounterRows::from([(7, [1, 0, 300, 0, 0, 9, 1 << 40, 0]), (0, [3; COLUMNS])]);
     let latency = BTreeMap::from([(7, vec![(3, 1), (200, 4), (90_000, 1)])]);
-    let heavy = BTreeMap::from([(0, HeavyHitters::of(30, [(5, 9), (1 << 60, 8)].into_iter()))]);
+    let heavy = BTreeMap::from([(
+        0,
+        HeavyHitters::from_parts(30, [(5, 9), (1 << 60, 8)].into_iter()),
+    )]);
     let window = counters::CounterWindow {
         rows: rows.clone(),
         latency,
@@ -93,80 +108,82 @@
         gauges: [12_000, 40],
     };
     let windows = BTreeMap::from([(180_000_000, window.clone())]);
-    told.push(ReceivedMessage::ClusterCounters(Box::new(CounterReport {
-        who: someone,
-        label: 77,
+    messages.push(SharedMessage::CounterReport(Box::new(CounterReport {
+        process: someone,
+        version: 77,
         total: rows.clone(),
         windows,
     })));
-    told.push(ReceivedMessage::KnownCounters(KnownCounters {
-        from: 0,
-        to: u64::MAX,
-        marks: vec![(someone, 12), (ProcessId::default(), 0)],
+    messages.push(SharedMessage::KnownCounters(KnownCounters {
+        first_key: 0,
+        last_key: u64::MAX,
+        progress: vec![(someone, 12), (ProcessId::default(), 0)],
     }));
-    told.push(ReceivedMessage::AskSums);
+    messages.push(SharedMessage::TotalsRequest);
     let minute = counters::CounterWindow {
         gauges: [0; 2],
         ..window
     };
     let sums = ClusterTotals {
         processes: 3,
-        gone: 1,
+        retired: 1,
         total: rows,
-        minute,
-        until_ms: 1 << 40,
+        last_minute: minute,
+        minute_end_unix_ms: 1 << 40,
     };
-    told.push(ReceivedMessage::ClusterTotals(Box::new(sums)));
-    let evidence = HealthReport {
+    messages.push(SharedMessage::ClusterTotals(Box::new(sums)));
+    let report = HealthReport {
         zone: 1,
-        tries: 20,
+        calls: 20,
         failed: 3,
-        level: 0.25,
+        admitted_share: 0.25,
     };
-    told.push(ReceivedMessage::HealthReport(vec![(5, evidence)]));
-    told
+    messages.push(SharedMessage::HealthReports(vec![(5, report)]));
+    messages
 }
 
 #[test]
 fn what_is_told_is_read_as_it_was_meant() {
-    for told in all() {
-        let bytes = write(&told);
-        assert!(bytes.len() < 300, "{told:?}");
-        assert_eq!(read(&bytes), Some(told));
+    for message in all() {
+        let bytes = encode(&message);
+        assert!(bytes.len() < 300, "{message:?}");
+        assert_eq!(decode(&bytes), Some(message));
     }
 }
 
 #[test]
 fn the_largest_question_about_keys_fits_a_parcel_and_lists_that_differ_are_refused() {
     let key = KeyRequest {
-        budget: u32::MAX,
+        quota: u32::MAX,
         key: u64::MAX,
-        left: 1 << 20,
-        back: 1 << 20,
-        wants: 1 << 20,
+        kept: 1 << 20,
+        released: 1 << 20,
+        wanted: 1 << 20,
     };
-    let keys = vec![key; KEYS_ASKED];
-    let bytes = write(&ReceivedMessage::Budgets(Message::AskKeys(QuotaRequest {
-        no: 1,
-        stamp: 1 << 60,
-        keys,
-    })));
+    let keys = vec![key; MAX_KEYS_PER_REQUEST];
+    let bytes = encode(&SharedMessage::Budgets(BudgetMessage::QuotaRequest(
+        QuotaRequest {
+            number: 1,
+            sent_at: 1 << 60,
+            keys,
+        },
+    )));
     assert!(
-        bytes.len() <= PARCEL_MAX && read(&bytes).is_some(),
+        bytes.len() <= MAX_PAYLOAD_BYTES && decode(&bytes).is_some(),
         "{}",
         bytes.len()
     );
     let keys = Some(Keys {
-        budgets: vec![1],
+        quotas: vec![1],
         keys: vec![1, 2],
         ..Keys::default()
     });
     assert_eq!(
-        read(
-            &Parcel {
+        decode(
+            &Payload {
                 kind: 10,
                 keys,
-                ..Parcel::default()
+                ..Payload::default()
             }
             .encode_to_vec()
         ),
@@ -179,59 +196,70 @@
 #[test]
 fn words_that_don_t_fit_are_cut_and_add_up_again() {
     let mut rng = Pcg64Mcg::seed_from_u64(5);
-    let mut tally = counters::ProcessCounters::new(1 << 40);
+    let mut counters_of_one = counters::ProcessCounters::new(1 << 40);
     for n in 0..20_000u64 {
         let (unix, row) = ((1 << 40) + n * 3, rng.random_range(1..14));
-        tally.add(
+        counters_of_one.add(
             unix,
             row,
             rng.random_range(0..COLUMNS),
             rng.random_range(0..1 << 30),
         );
-        tally.took(unix, row, rng.random_range(1_000_000..2_000_000_000));
-        tally.heavy(unix, rng.random_range(0..3), rng.random_range(0..200));
+        counters_of_one.record_latency(unix, row, rng.random_range(1_000_000..2_000_000_000));
+        counters_of_one.record_key(unix, rng.random_range(0..3), rng.random_range(0..200));
     }
-    let word = tally.word(ProcessId { key: 5, life: 6 }, 9, 3);
+    let report = counters_of_one.report(
+        ProcessId {
+            key: 5,
+            incarnation: 6,
+        },
+        9,
+        3,
+    );
     let (mut whole, mut parts) = (
         counters::ClusterCounters::new(4),
         counters::ClusterCounters::new(4),
     );
-    whole.hear(0, &word);
-    let cut = split(&word);
+    whole.merge(0, &report);
+    let cut = split_report(&report);
     assert!(cut.len() > 10, "{}", cut.len());
     for part in cut {
-        let bytes = write(&ReceivedMessage::ClusterCounters(Box::new(part)));
-        assert!(bytes.len() <= PARCEL_MAX, "{}", bytes.len());
-        let Some(ReceivedMessage::ClusterCounters(read)) = read(&bytes) else {
+        let bytes = encode(&SharedMessage::CounterReport(Box::new(part)));
+        assert!(bytes.len() <= MAX_PAYLOAD_BYTES, "{}", bytes.len());
+        let Some(SharedMessage::CounterReport(read)) = decode(&bytes) else {
             panic!("counts")
         };
-        parts.hear(0, &read);
+        parts.merge(0, &read);
     }
-    assert_eq!(whole.word(word.who), parts.word(word.who));
-    let minute = whole.lately(u64::MAX, u64::MAX, |_, _| true);
+    assert_eq!(whole.report(report.process), parts.report(report.process));
+    let minute = whole.recent(u64::MAX, u64::MAX, |_, _| true);
     let sums = ClusterTotals {
         processes: 1,
-        gone: 0,
+        retired: 0,
         total: whole.total(),
-        minute,
-        until_ms: 1,
+        last_minute: minute,
+        minute_end_unix_ms: 1,
     };
-    assert!(write(&ReceivedMessage::ClusterTotals(Box::new(sums))).len() <= PARCEL_MAX);
+    assert!(encode(&SharedMessage::ClusterTotals(Box::new(sums))).len() <= MAX_PAYLOAD_BYTES);
 }
 
 #[test]
 fn a_later_version_is_read_as_far_as_it_is_known() {
-    let mut bytes = write(&ReceivedMessage::Budgets(Message::BudgetRequest { no: 4 }));
+    let mut bytes = encode(&SharedMessage::Budgets(BudgetMessage::VoteRequest {
+        round: 4,
+    }));
     bytes.extend([0xfa, 0x01, 0x01, b'x']); // a field 31
     assert_eq!(
-        read(&bytes),
-        Some(ReceivedMessage::Budgets(Message::BudgetRequest { no: 4 }))
+        decode(&bytes),
+        Some(SharedMessage::Budgets(BudgetMessage::VoteRequest {
+            round: 4
+        }))
     );
     assert_eq!(
-        read(
-            &Parcel {
+        decode(
+            &Payload {
                 kind: 40,
-                ..Parcel::default()
+                ..Payload::default()
             }
             .encode_to_vec()
         ),
@@ -241,43 +269,46 @@
 
 #[test]
 fn values_that_make_no_sense_are_taken_for_ones_that_do() {
-    let wild = ReceivedMessage::HealthReport(vec![
+    let wild = SharedMessage::HealthReports(vec![
         (
             5,
             HealthReport {
                 zone: 1,
-                tries: 2,
+                calls: 2,
                 failed: 9,
-                level: 7.0,
+                admitted_share: 7.0,
             },
         ),
         (
             6,
             HealthReport {
                 zone: 1,
-                tries: 2,
+                calls: 2,
                 failed: 0,
-                level: f64::NAN,
+                admitted_share: f64::NAN,
             },
         ),
     ]);
-    let Some(ReceivedMessage::HealthReport(read)) = read(&write(&wild)) else {
+    let Some(SharedMessage::HealthReports(read)) = decode(&encode(&wild)) else {
         panic!("evidence")
     };
-    assert_eq!((read.len(), read[0].1.failed, read[0].1.level), (1, 2, 1.0));
+    assert_eq!(
+        (read.len(), read[0].1.failed, read[0].1.admitted_share),
+        (1, 2, 1.0)
+    );
 }
 
 #[test]
 fn every_cut_and_bit_is_read_or_refused() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    for told in all() {
-        let bytes = write(&told);
+    for message in all() {
+        let bytes = encode(&message);
         for at in 0..bytes.len() {
-            let _ = read(&bytes[..at]);
+            let _ = decode(&bytes[..at]);
             for bit in 0..8 {
                 let mut bytes = bytes.clone();
                 bytes[at] ^= 1 << bit;
-                let _ = read(&bytes);
+                let _ = decode(&bytes);
             }
         }
     }
@@ -285,6 +316,6 @@
         let noise: Vec<u8> = (0..rng.random_range(0..300))
             .map(|_| rng.random())
             .collect();
-        let _ = read(&noise);
+        let _ = decode(&noise);
     }
 }
--- a/crates/shared-state/src/messages/wire.rs
+++ b/crates/shared-state/src/messages/wire.rs
@@ -1,195 +1,217 @@
-//! The messages as they travel.
+//! The messages' fields on the wire. Field numbers are fixed; the table in the parent module names
+//! them.
+
+/// Kinds of payloads: field 1.
+pub(super) mod kind {
+    pub const VOTE_REQUEST: u32 = 1;
+    pub const VOTE: u32 = 2;
+    pub const VOTE_RELEASE: u32 = 3;
+    pub const LEASE_REQUEST: u32 = 4;
+    pub const LEASE_GRANT: u32 = 5;
+    pub const REDIRECT: u32 = 6;
+    pub const LEAVE: u32 = 7;
+    pub const HEALTH_REPORTS: u32 = 9;
+    pub const QUOTA_REQUEST: u32 = 10;
+    pub const QUOTA_GRANT: u32 = 11;
+    pub const COUNTER_REPORT: u32 = 12;
+    pub const KNOWN_COUNTERS: u32 = 13;
+    pub const TOTALS_REQUEST: u32 = 14;
+    pub const TOTALS: u32 = 15;
+    /// A kind that the present version does not know.
+    pub const LATER: u32 = 90;
+}
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(super) struct Process {
     #[prost(fixed64, tag = "1")]
-    pub(super) key: u64,
+    pub key: u64,
     #[prost(fixed64, tag = "2")]
-    pub(super) life: u64,
+    pub incarnation: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub(super) struct Wanted {
+pub(super) struct LeaseRequest {
     #[prost(uint32, tag = "1")]
-    pub(super) budget: u32,
+    pub budget: u32,
     #[prost(fixed64, tag = "2")]
-    pub(super) book: u64,
+    pub held_lender: u64,
     #[prost(uint64, tag = "3")]
-    pub(super) no: u64,
+    pub held_number: u64,
     #[prost(uint32, tag = "4")]
-    pub(super) units: u32,
+    pub units: u32,
     #[prost(double, tag = "5")]
-    pub(super) value: f64,
+    pub value: f64,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub(super) struct LentPart {
+pub(super) struct GrantedLease {
     #[prost(uint32, tag = "1")]
-    pub(super) budget: u32,
+    pub budget: u32,
     #[prost(fixed64, tag = "2")]
-    pub(super) book: u64,
+    pub lender: u64,
     #[prost(uint64, tag = "3")]
-    pub(super) no: u64,
+    pub number: u64,
     #[prost(uint32, tag = "4")]
-    pub(super) units: u32,
+    pub units: u32,
     #[prost(uint64, tag = "5")]
-    pub(super) term: u64,
+    pub duration: u64,
     #[prost(uint32, tag = "6")]
-    pub(super) wanted: u32,
+    pub total_demand: u32,
     #[prost(uint32, tag = "7")]
-    pub(super) borrowers: u32,
+    pub borrowers: u32,
     #[prost(uint32, tag = "8")]
-    pub(super) pool: u32,
+    pub pool: u32,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct CountRow {
+pub(super) struct Row {
     #[prost(fixed32, tag = "1")]
-    pub(super) row: u32,
+    pub row: u32,
     #[prost(uint64, repeated, tag = "2")]
-    pub(super) numbers: Vec<u64>,
+    pub numbers: Vec<u64>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Latencies {
     #[prost(fixed32, tag = "1")]
-    pub(super) row: u32,
+    pub row: u32,
     #[prost(uint32, repeated, tag = "2")]
-    pub(super) values: Vec<u32>,
+    pub values: Vec<u32>,
     #[prost(uint32, repeated, tag = "3")]
-    pub(super) counts: Vec<u32>,
+    pub counts: Vec<u32>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct HeavyKeys {
     #[prost(uint32, tag = "1")]
-    pub(super) kind: u32,
+    pub kind: u32,
     #[prost(uint64, tag = "2")]
-    pub(super) total: u64,
+    pub total: u64,
     #[prost(fixed64, repeated, tag = "3")]
-    pub(super) keys: Vec<u64>,
+    pub keys: Vec<u64>,
     #[prost(uint64, repeated, tag = "4")]
-    pub(super) counts: Vec<u64>,
+    pub counts: Vec<u64>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Window {
     #[prost(uint64, tag = "1")]
-    pub(super) no: u64,
+    pub number: u64,
     #[prost(message, repeated, tag = "2")]
-    pub(super) rows: Vec<CountRow>,
+    pub rows: Vec<Row>,
     #[prost(message, repeated, tag = "3")]
-    pub(super) latency: Vec<Latencies>,
+    pub latency: Vec<Latencies>,
     #[prost(message, repeated, tag = "4")]
-    pub(super) heavy: Vec<HeavyKeys>,
+    pub heavy: Vec<HeavyKeys>,
     #[prost(uint64, repeated, tag = "5")]
-    pub(super) gauges: Vec<u64>,
+    pub gauges: Vec<u64>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct CountWord {
+pub(super) struct Counters {
     #[prost(message, optional, tag = "1")]
-    pub(super) who: Option<Process>,
+    pub process: Option<Process>,
     #[prost(fixed64, tag = "2")]
-    pub(super) label: u64,
+    pub version: u64,
     #[prost(message, repeated, tag = "3")]
-    pub(super) rows: Vec<CountRow>,
+    pub rows: Vec<Row>,
     #[prost(message, repeated, tag = "4")]
-    pub(super) windows: Vec<Window>,
+    pub windows: Vec<Window>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Known {
     #[prost(fixed64, tag = "1")]
-    pub(super) from: u64,
+    pub first_key: u64,
     #[prost(fixed64, tag = "2")]
-    pub(super) to: u64,
+    pub last_key: u64,
     #[prost(fixed64, repeated, tag = "3")]
-    pub(super) keys: Vec<u64>,
+    pub keys: Vec<u64>,
     #[prost(fixed64, repeated, tag = "4")]
-    pub(super) lives: Vec<u64>,
+    pub incarnations: Vec<u64>,
     #[prost(uint64, repeated, tag = "5")]
-    pub(super) marks: Vec<u64>,
+    pub progress: Vec<u64>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct SumWord {
+pub(super) struct Totals {
     #[prost(uint32, tag = "1")]
-    pub(super) processes: u32,
+    pub processes: u32,
     #[prost(uint32, tag = "2")]
-    pub(super) gone: u32,
+    pub retired: u32,
     #[prost(message, repeated, tag = "3")]
-    pub(super) total: Vec<CountRow>,
+    pub total: Vec<Row>,
     #[prost(message, repeated, tag = "4")]
-    pub(super) minute: Vec<CountRow>,
+    pub minute: Vec<Row>,
     #[prost(message, repeated, tag = "5")]
-    pub(super) latency: Vec<Latencies>,
+    pub latency: Vec<Latencies>,
     #[prost(message, repeated, tag = "6")]
-    pub(super) heavy: Vec<HeavyKeys>,
+    pub heavy: Vec<HeavyKeys>,
     #[prost(uint64, tag = "7")]
-    pub(super) until_ms: u64,
+    pub minute_end_unix_ms: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub(super) struct Witness {
+pub(super) struct ServiceReport {
     #[prost(fixed64, tag = "1")]
-    pub(super) service: u64,
+    pub service: u64,
     #[prost(uint32, tag = "3")]
-    pub(super) zone: u32,
+    pub zone: u32,
     #[prost(uint32, tag = "4")]
-    pub(super) tries: u32,
+    pub calls: u32,
     #[prost(uint32, tag = "5")]
-    pub(super) failed: u32,
+    pub failed: u32,
     #[prost(double, tag = "6")]
-    pub(super) level: f64,
+    pub admitted_share: f64,
 }
 
+/// Lists of equal length; which ones are used depends on the payload's kind.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Keys {
     #[prost(fixed32, repeated, tag = "1")]
-    pub(super) budgets: Vec<u32>,
+    pub quotas: Vec<u32>,
     #[prost(fixed64, repeated, tag = "2")]
-    pub(super) keys: Vec<u64>,
+    pub keys: Vec<u64>,
     #[prost(uint32, repeated, tag = "3")]
-    pub(super) left: Vec<u32>,
+    pub kept: Vec<u32>,
     #[prost(uint32, repeated, tag = "4")]
-    pub(super) back: Vec<u32>,
+    pub released: Vec<u32>,
     #[prost(uint32, repeated, tag = "5")]
-    pub(super) units: Vec<u32>,
+    pub units: Vec<u32>,
     #[prost(uint32, repeated, tag = "6")]
-    pub(super) waits: Vec<u32>,
+    pub waits_ms: Vec<u32>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct Parcel {
+pub(super) struct Payload {
     #[prost(uint32, tag = "1")]
-    pub(super) kind: u32,
+    pub kind: u32,
     #[prost(uint64, tag = "2")]
-    pub(super) no: u64,
+    pub number: u64,
     #[prost(bool, tag = "3")]
-    pub(super) given: bool,
+    pub is_granted: bool,
     #[prost(message, optional, tag = "4")]
-    pub(super) who: Option<Process>,
+    pub process: Option<Process>,
     #[prost(uint64, tag = "5")]
-    pub(super) left: u64,
+    pub bound_for: u64,
     #[prost(uint64, tag = "6")]
-    pub(super) stamp: u64,
+    pub sent_at: u64,
     #[prost(uint32, tag = "7")]
-    pub(super) zone: u32,
+    pub zone: u32,
     #[prost(message, repeated, tag = "8")]
-    pub(super) wants: Vec<Wanted>,
+    pub lease_requests: Vec<LeaseRequest>,
     #[prost(message, repeated, tag = "9")]
-    pub(super) parts: Vec<LentPart>,
+    pub leases: Vec<GrantedLease>,
     #[prost(message, repeated, tag = "11")]
-    pub(super) evidence: Vec<Witness>,
+    pub health_reports: Vec<ServiceReport>,
     #[prost(message, optional, tag = "12")]
-    pub(super) keys: Option<Keys>,
+    pub keys: Option<Keys>,
     #[prost(uint64, tag = "13")]
-    pub(super) life: u64,
+    pub key_lease_duration: u64,
     #[prost(message, optional, tag = "14")]
-    pub(super) counts: Option<CountWord>,
+    pub counters: Option<Counters>,
     #[prost(message, optional, tag = "15")]
-    pub(super) known: Option<Known>,
+    pub known: Option<Known>,
     #[prost(message, optional, tag = "16")]
-    pub(super) sums: Option<SumWord>,
+    pub totals: Option<Totals>,
 }
--- a/crates/shared-state/src/service_health.rs
+++ b/crates/shared-state/src/service_health.rs
@@ -1,10 +1,12 @@
-//! Whether a service below is well, by what a node sees itself first, and by what others see beside
-//! it.
+//! Whether a backend service is healthy, by what a node sees itself first, and by what others
+//! report.
 //!
-//! What others see may make a node careful at once, and never closes a service to it: only its own
-//! tries do. A sick service is told from a sick witness by how many say so and in how many zones.
-//! When it was down, few in the whole fleet try it first, chosen by hash so that all agree on whom;
-//! then load rises in steps, nobody going further than twice what the others have.
+//! What others report may make a node treat a service as degraded, and never as unavailable: only its
+//! own calls do ([`ServiceHealth::evaluate`]). A failing service is told from a failing reporter by
+//! how many report it and from how many zones ([`AggregatedHealth::is_failing`]). While a service is
+//! unavailable, few nodes of the whole cluster probe it, chosen by a hash so that all agree on them
+//! ([`is_prober`]); then load comes back in steps, no node going further than twice what the others
+//! admit (`recovery_ramp`).
 
 mod aggregation;
 mod outlier_detection;
@@ -16,46 +18,50 @@
 
 use crate::{MILLISECOND, Nanos, SECOND};
 
-/// What is counted is this long, and aged out after so long.
-const WINDOW: Nanos = 2 * SECOND;
-const AGED: Nanos = 5 * SECOND;
-/// A window with fewer tries than this says nothing.
-const TRIES: u32 = 10;
-/// Parts of tries that failed from which a service is ill, and under which it is well.
-const ILL: f64 = 0.5;
-const WELL: f64 = 0.1;
-/// Nodes of the whole fleet that try a service that is down, and between two tries of one.
-const PROBES: usize = 3;
-const PROBE: Nanos = 500 * MILLISECOND;
-/// One that hears nobody tries by itself this often.
-const DEAF_PROBE: Nanos = 5 * SECOND;
-/// Tries in a row that must succeed before load comes back; and the time of a step: all of it is
-/// back after 20 s. With steps of 2 s a service that warms up in 20 s was thrown down again.
-const PROVED: u32 = 3;
-const STEP: Nanos = 5 * SECOND;
-/// The first step of load, of all of it.
-const FIRST: f64 = 1.0 / 16.0;
-/// ProcessId has come back does not come back once more with those who are later, for so long.
-const RISEN: Nanos = 12 * STEP;
-/// What a careful node lets through.
-const CAREFUL: f64 = 0.25;
+/// The window over which calls are counted, in nanoseconds.
+const CALL_WINDOW: Nanos = 2 * SECOND;
+/// Reports of others count for this long, in nanoseconds.
+const REPORT_MAX_AGE: Nanos = 5 * SECOND;
+/// A window with fewer calls than this says nothing by its ratio of failures.
+const MIN_CALLS: u32 = 10;
+/// A service fails from this ratio of failed calls on.
+const FAILING_RATIO: f64 = 0.5;
+/// A service is healthy up to this ratio of failed calls.
+const HEALTHY_RATIO: f64 = 0.1;
+/// Nodes of the whole cluster that probe an unavailable service.
+const PROBERS: usize = 3;
+/// The time between two probes of a prober, in nanoseconds.
+const PROBE_INTERVAL: Nanos = 500 * MILLISECOND;
+/// The time between two probes of a node that hears of no other, in nanoseconds.
+const LONE_PROBE_INTERVAL: Nanos = 5 * SECOND;
+/// Probes in a row that must succeed before load comes back; failures in a row with nothing well for
+/// a window from which a service counts as failing.
+const CONCLUSIVE_IN_A_ROW: u32 = 3;
+/// The time of a step of the recovery ramp, in nanoseconds.
+const RAMP_STEP: Nanos = 5 * SECOND;
+/// The share of load admitted in the first step of the ramp.
+const RAMP_FIRST_SHARE: f64 = 1.0 / 16.0;
+/// After a recovery, a node does not follow the recovery of others for this long, in nanoseconds.
+const RECOVERED_HOLD: Nanos = 12 * RAMP_STEP;
+/// The share of load that is admitted while a service is degraded.
+const DEGRADED_SHARE: f64 = 0.25;
 
-/// How a node goes about a service.
+/// How a node treats a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthState {
-    /// All of it goes there.
+    /// All calls are admitted.
     Healthy,
-    /// Others say that it is ill: a part goes there, to see.
+    /// Others report that it fails: a part of the calls is admitted, to see.
     Degraded,
-    /// It failed this node: nothing goes there, but for tries.
+    /// It failed this node: only probes are admitted.
     Unavailable,
-    /// It was down, and load comes back in steps.
+    /// It was unavailable, and load comes back in steps.
     Recovering,
 }
 
 impl HealthState {
-    /// Its word, as logs and tables show it.
-    pub fn word(self) -> &'static str {
+    /// The word that logs and status show.
+    pub fn label(self) -> &'static str {
         match self {
             HealthState::Healthy => "open",
             HealthState::Degraded => "careful",
@@ -65,198 +71,229 @@
     }
 }
 
-/// Two halves of a window, so that what is counted is never a whole window old.
+/// Calls in half of a window. Two halves are kept, so that no count is a whole window old.
 #[derive(Clone, Copy, Debug, Default)]
-struct TwoHalfWindow {
-    tries: u32,
+struct HalfWindow {
+    calls: u32,
     failed: u32,
 }
 
-/// A node's judgement on one service.
+/// Calls that were admitted and held back.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct AdmissionCounts {
+    /// Calls that were admitted.
+    pub admitted: u64,
+    /// Calls that were held back.
+    pub held_back: u64,
+}
+
+/// A node's view of one backend service.
 #[derive(Clone, Debug)]
 pub struct ServiceHealth {
     zone: u32,
-    mode: HealthState,
-    since: Nanos,
-    level: f64,
-    halves: [TwoHalfWindow; 2],
-    half: Nanos,
-    in_a_row: u32,
-    /// Tries in a row that failed: so many say more than a window that was good before.
-    failed_in_a_row: u32,
-    /// Since when no try went well.
+    state: HealthState,
+    state_since: Nanos,
+    /// The admitted share while recovering.
+    ramp_share: f64,
+    /// The current half window and the one before.
+    halves: [HalfWindow; 2],
+    /// The current half window's number.
+    half_number: Nanos,
+    /// While unavailable: probes in a row that succeeded.
+    successes_in_a_row: u32,
+    failures_in_a_row: u32,
+    /// The last time at which a call succeeded, or the first failure after it.
     failing_since: Nanos,
-    probed: Nanos,
-    /// What others say, and when that came.
+    last_probe_at: Nanos,
+    /// What others report, and when that was summed up.
     others: Option<(AggregatedHealth, Nanos)>,
-    /// A process that has just started does not know whether the service has too: until others
-    /// speak, or until then.
+    /// A process that has just started does not know whether the service has too, until others
+    /// report or this time passes.
     unaware_until: Nanos,
-    /// When it was last all back, having been down.
-    risen: Option<Nanos>,
-    /// What is owed to the level: a call goes when it comes to one.
-    owed: f64,
-    /// Calls that it let go and kept back.
-    passed: u64,
-    kept_back: u64,
+    /// When the last recovery was complete.
+    recovered_at: Option<Nanos>,
+    /// Accumulates the admitted share: a call is admitted when it reaches 1.
+    admission_credit: f64,
+    counts: AdmissionCounts,
 }
 
 impl ServiceHealth {
-    /// Nothing is known of the service; it counts as well.
+    /// A service of which nothing is known; it counts as healthy.
     pub fn new(now: Nanos, zone: u32) -> ServiceHealth {
         ServiceHealth {
             zone,
-            mode: HealthState::Healthy,
-            since: now,
-            level: 1.0,
-            halves: [TwoHalfWindow::default(); 2],
-            half: now / (WINDOW / 2),
-            in_a_row: 0,
-            failed_in_a_row: 0,
+            state: HealthState::Healthy,
+            state_since: now,
+            ramp_share: 1.0,
+            halves: [HalfWindow::default(); 2],
+            half_number: now / (CALL_WINDOW / 2),
+            successes_in_a_row: 0,
+            failures_in_a_row: 0,
             failing_since: now,
-            probed: 0,
+            last_probe_at: 0,
             others: None,
-            unaware_until: now + AGED,
-            risen: None,
-            owed: 0.0,
-            passed: 0,
-            kept_back: 0,
+            unaware_until: now + REPORT_MAX_AGE,
+            recovered_at: None,
+            admission_credit: 0.0,
+            counts: AdmissionCounts::default(),
         }
     }
 
-    pub fn mode(&self) -> HealthState {
-        self.mode
+    /// How the service is treated.
+    pub fn state(&self) -> HealthState {
+        self.state
     }
 
-    /// Since when it is so.
-    pub fn since(&self) -> Nanos {
-        self.since
+    /// Since when it is in this state; while recovering, in this step.
+    pub fn state_since(&self) -> Nanos {
+        self.state_since
     }
 
-    /// Calls that it let go, and kept back.
-    pub fn tally(&self) -> (u64, u64) {
-        (self.passed, self.kept_back)
+    /// Calls that were admitted and held back.
+    pub fn counts(&self) -> AdmissionCounts {
+        self.counts
     }
 
-    /// What it lets through now, of all.
-    pub fn level(&self) -> f64 {
-        match self.mode {
+    /// The share of calls that is admitted, from 0 to 1.
+    pub fn admitted_share(&self) -> f64 {
+        match self.state {
             HealthState::Healthy => 1.0,
-            HealthState::Degraded => CAREFUL,
+            HealthState::Degraded => DEGRADED_SHARE,
             HealthState::Unavailable => 0.0,
-            HealthState::Recovering => self.level,
+            HealthState::Recovering => self.ramp_share,
         }
     }
 
-    /// The share of its units that it uses: slow start. While the service is closed only tries go,
-    /// which are seldom by themselves.
-    pub fn share(&self, now: Nanos) -> f64 {
-        match self.mode {
-            HealthState::Healthy if now < self.unaware_until => FIRST,
+    /// The share of its budget units that the node uses, from 0 to 1: slow start. While the service is
+    /// unavailable only probes are sent, which are seldom by themselves.
+    pub fn budget_share(&self, now: Nanos) -> f64 {
+        match self.state {
+            HealthState::Healthy if now < self.unaware_until => RAMP_FIRST_SHARE,
             HealthState::Healthy | HealthState::Unavailable => 1.0,
-            HealthState::Degraded | HealthState::Recovering => self.level(),
-        }
-    }
-
-    fn roll(&mut self, now: Nanos) {
-        let half = now / (WINDOW / 2);
-        for _ in self.half..half.min(self.half + 2) {
-            self.halves = [TwoHalfWindow::default(), self.halves[0]];
+            HealthState::Degraded | HealthState::Recovering => self.admitted_share(),
         }
-        self.half = half;
     }
 
-    /// What it says to others.
-    pub fn evidence(&mut self, now: Nanos) -> HealthReport {
-        self.roll(now);
-        let [a, b] = self.halves;
+    /// What this node reports to others.
+    pub fn report(&mut self, now: Nanos) -> HealthReport {
+        self.roll_windows(now);
+        let [current, previous] = self.halves;
         HealthReport {
             zone: self.zone,
-            tries: a.tries + b.tries,
-            failed: a.failed + b.failed,
-            level: self.level(),
+            calls: current.calls + previous.calls,
+            failed: current.failed + previous.failed,
+            admitted_share: self.admitted_share(),
         }
     }
 
-    /// What others say, while it is good.
+    /// What others report, while it is recent enough.
     pub fn others(&self, now: Nanos) -> Option<AggregatedHealth> {
         self.others
-            .filter(|(_, heard)| now < *heard + AGED)
-            .map(|(opinion, _)| opinion)
+            .filter(|(_, received_at)| now < *received_at + REPORT_MAX_AGE)
+            .map(|(aggregated, _)| aggregated)
     }
 
-    fn enter(&mut self, now: Nanos, mode: HealthState) {
-        if self.mode != mode {
-            (self.mode, self.since, self.in_a_row, self.owed) = (mode, now, 0, 0.0);
-        }
-    }
-
-    /// Whether a try is due from this node while the service is down. One that hears nobody tries
-    /// by itself, more seldom.
-    pub fn is_try_due(&self, now: Nanos) -> bool {
-        let (tries, wait) = match self.others(now) {
-            Some(opinion) if !opinion.alone => (opinion.prober, PROBE),
-            _ => (true, DEAF_PROBE),
+    /// Whether this node is to probe the service now, while it is unavailable. One that hears of no
+    /// other probes by itself, less often.
+    pub fn is_probe_due(&self, now: Nanos) -> bool {
+        let (probes, interval) = match self.others(now) {
+            Some(others) if !others.is_alone => (others.is_prober, PROBE_INTERVAL),
+            _ => (true, LONE_PROBE_INTERVAL),
         };
-        tries && now >= self.probed + wait
+        probes && now >= self.last_probe_at + interval
     }
 
-    /// Whether a call may go there now. For one that was thinned out before, with what it is part
-    /// of, only a closed service counts.
-    pub fn admits(&mut self, now: Nanos, thinned: bool) -> bool {
-        self.judge(now);
-        let goes = match self.mode {
+    /// Whether a call may be sent now. A call whose request was thinned out at admission is only held
+    /// back from an unavailable service.
+    pub fn admits(&mut self, now: Nanos, is_thinned_out: bool) -> bool {
+        self.evaluate(now);
+        let admits = match self.state {
             HealthState::Healthy => true,
             HealthState::Unavailable => {
-                let due = self.is_try_due(now);
-                if due {
-                    self.probed = now;
+                let is_due = self.is_probe_due(now);
+                if is_due {
+                    self.last_probe_at = now;
                 }
-                due
+                is_due
             }
-            HealthState::Degraded | HealthState::Recovering if thinned => true,
+            HealthState::Degraded | HealthState::Recovering if is_thinned_out => true,
             HealthState::Degraded | HealthState::Recovering => {
-                self.owed += self.level();
-                let goes = self.owed >= 1.0;
-                self.owed -= if goes { 1.0 } else { 0.0 };
-                goes
+                let share = self.admitted_share();
+                take_credit(&mut self.admission_credit, share)
             }
         };
-        *(if goes {
-            &mut self.passed
+        *(if admits {
+            &mut self.counts.admitted
         } else {
-            &mut self.kept_back
+            &mut self.counts.held_back
         }) += 1;
-        goes
+        admits
     }
 
-    /// How long what needs the service does well to stay away.
-    pub fn pause(&self, now: Nanos) -> Nanos {
-        match self.mode {
+    /// After how many nanoseconds a request that needs the service should come back.
+    pub fn retry_after(&self, now: Nanos) -> Nanos {
+        match self.state {
             HealthState::Healthy => 0,
-            HealthState::Unavailable => (self.probed + PROBE).saturating_sub(now).max(PROBE),
-            HealthState::Degraded => AGED / 2,
-            HealthState::Recovering => (self.since + STEP).saturating_sub(now).max(PROBE),
+            HealthState::Unavailable => (self.last_probe_at + PROBE_INTERVAL)
+                .saturating_sub(now)
+                .max(PROBE_INTERVAL),
+            HealthState::Degraded => REPORT_MAX_AGE / 2,
+            HealthState::Recovering => (self.state_since + RAMP_STEP)
+                .saturating_sub(now)
+                .max(PROBE_INTERVAL),
         }
     }
 
-    /// A call there ended.
-    pub fn ended(&mut self, now: Nanos, well: bool) {
-        self.roll(now);
-        self.halves[0].tries += 1;
-        self.halves[0].failed += u32::from(!well);
-        if well || self.failed_in_a_row == 0 {
+    /// A call has ended.
+    pub fn call_ended(&mut self, now: Nanos, is_success: bool) {
+        self.roll_windows(now);
+        self.halves[0].calls += 1;
+        self.halves[0].failed += u32::from(!is_success);
+        if is_success || self.failures_in_a_row == 0 {
             self.failing_since = now;
         }
-        self.failed_in_a_row = if well { 0 } else { self.failed_in_a_row + 1 };
-        if self.mode == HealthState::Unavailable {
-            self.in_a_row = if well { self.in_a_row + 1 } else { 0 };
-            if self.in_a_row >= PROVED {
-                self.come_back(now);
+        self.failures_in_a_row = if is_success {
+            0
+        } else {
+            self.failures_in_a_row + 1
+        };
+        if self.state == HealthState::Unavailable {
+            self.successes_in_a_row = if is_success {
+                self.successes_in_a_row + 1
+            } else {
+                0
+            };
+            if self.successes_in_a_row >= CONCLUSIVE_IN_A_ROW {
+                self.start_recovery(now);
             }
         }
-        self.judge(now);
+        self.evaluate(now);
     }
+
+    fn roll_windows(&mut self, now: Nanos) {
+        let number = now / (CALL_WINDOW / 2);
+        for _ in self.half_number..number.min(self.half_number + 2) {
+            self.halves = [HalfWindow::default(), self.halves[0]];
+        }
+        self.half_number = number;
+    }
+
+    fn enter(&mut self, now: Nanos, state: HealthState) {
+        if self.state != state {
+            self.state = state;
+            self.state_since = now;
+            self.successes_in_a_row = 0;
+            self.admission_credit = 0.0;
+        }
+    }
+}
+
+/// Adds a share to a credit; takes 1 from it, and returns true, where it reaches 1.
+pub(crate) fn take_credit(credit: &mut f64, share: f64) -> bool {
+    *credit += share;
+    let is_enough = *credit >= 1.0;
+    *credit -= if is_enough { 1.0 } else { 0.0 };
+    is_enough
 }
 
 #[cfg(test)]
--- a/crates/shared-state/src/service_health/aggregation.rs
+++ b/crates/shared-state/src/service_health/aggregation.rs
@@ -1,140 +1,158 @@
-//! What others say.
+//! The reports of other nodes, and what follows from them together.
 
-use super::{AGED, HealthReport, PROBE, PROBES};
+use super::{HealthReport, PROBE_INTERVAL, PROBERS, REPORT_MAX_AGE};
 use crate::{Nanos, ProcessId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What others say of a service, summed up.
+/// The fewest reports kept, whatever the bound.
+const MIN_REPORTS: usize = 16;
+/// Probers change after this many probe intervals.
+const PROBES_PER_TURN: Nanos = 10;
+
+/// The reports of others on a service, summed up.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AggregatedHealth {
-    /// ProcessId say something, and who of these that it is ill; in how many zones.
-    pub witnesses: u32,
-    pub ill: u32,
+    /// Nodes with a conclusive report.
+    pub reporters: u32,
+    /// Of these, nodes that see the service fail.
+    pub failing: u32,
+    /// Zones of the reporters.
     pub zones: u32,
-    pub ill_zones: u32,
-    /// ProcessId found it well.
-    pub well: u32,
-    /// The mean of what is let through, of those who let anything through; and the least of that.
-    pub level: f64,
-    pub least: f64,
-    /// ProcessId say anything, and who of these let less than all through.
-    pub speak: u32,
-    pub short: u32,
-    /// Whether this node is one of the few that try it while it is down, and whether it is there
-    /// alone.
-    pub prober: bool,
-    pub alone: bool,
+    /// Zones of those that see it fail.
+    pub failing_zones: u32,
+    /// Reporters that found it healthy just now.
+    pub healthy: u32,
+    /// The mean admitted share, of the nodes that admit anything; 0 if none does.
+    pub mean_share: f64,
+    /// The least admitted share, of the nodes that admit anything; 1 if none does.
+    pub min_share: f64,
+    /// Nodes with any report.
+    pub reports: u32,
+    /// Of these, nodes that admit less than all calls.
+    pub reduced: u32,
+    /// Whether this node is one of the few that probe the service while it is unavailable.
+    pub is_prober: bool,
+    /// Whether this node knows of no other member.
+    pub is_alone: bool,
 }
 
 impl AggregatedHealth {
-    /// Whether it comes back for enough of the others: half of those who speak, two at least.
-    pub fn is_rising(&self) -> bool {
-        self.least < 1.0 && self.short >= 2 && self.short * 2 >= self.speak
+    /// Whether the service recovers at enough of the others: half of those with any report, two at
+    /// least.
+    pub fn is_recovering(&self) -> bool {
+        self.min_share < 1.0 && self.reduced >= 2 && self.reduced * 2 >= self.reports
     }
 
-    /// Whether enough of the others, in more than one zone where there are more, say that it is
-    /// ill: half of those who see it, two at least, and not one zone alone.
-    pub fn is_ill(&self) -> bool {
-        self.ill >= 2 && self.ill * 2 >= self.witnesses && (self.zones < 2 || self.ill_zones >= 2)
+    /// Whether enough of the others see the service fail: half of the reporters, two at least, and in
+    /// more than one zone where there are more.
+    pub fn is_failing(&self) -> bool {
+        self.failing >= 2
+            && self.failing * 2 >= self.reporters
+            && (self.zones < 2 || self.failing_zones >= 2)
     }
 }
 
-/// What others say of services below, each for as long as it is good. Each speaks for itself only.
+/// The reports of others on all services, each for as long as it is recent. Each process reports for
+/// itself only.
 #[derive(Clone, Debug)]
 pub struct HealthReports {
-    pub(super) words: BTreeMap<(u64, ProcessId), (HealthReport, Nanos)>,
-    most: usize,
+    pub(super) reports: BTreeMap<(u64, ProcessId), (HealthReport, Nanos)>,
+    max_reports: usize,
     refused: u64,
 }
 
 impl HealthReports {
-    /// None yet; so many words are kept.
-    pub fn new(most: usize) -> HealthReports {
+    /// No reports yet, of at most this many.
+    pub fn new(max_reports: usize) -> HealthReports {
         HealthReports {
-            words: BTreeMap::new(),
-            most: most.max(16),
+            reports: BTreeMap::new(),
+            max_reports: max_reports.max(MIN_REPORTS),
             refused: 0,
         }
     }
 
-    /// Another node says what it sees.
-    pub fn hear(&mut self, now: Nanos, from: ProcessId, service: u64, evidence: HealthReport) {
-        let place = (service, from);
-        if self.words.len() >= self.most && !self.words.contains_key(&place) {
-            self.words.retain(|_, (_, heard)| now < *heard + AGED);
-            if self.words.len() >= self.most {
+    /// Receives another process's report on a service, by the service's number.
+    pub fn receive(&mut self, now: Nanos, from: ProcessId, service: u64, report: HealthReport) {
+        let id = (service, from);
+        if self.reports.len() >= self.max_reports && !self.reports.contains_key(&id) {
+            self.expire(now);
+            if self.reports.len() >= self.max_reports {
                 self.refused += 1;
                 return;
             }
         }
-        self.words.insert(place, (evidence, now));
+        self.reports.insert(id, (report, now));
+    }
+
+    fn expire(&mut self, now: Nanos) {
+        self.reports
+            .retain(|_, (_, received_at)| now < *received_at + REPORT_MAX_AGE);
     }
 
-    /// What all say of a service now, but for who tries it.
-    pub fn opinion(&mut self, now: Nanos, service: u64) -> AggregatedHealth {
-        self.words.retain(|_, (_, heard)| now < *heard + AGED);
+    /// Sums up the reports on a service. The caller sets who probes it.
+    pub fn aggregate(&mut self, now: Nanos, service: u64) -> AggregatedHealth {
+        self.expire(now);
         let first = (service, ProcessId::default());
-        let all = self
-            .words
+        let reports = self
+            .reports
             .range(first..)
             .take_while(|((of, _), _)| *of == service)
-            .map(|(_, word)| word);
-        let mut opinion = AggregatedHealth {
-            least: 1.0,
+            .map(|(_, (report, _))| report);
+        let mut sum = AggregatedHealth {
+            min_share: 1.0,
             ..AggregatedHealth::default()
         };
-        let mut back = (0.0, 0u32);
-        let (mut zones, mut ill_zones) = (BTreeSet::new(), BTreeSet::new());
-        for (evidence, _) in all {
-            opinion.speak += 1;
-            opinion.short += u32::from(evidence.level < 1.0);
-            if evidence.level > 0.0 {
-                back = (back.0 + evidence.level, back.1 + 1);
-                opinion.least = opinion.least.min(evidence.level);
+        let (mut share_sum, mut admitting) = (0.0, 0u32);
+        let (mut zones, mut failing_zones) = (BTreeSet::new(), BTreeSet::new());
+        for report in reports {
+            sum.reports += 1;
+            sum.reduced += u32::from(report.admitted_share < 1.0);
+            if report.admitted_share > 0.0 {
+                share_sum += report.admitted_share;
+                admitting += 1;
+                sum.min_share = sum.min_share.min(report.admitted_share);
             }
-            if !evidence.tells() {
+            if !report.is_conclusive() {
                 continue;
             }
-            opinion.witnesses += 1;
-            zones.insert(evidence.zone);
-            if evidence.is_ill() {
-                opinion.ill += 1;
-                ill_zones.insert(evidence.zone);
+            sum.reporters += 1;
+            zones.insert(report.zone);
+            if report.is_failing() {
+                sum.failing += 1;
+                failing_zones.insert(report.zone);
             }
-            opinion.well += u32::from(evidence.found_well());
+            sum.healthy += u32::from(report.saw_healthy());
         }
-        opinion.level = if back.1 > 0 {
-            back.0 / f64::from(back.1)
-        } else {
-            0.0
-        };
-        (opinion.zones, opinion.ill_zones) = (zones.len() as u32, ill_zones.len() as u32);
-        opinion
+        if admitting > 0 {
+            sum.mean_share = share_sum / f64::from(admitting);
+        }
+        (sum.zones, sum.failing_zones) = (zones.len() as u32, failing_zones.len() as u32);
+        sum
     }
 
-    /// Words that found no room.
+    /// Reports for which there was no room.
     pub fn refused(&self) -> u64 {
         self.refused
     }
 }
 
-/// Whether a node is one of the few of those there that try a service while it is down. They take
-/// turns, and as all go by the same hash, those who see the same members agree.
+/// Whether a node is one of the few that probe a service while it is unavailable. The probers change
+/// from time to time; nodes that see the same members agree on them, as all use the same hash.
 pub fn is_prober(now: Nanos, me: u64, service: u64, members: impl Iterator<Item = u64>) -> bool {
-    let round = now / (10 * PROBE);
-    let rank = |key: u64| mix(key ^ mix(service ^ round));
+    let turn = now / (PROBES_PER_TURN * PROBE_INTERVAL);
+    let rank = |key: u64| mix(key ^ mix(service ^ turn));
     let own = rank(me);
     members
         .filter(|key| *key != me && rank(*key) < own)
-        .take(PROBES)
+        .take(PROBERS)
         .count()
-        < PROBES
+        < PROBERS
 }
 
 /// Mixes a number well enough to spread choices; splitmix64.
-pub(super) fn mix(mut x: u64) -> u64 {
-    x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+pub(super) fn mix(mut number: u64) -> u64 {
+    number = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    number ^ (number >> 31)
 }
--- a/crates/shared-state/src/service_health/outlier_detection.rs
+++ b/crates/shared-state/src/service_health/outlier_detection.rs
@@ -1,66 +1,91 @@
-//! Rules.
+//! The rules by which a node changes how it treats a service.
 
 use super::{
-    AGED, AggregatedHealth, HealthState, ILL, PROVED, RISEN, STEP, ServiceHealth, TRIES, WELL,
-    WINDOW,
+    AggregatedHealth, CALL_WINDOW, CONCLUSIVE_IN_A_ROW, HEALTHY_RATIO, HealthReport, HealthState,
+    MIN_CALLS, RAMP_STEP, RECOVERED_HOLD, REPORT_MAX_AGE, ServiceHealth,
 };
 use crate::Nanos;
 
 impl ServiceHealth {
-    /// What others say came.
-    pub fn told(&mut self, now: Nanos, opinion: AggregatedHealth) {
-        self.others = Some((opinion, now));
-        if opinion.speak >= 2 {
+    /// Takes up what others report, summed up now.
+    pub fn receive_reports(&mut self, now: Nanos, aggregated: AggregatedHealth) {
+        self.others = Some((aggregated, now));
+        if aggregated.reports >= 2 {
             self.unaware_until = now;
         }
-        // Others find it well again: then this node may come back too, in the first step, though it
-        // did not try it. What they said when it fell, and what they counted before, is no word
-        // about now: words are good for so long, and count a window.
-        let later = now > self.since + AGED + WINDOW;
-        let enough = opinion.well >= 2.min(opinion.witnesses).max(1);
-        if self.mode == HealthState::Unavailable && later && enough {
-            self.come_back(now);
+        if self.others_found_it_healthy_again(now, &aggregated) {
+            self.start_recovery(now);
         }
-        self.judge(now);
+        self.evaluate(now);
     }
 
-    /// Looks at what there is, of which some may have aged out.
-    pub fn judge(&mut self, now: Nanos) {
-        let own = self.evidence(now);
-        // Where calls hang there are few, and each says more.
-        let hangs = self.failed_in_a_row >= PROVED && now >= self.failing_since + WINDOW;
-        let is_ill =
-            own.tries >= TRIES && own.failing() >= ILL || self.failed_in_a_row >= TRIES || hangs;
+    /// Whether this node, to which the service is unavailable, may begin to recover because others
+    /// find it healthy. Reports from before it failed here don't count: a report counts for
+    /// [`REPORT_MAX_AGE`] and covers a [`CALL_WINDOW`].
+    fn others_found_it_healthy_again(&self, now: Nanos, others: &AggregatedHealth) -> bool {
+        let is_later = now > self.state_since + REPORT_MAX_AGE + CALL_WINDOW;
+        let enough = others.healthy >= 2.min(others.reporters).max(1);
+        self.state == HealthState::Unavailable && is_later && enough
+    }
+
+    /// Whether the service failed this node: by half of enough calls in a window, by
+    /// [`MIN_CALLS`] failures in a row, or, where calls hang and are few, by
+    /// [`CONCLUSIVE_IN_A_ROW`] failures with no success for a window.
+    fn failed_here(&self, now: Nanos, own: &HealthReport) -> bool {
+        let hangs = self.failures_in_a_row >= CONCLUSIVE_IN_A_ROW
+            && now >= self.failing_since + CALL_WINDOW;
+        own.has_failing_window() || self.failures_in_a_row >= MIN_CALLS || hangs
+    }
+
+    /// Whether this node, which saw nothing of a failure because it was idle or not there, is to
+    /// recover with the others and not at once. A node that has recovered itself lately is not.
+    fn follows_recovery(
+        &self,
+        now: Nanos,
+        own: &HealthReport,
+        others: Option<&AggregatedHealth>,
+    ) -> bool {
+        self.recovered_at
+            .is_none_or(|recovered_at| now >= recovered_at + RECOVERED_HOLD)
+            && !own.is_healthy()
+            && others.is_some_and(AggregatedHealth::is_recovering)
+    }
+
+    /// Whether a step of the recovery ramp is over and nearly all calls in the last window
+    /// succeeded.
+    fn step_succeeded(&self, now: Nanos, own: &HealthReport) -> bool {
+        now >= self.state_since + RAMP_STEP && own.failure_ratio() <= HEALTHY_RATIO
+    }
+
+    /// Changes the state by what is known now; reports may have expired since the last call.
+    pub fn evaluate(&mut self, now: Nanos) {
+        let own = self.report(now);
         let others = self.others(now);
-        let others_ill = others.is_some_and(|opinion| opinion.is_ill());
-        match self.mode {
-            HealthState::Healthy | HealthState::Degraded | HealthState::Recovering if is_ill => {
+        let others_see_failure = others.is_some_and(|others| others.is_failing());
+        match self.state {
+            HealthState::Healthy | HealthState::Degraded | HealthState::Recovering
+                if self.failed_here(now, &own) =>
+            {
                 self.enter(now, HealthState::Unavailable)
             }
-            // One that saw nothing of it, being idle or not there, comes back with the others and
-            // not at once.
             HealthState::Healthy | HealthState::Degraded
-                if self.risen.is_none_or(|at| now >= at + RISEN)
-                    && !own.is_well()
-                    && others.is_some_and(|o| o.is_rising()) =>
+                if self.follows_recovery(now, &own, others.as_ref()) =>
             {
-                if let Some(opinion) = others.filter(|opinion| opinion.level > 0.0) {
-                    self.level = opinion.least;
+                if let Some(others) = others.filter(|others| others.mean_share > 0.0) {
+                    self.ramp_share = others.min_share;
                     self.enter(now, HealthState::Recovering);
-                } else if self.mode == HealthState::Healthy && others_ill {
+                } else if self.state == HealthState::Healthy && others_see_failure {
                     self.enter(now, HealthState::Degraded);
                 }
             }
-            HealthState::Healthy if !own.is_well() && others_ill => {
+            HealthState::Healthy if !own.is_healthy() && others_see_failure => {
                 self.enter(now, HealthState::Degraded)
             }
-            // What it sees itself goes first; else it ages out with those who said it.
-            HealthState::Degraded if own.is_well() || !others_ill => {
+            // What it sees itself goes first.
+            HealthState::Degraded if own.is_healthy() || !others_see_failure => {
                 self.enter(now, HealthState::Healthy)
             }
-            HealthState::Recovering if now >= self.since + STEP && own.failing() <= WELL => {
-                self.rise(now)
-            }
+            HealthState::Recovering if self.step_succeeded(now, &own) => self.next_ramp_step(now),
             _ => {}
         }
     }
--- a/crates/shared-state/src/service_health/recovery_ramp.rs
+++ b/crates/shared-state/src/service_health/recovery_ramp.rs
@@ -1,28 +1,32 @@
-//! Ramp.
+//! How load comes back to a service that was unavailable: in steps from a sixteenth, doubled every 5
+//! s, and never beyond twice what the others admit.
 
-use super::{FIRST, HealthState, ServiceHealth, TwoHalfWindow};
+use super::{HalfWindow, HealthState, RAMP_FIRST_SHARE, ServiceHealth};
 use crate::Nanos;
 
 impl ServiceHealth {
-    /// One step further, but not beyond twice what the others let through, who come back with it.
-    pub(super) fn rise(&mut self, now: Nanos) {
+    /// Begins the first step, with empty counts.
+    pub(super) fn start_recovery(&mut self, now: Nanos) {
+        self.halves = [HalfWindow::default(); 2];
+        self.failures_in_a_row = 0;
+        self.ramp_share = RAMP_FIRST_SHARE;
+        self.enter(now, HealthState::Recovering);
+    }
+
+    /// Doubles the admitted share, up to twice the others' mean; at the whole share the service is
+    /// healthy.
+    pub(super) fn next_ramp_step(&mut self, now: Nanos) {
         let others = self
             .others(now)
-            .map(|opinion| opinion.level)
-            .filter(|level| *level > 0.0);
-        self.since = now;
-        self.level = (self.level * 2.0)
-            .min(others.unwrap_or(1.0).max(FIRST) * 2.0)
+            .map(|others| others.mean_share)
+            .filter(|share| *share > 0.0);
+        self.state_since = now;
+        self.ramp_share = (self.ramp_share * 2.0)
+            .min(others.unwrap_or(1.0).max(RAMP_FIRST_SHARE) * 2.0)
             .min(1.0);
-        if self.level >= 1.0 {
-            self.risen = Some(now);
+        if self.ramp_share >= 1.0 {
+            self.recovered_at = Some(now);
             self.enter(now, HealthState::Healthy);
         }
     }
-
-    pub(super) fn come_back(&mut self, now: Nanos) {
-        (self.halves, self.failed_in_a_row) = ([TwoHalfWindow::default(); 2], 0);
-        self.level = FIRST;
-        self.enter(now, HealthState::Recovering);
-    }
 }
--- a/crates/shared-state/src/service_health/report.rs
+++ b/crates/shared-state/src/service_health/report.rs
@@ -1,43 +1,56 @@
-//! What a node says.
+//! What one node reports of a service, and what follows from that by itself.
 
-use super::{ILL, PROVED, TRIES, WELL};
+use super::{CONCLUSIVE_IN_A_ROW, FAILING_RATIO, HEALTHY_RATIO, MIN_CALLS};
 
-/// What a node says of a service.
+/// What a node reports of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HealthReport {
+    /// The node's zone.
     pub zone: u32,
-    /// In its last window.
-    pub tries: u32,
+    /// Calls in its last window of 2 s.
+    pub calls: u32,
+    /// Of these, calls that failed.
     pub failed: u32,
-    /// What it lets through, of all.
-    pub level: f64,
+    /// The share of calls that it admits, from 0 to 1.
+    pub admitted_share: f64,
 }
 
 impl HealthReport {
-    pub(super) fn failing(&self) -> f64 {
-        f64::from(self.failed) / f64::from(self.tries.max(1))
+    /// The ratio of failed calls, from 0 to 1; 0 without calls.
+    pub(super) fn failure_ratio(&self) -> f64 {
+        f64::from(self.failed) / f64::from(self.calls.max(1))
     }
 
-    pub(super) fn is_ill(&self) -> bool {
-        self.tries >= TRIES && self.failing() >= ILL || self.level == 0.0
+    /// Whether it sees the service fail: by half of enough calls, or by having closed it.
+    pub(super) fn is_failing(&self) -> bool {
+        self.has_failing_window() || self.admitted_share == 0.0
     }
 
-    pub(super) fn is_well(&self) -> bool {
-        self.tries >= TRIES && self.failing() <= WELL
+    /// Whether half of enough calls failed.
+    pub(super) fn has_failing_window(&self) -> bool {
+        self.calls >= MIN_CALLS && self.failure_ratio() >= FAILING_RATIO
     }
 
-    /// Whether it found it well just now. Where there are few calls at all, some that all went well
-    /// are as much as there is; one that comes back has proved it with those before. Else fleets
-    /// with some calls a second and node would hear nobody but those who closed it, and come back
-    /// one tryer after the other.
-    pub(super) fn found_well(&self) -> bool {
-        let enough = if self.level < 1.0 { 1 } else { PROVED };
-        self.is_well() || self.failed == 0 && self.tries >= enough
+    /// Whether nearly all of enough calls succeeded.
+    pub(super) fn is_healthy(&self) -> bool {
+        self.calls >= MIN_CALLS && self.failure_ratio() <= HEALTHY_RATIO
     }
 
-    /// Whether it says anything: one that tries too little knows nothing, unless it has closed the
-    /// service to itself.
-    pub(super) fn tells(&self) -> bool {
-        self.tries >= TRIES || self.level == 0.0 || self.found_well()
+    /// Whether it found the service healthy just now. Where a node makes few calls, some that all
+    /// succeeded are enough; of a node that recovers one is, because it has proved the service before.
+    /// Else clusters with few calls a node would hear only of the nodes that closed the service.
+    pub(super) fn saw_healthy(&self) -> bool {
+        let enough = if self.admitted_share < 1.0 {
+            1
+        } else {
+            CONCLUSIVE_IN_A_ROW
+        };
+        self.is_healthy() || self.failed == 0 && self.calls >= enough
+    }
+
+    /// Whether it says anything: a node with few calls knows nothing, unless it has closed the
+    /// service.
+    pub(super) fn is_conclusive(&self) -> bool {
+        self.calls >= MIN_CALLS || self.admitted_share == 0.0 || self.saw_healthy()
     }
 }
--- a/crates/shared-state/src/service_health/tests.rs
+++ b/crates/shared-state/src/service_health/tests.rs
@@ -5,45 +5,48 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
-fn who(key: u64) -> ProcessId {
-    ProcessId { key, life: key }
+fn process(key: u64) -> ProcessId {
+    ProcessId {
+        key,
+        incarnation: key,
+    }
 }
 
 /// What a node is told by these, each in its zone, with tries and failures.
-fn said(words: impl Iterator<Item = (u64, u32, u32, u32)>) -> AggregatedHealth {
-    let mut witnesses = HealthReports::new(64);
-    for (key, zone, tries, failed) in words {
-        witnesses.hear(
+fn aggregated(reports_of: impl Iterator<Item = (u64, u32, u32, u32)>) -> AggregatedHealth {
+    let mut reports = HealthReports::new(64);
+    for (key, zone, calls, failed) in reports_of {
+        reports.receive(
             SECOND,
-            who(key),
+            process(key),
             7,
             HealthReport {
                 zone,
-                tries,
+                calls,
                 failed,
-                level: 1.0,
+                admitted_share: 1.0,
             },
         );
     }
-    witnesses.opinion(SECOND, 7)
+    reports.aggregate(SECOND, 7)
 }
 
 #[test]
 fn own_tries_close_it_and_others_alone_never_do() {
     let mut own = ServiceHealth::new(0, 0);
-    (0..20).for_each(|_| own.ended(SECOND, false));
+    (0..20).for_each(|_| own.call_ended(SECOND, false));
     assert_eq!(
-        (own.mode(), own.admits(SECOND, false)),
+        (own.state(), own.admits(SECOND, false)),
         (HealthState::Unavailable, false)
     );
     let mut others = ServiceHealth::new(0, 0);
-    others.told(
+    others.receive_reports(
         SECOND,
-        said((2..12).map(|key| (key, key as u32 % 3, 100, 100))),
+        aggregated((2..12).map(|key| (key, key as u32 % 3, 100, 100))),
     );
     assert_eq!(
-        (others.mode(), others.level()),
-        (HealthState::Degraded, CAREFUL)
+        (others.state(), others.admitted_share()),
+        (HealthState::Degraded, DEGRADED_SHARE)
     );
     assert_eq!(
         (0..100).filter(|_| others.admits(SECOND, false)).count(),
@@ -55,112 +58,115 @@
 #[test]
 fn calls_that_hang_close_it_though_they_are_few() {
     let mut hangs = ServiceHealth::new(0, 0);
-    (0..9).for_each(|_| hangs.ended(10 * SECOND, false));
+    (0..9).for_each(|_| hangs.call_ended(10 * SECOND, false));
     assert_eq!(
-        hangs.mode(),
+        hangs.state(),
         HealthState::Healthy,
         "nine at once may be one broken connection"
     );
-    hangs.ended(11 * SECOND, true);
-    (0..3).for_each(|n| hangs.ended((12 + n) * SECOND, false));
-    assert_eq!(hangs.mode(), HealthState::Unavailable);
+    hangs.call_ended(11 * SECOND, true);
+    (0..3).for_each(|n| hangs.call_ended((12 + n) * SECOND, false));
+    assert_eq!(hangs.state(), HealthState::Unavailable);
 }
 
 #[test]
 fn one_sick_node_or_one_zone_is_told_from_a_sick_service() {
     let failed = |one: bool| if one { 100 } else { 0 };
     let mut liar = ServiceHealth::new(0, 0);
-    liar.told(
+    liar.receive_reports(
         SECOND,
-        said((2..12).map(|key| (key, key as u32 % 3, 100, failed(key == 5)))),
+        aggregated((2..12).map(|key| (key, key as u32 % 3, 100, failed(key == 5)))),
     );
-    assert_eq!(liar.mode(), HealthState::Healthy);
+    assert_eq!(liar.state(), HealthState::Healthy);
     let mut zone = ServiceHealth::new(0, 0);
-    zone.told(
+    zone.receive_reports(
         SECOND,
-        said((2..12).map(|key| (key, key as u32 % 2, 100, failed(key % 2 == 1)))),
+        aggregated((2..12).map(|key| (key, key as u32 % 2, 100, failed(key % 2 == 1)))),
     );
     assert_eq!(
-        zone.mode(),
+        zone.state(),
         HealthState::Healthy,
         "a zone with a broken link of its own"
     );
     // What it sees itself goes first.
     let mut sees = ServiceHealth::new(0, 0);
-    (0..50).for_each(|_| sees.ended(SECOND, true));
-    sees.told(
+    (0..50).for_each(|_| sees.call_ended(SECOND, true));
+    sees.receive_reports(
         SECOND,
-        said((2..12).map(|key| (key, key as u32 % 3, 100, 100))),
+        aggregated((2..12).map(|key| (key, key as u32 % 3, 100, 100))),
     );
-    assert_eq!(sees.mode(), HealthState::Healthy);
+    assert_eq!(sees.state(), HealthState::Healthy);
 }
 
 #[test]
 fn a_word_ages_out_and_a_flood_of_words_by_one_is_one_word() {
     let mut careful = ServiceHealth::new(0, 0);
-    careful.told(
+    careful.receive_reports(
         SECOND,
-        said((2..12).map(|key| (key, key as u32 % 3, 100, 100))),
+        aggregated((2..12).map(|key| (key, key as u32 % 3, 100, 100))),
     );
-    assert_eq!(careful.mode(), HealthState::Degraded);
-    assert!(careful.admits(SECOND + AGED, false));
-    assert_eq!(careful.mode(), HealthState::Healthy);
-    let flood = said(
+    assert_eq!(careful.state(), HealthState::Degraded);
+    assert!(careful.admits(SECOND + REPORT_MAX_AGE, false));
+    assert_eq!(careful.state(), HealthState::Healthy);
+    let flood = aggregated(
         (0..1000)
             .map(|n| (5, n % 7, 100, 100))
             .chain([(6, 1, 100, 0)]),
     );
-    assert_eq!((flood.witnesses, flood.ill, flood.is_ill()), (2, 1, false));
+    assert_eq!(
+        (flood.reporters, flood.failing, flood.is_failing()),
+        (2, 1, false)
+    );
     // Many that are none: what finds no room is not kept.
-    let mut witnesses = HealthReports::new(64);
-    (0..1000).for_each(|key| witnesses.hear(0, who(key), 7, HealthReport::default()));
-    assert_eq!((witnesses.words.len(), witnesses.refused()), (64, 936));
+    let mut reports = HealthReports::new(64);
+    (0..1000).for_each(|key| reports.receive(0, process(key), 7, HealthReport::default()));
+    assert_eq!((reports.reports.len(), reports.refused()), (64, 936));
 }
 
 #[test]
 fn few_try_a_service_that_is_down_and_they_take_turns() {
     let members: Vec<u64> = (0..300).map(mix).collect();
-    let mut tried = BTreeSet::new();
+    let mut probes = BTreeSet::new();
     for round in 0..40 {
-        let now = round * 10 * PROBE;
+        let now = round * 10 * PROBE_INTERVAL;
         let probers: Vec<u64> = members
             .iter()
             .copied()
             .filter(|me| is_prober(now, *me, 7, members.iter().copied()))
             .collect();
-        assert_eq!(probers.len(), PROBES);
-        tried.extend(probers);
+        assert_eq!(probers.len(), PROBERS);
+        probes.extend(probers);
     }
-    assert!(tried.len() > 80, "{}", tried.len());
+    assert!(probes.len() > 80, "{}", probes.len());
 }
 
 #[test]
 fn a_deaf_node_goes_on_by_its_own_tries() {
     let mut deaf = ServiceHealth::new(0, 0);
-    (0..20).for_each(|_| deaf.ended(SECOND, false));
+    (0..20).for_each(|_| deaf.call_ended(SECOND, false));
     let now = 60 * SECOND;
     let tries = (0..200)
         .filter(|n| deaf.admits(now + n * SECOND / 10, false))
         .count();
     assert_eq!(tries, 4, "one in 5 s");
-    (0..3).for_each(|n| deaf.ended(now + (200 + n) * SECOND / 10, true));
-    assert_eq!(deaf.mode(), HealthState::Recovering);
+    (0..3).for_each(|n| deaf.call_ended(now + (200 + n) * SECOND / 10, true));
+    assert_eq!(deaf.state(), HealthState::Recovering);
     for n in 0..400 {
         let now = now + 21 * SECOND + n * SECOND / 10;
         if deaf.admits(now, false) {
-            deaf.ended(now, true);
+            deaf.call_ended(now, true);
         }
     }
-    assert_eq!(deaf.mode(), HealthState::Healthy);
+    assert_eq!(deaf.state(), HealthState::Healthy);
 }
 
 /// What was let in for its part of the load makes its call, unless the service closed meanwhile.
 #[test]
 fn what_was_thinned_before_is_not_thinned_again() {
     let mut rising = ServiceHealth::new(0, 0);
-    (0..20).for_each(|_| rising.ended(SECOND, false));
+    (0..20).for_each(|_| rising.call_ended(SECOND, false));
     assert!(!rising.admits(SECOND, true));
-    (0..3).for_each(|_| rising.ended(2 * SECOND, true));
+    (0..3).for_each(|_| rising.call_ended(2 * SECOND, true));
     assert_eq!(
         (0..16).filter(|_| rising.admits(2 * SECOND, true)).count(),
         16
@@ -175,14 +181,14 @@
 /// when it is back. Each node tells three others every half second, with losses; one hears nobody.
 /// Gives how often it was thrown down, and how many calls it had while it was dead. Without steps,
 /// who had one good try sends all at once.
-fn play(nodes: usize, seed: u64, steps: bool) -> (u32, u64, bool) {
+fn simulate(nodes: usize, seed: u64, steps: bool) -> (u32, u64, bool) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (deaf, tick) = (nodes - 1, 10 * MILLISECOND);
-    let mut judges: Vec<ServiceHealth> = (0..nodes)
+    let mut services: Vec<ServiceHealth> = (0..nodes)
         .map(|n| ServiceHealth::new(0, n as u32 % 3))
         .collect();
-    let mut heard: Vec<HealthReports> = (0..nodes).map(|_| HealthReports::new(64)).collect();
-    let (mut up, mut fell, mut tried_while_down) = (true, 0, 0);
+    let mut received: Vec<HealthReports> = (0..nodes).map(|_| HealthReports::new(64)).collect();
+    let (mut up, mut fell, mut probes_while_down) = (true, 0, 0);
     let (mut load, mut back_at) = (0.0f64, None);
     for step in 0..20_000u64 {
         let now = SECOND + step * tick;
@@ -198,27 +204,28 @@
             .min(1.0);
         let mut calls = 0;
         for n in 0..nodes {
-            if judges[n].admits(now, false) {
+            if services[n].admits(now, false) {
                 calls += 1;
-                tried_while_down += u64::from(!up);
-                judges[n].ended(now, up);
-                if !steps && up && judges[n].mode() == HealthState::Unavailable {
-                    judges[n].enter(now, HealthState::Healthy);
+                probes_while_down += u64::from(!up);
+                services[n].call_ended(now, up);
+                if !steps && up && services[n].state() == HealthState::Unavailable {
+                    services[n].enter(now, HealthState::Healthy);
                 }
             }
             if step % 50 == n as u64 % 50 {
-                let word = judges[n].evidence(now);
+                let report = services[n].report(now);
                 for _ in 0..3 {
                     let m = rng.random_range(0..nodes);
                     if m != n && m != deaf && n != deaf && !rng.random_bool(0.1) {
-                        heard[m].hear(now, who(n as u64 + 1), 7, word);
+                        received[m].receive(now, process(n as u64 + 1), 7, report);
                     }
                 }
-                let mut opinion = heard[n].opinion(now, 7);
+                let mut aggregated = received[n].aggregate(now, 7);
                 let members = if n == deaf { n..nodes } else { 0..deaf };
-                opinion.prober = is_prober(now, n as u64 + 1, 7, members.map(|m| m as u64 + 1));
-                opinion.alone = n == deaf;
-                judges[n].told(now, opinion);
+                aggregated.is_prober =
+                    is_prober(now, n as u64 + 1, 7, members.map(|m| m as u64 + 1));
+                aggregated.is_alone = n == deaf;
+                services[n].receive_reports(now, aggregated);
             }
         }
         load = load * 0.98 + f64::from(calls) * 0.02;
@@ -229,10 +236,10 @@
     }
     (
         fell,
-        tried_while_down,
-        judges
+        probes_while_down,
+        services
             .iter()
-            .all(|judge| judge.mode() == HealthState::Healthy),
+            .all(|service| service.state() == HealthState::Healthy),
     )
 }
 
@@ -242,53 +249,58 @@
 fn a_service_that_comes_back_is_not_thrown_down_again() {
     for (nodes, seeds) in [(12, 0..20), (120, 20..23)] {
         for seed in seeds {
-            let (fell, tried, open) = play(nodes, seed, true);
+            let (fell, probes, is_healthy) = simulate(nodes, seed, true);
             let most = nodes as u64 * 11 + 450;
             assert!(
-                fell == 0 && tried < most && open,
-                "{nodes}, seed {seed}: {fell} {tried} {open}"
+                fell == 0 && probes < most && is_healthy,
+                "{nodes}, seed {seed}: {fell} {probes} {is_healthy}"
             );
         }
     }
-    assert!(play(12, 0, false).0 > 0, "without steps it is thrown down");
+    assert!(
+        simulate(12, 0, false).0 > 0,
+        "without steps it is thrown down"
+    );
 }
 
 /// One that was idle, or not there, while the service was down: it comes back with the others, from
 /// the least of them.
 #[test]
 fn who_saw_nothing_of_a_start_comes_back_with_the_others() {
-    let word = |tries, level| HealthReport {
+    let report = |calls, admitted_share| HealthReport {
         zone: 0,
-        tries,
+        calls,
         failed: 0,
-        level,
+        admitted_share,
     };
-    let opinion = |levels: &[f64]| {
-        let mut witnesses = HealthReports::new(64);
-        let words = levels.iter().zip(2..);
-        words.for_each(|(level, key)| witnesses.hear(10 * SECOND, who(key), 7, word(3, *level)));
-        witnesses.opinion(10 * SECOND, 7)
+    let aggregated = |levels: &[f64]| {
+        let mut reports = HealthReports::new(64);
+        let reports_of = levels.iter().zip(2..);
+        reports_of.for_each(|(level, key)| {
+            reports.receive(10 * SECOND, process(key), 7, report(3, *level))
+        });
+        reports.aggregate(10 * SECOND, 7)
     };
     let mut idle = ServiceHealth::new(0, 0);
     assert_eq!(
-        (idle.share(SECOND), idle.share(AGED)),
-        (FIRST, 1.0),
+        (idle.budget_share(SECOND), idle.budget_share(REPORT_MAX_AGE)),
+        (RAMP_FIRST_SHARE, 1.0),
         "it knows of nobody at first"
     );
-    idle.told(10 * SECOND, opinion(&[1.0, 0.25, 1.0]));
+    idle.receive_reports(10 * SECOND, aggregated(&[1.0, 0.25, 1.0]));
     assert_eq!(
-        idle.mode(),
+        idle.state(),
         HealthState::Healthy,
         "one alone may have a trouble of its own"
     );
-    idle.told(10 * SECOND, opinion(&[0.5, 0.25, 1.0, 0.0]));
+    idle.receive_reports(10 * SECOND, aggregated(&[0.5, 0.25, 1.0, 0.0]));
     assert_eq!(
-        (idle.mode(), idle.share(10 * SECOND)),
+        (idle.state(), idle.budget_share(10 * SECOND)),
         (HealthState::Recovering, 0.25)
     );
     // What sees for itself that it is well goes by that.
     let mut sees = ServiceHealth::new(0, 0);
-    (0..20).for_each(|_| sees.ended(10 * SECOND, true));
-    sees.told(10 * SECOND, opinion(&[0.5, 0.25, 1.0, 0.0]));
-    assert_eq!(sees.mode(), HealthState::Healthy);
+    (0..20).for_each(|_| sees.call_ended(10 * SECOND, true));
+    sees.receive_reports(10 * SECOND, aggregated(&[0.5, 0.25, 1.0, 0.0]));
+    assert_eq!(sees.state(), HealthState::Healthy);
 }
--- a/crates/shared-state/src/shared_state.rs
+++ b/crates/shared-state/src/shared_state.rs
@@ -1,8 +1,12 @@
-//! A node's part in what is shared: a method for each thing that happens, acting through a small
-//! [`Host`]. Some nodes are arbiters, by name; one of these lends; all borrow.
+//! A node's part in the shared state: a method for each event, side effects through a [`Host`]. All
+//! nodes borrow; some nodes are voters, by name; one of the voters is the leader and grants leases.
+//!
+//! Events in the order in which they come: [`SharedState::wake`] at [`SharedState::next_wake`],
+//! [`SharedState::receive`] for each message, and [`SharedState::leave`] at the end. Who leads is in
+//! `leadership`, leases and quotas in `leases`, counters in `counter_exchange`.
 
 mod config;
-mod counters_exchange;
+mod counter_exchange;
 mod leadership;
 mod leases;
 
@@ -14,302 +18,318 @@
 use crate::keyed_quota::lender::QuotaLender;
 use crate::keyed_quota::{KeyedQuota, QuotaGrant};
 use crate::leader_lease::{Candidate, Voter};
-use crate::messages::{ClusterTotals, Message, ReceivedMessage};
+use crate::messages::{BudgetMessage, ClusterTotals, SharedMessage};
 use crate::{MILLISECOND, Nanos, ProcessId, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// What a part of the shared state does to the world. None of it may wait.
+/// The time between two comparisons of counters with another voter, in nanoseconds.
+const COMPARISON_INTERVAL: Nanos = 5 * SECOND;
+/// The time between two requests for the cluster's totals, in nanoseconds.
+const TOTALS_INTERVAL: Nanos = 10 * SECOND;
+/// A wake that is this late shows that the process was suspended: a voter may not know what happened
+/// meanwhile. In nanoseconds.
+const SUSPENDED_AFTER: Nanos = SECOND;
+/// After a redirect the next request is sent within this time, in nanoseconds.
+const REDIRECT_DELAY: Nanos = 10 * MILLISECOND;
+
+/// Side effects that the shared state may request. No call blocks.
 pub trait Host {
-    /// Send to a node, by the key of its name.
-    fn send(&mut self, to: u64, told: ReceivedMessage);
-    /// Write a line to the log.
+    /// Sends a message to a node, by the hash of its name.
+    fn send(&mut self, to: u64, message: SharedMessage);
+    /// Writes a line to the log.
     fn log(&mut self, line: &str);
-    /// What this node's ends of the budgets want, and what they hold; with the time of this node at
-    /// which that was so.
-    fn wants(&mut self, now: Nanos) -> (Nanos, Vec<BudgetRequest>);
-    /// Parts came that were asked for then.
-    fn lent(&mut self, now: Nanos, asked: Nanos, parts: &[(u32, Lease)]);
-    /// Units of keys came.
-    fn keys_lent(&mut self, now: Nanos, lent: QuotaGrant);
-    /// The node leaves: its ends hold nothing from here on. Whether nothing of it is in hand any
-    /// more.
-    fn let_go(&mut self, now: Nanos) -> bool;
+    /// The requests of this node for leases of its budgets, with the time by this node's clock at
+    /// which they were made.
+    fn lease_requests(&mut self, now: Nanos) -> (Nanos, Vec<BudgetRequest>);
+    /// Leases were granted, by budget id, that were requested at `requested_at`.
+    fn receive_leases(&mut self, now: Nanos, requested_at: Nanos, leases: &[(u32, Lease)]);
+    /// Units of keys were granted.
+    fn receive_quota_grant(&mut self, now: Nanos, grant: QuotaGrant);
+    /// The node leaves: no lease is used from now on. Returns whether nothing is in flight.
+    fn drop_leases(&mut self, now: Nanos) -> bool;
 }
 
-/// Between two pages of counts that an arbiter compares with another one's, and between two
-/// questions for the sums.
-const HAVE: Nanos = 5 * SECOND;
-const SUMS: Nanos = 10 * SECOND;
+/// A voter's state, and its own candidacy.
+struct Election {
+    voter: Voter,
+    candidate: Candidate,
+}
 
-/// A wake that is so late shows that the node stood still: an arbiter may not know what happened
-/// meanwhile.
-const STOOD_STILL: Nanos = SECOND;
+/// What the leader grants from.
+struct Lenders {
+    /// In the order of the budgets.
+    budgets: Vec<BudgetLender>,
+    /// None where there are no keyed quotas.
+    quotas: Option<QuotaLender>,
+}
 
-/// A node's part.
+/// A node's part in the shared state.
 pub struct SharedState<H: Host> {
+    /// Where side effects go.
     pub host: H,
     settings: Config,
     rng: Pcg64Mcg,
-    arbiter: Option<(Voter, Candidate)>,
-    /// Books by budget, while this node lends.
-    books: Option<Vec<BudgetLender>>,
-    key_books: Option<QuotaLender>,
-    /// ClusterCounters of all, at an arbiter; with the next page that is compared with another one's, and
-    /// when.
-    counts_of_all: Option<ClusterCounters>,
-    have_from: u64,
-    next_have: Nanos,
-    /// The counts of the whole fleet as an arbiter told them last, when that was, and when they are
-    /// asked for.
-    sums: Option<(ClusterTotals, Nanos)>,
-    next_sums: Nanos,
-    lender: Option<ProcessId>,
+    /// At a voter.
+    election: Option<Election>,
+    /// While this node is the leader.
+    lenders: Option<Lenders>,
+    /// The counters of all processes, at a voter that keeps them.
+    cluster_counters: Option<ClusterCounters>,
+    /// The first key of the next page of counters to compare.
+    next_comparison_key: u64,
+    next_comparison: Nanos,
+    /// The totals as a voter sent them last, and when they arrived.
+    totals: Option<(ClusterTotals, Nanos)>,
+    next_totals: Nanos,
+    /// The leader, as far as this node knows.
+    leader: Option<ProcessId>,
     next_round: Nanos,
-    next_ask: Nanos,
-    /// When the one who lends answered last.
-    answered: Nanos,
-    promised: Nanos,
-    left: bool,
-    /// Whether a round is under way by which it may come to lend.
-    tries: bool,
-    counts: BTreeMap<&'static str, u64>,
+    next_request: Nanos,
+    last_grant_at: Nanos,
+    /// When the next wake was due, as of the last event.
+    expected_wake: Nanos,
+    has_left: bool,
+    /// Whether a round is open by which this node may become the leader.
+    is_campaigning: bool,
+    event_counts: BTreeMap<&'static str, u64>,
 }
 
 impl<H: Host> SharedState<H> {
-    /// A node that has just started.
+    /// The part of a node that has just started.
     pub fn new(settings: Config, seed: u64, now: Nanos, host: H) -> SharedState<H> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let arbiters = settings.arbiters.len();
-        let is_arbiter = settings.arbiters.contains(&settings.me.key);
-        let next_ask = now + rng.random_range(0..settings.ask.max(1));
-        let next_round = now + rng.random_range(0..settings.term / 4);
+        let voters = settings.voters.len();
+        let is_voter = settings.voters.contains(&settings.me.key);
+        let keeps_counters = is_voter && settings.max_counted_processes > 0;
+        let next_request = now + rng.random_range(0..settings.request_interval.max(1));
+        let next_round = now + rng.random_range(0..settings.leader_lease / 4);
         SharedState {
             host,
-            arbiter: is_arbiter.then(|| {
-                (
-                    Voter::new(now, settings.term),
-                    Candidate::new(arbiters, settings.term),
-                )
+            election: is_voter.then(|| Election {
+                voter: Voter::new(now, settings.leader_lease),
+                candidate: Candidate::new(voters, settings.leader_lease),
             }),
-            books: None,
-            key_books: None,
-            counts_of_all: (is_arbiter && settings.counted > 0)
-                .then(|| ClusterCounters::new(settings.counted)),
-            have_from: 0,
-            next_have: now + rng.random_range(0..HAVE),
-            sums: None,
-            next_sums: now + rng.random_range(0..SUMS),
-            lender: None,
+            lenders: None,
+            cluster_counters: keeps_counters
+                .then(|| ClusterCounters::new(settings.max_counted_processes)),
+            next_comparison_key: 0,
+            next_comparison: now + rng.random_range(0..COMPARISON_INTERVAL),
+            totals: None,
+            next_totals: now + rng.random_range(0..TOTALS_INTERVAL),
+            leader: None,
             next_round,
-            next_ask,
-            answered: now,
-            promised: Nanos::MAX,
-            left: false,
-            tries: false,
-            counts: BTreeMap::new(),
+            next_request,
+            last_grant_at: now,
+            expected_wake: Nanos::MAX,
+            has_left: false,
+            is_campaigning: false,
+            event_counts: BTreeMap::new(),
             rng,
             settings,
         }
     }
 
-    fn count(&mut self, what: &'static str) {
-        *self.counts.entry(what).or_default() += 1;
+    fn count(&mut self, event: &'static str) {
+        *self.event_counts.entry(event).or_default() += 1;
     }
 
-    /// How often what happened.
-    pub fn counts(&self) -> &BTreeMap<&'static str, u64> {
-        &self.counts
+    /// How often each kind of event occurred.
+    pub fn event_counts(&self) -> &BTreeMap<&'static str, u64> {
+        &self.event_counts
     }
 
-    /// Whether this node lends now.
-    pub fn lends(&self, now: Nanos) -> bool {
-        self.books.is_some()
-            && self
-                .arbiter
-                .as_ref()
-                .is_some_and(|(_, candidate)| now < candidate.until())
+    /// Whether this node is the leader now.
+    pub fn is_leader(&self, now: Nanos) -> bool {
+        self.lenders.is_some() && now < self.leader_until()
     }
 
-    /// ProcessId lends, as far as is known here.
-    pub fn lender(&self) -> Option<ProcessId> {
-        self.lender
+    fn leader_until(&self) -> Nanos {
+        self.election
+            .as_ref()
+            .map_or(0, |election| election.candidate.leader_until())
     }
 
-    /// Other limits hold from now on, in the same order.
-    pub fn rebudget(&mut self, budgets: Vec<Budget>, keys: Vec<KeyedQuota>) {
-        for (books, budget) in self.books.iter_mut().flatten().zip(&budgets) {
-            books.resize(budget.pool());
-        }
-        self.key_books
-            .iter_mut()
-            .for_each(|books| books.rebudget(&keys));
-        (self.settings.budgets, self.settings.keys) = (budgets, keys);
+    /// The leader, as far as this node knows.
+    pub fn leader(&self) -> Option<ProcessId> {
+        self.leader
     }
 
-    fn close_books(&mut self) -> bool {
-        self.key_books = None;
-        self.books.take().is_some()
+    /// Changes the limits. Budgets must be the same ones in the same order.
+    pub fn update_limits(&mut self, budgets: Vec<Budget>, quotas: Vec<KeyedQuota>) {
+        if let Some(lenders) = &mut self.lenders {
+            for (lender, budget) in lenders.budgets.iter_mut().zip(&budgets) {
+                lender.resize(budget.pool());
+            }
+            if let Some(lender) = &mut lenders.quotas {
+                lender.update_quotas(&quotas);
+            }
+        }
+        (self.settings.budgets, self.settings.quotas) = (budgets, quotas);
     }
 
-    /// When it wants to be woken.
-    pub fn next(&self) -> Nanos {
-        let mut next = self.next_ask;
-        if self.arbiter.is_some() {
+    /// When [`SharedState::wake`] is to be called.
+    pub fn next_wake(&self) -> Nanos {
+        let mut next = self.next_request;
+        if self.election.is_some() {
             next = next.min(self.next_round);
         }
-        if self.counts_of_all.is_some() {
-            next = next.min(self.next_have);
+        if self.cluster_counters.is_some() {
+            next = next.min(self.next_comparison);
         }
-        if self.settings.counted > 0 {
-            next.min(self.next_sums)
+        if self.settings.max_counted_processes > 0 {
+            next.min(self.next_totals)
         } else {
             next
         }
     }
 
-    /// An arbiter that stood still begins anew: its name may have been taken, and its word given,
-    /// meanwhile.
-    fn noticed(&mut self, now: Nanos) {
-        let late = now.saturating_sub(self.promised);
-        self.promised = self.next().max(now);
-        if late >= STOOD_STILL {
-            self.count("times it stood still");
-            if let Some((arbiter, candidate)) = &mut self.arbiter {
-                *arbiter = Voter::new(now, self.settings.term);
-                candidate.resign();
-            }
-            self.close_books();
-        }
-    }
-
     /// Does what is due.
     pub fn wake(&mut self, now: Nanos) {
-        self.noticed(now);
-        if self.arbiter.is_some() && now >= self.next_round {
-            self.round(now);
+        self.detect_suspension(now);
+        if self.election.is_some() && now >= self.next_round {
+            self.run_round(now);
+        }
+        if now >= self.next_request {
+            self.next_request = now + self.settings.request_interval;
+            self.request_leases(now);
         }
-        if now >= self.next_ask {
-            self.next_ask = now + self.settings.ask;
-            self.ask(now);
+        if self.settings.max_counted_processes > 0 && now >= self.next_totals {
+            self.next_totals = now + TOTALS_INTERVAL;
+            self.request_totals(now);
         }
-        if self.settings.counted > 0 && now >= self.next_sums {
-            self.next_sums = now + SUMS;
-            self.ask_sums(now);
+        if self.cluster_counters.is_some() && now >= self.next_comparison {
+            self.next_comparison = now + COMPARISON_INTERVAL;
+            self.compare_counters();
         }
-        if self.counts_of_all.is_some() && now >= self.next_have {
-            self.next_have = now + HAVE;
-            self.compare_counts();
+        self.expected_wake = self.next_wake().max(now);
+    }
+
+    /// A voter whose process was suspended begins anew: meanwhile another process may have voted
+    /// under its name, and its own votes may have expired.
+    fn detect_suspension(&mut self, now: Nanos) {
+        let late = now.saturating_sub(self.expected_wake);
+        self.expected_wake = self.next_wake().max(now);
+        if late >= SUSPENDED_AFTER {
+            self.count("times it stood still");
+            if let Some(election) = &mut self.election {
+                election.voter = Voter::new(now, self.settings.leader_lease);
+                election.candidate.resign();
+            }
+            self.lenders = None;
         }
-        self.promised = self.next().max(now);
     }
 
-    /// Something was told.
-    pub fn told(&mut self, now: Nanos, from: ProcessId, told: ReceivedMessage) {
-        let by_arbiter = self.settings.arbiters.contains(&from.key);
-        match told {
-            ReceivedMessage::Budgets(message) => return self.message(now, from, message),
-            // Each counts for itself; arbiters tell each other what they heard.
-            ReceivedMessage::ClusterCounters(word) if word.who == from || by_arbiter => {
-                self.counts_of_all
-                    .iter_mut()
-                    .for_each(|counts| counts.hear(now, &word));
+    /// A message arrived.
+    pub fn receive(&mut self, now: Nanos, from: ProcessId, message: SharedMessage) {
+        let is_from_voter = self.settings.voters.contains(&from.key);
+        match message {
+            SharedMessage::Budgets(message) => {
+                return self.receive_budget_message(now, from, message);
+            }
+            // Each process reports for itself; voters pass on what they received.
+            SharedMessage::CounterReport(report) if report.process == from || is_from_voter => {
+                self.merge_counters(now, &report);
             }
-            ReceivedMessage::ClusterCounters(_) => {
+            SharedMessage::CounterReport(_) => {
                 self.count("counts of others by one who is no arbiter")
             }
-            ReceivedMessage::KnownCounters(have) if by_arbiter => self.compared(from, &have),
-            ReceivedMessage::AskSums => {
-                if let Some(sums) = self.sums_now(now) {
-                    self.host
-                        .send(from.key, ReceivedMessage::ClusterTotals(Box::new(sums)));
+            SharedMessage::KnownCounters(known) if is_from_voter => {
+                self.send_missing_counters(from, &known)
+            }
+            SharedMessage::TotalsRequest => {
+                if let Some(totals) = self.compute_totals(now) {
+                    let message = SharedMessage::ClusterTotals(Box::new(totals));
+                    self.host.send(from.key, message);
                 }
             }
-            ReceivedMessage::ClusterTotals(sums) if by_arbiter => self.sums = Some((*sums, now)),
-            ReceivedMessage::KnownCounters(_)
-            | ReceivedMessage::ClusterTotals(_)
-            | ReceivedMessage::HealthReport(_) => {}
+            SharedMessage::ClusterTotals(totals) if is_from_voter => {
+                self.totals = Some((*totals, now))
+            }
+            SharedMessage::KnownCounters(_)
+            | SharedMessage::ClusterTotals(_)
+            | SharedMessage::HealthReports(_) => {}
         }
-        self.noticed(now);
-        self.promised = self.next().max(now);
+        self.detect_suspension(now);
+        self.expected_wake = self.next_wake().max(now);
     }
 
-    /// A message came.
-    pub fn message(&mut self, now: Nanos, from: ProcessId, message: Message) {
-        self.noticed(now);
+    /// A message about votes, leases or quotas arrived.
+    pub fn receive_budget_message(&mut self, now: Nanos, from: ProcessId, message: BudgetMessage) {
+        self.detect_suspension(now);
         match message {
-            Message::BudgetRequest { no } => self.want(now, from, no),
-            Message::CounterReport {
-                no, given, holder, ..
+            BudgetMessage::VoteRequest { round } => self.answer_vote_request(now, from, round),
+            BudgetMessage::Vote {
+                round,
+                is_granted,
+                holder,
+                ..
             } => {
-                if let Some(holder) = holder.filter(|_| !given) {
-                    self.lender = Some(holder);
+                if let Some(holder) = holder.filter(|_| !is_granted) {
+                    self.leader = Some(holder);
                 }
-                self.word(now, from, no, given);
+                self.receive_vote(now, from, round, is_granted);
             }
-            Message::GiveBack { no } => {
-                if let Some((arbiter, _)) = &mut self.arbiter {
-                    arbiter.give_back(from, no);
+            BudgetMessage::VoteRelease { round } => {
+                if let Some(election) = &mut self.election {
+                    election.voter.release(from, round);
                 }
             }
-            Message::Ask { stamp, zone, wants } => self.asked(now, from, stamp, zone, &wants),
-            Message::Lend { stamp, parts } => {
-                self.lender = Some(from);
-                self.lent(now, stamp, &parts);
+            BudgetMessage::LeaseRequest {
+                sent_at,
+                zone,
+                requests,
+            } => self.answer_lease_request(now, from, sent_at, zone, &requests),
+            BudgetMessage::LeaseGrant {
+                request_sent_at,
+                leases,
+            } => {
+                self.leader = Some(from);
+                self.receive_leases(now, request_sent_at, &leases);
             }
-            Message::Elsewhere { lender } => {
-                self.lender = lender;
-                if lender.is_some() {
-                    self.next_ask = self.next_ask.min(now + 10 * MILLISECOND);
+            BudgetMessage::Redirect { leader } => {
+                self.leader = leader;
+                if leader.is_some() {
+                    self.next_request = self.next_request.min(now + REDIRECT_DELAY);
                 }
             }
-            Message::Leave => {
-                self.books
-                    .iter_mut()
-                    .flatten()
-                    .for_each(|books| books.give_back(from));
-                self.key_books
-                    .iter_mut()
-                    .for_each(|books| books.give_back(now, from));
-            }
-            Message::AskKeys(asked) => self.keys_asked(now, from, &asked),
-            Message::LendKeys(lent) => {
-                self.lender = Some(from);
-                self.keys_lent(now, lent);
+            BudgetMessage::Leave => self.release_borrower(now, from),
+            BudgetMessage::QuotaRequest(request) => self.answer_quota_request(now, from, &request),
+            BudgetMessage::QuotaGrant(grant) => {
+                self.leader = Some(from);
+                self.receive_quota_grant(now, grant);
             }
         }
-        self.promised = self.next().max(now);
+        self.expected_wake = self.next_wake().max(now);
     }
 
-    /// The node leaves: what it was lent is back at once, and its word too.
+    /// The node leaves: its leases and its votes are released at once.
     pub fn leave(&mut self, now: Nanos) {
-        self.left = true;
-        let let_go = self.host.let_go(now);
-        if let (Some(lender), true) = (self.lender, let_go) {
-            self.host
-                .send(lender.key, ReceivedMessage::Budgets(Message::Leave));
+        self.has_left = true;
+        let is_idle = self.host.drop_leases(now);
+        if let (Some(leader), true) = (self.leader, is_idle) {
+            let message = SharedMessage::Budgets(BudgetMessage::Leave);
+            self.host.send(leader.key, message);
         }
-        if self.close_books() {
-            let no = self
-                .arbiter
+        if self.lenders.take().is_some() {
+            let round = self
+                .election
                 .as_ref()
-                .map_or(0, |(_, candidate)| candidate.no);
-            self.tell_arbiters(Message::GiveBack { no });
+                .map_or(0, |election| election.candidate.round);
+            self.send_to_voters(BudgetMessage::VoteRelease { round });
         }
-        self.arbiter = None;
+        self.election = None;
     }
 
-    /// The books of all budgets, while this node lends, in their order.
-    pub fn books(&self) -> impl Iterator<Item = (&Budget, &BudgetLender)> {
-        self.settings
-            .budgets
-            .iter()
-            .zip(self.books.iter().flatten())
+    /// The lenders of all budgets in their order, while this node is the leader.
+    pub fn budget_lenders(&self) -> impl Iterator<Item = (&Budget, &BudgetLender)> {
+        let lenders = self.lenders.iter().flat_map(|lenders| &lenders.budgets);
+        self.settings.budgets.iter().zip(lenders)
     }
 
-    /// The books by key, while this node lends.
-    pub fn key_books(&self) -> Option<&QuotaLender> {
-        self.key_books.as_ref()
+    /// The lender of keyed quotas, while this node is the leader.
+    pub fn quota_lender(&self) -> Option<&QuotaLender> {
+        self.lenders.as_ref()?.quotas.as_ref()
     }
 }
--- a/crates/shared-state/src/shared_state/config.rs
+++ b/crates/shared-state/src/shared_state/config.rs
@@ -1,68 +1,82 @@
-//! Settings of a node's part.
+//! Settings of a node's part in the shared state.
 
 use crate::budget::Budget;
 use crate::keyed_quota::{KeyedQuota, QuotaTiming};
 use crate::{MILLISECOND, Nanos, ProcessId, SECOND};
 
-/// Questions that one who lends can answer in a second.
-const QUESTIONS: u64 = 2000;
+/// Requests that the leader can answer in a second.
+const LEADER_REQUESTS_PER_SECOND: u64 = 2000;
+/// The least time between two requests of a borrower, in nanoseconds.
+const MIN_REQUEST_INTERVAL: Nanos = 300 * MILLISECOND;
+/// A lease lasts for this many request intervals.
+const REQUESTS_PER_LEASE: u64 = 5;
+/// A leader lease lasts for this many leases.
+const LEASES_PER_LEADER_LEASE: u64 = 2;
+/// The default memory of the keyed quotas' lender, in bytes.
+const DEFAULT_QUOTA_LENDER_BYTES: usize = 1 << 20;
+/// The default bound on borrowers.
+const DEFAULT_MAX_BORROWERS: usize = 4096;
 
-/// What a node is told.
+/// Settings of a node's part in the shared state.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// This process.
     pub me: ProcessId,
+    /// Its zone.
     pub zone: u32,
-    /// Keys of those who arbitrate, the same on all nodes; an odd number, three or five.
-    pub arbiters: Vec<u64>,
+    /// The hashes of the voters' names, the same on all nodes; an odd number, three or five.
+    pub voters: Vec<u64>,
+    /// Budgets on backend calls.
     pub budgets: Vec<Budget>,
-    /// Limits by key, how often keys are asked for, and the bytes that books of them may take.
-    pub keys: Vec<KeyedQuota>,
-    pub rhythm: QuotaTiming,
-    pub key_bytes: usize,
-    /// Processes whose counts an arbiter keeps apart; none where nothing is counted.
-    pub counted: usize,
-    /// How long an arbiter's word holds, and how long a part does.
-    pub term: Nanos,
-    pub part: Nanos,
-    /// Between two questions of a borrower.
-    pub ask: Nanos,
-    /// BorrowerTable that one who lends keeps accounts for.
-    pub most: usize,
+    /// Limits by key.
+    pub quotas: Vec<KeyedQuota>,
+    /// How often keys are requested.
+    pub quota_timing: QuotaTiming,
+    /// The most memory of the keyed quotas' lender, in bytes.
+    pub quota_lender_bytes: usize,
+    /// The most processes whose counters a voter keeps apart; 0 where nothing is counted.
+    pub max_counted_processes: usize,
+    /// How long a vote, and with it leadership, lasts, in nanoseconds.
+    pub leader_lease: Nanos,
+    /// How long a lease of units lasts, in nanoseconds.
+    pub lease_duration: Nanos,
+    /// The time between two requests of a borrower, in nanoseconds.
+    pub request_interval: Nanos,
+    /// The most borrowers of a budget that the leader keeps accounts for.
+    pub max_borrowers: usize,
 }
 
 impl Config {
-    /// Usual times, which follow from the most nodes that there may be, so that the one who lends
-    /// is not asked more often than it can answer: recovery after its death takes about two terms.
-    pub fn usual(
+    /// The default times, which follow from the most nodes that there may be, so that the leader can
+    /// answer all requests. Recovery from the leader's death takes about two leader leases.
+    pub fn with_defaults(
         me: ProcessId,
-        arbiters: Vec<u64>,
+        voters: Vec<u64>,
         budgets: Vec<Budget>,
-        keys: Vec<KeyedQuota>,
+        quotas: Vec<KeyedQuota>,
     ) -> Config {
-        let most = budgets
+        let max_nodes = budgets
             .iter()
-            .map(|b| b.nodes_most)
-            .chain(keys.iter().map(|k| k.nodes_most))
-            .max();
-        let most = most.unwrap_or(1);
-        let ask = (300 * MILLISECOND).max(SECOND * u64::from(most) / QUESTIONS);
-        let part = 5 * ask;
-        let (term, rhythm) = (2 * part, QuotaTiming::of(most));
-        let key_bytes = 1 << 20;
-        let (counted, most) = (0, 4096);
+            .map(|budget| budget.max_nodes)
+            .chain(quotas.iter().map(|quota| quota.max_nodes))
+            .max()
+            .unwrap_or(1);
+        let request_interval =
+            MIN_REQUEST_INTERVAL.max(SECOND * u64::from(max_nodes) / LEADER_REQUESTS_PER_SECOND);
+        let lease_duration = REQUESTS_PER_LEASE * request_interval;
         Config {
             me,
             zone: 0,
-            arbiters,
+            voters,
             budgets,
-            keys,
-            rhythm,
-            key_bytes,
-            counted,
-            term,
-            part,
-            ask,
-            most,
+            quotas,
+            quota_timing: QuotaTiming::for_nodes(max_nodes),
+            quota_lender_bytes: DEFAULT_QUOTA_LENDER_BYTES,
+            max_counted_processes: 0,
+            leader_lease: LEASES_PER_LEADER_LEASE * lease_duration,
+            lease_duration,
+            request_interval,
+            max_borrowers: DEFAULT_MAX_BORROWERS,
         }
     }
 }
--- a/crates/shared-state/src/shared_state/leadership.rs
+++ b/crates/shared-state/src/shared_state/leadership.rs
@@ -1,118 +1,156 @@
-//! Leadership.
+//! Which node leads: rounds of votes at a voter. Why there are never two leaders is in
+//! [`leader_lease`](crate::leader_lease).
 
-use super::{Config, Host, SharedState};
+use super::{Host, Lenders, SharedState};
 use crate::budget::lender::BudgetLender;
 use crate::keyed_quota::lender::QuotaLender;
-use crate::messages::{Message, ReceivedMessage};
+use crate::messages::{BudgetMessage, SharedMessage};
 use crate::{Nanos, ProcessId};
 use rand::RngExt;
 
 impl<H: Host> SharedState<H> {
-    /// ProcessId lends renews the words that it has; who does not tries to get them where nobody is known
-    /// to lend.
-    pub(super) fn round(&mut self, now: Nanos) {
-        let term = self.settings.term;
-        let lends = self.lends(now);
-        if !lends && self.close_books() {
-            self.arbiter
-                .iter_mut()
-                .for_each(|(_, candidate)| candidate.resign());
-            self.host
-                .log("lends no more: no majority of the arbiters answers");
-            self.lender = None;
+    /// The leader renews its votes. Another voter requests votes where it knows of no leader.
+    pub(super) fn run_round(&mut self, now: Nanos) {
+        let leader_lease = self.settings.leader_lease;
+        let is_leader = self.is_leader(now);
+        if !is_leader && self.lenders.take().is_some() {
+            self.end_leadership();
         }
-        let Some((arbiter, candidate)) = &mut self.arbiter else {
+        let Some(election) = &mut self.election else {
             return;
         };
-        let known = arbiter
+        let holder = election
+            .voter
             .holder(now)
             .filter(|holder| *holder != self.settings.me);
-        if !lends && known.is_some() {
-            self.lender = known;
-            self.next_round = now + term / 4;
+        if !is_leader && holder.is_some() {
+            self.leader = holder;
+            self.next_round = now + leader_lease / 4;
             return;
         }
-        if !lends && self.tries {
-            // No majority in its time: all that was given goes back, so that three who each have
-            // their own word don't wait for each other for ever.
-            self.tries = false;
-            let no = candidate.no;
-            arbiter.give_back(self.settings.me, no);
-            candidate.resign();
-            self.next_round = now + self.rng.random_range(0..term / 3);
-            return self.tell_arbiters(Message::GiveBack { no });
+        if !is_leader && self.is_campaigning {
+            return self.abandon_round(now);
         }
-        self.tries = !lends;
-        let no = candidate.begin(now);
-        self.next_round = now + if lends { term / 4 } else { term / 10 };
-        for key in self.settings.arbiters.clone() {
+        self.is_campaigning = !is_leader;
+        let round = election.candidate.begin_round(now);
+        self.next_round = now
+            + if is_leader {
+                leader_lease / 4
+            } else {
+                leader_lease / 10
+            };
+        for key in self.settings.voters.clone() {
             if key == self.settings.me.key {
-                self.want(now, self.settings.me, no);
+                self.answer_vote_request(now, self.settings.me, round);
             } else {
-                self.host
-                    .send(key, ReceivedMessage::Budgets(Message::BudgetRequest { no }));
+                let message = SharedMessage::Budgets(BudgetMessage::VoteRequest { round });
+                self.host.send(key, message);
             }
         }
     }
 
-    pub(super) fn tell_arbiters(&mut self, message: Message) {
+    /// The leader lease has ended without renewal.
+    fn end_leadership(&mut self) {
+        if let Some(election) = &mut self.election {
+            election.candidate.resign();
+        }
+        self.host
+            .log("lends no more: no majority of the arbiters answers");
+        self.leader = None;
+    }
+
+    /// A round got no majority in its time: all its votes are released, so that three voters that
+    /// each have their own vote don't wait for each other for ever.
+    fn abandon_round(&mut self, now: Nanos) {
+        self.is_campaigning = false;
+        let Some(election) = &mut self.election else {
+            return;
+        };
+        let round = election.candidate.round;
+        election.voter.release(self.settings.me, round);
+        election.candidate.resign();
+        self.next_round = now + self.rng.random_range(0..self.settings.leader_lease / 3);
+        self.send_to_voters(BudgetMessage::VoteRelease { round });
+    }
+
+    pub(super) fn send_to_voters(&mut self, message: BudgetMessage) {
         let me = self.settings.me.key;
-        for key in self.settings.arbiters.iter().filter(|key| **key != me) {
+        for key in self.settings.voters.iter().filter(|key| **key != me) {
             self.host
-                .send(*key, ReceivedMessage::Budgets(message.clone()));
+                .send(*key, SharedMessage::Budgets(message.clone()));
         }
     }
 
-    /// Somebody, perhaps this node, wants this arbiter's word.
-    pub(super) fn want(&mut self, now: Nanos, from: ProcessId, no: u64) {
+    /// A candidate, perhaps this node, requests this voter's vote.
+    pub(super) fn answer_vote_request(&mut self, now: Nanos, from: ProcessId, round: u64) {
         let me = self.settings.me;
-        let Some((arbiter, _)) = &mut self.arbiter else {
+        let Some(election) = &mut self.election else {
             return;
         };
-        let asked = arbiter.ask(now, from, no);
-        let (given, left) = (asked.is_ok(), asked.err().flatten().unwrap_or(0));
-        let holder = arbiter.holder(now);
+        let answer = election.voter.request(now, from, round);
+        let is_granted = answer.is_ok();
+        let bound_for = answer
+            .err()
+            .and_then(|refused| refused.bound_for)
+            .unwrap_or(0);
+        let holder = election.voter.holder(now);
         if from == me {
-            return self.word(now, me, no, given);
+            return self.receive_vote(now, me, round, is_granted);
         }
-        self.host.send(
-            from.key,
-            ReceivedMessage::Budgets(Message::CounterReport {
-                no,
-                given,
-                holder,
-                left,
-            }),
-        );
+        let message = SharedMessage::Budgets(BudgetMessage::Vote {
+            round,
+            is_granted,
+            holder,
+            bound_for,
+        });
+        self.host.send(from.key, message);
     }
 
-    pub(super) fn word(&mut self, now: Nanos, from: ProcessId, no: u64, given: bool) {
-        let place = self
-            .settings
-            .arbiters
-            .iter()
-            .position(|key| *key == from.key);
-        let (Some(place), true, Some((_, candidate))) = (place, given, &mut self.arbiter) else {
+    /// A voter answered. With a majority this node becomes the leader.
+    pub(super) fn receive_vote(
+        &mut self,
+        now: Nanos,
+        from: ProcessId,
+        round: u64,
+        is_granted: bool,
+    ) {
+        let index = self.settings.voters.iter().position(|key| *key == from.key);
+        let (Some(index), true, Some(election)) = (index, is_granted, &mut self.election) else {
             return;
         };
-        if !candidate.given(no, place) || self.books.is_some() {
-            return;
+        if election.candidate.receive_vote(round, index) && self.lenders.is_none() {
+            self.begin_leadership(now);
         }
-        let Config { part, most, .. } = self.settings;
-        let id = self.rng.random();
-        let books = self
-            .settings
+    }
+
+    fn begin_leadership(&mut self, now: Nanos) {
+        let lender = self.rng.random();
+        let settings = &self.settings;
+        let budgets = settings
             .budgets
             .iter()
-            .map(|b| BudgetLender::new(now, id, b.pool(), part, b.lag(), most));
-        self.books = Some(books.collect());
-        let Config {
-            rhythm, key_bytes, ..
-        } = self.settings;
-        let keys = &self.settings.keys;
-        self.key_books = (!keys.is_empty())
-            .then(|| QuotaLender::new(now, keys, rhythm, key_bytes, self.rng.random()));
-        self.lender = Some(self.settings.me);
+            .map(|budget| {
+                BudgetLender::new(
+                    now,
+                    lender,
+                    budget.pool(),
+                    settings.lease_duration,
+                    budget.use_after_expiry(),
+                    settings.max_borrowers,
+                )
+            })
+            .collect();
+        let quotas = (!settings.quotas.is_empty()).then(|| {
+            QuotaLender::new(
+                now,
+                &settings.quotas,
+                settings.quota_timing,
+                settings.quota_lender_bytes,
+                self.rng.random(),
+            )
+        });
+        self.lenders = Some(Lenders { budgets, quotas });
+        self.leader = Some(self.settings.me);
         self.count("times it began to lend");
         self.host
             .log("lends: a majority of the arbiters gave their word; parts from before end first");
--- a/crates/shared-state/src/shared_state/leases.rs
+++ b/crates/shared-state/src/shared_state/leases.rs
@@ -1,133 +1,179 @@
-//! Leases.
+//! Requests for leases and quotas, and the leader's answers. A leader that borrows from itself takes
+//! the same way without a message.
 
 use super::{Host, SharedState};
 use crate::budget::fair_share::Demand;
 use crate::budget::{Budget, BudgetRequest, Lease};
 use crate::keyed_quota::{QuotaGrant, QuotaRequest};
-use crate::messages::{Message, ReceivedMessage};
+use crate::messages::{BudgetMessage, SharedMessage};
 use crate::{Nanos, ProcessId};
 use rand::RngExt;
 
+/// The leader counts as lost after this many leader leases without a grant.
+const SILENT_LEADER_LEASES: u64 = 2;
+
 impl<H: Host> SharedState<H> {
-    /// Asks the one who lends, or an arbiter who that is.
-    pub(super) fn ask(&mut self, now: Nanos) {
-        if self.left {
+    /// Requests leases from the leader; where none is known, from a random voter, which redirects.
+    pub(super) fn request_leases(&mut self, now: Nanos) {
+        if self.has_left {
             return;
         }
-        if now > self.answered + 2 * self.settings.term && self.lender.take().is_some() {
+        let silent = SILENT_LEADER_LEASES * self.settings.leader_lease;
+        if now > self.last_grant_at + silent && self.leader.take().is_some() {
             self.count("times nobody who lends answered");
         }
-        let (stamp, wants) = self.host.wants(now);
-        if wants.is_empty() && self.settings.keys.is_empty() {
+        let (sent_at, requests) = self.host.lease_requests(now);
+        if requests.is_empty() && self.settings.quotas.is_empty() {
             return;
         }
-        let to = match self.lender {
-            Some(lender) => lender.key,
-            None if self.settings.arbiters.is_empty() => return,
-            None => self.settings.arbiters[self.rng.random_range(0..self.settings.arbiters.len())],
+        let voters = &self.settings.voters;
+        let to = match self.leader {
+            Some(leader) => leader.key,
+            None if voters.is_empty() => return,
+            None => voters[self.rng.random_range(0..voters.len())],
         };
         let zone = self.settings.zone;
         if to == self.settings.me.key {
-            return self.asked(now, self.settings.me, stamp, zone, &wants);
+            return self.answer_lease_request(now, self.settings.me, sent_at, zone, &requests);
         }
-        self.host.send(
-            to,
-            ReceivedMessage::Budgets(Message::Ask { stamp, zone, wants }),
-        );
+        let message = SharedMessage::Budgets(BudgetMessage::LeaseRequest {
+            sent_at,
+            zone,
+            requests,
+        });
+        self.host.send(to, message);
     }
 
-    pub(super) fn asked(
+    /// A borrower, perhaps this node, requests leases.
+    pub(super) fn answer_lease_request(
         &mut self,
         now: Nanos,
         from: ProcessId,
-        stamp: Nanos,
+        sent_at: Nanos,
         zone: u32,
-        wants: &[BudgetRequest],
+        requests: &[BudgetRequest],
     ) {
         let me = self.settings.me;
-        if !self.lends(now) {
-            let lender = self.lender.filter(|lender| *lender != me);
+        if !self.is_leader(now) {
+            let leader = self.leader.filter(|leader| *leader != me);
             if from != me {
-                self.host.send(
-                    from.key,
-                    ReceivedMessage::Budgets(Message::Elsewhere { lender }),
-                );
+                let message = SharedMessage::Budgets(BudgetMessage::Redirect { leader });
+                self.host.send(from.key, message);
             }
             return;
         }
-        let until = self
-            .arbiter
-            .as_ref()
-            .map_or(0, |(_, candidate)| candidate.until());
-        let books = self.books.iter_mut().flatten();
+        let leases = self.grant_leases(now, from, zone, requests);
+        if from == me {
+            return self.receive_leases(now, sent_at, &leases);
+        }
+        let message = SharedMessage::Budgets(BudgetMessage::LeaseGrant {
+            request_sent_at: sent_at,
+            leases,
+        });
+        self.host.send(from.key, message);
+    }
+
+    fn grant_leases(
+        &mut self,
+        now: Nanos,
+        borrower: ProcessId,
+        zone: u32,
+        requests: &[BudgetRequest],
+    ) -> Vec<(u32, Lease)> {
+        let leader_until = self.leader_until();
+        let lenders = self
+            .lenders
+            .iter_mut()
+            .flat_map(|lenders| &mut lenders.budgets);
         let ids = self.settings.budgets.iter().map(Budget::id);
-        let parts: Vec<(u32, Lease)> = ids
-            .zip(books)
-            .filter_map(|(budget, books)| {
-                let want = wants.iter().find(|want| want.budget == budget)?;
+        ids.zip(lenders)
+            .filter_map(|(budget, lender)| {
+                let request = requests.iter().find(|request| request.budget == budget)?;
                 let demand = Demand {
                     zone,
-                    wants: want.units,
-                    value: want.value,
+                    units: request.units,
+                    value: request.value,
                 };
-                Some((budget, books.ask(now, from, want.holds, demand, until)?))
+                let lease = lender.request(now, borrower, request.held, demand, leader_until)?;
+                Some((budget, lease))
             })
-            .collect();
-        if from == me {
-            return self.lent(now, stamp, &parts);
-        }
-        self.host.send(
-            from.key,
-            ReceivedMessage::Budgets(Message::Lend { stamp, parts }),
-        );
+            .collect()
     }
 
-    pub(super) fn lent(&mut self, now: Nanos, stamp: Nanos, parts: &[(u32, Lease)]) {
-        if self.left {
-            return; // what it gave back is not its own any more, whatever is under way
+    pub(super) fn receive_leases(
+        &mut self,
+        now: Nanos,
+        requested_at: Nanos,
+        leases: &[(u32, Lease)],
+    ) {
+        if self.has_left {
+            return; // its leases were released, whatever is under way
         }
-        if stamp > now {
+        if requested_at > now {
             return self.count("parts that were not asked for");
         }
-        self.answered = now;
-        self.host.lent(now, stamp, parts);
+        self.last_grant_at = now;
+        self.host.receive_leases(now, requested_at, leases);
     }
 
-    /// The node's own ends have a question about keys. Where nobody is known to lend it is lost,
-    /// and asked again later.
-    pub fn ask_keys(&mut self, now: Nanos, asked: QuotaRequest) {
-        self.noticed(now);
-        match self.lender {
-            _ if self.left => {}
-            Some(lender) if lender == self.settings.me => self.keys_asked(now, lender, &asked),
-            Some(lender) => self.host.send(
-                lender.key,
-                ReceivedMessage::Budgets(Message::AskKeys(asked)),
-            ),
+    /// This node requests units of keys. Where no leader is known the request is lost, and repeated
+    /// later by the borrower.
+    pub fn request_quota(&mut self, now: Nanos, request: QuotaRequest) {
+        self.detect_suspension(now);
+        match self.leader {
+            _ if self.has_left => {}
+            Some(leader) if leader == self.settings.me => {
+                self.answer_quota_request(now, leader, &request)
+            }
+            Some(leader) => {
+                let message = SharedMessage::Budgets(BudgetMessage::QuotaRequest(request));
+                self.host.send(leader.key, message);
+            }
             None => self.count("questions about keys with nobody known who lends"),
         }
     }
 
-    pub(super) fn keys_asked(&mut self, now: Nanos, from: ProcessId, asked: &QuotaRequest) {
-        if !self.lends(now) {
-            return; // the questions about budgets find out who does
+    /// A borrower, perhaps this node, requests units of keys. Unlike a lease request it is not
+    /// redirected: the lease requests find the leader.
+    pub(super) fn answer_quota_request(
+        &mut self,
+        now: Nanos,
+        from: ProcessId,
+        request: &QuotaRequest,
+    ) {
+        if !self.is_leader(now) {
+            return;
         }
-        let lent = self
-            .key_books
+        let lender = self
+            .lenders
             .as_mut()
-            .and_then(|books| books.ask(now, from, asked));
-        match lent {
-            Some(lent) if from == self.settings.me => self.keys_lent(now, lent),
-            Some(lent) => self
-                .host
-                .send(from.key, ReceivedMessage::Budgets(Message::LendKeys(lent))),
+            .and_then(|lenders| lenders.quotas.as_mut());
+        match lender.and_then(|lender| lender.request(now, from, request)) {
+            Some(grant) if from == self.settings.me => self.receive_quota_grant(now, grant),
+            Some(grant) => {
+                let message = SharedMessage::Budgets(BudgetMessage::QuotaGrant(grant));
+                self.host.send(from.key, message);
+            }
             None => {}
         }
     }
 
-    pub(super) fn keys_lent(&mut self, now: Nanos, lent: QuotaGrant) {
-        if !self.left {
-            self.host.keys_lent(now, lent);
+    pub(super) fn receive_quota_grant(&mut self, now: Nanos, grant: QuotaGrant) {
+        if !self.has_left {
+            self.host.receive_quota_grant(now, grant);
+        }
+    }
+
+    /// A borrower leaves: the leader frees all its units.
+    pub(super) fn release_borrower(&mut self, now: Nanos, borrower: ProcessId) {
+        if let Some(lenders) = &mut self.lenders {
+            lenders
+                .budgets
+                .iter_mut()
+                .for_each(|lender| lender.release(borrower));
+            if let Some(lender) = &mut lenders.quotas {
+                lender.release(now, borrower);
+            }
         }
     }
 }
