--- a/crates/shared-state/src/simulation.rs
+++ b/crates/shared-state/src/simulation.rs
@@ -1,9 +1,13 @@
-//! Fleets that share a budget, over simulated time: the same state machines, links that lose, delay
-//! and are cut, nodes that crash, pause and return, clocks that drift; and a service below that
-//! keeps the record. Beside the machines of this package two plain ways are played: an even part by
-//! the number of nodes in sight, and a central counter.
+//! Simulated clusters that share a budget: the state machines of this package over simulated time,
+//! links that lose, delay and are cut, nodes that crash, are suspended and restart, clocks that
+//! drift; and a backend service that records what reaches it. Two plain strategies are simulated
+//! beside: even shares by the number of nodes in view, and a central counter.
+//!
+//! All random draws come from one seed, so that equal configurations give equal results. Time passes
+//! in steps (`run`); the order of draws in a step is part of the recorded results.
 
 mod baselines;
+mod calls;
 mod config;
 mod keys;
 mod node;
@@ -13,240 +17,249 @@
 pub use keys::KeyLoad;
 
 use crate::budget::{Budget, NodeBudgets};
-use crate::counters::{ClusterCounters, ProcessCounters};
+use crate::counters::{ClusterCounters, PROCESS_ROW, ProcessCounters, process_column};
 use crate::keyed_quota::KeyedQuota;
 use crate::keyed_quota::borrower::QuotaBorrower;
-use crate::messages::{ReceivedMessage, write};
+use crate::messages::SharedMessage;
 use crate::shared_state::{Config, SharedState};
 use crate::{MILLISECOND, Nanos, ProcessId, SECOND};
-use keys::KeyRecord;
-use node::{SimulatedActions, SimulatedNode};
+use keys::KeySimulation;
+use node::{SimulatedHost, SimulatedNode};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
+use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// Between two words of a node's counts.
-const TELLS: Nanos = 5 * SECOND;
+/// The time between two reports of a node's counters, in nanoseconds.
+const REPORT_INTERVAL: Nanos = 5 * SECOND;
+/// The length of a step, in nanoseconds.
+const STEP: Nanos = 5 * MILLISECOND;
+/// The first nodes are voters.
+const VOTERS: usize = 3;
 
-/// Tries a second of a node at a time.
+/// The load: calls a second that a node attempts at a time.
 pub type Load = Box<dyn Fn(usize, Nanos) -> f64>;
 
-/// A fleet that shares one budget.
+/// A message that is under way.
+struct MessageInFlight {
+    from: ProcessId,
+    message: SharedMessage,
+}
+
+/// A call that is in flight.
+type CallInFlight = Reverse<(Nanos, usize, u64)>;
+
+/// A simulated cluster.
 pub struct Simulation {
-    pub plan: SimulationConfig,
+    /// What is simulated.
+    pub config: SimulationConfig,
+    /// The simulated time, in nanoseconds.
     pub now: Nanos,
-    pub measured: SimulationResult,
+    /// What came of it so far.
+    pub result: SimulationResult,
+    /// The most nodes that were the leader at once.
+    pub max_leaders: usize,
     nodes: Vec<SimulatedNode>,
     rng: Pcg64Mcg,
-    queue: BinaryHeap<Reverse<(Nanos, u64, usize, u64)>>,
-    under_way: BTreeMap<u64, (ProcessId, ReceivedMessage)>,
-    sent: u64,
+    /// When which message arrives, at which node.
+    arrivals: BinaryHeap<Reverse<(Nanos, u64, usize)>>,
+    messages: BTreeMap<u64, MessageInFlight>,
+    messages_sent: u64,
     load: Load,
-    cut: Box<dyn Fn(usize, usize) -> bool>,
-    lives: u64,
-    /// Calls in hand over all, with when they end.
-    in_hand: BinaryHeap<Reverse<(Nanos, usize, u64)>>,
-    recent: VecDeque<Nanos>,
-    /// When the number of nodes changed, for sight that is late.
-    changes: VecDeque<(Nanos, Vec<bool>)>,
-    counter_saved: f64,
-    pub lenders_most: usize,
-    key_load: Option<KeyLoad>,
-    key_record: KeyRecord,
-    /// Callers who come back: when, to whom, how often they came, which key. And what is in hand:
-    /// until when, of whom, which key.
-    key_retries: BinaryHeap<Reverse<(Nanos, usize, u32, u64)>>,
-    key_hands: BinaryHeap<Reverse<(Nanos, usize, u64, u64)>>,
-    /// For plain ways: when a next one of a key would come evenly, at a node.
-    plain_keys: HashMap<(usize, u64), Nanos>,
+    /// Whether a link, by sender and receiver, is cut.
+    is_cut: Box<dyn Fn(usize, usize) -> bool>,
+    incarnations: u64,
+    /// Calls in flight of all nodes: when they end, of which node and incarnation.
+    calls_in_flight: BinaryHeap<CallInFlight>,
+    /// When the calls of the last second were made.
+    recent_calls: VecDeque<Nanos>,
+    /// Which nodes were up since when, for views that are late.
+    up_changes: VecDeque<(Nanos, Vec<bool>)>,
+    /// Calls that the central counter allows now.
+    counter_tokens: f64,
+    keys: KeySimulation,
 }
 
-/// Time is played in steps of this.
-const STEP: Nanos = 5 * MILLISECOND;
-const ARBITERS: usize = 3;
-
 impl Simulation {
-    /// A fleet all of whose nodes start now.
-    pub fn new(plan: SimulationConfig, load: Load) -> Simulation {
-        let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
-        let nodes = (0..plan.nodes)
-            .map(|_| SimulatedNode {
-                shared: None,
-                life: 0,
-                rate: 1.0
-                    + if plan.drift > 0.0 {
-                        rng.random_range(-plan.drift..plan.drift)
+    /// A cluster all of whose nodes start now.
+    pub fn new(config: SimulationConfig, load: Load) -> Simulation {
+        let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
+        let nodes = (0..config.nodes)
+            .map(|_| {
+                SimulatedNode::new(
+                    1.0 + if config.clock_drift > 0.0 {
+                        rng.random_range(-config.clock_drift..config.clock_drift)
                     } else {
                         0.0
                     },
-                still_until: 0,
-                owed: 0.0,
-                saved: 0.0,
-                up_since: 0,
-                tally: ProcessCounters::default(),
-                tells: 0,
+                )
             })
             .collect();
-        let mut sim = Simulation {
+        let mut simulation = Simulation {
             now: SECOND,
-            measured: SimulationResult::of(plan.nodes),
+            result: SimulationResult::new(config.nodes),
+            max_leaders: 0,
             nodes,
             rng,
-            queue: BinaryHeap::new(),
-            under_way: BTreeMap::new(),
-            sent: 0,
+            arrivals: BinaryHeap::new(),
+            messages: BTreeMap::new(),
+            messages_sent: 0,
             load,
-            cut: Box::new(|_, _| false),
-            lives: 0,
-            in_hand: BinaryHeap::new(),
-            recent: VecDeque::new(),
-            changes: VecDeque::new(),
-            counter_saved: 0.0,
-            lenders_most: 0,
-            key_load: None,
-            key_record: KeyRecord::default(),
-            key_retries: BinaryHeap::new(),
-            key_hands: BinaryHeap::new(),
-            plain_keys: HashMap::new(),
-            plan,
+            is_cut: Box::new(|_, _| false),
+            incarnations: 0,
+            calls_in_flight: BinaryHeap::new(),
+            recent_calls: VecDeque::new(),
+            up_changes: VecDeque::new(),
+            counter_tokens: 0.0,
+            keys: KeySimulation::default(),
+            config,
         };
-        (0..sim.nodes.len()).for_each(|n| sim.start(n));
-        sim
+        (0..simulation.nodes.len()).for_each(|n| simulation.start(n));
+        simulation
     }
 
+    /// A node's clock.
     fn clock(&self, n: usize) -> Nanos {
-        (self.now as f64 * self.nodes[n].rate) as Nanos
+        (self.now as f64 * self.nodes[n].clock_rate) as Nanos
+    }
+
+    fn process(&self, n: usize) -> ProcessId {
+        ProcessId {
+            key: n as u64 + 1,
+            incarnation: self.nodes[n].incarnation,
+        }
     }
 
     /// A node starts, knowing nothing.
     pub fn start(&mut self, n: usize) {
-        self.lives += 1;
+        self.incarnations += 1;
         let me = ProcessId {
             key: n as u64 + 1,
-            life: self.lives,
+            incarnation: self.incarnations,
         };
-        let arbiters = (1..=ARBITERS.min(self.plan.nodes) as u64).collect();
-        let keys: Vec<KeyedQuota> = self.plan.keys.iter().cloned().collect();
-        let mut settings = Config::usual(me, arbiters, vec![self.plan.budget.clone()], keys);
-        (settings.key_bytes, settings.counted) = (self.plan.key_bytes, self.plan.counted);
-        settings.zone = (n % self.plan.zones.max(1)) as u32;
-        let seed = self.plan.seed.wrapping_mul(7919).wrapping_add(self.lives);
+        let voters = (1..=VOTERS.min(self.config.nodes) as u64).collect();
+        let quotas: Vec<KeyedQuota> = self.config.quota.iter().cloned().collect();
+        let mut settings =
+            Config::with_defaults(me, voters, vec![self.config.budget.clone()], quotas);
+        settings.quota_lender_bytes = self.config.quota_bytes;
+        settings.max_counted_processes = self.config.max_counted_processes;
+        settings.zone = (n % self.config.zones.max(1)) as u32;
+        let seed = self
+            .config
+            .seed
+            .wrapping_mul(7919)
+            .wrapping_add(self.incarnations);
         let now = self.clock(n);
+        let host = SimulatedHost {
+            sent: Vec::new(),
+            budgets: NodeBudgets::new(now, &settings.budgets),
+            quotas: QuotaBorrower::new(
+                now,
+                &settings.quotas,
+                settings.quota_timing,
+                self.config.quota_bytes,
+                seed,
+            ),
+        };
         let node = &mut self.nodes[n];
-        let ends = NodeBudgets::new(now, &settings.budgets);
-        let wallet = QuotaBorrower::new(
-            now,
-            &settings.keys,
-            settings.rhythm,
-            self.plan.key_bytes,
-            seed,
-        );
-        node.shared = Some(SharedState::new(
-            settings,
-            seed,
-            now,
-            SimulatedActions {
-                sent: Vec::new(),
-                ends,
-                wallet,
-            },
-        ));
-        (node.life, node.owed, node.saved, node.up_since) = (self.lives, 0.0, 0.0, self.now);
-        (node.tally, node.tells) = (
-            ProcessCounters::new(now / MILLISECOND),
-            now + self.rng.random_range(0..TELLS),
-        );
-        self.changed();
-    }
-
-    fn changed(&mut self) {
+        node.shared = Some(SharedState::new(settings, seed, now, host));
+        node.incarnation = self.incarnations;
+        node.load_credit = 0.0;
+        (node.even_tokens, node.even_refilled_at) = (0.0, self.now);
+        node.counters = ProcessCounters::new(now / MILLISECOND);
+        node.next_report = now + self.rng.random_range(0..REPORT_INTERVAL);
+        self.record_up_change();
+    }
+
+    fn record_up_change(&mut self) {
         let up = self
             .nodes
             .iter()
             .map(|node| node.shared.is_some())
             .collect();
-        self.changes.push_back((self.now, up));
+        self.up_changes.push_back((self.now, up));
     }
 
-    /// A node ends without a word; what it had in hand below is given up.
+    /// A node ends without a message; its calls in flight are given up.
     pub fn crash(&mut self, n: usize) {
         self.nodes[n].shared = None;
-        self.in_hand.retain(|Reverse((_, node, _))| *node != n);
-        let held = std::mem::take(&mut self.key_hands).into_vec();
-        for Reverse((end, node, life, key)) in held {
-            if node == n {
-                self.key_record.over(key);
-            } else {
-                self.key_hands.push(Reverse((end, node, life, key)));
-            }
-        }
-        self.changed();
+        self.calls_in_flight
+            .retain(|Reverse((_, node, _))| *node != n);
+        self.keys.abandon(n);
+        self.record_up_change();
     }
 
-    /// A node stands still for so long.
-    pub fn pause(&mut self, n: usize, time: Nanos) {
-        self.nodes[n].still_until = self.now + time;
+    /// A node is suspended for this long, in nanoseconds.
+    pub fn suspend(&mut self, n: usize, duration: Nanos) {
+        self.nodes[n].suspended_until = self.now + duration;
     }
 
-    /// Links on which nothing passes, by sender and receiver.
-    pub fn cut(&mut self, cut: impl Fn(usize, usize) -> bool + 'static) {
-        self.cut = Box::new(cut);
+    /// Cuts the links, by sender and receiver, for which this returns true.
+    pub fn cut_links(&mut self, is_cut: impl Fn(usize, usize) -> bool + 'static) {
+        self.is_cut = Box::new(is_cut);
     }
 
-    /// Changes what is tried.
-    pub fn load(&mut self, load: Load) {
+    /// Changes the load.
+    pub fn set_load(&mut self, load: Load) {
         self.load = load;
     }
 
-    /// Another limit, on some nodes.
-    pub fn rebudget(&mut self, nodes: std::ops::Range<usize>, budget: &Budget) {
+    /// Changes the budget on some nodes.
+    pub fn update_budget(&mut self, nodes: std::ops::Range<usize>, budget: &Budget) {
         for node in &mut self.nodes[nodes] {
             if let Some(shared) = &mut node.shared {
-                shared.rebudget(vec![budget.clone()], Vec::new());
-                shared.host.ends.rebudget(std::slice::from_ref(budget));
+                shared.update_limits(vec![budget.clone()], Vec::new());
+                shared
+                    .host
+                    .budgets
+                    .update_budgets(std::slice::from_ref(budget));
             }
         }
     }
 
-    /// What it takes on the way, with the frame of the fleet and the heads of UDP and IP.
-    fn bytes(told: &ReceivedMessage) -> u64 {
-        const FRAME: usize = 32 + 16 + 24 + 28;
-        (write(told).len() + FRAME) as u64
-    }
-
-    /// From here on what happens is measured anew; what is in hand stays.
-    pub fn measure_anew(&mut self) {
-        self.measured = SimulationResult::of(self.nodes.len());
-        self.key_record
-            .keys
-            .values_mut()
-            .for_each(|(due, _)| *due = 0);
+    /// Begins a new result; what is in flight stays.
+    pub fn reset_result(&mut self) {
+        self.result = SimulationResult::new(self.nodes.len());
+        self.keys.forget_dues();
     }
 
-    /// The counts that a node knows of all, if it is an arbiter.
-    pub fn counts(&self, n: usize) -> Option<&ClusterCounters> {
-        self.nodes[n].shared.as_ref()?.counts_of_all()
+    /// The counters of all processes that a node knows, if it is a voter.
+    pub fn cluster_counters(&self, n: usize) -> Option<&ClusterCounters> {
+        self.nodes[n].shared.as_ref()?.cluster_counters()
     }
 
-    /// Units that nodes have in hand now, over all of them.
-    pub fn spendable(&mut self) -> u32 {
-        let mut sum = 0;
+    /// Has voters retire the processes that are down.
+    pub fn retire_processes(&mut self) {
+        let up: Vec<ProcessId> = (0..self.nodes.len())
+            .filter(|n| self.nodes[*n].shared.is_some())
+            .map(|n| self.process(n))
+            .collect();
         for n in 0..self.nodes.len() {
             let now = self.clock(n);
             if let Some(shared) = &mut self.nodes[n].shared {
-                sum += shared.host.ends.purses()[0].units(now);
+                shared.retire_processes(now, |process| up.contains(&process));
             }
         }
-        sum
     }
 
-    /// Units of one node now.
+    /// Calls of the whole cluster in the totals that a node received last.
+    pub fn reported_calls(&self, n: usize) -> Option<u64> {
+        let shared = self.nodes[n].shared.as_ref()?;
+        let (totals, _) = shared.totals(self.clock(n))?;
+        Some(totals.total.get(&PROCESS_ROW)?[process_column::CALLS])
+    }
+
+    /// Units of the budget that all nodes may use now.
+    pub fn usable_units(&mut self) -> u32 {
+        (0..self.nodes.len()).map(|n| self.units(n)).sum()
+    }
+
+    /// Units of the budget that one node may use now.
     pub fn units(&mut self, n: usize) -> u32 {
         let now = self.clock(n);
         self.nodes[n]
             .shared
             .as_mut()
-            .map_or(0, |shared| shared.host.ends.purses()[0].units(now))
+            .map_or(0, |shared| shared.host.budgets.borrowers()[0].units(now))
     }
 }
--- a/crates/shared-state/src/simulation/config.rs
+++ b/crates/shared-state/src/simulation/config.rs
@@ -1,74 +1,87 @@
-//! Config.
+//! What is simulated, and what came of it.
 
 use crate::Nanos;
 use crate::budget::Budget;
 use crate::keyed_quota::KeyedQuota;
 
-/// How the limit is kept.
+/// How limits are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitStrategy {
-    /// By this package.
+    /// By the leases of this package.
     Leases,
-    /// Each node takes the limit divided by the nodes it has in sight; sight follows the truth
-    /// late.
+    /// Each node takes the limit divided by the nodes in its view; the view follows the truth late.
     EvenByView,
-    /// One node counts for all, and is asked for each call; no answer, no call.
+    /// One node counts for all and is asked about each call; without its answer there is no call.
     Counter,
 }
 
-/// What is played.
+/// What is simulated.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
+    /// How many nodes there are.
     pub nodes: usize,
+    /// How many zones they are spread over.
     pub zones: usize,
-    pub way: LimitStrategy,
+    /// How limits are kept.
+    pub strategy: LimitStrategy,
+    /// The budget that all nodes share.
     pub budget: Budget,
+    /// The probability that a message is lost.
     pub loss: f64,
+    /// The least and the most latency of a message, in nanoseconds.
     pub latency: (Nanos, Nanos),
-    /// Clocks run this much fast or slow at most, as a part of one.
-    pub drift: f64,
-    /// How late a node's sight of the others is, for the even part.
-    pub sight: Nanos,
+    /// Clocks run at most this part too fast or slow.
+    pub clock_drift: f64,
+    /// How late a node's view of the others is, for even shares, in nanoseconds.
+    pub view_delay: Nanos,
+    /// Of all random draws.
     pub seed: u64,
-    /// A limit by key beside it, and the bytes for the keys of a node, and of books.
-    pub keys: Option<KeyedQuota>,
-    pub key_bytes: usize,
-    /// Processes whose counts arbiters keep apart; none are counted if it is 0.
-    pub counted: usize,
+    /// A keyed quota beside the budget.
+    pub quota: Option<KeyedQuota>,
+    /// The memory for keys at a node, and at the leader, in bytes.
+    pub quota_bytes: usize,
+    /// The most processes whose counters voters keep apart; 0 where nothing is counted.
+    pub max_counted_processes: usize,
 }
 
-/// What came of a play.
+/// What came of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SimulationResult {
-    /// Calls that were made, and tried.
-    pub made: u64,
-    pub tried: u64,
-    /// The most over the limit in any second (of a rate) or at any moment (in hand), in units.
-    pub worst_over: f64,
-    /// Seconds in which it was over.
-    pub seconds_over: u64,
-    /// Messages that were sent, and their bytes as parcels.
+    /// Calls that were made.
+    pub calls_made: u64,
+    /// Calls that were attempted.
+    pub calls_attempted: u64,
+    /// The most over the limit, in units, in any second (of a rate) or at any moment (in flight).
+    pub max_over_limit: f64,
+    /// Seconds in which the limit was exceeded.
+    pub seconds_over_limit: u64,
+    /// Messages that were sent.
     pub messages: u64,
+    /// Their bytes, with all headers.
     pub bytes: u64,
-    /// Of keys: units that were wanted (each by a caller who comes back twice when it is told to),
-    /// let through, and refused at the end; the most over the limit of any key.
+    /// Units of keys that were wanted; each client comes back twice when it is told to.
     pub keys_wanted: u64,
-    pub keys_made: u64,
+    /// Units of keys that were admitted.
+    pub keys_admitted: u64,
+    /// Units of keys that were refused to the end.
     pub keys_refused: u64,
-    pub keys_over: f64,
+    /// The most over the limit of any key, in units.
+    pub max_key_over_limit: f64,
+    /// Admitted units of keys by node.
     pub keys_by_node: Vec<u64>,
     /// Calls made in each second.
-    pub by_second: Vec<u64>,
-    pub tried_by_second: Vec<u64>,
-    /// Calls of each node.
-    pub by_node: Vec<u64>,
+    pub calls_by_second: Vec<u64>,
+    /// Calls attempted in each second.
+    pub attempts_by_second: Vec<u64>,
+    /// Calls made by node.
+    pub calls_by_node: Vec<u64>,
 }
 
 impl SimulationResult {
-    /// Nothing yet, of so many nodes.
-    pub fn of(nodes: usize) -> SimulationResult {
+    /// An empty result of this many nodes.
+    pub fn new(nodes: usize) -> SimulationResult {
         SimulationResult {
-            by_node: vec![0; nodes],
+            calls_by_node: vec![0; nodes],
             keys_by_node: vec![0; nodes],
             ..SimulationResult::default()
         }
--- a/crates/shared-state/src/simulation/keys.rs
+++ b/crates/shared-state/src/simulation/keys.rs
@@ -1,32 +1,55 @@
-//! Keys.
+//! Requests by key: clients that come back when they are told to, and a record of what was admitted
+//! of each key over all nodes.
 
 use super::{LimitStrategy, Simulation};
-use crate::counters::{OWN, own};
+use crate::Nanos;
+use crate::keyed_quota::lender::QuotaLenderSize;
 use crate::keyed_quota::{KeyedQuota, QuotaKind};
-use crate::{Nanos, ProcessId};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
-use std::collections::HashMap;
+use std::collections::{BinaryHeap, HashMap};
 
-/// Tries of keys in a step: which node, which key.
+/// The load by key: node and key of each request in a step.
 pub type KeyLoad = Box<dyn FnMut(Nanos, &mut Pcg64Mcg) -> Vec<(usize, u64)>>;
 
-/// Tries of a caller who is told to come back.
-const KEY_TRIES: u32 = 3;
+/// Attempts of a client that is told to come back.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// The record of what was let through of each key, over all nodes.
-#[derive(Clone, Debug, Default)]
-pub(super) struct KeyRecord {
-    /// When a next one would come evenly; or how many are in hand.
-    pub(super) keys: HashMap<u64, (Nanos, u32)>,
+/// What was admitted of a key.
+#[derive(Clone, Copy, Debug, Default)]
+struct AdmittedKey {
+    /// When the next one would be due at an even rate.
+    due: Nanos,
+    in_flight: u32,
 }
 
-impl KeyRecord {
-    /// One was let through: by how many units the key is over its limit now.
-    pub(super) fn came(&mut self, now: Nanos, key: u64, kind: QuotaKind) -> f64 {
-        let (due, in_hand) = self.keys.entry(key).or_default();
-        *in_hand += 1;
+/// A request of a client.
+struct KeyAttempt {
+    node: usize,
+    key: u64,
+    /// 1 for the first attempt.
+    attempt: u32,
+}
+
+/// What is simulated of keys.
+#[derive(Default)]
+pub(super) struct KeySimulation {
+    load: Option<KeyLoad>,
+    admitted: HashMap<u64, AdmittedKey>,
+    /// Clients that come back: when, to which node, for which attempt, with which key.
+    retries: BinaryHeap<Reverse<(Nanos, usize, u32, u64)>>,
+    /// What is in flight: until when, at which node and incarnation, of which key.
+    in_flight: BinaryHeap<Reverse<(Nanos, usize, u64, u64)>>,
+    /// For plain strategies: when the next one of a key is due at a node.
+    pub(super) plain_dues: HashMap<(usize, u64), Nanos>,
+}
+
+impl KeySimulation {
+    /// One of a key was admitted. Returns by how many units the key is over its limit now.
+    fn record_admitted(&mut self, now: Nanos, key: u64, kind: QuotaKind) -> f64 {
+        let admitted = self.admitted.entry(key).or_default();
+        admitted.in_flight += 1;
         match kind {
             QuotaKind::Rate {
                 count,
@@ -34,155 +57,186 @@
                 burst,
             } => {
                 let interval = period / u64::from(count);
-                *due = (*due).max(now) + interval;
-                (*due - now) as f64 / interval as f64 - f64::from(burst)
+                admitted.due = admitted.due.max(now) + interval;
+                (admitted.due - now) as f64 / interval as f64 - f64::from(burst)
             }
-            QuotaKind::InHand { limit, .. } => f64::from(*in_hand) - f64::from(limit),
+            QuotaKind::InFlight { limit, .. } => f64::from(admitted.in_flight) - f64::from(limit),
         }
     }
 
-    pub(super) fn over(&mut self, key: u64) {
-        self.keys.entry(key).or_default().1 -= 1;
+    fn record_ended(&mut self, key: u64) {
+        self.admitted.entry(key).or_default().in_flight -= 1;
+    }
+
+    /// A node crashed: what it had in flight has ended.
+    pub(super) fn abandon(&mut self, n: usize) {
+        let in_flight = std::mem::take(&mut self.in_flight).into_vec();
+        for Reverse((end, node, incarnation, key)) in in_flight {
+            if node == n {
+                self.record_ended(key);
+            } else {
+                self.in_flight.push(Reverse((end, node, incarnation, key)));
+            }
+        }
+    }
+
+    /// Forgets what was admitted at a rate; what is in flight stays.
+    pub(super) fn forget_dues(&mut self) {
+        self.admitted
+            .values_mut()
+            .for_each(|admitted| admitted.due = 0);
     }
 }
 
 impl Simulation {
-    /// Has keys tried for.
-    pub fn key_load(&mut self, load: KeyLoad) {
-        self.key_load = Some(load);
+    /// Sets the load by key.
+    pub fn set_key_load(&mut self, load: KeyLoad) {
+        self.keys.load = Some(load);
     }
 
-    /// Another limit by key, on some nodes.
-    pub fn rebudget_keys(&mut self, nodes: std::ops::Range<usize>, keys: &KeyedQuota) {
-        let budgets = vec![self.plan.budget.clone()];
+    /// Changes the keyed quota on some nodes.
+    pub fn update_quota(&mut self, nodes: std::ops::Range<usize>, quota: &KeyedQuota) {
+        let budgets = vec![self.config.budget.clone()];
         for shared in self.nodes[nodes]
             .iter_mut()
             .filter_map(|node| node.shared.as_mut())
         {
-            shared.rebudget(budgets.clone(), vec![keys.clone()]);
-            shared.host.wallet.rebudget(std::slice::from_ref(keys));
+            shared.update_limits(budgets.clone(), vec![quota.clone()]);
+            shared
+                .host
+                .quotas
+                .update_quotas(std::slice::from_ref(quota));
         }
     }
 
-    pub(super) fn try_keys(&mut self) {
-        let Some(budget) = self.plan.keys.clone() else {
+    /// A step of all keys.
+    pub(super) fn run_keys(&mut self) {
+        let Some(quota) = self.config.quota.clone() else {
             return;
         };
+        self.end_keys(&quota);
+        for attempt in self.due_attempts() {
+            self.attempt_key(&quota, attempt);
+        }
+    }
+
+    fn end_keys(&mut self, quota: &KeyedQuota) {
         while self
-            .key_hands
+            .keys
+            .in_flight
             .peek()
             .is_some_and(|Reverse((end, ..))| *end <= self.now)
         {
-            let Some(Reverse((_, n, life, key))) = self.key_hands.pop() else {
+            let Some(Reverse((_, n, incarnation, key))) = self.keys.in_flight.pop() else {
                 break;
             };
-            self.key_record.over(key);
-            let is_same = self.nodes[n].life == life;
+            self.keys.record_ended(key);
+            let is_same = self.nodes[n].incarnation == incarnation;
             if let Some(shared) = self.nodes[n].shared.as_mut().filter(|_| is_same) {
-                shared.host.wallet.done(budget.id(), key);
+                shared.host.quotas.release(quota.id(), key);
             }
         }
+    }
+
+    /// First attempts by the load, then those of clients that come back.
+    fn due_attempts(&mut self) -> Vec<KeyAttempt> {
         let now = self.now;
-        let mut tries: Vec<(usize, u64, u32)> = Vec::new();
-        if let Some(load) = &mut self.key_load {
-            tries.extend(
+        let mut attempts: Vec<KeyAttempt> = Vec::new();
+        if let Some(load) = &mut self.keys.load {
+            attempts.extend(
                 load(now, &mut self.rng)
                     .into_iter()
-                    .map(|(n, key)| (n, key, 1)),
+                    .map(|(node, key)| KeyAttempt {
+                        node,
+                        key,
+                        attempt: 1,
+                    }),
             );
         }
-        self.measured.keys_wanted += tries.len() as u64;
+        self.result.keys_wanted += attempts.len() as u64;
         while self
-            .key_retries
+            .keys
+            .retries
             .peek()
             .is_some_and(|Reverse((due, ..))| *due <= now)
         {
-            let Some(Reverse((_, n, times, key))) = self.key_retries.pop() else {
+            let Some(Reverse((_, node, attempt, key))) = self.keys.retries.pop() else {
                 break;
             };
-            tries.push((n, key, times));
+            attempts.push(KeyAttempt { node, key, attempt });
         }
-        for (n, key, times) in tries {
-            let (clock, life) = (self.clock(n), self.nodes[n].life);
-            let still = self.nodes[n].still_until > now;
-            let Some(shared) = self.nodes[n].shared.as_mut().filter(|_| !still) else {
-                continue;
-            };
-            let fits = match self.plan.way {
-                LimitStrategy::Leases => {
-                    let fits = shared.host.wallet.fits(clock, budget.id(), key);
-                    if fits.is_ok() {
-                        shared.host.wallet.take(clock, budget.id(), key);
-                    }
-                    fits.map_err(|refused| refused.pause)
-                }
-                way => self.plain_key(way, n, key, budget.kind),
-            };
-            match fits {
-                Ok(()) => {
-                    self.measured.keys_made += 1;
-                    self.measured.keys_by_node[n] += 1;
-                    let over = self.key_record.came(now, key, budget.kind);
-                    self.measured.keys_over = self.measured.keys_over.max(over);
-                    if let QuotaKind::InHand { longest, .. } = budget.kind {
-                        let end = now + self.rng.random_range(longest / 8..longest);
-                        self.key_hands.push(Reverse((end, n, life, key)));
-                    } else {
-                        self.key_record.over(key);
-                    }
-                }
-                Err(pause) if times < KEY_TRIES => {
-                    self.key_retries
-                        .push(Reverse((now + pause, n, times + 1, key)));
+        attempts
+    }
+
+    fn attempt_key(&mut self, quota: &KeyedQuota, attempt: KeyAttempt) {
+        let KeyAttempt {
+            node: n,
+            key,
+            attempt,
+        } = attempt;
+        let (now, clock) = (self.now, self.clock(n));
+        let is_suspended = self.nodes[n].suspended_until > now;
+        let Some(shared) = self.nodes[n].shared.as_mut().filter(|_| !is_suspended) else {
+            return;
+        };
+        let admitted = match self.config.strategy {
+            LimitStrategy::Leases => {
+                let quotas = &mut shared.host.quotas;
+                let checked = quotas.check(clock, quota.id(), key);
+                if checked.is_ok() {
+                    quotas.acquire(clock, quota.id(), key);
                 }
-                Err(_) => self.measured.keys_refused += 1,
+                checked.map_err(|exceeded| exceeded.retry_after)
+            }
+            strategy => self.plain_key_allows(strategy, n, key, quota.kind),
+        };
+        match admitted {
+            Ok(()) => self.record_key(n, key, quota.kind),
+            Err(wait) if attempt < MAX_ATTEMPTS => {
+                self.keys
+                    .retries
+                    .push(Reverse((now + wait, n, attempt + 1, key)));
             }
+            Err(_) => self.result.keys_refused += 1,
         }
     }
 
-    /// Units of a key that lie in pockets and could be spent, over all nodes.
+    fn record_key(&mut self, n: usize, key: u64, kind: QuotaKind) {
+        self.result.keys_admitted += 1;
+        self.result.keys_by_node[n] += 1;
+        let over = self.keys.record_admitted(self.now, key, kind);
+        self.result.max_key_over_limit = self.result.max_key_over_limit.max(over);
+        if let QuotaKind::InFlight { max_hold, .. } = kind {
+            let end = self.now + self.rng.random_range(max_hold / 8..max_hold);
+            let incarnation = self.nodes[n].incarnation;
+            self.keys
+                .in_flight
+                .push(Reverse((end, n, incarnation, key)));
+        } else {
+            self.keys.record_ended(key);
+        }
+    }
+
+    /// Leased units of a key that may be used now, over all nodes.
     pub fn key_units(&self, key: u64) -> u32 {
-        let Some(budget) = &self.plan.keys else {
+        let Some(quota) = &self.config.quota else {
             return 0;
         };
         (0..self.nodes.len())
             .filter_map(|n| Some((self.clock(n), self.nodes[n].shared.as_ref()?)))
-            .map(|(clock, shared)| shared.host.wallet.units(clock, budget.id(), key))
+            .map(|(clock, shared)| shared.host.quotas.units(clock, quota.id(), key))
             .sum()
     }
 
-    /// Keys that all wallets tell apart, and keys and pockets in the books of the one who lends.
-    pub fn key_figures(&self) -> (usize, Option<(usize, usize, u64)>) {
+    /// Keys with a state of their own over all nodes, and what the leader stores, if there is one.
+    pub fn key_sizes(&self) -> (usize, Option<QuotaLenderSize>) {
         let shared = || self.nodes.iter().filter_map(|node| node.shared.as_ref());
-        let books = shared()
-            .find_map(|shared| shared.key_books())
-            .map(|books| books.figures());
-        (
-            shared().map(|shared| shared.host.wallet.keys()).sum(),
-            books,
-        )
-    }
-
-    /// Has arbiters add up those who are gone.
-    pub fn tidy(&mut self) {
-        let there: Vec<ProcessId> = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].shared.is_some())
-            .map(|n| ProcessId {
-                key: n as u64 + 1,
-                life: self.nodes[n].life,
-            })
-            .collect();
-        for n in 0..self.nodes.len() {
-            let now = self.clock(n);
-            if let Some(shared) = &mut self.nodes[n].shared {
-                shared.tidy(now, |who| there.contains(&who));
-            }
-        }
-    }
-
-    /// Calls of the whole fleet as a node was told last.
-    pub fn calls_told(&self, n: usize) -> Option<u64> {
-        let shared = self.nodes[n].shared.as_ref()?;
-        Some(shared.sums(self.clock(n))?.0.total.get(&OWN)?[own::CALLS])
+        let lender = shared()
+            .find_map(|shared| shared.quota_lender())
+            .map(|lender| lender.size());
+        let tracked = shared()
+            .map(|shared| shared.host.quotas.tracked_keys())
+            .sum();
+        (tracked, lender)
     }
 }
--- a/crates/shared-state/src/simulation/node.rs
+++ b/crates/shared-state/src/simulation/node.rs
@@ -1,51 +1,70 @@
-//! Node.
+//! A simulated node and its side effects.
 
 use crate::Nanos;
 use crate::budget::{BudgetRequest, Lease, NodeBudgets};
 use crate::counters::ProcessCounters;
 use crate::keyed_quota::QuotaGrant;
 use crate::keyed_quota::borrower::QuotaBorrower;
-use crate::messages::ReceivedMessage;
+use crate::messages::SharedMessage;
 use crate::shared_state::{Host, SharedState};
 
-pub(super) struct SimulatedActions {
-    pub(super) sent: Vec<(u64, ReceivedMessage)>,
-    pub(super) ends: NodeBudgets,
-    pub(super) wallet: QuotaBorrower,
+/// Collects messages, and passes grants to the node's ends of the limits.
+pub(super) struct SimulatedHost {
+    pub(super) sent: Vec<(u64, SharedMessage)>,
+    pub(super) budgets: NodeBudgets,
+    pub(super) quotas: QuotaBorrower,
 }
 
-impl Host for SimulatedActions {
-    fn send(&mut self, to: u64, told: ReceivedMessage) {
-        self.sent.push((to, told));
+impl Host for SimulatedHost {
+    fn send(&mut self, to: u64, message: SharedMessage) {
+        self.sent.push((to, message));
     }
     fn log(&mut self, _: &str) {}
-    fn wants(&mut self, now: Nanos) -> (Nanos, Vec<BudgetRequest>) {
-        (now, self.ends.wants(now))
+    fn lease_requests(&mut self, now: Nanos) -> (Nanos, Vec<BudgetRequest>) {
+        (now, self.budgets.requests(now))
     }
-    fn lent(&mut self, now: Nanos, asked: Nanos, parts: &[(u32, Lease)]) {
-        self.ends.lent(now, asked, parts);
+    fn receive_leases(&mut self, now: Nanos, requested_at: Nanos, leases: &[(u32, Lease)]) {
+        self.budgets.receive_leases(now, requested_at, leases);
     }
-    fn keys_lent(&mut self, now: Nanos, lent: QuotaGrant) {
-        self.wallet.lent(now, &lent);
+    fn receive_quota_grant(&mut self, now: Nanos, grant: QuotaGrant) {
+        self.quotas.receive_grant(now, &grant);
     }
-    fn let_go(&mut self, now: Nanos) -> bool {
-        let free = self.wallet.let_go();
-        self.ends.let_go(now) && free
+    fn drop_leases(&mut self, now: Nanos) -> bool {
+        let is_idle = self.quotas.drop_leases();
+        self.budgets.drop_leases(now) && is_idle
     }
 }
 
+/// A simulated node.
 pub(super) struct SimulatedNode {
-    pub(super) shared: Option<SharedState<SimulatedActions>>,
-    pub(super) life: u64,
-    pub(super) rate: f64,
-    pub(super) still_until: Nanos,
-    /// Tries that are owed to its load.
-    pub(super) owed: f64,
-    /// For the even part: saved calls.
-    pub(super) saved: f64,
-    /// For the counter: tries that wait for an answer are not counted; this is what was allowed.
-    pub(super) up_since: Nanos,
-    /// What it counted, and when it tells that.
-    pub(super) tally: ProcessCounters,
-    pub(super) tells: Nanos,
+    /// None while it is down.
+    pub(super) shared: Option<SharedState<SimulatedHost>>,
+    pub(super) incarnation: u64,
+    /// Its clock's rate.
+    pub(super) clock_rate: f64,
+    pub(super) suspended_until: Nanos,
+    /// Accumulates its load: a call is attempted when it reaches 1.
+    pub(super) load_credit: f64,
+    /// For even shares: calls that may be made now, as of `even_refilled_at`.
+    pub(super) even_tokens: f64,
+    pub(super) even_refilled_at: Nanos,
+    pub(super) counters: ProcessCounters,
+    pub(super) next_report: Nanos,
+}
+
+impl SimulatedNode {
+    /// A node that has not started yet.
+    pub(super) fn new(clock_rate: f64) -> SimulatedNode {
+        SimulatedNode {
+            shared: None,
+            incarnation: 0,
+            clock_rate,
+            suspended_until: 0,
+            load_credit: 0.0,
+            even_tokens: 0.0,
+            even_refilled_at: 0,
+            counters: ProcessCounters::default(),
+            next_report: 0,
+        }
+    }
 }
--- a/crates/shared-state/src/status.rs
+++ b/crates/shared-state/src/status.rs
@@ -1,5 +1,6 @@
-//! What a node holds of all that is shared, as it is shown to people, and why it holds that.
-//! Protocol Buffers, fields by number.
+//! The status snapshot: all that a node knows of the shared state, to be shown to people, and why it
+//! stands so. Filled part by part by the `with_` methods, read by `madderpoint shared explain` and
+//! `fleet show`. The texts are in `explain`, the fields in `snapshot`.
 
 mod explain;
 mod snapshot;
@@ -9,224 +10,248 @@
     ServiceStatus, StatusSnapshot,
 };
 
-use crate::budget::{BudgetBorrower, Kind, NodeBudgets};
+use crate::budget::{BudgetBorrower, BudgetKind, NodeBudgets};
+use crate::counters::heavy_hitters::HeavyHitters;
 use crate::counters::latency_histogram::LatencyHistogram;
-use crate::counters::{COLUMNS, OWN, column, heavy_kind, own};
+use crate::counters::{
+    COLUMNS, CounterRow, PROCESS_ROW, heavy_kind, operation_column, process_column,
+};
 use crate::keyed_quota::borrower::QuotaBorrower;
-use crate::keyed_quota::{QuotaKind, number};
+use crate::keyed_quota::{QuotaKind, name_hash};
 use crate::messages::ClusterTotals;
 use crate::service_health::ServiceHealth;
 use crate::shared_state::{Host, SharedState};
 use crate::{BackendGate, MILLISECOND, Nanos};
 
-fn ms(nanos: Nanos) -> u64 {
+fn milliseconds(nanos: Nanos) -> u64 {
     nanos / MILLISECOND
 }
 
-fn budget(now: Nanos, purse: &mut BudgetBorrower) -> BudgetStatus {
-    let (allowed, refused) = purse.tally();
-    let part = purse.part(now).map(|(part, asked, came)| LeaseStatus {
-        units: part.units,
-        asked_ms: ms(asked),
-        came_ms: ms(came),
-        term_ms: ms(part.term),
-        wanted: part.wanted,
-        borrowers: part.borrowers,
-        pool: part.pool,
+fn budget_status(now: Nanos, borrower: &mut BudgetBorrower) -> BudgetStatus {
+    let counts = borrower.counts();
+    let lease = borrower.latest_lease(now).map(|age| LeaseStatus {
+        units: age.lease.units,
+        requested_ms_ago: milliseconds(age.since_request),
+        granted_ms_ago: milliseconds(age.since_grant),
+        duration_ms: milliseconds(age.lease.duration),
+        total_demand: age.lease.total_demand,
+        borrowers: age.lease.borrowers,
+        pool: age.lease.pool,
     });
-    let (wants, units, in_hand) = (purse.wants(now), purse.units(now), purse.in_hand());
-    let of = purse.budget();
+    let (demand, units) = (borrower.demand(now), borrower.units(now));
+    let in_flight = borrower.in_flight();
+    let budget = borrower.budget();
     BudgetStatus {
-        name: of.name.clone(),
-        rate: matches!(of.kind, Kind::Rate { .. }),
-        limit: of.limit,
-        floor: of.floor,
-        nodes_most: of.nodes_most,
-        repeats_only: of.repeats_only,
+        name: budget.name.clone(),
+        is_rate: matches!(budget.kind, BudgetKind::Rate { .. }),
+        limit: budget.limit,
+        floor: budget.floor,
+        max_nodes: budget.max_nodes,
+        retries_only: budget.retries_only,
         units,
-        wants,
-        in_hand,
-        allowed,
-        refused,
-        part,
+        demand,
+        in_flight,
+        allowed: counts.allowed,
+        refused: counts.refused,
+        lease,
     }
 }
 
 impl StatusSnapshot {
-    /// What is held where calls are made: budgets.
-    pub fn with_ends(&mut self, now: Nanos, ends: &mut NodeBudgets) {
-        self.budgets = ends
-            .purses()
+    /// Adds the node's ends of the budgets.
+    pub fn with_budgets(&mut self, now: Nanos, budgets: &mut NodeBudgets) {
+        self.budgets = budgets
+            .borrowers()
             .iter_mut()
-            .map(|purse| budget(now, purse))
+            .map(|borrower| budget_status(now, borrower))
             .collect();
     }
 
-    /// What is held of keys.
-    pub fn with_wallet(&mut self, now: Nanos, wallet: &QuotaBorrower) {
-        self.keys_heard_ms = wallet.heard(now).map(ms);
-        self.keys_deaf = wallet.hears_nobody(now);
-        for (of, tally) in wallet.tallies() {
-            let (count, period_ms, burst) = match of.kind {
+    /// Adds the node's end of the keyed quotas.
+    pub fn with_quotas(&mut self, now: Nanos, borrower: &QuotaBorrower) {
+        self.quota_grant_ms_ago = borrower.since_last_grant(now).map(milliseconds);
+        self.is_quota_cut_off = borrower.is_cut_off(now);
+        for (quota, counters) in borrower.counters() {
+            let (count, period_ms, burst) = match quota.kind {
                 QuotaKind::Rate {
                     count,
                     period,
                     burst,
-                } => (count, ms(period), burst),
-                QuotaKind::InHand { limit, .. } => (limit, 0, 0),
+                } => (count, milliseconds(period), burst),
+                QuotaKind::InFlight { limit, .. } => (limit, 0, 0),
             };
-            let (units, keys) = wallet.holds(now, of.id());
-            self.keys.push(QuotaStatus {
-                name: of.name.clone(),
+            let leased = borrower.leased(now, quota.id());
+            self.quotas.push(QuotaStatus {
+                name: quota.name.clone(),
                 count,
                 period_ms,
                 burst,
-                floor: of.floor,
-                nodes_most: of.nodes_most,
-                lent: tally.lent,
-                by_floor: tally.floor,
-                refused: tally.refused.to_vec(),
-                units,
-                keys: keys as u64,
+                floor: quota.floor,
+                max_nodes: quota.max_nodes,
+                by_lease: counters.by_lease,
+                by_floor: counters.by_floor,
+                refused: counters.refused.to_vec(),
+                units: leased.units,
+                keys: leased.keys as u64,
             });
         }
     }
 
-    /// The judgement on the service below.
-    pub fn with_judge(&mut self, now: Nanos, name: &str, judge: &mut ServiceHealth) {
-        let (seen, others) = (judge.evidence(now), judge.others(now).unwrap_or_default());
-        let (passed, kept_back) = judge.tally();
+    /// Adds the health of the backend service.
+    pub fn with_service(&mut self, now: Nanos, name: &str, health: &mut ServiceHealth) {
+        let own = health.report(now);
+        let others = health.others(now).unwrap_or_default();
+        let counts = health.counts();
         self.service = Some(ServiceStatus {
             name: name.to_owned(),
-            mode: judge.mode().word().to_owned(),
-            since_ms: ms(now.saturating_sub(judge.since())),
-            level: judge.level(),
-            tries: seen.tries,
-            failed: seen.failed,
-            witnesses: others.witnesses,
-            ill: others.ill,
+            state: health.state().label().to_owned(),
+            since_ms: milliseconds(now.saturating_sub(health.state_since())),
+            admitted_share: health.admitted_share(),
+            calls: own.calls,
+            failed: own.failed,
+            reporters: others.reporters,
+            failing: others.failing,
             zones: others.zones,
-            ill_zones: others.ill_zones,
-            prober: others.prober,
-            alone: others.alone,
-            passed,
-            kept_back,
+            failing_zones: others.failing_zones,
+            is_prober: others.is_prober,
+            is_alone: others.is_alone,
+            admitted: counts.admitted,
+            held_back: counts.held_back,
         });
     }
 
-    /// What was let in and turned away for the room below, and the calls that wait for some.
+    /// Adds the requests that the backend gate admitted and rejected, and the calls that wait.
     pub fn with_gate(&mut self, gate: &BackendGate, calls_waiting: usize) {
-        (self.let_in, self.turned_away) = gate.tally();
+        let counts = gate.counts();
+        (self.gate_admitted, self.gate_rejected) = (counts.admitted, counts.rejected);
         self.calls_waiting = calls_waiting as u32;
     }
 
-    /// ProcessId lends, with the books of this node; and the counts of the whole fleet.
-    pub fn with_shared<H: Host>(
+    /// Adds who leads, what this node grants as the leader, and the counters of the whole cluster.
+    /// `operations` are the names of the node's operations.
+    pub fn with_shared_state<H: Host>(
         &mut self,
         now: Nanos,
         shared: &SharedState<H>,
         operations: &[String],
     ) {
-        self.lender = shared.lender().map_or(0, |lender| lender.key);
-        self.lends = shared.lends(now);
-        self.books = shared
-            .books()
-            .map(|(of, books)| LenderStatus {
-                name: of.name.clone(),
-                out: books.out(now),
-                pool: of.pool(),
-                borrowers: books.borrowers() as u32,
+        self.leader = shared.leader().map_or(0, |leader| leader.key);
+        self.is_leader = shared.is_leader(now);
+        self.lenders = shared
+            .budget_lenders()
+            .map(|(budget, lender)| LenderStatus {
+                name: budget.name.clone(),
+                outstanding: lender.outstanding(now),
+                pool: budget.pool(),
+                borrowers: lender.borrowers() as u32,
             })
             .collect();
-        self.key_books = shared.key_books().map_or(Vec::new(), |books| {
-            let (keys, pockets, refused) = books.figures();
+        self.quota_lender = shared.quota_lender().map_or(Vec::new(), |lender| {
+            let size = lender.size();
             vec![
-                keys as u64,
-                pockets as u64,
-                refused,
-                ms(books.opens().saturating_sub(now)),
+                size.keys as u64,
+                size.leases as u64,
+                size.refused,
+                milliseconds(lender.opens_at().saturating_sub(now)),
             ]
         });
-        let counts = shared.counts().iter();
-        self.counted = counts
-            .map(|(what, times)| CounterStatus {
-                what: (*what).to_owned(),
+        let counts = shared.event_counts().iter();
+        self.event_counts = counts
+            .map(|(event, times)| CounterStatus {
+                what: (*event).to_owned(),
                 times: *times,
             })
             .collect();
-        if let Some((sums, age)) = shared.sums(now) {
-            self.with_sums(sums, age, operations);
+        if let Some((totals, age)) = shared.totals(now) {
+            self.with_totals(totals, age, operations);
         }
     }
 
-    fn with_sums(&mut self, sums: &ClusterTotals, age: Nanos, operations: &[String]) {
-        (self.counts_age_ms, self.processes, self.gone) = (ms(age), sums.processes, sums.gone);
-        for (row, numbers) in &sums.total {
-            let name = match operations.iter().find(|name| number(name) == *row) {
-                _ if *row == OWN => String::new(),
-                Some(name) => name.clone(),
-                None => format!("{row:08x}"), // an operation that this node does not know
-            };
-            let mut latency = LatencyHistogram::default();
-            latency.merge(sums.minute.latency.get(row).map_or(&[], Vec::as_slice));
-            let at = |part| {
-                if latency.count() > 0 {
-                    latency.quantile(part) / 1000
-                } else {
-                    0
-                }
-            };
-            self.rows.push(CounterRowStatus {
-                name,
-                total: numbers.to_vec(),
-                minute: sums
-                    .minute
-                    .rows
-                    .get(row)
-                    .map_or(Vec::new(), |numbers| numbers.to_vec()),
-                p50_us: at(0.5),
-                p99_us: at(0.99),
-            });
+    fn with_totals(&mut self, totals: &ClusterTotals, age: Nanos, operations: &[String]) {
+        self.totals_age_ms = milliseconds(age);
+        (self.processes, self.retired) = (totals.processes, totals.retired);
+        for (row, numbers) in &totals.total {
+            self.rows
+                .push(row_status(*row, numbers, totals, operations));
+        }
+        for (kind, heavy) in &totals.last_minute.heavy {
+            self.heavy.extend(heavy_status(*kind, heavy));
         }
-        for (kind, heavy) in &sums.minute.heavy {
-            let word =
-                ["caller", "caller that repeats", "key over a limit"].get(usize::from(*kind));
-            for (key, times) in heavy.most() {
-                let what = match *kind {
-                    heavy_kind::OVER_LIMIT => {
-                        format!("{} {key:016x}", word.unwrap_or(&"key"))
-                    }
-                    _ => format!("{} {key}", word.unwrap_or(&"key")),
-                };
-                self.heavy.push(CounterStatus { what, times });
-            }
+    }
+}
+
+fn row_status(
+    row: u32,
+    numbers: &CounterRow,
+    totals: &ClusterTotals,
+    operations: &[String],
+) -> CounterRowStatus {
+    let name = match operations.iter().find(|name| name_hash(name) == row) {
+        _ if row == PROCESS_ROW => String::new(),
+        Some(name) => name.clone(),
+        None => format!("{row:08x}"), // an operation that this node does not know
+    };
+    let minute = &totals.last_minute;
+    let mut latency = LatencyHistogram::default();
+    latency.merge(minute.latency.get(&row).map_or(&[], Vec::as_slice));
+    let quantile_us = |fraction| {
+        if latency.count() > 0 {
+            latency.quantile(fraction) / 1000
+        } else {
+            0
         }
+    };
+    CounterRowStatus {
+        name,
+        total: numbers.to_vec(),
+        minute: minute
+            .rows
+            .get(&row)
+            .map_or(Vec::new(), |numbers| numbers.to_vec()),
+        p50_us: quantile_us(0.5),
+        p99_us: quantile_us(0.99),
     }
 }
 
-/// The columns of rows, as tables head them.
-pub fn columns(is_own: bool) -> [&'static str; COLUMNS] {
-    let mut names = [""; COLUMNS];
-    if is_own {
-        names[own::CALLS] = "calls";
-        names[own::CALLS_FAILED] = "calls failed";
-        names[own::CALLS_REPEATED] = "calls repeated";
-        names[own::CALLS_REFUSED] = "calls without room";
-        names[own::OVER_LIMIT] = "over a limit";
-        names[own::NO_ROOM] = "no room below";
-        names[own::INVARIANTS] = "invariants";
-        names[own::STARTS] = "starts";
+fn heavy_status(kind: u8, heavy: &HeavyHitters) -> impl Iterator<Item = CounterStatus> {
+    let label = match kind {
+        heavy_kind::CLIENTS => "caller",
+        heavy_kind::REPEATERS => "caller that repeats",
+        heavy_kind::OVER_QUOTA => "key over a limit",
+        _ => "key",
+    };
+    heavy.top().into_iter().map(move |(key, times)| {
+        let what = match kind {
+            heavy_kind::OVER_QUOTA => format!("{label} {key:016x}"),
+            _ => format!("{label} {key}"),
+        };
+        CounterStatus { what, times }
+    })
+}
+
+/// The heads of the columns of the process's own row, or of an operation's row.
+pub fn column_heads(is_process: bool) -> [&'static str; COLUMNS] {
+    let mut heads = [""; COLUMNS];
+    if is_process {
+        heads[process_column::CALLS] = "calls";
+        heads[process_column::CALLS_FAILED] = "calls failed";
+        heads[process_column::CALLS_RETRIED] = "calls repeated";
+        heads[process_column::CALLS_OVER_BUDGET] = "calls without room";
+        heads[process_column::OVER_QUOTA] = "over a limit";
+        heads[process_column::NO_BACKEND_ROOM] = "no room below";
+        heads[process_column::INVARIANT_VIOLATIONS] = "invariants";
+        heads[process_column::STARTS] = "starts";
     } else {
-        names[column::ARRIVED] = "arrived";
-        names[column::SUCCEEDED] = "succeeded";
-        names[column::THROTTLED] = "throttled";
-        names[column::ERRORED] = "errored";
-        names[column::LATE] = "late";
-        names[column::EARNED] = "earned/1000";
-        names[column::ASKED] = "asked/1000";
-        names[column::REPEATS] = "repeats";
+        heads[operation_column::ARRIVED] = "arrived";
+        heads[operation_column::SUCCEEDED] = "succeeded";
+        heads[operation_column::REJECTED] = "throttled";
+        heads[operation_column::FAILED] = "errored";
+        heads[operation_column::LATE] = "late";
+        heads[operation_column::EARNED_WEIGHT] = "earned/1000";
+        heads[operation_column::OFFERED_WEIGHT] = "asked/1000";
+        heads[operation_column::REPEATS] = "repeats";
     }
-    names
+    heads
 }
 
 #[cfg(test)]
--- a/crates/shared-state/src/status/tests.rs
+++ b/crates/shared-state/src/status/tests.rs
@@ -1,90 +1,94 @@
 use super::*;
 use crate::budget::Budget;
-use crate::budget::Lease;
+use crate::budget::{Lease, LeaseId};
 use crate::{AggregatedHealth, HealthState, SECOND};
 use prost::Message;
 
 /// A node that was lent something, then hears nothing, says so at each step.
 #[test]
 fn a_node_says_why_it_holds_what_it_holds() {
-    let kind = Kind::Rate { burst: SECOND / 20 };
+    let kind = BudgetKind::Rate { burst: SECOND / 20 };
     let budget = Budget {
         name: "register".into(),
         limit: 100,
         floor: 2,
-        nodes_most: 10,
+        max_nodes: 10,
         kind,
-        repeats_only: false,
+        retries_only: false,
     };
-    let mut ends = NodeBudgets::new(0, std::slice::from_ref(&budget));
-    let at = |ends: &mut NodeBudgets, now: Nanos| {
-        let mut shown = StatusSnapshot::default();
-        shown.with_ends(now, ends);
-        let read = StatusSnapshot::decode(shown.encode_to_vec().as_slice()).unwrap();
-        assert_eq!(read, shown);
-        read.why()[1].clone()
+    let mut budgets = NodeBudgets::new(0, std::slice::from_ref(&budget));
+    let at = |budgets: &mut NodeBudgets, now: Nanos| {
+        let mut status = StatusSnapshot::default();
+        status.with_budgets(now, budgets);
+        let read = StatusSnapshot::decode(status.encode_to_vec().as_slice()).unwrap();
+        assert_eq!(read, status);
+        read.explain()[1].clone()
     };
-    assert!(at(&mut ends, 0).contains("may use 2, its floor of 2 alone, for nothing was lent yet"));
-    let term = 1500 * MILLISECOND;
-    let part = Lease {
-        book: 1,
-        no: 1,
+    assert!(
+        at(&mut budgets, 0).contains("may use 2, its floor of 2 alone, for nothing was lent yet")
+    );
+    let duration = 1500 * MILLISECOND;
+    let lease = Lease {
+        id: LeaseId {
+            lender: 1,
+            number: 1,
+        },
         units: 40,
-        term,
-        wanted: 250,
+        duration,
+        total_demand: 250,
         borrowers: 5,
         pool: 80,
     };
-    ends.lent(0, 0, &[(budget.id(), part)]);
-    let fresh = at(&mut ends, 100 * MILLISECOND);
+    budgets.receive_leases(0, 0, &[(budget.id(), lease)]);
+    let fresh = at(&mut budgets, 100 * MILLISECOND);
     assert!(
         fresh.contains("may use 42")
             && fresh.contains("5 asked for 250 of 80 then, which is short"),
         "{fresh}"
     );
-    let later = at(&mut ends, 800 * MILLISECOND);
+    let later = at(&mut budgets, 800 * MILLISECOND);
     assert!(
         later.contains("may use 22") && later.contains("its first half is over"),
         "{later}"
     );
-    let over = at(&mut ends, 1600 * MILLISECOND);
+    let expired = at(&mut budgets, 1600 * MILLISECOND);
     assert!(
-        over.contains("may use 2") && over.contains("its time of 1500 ms is over"),
-        "{over}"
+        expired.contains("may use 2") && expired.contains("its time of 1500 ms is over"),
+        "{expired}"
     );
 }
 
 #[test]
 fn a_judgement_is_told_with_its_reason() {
-    let mut judge = ServiceHealth::new(0, 1);
-    let told = |judge: &mut ServiceHealth, now| {
-        let mut shown = StatusSnapshot::default();
-        shown.with_judge(now, "register", judge);
-        shown.why().pop().unwrap()
+    let mut health = ServiceHealth::new(0, 1);
+    let explained = |health: &mut ServiceHealth, now| {
+        let mut status = StatusSnapshot::default();
+        status.with_service(now, "register", health);
+        status.explain().pop().unwrap()
     };
-    let ill = AggregatedHealth {
-        witnesses: 4,
-        ill: 3,
+    let failing = AggregatedHealth {
+        reporters: 4,
+        failing: 3,
         zones: 2,
-        ill_zones: 2,
+        failing_zones: 2,
         ..AggregatedHealth::default()
     };
-    judge.told(SECOND, ill);
-    let careful = told(&mut judge, SECOND);
+    health.receive_reports(SECOND, failing);
+    let careful = explained(&mut health, SECOND);
     assert!(
         careful.contains("careful") && careful.contains("3 of 4 others in 2 of 2 zones"),
         "{careful}"
     );
-    (0..10).for_each(|_| judge.ended(2 * SECOND, false));
-    assert_eq!(judge.mode(), HealthState::Unavailable);
-    judge.told(
+    (0..10).for_each(|_| health.call_ended(2 * SECOND, false));
+    assert_eq!(health.state(), HealthState::Unavailable);
+    health.receive_reports(
         3 * SECOND,
         AggregatedHealth {
-            prober: true,
-            ..ill
+            is_prober: true,
+            ..failing
         },
     );
-    let closed = told(&mut judge, 3 * SECOND);
+    let closed = explained(&mut health, 3 * SECOND);
     assert!(
         closed.contains(
             "closed for 1000 ms, 0 % goes there, for it failed this node; this node is one"
--- a/crates/shared-state/tests/budgets.rs
+++ b/crates/shared-state/tests/budgets.rs
@@ -2,36 +2,36 @@
 //! what is unused is used again soon.
 
 use madderpoint_shared_state::simulation::{LimitStrategy, Load, Simulation, SimulationConfig};
-use madderpoint_shared_state::{Budget, Kind, Nanos};
+use madderpoint_shared_state::{Budget, BudgetKind, Nanos};
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1000 * MS;
 
-fn budget(limit: u32, floor: u32, nodes_most: u32) -> Budget {
+fn budget(limit: u32, floor: u32, max_nodes: u32) -> Budget {
     Budget {
         name: "below".into(),
         limit,
         floor,
-        nodes_most,
-        kind: Kind::Rate { burst: 50 * MS },
-        repeats_only: false,
+        max_nodes,
+        kind: BudgetKind::Rate { burst: 50 * MS },
+        retries_only: false,
     }
 }
 
-fn plan(nodes: usize, seed: u64) -> SimulationConfig {
+fn config(nodes: usize, seed: u64) -> SimulationConfig {
     SimulationConfig {
         nodes,
         zones: 3,
-        way: LimitStrategy::Leases,
+        strategy: LimitStrategy::Leases,
         budget: budget(1000, 2, nodes as u32 + 10),
         loss: 0.02,
         latency: (MS / 2, 5 * MS),
-        drift: 0.005,
-        sight: 5 * S,
+        clock_drift: 0.005,
+        view_delay: 5 * S,
         seed,
-        keys: None,
-        key_bytes: 0,
-        counted: 0,
+        quota: None,
+        quota_bytes: 0,
+        max_counted_processes: 0,
     }
 }
 
@@ -44,48 +44,48 @@
 fn run_within(sim: &mut Simulation, time: Nanos) {
     for _ in 0..time / (20 * MS) {
         sim.run(20 * MS);
-        let (spendable, limit) = (sim.spendable(), sim.plan.budget.limit);
+        let (units, limit) = (sim.usable_units(), sim.config.budget.limit);
         assert!(
-            spendable <= limit,
-            "seed {}: {spendable} at {} ms",
-            sim.plan.seed,
+            units <= limit,
+            "seed {}: {units} at {} ms",
+            sim.config.seed,
             sim.now / MS
         );
     }
     assert!(
-        sim.measured.worst_over <= 0.0,
+        sim.result.max_over_limit <= 0.0,
         "seed {}: {:?}",
-        sim.plan.seed,
-        sim.measured.worst_over
+        sim.config.seed,
+        sim.result.max_over_limit
     );
     assert!(
-        sim.lenders_most <= 1,
+        sim.max_leaders <= 1,
         "seed {}: {} lend at once",
-        sim.plan.seed,
-        sim.lenders_most
+        sim.config.seed,
+        sim.max_leaders
     );
 }
 
 /// The share of the limit that was used in the last seconds.
 fn used(sim: &mut Simulation, seconds: u64) -> f64 {
-    let before = sim.measured.made;
+    let before = sim.result.calls_made;
     run_within(sim, seconds * S);
-    (sim.measured.made - before) as f64 / seconds as f64 / f64::from(sim.plan.budget.limit)
+    (sim.result.calls_made - before) as f64 / seconds as f64 / f64::from(sim.config.budget.limit)
 }
 
 #[test]
 fn with_all_well_nearly_all_of_it_is_used_and_moves_to_where_it_is_needed() {
     for seed in 0..3 {
-        let mut sim = Simulation::new(plan(10, seed), full());
+        let mut sim = Simulation::new(config(10, seed), full());
         run_within(&mut sim, 10 * S);
         assert!(used(&mut sim, 5) > 0.9, "seed {seed}: even demand");
         // All of it at two nodes.
-        sim.load(Box::new(|n, _| if n < 2 { 800.0 } else { 1.0 }));
+        sim.set_load(Box::new(|n, _| if n < 2 { 800.0 } else { 1.0 }));
         run_within(&mut sim, 2 * S);
         let skewed = used(&mut sim, 5);
         assert!(skewed > 0.9, "seed {seed}: {skewed} under skewed demand");
         // It moves to another one; within a second or so most of it has followed.
-        sim.load(Box::new(|n, _| if n == 7 { 1200.0 } else { 1.0 }));
+        sim.set_load(Box::new(|n, _| if n == 7 { 1200.0 } else { 1.0 }));
         run_within(&mut sim, 1500 * MS);
         let moved = used(&mut sim, 2);
         assert!(moved > 0.85, "seed {seed}: {moved} after it moved");
@@ -97,13 +97,13 @@
 #[test]
 fn a_partition_in_thirds_stays_within_the_limit() {
     for seed in 0..4 {
-        let mut sim = Simulation::new(plan(12, seed), full());
+        let mut sim = Simulation::new(config(12, seed), full());
         run_within(&mut sim, 10 * S);
-        sim.cut(|a, b| a % 3 != b % 3);
+        sim.cut_links(|a, b| a % 3 != b % 3);
         run_within(&mut sim, 20 * S);
         let floors: Vec<u32> = (0..12).map(|n| sim.units(n)).collect();
         assert!(floors.iter().all(|units| *units >= 2), "{floors:?}");
-        sim.cut(|_, _| false);
+        sim.cut_links(|_, _| false);
         run_within(&mut sim, 8 * S);
         assert!(used(&mut sim, 3) > 0.9, "seed {seed}: after the heal");
     }
@@ -112,9 +112,9 @@
 /// Two of three arbiters on one side: that side lends on, the other one has its floors.
 #[test]
 fn the_side_with_most_arbiters_goes_on() {
-    let mut sim = Simulation::new(plan(9, 1), full());
+    let mut sim = Simulation::new(config(9, 1), full());
     run_within(&mut sim, 10 * S);
-    sim.cut(|a, b| (2..7).contains(&a) != (2..7).contains(&b));
+    sim.cut_links(|a, b| (2..7).contains(&a) != (2..7).contains(&b));
     run_within(&mut sim, 12 * S);
     assert!(used(&mut sim, 3) > 0.75, "four nodes try 800 a second");
     assert!((2..7).all(|n| sim.units(n) == 2));
@@ -125,9 +125,9 @@
 fn a_cut_one_way_gives_nothing_twice() {
     for seed in 0..4 {
         for lender_is_heard in [true, false] {
-            let mut sim = Simulation::new(plan(8, seed), full());
+            let mut sim = Simulation::new(config(8, seed), full());
             run_within(&mut sim, 10 * S);
-            sim.cut(move |a, b| {
+            sim.cut_links(move |a, b| {
                 if lender_is_heard {
                     b < 3 && a >= 3
                 } else {
@@ -135,7 +135,7 @@
                 }
             });
             run_within(&mut sim, 12 * S);
-            sim.cut(|_, _| false);
+            sim.cut_links(|_, _| false);
             run_within(&mut sim, 8 * S);
             assert!(used(&mut sim, 3) > 0.9, "seed {seed}");
         }
@@ -148,7 +148,7 @@
         let mut sim = Simulation::new(
             SimulationConfig {
                 loss: [0.0, 0.05, 0.3][seed as usize % 3],
-                ..plan(9, seed)
+                ..config(9, seed)
             },
             full(),
         );
@@ -156,24 +156,24 @@
         for step in 0..12 {
             let n = ((seed * 5 + step * 7) % 9) as usize;
             match (seed + step) % 5 {
-                0 => sim.pause(n, (1 + step % 6) * S),
+                0 => sim.suspend(n, (1 + step % 6) * S),
                 1 => sim.crash(n),
                 2 => {
                     sim.crash(n);
                     sim.start(n);
                 }
-                3 => sim.cut(move |a, b| (a % 2 == n % 2) != (b % 2 == n % 2)),
+                3 => sim.cut_links(move |a, b| (a % 2 == n % 2) != (b % 2 == n % 2)),
                 _ => {
-                    sim.cut(|_, _| false);
+                    sim.cut_links(|_, _| false);
                     sim.start(n);
                 }
             }
             run_within(&mut sim, (300 + 170 * (step % 7)) * MS);
         }
-        sim.cut(|_, _| false);
+        sim.cut_links(|_, _| false);
         (0..9).for_each(|n| sim.start(n));
         run_within(&mut sim, 10 * S);
-        if sim.plan.loss < 0.1 {
+        if sim.config.loss < 0.1 {
             assert!(
                 used(&mut sim, 3) > 0.85,
                 "seed {seed}: all cold at once, and back"
@@ -185,7 +185,7 @@
 /// TwoHalfWindow of the fleet is replaced while the limit is fully used.
 #[test]
 fn half_the_fleet_is_replaced_with_the_limit_fully_used() {
-    let mut sim = Simulation::new(plan(20, 3), full());
+    let mut sim = Simulation::new(config(20, 3), full());
     run_within(&mut sim, 10 * S);
     for n in 0..10 {
         sim.crash(n * 2);
@@ -201,19 +201,21 @@
 #[test]
 fn calls_in_hand_are_never_more_than_the_limit() {
     for seed in 0..6 {
-        let kind = Kind::InHand { longest: 400 * MS };
+        let kind = BudgetKind::InFlight {
+            max_call_time: 400 * MS,
+        };
         let budget = Budget {
             name: "in hand".into(),
             limit: 120,
             floor: 2,
-            nodes_most: 12,
+            max_nodes: 12,
             kind,
-            repeats_only: false,
+            retries_only: false,
         };
         let mut sim = Simulation::new(
             SimulationConfig {
                 budget,
-                ..plan(9, seed)
+                ..config(9, seed)
             },
             full(),
         );
@@ -221,9 +223,9 @@
         for step in 0..8u64 {
             let n = ((seed + step * 4) % 9) as usize;
             match step % 4 {
-                0 => sim.pause(n, 2 * S),
-                1 => sim.cut(move |a, b| (a == n) != (b == n)),
-                2 => sim.cut(|_, _| false),
+                0 => sim.suspend(n, 2 * S),
+                1 => sim.cut_links(move |a, b| (a == n) != (b == n)),
+                2 => sim.cut_links(|_, _| false),
                 _ => {
                     sim.crash(n);
                     sim.start(n);
@@ -232,10 +234,10 @@
             run_within(&mut sim, 1300 * MS);
         }
         run_within(&mut sim, 8 * S);
-        let before = sim.measured.made;
+        let before = sim.result.calls_made;
         run_within(&mut sim, 4 * S);
         // 120 in hand of 250 ms each on average are some 480 a second.
-        let a_second = (sim.measured.made - before) / 4;
+        let a_second = (sim.result.calls_made - before) / 4;
         assert!(a_second > 300, "seed {seed}: {a_second}");
     }
 }
@@ -244,15 +246,15 @@
 /// and parts have ended.
 #[test]
 fn a_limit_that_changes_on_half_of_the_nodes_stays_within_the_larger() {
-    let mut sim = Simulation::new(plan(8, 5), full());
+    let mut sim = Simulation::new(config(8, 5), full());
     run_within(&mut sim, 10 * S);
     let smaller = budget(400, 2, 18);
-    sim.rebudget(0..4, &smaller);
+    sim.update_budget(0..4, &smaller);
     run_within(&mut sim, 4 * S);
-    sim.rebudget(4..8, &smaller);
-    sim.plan.budget = smaller;
+    sim.update_budget(4..8, &smaller);
+    sim.config.budget = smaller;
     sim.run(2 * S);
-    assert!(sim.spendable() <= 400);
+    assert!(sim.usable_units() <= 400);
 }
 
 /// More nodes than the limit has units, and floors that may be none.
@@ -265,41 +267,53 @@
     let mut sim = Simulation::new(
         SimulationConfig {
             budget,
-            ..plan(40, 2)
+            ..config(40, 2)
         },
         Box::new(|_, _| 5.0),
     );
     run_within(&mut sim, 20 * S);
-    assert!(sim.measured.made > 50, "{}", sim.measured.made);
+    assert!(sim.result.calls_made > 50, "{}", sim.result.calls_made);
 }
 
 /// The plain ways go over where a part of the fleet hears nothing, or use little: the record can
 /// tell.
 #[test]
 fn the_record_tells_the_plain_ways_apart() {
-    let play = |way| {
-        let mut sim = Simulation::new(SimulationConfig { way, ..plan(12, 1) }, full());
+    let play = |strategy| {
+        let mut sim = Simulation::new(
+            SimulationConfig {
+                strategy,
+                ..config(12, 1)
+            },
+            full(),
+        );
         sim.run(10 * S);
-        sim.cut(|a, b| a % 3 != b % 3);
+        sim.cut_links(|a, b| a % 3 != b % 3);
         sim.run(15 * S);
-        sim.measured.clone()
+        sim.result.clone()
     };
     let (even, counter, leases) = (
         play(LimitStrategy::EvenByView),
         play(LimitStrategy::Counter),
         play(LimitStrategy::Leases),
     );
-    assert!(even.worst_over > 500.0, "{even:?}");
-    assert!(leases.worst_over <= 0.0 && counter.worst_over <= 0.0);
+    assert!(even.max_over_limit > 500.0, "{even:?}");
+    assert!(leases.max_over_limit <= 0.0 && counter.max_over_limit <= 0.0);
     // Cut off from the counter a node has nothing at all; with leases it has its floor.
-    let cut_off = |way| {
-        let mut sim = Simulation::new(SimulationConfig { way, ..plan(12, 1) }, full());
+    let cut_off = |strategy| {
+        let mut sim = Simulation::new(
+            SimulationConfig {
+                strategy,
+                ..config(12, 1)
+            },
+            full(),
+        );
         sim.run(10 * S);
-        sim.cut(|a, b| a % 3 != b % 3);
+        sim.cut_links(|a, b| a % 3 != b % 3);
         sim.run(3 * S);
-        let before = sim.measured.by_node[1];
+        let before = sim.result.calls_by_node[1];
         sim.run(10 * S);
-        sim.measured.by_node[1] - before
+        sim.result.calls_by_node[1] - before
     };
     let (counter, leases) = (
         cut_off(LimitStrategy::Counter),
@@ -319,35 +333,35 @@
     for seed in 0..6 {
         let mut sim = Simulation::new(
             SimulationConfig {
-                counted: 64,
-                ..plan(9, seed)
+                max_counted_processes: 64,
+                ..config(9, seed)
             },
             Box::new(|_, _| 20.0),
         );
         run_within(&mut sim, 10 * S);
         // Each of three sides has one of the arbiters, 0 to 2.
-        sim.cut(|a, b| a % 3 != b % 3);
+        sim.cut_links(|a, b| a % 3 != b % 3);
         run_within(&mut sim, 20 * S);
         let known: Vec<u64> = (0..3).map(|n| calls(&sim, n)).collect();
         assert!(
-            known.iter().all(|known| *known < sim.measured.made),
+            known.iter().all(|known| *known < sim.result.calls_made),
             "{known:?}"
         );
-        sim.cut(|_, _| false);
+        sim.cut_links(|_, _| false);
         let mut lost = 0;
         for n in [4, 7, 0] {
-            let before = sim.measured.by_node[n];
+            let before = sim.result.calls_by_node[n];
             run_within(&mut sim, 5 * S);
             sim.crash(n);
-            lost += sim.measured.by_node[n] - before; // at most what it made since
+            lost += sim.result.calls_by_node[n] - before; // at most what it made since
             sim.start(n);
         }
         // Two arbiters only for a while, and one that knows nothing is told all by the others.
         run_within(&mut sim, 30 * S);
-        sim.load(Box::new(|_, _| 0.0));
+        sim.set_load(Box::new(|_, _| 0.0));
         run_within(&mut sim, 40 * S);
         let (made, known) = (
-            sim.measured.made,
+            sim.result.calls_made,
             (0..3).map(|n| calls(&sim, n)).collect::<Vec<_>>(),
         );
         assert!(
@@ -359,24 +373,24 @@
             "seed {seed}: {known:?} of {made}, {lost} at risk"
         );
         assert!(
-            (0..9).all(|n| sim.calls_told(n) == Some(known[0])),
+            (0..9).all(|n| sim.reported_calls(n) == Some(known[0])),
             "seed {seed}: all are told the sums"
         );
         // Long after, the processes that are gone are one sum.
         run_within(&mut sim, 700 * S);
-        sim.tidy();
+        sim.retire_processes();
         assert_eq!(
-            (calls(&sim, 1), sim.counts(1).unwrap().gone()),
+            (calls(&sim, 1), sim.cluster_counters(1).unwrap().retired()),
             (known[0], 3)
         );
     }
 }
 
 fn calls(sim: &Simulation, n: usize) -> u64 {
-    use madderpoint_shared_state::counters::{OWN, own};
-    sim.counts(n)
+    use madderpoint_shared_state::counters::{PROCESS_ROW, process_column};
+    sim.cluster_counters(n)
         .unwrap()
         .total()
-        .get(&OWN)
-        .map_or(0, |row| row[own::CALLS])
+        .get(&PROCESS_ROW)
+        .map_or(0, |row| row[process_column::CALLS])
 }
--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -6,18 +6,20 @@
 use madderpoint_shared_state::counters::heavy_hitters::HeavyHitters;
 use madderpoint_shared_state::counters::{self, CounterReport, CounterRows};
 use madderpoint_shared_state::keyed_quota::{KeyGrant, KeyRequest, QuotaGrant, QuotaRequest};
-use madderpoint_shared_state::messages::{self, ClusterTotals, KnownCounters, ReceivedMessage};
-use madderpoint_shared_state::{BudgetRequest, HealthReport, Lease, Message, ProcessId};
+use madderpoint_shared_state::messages::{self, ClusterTotals, KnownCounters, SharedMessage};
+use madderpoint_shared_state::{
+    BudgetMessage, BudgetRequest, HealthReport, Lease, LeaseId, ProcessId,
+};
 use std::collections::BTreeMap;
 
 const RECORDED: &str = include_str!("golden/parcels.hex");
 const SOMEONE: ProcessId = ProcessId {
     key: 0x0102_0304_0506_0708,
-    life: 0x1112_1314_1516_1718,
+    incarnation: 0x1112_1314_1516_1718,
 };
 const OTHER: ProcessId = ProcessId {
     key: 0x2122_2324_2526_2728,
-    life: 0x3132_3334_3536_3738,
+    incarnation: 0x3132_3334_3536_3738,
 };
 
 fn hex(bytes: &[u8]) -> String {
@@ -32,100 +34,105 @@
 }
 
 /// A message's name; a kind that is new needs one here and an example below.
-fn name(told: &ReceivedMessage) -> &'static str {
-    match told {
-        ReceivedMessage::Budgets(Message::BudgetRequest { .. }) => "want",
-        ReceivedMessage::Budgets(Message::CounterReport { .. }) => "word",
-        ReceivedMessage::Budgets(Message::GiveBack { .. }) => "give-back",
-        ReceivedMessage::Budgets(Message::Ask { .. }) => "ask",
-        ReceivedMessage::Budgets(Message::Lend { .. }) => "lend",
-        ReceivedMessage::Budgets(Message::Elsewhere { .. }) => "elsewhere",
-        ReceivedMessage::Budgets(Message::Leave) => "leave",
-        ReceivedMessage::Budgets(Message::AskKeys(_)) => "ask-keys",
-        ReceivedMessage::Budgets(Message::LendKeys(_)) => "lend-keys",
-        ReceivedMessage::HealthReport(_) => "evidence",
-        ReceivedMessage::ClusterCounters(_) => "counts",
-        ReceivedMessage::KnownCounters(_) => "have",
-        ReceivedMessage::AskSums => "ask-sums",
-        ReceivedMessage::ClusterTotals(_) => "sums",
+fn name(message: &SharedMessage) -> &'static str {
+    match message {
+        SharedMessage::Budgets(BudgetMessage::VoteRequest { .. }) => "want",
+        SharedMessage::Budgets(BudgetMessage::Vote { .. }) => "word",
+        SharedMessage::Budgets(BudgetMessage::VoteRelease { .. }) => "give-back",
+        SharedMessage::Budgets(BudgetMessage::LeaseRequest { .. }) => "ask",
+        SharedMessage::Budgets(BudgetMessage::LeaseGrant { .. }) => "lend",
+        SharedMessage::Budgets(BudgetMessage::Redirect { .. }) => "elsewhere",
+        SharedMessage::Budgets(BudgetMessage::Leave) => "leave",
+        SharedMessage::Budgets(BudgetMessage::QuotaRequest(_)) => "ask-keys",
+        SharedMessage::Budgets(BudgetMessage::QuotaGrant(_)) => "lend-keys",
+        SharedMessage::HealthReports(_) => "evidence",
+        SharedMessage::CounterReport(_) => "counts",
+        SharedMessage::KnownCounters(_) => "have",
+        SharedMessage::TotalsRequest => "ask-sums",
+        SharedMessage::ClusterTotals(_) => "sums",
     }
 }
 
-fn budgets() -> Vec<Message> {
+fn budgets() -> Vec<BudgetMessage> {
     let want = |n: u32| BudgetRequest {
         budget: 100 + n,
-        holds: (200 + u64::from(n), 300),
+        held: LeaseId {
+            lender: 200 + u64::from(n),
+            number: 300,
+        },
         units: 400 + n,
         value: 1.5 * f64::from(n),
     };
     let part = |n: u32| {
         let part = Lease {
-            book: 1 << 50,
-            no: 51,
+            id: LeaseId {
+                lender: 1 << 50,
+                number: 51,
+            },
             units: 52,
-            term: 5_300_000_000,
-            wanted: 54,
+            duration: 5_300_000_000,
+            total_demand: 54,
             borrowers: 55,
             pool: n,
         };
         (500 + n, part)
     };
     vec![
-        Message::BudgetRequest { no: 11 },
-        Message::CounterReport {
-            no: 12,
-            given: true,
+        BudgetMessage::VoteRequest { round: 11 },
+        BudgetMessage::Vote {
+            round: 12,
+            is_granted: true,
             holder: Some(SOMEONE),
-            left: 1_300_000_000,
+            bound_for: 1_300_000_000,
         },
-        Message::CounterReport {
-            no: 14,
-            given: false,
+        BudgetMessage::Vote {
+            round: 14,
+            is_granted: false,
             holder: None,
-            left: 15,
+            bound_for: 15,
         },
-        Message::GiveBack { no: 16 },
-        Message::Ask {
-            stamp: 17_000_000_000,
+        BudgetMessage::VoteRelease { round: 16 },
+        BudgetMessage::LeaseRequest {
+            sent_at: 17_000_000_000,
             zone: 18,
-            wants: vec![want(1), want(2)],
+            requests: vec![want(1), want(2)],
         },
-        Message::Lend {
-            stamp: 19_000_000_000,
-            parts: vec![part(56), part(57)],
+        BudgetMessage::LeaseGrant {
+            request_sent_at: 19_000_000_000,
+            leases: vec![part(56), part(57)],
         },
-        Message::Elsewhere {
-            lender: Some(OTHER),
+        BudgetMessage::Redirect {
+            leader: Some(OTHER),
         },
-        Message::Elsewhere { lender: None },
-        Message::Leave,
+        BudgetMessage::Redirect { leader: None },
+        BudgetMessage::Leave,
     ]
 }
 
-fn keyed() -> Vec<Message> {
+fn keyed() -> Vec<BudgetMessage> {
     let ask = |n: u32| KeyRequest {
-        budget: 1 << 30 | n,
+        quota: 1 << 30 | n,
         key: 1 << 60 | 61,
-        left: 62,
-        back: 63 + n,
-        wants: 70,
+        kept: 62,
+        released: 63 + n,
+        wanted: 70,
     };
     let lent = |n: u32| KeyGrant {
-        budget: 1 << 29 | n,
+        quota: 1 << 29 | n,
         key: 1 << 59 | 71,
-        adds: 72 + n,
-        wait: 250_000_000,
+        added: 72 + n,
+        retry_after: 250_000_000,
     };
     vec![
-        Message::AskKeys(QuotaRequest {
-            no: 81,
-            stamp: 82_000_000_000,
+        BudgetMessage::QuotaRequest(QuotaRequest {
+            number: 81,
+            sent_at: 82_000_000_000,
             keys: vec![ask(1), ask(2)],
         }),
-        Message::LendKeys(QuotaGrant {
-            no: 83,
-            stamp: 84_000_000_000,
-            life: 85_000_000_000,
+        BudgetMessage::QuotaGrant(QuotaGrant {
+            number: 83,
+            request_sent_at: 84_000_000_000,
+            lease_duration: 85_000_000_000,
             keys: vec![lent(1), lent(2)],
         }),
     ]
@@ -134,17 +141,18 @@
 fn rows(first: u64) -> CounterRows {
     let row = |first: u64| std::array::from_fn(|at| first + at as u64);
     CounterRows::from([
-        (counters::OWN, row(first)),
+        (counters::PROCESS_ROW, row(first)),
         (0xa1a2_a3a4, row(1 << 40 | first)),
     ])
 }
 
 fn window(first: u64, gauges: [u64; 2]) -> counters::CounterWindow {
     let latency = BTreeMap::from([(0xa1a2_a3a4, vec![(31, 32), (400, 33), (90_000, 34)])]);
-    let heavy = |total| HeavyHitters::of(total, [(1 << 61 | total, 41), (43, 42)].into_iter());
+    let heavy =
+        |total| HeavyHitters::from_parts(total, [(1 << 61 | total, 41), (43, 42)].into_iter());
     let heavy = BTreeMap::from([
         (counters::heavy_kind::REPEATERS, heavy(90)),
-        (counters::heavy_kind::OVER_LIMIT, heavy(91)),
+        (counters::heavy_kind::OVER_QUOTA, heavy(91)),
     ]);
     counters::CounterWindow {
         rows: rows(first),
@@ -154,47 +162,47 @@
     }
 }
 
-fn all() -> Vec<ReceivedMessage> {
+fn all() -> Vec<SharedMessage> {
     let windows = BTreeMap::from([
         (180_000_001, window(120, [12_001, 41])),
         (180_000_002, window(140, [12_002, 42])),
     ]);
     let word = CounterReport {
-        who: SOMEONE,
-        label: 1 << 62 | 91,
+        process: SOMEONE,
+        version: 1 << 62 | 91,
         total: rows(160),
         windows,
     };
     let sums = ClusterTotals {
         processes: 92,
-        gone: 93,
+        retired: 93,
         total: rows(180),
-        minute: window(200, [0; 2]), // gauges are not told
-        until_ms: 1_800_000_000_094,
+        last_minute: window(200, [0; 2]), // gauges are not told
+        minute_end_unix_ms: 1_800_000_000_094,
     };
-    let evidence = |n: u32| HealthReport {
+    let report = |n: u32| HealthReport {
         zone: 100 + n,
-        tries: 200 + n,
+        calls: 200 + n,
         failed: 30 + n,
-        level: 0.25,
+        admitted_share: 0.25,
     };
-    let mut all: Vec<ReceivedMessage> = budgets()
+    let mut all: Vec<SharedMessage> = budgets()
         .into_iter()
         .chain(keyed())
-        .map(ReceivedMessage::Budgets)
+        .map(SharedMessage::Budgets)
         .collect();
-    all.push(ReceivedMessage::HealthReport(vec![
-        (1 << 58 | 95, evidence(1)),
-        (96, evidence(2)),
+    all.push(SharedMessage::HealthReports(vec![
+        (1 << 58 | 95, report(1)),
+        (96, report(2)),
     ]));
-    all.push(ReceivedMessage::ClusterCounters(Box::new(word)));
-    all.push(ReceivedMessage::KnownCounters(KnownCounters {
-        from: 97,
-        to: u64::MAX,
-        marks: vec![(SOMEONE, 98), (OTHER, 1 << 41)],
+    all.push(SharedMessage::CounterReport(Box::new(word)));
+    all.push(SharedMessage::KnownCounters(KnownCounters {
+        first_key: 97,
+        last_key: u64::MAX,
+        progress: vec![(SOMEONE, 98), (OTHER, 1 << 41)],
     }));
-    all.push(ReceivedMessage::AskSums);
-    all.push(ReceivedMessage::ClusterTotals(Box::new(sums)));
+    all.push(SharedMessage::TotalsRequest);
+    all.push(SharedMessage::ClusterTotals(Box::new(sums)));
     all
 }
 
@@ -202,7 +210,7 @@
 fn each_message_encodes_to_the_recorded_bytes() {
     let lines: Vec<String> = all()
         .iter()
-        .map(|told| format!("{} {}", name(told), hex(&messages::write(told))))
+        .map(|message| format!("{} {}", name(message), hex(&messages::encode(message))))
         .collect();
     let is_recorded = RECORDED.lines().eq(lines.iter().map(String::as_str));
     assert!(
@@ -216,10 +224,10 @@
 fn the_recorded_bytes_are_read_as_each_message() {
     let (recorded, all): (Vec<&str>, _) = (RECORDED.lines().collect(), all());
     assert_eq!(recorded.len(), all.len());
-    for (line, told) in recorded.iter().zip(all) {
+    for (line, message) in recorded.iter().zip(all) {
         let (recorded_name, bytes) = line.split_once(' ').unwrap();
-        let read = messages::read(&unhex(bytes)).unwrap();
-        assert_eq!((recorded_name, &read), (name(&told), &told));
-        assert_eq!(hex(&messages::write(&read)), bytes, "{recorded_name}");
+        let read = messages::decode(&unhex(bytes)).unwrap();
+        assert_eq!((recorded_name, &read), (name(&message), &message));
+        assert_eq!(hex(&messages::encode(&read)), bytes, "{recorded_name}");
     }
 }
--- a/crates/shared-state/tests/keys.rs
+++ b/crates/shared-state/tests/keys.rs
@@ -1,15 +1,16 @@
 //! The hard cases of limits by key that a fleet shares, over simulated time: no key is ever over
 //! its limit, and what is there is used.
 
+use madderpoint_shared_state::keyed_quota::lender::QuotaLenderSize;
 use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaKind};
 use madderpoint_shared_state::simulation::{LimitStrategy, Load, Simulation, SimulationConfig};
-use madderpoint_shared_state::{Budget, Kind, Nanos};
+use madderpoint_shared_state::{Budget, BudgetKind, Nanos};
 use rand::RngExt;
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1000 * MS;
 
-fn rate(count: u32, burst: u32, floor: u32, nodes_most: u32) -> KeyedQuota {
+fn rate(count: u32, burst: u32, floor: u32, max_nodes: u32) -> KeyedQuota {
     KeyedQuota {
         name: "by-site".into(),
         kind: QuotaKind::Rate {
@@ -18,33 +19,33 @@
             burst,
         },
         floor,
-        nodes_most,
+        max_nodes,
     }
 }
 
-fn plan(nodes: usize, seed: u64, keys: KeyedQuota) -> SimulationConfig {
-    let kind = Kind::Rate { burst: 50 * MS };
-    let nodes_most = nodes as u32 + 10;
+fn config(nodes: usize, seed: u64, keys: KeyedQuota) -> SimulationConfig {
+    let kind = BudgetKind::Rate { burst: 50 * MS };
+    let max_nodes = nodes as u32 + 10;
     SimulationConfig {
         nodes,
         zones: 3,
-        way: LimitStrategy::Leases,
+        strategy: LimitStrategy::Leases,
         budget: Budget {
             name: "below".into(),
             limit: 1000,
             floor: 2,
-            nodes_most,
+            max_nodes,
             kind,
-            repeats_only: false,
+            retries_only: false,
         },
         loss: 0.02,
         latency: (MS / 2, 5 * MS),
-        drift: 0.005,
-        sight: 5 * S,
+        clock_drift: 0.005,
+        view_delay: 5 * S,
         seed,
-        keys: Some(keys),
-        key_bytes: 1 << 20,
-        counted: 0,
+        quota: Some(keys),
+        quota_bytes: 1 << 20,
+        max_counted_processes: 0,
     }
 }
 
@@ -70,25 +71,25 @@
 }
 
 fn sim(nodes: usize, seed: u64, keys: KeyedQuota) -> Simulation {
-    Simulation::new(plan(nodes, seed, keys), none())
+    Simulation::new(config(nodes, seed, keys), none())
 }
 
 fn run(sim: &mut Simulation, time: Nanos) {
     sim.run(time);
     assert!(
-        sim.measured.keys_over <= 0.0,
+        sim.result.max_key_over_limit <= 0.0,
         "seed {}: over by {}",
-        sim.plan.seed,
-        sim.measured.keys_over
+        sim.config.seed,
+        sim.result.max_key_over_limit
     );
-    assert!(sim.lenders_most <= 1);
+    assert!(sim.max_leaders <= 1);
 }
 
 /// Let through a second and key, of what was wanted.
 fn made(sim: &mut Simulation, seconds: u64, keys: u64) -> f64 {
-    let before = sim.measured.keys_made;
+    let before = sim.result.keys_admitted;
     run(sim, seconds * S);
-    (sim.measured.keys_made - before) as f64 / seconds as f64 / keys as f64
+    (sim.result.keys_admitted - before) as f64 / seconds as f64 / keys as f64
 }
 
 #[test]
@@ -96,17 +97,17 @@
     for seed in 0..3 {
         // Well under: 3 a second of 20, over ten nodes.
         let mut under = sim(10, seed, rate(20, 40, 1, 12));
-        under.key_load(Box::new(even(10, 30, 3.0)));
+        under.set_key_load(Box::new(even(10, 30, 3.0)));
         run(&mut under, 20 * S);
-        let refused = under.measured.keys_refused;
+        let refused = under.result.keys_refused;
         let passed = made(&mut under, 20, 30);
         assert!(
-            passed > 2.8 && under.measured.keys_refused - refused < 20,
+            passed > 2.8 && under.result.keys_refused - refused < 20,
             "seed {seed}: {passed}"
         );
         // Far over, even.
         let mut over = sim(10, seed, rate(20, 40, 1, 12));
-        over.key_load(Box::new(even(10, 5, 60.0)));
+        over.set_key_load(Box::new(even(10, 5, 60.0)));
         run(&mut over, 20 * S);
         let passed = made(&mut over, 20, 5);
         assert!(
@@ -114,14 +115,14 @@
             "seed {seed}: {passed} of 20 a second, even"
         );
         // All of it at one node, then at another one.
-        over.key_load(Box::new(|_, rng| vec![(3, rng.random_range(0..5))]));
+        over.set_key_load(Box::new(|_, rng| vec![(3, rng.random_range(0..5))]));
         run(&mut over, 4 * S);
         let passed = made(&mut over, 10, 5);
         assert!(
             passed > 17.0,
             "seed {seed}: {passed} of 20 a second at one node"
         );
-        over.key_load(Box::new(|_, rng| vec![(8, rng.random_range(0..5))]));
+        over.set_key_load(Box::new(|_, rng| vec![(8, rng.random_range(0..5))]));
         run(&mut over, 2 * S);
         let passed = made(&mut over, 10, 5);
         assert!(
@@ -132,7 +133,7 @@
 }
 
 fn all_cold(sim: &mut Simulation) {
-    for n in 0..sim.plan.nodes {
+    for n in 0..sim.config.nodes {
         sim.crash(n);
         sim.start(n);
     }
@@ -144,9 +145,9 @@
         let floor = (seed % 2) as u32;
         let loss = [0.0, 0.05, 0.3][seed as usize % 3];
         let kind = match seed % 4 {
-            3 => QuotaKind::InHand {
+            3 => QuotaKind::InFlight {
                 limit: 20,
-                longest: 800 * MS,
+                max_hold: 800 * MS,
             },
             _ => QuotaKind::Rate {
                 count: 20,
@@ -161,33 +162,33 @@
         let mut sim = Simulation::new(
             SimulationConfig {
                 loss,
-                ..plan(9, seed, keys)
+                ..config(9, seed, keys)
             },
             none(),
         );
-        sim.key_load(Box::new(even(9, 4, 100.0)));
+        sim.set_key_load(Box::new(even(9, 4, 100.0)));
         run(&mut sim, 12 * S);
         for step in 0..14u64 {
             let n = ((seed * 5 + step * 7) % 9) as usize;
             match (seed + step) % 6 {
-                0 => sim.pause(n, (1 + step % 6) * S),
+                0 => sim.suspend(n, (1 + step % 6) * S),
                 1 => sim.crash(n),
                 2 => {
                     sim.crash(n);
                     sim.start(n);
                 }
-                3 => sim.cut(move |a, b| (a % 3) != (b % 3)),
-                4 => sim.cut(move |a, b| {
+                3 => sim.cut_links(move |a, b| (a % 3) != (b % 3)),
+                4 => sim.cut_links(move |a, b| {
                     a < 3 && b >= 3 && n.is_multiple_of(2) || a >= 3 && b < 3 && n % 2 == 1
                 }),
                 _ => {
-                    sim.cut(|_, _| false);
+                    sim.cut_links(|_, _| false);
                     all_cold(&mut sim);
                 }
             }
             run(&mut sim, (400 + 370 * (step % 7)) * MS);
         }
-        sim.cut(|_, _| false);
+        sim.cut_links(|_, _| false);
         all_cold(&mut sim);
         run(&mut sim, 16 * S);
         let passed = made(&mut sim, 10, 4);
@@ -203,14 +204,14 @@
 fn a_deaf_node_has_its_floor() {
     for (floor, least, most) in [(2u32, 8, 12), (0, 0, 0)] {
         let mut sim = sim(6, 1, rate(160, 400, floor, 10));
-        sim.key_load(Box::new(|_, _| vec![(5, 1)]));
+        sim.set_key_load(Box::new(|_, _| vec![(5, 1)]));
         run(&mut sim, 20 * S);
-        sim.cut(|a, b| (a == 5) != (b == 5));
+        sim.cut_links(|a, b| (a == 5) != (b == 5));
         run(&mut sim, 5 * S);
-        let before = sim.measured.keys_by_node[5];
+        let before = sim.result.keys_by_node[5];
         run(&mut sim, 8 * S);
         // A sixteenth of 160 a second, among ten: one a second.
-        let passed = sim.measured.keys_by_node[5] - before;
+        let passed = sim.result.keys_by_node[5] - before;
         assert!(
             (least..=most).contains(&passed),
             "{passed} in 8 s with a floor of {floor}"
@@ -223,7 +224,7 @@
 #[test]
 fn another_one_lends_after_the_death_of_the_first() {
     let mut sim = sim(9, 2, rate(20, 30, 1, 12));
-    sim.key_load(Box::new(even(9, 4, 60.0)));
+    sim.set_key_load(Box::new(even(9, 4, 60.0)));
     run(&mut sim, 15 * S);
     (0..2).for_each(|n| sim.crash(n));
     run(&mut sim, 2 * S);
@@ -239,22 +240,26 @@
 fn a_hundred_thousand_keys_in_bounded_memory() {
     let mut sim = sim(5, 3, rate(5, 20, 1, 8));
     let mut next = 0u64;
-    sim.key_load(Box::new(move |_, rng| {
+    sim.set_key_load(Box::new(move |_, rng| {
         next += 10;
         (0..10)
             .map(|n| (rng.random_range(0..5), (next + n) % 100_000))
             .collect()
     }));
     run(&mut sim, 40 * S); // until floors, of one in 26 s, are there
-    let (wanted, made) = (sim.measured.keys_wanted, sim.measured.keys_made);
+    let (wanted, made) = (sim.result.keys_wanted, sim.result.keys_admitted);
     run(&mut sim, 20 * S);
     let passed =
-        (sim.measured.keys_made - made) as f64 / (sim.measured.keys_wanted - wanted) as f64;
-    let (wallets, books) = sim.key_figures();
-    let (keys, pockets, refused) = books.unwrap();
+        (sim.result.keys_admitted - made) as f64 / (sim.result.keys_wanted - wanted) as f64;
+    let (tracked, lender) = sim.key_sizes();
+    let QuotaLenderSize {
+        keys,
+        leases,
+        refused,
+    } = lender.unwrap();
     assert!(
-        wallets <= 5 * 5000 && keys <= 2980 && pockets <= 13_200,
-        "{wallets} {keys} {pockets} {refused}"
+        tracked <= 5 * 5000 && keys <= 2980 && leases <= 13_200,
+        "{tracked} {keys} {leases} {refused}"
     );
     assert!(refused > 0 && passed > 0.9, "{refused} {passed}");
 }
@@ -263,11 +268,11 @@
 #[test]
 fn a_limit_that_changes_on_half_of_the_nodes() {
     let mut sim = sim(8, 4, rate(40, 80, 1, 10));
-    sim.key_load(Box::new(even(8, 3, 100.0)));
+    sim.set_key_load(Box::new(even(8, 3, 100.0)));
     run(&mut sim, 15 * S);
-    sim.rebudget_keys(4..8, &rate(10, 80, 1, 10));
+    sim.update_quota(4..8, &rate(10, 80, 1, 10));
     run(&mut sim, 5 * S);
-    sim.rebudget_keys(0..4, &rate(10, 80, 1, 10));
+    sim.update_quota(0..4, &rate(10, 80, 1, 10));
     run(&mut sim, 5 * S);
     let passed = made(&mut sim, 10, 3);
     assert!((8.0..=10.0).contains(&passed), "{passed}");
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -5,7 +5,9 @@
 
 use madderpoint_shared_state::budget::lender::BudgetLender;
 use madderpoint_shared_state::leader_lease::{Candidate, Voter};
-use madderpoint_shared_state::{Budget, BudgetBorrower, Demand, Kind, Lease, ProcessId};
+use madderpoint_shared_state::{
+    Budget, BudgetBorrower, BudgetKind, Demand, Lease, LeaseId, ProcessId,
+};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -13,58 +15,56 @@
 const NODES: usize = 3;
 const UNITS: u32 = 2;
 /// Ticks that a word and a part hold.
-const TERM: u64 = 7;
-const PART: u64 = 2;
+const LEADER_LEASE: u64 = 7;
+const LEASE_DURATION: u64 = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Sent {
-    BudgetRequest {
+    VoteRequest {
         from: ProcessId,
         to: usize,
-        no: u64,
+        round: u64,
     },
-    CounterReport {
+    Vote {
         to: ProcessId,
         by: usize,
-        no: u64,
+        round: u64,
     },
-    GiveBack {
+    VoteRelease {
         from: ProcessId,
         to: usize,
-        no: u64,
+        round: u64,
     },
-    Ask {
+    LeaseRequest {
         from: ProcessId,
         to: usize,
         at: u64,
-        book: u64,
-        holds: u64,
+        held: LeaseId,
     },
-    Lend {
+    LeaseGrant {
         to: ProcessId,
         at: u64,
-        book: u64,
-        no: u64,
+        id: LeaseId,
         units: u32,
     },
 }
 
 #[derive(Clone, Debug)]
 struct Node {
-    who: ProcessId,
-    arbiter: Voter,
+    process: ProcessId,
+    voter: Voter,
     candidate: Candidate,
-    books: Option<BudgetLender>,
-    purse: BudgetBorrower,
+    lender: Option<BudgetLender>,
+    borrower: BudgetBorrower,
 }
 
 #[derive(Clone, Debug)]
 struct State {
     now: u64,
     nodes: Vec<Node>,
-    under_way: BTreeSet<Sent>,
+    in_flight: BTreeSet<Sent>,
     crashes: usize,
-    lent: usize,
+    grants: usize,
 }
 
 impl PartialEq for State {
@@ -82,16 +82,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
     Tick(u64),
-    Begin(usize),
-    GivesBack(usize),
-    Asks(usize, usize),
+    BeginsRound(usize),
+    ReleasesVotes(usize),
+    RequestsLease(usize, usize),
     Arrives(Sent, bool),
     CrashAndReturn(usize),
 }
 
-struct Small {
+struct LeaseModel {
     crashes: usize,
-    under_way: usize,
+    in_flight: usize,
     ticks: u64,
 }
 
@@ -100,187 +100,177 @@
         name: "b".into(),
         limit: UNITS,
         floor: 0,
-        nodes_most: 1,
-        kind: Kind::InHand { longest: 0 },
-        repeats_only: false,
+        max_nodes: 1,
+        kind: BudgetKind::InFlight { max_call_time: 0 },
+        retries_only: false,
     }
 }
 
-fn books(now: u64, id: u64) -> BudgetLender {
-    BudgetLender::new(now, id, UNITS, PART, 0, 8)
+fn lender(now: u64, id: u64) -> BudgetLender {
+    BudgetLender::new(now, id, UNITS, LEASE_DURATION, 0, 8)
 }
 
-fn purse(now: u64) -> BudgetBorrower {
+fn borrower(now: u64) -> BudgetBorrower {
     BudgetBorrower::new(now, budget())
 }
 
-impl Small {
+impl LeaseModel {
     /// Node 0 lends already: all gave it their word just now, and its books are open.
-    fn begun() -> State {
+    fn initial() -> State {
         let now = 100;
         let nodes = (0..NODES)
             .map(|n| {
-                let who = ProcessId {
+                let process = ProcessId {
                     key: n as u64,
-                    life: n as u64 + 1,
+                    incarnation: n as u64 + 1,
                 };
-                let mut arbiter = Voter::new(0, TERM);
-                let lender = ProcessId { key: 0, life: 1 };
-                arbiter.ask(now, lender, 1).unwrap();
-                let mut candidate = Candidate::new(NODES, TERM);
+                let mut voter = Voter::new(0, LEADER_LEASE);
+                let leader = ProcessId {
+                    key: 0,
+                    incarnation: 1,
+                };
+                voter.request(now, leader, 1).unwrap();
+                let mut candidate = Candidate::new(NODES, LEADER_LEASE);
                 if n == 0 {
-                    let no = candidate.begin(now);
+                    let round = candidate.begin_round(now);
                     for a in 0..NODES {
-                        let _ = candidate.given(no, a);
+                        let _ = candidate.receive_vote(round, a);
                     }
                 }
                 Node {
-                    who,
-                    arbiter,
+                    process,
+                    voter,
                     candidate,
-                    books: (n == 0).then(|| books(0, 1)),
-                    purse: purse(now),
+                    lender: (n == 0).then(|| lender(0, 1)),
+                    borrower: borrower(now),
                 }
             })
             .collect();
         State {
             now,
             nodes,
-            under_way: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             crashes: 0,
-            lent: 0,
+            grants: 0,
         }
     }
 }
 
 impl State {
     fn send(&mut self, sent: Sent) {
-        self.under_way.insert(sent);
+        self.in_flight.insert(sent);
     }
 
-    fn lends(&self, n: usize) -> bool {
-        self.nodes[n].books.is_some() && self.now < self.nodes[n].candidate.until()
+    fn is_leader(&self, n: usize) -> bool {
+        self.nodes[n].lender.is_some() && self.now < self.nodes[n].candidate.leader_until()
     }
 
-    fn word(&mut self, n: usize, by: usize, no: u64) {
+    fn receive_vote(&mut self, n: usize, by: usize, round: u64) {
         let now = self.now;
         let node = &mut self.nodes[n];
-        if node.candidate.given(no, by) && (node.books.is_none() || now >= node.candidate.until()) {
-            node.books = Some(books(now, now * 10 + n as u64));
+        if node.candidate.receive_vote(round, by)
+            && (node.lender.is_none() || now >= node.candidate.leader_until())
+        {
+            node.lender = Some(lender(now, now * 10 + n as u64));
         }
     }
 
     fn arrives(&mut self, sent: Sent) {
         let now = self.now;
         match sent {
-            Sent::BudgetRequest { from, to, no } => {
-                if self.nodes[to].arbiter.ask(now, from, no).is_ok() {
-                    self.send(Sent::CounterReport {
+            Sent::VoteRequest { from, to, round } => {
+                if self.nodes[to].voter.request(now, from, round).is_ok() {
+                    self.send(Sent::Vote {
                         to: from,
                         by: to,
-                        no,
+                        round,
                     });
                 }
             }
-            Sent::CounterReport { to, by, no } => {
-                if let Some(n) = self.nodes.iter().position(|node| node.who == to) {
-                    self.word(n, by, no);
+            Sent::Vote { to, by, round } => {
+                if let Some(n) = self.nodes.iter().position(|node| node.process == to) {
+                    self.receive_vote(n, by, round);
                 }
             }
-            Sent::GiveBack { from, to, no } => self.nodes[to].arbiter.give_back(from, no),
-            Sent::Ask {
-                from,
-                to,
-                at,
-                book,
-                holds,
-            } => {
-                if !self.lends(to) {
+            Sent::VoteRelease { from, to, round } => self.nodes[to].voter.release(from, round),
+            Sent::LeaseRequest { from, to, at, held } => {
+                if !self.is_leader(to) {
                     return;
                 }
-                let until = self.nodes[to].candidate.until();
+                let until = self.nodes[to].candidate.leader_until();
                 let demand = Demand {
                     zone: 0,
-                    wants: UNITS,
+                    units: UNITS,
                     value: 1.0,
                 };
-                let Some(books) = &mut self.nodes[to].books else {
+                let Some(lender) = &mut self.nodes[to].lender else {
                     return;
                 };
-                if let Some(Lease {
-                    book, no, units, ..
-                }) = books.ask(now, from, (book, holds), demand, until)
+                if let Some(Lease { id, units, .. }) =
+                    lender.request(now, from, held, demand, until)
                 {
-                    self.send(Sent::Lend {
+                    self.send(Sent::LeaseGrant {
                         to: from,
                         at,
-                        book,
-                        no,
+                        id,
                         units,
                     });
                 }
             }
-            Sent::Lend {
-                to,
-                at,
-                book,
-                no,
-                units,
-            } => {
-                if let Some(node) = self.nodes.iter_mut().find(|node| node.who == to) {
-                    node.purse.lend(
+            Sent::LeaseGrant { to, at, id, units } => {
+                if let Some(node) = self.nodes.iter_mut().find(|node| node.process == to) {
+                    node.borrower.receive_lease(
                         now,
                         at,
                         Lease {
-                            book,
-                            no,
+                            id,
                             units,
-                            term: PART,
+                            duration: LEASE_DURATION,
                             ..Lease::default()
                         },
                     );
-                    self.lent += usize::from(units > 0);
+                    self.grants += usize::from(units > 0);
                 }
             }
         }
     }
 
-    fn spendable(&self) -> u32 {
+    fn usable_units(&self) -> u32 {
         self.nodes
             .iter()
-            .map(|node| node.purse.units(self.now))
+            .map(|node| node.borrower.units(self.now))
             .sum()
     }
 }
 
-impl Model for Small {
+impl Model for LeaseModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        vec![Small::begun()]
+        vec![LeaseModel::initial()]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         actions.extend([Action::Tick(1), Action::Tick(4)]);
         for n in 0..NODES {
             // Two of three want to lend; all borrow.
-            if n < 2 && !state.lends(n) {
-                actions.push(Action::Begin(n));
-                if state.nodes[n].candidate.no > 0 {
-                    actions.push(Action::GivesBack(n));
+            if n < 2 && !state.is_leader(n) {
+                actions.push(Action::BeginsRound(n));
+                if state.nodes[n].candidate.round > 0 {
+                    actions.push(Action::ReleasesVotes(n));
                 }
             }
             actions.extend(
                 (0..2)
-                    .filter(|to| state.lends(*to))
-                    .map(|to| Action::Asks(n, to)),
+                    .filter(|to| state.is_leader(*to))
+                    .map(|to| Action::RequestsLease(n, to)),
             );
             if n < 2 {
                 actions.push(Action::CrashAndReturn(n));
             }
         }
-        for sent in &state.under_way {
+        for sent in &state.in_flight {
             actions.push(Action::Arrives(*sent, false));
             actions.push(Action::Arrives(*sent, true)); // and stays, to arrive again
         }
@@ -291,32 +281,34 @@
         let now = state.now;
         match action {
             Action::Tick(ticks) => state.now += ticks,
-            Action::Begin(n) => {
-                let (no, from) = (state.nodes[n].candidate.begin(now), state.nodes[n].who);
-                if state.nodes[n].arbiter.ask(now, from, no).is_ok() {
-                    state.word(n, n, no);
+            Action::BeginsRound(n) => {
+                let (round, from) = (
+                    state.nodes[n].candidate.begin_round(now),
+                    state.nodes[n].process,
+                );
+                if state.nodes[n].voter.request(now, from, round).is_ok() {
+                    state.receive_vote(n, n, round);
                 }
                 let other = 2; // the third one has the word that decides
-                state.send(Sent::BudgetRequest {
+                state.send(Sent::VoteRequest {
                     from,
                     to: other,
-                    no,
+                    round,
                 });
             }
-            Action::GivesBack(n) => {
-                let (no, from) = (state.nodes[n].candidate.no, state.nodes[n].who);
+            Action::ReleasesVotes(n) => {
+                let (round, from) = (state.nodes[n].candidate.round, state.nodes[n].process);
                 state.nodes[n].candidate.resign();
-                state.nodes[n].arbiter.give_back(from, no);
-                state.send(Sent::GiveBack { from, to: 2, no });
+                state.nodes[n].voter.release(from, round);
+                state.send(Sent::VoteRelease { from, to: 2, round });
             }
-            Action::Asks(n, to) => {
-                let ((book, holds), from) = (state.nodes[n].purse.holds(), state.nodes[n].who);
-                let ask = Sent::Ask {
+            Action::RequestsLease(n, to) => {
+                let (held, from) = (state.nodes[n].borrower.held_lease(), state.nodes[n].process);
+                let ask = Sent::LeaseRequest {
                     from,
                     to,
                     at: now,
-                    book,
-                    holds,
+                    held,
                 };
                 if n == to {
                     state.arrives(ask)
@@ -326,47 +318,52 @@
             }
             Action::Arrives(sent, stays) => {
                 if !stays {
-                    state.under_way.remove(&sent);
+                    state.in_flight.remove(&sent);
                 }
                 state.arrives(sent);
             }
             Action::CrashAndReturn(n) => {
                 state.crashes += 1;
-                let who = ProcessId {
+                let process = ProcessId {
                     key: n as u64,
-                    life: 100 + now * 10 + n as u64,
+                    incarnation: 100 + now * 10 + n as u64,
                 };
-                let (arbiter, candidate) = (Voter::new(now, TERM), Candidate::new(NODES, TERM));
+                let (voter, candidate) = (
+                    Voter::new(now, LEADER_LEASE),
+                    Candidate::new(NODES, LEADER_LEASE),
+                );
                 state.nodes[n] = Node {
-                    who,
-                    arbiter,
+                    process,
+                    voter,
                     candidate,
-                    books: None,
-                    purse: purse(now),
+                    lender: None,
+                    borrower: borrower(now),
                 };
             }
         }
         (state != *last).then_some(state)
     }
 
-    fn properties(&self) -> Vec<Property<Small>> {
+    fn properties(&self) -> Vec<Property<LeaseModel>> {
         vec![
             Property::always(
                 "what all may spend is never over the limit",
-                |_: &Small, s: &State| s.spendable() <= UNITS,
+                |_: &LeaseModel, s: &State| s.usable_units() <= UNITS,
             ),
-            Property::always("no two lend at once", |_: &Small, s: &State| {
-                (0..NODES).filter(|&n| s.lends(n)).count() <= 1
+            Property::always("no two lend at once", |_: &LeaseModel, s: &State| {
+                (0..NODES).filter(|&n| s.is_leader(n)).count() <= 1
+            }),
+            Property::sometimes("somebody else lends", |_: &LeaseModel, s: &State| {
+                s.is_leader(1)
             }),
-            Property::sometimes("somebody else lends", |_: &Small, s: &State| s.lends(1)),
-            Property::sometimes("all of it is lent", |_: &Small, s: &State| {
-                s.spendable() == UNITS && s.lent > 1
+            Property::sometimes("all of it is lent", |_: &LeaseModel, s: &State| {
+                s.usable_units() == UNITS && s.grants > 1
             }),
         ]
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        state.under_way.len() <= self.under_way
+        state.in_flight.len() <= self.in_flight
             && state.crashes <= self.crashes
             && state.now <= 100 + self.ticks
     }
@@ -374,9 +371,9 @@
 
 #[test]
 fn the_limit_holds_through_every_order_of_faults() {
-    let model = Small {
+    let model = LeaseModel {
         crashes: 1,
-        under_way: 2,
+        in_flight: 2,
         ticks: 16,
     };
     let checker = model
--- a/crates/shared-state/tests/model_keys.rs
+++ b/crates/shared-state/tests/model_keys.rs
@@ -15,48 +15,48 @@
 
 const BORROWERS: usize = 2;
 /// Time for a unit at the rate that is promised, and the life of what lies in a pocket.
-const EVEN: Nanos = 98;
-const LIFE: Nanos = 100;
-const MOST: u32 = 2;
+const UNIT_INTERVAL: Nanos = 98;
+const LEASE_DURATION: Nanos = 100;
+const MAX_UNITS: u32 = 2;
 /// How long one is in hand at most.
-const LONGEST: Nanos = 60;
+const MAX_HOLD: Nanos = 60;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Sent {
-    Ask {
-        who: ProcessId,
-        no: u32,
-        stamp: Nanos,
-        left: u32,
-        back: u32,
-        wants: u32,
+    Request {
+        process: ProcessId,
+        number: u32,
+        sent_at: Nanos,
+        kept: u32,
+        released: u32,
+        wanted: u32,
     },
-    Lend {
-        who: ProcessId,
-        no: u32,
-        stamp: Nanos,
-        adds: u32,
+    Grant {
+        process: ProcessId,
+        number: u32,
+        sent_at: Nanos,
+        added: u32,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Hash)]
 struct Borrower {
-    who: ProcessId,
-    slip: UnitLease,
-    no: u32,
+    process: ProcessId,
+    lease: UnitLease,
+    number: u32,
     /// When what it has in hand is over.
-    hands: Vec<Nanos>,
+    in_use_until: Vec<Nanos>,
 }
 
 #[derive(Clone, Debug)]
 struct State {
     now: Nanos,
-    budget: u32,
-    books: QuotaLender,
+    quota: u32,
+    lender: QuotaLender,
     borrowers: Vec<Borrower>,
-    under_way: BTreeSet<Sent>,
+    in_flight: BTreeSet<Sent>,
     crashes: usize,
-    lenders: usize,
+    later_leaders: usize,
     /// The record: when a next unit would come evenly, and whether it was ever over.
     due: Nanos,
     over: bool,
@@ -65,15 +65,19 @@
 
 impl State {
     /// All that decides what can happen next.
-    fn essence(&self) -> impl PartialEq + Hash + '_ {
-        let (opens, entry, numbers) = self.books.state(self.budget, 7);
+    fn deciding_state(&self) -> impl PartialEq + Hash + '_ {
+        let (opens, entry, numbers) = self.lender.state(self.quota, 7);
         let numbers: Vec<(ProcessId, u32)> = numbers.collect();
-        let record = (self.due.max(self.now), self.over, self.spent.min(MOST + 1));
+        let record = (
+            self.due.max(self.now),
+            self.over,
+            self.spent.min(MAX_UNITS + 1),
+        );
         (
             (self.now, opens, entry, numbers),
             &self.borrowers,
-            &self.under_way,
-            (self.crashes, self.lenders),
+            &self.in_flight,
+            (self.crashes, self.later_leaders),
             record,
         )
     }
@@ -81,157 +85,169 @@
 
 impl PartialEq for State {
     fn eq(&self, other: &State) -> bool {
-        self.essence() == other.essence()
+        self.deciding_state() == other.deciding_state()
     }
 }
 impl Eq for State {}
 impl Hash for State {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.essence().hash(hasher);
+        self.deciding_state().hash(hasher);
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
     Tick(Nanos),
-    Asks(usize, u32),
+    Requests(usize, u32),
     Spends(usize),
     Arrives(Sent, bool),
     Lost(Sent),
     CrashAndReturn(usize),
-    AnotherLends,
+    AnotherLeads,
 }
 
-struct Small {
+struct QuotaModel {
     kind: QuotaKind,
     ticks: Nanos,
-    under_way: usize,
+    in_flight: usize,
 }
 
-impl Small {
-    fn budget(&self) -> KeyedQuota {
+impl QuotaModel {
+    fn quota(&self) -> KeyedQuota {
         KeyedQuota {
             name: "k".into(),
             kind: self.kind,
             floor: 0,
-            nodes_most: BORROWERS as u32,
+            max_nodes: BORROWERS as u32,
         }
     }
 
-    fn books(&self, now: Nanos) -> QuotaLender {
-        let rhythm = QuotaTiming {
-            urgent: 1,
-            renew: 10,
-            life: LIFE,
-            keep: 10_000,
+    fn lender(&self, now: Nanos) -> QuotaLender {
+        let timing = QuotaTiming {
+            request_interval: 1,
+            renewal_interval: 10,
+            lease_duration: LEASE_DURATION,
+            idle_timeout: 10_000,
         };
-        QuotaLender::new(now, &[self.budget()], rhythm, 1 << 12, 1)
+        QuotaLender::new(now, &[self.quota()], timing, 1 << 12, 1)
     }
 
-    fn begins(&self) -> Nanos {
-        1000 + self.books(0).opens()
+    fn starts_at(&self) -> Nanos {
+        1000 + self.lender(0).opens_at()
     }
 
     fn arrives(&self, state: &mut State, sent: Sent) {
-        let (now, budget) = (state.now, self.budget());
+        let (now, quota) = (state.now, self.quota());
         match sent {
-            Sent::Ask {
-                who,
-                no,
-                stamp,
-                left,
-                back,
-                wants,
+            Sent::Request {
+                process,
+                number,
+                sent_at,
+                kept,
+                released,
+                wanted,
             } => {
                 let keys = vec![KeyRequest {
-                    budget: budget.id(),
+                    quota: quota.id(),
                     key: 7,
-                    left,
-                    back,
-                    wants,
+                    kept,
+                    released,
+                    wanted,
                 }];
-                let lent = state.books.ask(now, who, &QuotaRequest { no, stamp, keys });
-                if let Some(key) = lent.and_then(|lent| lent.keys.first().copied()) {
-                    state.under_way.insert(Sent::Lend {
-                        who,
-                        no,
-                        stamp,
-                        adds: key.adds,
+                let grant = state.lender.request(
+                    now,
+                    process,
+                    &QuotaRequest {
+                        number,
+                        sent_at,
+                        keys,
+                    },
+                );
+                if let Some(key) = grant.and_then(|grant| grant.keys.first().copied()) {
+                    state.in_flight.insert(Sent::Grant {
+                        process,
+                        number,
+                        sent_at,
+                        added: key.added,
                     });
                 }
             }
-            Sent::Lend {
-                who,
-                no,
-                stamp,
-                adds,
+            Sent::Grant {
+                process,
+                number,
+                sent_at,
+                added,
             } => {
-                if let Some(borrower) = state.borrowers.iter_mut().find(|b| b.who == who) {
-                    borrower
-                        .slip
-                        .answer(now, no, adds, stamp + LIFE - LIFE / 50);
+                if let Some(borrower) = state.borrowers.iter_mut().find(|b| b.process == process) {
+                    borrower.lease.receive_grant(
+                        now,
+                        number,
+                        added,
+                        sent_at + LEASE_DURATION - LEASE_DURATION / 50,
+                    );
                 }
             }
         }
     }
 }
 
-impl Model for Small {
+impl Model for QuotaModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let borrower = |n: usize| Borrower {
-            who: ProcessId {
+            process: ProcessId {
                 key: n as u64 + 1,
-                life: 1,
+                incarnation: 1,
             },
-            slip: UnitLease::default(),
-            no: 0,
-            hands: Vec::new(),
+            lease: UnitLease::default(),
+            number: 0,
+            in_use_until: Vec::new(),
         };
         // The first one has all of it.
-        let (begins, no, keep) = (self.begins(), 1, 0);
+        let (starts_at, number, keep) = (self.starts_at(), 1, 0);
         let mut state = State {
-            now: begins,
-            budget: self.budget().id(),
-            books: self.books(0),
+            now: starts_at,
+            quota: self.quota().id(),
+            lender: self.lender(0),
             borrowers: (0..BORROWERS).map(borrower).collect(),
-            under_way: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             crashes: 0,
-            lenders: 0,
+            later_leaders: 0,
             due: 0,
             over: false,
             spent: 0,
         };
         let first = &mut state.borrowers[0];
-        first.no = no;
-        let _ = first.slip.ask(begins, no, keep);
-        let ask = Sent::Ask {
-            who: first.who,
-            no,
-            stamp: begins,
-            left: 0,
-            back: 0,
-            wants: MOST,
+        first.number = number;
+        let _ = first.lease.request(starts_at, number, keep);
+        let ask = Sent::Request {
+            process: first.process,
+            number,
+            sent_at: starts_at,
+            kept: 0,
+            released: 0,
+            wanted: MAX_UNITS,
         };
         self.arrives(&mut state, ask);
-        let lent = state.under_way.pop_first();
-        lent.into_iter()
-            .for_each(|lent| self.arrives(&mut state, lent));
+        let grant = state.in_flight.pop_first();
+        grant
+            .into_iter()
+            .for_each(|grant| self.arrives(&mut state, grant));
         vec![state]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         actions.extend([Action::Tick(50), Action::Tick(102)]);
         for (n, borrower) in state.borrowers.iter().enumerate() {
-            let hands = borrower.hands.len() as u32;
-            if borrower.slip.units(state.now) > hands {
-                actions.extend([Action::Spends(n), Action::Asks(n, 0)]);
+            let in_use = borrower.in_use_until.len() as u32;
+            if borrower.lease.units(state.now) > in_use {
+                actions.extend([Action::Spends(n), Action::Requests(n, 0)]);
             }
-            actions.push(Action::Asks(n, MOST));
+            actions.push(Action::Requests(n, MAX_UNITS));
         }
-        for sent in &state.under_way {
+        for sent in &state.in_flight {
             actions.push(Action::Arrives(*sent, false));
             actions.push(Action::Arrives(*sent, true)); // and stays, to arrive again
             actions.push(Action::Lost(*sent));
@@ -239,8 +255,8 @@
         if state.crashes == 0 {
             actions.push(Action::CrashAndReturn(0));
         }
-        if state.lenders == 0 {
-            actions.push(Action::AnotherLends);
+        if state.later_leaders == 0 {
+            actions.push(Action::AnotherLeads);
         }
     }
 
@@ -254,98 +270,108 @@
                 state
                     .borrowers
                     .iter_mut()
-                    .for_each(|b| b.hands.retain(|end| *end > now));
+                    .for_each(|b| b.in_use_until.retain(|end| *end > now));
             }
-            Action::Asks(n, need) => {
+            Action::Requests(n, need) => {
                 let (now, borrower) = (state.now, &mut state.borrowers[n]);
-                borrower.no += 1;
-                let in_use = borrower.hands.len() as u32;
-                let (kept, back) = borrower.slip.ask(now, borrower.no, need.max(in_use));
-                let left = kept.max(in_use);
-                let wants = need.saturating_sub(left);
-                let (who, no) = (borrower.who, borrower.no);
-                state.under_way.insert(Sent::Ask {
-                    who,
-                    no,
-                    stamp: now,
-                    left,
-                    back,
-                    wants,
+                borrower.number += 1;
+                let in_use = borrower.in_use_until.len() as u32;
+                let (kept, released) =
+                    borrower
+                        .lease
+                        .request(now, borrower.number, need.max(in_use));
+                let kept = kept.max(in_use);
+                let wanted = need.saturating_sub(kept);
+                let (process, number) = (borrower.process, borrower.number);
+                state.in_flight.insert(Sent::Request {
+                    process,
+                    number,
+                    sent_at: now,
+                    kept,
+                    released,
+                    wanted,
                 });
             }
             Action::Spends(n) => {
                 let now = state.now;
                 if is_rate {
-                    state.borrowers[n].slip.spend();
-                    state.due = state.due.max(now) + EVEN;
-                    state.over |= state.due > now + EVEN * Nanos::from(MOST);
+                    state.borrowers[n].lease.spend();
+                    state.due = state.due.max(now) + UNIT_INTERVAL;
+                    state.over |= state.due > now + UNIT_INTERVAL * Nanos::from(MAX_UNITS);
                 } else {
-                    state.borrowers[n].hands.push(now + LONGEST);
-                    state.over |= state.borrowers.iter().map(|b| b.hands.len()).sum::<usize>()
-                        > MOST as usize;
+                    state.borrowers[n].in_use_until.push(now + MAX_HOLD);
+                    state.over |= state
+                        .borrowers
+                        .iter()
+                        .map(|b| b.in_use_until.len())
+                        .sum::<usize>()
+                        > MAX_UNITS as usize;
                 }
                 state.spent += 1;
             }
             Action::Arrives(sent, stays) => {
                 if !stays {
-                    state.under_way.remove(&sent);
+                    state.in_flight.remove(&sent);
                 }
                 self.arrives(&mut state, sent);
             }
             Action::Lost(sent) => {
-                state.under_way.remove(&sent);
+                state.in_flight.remove(&sent);
             }
             Action::CrashAndReturn(n) => {
                 state.crashes += 1;
-                let who = ProcessId {
+                let process = ProcessId {
                     key: n as u64 + 1,
-                    life: 100,
+                    incarnation: 100,
                 };
                 state.borrowers[n] = Borrower {
-                    who,
-                    slip: UnitLease::default(),
-                    no: 0,
-                    hands: Vec::new(),
+                    process,
+                    lease: UnitLease::default(),
+                    number: 0,
+                    in_use_until: Vec::new(),
                 };
             }
-            Action::AnotherLends => {
-                state.lenders += 1;
-                state.books = self.books(state.now);
+            Action::AnotherLeads => {
+                state.later_leaders += 1;
+                state.lender = self.lender(state.now);
             }
         }
         (state != *last).then_some(state)
     }
 
-    fn properties(&self) -> Vec<Property<Small>> {
+    fn properties(&self) -> Vec<Property<QuotaModel>> {
         vec![
-            Property::always("no key is over its limit", |_: &Small, s: &State| !s.over),
-            Property::sometimes("more is spent than may be saved", |_: &Small, s: &State| {
-                s.spent > MOST
+            Property::always("no key is over its limit", |_: &QuotaModel, s: &State| {
+                !s.over
             }),
+            Property::sometimes(
+                "more is spent than may be saved",
+                |_: &QuotaModel, s: &State| s.spent > MAX_UNITS,
+            ),
             // Nothing is lost for good: after a crash, or with another one who lends, all of it is
             // to be had again.
             Property::sometimes(
                 "all of it comes back after a crash",
-                |_: &Small, s: &State| {
-                    s.crashes > 0 && s.spent > 0 && s.borrowers[1].slip.units(s.now) == MOST
+                |_: &QuotaModel, s: &State| {
+                    s.crashes > 0 && s.spent > 0 && s.borrowers[1].lease.units(s.now) == MAX_UNITS
                 },
             ),
-            Property::sometimes("another one lends", |model: &Small, s: &State| {
-                s.lenders > 0 && s.now > model.begins() && s.spent > 1
+            Property::sometimes("another one lends", |model: &QuotaModel, s: &State| {
+                s.later_leaders > 0 && s.now > model.starts_at() && s.spent > 1
             }),
         ]
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        state.under_way.len() <= self.under_way && state.now <= self.begins() + self.ticks
+        state.in_flight.len() <= self.in_flight && state.now <= self.starts_at() + self.ticks
     }
 }
 
 fn check(kind: QuotaKind) {
-    let model = Small {
+    let model = QuotaModel {
         kind,
         ticks: 410,
-        under_way: 2,
+        in_flight: 2,
     };
     let checker = model
         .checker()
@@ -365,15 +391,15 @@
 fn a_rate_holds_through_every_order_of_faults() {
     check(QuotaKind::Rate {
         count: 1,
-        period: EVEN,
-        burst: MOST,
+        period: UNIT_INTERVAL,
+        burst: MAX_UNITS,
     });
 }
 
 #[test]
 fn a_number_in_hand_holds_through_every_order_of_faults() {
-    check(QuotaKind::InHand {
-        limit: MOST,
-        longest: LONGEST,
+    check(QuotaKind::InFlight {
+        limit: MAX_UNITS,
+        max_hold: MAX_HOLD,
     });
 }
--- a/crates/shared-state/tests/slow_start.rs
+++ b/crates/shared-state/tests/slow_start.rs
@@ -5,7 +5,8 @@
 
 use madderpoint_shared_state::service_health::is_prober;
 use madderpoint_shared_state::{
-    Budget, HealthReports, HealthState, Kind, Lease, Nanos, NodeBudgets, ProcessId, ServiceHealth,
+    Budget, BudgetKind, HealthReports, HealthState, Lease, LeaseId, Nanos, NodeBudgets, ProcessId,
+    ServiceHealth,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -22,10 +23,10 @@
 const WAKES: Nanos = BACK + 15 * S;
 const TICK: Nanos = 10 * MS;
 /// All try at once, so often.
-const TRIES: Nanos = 10 * MS;
+const ATTEMPT_INTERVAL: Nanos = 10 * MS;
 /// Units are lent for so long, and so often.
-const TERM: Nanos = S;
-const LENDS: Nanos = S / 2;
+const LEASE_DURATION: Nanos = S;
+const EXCHANGE_INTERVAL: Nanos = S / 2;
 
 /// What may come a second so long after the start, of the whole: the steps of the rise, as if all
 /// had begun with the start.
@@ -35,10 +36,10 @@
 }
 
 struct Node {
-    judge: ServiceHealth,
-    ends: NodeBudgets,
-    heard: HealthReports,
-    no: u64,
+    health: ServiceHealth,
+    budgets: NodeBudgets,
+    reports: HealthReports,
+    last_lease: u64,
 }
 
 /// What came of a play: by how much the worst window was over what is allowed, calls at all in the
@@ -46,37 +47,37 @@
 #[derive(Debug)]
 struct Outcome {
     over: f64,
-    came: usize,
-    open: bool,
+    calls: usize,
+    is_healthy: bool,
 }
 
 /// The window that is looked at, and how a process goes about a start.
 #[derive(Clone, Copy, PartialEq)]
-enum LimitStrategy {
-    Slowly,
+enum RampBy {
+    BudgetShare,
     /// By the judgement alone, as before: units are not scaled.
-    ByTheJudgementAlone,
+    HealthAlone,
 }
 
-fn play(nodes: usize, each: u32, window: Nanos, seed: u64, way: LimitStrategy) -> Outcome {
+fn simulate(nodes: usize, each: u32, window: Nanos, seed: u64, ramp_by: RampBy) -> Outcome {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let limit = each * nodes as u32;
-    let kind = Kind::Rate { burst: 50 * MS };
+    let kind = BudgetKind::Rate { burst: 50 * MS };
     let floor = (each / 5).max(1);
     let budget = Budget {
         name: "below".into(),
         limit,
         floor,
-        nodes_most: nodes as u32 + 1,
+        max_nodes: nodes as u32 + 1,
         kind,
-        repeats_only: false,
+        retries_only: false,
     };
-    let new = |now: Nanos, n: usize, life: u64| Node {
-        judge: ServiceHealth::new(now, n as u32 % 3),
-        ends: NodeBudgets::new(now, std::slice::from_ref(&budget))
-            .with_seed(seed << 20 | life << 10 | n as u64),
-        heard: HealthReports::new(64),
-        no: 0,
+    let new = |now: Nanos, n: usize, incarnation: u64| Node {
+        health: ServiceHealth::new(now, n as u32 % 3),
+        budgets: NodeBudgets::new(now, std::slice::from_ref(&budget))
+            .with_seed(seed << 20 | incarnation << 10 | n as u64),
+        reports: HealthReports::new(64),
+        last_lease: 0,
     };
     let mut all: Vec<Node> = (0..nodes).map(|n| new(0, n, 0)).collect();
     // The first one restarts, the second one is idle, the last one hears nobody: nothing is lent to
@@ -84,7 +85,7 @@
     let (idle, deaf) = (1, nodes - 1);
     // Words and parts come to each at moments of its own.
     let phase: Vec<Nanos> = (0..nodes).map(|_| rng.random_range(0..50) * TICK).collect();
-    let mut came: Vec<Nanos> = Vec::new();
+    let mut calls: Vec<Nanos> = Vec::new();
     let mut now = 0;
     while now < END {
         now += TICK;
@@ -94,58 +95,62 @@
         }
         for n in 0..nodes {
             let node = &mut all[n];
-            if n != deaf && (now + phase[n]).is_multiple_of(LENDS) {
-                node.no += 1;
+            if n != deaf && (now + phase[n]).is_multiple_of(EXCHANGE_INTERVAL) {
+                node.last_lease += 1;
                 let units = budget.pool() / nodes as u32;
-                let part = Lease {
-                    book: 1 + (now / RESTART),
-                    no: node.no,
+                let lease = Lease {
+                    id: LeaseId {
+                        lender: 1 + (now / RESTART),
+                        number: node.last_lease,
+                    },
                     units,
-                    term: TERM,
+                    duration: LEASE_DURATION,
                     ..Lease::default()
                 };
-                node.ends.lent(now, now - 5 * MS, &[(budget.id(), part)]);
+                node.budgets
+                    .receive_leases(now, now - 5 * MS, &[(budget.id(), lease)]);
             }
             let tries = n != idle || !(DOWN - 9 * S..WAKES).contains(&now);
-            if tries && now.is_multiple_of(TRIES) {
-                if way == LimitStrategy::Slowly {
-                    node.ends.slow_start(now, node.judge.share(now));
+            if tries && now.is_multiple_of(ATTEMPT_INTERVAL) {
+                if ramp_by == RampBy::BudgetShare {
+                    node.budgets
+                        .set_usable_share(now, node.health.budget_share(now));
                 }
-                if node.judge.admits(now, false) && node.ends.take(now, false).is_ok() {
+                if node.health.admits(now, false) && node.budgets.acquire(now, false).is_ok() {
                     if now >= BACK {
-                        came.push(now);
+                        calls.push(now);
                     }
-                    node.judge.ended(now, up);
+                    node.health.call_ended(now, up);
                 }
             }
-            if n != deaf && (now + phase[n]).is_multiple_of(LENDS) {
-                let word = node.judge.evidence(now);
+            if n != deaf && (now + phase[n]).is_multiple_of(EXCHANGE_INTERVAL) {
+                let report = node.health.report(now);
                 for _ in 0..3 {
                     let m = rng.random_range(0..nodes);
                     if m != n && m != deaf && !rng.random_bool(0.1) {
                         let from = ProcessId {
                             key: n as u64 + 1,
-                            life: 0,
+                            incarnation: 0,
                         };
-                        all[m].heard.hear(now, from, SERVICE, word);
+                        all[m].reports.receive(now, from, SERVICE, report);
                     }
                 }
             }
-            if (now + phase[n]).is_multiple_of(LENDS) {
+            if (now + phase[n]).is_multiple_of(EXCHANGE_INTERVAL) {
                 let node = &mut all[n];
-                let mut opinion = node.heard.opinion(now, SERVICE);
+                let mut aggregated = node.reports.aggregate(now, SERVICE);
                 let members = if n == deaf { n..nodes } else { 0..deaf };
-                opinion.prober =
+                aggregated.is_prober =
                     is_prober(now, n as u64 + 1, SERVICE, members.map(|m| m as u64 + 1));
-                opinion.alone = n == deaf;
-                node.judge.told(now, opinion);
+                aggregated.is_alone = n == deaf;
+                node.health.receive_reports(now, aggregated);
             }
         }
     }
     let mut over = f64::MIN;
-    for (at, last) in came.iter().enumerate() {
+    for (at, last) in calls.iter().enumerate() {
         let from = last.saturating_sub(window).max(BACK - TICK);
-        let here = came[..=at]
+        let here = calls[..=at]
             .iter()
             .rev()
             .take_while(|call| **call > from)
@@ -159,13 +164,13 @@
         let takes = takes.max(f64::from(limit) * ramp(0) * window as f64 / S as f64);
         over = over.max(here - (takes + 2.0 * takes.sqrt() + 2.0));
     }
-    let open = all
+    let is_healthy = all
         .iter()
-        .all(|node| node.judge.mode() == HealthState::Healthy);
+        .all(|node| node.health.state() == HealthState::Healthy);
     Outcome {
         over,
-        came: came.len(),
-        open,
+        calls: calls.len(),
+        is_healthy,
     }
 }
 
@@ -175,14 +180,17 @@
         for each in [2, 5, 10] {
             for window in [S / 2, S, 5 * S] {
                 for seed in 0..10 {
-                    let outcome = play(nodes, each, window, seed, LimitStrategy::Slowly);
+                    let outcome = simulate(nodes, each, window, seed, RampBy::BudgetShare);
                     let case = format!(
                         "{nodes} processes, {each} each, {window} ns, seed {seed}: {outcome:?}"
                     );
                     assert!(outcome.over <= 0.0, "{case}");
                     // And it is used again once it is warm.
                     let most = f64::from(each) * nodes as f64 * 60.0;
-                    assert!(outcome.open && outcome.came as f64 > most * 0.25, "{case}");
+                    assert!(
+                        outcome.is_healthy && outcome.calls as f64 > most * 0.25,
+                        "{case}"
+                    );
                 }
             }
         }
@@ -194,7 +202,7 @@
 fn without_a_slow_start_the_same_play_is_over() {
     for nodes in [5, 20, 30] {
         let over = (0..10)
-            .filter(|seed| play(nodes, 5, S, *seed, LimitStrategy::ByTheJudgementAlone).over > 0.0)
+            .filter(|seed| simulate(nodes, 5, S, *seed, RampBy::HealthAlone).over > 0.0)
             .count();
         assert!(over >= 8, "{nodes} processes: {over} of 10");
     }
--- a/crates/test-harness/src/rig.rs
+++ b/crates/test-harness/src/rig.rs
@@ -731,7 +731,7 @@
                 if has(&shown, what) {
                     return Ok(());
                 }
-                last = shown.why().join("; ");
+                last = shown.explain().join("; ");
             }
             thread::sleep(BETWEEN);
         }
@@ -1141,7 +1141,7 @@
     let mode = shown
         .service
         .as_ref()
-        .map_or("", |service| service.mode.as_str());
+        .map_or("", |service| service.state.as_str());
     match what {
         "floor" => shown
             .budgets
@@ -1151,9 +1151,9 @@
             .budgets
             .iter()
             .any(|budget| budget.units > budget.floor),
-        "lends" => shown.lends,
-        "keys-deaf" => shown.keys_deaf,
-        "keys-heard" => !shown.keys_deaf && shown.keys_heard_ms.is_some(),
+        "lends" => shown.is_leader,
+        "keys-deaf" => shown.is_quota_cut_off,
+        "keys-heard" => !shown.is_quota_cut_off && shown.quota_grant_ms_ago.is_some(),
         what => match what.strip_prefix("counts-") {
             Some(processes) => processes.parse() == Ok(shown.processes),
             None => what == mode,
