--- a/crates/node/src/classify.rs
+++ b/crates/node/src/classify.rs
@@ -147,7 +147,7 @@
     }
 
     fn named(&mut self, now: Nanos, buckets: &[Bucket], fleet: &[(usize, KeyedQuota)]) {
-        self.limits.define(now, buckets);
+        self.limits.configure(now, buckets);
         self.fleet = vec![Vec::new(); buckets.len()];
         for (place, budget) in fleet {
             if let Some(of) = self.fleet.get_mut(*place) {
@@ -217,7 +217,7 @@
     /// Puts a request into its buckets, if all have room.
     pub fn ask(&mut self, now: Nanos, buckets: &[(u16, u64)]) -> Result<Held, Full> {
         let Some(wallet) = &mut self.wallet else {
-            let ticket = self.limits.ask(now, buckets).map_err(Full::Node)?;
+            let ticket = self.limits.acquire(now, buckets).map_err(Full::Node)?;
             return Ok(Held {
                 ticket,
                 keys: Vec::new(),
@@ -243,14 +243,14 @@
             return Err(Full::Fleet(refused, key));
         }
         // The node's own limits come last, so that what they take is never for nothing.
-        let ticket = self.limits.ask(now, buckets).map_err(Full::Node)?;
+        let ticket = self.limits.acquire(now, buckets).map_err(Full::Node)?;
         keys.retain(|(id, key)| wallet.acquire(now, *id, *key));
         Ok(Held { ticket, keys })
     }
 
     /// What held places in buckets is over.
     pub fn done(&mut self, now: Nanos, held: Held) {
-        self.limits.done(now, held.ticket);
+        self.limits.release(now, held.ticket);
         if let Some(wallet) = &mut self.wallet {
             held.keys
                 .iter()
@@ -310,8 +310,8 @@
         let faults: u64 = self.rules.iter().map(|rule| rule.faults).sum();
         let over: u64 = self
             .limits
-            .tallies()
-            .map(|(_, t)| t.over.iter().sum::<u64>())
+            .counters()
+            .map(|(_, t)| t.exceeded.iter().sum::<u64>())
             .sum();
         let total = self.matched + self.exhausted + faults + over;
         if std::mem::replace(&mut self.told, total) == total {
@@ -336,16 +336,19 @@
                 "; class {class}: {arrived} read, {succeeded} succeeded, {throttled} throttled, {errored} errored"
             );
         }
-        for (name, tally) in self.limits.tallies().take(TOLD) {
-            let _ = write!(line, "; bucket {name}: {} passed", tally.passed);
+        for (name, tally) in self.limits.counters().take(TOLD) {
+            let _ = write!(line, "; bucket {name}: {} passed", tally.admitted);
             let why = [
                 (ExceededLimit::Rate, "rate"),
-                (ExceededLimit::InHand, "in hand"),
+                (ExceededLimit::InFlight, "in hand"),
                 (ExceededLimit::Share, "share"),
-                (ExceededLimit::Room, "room"),
+                (ExceededLimit::NoMemory, "room"),
             ];
-            for (why, word) in why.iter().filter(|(why, _)| tally.over[*why as usize] > 0) {
-                let _ = write!(line, ", over {word} {}", tally.over[*why as usize]);
+            for (why, word) in why
+                .iter()
+                .filter(|(why, _)| tally.exceeded[*why as usize] > 0)
+            {
+                let _ = write!(line, ", over {word} {}", tally.exceeded[*why as usize]);
             }
         }
         Some(line)
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -620,7 +620,7 @@
                     gated,
                 });
             }
-            Err(Full::Node(over)) => (over.pause, "throttled by a limit", None),
+            Err(Full::Node(over)) => (over.retry_after, "throttled by a limit", None),
             Err(Full::Fleet(refused, key)) => (
                 refused.retry_after,
                 "throttled by a limit of the fleet",
--- a/crates/node/src/node/tests/rules.rs
+++ b/crates/node/src/node/tests/rules.rs
@@ -408,7 +408,7 @@
     let (keys, bytes) = {
         let desk = node.core.desk.borrow();
         let limits = desk.rules.as_ref().unwrap().limits();
-        (limits.keys(), limits.bytes())
+        (limits.tracked_keys(), limits.bytes())
     };
     assert!(
         (1000..12_000).contains(&keys) && bytes < 3 << 19,
--- a/crates/rate-limits/benches/limits.rs
+++ b/crates/rate-limits/benches/limits.rs
@@ -1,4 +1,4 @@
-//! What asking a limit costs, against a plain map of the same states, and what both hold.
+//! What acquiring a permit costs, against a plain map of the same states, and what both hold.
 //! Run: cargo bench -p madderpoint-rate-limits
 
 use criterion::{Criterion, criterion_group, criterion_main};
@@ -18,7 +18,7 @@
 struct Plain(HashMap<u64, u64>);
 
 impl Plain {
-    fn ask(&mut self, rate: Rate, now: u64, key: u64) -> bool {
+    fn acquire(&mut self, rate: Rate, now: u64, key: u64) -> bool {
         let due = self.0.entry(key).or_default();
         let passes = *due <= now + rate.interval() * 19;
         if passes {
@@ -33,8 +33,8 @@
     let mut group = c.benchmark_group("limits");
     for (name, keys) in [("a thousand keys", 1_000u64), ("a million keys", 1_000_000)] {
         let mut rng = Pcg64Mcg::seed_from_u64(1);
-        let mut limits = RateLimiter::new(BYTES, 7);
-        limits.define(
+        let mut limiter = RateLimiter::new(BYTES, 7);
+        limiter.configure(
             0,
             &[Bucket {
                 rate: Some(rate),
@@ -45,43 +45,47 @@
         group.bench_function(format!("rate, {name}"), |b| {
             b.iter(|| {
                 now += 10_000;
-                black_box(limits.ask(now, &[(0, rng.random_range(0..keys))]).is_ok())
+                black_box(
+                    limiter
+                        .acquire(now, &[(0, rng.random_range(0..keys))])
+                        .is_ok(),
+                )
             });
         });
         let mut plain = Plain::default();
         group.bench_function(format!("plain map, {name}"), |b| {
             b.iter(|| {
                 now += 10_000;
-                black_box(plain.ask(rate, now, rng.random_range(0..keys)))
+                black_box(plain.acquire(rate, now, rng.random_range(0..keys)))
             });
         });
         // Memory after as many keys as there are, whatever the benchmark asked.
         for key in 0..keys {
-            let _ = limits.ask(now, &[(0, key)]);
-            plain.ask(rate, now, key);
+            let _ = limiter.acquire(now, &[(0, key)]);
+            plain.acquire(rate, now, key);
         }
         println!(
             "{name}: {} KiB bounded, {} KiB in the plain map",
-            limits.bytes() >> 10,
+            limiter.bytes() >> 10,
             (plain.0.capacity() * 17) >> 10
         );
     }
-    let mut limits = RateLimiter::new(BYTES, 7);
-    limits.define(
+    let mut limiter = RateLimiter::new(BYTES, 7);
+    limiter.configure(
         0,
         &[Bucket {
-            in_hand: Some(64),
-            total: Some(4096),
+            max_in_flight: Some(64),
+            max_total_in_flight: Some(4096),
             ..Bucket::named("b")
         }],
     );
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut now = 0;
-    group.bench_function("in hand and shared, asked and done", |b| {
+    group.bench_function("in flight and shared, acquired and released", |b| {
         b.iter(|| {
             now += 10_000;
-            if let Ok(ticket) = limits.ask(now, &[(0, rng.random_range(0..1000))]) {
-                limits.done(now, ticket);
+            if let Ok(permit) = limiter.acquire(now, &[(0, rng.random_range(0..1000))]) {
+                limiter.release(now, permit);
             }
         });
     });
--- a/crates/rate-limits/src/timer_wheel.rs
+++ b/crates/rate-limits/src/timer_wheel.rs
@@ -1,14 +1,17 @@
-//! When each entry is to be looked at: a wheel of slots, one for each tick. What lies further off
-//! than the wheel goes round is put into its last slot and moved on from there. Entries are linked
-//! by their places, so that one that is let go of leaves nothing behind: under a flood of new keys,
-//! records of old ones would else pile up.
+//! When each entry of the table is due to be checked: a wheel of slots, one for each tick. An entry
+//! that is due later than the wheel goes round is put into the last slot and moved on from there.
+//! Entries are linked by their places, so that a removed one leaves nothing behind: under a flood of
+//! new keys, records of old ones would else pile up.
 
 use crate::Nanos;
 
 const SLOTS: usize = 256;
+/// The time of a slot, in nanoseconds.
 const TICK: Nanos = 100_000_000;
+/// No entry, or no slot.
 const NONE: u32 = u32::MAX;
 
+/// An entry's place in the list of its slot.
 #[derive(Clone, Copy)]
 struct Link {
     before: u32,
@@ -16,6 +19,7 @@
     slot: u32,
 }
 
+/// The wheel.
 pub struct TimerWheel {
     /// The first entry of each slot.
     slots: [u32; SLOTS],
@@ -25,6 +29,7 @@
 }
 
 impl TimerWheel {
+    /// An empty wheel.
     pub fn new() -> TimerWheel {
         TimerWheel {
             slots: [NONE; SLOTS],
@@ -33,8 +38,8 @@
         }
     }
 
-    /// An entry is to be looked at once its time has passed.
-    pub fn put(&mut self, at: usize, now: Nanos, due: Nanos) {
+    /// Inserts an entry that is due to be checked once its time has passed.
+    pub fn insert(&mut self, index: usize, now: Nanos, due: Nanos) {
         let first = self.tick.max(now / TICK) + 1;
         let tick = (due / TICK)
             .saturating_add(1)
@@ -46,9 +51,9 @@
             after,
             slot: slot as u32,
         };
-        if at >= self.links.len() {
+        if index >= self.links.len() {
             self.links.resize(
-                at + 1,
+                index + 1,
                 Link {
                     before: NONE,
                     after: NONE,
@@ -56,16 +61,21 @@
                 },
             );
         }
-        self.links[at] = link;
+        self.links[index] = link;
         if after != NONE {
-            self.links[after as usize].before = at as u32;
+            self.links[after as usize].before = index as u32;
         }
-        self.slots[slot] = at as u32;
+        self.slots[slot] = index as u32;
     }
 
-    /// An entry is no longer to be looked at.
-    pub fn take(&mut self, at: usize) {
-        let Some(link) = self.links.get(at).copied().filter(|link| link.slot != NONE) else {
+    /// Removes an entry, if it is there.
+    pub fn remove(&mut self, index: usize) {
+        let Some(link) = self
+            .links
+            .get(index)
+            .copied()
+            .filter(|link| link.slot != NONE)
+        else {
             return;
         };
         match link.before {
@@ -75,18 +85,18 @@
         if link.after != NONE {
             self.links[link.after as usize].before = link.before;
         }
-        self.links[at].slot = NONE;
+        self.links[index].slot = NONE;
     }
 
-    /// The next entry to be looked at, which leaves the wheel.
+    /// The next entry that is due, which leaves the wheel.
     pub fn next_due(&mut self, now: Nanos) -> Option<usize> {
         let until = now / TICK;
-        // After a long rest, or a clock that jumped, once round is enough: all slots are due.
+        // After a long pause, or a clock that jumped, one round is enough: all slots are due.
         self.tick = self.tick.max(until.saturating_sub(SLOTS as u64));
         loop {
             let first = self.slots[self.tick as usize % SLOTS];
             if first != NONE {
-                self.take(first as usize);
+                self.remove(first as usize);
                 return Some(first as usize);
             }
             if self.tick >= until {
@@ -96,6 +106,7 @@
         }
     }
 
+    /// Bytes that it takes.
     pub fn bytes(&self) -> usize {
         self.links.capacity() * size_of::<Link>() + SLOTS * 4
     }
--- a/crates/settings/src/rulebook.rs
+++ b/crates/settings/src/rulebook.rs
@@ -201,8 +201,8 @@
     let field = format!("bucket '{name}'");
     let burst = number("burst");
     let mut bucket = Bucket {
-        in_hand: number("in-hand"),
-        total: number("total"),
+        max_in_flight: number("in-hand"),
+        max_total_in_flight: number("total"),
         ..Bucket::named(name)
     };
     if let Some(written) = element.get("rate") {
