--- a/crates/node/src/cli/shared.rs
+++ b/crates/node/src/cli/shared.rs
@@ -1,4 +1,5 @@
-//! `madderpoint shared`: what a running node holds of all that its fleet shares, and why.
+//! `madderpoint shared`: the status of the shared state at a running node, as text, table or JSON. The
+//! names in the JSON are fixed: programs read them.
 
 use super::fleet::Asker;
 use super::{Ended, Format};
@@ -12,8 +13,8 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Heavy keys that are shown of each kind.
-const HEAVY: usize = 5;
+/// The most heavy keys of each kind in the table.
+const MAX_HEAVY_KEYS: usize = 5;
 
 #[derive(Subcommand)]
 pub enum Command {
@@ -35,7 +36,7 @@
 }
 
 impl Command {
-    /// Carries the call out.
+    /// Runs the command.
     pub fn run(self) -> Ended {
         match self {
             Command::Explain {
@@ -47,7 +48,8 @@
     }
 }
 
-/// What a node shows of all that is shared; none if it shares nothing.
+/// Requests a node's status; none if it has no shared state. Each page is requested up to `tries`
+/// times.
 pub fn ask(settings: &Path, at: SocketAddr, tries: u32) -> Result<Option<StatusSnapshot>, String> {
     let bytes = Asker::about(settings, at, madderpoint_node::io::SHARED)?.ask_pages(tries)?;
     bytes
@@ -59,34 +61,37 @@
 }
 
 fn explain(settings: &Path, at: SocketAddr, format: Format) -> Ended {
-    let Some(shown) = ask(settings, at, 12)? else {
+    let Some(status) = ask(settings, at, 12)? else {
         return Err(format!(
             "{at}: it shows nothing: nobody is there, or it shares nothing"
         ));
     };
     match format {
-        Format::Json => println!("{:#}", as_json(&shown)),
+        Format::Json => println!("{:#}", as_json(&status)),
         Format::Text => {
-            println!("{}:", shown.node);
-            shown.explain().iter().for_each(|line| println!("  {line}"));
+            println!("{}:", status.node);
+            status
+                .explain()
+                .iter()
+                .for_each(|line| println!("  {line}"));
         }
     }
     Ok(true)
 }
 
-/// Budgets, keys, the judgement and counts, as a table.
-pub fn print(shown: &StatusSnapshot) {
-    shown.explain().iter().for_each(|line| println!("{line}"));
-    if shown.rows.is_empty() {
+/// Prints the status as a table.
+pub fn print(status: &StatusSnapshot) {
+    status.explain().iter().for_each(|line| println!("{line}"));
+    if status.rows.is_empty() {
         return;
     }
     println!(
         "counts of {} processes and {} that are gone, {:.1} s old; of the last minute, and in all:",
-        shown.processes,
-        shown.retired,
-        shown.totals_age_ms as f64 / 1e3
+        status.processes,
+        status.retired,
+        status.totals_age_ms as f64 / 1e3
     );
-    for row in &shown.rows {
+    for row in &status.rows {
         let heads = column_heads(row.name.is_empty());
         let name = if row.name.is_empty() {
             "processes"
@@ -107,18 +112,22 @@
         }
         println!("{line}");
     }
+    print_heavy_keys(status);
+    status
+        .event_counts
+        .iter()
+        .for_each(|count| println!("{:>8}  {}", count.times, count.what));
+}
+
+fn print_heavy_keys(status: &StatusSnapshot) {
     for kind in ["caller ", "caller that repeats ", "key over a limit "] {
-        let of = shown.heavy.iter().filter(|count| {
+        let of = status.heavy.iter().filter(|count| {
             count.what.starts_with(kind)
                 && (kind != "caller " || !count.what.starts_with("caller that"))
         });
-        of.take(HEAVY)
+        of.take(MAX_HEAVY_KEYS)
             .for_each(|count| println!("{:>8}  {}", count.times, count.what));
     }
-    shown
-        .event_counts
-        .iter()
-        .for_each(|count| println!("{:>8}  {}", count.times, count.what));
 }
 
 fn row(row: &CounterRowStatus) -> Value {
@@ -137,10 +146,10 @@
         "p50_us": row.p50_us, "p99_us": row.p99_us})
 }
 
-/// All of it, for programs.
-pub fn as_json(shown: &StatusSnapshot) -> Value {
+/// The status as JSON.
+pub fn as_json(status: &StatusSnapshot) -> Value {
     let count = |c: &CounterStatus| json!({"what": c.what, "times": c.times});
-    let budgets: Vec<Value> = shown
+    let budgets: Vec<Value> = status
         .budgets
         .iter()
         .map(|b| {
@@ -153,27 +162,27 @@
                 "wants": b.demand, "in_hand": b.in_flight, "allowed": b.allowed, "refused": b.refused, "part": part})
         })
         .collect();
-    let keys: Vec<Value> = shown.quotas.iter()
+    let keys: Vec<Value> = status.quotas.iter()
         .map(|k| {
             json!({"name": k.name, "count": k.count, "period_ms": k.period_ms, "burst": k.burst, "floor": k.floor,
                 "nodes_most": k.max_nodes, "lent": k.by_lease, "by_floor": k.by_floor, "refused": k.refused,
                 "units": k.units, "keys": k.keys})
         })
         .collect();
-    let service = shown.service.as_ref().map(|s| {
+    let service = status.service.as_ref().map(|s| {
         json!({"name": s.name, "mode": s.state, "since_ms": s.since_ms, "level": s.admitted_share, "tries": s.calls,
             "failed": s.failed, "witnesses": s.reporters, "ill": s.failing, "zones": s.zones, "ill_zones": s.failing_zones,
             "prober": s.is_prober, "alone": s.is_alone, "passed": s.admitted, "kept_back": s.held_back})
     });
-    let books: Vec<Value> = shown.lenders
+    let books: Vec<Value> = status.lenders
         .iter()
         .map(|b| json!({"name": b.name, "out": b.outstanding, "pool": b.pool, "borrowers": b.borrowers}))
         .collect();
-    json!({"node": shown.node, "lends": shown.is_leader, "lender": shown.leader_name, "books": books,
-        "key_books": shown.quota_lender, "budgets": budgets, "keys": keys, "keys_heard_ms": shown.quota_grant_ms_ago,
-        "keys_deaf": shown.is_quota_cut_off, "service": service, "let_in": shown.gate_admitted, "turned_away": shown.gate_rejected,
-        "calls_waiting": shown.calls_waiting, "processes": shown.processes, "gone": shown.retired,
-        "counts_age_ms": shown.totals_age_ms, "rows": shown.rows.iter().map(row).collect::<Vec<_>>(),
-        "heavy": shown.heavy.iter().map(count).collect::<Vec<_>>(),
-        "counted": shown.event_counts.iter().map(count).collect::<Vec<_>>(), "why": shown.explain()})
+    json!({"node": status.node, "lends": status.is_leader, "lender": status.leader_name, "books": books,
+        "key_books": status.quota_lender, "budgets": budgets, "keys": keys, "keys_heard_ms": status.quota_grant_ms_ago,
+        "keys_deaf": status.is_quota_cut_off, "service": service, "let_in": status.gate_admitted, "turned_away": status.gate_rejected,
+        "calls_waiting": status.calls_waiting, "processes": status.processes, "gone": status.retired,
+        "counts_age_ms": status.totals_age_ms, "rows": status.rows.iter().map(row).collect::<Vec<_>>(),
+        "heavy": status.heavy.iter().map(count).collect::<Vec<_>>(),
+        "counted": status.event_counts.iter().map(count).collect::<Vec<_>>(), "why": status.explain()})
 }
--- a/crates/shared-state/src/budget/borrower/tests.rs
+++ b/crates/shared-state/src/budget/borrower/tests.rs
@@ -24,7 +24,7 @@
     Lease {
         id: LeaseId {
             lender: 1,
-            number: number,
+            number,
         },
         units,
         duration: TERM,
