--- a/crates/node/src/cli/shared.rs
+++ b/crates/node/src/cli/shared.rs
@@ -6,7 +6,8 @@
 use clap::Subcommand;
 use madderpoint_shared_state::counters::COLUMNS;
 use madderpoint_shared_state::status::{
-    CounterRowStatus, CounterStatus, StatusSnapshot, column_heads,
+    BudgetStatus, CounterRowStatus, CounterStatus, LenderStatus, QuotaStatus, ServiceStatus,
+    StatusSnapshot, column_heads,
 };
 use prost::Message;
 use serde_json::{Map, Value, json};
@@ -146,43 +147,108 @@
         "p50_us": row.p50_us, "p99_us": row.p99_us})
 }
 
-/// The status as JSON.
-pub fn as_json(status: &StatusSnapshot) -> Value {
-    let count = |c: &CounterStatus| json!({"what": c.what, "times": c.times});
-    let budgets: Vec<Value> = status
-        .budgets
-        .iter()
-        .map(|b| {
-            let part = b.lease.as_ref().map(|p| {
-                json!({"units": p.units, "asked_ms": p.requested_ms_ago, "came_ms": p.granted_ms_ago, "term_ms": p.duration_ms,
-                    "wanted": p.total_demand, "borrowers": p.borrowers, "pool": p.pool})
-            });
-            json!({"name": b.name, "kind": if b.is_rate { "a-second" } else { "in-hand" }, "limit": b.limit,
-                "floor": b.floor, "nodes_most": b.max_nodes, "repeats_only": b.retries_only, "units": b.units,
-                "wants": b.demand, "in_hand": b.in_flight, "allowed": b.allowed, "refused": b.refused, "part": part})
+fn budget(budget: &BudgetStatus) -> Value {
+    let lease = budget.lease.as_ref().map(|lease| {
+        json!({
+            "units": lease.units,
+            "asked_ms": lease.requested_ms_ago,
+            "came_ms": lease.granted_ms_ago,
+            "term_ms": lease.duration_ms,
+            "wanted": lease.total_demand,
+            "borrowers": lease.borrowers,
+            "pool": lease.pool,
         })
-        .collect();
-    let keys: Vec<Value> = status.quotas.iter()
-        .map(|k| {
-            json!({"name": k.name, "count": k.count, "period_ms": k.period_ms, "burst": k.burst, "floor": k.floor,
-                "nodes_most": k.max_nodes, "lent": k.by_lease, "by_floor": k.by_floor, "refused": k.refused,
-                "units": k.units, "keys": k.keys})
-        })
-        .collect();
-    let service = status.service.as_ref().map(|s| {
-        json!({"name": s.name, "mode": s.state, "since_ms": s.since_ms, "level": s.admitted_share, "tries": s.calls,
-            "failed": s.failed, "witnesses": s.reporters, "ill": s.failing, "zones": s.zones, "ill_zones": s.failing_zones,
-            "prober": s.is_prober, "alone": s.is_alone, "passed": s.admitted, "kept_back": s.held_back})
     });
-    let books: Vec<Value> = status.lenders
-        .iter()
-        .map(|b| json!({"name": b.name, "out": b.outstanding, "pool": b.pool, "borrowers": b.borrowers}))
-        .collect();
-    json!({"node": status.node, "lends": status.is_leader, "lender": status.leader_name, "books": books,
-        "key_books": status.quota_lender, "budgets": budgets, "keys": keys, "keys_heard_ms": status.quota_grant_ms_ago,
-        "keys_deaf": status.is_quota_cut_off, "service": service, "let_in": status.gate_admitted, "turned_away": status.gate_rejected,
-        "calls_waiting": status.calls_waiting, "processes": status.processes, "gone": status.retired,
-        "counts_age_ms": status.totals_age_ms, "rows": status.rows.iter().map(row).collect::<Vec<_>>(),
-        "heavy": status.heavy.iter().map(count).collect::<Vec<_>>(),
-        "counted": status.event_counts.iter().map(count).collect::<Vec<_>>(), "why": status.explain()})
+    json!({
+        "name": budget.name,
+        "kind": if budget.is_rate { "a-second" } else { "in-hand" },
+        "limit": budget.limit,
+        "floor": budget.floor,
+        "nodes_most": budget.max_nodes,
+        "repeats_only": budget.retries_only,
+        "units": budget.units,
+        "wants": budget.demand,
+        "in_hand": budget.in_flight,
+        "allowed": budget.allowed,
+        "refused": budget.refused,
+        "part": lease,
+    })
+}
+
+fn quota(quota: &QuotaStatus) -> Value {
+    json!({
+        "name": quota.name,
+        "count": quota.count,
+        "period_ms": quota.period_ms,
+        "burst": quota.burst,
+        "floor": quota.floor,
+        "nodes_most": quota.max_nodes,
+        "lent": quota.by_lease,
+        "by_floor": quota.by_floor,
+        "refused": quota.refused,
+        "units": quota.units,
+        "keys": quota.keys,
+    })
+}
+
+fn service(service: &ServiceStatus) -> Value {
+    json!({
+        "name": service.name,
+        "mode": service.state,
+        "since_ms": service.since_ms,
+        "level": service.admitted_share,
+        "tries": service.calls,
+        "failed": service.failed,
+        "witnesses": service.reporters,
+        "ill": service.failing,
+        "zones": service.zones,
+        "ill_zones": service.failing_zones,
+        "prober": service.is_prober,
+        "alone": service.is_alone,
+        "passed": service.admitted,
+        "kept_back": service.held_back,
+    })
+}
+
+fn lender(lender: &LenderStatus) -> Value {
+    json!({
+        "name": lender.name,
+        "out": lender.outstanding,
+        "pool": lender.pool,
+        "borrowers": lender.borrowers,
+    })
+}
+
+fn counter(counter: &CounterStatus) -> Value {
+    json!({"what": counter.what, "times": counter.times})
+}
+
+fn list<T>(items: &[T], as_json: impl Fn(&T) -> Value) -> Value {
+    items.iter().map(as_json).collect()
+}
+
+/// The status as JSON.
+pub fn as_json(status: &StatusSnapshot) -> Value {
+    json!({
+        "node": status.node,
+        "lends": status.is_leader,
+        "lender": status.leader_name,
+        "books": list(&status.lenders, lender),
+        "key_books": status.quota_lender,
+        "budgets": list(&status.budgets, budget),
+        "keys": list(&status.quotas, quota),
+        "keys_heard_ms": status.quota_grant_ms_ago,
+        "keys_deaf": status.is_quota_cut_off,
+        "service": status.service.as_ref().map(service),
+        "let_in": status.gate_admitted,
+        "turned_away": status.gate_rejected,
+        "calls_waiting": status.calls_waiting,
+        "processes": status.processes,
+        "gone": status.retired,
+        "counts_age_ms": status.totals_age_ms,
+        "rows": list(&status.rows, row),
+        "heavy": list(&status.heavy, counter),
+        "counted": list(&status.event_counts, counter),
+        "why": status.explain(),
+    })
 }
--- a/crates/node/src/state/metrics.rs
+++ b/crates/node/src/state/metrics.rs
@@ -112,7 +112,7 @@
     pub fn counts_refusal(&mut self, head: &Head, over: Option<u64>, for_room: bool) {
         self.counts_turned_away((head.op, head.dispatcher), 429);
         if for_room {
-            self.counts_own(process_column::NO_BACKEND_ROOM, 1);
+            self.counts_own(process_column::NO_BACKEND_CAPACITY, 1);
         }
         if let Some(key) = over {
             self.counts_own(process_column::OVER_QUOTA, 1);
--- a/crates/rate-limits/benches/limits.rs
+++ b/crates/rate-limits/benches/limits.rs
@@ -1,5 +1,5 @@
-//! What acquiring a permit costs, against a plain map of the same states, and what both hold.
-//! Run: cargo bench -p madderpoint-rate-limits
+//! What acquiring a permit costs, against a plain map of the same states, and what memory both
+//! take. Run: cargo bench -p madderpoint-rate-limits
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use madderpoint_rate_limits::{Bucket, Rate, RateLimiter};
--- a/crates/rate-limits/src/key_table.rs
+++ b/crates/rate-limits/src/key_table.rs
@@ -1,4 +1,4 @@
-//! Exact states of keys, in places that are used again.
+//! Exact states of keys, in slots that are used again.
 
 use crate::Nanos;
 use std::collections::HashMap;
@@ -43,8 +43,8 @@
 pub struct KeyTable {
     by_key: HashMap<(u32, u64), u32, BuildHasherDefault<KeyHasher>>,
     entries: slab::Slab<KeyState>,
-    /// Places that were ever in use.
-    places: usize,
+    /// Slots that were ever in use.
+    slots: usize,
     max_entries: usize,
 }
 
@@ -58,12 +58,12 @@
         KeyTable {
             by_key: HashMap::default(),
             entries: slab::Slab::new(),
-            places: 0,
+            slots: 0,
             max_entries,
         }
     }
 
-    /// The place of a key.
+    /// The slot of a key.
     pub fn find(&self, bucket: u32, key: u64) -> Option<usize> {
         self.by_key.get(&(bucket, key)).map(|index| *index as usize)
     }
@@ -78,33 +78,33 @@
         self.entries.len()
     }
 
-    /// Places that are or were in use, at least 1.
-    pub fn places(&self) -> usize {
-        self.places.max(1)
+    /// Slots that are or were in use, at least 1.
+    pub fn slots(&self) -> usize {
+        self.slots.max(1)
     }
 
-    /// The entry at a place, if there is one.
+    /// The entry at a slot, if there is one.
     pub fn get(&self, index: usize) -> Option<&KeyState> {
         self.entries.get(index)
     }
 
-    /// Adds an entry and returns its place.
+    /// Adds an entry and returns its slot.
     pub fn insert(&mut self, entry: KeyState) -> usize {
         let index = self.entries.insert(entry);
-        self.places = self.places.max(index + 1);
+        self.slots = self.slots.max(index + 1);
         self.by_key.insert((entry.bucket, entry.key), index as u32);
         index
     }
 
-    /// Removes the entry at a place, if there is one.
+    /// Removes the entry at a slot, if there is one.
     pub fn remove(&mut self, index: usize) -> Option<KeyState> {
         let entry = self.entries.try_remove(index)?;
         self.by_key.remove(&(entry.bucket, entry.key));
         Some(entry)
     }
 
-    /// Places of the entries for which this returns true.
-    pub fn indices_where(&self, matches: impl Fn(&KeyState) -> bool) -> Vec<usize> {
+    /// Slots of the entries for which this returns true.
+    pub fn slots_where(&self, matches: impl Fn(&KeyState) -> bool) -> Vec<usize> {
         self.entries
             .iter()
             .filter(|(_, entry)| matches(entry))
--- a/crates/rate-limits/src/limiter.rs
+++ b/crates/rate-limits/src/limiter.rs
@@ -87,7 +87,7 @@
     frequencies: FrequencySketch,
     /// The latest time that was seen.
     now: Nanos,
-    /// The index in the table before which the next eviction sample begins.
+    /// The slot of the table after which the next eviction sample begins.
     eviction_cursor: usize,
     evicted: u64,
 }
@@ -132,10 +132,7 @@
         }
         let gone: Vec<u32> = before.iter().map(|state| state.id).collect();
         if !gone.is_empty() {
-            for index in self
-                .table
-                .indices_where(|entry| gone.contains(&entry.bucket))
-            {
+            for index in self.table.slots_where(|entry| gone.contains(&entry.bucket)) {
                 self.remove(index);
             }
         }
@@ -254,7 +251,7 @@
         }
         let wants_entry =
             is_required || self.frequencies.of(bucket, key) > 1 || !self.table.is_full();
-        if !wants_entry || !self.make_room(bucket, key, is_required) {
+        if !wants_entry || !self.ensure_slot(bucket, key, is_required) {
             return None;
         }
         // A key that was in the sketch goes on from there.
@@ -278,15 +275,15 @@
         self.table.remove(index)
     }
 
-    /// Makes room in the table for a key, if it is required or came more often than the least
+    /// Frees a slot of the table for a key, if it is required or came more often than the least
     /// frequent entry of a sample.
-    fn make_room(&mut self, bucket: u32, key: u64, is_required: bool) -> bool {
+    fn ensure_slot(&mut self, bucket: u32, key: u64, is_required: bool) -> bool {
         if !self.table.is_full() {
             return true;
         }
         let mut least: Option<(u32, usize)> = None;
         for _ in 0..EVICTION_SAMPLE {
-            self.eviction_cursor = (self.eviction_cursor + 1) % self.table.places();
+            self.eviction_cursor = (self.eviction_cursor + 1) % self.table.slots();
             let cursor = self.eviction_cursor;
             let Some(entry) = self.table.get(cursor).filter(|entry| entry.in_flight == 0) else {
                 continue;
--- a/crates/rate-limits/src/limiter/tests.rs
+++ b/crates/rate-limits/src/limiter/tests.rs
@@ -57,8 +57,8 @@
     let rate = Rate::new(10, SECOND, 3).unwrap();
     let mut limiter = new_limiter(64 << 10, rated(10, 3));
     let mut rng = Pcg64Mcg::seed_from_u64(5);
-    // A few heavy keys among a million that come once. Whatever was let through must have fitted
-    // the exact model.
+    // A few heavy keys among a million that come once. Whatever was admitted must have fitted the
+    // exact model.
     let mut due: HashMap<u64, Nanos> = HashMap::new();
     let (mut now, mut heavy_passed) = (0, [0u64; 8]);
     for i in 0..1_000_000u64 {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_pause_tells_when_there_is_room() {
+fn retry_after_tells_when_there_is_room() {
     let mut limiter = new_limiter(1 << 16, rated(4, 2));
     let mut now = 7 * SECOND;
     for _ in 0..100 {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn what_is_in_hand_is_bounded_and_comes_back() {
+fn permits_in_flight_are_bounded_and_come_back() {
     let mut limiter = new_limiter(
         1 << 16,
         Bucket {
@@ -172,7 +172,7 @@
         ExceededLimit::Share,
         "all are taken"
     );
-    // As the greedy key's places come back, keys that hold less get them, up to an even share of
+    // As the greedy key's permits come back, keys that have less get them, up to an even share of
     // each.
     for permit in greedy.drain(..) {
         limiter.release(SECOND, permit);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_request_takes_of_all_its_buckets_or_of_none() {
+fn a_request_passes_all_its_buckets_or_takes_of_none() {
     let mut limiter = RateLimiter::new(1 << 16, 1);
     let held = Bucket {
         max_in_flight: Some(1),
@@ -208,13 +208,13 @@
         1
     );
     limiter.release(2 * SECOND, permit);
-    // The rate was not charged for the one that was turned away by the other bucket.
+    // The rate was not charged for the request that the other bucket refused.
     let permit = limiter.acquire(2 * SECOND, &[(0, 5), (1, 5)]).unwrap();
     limiter.release(2 * SECOND, permit);
 }
 
 #[test]
-fn a_reload_keeps_what_stayed_and_forgets_what_changed() {
+fn a_reload_keeps_unchanged_buckets_and_restarts_changed_ones() {
     let held = Bucket {
         max_in_flight: Some(1),
         ..Bucket::named("held")
@@ -232,7 +232,7 @@
         limiter.acquire(MILLISECOND, &[(1, 5)]).is_ok(),
         "a changed rate begins anew"
     );
-    // What was taken under a definition that went and came again counts for nothing.
+    // A permit of a definition that was removed and defined again has no effect.
     limiter.configure(MILLISECOND, &[]);
     limiter.configure(MILLISECOND, &[held]);
     let second = limiter.acquire(MILLISECOND, &[(0, 5)]).unwrap();
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn clocks_that_jump_give_nothing_away() {
+fn clocks_that_jump_admit_nothing_twice() {
     let mut limiter = new_limiter(1 << 16, rated(1, 1));
     assert!(limiter.acquire(100 * SECOND, &[(0, 1)]).is_ok());
     assert!(limiter.acquire(0, &[(0, 1)]).is_err(), "back");
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn when_all_places_are_held_a_new_key_is_turned_away_politely() {
+fn a_new_key_without_memory_is_refused_with_a_retry_after() {
     let mut limiter = new_limiter(
         0,
         Bucket {
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn rates_that_make_no_sense_are_no_rates() {
+fn invalid_rates_are_refused() {
     assert_eq!(Rate::new(0, SECOND, 1), None);
     assert_eq!(Rate::new(1, SECOND, 0), None);
     assert_eq!(Rate::new(1, 0, 1), None);
--- a/crates/rate-limits/src/timer_wheel.rs
+++ b/crates/rate-limits/src/timer_wheel.rs
@@ -1,6 +1,6 @@
 //! When each entry of the table is due to be checked: a wheel of slots, one for each tick. An entry
 //! that is due later than the wheel goes round is put into the last slot and moved on from there.
-//! Entries are linked by their places, so that a removed one leaves nothing behind: under a flood of
+//! Entries are linked by their slots in the table, so that a removed one leaves nothing behind: under a flood of
 //! new keys, records of old ones would else pile up.
 
 use crate::Nanos;
@@ -11,7 +11,7 @@
 /// No entry, or no slot.
 const NONE: u32 = u32::MAX;
 
-/// An entry's place in the list of its slot.
+/// An entry's neighbours in the list of its slot of the wheel.
 #[derive(Clone, Copy)]
 struct Link {
     before: u32,
--- a/crates/shared-state/benches/checks.rs
+++ b/crates/shared-state/benches/checks.rs
@@ -94,7 +94,7 @@
     for keys in [100u64, 100_000] {
         let quota = by_key(1_000_000, 2_000_000);
         let before = resident_kib();
-        // So quick a rhythm that all keys are lent something at once.
+        // So quick a timing that all keys are granted units at once.
         let timing = QuotaTiming {
             request_interval: 1,
             renewal_interval: 3600 * S,
@@ -165,8 +165,7 @@
     group.finish();
 }
 
-/// A question of 48 keys at the books of the one who lends, with 300 nodes and a hundred thousand
-/// keys.
+/// A request of 48 keys at the leader, with 300 nodes and a hundred thousand keys.
 fn quota_lender(c: &mut Criterion) {
     let quota = by_key(100, 2000);
     let before = resident_kib();
--- a/crates/shared-state/examples/compare.rs
+++ b/crates/shared-state/examples/compare.rs
@@ -1,6 +1,6 @@
-//! Ways to keep a limit for a whole fleet, by the same scripts: this package (leases for calls,
-//! units for keys), an even part by the nodes in sight (sight 5 s late), a central counter. Prints
-//! tables.
+//! Strategies to keep a limit for a whole cluster, in the same scenarios: this package (leases for
+//! calls, units for keys), even shares by the nodes in view (a view that is 5 s late), a central
+//! counter. Prints tables.
 //!
 //!     cargo run --release -p madderpoint-shared-state --example compare -- 10 300 3000
 //!     cargo run --release -p madderpoint-shared-state --example compare -- keys 10 300
@@ -68,7 +68,7 @@
     })
 }
 
-/// Seconds that a fleet of this size has to settle: terms get longer with it.
+/// Lets a cluster of this size settle: leases get longer with it.
 fn settle(sim: &mut Simulation) {
     let time = if sim.config.nodes > 600 { 60 } else { 12 };
     sim.run(time * S);
@@ -152,7 +152,7 @@
     }
 }
 
-/// Keys of a tenth as many as nodes, at least five; each 20 a second, 4 a node saved.
+/// A tenth as many keys as nodes, at least five; each 20 a second, with a burst of 4 a node.
 fn key_config(nodes: usize, strategy: LimitStrategy, seed: u64) -> (SimulationConfig, u64) {
     let (most, keys) = (nodes as u32 * 5 / 4, (nodes as u64 / 10).max(5));
     let kind = QuotaKind::Rate {
@@ -188,7 +188,7 @@
     })
 }
 
-/// All tries of a key at one node of twenty, which moves every 10 s where it does.
+/// All attempts of a key at one node of twenty, which changes every 10 s if `moves`.
 fn at_few(nodes: usize, keys: u64, a_second: f64, moves: bool) -> KeyLoad {
     let mut owed = 0.0;
     Box::new(move |now, rng| {
--- a/crates/shared-state/src/backend_gate.rs
+++ b/crates/shared-state/src/backend_gate.rs
@@ -65,11 +65,11 @@
         health: Option<&mut ServiceHealth>,
     ) -> Result<(), Nanos> {
         let by_health = health.map_or(Ok(()), |health| self.check_health(now, health));
-        let by_room = match (&by_health, budgets) {
-            (Ok(()), Some(budgets)) => self.check_room(now, budgets),
+        let by_budgets = match (&by_health, budgets) {
+            (Ok(()), Some(budgets)) => self.check_budgets(now, budgets),
             _ => Ok(()),
         };
-        let admits = by_health.and(by_room);
+        let admits = by_health.and(by_budgets);
         *(if admits.is_ok() {
             &mut self.counts.admitted
         } else {
@@ -102,7 +102,7 @@
     }
 
     /// Admits by the budgets: as many requests as there are calls for.
-    fn check_room(&mut self, now: Nanos, budgets: &mut NodeBudgets) -> Result<(), Nanos> {
+    fn check_budgets(&mut self, now: Nanos, budgets: &mut NodeBudgets) -> Result<(), Nanos> {
         if let Some(retry_after) = budgets.retry_after_if_full(now) {
             budgets.note_unmet_demand(now);
             return Err(retry_after.max(MILLISECOND));
--- a/crates/shared-state/src/backend_gate/tests.rs
+++ b/crates/shared-state/src/backend_gate/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn as_many_are_let_in_as_there_are_calls_for_and_the_rest_hears_when() {
+fn as_many_requests_are_admitted_as_there_are_calls_for_and_the_rest_is_told_when_to_come_back() {
     let (mut gate, mut budgets) = (BackendGate::new(0), budgets(10));
     let (mut admitted, mut calls, mut waiting, mut waits) = (0, 0, 0, Vec::new());
     for ms in 0..10_000 {
@@ -31,7 +31,7 @@
             gate.request_ended(1);
         }
     }
-    // Ten a second, of fifty that come; and their calls find room soon.
+    // Ten a second, of fifty that arrive; and their calls find units soon.
     assert!(
         (92..=99).contains(&admitted) && waiting <= 2 && calls >= admitted - 2,
         "{admitted} {calls}"
@@ -43,9 +43,9 @@
     );
 }
 
-/// What is turned away counts as wanted, or nothing would ever be asked for.
+/// Rejected requests count as demand, or nothing would ever be requested.
 #[test]
-fn what_is_turned_away_is_wanted_all_the_same() {
+fn rejected_requests_count_as_demand() {
     let kind = BudgetKind::Rate { burst: SECOND / 20 };
     let budget = Budget {
         name: "b".into(),
@@ -67,11 +67,11 @@
 }
 
 #[test]
-fn a_closed_service_lets_in_what_tries_it_and_a_rising_one_its_part() {
+fn an_unavailable_service_admits_probes_and_a_recovering_one_its_share() {
     let (mut gate, mut health) = (BackendGate::new(0), ServiceHealth::new(0, 0));
     (0..20).for_each(|_| health.call_ended(SECOND, false));
     let now = 60 * SECOND;
-    // Alone it tries every 5 s, if the one that was let in makes its call.
+    // A node that is alone probes every 5 s, if the admitted request makes its call.
     let mut admitted = 0;
     for tenths in 0..100 {
         let now = now + tenths * SECOND / 10;
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn runs_that_call_twice_are_let_in_half_as_often() {
+fn requests_that_call_twice_are_admitted_half_as_often() {
     let (mut gate, mut budgets) = (BackendGate::new(0), budgets(10));
     (0..200).for_each(|_| gate.request_ended(2));
     let admitted = (0..1000)
--- a/crates/shared-state/src/budget/borrower/tests.rs
+++ b/crates/shared-state/src/budget/borrower/tests.rs
@@ -22,10 +22,7 @@
 
 fn lease(number: u64, units: u32) -> Lease {
     Lease {
-        id: LeaseId {
-            lender: 1,
-            number,
-        },
+        id: LeaseId { lender: 1, number },
         units,
         duration: TERM,
         ..Lease::default()
@@ -50,7 +47,7 @@
 }
 
 #[test]
-fn a_deaf_node_falls_in_steps_to_its_floor_and_is_never_at_zero() {
+fn a_node_that_is_cut_off_falls_in_steps_to_its_floor_and_not_below() {
     let mut borrower = BudgetBorrower::new(0, rate(100, 2, 10));
     borrower.receive_lease(100, 100, lease(1, 80));
     let at = |ms: u64| borrower.units(100 + ms * crate::MILLISECOND);
@@ -60,7 +57,7 @@
     );
 }
 
-/// Never more than the rate over any window, whatever was saved, and however the part changes.
+/// Never more than the rate over any window, whatever was saved up, and however the lease changes.
 #[test]
 fn a_rate_is_kept_over_every_window() {
     let mut borrower = BudgetBorrower::new(0, rate(100, 0, 10));
@@ -83,7 +80,7 @@
                 .iter()
                 .take_while(|t| **t < first + window)
                 .count() as f64;
-            // All of it at 60 a second and the saved, as if the largest part had held throughout.
+            // 60 a second and what may be saved up, as if the largest lease had held throughout.
             assert!(
                 n <= 60.0 * window as f64 / 1000.0 + 3.0 + 1.0,
                 "{n} in {window} ms from {first}"
@@ -94,7 +91,7 @@
 }
 
 #[test]
-fn a_smaller_part_of_calls_in_hand_is_held_only_once_they_are_over() {
+fn a_smaller_lease_counts_as_held_once_no_more_calls_are_in_flight() {
     let kind = BudgetKind::InFlight {
         max_call_time: SECOND,
     };
@@ -118,7 +115,7 @@
 }
 
 #[test]
-fn demand_follows_what_was_tried_and_fades() {
+fn demand_follows_attempts_and_fades() {
     let mut borrower = BudgetBorrower::new(0, rate(1000, 1, 10));
     for ms in 0..1000 {
         let _ = borrower.acquire(ms * crate::MILLISECOND);
@@ -132,7 +129,7 @@
 }
 
 #[test]
-fn a_part_of_another_book_waits_for_the_end_of_what_is_held() {
+fn a_lease_of_another_lender_waits_for_the_end_of_the_held_one() {
     let mut borrower = BudgetBorrower::new(0, rate(100, 0, 10));
     borrower.receive_lease(0, 0, lease(9, 50));
     borrower.receive_lease(
@@ -164,7 +161,7 @@
     );
 }
 
-/// A call needs room under all budgets that it counts for, or takes nothing of any.
+/// A call needs a unit of each budget that it counts for, or takes none.
 #[test]
 fn a_call_is_allowed_under_all_budgets_or_takes_nothing() {
     let in_flight = Budget {
@@ -200,8 +197,8 @@
     assert!(!budgets.drop_leases(9 * SECOND));
     (0..4).for_each(|_| budgets.release(false));
     assert!(budgets.drop_leases(9 * SECOND));
-    // Two may go each second, of which one may be a repeat; one that is refused as such took
-    // nothing of the others.
+    // Two calls may be made each second, of which one may be a retry; a refused retry took nothing
+    // of the other budgets.
     let at = |tenths: u64| 20 * SECOND + tenths * SECOND / 10;
     let repeated = (0..50)
         .filter(|t| {
@@ -216,16 +213,16 @@
 }
 
 #[test]
-fn one_that_returns_cold_has_saved_nothing() {
+fn a_restarted_node_has_saved_up_nothing() {
     let mut borrower = BudgetBorrower::new(7 * SECOND, rate(100, 10, 10));
     assert!(borrower.acquire(7 * SECOND).is_err());
     assert!(borrower.acquire(8 * SECOND).is_ok());
 }
 
-/// A share of the units: as many fewer calls over any window, and none at once for what was saved
-/// before.
+/// A share of the units allows as many fewer calls over any window, and none at once for what was
+/// saved up before.
 #[test]
-fn a_slow_start_uses_a_share_of_the_units_and_nothing_that_was_saved() {
+fn a_slow_start_uses_a_share_of_the_units_and_nothing_that_was_saved_up() {
     let mut budgets = NodeBudgets::new(0, &[rate(100, 50, 1)]).with_seed(1);
     let taken = |budgets: &mut NodeBudgets, from: u64, until: u64| {
         (from..until)
--- a/crates/shared-state/src/budget/fair_share/tests.rs
+++ b/crates/shared-state/src/budget/fair_share/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn what_is_wanted_is_given_while_there_is_enough_and_the_rest_lies_evenly() {
+fn demand_is_met_while_there_is_enough_and_the_rest_is_spread_evenly() {
     let demands = [
         demand(0, 10, 1.0),
         demand(0, 0, 1.0),
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn where_it_is_short_zones_get_even_parts_and_the_valued_more_of_theirs() {
+fn where_units_are_short_zones_get_even_shares_and_higher_values_get_more() {
     let demands = [
         demand(0, 100, 2.0),
         demand(0, 100, 1.0),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn more_nodes_than_units_is_no_more_than_the_units() {
+fn more_nodes_than_units_get_no_more_than_the_units() {
     let demands: Vec<Demand> = (0..10).map(|n| demand(n % 2, 5, 1.0)).collect();
     let shares = allocate(3, &demands);
     assert_eq!(
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn never_more_than_there_is_and_all_of_it_whatever_is_asked() {
+fn all_units_and_no_more_are_allocated_whatever_is_requested() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     for _ in 0..2000 {
         let pool = rng.random_range(0..500);
--- a/crates/shared-state/src/budget/lender/tests.rs
+++ b/crates/shared-state/src/budget/lender/tests.rs
@@ -30,7 +30,7 @@
 const LONG: Nanos = 1 << 40;
 
 #[test]
-fn nothing_is_lent_until_what_was_out_before_is_gone() {
+fn nothing_is_granted_until_earlier_leases_have_expired() {
     let mut lender = new_lender();
     assert_eq!(
         (
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn a_unit_moves_only_when_its_holder_said_that_it_let_go_or_its_time_is_over() {
+fn a_unit_moves_only_when_its_borrower_released_it_or_its_lease_has_expired() {
     let mut lender = new_lender();
     let first = lender
         .request(LATER, process(1), id(0, 0), demand(100), LONG)
         .unwrap();
     assert_eq!(first.units, 100);
-    // Another one comes and wants half: there is nothing yet.
+    // Another borrower requests half: there is nothing yet.
     assert_eq!(
         lender
             .request(LATER, process(2), id(0, 0), demand(100), LONG)
@@ -61,7 +61,7 @@
             .units,
         0
     );
-    // The first one hears that it has half now, but has not said so.
+    // The first borrower is granted half now, but has not acknowledged that.
     let second = lender
         .request(
             LATER + 100,
@@ -79,7 +79,7 @@
             .units,
         0
     );
-    // It holds the second part and no other.
+    // It holds the second lease and no other.
     let _ = lender.request(
         LATER + 300,
         process(1),
@@ -94,7 +94,7 @@
             .units,
         50
     );
-    // It is heard of no more: its units come back after their time, and not before.
+    // It is silent from now on: its units come back after the lease has expired, and not before.
     let ends = LATER + 300 + drift_extended(TERM);
     assert_eq!(
         lender
@@ -119,10 +119,10 @@
     );
 }
 
-/// A number of another book is no word about this one: what is under way to the borrower stays
-/// lent.
+/// A lease of another lender says nothing of the leases of this one: what is under way to the
+/// borrower stays granted.
 #[test]
-fn what_is_held_of_another_book_frees_nothing() {
+fn a_lease_of_another_lender_frees_nothing() {
     let mut lender = new_lender();
     assert_eq!(
         lender
@@ -142,9 +142,10 @@
     );
 }
 
-/// Calls in hand at the end of a part go on for a while: their units are not lent again before.
+/// Calls in flight at the end of a lease go on for a while: their units are not granted again
+/// before.
 #[test]
-fn units_in_use_beyond_the_end_of_a_part_come_back_after_their_lag() {
+fn units_in_use_beyond_the_end_of_a_lease_come_back_after_their_use() {
     let mut lender = BudgetLender::new(0, 7, 100, TERM, 500, 64);
     let _ = lender.request(LATER, process(1), id(0, 0), demand(100), LONG);
     let ends = LATER + drift_extended(TERM);
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn one_that_returns_under_its_name_is_another_borrower() {
+fn a_restarted_node_is_another_borrower() {
     let mut lender = new_lender();
     let old = lender
         .request(LATER, process(1), id(0, 0), demand(100), LONG)
@@ -185,7 +186,7 @@
 }
 
 #[test]
-fn a_smaller_limit_lends_nothing_until_enough_came_back_and_no_part_outlives_the_lender() {
+fn a_smaller_limit_grants_nothing_until_enough_came_back_and_no_lease_outlasts_the_leader() {
     let mut lender = new_lender();
     let lease = lender
         .request(LATER, process(1), id(0, 0), demand(100), LONG)
@@ -224,7 +225,7 @@
 }
 
 #[test]
-fn accounts_are_bounded_and_those_long_silent_forgotten() {
+fn accounts_are_bounded_and_silent_borrowers_forgotten() {
     let mut lender = BudgetLender::new(0, 7, 100, TERM, 0, 3);
     let granted = (1..=5)
         .filter(|n| {
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -1,5 +1,5 @@
 //! Counters that a cluster adds up: each process counts for itself ([`ProcessCounters`]) and reports
-//! its sums; whoever receives the reports ([`ClusterCounters`]), in any order and any number of
+//! its sums; every receiver of the reports ([`ClusterCounters`]), in any order and any number of
 //! times, comes to the same totals. What a process counts only grows, so of two reports the larger
 //! number counts, column by column; a node that restarts is another process, so that nothing is
 //! counted twice.
@@ -77,7 +77,7 @@
     /// Requests rejected by keyed quotas.
     pub const OVER_QUOTA: usize = 4;
     /// Requests rejected because their backend call would find no room.
-    pub const NO_BACKEND_ROOM: usize = 5;
+    pub const NO_BACKEND_CAPACITY: usize = 5;
     /// Violations of invariants.
     pub const INVARIANT_VIOLATIONS: usize = 6;
     /// Starts of the process: 1.
--- a/crates/shared-state/src/counters/heavy_hitters/tests.rs
+++ b/crates/shared-state/src/counters/heavy_hitters/tests.rs
@@ -2,9 +2,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Streams with a few heavy keys among many, cut among processes as it happens and added up in
-/// any order: what is held is never more than came and never less by more than the error, which
-/// keeps its bound; and the heavy ones are there.
+/// Streams with a few heavy keys among many, cut among processes at random and added up in any
+/// order: a count is never more than the occurrences and never less by more than the error, which
+/// keeps its bound; and the heavy keys are there.
 #[test]
 fn sums_of_summaries_keep_their_error() {
     for seed in 0..60 {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_is_told_is_bounded() {
+fn summaries_from_messages_are_bounded() {
     let heavy = HeavyHitters::from_parts(10, (0..100).map(|key| (key, 1000)));
     assert!(heavy.top().len() == ENTRIES && heavy.top().iter().all(|(_, count)| *count <= 10));
 }
--- a/crates/shared-state/src/counters/latency_histogram/tests.rs
+++ b/crates/shared-state/src/counters/latency_histogram/tests.rs
@@ -4,7 +4,7 @@
 use rand_pcg::Pcg64Mcg;
 
 #[test]
-fn parts_that_travelled_add_up_to_the_whole_within_a_digit() {
+fn histograms_from_messages_add_up_to_the_whole_within_a_digit() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut of = vec![LatencyHistogram::default(); 7];
     let mut all: Vec<Nanos> = Vec::new();
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_held_within_bounds() {
+fn values_out_of_bounds_are_clamped() {
     let mut latency = LatencyHistogram::default();
     latency.record(0);
     latency.record(Nanos::MAX);
--- a/crates/shared-state/src/counters/tests.rs
+++ b/crates/shared-state/src/counters/tests.rs
@@ -18,10 +18,10 @@
         .map_or(0, |row| row[operation_column::ARRIVED])
 }
 
-/// Words in any order, in any groups, in parts, any number of times, and by way of others: all
-/// come to the same.
+/// Reports in any order, in any groups, in parts, any number of times, and by way of others: all
+/// receivers come to the same.
 #[test]
-fn whoever_heard_the_same_counts_the_same() {
+fn receivers_of_the_same_reports_come_to_the_same_totals() {
     for seed in 0..60 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut reports = Vec::new();
@@ -48,7 +48,7 @@
                 reports.push(counters.report(process(key, life), 1, WINDOWS));
             }
         }
-        // Some words come in two parts.
+        // Some reports arrive in two parts.
         for at in 0..reports.len() {
             if rng.random_bool(0.3) {
                 let whole = reports[at].clone();
@@ -72,7 +72,7 @@
                 .chain(&reports[..again])
                 .for_each(|report| counts.merge(0, report));
         }
-        // One more hears only by way of the first.
+        // One more receives reports only by way of the first.
         let mut second_hand = ClusterCounters::new(64);
         let all: Vec<ProcessId> = receivers[0]
             .processes()
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn one_that_returns_under_its_name_adds_to_its_past() {
+fn a_restarted_process_adds_to_its_past() {
     let mut all = ClusterCounters::new(64);
     let mut first = ProcessCounters::new(UNIX);
     first.add(UNIX, 7, operation_column::ARRIVED, 100);
@@ -110,8 +110,8 @@
     );
 }
 
-/// Nodes come and go for weeks: memory stays, the sum goes on, and a late word of one who is
-/// gone counts no more.
+/// Nodes come and go for weeks: memory stays, the sum goes on, and a late report of a retired
+/// process does not count.
 #[test]
 fn memory_is_bounded_as_processes_come_and_go() {
     let mut all = ClusterCounters::new(50);
@@ -137,10 +137,10 @@
     assert_eq!(arrived(&all), 15_000);
 }
 
-/// One that is idle for long, or cut off, and counts again: nothing of it is lost or counted
+/// A process that is idle for long, or cut off, and counts again: nothing of it is lost or counted
 /// twice.
 #[test]
-fn one_that_was_silent_for_long_and_speaks_again_counts_once() {
+fn a_process_that_was_silent_for_long_and_reports_again_counts_once() {
     let (mut all, mut one) = (ClusterCounters::new(9), ProcessCounters::new(UNIX));
     one.add(UNIX, 7, operation_column::ARRIVED, 100);
     all.merge(0, &one.report(process(1, 1), 0, 2));
@@ -155,9 +155,10 @@
     assert_eq!((all.processes().count(), arrived(&all)), (1, 105));
 }
 
-/// What a process ran in a window is what it said then, though it runs something else now.
+/// The version that a process ran in a window is the one that it reported then, even if it runs
+/// another one now.
 #[test]
-fn a_window_keeps_what_was_run_in_it() {
+fn a_window_keeps_the_version_that_ran_in_it() {
     let (mut all, mut one) = (ClusterCounters::new(9), ProcessCounters::new(UNIX));
     for (window, version) in [(0, 1), (1, 1), (2, 2)] {
         one.add(UNIX + window * WINDOW_MS, 7, operation_column::ARRIVED, 1);
@@ -172,7 +173,7 @@
 }
 
 #[test]
-fn more_processes_and_rows_than_there_is_room_for_are_left_out() {
+fn processes_and_rows_beyond_their_bounds_are_left_out() {
     let mut all = ClusterCounters::new(3);
     for life in 1..=5 {
         let mut counters = ProcessCounters::new(UNIX);
--- a/crates/shared-state/src/keyed_quota/borrower.rs
+++ b/crates/shared-state/src/keyed_quota/borrower.rs
@@ -1,5 +1,5 @@
 //! A node's end of all keyed quotas: leased units by key, floors, and what it requests. It never
-//! waits: a unit is here or it is not, and where it is not, the caller is told when to come back.
+//! waits: a unit is here or it is not, and where it is not, the caller gets a Retry-After.
 //!
 //! A request for a key passes [`QuotaBorrower::check`], then [`QuotaBorrower::acquire`], and for a
 //! number in flight ends with [`QuotaBorrower::release`]. What the node sends and receives is in
--- a/crates/shared-state/src/keyed_quota/borrower/tests.rs
+++ b/crates/shared-state/src/keyed_quota/borrower/tests.rs
@@ -68,7 +68,7 @@
 const T: Nanos = 1000 * SECOND;
 
 #[test]
-fn without_a_floor_the_first_one_hears_when_to_come_back_and_the_second_passes() {
+fn without_a_floor_the_first_request_is_told_when_to_come_back_and_the_second_is_admitted() {
     let quota = rate(10, 20, 0);
     let mut borrower = new_borrower(&quota);
     let refused = borrower.check(T, quota.id(), 7).unwrap_err();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_was_lent_ends_with_its_time_counted_from_the_question() {
+fn a_lease_lasts_from_its_request() {
     let quota = rate(10, 20, 0);
     let mut borrower = new_borrower(&quota);
     let _ = borrower.check(T, quota.id(), 7);
@@ -107,10 +107,9 @@
     );
 }
 
-/// The one who lends goes by the latest question; an answer to an earlier one must not count
-/// beside it.
+/// The lender goes by the latest request; a grant for an earlier one must not count beside it.
 #[test]
-fn an_answer_that_was_overtaken_by_a_question_counts_for_nothing() {
+fn a_grant_that_was_overtaken_by_a_request_counts_for_nothing() {
     let quota = rate(10, 20, 0);
     let mut borrower = new_borrower(&quota);
     let _ = borrower.check(T, quota.id(), 7);
@@ -145,10 +144,10 @@
 }
 
 #[test]
-fn a_deaf_node_has_its_floor_and_says_so() {
+fn a_node_that_is_cut_off_has_its_floor_and_says_so() {
     let quota = rate(32, 20, 2);
     let mut borrower = new_borrower(&quota);
-    // 32 a second, a sixteenth as floors of four nodes: one every two seconds, and two saved.
+    // 32 a second, a sixteenth as floors of four nodes: one every two seconds, and two saved up.
     let passed = (0..200)
         .filter(|n| admits(&mut borrower, T + n * 100 * MILLISECOND, &quota, 7))
         .count();
@@ -172,7 +171,7 @@
 
 /// Floors are empty at the start, or restarts would make units.
 #[test]
-fn one_that_returns_cold_has_no_floor_saved() {
+fn a_restarted_node_has_an_empty_floor() {
     let quota = rate(32, 20, 2);
     let mut borrower = QuotaBorrower::new(
         T,
@@ -186,7 +185,7 @@
 }
 
 #[test]
-fn short_says_when_and_asks_no_more_until_then() {
+fn an_exhausted_key_says_when_to_come_back_and_is_not_requested_until_then() {
     let quota = rate(10, 20, 0);
     let mut borrower = new_borrower(&quota);
     let _ = borrower.check(T, quota.id(), 7);
@@ -214,7 +213,7 @@
 }
 
 #[test]
-fn what_is_not_needed_goes_back_and_keys_that_are_idle_are_forgotten() {
+fn unneeded_units_are_released_and_idle_keys_forgotten() {
     let quota = rate(1000, 2000, 0);
     let mut borrower = new_borrower(&quota);
     let _ = borrower.check(T, quota.id(), 7);
@@ -238,7 +237,7 @@
 }
 
 #[test]
-fn places_in_hand_are_held_until_done_whatever_becomes_of_the_part() {
+fn units_in_flight_are_held_until_released_whatever_becomes_of_the_lease() {
     let kind = QuotaKind::InFlight {
         limit: 10,
         max_hold: SECOND,
@@ -256,7 +255,8 @@
             && admits(&mut borrower, T + REQUEST_BATCH_DELAY, &quota, 7)
     );
     assert!(!admits(&mut borrower, T + REQUEST_BATCH_DELAY, &quota, 7));
-    // Its time is over: three are in hand, two of them not by the floor, and that is said.
+    // The lease has expired: three are in flight, two of them not by the floor, and that is
+    // reported.
     let late = T + 20 * SECOND;
     assert!(!admits(&mut borrower, late, &quota, 7));
     let request = (0..20)
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn pockets_are_bounded_and_nothing_is_forgiven_by_being_pushed_out() {
+fn keys_are_bounded_and_eviction_makes_no_limit_more_lenient() {
     let quota = rate(32, 20, 1);
     let mut borrower = QuotaBorrower::new(
         0,
--- a/crates/shared-state/src/keyed_quota/lender.rs
+++ b/crates/shared-state/src/keyed_quota/lender.rs
@@ -189,10 +189,7 @@
         let before = key.borrowers.len();
         key.settle(now, quota);
         let leases = self.leases - (before - key.borrowers.len());
-        let index = match key
-            .borrowers
-            .binary_search_by_key(&borrower, |units| units.borrower)
-        {
+        let index = match key.index_of(borrower) {
             Ok(index) => Some(index),
             Err(_) if request.kept == 0 && request.wanted == 0 => None,
             Err(_) if leases >= self.max_leases => {
@@ -212,10 +209,7 @@
         };
         let grant = index.map(|index| key.grant(now, index, terms, number, request, &mut self.rng));
         self.leases = self.leases + key.borrowers.len() - before;
-        match grant {
-            Some(grant) => grant,
-            None => nothing,
-        }
+        grant.unwrap_or(nothing)
     }
 
     /// Forgets keys of which nothing is leased, once all units that may be saved up are free again.
@@ -259,10 +253,7 @@
             };
             let before = key.borrowers.len();
             key.settle(now, quota);
-            if let Ok(index) = key
-                .borrowers
-                .binary_search_by_key(&number, |units| units.borrower)
-            {
+            if let Ok(index) = key.index_of(number) {
                 key.borrowers.remove(index); // units of a rate are lost with it, and made anew
             }
             self.leases -= before - key.borrowers.len();
--- a/crates/shared-state/src/keyed_quota/lender/key_units.rs
+++ b/crates/shared-state/src/keyed_quota/lender/key_units.rs
@@ -73,6 +73,12 @@
         }
     }
 
+    /// The index of a borrower, or where it is to be inserted.
+    pub(super) fn index_of(&self, borrower: u32) -> Result<usize, usize> {
+        self.borrowers
+            .binary_search_by_key(&borrower, |units| units.borrower)
+    }
+
     fn leased(&self) -> u32 {
         self.borrowers
             .iter()
--- a/crates/shared-state/src/keyed_quota/lender/tests.rs
+++ b/crates/shared-state/src/keyed_quota/lender/tests.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn nothing_is_lent_before_what_was_out_is_gone_and_then_all_is_made_anew() {
+fn nothing_is_granted_before_earlier_leases_have_expired_and_then_units_are_made_anew() {
     let quota = rate(10, 20);
     let mut lender = new_lender(&quota);
     assert_eq!(
@@ -79,7 +79,7 @@
         added(lender.request(lender.opens_at(), process(1), &request(&quota, 2, 0, 0, 5))),
         Some(0)
     );
-    // A second later some nine were made, a tenth of a second apart; they are lent once.
+    // A second later some nine were made, a tenth of a second apart; they are granted once.
     let later = lender.opens_at() + SECOND;
     assert_eq!(
         added(lender.request(later, process(1), &request(&quota, 3, 0, 0, 50))),
@@ -91,9 +91,9 @@
     );
 }
 
-/// What lies in pockets counts as saved: however long nobody asks, no more exists than may.
+/// Leased units count as saved up: however long nobody requests any, no more exist than may.
 #[test]
-fn no_more_exists_than_may_be_saved() {
+fn no_more_units_exist_than_may_be_saved_up() {
     let quota = rate(10, 20);
     let mut lender = new_lender(&quota);
     let now = lender.opens_at() + 100 * SECOND;
@@ -106,7 +106,7 @@
         added(lender.request(later, process(2), &request(&quota, 1, 0, 0, 20))),
         Some(0)
     );
-    // The first one says that it spent 15 and gives 3 back; the others are made again one by
+    // The first borrower reports that it spent 15 and releases 3; the others are made again one by
     // one.
     assert_eq!(
         added(lender.request(later, process(1), &request(&quota, 2, 2, 3, 0))),
@@ -132,10 +132,10 @@
     );
 }
 
-/// A pocket that is heard of no more ends after its time and not before, and its units are made
-/// anew, not found again.
+/// Leased units that are not renewed expire after their time and not before, and are made anew, not
+/// found again.
 #[test]
-fn a_lost_pocket_comes_back_after_its_time_and_not_before() {
+fn lost_units_come_back_after_their_lease_and_not_before() {
     let quota = rate(1000, 20);
     let mut lender = new_lender(&quota);
     let now = lender.opens_at() + 100 * SECOND;
@@ -160,8 +160,8 @@
         )),
         Some(9)
     );
-    // The same if nobody looked meanwhile: it could have been spent at the last moment of its
-    // time.
+    // The same if nobody requested any meanwhile: a unit could have been spent at the last moment
+    // of its lease.
     let mut lender = new_lender(&quota);
     assert_eq!(
         added(lender.request(now, process(1), &request(&quota, 1, 0, 0, 20))),
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_question_that_was_overtaken_changes_nothing() {
+fn a_request_that_was_overtaken_changes_nothing() {
     let quota = rate(10, 20);
     let mut lender = new_lender(&quota);
     let now = lender.opens_at() + 100 * SECOND;
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn places_in_hand_are_kept_until_they_are_let_go_of_or_long_over() {
+fn units_in_flight_are_kept_until_released_or_long_expired() {
     let quota = in_flight(10);
     let mut lender = new_lender(&quota);
     let now = lender.opens_at();
@@ -232,7 +232,7 @@
         added(lender.request(now, process(2), &request(&quota, 2, 2, 0, 8))),
         Some(3)
     );
-    // The first one is gone: its places come back after its time and the longest use.
+    // The first borrower is gone: its units come back after the lease and the longest use.
     let gone = now + drift_extended(QuotaTiming::for_nodes(10).lease_duration) + SECOND;
     let renewed = |lender: &mut QuotaLender, no, at| {
         added(lender.request(at, process(2), &request(&quota, no, 5, 0, 5)))
@@ -241,9 +241,9 @@
     assert_eq!(renewed(&mut lender, 4, gone), Some(5));
 }
 
-/// Where there is too little, each gets by what it needs, and no question takes all.
+/// Where units are short, each borrower gets by what it needs, and no request takes all.
 #[test]
-fn what_is_short_is_shared_by_need() {
+fn short_units_are_shared_by_need() {
     let quota = rate(100, 100);
     let mut lender = new_lender(&quota);
     let mut now = lender.opens_at() + 100 * SECOND;
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn memory_is_bounded_and_keys_that_nobody_has_are_forgotten() {
+fn memory_is_bounded_and_keys_without_leases_are_forgotten() {
     let quota = rate(10, 20);
     let mut lender = QuotaLender::new(
         0,
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn one_that_leaves_gives_its_places_back() {
+fn a_borrower_that_leaves_releases_its_units() {
     let quota = in_flight(4);
     let mut lender = new_lender(&quota);
     let now = lender.opens_at();
--- a/crates/shared-state/src/leader_lease/tests.rs
+++ b/crates/shared-state/src/leader_lease/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_arbiter_that_starts_is_silent_for_a_term_and_then_gives_its_word_to_one() {
+fn a_voter_that_starts_is_silent_for_a_lease_and_then_votes_for_one_candidate() {
     let mut voter = Voter::new(100, 1000);
     assert_eq!(voter.request(600, process(1), 1), Err(refused(500)));
     assert_eq!(
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_candidate_lends_by_the_time_of_its_question_and_late_answers_count_for_their_round() {
+fn a_candidate_leads_by_the_time_of_its_request_and_late_votes_count_for_their_round() {
     let mut candidate = Candidate::new(3, 1000);
     let first = candidate.begin_round(100);
     assert!(!candidate.receive_vote(first, 0) && !candidate.receive_vote(first, 0));
@@ -61,14 +61,15 @@
     assert_eq!(candidate.leader_until(), 0);
 }
 
-/// Clocks that drift as far as is stated, messages late or lost, arbiters that start anew and
-/// candidates that stand still: never two who may lend at once.
+/// Clocks that drift as far as the bound, messages late or lost, voters that restart and candidates
+/// that are suspended: never two leaders at once.
 #[test]
-fn never_two_lend_at_once() {
+fn there_are_never_two_leaders_at_once() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (voters, candidates, lease) = (3, 3, 1000u64);
-        // Clocks: each shows true time times its rate; rates within the drift of each other.
+        // Each clock shows true time times its rate; rates are within the drift bound of each
+        // other.
         let rate: Vec<f64> = (0..6)
             .map(|_| 1.0 + rng.random_range(-0.5..0.5) / crate::CLOCK_DRIFT_PARTS as f64)
             .collect();
@@ -101,8 +102,8 @@
                 voter_states[a] = Voter::new(clock(a, now), lease);
             }
             if rng.random_bool(0.02) {
-                // One who came to no majority gives the round back; that may come late, when he
-                // has it after all.
+                // A candidate without a majority releases the round; that may arrive late, when it
+                // has the majority after all.
                 let c = rng.random_range(0..candidates);
                 if clock(3 + c, now) >= candidate_states[c].leader_until() {
                     candidate_states[c].resign();
--- a/crates/shared-state/src/messages/tests.rs
+++ b/crates/shared-state/src/messages/tests.rs
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn what_is_told_is_read_as_it_was_meant() {
+fn messages_decode_to_what_was_encoded() {
     for message in all() {
         let bytes = encode(&message);
         assert!(bytes.len() < 300, "{message:?}");
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn the_largest_question_about_keys_fits_a_parcel_and_lists_that_differ_are_refused() {
+fn the_largest_quota_request_fits_a_payload_and_lists_of_different_length_are_refused() {
     let key = KeyRequest {
         quota: u32::MAX,
         key: u64::MAX,
@@ -191,10 +191,10 @@
     );
 }
 
-/// A word of many operations is cut into parts that fit, and whoever hears all of them has the
+/// A report of many operations is cut into parts that fit, and whoever receives all of them has the
 /// whole.
 #[test]
-fn words_that_don_t_fit_are_cut_and_add_up_again() {
+fn reports_that_do_not_fit_are_split_and_add_up_again() {
     let mut rng = Pcg64Mcg::seed_from_u64(5);
     let mut counters_of_one = counters::ProcessCounters::new(1 << 40);
     for n in 0..20_000u64 {
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_later_version_is_read_as_far_as_it_is_known() {
+fn a_later_version_is_decoded_as_far_as_it_is_known() {
     let mut bytes = encode(&SharedMessage::Budgets(BudgetMessage::VoteRequest {
         round: 4,
     }));
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn values_that_make_no_sense_are_taken_for_ones_that_do() {
+fn values_out_of_bounds_are_clamped_or_refused() {
     let wild = SharedMessage::HealthReports(vec![
         (
             5,
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn every_cut_and_bit_is_read_or_refused() {
+fn every_truncation_and_bit_flip_is_decoded_or_refused() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     for message in all() {
         let bytes = encode(&message);
--- a/crates/shared-state/src/service_health.rs
+++ b/crates/shared-state/src/service_health.rs
@@ -2,8 +2,8 @@
 //! report.
 //!
 //! What others report may make a node treat a service as degraded, and never as unavailable: only its
-//! own calls do ([`ServiceHealth::evaluate`]). A failing service is told from a failing reporter by
-//! how many report it and from how many zones ([`AggregatedHealth::is_failing`]). While a service is
+//! own calls do ([`ServiceHealth::evaluate`]). A failing service is distinguished from a failing reporter
+//! by how many report it and from how many zones ([`AggregatedHealth::is_failing`]). While a service is
 //! unavailable, few nodes of the whole cluster probe it, chosen by a hash so that all agree on them
 //! ([`is_prober`]); then load comes back in steps, no node going further than twice what the others
 //! admit (`recovery_ramp`).
--- a/crates/shared-state/src/service_health/tests.rs
+++ b/crates/shared-state/src/service_health/tests.rs
@@ -12,7 +12,7 @@
     }
 }
 
-/// What a node is told by these, each in its zone, with tries and failures.
+/// The sum of these reports, each of a node in its zone, with calls and failures.
 fn aggregated(reports_of: impl Iterator<Item = (u64, u32, u32, u32)>) -> AggregatedHealth {
     let mut reports = HealthReports::new(64);
     for (key, zone, calls, failed) in reports_of {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn own_tries_close_it_and_others_alone_never_do() {
+fn own_calls_make_a_service_unavailable_and_others_alone_never_do() {
     let mut own = ServiceHealth::new(0, 0);
     (0..20).for_each(|_| own.call_ended(SECOND, false));
     assert_eq!(
@@ -56,7 +56,7 @@
 
 /// Calls that hang are few: three in a row, with nothing well for two seconds, are enough.
 #[test]
-fn calls_that_hang_close_it_though_they_are_few() {
+fn few_calls_that_hang_make_a_service_unavailable() {
     let mut hangs = ServiceHealth::new(0, 0);
     (0..9).for_each(|_| hangs.call_ended(10 * SECOND, false));
     assert_eq!(
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn one_sick_node_or_one_zone_is_told_from_a_sick_service() {
+fn one_faulty_node_or_zone_is_told_from_a_failing_service() {
     let failed = |one: bool| if one { 100 } else { 0 };
     let mut liar = ServiceHealth::new(0, 0);
     liar.receive_reports(
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_word_ages_out_and_a_flood_of_words_by_one_is_one_word() {
+fn reports_expire_and_a_flood_of_reports_by_one_node_is_one_report() {
     let mut careful = ServiceHealth::new(0, 0);
     careful.receive_reports(
         SECOND,
@@ -117,14 +117,14 @@
         (flood.reporters, flood.failing, flood.is_failing()),
         (2, 1, false)
     );
-    // Many that are none: what finds no room is not kept.
+    // Reports of too many nodes are refused.
     let mut reports = HealthReports::new(64);
     (0..1000).for_each(|key| reports.receive(0, process(key), 7, HealthReport::default()));
     assert_eq!((reports.reports.len(), reports.refused()), (64, 936));
 }
 
 #[test]
-fn few_try_a_service_that_is_down_and_they_take_turns() {
+fn few_nodes_probe_an_unavailable_service_and_they_take_turns() {
     let members: Vec<u64> = (0..300).map(mix).collect();
     let mut probes = BTreeSet::new();
     for round in 0..40 {
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_deaf_node_goes_on_by_its_own_tries() {
+fn a_node_that_is_cut_off_goes_by_its_own_probes() {
     let mut deaf = ServiceHealth::new(0, 0);
     (0..20).for_each(|_| deaf.call_ended(SECOND, false));
     let now = 60 * SECOND;
@@ -160,9 +160,10 @@
     assert_eq!(deaf.state(), HealthState::Healthy);
 }
 
-/// What was let in for its part of the load makes its call, unless the service closed meanwhile.
+/// A request that was admitted as a part of the load makes its call, unless the service became
+/// unavailable meanwhile.
 #[test]
-fn what_was_thinned_before_is_not_thinned_again() {
+fn a_request_that_was_thinned_out_is_not_thinned_out_again() {
     let mut rising = ServiceHealth::new(0, 0);
     (0..20).for_each(|_| rising.call_ended(SECOND, false));
     assert!(!rising.admits(SECOND, true));
@@ -177,10 +178,11 @@
     );
 }
 
-/// A service that dies past what it can do, is dead for a minute under full demand, and is cold
-/// when it is back. Each node tells three others every half second, with losses; one hears nobody.
-/// Gives how often it was thrown down, and how many calls it had while it was dead. Without steps,
-/// who had one good try sends all at once.
+/// A service that fails beyond its capacity, is down for a minute under full demand, and is cold
+/// when it is back. Each node reports to three others every half second, with losses; one is cut
+/// off. Returns how often the service failed again, how many probes it had while it was down, and
+/// whether it is healthy everywhere at the end. Without steps, a node with one good probe sends
+/// everything at once.
 fn simulate(nodes: usize, seed: u64, steps: bool) -> (u32, u64, bool) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (deaf, tick) = (nodes - 1, 10 * MILLISECOND);
@@ -243,10 +245,10 @@
     )
 }
 
-/// In a minute, of a hundred calls a second and node that were wanted: ten of each until it closed,
-/// then three nodes' tries.
+/// In a minute, of a hundred calls a second and node that were wanted: ten of each node until the
+/// service was unavailable to it, then three nodes' probes.
 #[test]
-fn a_service_that_comes_back_is_not_thrown_down_again() {
+fn a_service_that_recovers_does_not_fail_again() {
     for (nodes, seeds) in [(12, 0..20), (120, 20..23)] {
         for seed in seeds {
             let (fell, probes, is_healthy) = simulate(nodes, seed, true);
@@ -263,10 +265,10 @@
     );
 }
 
-/// One that was idle, or not there, while the service was down: it comes back with the others, from
-/// the least of them.
+/// A node that was idle, or not there, while the service was down: it recovers with the others,
+/// from the least share of them.
 #[test]
-fn who_saw_nothing_of_a_start_comes_back_with_the_others() {
+fn a_node_that_saw_nothing_of_a_start_recovers_with_the_others() {
     let report = |calls, admitted_share| HealthReport {
         zone: 0,
         calls,
@@ -298,7 +300,7 @@
         (idle.state(), idle.budget_share(10 * SECOND)),
         (HealthState::Recovering, 0.25)
     );
-    // What sees for itself that it is well goes by that.
+    // A node that sees for itself that the service is healthy goes by that.
     let mut sees = ServiceHealth::new(0, 0);
     (0..20).for_each(|_| sees.call_ended(10 * SECOND, true));
     sees.receive_reports(10 * SECOND, aggregated(&[0.5, 0.25, 1.0, 0.0]));
--- a/crates/shared-state/src/simulation/config.rs
+++ b/crates/shared-state/src/simulation/config.rs
@@ -59,7 +59,7 @@
     pub messages: u64,
     /// Their bytes, with all headers.
     pub bytes: u64,
-    /// Units of keys that were wanted; each client comes back twice when it is told to.
+    /// Units of keys that were wanted; a refused client comes back twice.
     pub keys_wanted: u64,
     /// Units of keys that were admitted.
     pub keys_admitted: u64,
--- a/crates/shared-state/src/simulation/keys.rs
+++ b/crates/shared-state/src/simulation/keys.rs
@@ -1,4 +1,4 @@
-//! Requests by key: clients that come back when they are told to, and a record of what was admitted
+//! Requests by key: refused clients that come back, and a record of what was admitted
 //! of each key over all nodes.
 
 use super::{LimitStrategy, Simulation};
@@ -13,7 +13,7 @@
 /// The load by key: node and key of each request in a step.
 pub type KeyLoad = Box<dyn FnMut(Nanos, &mut Pcg64Mcg) -> Vec<(usize, u64)>>;
 
-/// Attempts of a client that is told to come back.
+/// Attempts of a client, the first one included.
 const MAX_ATTEMPTS: u32 = 3;
 
 /// What was admitted of a key.
--- a/crates/shared-state/src/status.rs
+++ b/crates/shared-state/src/status.rs
@@ -238,7 +238,7 @@
         heads[process_column::CALLS_RETRIED] = "calls repeated";
         heads[process_column::CALLS_OVER_BUDGET] = "calls without room";
         heads[process_column::OVER_QUOTA] = "over a limit";
-        heads[process_column::NO_BACKEND_ROOM] = "no room below";
+        heads[process_column::NO_BACKEND_CAPACITY] = "no room below";
         heads[process_column::INVARIANT_VIOLATIONS] = "invariants";
         heads[process_column::STARTS] = "starts";
     } else {
--- a/crates/shared-state/src/status/explain.rs
+++ b/crates/shared-state/src/status/explain.rs
@@ -98,37 +98,7 @@
         );
         match &self.lease {
             None => line += " alone, for nothing was lent yet",
-            Some(lease) => {
-                let left = units.saturating_sub(*floor);
-                let _ = write!(
-                    line,
-                    " and {left} of a part of {}, asked for {} ms ago",
-                    lease.units, lease.requested_ms_ago
-                );
-                let (age_ms, duration_ms) = (lease.requested_ms_ago, lease.duration_ms.max(1));
-                if left < lease.units {
-                    let _ = match age_ms * 4 / duration_ms {
-                        0..=2 => write!(line, ": its first half is over, and nothing came since"),
-                        3 => write!(line, ": it is nearly over, and nothing came since"),
-                        _ => write!(line, ": its time of {duration_ms} ms is over"),
-                    };
-                }
-                let LeaseStatus {
-                    total_demand,
-                    borrowers,
-                    pool,
-                    ..
-                } = lease;
-                let short = if total_demand > pool {
-                    ", which is short"
-                } else {
-                    ""
-                };
-                let _ = write!(
-                    line,
-                    "; {borrowers} asked for {total_demand} of {pool} then{short}"
-                );
-            }
+            Some(lease) => self.explain_lease(lease, &mut line),
         }
         let _ = write!(
             line,
@@ -140,6 +110,39 @@
         }
         line
     }
+
+    /// What is left of the lease, and what all borrowers requested when it was granted.
+    fn explain_lease(&self, lease: &LeaseStatus, line: &mut String) {
+        let left = self.units.saturating_sub(self.floor);
+        let _ = write!(
+            line,
+            " and {left} of a part of {}, asked for {} ms ago",
+            lease.units, lease.requested_ms_ago
+        );
+        let (age_ms, duration_ms) = (lease.requested_ms_ago, lease.duration_ms.max(1));
+        if left < lease.units {
+            let _ = match age_ms * 4 / duration_ms {
+                0..=2 => write!(line, ": its first half is over, and nothing came since"),
+                3 => write!(line, ": it is nearly over, and nothing came since"),
+                _ => write!(line, ": its time of {duration_ms} ms is over"),
+            };
+        }
+        let LeaseStatus {
+            total_demand,
+            borrowers,
+            pool,
+            ..
+        } = lease;
+        let short = if total_demand > pool {
+            ", which is short"
+        } else {
+            ""
+        };
+        let _ = write!(
+            line,
+            "; {borrowers} asked for {total_demand} of {pool} then{short}"
+        );
+    }
 }
 
 impl QuotaStatus {
--- a/crates/shared-state/src/status/snapshot.rs
+++ b/crates/shared-state/src/status/snapshot.rs
@@ -111,7 +111,7 @@
     /// The service's name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// How the node treats it, by the word of
+    /// How the node treats it, as labelled by
     /// [`HealthState::label`](crate::HealthState::label).
     #[prost(string, tag = "2")]
     pub state: String,
--- a/crates/shared-state/src/status/tests.rs
+++ b/crates/shared-state/src/status/tests.rs
@@ -4,9 +4,9 @@
 use crate::{AggregatedHealth, HealthState, SECOND};
 use prost::Message;
 
-/// A node that was lent something, then hears nothing, says so at each step.
+/// A node that got a lease, then reaches nobody, says so at each step.
 #[test]
-fn a_node_says_why_it_holds_what_it_holds() {
+fn a_node_explains_what_it_may_use() {
     let kind = BudgetKind::Rate { burst: SECOND / 20 };
     let budget = Budget {
         name: "register".into(),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_judgement_is_told_with_its_reason() {
+fn the_state_of_a_service_is_explained() {
     let mut health = ServiceHealth::new(0, 1);
     let explained = |health: &mut ServiceHealth, now| {
         let mut status = StatusSnapshot::default();
--- a/crates/shared-state/tests/budgets.rs
+++ b/crates/shared-state/tests/budgets.rs
@@ -1,5 +1,5 @@
-//! The hard cases of a budget that a fleet shares, over simulated time: never over the limit, and
-//! what is unused is used again soon.
+//! The hard cases of a budget that a cluster shares, over simulated time: never over the limit, and
+//! unused units are used again soon.
 
 use madderpoint_shared_state::simulation::{LimitStrategy, Load, Simulation, SimulationConfig};
 use madderpoint_shared_state::{Budget, BudgetKind, Nanos};
@@ -39,8 +39,8 @@
     Box::new(|_, _| 200.0)
 }
 
-/// Never over, at any moment: units that all hold together, and the calls that the service below
-/// counted.
+/// Never over the limit, at any moment: the units of all nodes together, and the calls that the
+/// backend service recorded.
 fn run_within(sim: &mut Simulation, time: Nanos) {
     for _ in 0..time / (20 * MS) {
         sim.run(20 * MS);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn with_all_well_nearly_all_of_it_is_used_and_moves_to_where_it_is_needed() {
+fn without_faults_nearly_all_of_the_limit_is_used_and_moves_to_where_it_is_needed() {
     for seed in 0..3 {
         let mut sim = Simulation::new(config(10, seed), full());
         run_within(&mut sim, 10 * S);
@@ -92,8 +92,8 @@
     }
 }
 
-/// Thirds that each hear only themselves, each with full demand: one of them may lend, the others
-/// fall to their floors.
+/// Thirds that each reach only themselves, each with full demand: one of them may have a leader,
+/// the others fall to their floors.
 #[test]
 fn a_partition_in_thirds_stays_within_the_limit() {
     for seed in 0..4 {
@@ -109,9 +109,9 @@
     }
 }
 
-/// Two of three arbiters on one side: that side lends on, the other one has its floors.
+/// Two of three voters on one side: that side goes on, the other one has its floors.
 #[test]
-fn the_side_with_most_arbiters_goes_on() {
+fn the_side_with_a_majority_of_voters_goes_on() {
     let mut sim = Simulation::new(config(9, 1), full());
     run_within(&mut sim, 10 * S);
     sim.cut_links(|a, b| (2..7).contains(&a) != (2..7).contains(&b));
@@ -120,9 +120,9 @@
     assert!((2..7).all(|n| sim.units(n) == 2));
 }
 
-/// Cut one way: the one who lends is not heard, and hears; the other way round as well.
+/// Links cut one way: the leader is not heard, and hears; the other way round as well.
 #[test]
-fn a_cut_one_way_gives_nothing_twice() {
+fn links_cut_one_way_grant_nothing_twice() {
     for seed in 0..4 {
         for lender_is_heard in [true, false] {
             let mut sim = Simulation::new(config(8, seed), full());
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn pauses_crashes_and_cold_returns_by_seed_stay_within_the_limit() {
+fn suspensions_crashes_and_restarts_by_seed_stay_within_the_limit() {
     for seed in 0..25u64 {
         let mut sim = Simulation::new(
             SimulationConfig {
@@ -182,9 +182,9 @@
     }
 }
 
-/// TwoHalfWindow of the fleet is replaced while the limit is fully used.
+/// Half of the cluster is replaced while the limit is fully used.
 #[test]
-fn half_the_fleet_is_replaced_with_the_limit_fully_used() {
+fn half_of_the_cluster_is_replaced_with_the_limit_fully_used() {
     let mut sim = Simulation::new(config(20, 3), full());
     run_within(&mut sim, 10 * S);
     for n in 0..10 {
@@ -197,9 +197,9 @@
     assert!(used(&mut sim, 3) > 0.9);
 }
 
-/// Calls in hand, which stay in use beyond the end of a part.
+/// Calls in flight, which go on beyond the end of a lease.
 #[test]
-fn calls_in_hand_are_never_more_than_the_limit() {
+fn calls_in_flight_are_never_more_than_the_limit() {
     for seed in 0..6 {
         let kind = BudgetKind::InFlight {
             max_call_time: 400 * MS,
@@ -236,14 +236,14 @@
         run_within(&mut sim, 8 * S);
         let before = sim.result.calls_made;
         run_within(&mut sim, 4 * S);
-        // 120 in hand of 250 ms each on average are some 480 a second.
+        // 120 in flight of 250 ms each on average are some 480 a second.
         let a_second = (sim.result.calls_made - before) / 4;
         assert!(a_second > 300, "seed {seed}: {a_second}");
     }
 }
 
-/// A limit is changed on half of the nodes: the smaller of both holds once the one who lends has it
-/// and parts have ended.
+/// A limit is changed on half of the nodes: the smaller of both holds once the leader has it and
+/// leases have expired.
 #[test]
 fn a_limit_that_changes_on_half_of_the_nodes_stays_within_the_larger() {
     let mut sim = Simulation::new(config(8, 5), full());
@@ -275,10 +275,10 @@
     assert!(sim.result.calls_made > 50, "{}", sim.result.calls_made);
 }
 
-/// The plain ways go over where a part of the fleet hears nothing, or use little: the record can
-/// tell.
+/// The plain strategies exceed the limit where a part of the cluster is cut off, or use little: the
+/// record can tell.
 #[test]
-fn the_record_tells_the_plain_ways_apart() {
+fn the_record_tells_the_plain_strategies_apart() {
     let play = |strategy| {
         let mut sim = Simulation::new(
             SimulationConfig {
@@ -325,11 +325,11 @@
     );
 }
 
-/// ClusterCounters of calls, by way of arbiters that lose each other, with killed nodes and cold returns:
-/// all come to the same, never to more than was made, and to less only by what the killed had not
-/// told.
+/// Counters of calls, by way of voters that lose each other, with killed nodes and restarts: all
+/// come to the same, never to more than was made, and to less only by what the killed nodes had not
+/// reported.
 #[test]
-fn counts_of_all_are_the_same_everywhere_and_lose_only_what_was_not_told() {
+fn totals_are_the_same_everywhere_and_lose_only_what_was_not_reported() {
     for seed in 0..6 {
         let mut sim = Simulation::new(
             SimulationConfig {
@@ -339,7 +339,7 @@
             Box::new(|_, _| 20.0),
         );
         run_within(&mut sim, 10 * S);
-        // Each of three sides has one of the arbiters, 0 to 2.
+        // Each of three sides has one of the voters, 0 to 2.
         sim.cut_links(|a, b| a % 3 != b % 3);
         run_within(&mut sim, 20 * S);
         let known: Vec<u64> = (0..3).map(|n| calls(&sim, n)).collect();
@@ -356,7 +356,8 @@
             lost += sim.result.calls_by_node[n] - before; // at most what it made since
             sim.start(n);
         }
-        // Two arbiters only for a while, and one that knows nothing is told all by the others.
+        // Two voters only for a while, and one that knows nothing receives everything from the
+        // others.
         run_within(&mut sim, 30 * S);
         sim.set_load(Box::new(|_, _| 0.0));
         run_within(&mut sim, 40 * S);
@@ -376,7 +377,7 @@
             (0..9).all(|n| sim.reported_calls(n) == Some(known[0])),
             "seed {seed}: all are told the sums"
         );
-        // Long after, the processes that are gone are one sum.
+        // Long after, the processes that have left are one sum.
         run_within(&mut sim, 700 * S);
         sim.retire_processes();
         assert_eq!(
--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The parcels as recorded in `golden/parcels.hex`: wire formats must stay byte for byte alike. A
+//! The payloads as recorded in `golden/parcels.hex`: wire formats must stay byte for byte alike. A
 //! line there is the name of a message and its bytes.
 
 #![cfg(not(feature = "later"))] // a later version's messages differ on purpose
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn the_recorded_bytes_are_read_as_each_message() {
+fn the_recorded_bytes_decode_to_each_message() {
     let (recorded, all): (Vec<&str>, _) = (RECORDED.lines().collect(), all());
     assert_eq!(recorded.len(), all.len());
     for (line, message) in recorded.iter().zip(all) {
--- a/crates/shared-state/tests/keys.rs
+++ b/crates/shared-state/tests/keys.rs
@@ -1,5 +1,5 @@
-//! The hard cases of limits by key that a fleet shares, over simulated time: no key is ever over
-//! its limit, and what is there is used.
+//! The hard cases of keyed quotas that a cluster shares, over simulated time: no key is ever over
+//! its limit, and what there is is used.
 
 use madderpoint_shared_state::keyed_quota::lender::QuotaLenderSize;
 use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaKind};
@@ -53,7 +53,7 @@
     Box::new(|_, _| 0.0)
 }
 
-/// So many tries a second of each of some keys, at nodes by chance.
+/// Attempts of some keys, each this many a second, at random nodes.
 fn even(
     nodes: usize,
     keys: u64,
@@ -85,7 +85,7 @@
     assert!(sim.max_leaders <= 1);
 }
 
-/// Let through a second and key, of what was wanted.
+/// Admitted a second and key, of what was wanted.
 fn made(sim: &mut Simulation, seconds: u64, keys: u64) -> f64 {
     let before = sim.result.keys_admitted;
     run(sim, seconds * S);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn keys_under_their_limit_all_pass_and_hot_ones_get_all_of_it() {
+fn keys_under_their_limit_are_all_admitted_and_those_in_high_demand_get_all_of_it() {
     for seed in 0..3 {
         // Well under: 3 a second of 20, over ten nodes.
         let mut under = sim(10, seed, rate(20, 40, 1, 12));
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn through_partitions_pauses_crashes_and_cold_returns_no_key_is_over_its_limit() {
+fn through_partitions_suspensions_crashes_and_restarts_no_key_is_over_its_limit() {
     for seed in 0..16u64 {
         let floor = (seed % 2) as u32;
         let loss = [0.0, 0.05, 0.3][seed as usize % 3];
@@ -199,9 +199,9 @@
     }
 }
 
-/// Cut off from the one who lends a node has its floor, and says so; with none it has nothing.
+/// A node that is cut off from the leader has its floor; with none it has nothing.
 #[test]
-fn a_deaf_node_has_its_floor() {
+fn a_node_that_is_cut_off_has_its_floor() {
     for (floor, least, most) in [(2u32, 8, 12), (0, 0, 0)] {
         let mut sim = sim(6, 1, rate(160, 400, floor, 10));
         sim.set_key_load(Box::new(|_, _| vec![(5, 1)]));
@@ -219,10 +219,10 @@
     }
 }
 
-/// The one who lends dies: nothing is lent for its term and the life of what it had lent, then all
-/// goes on.
+/// The leader dies: nothing is granted for the leader lease and the duration of its leases, then
+/// all goes on.
 #[test]
-fn another_one_lends_after_the_death_of_the_first() {
+fn another_leader_grants_after_the_death_of_the_first() {
     let mut sim = sim(9, 2, rate(20, 30, 1, 12));
     sim.set_key_load(Box::new(even(9, 4, 60.0)));
     run(&mut sim, 15 * S);
@@ -234,8 +234,8 @@
     assert!(passed > 17.0, "{passed}");
 }
 
-/// A hundred thousand keys, of which most are seldom used: memory is bounded, and what finds no
-/// room is refused and not let through.
+/// A hundred thousand keys, of which most are seldom used: memory is bounded, and a key without
+/// memory is refused and not admitted.
 #[test]
 fn a_hundred_thousand_keys_in_bounded_memory() {
     let mut sim = sim(5, 3, rate(5, 20, 1, 8));
@@ -264,7 +264,7 @@
     assert!(refused > 0 && passed > 0.9, "{refused} {passed}");
 }
 
-/// TwoHalfWindow of the nodes have a smaller limit: all together keep to the larger one.
+/// Half of the nodes have a smaller limit: all together keep to the larger one.
 #[test]
 fn a_limit_that_changes_on_half_of_the_nodes() {
     let mut sim = sim(8, 4, rate(40, 80, 1, 10));
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -1,7 +1,7 @@
-//! ProcessId lends and what is lent, checked through every order of messages that are late, doubled or
-//! lost, of ticks, of a crash with a cold return, and of nodes that stand still (which is no action
-//! for some ticks): what all may spend together is never over the limit. The machines are the
-//! package's; what is left out is the drift of clocks, which `budgets.rs` plays.
+//! Who leads and what is leased, checked through every order of messages that are late, doubled or
+//! lost, of ticks, of a crash with a restart, and of nodes that are suspended (no action for some
+//! ticks): what all may use together is never over the limit. The state machines are the package's;
+//! the drift of clocks is left out, which `budgets.rs` simulates.
 
 use madderpoint_shared_state::budget::lender::BudgetLender;
 use madderpoint_shared_state::leader_lease::{Candidate, Voter};
@@ -14,7 +14,7 @@
 
 const NODES: usize = 3;
 const UNITS: u32 = 2;
-/// Ticks that a word and a part hold.
+/// Ticks for which a vote and a lease last.
 const LEADER_LEASE: u64 = 7;
 const LEASE_DURATION: u64 = 2;
 
@@ -115,7 +115,7 @@
 }
 
 impl LeaseModel {
-    /// Node 0 lends already: all gave it their word just now, and its books are open.
+    /// Node 0 is the leader already: all gave it their vote just now, and its lender is open.
     fn initial() -> State {
         let now = 100;
         let nodes = (0..NODES)
@@ -254,7 +254,7 @@
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         actions.extend([Action::Tick(1), Action::Tick(4)]);
         for n in 0..NODES {
-            // Two of three want to lend; all borrow.
+            // Two of three are candidates; all borrow.
             if n < 2 && !state.is_leader(n) {
                 actions.push(Action::BeginsRound(n));
                 if state.nodes[n].candidate.round > 0 {
--- a/crates/shared-state/tests/model_keys.rs
+++ b/crates/shared-state/tests/model_keys.rs
@@ -1,7 +1,7 @@
-//! Units of a key, checked through every order of questions and answers that are late, doubled or
-//! lost, of units that are spent, of borrowers that crash and return, and of another one who begins
-//! to lend: a rate is never over what it may be, and never more in hand than may be; and what was
-//! lost comes back. The machines are the package's; who lends is `model.rs`'s.
+//! Units of a key, checked through every order of requests and grants that are late, doubled or
+//! lost, of units that are spent, of borrowers that crash and restart, and of another leader: a
+//! rate is never exceeded, there are never more in flight than the limit, and what was lost comes
+//! back. The state machines are the package's; who leads is checked in `model.rs`.
 
 use madderpoint_shared_state::keyed_quota::borrower::UnitLease;
 use madderpoint_shared_state::keyed_quota::lender::QuotaLender;
@@ -14,11 +14,11 @@
 use std::hash::{Hash, Hasher};
 
 const BORROWERS: usize = 2;
-/// Time for a unit at the rate that is promised, and the life of what lies in a pocket.
+/// The time of a unit at the promised rate, and the duration of a lease.
 const UNIT_INTERVAL: Nanos = 98;
 const LEASE_DURATION: Nanos = 100;
 const MAX_UNITS: u32 = 2;
-/// How long one is in hand at most.
+/// The longest that a unit is in flight.
 const MAX_HOLD: Nanos = 60;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -44,7 +44,7 @@
     process: ProcessId,
     lease: UnitLease,
     number: u32,
-    /// When what it has in hand is over.
+    /// When each unit in flight ends.
     in_use_until: Vec<Nanos>,
 }
 
@@ -57,7 +57,8 @@
     in_flight: BTreeSet<Sent>,
     crashes: usize,
     later_leaders: usize,
-    /// The record: when a next unit would come evenly, and whether it was ever over.
+    /// The record: when the next unit is due at an even rate, and whether the limit was ever
+    /// exceeded.
     due: Nanos,
     over: bool,
     spent: u32,
@@ -205,7 +206,7 @@
             number: 0,
             in_use_until: Vec::new(),
         };
-        // The first one has all of it.
+        // The first borrower has all units.
         let (starts_at, number, keep) = (self.starts_at(), 1, 0);
         let mut state = State {
             now: starts_at,
@@ -348,8 +349,8 @@
                 "more is spent than may be saved",
                 |_: &QuotaModel, s: &State| s.spent > MAX_UNITS,
             ),
-            // Nothing is lost for good: after a crash, or with another one who lends, all of it is
-            // to be had again.
+            // Nothing is lost for good: after a crash, or with another leader, all units can be had
+            // again.
             Property::sometimes(
                 "all of it comes back after a crash",
                 |_: &QuotaModel, s: &State| {
@@ -397,7 +398,7 @@
 }
 
 #[test]
-fn a_number_in_hand_holds_through_every_order_of_faults() {
+fn a_number_in_flight_holds_through_every_order_of_faults() {
     check(QuotaKind::InFlight {
         limit: MAX_UNITS,
         max_hold: MAX_HOLD,
--- a/crates/shared-state/tests/slow_start.rs
+++ b/crates/shared-state/tests/slow_start.rs
@@ -1,7 +1,7 @@
-//! A service below that starts cold, under the sum of what all processes send: in every window they
-//! stay within what it takes then, with chance on top of it, though they learn of the start at
-//! different times, one hears nobody, one restarts in the middle, one was idle all the while, and
-//! all try in the same instants.
+//! A backend service that starts cold, under the sum of what all processes send: in every window
+//! they stay within what it takes then, with chance on top of it, though they learn of the start at
+//! different times, one is cut off, one restarts in the middle, one was idle all the while, and all
+//! attempt calls in the same instants.
 
 use madderpoint_shared_state::service_health::is_prober;
 use madderpoint_shared_state::{
@@ -14,7 +14,7 @@
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1000 * MS;
 const SERVICE: u64 = 7;
-/// It is down from then on, and back cold; the play ends.
+/// The service goes down, and comes back cold; the simulation ends.
 const DOWN: Nanos = 10 * S;
 const BACK: Nanos = 30 * S;
 const END: Nanos = BACK + 60 * S;
@@ -22,14 +22,14 @@
 const RESTART: Nanos = BACK + 17 * S;
 const WAKES: Nanos = BACK + 15 * S;
 const TICK: Nanos = 10 * MS;
-/// All try at once, so often.
+/// All nodes attempt a call at once, this often.
 const ATTEMPT_INTERVAL: Nanos = 10 * MS;
-/// Units are lent for so long, and so often.
+/// Leases last this long, and are granted, and health reported, this often.
 const LEASE_DURATION: Nanos = S;
 const EXCHANGE_INTERVAL: Nanos = S / 2;
 
-/// What may come a second so long after the start, of the whole: the steps of the rise, as if all
-/// had begun with the start.
+/// The share of the limit that may come a second, this long after the start: the steps of the
+/// recovery, as if all nodes had begun with the start.
 fn ramp(since: Nanos) -> f64 {
     let steps = (since / (5 * S)).min(4);
     2f64.powi(steps as i32) / 16.0
@@ -42,8 +42,8 @@
     last_lease: u64,
 }
 
-/// What came of a play: by how much the worst window was over what is allowed, calls at all in the
-/// rise, and whether all is open.
+/// What came of a simulation: by how much the worst window exceeded what is allowed, calls since
+/// the start, and whether the service is healthy everywhere.
 #[derive(Debug)]
 struct Outcome {
     over: f64,
@@ -51,11 +51,11 @@
     is_healthy: bool,
 }
 
-/// The window that is looked at, and how a process goes about a start.
+/// What limits a process while the service starts.
 #[derive(Clone, Copy, PartialEq)]
 enum RampBy {
     BudgetShare,
-    /// By the judgement alone, as before: units are not scaled.
+    /// Health alone: units are not scaled.
     HealthAlone,
 }
 
@@ -80,10 +80,9 @@
         last_lease: 0,
     };
     let mut all: Vec<Node> = (0..nodes).map(|n| new(0, n, 0)).collect();
-    // The first one restarts, the second one is idle, the last one hears nobody: nothing is lent to
-    // it.
+    // The first node restarts, the second one is idle, the last one is cut off and gets no lease.
     let (idle, deaf) = (1, nodes - 1);
-    // Words and parts come to each at moments of its own.
+    // Reports and leases reach each node at moments of its own.
     let phase: Vec<Nanos> = (0..nodes).map(|_| rng.random_range(0..50) * TICK).collect();
     let mut calls: Vec<Nanos> = Vec::new();
     let mut now = 0;
@@ -197,9 +196,9 @@
     }
 }
 
-/// The same play without it is over, so that the bound is one that can be broken.
+/// Without it the same simulation exceeds the bound: it is one that can be broken.
 #[test]
-fn without_a_slow_start_the_same_play_is_over() {
+fn without_a_slow_start_the_same_simulation_exceeds_the_bound() {
     for nodes in [5, 20, 30] {
         let over = (0..10)
             .filter(|seed| simulate(nodes, 5, S, *seed, RampBy::HealthAlone).over > 0.0)
