--- a/crates/shared-state/src/clock.rs
+++ b/crates/shared-state/src/clock.rs
@@ -2,7 +2,7 @@
 //!
 //! Clocks of two processes run at most one part in [`CLOCK_DRIFT_PARTS`] too fast or too slow
 //! against each other. A borrower therefore counts a lease as shorter than granted
-//! ([`drift_shortened`]), and its lender counts the same lease as longer ([`drift_extended`]): when
+//! (`drift_shortened`), and its lender counts the same lease as longer (`drift_extended`): when
 //! the lender takes a lease for expired, its borrower has stopped using it.
 
 use crate::Nanos;
