--- a/crates/node/src/cli/shared.rs
+++ b/crates/node/src/cli/shared.rs
@@ -1,17 +1,21 @@
-//! `madderpoint shared`: what a running node holds of all that its fleet shares, and why.
+//! `madderpoint shared`: the status of the shared state at a running node, as text, table or JSON. The
+//! names in the JSON are fixed: programs read them.
 
 use super::fleet::Asker;
 use super::{Ended, Format};
 use clap::Subcommand;
-use madderpoint_shared_state::counts::COLUMNS;
-use madderpoint_shared_state::status::{CounterRowStatus, CounterStatus, StatusSnapshot, columns};
+use madderpoint_shared_state::counters::COLUMNS;
+use madderpoint_shared_state::status::{
+    BudgetStatus, CounterRowStatus, CounterStatus, LenderStatus, QuotaStatus, ServiceStatus,
+    StatusSnapshot, column_heads,
+};
 use prost::Message;
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Heavy keys that are shown of each kind.
-const HEAVY: usize = 5;
+/// The most heavy keys of each kind in the table.
+const MAX_HEAVY_KEYS: usize = 5;
 
 #[derive(Subcommand)]
 pub enum Command {
@@ -33,7 +37,7 @@
 }
 
 impl Command {
-    /// Carries the call out.
+    /// Runs the command.
     pub fn run(self) -> Ended {
         match self {
             Command::Explain {
@@ -45,7 +49,8 @@
     }
 }
 
-/// What a node shows of all that is shared; none if it shares nothing.
+/// Requests a node's status; none if it has no shared state. Each page is requested up to `tries`
+/// times.
 pub fn ask(settings: &Path, at: SocketAddr, tries: u32) -> Result<Option<StatusSnapshot>, String> {
     let bytes = Asker::about(settings, at, madderpoint_node::io::SHARED)?.ask_pages(tries)?;
     bytes
@@ -57,35 +62,38 @@
 }
 
 fn explain(settings: &Path, at: SocketAddr, format: Format) -> Ended {
-    let Some(shown) = ask(settings, at, 12)? else {
+    let Some(status) = ask(settings, at, 12)? else {
         return Err(format!(
             "{at}: it shows nothing: nobody is there, or it shares nothing"
         ));
     };
     match format {
-        Format::Json => println!("{:#}", as_json(&shown)),
+        Format::Json => println!("{:#}", as_json(&status)),
         Format::Text => {
-            println!("{}:", shown.node);
-            shown.why().iter().for_each(|line| println!("  {line}"));
+            println!("{}:", status.node);
+            status
+                .explain()
+                .iter()
+                .for_each(|line| println!("  {line}"));
         }
     }
     Ok(true)
 }
 
-/// Budgets, keys, the judgement and counts, as a table.
-pub fn print(shown: &StatusSnapshot) {
-    shown.why().iter().for_each(|line| println!("{line}"));
-    if shown.rows.is_empty() {
+/// Prints the status as a table.
+pub fn print(status: &StatusSnapshot) {
+    status.explain().iter().for_each(|line| println!("{line}"));
+    if status.rows.is_empty() {
         return;
     }
     println!(
         "counts of {} processes and {} that are gone, {:.1} s old; of the last minute, and in all:",
-        shown.processes,
-        shown.gone,
-        shown.counts_age_ms as f64 / 1e3
+        status.processes,
+        status.retired,
+        status.totals_age_ms as f64 / 1e3
     );
-    for row in &shown.rows {
-        let heads = columns(row.name.is_empty());
+    for row in &status.rows {
+        let heads = column_heads(row.name.is_empty());
         let name = if row.name.is_empty() {
             "processes"
         } else {
@@ -105,22 +113,26 @@
         }
         println!("{line}");
     }
+    print_heavy_keys(status);
+    status
+        .event_counts
+        .iter()
+        .for_each(|count| println!("{:>8}  {}", count.times, count.what));
+}
+
+fn print_heavy_keys(status: &StatusSnapshot) {
     for kind in ["caller ", "caller that repeats ", "key over a limit "] {
-        let of = shown.heavy.iter().filter(|count| {
+        let of = status.heavy.iter().filter(|count| {
             count.what.starts_with(kind)
                 && (kind != "caller " || !count.what.starts_with("caller that"))
         });
-        of.take(HEAVY)
+        of.take(MAX_HEAVY_KEYS)
             .for_each(|count| println!("{:>8}  {}", count.times, count.what));
     }
-    shown
-        .counted
-        .iter()
-        .for_each(|count| println!("{:>8}  {}", count.times, count.what));
 }
 
 fn row(row: &CounterRowStatus) -> Value {
-    let heads = columns(row.name.is_empty());
+    let heads = column_heads(row.name.is_empty());
     let numbers = |of: &[u64]| -> Map<String, Value> {
         (0..COLUMNS)
             .map(|at| {
@@ -135,46 +147,108 @@
         "p50_us": row.p50_us, "p99_us": row.p99_us})
 }
 
-/// All of it, for programs.
-pub fn as_json(shown: &StatusSnapshot) -> Value {
-    let count = |c: &CounterStatus| json!({"what": c.what, "times": c.times});
-    let budgets: Vec<Value> = shown
-        .budgets
-        .iter()
-        .map(|b| {
-            let part = b.part.as_ref().map(|p| {
-                json!({"units": p.units, "asked_ms": p.asked_ms, "came_ms": p.came_ms, "term_ms": p.term_ms,
-                    "wanted": p.wanted, "borrowers": p.borrowers, "pool": p.pool})
-            });
-            json!({"name": b.name, "kind": if b.rate { "a-second" } else { "in-hand" }, "limit": b.limit,
-                "floor": b.floor, "nodes_most": b.nodes_most, "repeats_only": b.repeats_only, "units": b.units,
-                "wants": b.wants, "in_hand": b.in_hand, "allowed": b.allowed, "refused": b.refused, "part": part})
-        })
-        .collect();
-    let keys: Vec<Value> = shown
-        .keys
-        .iter()
-        .map(|k| {
-            json!({"name": k.name, "count": k.count, "period_ms": k.period_ms, "burst": k.burst, "floor": k.floor,
-                "nodes_most": k.nodes_most, "lent": k.lent, "by_floor": k.by_floor, "refused": k.refused,
-                "units": k.units, "keys": k.keys})
+fn budget(budget: &BudgetStatus) -> Value {
+    let lease = budget.lease.as_ref().map(|lease| {
+        json!({
+            "units": lease.units,
+            "asked_ms": lease.requested_ms_ago,
+            "came_ms": lease.granted_ms_ago,
+            "term_ms": lease.duration_ms,
+            "wanted": lease.total_demand,
+            "borrowers": lease.borrowers,
+            "pool": lease.pool,
         })
-        .collect();
-    let service = shown.service.as_ref().map(|s| {
-        json!({"name": s.name, "mode": s.mode, "since_ms": s.since_ms, "level": s.level, "tries": s.tries,
-            "failed": s.failed, "witnesses": s.witnesses, "ill": s.ill, "zones": s.zones, "ill_zones": s.ill_zones,
-            "prober": s.prober, "alone": s.alone, "passed": s.passed, "kept_back": s.kept_back})
     });
-    let books: Vec<Value> = shown
-        .books
-        .iter()
-        .map(|b| json!({"name": b.name, "out": b.out, "pool": b.pool, "borrowers": b.borrowers}))
-        .collect();
-    json!({"node": shown.node, "lends": shown.lends, "lender": shown.lender_name, "books": books,
-        "key_books": shown.key_books, "budgets": budgets, "keys": keys, "keys_heard_ms": shown.keys_heard_ms,
-        "keys_deaf": shown.keys_deaf, "service": service, "let_in": shown.let_in, "turned_away": shown.turned_away,
-        "calls_waiting": shown.calls_waiting, "processes": shown.processes, "gone": shown.gone,
-        "counts_age_ms": shown.counts_age_ms, "rows": shown.rows.iter().map(row).collect::<Vec<_>>(),
-        "heavy": shown.heavy.iter().map(count).collect::<Vec<_>>(),
-        "counted": shown.counted.iter().map(count).collect::<Vec<_>>(), "why": shown.why()})
+    json!({
+        "name": budget.name,
+        "kind": if budget.is_rate { "a-second" } else { "in-hand" },
+        "limit": budget.limit,
+        "floor": budget.floor,
+        "nodes_most": budget.max_nodes,
+        "repeats_only": budget.retries_only,
+        "units": budget.units,
+        "wants": budget.demand,
+        "in_hand": budget.in_flight,
+        "allowed": budget.allowed,
+        "refused": budget.refused,
+        "part": lease,
+    })
+}
+
+fn quota(quota: &QuotaStatus) -> Value {
+    json!({
+        "name": quota.name,
+        "count": quota.count,
+        "period_ms": quota.period_ms,
+        "burst": quota.burst,
+        "floor": quota.floor,
+        "nodes_most": quota.max_nodes,
+        "lent": quota.by_lease,
+        "by_floor": quota.by_floor,
+        "refused": quota.refused,
+        "units": quota.units,
+        "keys": quota.keys,
+    })
+}
+
+fn service(service: &ServiceStatus) -> Value {
+    json!({
+        "name": service.name,
+        "mode": service.state,
+        "since_ms": service.since_ms,
+        "level": service.admitted_share,
+        "tries": service.calls,
+        "failed": service.failed,
+        "witnesses": service.reporters,
+        "ill": service.failing,
+        "zones": service.zones,
+        "ill_zones": service.failing_zones,
+        "prober": service.is_prober,
+        "alone": service.is_alone,
+        "passed": service.admitted,
+        "kept_back": service.held_back,
+    })
+}
+
+fn lender(lender: &LenderStatus) -> Value {
+    json!({
+        "name": lender.name,
+        "out": lender.outstanding,
+        "pool": lender.pool,
+        "borrowers": lender.borrowers,
+    })
+}
+
+fn counter(counter: &CounterStatus) -> Value {
+    json!({"what": counter.what, "times": counter.times})
+}
+
+fn list<T>(items: &[T], as_json: impl Fn(&T) -> Value) -> Value {
+    items.iter().map(as_json).collect()
+}
+
+/// The status as JSON.
+pub fn as_json(status: &StatusSnapshot) -> Value {
+    json!({
+        "node": status.node,
+        "lends": status.is_leader,
+        "lender": status.leader_name,
+        "books": list(&status.lenders, lender),
+        "key_books": status.quota_lender,
+        "budgets": list(&status.budgets, budget),
+        "keys": list(&status.quotas, quota),
+        "keys_heard_ms": status.quota_grant_ms_ago,
+        "keys_deaf": status.is_quota_cut_off,
+        "service": status.service.as_ref().map(service),
+        "let_in": status.gate_admitted,
+        "turned_away": status.gate_rejected,
+        "calls_waiting": status.calls_waiting,
+        "processes": status.processes,
+        "gone": status.retired,
+        "counts_age_ms": status.totals_age_ms,
+        "rows": list(&status.rows, row),
+        "heavy": list(&status.heavy, counter),
+        "counted": list(&status.event_counts, counter),
+        "why": status.explain(),
+    })
 }
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -7,7 +7,7 @@
 use madderpoint_membership::{ClusterView, Phase};
 use madderpoint_shared_state::keyed_quota::QuotaRequest;
 use madderpoint_shared_state::status::StatusSnapshot;
-use madderpoint_shared_state::{BudgetRequest, HealthReport, counts};
+use madderpoint_shared_state::{BudgetRequest, HealthReport, counters};
 
 /// Successful executions after which a node that started cold counts as warm.
 const WARM_AFTER: u32 = 64;
@@ -36,7 +36,7 @@
     /// What it sees of the backend service.
     HealthReport(HealthReport),
     /// What it has counted so far.
-    Counters(Box<counts::CounterReport>),
+    Counters(Box<counters::CounterReport>),
     /// Its part of a status snapshot.
     StatusSnapshot(Box<StatusSnapshot>),
     /// It uses no leases any more; whether none of their units is in use.
--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -21,10 +21,10 @@
 use madderpoint_rollout::node_agent::{InitialState, LocalMetrics, NodeIdentity};
 use madderpoint_rollout::operator_commands::state;
 use madderpoint_rollout::{Host as _, Kind, Member, Participant, Plan};
-use madderpoint_shared_state::counts::{
-    ClusterCounters, CounterReport, OWN, WINDOW_MS, column, own,
+use madderpoint_shared_state::counters::{
+    ClusterCounters, CounterReport, PROCESS_ROW, WINDOW_MS, operation_column, process_column,
 };
-use madderpoint_shared_state::keyed_quota::number;
+use madderpoint_shared_state::keyed_quota::name_hash;
 use prost::Message as _;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -251,13 +251,13 @@
     pub fn record_local_counts(&mut self, at: ClockReading, report: &CounterReport) {
         let mut sum = LocalMetrics::default();
         for (row, numbers) in &report.total {
-            if *row == OWN {
-                sum.invariants += numbers[own::INVARIANTS];
+            if *row == PROCESS_ROW {
+                sum.invariants += numbers[process_column::INVARIANT_VIOLATIONS];
                 continue;
             }
-            sum.arrived += numbers[column::ARRIVED];
-            sum.succeeded += numbers[column::SUCCEEDED];
-            sum.errored += numbers[column::ERRORED];
+            sum.arrived += numbers[operation_column::ARRIVED];
+            sum.succeeded += numbers[operation_column::SUCCEEDED];
+            sum.errored += numbers[operation_column::FAILED];
         }
         self.participant
             .record_local_metrics(at.now, at.unix_ms, sum);
@@ -428,7 +428,7 @@
     let names = context
         .operations
         .iter()
-        .map(|name| (number(name), name.clone()))
+        .map(|name| (name_hash(name), name.clone()))
         .collect();
     let fast_enough = context
         .operations
@@ -436,7 +436,7 @@
         .zip(&context.objectives)
         .map(|(name, objective)| {
             let latency = objective / OBJECTIVE_DIVISOR / HISTOGRAM_UNIT;
-            (number(name), latency as u32)
+            (name_hash(name), latency as u32)
         })
         .collect();
     participant.coordinator = participant
--- a/crates/node/src/io/rollout_link/status.rs
+++ b/crates/node/src/io/rollout_link/status.rs
@@ -5,8 +5,8 @@
 use madderpoint_rollout::messages;
 use madderpoint_rollout::status::{Names, StatusSnapshot};
 use madderpoint_rollout::{Member, NodeReport, Participant};
-use madderpoint_shared_state::counts::WINDOW_MS;
-use madderpoint_shared_state::keyed_quota::number;
+use madderpoint_shared_state::counters::WINDOW_MS;
+use madderpoint_shared_state::keyed_quota::name_hash;
 use prost::Message as _;
 
 /// Names for those who read a status.
@@ -21,7 +21,7 @@
         Some((entry.name.to_string(), entry.details.zone.to_string()))
     }
     fn operation(&self, row: u32) -> String {
-        let name = self.operations.iter().find(|name| number(name) == row);
+        let name = self.operations.iter().find(|name| name_hash(name) == row);
         name.cloned().unwrap_or_else(|| format!("{row:08x}"))
     }
 }
--- a/crates/node/src/io/rollout_link/window_samples.rs
+++ b/crates/node/src/io/rollout_link/window_samples.rs
@@ -7,7 +7,9 @@
 use madderpoint_rollout::Kind;
 use madderpoint_rollout::cohort_metrics::{OperationCounts, WindowSample};
 use madderpoint_rollout::messages;
-use madderpoint_shared_state::counts::{ClusterCounters, CounterWindow, OWN, column, own};
+use madderpoint_shared_state::counters::{
+    ClusterCounters, CounterWindow, PROCESS_ROW, ProcessWindow, operation_column, process_column,
+};
 use std::collections::BTreeMap;
 
 /// What nodes counted from this window on, by window and node.
@@ -18,14 +20,21 @@
     from: u64,
 ) -> Vec<(u64, Vec<WindowSample>)> {
     let mut all: BTreeMap<u64, BTreeMap<u64, WindowSample>> = BTreeMap::new();
-    for (process, window, label, first, counted) in counts.windows(from) {
+    for ProcessWindow {
+        process,
+        number: window,
+        version: label,
+        is_first: first,
+        window: counted,
+    } in counts.windows(from)
+    {
         let Some(entry) = membership.member_table().get(MemberKey(process.key)) else {
             continue;
         };
         // A program is another process; what it runs is what the process reports on its entry.
         let label = match kind {
             Kind::Settings => label,
-            Kind::Program if entry.epoch.incarnation.0 == process.life => {
+            Kind::Program if entry.epoch.incarnation.0 == process.incarnation => {
                 let part = entry
                     .details
                     .attachments
@@ -79,18 +88,18 @@
         ..WindowSample::default()
     };
     for (row, numbers) in &counted.rows {
-        if *row == OWN {
-            sample.invariants = numbers[own::INVARIANTS];
+        if *row == PROCESS_ROW {
+            sample.invariants = numbers[process_column::INVARIANT_VIOLATIONS];
             continue;
         }
         let counts = OperationCounts {
-            arrived: numbers[column::ARRIVED],
-            succeeded: numbers[column::SUCCEEDED],
-            throttled: numbers[column::THROTTLED],
-            errored: numbers[column::ERRORED],
-            late: numbers[column::LATE],
-            earned: numbers[column::EARNED],
-            asked: numbers[column::ASKED],
+            arrived: numbers[operation_column::ARRIVED],
+            succeeded: numbers[operation_column::SUCCEEDED],
+            throttled: numbers[operation_column::REJECTED],
+            errored: numbers[operation_column::FAILED],
+            late: numbers[operation_column::LATE],
+            earned: numbers[operation_column::EARNED_WEIGHT],
+            asked: numbers[operation_column::OFFERED_WEIGHT],
             ..OperationCounts::default()
         };
         let latencies = counted.latency.get(row).cloned().unwrap_or_default();
--- a/crates/node/src/node/cluster_reports.rs
+++ b/crates/node/src/node/cluster_reports.rs
@@ -45,7 +45,7 @@
         leases: &[(u32, Lease)],
     ) {
         if let Some(budgets) = &mut self.state.borrow_mut().shared.budgets {
-            budgets.lent(now, requested_at, leases);
+            budgets.receive_leases(now, requested_at, leases);
         }
         self.log_lease_changes(now);
     }
@@ -58,14 +58,14 @@
 
     pub(super) fn on_budgets_changed(&mut self, limits: &[Budget]) {
         if let Some(budgets) = &mut self.state.borrow_mut().shared.budgets {
-            budgets.rebudget(limits);
+            budgets.update_budgets(limits);
         }
     }
 
     pub(super) fn on_aggregated_health(&mut self, others: AggregatedHealth) {
         self.state
             .borrow_mut()
-            .with_service_health(|health, now| health.told(now, others));
+            .with_service_health(|health, now| health.receive_reports(now, others));
     }
 
     /// Requests units of the budgets. While the node drains, it only reports what has become free.
@@ -78,7 +78,7 @@
                 if let Some(weight) = weight {
                     budgets.set_value(weight);
                 }
-                budgets.wants(now)
+                budgets.requests(now)
             })
         };
         if let Some(requests) = requests {
@@ -91,8 +91,8 @@
         let report = {
             let mut state = self.state.borrow_mut();
             state.set_timer(HEALTH_REPORT_PERIOD, Timer::HealthReport);
-            state.with_service_health(|health, now| health.judge(now));
-            state.with_service_health(|health, now| health.evidence(now))
+            state.with_service_health(|health, now| health.evaluate(now));
+            state.with_service_health(|health, now| health.report(now))
         };
         if let Some(report) = report {
             self.update_cluster(|_| Some(ClusterUpdate::HealthReport(report)));
@@ -118,10 +118,10 @@
             let mut state = self.state.borrow_mut();
             let queued_calls = state.queued_calls();
             if let Some(budgets) = &mut state.shared.budgets {
-                snapshot.with_ends(now, budgets);
+                snapshot.with_budgets(now, budgets);
             }
             if let Some(health) = &mut state.shared.service_health {
-                snapshot.with_judge(now, &self.service_name, health);
+                snapshot.with_service(now, &self.service_name, health);
             }
             if let Some(gate) = &state.shared.backend_gate {
                 snapshot.with_gate(gate, queued_calls);
@@ -131,7 +131,7 @@
                 .as_ref()
                 .and_then(|rules| rules.quota_borrower())
             {
-                snapshot.with_wallet(now, borrower);
+                snapshot.with_quotas(now, borrower);
             }
         }
         self.update_cluster(|_| Some(ClusterUpdate::StatusSnapshot(Box::new(snapshot))));
@@ -142,7 +142,7 @@
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         if let Some(budgets) = &mut state.shared.budgets {
-            let borrowers = budgets.purses();
+            let borrowers = budgets.borrowers();
             self.budgets_at_floor.resize(borrowers.len(), true);
             for (borrower, before) in borrowers.iter().zip(&mut self.budgets_at_floor) {
                 let is_at_floor = borrower.is_at_floor(now);
@@ -163,14 +163,14 @@
             .as_ref()
             .and_then(|rules| rules.quota_borrower())
         {
-            let has_no_lender = borrower.hears_nobody(now);
+            let has_no_lender = borrower.is_cut_off(now);
             if std::mem::replace(&mut self.quotas_without_lender, has_no_lender) != has_no_lender {
                 let message = if has_no_lender {
                     "no lender of quotas heard: only guaranteed floors may be used"
                 } else {
                     "a lender of quotas heard again"
                 };
-                info!(target: part::SHARED_STATE, keys = borrower.keys(), "{message}");
+                info!(target: part::SHARED_STATE, keys = borrower.tracked_keys(), "{message}");
             }
         }
     }
@@ -203,7 +203,7 @@
                 .shared
                 .budgets
                 .as_mut()
-                .is_none_or(|budgets| budgets.let_go(now));
+                .is_none_or(|budgets| budgets.drop_leases(now));
             let quotas_free = state
                 .rules
                 .as_mut()
--- a/crates/node/src/node/request_policy.rs
+++ b/crates/node/src/node/request_policy.rs
@@ -178,10 +178,12 @@
         limit: LimitReached,
     ) {
         let (retry_after, metric, cluster_key) = match limit {
-            LimitReached::Node(exceeded) => (exceeded.pause, Metric::RejectedByLimit, None),
-            LimitReached::Cluster(exceeded, key) => {
-                (exceeded.pause, Metric::RejectedByClusterLimit, Some(key))
-            }
+            LimitReached::Node(exceeded) => (exceeded.retry_after, Metric::RejectedByLimit, None),
+            LimitReached::Cluster(exceeded, key) => (
+                exceeded.retry_after,
+                Metric::RejectedByClusterLimit,
+                Some(key),
+            ),
         };
         state.count(metric, 1);
         state.count_over_limit(head, cluster_key);
--- a/crates/node/src/node/tests/cluster_limits.rs
+++ b/crates/node/src/node/tests/cluster_limits.rs
@@ -4,19 +4,19 @@
 use super::rules::{cluster_rules, settings};
 use super::support::*;
 use madderpoint_shared_state::keyed_quota::{KeyGrant, KeyRequest, QuotaGrant};
-use madderpoint_shared_state::{AggregatedHealth, HealthReport, HealthState, Kind};
+use madderpoint_shared_state::{AggregatedHealth, BudgetKind, HealthReport, HealthState};
 
 const S: Nanos = 1000 * MS;
 
 fn rate(limit: u32) -> Budget {
-    let kind = Kind::Rate { burst: 50 * MS };
+    let kind = BudgetKind::Rate { burst: 50 * MS };
     Budget {
         name: "b".into(),
         limit,
         floor: limit,
-        nodes_most: 1,
+        max_nodes: 1,
         kind,
-        repeats_only: false,
+        retries_only: false,
     }
 }
 
@@ -37,7 +37,7 @@
             counts_for_cluster: true,
         };
         node.node
-            .join_cluster(node.now, budgets, QuotaTiming::of(3), &with);
+            .join_cluster(node.now, budgets, QuotaTiming::for_nodes(3), &with);
         node.wait(2000);
         node
     }
@@ -68,7 +68,7 @@
             .service_health
             .as_ref()
             .unwrap()
-            .mode()
+            .state()
     }
 }
 
@@ -132,7 +132,9 @@
 /// longest call.
 #[test]
 fn an_abandoned_call_occupies_its_budget_for_the_longest_call() {
-    let kind = Kind::InHand { longest: 500 * MS };
+    let kind = BudgetKind::InFlight {
+        max_call_time: 500 * MS,
+    };
     let in_hand = Budget {
         name: "hands".into(),
         kind,
@@ -146,8 +148,8 @@
             .budgets
             .as_mut()
             .unwrap()
-            .purses()[0]
-            .in_hand()
+            .borrowers()[0]
+            .in_flight()
     };
     for (outcome, frees) in [
         (Outcome::Ok, true),
@@ -207,7 +209,7 @@
 fn retries_have_a_budget_of_their_own() {
     let repeats = Budget {
         name: "repeats".into(),
-        repeats_only: true,
+        retries_only: true,
         ..rate(1)
     };
     let mut node = TestNode::in_cluster(&[rate(1000), repeats], None);
@@ -275,7 +277,7 @@
     assert!(node.cluster_updates().iter().any(|word| matches!(
         word,
         ClusterUpdate::HealthReport(HealthReport {
-            level: 0.0,
+            admitted_share: 0.0,
             zone: 1,
             ..
         })
@@ -310,10 +312,10 @@
 fn health_reports_of_others_degrade_a_service_while_they_last() {
     let mut node = TestNode::in_cluster(&[], Some(&service()));
     let ill = AggregatedHealth {
-        witnesses: 6,
-        ill: 6,
+        reporters: 6,
+        failing: 6,
         zones: 3,
-        ill_zones: 3,
+        failing_zones: 3,
         ..AggregatedHealth::default()
     };
     node.event(Event::AggregatedHealth(ill));
@@ -352,16 +354,16 @@
     let asked = asked.unwrap();
     assert_eq!(asked.keys.len(), 2, "both budgets at once: {asked:?}");
     let lent = |ask: &KeyRequest| KeyGrant {
-        budget: ask.budget,
+        quota: ask.quota,
         key: ask.key,
-        adds: 2,
-        wait: 0,
+        added: 2,
+        retry_after: 0,
     };
     let keys = asked.keys.iter().map(lent).collect();
     node.event(Event::QuotaGranted(Box::new(QuotaGrant {
-        no: asked.no,
-        stamp: asked.stamp,
-        life: 3 * S,
+        number: asked.number,
+        request_sent_at: asked.sent_at,
+        lease_duration: 3 * S,
         keys,
     })));
     node.call(2, "/call/read", B);
@@ -369,7 +371,10 @@
     let lent = |node: &TestNode| {
         let state = node.node.state.borrow();
         let borrower = state.rules.as_ref().unwrap().quota_borrower().unwrap();
-        borrower.tallies().map(|(_, tally)| tally.lent).sum::<u64>()
+        borrower
+            .counters()
+            .map(|(_, tally)| tally.by_lease)
+            .sum::<u64>()
     };
     assert_eq!(lent(&node), 2);
     assert!(
@@ -409,7 +414,7 @@
     node.node.join_cluster(
         node.now,
         &[rate(100)],
-        QuotaTiming::of(3),
+        QuotaTiming::for_nodes(3),
         &SharedStateOptions {
             service: None,
             counts_for_cluster: true,
@@ -432,16 +437,28 @@
         ClusterUpdate::Counters(word) => Some(word.clone()),
         _ => None,
     });
-    use madderpoint_shared_state::counts::{OWN, column, own};
+    use madderpoint_shared_state::counters::{PROCESS_ROW, operation_column, process_column};
     let total = counted.unwrap().total;
-    let row = |name: &str| total[&madderpoint_shared_state::keyed_quota::number(name)];
+    let row = |name: &str| total[&madderpoint_shared_state::keyed_quota::name_hash(name)];
     assert_eq!(
-        (row("pay")[column::SUCCEEDED], row("pay")[column::EARNED]),
+        (
+            row("pay")[operation_column::SUCCEEDED],
+            row("pay")[operation_column::EARNED_WEIGHT]
+        ),
         (1, 5000)
     );
     assert_eq!(
-        (row("read")[column::ARRIVED], row("read")[column::ERRORED]),
+        (
+            row("read")[operation_column::ARRIVED],
+            row("read")[operation_column::FAILED]
+        ),
+        (1, 1)
+    );
+    assert_eq!(
+        (
+            total[&PROCESS_ROW][process_column::CALLS],
+            total[&PROCESS_ROW][process_column::STARTS]
+        ),
         (1, 1)
     );
-    assert_eq!((total[&OWN][own::CALLS], total[&OWN][own::STARTS]), (1, 1));
 }
--- a/crates/node/src/node/tests/rules.rs
+++ b/crates/node/src/node/tests/rules.rs
@@ -437,7 +437,7 @@
     let (keys, bytes) = {
         let state = node.node.state.borrow();
         let limits = state.rules.as_ref().unwrap().limiter();
-        (limits.keys(), limits.bytes())
+        (limits.tracked_keys(), limits.bytes())
     };
     assert!(
         (1000..12_000).contains(&keys) && bytes < 3 << 19,
--- a/crates/node/src/request_rules.rs
+++ b/crates/node/src/request_rules.rs
@@ -143,7 +143,7 @@
         seed: u64,
     ) {
         match &mut self.quota_borrower {
-            Some(borrower) => borrower.rebudget(quotas),
+            Some(borrower) => borrower.update_quotas(quotas),
             None if quotas.is_empty() => {}
             None => {
                 self.quota_borrower = Some(QuotaBorrower::new(now, quotas, timing, bytes, seed))
@@ -152,7 +152,7 @@
     }
 
     fn define(&mut self, now: Nanos, buckets: &[Bucket], quotas: &[(usize, KeyedQuota)]) {
-        self.limiter.define(now, buckets);
+        self.limiter.configure(now, buckets);
         self.quotas_of_buckets = vec![Vec::new(); buckets.len()];
         for (bucket, quota) in quotas {
             if let Some(quotas) = self.quotas_of_buckets.get_mut(*bucket) {
@@ -227,7 +227,10 @@
         buckets: &[(u16, u64)],
     ) -> Result<HeldPermits, LimitReached> {
         let Some(borrower) = &mut self.quota_borrower else {
-            let permit = self.limiter.ask(now, buckets).map_err(LimitReached::Node)?;
+            let permit = self
+                .limiter
+                .acquire(now, buckets)
+                .map_err(LimitReached::Node)?;
             return Ok(HeldPermits {
                 permit,
                 quotas: Vec::new(),
@@ -243,8 +246,9 @@
                 }
                 quotas.push((*id, *key));
                 // All are looked at, so that all that lacks is requested together.
-                if let Err(exceeded) = borrower.fits(now, *id, *key)
-                    && longest_wait.is_none_or(|(longest, _)| longest.pause < exceeded.pause)
+                if let Err(exceeded) = borrower.check(now, *id, *key)
+                    && longest_wait
+                        .is_none_or(|(longest, _)| longest.retry_after < exceeded.retry_after)
                 {
                     longest_wait = Some((exceeded, *key));
                 }
@@ -254,18 +258,21 @@
             return Err(LimitReached::Cluster(exceeded, key));
         }
         // The node's own limits come last, so that what they take is never for nothing.
-        let permit = self.limiter.ask(now, buckets).map_err(LimitReached::Node)?;
-        quotas.retain(|(id, key)| borrower.take(now, *id, *key));
+        let permit = self
+            .limiter
+            .acquire(now, buckets)
+            .map_err(LimitReached::Node)?;
+        quotas.retain(|(id, key)| borrower.acquire(now, *id, *key));
         Ok(HeldPermits { permit, quotas })
     }
 
     /// A request that held permits has ended.
     pub fn release(&mut self, now: Nanos, held: HeldPermits) {
-        self.limiter.done(now, held.permit);
+        self.limiter.release(now, held.permit);
         if let Some(borrower) = &mut self.quota_borrower {
             held.quotas
                 .iter()
-                .for_each(|(id, key)| borrower.done(*id, *key));
+                .for_each(|(id, key)| borrower.release(*id, *key));
         }
     }
 
@@ -276,18 +283,18 @@
 
     /// When the next quota request is due.
     pub fn next_quota_request(&self, now: Nanos) -> Option<Nanos> {
-        self.quota_borrower.as_ref()?.next(now)
+        self.quota_borrower.as_ref()?.next_request_at(now)
     }
 
     /// The quota request that is due.
     pub fn quota_request(&mut self, now: Nanos) -> Option<QuotaRequest> {
-        self.quota_borrower.as_mut()?.ask(now)
+        self.quota_borrower.as_mut()?.next_request(now)
     }
 
     /// The cluster granted units of quotas.
     pub fn quota_granted(&mut self, now: Nanos, grant: &QuotaGrant) {
         if let Some(borrower) = &mut self.quota_borrower {
-            borrower.lent(now, grant);
+            borrower.receive_grant(now, grant);
         }
     }
 
@@ -295,7 +302,7 @@
     pub fn release_leases(&mut self) -> bool {
         self.quota_borrower
             .as_mut()
-            .is_none_or(QuotaBorrower::let_go)
+            .is_none_or(QuotaBorrower::drop_leases)
     }
 
     /// A request of a class was read.
@@ -323,8 +330,8 @@
         let faults: u64 = self.faults.iter().map(|rule| rule.count).sum();
         let over_limit: u64 = self
             .limiter
-            .tallies()
-            .map(|(_, counts)| counts.over.iter().sum::<u64>())
+            .counters()
+            .map(|(_, counts)| counts.exceeded.iter().sum::<u64>())
             .sum();
         let sum = self.matched + self.exhausted + faults + over_limit;
         if std::mem::replace(&mut self.logged_sum, sum) == sum {
@@ -358,16 +365,16 @@
     }
 
     fn write_bucket_counts(&self, line: &mut String) {
-        for (name, counts) in self.limiter.tallies().take(LOGGED_MAX) {
-            let _ = write!(line, "; bucket {name}: {} passed", counts.passed);
+        for (name, counts) in self.limiter.counters().take(LOGGED_MAX) {
+            let _ = write!(line, "; bucket {name}: {} passed", counts.admitted);
             let limits = [
                 (ExceededLimit::Rate, "rate"),
-                (ExceededLimit::InHand, "in flight"),
+                (ExceededLimit::InFlight, "in flight"),
                 (ExceededLimit::Share, "share"),
-                (ExceededLimit::Room, "room"),
+                (ExceededLimit::NoMemory, "room"),
             ];
             for (limit, name) in limits {
-                let exceeded = counts.over[limit as usize];
+                let exceeded = counts.exceeded[limit as usize];
                 if exceeded > 0 {
                     let _ = write!(line, ", over {name} {exceeded}");
                 }
--- a/crates/node/src/serve/cluster.rs
+++ b/crates/node/src/serve/cluster.rs
@@ -10,7 +10,7 @@
 use madderpoint_node::io::{self, Part, Reset};
 use madderpoint_node::node::SharedService;
 use madderpoint_settings::{FleetSettings, Translator};
-use madderpoint_shared_state::{Budget, Kind};
+use madderpoint_shared_state::{Budget, BudgetKind};
 use std::net::SocketAddr;
 use std::path::Path;
 
@@ -104,7 +104,7 @@
     let kind = |budget: &Budget| {
         (
             budget.name.clone(),
-            matches!(budget.kind, Kind::Rate { .. }),
+            matches!(budget.kind, BudgetKind::Rate { .. }),
         )
     };
     a.iter().map(kind).eq(b.iter().map(kind))
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -32,7 +32,10 @@
                 crate::metrics::Metric::Invariant(concat!("invariant: ", $name)),
                 1,
             );
-            $state.count_own(madderpoint_shared_state::counts::own::INVARIANTS, 1);
+            $state.count_own(
+                madderpoint_shared_state::counters::process_column::INVARIANT_VIOLATIONS,
+                1,
+            );
         }
     };
 }
--- a/crates/node/src/state/backend_calls.rs
+++ b/crates/node/src/state/backend_calls.rs
@@ -6,7 +6,7 @@
 use crate::log::part;
 use crate::metrics::Metric;
 use madderpoint::{BackendCallOutcome, Nanos, RequestId};
-use madderpoint_shared_state::counts::own;
+use madderpoint_shared_state::counters::process_column;
 use std::collections::VecDeque;
 use tracing::warn;
 
@@ -154,7 +154,7 @@
 
     fn refuse_backend_call(&mut self, id: RequestId, metric: Metric) {
         self.count(metric, 1);
-        self.count_own(own::CALLS_REFUSED, 1);
+        self.count_own(process_column::CALLS_OVER_BUDGET, 1);
         self.backend_call_not_made(id);
     }
 
@@ -165,8 +165,8 @@
         match &mut self.shared.budgets {
             None => Ok(()),
             // Those that wait go first.
-            Some(budgets) if queued > 0 => Err(budgets.wait_for(self.now, queued)),
-            Some(budgets) => budgets.take(self.now, is_retry),
+            Some(budgets) if queued > 0 => Err(budgets.expected_wait(self.now, queued)),
+            Some(budgets) => budgets.acquire(self.now, is_retry),
         }
     }
 
@@ -242,8 +242,8 @@
                         timeout / MILLISECOND
                     ),
                 );
-                self.count_own(own::CALLS, 1);
-                return self.count_own(own::CALLS_REPEATED, u64::from(is_retry));
+                self.count_own(process_column::CALLS, 1);
+                return self.count_own(process_column::CALLS_RETRIED, u64::from(is_retry));
             }
         }
         if let Some(call) = request.backend_call.take() {
@@ -294,7 +294,7 @@
                 .shared
                 .budgets
                 .as_mut()
-                .map(|budgets| budgets.take(now, is_retry))
+                .map(|budgets| budgets.acquire(now, is_retry))
             {
                 return self.set_queue_check(wait);
             }
@@ -482,7 +482,7 @@
         self.release_budget(&call, may_linger);
         if call.link().is_some() {
             self.note_service_call(has_succeeded, latency);
-            self.count_own(own::CALLS_FAILED, u64::from(!has_succeeded));
+            self.count_own(process_column::CALLS_FAILED, u64::from(!has_succeeded));
         }
         Some(latency)
     }
--- a/crates/node/src/state/cluster_counters.rs
+++ b/crates/node/src/state/cluster_counters.rs
@@ -5,8 +5,10 @@
 use crate::actions::Actions;
 use crate::request::RequestHead;
 use madderpoint::{LoadBalancerId, Nanos, OperationId};
-use madderpoint_shared_state::counts::{self, OWN, ProcessCounters, column, heavy_hitters, own};
-use madderpoint_shared_state::keyed_quota::number;
+use madderpoint_shared_state::counters::{
+    self, PROCESS_ROW, ProcessCounters, heavy_kind, operation_column, process_column,
+};
+use madderpoint_shared_state::keyed_quota::name_hash;
 
 /// Priority weight is counted in thousandths.
 const THOUSANDTHS: f64 = 1000.0;
@@ -23,7 +25,7 @@
     /// Of a node that has just started.
     pub fn new(now: Nanos, operations: &[String]) -> ClusterCounting {
         // The row of a name is its hash. One in four thousand million meets the process's own row.
-        let rows = operations.iter().map(|name| number(name)).collect();
+        let rows = operations.iter().map(|name| name_hash(name)).collect();
         ClusterCounting {
             counters: ProcessCounters::new(unix_ms(now)),
             rows,
@@ -49,7 +51,7 @@
 
     /// Something of the node itself happened, counted in this column.
     pub fn count_own(&mut self, column: usize, times: u64) {
-        self.with_counters(|counters, unix_ms| counters.add(unix_ms, OWN, column, times));
+        self.with_counters(|counters, unix_ms| counters.add(unix_ms, PROCESS_ROW, column, times));
     }
 
     /// A request was read.
@@ -64,12 +66,17 @@
         };
         let weight = self.config.deployment.operations[operation.0].priority_weight;
         self.with_counters(|counters, unix_ms| {
-            counters.add(unix_ms, row, column::ARRIVED, 1);
-            counters.add(unix_ms, row, column::ASKED, (weight * THOUSANDTHS) as u64);
-            counters.heavy(unix_ms, heavy_hitters::CALLERS, load_balancer.0);
+            counters.add(unix_ms, row, operation_column::ARRIVED, 1);
+            counters.add(
+                unix_ms,
+                row,
+                operation_column::OFFERED_WEIGHT,
+                (weight * THOUSANDTHS) as u64,
+            );
+            counters.record_key(unix_ms, heavy_kind::CLIENTS, load_balancer.0);
             if is_repeat {
-                counters.add(unix_ms, row, column::REPEATS, 1);
-                counters.heavy(unix_ms, heavy_hitters::REPEATERS, load_balancer.0);
+                counters.add(unix_ms, row, operation_column::REPEATS, 1);
+                counters.record_key(unix_ms, heavy_kind::REPEATERS, load_balancer.0);
             }
         });
     }
@@ -89,13 +96,13 @@
         let earned = (operation.priority_weight * fraction * THOUSANDTHS) as u64;
         self.with_counters(|counters, unix_ms| match status {
             200 => {
-                counters.add(unix_ms, row, column::SUCCEEDED, 1);
-                counters.add(unix_ms, row, column::LATE, u64::from(is_late));
-                counters.add(unix_ms, row, column::EARNED, earned);
-                counters.took(unix_ms, row, latency);
+                counters.add(unix_ms, row, operation_column::SUCCEEDED, 1);
+                counters.add(unix_ms, row, operation_column::LATE, u64::from(is_late));
+                counters.add(unix_ms, row, operation_column::EARNED_WEIGHT, earned);
+                counters.record_latency(unix_ms, row, latency);
             }
-            429 | 503 => counters.add(unix_ms, row, column::THROTTLED, 1),
-            _ => counters.add(unix_ms, row, column::ERRORED, 1),
+            429 | 503 => counters.add(unix_ms, row, operation_column::REJECTED, 1),
+            _ => counters.add(unix_ms, row, operation_column::FAILED, 1),
         });
     }
 
@@ -115,9 +122,9 @@
     pub fn count_over_limit(&mut self, head: &RequestHead, cluster_key: Option<u64>) {
         self.count_early_answer(head.operation, head.load_balancer, 429);
         if let Some(key) = cluster_key {
-            self.count_own(own::OVER_LIMIT, 1);
+            self.count_own(process_column::OVER_QUOTA, 1);
             self.with_counters(|counters, unix_ms| {
-                counters.heavy(unix_ms, heavy_hitters::OVER_LIMIT, key)
+                counters.record_key(unix_ms, heavy_kind::OVER_QUOTA, key)
             });
         }
     }
@@ -125,7 +132,7 @@
     /// A request was rejected by the backend gate.
     pub fn count_gate_rejection(&mut self, head: &RequestHead) {
         self.count_early_answer(head.operation, head.load_balancer, 429);
-        self.count_own(own::NO_ROOM, 1);
+        self.count_own(process_column::NO_BACKEND_CAPACITY, 1);
     }
 
     /// The mean priority weight of what arrived lately: what a unit of the cluster's budgets is
@@ -133,16 +140,16 @@
     pub fn mean_priority_weight(&self) -> Option<f64> {
         let counters = &self.cluster_counting.as_ref()?.counters;
         let (weight, arrived) = (
-            counters.lately(column::ASKED),
-            counters.lately(column::ARRIVED),
+            counters.recent(operation_column::OFFERED_WEIGHT),
+            counters.recent(operation_column::ARRIVED),
         );
         (arrived > 0).then(|| weight as f64 / THOUSANDTHS / arrived as f64)
     }
 
     /// The counter report, without who sends it.
-    pub fn counter_report(&self) -> Option<counts::CounterReport> {
+    pub fn counter_report(&self) -> Option<counters::CounterReport> {
         // With the window before this one: what came to it since the last report is in no other.
         let counting = self.cluster_counting.as_ref()?;
-        Some(counting.counters.word(Default::default(), 0, 2))
+        Some(counting.counters.report(Default::default(), 0, 2))
     }
 }
--- a/crates/node/src/state/requests.rs
+++ b/crates/node/src/state/requests.rs
@@ -283,7 +283,7 @@
             .as_mut()
             .filter(|_| request.is_gated && request.has_run)
         {
-            gate.ran(request.backend_calls);
+            gate.request_ended(request.backend_calls);
         }
         if let (Some(permits), Some(rules)) = (request.permits, &mut self.rules) {
             rules.release(self.now, permits);
--- a/crates/node/src/state/shared_limits.rs
+++ b/crates/node/src/state/shared_limits.rs
@@ -33,7 +33,7 @@
             .shared
             .budgets
             .as_ref()
-            .and_then(|budgets| budgets.longest());
+            .and_then(|budgets| budgets.max_call_time());
         let Some(longest) = longest.filter(|_| call.has_budget()) else {
             return;
         };
@@ -49,10 +49,10 @@
         let Some(budgets) = &mut self.shared.budgets else {
             return;
         };
-        budgets.over(is_retry);
+        budgets.release(is_retry);
         if self.queued_calls() > 0
             && let Some(budgets) = &mut self.shared.budgets
-            && budgets.is_full(self.now).is_none()
+            && budgets.retry_after_if_full(self.now).is_none()
         {
             self.check_queue_now();
         }
@@ -95,7 +95,7 @@
         if let (Some(budgets), Some(health)) =
             (&mut self.shared.budgets, &self.shared.service_health)
         {
-            budgets.slow_start(self.now, health.share(self.now));
+            budgets.set_usable_share(self.now, health.budget_share(self.now));
         }
     }
 
@@ -111,7 +111,7 @@
             .shared
             .slow_call_threshold
             .is_some_and(|threshold| latency > threshold);
-        self.with_service_health(|health, now| health.ended(now, has_succeeded && !is_slow));
+        self.with_service_health(|health, now| health.call_ended(now, has_succeeded && !is_slow));
     }
 
     /// Reads or changes the health of the backend service, and logs if the node treats the service
@@ -121,21 +121,21 @@
         f: impl FnOnce(&mut ServiceHealth, Nanos) -> T,
     ) -> Option<T> {
         let health = self.shared.service_health.as_mut()?;
-        let (state_before, level_before) = (health.mode(), health.level());
+        let (state_before, level_before) = (health.state(), health.admitted_share());
         let result = f(health, self.now);
-        let (state, level) = (health.mode(), health.level());
+        let (state, level) = (health.state(), health.admitted_share());
         if state != state_before || level > level_before && state == HealthState::Recovering {
-            let own = health.evidence(self.now);
+            let own = health.report(self.now);
             let others = health.others(self.now).unwrap_or_default();
             info!(
                 target: part::BACKEND,
-                from = %state_before.word(),
-                to = %state.word(),
+                from = %state_before.label(),
+                to = %state.label(),
                 failed = own.failed,
-                calls = own.tries,
-                reporters_against = others.ill,
-                reporters = others.witnesses,
-                zones_against = others.ill_zones,
+                calls = own.calls,
+                reporters_against = others.failing,
+                reporters = others.reporters,
+                zones_against = others.failing_zones,
                 zones = others.zones,
                 admitted_percent = (level * 100.0).round(),
                 "service health changed"
--- /dev/null
+++ b/crates/shared-state/src/shared_state/leadership.rs
@@ -0,0 +1,158 @@
+//! Which node leads: rounds of votes at a voter. Why there are never two leaders is in
+//! [`leader_lease`](crate::leader_lease).
+
+use super::{Host, Lenders, SharedState};
+use crate::budget::lender::BudgetLender;
+use crate::keyed_quota::lender::QuotaLender;
+use crate::messages::{BudgetMessage, SharedMessage};
+use crate::{Nanos, ProcessId};
+use rand::RngExt;
+
+impl<H: Host> SharedState<H> {
+    /// The leader renews its votes. Another voter requests votes where it knows of no leader.
+    pub(super) fn run_round(&mut self, now: Nanos) {
+        let leader_lease = self.settings.leader_lease;
+        let is_leader = self.is_leader(now);
+        if !is_leader && self.lenders.take().is_some() {
+            self.end_leadership();
+        }
+        let Some(election) = &mut self.election else {
+            return;
+        };
+        let holder = election
+            .voter
+            .holder(now)
+            .filter(|holder| *holder != self.settings.me);
+        if !is_leader && holder.is_some() {
+            self.leader = holder;
+            self.next_round = now + leader_lease / 4;
+            return;
+        }
+        if !is_leader && self.is_campaigning {
+            return self.abandon_round(now);
+        }
+        self.is_campaigning = !is_leader;
+        let round = election.candidate.begin_round(now);
+        self.next_round = now
+            + if is_leader {
+                leader_lease / 4
+            } else {
+                leader_lease / 10
+            };
+        for key in self.settings.voters.clone() {
+            if key == self.settings.me.key {
+                self.answer_vote_request(now, self.settings.me, round);
+            } else {
+                let message = SharedMessage::Budgets(BudgetMessage::VoteRequest { round });
+                self.host.send(key, message);
+            }
+        }
+    }
+
+    /// The leader lease has ended without renewal.
+    fn end_leadership(&mut self) {
+        if let Some(election) = &mut self.election {
+            election.candidate.resign();
+        }
+        self.host
+            .log("lends no more: no majority of the arbiters answers");
+        self.leader = None;
+    }
+
+    /// A round got no majority in its time: all its votes are released, so that three voters that
+    /// each have their own vote don't wait for each other for ever.
+    fn abandon_round(&mut self, now: Nanos) {
+        self.is_campaigning = false;
+        let Some(election) = &mut self.election else {
+            return;
+        };
+        let round = election.candidate.round;
+        election.voter.release(self.settings.me, round);
+        election.candidate.resign();
+        self.next_round = now + self.rng.random_range(0..self.settings.leader_lease / 3);
+        self.send_to_voters(BudgetMessage::VoteRelease { round });
+    }
+
+    pub(super) fn send_to_voters(&mut self, message: BudgetMessage) {
+        let me = self.settings.me.key;
+        for key in self.settings.voters.iter().filter(|key| **key != me) {
+            self.host
+                .send(*key, SharedMessage::Budgets(message.clone()));
+        }
+    }
+
+    /// A candidate, perhaps this node, requests this voter's vote.
+    pub(super) fn answer_vote_request(&mut self, now: Nanos, from: ProcessId, round: u64) {
+        let me = self.settings.me;
+        let Some(election) = &mut self.election else {
+            return;
+        };
+        let answer = election.voter.request(now, from, round);
+        let is_granted = answer.is_ok();
+        let bound_for = answer
+            .err()
+            .and_then(|refused| refused.bound_for)
+            .unwrap_or(0);
+        let holder = election.voter.holder(now);
+        if from == me {
+            return self.receive_vote(now, me, round, is_granted);
+        }
+        let message = SharedMessage::Budgets(BudgetMessage::Vote {
+            round,
+            is_granted,
+            holder,
+            bound_for,
+        });
+        self.host.send(from.key, message);
+    }
+
+    /// A voter answered. With a majority this node becomes the leader.
+    pub(super) fn receive_vote(
+        &mut self,
+        now: Nanos,
+        from: ProcessId,
+        round: u64,
+        is_granted: bool,
+    ) {
+        let index = self.settings.voters.iter().position(|key| *key == from.key);
+        let (Some(index), true, Some(election)) = (index, is_granted, &mut self.election) else {
+            return;
+        };
+        if election.candidate.receive_vote(round, index) && self.lenders.is_none() {
+            self.begin_leadership(now);
+        }
+    }
+
+    fn begin_leadership(&mut self, now: Nanos) {
+        let lender = self.rng.random();
+        let settings = &self.settings;
+        let budgets = settings
+            .budgets
+            .iter()
+            .map(|budget| {
+                BudgetLender::new(
+                    now,
+                    lender,
+                    budget.pool(),
+                    settings.lease_duration,
+                    budget.use_after_expiry(),
+                    settings.max_borrowers,
+                )
+            })
+            .collect();
+        let quotas = (!settings.quotas.is_empty()).then(|| {
+            QuotaLender::new(
+                now,
+                &settings.quotas,
+                settings.quota_timing,
+                settings.quota_lender_bytes,
+                self.rng.random(),
+            )
+        });
+        self.lenders = Some(Lenders { budgets, quotas });
+        self.leader = Some(self.settings.me);
+        self.count("times it began to lend");
+        self.host
+            .log("lends: a majority of the arbiters gave their word; parts from before end first");
+    }
+}
--- /dev/null
+++ b/crates/shared-state/src/simulation/run.rs
@@ -0,0 +1,116 @@
+//! Time: messages arrive, timers fire, calls end and are attempted, in this order in each step.
+
+use super::{LimitStrategy, MessageInFlight, REPORT_INTERVAL, STEP, Simulation};
+use crate::Nanos;
+use crate::messages::{SharedMessage, encode};
+use rand::RngExt;
+use std::cmp::Reverse;
+
+/// Bytes around a payload: the cluster's frame, its authentication, UDP and IP headers.
+const HEADER_BYTES: usize = 32 + 16 + 24 + 28;
+/// On links that lose messages, the probability that a message arrives twice.
+const DUPLICATE_PROBABILITY: f64 = 0.1;
+
+/// Bytes of a message on the network.
+pub(super) fn network_bytes(message: &SharedMessage) -> u64 {
+    (encode(message).len() + HEADER_BYTES) as u64
+}
+
+impl Simulation {
+    /// Lets time pass, in nanoseconds.
+    pub fn run(&mut self, duration: Nanos) {
+        let until = self.now + duration;
+        while self.now < until {
+            self.step();
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += STEP;
+        self.deliver_messages();
+        self.end_calls();
+        let mut leaders = 0;
+        for n in 0..self.nodes.len() {
+            if self.nodes[n].suspended_until > self.now || self.nodes[n].shared.is_none() {
+                continue;
+            }
+            leaders += usize::from(self.wake_node(n));
+            self.send_messages(n);
+            self.attempt_calls(n);
+        }
+        self.run_keys();
+        self.max_leaders = self.max_leaders.max(leaders);
+        self.observe_backend();
+    }
+
+    fn deliver_messages(&mut self) {
+        while self
+            .arrivals
+            .peek()
+            .is_some_and(|Reverse((due, ..))| *due <= self.now)
+        {
+            let Some(Reverse((_, id, to))) = self.arrivals.pop() else {
+                break;
+            };
+            if self.nodes[to].suspended_until > self.now {
+                self.arrivals
+                    .push(Reverse((self.nodes[to].suspended_until, id, to)));
+                continue;
+            }
+            let Some(MessageInFlight { from, message }) = self.messages.remove(&id) else {
+                continue;
+            };
+            let now = self.clock(to);
+            if let Some(shared) = &mut self.nodes[to].shared {
+                shared.receive(now, from, message);
+                self.send_messages(to);
+            }
+        }
+    }
+
+    /// Does what is due at a node. Returns whether it is the leader.
+    fn wake_node(&mut self, n: usize) -> bool {
+        let (now, process) = (self.clock(n), self.process(n));
+        let node = &mut self.nodes[n];
+        let Some(shared) = &mut node.shared else {
+            return false;
+        };
+        if shared.next_wake() <= now && self.config.strategy == LimitStrategy::Leases {
+            shared.wake(now);
+        }
+        if self.config.max_counted_processes > 0 && now >= node.next_report {
+            shared.report_counters(now, &node.counters.report(process, 0, 2));
+            node.next_report = now + REPORT_INTERVAL;
+        }
+        while let Some(request) = shared.host.quotas.next_request(now) {
+            shared.request_quota(now, request);
+        }
+        shared.is_leader(now)
+    }
+
+    /// Sends what a node has to send; links lose, double and delay it.
+    fn send_messages(&mut self, n: usize) {
+        let from = self.process(n);
+        let Some(shared) = &mut self.nodes[n].shared else {
+            return;
+        };
+        for (to, message) in std::mem::take(&mut shared.host.sent) {
+            self.result.messages += 1;
+            self.result.bytes += network_bytes(&message);
+            let to = to as usize - 1;
+            if self.rng.random_bool(self.config.loss) || (self.is_cut)(n, to) {
+                continue;
+            }
+            let is_doubled = self.config.loss > 0.0 && self.rng.random_bool(DUPLICATE_PROBABILITY);
+            for _ in 0..if is_doubled { 2 } else { 1 } {
+                self.messages_sent += 1;
+                let (least, most) = self.config.latency;
+                let due = self.now + self.rng.random_range(least..=most);
+                let message = message.clone();
+                self.messages
+                    .insert(self.messages_sent, MessageInFlight { from, message });
+                self.arrivals.push(Reverse((due, self.messages_sent, to)));
+            }
+        }
+    }
+}
