--- a/crates/node/src/io/backend_link/tests.rs
+++ b/crates/node/src/io/backend_link/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::config::Peers;
 use crossbeam_utils::atomic::AtomicCell;
-use madderpoint_test_harness::peers::{PATIENCE, listen, nobody};
+use madderpoint_test_harness::peers::{PATIENCE, listen, unused_address};
 use std::net::TcpListener;
 use std::time::Instant;
 
@@ -23,8 +23,8 @@
     fn new() -> Bench {
         let backend = listen();
         let peers = Peers {
-            kernel: nobody(),
-            members: nobody(),
+            kernel: unused_address(),
+            members: unused_address(),
             backend: Some(backend.local_addr().unwrap()),
         };
         let (events, inbox) = bounded(100);
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -4,9 +4,9 @@
 //! against: docs/acceptance.md.
 
 use madderpoint_test_harness::peers::{
-    Dispatcher, PATIENCE, Talk, listen, nobody, ping, reap, unix_ms,
+    LineConnection, LoadBalancer, PATIENCE, listen, ping, reap, unix_ms, unused_address,
 };
-use madderpoint_test_harness::program::{Node, Program, told};
+use madderpoint_test_harness::program::{Node, Program, node_config};
 use madderpoint_test_harness::wire::{self as support, Answer};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -30,21 +30,21 @@
 }
 
 /// A node whose kernel is up, with these changes to its configuration.
-fn node_with(changes: &[(&str, &str)]) -> (Node, TcpListener, Talk) {
+fn node_with(changes: &[(&str, &str)]) -> (Node, TcpListener, LineConnection) {
     let kernel = listen();
     let config = changes.iter().fold(
-        told(at(&kernel), nobody(), nobody(), 1024),
+        node_config(at(&kernel), unused_address(), unused_address(), 1024),
         |text, (from, to)| text.replace(from, to),
     );
     let node = Node::started(PROGRAM, &config, &[]);
-    let link = Talk::boot(&kernel, 0, "");
+    let link = LineConnection::boot(&kernel, 0, "");
     let mut dispatcher = node.connect();
     while dispatcher.ping() != "200" {}
     (node, kernel, link)
 }
 
 /// All that comes until the connection ends.
-fn rest(mut dispatcher: Dispatcher) -> Vec<Answer> {
+fn rest(mut dispatcher: LoadBalancer) -> Vec<Answer> {
     while dispatcher.read() > 0 {}
     dispatcher.done
 }
@@ -254,8 +254,14 @@
 #[test]
 fn a_drain_before_the_kernel_is_up_runs_nothing_and_ends_in_time() {
     let kernel = listen();
-    let mut node = Node::start(PROGRAM, at(&kernel), nobody(), nobody(), 1024);
-    let mut link = Talk::accept(&kernel);
+    let mut node = Node::start(
+        PROGRAM,
+        at(&kernel),
+        unused_address(),
+        unused_address(),
+        1024,
+    );
+    let mut link = LineConnection::accept(&kernel);
     assert_eq!(link.line(), "{\"t\":\"OPEN\",\"no\":0}");
     let mut dispatcher = node.connect();
     assert_eq!(dispatcher.ask(&call(1, A)).status, "503");
@@ -278,7 +284,12 @@
     node.terminate();
     node.logged("drain: stop in");
     let kernel2 = listen();
-    node.reload(&told(at(&kernel2), nobody(), nobody(), 1024));
+    node.reload(&node_config(
+        at(&kernel2),
+        unused_address(),
+        unused_address(),
+        1024,
+    ));
     node.terminate();
     node.logged("new configuration");
     let settled: serde_json::Value = serde_json::from_str(&link.line()).unwrap();
@@ -286,7 +297,7 @@
         "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
         settled["mark"]
     ));
-    let mut link = Talk::boot(&kernel2, 0, "");
+    let mut link = LineConnection::boot(&kernel2, 0, "");
     link.say(&reap(1, A, "OK"));
     assert_eq!(statuses(&rest(dispatcher)), ["200"]);
     assert_eq!(node.wait().code(), Some(0));
@@ -296,8 +307,8 @@
 // ---- Reports ----
 
 /// The body of a report, at the end of its connection's request.
-fn report(members: &TcpListener) -> (Talk, String) {
-    let mut talk = Talk::accept(members);
+fn report(members: &TcpListener) -> (LineConnection, String) {
+    let mut talk = LineConnection::accept(members);
     talk.line();
     while !talk.line().is_empty() {}
     let mut body = String::new();
@@ -320,20 +331,20 @@
     ] {
         let (kernel, members) = (listen(), listen());
         let begun = Instant::now();
-        let mut node = Node::start(PROGRAM, at(&kernel), nobody(), at(&members), 1024);
+        let mut node = Node::start(PROGRAM, at(&kernel), unused_address(), at(&members), 1024);
         let mut kept = Vec::new(); // connections that are held as they are
         match step {
             "accepts nothing" => {}
-            "reads nothing" => kept.push(Talk::accept(&members)),
+            "reads nothing" => kept.push(LineConnection::accept(&members)),
             "answers nothing" => kept.push(report(&members).0),
             "answers half" => {
                 let mut talk = report(&members).0;
                 talk.say("HTTP/1.1 204 No");
                 kept.push(talk);
             }
-            _ => drop(Talk::accept(&members)), // a reset, for its report was not read
+            _ => drop(LineConnection::accept(&members)), // a reset, for its report was not read
         }
-        let mut link = Talk::boot(&kernel, 0, "");
+        let mut link = LineConnection::boot(&kernel, 0, "");
         let mut dispatcher = node.connect();
         while dispatcher.ping() != "200" {}
         assert!(
@@ -367,15 +378,20 @@
     let (kernel, members) = (listen(), listen());
     let address = at(&members);
     drop(members); // away at the start
-    let mut node = Node::start(PROGRAM, at(&kernel), nobody(), address, 1024);
+    let mut node = Node::start(PROGRAM, at(&kernel), unused_address(), address, 1024);
     node.logged("report failed");
-    let _link = Talk::boot(&kernel, 0, "");
+    let _link = LineConnection::boot(&kernel, 0, "");
     let members = TcpListener::bind(address).unwrap();
     assert_eq!(report(&members).1, "{\"phase\":\"UP\"}");
     // It hangs as it is moved: the new one hears at once.
     let (held, _) = report(&members);
     let moved = listen();
-    node.reload(&told(at(&kernel), nobody(), at(&moved), 1024));
+    node.reload(&node_config(
+        at(&kernel),
+        unused_address(),
+        at(&moved),
+        1024,
+    ));
     let begun = Instant::now();
     assert_eq!(report(&moved).1, "{\"phase\":\"UP\"}");
     assert!(
@@ -396,8 +412,8 @@
     let (kernel, members) = (listen(), listen());
     let address = at(&members);
     drop(members);
-    let mut node = Node::start(PROGRAM, at(&kernel), nobody(), address, 64);
-    let link = Talk::boot(&kernel, 0, "");
+    let mut node = Node::start(PROGRAM, at(&kernel), unused_address(), address, 64);
+    let link = LineConnection::boot(&kernel, 0, "");
     let stop = AtomicBool::new(false);
     let listen_at = node.listen;
     std::thread::scope(|scope| {
@@ -422,7 +438,7 @@
         }
         // The kernel's link breaks in the flood and is made again.
         drop(link);
-        let mut link = Talk::boot(&kernel, 0, "");
+        let mut link = LineConnection::boot(&kernel, 0, "");
         for n in 0..5u64 {
             let rid = format!("{n:016x}");
             let mut dispatcher = node.connect();
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,13 +1,13 @@
 //! Several processes of the program with faults between them, by the timetables in `examples/rig`:
 //! each must settle within its bounds, and nothing of the load may be lost, late or doubled.
 
-use madderpoint_test_harness::rig::{Outcome, Rig, Setting};
+use madderpoint_test_harness::fault_scenario::{FaultScenario, Outcome, ProgramSetup};
 use madderpoint_test_harness::script::{self, Action, Ends, Fault, Faulty, Script, Step};
 use std::path::Path;
 use std::time::Duration;
 
-fn setting() -> Setting {
-    Setting {
+fn setting() -> ProgramSetup {
+    ProgramSetup {
         exe: env!("CARGO_BIN_EXE_madderpoint").into(),
         later: None,
         dir: env!("CARGO_TARGET_TMPDIR").into(),
@@ -22,7 +22,9 @@
 }
 
 fn play(script: &Script) -> Outcome {
-    Rig::start(script.clone(), setting()).unwrap().play()
+    FaultScenario::start(script.clone(), setting())
+        .unwrap()
+        .play()
 }
 
 fn holds(name: &str) {
@@ -75,7 +77,7 @@
     let script = read("budget.xml");
     let outcome = play(&script);
     outcome.expect_good(&script);
-    let (most, all) = (outcome.below.most_in_a_second, outcome.below.calls);
+    let (most, all) = (outcome.backend.most_in_a_second, outcome.backend.calls);
     assert!(
         most <= 110 && all > 500,
         "{all} calls, {most} in the busiest second"
@@ -108,9 +110,12 @@
         outcome.failures
     );
     assert!(
-        outcome.record.iter().any(|line| line.contains("joined")),
+        outcome
+            .record_excerpt
+            .iter()
+            .any(|line| line.contains("joined")),
         "{:?}",
-        outcome.record
+        outcome.record_excerpt
     );
 }
 
@@ -256,8 +261,8 @@
 /// told of.
 #[test]
 fn a_running_node_shows_what_it_holds() {
-    use madderpoint_test_harness::peers::nobody;
-    use madderpoint_test_harness::program::{Node, Program, told};
+    use madderpoint_test_harness::peers::unused_address;
+    use madderpoint_test_harness::program::{Node, Program, node_config};
     let program = Program {
         exe: env!("CARGO_BIN_EXE_madderpoint"),
         dir: env!("CARGO_TARGET_TMPDIR"),
@@ -280,7 +285,7 @@
     let (good, at) = settings("07");
     let _node = Node::started(
         program,
-        &told(nobody(), nobody(), nobody(), 1024),
+        &node_config(unused_address(), unused_address(), unused_address(), 1024),
         &["--settings", &good],
     );
     let (code, text) = call(&[
@@ -322,8 +327,8 @@
 /// those before in force.
 #[test]
 fn keys_change_by_reload_and_a_bad_file_changes_nothing() {
-    use madderpoint_test_harness::peers::nobody;
-    use madderpoint_test_harness::program::{Node, Program, told};
+    use madderpoint_test_harness::peers::unused_address;
+    use madderpoint_test_harness::program::{Node, Program, node_config};
     let program = Program {
         exe: env!("CARGO_BIN_EXE_madderpoint"),
         dir: env!("CARGO_TARGET_TMPDIR"),
@@ -358,7 +363,7 @@
         ])
         .0
     };
-    let config = told(nobody(), nobody(), nobody(), 1024);
+    let config = node_config(unused_address(), unused_address(), unused_address(), 1024);
     let mut node = Node::started(program, &config, &["--settings", own.to_str().unwrap()]);
     assert_eq!((show(&by_old), show(&by_new)), (Some(0), Some(2)));
     for (text, told) in [("zz", "no key"), ("", "0 keys")] {
--- a/crates/node/tests/fleet_cost.rs
+++ b/crates/node/tests/fleet_cost.rs
@@ -4,12 +4,12 @@
 //!     cargo test --release -p madderpoint-node --test fleet_cost -- --ignored --nocapture
 
 use hdrhistogram::Histogram;
-use madderpoint_test_harness::load::rid;
-use madderpoint_test_harness::peers::{nobody, unix_ms};
-use madderpoint_test_harness::program::{Node, Program, told};
-use madderpoint_test_harness::service::{Nature, Service};
+use madderpoint_test_harness::backend_service::{BackendConfig, BackendService};
+use madderpoint_test_harness::executor::Executor;
+use madderpoint_test_harness::load::next_request_id;
+use madderpoint_test_harness::peers::{unix_ms, unused_address};
+use madderpoint_test_harness::program::{Node, Program, node_config};
 use madderpoint_test_harness::wire;
-use madderpoint_test_harness::worker::Worker;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -61,12 +61,14 @@
 }
 
 /// A node with its kernel; with its place in a fleet if it has one.
-fn start(name: &str, fleet: Option<(SocketAddr, SocketAddr)>, shares: bool) -> (Node, Worker) {
-    let worker = Worker::start();
+fn start(name: &str, fleet: Option<(SocketAddr, SocketAddr)>, shares: bool) -> (Node, Executor) {
+    let worker = Executor::start();
     worker.calls(true);
-    let below = Service::start(Nature::default()).listen("z").unwrap();
-    let config =
-        told(worker.address, below, nobody(), 1024).replace("\"n3\"", &format!("\"{name}\""));
+    let below = BackendService::start(BackendConfig::default())
+        .listen("z")
+        .unwrap();
+    let config = node_config(worker.address, below, unused_address(), 1024)
+        .replace("\"n3\"", &format!("\"{name}\""));
     let mut arguments = Vec::new();
     let settings = fleet.map(|(bind, seed)| {
         let keys = PROGRAM.file("keys", &"07".repeat(32));
@@ -94,7 +96,7 @@
     let (mut come, mut open, mut buffer) = (Vec::new(), BTreeMap::new(), [0; 4096]);
     let before = ticks(node.child.id());
     for _ in 0..REQUESTS {
-        let (id, arrived) = (rid(), unix_ms());
+        let (id, arrived) = (next_request_id(), unix_ms());
         let mut params = wire::call("/call/read", &id, &arrived);
         params.push(("HTTP_X_KEY", &id[12..]));
         let request = wire::request(1, &params, b"body");
@@ -120,7 +122,7 @@
 #[ignore = "a measurement of about a minute"]
 fn cost_of_the_fleet_off_on_and_in_a_storm() {
     let seed = free_port();
-    let others: Vec<(Node, Worker)> = (0..5)
+    let others: Vec<(Node, Executor)> = (0..5)
         .map(|n| {
             start(
                 &format!("m{n}"),
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -7,8 +7,10 @@
 use madderpoint_node::fastcgi::{self, Event, ProtocolStatus, Reply};
 use madderpoint_node::program_version::{self, version_of};
 use madderpoint_node::service_registry::{Answer, Phase, report};
-use madderpoint_test_harness::peers::{Dispatcher, Talk, listen, nobody, ping, reap, unix_ms};
-use madderpoint_test_harness::program::{Node, Program, told};
+use madderpoint_test_harness::peers::{
+    LineConnection, LoadBalancer, listen, ping, reap, unix_ms, unused_address,
+};
+use madderpoint_test_harness::program::{Node, Program, node_config};
 use madderpoint_test_harness::wire::{self, GET_VALUES, STDIN, record, same_at_every_split};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -447,12 +449,12 @@
 }
 
 /// Sends a request over a connection; gives the bytes of its answer.
-fn answered(dispatcher: &mut Dispatcher, request: &[u8]) -> Vec<u8> {
+fn answered(dispatcher: &mut LoadBalancer, request: &[u8]) -> Vec<u8> {
     dispatcher.stream.write_all(request).unwrap();
     came(dispatcher)
 }
 
-fn came(dispatcher: &mut Dispatcher) -> Vec<u8> {
+fn came(dispatcher: &mut LoadBalancer) -> Vec<u8> {
     let (mut bytes, mut buffer) = (Vec::new(), [0; 4096]);
     while wire::answers(&mut bytes.clone(), &mut BTreeMap::new()).is_empty() {
         let n = dispatcher.stream.read(&mut buffer).unwrap();
@@ -470,16 +472,21 @@
 #[test]
 fn a_node_answers_with_the_recorded_bytes() {
     let kernel = listen();
-    let config = told(kernel.local_addr().unwrap(), nobody(), nobody(), 1024)
-        .replace(r#""Advert": "weight""#, r#""Advert": "none""#) // it says how busy the node is
-        .replace(
-            r#""RetryAfter": false, "MaxRetryAfter": 0.0"#,
-            r#""RetryAfter": true, "MaxRetryAfter": 2.0"#,
-        );
+    let config = node_config(
+        kernel.local_addr().unwrap(),
+        unused_address(),
+        unused_address(),
+        1024,
+    )
+    .replace(r#""Advert": "weight""#, r#""Advert": "none""#) // it says how busy the node is
+    .replace(
+        r#""RetryAfter": false, "MaxRetryAfter": 0.0"#,
+        r#""RetryAfter": true, "MaxRetryAfter": 2.0"#,
+    );
     let rules = PROGRAM.file("xml", RULES);
     let node = Node::started(PROGRAM, &config, &["--settings", rules.to_str().unwrap()]);
     let mut entries = vec![("check-503", answered(&mut node.connect(), &ping(1)))];
-    let mut link = Talk::boot(&kernel, 0, "");
+    let mut link = LineConnection::boot(&kernel, 0, "");
     while node.connect().ping() != "200" {}
     entries.push(("check-200", answered(&mut node.connect(), &ping(1))));
     for (no, name, status) in [(1, "200", "OK"), (2, "500", "ERROR")] {
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -3,9 +3,9 @@
 //! come.
 
 use madderpoint_test_harness::peers::{
-    PATIENCE, Talk, listen, nobody, ping, reap, unix_ms, wants_call,
+    LineConnection, PATIENCE, listen, ping, reap, unix_ms, unused_address, wants_call,
 };
-use madderpoint_test_harness::program::{Node, Program, told};
+use madderpoint_test_harness::program::{Node, Program, node_config};
 use madderpoint_test_harness::wire as support;
 use serde_json::Value;
 use std::io::Write;
@@ -24,7 +24,7 @@
 
 #[test]
 fn one_succeeds_one_errs_and_one_is_throttled() {
-    let (node, _kernel, mut link) = Node::with_kernel(PROGRAM);
+    let (node, _kernel, mut link) = Node::with_executor(PROGRAM);
     let mut dispatcher = node.connect();
     let command = dispatcher.run(&mut link, 1, A);
     assert_eq!(
@@ -56,13 +56,13 @@
     let node = Node::start(
         PROGRAM,
         kernel.local_addr().unwrap(),
-        nobody(),
-        nobody(),
+        unused_address(),
+        unused_address(),
         1024,
     );
     let mut dispatcher = node.connect();
     assert_eq!(dispatcher.ping(), "503");
-    let mut link = Talk::boot(&kernel, 0, "");
+    let mut link = LineConnection::boot(&kernel, 0, "");
     while dispatcher.ping() != "200" {}
     dispatcher.run(&mut link, 2, B);
 }
@@ -74,15 +74,15 @@
         PROGRAM,
         kernel.local_addr().unwrap(),
         backend.local_addr().unwrap(),
-        nobody(),
+        unused_address(),
         1024,
     );
-    let mut link = Talk::boot(&kernel, 0, "");
+    let mut link = LineConnection::boot(&kernel, 0, "");
     let mut dispatcher = node.connect();
     while dispatcher.ping() != "200" {}
     dispatcher.run(&mut link, 1, A);
     link.say(&wants_call(1, A));
-    let mut below = Talk::accept(&backend);
+    let mut below = LineConnection::accept(&backend);
     let line = below.line();
     assert!(
         line.starts_with(&format!("invoke {A} ")) && line.ends_with(" 2"),
@@ -101,7 +101,7 @@
 
 #[test]
 fn a_run_does_without_a_back_end_that_refuses() {
-    let (node, _kernel, mut link) = Node::with_kernel(PROGRAM);
+    let (node, _kernel, mut link) = Node::with_executor(PROGRAM);
     let mut dispatcher = node.connect();
     dispatcher.run(&mut link, 1, B);
     link.say(&wants_call(1, B));
@@ -111,25 +111,25 @@
 
 #[test]
 fn a_link_that_breaks_in_the_middle_of_a_run_loses_nothing() {
-    let (node, kernel, mut link) = Node::with_kernel(PROGRAM);
+    let (node, kernel, mut link) = Node::with_executor(PROGRAM);
     let mut dispatcher = node.connect();
     dispatcher.run(&mut link, 1, A);
     link.say(&reap(1, A, "OK")[..25]);
     drop(link); // in the middle of a line
-    let mut link = Talk::boot(&kernel, 0, &reap(1, A, "OK"));
+    let mut link = LineConnection::boot(&kernel, 0, &reap(1, A, "OK"));
     assert_eq!(dispatcher.answer().status, "200");
     dispatcher.run(&mut link, 1, B); // and nothing before it
 }
 
 #[test]
 fn what_the_kernel_should_not_say_is_survived() {
-    let (node, kernel, mut link) = Node::with_kernel(PROGRAM);
+    let (node, kernel, mut link) = Node::with_executor(PROGRAM);
     link.say("{\"t\":\"SONG\"}\n{broken\n{\"t\":\"EINVAL\",\"status\":\"NOIO\",\"rid\":\"zz\"}\n");
     link.say(&reap(1, "ffffffffffffffff", "OK"));
     let mut dispatcher = node.connect();
     dispatcher.run(&mut link, 1, A);
     link.say(&"x".repeat(40_000)); // no line ends: the link is renewed
-    let mut link = Talk::boot(&kernel, 1, &reap(2, A, "OK"));
+    let mut link = LineConnection::boot(&kernel, 1, &reap(2, A, "OK"));
     assert_eq!(dispatcher.answer().status, "200");
     dispatcher.run(&mut link, 1, B);
 }
@@ -140,12 +140,12 @@
     let mut node = Node::start(
         PROGRAM,
         kernel.local_addr().unwrap(),
-        nobody(),
+        unused_address(),
         members.local_addr().unwrap(),
         1024,
     );
     let report = |members: &TcpListener| {
-        let mut talk = Talk::accept(members);
+        let mut talk = LineConnection::accept(members);
         let head = talk.line();
         while !talk.line().is_empty() {}
         let body = talk.exactly("{\"phase\":\"UP\"}".len());
@@ -157,7 +157,7 @@
         (&head[..], &body[..]),
         ("PUT /members/n3 HTTP/1.1", "{\"phase\":\"UP\"}")
     );
-    let mut link = Talk::boot(&kernel, 0, "");
+    let mut link = LineConnection::boot(&kernel, 0, "");
     let mut dispatcher = node.connect();
     while dispatcher.ping() != "200" {}
     dispatcher.run(&mut link, 1, A);
@@ -177,7 +177,7 @@
     let (kernel, backend, members) = (listen(), listen(), listen());
     let at = |l: &TcpListener| l.local_addr().unwrap();
     let mut node = Node::start(PROGRAM, at(&kernel), at(&backend), at(&members), 1024);
-    let good = told(at(&kernel), at(&backend), at(&members), 1024);
+    let good = node_config(at(&kernel), at(&backend), at(&members), 1024);
     for (text, named) in [
         (&good[..200], "EOF"),
         (
@@ -189,16 +189,16 @@
         node.reload(text);
         assert!(node.logged("new configuration not taken").contains(named));
     }
-    let mut link = Talk::boot(&kernel, 0, "");
+    let mut link = LineConnection::boot(&kernel, 0, "");
     let mut dispatcher = node.connect();
     while dispatcher.ping() != "200" {}
     dispatcher.run(&mut link, 1, A);
     link.say(&wants_call(1, A));
-    let mut below = Talk::accept(&backend);
+    let mut below = LineConnection::accept(&backend);
     below.line();
     below.exactly(4);
     let (kernel2, backend2, members2) = (listen(), listen(), listen());
-    let moved = told(at(&kernel2), at(&backend2), at(&members2), 1024);
+    let moved = node_config(at(&kernel2), at(&backend2), at(&members2), 1024);
     node.reload(&moved.replace("\"sockets\": 1024", "\"sockets\": 999"));
     assert!(node.logged("until a restart the old ").contains("limits"));
     let settled: Value = serde_json::from_str(&link.line()).unwrap(); // what was sent before it has arrived
@@ -206,7 +206,7 @@
         "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
         settled["mark"]
     ));
-    let mut link = Talk::boot(&kernel2, 1, "");
+    let mut link = LineConnection::boot(&kernel2, 1, "");
     below.say(&format!("{A} ok 1\r\na\r\n")); // the old back end still replies
     let command = link.command();
     assert_eq!(
@@ -218,12 +218,12 @@
     dispatcher.run(&mut link, 2, B);
     link.say(&wants_call(3, B));
     assert!(
-        Talk::accept(&backend2)
+        LineConnection::accept(&backend2)
             .line()
             .starts_with(&format!("invoke {B} "))
     );
     assert!(
-        Talk::accept(&members2)
+        LineConnection::accept(&members2)
             .line()
             .starts_with("PUT /members/n3 ")
     );
@@ -235,11 +235,11 @@
     let node = Node::start(
         PROGRAM,
         kernel.local_addr().unwrap(),
-        nobody(),
+        unused_address(),
         members.local_addr().unwrap(),
         1024,
     );
-    let _link = Talk::boot(&kernel, 0, "");
+    let _link = LineConnection::boot(&kernel, 0, "");
     let mut dispatcher = node.connect();
     for answer in [
         "",
@@ -248,14 +248,14 @@
         "no such thing\r\n\r\n",
         "HTTP/1.1 204 \r\n\r\n",
     ] {
-        Talk::accept(&members).say(answer);
+        LineConnection::accept(&members).say(answer);
         while dispatcher.ping() != "200" {}
     }
 }
 
 #[test]
 fn broken_framing_and_silence_hurt_only_their_own_connection() {
-    let (node, _kernel, _link) = Node::with_kernel(PROGRAM);
+    let (node, _kernel, _link) = Node::with_executor(PROGRAM);
     let mut good = node.connect();
     let mut half = node.connect();
     half.stream
@@ -276,7 +276,7 @@
 
 #[test]
 fn a_dispatcher_that_does_not_read_delays_nobody() {
-    let (mut node, _kernel, _link) = Node::with_kernel(PROGRAM);
+    let (mut node, _kernel, _link) = Node::with_executor(PROGRAM);
     let (mut deaf, mut good) = (node.connect(), node.connect());
     deaf.stream.set_nonblocking(true).unwrap();
     let pings: Vec<u8> = (1..=30).flat_map(ping).collect();
@@ -304,11 +304,11 @@
     let node = Node::start(
         PROGRAM,
         kernel.local_addr().unwrap(),
-        nobody(),
-        nobody(),
+        unused_address(),
+        unused_address(),
         64,
     );
-    let _link = Talk::boot(&kernel, 0, "");
+    let _link = LineConnection::boot(&kernel, 0, "");
     let mut all: Vec<_> = (0..60).map(|_| node.connect()).collect();
     for dispatcher in &mut all {
         dispatcher.stream.write_all(&ping(1)).unwrap();
@@ -327,7 +327,13 @@
 
 #[test]
 fn several_hundred_connections_fit() {
-    let node = Node::start(PROGRAM, nobody(), nobody(), nobody(), 1024);
+    let node = Node::start(
+        PROGRAM,
+        unused_address(),
+        unused_address(),
+        unused_address(),
+        1024,
+    );
     let mut all: Vec<_> = (0..400).map(|_| node.connect()).collect();
     assert!(all.iter_mut().all(|dispatcher| dispatcher.ping() == "503"));
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).unwrap();
@@ -383,7 +389,7 @@
 }
 
 /// As a kernel: runs what it knows at once, and knows nothing else, until the link ends.
-fn kernel_that_knows(mut link: Talk, known: &'static str) {
+fn kernel_that_knows(mut link: LineConnection, known: &'static str) {
     let mut no = 0;
     while let Some(command) = link.command_until_closed() {
         let rid = command["rid"].as_str().unwrap_or_default().to_owned();
@@ -403,7 +409,7 @@
 /// served, and a good dispatcher beside all of them is served all the while.
 #[test]
 fn bad_clients_are_turned_away_in_time_and_harm_nobody() {
-    let (node, _kernel, link) = Node::with_kernel(PROGRAM);
+    let (node, _kernel, link) = Node::with_executor(PROGRAM);
     let link = std::thread::spawn(|| kernel_that_knows(link, "aaaa"));
     let now = unix_ms();
     let call = |id: u16, path: &str, rid: &str| {
@@ -515,7 +521,7 @@
 /// Connections that come and go leave no thread and no descriptor behind.
 #[test]
 fn what_short_connections_took_is_given_back() {
-    let (node, _kernel, _link) = Node::with_kernel(PROGRAM);
+    let (node, _kernel, _link) = Node::with_executor(PROGRAM);
     let pid = node.child.id();
     let threads = || {
         std::fs::read_dir(format!("/proc/{pid}/task"))
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -2,8 +2,8 @@
 //! starts no program, spins in no thread, and needs none of our settings. Parts of ours that would
 //! break that stay off there.
 
-use madderpoint_test_harness::peers::{listen, nobody};
-use madderpoint_test_harness::program::{Node, Program, told};
+use madderpoint_test_harness::peers::{listen, unused_address};
+use madderpoint_test_harness::program::{Node, Program, node_config};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::time::{Duration, Instant};
@@ -100,11 +100,11 @@
     let node = Node::start(
         PROGRAM,
         kernel.local_addr().unwrap(),
-        nobody(),
+        unused_address(),
         members.local_addr().unwrap(),
         1024,
     );
-    let _link = madderpoint_test_harness::peers::Talk::boot(&kernel, 0, "");
+    let _link = madderpoint_test_harness::peers::LineConnection::boot(&kernel, 0, "");
     let mut dispatcher = node.connect();
     while dispatcher.ping() != "200" {}
     let pid = node.child.id();
@@ -149,7 +149,7 @@
         "xml",
         &settings.replace("127.0.0.1:1\"", &format!("{port}\"")),
     );
-    let config = told(nobody(), nobody(), nobody(), 1024);
+    let config = node_config(unused_address(), unused_address(), unused_address(), 1024);
     let node = Node::started(
         PROGRAM,
         &config,
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -2,10 +2,10 @@
 //! does not serve or dies, and a node that serves whatever is killed.
 
 use madderpoint_test_harness::checker::Checker;
-use madderpoint_test_harness::load::{self, Ask};
-use madderpoint_test_harness::peers::nobody;
-use madderpoint_test_harness::program::{Program, told};
-use madderpoint_test_harness::worker::Worker;
+use madderpoint_test_harness::executor::Executor;
+use madderpoint_test_harness::load::{self, LoadRequest, LoadShape};
+use madderpoint_test_harness::peers::unused_address;
+use madderpoint_test_harness::program::{Program, node_config};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::os::unix::fs::{PermissionsExt, symlink};
@@ -30,7 +30,7 @@
     log: Receiver<String>,
     lines: Vec<String>,
     listen: SocketAddr,
-    worker: Worker,
+    worker: Executor,
     programs: PathBuf,
     config: PathBuf,
     settings: PathBuf,
@@ -99,8 +99,8 @@
         version(&programs, "1", None);
         let mut all: Vec<Under> = Vec::new();
         for (n, at) in places.into_iter().enumerate() {
-            let (name, worker, listen) = (format!("n{n}"), Worker::start_for_many(), free());
-            let config = told(worker.address, nobody(), nobody(), 1024);
+            let (name, worker, listen) = (format!("n{n}"), Executor::start_for_many(), free());
+            let config = node_config(worker.address, unused_address(), unused_address(), 1024);
             let config = config
                 .replace("127.0.0.1:0", &listen.to_string())
                 .replace("\"n3\"", &format!("\"{name}\""));
@@ -246,9 +246,20 @@
         let latencies = thread::scope(|scope| {
             let measuring = scope.spawn(|| measure(listen, &checker, &stop));
             let load = scope.spawn(|| {
-                let ask =
-                    |conn: usize, no: usize| Ask::of(["/call/read", "/call/pay"][(conn + no) % 2]);
-                load::run(listen, (4, 1, usize::MAX), &checker, &stop, ask);
+                let ask = |conn: usize, no: usize| {
+                    LoadRequest::of(["/call/read", "/call/pay"][(conn + no) % 2])
+                };
+                load::run(
+                    listen,
+                    LoadShape {
+                        connections: 4,
+                        open: 1,
+                        each: usize::MAX,
+                    },
+                    &checker,
+                    &stop,
+                    ask,
+                );
             });
             let ends = Ends(&stop);
             during(self);
@@ -378,9 +389,17 @@
             let (listen, stop) = (under.listen, &stop);
             scope.spawn(move || {
                 while !stop.load(SeqCst) {
-                    load::run(listen, (2, 1, 1), checker, stop, |conn, _| {
-                        Ask::of(["/call/read", "/call/book"][conn])
-                    });
+                    load::run(
+                        listen,
+                        LoadShape {
+                            connections: 2,
+                            open: 1,
+                            each: 1,
+                        },
+                        checker,
+                        stop,
+                        |conn, _| LoadRequest::of(["/call/read", "/call/book"][conn]),
+                    );
                     thread::sleep(Duration::from_millis(15));
                 }
             });
@@ -495,10 +514,14 @@
         let sent = Instant::now();
         load::run(
             listen,
-            (1, 1, 1),
+            LoadShape {
+                connections: 1,
+                open: 1,
+                each: 1,
+            },
             checker,
             &AtomicBool::new(false),
-            |_, _| Ask::of("/call/read"),
+            |_, _| LoadRequest::of("/call/read"),
         );
         all.push((sent, sent.elapsed()));
         thread::sleep(Duration::from_millis(2));
--- a/crates/node/tests/readiness.rs
+++ b/crates/node/tests/readiness.rs
@@ -1,8 +1,8 @@
 //! How soon processes are ready that were restarted in bad company: nine in ten within 10 s, none
 //! later than 30 s. Ready is who answers a health check well.
 
-use madderpoint_test_harness::peers::{Talk, listen, nobody, ping};
-use madderpoint_test_harness::program::{Node, Program, told};
+use madderpoint_test_harness::peers::{LineConnection, listen, ping, unused_address};
+use madderpoint_test_harness::program::{Node, Program, node_config};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -27,7 +27,7 @@
     thread::spawn(move || {
         let up = Instant::now() + late;
         loop {
-            let mut link = Talk::accept(&listener);
+            let mut link = LineConnection::accept(&listener);
             thread::spawn(move || {
                 link.line();
                 thread::sleep(up.saturating_duration_since(Instant::now()));
@@ -78,7 +78,7 @@
         .map(|_| {
             let stop = Arc::clone(&stop);
             thread::spawn(move || {
-                let config = |kernel| told(kernel, backend, members, 64);
+                let config = |kernel| node_config(kernel, backend, members, 64);
                 let mut node = Node::started(PROGRAM, &config(kernel(Duration::ZERO)), &[]);
                 node.child.kill().unwrap();
                 node.child.wait().unwrap();
@@ -113,11 +113,17 @@
         (
             "all well, but twenty at once",
             Duration::ZERO,
-            nobody(),
-            nobody(),
+            unused_address(),
+            unused_address(),
+            false,
+        ),
+        (
+            "the kernel late",
+            LATE,
+            unused_address(),
+            unused_address(),
             false,
         ),
-        ("the kernel late", LATE, nobody(), nobody(), false),
         (
             "membership service and back end hang",
             Duration::ZERO,
@@ -129,7 +135,7 @@
             "a flood on each listener, and all of it",
             LATE,
             hanging,
-            nobody(),
+            unused_address(),
             true,
         ),
     ];
--- a/crates/node/tests/rollout.rs
+++ b/crates/node/tests/rollout.rs
@@ -2,7 +2,7 @@
 //! timetables in `examples/rig`: good ones reach all, bad ones are stopped where they began, and
 //! the joined record of all nodes is what the rules of a change allow.
 
-use madderpoint_test_harness::rig::{Outcome, Rig, Setting};
+use madderpoint_test_harness::fault_scenario::{FaultScenario, Outcome, ProgramSetup};
 use madderpoint_test_harness::script::{self, Action, Ends, Fault, Faulty, Script, Step};
 use std::path::Path;
 use std::sync::OnceLock;
@@ -40,13 +40,15 @@
 
 fn play(script: &Script) -> Outcome {
     later();
-    let setting = Setting {
+    let setting = ProgramSetup {
         exe: EXE.into(),
         later: None,
         dir: env!("CARGO_TARGET_TMPDIR").into(),
         more: String::new(),
     };
-    Rig::start(script.clone(), setting).unwrap().play()
+    FaultScenario::start(script.clone(), setting)
+        .unwrap()
+        .play()
 }
 
 fn read(name: &str) -> Script {
@@ -110,18 +112,20 @@
 fn two_builds_with_other_messages_are_one_fleet() {
     let script = read("rollout-later.xml");
     let (exe, dir) = (EXE.into(), env!("CARGO_TARGET_TMPDIR").into());
-    let setting = Setting {
+    let setting = ProgramSetup {
         exe,
         later: Some(later()),
         dir,
         more: String::new(),
     };
-    let outcome = Rig::start(script.clone(), setting).unwrap().play();
+    let outcome = FaultScenario::start(script.clone(), setting)
+        .unwrap()
+        .play();
     outcome.expect_good(&script);
     assert!(
-        outcome.below.calls > 300 && outcome.keys_ran > 300,
+        outcome.backend.calls > 300 && outcome.keyed_executions > 300,
         "{:?}",
-        outcome.below
+        outcome.backend
     );
 }
 
@@ -183,7 +187,7 @@
             std::thread::spawn(move || {
                 let outcome = play(&script);
                 outcome.expect_good(&script);
-                assert!(outcome.one_version_at_the_end(), "{:?}", outcome.ran_last);
+                assert!(outcome.one_version_at_the_end(), "{:?}", outcome.final_settings);
             })
         })
         .collect();
--- a/crates/node/tests/rules.rs
+++ b/crates/node/tests/rules.rs
@@ -3,11 +3,11 @@
 //! answer.
 
 use madderpoint_test_harness::checker::Checker;
-use madderpoint_test_harness::load::{self, Ask};
-use madderpoint_test_harness::peers::{nobody, unix_ms};
-use madderpoint_test_harness::program::{Node, Program, told};
+use madderpoint_test_harness::executor::Executor;
+use madderpoint_test_harness::load::{self, LoadRequest, LoadShape};
+use madderpoint_test_harness::peers::{unix_ms, unused_address};
+use madderpoint_test_harness::program::{Node, Program, node_config};
 use madderpoint_test_harness::wire;
-use madderpoint_test_harness::worker::Worker;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::Mutex;
@@ -31,9 +31,9 @@
 }
 
 /// A node with rules, and the kernel that works for it.
-fn node(rules: &Path) -> (Node, Worker) {
-    let worker = Worker::start();
-    let config = told(worker.address, nobody(), nobody(), 1024).replace(
+fn node(rules: &Path) -> (Node, Executor) {
+    let worker = Executor::start();
+    let config = node_config(worker.address, unused_address(), unused_address(), 1024).replace(
         "\"RetryAfter\": false, \"MaxRetryAfter\": 0.0",
         "\"RetryAfter\": true, \"MaxRetryAfter\": 2.0",
     );
@@ -60,7 +60,7 @@
     let (node, worker) = node(&file(RULES));
     let mut dispatcher = node.connect();
     let mut ask = |path: &str, site: Option<&str>| {
-        let (rid, arrived) = (load::rid(), unix_ms());
+        let (rid, arrived) = (load::next_request_id(), unix_ms());
         let mut params = wire::call(path, &rid, &arrived);
         params.extend(site.map(|site| ("HTTP_X_SITE", site)));
         dispatcher.ask(&wire::request(1, &params, b"body"))
@@ -112,23 +112,34 @@
     let (mut reloads, listen) = (0, node.listen);
     thread::scope(|scope| {
         let loading = scope.spawn(|| {
-            load::run(listen, (6, 3, 1200), &checker, &stop, |conn, number| {
-                let mut ask =
-                    Ask::of(["/call/read", "/old/read", "/old/read", "/call/pay"][number % 4]);
-                if number % 5 == 0 {
-                    // Each key comes from three connections, and must run once.
-                    let key = format!("k{}-{number}", conn / 3);
-                    ask.path = format!("/old/book/{key}");
-                    ask.key = Some(key);
-                } else if number % 7 == 0 {
-                    ask.path = "/call/read".into();
-                    ask.params.push((
-                        "HTTP_X_SITE".into(),
-                        ["7", "8", "closed"][number % 3].into(),
-                    ));
-                }
-                ask
-            });
+            load::run(
+                listen,
+                LoadShape {
+                    connections: 6,
+                    open: 3,
+                    each: 1200,
+                },
+                &checker,
+                &stop,
+                |conn, number| {
+                    let mut ask = LoadRequest::of(
+                        ["/call/read", "/old/read", "/old/read", "/call/pay"][number % 4],
+                    );
+                    if number % 5 == 0 {
+                        // Each key comes from three connections, and must run once.
+                        let key = format!("k{}-{number}", conn / 3);
+                        ask.path = format!("/old/book/{key}");
+                        ask.key = Some(key);
+                    } else if number % 7 == 0 {
+                        ask.path = "/call/read".into();
+                        ask.params.push((
+                            "HTTP_X_SITE".into(),
+                            ["7", "8", "closed"][number % 3].into(),
+                        ));
+                    }
+                    ask
+                },
+            );
         });
         // Every other file is broken in another way; what follows the good ones is logged each
         // time.
@@ -176,9 +187,17 @@
     let listen = node.listen;
     thread::scope(|scope| {
         let loading = scope.spawn(|| {
-            load::run(listen, (4, 4, 4), &checker, &stop, |_, _| {
-                Ask::of("/old/read")
-            })
+            load::run(
+                listen,
+                LoadShape {
+                    connections: 4,
+                    open: 4,
+                    each: 4,
+                },
+                &checker,
+                &stop,
+                |_, _| LoadRequest::of("/old/read"),
+            )
         });
         worker.wait_started(1);
         node.terminate();
@@ -197,8 +216,13 @@
 
 #[test]
 fn a_file_that_is_bad_at_the_start_is_told_whole_and_nothing_starts() {
-    let worker = Worker::start();
-    let config = PROGRAM.config(&told(worker.address, nobody(), nobody(), 1024));
+    let worker = Executor::start();
+    let config = PROGRAM.config(&node_config(
+        worker.address,
+        unused_address(),
+        unused_address(),
+        1024,
+    ));
     let bad = file(
         "<rule name=\"a\"><when>operation == \"gone\"</when></rule>\n<rule name=\"b\"><when>1 +</when></rule>",
     );
@@ -237,7 +261,12 @@
         "{RULES}<case name=\"booked\"><request script=\"/old/book/k9\"/><expect rule=\"book\" operation=\"book\" key=\"k9\"/></case>\
         <case name=\"wrong\"><request script=\"/old/read\"/><expect rule=\"book\"/></case>"
     ));
-    let config = PROGRAM.config(&told(nobody(), nobody(), nobody(), 1024));
+    let config = PROGRAM.config(&node_config(
+        unused_address(),
+        unused_address(),
+        unused_address(),
+        1024,
+    ));
     let (good, config) = (good.to_str().unwrap(), config.to_str().unwrap());
     let (code, out, _) = call(&["check", good, "--config", config]);
     assert!(
@@ -324,8 +353,8 @@
             .into_iter()
             .enumerate()
         {
-            let worker = Worker::start();
-            let config = told(worker.address, nobody(), nobody(), 1024);
+            let worker = Executor::start();
+            let config = node_config(worker.address, unused_address(), unused_address(), 1024);
             let path = rules.map(file);
             let arguments: Vec<&str> = path
                 .iter()
@@ -341,11 +370,15 @@
                 let loading = scope.spawn(|| {
                     load::run(
                         node.listen,
-                        (connections, 4, each),
+                        LoadShape {
+                            connections,
+                            open: 4,
+                            each,
+                        },
                         &checker,
                         &stop,
                         |_, _| {
-                            let mut ask = Ask::of("/call/read");
+                            let mut ask = LoadRequest::of("/call/read");
                             ask.params.push(("W".into(), "abcd".repeat(246)));
                             ask
                         },
--- a/crates/node/tests/shared.rs
+++ b/crates/node/tests/shared.rs
@@ -1,7 +1,7 @@
 //! Several processes that share budgets, limits by key, counts and judgements, with faults between
 //! them. The record of the service below, and of what ran by key, over all nodes, is the judge.
 
-use madderpoint_test_harness::rig::{Outcome, Rig, Setting};
+use madderpoint_test_harness::fault_scenario::{FaultScenario, Outcome, ProgramSetup};
 use madderpoint_test_harness::script::{
     self, Action, Below, Ends, Fault, Faulty, Keys, Script, Step,
 };
@@ -11,8 +11,8 @@
 
 const EXE: &str = env!("CARGO_BIN_EXE_madderpoint");
 
-fn setting() -> Setting {
-    Setting {
+fn setting() -> ProgramSetup {
+    ProgramSetup {
         exe: EXE.into(),
         later: None,
         dir: env!("CARGO_TARGET_TMPDIR").into(),
@@ -21,7 +21,9 @@
 }
 
 fn play(script: &Script) -> Outcome {
-    Rig::start(script.clone(), setting()).unwrap().play()
+    FaultScenario::start(script.clone(), setting())
+        .unwrap()
+        .play()
 }
 
 fn holds(name: &str) -> (Script, Outcome) {
@@ -40,29 +42,37 @@
 #[test]
 fn a_limit_is_kept_through_thirds_a_cut_one_way_and_replacements() {
     let (_, outcome) = holds("thirds.xml");
-    assert!(outcome.below.calls > 1500, "{:?}", outcome.below);
+    assert!(outcome.backend.calls > 1500, "{:?}", outcome.backend);
 }
 
 #[test]
 fn calls_in_hand_are_kept_through_thirds_a_cold_return_and_a_pause() {
     let (_, outcome) = holds("hands.xml");
     assert!(
-        outcome.below.most_in_hand >= 10 && outcome.below.calls > 1500,
+        outcome.backend.most_in_flight >= 10 && outcome.backend.calls > 1500,
         "{:?}",
-        outcome.below
+        outcome.backend
     );
 }
 
 #[test]
 fn limits_by_key_are_kept_while_load_moves_and_a_zone_is_cut_off() {
     let (_, outcome) = holds("keys.xml");
-    assert!(outcome.keys_ran > 500, "{}", outcome.keys_ran);
+    assert!(
+        outcome.keyed_executions > 500,
+        "{}",
+        outcome.keyed_executions
+    );
 }
 
 #[test]
 fn a_service_that_comes_back_is_not_thrown_down_again() {
     let (_, outcome) = holds("service-dies.xml");
-    assert!(outcome.below.came_while_down > 0, "{:?}", outcome.below);
+    assert!(
+        outcome.backend.connections_while_down > 0,
+        "{:?}",
+        outcome.backend
+    );
 }
 
 #[test]
@@ -70,12 +80,12 @@
     let (_, outcome) = holds("slow-start.xml");
     println!(
         "the worst second: {:?} calls over what it takes",
-        outcome.over_a_start
+        outcome.excess_after_restart
     );
     assert!(
-        outcome.over_a_start.is_some() && outcome.below.calls > 1500,
+        outcome.excess_after_restart.is_some() && outcome.backend.calls > 1500,
         "{:?}",
-        outcome.below
+        outcome.backend
     );
 }
 
@@ -107,9 +117,9 @@
     };
     let outcome = play(&script);
     assert!(
-        outcome.below.falls > 0 && outcome.below.most_in_hand > 8,
+        outcome.backend.crashes > 0 && outcome.backend.most_in_flight > 8,
         "{:?}",
-        outcome.below
+        outcome.backend
     );
     assert!(
         outcome.failures.iter().any(|what| what.contains("died")),
@@ -249,8 +259,8 @@
 /// that.
 #[test]
 fn a_running_node_says_why_it_holds_what_it_holds() {
-    use madderpoint_test_harness::peers::nobody;
-    use madderpoint_test_harness::program::{Node, Program, told};
+    use madderpoint_test_harness::peers::unused_address;
+    use madderpoint_test_harness::program::{Node, Program, node_config};
     let program = Program {
         exe: EXE,
         dir: env!("CARGO_TARGET_TMPDIR"),
@@ -275,7 +285,7 @@
         r#"<arbiter name="n3"/><calls-budget name="register" a-second="100" floor="2" nodes-most="4"/><service name="reg"/>"#,
         rules,
     );
-    let config = told(nobody(), nobody(), nobody(), 1024);
+    let config = node_config(unused_address(), unused_address(), unused_address(), 1024);
     let mut node = Node::started(program, &config, &["--settings", &good]);
     node.logged("lends: a majority of the arbiters gave their word");
     let (code, text) = call(&["shared", "explain", "--settings", &good, "--at", &at]);
--- a/crates/test-harness/src/service/tests.rs
+++ b/crates/test-harness/src/backend_service/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn it_keeps_the_record_and_dies_past_what_it_survives() {
-    let nature = Nature {
+fn it_records_calls_and_crashes_when_more_are_in_flight_than_it_survives() {
+    let config = BackendConfig {
         work: Duration::from_millis(150),
         survives: 4,
-        ..Nature::default()
+        ..BackendConfig::default()
     };
-    let service = Service::start(nature);
+    let service = BackendService::start(config);
     let mut stream = TcpStream::connect(service.listen("z0").unwrap()).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
@@ -23,7 +23,7 @@
     assert_eq!(line, "0 ok 2\r\n");
     let recorded = service.recorded();
     assert_eq!(
-        (recorded.calls, recorded.most_in_hand, recorded.falls),
+        (recorded.calls, recorded.most_in_flight, recorded.crashes),
         (4, 4, 0)
     );
     for n in 10..15 {
@@ -32,5 +32,5 @@
             .unwrap();
     }
     while reader.read_line(&mut line).is_ok_and(|n| n > 0) {} // it ends the connection
-    assert_eq!(service.recorded().falls, 1);
+    assert_eq!(service.recorded().crashes, 1);
 }
--- a/crates/test-harness/src/bin/madderpoint-fault-test.rs
+++ b/crates/test-harness/src/bin/madderpoint-fault-test.rs
@@ -1,127 +1,172 @@
-//! Plays timetables of faults against several processes of the program, on loopback.
-
-#![forbid(unsafe_code)]
+//! Plays fault scenarios against several processes of the program, on loopback.
 
 use clap::{Parser, Subcommand};
-use madderpoint_test_harness::rig::{self, Setting};
-use madderpoint_test_harness::script;
+use madderpoint_test_harness::fault_scenario::{
+    self, FaultScenario, Outcome, ProgramSetup, ScenarioError,
+};
+use madderpoint_test_harness::script::Script;
+use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
+use thiserror::Error;
 
-/// Several processes of the program, with faults between them.
+/// Play fault scenarios against several processes of the program.
 #[derive(Parser)]
 #[command(
     name = "madderpoint-fault-test",
     after_help = "Example: madderpoint-fault-test run examples/rig/partition.xml"
 )]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a timetable, and say whether all held.
+    /// Play scenarios, and report whether everything held.
     Run {
-        /// The timetables.
+        /// The scenarios.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// The program; the one beside this one if it is not told.
+        /// The program; by default `madderpoint` in the directory of this one.
         #[arg(long)]
         exe: Option<PathBuf>,
-        /// Another build of it, for nodes that a timetable starts as program `later`: see
+        /// Another build of it, for nodes that a scenario starts as program `later`: see
         /// docs/operators/rig.md.
         #[arg(long)]
         later: Option<PathBuf>,
-        /// How often each is played.
+        /// How often each scenario is played.
         #[arg(long, default_value_t = 1)]
         times: u32,
-        /// Take this seed, and with each further time the next one, in place of the timetable's.
+        /// Use this seed instead of the scenario's, and the next one each further time.
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Check a timetable.
+    /// Check scenarios without playing them.
     Check {
-        /// The timetables.
+        /// The scenarios.
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
 }
 
-fn read(file: &PathBuf) -> Result<script::Script, String> {
-    let name = file.display().to_string();
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    script::read(&name, &text).map_err(|complaints| complaints.to_string())
+/// Why scenarios could not be played.
+#[derive(Debug, Error)]
+enum RunError {
+    #[error("no program; name it by --exe")]
+    NoProgram,
+    #[error("{path}: {source}")]
+    Directory { path: String, source: io::Error },
+    #[error(transparent)]
+    Scenario(#[from] ScenarioError),
+    #[error("{file}: {source}")]
+    Start { file: String, source: ScenarioError },
 }
 
+/// Plays all scenarios; gives whether everything held.
 fn run(
     files: &[PathBuf],
     exe: Option<PathBuf>,
     later: Option<PathBuf>,
     times: u32,
     seed: Option<u64>,
-) -> Result<bool, String> {
+) -> Result<bool, RunError> {
     let beside = std::env::current_exe()
         .ok()
         .and_then(|own| Some(own.parent()?.join("madderpoint")));
     let exe = exe
         .or(beside)
         .filter(|exe| exe.is_file())
-        .ok_or("no program; name it by --exe")?;
+        .ok_or(RunError::NoProgram)?;
     let dir = std::env::temp_dir().join(format!("madderpoint-fault-test-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-    let mut good = true;
+    std::fs::create_dir_all(&dir).map_err(|source| RunError::Directory {
+        path: dir.display().to_string(),
+        source,
+    })?;
+    let setting = ProgramSetup {
+        exe,
+        later,
+        dir: dir.clone(),
+        more: String::new(),
+    };
+    let mut all_held = true;
     for file in files {
         for time in 0..times {
-            let mut script = read(file)?;
+            let mut script = fault_scenario::read(file)?;
             script.seed = seed.map_or(script.seed, |seed| seed + u64::from(time));
-            let setting = Setting {
-                exe: exe.clone(),
-                later: later.clone(),
-                dir: dir.clone(),
-                more: String::new(),
-            };
-            let rig = rig::Rig::start(script.clone(), setting)
-                .map_err(|e| format!("{}: {e}", file.display()))?;
-            let outcome = rig.play();
-            let word = if outcome.failures.is_empty() {
-                "held"
-            } else {
-                "FAILED"
-            };
-            println!("{}, seed {}: {word}", script.name, script.seed);
-            for (what, seconds) in &outcome.took {
-                println!("  {what}: {seconds:.2} s");
-            }
-            let below = outcome.below;
-            if script.calls_a_second + script.calls_in_hand > 0 || script.below.judged {
-                println!(
-                    "  calls below: {}, {} in the busiest second, {} in hand at most, {} tries while it was down",
-                    below.calls, below.most_in_a_second, below.most_in_hand, below.came_while_down
-                );
-            }
-            if script.keys.count > 0 {
-                println!("  runs by key: {}", outcome.keys_ran);
-            }
-            println!(
-                "  answers {:?}, datagrams {:?}",
-                outcome.statuses, outcome.datagrams
-            );
-            for failure in &outcome.failures {
-                println!("  {failure}");
-            }
-            for line in &outcome.record {
-                println!("    {line}");
-            }
-            good &= outcome.failures.is_empty();
+            let scenario =
+                FaultScenario::start(script.clone(), setting.clone()).map_err(|source| {
+                    RunError::Start {
+                        file: file.display().to_string(),
+                        source,
+                    }
+                })?;
+            let outcome = scenario.play();
+            print(&script, &outcome);
+            all_held &= outcome.failures.is_empty();
         }
     }
     let _ = std::fs::remove_dir_all(&dir);
-    Ok(good)
+    Ok(all_held)
+}
+
+/// Prints an outcome to standard output.
+fn print(script: &Script, outcome: &Outcome) {
+    let result = if outcome.failures.is_empty() {
+        "held"
+    } else {
+        "FAILED"
+    };
+    println!("{}, seed {}: {result}", script.name, script.seed);
+    for (what, seconds) in &outcome.durations {
+        println!("  {what}: {seconds:.2} s");
+    }
+    let backend = outcome.backend;
+    if script.calls_a_second + script.calls_in_hand > 0 || script.below.judged {
+        println!(
+            "  backend calls: {}, {} in the busiest second, {} in flight at most, {} tries while it was down",
+            backend.calls,
+            backend.most_in_a_second,
+            backend.most_in_flight,
+            backend.connections_while_down
+        );
+    }
+    if script.keys.count > 0 {
+        println!("  executions by key: {}", outcome.keyed_executions);
+    }
+    println!(
+        "  answers {:?}, datagrams {:?}",
+        outcome.statuses, outcome.datagrams
+    );
+    for failure in &outcome.failures {
+        println!("  {failure}");
+    }
+    for line in &outcome.record_excerpt {
+        println!("    {line}");
+    }
+}
+
+/// Checks scenarios up to the first that is not valid; gives whether all are.
+fn check(files: &[PathBuf]) -> bool {
+    for file in files {
+        match fault_scenario::read(file) {
+            Ok(script) => println!(
+                "{}: good; {} nodes, {} steps",
+                file.display(),
+                script.nodes,
+                script.steps.len()
+            ),
+            Err(error) => {
+                eprint!("{error}");
+                return false;
+            }
+        }
+    }
+    true
 }
 
 fn main() -> ExitCode {
-    let ended = match Line::parse().command {
+    let result = match CommandLine::parse().command {
         Command::Run {
             files,
             exe,
@@ -129,29 +174,13 @@
             times,
             seed,
         } => run(&files, exe, later, times, seed),
-        Command::Check { files } => files
-            .iter()
-            .try_for_each(|file| {
-                let script = read(file)?;
-                println!(
-                    "{}: good; {} nodes, {} steps",
-                    file.display(),
-                    script.nodes,
-                    script.steps.len()
-                );
-                Ok(())
-            })
-            .map(|()| true)
-            .or_else(|what: String| {
-                eprint!("{what}");
-                Ok(false)
-            }),
+        Command::Check { files } => Ok(check(&files)),
     };
-    match ended {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(what) => {
-            eprintln!("madderpoint-fault-test: {what}");
+        Err(error) => {
+            eprintln!("madderpoint-fault-test: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/test-harness/src/checker.rs
+++ b/crates/test-harness/src/checker.rs
@@ -1,117 +1,200 @@
-//! Checks what must hold for every request: exactly one final answer, in time, and no effect twice.
+//! Checks what must hold for every request: exactly one final answer, in time, with the result of
+//! its own execution, and nothing with an idempotency key executed twice.
 
+use crate::executor::{StartedExecution, result};
 use crate::wire::Answer;
-use crate::worker::{Started, result};
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
 #[derive(Debug)]
-struct Sent {
+struct SentRequest {
     at: Instant,
-    /// What it is known again by, where it must run once.
+    /// The idempotency key, where it must run once.
     key: Option<String>,
+    /// When each answer was complete, and its status.
     answers: Vec<(Instant, String)>,
-    left: bool,
+    has_left: bool,
 }
 
-/// What was sent and what came back, over all connections.
+/// Something that must not happen to a request.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum Violation {
+    /// Two requests were sent with one id.
+    #[error("{request} was sent twice")]
+    SentTwice {
+        /// The request's id.
+        request: String,
+    },
+    /// An answer came that belongs to no request.
+    #[error("{request} was never sent and got {status}")]
+    AnsweredUnsent {
+        /// The id in the answer.
+        request: String,
+        /// The answer's status.
+        status: String,
+    },
+    /// A successful answer does not carry the result of the request's execution.
+    #[error("{request} got what no execution of it made: {body:?}")]
+    ForeignResult {
+        /// The request's id.
+        request: String,
+        /// The answer's body.
+        body: Vec<u8>,
+    },
+    /// The answer came after the client timeout.
+    #[error("{request} was answered {elapsed:?} after it was sent")]
+    Late {
+        /// The request's id.
+        request: String,
+        /// Time from the request's last byte to the answer.
+        elapsed: Duration,
+    },
+    /// A request whose client still waits got no answer, or any request more than one.
+    #[error("{request} got {count} answers")]
+    AnswerCount {
+        /// The request's id.
+        request: String,
+        /// How many answers came.
+        count: usize,
+    },
+    /// The executor was told to run what no client sent.
+    #[error("{request} ran and was never sent")]
+    RanUnsent {
+        /// The id that was executed.
+        request: String,
+    },
+    /// A request ran whose answer promises that it did not.
+    #[error("{request} ran and was told that it did not")]
+    RanAfterRejection {
+        /// The request's id.
+        request: String,
+    },
+    /// Requests with one idempotency key ran more than once.
+    #[error("idempotency key {key} ran {count} times")]
+    RanAgain {
+        /// The idempotency key.
+        key: String,
+        /// How many executions of it began.
+        count: usize,
+    },
+}
+
+/// Records what was sent and what came back, over all connections.
 #[derive(Debug, Default)]
 pub struct Checker {
-    sent: HashMap<String, Sent>,
-    wrong: Vec<String>,
+    sent: HashMap<String, SentRequest>,
+    violations: Vec<Violation>,
 }
 
-/// What the answers came to, by status.
+/// How many answers came, by status.
 pub type Statuses = BTreeMap<String, usize>;
 
 impl Checker {
-    /// A request's last byte was written.
+    /// A request's last byte was written; `key` is its idempotency key.
     pub fn sent(&mut self, rid: &str, key: Option<&str>) {
-        let sent = Sent {
+        let sent = SentRequest {
             at: Instant::now(),
             key: key.map(str::to_owned),
             answers: Vec::new(),
-            left: false,
+            has_left: false,
         };
         if self.sent.insert(rid.to_owned(), sent).is_some() {
-            self.wrong.push(format!("{rid} was sent twice"));
+            self.violations.push(Violation::SentTwice {
+                request: rid.to_owned(),
+            });
         }
     }
 
-    /// An answer came whole; `joins` says whether it may be another run's result, of which this one
-    /// is a repeat.
-    pub fn answered(&mut self, rid: &str, answer: &Answer, joins: bool) {
+    /// An answer is complete; `is_coalesced` says whether it may carry the result of another request
+    /// that this one repeats.
+    pub fn answered(&mut self, rid: &str, answer: &Answer, is_coalesced: bool) {
         let Some(sent) = self.sent.get_mut(rid) else {
-            return self
-                .wrong
-                .push(format!("{rid} was never sent and got {}", answer.status));
+            return self.violations.push(Violation::AnsweredUnsent {
+                request: rid.to_owned(),
+                status: answer.status.clone(),
+            });
         };
         sent.answers.push((Instant::now(), answer.status.clone()));
-        let own = answer.body == result(rid) || joins && answer.body.starts_with(b"result of ");
-        if answer.status == "200" && !own {
-            self.wrong.push(format!(
-                "{rid} got what no run made for it: {:?}",
-                answer.body
-            ));
+        let is_own =
+            answer.body == result(rid) || is_coalesced && answer.body.starts_with(b"result of ");
+        if answer.status == "200" && !is_own {
+            self.violations.push(Violation::ForeignResult {
+                request: rid.to_owned(),
+                body: answer.body.clone(),
+            });
         }
     }
 
-    /// The caller no longer waits.
+    /// The client no longer waits, or its missing answer is excused.
     pub fn left(&mut self, rid: &str) {
         if let Some(sent) = self.sent.get_mut(rid) {
-            sent.left = true;
+            sent.has_left = true;
         }
     }
 
-    /// All that is wrong with what was seen, given what the kernel was told to run.
+    /// The number of answers by status, given what the executor was told to run.
+    ///
+    /// # Errors
+    ///
+    /// All violations, if there is any.
     pub fn verdict(
         mut self,
-        started: &[Started],
+        started: &[StartedExecution],
         timeout: Duration,
-    ) -> Result<Statuses, Vec<String>> {
+    ) -> Result<Statuses, Vec<Violation>> {
+        let statuses = self.check_answers(timeout);
+        self.check_executions(started);
+        if self.violations.is_empty() {
+            Ok(statuses)
+        } else {
+            Err(self.violations)
+        }
+    }
+
+    /// Checks that each request has exactly one answer, in time.
+    fn check_answers(&mut self, timeout: Duration) -> Statuses {
         let mut statuses = Statuses::new();
         for (rid, sent) in &self.sent {
+            let request = rid.clone();
             match sent.answers.as_slice() {
-                [] if sent.left => {}
+                [] if sent.has_left => {}
                 [(at, status)] => {
                     *statuses.entry(status.clone()).or_default() += 1;
                     if *at > sent.at + timeout {
-                        self.wrong.push(format!(
-                            "{rid} was answered {:?} after it was sent",
-                            *at - sent.at
-                        ));
+                        let elapsed = *at - sent.at;
+                        self.violations.push(Violation::Late { request, elapsed });
                     }
                 }
-                answers => self
-                    .wrong
-                    .push(format!("{rid} got {} answers", answers.len())),
+                answers => self.violations.push(Violation::AnswerCount {
+                    request,
+                    count: answers.len(),
+                }),
             }
         }
-        let mut runs: HashMap<&str, usize> = HashMap::new();
+        statuses
+    }
+
+    /// Checks that what ran was sent, was not rejected, and ran once for each idempotency key.
+    fn check_executions(&mut self, started: &[StartedExecution]) {
+        let mut executions: HashMap<&str, usize> = HashMap::new();
         for started in started {
-            match self.sent.get(&started.rid) {
-                None => self
-                    .wrong
-                    .push(format!("{} ran and was never sent", started.rid)),
-                Some(sent) => {
-                    let turned_away = sent.answers.iter().any(|(_, s)| s == "429" || s == "503");
-                    if turned_away {
-                        self.wrong
-                            .push(format!("{} ran and was told that it did not", started.rid));
-                    }
-                    if let Some(key) = &sent.key {
-                        *runs.entry(key).or_default() += 1;
-                    }
-                }
+            let request = started.rid.clone();
+            let Some(sent) = self.sent.get(&started.rid) else {
+                self.violations.push(Violation::RanUnsent { request });
+                continue;
+            };
+            if sent.answers.iter().any(|(_, s)| s == "429" || s == "503") {
+                self.violations
+                    .push(Violation::RanAfterRejection { request });
+            }
+            if let Some(key) = &sent.key {
+                *executions.entry(key).or_default() += 1;
             }
         }
-        let twice = runs.into_iter().filter(|(_, n)| *n > 1);
-        self.wrong
-            .extend(twice.map(|(key, n)| format!("what is known by {key} ran {n} times")));
-        if self.wrong.is_empty() {
-            Ok(statuses)
-        } else {
-            Err(self.wrong)
+        for (key, count) in executions.into_iter().filter(|(_, count)| *count > 1) {
+            let key = key.to_owned();
+            self.violations.push(Violation::RanAgain { key, count });
         }
     }
 }
--- a/crates/test-harness/src/record.rs
+++ b/crates/test-harness/src/event_record.rs
@@ -1,25 +1,29 @@
-//! One record of all that a rig's processes, relays and steps said, on one clock.
+//! The joined event record: what a scenario's processes, proxies and steps log, on one clock.
 
 use serde_json::Value;
 use std::fmt;
 use std::sync::{Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Lines that are kept; the oldest go first.
-const KEPT: usize = 200_000;
+/// Lines that are kept at most; the oldest quarter goes first.
+const LINES_MAX: usize = 200_000;
 
-/// A line of the record.
+/// A line of the event record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct EventLine {
     /// Unix time in nanoseconds.
     pub at: u128,
+    /// The node that logged it, or the runner.
     pub who: String,
+    /// The part of the program, or the kind of the runner's note.
     pub part: String,
+    /// The log event's name; empty if it has none.
     pub event: String,
+    /// The message.
     pub what: String,
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for EventLine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ms = self.at / 1_000_000;
         write!(
@@ -34,33 +38,33 @@
     }
 }
 
-/// Now, as the record counts.
-pub fn now() -> u128 {
+/// The present Unix time in nanoseconds.
+pub fn unix_nanos() -> u128 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_nanos()
 }
 
-/// The record.
+/// The event record, shared by the threads that write to it.
 #[derive(Default)]
-pub struct Record {
-    lines: Mutex<Vec<Line>>,
+pub struct EventRecord {
+    lines: Mutex<Vec<EventLine>>,
 }
 
-impl Record {
-    fn push(&self, line: Line) {
+impl EventRecord {
+    fn push(&self, line: EventLine) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        if lines.len() >= KEPT {
-            lines.drain(..KEPT / 4);
+        if lines.len() >= LINES_MAX {
+            lines.drain(..LINES_MAX / 4);
         }
         lines.push(line);
     }
 
-    /// Something that the rig did or saw.
+    /// Adds something that the runner did or saw.
     pub fn note(&self, who: &str, part: &str, what: impl Into<String>) {
-        self.push(Line {
-            at: now(),
+        self.push(EventLine {
+            at: unix_nanos(),
             who: who.into(),
             part: part.into(),
             event: String::new(),
@@ -68,7 +72,7 @@
         });
     }
 
-    /// A line that a process wrote: JSON, or what it says as it dies.
+    /// Adds a line that a process wrote: JSON, or plain text such as a panic message.
     pub fn line(&self, who: &str, text: &str) {
         let read: Option<Value> = serde_json::from_str(text).ok();
         let field = |name: &str| {
@@ -77,13 +81,13 @@
                 .unwrap_or_default()
                 .to_owned()
         };
-        let at = field("timestamp").parse().unwrap_or_else(|_| now());
+        let at = field("timestamp").parse().unwrap_or_else(|_| unix_nanos());
         let what = if read.is_some() {
             field("message")
         } else {
             text.to_owned()
         };
-        self.push(Line {
+        self.push(EventLine {
             at,
             who: who.into(),
             part: field("part"),
@@ -92,8 +96,8 @@
         });
     }
 
-    /// All lines in the order of their times.
-    pub fn joined(&self) -> Vec<Line> {
+    /// All lines, ordered by time.
+    pub fn joined(&self) -> Vec<EventLine> {
         let mut lines = self
             .lines
             .lock()
--- a/crates/test-harness/src/record/tests.rs
+++ b/crates/test-harness/src/event_record/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn lines_of_several_processes_stand_in_the_order_of_their_times() {
-    let record = Record::default();
+fn lines_of_several_processes_are_ordered_by_time() {
+    let record = EventRecord::default();
     record.line(
         "n1",
         r#"{"timestamp":"3000000","level":"INFO","message":"later","part":"fleet","event":"dead"}"#,
--- a/crates/test-harness/src/worker.rs
+++ b/crates/test-harness/src/executor.rs
@@ -1,5 +1,7 @@
-//! A kernel that works by itself: takes links one after the other, tells gauges, and ends each run
-//! by a script.
+//! A stand-in for a node's executor: accepts links, reports gauges, and ends each execution as the
+//! test has set: at once, after a backend call, when released, or with an error.
+//!
+//! Used by the fault scenario runner and by tests that need more than one line of the protocol.
 
 use crate::keys::KeyRecord;
 use base64::Engine;
@@ -12,58 +14,67 @@
 use std::thread;
 use std::time::Duration;
 
-/// Notices that are kept, as the protocol has it.
-const NOTICES_KEPT: usize = 4000;
+/// Notices kept for a link that missed them, as the protocol requires.
+const NOTICES_MAX: usize = 4000;
 
-/// A command to run, as it came.
+/// An execution that the node commanded, as it came.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Started {
+pub struct StartedExecution {
+    /// The request's id.
     pub rid: String,
+    /// The operation's name.
     pub route: String,
+    /// The request's body.
     pub body: Vec<u8>,
 }
 
 #[derive(Default)]
 struct State {
-    started: Vec<Started>,
-    /// Runs that wait to be let go on, and whether new ones do.
+    started: Vec<StartedExecution>,
+    /// Executions that wait to be released, by request id.
     held: Vec<String>,
-    holds: bool,
-    /// Whether runs call below before they end; and those that wait for a reply, by id with their
-    /// route.
-    calls: bool,
+    holds_new: bool,
+    /// Whether executions make a backend call before they end.
+    makes_calls: bool,
+    /// Routes of executions that wait for the reply to their backend call, by request id.
     calling: HashMap<String, String>,
-    /// How many runs end as ERROR, by route.
+    /// How many of the next executions end as ERROR, by route.
     errors: HashMap<String, usize>,
-    /// What runs, by key, where that is recorded: bodies are keys then.
+    /// Where executions are recorded by key; request bodies are keys then.
     record: Option<KeyRecord>,
+    /// Keys of what runs, by request id.
     running: HashMap<String, String>,
-    notices: u64,
-    /// What was said of runs, by number, for a link that missed it.
-    told: VecDeque<(u64, String)>,
+    notice_count: u64,
+    /// Sent notices by number, for a link that missed them.
+    sent_notices: VecDeque<(u64, String)>,
     link: Option<TcpStream>,
 }
 
-/// A kernel stand-in; it ends with the process.
+/// An executor stand-in; clones share it. It ends with the process.
 #[derive(Clone)]
-pub struct Worker {
+pub struct Executor {
+    /// Where nodes connect.
     pub address: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
-    /// What each link has by itself, where there may be several at once.
-    links: Arc<Mutex<Vec<Worker>>>,
+    /// One stand-in for each link, where several may be open at once.
+    links: Arc<Mutex<Vec<Executor>>>,
 }
 
-/// The result that a run of this request gives: it names the run, so that an answer can be told to
-/// be its own.
+/// The result of this request's execution. It names the request, so that a checker can tell whose
+/// result an answer carries.
 pub fn result(rid: &str) -> Vec<u8> {
     format!("result of {rid}").into_bytes()
 }
 
-impl Worker {
-    /// Listens on a free port.
-    pub fn start() -> Worker {
+impl Executor {
+    /// Starts an executor for one link at a time, on a free port.
+    ///
+    /// # Panics
+    ///
+    /// No port can be opened.
+    pub fn start() -> Executor {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let worker = Worker::at(listener.local_addr().unwrap());
+        let worker = Executor::at(listener.local_addr().unwrap());
         let serving = worker.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -73,23 +84,27 @@
         worker
     }
 
-    fn at(address: SocketAddr) -> Worker {
-        Worker {
+    fn at(address: SocketAddr) -> Executor {
+        Executor {
             address,
             state: Arc::default(),
             links: Arc::default(),
         }
     }
 
-    /// One that has several links at once, as where one program takes the place of another: each
-    /// tells of its own runs.
-    pub fn start_for_many() -> Worker {
+    /// Starts an executor for several links at once, as in a process handover; each link is told of
+    /// its own executions only.
+    ///
+    /// # Panics
+    ///
+    /// No port can be opened.
+    pub fn start_for_many() -> Executor {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let worker = Worker::at(listener.local_addr().unwrap());
+        let worker = Executor::at(listener.local_addr().unwrap());
         let all = worker.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let one = Worker::at(all.address);
+                let one = Executor::at(all.address);
                 all.links.lock().unwrap().push(one.clone());
                 thread::spawn(move || one.serve(stream));
             }
@@ -116,48 +131,19 @@
         let (lock, changed) = &*self.state;
         let mut state = lock.lock().unwrap();
         match command["t"].as_str() {
-            Some("OPEN") => {
-                state.say(r#"{"t":"BOOTED","status":"WARM","time_ms":9000}"#);
-                let last = command["no"].as_u64().unwrap_or(0);
-                let missed: Vec<String> = state
-                    .told
-                    .iter()
-                    .filter(|(no, _)| *no > last)
-                    .map(|(_, line)| line.clone())
-                    .collect();
-                missed.iter().for_each(|line| state.say(line));
-            }
+            Some("OPEN") => state.boot(command["no"].as_u64().unwrap_or(0)),
             Some("SYSINFO") => {
                 let line = format!(r#"{{"t":"INFO","mark":{},"v":[0.1,0.1]}}"#, command["mark"]);
-                state.say(&line);
+                state.send(&line);
             }
             Some("POST") => {
                 let line = format!(
                     r#"{{"t":"POSTED","mark":{},"status":"OK"}}"#,
                     command["mark"]
                 );
-                state.say(&line);
-            }
-            Some("SCHED") => {
-                let text = |name: &str| command[name].as_str().unwrap_or_default().to_owned();
-                let body = STANDARD.decode(text("b64")).unwrap_or_default();
-                let started = Started {
-                    rid: text("rid"),
-                    route: text("route"),
-                    body,
-                };
-                if state.started.iter().all(|s| s.rid != started.rid) {
-                    state.began(&started);
-                    if state.holds {
-                        state.held.push(started.rid.clone());
-                    } else if state.calls {
-                        state.call(&started.rid, &started.route);
-                    } else {
-                        state.end(&started.rid, &started.route);
-                    }
-                    state.started.push(started);
-                }
+                state.send(&line);
             }
+            Some("SCHED") => state.start(command),
             Some("IODONE" | "NOIO") => {
                 let rid = command["rid"].as_str().unwrap_or_default();
                 if let Some(route) = state.calling.remove(rid) {
@@ -178,11 +164,11 @@
         changed.notify_all();
     }
 
-    /// From here on runs wait, or end at once; those that waited are let go on.
-    pub fn hold(&self, holds: bool) {
+    /// Whether executions wait from now on; with `false` those that wait are released.
+    pub fn hold(&self, holds_new: bool) {
         let mut state = self.state.0.lock().unwrap();
-        state.holds = holds;
-        if !holds {
+        state.holds_new = holds_new;
+        if !holds_new {
             for rid in std::mem::take(&mut state.held) {
                 let route = state
                     .started
@@ -194,8 +180,8 @@
         }
     }
 
-    /// A request is over, however it ended: a run of it that waits for its call is ended there, as
-    /// the protocol has it.
+    /// A request is over for its client: an execution of it that waits for a backend call ends as
+    /// STOPPED.
     pub fn request_over(&self, rid: &str) {
         let mut state = self.state.0.lock().unwrap();
         if state.calling.remove(rid).is_some() {
@@ -203,39 +189,39 @@
         }
     }
 
-    /// The node starts anew: notices count from 1 again, and what ran for the one before is over.
+    /// The node is about to start: notices count from 1 again, and earlier executions are over.
     pub fn node_starts(&self) {
         let mut state = self.state.0.lock().unwrap();
-        state.notices = 0;
-        state.told.clear();
+        state.notice_count = 0;
+        state.sent_notices.clear();
         state.held.clear();
         state.calling.clear();
         let running: Vec<String> = state.running.keys().cloned().collect();
         running.iter().for_each(|rid| state.over(rid));
     }
 
-    /// From here on what runs is recorded by key; the bodies of requests are their keys.
+    /// From now on executions are recorded by key; the bodies of requests are their keys.
     pub fn record_keys(&self, record: KeyRecord) {
         self.state.0.lock().unwrap().record = Some(record);
     }
 
-    /// From here on runs call below, once each, or not.
-    pub fn calls(&self, calls: bool) {
-        self.state.0.lock().unwrap().calls = calls;
+    /// Whether executions make one backend call each from now on.
+    pub fn calls(&self, makes_calls: bool) {
+        self.state.0.lock().unwrap().makes_calls = makes_calls;
     }
 
-    /// The next runs of a route end as ERROR, so many of them.
-    pub fn fail(&self, route: &str, times: usize) {
+    /// The next `count` executions of a route end as ERROR.
+    pub fn fail(&self, route: &str, count: usize) {
         self.state
             .0
             .lock()
             .unwrap()
             .errors
-            .insert(route.to_owned(), times);
+            .insert(route.to_owned(), count);
     }
 
-    /// All that was started so far.
-    pub fn started(&self) -> Vec<Started> {
+    /// All executions that began so far and were not forgotten.
+    pub fn started(&self) -> Vec<StartedExecution> {
         let mut all = self.state.0.lock().unwrap().started.clone();
         self.links
             .lock()
@@ -245,8 +231,12 @@
         all
     }
 
-    /// Waits until so many runs were started, and gives them.
-    pub fn wait_started(&self, count: usize) -> Vec<Started> {
+    /// Waits until this many executions have begun, and gives them.
+    ///
+    /// # Panics
+    ///
+    /// They have not begun within 30 s.
+    pub fn wait_started(&self, count: usize) -> Vec<StartedExecution> {
         let (lock, changed) = &*self.state;
         let state = lock.lock().unwrap();
         let enough = |state: &mut State| state.started.len() < count;
@@ -255,43 +245,80 @@
             .unwrap();
         assert!(
             !timeout.timed_out(),
-            "{} of {count} runs were started",
+            "{} of {count} executions began",
             state.started.len()
         );
         state.started.clone()
     }
 
-    /// Forgets what was started, for loads that go on for long.
+    /// Forgets what was started: for long loads, as each execution is compared with all earlier ones.
     pub fn forget(&self) {
         self.state.0.lock().unwrap().started.clear();
-        self.links.lock().unwrap().iter().for_each(Worker::forget);
+        self.links.lock().unwrap().iter().for_each(Executor::forget);
     }
 }
 
 impl State {
-    fn say(&mut self, line: &str) {
+    /// Takes a new link, and repeats the notices after the last one that the node has read.
+    fn boot(&mut self, last_read: u64) {
+        self.send(r#"{"t":"BOOTED","status":"WARM","time_ms":9000}"#);
+        let missed: Vec<String> = self
+            .sent_notices
+            .iter()
+            .filter(|(no, _)| *no > last_read)
+            .map(|(_, line)| line.clone())
+            .collect();
+        missed.iter().for_each(|line| self.send(line));
+    }
+
+    /// Begins an execution, unless its request is known already.
+    fn start(&mut self, command: &Value) {
+        let text = |name: &str| command[name].as_str().unwrap_or_default().to_owned();
+        let body = STANDARD.decode(text("b64")).unwrap_or_default();
+        let started = StartedExecution {
+            rid: text("rid"),
+            route: text("route"),
+            body,
+        };
+        if self.started.iter().any(|s| s.rid == started.rid) {
+            return;
+        }
+        self.began(&started);
+        if self.holds_new {
+            self.held.push(started.rid.clone());
+        } else if self.makes_calls {
+            self.call(&started.rid, &started.route);
+        } else {
+            self.end(&started.rid, &started.route);
+        }
+        self.started.push(started);
+    }
+
+    fn send(&mut self, line: &str) {
         if let Some(link) = &mut self.link {
             let _ = link.write_all(format!("{line}\n").as_bytes());
         }
     }
 
+    /// Asks the node for an execution's backend call.
     fn call(&mut self, rid: &str, route: &str) {
         self.calling.insert(rid.to_owned(), route.to_owned());
         let body = STANDARD.encode(b"call");
         self.notice(|no| format!(r#"{{"t":"IOREQ","no":{no},"rid":"{rid}","b64":"{body}"}}"#));
     }
 
-    /// Says something of a run, and keeps it for a link that misses it.
+    /// Sends a numbered notice, and keeps it for a link that misses it.
     fn notice(&mut self, line: impl FnOnce(u64) -> String) {
-        self.notices += 1;
-        let line = line(self.notices);
-        self.say(&line);
-        self.told.push_back((self.notices, line));
-        if self.told.len() > NOTICES_KEPT {
-            self.told.pop_front();
+        self.notice_count += 1;
+        let line = line(self.notice_count);
+        self.send(&line);
+        self.sent_notices.push_back((self.notice_count, line));
+        if self.sent_notices.len() > NOTICES_MAX {
+            self.sent_notices.pop_front();
         }
     }
 
+    /// Ends an execution as OK, or as ERROR where that was set.
     fn end(&mut self, rid: &str, route: &str) {
         let fails = self.errors.get_mut(route).is_some_and(|left| {
             let fails = *left > 0;
@@ -301,10 +328,10 @@
         self.reap(rid, if fails { "ERROR" } else { "OK" });
     }
 
-    fn began(&mut self, started: &Started) {
+    fn began(&mut self, started: &StartedExecution) {
         if let Some(record) = &self.record {
             let key = String::from_utf8_lossy(&started.body).into_owned();
-            record.began(&key);
+            record.started(&key);
             self.running.insert(started.rid.clone(), key);
         }
     }
--- /dev/null
+++ b/crates/test-harness/src/fault_proxy.rs
@@ -0,0 +1,337 @@
+//! Fault proxies between the processes of a scenario. Datagrams: each node is reached at an address
+//! of the proxy, and each pair of nodes has a socket of its own, so that replies find their sender.
+//! Streams: bytes pass in order, delayed or not at all.
+
+use crate::faults::{Delivery, Faults, NodeLocation};
+use crate::script::Links;
+use rustix::event::{PollFd, PollFlags, Timespec, poll};
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::io::{self, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
+use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// The longest datagram that is forwarded, in bytes.
+const DATAGRAM_BYTES_MAX: usize = 2048;
+/// DatagramProxy that are held or late, at most; more are lost.
+const DATAGRAMS_MAX: usize = 20_000;
+/// The longest wait for a datagram before held ones are looked at.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Stack of a thread that forwards a stream.
+const STREAM_STACK_BYTES: usize = 128 << 10;
+
+/// A node behind the datagram proxy.
+struct ProxiedNode {
+    place: NodeLocation,
+    /// Where the node listens.
+    bind: SocketAddr,
+    /// Where other nodes reach it.
+    front: UdpSocket,
+    /// By sender: the socket from which its datagrams are forwarded to this node, and on which this
+    /// node's replies arrive.
+    pairs: Vec<UdpSocket>,
+}
+
+/// A datagram to be forwarded at a time; ordered by that and by arrival.
+struct DelayedDatagram {
+    due: Instant,
+    order: u64,
+    from: usize,
+    to: usize,
+    frame: Vec<u8>,
+}
+
+impl PartialEq for DelayedDatagram {
+    fn eq(&self, other: &DelayedDatagram) -> bool {
+        self.order == other.order
+    }
+}
+impl Eq for DelayedDatagram {}
+impl PartialOrd for DelayedDatagram {
+    fn partial_cmp(&self, other: &DelayedDatagram) -> Option<std::cmp::Ordering> {
+        Some(self.cmp(other))
+    }
+}
+impl Ord for DelayedDatagram {
+    fn cmp(&self, other: &DelayedDatagram) -> std::cmp::Ordering {
+        (self.due, self.order).cmp(&(other.due, other.order))
+    }
+}
+
+/// The proxy of the cluster's datagrams; it ends when this is dropped.
+pub struct DatagramProxy {
+    /// Where each node is reached, in the order given at the start.
+    pub addresses: Vec<SocketAddr>,
+    stop: Arc<AtomicBool>,
+}
+
+impl Drop for DatagramProxy {
+    fn drop(&mut self) {
+        self.stop.store(true, SeqCst);
+    }
+}
+
+fn bind() -> io::Result<UdpSocket> {
+    let socket = UdpSocket::bind("127.0.0.1:0")?;
+    socket.set_nonblocking(true)?;
+    Ok(socket)
+}
+
+impl DatagramProxy {
+    /// Starts a proxy for nodes that listen at these addresses.
+    ///
+    /// # Errors
+    ///
+    /// A socket or thread cannot be created.
+    pub fn start(
+        locations: Vec<(NodeLocation, SocketAddr)>,
+        faults: Arc<Faults>,
+    ) -> io::Result<DatagramProxy> {
+        let count = locations.len();
+        let mut nodes = Vec::new();
+        for (place, bind_at) in locations {
+            let pairs = (0..count).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
+            nodes.push(ProxiedNode {
+                place,
+                bind: bind_at,
+                front: bind()?,
+                pairs,
+            });
+        }
+        let addresses = nodes
+            .iter()
+            .map(|node| node.front.local_addr())
+            .collect::<io::Result<Vec<_>>>()?;
+        let stop = Arc::new(AtomicBool::new(false));
+        let stopped = Arc::clone(&stop);
+        let forwarder = DatagramForwarder {
+            nodes,
+            faults,
+            delayed: BinaryHeap::new(),
+            held: Vec::new(),
+            last_order: 0,
+        };
+        thread::Builder::new()
+            .name("fault proxy".into())
+            .spawn(move || forwarder.serve(&stopped))?;
+        Ok(DatagramProxy { addresses, stop })
+    }
+}
+
+struct DatagramForwarder {
+    nodes: Vec<ProxiedNode>,
+    faults: Arc<Faults>,
+    delayed: BinaryHeap<Reverse<DelayedDatagram>>,
+    held: Vec<(usize, usize, Vec<u8>)>,
+    last_order: u64,
+}
+
+impl DatagramForwarder {
+    fn serve(mut self, stopped: &AtomicBool) {
+        let mut buffer = [0; DATAGRAM_BYTES_MAX];
+        while !stopped.load(SeqCst) {
+            for (from, to, frame) in self.receive(&mut buffer) {
+                self.apply_faults(from, to, frame);
+            }
+            self.release();
+            let now = Instant::now();
+            while self
+                .delayed
+                .peek()
+                .is_some_and(|Reverse(first)| first.due <= now)
+            {
+                let Some(Reverse(DelayedDatagram {
+                    from, to, frame, ..
+                })) = self.delayed.pop()
+                else {
+                    break;
+                };
+                let _ = self.nodes[to].pairs[from].send_to(&frame, self.nodes[to].bind);
+            }
+        }
+    }
+
+    /// Waits, then reads what arrived: sender, receiver and bytes.
+    fn receive(&self, buffer: &mut [u8]) -> Vec<(usize, usize, Vec<u8>)> {
+        let count = self.nodes.len();
+        let sockets: Vec<(usize, Option<usize>, &UdpSocket)> = (0..count)
+            .flat_map(|to| {
+                let pairs = self.nodes[to]
+                    .pairs
+                    .iter()
+                    .enumerate()
+                    .map(move |(from, socket)| (to, Some(from), socket));
+                pairs.chain([(to, None, &self.nodes[to].front)])
+            })
+            .collect();
+        let mut polled: Vec<PollFd<'_>> = sockets
+            .iter()
+            .map(|(_, _, socket)| PollFd::new(*socket, PollFlags::IN))
+            .collect();
+        let next = self
+            .delayed
+            .peek()
+            .map(|Reverse(first)| first.due.saturating_duration_since(Instant::now()));
+        let wait = next.unwrap_or(POLL_INTERVAL).min(POLL_INTERVAL);
+        let _ = poll(&mut polled, Timespec::try_from(wait).ok().as_ref());
+        let mut received = Vec::new();
+        for ((receiver, pair, socket), polled) in sockets.iter().zip(&polled) {
+            if polled.revents().is_empty() {
+                continue;
+            }
+            while let Ok((n, source)) = socket.recv_from(buffer) {
+                let sender = self.nodes.iter().position(|node| node.bind == source);
+                let (from, to) = match (pair, sender) {
+                    // A reply on the socket from which the datagram of `first` was forwarded.
+                    (Some(first), Some(sender)) => (sender, *first),
+                    (None, Some(sender)) => (sender, *receiver),
+                    // From a socket that is no node's: forwarded without faults.
+                    (None, None) => {
+                        let _ = self.nodes[*receiver].pairs[*receiver]
+                            .send_to(&buffer[..n], self.nodes[*receiver].bind);
+                        continue;
+                    }
+                    (Some(_), None) => continue,
+                };
+                received.push((from, to, buffer[..n].to_vec()));
+            }
+        }
+        received
+    }
+
+    /// Loses, damages, holds or delays a datagram as the faults on its link demand.
+    fn apply_faults(&mut self, from: usize, to: usize, mut frame: Vec<u8>) {
+        let delivery = self.faults.delivery(
+            Links::Fleet,
+            &self.nodes[from].place,
+            &self.nodes[to].place,
+            frame.len(),
+        );
+        let Delivery {
+            copies,
+            damage,
+            is_held,
+        } = delivery;
+        if self.delayed.len() + self.held.len() >= DATAGRAMS_MAX {
+            return;
+        }
+        if let Some((index, mask)) = damage {
+            frame[index] ^= mask;
+        }
+        if is_held {
+            return self.held.push((from, to, frame));
+        }
+        for delay in copies {
+            self.last_order += 1;
+            let (due, order) = (Instant::now() + delay, self.last_order);
+            self.delayed.push(Reverse(DelayedDatagram {
+                due,
+                order,
+                from,
+                to,
+                frame: frame.clone(),
+            }));
+        }
+    }
+
+    /// Forwards held datagrams whose link passes them again.
+    fn release(&mut self) {
+        for (from, to, frame) in std::mem::take(&mut self.held) {
+            if self
+                .faults
+                .is_cut(&self.nodes[from].place, &self.nodes[to].place)
+            {
+                self.held.push((from, to, frame));
+            } else {
+                self.last_order += 1;
+                let (due, order) = (Instant::now(), self.last_order);
+                self.delayed.push(Reverse(DelayedDatagram {
+                    due,
+                    order,
+                    from,
+                    to,
+                    frame,
+                }));
+            }
+        }
+    }
+}
+
+/// A proxy of one node's streams on one kind of link.
+pub struct StreamProxy {
+    /// Where it accepts streams.
+    pub address: SocketAddr,
+    /// Where it connects to; a change affects later streams.
+    pub to: Arc<Mutex<SocketAddr>>,
+}
+
+impl StreamProxy {
+    /// Starts a proxy for what `node` exchanges with the peer at this address.
+    ///
+    /// # Errors
+    ///
+    /// A port or thread cannot be created.
+    pub fn start(
+        link: Links,
+        node: NodeLocation,
+        to: SocketAddr,
+        faults: Arc<Faults>,
+    ) -> io::Result<StreamProxy> {
+        let listener = TcpListener::bind("127.0.0.1:0")?;
+        let (address, to) = (listener.local_addr()?, Arc::new(Mutex::new(to)));
+        let target = Arc::clone(&to);
+        thread::Builder::new()
+            .name("stream proxy".into())
+            .spawn(move || {
+                for stream in listener.incoming().flatten() {
+                    let to = *target.lock().unwrap_or_else(PoisonError::into_inner);
+                    let (node, faults) = (node.clone(), Arc::clone(&faults));
+                    let _ = thread::Builder::new()
+                        .stack_size(STREAM_STACK_BYTES)
+                        .spawn(move || forward(link, &node, stream, to, &faults));
+                }
+            })?;
+        Ok(StreamProxy { address, to })
+    }
+}
+
+/// Forwards bytes both ways until one end closes.
+fn forward(link: Links, node: &NodeLocation, a: TcpStream, to: SocketAddr, faults: &Arc<Faults>) {
+    let Ok(b) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else {
+        let _ = a.shutdown(Shutdown::Both);
+        return;
+    };
+    let (_, _) = (a.set_nodelay(true), b.set_nodelay(true));
+    let (Ok(a2), Ok(b2)) = (a.try_clone(), b.try_clone()) else {
+        return;
+    };
+    let (place, shared) = (node.clone(), Arc::clone(faults));
+    let back = thread::Builder::new()
+        .stack_size(STREAM_STACK_BYTES)
+        .spawn(move || copy(link, &place, &b2, &a2, &shared));
+    copy(link, node, &a, &b, faults);
+    let _ = back.map(|thread| thread.join());
+}
+
+/// Forwards bytes one way until an end closes, then closes both.
+fn copy(
+    link: Links,
+    node: &NodeLocation,
+    mut from: &TcpStream,
+    mut to: &TcpStream,
+    faults: &Faults,
+) {
+    let mut buffer = [0; 4096];
+    while let Ok(n @ 1..) = from.read(&mut buffer) {
+        faults.wait_to_pass(link, node, node, n);
+        if to.write_all(&buffer[..n]).is_err() {
+            break;
+        }
+    }
+    let _ = from.shutdown(Shutdown::Both);
+    let _ = to.shutdown(Shutdown::Both);
+}
--- /dev/null
+++ b/crates/test-harness/src/fault_scenario.rs
@@ -0,0 +1,309 @@
+//! The fault scenario runner: starts several processes of the program, each with an executor, a
+//! backend, a service registry and a load of its own, with a fault proxy on every link; plays the
+//! scenario's faults, checks expectations while it runs, and the joined event record afterwards.
+//!
+//! Everything stays on loopback. Dropping a scenario kills every process that it started.
+//! Called by `madderpoint-fault-test` and by the process-level tests of `crates/node`.
+
+mod changes;
+mod checks;
+mod config;
+mod expectations;
+mod load;
+mod observe;
+mod outcome;
+mod process;
+mod steps;
+
+pub use outcome::Outcome;
+
+use crate::backend_service::{BackendConfig, BackendService};
+use crate::event_record::EventRecord;
+use crate::fault_proxy::{DatagramProxy, StreamProxy};
+use crate::faults::{Faults, NodeLocation};
+use crate::keys::KeyRecord;
+use crate::peers::unused_address;
+use crate::script::{Links, Script};
+use load::LoadRate;
+use observe::Observations;
+use process::{ScenarioNode, remove_stale_versions, start_service_registry};
+use std::io;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicBool, AtomicU8, Ordering::SeqCst};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
+use std::thread;
+use std::time::{Duration, Instant};
+use thiserror::Error;
+
+/// The cluster's authentication key.
+const AUTH_KEY: [u8; 32] = [0x5a; 32];
+/// The cluster's name.
+const CLUSTER_NAME: &str = "rig";
+/// The longest that a status query waits for one datagram of the reply.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(40);
+/// The pause between two rounds of status queries.
+const QUERY_INTERVAL: Duration = Duration::from_millis(15);
+/// The port of node 0; node `n` listens on this plus `n`.
+const FIRST_PORT: u16 = 7000;
+
+/// Numbers the scenarios of this process, so that each has a loopback address of its own.
+static NEXT_SCENARIO: AtomicU8 = AtomicU8::new(1);
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+/// Why a scenario could not be read or started.
+#[derive(Debug, Error)]
+pub enum ScenarioError {
+    /// The scenario's file could not be read.
+    #[error("{file}: {source}")]
+    Unreadable {
+        /// The scenario's file.
+        file: String,
+        /// What the system reported.
+        source: io::Error,
+    },
+    /// The scenario's file is not valid; the text names line and field.
+    #[error("{0}")]
+    Invalid(madderpoint_settings::Complaints),
+    /// A socket, file, thread or process could not be created.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// A process did not report its listening address within 20 s.
+    #[error("{node} did not listen: {last_events:?}")]
+    NotListening {
+        /// The node's name in the scenario.
+        node: String,
+        /// The last lines of the joined event record, newest first.
+        last_events: Vec<String>,
+    },
+}
+
+/// Where the program under test is, and where its files may be written.
+#[derive(Clone, Debug)]
+pub struct ProgramSetup {
+    /// The program's file.
+    pub exe: PathBuf,
+    /// Another build of it, used for nodes that are started as program `later`.
+    pub later: Option<PathBuf>,
+    /// The directory for settings, configuration and key files.
+    pub dir: PathBuf,
+    /// More settings text, put inside the element `<translator>` after `<fleet>`.
+    pub more: String,
+}
+
+/// A running scenario.
+pub struct FaultScenario {
+    script: Script,
+    setting: ProgramSetup,
+    nodes: Vec<ScenarioNode>,
+    faults: Arc<Faults>,
+    _datagram_proxy: DatagramProxy,
+    record: Arc<EventRecord>,
+    /// What each node last reported; signalled after each round of queries.
+    seen: Arc<(Mutex<Observations>, Condvar)>,
+    stop: Arc<AtomicBool>,
+    outcome: Outcome,
+    /// How many files have been written, for their names.
+    file_count: usize,
+    /// The file of the cluster's keys, the same for all nodes.
+    key_file: PathBuf,
+    backend: BackendService,
+    keys: KeyRecord,
+    /// How many pauses of processes were played.
+    pause_count: usize,
+}
+
+/// A loopback address that no other scenario of this machine uses at this moment.
+fn own_address() -> IpAddr {
+    let pid = std::process::id();
+    let [_, _, high, low] = pid.to_be_bytes();
+    let number = NEXT_SCENARIO.fetch_add(1, SeqCst).max(1);
+    Ipv4Addr::new(127, 64 | (high & 63), low, number).into()
+}
+
+/// Name, zone and listening address of every node.
+fn node_locations(script: &Script) -> Vec<(NodeLocation, SocketAddr)> {
+    let ip = own_address();
+    (0..script.nodes)
+        .map(|n| {
+            let location = NodeLocation {
+                name: format!("n{n}"),
+                zone: format!("z{}", n % script.zones.max(1)),
+            };
+            (location, SocketAddr::new(ip, FIRST_PORT + n as u16))
+        })
+        .collect()
+}
+
+/// Creates every node's stand-in peers and proxies; starts no process.
+fn create_nodes(
+    script: &Script,
+    locations: Vec<(NodeLocation, SocketAddr)>,
+    datagram_proxy: &DatagramProxy,
+    faults: &Arc<Faults>,
+    backend: &BackendService,
+    keys: &KeyRecord,
+) -> io::Result<Vec<ScenarioNode>> {
+    let callers = script.callers.max(1);
+    let load_rate = LoadRate {
+        interval: Duration::from_secs(1) * callers as u32 / script.load.max(1) as u32,
+        keys: (0, script.keys.count.saturating_sub(1)),
+    };
+    let mut nodes = Vec::new();
+    for (n, (place, bind)) in locations.into_iter().enumerate() {
+        let executor = crate::executor::Executor::start();
+        let backend_address = backend.listen(&place.zone)?;
+        executor.calls(true);
+        if script.keys.count > 0 {
+            executor.record_keys(keys.clone());
+        }
+        let proxy = |link, to| StreamProxy::start(link, place.clone(), to, Arc::clone(faults));
+        nodes.push(ScenarioNode {
+            bind,
+            reached: datagram_proxy.addresses[n],
+            executor_proxy: proxy(Links::Kernel, executor.address)?,
+            backend_proxy: proxy(Links::Backend, backend_address)?,
+            registry_proxy: proxy(Links::Members, start_service_registry()?)?,
+            request_proxy: proxy(Links::Load, unused_address())?,
+            executor,
+            name: place.name.clone(),
+            place,
+            child: None,
+            state: Arc::default(),
+            checker: Arc::default(),
+            load_threads: Vec::new(),
+            load_rate: Arc::new(Mutex::new(load_rate)),
+        });
+    }
+    Ok(nodes)
+}
+
+impl FaultScenario {
+    /// Creates all peers and proxies and starts the nodes that are not absent at the beginning.
+    ///
+    /// # Errors
+    ///
+    /// A socket, file or process cannot be created, or a process does not listen in time.
+    pub fn start(script: Script, setting: ProgramSetup) -> Result<FaultScenario, ScenarioError> {
+        let locations = node_locations(&script);
+        let faults = Arc::new(Faults::new(script.seed));
+        let datagram_proxy = DatagramProxy::start(locations.clone(), Arc::clone(&faults))?;
+        let backend = BackendService::start(BackendConfig {
+            work: script.below.work,
+            survives: script.below.survives,
+            down: script.below.down,
+            warm: script.below.warm,
+        });
+        let keys = KeyRecord::default();
+        let nodes = create_nodes(
+            &script,
+            locations,
+            &datagram_proxy,
+            &faults,
+            &backend,
+            &keys,
+        )?;
+        let mut scenario = FaultScenario {
+            seen: Arc::new((Mutex::new(vec![None; nodes.len()]), Condvar::new())),
+            script,
+            setting,
+            nodes,
+            faults,
+            _datagram_proxy: datagram_proxy,
+            record: Arc::new(EventRecord::default()),
+            stop: Arc::default(),
+            outcome: Outcome::default(),
+            file_count: 0,
+            key_file: PathBuf::new(),
+            backend,
+            keys,
+            pause_count: 0,
+        };
+        let key: String = AUTH_KEY.iter().map(|b| format!("{b:02x}")).collect();
+        scenario.key_file = scenario.write_file("keys", &key)?;
+        remove_stale_versions(&scenario.versions_dir());
+        for n in 0..scenario.nodes.len() {
+            if !scenario
+                .script
+                .absent
+                .contains(&scenario.nodes[n].place.name)
+            {
+                scenario.start_node(n, None, None)?;
+            }
+        }
+        scenario.start_observing()?;
+        Ok(scenario)
+    }
+
+    /// Plays all steps at their times, stops all processes and runs the final checks.
+    pub fn play(mut self) -> Outcome {
+        let begun = Instant::now();
+        let steps = std::mem::take(&mut self.script.steps);
+        for (index, step) in steps.iter().enumerate() {
+            thread::sleep((begun + step.at).saturating_duration_since(Instant::now()));
+            self.record
+                .note("rig", "step", format!("{:?}", step.action));
+            self.apply(index, &step.action);
+        }
+        self.script.steps = steps;
+        thread::sleep((begun + self.script.time).saturating_duration_since(Instant::now()));
+        self.finish()
+    }
+
+    /// Notes something that did not hold.
+    fn fail(&mut self, what: String) {
+        self.record.note("rig", "FAILED", what.clone());
+        self.outcome.failures.push(what);
+    }
+
+    /// Notes how long something took that held.
+    fn took(&mut self, what: String, begun: Instant) {
+        let elapsed = begun.elapsed();
+        self.record
+            .note("rig", "took", format!("{what}: {} ms", elapsed.as_millis()));
+        self.outcome.durations.push((what, elapsed.as_secs_f64()));
+    }
+
+    /// The index of the node with this name in the scenario.
+    fn node(&self, name: &str) -> usize {
+        self.nodes
+            .iter()
+            .position(|node| node.place.name == name)
+            .unwrap_or(0)
+    }
+
+    /// Whether a node's process runs and is not paused.
+    fn is_up(&self, n: usize) -> bool {
+        let state = lock(&self.nodes[n].state);
+        state.is_running && !state.is_paused
+    }
+}
+
+impl Drop for FaultScenario {
+    fn drop(&mut self) {
+        self.stop.store(true, SeqCst);
+        for node in &mut self.nodes {
+            if let Some(mut child) = node.child.take() {
+                let _ = child.kill();
+                let _ = child.wait();
+            }
+        }
+    }
+}
+
+/// Reads a scenario's file.
+///
+/// # Errors
+///
+/// The file cannot be read, or is not a valid scenario.
+pub fn read(file: &Path) -> Result<Script, ScenarioError> {
+    let name = file.display().to_string();
+    let text = std::fs::read_to_string(file).map_err(|source| ScenarioError::Unreadable {
+        file: name.clone(),
+        source,
+    })?;
+    crate::script::read(&name, &text).map_err(ScenarioError::Invalid)
+}
--- a/crates/test-harness/src/rig/changes.rs
+++ b/crates/test-harness/src/fault_scenario/changes.rs
@@ -1,8 +1,12 @@
 //! The rig's part in changes of settings: it offers them, looks what has become of them, and judges
 //! the joined record of all nodes by what the rules of a change allow.
 
-use super::{BETWEEN, FLEET, KEY, LOOK, Rig, Seen, pages};
-use crate::record::Line;
+use super::observe::{Observations as Seen, status_pages as pages};
+use super::{
+    AUTH_KEY as KEY, CLUSTER_NAME as FLEET, FaultScenario as Rig, QUERY_INTERVAL as BETWEEN,
+    QUERY_TIMEOUT as LOOK,
+};
+use crate::event_record::EventLine as Line;
 use crate::script::Ends;
 use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_membership::observer::Observer;
--- /dev/null
+++ b/crates/test-harness/src/fault_scenario/checks.rs
@@ -0,0 +1,174 @@
+//! The final checks of a scenario: every request's answer, all limits, and the joined event record.
+
+use super::{FaultScenario, Outcome, lock};
+use crate::event_record::EventLine;
+use std::process::Child;
+use std::sync::atomic::Ordering::SeqCst;
+use std::time::Duration;
+
+/// The client timeout of the nodes' settings, with some slack for a busy machine.
+pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_millis(3500);
+/// Lines of the joined event record before the first failure that the outcome keeps.
+const RECORD_BEFORE_FAILURE: usize = 120;
+/// Lines of the joined event record from the first failure on that the outcome keeps.
+const RECORD_AFTER_FAILURE: usize = 10;
+/// Violations of one node that its failure lists.
+const VIOLATIONS_LISTED: usize = 5;
+
+impl FaultScenario {
+    /// Stops all processes and checks what was recorded.
+    pub(super) fn finish(mut self) -> Outcome {
+        self.check_still_running();
+        self.outcome.final_settings = self.settings_run();
+        self.stop.store(true, SeqCst);
+        for node in &mut self.nodes {
+            for load in node.load_threads.drain(..) {
+                let _ = load.join();
+            }
+        }
+        self.faults.heal();
+        (0..self.nodes.len()).for_each(|n| self.stop_node(n));
+        self.check_answers();
+        self.check_limits();
+        let joined = self.record.joined();
+        self.changes_are_allowed(&joined);
+        for line in &joined {
+            if line.what.contains("panicked") || line.what.contains("invariant:") {
+                self.outcome.failures.push(line.to_string());
+            }
+        }
+        self.outcome.datagrams = self.faults.counts().into_iter().collect();
+        if !self.outcome.failures.is_empty() {
+            self.outcome.record_excerpt = excerpt(&joined);
+        }
+        std::mem::take(&mut self.outcome)
+    }
+
+    /// No process may have ended by itself.
+    fn check_still_running(&mut self) {
+        for n in 0..self.nodes.len() {
+            let ended = match self.nodes[n].child.as_mut().map(Child::try_wait) {
+                Some(Ok(Some(status))) => Some(status),
+                _ => None,
+            };
+            if let Some(status) = ended {
+                let name = &self.nodes[n].place.name;
+                self.fail(format!("{name} ended by itself with {status}"));
+            }
+        }
+    }
+
+    /// Every request has one answer in time, and ran as its answer says.
+    fn check_answers(&mut self) {
+        for node in &self.nodes {
+            let checker = std::mem::take(&mut *lock(&node.checker));
+            match checker.verdict(&node.executor.started(), CLIENT_TIMEOUT) {
+                Ok(statuses) => {
+                    for (status, n) in statuses {
+                        *self.outcome.statuses.entry(status).or_default() += n;
+                    }
+                }
+                Err(violations) => {
+                    let more = violations.len().saturating_sub(VIOLATIONS_LISTED);
+                    let listed = violations.iter().take(VIOLATIONS_LISTED);
+                    let first: Vec<String> = listed.map(ToString::to_string).collect();
+                    let name = &node.place.name;
+                    self.outcome
+                        .failures
+                        .push(format!("{name}: {first:?} and {more} more"));
+                }
+            }
+        }
+    }
+
+    /// No limit was exceeded, by the records of the backend service and of keys.
+    fn check_limits(&mut self) {
+        self.outcome.backend = self.backend.recorded();
+        self.outcome.keyed_executions = self.keys.execution_count();
+        let mut failures = Vec::new();
+        self.check_backend_limits(&mut failures);
+        self.check_backend_availability(&mut failures);
+        self.check_key_limits(&mut failures);
+        self.outcome.failures.extend(failures);
+    }
+
+    /// Budgets of backend calls.
+    fn check_backend_limits(&self, failures: &mut Vec<String>) {
+        let (backend, nodes) = (self.outcome.backend, self.nodes.len());
+        let limit = self.script.calls_a_second as usize;
+        // What may be saved: 50 ms of the limit, or a call of each node; and a call of each node at
+        // the edges of a second.
+        let saved = (limit / 20).max(nodes) + nodes;
+        if limit > 0 && backend.most_in_a_second > limit + saved {
+            let most = backend.most_in_a_second;
+            failures.push(format!(
+                "{most} backend calls in a second, {limit} and {saved} saved allowed"
+            ));
+        }
+        let limit = self.script.calls_in_hand as usize;
+        // A call that was checked just before a process was paused goes out when it continues.
+        if limit > 0 && backend.most_in_flight > limit + self.pause_count {
+            failures.push(format!(
+                "{} backend calls in flight, {limit} allowed",
+                backend.most_in_flight
+            ));
+        }
+    }
+
+    /// The backend service was not overloaded, nor tried too often while down or just started.
+    fn check_backend_availability(&mut self, failures: &mut Vec<String>) {
+        let backend = self.outcome.backend;
+        if backend.crashes > 0 {
+            failures.push(format!(
+                "the backend service died {} times by itself",
+                backend.crashes
+            ));
+        }
+        if self.script.below.slow_start {
+            let rate = f64::from(self.script.calls_a_second);
+            match self.backend.excess_after_restart(rate) {
+                Some(excess) if excess <= 0.0 => self.outcome.excess_after_restart = Some(excess),
+                other => failures.push(format!(
+                    "calls after a restart of the backend service: {other:?} over the slow-start \
+                     allowance"
+                )),
+            }
+        }
+        let tries = backend.connections_while_down;
+        if let Some(most) = self.script.below.tries_most.filter(|most| tries > *most) {
+            failures.push(format!(
+                "{tries} tries while the backend service was down, {most} allowed"
+            ));
+        }
+    }
+
+    /// Keyed quotas.
+    fn check_key_limits(&self, failures: &mut Vec<String>) {
+        let keys = &self.script.keys;
+        let (in_flight, excess) = self
+            .keys
+            .worst(f64::from(keys.a_second), f64::from(keys.burst));
+        // Executions begin when the executor hears of them: those admitted one after the other may
+        // arrive together, one of each node.
+        if keys.a_second > 0 && excess > self.nodes.len() as f64 {
+            failures.push(format!("a key was over its limit by {excess:.1}"));
+        }
+        if keys.in_hand > 0 && in_flight > keys.in_hand as usize + self.pause_count {
+            failures.push(format!(
+                "{in_flight} of a key in flight, {} allowed",
+                keys.in_hand
+            ));
+        }
+    }
+}
+
+/// The lines around the first failure.
+fn excerpt(joined: &[EventLine]) -> Vec<String> {
+    let first = joined
+        .iter()
+        .position(|line| line.part == "FAILED")
+        .unwrap_or(joined.len());
+    let from = first.saturating_sub(RECORD_BEFORE_FAILURE);
+    let to = joined.len().min(first + RECORD_AFTER_FAILURE);
+    joined[from..to].iter().map(ToString::to_string).collect()
+}
--- /dev/null
+++ b/crates/test-harness/src/fault_scenario/config.rs
@@ -0,0 +1,102 @@
+//! The files of a scenario's nodes: keys, settings and configuration.
+
+use super::FaultScenario;
+use crate::program;
+use crate::script::{Keys as LimitedKeys, Script};
+use std::io;
+use std::path::PathBuf;
+
+impl FaultScenario {
+    /// Writes a file whose name no other file has.
+    pub(super) fn write_file(&mut self, extension: &str, text: &str) -> io::Result<PathBuf> {
+        self.file_count += 1;
+        let name = format!(
+            "rig-{}-{}-{}.{extension}",
+            std::process::id(),
+            self.nodes[0].bind.ip(),
+            self.file_count
+        );
+        let path = self.setting.dir.join(name);
+        std::fs::write(&path, text)?;
+        Ok(path)
+    }
+
+    /// A node's configuration.
+    pub(super) fn node_config(&self, n: usize, name: &str) -> String {
+        let node = &self.nodes[n];
+        let config = program::node_config(
+            node.executor_proxy.address,
+            node.backend_proxy.address,
+            node.registry_proxy.address,
+            1024,
+        );
+        let config = config.replace("\"n3\"", &format!("\"{name}\""));
+        if self.script.small.contains(&node.place.name) {
+            config.replace("\"memory_mb\": 192", "\"memory_mb\": 32")
+        } else {
+            config
+        }
+    }
+
+    /// The voters, cluster-wide budgets and services in the nodes' settings.
+    pub(super) fn shared(&self) -> String {
+        let Script {
+            calls_a_second,
+            calls_in_hand,
+            repeats_a_second,
+            floor,
+            below,
+            keys,
+            ..
+        } = &self.script;
+        let mut text = String::new();
+        if calls_a_second + calls_in_hand + repeats_a_second > 0 || keys.count > 0 || below.judged {
+            text += "<arbiter name=\"n0\"/><arbiter name=\"n1\"/><arbiter name=\"n2\"/>";
+        }
+        let most = self.nodes.len();
+        let mut budget = |name: &str, limit: u32, kind: &str, more: &str| {
+            if limit > 0 {
+                text += &format!(
+                    "<calls-budget name=\"{name}\" {kind}=\"{limit}\" floor=\"{floor}\" nodes-most=\"{most}\" {more}/>"
+                );
+            }
+        };
+        budget("below", *calls_a_second, "a-second", "");
+        budget("hands", *calls_in_hand, "in-hand", "longest=\"1500ms\"");
+        budget("repeats", *repeats_a_second, "a-second", "of=\"repeats\"");
+        if below.judged {
+            text += "<service name=\"below\" slow=\"700ms\"/>";
+        }
+        text
+    }
+
+    /// The rules with the bucket of the keyed quota; empty if the scenario has no keyed quota.
+    pub(super) fn rules(&self) -> String {
+        let LimitedKeys {
+            count,
+            a_second,
+            burst,
+            in_hand,
+            floor,
+        } = self.script.keys;
+        if count == 0 {
+            return String::new();
+        }
+        let most = self.nodes.len();
+        let rate = if a_second > 0 {
+            format!(" rate=\"{a_second}/s\" burst=\"{burst}\"")
+        } else {
+            String::new()
+        };
+        let concurrency = if in_hand > 0 {
+            format!(" in-hand=\"{in_hand}\" longest=\"1500ms\"")
+        } else {
+            String::new()
+        };
+        format!(
+            "<rules><parameter name=\"HTTP_X_KEY\" most=\"64B\"/><bucket name=\"by-key\"{rate}{concurrency} scope=\"fleet\" \
+             floor=\"{floor}\" nodes-most=\"{most}\"/><rule name=\"all\"><when>true</when><give>\
+             <limit bucket=\"by-key\">params.HTTP_X_KEY</limit></give></rule></rules>"
+        )
+    }
+}
--- /dev/null
+++ b/crates/test-harness/src/fault_scenario/load.rs
@@ -0,0 +1,153 @@
+//! The load of one node: requests one after the other on one connection, through the fault proxy.
+
+use super::checks::CLIENT_TIMEOUT;
+use super::lock;
+use super::process::NodeState;
+use crate::checker::Checker;
+use crate::executor::Executor;
+use crate::load::next_request_id;
+use crate::peers::unix_ms;
+use crate::wire::{self, Answer};
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeMap;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// How often the reader looks whether its time is over.
+const READ_INTERVAL: Duration = Duration::from_millis(100);
+/// An answer is waited for this much longer than the client timeout.
+const WAIT_AFTER_TIMEOUT: Duration = Duration::from_secs(1);
+/// A connection that ends without an answer within this time may have been closed as idle.
+const IDLE_CLOSE_WINDOW: Duration = Duration::from_millis(50);
+
+/// How often each load connection sends a request, and with which keys.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct LoadRate {
+    pub(super) interval: Duration,
+    /// The first and the last key's number.
+    pub(super) keys: (u64, u64),
+}
+
+/// One load connection of a node.
+pub(super) struct NodeLoad {
+    /// Where the node is reached through the fault proxy.
+    pub(super) address: SocketAddr,
+    pub(super) rate: Arc<Mutex<LoadRate>>,
+    /// The connection's number, unique in the scenario; with the seed it fixes the keys drawn.
+    pub(super) caller: u64,
+    pub(super) seed: u64,
+    pub(super) state: Arc<Mutex<NodeState>>,
+    pub(super) checker: Arc<Mutex<Checker>>,
+    pub(super) executor: Executor,
+    pub(super) stop: Arc<AtomicBool>,
+}
+
+impl NodeLoad {
+    /// Sends requests until the scenario stops.
+    pub(super) fn run(&self) {
+        let mut stream: Option<TcpStream> = None;
+        let mut next = Instant::now();
+        let mut request_count = 0usize;
+        let mut rng = Pcg64Mcg::seed_from_u64(self.seed ^ self.caller);
+        while !self.stop.load(SeqCst) {
+            let LoadRate {
+                interval,
+                keys: (first, last),
+            } = *lock(&self.rate);
+            next = (next + interval).max(Instant::now());
+            thread::sleep(next.saturating_duration_since(Instant::now()));
+            let is_running = lock(&self.state).is_running;
+            if !is_running {
+                stream = None;
+                continue;
+            }
+            request_count += 1;
+            let path = ["/call/read", "/call/book", "/call/pay"][request_count % 3];
+            let usable = stream
+                .take()
+                .or_else(|| TcpStream::connect(self.address).ok());
+            let Some(connected) = usable else { continue };
+            let key = format!("k{}", rng.random_range(first..=last.max(first)));
+            let id = next_request_id();
+            stream = self.exchange(connected, path, &id, &key);
+            self.executor.request_over(&id);
+        }
+    }
+
+    /// Sends a request and waits for its answer; gives the connection back if it can be used again.
+    fn exchange(
+        &self,
+        mut stream: TcpStream,
+        path: &str,
+        id: &str,
+        key: &str,
+    ) -> Option<TcpStream> {
+        let begun = Instant::now();
+        let arrived = unix_ms();
+        let mut params = wire::call(path, id, &arrived);
+        params.push(("HTTP_X_KEY", key));
+        let bytes = wire::request(1, &params, key.as_bytes());
+        stream.set_nodelay(true).ok()?;
+        stream.set_read_timeout(Some(READ_INTERVAL)).ok()?;
+        // A connection that the node closed while it was idle is no loss: nothing was read from it.
+        if stream.write_all(&bytes).is_err() {
+            return None;
+        }
+        lock(&self.checker).sent(id, None);
+        let (answer, is_empty) = read_answer(&mut stream, begun);
+        if let Some(answer) = answer {
+            let mut checker = lock(&self.checker);
+            if self.is_excused(begun) && begun.elapsed() > CLIENT_TIMEOUT {
+                checker.left(id);
+            } else {
+                checker.answered(id, &answer, false);
+            }
+            return Some(stream);
+        }
+        // Without an answer: lost, unless the node was killed, paused or cut off; or it had closed
+        // the connection as idle at that very moment, and then nothing ran.
+        let crossed_close = is_empty && begun.elapsed() < IDLE_CLOSE_WINDOW;
+        if self.is_excused(begun) || crossed_close {
+            lock(&self.checker).left(id);
+        }
+        None
+    }
+
+    /// Whether a missing answer to a request that was begun then is not a failure.
+    fn is_excused(&self, begun: Instant) -> bool {
+        let state = lock(&self.state);
+        let covers = |until: &Option<Instant>| until.is_none_or(|until| until > begun);
+        state.excused.iter().any(|(_, until)| covers(until))
+    }
+}
+
+/// Reads until an answer is complete, the connection ends or the time is over; also gives whether
+/// no unread bytes are left.
+fn read_answer(stream: &mut TcpStream, begun: Instant) -> (Option<Answer>, bool) {
+    let (mut received, mut open, mut buffer) = (Vec::new(), BTreeMap::new(), [0; 8192]);
+    loop {
+        match stream.read(&mut buffer) {
+            Ok(0) => break,
+            Ok(n) => received.extend_from_slice(&buffer[..n]),
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted
+                ) => {}
+            Err(_) => break,
+        }
+        let answers: Vec<Answer> = wire::answers(&mut received, &mut open);
+        if let Some(answer) = answers.into_iter().next() {
+            return (Some(answer), received.is_empty());
+        }
+        if begun.elapsed() > CLIENT_TIMEOUT + WAIT_AFTER_TIMEOUT {
+            break;
+        }
+    }
+    (None, received.is_empty())
+}
--- a/crates/test-harness/src/faults.rs
+++ b/crates/test-harness/src/faults.rs
@@ -1,4 +1,4 @@
-//! Which faults hold on which links at this moment; asked by the relays for everything that passes.
+//! Which faults are in force on which links; the fault proxies ask for everything that passes.
 
 use crate::script::{Fault, Faulty, Links};
 use rand::{RngExt, SeedableRng};
@@ -7,48 +7,54 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A node as links know it.
+/// A reordered datagram is delayed by this much more, so that later ones overtake it.
+const REORDER_DELAY: Duration = Duration::from_millis(20);
+/// The delay of a doubled datagram's second copy.
+const DOUBLE_DELAY: Duration = Duration::from_millis(1);
+
+/// A node's name and zone, by which faults select links.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Place {
+pub struct NodeLocation {
+    /// The node's name in the scenario.
     pub name: String,
+    /// Its zone.
     pub zone: String,
 }
 
-/// What becomes of a datagram.
+/// What a proxy is to do with a datagram.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Fate {
-    /// When each copy goes on; none if it is lost.
+pub struct Delivery {
+    /// How long each copy is delayed; no copies if the datagram is lost.
     pub copies: Vec<Duration>,
-    /// A byte that is damaged, by what.
+    /// The index of a damaged byte, and the mask that is applied by exclusive or.
     pub damage: Option<(usize, u8)>,
-    /// It waits until links change.
-    pub held: bool,
+    /// Whether it is held until its link is healed.
+    pub is_held: bool,
 }
 
 struct State {
-    faults: Vec<(u64, Faulty, Option<Instant>)>,
-    next: u64,
+    /// Faults in force, each with its end if it has one.
+    faults: Vec<(Faulty, Option<Instant>)>,
     rng: Pcg64Mcg,
-    /// When the next byte may pass on a link that is throttled.
-    free: HashMap<(String, String), Instant>,
+    /// When the next byte may pass on a throttled link, by sender and receiver.
+    next_free: HashMap<(String, String), Instant>,
     counts: HashMap<&'static str, u64>,
 }
 
-/// The faults of all links of a rig.
+/// The faults on all links of a scenario.
 pub struct Faults {
     state: Mutex<State>,
     changed: Condvar,
 }
 
 impl Faults {
-    /// None so far; chance comes from this seed.
+    /// No faults; random draws come from this seed.
     pub fn new(seed: u64) -> Faults {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         let state = State {
             faults: Vec::new(),
-            next: 0,
             rng,
-            free: HashMap::new(),
+            next_free: HashMap::new(),
             counts: HashMap::new(),
         };
         Faults {
@@ -61,106 +67,112 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// From now on, for so long or until all is healed.
+    /// Puts a fault on its links, for a time or until all links are healed.
     pub fn put(&self, faulty: Faulty, time: Option<Duration>) {
         let mut state = self.lock();
-        state.next += 1;
-        let (no, until) = (state.next, time.map(|time| Instant::now() + time));
-        state.faults.push((no, faulty, until));
+        let until = time.map(|time| Instant::now() + time);
+        state.faults.push((faulty, until));
         self.changed.notify_all();
     }
 
-    /// All links are whole.
+    /// Removes all faults.
     pub fn heal(&self) {
         let mut state = self.lock();
         state.faults.clear();
-        state.free.clear();
+        state.next_free.clear();
         self.changed.notify_all();
     }
 
-    /// What happened to what passed, by word.
+    /// How many datagrams were passed, lost, held, doubled or damaged.
     pub fn counts(&self) -> HashMap<&'static str, u64> {
         self.lock().counts.clone()
     }
 
-    /// Whether nothing passes between two nodes of the fleet, one way, now.
-    pub fn is_cut(&self, from: &Place, to: &Place) -> bool {
+    /// Whether no datagram passes from one node to another now.
+    pub fn is_cut(&self, from: &NodeLocation, to: &NodeLocation) -> bool {
         let state = self.lock();
         state
-            .of(Links::Fleet, from, to)
+            .on_link(Links::Fleet, from, to)
             .any(|fault| fault.cut || fault.hold)
     }
 
-    /// What becomes of a datagram of so many bytes.
-    pub fn fate(&self, on: Links, from: &Place, to: &Place, bytes: usize) -> Fate {
+    /// Decides, with random draws, what is done with a datagram of this size.
+    pub fn delivery(
+        &self,
+        on: Links,
+        from: &NodeLocation,
+        to: &NodeLocation,
+        bytes: usize,
+    ) -> Delivery {
         let mut state = self.lock();
-        let faults: Vec<Fault> = state.of(on, from, to).cloned().collect();
-        let mut fate = Fate {
+        let faults: Vec<Fault> = state.on_link(on, from, to).cloned().collect();
+        let mut delivery = Delivery {
             copies: vec![Duration::ZERO],
-            ..Fate::default()
+            ..Delivery::default()
         };
-        let mut word = "passed";
+        let mut result = "passed";
         for fault in &faults {
             if fault.hold {
-                (fate.held, word) = (true, "held");
+                (delivery.is_held, result) = (true, "held");
             }
             if fault.cut || state.chance(fault.loss) {
-                (fate.copies, word) = (Vec::new(), "lost");
+                (delivery.copies, result) = (Vec::new(), "lost");
                 break;
             }
             if state.chance(fault.double) {
-                fate.copies.push(Duration::from_millis(1));
-                word = "doubled";
+                delivery.copies.push(DOUBLE_DELAY);
+                result = "doubled";
             }
             if state.chance(fault.damage) {
-                fate.damage = Some((
+                delivery.damage = Some((
                     state.rng.random_range(0..bytes.max(1)),
                     1 << state.rng.random_range(0..8),
                 ));
-                word = "damaged";
+                result = "damaged";
             }
-            let late = fault.delay + fault.jitter.mul_f64(state.rng.random_range(0.0..1.0));
-            let overtaken = state.chance(fault.reorder);
-            let late = if overtaken {
-                late + Duration::from_millis(20)
+            let delay = fault.delay + fault.jitter.mul_f64(state.rng.random_range(0.0..1.0));
+            let is_overtaken = state.chance(fault.reorder);
+            let delay = if is_overtaken {
+                delay + REORDER_DELAY
             } else {
-                late
+                delay
             };
             let queued = fault.bytes_a_second.map_or(Duration::ZERO, |rate| {
                 let now = Instant::now();
                 let free = state
-                    .free
+                    .next_free
                     .entry((from.name.clone(), to.name.clone()))
                     .or_insert(now);
                 let begin = (*free).max(now);
                 *free = begin + Duration::from_secs_f64(bytes as f64 / rate as f64);
                 *free - now
             });
-            fate.copies
+            delivery
+                .copies
                 .iter_mut()
-                .for_each(|copy| *copy += late + queued);
+                .for_each(|copy| *copy += delay + queued);
         }
-        *state.counts.entry(word).or_default() += 1;
-        fate
+        *state.counts.entry(result).or_default() += 1;
+        delivery
     }
 
-    /// For streams: waits until bytes may pass, and for their delay.
-    pub fn pass(&self, on: Links, from: &Place, to: &Place, bytes: usize) {
+    /// For streams: blocks until bytes may pass, and for their delay.
+    pub fn wait_to_pass(&self, on: Links, from: &NodeLocation, to: &NodeLocation, bytes: usize) {
         let mut state = self.lock();
         loop {
-            let (stuck, late) = {
-                let faults: Vec<&Fault> = state.of(on, from, to).collect();
-                let stuck = faults.iter().any(|fault| fault.cut || fault.hold);
+            let (is_stuck, delay) = {
+                let faults: Vec<&Fault> = state.on_link(on, from, to).collect();
+                let is_stuck = faults.iter().any(|fault| fault.cut || fault.hold);
                 let rate = faults.iter().filter_map(|f| f.bytes_a_second).min();
                 let queued = rate.map_or(0.0, |rate| bytes as f64 / rate as f64);
-                let late: Duration = faults.iter().map(|fault| fault.delay).sum();
-                (stuck, late + Duration::from_secs_f64(queued))
+                let delay: Duration = faults.iter().map(|fault| fault.delay).sum();
+                (is_stuck, delay + Duration::from_secs_f64(queued))
             };
-            if !stuck {
+            if !is_stuck {
                 drop(state);
-                return std::thread::sleep(late);
+                return std::thread::sleep(delay);
             }
-            let until = state.faults.iter().filter_map(|(_, _, until)| *until).min();
+            let until = state.faults.iter().filter_map(|(_, until)| *until).min();
             let wait = until.map_or(Duration::from_millis(200), |until| {
                 until.saturating_duration_since(Instant::now())
             });
@@ -177,27 +189,27 @@
         share > 0.0 && self.rng.random_bool(share)
     }
 
-    /// The faults of a link now.
-    fn of<'s>(
+    /// The faults in force on a link now.
+    fn on_link<'s>(
         &'s self,
         on: Links,
-        from: &'s Place,
-        to: &'s Place,
+        from: &'s NodeLocation,
+        to: &'s NodeLocation,
     ) -> impl Iterator<Item = &'s Fault> {
         let now = Instant::now();
         let in_force = self
             .faults
             .iter()
-            .filter(move |(_, _, until)| until.is_none_or(|until| now < until));
+            .filter(move |(_, until)| until.is_none_or(|until| now < until));
         in_force
-            .filter(move |(_, faulty, _)| {
+            .filter(move |(faulty, _)| {
                 let one_way =
                     faulty.from.has(&from.name, &from.zone) && faulty.to.has(&to.name, &to.zone);
                 let back =
                     faulty.from.has(&to.name, &to.zone) && faulty.to.has(&from.name, &from.zone);
                 faulty.on == on && (one_way || faulty.both && back)
             })
-            .map(|(_, faulty, _)| &faulty.fault)
+            .map(|(faulty, _)| &faulty.fault)
     }
 }
 
--- a/crates/test-harness/src/faults/tests.rs
+++ b/crates/test-harness/src/faults/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 use crate::script::Ends;
 
-fn place(name: &str, zone: &str) -> Place {
-    Place {
+fn place(name: &str, zone: &str) -> NodeLocation {
+    NodeLocation {
         name: name.into(),
         zone: zone.into(),
     }
 }
 
 #[test]
-fn faults_hold_on_their_links_and_on_no_other() {
+fn faults_affect_their_links_and_no_other() {
     let faults = Faults::new(1);
     let (a, b, c) = (place("n0", "z0"), place("n1", "z1"), place("n2", "z0"));
     let cut = Fault {
@@ -24,8 +24,11 @@
     };
     faults.put(faulty.clone(), None);
     assert!(faults.is_cut(&a, &b) && !faults.is_cut(&b, &a) && !faults.is_cut(&a, &c));
-    assert!(faults.fate(Links::Fleet, &a, &b, 9).copies.is_empty());
-    assert_eq!(faults.fate(Links::Load, &a, &b, 9).copies, [Duration::ZERO]);
+    assert!(faults.delivery(Links::Fleet, &a, &b, 9).copies.is_empty());
+    assert_eq!(
+        faults.delivery(Links::Load, &a, &b, 9).copies,
+        [Duration::ZERO]
+    );
     faults.heal();
     faults.put(
         Faulty {
@@ -37,13 +40,13 @@
     assert!(faults.is_cut(&a, &b) && faults.is_cut(&b, &a));
     faults.heal();
     assert_eq!(
-        faults.fate(Links::Fleet, &a, &b, 9).copies,
+        faults.delivery(Links::Fleet, &a, &b, 9).copies,
         [Duration::ZERO]
     );
 }
 
 #[test]
-fn shares_are_kept_and_a_seed_plays_the_same_again() {
+fn shares_are_met_and_a_seed_repeats_the_same_deliveries() {
     let play = || {
         let faults = Faults::new(5);
         let fault = Fault {
@@ -61,13 +64,13 @@
         );
         let (a, b) = (place("n0", ""), place("n1", ""));
         (0..1000)
-            .map(|_| faults.fate(Links::Fleet, &a, &b, 9))
+            .map(|_| faults.delivery(Links::Fleet, &a, &b, 9))
             .collect::<Vec<_>>()
     };
-    let fates = play();
-    assert_eq!(fates, play());
-    let lost = fates.iter().filter(|f| f.copies.is_empty()).count();
-    let doubled = fates.iter().filter(|f| f.copies.len() == 2).count();
+    let deliveries = play();
+    assert_eq!(deliveries, play());
+    let lost = deliveries.iter().filter(|f| f.copies.is_empty()).count();
+    let doubled = deliveries.iter().filter(|f| f.copies.len() == 2).count();
     assert!(
         (200..300).contains(&lost) && (130..250).contains(&doubled),
         "{lost}, {doubled}"
--- a/crates/test-harness/src/keys.rs
+++ b/crates/test-harness/src/keys.rs
@@ -1,62 +1,66 @@
-//! The record of limits by key over all nodes: what ran of each key, and what was in hand.
+//! Records executions by key over all nodes, to check keyed quotas.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 #[derive(Default)]
-struct Key {
-    came: Vec<Instant>,
-    in_hand: usize,
-    most_in_hand: usize,
+struct KeyHistory {
+    /// When executions began.
+    started: Vec<Instant>,
+    in_flight: usize,
+    most_in_flight: usize,
 }
 
-/// The record.
+/// The record of executions by key; clones share it.
 #[derive(Clone, Default)]
-pub struct KeyRecord(Arc<Mutex<HashMap<String, Key>>>);
+pub struct KeyRecord(Arc<Mutex<HashMap<String, KeyHistory>>>);
 
 impl KeyRecord {
-    fn lock(&self) -> MutexGuard<'_, HashMap<String, Key>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<String, KeyHistory>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// One of a key began to run.
-    pub fn began(&self, key: &str) {
+    /// An execution of a key began.
+    pub fn started(&self, key: &str) {
         let mut keys = self.lock();
-        let of = keys.entry(key.to_owned()).or_default();
-        of.came.push(Instant::now());
-        of.in_hand += 1;
-        of.most_in_hand = of.most_in_hand.max(of.in_hand);
+        let history = keys.entry(key.to_owned()).or_default();
+        history.started.push(Instant::now());
+        history.in_flight += 1;
+        history.most_in_flight = history.most_in_flight.max(history.in_flight);
     }
 
-    /// It is over.
+    /// An execution of a key ended.
     pub fn ended(&self, key: &str) {
-        if let Some(of) = self.lock().get_mut(key) {
-            of.in_hand = of.in_hand.saturating_sub(1);
+        if let Some(history) = self.lock().get_mut(key) {
+            history.in_flight = history.in_flight.saturating_sub(1);
         }
     }
 
-    /// All that ran.
-    pub fn ran(&self) -> usize {
-        self.lock().values().map(|of| of.came.len()).sum()
+    /// How many executions began, of all keys.
+    pub fn execution_count(&self) -> usize {
+        self.lock()
+            .values()
+            .map(|history| history.started.len())
+            .sum()
     }
 
-    /// The most that was in hand of any key, and by how many the worst one was over so many a
-    /// second with so many saved, in any time.
-    pub fn worst(&self, a_second: f64, saved: f64) -> (usize, f64) {
-        let (mut in_hand, mut over) = (0, 0f64);
-        for of in self.lock().values_mut() {
-            in_hand = in_hand.max(of.most_in_hand);
-            of.came.sort_unstable();
+    /// The most executions in flight of any key, and by how many the worst key exceeded a token
+    /// bucket of this rate (executions a second) and burst.
+    pub fn worst(&self, rate: f64, burst: f64) -> (usize, f64) {
+        let (mut in_flight, mut excess) = (0, 0f64);
+        for history in self.lock().values_mut() {
+            in_flight = in_flight.max(history.most_in_flight);
+            history.started.sort_unstable();
             let (mut level, mut last) = (0f64, None);
-            for came in &of.came {
-                let passed = last.map_or(Duration::ZERO, |last| *came - last);
-                level = (level - passed.as_secs_f64() * a_second).max(0.0) + 1.0;
-                last = Some(*came);
-                over = over.max(level - saved);
+            for started in &history.started {
+                let passed = last.map_or(Duration::ZERO, |last| *started - last);
+                level = (level - passed.as_secs_f64() * rate).max(0.0) + 1.0;
+                last = Some(*started);
+                excess = excess.max(level - burst);
             }
         }
-        (in_hand, over)
+        (in_flight, excess)
     }
 }
 
--- a/crates/test-harness/src/keys/tests.rs
+++ b/crates/test-harness/src/keys/tests.rs
@@ -1,16 +1,19 @@
 use super::*;
 
 #[test]
-fn more_than_a_rate_and_what_may_be_saved_shows() {
+fn an_execution_beyond_rate_and_burst_is_found() {
     let record = KeyRecord::default();
-    (0..5).for_each(|_| record.began("a"));
-    record.began("b");
+    (0..5).for_each(|_| record.started("a"));
+    record.started("b");
     record.ended("a");
-    record.began("a");
-    let (in_hand, over) = record.worst(1.0, 4.0);
+    record.started("a");
+    let (in_flight, excess) = record.worst(1.0, 4.0);
     assert!(
-        in_hand == 5 && (1.5..=2.0).contains(&over),
-        "{in_hand} {over}"
+        in_flight == 5 && (1.5..=2.0).contains(&excess),
+        "{in_flight} {excess}"
+    );
+    assert_eq!(
+        (record.worst(1.0, 7.0).1, record.execution_count()),
+        (0.0, 7)
     );
-    assert_eq!((record.worst(1.0, 7.0).1, record.ran()), (0.0, 7));
 }
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -1,19 +1,18 @@
-//! Stand-in peers, scripted faults and checkers of the four rules, for tests and tools. All of it
-//! stays on loopback, on free ports, and waits for events.
-
-#![forbid(unsafe_code)]
+//! Test support: stand-in peers of a node, fault scenarios among several processes, and checkers of
+//! what must hold for every request. Everything stays on loopback, on free ports, and waits for
+//! events instead of fixed times.
 
 pub use madderpoint_settings::script;
 
+pub mod backend_service;
 pub mod checker;
+pub mod event_record;
+pub mod executor;
+pub mod fault_proxy;
+pub mod fault_scenario;
 pub mod faults;
 pub mod keys;
 pub mod load;
 pub mod peers;
 pub mod program;
-pub mod record;
-pub mod relay;
-pub mod rig;
-pub mod service;
 pub mod wire;
-pub mod worker;
--- a/crates/test-harness/src/load.rs
+++ b/crates/test-harness/src/load.rs
@@ -1,5 +1,5 @@
-//! Many requests over some connections, each with its answer awaited: a closed loop of bounded
-//! length.
+//! A closed-loop load: many requests over some connections, each batch sent when the one before is
+//! answered. Called by tests.
 
 use crate::checker::Checker;
 use crate::peers::{PATIENCE, unix_ms};
@@ -10,20 +10,24 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::thread;
+use thiserror::Error;
 
 /// One request of a load.
-pub struct Ask {
+pub struct LoadRequest {
+    /// The path, such as `/call/read`.
     pub path: String,
+    /// Parameters beyond those of every request.
     pub params: Vec<(String, String)>,
+    /// The body.
     pub body: Vec<u8>,
-    /// What it is known again by, where it must run once.
+    /// The idempotency key, where it must run once.
     pub key: Option<String>,
 }
 
-impl Ask {
-    /// One for an operation, with nothing else to it.
-    pub fn of(path: &str) -> Ask {
-        Ask {
+impl LoadRequest {
+    /// A request for this path, with no more parameters and no key.
+    pub fn of(path: &str) -> LoadRequest {
+        LoadRequest {
             path: path.to_owned(),
             params: Vec::new(),
             body: b"body".to_vec(),
@@ -32,33 +36,56 @@
     }
 }
 
+/// A connection ended before all answers of a batch had come.
+#[derive(Debug, Error)]
+#[error("a connection ended with {answers} answers")]
+struct ConnectionEnded {
+    answers: usize,
+}
+
+/// How a load is spread.
+#[derive(Clone, Copy, Debug)]
+pub struct LoadShape {
+    /// How many connections are used.
+    pub connections: usize,
+    /// Requests that are open on each connection at a time.
+    pub open: usize,
+    /// Requests on each connection in all.
+    pub each: usize,
+}
+
 static NEXT: AtomicU64 = AtomicU64::new(1 << 32);
 
 /// A correlation id that no other request of this process has.
-pub fn rid() -> String {
+pub fn next_request_id() -> String {
     format!("{:016x}", NEXT.fetch_add(1, SeqCst))
 }
 
-/// Sends `each` requests over each of some connections, `open` at a time, as `make` gives them by
-/// connection and number; what is sent and answered is told to the checker. Connections that the
-/// node closes while nothing is open are made again. Stops sooner once `stop` is set.
+/// Sends the requests that `make` gives by connection and number, and reports what is sent and
+/// answered to the checker. Connections that the node closes while nothing is open are made again.
+/// Stops sooner once `stop` is set.
+///
+/// # Panics
+///
+/// A connection fails, or ends with some answers of a batch missing.
 pub fn run(
     node: SocketAddr,
-    (connections, open, each): (usize, usize, usize),
+    shape: LoadShape,
     checker: &Mutex<Checker>,
     stop: &AtomicBool,
-    make: impl Fn(usize, usize) -> Ask + Sync,
+    make: impl Fn(usize, usize) -> LoadRequest + Sync,
 ) {
     thread::scope(|scope| {
-        for conn in 0..connections {
+        for connection in 0..shape.connections {
             let make = &make;
             scope.spawn(move || {
-                let mut caller = Caller::connect(node);
+                let mut client = Client { node, stream: None };
                 let mut number = 0;
-                while number < each && !stop.load(SeqCst) {
-                    let batch = open.min(each - number);
-                    let asks: Vec<_> = (0..batch).map(|i| make(conn, number + i)).collect();
-                    caller.ask(&asks, checker);
+                while number < shape.each && !stop.load(SeqCst) {
+                    let batch = shape.open.min(shape.each - number);
+                    let requests: Vec<_> =
+                        (0..batch).map(|i| make(connection, number + i)).collect();
+                    client.send(&requests, checker);
                     number += batch;
                 }
             });
@@ -66,16 +93,13 @@
     });
 }
 
-struct Caller {
+/// One connection of a load.
+struct Client {
     node: SocketAddr,
     stream: Option<TcpStream>,
 }
 
-impl Caller {
-    fn connect(node: SocketAddr) -> Caller {
-        Caller { node, stream: None }
-    }
-
+impl Client {
     fn stream(&mut self) -> &mut TcpStream {
         let node = self.node;
         self.stream.get_or_insert_with(|| {
@@ -86,56 +110,64 @@
         })
     }
 
-    /// Sends some at once and waits for all answers. What crossed a close is sent again, as
-    /// dispatchers do, once.
-    fn ask(&mut self, asks: &[Ask], checker: &Mutex<Checker>) {
-        let rids: Vec<String> = asks.iter().map(|_| rid()).collect();
-        for again in [false, true] {
+    /// Sends a batch and waits for all answers. A batch that crossed a close is sent again once, as
+    /// load balancers do.
+    fn send(&mut self, requests: &[LoadRequest], checker: &Mutex<Checker>) {
+        let rids: Vec<String> = requests.iter().map(|_| next_request_id()).collect();
+        for is_retry in [false, true] {
             let mut bytes = Vec::new();
-            for (i, (ask, rid)) in asks.iter().zip(&rids).enumerate() {
+            for (i, (request, rid)) in requests.iter().zip(&rids).enumerate() {
                 let arrived = unix_ms();
-                let mut params = wire::call(&ask.path, rid, &arrived);
-                params.extend(ask.params.iter().map(|(n, v)| (n.as_str(), v.as_str())));
-                bytes.extend(wire::request(i as u16 + 1, &params, &ask.body));
+                let mut params = wire::call(&request.path, rid, &arrived);
+                params.extend(request.params.iter().map(|(n, v)| (n.as_str(), v.as_str())));
+                bytes.extend(wire::request(i as u16 + 1, &params, &request.body));
             }
-            if !again {
+            if !is_retry {
                 let mut checker = checker.lock().unwrap();
-                asks.iter()
+                requests
+                    .iter()
                     .zip(&rids)
-                    .for_each(|(ask, rid)| checker.sent(rid, ask.key.as_deref()));
+                    .for_each(|(request, rid)| checker.sent(rid, request.key.as_deref()));
             }
-            match self.exchange(&bytes, asks.len()) {
+            match self.exchange(&bytes, requests.len()) {
                 Ok(answers) => {
                     let mut checker = checker.lock().unwrap();
                     for answer in &answers {
-                        let at = usize::from(answer.id) - 1;
-                        checker.answered(&rids[at], answer, asks[at].key.is_some());
+                        let index = usize::from(answer.id) - 1;
+                        let is_keyed = requests[index].key.is_some();
+                        checker.answered(&rids[index], answer, is_keyed);
                     }
                     return;
                 }
                 // Nothing came back, so that the whole batch crossed a close.
-                Err(0) if !again => self.stream = None,
-                Err(got) => panic!("a connection ended with {got} of {} answers", asks.len()),
+                Err(ConnectionEnded { answers: 0 }) if !is_retry => self.stream = None,
+                Err(ended) => panic!("{ended} of {}", requests.len()),
             }
         }
     }
 
-    fn exchange(&mut self, bytes: &[u8], wanted: usize) -> Result<Vec<Answer>, usize> {
+    fn exchange(&mut self, bytes: &[u8], wanted: usize) -> Result<Vec<Answer>, ConnectionEnded> {
         let stream = self.stream();
         if stream.write_all(bytes).is_err() {
-            return Err(0);
+            return Err(ConnectionEnded { answers: 0 });
         }
-        let (mut come, mut open, mut answers) = (Vec::new(), BTreeMap::new(), Vec::new());
+        let (mut received, mut open, mut answers) = (Vec::new(), BTreeMap::new(), Vec::new());
         let mut buffer = [0; 16384];
         while answers.len() < wanted {
             match stream.read(&mut buffer) {
-                Ok(0) => return Err(answers.len()),
-                Ok(n) => come.extend_from_slice(&buffer[..n]),
+                Ok(0) => {
+                    let answers = answers.len();
+                    return Err(ConnectionEnded { answers });
+                }
+                Ok(n) => received.extend_from_slice(&buffer[..n]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::ConnectionReset => return Err(answers.len()),
+                Err(e) if e.kind() == ErrorKind::ConnectionReset => {
+                    let answers = answers.len();
+                    return Err(ConnectionEnded { answers });
+                }
                 Err(e) => panic!("{e}"),
             }
-            answers.extend(wire::answers(&mut come, &mut open));
+            answers.extend(wire::answers(&mut received, &mut open));
         }
         Ok(answers)
     }
--- a/crates/test-harness/src/peers.rs
+++ b/crates/test-harness/src/peers.rs
@@ -1,5 +1,5 @@
-//! A node's peers, played line by line: its kernel, its back end, its membership service and a
-//! dispatcher. All waiting is for something to come.
+//! A node's peers, driven by the test line by line: its executor, backend, service registry and a
+//! load balancer. All waits are for something to arrive, and panic after [`PATIENCE`].
 
 use crate::wire::{self, Answer};
 use serde_json::Value;
@@ -8,19 +8,29 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Nothing here takes near as long; it only keeps a failed test from hanging.
+/// The longest wait for anything; it only keeps a failed test from hanging.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
+/// A listener on a free port.
+///
+/// # Panics
+///
+/// No port can be opened.
 pub fn listen() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-/// An address at which nobody listens; one that was free a moment ago could be another test's by
-/// now.
-pub fn nobody() -> SocketAddr {
+/// An address at which nothing listens. It is fixed, as a port that was free a moment ago could be
+/// another test's by now.
+pub fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 1, 2, 3], 1))
 }
 
+/// The present Unix time in milliseconds, in decimal.
+///
+/// # Panics
+///
+/// The clock is before 1970.
 pub fn unix_ms() -> String {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -30,26 +40,32 @@
 }
 
 /// A peer's end of a connection, read by lines.
-pub struct Talk {
+///
+/// Its methods panic when the connection fails or nothing arrives in time.
+pub struct LineConnection {
+    /// The connection.
     pub reader: BufReader<TcpStream>,
+    /// The beginning of a line that has not arrived whole.
     pub part: Vec<u8>,
 }
 
-impl Talk {
-    pub fn accept(listener: &TcpListener) -> Talk {
+impl LineConnection {
+    /// Accepts the next connection.
+    pub fn accept(listener: &TcpListener) -> LineConnection {
         let (stream, _) = listener.accept().unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Talk {
+        LineConnection {
             reader: BufReader::new(stream),
             part: Vec::new(),
         }
     }
 
+    /// The next line, without its end.
     pub fn line(&mut self) -> String {
         self.line_within(PATIENCE).expect("a line")
     }
 
-    /// The next line, if it comes within this time.
+    /// The next line, if it arrives within this time.
     pub fn line_within(&mut self, time: Duration) -> Option<String> {
         self.reader.get_ref().set_read_timeout(Some(time)).unwrap();
         match self.reader.read_until(b'\n', &mut self.part) {
@@ -64,35 +80,43 @@
         }
     }
 
+    /// The next `len` bytes.
     pub fn exactly(&mut self, len: usize) -> Vec<u8> {
         let mut bytes = vec![0; len];
         self.reader.read_exact(&mut bytes).unwrap();
         bytes
     }
 
+    /// Sends text as it is.
     pub fn say(&mut self, text: &str) {
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// As a kernel: the next command but for gauges, which are told.
+    /// As an executor: the next command but SYSINFO, which is answered.
     pub fn command(&mut self) -> Value {
         self.command_within(PATIENCE).expect("a command")
     }
 
+    /// As an executor: the next command but SYSINFO, if it arrives within this time.
     pub fn command_within(&mut self, time: Duration) -> Option<Value> {
         loop {
             let command: Value = serde_json::from_str(&self.line_within(time)?).unwrap();
             if command["t"] != "SYSINFO" {
                 return Some(command);
             }
-            self.say(&format!(
-                "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
-                command["mark"]
-            ));
+            self.answer_gauges(&command);
         }
     }
 
-    /// As a kernel: the next command, unless the link ends first.
+    /// Answers a SYSINFO command.
+    fn answer_gauges(&mut self, command: &Value) {
+        self.say(&format!(
+            "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
+            command["mark"]
+        ));
+    }
+
+    /// As an executor: the next command but SYSINFO, unless the link ends first.
     pub fn command_until_closed(&mut self) -> Option<Value> {
         loop {
             self.part.clear();
@@ -103,16 +127,14 @@
             if command["t"] != "SYSINFO" {
                 return Some(command);
             }
-            self.say(&format!(
-                "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
-                command["mark"]
-            ));
+            self.answer_gauges(&command);
         }
     }
 
-    /// As a kernel: takes a new link, after the node has read notice `last`.
-    pub fn boot(listener: &TcpListener, last: u64, missed: &str) -> Talk {
-        let mut link = Talk::accept(listener);
+    /// As an executor: accepts a new link of a node that has read notices up to `last`, and repeats
+    /// those that it `missed`.
+    pub fn boot(listener: &TcpListener, last: u64, missed: &str) -> LineConnection {
+        let mut link = LineConnection::accept(listener);
         assert_eq!(link.line(), format!("{{\"t\":\"OPEN\",\"no\":{last}}}"));
         link.say(&format!(
             "{{\"t\":\"BOOTED\",\"status\":\"WARM\",\"time_ms\":9000}}\n{missed}"
@@ -121,31 +143,41 @@
     }
 }
 
+/// Notice `no`: the execution of this request ended with this status.
 pub fn reap(no: u64, rid: &str, status: &str) -> String {
     format!(
         "{{\"t\":\"REAP\",\"no\":{no},\"rid\":\"{rid}\",\"status\":\"{status}\",\"time_ms\":3,\"b64\":\"AP8=\"}}\n"
     )
 }
 
+/// Notice `no`: the execution of this request asks for a backend call.
 pub fn wants_call(no: u64, rid: &str) -> String {
     format!("{{\"t\":\"IOREQ\",\"no\":{no},\"rid\":\"{rid}\",\"b64\":\"AP8=\"}}\n")
 }
 
-/// A dispatcher with one connection. The node may close that while nothing is open on it; what
+/// A load balancer with one connection. The node may close it while no request is open on it; what
 /// crosses such a close is sent again on a new one.
-pub struct Dispatcher {
+///
+/// Its methods panic when the connection fails or nothing arrives in time.
+pub struct LoadBalancer {
+    /// Where the node listens.
     pub node: SocketAddr,
+    /// The connection.
     pub stream: TcpStream,
+    /// Received bytes that are no whole record yet.
     pub bytes: Vec<u8>,
+    /// Parts of answers that are not complete, by request id.
     pub open: BTreeMap<u16, Vec<u8>>,
+    /// Complete answers that were not taken yet.
     pub done: Vec<Answer>,
 }
 
-impl Dispatcher {
-    pub fn connect(node: SocketAddr) -> Dispatcher {
+impl LoadBalancer {
+    /// Connects to a node.
+    pub fn connect(node: SocketAddr) -> LoadBalancer {
         let stream = TcpStream::connect(node).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Dispatcher {
+        LoadBalancer {
             node,
             stream,
             bytes: Vec::new(),
@@ -154,8 +186,9 @@
         }
     }
 
-    /// Has an invocation run; gives the kernel's command for it.
-    pub fn run(&mut self, link: &mut Talk, id: u16, rid: &str) -> Value {
+    /// Sends a request and waits until the executor behind `link` is told to run it; gives that
+    /// command.
+    pub fn run(&mut self, link: &mut LineConnection, id: u16, rid: &str) -> Value {
         loop {
             let request = wire::request(id, &wire::call("/call/read", rid, &unix_ms()), b"\0body");
             if self.stream.write_all(&request).is_ok() {
@@ -170,10 +203,11 @@
                     }
                 }
             }
-            *self = Dispatcher::connect(self.node);
+            *self = LoadBalancer::connect(self.node);
         }
     }
 
+    /// Whether the node has closed the connection.
     pub fn has_ended(&self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let peeked = self.stream.peek(&mut [0]);
@@ -181,6 +215,7 @@
         peeked.map_or_else(|e| e.kind() == ErrorKind::ConnectionReset, |n| n == 0)
     }
 
+    /// Waits for the next answer.
     pub fn answer(&mut self) -> Answer {
         while self.done.is_empty() {
             assert!(self.read() > 0, "the connection ended without an answer");
@@ -197,11 +232,11 @@
             if !self.done.is_empty() {
                 return self.done.remove(0);
             }
-            *self = Dispatcher::connect(self.node);
+            *self = LoadBalancer::connect(self.node);
         }
     }
 
-    /// Waits for more; 0 when the connection has ended.
+    /// Waits for more bytes; gives how many came, 0 when the connection has ended.
     pub fn read(&mut self) -> usize {
         let mut buffer = [0; 4096];
         let n = match self.stream.read(&mut buffer) {
@@ -215,11 +250,13 @@
         n
     }
 
+    /// The status of the answer to a ping.
     pub fn ping(&mut self) -> String {
         self.ask(&ping(1)).status
     }
 }
 
+/// A ping request.
 pub fn ping(id: u16) -> Vec<u8> {
     wire::request(id, &[("SCRIPT_NAME", "/ping")], b"")
 }
--- a/crates/test-harness/src/program.rs
+++ b/crates/test-harness/src/program.rs
@@ -1,6 +1,6 @@
-//! Starts the program under test and reads its log.
+//! Starts the program under test, and reads its log. Everything panics where a test would fail.
 
-use crate::peers::{Dispatcher, PATIENCE, Talk, listen, nobody};
+use crate::peers::{LineConnection, LoadBalancer, PATIENCE, listen, unused_address};
 use crate::wire;
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
@@ -10,25 +10,29 @@
 use std::sync::mpsc::{self, Receiver};
 use std::thread;
 
-/// A started node, ended with the test.
+/// A started node; its process is killed when this is dropped.
 pub struct Node {
+    /// The process.
     pub child: Child,
+    /// The lines of its log.
     pub log: Receiver<String>,
+    /// Where it listens for load balancers.
     pub listen: SocketAddr,
+    /// Its configuration file.
     pub path: PathBuf,
 }
 
-/// The program under test, and where its files may be.
+/// The program under test, and where its files may be written.
 #[derive(Clone, Copy)]
 pub struct Program {
-    /// The file that is started.
+    /// The program's file.
     pub exe: &'static str,
     /// The directory for files.
     pub dir: &'static str,
 }
 
 impl Program {
-    /// A file with this text, of which there is no other with its name.
+    /// Writes a file whose name no other file has.
     pub fn file(self, kind: &str, text: &str) -> PathBuf {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let name = format!(
@@ -41,10 +45,12 @@
         path
     }
 
+    /// Writes a configuration file.
     pub fn config(self, text: &str) -> PathBuf {
         self.file("json", text)
     }
 
+    /// A command that starts the program with this configuration file.
     pub fn start(self, path: &PathBuf) -> Command {
         let mut command = Command::new(self.exe);
         command.env("PROXY_CONFIG", path).stderr(Stdio::piped());
@@ -52,33 +58,39 @@
     }
 }
 
-/// A configuration file's text.
-pub fn told(
-    kernel: SocketAddr,
+/// The text of a node's configuration: addresses of its executor, backend and service registry, and
+/// the most descriptors that it may open. Its name is `n3`.
+pub fn node_config(
+    executor: SocketAddr,
     backend: SocketAddr,
-    members: SocketAddr,
+    registry: SocketAddr,
     descriptors: usize,
 ) -> String {
     let settings = wire::SETTINGS;
     format!(
-        r#"{{"name": "n3", "listen": "127.0.0.1:0", "kernel": "{kernel}", "members": "{members}",
+        r#"{{"name": "n3", "listen": "127.0.0.1:0", "kernel": "{executor}", "members": "{registry}",
         "backend": "{backend}", "seed": "8c1f30d27a5be964", "stop_ms": 2000,
         "limits": {{"cores": 1.0, "memory_mb": 192, "sockets": {descriptors}}}, "settings": {settings}}}"#
     )
 }
 
 impl Node {
+    /// Starts a node with [`node_config`] and waits until it listens.
     pub fn start(
         program: Program,
-        kernel: SocketAddr,
+        executor: SocketAddr,
         backend: SocketAddr,
-        members: SocketAddr,
+        registry: SocketAddr,
         descriptors: usize,
     ) -> Node {
-        Node::started(program, &told(kernel, backend, members, descriptors), &[])
+        Node::started(
+            program,
+            &node_config(executor, backend, registry, descriptors),
+            &[],
+        )
     }
 
-    /// A node with this configuration and these arguments.
+    /// Starts a node with this configuration and these arguments, and waits until it listens.
     pub fn started(program: Program, config: &str, arguments: &[&str]) -> Node {
         let path = program.config(config);
         let mut child = program.start(&path).args(arguments).spawn().unwrap();
@@ -93,30 +105,31 @@
         let mut node = Node {
             child,
             log,
-            listen: nobody(),
+            listen: unused_address(),
             path,
         };
         node.listen = node.logged("listening on ").parse().unwrap();
         node
     }
 
-    /// A node, its kernel's listener, and the link to it.
-    pub fn with_kernel(program: Program) -> (Node, TcpListener, Talk) {
-        let kernel = listen();
+    /// Starts a node with an executor, and waits until it is ready; gives the node, the executor's
+    /// listener, and the link.
+    pub fn with_executor(program: Program) -> (Node, TcpListener, LineConnection) {
+        let executor = listen();
         let node = Node::start(
             program,
-            kernel.local_addr().unwrap(),
-            nobody(),
-            nobody(),
+            executor.local_addr().unwrap(),
+            unused_address(),
+            unused_address(),
             1024,
         );
-        let link = Talk::boot(&kernel, 0, "");
-        let mut dispatcher = node.connect();
-        while dispatcher.ping() != "200" {}
-        (node, kernel, link)
+        let link = LineConnection::boot(&executor, 0, "");
+        let mut load_balancer = node.connect();
+        while load_balancer.ping() != "200" {}
+        (node, executor, link)
     }
 
-    /// Waits for a line of the log with this in it; gives what follows there.
+    /// Waits for a log line that contains `what`; gives the rest of that line.
     pub fn logged(&mut self, what: &str) -> String {
         loop {
             match self.log.recv_timeout(PATIENCE) {
@@ -130,10 +143,12 @@
         }
     }
 
-    pub fn connect(&self) -> Dispatcher {
-        Dispatcher::connect(self.listen)
+    /// Connects a load balancer.
+    pub fn connect(&self) -> LoadBalancer {
+        LoadBalancer::connect(self.listen)
     }
 
+    /// Sends a signal, named as `kill` takes it, such as `-HUP`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(
@@ -145,16 +160,18 @@
         );
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Has the node read another configuration.
+    /// Has the node read another configuration, by SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(&self.path, text).unwrap();
         self.signal("-HUP");
     }
 
+    /// Waits for the process to end.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
--- a/crates/test-harness/src/wire.rs
+++ b/crates/test-harness/src/wire.rs
@@ -1,10 +1,11 @@
-//! What tests and tools share: settings, FastCGI as a dispatcher speaks it, splits and damage.
+//! Settings of a small node, FastCGI as a load balancer speaks it, and ways to split and damage bytes
+//! for decoder tests.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// Settings of a small node: a read, a tokened and a non-idempotent operation, all of which call
-/// below.
+/// Settings of a small node: a read-like, a keyed and a non-idempotent operation, each with one
+/// backend call.
 pub const SETTINGS: &str = r#"{"Ceilings": {"RetryAfter": false, "MaxRetryAfter": 0.0},
     "Extra": {"Advert": "weight", "Below": "tier", "Cores": 1, "Cold": false, "Halt": "discard",
     "Gauges": ["cpu_busy", "mem_used"], "MemLimitKb": 90000.0, "RunFactor": 4.0, "Idle": 15.0, "Fresh": 0.0,
@@ -17,24 +18,30 @@
         {"Name": "pay", "Aim": 1.0, "Deadline": 3.0, "Effect": "non_idempotent", "LateWorth": 0.0, "Points": 1.0}],
     "Tenants": [{"Name": "acme", "QuotaRps": 50.0}]}"#;
 
+/// FastCGI record type BEGIN_REQUEST.
 pub const BEGIN: u8 = 1;
+/// FastCGI record type ABORT_REQUEST.
 pub const ABORT: u8 = 2;
+/// FastCGI record type PARAMS.
 pub const PARAMS: u8 = 4;
+/// FastCGI record type STDIN.
 pub const STDIN: u8 = 5;
+/// FastCGI record type GET_VALUES.
 pub const GET_VALUES: u8 = 9;
 
-/// One FastCGI record, padded.
+/// One FastCGI record with `padding` bytes after its content.
 pub fn record(kind: u8, id: u16, content: &[u8], padding: u8) -> Vec<u8> {
     let ([i1, i0], [l1, l0]) = (id.to_be_bytes(), (content.len() as u16).to_be_bytes());
     let pad = vec![0xee; usize::from(padding)];
     [&[1, kind, i1, i0, l1, l0, padding, 0], content, &pad].concat()
 }
 
+/// A BEGIN_REQUEST record.
 pub fn begin(id: u16, role: u8, keep_conn: bool) -> Vec<u8> {
     record(BEGIN, id, &[0, role, u8::from(keep_conn), 0, 0, 0, 0, 0], 0)
 }
 
-/// Name-value pairs; long values get the four-byte length.
+/// Encoded name-value pairs; values of 128 bytes and more get the four-byte length.
 pub fn pairs(pairs: &[(&str, &str)]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for (name, value) in pairs {
@@ -49,7 +56,7 @@
     bytes
 }
 
-/// A whole request; params and body each in one record.
+/// A whole request, with parameters and body in one record each.
 pub fn request(id: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let params = [
         record(PARAMS, id, &pairs(params), 3),
@@ -64,7 +71,7 @@
     [begin(id, 1, true), params, stdin, record(STDIN, id, &[], 0)].concat()
 }
 
-/// The parameters of an invocation that came `arrived_ms` after the epoch.
+/// The parameters of a request that arrived `arrived_ms` after the epoch.
 pub fn call<'a>(path: &'a str, rid: &'a str, arrived_ms: &'a str) -> Vec<(&'a str, &'a str)> {
     vec![
         ("REQUEST_METHOD", "POST"),
@@ -78,18 +85,23 @@
     ]
 }
 
-/// An answer as a dispatcher reads it.
+/// An answer as a load balancer reads it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
+    /// The FastCGI request id.
     pub id: u16,
+    /// The field `Status`.
     pub status: String,
+    /// All other header fields.
     pub fields: BTreeMap<String, String>,
+    /// The body.
     pub body: Vec<u8>,
+    /// The protocol status of END_REQUEST.
     pub protocol_status: u8,
 }
 
 /// Takes the whole records from the front of the bytes, and gives the answers that END_REQUEST
-/// completes.
+/// completes; parts of others stay in `open`.
 pub fn answers(bytes: &mut Vec<u8>, open: &mut BTreeMap<u16, Vec<u8>>) -> Vec<Answer> {
     let mut done = Vec::new();
     while bytes.len() >= 8 {
@@ -131,12 +143,17 @@
     }
 }
 
-/// Checks that a reader finds the same however the bytes are split: in two at any place, and byte
+/// Checks that a decoder gives the same however the bytes are split: in two at any index, and byte
 /// by byte.
+///
+/// # Panics
+///
+/// It does not.
 pub fn same_at_every_split<T: PartialEq + Debug>(bytes: &[u8], read: impl Fn(&[&[u8]]) -> T) {
     let whole = read(&[bytes]);
-    for at in 0..=bytes.len() {
-        assert_eq!(read(&[&bytes[..at], &bytes[at..]]), whole, "split at {at}");
+    for index in 0..=bytes.len() {
+        let split = [&bytes[..index], &bytes[index..]];
+        assert_eq!(read(&split), whole, "split at {index}");
     }
     assert_eq!(
         read(&bytes.chunks(1).collect::<Vec<_>>()),
@@ -145,20 +162,20 @@
     );
 }
 
-/// The bytes, damaged in a thousand ways that are the same in every run.
+/// A thousand damaged copies of the bytes, the same in every run.
 pub fn damaged(bytes: &[u8]) -> impl Iterator<Item = Vec<u8>> {
-    let mut state = 11u64;
+    let mut state = 11u64; // of a linear congruential generator
     (0..1000).map(move |_| {
         let mut bytes = bytes.to_vec();
         for _ in 0..3 {
             state = state
                 .wrapping_mul(6364136223846793005)
                 .wrapping_add(1442695040888963407);
-            let at = (state >> 33) as usize % bytes.len();
+            let index = (state >> 33) as usize % bytes.len();
             match state >> 20 & 3 {
-                0 => drop(bytes.remove(at)),
-                1 => bytes.insert(at, (state >> 24) as u8),
-                _ => bytes[at] = (state >> 24) as u8,
+                0 => drop(bytes.remove(index)),
+                1 => bytes.insert(index, (state >> 24) as u8),
+                _ => bytes[index] = (state >> 24) as u8,
             }
         }
         bytes
