--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -3,7 +3,7 @@
 //! come.
 
 use madderpoint_test_harness::peers::{
-    LineConnection, PATIENCE, listen, ping, reap, unix_ms, unused_address, wants_call,
+    LineConnection, PATIENCE, call_notice, listen, ping, reap, unix_ms, unused_address,
 };
 use madderpoint_test_harness::program::{Node, Program, node_config};
 use madderpoint_test_harness::wire as support;
@@ -81,7 +81,7 @@
     let mut dispatcher = node.connect();
     while dispatcher.ping() != "200" {}
     dispatcher.run(&mut link, 1, A);
-    link.say(&wants_call(1, A));
+    link.say(&call_notice(1, A));
     let mut below = LineConnection::accept(&backend);
     let line = below.line();
     assert!(
@@ -104,7 +104,7 @@
     let (node, _kernel, mut link) = Node::with_executor(PROGRAM);
     let mut dispatcher = node.connect();
     dispatcher.run(&mut link, 1, B);
-    link.say(&wants_call(1, B));
+    link.say(&call_notice(1, B));
     let command = link.command();
     assert_eq!((&command["t"], &command["no"]), (&"NOIO".into(), &1.into()));
 }
@@ -193,7 +193,7 @@
     let mut dispatcher = node.connect();
     while dispatcher.ping() != "200" {}
     dispatcher.run(&mut link, 1, A);
-    link.say(&wants_call(1, A));
+    link.say(&call_notice(1, A));
     let mut below = LineConnection::accept(&backend);
     below.line();
     below.exactly(4);
@@ -216,7 +216,7 @@
     link.say(&reap(2, A, "OK"));
     assert_eq!(dispatcher.answer().status, "200");
     dispatcher.run(&mut link, 2, B);
-    link.say(&wants_call(3, B));
+    link.say(&call_notice(3, B));
     assert!(
         LineConnection::accept(&backend2)
             .line()
--- a/crates/test-harness/src/executor.rs
+++ b/crates/test-harness/src/executor.rs
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Starts an executor for several links at once, as in a process handover; each link is told of
-    /// its own executions only.
+    /// Starts an executor for several links at once, as in a process handover; notices of an
+    /// execution go to the link that started it.
     ///
     /// # Panics
     ///
--- a/crates/test-harness/src/peers.rs
+++ b/crates/test-harness/src/peers.rs
@@ -151,7 +151,7 @@
 }
 
 /// Notice `no`: the execution of this request asks for a backend call.
-pub fn wants_call(no: u64, rid: &str) -> String {
+pub fn call_notice(no: u64, rid: &str) -> String {
     format!("{{\"t\":\"IOREQ\",\"no\":{no},\"rid\":\"{rid}\",\"b64\":\"AP8=\"}}\n")
 }
 
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Sends a request and waits until the executor behind `link` is told to run it; gives that
-    /// command.
+    /// Sends a request and waits until the executor behind `link` receives the command to run it;
+    /// gives that command.
     pub fn run(&mut self, link: &mut LineConnection, id: u16, rid: &str) -> Value {
         loop {
             let request = wire::request(id, &wire::call("/call/read", rid, &unix_ms()), b"\0body");
