--- a/crates/test-harness/src/checker.rs
+++ b/crates/test-harness/src/checker.rs
@@ -58,7 +58,7 @@
         /// How many answers came.
         count: usize,
     },
-    /// The executor was told to run what no client sent.
+    /// The executor received a command to run what no client sent.
     #[error("{request} ran and was never sent")]
     RanUnsent {
         /// The id that was executed.
@@ -92,48 +92,48 @@
 
 impl Checker {
     /// A request's last byte was written; `key` is its idempotency key.
-    pub fn sent(&mut self, rid: &str, key: Option<&str>) {
+    pub fn sent(&mut self, request_id: &str, key: Option<&str>) {
         let sent = SentRequest {
             at: Instant::now(),
             key: key.map(str::to_owned),
             answers: Vec::new(),
             has_left: false,
         };
-        if self.sent.insert(rid.to_owned(), sent).is_some() {
+        if self.sent.insert(request_id.to_owned(), sent).is_some() {
             self.violations.push(Violation::SentTwice {
-                request: rid.to_owned(),
+                request: request_id.to_owned(),
             });
         }
     }
 
     /// An answer is complete; `is_coalesced` says whether it may carry the result of another request
     /// that this one repeats.
-    pub fn answered(&mut self, rid: &str, answer: &Answer, is_coalesced: bool) {
-        let Some(sent) = self.sent.get_mut(rid) else {
+    pub fn answered(&mut self, request_id: &str, answer: &Answer, is_coalesced: bool) {
+        let Some(sent) = self.sent.get_mut(request_id) else {
             return self.violations.push(Violation::AnsweredUnsent {
-                request: rid.to_owned(),
+                request: request_id.to_owned(),
                 status: answer.status.clone(),
             });
         };
         sent.answers.push((Instant::now(), answer.status.clone()));
-        let is_own =
-            answer.body == result(rid) || is_coalesced && answer.body.starts_with(b"result of ");
+        let is_own = answer.body == result(request_id)
+            || is_coalesced && answer.body.starts_with(b"result of ");
         if answer.status == "200" && !is_own {
             self.violations.push(Violation::ForeignResult {
-                request: rid.to_owned(),
+                request: request_id.to_owned(),
                 body: answer.body.clone(),
             });
         }
     }
 
     /// The client no longer waits, or its missing answer is excused.
-    pub fn left(&mut self, rid: &str) {
-        if let Some(sent) = self.sent.get_mut(rid) {
+    pub fn left(&mut self, request_id: &str) {
+        if let Some(sent) = self.sent.get_mut(request_id) {
             sent.has_left = true;
         }
     }
 
-    /// The number of answers by status, given what the executor was told to run.
+    /// The number of answers by status, given the executions that began.
     ///
     /// # Errors
     ///
@@ -155,8 +155,8 @@
     /// Checks that each request has exactly one answer, in time.
     fn check_answers(&mut self, timeout: Duration) -> Statuses {
         let mut statuses = Statuses::new();
-        for (rid, sent) in &self.sent {
-            let request = rid.clone();
+        for (request_id, sent) in &self.sent {
+            let request = request_id.clone();
             match sent.answers.as_slice() {
                 [] if sent.has_left => {}
                 [(at, status)] => {
@@ -179,8 +179,8 @@
     fn check_executions(&mut self, started: &[StartedExecution]) {
         let mut executions: HashMap<&str, usize> = HashMap::new();
         for started in started {
-            let request = started.rid.clone();
-            let Some(sent) = self.sent.get(&started.rid) else {
+            let request = started.request_id.clone();
+            let Some(sent) = self.sent.get(&started.request_id) else {
                 self.violations.push(Violation::RanUnsent { request });
                 continue;
             };
--- a/crates/test-harness/src/event_record.rs
+++ b/crates/test-harness/src/event_record.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Lines that are kept at most; the oldest quarter goes first.
+/// Lines in the record at most; when it is full the oldest quarter is dropped.
 const LINES_MAX: usize = 200_000;
 
 /// A line of the event record.
--- a/crates/test-harness/src/executor.rs
+++ b/crates/test-harness/src/executor.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedExecution {
     /// The request's id.
-    pub rid: String,
+    pub request_id: String,
     /// The operation's name.
     pub route: String,
     /// The request's body.
@@ -62,8 +62,8 @@
 
 /// The result of this request's execution. It names the request, so that a checker can tell whose
 /// result an answer carries.
-pub fn result(rid: &str) -> Vec<u8> {
-    format!("result of {rid}").into_bytes()
+pub fn result(request_id: &str) -> Vec<u8> {
+    format!("result of {request_id}").into_bytes()
 }
 
 impl Executor {
@@ -145,18 +145,18 @@
             }
             Some("SCHED") => state.start(command),
             Some("IODONE" | "NOIO") => {
-                let rid = command["rid"].as_str().unwrap_or_default();
-                if let Some(route) = state.calling.remove(rid) {
-                    state.end(rid, &route);
+                let request_id = command["rid"].as_str().unwrap_or_default();
+                if let Some(route) = state.calling.remove(request_id) {
+                    state.end(request_id, &route);
                 }
             }
             Some("PREEMPT") => {
-                let rid = command["rid"].as_str().unwrap_or_default().to_owned();
-                if let Some(at) = state.held.iter().position(|held| *held == rid) {
+                let request_id = command["rid"].as_str().unwrap_or_default().to_owned();
+                if let Some(at) = state.held.iter().position(|held| *held == request_id) {
                     state.held.remove(at);
-                    state.reap(&rid, "STOPPED");
-                } else if state.calling.remove(&rid).is_some() {
-                    state.reap(&rid, "STOPPED");
+                    state.reap(&request_id, "STOPPED");
+                } else if state.calling.remove(&request_id).is_some() {
+                    state.reap(&request_id, "STOPPED");
                 }
             }
             _ => {}
@@ -169,23 +169,23 @@
         let mut state = self.state.0.lock().unwrap();
         state.holds_new = holds_new;
         if !holds_new {
-            for rid in std::mem::take(&mut state.held) {
+            for request_id in std::mem::take(&mut state.held) {
                 let route = state
                     .started
                     .iter()
-                    .find(|s| s.rid == rid)
+                    .find(|s| s.request_id == request_id)
                     .map(|s| s.route.clone());
-                state.end(&rid, &route.unwrap_or_default());
+                state.end(&request_id, &route.unwrap_or_default());
             }
         }
     }
 
     /// A request is over for its client: an execution of it that waits for a backend call ends as
     /// STOPPED.
-    pub fn request_over(&self, rid: &str) {
+    pub fn request_over(&self, request_id: &str) {
         let mut state = self.state.0.lock().unwrap();
-        if state.calling.remove(rid).is_some() {
-            state.reap(rid, "STOPPED");
+        if state.calling.remove(request_id).is_some() {
+            state.reap(request_id, "STOPPED");
         }
     }
 
@@ -197,7 +197,7 @@
         state.held.clear();
         state.calling.clear();
         let running: Vec<String> = state.running.keys().cloned().collect();
-        running.iter().for_each(|rid| state.over(rid));
+        running.iter().for_each(|request_id| state.over(request_id));
     }
 
     /// From now on executions are recorded by key; the bodies of requests are their keys.
@@ -276,20 +276,24 @@
         let text = |name: &str| command[name].as_str().unwrap_or_default().to_owned();
         let body = STANDARD.decode(text("b64")).unwrap_or_default();
         let started = StartedExecution {
-            rid: text("rid"),
+            request_id: text("rid"),
             route: text("route"),
             body,
         };
-        if self.started.iter().any(|s| s.rid == started.rid) {
+        if self
+            .started
+            .iter()
+            .any(|s| s.request_id == started.request_id)
+        {
             return;
         }
         self.began(&started);
         if self.holds_new {
-            self.held.push(started.rid.clone());
+            self.held.push(started.request_id.clone());
         } else if self.makes_calls {
-            self.call(&started.rid, &started.route);
+            self.call(&started.request_id, &started.route);
         } else {
-            self.end(&started.rid, &started.route);
+            self.end(&started.request_id, &started.route);
         }
         self.started.push(started);
     }
@@ -301,10 +305,12 @@
     }
 
     /// Asks the node for an execution's backend call.
-    fn call(&mut self, rid: &str, route: &str) {
-        self.calling.insert(rid.to_owned(), route.to_owned());
+    fn call(&mut self, request_id: &str, route: &str) {
+        self.calling.insert(request_id.to_owned(), route.to_owned());
         let body = STANDARD.encode(b"call");
-        self.notice(|no| format!(r#"{{"t":"IOREQ","no":{no},"rid":"{rid}","b64":"{body}"}}"#));
+        self.notice(|no| {
+            format!(r#"{{"t":"IOREQ","no":{no},"rid":"{request_id}","b64":"{body}"}}"#)
+        });
     }
 
     /// Sends a numbered notice, and keeps it for a link that misses it.
@@ -319,35 +325,35 @@
     }
 
     /// Ends an execution as OK, or as ERROR where that was set.
-    fn end(&mut self, rid: &str, route: &str) {
+    fn end(&mut self, request_id: &str, route: &str) {
         let fails = self.errors.get_mut(route).is_some_and(|left| {
             let fails = *left > 0;
             *left = left.saturating_sub(1);
             fails
         });
-        self.reap(rid, if fails { "ERROR" } else { "OK" });
+        self.reap(request_id, if fails { "ERROR" } else { "OK" });
     }
 
     fn began(&mut self, started: &StartedExecution) {
         if let Some(record) = &self.record {
             let key = String::from_utf8_lossy(&started.body).into_owned();
             record.started(&key);
-            self.running.insert(started.rid.clone(), key);
+            self.running.insert(started.request_id.clone(), key);
         }
     }
 
-    fn over(&mut self, rid: &str) {
-        if let (Some(record), Some(key)) = (&self.record, self.running.remove(rid)) {
+    fn over(&mut self, request_id: &str) {
+        if let (Some(record), Some(key)) = (&self.record, self.running.remove(request_id)) {
             record.ended(&key);
         }
     }
 
-    fn reap(&mut self, rid: &str, status: &str) {
-        self.over(rid);
-        let body = STANDARD.encode(result(rid));
+    fn reap(&mut self, request_id: &str, status: &str) {
+        self.over(request_id);
+        let body = STANDARD.encode(result(request_id));
         self.notice(|no| {
             format!(
-                r#"{{"t":"REAP","no":{no},"rid":"{rid}","status":"{status}","time_ms":1,"b64":"{body}"}}"#
+                r#"{{"t":"REAP","no":{no},"rid":"{request_id}","status":"{status}","time_ms":1,"b64":"{body}"}}"#
             )
         });
     }
--- a/crates/test-harness/src/load.rs
+++ b/crates/test-harness/src/load.rs
@@ -113,12 +113,12 @@
     /// Sends a batch and waits for all answers. A batch that crossed a close is sent again once, as
     /// load balancers do.
     fn send(&mut self, requests: &[LoadRequest], checker: &Mutex<Checker>) {
-        let rids: Vec<String> = requests.iter().map(|_| next_request_id()).collect();
+        let request_ids: Vec<String> = requests.iter().map(|_| next_request_id()).collect();
         for is_retry in [false, true] {
             let mut bytes = Vec::new();
-            for (i, (request, rid)) in requests.iter().zip(&rids).enumerate() {
+            for (i, (request, request_id)) in requests.iter().zip(&request_ids).enumerate() {
                 let arrived = unix_ms();
-                let mut params = wire::call(&request.path, rid, &arrived);
+                let mut params = wire::call(&request.path, request_id, &arrived);
                 params.extend(request.params.iter().map(|(n, v)| (n.as_str(), v.as_str())));
                 bytes.extend(wire::request(i as u16 + 1, &params, &request.body));
             }
@@ -126,8 +126,10 @@
                 let mut checker = checker.lock().unwrap();
                 requests
                     .iter()
-                    .zip(&rids)
-                    .for_each(|(request, rid)| checker.sent(rid, request.key.as_deref()));
+                    .zip(&request_ids)
+                    .for_each(|(request, request_id)| {
+                        checker.sent(request_id, request.key.as_deref())
+                    });
             }
             match self.exchange(&bytes, requests.len()) {
                 Ok(answers) => {
@@ -135,7 +137,7 @@
                     for answer in &answers {
                         let index = usize::from(answer.id) - 1;
                         let is_keyed = requests[index].key.is_some();
-                        checker.answered(&rids[index], answer, is_keyed);
+                        checker.answered(&request_ids[index], answer, is_keyed);
                     }
                     return;
                 }
--- a/crates/test-harness/src/peers.rs
+++ b/crates/test-harness/src/peers.rs
@@ -144,15 +144,15 @@
 }
 
 /// Notice `no`: the execution of this request ended with this status.
-pub fn reap(no: u64, rid: &str, status: &str) -> String {
+pub fn reap(no: u64, request_id: &str, status: &str) -> String {
     format!(
-        "{{\"t\":\"REAP\",\"no\":{no},\"rid\":\"{rid}\",\"status\":\"{status}\",\"time_ms\":3,\"b64\":\"AP8=\"}}\n"
+        "{{\"t\":\"REAP\",\"no\":{no},\"rid\":\"{request_id}\",\"status\":\"{status}\",\"time_ms\":3,\"b64\":\"AP8=\"}}\n"
     )
 }
 
 /// Notice `no`: the execution of this request asks for a backend call.
-pub fn call_notice(no: u64, rid: &str) -> String {
-    format!("{{\"t\":\"IOREQ\",\"no\":{no},\"rid\":\"{rid}\",\"b64\":\"AP8=\"}}\n")
+pub fn call_notice(no: u64, request_id: &str) -> String {
+    format!("{{\"t\":\"IOREQ\",\"no\":{no},\"rid\":\"{request_id}\",\"b64\":\"AP8=\"}}\n")
 }
 
 /// A load balancer with one connection. The node may close it while no request is open on it; what
@@ -188,15 +188,19 @@
 
     /// Sends a request and waits until the executor behind `link` receives the command to run it;
     /// gives that command.
-    pub fn run(&mut self, link: &mut LineConnection, id: u16, rid: &str) -> Value {
+    pub fn run(&mut self, link: &mut LineConnection, id: u16, request_id: &str) -> Value {
         loop {
-            let request = wire::request(id, &wire::call("/call/read", rid, &unix_ms()), b"\0body");
+            let request = wire::request(
+                id,
+                &wire::call("/call/read", request_id, &unix_ms()),
+                b"\0body",
+            );
             if self.stream.write_all(&request).is_ok() {
                 while !self.has_ended() {
                     if let Some(command) = link.command_within(Duration::from_millis(50)) {
                         assert_eq!(
                             (&command["t"], &command["rid"]),
-                            (&"SCHED".into(), &rid.into()),
+                            (&"SCHED".into(), &request_id.into()),
                             "{command}"
                         );
                         return command;
--- a/crates/test-harness/src/wire.rs
+++ b/crates/test-harness/src/wire.rs
@@ -72,11 +72,15 @@
 }
 
 /// The parameters of a request that arrived `arrived_ms` after the epoch.
-pub fn call<'a>(path: &'a str, rid: &'a str, arrived_ms: &'a str) -> Vec<(&'a str, &'a str)> {
+pub fn call<'a>(
+    path: &'a str,
+    request_id: &'a str,
+    arrived_ms: &'a str,
+) -> Vec<(&'a str, &'a str)> {
     vec![
         ("REQUEST_METHOD", "POST"),
         ("SCRIPT_NAME", path),
-        ("HTTP_X_CORRELATION_ID", rid),
+        ("HTTP_X_CORRELATION_ID", request_id),
         ("HTTP_X_ARRIVED_MS", arrived_ms),
         ("HTTP_X_UPSTREAM_PEER", "1"),
         ("HTTP_X_ORG", "acme"),
