--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -4,9 +4,9 @@
 //! against: docs/acceptance.md.
 
 use madderpoint_test_harness::peers::{
-    Dispatcher, PATIENCE, Talk, listen, nobody, ping, reap, unix_ms,
+    LineConnection, LoadBalancer, PATIENCE, listen, ping, reap, unix_ms, unused_address,
 };
-use madderpoint_test_harness::program::{Node, Program, told};
+use madderpoint_test_harness::program::{Node, Program, node_config};
 use madderpoint_test_harness::wire::{self as support, Answer};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -30,21 +30,21 @@
 }
 
 /// A node whose executor is up, with these changes to its configuration.
-fn node_with(changes: &[(&str, &str)]) -> (Node, TcpListener, Talk) {
+fn node_with(changes: &[(&str, &str)]) -> (Node, TcpListener, LineConnection) {
     let executor = listen();
     let config = changes.iter().fold(
-        told(at(&executor), nobody(), nobody(), 1024),
+        node_config(at(&executor), unused_address(), unused_address(), 1024),
         |text, (from, to)| text.replace(from, to),
     );
     let node = Node::started(PROGRAM, &config, &[]);
-    let link = Talk::boot(&executor, 0, "");
+    let link = LineConnection::boot(&executor, 0, "");
     let mut balancer = node.connect();
     while balancer.ping() != "200" {}
     (node, executor, link)
 }
 
 /// All that comes until the connection ends.
-fn rest(mut balancer: Dispatcher) -> Vec<Answer> {
+fn rest(mut balancer: LoadBalancer) -> Vec<Answer> {
     while balancer.read() > 0 {}
     balancer.done
 }
@@ -254,8 +254,14 @@
 #[test]
 fn a_drain_before_the_executor_is_up_runs_nothing_and_ends_in_time() {
     let executor = listen();
-    let mut node = Node::start(PROGRAM, at(&executor), nobody(), nobody(), 1024);
-    let mut link = Talk::accept(&executor);
+    let mut node = Node::start(
+        PROGRAM,
+        at(&executor),
+        unused_address(),
+        unused_address(),
+        1024,
+    );
+    let mut link = LineConnection::accept(&executor);
     assert_eq!(link.line(), "{\"t\":\"OPEN\",\"no\":0}");
     let mut balancer = node.connect();
     assert_eq!(balancer.ask(&call(1, A)).status, "503");
@@ -278,7 +284,12 @@
     node.terminate();
     node.logged("drain begins");
     let executor2 = listen();
-    node.reload(&told(at(&executor2), nobody(), nobody(), 1024));
+    node.reload(&node_config(
+        at(&executor2),
+        unused_address(),
+        unused_address(),
+        1024,
+    ));
     node.terminate();
     node.logged("new configuration in force");
     let settled: serde_json::Value = serde_json::from_str(&link.line()).unwrap();
@@ -286,7 +297,7 @@
         "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
         settled["mark"]
     ));
-    let mut link = Talk::boot(&executor2, 0, "");
+    let mut link = LineConnection::boot(&executor2, 0, "");
     link.say(&reap(1, A, "OK"));
     assert_eq!(statuses(&rest(balancer)), ["200"]);
     assert_eq!(node.wait().code(), Some(0));
@@ -296,8 +307,8 @@
 // ---- Reports ----
 
 /// The body of a report, at the end of its connection's request.
-fn report(registry: &TcpListener) -> (Talk, String) {
-    let mut talk = Talk::accept(registry);
+fn report(registry: &TcpListener) -> (LineConnection, String) {
+    let mut talk = LineConnection::accept(registry);
     talk.line();
     while !talk.line().is_empty() {}
     let mut body = String::new();
@@ -320,20 +331,26 @@
     ] {
         let (executor, registry) = (listen(), listen());
         let begun = Instant::now();
-        let mut node = Node::start(PROGRAM, at(&executor), nobody(), at(&registry), 1024);
+        let mut node = Node::start(
+            PROGRAM,
+            at(&executor),
+            unused_address(),
+            at(&registry),
+            1024,
+        );
         let mut kept = Vec::new(); // connections that are held as they are
         match step {
             "accepts nothing" => {}
-            "reads nothing" => kept.push(Talk::accept(&registry)),
+            "reads nothing" => kept.push(LineConnection::accept(&registry)),
             "answers nothing" => kept.push(report(&registry).0),
             "answers half" => {
                 let mut talk = report(&registry).0;
                 talk.say("HTTP/1.1 204 No");
                 kept.push(talk);
             }
-            _ => drop(Talk::accept(&registry)), // a reset, for its report was not read
+            _ => drop(LineConnection::accept(&registry)), // a reset, for its report was not read
         }
-        let mut link = Talk::boot(&executor, 0, "");
+        let mut link = LineConnection::boot(&executor, 0, "");
         let mut balancer = node.connect();
         while balancer.ping() != "200" {}
         assert!(
@@ -367,15 +384,20 @@
     let (executor, registry) = (listen(), listen());
     let address = at(&registry);
     drop(registry); // away at the start
-    let mut node = Node::start(PROGRAM, at(&executor), nobody(), address, 1024);
+    let mut node = Node::start(PROGRAM, at(&executor), unused_address(), address, 1024);
     node.logged("report failed");
-    let _link = Talk::boot(&executor, 0, "");
+    let _link = LineConnection::boot(&executor, 0, "");
     let registry = TcpListener::bind(address).unwrap();
     assert_eq!(report(&registry).1, "{\"phase\":\"UP\"}");
     // It hangs as it is moved: the new one hears at once.
     let (held, _) = report(&registry);
     let moved = listen();
-    node.reload(&told(at(&executor), nobody(), at(&moved), 1024));
+    node.reload(&node_config(
+        at(&executor),
+        unused_address(),
+        at(&moved),
+        1024,
+    ));
     let begun = Instant::now();
     assert_eq!(report(&moved).1, "{\"phase\":\"UP\"}");
     assert!(
@@ -396,8 +418,8 @@
     let (executor, registry) = (listen(), listen());
     let address = at(&registry);
     drop(registry);
-    let mut node = Node::start(PROGRAM, at(&executor), nobody(), address, 64);
-    let link = Talk::boot(&executor, 0, "");
+    let mut node = Node::start(PROGRAM, at(&executor), unused_address(), address, 64);
+    let link = LineConnection::boot(&executor, 0, "");
     let stop = AtomicBool::new(false);
     let listen_at = node.listen;
     std::thread::scope(|scope| {
@@ -422,7 +444,7 @@
         }
         // The executor's link breaks in the flood and is made again.
         drop(link);
-        let mut link = Talk::boot(&executor, 0, "");
+        let mut link = LineConnection::boot(&executor, 0, "");
         for n in 0..5u64 {
             let rid = format!("{n:016x}");
             let mut balancer = node.connect();
--- /dev/null
+++ b/crates/test-harness/src/executor.rs
@@ -0,0 +1,360 @@
+//! A stand-in for a node's executor: accepts links, reports gauges, and ends each execution as the
+//! test has set: at once, after a backend call, when released, or with an error.
+//!
+//! Used by the fault scenario runner and by tests that need more than one line of the protocol.
+
+use crate::keys::KeyRecord;
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD;
+use serde_json::Value;
+use std::collections::{HashMap, VecDeque};
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Condvar, Mutex};
+use std::thread;
+use std::time::Duration;
+
+/// Notices kept for a link that missed them, as the protocol requires.
+const NOTICES_MAX: usize = 4000;
+
+/// An execution that the node commanded, as it came.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StartedExecution {
+    /// The request's id.
+    pub request_id: String,
+    /// The operation's name.
+    pub route: String,
+    /// The request's body.
+    pub body: Vec<u8>,
+}
+
+#[derive(Default)]
+struct State {
+    started: Vec<StartedExecution>,
+    /// Executions that wait to be released, by request id.
+    held: Vec<String>,
+    holds_new: bool,
+    /// Whether executions make a backend call before they end.
+    makes_calls: bool,
+    /// Routes of executions that wait for the reply to their backend call, by request id.
+    calling: HashMap<String, String>,
+    /// How many of the next executions end as ERROR, by route.
+    errors: HashMap<String, usize>,
+    /// Where executions are recorded by key; request bodies are keys then.
+    record: Option<KeyRecord>,
+    /// Keys of what runs, by request id.
+    running: HashMap<String, String>,
+    notice_count: u64,
+    /// Sent notices by number, for a link that missed them.
+    sent_notices: VecDeque<(u64, String)>,
+    link: Option<TcpStream>,
+}
+
+/// An executor stand-in; clones share it. It ends with the process.
+#[derive(Clone)]
+pub struct Executor {
+    /// Where nodes connect.
+    pub address: SocketAddr,
+    state: Arc<(Mutex<State>, Condvar)>,
+    /// One stand-in for each link, where several may be open at once.
+    links: Arc<Mutex<Vec<Executor>>>,
+}
+
+/// The result of this request's execution. It names the request, so that a checker can tell whose
+/// result an answer carries.
+pub fn result(request_id: &str) -> Vec<u8> {
+    format!("result of {request_id}").into_bytes()
+}
+
+impl Executor {
+    /// Starts an executor for one link at a time, on a free port.
+    ///
+    /// # Panics
+    ///
+    /// No port can be opened.
+    pub fn start() -> Executor {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let worker = Executor::at(listener.local_addr().unwrap());
+        let serving = worker.clone();
+        thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                serving.serve(stream);
+            }
+        });
+        worker
+    }
+
+    fn at(address: SocketAddr) -> Executor {
+        Executor {
+            address,
+            state: Arc::default(),
+            links: Arc::default(),
+        }
+    }
+
+    /// Starts an executor for several links at once, as in a process handover; notices of an
+    /// execution go to the link that started it.
+    ///
+    /// # Panics
+    ///
+    /// No port can be opened.
+    pub fn start_for_many() -> Executor {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let worker = Executor::at(listener.local_addr().unwrap());
+        let all = worker.clone();
+        thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let one = Executor::at(all.address);
+                all.links.lock().unwrap().push(one.clone());
+                thread::spawn(move || one.serve(stream));
+            }
+        });
+        worker
+    }
+
+    fn serve(&self, stream: TcpStream) {
+        let _ = stream.set_nodelay(true);
+        let Ok(reader) = stream.try_clone() else {
+            return;
+        };
+        self.state.0.lock().unwrap().link = Some(stream);
+        for line in BufReader::new(reader).lines() {
+            let Ok(line) = line else { return };
+            let Ok(command) = serde_json::from_str::<Value>(&line) else {
+                return;
+            };
+            self.command(&command);
+        }
+    }
+
+    fn command(&self, command: &Value) {
+        let (lock, changed) = &*self.state;
+        let mut state = lock.lock().unwrap();
+        match command["t"].as_str() {
+            Some("OPEN") => state.boot(command["no"].as_u64().unwrap_or(0)),
+            Some("SYSINFO") => {
+                let line = format!(r#"{{"t":"INFO","mark":{},"v":[0.1,0.1]}}"#, command["mark"]);
+                state.send(&line);
+            }
+            Some("POST") => {
+                let line = format!(
+                    r#"{{"t":"POSTED","mark":{},"status":"OK"}}"#,
+                    command["mark"]
+                );
+                state.send(&line);
+            }
+            Some("SCHED") => state.start(command),
+            Some("IODONE" | "NOIO") => {
+                let request_id = command["rid"].as_str().unwrap_or_default();
+                if let Some(route) = state.calling.remove(request_id) {
+                    state.end(request_id, &route);
+                }
+            }
+            Some("PREEMPT") => {
+                let request_id = command["rid"].as_str().unwrap_or_default().to_owned();
+                if let Some(at) = state.held.iter().position(|held| *held == request_id) {
+                    state.held.remove(at);
+                    state.reap(&request_id, "STOPPED");
+                } else if state.calling.remove(&request_id).is_some() {
+                    state.reap(&request_id, "STOPPED");
+                }
+            }
+            _ => {}
+        }
+        changed.notify_all();
+    }
+
+    /// Whether executions wait from now on; with `false` those that wait are released.
+    pub fn hold(&self, holds_new: bool) {
+        let mut state = self.state.0.lock().unwrap();
+        state.holds_new = holds_new;
+        if !holds_new {
+            for request_id in std::mem::take(&mut state.held) {
+                let route = state
+                    .started
+                    .iter()
+                    .find(|s| s.request_id == request_id)
+                    .map(|s| s.route.clone());
+                state.end(&request_id, &route.unwrap_or_default());
+            }
+        }
+    }
+
+    /// A request is over for its client: an execution of it that waits for a backend call ends as
+    /// STOPPED.
+    pub fn request_over(&self, request_id: &str) {
+        let mut state = self.state.0.lock().unwrap();
+        if state.calling.remove(request_id).is_some() {
+            state.reap(request_id, "STOPPED");
+        }
+    }
+
+    /// The node is about to start: notices count from 1 again, and earlier executions are over.
+    pub fn node_starts(&self) {
+        let mut state = self.state.0.lock().unwrap();
+        state.notice_count = 0;
+        state.sent_notices.clear();
+        state.held.clear();
+        state.calling.clear();
+        let running: Vec<String> = state.running.keys().cloned().collect();
+        running.iter().for_each(|request_id| state.over(request_id));
+    }
+
+    /// From now on executions are recorded by key; the bodies of requests are their keys.
+    pub fn record_keys(&self, record: KeyRecord) {
+        self.state.0.lock().unwrap().record = Some(record);
+    }
+
+    /// Whether executions make one backend call each from now on.
+    pub fn calls(&self, makes_calls: bool) {
+        self.state.0.lock().unwrap().makes_calls = makes_calls;
+    }
+
+    /// The next `count` executions of a route end as ERROR.
+    pub fn fail(&self, route: &str, count: usize) {
+        self.state
+            .0
+            .lock()
+            .unwrap()
+            .errors
+            .insert(route.to_owned(), count);
+    }
+
+    /// All executions that began so far and were not forgotten.
+    pub fn started(&self) -> Vec<StartedExecution> {
+        let mut all = self.state.0.lock().unwrap().started.clone();
+        self.links
+            .lock()
+            .unwrap()
+            .iter()
+            .for_each(|link| all.extend(link.started()));
+        all
+    }
+
+    /// Waits until this many executions have begun, and gives them.
+    ///
+    /// # Panics
+    ///
+    /// They have not begun within 30 s.
+    pub fn wait_started(&self, count: usize) -> Vec<StartedExecution> {
+        let (lock, changed) = &*self.state;
+        let state = lock.lock().unwrap();
+        let enough = |state: &mut State| state.started.len() < count;
+        let (state, timeout) = changed
+            .wait_timeout_while(state, Duration::from_secs(30), enough)
+            .unwrap();
+        assert!(
+            !timeout.timed_out(),
+            "{} of {count} executions began",
+            state.started.len()
+        );
+        state.started.clone()
+    }
+
+    /// Forgets what was started: for long loads, as each execution is compared with all earlier ones.
+    pub fn forget(&self) {
+        self.state.0.lock().unwrap().started.clear();
+        self.links.lock().unwrap().iter().for_each(Executor::forget);
+    }
+}
+
+impl State {
+    /// Takes a new link, and repeats the notices after the last one that the node has read.
+    fn boot(&mut self, last_read: u64) {
+        self.send(r#"{"t":"BOOTED","status":"WARM","time_ms":9000}"#);
+        let missed: Vec<String> = self
+            .sent_notices
+            .iter()
+            .filter(|(no, _)| *no > last_read)
+            .map(|(_, line)| line.clone())
+            .collect();
+        missed.iter().for_each(|line| self.send(line));
+    }
+
+    /// Begins an execution, unless its request is known already.
+    fn start(&mut self, command: &Value) {
+        let text = |name: &str| command[name].as_str().unwrap_or_default().to_owned();
+        let body = STANDARD.decode(text("b64")).unwrap_or_default();
+        let started = StartedExecution {
+            request_id: text("rid"),
+            route: text("route"),
+            body,
+        };
+        if self
+            .started
+            .iter()
+            .any(|s| s.request_id == started.request_id)
+        {
+            return;
+        }
+        self.began(&started);
+        if self.holds_new {
+            self.held.push(started.request_id.clone());
+        } else if self.makes_calls {
+            self.call(&started.request_id, &started.route);
+        } else {
+            self.end(&started.request_id, &started.route);
+        }
+        self.started.push(started);
+    }
+
+    fn send(&mut self, line: &str) {
+        if let Some(link) = &mut self.link {
+            let _ = link.write_all(format!("{line}\n").as_bytes());
+        }
+    }
+
+    /// Asks the node for an execution's backend call.
+    fn call(&mut self, request_id: &str, route: &str) {
+        self.calling.insert(request_id.to_owned(), route.to_owned());
+        let body = STANDARD.encode(b"call");
+        self.notice(|no| {
+            format!(r#"{{"t":"IOREQ","no":{no},"rid":"{request_id}","b64":"{body}"}}"#)
+        });
+    }
+
+    /// Sends a numbered notice, and keeps it for a link that misses it.
+    fn notice(&mut self, line: impl FnOnce(u64) -> String) {
+        self.notice_count += 1;
+        let line = line(self.notice_count);
+        self.send(&line);
+        self.sent_notices.push_back((self.notice_count, line));
+        if self.sent_notices.len() > NOTICES_MAX {
+            self.sent_notices.pop_front();
+        }
+    }
+
+    /// Ends an execution as OK, or as ERROR where that was set.
+    fn end(&mut self, request_id: &str, route: &str) {
+        let fails = self.errors.get_mut(route).is_some_and(|left| {
+            let fails = *left > 0;
+            *left = left.saturating_sub(1);
+            fails
+        });
+        self.reap(request_id, if fails { "ERROR" } else { "OK" });
+    }
+
+    fn began(&mut self, started: &StartedExecution) {
+        if let Some(record) = &self.record {
+            let key = String::from_utf8_lossy(&started.body).into_owned();
+            record.started(&key);
+            self.running.insert(started.request_id.clone(), key);
+        }
+    }
+
+    fn over(&mut self, request_id: &str) {
+        if let (Some(record), Some(key)) = (&self.record, self.running.remove(request_id)) {
+            record.ended(&key);
+        }
+    }
+
+    fn reap(&mut self, request_id: &str, status: &str) {
+        self.over(request_id);
+        let body = STANDARD.encode(result(request_id));
+        self.notice(|no| {
+            format!(
+                r#"{{"t":"REAP","no":{no},"rid":"{request_id}","status":"{status}","time_ms":1,"b64":"{body}"}}"#
+            )
+        });
+    }
+}
--- a/crates/test-harness/src/rig/changes.rs
+++ b/crates/test-harness/src/fault_scenario/changes.rs
@@ -3,8 +3,9 @@
 
 mod record_check;
 
-use super::{BETWEEN, FLEET, KEY, LOOK, Rig, Seen, pages};
-use crate::record::Line;
+use super::observe::{Observations, status_pages};
+use super::{AUTH_KEY, CLUSTER_NAME, FaultScenario, QUERY_INTERVAL, QUERY_TIMEOUT};
+use crate::event_record::EventLine;
 use crate::script::Ends;
 use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_membership::observer::Observer;
@@ -26,7 +27,7 @@
 /// Bytes of a rollout that is too large for nodes with little memory.
 const LARGE_BYTES: usize = 400 << 10;
 
-impl Rig {
+impl FaultScenario {
     /// Settings of the fleet: all nodes have the same, but for what the environment tells them.
     pub(super) fn settings(
         &self,
@@ -62,7 +63,7 @@
             }
         };
         format!(
-            "<translator version=\"1\" number=\"{number}\">{rules}<fleet name=\"{FLEET}\" keys=\"{}\"{program}>{seeds}{shared}\
+            "<translator version=\"1\" number=\"{number}\">{rules}<fleet name=\"{CLUSTER_NAME}\" keys=\"{}\"{program}>{seeds}{shared}\
              <periods{periods}/></fleet>{rollout}{}{more}</translator>",
             self.key_file.display(),
             self.setting.more
@@ -129,8 +130,8 @@
         let port = u64::from(socket.local_addr().map_or(1, |address| address.port()));
         let seed = u64::from(std::process::id()) << 24 | port | 1 << 51;
         Ok(Observer::new(
-            FLEET,
-            AuthKeys::new(&[KEY.to_vec()]).map_err(|error| error.to_string())?,
+            CLUSTER_NAME,
+            AuthKeys::new(&[AUTH_KEY.to_vec()]).map_err(|error| error.to_string())?,
             seed,
             600_000_000_000,
         )
@@ -142,7 +143,7 @@
         let node = &self.nodes[n];
         let socket = UdpSocket::bind((node.bind.ip(), 0)).map_err(|e| e.to_string())?;
         socket
-            .set_read_timeout(Some(4 * LOOK))
+            .set_read_timeout(Some(4 * QUERY_TIMEOUT))
             .map_err(|e| e.to_string())?;
         let (mut observer, begun, mut buffer) =
             (self.observer(&socket)?, Instant::now(), [0; 2048]);
@@ -161,7 +162,7 @@
                 if answer.state != 1 {
                     return Ok(answer);
                 }
-                thread::sleep(BETWEEN);
+                thread::sleep(QUERY_INTERVAL);
                 break;
             }
         }
@@ -280,7 +281,12 @@
     }
 
     /// What keeps nodes from running settings of this number.
-    pub(super) fn not_running(&self, seen: &Seen, to: &Ends, number: u64) -> Option<String> {
+    pub(super) fn not_running(
+        &self,
+        seen: &Observations,
+        to: &Ends,
+        number: u64,
+    ) -> Option<String> {
         for (n, node) in self.nodes.iter().enumerate() {
             if !to.has(&node.place.name, &node.place.zone) || !self.is_up(n) {
                 continue;
@@ -327,7 +333,7 @@
                     true
                 }
             });
-            thread::sleep(4 * BETWEEN);
+            thread::sleep(4 * QUERY_INTERVAL);
         }
         if left.is_empty() {
             self.record.note("rig", "change", last.clone());
@@ -358,9 +364,9 @@
     fn knows(&self, n: usize, number: u64) -> Option<(String, u32, String)> {
         let node = &self.nodes[n];
         let socket = UdpSocket::bind((node.bind.ip(), 0)).ok()?;
-        socket.set_read_timeout(Some(LOOK)).ok()?;
+        socket.set_read_timeout(Some(QUERY_TIMEOUT)).ok()?;
         let (mut observer, begun) = (self.observer(&socket).ok()?, Instant::now());
-        let bytes = (0..4).find_map(|_| pages(&socket, node.bind, &mut observer, begun))?;
+        let bytes = (0..4).find_map(|_| status_pages(&socket, node.bind, &mut observer, begun))?;
         let shown = StatusSnapshot::decode(bytes.as_slice()).ok()?;
         let is_it = |rollout: &&madderpoint_rollout::status::RolloutStatus| {
             rollout
@@ -376,7 +382,7 @@
     }
 
     /// Looks over what all nodes said they did about rollouts.
-    pub(super) fn changes_are_allowed(&mut self, lines: &[Line]) {
+    pub(super) fn changes_are_allowed(&mut self, lines: &[EventLine]) {
         let mut checked = Checked::default();
         for line in lines {
             if line.part == "rig" && line.what.starts_with("started as ") {
