--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,16 +1,20 @@
 //! The member table: merged updates of each member in bounded memory, counts, and digests of key
 //! ranges that are equal on nodes that agree.
 
+use crate::Nanos;
 use crate::member::{
     DetailsError, Epoch, Incarnation, Liveness, LivenessState, LoadHint, MemberDetails,
-    MemberEntry, MemberKey, NAME_MAX, Phase, is_name,
+    MemberEntry, MemberKey, NAME_MAX, is_name,
 };
 use crate::messages::MemberUpdate;
-use crate::{Nanos, history::ChangeKind};
 use std::collections::{BTreeMap, HashMap};
 use std::ops::RangeInclusive;
 use std::sync::{Arc, Mutex};
 
+mod change;
+
+pub use change::MemberChange;
+
 /// Slices of the key space (by highest byte) whose digests are cached.
 const SLICES: usize = 256;
 /// Bits below the slice number in a key.
@@ -37,54 +41,6 @@
     Changed(MemberChange),
 }
 
-/// A change of a member's entry.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct MemberChange {
-    /// Its liveness before; `None` if it was unknown.
-    pub before: Option<Liveness>,
-    /// Its liveness after.
-    pub after: Liveness,
-    /// Whether another incarnation took over the name.
-    pub replaced: bool,
-    /// Whether its address changed.
-    pub moved: bool,
-    /// Its former phase, if that changed.
-    pub phase: Option<Phase>,
-    /// Whether the table's digest changed.
-    pub digest: bool,
-}
-
-impl MemberChange {
-    /// The kind of change shown to operators; `None` where only a revision rose.
-    pub fn kind(&self) -> Option<ChangeKind> {
-        let was = self.before.map(Liveness::is_present);
-        match (was, self.after) {
-            (None | Some(false), Liveness::Alive | Liveness::Suspect)
-                if self.before == Some(Liveness::Dead) =>
-            {
-                Some(if self.replaced {
-                    ChangeKind::Replaced
-                } else {
-                    ChangeKind::Back
-                })
-            }
-            (None | Some(false), Liveness::Alive | Liveness::Suspect) => Some(ChangeKind::Joined),
-            (Some(true), Liveness::Dead) => Some(ChangeKind::Dead),
-            (Some(true), Liveness::Left) => Some(ChangeKind::Left),
-            (Some(true), _) if self.replaced => Some(ChangeKind::Replaced),
-            (Some(true), Liveness::Suspect) if self.before == Some(Liveness::Alive) => {
-                Some(ChangeKind::Suspect)
-            }
-            (Some(true), _) if self.moved => Some(ChangeKind::Moved),
-            (Some(true), Liveness::Alive) if self.before == Some(Liveness::Suspect) => {
-                Some(ChangeKind::Back)
-            }
-            (Some(true), _) if self.phase.is_some() => Some(ChangeKind::Phase),
-            _ => None,
-        }
-    }
-}
-
 /// Details shared by several member tables in one process; used by simulations.
 pub type Interner = Arc<Mutex<HashMap<u64, Arc<MemberDetails>>>>;
 
--- a/crates/membership/src/member_table/tests.rs
+++ b/crates/membership/src/member_table/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use crate::history::ChangeKind;
+use crate::member::Phase;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -7,7 +7,7 @@
 use crate::history::ChangeKind;
 use crate::member::{Liveness, MemberKey};
 use crate::member_table::Interner;
-use crate::{ClockReading, Config, FeatureToggles, Host, Membership, Timing};
+use crate::{ClockReading, Config, Host, Membership};
 use crate::{MILLISECOND, Nanos, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -16,8 +16,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+mod config;
 mod heartbeats;
 
+pub use config::SimulationConfig;
 pub use heartbeats::{Heartbeats, heartbeats};
 
 /// Unix time at which a simulation starts, in milliseconds.
@@ -25,48 +27,6 @@
 /// All members report a false death; reports of one member within this time count once.
 const FALSE_DEATH_WINDOW: Nanos = 60 * SECOND;
 
-/// Configuration of a simulated cluster.
-#[derive(Clone, Debug)]
-pub struct SimulationConfig {
-    /// Number of members.
-    pub members: usize,
-    /// Number of zones; members are spread evenly.
-    pub zones: usize,
-    /// Fraction of datagrams that are lost.
-    pub loss: f64,
-    /// Shortest and longest time that a datagram takes.
-    pub latency: (Nanos, Nanos),
-    /// Fraction of members that stall now and then.
-    pub stalling: f64,
-    /// Longest stall, and mean time between two stalls.
-    pub stall: (Nanos, Nanos),
-    /// Periods and timeouts of the protocol.
-    pub timing: Timing,
-    /// Mechanisms that are switched on.
-    pub features: FeatureToggles,
-    /// Whether all know each other at the start; else the first three are the seeds.
-    pub preloaded: bool,
-    /// Seed of all chance.
-    pub seed: u64,
-}
-
-impl Default for SimulationConfig {
-    fn default() -> SimulationConfig {
-        SimulationConfig {
-            members: 10,
-            zones: 3,
-            loss: 0.0,
-            latency: (200_000, 2 * MILLISECOND),
-            stalling: 0.0,
-            stall: (1500 * MILLISECOND, 3 * SECOND),
-            timing: Timing::default(),
-            features: FeatureToggles::default(),
-            preloaded: true,
-            seed: 1,
-        }
-    }
-}
-
 /// Side effects of a simulated member.
 #[derive(Debug, Default)]
 pub struct SimulatedActions {
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -51,7 +51,7 @@
 use name_conflict::NameConflict;
 use probing::{OutstandingProbe, RelayedProbe};
 use sending::{LOAD_HINT_BYTES, LOAD_HINTS_PER_DATAGRAM, WANTS_PER_DATAGRAM};
-use timers::{EXPIRY_INTERVAL, Timers, VIEW_INTERVAL};
+use timers::Timers;
 
 /// Rate (bytes a second) and burst (bytes) for updates that ride on other datagrams.
 const DISSEMINATION_BYTES: (f64, f64) = (16e3, 32e3);
@@ -131,25 +131,16 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let own_key = MemberKey::of(&config.name);
         let incarnation = Incarnation(rng.random::<u64>() >> 1 | 1);
-        let most = config.bytes / TYPICAL_ENTRY_BYTES + 16;
+        let members_max = config.bytes / TYPICAL_ENTRY_BYTES + 16;
         let datagram_auth = DatagramAuth::new(
             &config.fleet,
             config.keys.clone(),
             incarnation,
             config.timing.skew,
-            2 * most,
+            2 * members_max,
         );
         let now = at.now;
-        // Nodes that start together do nothing at the same moment.
-        let mut soon = |period: Nanos| now + rng.random_range(0..period.max(1));
-        let timers = Timers {
-            probe: soon(config.timing.probe),
-            gossip: soon(config.timing.gossip),
-            probe_dead: soon(config.timing.probe_dead),
-            contact_seeds: soon(50 * MILLISECOND),
-            view: now + VIEW_INTERVAL,
-            expire: soon(EXPIRY_INTERVAL),
-        };
+        let timers = Timers::start(&config.timing, now, &mut rng);
         let bytes = config.bytes;
         let mut membership = Membership {
             host,
@@ -174,7 +165,7 @@
             outstanding_probe: None,
             relayed_probes: BTreeMap::new(),
             datagram_auth,
-            receive_limiter: ReceiveLimiter::new(2 * most),
+            receive_limiter: ReceiveLimiter::new(2 * members_max),
             number: 0,
             timers,
             promised_wake: Nanos::MAX,
--- a/crates/membership/src/swim/member_updates.rs
+++ b/crates/membership/src/swim/member_updates.rs
@@ -47,147 +47,147 @@
         }
     }
 
-    /// Merges an update. `reply` collects what to send back: entries that are wanted, and those of
+    /// Merges an update. `reply` collects what to send reply: entries that are wanted, and those of
     /// which more is known here.
     pub(super) fn apply_update(
         &mut self,
         at: ClockReading,
         sender: MemberKey,
-        updates: &MemberUpdate,
-        back: &mut RangeExchange,
+        update: &MemberUpdate,
+        reply: &mut RangeExchange,
     ) {
-        let key = MemberKey(updates.key);
+        let key = MemberKey(update.key);
         if key == self.own_key
-            && (updates.incarnation == self.epoch.incarnation.0 || self.claims_own_name(updates))
+            && (update.incarnation == self.epoch.incarnation.0 || self.claims_own_name(update))
         {
-            return self.apply_update_about_self(at, updates, back);
+            return self.apply_update_about_self(at, update, reply);
         }
-        match self.member_table.merge(at.now, updates) {
-            MergeOutcome::Known => self.confirm_suspicion(at, sender, updates),
-            MergeOutcome::Older => back.header_update.push(key),
-            MergeOutcome::DetailsWanted if back.wants.len() < WANTS_PER_DATAGRAM => {
-                back.wants.push(key)
+        match self.member_table.merge(at.now, update) {
+            MergeOutcome::Known => self.confirm_suspicion(at, sender, update),
+            MergeOutcome::Older => reply.header_update.push(key),
+            MergeOutcome::DetailsWanted if reply.wants.len() < WANTS_PER_DATAGRAM => {
+                reply.wants.push(key)
             }
             MergeOutcome::DetailsWanted => {}
             MergeOutcome::DetailsError(error) => self.count(details_error_counter(error), 1),
             MergeOutcome::Full => self.count("members for whom there is no room", 1),
             MergeOutcome::Changed(change) => {
                 self.on_member_changed(at, key, &change, "");
-                self.confirm_suspicion(at, sender, updates);
+                self.confirm_suspicion(at, sender, update);
             }
         }
     }
 
     /// An update of a suspicion names who suspects.
-    fn confirm_suspicion(&mut self, at: ClockReading, sender: MemberKey, updates: &MemberUpdate) {
-        let key = MemberKey(updates.key);
+    fn confirm_suspicion(&mut self, at: ClockReading, sender: MemberKey, update: &MemberUpdate) {
+        let key = MemberKey(update.key);
         let suspect = self
             .member_table
             .get(key)
             .is_some_and(|entry| entry.liveness() == Liveness::Suspect);
-        if suspect && updates.liveness == Liveness::Suspect.number() {
-            let suspected_by = if updates.suspected_by == 0 {
+        if suspect && update.liveness == Liveness::Suspect.number() {
+            let suspected_by = if update.suspected_by == 0 {
                 sender
             } else {
-                MemberKey(updates.suspected_by)
+                MemberKey(update.suspected_by)
             };
             self.suspect(at, key, suspected_by);
         }
     }
 
     /// Whether the update is about another process with this node's name that takes precedence.
-    fn claims_own_name(&self, updates: &MemberUpdate) -> bool {
+    fn claims_own_name(&self, update: &MemberUpdate) -> bool {
         let theirs = Epoch {
-            started_unix_ms: updates.started_unix_ms,
-            incarnation: Incarnation(updates.incarnation),
+            started_unix_ms: update.started_unix_ms,
+            incarnation: Incarnation(update.incarnation),
         };
-        !self.is_mute() && theirs > self.epoch && updates.incarnation != self.epoch.incarnation.0
+        !self.is_mute() && theirs > self.epoch && update.incarnation != self.epoch.incarnation.0
     }
 
     /// Merges an update about this node: refutes it, or notes a name conflict.
     fn apply_update_about_self(
         &mut self,
         at: ClockReading,
-        updates: &MemberUpdate,
-        back: &mut RangeExchange,
+        update: &MemberUpdate,
+        reply: &mut RangeExchange,
     ) {
-        let liveness = Liveness::from_number(updates.liveness).unwrap_or_default();
-        if updates.incarnation == self.epoch.incarnation.0 {
-            let own = LivenessState {
-                refutation: self.refutation,
-                liveness: if self.leaving {
-                    Liveness::Left
-                } else {
-                    Liveness::Alive
-                },
-            };
-            let apply_update = LivenessState {
-                refutation: updates.refutation,
-                liveness,
-            };
-            // What was said of it under an earlier birth of the same life is out of date, whatever
-            // it says.
-            let refutes = if updates.started_unix_ms == self.epoch.started_unix_ms {
-                refutes(own, apply_update)
-            } else {
-                None
-            };
-            match refutes {
-                _ if self.is_mute() => {}
-                Some(refutation) => {
-                    if self.config.features.health && liveness == Liveness::Suspect {
-                        self.local_health.suspected();
-                    }
-                    if refutation == u32::MAX {
-                        return self.reclaim_name(
-                            at,
-                            updates.started_unix_ms,
-                            "its bumps are used up",
-                        );
-                    }
-                    self.refutation = refutation;
-                    self.refute(at, liveness);
-                }
-                None if (updates.started_unix_ms, apply_update)
-                    != (self.epoch.started_unix_ms, own) =>
-                {
-                    back.header_update.push(self.own_key)
-                }
-                None => {}
-            }
-            return;
+        if update.incarnation == self.epoch.incarnation.0 {
+            return self.contradict(at, update, reply);
         }
+        let liveness = Liveness::from_number(update.liveness).unwrap_or_default();
         if !liveness.is_present() {
-            return self.reclaim_name(at, updates.started_unix_ms, "what had its name is gone");
+            return self.reclaim_name(at, update.started_unix_ms, "what had its name is gone");
         }
-        let details = MemberDetails::read(&updates.details).ok();
-        match details {
-            None => back.wants.push(self.own_key),
+        match MemberDetails::read(&update.details) {
+            Err(_) => reply.wants.push(self.own_key),
             // Only one process can be reached there, and that is this one.
-            Some(details) if details.address == self.config.address => {
-                self.reclaim_name(at, updates.started_unix_ms, "a past of its own");
+            Ok(details) if details.address == self.config.address => {
+                self.reclaim_name(at, update.started_unix_ms, "a past of its own");
             }
-            Some(details) => {
-                let is_known = self
-                    .name_conflict
-                    .as_ref()
-                    .is_some_and(|c| c.holder.incarnation == updates.incarnation);
-                if !is_known {
-                    let (holder, address) = (updates.clone(), details.address);
-                    self.name_conflict = Some(NameConflict {
-                        holder,
-                        address,
-                        tries: 0,
-                        next: at.now,
-                        mute: false,
-                    });
+            Ok(details) => self.note_name_conflict(at, update, details.address),
+        }
+    }
+
+    /// Refutes an update about this very process where it would take precedence over its own state;
+    /// replies with the present state where the update is out of date.
+    fn contradict(&mut self, at: ClockReading, update: &MemberUpdate, reply: &mut RangeExchange) {
+        let own = LivenessState {
+            refutation: self.refutation,
+            liveness: if self.leaving {
+                Liveness::Left
+            } else {
+                Liveness::Alive
+            },
+        };
+        let reported = LivenessState {
+            refutation: update.refutation,
+            liveness: Liveness::from_number(update.liveness).unwrap_or_default(),
+        };
+        // What was reported under an earlier start time of the same process is out of date.
+        let refutation = if update.started_unix_ms == self.epoch.started_unix_ms {
+            refutes(own, reported)
+        } else {
+            None
+        };
+        match refutation {
+            _ if self.is_mute() => {}
+            Some(refutation) => {
+                if self.config.features.health && reported.liveness == Liveness::Suspect {
+                    self.local_health.suspected();
+                }
+                if refutation == u32::MAX {
+                    let why = "its bumps are used up";
+                    return self.reclaim_name(at, update.started_unix_ms, why);
                 }
+                self.refutation = refutation;
+                self.refute(at, reported.liveness);
             }
+            None if (update.started_unix_ms, reported) != (self.epoch.started_unix_ms, own) => {
+                reply.header_update.push(self.own_key);
+            }
+            None => {}
+        }
+    }
+
+    /// Notes that another process claims this node's name, unless that is known.
+    fn note_name_conflict(&mut self, at: ClockReading, update: &MemberUpdate, address: SocketAddr) {
+        let is_known = self
+            .name_conflict
+            .as_ref()
+            .is_some_and(|conflict| conflict.holder.incarnation == update.incarnation);
+        if !is_known {
+            self.name_conflict = Some(NameConflict {
+                holder: update.clone(),
+                address,
+                tries: 0,
+                next: at.now,
+                mute: false,
+            });
         }
     }
 
     /// Announces a higher refutation number.
-    fn refute(&mut self, at: ClockReading, said: Liveness) {
+    fn refute(&mut self, at: ClockReading, reported: Liveness) {
         if let Err(error) = self.announce(at) {
             self.count(details_error_counter(error), 1);
         }
@@ -196,7 +196,7 @@
             at,
             ChangeKind::Refuted,
             self.own_key,
-            format!("held {}", said.as_str()),
+            format!("held {}", reported.as_str()),
         );
     }
 }
--- a/crates/membership/src/swim/receiving.rs
+++ b/crates/membership/src/swim/receiving.rs
@@ -46,30 +46,51 @@
         if self
             .name_conflict
             .as_ref()
-            .is_some_and(|name_conflict| name_conflict.holder.incarnation == incarnation.0)
+            .is_some_and(|conflict| conflict.holder.incarnation == incarnation.0)
         {
             self.on_name_holder_heard(at);
         }
-        let mut back = RangeExchange::default();
-        for updates in &datagram.updates {
-            self.apply_update(at, sender, updates, &mut back);
+        let mut reply = RangeExchange::default();
+        for update in &datagram.updates {
+            self.apply_update(at, sender, update, &mut reply);
         }
         self.merge_load_hints(at, &datagram.load_hints);
         let to = self.reply_to(sender, incarnation, from);
+        self.on_kind(at, (from, to), incarnation, datagram, &mut reply);
+        if !matches!(datagram.kind, kind::HEADERS | kind::ENTRIES) {
+            // Outdated information is answered only where member tables are compared, or where it
+            // is the sender's own.
+            let own_key = self.own_key;
+            reply
+                .header_update
+                .retain(|key| *key == sender || *key == own_key);
+        }
+        reply.header_update.sort_unstable();
+        reply.header_update.dedup();
+        self.send_entries(at, to, &reply);
+        let is_member_traffic = matches!(datagram.kind, kind::PING | kind::ACK | kind::GOSSIP);
+        if sender != MemberKey::NONE && is_member_traffic {
+            self.compare_digest(at, sender, datagram.digest);
+            self.report_suspicion(at, sender, incarnation, datagram.kind);
+        }
+    }
+
+    /// Handles what a datagram of its kind asks for; `addresses` are its source and the address to
+    /// reply to.
+    fn on_kind(
+        &mut self,
+        at: ClockReading,
+        (from, to): (SocketAddr, SocketAddr),
+        incarnation: Incarnation,
+        datagram: &Datagram,
+        reply: &mut RangeExchange,
+    ) {
+        let sender = MemberKey(datagram.from);
         match datagram.kind {
-            kind::PING => self.on_ping(at, to, datagram, &mut back),
+            kind::PING => self.on_ping(at, to, datagram, reply),
             kind::ACK => self.on_ack(at, sender, incarnation, datagram),
             kind::ASK => self.on_relay_request(at, sender, datagram),
-            kind::NACK => {
-                let outstanding_probe = self
-                    .outstanding_probe
-                    .as_mut()
-                    .filter(|outstanding_probe| outstanding_probe.number == datagram.number);
-                outstanding_probe.into_iter().for_each(|outstanding_probe| {
-                    outstanding_probe.relays_heard =
-                        (outstanding_probe.relays_heard + 1).min(outstanding_probe.relays)
-                });
-            }
+            kind::NACK => self.on_relay_heard(datagram.number),
             kind::GOSSIP => {}
             kind::SUMMARY => self.on_summary(at, to, datagram),
             kind::HEADERS => {
@@ -78,80 +99,80 @@
                     &datagram.covered,
                     &datagram.updates,
                 );
-                back.header_update.extend(found.header_update);
-                back.whole.extend(found.whole);
-                back.wants.extend(found.wants);
+                reply.header_update.extend(found.header_update);
+                reply.whole.extend(found.whole);
+                reply.wants.extend(found.wants);
+            }
+            kind::ENTRIES => {
+                let wanted = datagram.wants.iter().map(|key| MemberKey(*key));
+                reply.whole.extend(wanted);
             }
-            kind::ENTRIES => back
-                .whole
-                .extend(datagram.wants.iter().map(|key| MemberKey(*key))),
             kind::SHOW => self.on_show(at, from, datagram),
             kind::PAGE | kind::COMMAND_REPLY => {}
             kind::COMMAND => {
                 self.host
                     .command_received(from, datagram.number, datagram.topic, &datagram.payload)
             }
-            // Only from one that is known by its own word: whoever answers needs to know whom.
-            kind::PAYLOAD => match self
-                .member_table
-                .get(sender)
-                .filter(|entry| entry.epoch.incarnation == incarnation)
-            {
-                Some(_) => self.host.payload_received(
-                    sender,
-                    incarnation,
-                    datagram.topic,
-                    &datagram.payload,
-                ),
-                None => self.count("parcels of one that is not known", 1),
-            },
+            kind::PAYLOAD => self.on_payload(sender, incarnation, datagram),
             _ => self.count("datagrams of a kind that is not known", 1),
         }
-        let compares = matches!(datagram.kind, kind::HEADERS | kind::ENTRIES);
-        if !compares {
-            // A word that is out of date costs an answer only where views are compared, or where it
-            // is the sender's own.
-            back.header_update
-                .retain(|key| *key == sender || *key == self.own_key);
-        }
-        back.header_update.sort_unstable();
-        back.header_update.dedup();
-        self.send_entries(at, to, &back);
-        if sender == MemberKey::NONE
-            || !matches!(datagram.kind, kind::PING | kind::ACK | kind::GOSSIP)
+    }
+
+    /// A relay reports that it probes: it responds, whatever becomes of its probe.
+    fn on_relay_heard(&mut self, number: u32) {
+        if let Some(probe) = self
+            .outstanding_probe
+            .as_mut()
+            .filter(|probe| probe.number == number)
         {
-            return;
+            probe.relays_heard = (probe.relays_heard + 1).min(probe.relays);
         }
-        if datagram.digest != self.member_table.digest() {
+    }
+
+    /// Passes on a payload, if its sender is a known member: a reply needs an address.
+    fn on_payload(&mut self, sender: MemberKey, incarnation: Incarnation, datagram: &Datagram) {
+        let is_known = self
+            .member_table
+            .get(sender)
+            .is_some_and(|entry| entry.epoch.incarnation == incarnation);
+        if is_known {
+            self.host
+                .payload_received(sender, incarnation, datagram.topic, &datagram.payload);
+        } else {
+            self.count("parcels of one that is not known", 1);
+        }
+    }
+
+    /// Compares the sender's digest with the own one. Where many updates are queued and a random
+    /// member already agrees, they need no further dissemination: digests find what is missing.
+    /// Suspicions are in no digest and stay queued.
+    fn compare_digest(&mut self, at: ClockReading, sender: MemberKey, digest: u64) {
+        if digest != self.member_table.digest() {
             self.on_digest_mismatch(at, sender);
         } else if self.dissemination_queue.len() > UPDATES_PER_DATAGRAM {
-            // So much news came at once, and one met by chance knows it all: what is left is found
-            // by digests. Suspicion alone stands in no digest.
-            let Membership {
-                dissemination_queue,
-                member_table,
-                ..
-            } = self;
-            dissemination_queue.retain(|key| {
+            let member_table = &self.member_table;
+            self.dissemination_queue.retain(|key| {
                 member_table
                     .get(key)
                     .is_some_and(|entry| entry.liveness() == Liveness::Suspect)
             });
         }
-        // One that is suspected and speaks hears of it at once, whatever it speaks of; to a probe
-        // the answer tells it.
-        let suspicion_about = self
+    }
+
+    /// Tells a suspected sender of the suspicion at once; a probe's acknowledgement does so itself.
+    fn report_suspicion(
+        &mut self,
+        at: ClockReading,
+        sender: MemberKey,
+        incarnation: Incarnation,
+        kind: u32,
+    ) {
+        let suspicion = self
             .suspicion_about(sender)
-            .filter(|updates| updates.incarnation == incarnation.0 && datagram.kind != kind::PING);
-        if let Some(suspicion_about) = suspicion_about {
-            self.send_to(
-                at,
-                sender,
-                kind::GOSSIP,
-                0,
-                MemberKey::NONE,
-                vec![suspicion_about],
-            );
+            .filter(|update| update.incarnation == incarnation.0 && kind != kind::PING);
+        if let Some(suspicion) = suspicion {
+            let updates = vec![suspicion];
+            self.send_to(at, sender, kind::GOSSIP, 0, MemberKey::NONE, updates);
         }
     }
 
@@ -176,7 +197,7 @@
         at: ClockReading,
         to: SocketAddr,
         datagram: &Datagram,
-        back: &mut RangeExchange,
+        reply: &mut RangeExchange,
     ) {
         let target = MemberKey(datagram.target);
         if self.is_mute() || target != self.own_key && target != MemberKey::NONE {
@@ -189,7 +210,7 @@
             .into_iter()
             .collect();
         updates.extend(self.suspicion_about(MemberKey(datagram.from)));
-        back.header_update.retain(|key| *key != self.own_key);
+        reply.header_update.retain(|key| *key != self.own_key);
         let ack = Datagram {
             from: self.own_key.0,
             kind: kind::ACK,
--- a/crates/membership/src/swim/sending.rs
+++ b/crates/membership/src/swim/sending.rs
@@ -81,35 +81,12 @@
             datagram.digest = self.member_table.digest();
         }
         let mut builder = DatagramBuilder::new(datagram);
-        let spreads = matches!(builder.datagram.kind, kind::PING | kind::ACK | kind::GOSSIP);
-        if spreads && !self.is_mute() && self.dissemination_budget.is_open(at.now) {
-            let before = builder.size;
-            let Membership {
-                dissemination_queue,
-                member_table,
-                suspicions,
-                ..
-            } = self;
-            dissemination_queue.take(member_table.counts().present(), |key| {
-                let Some(entry) = member_table.get(key) else {
-                    return true;
-                };
-                // LivenessState alone is enough for most; who lacks the rest asks for it.
-                let details = entry.epoch.started_unix_ms > 0
-                    && entry.liveness_state.liveness == Liveness::Alive;
-                let updates = if details {
-                    entry.full_update(key)
-                } else {
-                    entry.header_update(key)
-                };
-                builder.push_update(MemberUpdate {
-                    suspected_by: suspicions.latest(key).unwrap_or_default().0,
-                    ..updates
-                })
-            });
-            self.dissemination_budget.spend(builder.size - before);
+        let carries_updates =
+            matches!(builder.datagram.kind, kind::PING | kind::ACK | kind::GOSSIP);
+        if carries_updates && !self.is_mute() && self.dissemination_budget.is_open(at.now) {
+            self.add_queued_updates(&mut builder);
         }
-        if spreads && builder.datagram.from != 0 && !messages::LATER {
+        if carries_updates && builder.datagram.from != 0 && !messages::LATER {
             builder.datagram.load_hints = self.load_hints();
         }
         let mut message = builder.datagram.encode_to_vec();
@@ -142,6 +119,35 @@
         frame.len()
     }
 
+    /// Fills a datagram with queued updates. The header of a member that is not alive is enough for
+    /// most recipients; those that lack the details ask for them.
+    fn add_queued_updates(&mut self, builder: &mut DatagramBuilder) {
+        let size_before = builder.size;
+        let Membership {
+            dissemination_queue,
+            member_table,
+            suspicions,
+            ..
+        } = self;
+        dissemination_queue.take(member_table.counts().present(), |key| {
+            let Some(entry) = member_table.get(key) else {
+                return true;
+            };
+            let is_alive =
+                entry.epoch.started_unix_ms > 0 && entry.liveness_state.liveness == Liveness::Alive;
+            let update = if is_alive {
+                entry.full_update(key)
+            } else {
+                entry.header_update(key)
+            };
+            builder.push_update(MemberUpdate {
+                suspected_by: suspicions.latest(key).unwrap_or_default().0,
+                ..update
+            })
+        });
+        self.dissemination_budget.spend(builder.size - size_before);
+    }
+
     /// Encodes this node's load hint and the most recent ones of others.
     fn load_hints(&mut self) -> Vec<u8> {
         let mut load_hints = Vec::with_capacity((LOAD_HINTS_PER_DATAGRAM + 1) * LOAD_HINT_BYTES);
@@ -175,27 +181,12 @@
         wants.sort_unstable();
         wants.dedup();
         let mut updates: Vec<MemberUpdate> = Vec::new();
-        let entries =
-            |keys: &[MemberKey], member_table: &MemberTable, full: bool| -> Vec<MemberUpdate> {
-                let known = keys
-                    .iter()
-                    .filter_map(|key| Some((*key, member_table.get(*key)?)));
-                known
-                    .map(|(key, entry)| {
-                        if full {
-                            entry.full_update(key)
-                        } else {
-                            entry.header_update(key)
-                        }
-                    })
-                    .collect()
-            };
-        updates.extend(entries(
-            &differences.header_update,
-            &self.member_table,
-            false,
-        ));
-        updates.extend(entries(&differences.whole, &self.member_table, true));
+        for key in &differences.header_update {
+            updates.extend(self.member_table.get(*key).map(|e| e.header_update(*key)));
+        }
+        for key in &differences.whole {
+            updates.extend(self.member_table.get(*key).map(|e| e.full_update(*key)));
+        }
         if updates.is_empty() && wants.is_empty() {
             return;
         }
--- a/crates/membership/src/swim/timers.rs
+++ b/crates/membership/src/swim/timers.rs
@@ -26,6 +26,21 @@
     pub(super) expire: Nanos,
 }
 
+impl Timers {
+    /// First times, drawn at random so that nodes that start together do not act together.
+    pub(super) fn start(timing: &Timing, now: Nanos, rng: &mut Pcg64Mcg) -> Timers {
+        let mut soon = |period: Nanos| now + rng.random_range(0..period.max(1));
+        Timers {
+            probe: soon(timing.probe),
+            gossip: soon(timing.gossip),
+            probe_dead: soon(timing.probe_dead),
+            contact_seeds: soon(50 * MILLISECOND),
+            view: now + VIEW_INTERVAL,
+            expire: soon(EXPIRY_INTERVAL),
+        }
+    }
+}
+
 impl<H: Host> Membership<H> {
     /// The time at which [`Membership::wake`] is to be called next.
     pub fn next_wake(&self) -> Nanos {
@@ -62,7 +77,8 @@
     /// itself and against nobody else.
     pub(super) fn detect_pause(&mut self, at: ClockReading) {
         let late = at.now.saturating_sub(self.promised_wake);
-        self.promised_wake = self.next_wake().max(at.now); // what is due from before does not show another sleep
+        // Timers that are overdue from before do not show another pause.
+        self.promised_wake = self.next_wake().max(at.now);
         if late < PAUSE_THRESHOLD {
             return;
         }
