--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -12,8 +12,8 @@
 use madderpoint_identity::{Bundle, Bundles, jwt, x509};
 use madderpoint_rules::ruleset::Why;
 use madderpoint_rules::{Path as Search, RuleSet, Scratch, Verdict, time};
-use madderpoint_settings::asked::Asked;
-use madderpoint_settings::{Known, Rulebook, Translator};
+use madderpoint_settings::sample_request::SampleRequest;
+use madderpoint_settings::{RuleConfig, Settings, ValidationContext};
 use rustls_pki_types::CertificateDer;
 use rustls_pki_types::pem::PemObject;
 use serde_json::{Value, json};
@@ -299,12 +299,12 @@
 }
 
 /// Reads a file; what is wrong with it has been shown if there is nothing.
-fn read(file: &File) -> Result<Option<Translator>, String> {
+fn read(file: &File) -> Result<Option<Settings>, String> {
     let known = match &file.config {
-        Some(config) => Known {
+        Some(config) => ValidationContext {
             ..serve::known(&start(config)?)
         },
-        None => Known::anything(),
+        None => ValidationContext::permissive(),
     };
     if !file.file.is_file() {
         return Err(format!("{}: no such file", file.file.display()));
@@ -318,7 +318,7 @@
     }
 }
 
-fn rulebook(file: &File) -> Result<Option<Rulebook>, String> {
+fn rulebook(file: &File) -> Result<Option<RuleConfig>, String> {
     let Some(translator) = read(file)? else {
         return Ok(None);
     };
@@ -371,7 +371,7 @@
 }
 
 /// A request as JSON.
-fn request(path: &Path) -> Result<Asked, String> {
+fn request(path: &Path) -> Result<SampleRequest, String> {
     let wrong = |what: String| format!("{}: {what}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| wrong(e.to_string()))?;
     let whole: Value = serde_json::from_str(&text).map_err(|e| wrong(e.to_string()))?;
@@ -383,7 +383,7 @@
             .as_str()
             .map_or_else(|| value.to_string(), str::to_owned)
     };
-    let mut asked = Asked::default();
+    let mut asked = SampleRequest::default();
     for (name, value) in fields {
         match name.as_str() {
             "params" => {
@@ -597,7 +597,7 @@
         let (mut most, mut evaluated) = (0, 0);
         let mut scratch = Scratch::new(0);
         for case in &book.cases {
-            let facts = case.asked.facts(&book.rules);
+            let facts = case.request.facts(&book.rules);
             for _ in 0..rounds.max(1) {
                 let began = Instant::now();
                 let decision =
--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -8,8 +8,8 @@
 use madderpoint_membership::wire::DATAGRAM_MAX;
 use madderpoint_membership::{Liveness, Nanos};
 use madderpoint_rules::time;
-use madderpoint_settings::Known;
-use madderpoint_settings::script::{self, Action, Faulty, Script};
+use madderpoint_settings::ValidationContext;
+use madderpoint_settings::scenario::{self, Action, LinkFault, Scenario};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -172,7 +172,7 @@
                 if let Some(file) = &script {
                     let text = std::fs::read_to_string(file)
                         .map_err(|e| format!("{}: {e}", file.display()))?;
-                    return match script::read(&file.display().to_string(), &text) {
+                    return match scenario::read(&file.display().to_string(), &text) {
                         Ok(script) => Ok(play(&script, told.unwrap_or(0), loss, slow)),
                         Err(complaints) => {
                             eprint!("{complaints}");
@@ -247,7 +247,7 @@
 
 impl Asker {
     fn new(settings: &Path, at: SocketAddr) -> Result<Asker, String> {
-        let read = serve::read(settings, &Known::anything())
+        let read = serve::read(settings, &ValidationContext::permissive())
             .map_err(|complaints| complaints.to_string())?;
         let fleet = read
             .fleet
@@ -589,11 +589,11 @@
 }
 
 /// The faults that hold at a moment, by when they end.
-type InForce = Vec<(Faulty, Option<Nanos>)>;
+type InForce = Vec<(LinkFault, Option<Nanos>)>;
 
 /// Has the simulated links follow the faults in force.
 fn relink(sim: &mut Simulation, faults: &InForce) {
-    let meant = |faulty: &Faulty,
+    let meant = |faulty: &LinkFault,
                  from: &simulation::SimulatedNode,
                  to: &simulation::SimulatedNode| {
         let (from_zone, to_zone) = (format!("z{}", from.zone), format!("z{}", to.zone));
@@ -601,12 +601,12 @@
         let back = faulty.from.has(&to.name, &to_zone) && faulty.to.has(&from.name, &from_zone);
         one_way || faulty.both && back
     };
-    let cuts: Vec<Faulty> = faults
+    let cuts: Vec<LinkFault> = faults
         .iter()
         .map(|f| f.0.clone())
         .filter(|f| f.fault.cut || f.fault.hold)
         .collect();
-    let rough: Vec<Faulty> = faults.iter().map(|f| f.0.clone()).collect();
+    let rough: Vec<LinkFault> = faults.iter().map(|f| f.0.clone()).collect();
     sim.cut(move |from, to| cuts.iter().any(|faulty| meant(faulty, from, to)));
     sim.roughen(move |from, to| {
         let here = rough.iter().filter(|faulty| meant(faulty, from, to));
@@ -666,7 +666,7 @@
 type Holds = Box<dyn Fn(&Simulation) -> bool>;
 
 /// Plays a timetable against a simulated fleet; says what held.
-fn play(script: &Script, members: usize, loss: f64, slow: f64) -> bool {
+fn play(script: &Scenario, members: usize, loss: f64, slow: f64) -> bool {
     let members = members.max(script.nodes);
     let mut plan = SimulationConfig {
         members,
--- a/crates/node/src/node/tests/rules.rs
+++ b/crates/node/src/node/tests/rules.rs
@@ -3,7 +3,7 @@
 
 use super::support::*;
 use crate::request_rules::CompiledRuleSet;
-use madderpoint_settings::Known;
+use madderpoint_settings::ValidationContext;
 
 const C: &str = "00000000000000cc";
 const D: &str = "00000000000000dd";
@@ -32,10 +32,10 @@
     let start = madderpoint_deployment_config::decode(settings().as_bytes()).unwrap();
     let effects = start.deployment.operations.iter().map(|o| o.effect);
     let operations = Some(start.operations.iter().cloned().zip(effects).collect());
-    let known = Known {
+    let known = ValidationContext {
         operations,
         tenants: Some(start.tenants.clone()),
-        ..Known::anything()
+        ..ValidationContext::permissive()
     };
     let text = format!("<translator version=\"1\"><rules>{rules}</rules>{fleet}</translator>");
     let read =
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -13,7 +13,9 @@
 use madderpoint_node::supervisor_client::{self, ProgramVersions};
 use madderpoint_node::version_store::Directory;
 use madderpoint_rollout::{Kind as ChangeKind, PersistedState, Version};
-use madderpoint_settings::{self as settings, Complaints, FleetSettings, Known, Place, Translator};
+use madderpoint_settings::{
+    self as settings, Diagnostics, FleetSettings, Location, Settings, ValidationContext,
+};
 use madderpoint_shared_state::keyed_quota::KeyedQuota;
 use madderpoint_shared_state::{Budget, Kind};
 use signal_hook::consts::{SIGHUP, SIGTERM};
@@ -42,27 +44,22 @@
 }
 
 /// The names and effects that a configuration's settings have.
-pub fn known(start: &DeploymentConfig) -> Known {
+pub fn known(start: &DeploymentConfig) -> ValidationContext {
     let effects = start.deployment.operations.iter().map(|o| o.effect);
-    Known {
+    ValidationContext {
         operations: Some(start.operations.iter().cloned().zip(effects).collect()),
         tenants: Some(start.tenants.clone()),
-        ..Known::anything()
+        ..ValidationContext::permissive()
     }
 }
 
 /// Reads a file of our settings.
-pub fn read(path: &Path, known: &Known) -> Result<Translator, Complaints> {
+pub fn read(path: &Path, known: &ValidationContext) -> Result<Settings, Diagnostics> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| {
-        let (field, expected) = (String::new(), "a file of settings".to_owned());
-        let complaint = settings::Complaint {
-            place: Place::Whole,
-            field,
-            what: e.to_string(),
-            expected,
-        };
-        Complaints::new(&name, "", vec![complaint])
+        let unreadable =
+            settings::Diagnostic::new(Location::Whole, "", e.to_string(), "a file of settings");
+        Diagnostics::new(&name, "", vec![unreadable])
     })?;
     settings::read(&name, &text, known)
 }
@@ -86,7 +83,7 @@
 /// How the node takes part in its fleet. What differs by node may be told by the environment.
 fn part(
     file: &Path,
-    read: &Translator,
+    read: &Settings,
     who: &Identity,
     told: impl Fn(&str) -> Option<String>,
 ) -> Result<Option<Box<Part>>, String> {
@@ -165,7 +162,7 @@
 }
 
 /// Limits by key of the whole fleet, as the rules' buckets have them.
-fn key_budgets(read: &Translator) -> Vec<KeyedQuota> {
+fn key_budgets(read: &Settings) -> Vec<KeyedQuota> {
     read.rules
         .iter()
         .flat_map(|rules| &rules.fleet)
@@ -174,7 +171,7 @@
 }
 
 /// The rules of a file; one without rules has an empty set, so that those before it end.
-fn sheet(read: &mut Translator) -> Box<CompiledRuleSet> {
+fn sheet(read: &mut Settings) -> Box<CompiledRuleSet> {
     let secret = read.fleet.as_ref().map_or(0, |fleet| fleet.secret);
     match read.rules.take() {
         Some(mut book) => {
@@ -190,7 +187,7 @@
     }
 }
 
-fn with_room(who: &Identity) -> Known {
+fn with_room(who: &Identity) -> ValidationContext {
     let room = io::room(
         who,
         OptionalSubsystems {
@@ -200,9 +197,9 @@
             rollouts: true,
         },
     );
-    Known {
-        bytes: room.rule_bytes,
-        file_bytes: room.settings_file_bytes,
+    ValidationContext {
+        rule_bytes_max: room.rule_bytes,
+        file_bytes_max: room.settings_file_bytes,
         ..known(&who.start)
     }
 }
@@ -237,12 +234,7 @@
 }
 
 /// What the fleet's part is told of settings that take force now.
-fn reset(
-    read: &Translator,
-    new: &FleetSettings,
-    now: &FleetSettings,
-    keys: AuthKeys,
-) -> Box<Reset> {
+fn reset(read: &Settings, new: &FleetSettings, now: &FleetSettings, keys: AuthKeys) -> Box<Reset> {
     // Limits may change; budgets that come or go, or are of another kind, wait for a restart.
     let same = same_kinds(&new.budgets, &now.budgets);
     let budgets = if same { &new.budgets } else { &now.budgets }.clone();
@@ -259,7 +251,7 @@
 
 /// A new file of settings: all of it is taken or none.
 fn reread(file: &Path, who: &Identity, now: Option<&FleetSettings>, tell: impl Fn(Notice)) {
-    let read = read(file, &with_room(who)).map_err(|what| what.first());
+    let read = read(file, &with_room(who)).map_err(|what| what.summary());
     let read = read.and_then(|read| match &read.fleet {
         Some(fleet) => keys(file, fleet).map(|keys| (Some(keys), read)),
         None => Ok((None, read)),
@@ -286,7 +278,7 @@
 /// file it then is.
 fn versions_dir(
     file: &Path,
-    read: Option<&Translator>,
+    read: Option<&Settings>,
     told: impl Fn(&str) -> Option<String>,
 ) -> Option<PathBuf> {
     let set = || {
@@ -319,9 +311,9 @@
     file: &Path,
     content: &[u8],
     who: &Identity,
-) -> Result<(Translator, AuthKeys), String> {
+) -> Result<(Settings, AuthKeys), String> {
     let text = std::str::from_utf8(content).map_err(|_| "it is no text".to_owned())?;
-    let read = settings::read("settings", text, &with_room(who)).map_err(|what| what.first())?;
+    let read = settings::read("settings", text, &with_room(who)).map_err(|what| what.summary())?;
     let (Some(fleet), Some(_)) = (&read.fleet, &read.rollout) else {
         return Err(
             "it has no <fleet> or no <rollout>: these come and go with a restart only".into(),
@@ -409,7 +401,7 @@
             Ok(_) => {}
             Err(what) => log!(
                 "new settings not taken, those before stay: {}",
-                what.first()
+                what.summary()
             ),
         }
         let fleet = &now.fleet;
@@ -428,7 +420,7 @@
 
 /// What a node with settings of ours starts with.
 struct Started {
-    read: Translator,
+    read: Settings,
     /// Versions are kept: what is in force, and the node's part in changes.
     changing: Option<(Arc<Mutex<InForce>>, Changing)>,
 }
@@ -470,7 +462,7 @@
             ))
         }
         Err(what) => {
-            log!("{}; the node starts on what was in force", what.first());
+            log!("{}; the node starts on what was in force", what.summary());
             None
         }
     };
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -2,7 +2,9 @@
 //! each must settle within its bounds, and nothing of the load may be lost, late or doubled.
 
 use madderpoint_test_harness::rig::{Outcome, Rig, Setting};
-use madderpoint_test_harness::script::{self, Action, Ends, Fault, Faulty, Script, Step};
+use madderpoint_test_harness::scenario::{
+    self, Action, Fault, LinkFault, NodeSelector, Scenario, Step,
+};
 use std::path::Path;
 use std::time::Duration;
 
@@ -15,13 +17,13 @@
     }
 }
 
-fn read(name: &str) -> Script {
+fn read(name: &str) -> Scenario {
     let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/rig")).join(name);
     let text = std::fs::read_to_string(&path).unwrap();
-    script::read(name, &text).unwrap_or_else(|complaints| panic!("{complaints}"))
+    scenario::read(name, &text).unwrap_or_else(|complaints| panic!("{complaints}"))
 }
 
-fn play(script: &Script) -> Outcome {
+fn play(script: &Scenario) -> Outcome {
     Rig::start(script.clone(), setting()).unwrap().play()
 }
 
@@ -80,7 +82,7 @@
         most <= 110 && all > 500,
         "{all} calls, {most} in the busiest second"
     );
-    let without = Script {
+    let without = Scenario {
         calls_a_second: 0,
         time: Duration::from_secs(4),
         steps: Vec::new(),
@@ -122,13 +124,13 @@
         let fault = |kind: u64, at: Duration| {
             let node = format!("n{}", (seed + kind) % 4);
             let link = |fault| {
-                let (from, to) = (Ends::Node(node.clone()), Ends::All);
-                let faulty = Faulty {
+                let (from, to) = (NodeSelector::Node(node.clone()), NodeSelector::All);
+                let faulty = LinkFault {
                     from,
                     to,
                     both: true,
                     fault,
-                    ..Faulty::default()
+                    ..LinkFault::default()
                 };
                 Action::Link {
                     faulty,
@@ -191,7 +193,7 @@
             ("gossip", "50ms"),
             ("regain", "200ms"),
         ];
-        let script = Script {
+        let script = Scenario {
             name: "a pair of faults".into(),
             seed,
             nodes: 4,
@@ -200,7 +202,7 @@
             time: ms(7000),
             periods: periods.map(|(n, v)| (n.to_owned(), v.to_owned())).into(),
             steps,
-            ..Script::default()
+            ..Scenario::default()
         };
         play(&script).expect_good(&script);
     }
--- a/crates/node/tests/rollout.rs
+++ b/crates/node/tests/rollout.rs
@@ -3,7 +3,9 @@
 //! the joined record of all nodes is what the rules of a change allow.
 
 use madderpoint_test_harness::rig::{Outcome, Rig, Setting};
-use madderpoint_test_harness::script::{self, Action, Ends, Fault, Faulty, Script, Step};
+use madderpoint_test_harness::scenario::{
+    self, Action, Fault, LinkFault, NodeSelector, Scenario, Step,
+};
 use std::path::Path;
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -38,7 +40,7 @@
     target.join("debug").join("madderpoint")
 }
 
-fn play(script: &Script) -> Outcome {
+fn play(script: &Scenario) -> Outcome {
     later();
     let setting = Setting {
         exe: EXE.into(),
@@ -49,10 +51,10 @@
     Rig::start(script.clone(), setting).unwrap().play()
 }
 
-fn read(name: &str) -> Script {
+fn read(name: &str) -> Scenario {
     let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/rig")).join(name);
     let text = std::fs::read_to_string(&path).unwrap();
-    script::read(name, &text).unwrap_or_else(|complaints| panic!("{complaints}"))
+    scenario::read(name, &text).unwrap_or_else(|complaints| panic!("{complaints}"))
 }
 
 fn holds(name: &str) -> Outcome {
@@ -136,8 +138,8 @@
             let fault = |kind: u64, at: Duration| {
                 let node = format!("n{}", (seed + kind) % 5);
                 let link = |both, fault| {
-                    let (from, to) = (Ends::Node(node.clone()), Ends::All);
-                    let faulty = Faulty { from, to, both, fault, ..Faulty::default() };
+                    let (from, to) = (NodeSelector::Node(node.clone()), NodeSelector::All);
+                    let faulty = LinkFault { from, to, both, fault, ..LinkFault::default() };
                     Action::Link { faulty, time: Some(ms(5000)) }
                 };
                 let action = match kind {
@@ -167,7 +169,7 @@
             let periods = [("probe", "200ms"), ("answer", "80ms"), ("gossip", "50ms"), ("regain", "200ms")];
             let stages = r#"<rollout of-zone="0.7"><stage share="one" least="1s" sample="40" spread="0s"/>
                 <stage share="1" least="1s" sample="60" spread="1s"/></rollout>"#;
-            let script = Script {
+            let script = Scenario {
                 name: "a change and a pair of faults".into(),
                 seed,
                 nodes: 5,
@@ -178,7 +180,7 @@
                 time: ms(80_000),
                 periods: periods.map(|(n, v)| (n.to_owned(), v.to_owned())).into(),
                 steps,
-                ..Script::default()
+                ..Scenario::default()
             };
             std::thread::spawn(move || {
                 let outcome = play(&script);
--- a/crates/node/tests/shared.rs
+++ b/crates/node/tests/shared.rs
@@ -2,8 +2,8 @@
 //! them. The record of the service below, and of what ran by key, over all nodes, is the judge.
 
 use madderpoint_test_harness::rig::{Outcome, Rig, Setting};
-use madderpoint_test_harness::script::{
-    self, Action, Below, Ends, Fault, Faulty, Keys, Script, Step,
+use madderpoint_test_harness::scenario::{
+    self, Action, BackendModel, Fault, KeyedLimit, LinkFault, NodeSelector, Scenario, Step,
 };
 use std::path::Path;
 use std::process::Command;
@@ -20,14 +20,14 @@
     }
 }
 
-fn play(script: &Script) -> Outcome {
+fn play(script: &Scenario) -> Outcome {
     Rig::start(script.clone(), setting()).unwrap().play()
 }
 
-fn holds(name: &str) -> (Script, Outcome) {
+fn holds(name: &str) -> (Scenario, Outcome) {
     let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/rig")).join(name);
     let text = std::fs::read_to_string(&path).unwrap();
-    let script = script::read(name, &text).unwrap_or_else(|complaints| panic!("{complaints}"));
+    let script = scenario::read(name, &text).unwrap_or_else(|complaints| panic!("{complaints}"));
     let outcome = play(&script);
     outcome.expect_good(&script);
     (script, outcome)
@@ -87,14 +87,14 @@
 /// The judge sees what it is for: with no limit set the same load is over it, and the service dies.
 #[test]
 fn without_the_limits_the_records_show_it() {
-    let below = Below {
+    let below = BackendModel {
         work: ms(60),
         survives: 8,
         down: ms(500),
         warm: ms(500),
-        ..Below::default()
+        ..BackendModel::default()
     };
-    let script = Script {
+    let script = Scenario {
         name: "no limits".into(),
         seed: 3,
         nodes: 3,
@@ -103,7 +103,7 @@
         callers: 8,
         time: ms(4000),
         below,
-        ..Script::default()
+        ..Scenario::default()
     };
     let outcome = play(&script);
     assert!(
@@ -124,13 +124,13 @@
     for seed in [3u64, 8] {
         let fault = |kind: u64, at: Duration| {
             let node = format!("n{}", (seed + kind) % 5);
-            let link = |from: Ends, to: Ends, both, fault| {
-                let faulty = Faulty {
+            let link = |from: NodeSelector, to: NodeSelector, both, fault| {
+                let faulty = LinkFault {
                     from,
                     to,
                     both,
                     fault,
-                    ..Faulty::default()
+                    ..LinkFault::default()
                 };
                 Action::Link {
                     faulty,
@@ -147,14 +147,14 @@
                     time: ms(3000),
                 },
                 1 => link(
-                    Ends::Zone("z0".into()),
-                    Ends::NotZone("z0".into()),
+                    NodeSelector::Zone("z0".into()),
+                    NodeSelector::NotZone("z0".into()),
                     true,
                     cut,
                 ),
                 2 => link(
-                    Ends::Zone("z0".into()),
-                    Ends::NotZone("z0".into()),
+                    NodeSelector::Zone("z0".into()),
+                    NodeSelector::NotZone("z0".into()),
                     false,
                     cut,
                 ),
@@ -165,7 +165,7 @@
                         reorder: 0.3,
                         ..Fault::default()
                     };
-                    link(Ends::All, Ends::All, false, fault)
+                    link(NodeSelector::All, NodeSelector::All, false, fault)
                 }
                 _ => Action::Kill(node.clone()),
             };
@@ -204,7 +204,7 @@
             ("gossip", "50ms"),
             ("regain", "200ms"),
         ];
-        let script = Script {
+        let script = Scenario {
             name: "a pair of faults".into(),
             seed,
             nodes: 5,
@@ -215,13 +215,13 @@
             calls_in_hand: 12,
             repeats_a_second: 10,
             floor: 1,
-            below: Below {
+            below: BackendModel {
                 work: ms(30),
                 survives: 14,
                 judged: true,
-                ..Below::default()
+                ..BackendModel::default()
             },
-            keys: Keys {
+            keys: KeyedLimit {
                 count: 3,
                 a_second: 30,
                 burst: 60,
@@ -231,7 +231,7 @@
             time: ms(15_000),
             periods: periods.map(|(n, v)| (n.to_owned(), v.to_owned())).into(),
             steps,
-            ..Script::default()
+            ..Scenario::default()
         };
         play(&script).expect_good(&script);
     }
--- a/crates/settings/examples/sheets.rs
+++ b/crates/settings/examples/rule_files.rs
@@ -1,9 +1,9 @@
 //! Writes files of rules to be measured with `madderpoint rules bench`:
 //!
-//!     cargo run --release -p madderpoint-settings --example sheets -- many 10000 100000 > many.xml
-//!     cargo run --release -p madderpoint-settings --example sheets -- worst > worst.xml
+//!     cargo run --release -p madderpoint-settings --example rule_files -- many 10000 100000 > many.xml
+//!     cargo run --release -p madderpoint-settings --example rule_files -- worst > worst.xml
 //!
-//! `many` has so many rules and addresses; the request of its case matches the last rule. `worst`
+//! `many` has this many rules and addresses; the request of its case matches the last rule. `worst`
 //! has expressions whose worst case lies just below the limit, each of another kind, and requests
 //! that come as near to it as they can.
 
@@ -56,7 +56,7 @@
     text
 }
 
-/// Expressions over parameters W, of so many bytes, and what W holds.
+/// Expressions over a parameter W: the expression's name, the most bytes of W, the expression, W's value.
 fn worst() -> String {
     let kinds: [(&str, usize, &str, String); 6] = [
         (
@@ -126,7 +126,7 @@
         }
         (Some("worst"), _) => print!("{}", worst()),
         _ => {
-            eprintln!("sheets many RULES [ADDRESSES] | sheets worst");
+            eprintln!("rule_files many RULES [ADDRESSES] | rule_files worst");
             std::process::exit(2);
         }
     }
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,85 +1,79 @@
-//! The element `<fleet>`: how a node takes part in its fleet.
+//! The element `<fleet>`: how a node takes part in its cluster.
 
+use crate::Diagnostic;
+use crate::diagnostics::Collector;
 use crate::xml::{Element, Text};
-use crate::{Complaint, Place};
 use madderpoint_membership::{Nanos, Timing};
 use madderpoint_rules::time;
 use madderpoint_shared_state::{Budget, Kind};
 use std::net::SocketAddr;
 
-/// The most seeds that are of use.
+/// The most seeds.
 const SEEDS_MAX: usize = 64;
-/// Arbiters and budgets that make sense.
+/// The most voters.
 const ARBITERS_MAX: usize = 9;
+/// The most budgets.
 const BUDGETS_MAX: usize = 8;
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1000 * MILLISECOND;
+const DAY: Nanos = 24 * 3600 * SECOND;
 
-/// What the file says of the fleet. What differs by node (zone, addresses) may be told by the
+/// The settings of the cluster. What differs by node (zone, addresses) may come from the
 /// environment instead.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
-    /// The fleet's name.
+    /// The cluster's name.
     pub name: String,
-    /// The file of its keys.
+    /// The file with the keys of datagram authentication.
     pub keys: String,
     /// The node's zone.
     pub zone: Option<String>,
-    /// Where the node listens, and where others reach it.
+    /// Where the node listens.
     pub bind: Option<SocketAddr>,
-    /// The same, seen from others.
+    /// Where others reach it.
     pub advertise: Option<SocketAddr>,
-    /// What the program is called to others, beside its version.
+    /// The program's name, which others see beside its version.
     pub program: Option<String>,
-    /// Where somebody may be found.
+    /// Addresses of members by which a node joins.
     pub seeds: Vec<SocketAddr>,
-    /// How often things are done.
+    /// Periods and timeouts of the membership protocol.
     pub periods: Timing,
-    /// Names of those who decide who lends.
+    /// Names of the voters, who decide on the leader.
     pub arbiters: Vec<String>,
-    /// Limits on the calls below of all nodes together.
+    /// Limits on the backend calls of all nodes together.
     pub budgets: Vec<Budget>,
-    /// What keys are numbered by, alike on all nodes.
+    /// The secret from which keys are numbered, the same on all nodes.
     pub secret: u64,
-    /// The service below that nodes judge together, if they do.
+    /// The backend service whose health nodes judge together, if they do.
     pub service: Option<JudgedService>,
 }
 
-/// A service below that nodes judge together.
+/// A backend service whose health nodes judge together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JudgedService {
     /// Its name, the same on all nodes.
     pub name: String,
-    /// A call that takes longer counts as one that failed.
+    /// A call that takes longer counts as failed; in nanoseconds.
     pub slow: Option<Nanos>,
 }
 
-/// Tells two texts of settings apart; part of what a node says of itself.
+/// A hash by which two texts of settings are distinguished; a node publishes it.
 pub fn fingerprint(text: &str) -> u64 {
     madderpoint_membership::MemberKey::of(text).0
 }
 
-struct Reading {
-    complaints: Vec<Complaint>,
+/// Reads the parts of the element, and collects what is wrong with them.
+struct Reader {
+    collector: Collector,
 }
 
-impl Reading {
-    fn wrong(&mut self, text: &Text, field: &str, what: String, expected: &str) {
-        let place = Place::Span(text.place(0), text.value.len().max(1));
-        let field = format!("fleet/{field}");
-        self.complaints.push(Complaint {
-            place,
-            field,
-            what,
-            expected: expected.to_owned(),
-        });
-    }
-
+impl Reader {
+    /// An address to which datagrams can be sent.
     fn address(&mut self, text: &Text, field: &str) -> Option<SocketAddr> {
         let address: Option<SocketAddr> = text.value.parse().ok();
         let address = address.filter(|a| a.port() > 0 && !a.ip().is_multicast());
         if address.is_none() {
-            self.wrong(
+            self.collector.report(
                 text,
                 field,
                 format!("{:?} is no address", text.value),
@@ -89,7 +83,7 @@
         address
     }
 
-    /// A time between two bounds.
+    /// A duration between two bounds, in nanoseconds; `into` stays as it is if none is given.
     fn time(&mut self, of: &Element, name: &str, into: &mut Nanos, least: Nanos, most: Nanos) {
         let Some(text) = of.get(name) else { return };
         let time = time::span(&text.value).and_then(|time| Nanos::try_from(time).ok());
@@ -97,7 +91,7 @@
             Some(time) => *into = time,
             None => {
                 let expected = format!("{} to {} ms", least / MILLISECOND, most / MILLISECOND);
-                self.wrong(
+                self.collector.report(
                     text,
                     &format!("{}/@{name}", of.name),
                     format!("{:?} is out of range", text.value),
@@ -107,7 +101,7 @@
         }
     }
 
-    /// A limit on calls below.
+    /// A limit on backend calls.
     fn budget(&mut self, element: &Element) -> Option<Budget> {
         let text = |name: &str| element.get(name);
         let number = |name: &str| text(name).and_then(|text| text.value.parse::<u32>().ok());
@@ -126,10 +120,10 @@
             (Some(limit), None) => (limit, Kind::Rate { burst }),
             (None, Some(limit)) => (limit, Kind::InHand { longest }),
             _ => {
-                self.wrong(
+                self.collector.report(
                     name,
                     &field,
-                    "no limit, or two".into(),
+                    "no limit, or two",
                     "one of a-second and in-hand",
                 );
                 return None;
@@ -145,13 +139,19 @@
             kind,
             repeats_only,
         };
-        if let Err(what) = budget.check() {
-            self.wrong(name, &field, what, "floors that the limit has room for");
+        if let Err(error) = budget.check() {
+            self.collector.report(
+                name,
+                &field,
+                error.to_string(),
+                "floors that the limit has room for",
+            );
             return None;
         }
         Some(budget)
     }
 
+    /// A factor from `least` to 100; `into` stays as it is if none is given.
     fn factor(&mut self, of: &Element, name: &str, into: &mut f64, least: f64) {
         let Some(text) = of.get(name) else { return };
         match text
@@ -163,93 +163,91 @@
             Some(factor) => *into = factor,
             None => {
                 let what = format!("{:?} is out of range", text.value);
-                self.wrong(
+                self.collector.report(
                     text,
                     &format!("periods/@{name}"),
                     what,
-                    &format!("{least} to 100"),
+                    format!("{least} to 100"),
                 );
             }
         }
     }
-}
 
-impl FleetSettings {
-    /// Reads the element, which fits the schema; gives all that is wrong with what it means.
-    pub fn read(element: &Element) -> Result<FleetSettings, Vec<Complaint>> {
-        let mut reading = Reading {
-            complaints: Vec::new(),
-        };
-        let text = |name: &str| element.get(name).map(|text| text.value.clone());
-        let mut seeds = Vec::new();
-        for seed in element.all("seed") {
-            if let Some(address) = seed
-                .get("address")
-                .and_then(|text| reading.address(text, "seed/@address"))
-            {
-                seeds.push(address);
-            }
-        }
-        if seeds.len() > SEEDS_MAX
-            && let Some(text) = element
-                .all("seed")
-                .nth(SEEDS_MAX)
-                .and_then(|seed| seed.get("address"))
-        {
-            reading.wrong(text, "seed", format!("{} seeds", seeds.len()), "64 at most");
-        }
-        let budgets: Vec<Budget> = element
-            .all("calls-budget")
-            .filter_map(|b| reading.budget(b))
+    /// Addresses of members by which a node joins.
+    fn seeds(&mut self, element: &Element) -> Vec<SocketAddr> {
+        let seeds: Vec<SocketAddr> = element
+            .all("seed")
+            .filter_map(|seed| {
+                seed.get("address")
+                    .and_then(|text| self.address(text, "seed/@address"))
+            })
             .collect();
-        let named: Vec<&Text> = element
+        let excess = element
+            .all("seed")
+            .nth(SEEDS_MAX)
+            .and_then(|seed| seed.get("address"));
+        if let (true, Some(text)) = (seeds.len() > SEEDS_MAX, excess) {
+            let found = format!("{} seeds", seeds.len());
+            self.collector.report(text, "seed", found, "64 at most");
+        }
+        seeds
+    }
+
+    /// Names of the voters, each once.
+    fn arbiters(&mut self, element: &Element) -> Vec<String> {
+        let names: Vec<&Text> = element
             .all("arbiter")
             .filter_map(|arbiter| arbiter.get("name"))
             .collect();
-        let arbiters: Vec<String> = named.iter().map(|text| text.value.clone()).collect();
-        let twice = named
+        let arbiters: Vec<String> = names.iter().map(|text| text.value.clone()).collect();
+        let duplicate = names
             .iter()
             .enumerate()
-            .find(|(n, text)| arbiters[..*n].contains(&text.value));
-        if let Some((_, text)) = twice {
-            reading.wrong(
-                text,
-                "arbiter/@name",
-                format!("a second arbiter '{}'", text.value),
-                "each name once",
-            );
+            .find(|(index, text)| arbiters[..*index].contains(&text.value));
+        if let Some((_, text)) = duplicate {
+            let found = format!("a second arbiter '{}'", text.value);
+            self.collector
+                .report(text, "arbiter/@name", found, "each name once");
         }
-        let (mut ids, mut twice) = (Vec::new(), None);
-        for budget in &budgets {
+        arbiters
+    }
+
+    /// Each budget has a number of its own.
+    fn check_duplicate_budgets(&mut self, element: &Element, budgets: &[Budget]) {
+        let (mut ids, mut duplicate) = (Vec::new(), None);
+        for budget in budgets {
             if ids.contains(&budget.id()) {
-                twice = element
+                duplicate = element
                     .all("calls-budget")
-                    .filter_map(|b| b.get("name"))
-                    .find(|n| n.value == budget.name);
+                    .filter_map(|element| element.get("name"))
+                    .find(|name| name.value == budget.name);
             }
             ids.push(budget.id());
         }
-        if let Some(text) = twice {
-            let what = format!("a second budget '{}'", text.value);
-            reading.wrong(
+        if let Some(text) = duplicate {
+            let found = format!("a second budget '{}'", text.value);
+            self.collector.report(
                 text,
                 "calls-budget",
-                what,
+                found,
                 "each name once for a rate, and once for a number in hand",
             );
         }
+    }
+
+    /// Budgets need an odd number of voters, and are bounded in number.
+    fn check_counts(&mut self, element: &Element, arbiters: usize) {
         let first = element
             .one("calls-budget")
             .or(element.one("arbiter"))
             .and_then(|first| first.get("name"));
         if let Some(text) = first
-            && (arbiters.len().is_multiple_of(2) || arbiters.len() > ARBITERS_MAX)
+            && (arbiters.is_multiple_of(2) || arbiters > ARBITERS_MAX)
         {
-            let what = format!("{} arbiters", arbiters.len());
-            reading.wrong(
+            self.collector.report(
                 text,
                 "arbiter",
-                what,
+                format!("{arbiters} arbiters"),
                 "an odd number up to 9, three or five, where there are budgets",
             );
         }
@@ -258,95 +256,106 @@
             .nth(BUDGETS_MAX)
             .and_then(|budget| budget.get("name"))
         {
-            reading.wrong(text, "calls-budget", "too many".into(), "8 at most");
+            self.collector
+                .report(text, "calls-budget", "too many", "8 at most");
         }
+    }
+
+    /// Periods of the membership protocol.
+    fn periods(&mut self, element: &Element) -> Timing {
         let mut periods = Timing::default();
-        if let Some(of) = element.one("periods") {
-            reading.time(
-                of,
-                "probe",
-                &mut periods.probe,
-                50 * MILLISECOND,
-                60 * SECOND,
-            );
-            reading.time(
-                of,
-                "answer",
-                &mut periods.answer,
-                10 * MILLISECOND,
-                30 * SECOND,
-            );
-            reading.time(
-                of,
-                "gossip",
-                &mut periods.gossip,
-                20 * MILLISECOND,
-                10 * SECOND,
-            );
-            reading.time(
-                of,
+        let Some(of) = element.one("periods") else {
+            return periods;
+        };
+        for (name, period, least, most) in [
+            ("probe", &mut periods.probe, 50 * MILLISECOND, 60 * SECOND),
+            ("answer", &mut periods.answer, 10 * MILLISECOND, 30 * SECOND),
+            ("gossip", &mut periods.gossip, 20 * MILLISECOND, 10 * SECOND),
+            (
                 "regain",
                 &mut periods.regain,
                 50 * MILLISECOND,
                 600 * SECOND,
+            ),
+            ("remember", &mut periods.remember, 60 * SECOND, 7 * DAY),
+            ("skew", &mut periods.skew, SECOND, DAY),
+        ] {
+            self.time(of, name, period, least, most);
+        }
+        self.factor(of, "suspicion", &mut periods.suspicion, 0.5);
+        self.factor(of, "suspicion-most", &mut periods.suspicion_most, 1.0);
+        if let Some(text) = of.get("answer").or(of.get("probe"))
+            && periods.answer >= periods.probe
+        {
+            self.collector.report(
+                text,
+                "periods/@answer",
+                "an answer has as long as the period between two probes",
+                "less than probe, so that others can still be asked",
             );
-            reading.time(
-                of,
-                "remember",
-                &mut periods.remember,
-                60 * SECOND,
-                7 * 24 * 3600 * SECOND,
-            );
-            reading.time(of, "skew", &mut periods.skew, SECOND, 24 * 3600 * SECOND);
-            reading.factor(of, "suspicion", &mut periods.suspicion, 0.5);
-            reading.factor(of, "suspicion-most", &mut periods.suspicion_most, 1.0);
-            if let Some(text) = of.get("answer").or(of.get("probe"))
-                && periods.answer >= periods.probe
-            {
-                let what = "an answer has as long as the period between two probes".to_owned();
-                reading.wrong(
-                    text,
-                    "periods/@answer",
-                    what,
-                    "less than probe, so that others can still be asked",
-                );
-            }
         }
-        let service = element.one("service").map(|of| {
-            let name = of
-                .get("name")
-                .map(|name| name.value.clone())
-                .unwrap_or_default();
-            let mut slow = 0;
-            reading.time(of, "slow", &mut slow, MILLISECOND, 600 * SECOND);
-            JudgedService {
-                name,
-                slow: Some(slow).filter(|slow| *slow > 0),
-            }
-        });
-        let mut place = |name: &str| {
+        periods
+    }
+
+    /// The downstream service whose health nodes judge together.
+    fn service(&mut self, element: &Element) -> Option<JudgedService> {
+        let of = element.one("service")?;
+        let name = of
+            .get("name")
+            .map(|name| name.value.clone())
+            .unwrap_or_default();
+        let mut slow = 0;
+        self.time(of, "slow", &mut slow, MILLISECOND, 600 * SECOND);
+        Some(JudgedService {
+            name,
+            slow: Some(slow).filter(|slow| *slow > 0),
+        })
+    }
+}
+
+impl FleetSettings {
+    /// Reads the element, which fits the schema.
+    ///
+    /// # Errors
+    ///
+    /// All that is wrong with what it means, in the order in which it was found.
+    pub fn read(element: &Element) -> Result<FleetSettings, Vec<Diagnostic>> {
+        let mut reader = Reader {
+            collector: Collector::new("fleet/"),
+        };
+        let text = |name: &str| element.get(name).map(|text| text.value.clone());
+        let seeds = reader.seeds(element);
+        let budgets: Vec<Budget> = element
+            .all("calls-budget")
+            .filter_map(|budget| reader.budget(budget))
+            .collect();
+        let arbiters = reader.arbiters(element);
+        reader.check_duplicate_budgets(element, &budgets);
+        reader.check_counts(element, arbiters.len());
+        let periods = reader.periods(element);
+        let service = reader.service(element);
+        let mut address = |name: &str| {
             element
                 .get(name)
-                .and_then(|text| reading.address(text, &format!("@{name}")))
+                .and_then(|text| reader.address(text, &format!("@{name}")))
         };
-        let (bind, advertise) = (place("bind"), place("advertise"));
-        if reading.complaints.is_empty() {
-            Ok(FleetSettings {
-                name: text("name").unwrap_or_default(),
-                keys: text("keys").unwrap_or_default(),
-                zone: text("zone"),
-                bind,
-                advertise,
-                program: text("program"),
-                seeds,
-                periods,
-                arbiters,
-                budgets,
-                secret: fingerprint(&text("salt").or(text("name")).unwrap_or_default()),
-                service,
-            })
-        } else {
-            Err(reading.complaints)
+        let (bind, advertise) = (address("bind"), address("advertise"));
+        if !reader.collector.diagnostics.is_empty() {
+            return Err(reader.collector.diagnostics);
         }
+        Ok(FleetSettings {
+            name: text("name").unwrap_or_default(),
+            keys: text("keys").unwrap_or_default(),
+            zone: text("zone"),
+            bind,
+            advertise,
+            program: text("program"),
+            seeds,
+            periods,
+            arbiters,
+            budgets,
+            secret: fingerprint(&text("salt").or(text("name")).unwrap_or_default()),
+            service,
+        })
     }
 }
--- a/crates/settings/src/rollout.rs
+++ b/crates/settings/src/rollout.rs
@@ -1,19 +1,22 @@
-//! The element `<rollout>`: how changes of settings and of the program go out.
+//! The element `<rollout>`: how new settings and programs go out in stages.
 
-use crate::xml::{Element, Text};
-use crate::{Complaint, Place};
+use crate::diagnostics::Collector;
+use crate::xml::Element;
+use crate::{Diagnostic, Location};
 use madderpoint_rollout::Nanos;
 use madderpoint_rollout::stages::{LEAST_MIN, LONGEST_MAX, Plan, Stage};
 use madderpoint_rules::time;
 
+/// In nanoseconds.
 const MILLISECOND: Nanos = 1_000_000;
 
-/// What the file says of changes.
+/// The settings of rollouts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutSettings {
-    /// Where the node keeps what it started on, has on trial and can go back to.
+    /// The directory of the node's persisted state: versions that it started on, has on trial and
+    /// can go back to.
     pub dir: String,
-    /// How a change that is offered at this node goes out.
+    /// How a rollout that is offered at this node goes out.
     pub plan: Plan,
 }
 
@@ -26,33 +29,26 @@
     Some((share * 1000.0).round() as u32)
 }
 
-struct Reading {
-    complaints: Vec<Complaint>,
+/// Reads the parts of the element, and collects what is wrong with them.
+struct Reader {
+    collector: Collector,
 }
 
-impl Reading {
-    fn wrong(&mut self, text: &Text, field: &str, what: String, expected: &str) {
-        let place = Place::Span(text.place(0), text.value.len().max(1));
-        let field = format!("rollout/{field}");
-        self.complaints.push(Complaint {
-            place,
-            field,
-            what,
-            expected: expected.to_owned(),
-        });
-    }
-
+impl Reader {
+    /// A share, in thousandths; `into` stays as it is if none is given.
     fn share(&mut self, of: &Element, name: &str, into: &mut u32) {
         let Some(text) = of.get(name) else { return };
         match thousandths(&text.value) {
             Some(share) => *into = share,
             None => {
                 let what = format!("{:?} is out of range", text.value);
-                self.wrong(text, &format!("@{name}"), what, "0.001 to 1");
+                self.collector
+                    .report(text, &format!("@{name}"), what, "0.001 to 1");
             }
         }
     }
 
+    /// A duration of a stage, in nanoseconds; `into` stays as it is if none is given.
     fn time(&mut self, of: &Element, name: &str, into: &mut Nanos, least: Nanos) {
         let Some(text) = of.get(name) else { return };
         let time = time::span(&text.value).and_then(|time| Nanos::try_from(time).ok());
@@ -60,7 +56,7 @@
             Some(time) => *into = time,
             None => {
                 let expected = format!("{} ms to 7 days", least / MILLISECOND);
-                self.wrong(
+                self.collector.report(
                     text,
                     &format!("stage/@{name}"),
                     format!("{:?} is out of range", text.value),
@@ -70,6 +66,7 @@
         }
     }
 
+    /// A stage; what it does not set is as in `usual`.
     fn stage(&mut self, element: &Element, usual: &Stage) -> Option<Stage> {
         let text = element.get("share")?;
         let share = if text.value == "one" {
@@ -78,7 +75,7 @@
             thousandths(&text.value)
         };
         if share.is_none() {
-            self.wrong(
+            self.collector.report(
                 text,
                 "stage/@share",
                 format!("{:?} is out of range", text.value),
@@ -103,40 +100,42 @@
 }
 
 impl RolloutSettings {
-    /// Reads the element, which fits the schema; gives all that is wrong with what it means.
-    pub fn read(element: &Element) -> Result<RolloutSettings, Vec<Complaint>> {
-        let mut reading = Reading {
-            complaints: Vec::new(),
+    /// Reads the element, which fits the schema.
+    ///
+    /// # Errors
+    ///
+    /// All that is wrong with what it means.
+    pub fn read(element: &Element) -> Result<RolloutSettings, Vec<Diagnostic>> {
+        let mut reader = Reader {
+            collector: Collector::new("rollout/"),
         };
         let mut plan = Plan::default();
         let usual = plan.stages[1];
-        reading.share(element, "of-zone", &mut plan.of_zone);
-        reading.share(element, "margin", &mut plan.margin);
+        reader.share(element, "of-zone", &mut plan.of_zone);
+        reader.share(element, "margin", &mut plan.margin);
         let stages: Vec<Stage> = element
             .all("stage")
-            .filter_map(|stage| reading.stage(stage, &usual))
+            .filter_map(|stage| reader.stage(stage, &usual))
             .collect();
         if element.one("stage").is_some() {
             plan.stages = stages;
         }
-        if let (true, Err(what)) = (reading.complaints.is_empty(), plan.check()) {
-            let place = Place::At(element.at);
-            let expected = "stages that grow from one to the next up to the whole fleet".to_owned();
-            reading.complaints.push(Complaint {
-                place,
-                field: "rollout".into(),
-                what,
-                expected,
-            });
+        if let (true, Err(what)) = (reader.collector.diagnostics.is_empty(), plan.check()) {
+            reader.collector.diagnostics.push(Diagnostic::new(
+                Location::At(element.at),
+                "rollout",
+                what.to_string(),
+                "stages that grow from one to the next up to the whole fleet",
+            ));
         }
         let dir = element
             .get("dir")
             .map(|text| text.value.clone())
             .unwrap_or_default();
-        if reading.complaints.is_empty() {
+        if reader.collector.diagnostics.is_empty() {
             Ok(RolloutSettings { dir, plan })
         } else {
-            Err(reading.complaints)
+            Err(reader.collector.diagnostics)
         }
     }
 }
--- /dev/null
+++ b/crates/settings/src/rule_config/values.rs
@@ -0,0 +1,26 @@
+//! Values of attributes: texts, sizes and durations.
+
+use crate::xml::Element;
+use madderpoint::Nanos;
+use madderpoint_rules::time;
+
+/// An attribute that the schema requires, or an empty text.
+pub(super) fn text<'e>(element: &'e Element, name: &str) -> &'e str {
+    element.get(name).map_or("", |t| t.value.as_str())
+}
+
+/// A size such as `64KiB`, in bytes.
+pub(super) fn size(text: &str) -> Option<usize> {
+    let units = [("KiB", 1 << 10), ("MiB", 1 << 20), ("B", 1)];
+    units.iter().find_map(|(unit, factor)| {
+        text.strip_suffix(unit)?
+            .parse::<usize>()
+            .ok()?
+            .checked_mul(*factor)
+    })
+}
+
+/// A duration such as `250ms`, in nanoseconds.
+pub(super) fn duration(text: &str) -> Option<Nanos> {
+    Nanos::try_from(time::span(text)?).ok()
+}
--- a/crates/settings/src/script/tests.rs
+++ b/crates/settings/src/scenario/tests.rs
@@ -1,32 +1,35 @@
 use super::*;
 
 #[test]
-fn a_timetable_is_read_in_the_order_of_its_times() {
+fn steps_are_read_in_the_order_of_their_times() {
     let text = r#"<script name="x" seed="3" nodes="4" zones="2" load="9" time="5s">
             <periods probe="200ms"/>
             <step><settled at="3s" within="1s"/></step>
             <step><link at="1s" for="2s" from="zone:z0" to="not-zone:z0" both="yes" cut="yes"/></step>
             <step><link at="1s" on="kernel" from="n1" loss="0.25" delay="20ms"/></step>
         </script>"#;
-    let script = read("t.xml", text).unwrap();
-    assert_eq!((script.nodes, script.zones, script.steps.len()), (4, 2, 3));
-    let Action::Link { faulty, time } = &script.steps[0].action else {
-        panic!("{script:?}")
+    let scenario = read("t.xml", text).unwrap();
+    assert_eq!(
+        (scenario.nodes, scenario.zones, scenario.steps.len()),
+        (4, 2, 3)
+    );
+    let Action::Link { faulty, time } = &scenario.steps[0].action else {
+        panic!("{scenario:?}")
     };
     assert_eq!(
         (faulty.both, faulty.fault.cut, *time),
         (true, true, Some(Duration::from_secs(2)))
     );
     assert!(faulty.from.has("n2", "z0") && !faulty.to.has("n2", "z0") && faulty.to.has("n3", "z1"));
-    let Action::Link { faulty, .. } = &script.steps[1].action else {
-        panic!("{script:?}")
+    let Action::Link { faulty, .. } = &scenario.steps[1].action else {
+        panic!("{scenario:?}")
     };
-    assert_eq!((faulty.on, faulty.fault.loss), (Links::Kernel, 0.25));
-    assert_eq!(script.steps[2].at, Duration::from_secs(3));
+    assert_eq!((faulty.on, faulty.fault.loss), (LinkKind::Kernel, 0.25));
+    assert_eq!(scenario.steps[2].at, Duration::from_secs(3));
 }
 
 #[test]
-fn what_a_timetable_can_not_say_is_told_with_its_line() {
+fn wrong_scenarios_are_reported_with_their_line() {
     let script = |inner: &str| {
         format!("<script name=\"x\" seed=\"3\" nodes=\"4\" time=\"5s\">\n{inner}</script>")
     };
--- a/crates/settings/src/cases.rs
+++ b/crates/settings/src/test_case.rs
@@ -1,37 +1,46 @@
-//! Cases that are written beside the rules: a request, and what is to become of it.
+//! Test cases beside the rules: a request, and what the rules are expected to give to it.
 
-use crate::Rulebook;
-use crate::asked::Asked;
+use crate::RuleConfig;
+use crate::sample_request::SampleRequest;
 use madderpoint_rules::{Path, Scratch, Verdict};
 
-/// A case.
+/// A test case.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Case {
+pub struct TestCase {
     /// Its name.
     pub name: String,
     /// The request.
-    pub asked: Asked,
-    /// The rule that is to match; none if none is to.
+    pub request: SampleRequest,
+    /// The rule that is to match; `None` if none is to.
     pub rule: Option<String>,
-    /// What that is to give, each where it is told.
+    /// The operation that the rule is to give; `None` here and below if any may be given.
     pub operation: Option<String>,
-    /// See there.
+    /// The class.
     pub class: Option<String>,
-    /// See there.
+    /// The key's text.
     pub key: Option<String>,
-    /// See there.
+    /// The rank, as it is printed.
     pub rank: Option<String>,
     /// `throttle`, `error` or `none`.
     pub verdict: Option<String>,
 }
 
-impl Case {
-    /// Tries it; gives what is not as it is to be.
-    pub fn run(&self, book: &Rulebook) -> Result<(), String> {
+/// A test case whose request was not given what it expects: all differences, in one line.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct TestCaseFailure(String);
+
+impl TestCase {
+    /// Evaluates the rules for the request.
+    ///
+    /// # Errors
+    ///
+    /// What the rules gave differs from what is expected.
+    pub fn run(&self, config: &RuleConfig) -> Result<(), TestCaseFailure> {
         let mut scratch = Scratch::new(0);
         scratch.shows_keys = true;
-        let facts = self.asked.facts(&book.rules);
-        let decision = book.rules.decide(&facts, &mut scratch, Path::Index);
+        let facts = self.request.facts(&config.rules);
+        let decision = config.rules.decide(&facts, &mut scratch, Path::Index);
         let given = decision.given.as_ref();
         let verdict = given.map(|g| match g.rule.verdict {
             Some(Verdict::Throttle { .. }) => "throttle",
@@ -40,10 +49,10 @@
         });
         let operation = given
             .and_then(|g| g.rule.operation)
-            .and_then(|place| book.operations.get(place).cloned());
+            .and_then(|place| config.operations.get(place).cloned());
         let class = given
             .and_then(|g| g.rule.class)
-            .map(|c| book.rules.classes()[usize::from(c)].clone());
+            .map(|c| config.rules.classes()[usize::from(c)].clone());
         let found = [
             (
                 "rule",
@@ -56,7 +65,7 @@
             ("verdict", verdict.map(str::to_owned)),
         ];
         let rule = Some(self.rule.clone().unwrap_or("none".into()));
-        let wanted = [
+        let expected = [
             &rule,
             &self.operation,
             &self.class,
@@ -66,18 +75,18 @@
         ];
         let differ = found
             .iter()
-            .zip(wanted)
-            .filter(|((_, found), wanted)| wanted.is_some() && found != *wanted);
+            .zip(expected)
+            .filter(|((_, found), expected)| expected.is_some() && found != *expected);
         let shown = |text: &Option<String>| text.as_deref().unwrap_or("nothing").to_owned();
         let differ: Vec<_> = differ
-            .map(|((name, found), wanted)| {
-                format!("{name} is {}, not {}", shown(found), shown(wanted))
+            .map(|((name, found), expected)| {
+                format!("{name} is {}, not {}", shown(found), shown(expected))
             })
             .collect();
         if differ.is_empty() {
             Ok(())
         } else {
-            Err(differ.join("; "))
+            Err(TestCaseFailure(differ.join("; ")))
         }
     }
 }
--- a/crates/settings/src/xml.rs
+++ b/crates/settings/src/xml.rs
@@ -1,22 +1,23 @@
-//! XML to a tree in which all that was written knows its place. Entities are the five of XML and
-//! character references; a document type is refused, and with it entities that grow.
+//! Reads XML to a tree in which each name and text knows its offset in the file. Entities are the
+//! five of XML and character references; a document type is refused, and with it entities that
+//! expand.
 
-use crate::{Complaint, Place};
+use crate::{Diagnostic, Location};
 use quick_xml::Reader;
 use quick_xml::escape::resolve_predefined_entity;
 use quick_xml::events::{BytesStart, Event};
 
-/// How deep elements may stand in each other.
+/// The deepest nesting of elements.
 const DEPTH_MAX: usize = 16;
-/// How many there may be.
+/// The most elements of a file.
 const ELEMENTS_MAX: usize = 400_000;
 
-/// Text, and where each part of it stands in the file.
+/// A text, with the offset in the file of each part of it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Text {
-    /// What it says, entities resolved.
+    /// The text, with entities resolved.
     pub value: String,
-    /// Where parts begin: in the value, and in the file.
+    /// Where parts begin: offsets in the value and in the file.
     parts: Vec<(usize, usize)>,
 }
 
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Where in the file this byte of the value stands.
+    /// The offset in the file of this byte of the value.
     pub fn place(&self, byte: usize) -> usize {
         let after = self.parts.partition_point(|(start, _)| *start <= byte);
         let part = self.parts[..after].last().or(self.parts.first());
@@ -41,7 +42,7 @@
 pub struct Attribute {
     /// Its name.
     pub name: String,
-    /// Where the name stands.
+    /// The offset of the name in the file.
     pub at: usize,
     /// Its value.
     pub value: Text,
@@ -52,13 +53,13 @@
 pub struct Element {
     /// Its name.
     pub name: String,
-    /// Where its name stands.
+    /// The offset of its name in the file.
     pub at: usize,
     /// Its attributes.
     pub attributes: Vec<Attribute>,
-    /// Elements in it.
+    /// The elements in it.
     pub children: Vec<Element>,
-    /// Text in it, that of its children left out.
+    /// The text in it, without that of its children.
     pub text: Text,
 }
 
@@ -82,6 +83,7 @@
     }
 }
 
+/// The elements that are open while the events of a file are read.
 struct Tree<'t> {
     text: &'t str,
     open: Vec<Element>,
@@ -89,24 +91,19 @@
     elements: usize,
 }
 
-/// Where a piece of the text that was handed out stands in it.
+/// The offset in a text of a slice of it.
 fn offset(text: &str, piece: &str) -> usize {
     (piece.as_ptr() as usize)
         .saturating_sub(text.as_ptr() as usize)
         .min(text.len())
 }
 
-fn wrong(at: usize, what: impl Into<String>, expected: impl Into<String>) -> Complaint {
-    Complaint {
-        place: Place::At(at),
-        field: String::new(),
-        what: what.into(),
-        expected: expected.into(),
-    }
+fn wrong(at: usize, what: impl Into<String>, expected: impl Into<String>) -> Diagnostic {
+    Diagnostic::new(Location::At(at), "", what, expected)
 }
 
-/// Text with entities, which stands at this place.
-fn unescaped(raw: &str, at: usize, into: &mut Text) -> Result<(), Complaint> {
+/// Adds a text at this offset, with its entities resolved.
+fn push_unescaped(raw: &str, at: usize, into: &mut Text) -> Result<(), Diagnostic> {
     let mut rest = raw;
     let mut place = at;
     while let Some(mark) = rest.find('&') {
@@ -115,7 +112,7 @@
         let end = tail
             .find(';')
             .ok_or_else(|| wrong(place + mark, "'&' without an entity", "&amp;"))?;
-        reference(&tail[..end], place + mark, into)?;
+        push_reference(&tail[..end], place + mark, into)?;
         place += mark + end + 2;
         rest = &tail[end + 1..];
     }
@@ -123,7 +120,8 @@
     Ok(())
 }
 
-fn reference(name: &str, at: usize, into: &mut Text) -> Result<(), Complaint> {
+/// Adds the character that a reference or one of the five entities stands for.
+fn push_reference(name: &str, at: usize, into: &mut Text) -> Result<(), Diagnostic> {
     let code = match name.strip_prefix('#') {
         Some(hex) if hex.starts_with('x') => u32::from_str_radix(&hex[1..], 16).ok(),
         Some(number) => number.parse().ok(),
@@ -147,7 +145,7 @@
 }
 
 impl Tree<'_> {
-    fn start(&mut self, tag: &BytesStart<'_>) -> Result<Element, Complaint> {
+    fn start(&mut self, tag: &BytesStart<'_>) -> Result<Element, Diagnostic> {
         let at = offset(self.text, tag);
         self.elements += 1;
         if self.open.len() >= DEPTH_MAX || self.elements > ELEMENTS_MAX {
@@ -176,7 +174,7 @@
             let key = attribute.key.into_inner();
             let mut value = Text::default();
             let value_at = offset(self.text, &attribute.value);
-            unescaped(&attribute.value, value_at, &mut value)?;
+            push_unescaped(&attribute.value, value_at, &mut value)?;
             if value.value.is_empty() {
                 value.parts.push((0, value_at));
             }
@@ -190,6 +188,60 @@
         Ok(element)
     }
 
+    /// Takes an event of the file; false at its end.
+    fn event(&mut self, event: Event<'_>) -> Result<bool, Diagnostic> {
+        let text = self.text;
+        match event {
+            Event::Start(tag) => {
+                let element = self.start_single(&tag)?;
+                self.open.push(element);
+            }
+            Event::Empty(tag) => {
+                let element = self.start_single(&tag)?;
+                self.end(element);
+            }
+            Event::End(_) => {
+                if let Some(element) = self.open.pop() {
+                    self.end(element);
+                }
+            }
+            Event::Text(piece) => {
+                let at = offset(text, &piece);
+                self.content(at, |into| push_unescaped(&piece, at, into))?;
+            }
+            Event::GeneralRef(piece) => {
+                let at = offset(text, &piece).saturating_sub(1);
+                self.content(at, |into| push_reference(&piece, at, into))?;
+            }
+            Event::CData(piece) => {
+                let at = offset(text, &piece);
+                self.content(at, |into| {
+                    into.push(&piece, at);
+                    Ok(())
+                })?;
+            }
+            Event::DocType(piece) => {
+                return Err(wrong(
+                    offset(text, &piece),
+                    "a document type",
+                    "none: entities are not defined here",
+                ));
+            }
+            Event::Eof => return Ok(false),
+            Event::Comment(_) | Event::Decl(_) | Event::PI(_) => {}
+        }
+        Ok(true)
+    }
+
+    /// Starts an element; a second one at the top is refused.
+    fn start_single(&mut self, tag: &BytesStart<'_>) -> Result<Element, Diagnostic> {
+        let element = self.start(tag)?;
+        if self.root.is_some() && self.open.is_empty() {
+            return Err(wrong(element.at, "a second element at the top", "one"));
+        }
+        Ok(element)
+    }
+
     fn end(&mut self, element: Element) {
         match self.open.last_mut() {
             Some(above) => above.children.push(element),
@@ -200,8 +252,8 @@
     fn content(
         &mut self,
         at: usize,
-        add: impl FnOnce(&mut Text) -> Result<(), Complaint>,
-    ) -> Result<(), Complaint> {
+        add: impl FnOnce(&mut Text) -> Result<(), Diagnostic>,
+    ) -> Result<(), Diagnostic> {
         match self.open.last_mut() {
             Some(element) => add(&mut element.text),
             None => {
@@ -218,8 +270,12 @@
     }
 }
 
-/// Reads a file's text.
-pub fn read(text: &str) -> Result<Element, Complaint> {
+/// Reads a file's text to its root element.
+///
+/// # Errors
+///
+/// The first thing that is no XML, or more than is allowed of it.
+pub fn read(text: &str) -> Result<Element, Diagnostic> {
     let mut reader = Reader::from_str(text);
     let mut tree = Tree {
         text,
@@ -234,50 +290,8 @@
                 .min(text.len());
             wrong(at, format!("no XML: {e}"), "well-formed XML")
         })?;
-        match event {
-            Event::Start(tag) => {
-                let element = tree.start(&tag)?;
-                if tree.root.is_some() && tree.open.is_empty() {
-                    return Err(wrong(element.at, "a second element at the top", "one"));
-                }
-                tree.open.push(element);
-            }
-            Event::Empty(tag) => {
-                let element = tree.start(&tag)?;
-                if tree.root.is_some() && tree.open.is_empty() {
-                    return Err(wrong(element.at, "a second element at the top", "one"));
-                }
-                tree.end(element);
-            }
-            Event::End(_) => {
-                if let Some(element) = tree.open.pop() {
-                    tree.end(element);
-                }
-            }
-            Event::Text(piece) => {
-                let at = offset(text, &piece);
-                tree.content(at, |into| unescaped(&piece, at, into))?;
-            }
-            Event::GeneralRef(piece) => {
-                let at = offset(text, &piece).saturating_sub(1);
-                tree.content(at, |into| reference(&piece, at, into))?;
-            }
-            Event::CData(piece) => {
-                let at = offset(text, &piece);
-                tree.content(at, |into| {
-                    into.push(&piece, at);
-                    Ok(())
-                })?;
-            }
-            Event::DocType(piece) => {
-                return Err(wrong(
-                    offset(text, &piece),
-                    "a document type",
-                    "none: entities are not defined here",
-                ));
-            }
-            Event::Eof => break,
-            Event::Comment(_) | Event::Decl(_) | Event::PI(_) => {}
+        if !tree.event(event)? {
+            break;
         }
     }
     if let Some(open) = tree.open.pop() {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -3,27 +3,27 @@
 
 use madderpoint::Idempotency;
 use madderpoint_settings::schema::Schema;
-use madderpoint_settings::{Complaints, Known, SCHEMA, read, xml};
+use madderpoint_settings::{Diagnostics, SCHEMA, ValidationContext, read, xml};
 use madderpoint_shared_state::keyed_quota::QuotaKind;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 const DEPLOYED: &str = include_str!("../../../deploy/translator.xml");
 
-fn known() -> Known {
+fn known() -> ValidationContext {
     let operations = [
         ("read", Idempotency::Idempotent),
         ("book", Idempotency::Keyed),
         ("pay", Idempotency::NonIdempotent),
     ];
-    Known {
+    ValidationContext {
         operations: Some(operations.map(|(n, e)| (n.to_owned(), e)).to_vec()),
         tenants: Some(vec!["acme".into()]),
-        ..Known::anything()
+        ..ValidationContext::permissive()
     }
 }
 
-fn wrong(text: &str) -> Complaints {
+fn wrong(text: &str) -> Diagnostics {
     read("t.xml", text, &known()).map(|_| ()).unwrap_err()
 }
 
@@ -35,9 +35,9 @@
 fn places_are_those_of_the_file_whatever_stands_between() {
     // Entities, references, CDATA, a tab and letters of two bytes before the place.
     let text = "<translator version='1'>\n<rules>\n\t<rule name=\"a\"><when>true &amp;&amp; \"ş&#x15f;\" == <![CDATA[\"<\" && ]]>foo</when></rule>\n</rules></translator>";
-    let complaints = wrong(text);
-    assert_eq!(complaints.all.len(), 1);
-    let shown = complaints.to_string();
+    let diagnostics = wrong(text);
+    assert_eq!(diagnostics.all.len(), 1);
+    let shown = diagnostics.to_string();
     let line = text.lines().nth(2).unwrap();
     let column = line[..line.find("foo").unwrap()].chars().count() + 1;
     assert!(
@@ -171,24 +171,24 @@
 
 #[test]
 fn all_that_is_wrong_is_told_in_the_order_of_the_file() {
-    let complaints = wrong(&rules(
+    let diagnostics = wrong(&rules(
         "\n<bucket name=\"b\"/>\n<rule name=\"x\"><when>a</when></rule>\n<rule name=\"y\"><when>b &amp;&amp; c</when>\
         <give operation=\"z\"/></rule>",
     ));
-    let shown = complaints.to_string();
+    let shown = diagnostics.to_string();
     let lines: Vec<&str> = shown
         .lines()
         .filter(|l| l.starts_with("t.xml:"))
         .map(|l| &l[6..7])
         .collect();
     assert_eq!(lines, ["2", "3", "4", "4", "4"], "{shown}");
-    assert!(complaints.first().ends_with("(and 4 more)"));
+    assert!(diagnostics.summary().ends_with("(and 4 more)"));
 }
 
 #[test]
 fn a_file_or_rules_beyond_the_room_are_refused_with_the_reason() {
-    let tight = Known {
-        file_bytes: 1024,
+    let tight = ValidationContext {
+        file_bytes_max: 1024,
         ..known()
     };
     let many: String = (0..100)
@@ -204,8 +204,8 @@
         ),
         "{shown}"
     );
-    let tight = Known {
-        bytes: 4096,
+    let tight = ValidationContext {
+        rule_bytes_max: 4096,
         ..known()
     };
     let shown = read("t.xml", &rules(&many), &tight)
@@ -223,13 +223,16 @@
 fn the_schema_and_the_reader_know_the_same_words() {
     let words = Schema::read(SCHEMA).unwrap().words();
     let reader = [
-        include_str!("../src/rulebook.rs"),
+        include_str!("../src/rule_config.rs"),
+        include_str!("../src/rule_config/buckets.rs"),
+        include_str!("../src/rule_config/cases.rs"),
+        include_str!("../src/rule_config/vocabulary.rs"),
         include_str!("../src/fleet.rs"),
         include_str!("../src/rollout.rs"),
         include_str!("../src/lib.rs"),
     ]
     .concat();
-    let asked = include_str!("../src/asked.rs");
+    let asked = include_str!("../src/sample_request.rs");
     for word in words.iter().filter(|word| *word != "translator") {
         let last = word.rsplit('/').next().unwrap();
         let facts = word.starts_with("request/");
@@ -278,7 +281,7 @@
 #[test]
 fn damaged_files_are_refused_or_read_and_never_a_panic() {
     let mut rng = Pcg64Mcg::seed_from_u64(77);
-    let anything = Known::anything();
+    let anything = ValidationContext::permissive();
     assert!(read("t.xml", DEPLOYED, &anything).is_ok());
     let mut refused = 0;
     for _ in 0..1500 {
@@ -293,9 +296,9 @@
             }
         }
         let text = String::from_utf8_lossy(&bytes);
-        if let Err(complaints) = read("t.xml", &text, &anything) {
+        if let Err(diagnostics) = read("t.xml", &text, &anything) {
             refused += 1;
-            assert!(!complaints.all.is_empty() && !complaints.to_string().is_empty());
+            assert!(!diagnostics.all.is_empty() && !diagnostics.to_string().is_empty());
         }
     }
     assert!(refused > 700, "{refused}");
@@ -303,7 +306,7 @@
 
 #[test]
 fn the_deployed_cases_hold() {
-    let book = read("t.xml", DEPLOYED, &Known::anything())
+    let book = read("t.xml", DEPLOYED, &ValidationContext::permissive())
         .unwrap()
         .rules
         .unwrap();
@@ -334,7 +337,7 @@
         "zone=\"a-1\" bind=\"10.0.0.4:7946\" program=\"0.1.0+b\"",
     )
     .replace("0.1.0+b", "0.1.0-b");
-    let read = read("t.xml", &text, &Known::anything()).unwrap();
+    let read = read("t.xml", &text, &ValidationContext::permissive()).unwrap();
     let fleet = read.fleet.unwrap();
     assert_eq!(
         (
@@ -446,7 +449,7 @@
          <stage share=\"1\"/>",
         "of-zone=\"0.3\" margin=\"0.01\"",
     );
-    let read = read("t.xml", &text, &Known::anything())
+    let read = read("t.xml", &text, &ValidationContext::permissive())
         .unwrap()
         .rollout
         .unwrap();
@@ -464,7 +467,7 @@
 }
 
 fn plan_of(text: &str) -> madderpoint_rollout::Plan {
-    read("t.xml", text, &Known::anything())
+    read("t.xml", text, &ValidationContext::permissive())
         .unwrap()
         .rollout
         .unwrap()
--- a/crates/test-harness/src/bin/madderpoint-fault-test.rs
+++ b/crates/test-harness/src/bin/madderpoint-fault-test.rs
@@ -4,7 +4,7 @@
 
 use clap::{Parser, Subcommand};
 use madderpoint_test_harness::rig::{self, Setting};
-use madderpoint_test_harness::script;
+use madderpoint_test_harness::scenario;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -48,10 +48,10 @@
     },
 }
 
-fn read(file: &PathBuf) -> Result<script::Script, String> {
+fn read(file: &PathBuf) -> Result<scenario::Scenario, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    script::read(&name, &text).map_err(|complaints| complaints.to_string())
+    scenario::read(&name, &text).map_err(|complaints| complaints.to_string())
 }
 
 fn run(
--- a/crates/test-harness/src/faults.rs
+++ b/crates/test-harness/src/faults.rs
@@ -1,6 +1,6 @@
 //! Which faults hold on which links at this moment; asked by the relays for everything that passes.
 
-use crate::script::{Fault, Faulty, Links};
+use crate::scenario::{Fault, LinkFault, LinkKind};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
@@ -26,7 +26,7 @@
 }
 
 struct State {
-    faults: Vec<(u64, Faulty, Option<Instant>)>,
+    faults: Vec<(u64, LinkFault, Option<Instant>)>,
     next: u64,
     rng: Pcg64Mcg,
     /// When the next byte may pass on a link that is throttled.
@@ -62,7 +62,7 @@
     }
 
     /// From now on, for so long or until all is healed.
-    pub fn put(&self, faulty: Faulty, time: Option<Duration>) {
+    pub fn put(&self, faulty: LinkFault, time: Option<Duration>) {
         let mut state = self.lock();
         state.next += 1;
         let (no, until) = (state.next, time.map(|time| Instant::now() + time));
@@ -87,12 +87,12 @@
     pub fn is_cut(&self, from: &Place, to: &Place) -> bool {
         let state = self.lock();
         state
-            .of(Links::Fleet, from, to)
+            .of(LinkKind::Fleet, from, to)
             .any(|fault| fault.cut || fault.hold)
     }
 
     /// What becomes of a datagram of so many bytes.
-    pub fn fate(&self, on: Links, from: &Place, to: &Place, bytes: usize) -> Fate {
+    pub fn fate(&self, on: LinkKind, from: &Place, to: &Place, bytes: usize) -> Fate {
         let mut state = self.lock();
         let faults: Vec<Fault> = state.of(on, from, to).cloned().collect();
         let mut fate = Fate {
@@ -145,7 +145,7 @@
     }
 
     /// For streams: waits until bytes may pass, and for their delay.
-    pub fn pass(&self, on: Links, from: &Place, to: &Place, bytes: usize) {
+    pub fn pass(&self, on: LinkKind, from: &Place, to: &Place, bytes: usize) {
         let mut state = self.lock();
         loop {
             let (stuck, late) = {
@@ -180,7 +180,7 @@
     /// The faults of a link now.
     fn of<'s>(
         &'s self,
-        on: Links,
+        on: LinkKind,
         from: &'s Place,
         to: &'s Place,
     ) -> impl Iterator<Item = &'s Fault> {
--- a/crates/test-harness/src/faults/tests.rs
+++ b/crates/test-harness/src/faults/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::script::Ends;
+use crate::scenario::NodeSelector;
 
 fn place(name: &str, zone: &str) -> Place {
     Place {
@@ -16,19 +16,22 @@
         cut: true,
         ..Fault::default()
     };
-    let faulty = Faulty {
-        from: Ends::Node("n0".into()),
-        to: Ends::Zone("z1".into()),
+    let faulty = LinkFault {
+        from: NodeSelector::Node("n0".into()),
+        to: NodeSelector::Zone("z1".into()),
         fault: cut,
-        ..Faulty::default()
+        ..LinkFault::default()
     };
     faults.put(faulty.clone(), None);
     assert!(faults.is_cut(&a, &b) && !faults.is_cut(&b, &a) && !faults.is_cut(&a, &c));
-    assert!(faults.fate(Links::Fleet, &a, &b, 9).copies.is_empty());
-    assert_eq!(faults.fate(Links::Load, &a, &b, 9).copies, [Duration::ZERO]);
+    assert!(faults.fate(LinkKind::Fleet, &a, &b, 9).copies.is_empty());
+    assert_eq!(
+        faults.fate(LinkKind::Load, &a, &b, 9).copies,
+        [Duration::ZERO]
+    );
     faults.heal();
     faults.put(
-        Faulty {
+        LinkFault {
             both: true,
             ..faulty
         },
@@ -37,7 +40,7 @@
     assert!(faults.is_cut(&a, &b) && faults.is_cut(&b, &a));
     faults.heal();
     assert_eq!(
-        faults.fate(Links::Fleet, &a, &b, 9).copies,
+        faults.fate(LinkKind::Fleet, &a, &b, 9).copies,
         [Duration::ZERO]
     );
 }
@@ -53,15 +56,15 @@
             ..Fault::default()
         };
         faults.put(
-            Faulty {
+            LinkFault {
                 fault,
-                ..Faulty::default()
+                ..LinkFault::default()
             },
             None,
         );
         let (a, b) = (place("n0", ""), place("n1", ""));
         (0..1000)
-            .map(|_| faults.fate(Links::Fleet, &a, &b, 9))
+            .map(|_| faults.fate(LinkKind::Fleet, &a, &b, 9))
             .collect::<Vec<_>>()
     };
     let fates = play();
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -3,7 +3,7 @@
 
 #![forbid(unsafe_code)]
 
-pub use madderpoint_settings::script;
+pub use madderpoint_settings::scenario;
 
 pub mod checker;
 pub mod faults;
--- a/crates/test-harness/src/relay.rs
+++ b/crates/test-harness/src/relay.rs
@@ -3,7 +3,7 @@
 //! Streams: bytes pass in order, late or not at all.
 
 use crate::faults::{Fate, Faults, Place};
-use crate::script::Links;
+use crate::scenario::LinkKind;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -193,7 +193,7 @@
 
     fn passes(&mut self, from: usize, to: usize, mut frame: Vec<u8>) {
         let fate = self.faults.fate(
-            Links::Fleet,
+            LinkKind::Fleet,
             &self.sides[from].place,
             &self.sides[to].place,
             frame.len(),
@@ -259,7 +259,7 @@
 impl Stream {
     /// A relay for what `node` has to do with another party, which is at this address.
     pub fn start(
-        on: Links,
+        on: LinkKind,
         node: Place,
         to: SocketAddr,
         faults: Arc<Faults>,
@@ -283,7 +283,7 @@
 }
 
 /// Passes bytes both ways until one side ends.
-fn join(on: Links, node: &Place, a: TcpStream, to: SocketAddr, faults: &Arc<Faults>) {
+fn join(on: LinkKind, node: &Place, a: TcpStream, to: SocketAddr, faults: &Arc<Faults>) {
     let Ok(b) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else {
         let _ = a.shutdown(Shutdown::Both);
         return;
@@ -300,7 +300,7 @@
     let _ = back.map(|thread| thread.join());
 }
 
-fn copy(on: Links, node: &Place, mut from: &TcpStream, mut to: &TcpStream, faults: &Faults) {
+fn copy(on: LinkKind, node: &Place, mut from: &TcpStream, mut to: &TcpStream, faults: &Faults) {
     let mut buffer = [0; 4096];
     while let Ok(n @ 1..) = from.read(&mut buffer) {
         faults.pass(on, node, node, n);
--- a/crates/test-harness/src/rig.rs
+++ b/crates/test-harness/src/rig.rs
@@ -11,7 +11,7 @@
 use crate::peers::{nobody, unix_ms};
 use crate::record::Record;
 use crate::relay::{Datagrams, Stream};
-use crate::script::{Action, Ends, Keys as LimitedKeys, Links, Script};
+use crate::scenario::{Action, KeyedLimit as LimitedKeys, LinkKind, NodeSelector, Scenario};
 use crate::service::{Nature, Recorded, Service};
 use crate::wire::{self, Answer};
 use crate::worker::Worker;
@@ -157,7 +157,7 @@
     }
 
     /// Panics with all that a failed test is to show.
-    pub fn expect_good(&self, script: &Script) -> &Outcome {
+    pub fn expect_good(&self, script: &Scenario) -> &Outcome {
         assert!(
             self.failures.is_empty(),
             "'{}', seed {}: {:#?}\n{:#?}\nthe record up to then:\n{}",
@@ -173,7 +173,7 @@
 
 /// A rig.
 pub struct Rig {
-    script: Script,
+    script: Scenario,
     setting: Setting,
     nodes: Vec<Node>,
     faults: Arc<Faults>,
@@ -202,7 +202,7 @@
 
 impl Rig {
     /// Sets all up and starts the nodes.
-    pub fn start(script: Script, setting: Setting) -> std::io::Result<Rig> {
+    pub fn start(script: Scenario, setting: Setting) -> std::io::Result<Rig> {
         let ip = own_address();
         let faults = Arc::new(Faults::new(script.seed));
         let record = Arc::new(Record::default());
@@ -241,10 +241,10 @@
             nodes.push(Node {
                 bind,
                 reached: datagrams.addresses[n],
-                kernel: relay(Links::Kernel, worker.address)?,
-                backend: relay(Links::Backend, backend)?,
-                members: relay(Links::Members, members()?)?,
-                front: relay(Links::Load, nobody())?,
+                kernel: relay(LinkKind::Kernel, worker.address)?,
+                backend: relay(LinkKind::Backend, backend)?,
+                members: relay(LinkKind::Members, members()?)?,
+                front: relay(LinkKind::Load, nobody())?,
                 worker,
                 name: place.name.clone(),
                 place,
@@ -299,7 +299,7 @@
 
     /// What the settings say of all that is shared.
     fn shared(&self) -> String {
-        let Script {
+        let Scenario {
             calls_a_second,
             calls_in_hand,
             repeats_a_second,
@@ -537,7 +537,7 @@
     fn act(&mut self, at: usize, action: &Action) {
         match action {
             Action::Link { faulty, time } => {
-                if faulty.on != Links::Fleet {
+                if faulty.on != LinkKind::Fleet {
                     let until = time.map(|time| Instant::now() + time + Duration::from_secs(1));
                     for node in &self.nodes {
                         if faulty.from.has(&node.place.name, &node.place.zone) {
@@ -864,7 +864,7 @@
         (found != held).then(|| format!("{name} holds {other} for {found}, not {held}"))
     }
 
-    fn stranger(&self, to: &Ends, a_second: u64, time: Duration) {
+    fn stranger(&self, to: &NodeSelector, a_second: u64, time: Duration) {
         let targets: Vec<SocketAddr> = self
             .nodes
             .iter()
@@ -1274,10 +1274,11 @@
 }
 
 /// Reads and plays a timetable.
-pub fn play(file: &Path, setting: Setting) -> Result<(Script, Outcome), String> {
+pub fn play(file: &Path, setting: Setting) -> Result<(Scenario, Outcome), String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    let script = crate::script::read(&name, &text).map_err(|complaints| complaints.to_string())?;
+    let script =
+        crate::scenario::read(&name, &text).map_err(|complaints| complaints.to_string())?;
     let rig = Rig::start(script.clone(), setting).map_err(|e| format!("{name}: {e}"))?;
     Ok((script, rig.play()))
 }
--- a/crates/test-harness/src/rig/changes.rs
+++ b/crates/test-harness/src/rig/changes.rs
@@ -3,7 +3,7 @@
 
 use super::{BETWEEN, FLEET, KEY, LOOK, Rig, Seen, pages};
 use crate::record::Line;
-use crate::script::Ends;
+use crate::scenario::NodeSelector;
 use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_membership::observer::Observer;
 use madderpoint_rollout::chunks;
@@ -274,7 +274,12 @@
     }
 
     /// What keeps nodes from running settings of this number.
-    pub(super) fn not_running(&self, seen: &Seen, to: &Ends, number: u64) -> Option<String> {
+    pub(super) fn not_running(
+        &self,
+        seen: &Seen,
+        to: &NodeSelector,
+        number: u64,
+    ) -> Option<String> {
         for (n, node) in self.nodes.iter().enumerate() {
             if !to.has(&node.place.name, &node.place.zone) || !self.is_up(n) {
                 continue;
@@ -299,7 +304,7 @@
     pub(super) fn change_is(
         &mut self,
         at: usize,
-        to: &Ends,
+        to: &NodeSelector,
         is: (u64, &str, u32),
         within: Duration,
     ) {
