--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use madderpoint_deployment_config::DeploymentConfig;
 use madderpoint_identity::{Bundle, Bundles, jwt, x509};
-use madderpoint_rules::ruleset::Why;
+use madderpoint_rules::ruleset::RuleExplanation;
 use madderpoint_rules::{Path as Search, RuleSet, Scratch, Verdict, time};
 use madderpoint_settings::sample_request::SampleRequest;
 use madderpoint_settings::{RuleConfig, Settings, ValidationContext};
@@ -437,7 +437,7 @@
             .map(|w| line_of(&rules[w.place].name, w))
             .collect();
         let whole = json!({"given": given, "units": decision.cost, "limit": book.rules.request_limit(),
-            "evaluated": decision.asked, "rules": above});
+            "evaluated": decision.evaluated_count, "rules": above});
         println!("{whole:#}");
         return Ok(true);
     }
@@ -463,14 +463,14 @@
     }
     println!(
         "{} rules evaluated, {} units of {} used",
-        decision.asked,
+        decision.evaluated_count,
         decision.cost,
         book.rules.request_limit()
     );
     Ok(true)
 }
 
-fn line_of(name: &str, why: &Why) -> Value {
+fn line_of(name: &str, why: &RuleExplanation) -> Value {
     let failed = why
         .failed
         .as_ref()
@@ -605,7 +605,7 @@
                 let took = began.elapsed().as_nanos() as u64;
                 times.saturating_record(took);
                 most = most.max(decision.cost);
-                evaluated = evaluated.max(decision.asked);
+                evaluated = evaluated.max(decision.evaluated_count);
             }
         }
         println!(
--- a/crates/rules/benches/rules.rs
+++ b/crates/rules/benches/rules.rs
@@ -2,11 +2,13 @@
 //! interpreter of the registry. Run: cargo bench -p madderpoint-rules
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use madderpoint_rules::compile::{Compiler, Func, Node, Vocabulary};
-use madderpoint_rules::eval::Eval;
+use madderpoint_rules::compile::{Compiler, Function, Node, Vocabulary};
+use madderpoint_rules::eval::Evaluator;
 use madderpoint_rules::facts::Name;
 use madderpoint_rules::syntax::{Binary, parse};
-use madderpoint_rules::{Bounds, Facts, Fault, Path, RuleSet, Scratch, Type, Value, Written, cost};
+use madderpoint_rules::{
+    Bounds, EvaluationError, Facts, Path, RuleSet, RuleSource, Scratch, Type, Value, cost,
+};
 use std::hint::black_box;
 
 fn words() -> Vocabulary {
@@ -49,7 +51,7 @@
 
 /// Rules of which the last matches, filed under equalities, prefixes and networks in turn.
 fn many(count: usize) -> RuleSet {
-    let rules: Vec<Written> = (0..count)
+    let rules: Vec<RuleSource> = (0..count)
         .map(|i| {
             let when = match i % 3 {
                 _ if i + 1 == count => {
@@ -65,10 +67,10 @@
                     )
                 }
             };
-            Written {
+            RuleSource {
                 name: format!("r{i}"),
                 when,
-                ..Written::default()
+                ..RuleSource::default()
             }
         })
         .collect();
@@ -114,11 +116,11 @@
 
 // ---- The same expressions as closures and as bytecode, for the part of the language that they use ----
 
-type Closure = Box<dyn for<'a> Fn(&'a Facts<'static>, &mut u64) -> Result<bool, Fault>>;
-type TextOf = Box<dyn for<'a> Fn(&'a Facts<'static>, &mut u64) -> Result<&'a str, Fault>>;
+type Closure = Box<dyn for<'a> Fn(&'a Facts<'static>, &mut u64) -> Result<bool, EvaluationError>>;
+type TextOf = Box<dyn for<'a> Fn(&'a Facts<'static>, &mut u64) -> Result<&'a str, EvaluationError>>;
 
-fn charge(left: &mut u64, units: u64) -> Result<(), Fault> {
-    *left = left.checked_sub(units).ok_or(Fault::Cost)?;
+fn charge(left: &mut u64, units: u64) -> Result<(), EvaluationError> {
+    *left = left.checked_sub(units).ok_or(EvaluationError::Cost)?;
     Ok(())
 }
 
@@ -140,7 +142,7 @@
                 charge(left, cost::STEP)?;
                 match facts.get(name) {
                     Some(Value::Text(text)) => Ok(text),
-                    _ => Err(Fault::Absent),
+                    _ => Err(EvaluationError::Absent),
                 }
             })
         }
@@ -159,7 +161,7 @@
                     match one(facts, left) {
                         Ok(false) => return Ok(false),
                         Ok(true) => {}
-                        Err(Fault::Cost) => return Err(Fault::Cost),
+                        Err(EvaluationError::Cost) => return Err(EvaluationError::Cost),
                         Err(e) => fault = fault.or(Some(e)),
                     }
                 }
@@ -184,7 +186,7 @@
             let least = *least;
             Box::new(move |facts, left| {
                 charge(left, 3 * cost::STEP + cost::compare(0))?;
-                Ok(facts.rank.ok_or(Fault::Absent)? > least)
+                Ok(facts.rank.ok_or(EvaluationError::Absent)? > least)
             })
         }
         Node::InTexts(of, set) => {
@@ -198,7 +200,7 @@
                 Ok(set.contains(of))
             })
         }
-        Node::Call(Func::StartsWith, nodes) => {
+        Node::Call(Function::StartsWith, nodes) => {
             let (a, b) = (text_closure(&nodes[0]), text_closure(&nodes[1]));
             Box::new(move |facts, left| {
                 let (a, b) = (a(facts, left)?, b(facts, left)?);
@@ -249,7 +251,7 @@
             bytecode(of, out);
             out.push(Op::In(set.clone()));
         }
-        Node::Call(Func::StartsWith, nodes) => {
+        Node::Call(Function::StartsWith, nodes) => {
             nodes.iter().for_each(|n| bytecode(n, out));
             out.push(Op::StartsWith);
         }
@@ -319,7 +321,7 @@
     let mut group = c.benchmark_group("forms");
     let arena = bumpalo::Bump::new();
     group.bench_function("tree, metered", |b| {
-        b.iter(|| Eval::new(black_box(&facts), &arena, 4000).holds(&typed.node, 4000));
+        b.iter(|| Evaluator::new(black_box(&facts), &arena, 4000).holds(&typed.node, 4000));
     });
     let closure = closure(&typed.node);
     group.bench_function("closures, metered", |b| {
--- /dev/null
+++ b/crates/rules/src/compile/operators.rs
@@ -0,0 +1,278 @@
+//! Operators: logic, comparison, arithmetic, `in` and lists.
+
+use super::node::Node;
+use super::size::Size;
+use super::{CheckResult, CompiledExpression, Compiler};
+use crate::cost;
+use crate::error::ExpressionError;
+use crate::facts::{Name, PAIRS_MAX};
+use crate::syntax::{Binary, Expression, ExpressionKind};
+use crate::value::Type;
+use std::collections::HashSet;
+use std::ops::Range;
+use std::sync::Arc;
+
+impl Compiler<'_> {
+    pub(super) fn joined(
+        &mut self,
+        all: &[Expression],
+        node: fn(Box<[Node]>) -> Node,
+    ) -> CheckResult {
+        let checked: Vec<_> = all
+            .iter()
+            .map(|one| self.expect(one, &[Type::Bool]))
+            .collect();
+        let checked: Vec<CompiledExpression> = checked.into_iter().collect::<Option<_>>()?;
+        let worst = checked.iter().map(|t| t.worst).sum::<u64>() + cost::STEP;
+        let node = node(checked.into_iter().map(|t| t.node).collect());
+        Some(CompiledExpression {
+            node,
+            kind: Type::Bool,
+            worst,
+            size: Size::default(),
+        })
+    }
+
+    pub(super) fn list(&mut self, at: &Range<usize>, items: &[Expression]) -> CheckResult {
+        let checked: Vec<_> = items.iter().map(|item| self.check(item)).collect();
+        let checked: Vec<CompiledExpression> = checked.into_iter().collect::<Option<_>>()?;
+        let Some(first) = checked.first() else {
+            return self.wrong(at, "an empty list has no type", "at least one item");
+        };
+        let kind = first.kind.clone();
+        if matches!(kind, Type::Params | Type::Addresses) {
+            return self.wrong(at, format!("a {kind} is no item of a list"), "plain values");
+        }
+        if let Some(odd) = checked.iter().position(|t| t.kind != kind) {
+            return self.wrong(
+                &items[odd].at,
+                format!("this is a {}", checked[odd].kind),
+                format!("a {kind}, as the first"),
+            );
+        }
+        let size = checked
+            .iter()
+            .fold(Size::default(), |size, t| size.max(&t.size));
+        let worst = checked.iter().map(|t| t.worst).sum::<u64>()
+            + cost::STEP
+            + cost::build(24 * items.len() as u64);
+        let node = Node::List(checked.into_iter().map(|t| t.node).collect());
+        let size = Size::list(items.len() as u64, size);
+        Some(CompiledExpression {
+            node,
+            kind: Type::List(Box::new(kind)),
+            worst,
+            size,
+        })
+    }
+
+    /// Refuses an operation or tenant that the settings do not have.
+    pub(super) fn known(&mut self, of: &Node, literal: &Expression) {
+        if self.vocabulary.open {
+            return;
+        }
+        let (known, what) = match of {
+            Node::Fact(Name::Operation) => (&self.vocabulary.operations, "operation"),
+            Node::Fact(Name::Tenant) => (&self.vocabulary.tenants, "tenant"),
+            _ => return,
+        };
+        let literals = match &literal.kind {
+            ExpressionKind::List(items) => items.as_slice(),
+            _ => std::slice::from_ref(literal),
+        };
+        for one in literals {
+            if let ExpressionKind::Text(text) = &one.kind
+                && !known.contains(text)
+            {
+                let (known, what) = (
+                    known.join(", "),
+                    format!("the settings have no {what} '{text}'"),
+                );
+                self.errors.push(ExpressionError::new(
+                    one.at.clone(),
+                    what,
+                    format!("one of {known}"),
+                ));
+            }
+        }
+    }
+
+    pub(super) fn binary(
+        &mut self,
+        at: &Range<usize>,
+        op: Binary,
+        a: &Expression,
+        b: &Expression,
+    ) -> CheckResult {
+        if op == Binary::In {
+            return self.is_in(a, b);
+        }
+        let (left, right) = (self.check(a), self.check(b));
+        let (left, right) = (left?, right?);
+        let worst = left.worst + right.worst + cost::STEP;
+        let sizes = (left.size.extent(), right.size.extent());
+        let mixed = |kind: &Type| match (&left.kind, kind) {
+            (Type::Int, Type::Float) => "a double on both sides: double(...)".to_owned(),
+            (Type::Float, Type::Int) => "a double on both sides, such as 1.0".to_owned(),
+            (kind, _) => format!("a {kind} on both sides"),
+        };
+        use Binary::*;
+        use Type as T;
+        let (kind, worst, size) = match (op, &left.kind, &right.kind) {
+            (Equal | Differs, x, y) if x == y && !matches!(x, T::Params | T::Addresses) => {
+                if let (Node::Fact(_), ExpressionKind::Text(_)) = (&left.node, &b.kind) {
+                    self.known(&left.node, b);
+                } else if let (Node::Fact(_), ExpressionKind::Text(_)) = (&right.node, &a.kind) {
+                    self.known(&right.node, a);
+                }
+                (
+                    T::Bool,
+                    worst + cost::compare(sizes.0.min(sizes.1)),
+                    Size::default(),
+                )
+            }
+            (Less | AtMost | More | AtLeast, x, y)
+                if x == y
+                    && matches!(
+                        x,
+                        T::Bool | T::Int | T::Float | T::Text | T::Bytes | T::Span | T::Time
+                    ) =>
+            {
+                (
+                    T::Bool,
+                    worst + cost::compare(sizes.0.min(sizes.1)),
+                    Size::default(),
+                )
+            }
+            (Add, T::Text | T::Bytes, y) if left.kind == *y => {
+                let most = sizes.0 + sizes.1;
+                (
+                    left.kind.clone(),
+                    worst + cost::build(most),
+                    Size { most, item: None },
+                )
+            }
+            (Add, T::List(_), y) if left.kind == *y => {
+                let most = left.size.most + right.size.most;
+                let item = left.size.item().max(&right.size.item());
+                (
+                    left.kind.clone(),
+                    worst + cost::build(24 * most),
+                    Size::list(most, item),
+                )
+            }
+            (Add | Sub | Mul | Div | Rem, T::Int, T::Int) => (T::Int, worst, Size::default()),
+            (Add | Sub | Mul | Div, T::Float, T::Float) => (T::Float, worst, Size::default()),
+            (Add | Sub, T::Span, T::Span) => (T::Span, worst, Size::default()),
+            (Add | Sub, T::Time, T::Span) | (Add, T::Span, T::Time) => {
+                (T::Time, worst, Size::default())
+            }
+            (Sub, T::Time, T::Time) => (T::Span, worst, Size::default()),
+            (_, x, y) => {
+                let what = format!("'{}' has no meaning between {x} and {y}", op.sign());
+                let expected = mixed(y);
+                return self.wrong(at, what, expected);
+            }
+        };
+        Some(CompiledExpression {
+            node: Node::Binary(op, Box::new((left.node, right.node))),
+            kind,
+            worst,
+            size,
+        })
+    }
+
+    pub(super) fn is_in(&mut self, a: &Expression, b: &Expression) -> CheckResult {
+        // A parameter's name, written out.
+        if let ExpressionKind::Text(name) = &a.kind
+            && let Some(slot) = self.literal_param(b, name)
+        {
+            return self.leaf(Node::HasSlot(slot?), Type::Bool, Size::default());
+        }
+        let named = match &b.kind {
+            ExpressionKind::Name(name) if !self.locals.iter().any(|l| l.name == *name) => self
+                .vocabulary
+                .lists
+                .get(name)
+                .map(|list| (name.clone(), list)),
+            _ => None,
+        };
+        if let Some((name, list)) = named {
+            let set = self.lists.entry(name).or_insert_with(|| {
+                Arc::new(list.iter().map(|text| text.as_str().into()).collect())
+            });
+            let set = Arc::clone(set);
+            let left = self.expect(a, &[Type::Text])?;
+            let worst = left.worst + cost::STEP + cost::LOOK + cost::compare(left.size.most);
+            let node = Node::InTexts(Box::new(left.node), set);
+            return Some(CompiledExpression {
+                node,
+                kind: Type::Bool,
+                worst,
+                size: Size::default(),
+            });
+        }
+        let (left, right) = (self.check(a), self.check(b));
+        let (left, right) = (left?, right?);
+        let worst = left.worst + cost::STEP;
+        let bool_of = |node, worst| {
+            Some(CompiledExpression {
+                node,
+                kind: Type::Bool,
+                worst,
+                size: Size::default(),
+            })
+        };
+        match (&left.kind, &right.kind) {
+            (Type::Text, Type::Params) => bool_of(
+                Node::HasParam(Box::new(left.node)),
+                worst + cost::find(PAIRS_MAX as u64, left.size.most),
+            ),
+            (Type::Address, Type::Addresses) => bool_of(
+                Node::Binary(Binary::In, Box::new((left.node, right.node))),
+                worst + right.worst + cost::LOOK,
+            ),
+            (kind, Type::List(item)) if **item == *kind => {
+                self.known(&left.node, b);
+                if let Node::List(items) = &right.node {
+                    let texts = items.iter().map(|n| match n {
+                        Node::Text(text) => Some(text.clone()),
+                        _ => None,
+                    });
+                    let look = worst + cost::LOOK + cost::compare(left.size.most);
+                    if let Some(texts) = texts.collect::<Option<HashSet<_>>>() {
+                        return bool_of(Node::InTexts(Box::new(left.node), Arc::new(texts)), look);
+                    }
+                    let ints = items
+                        .iter()
+                        .map(|n| if let Node::Int(n) = n { Some(*n) } else { None });
+                    if let Some(ints) = ints.collect::<Option<HashSet<_>>>() {
+                        return bool_of(Node::InInts(Box::new(left.node), Arc::new(ints)), look);
+                    }
+                }
+                let each = cost::compare(left.size.extent().min(right.size.item().extent()));
+                let worst = worst + right.worst + right.size.most.saturating_mul(each);
+                bool_of(
+                    Node::Binary(Binary::In, Box::new((left.node, right.node))),
+                    worst,
+                )
+            }
+            (kind, Type::List(item)) => self.wrong(
+                &a.at,
+                format!("this is a {kind}"),
+                format!("a {item}, as in the list"),
+            ),
+            (kind, Type::Addresses) => self.wrong(&a.at, format!("this is a {kind}"), "an ip"),
+            (kind, Type::Params) => self.wrong(
+                &a.at,
+                format!("this is a {kind}"),
+                "a string, the name of a parameter",
+            ),
+            (_, kind) => self.wrong(
+                &b.at,
+                format!("this is a {kind}"),
+                "a list, addresses or params",
+            ),
+        }
+    }
+}
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -4,7 +4,7 @@
 
 /// What is wrong with an expression.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Error {
+pub struct ExpressionError {
     /// Bytes of the expression's text.
     pub at: Range<usize>,
     /// What was found.
@@ -13,10 +13,14 @@
     pub expected: String,
 }
 
-impl Error {
+impl ExpressionError {
     /// An error at these bytes.
-    pub fn new(at: Range<usize>, what: impl Into<String>, expected: impl Into<String>) -> Error {
-        Error {
+    pub fn new(
+        at: Range<usize>,
+        what: impl Into<String>,
+        expected: impl Into<String>,
+    ) -> ExpressionError {
+        ExpressionError {
             at,
             what: what.into(),
             expected: expected.into(),
--- a/crates/rules/src/facts.rs
+++ b/crates/rules/src/facts.rs
@@ -1,6 +1,6 @@
 //! What rules may ask of an invocation.
 
-use crate::value::{Fault, Type, Value};
+use crate::value::{EvaluationError, Type, Value};
 use smallvec::SmallVec;
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -229,8 +229,8 @@
                     Ok(name) if params.pairs.len() < PAIRS_MAX => {
                         params.pairs.push((name, text(value, PARAM_MAX)));
                     }
-                    Ok(_) => params.fault = Some(Fault::TooLong),
-                    Err(_) => params.fault = Some(Fault::NoText),
+                    Ok(_) => params.fault = Some(EvaluationError::TooLong),
+                    Err(_) => params.fault = Some(EvaluationError::NoText),
                 }
             }
         }
@@ -238,30 +238,30 @@
     }
 }
 
-fn text(value: &[u8], most: usize) -> Result<&str, Fault> {
+fn text(value: &[u8], most: usize) -> Result<&str, EvaluationError> {
     if value.len() > most {
-        return Err(Fault::TooLong);
+        return Err(EvaluationError::TooLong);
     }
-    str::from_utf8(value).map_err(|_| Fault::NoText)
+    str::from_utf8(value).map_err(|_| EvaluationError::NoText)
 }
 
 /// A request's parameters, as far as rules may ask for them.
 #[derive(Clone, Debug, Default)]
 pub struct Params<'a> {
-    slots: SmallVec<[Option<Result<&'a str, Fault>>; 16]>,
-    pairs: SmallVec<[(&'a str, Result<&'a str, Fault>); 1]>,
+    slots: SmallVec<[Option<Result<&'a str, EvaluationError>>; 16]>,
+    pairs: SmallVec<[(&'a str, Result<&'a str, EvaluationError>); 1]>,
     /// Why not all of them can be walked.
-    fault: Option<Fault>,
+    fault: Option<EvaluationError>,
 }
 
 impl<'a> Params<'a> {
     /// The value in a slot.
-    pub fn slot(&self, slot: u16) -> Result<&'a str, Fault> {
+    pub fn slot(&self, slot: u16) -> Result<&'a str, EvaluationError> {
         self.slots
             .get(usize::from(slot))
             .copied()
             .flatten()
-            .unwrap_or(Err(Fault::Absent))
+            .unwrap_or(Err(EvaluationError::Absent))
     }
 
     /// Whether a slot has a value, be it good or not.
@@ -272,7 +272,7 @@
     }
 
     /// All names, if they can be walked.
-    pub fn names(&self) -> Result<impl ExactSizeIterator<Item = &'a str>, Fault> {
+    pub fn names(&self) -> Result<impl ExactSizeIterator<Item = &'a str>, EvaluationError> {
         self.fault
             .map_or(Ok(self.pairs.iter().map(|(name, _)| *name)), Err)
     }
@@ -288,15 +288,16 @@
     }
 
     /// The value of a name.
-    pub fn find(&self, name: &str) -> Result<&'a str, Fault> {
+    pub fn find(&self, name: &str) -> Result<&'a str, EvaluationError> {
         let found = self.pairs.iter().find(|(n, _)| *n == name);
-        found.map_or(Err(self.fault.unwrap_or(Fault::Absent)), |(_, value)| {
-            *value
-        })
+        found.map_or(
+            Err(self.fault.unwrap_or(EvaluationError::Absent)),
+            |(_, value)| *value,
+        )
     }
 
     /// Whether there is a parameter of this name.
-    pub fn has(&self, name: &str) -> Result<bool, Fault> {
+    pub fn has(&self, name: &str) -> Result<bool, EvaluationError> {
         let found = self.pairs.iter().any(|(n, _)| *n == name);
         if found {
             Ok(true)
--- a/crates/rules/src/index.rs
+++ b/crates/rules/src/index.rs
@@ -4,6 +4,8 @@
 //! rule left out would not have matched: the part under which it is filed is false or errs, and
 //! with it the whole.
 
+mod trie;
+
 use crate::address::{self, AddressSet, NETWORKS_FILED};
 use crate::compile::Node;
 use crate::facts::{Facts, Name};
@@ -14,8 +16,9 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
 use std::sync::Arc;
+use trie::Trie;
 
-/// Sets of many networks are asked as a whole. So that this stays cheap, only so many are.
+/// Sets of many networks are looked up as a whole, and at most this many such sets.
 const SETS_ASKED: usize = 8;
 /// Values of one `in` list under which a rule is filed.
 const VALUES_FILED: usize = 256;
@@ -78,7 +81,7 @@
             values.sort_unstable();
             found.extend(Field::of(of).map(|field| Anchor::Equal(field, values)));
         }
-        Node::Call(crate::compile::Func::StartsWith, nodes) => {
+        Node::Call(crate::compile::Function::StartsWith, nodes) => {
             if let [of, Node::Text(prefix)] = &**nodes
                 && !prefix.is_empty()
             {
@@ -94,107 +97,17 @@
     }
 }
 
-/// A trie over bytes whose edges hold more than one where there is no fork.
-#[derive(Debug, Default)]
-struct Trie {
-    nodes: Vec<TrieNode>,
-}
-
-#[derive(Debug, Default)]
-struct TrieNode {
-    label: Box<[u8]>,
-    children: Vec<u32>,
-    rules: Vec<u32>,
-}
-
-impl Trie {
-    fn new() -> Trie {
-        Trie {
-            nodes: vec![TrieNode::default()],
-        }
-    }
-
-    fn insert(&mut self, mut key: &[u8], rule: u32) {
-        let mut at = 0usize;
-        loop {
-            if key.is_empty() {
-                return self.nodes[at].rules.push(rule);
-            }
-            let first = |trie: &Trie, child: u32| trie.nodes[child as usize].label[0];
-            let place = self.nodes[at]
-                .children
-                .binary_search_by_key(&key[0], |&child| first(self, child));
-            let child = match place {
-                Err(place) => {
-                    let new = self.nodes.len() as u32;
-                    self.nodes.push(TrieNode {
-                        label: key.into(),
-                        children: Vec::new(),
-                        rules: vec![rule],
-                    });
-                    return self.nodes[at].children.insert(place, new);
-                }
-                Ok(place) => self.nodes[at].children[place] as usize,
-            };
-            let label = &self.nodes[child].label;
-            let shared = label.iter().zip(key).take_while(|(a, b)| a == b).count();
-            if shared < label.len() {
-                // The edge forks: its lower part becomes a node of its own.
-                let (upper, lower) = (label[..shared].into(), label[shared..].into());
-                let new = self.nodes.len() as u32;
-                let node = &mut self.nodes[child];
-                let below = TrieNode {
-                    label: lower,
-                    children: std::mem::replace(&mut node.children, vec![new]),
-                    rules: std::mem::take(&mut node.rules),
-                };
-                node.label = upper;
-                self.nodes.push(below);
-            }
-            key = &key[shared..];
-            at = child;
-        }
-    }
-
-    /// Lists of rules under all prefixes of a text, and how many nodes were passed.
-    fn visit<'t>(&'t self, mut text: &[u8], mut sink: impl FnMut(&'t [u32])) {
-        let mut at = &self.nodes[0];
-        loop {
-            if !at.rules.is_empty() {
-                sink(&at.rules);
-            }
-            let Some(first) = text.first() else { return };
-            let label = |child: &u32| self.nodes[*child as usize].label[0];
-            let Ok(place) = at.children.binary_search_by_key(first, label) else {
-                return;
-            };
-            let child = &self.nodes[at.children[place] as usize];
-            let Some(rest) = text.strip_prefix(&*child.label) else {
-                return;
-            };
-            (text, at) = (rest, child);
-        }
-    }
-
-    fn bytes(&self) -> usize {
-        let of = |n: &TrieNode| {
-            n.label.len() + 16 + 4 * (n.children.capacity() + n.rules.capacity()) + 32
-        };
-        self.nodes.capacity() * size_of::<TrieNode>() + self.nodes.iter().map(of).sum::<usize>()
-    }
-}
-
-type Filed = Vec<u32>;
+type RuleList = Vec<u32>;
 
 /// Rules by what they are filed under.
 #[derive(Debug, Default)]
 pub struct Index {
-    equal: Vec<(Field, HashMap<Box<str>, Filed>)>,
+    equal: Vec<(Field, HashMap<Box<str>, RuleList>)>,
     prefix: Vec<(Field, Trie)>,
-    four: PrefixMap<Ipv4Net, Filed>,
-    six: PrefixMap<Ipv6Net, Filed>,
-    sets: Vec<(Arc<AddressSet>, Filed)>,
-    rest: Filed,
+    four: PrefixMap<Ipv4Net, RuleList>,
+    six: PrefixMap<Ipv6Net, RuleList>,
+    sets: Vec<(Arc<AddressSet>, RuleList)>,
+    rest: RuleList,
     /// What each rule is filed under, by a number of its kind; for those who ask why.
     kinds: Vec<u8>,
 }
@@ -434,9 +347,9 @@
 
     /// Bytes that it takes.
     pub fn bytes(&self) -> usize {
-        let filed = |f: &Filed| 4 * f.capacity() + 16;
-        let values = |m: &HashMap<Box<str>, Filed>| -> usize {
-            m.capacity() * (size_of::<(Box<str>, Filed)>() + 1)
+        let filed = |f: &RuleList| 4 * f.capacity() + 16;
+        let values = |m: &HashMap<Box<str>, RuleList>| -> usize {
+            m.capacity() * (size_of::<(Box<str>, RuleList)>() + 1)
                 + m.iter()
                     .map(|(k, f)| k.len() + 16 + filed(f))
                     .sum::<usize>()
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -7,15 +7,15 @@
 //! `docs/design/rules.md`. Nothing here does I/O or knows a clock.
 //!
 //! ```
-//! use madderpoint_rules::{Bounds, Facts, Path, RuleSet, Scratch, Vocabulary, Written};
+//! use madderpoint_rules::{Bounds, Facts, Path, RuleSet, Scratch, Vocabulary, RuleSource};
 //!
 //! let words = Vocabulary { operations: vec!["gun-yaz".into()], ..Vocabulary::default() };
-//! let rule = Written {
+//! let rule = RuleSource {
 //!     name: "yaz".into(),
 //!     when: r#"script.startsWith("/old/yaz/") && method == "POST""#.into(),
 //!     operation: Some("gun-yaz".into()),
 //!     key: Some(r#"script.part("/", 3)"#.into()),
-//!     ..Written::default()
+//!     ..RuleSource::default()
 //! };
 //! let rules = RuleSet::load(&[rule], &words, &[], Bounds::default()).unwrap();
 //! let facts = Facts { script: "/old/yaz/ankara-1", method: "POST", ..Facts::default() };
@@ -41,10 +41,10 @@
 
 pub use address::AddressSet;
 pub use compile::Vocabulary;
-pub use error::Error;
+pub use error::ExpressionError;
 pub use facts::{Caller, Facts, Params};
 pub use ruleset::{
-    Bounds, Decision, Field, Given, Path, Problem, RuleSet, Scratch, Verdict, Written,
+    Bounds, Decision, Field, Path, RuleError, RuleOutput, RuleSet, RuleSource, Scratch, Verdict,
     common_number,
 };
-pub use value::{Fault, Type, Value};
+pub use value::{EvaluationError, Type, Value};
--- a/crates/rules/src/ruleset.rs
+++ b/crates/rules/src/ruleset.rs
@@ -1,13 +1,17 @@
 //! Rules: conditions in the order of a file, and what each gives to what it matches.
 
-use crate::compile::{Compiler, Node, Vocabulary};
+mod explain;
+mod load;
+
+pub use explain::RuleExplanation;
+
+use crate::compile::Node;
 use crate::cost;
-use crate::error::Error;
-use crate::eval::Eval;
+use crate::error::ExpressionError;
+use crate::eval::Evaluator;
 use crate::facts::{Facts, ParamNames, Params};
 use crate::index::Index;
-use crate::syntax;
-use crate::value::{Fault, Type, Value};
+use crate::value::{EvaluationError, Value};
 use bumpalo::Bump;
 use smallvec::SmallVec;
 use std::collections::hash_map::DefaultHasher;
@@ -24,7 +28,7 @@
 
 /// A rule as it was written.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Written {
+pub struct RuleSource {
     /// Its name.
     pub name: String,
     /// The condition.
@@ -48,9 +52,9 @@
 /// An answer at once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It never ran; the caller is asked to stay away for so many nanoseconds.
+    /// It never ran; the client is asked to stay away for a time.
     Throttle {
-        /// The pause; 0 = none is named.
+        /// Retry-After, in nanoseconds; 0 if none is given.
         pause: u64,
         /// Why, for the counts and the answer.
         reason: String,
@@ -80,13 +84,13 @@
 
 /// Something wrong with a rule, or with all of them together.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Problem {
+pub struct RuleError {
     /// The rule, counted from 0; none if it is the whole set.
     pub rule: Option<usize>,
     /// Where in it.
     pub field: Field,
     /// What and where in that field's text.
-    pub error: Error,
+    pub error: ExpressionError,
 }
 
 /// What rules may take.
@@ -170,7 +174,7 @@
 
 /// What a rule gives to an invocation.
 #[derive(Debug)]
-pub struct Given<'r> {
+pub struct RuleOutput<'r> {
     /// The rule, by its place in the file.
     pub place: usize,
     /// The rule.
@@ -183,9 +187,9 @@
     pub buckets: SmallVec<[(u16, u64); BUCKETS_MAX]>,
     /// Facts for the log.
     pub facts: Vec<(&'r str, String)>,
-    /// The key as it reads, where that was asked for.
+    /// The key as text, if [`Scratch::shows_keys`] is set.
     pub key_text: Option<String>,
-    /// The buckets' keys as they read, where that was asked for.
+    /// The buckets' keys as text, if [`Scratch::shows_keys`] is set.
     pub bucket_texts: Vec<String>,
 }
 
@@ -193,15 +197,15 @@
 #[derive(Debug, Default)]
 pub struct Decision<'r> {
     /// What the first rule that matches gives.
-    pub given: Option<Given<'r>>,
+    pub given: Option<RuleOutput<'r>>,
     /// Rules that erred before that, and why.
-    pub faults: SmallVec<[(usize, Fault); 4]>,
+    pub faults: SmallVec<[(usize, EvaluationError); 4]>,
     /// Whether rules were left unasked because all that a request may use was used up.
     pub exhausted: bool,
     /// Units used.
     pub cost: u64,
     /// Conditions evaluated.
-    pub asked: usize,
+    pub evaluated_count: usize,
 }
 
 /// What evaluations use again.
@@ -271,211 +275,7 @@
     hasher.finish()
 }
 
-struct Loader<'v> {
-    compiler: Compiler<'v>,
-    vocabulary: &'v Vocabulary,
-    bounds: Bounds,
-    problems: Vec<Problem>,
-    classes: Vec<String>,
-    buckets: &'v [String],
-}
-
-impl Loader<'_> {
-    fn problem(&mut self, rule: usize, field: Field, error: Error) {
-        self.problems.push(Problem {
-            rule: Some(rule),
-            field,
-            error,
-        });
-    }
-
-    fn compile(
-        &mut self,
-        rule: usize,
-        field: Field,
-        text: &str,
-        kind: Type,
-    ) -> Option<(Node, u64)> {
-        let parsed = syntax::parse(text).map_err(|e| vec![e]);
-        match parsed.and_then(|expr| self.compiler.compile(&expr, &kind, self.bounds.cost)) {
-            Ok(typed) => Some((typed.node, typed.worst)),
-            Err(errors) => {
-                errors
-                    .into_iter()
-                    .for_each(|error| self.problem(rule, field, error));
-                None
-            }
-        }
-    }
-
-    fn whole(text: &str, what: impl Into<String>, expected: impl Into<String>) -> Error {
-        Error::new(0..text.len(), what, expected)
-    }
-
-    fn rule(&mut self, place: usize, written: &Written) -> Option<Rule> {
-        let before = self.problems.len();
-        let operation = written.operation.as_ref().and_then(|name| {
-            let found = self.vocabulary.operations.iter().position(|o| o == name);
-            if found.is_none() {
-                let known = format!("one of {}", self.vocabulary.operations.join(", "));
-                let what = format!("the settings have no operation '{name}'");
-                self.problem(place, Field::Operation, Self::whole(name, what, known));
-            }
-            found
-        });
-        let class = written.class.as_ref().map(|name| {
-            let found = self
-                .classes
-                .iter()
-                .position(|c| c == name)
-                .unwrap_or_else(|| {
-                    self.classes.push(name.clone());
-                    self.classes.len() - 1
-                });
-            found as u16
-        });
-        let mut worst = 0;
-        let mut part = |loader: &mut Self, field, text: &str, kind| -> Option<Node> {
-            let (node, cost) = loader.compile(place, field, text, kind)?;
-            worst += cost;
-            Some(node)
-        };
-        let when = part(self, Field::When, &written.when, Type::Bool);
-        let key = written
-            .key
-            .as_ref()
-            .and_then(|text| part(self, Field::Key, text, Type::Text));
-        let rank = written
-            .rank
-            .as_ref()
-            .and_then(|text| part(self, Field::Rank, text, Type::Float));
-        let mut facts = Vec::new();
-        for (i, (name, text)) in written.facts.iter().enumerate() {
-            let node = part(self, Field::Fact(i), text, Type::Text);
-            facts.extend(node.map(|node| (name.as_str().into(), node)));
-        }
-        let mut buckets = Vec::new();
-        for (i, (name, text)) in written.buckets.iter().enumerate() {
-            let node = part(self, Field::Bucket(i), text, Type::Text);
-            match self.buckets.iter().position(|b| b == name) {
-                Some(bucket) => buckets.extend(node.map(|node| (bucket as u16, node))),
-                None => {
-                    let known = format!("one of {}", self.buckets.join(", "));
-                    let error = Error::new(0..0, format!("there is no bucket '{name}'"), known);
-                    self.problem(place, Field::Bucket(i), error);
-                }
-            }
-        }
-        for (count, most, field) in [
-            (written.facts.len(), FACTS_MAX, Field::Fact(FACTS_MAX)),
-            (
-                written.buckets.len(),
-                BUCKETS_MAX,
-                Field::Bucket(BUCKETS_MAX),
-            ),
-        ] {
-            if count > most {
-                self.problem(
-                    place,
-                    field,
-                    Error::new(0..0, "too many in one rule", format!("at most {most}")),
-                );
-            }
-        }
-        if self.problems.len() > before {
-            return None;
-        }
-        Some(Rule {
-            name: written.name.as_str().into(),
-            operation,
-            class,
-            verdict: written.verdict.clone(),
-            when: when?,
-            worst,
-            key,
-            rank,
-            facts: facts.into(),
-            buckets: buckets.into(),
-            text: written.when.trim().into(),
-        })
-    }
-}
-
 impl RuleSet {
-    /// Checks and compiles rules; gives all that is wrong with them.
-    pub fn load(
-        written: &[Written],
-        vocabulary: &Vocabulary,
-        buckets: &[String],
-        bounds: Bounds,
-    ) -> Result<RuleSet, Vec<Problem>> {
-        let compiler = Compiler::new(vocabulary);
-        let mut loader = Loader {
-            compiler,
-            vocabulary,
-            bounds,
-            problems: Vec::new(),
-            classes: Vec::new(),
-            buckets,
-        };
-        let whole = |what: String, expected: String| {
-            vec![Problem {
-                rule: None,
-                field: Field::Name,
-                error: Error::new(0..0, what, expected),
-            }]
-        };
-        if written.len() > RULES_MAX {
-            return Err(whole(
-                format!("{} rules", written.len()),
-                format!("at most {RULES_MAX}"),
-            ));
-        }
-        let mut rules = Vec::new();
-        let mut bytes = 0;
-        for (place, one) in written.iter().enumerate() {
-            if let Some(rule) = loader.rule(place, one) {
-                bytes += rule.bytes();
-                rules.push(rule);
-            }
-            // What is too large is not built to its end.
-            if bytes > bounds.bytes {
-                break;
-            }
-        }
-        if !loader.problems.is_empty() {
-            return Err(loader.problems);
-        }
-        let index = Index::new(rules.iter().map(|rule| &rule.when));
-        let sets: usize = vocabulary.sets.values().map(|set| set.bytes()).sum();
-        bytes += index.bytes() + sets + loader.compiler.shared_bytes();
-        if bytes > bounds.bytes {
-            let what = format!("the rules take about {} KiB", bytes >> 10);
-            let room = format!(
-                "at most {} KiB, which follows from the memory limit",
-                bounds.bytes >> 10
-            );
-            return Err(whole(what, room));
-        }
-        let worst = index.worst(|rule| rules[rule as usize].worst);
-        let Loader {
-            compiler, classes, ..
-        } = loader;
-        let names = compiler.names;
-        Ok(RuleSet {
-            rules,
-            index,
-            names,
-            classes,
-            buckets: buckets.to_vec(),
-            cost: bounds.cost,
-            bytes,
-            worst,
-            shared: Vec::new(),
-            common: 0,
-        })
-    }
-
     /// The keys of these buckets, by their places, are numbered as on all nodes that have this
     /// secret in common.
     pub fn share(&mut self, buckets: impl Iterator<Item = usize>, common: u64) {
@@ -535,9 +335,9 @@
         scratch.arena.reset();
         let mut decision = Decision::default();
         let limit = self.request_limit();
-        let mut eval = Eval::new(facts, &scratch.arena, limit);
+        let mut eval = Evaluator::new(facts, &scratch.arena, limit);
         let mut ask = |place: usize| -> bool {
-            decision.asked += 1;
+            decision.evaluated_count += 1;
             let rule = &self.rules[place];
             let result = match eval.holds(&rule.when, self.cost) {
                 Ok(false) => return false,
@@ -548,7 +348,7 @@
                 Ok(given) => decision.given = Some(given),
                 Err(fault) => {
                     decision.faults.push((place, fault));
-                    decision.exhausted |= fault == Fault::Cost && eval.left() == 0;
+                    decision.exhausted |= fault == EvaluationError::Cost && eval.left() == 0;
                 }
             }
             decision.given.is_some() || decision.exhausted
@@ -570,14 +370,14 @@
     fn give<'r: 's, 's>(
         &'r self,
         place: usize,
-        eval: &mut Eval<'s, '_>,
+        eval: &mut Evaluator<'s, '_>,
         secret: u64,
         shows: bool,
-    ) -> Result<Given<'r>, Fault> {
+    ) -> Result<RuleOutput<'r>, EvaluationError> {
         let rule = &self.rules[place];
         let mut text = |node: &'s Node| match eval.within(node, self.cost)? {
             Value::Text(text) => Ok(text),
-            _ => Err(Fault::NoValue),
+            _ => Err(EvaluationError::NoValue),
         };
         let key = rule.key.as_ref().map(&mut text).transpose()?;
         let mut facts = Vec::new();
@@ -600,11 +400,11 @@
         let rank = match &rule.rank {
             Some(node) => match eval.within(node, self.cost)? {
                 Value::Float(rank) if (0.0..=1.0).contains(&rank) => Some(rank),
-                _ => return Err(Fault::Range),
+                _ => return Err(EvaluationError::Range),
             },
             None => None,
         };
-        Ok(Given {
+        Ok(RuleOutput {
             place,
             rule,
             key: key.map(|text| number(secret, 0, text)),
@@ -615,77 +415,4 @@
             bucket_texts,
         })
     }
-
-    /// Why each rule up to the one that matches does so or not, in the order of the file.
-    pub fn explain(&self, facts: &Facts<'_>, scratch: &mut Scratch) -> Vec<Why> {
-        let candidates: Vec<u32> = self.index.candidates(facts).collect();
-        let mut why = Vec::new();
-        for (place, rule) in self.rules.iter().enumerate() {
-            scratch.arena.reset();
-            let mut eval = Eval::new(facts, &scratch.arena, self.cost);
-            let filed = self.index.kind(place);
-            let evaluated = candidates.binary_search(&(place as u32)).is_ok();
-            let result = eval.holds(&rule.when, self.cost);
-            let cost = self.cost - eval.left();
-            let failed = match result {
-                Ok(true) => None,
-                _ => Some(Self::first_failed(rule, facts, scratch, self.cost)),
-            };
-            why.push(Why {
-                place,
-                evaluated,
-                filed,
-                result,
-                cost,
-                failed,
-            });
-            if result == Ok(true) {
-                break;
-            }
-        }
-        why
-    }
-
-    /// The first part of a condition that does not hold, and what became of it.
-    fn first_failed(
-        rule: &Rule,
-        facts: &Facts<'_>,
-        scratch: &mut Scratch,
-        limit: u64,
-    ) -> (String, String) {
-        let parts = match &rule.when {
-            Node::And(parts) => &**parts,
-            whole => std::slice::from_ref(whole),
-        };
-        let texts: Vec<String> = match syntax::parse(&rule.text).map(|expr| expr.kind) {
-            Ok(syntax::Kind::And(all)) => all.iter().map(ToString::to_string).collect(),
-            _ => vec![rule.text.to_string()],
-        };
-        for (part, text) in parts.iter().zip(texts) {
-            scratch.arena.reset();
-            match Eval::new(facts, &scratch.arena, limit).holds(part, limit) {
-                Ok(true) => {}
-                Ok(false) => return (text, "is false".into()),
-                Err(fault) => return (text, format!("errs: {fault}")),
-            }
-        }
-        (rule.text.to_string(), "does not hold".into())
-    }
-}
-
-/// Why a rule matches or not.
-#[derive(Clone, Debug)]
-pub struct Why {
-    /// The rule, by its place.
-    pub place: usize,
-    /// Whether the index has it evaluated for this request.
-    pub evaluated: bool,
-    /// What the index files it under.
-    pub filed: &'static str,
-    /// What its condition comes to.
-    pub result: Result<bool, Fault>,
-    /// Units that took.
-    pub cost: u64,
-    /// The first part that does not hold, and what became of it.
-    pub failed: Option<(String, String)>,
 }
--- /dev/null
+++ b/crates/rules/src/syntax/print.rs
@@ -0,0 +1,123 @@
+//! Writes a tree as text that parses to the same tree.
+
+use super::{AND, Expression, ExpressionKind, MEMBER, OR, UNARY};
+use std::fmt;
+
+impl Expression {
+    fn power(&self) -> u8 {
+        match &self.kind {
+            ExpressionKind::If(..) => 0,
+            ExpressionKind::Or(_) => OR,
+            ExpressionKind::And(_) => AND,
+            ExpressionKind::Binary(op, ..) => op.power(),
+            ExpressionKind::Not(_) | ExpressionKind::Minus(_) => UNARY,
+            ExpressionKind::Int(n) if *n < 0 => UNARY,
+            ExpressionKind::Float(x) if x.is_sign_negative() => UNARY,
+            _ => MEMBER,
+        }
+    }
+
+    fn within(&self, f: &mut fmt::Formatter<'_>, least: u8) -> fmt::Result {
+        if self.power() < least {
+            write!(f, "({self})")
+        } else {
+            write!(f, "{self}")
+        }
+    }
+}
+
+fn comma(f: &mut fmt::Formatter<'_>, all: &[Expression]) -> fmt::Result {
+    for (i, one) in all.iter().enumerate() {
+        write!(f, "{}{one}", if i > 0 { ", " } else { "" })?;
+    }
+    Ok(())
+}
+
+fn joined(f: &mut fmt::Formatter<'_>, all: &[Expression], sign: &str, power: u8) -> fmt::Result {
+    for (i, one) in all.iter().enumerate() {
+        f.write_str(if i > 0 { sign } else { "" })?;
+        one.within(f, power + 1)?;
+    }
+    Ok(())
+}
+
+/// A string as it can be read again.
+pub fn quote(f: &mut impl fmt::Write, text: &str) -> fmt::Result {
+    f.write_char('"')?;
+    for c in text.chars() {
+        match c {
+            '"' | '\\' => write!(f, "\\{c}")?,
+            c if c.is_control() => write!(f, "\\U{:08x}", u32::from(c))?,
+            c => f.write_char(c)?,
+        }
+    }
+    f.write_char('"')
+}
+
+impl fmt::Display for Expression {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match &self.kind {
+            ExpressionKind::Bool(v) => write!(f, "{v}"),
+            ExpressionKind::Int(v) => write!(f, "{v}"),
+            ExpressionKind::Float(v) => write!(f, "{v:?}"),
+            ExpressionKind::Text(v) => quote(f, v),
+            ExpressionKind::Bytes(v) => {
+                f.write_str("b\"")?;
+                v.iter().try_for_each(|b| write!(f, "\\x{b:02x}"))?;
+                f.write_str("\"")
+            }
+            ExpressionKind::Name(name) => f.write_str(name),
+            ExpressionKind::Select(of, name) => {
+                of.within(f, MEMBER)?;
+                write!(f, ".{name}")
+            }
+            ExpressionKind::Index(of, at) => {
+                of.within(f, MEMBER)?;
+                write!(f, "[{at}]")
+            }
+            ExpressionKind::Call(name, arguments) => {
+                write!(f, "{name}(")?;
+                comma(f, arguments)?;
+                f.write_str(")")
+            }
+            ExpressionKind::Method(of, name, arguments) => {
+                of.within(f, MEMBER)?;
+                write!(f, ".{name}(")?;
+                comma(f, arguments)?;
+                f.write_str(")")
+            }
+            ExpressionKind::List(items) => {
+                f.write_str("[")?;
+                comma(f, items)?;
+                f.write_str("]")
+            }
+            ExpressionKind::Not(of) => {
+                f.write_str("!")?;
+                of.within(f, UNARY)
+            }
+            ExpressionKind::Minus(of) => {
+                // A number under a sign would be read as one number.
+                f.write_str("-")?;
+                let number = matches!(of.kind, ExpressionKind::Int(_) | ExpressionKind::Float(_));
+                if number {
+                    write!(f, "({of})")
+                } else {
+                    of.within(f, UNARY)
+                }
+            }
+            ExpressionKind::Binary(op, a, b) => {
+                a.within(f, op.power())?;
+                write!(f, " {} ", op.sign())?;
+                b.within(f, op.power() + 1)
+            }
+            ExpressionKind::And(all) => joined(f, all, " && ", AND),
+            ExpressionKind::Or(all) => joined(f, all, " || ", OR),
+            ExpressionKind::If(a, b, c) => {
+                a.within(f, OR)?;
+                f.write_str(" ? ")?;
+                b.within(f, OR)?;
+                write!(f, " : {c}")
+            }
+        }
+    }
+}
--- a/crates/rules/src/value.rs
+++ b/crates/rules/src/value.rs
@@ -144,9 +144,9 @@
     }
 }
 
-/// Why an evaluation has no value. A rule that errs so does not match.
+/// Why an evaluation has no value. A rule that errs does not match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum EvaluationError {
     /// A whole number, span or time left its range.
     Overflow,
     /// Division or remainder by zero.
@@ -165,31 +165,33 @@
     Cost,
 }
 
-impl Fault {
+impl EvaluationError {
     /// All, in the order of their counters.
-    pub const ALL: [Fault; 8] = [
-        Fault::Overflow,
-        Fault::Zero,
-        Fault::Absent,
-        Fault::NoText,
-        Fault::TooLong,
-        Fault::Range,
-        Fault::NoValue,
-        Fault::Cost,
+    pub const ALL: [EvaluationError; 8] = [
+        EvaluationError::Overflow,
+        EvaluationError::Zero,
+        EvaluationError::Absent,
+        EvaluationError::NoText,
+        EvaluationError::TooLong,
+        EvaluationError::Range,
+        EvaluationError::NoValue,
+        EvaluationError::Cost,
     ];
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for EvaluationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Fault::Overflow => "a number left its range",
-            Fault::Zero => "division by zero",
-            Fault::Absent => "absent in this request",
-            Fault::NoText => "a parameter is no text",
-            Fault::TooLong => "a parameter is longer than declared, or there are too many",
-            Fault::Range => "a place beyond the end",
-            Fault::NoValue => "a text that is no such value",
-            Fault::Cost => "stopped at the cost limit",
+            EvaluationError::Overflow => "a number left its range",
+            EvaluationError::Zero => "division by zero",
+            EvaluationError::Absent => "absent in this request",
+            EvaluationError::NoText => "a parameter is no text",
+            EvaluationError::TooLong => {
+                "a parameter is longer than declared, or there are too many"
+            }
+            EvaluationError::Range => "a place beyond the end",
+            EvaluationError::NoValue => "a text that is no such value",
+            EvaluationError::Cost => "stopped at the cost limit",
         })
     }
 }
--- a/crates/rules/tests/language.rs
+++ b/crates/rules/tests/language.rs
@@ -5,33 +5,33 @@
 
 use bumpalo::Bump;
 use madderpoint_rules::compile::Compiler;
-use madderpoint_rules::eval::Eval;
+use madderpoint_rules::eval::Evaluator;
 use madderpoint_rules::syntax::{DEPTH_MAX, parse};
-use madderpoint_rules::{Error, Facts, Fault, Type, cost};
+use madderpoint_rules::{EvaluationError, ExpressionError, Facts, Type, cost};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use support::reference::{Reference, show};
-use support::{KINDS, Kind, Request, expression, words};
+use support::{ExpressionKind, KINDS, Request, expression, words};
 
 /// Far more than any expression here needs.
 const AMPLE: u64 = 1 << 40;
 
-fn of(kind: Kind) -> Type {
+fn of(kind: ExpressionKind) -> Type {
     match kind {
-        Kind::Bool => Type::Bool,
-        Kind::Int => Type::Int,
-        Kind::Float => Type::Float,
-        Kind::Text => Type::Text,
-        Kind::Bytes => Type::Bytes,
-        Kind::Span => Type::Span,
-        Kind::Time => Type::Time,
-        Kind::Address => Type::Address,
-        Kind::Texts => Type::List(Box::new(Type::Text)),
-        Kind::Ints => Type::List(Box::new(Type::Int)),
+        ExpressionKind::Bool => Type::Bool,
+        ExpressionKind::Int => Type::Int,
+        ExpressionKind::Float => Type::Float,
+        ExpressionKind::Text => Type::Text,
+        ExpressionKind::Bytes => Type::Bytes,
+        ExpressionKind::Span => Type::Span,
+        ExpressionKind::Time => Type::Time,
+        ExpressionKind::Address => Type::Address,
+        ExpressionKind::Texts => Type::List(Box::new(Type::Text)),
+        ExpressionKind::Ints => Type::List(Box::new(Type::Int)),
     }
 }
 
-fn errors(text: &str, kind: &Type, limit: u64) -> Vec<Error> {
+fn errors(text: &str, kind: &Type, limit: u64) -> Vec<ExpressionError> {
     let words = words();
     let mut compiler = Compiler::new(&words);
     match parse(text) {
@@ -50,7 +50,7 @@
     kind: &Type,
     request: &Request,
     limit: u64,
-) -> (Result<String, Fault>, u64, u64) {
+) -> (Result<String, EvaluationError>, u64, u64) {
     let words = words();
     let mut compiler = Compiler::new(&words);
     let expr = parse(text).unwrap_or_else(|e| panic!("{text}: {e:?}"));
@@ -66,7 +66,7 @@
         ..request.bare()
     };
     let arena = Bump::new();
-    let mut eval = Eval::new(&facts, &arena, limit);
+    let mut eval = Evaluator::new(&facts, &arena, limit);
     let result = eval.within(&typed.node, limit).map(|v| v.to_string());
     (result, limit - eval.left(), typed.worst)
 }
@@ -104,7 +104,7 @@
         let limit = rng.random_range(0..=used);
         let (stopped, spent, _) = value(&text, &of(kind), &request, limit);
         assert!(
-            spent <= limit && (limit >= used || stopped == Err(Fault::Cost)),
+            spent <= limit && (limit >= used || stopped == Err(EvaluationError::Cost)),
             "{text}: {limit} of {used}"
         );
     }
@@ -412,39 +412,57 @@
         (b"C".to_vec(), b"17".to_vec()),
     ];
     let cases = [
-        ("9223372036854775807 + 1 > 0", Err(Fault::Overflow)),
-        ("-9223372036854775808 / -1 > 0", Err(Fault::Overflow)),
-        ("-(-9223372036854775808) > 0", Err(Fault::Overflow)),
-        ("3037000500 * 3037000500 > 0", Err(Fault::Overflow)),
-        ("int(1e19) > 0", Err(Fault::Overflow)),
-        ("int(0.0 / 0.0) > 0", Err(Fault::Overflow)),
-        ("1 / 0 == 1", Err(Fault::Zero)),
-        ("1 % 0 == 1", Err(Fault::Zero)),
+        (
+            "9223372036854775807 + 1 > 0",
+            Err(EvaluationError::Overflow),
+        ),
+        (
+            "-9223372036854775808 / -1 > 0",
+            Err(EvaluationError::Overflow),
+        ),
+        (
+            "-(-9223372036854775808) > 0",
+            Err(EvaluationError::Overflow),
+        ),
+        (
+            "3037000500 * 3037000500 > 0",
+            Err(EvaluationError::Overflow),
+        ),
+        ("int(1e19) > 0", Err(EvaluationError::Overflow)),
+        ("int(0.0 / 0.0) > 0", Err(EvaluationError::Overflow)),
+        ("1 / 0 == 1", Err(EvaluationError::Zero)),
+        ("1 % 0 == 1", Err(EvaluationError::Zero)),
         ("0.0 / 0.0 == 0.0 / 0.0", Ok("false")),
         ("0.0 / 0.0 < 1.0 || 0.0 / 0.0 >= 1.0", Ok("false")),
-        ("estimate > duration(\"1s\")", Err(Fault::Absent)),
-        ("peer > 0", Err(Fault::Absent)),
-        ("caller.id == \"\"", Err(Fault::Absent)),
-        ("caller.address in offices", Err(Fault::Absent)),
-        ("params.NONE == \"\"", Err(Fault::Absent)),
-        ("params.A == \"\"", Err(Fault::NoText)),
-        ("params.B == \"\"", Err(Fault::TooLong)),
+        ("estimate > duration(\"1s\")", Err(EvaluationError::Absent)),
+        ("peer > 0", Err(EvaluationError::Absent)),
+        ("caller.id == \"\"", Err(EvaluationError::Absent)),
+        ("caller.address in offices", Err(EvaluationError::Absent)),
+        ("params.NONE == \"\"", Err(EvaluationError::Absent)),
+        ("params.A == \"\"", Err(EvaluationError::NoText)),
+        ("params.B == \"\"", Err(EvaluationError::TooLong)),
         ("int(params.C) == 17", Ok("true")),
-        ("int(script) == 17", Err(Fault::NoValue)),
-        ("params.C.part(\",\", 1) == \"\"", Err(Fault::Range)),
-        ("params.C.substring(3) == \"\"", Err(Fault::Range)),
+        ("int(script) == 17", Err(EvaluationError::NoValue)),
+        (
+            "params.C.part(\",\", 1) == \"\"",
+            Err(EvaluationError::Range),
+        ),
+        ("params.C.substring(3) == \"\"", Err(EvaluationError::Range)),
         ("params.C.substring(2) == \"\"", Ok("true")),
-        ("[1, 2][2] == 1", Err(Fault::Range)),
-        ("[1, 2][-1] == 1", Err(Fault::Range)),
+        ("[1, 2][2] == 1", Err(EvaluationError::Range)),
+        ("[1, 2][-1] == 1", Err(EvaluationError::Range)),
         // Where one side decides, the other may err, on whichever side it is.
         ("false && 1 / 0 == 1", Ok("false")),
         ("1 / 0 == 1 && false", Ok("false")),
         ("1 / 0 == 1 || true", Ok("true")),
         ("[1, 0].exists(x, 1 / x == 1)", Ok("true")),
         ("[0, 1].exists(x, 1 / x == 1)", Ok("true")),
-        ("[0, 2].exists(x, 1 / x == 1)", Err(Fault::Zero)),
+        ("[0, 2].exists(x, 1 / x == 1)", Err(EvaluationError::Zero)),
         ("[0, 2].all(x, 1 / x == 1)", Ok("false")),
-        ("[0, 2].filter(x, 1 / x == 1).size() == 0", Err(Fault::Zero)),
+        (
+            "[0, 2].filter(x, 1 / x == 1).size() == 0",
+            Err(EvaluationError::Zero),
+        ),
         ("has(estimate) && estimate > duration(\"1s\")", Ok("false")),
         (
             "\"A\" in params && !(\"Z\" in params) && has(params.B)",
@@ -475,11 +493,11 @@
             AMPLE
         )
         .0,
-        Err(Fault::TooLong)
+        Err(EvaluationError::TooLong)
     );
     assert_eq!(
         value("(\"Z\" + \"\") in params", &Type::Bool, &request, AMPLE).0,
-        Err(Fault::TooLong)
+        Err(EvaluationError::TooLong)
     );
     request.pairs.pop();
     assert_eq!(
@@ -495,7 +513,7 @@
     request.pairs[0] = (b"\xff".to_vec(), b"v".to_vec());
     assert_eq!(
         value("params.size() == 64", &Type::Bool, &request, AMPLE).0,
-        Err(Fault::NoText)
+        Err(EvaluationError::NoText)
     );
 }
 
@@ -519,7 +537,7 @@
     let words = words();
     let mut compiled = 0;
     for i in 0..10_000 {
-        let mut text = expression(&mut rng, Kind::Bool, 1 + i % 4, &[]).into_bytes();
+        let mut text = expression(&mut rng, ExpressionKind::Bool, 1 + i % 4, &[]).into_bytes();
         for _ in 0..rng.random_range(0..4) {
             let at = rng.random_range(0..=text.len());
             match rng.random_range(0..4) {
@@ -552,10 +570,11 @@
                     ..request.bare()
                 };
                 let arena = Bump::new();
-                let result = Eval::new(&facts, &arena, typed.worst).holds(&typed.node, typed.worst);
+                let result =
+                    Evaluator::new(&facts, &arena, typed.worst).holds(&typed.node, typed.worst);
                 assert_ne!(
                     result,
-                    Err(Fault::Cost),
+                    Err(EvaluationError::Cost),
                     "{text} costs more than its worst case"
                 );
             }
--- a/crates/rules/tests/sets.rs
+++ b/crates/rules/tests/sets.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use madderpoint_rules::{
-    AddressSet, Bounds, Facts, Fault, Field, Path, RuleSet, Scratch, Verdict, Written,
+    AddressSet, Bounds, EvaluationError, Facts, Field, Path, RuleSet, RuleSource, Scratch, Verdict,
     address::network,
 };
 use rand::RngExt;
@@ -12,13 +12,13 @@
 use rand::seq::IndexedRandom;
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
-use support::{Kind, NETWORKS, Request, expression, words};
+use support::{ExpressionKind, NETWORKS, Request, expression, words};
 
-fn rule(name: &str, when: &str) -> Written {
-    Written {
+fn rule(name: &str, when: &str) -> RuleSource {
+    RuleSource {
         name: name.into(),
         when: when.into(),
-        ..Written::default()
+        ..RuleSource::default()
     }
 }
 
@@ -56,15 +56,18 @@
             "params.B.startsWith({:?})",
             ["a", "an", "ankara", "i"].choose(rng).unwrap()
         ),
-        _ => expression(rng, Kind::Bool, 2, &[]),
+        _ => expression(rng, ExpressionKind::Bool, 2, &[]),
     };
     match rng.random_range(0..4) {
         0 => anchor,
-        1 => format!("{anchor} && {}", expression(rng, Kind::Bool, 2, &[])),
+        1 => format!(
+            "{anchor} && {}",
+            expression(rng, ExpressionKind::Bool, 2, &[])
+        ),
         2 => format!(
             "{} && {anchor} && {}",
-            expression(rng, Kind::Bool, 1, &[]),
-            expression(rng, Kind::Bool, 1, &[])
+            expression(rng, ExpressionKind::Bool, 1, &[]),
+            expression(rng, ExpressionKind::Bool, 1, &[])
         ),
         _ => format!("!({anchor})"),
     }
@@ -73,13 +76,13 @@
 #[test]
 fn the_index_gives_what_the_scan_gives() {
     let mut rng = Pcg64Mcg::seed_from_u64(42);
-    let (mut matched, mut left_out, mut asked) = (0, 0, 0);
+    let (mut matched, mut left_out, mut evaluated_count) = (0, 0, 0);
     for round in 0..150 {
         let rules: Vec<_> = (0..rng.random_range(1..60))
             .map(|i| {
                 let mut rule = rule(&format!("r{i}"), &condition(&mut rng));
                 if rng.random_range(0..4) == 0 {
-                    rule.key = Some(expression(&mut rng, Kind::Text, 1, &[]));
+                    rule.key = Some(expression(&mut rng, ExpressionKind::Text, 1, &[]));
                 }
                 rule
             })
@@ -94,12 +97,12 @@
             let by_index = rules.decide(&facts, &mut Scratch::new(1), Path::Index);
             let index = by_index.given.as_ref().map(|g| (g.place, g.key));
             assert_eq!(index, scan, "round {round}");
-            // What errs and is asked errs in the same way.
+            // What errs and is evaluated errs in the same way.
             assert!(by_index.faults.iter().all(|f| by_scan.faults.contains(f)));
             assert!(by_index.cost <= by_scan.cost && by_index.cost <= rules.worst());
             matched += usize::from(index.is_some());
-            left_out += by_scan.asked - by_index.asked;
-            asked += by_index.asked;
+            left_out += by_scan.evaluated_count - by_index.evaluated_count;
+            evaluated_count += by_index.evaluated_count;
             let why = rules.explain(&facts, &mut scratch);
             assert!(
                 why.iter().all(|w| w.evaluated || w.result != Ok(true)),
@@ -118,8 +121,8 @@
         }
     }
     assert!(
-        matched > 3_000 && left_out > asked,
-        "{matched} matched, {asked} asked, {left_out} left out"
+        matched > 3_000 && left_out > evaluated_count,
+        "{matched} matched, {evaluated_count} asked, {left_out} left out"
     );
 }
 
@@ -179,13 +182,13 @@
         .unwrap()
         .key;
     assert!(key == same && key != elsewhere);
-    // A rule that errs where it gives does not match, and the next one is asked.
+    // A rule that errs where it gives does not match, and the next one is evaluated.
     facts.script = "/old/yaz/";
     facts.peer = None;
     let decision = rules.decide(&facts, &mut Scratch::new(3), Path::Index);
     assert_eq!(
         (decision.given.unwrap().place, decision.faults[0]),
-        (1, (0, Fault::Absent))
+        (1, (0, EvaluationError::Absent))
     );
 }
 
@@ -288,7 +291,7 @@
         };
         let decision = rules.decide(&facts, &mut Scratch::new(1), Path::Index);
         assert_eq!(
-            (decision.given.is_some(), decision.asked),
+            (decision.given.is_some(), decision.evaluated_count),
             (is_in, usize::from(is_in)),
             "{address}"
         );
@@ -319,10 +322,10 @@
     };
     let decision = rules.decide(&facts, &mut Scratch::new(1), Path::Index);
     assert!(
-        decision.exhausted && decision.given.is_none() && decision.asked < 50,
+        decision.exhausted && decision.given.is_none() && decision.evaluated_count < 50,
         "{decision:?}"
     );
-    assert_eq!(decision.faults.last().unwrap().1, Fault::Cost);
+    assert_eq!(decision.faults.last().unwrap().1, EvaluationError::Cost);
     assert!(decision.cost <= rules.request_limit());
 }
 
--- a/crates/rules/tests/support/mod.rs
+++ b/crates/rules/tests/support/mod.rs
@@ -148,7 +148,7 @@
 
 /// The types for which expressions are made.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum ExpressionKind {
     Bool,
     Int,
     Float,
@@ -161,31 +161,36 @@
     Ints,
 }
 
-pub const KINDS: [Kind; 10] = [
-    Kind::Bool,
-    Kind::Int,
-    Kind::Float,
-    Kind::Text,
-    Kind::Bytes,
-    Kind::Span,
-    Kind::Time,
-    Kind::Address,
-    Kind::Texts,
-    Kind::Ints,
+pub const KINDS: [ExpressionKind; 10] = [
+    ExpressionKind::Bool,
+    ExpressionKind::Int,
+    ExpressionKind::Float,
+    ExpressionKind::Text,
+    ExpressionKind::Bytes,
+    ExpressionKind::Span,
+    ExpressionKind::Time,
+    ExpressionKind::Address,
+    ExpressionKind::Texts,
+    ExpressionKind::Ints,
 ];
 
 /// A well-typed expression. `local` names a string that is in scope, if any.
-pub fn expression(rng: &mut Pcg64Mcg, kind: Kind, depth: usize, locals: &[&str]) -> String {
+pub fn expression(
+    rng: &mut Pcg64Mcg,
+    kind: ExpressionKind,
+    depth: usize,
+    locals: &[&str],
+) -> String {
     let leaf = depth == 0 || rng.random_range(0..6) == 0;
     let d = depth.saturating_sub(1);
     macro_rules! e {
         ($kind:ident) => {
-            expression(rng, Kind::$kind, d, locals)
+            expression(rng, ExpressionKind::$kind, d, locals)
         };
     }
     if leaf {
         return match kind {
-            Kind::Bool => [
+            ExpressionKind::Bool => [
                 "true",
                 "false",
                 "has(estimate)",
@@ -196,17 +201,17 @@
             .choose(rng)
             .unwrap()
             .to_string(),
-            Kind::Int => match rng.random_range(0..5) {
+            ExpressionKind::Int => match rng.random_range(0..5) {
                 0 => "peer".into(),
                 1 => i64::MAX.to_string(),
                 2 => i64::MIN.to_string(),
                 _ => rng.random_range(-9..10i64).to_string(),
             },
-            Kind::Float => ["rank", "need", "0.0", "1.5", "-2.25", "1e300"]
+            ExpressionKind::Float => ["rank", "need", "0.0", "1.5", "-2.25", "1e300"]
                 .choose(rng)
                 .unwrap()
                 .to_string(),
-            Kind::Text => match locals.last() {
+            ExpressionKind::Text => match locals.last() {
                 Some(local) if rng.random_range(0..2) == 0 => local.to_string(),
                 _ => match rng.random_range(0..10) {
                     0 => "operation".into(),
@@ -219,27 +224,27 @@
                     _ => format!("{:?}", TEXTS.choose(rng).unwrap()),
                 },
             },
-            Kind::Bytes => ["body", "b\"body\"", "b\"\\xff\""]
+            ExpressionKind::Bytes => ["body", "b\"body\"", "b\"\\xff\""]
                 .choose(rng)
                 .unwrap()
                 .to_string(),
-            Kind::Span => ["estimate", "duration(\"250ms\")", "duration(\"-1h\")"]
+            ExpressionKind::Span => ["estimate", "duration(\"250ms\")", "duration(\"-1h\")"]
                 .choose(rng)
                 .unwrap()
                 .to_string(),
-            Kind::Time => ["arrived", "timestamp(\"2026-12-01T08:30:00Z\")"]
+            ExpressionKind::Time => ["arrived", "timestamp(\"2026-12-01T08:30:00Z\")"]
                 .choose(rng)
                 .unwrap()
                 .to_string(),
-            Kind::Address => match rng.random_range(0..3) {
+            ExpressionKind::Address => match rng.random_range(0..3) {
                 0 => "caller.address".into(),
                 _ => format!("ip({:?})", ADDRESSES.choose(rng).unwrap()),
             },
-            Kind::Texts => ["pilots", "[\"ankara\", params.A]", "[\"x\"]"]
+            ExpressionKind::Texts => ["pilots", "[\"ankara\", params.A]", "[\"x\"]"]
                 .choose(rng)
                 .unwrap()
                 .to_string(),
-            Kind::Ints => "[1, 2, 3]".into(),
+            ExpressionKind::Ints => "[1, 2, 3]".into(),
         };
     }
     if rng.random_range(0..8) == 0 {
@@ -251,20 +256,20 @@
         return format!("({c} ? {a} : {b})");
     }
     match kind {
-        Kind::Bool => match rng.random_range(0..15) {
+        ExpressionKind::Bool => match rng.random_range(0..15) {
             0 => format!("!{}", e!(Bool)),
             1 | 2 => format!("({} && {})", e!(Bool), e!(Bool)),
             3 | 4 => format!("({} || {})", e!(Bool), e!(Bool)),
             5 => {
                 let op = ["==", "!=", "<", "<=", ">", ">="].choose(rng).unwrap();
                 let kinds = [
-                    Kind::Bool,
-                    Kind::Int,
-                    Kind::Float,
-                    Kind::Text,
-                    Kind::Bytes,
-                    Kind::Span,
-                    Kind::Time,
+                    ExpressionKind::Bool,
+                    ExpressionKind::Int,
+                    ExpressionKind::Float,
+                    ExpressionKind::Text,
+                    ExpressionKind::Bytes,
+                    ExpressionKind::Span,
+                    ExpressionKind::Time,
                 ];
                 let of = *kinds.choose(rng).unwrap();
                 // A literal operation or tenant must be known, so that names are not compared with
@@ -274,7 +279,7 @@
                     expression(rng, of, d, locals),
                 );
                 let plain = |text: &str| {
-                    if of == Kind::Text {
+                    if of == ExpressionKind::Text {
                         format!("({text} + \"\")")
                     } else {
                         format!("({text})")
@@ -283,9 +288,13 @@
                 format!("({} {op} {})", plain(&a), plain(&b))
             }
             6 => {
-                let of = *[Kind::Address, Kind::Texts, Kind::Ints]
-                    .choose(rng)
-                    .unwrap();
+                let of = *[
+                    ExpressionKind::Address,
+                    ExpressionKind::Texts,
+                    ExpressionKind::Ints,
+                ]
+                .choose(rng)
+                .unwrap();
                 let (a, b) = (
                     expression(rng, of, d, locals),
                     expression(rng, of, d, locals),
@@ -315,13 +324,13 @@
                 let name = ["u", "v"][locals.len()];
                 let inner: Vec<&str> = locals.iter().copied().chain([name]).collect();
                 let list = e!(Texts);
-                let body = expression(rng, Kind::Bool, d.min(2), &inner);
+                let body = expression(rng, ExpressionKind::Bool, d.min(2), &inner);
                 let which = ["all", "exists"].choose(rng).unwrap();
                 format!("({list}).{which}({name}, {body})")
             }
             _ => format!("(({} + \"\") in params)", e!(Text)),
         },
-        Kind::Int => match rng.random_range(0..10) {
+        ExpressionKind::Int => match rng.random_range(0..10) {
             0..5 => {
                 let op = ["+", "-", "*", "/", "%"].choose(rng).unwrap();
                 format!("({} {op} {})", e!(Int), e!(Int))
@@ -344,7 +353,7 @@
                 _ => format!("({}).indexOf({})", e!(Text), e!(Text)),
             },
         },
-        Kind::Float => match rng.random_range(0..3) {
+        ExpressionKind::Float => match rng.random_range(0..3) {
             0 => format!("double({})", e!(Int)),
             1 => format!("double({})", e!(Text)),
             _ => {
@@ -352,7 +361,7 @@
                 format!("({} {op} {})", e!(Float), e!(Float))
             }
         },
-        Kind::Text => match rng.random_range(0..10) {
+        ExpressionKind::Text => match rng.random_range(0..10) {
             0 | 1 => format!("({} + {})", e!(Text), e!(Text)),
             2 => format!("({}).substring({})", e!(Text), rng.random_range(0..4)),
             3 => format!(
@@ -376,13 +385,13 @@
             7 => format!("({})[{}]", e!(Texts), rng.random_range(0..3)),
             8 => {
                 let of = *[
-                    Kind::Int,
-                    Kind::Float,
-                    Kind::Bool,
-                    Kind::Bytes,
-                    Kind::Span,
-                    Kind::Time,
-                    Kind::Address,
+                    ExpressionKind::Int,
+                    ExpressionKind::Float,
+                    ExpressionKind::Bool,
+                    ExpressionKind::Bytes,
+                    ExpressionKind::Span,
+                    ExpressionKind::Time,
+                    ExpressionKind::Address,
                 ]
                 .choose(rng)
                 .unwrap();
@@ -390,22 +399,22 @@
             }
             _ => format!("params[{}]", e!(Text)),
         },
-        Kind::Bytes => match rng.random_range(0..2) {
+        ExpressionKind::Bytes => match rng.random_range(0..2) {
             0 => format!("bytes({})", e!(Text)),
             _ => format!("({} + {})", e!(Bytes), e!(Bytes)),
         },
-        Kind::Span => match rng.random_range(0..4) {
+        ExpressionKind::Span => match rng.random_range(0..4) {
             0 => format!("({} + {})", e!(Span), e!(Span)),
             1 => format!("({} - {})", e!(Time), e!(Time)),
             2 => format!("duration({} + \"\")", e!(Text)),
             _ => format!("-({})", e!(Span)),
         },
-        Kind::Time => match rng.random_range(0..2) {
+        ExpressionKind::Time => match rng.random_range(0..2) {
             0 => format!("({} + {})", e!(Time), e!(Span)),
             _ => format!("({} - {})", e!(Time), e!(Span)),
         },
-        Kind::Address => format!("ip({} + \"\")", e!(Text)),
-        Kind::Texts => match rng.random_range(0..5) {
+        ExpressionKind::Address => format!("ip({} + \"\")", e!(Text)),
+        ExpressionKind::Texts => match rng.random_range(0..5) {
             0 => format!("[{}, {}]", e!(Text), e!(Text)),
             1 => format!("({} + {})", e!(Texts), e!(Texts)),
             2 => format!("({}).split(\"/\")", e!(Text)),
@@ -416,17 +425,17 @@
                 if rng.random_range(0..2) == 0 {
                     format!(
                         "({list}).filter({name}, {})",
-                        expression(rng, Kind::Bool, d.min(2), &inner)
+                        expression(rng, ExpressionKind::Bool, d.min(2), &inner)
                     )
                 } else {
                     format!(
                         "({list}).map({name}, {})",
-                        expression(rng, Kind::Text, d.min(2), &inner)
+                        expression(rng, ExpressionKind::Text, d.min(2), &inner)
                     )
                 }
             }
             _ => format!("[{}]", e!(Text)),
         },
-        Kind::Ints => format!("[{}, {}]", e!(Int), e!(Int)),
+        ExpressionKind::Ints => format!("[{}, {}]", e!(Int), e!(Int)),
     }
 }
--- a/crates/rules/tests/support/reference.rs
+++ b/crates/rules/tests/support/reference.rs
@@ -3,8 +3,8 @@
 
 use super::{NETWORKS, Request, words};
 use ipnet::IpNet;
-use madderpoint_rules::syntax::{Binary, Expr, Kind};
-use madderpoint_rules::{Fault, time};
+use madderpoint_rules::syntax::{Binary, Expression, ExpressionKind};
+use madderpoint_rules::{EvaluationError, time};
 use std::cmp::Ordering;
 use std::net::IpAddr;
 
@@ -25,7 +25,7 @@
 
 use Val::*;
 
-type Res = Result<Val, Fault>;
+type Res = Result<Val, EvaluationError>;
 
 pub struct Reference<'a> {
     pub request: &'a Request,
@@ -68,46 +68,47 @@
     }
 }
 
-fn within(v: i128) -> Result<i64, Fault> {
-    i64::try_from(v).map_err(|_| Fault::Overflow)
+fn within(v: i128) -> Result<i64, EvaluationError> {
+    i64::try_from(v).map_err(|_| EvaluationError::Overflow)
 }
 
 impl Reference<'_> {
-    fn param(&self, name: &str) -> Result<String, Fault> {
+    fn param(&self, name: &str) -> Result<String, EvaluationError> {
         let found = self
             .request
             .pairs
             .iter()
             .rev()
             .find(|(n, _)| n == name.as_bytes());
-        let (_, value) = found.ok_or(Fault::Absent)?;
+        let (_, value) = found.ok_or(EvaluationError::Absent)?;
         let most = words().params.get(name).copied();
         // A declared length binds where the name is written out; a computed name is bound by the
         // protocol alone.
         if most.is_some_and(|most| value.len() > most) {
-            return Err(Fault::TooLong);
+            return Err(EvaluationError::TooLong);
         }
-        String::from_utf8(value.clone()).map_err(|_| Fault::NoText)
+        String::from_utf8(value.clone()).map_err(|_| EvaluationError::NoText)
     }
 
-    fn computed(&self, name: &str) -> Result<String, Fault> {
+    fn computed(&self, name: &str) -> Result<String, EvaluationError> {
         let found = self
             .request
             .pairs
             .iter()
             .rev()
             .find(|(n, _)| n == name.as_bytes());
-        String::from_utf8(found.ok_or(Fault::Absent)?.1.clone()).map_err(|_| Fault::NoText)
+        String::from_utf8(found.ok_or(EvaluationError::Absent)?.1.clone())
+            .map_err(|_| EvaluationError::NoText)
     }
 
     fn fact(&self, name: &str) -> Option<Res> {
         let r = self.request;
-        let text = |t: Option<&str>| t.map(|t| Text(t.to_owned())).ok_or(Fault::Absent);
+        let text = |t: Option<&str>| t.map(|t| Text(t.to_owned())).ok_or(EvaluationError::Absent);
         let caller = |t: &str| {
             if r.caller {
                 Ok(Text(t.to_owned()))
             } else {
-                Err(Fault::Absent)
+                Err(EvaluationError::Absent)
             }
         };
         Some(match name {
@@ -116,16 +117,16 @@
             "script" => text(Some(&r.script)),
             "method" => text(Some("POST")),
             "front" => text(Some("fastcgi")),
-            "estimate" => r.estimate.map(Span).ok_or(Fault::Absent),
+            "estimate" => r.estimate.map(Span).ok_or(EvaluationError::Absent),
             "need" => Ok(Float(24.5)),
-            "rank" => r.rank.map(Float).ok_or(Fault::Absent),
-            "peer" => r.peer.map(|p| Int(p as i64)).ok_or(Fault::Absent),
+            "rank" => r.rank.map(Float).ok_or(EvaluationError::Absent),
+            "peer" => r.peer.map(|p| Int(p as i64)).ok_or(EvaluationError::Absent),
             "arrived" => Ok(Time(r.arrived)),
             "body" => Ok(Bytes(r.body.clone())),
             "caller.address" => r
                 .address
                 .map(|a| Ip(a.parse::<IpAddr>().unwrap().to_canonical()))
-                .ok_or(Fault::Absent),
+                .ok_or(EvaluationError::Absent),
             "caller.id" => caller("spiffe://saha.example/site/7"),
             "caller.trust_domain" => caller("saha.example"),
             "caller.path" => caller("/site/7"),
@@ -133,14 +134,14 @@
         })
     }
 
-    pub fn eval(&mut self, e: &Expr) -> Res {
+    pub fn eval(&mut self, e: &Expression) -> Res {
         Ok(match &e.kind {
-            Kind::Bool(v) => Bool(*v),
-            Kind::Int(v) => Int(*v),
-            Kind::Float(v) => Float(*v),
-            Kind::Text(v) => Text(v.clone()),
-            Kind::Bytes(v) => Bytes(v.clone()),
-            Kind::Name(name) => match self.locals.iter().rev().find(|(n, _)| n == name) {
+            ExpressionKind::Bool(v) => Bool(*v),
+            ExpressionKind::Int(v) => Int(*v),
+            ExpressionKind::Float(v) => Float(*v),
+            ExpressionKind::Text(v) => Text(v.clone()),
+            ExpressionKind::Bytes(v) => Bytes(v.clone()),
+            ExpressionKind::Name(name) => match self.locals.iter().rev().find(|(n, _)| n == name) {
                 Some((_, v)) => v.clone(),
                 None if name == "params" => Params,
                 None if name == "offices" => {
@@ -151,61 +152,63 @@
                 }
                 None => return self.fact(name).expect("a known name"),
             },
-            Kind::Select(of, field) => match &of.kind {
-                Kind::Name(n) if n == "params" => Text(self.param(field)?),
-                Kind::Name(n) => return self.fact(&format!("{n}.{field}")).expect("a known name"),
+            ExpressionKind::Select(of, field) => match &of.kind {
+                ExpressionKind::Name(n) if n == "params" => Text(self.param(field)?),
+                ExpressionKind::Name(n) => {
+                    return self.fact(&format!("{n}.{field}")).expect("a known name");
+                }
                 _ => panic!("no field"),
             },
-            Kind::Index(of, at) => match (self.eval(of)?, self.eval(at)?) {
+            ExpressionKind::Index(of, at) => match (self.eval(of)?, self.eval(at)?) {
                 (Params, Text(name)) => match at.kind {
-                    Kind::Text(_) => Text(self.param(&name)?),
+                    ExpressionKind::Text(_) => Text(self.param(&name)?),
                     _ => Text(self.computed(&name)?),
                 },
                 (List(items), Int(at)) => usize::try_from(at)
                     .ok()
                     .and_then(|at| items.get(at).cloned())
-                    .ok_or(Fault::Range)?,
+                    .ok_or(EvaluationError::Range)?,
                 _ => panic!("no index"),
             },
-            Kind::List(items) => List(
+            ExpressionKind::List(items) => List(
                 items
                     .iter()
                     .map(|i| self.eval(i))
                     .collect::<Result<_, _>>()?,
             ),
-            Kind::Not(of) => Bool(!self.truth(of)?),
-            Kind::Minus(of) => match self.eval(of)? {
+            ExpressionKind::Not(of) => Bool(!self.truth(of)?),
+            ExpressionKind::Minus(of) => match self.eval(of)? {
                 Int(v) => Int(within(-i128::from(v))?),
                 Span(v) => Span(within(-i128::from(v))?),
                 Float(v) => Float(-v),
                 _ => panic!("no sign"),
             },
-            Kind::And(all) => return self.joined(all, false),
-            Kind::Or(all) => return self.joined(all, true),
-            Kind::If(c, a, b) => {
+            ExpressionKind::And(all) => return self.joined(all, false),
+            ExpressionKind::Or(all) => return self.joined(all, true),
+            ExpressionKind::If(c, a, b) => {
                 return if self.truth(c)? {
                     self.eval(a)
                 } else {
                     self.eval(b)
                 };
             }
-            Kind::Binary(op, a, b) => {
+            ExpressionKind::Binary(op, a, b) => {
                 let (a, b) = (self.eval(a)?, self.eval(b)?);
                 return self.binary(*op, a, b);
             }
-            Kind::Call(name, args) => return self.call(name, args),
-            Kind::Method(of, name, args) => return self.method(of, name, args),
+            ExpressionKind::Call(name, args) => return self.call(name, args),
+            ExpressionKind::Method(of, name, args) => return self.method(of, name, args),
         })
     }
 
-    fn truth(&mut self, e: &Expr) -> Result<bool, Fault> {
+    fn truth(&mut self, e: &Expression) -> Result<bool, EvaluationError> {
         match self.eval(e)? {
             Bool(v) => Ok(v),
             _ => panic!("no bool"),
         }
     }
 
-    fn joined(&mut self, all: &[Expr], decides: bool) -> Res {
+    fn joined(&mut self, all: &[Expression], decides: bool) -> Res {
         let results: Vec<_> = all.iter().map(|one| self.truth(one)).collect();
         if results.contains(&Ok(decides)) {
             return Ok(Bool(decides));
@@ -244,9 +247,9 @@
             (Add, Int(a), Int(b)) => Int(within(wide(a) + wide(b))?),
             (Sub, Int(a), Int(b)) => Int(within(wide(a) - wide(b))?),
             (Mul, Int(a), Int(b)) => Int(within(wide(a) * wide(b))?),
-            (Div | Rem, Int(_), Int(0)) => return Err(Fault::Zero),
+            (Div | Rem, Int(_), Int(0)) => return Err(EvaluationError::Zero),
             (Div, Int(a), Int(b)) => Int(within(wide(a) / wide(b))?),
-            (Rem, Int(i64::MIN), Int(-1)) => return Err(Fault::Overflow),
+            (Rem, Int(i64::MIN), Int(-1)) => return Err(EvaluationError::Overflow),
             (Rem, Int(a), Int(b)) => Int(within(wide(a) % wide(b))?),
             (Add, Float(a), Float(b)) => Float(a + b),
             (Sub, Float(a), Float(b)) => Float(a - b),
@@ -263,19 +266,19 @@
         })
     }
 
-    fn call(&mut self, name: &str, args: &[Expr]) -> Res {
+    fn call(&mut self, name: &str, args: &[Expression]) -> Res {
         if name == "has" {
             return Ok(Bool(match &args[0].kind {
-                Kind::Select(of, field) => match &of.kind {
-                    Kind::Name(n) if n == "params" => self
+                ExpressionKind::Select(of, field) => match &of.kind {
+                    ExpressionKind::Name(n) if n == "params" => self
                         .request
                         .pairs
                         .iter()
                         .any(|(n, _)| n == field.as_bytes()),
-                    Kind::Name(n) => self.fact(&format!("{n}.{field}")).unwrap().is_ok(),
+                    ExpressionKind::Name(n) => self.fact(&format!("{n}.{field}")).unwrap().is_ok(),
                     _ => panic!(),
                 },
-                Kind::Name(n) => self.fact(n).unwrap().is_ok(),
+                ExpressionKind::Name(n) => self.fact(n).unwrap().is_ok(),
                 _ => panic!(),
             }));
         }
@@ -297,37 +300,37 @@
             ),
             ("size", [Text(t)]) => Int(t.chars().count() as i64),
             ("size", [List(l)]) => Int(l.len() as i64),
-            ("int", [Text(t)]) => Int(t.parse().map_err(|_| Fault::NoValue)?),
+            ("int", [Text(t)]) => Int(t.parse().map_err(|_| EvaluationError::NoValue)?),
             ("int", [Float(v)])
                 if v.is_nan() || v.abs() >= 2f64.powi(63) && *v != -(2f64.powi(63)) =>
             {
-                return Err(Fault::Overflow);
+                return Err(EvaluationError::Overflow);
             }
             ("int", [Float(v)]) => Int(v.trunc() as i64),
-            ("double", [Text(t)]) => Float(t.parse().map_err(|_| Fault::NoValue)?),
+            ("double", [Text(t)]) => Float(t.parse().map_err(|_| EvaluationError::NoValue)?),
             ("double", [Int(v)]) => Float(*v as f64),
             ("hash", [Text(t), Int(n)]) => {
                 Int((madderpoint_rules::eval::stable_hash(t) % *n as u64) as i64)
             }
             ("string", [Bytes(b)]) => {
-                Text(String::from_utf8(b.clone()).map_err(|_| Fault::NoText)?)
+                Text(String::from_utf8(b.clone()).map_err(|_| EvaluationError::NoText)?)
             }
             ("string", [v]) => Text(show(v)),
             ("bytes", [Text(t)]) => Bytes(t.clone().into_bytes()),
-            ("duration", [Text(t)]) => Span(time::span(t).ok_or(Fault::NoValue)?),
-            ("timestamp", [Text(t)]) => Time(time::time(t).ok_or(Fault::NoValue)?),
+            ("duration", [Text(t)]) => Span(time::span(t).ok_or(EvaluationError::NoValue)?),
+            ("timestamp", [Text(t)]) => Time(time::time(t).ok_or(EvaluationError::NoValue)?),
             ("ip", [Text(t)]) => Ip(t
                 .parse::<IpAddr>()
-                .map_err(|_| Fault::NoValue)?
+                .map_err(|_| EvaluationError::NoValue)?
                 .to_canonical()),
             (name, args) => panic!("{name}({args:?})"),
         })
     }
 
-    fn method(&mut self, of: &Expr, name: &str, args: &[Expr]) -> Res {
+    fn method(&mut self, of: &Expression, name: &str, args: &[Expression]) -> Res {
         let of = self.eval(of)?;
         if let ("all" | "exists" | "map" | "filter", List(items)) = (name, &of) {
-            let Kind::Name(local) = &args[0].kind else {
+            let ExpressionKind::Name(local) = &args[0].kind else {
                 panic!()
             };
             let mut results = Vec::new();
@@ -385,7 +388,7 @@
                 Text(
                     letters
                         .get(*from as usize..)
-                        .ok_or(Fault::Range)?
+                        .ok_or(EvaluationError::Range)?
                         .iter()
                         .collect(),
                 )
@@ -395,7 +398,7 @@
                 Text(
                     letters
                         .get(*from as usize..*to as usize)
-                        .ok_or(Fault::Range)?
+                        .ok_or(EvaluationError::Range)?
                         .iter()
                         .collect(),
                 )
@@ -403,15 +406,21 @@
             ("part", Text(t), [Text(by), Int(n)]) => Text(
                 t.split(by.as_str())
                     .nth(*n as usize)
-                    .ok_or(Fault::Range)?
+                    .ok_or(EvaluationError::Range)?
+                    .to_owned(),
+            ),
+            ("before", Text(t), [Text(by)]) => Text(
+                t.split_once(by.as_str())
+                    .ok_or(EvaluationError::Range)?
+                    .0
+                    .to_owned(),
+            ),
+            ("after", Text(t), [Text(by)]) => Text(
+                t.split_once(by.as_str())
+                    .ok_or(EvaluationError::Range)?
+                    .1
                     .to_owned(),
             ),
-            ("before", Text(t), [Text(by)]) => {
-                Text(t.split_once(by.as_str()).ok_or(Fault::Range)?.0.to_owned())
-            }
-            ("after", Text(t), [Text(by)]) => {
-                Text(t.split_once(by.as_str()).ok_or(Fault::Range)?.1.to_owned())
-            }
             ("lowerAscii", Text(t), []) => Text(t.to_ascii_lowercase()),
             ("upperAscii", Text(t), []) => Text(t.to_ascii_uppercase()),
             ("trim", Text(t), []) => Text(t.trim().to_owned()),
--- a/crates/settings/src/rule_config.rs
+++ b/crates/settings/src/rule_config.rs
@@ -13,7 +13,9 @@
 use locations::RuleLocations;
 use madderpoint::Idempotency;
 use madderpoint_rate_limits::{BUCKETS_MAX, Bucket};
-use madderpoint_rules::{Bounds, Error, Problem, RuleSet, Verdict, Vocabulary, Written, cost};
+use madderpoint_rules::{
+    Bounds, ExpressionError, RuleError, RuleSet, RuleSource, Verdict, Vocabulary, cost,
+};
 use madderpoint_shared_state::keyed_quota::KeyedQuota;
 use std::collections::{BTreeSet, HashMap};
 use values::{duration, text};
@@ -74,7 +76,7 @@
         let rules: Vec<&Element> = element.all("rule").collect();
         check_duplicate_names(element, &rules, &mut collector);
         let mut vocabulary = vocabulary::vocabulary(element, context, &mut collector);
-        let sources: Vec<Written> = rules
+        let sources: Vec<RuleSource> = rules
             .iter()
             .map(|rule| written(rule, &mut collector))
             .collect();
@@ -135,12 +137,12 @@
 }
 
 /// A rule as its element has it.
-fn written(element: &Element, collector: &mut Collector) -> Written {
+fn written(element: &Element, collector: &mut Collector) -> RuleSource {
     let expression = |of: &Element, name: &str| of.one(name).map(|e| e.text.value.clone());
-    let mut rule = Written {
+    let mut rule = RuleSource {
         name: text(element, "name").to_owned(),
         when: expression(element, "when").unwrap_or_default(),
-        ..Written::default()
+        ..RuleSource::default()
     };
     if let Some(give) = element.one("give") {
         rule.operation = give.get("operation").map(|t| t.value.clone());
@@ -225,7 +227,7 @@
 
 /// A key has a meaning only where an operation may be recognised by it.
 fn check_keys(
-    sources: &[Written],
+    sources: &[RuleSource],
     rules: &[&Element],
     context: &ValidationContext,
     collector: &mut Collector,
@@ -275,14 +277,14 @@
 
 fn compile(
     element: &Element,
-    sources: &[Written],
+    sources: &[RuleSource],
     vocabulary: &Vocabulary,
     buckets: &[Bucket],
     bounds: Bounds,
 ) -> Result<RuleSet, Vec<Diagnostic>> {
     let rules: Vec<&Element> = element.all("rule").collect();
     let bucket_names: Vec<String> = buckets.iter().map(|bucket| bucket.name.clone()).collect();
-    let diagnostic = |problem: &Problem| match problem.rule {
+    let diagnostic = |problem: &RuleError| match problem.rule {
         Some(rule) => {
             let locations = RuleLocations {
                 name: text(rules[rule], "name").to_owned(),
@@ -291,7 +293,7 @@
             locations.diagnostic(problem)
         }
         None => {
-            let Error { what, expected, .. } = problem.error.clone();
+            let ExpressionError { what, expected, .. } = problem.error.clone();
             Diagnostic::new(Location::At(element.at), "rules", what, expected)
         }
     };
--- a/crates/settings/src/rule_config/locations.rs
+++ b/crates/settings/src/rule_config/locations.rs
@@ -2,7 +2,7 @@
 
 use crate::xml::{Element, Text};
 use crate::{Diagnostic, Location};
-use madderpoint_rules::{Error, Field, Problem};
+use madderpoint_rules::{ExpressionError, Field, RuleError};
 
 /// Maps the fields of a rule to the texts of its element.
 pub(super) struct RuleLocations<'e> {
@@ -50,9 +50,9 @@
     }
 
     /// The diagnostic on a fault of the rule, at the bytes of the file that it concerns.
-    pub fn diagnostic(&self, problem: &Problem) -> Diagnostic {
+    pub fn diagnostic(&self, problem: &RuleError) -> Diagnostic {
         let (text, field, at) = self.find(problem.field);
-        let Error {
+        let ExpressionError {
             at: range,
             what,
             expected,
