--- a/crates/rules/src/compile/functions.rs
+++ b/crates/rules/src/compile/functions.rs
@@ -230,7 +230,7 @@
                     self.patterns.insert(pattern.clone(), Arc::clone(&built));
                     built
                 }
-                Err((what, expected)) => return self.wrong(place, what, expected),
+                Err(error) => return self.wrong(place, error.found, error.expected),
             },
         };
         let of = of?;
@@ -279,17 +279,12 @@
                 format!("at most {MACROS_MAX} in each other"),
             );
         }
-        self.locals.push(Local {
+        let variable = Local {
             name: name.clone(),
             kind: item.clone(),
             size: size.clone(),
-        });
-        let body = match which {
-            Macro::Map => self.check(body),
-            _ => self.expect(body, &[Type::Bool]),
         };
-        self.locals.pop();
-        let body = body?;
+        let body = self.body(which, variable, body)?;
         let rounds = range.size.most;
         let each = body.worst + cost::ROUND;
         let mut worst = rounds
@@ -300,20 +295,12 @@
         } else {
             0
         });
-        let (kind, size) = match which {
-            Macro::All | Macro::Exists => (Type::Bool, Size::default()),
-            Macro::Filter => (Type::List(Box::new(item)), Size::list(rounds, size)),
-            Macro::Map if matches!(body.kind, Type::Params | Type::Addresses) => {
-                return self.wrong(
-                    at,
-                    format!("a {} is no item of a list", body.kind),
-                    "plain values",
-                );
-            }
-            Macro::Map => (
-                Type::List(Box::new(body.kind)),
-                Size::list(rounds, body.size),
-            ),
+        let Some((kind, size)) = macro_result(which, item, size, &body, rounds) else {
+            return self.wrong(
+                at,
+                format!("a {} is no item of a list", body.kind),
+                "plain values",
+            );
         };
         if matches!(which, Macro::Map | Macro::Filter) {
             worst = worst.saturating_add(cost::build(24 * rounds));
@@ -325,4 +312,35 @@
             size,
         })
     }
+
+    /// The body of a macro, in which a variable stands for the item.
+    fn body(&mut self, which: Macro, variable: Local, body: &Expression) -> CheckResult {
+        self.locals.push(variable);
+        let body = match which {
+            Macro::Map => self.check(body),
+            _ => self.expect(body, &[Type::Bool]),
+        };
+        self.locals.pop();
+        body
+    }
+}
+
+/// The type and size of what a macro gives, for items of this type and size; `None` if the body
+/// gives what can't be in a list.
+fn macro_result(
+    which: Macro,
+    item: Type,
+    size: Size,
+    body: &CompiledExpression,
+    rounds: u64,
+) -> Option<(Type, Size)> {
+    match which {
+        Macro::All | Macro::Exists => Some((Type::Bool, Size::default())),
+        Macro::Filter => Some((Type::List(Box::new(item)), Size::list(rounds, size))),
+        Macro::Map if matches!(body.kind, Type::Params | Type::Addresses) => None,
+        Macro::Map => Some((
+            Type::List(Box::new(body.kind.clone())),
+            Size::list(rounds, body.size.clone()),
+        )),
+    }
 }
--- a/crates/rules/src/compile/operators.rs
+++ b/crates/rules/src/compile/operators.rs
@@ -110,70 +110,28 @@
         let (left, right) = (self.check(a), self.check(b));
         let (left, right) = (left?, right?);
         let worst = left.worst + right.worst + cost::STEP;
-        let sizes = (left.size.extent(), right.size.extent());
         let mixed = |kind: &Type| match (&left.kind, kind) {
             (Type::Int, Type::Float) => "a double on both sides: double(...)".to_owned(),
             (Type::Float, Type::Int) => "a double on both sides, such as 1.0".to_owned(),
             (kind, _) => format!("a {kind} on both sides"),
         };
-        use Binary::*;
-        use Type as T;
-        let (kind, worst, size) = match (op, &left.kind, &right.kind) {
-            (Equal | Differs, x, y) if x == y && !matches!(x, T::Params | T::Addresses) => {
-                if let (Node::Fact(_), ExpressionKind::Text(_)) = (&left.node, &b.kind) {
-                    self.known(&left.node, b);
-                } else if let (Node::Fact(_), ExpressionKind::Text(_)) = (&right.node, &a.kind) {
-                    self.known(&right.node, a);
-                }
-                (
-                    T::Bool,
-                    worst + cost::compare(sizes.0.min(sizes.1)),
-                    Size::default(),
-                )
-            }
-            (Less | AtMost | More | AtLeast, x, y)
-                if x == y
-                    && matches!(
-                        x,
-                        T::Bool | T::Int | T::Float | T::Text | T::Bytes | T::Span | T::Time
-                    ) =>
-            {
-                (
-                    T::Bool,
-                    worst + cost::compare(sizes.0.min(sizes.1)),
-                    Size::default(),
-                )
-            }
-            (Add, T::Text | T::Bytes, y) if left.kind == *y => {
-                let most = sizes.0 + sizes.1;
-                (
-                    left.kind.clone(),
-                    worst + cost::build(most),
-                    Size { most, item: None },
-                )
-            }
-            (Add, T::List(_), y) if left.kind == *y => {
-                let most = left.size.most + right.size.most;
-                let item = left.size.item().max(&right.size.item());
-                (
-                    left.kind.clone(),
-                    worst + cost::build(24 * most),
-                    Size::list(most, item),
-                )
-            }
-            (Add | Sub | Mul | Div | Rem, T::Int, T::Int) => (T::Int, worst, Size::default()),
-            (Add | Sub | Mul | Div, T::Float, T::Float) => (T::Float, worst, Size::default()),
-            (Add | Sub, T::Span, T::Span) => (T::Span, worst, Size::default()),
-            (Add | Sub, T::Time, T::Span) | (Add, T::Span, T::Time) => {
-                (T::Time, worst, Size::default())
-            }
-            (Sub, T::Time, T::Time) => (T::Span, worst, Size::default()),
-            (_, x, y) => {
-                let what = format!("'{}' has no meaning between {x} and {y}", op.sign());
-                let expected = mixed(y);
-                return self.wrong(at, what, expected);
+        if matches!(op, Binary::Equal | Binary::Differs) && left.kind == right.kind {
+            if let (Node::Fact(_), ExpressionKind::Text(_)) = (&left.node, &b.kind) {
+                self.known(&left.node, b);
+            } else if let (Node::Fact(_), ExpressionKind::Text(_)) = (&right.node, &a.kind) {
+                self.known(&right.node, a);
             }
+        }
+        let Some((kind, cost, size)) = binary_result(op, &left, &right) else {
+            let what = format!(
+                "'{}' has no meaning between {} and {}",
+                op.sign(),
+                left.kind,
+                right.kind
+            );
+            return self.wrong(at, what, mixed(&right.kind));
         };
+        let worst = worst + cost;
         Some(CompiledExpression {
             node: Node::Binary(op, Box::new((left.node, right.node))),
             kind,
@@ -189,74 +147,25 @@
         {
             return self.leaf(Node::HasSlot(slot?), Type::Bool, Size::default());
         }
-        let named = match &b.kind {
-            ExpressionKind::Name(name) if !self.locals.iter().any(|l| l.name == *name) => self
-                .vocabulary
-                .lists
-                .get(name)
-                .map(|list| (name.clone(), list)),
-            _ => None,
-        };
-        if let Some((name, list)) = named {
-            let set = self.lists.entry(name).or_insert_with(|| {
-                Arc::new(list.iter().map(|text| text.as_str().into()).collect())
-            });
-            let set = Arc::clone(set);
-            let left = self.expect(a, &[Type::Text])?;
-            let worst = left.worst + cost::STEP + cost::LOOK + cost::compare(left.size.most);
-            let node = Node::InTexts(Box::new(left.node), set);
-            return Some(CompiledExpression {
-                node,
-                kind: Type::Bool,
-                worst,
-                size: Size::default(),
-            });
+        if let ExpressionKind::Name(name) = &b.kind
+            && !self.locals.iter().any(|local| local.name == *name)
+            && let Some(list) = self.vocabulary.lists.get(name)
+        {
+            return self.is_in_named_list(a, name, list);
         }
         let (left, right) = (self.check(a), self.check(b));
         let (left, right) = (left?, right?);
         let worst = left.worst + cost::STEP;
-        let bool_of = |node, worst| {
-            Some(CompiledExpression {
-                node,
-                kind: Type::Bool,
-                worst,
-                size: Size::default(),
-            })
-        };
         match (&left.kind, &right.kind) {
-            (Type::Text, Type::Params) => bool_of(
+            (Type::Text, Type::Params) => boolean(
                 Node::HasParam(Box::new(left.node)),
                 worst + cost::find(PAIRS_MAX as u64, left.size.most),
             ),
-            (Type::Address, Type::Addresses) => bool_of(
+            (Type::Address, Type::Addresses) => boolean(
                 Node::Binary(Binary::In, Box::new((left.node, right.node))),
                 worst + right.worst + cost::LOOK,
             ),
-            (kind, Type::List(item)) if **item == *kind => {
-                self.known(&left.node, b);
-                if let Node::List(items) = &right.node {
-                    let texts = items.iter().map(|n| match n {
-                        Node::Text(text) => Some(text.clone()),
-                        _ => None,
-                    });
-                    let look = worst + cost::LOOK + cost::compare(left.size.most);
-                    if let Some(texts) = texts.collect::<Option<HashSet<_>>>() {
-                        return bool_of(Node::InTexts(Box::new(left.node), Arc::new(texts)), look);
-                    }
-                    let ints = items
-                        .iter()
-                        .map(|n| if let Node::Int(n) = n { Some(*n) } else { None });
-                    if let Some(ints) = ints.collect::<Option<HashSet<_>>>() {
-                        return bool_of(Node::InInts(Box::new(left.node), Arc::new(ints)), look);
-                    }
-                }
-                let each = cost::compare(left.size.extent().min(right.size.item().extent()));
-                let worst = worst + right.worst + right.size.most.saturating_mul(each);
-                bool_of(
-                    Node::Binary(Binary::In, Box::new((left.node, right.node))),
-                    worst,
-                )
-            }
+            (kind, Type::List(item)) if **item == *kind => self.is_in_list(left, right, b),
             (kind, Type::List(item)) => self.wrong(
                 &a.at,
                 format!("this is a {kind}"),
@@ -275,4 +184,104 @@
             ),
         }
     }
+
+    fn is_in_named_list(&mut self, a: &Expression, name: &str, list: &[String]) -> CheckResult {
+        let set = self
+            .lists
+            .entry(name.to_owned())
+            .or_insert_with(|| Arc::new(list.iter().map(|text| text.as_str().into()).collect()));
+        let set = Arc::clone(set);
+        let left = self.expect(a, &[Type::Text])?;
+        let worst = left.worst + cost::STEP + cost::LOOK + cost::compare(left.size.most);
+        boolean(Node::InTexts(Box::new(left.node), set), worst)
+    }
+
+    /// Membership in a list whose items have the type of the left side; constants become a set.
+    fn is_in_list(
+        &mut self,
+        left: CompiledExpression,
+        right: CompiledExpression,
+        b: &Expression,
+    ) -> CheckResult {
+        let worst = left.worst + cost::STEP;
+
+        self.known(&left.node, b);
+        if let Node::List(items) = &right.node {
+            let texts = items.iter().map(|n| match n {
+                Node::Text(text) => Some(text.clone()),
+                _ => None,
+            });
+            let look = worst + cost::LOOK + cost::compare(left.size.most);
+            if let Some(texts) = texts.collect::<Option<HashSet<_>>>() {
+                return boolean(Node::InTexts(Box::new(left.node), Arc::new(texts)), look);
+            }
+            let ints = items
+                .iter()
+                .map(|n| if let Node::Int(n) = n { Some(*n) } else { None });
+            if let Some(ints) = ints.collect::<Option<HashSet<_>>>() {
+                return boolean(Node::InInts(Box::new(left.node), Arc::new(ints)), look);
+            }
+        }
+        let each = cost::compare(left.size.extent().min(right.size.item().extent()));
+        let worst = worst + right.worst + right.size.most.saturating_mul(each);
+        boolean(
+            Node::Binary(Binary::In, Box::new((left.node, right.node))),
+            worst,
+        )
+    }
+}
+
+/// A compiled expression of type bool.
+fn boolean(node: Node, worst: u64) -> CheckResult {
+    Some(CompiledExpression {
+        node,
+        kind: Type::Bool,
+        worst,
+        size: Size::default(),
+    })
+}
+
+/// The type, the cost beside the step, and the size of what an operator gives; `None` if it has no
+/// meaning between these types.
+fn binary_result(
+    op: Binary,
+    left: &CompiledExpression,
+    right: &CompiledExpression,
+) -> Option<(Type, u64, Size)> {
+    use Binary::*;
+    use Type as T;
+    let (left_size, right_size) = (left.size.extent(), right.size.extent());
+    let compare = cost::compare(left_size.min(right_size));
+    let plain = |kind| Some((kind, 0, Size::default()));
+    match (op, &left.kind, &right.kind) {
+        (Equal | Differs, x, y) if x == y && !matches!(x, T::Params | T::Addresses) => {
+            Some((T::Bool, compare, Size::default()))
+        }
+        (Less | AtMost | More | AtLeast, x, y)
+            if x == y
+                && matches!(
+                    x,
+                    T::Bool | T::Int | T::Float | T::Text | T::Bytes | T::Span | T::Time
+                ) =>
+        {
+            Some((T::Bool, compare, Size::default()))
+        }
+        (Add, T::Text | T::Bytes, y) if left.kind == *y => {
+            let most = left_size + right_size;
+            let size = Size { most, item: None };
+            Some((left.kind.clone(), cost::build(most), size))
+        }
+        (Add, T::List(_), y) if left.kind == *y => {
+            let most = left.size.most + right.size.most;
+            let item = left.size.item().max(&right.size.item());
+            let size = Size::list(most, item);
+            Some((left.kind.clone(), cost::build(24 * most), size))
+        }
+        (Add | Sub | Mul | Div | Rem, T::Int, T::Int) => plain(T::Int),
+        (Add | Sub | Mul | Div, T::Float, T::Float) => plain(T::Float),
+        (Add | Sub, T::Span, T::Span) => plain(T::Span),
+        (Add | Sub, T::Time, T::Span) | (Add, T::Span, T::Time) => plain(T::Time),
+        (Sub, T::Time, T::Time) => plain(T::Span),
+        _ => None,
+    }
 }
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -1,11 +1,12 @@
-//! What is wrong with an expression, and where.
+//! Errors of expressions, with their place in the text.
 
 use std::ops::Range;
 
-/// What is wrong with an expression.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// An error in the text of an expression.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{what}; expected {expected}")]
 pub struct ExpressionError {
-    /// Bytes of the expression's text.
+    /// The bytes of the expression's text that it concerns.
     pub at: Range<usize>,
     /// What was found.
     pub what: String,
--- a/crates/rules/src/eval.rs
+++ b/crates/rules/src/eval.rs
@@ -130,32 +130,13 @@
             Node::Params => Value::Params,
             Node::Fact(name) => return self.facts.get(*name).ok_or(EvaluationError::Absent),
             Node::Slot(slot) => Value::Text(self.facts.params.slot(*slot)?),
-            Node::Param(name) => {
-                let name = self.text(name)?;
-                self.charge(cost::find(
-                    self.facts.params.len() as u64,
-                    name.len() as u64,
-                ))?;
-                Value::Text(self.facts.params.find(name)?)
-            }
+            Node::Param(name) => return self.param(name),
             Node::Local(place) => self.locals[usize::from(*place)],
             Node::HasFact(name) => Value::Bool(self.facts.get(*name).is_some()),
             Node::HasSlot(slot) => Value::Bool(self.facts.params.has_slot(*slot)),
-            Node::HasParam(name) => {
-                let name = self.text(name)?;
-                self.charge(cost::find(
-                    self.facts.params.len() as u64,
-                    name.len() as u64,
-                ))?;
-                Value::Bool(self.facts.params.has(name)?)
-            }
+            Node::HasParam(name) => return self.has_param(name),
             Node::Not(of) => Value::Bool(!truth(self.eval(of)?)?),
-            Node::Minus(of) => match self.eval(of)? {
-                Value::Int(v) => Value::Int(v.checked_neg().ok_or(EvaluationError::Overflow)?),
-                Value::Span(v) => Value::Span(v.checked_neg().ok_or(EvaluationError::Overflow)?),
-                Value::Float(v) => Value::Float(-v),
-                _ => return unexpected_type(),
-            },
+            Node::Minus(of) => return self.minus(of),
             Node::And(all) => return self.joined(all, false),
             Node::Or(all) => return self.joined(all, true),
             Node::If(parts) => {
@@ -166,22 +147,8 @@
                     self.eval(no)
                 };
             }
-            Node::List(nodes) => {
-                self.charge(cost::build(24 * nodes.len() as u64))?;
-                let mut items = ArenaVec::with_capacity_in(nodes.len(), self.arena);
-                for node in nodes {
-                    items.push(self.eval(node)?);
-                }
-                Value::List(items.into_bump_slice())
-            }
-            Node::Item(parts) => {
-                let (list, place) = (self.eval(&parts.0)?, self.eval(&parts.1)?);
-                let (Value::List(items), Value::Int(place)) = (list, place) else {
-                    return unexpected_type();
-                };
-                let place = usize::try_from(place).map_err(|_| EvaluationError::Range)?;
-                *items.get(place).ok_or(EvaluationError::Range)?
-            }
+            Node::List(nodes) => return self.list(nodes),
+            Node::Item(parts) => return self.item(parts),
             Node::InTexts(of, set) => {
                 let text = self.text(of)?;
                 self.charge(cost::LOOK + cost::compare(text.len() as u64))?;
@@ -203,16 +170,7 @@
                 Value::Bool(self.same_text(sides)?)
             }
             Node::Call(func @ (Function::StartsWith | Function::EndsWith), nodes) => {
-                let [of, part] = &**nodes else {
-                    return unexpected_type();
-                };
-                let (of, part) = (self.text(of)?, self.text(part)?);
-                self.charge(price(*func, &[of.len() as u64, part.len() as u64]))?;
-                Value::Bool(if *func == Function::StartsWith {
-                    of.starts_with(part)
-                } else {
-                    of.ends_with(part)
-                })
+                return self.starts_or_ends(*func, nodes);
             }
             Node::Binary(op, sides) => {
                 let (a, b) = (self.eval(&sides.0)?, self.eval(&sides.1)?);
@@ -223,6 +181,69 @@
         })
     }
 
+    /// The name of a parameter, and the cost of finding it.
+    fn param_name(&mut self, name: &'a Node) -> Result<&'a str, EvaluationError> {
+        let name = self.text(name)?;
+        self.charge(cost::find(
+            self.facts.params.len() as u64,
+            name.len() as u64,
+        ))?;
+        Ok(name)
+    }
+
+    fn param(&mut self, name: &'a Node) -> EvaluationResult<'a> {
+        let name = self.param_name(name)?;
+        Ok(Value::Text(self.facts.params.find(name)?))
+    }
+
+    fn has_param(&mut self, name: &'a Node) -> EvaluationResult<'a> {
+        let name = self.param_name(name)?;
+        Ok(Value::Bool(self.facts.params.has(name)?))
+    }
+
+    fn minus(&mut self, of: &'a Node) -> EvaluationResult<'a> {
+        let overflow = EvaluationError::Overflow;
+        Ok(match self.eval(of)? {
+            Value::Int(v) => Value::Int(v.checked_neg().ok_or(overflow)?),
+            Value::Span(v) => Value::Span(v.checked_neg().ok_or(overflow)?),
+            Value::Float(v) => Value::Float(-v),
+            _ => return unexpected_type(),
+        })
+    }
+
+    fn list(&mut self, nodes: &'a [Node]) -> EvaluationResult<'a> {
+        self.charge(cost::build(24 * nodes.len() as u64))?;
+        let mut items = ArenaVec::with_capacity_in(nodes.len(), self.arena);
+        for node in nodes {
+            items.push(self.eval(node)?);
+        }
+        Ok(Value::List(items.into_bump_slice()))
+    }
+
+    fn item(&mut self, parts: &'a (Node, Node)) -> EvaluationResult<'a> {
+        let (list, index) = (self.eval(&parts.0)?, self.eval(&parts.1)?);
+        let (Value::List(items), Value::Int(index)) = (list, index) else {
+            return unexpected_type();
+        };
+        let index = usize::try_from(index).map_err(|_| EvaluationError::Range)?;
+        Ok(*items.get(index).ok_or(EvaluationError::Range)?)
+    }
+
+    /// `startsWith` and `endsWith`, without the walk of other calls.
+    #[inline]
+    fn starts_or_ends(&mut self, func: Function, nodes: &'a [Node]) -> EvaluationResult<'a> {
+        let [of, part] = nodes else {
+            return unexpected_type();
+        };
+        let (of, part) = (self.text(of)?, self.text(part)?);
+        self.charge(price(func, &[of.len() as u64, part.len() as u64]))?;
+        Ok(Value::Bool(if func == Function::StartsWith {
+            of.starts_with(part)
+        } else {
+            of.ends_with(part)
+        }))
+    }
+
     /// `&&` and `||` as CEL has them: a side that decides does so whichever side it is on, also
     /// where another errs.
     fn joined(&mut self, all: &'a [Node], decides: bool) -> EvaluationResult<'a> {
@@ -279,7 +300,24 @@
             (Binary::Sub, Float(a), Float(b)) => Float(a - b),
             (Binary::Mul, Float(a), Float(b)) => Float(a * b),
             (Binary::Div, Float(a), Float(b)) => Float(a / b),
-            (Binary::Add, Text(a), Text(b)) => {
+            (Binary::Add, Text(_), Text(_))
+            | (Binary::Add, Bytes(_), Bytes(_))
+            | (Binary::Add, List(_), List(_)) => return self.concatenate(a, b),
+            (Binary::Add, Span(a), Span(b)) => Span(overflow(a.checked_add(b))?),
+            (Binary::Sub, Span(a), Span(b)) => Span(overflow(a.checked_sub(b))?),
+            (Binary::Add, Time(a), Span(b)) | (Binary::Add, Span(a), Time(b)) => {
+                Time(overflow(a.checked_add(b))?)
+            }
+            (Binary::Sub, Time(a), Span(b)) => Time(overflow(a.checked_sub(b))?),
+            (Binary::Sub, Time(a), Time(b)) => Span(overflow(a.checked_sub(b))?),
+            _ => return unexpected_type(),
+        })
+    }
+
+    fn concatenate(&mut self, a: Value<'a>, b: Value<'a>) -> EvaluationResult<'a> {
+        use Value::*;
+        Ok(match (a, b) {
+            (Text(a), Text(b)) => {
                 self.charge(cost::build((a.len() + b.len()) as u64))?;
                 let mut text =
                     bumpalo::collections::String::with_capacity_in(a.len() + b.len(), self.arena);
@@ -287,27 +325,20 @@
                 text.push_str(b);
                 Text(text.into_bump_str())
             }
-            (Binary::Add, Bytes(a), Bytes(b)) => {
+            (Bytes(a), Bytes(b)) => {
                 self.charge(cost::build((a.len() + b.len()) as u64))?;
                 let mut bytes = ArenaVec::with_capacity_in(a.len() + b.len(), self.arena);
                 bytes.extend_from_slice(a);
                 bytes.extend_from_slice(b);
                 Bytes(bytes.into_bump_slice())
             }
-            (Binary::Add, List(a), List(b)) => {
+            (List(a), List(b)) => {
                 self.charge(cost::build(24 * (a.len() + b.len()) as u64))?;
                 let mut items = ArenaVec::with_capacity_in(a.len() + b.len(), self.arena);
                 items.extend_from_slice(a);
                 items.extend_from_slice(b);
                 List(items.into_bump_slice())
             }
-            (Binary::Add, Span(a), Span(b)) => Span(overflow(a.checked_add(b))?),
-            (Binary::Sub, Span(a), Span(b)) => Span(overflow(a.checked_sub(b))?),
-            (Binary::Add, Time(a), Span(b)) | (Binary::Add, Span(a), Time(b)) => {
-                Time(overflow(a.checked_add(b))?)
-            }
-            (Binary::Sub, Time(a), Span(b)) => Time(overflow(a.checked_sub(b))?),
-            (Binary::Sub, Time(a), Time(b)) => Span(overflow(a.checked_sub(b))?),
             _ => return unexpected_type(),
         })
     }
--- a/crates/rules/src/eval/functions.rs
+++ b/crates/rules/src/eval/functions.rs
@@ -18,8 +18,7 @@
             };
         }
         self.charge(price(func, &sizes))?;
-        let [first, second, third] = given;
-        use Value::*;
+        let [first, ..] = given;
         let parses = matches!(
             func,
             Function::ToInt
@@ -31,6 +30,26 @@
         if parses && sizes[0] > VALUE_MAX as u64 {
             return Err(EvaluationError::NoValue);
         }
+        if parses || matches!(func, Function::ToText | Function::ToBytes) {
+            return self.convert(func, first);
+        }
+        match func {
+            Function::TimePart(_) | Function::SpanSeconds | Function::SpanMillis => {
+                part_of_time(func, first)
+            }
+            _ => self.text_function(func, given, nodes.len()),
+        }
+    }
+
+    /// Functions of texts, bytes, lists and parameters; `count` of the arguments are given.
+    fn text_function(
+        &mut self,
+        func: Function,
+        given: [Value<'a>; 3],
+        count: usize,
+    ) -> EvaluationResult<'a> {
+        use Value::*;
+        let [first, second, third] = given;
         Ok(match (func, first, second) {
             (Function::Size, Text(text), _) => Int(text.chars().count() as i64),
             (Function::Size, Bytes(bytes), _) => Int(bytes.len() as i64),
@@ -44,7 +63,7 @@
                 Int(found.map_or(-1, |at| a[..at].chars().count() as i64))
             }
             (Function::Substring, Text(text), Int(from)) => {
-                let to = if let (3, Int(to)) = (nodes.len(), third) {
+                let to = if let (3, Int(to)) = (count, third) {
                     Some(to)
                 } else {
                     None
@@ -94,35 +113,40 @@
             (Function::Hash, Text(text), Int(buckets)) => {
                 Int((stable_hash(text) % buckets.max(1) as u64) as i64)
             }
-            (Function::ToInt, Text(text), _) => {
+            _ => return unexpected_type(),
+        })
+    }
+
+    /// Conversions between types.
+    fn convert(&mut self, func: Function, value: Value<'a>) -> EvaluationResult<'a> {
+        use Value::*;
+        Ok(match (func, value) {
+            (Function::ToInt, Text(text)) => {
                 Int(text.parse().map_err(|_| EvaluationError::NoValue)?)
             }
             // Beyond these a double has no neighbour that is an int; NaN is within nothing.
-            (Function::ToInt, Float(v), _)
+            (Function::ToInt, Float(v))
                 if (-9_223_372_036_854_775_808.0..9_223_372_036_854_775_808.0).contains(&v) =>
             {
                 Int(v as i64)
             }
-            (Function::ToInt, Float(_), _) => return Err(EvaluationError::Overflow),
-            (Function::ToInt, Time(v), _) => Int(v.div_euclid(1_000_000_000)),
-            (Function::ToFloat, Text(text), _) => {
+            (Function::ToInt, Float(_)) => return Err(EvaluationError::Overflow),
+            (Function::ToInt, Time(v)) => Int(v.div_euclid(1_000_000_000)),
+            (Function::ToFloat, Text(text)) => {
                 Float(text.parse().map_err(|_| EvaluationError::NoValue)?)
             }
-            (Function::ToFloat, Int(v), _) => Float(v as f64),
-            (Function::ToText, value, _) => self.printed(value)?,
-            (Function::ToBytes, Text(text), _) => Bytes(text.as_bytes()),
-            (Function::ToSpan, Text(text), _) => {
+            (Function::ToFloat, Int(v)) => Float(v as f64),
+            (Function::ToText, value) => self.printed(value)?,
+            (Function::ToBytes, Text(text)) => Bytes(text.as_bytes()),
+            (Function::ToSpan, Text(text)) => {
                 Span(time::span(text).ok_or(EvaluationError::NoValue)?)
             }
-            (Function::ToTime, Text(text), _) => {
+            (Function::ToTime, Text(text)) => {
                 Time(time::time(text).ok_or(EvaluationError::NoValue)?)
             }
-            (Function::ToAddress, Text(text), _) => Address(crate::address::plain(
+            (Function::ToAddress, Text(text)) => Address(crate::address::plain(
                 text.parse().map_err(|_| EvaluationError::NoValue)?,
             )),
-            (Function::TimePart(part), Time(at), _) => Int(time::part(at, part)),
-            (Function::SpanSeconds, Span(v), _) => Int(v / 1_000_000_000),
-            (Function::SpanMillis, Span(v), _) => Int(v / 1_000_000),
             _ => return unexpected_type(),
         })
     }
@@ -139,6 +163,17 @@
     }
 }
 
+/// A part of a time or a duration.
+fn part_of_time<'a>(func: Function, value: Value<'a>) -> EvaluationResult<'a> {
+    use Value::*;
+    Ok(match (func, value) {
+        (Function::TimePart(part), Time(at)) => Int(time::part(at, part)),
+        (Function::SpanSeconds, Span(v)) => Int(v / 1_000_000_000),
+        (Function::SpanMillis, Span(v)) => Int(v / 1_000_000),
+        _ => return unexpected_type(),
+    })
+}
+
 /// The same number for the same text on every machine and in every version: FNV-1a over its bytes,
 /// mixed so that texts that differ in their last letter fall into buckets that lie apart.
 pub fn stable_hash(text: &str) -> u64 {
--- a/crates/rules/src/facts.rs
+++ b/crates/rules/src/facts.rs
@@ -17,22 +17,36 @@
 
 /// A fact with a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-#[allow(missing_docs)]
 pub enum Name {
+    /// The operation that the request names.
     Operation,
+    /// Its tenant.
     Tenant,
+    /// SCRIPT_NAME, or what takes its place in another protocol.
     Script,
+    /// The method.
     Method,
+    /// The protocol.
     Front,
+    /// The expected work.
     Estimate,
+    /// The booked memory, in KB.
     Need,
+    /// The rank, from 0 to 1.
     Rank,
+    /// The load balancer's number.
     Peer,
+    /// When it arrived at the machine.
     Arrived,
+    /// The body.
     Body,
+    /// The address that it was sent from.
     Address,
+    /// The sender's SPIFFE id.
     CallerId,
+    /// The trust domain of that id.
     CallerDomain,
+    /// The path of that id.
     CallerPath,
 }
 
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,10 +1,10 @@
-//! Matching expressions: typed rules that classify every invocation, at a known cost.
+//! Matching expressions: typed rules that classify every request, at a known cost.
 //!
-//! An expression is read ([`syntax`]), checked and compiled ([`compile`]), and evaluated over the
-//! facts of an invocation ([`facts`], [`eval`]). Rules ([`ruleset`]) are conditions in the order of
-//! a file; an index ([`index`]) leaves out those that can't match. The language is told in
-//! `docs/operators/rules.md`, why it is so in
-//! `docs/design/rules.md`. Nothing here does I/O or knows a clock.
+//! An expression is parsed ([`syntax`]), checked and compiled ([`compile`]), and evaluated over the
+//! facts of a request ([`facts`], [`eval`]). Rules ([`ruleset`]) are conditions in the order of a
+//! file; an index ([`index`]) leaves out those that can't match. `docs/operators/rules.md` describes
+//! the language, `docs/design/rules.md` its design. The settings load rule sets, the node evaluates
+//! them. Nothing here does I/O or knows a clock.
 //!
 //! ```
 //! use madderpoint_rules::{Bounds, Facts, Path, RuleSet, Scratch, Vocabulary, RuleSource};
@@ -24,7 +24,6 @@
 //! ```
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod address;
 pub mod compile;
--- a/crates/rules/src/pattern.rs
+++ b/crates/rules/src/pattern.rs
@@ -6,12 +6,53 @@
 use regex_automata::util::syntax;
 use regex_automata::{Anchored, Input};
 
-/// The most bytes that a pattern's table may take, and that building it may use meanwhile.
+/// The most bytes that a pattern's table may take.
 pub const TABLE_MAX: usize = 64 << 10;
+/// The most bytes that building a table may use.
 const BUILD_MAX: usize = 512 << 10;
-/// The longest text of a pattern.
+/// The longest text of a pattern, in bytes.
 const TEXT_MAX: usize = 512;
 
+/// Why a text is no pattern that can be used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{found}; expected {expected}")]
+pub struct PatternError {
+    /// What was found.
+    pub found: String,
+    /// What was expected.
+    pub expected: String,
+}
+
+impl PatternError {
+    fn of(error: &dense::BuildError) -> PatternError {
+        let mut found = error.to_string();
+        let mut is_too_large = error.is_size_limit_exceeded();
+        let mut cause = std::error::Error::source(error);
+        while let Some(inner) = cause {
+            found = inner.to_string();
+            // What was too much for the step before has no kind of its own.
+            is_too_large |= found.contains("exceeded limit");
+            cause = inner.source();
+        }
+        if is_too_large {
+            return PatternError {
+                found: "the pattern is too large".into(),
+                expected: format!("a table of at most {} KiB", TABLE_MAX >> 10),
+            };
+        }
+        // The parser draws the pattern over several lines; the last says what is wrong.
+        let last = found
+            .lines()
+            .last()
+            .unwrap_or_default()
+            .trim_start_matches("error: ");
+        PatternError {
+            found: format!("no pattern: {last}"),
+            expected: "a pattern in the syntax of RE2 over bytes".into(),
+        }
+    }
+}
+
 /// A pattern that is looked for anywhere in a text.
 #[derive(Debug)]
 pub struct Pattern {
@@ -20,14 +61,17 @@
 }
 
 impl Pattern {
-    /// Builds a pattern; an error says what is wrong and what was expected.
-    pub fn new(text: &str) -> Result<Pattern, (String, String)> {
-        let expected = || "a pattern in the syntax of RE2 over bytes".to_owned();
+    /// Builds a pattern.
+    ///
+    /// # Errors
+    ///
+    /// The text is no pattern, or its table would be too large.
+    pub fn new(text: &str) -> Result<Pattern, PatternError> {
         if text.len() > TEXT_MAX {
-            return Err((
-                format!("the pattern has {} bytes", text.len()),
-                format!("at most {TEXT_MAX}"),
-            ));
+            return Err(PatternError {
+                found: format!("the pattern has {} bytes", text.len()),
+                expected: format!("at most {TEXT_MAX}"),
+            });
         }
         let config = dense::Config::new()
             .start_kind(StartKind::Unanchored)
@@ -52,28 +96,7 @@
                 text: text.to_owned(),
                 table,
             }),
-            Err(e) => {
-                let mut what = e.to_string();
-                let mut large = e.is_size_limit_exceeded();
-                let mut cause = std::error::Error::source(&e);
-                while let Some(inner) = cause {
-                    what = inner.to_string();
-                    // What was too much for the step before has no kind of its own.
-                    large |= what.contains("exceeded limit");
-                    cause = inner.source();
-                }
-                if large {
-                    let expected = format!("a table of at most {} KiB", TABLE_MAX >> 10);
-                    return Err(("the pattern is too large".into(), expected));
-                }
-                // The parser draws the pattern over several lines; the last says what is wrong.
-                let last = what
-                    .lines()
-                    .last()
-                    .unwrap_or_default()
-                    .trim_start_matches("error: ");
-                Err((format!("no pattern: {last}"), expected()))
-            }
+            Err(error) => Err(PatternError::of(&error)),
         }
     }
 
--- a/crates/rules/src/pattern/tests.rs
+++ b/crates/rules/src/pattern/tests.rs
@@ -10,10 +10,10 @@
     );
     assert!(Pattern::new("yaz").unwrap().matches("gun-yaz/1"));
     assert!(Pattern::new("ş").unwrap().matches("maaş"));
-    let (what, _) = Pattern::new("(a|b").map(|_| ()).unwrap_err();
+    let what = Pattern::new("(a|b").map(|_| ()).unwrap_err().found;
     assert!(what.starts_with("no pattern: unclosed group"), "{what}");
     for large in ["[a-z]{1000}{1000}", "[ab]*a[ab]{14}c"] {
-        let (what, _) = Pattern::new(large).map(|_| ()).unwrap_err();
+        let what = Pattern::new(large).map(|_| ()).unwrap_err().found;
         assert!(what.contains("large"), "{large}: {what}");
     }
     // What makes others go back over the text again and again takes one look a byte here.
--- a/crates/rules/src/ruleset.rs
+++ b/crates/rules/src/ruleset.rs
@@ -1,4 +1,5 @@
-//! Rules: conditions in the order of a file, and what each gives to what it matches.
+//! Rule sets: conditions in the order of a file, and what each gives to requests that it matches.
+//! A set is loaded once ([`RuleSet::load`]) and evaluated for each request ([`RuleSet::decide`]).
 
 mod explain;
 mod load;
@@ -17,14 +18,16 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::Hasher;
 
-/// The most rules of a set, and the most that a rule may give of each kind.
+/// The most rules of a set.
 pub const RULES_MAX: usize = 20_000;
+/// The most facts that a rule may give.
 const FACTS_MAX: usize = 8;
+/// The most buckets that a rule may give.
 const BUCKETS_MAX: usize = 4;
-/// Bytes of a fact that go to the log.
-const FACT_SHOWN: usize = 128;
-/// Bytes of the arena that evaluations share; it grows to what the cost allows and keeps that.
-const ARENA: usize = 8 << 10;
+/// The most characters of a fact that go to the log.
+const FACT_SHOWN_MAX: usize = 128;
+/// The bytes of the arena at the start; it grows to what the cost allows and keeps that.
+const ARENA_BYTES: usize = 8 << 10;
 
 /// A rule as it was written.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -70,35 +73,43 @@
 
 /// Where in a rule something is wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[allow(missing_docs)]
 pub enum Field {
+    /// The name; it also stands for the rule as a whole.
     Name,
+    /// The condition.
     When,
+    /// The operation.
     Operation,
+    /// The key.
     Key,
+    /// The rank.
     Rank,
+    /// The class.
     Class,
+    /// A fact, by its index.
     Fact(usize),
+    /// A bucket, by its index.
     Bucket(usize),
 }
 
-/// Something wrong with a rule, or with all of them together.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// An error in a rule, or in all of them together.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{error}")]
 pub struct RuleError {
-    /// The rule, counted from 0; none if it is the whole set.
+    /// The rule's index; `None` if it is the whole set.
     pub rule: Option<usize>,
     /// Where in it.
     pub field: Field,
-    /// What and where in that field's text.
+    /// What is wrong, and where in that field's text.
     pub error: ExpressionError,
 }
 
-/// What rules may take.
+/// Bounds on a rule set.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Units for one expression.
+    /// The most units of cost for one expression.
     pub cost: u64,
-    /// Bytes for all rules.
+    /// The most bytes that all rules may take.
     pub bytes: usize,
 }
 
@@ -172,18 +183,18 @@
     }
 }
 
-/// What a rule gives to an invocation.
+/// What a rule gives to a request.
 #[derive(Debug)]
 pub struct RuleOutput<'r> {
-    /// The rule, by its place in the file.
+    /// The rule's index in the file.
     pub place: usize,
     /// The rule.
     pub rule: &'r Rule,
-    /// The key, as a number that only like keys share.
+    /// The key as a number, which equal keys share.
     pub key: Option<u64>,
     /// The rank.
     pub rank: Option<f64>,
-    /// Buckets by their place among [`RuleSet::buckets`], each with its key as a number.
+    /// Indices among [`RuleSet::buckets`], each with its key as a number.
     pub buckets: SmallVec<[(u16, u64); BUCKETS_MAX]>,
     /// Facts for the log.
     pub facts: Vec<(&'r str, String)>,
@@ -193,53 +204,53 @@
     pub bucket_texts: Vec<String>,
 }
 
-/// What became of a request.
+/// The outcome of evaluating a rule set for a request.
 #[derive(Debug, Default)]
 pub struct Decision<'r> {
     /// What the first rule that matches gives.
     pub given: Option<RuleOutput<'r>>,
-    /// Rules that erred before that, and why.
+    /// Indices of the rules that erred before that, with the errors.
     pub faults: SmallVec<[(usize, EvaluationError); 4]>,
-    /// Whether rules were left unasked because all that a request may use was used up.
+    /// Whether evaluation stopped because the request's cost limit was reached.
     pub exhausted: bool,
-    /// Units used.
+    /// Units of cost used.
     pub cost: u64,
     /// Conditions evaluated.
     pub evaluated_count: usize,
 }
 
-/// What evaluations use again.
+/// Memory that evaluations reuse, and the secret of key numbers.
 #[derive(Debug)]
 pub struct Scratch {
     arena: Bump,
     secret: u64,
-    /// Whether keys are also given as they read.
+    /// Whether keys are also given as text.
     pub shows_keys: bool,
 }
 
 impl Scratch {
-    /// Room for evaluations. The secret goes into the numbers that stand for keys, so that nobody
-    /// outside can make two keys that share one.
+    /// Memory for evaluations. The secret goes into the numbers of keys, so that nobody outside can
+    /// construct two keys with the same number.
     pub fn new(secret: u64) -> Scratch {
         Scratch {
-            arena: Bump::with_capacity(ARENA),
+            arena: Bump::with_capacity(ARENA_BYTES),
             secret,
             shows_keys: false,
         }
     }
 
-    /// Bytes that are kept.
+    /// The bytes that it keeps.
     pub fn bytes(&self) -> usize {
         self.arena.allocated_bytes()
     }
 }
 
-/// How rules are looked for.
+/// How rules are found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Path {
     /// By the index.
     Index,
-    /// One after the other.
+    /// All, one after the other.
     Scan,
 }
 
@@ -303,7 +314,7 @@
         &self.buckets
     }
 
-    /// Bytes that it takes, about.
+    /// About how many bytes it takes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -382,7 +393,7 @@
         let key = rule.key.as_ref().map(&mut text).transpose()?;
         let mut facts = Vec::new();
         for (name, node) in &rule.facts {
-            let shown: String = text(node)?.chars().take(FACT_SHOWN).collect();
+            let shown: String = text(node)?.chars().take(FACT_SHOWN_MAX).collect();
             facts.push((&**name, shown));
         }
         let (mut buckets, mut bucket_texts) = (SmallVec::new(), Vec::new());
--- a/crates/rules/src/ruleset/explain.rs
+++ b/crates/rules/src/ruleset/explain.rs
@@ -10,17 +10,17 @@
 /// Why a rule matches or not.
 #[derive(Clone, Debug)]
 pub struct RuleExplanation {
-    /// The rule, by its place.
+    /// The rule's index.
     pub place: usize,
-    /// Whether the index has it evaluated for this request.
+    /// Whether it is evaluated for this request, by the index.
     pub evaluated: bool,
-    /// What the index files it under.
+    /// The kind of what the index files it under.
     pub filed: &'static str,
-    /// What its condition comes to.
+    /// The result of its condition.
     pub result: Result<bool, EvaluationError>,
-    /// Units that took.
+    /// Units of cost that this took.
     pub cost: u64,
-    /// The first part that does not hold, and what became of it.
+    /// The first part that does not hold, and its result.
     pub failed: Option<(String, String)>,
 }
 
--- a/crates/rules/src/ruleset/load.rs
+++ b/crates/rules/src/ruleset/load.rs
@@ -13,14 +13,14 @@
     compiler: Compiler<'v>,
     vocabulary: &'v Vocabulary,
     bounds: Bounds,
-    problems: Vec<RuleError>,
+    errors: Vec<RuleError>,
     classes: Vec<String>,
     buckets: &'v [String],
 }
 
 impl Loader<'_> {
-    fn problem(&mut self, rule: usize, field: Field, error: ExpressionError) {
-        self.problems.push(RuleError {
+    fn report(&mut self, rule: usize, field: Field, error: ExpressionError) {
+        self.errors.push(RuleError {
             rule: Some(rule),
             field,
             error,
@@ -40,7 +40,7 @@
             Err(errors) => {
                 errors
                     .into_iter()
-                    .for_each(|error| self.problem(rule, field, error));
+                    .for_each(|error| self.report(rule, field, error));
                 None
             }
         }
@@ -50,100 +50,134 @@
         ExpressionError::new(0..text.len(), what, expected)
     }
 
-    fn rule(&mut self, place: usize, written: &RuleSource) -> Option<Rule> {
-        let before = self.problems.len();
-        let operation = written.operation.as_ref().and_then(|name| {
-            let found = self.vocabulary.operations.iter().position(|o| o == name);
-            if found.is_none() {
-                let known = format!("one of {}", self.vocabulary.operations.join(", "));
-                let what = format!("the settings have no operation '{name}'");
-                self.problem(place, Field::Operation, Self::whole(name, what, known));
-            }
-            found
-        });
-        let class = written.class.as_ref().map(|name| {
-            let found = self
-                .classes
-                .iter()
-                .position(|c| c == name)
-                .unwrap_or_else(|| {
-                    self.classes.push(name.clone());
-                    self.classes.len() - 1
-                });
-            found as u16
-        });
-        let mut worst = 0;
-        let mut part = |loader: &mut Self, field, text: &str, kind| -> Option<Node> {
-            let (node, cost) = loader.compile(place, field, text, kind)?;
-            worst += cost;
-            Some(node)
-        };
-        let when = part(self, Field::When, &written.when, Type::Bool);
-        let key = written
-            .key
-            .as_ref()
-            .and_then(|text| part(self, Field::Key, text, Type::Text));
-        let rank = written
-            .rank
-            .as_ref()
-            .and_then(|text| part(self, Field::Rank, text, Type::Float));
-        let mut facts = Vec::new();
-        for (i, (name, text)) in written.facts.iter().enumerate() {
-            let node = part(self, Field::Fact(i), text, Type::Text);
-            facts.extend(node.map(|node| (name.as_str().into(), node)));
+    /// The index of an operation that a rule gives.
+    fn operation(&mut self, place: usize, source: &RuleSource) -> Option<usize> {
+        let name = source.operation.as_ref()?;
+        let found = self.vocabulary.operations.iter().position(|o| o == name);
+        if found.is_none() {
+            let known = format!("one of {}", self.vocabulary.operations.join(", "));
+            let what = format!("the settings have no operation '{name}'");
+            self.report(place, Field::Operation, Self::whole(name, what, known));
         }
+        found
+    }
+
+    /// The index of a class, which is added if it is new.
+    fn class(&mut self, name: &str) -> u16 {
+        let found = self.classes.iter().position(|class| class == name);
+        let index = found.unwrap_or_else(|| {
+            self.classes.push(name.to_owned());
+            self.classes.len() - 1
+        });
+        index as u16
+    }
+
+    /// Compiles a part of a rule, and adds its worst case to that of the rule.
+    fn part(
+        &mut self,
+        place: usize,
+        field: Field,
+        text: &str,
+        kind: Type,
+        worst: &mut u64,
+    ) -> Option<Node> {
+        let (node, cost) = self.compile(place, field, text, kind)?;
+        *worst += cost;
+        Some(node)
+    }
+
+    /// Buckets by their indices, with the expressions of their keys.
+    fn buckets(&mut self, place: usize, source: &RuleSource, worst: &mut u64) -> Vec<(u16, Node)> {
         let mut buckets = Vec::new();
-        for (i, (name, text)) in written.buckets.iter().enumerate() {
-            let node = part(self, Field::Bucket(i), text, Type::Text);
-            match self.buckets.iter().position(|b| b == name) {
+        for (i, (name, text)) in source.buckets.iter().enumerate() {
+            let node = self.part(place, Field::Bucket(i), text, Type::Text, worst);
+            match self.buckets.iter().position(|bucket| bucket == name) {
                 Some(bucket) => buckets.extend(node.map(|node| (bucket as u16, node))),
                 None => {
                     let known = format!("one of {}", self.buckets.join(", "));
-                    let error =
-                        ExpressionError::new(0..0, format!("there is no bucket '{name}'"), known);
-                    self.problem(place, Field::Bucket(i), error);
+                    let what = format!("there is no bucket '{name}'");
+                    let error = ExpressionError::new(0..0, what, known);
+                    self.report(place, Field::Bucket(i), error);
                 }
             }
         }
-        for (count, most, field) in [
-            (written.facts.len(), FACTS_MAX, Field::Fact(FACTS_MAX)),
-            (
-                written.buckets.len(),
-                BUCKETS_MAX,
-                Field::Bucket(BUCKETS_MAX),
-            ),
-        ] {
+        buckets
+    }
+
+    /// Reports more facts or buckets than one rule may give.
+    fn check_counts(&mut self, place: usize, source: &RuleSource) {
+        let facts = (source.facts.len(), FACTS_MAX, Field::Fact(FACTS_MAX));
+        let buckets = (
+            source.buckets.len(),
+            BUCKETS_MAX,
+            Field::Bucket(BUCKETS_MAX),
+        );
+        for (count, most, field) in [facts, buckets] {
             if count > most {
-                self.problem(
-                    place,
-                    field,
-                    ExpressionError::new(0..0, "too many in one rule", format!("at most {most}")),
-                );
+                let expected = format!("at most {most}");
+                let error = ExpressionError::new(0..0, "too many in one rule", expected);
+                self.report(place, field, error);
             }
         }
-        if self.problems.len() > before {
+    }
+
+    fn rule(&mut self, place: usize, source: &RuleSource) -> Option<Rule> {
+        let before = self.errors.len();
+        let operation = self.operation(place, source);
+        let class = source.class.as_ref().map(|name| self.class(name));
+        let mut worst = 0;
+        let when = self.part(place, Field::When, &source.when, Type::Bool, &mut worst);
+        let key = source
+            .key
+            .as_ref()
+            .and_then(|text| self.part(place, Field::Key, text, Type::Text, &mut worst));
+        let rank = source
+            .rank
+            .as_ref()
+            .and_then(|text| self.part(place, Field::Rank, text, Type::Float, &mut worst));
+        let mut facts = Vec::new();
+        for (i, (name, text)) in source.facts.iter().enumerate() {
+            let node = self.part(place, Field::Fact(i), text, Type::Text, &mut worst);
+            facts.extend(node.map(|node| (name.as_str().into(), node)));
+        }
+        let buckets = self.buckets(place, source, &mut worst);
+        self.check_counts(place, source);
+        if self.errors.len() > before {
             return None;
         }
         Some(Rule {
-            name: written.name.as_str().into(),
+            name: source.name.as_str().into(),
             operation,
             class,
-            verdict: written.verdict.clone(),
+            verdict: source.verdict.clone(),
             when: when?,
             worst,
             key,
             rank,
             facts: facts.into(),
             buckets: buckets.into(),
-            text: written.when.trim().into(),
+            text: source.when.trim().into(),
         })
     }
 }
 
+/// An error of the whole set.
+fn whole_set(what: String, expected: String) -> Vec<RuleError> {
+    vec![RuleError {
+        rule: None,
+        field: Field::Name,
+        error: ExpressionError::new(0..0, what, expected),
+    }]
+}
+
 impl RuleSet {
-    /// Checks and compiles rules; gives all that is wrong with them.
+    /// Checks and compiles rules that name these buckets.
+    ///
+    /// # Errors
+    ///
+    /// All that is wrong with them, or the bound that they exceed.
     pub fn load(
-        written: &[RuleSource],
+        sources: &[RuleSource],
         vocabulary: &Vocabulary,
         buckets: &[String],
         bounds: Bounds,
@@ -153,26 +187,19 @@
             compiler,
             vocabulary,
             bounds,
-            problems: Vec::new(),
+            errors: Vec::new(),
             classes: Vec::new(),
             buckets,
         };
-        let whole = |what: String, expected: String| {
-            vec![RuleError {
-                rule: None,
-                field: Field::Name,
-                error: ExpressionError::new(0..0, what, expected),
-            }]
-        };
-        if written.len() > RULES_MAX {
-            return Err(whole(
-                format!("{} rules", written.len()),
+        if sources.len() > RULES_MAX {
+            return Err(whole_set(
+                format!("{} rules", sources.len()),
                 format!("at most {RULES_MAX}"),
             ));
         }
         let mut rules = Vec::new();
         let mut bytes = 0;
-        for (place, one) in written.iter().enumerate() {
+        for (place, one) in sources.iter().enumerate() {
             if let Some(rule) = loader.rule(place, one) {
                 bytes += rule.bytes();
                 rules.push(rule);
@@ -182,8 +209,8 @@
                 break;
             }
         }
-        if !loader.problems.is_empty() {
-            return Err(loader.problems);
+        if !loader.errors.is_empty() {
+            return Err(loader.errors);
         }
         let index = Index::new(rules.iter().map(|rule| &rule.when));
         let sets: usize = vocabulary.sets.values().map(|set| set.bytes()).sum();
@@ -194,7 +221,7 @@
                 "at most {} KiB, which follows from the memory limit",
                 bounds.bytes >> 10
             );
-            return Err(whole(what, room));
+            return Err(whole_set(what, room));
         }
         let worst = index.worst(|rule| rules[rule as usize].worst);
         let Loader {
--- a/crates/rules/src/syntax.rs
+++ b/crates/rules/src/syntax.rs
@@ -96,19 +96,30 @@
 
 /// Operators between two operands, but for `&&` and `||`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[allow(missing_docs)]
 pub enum Binary {
+    /// `==`.
     Equal,
+    /// `!=`.
     Differs,
+    /// `<`.
     Less,
+    /// `<=`.
     AtMost,
+    /// `>`.
     More,
+    /// `>=`.
     AtLeast,
+    /// `in`.
     In,
+    /// `+`.
     Add,
+    /// `-`.
     Sub,
+    /// `*`.
     Mul,
+    /// `/`.
     Div,
+    /// `%`.
     Rem,
 }
 
--- a/crates/rules/src/value.rs
+++ b/crates/rules/src/value.rs
@@ -1,4 +1,4 @@
-//! Types and values of the language, and what may go wrong at evaluation.
+//! Types and values of the language, and errors of evaluation.
 
 use crate::address::AddressSet;
 use std::cmp::Ordering;
@@ -50,7 +50,7 @@
     }
 }
 
-/// A value while an expression is evaluated; text and lists lie in the request, the rules or the
+/// A value while an expression is evaluated; texts and lists are in the request, the rules or the
 /// arena.
 #[derive(Clone, Copy, Debug)]
 pub enum Value<'a> {
@@ -72,7 +72,7 @@
     Address(IpAddr),
     /// Of [`Type::Addresses`].
     Addresses(&'a AddressSet),
-    /// Of [`Type::Params`]: those of the request at hand.
+    /// Of [`Type::Params`]: those of the request.
     Params,
     /// Of [`Type::List`].
     List(&'a [Value<'a>]),
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Bytes of text, items of a list; what comparing takes grows with it.
+    /// The size on which the cost of a comparison depends: bytes of a text, or those of all items of a
+    /// list with 8 for each.
     pub fn extent(&self) -> usize {
         match self {
             Value::Text(text) => text.len(),
@@ -145,23 +146,31 @@
 }
 
 /// Why an evaluation has no value. A rule that errs does not match.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EvaluationError {
     /// A whole number, span or time left its range.
+    #[error("a number left its range")]
     Overflow,
     /// Division or remainder by zero.
+    #[error("division by zero")]
     Zero,
     /// A parameter or fact that this request does not have.
+    #[error("absent in this request")]
     Absent,
     /// A parameter that is no UTF-8.
+    #[error("a parameter is no text")]
     NoText,
-    /// A parameter longer than it was declared to be, or more parameters than can be walked.
+    /// A parameter longer than declared, or more parameters than can be iterated over.
+    #[error("a parameter is longer than declared, or there are too many")]
     TooLong,
-    /// A place beyond a text or list.
+    /// An index beyond a text or list.
+    #[error("a place beyond the end")]
     Range,
     /// A text that is no number, time or address.
+    #[error("a text that is no such value")]
     NoValue,
     /// The limit of cost was reached.
+    #[error("stopped at the cost limit")]
     Cost,
 }
 
@@ -178,20 +187,3 @@
         EvaluationError::Cost,
     ];
 }
-
-impl fmt::Display for EvaluationError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            EvaluationError::Overflow => "a number left its range",
-            EvaluationError::Zero => "division by zero",
-            EvaluationError::Absent => "absent in this request",
-            EvaluationError::NoText => "a parameter is no text",
-            EvaluationError::TooLong => {
-                "a parameter is longer than declared, or there are too many"
-            }
-            EvaluationError::Range => "a place beyond the end",
-            EvaluationError::NoValue => "a text that is no such value",
-            EvaluationError::Cost => "stopped at the cost limit",
-        })
-    }
-}
--- a/crates/settings/src/schema/parse.rs
+++ b/crates/settings/src/schema/parse.rs
@@ -86,7 +86,7 @@
                         let pattern = Pattern::new(&format!("^(?:{value})$")).map_err(|error| {
                             SchemaError::Pattern {
                                 pattern: value.to_owned(),
-                                reason: error.0,
+                                reason: error.found,
                             }
                         })?;
                         simple.pattern = Some(pattern);
