--- a/crates/identity/src/bundle/tests.rs
+++ b/crates/identity/src/bundle/tests.rs
@@ -2,6 +2,7 @@
 
 fn bundle(keys: &str, more: &str) -> Result<Bundle, String> {
     Bundle::read(format!("{{\"keys\": [{keys}]{more}}}").as_bytes())
+        .map_err(|error| error.to_string())
 }
 
 const X509: &str = r#"{"kty": "EC", "use": "x509-svid", "x5c": ["AQID"]}"#;
@@ -16,7 +17,7 @@
     );
     let read = read.unwrap();
     assert_eq!(
-        (read.sequence, read.refresh, read.passed_over),
+        (read.sequence, read.refresh, read.ignored_keys),
         (Some(12), 60_000_000_000, 1)
     );
     assert_eq!(read.x509, [vec![1, 2, 3]]);
@@ -72,7 +73,7 @@
     assert_eq!(
         (
             bundle(short, "").unwrap().jwt.len(),
-            bundle(short, "").unwrap().passed_over
+            bundle(short, "").unwrap().ignored_keys
         ),
         (0, 1)
     );
@@ -85,10 +86,13 @@
         bundle(key, &format!(r#", "spiffe_sequence": {sequence}"#)).unwrap()
     };
     let mut bundles = Bundles::default();
-    assert_eq!(bundles.offer(&domain, of(5, X509)), Offer::Taken);
-    assert_eq!(bundles.offer(&domain, of(5, X509)), Offer::Same);
-    assert_eq!(bundles.offer(&domain, of(4, RSA)), Offer::GoesBack);
-    assert_eq!(bundles.offer(&domain, of(5, RSA)), Offer::Contradicts);
+    assert_eq!(bundles.offer(&domain, of(5, X509)), OfferOutcome::Taken);
+    assert_eq!(bundles.offer(&domain, of(5, X509)), OfferOutcome::Same);
+    assert_eq!(bundles.offer(&domain, of(4, RSA)), OfferOutcome::GoesBack);
+    assert_eq!(
+        bundles.offer(&domain, of(5, RSA)),
+        OfferOutcome::Contradicts
+    );
     assert_eq!(
         (
             bundles.version(),
@@ -96,7 +100,7 @@
         ),
         (1, 1)
     );
-    assert_eq!(bundles.offer(&domain, of(6, RSA)), Offer::Taken);
+    assert_eq!(bundles.offer(&domain, of(6, RSA)), OfferOutcome::Taken);
     assert!(
         bundles.of("saha.example").unwrap().x509.is_empty()
             && bundles.of("other.example").is_none()
@@ -104,7 +108,7 @@
     // An issuer that does not count is believed each time.
     assert_eq!(
         bundles.offer(&domain, bundle(X509, "").unwrap()),
-        Offer::Taken
+        OfferOutcome::Taken
     );
     assert!(bundles.withdraw(&domain) && !bundles.withdraw(&domain));
     assert_eq!((bundles.version(), bundles.domains().count()), (4, 0));
--- a/crates/identity/src/id.rs
+++ b/crates/identity/src/id.rs
@@ -11,47 +11,36 @@
 const SCHEME: &str = "spiffe://";
 
 /// Why a text is no SPIFFE id, with the clause that it breaks.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Malformed {
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SpiffeIdError {
     /// 2.3: more than 2048 bytes.
+    #[error("an id of more than {ID_MAX} bytes (2.3)")]
     TooLong,
     /// 2: the scheme is not `spiffe`.
+    #[error("an id begins with {SCHEME} (2)")]
     Scheme,
     /// 2.1: no trust domain.
+    #[error("no trust domain (2.1)")]
     NoDomain,
     /// 2.3: the trust domain has more than 255 bytes.
+    #[error("a trust domain of more than {DOMAIN_MAX} bytes (2.3)")]
     DomainTooLong,
     /// 2.1: the trust domain has another letter than a-z, 0-9, '.', '-' and '_'; user and port are
     /// among these.
+    #[error("{0:?} in the trust domain (2.1)")]
     DomainLetter(char),
     /// 2.2: a segment of the path is empty, or the path ends with '/'.
+    #[error("an empty segment in the path (2.2)")]
     EmptySegment,
     /// 2.2: a segment is '.' or '..'.
+    #[error("a segment '.' or '..' in the path (2.2)")]
     DotSegment,
     /// 2.2: a segment has another letter than A-Z, a-z, 0-9, '.', '-' and '_'; so have a query, a
     /// fragment and what is percent-encoded.
+    #[error("{0:?} in the path (2.2)")]
     PathLetter(char),
 }
 
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Malformed::TooLong => write!(f, "an id of more than {ID_MAX} bytes (2.3)"),
-            Malformed::Scheme => write!(f, "an id begins with {SCHEME} (2)"),
-            Malformed::NoDomain => f.write_str("no trust domain (2.1)"),
-            Malformed::DomainTooLong => {
-                write!(f, "a trust domain of more than {DOMAIN_MAX} bytes (2.3)")
-            }
-            Malformed::DomainLetter(c) => write!(f, "{c:?} in the trust domain (2.1)"),
-            Malformed::EmptySegment => f.write_str("an empty segment in the path (2.2)"),
-            Malformed::DotSegment => f.write_str("a segment '.' or '..' in the path (2.2)"),
-            Malformed::PathLetter(c) => write!(f, "{c:?} in the path (2.2)"),
-        }
-    }
-}
-
-impl std::error::Error for Malformed {}
-
 /// The name of a trust domain.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TrustDomain(Box<str>);
@@ -69,41 +58,41 @@
     }
 }
 
-fn check_domain(name: &str) -> Result<(), Malformed> {
+fn check_domain(name: &str) -> Result<(), SpiffeIdError> {
     let known = |c: &char| matches!(c, 'a'..='z' | '0'..='9' | '.' | '-' | '_');
     if name.is_empty() {
-        return Err(Malformed::NoDomain);
+        return Err(SpiffeIdError::NoDomain);
     }
     match name.chars().find(|c| !known(c)) {
-        Some(c) => Err(Malformed::DomainLetter(c)),
-        None if name.len() > DOMAIN_MAX => Err(Malformed::DomainTooLong),
+        Some(c) => Err(SpiffeIdError::DomainLetter(c)),
+        None if name.len() > DOMAIN_MAX => Err(SpiffeIdError::DomainTooLong),
         None => Ok(()),
     }
 }
 
-fn check_path(path: &str) -> Result<(), Malformed> {
+fn check_path(path: &str) -> Result<(), SpiffeIdError> {
     let known = |c: &char| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | '_');
     let Some(segments) = path.strip_prefix('/') else {
         return Ok(());
     };
     for segment in segments.split('/') {
         match segment {
-            "" => return Err(Malformed::EmptySegment),
-            "." | ".." => return Err(Malformed::DotSegment),
+            "" => return Err(SpiffeIdError::EmptySegment),
+            "." | ".." => return Err(SpiffeIdError::DotSegment),
             _ => {}
         }
         if let Some(c) = segment.chars().find(|c| !known(c)) {
-            return Err(Malformed::PathLetter(c));
+            return Err(SpiffeIdError::PathLetter(c));
         }
     }
     Ok(())
 }
 
 impl FromStr for TrustDomain {
-    type Err = Malformed;
+    type Err = SpiffeIdError;
 
     /// Reads a name, or takes the trust domain of an id.
-    fn from_str(text: &str) -> Result<TrustDomain, Malformed> {
+    fn from_str(text: &str) -> Result<TrustDomain, SpiffeIdError> {
         if text.contains("://") {
             return Ok(text.parse::<SpiffeId>()?.trust_domain());
         }
@@ -148,13 +137,13 @@
 }
 
 impl FromStr for SpiffeId {
-    type Err = Malformed;
+    type Err = SpiffeIdError;
 
-    fn from_str(text: &str) -> Result<SpiffeId, Malformed> {
+    fn from_str(text: &str) -> Result<SpiffeId, SpiffeIdError> {
         if text.len() > ID_MAX {
-            return Err(Malformed::TooLong);
+            return Err(SpiffeIdError::TooLong);
         }
-        let rest = text.strip_prefix(SCHEME).ok_or(Malformed::Scheme)?;
+        let rest = text.strip_prefix(SCHEME).ok_or(SpiffeIdError::Scheme)?;
         let path = SCHEME.len() + rest.find('/').unwrap_or(rest.len());
         check_domain(&text[SCHEME.len()..path])?;
         check_path(&text[path..])?;
--- a/crates/identity/src/id/tests.rs
+++ b/crates/identity/src/id/tests.rs
@@ -24,28 +24,34 @@
 #[test]
 fn each_rule_of_the_standard_is_kept() {
     let bad = [
-        ("", Malformed::Scheme),
-        ("http://example.org/a", Malformed::Scheme),
-        ("SPIFFE://example.org/a", Malformed::Scheme),
-        ("spiffe:/example.org", Malformed::Scheme),
-        ("spiffe://", Malformed::NoDomain),
-        ("spiffe:///a", Malformed::NoDomain),
-        ("spiffe://Example.org/a", Malformed::DomainLetter('E')),
-        ("spiffe://user@example.org/a", Malformed::DomainLetter('@')),
-        ("spiffe://example.org:80/a", Malformed::DomainLetter(':')),
-        ("spiffe://ex%61mple.org/a", Malformed::DomainLetter('%')),
-        ("spiffe://örnek.org/a", Malformed::DomainLetter('ö')),
-        ("spiffe://example.org?a", Malformed::DomainLetter('?')),
-        ("spiffe://example.org/", Malformed::EmptySegment),
-        ("spiffe://example.org/a/", Malformed::EmptySegment),
-        ("spiffe://example.org//a", Malformed::EmptySegment),
-        ("spiffe://example.org/a/./b", Malformed::DotSegment),
-        ("spiffe://example.org/a/..", Malformed::DotSegment),
-        ("spiffe://example.org/a%2fb", Malformed::PathLetter('%')),
-        ("spiffe://example.org/a?b", Malformed::PathLetter('?')),
-        ("spiffe://example.org/a#b", Malformed::PathLetter('#')),
-        ("spiffe://example.org/a b", Malformed::PathLetter(' ')),
-        ("spiffe://example.org/şube", Malformed::PathLetter('ş')),
+        ("", SpiffeIdError::Scheme),
+        ("http://example.org/a", SpiffeIdError::Scheme),
+        ("SPIFFE://example.org/a", SpiffeIdError::Scheme),
+        ("spiffe:/example.org", SpiffeIdError::Scheme),
+        ("spiffe://", SpiffeIdError::NoDomain),
+        ("spiffe:///a", SpiffeIdError::NoDomain),
+        ("spiffe://Example.org/a", SpiffeIdError::DomainLetter('E')),
+        (
+            "spiffe://user@example.org/a",
+            SpiffeIdError::DomainLetter('@'),
+        ),
+        (
+            "spiffe://example.org:80/a",
+            SpiffeIdError::DomainLetter(':'),
+        ),
+        ("spiffe://ex%61mple.org/a", SpiffeIdError::DomainLetter('%')),
+        ("spiffe://örnek.org/a", SpiffeIdError::DomainLetter('ö')),
+        ("spiffe://example.org?a", SpiffeIdError::DomainLetter('?')),
+        ("spiffe://example.org/", SpiffeIdError::EmptySegment),
+        ("spiffe://example.org/a/", SpiffeIdError::EmptySegment),
+        ("spiffe://example.org//a", SpiffeIdError::EmptySegment),
+        ("spiffe://example.org/a/./b", SpiffeIdError::DotSegment),
+        ("spiffe://example.org/a/..", SpiffeIdError::DotSegment),
+        ("spiffe://example.org/a%2fb", SpiffeIdError::PathLetter('%')),
+        ("spiffe://example.org/a?b", SpiffeIdError::PathLetter('?')),
+        ("spiffe://example.org/a#b", SpiffeIdError::PathLetter('#')),
+        ("spiffe://example.org/a b", SpiffeIdError::PathLetter(' ')),
+        ("spiffe://example.org/şube", SpiffeIdError::PathLetter('ş')),
     ];
     for (text, why) in bad {
         assert_eq!(text.parse::<SpiffeId>(), Err(why), "{text}");
@@ -60,11 +66,11 @@
     assert!(of(255, 1).parse::<SpiffeId>().is_ok());
     assert_eq!(
         of(256, 1).parse::<SpiffeId>(),
-        Err(Malformed::DomainTooLong)
+        Err(SpiffeIdError::DomainTooLong)
     );
     assert!(of(7, 2048 - 9 - 8).parse::<SpiffeId>().is_ok());
     assert_eq!(
         of(7, 2048 - 9 - 7).parse::<SpiffeId>(),
-        Err(Malformed::TooLong)
+        Err(SpiffeIdError::TooLong)
     );
 }
--- a/crates/identity/src/jwt.rs
+++ b/crates/identity/src/jwt.rs
@@ -4,13 +4,12 @@
 
 use crate::Nanos;
 use crate::bundle::{Bundles, Curve, JwtKey, PublicKey};
-use crate::id::{Malformed, SpiffeId};
+use crate::id::{SpiffeId, SpiffeIdError};
 use crate::rotation::SKEW_MOST;
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use ring::signature::{self, RsaPublicKeyComponents, UnparsedPublicKey};
 use serde::Deserialize;
-use std::fmt;
 
 /// The longest token that is looked at: what a parameter may have.
 pub const TOKEN_MAX: usize = 4096;
@@ -18,59 +17,50 @@
 const TRIED_MOST: usize = 8;
 
 /// Why a token proves no identity, with the clause of the standard where it is one's.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum JwtSvidError {
     /// More bytes than are looked at.
+    #[error("a token of more than {TOKEN_MAX} bytes")]
     TooLong,
     /// 2: it is not in the compact form: three parts in base64 for URLs, two of them JSON.
+    #[error("not in the compact form (JWT-SVID 2)")]
     Form,
     /// 2.1: the algorithm is not one of the standard's, such as `none`, or not one that is
     /// supported here (ES512).
+    #[error("algorithm {0:?} (JWT-SVID 2.1)")]
     Algorithm(String),
     /// 2.3: `typ` is there and neither JWT nor JOSE.
+    #[error("type {0:?} (JWT-SVID 2.3)")]
     Type(String),
     /// RFC 7515, 4.1.11: it has critical headers, none of which is known.
+    #[error("unknown critical headers (RFC 7515, 4.1.11)")]
     Critical,
     /// 3.1: the subject is no SPIFFE id.
-    NoId(Malformed),
+    #[error("the subject is no SPIFFE id: {0} (JWT-SVID 3.1)")]
+    NoId(SpiffeIdError),
     /// 3.2: it is not for us.
+    #[error("it is for others (JWT-SVID 3.2)")]
     Audience,
     /// 3.3: it has no end.
+    #[error("it has no end (JWT-SVID 3.3)")]
     NoExpiry,
     /// 3.3: it is over, by more than clocks may differ.
+    #[error("expired (JWT-SVID 3.3)")]
     Expired,
     /// It begins later than clocks may differ.
+    #[error("not valid yet")]
     NotYet,
     /// 4: nothing is trusted for the id's own trust domain.
+    #[error("trust domain {0} is not known")]
     UnknownDomain(String),
     /// 4: its trust domain has no key of the name, or none of the algorithm's kind.
+    #[error("its trust domain has no such key (JWT-SVID 4)")]
     UnknownKey,
     /// 4: the signature is not that of the key.
+    #[error("the signature is not its key's (JWT-SVID 4)")]
     Signature,
 }
 
-impl fmt::Display for Refused {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Refused::TooLong => write!(f, "a token of more than {TOKEN_MAX} bytes"),
-            Refused::Form => f.write_str("not in the compact form (JWT-SVID 2)"),
-            Refused::Algorithm(name) => write!(f, "algorithm {name:?} (JWT-SVID 2.1)"),
-            Refused::Type(name) => write!(f, "type {name:?} (JWT-SVID 2.3)"),
-            Refused::Critical => f.write_str("unknown critical headers (RFC 7515, 4.1.11)"),
-            Refused::NoId(why) => write!(f, "the subject is no SPIFFE id: {why} (JWT-SVID 3.1)"),
-            Refused::Audience => f.write_str("it is for others (JWT-SVID 3.2)"),
-            Refused::NoExpiry => f.write_str("it has no end (JWT-SVID 3.3)"),
-            Refused::Expired => f.write_str("expired (JWT-SVID 3.3)"),
-            Refused::NotYet => f.write_str("not valid yet"),
-            Refused::UnknownDomain(domain) => write!(f, "trust domain {domain} is not known"),
-            Refused::UnknownKey => f.write_str("its trust domain has no such key (JWT-SVID 4)"),
-            Refused::Signature => f.write_str("the signature is not its key's (JWT-SVID 4)"),
-        }
-    }
-}
-
-impl std::error::Error for Refused {}
-
 /// Algorithms that a token may name.
 #[derive(Clone, Copy)]
 enum Algorithm {
@@ -144,7 +134,7 @@
 
 /// An identity that a token proved.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Proven {
+pub struct VerifiedToken {
     /// Whose it is.
     pub id: SpiffeId,
     /// Until when, in nanoseconds since the Unix epoch.
@@ -159,82 +149,112 @@
     (seconds * 1e9) as Nanos
 }
 
-fn json<T: for<'d> Deserialize<'d>>(part: &str) -> Result<T, Refused> {
-    let bytes = URL_SAFE_NO_PAD.decode(part).map_err(|_| Refused::Form)?;
-    serde_json::from_slice(&bytes).map_err(|_| Refused::Form)
+fn json<T: for<'d> Deserialize<'d>>(part: &str) -> Result<T, JwtSvidError> {
+    let bytes = URL_SAFE_NO_PAD
+        .decode(part)
+        .map_err(|_| JwtSvidError::Form)?;
+    serde_json::from_slice(&bytes).map_err(|_| JwtSvidError::Form)
+}
+
+/// Checks a signature by the keys of a domain: the one that the token names, or the first ones of
+/// the algorithm's kind.
+fn check_signature(
+    algorithm: &Algorithm,
+    keys: &[JwtKey],
+    key_id: Option<&str>,
+    message: &str,
+    signature: &[u8],
+) -> Result<(), JwtSvidError> {
+    let named = |key: &&JwtKey| key_id.is_none_or(|id| *id == key.id);
+    let keys = keys
+        .iter()
+        .filter(named)
+        .filter(|key| algorithm.takes(&key.key));
+    let keys: Vec<&JwtKey> = keys.take(TRIED_MOST).collect();
+    if keys.is_empty() {
+        return Err(JwtSvidError::UnknownKey);
+    }
+    if !keys
+        .iter()
+        .any(|key| algorithm.verifies(&key.key, message.as_bytes(), signature))
+    {
+        return Err(JwtSvidError::Signature);
+    }
+    Ok(())
+}
+
+/// Whether one of these audiences is among those of a token.
+fn is_for(token: &Option<Audience>, audiences: &[&str]) -> bool {
+    let is_ours = |audience: &String| audiences.contains(&audience.as_str());
+    match token {
+        Some(Audience::One(audience)) => is_ours(audience),
+        Some(Audience::Many(all)) => all.iter().any(is_ours),
+        None => false,
+    }
 }
 
-/// Checks a token that is to be for one of these audiences, at a time of the Unix clock; clocks may
-/// differ by `skew`, at most [`SKEW_MOST`].
+/// Checks a token for one of these audiences, at a time of the Unix clock; clocks may differ by
+/// `skew`, at most [`SKEW_MOST`].
+///
+/// # Errors
+///
+/// The first check that fails.
 pub fn check(
     token: &str,
     bundles: &Bundles,
     audiences: &[&str],
     now: Nanos,
     skew: Nanos,
-) -> Result<Proven, Refused> {
+) -> Result<VerifiedToken, JwtSvidError> {
     if token.len() > TOKEN_MAX {
-        return Err(Refused::TooLong);
+        return Err(JwtSvidError::TooLong);
     }
     let parts: Vec<&str> = token.split('.').collect();
     let [head, claims, signed] = parts.as_slice() else {
-        return Err(Refused::Form);
+        return Err(JwtSvidError::Form);
     };
     let header: Header = json(head)?;
     let algorithm =
-        Algorithm::read(&header.alg).ok_or_else(|| Refused::Algorithm(header.alg.clone()))?;
+        Algorithm::read(&header.alg).ok_or_else(|| JwtSvidError::Algorithm(header.alg.clone()))?;
     if let Some(kind) = header.typ.filter(|typ| typ != "JWT" && typ != "JOSE") {
-        return Err(Refused::Type(kind));
+        return Err(JwtSvidError::Type(kind));
     }
     if header.crit.is_some() {
-        return Err(Refused::Critical);
+        return Err(JwtSvidError::Critical);
     }
     let message = &token[..head.len() + 1 + claims.len()];
     let claims: Claims = json(claims)?;
-    let signed = URL_SAFE_NO_PAD.decode(signed).map_err(|_| Refused::Form)?;
-    let id: SpiffeId = claims.sub.parse().map_err(Refused::NoId)?;
+    let signed = URL_SAFE_NO_PAD
+        .decode(signed)
+        .map_err(|_| JwtSvidError::Form)?;
+    let id: SpiffeId = claims.sub.parse().map_err(JwtSvidError::NoId)?;
     // The subject only says whose keys to look at; nothing of the token is believed before they
     // have been asked.
     let bundle = bundles
         .of(id.domain())
-        .ok_or_else(|| Refused::UnknownDomain(id.domain().to_owned()))?;
-    let named = |key: &&JwtKey| header.kid.as_ref().is_none_or(|kid| *kid == key.id);
-    let keys = bundle
-        .jwt
-        .iter()
-        .filter(named)
-        .filter(|key| algorithm.takes(&key.key));
-    let keys: Vec<&JwtKey> = keys.take(TRIED_MOST).collect();
-    if keys.is_empty() {
-        return Err(Refused::UnknownKey);
-    }
-    if !keys
-        .iter()
-        .any(|key| algorithm.verifies(&key.key, message.as_bytes(), &signed))
-    {
-        return Err(Refused::Signature);
-    }
+        .ok_or_else(|| JwtSvidError::UnknownDomain(id.domain().to_owned()))?;
+    check_signature(
+        &algorithm,
+        &bundle.jwt,
+        header.kid.as_deref(),
+        message,
+        &signed,
+    )?;
     let skew = skew.min(SKEW_MOST);
-    let not_after = nanos(claims.exp.ok_or(Refused::NoExpiry)?);
+    let not_after = nanos(claims.exp.ok_or(JwtSvidError::NoExpiry)?);
     if now > not_after.saturating_add(skew) {
-        return Err(Refused::Expired);
+        return Err(JwtSvidError::Expired);
     }
     if claims
         .nbf
         .is_some_and(|nbf| now.saturating_add(skew) < nanos(nbf))
     {
-        return Err(Refused::NotYet);
+        return Err(JwtSvidError::NotYet);
     }
-    let is_ours = |audience: &String| audiences.contains(&audience.as_str());
-    let ours = match &claims.aud {
-        Some(Audience::One(audience)) => is_ours(audience),
-        Some(Audience::Many(all)) => all.iter().any(is_ours),
-        None => false,
-    };
-    if !ours {
-        return Err(Refused::Audience);
+    if !is_for(&claims.aud, audiences) {
+        return Err(JwtSvidError::Audience);
     }
-    Ok(Proven {
+    Ok(VerifiedToken {
         id,
         not_after,
         bundles: bundles.version(),
--- a/crates/identity/src/lib.rs
+++ b/crates/identity/src/lib.rs
@@ -1,14 +1,12 @@
 //! SPIFFE identities without I/O: ids and trust domains ([`id`]), trust bundles in the SPIFFE
 //! format ([`bundle`]), checks of X.509-SVIDs ([`x509`]) and JWT-SVIDs ([`jwt`]), which identity is
-//! presented when ([`rotation`]), and how long a connection stands by the identity it was opened
+//! presented when ([`rotation`]), and how long a connection is served by the identity it was opened
 //! with ([`sessions`]), both as state machines over time.
 //!
-//! What the Workload API says is read and checked in [`workload`]. Its transport, TLS and the
-//! policy are not here yet;
-//! `docs/ROADMAP.md` says how far it is.
+//! Answers of the Workload API are read and checked in [`workload`]. Its transport, TLS and the
+//! policy are not implemented yet; `docs/ROADMAP.md` has their state.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod bundle;
 pub mod id;
@@ -21,5 +19,5 @@
 pub use bundle::{Bundle, Bundles};
 pub use id::{SpiffeId, TrustDomain};
 
-/// Whole nanoseconds from any fixed point.
+/// Whole nanoseconds since any fixed point.
 pub type Nanos = u64;
--- a/crates/identity/src/rotation.rs
+++ b/crates/identity/src/rotation.rs
@@ -1,141 +1,146 @@
-//! Which identity is presented when: the life of an SVID as a state machine over time. It asks for
-//! the next one at half its life, spread by chance; goes on with the last good one while the issuer
-//! is away, loudly; presents nothing once that has expired; and backs off with jitter while asking
-//! fails. It does no I/O: what is to be done is told to a [`Host`].
+//! Which identity is presented when: the lifetime of an SVID as a state machine over time. It
+//! requests the next one at half its lifetime, with jitter; goes on with the last good one while the
+//! issuer is unreachable, and logs that; presents nothing once that has expired; and backs off with
+//! jitter while requests fail. It does no I/O: side effects are requested from a [`Host`].
 
 use crate::{Nanos, SpiffeId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::fmt;
 
+/// In nanoseconds.
 const SECOND: Nanos = 1_000_000_000;
-/// The next identity is asked for at half the life of the one in hand, moved by up to this part of
-/// the life either way, so that nodes that started together do not ask together.
-const SPREAD: f64 = 0.1;
-/// Tries after a failure, from the first to the longest pause; each is drawn from half the pause to
-/// the whole of it.
-const FIRST_PAUSE: Nanos = SECOND;
-const LONGEST_PAUSE: Nanos = 60 * SECOND;
-/// An answer has so long to come before the stream counts as silent and is made again.
-const ANSWER_LIMIT: Nanos = 10 * SECOND;
-/// While the issuer is away and something is in hand, this is told again so often.
-const TELL_AGAIN: Nanos = 60 * SECOND;
-/// Clocks may differ by so much, and no grace may be longer: an identity is taken for valid so long
-/// before its beginning, and is presented no longer than its end less this.
+/// The next identity is requested at half the lifetime of the current one, moved by up to this part
+/// of the lifetime either way, so that nodes that started together do not request together.
+const RENEWAL_JITTER: f64 = 0.1;
+/// The backoff after the first failure; the wait is drawn from half of the backoff to all of it.
+const BACKOFF_FIRST: Nanos = SECOND;
+/// The longest backoff.
+const BACKOFF_MAX: Nanos = 60 * SECOND;
+/// The timeout of an answer, after which the stream counts as failed.
+const ANSWER_TIMEOUT: Nanos = 10 * SECOND;
+/// The period at which an unreachable issuer is logged.
+const LOG_PERIOD: Nanos = 60 * SECOND;
+/// The largest clock skew, in nanoseconds, and the longest grace: an identity counts as valid up to
+/// this long before its beginning, and is presented up to its end less the skew.
 pub const SKEW_MOST: Nanos = 60 * SECOND;
 
-/// An identity as it was handed out; its key lies with the host.
+/// An identity as the issuer sent it; the host has its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Svid {
-    /// Whose it is.
+    /// Its id.
     pub id: SpiffeId,
-    /// Tells it from others that were handed out; never used again.
+    /// A number that distinguishes it from others; never reused.
     pub serial: u64,
-    /// From when on it is valid.
+    /// The start of its validity.
     pub not_before: Nanos,
-    /// Until when.
+    /// The end of its validity.
     pub not_after: Nanos,
 }
 
-/// What the machine has done.
+/// Side effects that the state machine requests.
 pub trait Host {
-    /// Ask the issuer, over a new stream; one that is open is given up.
-    fn ask(&mut self);
-    /// From now on this identity is presented to whoever connects; nothing if there is none that
-    /// may be.
+    /// Request an identity from the issuer over a new stream; an open one is closed.
+    fn request_svid(&mut self);
+    /// Present this identity on new connections from now on; none if `None`.
     fn present(&mut self, svid: Option<&Svid>);
-    /// Call [`Rotation::alarm`] at this time; replaces the alarm before.
-    fn wake(&mut self, at: Nanos);
+    /// Call [`Rotation::on_timer`] at this time; replaces the timer set before.
+    fn set_timer(&mut self, at: Nanos);
     /// Write a line to the log.
     fn log(&mut self, line: fmt::Arguments<'_>);
 }
 
-/// Why an identity that was offered is not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turned {
-    /// It is over, or would be within the skew of clocks.
+/// Why an identity from the issuer is not used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SvidRejection {
+    /// It has expired, or will within the clock skew.
+    #[error("the identity has expired")]
     Expired,
-    /// It begins later than clocks may differ.
+    /// Its validity begins later than the clock skew allows.
+    #[error("the identity is not valid yet")]
     NotYet,
     /// It ends before it begins.
+    #[error("the identity ends before it begins")]
     Backwards,
-    /// It ends before the one in hand: an old one that came late.
+    /// It ends before the current one: an old one that came late.
+    #[error("the identity ends before the current one")]
     Older,
-    /// It is of another trust domain than the one in hand, which no rotation changes.
+    /// It has another trust domain than the current one, which no rotation changes.
+    #[error("the identity has another trust domain than the current one")]
     Foreign,
 }
 
 /// The state as operators see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
-    /// Nothing in hand yet.
+pub enum RotationState {
+    /// There is no identity yet.
     Waiting,
-    /// An identity in hand, the issuer there.
+    /// There is an identity, and the issuer is reachable.
     Holding,
-    /// An identity in hand, the issuer away.
+    /// There is an identity, and the issuer is unreachable.
     Orphaned,
-    /// What was in hand has expired.
+    /// The identity has expired.
     Expired,
 }
 
 /// The stream to the issuer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stream {
-    /// Asked, no answer yet.
+    /// Requested, no answer yet.
     Asked { since: Nanos },
-    /// It has answered, and goes on to do so when something changes.
+    /// It has answered, and sends changes.
     Open,
-    /// Broken; the next try is then.
+    /// Failed; the next attempt is at this time.
     Down { next: Nanos },
 }
 
-/// The life of one identity.
+/// The lifetime of one identity.
 pub struct Rotation {
     skew: Nanos,
-    held: Option<Svid>,
+    current: Option<Svid>,
     presented: Option<u64>,
     stream: Stream,
-    /// When the next one is asked for though the stream is open.
+    /// When the next one is requested although the stream is open.
     renew: Nanos,
     /// Failures in a row.
     failures: u32,
-    told: Nanos,
-    mode: Mode,
+    logged_at: Nanos,
+    mode: RotationState,
     now: Nanos,
     rng: Pcg64Mcg,
 }
 
 impl Rotation {
-    /// A machine that asks at once. The skew of clocks is cut to [`SKEW_MOST`].
+    /// A state machine that requests an identity at once. The clock skew is at most [`SKEW_MOST`].
     pub fn new(now: Nanos, skew: Nanos, seed: u64, host: &mut impl Host) -> Rotation {
         let rotation = Rotation {
             skew: skew.min(SKEW_MOST),
-            held: None,
+            current: None,
             presented: None,
             stream: Stream::Asked { since: now },
             renew: Nanos::MAX,
             failures: 0,
-            told: now,
-            mode: Mode::Waiting,
+            logged_at: now,
+            mode: RotationState::Waiting,
             now,
             rng: Pcg64Mcg::seed_from_u64(seed),
         };
-        host.ask();
+        host.request_svid();
         rotation.arm(host);
         rotation
     }
 
-    /// The identity in hand, valid or not.
-    pub fn held(&self) -> Option<&Svid> {
-        self.held.as_ref()
+    /// The current identity, valid or not.
+    pub fn current(&self) -> Option<&Svid> {
+        self.current.as_ref()
     }
 
     /// The state.
-    pub fn mode(&self) -> Mode {
+    pub fn state(&self) -> RotationState {
         self.mode
     }
 
-    /// Up to when an identity is presented: its end, less the skew, but at least half its life.
+    /// Until when an identity is presented: its end less the skew, but at least half its lifetime.
     fn ends(&self, svid: &Svid) -> Nanos {
         let life = svid.not_after.saturating_sub(svid.not_before);
         svid.not_after.saturating_sub(self.skew.min(life / 2))
@@ -146,9 +151,18 @@
         self.now = self.now.max(now);
     }
 
-    /// The issuer handed out an identity. One that can't be used changes nothing, and counts as a
-    /// failure of the stream.
-    pub fn offered(&mut self, now: Nanos, svid: Svid, host: &mut impl Host) -> Result<(), Turned> {
+    /// The issuer sent an identity. One that can't be used changes nothing, and counts as a failure of
+    /// the stream.
+    ///
+    /// # Errors
+    ///
+    /// Why it is not used.
+    pub fn on_svid(
+        &mut self,
+        now: Nanos,
+        svid: Svid,
+        host: &mut impl Host,
+    ) -> Result<(), SvidRejection> {
         self.at(now);
         if let Err(why) = self.fits(&svid) {
             host.log(format_args!(
@@ -159,99 +173,103 @@
             return Err(why);
         }
         (self.stream, self.failures) = (Stream::Open, 0);
-        if self.held.as_ref() != Some(&svid) {
-            // Asked for again at half of what is left of its life, so that one that was handed out
-            // late is renewed in time.
+        if self.current.as_ref() != Some(&svid) {
+            // At half of what is left of its lifetime, so that one that was sent late is renewed
+            // in time.
             let left = self.ends(&svid).saturating_sub(self.now);
-            let spread = SPREAD * (2.0 * self.rng.random::<f64>() - 1.0);
+            let spread = RENEWAL_JITTER * (2.0 * self.rng.random::<f64>() - 1.0);
             self.renew = self.now + (left as f64 * (0.5 + spread)) as Nanos;
-            self.held = Some(svid);
+            self.current = Some(svid);
         }
-        self.settle(host);
+        self.update(host);
         Ok(())
     }
 
-    fn fits(&self, svid: &Svid) -> Result<(), Turned> {
+    fn fits(&self, svid: &Svid) -> Result<(), SvidRejection> {
         if svid.not_after <= svid.not_before {
-            return Err(Turned::Backwards);
+            return Err(SvidRejection::Backwards);
         }
         if self.ends(svid) <= self.now {
-            return Err(Turned::Expired);
+            return Err(SvidRejection::Expired);
         }
         if svid.not_before > self.now.saturating_add(self.skew) {
-            return Err(Turned::NotYet);
+            return Err(SvidRejection::NotYet);
         }
-        match &self.held {
-            Some(held) if held.id.domain() != svid.id.domain() => Err(Turned::Foreign),
-            Some(held) if svid.not_after < held.not_after && self.ends(held) > self.now => {
-                Err(Turned::Older)
+        match &self.current {
+            Some(current) if current.id.domain() != svid.id.domain() => Err(SvidRejection::Foreign),
+            Some(current)
+                if svid.not_after < current.not_after && self.ends(current) > self.now =>
+            {
+                Err(SvidRejection::Older)
             }
             _ => Ok(()),
         }
     }
 
-    /// The stream broke, could not be made, or brought what can't be read.
-    pub fn broke(&mut self, now: Nanos, host: &mut impl Host) {
+    /// The stream failed, could not be opened, or had an answer that can't be read.
+    pub fn on_stream_failed(&mut self, now: Nanos, host: &mut impl Host) {
         self.at(now);
         self.failed(host);
     }
 
     fn failed(&mut self, host: &mut impl Host) {
         if let Stream::Down { .. } = self.stream {
-            return; // known, and the next try is set
+            return; // known, and the next attempt is scheduled
         }
-        let pause = LONGEST_PAUSE.min(FIRST_PAUSE << self.failures.min(6));
+        let pause = BACKOFF_MAX.min(BACKOFF_FIRST << self.failures.min(6));
         self.failures += 1;
         let drawn = (pause as f64 * (0.5 + 0.5 * self.rng.random::<f64>())) as Nanos;
         self.stream = Stream::Down {
             next: self.now + drawn,
         };
-        self.settle(host);
+        self.update(host);
     }
 
-    /// The time that was asked for has come.
-    pub fn alarm(&mut self, now: Nanos, host: &mut impl Host) {
+    /// The timer has fired.
+    pub fn on_timer(&mut self, now: Nanos, host: &mut impl Host) {
         self.at(now);
         match self.stream {
-            Stream::Asked { since } if self.now >= since + ANSWER_LIMIT => self.failed(host),
-            Stream::Down { next } if self.now >= next => self.ask(host),
+            Stream::Asked { since } if self.now >= since + ANSWER_TIMEOUT => self.failed(host),
+            Stream::Down { next } if self.now >= next => self.request_svid(host),
             Stream::Open if self.now >= self.renew => {
-                // The issuer should have told of a new one by itself; a stream that says nothing
-                // may be dead.
+                // The issuer should have sent a new one by itself; a silent stream may be dead.
                 self.renew = Nanos::MAX;
-                self.ask(host);
+                self.request_svid(host);
             }
             _ => {}
         }
-        self.settle(host);
+        self.update(host);
     }
 
-    fn ask(&mut self, host: &mut impl Host) {
+    fn request_svid(&mut self, host: &mut impl Host) {
         self.stream = Stream::Asked { since: self.now };
-        host.ask();
+        host.request_svid();
     }
 
-    /// Presents what is to be presented, tells of a change of mode, and sets the alarm.
-    fn settle(&mut self, host: &mut impl Host) {
-        let valid = self.held.as_ref().filter(|svid| self.ends(svid) > self.now);
+    /// Updates what is presented, logs a change of state, and sets the timer.
+    fn update(&mut self, host: &mut impl Host) {
+        let valid = self
+            .current
+            .as_ref()
+            .filter(|svid| self.ends(svid) > self.now);
         let serial = valid.map(|svid| svid.serial);
         if serial != self.presented {
             host.present(valid);
             self.presented = serial;
         }
         let away = self.failures > 0;
-        let mode = match (&self.held, serial) {
-            (None, _) => Mode::Waiting,
-            (Some(_), None) => Mode::Expired,
-            (Some(_), Some(_)) if away => Mode::Orphaned,
-            _ => Mode::Holding,
+        let mode = match (&self.current, serial) {
+            (None, _) => RotationState::Waiting,
+            (Some(_), None) => RotationState::Expired,
+            (Some(_), Some(_)) if away => RotationState::Orphaned,
+            _ => RotationState::Holding,
         };
-        let again =
-            matches!(mode, Mode::Orphaned | Mode::Expired) && self.now >= self.told + TELL_AGAIN;
+        let again = matches!(mode, RotationState::Orphaned | RotationState::Expired)
+            && self.now >= self.logged_at + LOG_PERIOD;
         if mode != self.mode || again {
-            self.told = self.now;
+            self.logged_at = self.now;
             let left = self
-                .held
+                .current
                 .as_ref()
                 .map_or(0, |svid| self.ends(svid).saturating_sub(self.now))
                 / SECOND;
@@ -266,23 +284,23 @@
 
     fn arm(&self, host: &mut impl Host) {
         let stream = match self.stream {
-            Stream::Asked { since } => since + ANSWER_LIMIT,
+            Stream::Asked { since } => since + ANSWER_TIMEOUT,
             Stream::Down { next } => next,
             Stream::Open => self.renew,
         };
         let ends = self
-            .held
+            .current
             .as_ref()
             .map(|svid| self.ends(svid))
             .filter(|ends| *ends > self.now);
-        let tell =
-            matches!(self.mode, Mode::Orphaned | Mode::Expired).then_some(self.told + TELL_AGAIN);
+        let tell = matches!(self.mode, RotationState::Orphaned | RotationState::Expired)
+            .then_some(self.logged_at + LOG_PERIOD);
         let next = [Some(stream), ends, tell]
             .into_iter()
             .flatten()
             .min()
             .unwrap_or(stream);
-        host.wake(next.max(self.now + 1));
+        host.set_timer(next.max(self.now + 1));
     }
 }
 
--- a/crates/identity/src/rotation/tests.rs
+++ b/crates/identity/src/rotation/tests.rs
@@ -5,21 +5,21 @@
 struct World {
     asked: Vec<Nanos>,
     presented: Option<Svid>,
-    wake: Nanos,
+    next_timer: Nanos,
     lines: Vec<String>,
     now: Nanos,
 }
 
 impl Host for World {
-    fn ask(&mut self) {
+    fn request_svid(&mut self) {
         self.asked.push(self.now);
     }
     fn present(&mut self, svid: Option<&Svid>) {
         self.presented = svid.cloned();
     }
-    fn wake(&mut self, at: Nanos) {
+    fn set_timer(&mut self, at: Nanos) {
         assert!(at > self.now, "no alarm in the past");
-        self.wake = at;
+        self.next_timer = at;
     }
     fn log(&mut self, line: fmt::Arguments<'_>) {
         self.lines.push(line.to_string());
@@ -44,9 +44,9 @@
 }
 
 fn run(rotation: &mut Rotation, world: &mut World, until: Nanos) {
-    while world.wake <= until {
-        world.now = world.wake;
-        rotation.alarm(world.now, world);
+    while world.next_timer <= until {
+        world.now = world.next_timer;
+        rotation.on_timer(world.now, world);
     }
     world.now = until;
 }
@@ -58,11 +58,11 @@
         let mut world = World::default();
         let mut rotation = begin(&mut world, seed);
         rotation
-            .offered(START, svid(1, START, 3605 * SECOND), &mut world)
+            .on_svid(START, svid(1, START, 3605 * SECOND), &mut world)
             .unwrap();
         assert_eq!(
-            (rotation.mode(), world.presented.as_ref().map(|s| s.serial)),
-            (Mode::Holding, Some(1))
+            (rotation.state(), world.presented.as_ref().map(|s| s.serial)),
+            (RotationState::Holding, Some(1))
         );
         run(&mut rotation, &mut world, START + 2600 * SECOND);
         times.push((world.asked[1] - START) / SECOND);
@@ -77,19 +77,19 @@
     let mut world = World::default();
     let mut rotation = begin(&mut world, 3);
     rotation
-        .offered(START, svid(1, START, 600 * SECOND), &mut world)
+        .on_svid(START, svid(1, START, 600 * SECOND), &mut world)
         .unwrap();
     world.now = START + 100 * SECOND;
-    rotation.broke(world.now, &mut world);
-    assert_eq!(rotation.mode(), Mode::Orphaned);
+    rotation.on_stream_failed(world.now, &mut world);
+    assert_eq!(rotation.state(), RotationState::Orphaned);
     // Every try fails.
     let mut tries = 0;
     while world.now < START + 900 * SECOND {
-        let (wake, asked) = (world.wake, world.asked.len());
-        run(&mut rotation, &mut world, wake);
+        let (next_timer, asked) = (world.next_timer, world.asked.len());
+        run(&mut rotation, &mut world, next_timer);
         if world.asked.len() > asked {
             tries += 1;
-            rotation.broke(world.now, &mut world);
+            rotation.on_stream_failed(world.now, &mut world);
         }
         let valid = world.now < START + 595 * SECOND;
         assert_eq!(
@@ -99,17 +99,17 @@
             (world.now - START) / SECOND
         );
     }
-    assert_eq!(rotation.mode(), Mode::Expired);
+    assert_eq!(rotation.state(), RotationState::Expired);
     assert!(
         (15..40).contains(&tries),
         "{tries} tries in 800 s: backed off, and never given up"
     );
-    let told = world
+    let logged = world
         .lines
         .iter()
         .filter(|l| l.contains("->Orphaned"))
         .count();
-    assert!((7..=10).contains(&told), "told once a minute: {told}");
+    assert!((7..=10).contains(&logged), "logged once a minute: {logged}");
     assert!(
         world.lines.iter().any(|l| l.contains("Orphaned->Expired")),
         "{:?}",
@@ -117,11 +117,11 @@
     );
     // It comes back.
     rotation
-        .offered(world.now, svid(2, world.now, 600 * SECOND), &mut world)
+        .on_svid(world.now, svid(2, world.now, 600 * SECOND), &mut world)
         .unwrap();
     assert_eq!(
-        (rotation.mode(), world.presented.as_ref().map(|s| s.serial)),
-        (Mode::Holding, Some(2))
+        (rotation.state(), world.presented.as_ref().map(|s| s.serial)),
+        (RotationState::Holding, Some(2))
     );
 }
 
@@ -130,7 +130,7 @@
     let mut world = World::default();
     let mut rotation = begin(&mut world, 1);
     run(&mut rotation, &mut world, START + 120 * SECOND);
-    assert_eq!(rotation.mode(), Mode::Waiting);
+    assert_eq!(rotation.state(), RotationState::Waiting);
     assert!((4..=12).contains(&world.asked.len()), "{:?}", world.asked);
 }
 
@@ -146,21 +146,30 @@
         ..svid(9, now, SECOND)
     };
     assert_eq!(
-        rotation.offered(now, svid(8, now - 700 * SECOND, 600 * SECOND), &mut world),
-        Err(Turned::Expired)
+        rotation.on_svid(now, svid(8, now - 700 * SECOND, 600 * SECOND), &mut world),
+        Err(SvidRejection::Expired)
     );
     rotation
-        .offered(now, svid(1, now, 600 * SECOND), &mut world)
+        .on_svid(now, svid(1, now, 600 * SECOND), &mut world)
         .unwrap();
     for (offer, why) in [
-        (svid(2, now - 600 * SECOND, 604 * SECOND), Turned::Expired),
-        (svid(3, now + 6 * SECOND, 600 * SECOND), Turned::NotYet),
-        (svid(4, now - 300 * SECOND, 600 * SECOND), Turned::Older),
-        (backwards, Turned::Backwards),
-        (foreign, Turned::Foreign),
+        (
+            svid(2, now - 600 * SECOND, 604 * SECOND),
+            SvidRejection::Expired,
+        ),
+        (
+            svid(3, now + 6 * SECOND, 600 * SECOND),
+            SvidRejection::NotYet,
+        ),
+        (
+            svid(4, now - 300 * SECOND, 600 * SECOND),
+            SvidRejection::Older,
+        ),
+        (backwards, SvidRejection::Backwards),
+        (foreign, SvidRejection::Foreign),
     ] {
         assert_eq!(
-            rotation.offered(now, offer.clone(), &mut world),
+            rotation.on_svid(now, offer.clone(), &mut world),
             Err(why),
             "{offer:?}"
         );
@@ -168,14 +177,14 @@
     }
     assert!(
         rotation
-            .offered(now, svid(5, now + 5 * SECOND, 600 * SECOND), &mut world)
+            .on_svid(now, svid(5, now + 5 * SECOND, 600 * SECOND), &mut world)
             .is_ok(),
         "within the skew"
     );
     // Two at once: the one that lasts longer stays, in whichever order they come.
     assert!(
         rotation
-            .offered(now, svid(6, now, 500 * SECOND), &mut world)
+            .on_svid(now, svid(6, now, 500 * SECOND), &mut world)
             .is_err()
     );
     assert_eq!(world.presented.as_ref().map(|s| s.serial), Some(5));
@@ -186,7 +195,7 @@
     let mut world = World::default();
     let mut rotation = begin(&mut world, 1);
     rotation
-        .offered(START, svid(1, START, 4 * SECOND), &mut world)
+        .on_svid(START, svid(1, START, 4 * SECOND), &mut world)
         .unwrap();
     run(&mut rotation, &mut world, START + SECOND);
     assert!(world.presented.is_some());
@@ -216,14 +225,14 @@
             let away = (clock / SECOND / 1800) % 3 == 2;
             if world.asked.len() > asked {
                 match rng.random_range(0..6) {
-                    _ if away => rotation.broke(clock, &mut world),
+                    _ if away => rotation.on_stream_failed(clock, &mut world),
                     0 => {} // silent
-                    1 => rotation.broke(clock, &mut world),
+                    1 => rotation.on_stream_failed(clock, &mut world),
                     n => {
                         serial += 1;
                         let late = if n == 2 { 400 } else { 0 };
                         let offer = svid(serial, clock - late * SECOND, 600 * SECOND);
-                        if rotation.offered(clock, offer.clone(), &mut world).is_ok() {
+                        if rotation.on_svid(clock, offer.clone(), &mut world).is_ok() {
                             best = best.max(offer.not_after);
                         }
                     }
@@ -231,7 +240,7 @@
             }
             // The clock steps back now and then.
             if rng.random_range(0..50) == 0 {
-                rotation.alarm(clock - 30 * SECOND, &mut world);
+                rotation.on_timer(clock - 30 * SECOND, &mut world);
             }
             if let Some(svid) = &world.presented {
                 assert!(
--- a/crates/identity/src/sessions.rs
+++ b/crates/identity/src/sessions.rs
@@ -1,28 +1,28 @@
-//! How long a connection stands by the identity with which it was opened. What was read before that
-//! ends is answered; nothing read after it runs: the caller is told to come back with a new
-//! connection, and this one closes once nothing is open on it. The same at once where the authority
-//! that vouched is taken out of its domain's bundle.
+//! How long a connection is served by the identity with which it was opened. What was read before
+//! that expires is answered; nothing read after it runs: the peer is asked to open a new connection,
+//! and this one closes once nothing is open on it. The same at once where the authority that issued
+//! the identity is removed from its domain's bundle.
 //!
-//! What a caller may do is asked of a policy and kept for the connection until its identity, the
+//! What a peer may do is decided by a policy, and cached for the connection until its identity, the
 //! bundles or the policy change.
 
 use crate::bundle::Bundles;
 use crate::id::SpiffeId;
 use crate::rotation::SKEW_MOST;
-use crate::x509::{Authority, Proven, authority};
+use crate::x509::{Authority, VerifiedSvid, authority};
 use crate::{Nanos, TrustDomain};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
-/// A connection, by a number that is never used again.
-pub type Conn = u64;
+/// A connection, by a number that is never reused.
+pub type ConnectionId = u64;
 
-/// What a policy says of a caller.
+/// The decision of a policy on a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It may ask.
+pub enum PolicyDecision {
+    /// Its requests are served.
     Allow,
-    /// It may not: this is answered.
+    /// Its requests are answered with this.
     Deny {
         /// The status.
         status: u16,
@@ -31,51 +31,53 @@
     },
 }
 
-/// How a connection stands when something is read on it.
+/// The status of a connection when something is read on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum SessionStatus {
     /// It is served.
     Served,
-    /// It is refused by policy.
-    Denied(Verdict),
-    /// Its identity is over: it is told to come back with a new connection.
+    /// It is denied by the policy.
+    Denied(PolicyDecision),
+    /// Its identity has expired: the peer is asked to open a new connection.
     Expired,
-    /// Nothing vouches for its identity any more: the same.
+    /// The authority of its identity was removed: the same.
     Withdrawn,
 }
 
 /// Why a connection is to close once nothing is open on it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum CloseReason {
     /// Its identity expired.
+    #[error("the identity has expired")]
     Expired,
-    /// The authority that vouched for it was taken out of the bundle.
+    /// The authority of its identity was removed from the bundle.
+    #[error("the authority of the identity was removed")]
     Withdrawn,
 }
 
 #[derive(Debug)]
 struct Session {
     id: Rc<SpiffeId>,
-    /// When it ends, with the grace.
+    /// When it expires, with the grace.
     ends: Nanos,
     authority: Authority,
-    ending: Option<Ending>,
-    /// What the policy said, under which version of it and of the bundles.
-    verdict: Option<(u64, u64, Verdict)>,
+    ending: Option<CloseReason>,
+    /// The policy's decision, with the versions of the policy and of the bundles.
+    verdict: Option<(u64, u64, PolicyDecision)>,
 }
 
-/// What has come of it since the start.
+/// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct SessionCounters {
     /// Connections that were opened with an identity.
     pub opened: u64,
-    /// Those of them that outlived it.
+    /// Those of them whose identity expired.
     pub expired: u64,
-    /// Those whose authority was taken out while they were open.
+    /// Those whose authority was removed while they were open.
     pub withdrawn: u64,
-    /// Times that the policy was asked, and that it refused.
+    /// Decisions of the policy.
     pub asked: u64,
-    /// See there.
+    /// Decisions of the policy that denied.
     pub denied: u64,
 }
 
@@ -83,18 +85,18 @@
 #[derive(Debug)]
 pub struct Sessions {
     grace: Nanos,
-    by_conn: HashMap<Conn, Session>,
-    /// When each ends.
-    ends: BTreeSet<(Nanos, Conn)>,
+    by_conn: HashMap<ConnectionId, Session>,
+    /// When each expires.
+    ends: BTreeSet<(Nanos, ConnectionId)>,
     policy: u64,
     bundles: u64,
     now: Nanos,
-    tally: Tally,
+    counters: SessionCounters,
 }
 
 impl Sessions {
-    /// No connections yet. Identities hold for so long after their end, for clocks that differ; at
-    /// most [`SKEW_MOST`].
+    /// No connections yet. Identities are accepted for the grace (nanoseconds, at most [`SKEW_MOST`])
+    /// after their end, because clocks differ.
     pub fn new(grace: Nanos) -> Sessions {
         Sessions {
             grace: grace.min(SKEW_MOST),
@@ -103,7 +105,7 @@
             policy: 0,
             bundles: 0,
             now: 0,
-            tally: Tally::default(),
+            counters: SessionCounters::default(),
         }
     }
 
@@ -113,19 +115,19 @@
     pub fn opened(
         &mut self,
         now: Nanos,
-        conn: Conn,
-        proven: &Proven,
+        conn: ConnectionId,
+        proven: &VerifiedSvid,
         bundles: &Bundles,
-    ) -> Result<(), Ending> {
+    ) -> Result<(), CloseReason> {
         self.now = self.now.max(now);
         let ends = proven.not_after.saturating_add(self.grace);
         if ends <= self.now {
-            return Err(Ending::Expired);
+            return Err(CloseReason::Expired);
         }
         if proven.bundles != bundles.version() && !vouched(bundles, &proven.id, proven.authority) {
-            return Err(Ending::Withdrawn);
+            return Err(CloseReason::Withdrawn);
         }
-        self.tally.opened += 1;
+        self.counters.opened += 1;
         self.ends.insert((ends, conn));
         let (id, authority) = (Rc::new(proven.id.clone()), proven.authority);
         let before = self.by_conn.insert(
@@ -143,14 +145,14 @@
     }
 
     /// A connection is gone.
-    pub fn closed(&mut self, conn: Conn) {
+    pub fn closed(&mut self, conn: ConnectionId) {
         if let Some(session) = self.by_conn.remove(&conn) {
             self.ends.remove(&(session.ends, conn));
         }
     }
 
     /// Whose a connection is.
-    pub fn id(&self, conn: Conn) -> Option<&Rc<SpiffeId>> {
+    pub fn id(&self, conn: ConnectionId) -> Option<&Rc<SpiffeId>> {
         self.by_conn.get(&conn).map(|session| &session.id)
     }
 
@@ -164,20 +166,20 @@
     pub fn read(
         &mut self,
         now: Nanos,
-        conn: Conn,
-        policy: impl FnOnce(&SpiffeId) -> Verdict,
-    ) -> Option<Standing> {
+        conn: ConnectionId,
+        policy: impl FnOnce(&SpiffeId) -> PolicyDecision,
+    ) -> Option<SessionStatus> {
         self.now = self.now.max(now);
         let session = self.by_conn.get_mut(&conn)?;
-        // The alarm may come after what was read: the time decides, not the order of events.
+        // The timer may fire after the read: the time decides, not the order of events.
         if session.ending.is_none() && session.ends <= self.now {
-            session.ending = Some(Ending::Expired);
-            self.tally.expired += 1;
+            session.ending = Some(CloseReason::Expired);
+            self.counters.expired += 1;
             self.ends.remove(&(session.ends, conn));
         }
         match session.ending {
-            Some(Ending::Expired) => return Some(Standing::Expired),
-            Some(Ending::Withdrawn) => return Some(Standing::Withdrawn),
+            Some(CloseReason::Expired) => return Some(SessionStatus::Expired),
+            Some(CloseReason::Withdrawn) => return Some(SessionStatus::Withdrawn),
             None => {}
         }
         let versions = (self.policy, self.bundles);
@@ -186,26 +188,26 @@
             .as_ref()
             .is_none_or(|(policy, bundles, _)| (*policy, *bundles) != versions)
         {
-            self.tally.asked += 1;
+            self.counters.asked += 1;
             session.verdict = Some((versions.0, versions.1, policy(&session.id)));
         }
         match &session.verdict {
-            Some((.., Verdict::Allow)) => Some(Standing::Served),
+            Some((.., PolicyDecision::Allow)) => Some(SessionStatus::Served),
             Some((.., denied)) => {
-                self.tally.denied += 1;
-                Some(Standing::Denied(denied.clone()))
+                self.counters.denied += 1;
+                Some(SessionStatus::Denied(denied.clone()))
             }
             None => None,
         }
     }
 
-    /// When [`Sessions::alarm`] is to be called.
+    /// When [`Sessions::on_timer`] is to be called.
     pub fn next(&self) -> Option<Nanos> {
         self.ends.first().map(|(ends, _)| *ends)
     }
 
-    /// The time has come; gives connections that are to close once nothing is open on them.
-    pub fn alarm(&mut self, now: Nanos) -> Vec<(Conn, Ending)> {
+    /// The timer has fired; gives connections that are to close once nothing is open on them.
+    pub fn on_timer(&mut self, now: Nanos) -> Vec<(ConnectionId, CloseReason)> {
         self.now = self.now.max(now);
         let mut over = Vec::new();
         while let Some((_, conn)) = self
@@ -216,17 +218,21 @@
         {
             self.ends.pop_first();
             if let Some(session) = self.by_conn.get_mut(&conn) {
-                session.ending = Some(Ending::Expired);
-                self.tally.expired += 1;
-                over.push((conn, Ending::Expired));
+                session.ending = Some(CloseReason::Expired);
+                self.counters.expired += 1;
+                over.push((conn, CloseReason::Expired));
             }
         }
         over
     }
 
-    /// The bundles are others from now on; gives connections for whom nothing vouches any more.
+    /// The bundles have changed; gives connections whose identity has no authority any more.
     /// Each domain's authorities are looked through once, however many connections there are.
-    pub fn bundles_changed(&mut self, now: Nanos, bundles: &Bundles) -> Vec<(Conn, Ending)> {
+    pub fn on_bundles_changed(
+        &mut self,
+        now: Nanos,
+        bundles: &Bundles,
+    ) -> Vec<(ConnectionId, CloseReason)> {
         self.now = self.now.max(now);
         if self.bundles == bundles.version() {
             return Vec::new();
@@ -253,19 +259,19 @@
                 .get(&domain)
                 .is_some_and(|authorities| authorities.contains(&session.authority))
             {
-                session.ending = Some(Ending::Withdrawn);
-                self.tally.withdrawn += 1;
+                session.ending = Some(CloseReason::Withdrawn);
+                self.counters.withdrawn += 1;
                 self.ends.remove(&(session.ends, *conn));
-                over.push((*conn, Ending::Withdrawn));
+                over.push((*conn, CloseReason::Withdrawn));
             }
         }
         over.sort_unstable_by_key(|(conn, _)| *conn);
         over
     }
 
-    /// What has come of it since the start.
-    pub fn tally(&self) -> Tally {
-        self.tally
+    /// Counts since the start.
+    pub fn counters(&self) -> SessionCounters {
+        self.counters
     }
 
     /// Connections with an identity.
--- a/crates/identity/src/sessions/tests.rs
+++ b/crates/identity/src/sessions/tests.rs
@@ -25,8 +25,8 @@
     );
 }
 
-fn proven(id: &str, root: u8, life: Nanos, bundles: &Bundles) -> Proven {
-    Proven {
+fn proven(id: &str, root: u8, life: Nanos, bundles: &Bundles) -> VerifiedSvid {
+    VerifiedSvid {
         id: id.parse().unwrap(),
         not_before: START,
         not_after: START + life,
@@ -37,8 +37,8 @@
 
 const ID: &str = "spiffe://saha.example/site/7";
 
-fn allow(_: &SpiffeId) -> Verdict {
-    Verdict::Allow
+fn allow(_: &SpiffeId) -> PolicyDecision {
+    PolicyDecision::Allow
 }
 
 #[test]
@@ -52,14 +52,17 @@
     }
     let end = START + 65 * SECOND;
     assert_eq!(sessions.next(), Some(end));
-    assert_eq!(sessions.read(end - 1, 1, allow), Some(Standing::Served));
-    // On the first something is read before the alarm, on the second after it.
-    assert_eq!(sessions.read(end, 1, allow), Some(Standing::Expired));
-    assert_eq!(sessions.alarm(end), [(2, Ending::Expired)]);
-    assert_eq!(sessions.read(end, 2, allow), Some(Standing::Expired));
+    assert_eq!(
+        sessions.read(end - 1, 1, allow),
+        Some(SessionStatus::Served)
+    );
+    // On the first something is read before the timer, on the second after it.
+    assert_eq!(sessions.read(end, 1, allow), Some(SessionStatus::Expired));
+    assert_eq!(sessions.on_timer(end), [(2, CloseReason::Expired)]);
+    assert_eq!(sessions.read(end, 2, allow), Some(SessionStatus::Expired));
     // A clock that steps back brings nothing back.
-    assert_eq!(sessions.read(START, 2, allow), Some(Standing::Expired));
-    assert_eq!((sessions.tally().expired, sessions.next()), (2, None));
+    assert_eq!(sessions.read(START, 2, allow), Some(SessionStatus::Expired));
+    assert_eq!((sessions.counters().expired, sessions.next()), (2, None));
     assert_eq!(sessions.read(end, 3, allow), None, "without an identity");
     sessions.closed(1);
     assert_eq!(
@@ -68,7 +71,7 @@
     );
     // One that is over is not opened; the grace is bounded.
     let late = sessions.opened(end, 4, &proven(ID, 1, 60 * SECOND, &known), &known);
-    assert_eq!(late, Err(Ending::Expired));
+    assert_eq!(late, Err(CloseReason::Expired));
     assert_eq!(Sessions::new(u64::MAX).grace, SKEW_MOST);
 }
 
@@ -82,37 +85,43 @@
             .opened(START, conn, &proven(id, root, 600 * SECOND, &known), &known)
             .unwrap();
     }
-    assert_eq!(sessions.bundles_changed(START, &known), []);
+    assert_eq!(sessions.on_bundles_changed(START, &known), []);
     // A root is added: nobody is touched.
     trust(&mut known, "saha.example", &[1, 2, 3]);
-    assert_eq!(sessions.bundles_changed(START, &known), []);
+    assert_eq!(sessions.on_bundles_changed(START, &known), []);
     // Root 1 is taken out of one domain, and stays in the other.
     let checked_before = proven(ID, 1, 600 * SECOND, &known);
     trust(&mut known, "saha.example", &[2, 3]);
     assert_eq!(
-        sessions.bundles_changed(START, &known),
-        [(1, Ending::Withdrawn)]
+        sessions.on_bundles_changed(START, &known),
+        [(1, CloseReason::Withdrawn)]
+    );
+    assert_eq!(
+        sessions.read(START, 1, allow),
+        Some(SessionStatus::Withdrawn)
     );
-    assert_eq!(sessions.read(START, 1, allow), Some(Standing::Withdrawn));
-    assert_eq!(sessions.read(START, 2, allow), Some(Standing::Served));
-    assert_eq!(sessions.read(START, 3, allow), Some(Standing::Served));
+    assert_eq!(sessions.read(START, 2, allow), Some(SessionStatus::Served));
+    assert_eq!(sessions.read(START, 3, allow), Some(SessionStatus::Served));
     // It is not told twice, and does not come back with the root.
     trust(&mut known, "saha.example", &[1, 2]);
-    assert_eq!(sessions.bundles_changed(START, &known), []);
-    assert_eq!(sessions.read(START, 1, allow), Some(Standing::Withdrawn));
+    assert_eq!(sessions.on_bundles_changed(START, &known), []);
+    assert_eq!(
+        sessions.read(START, 1, allow),
+        Some(SessionStatus::Withdrawn)
+    );
     // A handshake that was checked by the bundles before, and ended after they were swapped.
     trust(&mut known, "saha.example", &[2]);
     assert_eq!(
         sessions.opened(START, 9, &checked_before, &known),
-        Err(Ending::Withdrawn)
+        Err(CloseReason::Withdrawn)
     );
     // A domain that is no longer trusted.
     known.withdraw(&"other.example".parse().unwrap());
     assert_eq!(
-        sessions.bundles_changed(START, &known),
-        [(3, Ending::Withdrawn)]
+        sessions.on_bundles_changed(START, &known),
+        [(3, CloseReason::Withdrawn)]
     );
-    assert_eq!(sessions.tally().withdrawn, 2);
+    assert_eq!(sessions.counters().withdrawn, 2);
 }
 
 #[test]
@@ -129,37 +138,41 @@
         asked.set(asked.get() + 1);
         assert_eq!(id.as_str(), ID);
         if denies.get() {
-            Verdict::Deny {
+            PolicyDecision::Deny {
                 status: 403,
                 reason: Rc::clone(&reason),
             }
         } else {
-            Verdict::Allow
+            PolicyDecision::Allow
         }
     };
     for _ in 0..10 {
-        assert_eq!(sessions.read(START, 1, policy), Some(Standing::Served));
+        assert_eq!(sessions.read(START, 1, policy), Some(SessionStatus::Served));
     }
     assert_eq!(asked.get(), 1);
     denies.set(true);
     assert_eq!(
         sessions.read(START, 1, policy),
-        Some(Standing::Served),
+        Some(SessionStatus::Served),
         "nobody said that it changed"
     );
     sessions.policy_changed();
     assert!(matches!(
         sessions.read(START, 1, policy),
-        Some(Standing::Denied(_))
+        Some(SessionStatus::Denied(_))
     ));
     trust(&mut known, "saha.example", &[1, 2]);
-    sessions.bundles_changed(START, &known);
+    sessions.on_bundles_changed(START, &known);
     assert!(matches!(
         sessions.read(START, 1, policy),
-        Some(Standing::Denied(_))
+        Some(SessionStatus::Denied(_))
     ));
     assert_eq!(
-        (asked.get(), sessions.tally().asked, sessions.tally().denied),
+        (
+            asked.get(),
+            sessions.counters().asked,
+            sessions.counters().denied
+        ),
         (3, 3, 2)
     );
 }
@@ -174,7 +187,7 @@
         let mut known = bundles(&[("saha.example", &roots)]);
         let mut sessions = Sessions::new(2 * SECOND);
         // Connection -> end, root, whether it has ended.
-        let mut model: HashMap<Conn, (Nanos, u8, bool)> = HashMap::new();
+        let mut model: HashMap<ConnectionId, (Nanos, u8, bool)> = HashMap::new();
         let mut now = START;
         for conn in 0..400u64 {
             now += rng.random_range(0..3 * SECOND);
@@ -196,13 +209,13 @@
                     roots.push(root)
                 }
                 trust(&mut known, "saha.example", &roots);
-                sessions.bundles_changed(now, &known);
+                sessions.on_bundles_changed(now, &known);
                 model
                     .values_mut()
                     .for_each(|(end, root, over)| *over |= *end <= now || !roots.contains(root));
             }
             if rng.random_range(0..3) == 0 {
-                sessions.alarm(now);
+                sessions.on_timer(now);
             }
             let some = rng.random_range(0..=conn);
             if rng.random_range(0..5) == 0 {
@@ -210,7 +223,7 @@
                 model.remove(&some);
             }
             for (conn, (end, _, over)) in &model {
-                let served = sessions.read(now, *conn, allow) == Some(Standing::Served);
+                let served = sessions.read(now, *conn, allow) == Some(SessionStatus::Served);
                 assert_eq!(
                     served,
                     !over && *end > now,
--- a/crates/identity/src/workload.rs
+++ b/crates/identity/src/workload.rs
@@ -83,44 +83,35 @@
 }
 
 /// Why what the issuer said can't be used.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unusable {
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum WorkloadApiError {
     /// The framing or a message can't be read.
+    #[error("unreadable: {0}")]
     Garbage(&'static str),
     /// More than is looked at.
+    #[error("more than is looked at")]
     TooLarge,
     /// No identity at all.
+    #[error("no identity")]
     Nothing,
     /// The message names another id than the certificate.
+    #[error("the message names another id than the certificate")]
     OtherId,
     /// The key is not that of the certificate, or of no known kind.
+    #[error("the key is not the certificate's")]
     Key,
     /// The certificates prove nothing, not even to the bundle that came with them.
-    Svid(x509::Refused),
+    #[error("the identity proves nothing: {0}")]
+    Svid(x509::X509SvidError),
     /// A federated trust domain that is no trust domain, or is the own one.
+    #[error("no federated trust domain: {0:?}")]
     Domain(String),
 }
 
-impl fmt::Display for Unusable {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Unusable::Garbage(what) => write!(f, "unreadable: {what}"),
-            Unusable::TooLarge => f.write_str("more than is looked at"),
-            Unusable::Nothing => f.write_str("no identity"),
-            Unusable::OtherId => f.write_str("the message names another id than the certificate"),
-            Unusable::Key => f.write_str("the key is not the certificate's"),
-            Unusable::Svid(why) => write!(f, "the identity proves nothing: {why}"),
-            Unusable::Domain(name) => write!(f, "no federated trust domain: {name:?}"),
-        }
-    }
-}
-
-impl std::error::Error for Unusable {}
-
 /// An identity to present. Its key is wiped as it goes, and never printed.
 pub struct Identity {
     /// Whose it is, and until when.
-    pub proven: x509::Proven,
+    pub proven: x509::VerifiedSvid,
     /// The chain, the leaf first, in DER.
     pub chain: Vec<Vec<u8>>,
     /// The key, PKCS#8 in DER.
@@ -149,15 +140,19 @@
 
 /// Takes gRPC's framing off a stream that is fed split anywhere: a flag, a length, a message.
 #[derive(Debug, Default)]
-pub struct Frames {
+pub struct FrameReader {
     have: Vec<u8>,
 }
 
 const FRAME: usize = 5;
 
-impl Frames {
+impl FrameReader {
     /// Takes the next bytes and hands on the messages that they complete.
-    pub fn feed(&mut self, bytes: &[u8], mut sink: impl FnMut(&[u8])) -> Result<(), Unusable> {
+    pub fn feed(
+        &mut self,
+        bytes: &[u8],
+        mut sink: impl FnMut(&[u8]),
+    ) -> Result<(), WorkloadApiError> {
         let mut bytes = bytes;
         loop {
             // No more is kept than one message, whatever comes at once.
@@ -176,18 +171,18 @@
     }
 
     /// Bytes of the head, or of head and message once the head is there.
-    fn wanted(&self) -> Result<usize, Unusable> {
+    fn wanted(&self) -> Result<usize, WorkloadApiError> {
         let [flag, l3, l2, l1, l0, ..] = self.have.as_slice() else {
             return Ok(FRAME);
         };
         if *flag != 0 {
-            return Err(Unusable::Garbage(
+            return Err(WorkloadApiError::Garbage(
                 "a compressed message, which was not asked for",
             ));
         }
         let len = u32::from_be_bytes([*l3, *l2, *l1, *l0]) as usize;
         if len > MESSAGE_MAX {
-            Err(Unusable::TooLarge)
+            Err(WorkloadApiError::TooLarge)
         } else {
             Ok(FRAME + len)
         }
@@ -200,11 +195,11 @@
 }
 
 /// Certificates that stand one after the other.
-fn certificates(mut der: &[u8]) -> Result<Vec<Vec<u8>>, Unusable> {
+fn certificates(mut der: &[u8]) -> Result<Vec<Vec<u8>>, WorkloadApiError> {
     let mut all = Vec::new();
     while !der.is_empty() {
-        let (rest, _) =
-            X509Certificate::from_der(der).map_err(|_| Unusable::Garbage("a certificate"))?;
+        let (rest, _) = X509Certificate::from_der(der)
+            .map_err(|_| WorkloadApiError::Garbage("a certificate"))?;
         all.push(der[..der.len() - rest.len()].to_vec());
         der = rest;
     }
@@ -235,11 +230,11 @@
 }
 
 /// Reads an answer of [`FETCH_X509`] and checks that it can be used at this time.
-pub fn x509_update(message: &[u8], now: Nanos, skew: Nanos) -> Result<Update, Unusable> {
-    let response =
-        X509SvidResponse::decode(message).map_err(|_| Unusable::Garbage("no X509SVIDResponse"))?;
+pub fn x509_update(message: &[u8], now: Nanos, skew: Nanos) -> Result<Update, WorkloadApiError> {
+    let response = X509SvidResponse::decode(message)
+        .map_err(|_| WorkloadApiError::Garbage("no X509SVIDResponse"))?;
     if response.svids.len() > SVIDS_MAX || response.federated_bundles.len() > DOMAINS_MAX {
-        return Err(Unusable::TooLarge);
+        return Err(WorkloadApiError::TooLarge);
     }
     let X509SvidMessage {
         spiffe_id,
@@ -247,13 +242,17 @@
         x509_svid_key,
         bundle,
         ..
-    } = response.svids.into_iter().next().ok_or(Unusable::Nothing)?;
+    } = response
+        .svids
+        .into_iter()
+        .next()
+        .ok_or(WorkloadApiError::Nothing)?;
     let key = Zeroizing::new(x509_svid_key);
     let id: SpiffeId = spiffe_id
         .parse()
-        .map_err(|e| Unusable::Svid(x509::Refused::NoId(e)))?;
+        .map_err(|e| WorkloadApiError::Svid(x509::X509SvidError::NoId(e)))?;
     let (chain, own) = (certificates(&x509_svid)?, certificates(&bundle)?);
-    let leaf = chain.first().ok_or(Unusable::Nothing)?;
+    let leaf = chain.first().ok_or(WorkloadApiError::Nothing)?;
     // What we could not prove to ourselves, nobody else would believe.
     let mut bundles = Bundles::default();
     bundles.offer(
@@ -263,12 +262,13 @@
             ..Bundle::default()
         },
     );
-    let proven = x509::check(&chain, &bundles, Role::Server, now, skew).map_err(Unusable::Svid)?;
+    let proven =
+        x509::check(&chain, &bundles, Role::Server, now, skew).map_err(WorkloadApiError::Svid)?;
     if proven.id != id {
-        return Err(Unusable::OtherId);
+        return Err(WorkloadApiError::OtherId);
     }
     if !is_key_of(&key, leaf) {
-        return Err(Unusable::Key);
+        return Err(WorkloadApiError::Key);
     }
     let mut x509 = vec![(id.trust_domain(), own)];
     for (name, der) in response.federated_bundles {
@@ -276,7 +276,7 @@
             .parse::<TrustDomain>()
             .ok()
             .filter(|domain| *domain != id.trust_domain());
-        let domain = domain.ok_or(Unusable::Domain(name))?;
+        let domain = domain.ok_or(WorkloadApiError::Domain(name))?;
         x509.push((domain, certificates(&der)?));
     }
     x509[1..].sort();
@@ -287,18 +287,20 @@
 }
 
 /// Reads an answer of [`FETCH_JWT_BUNDLES`]: each domain's keys for tokens.
-pub fn jwt_update(message: &[u8]) -> Result<Vec<(TrustDomain, Vec<bundle::JwtKey>)>, Unusable> {
+pub fn jwt_update(
+    message: &[u8],
+) -> Result<Vec<(TrustDomain, Vec<bundle::JwtKey>)>, WorkloadApiError> {
     let response = JwtBundlesResponse::decode(message)
-        .map_err(|_| Unusable::Garbage("no JWTBundlesResponse"))?;
+        .map_err(|_| WorkloadApiError::Garbage("no JWTBundlesResponse"))?;
     if response.bundles.len() > DOMAINS_MAX {
-        return Err(Unusable::TooLarge);
+        return Err(WorkloadApiError::TooLarge);
     }
     let mut all = Vec::new();
     for (name, text) in response.bundles {
         let domain = name
             .parse::<TrustDomain>()
-            .map_err(|_| Unusable::Domain(name))?;
-        let bundle = Bundle::read(&text).map_err(|_| Unusable::Garbage("a key set"))?;
+            .map_err(|_| WorkloadApiError::Domain(name))?;
+        let bundle = Bundle::read(&text).map_err(|_| WorkloadApiError::Garbage("a key set"))?;
         all.push((domain, bundle.jwt));
     }
     all.sort_by(|(a, _), (b, _)| a.cmp(b));
--- a/crates/identity/src/x509.rs
+++ b/crates/identity/src/x509.rs
@@ -2,11 +2,10 @@
 //! certificates is checked here, the signatures, times and the path to an authority by `webpki`.
 
 use crate::bundle::Bundles;
-use crate::id::{Malformed, SpiffeId};
+use crate::id::{SpiffeId, SpiffeIdError};
 use crate::rotation::SKEW_MOST;
 use crate::{Bundle, Nanos};
 use rustls_pki_types::{CertificateDer, UnixTime};
-use std::fmt;
 use std::time::Duration;
 use webpki::{ALL_VERIFICATION_ALGS, EndEntityCert, KeyUsage, anchor_from_trusted_cert};
 use x509_parser::certificate::X509Certificate;
@@ -28,78 +27,59 @@
 }
 
 /// Why a chain proves no identity, with the clause of the standard where it is one's.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum X509SvidError {
     /// No certificate at all.
+    #[error("no certificate")]
     Empty,
     /// More certificates, or bytes, than are looked at.
+    #[error("more than {CHAIN_MAX} certificates or {BYTES_MAX} bytes")]
     TooLarge,
     /// A certificate that can't be read, or with bytes after its end.
+    #[error("a certificate that can't be read")]
     Unreadable,
     /// 2: not exactly one URI among the alternative names; how many there are.
+    #[error("{0} URIs among the names; exactly one (X509-SVID 2)")]
     Uris(usize),
     /// 2: the URI is no SPIFFE id.
-    NoId(Malformed),
+    #[error("no SPIFFE id: {0}")]
+    NoId(SpiffeIdError),
     /// 4.1: the leaf is an authority.
+    #[error("the leaf is an authority (X509-SVID 4.1)")]
     LeafIsAuthority,
     /// 4.1: the id of a leaf has no path.
+    #[error("the leaf's id has no path (X509-SVID 4.1)")]
     NoPath,
     /// 4.3: key usage is absent or not critical.
+    #[error("key usage is absent or not critical (X509-SVID 4.3)")]
     NoKeyUsage,
     /// 4.3: a leaf must sign digitally, and must sign neither certificates nor revocation lists.
+    #[error("the leaf's key usage (X509-SVID 4.3)")]
     KeyUsage,
     /// 4.4: extended key usage is there and lacks client or server authentication.
+    #[error("extended key usage lacks client or server (X509-SVID 4.4)")]
     ExtendedKeyUsage,
     /// 3.2, 4.2: an intermediate is no authority, may not sign certificates, or has an id with a
     /// path or of another domain.
+    #[error("an intermediate is no authority of the domain (X509-SVID 3.2, 4)")]
     Authority,
     /// 5: nothing is trusted for the id's own trust domain.
+    #[error("trust domain {0} is not known")]
     UnknownDomain(String),
     /// It is over, by more than clocks may differ.
+    #[error("expired")]
     Expired,
     /// It begins later than clocks may differ.
+    #[error("not valid yet")]
     NotYet,
     /// 5.2: no path of good signatures to an authority of the id's own trust domain.
+    #[error("no path to an authority of its domain: {0}")]
     NoPathToAuthority(String),
 }
 
-impl fmt::Display for Refused {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Refused::Empty => f.write_str("no certificate"),
-            Refused::TooLarge => {
-                write!(f, "more than {CHAIN_MAX} certificates or {BYTES_MAX} bytes")
-            }
-            Refused::Unreadable => f.write_str("a certificate that can't be read"),
-            Refused::Uris(n) => write!(f, "{n} URIs among the names; exactly one (X509-SVID 2)"),
-            Refused::NoId(why) => write!(f, "no SPIFFE id: {why}"),
-            Refused::LeafIsAuthority => f.write_str("the leaf is an authority (X509-SVID 4.1)"),
-            Refused::NoPath => f.write_str("the leaf's id has no path (X509-SVID 4.1)"),
-            Refused::NoKeyUsage => {
-                f.write_str("key usage is absent or not critical (X509-SVID 4.3)")
-            }
-            Refused::KeyUsage => f.write_str("the leaf's key usage (X509-SVID 4.3)"),
-            Refused::ExtendedKeyUsage => {
-                f.write_str("extended key usage lacks client or server (X509-SVID 4.4)")
-            }
-            Refused::Authority => {
-                f.write_str("an intermediate is no authority of the domain (X509-SVID 3.2, 4)")
-            }
-            Refused::UnknownDomain(domain) => write!(f, "trust domain {domain} is not known"),
-            Refused::Expired => f.write_str("expired"),
-            Refused::NotYet => f.write_str("not valid yet"),
-            Refused::NoPathToAuthority(why) => {
-                write!(f, "no path to an authority of its domain: {why}")
-            }
-        }
-    }
-}
-
-impl std::error::Error for Refused {}
-
 /// An identity that was proven.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Proven {
+pub struct VerifiedSvid {
     /// Whose it is.
     pub id: SpiffeId,
     /// From when on the leaf is valid, in nanoseconds since the Unix epoch.
@@ -125,18 +105,18 @@
     Authority(bytes)
 }
 
-fn parse(der: &[u8]) -> Result<X509Certificate<'_>, Refused> {
+fn parse(der: &[u8]) -> Result<X509Certificate<'_>, X509SvidError> {
     match X509Certificate::from_der(der) {
         Ok(([], certificate)) => Ok(certificate),
-        _ => Err(Refused::Unreadable),
+        _ => Err(X509SvidError::Unreadable),
     }
 }
 
 /// URIs among the alternative names. A second such extension is refused where it is parsed.
-fn uris<'c>(certificate: &'c X509Certificate<'_>) -> Result<Vec<&'c str>, Refused> {
+fn uris<'c>(certificate: &'c X509Certificate<'_>) -> Result<Vec<&'c str>, X509SvidError> {
     let names = certificate
         .subject_alternative_name()
-        .map_err(|_| Refused::Unreadable)?;
+        .map_err(|_| X509SvidError::Unreadable)?;
     let all = names
         .map(|names| names.value.general_names.iter())
         .into_iter()
@@ -151,10 +131,10 @@
     Ok(all.filter_map(uri).collect())
 }
 
-fn is_authority(certificate: &X509Certificate<'_>) -> Result<bool, Refused> {
+fn is_authority(certificate: &X509Certificate<'_>) -> Result<bool, X509SvidError> {
     let constraints = certificate
         .basic_constraints()
-        .map_err(|_| Refused::Unreadable)?;
+        .map_err(|_| X509SvidError::Unreadable)?;
     Ok(constraints.is_some_and(|constraints| constraints.value.ca))
 }
 
@@ -166,32 +146,34 @@
 }
 
 /// The id of a leaf, and its validity, by all that the standard asks of it alone.
-fn leaf(der: &[u8]) -> Result<(SpiffeId, Nanos, Nanos), Refused> {
+fn leaf(der: &[u8]) -> Result<(SpiffeId, Nanos, Nanos), X509SvidError> {
     let certificate = parse(der)?;
     let uris = uris(&certificate)?;
     let [uri] = uris.as_slice() else {
-        return Err(Refused::Uris(uris.len()));
+        return Err(X509SvidError::Uris(uris.len()));
     };
-    let id: SpiffeId = uri.parse().map_err(Refused::NoId)?;
+    let id: SpiffeId = uri.parse().map_err(X509SvidError::NoId)?;
     if is_authority(&certificate)? {
-        return Err(Refused::LeafIsAuthority);
+        return Err(X509SvidError::LeafIsAuthority);
     }
     if id.path().is_empty() {
-        return Err(Refused::NoPath);
+        return Err(X509SvidError::NoPath);
     }
-    let usage = certificate.key_usage().map_err(|_| Refused::Unreadable)?;
+    let usage = certificate
+        .key_usage()
+        .map_err(|_| X509SvidError::Unreadable)?;
     let usage = usage
         .filter(|usage| usage.critical)
-        .ok_or(Refused::NoKeyUsage)?
+        .ok_or(X509SvidError::NoKeyUsage)?
         .value;
     if !usage.digital_signature() || usage.key_cert_sign() || usage.crl_sign() {
-        return Err(Refused::KeyUsage);
+        return Err(X509SvidError::KeyUsage);
     }
     let extended = certificate
         .extended_key_usage()
-        .map_err(|_| Refused::Unreadable)?;
+        .map_err(|_| X509SvidError::Unreadable)?;
     if extended.is_some_and(|e| !(e.value.client_auth && e.value.server_auth)) {
-        return Err(Refused::ExtendedKeyUsage);
+        return Err(X509SvidError::ExtendedKeyUsage);
     }
     let validity = certificate.validity();
     Ok((
@@ -201,19 +183,21 @@
     ))
 }
 
-fn intermediate(der: &[u8], domain: &str) -> Result<(), Refused> {
+fn intermediate(der: &[u8], domain: &str) -> Result<(), X509SvidError> {
     let certificate = parse(der)?;
-    let usage = certificate.key_usage().map_err(|_| Refused::Unreadable)?;
+    let usage = certificate
+        .key_usage()
+        .map_err(|_| X509SvidError::Unreadable)?;
     if !is_authority(&certificate)? || !usage.is_some_and(|usage| usage.value.key_cert_sign()) {
-        return Err(Refused::Authority);
+        return Err(X509SvidError::Authority);
     }
     match uris(&certificate)?.as_slice() {
         [] => Ok(()),
         [uri] => match uri.parse::<SpiffeId>() {
             Ok(id) if id.domain() == domain && id.path().is_empty() => Ok(()),
-            _ => Err(Refused::Authority),
+            _ => Err(X509SvidError::Authority),
         },
-        _ => Err(Refused::Authority),
+        _ => Err(X509SvidError::Authority),
     }
 }
 
@@ -225,11 +209,11 @@
     role: Role,
     now: Nanos,
     skew: Nanos,
-) -> Result<Proven, Refused> {
-    let (first, rest) = chain.split_first().ok_or(Refused::Empty)?;
+) -> Result<VerifiedSvid, X509SvidError> {
+    let (first, rest) = chain.split_first().ok_or(X509SvidError::Empty)?;
     if chain.len() > CHAIN_MAX || chain.iter().map(|c| c.as_ref().len()).sum::<usize>() > BYTES_MAX
     {
-        return Err(Refused::TooLarge);
+        return Err(X509SvidError::TooLarge);
     }
     let (id, not_before, not_after) = leaf(first.as_ref())?;
     rest.iter()
@@ -237,13 +221,13 @@
     // Only authorities of the id's own domain count: one of another domain can't vouch for it.
     let bundle = bundles
         .of(id.domain())
-        .ok_or_else(|| Refused::UnknownDomain(id.domain().to_owned()))?;
+        .ok_or_else(|| X509SvidError::UnknownDomain(id.domain().to_owned()))?;
     let skew = skew.min(SKEW_MOST);
     if now > not_after.saturating_add(skew) {
-        return Err(Refused::Expired);
+        return Err(X509SvidError::Expired);
     }
     if now.saturating_add(skew) < not_before {
-        return Err(Refused::NotYet);
+        return Err(X509SvidError::NotYet);
     }
     let authority = path(
         first.as_ref(),
@@ -252,7 +236,7 @@
         role,
         now.clamp(not_before, not_after),
     )?;
-    Ok(Proven {
+    Ok(VerifiedSvid {
         id,
         not_before,
         not_after,
@@ -267,7 +251,7 @@
     bundle: &Bundle,
     role: Role,
     now: Nanos,
-) -> Result<Authority, Refused> {
+) -> Result<Authority, X509SvidError> {
     let authorities: Vec<CertificateDer<'_>> = bundle
         .x509
         .iter()
@@ -285,7 +269,7 @@
         .map(|der| CertificateDer::from(der.as_ref()))
         .collect();
     let first = CertificateDer::from(first);
-    let certificate = EndEntityCert::try_from(&first).map_err(|_| Refused::Unreadable)?;
+    let certificate = EndEntityCert::try_from(&first).map_err(|_| X509SvidError::Unreadable)?;
     let usage = match role {
         Role::Caller => KeyUsage::client_auth(),
         Role::Server => KeyUsage::server_auth(),
@@ -301,8 +285,8 @@
             None,
             None,
         )
-        .map_err(|e| Refused::NoPathToAuthority(e.to_string()))?;
+        .map_err(|e| X509SvidError::NoPathToAuthority(e.to_string()))?;
     let at = anchors.iter().position(|anchor| anchor == found.anchor());
     at.map(|at| authority(ders[at]))
-        .ok_or_else(|| Refused::NoPathToAuthority("of no authority".into()))
+        .ok_or_else(|| X509SvidError::NoPathToAuthority("of no authority".into()))
 }
--- a/crates/identity/tests/jwt.rs
+++ b/crates/identity/tests/jwt.rs
@@ -3,7 +3,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use madderpoint_identity::bundle::{Curve, JwtKey, PublicKey};
-use madderpoint_identity::jwt::{Proven, Refused, check};
+use madderpoint_identity::jwt::{JwtSvidError, VerifiedToken, check};
 use madderpoint_identity::{Bundle, Bundles};
 use ring::rand::SystemRandom;
 use ring::signature::{
@@ -115,7 +115,7 @@
     )
 }
 
-fn ask(token: &str, bundles: &Bundles) -> Result<Proven, Refused> {
+fn ask(token: &str, bundles: &Bundles) -> Result<VerifiedToken, JwtSvidError> {
     check(token, bundles, &["node"], NOW * SECOND, 0)
 }
 
@@ -151,7 +151,7 @@
             &format!(r#"{{"alg":"{algorithm}","kid":"k2"}}"#),
             &claims(""),
         );
-        assert_eq!(ask(&other, &known), Err(Refused::UnknownKey));
+        assert_eq!(ask(&other, &known), Err(JwtSvidError::UnknownKey));
     }
 }
 
@@ -163,53 +163,53 @@
     for name in ["none", "None", "HS256", "ES512", "EdDSA", ""] {
         assert_eq!(
             header(&format!(r#"{{"alg":"{name}","kid":"k1"}}"#)),
-            Refused::Algorithm(name.into())
+            JwtSvidError::Algorithm(name.into())
         );
     }
     assert_eq!(
         header(r#"{"alg":"RS256","kid":"k1"}"#),
-        Refused::UnknownKey,
+        JwtSvidError::UnknownKey,
         "an algorithm of another kind of key"
     );
     assert_eq!(
         header(r#"{"alg":"ES384","kid":"k1"}"#),
-        Refused::UnknownKey,
+        JwtSvidError::UnknownKey,
         "and of another curve"
     );
     assert_eq!(
         header(r#"{"alg":"ES256","typ":"JWE"}"#),
-        Refused::Type("JWE".into())
+        JwtSvidError::Type("JWE".into())
     );
     assert_eq!(
         header(r#"{"alg":"ES256","crit":["b64"]}"#),
-        Refused::Critical
+        JwtSvidError::Critical
     );
     let body = |claims: String| ask(&signer.token(HEADER, &claims), &known).unwrap_err();
     let with = |from: &str, to: &str| body(claims("").replace(from, to));
     assert!(matches!(
         with("spiffe://saha.example/site/7", "clerk"),
-        Refused::NoId(_)
+        JwtSvidError::NoId(_)
     ));
     assert_eq!(
         with("saha.example", "other.example"),
-        Refused::UnknownDomain("other.example".into())
+        JwtSvidError::UnknownDomain("other.example".into())
     );
-    assert_eq!(with(r#"["node","x"]"#, r#"["x"]"#), Refused::Audience);
-    assert_eq!(with(r#"["node","x"]"#, r#""x""#), Refused::Audience);
-    assert_eq!(with(r#"["node","x"]"#, "[]"), Refused::Audience);
-    assert_eq!(with(r#""aud":["node","x"],"#, ""), Refused::Audience);
+    assert_eq!(with(r#"["node","x"]"#, r#"["x"]"#), JwtSvidError::Audience);
+    assert_eq!(with(r#"["node","x"]"#, r#""x""#), JwtSvidError::Audience);
+    assert_eq!(with(r#"["node","x"]"#, "[]"), JwtSvidError::Audience);
+    assert_eq!(with(r#""aud":["node","x"],"#, ""), JwtSvidError::Audience);
     assert_eq!(
         with(&format!(r#","exp":{}"#, NOW + 60), ""),
-        Refused::NoExpiry
+        JwtSvidError::NoExpiry
     );
     assert_eq!(
         with(&format!("{}", NOW + 60), &format!("{}", NOW - 1)),
-        Refused::Expired
+        JwtSvidError::Expired
     );
-    assert_eq!(with(&format!("{}", NOW + 60), "-5"), Refused::Expired);
+    assert_eq!(with(&format!("{}", NOW + 60), "-5"), JwtSvidError::Expired);
     assert_eq!(
         body(claims(&format!(r#","nbf":{}"#, NOW + 2))),
-        Refused::NotYet
+        JwtSvidError::NotYet
     );
     assert!(
         ask(
@@ -219,9 +219,9 @@
         .is_ok()
     );
     for bad in ["", ".", "..", "a.b", "a.b.c.d", "e30.e30.e30", "!.!.!"] {
-        assert_eq!(ask(bad, &known), Err(Refused::Form), "{bad}");
+        assert_eq!(ask(bad, &known), Err(JwtSvidError::Form), "{bad}");
     }
-    assert_eq!(ask(&"a".repeat(5000), &known), Err(Refused::TooLong));
+    assert_eq!(ask(&"a".repeat(5000), &known), Err(JwtSvidError::TooLong));
     // Replayed past its time; and within the skew of clocks, which is bounded.
     let token = signer.token(HEADER, &claims(""));
     let at = |now: u64, skew: u64| {
@@ -229,11 +229,11 @@
     };
     assert_eq!(
         (at(NOW + 60, 0), at(NOW + 61, 0)),
-        (Ok(()), Err(Refused::Expired))
+        (Ok(()), Err(JwtSvidError::Expired))
     );
     assert_eq!(
         (at(NOW + 65, 5), at(NOW + 121, 3600)),
-        (Ok(()), Err(Refused::Expired))
+        (Ok(()), Err(JwtSvidError::Expired))
     );
 }
 
@@ -247,16 +247,16 @@
     assert!(ask(&ours.token(HEADER, &claims("")), &known).is_ok());
     assert_eq!(
         ask(&theirs.token(HEADER, &claims("")), &known),
-        Err(Refused::Signature)
+        Err(JwtSvidError::Signature)
     );
     let taken_out = bundles(&[("saha.example", "k2", &ours)]);
     assert_eq!(
         ask(&ours.token(HEADER, &claims("")), &taken_out),
-        Err(Refused::UnknownKey)
+        Err(JwtSvidError::UnknownKey)
     );
     assert!(matches!(
         ask(&ours.token(HEADER, &claims("")), &Bundles::default()),
-        Err(Refused::UnknownDomain(_))
+        Err(JwtSvidError::UnknownDomain(_))
     ));
 }
 
--- a/crates/identity/tests/workload.rs
+++ b/crates/identity/tests/workload.rs
@@ -2,10 +2,10 @@
 
 use madderpoint_identity::Bundles;
 use madderpoint_identity::workload::{
-    Frames, JwtBundlesResponse, MESSAGE_MAX, Unusable, X509SvidMessage, X509SvidResponse,
-    jwt_update, x509_update,
+    FrameReader, JwtBundlesResponse, MESSAGE_MAX, WorkloadApiError, X509SvidMessage,
+    X509SvidResponse, jwt_update, x509_update,
 };
-use madderpoint_identity::x509::Refused;
+use madderpoint_identity::x509::X509SvidError;
 use prost::Message;
 use rcgen::{
     BasicConstraints, CertificateParams, CertifiedIssuer, DnType, IsCa, KeyPair, KeyUsagePurpose,
@@ -49,7 +49,7 @@
     }
 }
 
-fn read(response: &X509SvidResponse) -> Result<(), Unusable> {
+fn read(response: &X509SvidResponse) -> Result<(), WorkloadApiError> {
     x509_update(&response.encode_to_vec(), NOW, 0).map(drop)
 }
 
@@ -100,39 +100,45 @@
         change(&mut bad);
         read(&answer(vec![bad])).unwrap_err()
     };
-    assert_eq!(read(&answer(Vec::new())), Err(Unusable::Nothing));
-    assert_eq!(with(&|m| m.x509_svid.clear()), Unusable::Nothing);
+    assert_eq!(read(&answer(Vec::new())), Err(WorkloadApiError::Nothing));
+    assert_eq!(with(&|m| m.x509_svid.clear()), WorkloadApiError::Nothing);
     assert_eq!(
         with(&|m| m.x509_svid_key = svid(ID, &ours).x509_svid_key),
-        Unusable::Key,
+        WorkloadApiError::Key,
         "another key"
     );
-    assert_eq!(with(&|m| m.x509_svid_key = vec![1, 2, 3]), Unusable::Key);
+    assert_eq!(
+        with(&|m| m.x509_svid_key = vec![1, 2, 3]),
+        WorkloadApiError::Key
+    );
     assert_eq!(
         with(&|m| m.spiffe_id = "spiffe://saha.example/node/4".into()),
-        Unusable::OtherId
+        WorkloadApiError::OtherId
     );
     assert!(matches!(
         with(&|m| m.spiffe_id = "node".into()),
-        Unusable::Svid(Refused::NoId(_))
+        WorkloadApiError::Svid(X509SvidError::NoId(_))
     ));
     // A chain to another authority than the bundle has, or to none.
     let strange = with(&|m| m.bundle = theirs.der().to_vec());
     assert!(
-        matches!(strange, Unusable::Svid(Refused::NoPathToAuthority(_))),
+        matches!(
+            strange,
+            WorkloadApiError::Svid(X509SvidError::NoPathToAuthority(_))
+        ),
         "{strange:?}"
     );
     assert!(matches!(
         with(&|m| m.bundle.clear()),
-        Unusable::Svid(Refused::NoPathToAuthority(_))
+        WorkloadApiError::Svid(X509SvidError::NoPathToAuthority(_))
     ));
     assert!(matches!(
         with(&|m| m.bundle = vec![7; 40]),
-        Unusable::Garbage(_)
+        WorkloadApiError::Garbage(_)
     ));
     assert!(matches!(
         with(&|m| m.x509_svid.truncate(100)),
-        Unusable::Garbage(_)
+        WorkloadApiError::Garbage(_)
     ));
     // Expired before it came.
     let late = x509_update(
@@ -140,18 +146,21 @@
         NOW + 40 * 86_400 * SECOND,
         0,
     );
-    assert_eq!(late.map(drop), Err(Unusable::Svid(Refused::Expired)));
+    assert_eq!(
+        late.map(drop),
+        Err(WorkloadApiError::Svid(X509SvidError::Expired))
+    );
     // A federated domain that is none, or that takes the place of the own one.
     for name in ["spiffe://", "Other", "spiffe://saha.example"] {
         let mut response = answer(vec![good.clone()]);
         response
             .federated_bundles
             .insert(name.into(), theirs.der().to_vec());
-        assert_eq!(read(&response), Err(Unusable::Domain(name.into())));
+        assert_eq!(read(&response), Err(WorkloadApiError::Domain(name.into())));
     }
     assert_eq!(
         read(&answer(vec![good.clone(); 17])),
-        Err(Unusable::TooLarge)
+        Err(WorkloadApiError::TooLarge)
     );
 }
 
@@ -179,7 +188,7 @@
     let messages: [&[u8]; 4] = [b"one", b"", b"three", &[7; 3000]];
     let stream: Vec<u8> = messages.iter().flat_map(|m| frame(m)).collect();
     for size in [1, 2, 3, 4, 5, 6, 7, 11, 100, stream.len()] {
-        let (mut frames, mut come) = (Frames::default(), Vec::new());
+        let (mut frames, mut come) = (FrameReader::default(), Vec::new());
         for piece in stream.chunks(size) {
             frames
                 .feed(piece, |message| come.push(message.to_vec()))
@@ -188,7 +197,7 @@
         assert_eq!(come, messages, "in pieces of {size}");
         assert!(frames.is_between());
     }
-    let mut frames = Frames::default();
+    let mut frames = FrameReader::default();
     frames.feed(&stream[..6], |_| ()).unwrap();
     assert!(
         !frames.is_between(),
@@ -196,12 +205,12 @@
     );
     let large = [&[0], &(MESSAGE_MAX as u32 + 1).to_be_bytes()[..]].concat();
     assert_eq!(
-        Frames::default().feed(&large, |_| ()),
-        Err(Unusable::TooLarge)
+        FrameReader::default().feed(&large, |_| ()),
+        Err(WorkloadApiError::TooLarge)
     );
     assert!(matches!(
-        Frames::default().feed(&[1, 0, 0, 0, 0], |_| ()),
-        Err(Unusable::Garbage(_))
+        FrameReader::default().feed(&[1, 0, 0, 0, 0], |_| ()),
+        Err(WorkloadApiError::Garbage(_))
     ));
 }
 
@@ -222,8 +231,11 @@
     );
     assert!(matches!(
         of("spiffe://saha.example", "{"),
-        Err(Unusable::Garbage(_))
+        Err(WorkloadApiError::Garbage(_))
+    ));
+    assert!(matches!(of("SAHA", set), Err(WorkloadApiError::Domain(_))));
+    assert!(matches!(
+        jwt_update(&[0xff; 20]),
+        Err(WorkloadApiError::Garbage(_))
     ));
-    assert!(matches!(of("SAHA", set), Err(Unusable::Domain(_))));
-    assert!(matches!(jwt_update(&[0xff; 20]), Err(Unusable::Garbage(_))));
 }
--- a/crates/identity/tests/x509.rs
+++ b/crates/identity/tests/x509.rs
@@ -1,7 +1,7 @@
 //! Chains good and bad, each bad one with the clause of the standard that it breaks; and
 //! certificates damaged at every byte.
 
-use madderpoint_identity::x509::{Refused, Role, authority, check};
+use madderpoint_identity::x509::{Role, X509SvidError, authority, check};
 use madderpoint_identity::{Bundle, Bundles};
 use rcgen::{
     BasicConstraints, CertificateParams, CertifiedIssuer, DnType, ExtendedKeyUsagePurpose, IsCa,
@@ -69,7 +69,7 @@
 
 const ID: &str = "spiffe://saha.example/site/7";
 
-fn tried(params: CertificateParams) -> Result<String, Refused> {
+fn tried(params: CertificateParams) -> Result<String, X509SvidError> {
     let root = root("saha");
     let bundles = bundles(&[("saha.example", &[&root])]);
     check(&[leaf(params, &root)], &bundles, Role::Caller, NOW, 0)
@@ -119,50 +119,50 @@
         change(&mut params);
         tried(params).unwrap_err()
     };
-    assert_eq!(tried(params(&[])), Err(Refused::Uris(0)));
+    assert_eq!(tried(params(&[])), Err(X509SvidError::Uris(0)));
     assert_eq!(
         tried(params(&[ID, "spiffe://saha.example/site/8"])),
-        Err(Refused::Uris(2))
+        Err(X509SvidError::Uris(2))
     );
     assert_eq!(
         tried(params(&[ID, "https://saha.example/"])),
-        Err(Refused::Uris(2))
+        Err(X509SvidError::Uris(2))
     );
     assert!(matches!(
         tried(params(&["https://saha.example/site"])),
-        Err(Refused::NoId(_))
+        Err(X509SvidError::NoId(_))
     ));
     assert!(matches!(
         tried(params(&["spiffe://saha.example/a%2fb"])),
-        Err(Refused::NoId(_))
+        Err(X509SvidError::NoId(_))
     ));
     assert!(matches!(
         tried(params(&["spiffe://Saha.example/a"])),
-        Err(Refused::NoId(_))
+        Err(X509SvidError::NoId(_))
     ));
     assert_eq!(
         tried(params(&["spiffe://saha.example"])),
-        Err(Refused::NoPath)
+        Err(X509SvidError::NoPath)
     );
     let authority = |p: &mut CertificateParams| p.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-    assert_eq!(with(&authority), Refused::LeafIsAuthority);
-    assert_eq!(with(&|p| p.key_usages.clear()), Refused::NoKeyUsage);
+    assert_eq!(with(&authority), X509SvidError::LeafIsAuthority);
+    assert_eq!(with(&|p| p.key_usages.clear()), X509SvidError::NoKeyUsage);
     assert_eq!(
         with(&|p| p.key_usages = vec![KeyUsagePurpose::KeyAgreement]),
-        Refused::KeyUsage
+        X509SvidError::KeyUsage
     );
     assert_eq!(
         with(&|p| p.key_usages.push(KeyUsagePurpose::KeyCertSign)),
-        Refused::KeyUsage
+        X509SvidError::KeyUsage
     );
     assert_eq!(
         with(&|p| p.key_usages.push(KeyUsagePurpose::CrlSign)),
-        Refused::KeyUsage
+        X509SvidError::KeyUsage
     );
     let one = |p: &mut CertificateParams| {
         p.extended_key_usages = vec![ExtendedKeyUsagePurpose::ClientAuth]
     };
-    assert_eq!(with(&one), Refused::ExtendedKeyUsage);
+    assert_eq!(with(&one), X509SvidError::ExtendedKeyUsage);
 }
 
 #[test]
@@ -181,22 +181,22 @@
     );
     assert!(matches!(
         ask(&[leaf(params(&[ID]), &theirs)], &known),
-        Err(Refused::NoPathToAuthority(_))
+        Err(X509SvidError::NoPathToAuthority(_))
     ));
     assert!(matches!(
         ask(&[leaf(params(&[other]), &ours)], &known),
-        Err(Refused::NoPathToAuthority(_))
+        Err(X509SvidError::NoPathToAuthority(_))
     ));
     // A domain never seen, though an authority that we know signed it.
     let never = leaf(params(&["spiffe://never.example/a"]), &ours);
     assert_eq!(
         ask(&[never], &known),
-        Err(Refused::UnknownDomain("never.example".into()))
+        Err(X509SvidError::UnknownDomain("never.example".into()))
     );
     // An authority with the same name and another key.
     assert!(matches!(
         ask(&[leaf(params(&[ID]), &root("saha"))], &known),
-        Err(Refused::NoPathToAuthority(_))
+        Err(X509SvidError::NoPathToAuthority(_))
     ));
     // A root that was taken out of the bundle.
     let (old, new) = (root("old"), root("new"));
@@ -224,7 +224,7 @@
     ] {
         assert_eq!(
             through(authority_params("a", &[uri])),
-            Err(Refused::Authority),
+            Err(X509SvidError::Authority),
             "{uri}"
         );
     }
@@ -234,12 +234,12 @@
         .push(DnType::CommonName, "leaf");
     assert_eq!(
         through(no_authority),
-        Err(Refused::Authority),
+        Err(X509SvidError::Authority),
         "a leaf that signs"
     );
     let mut no_sign = authority_params("a", &[]);
     no_sign.key_usages = vec![KeyUsagePurpose::DigitalSignature];
-    assert_eq!(through(no_sign), Err(Refused::Authority));
+    assert_eq!(through(no_sign), Err(X509SvidError::Authority));
 }
 
 #[test]
@@ -251,8 +251,8 @@
     let proven = check(&chain, &bundles, Role::Caller, NOW, 0).unwrap();
     let (begins, ends) = (proven.not_before, proven.not_after);
     assert_eq!((at(begins, 0), at(ends, 0)), (Ok(()), Ok(())));
-    assert_eq!(at(begins - SECOND, 0), Err(Refused::NotYet));
-    assert_eq!(at(ends + SECOND, 0), Err(Refused::Expired));
+    assert_eq!(at(begins - SECOND, 0), Err(X509SvidError::NotYet));
+    assert_eq!(at(ends + SECOND, 0), Err(X509SvidError::Expired));
     assert_eq!(
         (
             at(begins - 5 * SECOND, 5 * SECOND),
@@ -262,11 +262,11 @@
     );
     assert_eq!(
         at(ends + 61 * SECOND, DAY),
-        Err(Refused::Expired),
+        Err(X509SvidError::Expired),
         "no more than a minute, whatever is asked for"
     );
-    assert_eq!(at(0, 0), Err(Refused::NotYet));
-    assert_eq!(at(u64::MAX, u64::MAX), Err(Refused::Expired));
+    assert_eq!(at(0, 0), Err(X509SvidError::NotYet));
+    assert_eq!(at(u64::MAX, u64::MAX), Err(X509SvidError::Expired));
 }
 
 #[test]
@@ -276,20 +276,20 @@
     let one = leaf(params(&[ID]), &root);
     assert_eq!(
         check(&[] as &[Vec<u8>], &bundles, Role::Caller, NOW, 0),
-        Err(Refused::Empty)
+        Err(X509SvidError::Empty)
     );
     assert_eq!(
         check(&vec![one.clone(); 9], &bundles, Role::Caller, NOW, 0),
-        Err(Refused::TooLarge)
+        Err(X509SvidError::TooLarge)
     );
     assert_eq!(
         check(&[vec![0; 70_000]], &bundles, Role::Caller, NOW, 0),
-        Err(Refused::TooLarge)
+        Err(X509SvidError::TooLarge)
     );
     let longer = [one.clone(), vec![0]].concat();
     assert_eq!(
         check(&[longer], &bundles, Role::Caller, NOW, 0),
-        Err(Refused::Unreadable)
+        Err(X509SvidError::Unreadable)
     );
 }
 
