--- a/crates/rules/src/compile.rs
+++ b/crates/rules/src/compile.rs
@@ -26,17 +26,17 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// How deep macros may stand in each other. Their rounds multiply, so a third one is only ever
-/// accepted over lists that are very short.
+/// The deepest nesting of macros. Their rounds multiply, so a third one is only ever accepted over
+/// lists that are very short.
 pub const MACROS_MAX: usize = 3;
-/// Slots of parameters that rules together may name.
+/// The most parameters that all rules together may name.
 const SLOTS_MAX: usize = 512;
-/// A longer text is no number, time or address, without being looked at.
+/// The longest text, in bytes, that is parsed as a number, time or address.
 pub const VALUE_MAX: usize = 64;
-/// The longest piece of text that a number, time or address becomes.
+/// The most bytes of a printed number, time or address.
 const PRINTED: u64 = 40;
 
-/// What expressions may name.
+/// The names that expressions may use.
 #[derive(Clone, Debug, Default)]
 pub struct Vocabulary {
     /// Whether operations and tenants may have any name, as when there are no settings to check
--- a/crates/rules/src/compile/node.rs
+++ b/crates/rules/src/compile/node.rs
@@ -141,7 +141,7 @@
 }
 
 impl Node {
-    /// Bytes that it takes beside itself. What others share with it is counted where it is kept.
+    /// The bytes that it takes beside itself. What it shares with others is counted by the owner.
     pub fn bytes(&self) -> usize {
         let all =
             |nodes: &[Node]| -> usize { nodes.iter().map(|n| size_of::<Node>() + n.bytes()).sum() };
--- a/crates/rules/src/compile/price.rs
+++ b/crates/rules/src/compile/price.rs
@@ -4,7 +4,7 @@
 use super::node::Function;
 use crate::cost;
 
-/// What a function does, given what its arguments may come to, beside its step.
+/// Units of a function beside its step, given the sizes of its arguments in bytes.
 pub fn price(func: Function, sizes: &[u64]) -> u64 {
     let of = |place: usize| sizes.get(place).copied().unwrap_or(0);
     match func {
--- a/crates/rules/src/compile/spelling.rs
+++ b/crates/rules/src/compile/spelling.rs
@@ -1,6 +1,6 @@
 //! Suggestions for misspelt names.
 
-/// The known word that differs least from this one, if that is little.
+/// The known name that is closest to this one, if it is close.
 pub(super) fn nearest<'n>(word: &str, known: impl Iterator<Item = &'n str>) -> Option<&'n str> {
     let ranked = known
         .map(|k| (distance(word, k), k))
@@ -8,8 +8,7 @@
     ranked.min().map(|(_, k)| k)
 }
 
-/// Letters to be changed, put in or taken out to make one word of the other; case counts for
-/// nothing.
+/// The edit distance of two names, without regard to case.
 fn distance(a: &str, b: &str) -> usize {
     let b: Vec<u8> = b.bytes().map(|c| c.to_ascii_lowercase()).collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/crates/rules/src/cost.rs
+++ b/crates/rules/src/cost.rs
@@ -1,51 +1,49 @@
-//! What evaluating costs. One unit is about a nanosecond on the machine that `docs/design/rules.md`
-//! names. The same functions give the worst case when a rule is loaded, from bounds on what comes,
-//! and the meter's steps at run time, from what came. None of them falls as its argument grows, so
-//! that the meter never passes the worst case.
+//! The cost of evaluation. One unit is about a nanosecond on the machine that `docs/design/rules.md`
+//! names. The same functions give the worst case when a rule is loaded, from bounds on sizes, and
+//! the charge at run time, from actual sizes. None of them decreases as its argument grows, so that
+//! the charge never exceeds the worst case.
 
-/// The highest worst case of one expression where the settings name no other, and the most that
-/// they may name.
+/// The default limit on the worst case of one expression, in units.
 pub const LIMIT: u64 = 4_000;
-/// The most that settings may allow for one expression.
+/// The highest limit that settings may set for one expression, in units.
 pub const LIMIT_MAX: u64 = 100_000;
-/// What all expressions that are looked at for one request may use together, as a multiple of the
-/// limit of one.
+/// The limit on all expressions evaluated for one request together, as a multiple of the limit of
+/// one.
 pub const REQUEST_FACTOR: u64 = 8;
 
-/// Any step.
+/// Units of any step.
 pub const STEP: u64 = 2;
-/// A round of a macro, beside its steps.
+/// Units of a round of a macro, beside its steps.
 pub const ROUND: u64 = 8;
-/// A look into a hash set or a set of addresses.
+/// Units of a lookup in a hash set or a set of addresses.
 pub const LOOK: u64 = 40;
 
-/// Comparing so many bytes.
+/// Units of comparing this many bytes.
 pub fn compare(bytes: u64) -> u64 {
     4 + bytes / 8
 }
 
-/// Building text, bytes or a list of so many bytes.
+/// Units of building a text, bytes or a list of this many bytes.
 pub fn build(bytes: u64) -> u64 {
     16 + bytes / 4
 }
 
-/// Finding so many bytes in so many.
+/// Units of searching this many bytes for a text of `needle` bytes.
 pub fn search(bytes: u64, needle: u64) -> u64 {
     40 + bytes / 2 + needle
 }
 
-/// Going through so many bytes of text one by one.
+/// Units of iterating over the characters of this many bytes.
 pub fn walk(bytes: u64) -> u64 {
     8 + bytes * 3 / 2
 }
 
-/// A regular expression over so many bytes: one look into a table for each, which was measured at
-/// two to three nanoseconds, and twice that at p99.
+/// Units of matching a regular expression over this many bytes: a table lookup for each.
 pub fn pattern(bytes: u64) -> u64 {
     20 + bytes * 4
 }
 
-/// Looking a parameter up by a name that is computed, among so many.
+/// Units of finding a parameter by a computed name of `name` bytes among this many.
 pub fn find(pairs: u64, name: u64) -> u64 {
     6 + pairs * 3 + name / 4
 }
--- a/crates/rules/src/eval.rs
+++ b/crates/rules/src/eval.rs
@@ -1,6 +1,6 @@
-//! Evaluation: a walk over the compiled tree, whose depth was bounded when it was read. What it
-//! builds lies in an arena that is used again; every step is booked on a meter, which stops it at
-//! its limit whatever was computed before.
+//! Evaluation: recursion over the compiled tree, whose depth was bounded when it was parsed. What it
+//! builds is in an arena that is reused; every step is charged to a meter, which stops it at its
+//! limit whatever worst case was computed before.
 
 mod functions;
 mod macros;
@@ -42,7 +42,7 @@
 }
 
 impl<'a, 'x: 'a> Evaluator<'a, 'x> {
-    /// Evaluations over these facts that may take so many units together.
+    /// Evaluations over these facts that may take up to `limit` units together.
     pub fn new(facts: &'a Facts<'x>, arena: &'a Bump, limit: u64) -> Evaluator<'a, 'x> {
         Evaluator {
             facts,
--- a/crates/rules/src/facts.rs
+++ b/crates/rules/src/facts.rs
@@ -1,18 +1,19 @@
-//! What rules may ask of an invocation.
+//! The facts of a request, on which rules decide.
 
 use crate::value::{EvaluationError, Type, Value};
 use smallvec::SmallVec;
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// Parameters that a walk or a computed name can reach; a request with more of them errs there.
+/// The most parameters that a macro or a computed name can reach; a request with more of them errs
+/// there.
 pub const PAIRS_MAX: usize = 64;
 /// The most bytes of a parameter that is not declared: what a request's parameters may take
 /// together.
 pub const PARAM_MAX: usize = 4096;
-/// The largest body.
+/// The largest body, in bytes.
 pub const BODY_MAX: usize = 2048;
-/// The longest SPIFFE id.
+/// The longest SPIFFE id, in bytes.
 const ID_MAX: usize = 2048;
 
 /// A fact with a name.
@@ -103,7 +104,7 @@
     }
 }
 
-/// Who calls, as far as it was proven.
+/// The sender of a request, as far as its identity was proven.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller<'a> {
     /// The whole id.
@@ -114,7 +115,7 @@
     pub path: &'a str,
 }
 
-/// An invocation as rules see it.
+/// A request as rules see it.
 #[derive(Clone, Debug, Default)]
 pub struct Facts<'a> {
     /// The operation that it names, if the settings have it.
@@ -127,15 +128,15 @@
     pub method: &'a str,
     /// The protocol that it came over.
     pub front: &'a str,
-    /// The work to expect, in nanoseconds on one core.
+    /// The expected work, in nanoseconds on one core.
     pub estimate: Option<i64>,
     /// The memory that is booked, in KB.
     pub need: Option<f64>,
     /// The rank, from 0 to 1.
     pub rank: Option<f64>,
-    /// The dispatcher's number.
+    /// The load balancer's number.
     pub peer: Option<u64>,
-    /// When it came to the machine, in nanoseconds since the Unix epoch.
+    /// When it arrived at the machine, in nanoseconds since the Unix epoch.
     pub arrived: i64,
     /// The body.
     pub body: &'a [u8],
@@ -148,7 +149,7 @@
 }
 
 impl<'a> Facts<'a> {
-    /// A fact's value, if this invocation has it.
+    /// A fact's value, if this request has it.
     pub fn get(&self, name: Name) -> Option<Value<'a>> {
         Some(match name {
             Name::Operation => Value::Text(self.operation?),
@@ -218,7 +219,7 @@
             .map_or("", |(name, _)| name)
     }
 
-    /// From here on all parameters are kept.
+    /// From now on all parameters are picked.
     pub fn walked(&mut self) {
         self.walks = true;
     }
--- a/crates/rules/src/index.rs
+++ b/crates/rules/src/index.rs
@@ -1,5 +1,5 @@
-//! Which rules may match a request, without asking each. Every rule that begins with (or holds,
-//! joined by `&&`) an equality, a prefix or a set of addresses is filed under it; only those filed
+//! Which rules may match a request, without evaluating each. Every rule whose condition is, or
+//! joins by `&&`, an equality, a prefix or a set of addresses is filed under it; only those filed
 //! under what a request brings, and those filed nowhere, are evaluated, in the order of the file. A
 //! rule left out would not have matched: the part under which it is filed is false or errs, and
 //! with it the whole.
@@ -20,7 +20,11 @@
 
 /// Sets of many networks are looked up as a whole, and at most this many such sets.
 const SETS_ASKED: usize = 8;
-/// Values of one `in` list under which a rule is filed.
+/// About the bytes of a trie node for an IPv4 network, with its list.
+const NETWORK_BYTES_V4: usize = 60;
+/// The same for an IPv6 network.
+const NETWORK_BYTES_V6: usize = 90;
+/// The most values of one `in` list under which a rule is filed.
 const VALUES_FILED: usize = 256;
 
 /// A text of a request that rules compare.
@@ -54,7 +58,7 @@
 
 /// What a rule is filed under.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Anchor {
+pub enum IndexKey {
     /// A field has one of these values.
     Equal(Field, Vec<Box<str>>),
     /// A field begins so.
@@ -66,31 +70,31 @@
 }
 
 /// All that a condition could be filed under.
-fn anchors(node: &Node, found: &mut Vec<Anchor>) {
+fn index_keys(node: &Node, found: &mut Vec<IndexKey>) {
     match node {
-        Node::And(all) => all.iter().for_each(|one| anchors(one, found)),
+        Node::And(all) => all.iter().for_each(|one| index_keys(one, found)),
         Node::Binary(Binary::Equal, sides) => {
             let (field, text) = match &**sides {
                 (field, Node::Text(text)) | (Node::Text(text), field) => (Field::of(field), text),
                 _ => return,
             };
-            found.extend(field.map(|field| Anchor::Equal(field, vec![text.clone()])));
+            found.extend(field.map(|field| IndexKey::Equal(field, vec![text.clone()])));
         }
         Node::InTexts(of, set) if set.len() <= VALUES_FILED => {
             let mut values: Vec<_> = set.iter().cloned().collect();
             values.sort_unstable();
-            found.extend(Field::of(of).map(|field| Anchor::Equal(field, values)));
+            found.extend(Field::of(of).map(|field| IndexKey::Equal(field, values)));
         }
         Node::Call(crate::compile::Function::StartsWith, nodes) => {
             if let [of, Node::Text(prefix)] = &**nodes
                 && !prefix.is_empty()
             {
-                found.extend(Field::of(of).map(|field| Anchor::Prefix(field, prefix.clone())));
+                found.extend(Field::of(of).map(|field| IndexKey::Prefix(field, prefix.clone())));
             }
         }
         Node::Binary(Binary::In, sides) => {
             if let (Node::Fact(Name::Address), Node::Set(set)) = &**sides {
-                found.push(Anchor::Within(Arc::clone(set)));
+                found.push(IndexKey::Within(Arc::clone(set)));
             }
         }
         _ => {}
@@ -104,11 +108,11 @@
 pub struct Index {
     equal: Vec<(Field, HashMap<Box<str>, RuleList>)>,
     prefix: Vec<(Field, Trie)>,
-    four: PrefixMap<Ipv4Net, RuleList>,
-    six: PrefixMap<Ipv6Net, RuleList>,
+    ipv4: PrefixMap<Ipv4Net, RuleList>,
+    ipv6: PrefixMap<Ipv6Net, RuleList>,
     sets: Vec<(Arc<AddressSet>, RuleList)>,
     rest: RuleList,
-    /// What each rule is filed under, by a number of its kind; for those who ask why.
+    /// What each rule is filed under, by a number of its kind; for explanations.
     kinds: Vec<u8>,
 }
 
@@ -123,31 +127,31 @@
 impl Index {
     /// Files conditions, in their order.
     pub fn new<'n>(conditions: impl Iterator<Item = &'n Node>) -> Index {
-        let found: Vec<Vec<Anchor>> = conditions
+        let found: Vec<Vec<IndexKey>> = conditions
             .map(|node| {
                 let mut found = Vec::new();
-                anchors(node, &mut found);
+                index_keys(node, &mut found);
                 found
             })
             .collect();
         // A rule goes where the fewest others could: under the value, prefix or set that the fewest
         // rules name.
         let mut named: BTreeMap<(Field, &str, bool), usize> = BTreeMap::new();
-        for anchor in found.iter().flatten() {
-            match anchor {
-                Anchor::Equal(field, values) => {
+        for key in found.iter().flatten() {
+            match key {
+                IndexKey::Equal(field, values) => {
                     values
                         .iter()
                         .for_each(|v| *named.entry((*field, v, false)).or_default() += 1);
                 }
-                Anchor::Prefix(field, prefix) => {
+                IndexKey::Prefix(field, prefix) => {
                     *named.entry((*field, prefix, true)).or_default() += 1
                 }
-                Anchor::Within(_) | Anchor::Nothing => {}
+                IndexKey::Within(_) | IndexKey::Nothing => {}
             }
         }
-        let crowd = |anchor: &Anchor| match anchor {
-            Anchor::Equal(field, values) => (
+        let sharing = |key: &IndexKey| match key {
+            IndexKey::Equal(field, values) => (
                 values
                     .iter()
                     .map(|v| named[&(*field, &**v, false)])
@@ -155,31 +159,31 @@
                     .unwrap_or(0),
                 values.len(),
             ),
-            Anchor::Prefix(field, prefix) => {
+            IndexKey::Prefix(field, prefix) => {
                 (named[&(*field, &**prefix, true)] + 1, 4 * prefix.len())
             }
-            Anchor::Within(set) => (2, set.len()),
-            Anchor::Nothing => (usize::MAX, 0),
+            IndexKey::Within(set) => (2, set.len()),
+            IndexKey::Nothing => (usize::MAX, 0),
         };
-        let chosen: Vec<Anchor> = found
+        let chosen: Vec<IndexKey> = found
             .iter()
             .map(|all| {
                 all.iter()
-                    .min_by_key(|a| crowd(a))
+                    .min_by_key(|a| sharing(a))
                     .cloned()
-                    .unwrap_or(Anchor::Nothing)
+                    .unwrap_or(IndexKey::Nothing)
             })
             .collect();
         let mut index = Index::default();
-        for (rule, anchor) in chosen.into_iter().enumerate() {
-            index.file(rule as u32, anchor);
+        for (rule, key) in chosen.into_iter().enumerate() {
+            index.file(rule as u32, key);
         }
         index
     }
 
-    fn file(&mut self, rule: u32, anchor: Anchor) {
-        let kind = match anchor {
-            Anchor::Equal(field, values) => {
+    fn file(&mut self, rule: u32, key: IndexKey) {
+        let kind = match key {
+            IndexKey::Equal(field, values) => {
                 let place = self
                     .equal
                     .iter()
@@ -193,7 +197,7 @@
                 }
                 0
             }
-            Anchor::Prefix(field, prefix) => {
+            IndexKey::Prefix(field, prefix) => {
                 let place = self
                     .prefix
                     .iter()
@@ -205,8 +209,8 @@
                 self.prefix[place].1.insert(prefix.as_bytes(), rule);
                 1
             }
-            Anchor::Within(set) => self.file_set(rule, set),
-            Anchor::Nothing => {
+            IndexKey::Within(set) => self.file_set(rule, set),
+            IndexKey::Nothing => {
                 self.rest.push(rule);
                 4
             }
@@ -233,15 +237,14 @@
         }
         for net in set.networks() {
             match net {
-                IpNet::V4(net) => self.four.entry(*net).or_default().push(rule),
-                IpNet::V6(net) => self.six.entry(*net).or_default().push(rule),
+                IpNet::V4(net) => self.ipv4.entry(*net).or_default().push(rule),
+                IpNet::V6(net) => self.ipv6.entry(*net).or_default().push(rule),
             }
         }
         2
     }
 
-    /// Lists of rules that may match; a rule may stand in two lists if networks of its set lie in
-    /// each other.
+    /// Lists of rules that may match; a rule may be in two lists if networks of its set overlap.
     fn lists<'i>(&'i self, facts: &Facts<'_>) -> SmallVec<[&'i [u32]; 16]> {
         let mut lists: SmallVec<[&[u32]; 16]> = SmallVec::new();
         if !self.rest.is_empty() {
@@ -260,10 +263,10 @@
         if let Some(address) = facts.address.map(address::plain) {
             match address {
                 IpAddr::V4(a) => {
-                    lists.extend(self.four.cover_values(&Ipv4Net::from(a)).map(Vec::as_slice))
+                    lists.extend(self.ipv4.cover_values(&Ipv4Net::from(a)).map(Vec::as_slice))
                 }
                 IpAddr::V6(a) => {
-                    lists.extend(self.six.cover_values(&Ipv6Net::from(a)).map(Vec::as_slice))
+                    lists.extend(self.ipv6.cover_values(&Ipv6Net::from(a)).map(Vec::as_slice))
                 }
             }
             let sets = self.sets.iter().filter(|(set, _)| set.contains(address));
@@ -292,15 +295,15 @@
         })
     }
 
-    /// What a rule is filed under, in a word.
+    /// The kind of what a rule is filed under.
     pub fn kind(&self, rule: usize) -> &'static str {
         self.kinds
             .get(rule)
             .map_or("nothing", |kind| KINDS[usize::from(*kind)])
     }
 
-    /// The most rules that one request may have evaluated, given what each costs: the sum over all
-    /// rules filed nowhere and the dearest list of each other kind.
+    /// The most that the rules evaluated for one request may cost, given the cost of each: the sum
+    /// over all rules filed nowhere and the dearest list of each other kind.
     pub fn worst(&self, cost: impl Fn(u32) -> u64) -> u64 {
         let sum = |list: &[u32]| list.iter().map(|rule| cost(*rule)).sum::<u64>();
         let equal = self
@@ -314,18 +317,18 @@
             .iter()
             .map(|(_, trie)| Self::worst_path(trie, 0, &sum))
             .sum::<u64>();
-        let four = nested(
-            self.four
+        let ipv4 = nested(
+            self.ipv4
                 .iter()
                 .map(|(net, filed)| (IpNet::V4(net), sum(filed))),
         );
-        let six = nested(
-            self.six
+        let ipv6 = nested(
+            self.ipv6
                 .iter()
                 .map(|(net, filed)| (IpNet::V6(net), sum(filed))),
         );
         let sets = self.sets.iter().map(|(_, filed)| sum(filed)).sum::<u64>();
-        sum(&self.rest) + equal + prefix + four.max(six) + sets
+        sum(&self.rest) + equal + prefix + ipv4.max(ipv6) + sets
     }
 
     fn worst_path(trie: &Trie, root: usize, sum: &impl Fn(&[u32]) -> u64) -> u64 {
@@ -356,8 +359,7 @@
         };
         let equal: usize = self.equal.iter().map(|(_, m)| values(m)).sum();
         let prefix: usize = self.prefix.iter().map(|(_, t)| t.bytes()).sum();
-        // A node of the trie was measured at about 60 bytes for each network, its list included.
-        let nets = self.four.len() * 60 + self.six.len() * 90;
+        let nets = self.ipv4.len() * NETWORK_BYTES_V4 + self.ipv6.len() * NETWORK_BYTES_V6;
         let sets: usize = self.sets.iter().map(|(_, f)| filed(f) + 40).sum();
         equal + prefix + nets + sets + filed(&self.rest) + self.kinds.len()
     }
--- a/crates/rules/src/syntax.rs
+++ b/crates/rules/src/syntax.rs
@@ -11,15 +11,14 @@
 
 /// The longest text of an expression, in bytes.
 pub const SOURCE_MAX: usize = 8192;
-/// The deepest that a tree may be. Each level costs the parser about three frames, on stacks of 512
-/// KiB.
+/// The deepest nesting of a tree. The parser takes about three stack frames for each level.
 pub const DEPTH_MAX: u16 = 32;
 
-/// An expression, and where it stands in its text. Two are equal if they say the same, wherever
-/// they stand.
+/// An expression with its place in the text. Two are equal if they have the same meaning, wherever
+/// they are.
 #[derive(Clone, Debug)]
 pub struct Expression {
-    /// What it says.
+    /// What it is.
     pub kind: ExpressionKind,
     /// Bytes of the text.
     pub at: Range<usize>,
@@ -33,7 +32,7 @@
     }
 }
 
-/// What an expression says.
+/// The kinds of expressions.
 #[derive(Clone, Debug)]
 pub enum ExpressionKind {
     /// `true`.
