--- a/crates/identity/src/rotation.rs
+++ b/crates/identity/src/rotation.rs
@@ -1,5 +1,6 @@
 //! Which identity is presented when: the lifetime of an SVID as a state machine over time. It
-//! requests the next one at half its lifetime, with jitter; goes on with the last good one while the
+//! requests the next one at half its lifetime, with jitter; goes on with the last good one while
+//! the
 //! issuer is unreachable, and logs that; presents nothing once that has expired; and backs off with
 //! jitter while requests fail. It does no I/O: side effects are requested from a [`Host`].
 
@@ -151,7 +152,8 @@
         self.now = self.now.max(now);
     }
 
-    /// The issuer sent an identity. One that can't be used changes nothing, and counts as a failure of
+    /// The issuer sent an identity. One that can't be used changes nothing, and counts as a
+    /// failure of
     /// the stream.
     ///
     /// # Errors
--- a/crates/identity/src/sessions.rs
+++ b/crates/identity/src/sessions.rs
@@ -1,5 +1,6 @@
 //! How long a connection is served by the identity with which it was opened. What was read before
-//! that expires is answered; nothing read after it runs: the peer is asked to open a new connection,
+//! that expires is answered; nothing read after it runs: the peer is asked to open a new
+//! connection,
 //! and this one closes once nothing is open on it. The same at once where the authority that issued
 //! the identity is removed from its domain's bundle.
 //!
@@ -95,7 +96,8 @@
 }
 
 impl Sessions {
-    /// No connections yet. Identities are accepted for the grace (nanoseconds, at most [`SKEW_MOST`])
+    /// No connections yet. Identities are accepted for the grace (nanoseconds, at most
+    /// [`SKEW_MOST`])
     /// after their end, because clocks differ.
     pub fn new(grace: Nanos) -> Sessions {
         Sessions {
--- a/crates/rules/src/compile.rs
+++ b/crates/rules/src/compile.rs
@@ -176,47 +176,13 @@
                 self.method(&expr.at, of, name, arguments)
             }
             ExpressionKind::List(items) => self.list(&expr.at, items),
-            ExpressionKind::Not(of) => {
-                let of = self.expect(of, &[Type::Bool])?;
-                let worst = of.worst + cost::STEP;
-                Some(CompiledExpression {
-                    node: Node::Not(Box::new(of.node)),
-                    worst,
-                    ..of
-                })
-            }
+            ExpressionKind::Not(of) => self.unary(of, &[Type::Bool], Node::Not),
             ExpressionKind::Minus(of) => {
-                let of = self.expect(of, &[Type::Int, Type::Float, Type::Span])?;
-                let worst = of.worst + cost::STEP;
-                Some(CompiledExpression {
-                    node: Node::Minus(Box::new(of.node)),
-                    worst,
-                    ..of
-                })
+                self.unary(of, &[Type::Int, Type::Float, Type::Span], Node::Minus)
             }
             ExpressionKind::And(all) => self.joined(all, Node::And),
             ExpressionKind::Or(all) => self.joined(all, Node::Or),
-            ExpressionKind::If(condition, yes, no) => {
-                let condition = self.expect(condition, &[Type::Bool]);
-                let (typed_yes, typed_no) = (self.check(yes), self.check(no));
-                let (condition, yes, no_) = (condition?, typed_yes?, typed_no?);
-                if yes.kind != no_.kind {
-                    return self.wrong(
-                        &no.at,
-                        format!("this is a {}", no_.kind),
-                        format!("a {}, as after '?'", yes.kind),
-                    );
-                }
-                let worst = cost::STEP + condition.worst + yes.worst.max(no_.worst);
-                let size = yes.size.max(&no_.size);
-                let node = Node::If(Box::new((condition.node, yes.node, no_.node)));
-                Some(CompiledExpression {
-                    node,
-                    kind: yes.kind,
-                    worst,
-                    size,
-                })
-            }
+            ExpressionKind::If(condition, yes, no) => self.conditional(condition, yes, no),
             ExpressionKind::Binary(op, a, b) => self.binary(&expr.at, *op, a, b),
         }
     }
--- a/crates/rules/src/compile/functions.rs
+++ b/crates/rules/src/compile/functions.rs
@@ -267,10 +267,9 @@
             );
         };
         let range = range?;
-        let (item, size) = match &range.kind {
-            Type::List(item) => ((**item).clone(), range.size.item()),
-            Type::Params => (Type::Text, Size::of(PARAM_MAX)),
-            kind => return self.wrong(&of.at, format!("this is a {kind}"), "a list or params"),
+        let Some((item, size)) = range.items() else {
+            let found = format!("this is a {}", range.kind);
+            return self.wrong(&of.at, found, "a list or params");
         };
         if self.locals.len() >= MACROS_MAX {
             return self.wrong(
@@ -325,6 +324,17 @@
     }
 }
 
+impl CompiledExpression {
+    /// The type and size of the items over which a macro iterates; `None` if it can't.
+    fn items(&self) -> Option<(Type, Size)> {
+        match &self.kind {
+            Type::List(item) => Some(((**item).clone(), self.size.item())),
+            Type::Params => Some((Type::Text, Size::of(PARAM_MAX))),
+            _ => None,
+        }
+    }
+}
+
 /// The type and size of what a macro gives, for items of this type and size; `None` if the body
 /// gives what can't be in a list.
 fn macro_result(
--- a/crates/rules/src/compile/operators.rs
+++ b/crates/rules/src/compile/operators.rs
@@ -13,6 +13,50 @@
 use std::sync::Arc;
 
 impl Compiler<'_> {
+    /// `!a` and `-a`.
+    pub(super) fn unary(
+        &mut self,
+        of: &Expression,
+        kinds: &[Type],
+        node: fn(Box<Node>) -> Node,
+    ) -> CheckResult {
+        let of = self.expect(of, kinds)?;
+        let worst = of.worst + cost::STEP;
+        Some(CompiledExpression {
+            node: node(Box::new(of.node)),
+            worst,
+            ..of
+        })
+    }
+
+    /// `condition ? yes : no`.
+    pub(super) fn conditional(
+        &mut self,
+        condition: &Expression,
+        yes: &Expression,
+        no: &Expression,
+    ) -> CheckResult {
+        let condition = self.expect(condition, &[Type::Bool]);
+        let (typed_yes, typed_no) = (self.check(yes), self.check(no));
+        let (condition, yes, no_) = (condition?, typed_yes?, typed_no?);
+        if yes.kind != no_.kind {
+            return self.wrong(
+                &no.at,
+                format!("this is a {}", no_.kind),
+                format!("a {}, as after '?'", yes.kind),
+            );
+        }
+        let worst = cost::STEP + condition.worst + yes.worst.max(no_.worst);
+        let size = yes.size.max(&no_.size);
+        let node = Node::If(Box::new((condition.node, yes.node, no_.node)));
+        Some(CompiledExpression {
+            node,
+            kind: yes.kind,
+            worst,
+            size,
+        })
+    }
+
     pub(super) fn joined(
         &mut self,
         all: &[Expression],
--- a/crates/rules/src/cost.rs
+++ b/crates/rules/src/cost.rs
@@ -1,4 +1,5 @@
-//! The cost of evaluation. One unit is about a nanosecond on the machine that `docs/design/rules.md`
+//! The cost of evaluation. One unit is about a nanosecond on the machine that
+//! `docs/design/rules.md`
 //! names. The same functions give the worst case when a rule is loaded, from bounds on sizes, and
 //! the charge at run time, from actual sizes. None of them decreases as its argument grows, so that
 //! the charge never exceeds the worst case.
--- a/crates/rules/src/eval.rs
+++ b/crates/rules/src/eval.rs
@@ -1,4 +1,5 @@
-//! Evaluation: recursion over the compiled tree, whose depth was bounded when it was parsed. What it
+//! Evaluation: recursion over the compiled tree, whose depth was bounded when it was parsed. What
+//! it
 //! builds is in an arena that is reused; every step is charged to a meter, which stops it at its
 //! limit whatever worst case was computed before.
 
--- a/crates/rules/src/eval/functions.rs
+++ b/crates/rules/src/eval/functions.rs
@@ -77,15 +77,9 @@
                 let place = usize::try_from(place).map_err(|_| EvaluationError::Range)?;
                 Text(pieces(text, by).nth(place).ok_or(EvaluationError::Range)?)
             }
-            (Function::Before, Text(text), Text(mark)) => {
-                let at = memchr::memmem::find(text.as_bytes(), mark.as_bytes())
-                    .ok_or(EvaluationError::Range)?;
-                Text(&text[..at])
-            }
+            (Function::Before, Text(text), Text(mark)) => Text(&text[..find(text, mark)?]),
             (Function::After, Text(text), Text(mark)) => {
-                let at = memchr::memmem::find(text.as_bytes(), mark.as_bytes())
-                    .ok_or(EvaluationError::Range)?;
-                Text(&text[at + mark.len()..])
+                Text(&text[find(text, mark)? + mark.len()..])
             }
             (Function::Lower, Text(text), _) => {
                 let text = self.arena.alloc_str(text);
@@ -98,18 +92,7 @@
                 Text(text)
             }
             (Function::Trim, Text(text), _) => Text(text.trim()),
-            (Function::Split, Text(text), Text(by)) => {
-                let mut items = ArenaVec::new_in(self.arena);
-                if by.is_empty() {
-                    items.extend(
-                        text.char_indices()
-                            .map(|(at, c)| Text(&text[at..at + c.len_utf8()])),
-                    );
-                } else {
-                    items.extend(pieces(text, by).map(Text));
-                }
-                List(items.into_bump_slice())
-            }
+            (Function::Split, Text(text), Text(by)) => self.split(text, by),
             (Function::Hash, Text(text), Int(buckets)) => {
                 Int((stable_hash(text) % buckets.max(1) as u64) as i64)
             }
@@ -117,6 +100,18 @@
         })
     }
 
+    /// The pieces between separators, or the characters where the separator is empty.
+    fn split(&mut self, text: &'a str, by: &'a str) -> Value<'a> {
+        let mut items = ArenaVec::new_in(self.arena);
+        if by.is_empty() {
+            let characters = text.char_indices();
+            items.extend(characters.map(|(at, c)| Value::Text(&text[at..at + c.len_utf8()])));
+        } else {
+            items.extend(pieces(text, by).map(Value::Text));
+        }
+        Value::List(items.into_bump_slice())
+    }
+
     /// Conversions between types.
     fn convert(&mut self, func: Function, value: Value<'a>) -> EvaluationResult<'a> {
         use Value::*;
@@ -174,6 +169,11 @@
     })
 }
 
+/// The offset of the first occurrence of a text in another.
+fn find(text: &str, mark: &str) -> Result<usize, EvaluationError> {
+    memchr::memmem::find(text.as_bytes(), mark.as_bytes()).ok_or(EvaluationError::Range)
+}
+
 /// The same number for the same text on every machine and in every version: FNV-1a over its bytes,
 /// mixed so that texts that differ in their last letter fall into buckets that lie apart.
 pub fn stable_hash(text: &str) -> u64 {
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! An expression is parsed ([`syntax`]), checked and compiled ([`compile`]), and evaluated over the
 //! facts of a request ([`facts`], [`eval`]). Rules ([`ruleset`]) are conditions in the order of a
-//! file; an index ([`index`]) leaves out those that can't match. `docs/operators/rules.md` describes
+//! file; an index ([`index`]) leaves out those that can't match. `docs/operators/rules.md`
+//! describes
 //! the language, `docs/design/rules.md` its design. The settings load rule sets, the node evaluates
 //! them. Nothing here does I/O or knows a clock.
 //!
--- a/crates/rules/src/ruleset/load.rs
+++ b/crates/rules/src/ruleset/load.rs
@@ -159,6 +159,21 @@
             text: source.when.trim().into(),
         })
     }
+
+    /// All rules and the bytes that they take; what is too large is not built to its end.
+    fn rules(&mut self, sources: &[RuleSource]) -> (Vec<Rule>, usize) {
+        let (mut rules, mut bytes) = (Vec::new(), 0);
+        for (place, source) in sources.iter().enumerate() {
+            if let Some(rule) = self.rule(place, source) {
+                bytes += rule.bytes();
+                rules.push(rule);
+            }
+            if bytes > self.bounds.bytes {
+                break;
+            }
+        }
+        (rules, bytes)
+    }
 }
 
 /// An error of the whole set.
@@ -197,18 +212,7 @@
                 format!("at most {RULES_MAX}"),
             ));
         }
-        let mut rules = Vec::new();
-        let mut bytes = 0;
-        for (place, one) in sources.iter().enumerate() {
-            if let Some(rule) = loader.rule(place, one) {
-                bytes += rule.bytes();
-                rules.push(rule);
-            }
-            // What is too large is not built to its end.
-            if bytes > bounds.bytes {
-                break;
-            }
-        }
+        let (rules, mut bytes) = loader.rules(sources);
         if !loader.errors.is_empty() {
             return Err(loader.errors);
         }
--- a/crates/rules/src/syntax/lexer.rs
+++ b/crates/rules/src/syntax/lexer.rs
@@ -170,15 +170,7 @@
         let rest = self.rest();
         let start = self.next;
         if let Some(hex) = rest.strip_prefix("0x").or_else(|| rest.strip_prefix("0X")) {
-            let end = hex
-                .find(|c: char| !c.is_ascii_alphanumeric())
-                .unwrap_or(hex.len());
-            let value = u64::from_str_radix(&hex[..end], 16);
-            self.next += 2 + end;
-            let at = start..self.next;
-            return value
-                .map(Token::Int)
-                .map_err(|_| ExpressionError::new(at, "no hexadecimal number", "an int"));
+            return self.hexadecimal(hex);
         }
         let bytes = rest.as_bytes();
         let digits = |from: usize| {
@@ -229,6 +221,20 @@
         })
     }
 
+    /// A hexadecimal number; `hex` is what follows its prefix.
+    fn hexadecimal(&mut self, hex: &str) -> Result<Token, ExpressionError> {
+        let start = self.next;
+        let end = hex
+            .find(|c: char| !c.is_ascii_alphanumeric())
+            .unwrap_or(hex.len());
+        let value = u64::from_str_radix(&hex[..end], 16);
+        self.next += 2 + end;
+        let at = start..self.next;
+        value
+            .map(Token::Int)
+            .map_err(|_| ExpressionError::new(at, "no hexadecimal number", "an int"))
+    }
+
     /// A string or bytes from the opening quote on; a raw one has no escapes.
     fn quoted(&mut self, raw: bool, is_bytes: bool) -> Result<Token, ExpressionError> {
         let start = self.next;
--- a/crates/rules/src/value.rs
+++ b/crates/rules/src/value.rs
@@ -109,7 +109,8 @@
         }
     }
 
-    /// The size on which the cost of a comparison depends: bytes of a text, or those of all items of a
+    /// The size on which the cost of a comparison depends: bytes of a text, or those of all items
+    /// of a
     /// list with 8 for each.
     pub fn extent(&self) -> usize {
         match self {
--- a/crates/settings/src/scenario.rs
+++ b/crates/settings/src/scenario.rs
@@ -104,7 +104,8 @@
     pub fault: Fault,
 }
 
-/// What is done at a step, or must hold then; `docs/operators/rig.md` has a table of them. Nodes are
+/// What is done at a step, or must hold then; `docs/operators/rig.md` has a table of them. Nodes
+/// are
 /// given by their names.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
