--- a/crates/rules/src/compile/functions.rs
+++ b/crates/rules/src/compile/functions.rs
@@ -92,7 +92,7 @@
             ("filter", Macro::Filter),
         ];
         if let Some((_, which)) = macros.iter().find(|(n, _)| *n == name) {
-            return self.walk(at, *which, of, arguments);
+            return self.iterate(at, *which, of, arguments);
         }
         if name == "matches" {
             return self.matches(at, of, arguments);
@@ -244,7 +244,7 @@
         })
     }
 
-    pub(super) fn walk(
+    pub(super) fn iterate(
         &mut self,
         at: &Range<usize>,
         which: Macro,
@@ -285,15 +285,7 @@
         };
         let body = self.body(which, variable, body)?;
         let rounds = range.size.most;
-        let each = body.worst + cost::ROUND;
-        let mut worst = rounds
-            .saturating_mul(each)
-            .saturating_add(range.worst + cost::STEP);
-        worst = worst.saturating_add(if range.kind == Type::Params {
-            cost::build(24 * rounds)
-        } else {
-            0
-        });
+        let worst = macro_cost(which, &range, &body);
         let Some((kind, size)) = macro_result(which, item, size, &body, rounds) else {
             return self.wrong(
                 at,
@@ -301,9 +293,6 @@
                 "plain values",
             );
         };
-        if matches!(which, Macro::Map | Macro::Filter) {
-            worst = worst.saturating_add(cost::build(24 * rounds));
-        }
         Some(CompiledExpression {
             node: Node::Loop(which, Box::new((range.node, body.node))),
             kind,
@@ -335,6 +324,22 @@
     }
 }
 
+/// The worst case of a macro: its list, a round for each item, and the lists that it builds.
+fn macro_cost(which: Macro, range: &CompiledExpression, body: &CompiledExpression) -> u64 {
+    let rounds = range.size.most;
+    let built = || cost::build(24 * rounds);
+    let mut worst = rounds
+        .saturating_mul(body.worst + cost::ROUND)
+        .saturating_add(range.worst + cost::STEP);
+    if range.kind == Type::Params {
+        worst = worst.saturating_add(built());
+    }
+    if matches!(which, Macro::Map | Macro::Filter) {
+        worst = worst.saturating_add(built());
+    }
+    worst
+}
+
 /// The type and size of what a macro gives, for items of this type and size; `None` if the body
 /// gives what can't be in a list.
 fn macro_result(
--- a/crates/rules/src/eval.rs
+++ b/crates/rules/src/eval.rs
@@ -16,6 +16,7 @@
 use bumpalo::Bump;
 use bumpalo::collections::Vec as ArenaVec;
 use std::cmp::Ordering;
+use std::collections::HashSet;
 
 /// One evaluation or several, on one meter.
 pub struct Evaluator<'a, 'x: 'a> {
@@ -155,13 +156,7 @@
                 self.charge(cost::LOOK + cost::compare(text.len() as u64))?;
                 Value::Bool(set.contains(text))
             }
-            Node::InInts(of, set) => {
-                let Value::Int(value) = self.eval(of)? else {
-                    return unexpected_type();
-                };
-                self.charge(cost::LOOK)?;
-                Value::Bool(set.contains(&value))
-            }
+            Node::InInts(of, set) => return self.is_in_ints(of, set),
             Node::Matches(of, pattern) => {
                 let text = self.text(of)?;
                 self.charge(cost::pattern(text.len() as u64))?;
@@ -230,6 +225,14 @@
         Ok(*items.get(index).ok_or(EvaluationError::Range)?)
     }
 
+    fn is_in_ints(&mut self, of: &'a Node, set: &HashSet<i64>) -> EvaluationResult<'a> {
+        let Value::Int(value) = self.eval(of)? else {
+            return unexpected_type();
+        };
+        self.charge(cost::LOOK)?;
+        Ok(Value::Bool(set.contains(&value)))
+    }
+
     /// `startsWith` and `endsWith`, without the walk of other calls.
     #[inline]
     fn starts_or_ends(&mut self, func: Function, nodes: &'a [Node]) -> EvaluationResult<'a> {
--- a/crates/rules/src/syntax/lexer.rs
+++ b/crates/rules/src/syntax/lexer.rs
@@ -247,18 +247,19 @@
         };
         loop {
             let Some((at, c)) = chars.next() else {
+                let at = start..self.text.len();
+                let expected = format!("{quote}");
                 return Err(ExpressionError::new(
-                    start..self.text.len(),
+                    at,
                     "the string does not end",
-                    format!("{quote}"),
+                    expected,
                 ));
             };
             if c == quote {
                 self.next = start + at + 1;
-                return Ok(if is_bytes {
-                    Token::Bytes(bytes)
-                } else {
-                    Token::Text(text)
+                return Ok(match is_bytes {
+                    true => Token::Bytes(bytes),
+                    false => Token::Text(text),
                 });
             }
             if c == '\n' {
--- a/crates/rules/src/syntax/print.rs
+++ b/crates/rules/src/syntax/print.rs
@@ -17,6 +17,14 @@
         }
     }
 
+    /// The operand of a minus sign; a number under a sign would be parsed as one number.
+    fn negated(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.kind {
+            ExpressionKind::Int(_) | ExpressionKind::Float(_) => write!(f, "({self})"),
+            _ => self.within(f, UNARY),
+        }
+    }
+
     fn within(&self, f: &mut fmt::Formatter<'_>, least: u8) -> fmt::Result {
         if self.power() < least {
             write!(f, "({self})")
@@ -26,11 +34,18 @@
     }
 }
 
-fn comma(f: &mut fmt::Formatter<'_>, all: &[Expression]) -> fmt::Result {
+/// Expressions with commas between them, in brackets.
+fn enclosed(
+    f: &mut fmt::Formatter<'_>,
+    open: &str,
+    all: &[Expression],
+    close: &str,
+) -> fmt::Result {
+    f.write_str(open)?;
     for (i, one) in all.iter().enumerate() {
         write!(f, "{}{one}", if i > 0 { ", " } else { "" })?;
     }
-    Ok(())
+    f.write_str(close)
 }
 
 fn joined(f: &mut fmt::Formatter<'_>, all: &[Expression], sign: &str, power: u8) -> fmt::Result {
@@ -76,34 +91,22 @@
                 write!(f, "[{at}]")
             }
             ExpressionKind::Call(name, arguments) => {
-                write!(f, "{name}(")?;
-                comma(f, arguments)?;
-                f.write_str(")")
+                f.write_str(name)?;
+                enclosed(f, "(", arguments, ")")
             }
             ExpressionKind::Method(of, name, arguments) => {
                 of.within(f, MEMBER)?;
-                write!(f, ".{name}(")?;
-                comma(f, arguments)?;
-                f.write_str(")")
-            }
-            ExpressionKind::List(items) => {
-                f.write_str("[")?;
-                comma(f, items)?;
-                f.write_str("]")
+                write!(f, ".{name}")?;
+                enclosed(f, "(", arguments, ")")
             }
+            ExpressionKind::List(items) => enclosed(f, "[", items, "]"),
             ExpressionKind::Not(of) => {
                 f.write_str("!")?;
                 of.within(f, UNARY)
             }
             ExpressionKind::Minus(of) => {
-                // A number under a sign would be read as one number.
                 f.write_str("-")?;
-                let number = matches!(of.kind, ExpressionKind::Int(_) | ExpressionKind::Float(_));
-                if number {
-                    write!(f, "({of})")
-                } else {
-                    of.within(f, UNARY)
-                }
+                of.negated(f)
             }
             ExpressionKind::Binary(op, a, b) => {
                 a.within(f, op.power())?;
