--- a/crates/rules/tests/language.rs
+++ b/crates/rules/tests/language.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn what_is_not_an_expression_is_told_with_its_place() {
+fn what_is_not_an_expression_is_reported_with_its_place() {
     let cases: [(&str, std::ops::Range<usize>, &str); 22] = [
         ("", 0..0, "unexpected the end"),
         ("1 +", 3..3, "unexpected the end"),
--- a/crates/rules/tests/sets.rs
+++ b/crates/rules/tests/sets.rs
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn all_that_is_wrong_with_a_set_is_told_at_once_with_its_place() {
+fn all_that_is_wrong_with_a_set_is_reported_at_once_with_its_place() {
     let mut bad = rule("a", "tenant == 5");
     bad.operation = Some("gun-sil".into());
     bad.key = Some("peer".into());
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Files of settings: what is wrong is told with its place, the schema and the reader know the same
-//! words, and no damage is taken for a file.
+//! Settings files: errors are reported with their place, the schema and the reader know the same
+//! names, and no damaged file causes a panic.
 
 use madderpoint::Idempotency;
 use madderpoint_settings::schema::Schema;
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn each_kind_of_mistake_is_told_with_its_line_and_field() {
+fn each_kind_of_mistake_is_reported_with_its_line_and_field() {
     let cases = [
         ("<translator", "no XML"),
         ("", "no element; expected <translator>"),
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn all_that_is_wrong_is_told_in_the_order_of_the_file() {
+fn all_that_is_wrong_is_reported_in_the_order_of_the_file() {
     let diagnostics = wrong(&rules(
         "\n<bucket name=\"b\"/>\n<rule name=\"x\"><when>a</when></rule>\n<rule name=\"y\"><when>b &amp;&amp; c</when>\
         <give operation=\"z\"/></rule>",
@@ -220,7 +220,7 @@
 
 /// Every word of the schema is one that the reader asks for, and the other way round.
 #[test]
-fn the_schema_and_the_reader_know_the_same_words() {
+fn the_schema_and_the_reader_know_the_same_names() {
     let words = Schema::read(SCHEMA).unwrap().words();
     let reader = [
         include_str!("../src/rule_config.rs"),
@@ -362,7 +362,7 @@
 }
 
 #[test]
-fn what_a_fleet_can_not_be_set_to_is_told_with_its_place() {
+fn what_a_fleet_can_not_be_set_to_is_reported_with_its_place() {
     for (inner, attributes, told) in [
         (
             "<seed address=\"10.0.0.999:1\"/>",
@@ -475,7 +475,7 @@
 }
 
 #[test]
-fn what_a_rollout_can_not_be_set_to_is_told_with_its_place() {
+fn what_a_rollout_can_not_be_set_to_is_reported_with_its_place() {
     for (inner, attributes, told) in [
         (
             "<stage share=\"0.5\"/>",
@@ -526,7 +526,7 @@
 /// A limit by key of the whole fleet: what it needs, and what is wrong with it, is told with its
 /// bucket.
 #[test]
-fn limits_by_key_of_the_fleet_are_read_or_told_with_their_place() {
+fn limits_by_key_of_the_fleet_are_read_or_reported_with_their_place() {
     let file = |bucket: &str, fleet: &str| {
         format!("<translator version=\"1\">\n<rules><bucket {bucket}/></rules>{fleet}</translator>")
     };
