--- a/crates/node/src/cli/arguments.rs
+++ b/crates/node/src/cli/arguments.rs
@@ -4,7 +4,7 @@
 use crate::serve;
 use clap::{Args, ValueEnum};
 use madderpoint_deployment_config::DeploymentConfig;
-use madderpoint_settings::{Known, Rulebook, Translator};
+use madderpoint_settings::{RuleConfig, Settings, ValidationContext};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 
@@ -29,25 +29,25 @@
 
 impl SettingsFile {
     /// Reads and checks the file. `None` if it has errors: they have been shown.
-    pub fn read(&self) -> Result<Option<Translator>, CommandError> {
+    pub fn read(&self) -> Result<Option<Settings>, CommandError> {
         let known = match &self.config {
             Some(config) => serve::known(&read_deployment(config)?),
-            None => Known::anything(),
+            None => ValidationContext::permissive(),
         };
         if !self.path.is_file() {
             return Err(CommandError::file(&self.path, FileProblem::Missing));
         }
         match serve::read(&self.path, &known) {
             Ok(translator) => Ok(Some(translator)),
-            Err(complaints) => {
-                eprint!("{complaints}");
+            Err(diagnostics) => {
+                eprint!("{diagnostics}");
                 Ok(None)
             }
         }
     }
 
     /// The rules of the file. `None` if it has errors: they have been shown.
-    pub fn read_rules(&self) -> Result<Option<Rulebook>, CommandError> {
+    pub fn read_rules(&self) -> Result<Option<RuleConfig>, CommandError> {
         let Some(translator) = self.read()? else {
             return Ok(None);
         };
--- a/crates/node/src/cli/identity.rs
+++ b/crates/node/src/cli/identity.rs
@@ -98,10 +98,10 @@
 enum IdentityError {
     /// A token does not.
     #[error("{0}")]
-    Token(jwt::Refused),
+    Token(jwt::JwtSvidError),
     /// A chain of certificates does not.
     #[error("{0}")]
-    Chain(x509::Refused),
+    Chain(x509::X509SvidError),
 }
 
 fn check_token(content: &[u8], bundles: &Bundles, audience: &str, now: u64) -> Checked {
--- a/crates/node/src/cli/rules.rs
+++ b/crates/node/src/cli/rules.rs
@@ -5,10 +5,10 @@
 use super::error::{CommandError, FileProblem};
 use clap::Subcommand;
 use hdrhistogram::Histogram;
-use madderpoint_rules::ruleset::{Given, Why};
+use madderpoint_rules::ruleset::{RuleExplanation, RuleOutput};
 use madderpoint_rules::{Path as Search, Scratch, Verdict};
-use madderpoint_settings::Rulebook;
-use madderpoint_settings::asked::Asked;
+use madderpoint_settings::RuleConfig;
+use madderpoint_settings::sample_request::SampleRequest;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -71,7 +71,7 @@
 }
 
 /// Reads a sample request: a JSON object of facts by name, `params` and `body`.
-fn read_request(path: &Path) -> Result<Asked, CommandError> {
+fn read_request(path: &Path) -> Result<SampleRequest, CommandError> {
     let whole = read_json(path)?;
     let fields = whole
         .as_object()
@@ -81,7 +81,7 @@
             .as_str()
             .map_or_else(|| value.to_string(), str::to_owned)
     };
-    let mut request = Asked::default();
+    let mut request = SampleRequest::default();
     for (name, value) in fields {
         match name.as_str() {
             "params" => {
@@ -124,7 +124,7 @@
             .map(|why| explanation_json(&book.rules.rules()[why.place].name, why))
             .collect();
         let whole = json!({"given": given, "units": decision.cost, "limit": limit,
-            "evaluated": decision.asked, "rules": rules});
+            "evaluated": decision.evaluated_count, "rules": rules});
         println!("{whole:#}");
         return Ok(true);
     }
@@ -137,13 +137,13 @@
     }
     println!(
         "{} rules evaluated, {} units of {limit} used",
-        decision.asked, decision.cost
+        decision.evaluated_count, decision.cost
     );
     Ok(true)
 }
 
 /// What the rule that matches gives the request.
-fn outcome_json(book: &Rulebook, given: &Given<'_>) -> Value {
+fn outcome_json(book: &RuleConfig, given: &RuleOutput<'_>) -> Value {
     let rule = given.rule;
     let verdict = match &rule.verdict {
         Some(Verdict::Throttle { pause, reason }) => {
@@ -174,7 +174,7 @@
     })
 }
 
-fn print_explanation(book: &Rulebook, why: &Why) {
+fn print_explanation(book: &RuleConfig, why: &RuleExplanation) {
     let rule = &book.rules.rules()[why.place];
     let path = if why.evaluated {
         "evaluated"
@@ -195,7 +195,7 @@
     );
 }
 
-fn explanation_json(name: &str, why: &Why) -> Value {
+fn explanation_json(name: &str, why: &RuleExplanation) -> Value {
     let failed = why
         .failed
         .as_ref()
@@ -260,7 +260,7 @@
         let (mut units, mut evaluated) = (0, 0);
         let mut scratch = Scratch::new(0);
         for case in &book.cases {
-            let facts = case.asked.facts(&book.rules);
+            let facts = case.request.facts(&book.rules);
             for _ in 0..rounds.max(1) {
                 let began = Instant::now();
                 let decision =
@@ -268,7 +268,7 @@
                 let took = began.elapsed().as_nanos() as u64;
                 times.saturating_record(took);
                 units = units.max(decision.cost);
-                evaluated = evaluated.max(decision.asked);
+                evaluated = evaluated.max(decision.evaluated_count);
             }
         }
         println!(
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -14,7 +14,7 @@
 use madderpoint_node::log;
 use madderpoint_node::supervisor_client::{self, Adopted, ProgramVersions, SupervisorClientError};
 use madderpoint_node::version_store::VersionStoreError;
-use madderpoint_settings::{Complaints, FleetSettings};
+use madderpoint_settings::{Diagnostics, FleetSettings};
 use reload::Reloader;
 use settings::SettingsError;
 use signal_hook::consts::{SIGHUP, SIGTERM};
@@ -54,7 +54,7 @@
     SupervisorLink(std::io::Error),
     /// The settings file has errors; they are shown with their lines.
     #[error("settings not taken:\n{0}")]
-    SettingsFile(Box<Complaints>),
+    SettingsFile(Box<Diagnostics>),
     /// The settings can't be used on this node.
     #[error("settings not taken: {0}")]
     Settings(#[from] SettingsError),
--- a/crates/node/src/serve/cluster.rs
+++ b/crates/node/src/serve/cluster.rs
@@ -9,7 +9,7 @@
 use madderpoint_node::config::NodeConfig;
 use madderpoint_node::io::{self, Part, Reset};
 use madderpoint_node::node::SharedService;
-use madderpoint_settings::{FleetSettings, Translator};
+use madderpoint_settings::{FleetSettings, Settings};
 use madderpoint_shared_state::{Budget, BudgetKind};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -26,7 +26,7 @@
 /// they are set once all parts of the node are known.
 pub fn participation(
     file: &Path,
-    read: &Translator,
+    read: &Settings,
     config: &NodeConfig,
 ) -> Result<Option<Box<Part>>, SettingsError> {
     let Some(fleet) = &read.fleet else {
@@ -134,7 +134,7 @@
 
 /// What of new settings takes effect in the running cluster part.
 pub fn update(
-    read: &Translator,
+    read: &Settings,
     new: &FleetSettings,
     current: &FleetSettings,
     keys: AuthKeys,
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -9,7 +9,7 @@
 use madderpoint_node::config::{self, NodeConfig};
 use madderpoint_node::io::{ControlMessage, Reset};
 use madderpoint_node::log::part;
-use madderpoint_settings::{FleetSettings, Translator};
+use madderpoint_settings::{FleetSettings, Settings};
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 use tracing::warn;
@@ -74,9 +74,9 @@
         self.send(ControlMessage::Rules(take_rules(&mut read)));
     }
 
-    fn read_settings(&self, file: &Path) -> Result<(Option<AuthKeys>, Translator), SettingsError> {
+    fn read_settings(&self, file: &Path) -> Result<(Option<AuthKeys>, Settings), SettingsError> {
         let read = settings::read(file, &known_on_node(&self.config))
-            .map_err(|complaints| SettingsError::Invalid(complaints.first()))?;
+            .map_err(|diagnostics| SettingsError::Invalid(diagnostics.summary()))?;
         let keys = match &read.fleet {
             Some(fleet) => Some(read_keys(file, fleet)?),
             None => None,
@@ -107,7 +107,7 @@
                     "new settings not in force: they need 'rollout start'"
                 ),
                 Ok(_) => {}
-                Err(complaints) => settings_rejected(&complaints.first()),
+                Err(diagnostics) => settings_rejected(&diagnostics.summary()),
             }
             Box::new(Reset {
                 keys,
--- a/crates/node/src/serve/settings.rs
+++ b/crates/node/src/serve/settings.rs
@@ -8,7 +8,9 @@
 use madderpoint_node::request_rules::CompiledRuleSet;
 use madderpoint_node::version_store::VersionStoreError;
 use madderpoint_rollout::Plan;
-use madderpoint_settings::{self as settings, Complaints, FleetSettings, Known, Place, Translator};
+use madderpoint_settings::{
+    self as settings, Diagnostics, FleetSettings, Location, Settings, ValidationContext,
+};
 use madderpoint_shared_state::keyed_quota::KeyedQuota;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -86,17 +88,17 @@
 }
 
 /// The names and idempotencies that a deployment's settings define.
-pub fn known(config: &DeploymentConfig) -> Known {
+pub fn known(config: &DeploymentConfig) -> ValidationContext {
     let effects = config.deployment.operations.iter().map(|o| o.idempotency);
-    Known {
+    ValidationContext {
         operations: Some(config.operations.iter().cloned().zip(effects).collect()),
         tenants: Some(config.tenants.clone()),
-        ..Known::anything()
+        ..ValidationContext::permissive()
     }
 }
 
 /// The same, with the bounds on sizes that follow from the node's limits.
-pub fn known_on_node(config: &NodeConfig) -> Known {
+pub fn known_on_node(config: &NodeConfig) -> ValidationContext {
     let capacity = io::capacity_limits(
         config,
         OptionalSubsystems {
@@ -106,24 +108,20 @@
             rollouts: true,
         },
     );
-    Known {
-        bytes: capacity.rule_bytes,
-        file_bytes: capacity.settings_file_bytes,
+    ValidationContext {
+        rule_bytes_max: capacity.rule_bytes,
+        file_bytes_max: capacity.settings_file_bytes,
         ..known(&config.deployment)
     }
 }
 
 /// Reads and checks a settings file.
-pub fn read(path: &Path, known: &Known) -> Result<Translator, Complaints> {
+pub fn read(path: &Path, known: &ValidationContext) -> Result<Settings, Diagnostics> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| {
-        let complaint = settings::Complaint {
-            place: Place::Whole,
-            field: String::new(),
-            what: e.to_string(),
-            expected: "a file of settings".to_owned(),
-        };
-        Complaints::new(&name, "", vec![complaint])
+        let unreadable =
+            settings::Diagnostic::new(Location::Whole, "", e.to_string(), "a file of settings");
+        Diagnostics::new(&name, "", vec![unreadable])
     })?;
     settings::read(&name, &text, known)
 }
@@ -144,7 +142,7 @@
 }
 
 /// The quotas by key of the whole cluster, from the buckets of the rules.
-pub fn keyed_quotas(read: &Translator) -> Vec<KeyedQuota> {
+pub fn keyed_quotas(read: &Settings) -> Vec<KeyedQuota> {
     read.rules
         .iter()
         .flat_map(|rules| &rules.fleet)
@@ -153,7 +151,7 @@
 }
 
 /// How rollouts that are started here proceed; the default plan without `<rollout>`.
-pub fn plan(read: &Translator) -> Plan {
+pub fn plan(read: &Settings) -> Plan {
     read.rollout
         .as_ref()
         .map(|rollout| rollout.plan.clone())
@@ -161,7 +159,7 @@
 }
 
 /// Takes the rules out of the settings. Without rules the set is empty, so that earlier ones end.
-pub fn take_rules(read: &mut Translator) -> Box<CompiledRuleSet> {
+pub fn take_rules(read: &mut Settings) -> Box<CompiledRuleSet> {
     let secret = read.fleet.as_ref().map_or(0, |fleet| fleet.secret);
     match read.rules.take() {
         Some(mut book) => {
--- a/crates/node/src/serve/versions.rs
+++ b/crates/node/src/serve/versions.rs
@@ -11,7 +11,7 @@
 use madderpoint_node::version_store::VersionStore;
 use madderpoint_rollout::node_agent::InitialState;
 use madderpoint_rollout::{Kind, PersistedState, Version};
-use madderpoint_settings::{Complaints, FleetSettings, Translator};
+use madderpoint_settings::{Diagnostics, FleetSettings, Settings};
 use madderpoint_shared_state::keyed_quota::KeyedQuota;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -39,7 +39,7 @@
 /// The settings that a node starts with.
 pub struct LoadedSettings {
     /// Their content.
-    pub read: Translator,
+    pub read: Settings,
     /// Where versions are kept: what is in force, and the node's part in rollouts of settings.
     pub versions: Option<(Arc<Mutex<InForce>>, RolloutSetup)>,
 }
@@ -59,7 +59,7 @@
                 read,
                 versions: None,
             }),
-            Err(complaints) => Err(StartError::SettingsFile(complaints)),
+            Err(diagnostics) => Err(StartError::SettingsFile(diagnostics)),
         };
     };
     let open = if is_beside {
@@ -100,9 +100,9 @@
 fn begin(
     store: &mut VersionStore,
     file: &Path,
-    given: Result<Translator, Box<Complaints>>,
+    given: Result<Settings, Box<Diagnostics>>,
     config: &NodeConfig,
-) -> Result<(Translator, InitialState), StartError> {
+) -> Result<(Settings, InitialState), StartError> {
     let content = match &given {
         Ok(read) => {
             let bytes = std::fs::read(file).map_err(|error| StartError::Unreadable {
@@ -111,10 +111,10 @@
             })?;
             Some((version_of(read), bytes))
         }
-        Err(complaints) => {
+        Err(diagnostics) => {
             warn!(
                 target: part::SETTINGS,
-                error = %complaints.first(),
+                error = %diagnostics.summary(),
                 "settings rejected: the node starts on the version in force"
             );
             None
@@ -129,14 +129,14 @@
     });
     match (begun, given) {
         (Ok(begun), _) => Ok((begun.running, begun.state)),
-        (Err(_), Err(complaints)) => Err(StartError::SettingsFile(complaints)),
+        (Err(_), Err(diagnostics)) => Err(StartError::SettingsFile(diagnostics)),
         (Err(problem), Ok(_)) => Err(StartError::NoVersion(problem.to_string())),
     }
 }
 
 /// Where versions are kept, if they are. A relative path starts at the directory of the settings
 /// file.
-fn directory_path(file: &Path, read: Option<&Translator>) -> Option<PathBuf> {
+fn directory_path(file: &Path, read: Option<&Settings>) -> Option<PathBuf> {
     let set = || {
         read.and_then(|read| read.rollout.as_ref())
             .map(|rollout| rollout.dir.clone())
@@ -146,7 +146,7 @@
 }
 
 /// The version that settings have by their number and content.
-pub fn version_of(read: &Translator) -> Version {
+pub fn version_of(read: &Settings) -> Version {
     let (number, hash) = read.number;
     Version { number, hash }
 }
@@ -156,10 +156,10 @@
     file: &Path,
     content: &[u8],
     config: &NodeConfig,
-) -> Result<(Translator, AuthKeys), SettingsError> {
+) -> Result<(Settings, AuthKeys), SettingsError> {
     let text = std::str::from_utf8(content).map_err(|_| SettingsError::NotText)?;
     let read = madderpoint_settings::read("settings", text, &known_on_node(config))
-        .map_err(|complaints| SettingsError::Invalid(complaints.first()))?;
+        .map_err(|diagnostics| SettingsError::Invalid(diagnostics.summary()))?;
     let (Some(fleet), Some(_)) = (&read.fleet, &read.rollout) else {
         return Err(SettingsError::NoClusterOrRollout);
     };
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -1,11 +1,12 @@
-//! What is wrong with an expression, and where.
+//! Errors of expressions, with their place in the text.
 
 use std::ops::Range;
 
-/// What is wrong with an expression.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Error {
-    /// Bytes of the expression's text.
+/// An error in the text of an expression.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{what}; expected {expected}")]
+pub struct ExpressionError {
+    /// The bytes of the expression's text that it concerns.
     pub at: Range<usize>,
     /// What was found.
     pub what: String,
@@ -13,10 +14,14 @@
     pub expected: String,
 }
 
-impl Error {
+impl ExpressionError {
     /// An error at these bytes.
-    pub fn new(at: Range<usize>, what: impl Into<String>, expected: impl Into<String>) -> Error {
-        Error {
+    pub fn new(
+        at: Range<usize>,
+        what: impl Into<String>,
+        expected: impl Into<String>,
+    ) -> ExpressionError {
+        ExpressionError {
             at,
             what: what.into(),
             expected: expected.into(),
--- a/crates/rules/src/facts.rs
+++ b/crates/rules/src/facts.rs
@@ -1,38 +1,53 @@
-//! What rules may ask of an invocation.
+//! The facts of a request, on which rules decide.
 
-use crate::value::{Fault, Type, Value};
+use crate::value::{EvaluationError, Type, Value};
 use smallvec::SmallVec;
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// Parameters that a walk or a computed name can reach; a request with more of them errs there.
+/// The most parameters that a macro or a computed name can reach; a request with more of them errs
+/// there.
 pub const PAIRS_MAX: usize = 64;
 /// The most bytes of a parameter that is not declared: what a request's parameters may take
 /// together.
 pub const PARAM_MAX: usize = 4096;
-/// The largest body.
+/// The largest body, in bytes.
 pub const BODY_MAX: usize = 2048;
-/// The longest SPIFFE id.
+/// The longest SPIFFE id, in bytes.
 const ID_MAX: usize = 2048;
 
 /// A fact with a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-#[allow(missing_docs)]
 pub enum Name {
+    /// The operation that the request names.
     Operation,
+    /// Its tenant.
     Tenant,
+    /// SCRIPT_NAME, or what takes its place in another protocol.
     Script,
+    /// The method.
     Method,
+    /// The protocol.
     Front,
+    /// The expected work.
     Estimate,
+    /// The booked memory, in KB.
     Need,
+    /// The rank, from 0 to 1.
     Rank,
+    /// The load balancer's number.
     Peer,
+    /// When it arrived at the machine.
     Arrived,
+    /// The body.
     Body,
+    /// The address that it was sent from.
     Address,
+    /// The sender's SPIFFE id.
     CallerId,
+    /// The trust domain of that id.
     CallerDomain,
+    /// The path of that id.
     CallerPath,
 }
 
@@ -89,7 +104,7 @@
     }
 }
 
-/// Who calls, as far as it was proven.
+/// The sender of a request, as far as its identity was proven.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller<'a> {
     /// The whole id.
@@ -100,7 +115,7 @@
     pub path: &'a str,
 }
 
-/// An invocation as rules see it.
+/// A request as rules see it.
 #[derive(Clone, Debug, Default)]
 pub struct Facts<'a> {
     /// The operation that it names, if the settings have it.
@@ -113,15 +128,15 @@
     pub method: &'a str,
     /// The protocol that it came over.
     pub front: &'a str,
-    /// The work to expect, in nanoseconds on one core.
+    /// The expected work, in nanoseconds on one core.
     pub estimate: Option<i64>,
     /// The memory that is booked, in KB.
     pub need: Option<f64>,
     /// The rank, from 0 to 1.
     pub rank: Option<f64>,
-    /// The dispatcher's number.
+    /// The load balancer's number.
     pub peer: Option<u64>,
-    /// When it came to the machine, in nanoseconds since the Unix epoch.
+    /// When it arrived at the machine, in nanoseconds since the Unix epoch.
     pub arrived: i64,
     /// The body.
     pub body: &'a [u8],
@@ -134,7 +149,7 @@
 }
 
 impl<'a> Facts<'a> {
-    /// A fact's value, if this invocation has it.
+    /// A fact's value, if this request has it.
     pub fn get(&self, name: Name) -> Option<Value<'a>> {
         Some(match name {
             Name::Operation => Value::Text(self.operation?),
@@ -204,7 +219,7 @@
             .map_or("", |(name, _)| name)
     }
 
-    /// From here on all parameters are kept.
+    /// From now on all parameters are picked.
     pub fn walked(&mut self) {
         self.walks = true;
     }
@@ -229,8 +244,8 @@
                     Ok(name) if params.pairs.len() < PAIRS_MAX => {
                         params.pairs.push((name, text(value, PARAM_MAX)));
                     }
-                    Ok(_) => params.fault = Some(Fault::TooLong),
-                    Err(_) => params.fault = Some(Fault::NoText),
+                    Ok(_) => params.fault = Some(EvaluationError::TooLong),
+                    Err(_) => params.fault = Some(EvaluationError::NoText),
                 }
             }
         }
@@ -238,30 +253,30 @@
     }
 }
 
-fn text(value: &[u8], most: usize) -> Result<&str, Fault> {
+fn text(value: &[u8], most: usize) -> Result<&str, EvaluationError> {
     if value.len() > most {
-        return Err(Fault::TooLong);
+        return Err(EvaluationError::TooLong);
     }
-    str::from_utf8(value).map_err(|_| Fault::NoText)
+    str::from_utf8(value).map_err(|_| EvaluationError::NoText)
 }
 
 /// A request's parameters, as far as rules may ask for them.
 #[derive(Clone, Debug, Default)]
 pub struct Params<'a> {
-    slots: SmallVec<[Option<Result<&'a str, Fault>>; 16]>,
-    pairs: SmallVec<[(&'a str, Result<&'a str, Fault>); 1]>,
+    slots: SmallVec<[Option<Result<&'a str, EvaluationError>>; 16]>,
+    pairs: SmallVec<[(&'a str, Result<&'a str, EvaluationError>); 1]>,
     /// Why not all of them can be walked.
-    fault: Option<Fault>,
+    fault: Option<EvaluationError>,
 }
 
 impl<'a> Params<'a> {
     /// The value in a slot.
-    pub fn slot(&self, slot: u16) -> Result<&'a str, Fault> {
+    pub fn slot(&self, slot: u16) -> Result<&'a str, EvaluationError> {
         self.slots
             .get(usize::from(slot))
             .copied()
             .flatten()
-            .unwrap_or(Err(Fault::Absent))
+            .unwrap_or(Err(EvaluationError::Absent))
     }
 
     /// Whether a slot has a value, be it good or not.
@@ -272,7 +287,7 @@
     }
 
     /// All names, if they can be walked.
-    pub fn names(&self) -> Result<impl ExactSizeIterator<Item = &'a str>, Fault> {
+    pub fn names(&self) -> Result<impl ExactSizeIterator<Item = &'a str>, EvaluationError> {
         self.fault
             .map_or(Ok(self.pairs.iter().map(|(name, _)| *name)), Err)
     }
@@ -288,15 +303,16 @@
     }
 
     /// The value of a name.
-    pub fn find(&self, name: &str) -> Result<&'a str, Fault> {
+    pub fn find(&self, name: &str) -> Result<&'a str, EvaluationError> {
         let found = self.pairs.iter().find(|(n, _)| *n == name);
-        found.map_or(Err(self.fault.unwrap_or(Fault::Absent)), |(_, value)| {
-            *value
-        })
+        found.map_or(
+            Err(self.fault.unwrap_or(EvaluationError::Absent)),
+            |(_, value)| *value,
+        )
     }
 
     /// Whether there is a parameter of this name.
-    pub fn has(&self, name: &str) -> Result<bool, Fault> {
+    pub fn has(&self, name: &str) -> Result<bool, EvaluationError> {
         let found = self.pairs.iter().any(|(n, _)| *n == name);
         if found {
             Ok(true)
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,21 +1,22 @@
-//! Matching expressions: typed rules that classify every invocation, at a known cost.
+//! Matching expressions: typed rules that classify every request, at a known cost.
 //!
-//! An expression is read ([`syntax`]), checked and compiled ([`compile`]), and evaluated over the
-//! facts of an invocation ([`facts`], [`eval`]). Rules ([`ruleset`]) are conditions in the order of
-//! a file; an index ([`index`]) leaves out those that can't match. The language is told in
-//! `docs/operators/rules.md`, why it is so in
-//! `docs/design/rules.md`. Nothing here does I/O or knows a clock.
+//! An expression is parsed ([`syntax`]), checked and compiled ([`compile`]), and evaluated over the
+//! facts of a request ([`facts`], [`eval`]). Rules ([`ruleset`]) are conditions in the order of a
+//! file; an index ([`index`]) leaves out those that can't match. `docs/operators/rules.md`
+//! describes
+//! the language, `docs/design/rules.md` its design. The settings load rule sets, the node evaluates
+//! them. Nothing here does I/O or knows a clock.
 //!
 //! ```
-//! use madderpoint_rules::{Bounds, Facts, Path, RuleSet, Scratch, Vocabulary, Written};
+//! use madderpoint_rules::{Bounds, Facts, Path, RuleSet, Scratch, Vocabulary, RuleSource};
 //!
 //! let words = Vocabulary { operations: vec!["gun-yaz".into()], ..Vocabulary::default() };
-//! let rule = Written {
+//! let rule = RuleSource {
 //!     name: "yaz".into(),
 //!     when: r#"script.startsWith("/old/yaz/") && method == "POST""#.into(),
 //!     operation: Some("gun-yaz".into()),
 //!     key: Some(r#"script.part("/", 3)"#.into()),
-//!     ..Written::default()
+//!     ..RuleSource::default()
 //! };
 //! let rules = RuleSet::load(&[rule], &words, &[], Bounds::default()).unwrap();
 //! let facts = Facts { script: "/old/yaz/ankara-1", method: "POST", ..Facts::default() };
@@ -24,7 +25,6 @@
 //! ```
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod address;
 pub mod compile;
@@ -41,10 +41,10 @@
 
 pub use address::AddressSet;
 pub use compile::Vocabulary;
-pub use error::Error;
+pub use error::ExpressionError;
 pub use facts::{Caller, Facts, Params};
 pub use ruleset::{
-    Bounds, Decision, Field, Given, Path, Problem, RuleSet, Scratch, Verdict, Written,
+    Bounds, Decision, Field, Path, RuleError, RuleOutput, RuleSet, RuleSource, Scratch, Verdict,
     common_number,
 };
-pub use value::{Fault, Type, Value};
+pub use value::{EvaluationError, Type, Value};
--- /dev/null
+++ b/crates/rules/src/ruleset/load.rs
@@ -0,0 +1,248 @@
+//! Checks and compiles the rules of a set.
+
+use super::{
+    BUCKETS_MAX, Bounds, FACTS_MAX, Field, RULES_MAX, Rule, RuleError, RuleSet, RuleSource,
+};
+use crate::compile::{Compiler, Node, Vocabulary};
+use crate::error::ExpressionError;
+use crate::index::Index;
+use crate::syntax;
+use crate::value::Type;
+
+struct Loader<'v> {
+    compiler: Compiler<'v>,
+    vocabulary: &'v Vocabulary,
+    bounds: Bounds,
+    errors: Vec<RuleError>,
+    classes: Vec<String>,
+    buckets: &'v [String],
+}
+
+impl Loader<'_> {
+    fn report(&mut self, rule: usize, field: Field, error: ExpressionError) {
+        self.errors.push(RuleError {
+            rule: Some(rule),
+            field,
+            error,
+        });
+    }
+
+    fn compile(
+        &mut self,
+        rule: usize,
+        field: Field,
+        text: &str,
+        kind: Type,
+    ) -> Option<(Node, u64)> {
+        let parsed = syntax::parse(text).map_err(|e| vec![e]);
+        match parsed.and_then(|expr| self.compiler.compile(&expr, &kind, self.bounds.cost)) {
+            Ok(typed) => Some((typed.node, typed.worst)),
+            Err(errors) => {
+                errors
+                    .into_iter()
+                    .for_each(|error| self.report(rule, field, error));
+                None
+            }
+        }
+    }
+
+    fn whole(text: &str, what: impl Into<String>, expected: impl Into<String>) -> ExpressionError {
+        ExpressionError::new(0..text.len(), what, expected)
+    }
+
+    /// The index of an operation that a rule gives.
+    fn operation(&mut self, place: usize, source: &RuleSource) -> Option<usize> {
+        let name = source.operation.as_ref()?;
+        let found = self.vocabulary.operations.iter().position(|o| o == name);
+        if found.is_none() {
+            let known = format!("one of {}", self.vocabulary.operations.join(", "));
+            let what = format!("the settings have no operation '{name}'");
+            self.report(place, Field::Operation, Self::whole(name, what, known));
+        }
+        found
+    }
+
+    /// The index of a class, which is added if it is new.
+    fn class(&mut self, name: &str) -> u16 {
+        let found = self.classes.iter().position(|class| class == name);
+        let index = found.unwrap_or_else(|| {
+            self.classes.push(name.to_owned());
+            self.classes.len() - 1
+        });
+        index as u16
+    }
+
+    /// Compiles a part of a rule, and adds its worst case to that of the rule.
+    fn part(
+        &mut self,
+        place: usize,
+        field: Field,
+        text: &str,
+        kind: Type,
+        worst: &mut u64,
+    ) -> Option<Node> {
+        let (node, cost) = self.compile(place, field, text, kind)?;
+        *worst += cost;
+        Some(node)
+    }
+
+    /// Buckets by their indices, with the expressions of their keys.
+    fn buckets(&mut self, place: usize, source: &RuleSource, worst: &mut u64) -> Vec<(u16, Node)> {
+        let mut buckets = Vec::new();
+        for (i, (name, text)) in source.buckets.iter().enumerate() {
+            let node = self.part(place, Field::Bucket(i), text, Type::Text, worst);
+            match self.buckets.iter().position(|bucket| bucket == name) {
+                Some(bucket) => buckets.extend(node.map(|node| (bucket as u16, node))),
+                None => {
+                    let known = format!("one of {}", self.buckets.join(", "));
+                    let what = format!("there is no bucket '{name}'");
+                    let error = ExpressionError::new(0..0, what, known);
+                    self.report(place, Field::Bucket(i), error);
+                }
+            }
+        }
+        buckets
+    }
+
+    /// Reports more facts or buckets than one rule may give.
+    fn check_counts(&mut self, place: usize, source: &RuleSource) {
+        let facts = (source.facts.len(), FACTS_MAX, Field::Fact(FACTS_MAX));
+        let buckets = (
+            source.buckets.len(),
+            BUCKETS_MAX,
+            Field::Bucket(BUCKETS_MAX),
+        );
+        for (count, most, field) in [facts, buckets] {
+            if count > most {
+                let expected = format!("at most {most}");
+                let error = ExpressionError::new(0..0, "too many in one rule", expected);
+                self.report(place, field, error);
+            }
+        }
+    }
+
+    fn rule(&mut self, place: usize, source: &RuleSource) -> Option<Rule> {
+        let before = self.errors.len();
+        let operation = self.operation(place, source);
+        let class = source.class.as_ref().map(|name| self.class(name));
+        let mut worst = 0;
+        let when = self.part(place, Field::When, &source.when, Type::Bool, &mut worst);
+        let key = source
+            .key
+            .as_ref()
+            .and_then(|text| self.part(place, Field::Key, text, Type::Text, &mut worst));
+        let rank = source
+            .rank
+            .as_ref()
+            .and_then(|text| self.part(place, Field::Rank, text, Type::Float, &mut worst));
+        let mut facts = Vec::new();
+        for (i, (name, text)) in source.facts.iter().enumerate() {
+            let node = self.part(place, Field::Fact(i), text, Type::Text, &mut worst);
+            facts.extend(node.map(|node| (name.as_str().into(), node)));
+        }
+        let buckets = self.buckets(place, source, &mut worst);
+        self.check_counts(place, source);
+        if self.errors.len() > before {
+            return None;
+        }
+        Some(Rule {
+            name: source.name.as_str().into(),
+            operation,
+            class,
+            verdict: source.verdict.clone(),
+            when: when?,
+            worst,
+            key,
+            rank,
+            facts: facts.into(),
+            buckets: buckets.into(),
+            text: source.when.trim().into(),
+        })
+    }
+
+    /// All rules and the bytes that they take; what is too large is not built to its end.
+    fn rules(&mut self, sources: &[RuleSource]) -> (Vec<Rule>, usize) {
+        let (mut rules, mut bytes) = (Vec::new(), 0);
+        for (place, source) in sources.iter().enumerate() {
+            if let Some(rule) = self.rule(place, source) {
+                bytes += rule.bytes();
+                rules.push(rule);
+            }
+            if bytes > self.bounds.bytes {
+                break;
+            }
+        }
+        (rules, bytes)
+    }
+}
+
+/// An error of the whole set.
+fn whole_set(what: String, expected: String) -> Vec<RuleError> {
+    vec![RuleError {
+        rule: None,
+        field: Field::Name,
+        error: ExpressionError::new(0..0, what, expected),
+    }]
+}
+
+impl RuleSet {
+    /// Checks and compiles rules that name these buckets.
+    ///
+    /// # Errors
+    ///
+    /// All that is wrong with them, or the bound that they exceed.
+    pub fn load(
+        sources: &[RuleSource],
+        vocabulary: &Vocabulary,
+        buckets: &[String],
+        bounds: Bounds,
+    ) -> Result<RuleSet, Vec<RuleError>> {
+        let compiler = Compiler::new(vocabulary);
+        let mut loader = Loader {
+            compiler,
+            vocabulary,
+            bounds,
+            errors: Vec::new(),
+            classes: Vec::new(),
+            buckets,
+        };
+        if sources.len() > RULES_MAX {
+            return Err(whole_set(
+                format!("{} rules", sources.len()),
+                format!("at most {RULES_MAX}"),
+            ));
+        }
+        let (rules, mut bytes) = loader.rules(sources);
+        if !loader.errors.is_empty() {
+            return Err(loader.errors);
+        }
+        let index = Index::new(rules.iter().map(|rule| &rule.when));
+        let sets: usize = vocabulary.sets.values().map(|set| set.bytes()).sum();
+        bytes += index.bytes() + sets + loader.compiler.shared_bytes();
+        if bytes > bounds.bytes {
+            let what = format!("the rules take about {} KiB", bytes >> 10);
+            let room = format!(
+                "at most {} KiB, which follows from the memory limit",
+                bounds.bytes >> 10
+            );
+            return Err(whole_set(what, room));
+        }
+        let worst = index.worst(|rule| rules[rule as usize].worst);
+        let Loader {
+            compiler, classes, ..
+        } = loader;
+        let names = compiler.names;
+        Ok(RuleSet {
+            rules,
+            index,
+            names,
+            classes,
+            buckets: buckets.to_vec(),
+            cost: bounds.cost,
+            bytes,
+            worst,
+            shared: Vec::new(),
+            common: 0,
+        })
+    }
+}
--- a/crates/test-harness/src/bin/madderpoint-fault-test.rs
+++ b/crates/test-harness/src/bin/madderpoint-fault-test.rs
@@ -4,7 +4,7 @@
 use madderpoint_test_harness::fault_scenario::{
     self, FaultScenario, Outcome, ProgramSetup, ScenarioError,
 };
-use madderpoint_test_harness::script::Script;
+use madderpoint_test_harness::scenario::Scenario;
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -111,7 +111,7 @@
 }
 
 /// Prints an outcome to standard output.
-fn print(script: &Script, outcome: &Outcome) {
+fn print(script: &Scenario, outcome: &Outcome) {
     let result = if outcome.failures.is_empty() {
         "held"
     } else {
--- a/crates/test-harness/src/fault_proxy.rs
+++ b/crates/test-harness/src/fault_proxy.rs
@@ -3,7 +3,7 @@
 //! Streams: bytes pass in order, delayed or not at all.
 
 use crate::faults::{Delivery, Faults, NodeLocation};
-use crate::script::Links;
+use crate::scenario::LinkKind;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -206,7 +206,7 @@
     /// Loses, damages, holds or delays a datagram as the faults on its link demand.
     fn apply_faults(&mut self, from: usize, to: usize, mut frame: Vec<u8>) {
         let delivery = self.faults.delivery(
-            Links::Fleet,
+            LinkKind::Fleet,
             &self.nodes[from].place,
             &self.nodes[to].place,
             frame.len(),
@@ -276,7 +276,7 @@
     ///
     /// A port or thread cannot be created.
     pub fn start(
-        link: Links,
+        link: LinkKind,
         node: NodeLocation,
         to: SocketAddr,
         faults: Arc<Faults>,
@@ -300,7 +300,13 @@
 }
 
 /// Forwards bytes both ways until one end closes.
-fn forward(link: Links, node: &NodeLocation, a: TcpStream, to: SocketAddr, faults: &Arc<Faults>) {
+fn forward(
+    link: LinkKind,
+    node: &NodeLocation,
+    a: TcpStream,
+    to: SocketAddr,
+    faults: &Arc<Faults>,
+) {
     let Ok(b) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else {
         let _ = a.shutdown(Shutdown::Both);
         return;
@@ -319,7 +325,7 @@
 
 /// Forwards bytes one way until an end closes, then closes both.
 fn copy(
-    link: Links,
+    link: LinkKind,
     node: &NodeLocation,
     mut from: &TcpStream,
     mut to: &TcpStream,
--- a/crates/test-harness/src/fault_scenario.rs
+++ b/crates/test-harness/src/fault_scenario.rs
@@ -23,7 +23,7 @@
 use crate::faults::{Faults, NodeLocation};
 use crate::keys::KeyRecord;
 use crate::peers::unused_address;
-use crate::script::{Links, Script};
+use crate::scenario::{LinkKind, Scenario};
 use load::LoadRate;
 use observe::Observations;
 use process::{ScenarioNode, remove_stale_versions, start_service_registry};
@@ -67,7 +67,7 @@
     },
     /// The scenario's file is not valid; the text names line and field.
     #[error("{0}")]
-    Invalid(madderpoint_settings::Complaints),
+    Invalid(madderpoint_settings::Diagnostics),
     /// A socket, file, thread or process could not be created.
     #[error(transparent)]
     Io(#[from] io::Error),
@@ -96,7 +96,7 @@
 
 /// A running scenario.
 pub struct FaultScenario {
-    script: Script,
+    script: Scenario,
     setting: ProgramSetup,
     nodes: Vec<ScenarioNode>,
     faults: Arc<Faults>,
@@ -125,7 +125,7 @@
 }
 
 /// Name, zone and listening address of every node.
-fn node_locations(script: &Script) -> Vec<(NodeLocation, SocketAddr)> {
+fn node_locations(script: &Scenario) -> Vec<(NodeLocation, SocketAddr)> {
     let ip = own_address();
     (0..script.nodes)
         .map(|n| {
@@ -140,7 +140,7 @@
 
 /// Creates every node's stand-in peers and proxies; starts no process.
 fn create_nodes(
-    script: &Script,
+    script: &Scenario,
     locations: Vec<(NodeLocation, SocketAddr)>,
     datagram_proxy: &DatagramProxy,
     faults: &Arc<Faults>,
@@ -164,10 +164,10 @@
         nodes.push(ScenarioNode {
             bind,
             reached: datagram_proxy.addresses[n],
-            executor_proxy: proxy(Links::Kernel, executor.address)?,
-            backend_proxy: proxy(Links::Backend, backend_address)?,
-            registry_proxy: proxy(Links::Members, start_service_registry()?)?,
-            request_proxy: proxy(Links::Load, unused_address())?,
+            executor_proxy: proxy(LinkKind::Kernel, executor.address)?,
+            backend_proxy: proxy(LinkKind::Backend, backend_address)?,
+            registry_proxy: proxy(LinkKind::Members, start_service_registry()?)?,
+            request_proxy: proxy(LinkKind::Load, unused_address())?,
             executor,
             name: place.name.clone(),
             place,
@@ -187,7 +187,7 @@
     /// # Errors
     ///
     /// A socket, file or process cannot be created, or a process does not listen in time.
-    pub fn start(script: Script, setting: ProgramSetup) -> Result<FaultScenario, ScenarioError> {
+    pub fn start(script: Scenario, setting: ProgramSetup) -> Result<FaultScenario, ScenarioError> {
         let locations = node_locations(&script);
         let faults = Arc::new(Faults::new(script.seed));
         let datagram_proxy = DatagramProxy::start(locations.clone(), Arc::clone(&faults))?;
@@ -299,11 +299,11 @@
 /// # Errors
 ///
 /// The file cannot be read, or is not a valid scenario.
-pub fn read(file: &Path) -> Result<Script, ScenarioError> {
+pub fn read(file: &Path) -> Result<Scenario, ScenarioError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|source| ScenarioError::Unreadable {
         file: name.clone(),
         source,
     })?;
-    crate::script::read(&name, &text).map_err(ScenarioError::Invalid)
+    crate::scenario::read(&name, &text).map_err(ScenarioError::Invalid)
 }
--- a/crates/test-harness/src/fault_scenario/changes.rs
+++ b/crates/test-harness/src/fault_scenario/changes.rs
@@ -6,7 +6,7 @@
 use super::observe::{Observations, status_pages};
 use super::{AUTH_KEY, CLUSTER_NAME, FaultScenario, QUERY_INTERVAL, QUERY_TIMEOUT};
 use crate::event_record::EventLine;
-use crate::script::Ends;
+use crate::scenario::NodeSelector;
 use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_membership::observer::Observer;
 use madderpoint_rollout::chunks;
@@ -284,7 +284,7 @@
     pub(super) fn not_running(
         &self,
         seen: &Observations,
-        to: &Ends,
+        to: &NodeSelector,
         number: u64,
     ) -> Option<String> {
         for (n, node) in self.nodes.iter().enumerate() {
@@ -311,7 +311,7 @@
     pub(super) fn change_is(
         &mut self,
         at: usize,
-        to: &Ends,
+        to: &NodeSelector,
         is: (u64, &str, u32),
         within: Duration,
     ) {
--- a/crates/test-harness/src/fault_scenario/config.rs
+++ b/crates/test-harness/src/fault_scenario/config.rs
@@ -2,7 +2,7 @@
 
 use super::FaultScenario;
 use crate::program;
-use crate::script::{Keys as LimitedKeys, Script};
+use crate::scenario::{KeyedLimit, Scenario};
 use std::io;
 use std::path::PathBuf;
 
@@ -40,7 +40,7 @@
 
     /// The voters, cluster-wide budgets and services in the nodes' settings.
     pub(super) fn shared(&self) -> String {
-        let Script {
+        let Scenario {
             calls_a_second,
             calls_in_hand,
             repeats_a_second,
@@ -72,7 +72,7 @@
 
     /// The rules with the bucket of the keyed quota; empty if the scenario has no keyed quota.
     pub(super) fn rules(&self) -> String {
-        let LimitedKeys {
+        let KeyedLimit {
             count,
             a_second,
             burst,
--- a/crates/test-harness/src/fault_scenario/expectations.rs
+++ b/crates/test-harness/src/fault_scenario/expectations.rs
@@ -3,7 +3,7 @@
 
 use super::observe::{Observations, REPLAY_WINDOW_NS, status_pages};
 use super::{AUTH_KEY, CLUSTER_NAME, FaultScenario, QUERY_INTERVAL, QUERY_TIMEOUT, lock};
-use crate::script::Action;
+use crate::scenario::Action;
 use madderpoint_membership::Liveness;
 use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_membership::observer::{NodeSnapshot, Observer};
--- a/crates/test-harness/src/fault_scenario/outcome.rs
+++ b/crates/test-harness/src/fault_scenario/outcome.rs
@@ -2,7 +2,7 @@
 
 use crate::backend_service::BackendRecord;
 use crate::checker::Statuses;
-use crate::script::Script;
+use crate::scenario::Scenario;
 use std::collections::BTreeMap;
 
 /// The outcome of a scenario.
@@ -44,7 +44,7 @@
     /// # Panics
     ///
     /// Something did not hold; the message shows the failures, the seed, the steps and the record.
-    pub fn expect_good(&self, script: &Script) -> &Outcome {
+    pub fn expect_good(&self, script: &Scenario) -> &Outcome {
         assert!(
             self.failures.is_empty(),
             "'{}', seed {}: {:#?}\n{:#?}\nthe record up to then:\n{}",
--- a/crates/test-harness/src/fault_scenario/steps.rs
+++ b/crates/test-harness/src/fault_scenario/steps.rs
@@ -1,7 +1,7 @@
 //! The steps of a scenario: faults on links and processes, changes of the load, and expectations.
 
 use super::{FaultScenario, lock};
-use crate::script::{Action, Ends, Faulty, Links};
+use crate::scenario::{Action, LinkFault, LinkKind, NodeSelector};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rustix::process::{Signal, kill_process};
@@ -70,8 +70,8 @@
         }
     }
 
-    fn put_fault(&mut self, faulty: &Faulty, time: Option<Duration>) {
-        if faulty.on != Links::Fleet {
+    fn put_fault(&mut self, faulty: &LinkFault, time: Option<Duration>) {
+        if faulty.on != LinkKind::Fleet {
             let until = time.map(|time| Instant::now() + time + EXCUSE_AFTER);
             for node in &self.nodes {
                 if faulty.from.has(&node.place.name, &node.place.zone) {
@@ -118,7 +118,7 @@
         });
     }
 
-    fn change_load(&self, to: &Ends, requests_per_second: u64, keys: Option<(u64, u64)>) {
+    fn change_load(&self, to: &NodeSelector, requests_per_second: u64, keys: Option<(u64, u64)>) {
         let callers = self.script.callers.max(1) as u32;
         for node in &self.nodes {
             if to.has(&node.place.name, &node.place.zone) {
@@ -131,7 +131,7 @@
     }
 
     /// Floods nodes with datagrams that are not the cluster's; half of them begin like one.
-    fn start_flood(&self, to: &Ends, datagrams_per_second: u64, time: Duration) {
+    fn start_flood(&self, to: &NodeSelector, datagrams_per_second: u64, time: Duration) {
         let targets: Vec<SocketAddr> = self
             .nodes
             .iter()
--- a/crates/test-harness/src/faults.rs
+++ b/crates/test-harness/src/faults.rs
@@ -1,6 +1,6 @@
 //! Which faults are in force on which links; the fault proxies ask for everything that passes.
 
-use crate::script::{Fault, Faulty, Links};
+use crate::scenario::{Fault, LinkFault, LinkKind};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
@@ -34,7 +34,7 @@
 
 struct State {
     /// Faults in force, each with its end if it has one.
-    faults: Vec<(Faulty, Option<Instant>)>,
+    faults: Vec<(LinkFault, Option<Instant>)>,
     rng: Pcg64Mcg,
     /// When the next byte may pass on a throttled link, by sender and receiver.
     next_free: HashMap<(String, String), Instant>,
@@ -68,7 +68,7 @@
     }
 
     /// Puts a fault on its links, for a time or until all links are healed.
-    pub fn put(&self, faulty: Faulty, time: Option<Duration>) {
+    pub fn put(&self, faulty: LinkFault, time: Option<Duration>) {
         let mut state = self.lock();
         let until = time.map(|time| Instant::now() + time);
         state.faults.push((faulty, until));
@@ -92,14 +92,14 @@
     pub fn is_cut(&self, from: &NodeLocation, to: &NodeLocation) -> bool {
         let state = self.lock();
         state
-            .on_link(Links::Fleet, from, to)
+            .on_link(LinkKind::Fleet, from, to)
             .any(|fault| fault.cut || fault.hold)
     }
 
     /// Decides, with random draws, what is done with a datagram of this size.
     pub fn delivery(
         &self,
-        on: Links,
+        on: LinkKind,
         from: &NodeLocation,
         to: &NodeLocation,
         bytes: usize,
@@ -157,7 +157,7 @@
     }
 
     /// For streams: blocks until bytes may pass, and for their delay.
-    pub fn wait_to_pass(&self, on: Links, from: &NodeLocation, to: &NodeLocation, bytes: usize) {
+    pub fn wait_to_pass(&self, on: LinkKind, from: &NodeLocation, to: &NodeLocation, bytes: usize) {
         let mut state = self.lock();
         loop {
             let (is_stuck, delay) = {
@@ -192,7 +192,7 @@
     /// The faults in force on a link now.
     fn on_link<'s>(
         &'s self,
-        on: Links,
+        on: LinkKind,
         from: &'s NodeLocation,
         to: &'s NodeLocation,
     ) -> impl Iterator<Item = &'s Fault> {
--- a/crates/test-harness/src/faults/tests.rs
+++ b/crates/test-harness/src/faults/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::script::Ends;
+use crate::scenario::NodeSelector;
 
 fn place(name: &str, zone: &str) -> NodeLocation {
     NodeLocation {
@@ -16,22 +16,27 @@
         cut: true,
         ..Fault::default()
     };
-    let faulty = Faulty {
-        from: Ends::Node("n0".into()),
-        to: Ends::Zone("z1".into()),
+    let faulty = LinkFault {
+        from: NodeSelector::Node("n0".into()),
+        to: NodeSelector::Zone("z1".into()),
         fault: cut,
-        ..Faulty::default()
+        ..LinkFault::default()
     };
     faults.put(faulty.clone(), None);
     assert!(faults.is_cut(&a, &b) && !faults.is_cut(&b, &a) && !faults.is_cut(&a, &c));
-    assert!(faults.delivery(Links::Fleet, &a, &b, 9).copies.is_empty());
+    assert!(
+        faults
+            .delivery(LinkKind::Fleet, &a, &b, 9)
+            .copies
+            .is_empty()
+    );
     assert_eq!(
-        faults.delivery(Links::Load, &a, &b, 9).copies,
+        faults.delivery(LinkKind::Load, &a, &b, 9).copies,
         [Duration::ZERO]
     );
     faults.heal();
     faults.put(
-        Faulty {
+        LinkFault {
             both: true,
             ..faulty
         },
@@ -40,7 +45,7 @@
     assert!(faults.is_cut(&a, &b) && faults.is_cut(&b, &a));
     faults.heal();
     assert_eq!(
-        faults.delivery(Links::Fleet, &a, &b, 9).copies,
+        faults.delivery(LinkKind::Fleet, &a, &b, 9).copies,
         [Duration::ZERO]
     );
 }
@@ -56,15 +61,15 @@
             ..Fault::default()
         };
         faults.put(
-            Faulty {
+            LinkFault {
                 fault,
-                ..Faulty::default()
+                ..LinkFault::default()
             },
             None,
         );
         let (a, b) = (place("n0", ""), place("n1", ""));
         (0..1000)
-            .map(|_| faults.delivery(Links::Fleet, &a, &b, 9))
+            .map(|_| faults.delivery(LinkKind::Fleet, &a, &b, 9))
             .collect::<Vec<_>>()
     };
     let deliveries = play();
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -2,7 +2,7 @@
 //! what must hold for every request. Everything stays on loopback, on free ports, and waits for
 //! events instead of fixed times.
 
-pub use madderpoint_settings::script;
+pub use madderpoint_settings::scenario;
 
 pub mod backend_service;
 pub mod checker;
