--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -21,7 +21,7 @@
 mod stream;
 mod threads;
 
-pub use cluster_link::{Part, Reset, SHARED, zone_number};
+pub use cluster_link::{ClusterSettingsUpdate, ClusterSetup, SHARED, zone_number};
 pub use rollout_link::{PROGRAM_CHANGES, RolloutSetup, SETTINGS_CHANGES, VersionError, Versions};
 
 use crate::capacity::{CapacityLimits, OptionalSubsystems};
@@ -60,7 +60,7 @@
     /// The rules were replaced.
     Rules(Box<CompiledRuleSet>),
     /// The settings of the cluster were replaced.
-    Cluster(Box<Reset>),
+    Cluster(Box<ClusterSettingsUpdate>),
 }
 
 /// What a node may have beside what the platform demands.
@@ -72,8 +72,8 @@
     pub on_serving: Option<Box<dyn FnOnce()>>,
     /// Rules of the settings file.
     pub rules: Option<Box<CompiledRuleSet>>,
-    /// Its part in a cluster.
-    pub cluster: Option<Box<Part>>,
+    /// How it takes part in its cluster.
+    pub cluster: Option<Box<ClusterSetup>>,
 }
 
 impl OptionalParts {
@@ -82,8 +82,8 @@
         OptionalSubsystems {
             settings: self.rules.is_some(),
             cluster: cluster.is_some(),
-            shared_state: cluster.is_some_and(|part| part.shares()),
-            rollouts: cluster.is_some_and(|part| !part.changes.is_empty()),
+            shared_state: cluster.is_some_and(|setup| setup.has_shared_state()),
+            rollouts: cluster.is_some_and(|setup| !setup.rollouts.is_empty()),
         }
     }
 }
@@ -106,13 +106,16 @@
     let inbox = Inbox { clients, peers };
     let (reader, on_serving) = open_listener(config, &mut parts, capacity, client_events)?;
     let links = start_peer_links(config, &capacity, &events)?;
-    let participation = parts
-        .cluster
-        .as_ref()
-        .map(|part| (part.budgets.clone(), part.rhythm(), part.with()));
+    let participation = parts.cluster.as_ref().map(|setup| {
+        (
+            setup.budgets.clone(),
+            setup.quota_timing(),
+            setup.shared_state_options(),
+        )
+    });
     let cluster = parts
         .cluster
-        .map(|part| start_cluster(part, &capacity, config.seed, clock, events.clone()))
+        .map(|setup| start_cluster(setup, &capacity, config.seed, clock, events.clone()))
         .transpose()?;
     let (cluster, cluster_thread) = cluster.unzip();
     let control_thread = ControlThread {
@@ -136,8 +139,8 @@
         has_backend,
         &capacity,
     );
-    if let Some((budgets, rhythm, with)) = participation {
-        core.join_cluster(clock.now(), &budgets, rhythm, &with);
+    if let Some((budgets, quota_timing, options)) = participation {
+        core.join_cluster(clock.now(), &budgets, quota_timing, &options);
     }
     if let Some(rules) = parts.rules {
         core.handle(clock.read(), Event::RulesChanged(rules));
@@ -236,23 +239,23 @@
 }
 
 fn start_cluster(
-    mut part: Box<Part>,
+    mut setup: Box<ClusterSetup>,
     capacity: &CapacityLimits,
     seed: u64,
     clock: Clock,
     events: Sender<Message>,
 ) -> io::Result<(ClusterLink, JoinHandle<()>)> {
-    part.settings.bytes = capacity.member_table_bytes;
-    part.key_bytes = capacity.quota_lender_bytes;
-    part.count_bytes = capacity.counter_bytes;
-    part.change_bytes = capacity.rollout_bytes;
+    setup.settings.bytes = capacity.member_table_bytes;
+    setup.quota_lender_bytes = capacity.quota_lender_bytes;
+    setup.counter_bytes = capacity.counter_bytes;
+    setup.rollout_bytes = capacity.rollout_bytes;
     let read_clock = move || {
         let ClockReading { now, unix_ms } = clock.read();
         madderpoint_membership::ClockReading { now, unix_ms }
     };
     // Randomness of its own: the seed of the decisions is given by the platform, and may be the
     // same on many nodes.
-    cluster_link::start(*part, seed ^ clock.now(), read_clock, events)
+    cluster_link::start(*setup, seed ^ clock.now(), read_clock, events)
 }
 
 /// Passes control messages on to the core and to the cluster's thread.
@@ -276,7 +279,7 @@
                 ControlMessage::Rules(rules) => Event::RulesChanged(rules),
                 ControlMessage::Cluster(update) => {
                     if let Some(cluster) = &self.cluster {
-                        cluster.reset(*update);
+                        cluster.reconfigure(*update);
                     }
                     continue;
                 }
--- /dev/null
+++ b/crates/node/src/io/cluster_link/health_exchange.rs
@@ -0,0 +1,73 @@
+//! Health reports about the backend service that the nodes send each other, and their sum for the
+//! core.
+
+use super::hosts::{MembershipHost, SHARED};
+use crate::io::inbox::Message;
+use crate::node::Event;
+use madderpoint_membership::{ClockReading, MemberKey, Membership, Nanos};
+use madderpoint_shared_state::messages::{SharedMessage, encode};
+use madderpoint_shared_state::{HealthReport, HealthReports, ProcessId, service_health};
+
+/// Health reports of other nodes that are stored: a sample of a large cluster is enough.
+const MAX_REPORTS: usize = 256;
+/// Members that a report is sent to each time.
+const REPORT_RECEIVERS: usize = 3;
+/// Of the reports that all is well, one in this many is sent.
+const WELL_REPORT_INTERVAL: u64 = 4;
+
+/// This node's end of the exchange of health reports.
+pub struct HealthExchange {
+    /// The service's hashed name.
+    service: u64,
+    health_reports: HealthReports,
+    local_report_count: u64,
+}
+
+impl HealthExchange {
+    /// The exchange about the service of this name.
+    pub fn new(service_name: &str) -> HealthExchange {
+        HealthExchange {
+            service: MemberKey::of(service_name).0,
+            health_reports: HealthReports::new(MAX_REPORTS),
+            local_report_count: 0,
+        }
+    }
+
+    /// Stores what another process reports of this service; of others nothing is stored.
+    pub fn receive(&mut self, now: Nanos, from: ProcessId, service: u64, report: HealthReport) {
+        if service == self.service {
+            self.health_reports.receive(now, from, service, report);
+        }
+    }
+
+    /// Takes up this node's own report: some members get it, and the core gets the aggregated
+    /// health.
+    pub fn report_local(
+        &mut self,
+        at: ClockReading,
+        membership: &mut Membership<MembershipHost>,
+        report: HealthReport,
+    ) {
+        self.local_report_count += 1;
+        let is_well = report.failed == 0 && report.admitted_share >= 1.0;
+        let is_due = !is_well || self.local_report_count.is_multiple_of(WELL_REPORT_INTERVAL);
+        if report.calls > 0 && is_due || report.admitted_share < 1.0 {
+            let message = SharedMessage::HealthReports(vec![(self.service, report)]);
+            let payload = encode(&message);
+            for key in membership.random_members(REPORT_RECEIVERS) {
+                membership.send_payload(at, key, SHARED, &payload);
+            }
+        }
+        let mut health = self.health_reports.aggregate(at.now, self.service);
+        let (me, _) = membership.identity();
+        let members = membership
+            .member_table()
+            .iter()
+            .filter(|(_, entry)| entry.liveness().is_present());
+        health.is_prober =
+            service_health::is_prober(at.now, me.0, self.service, members.map(|(key, _)| key.0));
+        health.is_alone = membership.member_table().counts().present() <= 1;
+        let event = Message::Event(Event::AggregatedHealth(health));
+        let _ = membership.host.events.try_send(event);
+    }
+}
--- /dev/null
+++ b/crates/node/src/io/cluster_link/hosts.rs
@@ -0,0 +1,243 @@
+//! The side effects of the membership and of the shared state: what they send goes out by the
+//! cluster's socket, and what the core is to know goes to its queue. No call waits.
+
+use crate::io::inbox::Message;
+use crate::log::part;
+use crate::node::Event;
+use crossbeam_channel::{Sender, TrySendError};
+use madderpoint_membership::{ClusterView, Host, Incarnation, MemberKey, Nanos};
+use madderpoint_shared_state::keyed_quota::QuotaGrant;
+use madderpoint_shared_state::messages::{MAX_PAYLOAD_BYTES, SharedMessage};
+use madderpoint_shared_state::{self as shared_state, BudgetRequest, ProcessId};
+use std::collections::BTreeMap;
+use std::net::{SocketAddr, UdpSocket};
+use tracing::info;
+
+/// The topic of the shared state, for payloads and status pages.
+pub const SHARED: u32 = 1;
+/// A status snapshot is rendered anew after this many nanoseconds.
+const STATUS_LIFETIME: Nanos = 200_000_000;
+/// Operator commands that may wait for the next turn of the event loop.
+const QUEUED_OPERATOR_COMMANDS: usize = 32;
+
+/// Side effects of the shared state.
+pub struct SharedStateHost {
+    /// Messages that the event loop is to send, with the keys of their receivers.
+    pub sent: Vec<(u64, SharedMessage)>,
+    /// What the core requested last of the budgets, and when.
+    pub lease_requests: (Nanos, Vec<BudgetRequest>),
+    /// Whether the core has released its leases and uses none of their units.
+    pub are_leases_released: bool,
+    events: Sender<Message>,
+}
+
+impl SharedStateHost {
+    /// A host that reports to the core by this queue.
+    pub fn new(events: Sender<Message>) -> SharedStateHost {
+        SharedStateHost {
+            sent: Vec::new(),
+            lease_requests: (0, Vec::new()),
+            are_leases_released: false,
+            events,
+        }
+    }
+}
+
+impl shared_state::Host for SharedStateHost {
+    fn send(&mut self, to: u64, message: SharedMessage) {
+        self.sent.push((to, message));
+    }
+
+    fn log(&mut self, line: &str) {
+        info!(target: part::SHARED_STATE, event = "leader", "{line}");
+    }
+
+    fn lease_requests(&mut self, _: Nanos) -> (Nanos, Vec<BudgetRequest>) {
+        self.lease_requests.clone()
+    }
+
+    fn receive_quota_grant(&mut self, _: Nanos, grant: QuotaGrant) {
+        let event = Event::QuotaGranted(Box::new(grant));
+        let _ = self.events.try_send(Message::Event(event));
+    }
+
+    fn receive_leases(
+        &mut self,
+        _: Nanos,
+        requested_at: Nanos,
+        leases: &[(u32, shared_state::Lease)],
+    ) {
+        // A lease that finds no room in the queue is not used, and expires.
+        let event = Event::LeasesGranted(requested_at, leases.to_vec());
+        let _ = self.events.try_send(Message::Event(event));
+    }
+
+    fn drop_leases(&mut self, _: Nanos) -> bool {
+        self.are_leases_released
+    }
+}
+
+/// A payload of another member, for the event loop.
+pub struct ReceivedPayload {
+    /// The process that sent it.
+    pub from: ProcessId,
+    /// What it is about.
+    pub topic: u32,
+    /// Its content.
+    pub bytes: Vec<u8>,
+}
+
+/// An operator's command, for the event loop.
+pub struct ReceivedCommand {
+    /// Where the reply goes.
+    pub from: SocketAddr,
+    /// Its number, which the reply carries.
+    pub number: u32,
+    /// What it is about.
+    pub topic: u32,
+    /// Its content.
+    pub bytes: Vec<u8>,
+}
+
+/// An encoded status snapshot.
+pub struct RenderedStatus {
+    /// When it was rendered.
+    pub rendered_at: Nanos,
+    /// All of it; a page is a slice of this.
+    pub bytes: Vec<u8>,
+}
+
+impl RenderedStatus {
+    fn is_fresh(&self, now: Nanos) -> bool {
+        now < self.rendered_at + STATUS_LIFETIME
+    }
+
+    /// A page from this byte on, and where the next one begins; 0 after the last.
+    fn page(&self, from: u64) -> (Vec<u8>, u64) {
+        let bytes = &self.bytes;
+        let from = usize::try_from(from).unwrap_or(usize::MAX).min(bytes.len());
+        let to = (from + MAX_PAYLOAD_BYTES).min(bytes.len());
+        let next = if to < bytes.len() { to as u64 } else { 0 };
+        (bytes[from..to].to_vec(), next)
+    }
+}
+
+/// Side effects of the membership.
+pub struct MembershipHost {
+    /// The cluster's socket, which doesn't block.
+    pub socket: UdpSocket,
+    /// The core's queue.
+    pub events: Sender<Message>,
+    /// When the event loop read the socket last.
+    pub now: Nanos,
+    /// Payloads that came in this turn of the event loop.
+    pub payloads: Vec<ReceivedPayload>,
+    /// Operator commands that came in this turn; a bounded number.
+    pub operator_commands: Vec<ReceivedCommand>,
+    /// A cluster view that found no room in the core's queue.
+    pub unsent_view: Option<ClusterView>,
+    /// The status of the shared state, as the core reported it last.
+    pub shared_status: Option<RenderedStatus>,
+    /// The status of rollouts, by topic.
+    pub rollout_status: BTreeMap<u32, RenderedStatus>,
+    /// Topics of rollouts whose status is to be rendered.
+    pub requested_topics: Vec<u32>,
+    has_shared_state: bool,
+}
+
+impl MembershipHost {
+    /// A host that sends by this socket and reports to the core by this queue.
+    pub fn new(
+        socket: UdpSocket,
+        events: Sender<Message>,
+        has_shared_state: bool,
+    ) -> MembershipHost {
+        MembershipHost {
+            socket,
+            events,
+            now: 0,
+            payloads: Vec::new(),
+            operator_commands: Vec::new(),
+            unsent_view: None,
+            shared_status: None,
+            rollout_status: BTreeMap::new(),
+            requested_topics: Vec::new(),
+            has_shared_state,
+        }
+    }
+
+    fn rollout_status_page(&mut self, topic: u32, from: u64) -> Option<(Vec<u8>, u64)> {
+        // All pages of one reply show one moment; the request for the first one renders it anew.
+        let status = self.rollout_status.get(&topic);
+        let Some(status) = status.filter(|status| from > 0 || status.is_fresh(self.now)) else {
+            self.requested_topics.push(topic);
+            return None;
+        };
+        Some(status.page(from))
+    }
+}
+
+impl Host for MembershipHost {
+    fn send(&mut self, to: SocketAddr, frame: &[u8]) {
+        // A datagram that is not sent counts as lost on the way, which the protocol bears.
+        let _ = self.socket.send_to(frame, to);
+    }
+
+    fn log(&mut self, kind: &'static str, line: &str) {
+        info!(target: part::CLUSTER, event = kind, "{line}");
+    }
+
+    fn payload_received(
+        &mut self,
+        from: MemberKey,
+        incarnation: Incarnation,
+        topic: u32,
+        payload: &[u8],
+    ) {
+        self.payloads.push(ReceivedPayload {
+            from: ProcessId {
+                key: from.0,
+                incarnation: incarnation.0,
+            },
+            topic,
+            bytes: payload.to_vec(),
+        });
+    }
+
+    fn command_received(&mut self, from: SocketAddr, number: u32, topic: u32, command: &[u8]) {
+        if self.operator_commands.len() < QUEUED_OPERATOR_COMMANDS {
+            self.operator_commands.push(ReceivedCommand {
+                from,
+                number,
+                topic,
+                bytes: command.to_vec(),
+            });
+        }
+    }
+
+    fn status_page(&mut self, topic: u32, from: u64) -> Option<(Vec<u8>, u64)> {
+        if topic != SHARED {
+            return self.rollout_status_page(topic, from);
+        }
+        if !self.has_shared_state {
+            return None;
+        }
+        let status = self.shared_status.as_ref();
+        let Some(status) = status.filter(|status| status.is_fresh(self.now)) else {
+            // The core is asked to report; a repeated request finds the status then.
+            let _ = self.events.try_send(Message::Event(Event::StatusRequested));
+            return None;
+        };
+        Some(status.page(from))
+    }
+
+    fn cluster_view_changed(&mut self, view: &ClusterView) {
+        let event = Event::ClusterChanged(Box::new(view.clone()));
+        match self.events.try_send(Message::Event(event)) {
+            Ok(()) => self.unsent_view = None,
+            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
+                self.unsent_view = Some(view.clone());
+            }
+        }
+    }
+}
--- a/crates/node/src/io/sockets.rs
+++ b/crates/node/src/io/sockets.rs
@@ -161,7 +161,7 @@
 
     fn update_cluster(&mut self, update: ClusterUpdate) {
         if let Some(cluster) = &self.cluster {
-            cluster.say(update);
+            cluster.update(update);
         }
     }
 
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -143,13 +143,13 @@
     let mut in_force = None;
     if let Some(cluster) = &mut parts.cluster {
         if let Some((state, changing)) = settings_versions {
-            cluster.changes.push(changing);
+            cluster.rollouts.push(changing);
             in_force = Some(state);
         }
         if let Some(adopted) = adopted {
-            cluster.waits = true;
-            if cluster.shares() {
-                cluster.changes.push(RolloutSetup {
+            cluster.awaits_address = true;
+            if cluster.has_shared_state() {
+                cluster.rollouts.push(RolloutSetup {
                     start: supervisor_client::start(&adopted.begin),
                     plan: settings::plan(&read),
                     versions: Box::new(ProgramVersions(Arc::clone(&adopted.link))),
--- a/crates/node/src/serve/cluster.rs
+++ b/crates/node/src/serve/cluster.rs
@@ -7,7 +7,7 @@
 use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_membership::{Config, MemberKey};
 use madderpoint_node::config::NodeConfig;
-use madderpoint_node::io::{self, Part, Reset};
+use madderpoint_node::io::{self, ClusterSettingsUpdate, ClusterSetup};
 use madderpoint_node::node::SharedService;
 use madderpoint_settings::{FleetSettings, Translator};
 use madderpoint_shared_state::{Budget, BudgetKind};
@@ -28,7 +28,7 @@
     file: &Path,
     read: &Translator,
     config: &NodeConfig,
-) -> Result<Option<Box<Part>>, SettingsError> {
+) -> Result<Option<Box<ClusterSetup>>, SettingsError> {
     let Some(fleet) = &read.fleet else {
         return Ok(None);
     };
@@ -58,23 +58,23 @@
         zone: io::zone_number(&settings.zone),
     });
     let operations = &config.deployment.deployment.operations;
-    Ok(Some(Box::new(Part {
+    Ok(Some(Box::new(ClusterSetup {
         bind,
         settings,
-        arbiters: voters.collect(),
+        voters: voters.collect(),
         budgets: fleet.budgets.clone(),
-        keys: keyed_quotas(read),
-        key_bytes: 0,
+        quotas: keyed_quotas(read),
+        quota_lender_bytes: 0,
         service,
         operations: config.deployment.operations.clone(),
         objectives: operations
             .iter()
             .map(|operation| operation.latency_objective)
             .collect(),
-        count_bytes: 0,
-        waits: false,
-        changes: Vec::new(),
-        change_bytes: 0,
+        counter_bytes: 0,
+        awaits_address: false,
+        rollouts: Vec::new(),
+        rollout_bytes: 0,
     })))
 }
 
@@ -138,20 +138,20 @@
     new: &FleetSettings,
     current: &FleetSettings,
     keys: AuthKeys,
-) -> Box<Reset> {
+) -> Box<ClusterSettingsUpdate> {
     // Limits may change; budgets that come or go, or are of another kind, wait for a restart.
     let budgets = if are_same_kinds(&new.budgets, &current.budgets) {
         &new.budgets
     } else {
         &current.budgets
     };
-    Box::new(Reset {
+    Box::new(ClusterSettingsUpdate {
         keys,
         seeds: new.seeds.clone(),
-        periods: new.periods,
+        timing: new.periods,
         number: read.number,
         budgets: budgets.clone(),
-        key_budgets: keyed_quotas(read),
+        quotas: keyed_quotas(read),
         plan: read.rollout.as_ref().map(|rollout| rollout.plan.clone()),
     })
 }
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -7,7 +7,7 @@
 use crossbeam_channel::Sender;
 use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_node::config::{self, NodeConfig};
-use madderpoint_node::io::{ControlMessage, Reset};
+use madderpoint_node::io::{ClusterSettingsUpdate, ControlMessage};
 use madderpoint_node::log::part;
 use madderpoint_settings::{FleetSettings, Translator};
 use std::path::{Path, PathBuf};
@@ -109,13 +109,13 @@
                 Ok(_) => {}
                 Err(complaints) => settings_rejected(&complaints.first()),
             }
-            Box::new(Reset {
+            Box::new(ClusterSettingsUpdate {
                 keys,
                 seeds: current.fleet.seeds.clone(),
-                periods: current.fleet.periods,
+                timing: current.fleet.periods,
                 number: (current.version.number, current.version.hash),
                 budgets: current.fleet.budgets.clone(),
-                key_budgets: current.quotas.clone(),
+                quotas: current.quotas.clone(),
                 plan: None,
             })
         };
--- a/crates/node/src/serve/versions.rs
+++ b/crates/node/src/serve/versions.rs
@@ -205,7 +205,7 @@
             *current = InForce {
                 version,
                 fleet: new,
-                quotas: update.key_budgets.clone(),
+                quotas: update.quotas.clone(),
             };
             update
         };
