--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -5,6 +5,7 @@
 mod error;
 mod fleet;
 mod identity;
+mod node_query;
 mod rollout;
 mod rules;
 mod shared;
@@ -13,7 +14,7 @@
 use crate::supervisor;
 use arguments::{Format, SettingsFile};
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use error::CommandError;
+use error::{CommandError, CommandResult};
 use madderpoint_node::log;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -21,12 +22,6 @@
 /// Exit code of a command that was called wrongly or could not be carried out.
 const EXIT_USAGE: u8 = 2;
 
-/// How a command ended that was called rightly: true if well, false if the thing checked is bad.
-type CommandResult = Result<bool, CommandError>;
-
-/// The same for commands whose errors are texts.
-type Ended = Result<bool, String>;
-
 /// Decides, inside a server, which requests it accepts, runs and rejects.
 #[derive(Parser)]
 #[command(
@@ -182,9 +177,9 @@
                 })?;
                 Ok(true)
             }
-            Command::Fleet { command } => Ok(command.run()?),
-            Command::Shared { command } => Ok(command.run()?),
-            Command::Rollout { command } => Ok(command.run()?),
+            Command::Fleet { command } => command.run(),
+            Command::Shared { command } => command.run(),
+            Command::Rollout { command } => command.run(),
             Command::Check { file, format } => check::check(&file, format),
             Command::Identity { command } => command.run(),
             Command::Rules { command } => command.run(),
--- a/crates/node/src/cli/check.rs
+++ b/crates/node/src/cli/check.rs
@@ -1,7 +1,7 @@
 //! `madderpoint check`.
 
-use super::CommandResult;
 use super::arguments::{Format, SettingsFile};
+use super::error::CommandResult;
 use madderpoint_rules::RuleSet;
 use serde_json::json;
 
--- a/crates/node/src/cli/error.rs
+++ b/crates/node/src/cli/error.rs
@@ -1,11 +1,17 @@
 //! Why a command could not be carried out.
 
+use super::node_query::NodeQueryError;
+use super::rollout::error::RolloutCommandError;
 use crate::serve::StartError;
 use crate::supervisor::SupervisorError;
 use std::io;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
+/// How a command ended that was called rightly: true if well, false if the thing checked is bad.
+pub type CommandResult = Result<bool, CommandError>;
+
 /// Why a command could not be carried out.
 #[derive(Debug, Error)]
 pub enum CommandError {
@@ -37,9 +43,35 @@
     /// An argument is no time by RFC 3339 after 1970.
     #[error("{0}: no time")]
     Time(String),
-    /// Any other.
+    /// A running node could not be queried.
+    #[error(transparent)]
+    NodeQuery(#[from] NodeQueryError),
+    /// The status that a node sent can't be decoded.
+    #[error("{node}: what it shows can't be read: {source}")]
+    MalformedStatus {
+        /// Where the node listens.
+        node: SocketAddr,
+        /// Why not.
+        source: prost::DecodeError,
+    },
+    /// A node sent no status of its shared state.
+    #[error("{0}: it shows nothing: nobody is there, or it shares nothing")]
+    NoSharedState(SocketAddr),
+    /// An argument is no duration.
+    #[error("{0}: no time, such as 30s")]
+    Duration(String),
+    /// A number that describes the simulated cluster is out of bounds.
+    #[error("members: 1 to 20000, loss: 0 to under 1, slow: 0 to 1")]
+    SimulationBounds,
+    /// `--without` names no feature.
+    #[error("--without {0}: expected health, confirm, reconcile or regain")]
+    UnknownFeature(String),
+    /// A command about a rollout could not be carried out.
+    #[error(transparent)]
+    Rollout(#[from] RolloutCommandError),
+    /// There is no histogram for what is measured.
     #[error("{0}")]
-    Other(String),
+    Histogram(#[from] hdrhistogram::CreationError),
 }
 
 /// What is wrong with a file.
@@ -94,9 +126,3 @@
         }
     }
 }
-
-impl From<String> for CommandError {
-    fn from(text: String) -> CommandError {
-        CommandError::Other(text)
-    }
-}
--- a/crates/node/src/cli/identity.rs
+++ b/crates/node/src/cli/identity.rs
@@ -1,8 +1,7 @@
 //! `madderpoint identity`.
 
-use super::CommandResult;
 use super::arguments::Format;
-use super::error::{CommandError, FileProblem};
+use super::error::{CommandError, CommandResult, FileProblem};
 use clap::Subcommand;
 use madderpoint_identity::{Bundle, Bundles, SpiffeId, jwt, x509};
 use madderpoint_rules::time;
--- a/crates/node/src/cli/rollout.rs
+++ b/crates/node/src/cli/rollout.rs
@@ -2,13 +2,16 @@
 //! rolled back.
 
 mod display;
+pub mod error;
 mod plot;
 mod target;
 
-use super::fleet::Asker;
-use super::{Ended, Format};
+use super::arguments::Format;
+use super::error::{CommandError, CommandResult};
+use super::node_query::NodeQuery;
 use clap::Subcommand;
 use display::{explain, status, summary};
+use error::RolloutCommandError;
 use madderpoint_node::program_version;
 use madderpoint_rollout::chunks;
 use madderpoint_rollout::messages::{CommandReply, OperatorCommand, order};
@@ -22,9 +25,14 @@
 
 /// How long a node may take to check what is offered.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between two questions about that.
+/// Time between two requests for the result of that check.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two looks at a rollout that is followed.
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(500);
+/// Looks in a row without an answer, after which a rollout is followed no longer.
+const MAX_MISSED_LOOKS: u32 = 60;
 
+/// Commands about rollouts.
 #[derive(Subcommand)]
 pub enum Command {
     /// Offer a file of settings to the fleet, by way of any node; it goes out in the stages that
@@ -105,8 +113,8 @@
 }
 
 impl Command {
-    /// Carries the call out.
-    pub fn run(self) -> Ended {
+    /// Runs the command.
+    pub fn run(self) -> CommandResult {
         match self {
             Command::Start { file, at, wait } => start(&file, &at, wait),
             Command::Status { at, format } => status(&at, format),
@@ -121,76 +129,47 @@
 }
 
 /// Sends a command until it has a final reply, or [`CHECK_TIMEOUT`] has passed.
-fn send_command(at: &At, command: &OperatorCommand) -> Result<CommandReply, String> {
-    let mut asker = Asker::about(&at.settings, at.at, at.topic())?;
+fn send_command(at: &At, command: &OperatorCommand) -> Result<CommandReply, CommandError> {
+    let mut query = NodeQuery::for_topic(&at.settings, at.at, at.topic())?;
     let until = Instant::now() + CHECK_TIMEOUT;
     loop {
-        let answer = asker.order(at.topic(), &command.encode_to_vec())?;
-        let answer = CommandReply::decode(answer.as_slice())
-            .map_err(|e| format!("{}: its answer can't be read: {e}", at.at))?;
-        if answer.state != state::LATER || Instant::now() > until {
-            return Ok(answer);
+        let reply = query.send_command(&command.encode_to_vec())?;
+        let reply = CommandReply::decode(reply.as_slice()).map_err(|source| {
+            let node = at.at;
+            RolloutCommandError::MalformedReply { node, source }
+        })?;
+        if reply.state != state::LATER || Instant::now() > until {
+            return Ok(reply);
         }
         thread::sleep(RETRY_INTERVAL);
     }
 }
 
-/// Prints a reply; whether the command was taken. One that was rejected is no wrong call.
-fn print_reply(answer: &CommandReply) -> bool {
-    match answer.state {
+/// Prints a reply; true if the command was accepted. A rejected one is no usage error.
+fn print_reply(reply: &CommandReply) -> bool {
+    match reply.state {
         state::TAKEN => {
-            let more = if answer.why.is_empty() {
+            let more = if reply.why.is_empty() {
                 String::new()
             } else {
-                format!(": {}", answer.why)
+                format!(": {}", reply.why)
             };
-            println!("change {:016x}{more}", answer.rollout);
+            println!("change {:016x}{more}", reply.rollout);
         }
-        state::LATER => println!("not taken yet: {}", answer.why),
-        _ => println!("turned down: {}", answer.why),
+        state::LATER => println!("not taken yet: {}", reply.why),
+        _ => println!("turned down: {}", reply.why),
     }
-    answer.state == state::TAKEN
+    reply.state == state::TAKEN
 }
 
-fn start(file: &Path, at: &At, wait: bool) -> Ended {
-    let command = if at.program {
-        let madderpoint_rollout::Version { number, hash } =
-            program_version::version_of(file).map_err(|error| error.to_string())?;
-        OperatorCommand {
-            kind: order::OFFER,
-            number,
-            hash,
-            program: true,
-            ..OperatorCommand::default()
-        }
+fn start(file: &Path, at: &At, wait: bool) -> CommandResult {
+    let offer = if at.program {
+        program_offer(file)?
     } else {
-        let content = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-        if content.len() > chunks::MAX_CONTENT_BYTES {
-            return Err(format!(
-                "{}: {} bytes, {} at most",
-                file.display(),
-                content.len(),
-                chunks::MAX_CONTENT_BYTES
-            ));
-        }
+        let content = read_content(file)?;
         let digest = chunks::digest(&content).to_vec();
-        for no in 0..chunks::count(content.len()) {
-            let Some(bytes) = chunks::chunk(&content, no) else {
-                break;
-            };
-            let (size, digest, bytes) = (content.len() as u32, digest.clone(), bytes.to_vec());
-            let chunk = OperatorCommand {
-                kind: order::CHUNK,
-                chunk: no,
-                bytes,
-                size,
-                digest,
-                ..OperatorCommand::default()
-            };
-            let answer = send_command(at, &chunk)?;
-            if answer.state != state::TAKEN {
-                return Ok(print_reply(&answer));
-            }
+        if let Some(rejection) = send_chunks(at, &content, &digest)? {
+            return Ok(print_reply(&rejection));
         }
         OperatorCommand {
             kind: order::OFFER,
@@ -198,30 +177,75 @@
             ..OperatorCommand::default()
         }
     };
-    let answer = send_command(at, &command)?;
-    if !print_reply(&answer) || !wait {
-        return Ok(answer.state == state::TAKEN);
+    let reply = send_command(at, &offer)?;
+    if !print_reply(&reply) || !wait {
+        return Ok(reply.state == state::TAKEN);
+    }
+    follow(at, reply.rollout)
+}
+
+/// The offer of the version of the program that is in a directory.
+fn program_offer(directory: &Path) -> Result<OperatorCommand, RolloutCommandError> {
+    let madderpoint_rollout::Version { number, hash } = program_version::version_of(directory)?;
+    Ok(OperatorCommand {
+        kind: order::OFFER,
+        number,
+        hash,
+        program: true,
+        ..OperatorCommand::default()
+    })
+}
+
+/// Reads a file of settings of at most [`chunks::MAX_CONTENT_BYTES`].
+fn read_content(file: &Path) -> Result<Vec<u8>, CommandError> {
+    let content = std::fs::read(file).map_err(|e| CommandError::file(file, e))?;
+    if content.len() > chunks::MAX_CONTENT_BYTES {
+        let (path, size) = (file.to_owned(), content.len());
+        return Err(RolloutCommandError::TooLarge { path, size }.into());
+    }
+    Ok(content)
+}
+
+/// Sends a file of settings in chunks. `Some` if one is not accepted: the reply to it.
+fn send_chunks(
+    at: &At,
+    content: &[u8],
+    digest: &[u8],
+) -> Result<Option<CommandReply>, CommandError> {
+    for index in 0..chunks::count(content.len()) {
+        let Some(bytes) = chunks::chunk(content, index) else {
+            break;
+        };
+        let chunk = OperatorCommand {
+            kind: order::CHUNK,
+            chunk: index,
+            bytes: bytes.to_vec(),
+            size: content.len() as u32,
+            digest: digest.to_vec(),
+            ..OperatorCommand::default()
+        };
+        let reply = send_command(at, &chunk)?;
+        if reply.state != state::TAKEN {
+            return Ok(Some(reply));
+        }
     }
-    follow(at, answer.rollout)
+    Ok(None)
 }
 
-/// Tells each stage of a rollout until it is over.
-fn follow(at: &At, id: u64) -> Ended {
+/// Prints each stage of a rollout until it is over; true if it is completed.
+fn follow(at: &At, id: u64) -> CommandResult {
     let mut before = (u32::MAX, String::new());
-    let mut lost = 0;
+    let mut missed_looks = 0;
     loop {
-        thread::sleep(Duration::from_millis(500));
+        thread::sleep(FOLLOW_INTERVAL);
         let Ok(shown) = request_status(at) else {
-            lost += 1;
-            if lost > 60 {
-                return Err(format!(
-                    "{}: it shows nothing any more; the change goes on without it",
-                    at.at
-                ));
+            missed_looks += 1;
+            if missed_looks > MAX_MISSED_LOOKS {
+                return Err(RolloutCommandError::StatusLost(at.at).into());
             }
             continue;
         };
-        lost = 0;
+        missed_looks = 0;
         let Some(rollout) = shown.rollouts.iter().find(|rollout| rollout.id == id) else {
             continue;
         };
@@ -238,10 +262,10 @@
     }
 }
 
-fn end(at: &At, kind: u32, rollout: Option<&str>, why: &str) -> Ended {
+fn end(at: &At, kind: u32, rollout: Option<&str>, why: &str) -> CommandResult {
     let rollout = match rollout {
         Some(text) => u64::from_str_radix(text, 16)
-            .map_err(|_| format!("{text}: no change, 16 hex digits"))?,
+            .map_err(|_| RolloutCommandError::RolloutId(text.to_owned()))?,
         None => 0,
     };
     let command = OperatorCommand {
--- a/crates/node/src/cli/rollout/display.rs
+++ b/crates/node/src/cli/rollout/display.rs
@@ -1,14 +1,15 @@
 //! What `rollout status` and `rollout explain` print.
 
 use super::target::{At, request_status, request_with_coordinator};
-use crate::cli::{Ended, Format};
+use crate::cli::arguments::Format;
+use crate::cli::error::CommandResult;
 use madderpoint_rollout::status::{
     CohortPointStatus, NodeStatusEntry, RolloutStatus, StatusSnapshot, VersionStatus,
 };
 use serde_json::{Value, json};
 
 /// `rollout status`.
-pub(super) fn status(at: &At, format: Format) -> Ended {
+pub(super) fn status(at: &At, format: Format) -> CommandResult {
     let (shown, coordinator) = request_with_coordinator(at)?;
     let judged = coordinator.as_ref().unwrap_or(&shown);
     if format == Format::Json {
@@ -113,7 +114,7 @@
 }
 
 /// `rollout explain`.
-pub(super) fn explain(at: &At) -> Ended {
+pub(super) fn explain(at: &At) -> CommandResult {
     let shown = request_status(at)?;
     println!("{}:", shown.node);
     shown.reasons.iter().for_each(|line| println!("  {line}"));
--- a/crates/node/src/cli/rollout/plot.rs
+++ b/crates/node/src/cli/rollout/plot.rs
@@ -1,7 +1,8 @@
 //! What `rollout plot` draws: both cohorts over time.
 
+use super::error::RolloutCommandError;
 use super::target::{At, request_with_coordinator};
-use crate::cli::Ended;
+use crate::cli::error::CommandResult;
 use madderpoint_rollout::status::{CohortPointStatus, StatusSnapshot};
 use plotters::prelude::*;
 use std::path::Path;
@@ -10,16 +11,17 @@
 type Drawn = fn(&CohortPointStatus, usize) -> f64;
 
 /// `rollout plot`.
-pub(super) fn plot(at: &At, to: &Path) -> Ended {
+pub(super) fn plot(at: &At, to: &Path) -> CommandResult {
     let (shown, coordinator) = request_with_coordinator(at)?;
     let judged = coordinator.as_ref().unwrap_or(&shown);
     if judged.points.is_empty() {
-        return Err(format!(
-            "{}: there is no record: no change was under way since its start",
-            judged.node
-        ));
+        let node = judged.node.clone();
+        return Err(RolloutCommandError::NoRecord { node }.into());
     }
-    draw(judged, to).map_err(|e| format!("{}: {e}", to.display()))?;
+    draw(judged, to).map_err(|source| {
+        let path = to.to_owned();
+        RolloutCommandError::Plot { path, source }
+    })?;
     println!(
         "{}: {} windows of {} s",
         to.display(),
--- a/crates/node/src/cli/rollout/target.rs
+++ b/crates/node/src/cli/rollout/target.rs
@@ -1,6 +1,8 @@
 //! The node that a command is about, and what it shows.
 
-use crate::cli::fleet::Asker;
+use super::error::RolloutCommandError;
+use crate::cli::error::CommandError;
+use crate::cli::node_query::NodeQuery;
 use clap::Args;
 use madderpoint_node::io::{PROGRAM_CHANGES, SETTINGS_CHANGES};
 use madderpoint_rollout::status::StatusSnapshot;
@@ -8,7 +10,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// How often a node is asked for what it shows, before it is given up.
+/// How often each page of a node's status is requested before the node is given up.
 const STATUS_TRIES: u32 = 25;
 
 /// Which node is asked, and about what.
@@ -36,29 +38,28 @@
     }
 }
 
-/// What the node shows.
-pub(super) fn request_status(at: &At) -> Result<StatusSnapshot, String> {
-    let bytes = Asker::about(&at.settings, at.at, at.topic())?.ask_pages(STATUS_TRIES)?;
-    let bytes = bytes.ok_or_else(|| {
-        let what = if at.program {
-            "the program"
-        } else {
-            "settings"
-        };
-        format!(
-            "{}: it shows nothing: nobody is there, or it has no part in changes of {what}",
-            at.at
-        )
-    })?;
+/// Requests the status of the node's rollouts.
+pub(super) fn request_status(at: &At) -> Result<StatusSnapshot, CommandError> {
+    let node = at.at;
+    let bytes = NodeQuery::for_topic(&at.settings, node, at.topic())?
+        .request_status_pages(STATUS_TRIES)?
+        .ok_or_else(|| {
+            let subject = if at.program {
+                "the program"
+            } else {
+                "settings"
+            };
+            RolloutCommandError::NoStatus { node, subject }
+        })?;
     StatusSnapshot::decode(bytes.as_slice())
-        .map_err(|e| format!("{}: what it shows can't be read: {e}", at.at))
+        .map_err(|source| CommandError::MalformedStatus { node, source })
 }
 
 /// What the node shows, and what the coordinator does, which has the verdict; nothing of the latter if
 /// it is the node itself or can't be reached.
 pub(super) fn request_with_coordinator(
     at: &At,
-) -> Result<(StatusSnapshot, Option<StatusSnapshot>), String> {
+) -> Result<(StatusSnapshot, Option<StatusSnapshot>), CommandError> {
     let shown = request_status(at)?;
     let coordinator = match shown.coordinator_address.parse() {
         Ok(there) if shown.coordinator != shown.node => request_status(&At {
--- a/crates/node/src/cli/rules.rs
+++ b/crates/node/src/cli/rules.rs
@@ -1,8 +1,7 @@
 //! `madderpoint rules`: tries rules by a request, by the cases beside them, and by the clock.
 
-use super::CommandResult;
 use super::arguments::{Format, SettingsFile, read_json};
-use super::error::{CommandError, FileProblem};
+use super::error::{CommandError, CommandResult, FileProblem};
 use clap::Subcommand;
 use hdrhistogram::Histogram;
 use madderpoint_rules::ruleset::{Given, Why};
@@ -255,8 +254,7 @@
         "by", "p50 ns", "p99 ns", "max ns", "units most", "evaluated"
     );
     for (name, search) in [("index", Search::Index), ("scan", Search::Scan)] {
-        let mut times =
-            Histogram::<u64>::new_with_bounds(1, MEASURED_MAX, 3).map_err(|e| e.to_string())?;
+        let mut times = Histogram::<u64>::new_with_bounds(1, MEASURED_MAX, 3)?;
         let (mut units, mut evaluated) = (0, 0);
         let mut scratch = Scratch::new(0);
         for case in &book.cases {
--- a/crates/node/src/cli/shared.rs
+++ b/crates/node/src/cli/shared.rs
@@ -1,8 +1,9 @@
 //! `madderpoint shared`: the status of the shared state at a running node, as text, table or JSON. The
 //! names in the JSON are fixed: programs read them.
 
-use super::fleet::Asker;
-use super::{Ended, Format};
+use super::arguments::Format;
+use super::error::{CommandError, CommandResult};
+use super::node_query::NodeQuery;
 use clap::Subcommand;
 use madderpoint_shared_state::counters::COLUMNS;
 use madderpoint_shared_state::status::{
@@ -14,9 +15,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+/// How often `explain` requests a page of the status.
+const EXPLAIN_TRIES: u32 = 12;
 /// The most heavy keys of each kind in the table.
 const MAX_HEAVY_KEYS: usize = 5;
 
+/// Commands about the shared state.
 #[derive(Subcommand)]
 pub enum Command {
     /// Say why a running node holds what it holds of the fleet's budgets, keys and judgements.
@@ -28,8 +32,8 @@
         #[arg(long, value_name = "FILE")]
         settings: PathBuf,
         /// Where the node's part in the fleet listens.
-        #[arg(long, value_name = "ADDRESS")]
-        at: SocketAddr,
+        #[arg(long = "at", value_name = "ADDRESS")]
+        node: SocketAddr,
         /// How it is shown.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
@@ -38,35 +42,37 @@
 
 impl Command {
     /// Runs the command.
-    pub fn run(self) -> Ended {
+    pub fn run(self) -> CommandResult {
         match self {
             Command::Explain {
                 settings,
-                at,
+                node,
                 format,
-            } => explain(&settings, at, format),
+            } => explain(&settings, node, format),
         }
     }
 }
 
 /// Requests a node's status; none if it has no shared state. Each page is requested up to `tries`
 /// times.
-pub fn ask(settings: &Path, at: SocketAddr, tries: u32) -> Result<Option<StatusSnapshot>, String> {
-    let bytes = Asker::about(settings, at, madderpoint_node::io::SHARED)?.ask_pages(tries)?;
+pub fn request_status(
+    settings: &Path,
+    node: SocketAddr,
+    tries: u32,
+) -> Result<Option<StatusSnapshot>, CommandError> {
+    let bytes = NodeQuery::for_topic(settings, node, madderpoint_node::io::SHARED)?
+        .request_status_pages(tries)?;
     bytes
         .map(|bytes| {
             StatusSnapshot::decode(bytes.as_slice())
-                .map_err(|e| format!("{at}: what it shows can't be read: {e}"))
+                .map_err(|source| CommandError::MalformedStatus { node, source })
         })
         .transpose()
 }
 
-fn explain(settings: &Path, at: SocketAddr, format: Format) -> Ended {
-    let Some(status) = ask(settings, at, 12)? else {
-        return Err(format!(
-            "{at}: it shows nothing: nobody is there, or it shares nothing"
-        ));
-    };
+fn explain(settings: &Path, node: SocketAddr, format: Format) -> CommandResult {
+    let status =
+        request_status(settings, node, EXPLAIN_TRIES)?.ok_or(CommandError::NoSharedState(node))?;
     match format {
         Format::Json => println!("{:#}", as_json(&status)),
         Format::Text => {
@@ -100,8 +106,8 @@
             &row.name
         };
         let mut line = format!("{name:<16}");
-        for (at, head) in heads.iter().enumerate() {
-            let number = |of: &[u64]| of.get(at).copied().unwrap_or(0);
+        for (column, head) in heads.iter().enumerate() {
+            let number = |counts: &[u64]| counts.get(column).copied().unwrap_or(0);
             line += &format!("  {head} {}/{}", number(&row.minute), number(&row.total));
         }
         if row.p99_us > 0 {
@@ -122,11 +128,12 @@
 
 fn print_heavy_keys(status: &StatusSnapshot) {
     for kind in ["caller ", "caller that repeats ", "key over a limit "] {
-        let of = status.heavy.iter().filter(|count| {
+        let counters = status.heavy.iter().filter(|count| {
             count.what.starts_with(kind)
                 && (kind != "caller " || !count.what.starts_with("caller that"))
         });
-        of.take(MAX_HEAVY_KEYS)
+        counters
+            .take(MAX_HEAVY_KEYS)
             .for_each(|count| println!("{:>8}  {}", count.times, count.what));
     }
 }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -6,7 +6,7 @@
 mod settings;
 mod versions;
 
-pub use settings::{known, read, read_keys};
+pub use settings::{SettingsError, known, read, read_keys};
 
 use crossbeam_channel::Sender;
 use madderpoint_node::config::{self, ConfigError, NodeConfig};
@@ -16,7 +16,6 @@
 use madderpoint_node::version_store::VersionStoreError;
 use madderpoint_settings::{Complaints, FleetSettings};
 use reload::Reloader;
-use settings::SettingsError;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::net::SocketAddr;
