--- a/crates/node/src/cli/rollout.rs
+++ b/crates/node/src/cli/rollout.rs
@@ -21,7 +21,7 @@
 use std::path::{Path, PathBuf};
 use std::thread;
 use std::time::{Duration, Instant};
-use target::{At, request_status};
+use target::{RolloutTarget, request_status};
 
 /// How long a node may take to check what is offered.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(30);
@@ -44,7 +44,7 @@
         /// The file, with a higher number than that in force.
         file: PathBuf,
         #[command(flatten)]
-        at: At,
+        target: RolloutTarget,
         /// Wait until it is over, and tell each stage; the exit code is 1 if it is not done in the
         /// end.
         #[arg(long)]
@@ -57,7 +57,7 @@
     )]
     Status {
         #[command(flatten)]
-        at: At,
+        target: RolloutTarget,
         /// How it is shown.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
@@ -68,7 +68,7 @@
     )]
     Halt {
         #[command(flatten)]
-        at: At,
+        target: RolloutTarget,
         /// The rollout; the current one if it is not told.
         #[arg(long = "change", value_name = "CHANGE")]
         rollout: Option<String>,
@@ -82,7 +82,7 @@
     )]
     Back {
         #[command(flatten)]
-        at: At,
+        target: RolloutTarget,
         /// The rollout; the current one if it is not told.
         #[arg(long = "change", value_name = "CHANGE")]
         rollout: Option<String>,
@@ -96,7 +96,7 @@
     )]
     Explain {
         #[command(flatten)]
-        at: At,
+        target: RolloutTarget,
     },
     /// Draw both sides of a rollout over time (SVG), from the record of a voter or from what
     /// `status --format json` printed.
@@ -105,7 +105,7 @@
     )]
     Plot {
         #[command(flatten)]
-        at: At,
+        target: RolloutTarget,
         /// Where to.
         #[arg(long, value_name = "FILE")]
         to: PathBuf,
@@ -116,26 +116,35 @@
     /// Runs the command.
     pub fn run(self) -> CommandResult {
         match self {
-            Command::Start { file, at, wait } => start(&file, &at, wait),
-            Command::Status { at, format } => status(&at, format),
-            Command::Halt { at, rollout, why } => end(&at, order::HALT, rollout.as_deref(), &why),
-            Command::Back { at, rollout, why } => {
-                end(&at, order::ROLL_BACK, rollout.as_deref(), &why)
-            }
-            Command::Explain { at } => explain(&at),
-            Command::Plot { at, to } => plot(&at, &to),
+            Command::Start { file, target, wait } => start(&file, &target, wait),
+            Command::Status { target, format } => status(&target, format),
+            Command::Halt {
+                target,
+                rollout,
+                why,
+            } => end(&target, order::HALT, rollout.as_deref(), &why),
+            Command::Back {
+                target,
+                rollout,
+                why,
+            } => end(&target, order::ROLL_BACK, rollout.as_deref(), &why),
+            Command::Explain { target } => explain(&target),
+            Command::Plot { target, to } => plot(&target, &to),
         }
     }
 }
 
 /// Sends a command until it has a final reply, or [`CHECK_TIMEOUT`] has passed.
-fn send_command(at: &At, command: &OperatorCommand) -> Result<CommandReply, CommandError> {
-    let mut query = NodeQuery::for_topic(&at.settings, at.at, at.topic())?;
+fn send_command(
+    target: &RolloutTarget,
+    command: &OperatorCommand,
+) -> Result<CommandReply, CommandError> {
+    let mut query = NodeQuery::for_topic(&target.settings, target.node, target.topic())?;
     let until = Instant::now() + CHECK_TIMEOUT;
     loop {
         let reply = query.send_command(&command.encode_to_vec())?;
         let reply = CommandReply::decode(reply.as_slice()).map_err(|source| {
-            let node = at.at;
+            let node = target.node;
             RolloutCommandError::MalformedReply { node, source }
         })?;
         if reply.state != state::LATER || Instant::now() > until {
@@ -162,13 +171,13 @@
     reply.state == state::TAKEN
 }
 
-fn start(file: &Path, at: &At, wait: bool) -> CommandResult {
-    let offer = if at.program {
+fn start(file: &Path, target: &RolloutTarget, wait: bool) -> CommandResult {
+    let offer = if target.program {
         program_offer(file)?
     } else {
         let content = read_content(file)?;
         let digest = chunks::digest(&content).to_vec();
-        if let Some(rejection) = send_chunks(at, &content, &digest)? {
+        if let Some(rejection) = send_chunks(target, &content, &digest)? {
             return Ok(print_reply(&rejection));
         }
         OperatorCommand {
@@ -177,11 +186,11 @@
             ..OperatorCommand::default()
         }
     };
-    let reply = send_command(at, &offer)?;
+    let reply = send_command(target, &offer)?;
     if !print_reply(&reply) || !wait {
         return Ok(reply.state == state::TAKEN);
     }
-    follow(at, reply.rollout)
+    follow(target, reply.rollout)
 }
 
 /// The offer of the version of the program that is in a directory.
@@ -208,7 +217,7 @@
 
 /// Sends a file of settings in chunks. `Some` if one is not accepted: the reply to it.
 fn send_chunks(
-    at: &At,
+    target: &RolloutTarget,
     content: &[u8],
     digest: &[u8],
 ) -> Result<Option<CommandReply>, CommandError> {
@@ -224,7 +233,7 @@
             digest: digest.to_vec(),
             ..OperatorCommand::default()
         };
-        let reply = send_command(at, &chunk)?;
+        let reply = send_command(target, &chunk)?;
         if reply.state != state::TAKEN {
             return Ok(Some(reply));
         }
@@ -233,15 +242,15 @@
 }
 
 /// Prints each stage of a rollout until it is over; true if it is completed.
-fn follow(at: &At, id: u64) -> CommandResult {
+fn follow(target: &RolloutTarget, id: u64) -> CommandResult {
     let mut before = (u32::MAX, String::new());
     let mut missed_looks = 0;
     loop {
         thread::sleep(FOLLOW_INTERVAL);
-        let Ok(shown) = request_status(at) else {
+        let Ok(shown) = request_status(target) else {
             missed_looks += 1;
             if missed_looks > MAX_MISSED_LOOKS {
-                return Err(RolloutCommandError::StatusLost(at.at).into());
+                return Err(RolloutCommandError::StatusLost(target.node).into());
             }
             continue;
         };
@@ -262,7 +271,7 @@
     }
 }
 
-fn end(at: &At, kind: u32, rollout: Option<&str>, why: &str) -> CommandResult {
+fn end(target: &RolloutTarget, kind: u32, rollout: Option<&str>, why: &str) -> CommandResult {
     let rollout = match rollout {
         Some(text) => u64::from_str_radix(text, 16)
             .map_err(|_| RolloutCommandError::RolloutId(text.to_owned()))?,
@@ -272,8 +281,8 @@
         kind,
         rollout,
         why: why.to_owned(),
-        program: at.program,
+        program: target.program,
         ..OperatorCommand::default()
     };
-    Ok(print_reply(&send_command(at, &command)?))
+    Ok(print_reply(&send_command(target, &command)?))
 }
--- a/crates/node/src/cli/rollout/display.rs
+++ b/crates/node/src/cli/rollout/display.rs
@@ -1,6 +1,6 @@
 //! What `rollout status` and `rollout explain` print.
 
-use super::target::{At, request_status, request_with_coordinator};
+use super::target::{RolloutTarget, request_status, request_with_coordinator};
 use crate::cli::arguments::Format;
 use crate::cli::error::CommandResult;
 use madderpoint_rollout::status::{
@@ -9,11 +9,11 @@
 use serde_json::{Value, json};
 
 /// `rollout status`.
-pub(super) fn status(at: &At, format: Format) -> CommandResult {
-    let (shown, coordinator) = request_with_coordinator(at)?;
-    let judged = coordinator.as_ref().unwrap_or(&shown);
+pub(super) fn status(target: &RolloutTarget, format: Format) -> CommandResult {
+    let (shown, coordinator) = request_with_coordinator(target)?;
+    let analysis = coordinator.as_ref().unwrap_or(&shown);
     if format == Format::Json {
-        println!("{:#}", as_json(&shown, judged));
+        println!("{:#}", as_json(&shown, analysis));
         return Ok(true);
     }
     let Some(first) = shown.rollouts.first() else {
@@ -29,7 +29,7 @@
         .iter()
         .find(|rollout| rollout.outcome == "open")
         .unwrap_or(first);
-    println!("{}", summary(current, judged));
+    println!("{}", summary(current, analysis));
     for rollout in shown
         .rollouts
         .iter()
@@ -37,24 +37,27 @@
     {
         println!("  beside: {}", summary(rollout, &StatusSnapshot::default()));
     }
-    if !judged.verdict.is_empty() {
-        print_verdict(&shown, judged);
+    if !analysis.verdict.is_empty() {
+        print_verdict(&shown, analysis);
     }
-    print_nodes(judged);
+    print_nodes(analysis);
     Ok(true)
 }
 
 /// Prints the verdict and its comparisons.
-fn print_verdict(shown: &StatusSnapshot, judged: &StatusSnapshot) {
-    let pair = |of: &[u64]| {
+fn print_verdict(shown: &StatusSnapshot, analysis: &StatusSnapshot) {
+    let pair = |numbers: &[u64]| {
         [
-            of.first().copied().unwrap_or(0),
-            of.get(1).copied().unwrap_or(0),
+            numbers.first().copied().unwrap_or(0),
+            numbers.get(1).copied().unwrap_or(0),
         ]
     };
-    let ([new, old], [news, olds]) = (pair(&judged.sample), pair(&judged.judged));
-    println!("judgement by {}: {}", shown.coordinator, judged.verdict);
-    println!("  {new} invocations at {news} new nodes, {old} at {olds} old ones");
+    let ([new_requests, old_requests], [new_nodes, old_nodes]) =
+        (pair(&analysis.sample), pair(&analysis.judged));
+    println!("judgement by {}: {}", shown.coordinator, analysis.verdict);
+    println!(
+        "  {new_requests} invocations at {new_nodes} new nodes, {old_requests} at {old_nodes} old ones"
+    );
     let head = [
         "operation",
         "what",
@@ -65,46 +68,52 @@
         "evidence",
         "margin",
     ];
-    if !judged.findings.is_empty() {
+    if !analysis.findings.is_empty() {
         println!(
             "  {:<16} {:<11} {:>8} {:>8} {:>8} {:>8} {:>9} {:>7}",
             head[0], head[1], head[2], head[3], head[4], head[5], head[6], head[7]
         );
     }
-    for f in &judged.findings {
-        let operation = if f.operation.is_empty() {
+    for comparison in &analysis.findings {
+        let operation = if comparison.operation.is_empty() {
             "all"
         } else {
-            &f.operation
+            &comparison.operation
         };
         println!(
             "  {operation:<16} {:<11} {:>8.4} {:>8.4} {:>8.4} {:>8.4} {:>9.1} {:>7.3}",
-            f.what, f.new, f.old, f.harm, f.error, f.evidence, f.margin
+            comparison.what,
+            comparison.new,
+            comparison.old,
+            comparison.harm,
+            comparison.error,
+            comparison.evidence,
+            comparison.margin
         );
     }
 }
 
 /// Prints the nodes, and how many run each version.
-fn print_nodes(judged: &StatusSnapshot) {
-    let running: Vec<String> = judged
+fn print_nodes(analysis: &StatusSnapshot) {
+    let running: Vec<String> = analysis
         .by_version()
         .iter()
         .map(|(number, nodes)| format!("{nodes} run {number}"))
         .collect();
-    println!("{} nodes: {}", judged.nodes_in_all, running.join(", "));
+    println!("{} nodes: {}", analysis.nodes_in_all, running.join(", "));
     println!(
         "{:<16} {:<8} {:<5} {:<6} {:<22} {:>9} {:<12} why",
         "node", "zone", "there", "stage", "version", "for", "stands"
     );
-    for node in &judged.nodes {
-        let yes = |is: bool| if is { "yes" } else { "no" };
-        let since = judged.at_ms.saturating_sub(node.since_ms) / 1000;
+    for node in &analysis.nodes {
+        let yes_or_no = |value: bool| if value { "yes" } else { "no" };
+        let since = analysis.at_ms.saturating_sub(node.since_ms) / 1000;
         println!(
             "{:<16} {:<8} {:<5} {:<6} {:<22} {:>7} s {:<12} {}",
             node.name,
             node.zone,
-            yes(node.present),
-            yes(node.in_stage),
+            yes_or_no(node.present),
+            yes_or_no(node.in_stage),
             version(node.running.as_ref()),
             since,
             node.status,
@@ -114,8 +123,8 @@
 }
 
 /// `rollout explain`.
-pub(super) fn explain(at: &At) -> CommandResult {
-    let shown = request_status(at)?;
+pub(super) fn explain(target: &RolloutTarget) -> CommandResult {
+    let shown = request_status(target)?;
     println!("{}:", shown.node);
     shown.reasons.iter().for_each(|line| println!("  {line}"));
     Ok(true)
@@ -170,7 +179,7 @@
 }
 
 /// All of it, for programs. Pairs are of the old and of the new version.
-fn as_json(shown: &StatusSnapshot, judged: &StatusSnapshot) -> Value {
+fn as_json(shown: &StatusSnapshot, analysis: &StatusSnapshot) -> Value {
     let rollouts: Vec<Value> = shown
         .rollouts
         .iter()
@@ -182,7 +191,7 @@
                 "agreement": c.agreement, "electorate": c.electorate})
         })
         .collect();
-    let findings: Vec<Value> = judged
+    let findings: Vec<Value> = analysis
         .findings
         .iter()
         .map(|f| {
@@ -191,9 +200,9 @@
         })
         .collect();
     json!({"node": shown.node, "at_ms": shown.at_ms, "running": shown.running.map(|v| v.number),
-        "good": shown.promoted.map(|v| v.number), "conductor": shown.coordinator, "waits": judged.waits,
-        "changes": rollouts, "nodes": judged.nodes.iter().map(node).collect::<Vec<_>>(),
-        "nodes_in_all": judged.nodes_in_all, "verdict": judged.verdict, "findings": findings,
-        "sample_new_old": judged.sample, "judged_new_old": judged.judged,
-        "points": judged.points.iter().map(|p| point(p, judged.window_ms)).collect::<Vec<_>>()})
+        "good": shown.promoted.map(|v| v.number), "conductor": shown.coordinator, "waits": analysis.waits,
+        "changes": rollouts, "nodes": analysis.nodes.iter().map(node).collect::<Vec<_>>(),
+        "nodes_in_all": analysis.nodes_in_all, "verdict": analysis.verdict, "findings": findings,
+        "sample_new_old": analysis.sample, "judged_new_old": analysis.judged,
+        "points": analysis.points.iter().map(|p| point(p, analysis.window_ms)).collect::<Vec<_>>()})
 }
--- a/crates/node/src/cli/rollout/plot.rs
+++ b/crates/node/src/cli/rollout/plot.rs
@@ -1,58 +1,58 @@
 //! What `rollout plot` draws: both cohorts over time.
 
 use super::error::RolloutCommandError;
-use super::target::{At, request_with_coordinator};
+use super::target::{RolloutTarget, request_with_coordinator};
 use crate::cli::error::CommandResult;
 use madderpoint_rollout::status::{CohortPointStatus, StatusSnapshot};
 use plotters::prelude::*;
 use std::path::Path;
 
-/// What is drawn of a point, for a cohort.
-type Drawn = fn(&CohortPointStatus, usize) -> f64;
+/// The value that a chart draws of a point, for a cohort.
+type ChartValue = fn(&CohortPointStatus, usize) -> f64;
 
 /// `rollout plot`.
-pub(super) fn plot(at: &At, to: &Path) -> CommandResult {
-    let (shown, coordinator) = request_with_coordinator(at)?;
-    let judged = coordinator.as_ref().unwrap_or(&shown);
-    if judged.points.is_empty() {
-        let node = judged.node.clone();
+pub(super) fn plot(target: &RolloutTarget, to: &Path) -> CommandResult {
+    let (shown, coordinator) = request_with_coordinator(target)?;
+    let analysis = coordinator.as_ref().unwrap_or(&shown);
+    if analysis.points.is_empty() {
+        let node = analysis.node.clone();
         return Err(RolloutCommandError::NoRecord { node }.into());
     }
-    draw(judged, to).map_err(|source| {
+    draw(analysis, to).map_err(|source| {
         let path = to.to_owned();
         RolloutCommandError::Plot { path, source }
     })?;
     println!(
         "{}: {} windows of {} s",
         to.display(),
-        judged.points.len(),
-        judged.window_ms / 1000
+        analysis.points.len(),
+        analysis.window_ms / 1000
     );
     Ok(true)
 }
 
 /// The charts, each with its title.
-fn charts() -> [(&'static str, Drawn); 5] {
-    fn part(of: &[u64], all: &[u64], side: usize) -> f64 {
+fn charts() -> [(&'static str, ChartValue); 5] {
+    fn percent(counted: &[u64], all: &[u64], side: usize) -> f64 {
         let at = |numbers: &[u64]| numbers.get(side).copied().unwrap_or(0) as f64;
         if at(all) > 0.0 {
-            at(of) / at(all) * 100.0
+            at(counted) / at(all) * 100.0
         } else {
             0.0
         }
     }
     [
         ("succeeded, % of what arrived", |p, side| {
-            part(&p.succeeded, &p.arrived, side)
+            percent(&p.succeeded, &p.arrived, side)
         }),
         ("throttled, % of what arrived", |p, side| {
-            part(&p.throttled, &p.arrived, side)
+            percent(&p.throttled, &p.arrived, side)
         }),
         ("errored, % of what arrived", |p, side| {
-            part(&p.errored, &p.arrived, side)
+            percent(&p.errored, &p.arrived, side)
         }),
         ("late, % of what succeeded", |p, side| {
-            part(&p.late, &p.succeeded, side)
+            percent(&p.late, &p.succeeded, side)
         }),
         ("memory of a node, MB", |p, side| {
             f64::from(p.memory_kb.get(side).copied().unwrap_or(0.0)) / 1024.0
--- a/crates/node/src/cli/rollout/target.rs
+++ b/crates/node/src/cli/rollout/target.rs
@@ -1,4 +1,4 @@
-//! The node that a command is about, and what it shows.
+//! The node that a command is about, and its status.
 
 use super::error::RolloutCommandError;
 use crate::cli::error::CommandError;
@@ -13,21 +13,21 @@
 /// How often each page of a node's status is requested before the node is given up.
 const STATUS_TRIES: u32 = 25;
 
-/// Which node is asked, and about what.
+/// Which node a command queries, and whether about settings or the program.
 #[derive(Args, Clone)]
-pub struct At {
+pub struct RolloutTarget {
     /// The settings with the fleet's name and keys.
     #[arg(long, value_name = "FILE")]
     pub(super) settings: PathBuf,
     /// Where the node's part in the fleet listens; any node will do.
-    #[arg(long, value_name = "ADDRESS")]
-    pub(super) at: SocketAddr,
+    #[arg(long = "at", value_name = "ADDRESS")]
+    pub(super) node: SocketAddr,
     /// About the program, not the settings.
     #[arg(long)]
     pub(super) program: bool,
 }
 
-impl At {
+impl RolloutTarget {
     /// The topic of its rollouts.
     pub(super) fn topic(&self) -> u32 {
         if self.program {
@@ -39,12 +39,12 @@
 }
 
 /// Requests the status of the node's rollouts.
-pub(super) fn request_status(at: &At) -> Result<StatusSnapshot, CommandError> {
-    let node = at.at;
-    let bytes = NodeQuery::for_topic(&at.settings, node, at.topic())?
+pub(super) fn request_status(target: &RolloutTarget) -> Result<StatusSnapshot, CommandError> {
+    let node = target.node;
+    let bytes = NodeQuery::for_topic(&target.settings, node, target.topic())?
         .request_status_pages(STATUS_TRIES)?
         .ok_or_else(|| {
-            let subject = if at.program {
+            let subject = if target.program {
                 "the program"
             } else {
                 "settings"
@@ -55,16 +55,16 @@
         .map_err(|source| CommandError::MalformedStatus { node, source })
 }
 
-/// What the node shows, and what the coordinator does, which has the verdict; nothing of the latter if
-/// it is the node itself or can't be reached.
+/// Requests the status of the node and that of the coordinator, which has the verdict; none of the
+/// latter if it is the node itself or can't be reached.
 pub(super) fn request_with_coordinator(
-    at: &At,
+    target: &RolloutTarget,
 ) -> Result<(StatusSnapshot, Option<StatusSnapshot>), CommandError> {
-    let shown = request_status(at)?;
+    let shown = request_status(target)?;
     let coordinator = match shown.coordinator_address.parse() {
-        Ok(there) if shown.coordinator != shown.node => request_status(&At {
-            at: there,
-            ..at.clone()
+        Ok(there) if shown.coordinator != shown.node => request_status(&RolloutTarget {
+            node: there,
+            ..target.clone()
         })
         .ok(),
         _ => None,
