--- a/crates/node/src/cli/rollout.rs
+++ b/crates/node/src/cli/rollout.rs
@@ -2,13 +2,16 @@
 //! rolled back.
 
 mod display;
+pub mod error;
 mod plot;
 mod target;
 
-use super::fleet::Asker;
-use super::{Ended, Format};
+use super::arguments::Format;
+use super::error::{CommandError, CommandResult};
+use super::node_query::NodeQuery;
 use clap::Subcommand;
 use display::{explain, status, summary};
+use error::RolloutCommandError;
 use madderpoint_node::program_version;
 use madderpoint_rollout::chunks;
 use madderpoint_rollout::messages::{CommandReply, OperatorCommand, order};
@@ -18,13 +21,18 @@
 use std::path::{Path, PathBuf};
 use std::thread;
 use std::time::{Duration, Instant};
-use target::{At, request_status};
+use target::{RolloutTarget, request_status};
 
 /// How long a node may take to check what is offered.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between two questions about that.
+/// Time between two requests for the result of that check.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two looks at a rollout that is followed.
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(500);
+/// Looks in a row without an answer, after which a rollout is followed no longer.
+const MAX_MISSED_LOOKS: u32 = 60;
 
+/// Commands about rollouts.
 #[derive(Subcommand)]
 pub enum Command {
     /// Offer a file of settings to the fleet, by way of any node; it goes out in the stages that
@@ -36,7 +44,7 @@
         /// The file, with a higher number than that in force.
         file: PathBuf,
         #[command(flatten)]
-        at: At,
+        target: RolloutTarget,
         /// Wait until it is over, and tell each stage; the exit code is 1 if it is not done in the
         /// end.
         #[arg(long)]
@@ -49,7 +57,7 @@
     )]
     Status {
         #[command(flatten)]
-        at: At,
+        target: RolloutTarget,
         /// How it is shown.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
@@ -60,7 +68,7 @@
     )]
     Halt {
         #[command(flatten)]
-        at: At,
+        target: RolloutTarget,
         /// The rollout; the current one if it is not told.
         #[arg(long = "change", value_name = "CHANGE")]
         rollout: Option<String>,
@@ -74,7 +82,7 @@
     )]
     Back {
         #[command(flatten)]
-        at: At,
+        target: RolloutTarget,
         /// The rollout; the current one if it is not told.
         #[arg(long = "change", value_name = "CHANGE")]
         rollout: Option<String>,
@@ -88,7 +96,7 @@
     )]
     Explain {
         #[command(flatten)]
-        at: At,
+        target: RolloutTarget,
     },
     /// Draw both sides of a rollout over time (SVG), from the record of a voter or from what
     /// `status --format json` printed.
@@ -97,7 +105,7 @@
     )]
     Plot {
         #[command(flatten)]
-        at: At,
+        target: RolloutTarget,
         /// Where to.
         #[arg(long, value_name = "FILE")]
         to: PathBuf,
@@ -105,92 +113,72 @@
 }
 
 impl Command {
-    /// Carries the call out.
-    pub fn run(self) -> Ended {
+    /// Runs the command.
+    pub fn run(self) -> CommandResult {
         match self {
-            Command::Start { file, at, wait } => start(&file, &at, wait),
-            Command::Status { at, format } => status(&at, format),
-            Command::Halt { at, rollout, why } => end(&at, order::HALT, rollout.as_deref(), &why),
-            Command::Back { at, rollout, why } => {
-                end(&at, order::ROLL_BACK, rollout.as_deref(), &why)
-            }
-            Command::Explain { at } => explain(&at),
-            Command::Plot { at, to } => plot(&at, &to),
+            Command::Start { file, target, wait } => start(&file, &target, wait),
+            Command::Status { target, format } => status(&target, format),
+            Command::Halt {
+                target,
+                rollout,
+                why,
+            } => end(&target, order::HALT, rollout.as_deref(), &why),
+            Command::Back {
+                target,
+                rollout,
+                why,
+            } => end(&target, order::ROLL_BACK, rollout.as_deref(), &why),
+            Command::Explain { target } => explain(&target),
+            Command::Plot { target, to } => plot(&target, &to),
         }
     }
 }
 
 /// Sends a command until it has a final reply, or [`CHECK_TIMEOUT`] has passed.
-fn send_command(at: &At, command: &OperatorCommand) -> Result<CommandReply, String> {
-    let mut asker = Asker::about(&at.settings, at.at, at.topic())?;
+fn send_command(
+    target: &RolloutTarget,
+    command: &OperatorCommand,
+) -> Result<CommandReply, CommandError> {
+    let mut query = NodeQuery::for_topic(&target.settings, target.node, target.topic())?;
     let until = Instant::now() + CHECK_TIMEOUT;
     loop {
-        let answer = asker.order(at.topic(), &command.encode_to_vec())?;
-        let answer = CommandReply::decode(answer.as_slice())
-            .map_err(|e| format!("{}: its answer can't be read: {e}", at.at))?;
-        if answer.state != state::LATER || Instant::now() > until {
-            return Ok(answer);
+        let reply = query.send_command(&command.encode_to_vec())?;
+        let reply = CommandReply::decode(reply.as_slice()).map_err(|source| {
+            let node = target.node;
+            RolloutCommandError::MalformedReply { node, source }
+        })?;
+        if reply.state != state::LATER || Instant::now() > until {
+            return Ok(reply);
         }
         thread::sleep(RETRY_INTERVAL);
     }
 }
 
-/// Prints a reply; whether the command was taken. One that was rejected is no wrong call.
-fn print_reply(answer: &CommandReply) -> bool {
-    match answer.state {
+/// Prints a reply; true if the command was accepted. A rejected one is no usage error.
+fn print_reply(reply: &CommandReply) -> bool {
+    match reply.state {
         state::TAKEN => {
-            let more = if answer.why.is_empty() {
+            let more = if reply.why.is_empty() {
                 String::new()
             } else {
-                format!(": {}", answer.why)
+                format!(": {}", reply.why)
             };
-            println!("change {:016x}{more}", answer.rollout);
+            println!("change {:016x}{more}", reply.rollout);
         }
-        state::LATER => println!("not taken yet: {}", answer.why),
-        _ => println!("turned down: {}", answer.why),
+        state::LATER => println!("not taken yet: {}", reply.why),
+        _ => println!("turned down: {}", reply.why),
     }
-    answer.state == state::TAKEN
+    reply.state == state::TAKEN
 }
 
-fn start(file: &Path, at: &At, wait: bool) -> Ended {
-    let command = if at.program {
-        let madderpoint_rollout::Version { number, hash } =
-            program_version::version_of(file).map_err(|error| error.to_string())?;
-        OperatorCommand {
-            kind: order::OFFER,
-            number,
-            hash,
-            program: true,
-            ..OperatorCommand::default()
-        }
+fn start(file: &Path, target: &RolloutTarget, wait: bool) -> CommandResult {
+    let offer = if target.program {
+        program_offer(file)?
     } else {
-        let content = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-        if content.len() > chunks::MAX_CONTENT_BYTES {
-            return Err(format!(
-                "{}: {} bytes, {} at most",
-                file.display(),
-                content.len(),
-                chunks::MAX_CONTENT_BYTES
-            ));
-        }
+        let content = read_content(file)?;
         let digest = chunks::digest(&content).to_vec();
-        for no in 0..chunks::count(content.len()) {
-            let Some(bytes) = chunks::chunk(&content, no) else {
-                break;
-            };
-            let (size, digest, bytes) = (content.len() as u32, digest.clone(), bytes.to_vec());
-            let chunk = OperatorCommand {
-                kind: order::CHUNK,
-                chunk: no,
-                bytes,
-                size,
-                digest,
-                ..OperatorCommand::default()
-            };
-            let answer = send_command(at, &chunk)?;
-            if answer.state != state::TAKEN {
-                return Ok(print_reply(&answer));
-            }
+        if let Some(rejection) = send_chunks(target, &content, &digest)? {
+            return Ok(print_reply(&rejection));
         }
         OperatorCommand {
             kind: order::OFFER,
@@ -198,30 +186,75 @@
             ..OperatorCommand::default()
         }
     };
-    let answer = send_command(at, &command)?;
-    if !print_reply(&answer) || !wait {
-        return Ok(answer.state == state::TAKEN);
+    let reply = send_command(target, &offer)?;
+    if !print_reply(&reply) || !wait {
+        return Ok(reply.state == state::TAKEN);
+    }
+    follow(target, reply.rollout)
+}
+
+/// The offer of the version of the program that is in a directory.
+fn program_offer(directory: &Path) -> Result<OperatorCommand, RolloutCommandError> {
+    let madderpoint_rollout::Version { number, hash } = program_version::version_of(directory)?;
+    Ok(OperatorCommand {
+        kind: order::OFFER,
+        number,
+        hash,
+        program: true,
+        ..OperatorCommand::default()
+    })
+}
+
+/// Reads a file of settings of at most [`chunks::MAX_CONTENT_BYTES`].
+fn read_content(file: &Path) -> Result<Vec<u8>, CommandError> {
+    let content = std::fs::read(file).map_err(|e| CommandError::file(file, e))?;
+    if content.len() > chunks::MAX_CONTENT_BYTES {
+        let (path, size) = (file.to_owned(), content.len());
+        return Err(RolloutCommandError::TooLarge { path, size }.into());
+    }
+    Ok(content)
+}
+
+/// Sends a file of settings in chunks. `Some` if one is not accepted: the reply to it.
+fn send_chunks(
+    target: &RolloutTarget,
+    content: &[u8],
+    digest: &[u8],
+) -> Result<Option<CommandReply>, CommandError> {
+    for index in 0..chunks::count(content.len()) {
+        let Some(bytes) = chunks::chunk(content, index) else {
+            break;
+        };
+        let chunk = OperatorCommand {
+            kind: order::CHUNK,
+            chunk: index,
+            bytes: bytes.to_vec(),
+            size: content.len() as u32,
+            digest: digest.to_vec(),
+            ..OperatorCommand::default()
+        };
+        let reply = send_command(target, &chunk)?;
+        if reply.state != state::TAKEN {
+            return Ok(Some(reply));
+        }
     }
-    follow(at, answer.rollout)
+    Ok(None)
 }
 
-/// Tells each stage of a rollout until it is over.
-fn follow(at: &At, id: u64) -> Ended {
+/// Prints each stage of a rollout until it is over; true if it is completed.
+fn follow(target: &RolloutTarget, id: u64) -> CommandResult {
     let mut before = (u32::MAX, String::new());
-    let mut lost = 0;
+    let mut missed_looks = 0;
     loop {
-        thread::sleep(Duration::from_millis(500));
-        let Ok(shown) = request_status(at) else {
-            lost += 1;
-            if lost > 60 {
-                return Err(format!(
-                    "{}: it shows nothing any more; the change goes on without it",
-                    at.at
-                ));
+        thread::sleep(FOLLOW_INTERVAL);
+        let Ok(shown) = request_status(target) else {
+            missed_looks += 1;
+            if missed_looks > MAX_MISSED_LOOKS {
+                return Err(RolloutCommandError::StatusLost(target.node).into());
             }
             continue;
         };
-        lost = 0;
+        missed_looks = 0;
         let Some(rollout) = shown.rollouts.iter().find(|rollout| rollout.id == id) else {
             continue;
         };
@@ -238,18 +271,18 @@
     }
 }
 
-fn end(at: &At, kind: u32, rollout: Option<&str>, why: &str) -> Ended {
+fn end(target: &RolloutTarget, kind: u32, rollout: Option<&str>, why: &str) -> CommandResult {
     let rollout = match rollout {
         Some(text) => u64::from_str_radix(text, 16)
-            .map_err(|_| format!("{text}: no change, 16 hex digits"))?,
+            .map_err(|_| RolloutCommandError::RolloutId(text.to_owned()))?,
         None => 0,
     };
     let command = OperatorCommand {
         kind,
         rollout,
         why: why.to_owned(),
-        program: at.program,
+        program: target.program,
         ..OperatorCommand::default()
     };
-    Ok(print_reply(&send_command(at, &command)?))
+    Ok(print_reply(&send_command(target, &command)?))
 }
--- a/crates/node/src/cli/rollout/target.rs
+++ b/crates/node/src/cli/rollout/target.rs
@@ -1,6 +1,8 @@
-//! The node that a command is about, and what it shows.
+//! The node that a command is about, and its status.
 
-use crate::cli::fleet::Asker;
+use super::error::RolloutCommandError;
+use crate::cli::error::CommandError;
+use crate::cli::node_query::NodeQuery;
 use clap::Args;
 use madderpoint_node::io::{PROGRAM_CHANGES, SETTINGS_CHANGES};
 use madderpoint_rollout::status::StatusSnapshot;
@@ -8,24 +10,24 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// How often a node is asked for what it shows, before it is given up.
+/// How often each page of a node's status is requested before the node is given up.
 const STATUS_TRIES: u32 = 25;
 
-/// Which node is asked, and about what.
+/// Which node a command queries, and whether about settings or the program.
 #[derive(Args, Clone)]
-pub struct At {
+pub struct RolloutTarget {
     /// The settings with the fleet's name and keys.
     #[arg(long, value_name = "FILE")]
     pub(super) settings: PathBuf,
     /// Where the node's part in the fleet listens; any node will do.
-    #[arg(long, value_name = "ADDRESS")]
-    pub(super) at: SocketAddr,
+    #[arg(long = "at", value_name = "ADDRESS")]
+    pub(super) node: SocketAddr,
     /// About the program, not the settings.
     #[arg(long)]
     pub(super) program: bool,
 }
 
-impl At {
+impl RolloutTarget {
     /// The topic of its rollouts.
     pub(super) fn topic(&self) -> u32 {
         if self.program {
@@ -36,34 +38,33 @@
     }
 }
 
-/// What the node shows.
-pub(super) fn request_status(at: &At) -> Result<StatusSnapshot, String> {
-    let bytes = Asker::about(&at.settings, at.at, at.topic())?.ask_pages(STATUS_TRIES)?;
-    let bytes = bytes.ok_or_else(|| {
-        let what = if at.program {
-            "the program"
-        } else {
-            "settings"
-        };
-        format!(
-            "{}: it shows nothing: nobody is there, or it has no part in changes of {what}",
-            at.at
-        )
-    })?;
+/// Requests the status of the node's rollouts.
+pub(super) fn request_status(target: &RolloutTarget) -> Result<StatusSnapshot, CommandError> {
+    let node = target.node;
+    let bytes = NodeQuery::for_topic(&target.settings, node, target.topic())?
+        .request_status_pages(STATUS_TRIES)?
+        .ok_or_else(|| {
+            let subject = if target.program {
+                "the program"
+            } else {
+                "settings"
+            };
+            RolloutCommandError::NoStatus { node, subject }
+        })?;
     StatusSnapshot::decode(bytes.as_slice())
-        .map_err(|e| format!("{}: what it shows can't be read: {e}", at.at))
+        .map_err(|source| CommandError::MalformedStatus { node, source })
 }
 
-/// What the node shows, and what the coordinator does, which has the verdict; nothing of the latter if
-/// it is the node itself or can't be reached.
+/// Requests the status of the node and that of the coordinator, which has the verdict; none of the
+/// latter if it is the node itself or can't be reached.
 pub(super) fn request_with_coordinator(
-    at: &At,
-) -> Result<(StatusSnapshot, Option<StatusSnapshot>), String> {
-    let shown = request_status(at)?;
+    target: &RolloutTarget,
+) -> Result<(StatusSnapshot, Option<StatusSnapshot>), CommandError> {
+    let shown = request_status(target)?;
     let coordinator = match shown.coordinator_address.parse() {
-        Ok(there) if shown.coordinator != shown.node => request_status(&At {
-            at: there,
-            ..at.clone()
+        Ok(there) if shown.coordinator != shown.node => request_status(&RolloutTarget {
+            node: there,
+            ..target.clone()
         })
         .ok(),
         _ => None,
