--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -110,9 +110,9 @@
 #[derive(Debug, Default)]
 pub struct RangeExchange {
     /// Members whose complete entry the other node lacks.
-    pub whole: Vec<MemberKey>,
+    pub complete: Vec<MemberKey>,
     /// Members of which it lacks only the liveness state.
-    pub header_update: Vec<MemberKey>,
+    pub headers: Vec<MemberKey>,
     /// Members of which it knows more.
     pub wants: Vec<MemberKey>,
 }
@@ -143,11 +143,11 @@
             liveness,
         };
         if known.epoch > epoch || known.epoch == epoch && known.revision > updates.revision {
-            differences.whole.push(*key);
+            differences.complete.push(*key);
         } else if known.epoch < epoch || known.revision < updates.revision {
             differences.wants.push(*key);
         } else if known.liveness_state > liveness_state {
-            differences.header_update.push(*key);
+            differences.headers.push(*key);
         }
         // Where only their liveness state is newer, the header has been merged already.
     }
@@ -155,7 +155,7 @@
         let here = member_table
             .range(range.from..=range.to)
             .filter(|(_, entry)| entry.liveness().is_present());
-        differences.whole.extend(
+        differences.complete.extend(
             here.map(|(key, _)| key)
                 .filter(|key| !theirs.contains_key(key)),
         );
--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -118,7 +118,7 @@
                 let found = differences(there, &finer.covered, &named);
                 back.extend(
                     found
-                        .whole
+                        .complete
                         .iter()
                         .map(|key| there.get(*key).unwrap().full_update(*key)),
                 );
@@ -191,7 +191,7 @@
     assert!(headers(&member_table, &Range { from: 9, to: 3 }).is_empty());
     assert!(
         differences(&member_table, &[Range { from: 9, to: 3 }], &[])
-            .whole
+            .complete
             .is_empty()
     );
 }
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -2,117 +2,34 @@
 //! simulated time, links that lose and delay, members that crash, pause, stall and return, zones
 //! that are partitioned. All chance comes from a seed.
 
-use crate::cluster_size::ClusterView;
 use crate::datagram_auth::AuthKeys;
 use crate::history::ChangeKind;
 use crate::member::{Liveness, MemberKey};
 use crate::member_table::Interner;
-use crate::{ClockReading, Config, Host, Membership};
+use crate::{ClockReading, Config, Membership};
 use crate::{MILLISECOND, Nanos, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
-use std::rc::Rc;
 
 mod config;
+mod event;
 mod heartbeats;
+mod node;
 
 pub use config::SimulationConfig;
 pub use heartbeats::{Heartbeats, heartbeats};
+pub use node::{SimulatedActions, SimulatedNode};
+
+use event::{Event, EventKind};
 
 /// Unix time at which a simulation starts, in milliseconds.
 const START_UNIX_MS: u64 = 1_800_000_000_000;
 /// All members report a false death; reports of one member within this time count once.
 const FALSE_DEATH_WINDOW: Nanos = 60 * SECOND;
 
-/// Side effects of a simulated member.
-#[derive(Debug, Default)]
-pub struct SimulatedActions {
-    sent: Vec<(SocketAddr, Rc<[u8]>)>,
-    changed: Vec<(ChangeKind, MemberKey)>,
-    /// Lines of its log, if they are collected.
-    pub lines: Option<Vec<String>>,
-}
-
-impl Host for SimulatedActions {
-    fn send(&mut self, to: SocketAddr, frame: &[u8]) {
-        self.sent.push((to, frame.into()));
-    }
-    fn log(&mut self, _kind: &'static str, line: &str) {
-        if let Some(lines) = &mut self.lines {
-            lines.push(line.to_owned());
-        }
-    }
-    fn cluster_view_changed(&mut self, _view: &ClusterView) {}
-    fn member_changed(&mut self, kind: ChangeKind, key: MemberKey) {
-        self.changed.push((kind, key));
-    }
-}
-
-enum EventKind {
-    Wake {
-        generation: u32,
-    },
-    /// A stalling member stands still from now on, for a while.
-    Stall,
-    Deliver {
-        from: SocketAddr,
-        frame: Rc<[u8]>,
-    },
-}
-
-struct Event {
-    due: Nanos,
-    order: u64,
-    node: usize,
-    kind: EventKind,
-}
-
-impl PartialEq for Event {
-    fn eq(&self, other: &Event) -> bool {
-        (self.due, self.order) == (other.due, other.order)
-    }
-}
-impl Eq for Event {}
-impl PartialOrd for Event {
-    fn partial_cmp(&self, other: &Event) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for Event {
-    fn cmp(&self, other: &Event) -> std::cmp::Ordering {
-        (self.due, self.order).cmp(&(other.due, other.order))
-    }
-}
-
-/// A simulated member.
-pub struct SimulatedNode {
-    /// Its name.
-    pub name: String,
-    /// Its key.
-    pub key: MemberKey,
-    /// Number of its zone.
-    pub zone: usize,
-    address: SocketAddr,
-    /// Its protocol state; `None` while it is down.
-    pub membership: Option<Membership<SimulatedActions>>,
-    generation: u32,
-    wake_scheduled: Nanos,
-    /// It neither receives nor acts until then.
-    paused_until: Nanos,
-    is_stalling: bool,
-    /// When it went down, if it is down.
-    pub down_since: Option<Nanos>,
-    /// Error of its Unix clock, in milliseconds.
-    pub clock_error_ms: i64,
-    /// Bytes sent since they were last read.
-    pub bytes: u64,
-    /// Datagrams sent since they were last read.
-    pub datagrams: u64,
-}
-
 /// Whether the link from one member to another is cut.
 type LinkCut = Box<dyn Fn(&SimulatedNode, &SimulatedNode) -> bool>;
 
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -56,9 +56,9 @@
 /// Rate (bytes a second) and burst (bytes) for updates that ride on other datagrams.
 const DISSEMINATION_BYTES: (f64, f64) = (16e3, 32e3);
 
-/// A node's part in the fleet.
+/// The membership protocol of one node.
 pub struct Membership<H: Host> {
-    /// Where it acts.
+    /// Carries out the side effects.
     pub host: H,
     config: Config,
     rng: Pcg64Mcg,
--- a/crates/membership/src/swim/member_updates.rs
+++ b/crates/membership/src/swim/member_updates.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Merges an update. `reply` collects what to send reply: entries that are wanted, and those of
-    /// which more is known here.
+    /// Merges an update. `reply` collects what to reply with: entries that are wanted, and those
+    /// of which more is known here.
     pub(super) fn apply_update(
         &mut self,
         at: ClockReading,
@@ -64,7 +64,7 @@
         }
         match self.member_table.merge(at.now, update) {
             MergeOutcome::Known => self.confirm_suspicion(at, sender, update),
-            MergeOutcome::Older => reply.header_update.push(key),
+            MergeOutcome::Older => reply.headers.push(key),
             MergeOutcome::DetailsWanted if reply.wants.len() < WANTS_PER_DATAGRAM => {
                 reply.wants.push(key)
             }
@@ -163,7 +163,7 @@
                 self.refute(at, reported.liveness);
             }
             None if (update.started_unix_ms, reported) != (self.epoch.started_unix_ms, own) => {
-                reply.header_update.push(self.own_key);
+                reply.headers.push(self.own_key);
             }
             None => {}
         }
--- a/crates/membership/src/swim/name_conflict.rs
+++ b/crates/membership/src/swim/name_conflict.rs
@@ -36,7 +36,7 @@
         if was_mute {
             self.record_change(at, ChangeKind::NameBack, self.own_key, why.to_owned());
         } else {
-            self.count("times it took its name over from an earlier life", 1);
+            self.count("times it took its name over from an earlier incarnation", 1);
         }
     }
 
--- a/crates/membership/src/swim/observation.rs
+++ b/crates/membership/src/swim/observation.rs
@@ -52,13 +52,13 @@
             .member_table
             .get(key)
             .map_or_else(|| Arc::from("?"), |entry| Arc::clone(&entry.name));
-        let record_change = ChangeEvent {
+        let change = ChangeEvent {
             unix_ms: at.unix_ms,
             kind,
             name,
             more,
         };
-        if let Some(line) = self.history.push(at.now, record_change) {
+        if let Some(line) = self.history.push(at.now, change) {
             self.host.log(kind.as_str(), &line);
         }
     }
@@ -139,7 +139,7 @@
                 return;
             };
             if page.len() > messages::PAYLOAD_MAX {
-                return self.count("pages that are too large", 1);
+                return self.count("status pages that are too large", 1);
             }
             (
                 builder.datagram.topic,
@@ -194,7 +194,7 @@
         answer: &[u8],
     ) {
         if answer.len() > messages::PAYLOAD_MAX {
-            return self.count("answers to orders that are too large", 1);
+            return self.count("replies to commands that are too large", 1);
         }
         let (from, kind, payload) = (self.from(), kind::COMMAND_REPLY, answer.to_vec());
         self.send(
@@ -239,10 +239,10 @@
                 break;
             }
         }
-        for record_change in self.history.latest().take(REPORTED_CHANGES) {
-            let line = record_change.to_string();
+        for change in self.history.latest().take(REPORTED_CHANGES) {
+            let line = change.to_string();
             report.changes.push(messages::ChangeEvent {
-                unix_ms: record_change.unix_ms,
+                unix_ms: change.unix_ms,
                 line,
             });
             if report.encoded_len() > most {
--- a/crates/membership/src/swim/own_entry.rs
+++ b/crates/membership/src/swim/own_entry.rs
@@ -52,7 +52,7 @@
         }
         let updates = self.own_update()?;
         if self.member_table.merge(at.now, &updates) == MergeOutcome::Full {
-            self.count("invariant: a view without room for its own node", 1);
+            self.count("invariant: the member table has room for its own node", 1);
         }
         self.last_change = at.now;
         self.dissemination_queue.push(self.own_key);
@@ -119,7 +119,7 @@
             return Ok(());
         }
         if let Err(error) = self.details(attachments.clone()) {
-            self.count("parts that did not fit the entry", 1);
+            self.count("attachments that did not fit the entry", 1);
             return Err(error);
         }
         self.attachments = attachments;
--- a/crates/membership/src/swim/receiving.rs
+++ b/crates/membership/src/swim/receiving.rs
@@ -62,11 +62,11 @@
             // is the sender's own.
             let own_key = self.own_key;
             reply
-                .header_update
+                .headers
                 .retain(|key| *key == sender || *key == own_key);
         }
-        reply.header_update.sort_unstable();
-        reply.header_update.dedup();
+        reply.headers.sort_unstable();
+        reply.headers.dedup();
         self.send_entries(at, to, &reply);
         let is_member_traffic = matches!(datagram.kind, kind::PING | kind::ACK | kind::GOSSIP);
         if sender != MemberKey::NONE && is_member_traffic {
@@ -99,13 +99,13 @@
                     &datagram.covered,
                     &datagram.updates,
                 );
-                reply.header_update.extend(found.header_update);
-                reply.whole.extend(found.whole);
+                reply.headers.extend(found.headers);
+                reply.complete.extend(found.complete);
                 reply.wants.extend(found.wants);
             }
             kind::ENTRIES => {
                 let wanted = datagram.wants.iter().map(|key| MemberKey(*key));
-                reply.whole.extend(wanted);
+                reply.complete.extend(wanted);
             }
             kind::SHOW => self.on_show(at, from, datagram),
             kind::PAGE | kind::COMMAND_REPLY => {}
@@ -139,7 +139,7 @@
             self.host
                 .payload_received(sender, incarnation, datagram.topic, &datagram.payload);
         } else {
-            self.count("parcels of one that is not known", 1);
+            self.count("payloads of unknown members", 1);
         }
     }
 
@@ -210,7 +210,7 @@
             .into_iter()
             .collect();
         updates.extend(self.suspicion_about(MemberKey(datagram.from)));
-        reply.header_update.retain(|key| *key != self.own_key);
+        reply.headers.retain(|key| *key != self.own_key);
         let ack = Datagram {
             from: self.own_key.0,
             kind: kind::ACK,
@@ -252,7 +252,7 @@
         let Some(outstanding_probe) = outstanding_probe else {
             return;
         };
-        // From the one that was asked, or from a helper, who looks at the life itself.
+        // From the target itself, or from a relay, which checks the incarnation.
         if sender != target || incarnation == outstanding_probe.incarnation {
             self.outstanding_probe = None;
             if self.config.features.health {
@@ -275,7 +275,7 @@
             || self.is_mute()
             || target == self.own_key
         {
-            return self.count("errands beyond their number", 1);
+            return self.count("relayed probes beyond their number", 1);
         }
         self.number = self.number.wrapping_add(1);
         let answer = self.config.timing.answer;
@@ -307,7 +307,7 @@
             if tag == (self.own_key.0 >> 32) as u32 {
                 continue;
             }
-            let apply_update = self.member_table.merge_load_hint(
+            let changed = self.member_table.merge_load_hint(
                 at.now,
                 tag,
                 LoadHint {
@@ -316,7 +316,7 @@
                     load: load_hint[7],
                 },
             );
-            if let Some(key) = apply_update {
+            if let Some(key) = changed {
                 self.recent_load_hints.retain(|other| *other != key);
                 self.recent_load_hints.push(key);
                 if self.recent_load_hints.len() > 4 * LOAD_HINTS_PER_DATAGRAM {
--- a/crates/membership/src/swim/sending.rs
+++ b/crates/membership/src/swim/sending.rs
@@ -56,7 +56,7 @@
             there,
             self.is_mute() || payload.len() > messages::PAYLOAD_MAX,
         ) else {
-            self.count("parcels that could not be sent", 1);
+            self.count("payloads that could not be sent", 1);
             return false;
         };
         let payload = payload.to_vec();
@@ -181,10 +181,10 @@
         wants.sort_unstable();
         wants.dedup();
         let mut updates: Vec<MemberUpdate> = Vec::new();
-        for key in &differences.header_update {
+        for key in &differences.headers {
             updates.extend(self.member_table.get(*key).map(|e| e.header_update(*key)));
         }
-        for key in &differences.whole {
+        for key in &differences.complete {
             updates.extend(self.member_table.get(*key).map(|e| e.full_update(*key)));
         }
         if updates.is_empty() && wants.is_empty() {
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -354,7 +354,7 @@
     assert_eq!(
         (
             c.host.1.len(),
-            c.counters().get("parcels of one that is not known")
+            c.counters().get("payloads of unknown members")
         ),
         (0, Some(&1))
     );
--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -341,7 +341,7 @@
     /// Sends and shows what there is to say.
     pub fn post<H: MembershipHost>(&mut self, at: ClockReading, membership: &mut Membership<H>) {
         let topic = topic(self.kind);
-        // What this node tells itself as a voter, as one who conducts and as a member stays
+        // What this node tells itself as a voter, as the coordinator and as a member stays
         // here, and may be answered.
         while !self.participant.agent.host.sent.is_empty() {
             for (to, message) in std::mem::take(&mut self.participant.agent.host.sent) {
@@ -377,7 +377,7 @@
         }
     }
 
-    /// Whether another process is being started to take this one's place: nothing else may rollout
+    /// Whether another process is being started to take this one's place: nothing else may change
     /// then.
     pub fn hands_over(&self) -> bool {
         self.kind == Kind::Program && (self.handed_over || self.participant.agent.is_applying())
--- a/crates/node/src/state/admission_host.rs
+++ b/crates/node/src/state/admission_host.rs
@@ -110,16 +110,16 @@
         }
     }
 
-    fn set_health(&mut self, good: bool, from_store: bool) {
-        self.0.borrow_mut().set_health(good, from_store);
+    fn set_health(&mut self, healthy: bool, from_cache: bool) {
+        self.0.borrow_mut().set_health(healthy, from_cache);
     }
 
     fn report_load(&mut self, value: f64) {
         self.0.borrow_mut().load_report = Some(value);
     }
 
-    fn close_idle_connections(&mut self, after: Nanos) {
-        self.0.borrow_mut().set_idle_timeout(after);
+    fn close_idle_connections(&mut self, idle_for: Nanos) {
+        self.0.borrow_mut().set_idle_timeout(idle_for);
     }
 
     fn set_timer(&mut self, timer: TimerId, after: Nanos) {
--- a/crates/rollout/examples/compare.rs
+++ b/crates/rollout/examples/compare.rs
@@ -1,4 +1,4 @@
-//! RolloutTable good and bad, by seed, judged in several ways and set against all nodes at once: how
+//! Rollouts good and bad, by seed, judged in several ways and set against all nodes at once: how
 //! many good ones are stopped, how many bad ones pass, by the size of their harm, and what they
 //! cost. Prints a table; with a path, draws what bad ones cost as SVG.
 //!
--- a/crates/rollout/src/canary_analysis/tests.rs
+++ b/crates/rollout/src/canary_analysis/tests.rs
@@ -15,7 +15,7 @@
 
 struct Fleet {
     rng: Pcg64Mcg,
-    /// NodeShare of errors of each node by itself, and which ones are new.
+    /// Share of errors of each node by itself, and which ones are new.
     own: Vec<f64>,
     new: usize,
 }
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -165,7 +165,7 @@
             me,
             kind,
             voters,
-            // Answers to a conductor before it under the same name must not be taken for answers to
+            // Answers to an earlier coordinator under the same name must not be taken for answers to
             // this one.
             poll: (splitmix64(me ^ now) as u32) & 0x0fff_ffff,
             polled: 0,
--- a/crates/rollout/src/persisted_state.rs
+++ b/crates/rollout/src/persisted_state.rs
@@ -3,8 +3,8 @@
 //! byte.
 //!
 //! Rules: a trial is written before it is applied. A file that names a trial at the start means that
-//! the node crashed on trial: it starts on the last promoted version, and does not try that one again
-//! by itself.
+//! the node crashed on trial: it starts on the last promoted version, and tries that one again
+//! later, a bounded number of times (`node_agent`).
 
 use crate::identifiers::{Kind, RolloutId, Version};
 use crate::messages::{self, RolloutWire, VoteWire};
--- a/crates/settings/src/scenario.rs
+++ b/crates/settings/src/scenario.rs
@@ -89,7 +89,7 @@
     pub bytes_a_second: Option<u64>,
 }
 
-/// LinkKind with a fault.
+/// A link with a fault.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LinkFault {
     /// The kind of links.
--- a/crates/shared-state/src/budget/lender.rs
+++ b/crates/shared-state/src/budget/lender.rs
@@ -1,5 +1,4 @@
-//! The leader's end of a budget: which leases are outstanding, of which
-//! borrower, until when.
+//! The leader's end of a budget: which leases are outstanding, of which borrower, until when.
 //!
 //! A unit is granted again only when its borrower reported that it holds a later and smaller lease,
 //! or when the earlier lease has expired on the lender's clock, extended by the clock drift bound and
--- a/crates/test-harness/src/fault_proxy.rs
+++ b/crates/test-harness/src/fault_proxy.rs
@@ -16,7 +16,7 @@
 
 /// The longest datagram that is forwarded, in bytes.
 const DATAGRAM_BYTES_MAX: usize = 2048;
-/// DatagramProxy that are held or late, at most; more are lost.
+/// Datagrams that are held or late, at most; more are lost.
 const DATAGRAMS_MAX: usize = 20_000;
 /// The longest wait for a datagram before held ones are looked at.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
