--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -124,7 +124,7 @@
                 );
                 back.extend(
                     found
-                        .header_update
+                        .headers
                         .iter()
                         .map(|key| there.get(*key).unwrap().header_update(*key)),
                 );
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -357,7 +357,10 @@
         let (_, fleet) = sim.up().nth(4).unwrap();
         assert!(!fleet.is_mute());
         assert!(
-            counted(&sim, "times it took its name over from an earlier life") >= 1,
+            counted(
+                &sim,
+                "times it took its name over from an earlier incarnation"
+            ) >= 1,
             "seed {seed}"
         );
         stays_settled(&mut sim, 30 * S);
