--- a/crates/membership/src/cluster_size.rs
+++ b/crates/membership/src/cluster_size.rs
@@ -47,9 +47,9 @@
     /// Members under suspicion.
     pub suspects: usize,
     /// Local health score; 0 is healthy.
-    pub doubt: u32,
+    pub local_health_score: u32,
     /// Whether another process holds this node's name, so that nobody sees this one.
-    pub mute: bool,
+    pub has_name_conflict: bool,
 }
 
 /// A number that rises at once and falls slowly.
@@ -101,8 +101,8 @@
         now: Nanos,
         member_table: &MemberTable,
         own_zone: &Arc<str>,
-        doubt: u32,
-        mute: bool,
+        local_health_score: u32,
+        has_name_conflict: bool,
     ) -> ClusterView {
         let (mut lost, mut lost_here) = (0, 0);
         if member_table.counts().dead > 0 {
@@ -115,7 +115,7 @@
             }
         }
         let (fleet, zone) = (member_table.counts(), member_table.zone(own_zone));
-        self.update_confidence(now, fleet, lost, doubt);
+        self.update_confidence(now, fleet, lost, local_health_score);
         let unsure = self.unsure_since.is_some();
         self.fleet.follow(now, fleet.present(), unsure);
         self.zone.follow(now, zone.present(), unsure);
@@ -130,17 +130,23 @@
             unsure_since: self.unsure_since,
             digest: member_table.digest(),
             suspects: fleet.suspect,
-            doubt,
-            mute,
+            local_health_score,
+            has_name_conflict,
         }
     }
 
-    fn update_confidence(&mut self, now: Nanos, fleet: MemberCounts, lost: usize, doubt: u32) {
+    fn update_confidence(
+        &mut self,
+        now: Nanos,
+        fleet: MemberCounts,
+        lost: usize,
+        local_health_score: u32,
+    ) {
         let before = self.fleet.value.max(fleet.present() + lost);
         let many_lost = lost * LOST_FRACTION_DIVISOR >= before
             && (lost > 1 || lost == 1 && fleet.present() < 2);
         let many_suspect = fleet.suspect > 1 && fleet.suspect * 2 >= fleet.present();
-        if many_lost || many_suspect || doubt >= UNSURE_HEALTH_SCORE {
+        if many_lost || many_suspect || local_health_score >= UNSURE_HEALTH_SCORE {
             self.cause = now;
             self.unsure_since.get_or_insert(now);
         }
@@ -148,7 +154,7 @@
         let long = self
             .unsure_since
             .is_some_and(|since| now >= since + UNSURE_MAX)
-            && doubt < UNSURE_HEALTH_SCORE;
+            && local_health_score < UNSURE_HEALTH_SCORE;
         if calm || long {
             self.unsure_since = None;
         }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -20,7 +20,7 @@
     /// Period between two probes.
     pub probe: Nanos,
     /// Timeout of a direct probe, after which relays are asked to probe.
-    pub answer: Nanos,
+    pub probe_timeout: Nanos,
     /// Period between two gossip rounds.
     pub gossip: Nanos,
     /// Shortest suspicion timeout, in probe periods times the decimal logarithm of the cluster size.
@@ -30,7 +30,7 @@
     /// Period between two attempts to reach members that were declared dead.
     pub probe_dead: Nanos,
     /// How long members that are dead or left are remembered.
-    pub remember: Nanos,
+    pub forget_after: Nanos,
     /// Greatest clock difference at which the first datagram of an unknown process is accepted.
     pub skew: Nanos,
 }
@@ -39,12 +39,12 @@
     fn default() -> Timing {
         Timing {
             probe: SECOND,
-            answer: 400 * MILLISECOND,
+            probe_timeout: 400 * MILLISECOND,
             gossip: 200 * MILLISECOND,
             suspicion: 2.0,
             suspicion_max_factor: 4.0,
             probe_dead: SECOND,
-            remember: 3600 * SECOND,
+            forget_after: 3600 * SECOND,
             skew: 600 * SECOND,
         }
     }
@@ -59,7 +59,7 @@
     /// Suspicion timeouts that shrink with each confirmation, and suspects that are told.
     pub confirm: bool,
     /// Anti-entropy by digests of the member table.
-    pub reconcile: bool,
+    pub anti_entropy: bool,
     /// Probes of members that were declared dead.
     pub probe_dead: bool,
 }
@@ -69,7 +69,7 @@
         FeatureToggles {
             health: true,
             confirm: true,
-            reconcile: true,
+            anti_entropy: true,
             probe_dead: true,
         }
     }
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Name of the cluster; datagrams of other clusters are dropped.
-    pub fleet: String,
+    pub cluster_name: String,
     /// Name of this node, unique in the cluster; printable ASCII, at most [`NAME_MAX`] bytes.
     pub name: String,
     /// Zone of this node; may be empty.
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -185,7 +185,7 @@
     pub unsure_ms: u64,
     /// Local health score.
     #[prost(uint32, tag = "6")]
-    pub doubt: u32,
+    pub local_health_score: u32,
     /// Members under suspicion.
     #[prost(uint32, tag = "7")]
     pub suspects: u32,
@@ -197,7 +197,7 @@
     pub zone: String,
     /// Whether another process holds its name.
     #[prost(bool, tag = "10")]
-    pub mute: bool,
+    pub has_name_conflict: bool,
     /// Counters.
     #[prost(message, repeated, tag = "11")]
     pub counters: Vec<CounterMessage>,
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -153,7 +153,7 @@
     fn node_config(&self, node: usize) -> Config {
         let node = &self.nodes[node];
         Config {
-            fleet: "simulated".into(),
+            cluster_name: "simulated".into(),
             name: node.name.clone(),
             zone: format!("z{}", node.zone),
             address: node.address,
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -133,7 +133,7 @@
         let incarnation = Incarnation(rng.random::<u64>() >> 1 | 1);
         let members_max = config.bytes / TYPICAL_ENTRY_BYTES + 16;
         let datagram_auth = DatagramAuth::new(
-            &config.fleet,
+            &config.cluster_name,
             config.keys.clone(),
             incarnation,
             config.timing.skew,
--- a/crates/membership/src/swim/comparison.rs
+++ b/crates/membership/src/swim/comparison.rs
@@ -16,7 +16,7 @@
 impl<H: Host> Membership<H> {
     /// Begins a comparison of member tables with a member, as far as interval and byte rate allow.
     pub(super) fn start_comparison(&mut self, at: ClockReading, with: MemberKey) {
-        if !self.config.features.reconcile
+        if !self.config.features.anti_entropy
             || at.now < self.last_comparison + COMPARISON_INTERVAL
             || !self.comparison_budget.is_open(at.now)
         {
--- a/crates/membership/src/swim/dissemination.rs
+++ b/crates/membership/src/swim/dissemination.rs
@@ -40,7 +40,7 @@
     /// much is queued.
     pub(super) fn gossip_round(&mut self, at: ClockReading) {
         let unsettled = at.now < self.unsettled_until;
-        if self.is_mute() || self.dissemination_queue.is_empty() && !unsettled {
+        if self.has_name_conflict() || self.dissemination_queue.is_empty() && !unsettled {
             return;
         }
         let crowded = self.dissemination_queue.len() > UPDATES_PER_DATAGRAM;
@@ -58,7 +58,7 @@
     pub(super) fn probe_dead(&mut self, at: ClockReading) {
         self.recovery_rounds += 1;
         if !self.config.features.probe_dead
-            || self.is_mute()
+            || self.has_name_conflict()
             || self.leaving
             || self.member_table.counts().dead == 0
         {
@@ -123,7 +123,7 @@
             } else {
                 SEED_INTERVAL
             };
-        if self.is_mute() || self.leaving {
+        if self.has_name_conflict() || self.leaving {
             return;
         }
         let mut join_addresses = self.join_addresses();
--- a/crates/membership/src/swim/member_updates.rs
+++ b/crates/membership/src/swim/member_updates.rs
@@ -101,7 +101,9 @@
             started_unix_ms: update.started_unix_ms,
             incarnation: Incarnation(update.incarnation),
         };
-        !self.is_mute() && theirs > self.epoch && update.incarnation != self.epoch.incarnation.0
+        !self.has_name_conflict()
+            && theirs > self.epoch
+            && update.incarnation != self.epoch.incarnation.0
     }
 
     /// Merges an update about this node: refutes it, or notes a name conflict.
@@ -150,7 +152,7 @@
             None
         };
         match refutation {
-            _ if self.is_mute() => {}
+            _ if self.has_name_conflict() => {}
             Some(refutation) => {
                 if self.config.features.health && reported.liveness == Liveness::Suspect {
                     self.local_health.suspected();
--- a/crates/membership/src/swim/name_conflict.rs
+++ b/crates/membership/src/swim/name_conflict.rs
@@ -24,7 +24,7 @@
 impl<H: Host> Membership<H> {
     /// Takes the name (back), with a start time later than any that was heard.
     pub(super) fn reclaim_name(&mut self, at: ClockReading, started_unix_ms: u64, why: &str) {
-        let was_mute = self.is_mute();
+        let was_mute = self.has_name_conflict();
         self.name_conflict = None;
         self.epoch.started_unix_ms = self
             .epoch
@@ -79,7 +79,7 @@
             + if mute {
                 MUTE_PROBE_INTERVAL
             } else {
-                self.config.timing.answer
+                self.config.timing.probe_timeout
             };
         if tries
             > if mute {
--- a/crates/membership/src/swim/observation.rs
+++ b/crates/membership/src/swim/observation.rs
@@ -29,7 +29,7 @@
     }
 
     /// Whether another process holds this node's name, so that it publishes nothing.
-    pub fn is_mute(&self) -> bool {
+    pub fn has_name_conflict(&self) -> bool {
         self.name_conflict
             .as_ref()
             .is_some_and(|name_conflict| name_conflict.mute)
@@ -71,7 +71,7 @@
             &self.member_table,
             &zone,
             self.local_health.doubt(),
-            self.is_mute(),
+            self.has_name_conflict(),
         );
         match (self.cluster_view.unsure_since, cluster_view.unsure_since) {
             (None, Some(_)) => {
@@ -220,11 +220,11 @@
             low: cluster_view.cluster.low as u32,
             high: cluster_view.cluster.high as u32,
             unsure_ms: cluster_view.unsure_since.map_or(0, times),
-            doubt: cluster_view.doubt,
+            local_health_score: cluster_view.local_health_score,
             suspects: counters.suspect as u32,
             dead: counters.dead as u32,
             zone: self.config.zone.clone(),
-            mute: self.is_mute(),
+            has_name_conflict: self.has_name_conflict(),
             counters: Vec::new(),
             changes: Vec::new(),
         };
--- a/crates/membership/src/swim/own_entry.rs
+++ b/crates/membership/src/swim/own_entry.rs
@@ -47,7 +47,7 @@
     /// Merges the node's current details into its own member table and queues them for
     /// dissemination.
     pub(super) fn announce(&mut self, at: ClockReading) -> Result<(), DetailsError> {
-        if self.is_mute() {
+        if self.has_name_conflict() {
             return Ok(());
         }
         let updates = self.own_update()?;
@@ -144,7 +144,7 @@
     /// lost.
     pub fn leave(&mut self, at: ClockReading) {
         self.detect_pause(at);
-        if self.is_mute() {
+        if self.has_name_conflict() {
             return;
         }
         if !self.leaving {
@@ -170,7 +170,7 @@
     /// This node's own entry as an update, complete or as a header; `None` while it has lost its
     /// name.
     pub(super) fn own_entry(&self, full: bool) -> Option<MemberUpdate> {
-        if self.is_mute() {
+        if self.has_name_conflict() {
             return None;
         }
         let entry = self.member_table.get(self.own_key)?;
--- a/crates/membership/src/swim/probing.rs
+++ b/crates/membership/src/swim/probing.rs
@@ -37,12 +37,12 @@
 impl<H: Host> Membership<H> {
     /// Timeout of a direct probe, stretched by local health.
     pub(super) fn probe_timeout(&self) -> Nanos {
-        self.config.timing.answer * self.health_factor()
+        self.config.timing.probe_timeout * self.health_factor()
     }
 
     /// Time that a suspect has to answer the last call.
     pub(super) fn last_call_time(&self) -> Nanos {
-        2 * self.config.timing.answer
+        2 * self.config.timing.probe_timeout
     }
 
     /// Factor by which local health stretches timeouts.
@@ -61,7 +61,7 @@
         }
         let period = self.config.timing.probe * self.health_factor();
         self.timers.probe = at.now + period;
-        if self.is_mute() || self.leaving {
+        if self.has_name_conflict() || self.leaving {
             return;
         }
         let (member_table, own_key) = (&self.member_table, self.own_key);
--- a/crates/membership/src/swim/receiving.rs
+++ b/crates/membership/src/swim/receiving.rs
@@ -200,7 +200,7 @@
         reply: &mut RangeExchange,
     ) {
         let target = MemberKey(datagram.target);
-        if self.is_mute() || target != self.own_key && target != MemberKey::NONE {
+        if self.has_name_conflict() || target != self.own_key && target != MemberKey::NONE {
             return self.count("probes for another name", 1);
         }
         // Who asks without knowing whom hears all; the others only how it stands. A sender that is
@@ -272,13 +272,13 @@
             return;
         };
         if self.relayed_probes.len() >= RELAYED_PROBES_MAX
-            || self.is_mute()
+            || self.has_name_conflict()
             || target == self.own_key
         {
             return self.count("relayed probes beyond their number", 1);
         }
         self.number = self.number.wrapping_add(1);
-        let answer = self.config.timing.answer;
+        let answer = self.config.timing.probe_timeout;
         let (number, retry_at, due) = (self.number, at.now + answer / 2, at.now + answer);
         self.relayed_probes.insert(
             number,
--- a/crates/membership/src/swim/sending.rs
+++ b/crates/membership/src/swim/sending.rs
@@ -12,7 +12,11 @@
 impl<H: Host> Membership<H> {
     /// The sender key of datagrams; 0 while the node has lost its name.
     pub(super) fn from(&self) -> u64 {
-        if self.is_mute() { 0 } else { self.own_key.0 }
+        if self.has_name_conflict() {
+            0
+        } else {
+            self.own_key.0
+        }
     }
 
     /// Sends a datagram of the given kind to a member.
@@ -54,7 +58,7 @@
             .map(|e| e.details.address);
         let (Some(address), false) = (
             there,
-            self.is_mute() || payload.len() > messages::PAYLOAD_MAX,
+            self.has_name_conflict() || payload.len() > messages::PAYLOAD_MAX,
         ) else {
             self.count("payloads that could not be sent", 1);
             return false;
@@ -83,7 +87,8 @@
         let mut builder = DatagramBuilder::new(datagram);
         let carries_updates =
             matches!(builder.datagram.kind, kind::PING | kind::ACK | kind::GOSSIP);
-        if carries_updates && !self.is_mute() && self.dissemination_budget.is_open(at.now) {
+        if carries_updates && !self.has_name_conflict() && self.dissemination_budget.is_open(at.now)
+        {
             self.add_queued_updates(&mut builder);
         }
         if carries_updates && builder.datagram.from != 0 && !messages::LATER {
--- a/crates/membership/src/swim/timers.rs
+++ b/crates/membership/src/swim/timers.rs
@@ -94,7 +94,7 @@
             self.own_key,
             format!("for {} ms", late / MILLISECOND),
         );
-        if late >= LONG_PAUSE.min(self.config.timing.remember / 2) {
+        if late >= LONG_PAUSE.min(self.config.timing.forget_after / 2) {
             self.forget_and_rejoin(at);
         }
     }
@@ -169,7 +169,7 @@
             self.timers.expire = now + EXPIRY_INTERVAL;
             let forgot = self
                 .member_table
-                .forget_gone(now, self.config.timing.remember);
+                .forget_gone(now, self.config.timing.forget_after);
             if forgot > 0 {
                 self.count("members forgotten after their time", forgot as u64);
             }
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -40,7 +40,7 @@
 
 fn node(fleet: &str, n: u8, key: u8) -> Membership<Sent> {
     let settings = Config {
-        fleet: fleet.into(),
+        cluster_name: fleet.into(),
         name: format!("n{n}"),
         zone: "a".into(),
         address: address(n),
@@ -298,7 +298,7 @@
         let own = fleet.member_table().get(MemberKey::of("n2")).unwrap();
         let (_, incarnation) = fleet.identity();
         assert!(
-            own.epoch.incarnation == incarnation || fleet.is_mute(),
+            own.epoch.incarnation == incarnation || fleet.has_name_conflict(),
             "seed {seed}: {own:?}"
         );
     }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -96,11 +96,11 @@
         low: 52,
         high: 53,
         unsure_ms: 54_000,
-        doubt: 55,
+        local_health_score: 55,
         suspects: 56,
         dead: 57,
         zone: "zone-b".into(),
-        mute: true,
+        has_name_conflict: true,
         counters: vec![
             CounterMessage {
                 what: "first".into(),
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -228,7 +228,7 @@
         seed: 3,
         ..SimulationConfig::default()
     };
-    config.timing.remember = 60 * S;
+    config.timing.forget_after = 60 * S;
     let mut sim = Simulation::started(config);
     sim.run(2 * S);
     sim.pause(0, 400 * S);
@@ -355,7 +355,7 @@
         sim.start(4);
         settles(&mut sim, 6 * S);
         let (_, fleet) = sim.up().nth(4).unwrap();
-        assert!(!fleet.is_mute());
+        assert!(!fleet.has_name_conflict());
         assert!(
             counted(
                 &sim,
--- a/crates/node/src/cli/fleet/scenario.rs
+++ b/crates/node/src/cli/fleet/scenario.rs
@@ -72,7 +72,7 @@
             };
             match name.as_str() {
                 "probe" => config.timing.probe = time,
-                "answer" => config.timing.answer = time,
+                "answer" => config.timing.probe_timeout = time,
                 "gossip" => config.timing.gossip = time,
                 "regain" => config.timing.probe_dead = time,
                 _ => {}
--- a/crates/node/src/cli/fleet/simulate.rs
+++ b/crates/node/src/cli/fleet/simulate.rs
@@ -130,7 +130,7 @@
         match feature.as_str() {
             "health" => config.features.health = false,
             "confirm" => config.features.confirm = false,
-            "reconcile" => config.features.reconcile = false,
+            "reconcile" => config.features.anti_entropy = false,
             "regain" => config.features.probe_dead = false,
             other => return Err(CommandError::UnknownFeature(other.to_owned())),
         }
--- a/crates/node/src/cli/fleet/status.rs
+++ b/crates/node/src/cli/fleet/status.rs
@@ -111,7 +111,7 @@
         0 => String::new(),
         ms => format!(", UNSURE for {:.1} s", ms as f64 / 1e3),
     };
-    let mute = if report.mute {
+    let mute = if report.has_name_conflict {
         ", MUTE: another process has its name"
     } else {
         ""
@@ -125,7 +125,7 @@
         report.high,
         report.suspects,
         report.dead,
-        report.doubt
+        report.local_health_score
     )
 }
 
@@ -171,8 +171,8 @@
         .map(|change| json!({"unix_ms": change.unix_ms, "line": change.line}))
         .collect();
     json!({"node": report.name, "digest": format!("{:016x}", snapshot.digest), "size": report.size,
-        "low": report.low, "high": report.high, "unsure_ms": report.unsure_ms, "doubt": report.doubt,
-        "suspects": report.suspects, "dead": report.dead, "mute": report.mute, "counts": counters,
+        "low": report.low, "high": report.high, "unsure_ms": report.unsure_ms, "doubt": report.local_health_score,
+        "suspects": report.suspects, "dead": report.dead, "mute": report.has_name_conflict, "counts": counters,
         "changes": changes, "members": members.into_iter().map(member_json).collect::<Vec<_>>(),
         "shared": shared_state.map(shared::as_json)})
 }
--- a/crates/node/src/io/cluster_link/setup.rs
+++ b/crates/node/src/io/cluster_link/setup.rs
@@ -97,7 +97,7 @@
     socket.set_nonblocking(true)?;
     info!(
         target: part::CLUSTER,
-        cluster = %setup.settings.fleet,
+        cluster = %setup.settings.cluster_name,
         member = %setup.settings.name,
         bind = %socket.local_addr()?,
         advertise = %setup.settings.address,
--- a/crates/node/src/serve/cluster.rs
+++ b/crates/node/src/serve/cluster.rs
@@ -34,7 +34,7 @@
     };
     let (bind, advertise) = addresses(fleet, config)?;
     let settings = Config {
-        fleet: fleet.name.clone(),
+        cluster_name: fleet.name.clone(),
         name: config.name.clone(),
         zone: environment(ZONE_VARIABLE)
             .or_else(|| fleet.zone.clone())
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -274,7 +274,12 @@
         };
         for (name, period, least, most) in [
             ("probe", &mut periods.probe, 50 * MILLISECOND, 60 * SECOND),
-            ("answer", &mut periods.answer, 10 * MILLISECOND, 30 * SECOND),
+            (
+                "answer",
+                &mut periods.probe_timeout,
+                10 * MILLISECOND,
+                30 * SECOND,
+            ),
             ("gossip", &mut periods.gossip, 20 * MILLISECOND, 10 * SECOND),
             (
                 "regain",
@@ -282,7 +287,7 @@
                 50 * MILLISECOND,
                 600 * SECOND,
             ),
-            ("remember", &mut periods.remember, 60 * SECOND, 7 * DAY),
+            ("remember", &mut periods.forget_after, 60 * SECOND, 7 * DAY),
             ("skew", &mut periods.skew, SECOND, DAY),
         ] {
             self.time(of, name, period, least, most);
@@ -290,7 +295,7 @@
         self.factor(of, "suspicion", &mut periods.suspicion, 0.5);
         self.factor(of, "suspicion-most", &mut periods.suspicion_max_factor, 1.0);
         if let Some(text) = of.get("answer").or(of.get("probe"))
-            && periods.answer >= periods.probe
+            && periods.probe_timeout >= periods.probe
         {
             self.collector.report(
                 text,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -350,7 +350,7 @@
     assert_eq!(
         (
             fleet.periods.probe,
-            fleet.periods.answer,
+            fleet.periods.probe_timeout,
             fleet.periods.suspicion
         ),
         (500_000_000, 150_000_000, 2.5)
--- a/crates/test-harness/src/fault_scenario/expectations.rs
+++ b/crates/test-harness/src/fault_scenario/expectations.rs
@@ -255,7 +255,12 @@
 fn seen_as(snapshot: &NodeSnapshot, other: &str, expected: &str) -> String {
     let report = &snapshot.report;
     match expected {
-        "mute" | "heard" => if report.mute { "mute" } else { "heard" }.to_owned(),
+        "mute" | "heard" => if report.has_name_conflict {
+            "mute"
+        } else {
+            "heard"
+        }
+        .to_owned(),
         "unsure" | "sure" => if report.unsure_ms > 0 {
             "unsure"
         } else {
