--- a/crates/node/src/cli/shared.rs
+++ b/crates/node/src/cli/shared.rs
@@ -123,18 +123,18 @@
     status
         .event_counts
         .iter()
-        .for_each(|count| println!("{:>8}  {}", count.times, count.what));
+        .for_each(|count| println!("{:>8}  {}", count.times, count.name));
 }
 
 fn print_heavy_keys(status: &StatusSnapshot) {
     for kind in ["caller ", "caller that repeats ", "key over a limit "] {
         let counters = status.heavy.iter().filter(|count| {
-            count.what.starts_with(kind)
-                && (kind != "caller " || !count.what.starts_with("caller that"))
+            count.name.starts_with(kind)
+                && (kind != "caller " || !count.name.starts_with("caller that"))
         });
         counters
             .take(MAX_HEAVY_KEYS)
-            .for_each(|count| println!("{:>8}  {}", count.times, count.what));
+            .for_each(|count| println!("{:>8}  {}", count.times, count.name));
     }
 }
 
@@ -213,7 +213,7 @@
         "prober": service.is_prober,
         "alone": service.is_alone,
         "passed": service.admitted,
-        "kept_back": service.held_back,
+        "kept_back": service.withheld,
     })
 }
 
@@ -227,7 +227,7 @@
 }
 
 fn counter(counter: &CounterStatus) -> Value {
-    json!({"what": counter.what, "times": counter.times})
+    json!({"what": counter.name, "times": counter.times})
 }
 
 fn list<T>(items: &[T], as_json: impl Fn(&T) -> Value) -> Value {
--- a/crates/node/src/state/shared_limits.rs
+++ b/crates/node/src/state/shared_limits.rs
@@ -126,7 +126,7 @@
         let (state, level) = (health.state(), health.admitted_share());
         if state != state_before || level > level_before && state == HealthState::Recovering {
             let own = health.report(self.now);
-            let others = health.others(self.now).unwrap_or_default();
+            let others = health.aggregated_health(self.now).unwrap_or_default();
             info!(
                 target: part::BACKEND,
                 from = %state_before.label(),
--- a/crates/shared-state/src/budget/lender.rs
+++ b/crates/shared-state/src/budget/lender.rs
@@ -62,7 +62,7 @@
     lease_duration: Nanos,
     use_after_expiry: Nanos,
     /// Until this time units of the previous leader's leases may be in use.
-    opens_at: Nanos,
+    grants_from: Nanos,
     max_borrowers: usize,
 }
 
@@ -84,7 +84,7 @@
             last_number: 0,
             lease_duration,
             use_after_expiry,
-            opens_at: now + drift_extended(lease_duration) + use_after_expiry,
+            grants_from: now + drift_extended(lease_duration) + use_after_expiry,
             max_borrowers,
         }
     }
@@ -96,7 +96,7 @@
             .values()
             .map(|account| account.outstanding(now))
             .sum();
-        if now < self.opens_at {
+        if now < self.grants_from {
             self.pool.max(outstanding)
         } else {
             outstanding
@@ -122,7 +122,7 @@
     ) -> Option<Lease> {
         self.record_request(now, borrower, held, demand)?;
         // The next leader waits for a lease duration, and all leases of this one end before.
-        if now < self.opens_at || now + self.lease_duration > leader_until {
+        if now < self.grants_from || now + self.lease_duration > leader_until {
             return None;
         }
         let target = self.fair_share(borrower);
--- a/crates/shared-state/src/keyed_quota/lender.rs
+++ b/crates/shared-state/src/keyed_quota/lender.rs
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug)]
 pub struct QuotaLender {
     /// Nothing is granted or made before: the previous leader's units may be in use until then.
-    opens_at: Nanos,
+    grants_from: Nanos,
     /// The longest that leased units may be in use, in nanoseconds.
     max_use: Nanos,
     quotas: Vec<KeyedQuota>,
@@ -101,7 +101,7 @@
             .unwrap_or(0);
         let max_use = drift_extended(timing.lease_duration) + use_after_expiry;
         QuotaLender {
-            opens_at: now + max_use,
+            grants_from: now + max_use,
             max_use,
             quotas: quotas.to_vec(),
             timing,
@@ -123,8 +123,8 @@
     }
 
     /// From when on units are granted.
-    pub fn opens_at(&self) -> Nanos {
-        self.opens_at
+    pub fn grants_from(&self) -> Nanos {
+        self.grants_from
     }
 
     /// Answers a borrower's request; none before the lender opens.
@@ -134,7 +134,7 @@
         borrower: ProcessId,
         request: &QuotaRequest,
     ) -> Option<QuotaGrant> {
-        if now < self.opens_at {
+        if now < self.grants_from {
             return None;
         }
         self.age_keys(now);
@@ -180,7 +180,7 @@
                 return nothing;
             }
             let made =
-                now.saturating_sub(self.opens_at) / quota.unit_interval().unwrap_or(1).max(1);
+                now.saturating_sub(self.grants_from) / quota.unit_interval().unwrap_or(1).max(1);
             let free = quota.pool().min(u32::try_from(made).unwrap_or(u32::MAX));
             self.keys.insert(id, KeyUnits::new(now, free));
             self.ageing.push_back((now + self.timing.idle_timeout, id));
@@ -230,7 +230,7 @@
             key.settle(now, quota);
             self.leases -= before - key.borrowers.len();
             let made_since_open =
-                now.saturating_sub(self.opens_at) / quota.unit_interval().unwrap_or(1).max(1);
+                now.saturating_sub(self.grants_from) / quota.unit_interval().unwrap_or(1).max(1);
             let is_as_new = key.borrowers.is_empty()
                 && key.free >= quota.pool()
                 && made_since_open >= u64::from(quota.pool());
@@ -285,7 +285,7 @@
             .numbers
             .iter()
             .map(|(process, (number, _))| (*process, *number));
-        (self.opens_at, self.keys.get(&(quota, key)), numbers)
+        (self.grants_from, self.keys.get(&(quota, key)), numbers)
     }
 
     /// Units of a key, if anything is stored about it.
--- a/crates/shared-state/src/keyed_quota/lender/tests.rs
+++ b/crates/shared-state/src/keyed_quota/lender/tests.rs
@@ -69,18 +69,22 @@
     let mut lender = new_lender(&quota);
     assert_eq!(
         lender.request(
-            lender.opens_at() - 1,
+            lender.grants_from() - 1,
             process(1),
             &request(&quota, 1, 0, 0, 5)
         ),
         None
     );
     assert_eq!(
-        added(lender.request(lender.opens_at(), process(1), &request(&quota, 2, 0, 0, 5))),
+        added(lender.request(
+            lender.grants_from(),
+            process(1),
+            &request(&quota, 2, 0, 0, 5)
+        )),
         Some(0)
     );
     // A second later some nine were made, a tenth of a second apart; they are granted once.
-    let later = lender.opens_at() + SECOND;
+    let later = lender.grants_from() + SECOND;
     assert_eq!(
         added(lender.request(later, process(1), &request(&quota, 3, 0, 0, 50))),
         Some(9)
@@ -96,7 +100,7 @@
 fn no_more_units_exist_than_may_be_saved_up() {
     let quota = rate(10, 20);
     let mut lender = new_lender(&quota);
-    let now = lender.opens_at() + 100 * SECOND;
+    let now = lender.grants_from() + 100 * SECOND;
     assert_eq!(
         added(lender.request(now, process(1), &request(&quota, 1, 0, 0, 20))),
         Some(20)
@@ -138,7 +142,7 @@
 fn lost_units_come_back_after_their_lease_and_not_before() {
     let quota = rate(1000, 20);
     let mut lender = new_lender(&quota);
-    let now = lender.opens_at() + 100 * SECOND;
+    let now = lender.grants_from() + 100 * SECOND;
     assert_eq!(
         added(lender.request(now, process(1), &request(&quota, 1, 0, 0, 20))),
         Some(20)
@@ -181,7 +185,7 @@
 fn a_request_that_was_overtaken_changes_nothing() {
     let quota = rate(10, 20);
     let mut lender = new_lender(&quota);
-    let now = lender.opens_at() + 100 * SECOND;
+    let now = lender.grants_from() + 100 * SECOND;
     assert_eq!(
         added(lender.request(now, process(1), &request(&quota, 4, 0, 0, 10))),
         Some(10)
@@ -215,7 +219,7 @@
 fn units_in_flight_are_kept_until_released_or_long_expired() {
     let quota = in_flight(10);
     let mut lender = new_lender(&quota);
-    let now = lender.opens_at();
+    let now = lender.grants_from();
     assert_eq!(
         added(lender.request(now, process(1), &request(&quota, 1, 0, 0, 8))),
         Some(8)
@@ -246,7 +250,7 @@
 fn short_units_are_shared_by_need() {
     let quota = rate(100, 100);
     let mut lender = new_lender(&quota);
-    let mut now = lender.opens_at() + 100 * SECOND;
+    let mut now = lender.grants_from() + 100 * SECOND;
     let (mut got, mut rng) = ([0, 0, 0], Pcg64Mcg::seed_from_u64(1));
     for no in 1..400 {
         now += SECOND / 4;
@@ -282,7 +286,7 @@
         2 * 100 * KEY_BYTES,
         1,
     );
-    let now = lender.opens_at() + 100 * SECOND;
+    let now = lender.grants_from() + 100 * SECOND;
     let one = |key, number| QuotaRequest {
         number,
         sent_at: 0,
@@ -320,7 +324,7 @@
 fn a_borrower_that_leaves_releases_its_units() {
     let quota = in_flight(4);
     let mut lender = new_lender(&quota);
-    let now = lender.opens_at();
+    let now = lender.grants_from();
     assert_eq!(
         added(lender.request(now, process(1), &request(&quota, 1, 0, 0, 4))),
         Some(4)
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -28,7 +28,7 @@
 pub use budget::{Budget, BudgetBorrower, BudgetKind, BudgetRequest, Lease, LeaseId, NodeBudgets};
 pub use clock::CLOCK_DRIFT_PARTS;
 pub use counters::ClusterCounters;
-pub use messages::{BudgetMessage, SharedMessage};
+pub use messages::{LimitMessage, SharedMessage};
 pub use service_health::{
     AggregatedHealth, HealthReport, HealthReports, HealthState, ServiceHealth,
 };
--- a/crates/shared-state/src/messages.rs
+++ b/crates/shared-state/src/messages.rs
@@ -52,7 +52,7 @@
 
 /// Messages about votes, leases and quotas.
 #[derive(Clone, Debug, PartialEq)]
-pub enum BudgetMessage {
+pub enum LimitMessage {
     /// To a voter: the sender requests its vote.
     VoteRequest {
         /// The candidate's round.
@@ -133,7 +133,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum SharedMessage {
     /// About votes, leases and quotas.
-    Budgets(BudgetMessage),
+    Limits(LimitMessage),
     /// The counters of a process, or a part of them.
     CounterReport(Box<CounterReport>),
     /// From one voter to another: how far it knows counters. The answer is what it lacks.
--- a/crates/shared-state/src/messages/decode.rs
+++ b/crates/shared-state/src/messages/decode.rs
@@ -2,7 +2,7 @@
 
 use super::decode_counters::{decode_counters, decode_totals};
 use super::wire::{GrantedLease, Keys, Known, LeaseRequest, Payload, Process, ServiceReport, kind};
-use super::{BudgetMessage, KnownCounters, MAX_KNOWN_PROCESSES, MAX_PAYLOAD_BYTES, SharedMessage};
+use super::{KnownCounters, LimitMessage, MAX_KNOWN_PROCESSES, MAX_PAYLOAD_BYTES, SharedMessage};
 use crate::budget::{BudgetRequest, Lease, LeaseId};
 use crate::keyed_quota::{KeyGrant, KeyRequest, MAX_KEYS_PER_REQUEST, QuotaGrant, QuotaRequest};
 use crate::service_health::HealthReport;
@@ -38,24 +38,24 @@
         kind::KNOWN_COUNTERS => SharedMessage::KnownCounters(decode_known(&payload.known?)?),
         kind::TOTALS_REQUEST => SharedMessage::TotalsRequest,
         kind::TOTALS => SharedMessage::ClusterTotals(Box::new(decode_totals(&payload.totals?)?)),
-        _ => SharedMessage::Budgets(decode_budgets(payload)?),
+        _ => SharedMessage::Limits(decode_budgets(payload)?),
     })
 }
 
-fn decode_budgets(payload: Payload) -> Option<BudgetMessage> {
+fn decode_budgets(payload: Payload) -> Option<LimitMessage> {
     let Payload {
         number, sent_at, ..
     } = payload;
     Some(match payload.kind {
-        kind::VOTE_REQUEST => BudgetMessage::VoteRequest { round: number },
-        kind::VOTE => BudgetMessage::Vote {
+        kind::VOTE_REQUEST => LimitMessage::VoteRequest { round: number },
+        kind::VOTE => LimitMessage::Vote {
             round: number,
             is_granted: payload.is_granted,
             holder: payload.process.map(decode_process),
             bound_for: payload.bound_for,
         },
-        kind::VOTE_RELEASE => BudgetMessage::VoteRelease { round: number },
-        kind::LEASE_REQUEST => BudgetMessage::LeaseRequest {
+        kind::VOTE_RELEASE => LimitMessage::VoteRelease { round: number },
+        kind::LEASE_REQUEST => LimitMessage::LeaseRequest {
             sent_at,
             zone: payload.zone,
             requests: payload
@@ -64,20 +64,20 @@
                 .map(decode_lease_request)
                 .collect(),
         },
-        kind::LEASE_GRANT => BudgetMessage::LeaseGrant {
+        kind::LEASE_GRANT => LimitMessage::LeaseGrant {
             request_sent_at: sent_at,
             leases: payload.leases.iter().map(decode_lease).collect(),
         },
-        kind::REDIRECT => BudgetMessage::Redirect {
+        kind::REDIRECT => LimitMessage::Redirect {
             leader: payload.process.map(decode_process),
         },
-        kind::LEAVE => BudgetMessage::Leave,
-        kind::QUOTA_REQUEST => BudgetMessage::QuotaRequest(QuotaRequest {
+        kind::LEAVE => LimitMessage::Leave,
+        kind::QUOTA_REQUEST => LimitMessage::QuotaRequest(QuotaRequest {
             number: u32::try_from(number).ok()?,
             sent_at,
             keys: decode_key_requests(payload.keys?)?,
         }),
-        kind::QUOTA_GRANT => BudgetMessage::QuotaGrant(QuotaGrant {
+        kind::QUOTA_GRANT => LimitMessage::QuotaGrant(QuotaGrant {
             number: u32::try_from(number).ok()?,
             request_sent_at: sent_at,
             lease_duration: payload.key_lease_duration.min(MAX_LEASE_DURATION),
--- a/crates/shared-state/src/messages/encode.rs
+++ b/crates/shared-state/src/messages/encode.rs
@@ -2,7 +2,7 @@
 
 use super::encode_counters::{encode_counters, encode_totals};
 use super::wire::{GrantedLease, Keys, Known, LeaseRequest, Payload, Process, ServiceReport, kind};
-use super::{BudgetMessage, KnownCounters, SharedMessage, add_later_field};
+use super::{KnownCounters, LimitMessage, SharedMessage, add_later_field};
 use crate::budget::{BudgetRequest, Lease};
 use crate::keyed_quota::{QuotaGrant, QuotaRequest};
 use crate::service_health::HealthReport;
@@ -13,7 +13,7 @@
 /// [`split_report`](super::split_report) first.
 pub fn encode(message: &SharedMessage) -> Vec<u8> {
     let payload = match message {
-        SharedMessage::Budgets(message) => encode_budgets(message),
+        SharedMessage::Limits(message) => encode_budgets(message),
         SharedMessage::CounterReport(report) => Payload {
             kind: kind::COUNTER_REPORT,
             counters: Some(encode_counters(report)),
@@ -46,13 +46,13 @@
     }
 }
 
-fn encode_budgets(message: &BudgetMessage) -> Payload {
+fn encode_budgets(message: &LimitMessage) -> Payload {
     match message {
-        BudgetMessage::VoteRequest { round } => Payload {
+        LimitMessage::VoteRequest { round } => Payload {
             number: *round,
             ..of_kind(kind::VOTE_REQUEST)
         },
-        BudgetMessage::Vote {
+        LimitMessage::Vote {
             round,
             is_granted,
             holder,
@@ -64,11 +64,11 @@
             process: holder.map(encode_process),
             ..of_kind(kind::VOTE)
         },
-        BudgetMessage::VoteRelease { round } => Payload {
+        LimitMessage::VoteRelease { round } => Payload {
             number: *round,
             ..of_kind(kind::VOTE_RELEASE)
         },
-        BudgetMessage::LeaseRequest {
+        LimitMessage::LeaseRequest {
             sent_at,
             zone,
             requests,
@@ -78,7 +78,7 @@
             lease_requests: requests.iter().map(encode_lease_request).collect(),
             ..of_kind(kind::LEASE_REQUEST)
         },
-        BudgetMessage::LeaseGrant {
+        LimitMessage::LeaseGrant {
             request_sent_at,
             leases,
         } => Payload {
@@ -86,13 +86,13 @@
             leases: leases.iter().map(encode_lease).collect(),
             ..of_kind(kind::LEASE_GRANT)
         },
-        BudgetMessage::Redirect { leader } => Payload {
+        LimitMessage::Redirect { leader } => Payload {
             process: leader.map(encode_process),
             ..of_kind(kind::REDIRECT)
         },
-        BudgetMessage::Leave => of_kind(kind::LEAVE),
-        BudgetMessage::QuotaRequest(request) => encode_quota_request(request),
-        BudgetMessage::QuotaGrant(grant) => encode_quota_grant(grant),
+        LimitMessage::Leave => of_kind(kind::LEAVE),
+        LimitMessage::QuotaRequest(request) => encode_quota_request(request),
+        LimitMessage::QuotaGrant(grant) => encode_quota_grant(grant),
     }
 }
 
--- a/crates/shared-state/src/messages/tests.rs
+++ b/crates/shared-state/src/messages/tests.rs
@@ -34,21 +34,21 @@
         value: 1.5,
     };
     let budgets = [
-        BudgetMessage::VoteRequest { round: 4 },
-        BudgetMessage::Vote {
+        LimitMessage::VoteRequest { round: 4 },
+        LimitMessage::Vote {
             round: 4,
             is_granted: true,
             holder: Some(someone),
             bound_for: 0,
         },
-        BudgetMessage::Vote {
+        LimitMessage::Vote {
             round: 4,
             is_granted: false,
             holder: None,
             bound_for: 9,
         },
-        BudgetMessage::VoteRelease { round: 4 },
-        BudgetMessage::LeaseRequest {
+        LimitMessage::VoteRelease { round: 4 },
+        LimitMessage::LeaseRequest {
             sent_at: 12,
             zone: 3,
             requests: vec![
@@ -59,15 +59,15 @@
                 },
             ],
         },
-        BudgetMessage::LeaseGrant {
+        LimitMessage::LeaseGrant {
             request_sent_at: 12,
             leases: vec![(2, lease)],
         },
-        BudgetMessage::Redirect {
+        LimitMessage::Redirect {
             leader: Some(someone),
         },
-        BudgetMessage::Leave,
-        BudgetMessage::QuotaRequest(QuotaRequest {
+        LimitMessage::Leave,
+        LimitMessage::QuotaRequest(QuotaRequest {
             number: 7,
             sent_at: 12,
             keys: vec![
@@ -81,7 +81,7 @@
                 2
             ],
         }),
-        BudgetMessage::QuotaGrant(QuotaGrant {
+        LimitMessage::QuotaGrant(QuotaGrant {
             number: 7,
             request_sent_at: 12,
             lease_duration: 3_000_000_000,
@@ -93,8 +93,7 @@
             }],
         }),
     ];
-    let mut messages: Vec<SharedMessage> =
-        budgets.into_iter().map(SharedMessage::Budgets).collect();
+    let mut messages: Vec<SharedMessage> = budgets.into_iter().map(SharedMessage::Limits).collect();
     let rows = CounterRows::from([(7, [1, 0, 300, 0, 0, 9, 1 << 40, 0]), (0, [3; COLUMNS])]);
     let latency = BTreeMap::from([(7, vec![(3, 1), (200, 4), (90_000, 1)])]);
     let heavy = BTreeMap::from([(
@@ -161,7 +160,7 @@
         wanted: 1 << 20,
     };
     let keys = vec![key; MAX_KEYS_PER_REQUEST];
-    let bytes = encode(&SharedMessage::Budgets(BudgetMessage::QuotaRequest(
+    let bytes = encode(&SharedMessage::Limits(LimitMessage::QuotaRequest(
         QuotaRequest {
             number: 1,
             sent_at: 1 << 60,
@@ -245,13 +244,13 @@
 
 #[test]
 fn a_later_version_is_decoded_as_far_as_it_is_known() {
-    let mut bytes = encode(&SharedMessage::Budgets(BudgetMessage::VoteRequest {
+    let mut bytes = encode(&SharedMessage::Limits(LimitMessage::VoteRequest {
         round: 4,
     }));
     bytes.extend([0xfa, 0x01, 0x01, b'x']); // a field 31
     assert_eq!(
         decode(&bytes),
-        Some(SharedMessage::Budgets(BudgetMessage::VoteRequest {
+        Some(SharedMessage::Limits(LimitMessage::VoteRequest {
             round: 4
         }))
     );
--- a/crates/shared-state/src/service_health.rs
+++ b/crates/shared-state/src/service_health.rs
@@ -84,7 +84,7 @@
     /// Calls that were admitted.
     pub admitted: u64,
     /// Calls that were held back.
-    pub held_back: u64,
+    pub withheld: u64,
 }
 
 /// A node's view of one backend service.
@@ -187,7 +187,7 @@
     }
 
     /// What others report, while it is recent enough.
-    pub fn others(&self, now: Nanos) -> Option<AggregatedHealth> {
+    pub fn aggregated_health(&self, now: Nanos) -> Option<AggregatedHealth> {
         self.others
             .filter(|(_, received_at)| now < *received_at + REPORT_MAX_AGE)
             .map(|(aggregated, _)| aggregated)
@@ -196,7 +196,7 @@
     /// Whether this node is to probe the service now, while it is unavailable. One that hears of no
     /// other probes by itself, less often.
     pub fn is_probe_due(&self, now: Nanos) -> bool {
-        let (probes, interval) = match self.others(now) {
+        let (probes, interval) = match self.aggregated_health(now) {
             Some(others) if !others.is_alone => (others.is_prober, PROBE_INTERVAL),
             _ => (true, LONE_PROBE_INTERVAL),
         };
@@ -225,7 +225,7 @@
         *(if admits {
             &mut self.counts.admitted
         } else {
-            &mut self.counts.held_back
+            &mut self.counts.withheld
         }) += 1;
         admits
     }
--- a/crates/shared-state/src/service_health/outlier_detection.rs
+++ b/crates/shared-state/src/service_health/outlier_detection.rs
@@ -60,7 +60,7 @@
     /// Changes the state by what is known now; reports may have expired since the last call.
     pub fn evaluate(&mut self, now: Nanos) {
         let own = self.report(now);
-        let others = self.others(now);
+        let others = self.aggregated_health(now);
         let others_see_failure = others.is_some_and(|others| others.is_failing());
         match self.state {
             HealthState::Healthy | HealthState::Degraded | HealthState::Recovering
--- a/crates/shared-state/src/service_health/recovery_ramp.rs
+++ b/crates/shared-state/src/service_health/recovery_ramp.rs
@@ -17,7 +17,7 @@
     /// healthy.
     pub(super) fn next_ramp_step(&mut self, now: Nanos) {
         let others = self
-            .others(now)
+            .aggregated_health(now)
             .map(|others| others.mean_share)
             .filter(|share| *share > 0.0);
         self.state_since = now;
--- a/crates/shared-state/src/shared_state.rs
+++ b/crates/shared-state/src/shared_state.rs
@@ -18,7 +18,7 @@
 use crate::keyed_quota::lender::QuotaLender;
 use crate::keyed_quota::{KeyedQuota, QuotaGrant};
 use crate::leader_lease::{Candidate, Voter};
-use crate::messages::{BudgetMessage, ClusterTotals, SharedMessage};
+use crate::messages::{ClusterTotals, LimitMessage, SharedMessage};
 use crate::{MILLISECOND, Nanos, ProcessId, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -225,8 +225,8 @@
     pub fn receive(&mut self, now: Nanos, from: ProcessId, message: SharedMessage) {
         let is_from_voter = self.settings.voters.contains(&from.key);
         match message {
-            SharedMessage::Budgets(message) => {
-                return self.receive_budget_message(now, from, message);
+            SharedMessage::Limits(message) => {
+                return self.receive_limit_message(now, from, message);
             }
             // Each process reports for itself; voters pass on what they received.
             SharedMessage::CounterReport(report) if report.process == from || is_from_voter => {
@@ -256,11 +256,11 @@
     }
 
     /// A message about votes, leases or quotas arrived.
-    pub fn receive_budget_message(&mut self, now: Nanos, from: ProcessId, message: BudgetMessage) {
+    pub fn receive_limit_message(&mut self, now: Nanos, from: ProcessId, message: LimitMessage) {
         self.detect_suspension(now);
         match message {
-            BudgetMessage::VoteRequest { round } => self.answer_vote_request(now, from, round),
-            BudgetMessage::Vote {
+            LimitMessage::VoteRequest { round } => self.answer_vote_request(now, from, round),
+            LimitMessage::Vote {
                 round,
                 is_granted,
                 holder,
@@ -271,32 +271,32 @@
                 }
                 self.receive_vote(now, from, round, is_granted);
             }
-            BudgetMessage::VoteRelease { round } => {
+            LimitMessage::VoteRelease { round } => {
                 if let Some(election) = &mut self.election {
                     election.voter.release(from, round);
                 }
             }
-            BudgetMessage::LeaseRequest {
+            LimitMessage::LeaseRequest {
                 sent_at,
                 zone,
                 requests,
             } => self.answer_lease_request(now, from, sent_at, zone, &requests),
-            BudgetMessage::LeaseGrant {
+            LimitMessage::LeaseGrant {
                 request_sent_at,
                 leases,
             } => {
                 self.leader = Some(from);
                 self.receive_leases(now, request_sent_at, &leases);
             }
-            BudgetMessage::Redirect { leader } => {
+            LimitMessage::Redirect { leader } => {
                 self.leader = leader;
                 if leader.is_some() {
                     self.next_request = self.next_request.min(now + REDIRECT_DELAY);
                 }
             }
-            BudgetMessage::Leave => self.release_borrower(now, from),
-            BudgetMessage::QuotaRequest(request) => self.answer_quota_request(now, from, &request),
-            BudgetMessage::QuotaGrant(grant) => {
+            LimitMessage::Leave => self.release_borrower(now, from),
+            LimitMessage::QuotaRequest(request) => self.answer_quota_request(now, from, &request),
+            LimitMessage::QuotaGrant(grant) => {
                 self.leader = Some(from);
                 self.receive_quota_grant(now, grant);
             }
@@ -309,7 +309,7 @@
         self.has_left = true;
         let is_idle = self.host.drop_leases(now);
         if let (Some(leader), true) = (self.leader, is_idle) {
-            let message = SharedMessage::Budgets(BudgetMessage::Leave);
+            let message = SharedMessage::Limits(LimitMessage::Leave);
             self.host.send(leader.key, message);
         }
         if self.lenders.take().is_some() {
@@ -317,7 +317,7 @@
                 .election
                 .as_ref()
                 .map_or(0, |election| election.candidate.round);
-            self.send_to_voters(BudgetMessage::VoteRelease { round });
+            self.send_to_voters(LimitMessage::VoteRelease { round });
         }
         self.election = None;
     }
--- a/crates/shared-state/src/shared_state/leadership.rs
+++ b/crates/shared-state/src/shared_state/leadership.rs
@@ -4,7 +4,7 @@
 use super::{Host, Lenders, SharedState};
 use crate::budget::lender::BudgetLender;
 use crate::keyed_quota::lender::QuotaLender;
-use crate::messages::{BudgetMessage, SharedMessage};
+use crate::messages::{LimitMessage, SharedMessage};
 use crate::{Nanos, ProcessId};
 use rand::RngExt;
 
@@ -43,7 +43,7 @@
             if key == self.settings.me.key {
                 self.answer_vote_request(now, self.settings.me, round);
             } else {
-                let message = SharedMessage::Budgets(BudgetMessage::VoteRequest { round });
+                let message = SharedMessage::Limits(LimitMessage::VoteRequest { round });
                 self.host.send(key, message);
             }
         }
@@ -70,14 +70,13 @@
         election.voter.release(self.settings.me, round);
         election.candidate.resign();
         self.next_round = now + self.rng.random_range(0..self.settings.leader_lease / 3);
-        self.send_to_voters(BudgetMessage::VoteRelease { round });
+        self.send_to_voters(LimitMessage::VoteRelease { round });
     }
 
-    pub(super) fn send_to_voters(&mut self, message: BudgetMessage) {
+    pub(super) fn send_to_voters(&mut self, message: LimitMessage) {
         let me = self.settings.me.key;
         for key in self.settings.voters.iter().filter(|key| **key != me) {
-            self.host
-                .send(*key, SharedMessage::Budgets(message.clone()));
+            self.host.send(*key, SharedMessage::Limits(message.clone()));
         }
     }
 
@@ -97,7 +96,7 @@
         if from == me {
             return self.receive_vote(now, me, round, is_granted);
         }
-        let message = SharedMessage::Budgets(BudgetMessage::Vote {
+        let message = SharedMessage::Limits(LimitMessage::Vote {
             round,
             is_granted,
             holder,
--- a/crates/shared-state/src/shared_state/leases.rs
+++ b/crates/shared-state/src/shared_state/leases.rs
@@ -5,7 +5,7 @@
 use crate::budget::fair_share::Demand;
 use crate::budget::{Budget, BudgetRequest, Lease};
 use crate::keyed_quota::{QuotaGrant, QuotaRequest};
-use crate::messages::{BudgetMessage, SharedMessage};
+use crate::messages::{LimitMessage, SharedMessage};
 use crate::{Nanos, ProcessId};
 use rand::RngExt;
 
@@ -36,7 +36,7 @@
         if to == self.settings.me.key {
             return self.answer_lease_request(now, self.settings.me, sent_at, zone, &requests);
         }
-        let message = SharedMessage::Budgets(BudgetMessage::LeaseRequest {
+        let message = SharedMessage::Limits(LimitMessage::LeaseRequest {
             sent_at,
             zone,
             requests,
@@ -57,7 +57,7 @@
         if !self.is_leader(now) {
             let leader = self.leader.filter(|leader| *leader != me);
             if from != me {
-                let message = SharedMessage::Budgets(BudgetMessage::Redirect { leader });
+                let message = SharedMessage::Limits(LimitMessage::Redirect { leader });
                 self.host.send(from.key, message);
             }
             return;
@@ -66,7 +66,7 @@
         if from == me {
             return self.receive_leases(now, sent_at, &leases);
         }
-        let message = SharedMessage::Budgets(BudgetMessage::LeaseGrant {
+        let message = SharedMessage::Limits(LimitMessage::LeaseGrant {
             request_sent_at: sent_at,
             leases,
         });
@@ -126,7 +126,7 @@
                 self.answer_quota_request(now, leader, &request)
             }
             Some(leader) => {
-                let message = SharedMessage::Budgets(BudgetMessage::QuotaRequest(request));
+                let message = SharedMessage::Limits(LimitMessage::QuotaRequest(request));
                 self.host.send(leader.key, message);
             }
             None => self.count("questions about keys with nobody known who lends"),
@@ -151,7 +151,7 @@
         match lender.and_then(|lender| lender.request(now, from, request)) {
             Some(grant) if from == self.settings.me => self.receive_quota_grant(now, grant),
             Some(grant) => {
-                let message = SharedMessage::Budgets(BudgetMessage::QuotaGrant(grant));
+                let message = SharedMessage::Limits(LimitMessage::QuotaGrant(grant));
                 self.host.send(from.key, message);
             }
             None => {}
--- a/crates/shared-state/src/simulation/baselines.rs
+++ b/crates/shared-state/src/simulation/baselines.rs
@@ -3,7 +3,7 @@
 use super::run::network_bytes;
 use super::{LimitStrategy, STEP, Simulation};
 use crate::keyed_quota::QuotaKind;
-use crate::messages::{BudgetMessage, SharedMessage};
+use crate::messages::{LimitMessage, SharedMessage};
 use crate::{Nanos, SECOND};
 use rand::RngExt;
 
@@ -38,7 +38,7 @@
     fn counter_answers(&mut self, n: usize) -> bool {
         let is_lost =
             self.config.loss > 0.0 && self.rng.random_bool(1.0 - (1.0 - self.config.loss).powi(2));
-        let question = SharedMessage::Budgets(BudgetMessage::VoteRequest { round: 1 });
+        let question = SharedMessage::Limits(LimitMessage::VoteRequest { round: 1 });
         self.result.messages += 2;
         self.result.bytes += 2 * network_bytes(&question);
         let is_reached = n == 0 || !(self.is_cut)(n, 0) && !(self.is_cut)(0, n);
--- a/crates/shared-state/src/status.rs
+++ b/crates/shared-state/src/status.rs
@@ -100,7 +100,7 @@
     /// Adds the health of the backend service.
     pub fn with_service(&mut self, now: Nanos, name: &str, health: &mut ServiceHealth) {
         let own = health.report(now);
-        let others = health.others(now).unwrap_or_default();
+        let others = health.aggregated_health(now).unwrap_or_default();
         let counts = health.counts();
         self.service = Some(ServiceStatus {
             name: name.to_owned(),
@@ -116,7 +116,7 @@
             is_prober: others.is_prober,
             is_alone: others.is_alone,
             admitted: counts.admitted,
-            held_back: counts.held_back,
+            withheld: counts.withheld,
         });
     }
 
@@ -152,13 +152,13 @@
                 size.keys as u64,
                 size.leases as u64,
                 size.refused,
-                milliseconds(lender.opens_at().saturating_sub(now)),
+                milliseconds(lender.grants_from().saturating_sub(now)),
             ]
         });
         let counts = shared.event_counts().iter();
         self.event_counts = counts
             .map(|(event, times)| CounterStatus {
-                what: (*event).to_owned(),
+                name: (*event).to_owned(),
                 times: *times,
             })
             .collect();
@@ -225,7 +225,7 @@
             heavy_kind::OVER_QUOTA => format!("{label} {key:016x}"),
             _ => format!("{label} {key}"),
         };
-        CounterStatus { what, times }
+        CounterStatus { name: what, times }
     })
 }
 
--- a/crates/shared-state/src/status/explain.rs
+++ b/crates/shared-state/src/status/explain.rs
@@ -209,7 +209,7 @@
             self.since_ms,
             self.admitted_share * 100.0,
             self.admitted,
-            self.held_back
+            self.withheld
         )
     }
 }
--- a/crates/shared-state/src/status/snapshot.rs
+++ b/crates/shared-state/src/status/snapshot.rs
@@ -150,7 +150,7 @@
     pub admitted: u64,
     /// Calls that were held back.
     #[prost(uint64, tag = "14")]
-    pub held_back: u64,
+    pub withheld: u64,
 }
 
 /// What the leader has granted of a budget.
@@ -195,7 +195,7 @@
 pub struct CounterStatus {
     /// What occurred.
     #[prost(string, tag = "1")]
-    pub what: String,
+    pub name: String,
     /// How often.
     #[prost(uint64, tag = "2")]
     pub times: u64,
--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -8,7 +8,7 @@
 use madderpoint_shared_state::keyed_quota::{KeyGrant, KeyRequest, QuotaGrant, QuotaRequest};
 use madderpoint_shared_state::messages::{self, ClusterTotals, KnownCounters, SharedMessage};
 use madderpoint_shared_state::{
-    BudgetMessage, BudgetRequest, HealthReport, Lease, LeaseId, ProcessId,
+    BudgetRequest, HealthReport, Lease, LeaseId, LimitMessage, ProcessId,
 };
 use std::collections::BTreeMap;
 
@@ -36,15 +36,15 @@
 /// A message's name; a kind that is new needs one here and an example below.
 fn name(message: &SharedMessage) -> &'static str {
     match message {
-        SharedMessage::Budgets(BudgetMessage::VoteRequest { .. }) => "want",
-        SharedMessage::Budgets(BudgetMessage::Vote { .. }) => "word",
-        SharedMessage::Budgets(BudgetMessage::VoteRelease { .. }) => "give-back",
-        SharedMessage::Budgets(BudgetMessage::LeaseRequest { .. }) => "ask",
-        SharedMessage::Budgets(BudgetMessage::LeaseGrant { .. }) => "lend",
-        SharedMessage::Budgets(BudgetMessage::Redirect { .. }) => "elsewhere",
-        SharedMessage::Budgets(BudgetMessage::Leave) => "leave",
-        SharedMessage::Budgets(BudgetMessage::QuotaRequest(_)) => "ask-keys",
-        SharedMessage::Budgets(BudgetMessage::QuotaGrant(_)) => "lend-keys",
+        SharedMessage::Limits(LimitMessage::VoteRequest { .. }) => "want",
+        SharedMessage::Limits(LimitMessage::Vote { .. }) => "word",
+        SharedMessage::Limits(LimitMessage::VoteRelease { .. }) => "give-back",
+        SharedMessage::Limits(LimitMessage::LeaseRequest { .. }) => "ask",
+        SharedMessage::Limits(LimitMessage::LeaseGrant { .. }) => "lend",
+        SharedMessage::Limits(LimitMessage::Redirect { .. }) => "elsewhere",
+        SharedMessage::Limits(LimitMessage::Leave) => "leave",
+        SharedMessage::Limits(LimitMessage::QuotaRequest(_)) => "ask-keys",
+        SharedMessage::Limits(LimitMessage::QuotaGrant(_)) => "lend-keys",
         SharedMessage::HealthReports(_) => "evidence",
         SharedMessage::CounterReport(_) => "counts",
         SharedMessage::KnownCounters(_) => "have",
@@ -53,7 +53,7 @@
     }
 }
 
-fn budgets() -> Vec<BudgetMessage> {
+fn budgets() -> Vec<LimitMessage> {
     let want = |n: u32| BudgetRequest {
         budget: 100 + n,
         held: LeaseId {
@@ -78,38 +78,38 @@
         (500 + n, part)
     };
     vec![
-        BudgetMessage::VoteRequest { round: 11 },
-        BudgetMessage::Vote {
+        LimitMessage::VoteRequest { round: 11 },
+        LimitMessage::Vote {
             round: 12,
             is_granted: true,
             holder: Some(SOMEONE),
             bound_for: 1_300_000_000,
         },
-        BudgetMessage::Vote {
+        LimitMessage::Vote {
             round: 14,
             is_granted: false,
             holder: None,
             bound_for: 15,
         },
-        BudgetMessage::VoteRelease { round: 16 },
-        BudgetMessage::LeaseRequest {
+        LimitMessage::VoteRelease { round: 16 },
+        LimitMessage::LeaseRequest {
             sent_at: 17_000_000_000,
             zone: 18,
             requests: vec![want(1), want(2)],
         },
-        BudgetMessage::LeaseGrant {
+        LimitMessage::LeaseGrant {
             request_sent_at: 19_000_000_000,
             leases: vec![part(56), part(57)],
         },
-        BudgetMessage::Redirect {
+        LimitMessage::Redirect {
             leader: Some(OTHER),
         },
-        BudgetMessage::Redirect { leader: None },
-        BudgetMessage::Leave,
+        LimitMessage::Redirect { leader: None },
+        LimitMessage::Leave,
     ]
 }
 
-fn keyed() -> Vec<BudgetMessage> {
+fn keyed() -> Vec<LimitMessage> {
     let ask = |n: u32| KeyRequest {
         quota: 1 << 30 | n,
         key: 1 << 60 | 61,
@@ -124,12 +124,12 @@
         retry_after: 250_000_000,
     };
     vec![
-        BudgetMessage::QuotaRequest(QuotaRequest {
+        LimitMessage::QuotaRequest(QuotaRequest {
             number: 81,
             sent_at: 82_000_000_000,
             keys: vec![ask(1), ask(2)],
         }),
-        BudgetMessage::QuotaGrant(QuotaGrant {
+        LimitMessage::QuotaGrant(QuotaGrant {
             number: 83,
             request_sent_at: 84_000_000_000,
             lease_duration: 85_000_000_000,
@@ -189,7 +189,7 @@
     let mut all: Vec<SharedMessage> = budgets()
         .into_iter()
         .chain(keyed())
-        .map(SharedMessage::Budgets)
+        .map(SharedMessage::Limits)
         .collect();
     all.push(SharedMessage::HealthReports(vec![
         (1 << 58 | 95, report(1)),
--- a/crates/shared-state/tests/model_keys.rs
+++ b/crates/shared-state/tests/model_keys.rs
@@ -134,7 +134,7 @@
     }
 
     fn starts_at(&self) -> Nanos {
-        1000 + self.lender(0).opens_at()
+        1000 + self.lender(0).grants_from()
     }
 
     fn arrives(&self, state: &mut State, sent: Sent) {
