--- a/crates/node/src/cli/rollout.rs
+++ b/crates/node/src/cli/rollout.rs
@@ -14,7 +14,7 @@
 use error::RolloutCommandError;
 use madderpoint_node::program_version;
 use madderpoint_rollout::chunks;
-use madderpoint_rollout::messages::{CommandReply, OperatorCommand, order};
+use madderpoint_rollout::messages::{CommandReply, OperatorCommand, command_kind};
 use madderpoint_rollout::operator_commands::state;
 use plot::plot;
 use prost::Message;
@@ -122,12 +122,12 @@
                 target,
                 rollout,
                 why,
-            } => end(&target, order::HALT, rollout.as_deref(), &why),
+            } => end(&target, command_kind::HALT, rollout.as_deref(), &why),
             Command::Back {
                 target,
                 rollout,
                 why,
-            } => end(&target, order::ROLL_BACK, rollout.as_deref(), &why),
+            } => end(&target, command_kind::ROLL_BACK, rollout.as_deref(), &why),
             Command::Explain { target } => explain(&target),
             Command::Plot { target, to } => plot(&target, &to),
         }
@@ -147,7 +147,7 @@
             let node = target.node;
             RolloutCommandError::MalformedReply { node, source }
         })?;
-        if reply.state != state::LATER || Instant::now() > until {
+        if reply.state != state::PENDING || Instant::now() > until {
             return Ok(reply);
         }
         thread::sleep(RETRY_INTERVAL);
@@ -157,7 +157,7 @@
 /// Prints a reply; true if the command was accepted. A rejected one is no usage error.
 fn print_reply(reply: &CommandReply) -> bool {
     match reply.state {
-        state::TAKEN => {
+        state::DONE => {
             let more = if reply.why.is_empty() {
                 String::new()
             } else {
@@ -165,10 +165,10 @@
             };
             println!("change {:016x}{more}", reply.rollout);
         }
-        state::LATER => println!("not taken yet: {}", reply.why),
+        state::PENDING => println!("not taken yet: {}", reply.why),
         _ => println!("turned down: {}", reply.why),
     }
-    reply.state == state::TAKEN
+    reply.state == state::DONE
 }
 
 fn start(file: &Path, target: &RolloutTarget, wait: bool) -> CommandResult {
@@ -181,14 +181,14 @@
             return Ok(print_reply(&rejection));
         }
         OperatorCommand {
-            kind: order::OFFER,
+            kind: command_kind::OFFER,
             digest,
             ..OperatorCommand::default()
         }
     };
     let reply = send_command(target, &offer)?;
     if !print_reply(&reply) || !wait {
-        return Ok(reply.state == state::TAKEN);
+        return Ok(reply.state == state::DONE);
     }
     follow(target, reply.rollout)
 }
@@ -197,7 +197,7 @@
 fn program_offer(directory: &Path) -> Result<OperatorCommand, RolloutCommandError> {
     let madderpoint_rollout::Version { number, hash } = program_version::version_of(directory)?;
     Ok(OperatorCommand {
-        kind: order::OFFER,
+        kind: command_kind::OFFER,
         number,
         hash,
         program: true,
@@ -226,7 +226,7 @@
             break;
         };
         let chunk = OperatorCommand {
-            kind: order::CHUNK,
+            kind: command_kind::CHUNK,
             chunk: index,
             bytes: bytes.to_vec(),
             size: content.len() as u32,
@@ -234,7 +234,7 @@
             ..OperatorCommand::default()
         };
         let reply = send_command(target, &chunk)?;
-        if reply.state != state::TAKEN {
+        if reply.state != state::DONE {
             return Ok(Some(reply));
         }
     }
--- a/crates/node/src/cli/rollout/display.rs
+++ b/crates/node/src/cli/rollout/display.rs
@@ -174,7 +174,7 @@
 
 fn point(point: &CohortPointStatus, window_ms: u64) -> Value {
     json!({"unix_ms": point.window * window_ms, "stage": point.stage, "nodes": point.nodes, "arrived": point.arrived,
-        "succeeded": point.succeeded, "throttled": point.throttled, "errored": point.errored, "late": point.late,
+        "succeeded": point.succeeded, "throttled": point.rejected, "errored": point.errored, "late": point.late,
         "memory_kb": point.memory_kb})
 }
 
@@ -188,7 +188,7 @@
                 "hash": c.version.map(|v| format!("{:016x}", v.hash)), "base": c.base.map(|v| v.number),
                 "stage": c.stage, "stages": c.stages, "fate": c.outcome, "why": c.why, "by": c.by,
                 "ended_ms": c.ended_ms, "offered_by": c.offered_by, "offered_ms": c.offered_ms,
-                "agreement": c.agreement, "electorate": c.electorate})
+                "agreement": c.agreement, "electorate": c.cluster_size})
         })
         .collect();
     let findings: Vec<Value> = analysis
--- a/crates/node/src/cli/rollout/plot.rs
+++ b/crates/node/src/cli/rollout/plot.rs
@@ -46,7 +46,7 @@
             percent(&p.succeeded, &p.arrived, side)
         }),
         ("throttled, % of what arrived", |p, side| {
-            percent(&p.throttled, &p.arrived, side)
+            percent(&p.rejected, &p.arrived, side)
         }),
         ("errored, % of what arrived", |p, side| {
             percent(&p.errored, &p.arrived, side)
--- a/crates/node/src/cli/rollout/target.rs
+++ b/crates/node/src/cli/rollout/target.rs
@@ -4,7 +4,7 @@
 use crate::cli::error::CommandError;
 use crate::cli::node_query::NodeQuery;
 use clap::Args;
-use madderpoint_node::io::{PROGRAM_CHANGES, SETTINGS_CHANGES};
+use madderpoint_node::io::{PROGRAM_ROLLOUT_TOPIC, SETTINGS_ROLLOUT_TOPIC};
 use madderpoint_rollout::status::StatusSnapshot;
 use prost::Message;
 use std::net::SocketAddr;
@@ -31,9 +31,9 @@
     /// The topic of its rollouts.
     pub(super) fn topic(&self) -> u32 {
         if self.program {
-            PROGRAM_CHANGES
+            PROGRAM_ROLLOUT_TOPIC
         } else {
-            SETTINGS_CHANGES
+            SETTINGS_ROLLOUT_TOPIC
         }
     }
 }
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -22,7 +22,9 @@
 mod threads;
 
 pub use cluster_link::{ClusterSettingsUpdate, ClusterSetup, SHARED, zone_number};
-pub use rollout_link::{PROGRAM_CHANGES, RolloutSetup, SETTINGS_CHANGES, VersionError, Versions};
+pub use rollout_link::{
+    PROGRAM_ROLLOUT_TOPIC, RolloutSetup, SETTINGS_ROLLOUT_TOPIC, VersionError, Versions,
+};
 
 use crate::capacity::{CapacityLimits, OptionalSubsystems};
 use crate::config::{ConfigUpdate, NodeConfig};
--- a/crates/node/src/io/cluster_link/event_loop.rs
+++ b/crates/node/src/io/cluster_link/event_loop.rs
@@ -7,7 +7,7 @@
 use super::hosts::{MembershipHost, ReceivedPayload, RenderedStatus, SHARED, SharedStateHost};
 use crate::cluster::ClusterUpdate;
 use crate::io::inbox::Message;
-use crate::io::rollout_link::{RolloutLink, SETTINGS_CHANGES, topic};
+use crate::io::rollout_link::{RolloutLink, SETTINGS_ROLLOUT_TOPIC, topic};
 use crate::log::part;
 use crate::node::Event;
 use crossbeam_channel::Receiver;
@@ -267,7 +267,7 @@
     /// rollouts of settings get none.
     fn handle_payloads(&mut self, is_handing_over: bool) {
         for payload in std::mem::take(&mut self.membership.host.payloads) {
-            if is_handing_over && payload.topic == SETTINGS_CHANGES {
+            if is_handing_over && payload.topic == SETTINGS_ROLLOUT_TOPIC {
                 continue;
             }
             let from = MemberKey(payload.from.key);
--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -38,9 +38,9 @@
 use window_samples::samples;
 
 /// The topic of rollouts of settings, for payloads, pages, commands and attachments.
-pub const SETTINGS_CHANGES: u32 = 2;
+pub const SETTINGS_ROLLOUT_TOPIC: u32 = 2;
 /// The same of the program.
-pub const PROGRAM_CHANGES: u32 = 3;
+pub const PROGRAM_ROLLOUT_TOPIC: u32 = 3;
 /// Time between two wake-ups.
 const WAKE_INTERVAL: Nanos = 200_000_000;
 /// Time between two looks at what nodes counted, while a rollout is in progress.
@@ -62,8 +62,8 @@
 /// The topic of rollouts of a kind.
 pub fn topic(kind: Kind) -> u32 {
     match kind {
-        Kind::Settings => SETTINGS_CHANGES,
-        Kind::Program => PROGRAM_CHANGES,
+        Kind::Settings => SETTINGS_ROLLOUT_TOPIC,
+        Kind::Program => PROGRAM_ROLLOUT_TOPIC,
     }
 }
 
@@ -233,7 +233,7 @@
                 .participant
                 .handle_command(at.now, at.unix_ms, &command),
             Err(_) => CommandReply {
-                state: state::REFUSED,
+                state: state::REJECTED,
                 why: "this order can't be read".into(),
                 rollout: 0,
             },
--- a/crates/node/src/io/rollout_link/host.rs
+++ b/crates/node/src/io/rollout_link/host.rs
@@ -3,7 +3,7 @@
 use super::version_worker::Task;
 use crossbeam_channel::Sender;
 use madderpoint_rollout::cohort_metrics::WindowSample;
-use madderpoint_rollout::messages::ReceivedMessage;
+use madderpoint_rollout::messages::RolloutMessage;
 use madderpoint_rollout::{Host, Kind, Member, NodeReport, PersistedState, RolloutId, Version};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -12,7 +12,7 @@
 pub(super) struct RolloutHost {
     pub(super) kind: Kind,
     pub(super) me: u64,
-    pub(super) sent: Vec<(u64, ReceivedMessage)>,
+    pub(super) sent: Vec<(u64, RolloutMessage)>,
     pub(super) tasks: Sender<Task>,
     pub(super) shown: Option<NodeReport>,
     pub(super) members: Vec<Member>,
@@ -29,7 +29,7 @@
 }
 
 impl Host for RolloutHost {
-    fn send(&mut self, to: u64, message: ReceivedMessage) {
+    fn send(&mut self, to: u64, message: RolloutMessage) {
         self.sent.push((to, message));
     }
 
--- a/crates/node/src/io/rollout_link/window_samples.rs
+++ b/crates/node/src/io/rollout_link/window_samples.rs
@@ -1,6 +1,6 @@
 //! What all nodes counted, as the canary analysis wants it.
 
-use super::PROGRAM_CHANGES;
+use super::PROGRAM_ROLLOUT_TOPIC;
 use crate::io::zone_number;
 use madderpoint_membership::member::MemberEntry;
 use madderpoint_membership::{Host as MembershipHost, MemberKey, Membership};
@@ -23,7 +23,7 @@
     for ProcessWindow {
         process,
         number: window,
-        version: label,
+        version: version_hash,
         is_first: first,
         window: counted,
     } in counts.windows(from)
@@ -32,14 +32,14 @@
             continue;
         };
         // A program is another process; what it runs is what the process reports on its entry.
-        let label = match kind {
-            Kind::Settings => label,
+        let version_hash = match kind {
+            Kind::Settings => version_hash,
             Kind::Program if entry.epoch.incarnation.0 == process.incarnation => {
                 let part = entry
                     .details
                     .attachments
                     .iter()
-                    .find(|part| part.id == PROGRAM_CHANGES);
+                    .find(|part| part.id == PROGRAM_ROLLOUT_TOPIC);
                 match part.and_then(|part| messages::decode_attachment(&part.bytes)) {
                     Some(report) => report.running.hash,
                     None => continue,
@@ -47,7 +47,7 @@
             }
             Kind::Program => continue,
         };
-        let sample = window_sample(entry, process.key, label, first, counted);
+        let sample = window_sample(entry, process.key, version_hash, first, counted);
         // Of two processes under one name in a window the one that did more tells of it.
         let arrived = |sample: &WindowSample| {
             sample
@@ -74,15 +74,15 @@
 fn window_sample(
     entry: &MemberEntry,
     node: u64,
-    label: u64,
+    version_hash: u64,
     is_first: bool,
     counted: &CounterWindow,
 ) -> WindowSample {
     let mut sample = WindowSample {
         node,
         zone: zone_number(&entry.details.zone),
-        label,
-        cold: is_first,
+        version_hash,
+        just_started: is_first,
         memory_kb: counted.gauges[0],
         descriptors: counted.gauges[1],
         ..WindowSample::default()
@@ -95,7 +95,7 @@
         let counts = OperationCounts {
             arrived: numbers[operation_column::ARRIVED],
             succeeded: numbers[operation_column::SUCCEEDED],
-            throttled: numbers[operation_column::REJECTED],
+            rejected: numbers[operation_column::REJECTED],
             errored: numbers[operation_column::FAILED],
             late: numbers[operation_column::LATE],
             earned: numbers[operation_column::EARNED_WEIGHT],
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -133,7 +133,7 @@
     adopted: Option<&Adopted>,
     parts: &mut OptionalParts,
 ) -> Result<ClusterState, StartError> {
-    let is_beside = adopted.is_some_and(|adopted| adopted.begin.beside);
+    let is_beside = adopted.is_some_and(|adopted| adopted.begin.another_process_serves);
     let LoadedSettings {
         mut read,
         versions: settings_versions,
--- a/crates/node/src/supervisor.rs
+++ b/crates/node/src/supervisor.rs
@@ -14,7 +14,7 @@
 use madderpoint_node::program_version::ProgramVersionError;
 use madderpoint_node::version_store::{VersionStore, VersionStoreError};
 use madderpoint_node::{config, program_version};
-use madderpoint_rollout::process_handover::{Child, Host as _, Supervisor};
+use madderpoint_rollout::process_handover::{Child, ProcessHost as _, Supervisor};
 use madderpoint_rollout::supervisor_messages::{SupervisorMessage, kind};
 use madderpoint_rollout::{HostError, Kind, PersistedState};
 use orphans::Orphan;
@@ -168,7 +168,7 @@
         }
         Event::Message(child, message) => match message.kind {
             kind::READY => supervisor.ready(now(), child),
-            kind::KEEP => match PersistedState::decode(&message.persisted) {
+            kind::PERSIST => match PersistedState::decode(&message.persisted) {
                 Ok(persisted) => supervisor.persist(child, message.request, persisted),
                 Err(broken) => supervisor.host.answer(
                     child,
--- a/crates/node/src/supervisor/host.rs
+++ b/crates/node/src/supervisor/host.rs
@@ -8,7 +8,7 @@
 use madderpoint_node::program_version;
 use madderpoint_node::supervisor_client::UNDER;
 use madderpoint_node::version_store::VersionStore;
-use madderpoint_rollout::process_handover::{Child, Host, StartInstructions};
+use madderpoint_rollout::process_handover::{Child, ProcessHost, StartInstructions};
 use madderpoint_rollout::supervisor_messages::{SupervisorMessage, kind};
 use madderpoint_rollout::{HostError, PersistedState, Version};
 use rustix::process::{Pid, Signal, kill_process};
@@ -127,13 +127,13 @@
     }
 }
 
-impl Host for SupervisorHost {
+impl ProcessHost for SupervisorHost {
     fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), HostError> {
-        let beside = begin.beside || !self.orphans.is_empty();
+        let another_process_serves = begin.another_process_serves || !self.orphans.is_empty();
         self.spawn(
             child,
             &StartInstructions {
-                beside,
+                another_process_serves,
                 ..begin.clone()
             },
         )
--- a/crates/node/src/supervisor_client.rs
+++ b/crates/node/src/supervisor_client.rs
@@ -99,7 +99,7 @@
         reader.feed(&buffer[..read]);
         if let Some(message) = reader.take().map_err(|_| unreadable(&"it is no saying"))? {
             break message
-                .as_begin()
+                .start_instructions()
                 .ok_or_else(|| unreadable(&"it does not say what to start with"))?;
         }
     };
@@ -152,7 +152,7 @@
             ..
         } = self;
         // One that was started beside another is in charge only once it is told so.
-        let in_charge = !begin.beside;
+        let in_charge = !begin.another_process_serves;
         thread::Builder::new()
             .name("parent".into())
             .spawn(move || listen(&link, in_charge, reading, reader, &control))?;
@@ -281,7 +281,7 @@
         _: Option<(Version, &[u8])>,
     ) -> Result<(), VersionError> {
         Ok(self.0.request(|no| SupervisorMessage {
-            kind: kind::KEEP,
+            kind: kind::PERSIST,
             request: no,
             persisted: persisted.encode(),
             ..SupervisorMessage::default()
@@ -303,6 +303,6 @@
         contents: Vec::new(),
         new_content: None,
         crashed: begin.crashed,
-        fresh: begin.fresh,
+        disk_was_empty: begin.disk_was_empty,
     }
 }
--- a/crates/node/src/version_store.rs
+++ b/crates/node/src/version_store.rs
@@ -311,7 +311,7 @@
                 .ok()
                 .flatten();
         }
-        let (mut persisted, fresh) = self.read_state();
+        let (mut persisted, disk_was_empty) = self.read_state();
         let (given_version, given_content) = given.unwrap_or_default();
         let trial = persisted.trial.filter(|_| is_beside);
         let (candidates, crashed) = match trial {
@@ -337,7 +337,7 @@
                         contents: on_disk.iter().filter_map(read).collect(),
                         new_content: (!on_disk.contains(&version)).then_some(content),
                         crashed,
-                        fresh,
+                        disk_was_empty,
                     };
                     return Ok(Start { state, running });
                 }
--- a/crates/node/src/version_store/tests.rs
+++ b/crates/node/src/version_store/tests.rs
@@ -41,7 +41,7 @@
         (
             begun.running.as_str(),
             begun.state.running,
-            begun.state.fresh
+            begun.state.disk_was_empty
         ),
         ("one", v(1), true)
     );
@@ -67,7 +67,7 @@
         (begun.running.as_str(), begun.state.crashed.unwrap().version),
         ("one", v(2))
     );
-    assert!(!begun.state.fresh && begun.state.persisted.crashes(v(2)) == 1);
+    assert!(!begun.state.disk_was_empty && begun.state.persisted.crashes(v(2)) == 1);
     // Found good in the end; what it is given by hand is old, or is not there at all, and is
     // not what it starts on.
     let mut persisted = begun.state.persisted;
@@ -90,7 +90,7 @@
         one.begin(Some((v(1), b"one".to_vec())), text)
             .unwrap()
             .state
-            .fresh
+            .disk_was_empty
     );
     assert!(one.state_file().with_extension("broken").exists());
     assert!(one.begin(None, text).is_err());
--- a/crates/rollout/examples/compare.rs
+++ b/crates/rollout/examples/compare.rs
@@ -63,9 +63,12 @@
     };
     let ways = [
         ("nodes, with their past", Out::Stages(AnalysisMethod::Nodes)),
-        ("nodes", Out::Stages(AnalysisMethod::NodesNow)),
+        ("nodes", Out::Stages(AnalysisMethod::NodesWithoutHistory)),
         ("fixed threshold", Out::Stages(AnalysisMethod::Fixed)),
-        ("every invocation", Out::Stages(AnalysisMethod::Invocations)),
+        (
+            "every invocation",
+            Out::Stages(AnalysisMethod::IndependentRequests),
+        ),
         ("ranks", Out::Stages(AnalysisMethod::Ranks)),
         ("all at once", Out::AtOnce),
     ];
--- a/crates/rollout/src/canary_analysis.rs
+++ b/crates/rollout/src/canary_analysis.rs
@@ -100,7 +100,10 @@
         );
     }
     let shares = findings.len();
-    if matches!(method, AnalysisMethod::Nodes | AnalysisMethod::NodesNow) {
+    if matches!(
+        method,
+        AnalysisMethod::Nodes | AnalysisMethod::NodesWithoutHistory
+    ) {
         findings.extend(rises(record));
     }
     let tests = findings.len().max(1) as f64;
--- a/crates/rollout/src/canary_analysis/comparison.rs
+++ b/crates/rollout/src/canary_analysis/comparison.rs
@@ -23,7 +23,7 @@
     match measure {
         Metric::Errored => 0.5,
         Metric::Lost => 1.0,
-        Metric::Throttled | Metric::Late => 2.0,
+        Metric::Rejected | Metric::Late => 2.0,
         Metric::Slow => 5.0,
     }
 }
@@ -34,11 +34,11 @@
     /// Nodes as units, each less its own past.
     Nodes,
     /// The same without the past.
-    NodesNow,
+    NodesWithoutHistory,
     /// Harm if the canary's share is above the baseline's by the margin.
     Fixed,
     /// A mixture likelihood ratio that takes requests for independent.
-    Invocations,
+    IndependentRequests,
     /// A rank test on nodes at each look.
     Ranks,
 }
@@ -116,7 +116,7 @@
     let finding = |harm: f64, variance: f64, evidence: f64| Comparison {
         chance,
         operation: Some(operation),
-        what: measure.word(),
+        what: measure.display_name(),
         new: new_share,
         old: expected,
         harm,
@@ -125,7 +125,7 @@
         margin,
     };
     match method {
-        AnalysisMethod::Nodes | AnalysisMethod::NodesNow => {
+        AnalysisMethod::Nodes | AnalysisMethod::NodesWithoutHistory => {
             if method == AnalysisMethod::Nodes {
                 adjust(&mut new, &mut old);
             }
@@ -140,7 +140,7 @@
                 if harm > margin { f64::MAX } else { 0.0 },
             ))
         }
-        AnalysisMethod::Invocations => {
+        AnalysisMethod::IndependentRequests => {
             let variance = 1.0 / new.iter().map(|share| 1.0 / share.variance).sum::<f64>()
                 + 1.0 / old.iter().map(|share| 1.0 / share.variance).sum::<f64>();
             let harm = new_share - expected;
--- a/crates/rollout/src/canary_analysis/tests.rs
+++ b/crates/rollout/src/canary_analysis/tests.rs
@@ -48,7 +48,7 @@
                 WindowSample {
                     node: n as u64,
                     zone: n as u32 % 3,
-                    label: if is_new { 2 } else { 1 },
+                    version_hash: if is_new { 2 } else { 1 },
                     operations: BTreeMap::from([(7, (cell, Vec::new()))]),
                     memory_kb: memory as u64 + self.rng.random_range(0..200),
                     descriptors: 40,
@@ -69,10 +69,10 @@
         windows.push((window, fleet.samples(true, 0.0, 100, 0.0, window)));
     }
     record.begin(&windows);
-    record.stage_begins(1);
+    record.start_stage(1);
     let mut last = None;
     for window in 8..30 {
-        record.after(window, &fleet.samples(false, harm, 100, memory, window));
+        record.record_window(window, &fleet.samples(false, harm, 100, memory, window));
         let judged = analyse(
             &record,
             &Plan::default(),
@@ -151,9 +151,9 @@
     };
     let mut record = record();
     record.begin(&[]);
-    record.stage_begins(1);
+    record.start_stage(1);
     for window in 0..6 {
-        record.after(window, &fleet.samples(false, 0.0, 100, 0.0, window));
+        record.record_window(window, &fleet.samples(false, 0.0, 100, 0.0, window));
     }
     let judged = |record: &CohortMetrics, crashes| {
         let crashes = CrashCounts {
@@ -183,8 +183,10 @@
     };
     let mut record = record();
     record.begin(&[]);
-    record.stage_begins(1);
-    (0..4).for_each(|window| record.after(window, &fleet.samples(false, 0.0, 30, 0.0, window)));
+    record.start_stage(1);
+    (0..4).for_each(|window| {
+        record.record_window(window, &fleet.samples(false, 0.0, 30, 0.0, window))
+    });
     let judged = analyse(
         &record,
         &Plan::default(),
@@ -214,19 +216,20 @@
             let mut samples = fleet.samples(true, 0.0, 130, 0.0, window);
             if window == 1 || window == 2 {
                 // It ran the other version in the second window, and half of the third.
-                samples[3].label = if window == 1 { 99 } else { 1 };
+                samples[3].version_hash = if window == 1 { 99 } else { 1 };
                 let (cell, _) = samples[3].operations.get_mut(&7).unwrap();
                 let throttled = if window == 1 { 130 } else { 65 };
-                (cell.throttled, cell.succeeded, cell.earned) =
+                (cell.rejected, cell.succeeded, cell.earned) =
                     (throttled, 130 - throttled, (130 - throttled) * 1000);
             }
             windows.push((window, samples));
         }
         record.begin(&windows);
-        record.stage_begins(1);
+        record.start_stage(1);
         fleet.new = 1;
-        (4..12)
-            .for_each(|window| record.after(window, &fleet.samples(false, 0.0, 130, 0.0, window)));
+        (4..12).for_each(|window| {
+            record.record_window(window, &fleet.samples(false, 0.0, 130, 0.0, window))
+        });
         let judged = analyse(
             &record,
             &Plan::default(),
--- a/crates/rollout/src/cohort_metrics.rs
+++ b/crates/rollout/src/cohort_metrics.rs
@@ -9,7 +9,7 @@
 mod trend;
 
 use crate::identifiers::{RolloutId, Version};
-use crate::stages::place;
+use crate::stages::node_position;
 use baseline::{BaselineRates, OperationCountsList, nine_in_ten};
 pub use counts::{
     Cohort, Latencies, Metric, NodeMetric, NodeMetrics, OperationCounts, WindowSample,
@@ -68,7 +68,7 @@
     fn counts_window(&mut self, sample: &WindowSample, cohort: Cohort) -> bool {
         self.invariants += sample.invariants;
         self.settled += 1;
-        !(sample.cold || self.settled < 2 && cohort == Cohort::Canary)
+        !(sample.just_started || self.settled < 2 && cohort == Cohort::Canary)
     }
 
     fn add_window(
@@ -164,7 +164,7 @@
     /// The rollout begins: takes up the windows before it, as far as nodes ran the base.
     pub fn begin(&mut self, windows: &[(u64, Vec<WindowSample>)]) {
         let mut pure = |samples: &Vec<WindowSample>| -> Vec<WindowSample> {
-            let is_pure = |sample: &&WindowSample| self.ran_base(sample) && !sample.cold;
+            let is_pure = |sample: &&WindowSample| self.ran_base(sample) && !sample.just_started;
             samples.iter().filter(is_pure).cloned().collect()
         };
         let windows: Vec<(u64, Vec<WindowSample>)> = windows
@@ -178,7 +178,7 @@
         let mut all: Vec<(u64, u64)> = windows
             .iter()
             .flat_map(|(_, samples)| samples)
-            .map(|s| (place(self.rollout, s.node), s.node))
+            .map(|s| (node_position(self.rollout, s.node), s.node))
             .collect();
         all.sort_unstable();
         all.dedup();
@@ -210,7 +210,7 @@
     /// what it did before, which may be what a version was rolled back for: as a past of its own it would
     /// make a good version look like harm, or hide some. To be asked of each window in turn.
     fn ran_base(&mut self, sample: &WindowSample) -> bool {
-        if sample.label != self.base.hash {
+        if sample.version_hash != self.base.hash {
             self.elsewhere.insert(sample.node);
             return false;
         }
@@ -254,7 +254,7 @@
     }
 
     /// A stage begins: what comes from here on is what it is analysed by.
-    pub fn stage_begins(&mut self, stage: u32) {
+    pub fn start_stage(&mut self, stage: u32) {
         self.stage = stage;
         for node in self.nodes.values_mut() {
             // What rises slowly is looked at over all stages.
@@ -264,7 +264,7 @@
     }
 
     /// Takes up what nodes counted in a window since the rollout began.
-    pub fn after(&mut self, window: u64, samples: &[WindowSample]) {
+    pub fn record_window(&mut self, window: u64, samples: &[WindowSample]) {
         if self.first_window == 0 {
             self.first_window = window;
         }
@@ -275,12 +275,12 @@
             .iter()
             .filter_map(|sample| match self.ran_base(sample) {
                 true => Some((sample, Cohort::Baseline)),
-                false => (sample.label == new).then_some((sample, Cohort::Canary)),
+                false => (sample.version_hash == new).then_some((sample, Cohort::Canary)),
             })
             .collect();
         let warm = with_cohort
             .iter()
-            .filter(|(sample, cohort)| *cohort == Cohort::Baseline && !sample.cold);
+            .filter(|(sample, cohort)| *cohort == Cohort::Baseline && !sample.just_started);
         warm.for_each(|(sample, _)| self.learn(sample));
         let mut point = CohortPoint {
             window,
@@ -293,7 +293,7 @@
             .collect();
         let warm_old = with_cohort
             .iter()
-            .filter(|(sample, cohort, _)| *cohort == Cohort::Baseline && !sample.cold);
+            .filter(|(sample, cohort, _)| *cohort == Cohort::Baseline && !sample.just_started);
         let usual = BaselineRates::of(warm_old.map(|(sample, _, cells)| (*sample, cells)));
         for (sample, cohort, cells) in &with_cohort {
             let at = *cohort as usize;
--- a/crates/rollout/src/cohort_metrics/counts.rs
+++ b/crates/rollout/src/cohort_metrics/counts.rs
@@ -11,7 +11,7 @@
     /// Errored, of what arrived.
     Errored,
     /// Rejected, of what arrived.
-    Throttled,
+    Rejected,
     /// Late, of what succeeded.
     Late,
     /// Priority weight that was not earned, of what was asked for.
@@ -24,7 +24,7 @@
     /// All metrics.
     pub const ALL: [Metric; 5] = [
         Metric::Errored,
-        Metric::Throttled,
+        Metric::Rejected,
         Metric::Late,
         Metric::Lost,
         Metric::Slow,
@@ -34,7 +34,7 @@
     pub(super) fn of(self, cell: &OperationCounts) -> ([u64; 2], u64) {
         match self {
             Metric::Errored => ([cell.errored, cell.arrived], cell.arrived),
-            Metric::Throttled => ([cell.throttled, cell.arrived], cell.arrived),
+            Metric::Rejected => ([cell.rejected, cell.arrived], cell.arrived),
             Metric::Late => ([cell.late, cell.succeeded], cell.succeeded),
             Metric::Lost => (
                 [cell.asked.saturating_sub(cell.earned), cell.asked],
@@ -45,10 +45,10 @@
     }
 
     /// What it is called in tables.
-    pub fn word(self) -> &'static str {
+    pub fn display_name(self) -> &'static str {
         match self {
             Metric::Errored => "errored",
-            Metric::Throttled => "throttled",
+            Metric::Rejected => "throttled",
             Metric::Late => "late",
             Metric::Lost => "value lost",
             Metric::Slow => "slow",
@@ -113,7 +113,7 @@
     /// Requests that succeeded.
     pub succeeded: u64,
     /// Requests that were rejected.
-    pub throttled: u64,
+    pub rejected: u64,
     /// Requests that failed.
     pub errored: u64,
     /// Successes past their latency objective.
@@ -133,7 +133,7 @@
     pub fn add(&mut self, more: &OperationCounts) {
         self.arrived += more.arrived;
         self.succeeded += more.succeeded;
-        self.throttled += more.throttled;
+        self.rejected += more.rejected;
         self.errored += more.errored;
         self.late += more.late;
         self.earned += more.earned;
@@ -151,9 +151,9 @@
     /// Its zone.
     pub zone: u32,
     /// What it ran: the hash of the version.
-    pub label: u64,
+    pub version_hash: u64,
     /// Whether it has just started.
-    pub cold: bool,
+    pub just_started: bool,
     /// Counts and latencies by operation.
     pub operations: BTreeMap<u32, (OperationCounts, Latencies)>,
     /// Resident memory in KiB.
--- a/crates/rollout/src/cohort_metrics/tests.rs
+++ b/crates/rollout/src/cohort_metrics/tests.rs
@@ -1,7 +1,7 @@
 use super::baseline::SLOWER;
 use super::*;
 
-fn sample(node: u64, label: u64, arrived: u64, latencies: &[(u32, u32)]) -> WindowSample {
+fn sample(node: u64, version_hash: u64, arrived: u64, latencies: &[(u32, u32)]) -> WindowSample {
     let cell = OperationCounts {
         arrived,
         succeeded: arrived,
@@ -9,7 +9,7 @@
     };
     WindowSample {
         node,
-        label,
+        version_hash,
         operations: BTreeMap::from([(7, (cell, latencies.to_vec()))]),
         memory_kb: 1000 + 10 * node,
         ..WindowSample::default()
@@ -39,10 +39,10 @@
         .collect();
     record.begin(&windows);
     assert_eq!(record.slow_from[&7], 10 + SLOWER);
-    record.stage_begins(1);
+    record.start_stage(1);
     for window in 8..14 {
         let label = if window < 10 { 1 } else { 2 };
-        record.after(
+        record.record_window(
             window,
             &[
                 sample(1, label, 10, &[(10, 5), (60, 5)]),
@@ -73,7 +73,7 @@
         (new.before[&7].arrived, record.arrived(Cohort::Canary)),
         (800, 30)
     );
-    record.stage_begins(2);
+    record.start_stage(2);
     assert_eq!(
         (
             record.arrived(Cohort::Canary),
@@ -90,7 +90,7 @@
 fn what_is_expected_follows_the_old_ones_of_the_same_window_and_zone() {
     let mut record = record();
     record.begin(&[]);
-    record.stage_begins(1);
+    record.start_stage(1);
     let errs = |node, label, zone, errored| {
         let mut sample = sample(node, label, 100, &[]);
         sample.zone = zone;
@@ -108,7 +108,7 @@
             errs(3, 1, 0, here),
             errs(4, 1, 1, 90),
         ];
-        record.after(window, &samples);
+        record.record_window(window, &samples);
     }
     let part = record.nodes[&1].after[&7].of(Metric::Errored);
     assert_eq!(
@@ -121,13 +121,13 @@
 fn cold_nodes_and_other_versions_say_nothing() {
     let mut record = record();
     record.begin(&[]);
-    record.stage_begins(1);
+    record.start_stage(1);
     for window in 0..5 {
         let cold = WindowSample {
-            cold: true,
+            just_started: true,
             ..sample(1, 2, 10, &[])
         };
-        record.after(
+        record.record_window(
             window,
             &[cold, sample(2, 99, 10, &[]), sample(3, 1, 10, &[])],
         );
@@ -152,10 +152,10 @@
     let mut record = record();
     let samples: Vec<WindowSample> = (0..2000).map(|node| sample(node, 1, 1, &[])).collect();
     record.begin(&[(0, samples.clone())]);
-    record.after(1, &samples);
+    record.record_window(1, &samples);
     assert_eq!(record.nodes.len(), 2 * MAX_NODES_EACH_END);
     let first = (0..2000)
-        .min_by_key(|node| place(RolloutId(1), *node))
+        .min_by_key(|node| node_position(RolloutId(1), *node))
         .unwrap();
     assert!(
         record.nodes.contains_key(&first),
@@ -187,9 +187,9 @@
         ),
         (200, 400)
     );
-    record.stage_begins(1);
+    record.start_stage(1);
     for (no, label, arrived) in [(4, 1, 10), (5, 2, 10), (6, 2, 10), (7, 1, 7), (8, 1, 10)] {
-        record.after(no, &[sample(1, label, arrived, &[])]);
+        record.record_window(no, &[sample(1, label, arrived, &[])]);
     }
     assert_eq!(
         (record.nodes[&1].cohort, record.nodes[&1].after[&7].arrived),
@@ -202,8 +202,8 @@
     // One of another version until the rollout began comes back in its first window.
     let mut late = super::CohortMetrics::new(record.rollout, record.version, record.base);
     late.begin(&[window(0, 99, 100)]);
-    late.stage_begins(1);
-    late.after(1, &[sample(1, 1, 7, &[]), sample(2, 1, 100, &[])]);
+    late.start_stage(1);
+    late.record_window(1, &[sample(1, 1, 7, &[]), sample(2, 1, 100, &[])]);
     assert_eq!(
         (late.nodes.contains_key(&1), late.arrived(Cohort::Baseline)),
         (false, 100)
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -21,7 +21,7 @@
 use crate::cohort_metrics::{CohortMetrics, MAX_NODES_EACH_END, WindowSample};
 use crate::identifiers::{Kind, RolloutId, Version};
 use crate::member::Member;
-use crate::messages::ReceivedMessage;
+use crate::messages::RolloutMessage;
 use crate::node_report::NodeReport;
 use crate::paxos::{Ballot, PaxosRound, Proposal};
 use crate::rollout::{Outcome, Rollout};
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoordinatorAction {
     /// Send a message to the node of this key.
-    Send(u64, ReceivedMessage),
+    Send(u64, RolloutMessage),
     /// End a rollout.
     End {
         /// The rollout.
@@ -155,7 +155,7 @@
     unix_ms: u64,
     rollouts: &'a RolloutTable,
     members: &'a [Member],
-    electorate: u32,
+    cluster_size: u32,
 }
 
 impl Coordinator {
@@ -328,7 +328,7 @@
             return Vec::new();
         }
         (self.polled, self.poll) = (now, self.poll.wrapping_add(1));
-        let poll = ReceivedMessage::Poll {
+        let poll = RolloutMessage::Poll {
             poll: self.poll,
             rollout: rollout.id,
             stage: rollout.progress.stage,
@@ -345,11 +345,11 @@
 
     /// How many nodes the cluster is taken to have: those that are known, and no fewer than were agreed
     /// on lately.
-    fn electorate(&self, now: Nanos, rollouts: &RolloutTable, members: &[Member]) -> u32 {
+    fn cluster_size(&self, now: Nanos, rollouts: &RolloutTable, members: &[Member]) -> u32 {
         let agreed = rollouts
             .head(self.kind)
             .filter(|_| now < self.since + ELECTORATE_LIFETIME);
-        (members.len() as u32).max(agreed.map_or(0, |head| head.progress.electorate))
+        (members.len() as u32).max(agreed.map_or(0, |head| head.progress.cluster_size))
     }
 
     /// Reports about a rollout that answer one of the last two polls.
@@ -368,13 +368,13 @@
         rollouts: &RolloutTable,
         members: &[Member],
     ) -> Step {
-        let electorate = self.electorate(now, rollouts, members);
+        let cluster_size = self.cluster_size(now, rollouts, members);
         let inputs = StepInputs {
             now,
             unix_ms,
             rollouts,
             members,
-            electorate,
+            cluster_size,
         };
         if let Some(end) = self.reject_superseded(rollouts) {
             return end;
--- a/crates/rollout/src/coordinator/follow.rs
+++ b/crates/rollout/src/coordinator/follow.rs
@@ -17,7 +17,7 @@
     /// Takes up what nodes counted in a window that has ended.
     pub fn record_window(&mut self, window: u64, samples: &[WindowSample]) {
         if let Some(metrics) = self.metrics.as_mut().filter(|_| window >= self.counted) {
-            metrics.after(window, samples);
+            metrics.record_window(window, samples);
             self.counted = window + 1;
         }
     }
@@ -63,7 +63,7 @@
             .as_mut()
             .filter(|metrics| metrics.stage() != rollout.progress.stage)
         {
-            metrics.stage_begins(rollout.progress.stage);
+            metrics.start_stage(rollout.progress.stage);
         }
     }
 }
--- a/crates/rollout/src/coordinator/start.rs
+++ b/crates/rollout/src/coordinator/start.rs
@@ -47,10 +47,10 @@
         rollout: &Rollout,
     ) -> Result<(), String> {
         let fresh = self.fresh_reports(rollout.id).count() as u32;
-        if fresh * 2 <= inputs.electorate {
+        if fresh * 2 <= inputs.cluster_size {
             return Err(format!(
                 "{fresh} of {} nodes answer, more than half are needed",
-                inputs.electorate
+                inputs.cluster_size
             ));
         }
         if let Some((node, report)) = self
@@ -59,7 +59,7 @@
         {
             return Err(format!(
                 "node {node:016x} knows that it is {}",
-                report.outcome.word()
+                report.outcome.display_name()
             ));
         }
         Ok(())
@@ -97,7 +97,7 @@
             plan: &rollout.plan,
             nodes: &nodes,
             agreement: last_agreement(inputs.rollouts, self.kind) + 1,
-            electorate: nodes.len() as u32,
+            cluster_size: nodes.len() as u32,
         };
         let progress = match again {
             true => rollout.progress.again(&next),
@@ -173,7 +173,7 @@
             self.offered
                 .is_some_and(|(_, since)| inputs.now > since + time)
         };
-        let is_minority = staged as u32 * 2 <= inputs.electorate;
+        let is_minority = staged as u32 * 2 <= inputs.cluster_size;
         if (staged >= there || is_offered_for(STRAGGLER_WAIT)) && !is_minority {
             return None;
         }
--- a/crates/rollout/src/coordinator/voting.rs
+++ b/crates/rollout/src/coordinator/voting.rs
@@ -2,7 +2,7 @@
 
 use super::{Coordinator, CoordinatorAction};
 use crate::member::Member;
-use crate::messages::ReceivedMessage;
+use crate::messages::RolloutMessage;
 use crate::paxos::{Ballot, PaxosReply, PaxosRequest, PaxosRound, Proposal, RoundStep};
 use crate::{MILLISECOND, Nanos, splitmix64};
 
@@ -41,7 +41,7 @@
             .map(|to| {
                 CoordinatorAction::Send(
                     *to,
-                    ReceivedMessage::PaxosRequest(self.kind, request.clone()),
+                    RolloutMessage::PaxosRequest(self.kind, request.clone()),
                 )
             })
             .collect()
--- a/crates/rollout/src/host.rs
+++ b/crates/rollout/src/host.rs
@@ -4,14 +4,14 @@
 use crate::cohort_metrics::WindowSample;
 use crate::identifiers::{RolloutId, Version};
 use crate::member::Member;
-use crate::messages::ReceivedMessage;
+use crate::messages::RolloutMessage;
 use crate::node_report::NodeReport;
 use crate::persisted_state::PersistedState;
 
 /// Side effects and views of the cluster that a node agent may ask for.
 pub trait Host {
     /// Sends to the node of this key.
-    fn send(&mut self, to: u64, message: ReceivedMessage);
+    fn send(&mut self, to: u64, message: RolloutMessage);
     /// Writes a line to the log.
     fn log(&mut self, line: &str);
     /// Some other present nodes, drawn at random.
--- a/crates/rollout/src/messages.rs
+++ b/crates/rollout/src/messages.rs
@@ -28,14 +28,14 @@
 mod message;
 mod wire;
 
-pub use command::{CommandReply, OperatorCommand, order};
+pub use command::{CommandReply, OperatorCommand, command_kind};
 pub use decode::{decode, decode_attachment};
 pub(crate) use decode::{decode_rollout, decode_vote};
 pub use encode::{encode, encode_attachment, rollout_messages};
 pub(crate) use encode::{encode_rollout, encode_vote};
 pub(crate) use later::later;
 pub use later::{LATER, LATER_KIND, later_kind};
-pub use message::{MAX_MESSAGE_BYTES, ReceivedMessage};
+pub use message::{MAX_MESSAGE_BYTES, RolloutMessage};
 pub(crate) use wire::{RolloutWire, VoteWire};
 
 #[cfg(test)]
--- a/crates/rollout/src/messages/command.rs
+++ b/crates/rollout/src/messages/command.rs
@@ -3,7 +3,7 @@
 /// What an operator asks of a node.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OperatorCommand {
-    /// One of [`order`].
+    /// One of [`command_kind`].
     #[prost(uint32, tag = "1")]
     pub kind: u32,
     /// Of content: the index of the chunk.
@@ -36,7 +36,7 @@
 }
 
 /// The kinds of operator commands.
-pub mod order {
+pub mod command_kind {
     /// A chunk of content that is offered.
     pub const CHUNK: u32 = 1;
     /// Offer it to the cluster.
--- a/crates/rollout/src/messages/decode.rs
+++ b/crates/rollout/src/messages/decode.rs
@@ -1,6 +1,6 @@
 //! From bytes to messages; what is beyond its bounds or of an unknown kind is no message.
 
-use super::message::{MAX_MESSAGE_BYTES, ReceivedMessage};
+use super::message::{MAX_MESSAGE_BYTES, RolloutMessage};
 use super::wire::{
     BallotWire, MessageWire, PlanWire, ProgressWire, ProposalWire, ReportWire, RolloutWire,
     StageWire, VersionWire, VoteWire,
@@ -61,7 +61,7 @@
         previous_thresholds: before,
         thresholds: by_zone(&progress.thresholds),
         whole_cluster: progress.whole_cluster,
-        electorate: progress.electorate,
+        cluster_size: progress.cluster_size,
         agreement: progress.agreement,
         at_ms: progress.at_ms,
     })
@@ -142,36 +142,36 @@
 }
 
 /// Decodes a message; none if it can't be read, is beyond its bounds, or is of an unknown kind.
-pub fn decode(bytes: &[u8]) -> Option<ReceivedMessage> {
+pub fn decode(bytes: &[u8]) -> Option<RolloutMessage> {
     let wire = MessageWire::decode(bytes)
         .ok()
         .filter(|_| bytes.len() <= MAX_MESSAGE_BYTES)?;
     let (number, rollout) = (wire.number, RolloutId(wire.rollout));
     Some(match wire.kind {
-        1 if wire.rollouts.len() <= MAX_ROLLOUTS => ReceivedMessage::Rollouts {
+        1 if wire.rollouts.len() <= MAX_ROLLOUTS => RolloutMessage::Rollouts {
             // One that can't be read leaves the others as they are.
             rollouts: wire.rollouts.iter().filter_map(decode_rollout).collect(),
             answer: wire.answer,
         },
         2 => {
             let outcome = Outcome::from_number(wire.outcome).unwrap_or(Outcome::RolledBack);
-            ReceivedMessage::Poll {
+            RolloutMessage::Poll {
                 poll: number,
                 rollout,
                 stage: wire.stage,
                 outcome,
             }
         }
-        3 => ReceivedMessage::NodeReport {
+        3 => RolloutMessage::NodeReport {
             poll: number,
             report: decode_report(&wire.report?),
         },
-        4 => ReceivedMessage::ChunkRequest {
+        4 => RolloutMessage::ChunkRequest {
             rollout,
             first: number,
             count: wire.count,
         },
-        5 if wire.bytes.len() <= CHUNK_BYTES => ReceivedMessage::Chunk {
+        5 if wire.bytes.len() <= CHUNK_BYTES => RolloutMessage::Chunk {
             rollout,
             index: number,
             bytes: wire.bytes,
@@ -181,13 +181,13 @@
     })
 }
 
-fn decode_paxos(wire: &MessageWire) -> Option<ReceivedMessage> {
+fn decode_paxos(wire: &MessageWire) -> Option<RolloutMessage> {
     let (of, agreement, ballot) = (kind(wire.of)?, wire.agreement, decode_ballot(wire.ballot));
     // One that is there and can't be read must not be taken for none.
     let proposal = wire.proposal.as_ref().map(decode_proposal);
     Some(match wire.kind {
-        6 => ReceivedMessage::PaxosRequest(of, PaxosRequest::Prepare { agreement, ballot }),
-        7 => ReceivedMessage::PaxosRequest(
+        6 => RolloutMessage::PaxosRequest(of, PaxosRequest::Prepare { agreement, ballot }),
+        7 => RolloutMessage::PaxosRequest(
             of,
             PaxosRequest::Accept {
                 ballot,
@@ -200,7 +200,7 @@
                 None => None,
                 Some(proposal) => Some((decode_ballot(wire.earlier), proposal?)),
             };
-            ReceivedMessage::PaxosReply(
+            RolloutMessage::PaxosReply(
                 of,
                 PaxosReply::Promised {
                     agreement,
@@ -209,8 +209,8 @@
                 },
             )
         }
-        9 => ReceivedMessage::PaxosReply(of, PaxosReply::Accepted { agreement, ballot }),
-        _ => ReceivedMessage::PaxosReply(
+        9 => RolloutMessage::PaxosReply(of, PaxosReply::Accepted { agreement, ballot }),
+        _ => RolloutMessage::PaxosReply(
             of,
             PaxosReply::Refused {
                 agreement,
--- a/crates/rollout/src/messages/encode.rs
+++ b/crates/rollout/src/messages/encode.rs
@@ -1,7 +1,7 @@
 //! From messages to bytes.
 
 use super::later::{LATER, later};
-use super::message::{MAX_MESSAGE_BYTES, ReceivedMessage};
+use super::message::{MAX_MESSAGE_BYTES, RolloutMessage};
 use super::wire::{
     BallotWire, MessageWire, PlanWire, ProgressWire, ProposalWire, ReasonWire, ReportWire,
     RolloutWire, StageWire, VersionWire, VoteWire,
@@ -51,7 +51,7 @@
         thresholds: progress.thresholds.values().copied().collect(),
         zones,
         whole_cluster: progress.whole_cluster,
-        electorate: progress.electorate,
+        cluster_size: progress.cluster_size,
         agreement: progress.agreement,
         at_ms: progress.at_ms,
     }
@@ -125,15 +125,15 @@
 }
 
 /// Encodes a message. Rollouts that don't fit one go into several: see [`rollout_messages`].
-pub fn encode(message: &ReceivedMessage) -> Vec<u8> {
+pub fn encode(message: &RolloutMessage) -> Vec<u8> {
     let mut wire = MessageWire::default();
     match message {
-        ReceivedMessage::Rollouts { rollouts, answer } => {
+        RolloutMessage::Rollouts { rollouts, answer } => {
             wire.kind = 1;
             wire.rollouts = rollouts.iter().map(encode_rollout).collect();
             wire.answer = *answer;
         }
-        ReceivedMessage::Poll {
+        RolloutMessage::Poll {
             poll,
             rollout,
             stage,
@@ -142,17 +142,17 @@
             (wire.kind, wire.number, wire.rollout) = (2, *poll, rollout.0);
             (wire.stage, wire.outcome) = (*stage, *outcome as u32);
         }
-        ReceivedMessage::NodeReport { poll, report } => {
+        RolloutMessage::NodeReport { poll, report } => {
             (wire.kind, wire.number, wire.report) = (3, *poll, Some(encode_report(report)));
         }
-        ReceivedMessage::ChunkRequest {
+        RolloutMessage::ChunkRequest {
             rollout,
             first,
             count,
         } => {
             (wire.kind, wire.rollout, wire.number, wire.count) = (4, rollout.0, *first, *count);
         }
-        ReceivedMessage::Chunk {
+        RolloutMessage::Chunk {
             rollout,
             index,
             bytes,
@@ -160,11 +160,11 @@
             (wire.kind, wire.rollout, wire.number) = (5, rollout.0, *index);
             wire.bytes.clone_from(bytes);
         }
-        ReceivedMessage::PaxosRequest(kind, request) => {
+        RolloutMessage::PaxosRequest(kind, request) => {
             wire.of = *kind as u32;
             encode_paxos_request(&mut wire, request);
         }
-        ReceivedMessage::PaxosReply(kind, reply) => {
+        RolloutMessage::PaxosReply(kind, reply) => {
             wire.of = *kind as u32;
             encode_paxos_reply(&mut wire, reply);
         }
@@ -219,7 +219,7 @@
 pub fn rollout_messages<'c>(
     all: impl Iterator<Item = &'c Rollout>,
     answer: bool,
-) -> Vec<ReceivedMessage> {
+) -> Vec<RolloutMessage> {
     let mut messages: Vec<Vec<Rollout>> = vec![Vec::new()];
     let mut size = 0;
     for rollout in all {
@@ -234,7 +234,7 @@
         }
     }
     let last = messages.len() - 1;
-    let message = |(at, rollouts)| ReceivedMessage::Rollouts {
+    let message = |(at, rollouts)| RolloutMessage::Rollouts {
         rollouts,
         answer: answer && at == last,
     };
--- a/crates/rollout/src/messages/message.rs
+++ b/crates/rollout/src/messages/message.rs
@@ -10,7 +10,7 @@
 
 /// A message between nodes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ReceivedMessage {
+pub enum RolloutMessage {
     /// What the sender knows of rollouts.
     Rollouts {
         /// The rollouts.
--- a/crates/rollout/src/messages/tests.rs
+++ b/crates/rollout/src/messages/tests.rs
@@ -33,7 +33,7 @@
     }
 }
 
-fn all() -> Vec<ReceivedMessage> {
+fn all() -> Vec<RolloutMessage> {
     let mut far = rollout(3, 9);
     let thresholds = BTreeMap::from([(1, 1 << 62), (7, u64::MAX)]);
     far.progress = Progress {
@@ -42,7 +42,7 @@
         previous_thresholds: BTreeMap::from([(7, 5)]),
         thresholds,
         whole_cluster: false,
-        electorate: 12,
+        cluster_size: 12,
         at_ms: 1 << 41,
     };
     let (ballot, promised) = (
@@ -61,38 +61,38 @@
         Reason::new(1 << 40, 6, "book errs: 0.31 of the new, 0.01 of the old"),
     );
     vec![
-        ReceivedMessage::Rollouts {
+        RolloutMessage::Rollouts {
             rollouts: vec![rollout(1, 2), far],
             answer: true,
         },
-        ReceivedMessage::Poll {
+        RolloutMessage::Poll {
             poll: 4,
             rollout: RolloutId(1 << 63),
             stage: 2,
             outcome: Outcome::InProgress,
         },
-        ReceivedMessage::NodeReport {
+        RolloutMessage::NodeReport {
             poll: 4,
             report: report(),
         },
-        ReceivedMessage::ChunkRequest {
+        RolloutMessage::ChunkRequest {
             rollout: RolloutId(3),
             first: 17,
             count: 8,
         },
-        ReceivedMessage::Chunk {
+        RolloutMessage::Chunk {
             rollout: RolloutId(3),
             index: 17,
             bytes: vec![7; CHUNK_BYTES],
         },
-        ReceivedMessage::PaxosRequest(
+        RolloutMessage::PaxosRequest(
             Kind::Program,
             PaxosRequest::Prepare {
                 agreement: 31,
                 ballot,
             },
         ),
-        ReceivedMessage::PaxosRequest(
+        RolloutMessage::PaxosRequest(
             Kind::Settings,
             PaxosRequest::Accept {
                 ballot,
@@ -100,7 +100,7 @@
                 again: true,
             },
         ),
-        ReceivedMessage::PaxosReply(
+        RolloutMessage::PaxosReply(
             Kind::Settings,
             PaxosReply::Promised {
                 agreement: 31,
@@ -108,7 +108,7 @@
                 accepted: Some((promised, proposal)),
             },
         ),
-        ReceivedMessage::PaxosReply(
+        RolloutMessage::PaxosReply(
             Kind::Program,
             PaxosReply::Promised {
                 agreement: 31,
@@ -116,14 +116,14 @@
                 accepted: None,
             },
         ),
-        ReceivedMessage::PaxosReply(
+        RolloutMessage::PaxosReply(
             Kind::Settings,
             PaxosReply::Accepted {
                 agreement: 31,
                 ballot,
             },
         ),
-        ReceivedMessage::PaxosReply(
+        RolloutMessage::PaxosReply(
             Kind::Settings,
             PaxosReply::Refused {
                 agreement: 31,
@@ -165,7 +165,7 @@
         );
     }
     let message = rollout_messages(all.iter(), true);
-    let read: Vec<ReceivedMessage> = message
+    let read: Vec<RolloutMessage> = message
         .iter()
         .map(|message| decode(&encode(message)).unwrap())
         .collect();
@@ -173,7 +173,7 @@
     let received: Vec<Rollout> = read
         .iter()
         .flat_map(|message| match message {
-            ReceivedMessage::Rollouts { rollouts, .. } => rollouts.clone(),
+            RolloutMessage::Rollouts { rollouts, .. } => rollouts.clone(),
             _ => Vec::new(),
         })
         .collect();
@@ -181,7 +181,7 @@
     assert_eq!(
         message
             .iter()
-            .filter(|t| matches!(t, ReceivedMessage::Rollouts { answer: true, .. }))
+            .filter(|t| matches!(t, RolloutMessage::Rollouts { answer: true, .. }))
             .count(),
         1
     );
@@ -199,7 +199,7 @@
     wire.rollouts[0].outcome = 9;
     let mut bytes = wire.encode_to_vec();
     bytes.extend([0xfa, 0x01, 0x01, b'x']); // a field 31
-    let Some(ReceivedMessage::Rollouts { rollouts, .. }) = decode(&bytes) else {
+    let Some(RolloutMessage::Rollouts { rollouts, .. }) = decode(&bytes) else {
         panic!("changes")
     };
     assert_eq!(rollouts[0].outcome, Outcome::RolledBack);
@@ -217,7 +217,7 @@
         kind: 7,
         ..wire.rollouts[0].clone()
     });
-    let Some(ReceivedMessage::Rollouts { rollouts, .. }) = decode(&wire.encode_to_vec()) else {
+    let Some(RolloutMessage::Rollouts { rollouts, .. }) = decode(&wire.encode_to_vec()) else {
         panic!("changes")
     };
     assert_eq!(
--- a/crates/rollout/src/messages/wire.rs
+++ b/crates/rollout/src/messages/wire.rs
@@ -53,7 +53,7 @@
     #[prost(bool, tag = "5")]
     pub(super) whole_cluster: bool,
     #[prost(uint32, tag = "6")]
-    pub(super) electorate: u32,
+    pub(super) cluster_size: u32,
     #[prost(uint64, tag = "7")]
     pub(super) agreement: u64,
     #[prost(uint64, tag = "8")]
--- a/crates/rollout/src/node_agent.rs
+++ b/crates/rollout/src/node_agent.rs
@@ -76,7 +76,7 @@
     /// The trial that crashed here before this start, if one did.
     pub crashed: Option<Trial>,
     /// Whether its disk was empty.
-    pub fresh: bool,
+    pub disk_was_empty: bool,
 }
 
 /// The one operation of the host whose result is awaited.
@@ -190,7 +190,7 @@
             contents,
             new_content,
             crashed,
-            fresh,
+            disk_was_empty,
         } = start;
         let mut agent = NodeAgent {
             host,
@@ -205,7 +205,7 @@
             pending: PendingOperation::Nothing,
             write_count: 0,
             voter_request: None,
-            empty_disk_since: fresh.then_some(now),
+            empty_disk_since: disk_was_empty.then_some(now),
             started: now,
             abstained: false,
             persist_failed_at: None,
--- a/crates/rollout/src/node_agent/explain.rs
+++ b/crates/rollout/src/node_agent/explain.rs
@@ -85,13 +85,13 @@
                 rollout.base,
                 rollout.progress.stage,
                 rollout.plan.stages.len(),
-                rollout.outcome.word(),
+                rollout.outcome.display_name(),
                 if rollout.outcome > Outcome::InProgress {
                     format!(" ({})", rollout.reason.why)
                 } else {
                     String::new()
                 },
-                self.report.status.word(),
+                self.report.status.display_name(),
                 if self.report.why.is_empty() {
                     String::new()
                 } else {
--- a/crates/rollout/src/node_agent/messaging.rs
+++ b/crates/rollout/src/node_agent/messaging.rs
@@ -6,7 +6,7 @@
 use crate::chunks;
 use crate::host::Host;
 use crate::identifiers::RolloutId;
-use crate::messages::{ReceivedMessage, rollout_messages};
+use crate::messages::{RolloutMessage, rollout_messages};
 use crate::node_report::NodeReport;
 use crate::rollout::{Outcome, Reason, Rollout};
 use crate::stages::Progress;
@@ -37,7 +37,7 @@
             .end(id, outcome, Reason::new(unix_ms, self.me, why));
         if ends {
             self.host
-                .log(&format!("change {id}: {}, {why}", outcome.word()));
+                .log(&format!("change {id}: {}, {why}", outcome.display_name()));
             self.announce();
             self.proceed(now);
         }
@@ -79,7 +79,7 @@
             let line = match rollout.outcome {
                 now if now > outcome => Some(format!(
                     "change {id}: {}, {}",
-                    now.word(),
+                    now.display_name(),
                     rollout.reason.why
                 )),
                 Outcome::InProgress if rollout.progress.stage > stage => Some(format!(
@@ -116,9 +116,9 @@
     }
 
     /// Takes up a message.
-    pub fn handle_message(&mut self, now: Nanos, from: u64, message: ReceivedMessage) {
+    pub fn handle_message(&mut self, now: Nanos, from: u64, message: RolloutMessage) {
         match message {
-            ReceivedMessage::Rollouts { rollouts, answer } => {
+            RolloutMessage::Rollouts { rollouts, answer } => {
                 let mine: Vec<Rollout> = rollouts
                     .into_iter()
                     .filter(|rollout| rollout.kind == self.kind)
@@ -130,7 +130,7 @@
                     self.send_rollouts(from, false);
                 }
             }
-            ReceivedMessage::Poll {
+            RolloutMessage::Poll {
                 poll,
                 rollout,
                 stage,
@@ -138,14 +138,14 @@
             } => {
                 self.answer_poll(from, poll, (rollout, stage, outcome));
             }
-            ReceivedMessage::ChunkRequest {
+            RolloutMessage::ChunkRequest {
                 rollout,
                 first,
                 count,
             } => {
                 self.send_chunks(from, rollout, first, count);
             }
-            ReceivedMessage::Chunk {
+            RolloutMessage::Chunk {
                 rollout,
                 index,
                 bytes,
@@ -155,12 +155,12 @@
                     self.proceed(now);
                 }
             }
-            ReceivedMessage::PaxosRequest(kind, request) => {
+            RolloutMessage::PaxosRequest(kind, request) => {
                 // Of two the later one holds: the earlier is asked again, or given up.
                 self.voter_request = Some((from, request)).filter(|_| kind == self.kind);
                 self.proceed(now);
             }
-            ReceivedMessage::NodeReport { .. } | ReceivedMessage::PaxosReply(..) => {}
+            RolloutMessage::NodeReport { .. } | RolloutMessage::PaxosReply(..) => {}
         }
     }
 
@@ -182,7 +182,7 @@
             self.last_digest_exchange = 0;
         }
         self.host
-            .send(from, ReceivedMessage::NodeReport { poll, report });
+            .send(from, RolloutMessage::NodeReport { poll, report });
     }
 
     /// Sends chunks of a rollout's content, as far as it is here.
@@ -196,7 +196,7 @@
         for (index, bytes) in chunks {
             self.host.send(
                 to,
-                ReceivedMessage::Chunk {
+                RolloutMessage::Chunk {
                     rollout,
                     index,
                     bytes,
--- a/crates/rollout/src/node_agent/persistence.rs
+++ b/crates/rollout/src/node_agent/persistence.rs
@@ -5,7 +5,7 @@
 use crate::host::Host;
 use crate::host_error::HostError;
 use crate::identifiers::{RolloutId, Version};
-use crate::messages::ReceivedMessage;
+use crate::messages::RolloutMessage;
 use crate::rollout::Outcome;
 
 impl<H: Host> NodeAgent<H> {
@@ -53,7 +53,7 @@
             (Continuation::Staged(id), result) => self.stage_finished(id, result),
             (Continuation::PaxosReply(to, reply), Ok(())) => self
                 .host
-                .send(to, ReceivedMessage::PaxosReply(self.kind, reply)),
+                .send(to, RolloutMessage::PaxosReply(self.kind, reply)),
             (Continuation::PaxosReply(..), Err(why)) => self
                 .host
                 .log(&format!("a vote could not be written: {why}")),
--- a/crates/rollout/src/node_agent/staging.rs
+++ b/crates/rollout/src/node_agent/staging.rs
@@ -6,7 +6,7 @@
 use crate::host::Host;
 use crate::host_error::HostError;
 use crate::identifiers::{Kind, RolloutId, Version};
-use crate::messages::ReceivedMessage;
+use crate::messages::RolloutMessage;
 use crate::rollout::Rollout;
 
 impl<H: Host> NodeAgent<H> {
@@ -66,7 +66,7 @@
                         for to in to {
                             self.host.send(
                                 to,
-                                ReceivedMessage::ChunkRequest {
+                                RolloutMessage::ChunkRequest {
                                     rollout: rollout.id,
                                     first,
                                     count,
--- a/crates/rollout/src/node_agent/voting.rs
+++ b/crates/rollout/src/node_agent/voting.rs
@@ -2,7 +2,7 @@
 
 use super::{Continuation, NodeAgent};
 use crate::host::Host;
-use crate::messages::ReceivedMessage;
+use crate::messages::RolloutMessage;
 use crate::paxos::{PaxosRequest, VoterAction, last_agreement};
 use crate::{Nanos, SECOND};
 
@@ -47,7 +47,7 @@
         match vote.handle_request(&self.rollouts, self.kind, &request) {
             VoterAction::Reply(reply) => self
                 .host
-                .send(from, ReceivedMessage::PaxosReply(self.kind, reply)),
+                .send(from, RolloutMessage::PaxosReply(self.kind, reply)),
             VoterAction::Persist(vote, reply) => {
                 self.persisted.vote = Some(vote);
                 self.persist(now, Continuation::PaxosReply(from, reply), None);
--- a/crates/rollout/src/node_report.rs
+++ b/crates/rollout/src/node_report.rs
@@ -33,7 +33,7 @@
 
 impl NodeStatus {
     /// What it is called in tables.
-    pub fn word(self) -> &'static str {
+    pub fn display_name(self) -> &'static str {
         match self {
             NodeStatus::Unknown => "-",
             NodeStatus::Offered => "known",
--- a/crates/rollout/src/operator_commands.rs
+++ b/crates/rollout/src/operator_commands.rs
@@ -7,7 +7,7 @@
 use crate::chunks::{self, MAX_CONTENT_BYTES};
 use crate::host_error::HostError;
 use crate::identifiers::{Kind, RolloutId, Version};
-use crate::messages::{CommandReply, OperatorCommand, order};
+use crate::messages::{CommandReply, OperatorCommand, command_kind};
 use crate::rollout::{Outcome, Reason, Rollout};
 use crate::rollout_table::RolloutTable;
 use crate::stages::{Plan, Progress};
@@ -22,11 +22,11 @@
 /// What became of a command.
 pub mod state {
     /// Done.
-    pub const TAKEN: u32 = 0;
+    pub const DONE: u32 = 0;
     /// Not done yet; to be asked again.
-    pub const LATER: u32 = 1;
+    pub const PENDING: u32 = 1;
     /// Rejected.
-    pub const REFUSED: u32 = 2;
+    pub const REJECTED: u32 = 2;
 }
 
 fn answer(state: u32, why: &str, rollout: u64) -> CommandReply {
@@ -38,7 +38,7 @@
 }
 
 fn refused(why: &str) -> CommandReply {
-    answer(state::REFUSED, why, 0)
+    answer(state::REJECTED, why, 0)
 }
 
 /// A content that comes in chunks.
@@ -105,12 +105,12 @@
         command: &OperatorCommand,
     ) -> CommandAction {
         match command.kind {
-            order::CHUNK if kind == Kind::Settings => {
+            command_kind::CHUNK if kind == Kind::Settings => {
                 CommandAction::Reply(self.chunk(now, command))
             }
-            order::OFFER => self.offer(now, kind, command),
-            order::HALT | order::ROLL_BACK => {
-                let outcome = if command.kind == order::HALT {
+            command_kind::OFFER => self.offer(now, kind, command),
+            command_kind::HALT | command_kind::ROLL_BACK => {
+                let outcome = if command.kind == command_kind::HALT {
                     Outcome::Halted
                 } else {
                     Outcome::RolledBack
@@ -125,8 +125,8 @@
                     return CommandAction::Reply(refused("no such change is known here"));
                 };
                 if rollout.outcome >= outcome || rollout.outcome == Outcome::Rejected {
-                    let why = format!("it is {} already", rollout.outcome.word());
-                    return CommandAction::Reply(answer(state::TAKEN, &why, rollout.id.0));
+                    let why = format!("it is {} already", rollout.outcome.display_name());
+                    return CommandAction::Reply(answer(state::DONE, &why, rollout.id.0));
                 }
                 if outcome == Outcome::Halted && rollout.outcome == Outcome::Completed {
                     return CommandAction::Reply(refused(
@@ -163,7 +163,7 @@
         let is_it = |incoming: &Incoming| incoming.digest == digest && incoming.bytes.len() == size;
         if let Some(other) = self.incoming.as_ref().filter(|incoming| !is_it(incoming)) {
             if now < other.since + INCOMING_IDLE_TIMEOUT && !other.have.iter().all(|have| *have) {
-                return answer(state::LATER, "another content is coming in", 0);
+                return answer(state::PENDING, "another content is coming in", 0);
             }
             self.incoming = None;
         }
@@ -180,7 +180,7 @@
         incoming.bytes[from..from + command.bytes.len()].copy_from_slice(&command.bytes);
         incoming.have[command.chunk as usize] = true;
         incoming.since = now;
-        answer(state::TAKEN, "", 0)
+        answer(state::DONE, "", 0)
     }
 
     fn offer(&mut self, now: Nanos, kind: Kind, command: &OperatorCommand) -> CommandAction {
@@ -203,7 +203,11 @@
                     return CommandAction::Reply(answered.clone());
                 }
                 CommandOutcome::Checking { since, .. } if now < since + CHECK_TIMEOUT => {
-                    return CommandAction::Reply(answer(state::LATER, "the node looks into it", 0));
+                    return CommandAction::Reply(answer(
+                        state::PENDING,
+                        "the node looks into it",
+                        0,
+                    ));
                 }
                 CommandOutcome::Checking { .. } => self.offers.retain(|(of, _)| *of != mark),
             }
@@ -265,7 +269,7 @@
                     .find(|c| c.kind == kind && c.version == version && !c.is_over())
                 {
                     Some(known) => (
-                        answer(state::TAKEN, "it was offered before", known.id.0),
+                        answer(state::DONE, "it was offered before", known.id.0),
                         None,
                     ),
                     None => {
@@ -291,7 +295,7 @@
                             outcome: Outcome::InProgress,
                             reason: Reason::default(),
                         };
-                        (answer(state::TAKEN, "", id.0), Some((rollout, content)))
+                        (answer(state::DONE, "", id.0), Some((rollout, content)))
                     }
                 }
             }
--- a/crates/rollout/src/operator_commands/tests.rs
+++ b/crates/rollout/src/operator_commands/tests.rs
@@ -5,7 +5,7 @@
     let bytes = chunks::chunk(content, no).unwrap().to_vec();
     let (size, digest) = (content.len() as u32, chunks::digest(content).to_vec());
     OperatorCommand {
-        kind: order::CHUNK,
+        kind: command_kind::CHUNK,
         chunk: no,
         bytes,
         size,
@@ -16,7 +16,7 @@
 
 fn offer(content: &[u8]) -> OperatorCommand {
     OperatorCommand {
-        kind: order::OFFER,
+        kind: command_kind::OFFER,
         digest: chunks::digest(content).to_vec(),
         ..OperatorCommand::default()
     }
@@ -59,12 +59,12 @@
     let (content, mut orders) = (vec![9; 3000], OperatorCommands::default());
     assert_eq!(
         state(&ordered(&mut orders, 0, &offer(&content))),
-        Some(state::REFUSED)
+        Some(state::REJECTED)
     );
     for no in [2, 0, 0, 1] {
         assert_eq!(
             state(&ordered(&mut orders, 0, &chunk(&content, no))),
-            Some(state::TAKEN)
+            Some(state::DONE)
         );
     }
     let CommandAction::CheckOffer {
@@ -78,7 +78,7 @@
     assert_eq!(whole, content);
     assert_eq!(
         state(&ordered(&mut orders, 1, &offer(&content))),
-        Some(state::LATER)
+        Some(state::PENDING)
     );
     let version = Version {
         number: 5,
@@ -96,7 +96,7 @@
     let again = ordered(&mut orders, 2, &offer(&content));
     assert_eq!(
         again,
-        CommandAction::Reply(answer(state::TAKEN, "", rollout.id.0))
+        CommandAction::Reply(answer(state::DONE, "", rollout.id.0))
     );
 }
 
@@ -108,7 +108,7 @@
     ordered(&mut orders, 0, &spoilt);
     assert_eq!(
         state(&ordered(&mut orders, 0, &offer(&content))),
-        Some(state::REFUSED)
+        Some(state::REJECTED)
     );
     ordered(&mut orders, 0, &chunk(&content, 0));
     let CommandAction::CheckOffer { check: no, .. } = ordered(&mut orders, 0, &offer(&content))
@@ -128,7 +128,7 @@
     ordered(&mut orders, 0, &chunk(&other, 0));
     assert_eq!(
         state(&ordered(&mut orders, 0, &chunk(&content, 0))),
-        Some(state::LATER),
+        Some(state::PENDING),
         "one at a time"
     );
     assert_eq!(
@@ -137,7 +137,7 @@
             INCOMING_IDLE_TIMEOUT,
             &chunk(&content, 0)
         )),
-        Some(state::TAKEN)
+        Some(state::DONE)
     );
     let large = OperatorCommand {
         size: MAX_CONTENT_BYTES as u32 + 1,
@@ -145,7 +145,7 @@
     };
     assert_eq!(
         state(&ordered(&mut orders, 0, &large)),
-        Some(state::REFUSED)
+        Some(state::REJECTED)
     );
     assert_eq!(
         state(&ordered(
@@ -156,7 +156,7 @@
                 ..chunk(&content, 0)
             }
         )),
-        Some(state::REFUSED)
+        Some(state::REJECTED)
     );
 }
 
@@ -164,18 +164,18 @@
 fn a_halt_or_a_way_back_is_for_the_current_change_and_is_taken_again() {
     let (mut rollouts, mut orders) = (RolloutTable::default(), OperatorCommands::default());
     let halt = OperatorCommand {
-        kind: order::HALT,
+        kind: command_kind::HALT,
         ..OperatorCommand::default()
     };
     let back = OperatorCommand {
-        kind: order::ROLL_BACK,
+        kind: command_kind::ROLL_BACK,
         why: "it smells".into(),
         ..OperatorCommand::default()
     };
     let mut act = |rollouts: &RolloutTable, received: &OperatorCommand| {
         orders.handle(0, Kind::Settings, rollouts, received)
     };
-    assert_eq!(state(&act(&rollouts, &halt)), Some(state::REFUSED));
+    assert_eq!(state(&act(&rollouts, &halt)), Some(state::REJECTED));
     rollouts.merge(&rollout(3, 9));
     assert!(matches!(
         act(&rollouts, &halt),
@@ -186,7 +186,7 @@
         }
     ));
     rollouts.end(RolloutId(3), Outcome::Halted, Reason::new(1, 1, "x"));
-    assert_eq!(state(&act(&rollouts, &halt)), Some(state::TAKEN));
+    assert_eq!(state(&act(&rollouts, &halt)), Some(state::DONE));
     let CommandAction::End {
         outcome: Outcome::RolledBack,
         why,
@@ -204,10 +204,10 @@
                 ..back
             }
         )),
-        Some(state::REFUSED)
+        Some(state::REJECTED)
     );
     let program = OperatorCommand {
-        kind: order::OFFER,
+        kind: command_kind::OFFER,
         number: 7,
         hash: 8,
         ..OperatorCommand::default()
--- a/crates/rollout/src/participant.rs
+++ b/crates/rollout/src/participant.rs
@@ -5,7 +5,7 @@
 use crate::host::Host;
 use crate::host_error::HostError;
 use crate::identifiers::{RolloutId, Version};
-use crate::messages::{CommandReply, OperatorCommand, ReceivedMessage};
+use crate::messages::{CommandReply, OperatorCommand, RolloutMessage};
 use crate::node_agent::NodeIdentity;
 use crate::node_agent::{InitialState, LocalMetrics, NodeAgent};
 use crate::operator_commands::{self, OperatorCommands, state};
@@ -57,18 +57,12 @@
     }
 
     /// Takes up a message.
-    pub fn handle_message(
-        &mut self,
-        now: Nanos,
-        unix_ms: u64,
-        from: u64,
-        message: ReceivedMessage,
-    ) {
+    pub fn handle_message(&mut self, now: Nanos, unix_ms: u64, from: u64, message: RolloutMessage) {
         match message {
-            ReceivedMessage::NodeReport { poll, report } => {
+            RolloutMessage::NodeReport { poll, report } => {
                 self.coordinator.handle_report(from, poll, report)
             }
-            ReceivedMessage::PaxosReply(kind, reply) if kind == self.agent.kind() => {
+            RolloutMessage::PaxosReply(kind, reply) if kind == self.agent.kind() => {
                 let actions = self.coordinator.handle_paxos_reply(now, from, &reply);
                 self.perform(now, unix_ms, actions);
             }
@@ -167,7 +161,7 @@
             } => {
                 self.agent.host.check_offer(check, version, content);
                 CommandReply {
-                    state: state::LATER,
+                    state: state::PENDING,
                     why: "the node looks into it".into(),
                     rollout: 0,
                 }
@@ -175,7 +169,7 @@
             operator_commands::CommandAction::End { id, outcome, why } => {
                 self.agent.end(now, unix_ms, id, outcome, &why);
                 CommandReply {
-                    state: state::TAKEN,
+                    state: state::DONE,
                     why: String::new(),
                     rollout: id.0,
                 }
--- a/crates/rollout/src/process_handover.rs
+++ b/crates/rollout/src/process_handover.rs
@@ -1,6 +1,6 @@
 //! A supervisor's decisions: which version of the program runs, how a new process takes the place of an
 //! old one on the same listening socket, and what is started when one crashes. No I/O: fed what happens
-//! and the time, it acts through [`Host`].
+//! and the time, it acts through [`ProcessHost`].
 //!
 //! Rules: the old process gets the notice to leave only once the new one serves and knows that it is in
 //! charge, so that at every moment at least one process serves that has no such notice, but for the time
@@ -26,13 +26,13 @@
     /// The trial that crashed before this start, if one did.
     pub crashed: Option<Trial>,
     /// Whether the disk was empty.
-    pub fresh: bool,
+    pub disk_was_empty: bool,
     /// Whether another process serves meanwhile: then this one waits until it is in charge.
-    pub beside: bool,
+    pub another_process_serves: bool,
 }
 
 /// What the decisions do.
-pub trait Host {
+pub trait ProcessHost {
     /// Starts a process; [`Supervisor::ready`] and [`Supervisor::ended`] take up what becomes of it.
     fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), HostError>;
     /// Lets it know that it is in charge.
@@ -79,13 +79,13 @@
 }
 
 /// The supervisor.
-pub struct Supervisor<H: Host> {
+pub struct Supervisor<H: ProcessHost> {
     /// The embedder.
     pub host: H,
     /// What is on disk.
     persisted: PersistedState,
     /// Whether the disk was empty.
-    fresh: bool,
+    disk_was_empty: bool,
     /// The version that the operator gave to start on.
     given: Version,
     /// The time that a process may take to leave.
@@ -110,12 +110,12 @@
     ends: bool,
 }
 
-impl<H: Host> Supervisor<H> {
+impl<H: ProcessHost> Supervisor<H> {
     /// A supervisor that read this from its disk; it starts a process.
     pub fn new(
         now: Nanos,
         persisted: PersistedState,
-        fresh: bool,
+        disk_was_empty: bool,
         given: Version,
         stop: Nanos,
         host: H,
@@ -123,7 +123,7 @@
         let mut parent = Supervisor {
             host,
             persisted,
-            fresh,
+            disk_was_empty,
             given,
             stop,
             in_charge_process: None,
@@ -208,18 +208,22 @@
     ) -> Result<(), HostError> {
         self.children += 1;
         let child = Child(self.children);
-        let beside = self.in_charge_process.is_some();
+        let another_process_serves = self.in_charge_process.is_some();
         let begin = StartInstructions {
             persisted: self.persisted.clone(),
             version,
             crashed: self.crashed,
-            fresh: self.fresh,
-            beside,
+            disk_was_empty: self.disk_was_empty,
+            another_process_serves,
         };
         self.host.start(child, &begin)?;
         self.host.log(&format!(
             "version {version} starts{}",
-            if beside { " beside the old one" } else { "" }
+            if another_process_serves {
+                " beside the old one"
+            } else {
+                ""
+            }
         ));
         self.starting = Some(Starting {
             process: Process {
@@ -247,7 +251,7 @@
             ..starting.process
         };
         self.host.in_charge(child);
-        (self.crashed, self.fresh) = (None, false);
+        (self.crashed, self.disk_was_empty) = (None, false);
         match self.in_charge_process.replace(process) {
             Some(old) => {
                 let line = format!(
--- a/crates/rollout/src/process_handover/tests.rs
+++ b/crates/rollout/src/process_handover/tests.rs
@@ -18,7 +18,7 @@
     lines: Vec<String>,
 }
 
-impl Host for World {
+impl ProcessHost for World {
     fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), HostError> {
         self.started.push((child, begin.clone()));
         self.there.insert(child, begin.version);
@@ -96,7 +96,9 @@
     parent.apply(SECOND, old, 8, v(2));
     let (new, begin) = parent.host.started[1].clone();
     assert!(
-        begin.beside && begin.persisted.trial.is_some() && parent.host.told_to_leave.is_empty()
+        begin.another_process_serves
+            && begin.persisted.trial.is_some()
+            && parent.host.told_to_leave.is_empty()
     );
     parent.ready(2 * SECOND, new);
     assert_eq!(parent.host.in_charge, [old, new]);
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -33,7 +33,7 @@
 
 impl Outcome {
     /// What it is called in tables.
-    pub fn word(self) -> &'static str {
+    pub fn display_name(self) -> &'static str {
         ["open", "done", "refused", "halted", "back"][self as usize]
     }
 
--- a/crates/rollout/src/simulation/cluster.rs
+++ b/crates/rollout/src/simulation/cluster.rs
@@ -99,8 +99,8 @@
 impl Disk {
     /// What a process finds at its start.
     fn initial_state(&self, node: usize, base: Version) -> InitialState {
-        let fresh = self.persisted.is_empty();
-        let mut persisted = if fresh {
+        let disk_was_empty = self.persisted.is_empty();
+        let mut persisted = if disk_was_empty {
             PersistedState::new(Kind::Settings)
         } else {
             // The disk is written whole or not at all.
@@ -122,7 +122,7 @@
             contents,
             new_content,
             crashed,
-            fresh,
+            disk_was_empty,
         }
     }
 }
--- a/crates/rollout/src/simulation/cluster/events.rs
+++ b/crates/rollout/src/simulation/cluster/events.rs
@@ -338,7 +338,7 @@
             };
             let version = participant.agent.running();
             let runs = Runs {
-                label: version.hash,
+                version_hash: version.hash,
                 effect: self.effects.get(&version).copied().unwrap_or_default(),
                 since: (self.now - of.ran_since) / WINDOW,
                 age: (self.now - of.started) / WINDOW,
--- a/crates/rollout/src/simulation/cluster/host.rs
+++ b/crates/rollout/src/simulation/cluster/host.rs
@@ -5,7 +5,7 @@
 use crate::host::Host;
 use crate::identifiers::{RolloutId, Version};
 use crate::member::Member;
-use crate::messages::ReceivedMessage;
+use crate::messages::RolloutMessage;
 use crate::node_report::NodeReport;
 use crate::persisted_state::PersistedState;
 use rand::RngExt;
@@ -26,7 +26,7 @@
 /// The host of a simulated node.
 pub struct SimHost {
     pub(super) me: u64,
-    pub(super) out: Vec<(u64, ReceivedMessage)>,
+    pub(super) out: Vec<(u64, RolloutMessage)>,
     pub(super) tasks: Vec<Task>,
     /// Log lines.
     pub lines: Vec<String>,
@@ -36,7 +36,7 @@
 }
 
 impl Host for SimHost {
-    fn send(&mut self, to: u64, message: ReceivedMessage) {
+    fn send(&mut self, to: u64, message: RolloutMessage) {
         self.out.push((to, message));
     }
 
--- a/crates/rollout/src/simulation/load.rs
+++ b/crates/rollout/src/simulation/load.rs
@@ -141,7 +141,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Runs {
     /// The hash of the version.
-    pub label: u64,
+    pub version_hash: u64,
     /// What the version does.
     pub effect: Effect,
     /// Windows since the version was applied.
@@ -260,11 +260,11 @@
         } else {
             0.0
         };
-        let throttled = self.of(
+        let rejected = self.of(
             arrived,
             throttled_share + (1.0 - throttled_share) * effect.throttled,
         );
-        let ran = arrived - throttled;
+        let ran = arrived - rejected;
         let full = if is_full { 0.5 } else { 0.0 };
         let errs = machine.errs + trouble;
         let errored = self.of(ran, errs + (1.0 - errs) * (effect.errored + full));
@@ -284,7 +284,7 @@
         let counts = OperationCounts {
             arrived,
             succeeded,
-            throttled,
+            rejected,
             errored,
             late: late.min(succeeded),
             earned: succeeded * value,
@@ -324,8 +324,8 @@
         let sample = WindowSample {
             node: key,
             zone,
-            label: runs.label,
-            cold: runs.age < 2,
+            version_hash: runs.version_hash,
+            just_started: runs.age < 2,
             operations,
             memory_kb,
             descriptors,
--- a/crates/rollout/src/simulation/trial.rs
+++ b/crates/rollout/src/simulation/trial.rs
@@ -101,7 +101,7 @@
             .map(|node| {
                 let ran = since(node);
                 let runs = Runs {
-                    label: if ran.is_some() { 2 } else { 1 },
+                    version_hash: if ran.is_some() { 2 } else { 1 },
                     effect: if ran.is_some() {
                         self.effect
                     } else {
@@ -149,14 +149,14 @@
             plan: &self.plan,
             nodes: &nodes,
             agreement: progress.agreement + 1,
-            electorate: self.nodes as u32,
+            cluster_size: self.nodes as u32,
         }) {
             progress = next;
             let Some(stage) = self.plan.stage(progress.stage) else {
                 break;
             };
             run.outcome.stage = progress.stage;
-            run.record.stage_begins(progress.stage);
+            run.record.start_stage(progress.stage);
             for (at, (node, zone)) in nodes.iter().enumerate() {
                 if run.begun[at].is_none() && progress.includes(rollout, *node, *zone) {
                     run.begun[at] = Some(run.window);
@@ -273,7 +273,7 @@
                 Effect::NONE
             };
             if self.load.dies(&Runs {
-                label: 0,
+                version_hash: 0,
                 effect,
                 since: begun.map_or(0, |begun| window - begun),
                 age: 100,
@@ -281,7 +281,7 @@
                 self.crashes[usize::from(begun.is_none())] += 1;
             }
         }
-        self.record.after(window, &samples);
+        self.record.record_window(window, &samples);
         self.window += 1;
         self.outcome.time = (self.window - self.begin) * WINDOW;
     }
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -152,7 +152,7 @@
     /// Whether all nodes are included, in whatever zone.
     pub whole_cluster: bool,
     /// How many nodes the cluster was agreed to have.
-    pub electorate: u32,
+    pub cluster_size: u32,
     /// When it was proposed, Unix milliseconds of the proposer.
     pub at_ms: u64,
 }
@@ -169,11 +169,11 @@
     /// The number that the agreement gets.
     pub agreement: u64,
     /// How many nodes the cluster is taken to have.
-    pub electorate: u32,
+    pub cluster_size: u32,
 }
 
 /// A node's place in a rollout's order: low places come first.
-pub fn place(rollout: RolloutId, node: u64) -> u64 {
+pub fn node_position(rollout: RolloutId, node: u64) -> u64 {
     splitmix64(node ^ splitmix64(rollout.0))
 }
 
@@ -185,14 +185,14 @@
                 || self
                     .thresholds
                     .get(&zone)
-                    .is_some_and(|until| place(rollout, node) <= *until))
+                    .is_some_and(|until| node_position(rollout, node) <= *until))
     }
 
     /// How long after it first saw the stage a node starts: those of the stage before at once, the others
     /// one after the other.
     pub fn slot(&self, rollout: RolloutId, node: u64, zone: u32, spread: Nanos) -> Nanos {
         let (at, before) = (
-            place(rollout, node),
+            node_position(rollout, node),
             self.previous_thresholds.get(&zone).copied(),
         );
         if before.is_some_and(|before| at <= before) {
@@ -224,23 +224,26 @@
             plan,
             nodes,
             agreement,
-            electorate,
+            cluster_size,
         } = *agreement;
         if plan.is_beyond(number) {
             let completed = Progress {
                 agreement,
                 stage: number,
                 whole_cluster: true,
-                electorate,
+                cluster_size,
                 ..self.clone()
             };
             return (number as usize == plan.stages.len() + 1).then_some(completed);
         }
         let stage = plan.stage(number)?;
         let mut zones: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
-        nodes
-            .iter()
-            .for_each(|(node, zone)| zones.entry(*zone).or_default().push(place(rollout, *node)));
+        nodes.iter().for_each(|(node, zone)| {
+            zones
+                .entry(*zone)
+                .or_default()
+                .push(node_position(rollout, *node))
+        });
         zones.values_mut().for_each(|places| places.sort_unstable());
         let wanted = match stage.share_permille {
             0 => 1,
@@ -264,7 +267,7 @@
             previous_thresholds: self.thresholds.clone(),
             thresholds,
             whole_cluster,
-            electorate: electorate.max(1),
+            cluster_size: cluster_size.max(1),
             at_ms: 0,
         })
     }
--- a/crates/rollout/src/stages/tests.rs
+++ b/crates/rollout/src/stages/tests.rs
@@ -8,7 +8,7 @@
         plan: &Plan,
         nodes: &[(u64, u32)],
         agreement: u64,
-        electorate: u32,
+        cluster_size: u32,
     ) -> Option<Progress>;
 }
 
@@ -19,14 +19,14 @@
         plan: &Plan,
         nodes: &[(u64, u32)],
         agreement: u64,
-        electorate: u32,
+        cluster_size: u32,
     ) -> Option<Progress> {
         self.next(&NextAgreement {
             rollout,
             plan,
             nodes,
             agreement,
-            electorate,
+            cluster_size,
         })
     }
 }
@@ -205,7 +205,7 @@
             plan: &plan,
             nodes: &left,
             agreement: 2,
-            electorate: 30,
+            cluster_size: 30,
         })
         .unwrap();
     let now = is_in(&again);
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -78,7 +78,7 @@
     pub agreement: u64,
     /// How many nodes the cluster was agreed to have.
     #[prost(uint32, tag = "14")]
-    pub electorate: u32,
+    pub cluster_size: u32,
 }
 
 /// A node, as it is shown.
@@ -162,7 +162,7 @@
     pub succeeded: Vec<u64>,
     /// Requests that were rejected.
     #[prost(uint64, repeated, tag = "6")]
-    pub throttled: Vec<u64>,
+    pub rejected: Vec<u64>,
     /// Requests that failed.
     #[prost(uint64, repeated, tag = "7")]
     pub errored: Vec<u64>,
@@ -286,7 +286,7 @@
         base: version(of.base),
         stage: of.progress.stage,
         stages: of.plan.stages.iter().map(stage).collect(),
-        outcome: of.outcome.word().to_owned(),
+        outcome: of.outcome.display_name().to_owned(),
         why: of.reason.why.clone(),
         by: if ended && of.reason.by > 0 {
             name(of.reason.by)
@@ -297,7 +297,7 @@
         offered_by: name(of.by),
         offered_ms: of.at_ms,
         agreement: of.progress.agreement,
-        electorate: of.progress.electorate,
+        cluster_size: of.progress.cluster_size,
     }
 }
 
@@ -324,7 +324,7 @@
         nodes: of.nodes.to_vec(),
         arrived: both(|cell| cell.arrived),
         succeeded: both(|cell| cell.succeeded),
-        throttled: both(|cell| cell.throttled),
+        rejected: both(|cell| cell.rejected),
         errored: both(|cell| cell.errored),
         late: both(|cell| cell.late),
         memory_kb: of.memory_kb.iter().map(|kb| *kb as f32).collect(),
@@ -377,7 +377,7 @@
         running: report.and_then(|report| version(report.running)),
         since_ms: report.map_or(0, |report| report.since_ms),
         status: report
-            .map_or("unknown", |report| report.status.word())
+            .map_or("unknown", |report| report.status.display_name())
             .to_owned(),
         crashes: report.map_or(0, |report| report.crashes),
         why: report.map(|report| report.why.clone()).unwrap_or_default(),
--- a/crates/rollout/src/supervisor_messages.rs
+++ b/crates/rollout/src/supervisor_messages.rs
@@ -24,7 +24,7 @@
     /// From a process: it serves.
     pub const READY: u32 = 5;
     /// From a process: this is to be persisted.
-    pub const KEEP: u32 = 6;
+    pub const PERSIST: u32 = 6;
     /// From a process: is this version on the machine?
     pub const CHECK: u32 = 7;
     /// From a process: this version is to take its place.
@@ -69,10 +69,10 @@
     pub died_hash: u64,
     /// Whether the disk was empty.
     #[prost(bool, tag = "12")]
-    pub fresh: bool,
+    pub disk_was_empty: bool,
     /// Whether another process serves meanwhile.
     #[prost(bool, tag = "13")]
-    pub beside: bool,
+    pub another_process_serves: bool,
 }
 
 impl SupervisorMessage {
@@ -129,14 +129,14 @@
             died_change: crashed.map_or(0, |trial| trial.rollout.0),
             died_number: of.number,
             died_hash: of.hash,
-            fresh: begin.fresh,
-            beside: begin.beside,
+            disk_was_empty: begin.disk_was_empty,
+            another_process_serves: begin.another_process_serves,
             ..SupervisorMessage::about(kind::BEGIN, 0, begin.version)
         }
     }
 
     /// Reads what a process starts with; none if the message is another one or can't be read.
-    pub fn as_begin(&self) -> Option<StartInstructions> {
+    pub fn start_instructions(&self) -> Option<StartInstructions> {
         let version = Version {
             number: self.died_number,
             hash: self.died_hash,
@@ -152,8 +152,8 @@
                 .filter(|_| self.kind == kind::BEGIN)?,
             version: self.version(),
             crashed: (self.died_tries > 0).then_some(trial),
-            fresh: self.fresh,
-            beside: self.beside,
+            disk_was_empty: self.disk_was_empty,
+            another_process_serves: self.another_process_serves,
         })
     }
 
--- a/crates/rollout/src/supervisor_messages/tests.rs
+++ b/crates/rollout/src/supervisor_messages/tests.rs
@@ -14,8 +14,8 @@
         persisted,
         version: Version { number: 3, hash: 9 },
         crashed: Some(trial),
-        fresh: false,
-        beside: true,
+        disk_was_empty: false,
+        another_process_serves: true,
     };
     let failed = Err("it is not here".into());
     let all = [
@@ -38,8 +38,8 @@
             }
         }
         assert_eq!((&read[..3], read[3].kind), (&all[..], kind::IN_CHARGE));
-        assert_eq!(read[0].as_begin(), Some(begin.clone()));
-        assert_eq!(read[1].as_begin(), None);
+        assert_eq!(read[0].start_instructions(), Some(begin.clone()));
+        assert_eq!(read[1].start_instructions(), None);
     }
     let mut reader = MessageReader::default();
     reader.feed(&u32::MAX.to_le_bytes());
--- a/crates/rollout/tests/fleets.rs
+++ b/crates/rollout/tests/fleets.rs
@@ -43,7 +43,7 @@
             "\n{} stage {}: {} {}",
             c.version,
             c.progress.stage,
-            c.outcome.word(),
+            c.outcome.display_name(),
             c.reason.why
         )
     });
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -10,7 +10,9 @@
 use madderpoint_rollout::chunks;
 use madderpoint_rollout::chunks::CHUNK_BYTES;
 use madderpoint_rollout::identifiers::{Kind, RolloutId, Version};
-use madderpoint_rollout::messages::{self, CommandReply, OperatorCommand, ReceivedMessage, order};
+use madderpoint_rollout::messages::{
+    self, CommandReply, OperatorCommand, RolloutMessage, command_kind,
+};
 use madderpoint_rollout::node_report::{NodeReport, NodeStatus};
 use madderpoint_rollout::operator_commands::{CommandAction, OperatorCommands};
 use madderpoint_rollout::paxos::{Ballot, PaxosReply, PaxosRequest, Proposal, Vote};
@@ -18,7 +20,7 @@
 use madderpoint_rollout::process_handover::StartInstructions;
 use madderpoint_rollout::rollout::{Outcome, Reason, Rollout};
 use madderpoint_rollout::rollout_table::RolloutTable;
-use madderpoint_rollout::stages::{Plan, Progress, Stage, place};
+use madderpoint_rollout::stages::{Plan, Progress, Stage, node_position};
 use madderpoint_rollout::status::{
     CohortPointStatus, ComparisonStatus, NodeStatusEntry, RolloutStatus, StatusSnapshot,
     VersionStatus,
@@ -143,7 +145,7 @@
         previous_thresholds: BTreeMap::from([(7, 0x0102_0304_0506_0708)]),
         thresholds: BTreeMap::from([(3, 0x1112_1314_1516_1718), (7, u64::MAX)]),
         whole_cluster: true,
-        electorate: 340,
+        cluster_size: 340,
         at_ms: 1_700_000_000_123,
     }
 }
@@ -236,7 +238,7 @@
 }
 
 /// What the fleet tells of rollouts, polls, pieces and votes.
-fn parcels() -> Vec<(String, ReceivedMessage)> {
+fn parcels() -> Vec<(String, RolloutMessage)> {
     let id = RolloutId(0x4455_6677_8899_aabb);
     let mut all = Vec::new();
     for kind in [Kind::Settings, Kind::Program] {
@@ -244,7 +246,7 @@
             let rollouts = vec![rollout(kind, outcome)];
             all.push((
                 format!("changes-{kind:?}-{}", outcome_label(outcome)),
-                ReceivedMessage::Rollouts {
+                RolloutMessage::Rollouts {
                     rollouts,
                     answer: true,
                 },
@@ -257,7 +259,7 @@
     ];
     all.push(named(
         "changes-two",
-        ReceivedMessage::Rollouts {
+        RolloutMessage::Rollouts {
             rollouts: two,
             answer: false,
         },
@@ -265,7 +267,7 @@
     for outcome in FATES {
         all.push((
             format!("poll-{}", outcome_label(outcome)),
-            ReceivedMessage::Poll {
+            RolloutMessage::Poll {
                 poll: 4,
                 rollout: id,
                 stage: 2,
@@ -275,12 +277,12 @@
         let report = report(outcome, NodeStatus::OnTrial);
         all.push((
             format!("report-{}", outcome_label(outcome)),
-            ReceivedMessage::NodeReport { poll: 5, report },
+            RolloutMessage::NodeReport { poll: 5, report },
         ));
     }
     all.push(named(
         "ask-pieces",
-        ReceivedMessage::ChunkRequest {
+        RolloutMessage::ChunkRequest {
             rollout: id,
             first: 17,
             count: 8,
@@ -289,7 +291,7 @@
     let bytes = (1..=40).collect();
     all.push(named(
         "piece",
-        ReceivedMessage::Chunk {
+        RolloutMessage::Chunk {
             rollout: id,
             index: 17,
             bytes,
@@ -300,7 +302,7 @@
         let mut add = |name: &str, message| all.push((format!("{name}-{kind:?}"), message));
         add(
             "prepare",
-            ReceivedMessage::PaxosRequest(kind, PaxosRequest::Prepare { agreement, ballot }),
+            RolloutMessage::PaxosRequest(kind, PaxosRequest::Prepare { agreement, ballot }),
         );
         for again in [false, true] {
             let accept = PaxosRequest::Accept {
@@ -310,12 +312,12 @@
             };
             add(
                 if again { "accept-again" } else { "accept" },
-                ReceivedMessage::PaxosRequest(kind, accept),
+                RolloutMessage::PaxosRequest(kind, accept),
             );
         }
         add(
             "promised",
-            ReceivedMessage::PaxosReply(
+            RolloutMessage::PaxosReply(
                 kind,
                 PaxosReply::Promised {
                     agreement,
@@ -327,7 +329,7 @@
         let accepted = Some((promised, proposal()));
         add(
             "promised-accepted",
-            ReceivedMessage::PaxosReply(
+            RolloutMessage::PaxosReply(
                 kind,
                 PaxosReply::Promised {
                     agreement,
@@ -338,11 +340,11 @@
         );
         add(
             "accepted",
-            ReceivedMessage::PaxosReply(kind, PaxosReply::Accepted { agreement, ballot }),
+            RolloutMessage::PaxosReply(kind, PaxosReply::Accepted { agreement, ballot }),
         );
         add(
             "refused",
-            ReceivedMessage::PaxosReply(
+            RolloutMessage::PaxosReply(
                 kind,
                 PaxosReply::Refused {
                     agreement,
@@ -416,10 +418,10 @@
         program: true,
     };
     let kinds = [
-        ("piece", order::CHUNK),
-        ("offer", order::OFFER),
-        ("halt", order::HALT),
-        ("back", order::ROLL_BACK),
+        ("piece", command_kind::CHUNK),
+        ("offer", command_kind::OFFER),
+        ("halt", command_kind::HALT),
+        ("back", command_kind::ROLL_BACK),
     ];
     message_holds(
         "orders.hex",
@@ -432,7 +434,7 @@
     let content: Vec<u8> = (0..1500).map(|at| at as u8).collect();
     let digest = chunks::digest(&content).to_vec();
     let chunk = |no| OperatorCommand {
-        kind: order::CHUNK,
+        kind: command_kind::CHUNK,
         chunk: no,
         bytes: chunks::chunk(&content, no).unwrap().to_vec(),
         size: 1500,
@@ -440,12 +442,12 @@
         ..OperatorCommand::default()
     };
     let offer = OperatorCommand {
-        kind: order::OFFER,
+        kind: command_kind::OFFER,
         digest: digest.clone(),
         ..OperatorCommand::default()
     };
     let halt = OperatorCommand {
-        kind: order::HALT,
+        kind: command_kind::HALT,
         ..OperatorCommand::default()
     };
     let (mut commands, mut rollouts) = (OperatorCommands::default(), RolloutTable::default());
@@ -501,12 +503,12 @@
 
 /// What a parent says to a process.
 fn of_the_parent() -> Vec<(String, SupervisorMessage)> {
-    let begin = |kind, crashed, fresh, beside| StartInstructions {
+    let begin = |kind, crashed, disk_was_empty, another_process_serves| StartInstructions {
         persisted: persisted(kind),
         version: version(5),
         crashed,
-        fresh,
-        beside,
+        disk_was_empty,
+        another_process_serves,
     };
     let refused = Err("it is not here: é".into());
     vec![
@@ -528,7 +530,7 @@
 /// What a process says to its parent.
 fn of_the_process() -> Vec<(String, SupervisorMessage)> {
     let persist = SupervisorMessage {
-        kind: kind::KEEP,
+        kind: kind::PERSIST,
         request: 13,
         persisted: persisted(Kind::Program).encode(),
         ..SupervisorMessage::default()
@@ -561,8 +563,8 @@
         died_change: 20,
         died_number: 21,
         died_hash: 22,
-        fresh: true,
-        beside: true,
+        disk_was_empty: true,
+        another_process_serves: true,
     }
 }
 
@@ -600,17 +602,25 @@
 fn what_a_process_begins_with_is_read_from_the_record() {
     let begins: Vec<StartInstructions> = recorded("sayings_of_the_parent.hex")
         .lines()
-        .filter_map(|line| take(&unhex(line.split_once(' ').unwrap().1)).as_begin())
+        .filter_map(|line| take(&unhex(line.split_once(' ').unwrap().1)).start_instructions())
         .collect();
     assert_eq!(begins.len(), 2);
     assert_eq!(begins[0].persisted, persisted(Kind::Settings));
     assert_eq!(
-        (begins[0].crashed, begins[0].fresh, begins[0].beside),
+        (
+            begins[0].crashed,
+            begins[0].disk_was_empty,
+            begins[0].another_process_serves
+        ),
         (Some(trial()), true, false)
     );
     assert_eq!(begins[1].persisted, persisted(Kind::Program));
     assert_eq!(
-        (begins[1].crashed, begins[1].fresh, begins[1].beside),
+        (
+            begins[1].crashed,
+            begins[1].disk_was_empty,
+            begins[1].another_process_serves
+        ),
         (None, false, true)
     );
     assert!(begins.iter().all(|begin| begin.version == version(5)));
@@ -656,7 +666,7 @@
         offered_by: "n2".into(),
         offered_ms: 1_700_000_000_789,
         agreement: 31,
-        electorate: 340,
+        cluster_size: 340,
     };
     let node = NodeStatusEntry {
         name: "n3".into(),
@@ -685,7 +695,7 @@
         nodes: vec![43, 44],
         arrived: vec![45, 46],
         succeeded: vec![47, 48],
-        throttled: vec![49, 50],
+        rejected: vec![49, 50],
         errored: vec![51, 52],
         late: vec![53, 54],
         memory_kb: vec![55.5, 56.5],
@@ -720,8 +730,10 @@
 #[test]
 fn words_and_pieces_are_as_recorded() {
     let content: Vec<u8> = (0..CHUNK_BYTES + 20).map(|at| at as u8).collect();
-    let fates = FATES.map(|outcome| format!("fate {}: {}\n", outcome as u32, outcome.word()));
-    let stands = STANDS.map(|status| format!("stand {}: {}\n", status as u32, status.word()));
+    let fates =
+        FATES.map(|outcome| format!("fate {}: {}\n", outcome as u32, outcome.display_name()));
+    let stands =
+        STANDS.map(|status| format!("stand {}: {}\n", status as u32, status.display_name()));
     let (id, of) = (RolloutId(0x4455_6677_8899_aabb), version(5));
     let mut lines = [fates.concat(), stands.concat()].concat();
     lines += &format!("version: {of}\nchange: {id}\n");
@@ -733,7 +745,7 @@
     );
     lines += &format!("last piece: {}\n", hex(chunks::chunk(&content, 1).unwrap()));
     // All nodes must come to the same about who is in a stage, and about what they know.
-    lines += &format!("place: {:016x}\n", place(id, 0x5566_7788_99aa_bbcc));
+    lines += &format!("place: {:016x}\n", node_position(id, 0x5566_7788_99aa_bbcc));
     let mut known = RolloutTable::default();
     known.merge(&rollout(Kind::Settings, Outcome::Halted));
     lines += &format!("digest of what is known: {:016x}\n", known.digest());
--- a/crates/shared-state/src/status.rs
+++ b/crates/shared-state/src/status.rs
@@ -221,11 +221,11 @@
         _ => "key",
     };
     heavy.top().into_iter().map(move |(key, times)| {
-        let what = match kind {
+        let name = match kind {
             heavy_kind::OVER_QUOTA => format!("{label} {key:016x}"),
             _ => format!("{label} {key}"),
         };
-        CounterStatus { name: what, times }
+        CounterStatus { name, times }
     })
 }
 
--- a/crates/test-harness/src/fault_scenario/changes.rs
+++ b/crates/test-harness/src/fault_scenario/changes.rs
@@ -10,7 +10,7 @@
 use madderpoint_membership::datagram_auth::AuthKeys;
 use madderpoint_membership::observer::Observer;
 use madderpoint_rollout::chunks;
-use madderpoint_rollout::messages::{CommandReply, OperatorCommand, order};
+use madderpoint_rollout::messages::{CommandReply, OperatorCommand, command_kind};
 use madderpoint_rollout::status::StatusSnapshot;
 use prost::Message as _;
 pub use record_check::Checked;
@@ -187,7 +187,7 @@
             answer = self.order(
                 n,
                 &OperatorCommand {
-                    kind: order::CHUNK,
+                    kind: command_kind::CHUNK,
                     chunk: no,
                     bytes,
                     size,
@@ -203,7 +203,7 @@
             answer = self.order(
                 n,
                 &OperatorCommand {
-                    kind: order::OFFER,
+                    kind: command_kind::OFFER,
                     digest,
                     ..OperatorCommand::default()
                 },
@@ -248,7 +248,11 @@
     }
 
     pub(super) fn end_change(&mut self, at: usize, node: &str, back: bool) {
-        let kind = if back { order::ROLL_BACK } else { order::HALT };
+        let kind = if back {
+            command_kind::ROLL_BACK
+        } else {
+            command_kind::HALT
+        };
         let command = OperatorCommand {
             kind,
             why: "the timetable says so".into(),
