--- a/crates/deployment-config/src/decode.rs
+++ b/crates/deployment-config/src/decode.rs
@@ -51,9 +51,9 @@
     let deployment = deployment(&settings, downstream, operations)?;
     Ok(DeploymentConfig {
         deployment,
-        operations: settings.services.into_iter().map(|s| s.name).collect(),
-        tenants: settings.tenants.into_iter().map(|t| t.name).collect(),
-        gauges: settings.extra.gauges,
+        operation_names: settings.services.into_iter().map(|s| s.name).collect(),
+        tenant_names: settings.tenants.into_iter().map(|t| t.name).collect(),
+        gauge_names: settings.extra.gauges,
         passes_deadline: settings.extra.passes_deadline,
     })
 }
--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -22,11 +22,11 @@
     /// What the decisions go by.
     pub deployment: Deployment,
     /// Names of the operations, in their order.
-    pub operations: Vec<String>,
+    pub operation_names: Vec<String>,
     /// Names of the tenants, in their order.
-    pub tenants: Vec<String>,
+    pub tenant_names: Vec<String>,
     /// Names of the gauges, in the order of their values.
-    pub gauges: Vec<String>,
+    pub gauge_names: Vec<String>,
     /// Whether requests carry the time that their client still waits.
     pub passes_deadline: bool,
 }
@@ -35,7 +35,7 @@
     /// The gauges' values by their names; unknown names are skipped.
     pub fn gauges(&self, values: impl Iterator<Item = f64>) -> Gauges {
         let mut gauges = Gauges::default();
-        for (name, value) in self.gauges.iter().zip(values) {
+        for (name, value) in self.gauge_names.iter().zip(values) {
             match name.as_str() {
                 "cpu_busy" => gauges.cpu_busy = Some(value),
                 "runnable" => gauges.runnable = Some(value),
--- a/crates/deployment-config/src/tests.rs
+++ b/crates/deployment-config/src/tests.rs
@@ -68,8 +68,8 @@
 #[test]
 fn settings_are_read_as_written() {
     let config = read(&whole()).unwrap();
-    assert_eq!(config.operations, ["gun-sorgu", "gun-yaz", "öde"]);
-    assert_eq!(config.tenants, ["acme", "b ü/%&"]);
+    assert_eq!(config.operation_names, ["gun-sorgu", "gun-yaz", "öde"]);
+    assert_eq!(config.tenant_names, ["acme", "b ü/%&"]);
     let Deployment {
         operations,
         downstream_call_limit,
@@ -275,8 +275,8 @@
             Ok(config) => {
                 let deployment = &config.deployment;
                 prop_assert!(deployment.cores > 0 && !deployment.operations.is_empty());
-                prop_assert_eq!(deployment.operations.len(), config.operations.len());
-                prop_assert_eq!(deployment.tenants.len(), config.tenants.len());
+                prop_assert_eq!(deployment.operations.len(), config.operation_names.len());
+                prop_assert_eq!(deployment.tenants.len(), config.tenant_names.len());
                 prop_assert!(deployment.memory_kb.is_finite() && deployment.max_runnable_per_core.is_finite());
                 for operation in &deployment.operations {
                     prop_assert!(operation.client_timeout > 0 && operation.latency_objective <= operation.client_timeout);
--- a/crates/node/src/cli/check.rs
+++ b/crates/node/src/cli/check.rs
@@ -27,7 +27,7 @@
     let (bytes, request_units, rule_units) = rules.map_or((0, 0, 0), |book| {
         (
             book.rules.bytes(),
-            book.rules.worst(),
+            book.rules.max_cost(),
             highest_cost(&book.rules),
         )
     });
@@ -52,7 +52,7 @@
     rules
         .rules()
         .iter()
-        .map(|rule| rule.worst())
+        .map(|rule| rule.max_cost())
         .max()
         .unwrap_or(0)
 }
--- a/crates/node/src/cli/fleet/scenario.rs
+++ b/crates/node/src/cli/fleet/scenario.rs
@@ -117,7 +117,7 @@
             Action::Sees {
                 node,
                 other,
-                held,
+                liveness: held,
                 within,
             } => {
                 let (node, held) = (self.index(node), held.clone());
@@ -227,7 +227,7 @@
         | Action::Settled { .. }
         | Action::Sees { .. } => true,
         Action::Hup(_)
-        | Action::Stranger { .. }
+        | Action::UnauthenticatedDatagrams { .. }
         | Action::Load { .. }
         | Action::Service { .. }
         | Action::Holds { .. }
--- a/crates/node/src/cli/node_query.rs
+++ b/crates/node/src/cli/node_query.rs
@@ -68,7 +68,7 @@
         let translator = serve::read(settings, &ValidationContext::permissive())
             .map_err(NodeQueryError::InvalidSettings)?;
         let cluster = translator
-            .fleet
+            .cluster
             .ok_or_else(|| NodeQueryError::NoCluster(settings.to_owned()))?;
         let keys = serve::read_keys(settings, &cluster)?;
         let any: SocketAddr = if node.is_ipv4() {
@@ -87,7 +87,7 @@
             &cluster.name,
             keys,
             seed ^ u64::from(std::process::id()) << 40,
-            cluster.periods.skew,
+            cluster.timing.skew,
         );
         Ok(NodeQuery {
             socket,
--- a/crates/node/src/cli/rules.rs
+++ b/crates/node/src/cli/rules.rs
@@ -5,7 +5,7 @@
 use clap::Subcommand;
 use hdrhistogram::Histogram;
 use madderpoint_rules::ruleset::{RuleExplanation, RuleOutput};
-use madderpoint_rules::{Path as Search, Scratch, Verdict};
+use madderpoint_rules::{RuleLookup as Search, Scratch, Verdict};
 use madderpoint_settings::RuleConfig;
 use madderpoint_settings::sample_request::SampleRequest;
 use serde_json::{Value, json};
@@ -113,7 +113,7 @@
     let explained = book.rules.explain(&facts, &mut scratch);
     let decision = book.rules.decide(&facts, &mut scratch, Search::Index);
     let given = decision
-        .given
+        .output
         .as_ref()
         .map(|given| outcome_json(&book, given));
     let limit = book.rules.request_limit();
@@ -169,7 +169,7 @@
         "facts": facts,
         "limits": limits.collect::<Vec<_>>(),
         "verdict": verdict,
-        "worst_units": rule.worst(),
+        "worst_units": rule.max_cost(),
     })
 }
 
@@ -188,9 +188,9 @@
     println!(
         "{}: {outcome} ({path} by the index, filed under {}; {} units, worst {})",
         rule.name,
-        why.filed,
+        why.index_kind,
         why.cost,
-        rule.worst()
+        rule.max_cost()
     );
 }
 
@@ -199,7 +199,7 @@
         .failed
         .as_ref()
         .map(|(part, what)| json!({"part": part, "what": what}));
-    json!({"rule": name, "matches": why.result == Ok(true), "evaluated": why.evaluated, "filed_under": why.filed,
+    json!({"rule": name, "matches": why.result == Ok(true), "evaluated": why.evaluated, "filed_under": why.index_kind,
         "units": why.cost, "failed": failed})
 }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -144,7 +144,7 @@
             state.shared.backend_gate = Some(Box::new(BackendGate::new(now)));
         }
         if options.counts_for_cluster {
-            let counting = ClusterCounting::new(now, &self.config.operations);
+            let counting = ClusterCounting::new(now, &self.config.operation_names);
             state.cluster_counting = Some(Box::new(counting));
             state.set_timer(COUNTER_REPORT_PERIOD, Timer::CounterReport);
         }
--- a/crates/node/src/node/request_policy.rs
+++ b/crates/node/src/node/request_policy.rs
@@ -20,7 +20,7 @@
     pub(super) fn on_rules_changed(&mut self, now: Nanos, compiled: CompiledRuleSet) {
         let mut state = self.state.borrow_mut();
         let (rules, buckets) = (compiled.rules.rules().len(), compiled.buckets.len());
-        let (kib, max_cost) = (compiled.rules.bytes() >> 10, compiled.rules.worst());
+        let (kib, max_cost) = (compiled.rules.bytes() >> 10, compiled.rules.max_cost());
         let quotas: Vec<KeyedQuota> = compiled
             .quotas
             .iter()
--- a/crates/node/src/node/tests/rules.rs
+++ b/crates/node/src/node/tests/rules.rs
@@ -31,10 +31,10 @@
 fn compile(rules: &str, fleet: &str) -> Box<CompiledRuleSet> {
     let start = madderpoint_deployment_config::decode(settings().as_bytes()).unwrap();
     let effects = start.deployment.operations.iter().map(|o| o.idempotency);
-    let operations = Some(start.operations.iter().cloned().zip(effects).collect());
+    let operations = Some(start.operation_names.iter().cloned().zip(effects).collect());
     let known = ValidationContext {
         operations,
-        tenants: Some(start.tenants.clone()),
+        tenants: Some(start.tenant_names.clone()),
         ..ValidationContext::permissive()
     };
     let text = format!("<translator version=\"1\"><rules>{rules}</rules>{fleet}</translator>");
@@ -44,7 +44,7 @@
     Box::new(CompiledRuleSet {
         rules: compiled.rules,
         buckets: compiled.buckets,
-        quotas: compiled.fleet,
+        quotas: compiled.cluster_quotas,
     })
 }
 
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -142,7 +142,10 @@
         config: &DeploymentConfig,
     ) -> Option<(OperationId, LoadBalancerId)> {
         let name = self.path?.strip_prefix("/call/")?;
-        let index = config.operations.iter().position(|known| known == name)?;
+        let index = config
+            .operation_names
+            .iter()
+            .position(|known| known == name)?;
         let load_balancer = self.load_balancer.and_then(|id| id.parse().ok());
         Some((
             OperationId(index),
@@ -155,10 +158,10 @@
         let path = self.path.unwrap_or_default();
         let operation = path
             .strip_prefix("/call/")
-            .and_then(|name| config.operations.iter().find(|known| *known == name));
+            .and_then(|name| config.operation_names.iter().find(|known| *known == name));
         let tenant = self
             .tenant
-            .and_then(|name| config.tenants.iter().find(|known| *known == name));
+            .and_then(|name| config.tenant_names.iter().find(|known| *known == name));
         let number = |text: Option<&str>| {
             text.and_then(|text| text.parse::<f64>().ok())
                 .filter(|number| number.is_finite())
@@ -279,11 +282,11 @@
 
     fn tenant_id(&self, config: &DeploymentConfig) -> Result<Option<TenantId>, RequestError> {
         let tenant = config
-            .tenants
+            .tenant_names
             .iter()
             .position(|name| self.tenant == Some(name.as_str()))
             .map(TenantId);
-        if tenant.is_none() && !config.tenants.is_empty() {
+        if tenant.is_none() && !config.tenant_names.is_empty() {
             return Err(RequestError::UnknownTenant);
         }
         Ok(tenant)
@@ -339,7 +342,7 @@
         .strip_prefix("/call/")
         .ok_or(RequestError::UnknownPath)?;
     config
-        .operations
+        .operation_names
         .iter()
         .position(|known| known == name)
         .map(OperationId)
--- a/crates/node/src/request_rules.rs
+++ b/crates/node/src/request_rules.rs
@@ -5,7 +5,7 @@
 
 use madderpoint::{Nanos, OperationId};
 use madderpoint_rate_limits::{Bucket, ExceededLimit, LimitExceeded, Permit, RateLimiter};
-use madderpoint_rules::{Facts, Path, RuleSet, Scratch, Verdict};
+use madderpoint_rules::{Facts, RuleLookup, RuleSet, Scratch, Verdict};
 use madderpoint_shared_state::keyed_quota::borrower::{QuotaBorrower, QuotaExceeded};
 use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaGrant, QuotaRequest, QuotaTiming};
 use std::collections::BTreeMap;
@@ -79,7 +79,7 @@
 }
 
 #[derive(Default)]
-struct RuleFaults {
+struct RuleErrors {
     count: u64,
     logged_at: Option<Nanos>,
 }
@@ -94,7 +94,7 @@
     quotas_of_buckets: Vec<Vec<u32>>,
     /// This node's end of them, where there are any.
     quota_borrower: Option<QuotaBorrower>,
-    faults: Vec<RuleFaults>,
+    errors: Vec<RuleErrors>,
     by_class: BTreeMap<Rc<str>, ClassCounts>,
     /// Log lines on rules that erred.
     fault_lines: Vec<String>,
@@ -115,7 +115,7 @@
             limiter: RateLimiter::new(limit_bytes, seed),
             quotas_of_buckets: Vec::new(),
             quota_borrower: None,
-            faults: Vec::new(),
+            errors: Vec::new(),
             by_class: BTreeMap::new(),
             fault_lines: Vec::new(),
             matched: 0,
@@ -167,9 +167,9 @@
             .collect();
         let classes = &self.classes;
         self.by_class.retain(|class, _| classes.contains(class)); // else it grows with each reload
-        self.faults.clear();
-        self.faults
-            .resize_with(self.rule_set.rules().len(), RuleFaults::default);
+        self.errors.clear();
+        self.errors
+            .resize_with(self.rule_set.rules().len(), RuleErrors::default);
     }
 
     /// The rules in force.
@@ -179,10 +179,12 @@
 
     /// What the first rule that matches gives.
     pub fn evaluate(&mut self, now: Nanos, facts: &Facts<'_>) -> Option<RuleOutcome> {
-        let decision = self.rule_set.decide(facts, &mut self.scratch, Path::Index);
+        let decision = self
+            .rule_set
+            .decide(facts, &mut self.scratch, RuleLookup::Index);
         self.exhausted += u64::from(decision.exhausted);
-        for (index, fault) in decision.faults {
-            let faults = &mut self.faults[index];
+        for (index, fault) in decision.errors {
+            let faults = &mut self.errors[index];
             faults.count += 1;
             let is_due = faults
                 .logged_at
@@ -196,7 +198,7 @@
                 ));
             }
         }
-        let given = decision.given?;
+        let given = decision.output?;
         self.matched += 1;
         let mut log_line = None;
         if !given.facts.is_empty() {
@@ -327,7 +329,7 @@
 
     /// A log line with all counts since the start; none if no count has moved since the last one.
     pub fn changed_counts(&mut self) -> Option<String> {
-        let faults: u64 = self.faults.iter().map(|rule| rule.count).sum();
+        let faults: u64 = self.errors.iter().map(|rule| rule.count).sum();
         let over_limit: u64 = self
             .limiter
             .counters()
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -14,7 +14,7 @@
 use madderpoint_node::log;
 use madderpoint_node::supervisor_client::{self, Adopted, ProgramVersions, SupervisorClientError};
 use madderpoint_node::version_store::VersionStoreError;
-use madderpoint_settings::{Diagnostics, FleetSettings};
+use madderpoint_settings::{ClusterSettings, Diagnostics};
 use reload::Reloader;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -100,9 +100,9 @@
         None => None,
     };
     let mut parts = OptionalParts::default();
-    let (mut fleet, mut in_force) = (None, None);
+    let (mut cluster, mut in_force) = (None, None);
     if let Some(file) = &settings {
-        (fleet, in_force) = load_settings(file, &config, &control, adopted.as_ref(), &mut parts)?;
+        (cluster, in_force) = load_settings(file, &config, &control, adopted.as_ref(), &mut parts)?;
     }
     if let Some(adopted) = adopted {
         listen_to_supervisor(adopted, control.clone(), &mut parts)?;
@@ -111,7 +111,7 @@
         config_path: path,
         config: Arc::clone(&config),
         settings,
-        fleet,
+        cluster,
         in_force,
         control,
     };
@@ -123,7 +123,7 @@
 }
 
 /// The `<fleet>` that the node starts with, and what is in force where versions are kept.
-type ClusterState = (Option<FleetSettings>, Option<Arc<Mutex<InForce>>>);
+type ClusterState = (Option<ClusterSettings>, Option<Arc<Mutex<InForce>>>);
 
 /// Reads the settings file and sets up what the node has by it.
 fn load_settings(
@@ -157,7 +157,7 @@
         }
     }
     parts.rules = Some(settings::take_rules(&mut read));
-    Ok((read.fleet, in_force))
+    Ok((read.cluster, in_force))
 }
 
 /// Takes over the supervisor's socket, reports to it once the node serves, and passes on what it
--- a/crates/node/src/serve/cluster.rs
+++ b/crates/node/src/serve/cluster.rs
@@ -9,7 +9,7 @@
 use madderpoint_node::config::NodeConfig;
 use madderpoint_node::io::{self, ClusterSettingsUpdate, ClusterSetup};
 use madderpoint_node::node::SharedService;
-use madderpoint_settings::{FleetSettings, Settings};
+use madderpoint_settings::{ClusterSettings, Settings};
 use madderpoint_shared_state::{Budget, BudgetKind};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -29,7 +29,7 @@
     read: &Settings,
     config: &NodeConfig,
 ) -> Result<Option<Box<ClusterSetup>>, SettingsError> {
-    let Some(fleet) = &read.fleet else {
+    let Some(fleet) = &read.cluster else {
         return Ok(None);
     };
     let (bind, advertise) = addresses(fleet, config)?;
@@ -42,7 +42,7 @@
         address: advertise,
         seeds: fleet.seeds.clone(),
         keys: read_keys(file, fleet)?,
-        timing: fleet.periods,
+        timing: fleet.timing,
         program: fleet
             .program
             .clone()
@@ -51,7 +51,7 @@
         bytes: 0,
         features: FeatureToggles::default(),
     };
-    let voters = fleet.arbiters.iter().map(|name| MemberKey::of(name).0);
+    let voters = fleet.voters.iter().map(|name| MemberKey::of(name).0);
     let service = fleet.service.as_ref().map(|service| SharedService {
         name: service.name.clone(),
         slow_call_threshold: service.slow,
@@ -66,7 +66,7 @@
         quotas: keyed_quotas(read),
         quota_lender_bytes: 0,
         service,
-        operations: config.deployment.operations.clone(),
+        operations: config.deployment.operation_names.clone(),
         objectives: operations
             .iter()
             .map(|operation| operation.latency_objective)
@@ -80,7 +80,7 @@
 
 /// The address that the node's socket is bound to, and the one under which others reach it.
 fn addresses(
-    fleet: &FleetSettings,
+    fleet: &ClusterSettings,
     config: &NodeConfig,
 ) -> Result<(SocketAddr, SocketAddr), SettingsError> {
     let address = |variable: &'static str, set: Option<SocketAddr>| match environment(variable) {
@@ -111,14 +111,17 @@
 }
 
 /// The fields of `<fleet>` that differ and can change with a restart only.
-pub fn fields_needing_restart(new: &FleetSettings, current: &FleetSettings) -> Vec<&'static str> {
+pub fn fields_needing_restart(
+    new: &ClusterSettings,
+    current: &ClusterSettings,
+) -> Vec<&'static str> {
     let fields = [
         ("name", new.name == current.name),
         ("zone", new.zone == current.zone),
         ("bind", new.bind == current.bind),
         ("advertise", new.advertise == current.advertise),
         ("program", new.program == current.program),
-        ("arbiter", new.arbiters == current.arbiters),
+        ("arbiter", new.voters == current.voters),
         (
             "calls-budget",
             are_same_kinds(&new.budgets, &current.budgets),
@@ -135,8 +138,8 @@
 /// What of new settings takes effect in the running cluster part.
 pub fn update(
     read: &Settings,
-    new: &FleetSettings,
-    current: &FleetSettings,
+    new: &ClusterSettings,
+    current: &ClusterSettings,
     keys: AuthKeys,
 ) -> Box<ClusterSettingsUpdate> {
     // Limits may change; budgets that come or go, or are of another kind, wait for a restart.
@@ -148,7 +151,7 @@
     Box::new(ClusterSettingsUpdate {
         keys,
         seeds: new.seeds.clone(),
-        timing: new.periods,
+        timing: new.timing,
         number: read.number,
         budgets: budgets.clone(),
         quotas: keyed_quotas(read),
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -9,7 +9,7 @@
 use madderpoint_node::config::{self, NodeConfig};
 use madderpoint_node::io::{ClusterSettingsUpdate, ControlMessage};
 use madderpoint_node::log::part;
-use madderpoint_settings::{FleetSettings, Settings};
+use madderpoint_settings::{ClusterSettings, Settings};
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 use tracing::warn;
@@ -23,7 +23,7 @@
     /// The settings file.
     pub settings: Option<PathBuf>,
     /// The `<fleet>` that the node started with.
-    pub fleet: Option<FleetSettings>,
+    pub cluster: Option<ClusterSettings>,
     /// What is in force, where settings change by rollouts.
     pub in_force: Option<Arc<Mutex<InForce>>>,
     /// The running node's queue.
@@ -59,7 +59,7 @@
             Ok(new) => new,
             Err(e) => return settings_rejected(&e.to_string()),
         };
-        match (keys, &read.fleet, &self.fleet) {
+        match (keys, &read.cluster, &self.cluster) {
             (Some(keys), Some(new), Some(current)) => {
                 let fields = cluster::fields_needing_restart(new, current);
                 if !fields.is_empty() {
@@ -77,7 +77,7 @@
     fn read_settings(&self, file: &Path) -> Result<(Option<AuthKeys>, Settings), SettingsError> {
         let read = settings::read(file, &known_on_node(&self.config))
             .map_err(|diagnostics| SettingsError::Invalid(diagnostics.summary()))?;
-        let keys = match &read.fleet {
+        let keys = match &read.cluster {
             Some(fleet) => Some(read_keys(file, fleet)?),
             None => None,
         };
@@ -88,7 +88,7 @@
     fn reload_keys(&self, file: &Path, in_force: &Mutex<InForce>) {
         let update = {
             let current = lock(in_force);
-            let keys = match read_keys(file, &current.fleet) {
+            let keys = match read_keys(file, &current.cluster) {
                 Ok(keys) => keys,
                 Err(e) => {
                     warn!(
@@ -111,10 +111,10 @@
             }
             Box::new(ClusterSettingsUpdate {
                 keys,
-                seeds: current.fleet.seeds.clone(),
-                timing: current.fleet.periods,
+                seeds: current.cluster.seeds.clone(),
+                timing: current.cluster.timing,
                 number: (current.version.number, current.version.hash),
-                budgets: current.fleet.budgets.clone(),
+                budgets: current.cluster.budgets.clone(),
                 quotas: current.quotas.clone(),
                 plan: None,
             })
--- a/crates/node/src/serve/settings.rs
+++ b/crates/node/src/serve/settings.rs
@@ -9,7 +9,7 @@
 use madderpoint_node::version_store::VersionStoreError;
 use madderpoint_rollout::Plan;
 use madderpoint_settings::{
-    self as settings, Diagnostics, FleetSettings, Location, Settings, ValidationContext,
+    self as settings, ClusterSettings, Diagnostics, Location, Settings, ValidationContext,
 };
 use madderpoint_shared_state::keyed_quota::KeyedQuota;
 use std::net::SocketAddr;
@@ -91,8 +91,15 @@
 pub fn known(config: &DeploymentConfig) -> ValidationContext {
     let effects = config.deployment.operations.iter().map(|o| o.idempotency);
     ValidationContext {
-        operations: Some(config.operations.iter().cloned().zip(effects).collect()),
-        tenants: Some(config.tenants.clone()),
+        operations: Some(
+            config
+                .operation_names
+                .iter()
+                .cloned()
+                .zip(effects)
+                .collect(),
+        ),
+        tenants: Some(config.tenant_names.clone()),
         ..ValidationContext::permissive()
     }
 }
@@ -127,7 +134,7 @@
 }
 
 /// Reads the keys of a cluster. A relative path starts at the directory of the settings file.
-pub fn read_keys(settings: &Path, fleet: &FleetSettings) -> Result<AuthKeys, SettingsError> {
+pub fn read_keys(settings: &Path, fleet: &ClusterSettings) -> Result<AuthKeys, SettingsError> {
     let path = settings.parent().unwrap_or(Path::new("")).join(&fleet.keys);
     read_key_file(&path).map_err(|problem| SettingsError::Keys { path, problem })
 }
@@ -145,7 +152,7 @@
 pub fn keyed_quotas(read: &Settings) -> Vec<KeyedQuota> {
     read.rules
         .iter()
-        .flat_map(|rules| &rules.fleet)
+        .flat_map(|rules| &rules.cluster_quotas)
         .map(|(_, quota)| quota.clone())
         .collect()
 }
@@ -160,15 +167,15 @@
 
 /// Takes the rules out of the settings. Without rules the set is empty, so that earlier ones end.
 pub fn take_rules(read: &mut Settings) -> Box<CompiledRuleSet> {
-    let secret = read.fleet.as_ref().map_or(0, |fleet| fleet.secret);
+    let secret = read.cluster.as_ref().map_or(0, |fleet| fleet.secret);
     match read.rules.take() {
         Some(mut book) => {
             book.rules
-                .share(book.fleet.iter().map(|(place, _)| *place), secret);
+                .use_common_secret(book.cluster_quotas.iter().map(|(place, _)| *place), secret);
             Box::new(CompiledRuleSet {
                 rules: book.rules,
                 buckets: book.buckets,
-                quotas: book.fleet,
+                quotas: book.cluster_quotas,
             })
         }
         None => Box::new(CompiledRuleSet::default()),
--- a/crates/node/src/serve/versions.rs
+++ b/crates/node/src/serve/versions.rs
@@ -11,7 +11,7 @@
 use madderpoint_node::version_store::VersionStore;
 use madderpoint_rollout::node_agent::InitialState;
 use madderpoint_rollout::{Kind, PersistedState, Version};
-use madderpoint_settings::{Diagnostics, FleetSettings, Settings};
+use madderpoint_settings::{ClusterSettings, Diagnostics, Settings};
 use madderpoint_shared_state::keyed_quota::KeyedQuota;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -26,7 +26,7 @@
     /// Their version.
     pub version: Version,
     /// Their `<fleet>`.
-    pub fleet: FleetSettings,
+    pub cluster: ClusterSettings,
     /// Their quotas by key of the whole cluster.
     pub quotas: Vec<KeyedQuota>,
 }
@@ -70,12 +70,12 @@
     let mut store =
         open(&directory, &config.name, Kind::Settings).map_err(StartError::VersionStore)?;
     let (read, start) = begin(&mut store, file, given, config)?;
-    let Some(fleet) = read.fleet.clone() else {
+    let Some(cluster) = read.cluster.clone() else {
         return Err(StartError::NoVersion("no <fleet>".into()));
     };
     let in_force = Arc::new(Mutex::new(InForce {
         version: start.running,
-        fleet,
+        cluster,
         quotas: keyed_quotas(&read),
     }));
     let setup = RolloutSetup {
@@ -160,7 +160,7 @@
     let text = std::str::from_utf8(content).map_err(|_| SettingsError::NotText)?;
     let read = madderpoint_settings::read("settings", text, &known_on_node(config))
         .map_err(|diagnostics| SettingsError::Invalid(diagnostics.summary()))?;
-    let (Some(fleet), Some(_)) = (&read.fleet, &read.rollout) else {
+    let (Some(fleet), Some(_)) = (&read.cluster, &read.rollout) else {
         return Err(SettingsError::NoClusterOrRollout);
     };
     let keys = read_keys(file, fleet)?;
@@ -181,12 +181,12 @@
     fn check_content(&self, content: &[u8]) -> Result<Version, SettingsError> {
         let (read, new_keys) = read_version(&self.file, content, &self.config)?;
         let current = lock(&self.in_force);
-        if let Some(fleet) = &read.fleet {
-            let fields = cluster::fields_needing_restart(fleet, &current.fleet);
+        if let Some(fleet) = &read.cluster {
+            let fields = cluster::fields_needing_restart(fleet, &current.cluster);
             if !fields.is_empty() {
                 return Err(SettingsError::NeedsRestart(fields));
             }
-            if !read_keys(&self.file, &current.fleet)?.are_compatible(&new_keys) {
+            if !read_keys(&self.file, &current.cluster)?.are_compatible(&new_keys) {
                 return Err(SettingsError::NoCommonKey);
             }
         }
@@ -196,15 +196,15 @@
     fn apply_version(&self, version: Version) -> Result<(), SettingsError> {
         let content = self.store.content(version)?;
         let (mut read, keys) = read_version(&self.file, &content, &self.config)?;
-        let Some(new) = read.fleet.clone() else {
+        let Some(new) = read.cluster.clone() else {
             return Err(SettingsError::NoCluster);
         };
         let update = {
             let mut current = lock(&self.in_force);
-            let update = cluster::update(&read, &new, &current.fleet, keys);
+            let update = cluster::update(&read, &new, &current.cluster, keys);
             *current = InForce {
                 version,
-                fleet: new,
+                cluster: new,
                 quotas: update.quotas.clone(),
             };
             update
--- a/crates/node/src/state/executions.rs
+++ b/crates/node/src/state/executions.rs
@@ -85,7 +85,7 @@
         };
         let (correlation_id, body) = (request.correlation_id.clone(), request.body.clone());
         let operation = request.operation;
-        let route = self.config.operations[operation.0].clone();
+        let route = self.config.operation_names[operation.0].clone();
         let command = self.send_command(Command::Sched {
             rid: &correlation_id,
             route: &route,
--- a/crates/node/tests/shared.rs
+++ b/crates/node/tests/shared.rs
@@ -97,7 +97,7 @@
 /// The judge sees what it is for: with no limit set the same load is over it, and the service dies.
 #[test]
 fn without_the_limits_the_records_show_it() {
-    let below = BackendModel {
+    let backend = BackendModel {
         work: ms(60),
         survives: 8,
         down: ms(500),
@@ -112,7 +112,7 @@
         load: 200,
         callers: 8,
         time: ms(4000),
-        below,
+        backend,
         ..Scenario::default()
     };
     let outcome = play(&script);
@@ -222,10 +222,10 @@
             load: 60,
             callers: 3,
             calls_a_second: 120,
-            calls_in_hand: 12,
-            repeats_a_second: 10,
+            max_calls_in_flight: 12,
+            retries_a_second: 10,
             floor: 1,
-            below: BackendModel {
+            backend: BackendModel {
                 work: ms(30),
                 survives: 14,
                 judged: true,
@@ -235,7 +235,7 @@
                 count: 3,
                 a_second: 30,
                 burst: 60,
-                in_hand: 10,
+                max_in_flight: 10,
                 floor: 1,
             },
             time: ms(15_000),
--- a/crates/rules/benches/rules.rs
+++ b/crates/rules/benches/rules.rs
@@ -7,7 +7,7 @@
 use madderpoint_rules::facts::Name;
 use madderpoint_rules::syntax::{Binary, parse};
 use madderpoint_rules::{
-    Bounds, EvaluationError, Facts, Path, RuleSet, RuleSource, Scratch, Type, Value, cost,
+    Bounds, EvaluationError, Facts, RuleLookup, RuleSet, RuleSource, Scratch, Type, Value, cost,
 };
 use std::hint::black_box;
 
@@ -93,13 +93,13 @@
         let rules = many(count);
         let facts = facts(&rules);
         let mut scratch = Scratch::new(1);
-        for (name, path) in [("index", Path::Index), ("scan", Path::Scan)] {
+        for (name, path) in [("index", RuleLookup::Index), ("scan", RuleLookup::Scan)] {
             group.bench_with_input(BenchmarkId::new(name, count), &count, |b, _| {
                 b.iter(|| {
                     black_box(
                         rules
                             .decide(black_box(&facts), &mut scratch, path)
-                            .given
+                            .output
                             .is_some(),
                     )
                 });
--- a/crates/rules/src/compile.rs
+++ b/crates/rules/src/compile.rs
@@ -62,7 +62,7 @@
     /// Its type.
     pub kind: Type,
     /// The most units that evaluating it takes.
-    pub worst: u64,
+    pub max_cost: u64,
     size: Size,
 }
 
@@ -117,8 +117,8 @@
                     format!("this is a {}", typed.kind),
                     format!("a {kind}"),
                 );
-            } else if typed.worst > limit {
-                let what = format!("the worst case costs {} units", typed.worst);
+            } else if typed.max_cost > limit {
+                let what = format!("the worst case costs {} units", typed.max_cost);
                 let hint = "declare the parameters' lengths, or ask for less";
                 self.wrong::<()>(&expr.at, what, format!("at most {limit}: {hint}"));
             }
@@ -150,7 +150,7 @@
         Some(CompiledExpression {
             node,
             kind,
-            worst: cost::STEP,
+            max_cost: cost::STEP,
             size,
         })
     }
--- a/crates/rules/src/compile/functions.rs
+++ b/crates/rules/src/compile/functions.rs
@@ -148,8 +148,9 @@
             _ => g.size.extent(),
         });
         let sizes: Vec<u64> = sizes.collect();
-        let worst =
-            given.iter().map(|g| g.worst).sum::<u64>() + cost::STEP + price(signature.func, &sizes);
+        let max_cost = given.iter().map(|g| g.max_cost).sum::<u64>()
+            + cost::STEP
+            + price(signature.func, &sizes);
         let first = given.first().map(|g| g.size.clone()).unwrap_or_default();
         let size = match signature.func {
             Function::ToText => Size {
@@ -167,7 +168,7 @@
         Some(CompiledExpression {
             node: Node::Call(signature.func, nodes),
             kind,
-            worst,
+            max_cost,
             size,
         })
     }
@@ -234,12 +235,12 @@
             },
         };
         let of = of?;
-        let worst = of.worst + cost::STEP + cost::pattern(of.size.most);
+        let max_cost = of.max_cost + cost::STEP + cost::pattern(of.size.most);
         let node = Node::Matches(Box::new(of.node), pattern);
         Some(CompiledExpression {
             node,
             kind: Type::Bool,
-            worst,
+            max_cost,
             size: Size::default(),
         })
     }
@@ -285,7 +286,7 @@
         };
         let body = self.body(which, variable, body)?;
         let rounds = range.size.most;
-        let worst = macro_cost(which, &range, &body);
+        let max_cost = macro_cost(which, &range, &body);
         let Some((kind, size)) = macro_result(which, item, size, &body, rounds) else {
             return self.wrong(
                 at,
@@ -296,7 +297,7 @@
         Some(CompiledExpression {
             node: Node::Loop(which, Box::new((range.node, body.node))),
             kind,
-            worst,
+            max_cost,
             size,
         })
     }
@@ -328,16 +329,16 @@
 fn macro_cost(which: Macro, range: &CompiledExpression, body: &CompiledExpression) -> u64 {
     let rounds = range.size.most;
     let built = || cost::build(24 * rounds);
-    let mut worst = rounds
-        .saturating_mul(body.worst + cost::ROUND)
-        .saturating_add(range.worst + cost::STEP);
+    let mut max_cost = rounds
+        .saturating_mul(body.max_cost + cost::ROUND)
+        .saturating_add(range.max_cost + cost::STEP);
     if range.kind == Type::Params {
-        worst = worst.saturating_add(built());
+        max_cost = max_cost.saturating_add(built());
     }
     if matches!(which, Macro::Map | Macro::Filter) {
-        worst = worst.saturating_add(built());
+        max_cost = max_cost.saturating_add(built());
     }
-    worst
+    max_cost
 }
 
 /// The type and size of what a macro gives, for items of this type and size; `None` if the body
--- a/crates/rules/src/compile/names.rs
+++ b/crates/rules/src/compile/names.rs
@@ -49,12 +49,12 @@
                 .map(|text| Node::Text(text.as_str().into()))
                 .collect();
             let size = Size::list(items.len() as u64, Size::of(longest));
-            let worst =
+            let max_cost =
                 cost::STEP + items.len() as u64 * cost::STEP + cost::build(items.len() as u64 * 24);
             return Some(CompiledExpression {
                 node: Node::List(items.into()),
                 kind: Type::List(Type::Text.into()),
-                worst,
+                max_cost,
                 size,
             });
         }
@@ -158,15 +158,15 @@
         let whole = self.check(of);
         let place = self.check(at);
         let (whole, place) = (whole?, place?);
-        let worst = whole.worst + place.worst + cost::STEP;
+        let max_cost = whole.max_cost + place.max_cost + cost::STEP;
         match (&whole.kind, &place.kind) {
             (Type::Params, Type::Text) => {
-                let worst = worst + cost::find(PAIRS_MAX as u64, place.size.most);
+                let max_cost = max_cost + cost::find(PAIRS_MAX as u64, place.size.most);
                 let node = Node::Param(Box::new(place.node));
                 Some(CompiledExpression {
                     node,
                     kind: Type::Text,
-                    worst,
+                    max_cost,
                     size: Size::of(PARAM_MAX),
                 })
             }
@@ -176,7 +176,7 @@
                 Some(CompiledExpression {
                     node,
                     kind,
-                    worst,
+                    max_cost,
                     size,
                 })
             }
--- a/crates/rules/src/compile/operators.rs
+++ b/crates/rules/src/compile/operators.rs
@@ -21,10 +21,10 @@
         node: fn(Box<Node>) -> Node,
     ) -> CheckResult {
         let of = self.expect(of, kinds)?;
-        let worst = of.worst + cost::STEP;
+        let max_cost = of.max_cost + cost::STEP;
         Some(CompiledExpression {
             node: node(Box::new(of.node)),
-            worst,
+            max_cost,
             ..of
         })
     }
@@ -46,13 +46,13 @@
                 format!("a {}, as after '?'", yes.kind),
             );
         }
-        let worst = cost::STEP + condition.worst + yes.worst.max(no_.worst);
+        let max_cost = cost::STEP + condition.max_cost + yes.max_cost.max(no_.max_cost);
         let size = yes.size.max(&no_.size);
         let node = Node::If(Box::new((condition.node, yes.node, no_.node)));
         Some(CompiledExpression {
             node,
             kind: yes.kind,
-            worst,
+            max_cost,
             size,
         })
     }
@@ -67,12 +67,12 @@
             .map(|one| self.expect(one, &[Type::Bool]))
             .collect();
         let checked: Vec<CompiledExpression> = checked.into_iter().collect::<Option<_>>()?;
-        let worst = checked.iter().map(|t| t.worst).sum::<u64>() + cost::STEP;
+        let max_cost = checked.iter().map(|t| t.max_cost).sum::<u64>() + cost::STEP;
         let node = node(checked.into_iter().map(|t| t.node).collect());
         Some(CompiledExpression {
             node,
             kind: Type::Bool,
-            worst,
+            max_cost,
             size: Size::default(),
         })
     }
@@ -97,7 +97,7 @@
         let size = checked
             .iter()
             .fold(Size::default(), |size, t| size.max(&t.size));
-        let worst = checked.iter().map(|t| t.worst).sum::<u64>()
+        let max_cost = checked.iter().map(|t| t.max_cost).sum::<u64>()
             + cost::STEP
             + cost::build(24 * items.len() as u64);
         let node = Node::List(checked.into_iter().map(|t| t.node).collect());
@@ -105,7 +105,7 @@
         Some(CompiledExpression {
             node,
             kind: Type::List(Box::new(kind)),
-            worst,
+            max_cost,
             size,
         })
     }
@@ -153,7 +153,7 @@
         }
         let (left, right) = (self.check(a), self.check(b));
         let (left, right) = (left?, right?);
-        let worst = left.worst + right.worst + cost::STEP;
+        let max_cost = left.max_cost + right.max_cost + cost::STEP;
         let mixed = |kind: &Type| match (&left.kind, kind) {
             (Type::Int, Type::Float) => "a double on both sides: double(...)".to_owned(),
             (Type::Float, Type::Int) => "a double on both sides, such as 1.0".to_owned(),
@@ -175,11 +175,11 @@
             );
             return self.wrong(at, what, mixed(&right.kind));
         };
-        let worst = worst + cost;
+        let max_cost = max_cost + cost;
         Some(CompiledExpression {
             node: Node::Binary(op, Box::new((left.node, right.node))),
             kind,
-            worst,
+            max_cost,
             size,
         })
     }
@@ -199,15 +199,15 @@
         }
         let (left, right) = (self.check(a), self.check(b));
         let (left, right) = (left?, right?);
-        let worst = left.worst + cost::STEP;
+        let max_cost = left.max_cost + cost::STEP;
         match (&left.kind, &right.kind) {
             (Type::Text, Type::Params) => boolean(
                 Node::HasParam(Box::new(left.node)),
-                worst + cost::find(PAIRS_MAX as u64, left.size.most),
+                max_cost + cost::find(PAIRS_MAX as u64, left.size.most),
             ),
             (Type::Address, Type::Addresses) => boolean(
                 Node::Binary(Binary::In, Box::new((left.node, right.node))),
-                worst + right.worst + cost::LOOK,
+                max_cost + right.max_cost + cost::LOOK,
             ),
             (kind, Type::List(item)) if **item == *kind => self.is_in_list(left, right, b),
             (kind, Type::List(item)) => self.wrong(
@@ -236,8 +236,8 @@
             .or_insert_with(|| Arc::new(list.iter().map(|text| text.as_str().into()).collect()));
         let set = Arc::clone(set);
         let left = self.expect(a, &[Type::Text])?;
-        let worst = left.worst + cost::STEP + cost::LOOK + cost::compare(left.size.most);
-        boolean(Node::InTexts(Box::new(left.node), set), worst)
+        let max_cost = left.max_cost + cost::STEP + cost::LOOK + cost::compare(left.size.most);
+        boolean(Node::InTexts(Box::new(left.node), set), max_cost)
     }
 
     /// Membership in a list whose items have the type of the left side; constants become a set.
@@ -247,7 +247,7 @@
         right: CompiledExpression,
         b: &Expression,
     ) -> CheckResult {
-        let worst = left.worst + cost::STEP;
+        let max_cost = left.max_cost + cost::STEP;
 
         self.known(&left.node, b);
         if let Node::List(items) = &right.node {
@@ -255,7 +255,7 @@
                 Node::Text(text) => Some(text.clone()),
                 _ => None,
             });
-            let look = worst + cost::LOOK + cost::compare(left.size.most);
+            let look = max_cost + cost::LOOK + cost::compare(left.size.most);
             if let Some(texts) = texts.collect::<Option<HashSet<_>>>() {
                 return boolean(Node::InTexts(Box::new(left.node), Arc::new(texts)), look);
             }
@@ -267,20 +267,20 @@
             }
         }
         let each = cost::compare(left.size.extent().min(right.size.item().extent()));
-        let worst = worst + right.worst + right.size.most.saturating_mul(each);
+        let max_cost = max_cost + right.max_cost + right.size.most.saturating_mul(each);
         boolean(
             Node::Binary(Binary::In, Box::new((left.node, right.node))),
-            worst,
+            max_cost,
         )
     }
 }
 
 /// A compiled expression of type bool.
-fn boolean(node: Node, worst: u64) -> CheckResult {
+fn boolean(node: Node, max_cost: u64) -> CheckResult {
     Some(CompiledExpression {
         node,
         kind: Type::Bool,
-        worst,
+        max_cost,
         size: Size::default(),
     })
 }
--- a/crates/rules/src/index.rs
+++ b/crates/rules/src/index.rs
@@ -304,7 +304,7 @@
 
     /// The most that the rules evaluated for one request may cost, given the cost of each: the sum
     /// over all rules filed nowhere and the dearest list of each other kind.
-    pub fn worst(&self, cost: impl Fn(u32) -> u64) -> u64 {
+    pub fn max_cost(&self, cost: impl Fn(u32) -> u64) -> u64 {
         let sum = |list: &[u32]| list.iter().map(|rule| cost(*rule)).sum::<u64>();
         let equal = self
             .equal
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -8,7 +8,7 @@
 //! them. Nothing here does I/O or knows a clock.
 //!
 //! ```
-//! use madderpoint_rules::{Bounds, Facts, Path, RuleSet, Scratch, Vocabulary, RuleSource};
+//! use madderpoint_rules::{Bounds, Facts, RuleLookup, RuleSet, Scratch, Vocabulary, RuleSource};
 //!
 //! let words = Vocabulary { operations: vec!["gun-yaz".into()], ..Vocabulary::default() };
 //! let rule = RuleSource {
@@ -20,8 +20,8 @@
 //! };
 //! let rules = RuleSet::load(&[rule], &words, &[], Bounds::default()).unwrap();
 //! let facts = Facts { script: "/old/yaz/ankara-1", method: "POST", ..Facts::default() };
-//! let decision = rules.decide(&facts, &mut Scratch::new(7), Path::Index);
-//! assert_eq!(decision.given.unwrap().rule.operation, Some(0));
+//! let decision = rules.decide(&facts, &mut Scratch::new(7), RuleLookup::Index);
+//! assert_eq!(decision.output.unwrap().rule.operation, Some(0));
 //! ```
 
 #![forbid(unsafe_code)]
@@ -44,7 +44,7 @@
 pub use error::ExpressionError;
 pub use facts::{Caller, Facts, Params};
 pub use ruleset::{
-    Bounds, Decision, Field, Path, RuleError, RuleOutput, RuleSet, RuleSource, Scratch, Verdict,
-    common_number,
+    Bounds, Decision, Field, RuleError, RuleLookup, RuleOutput, RuleSet, RuleSource, Scratch,
+    Verdict, common_number,
 };
 pub use value::{EvaluationError, Type, Value};
--- a/crates/rules/src/ruleset.rs
+++ b/crates/rules/src/ruleset.rs
@@ -134,7 +134,7 @@
     /// Answers at once.
     pub verdict: Option<Verdict>,
     when: Node,
-    worst: u64,
+    max_cost: u64,
     key: Option<Node>,
     rank: Option<Node>,
     facts: Box<[(Box<str>, Node)]>,
@@ -144,8 +144,8 @@
 
 impl Rule {
     /// The most units that matching it and giving what it gives may take.
-    pub fn worst(&self) -> u64 {
-        self.worst
+    pub fn max_cost(&self) -> u64 {
+        self.max_cost
     }
 
     /// Its condition as it was written.
@@ -208,9 +208,9 @@
 #[derive(Debug, Default)]
 pub struct Decision<'r> {
     /// What the first rule that matches gives.
-    pub given: Option<RuleOutput<'r>>,
+    pub output: Option<RuleOutput<'r>>,
     /// Indices of the rules that erred before that, with the errors.
-    pub faults: SmallVec<[(usize, EvaluationError); 4]>,
+    pub errors: SmallVec<[(usize, EvaluationError); 4]>,
     /// Whether evaluation stopped because the request's cost limit was reached.
     pub exhausted: bool,
     /// Units of cost used.
@@ -247,7 +247,7 @@
 
 /// How rules are found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Path {
+pub enum RuleLookup {
     /// By the index.
     Index,
     /// All, one after the other.
@@ -264,7 +264,7 @@
     buckets: Vec<String>,
     cost: u64,
     bytes: usize,
-    worst: u64,
+    max_cost: u64,
     /// Buckets whose keys all nodes number alike, and the secret that they have in common.
     shared: Vec<bool>,
     common: u64,
@@ -289,7 +289,7 @@
 impl RuleSet {
     /// The keys of these buckets, by their places, are numbered as on all nodes that have this
     /// secret in common.
-    pub fn share(&mut self, buckets: impl Iterator<Item = usize>, common: u64) {
+    pub fn use_common_secret(&mut self, buckets: impl Iterator<Item = usize>, common: u64) {
         self.shared = vec![false; self.buckets.len()];
         self.common = common;
         for bucket in buckets {
@@ -321,8 +321,8 @@
 
     /// The most units that the conditions which one request may have evaluated come to by their
     /// worst cases.
-    pub fn worst(&self) -> u64 {
-        self.worst
+    pub fn max_cost(&self) -> u64 {
+        self.max_cost
     }
 
     /// The most units that the conditions evaluated for one request may use; the meter stops them
@@ -341,7 +341,7 @@
         &'r self,
         facts: &Facts<'_>,
         scratch: &mut Scratch,
-        path: Path,
+        path: RuleLookup,
     ) -> Decision<'r> {
         scratch.arena.reset();
         let mut decision = Decision::default();
@@ -356,21 +356,21 @@
                 Err(fault) => Err(fault),
             };
             match result {
-                Ok(given) => decision.given = Some(given),
+                Ok(given) => decision.output = Some(given),
                 Err(fault) => {
-                    decision.faults.push((place, fault));
+                    decision.errors.push((place, fault));
                     decision.exhausted |= fault == EvaluationError::Cost && eval.left() == 0;
                 }
             }
-            decision.given.is_some() || decision.exhausted
+            decision.output.is_some() || decision.exhausted
         };
         match path {
-            Path::Index => {
+            RuleLookup::Index => {
                 self.index
                     .candidates(facts)
                     .any(|place| ask(place as usize));
             }
-            Path::Scan => {
+            RuleLookup::Scan => {
                 (0..self.rules.len()).any(ask);
             }
         }
--- a/crates/rules/src/ruleset/explain.rs
+++ b/crates/rules/src/ruleset/explain.rs
@@ -15,7 +15,7 @@
     /// Whether it is evaluated for this request, by the index.
     pub evaluated: bool,
     /// The kind of what the index files it under.
-    pub filed: &'static str,
+    pub index_kind: &'static str,
     /// The result of its condition.
     pub result: Result<bool, EvaluationError>,
     /// Units of cost that this took.
@@ -32,7 +32,7 @@
         for (place, rule) in self.rules.iter().enumerate() {
             scratch.arena.reset();
             let mut eval = Evaluator::new(facts, &scratch.arena, self.cost);
-            let filed = self.index.kind(place);
+            let index_kind = self.index.kind(place);
             let evaluated = candidates.binary_search(&(place as u32)).is_ok();
             let result = eval.holds(&rule.when, self.cost);
             let cost = self.cost - eval.left();
@@ -43,7 +43,7 @@
             why.push(RuleExplanation {
                 place,
                 evaluated,
-                filed,
+                index_kind,
                 result,
                 cost,
                 failed,
--- a/crates/rules/src/ruleset/load.rs
+++ b/crates/rules/src/ruleset/load.rs
@@ -36,7 +36,7 @@
     ) -> Option<(Node, u64)> {
         let parsed = syntax::parse(text).map_err(|e| vec![e]);
         match parsed.and_then(|expr| self.compiler.compile(&expr, &kind, self.bounds.cost)) {
-            Ok(typed) => Some((typed.node, typed.worst)),
+            Ok(typed) => Some((typed.node, typed.max_cost)),
             Err(errors) => {
                 errors
                     .into_iter()
@@ -79,18 +79,23 @@
         field: Field,
         text: &str,
         kind: Type,
-        worst: &mut u64,
+        max_cost: &mut u64,
     ) -> Option<Node> {
         let (node, cost) = self.compile(place, field, text, kind)?;
-        *worst += cost;
+        *max_cost += cost;
         Some(node)
     }
 
     /// Buckets by their indices, with the expressions of their keys.
-    fn buckets(&mut self, place: usize, source: &RuleSource, worst: &mut u64) -> Vec<(u16, Node)> {
+    fn buckets(
+        &mut self,
+        place: usize,
+        source: &RuleSource,
+        max_cost: &mut u64,
+    ) -> Vec<(u16, Node)> {
         let mut buckets = Vec::new();
         for (i, (name, text)) in source.buckets.iter().enumerate() {
-            let node = self.part(place, Field::Bucket(i), text, Type::Text, worst);
+            let node = self.part(place, Field::Bucket(i), text, Type::Text, max_cost);
             match self.buckets.iter().position(|bucket| bucket == name) {
                 Some(bucket) => buckets.extend(node.map(|node| (bucket as u16, node))),
                 None => {
@@ -125,22 +130,22 @@
         let before = self.errors.len();
         let operation = self.operation(place, source);
         let class = source.class.as_ref().map(|name| self.class(name));
-        let mut worst = 0;
-        let when = self.part(place, Field::When, &source.when, Type::Bool, &mut worst);
+        let mut max_cost = 0;
+        let when = self.part(place, Field::When, &source.when, Type::Bool, &mut max_cost);
         let key = source
             .key
             .as_ref()
-            .and_then(|text| self.part(place, Field::Key, text, Type::Text, &mut worst));
+            .and_then(|text| self.part(place, Field::Key, text, Type::Text, &mut max_cost));
         let rank = source
             .rank
             .as_ref()
-            .and_then(|text| self.part(place, Field::Rank, text, Type::Float, &mut worst));
+            .and_then(|text| self.part(place, Field::Rank, text, Type::Float, &mut max_cost));
         let mut facts = Vec::new();
         for (i, (name, text)) in source.facts.iter().enumerate() {
-            let node = self.part(place, Field::Fact(i), text, Type::Text, &mut worst);
+            let node = self.part(place, Field::Fact(i), text, Type::Text, &mut max_cost);
             facts.extend(node.map(|node| (name.as_str().into(), node)));
         }
-        let buckets = self.buckets(place, source, &mut worst);
+        let buckets = self.buckets(place, source, &mut max_cost);
         self.check_counts(place, source);
         if self.errors.len() > before {
             return None;
@@ -151,7 +156,7 @@
             class,
             verdict: source.verdict.clone(),
             when: when?,
-            worst,
+            max_cost,
             key,
             rank,
             facts: facts.into(),
@@ -227,7 +232,7 @@
             );
             return Err(whole_set(what, room));
         }
-        let worst = index.worst(|rule| rules[rule as usize].worst);
+        let max_cost = index.max_cost(|rule| rules[rule as usize].max_cost);
         let Loader {
             compiler, classes, ..
         } = loader;
@@ -240,7 +245,7 @@
             buckets: buckets.to_vec(),
             cost: bounds.cost,
             bytes,
-            worst,
+            max_cost,
             shared: Vec::new(),
             common: 0,
         })
--- a/crates/rules/tests/language.rs
+++ b/crates/rules/tests/language.rs
@@ -68,7 +68,7 @@
     let arena = Bump::new();
     let mut eval = Evaluator::new(&facts, &arena, limit);
     let result = eval.within(&typed.node, limit).map(|v| v.to_string());
-    (result, limit - eval.left(), typed.worst)
+    (result, limit - eval.left(), typed.max_cost)
 }
 
 #[test]
@@ -570,8 +570,8 @@
                     ..request.bare()
                 };
                 let arena = Bump::new();
-                let result =
-                    Evaluator::new(&facts, &arena, typed.worst).holds(&typed.node, typed.worst);
+                let result = Evaluator::new(&facts, &arena, typed.max_cost)
+                    .holds(&typed.node, typed.max_cost);
                 assert_ne!(
                     result,
                     Err(EvaluationError::Cost),
--- a/crates/rules/tests/sets.rs
+++ b/crates/rules/tests/sets.rs
@@ -4,8 +4,8 @@
 mod support;
 
 use madderpoint_rules::{
-    AddressSet, Bounds, EvaluationError, Facts, Field, Path, RuleSet, RuleSource, Scratch, Verdict,
-    address::network,
+    AddressSet, Bounds, EvaluationError, Facts, Field, RuleLookup, RuleSet, RuleSource, Scratch,
+    Verdict, address::network,
 };
 use rand::RngExt;
 use rand::SeedableRng;
@@ -92,14 +92,14 @@
             let request = Request::random(&mut rng);
             let facts = request.facts(&rules);
             let mut scratch = Scratch::new(1);
-            let by_scan = rules.decide(&facts, &mut scratch, Path::Scan);
-            let scan = by_scan.given.as_ref().map(|g| (g.place, g.key));
-            let by_index = rules.decide(&facts, &mut Scratch::new(1), Path::Index);
-            let index = by_index.given.as_ref().map(|g| (g.place, g.key));
+            let by_scan = rules.decide(&facts, &mut scratch, RuleLookup::Scan);
+            let scan = by_scan.output.as_ref().map(|g| (g.place, g.key));
+            let by_index = rules.decide(&facts, &mut Scratch::new(1), RuleLookup::Index);
+            let index = by_index.output.as_ref().map(|g| (g.place, g.key));
             assert_eq!(index, scan, "round {round}");
             // What errs and is evaluated errs in the same way.
-            assert!(by_index.faults.iter().all(|f| by_scan.faults.contains(f)));
-            assert!(by_index.cost <= by_scan.cost && by_index.cost <= rules.worst());
+            assert!(by_index.errors.iter().all(|f| by_scan.errors.contains(f)));
+            assert!(by_index.cost <= by_scan.cost && by_index.cost <= rules.max_cost());
             matched += usize::from(index.is_some());
             left_out += by_scan.evaluated_count - by_index.evaluated_count;
             evaluated_count += by_index.evaluated_count;
@@ -150,8 +150,8 @@
     };
     let mut scratch = Scratch::new(3);
     scratch.shows_keys = true;
-    let decision = rules.decide(&facts, &mut scratch, Path::Index);
-    let given = decision.given.unwrap();
+    let decision = rules.decide(&facts, &mut scratch, RuleLookup::Index);
+    let given = decision.output.unwrap();
     assert_eq!(
         (given.place, given.rule.operation, given.rank),
         (0, Some(0), Some(0.9))
@@ -172,22 +172,22 @@
     let key = given.key;
     // Like keys have like numbers, others have others, and another node has quite others.
     let same = rules
-        .decide(&facts, &mut Scratch::new(3), Path::Index)
-        .given
+        .decide(&facts, &mut Scratch::new(3), RuleLookup::Index)
+        .output
         .unwrap()
         .key;
     let elsewhere = rules
-        .decide(&facts, &mut Scratch::new(4), Path::Index)
-        .given
+        .decide(&facts, &mut Scratch::new(4), RuleLookup::Index)
+        .output
         .unwrap()
         .key;
     assert!(key == same && key != elsewhere);
     // A rule that errs where it gives does not match, and the next one is evaluated.
     facts.script = "/old/yaz/";
     facts.peer = None;
-    let decision = rules.decide(&facts, &mut Scratch::new(3), Path::Index);
+    let decision = rules.decide(&facts, &mut Scratch::new(3), RuleLookup::Index);
     assert_eq!(
-        (decision.given.unwrap().place, decision.faults[0]),
+        (decision.output.unwrap().place, decision.errors[0]),
         (1, (0, EvaluationError::Absent))
     );
 }
@@ -289,9 +289,9 @@
             address: Some(address.parse().unwrap()),
             ..Facts::default()
         };
-        let decision = rules.decide(&facts, &mut Scratch::new(1), Path::Index);
+        let decision = rules.decide(&facts, &mut Scratch::new(1), RuleLookup::Index);
         assert_eq!(
-            (decision.given.is_some(), decision.evaluated_count),
+            (decision.output.is_some(), decision.evaluated_count),
             (is_in, usize::from(is_in)),
             "{address}"
         );
@@ -313,19 +313,19 @@
         },
     )
     .unwrap();
-    assert!(rules.worst() > rules.request_limit());
+    assert!(rules.max_cost() > rules.request_limit());
     let long = "abcd".repeat(1000);
     let pairs = [(b"X".as_slice(), long.as_bytes())];
     let facts = Facts {
         params: rules.pick(pairs.into_iter()),
         ..Facts::default()
     };
-    let decision = rules.decide(&facts, &mut Scratch::new(1), Path::Index);
+    let decision = rules.decide(&facts, &mut Scratch::new(1), RuleLookup::Index);
     assert!(
-        decision.exhausted && decision.given.is_none() && decision.evaluated_count < 50,
+        decision.exhausted && decision.output.is_none() && decision.evaluated_count < 50,
         "{decision:?}"
     );
-    assert_eq!(decision.faults.last().unwrap().1, EvaluationError::Cost);
+    assert_eq!(decision.errors.last().unwrap().1, EvaluationError::Cost);
     assert!(decision.cost <= rules.request_limit());
 }
 
@@ -338,7 +338,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(8);
     for _ in 0..2000 {
         let request = Request::random(&mut rng);
-        rules.decide(&request.facts(&rules), &mut scratch, Path::Index);
+        rules.decide(&request.facts(&rules), &mut scratch, RuleLookup::Index);
         assert_eq!(
             scratch.bytes(),
             before,
@@ -362,7 +362,7 @@
         ..Facts::default()
     };
     for _ in 0..100 {
-        rules.decide(&facts, &mut scratch, Path::Index);
+        rules.decide(&facts, &mut scratch, RuleLookup::Index);
     }
     assert!(scratch.bytes() < 256 << 10, "{}", scratch.bytes());
 }
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/cluster.rs
@@ -21,7 +21,7 @@
 /// The settings of the cluster. What differs by node (zone, addresses) may come from the
 /// environment instead.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetSettings {
+pub struct ClusterSettings {
     /// The cluster's name.
     pub name: String,
     /// The file with the keys of datagram authentication.
@@ -37,9 +37,9 @@
     /// Addresses of members by which a node joins.
     pub seeds: Vec<SocketAddr>,
     /// Periods and timeouts of the membership protocol.
-    pub periods: Timing,
+    pub timing: Timing,
     /// Names of the voters, who decide on the leader.
-    pub arbiters: Vec<String>,
+    pub voters: Vec<String>,
     /// Limits on the backend calls of all nodes together.
     pub budgets: Vec<Budget>,
     /// The secret from which keys are numbered, the same on all nodes.
@@ -323,13 +323,13 @@
     }
 }
 
-impl FleetSettings {
+impl ClusterSettings {
     /// Reads the element, which fits the schema.
     ///
     /// # Errors
     ///
     /// All that is wrong with what it means, in the order in which it was found.
-    pub fn read(element: &Element) -> Result<FleetSettings, Vec<Diagnostic>> {
+    pub fn read(element: &Element) -> Result<ClusterSettings, Vec<Diagnostic>> {
         let mut reader = Reader {
             collector: Collector::new("fleet/"),
         };
@@ -339,10 +339,10 @@
             .all("calls-budget")
             .filter_map(|budget| reader.budget(budget))
             .collect();
-        let arbiters = reader.arbiters(element);
+        let voters = reader.arbiters(element);
         reader.check_duplicate_budgets(element, &budgets);
-        reader.check_counts(element, arbiters.len());
-        let periods = reader.periods(element);
+        reader.check_counts(element, voters.len());
+        let timing = reader.periods(element);
         let service = reader.service(element);
         let mut address = |name: &str| {
             element
@@ -353,7 +353,7 @@
         if !reader.collector.diagnostics.is_empty() {
             return Err(reader.collector.diagnostics);
         }
-        Ok(FleetSettings {
+        Ok(ClusterSettings {
             name: text("name").unwrap_or_default(),
             keys: text("keys").unwrap_or_default(),
             zone: text("zone"),
@@ -361,8 +361,8 @@
             advertise,
             program: text("program"),
             seeds,
-            periods,
-            arbiters,
+            timing,
+            voters,
             budgets,
             secret: fingerprint(&text("salt").or(text("name")).unwrap_or_default()),
             service,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,8 +5,8 @@
 
 #![forbid(unsafe_code)]
 
+pub mod cluster;
 pub mod diagnostics;
-pub mod fleet;
 pub mod rollout;
 pub mod rule_config;
 pub mod sample_request;
@@ -15,8 +15,8 @@
 pub mod test_case;
 pub mod xml;
 
+pub use cluster::ClusterSettings;
 pub use diagnostics::{Diagnostic, Diagnostics, Location};
-pub use fleet::FleetSettings;
 pub use rollout::RolloutSettings;
 pub use rule_config::{RuleConfig, ValidationContext};
 
@@ -34,7 +34,7 @@
     /// The rules, if it has any.
     pub rules: Option<RuleConfig>,
     /// The cluster, if nodes keep a view of it.
-    pub fleet: Option<FleetSettings>,
+    pub cluster: Option<ClusterSettings>,
     /// How changes go out, if they go out in stages.
     pub rollout: Option<RolloutSettings>,
     /// The number that the file was given (0 if none), and a hash of its text.
@@ -101,10 +101,10 @@
         .one("rules")
         .map(|element| RuleConfig::read(element, context))
         .transpose()?;
-    let fleet = root.one("fleet").map(FleetSettings::read).transpose()?;
-    let has_voters = fleet
+    let cluster = root.one("fleet").map(ClusterSettings::read).transpose()?;
+    let has_voters = cluster
         .as_ref()
-        .is_some_and(|fleet| !fleet.arbiters.is_empty());
+        .is_some_and(|fleet| !fleet.voters.is_empty());
     check_quotas(root, rules.as_ref(), has_voters)?;
     let number = root
         .get("number")
@@ -114,9 +114,9 @@
     check_rollout(root, has_voters, number)?;
     Ok(Settings {
         rules,
-        fleet,
+        cluster,
         rollout,
-        number: (number, fleet::fingerprint(text)),
+        number: (number, cluster::fingerprint(text)),
     })
 }
 
@@ -126,7 +126,7 @@
     rules: Option<&RuleConfig>,
     has_voters: bool,
 ) -> Result<(), Vec<Diagnostic>> {
-    let first = rules.and_then(|rules| rules.fleet.first());
+    let first = rules.and_then(|rules| rules.cluster_quotas.first());
     match first {
         Some((_, quota)) if !has_voters => {
             let location = root
--- a/crates/settings/src/rule_config.rs
+++ b/crates/settings/src/rule_config.rs
@@ -55,7 +55,7 @@
     /// The buckets, in the order of the rule set's bucket indices.
     pub buckets: Vec<Bucket>,
     /// Quotas of the whole cluster, each with the index of its bucket.
-    pub fleet: Vec<(usize, KeyedQuota)>,
+    pub cluster_quotas: Vec<(usize, KeyedQuota)>,
     /// Names of operations, in the order of the rule set's operation indices.
     pub operations: Vec<String>,
     /// Cases that show what the rules do.
@@ -89,7 +89,7 @@
                 .collect();
             vocabulary.operations = named.into_iter().cloned().collect();
         }
-        let (buckets, fleet) = read_buckets(element, &mut collector);
+        let (buckets, cluster_quotas) = read_buckets(element, &mut collector);
         check_keys(&sources, &rules, context, &mut collector);
         let bounds = bounds(element, context, &mut collector);
         let loaded = compile(element, &sources, &vocabulary, &buckets, bounds);
@@ -104,7 +104,7 @@
             Ok(rules) if collector.diagnostics.is_empty() => Ok(RuleConfig {
                 rules,
                 buckets,
-                fleet,
+                cluster_quotas,
                 operations: vocabulary.operations,
                 cases,
             }),
--- a/crates/settings/src/scenario.rs
+++ b/crates/settings/src/scenario.rs
@@ -141,7 +141,7 @@
         program: Option<String>,
     },
     /// Sends datagrams that no member sent.
-    Stranger {
+    UnauthenticatedDatagrams {
         /// To these nodes.
         to: NodeSelector,
         /// How many in a second.
@@ -163,7 +163,7 @@
         /// The other node.
         other: String,
         /// The liveness, as status commands print it.
-        held: String,
+        liveness: String,
         /// At the latest after this.
         within: Duration,
     },
@@ -286,7 +286,7 @@
     /// The most of them at once.
     pub burst: u32,
     /// Requests of each key in flight; no such limit if 0.
-    pub in_hand: u32,
+    pub max_in_flight: u32,
     /// The units of these that are each node's guaranteed floor.
     pub floor: u32,
 }
@@ -320,13 +320,13 @@
     /// A budget of backend calls a second for all nodes together; none if 0.
     pub calls_a_second: u32,
     /// A budget of backend calls in flight; none if 0.
-    pub calls_in_hand: u32,
+    pub max_calls_in_flight: u32,
     /// A budget of retries a second; none if 0.
-    pub repeats_a_second: u32,
+    pub retries_a_second: u32,
     /// The units of the budgets that are each node's guaranteed floor.
     pub floor: u32,
     /// The backend service.
-    pub below: BackendModel,
+    pub backend: BackendModel,
     /// A keyed quota; none if there are no keys.
     pub keys: KeyedLimit,
     /// Nodes with little memory, which take only small settings files.
--- a/crates/settings/src/scenario/parse.rs
+++ b/crates/settings/src/scenario/parse.rs
@@ -51,7 +51,7 @@
             .collect();
     }
     if let Some(element) = root.one("below") {
-        scenario.below = backend(element);
+        scenario.backend = backend(element);
     }
     if let Some(element) = root.one("keys") {
         scenario.keys = keyed_limit(element);
@@ -85,9 +85,9 @@
         load: number(root, "load").unwrap_or(0),
         callers: number(root, "callers").unwrap_or(1),
         calls_a_second: number(root, "calls-a-second").unwrap_or(0) as u32,
-        calls_in_hand: number(root, "calls-in-hand").unwrap_or(0) as u32,
-        repeats_a_second: number(root, "repeats-a-second").unwrap_or(0) as u32,
-        below: BackendModel::default(),
+        max_calls_in_flight: number(root, "calls-in-hand").unwrap_or(0) as u32,
+        retries_a_second: number(root, "repeats-a-second").unwrap_or(0) as u32,
+        backend: BackendModel::default(),
         keys: KeyedLimit::default(),
         floor: number(root, "floor").unwrap_or(1) as u32,
         small: words("small"),
@@ -116,7 +116,7 @@
         count: u64::from(number("count")),
         a_second: number("a-second"),
         burst: number("burst").max(1),
-        in_hand: number("in-hand"),
+        max_in_flight: number("in-hand"),
         floor: number("floor"),
     }
 }
@@ -177,7 +177,7 @@
             name: text(element, "as").map(str::to_owned),
             program: text(element, "program").map(str::to_owned),
         },
-        "stranger" => Action::Stranger {
+        "stranger" => Action::UnauthenticatedDatagrams {
             to: selector(element, "to"),
             a_second: number(element, "a-second")?,
             time: time()?,
@@ -238,7 +238,7 @@
         "sees" => Action::Sees {
             node: node(),
             other: text(element, "other")?.to_owned(),
-            held: text(element, "held")?.to_owned(),
+            liveness: text(element, "held")?.to_owned(),
             within: duration(element, "within")?,
         },
         "holds" => Action::Holds {
--- a/crates/settings/src/test_case.rs
+++ b/crates/settings/src/test_case.rs
@@ -2,7 +2,7 @@
 
 use crate::RuleConfig;
 use crate::sample_request::SampleRequest;
-use madderpoint_rules::{Path, Scratch, Verdict};
+use madderpoint_rules::{RuleLookup, Scratch, Verdict};
 
 /// A test case.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -40,8 +40,8 @@
         let mut scratch = Scratch::new(0);
         scratch.shows_keys = true;
         let facts = self.request.facts(&config.rules);
-        let decision = config.rules.decide(&facts, &mut scratch, Path::Index);
-        let given = decision.given.as_ref();
+        let decision = config.rules.decide(&facts, &mut scratch, RuleLookup::Index);
+        let given = decision.output.as_ref();
         let verdict = given.map(|g| match g.rule.verdict {
             Some(Verdict::Throttle { .. }) => "throttle",
             Some(Verdict::Error { .. }) => "error",
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -227,7 +227,7 @@
         include_str!("../src/rule_config/buckets.rs"),
         include_str!("../src/rule_config/cases.rs"),
         include_str!("../src/rule_config/vocabulary.rs"),
-        include_str!("../src/fleet.rs"),
+        include_str!("../src/cluster.rs"),
         include_str!("../src/rollout.rs"),
         include_str!("../src/lib.rs"),
     ]
@@ -338,7 +338,7 @@
     )
     .replace("0.1.0+b", "0.1.0-b");
     let read = read("t.xml", &text, &ValidationContext::permissive()).unwrap();
-    let fleet = read.fleet.unwrap();
+    let fleet = read.cluster.unwrap();
     assert_eq!(
         (
             fleet.seeds.len(),
@@ -349,9 +349,9 @@
     );
     assert_eq!(
         (
-            fleet.periods.probe,
-            fleet.periods.probe_timeout,
-            fleet.periods.suspicion
+            fleet.timing.probe,
+            fleet.timing.probe_timeout,
+            fleet.timing.suspicion
         ),
         (500_000_000, 150_000_000, 2.5)
     );
@@ -545,7 +545,11 @@
     let good = "name=\"b\" scope=\"fleet\" rate=\"90/m\" burst=\"60\" in-hand=\"50\" floor=\"1\" nodes-most=\"40\" longest=\"2s\"";
     let read = read("t.xml", &file(good, fleet), &known()).unwrap();
     let rules = read.rules.unwrap();
-    let kinds: Vec<QuotaKind> = rules.fleet.iter().map(|(_, budget)| budget.kind).collect();
+    let kinds: Vec<QuotaKind> = rules
+        .cluster_quotas
+        .iter()
+        .map(|(_, budget)| budget.kind)
+        .collect();
     let (period, longest) = (60_000_000_000, 2_000_000_000);
     assert_eq!(
         kinds,
@@ -563,8 +567,8 @@
     );
     assert_eq!(
         (
-            rules.fleet[0].1.floor,
-            rules.fleet[1].1.max_nodes,
+            rules.cluster_quotas[0].1.floor,
+            rules.cluster_quotas[1].1.max_nodes,
             rules.buckets[0].rate
         ),
         (1, 40, None)
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -172,7 +172,7 @@
     fn arrival(&self, fields: &mut Fields<'_>) -> Result<Arrival, Malformed> {
         let id = RequestId(fields.u64("Ticket")?);
         let operation = usize::from(fields.u8("Kind")?);
-        if operation >= self.config.operations.len() {
+        if operation >= self.config.operation_names.len() {
             return Err(fields.malformed("Kind", Cause::NoOperation(operation)));
         }
         let tenant = usize::from(fields.u16("Party")?);
@@ -188,7 +188,7 @@
         Ok(Arrival {
             id,
             operation: OperationId(operation),
-            tenant: (tenant < self.config.tenants.len()).then_some(TenantId(tenant)),
+            tenant: (tenant < self.config.tenant_names.len()).then_some(TenantId(tenant)),
             load_balancer,
             has_subject: subject != 0,
             time_left: present(time_left).filter(|_| self.config.passes_deadline),
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -74,7 +74,7 @@
 
 #[test]
 fn gauges_are_read_by_name() {
-    let names = decode(FACTS.as_bytes()).map(|config| config.gauges);
+    let names = decode(FACTS.as_bytes()).map(|config| config.gauge_names);
     assert_eq!(names, Ok(vec!["novel".to_owned(), "cpu_busy".to_owned()]));
 }
 
--- a/crates/test-harness/src/bin/madderpoint-fault-test.rs
+++ b/crates/test-harness/src/bin/madderpoint-fault-test.rs
@@ -122,7 +122,7 @@
         println!("  {what}: {seconds:.2} s");
     }
     let backend = outcome.backend;
-    if script.calls_a_second + script.calls_in_hand > 0 || script.below.judged {
+    if script.calls_a_second + script.max_calls_in_flight > 0 || script.backend.judged {
         println!(
             "  backend calls: {}, {} in the busiest second, {} in flight at most, {} tries while it was down",
             backend.calls,
--- a/crates/test-harness/src/fault_scenario.rs
+++ b/crates/test-harness/src/fault_scenario.rs
@@ -192,10 +192,10 @@
         let faults = Arc::new(Faults::new(script.seed));
         let datagram_proxy = DatagramProxy::start(locations.clone(), Arc::clone(&faults))?;
         let backend = BackendService::start(BackendConfig {
-            work: script.below.work,
-            survives: script.below.survives,
-            down: script.below.down,
-            warm: script.below.warm,
+            work: script.backend.work,
+            survives: script.backend.survives,
+            down: script.backend.down,
+            warm: script.backend.warm,
         });
         let keys = KeyRecord::default();
         let nodes = create_nodes(
--- a/crates/test-harness/src/fault_scenario/checks.rs
+++ b/crates/test-harness/src/fault_scenario/checks.rs
@@ -105,7 +105,7 @@
                 "{most} backend calls in a second, {limit} and {saved} saved allowed"
             ));
         }
-        let limit = self.script.calls_in_hand as usize;
+        let limit = self.script.max_calls_in_flight as usize;
         // A call that was checked just before a process was paused goes out when it continues.
         if limit > 0 && backend.most_in_flight > limit + self.pause_count {
             failures.push(format!(
@@ -124,7 +124,7 @@
                 backend.crashes
             ));
         }
-        if self.script.below.slow_start {
+        if self.script.backend.slow_start {
             let rate = f64::from(self.script.calls_a_second);
             match self.backend.excess_after_restart(rate) {
                 Some(excess) if excess <= 0.0 => self.outcome.excess_after_restart = Some(excess),
@@ -135,7 +135,7 @@
             }
         }
         let tries = backend.connections_while_down;
-        if let Some(most) = self.script.below.tries_most.filter(|most| tries > *most) {
+        if let Some(most) = self.script.backend.tries_most.filter(|most| tries > *most) {
             failures.push(format!(
                 "{tries} tries while the backend service was down, {most} allowed"
             ));
@@ -153,10 +153,10 @@
         if keys.a_second > 0 && excess > self.nodes.len() as f64 {
             failures.push(format!("a key was over its limit by {excess:.1}"));
         }
-        if keys.in_hand > 0 && in_flight > keys.in_hand as usize + self.pause_count {
+        if keys.max_in_flight > 0 && in_flight > keys.max_in_flight as usize + self.pause_count {
             failures.push(format!(
                 "{in_flight} of a key in flight, {} allowed",
-                keys.in_hand
+                keys.max_in_flight
             ));
         }
     }
--- a/crates/test-harness/src/fault_scenario/config.rs
+++ b/crates/test-harness/src/fault_scenario/config.rs
@@ -42,15 +42,18 @@
     pub(super) fn shared(&self) -> String {
         let Scenario {
             calls_a_second,
-            calls_in_hand,
-            repeats_a_second,
+            max_calls_in_flight,
+            retries_a_second,
             floor,
-            below,
+            backend,
             keys,
             ..
         } = &self.script;
         let mut text = String::new();
-        if calls_a_second + calls_in_hand + repeats_a_second > 0 || keys.count > 0 || below.judged {
+        if calls_a_second + max_calls_in_flight + retries_a_second > 0
+            || keys.count > 0
+            || backend.judged
+        {
             text += "<arbiter name=\"n0\"/><arbiter name=\"n1\"/><arbiter name=\"n2\"/>";
         }
         let most = self.nodes.len();
@@ -62,9 +65,14 @@
             }
         };
         budget("below", *calls_a_second, "a-second", "");
-        budget("hands", *calls_in_hand, "in-hand", "longest=\"1500ms\"");
-        budget("repeats", *repeats_a_second, "a-second", "of=\"repeats\"");
-        if below.judged {
+        budget(
+            "hands",
+            *max_calls_in_flight,
+            "in-hand",
+            "longest=\"1500ms\"",
+        );
+        budget("repeats", *retries_a_second, "a-second", "of=\"repeats\"");
+        if backend.judged {
             text += "<service name=\"below\" slow=\"700ms\"/>";
         }
         text
@@ -76,7 +84,7 @@
             count,
             a_second,
             burst,
-            in_hand,
+            max_in_flight: in_hand,
             floor,
         } = self.script.keys;
         if count == 0 {
--- a/crates/test-harness/src/fault_scenario/expectations.rs
+++ b/crates/test-harness/src/fault_scenario/expectations.rs
@@ -82,7 +82,7 @@
             Action::Sees {
                 node,
                 other,
-                held,
+                liveness: held,
                 within,
             } => {
                 let n = self.node(node);
--- a/crates/test-harness/src/fault_scenario/steps.rs
+++ b/crates/test-harness/src/fault_scenario/steps.rs
@@ -52,7 +52,9 @@
                 fails,
                 ..
             } => self.backend.impair(zone.clone(), *time, *slower, *fails),
-            Action::Stranger { to, a_second, time } => self.start_flood(to, *a_second, *time),
+            Action::UnauthenticatedDatagrams { to, a_second, time } => {
+                self.start_flood(to, *a_second, *time)
+            }
             Action::Disk { node, full } => self.fill(index, node, *full),
             Action::Offer {
                 node,
