--- a/crates/node/src/cli/arguments.rs
+++ b/crates/node/src/cli/arguments.rs
@@ -31,7 +31,7 @@
     /// Reads and checks the file. `None` if it has errors: they have been shown.
     pub fn read(&self) -> Result<Option<Settings>, CommandError> {
         let known = match &self.config {
-            Some(config) => serve::known(&read_deployment(config)?),
+            Some(config) => serve::validation_context(&read_deployment(config)?),
             None => ValidationContext::permissive(),
         };
         if !self.path.is_file() {
--- a/crates/node/src/cli/shared.rs
+++ b/crates/node/src/cli/shared.rs
@@ -60,7 +60,7 @@
     node: SocketAddr,
     tries: u32,
 ) -> Result<Option<StatusSnapshot>, CommandError> {
-    let bytes = NodeQuery::for_topic(settings, node, madderpoint_node::io::SHARED)?
+    let bytes = NodeQuery::for_topic(settings, node, madderpoint_node::io::SHARED_STATE_TOPIC)?
         .request_status_pages(tries)?;
     bytes
         .map(|bytes| {
--- a/crates/node/src/executor.rs
+++ b/crates/node/src/executor.rs
@@ -51,7 +51,7 @@
     /// It was preempted, or came to a backend call after its client had gone.
     Stopped,
     /// It was never started.
-    Moot,
+    NeverStarted,
 }
 
 /// Something that the executor should not have sent.
@@ -87,7 +87,7 @@
         up_ms: f64,
     },
     /// An execution has ended.
-    Reap {
+    ExecutionEnded {
         /// The request's correlation id.
         rid: String,
         /// How it ended.
@@ -98,7 +98,7 @@
         body: Vec<u8>,
     },
     /// An execution waits for a backend call.
-    IoReq {
+    BackendCallNeeded {
         /// The notice's number, which a refusal names.
         no: u64,
         /// The request's correlation id.
@@ -114,14 +114,14 @@
         values: Vec<f64>,
     },
     /// The work of a deep health check has ended.
-    Posted {
+    HealthCheckDone {
         /// The number of the command that asked for it.
         mark: u64,
         /// Whether it succeeded.
         ok: bool,
     },
     /// A command was not carried out.
-    EInval {
+    CommandRefused {
         /// The command's name.
         command: String,
         /// The request's correlation id; empty where the command concerned none.
@@ -181,7 +181,7 @@
 ///     reader.feed(part.as_bytes(), &mut |notice| notices.push(notice)).unwrap();
 /// }
 /// let rid = "9b1f".to_owned();
-/// assert_eq!(notices, [Notice::Reap { rid, end: End::Moot, time_ms: 2.0, body: vec![] }]);
+/// assert_eq!(notices, [Notice::ExecutionEnded { rid, end: End::NeverStarted, time_ms: 2.0, body: vec![] }]);
 /// assert_eq!(reader.open(), 1); // a new link asks for what came after it
 /// ```
 #[derive(Default)]
@@ -275,17 +275,17 @@
             let (end, body) = match (&*line.status?, body(line.b64)) {
                 (notice_name::OK, Some(body)) => (End::Ok, body),
                 (notice_name::STOPPED, _) => (End::Stopped, Vec::new()),
-                (notice_name::MOOT, _) => (End::Moot, Vec::new()),
+                (notice_name::MOOT, _) => (End::NeverStarted, Vec::new()),
                 _ => (End::Error, Vec::new()),
             };
-            Notice::Reap {
+            Notice::ExecutionEnded {
                 rid: rid?,
                 end,
                 time_ms: line.time_ms.unwrap_or(0.0).max(0.0),
                 body,
             }
         }
-        notice_name::IOREQ => Notice::IoReq {
+        notice_name::IOREQ => Notice::BackendCallNeeded {
             no: line.no?,
             rid: rid?,
             body: body(line.b64)?,
@@ -294,11 +294,11 @@
             mark: mark?,
             values: line.v?,
         },
-        notice_name::POSTED => Notice::Posted {
+        notice_name::POSTED => Notice::HealthCheckDone {
             mark: mark?,
             ok: line.status? == notice_name::OK,
         },
-        notice_name::EINVAL => Notice::EInval {
+        notice_name::EINVAL => Notice::CommandRefused {
             command: line.status?.into_owned(),
             rid: rid.unwrap_or_default(),
         },
@@ -313,7 +313,7 @@
     /// Begin a connection: send the notices after the one of this number.
     Open(u64),
     /// Start the execution of a request.
-    Sched {
+    StartExecution {
         /// The request's correlation id.
         rid: &'a str,
         /// The operation's name.
@@ -324,14 +324,14 @@
     /// Stop the execution of the request with this correlation id.
     Preempt(&'a str),
     /// Continue an execution with the reply to its backend call.
-    IoDone {
+    ResumeWithReply {
         /// The request's correlation id.
         rid: &'a str,
         /// The reply.
         body: &'a [u8],
     },
     /// Continue an execution without the backend call that it asked for.
-    NoIo {
+    ResumeWithoutReply {
         /// The request's correlation id.
         rid: &'a str,
         /// The number of the notice that asked for it.
@@ -340,7 +340,7 @@
     /// Send the executor gauges; the number comes back with them.
     SysInfo(u64),
     /// Do the work of a deep health check; the number comes back with its result.
-    Post(u64),
+    HealthCheck(u64),
 }
 
 impl Command<'_> {
@@ -351,7 +351,7 @@
         let quoted = |text: &str| serde_json::Value::from(text).to_string();
         let done = match *self {
             Command::Open(no) => write!(line, r#"{{"t":"{OPEN}","no":{no}}}"#),
-            Command::Sched { rid, route, body } => {
+            Command::StartExecution { rid, route, body } => {
                 let (route, body) = (quoted(route), STANDARD.encode(body));
                 write!(
                     line,
@@ -359,18 +359,18 @@
                 )
             }
             Command::Preempt(rid) => write!(line, r#"{{"t":"{PREEMPT}","rid":"{rid}"}}"#),
-            Command::IoDone { rid, body } => {
+            Command::ResumeWithReply { rid, body } => {
                 write!(
                     line,
                     r#"{{"t":"{IODONE}","rid":"{rid}","b64":"{}"}}"#,
                     STANDARD.encode(body)
                 )
             }
-            Command::NoIo { rid, no } => {
+            Command::ResumeWithoutReply { rid, no } => {
                 write!(line, r#"{{"t":"{NOIO}","rid":"{rid}","no":{no}}}"#)
             }
             Command::SysInfo(mark) => write!(line, r#"{{"t":"{SYSINFO}","mark":"{mark}"}}"#),
-            Command::Post(mark) => write!(line, r#"{{"t":"{POST}","mark":"{mark}"}}"#),
+            Command::HealthCheck(mark) => write!(line, r#"{{"t":"{POST}","mark":"{mark}"}}"#),
         };
         debug_assert!(done.is_ok(), "a string takes all that is written");
         line.push('\n');
--- a/crates/node/src/executor/tests.rs
+++ b/crates/node/src/executor/tests.rs
@@ -34,7 +34,7 @@
             cold: true,
             up_ms: 12.5,
         },
-        Notice::IoReq {
+        Notice::BackendCallNeeded {
             no: 1,
             rid: rid(),
             body: vec![0, 1, 255],
@@ -43,17 +43,17 @@
             mark: 7,
             values: vec![0.5, 2.0, 0.25, 9.0],
         },
-        Notice::Reap {
+        Notice::ExecutionEnded {
             rid: rid(),
             end: End::Ok,
             time_ms: 31.0,
             body: b"ok".to_vec(),
         },
-        Notice::EInval {
+        Notice::CommandRefused {
             command: "SCHED".into(),
             rid: "00".into(),
         },
-        Notice::Posted { mark: 8, ok: false },
+        Notice::HealthCheckDone { mark: 8, ok: false },
     ];
     assert_eq!(read(&[TALK.as_bytes()]), (expected, Ok(())));
     same_at_every_split(TALK.as_bytes(), read);
@@ -138,7 +138,7 @@
     for (command, line) in [
         (Command::Open(3), r#"{"t":"OPEN","no":3}"#),
         (
-            Command::Sched {
+            Command::StartExecution {
                 rid,
                 route: "a\"b",
                 body: &[0, 1, 255],
@@ -150,15 +150,15 @@
             r#"{"t":"PREEMPT","rid":"9b1f03aa5c7e2d41"}"#,
         ),
         (
-            Command::IoDone { rid, body: b"ok" },
+            Command::ResumeWithReply { rid, body: b"ok" },
             r#"{"t":"IODONE","rid":"9b1f03aa5c7e2d41","b64":"b2s="}"#,
         ),
         (
-            Command::NoIo { rid, no: 4 },
+            Command::ResumeWithoutReply { rid, no: 4 },
             r#"{"t":"NOIO","rid":"9b1f03aa5c7e2d41","no":4}"#,
         ),
         (Command::SysInfo(5), r#"{"t":"SYSINFO","mark":"5"}"#),
-        (Command::Post(6), r#"{"t":"POST","mark":"6"}"#),
+        (Command::HealthCheck(6), r#"{"t":"POST","mark":"6"}"#),
     ] {
         assert_eq!(command.line(), format!("{line}\n"));
     }
@@ -172,7 +172,7 @@
         "\"LATER\",\"b64\":\"b2s=\"",
     ] {
         let line = format!("{{\"t\":\"REAP\",\"no\":1,\"rid\":\"aa\",\"status\":{rest}}}\n");
-        let expected = Notice::Reap {
+        let expected = Notice::ExecutionEnded {
             rid: "aa".into(),
             end: End::Error,
             time_ms: 0.0,
--- a/crates/node/src/fastcgi/tests.rs
+++ b/crates/node/src/fastcgi/tests.rs
@@ -222,7 +222,7 @@
 fn damage_ends_in_events_or_an_error() {
     let whole = support::request(
         1,
-        &support::call("/call/read", "00000000000000aa", "5"),
+        &support::call_params("/call/read", "00000000000000aa", "5"),
         b"body",
     );
     let mut broke = 0;
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -21,7 +21,7 @@
 mod stream;
 mod threads;
 
-pub use cluster_link::{ClusterSettingsUpdate, ClusterSetup, SHARED, zone_number};
+pub use cluster_link::{ClusterSettingsUpdate, ClusterSetup, SHARED_STATE_TOPIC, zone_number};
 pub use rollout_link::{
     PROGRAM_ROLLOUT_TOPIC, RolloutSetup, SETTINGS_ROLLOUT_TOPIC, VersionError, Versions,
 };
--- a/crates/node/src/io/backend_link/tests.rs
+++ b/crates/node/src/io/backend_link/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::config::PeerAddresses;
 use crossbeam_utils::atomic::AtomicCell;
-use madderpoint_test_harness::peers::{PATIENCE, listen, unused_address};
+use madderpoint_test_harness::peers::{WAIT_TIMEOUT, listen, unused_address};
 use std::net::TcpListener;
 use std::time::Instant;
 
@@ -52,12 +52,12 @@
 
     fn accept(&self) -> TcpStream {
         let (stream, _) = self.backend.accept().unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream
     }
 
     fn event(&self) -> Event {
-        match self.events.recv_timeout(PATIENCE).unwrap() {
+        match self.events.recv_timeout(WAIT_TIMEOUT).unwrap() {
             Message::Event(event) => event,
             _ => panic!("no event"),
         }
--- a/crates/node/src/io/client_reader/tests.rs
+++ b/crates/node/src/io/client_reader/tests.rs
@@ -9,7 +9,7 @@
 use crate::io::client_connections::Connection;
 use crate::io::stream::READ;
 use crate::node::Event;
-use madderpoint_test_harness::peers::{PATIENCE, ping};
+use madderpoint_test_harness::peers::{WAIT_TIMEOUT, ping};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
@@ -131,7 +131,7 @@
 
 fn connect(address: SocketAddr) -> TcpStream {
     let client = TcpStream::connect(address).unwrap();
-    client.set_read_timeout(Some(PATIENCE)).unwrap();
+    client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     client
 }
 
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -14,7 +14,7 @@
 mod setup;
 
 pub use commands::{ClusterLink, ClusterSettingsUpdate};
-pub use hosts::SHARED;
+pub use hosts::SHARED_STATE_TOPIC;
 pub use setup::{ClusterSetup, zone_number};
 
 use super::inbox::Message;
--- a/crates/node/src/io/cluster_link/event_loop.rs
+++ b/crates/node/src/io/cluster_link/event_loop.rs
@@ -4,7 +4,9 @@
 
 use super::commands::{ClusterSettingsUpdate, LinkCommand};
 use super::health_exchange::HealthExchange;
-use super::hosts::{MembershipHost, ReceivedPayload, RenderedStatus, SHARED, SharedStateHost};
+use super::hosts::{
+    MembershipHost, ReceivedPayload, RenderedStatus, SHARED_STATE_TOPIC, SharedStateHost,
+};
 use crate::cluster::ClusterUpdate;
 use crate::io::inbox::Message;
 use crate::io::rollout_link::{RolloutLink, SETTINGS_ROLLOUT_TOPIC, topic};
@@ -273,7 +275,7 @@
             let from = MemberKey(payload.from.key);
             if let Some(rollout) = find_rollout(&mut self.rollouts, payload.topic) {
                 rollout.handle_message((self.clock)(), from, &payload.bytes);
-            } else if payload.topic == SHARED {
+            } else if payload.topic == SHARED_STATE_TOPIC {
                 self.handle_shared_payload(&payload);
             }
         }
@@ -313,12 +315,17 @@
         let (clock, membership) = (&self.clock, &mut self.membership);
         if messages::IS_LATER_VERSION && !shared_state.host.sent.is_empty() {
             for key in membership.random_members(1) {
-                membership.send_payload(clock(), key, SHARED, &messages::unknown_kind_payload());
+                membership.send_payload(
+                    clock(),
+                    key,
+                    SHARED_STATE_TOPIC,
+                    &messages::unknown_kind_payload(),
+                );
             }
         }
         for (to, message) in std::mem::take(&mut shared_state.host.sent) {
             let payload = messages::encode(&message);
-            membership.send_payload(clock(), MemberKey(to), SHARED, &payload);
+            membership.send_payload(clock(), MemberKey(to), SHARED_STATE_TOPIC, &payload);
         }
     }
 
--- a/crates/node/src/io/cluster_link/health_exchange.rs
+++ b/crates/node/src/io/cluster_link/health_exchange.rs
@@ -1,7 +1,7 @@
 //! Health reports about the backend service that the nodes send each other, and their sum for the
 //! core.
 
-use super::hosts::{MembershipHost, SHARED};
+use super::hosts::{MembershipHost, SHARED_STATE_TOPIC};
 use crate::io::inbox::Message;
 use crate::node::Event;
 use madderpoint_membership::{ClockReading, MemberKey, Membership, Nanos};
@@ -55,7 +55,7 @@
             let message = SharedMessage::HealthReports(vec![(self.service, report)]);
             let payload = encode(&message);
             for key in membership.random_members(REPORT_RECEIVERS) {
-                membership.send_payload(at, key, SHARED, &payload);
+                membership.send_payload(at, key, SHARED_STATE_TOPIC, &payload);
             }
         }
         let mut health = self.health_reports.aggregate(at.now, self.service);
--- a/crates/node/src/io/cluster_link/hosts.rs
+++ b/crates/node/src/io/cluster_link/hosts.rs
@@ -14,7 +14,7 @@
 use tracing::info;
 
 /// The topic of the shared state, for payloads and status pages.
-pub const SHARED: u32 = 1;
+pub const SHARED_STATE_TOPIC: u32 = 1;
 /// A status snapshot is rendered anew after this many nanoseconds.
 const STATUS_LIFETIME: Nanos = 200_000_000;
 /// Operator commands that may wait for the next turn of the event loop.
@@ -216,7 +216,7 @@
     }
 
     fn status_page(&mut self, topic: u32, from: u64) -> Option<(Vec<u8>, u64)> {
-        if topic != SHARED {
+        if topic != SHARED_STATE_TOPIC {
             return self.rollout_status_page(topic, from);
         }
         if !self.has_shared_state {
--- a/crates/node/src/node/execution.rs
+++ b/crates/node/src/node/execution.rs
@@ -21,24 +21,26 @@
             Notice::Info { mark, values } => {
                 self.state.borrow_mut().gauges_received(mark, values);
             }
-            Notice::Posted { mark, ok } => self.state.borrow_mut().health_check_done(mark, ok),
+            Notice::HealthCheckDone { mark, ok } => {
+                self.state.borrow_mut().health_check_done(mark, ok)
+            }
             Notice::Odd(anomaly, times) => {
                 let metric = Metric::ExecutorAnomaly(anomaly);
                 self.state.borrow_mut().count(metric, times);
             }
-            Notice::EInval { command, rid } => {
+            Notice::CommandRefused { command, rid } => {
                 let failed = self.state.borrow_mut().command_refused(&command, &rid);
                 if let Some(id) = failed {
                     self.execution_ended(now, id, ExecutionOutcome::Failed, 0);
                 }
             }
-            Notice::IoReq { no, rid, body } => {
+            Notice::BackendCallNeeded { no, rid, body } => {
                 let id = self.state.borrow_mut().backend_call_needed(&rid, no, body);
                 if let (Some(id), Some(admission)) = (id, &mut self.admission) {
                     admission.on_backend_call_needed(now, id);
                 }
             }
-            Notice::Reap {
+            Notice::ExecutionEnded {
                 rid,
                 end,
                 time_ms,
@@ -51,7 +53,7 @@
                     End::Ok => ExecutionOutcome::Succeeded,
                     End::Error => ExecutionOutcome::Failed,
                     End::Stopped => ExecutionOutcome::Cancelled,
-                    End::Moot => ExecutionOutcome::NeverStarted,
+                    End::NeverStarted => ExecutionOutcome::NeverStarted,
                 };
                 self.execution_ended(now, id, outcome, millis_to_nanos(time_ms));
             }
--- a/crates/node/src/node/tests/coalescing.rs
+++ b/crates/node/src/node/tests/coalescing.rs
@@ -8,7 +8,7 @@
         TestNode::with_settings(&wire::SETTINGS.replace("\"Fresh\": 0.0", "\"Fresh\": 1.0"));
     let ask = |node: &mut TestNode, id, correlation_id| {
         let arrived = (node.now / MS).to_string();
-        let mut params = wire::call("/call/read", correlation_id, &arrived);
+        let mut params = wire::call_params("/call/read", correlation_id, &arrived);
         params.push(("HTTP_X_SUBJECT", "7f3a9c21e0b4d655"));
         node.send(id, &params, b"body");
     };
@@ -40,7 +40,7 @@
         &settings.replace("}]}", r#"}, {"Name": "other", "QuotaRps": 50.0}]}"#),
     );
     let ask = |node: &mut TestNode, id, correlation_id, tenant, body: &[u8]| {
-        let params = wire::call("/call/read", correlation_id, "1000");
+        let params = wire::call_params("/call/read", correlation_id, "1000");
         let params: Vec<_> = params
             .into_iter()
             .filter(|(name, _)| *name != "HTTP_X_ORG")
--- a/crates/node/src/node/tests/connections.rs
+++ b/crates/node/src/node/tests/connections.rs
@@ -104,7 +104,10 @@
             .with_actions(|actions| actions.close_orders[&ConnectionId(1)].events_handled),
         1
     );
-    let (keep_conn, params) = (true, wire::pairs(&wire::call("/call/read", B, "3000")));
+    let (keep_conn, params) = (
+        true,
+        wire::pairs(&wire::call_params("/call/read", B, "3000")),
+    );
     let request = fastcgi::Request {
         id: 2,
         keep_conn,
@@ -194,7 +197,7 @@
         [ConnectionId(1)]
     );
     node.call(1, "/call/read", A); // on a new connection; the executor does not know it
-    node.event(Event::Executor(Notice::EInval {
+    node.event(Event::Executor(Notice::CommandRefused {
         command: "SCHED".into(),
         rid: A.into(),
     }));
@@ -204,10 +207,10 @@
     assert_eq!(paced(&mut node)[7..], [0]);
     node.wait(5000);
     let old = (node.now / MS - 4000).to_string(); // too late to be run
-    (0..1000).for_each(|id| node.send(id, &wire::call("/call/read", A, &old), b""));
+    (0..1000).for_each(|id| node.send(id, &wire::call_params("/call/read", A, &old), b""));
     assert_eq!(paced(&mut node).len(), 8); // a load balancer may be rejected at any rate
     node.connection_id = ConnectionId(9);
     node.event(Event::Connected(ConnectionId(9), None));
-    (0..128).for_each(|id| node.send(id, &wire::call("/call/read", A, &old), b""));
+    (0..128).for_each(|id| node.send(id, &wire::call_params("/call/read", A, &old), b""));
     assert_eq!(paced(&mut node)[8..], [50]);
 }
--- a/crates/node/src/node/tests/executor_link.rs
+++ b/crates/node/src/node/tests/executor_link.rs
@@ -79,7 +79,7 @@
     assert_eq!(node.statuses(), [(1, "500".into())]);
     // Its request is over: this only asks.
     assert_eq!(node.executor_commands(), [start_command(A, "pay")]);
-    node.end_execution(A, End::Moot, b"");
+    node.end_execution(A, End::NeverStarted, b"");
     node.call(2, "/call/pay", B);
     assert_eq!(node.executor_commands(), [start_command(B, "pay")]);
 }
@@ -238,7 +238,7 @@
     node.wait(11_000); // it failed at its client timeout, and nothing was heard of it since
     assert_eq!(node.statuses(), [(1, "500".into())]);
     assert!(node.executor_commands().contains(&start_command(A, "pay")));
-    node.end_execution(A, End::Moot, b"");
+    node.end_execution(A, End::NeverStarted, b"");
     node.call(2, "/call/pay", B);
     assert_eq!(node.executor_commands(), [start_command(B, "pay")]);
 }
@@ -247,11 +247,11 @@
 fn a_request_whose_start_the_executor_refuses_fails() {
     let mut node = TestNode::new();
     node.call(1, "/call/read", A);
-    node.event(Event::Executor(Notice::EInval {
+    node.event(Event::Executor(Notice::CommandRefused {
         command: "SCHED".into(),
         rid: A.into(),
     }));
-    node.event(Event::Executor(Notice::EInval {
+    node.event(Event::Executor(Notice::CommandRefused {
         command: "NOIO".into(),
         rid: "zz".into(),
     }));
--- a/crates/node/src/node/tests/health_checks.rs
+++ b/crates/node/src/node/tests/health_checks.rs
@@ -17,7 +17,7 @@
         node.send(id, &deep, b"");
         let post = node.executor_commands().pop().unwrap();
         let mark = post.split('"').nth(7).unwrap().parse().unwrap();
-        node.event(Event::Executor(Notice::Posted { mark, ok }));
+        node.event(Event::Executor(Notice::HealthCheckDone { mark, ok }));
         assert_eq!(node.statuses(), [(id, status.into())]);
     }
     node.send(5, &deep, b"");
--- a/crates/node/src/node/tests/idempotency.rs
+++ b/crates/node/src/node/tests/idempotency.rs
@@ -28,7 +28,7 @@
     ) {
         let arrived = (self.now / MS - age_ms).to_string();
         let named = |(name, _): &(&str, &str)| more.iter().all(|(n, _)| n != name);
-        let call = wire::call("/call/book", correlation_id, &arrived);
+        let call = wire::call_params("/call/book", correlation_id, &arrived);
         let params: Vec<_> = call
             .into_iter()
             .filter(named)
@@ -105,7 +105,7 @@
     node.send(
         4,
         &[
-            wire::call("/call/read", C, "1000"),
+            wire::call_params("/call/read", C, "1000"),
             vec![("HTTP_X_OPERATION_KEY", KEY)],
         ]
         .concat(),
@@ -220,7 +220,7 @@
     let mut node = TestNode::new();
     node.try_of(1, A, KEY, 0);
     node.executor_commands();
-    node.event(Event::Executor(Notice::EInval {
+    node.event(Event::Executor(Notice::CommandRefused {
         command: "SCHED".into(),
         rid: A.into(),
     }));
@@ -234,7 +234,7 @@
         node.connection_id,
         fastcgi::Event::Abort(1),
     ));
-    node.end_execution(A, End::Moot, b"");
+    node.end_execution(A, End::NeverStarted, b"");
     node.executor_commands();
     node.answers();
     node.try_of(2, B, KEY, 0);
@@ -253,7 +253,7 @@
     node.answer_gauges();
     node.wait(1100);
     assert_eq!(node.statuses(), [(1, "500".into())], "in doubt");
-    node.end_execution(A, End::Moot, b"");
+    node.end_execution(A, End::NeverStarted, b"");
     node.executor_commands();
     node.try_of(2, B, KEY, 0);
     assert_eq!(
@@ -267,7 +267,7 @@
     let told = wire::SETTINGS.replace(r#""Cores": 1"#, r#""Cores": 1, "PassesDeadline": true"#);
     let patience = |settings: &str, more: &[(&str, &str)]| {
         let mut node = TestNode::with_settings(settings);
-        let call = [wire::call("/call/read", A, "900"), more.to_vec()].concat();
+        let call = [wire::call_params("/call/read", A, "900"), more.to_vec()].concat();
         node.send(1, &call, b"body");
         let from = node.now;
         loop {
--- a/crates/node/src/node/tests/properties.rs
+++ b/crates/node/src/node/tests/properties.rs
@@ -337,7 +337,7 @@
         let arrived = self.node.now - age_ms * MS;
         let path = format!("/call/{name}");
         let (arrived_ms, key_text) = ((arrived / MS).to_string(), format!("{key:032x}"));
-        let mut params: Vec<(&str, &str)> = wire::call(&path, &correlation_id, &arrived_ms);
+        let mut params: Vec<(&str, &str)> = wire::call_params(&path, &correlation_id, &arrived_ms);
         params.retain(|(name, _)| *name != "HTTP_X_ORG");
         let tenants = self.deployment.tenants.clone();
         if !tenants.is_empty() {
@@ -459,7 +459,9 @@
         }
         if !self.waits(index) {
             self.last_notice += 1;
-            return self.node.end_execution(correlation_id, End::Moot, b"");
+            return self
+                .node
+                .end_execution(correlation_id, End::NeverStarted, b"");
         }
         let (operation, key, arrived) = (
             self.sent[index].operation,
--- a/crates/node/src/node/tests/requests.rs
+++ b/crates/node/src/node/tests/requests.rs
@@ -24,7 +24,7 @@
     node.call(1, "/call/read", A);
     node.end_execution(A, End::Error, b"");
     node.wait(5000);
-    node.send(2, &wire::call("/call/read", B, "1000"), b"");
+    node.send(2, &wire::call_params("/call/read", B, "1000"), b"");
     let answers = node.answers();
     assert_eq!(
         (&answers[0].status[..], &answers[1].status[..]),
@@ -38,7 +38,7 @@
 #[test]
 fn an_arrival_from_the_future_counts_from_now() {
     let mut node = TestNode::new();
-    node.send(1, &wire::call("/call/read", A, "5000"), b"body");
+    node.send(1, &wire::call_params("/call/read", A, "5000"), b"body");
     node.wait(2900);
     assert_eq!(node.statuses(), []);
     node.wait(100);
@@ -48,7 +48,7 @@
 #[test]
 fn a_malformed_request_gets_one_answer_by_its_cause() {
     let mut node = TestNode::new();
-    let good = wire::call("/call/read", A, "1000");
+    let good = wire::call_params("/call/read", A, "1000");
     let but = |name: &'static str, value: Option<&'static str>| {
         let mut params: Vec<_> = good.iter().copied().filter(|(n, _)| *n != name).collect();
         params.extend(value.map(|v| (name, v)));
@@ -88,7 +88,7 @@
         );
     }
     assert_eq!(node.executor_commands().len(), 0);
-    let long_past = wire::call("/call/read", A, "1000");
+    let long_past = wire::call_params("/call/read", A, "1000");
     node.now = 100_000 * MS;
     node.send(49, &long_past, b"");
     assert_eq!(node.statuses(), [(49, "400".into())]);
--- a/crates/node/src/node/tests/rules.rs
+++ b/crates/node/src/node/tests/rules.rs
@@ -64,7 +64,11 @@
         body: &[u8],
     ) {
         let arrived = (self.now / MS).to_string();
-        let params = [wire::call(path, correlation_id, &arrived), more.to_vec()].concat();
+        let params = [
+            wire::call_params(path, correlation_id, &arrived),
+            more.to_vec(),
+        ]
+        .concat();
         self.send(id, &params, body);
     }
 
@@ -199,7 +203,7 @@
     let mut node = TestNode::with_rules(KEYED);
     let key = [("HTTP_X_KEY", "k1")];
     // It comes too late to be run.
-    let params = [wire::call("/old/book/1", A, "500"), key.to_vec()].concat();
+    let params = [wire::call_params("/old/book/1", A, "500"), key.to_vec()].concat();
     node.wait(3000);
     node.send(1, &params, b"body");
     assert_eq!(node.one_answer().status, "429");
--- a/crates/node/src/node/tests/support.rs
+++ b/crates/node/src/node/tests/support.rs
@@ -233,11 +233,15 @@
 
     pub fn call(&mut self, id: u16, path: &str, correlation_id: &str) {
         let arrived = (self.now / MS).to_string();
-        self.send(id, &wire::call(path, correlation_id, &arrived), b"body");
+        self.send(
+            id,
+            &wire::call_params(path, correlation_id, &arrived),
+            b"body",
+        );
     }
 
     pub fn end_execution(&mut self, correlation_id: &str, end: End, body: &[u8]) {
-        self.event(Event::Executor(Notice::Reap {
+        self.event(Event::Executor(Notice::ExecutionEnded {
             rid: correlation_id.into(),
             end,
             time_ms: 5.0,
@@ -246,7 +250,7 @@
     }
 
     pub fn need_backend_call(&mut self, correlation_id: &str, no: u64) {
-        self.event(Event::Executor(Notice::IoReq {
+        self.event(Event::Executor(Notice::BackendCallNeeded {
             no,
             rid: correlation_id.into(),
             body: b"call".to_vec(),
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -6,7 +6,7 @@
 mod settings;
 mod versions;
 
-pub use settings::{SettingsError, known, read, read_keys};
+pub use settings::{SettingsError, read, read_keys, validation_context};
 
 use crossbeam_channel::Sender;
 use madderpoint_node::config::{self, ConfigError, NodeConfig};
@@ -95,7 +95,7 @@
     let config = Arc::new(config::read(&path, environment)?);
     log::start(&config.name, logging);
     let (control, control_inbox) = crossbeam_channel::bounded(1);
-    let adopted = match environment(supervisor_client::UNDER) {
+    let adopted = match environment(supervisor_client::SUPERVISED_VARIABLE) {
         Some(_) => Some(supervisor_client::adopt().map_err(StartError::Supervisor)?),
         None => None,
     };
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -1,7 +1,7 @@
 //! What SIGHUP brings: the configuration is read again, and the settings file or, where settings
 //! change by rollouts, the cluster's keys. A bad file changes nothing.
 
-use super::settings::{self, SettingsError, known_on_node, read_keys, take_rules};
+use super::settings::{self, SettingsError, node_validation_context, read_keys, take_rules};
 use super::versions::{InForce, lock, version_of};
 use super::{cluster, environment};
 use crossbeam_channel::Sender;
@@ -75,7 +75,7 @@
     }
 
     fn read_settings(&self, file: &Path) -> Result<(Option<AuthKeys>, Settings), SettingsError> {
-        let read = settings::read(file, &known_on_node(&self.config))
+        let read = settings::read(file, &node_validation_context(&self.config))
             .map_err(|diagnostics| SettingsError::Invalid(diagnostics.summary()))?;
         let keys = match &read.cluster {
             Some(fleet) => Some(read_keys(file, fleet)?),
@@ -99,7 +99,7 @@
                     return;
                 }
             };
-            match settings::read(file, &known_on_node(&self.config)) {
+            match settings::read(file, &node_validation_context(&self.config)) {
                 Ok(read) if version_of(&read) != current.version => warn!(
                     target: part::SETTINGS,
                     file_version = read.number.0,
--- a/crates/node/src/serve/settings.rs
+++ b/crates/node/src/serve/settings.rs
@@ -88,7 +88,7 @@
 }
 
 /// The names and idempotencies that a deployment's settings define.
-pub fn known(config: &DeploymentConfig) -> ValidationContext {
+pub fn validation_context(config: &DeploymentConfig) -> ValidationContext {
     let effects = config.deployment.operations.iter().map(|o| o.idempotency);
     ValidationContext {
         operations: Some(
@@ -105,7 +105,7 @@
 }
 
 /// The same, with the bounds on sizes that follow from the node's limits.
-pub fn known_on_node(config: &NodeConfig) -> ValidationContext {
+pub fn node_validation_context(config: &NodeConfig) -> ValidationContext {
     let capacity = io::capacity_limits(
         config,
         OptionalSubsystems {
@@ -118,7 +118,7 @@
     ValidationContext {
         rule_bytes_max: capacity.rule_bytes,
         file_bytes_max: capacity.settings_file_bytes,
-        ..known(&config.deployment)
+        ..validation_context(&config.deployment)
     }
 }
 
--- a/crates/node/src/serve/versions.rs
+++ b/crates/node/src/serve/versions.rs
@@ -1,7 +1,9 @@
 //! Settings that change by rollouts: versions of them are kept in a directory, and the node starts
 //! on the one in force rather than on whatever file it is given.
 
-use super::settings::{self, SettingsError, keyed_quotas, known_on_node, read_keys, take_rules};
+use super::settings::{
+    self, SettingsError, keyed_quotas, node_validation_context, read_keys, take_rules,
+};
 use super::{StartError, cluster, environment};
 use crossbeam_channel::Sender;
 use madderpoint_membership::datagram_auth::AuthKeys;
@@ -52,7 +54,7 @@
     control: &Sender<ControlMessage>,
     is_beside: bool,
 ) -> Result<LoadedSettings, StartError> {
-    let given = settings::read(file, &known_on_node(config)).map_err(Box::new);
+    let given = settings::read(file, &node_validation_context(config)).map_err(Box::new);
     let Some(directory) = directory_path(file, given.as_ref().ok()) else {
         return match given {
             Ok(read) => Ok(LoadedSettings {
@@ -158,7 +160,7 @@
     config: &NodeConfig,
 ) -> Result<(Settings, AuthKeys), SettingsError> {
     let text = std::str::from_utf8(content).map_err(|_| SettingsError::NotText)?;
-    let read = madderpoint_settings::read("settings", text, &known_on_node(config))
+    let read = madderpoint_settings::read("settings", text, &node_validation_context(config))
         .map_err(|diagnostics| SettingsError::Invalid(diagnostics.summary()))?;
     let (Some(fleet), Some(_)) = (&read.cluster, &read.rollout) else {
         return Err(SettingsError::NoClusterOrRollout);
--- a/crates/node/src/state/executions.rs
+++ b/crates/node/src/state/executions.rs
@@ -86,7 +86,7 @@
         let (correlation_id, body) = (request.correlation_id.clone(), request.body.clone());
         let operation = request.operation;
         let route = self.config.operation_names[operation.0].clone();
-        let command = self.send_command(Command::Sched {
+        let command = self.send_command(Command::StartExecution {
             rid: &correlation_id,
             route: &route,
             body: &body,
@@ -202,11 +202,11 @@
         }
         let (notice, reply) = (*notice, reply.take());
         let command = match &reply {
-            Some(body) => Command::IoDone {
+            Some(body) => Command::ResumeWithReply {
                 rid: &correlation_id,
                 body,
             },
-            None => Command::NoIo {
+            None => Command::ResumeWithoutReply {
                 rid: &correlation_id,
                 no: notice,
             },
@@ -237,10 +237,10 @@
             return None;
         };
         request.execution = None;
-        request.has_run |= end != End::Moot;
+        request.has_run |= end != End::NeverStarted;
         // To a second command MOOT only says that nothing runs now: the first one may have run, and
         // its end been lost.
-        request.never_ran = end == End::Moot && request.start_commands == 1;
+        request.never_ran = end == End::NeverStarted && request.start_commands == 1;
         self.actions
             .trace_step(correlation_id, format_args!("execution ended: {end:?}"));
         if let Some(call) = request.backend_call.take() {
@@ -256,7 +256,7 @@
                 self.answer(id, 200, "", body);
             }
             End::Error => self.answer(id, 500, "", Vec::new()),
-            End::Stopped | End::Moot => {}
+            End::Stopped | End::NeverStarted => {}
         }
         self.remove_if_done(id);
         Some(id)
--- a/crates/node/src/state/health_checks.rs
+++ b/crates/node/src/state/health_checks.rs
@@ -60,7 +60,7 @@
             return self.answer_health_check(target, is_healthy && is_stored);
         }
         let mark = self.executor.next_command();
-        self.send_command(Command::Post(mark));
+        self.send_command(Command::HealthCheck(mark));
         self.health_checks.waiting.insert(mark, target);
         if let Some(connection) = self.connections.get_mut(&target.connection_id) {
             connection
--- a/crates/node/src/supervisor/host.rs
+++ b/crates/node/src/supervisor/host.rs
@@ -6,7 +6,7 @@
 use crossbeam_channel::Sender;
 use madderpoint_node::log::part;
 use madderpoint_node::program_version;
-use madderpoint_node::supervisor_client::UNDER;
+use madderpoint_node::supervisor_client::SUPERVISED_VARIABLE;
 use madderpoint_node::version_store::VersionStore;
 use madderpoint_rollout::process_handover::{Child, ProcessHost, StartInstructions};
 use madderpoint_rollout::supervisor_messages::{SupervisorMessage, kind};
@@ -87,7 +87,7 @@
         let (ours, theirs) = UnixStream::pair().map_err(failed)?;
         let mut process = Command::new(&file)
             .args(&self.options.arguments)
-            .env(UNDER, "1")
+            .env(SUPERVISED_VARIABLE, "1")
             .stdin(Stdio::from(OwnedFd::from(theirs)))
             .spawn()
             .map_err(failed)?;
--- a/crates/node/src/supervisor_client.rs
+++ b/crates/node/src/supervisor_client.rs
@@ -23,7 +23,7 @@
 use tracing::warn;
 
 /// The environment variable that tells a program that a supervisor started it.
-pub const UNDER: &str = "MADDERPOINT_UNDER";
+pub const SUPERVISED_VARIABLE: &str = "MADDERPOINT_UNDER";
 /// How long a node waits for what it starts with.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a node waits for an answer: longer than a new process may take to be ready.
@@ -33,7 +33,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SupervisorClientError {
     /// What the supervisor hands over at the start can't be read.
-    #[error("{UNDER} is set, and what the parent says can't be read: {0}")]
+    #[error("{SUPERVISED_VARIABLE} is set, and what the parent says can't be read: {0}")]
     Handover(String),
     /// It can't be written to.
     #[error("the parent can't be told: {0}")]
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -4,7 +4,8 @@
 //! against: docs/acceptance.md.
 
 use madderpoint_test_harness::peers::{
-    LineConnection, LoadBalancer, PATIENCE, listen, ping, reap, unix_ms, unused_address,
+    LineConnection, LoadBalancer, WAIT_TIMEOUT, execution_ended_notice, listen, ping, unix_ms,
+    unused_address,
 };
 use madderpoint_test_harness::program::{Node, Program, node_config};
 use madderpoint_test_harness::wire::{self as support, Answer};
@@ -26,7 +27,11 @@
 }
 
 fn call(id: u16, rid: &str) -> Vec<u8> {
-    support::request(id, &support::call("/call/read", rid, &unix_ms()), b"body")
+    support::request(
+        id,
+        &support::call_params("/call/read", rid, &unix_ms()),
+        b"body",
+    )
 }
 
 /// A node whose executor is up, with these changes to its configuration.
@@ -36,8 +41,8 @@
         node_config(at(&executor), unused_address(), unused_address(), 1024),
         |text, (from, to)| text.replace(from, to),
     );
-    let node = Node::started(PROGRAM, &config, &[]);
-    let link = LineConnection::boot(&executor, 0, "");
+    let node = Node::start_with_config(PROGRAM, &config, &[]);
+    let link = LineConnection::accept_executor_link(&executor, 0, "");
     let mut balancer = node.connect();
     while balancer.ping() != "200" {}
     (node, executor, link)
@@ -72,7 +77,7 @@
         2,
         "it was read, and the end of its side with it or soon after"
     );
-    link.say(&reap(1, A, "OK"));
+    link.send_text(&execution_ended_notice(1, A, "OK"));
     assert_eq!(statuses(&rest(balancer)), ["200"]);
 }
 
@@ -112,7 +117,7 @@
     let mut peer = resting.stream.try_clone().unwrap();
     let begun = Instant::now();
     while peer.write_all(&[0; 64]).is_ok() {
-        assert!(begun.elapsed() < PATIENCE);
+        assert!(begun.elapsed() < WAIT_TIMEOUT);
         std::thread::yield_now();
     }
     assert_eq!(
@@ -181,16 +186,24 @@
             .unwrap();
     }
     node.terminate();
-    node.logged("listening ends: the connections in the backlog are the last");
+    node.wait_for_log("listening ends: the connections in the backlog are the last");
     for (n, balancer) in busy.into_iter().enumerate() {
-        link.say(&reap(n as u64 + 1, &format!("{n:016x}"), "OK"));
+        link.send_text(&execution_ended_notice(
+            n as u64 + 1,
+            &format!("{n:016x}"),
+            "OK",
+        ));
         assert_eq!(statuses(&rest(balancer)), ["200"]);
     }
     // They reached the machine before the notice, so that they may run.
     for n in 0..waiting.len() {
         let command = link.command();
         assert_eq!(&command["t"], "SCHED", "{command}");
-        link.say(&reap(n as u64 + 33, command["rid"].as_str().unwrap(), "OK"));
+        link.send_text(&execution_ended_notice(
+            n as u64 + 33,
+            command["rid"].as_str().unwrap(),
+            "OK",
+        ));
     }
     for balancer in waiting {
         assert_eq!(statuses(&rest(balancer)), ["200"]);
@@ -205,7 +218,8 @@
     let (mut node, _executor, _link) = node_with(&[("\"stop_ms\": 2000", "\"stop_ms\": 400")]);
     let mut stranger = node.connect();
     for id in 1..=5 {
-        let request = support::request(id, &support::call("/call/dance", A, &unix_ms()), b"");
+        let request =
+            support::request(id, &support::call_params("/call/dance", A, &unix_ms()), b"");
         stranger.stream.write_all(&request).unwrap();
         assert_eq!(stranger.answer().status, "404");
     }
@@ -237,7 +251,7 @@
     node.terminate();
     let ended = std::thread::scope(|scope| {
         scope.spawn(|| while busy.stream.write_all(&ping(1)).is_ok() && busy.read() > 0 {});
-        link.say(&reap(1, A, "OK"));
+        link.send_text(&execution_ended_notice(1, A, "OK"));
         node.wait()
     });
     assert_eq!(ended.code(), Some(0));
@@ -266,9 +280,9 @@
     let mut balancer = node.connect();
     assert_eq!(balancer.ask(&call(1, A)).status, "503");
     node.terminate();
-    node.logged("drain begins");
+    node.wait_for_log("drain begins");
     // It comes up in the drain: nothing is taken up any more.
-    link.say("{\"t\":\"BOOTED\",\"status\":\"COLD\",\"time_ms\":0}\n");
+    link.send_text("{\"t\":\"BOOTED\",\"status\":\"COLD\",\"time_ms\":0}\n");
     assert_eq!(balancer.ask(&call(2, B)).status, "503");
     assert_eq!(link.command_until_closed(), None);
     assert_eq!(node.wait().code(), Some(0));
@@ -282,7 +296,7 @@
     let mut balancer = node.connect();
     balancer.run(&mut link, 1, A);
     node.terminate();
-    node.logged("drain begins");
+    node.wait_for_log("drain begins");
     let executor2 = listen();
     node.reload(&node_config(
         at(&executor2),
@@ -291,14 +305,14 @@
         1024,
     ));
     node.terminate();
-    node.logged("new configuration in force");
+    node.wait_for_log("new configuration in force");
     let settled: serde_json::Value = serde_json::from_str(&link.line()).unwrap();
-    link.say(&format!(
+    link.send_text(&format!(
         "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
         settled["mark"]
     ));
-    let mut link = LineConnection::boot(&executor2, 0, "");
-    link.say(&reap(1, A, "OK"));
+    let mut link = LineConnection::accept_executor_link(&executor2, 0, "");
+    link.send_text(&execution_ended_notice(1, A, "OK"));
     assert_eq!(statuses(&rest(balancer)), ["200"]);
     assert_eq!(node.wait().code(), Some(0));
     drop(executor);
@@ -345,12 +359,12 @@
             "answers nothing" => kept.push(report(&registry).0),
             "answers half" => {
                 let mut talk = report(&registry).0;
-                talk.say("HTTP/1.1 204 No");
+                talk.send_text("HTTP/1.1 204 No");
                 kept.push(talk);
             }
             _ => drop(LineConnection::accept(&registry)), // a reset, for its report was not read
         }
-        let mut link = LineConnection::boot(&executor, 0, "");
+        let mut link = LineConnection::accept_executor_link(&executor, 0, "");
         let mut balancer = node.connect();
         while balancer.ping() != "200" {}
         assert!(
@@ -367,7 +381,7 @@
             "{step}: told after {:?}",
             noticed.elapsed()
         );
-        link.say(&reap(1, A, "OK"));
+        link.send_text(&execution_ended_notice(1, A, "OK"));
         assert_eq!(statuses(&rest(balancer)), ["200"], "{step}");
         // Nobody takes the last reports.
         assert_eq!(node.wait().code(), Some(0), "{step}");
@@ -385,8 +399,8 @@
     let address = at(&registry);
     drop(registry); // away at the start
     let mut node = Node::start(PROGRAM, at(&executor), unused_address(), address, 1024);
-    node.logged("report failed");
-    let _link = LineConnection::boot(&executor, 0, "");
+    node.wait_for_log("report failed");
+    let _link = LineConnection::accept_executor_link(&executor, 0, "");
     let registry = TcpListener::bind(address).unwrap();
     assert_eq!(report(&registry).1, "{\"phase\":\"UP\"}");
     // It hangs as it is moved: the new one hears at once.
@@ -419,7 +433,7 @@
     let address = at(&registry);
     drop(registry);
     let mut node = Node::start(PROGRAM, at(&executor), unused_address(), address, 64);
-    let link = LineConnection::boot(&executor, 0, "");
+    let link = LineConnection::accept_executor_link(&executor, 0, "");
     let stop = AtomicBool::new(false);
     let listen_at = node.listen;
     std::thread::scope(|scope| {
@@ -444,12 +458,12 @@
         }
         // The executor's link breaks in the flood and is made again.
         drop(link);
-        let mut link = LineConnection::boot(&executor, 0, "");
+        let mut link = LineConnection::accept_executor_link(&executor, 0, "");
         for n in 0..5u64 {
             let rid = format!("{n:016x}");
             let mut balancer = node.connect();
             balancer.run(&mut link, 1, &rid);
-            link.say(&reap(n + 1, &rid, "OK"));
+            link.send_text(&execution_ended_notice(n + 1, &rid, "OK"));
             assert_eq!(balancer.answer().status, "200");
         }
         let registry = TcpListener::bind(address).unwrap();
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -13,7 +13,7 @@
         exe: env!("CARGO_BIN_EXE_madderpoint").into(),
         later: None,
         dir: env!("CARGO_TARGET_TMPDIR").into(),
-        more: String::new(),
+        extra_settings: String::new(),
     }
 }
 
@@ -26,7 +26,7 @@
 fn play(script: &Scenario) -> Outcome {
     FaultScenario::start(script.clone(), setting())
         .unwrap()
-        .play()
+        .run()
 }
 
 fn holds(name: &str) {
@@ -285,7 +285,7 @@
         )
     };
     let (good, at) = settings("07");
-    let _node = Node::started(
+    let _node = Node::start_with_config(
         program,
         &node_config(unused_address(), unused_address(), unused_address(), 1024),
         &["--settings", &good],
@@ -366,22 +366,23 @@
         .0
     };
     let config = node_config(unused_address(), unused_address(), unused_address(), 1024);
-    let mut node = Node::started(program, &config, &["--settings", own.to_str().unwrap()]);
+    let mut node =
+        Node::start_with_config(program, &config, &["--settings", own.to_str().unwrap()]);
     assert_eq!((show(&by_old), show(&by_new)), (Some(0), Some(2)));
     for (text, told) in [("zz", "no key"), ("", "0 keys")] {
         std::fs::write(&keys, text).unwrap();
         node.signal("-HUP");
-        assert!(node.logged("new settings rejected").contains(told));
+        assert!(node.wait_for_log("new settings rejected").contains(told));
     }
     assert_eq!(show(&by_old), Some(0));
     std::fs::write(&keys, format!("{new}\n{old}\n")).unwrap(); // both are valid, the new one seals
     node.signal("-HUP");
-    node.logged("rules in force rules=0");
+    node.wait_for_log("rules in force rules=0");
     assert_eq!(show(&by_new), Some(0));
     std::fs::write(&own, "<translator version=\"1\"><fleet/></translator>").unwrap();
     node.signal("-HUP");
     assert!(
-        node.logged("new settings rejected")
+        node.wait_for_log("new settings rejected")
             .contains("'name' is missing")
     );
     assert_eq!(show(&by_new), Some(0));
--- a/crates/node/tests/fleet_cost.rs
+++ b/crates/node/tests/fleet_cost.rs
@@ -83,7 +83,10 @@
     if let Some(settings) = &settings {
         arguments.extend(["--settings", settings]);
     }
-    (Node::started(PROGRAM, &config, &arguments), worker)
+    (
+        Node::start_with_config(PROGRAM, &config, &arguments),
+        worker,
+    )
 }
 
 /// Asks one after the other; gives CPU microseconds a request and the latencies in microseconds.
@@ -97,7 +100,7 @@
     let before = ticks(node.child.id());
     for _ in 0..REQUESTS {
         let (id, arrived) = (next_request_id(), unix_ms());
-        let mut params = wire::call("/call/read", &id, &arrived);
+        let mut params = wire::call_params("/call/read", &id, &arrived);
         params.push(("HTTP_X_KEY", &id[12..]));
         let request = wire::request(1, &params, b"body");
         let begun = Instant::now();
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -8,7 +8,7 @@
 use madderpoint_node::program_version::{self, version_of};
 use madderpoint_node::service_registry::{Answer, Phase, report};
 use madderpoint_test_harness::peers::{
-    LineConnection, LoadBalancer, listen, ping, reap, unix_ms, unused_address,
+    LineConnection, LoadBalancer, execution_ended_notice, listen, ping, unix_ms, unused_address,
 };
 use madderpoint_test_harness::program::{Node, Program, node_config};
 use madderpoint_test_harness::wire::{self, GET_VALUES, STDIN, record, same_at_every_split};
@@ -97,7 +97,7 @@
 fn requests_of_dispatchers_are_read_as_recorded() {
     let call = wire::request(
         7,
-        &wire::call("/call/read", RID, "1700000000000"),
+        &wire::call_params("/call/read", RID, "1700000000000"),
         b"\0body\xff",
     );
     let long = "x".repeat(200);
@@ -152,7 +152,7 @@
         });
         pairs.collect::<Vec<_>>().join("; ")
     };
-    let call = wire::pairs(&wire::call("/call/read", RID, "1700000000000"));
+    let call = wire::pairs(&wire::call_params("/call/read", RID, "1700000000000"));
     let long = wire::pairs(&[("A", &"x".repeat(130)), ("", "")]);
     let entries = [
         ("call", &call[..]),
@@ -206,7 +206,7 @@
             ("OPEN-later", line(Order::Open(u64::MAX))),
             (
                 "SCHED",
-                line(Order::Sched {
+                line(Order::StartExecution {
                     rid: RID,
                     route: "read",
                     body: b"\0body\xff",
@@ -214,7 +214,7 @@
             ),
             (
                 "SCHED-quoted",
-                line(Order::Sched {
+                line(Order::StartExecution {
                     rid: RID,
                     route: "a \"b\"\\\n\u{e7}",
                     body: b"",
@@ -223,21 +223,21 @@
             ("PREEMPT", line(Order::Preempt(RID))),
             (
                 "IODONE",
-                line(Order::IoDone {
+                line(Order::ResumeWithReply {
                     rid: RID,
                     body: b"a\r\nb",
                 }),
             ),
             (
                 "IODONE-empty",
-                line(Order::IoDone {
+                line(Order::ResumeWithReply {
                     rid: RID,
                     body: b"",
                 }),
             ),
-            ("NOIO", line(Order::NoIo { rid: RID, no: 17 })),
+            ("NOIO", line(Order::ResumeWithoutReply { rid: RID, no: 17 })),
             ("SYSINFO", line(Order::SysInfo(3))),
-            ("POST", line(Order::Post(4))),
+            ("POST", line(Order::HealthCheck(4))),
         ],
     );
 }
@@ -248,7 +248,7 @@
     let mut sink = |notice| {
         seen.push(match notice {
             Notice::Booted { cold, up_ms } => format!("booted cold={cold} up={up_ms}"),
-            Notice::Reap {
+            Notice::ExecutionEnded {
                 rid,
                 end,
                 time_ms,
@@ -258,19 +258,21 @@
                     End::Ok => "ok",
                     End::Error => "error",
                     End::Stopped => "stopped",
-                    End::Moot => "moot",
+                    End::NeverStarted => "moot",
                 };
                 format!(
                     "reap rid={rid} end={end} time={time_ms} body={}",
                     hex(&body)
                 )
             }
-            Notice::IoReq { no, rid, body } => {
+            Notice::BackendCallNeeded { no, rid, body } => {
                 format!("ioreq no={no} rid={rid} body={}", hex(&body))
             }
             Notice::Info { mark, values } => format!("info mark={mark} values={values:?}"),
-            Notice::Posted { mark, ok } => format!("posted mark={mark} ok={ok}"),
-            Notice::EInval { command, rid } => format!("einval command={command} rid={rid}"),
+            Notice::HealthCheckDone { mark, ok } => format!("posted mark={mark} ok={ok}"),
+            Notice::CommandRefused { command, rid } => {
+                format!("einval command={command} rid={rid}")
+            }
             Notice::Odd(anomaly, times) => format!("odd {}: {times}", anomaly.as_str()),
         });
     };
@@ -295,10 +297,19 @@
                 "BOOTED-warm",
                 b"{\"t\":\"BOOTED\",\"status\":\"WARM\",\"time_ms\":9000}\n",
             ),
-            ("REAP-ok", reap(1, RID, "OK").as_bytes()),
-            ("REAP-error", reap(2, RID, "ERROR").as_bytes()),
-            ("REAP-stopped", reap(1, RID, "STOPPED").as_bytes()),
-            ("REAP-moot", reap(1, RID, "MOOT").as_bytes()),
+            ("REAP-ok", execution_ended_notice(1, RID, "OK").as_bytes()),
+            (
+                "REAP-error",
+                execution_ended_notice(2, RID, "ERROR").as_bytes(),
+            ),
+            (
+                "REAP-stopped",
+                execution_ended_notice(1, RID, "STOPPED").as_bytes(),
+            ),
+            (
+                "REAP-moot",
+                execution_ended_notice(1, RID, "MOOT").as_bytes(),
+            ),
             (
                 "REAP-without-result",
                 b"{\"t\":\"REAP\",\"no\":1,\"rid\":\"9b1f\",\"status\":\"OK\"}\n",
@@ -330,12 +341,18 @@
             ("DMESG", b"{\"t\":\"DMESG\",\"no\":1,\"b64\":\"AP8=\"}\n"),
             ("unknown", b"{\"t\":\"SONG\"}\n"),
             ("no-json", b"{broken\n"),
-            ("twice", reap(1, RID, "OK").repeat(2).as_bytes()),
+            (
+                "twice",
+                execution_ended_notice(1, RID, "OK").repeat(2).as_bytes(),
+            ),
             (
                 "missing",
-                &[reap(1, RID, "OK"), reap(3, RID, "OK")]
-                    .concat()
-                    .into_bytes(),
+                &[
+                    execution_ended_notice(1, RID, "OK"),
+                    execution_ended_notice(3, RID, "OK"),
+                ]
+                .concat()
+                .into_bytes(),
             ),
         ],
         notices,
@@ -484,15 +501,15 @@
         r#""RetryAfter": true, "MaxRetryAfter": 2.0"#,
     );
     let rules = PROGRAM.file("xml", RULES);
-    let node = Node::started(PROGRAM, &config, &["--settings", rules.to_str().unwrap()]);
+    let node = Node::start_with_config(PROGRAM, &config, &["--settings", rules.to_str().unwrap()]);
     let mut entries = vec![("check-503", answered(&mut node.connect(), &ping(1)))];
-    let mut link = LineConnection::boot(&kernel, 0, "");
+    let mut link = LineConnection::accept_executor_link(&kernel, 0, "");
     while node.connect().ping() != "200" {}
     entries.push(("check-200", answered(&mut node.connect(), &ping(1))));
     for (no, name, status) in [(1, "200", "OK"), (2, "500", "ERROR")] {
         let mut dispatcher = node.connect();
         dispatcher.run(&mut link, 1, RID);
-        link.say(&reap(no, RID, status));
+        link.send_text(&execution_ended_notice(no, RID, status));
         entries.push((name, came(&mut dispatcher)));
     }
     let (now, late) = (
@@ -506,7 +523,7 @@
         ("429-last", "/call/read", &late),
         ("429-pushback", "/worse", &now),
     ] {
-        let request = wire::request(2, &wire::call(path, RID, arrived), b"");
+        let request = wire::request(2, &wire::call_params(path, RID, arrived), b"");
         entries.push((name, answered(&mut node.connect(), &request)));
     }
     assert_bytes("node-answers.hex", &entries);
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -3,7 +3,8 @@
 //! come.
 
 use madderpoint_test_harness::peers::{
-    LineConnection, PATIENCE, call_notice, listen, ping, reap, unix_ms, unused_address,
+    LineConnection, WAIT_TIMEOUT, call_notice, execution_ended_notice, listen, ping, unix_ms,
+    unused_address,
 };
 use madderpoint_test_harness::program::{Node, Program, node_config};
 use madderpoint_test_harness::wire as support;
@@ -31,19 +32,19 @@
         (&command["route"], &command["b64"]),
         (&"read".into(), &"AGJvZHk=".into())
     );
-    link.say(&reap(1, A, "OK"));
+    link.send_text(&execution_ended_notice(1, A, "OK"));
     let answer = balancer.answer();
     assert_eq!(
         (answer.id, &answer.status[..], &answer.body[..]),
         (1, "200", &b"\0\xff"[..])
     );
     balancer.run(&mut link, 1, B);
-    link.say(&reap(2, B, "ERROR"));
+    link.send_text(&execution_ended_notice(2, B, "ERROR"));
     assert_eq!(balancer.answer().status, "500");
     let late = (unix_ms().parse::<u64>().unwrap() - 4000).to_string();
     let answer = balancer.ask(&support::request(
         2,
-        &support::call("/call/read", A, &late),
+        &support::call_params("/call/read", A, &late),
         b"",
     ));
     assert_eq!((answer.id, &answer.status[..]), (2, "429"));
@@ -62,7 +63,7 @@
     );
     let mut balancer = node.connect();
     assert_eq!(balancer.ping(), "503");
-    let mut link = LineConnection::boot(&executor, 0, "");
+    let mut link = LineConnection::accept_executor_link(&executor, 0, "");
     while balancer.ping() != "200" {}
     balancer.run(&mut link, 2, B);
 }
@@ -77,11 +78,11 @@
         unused_address(),
         1024,
     );
-    let mut link = LineConnection::boot(&executor, 0, "");
+    let mut link = LineConnection::accept_executor_link(&executor, 0, "");
     let mut balancer = node.connect();
     while balancer.ping() != "200" {}
     balancer.run(&mut link, 1, A);
-    link.say(&call_notice(1, A));
+    link.send_text(&call_notice(1, A));
     let mut below = LineConnection::accept(&backend);
     let line = below.line();
     assert!(
@@ -89,13 +90,13 @@
         "{line}"
     );
     assert_eq!(below.exactly(4), b"\0\xff\r\n");
-    below.say(&format!("{A} ok 4\r\na\r\nb\r\n"));
+    below.send_text(&format!("{A} ok 4\r\na\r\nb\r\n"));
     let command = link.command();
     assert_eq!(
         (&command["t"], &command["b64"]),
         (&"IODONE".into(), &"YQ0KYg==".into())
     );
-    link.say(&reap(2, A, "OK"));
+    link.send_text(&execution_ended_notice(2, A, "OK"));
     assert_eq!(balancer.answer().status, "200");
 }
 
@@ -104,7 +105,7 @@
     let (node, _executor, mut link) = Node::with_executor(PROGRAM);
     let mut balancer = node.connect();
     balancer.run(&mut link, 1, B);
-    link.say(&call_notice(1, B));
+    link.send_text(&call_notice(1, B));
     let command = link.command();
     assert_eq!((&command["t"], &command["no"]), (&"NOIO".into(), &1.into()));
 }
@@ -114,9 +115,10 @@
     let (node, executor, mut link) = Node::with_executor(PROGRAM);
     let mut balancer = node.connect();
     balancer.run(&mut link, 1, A);
-    link.say(&reap(1, A, "OK")[..25]);
+    link.send_text(&execution_ended_notice(1, A, "OK")[..25]);
     drop(link); // in the middle of a line
-    let mut link = LineConnection::boot(&executor, 0, &reap(1, A, "OK"));
+    let mut link =
+        LineConnection::accept_executor_link(&executor, 0, &execution_ended_notice(1, A, "OK"));
     assert_eq!(balancer.answer().status, "200");
     balancer.run(&mut link, 1, B); // and nothing before it
 }
@@ -124,12 +126,15 @@
 #[test]
 fn unexpected_lines_of_the_executor_are_survived() {
     let (node, executor, mut link) = Node::with_executor(PROGRAM);
-    link.say("{\"t\":\"SONG\"}\n{broken\n{\"t\":\"EINVAL\",\"status\":\"NOIO\",\"rid\":\"zz\"}\n");
-    link.say(&reap(1, "ffffffffffffffff", "OK"));
+    link.send_text(
+        "{\"t\":\"SONG\"}\n{broken\n{\"t\":\"EINVAL\",\"status\":\"NOIO\",\"rid\":\"zz\"}\n",
+    );
+    link.send_text(&execution_ended_notice(1, "ffffffffffffffff", "OK"));
     let mut balancer = node.connect();
     balancer.run(&mut link, 1, A);
-    link.say(&"x".repeat(40_000)); // no line ends: the link is renewed
-    let mut link = LineConnection::boot(&executor, 1, &reap(2, A, "OK"));
+    link.send_text(&"x".repeat(40_000)); // no line ends: the link is renewed
+    let mut link =
+        LineConnection::accept_executor_link(&executor, 1, &execution_ended_notice(2, A, "OK"));
     assert_eq!(balancer.answer().status, "200");
     balancer.run(&mut link, 1, B);
 }
@@ -149,7 +154,7 @@
         let head = talk.line();
         while !talk.line().is_empty() {}
         let body = talk.exactly("{\"phase\":\"UP\"}".len());
-        talk.say("HTTP/1.1 204 No Content\r\n\r\n");
+        talk.send_text("HTTP/1.1 204 No Content\r\n\r\n");
         (head, String::from_utf8(body).unwrap())
     };
     let (head, body) = report(&registry);
@@ -157,14 +162,14 @@
         (&head[..], &body[..]),
         ("PUT /members/n3 HTTP/1.1", "{\"phase\":\"UP\"}")
     );
-    let mut link = LineConnection::boot(&executor, 0, "");
+    let mut link = LineConnection::accept_executor_link(&executor, 0, "");
     let mut balancer = node.connect();
     while balancer.ping() != "200" {}
     balancer.run(&mut link, 1, A);
     node.terminate();
     while report(&registry).1 != "{\"phase\":\"OUT\"" {}
     node.terminate();
-    link.say(&reap(1, A, "OK"));
+    link.send_text(&execution_ended_notice(1, A, "OK"));
     assert_eq!(balancer.answer().status, "200");
     assert_eq!(balancer.read(), 0);
     assert_eq!(node.wait().code(), Some(0));
@@ -187,36 +192,39 @@
         (&good.replace("\"Cores\": 1", "\"Cores\": 0"), "Extra.Cores"),
     ] {
         node.reload(text);
-        assert!(node.logged("new configuration rejected").contains(named));
+        assert!(
+            node.wait_for_log("new configuration rejected")
+                .contains(named)
+        );
     }
-    let mut link = LineConnection::boot(&executor, 0, "");
+    let mut link = LineConnection::accept_executor_link(&executor, 0, "");
     let mut balancer = node.connect();
     while balancer.ping() != "200" {}
     balancer.run(&mut link, 1, A);
-    link.say(&call_notice(1, A));
+    link.send_text(&call_notice(1, A));
     let mut below = LineConnection::accept(&backend);
     below.line();
     below.exactly(4);
     let (executor2, backend2, registry2) = (listen(), listen(), listen());
     let moved = node_config(at(&executor2), at(&backend2), at(&registry2), 1024);
     node.reload(&moved.replace("\"sockets\": 1024", "\"sockets\": 999"));
-    assert!(node.logged("needs_restart=").contains("limits"));
+    assert!(node.wait_for_log("needs_restart=").contains("limits"));
     let settled: Value = serde_json::from_str(&link.line()).unwrap(); // what was sent before it has arrived
-    link.say(&format!(
+    link.send_text(&format!(
         "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
         settled["mark"]
     ));
-    let mut link = LineConnection::boot(&executor2, 1, "");
-    below.say(&format!("{A} ok 1\r\na\r\n")); // the old backend still replies
+    let mut link = LineConnection::accept_executor_link(&executor2, 1, "");
+    below.send_text(&format!("{A} ok 1\r\na\r\n")); // the old backend still replies
     let command = link.command();
     assert_eq!(
         (&command["t"], &command["b64"]),
         (&"IODONE".into(), &"YQ==".into())
     );
-    link.say(&reap(2, A, "OK"));
+    link.send_text(&execution_ended_notice(2, A, "OK"));
     assert_eq!(balancer.answer().status, "200");
     balancer.run(&mut link, 2, B);
-    link.say(&call_notice(3, B));
+    link.send_text(&call_notice(3, B));
     assert!(
         LineConnection::accept(&backend2)
             .line()
@@ -239,7 +247,7 @@
         registry.local_addr().unwrap(),
         1024,
     );
-    let _link = LineConnection::boot(&executor, 0, "");
+    let _link = LineConnection::accept_executor_link(&executor, 0, "");
     let mut balancer = node.connect();
     for answer in [
         "",
@@ -248,7 +256,7 @@
         "no such thing\r\n\r\n",
         "HTTP/1.1 204 \r\n\r\n",
     ] {
-        LineConnection::accept(&registry).say(answer);
+        LineConnection::accept(&registry).send_text(answer);
         while balancer.ping() != "200" {}
     }
 }
@@ -259,7 +267,9 @@
     let mut good = node.connect();
     let mut half = node.connect();
     half.stream
-        .write_all(&support::request(1, &support::call("/call/read", A, &unix_ms()), b"")[..60])
+        .write_all(
+            &support::request(1, &support::call_params("/call/read", A, &unix_ms()), b"")[..60],
+        )
         .unwrap();
     let _silent = node.connect();
     for bytes in [
@@ -283,7 +293,7 @@
     let ended = AtomicBool::new(false);
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            node.logged("connection closed: the peer does not read");
+            node.wait_for_log("connection closed: the peer does not read");
             ended.store(true, SeqCst);
         });
         let mut rest = &pings[..];
@@ -308,7 +318,7 @@
         unused_address(),
         64,
     );
-    let _link = LineConnection::boot(&executor, 0, "");
+    let _link = LineConnection::accept_executor_link(&executor, 0, "");
     let mut all: Vec<_> = (0..60).map(|_| node.connect()).collect();
     for balancer in &mut all {
         balancer.stream.write_all(&ping(1)).unwrap();
@@ -395,9 +405,9 @@
         let rid = command["rid"].as_str().unwrap_or_default().to_owned();
         if command["t"] == "SCHED" && rid.starts_with(known) {
             no += 1;
-            link.say(&reap(no, &rid, "OK"));
+            link.send_text(&execution_ended_notice(no, &rid, "OK"));
         } else {
-            link.say(&format!(
+            link.send_text(&format!(
                 "{{\"t\":\"EINVAL\",\"status\":{},\"rid\":\"{rid}\"}}\n",
                 command["t"]
             ));
@@ -413,10 +423,10 @@
     let link = std::thread::spawn(|| executor_that_runs(link, "aaaa"));
     let now = unix_ms();
     let call = |id: u16, path: &str, rid: &str| {
-        support::request(id, &support::call(path, rid, &now), b"body")
+        support::request(id, &support::call_params(path, rid, &now), b"body")
     };
     let with = |name: &str, value: &str| {
-        let mut params = support::call("/call/read", B, &now);
+        let mut params = support::call_params("/call/read", B, &now);
         params.retain(|(n, _)| *n != name);
         params.push((name, value));
         support::request(1, &params, b"body")
@@ -498,7 +508,7 @@
             assert_eq!(
                 good.ask(&support::request(
                     1,
-                    &support::call("/call/read", &rid, &unix_ms()),
+                    &support::call_params("/call/read", &rid, &unix_ms()),
                     b""
                 ))
                 .status,
@@ -541,7 +551,7 @@
     let begun = Instant::now();
     while threads() > threads_before || descriptors() > descriptors_before {
         assert!(
-            begun.elapsed() < PATIENCE,
+            begun.elapsed() < WAIT_TIMEOUT,
             "{} threads, {} descriptors",
             threads(),
             descriptors()
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -104,7 +104,8 @@
         registry.local_addr().unwrap(),
         1024,
     );
-    let _link = madderpoint_test_harness::peers::LineConnection::boot(&executor, 0, "");
+    let _link =
+        madderpoint_test_harness::peers::LineConnection::accept_executor_link(&executor, 0, "");
     let mut balancer = node.connect();
     while balancer.ping() != "200" {}
     let pid = node.child.id();
@@ -150,7 +151,7 @@
         &settings.replace("127.0.0.1:1\"", &format!("{port}\"")),
     );
     let config = node_config(unused_address(), unused_address(), unused_address(), 1024);
-    let node = Node::started(
+    let node = Node::start_with_config(
         PROGRAM,
         &config,
         &["--settings", settings.to_str().unwrap()],
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -22,7 +22,7 @@
     exe: EXE,
     dir: env!("CARGO_TARGET_TMPDIR"),
 };
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A node under a parent, its kernel, and the place where the parent's versions are.
 struct Under {
@@ -160,7 +160,7 @@
 
     /// Waits for a line with this in it, of the parent or of any of its processes.
     fn logged(&mut self, what: &str) -> String {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             match self
                 .log
@@ -199,7 +199,7 @@
     /// Offers a version; the fleet's part of the node may be changing hands at this moment.
     fn offer(&self, name: &str) -> String {
         let dir = self.programs.join(name).display().to_string();
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let (code, text) = self.rollout(&["start", &dir]);
             if code == Some(0) || Instant::now() > until {
@@ -254,7 +254,7 @@
                     LoadShape {
                         connections: 4,
                         open: 1,
-                        each: usize::MAX,
+                        requests_per_connection: usize::MAX,
                     },
                     &checker,
                     &stop,
@@ -314,7 +314,7 @@
         under.logged("is told to leave");
         under.logged("has left");
         under.logged("is good, and the one to start on");
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let (code, text) = under.rollout(&["status"]);
             if code == Some(0) && text.contains("done") && text.contains("1 run 2") {
@@ -394,7 +394,7 @@
                         LoadShape {
                             connections: 2,
                             open: 1,
-                            each: 1,
+                            requests_per_connection: 1,
                         },
                         checker,
                         stop,
@@ -408,7 +408,7 @@
         thread::sleep(Duration::from_secs(12));
         let text = fleet[0].offer("2");
         assert!(text.contains("change "), "{text}");
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         let ended = loop {
             let (_, text) = fleet[0].rollout(&["status"]);
             if text.contains(", back") || Instant::now() > until {
@@ -432,7 +432,7 @@
             1,
             "it served at one node: {ended}"
         );
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while !fleet[0].rollout(&["status"]).1.contains("3 run 1") {
             assert!(
                 Instant::now() < until,
@@ -517,7 +517,7 @@
             LoadShape {
                 connections: 1,
                 open: 1,
-                each: 1,
+                requests_per_connection: 1,
             },
             checker,
             &AtomicBool::new(false),
@@ -614,7 +614,7 @@
     (under.parent, under.log) = (parent, log);
     under.logged("previous_processes=1");
     under.logged("process of the previous supervisor is told to drain");
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while PathBuf::from(format!("/proc/{}", second[0])).exists() {
         assert!(
             Instant::now() < until,
--- a/crates/node/tests/readiness.rs
+++ b/crates/node/tests/readiness.rs
@@ -31,7 +31,7 @@
             thread::spawn(move || {
                 link.line();
                 thread::sleep(up.saturating_duration_since(Instant::now()));
-                link.say("{\"t\":\"BOOTED\",\"status\":\"COLD\",\"time_ms\":0}\n");
+                link.send_text("{\"t\":\"BOOTED\",\"status\":\"COLD\",\"time_ms\":0}\n");
                 while link.command_until_closed().is_some() {}
             });
         }
@@ -79,11 +79,12 @@
             let stop = Arc::clone(&stop);
             thread::spawn(move || {
                 let config = |kernel| node_config(kernel, backend, members, 64);
-                let mut node = Node::started(PROGRAM, &config(kernel(Duration::ZERO)), &[]);
+                let mut node =
+                    Node::start_with_config(PROGRAM, &config(kernel(Duration::ZERO)), &[]);
                 node.child.kill().unwrap();
                 node.child.wait().unwrap();
                 let begun = Instant::now();
-                let node = Node::started(PROGRAM, &config(kernel(late)), &[]);
+                let node = Node::start_with_config(PROGRAM, &config(kernel(late)), &[]);
                 if flooded {
                     flood(node.listen, 40, &stop);
                 }
--- a/crates/node/tests/rollout.rs
+++ b/crates/node/tests/rollout.rs
@@ -46,11 +46,9 @@
         exe: EXE.into(),
         later: None,
         dir: env!("CARGO_TARGET_TMPDIR").into(),
-        more: String::new(),
+        extra_settings: String::new(),
     };
-    FaultScenario::start(script.clone(), setting)
-        .unwrap()
-        .play()
+    FaultScenario::start(script.clone(), setting).unwrap().run()
 }
 
 fn read(name: &str) -> Scenario {
@@ -118,11 +116,9 @@
         exe,
         later: Some(later()),
         dir,
-        more: String::new(),
+        extra_settings: String::new(),
     };
-    let outcome = FaultScenario::start(script.clone(), setting)
-        .unwrap()
-        .play();
+    let outcome = FaultScenario::start(script.clone(), setting).unwrap().run();
     outcome.expect_good(&script);
     assert!(
         outcome.backend.calls > 300 && outcome.keyed_executions > 300,
--- a/crates/node/tests/rules.rs
+++ b/crates/node/tests/rules.rs
@@ -37,7 +37,7 @@
         "\"RetryAfter\": false, \"MaxRetryAfter\": 0.0",
         "\"RetryAfter\": true, \"MaxRetryAfter\": 2.0",
     );
-    let node = Node::started(PROGRAM, &config, &["--settings", rules.to_str().unwrap()]);
+    let node = Node::start_with_config(PROGRAM, &config, &["--settings", rules.to_str().unwrap()]);
     let mut balancer = node.connect();
     while balancer.ping() != "200" {}
     (node, worker)
@@ -61,7 +61,7 @@
     let mut balancer = node.connect();
     let mut ask = |path: &str, site: Option<&str>| {
         let (rid, arrived) = (load::next_request_id(), unix_ms());
-        let mut params = wire::call(path, &rid, &arrived);
+        let mut params = wire::call_params(path, &rid, &arrived);
         params.extend(site.map(|site| ("HTTP_X_SITE", site)));
         balancer.ask(&wire::request(1, &params, b"body"))
     };
@@ -117,7 +117,7 @@
                 LoadShape {
                     connections: 6,
                     open: 3,
-                    each: 1200,
+                    requests_per_connection: 1200,
                 },
                 &checker,
                 &stop,
@@ -152,10 +152,10 @@
         while !loading.is_finished() && reloads < 16 {
             std::fs::write(&settings, broken[reloads / 2 % 3]).unwrap();
             node.signal("-HUP");
-            node.logged("new settings rejected: the current ones stay in force");
+            node.wait_for_log("new settings rejected: the current ones stay in force");
             std::fs::write(&settings, whole(RULES)).unwrap();
             node.signal("-HUP");
-            node.logged("rules in force rules=5");
+            node.wait_for_log("rules in force rules=5");
             reloads += 2;
         }
     });
@@ -192,7 +192,7 @@
                 LoadShape {
                     connections: 4,
                     open: 4,
-                    each: 4,
+                    requests_per_connection: 4,
                 },
                 &checker,
                 &stop,
@@ -201,7 +201,7 @@
         });
         worker.wait_started(1);
         node.terminate();
-        node.logged("drain begins");
+        node.wait_for_log("drain begins");
         worker.hold(false);
         loading.join().unwrap();
     });
@@ -346,7 +346,7 @@
         </when><give class=\"c\"/></rule>";
     let classify = "<bucket name=\"b\" rate=\"100000/s\" burst=\"1000\"/><rule name=\"r\"><when>operation == \"read\"</when>\
         <give operation=\"read\" class=\"c\"><limit bucket=\"b\">tenant</limit></give></rule>";
-    let (each, connections) = (20_000, 4);
+    let (requests_per_connection, connections) = (20_000, 4);
     let mut costs = [const { Vec::new() }; 3];
     for round in 0..5 {
         for (which, rules) in [None, Some(classify), Some(dearest)]
@@ -360,7 +360,7 @@
                 .iter()
                 .flat_map(|path| ["--settings", path.to_str().unwrap()])
                 .collect();
-            let node = Node::started(PROGRAM, &config, &arguments);
+            let node = Node::start_with_config(PROGRAM, &config, &arguments);
             let mut balancer = node.connect();
             while balancer.ping() != "200" {}
             let before = ticks(node.child.id());
@@ -373,7 +373,7 @@
                         LoadShape {
                             connections,
                             open: 4,
-                            each,
+                            requests_per_connection,
                         },
                         &checker,
                         &stop,
@@ -390,7 +390,7 @@
                 }
             });
             let used = ticks(node.child.id()) - before;
-            let micros = used as f64 * 10_000.0 / (each * connections) as f64;
+            let micros = used as f64 * 10_000.0 / (requests_per_connection * connections) as f64;
             println!(
                 "round {round}, {}: {micros:.1} µs a request",
                 ["no rules", "classify", "dearest"][which]
--- a/crates/node/tests/shared.rs
+++ b/crates/node/tests/shared.rs
@@ -16,14 +16,14 @@
         exe: EXE.into(),
         later: None,
         dir: env!("CARGO_TARGET_TMPDIR").into(),
-        more: String::new(),
+        extra_settings: String::new(),
     }
 }
 
 fn play(script: &Scenario) -> Outcome {
     FaultScenario::start(script.clone(), setting())
         .unwrap()
-        .play()
+        .run()
 }
 
 fn holds(name: &str) -> (Scenario, Outcome) {
@@ -286,8 +286,8 @@
         rules,
     );
     let config = node_config(unused_address(), unused_address(), unused_address(), 1024);
-    let mut node = Node::started(program, &config, &["--settings", &good]);
-    node.logged("lends: a majority of the arbiters gave their word");
+    let mut node = Node::start_with_config(program, &config, &["--settings", &good]);
+    node.wait_for_log("lends: a majority of the arbiters gave their word");
     let (code, text) = call(&["shared", "explain", "--settings", &good, "--at", &at]);
     assert_eq!(code, Some(0), "{text}");
     for said in [
@@ -316,7 +316,7 @@
     );
     assert_eq!(shown["shared"]["budgets"][0]["limit"], 100);
     let (plain, at) = settings("", "");
-    let _node = Node::started(program, &config, &["--settings", &plain]);
+    let _node = Node::start_with_config(program, &config, &["--settings", &plain]);
     let (code, text) = call(&["shared", "explain", "--settings", &plain, "--at", &at]);
     assert!(
         code == Some(2) && text.contains("it shares nothing"),
--- a/crates/test-harness/src/bin/madderpoint-fault-test.rs
+++ b/crates/test-harness/src/bin/madderpoint-fault-test.rs
@@ -87,7 +87,7 @@
         exe,
         later,
         dir: dir.clone(),
-        more: String::new(),
+        extra_settings: String::new(),
     };
     let mut all_held = true;
     for file in files {
@@ -101,7 +101,7 @@
                         source,
                     }
                 })?;
-            let outcome = scenario.play();
+            let outcome = scenario.run();
             print(&script, &outcome);
             all_held &= outcome.failures.is_empty();
         }
--- a/crates/test-harness/src/fault_scenario.rs
+++ b/crates/test-harness/src/fault_scenario.rs
@@ -91,7 +91,7 @@
     /// The directory for settings, configuration and key files.
     pub dir: PathBuf,
     /// More settings text, put inside the element `<translator>` after `<fleet>`.
-    pub more: String,
+    pub extra_settings: String,
 }
 
 /// A running scenario.
@@ -239,7 +239,7 @@
     }
 
     /// Plays all steps at their times, stops all processes and runs the final checks.
-    pub fn play(mut self) -> Outcome {
+    pub fn run(mut self) -> Outcome {
         let begun = Instant::now();
         let steps = std::mem::take(&mut self.script.steps);
         for (index, step) in steps.iter().enumerate() {
--- a/crates/test-harness/src/fault_scenario/changes.rs
+++ b/crates/test-harness/src/fault_scenario/changes.rs
@@ -66,7 +66,7 @@
             "<translator version=\"1\" number=\"{number}\">{rules}<fleet name=\"{CLUSTER_NAME}\" keys=\"{}\"{program}>{seeds}{shared}\
              <periods{periods}/></fleet>{rollout}{}{more}</translator>",
             self.key_file.display(),
-            self.setting.more
+            self.setting.extra_settings
         )
     }
 
--- a/crates/test-harness/src/fault_scenario/load.rs
+++ b/crates/test-harness/src/fault_scenario/load.rs
@@ -89,7 +89,7 @@
     ) -> Option<TcpStream> {
         let begun = Instant::now();
         let arrived = unix_ms();
-        let mut params = wire::call(path, id, &arrived);
+        let mut params = wire::call_params(path, id, &arrived);
         params.push(("HTTP_X_KEY", key));
         let bytes = wire::request(1, &params, key.as_bytes());
         stream.set_nodelay(true).ok()?;
--- a/crates/test-harness/src/load.rs
+++ b/crates/test-harness/src/load.rs
@@ -2,7 +2,7 @@
 //! answered. Called by tests.
 
 use crate::checker::Checker;
-use crate::peers::{PATIENCE, unix_ms};
+use crate::peers::{WAIT_TIMEOUT, unix_ms};
 use crate::wire::{self, Answer};
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -51,7 +51,7 @@
     /// Requests that are open on each connection at a time.
     pub open: usize,
     /// Requests on each connection in all.
-    pub each: usize,
+    pub requests_per_connection: usize,
 }
 
 static NEXT: AtomicU64 = AtomicU64::new(1 << 32);
@@ -81,8 +81,8 @@
             scope.spawn(move || {
                 let mut client = Client { node, stream: None };
                 let mut number = 0;
-                while number < shape.each && !stop.load(SeqCst) {
-                    let batch = shape.open.min(shape.each - number);
+                while number < shape.requests_per_connection && !stop.load(SeqCst) {
+                    let batch = shape.open.min(shape.requests_per_connection - number);
                     let requests: Vec<_> =
                         (0..batch).map(|i| make(connection, number + i)).collect();
                     client.send(&requests, checker);
@@ -104,7 +104,7 @@
         let node = self.node;
         self.stream.get_or_insert_with(|| {
             let stream = TcpStream::connect(node).unwrap();
-            stream.set_read_timeout(Some(PATIENCE)).unwrap();
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
             stream.set_nodelay(true).unwrap();
             stream
         })
@@ -118,7 +118,7 @@
             let mut bytes = Vec::new();
             for (i, (request, request_id)) in requests.iter().zip(&request_ids).enumerate() {
                 let arrived = unix_ms();
-                let mut params = wire::call(&request.path, request_id, &arrived);
+                let mut params = wire::call_params(&request.path, request_id, &arrived);
                 params.extend(request.params.iter().map(|(n, v)| (n.as_str(), v.as_str())));
                 bytes.extend(wire::request(i as u16 + 1, &params, &request.body));
             }
--- a/crates/test-harness/src/peers.rs
+++ b/crates/test-harness/src/peers.rs
@@ -1,5 +1,5 @@
 //! A node's peers, driven by the test line by line: its executor, backend, service registry and a
-//! load balancer. All waits are for something to arrive, and panic after [`PATIENCE`].
+//! load balancer. All waits are for something to arrive, and panic after [`WAIT_TIMEOUT`].
 
 use crate::wire::{self, Answer};
 use serde_json::Value;
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// The longest wait for anything; it only keeps a failed test from hanging.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A listener on a free port.
 ///
@@ -53,7 +53,7 @@
     /// Accepts the next connection.
     pub fn accept(listener: &TcpListener) -> LineConnection {
         let (stream, _) = listener.accept().unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         LineConnection {
             reader: BufReader::new(stream),
             part: Vec::new(),
@@ -62,7 +62,7 @@
 
     /// The next line, without its end.
     pub fn line(&mut self) -> String {
-        self.line_within(PATIENCE).expect("a line")
+        self.line_within(WAIT_TIMEOUT).expect("a line")
     }
 
     /// The next line, if it arrives within this time.
@@ -88,13 +88,13 @@
     }
 
     /// Sends text as it is.
-    pub fn say(&mut self, text: &str) {
+    pub fn send_text(&mut self, text: &str) {
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
     /// As an executor: the next command but SYSINFO, which is answered.
     pub fn command(&mut self) -> Value {
-        self.command_within(PATIENCE).expect("a command")
+        self.command_within(WAIT_TIMEOUT).expect("a command")
     }
 
     /// As an executor: the next command but SYSINFO, if it arrives within this time.
@@ -110,7 +110,7 @@
 
     /// Answers a SYSINFO command.
     fn answer_gauges(&mut self, command: &Value) {
-        self.say(&format!(
+        self.send_text(&format!(
             "{{\"t\":\"INFO\",\"mark\":{},\"v\":[0.1,0.1]}}\n",
             command["mark"]
         ));
@@ -133,10 +133,10 @@
 
     /// As an executor: accepts a new link of a node that has read notices up to `last`, and repeats
     /// those that it `missed`.
-    pub fn boot(listener: &TcpListener, last: u64, missed: &str) -> LineConnection {
+    pub fn accept_executor_link(listener: &TcpListener, last: u64, missed: &str) -> LineConnection {
         let mut link = LineConnection::accept(listener);
         assert_eq!(link.line(), format!("{{\"t\":\"OPEN\",\"no\":{last}}}"));
-        link.say(&format!(
+        link.send_text(&format!(
             "{{\"t\":\"BOOTED\",\"status\":\"WARM\",\"time_ms\":9000}}\n{missed}"
         ));
         link
@@ -144,7 +144,7 @@
 }
 
 /// Notice `no`: the execution of this request ended with this status.
-pub fn reap(no: u64, request_id: &str, status: &str) -> String {
+pub fn execution_ended_notice(no: u64, request_id: &str, status: &str) -> String {
     format!(
         "{{\"t\":\"REAP\",\"no\":{no},\"rid\":\"{request_id}\",\"status\":\"{status}\",\"time_ms\":3,\"b64\":\"AP8=\"}}\n"
     )
@@ -176,7 +176,7 @@
     /// Connects to a node.
     pub fn connect(node: SocketAddr) -> LoadBalancer {
         let stream = TcpStream::connect(node).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         LoadBalancer {
             node,
             stream,
@@ -192,7 +192,7 @@
         loop {
             let request = wire::request(
                 id,
-                &wire::call("/call/read", request_id, &unix_ms()),
+                &wire::call_params("/call/read", request_id, &unix_ms()),
                 b"\0body",
             );
             if self.stream.write_all(&request).is_ok() {
--- a/crates/test-harness/src/program.rs
+++ b/crates/test-harness/src/program.rs
@@ -1,6 +1,6 @@
 //! Starts the program under test, and reads its log. Everything panics where a test would fail.
 
-use crate::peers::{LineConnection, LoadBalancer, PATIENCE, listen, unused_address};
+use crate::peers::{LineConnection, LoadBalancer, WAIT_TIMEOUT, listen, unused_address};
 use crate::wire;
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
@@ -83,7 +83,7 @@
         registry: SocketAddr,
         descriptors: usize,
     ) -> Node {
-        Node::started(
+        Node::start_with_config(
             program,
             &node_config(executor, backend, registry, descriptors),
             &[],
@@ -91,7 +91,7 @@
     }
 
     /// Starts a node with this configuration and these arguments, and waits until it listens.
-    pub fn started(program: Program, config: &str, arguments: &[&str]) -> Node {
+    pub fn start_with_config(program: Program, config: &str, arguments: &[&str]) -> Node {
         let path = program.config(config);
         let mut child = program.start(&path).args(arguments).spawn().unwrap();
         let stderr = BufReader::new(child.stderr.take().unwrap());
@@ -108,7 +108,7 @@
             listen: unused_address(),
             path,
         };
-        node.listen = node.logged("listening address=").parse().unwrap();
+        node.listen = node.wait_for_log("listening address=").parse().unwrap();
         node
     }
 
@@ -123,16 +123,16 @@
             unused_address(),
             1024,
         );
-        let link = LineConnection::boot(&executor, 0, "");
+        let link = LineConnection::accept_executor_link(&executor, 0, "");
         let mut load_balancer = node.connect();
         while load_balancer.ping() != "200" {}
         (node, executor, link)
     }
 
     /// Waits for a log line that contains `what`; gives the rest of that line.
-    pub fn logged(&mut self, what: &str) -> String {
+    pub fn wait_for_log(&mut self, what: &str) -> String {
         loop {
-            match self.log.recv_timeout(PATIENCE) {
+            match self.log.recv_timeout(WAIT_TIMEOUT) {
                 Ok(line) => {
                     if let Some((_, rest)) = line.split_once(what) {
                         return rest.to_owned();
--- a/crates/test-harness/src/wire.rs
+++ b/crates/test-harness/src/wire.rs
@@ -72,7 +72,7 @@
 }
 
 /// The parameters of a request that arrived `arrived_ms` after the epoch.
-pub fn call<'a>(
+pub fn call_params<'a>(
     path: &'a str,
     request_id: &'a str,
     arrived_ms: &'a str,
