--- a/crates/node/src/cli/fleet/scenario.rs
+++ b/crates/node/src/cli/fleet/scenario.rs
@@ -72,7 +72,7 @@
             };
             match name.as_str() {
                 "probe" => config.timing.probe = time,
-                "answer" => config.timing.answer = time,
+                "answer" => config.timing.probe_timeout = time,
                 "gossip" => config.timing.gossip = time,
                 "regain" => config.timing.probe_dead = time,
                 _ => {}
@@ -117,7 +117,7 @@
             Action::Sees {
                 node,
                 other,
-                held,
+                liveness: held,
                 within,
             } => {
                 let (node, held) = (self.index(node), held.clone());
@@ -227,7 +227,7 @@
         | Action::Settled { .. }
         | Action::Sees { .. } => true,
         Action::Hup(_)
-        | Action::Stranger { .. }
+        | Action::UnauthenticatedDatagrams { .. }
         | Action::Load { .. }
         | Action::Service { .. }
         | Action::Holds { .. }
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -1,7 +1,7 @@
 //! What SIGHUP brings: the configuration is read again, and the settings file or, where settings
 //! change by rollouts, the cluster's keys. A bad file changes nothing.
 
-use super::settings::{self, SettingsError, known_on_node, read_keys, take_rules};
+use super::settings::{self, SettingsError, node_validation_context, read_keys, take_rules};
 use super::versions::{InForce, lock, version_of};
 use super::{cluster, environment};
 use crossbeam_channel::Sender;
@@ -9,7 +9,7 @@
 use madderpoint_node::config::{self, NodeConfig};
 use madderpoint_node::io::{ClusterSettingsUpdate, ControlMessage};
 use madderpoint_node::log::part;
-use madderpoint_settings::{FleetSettings, Settings};
+use madderpoint_settings::{ClusterSettings, Settings};
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 use tracing::warn;
@@ -23,7 +23,7 @@
     /// The settings file.
     pub settings: Option<PathBuf>,
     /// The `<fleet>` that the node started with.
-    pub fleet: Option<FleetSettings>,
+    pub cluster: Option<ClusterSettings>,
     /// What is in force, where settings change by rollouts.
     pub in_force: Option<Arc<Mutex<InForce>>>,
     /// The running node's queue.
@@ -59,7 +59,7 @@
             Ok(new) => new,
             Err(e) => return settings_rejected(&e.to_string()),
         };
-        match (keys, &read.fleet, &self.fleet) {
+        match (keys, &read.cluster, &self.cluster) {
             (Some(keys), Some(new), Some(current)) => {
                 let fields = cluster::fields_needing_restart(new, current);
                 if !fields.is_empty() {
@@ -75,9 +75,9 @@
     }
 
     fn read_settings(&self, file: &Path) -> Result<(Option<AuthKeys>, Settings), SettingsError> {
-        let read = settings::read(file, &known_on_node(&self.config))
+        let read = settings::read(file, &node_validation_context(&self.config))
             .map_err(|diagnostics| SettingsError::Invalid(diagnostics.summary()))?;
-        let keys = match &read.fleet {
+        let keys = match &read.cluster {
             Some(fleet) => Some(read_keys(file, fleet)?),
             None => None,
         };
@@ -88,7 +88,7 @@
     fn reload_keys(&self, file: &Path, in_force: &Mutex<InForce>) {
         let update = {
             let current = lock(in_force);
-            let keys = match read_keys(file, &current.fleet) {
+            let keys = match read_keys(file, &current.cluster) {
                 Ok(keys) => keys,
                 Err(e) => {
                     warn!(
@@ -99,7 +99,7 @@
                     return;
                 }
             };
-            match settings::read(file, &known_on_node(&self.config)) {
+            match settings::read(file, &node_validation_context(&self.config)) {
                 Ok(read) if version_of(&read) != current.version => warn!(
                     target: part::SETTINGS,
                     file_version = read.number.0,
@@ -111,10 +111,10 @@
             }
             Box::new(ClusterSettingsUpdate {
                 keys,
-                seeds: current.fleet.seeds.clone(),
-                timing: current.fleet.periods,
+                seeds: current.cluster.seeds.clone(),
+                timing: current.cluster.timing,
                 number: (current.version.number, current.version.hash),
-                budgets: current.fleet.budgets.clone(),
+                budgets: current.cluster.budgets.clone(),
                 quotas: current.quotas.clone(),
                 plan: None,
             })
--- a/crates/node/src/serve/versions.rs
+++ b/crates/node/src/serve/versions.rs
@@ -1,7 +1,9 @@
 //! Settings that change by rollouts: versions of them are kept in a directory, and the node starts
 //! on the one in force rather than on whatever file it is given.
 
-use super::settings::{self, SettingsError, keyed_quotas, known_on_node, read_keys, take_rules};
+use super::settings::{
+    self, SettingsError, keyed_quotas, node_validation_context, read_keys, take_rules,
+};
 use super::{StartError, cluster, environment};
 use crossbeam_channel::Sender;
 use madderpoint_membership::datagram_auth::AuthKeys;
@@ -11,7 +13,7 @@
 use madderpoint_node::version_store::VersionStore;
 use madderpoint_rollout::node_agent::InitialState;
 use madderpoint_rollout::{Kind, PersistedState, Version};
-use madderpoint_settings::{Diagnostics, FleetSettings, Settings};
+use madderpoint_settings::{ClusterSettings, Diagnostics, Settings};
 use madderpoint_shared_state::keyed_quota::KeyedQuota;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -26,7 +28,7 @@
     /// Their version.
     pub version: Version,
     /// Their `<fleet>`.
-    pub fleet: FleetSettings,
+    pub cluster: ClusterSettings,
     /// Their quotas by key of the whole cluster.
     pub quotas: Vec<KeyedQuota>,
 }
@@ -52,7 +54,7 @@
     control: &Sender<ControlMessage>,
     is_beside: bool,
 ) -> Result<LoadedSettings, StartError> {
-    let given = settings::read(file, &known_on_node(config)).map_err(Box::new);
+    let given = settings::read(file, &node_validation_context(config)).map_err(Box::new);
     let Some(directory) = directory_path(file, given.as_ref().ok()) else {
         return match given {
             Ok(read) => Ok(LoadedSettings {
@@ -70,12 +72,12 @@
     let mut store =
         open(&directory, &config.name, Kind::Settings).map_err(StartError::VersionStore)?;
     let (read, start) = begin(&mut store, file, given, config)?;
-    let Some(fleet) = read.fleet.clone() else {
+    let Some(cluster) = read.cluster.clone() else {
         return Err(StartError::NoVersion("no <fleet>".into()));
     };
     let in_force = Arc::new(Mutex::new(InForce {
         version: start.running,
-        fleet,
+        cluster,
         quotas: keyed_quotas(&read),
     }));
     let setup = RolloutSetup {
@@ -158,9 +160,9 @@
     config: &NodeConfig,
 ) -> Result<(Settings, AuthKeys), SettingsError> {
     let text = std::str::from_utf8(content).map_err(|_| SettingsError::NotText)?;
-    let read = madderpoint_settings::read("settings", text, &known_on_node(config))
+    let read = madderpoint_settings::read("settings", text, &node_validation_context(config))
         .map_err(|diagnostics| SettingsError::Invalid(diagnostics.summary()))?;
-    let (Some(fleet), Some(_)) = (&read.fleet, &read.rollout) else {
+    let (Some(fleet), Some(_)) = (&read.cluster, &read.rollout) else {
         return Err(SettingsError::NoClusterOrRollout);
     };
     let keys = read_keys(file, fleet)?;
@@ -181,12 +183,12 @@
     fn check_content(&self, content: &[u8]) -> Result<Version, SettingsError> {
         let (read, new_keys) = read_version(&self.file, content, &self.config)?;
         let current = lock(&self.in_force);
-        if let Some(fleet) = &read.fleet {
-            let fields = cluster::fields_needing_restart(fleet, &current.fleet);
+        if let Some(fleet) = &read.cluster {
+            let fields = cluster::fields_needing_restart(fleet, &current.cluster);
             if !fields.is_empty() {
                 return Err(SettingsError::NeedsRestart(fields));
             }
-            if !read_keys(&self.file, &current.fleet)?.are_compatible(&new_keys) {
+            if !read_keys(&self.file, &current.cluster)?.are_compatible(&new_keys) {
                 return Err(SettingsError::NoCommonKey);
             }
         }
@@ -196,15 +198,15 @@
     fn apply_version(&self, version: Version) -> Result<(), SettingsError> {
         let content = self.store.content(version)?;
         let (mut read, keys) = read_version(&self.file, &content, &self.config)?;
-        let Some(new) = read.fleet.clone() else {
+        let Some(new) = read.cluster.clone() else {
             return Err(SettingsError::NoCluster);
         };
         let update = {
             let mut current = lock(&self.in_force);
-            let update = cluster::update(&read, &new, &current.fleet, keys);
+            let update = cluster::update(&read, &new, &current.cluster, keys);
             *current = InForce {
                 version,
-                fleet: new,
+                cluster: new,
                 quotas: update.quotas.clone(),
             };
             update
--- a/crates/node/tests/shared.rs
+++ b/crates/node/tests/shared.rs
@@ -16,14 +16,14 @@
         exe: EXE.into(),
         later: None,
         dir: env!("CARGO_TARGET_TMPDIR").into(),
-        more: String::new(),
+        extra_settings: String::new(),
     }
 }
 
 fn play(script: &Scenario) -> Outcome {
     FaultScenario::start(script.clone(), setting())
         .unwrap()
-        .play()
+        .run()
 }
 
 fn holds(name: &str) -> (Scenario, Outcome) {
@@ -97,7 +97,7 @@
 /// The judge sees what it is for: with no limit set the same load is over it, and the service dies.
 #[test]
 fn without_the_limits_the_records_show_it() {
-    let below = BackendModel {
+    let backend = BackendModel {
         work: ms(60),
         survives: 8,
         down: ms(500),
@@ -112,7 +112,7 @@
         load: 200,
         callers: 8,
         time: ms(4000),
-        below,
+        backend,
         ..Scenario::default()
     };
     let outcome = play(&script);
@@ -222,10 +222,10 @@
             load: 60,
             callers: 3,
             calls_a_second: 120,
-            calls_in_hand: 12,
-            repeats_a_second: 10,
+            max_calls_in_flight: 12,
+            retries_a_second: 10,
             floor: 1,
-            below: BackendModel {
+            backend: BackendModel {
                 work: ms(30),
                 survives: 14,
                 judged: true,
@@ -235,7 +235,7 @@
                 count: 3,
                 a_second: 30,
                 burst: 60,
-                in_hand: 10,
+                max_in_flight: 10,
                 floor: 1,
             },
             time: ms(15_000),
@@ -286,8 +286,8 @@
         rules,
     );
     let config = node_config(unused_address(), unused_address(), unused_address(), 1024);
-    let mut node = Node::started(program, &config, &["--settings", &good]);
-    node.logged("lends: a majority of the arbiters gave their word");
+    let mut node = Node::start_with_config(program, &config, &["--settings", &good]);
+    node.wait_for_log("lends: a majority of the arbiters gave their word");
     let (code, text) = call(&["shared", "explain", "--settings", &good, "--at", &at]);
     assert_eq!(code, Some(0), "{text}");
     for said in [
@@ -316,7 +316,7 @@
     );
     assert_eq!(shown["shared"]["budgets"][0]["limit"], 100);
     let (plain, at) = settings("", "");
-    let _node = Node::started(program, &config, &["--settings", &plain]);
+    let _node = Node::start_with_config(program, &config, &["--settings", &plain]);
     let (code, text) = call(&["shared", "explain", "--settings", &plain, "--at", &at]);
     assert!(
         code == Some(2) && text.contains("it shares nothing"),
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/cluster.rs
@@ -21,7 +21,7 @@
 /// The settings of the cluster. What differs by node (zone, addresses) may come from the
 /// environment instead.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetSettings {
+pub struct ClusterSettings {
     /// The cluster's name.
     pub name: String,
     /// The file with the keys of datagram authentication.
@@ -37,9 +37,9 @@
     /// Addresses of members by which a node joins.
     pub seeds: Vec<SocketAddr>,
     /// Periods and timeouts of the membership protocol.
-    pub periods: Timing,
+    pub timing: Timing,
     /// Names of the voters, who decide on the leader.
-    pub arbiters: Vec<String>,
+    pub voters: Vec<String>,
     /// Limits on the backend calls of all nodes together.
     pub budgets: Vec<Budget>,
     /// The secret from which keys are numbered, the same on all nodes.
@@ -274,7 +274,12 @@
         };
         for (name, period, least, most) in [
             ("probe", &mut periods.probe, 50 * MILLISECOND, 60 * SECOND),
-            ("answer", &mut periods.answer, 10 * MILLISECOND, 30 * SECOND),
+            (
+                "answer",
+                &mut periods.probe_timeout,
+                10 * MILLISECOND,
+                30 * SECOND,
+            ),
             ("gossip", &mut periods.gossip, 20 * MILLISECOND, 10 * SECOND),
             (
                 "regain",
@@ -282,7 +287,7 @@
                 50 * MILLISECOND,
                 600 * SECOND,
             ),
-            ("remember", &mut periods.remember, 60 * SECOND, 7 * DAY),
+            ("remember", &mut periods.forget_after, 60 * SECOND, 7 * DAY),
             ("skew", &mut periods.skew, SECOND, DAY),
         ] {
             self.time(of, name, period, least, most);
@@ -290,7 +295,7 @@
         self.factor(of, "suspicion", &mut periods.suspicion, 0.5);
         self.factor(of, "suspicion-most", &mut periods.suspicion_max_factor, 1.0);
         if let Some(text) = of.get("answer").or(of.get("probe"))
-            && periods.answer >= periods.probe
+            && periods.probe_timeout >= periods.probe
         {
             self.collector.report(
                 text,
@@ -318,13 +323,13 @@
     }
 }
 
-impl FleetSettings {
+impl ClusterSettings {
     /// Reads the element, which fits the schema.
     ///
     /// # Errors
     ///
     /// All that is wrong with what it means, in the order in which it was found.
-    pub fn read(element: &Element) -> Result<FleetSettings, Vec<Diagnostic>> {
+    pub fn read(element: &Element) -> Result<ClusterSettings, Vec<Diagnostic>> {
         let mut reader = Reader {
             collector: Collector::new("fleet/"),
         };
@@ -334,10 +339,10 @@
             .all("calls-budget")
             .filter_map(|budget| reader.budget(budget))
             .collect();
-        let arbiters = reader.arbiters(element);
+        let voters = reader.arbiters(element);
         reader.check_duplicate_budgets(element, &budgets);
-        reader.check_counts(element, arbiters.len());
-        let periods = reader.periods(element);
+        reader.check_counts(element, voters.len());
+        let timing = reader.periods(element);
         let service = reader.service(element);
         let mut address = |name: &str| {
             element
@@ -348,7 +353,7 @@
         if !reader.collector.diagnostics.is_empty() {
             return Err(reader.collector.diagnostics);
         }
-        Ok(FleetSettings {
+        Ok(ClusterSettings {
             name: text("name").unwrap_or_default(),
             keys: text("keys").unwrap_or_default(),
             zone: text("zone"),
@@ -356,8 +361,8 @@
             advertise,
             program: text("program"),
             seeds,
-            periods,
-            arbiters,
+            timing,
+            voters,
             budgets,
             secret: fingerprint(&text("salt").or(text("name")).unwrap_or_default()),
             service,
--- a/crates/test-harness/src/bin/madderpoint-fault-test.rs
+++ b/crates/test-harness/src/bin/madderpoint-fault-test.rs
@@ -87,7 +87,7 @@
         exe,
         later,
         dir: dir.clone(),
-        more: String::new(),
+        extra_settings: String::new(),
     };
     let mut all_held = true;
     for file in files {
@@ -101,7 +101,7 @@
                         source,
                     }
                 })?;
-            let outcome = scenario.play();
+            let outcome = scenario.run();
             print(&script, &outcome);
             all_held &= outcome.failures.is_empty();
         }
@@ -122,7 +122,7 @@
         println!("  {what}: {seconds:.2} s");
     }
     let backend = outcome.backend;
-    if script.calls_a_second + script.calls_in_hand > 0 || script.below.judged {
+    if script.calls_a_second + script.max_calls_in_flight > 0 || script.backend.judged {
         println!(
             "  backend calls: {}, {} in the busiest second, {} in flight at most, {} tries while it was down",
             backend.calls,
--- a/crates/test-harness/src/fault_scenario.rs
+++ b/crates/test-harness/src/fault_scenario.rs
@@ -91,7 +91,7 @@
     /// The directory for settings, configuration and key files.
     pub dir: PathBuf,
     /// More settings text, put inside the element `<translator>` after `<fleet>`.
-    pub more: String,
+    pub extra_settings: String,
 }
 
 /// A running scenario.
@@ -192,10 +192,10 @@
         let faults = Arc::new(Faults::new(script.seed));
         let datagram_proxy = DatagramProxy::start(locations.clone(), Arc::clone(&faults))?;
         let backend = BackendService::start(BackendConfig {
-            work: script.below.work,
-            survives: script.below.survives,
-            down: script.below.down,
-            warm: script.below.warm,
+            work: script.backend.work,
+            survives: script.backend.survives,
+            down: script.backend.down,
+            warm: script.backend.warm,
         });
         let keys = KeyRecord::default();
         let nodes = create_nodes(
@@ -239,7 +239,7 @@
     }
 
     /// Plays all steps at their times, stops all processes and runs the final checks.
-    pub fn play(mut self) -> Outcome {
+    pub fn run(mut self) -> Outcome {
         let begun = Instant::now();
         let steps = std::mem::take(&mut self.script.steps);
         for (index, step) in steps.iter().enumerate() {
