--- a/crates/deployment-config/src/decode.rs
+++ b/crates/deployment-config/src/decode.rs
@@ -1,4 +1,4 @@
-//! From the platform's settings to the deployment.
+//! Decodes the platform's JSON settings into a [`DeploymentConfig`].
 
 use crate::DeploymentConfig;
 use crate::error::DeploymentError;
@@ -8,7 +8,7 @@
     Deployment, Downstream, Idempotency, LoadReport, Nanos, Operation, Preemption, Tenant,
 };
 
-/// The platform's names of the values.
+// The values of enumerated settings, by the name that the platform gives them.
 const IDEMPOTENCY: [(&str, Idempotency); 3] = [
     ("read_like", Idempotency::Idempotent),
     ("idempotency_key", Idempotency::Keyed),
@@ -32,11 +32,11 @@
 ];
 const WEIGHTED_BY_WORK: [(&str, bool); 2] = [("request", false), ("work", true)];
 
-/// Decodes the settings and checks that the figures can be worked with.
+/// Decodes the settings and checks that every value is within its bounds.
 ///
 /// # Errors
 ///
-/// The first field that is absent, of another type or out of its bounds.
+/// Returns an error for the first field that is missing, has the wrong type or is out of bounds.
 pub fn decode(text: &[u8]) -> Result<DeploymentConfig, DeploymentError> {
     let settings = parse(text)?;
     let downstream = one_of(&settings.extra.downstream, "Extra.Below", &DOWNSTREAM)?;
@@ -58,7 +58,7 @@
     })
 }
 
-/// Reads the JSON, which nothing may follow.
+/// Parses the JSON object. Text after the object is an error.
 fn parse(text: &[u8]) -> Result<Facts, DeploymentError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let settings = serde_path_to_error::deserialize(&mut json).map_err(|error| {
@@ -116,7 +116,7 @@
     let window_path = path("DedupWindow");
     let idempotency_window = match idempotency {
         Idempotency::Keyed => {
-            let reason = "its repeats are known for so long";
+            let reason = "required for operations with idempotency keys";
             let window = required(service.dedup_window, &window_path, reason)?;
             positive_time(window, &window_path)?
         }
@@ -151,11 +151,11 @@
     operations: Vec<Operation>,
 ) -> Result<Deployment, DeploymentError> {
     let (ceilings, extra, rules) = (&settings.ceilings, &settings.extra, &settings.rules);
-    // What a shared service asks of its callers; of no use with anything else downstream.
+    // Settings of a shared downstream service; they are optional and unused without one.
     let shared = |value: Option<f64>, field: &str| match (downstream, value) {
         (Downstream::SharedService, None) => Err(DeploymentError::Missing {
             field: field.to_owned(),
-            reason: "all nodes share what is below",
+            reason: "required for a shared downstream service",
         }),
         (_, value) => amount(value.unwrap_or(0.0), field),
     };
--- a/crates/deployment-config/src/error.rs
+++ b/crates/deployment-config/src/error.rs
@@ -1,108 +1,115 @@
-//! Why settings are refused.
+//! Errors of decoding the settings.
 
 use thiserror::Error;
 
-/// Why settings cannot be decoded. Each text names the field by its path in the JSON.
+/// Error of decoding the settings. Each message names the field by its path in the JSON.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum DeploymentError {
-    /// The text is no JSON object, or something follows it.
+    /// The text is not a JSON object, or other text follows the object.
     #[error("{0}")]
     Malformed(String),
-    /// A field is absent or of another type than it should be.
+    /// A required field is missing, or a field has the wrong type.
     #[error("{field}: {cause}")]
     WrongType {
         /// Path of the field.
         field: String,
-        /// The message of the JSON decoder.
+        /// Message of the JSON decoder.
         cause: String,
     },
-    /// A time is negative, or longer than [`DeploymentError::LONGEST_TIME_S`].
-    #[error("{field} is {seconds}, not a time")]
-    NotATime {
+    /// A time is negative, longer than [`DeploymentError::MAX_TIME_S`] or not a number.
+    #[error(
+        "{field} is {seconds} s, must be from 0 to {} s",
+        DeploymentError::MAX_TIME_S
+    )]
+    TimeOutOfRange {
         /// Path of the field.
         field: String,
-        /// Its value, in seconds.
+        /// Value of the field, in seconds.
         seconds: f64,
     },
     /// A time that must be longer than 0 rounds to 0 nanoseconds.
-    #[error("{field} is {seconds}, which leaves no time")]
-    NoTime {
+    #[error("{field} is {seconds} s, must be at least 1 ns")]
+    ZeroTime {
         /// Path of the field.
         field: String,
-        /// Its value, in seconds.
+        /// Value of the field, in seconds.
         seconds: f64,
     },
     /// A share, factor or amount is negative or not finite.
-    #[error("{field} is {value}")]
-    NotAnAmount {
+    #[error("{field} is {value}, must be finite and at least 0")]
+    AmountOutOfRange {
         /// Path of the field.
         field: String,
-        /// Its value.
+        /// Value of the field.
         value: f64,
     },
-    /// A count is under `least` or over [`DeploymentError::MOST_COUNTED`].
-    #[error("{field} is {value}")]
+    /// A count is less than `min` or more than [`DeploymentError::MAX_COUNT`].
+    #[error(
+        "{field} is {value}, must be from {min} to {}",
+        DeploymentError::MAX_COUNT
+    )]
     CountOutOfRange {
         /// Path of the field.
         field: String,
-        /// Its value.
+        /// Value of the field.
         value: usize,
-        /// The least value that is taken.
-        least: usize,
+        /// Smallest value that is accepted.
+        min: usize,
     },
-    /// A field is absent that this deployment needs.
+    /// An optional field is missing although the other settings require it.
     #[error("{field} is missing: {reason}")]
     Missing {
         /// Path of the field.
         field: String,
-        /// Why it is needed.
+        /// Condition under which the field is required.
         reason: &'static str,
     },
-    /// A field's value is not one of those agreed.
+    /// The value of an enumerated field is not one of its known names.
     #[error("{field} is unknown: {value:?}")]
     Unknown {
         /// Path of the field.
         field: String,
-        /// Its value.
+        /// Value of the field.
         value: String,
     },
-    /// There are no operations.
+    /// The list of operations is empty.
     #[error("Services is empty")]
     NoOperations,
     /// An operation or a tenant has no name.
     #[error("{list}[{index}].Name is empty")]
     EmptyName {
-        /// The list that it is in.
+        /// Name of the list, `Services` or `Tenants`.
         list: &'static str,
-        /// Its index there.
+        /// Index in the list.
         index: usize,
     },
-    /// Two operations or tenants have one name.
-    #[error("{list}[{index}].Name stands twice: {name:?}")]
+    /// Two operations or two tenants have the same name.
+    #[error("{list}[{index}].Name is a duplicate: {name:?}")]
     DuplicateName {
-        /// The list that they are in.
+        /// Name of the list, `Services` or `Tenants`.
         list: &'static str,
-        /// Index of the second one.
+        /// Index of the second entry with the name.
         index: usize,
-        /// Their name.
+        /// Name that both entries have.
         name: String,
     },
-    /// A list by operation is of another length than the list of operations.
+    /// A list with one value for each operation does not have as many values as there are
+    /// operations.
     #[error("{field} has {values} values for {operations} operations")]
     WrongLength {
         /// Path of the list.
         field: &'static str,
-        /// Its length.
+        /// Number of values in the list.
         values: usize,
-        /// The number of operations.
+        /// Number of operations.
         operations: usize,
     },
 }
 
 impl DeploymentError {
-    /// The longest time that is taken, in seconds: a hundred days. What is longer is a mistake of
-    /// the unit.
-    pub const LONGEST_TIME_S: f64 = 8_640_000.0;
-    /// The most cores, nodes, load balancers or operations that are taken.
-    pub const MOST_COUNTED: usize = 1 << 20;
+    /// Longest time that is accepted, in seconds: a hundred days. A longer one is taken for a
+    /// mistake of the unit.
+    pub const MAX_TIME_S: f64 = 8_640_000.0;
+    /// Highest number of cores, nodes, load balancers or operations that is accepted.
+    pub const MAX_COUNT: usize = 1 << 20;
 }
--- a/crates/deployment-config/src/fields.rs
+++ b/crates/deployment-config/src/fields.rs
@@ -1,13 +1,14 @@
-//! Checks of single fields. Each names the field in its error.
+//! Checks of single fields. Every error names the field.
 
 use crate::error::DeploymentError;
 use madderpoint::Nanos;
 use std::collections::HashSet;
 
-/// A time in seconds, 0 included.
+/// Converts a time in seconds to nanoseconds. The time must be from 0 to
+/// [`DeploymentError::MAX_TIME_S`].
 pub(crate) fn time(seconds: f64, field: &str) -> Result<Nanos, DeploymentError> {
-    if !(0.0..=DeploymentError::LONGEST_TIME_S).contains(&seconds) {
-        return Err(DeploymentError::NotATime {
+    if !(0.0..=DeploymentError::MAX_TIME_S).contains(&seconds) {
+        return Err(DeploymentError::TimeOutOfRange {
             field: field.to_owned(),
             seconds,
         });
@@ -15,10 +16,10 @@
     Ok((seconds * 1e9).round() as Nanos)
 }
 
-/// A time in seconds, at least a nanosecond.
+/// Converts a time in seconds to nanoseconds. The time must be at least 1 ns after rounding.
 pub(crate) fn positive_time(seconds: f64, field: &str) -> Result<Nanos, DeploymentError> {
     match time(seconds, field)? {
-        0 => Err(DeploymentError::NoTime {
+        0 => Err(DeploymentError::ZeroTime {
             field: field.to_owned(),
             seconds,
         }),
@@ -26,32 +27,32 @@
     }
 }
 
-/// A share, a factor or an amount: any number from 0 on.
+/// Checks a share, a factor or an amount: it must be finite and at least 0.
 pub(crate) fn amount(value: f64, field: &str) -> Result<f64, DeploymentError> {
     if value.is_finite() && value >= 0.0 {
         Ok(value)
     } else {
-        Err(DeploymentError::NotAnAmount {
+        Err(DeploymentError::AmountOutOfRange {
             field: field.to_owned(),
             value,
         })
     }
 }
 
-/// A number of things, at least `least`.
-pub(crate) fn count(value: usize, least: usize, field: &str) -> Result<usize, DeploymentError> {
-    if (least..=DeploymentError::MOST_COUNTED).contains(&value) {
+/// Checks a count: it must be from `min` to [`DeploymentError::MAX_COUNT`].
+pub(crate) fn count(value: usize, min: usize, field: &str) -> Result<usize, DeploymentError> {
+    if (min..=DeploymentError::MAX_COUNT).contains(&value) {
         Ok(value)
     } else {
         Err(DeploymentError::CountOutOfRange {
             field: field.to_owned(),
             value,
-            least,
+            min,
         })
     }
 }
 
-/// A value that this deployment needs.
+/// Returns the value of an optional field that is required for `reason`.
 pub(crate) fn required<T>(
     value: Option<T>,
     field: &str,
@@ -63,22 +64,23 @@
     })
 }
 
-/// One of the values that are agreed by name.
+/// Looks up the value of an enumerated field by its name.
 pub(crate) fn one_of<T: Copy>(
     value: &str,
     field: &str,
-    agreed: &[(&str, T)],
+    choices: &[(&str, T)],
 ) -> Result<T, DeploymentError> {
-    let found = agreed.iter().find(|(name, _)| *name == value);
+    let found = choices.iter().find(|(name, _)| *name == value);
     found
-        .map(|(_, meaning)| *meaning)
+        .map(|(_, choice)| *choice)
         .ok_or_else(|| DeploymentError::Unknown {
             field: field.to_owned(),
             value: value.to_owned(),
         })
 }
 
-/// Names that requests refer to: none is empty, and all are different.
+/// Checks that no name is empty and that all are different, since requests refer to operations and
+/// tenants by name.
 pub(crate) fn distinct<'a>(
     names: impl Iterator<Item = &'a str>,
     list: &'static str,
@@ -99,20 +101,21 @@
     Ok(())
 }
 
-/// One value for each operation, or `absent` for each where no operation has a use for them.
+/// Returns one value for each operation. The list may be missing if `is_used` is false; every
+/// operation then gets `default`.
 pub(crate) fn by_operation<T: Clone>(
     values: Option<Vec<T>>,
     is_used: bool,
     operations: usize,
-    absent: T,
+    default: T,
     field: &'static str,
 ) -> Result<Vec<T>, DeploymentError> {
     match values {
         None if is_used => Err(DeploymentError::Missing {
             field: field.to_owned(),
-            reason: "there is something below to be called",
+            reason: "required if operations have a downstream to call",
         }),
-        None => Ok(vec![absent; operations]),
+        None => Ok(vec![default; operations]),
         Some(values) if values.len() != operations => Err(DeploymentError::WrongLength {
             field,
             values: values.len(),
--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The settings that a node is handed at its start, decoded into the library's [`Deployment`].
+//! Decodes the settings that a node gets at its start into the library's [`Deployment`].
 //!
-//! [`decode`] reads the platform's JSON, checks that every figure can be worked with and maps the
-//! platform's names to the library's terms. It is used by the node and by the simulator adapter, so
-//! that both decide on the same facts.
+//! [`decode()`] reads the platform's JSON, checks that every value is within its bounds and maps
+//! the platform's names to the library's terms. The node and the simulator adapter both use it, so
+//! that their decisions are based on the same deployment.
 
 #![forbid(unsafe_code)]
 
@@ -19,20 +19,21 @@
 /// The decoded settings of a node.
 #[derive(Clone)]
 pub struct DeploymentConfig {
-    /// What the decisions go by.
+    /// Deployment that is passed to the admission controller.
     pub deployment: Deployment,
-    /// Names of the operations, in their order.
+    /// Names of the operations, indexed by [`OperationId`](madderpoint::OperationId).
     pub operation_names: Vec<String>,
-    /// Names of the tenants, in their order.
+    /// Names of the tenants, indexed by [`TenantId`](madderpoint::TenantId).
     pub tenant_names: Vec<String>,
-    /// Names of the gauges, in the order of their values.
+    /// Names of the gauges, in the order in which their values are reported.
     pub gauge_names: Vec<String>,
-    /// Whether requests carry the time that their client still waits.
+    /// Whether requests carry the time for which their client will still wait.
     pub passes_deadline: bool,
 }
 
 impl DeploymentConfig {
-    /// The gauges' values by their names; unknown names are skipped.
+    /// Assigns reported values, in the order of `gauge_names`, to the gauges. Values of unknown
+    /// names are skipped.
     pub fn gauges(&self, values: impl Iterator<Item = f64>) -> Gauges {
         let mut gauges = Gauges::default();
         for (name, value) in self.gauge_names.iter().zip(values) {
--- a/crates/deployment-config/src/settings.rs
+++ b/crates/deployment-config/src/settings.rs
@@ -1,11 +1,11 @@
 //! The settings as the platform writes them. The JSON names are the platform's; `decode` maps them
-//! to the library's terms. The types too have the platform's names, since errors show them. Times
-//! are in seconds. What may be absent is optional here, and so is what only some deployments have a
-//! use for; all else is asked for by name, and unknown keys are skipped.
+//! to the library's terms. The types have the platform's names too, since errors show them. Times
+//! are in seconds. Fields that only some deployments use are optional here, and `decode` checks
+//! whether they are required; all other fields must be present. Unknown keys are skipped.
 
 use serde::Deserialize;
 
-/// All settings.
+/// The root object of the settings.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Facts {
@@ -22,7 +22,7 @@
     pub(crate) worth_by: String,
 }
 
-/// What load balancers honour at most.
+/// Limits of what load balancers honour.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Ceilings {
@@ -30,7 +30,7 @@
     pub(crate) retry_after: bool,
 }
 
-/// Facts about this node and its surroundings.
+/// Properties of this node, its downstream and its load balancers.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Extra {
@@ -61,7 +61,7 @@
     pub(crate) run_factor: f64,
 }
 
-/// What the platform expects of every node.
+/// The platform's rules for every node: warm-up, drain and the limit of runnable executions.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Rules {
@@ -72,7 +72,7 @@
     pub(crate) tip_multiple: f64,
 }
 
-/// An operation.
+/// An operation and its agreed latency, idempotency and weight.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Service {
@@ -90,7 +90,7 @@
     pub(crate) points: f64,
 }
 
-/// A tenant.
+/// A tenant and its quota.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Party {
--- a/crates/deployment-config/src/tests.rs
+++ b/crates/deployment-config/src/tests.rs
@@ -1,12 +1,12 @@
-//! Settings of any deployment are either taken as they are or refused with the field named.
+//! Settings are either decoded unchanged or rejected with an error that names the field.
 
 use super::*;
 use madderpoint::Idempotency;
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-/// Settings with every field of the wire that matters here.
-fn whole() -> Value {
+/// Settings with every field that is decoded, and some that are skipped.
+fn complete_settings() -> Value {
     json!({
         "Ceilings": {"CpuUsPerRequest": 0.0, "CpuUsPerS": 60047, "MaxRetryAfter": 1.0, "RetryAfter": true},
         "Extra": {"Advert": "weight", "Below": "one_for_all", "CallsOver": 5.0, "ClassCalls": [true, true, false],
@@ -29,29 +29,29 @@
     })
 }
 
-fn read(value: &Value) -> Result<DeploymentConfig, String> {
+fn decode_value(value: &Value) -> Result<DeploymentConfig, String> {
     decode(value.to_string().as_bytes()).map_err(|error| error.to_string())
 }
 
-/// The paths of all fields, by their JSON pointers.
-fn fields(value: &Value, path: &str, into: &mut Vec<String>) {
+/// Collects the JSON pointers of all fields into `paths`.
+fn field_pointers(value: &Value, path: &str, paths: &mut Vec<String>) {
     match value {
         Value::Object(map) => map.iter().for_each(|(name, value)| {
-            into.push(format!("{path}/{name}"));
-            fields(value, &format!("{path}/{name}"), into);
+            paths.push(format!("{path}/{name}"));
+            field_pointers(value, &format!("{path}/{name}"), paths);
         }),
         Value::Array(values) => {
             values
                 .iter()
                 .enumerate()
-                .for_each(|(i, value)| fields(value, &format!("{path}/{i}"), into));
+                .for_each(|(i, value)| field_pointers(value, &format!("{path}/{i}"), paths));
         }
         _ => {}
     }
 }
 
-/// Fields that are optional or have no use here.
-fn may_be_absent(name: &str) -> bool {
+/// Whether a field is optional or is skipped.
+fn is_optional(name: &str) -> bool {
     [
         "AimStretch",
         "PassesDeadline",
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn settings_are_read_as_written() {
-    let config = read(&whole()).unwrap();
+fn all_settings_are_decoded() {
+    let config = decode_value(&complete_settings()).unwrap();
     assert_eq!(config.operation_names, ["gun-sorgu", "gun-yaz", "öde"]);
     assert_eq!(config.tenant_names, ["acme", "b ü/%&"]);
     let Deployment {
@@ -103,36 +103,36 @@
 }
 
 #[test]
-fn each_absent_field_is_named_unless_it_may_be_absent() {
+fn a_missing_field_is_named_in_the_error_unless_it_is_optional() {
     let mut paths = Vec::new();
-    fields(&whole(), "", &mut paths);
+    field_pointers(&complete_settings(), "", &mut paths);
     for path in paths {
-        let mut settings = whole();
+        let mut settings = complete_settings();
         let (parent, name) = path.rsplit_once('/').unwrap();
         let Some(Value::Object(map)) = settings.pointer_mut(parent) else {
             panic!("{path}")
         };
         map.remove(name);
-        let read = read(&settings);
-        // Without idempotency keys a window has no use.
-        let means_nothing = name == "DedupWindow" && !parent.ends_with("/1");
-        match read {
+        let result = decode_value(&settings);
+        // Only the second operation has idempotency keys and so needs a window.
+        let is_unused_window = name == "DedupWindow" && !parent.ends_with("/1");
+        match result {
             Ok(_) => assert!(
-                may_be_absent(name) || means_nothing,
-                "{path} was not asked for"
+                is_optional(name) || is_unused_window,
+                "{path} is missing, which was accepted"
             ),
-            Err(e) => assert!(e.contains(name) && !may_be_absent(name), "{path}: {e}"),
+            Err(e) => assert!(e.contains(name) && !is_optional(name), "{path}: {e}"),
         }
     }
 }
 
 #[test]
-fn each_field_of_another_kind_is_named() {
+fn a_field_of_the_wrong_type_is_named_in_the_error() {
     let mut paths = Vec::new();
-    fields(&whole(), "", &mut paths);
+    field_pointers(&complete_settings(), "", &mut paths);
     for path in paths {
         let name = path.rsplit_once('/').unwrap().1;
-        let has_no_use = [
+        let is_skipped = [
             "AnswerSlack",
             "Fall",
             "Fraction",
@@ -148,44 +148,44 @@
             json!(-1.5),
             json!(true),
         ] {
-            let mut settings = whole();
-            let place = settings.pointer_mut(&path).unwrap();
-            if *place == wrong || has_no_use {
+            let mut settings = complete_settings();
+            let field = settings.pointer_mut(&path).unwrap();
+            if *field == wrong || is_skipped {
                 continue;
             }
-            *place = wrong.clone();
-            match read(&settings) {
+            *field = wrong.clone();
+            match decode_value(&settings) {
                 Err(e) => assert!(e.contains(name), "{path} as {wrong}: {e}"),
-                // A name may be any text; null is as good as absent, and a flag may be true.
+                // A name may be any text, null counts as missing, and a flag may be true.
                 Ok(_) => assert!(
                     wrong == json!("novel") && name == "Name"
-                        || wrong == json!(true) && place_is_flag(name)
+                        || wrong == json!(true) && is_flag(name)
                         || wrong == json!(null) && name == "DedupWindow",
-                    "{path} as {wrong} was taken"
+                    "{path} as {wrong} was accepted"
                 ),
             }
         }
     }
 }
 
-fn place_is_flag(name: &str) -> bool {
+fn is_flag(name: &str) -> bool {
     ["RetryAfter", "Cold", "PassesDeadline"].contains(&name)
 }
 
 #[test]
-fn unusable_values_are_refused_with_the_name_of_the_field() {
+fn values_out_of_bounds_are_rejected_with_the_name_of_the_field() {
     for (path, wrong, named) in [
         ("/Services", json!([]), "Services is empty"),
         (
             "/Services/1/Name",
             json!("gun-sorgu"),
-            "Services[1].Name stands twice",
+            "Services[1].Name is a duplicate",
         ),
         ("/Services/0/Name", json!(""), "Services[0].Name is empty"),
         (
             "/Tenants/1/Name",
             json!("acme"),
-            "Tenants[1].Name stands twice",
+            "Tenants[1].Name is a duplicate",
         ),
         (
             "/Services/1/DedupWindow",
@@ -209,16 +209,19 @@
         ("/Extra/Below", json!("both"), "Extra.Below is unknown"),
         ("/WorthBy", json!("weight"), "WorthBy is unknown"),
     ] {
-        let mut settings = whole();
+        let mut settings = complete_settings();
         *settings.pointer_mut(path).unwrap() = wrong;
-        let e = read(&settings)
+        let e = decode_value(&settings)
             .err()
-            .unwrap_or_else(|| panic!("{path} was taken"));
+            .unwrap_or_else(|| panic!("{path} was accepted"));
         assert!(e.contains(named), "{path}: {e}");
     }
     assert!(decode(b"{\"Extra\":").is_err() && decode(b"").is_err() && decode(b"[] x").is_err());
-    let twice = format!("{} {}", whole(), whole());
-    assert!(decode(twice.as_bytes()).is_err(), "nothing may follow");
+    let twice = format!("{} {}", complete_settings(), complete_settings());
+    assert!(
+        decode(twice.as_bytes()).is_err(),
+        "text after the object is rejected"
+    );
 }
 
 fn any_value() -> impl Strategy<Value = Value> {
@@ -250,19 +253,19 @@
         ..ProptestConfig::default()
     })]
 
-    /// Any field, or several, as anything or gone: the settings are taken and can be worked with,
-    /// or one of them is named.
+    /// Up to three fields are removed or get an arbitrary value: the settings are decoded within
+    /// their bounds, or the error names one of the fields.
     #[test]
-    fn settings_are_taken_or_refused_by_name(changes in prop::collection::vec((any::<prop::sample::Index>(), prop::option::of(any_value())), 1..4)) {
-        let mut settings = whole();
+    fn settings_are_decoded_or_rejected_with_a_field_name(changes in prop::collection::vec((any::<prop::sample::Index>(), prop::option::of(any_value())), 1..4)) {
+        let mut settings = complete_settings();
         let mut names = Vec::new();
-        for (which, value) in changes {
+        for (choice, value) in changes {
             let mut paths = Vec::new();
-            fields(&settings, "", &mut paths);
+            field_pointers(&settings, "", &mut paths);
             if paths.is_empty() {
                 break;
             }
-            let path = which.get(&paths).clone();
+            let path = choice.get(&paths).clone();
             let (parent, name) = path.rsplit_once('/').unwrap();
             names.push(name.to_owned());
             match (settings.pointer_mut(parent), value) {
@@ -271,7 +274,7 @@
                 _ => {}
             }
         }
-        match read(&settings) {
+        match decode_value(&settings) {
             Ok(config) => {
                 let deployment = &config.deployment;
                 prop_assert!(deployment.cores > 0 && !deployment.operations.is_empty());
@@ -283,7 +286,8 @@
                     prop_assert!(operation.idempotency != Idempotency::Keyed || operation.idempotency_window > 0);
                 }
             }
-            // The field named may be a part of the one changed, or one that it must agree with.
+            // The error may name a part of the changed field, or a field whose requirement depends
+            // on it.
             Err(e) => {
                 let parts = ["Name", "Aim", "Deadline", "Services", "Below", "Class", "Degraded", "Calls", "Linger"];
                 let named = names.iter().any(|name| e.contains(name)) || parts.iter().any(|part| e.contains(part))
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,5 +1,5 @@
-//! The nodes that the simulator plays: decodes its events into calls on [`AdmissionController`] and
-//! answers each batch with what they did.
+//! Runs one [`AdmissionController`] for each simulated node: decodes the simulator's events into
+//! method calls and answers each batch with the resulting actions.
 
 use crate::batch::{HEADER_LEN, read_batch};
 use crate::codes::{Action, Event, backend_call_outcome, execution_outcome};
@@ -18,26 +18,26 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
 
-/// In a request's `Opts`: its `Work` is meant.
+/// Bit of a request's `Opts` field: the `Work` field holds a work hint.
 const HAS_WORK_HINT: u8 = 1;
 
-/// All nodes that the simulator plays.
+/// The simulated nodes and the reply that they share.
 #[derive(Default)]
 pub(crate) struct Adapter {
-    /// Nodes by their number. `None` once the decisions have panicked for a node: that was
-    /// reported, and the node gets no more events.
+    /// Nodes by their number. `None` after the admission controller of a node has panicked: the
+    /// panic was reported, and further events for the node are ignored.
     instances: BTreeMap<u16, Option<Instance>>,
     reply: Rc<RefCell<Reply>>,
 }
 
-/// One node's decisions, with what is needed to decode its events.
+/// Admission controller of one node, and the configuration for decoding its events.
 struct Instance {
     admission: AdmissionController<WireHost>,
     config: DeploymentConfig,
 }
 
 impl Adapter {
-    /// Answers batches until the input ends.
+    /// Answers each batch from `input` with a reply on `output` until the input ends.
     pub(crate) fn serve(
         &mut self,
         input: &mut impl Read,
@@ -125,7 +125,7 @@
         Ok(Instance { admission, config })
     }
 
-    /// Decodes one event's fields and calls the method for it.
+    /// Decodes the fields of one event and calls the matching method of the admission controller.
     fn on_event(
         &mut self,
         now: Nanos,
@@ -184,14 +184,14 @@
         let options = fields.u8("Opts")?;
         let load_balancer = LoadBalancerId(fields.u16("OriginPeer")?.into());
         let age = fields.nanos("Lay")?;
-        let duplicate_of = present(fields.u64("Forerunner")?).map(RequestId);
+        let duplicate_of = non_zero(fields.u64("Forerunner")?).map(RequestId);
         Ok(Arrival {
             id,
             operation: OperationId(operation),
             tenant: (tenant < self.config.tenant_names.len()).then_some(TenantId(tenant)),
             load_balancer,
             has_subject: subject != 0,
-            time_left: present(time_left).filter(|_| self.config.passes_deadline),
+            time_left: non_zero(time_left).filter(|_| self.config.passes_deadline),
             work_hint: (options & HAS_WORK_HINT != 0 && work > 0.0).then_some(work),
             queued_kb: f64::from(queued_kb.max(0.0)),
             age,
@@ -208,16 +208,16 @@
     }
 }
 
-/// Reads an outcome by its code.
+/// Reads the `Reason` field and converts its code to an outcome.
 fn outcome<T>(
     fields: &mut Fields<'_>,
-    from_reason: impl Fn(u8) -> Option<T>,
+    from_code: impl Fn(u8) -> Option<T>,
 ) -> Result<T, Malformed> {
-    let reason = fields.u8("Reason")?;
-    from_reason(reason).ok_or_else(|| fields.malformed("Reason", Cause::UnknownOutcome(reason)))
+    let code = fields.u8("Reason")?;
+    from_code(code).ok_or_else(|| fields.malformed("Reason", Cause::UnknownOutcome(code)))
 }
 
-/// The value of a field in which 0 means that there is none.
-fn present<T: PartialEq + Default>(value: T) -> Option<T> {
+/// Returns `None` for a field with value 0, which the wire uses for an absent value.
+fn non_zero<T: PartialEq + Default>(value: T) -> Option<T> {
     (value != T::default()).then_some(value)
 }
--- a/crates/simulator-adapter/src/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -1,4 +1,5 @@
-//! Reading of whole batches: a header of the body's length and the clock, then the body.
+//! Reads whole batches. A batch is a header with the body's length and the simulator's clock, and
+//! then the body.
 
 use crate::error::{Cause, Malformed};
 use crate::fields::Fields;
@@ -7,10 +8,11 @@
 
 /// Length of a batch's header, in bytes.
 pub(crate) const HEADER_LEN: usize = 12;
-/// Bodies longer than this, in bytes, are taken for garbage.
-const LONGEST_BODY: usize = 256 << 20;
+/// Longest body that is accepted, in bytes. A header that announces more is taken for garbage.
+const MAX_BODY_LEN: usize = 256 << 20;
 
-/// Reads one batch into `body` and returns its clock, or `None` at the end of input.
+/// Reads the body of one batch into `body` and returns the clock of the batch, or `None` at the end
+/// of the input.
 pub(crate) fn read_batch(
     input: &mut impl Read,
     body: &mut Vec<u8>,
@@ -34,9 +36,9 @@
     }
     let mut fields = Fields::new(&header, 0, "batch");
     let expected = fields.u32("length")? as usize;
-    if expected > LONGEST_BODY {
-        let (announced, most) = (expected, LONGEST_BODY);
-        return Err(malformed(0, Cause::TooLong { announced, most }));
+    if expected > MAX_BODY_LEN {
+        let (announced, max) = (expected, MAX_BODY_LEN);
+        return Err(malformed(0, Cause::TooLong { announced, max }));
     }
     let now = fields.nanos("clock")?;
     body.clear();
@@ -51,7 +53,7 @@
     Ok(Some(now))
 }
 
-/// Fills `buffer`, or returns how many bytes came before the input ended.
+/// Reads until `buffer` is full or the input ends, and returns the number of bytes read.
 fn fill(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut got = 0;
     while got < buffer.len() {
--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -1,32 +1,32 @@
-//! Codes on the simulator's wire, with the library's names for them.
+//! Numeric codes of the simulator's wire protocol, mapped to the library's names.
 
 use madderpoint::{BackendCallOutcome, ExecutionOutcome};
 
-/// A record that the simulator sends.
+/// Type of a record that the simulator sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Event {
-    /// The client no longer waits.
+    /// The client cancelled a request.
     ClientCancelled,
-    /// The node is to leave.
+    /// The node starts to drain.
     Drain,
     /// A backend call ended.
     BackendCallEnded,
-    /// The node's process died.
+    /// The process of a node was killed.
     Killed,
-    /// A node starts.
+    /// The process of a node started.
     Started,
     /// A timer expired.
     Timer,
     /// An execution or a coalesced wait ended.
     ExecutionEnded,
-    /// A request was read.
+    /// A node read a request.
     Arrival,
-    /// An execution has come to a backend call.
+    /// An execution needs a backend call.
     BackendCallNeeded,
 }
 
 impl Event {
-    /// The event of a code, with its name on the wire.
+    /// Returns the event for a record code, and the name of the record on the wire.
     pub(crate) fn from_code(code: u8) -> Option<(Event, &'static str)> {
         Some(match code {
             16 => (Event::ClientCancelled, "hangup"),
@@ -43,7 +43,8 @@
     }
 }
 
-/// A record that the adapter sends, with its name on the wire.
+/// Type of a record that the adapter sends, with its name on the wire. The methods of
+/// [`Host`](madderpoint::Host) describe the actions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum Action {
@@ -75,11 +76,11 @@
     SetTimer = 28,
     /// `write_log`
     Log = 29,
-    /// `bug`
+    /// `bug`: the admission controller of the node panicked.
     Fault = 30,
 }
 
-/// Outcomes on the wire, as `Reason` has them.
+// Codes of the `Reason` field.
 const OK: u8 = 0;
 const ERROR: u8 = 5;
 const FULL: u8 = 11;
@@ -89,7 +90,7 @@
 const MOOT: u8 = 114;
 const CANCELLED: u8 = 125;
 
-/// How an execution ended.
+/// Returns the execution outcome for a `Reason` code.
 pub(crate) fn execution_outcome(reason: u8) -> Option<ExecutionOutcome> {
     match reason {
         OK => Some(ExecutionOutcome::Succeeded),
@@ -100,7 +101,7 @@
     }
 }
 
-/// How a backend call ended.
+/// Returns the backend call outcome for a `Reason` code.
 pub(crate) fn backend_call_outcome(reason: u8) -> Option<BackendCallOutcome> {
     match reason {
         OK => Some(BackendCallOutcome::Succeeded),
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,82 +1,82 @@
-//! Why the simulator's input cannot be followed.
+//! Errors of the adapter.
 
 use madderpoint_deployment_config::DeploymentError;
 use thiserror::Error;
 
-/// Why the adapter ends.
+/// Error that ends the adapter.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
-    /// The input cannot be followed.
+    /// The input is malformed.
     #[error(transparent)]
     Malformed(#[from] Malformed),
     /// A reply could not be written.
-    #[error("reply: {0}")]
+    #[error("failed to write the reply: {0}")]
     Reply(std::io::Error),
 }
 
-/// Input that cannot be followed, and where.
+/// Malformed input, with the record, field and offset at which it was found.
 #[derive(Debug, PartialEq, Error)]
 #[error("record {record}, field {field}, offset {offset}: {cause}")]
 pub(crate) struct Malformed {
-    /// The record by its name on the wire, or by its code.
+    /// Name of the record on the wire, or its code if the code is unknown.
     pub(crate) record: String,
-    /// The field by its name on the wire.
+    /// Name of the field on the wire.
     pub(crate) field: &'static str,
-    /// Offset in the batch, in bytes from its header on.
+    /// Offset from the start of the batch, in bytes, header included.
     pub(crate) offset: usize,
-    /// What is wrong with it.
+    /// Reason why the field is malformed.
     pub(crate) cause: Cause,
 }
 
-/// What is wrong with a field.
+/// Reason why a field is malformed.
 #[derive(Debug, PartialEq, Error)]
 pub(crate) enum Cause {
     /// The record ends before the field does.
-    #[error("needs {needed} bytes, {left} are left")]
+    #[error("needs {needed} bytes, {left} remain in the record")]
     CutShort {
-        /// Bytes of the field.
+        /// Length of the field, in bytes.
         needed: usize,
-        /// Bytes that the record still has.
+        /// Unread bytes of the record.
         left: usize,
     },
     /// The input ends within a batch.
     #[error("input ended after {got} of {expected} bytes")]
     InputEnded {
-        /// Bytes that came.
+        /// Bytes that were read.
         got: usize,
-        /// Bytes announced.
+        /// Bytes that were expected.
         expected: usize,
     },
-    /// A batch is longer than is taken.
-    #[error("{announced} bytes announced, at most {most} are taken")]
+    /// A batch header announces a body that is too long.
+    #[error("batch body of {announced} bytes exceeds the maximum of {max} bytes")]
     TooLong {
-        /// Bytes announced.
+        /// Length that the header announces, in bytes.
         announced: usize,
-        /// The most that are taken.
-        most: usize,
+        /// Longest body that is accepted, in bytes.
+        max: usize,
     },
-    /// The input cannot be read.
+    /// Reading the input failed.
     #[error("{0}")]
     Unreadable(String),
-    /// A number is infinite or none.
+    /// A number is infinite or NaN.
     #[error("not a finite number")]
     NotFinite,
-    /// A time is negative, in seconds.
-    #[error("negative time {0}")]
+    /// A time, in seconds, is negative.
+    #[error("negative time {0} s")]
     NegativeTime(f64),
-    /// A record of an unknown code.
+    /// The code of a record is unknown.
     #[error("unknown record")]
     UnknownRecord,
-    /// An outcome of an unknown code.
-    #[error("unknown outcome {0}")]
+    /// The code of an outcome is unknown.
+    #[error("unknown outcome code {0}")]
     UnknownOutcome(u8),
-    /// A request of an operation that the settings do not have.
-    #[error("no class {0}")]
+    /// A request names an operation index that the settings do not define.
+    #[error("no operation {0} in the settings")]
     NoOperation(usize),
     /// An event for a node that was not started.
     #[error("no instance {0}")]
     NoInstance(u16),
-    /// The settings are refused.
+    /// The settings of a node were rejected.
     #[error("{0}")]
     Settings(#[from] DeploymentError),
 }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,21 +1,22 @@
-//! Bounds-checked reading of a record's fields. Numbers are big-endian.
+//! Reads the fields of a record with bounds checks. Numbers are big-endian.
 
 use crate::error::{Cause, Malformed};
 use madderpoint::Nanos;
 use std::borrow::Cow;
 
-/// Reads the fields of one record, or the records of one body.
+/// Reader of the fields of one record, or of the records of one batch body.
 pub(crate) struct Fields<'a> {
     bytes: &'a [u8],
     /// Bytes read so far.
     read: usize,
-    /// Offset of `bytes` in the batch.
+    /// Offset of `bytes` from the start of the batch.
     base: usize,
     record: Cow<'static, str>,
 }
 
 impl<'a> Fields<'a> {
-    /// Reads `bytes` of a record of this name, which begin at offset `base` of the batch.
+    /// Creates a reader of `bytes`, which start at offset `base` of the batch. Errors name
+    /// `record`.
     pub(crate) fn new(bytes: &'a [u8], base: usize, record: impl Into<Cow<'static, str>>) -> Self {
         Fields {
             bytes,
@@ -25,17 +26,17 @@
         }
     }
 
-    /// Whether all is read.
+    /// Returns whether all bytes have been read.
     pub(crate) fn is_empty(&self) -> bool {
         self.read >= self.bytes.len()
     }
 
-    /// Offset in the batch of what is read next.
+    /// Returns the offset of the next unread byte from the start of the batch.
     pub(crate) fn offset(&self) -> usize {
         self.base + self.read
     }
 
-    /// An error at this offset.
+    /// Returns an error for a field at the present offset.
     pub(crate) fn malformed(&self, field: &'static str, cause: impl Into<Cause>) -> Malformed {
         Malformed {
             record: self.record.to_string(),
@@ -76,7 +77,7 @@
         Ok(u64::from_be_bytes(self.array(field)?))
     }
 
-    /// A finite number.
+    /// Reads a finite number.
     pub(crate) fn f32(&mut self, field: &'static str) -> Result<f32, Malformed> {
         let value = f32::from_be_bytes(self.array(field)?);
         if value.is_finite() {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// A finite number.
+    /// Reads a finite number.
     pub(crate) fn f64(&mut self, field: &'static str) -> Result<f64, Malformed> {
         let value = f64::from_be_bytes(self.array(field)?);
         if value.is_finite() {
@@ -96,7 +97,7 @@
         }
     }
 
-    /// A time in seconds, as whole nanoseconds.
+    /// Reads a time in seconds and rounds it to whole nanoseconds.
     pub(crate) fn nanos(&mut self, field: &'static str) -> Result<Nanos, Malformed> {
         let seconds = self.f64(field)?;
         if seconds < 0.0 {
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! One node's side effects, encoded into the reply that all nodes share.
+//! Encodes the side effects of one node into the reply that all nodes share.
 
 use crate::codes::Action;
 use madderpoint::{Host, Nanos, RequestId, TimerId};
@@ -7,7 +7,7 @@
 use std::io::{self, Write};
 use std::rc::Rc;
 
-/// The records of one reply.
+/// Records of the reply to the current batch.
 #[derive(Default)]
 pub(crate) struct Reply {
     count: u32,
@@ -15,7 +15,7 @@
 }
 
 impl Reply {
-    /// Adds a record whose fields are the parts, back to back.
+    /// Adds a record whose fields are the concatenated `parts`.
     pub(crate) fn add(&mut self, action: Action, instance: u16, parts: &[&[u8]]) {
         let len = size_of::<u16>() + parts.iter().map(|part| part.len()).sum::<usize>();
         self.count += 1;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Writes the reply and empties it.
+    /// Writes the reply to `output` and empties it.
     pub(crate) fn send(&mut self, output: &mut impl Write) -> io::Result<()> {
         output.write_all(&self.count.to_be_bytes())?;
         output.write_all(&(self.body.len() as u32).to_be_bytes())?;
@@ -38,14 +38,14 @@
     }
 }
 
-/// Writes one node's actions into the reply.
+/// [`Host`] of one node, which adds its actions to the reply.
 pub(crate) struct WireHost {
-    /// The node by its number on the wire.
+    /// Number of the node on the wire.
     pub(crate) instance: u16,
     pub(crate) reply: Rc<RefCell<Reply>>,
 }
 
-/// A span as the wire has it, in seconds.
+/// Encodes a duration for the wire, as seconds in a 64-bit float.
 fn seconds(span: Nanos) -> [u8; 8] {
     (span as f64 / 1e9).to_be_bytes()
 }
@@ -59,7 +59,8 @@
         self.write(action, &[&id.0.to_be_bytes()]);
     }
 
-    /// Writes a text, cut to what its length field can express.
+    /// Writes a text, truncated at a character boundary to the 65535 bytes that its length field
+    /// can express.
     pub(crate) fn write_text(&self, action: Action, text: &str) {
         let end = text.floor_char_boundary(text.len().min(usize::from(u16::MAX)));
         self.write(
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! Speaks the simulator's wire: batches of events come in on standard input, and what the decisions
-//! of [`madderpoint::admission`] do for each goes out on standard output. Input that cannot be
-//! followed ends the process with one line on standard error and exit code 1.
+//! Adapter of the simulator's wire protocol: reads batches of events from standard input, passes
+//! them to [`madderpoint::admission`] and writes the resulting actions to standard output.
+//! Malformed input ends the process with one line on standard error and exit code 1.
 
 mod adapter;
 mod batch;
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! Batches in, replies or errors out.
+//! The adapter answers batches with replies or ends with an error.
 
 use crate::adapter::Adapter;
 use madderpoint_deployment_config::decode;
@@ -10,7 +10,7 @@
     "Servers": 3, "Step": 0.005, "WorthBy": "request",
     "Services": [{"Aim": 1.0, "Deadline": 3.0, "Effect": "read_like", "LateWorth": 0.0, "Name": "get", "Points": 1.0}]}"#;
 
-/// One record: its code, the length of its fields, the fields.
+/// Encodes one record: the code, the length of the fields and the fields.
 fn record(code: u8, parts: &[&[u8]]) -> Vec<u8> {
     let fields = parts.concat();
     [&[code], &(fields.len() as u32).to_be_bytes()[..], &fields].concat()
@@ -65,27 +65,27 @@
 }
 
 #[test]
-fn a_request_is_run_and_unknown_settings_are_skipped() {
+fn a_request_is_started_and_unknown_settings_are_skipped() {
     let (result, output) = serve(&batch(&[init(FACTS), request(0)]));
     assert_eq!(result, Ok(()));
-    let run = [&[16, 0, 0, 0, 10, 0, 3][..], &77u64.to_be_bytes()].concat();
-    assert!(output.windows(run.len()).any(|w| w == run));
+    let start = [&[16, 0, 0, 0, 10, 0, 3][..], &77u64.to_be_bytes()].concat();
+    assert!(output.windows(start.len()).any(|w| w == start));
 }
 
 #[test]
-fn gauges_are_read_by_name() {
+fn gauge_names_are_decoded_in_order() {
     let names = decode(FACTS.as_bytes()).map(|config| config.gauge_names);
     assert_eq!(names, Ok(vec!["novel".to_owned(), "cpu_busy".to_owned()]));
 }
 
 #[test]
-fn broken_input_is_named() {
-    let cut = &batch(&[request(0)])[..40];
+fn errors_name_the_record_field_and_offset() {
+    let truncated = &batch(&[request(0)])[..40];
     let timer = record(21, &[&[0, 3], &[0; 8], &[2], &[0; 4]]);
     let negative = FACTS.replace("9000.0", "-1.0");
     for (input, expected) in [
         (
-            cut.to_vec(),
+            truncated.to_vec(),
             "record batch, field header, offset 40: input ended after 28 of 69 bytes",
         ),
         (
@@ -109,11 +109,11 @@
 }
 
 #[test]
-fn random_frames_end_in_a_reply_or_a_message() {
-    let whole = batch(&[init(FACTS), request(0)]);
+fn corrupted_batches_end_in_a_reply_or_an_error() {
+    let valid = batch(&[init(FACTS), request(0)]);
     let mut state = 11u64;
     for _ in 0..2000 {
-        let mut bytes = whole.clone();
+        let mut bytes = valid.clone();
         for _ in 0..3 {
             state = state
                 .wrapping_mul(6364136223846793005)
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,17 +1,18 @@
-//! All decisions of a node. The host calls one method of [`AdmissionController`] for each event,
-//! with the time; decisions come back at once through [`Host`].
+//! All decisions of a node. The host calls one method of [`AdmissionController`] for each event and
+//! passes the present time; the method returns its decisions through calls to [`Host`].
 //!
-//! The ordinary path is Dynamic Beta RED (`beta_red`): each arrival moves the averaged queue length
-//! and is rejected with the chance that the refusal curve gives for it; at each update the virtual
-//! target and the concurrency limit are walked. Queued requests start in the order of their value
-//! density (`queue`), within the concurrency limit, the runnable limit (`concurrency_limit`) and
-//! memory (`memory`). Every request is answered before its deadline (`deadlines`), its backend
-//! calls keep to the node's part downstream (`backend_calls`), and load balancers learn how much
-//! traffic to hold back (`load_report`, `drain`).
+//! Arrivals are admitted by Dynamic Beta RED (`beta_red`): each arrival moves the averaged queue
+//! length and is rejected with the probability that the refusal curve gives for that average. Each
+//! update walks the virtual target and the concurrency limit. Queued requests start in the order of
+//! their value density (`queue`), within the concurrency limit, the runnable limit
+//! (`concurrency_limit`) and memory (`memory`). Every request is answered before its deadline
+//! (`deadlines`), backend calls stay within the node's part of the downstream limit
+//! (`backend_calls`), and load balancers are told how much traffic to hold back (`load_report`,
+//! `drain`).
 //!
-//! Invariants: exactly one answer for each request; nothing that must not run twice is started or
-//! called a second time; random draws come from the seed alone and in the order of events, so that
-//! the same events with the same times give the same decisions.
+//! Invariants: each request gets exactly one answer. An execution or backend call that must not run
+//! twice is not started a second time. Random draws depend only on the seed and the order of
+//! events, so that the same events at the same times give the same decisions.
 
 mod answers;
 mod backend_calls;
@@ -52,12 +53,12 @@
 #[cfg(test)]
 mod tests;
 
-/// The periodic timer of the updates.
+/// Periodic timer that triggers the updates.
 const UPDATE_TIMER: TimerId = TimerId(1);
-/// The timer for the earliest answer that is due.
+/// Timer that fires when the next answer is due.
 const DEADLINE_TIMER: TimerId = TimerId(2);
 
-/// The decisions of one node.
+/// Makes all admission decisions of one node. Side effects are requested from `H`.
 pub struct AdmissionController<H: Host> {
     host: H,
     deployment: Deployment,
@@ -67,7 +68,7 @@
     tenants: TenantRates,
     requests: RequestTable,
     queue: Queue,
-    /// Executions, those that wait for a backend call among them.
+    /// Number of executions, including those that wait for a backend call.
     running: usize,
     memory: MemoryAccount,
     beta_red: BetaRed,
@@ -81,18 +82,21 @@
 }
 
 impl<H: Host> AdmissionController<H> {
-    /// Starts a node's decisions at `now`; random draws come from `seed` alone.
+    /// Creates the controller of a node that starts at `now`, and sets the first update timer.
+    /// Random draws depend only on `seed` and the order of events.
     pub fn new(now: Nanos, mut host: H, deployment: Deployment, seed: u64) -> Self {
         host.set_health(true, true);
         host.set_timer(UPDATE_TIMER, UPDATE_INTERVAL);
-        let agreed = &deployment.operations;
-        let objectives = agreed.iter().map(|operation| operation.latency_objective);
+        let operations = &deployment.operations;
+        let objectives = operations
+            .iter()
+            .map(|operation| operation.latency_objective);
         let shortest_objective = objectives.min().unwrap_or(0);
         let mut controller = AdmissionController {
             host,
             started_at: now,
             random: Pcg64Mcg::seed_from_u64(seed),
-            operations: agreed.iter().map(OperationProfile::new).collect(),
+            operations: operations.iter().map(OperationProfile::new).collect(),
             tenants: TenantRates::new(&deployment.tenants),
             requests: RequestTable::new(),
             queue: Queue::new(),
@@ -112,9 +116,10 @@
         controller
     }
 
-    // ---- Events, in the order in which they come ----
+    // ---- Events ----
 
-    /// A request was read.
+    /// Handles a request that was read from a connection: it is queued, coalesced or rejected, and
+    /// queued requests are started.
     pub fn on_arrival(&mut self, now: Nanos, arrival: Arrival) {
         let slot = self.register(now, &arrival);
         let RequestTimes {
@@ -136,7 +141,8 @@
             return self.host.coalesce(arrival.id);
         }
         if let Some(lifetime) = key_lifetime {
-            // Before the run, so that a repeat is recognised from here on.
+            // The key is retained before the execution starts, so that any later repeat is
+            // recognised.
             self.host.retain_idempotency_key(arrival.id, lifetime);
             self.memory.add_key(now + lifetime);
         }
@@ -154,7 +160,7 @@
         self.start_queued(now);
     }
 
-    /// A running request has come to a backend call.
+    /// Handles a running request that needs a backend call. The call is made, skipped or delayed.
     pub fn on_backend_call_needed(&mut self, now: Nanos, id: RequestId) {
         let Some(slot) = self.requests.slot(id) else {
             return;
@@ -166,7 +172,7 @@
         self.start_queued(now);
     }
 
-    /// A backend call ended, `latency` after it was made.
+    /// Handles the end of a backend call, `latency` after it was made.
     pub fn on_backend_call_ended(
         &mut self,
         now: Nanos,
@@ -214,8 +220,8 @@
         self.make_pending_calls(now, false);
     }
 
-    /// An execution or a coalesced wait ended, `latency` after its start; where it succeeded or
-    /// failed, the client was answered.
+    /// Handles the end of an execution or of a coalesced wait, `latency` after it started. If the
+    /// outcome is `Succeeded` or `Failed`, the host has answered the client.
     pub fn on_execution_ended(
         &mut self,
         now: Nanos,
@@ -236,7 +242,8 @@
             self.beta_red.count_completion();
         }
         if outcome == ExecutionOutcome::Cancelled && !request.is_answered {
-            // Stopped though its client waits: what must not run twice cannot be started again.
+            // The execution was stopped while its client still waits. It is not started again,
+            // since the operation may not be allowed to run twice.
             self.host.fail(id);
         }
         self.remove(slot);
@@ -244,14 +251,14 @@
         self.make_pending_calls(now, false);
     }
 
-    /// The client of a request no longer waits.
+    /// Handles the cancellation of a request by its client.
     pub fn on_client_cancelled(&mut self, now: Nanos, id: RequestId) {
         let Some(slot) = self.requests.slot(id) else {
             return;
         };
         match self.requests[slot].state {
             RequestState::Queued => {
-                // It never ran: its repeat is to run, not to wait for it.
+                // The request never ran, so a repeat must run instead of waiting for its result.
                 self.host.release_idempotency_key(id);
                 self.remove(slot);
             }
@@ -261,7 +268,7 @@
         self.start_queued(now);
     }
 
-    /// A timer expired; `gauges` are the node's of this moment.
+    /// Handles the expiry of a timer. `gauges` are the node's present gauges.
     pub fn on_timer(&mut self, now: Nanos, timer: TimerId, gauges: Gauges) {
         if timer == DEADLINE_TIMER {
             self.answer_due(now);
@@ -273,11 +280,12 @@
         self.make_pending_calls(now, timer == UPDATE_TIMER);
     }
 
-    /// The node is to leave, and the process will be stopped after `left`.
-    pub fn start_drain(&mut self, now: Nanos, left: Nanos) {
-        let stops_at = now + left;
+    /// Starts to drain the node. The process will be stopped after `remaining`; all open requests
+    /// are answered before then.
+    pub fn start_drain(&mut self, now: Nanos, remaining: Nanos) {
+        let stops_at = now + remaining;
         self.drain = Some(Drain {
-            noticed_at: now,
+            begun_at: now,
             stops_at,
         });
         let latest = deadlines::latest_answer(stops_at);
@@ -292,11 +300,11 @@
 
     // ---- Arrival and start ----
 
-    /// Enters an arrival into the table and the counts.
+    /// Adds an arrival to the request table and the counts, and returns its slot.
     fn register(&mut self, now: Nanos, arrival: &Arrival) -> usize {
-        let agreed = &self.operations[arrival.operation.0].agreed;
+        let config = &self.operations[arrival.operation.0].config;
         let stops_at = self.drain.map(|drain| drain.stops_at);
-        let times = RequestTimes::new(now, arrival, agreed, stops_at);
+        let times = RequestTimes::new(now, arrival, config, stops_at);
         let slot = self.requests.insert(Request::new(arrival, times));
         self.memory.add_queued(arrival.queued_kb);
         if let Some(tenant) = arrival.tenant {
@@ -308,17 +316,17 @@
         slot
     }
 
-    /// How long an arrival's idempotency key is to be retained: for keyed operations their window,
-    /// for reads as long as their answer may serve others. `None` if it has no key, or one that an
-    /// earlier attempt has registered.
+    /// Returns how long an arrival's idempotency key is retained: for keyed operations the
+    /// idempotency window, for reads the time for which an answer may be shared. Returns `None` if
+    /// the request has no key, or repeats a request whose key is already retained.
     fn key_lifetime(&self, arrival: &Arrival) -> Option<Nanos> {
-        let agreed = &self.operations[arrival.operation.0].agreed;
+        let config = &self.operations[arrival.operation.0].config;
         let shared_ttl = self.deployment.shared_answer_ttl;
         let is_shared =
-            shared_ttl > 0 && arrival.has_subject && agreed.idempotency == Idempotency::Idempotent;
-        let is_keyed = is_shared || agreed.idempotency == Idempotency::Keyed;
+            shared_ttl > 0 && arrival.has_subject && config.idempotency == Idempotency::Idempotent;
+        let is_keyed = is_shared || config.idempotency == Idempotency::Keyed;
         (arrival.duplicate_of.is_none() && is_keyed)
-            .then(|| agreed.idempotency_window.max(shared_ttl))
+            .then(|| config.idempotency_window.max(shared_ttl))
     }
 
     fn valuation(&self) -> Valuation<'_> {
@@ -334,8 +342,9 @@
         self.valuation().value_density(&self.requests[slot])
     }
 
-    /// Starts queued requests while the concurrency limit, the runnable limit and memory allow.
-    /// Executions that wait for a backend call use no core.
+    /// Starts queued requests while the concurrency limit, the runnable limit and memory allow it.
+    /// The concurrency limit does not count executions that wait for a backend call, since they use
+    /// no core.
     fn start_queued(&mut self, now: Nanos) {
         while self.running - self.calls.waiting < self.concurrency.limit as usize
             && self.running
@@ -358,14 +367,15 @@
         }
     }
 
-    /// The queued request that ranks first. Those whose answer would earn nothing are rejected.
+    /// Returns the slot of the queued request with the highest rank. Rejects queued requests whose
+    /// answer would earn nothing.
     fn next_to_start(&mut self, now: Nanos) -> Option<usize> {
         let mut best: Option<(Rank, usize)> = None;
         for index in (0..self.queue.len()).rev() {
             let slot = self.queue.slot(index);
             match self.valuation().rank(now, &self.requests[slot]) {
                 None => self.reject(now, slot),
-                Some(rank) if best.is_none_or(|(first, _)| rank >= first) => {
+                Some(rank) if best.is_none_or(|(highest, _)| rank >= highest) => {
                     best = Some((rank, slot));
                 }
                 Some(_) => {}
@@ -376,8 +386,8 @@
 
     // ---- Backend calls ----
 
-    /// Makes the calls that executions wait for, as far as there is capacity; those with a failed
-    /// attempt only `at_update`.
+    /// Makes the backend calls that executions wait for, as far as there is capacity. Calls with a
+    /// failed attempt are retried only `at_update`.
     fn make_pending_calls(&mut self, now: Nanos, at_update: bool) {
         if !self.calls.any_pending() {
             return;
@@ -393,7 +403,8 @@
         }
     }
 
-    /// Makes the call that an execution waits for, skips it, or lets it wait for capacity.
+    /// Makes the backend call that an execution waits for, skips the call, or leaves the execution
+    /// waiting for capacity. `has_waited` is true if the call has waited until an update.
     fn try_call(&mut self, now: Nanos, slot: usize, has_waited: bool) {
         let Some(request) = self.requests.get(slot) else {
             return;
--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -1,19 +1,21 @@
-//! How a request ends: rejected, failed, stopped, and taken out of the table and the counts.
+//! The end of a request: it is rejected, failed or stopped, and removed from the request table and
+//! the counts.
 
 use super::request::RequestState;
 use super::{AdmissionController, DEADLINE_TIMER};
 use crate::{Host, Idempotency, Nanos, Preemption};
 
 impl<H: Host> AdmissionController<H> {
-    /// Answers a request that never ran: it is rejected, or failed if what it repeats may have run.
+    /// Answers a request that never ran. The request is rejected, or failed if it was coalesced,
+    /// since the request that it repeats may have run.
     pub(super) fn reject(&mut self, now: Nanos, slot: usize) {
         self.window.value_rejected += self.value_density(slot);
         let request = &self.requests[slot];
         if request.state == RequestState::Coalesced {
             self.host.fail(request.id);
         } else {
-            // Trying another node helps neither against lateness nor against an overload of the
-            // whole cluster.
+            // Trying another node does not help if the request is late or the whole cluster is
+            // overloaded.
             let stop_trying = now >= request.times.objective_at
                 || self.signals.is_shedding()
                     && self.tenants.cluster_reaches_quotas(&self.deployment);
@@ -25,7 +27,8 @@
         self.remove(slot);
     }
 
-    /// Answers all that is due; work that goes on is counted as running until it ends.
+    /// Answers all requests that are due. Executions that continue are counted as running until
+    /// they end.
     pub(super) fn answer_due(&mut self, now: Nanos) {
         self.deadline_timer.fired();
         let mut next = Nanos::MAX;
@@ -49,7 +52,7 @@
         }
     }
 
-    /// Answers with an error what was started or coalesced.
+    /// Answers a started or coalesced request with an error.
     pub(super) fn fail(&mut self, slot: usize) {
         self.host.fail(self.requests[slot].id);
         match self.requests[slot].state {
@@ -58,14 +61,15 @@
         }
     }
 
-    /// Stops work that nobody waits for any more, where that can be done.
+    /// Marks a started request as answered, and stops its execution if the deployment supports
+    /// preemption.
     pub(super) fn stop_work(&mut self, slot: usize) {
         let request = &mut self.requests[slot];
         request.is_answered = true;
-        // A repeat within the window is served from the result of a keyed execution; if that was
-        // stopped, the repeat could only fail.
+        // The result of a keyed execution also answers repeats within the idempotency window. If
+        // the execution were stopped, those repeats could only fail.
         let serves_repeats =
-            self.operations[request.operation].agreed.idempotency == Idempotency::Keyed;
+            self.operations[request.operation].config.idempotency == Idempotency::Keyed;
         if request.state == RequestState::Running
             && self.deployment.preemption != Preemption::Unsupported
             && !serves_repeats
@@ -74,7 +78,7 @@
         }
     }
 
-    /// Takes a request out of the table and the counts.
+    /// Removes a request from the request table and the counts.
     pub(super) fn remove(&mut self, slot: usize) {
         let request = self.requests.remove(slot);
         self.memory.remove_queued(request.queued_kb);
--- a/src/admission/backend_calls.rs
+++ b/src/admission/backend_calls.rs
@@ -1,11 +1,12 @@
-//! Backend calls: how long an attempt may take, whether downstream has capacity for it, and what
-//! follows when it fails.
+//! Backend calls: the timeout of an attempt, the limit of calls to a shared service, and the
+//! handling of failed attempts.
 //!
-//! A shared service survives a mean number of calls in flight, of which this node has its part:
-//! `downstream_call_limit` over `downstream_call_window`. Calls in flight stay within it, or one.
-//! What calls used, lingering included, is booked as a debt that half of the limit pays back all
-//! the time; half of the window's can be used at once. So the mean of any window keeps to the
-//! limit, however small it is.
+//! A shared service can sustain a certain mean number of calls in flight. This node's part of that
+//! number is `downstream_call_limit`, as a mean over `downstream_call_window`. The number of calls
+//! in flight stays within the limit, or within 1 if the limit is lower. The time that calls used,
+//! including the lingering of abandoned ones, is booked as a debt. The debt is paid back
+//! continuously at a rate of half the limit, and up to half of limit times window can be used at
+//! once. The mean over any window thus stays within the limit, however small the limit is.
 
 use super::measure::LEARNING_RATE;
 use super::operation::OperationProfile;
@@ -13,42 +14,43 @@
 use crate::{BackendCallOutcome, Deployment, Downstream, Idempotency, Nanos};
 use rand::{Rng, RngExt};
 
-/// Attempts of one call.
-const MOST_ATTEMPTS: u8 = 3;
-/// How many times its usual time a call may take before it is abandoned.
+/// Maximum number of attempts of one backend call.
+const MAX_ATTEMPTS: u8 = 3;
+/// Multiple of its usual time that a call may take, beyond the lingering time, before it is
+/// abandoned.
 const CALL_TIME_FACTOR: f64 = 16.0;
 
-/// What happens to an execution that needs a backend call.
+/// Decision on an execution that needs a backend call.
 pub(super) enum CallDecision {
-    /// The call is made, and abandoned after `timeout`.
+    /// Make the call, and abandon it after `timeout`.
     Call { timeout: Nanos },
-    /// The execution goes on without it.
+    /// Continue the execution without the call.
     Skip,
-    /// It waits for capacity downstream.
+    /// Wait for downstream capacity.
     Wait,
 }
 
-/// What happens to an execution whose backend call failed.
+/// Decision on an execution whose backend call failed.
 pub(super) enum FailedCall {
-    /// It goes on without the call.
+    /// Continue the execution without the call.
     Skip,
-    /// The request is answered with an error.
+    /// Answer the request with an error.
     Fail,
-    /// The call is attempted again at the next update.
+    /// Retry the call at the next update.
     RetryAtUpdate,
-    /// The call is attempted again.
+    /// Retry the call now.
     Retry,
 }
 
-/// The backend calls of this node.
+/// State of the backend calls of this node.
 pub(super) struct BackendCalls {
-    /// Executions whose backend call is wanted or in flight.
+    /// Number of executions whose backend call is pending or in flight.
     pub(super) waiting: usize,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub(super) in_flight: usize,
-    /// When what calls have used of the limit will have been paid back.
-    paid_back_at: Nanos,
-    /// Share of calls that failed lately.
+    /// Time at which the debt of past calls will be paid back.
+    debt_cleared_at: Nanos,
+    /// Moving average of the share of calls that failed, 0 to 1.
     pub(super) failure_share: f64,
 }
 
@@ -57,18 +59,18 @@
         BackendCalls {
             waiting: 0,
             in_flight: 0,
-            paid_back_at: 0,
+            debt_cleared_at: 0,
             failure_share: 0.0,
         }
     }
 
-    /// Whether there are executions whose call is not yet made.
+    /// Returns whether any execution waits for a call that is not yet made.
     pub(super) fn any_pending(&self) -> bool {
         self.waiting > self.in_flight
     }
 
-    /// Whether a request's call is made now. A call without capacity is skipped, where that earns
-    /// something, if it `has_waited` until an update or more calls than cores are waiting.
+    /// Decides whether a request's call is made now. Without capacity, a skippable call is skipped
+    /// if it `has_waited` until an update or if more calls than there are cores wait.
     pub(super) fn decide(
         &self,
         now: Nanos,
@@ -90,9 +92,9 @@
         }
     }
 
-    /// How long a call may take: the time until the answer is due, or half the time until the
-    /// objective ends where the call can be skipped; at most some multiple of its usual time, and
-    /// at most what the limit allows.
+    /// Returns the timeout of a call: the time until the answer is due, or, if the call can be
+    /// skipped, half of the time until the latency objective ends. The timeout is capped by a
+    /// multiple of the usual call time and by the time that the downstream limit allows.
     fn timeout(
         &self,
         now: Nanos,
@@ -107,17 +109,17 @@
         } else {
             request.times.answer_by.saturating_sub(now)
         };
-        let repeatable = operation.agreed.idempotency == Idempotency::Idempotent;
-        if operation.call_time_s > 0.0 && (skippable || repeatable) {
-            // A call that hangs must not block its execution for long; but abandoning it before
-            // the lingering time relieves the backend of nothing.
-            let patience = (CALL_TIME_FACTOR * operation.call_time_s * 1e9) as Nanos;
-            timeout = timeout.min(linger + patience);
+        let retryable = operation.config.idempotency == Idempotency::Idempotent;
+        if operation.call_time_s > 0.0 && (skippable || retryable) {
+            // A hanging call must not block its execution for long. Abandoning the call before the
+            // lingering time has passed would not relieve the backend.
+            let max_call_time = (CALL_TIME_FACTOR * operation.call_time_s * 1e9) as Nanos;
+            timeout = timeout.min(linger + max_call_time);
         }
         if deployment.downstream == Downstream::SharedService {
             let limit = deployment.downstream_call_limit;
-            let owed = self.paid_back_at.saturating_sub(now) as f64;
-            let usable = limit / 2.0 * (deployment.downstream_call_window as f64 - owed);
+            let debt = self.debt_cleared_at.saturating_sub(now) as f64;
+            let usable = limit / 2.0 * (deployment.downstream_call_window as f64 - debt);
             timeout = timeout.min(((usable / limit.max(1.0)) as Nanos).saturating_sub(linger));
         }
         timeout
@@ -128,7 +130,8 @@
             || self.in_flight < deployment.downstream_call_limit.max(1.0) as usize
     }
 
-    /// Books what a call that has left the backend used, at once or after lingering there.
+    /// Books the time that an ended call used downstream. An abandoned call also uses the lingering
+    /// time.
     pub(super) fn record_end(
         &mut self,
         now: Nanos,
@@ -143,13 +146,13 @@
             0
         };
         let used = (latency + linger) as f64;
-        let owed = used * 2.0 / deployment.downstream_call_limit.max(1e-6);
-        self.paid_back_at = self.paid_back_at.max(now) + owed as Nanos;
+        let debt = used * 2.0 / deployment.downstream_call_limit.max(1e-6);
+        self.debt_cleared_at = self.debt_cleared_at.max(now) + debt as Nanos;
     }
 
-    /// Whether a call is not attempted again after this many failed attempts. Only a call that is
-    /// known not to have run downstream, or may run twice, is repeated; and the less often the more
-    /// calls fail, since retries of all nodes would prevent a backend from recovering.
+    /// Returns whether a call is given up after `failed_attempts`. A call is retried only if it is
+    /// known not to have run downstream or may run twice. The more calls fail, the fewer are
+    /// retried, since retries from all nodes would prevent the backend from recovering.
     pub(super) fn gives_up(
         &self,
         failed_attempts: u8,
@@ -157,21 +160,21 @@
         outcome: BackendCallOutcome,
         random: &mut impl Rng,
     ) -> bool {
-        let repeatable = operation.agreed.idempotency == Idempotency::Idempotent
+        let retryable = operation.config.idempotency == Idempotency::Idempotent
             || outcome == BackendCallOutcome::NotExecuted;
-        let is_spent = failed_attempts >= MOST_ATTEMPTS || !repeatable;
-        is_spent || random.random::<f64>() < self.failure_share
+        let is_exhausted = failed_attempts >= MAX_ATTEMPTS || !retryable;
+        is_exhausted || random.random::<f64>() < self.failure_share
     }
 
-    /// Learns whether calls fail.
+    /// Updates the share of failed calls with the outcome of a call.
     pub(super) fn observe_outcome(&mut self, failed: bool) {
         self.failure_share +=
             LEARNING_RATE / 2.0 * (f64::from(u8::from(failed)) - self.failure_share);
     }
 }
 
-/// What follows a failed call. A shared service is not to be hammered: its calls are skipped where
-/// that earns something, and else attempted again at the next update.
+/// Decides how an execution continues after a failed call. To avoid overloading a shared service,
+/// its calls are skipped if possible and otherwise retried only at the next update.
 pub(super) fn after_failure(
     gives_up: bool,
     operation: &OperationProfile,
@@ -189,7 +192,7 @@
     }
 }
 
-/// Whether an answer without the call earns something.
+/// Returns whether an answer without the backend call still earns weight.
 fn is_skippable(operation: &OperationProfile) -> bool {
-    operation.agreed.weight_fraction_without_call > 0.0
+    operation.config.weight_fraction_without_call > 0.0
 }
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -1,26 +1,28 @@
-//! How much may run at once: the concurrency limit, found by feedback from the cores, and the
-//! runnable limit, which the cores survive.
+//! Limits of what may run at once: the concurrency limit, which follows the load of the cores, and
+//! the runnable limit, which protects the cores from too many runnable executions.
 
 use crate::{Deployment, Gauges, Nanos};
 
-/// Cores that are busy for this share of their time count as full.
-const FULL_SHARE: f64 = 0.9;
-/// Executions take long when they take this many times as long as short ones of their operation.
-const LONG_RUN_RATIO: f64 = 3.0;
-/// Part of the runnable executions that the cores survive which is used.
+/// Share of the cores' time in use from which on the cores have no spare time.
+const BUSY_THRESHOLD: f64 = 0.9;
+/// Executions count as slow if their mean run ratio is above this. The run ratio is the run time as
+/// a multiple of that of short executions of the same operation.
+const SLOW_RUN_RATIO: f64 = 3.0;
+/// Fraction of the sustainable number of runnable executions that is used. The rest is a safety
+/// margin.
 const USABLE_FRACTION: f64 = 0.85;
 
-/// The most requests that may run at once, not counting those that wait for a backend call, which
-/// use no core.
+/// Limit of the executions that run at once. Executions that wait for a backend call use no core
+/// and are not counted.
 pub(super) struct ConcurrencyLimit {
     cores: f64,
-    most: f64,
+    max_limit: f64,
     pub(super) limit: f64,
-    /// Executions that ended since the limit was judged.
-    pub(super) ended: f64,
-    /// The sum over them of how many times the short run time each took.
-    pub(super) run_ratios: f64,
-    /// Share of the cores' time in use at the last update.
+    /// Number of executions that succeeded since the limit was last checked for slow runs.
+    pub(super) completed: f64,
+    /// Sum of the run ratios of the executions in `completed`.
+    pub(super) run_ratio_sum: f64,
+    /// Share of the cores' time in use at the last update, 0 to 1.
     pub(super) busy_share: f64,
 }
 
@@ -29,27 +31,28 @@
         let cores = deployment.cores as f64;
         ConcurrencyLimit {
             cores,
-            most: cores * deployment.max_runnable_per_core.max(1.0),
+            max_limit: cores * deployment.max_runnable_per_core.max(1.0),
             limit: cores,
-            ended: 0.0,
-            run_ratios: 0.0,
+            completed: 0.0,
+            run_ratio_sum: 0.0,
             busy_share: 0.0,
         }
     }
 
-    /// Whether the cores have spare time.
+    /// Returns whether the cores have spare time.
     pub(super) fn has_spare_cpu(&self) -> bool {
-        self.busy_share < FULL_SHARE
+        self.busy_share < BUSY_THRESHOLD
     }
 
-    /// Counts an execution that succeeded and took `run_ratio` times the short run time.
+    /// Counts an execution that succeeded and took `run_ratio` times as long as a short one.
     pub(super) fn observe_run(&mut self, run_ratio: f64) {
-        self.ended += 1.0;
-        self.run_ratios += run_ratio;
+        self.completed += 1.0;
+        self.run_ratio_sum += run_ratio;
     }
 
-    /// Grows the limit by half the idle cores while requests are queued, and lowers it by one while
-    /// full cores run long. Without a gauge, cores are taken to be busy while requests are queued.
+    /// Raises the limit by half the number of idle cores while requests are queued, and lowers the
+    /// limit by one if busy cores run slowly. Without a gauge, the cores are assumed to be busy
+    /// while requests are queued.
     pub(super) fn update(&mut self, any_queued: bool, gauges: &Gauges) {
         self.busy_share = gauges.cpu_busy.unwrap_or(f64::from(u8::from(any_queued)));
         self.limit += if any_queued {
@@ -57,28 +60,29 @@
         } else {
             0.0
         };
-        // Judged once as many executions have ended as may run at once: single ones on a small node
-        // prove nothing.
-        if self.ended >= self.limit {
-            let runs_long =
-                self.busy_share >= FULL_SHARE && self.run_ratios > LONG_RUN_RATIO * self.ended;
-            self.limit -= f64::from(u8::from(runs_long));
-            (self.ended, self.run_ratios) = (0.0, 0.0);
+        // The check needs as many completed executions as may run at once: on a small node, single
+        // executions are not significant.
+        if self.completed >= self.limit {
+            let runs_slowly = self.busy_share >= BUSY_THRESHOLD
+                && self.run_ratio_sum > SLOW_RUN_RATIO * self.completed;
+            self.limit -= f64::from(u8::from(runs_slowly));
+            (self.completed, self.run_ratio_sum) = (0.0, 0.0);
         }
-        self.limit = self.limit.clamp(self.cores, self.most);
+        self.limit = self.limit.clamp(self.cores, self.max_limit);
     }
 }
 
-/// The most executions that the cores survive if all that wait for disk or calls become runnable at
-/// once. A node that starts cold is taken to warm up as slowly as it may.
+/// Returns the highest number of executions that the cores can sustain if all executions that wait
+/// for disk or backend calls become runnable at once. A node that starts cold is assumed to take
+/// the whole warm-up time of its deployment.
 pub(super) fn runnable_limit(now: Nanos, started_at: Nanos, deployment: &Deployment) -> usize {
     let warmed = (now - started_at) as f64 / deployment.warm_up_time.max(1) as f64;
-    let lacking = if deployment.starts_cold {
+    let missing_speed = if deployment.starts_cold {
         (1.0 - deployment.cold_speed_fraction) * (1.0 - warmed.min(1.0))
     } else {
         0.0
     };
-    let survivable = deployment.cores as f64
-        * (1.0 + (deployment.max_runnable_per_core - 1.0) * (1.0 - lacking));
-    ((survivable * USABLE_FRACTION) as usize).max(1)
+    let sustainable = deployment.cores as f64
+        * (1.0 + (deployment.max_runnable_per_core - 1.0) * (1.0 - missing_speed));
+    ((sustainable * USABLE_FRACTION) as usize).max(1)
 }
--- a/src/admission/deadlines.rs
+++ b/src/admission/deadlines.rs
@@ -1,54 +1,56 @@
-//! The answer before the deadline: the instants that count for a request, and the one timer that
-//! watches over all of them.
+//! Deadlines: the times at which a request loses weight or must be answered, and the timer for the
+//! next answer that is due.
 
 use crate::{Arrival, Nanos, Operation};
 
-/// Answers go out this long before the client gives up: what reading intervals and late timers can
-/// take.
+/// Time before its deadline at which a request is answered at the latest, in nanoseconds. Allows
+/// for the delay of read intervals and late timers.
 pub(super) const ANSWER_MARGIN: Nanos = 30_000_000;
 
-/// The instants that count for a request.
+/// Times of one request.
 #[derive(Clone, Copy)]
 pub(super) struct RequestTimes {
-    /// When it reached the machine.
+    /// Time at which the request reached the machine.
     pub(super) arrived_at: Nanos,
-    /// Until then an answer earns its whole weight.
+    /// End of the latency objective. Until then an answer earns its whole weight.
     pub(super) objective_at: Nanos,
-    /// When it is answered at the latest.
+    /// Latest time at which the request is answered.
     pub(super) answer_by: Nanos,
 }
 
 impl RequestTimes {
-    /// The times of an arrival. The client timeout counts from arrival at the machine, unless the
-    /// request carries the time that its client still waits; an objective ends with the deadline at
-    /// the latest. `stops_at` is the end of the process, where it is known.
+    /// Returns the times of an arrival. The client timeout counts from the arrival at the machine,
+    /// unless the request carries the time for which its client will still wait. The latency
+    /// objective ends at the deadline at the latest. `stops_at` is the time at which the process
+    /// will be stopped, if known.
     pub(super) fn new(
         now: Nanos,
         arrival: &Arrival,
-        agreed: &Operation,
+        config: &Operation,
         stops_at: Option<Nanos>,
     ) -> Self {
         let arrived_at = now.saturating_sub(arrival.age);
         let deadline = arrival
             .time_left
-            .map_or(arrived_at + agreed.client_timeout, |left| now + left);
-        let own_work = arrival.work_hint.unwrap_or(0.0) * agreed.objective_per_work * 1e9;
+            .map_or(arrived_at + config.client_timeout, |left| now + left);
+        let work_extension = arrival.work_hint.unwrap_or(0.0) * config.objective_per_work * 1e9;
         RequestTimes {
             arrived_at,
-            objective_at: (arrived_at + agreed.latency_objective + own_work as Nanos).min(deadline),
+            objective_at: (arrived_at + config.latency_objective + work_extension as Nanos)
+                .min(deadline),
             answer_by: latest_answer(deadline.min(stops_at.unwrap_or(Nanos::MAX))),
         }
     }
 }
 
-/// The latest instant to answer what ends at `end`.
+/// Returns the latest time to answer a request whose deadline is `end`.
 pub(super) fn latest_answer(end: Nanos) -> Nanos {
     end.saturating_sub(ANSWER_MARGIN)
 }
 
-/// The timer for the earliest answer that is due.
+/// State of the timer for the next answer that is due.
 pub(super) struct DeadlineTimer {
-    /// When the timer set last fires; `Nanos::MAX` = none is set.
+    /// Time at which the timer fires; `Nanos::MAX` if no timer is set.
     fires_at: Nanos,
 }
 
@@ -59,13 +61,13 @@
         }
     }
 
-    /// Takes note that the timer has fired.
+    /// Records that the timer has fired.
     pub(super) fn fired(&mut self) {
         self.fires_at = Nanos::MAX;
     }
 
-    /// How long from now the timer must be set for an answer due at `answer_by`, unless it fires
-    /// before.
+    /// Returns the delay with which the timer must be set for an answer due at `answer_by`, or
+    /// `None` if the timer fires at or before that time already.
     pub(super) fn delay_for(&mut self, now: Nanos, answer_by: Nanos) -> Option<Nanos> {
         if answer_by >= self.fires_at {
             return None;
--- a/src/admission/drain.rs
+++ b/src/admission/drain.rs
@@ -1,29 +1,31 @@
-//! Leaving: from the notice until the end of its grace what arrives may still run; everything is
+//! Draining: requests that arrive within the drain grace may still run, and every request is
 //! answered before the process is stopped.
 
 use super::measure::UPDATE_INTERVAL;
 use crate::{Deployment, Nanos};
 
-/// A drain that has begun.
+/// A drain in progress.
 #[derive(Clone, Copy)]
 pub(super) struct Drain {
-    /// When the notice to leave came.
-    pub(super) noticed_at: Nanos,
-    /// When the process ends.
+    /// Time at which the drain began.
+    pub(super) begun_at: Nanos,
+    /// Time at which the process will be stopped.
     pub(super) stops_at: Nanos,
 }
 
 impl Drain {
-    /// Whether what arrived then must not run.
+    /// Returns whether a request that arrived at `arrived_at` must not run.
     pub(super) fn is_past_grace(&self, arrived_at: Nanos, deployment: &Deployment) -> bool {
-        arrived_at > self.noticed_at + deployment.drain_grace
+        arrived_at > self.begun_at + deployment.drain_grace
     }
 
-    /// Whether all traffic is to stay away. Where few other nodes would get its share, a node
-    /// serves on for as much of the grace as they are fewer; the last load report before its end
-    /// reaches clients in time.
-    pub(super) fn sends_all_away(&self, now: Nanos, deployment: &Deployment) -> bool {
+    /// Returns whether all traffic is held back. This begins one update interval for each other
+    /// node before the end of the grace: the fewer other nodes there are, the larger the share of
+    /// the traffic that each would have to take, and the longer this node continues to serve. Even
+    /// with a single other node, the last load report before the end of the grace reaches load
+    /// balancers in time.
+    pub(super) fn holds_back_all(&self, now: Nanos, deployment: &Deployment) -> bool {
         let others = deployment.nodes.saturating_sub(1).max(1) as Nanos;
-        now + UPDATE_INTERVAL * others >= self.noticed_at + deployment.drain_grace
+        now + UPDATE_INTERVAL * others >= self.begun_at + deployment.drain_grace
     }
 }
--- a/src/admission/load_report.rs
+++ b/src/admission/load_report.rs
@@ -1,37 +1,39 @@
-//! Signals to load balancers: the shedding level, the load report that carries it, and whether idle
-//! connections stay open.
+//! Signals to load balancers: the shedding level, the load report that carries it, and the idle
+//! timeout of connections.
 
 use super::deadlines::ANSWER_MARGIN;
 use super::measure::{LEARNING_RATE, seconds};
 use crate::{Deployment, LoadReport, Nanos};
 
-/// The load report holds back traffic until this share of the value that is read is still rejected.
-/// From there on rejected clients are asked to stop trying, if other nodes are likely to be
-/// overloaded too.
-pub(super) const REJECTED_GOAL: f64 = 0.03;
-/// Share of the goal's error by which an update moves the level.
+/// Target share of the value read that is rejected: the shedding level moves until rejections reach
+/// this share. While the shedding level is above the same figure, rejected clients are asked to
+/// stop trying, if other nodes are likely to be overloaded too.
+pub(super) const REJECTED_TARGET: f64 = 0.03;
+/// Share of the difference from [`REJECTED_TARGET`] by which an update moves the shedding level.
 pub(super) const LEVEL_GAIN: f64 = 0.15;
-/// The highest level: some traffic must come for the level to fall again.
-const HIGHEST_LEVEL: f64 = 0.95;
-/// Idle connections are closed when load balancers come back to one less often than this in their
-/// idle timeout, and stay open again above the second figure; the gap prevents flapping.
+/// Highest shedding level. Some traffic must arrive for the level to fall again.
+const MAX_LEVEL: f64 = 0.95;
+/// Idle connections are closed while load balancers send on average fewer requests than this within
+/// their idle timeout.
 const CLOSE_BELOW_RETURNS: f64 = 0.7;
+/// Idle connections are kept open again above this number of requests within the idle timeout. The
+/// gap between the two figures prevents flapping.
 const KEEP_ABOVE_RETURNS: f64 = 1.4;
 
-/// What was seen since the last update.
+/// Totals since the last update.
 #[derive(Default)]
 pub(super) struct UpdateWindow {
-    /// Value density of the requests that were read.
+    /// Sum of the value densities of the requests that were read.
     pub(super) value_read: f64,
-    /// Value density of those that were rejected.
+    /// Sum of the value densities of the requests that were rejected.
     pub(super) value_rejected: f64,
-    /// Requests that were read.
+    /// Number of requests that were read.
     pub(super) arrivals: f64,
 }
 
-/// What load balancers see of this node.
+/// State of the signals to load balancers.
 pub(super) struct LoadSignals {
-    /// The fraction of the traffic that the load report holds back.
+    /// Fraction of the traffic that the load report holds back, 0 to 1.
     pub(super) shedding_level: f64,
     keeps_idle_connections: bool,
 }
@@ -44,13 +46,13 @@
         }
     }
 
-    /// Whether more traffic is held back than the goal alone explains.
+    /// Returns whether the shedding level is above the target share of rejections.
     pub(super) fn is_shedding(&self) -> bool {
-        self.shedding_level > REJECTED_GOAL
+        self.shedding_level > REJECTED_TARGET
     }
 
-    /// Walks the shedding level: down while the cores have spare time, else by the error of the
-    /// goal. Load report and rejection thus follow the same mechanism.
+    /// Moves the shedding level: down while the cores have spare time, otherwise by the difference
+    /// of the rejected share from its target. The load report thus follows the rejections.
     pub(super) fn update_level(&mut self, has_spare_cpu: bool, window: &UpdateWindow) {
         if has_spare_cpu {
             self.shedding_level *= 1.0 - LEARNING_RATE;
@@ -61,12 +63,13 @@
         } else {
             0.0
         };
-        self.shedding_level = (self.shedding_level + LEVEL_GAIN * (rejected - REJECTED_GOAL))
-            .clamp(0.0, HIGHEST_LEVEL);
+        self.shedding_level =
+            (self.shedding_level + LEVEL_GAIN * (rejected - REJECTED_TARGET)).clamp(0.0, MAX_LEVEL);
     }
 
-    /// After which idle time connections are to be closed, when that changes. Idle connections take
-    /// places and memory: they stay open if load balancers mostly come back to them.
+    /// Returns the idle time after which connections are closed, if it changes. Idle connections
+    /// use connection slots and memory, so they are kept open only if load balancers mostly reuse
+    /// them.
     pub(super) fn update_idle_timeout(
         &mut self,
         arrival_rate: f64,
@@ -91,9 +94,9 @@
     }
 }
 
-/// The number to send back with every answer while `held_back` of the traffic is to stay away, if
-/// there is such a number. A credit goes from what this node can run and queue down to 1, and to 0
-/// when all is to stay away.
+/// Returns the load report for the fraction `held_back` of the traffic, 0 to 1, or `None` if load
+/// reports are disabled. A credit falls from the number of requests that this node can run and
+/// queue towards 1 as `held_back` rises, and is 0 if all traffic is held back.
 pub(super) fn load_report(
     kind: LoadReport,
     held_back: f64,
--- a/src/admission/measure.rs
+++ b/src/admission/measure.rs
@@ -1,22 +1,22 @@
-//! Time and averages, as every rule measures them.
+//! Time units and moving averages that all rules share.
 
 use crate::Nanos;
 
-/// Interval at which the targets, the concurrency limit and the load report are updated (the
-/// paper's T_update).
+/// Interval at which the targets, the concurrency limit and the load report are updated, in
+/// nanoseconds (T_update in the paper that `beta_red` cites).
 pub(super) const UPDATE_INTERVAL: Nanos = 500_000_000;
-/// Share by which a learnt figure moves with each sample.
+/// Weight of a new sample in a moving average.
 pub(super) const LEARNING_RATE: f64 = 0.1;
 
-/// A span in seconds.
+/// Converts a duration to seconds.
 pub(super) fn seconds(span: Nanos) -> f64 {
     span as f64 / 1e9
 }
 
-/// Moves a figure by `share` towards a sample; the first sample is taken whole.
-pub(super) fn learn(figure: &mut f64, sample: f64, share: f64) {
-    *figure += if *figure > 0.0 {
-        share * (sample - *figure)
+/// Moves an average towards a sample by `weight`. The first sample replaces the initial 0.
+pub(super) fn update_average(average: &mut f64, sample: f64, weight: f64) {
+    *average += if *average > 0.0 {
+        weight * (sample - *average)
     } else {
         sample
     };
--- a/src/admission/memory.rs
+++ b/src/admission/memory.rs
@@ -1,30 +1,32 @@
-//! The memory bound: what queued and running requests and idempotency keys take by own count, times
-//! what the gauge shows beyond it.
+//! The memory bound: an estimate of the memory that requests and idempotency keys use, corrected by
+//! the memory gauge.
 
-use super::measure::{LEARNING_RATE, learn};
+use super::measure::{LEARNING_RATE, update_average};
 use crate::{Deployment, Gauges, Nanos};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Part of the memory that is used, so that what is read between two readings fits.
+/// Part of the memory that is used. The rest is left for requests that are read between two
+/// readings of the gauge.
 const USABLE_FRACTION: f64 = 0.85;
-/// How many times the own count the memory in use is taken to be until the gauge has shown it.
+/// Initial ratio of memory in use to counted memory, until the gauge has been read.
 const INITIAL_GAUGE_FACTOR: f64 = 2.0;
-/// The gauge is compared once the own count is over this part of the memory.
-const LEAST_COMPARED_FRACTION: f64 = 0.02;
+/// The gauge is compared with the count only while the count is over this part of the memory.
+const MIN_COMPARED_FRACTION: f64 = 0.02;
 
-/// Memory in use. All figures are in kilobytes.
+/// Estimate of the memory in use, in kilobytes.
 pub(super) struct MemoryAccount {
     memory_kb: f64,
     run_memory_factor: f64,
     idempotency_key_kb: f64,
-    /// What open requests take by own count.
+    /// Memory that open requests use according to their sizes and the run memory factor.
     pub(super) counted_kb: f64,
-    /// How many times the own count the gauge shows: nobody declares what operations really take.
+    /// Ratio of the memory that the gauge shows to the counted memory. Operations do not declare
+    /// what they really use.
     pub(super) gauge_factor: f64,
-    /// What a typical request takes while it is queued.
+    /// Moving average of the memory that a queued request uses.
     pub(super) typical_request_kb: f64,
-    /// When idempotency keys expire.
+    /// Expiry times of the idempotency keys, earliest first.
     key_expiries: BinaryHeap<Reverse<Nanos>>,
 }
 
@@ -41,38 +43,38 @@
         }
     }
 
-    /// Counts an arrival.
+    /// Adds the memory of an arrival to the count.
     pub(super) fn add_queued(&mut self, queued_kb: f64) {
         self.counted_kb += queued_kb;
-        learn(&mut self.typical_request_kb, queued_kb, LEARNING_RATE);
+        update_average(&mut self.typical_request_kb, queued_kb, LEARNING_RATE);
     }
 
-    /// Counts the start of a request.
+    /// Adds the extra memory of a started request to the count.
     pub(super) fn add_running(&mut self, queued_kb: f64) {
         self.counted_kb += self.extra_running_kb(queued_kb);
     }
 
-    /// Takes a queued request out of the count.
+    /// Removes the memory of a queued request from the count.
     pub(super) fn remove_queued(&mut self, queued_kb: f64) {
         self.counted_kb -= queued_kb;
     }
 
-    /// Takes out what running took beyond what being queued takes.
+    /// Removes the extra memory of a running request from the count.
     pub(super) fn remove_running(&mut self, queued_kb: f64) {
         self.counted_kb -= self.extra_running_kb(queued_kb);
     }
 
-    /// What running takes beyond what being queued takes.
+    /// Returns the extra memory that a request uses while it runs, compared to while it is queued.
     pub(super) fn extra_running_kb(&self, queued_kb: f64) -> f64 {
         queued_kb * (self.run_memory_factor - 1.0)
     }
 
-    /// Counts an idempotency key until it expires.
+    /// Counts an idempotency key until `expires_at`.
     pub(super) fn add_key(&mut self, expires_at: Nanos) {
         self.key_expiries.push(Reverse(expires_at));
     }
 
-    /// What one idempotency key takes.
+    /// Returns the memory that one idempotency key uses.
     pub(super) fn key_kb(&self) -> f64 {
         self.idempotency_key_kb
     }
@@ -81,19 +83,20 @@
         self.key_expiries.len() as f64 * self.idempotency_key_kb
     }
 
-    /// Whether there is memory for this much more.
-    pub(super) fn fits(&self, more_kb: f64) -> bool {
-        (self.counted_kb + more_kb) * self.gauge_factor + self.all_keys_kb()
+    /// Returns whether `extra_kb` more fits into the usable memory.
+    pub(super) fn fits(&self, extra_kb: f64) -> bool {
+        (self.counted_kb + extra_kb) * self.gauge_factor + self.all_keys_kb()
             < self.memory_kb * USABLE_FRACTION
     }
 
-    /// Whether there is memory for this much more by own count alone: what a node that runs nothing
-    /// still starts.
-    pub(super) fn fits_by_count(&self, more_kb: f64) -> bool {
-        self.counted_kb + more_kb + self.all_keys_kb() < self.memory_kb
+    /// Returns whether `extra_kb` more fits into memory by the count alone, without correction by
+    /// the gauge. A node that runs nothing starts a request under this weaker condition.
+    pub(super) fn fits_by_count(&self, extra_kb: f64) -> bool {
+        self.counted_kb + extra_kb + self.all_keys_kb() < self.memory_kb
     }
 
-    /// How many typical requests memory can queue beside `running` of them that run.
+    /// Returns the number of typical requests that memory can queue while `running` typical
+    /// requests run.
     pub(super) fn queue_capacity(&self, running: f64) -> f64 {
         let running_kb = running * self.run_memory_factor * self.typical_request_kb;
         let free_kb = (self.memory_kb * USABLE_FRACTION - self.all_keys_kb()) / self.gauge_factor
@@ -101,7 +104,7 @@
         free_kb / self.typical_request_kb.max(f64::MIN_POSITIVE)
     }
 
-    /// Drops expired keys and compares the own count with the gauge: up at once, down slowly.
+    /// Removes expired keys and updates the gauge factor: it rises at once and falls slowly.
     pub(super) fn update(&mut self, now: Nanos, gauges: &Gauges) {
         while self.key_expiries.peek().is_some_and(|key| key.0 < now) {
             self.key_expiries.pop();
@@ -109,14 +112,15 @@
         let Some(used) = gauges.memory_used else {
             return;
         };
-        if self.counted_kb > LEAST_COMPARED_FRACTION * self.memory_kb {
-            let seen = ((used * self.memory_kb - self.all_keys_kb()) / self.counted_kb).max(1.0);
-            let share = if seen > self.gauge_factor {
+        if self.counted_kb > MIN_COMPARED_FRACTION * self.memory_kb {
+            let observed =
+                ((used * self.memory_kb - self.all_keys_kb()) / self.counted_kb).max(1.0);
+            let share = if observed > self.gauge_factor {
                 1.0
             } else {
                 LEARNING_RATE
             };
-            self.gauge_factor += share * (seen - self.gauge_factor);
+            self.gauge_factor += share * (observed - self.gauge_factor);
         }
     }
 }
--- a/src/admission/mode.rs
+++ b/src/admission/mode.rs
@@ -1,20 +1,21 @@
-//! The mode that the log and the operators see. No decision depends on it.
+//! The mode of a node, for the log and the operators. No decision depends on the mode.
 
-/// What a node is doing with its traffic.
+/// Mode of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Mode {
-    /// Nothing is rejected or held back.
+    /// No requests are rejected.
     Admitting,
-    /// Some requests are rejected, or traffic is held back.
+    /// Some requests are rejected.
     Rejecting,
-    /// The queue has reached its bound: every arrival leads to a rejection.
+    /// The queue has reached its bound, and every arrival leads to a rejection.
     QueueFull,
-    /// The node has had its notice to leave.
+    /// The node is draining. This mode is final.
     Draining,
 }
 
 impl Mode {
-    /// The mode after an update.
+    /// Returns the mode after an update. While the load report holds back traffic, the mode is kept
+    /// unless the queue is full or requests were rejected.
     pub(super) fn next(self, queue_is_full: bool, any_rejected: bool, is_shedding: bool) -> Mode {
         match self {
             Mode::Draining => Mode::Draining,
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The queue: what a request is worth, who is started next, and whom a rejection falls on.
+//! The queue: the value density of requests, the order in which they start, and the shed candidate.
 
 use super::operation::OperationProfile;
 use super::request::{Request, RequestTable};
@@ -6,10 +6,10 @@
 use crate::{Deployment, Nanos};
 use std::cmp::Reverse;
 
-/// Expected run times count as this at least, in seconds.
-const LEAST_RUN_TIME_S: f64 = 1e-3;
+/// Lower bound of the expected run time in the value density, in seconds.
+const MIN_RUN_TIME_S: f64 = 1e-3;
 
-/// What values of requests are derived from.
+/// Inputs of the valuation of requests.
 pub(super) struct Valuation<'a> {
     pub(super) deployment: &'a Deployment,
     pub(super) operations: &'a [OperationProfile],
@@ -18,29 +18,31 @@
 }
 
 impl Valuation<'_> {
-    /// Priority weight for an expected second of running (or for each unit of work, where the
-    /// deployment weighs so) of an answer in time. Traffic over a tenant's quota is not marked, so
-    /// all of that tenant's counts in proportion.
+    /// Returns the value density of a request: the priority weight of an answer in time per second
+    /// of expected run time, or per unit of work if the deployment is weighted by work. Requests
+    /// over a tenant's quota are not marked, so the value density of all requests of the tenant is
+    /// reduced in proportion.
     pub(super) fn value_density(&self, request: &Request) -> f64 {
         let run_time_s = if self.deployment.weighted_by_work {
             1.0
         } else {
-            self.expected_run_time_s(request).max(LEAST_RUN_TIME_S)
+            self.expected_run_time_s(request).max(MIN_RUN_TIME_S)
         };
-        let within = request.tenant.map_or(1.0, |tenant| {
+        let fraction_within = request.tenant.map_or(1.0, |tenant| {
             self.tenants.fraction_within_quota(tenant, self.deployment)
         });
-        self.operations[request.operation].agreed.priority_weight / run_time_s
-            * (within + (1.0 - within) * self.deployment.over_quota_weight_fraction)
+        self.operations[request.operation].config.priority_weight / run_time_s
+            * (fraction_within
+                + (1.0 - fraction_within) * self.deployment.over_quota_weight_fraction)
     }
 
     fn expected_run_time_s(&self, request: &Request) -> f64 {
         self.operations[request.operation].run_time_s * request.size
     }
 
-    /// The fraction of its weight that a request would earn if it were started now. While the cores
-    /// have spare time, only what is late already counts: an expectation may err, and nothing else
-    /// wants the core.
+    /// Returns the fraction of its weight that a request would earn if it were started now. While
+    /// the cores have spare time, the expected run time is ignored and only requests that are
+    /// already late lose weight: the expectation may be wrong, and no other request needs the core.
     fn expected_fraction(&self, now: Nanos, request: &Request) -> f64 {
         let run_time_s = if self.has_spare_cpu {
             0.0
@@ -51,15 +53,15 @@
             end if end > request.times.answer_by => 0.0,
             end if end > request.times.objective_at => {
                 self.operations[request.operation]
-                    .agreed
+                    .config
                     .late_weight_fraction
             }
             _ => 1.0,
         }
     }
 
-    /// Its rank among those that could be started now: by value, then by age. `None` if an answer
-    /// would earn nothing any more.
+    /// Returns the rank of a request in the order of starts: by value, then by age. Returns `None`
+    /// if an answer would no longer earn anything.
     pub(super) fn rank(&self, now: Nanos, request: &Request) -> Option<Rank> {
         let fraction = self.expected_fraction(now, request);
         (fraction != 0.0).then(|| Rank {
@@ -69,14 +71,14 @@
     }
 }
 
-/// A place in the order of starts; the highest is started first.
+/// Rank in the order of starts. The request with the highest rank is started first.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 pub(super) struct Rank {
     value: f64,
     arrived_at: Reverse<Nanos>,
 }
 
-/// Slots of the requests that wait to be started, in the order of their arrival.
+/// Slots of the queued requests, in the order of their arrival.
 pub(super) struct Queue {
     slots: Vec<usize>,
 }
@@ -96,7 +98,7 @@
         self.slots.is_empty()
     }
 
-    /// The slot at an index, the oldest arrival first.
+    /// Returns the slot at an index; index 0 is the oldest arrival.
     pub(super) fn slot(&self, index: usize) -> usize {
         self.slots[index]
     }
@@ -109,8 +111,9 @@
         self.slots.retain(|&queued| queued != slot);
     }
 
-    /// Whom a rejection falls on: the least value density among the arrival and the queued requests
-    /// that are young, whose clients lose little by trying another node.
+    /// Returns the slot of the shed candidate: the request with the lowest value density among the
+    /// arrival and the young queued requests. Clients of young requests lose little time by trying
+    /// another node.
     pub(super) fn shed_candidate(
         &self,
         now: Nanos,
@@ -124,11 +127,11 @@
             .iter()
             .copied()
             .filter(|&slot| requests[slot].is_young(now));
-        young.fold(arrival, |least, slot| {
-            if density(slot) < density(least) {
+        young.fold(arrival, |candidate, slot| {
+            if density(slot) < density(candidate) {
                 slot
             } else {
-                least
+                candidate
             }
         })
     }
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -1,4 +1,4 @@
-//! The requests that are open at this node, by id and by slot.
+//! The open requests of this node, by id and by slot.
 
 use super::deadlines::RequestTimes;
 use crate::{Arrival, Nanos, RequestId};
@@ -6,37 +6,37 @@
 use std::collections::HashMap;
 use std::ops::{Index, IndexMut};
 
-/// How far a request has come.
+/// State of an open request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestState {
-    /// Waits to be started.
+    /// The request waits to be started.
     Queued,
-    /// Waits for the result of the request that it repeats.
+    /// The request waits for the result of the request that it repeats.
     Coalesced,
-    /// Runs.
+    /// The request is executed.
     Running,
-    /// Runs, and wants a backend call that is not yet made.
+    /// The execution waits for a backend call that is not yet made.
     AwaitsCall,
-    /// Runs, and its backend call is in flight.
+    /// The execution waits for a backend call that is in flight.
     Calling,
 }
 
-/// A request that was read and is neither answered and gone nor stopped.
+/// An open request: it is unanswered, or its execution has not ended.
 pub(super) struct Request {
     pub(super) id: RequestId,
-    /// Index of its operation.
+    /// Index of the operation.
     pub(super) operation: usize,
-    /// Index of its tenant.
+    /// Index of the tenant, if the request has one.
     pub(super) tenant: Option<usize>,
     pub(super) times: RequestTimes,
-    /// Memory that it takes while it is queued, in kilobytes.
+    /// Memory that the request uses while it is queued, in kilobytes.
     pub(super) queued_kb: f64,
-    /// Its work, in seconds of a standard core, where a hint gives it; else 1.
+    /// Work hint of the request, in seconds of a standard core, or 1 without a hint.
     pub(super) size: f64,
     pub(super) state: RequestState,
-    /// Whether the client has its answer or has left, while the work goes on.
+    /// Whether the client was answered or has cancelled while the execution continues.
     pub(super) is_answered: bool,
-    /// Attempts of its present backend call that failed.
+    /// Number of failed attempts of the present backend call.
     pub(super) failed_calls: u8,
 }
 
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Whether it has waited for less than a fifth of its time, so that its client loses little by
-    /// trying another node.
+    /// Returns whether the request has waited for less than a fifth of the time until its answer is
+    /// due, so that its client loses little time by trying another node.
     pub(super) fn is_young(&self, now: Nanos) -> bool {
         let RequestTimes {
             arrived_at,
@@ -71,8 +71,8 @@
     }
 }
 
-/// The open requests. A slot is a request's place until it is removed; slots are reused, and rules
-/// that look at all requests go by slot.
+/// Table of the open requests. A request keeps its slot until it is removed; slots are then reused.
+/// Rules that look at all requests iterate by slot.
 pub(super) struct RequestTable {
     slab: Slab<Request>,
     slots: HashMap<RequestId, usize>,
@@ -100,12 +100,12 @@
         request
     }
 
-    /// The slot of an open request.
+    /// Returns the slot of an open request.
     pub(super) fn slot(&self, id: RequestId) -> Option<usize> {
         self.slots.get(&id).copied()
     }
 
-    /// All slots, occupied or not.
+    /// Returns the range of all slots, occupied or not.
     pub(super) fn slots(&self) -> std::ops::Range<usize> {
         0..self.slab.capacity()
     }
--- a/src/admission/tenants.rs
+++ b/src/admission/tenants.rs
@@ -1,18 +1,19 @@
-//! Tenants' rates at this node against their quotas of the cluster.
+//! Request rates of the tenants, compared with their quotas for the whole cluster.
 
 use super::measure::{LEARNING_RATE, UPDATE_INTERVAL, seconds};
 use crate::{Deployment, Tenant};
 
-/// One tenant's arrivals at this node.
+/// Arrivals of one tenant at this node.
 #[derive(Clone, Copy, Default)]
 pub(super) struct TenantTraffic {
-    /// Since the last update.
+    /// Number of arrivals since the last update.
     pub(super) arrivals: f64,
-    /// A second, learnt.
+    /// Moving average of the arrivals per second.
     pub(super) rate: f64,
 }
 
-/// The traffic of all tenants. The cluster's traffic is taken to be this node's times the nodes.
+/// Traffic of all tenants. The rate of the cluster is estimated as the rate of this node times the
+/// number of nodes.
 pub(super) struct TenantRates {
     pub(super) traffic: Vec<TenantTraffic>,
 }
@@ -29,7 +30,7 @@
         self.traffic[tenant].arrivals += 1.0;
     }
 
-    /// Learns the rates from the arrivals since the last update.
+    /// Updates the rates with the arrivals since the last update.
     pub(super) fn update(&mut self) {
         for tenant in &mut self.traffic {
             tenant.rate +=
@@ -38,14 +39,14 @@
         }
     }
 
-    /// The part of a tenant's traffic that is within its quota, 0 to 1.
+    /// Returns the fraction of a tenant's traffic that is within its quota, 0 to 1.
     pub(super) fn fraction_within_quota(&self, tenant: usize, deployment: &Deployment) -> f64 {
         let cluster_rate = self.traffic[tenant].rate * deployment.nodes as f64;
         (deployment.tenants[tenant].quota_per_s / cluster_rate).min(1.0)
     }
 
-    /// Whether other nodes are likely to be overloaded too, as far as the tenants' quotas show;
-    /// always where there are no tenants.
+    /// Returns whether the estimated rate of the cluster reaches the sum of the tenants' quotas, so
+    /// that other nodes are likely to be overloaded too. Always true without tenants.
     pub(super) fn cluster_reaches_quotas(&self, deployment: &Deployment) -> bool {
         let rate: f64 = self.traffic.iter().map(|tenant| tenant.rate).sum();
         let quota: f64 = deployment
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -1,4 +1,5 @@
-//! Each test sets up the state that it needs and calls one function.
+//! Tests of the admission controller. Each test sets up the controller's state directly and calls
+//! one function or event handler.
 
 use super::beta_red::AVERAGING_WEIGHT;
 use super::concurrency_limit::runnable_limit;
@@ -23,7 +24,7 @@
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000_000_000;
 
-/// A side effect that was requested.
+/// A side effect that the controller requested.
 #[derive(Debug, PartialEq)]
 enum Effect {
     Start(u64),
@@ -40,7 +41,7 @@
     SetTimer(u64, Nanos),
 }
 
-/// Records what was requested, released keys apart from the rest.
+/// Records the requested side effects. Released keys are recorded in a separate list.
 #[derive(Default)]
 struct RecordingHost {
     effects: Vec<Effect>,
@@ -158,8 +159,8 @@
     }
 }
 
-/// Opens requests of operation 0 in this state, as if they had arrived at 0.
-fn put(
+/// Inserts open requests of operation 0 in this state, with arrival time 0.
+fn insert_requests(
     controller: &mut AdmissionController<RecordingHost>,
     ids: std::ops::Range<u64>,
     state: RequestState,
@@ -194,14 +195,15 @@
     }
 }
 
-fn busy(share: f64) -> Gauges {
+fn cpu_busy(share: f64) -> Gauges {
     Gauges {
         cpu_busy: Some(share),
         ..Gauges::default()
     }
 }
 
-/// The rules with the controller's own inputs.
+// The following functions call one rule with the controller's own state as input.
+
 fn observe_arrival(controller: &mut AdmissionController<RecordingHost>, age: Nanos) {
     controller
         .beta_red
--- a/src/admission/tests/backend_calls.rs
+++ b/src/admission/tests/backend_calls.rs
@@ -1,14 +1,14 @@
-//! Backend calls: attempts, the limit downstream, skipping.
+//! Backend calls: attempts, the downstream limit and skipped calls.
 
 use super::*;
 
 #[test]
-fn a_call_that_hangs_is_abandoned_after_its_usual_time() {
+fn a_hanging_call_is_abandoned_after_a_multiple_of_its_usual_time() {
     let mut controller = controller(Deployment {
         downstream: Downstream::Tier,
         ..deployment()
     });
-    put(&mut controller, 0..1, RequestState::AwaitsCall);
+    insert_requests(&mut controller, 0..1, RequestState::AwaitsCall);
     controller.operations[0].call_time_s = 0.1;
     controller.try_call(MS, 0, false);
     controller.on_backend_call_ended(S, RequestId(0), BackendCallOutcome::Abandoned, 100 * MS);
@@ -23,14 +23,15 @@
 
 #[test]
 fn failing_backends_get_fewer_retries() {
-    // Guards against retries of all nodes at a tier that rejects: four attempts for each request.
+    // Guards against retries from all nodes to a tier that rejects, which made four attempts for
+    // each request.
     let mut controller = controller(Deployment {
         downstream: Downstream::Tier,
         ..deployment()
     });
-    put(&mut controller, 0..1, RequestState::Calling);
-    put(&mut controller, 1..2, RequestState::AwaitsCall);
-    controller.operations[0].agreed.weight_fraction_without_call = 0.5;
+    insert_requests(&mut controller, 0..1, RequestState::Calling);
+    insert_requests(&mut controller, 1..2, RequestState::AwaitsCall);
+    controller.operations[0].config.weight_fraction_without_call = 0.5;
     controller.calls.failure_share = 1.0;
     controller.on_backend_call_ended(MS, RequestId(0), BackendCallOutcome::NotExecuted, MS);
     assert!(controller.host.effects.contains(&Effect::SkipCall(0)));
@@ -39,31 +40,32 @@
 #[test]
 fn calls_in_flight_stay_within_the_limit() {
     let mut controller = controller(deployment());
-    put(&mut controller, 0..2, RequestState::Calling);
-    put(&mut controller, 2..3, RequestState::Running);
+    insert_requests(&mut controller, 0..2, RequestState::Calling);
+    insert_requests(&mut controller, 2..3, RequestState::Running);
     controller.on_backend_call_needed(MS, RequestId(2));
-    assert_eq!(controller.host.effects, [], "waits");
+    assert_eq!(controller.host.effects, [], "the call waits for capacity");
     controller.on_backend_call_ended(S, RequestId(0), BackendCallOutcome::Abandoned, S);
     assert_eq!(
         controller.host.effects,
         [Effect::CallBackend(2, 1820 * MS)],
-        "the abandoned call lingers and is booked"
+        "the time of the abandoned call and its lingering are booked"
     );
-    controller.operations[0].agreed.weight_fraction_without_call = 0.5;
+    controller.operations[0].config.weight_fraction_without_call = 0.5;
     controller.make_pending_calls(S, true);
     assert_eq!(controller.host.effects[1..], [Effect::SkipCall(0)]);
 }
 
 #[test]
-fn a_limit_below_one_holds_in_the_mean() {
-    // Half of 0.5 over 5 s is paid back over time, half can be used at once, lingering included.
+fn a_call_limit_below_one_holds_on_average() {
+    // The limit is 0.5 x 5 s = 2.5 s of call time. Half of this is paid back over time, and half
+    // can be used at once, lingering included.
     let mut controller = controller(Deployment {
         downstream_call_limit: 0.5,
         ..deployment()
     });
-    put(&mut controller, 0..2, RequestState::AwaitsCall);
+    insert_requests(&mut controller, 0..2, RequestState::AwaitsCall);
     controller.operations[0].call_time_s = 0.2;
-    controller.operations[0].agreed.idempotency = Idempotency::Keyed;
+    controller.operations[0].config.idempotency = Idempotency::Keyed;
     controller.make_pending_calls(MS, false);
     assert_eq!(controller.host.effects, [Effect::CallBackend(0, 1050 * MS)]);
     controller.on_backend_call_ended(S, RequestId(0), BackendCallOutcome::Succeeded, S);
@@ -78,20 +80,21 @@
 }
 
 #[test]
-fn a_call_waits_for_room_before_it_is_skipped() {
-    // Guards against small limits: a third of the calls were skipped while the backend was idle.
+fn a_call_waits_for_capacity_before_it_is_skipped() {
+    // Guards against skipping calls too early: with a small limit, a third of the calls was skipped
+    // while the backend was idle.
     let mut controller = controller(Deployment {
         downstream_call_limit: 1.0,
         ..deployment()
     });
-    controller.operations[0].agreed.weight_fraction_without_call = 0.5;
-    put(&mut controller, 0..1, RequestState::Calling);
-    put(&mut controller, 1..6, RequestState::Running);
+    controller.operations[0].config.weight_fraction_without_call = 0.5;
+    insert_requests(&mut controller, 0..1, RequestState::Calling);
+    insert_requests(&mut controller, 1..6, RequestState::Running);
     (1..6).for_each(|id| controller.on_backend_call_needed(MS, RequestId(id)));
     assert_eq!(
         controller.host.effects,
         [Effect::SkipCall(5)],
-        "as many as there are cores wait"
+        "as many calls as there are cores wait"
     );
     controller.on_backend_call_ended(S, RequestId(0), BackendCallOutcome::Succeeded, 100 * MS);
     assert!(matches!(
@@ -101,13 +104,13 @@
 }
 
 #[test]
-fn a_call_that_may_have_run_is_not_repeated() {
+fn a_call_that_may_have_run_is_not_retried() {
     let mut controller = controller(Deployment {
         downstream: Downstream::Tier,
         ..deployment()
     });
-    put(&mut controller, 0..2, RequestState::Calling);
-    controller.operations[0].agreed.idempotency = Idempotency::NonIdempotent;
+    insert_requests(&mut controller, 0..2, RequestState::Calling);
+    controller.operations[0].config.idempotency = Idempotency::NonIdempotent;
     controller.on_backend_call_ended(MS, RequestId(0), BackendCallOutcome::PossiblyExecuted, MS);
     controller.on_backend_call_ended(MS, RequestId(1), BackendCallOutcome::NotExecuted, MS);
     assert_eq!(
@@ -117,14 +120,14 @@
 }
 
 #[test]
-fn without_a_limit_downstream_no_call_is_made() {
+fn no_call_is_made_with_a_call_limit_of_zero() {
     let mut controller = controller(Deployment {
         downstream_call_limit: 0.0,
         ..deployment()
     });
-    put(&mut controller, 0..2, RequestState::AwaitsCall);
+    insert_requests(&mut controller, 0..2, RequestState::AwaitsCall);
     controller.requests[1].operation = 1;
-    controller.operations[1].agreed.weight_fraction_without_call = 0.5;
+    controller.operations[1].config.weight_fraction_without_call = 0.5;
     controller.make_pending_calls(MS, true);
     assert_eq!(controller.host.effects, [Effect::SkipCall(1)]);
     controller.answer_due(8 * S);
--- a/src/admission/tests/beta_red.rs
+++ b/src/admission/tests/beta_red.rs
@@ -1,4 +1,4 @@
-//! The random rejection: curve, average, walk and targets.
+//! Random rejection: refusal curve, averaged queue length, walk and targets.
 
 use super::*;
 
@@ -18,19 +18,19 @@
         (40.0, 1.0, 1.0),
     ] {
         controller.beta_red.averaged_queue = q;
-        let chance = controller.beta_red.rejection_probability();
+        let probability = controller.beta_red.rejection_probability();
         assert!(
-            (low..=high).contains(&chance) && chance > last,
-            "at {q}: {chance}"
+            (low..=high).contains(&probability) && probability > last,
+            "at {q}: {probability}"
         );
-        last = chance;
+        last = probability;
     }
 }
 
 #[test]
 fn each_arrival_moves_the_average_by_its_weight() {
     let mut controller = controller(deployment());
-    put(&mut controller, 0..10, RequestState::Queued);
+    insert_requests(&mut controller, 0..10, RequestState::Queued);
     controller.beta_red.averaged_queue = 20.0;
     observe_arrival(&mut controller, 0);
     assert!((controller.beta_red.averaged_queue - 17.0).abs() < 1e-9);
@@ -38,8 +38,8 @@
 
 #[test]
 fn unread_requests_count_as_queued() {
-    // Guards against slow reading that hides the queue: none queued while requests waited 0.6 s
-    // unread.
+    // Guards against slow reading that hides the queue: the queue was empty while requests waited
+    // unread for 0.6 s.
     let mut controller = controller(deployment());
     controller.beta_red.arrival_rate = 20.0;
     observe_arrival(&mut controller, 500 * MS);
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn walk_moves_by_the_error_and_keeps_its_bounds() {
+fn walk_moves_the_virtual_target_by_the_error_within_its_bounds() {
     let mut controller = controller(deployment());
-    put(&mut controller, 0..10, RequestState::Queued);
+    insert_requests(&mut controller, 0..10, RequestState::Queued);
     controller.beta_red.queue_length = 10.0;
     (
         controller.concurrency.busy_share,
@@ -70,7 +70,7 @@
     walk(&mut controller);
     assert_eq!(
         controller.beta_red.virtual_target, 4.0,
-        "never under the cores"
+        "never less than the number of cores"
     );
     (
         controller.beta_red.target,
@@ -78,11 +78,14 @@
         controller.beta_red.virtual_target,
     ) = (1e4, 0.0, 20.0);
     walk(&mut controller);
-    assert_eq!(controller.beta_red.virtual_target, 39.0, "never over B - 1");
+    assert_eq!(
+        controller.beta_red.virtual_target, 39.0,
+        "never more than B - 1"
+    );
 }
 
 #[test]
-fn a_calm_spell_does_not_wind_up_the_virtual_target() {
+fn the_virtual_target_returns_to_the_target_while_cpu_is_spare() {
     let mut controller = controller(deployment());
     (
         controller.concurrency.busy_share,
@@ -97,7 +100,7 @@
 #[test]
 fn capacity_is_the_best_span_of_the_minute() {
     let mut controller = controller(deployment());
-    controller.beta_red.completions[3] = 100.0; // 40 a second
+    controller.beta_red.completions[3] = 100.0; // 40 per second
     controller.update_targets();
     assert!(
         (controller.beta_red.target - 20.0).abs() < 1e-9,
@@ -124,14 +127,14 @@
 fn everything_is_rejected_at_the_queue_bound() {
     let mut controller = controller(deployment());
     (controller.running, controller.beta_red.queue_bound) = (16, 6.0);
-    put(&mut controller, 0..6, RequestState::Queued);
+    insert_requests(&mut controller, 0..6, RequestState::Queued);
     controller.on_arrival(S, arrival(9));
     assert_eq!(controller.queue.len(), 6);
     assert!(controller.host.effects.contains(&Effect::Reject(9, false)));
 }
 
 #[test]
-fn random_rejection_rests_while_cores_show_room() {
+fn random_rejection_is_paused_while_cpu_is_spare() {
     let mut controller = controller(deployment());
     (
         controller.running,
@@ -139,15 +142,15 @@
         controller.beta_red.averaged_queue,
         controller.concurrency.busy_share,
     ) = (17, 26.0, 26.0, 0.5);
-    put(&mut controller, 0..20, RequestState::Queued);
+    insert_requests(&mut controller, 0..20, RequestState::Queued);
     controller.on_arrival(MS, arrival(99));
     assert_eq!(controller.queue.len(), 21);
 }
 
-/// An arrival that claims to be old once counted as a queue of that length: the claim of an
-/// unidentified peer closed the node to everybody for a dozen arrivals.
+/// Guards against an arrival with a large claimed age that counts as an equally long queue: such a
+/// claim by an unidentified peer made the node reject all requests for a dozen arrivals.
 #[test]
-fn one_arrival_cannot_stand_for_more_than_the_queue_bound() {
+fn one_arrival_counts_for_at_most_the_queue_bound() {
     let mut controller = controller(deployment());
     controller.beta_red.arrival_rate = 100.0;
     controller.on_arrival(
--- a/src/admission/tests/concurrency_limit.rs
+++ b/src/admission/tests/concurrency_limit.rs
@@ -5,24 +5,27 @@
 #[test]
 fn the_limit_grows_by_half_the_idle_cores_and_falls_by_one() {
     let mut controller = controller(deployment());
-    put(&mut controller, 0..1, RequestState::Queued);
-    update_limit(&mut controller, &busy(0.5));
+    insert_requests(&mut controller, 0..1, RequestState::Queued);
+    update_limit(&mut controller, &cpu_busy(0.5));
     assert_eq!(controller.concurrency.limit, 5.0);
     (
-        controller.concurrency.ended,
-        controller.concurrency.run_ratios,
+        controller.concurrency.completed,
+        controller.concurrency.run_ratio_sum,
     ) = (8.0, 28.0);
-    update_limit(&mut controller, &busy(1.0));
+    update_limit(&mut controller, &cpu_busy(1.0));
     assert_eq!(controller.concurrency.limit, 4.0);
-    update_limit(&mut controller, &busy(1.0));
-    assert_eq!(controller.concurrency.limit, 4.0, "the floor");
+    update_limit(&mut controller, &cpu_busy(1.0));
+    assert_eq!(
+        controller.concurrency.limit, 4.0,
+        "the lower bound is the number of cores"
+    );
 }
 
 #[test]
-fn executions_that_wait_for_a_call_leave_their_cores() {
+fn executions_waiting_for_a_call_do_not_count_against_the_concurrency_limit() {
     let mut controller = controller(deployment());
-    put(&mut controller, 0..4, RequestState::Calling);
-    put(&mut controller, 4..6, RequestState::Queued);
+    insert_requests(&mut controller, 0..4, RequestState::Calling);
+    insert_requests(&mut controller, 4..6, RequestState::Queued);
     controller.start_queued(MS);
     assert_eq!(
         controller.host.effects,
--- a/src/admission/tests/deadlines.rs
+++ b/src/admission/tests/deadlines.rs
@@ -1,15 +1,15 @@
-//! Answers before the deadline, and work that nobody waits for.
+//! Answers before the deadline, and executions whose client no longer waits.
 
 use super::*;
 
 #[test]
-fn due_requests_are_answered_and_running_work_keeps_its_place() {
+fn due_requests_are_answered_once_and_running_executions_stay_counted() {
     let mut controller = controller(Deployment {
         preemption: Preemption::Unsupported,
         ..deployment()
     });
-    put(&mut controller, 0..1, RequestState::Queued);
-    put(&mut controller, 1..2, RequestState::Running);
+    insert_requests(&mut controller, 0..1, RequestState::Queued);
+    insert_requests(&mut controller, 1..2, RequestState::Running);
     controller.answer_due(8 * S);
     assert_eq!(
         controller.host.effects,
@@ -40,16 +40,19 @@
 }
 
 #[test]
-fn cancelled_work_is_stopped() {
+fn a_cancelled_execution_is_stopped() {
     let mut controller = controller(deployment());
-    put(&mut controller, 0..1, RequestState::Running);
+    insert_requests(&mut controller, 0..1, RequestState::Running);
     controller.on_client_cancelled(MS, RequestId(0));
     assert_eq!(controller.host.effects, [Effect::Stop(0)]);
-    assert_eq!(controller.running, 1, "until the host reports its end");
+    assert_eq!(
+        controller.running, 1,
+        "counted until the host reports the end of the execution"
+    );
 }
 
 #[test]
-fn one_core_and_an_unknown_cluster_still_serve() {
+fn a_node_with_one_core_and_an_unknown_cluster_starts_requests() {
     let tenants = Vec::new();
     let mut controller = controller(Deployment {
         cores: 1,
@@ -59,6 +62,6 @@
         ..deployment()
     });
     controller.on_arrival(S, arrival(1));
-    controller.on_timer(2 * S, UPDATE_TIMER, busy(0.5));
+    controller.on_timer(2 * S, UPDATE_TIMER, cpu_busy(0.5));
     assert!(controller.host.effects.contains(&Effect::Start(1)));
 }
--- a/src/admission/tests/drain.rs
+++ b/src/admission/tests/drain.rs
@@ -1,11 +1,11 @@
-//! Draining.
+//! Draining: answers before the stop, the load report and late arrivals.
 
 use super::*;
 
 #[test]
-fn a_drain_answers_all_before_the_stop() {
+fn a_drain_answers_all_requests_before_the_process_stops() {
     let mut controller = controller(deployment());
-    put(&mut controller, 0..1, RequestState::Running);
+    insert_requests(&mut controller, 0..1, RequestState::Running);
     controller.start_drain(S, 4 * S);
     assert_eq!(
         controller.requests[0].times.answer_by,
@@ -19,8 +19,8 @@
             Effect::ReportLoad(0.0)
         ]
     );
-    // One of few nodes serves on while it may: its clients, sent away at once, would overload the
-    // others.
+    // With few nodes, the node continues to serve during the grace: if it held back all traffic at
+    // once, the other nodes would be overloaded.
     controller.host.effects.clear();
     for (nodes, now) in [
         (2, 2 * S),
@@ -39,10 +39,10 @@
 }
 
 #[test]
-fn nothing_that_arrives_after_the_grace_runs() {
+fn requests_that_arrive_after_the_drain_grace_are_rejected() {
     let mut controller = controller(deployment());
     controller.drain = Some(Drain {
-        noticed_at: S,
+        begun_at: S,
         stops_at: 6 * S,
     });
     controller.on_arrival(
--- a/src/admission/tests/idempotency.rs
+++ b/src/admission/tests/idempotency.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 #[test]
-fn a_key_is_retained_before_the_run() {
+fn a_key_is_retained_before_the_execution_starts() {
     let mut controller = controller(deployment());
-    controller.operations[0].agreed.idempotency = Idempotency::Keyed;
+    controller.operations[0].config.idempotency = Idempotency::Keyed;
     controller.on_arrival(MS, arrival(1));
     assert_eq!(
         controller.host.effects[1..],
@@ -14,11 +14,11 @@
 }
 
 #[test]
-fn cancelling_releases_the_key_of_a_queued_request_and_lets_a_keyed_execution_go_on() {
+fn cancelling_releases_the_key_of_a_queued_request_and_does_not_stop_a_keyed_execution() {
     let mut controller = controller(deployment());
-    controller.operations[0].agreed.idempotency = Idempotency::Keyed;
-    put(&mut controller, 1..2, RequestState::Queued);
-    put(&mut controller, 2..3, RequestState::Running);
+    controller.operations[0].config.idempotency = Idempotency::Keyed;
+    insert_requests(&mut controller, 1..2, RequestState::Queued);
+    insert_requests(&mut controller, 2..3, RequestState::Running);
     controller.concurrency.limit = 0.0;
     controller.on_client_cancelled(MS, RequestId(1));
     assert_eq!(controller.host.released_keys, [1]);
@@ -29,7 +29,7 @@
             &controller.host.released_keys[..]
         ),
         (&[][..], &[1][..]),
-        "stopped, its repeat could only fail"
+        "if the execution were stopped, its repeat could only fail"
     );
     controller.on_execution_ended(2 * MS, RequestId(2), ExecutionOutcome::Succeeded, MS);
     assert_eq!(controller.running, 0);
@@ -54,7 +54,7 @@
 #[test]
 fn a_stopped_execution_is_not_started_again() {
     let mut controller = controller(deployment());
-    put(&mut controller, 0..1, RequestState::Running);
+    insert_requests(&mut controller, 0..1, RequestState::Running);
     controller.on_execution_ended(MS, RequestId(0), ExecutionOutcome::Cancelled, MS);
     assert_eq!(controller.host.effects, [Effect::Fail(0)]);
     assert_eq!((controller.running, controller.memory.counted_kb), (0, 0.0));
--- a/src/admission/tests/load_report.rs
+++ b/src/admission/tests/load_report.rs
@@ -1,9 +1,9 @@
-//! Shedding level, load report, idle connections, stop-trying.
+//! Shedding level, load report, idle connections and stop-trying.
 
 use super::*;
 
 #[test]
-fn the_shedding_level_follows_rejections_and_falls_with_room() {
+fn the_shedding_level_follows_rejections_and_falls_with_spare_cpu() {
     let mut controller = controller(deployment());
     (
         controller.concurrency.busy_share,
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn each_kind_of_report_has_its_own_scale() {
+fn each_kind_of_load_report_has_its_own_scale() {
     for (load_report, value) in [
         (LoadReport::SheddingLevel, 0.5),
         (LoadReport::Weight, 0.5),
@@ -42,12 +42,13 @@
 }
 
 #[test]
-fn idle_connections_of_seldom_returning_load_balancers_are_closed() {
+fn idle_connections_are_closed_if_load_balancers_seldom_reuse_them() {
     let mut controller = controller(Deployment {
         load_balancers: 300,
         ..deployment()
     });
-    controller.beta_red.arrival_rate = 5.0; // back after a minute, against 30 s
+    // Each load balancer sends one request in 60 s; its idle timeout is 30 s.
+    controller.beta_red.arrival_rate = 5.0;
     controller.update_signals(S);
     assert!(
         controller
@@ -62,12 +63,12 @@
 
 #[test]
 fn clients_may_try_other_nodes_while_the_cluster_is_within_its_quotas() {
-    // Guards against slow nodes that withhold requests from others with capacity.
+    // Guards against slow nodes whose stop-trying keeps requests from other nodes with capacity.
     let mut controller = controller(deployment());
-    put(&mut controller, 0..2, RequestState::Queued);
+    insert_requests(&mut controller, 0..2, RequestState::Queued);
     controller.signals.shedding_level = 0.5;
     controller.reject(MS, 0);
-    controller.tenants.traffic[0].rate = 2.0; // over 10 nodes: 20 a second against 10
+    controller.tenants.traffic[0].rate = 2.0; // 20 per second over 10 nodes; the quota is 10
     controller.reject(MS, 1);
     assert_eq!(
         controller.host.effects,
--- a/src/admission/tests/memory.rs
+++ b/src/admission/tests/memory.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 #[test]
-fn memory_bounds_admission() {
+fn a_request_that_does_not_fit_in_memory_is_rejected() {
     let mut controller = controller(deployment());
-    controller.memory.counted_kb = 4245.0; // doubled until the gauge has been read
+    controller.memory.counted_kb = 4245.0; // doubled by the initial gauge factor
     controller.on_arrival(MS, arrival(1));
     assert_eq!(controller.host.effects, [Effect::Reject(1, false)]);
 }
 
 #[test]
-fn memory_count_learns_from_the_gauge() {
+fn the_gauge_factor_rises_at_once_and_falls_slowly() {
     let mut controller = controller(deployment());
     controller.memory.counted_kb = 1000.0;
     controller.memory.update(
--- a/src/admission/tests/queue.rs
+++ b/src/admission/tests/queue.rs
@@ -1,11 +1,11 @@
-//! Value density, order of starts and shed candidate.
+//! Value density, order of starts and the shed candidate.
 
 use super::*;
 
 #[test]
-fn the_shed_candidate_has_the_least_value_density_among_the_young() {
+fn the_shed_candidate_has_the_lowest_value_density_of_the_young_requests() {
     let mut controller = controller(deployment());
-    put(&mut controller, 0..2, RequestState::Queued);
+    insert_requests(&mut controller, 0..2, RequestState::Queued);
     (
         controller.requests[1].operation,
         controller.operations[0].run_time_s,
@@ -15,16 +15,16 @@
     assert_eq!(
         shed_candidate(&controller, 3 * S, 1),
         1,
-        "queued too long to try another node"
+        "the queued request is too old to try another node"
     );
 }
 
 #[test]
-fn a_tenant_beyond_its_quota_loses_value_density() {
+fn requests_of_a_tenant_over_its_quota_lose_value_density() {
     let mut controller = controller(deployment());
-    put(&mut controller, 0..2, RequestState::Queued);
+    insert_requests(&mut controller, 0..2, RequestState::Queued);
     controller.requests[0].tenant = Some(0);
-    controller.tenants.traffic[0].rate = 4.0; // over 10 nodes: 40 a second against 10
+    controller.tenants.traffic[0].rate = 4.0; // 40 per second over 10 nodes; the quota is 10
     assert!(
         (controller.value_density(0) / controller.value_density(1) - (0.25 + 0.75 * 0.05)).abs()
             < 1e-9
@@ -34,7 +34,7 @@
 #[test]
 fn a_request_that_cannot_meet_its_objective_is_rejected() {
     let mut controller = controller(deployment());
-    put(&mut controller, 0..2, RequestState::Queued);
+    insert_requests(&mut controller, 0..2, RequestState::Queued);
     (
         controller.concurrency.busy_share,
         controller.operations[0].run_time_s,
@@ -48,10 +48,11 @@
 }
 
 #[test]
-fn large_work_runs_while_cores_show_room() {
-    // Guards against nodes that reject large requests for good though nothing else wants the core.
+fn a_request_with_a_long_run_time_is_started_while_cpu_is_spare() {
+    // Guards against nodes that reject every large request although no other request needs the
+    // core.
     let mut controller = controller(deployment());
-    put(&mut controller, 0..1, RequestState::Queued);
+    insert_requests(&mut controller, 0..1, RequestState::Queued);
     (
         controller.concurrency.busy_share,
         controller.operations[0].run_time_s,
@@ -61,9 +62,9 @@
 }
 
 #[test]
-fn run_times_are_learnt_from_successes_alone() {
+fn only_successful_executions_update_the_run_time() {
     let mut controller = controller(deployment());
-    put(&mut controller, 0..2, RequestState::Running);
+    insert_requests(&mut controller, 0..2, RequestState::Running);
     controller.on_execution_ended(MS, RequestId(0), ExecutionOutcome::Failed, MS);
     assert_eq!(controller.operations[0].run_time_s, 0.0);
     controller.on_execution_ended(MS, RequestId(1), ExecutionOutcome::Succeeded, 300 * MS);
@@ -84,15 +85,16 @@
 }
 
 #[test]
-fn late_requests_wait_for_those_in_time() {
-    // Guards against full cores that serve late answers for a fifth of their value first.
+fn late_requests_start_after_requests_in_time() {
+    // Guards against busy cores that first serve late requests, whose answers earn a fifth of their
+    // weight.
     let mut controller = controller(deployment());
-    put(&mut controller, 0..2, RequestState::Queued);
+    insert_requests(&mut controller, 0..2, RequestState::Queued);
     (
         controller.concurrency.busy_share,
         controller.concurrency.limit,
         controller.operations[0].run_time_s,
-        controller.operations[0].agreed.late_weight_fraction,
+        controller.operations[0].config.late_weight_fraction,
     ) = (1.0, 1.0, 1.5, 0.2);
     controller.requests[0].times.objective_at = S;
     controller.start_queued(MS);
--- a/src/admission/updates.rs
+++ b/src/admission/updates.rs
@@ -1,4 +1,4 @@
-//! What is walked or learnt at each update, and the signals that follow from it.
+//! The periodic update of targets, limits and averages, and of the signals derived from them.
 
 use super::AdmissionController;
 use super::beta_red::BetaRed;
@@ -8,7 +8,7 @@
 use crate::{Gauges, Host, Nanos};
 
 impl<H: Host> AdmissionController<H> {
-    /// Moves all that is walked or learnt at intervals.
+    /// Performs the periodic update.
     pub(super) fn update(&mut self, now: Nanos, gauges: &Gauges) {
         self.memory.update(now, gauges);
         self.concurrency.update(!self.queue.is_empty(), gauges);
@@ -45,11 +45,12 @@
         }
     }
 
-    /// The fraction of the traffic to hold back: the shedding level, or all before a stop.
+    /// Returns the fraction of the traffic to hold back, 0 to 1: the shedding level, or 1 while a
+    /// draining node holds back all traffic.
     pub(super) fn held_back(&self, now: Nanos) -> f64 {
         let all = self
             .drain
-            .is_some_and(|drain| drain.sends_all_away(now, &self.deployment));
+            .is_some_and(|drain| drain.holds_back_all(now, &self.deployment));
         if all {
             1.0
         } else {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Enters a mode and logs what led to it.
+    /// Enters a mode and logs the change with the state that led to it.
     pub(super) fn enter(&mut self, mode: Mode) {
         let BetaRed {
             averaged_queue,
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -1,136 +1,138 @@
-//! The facts about a node and what it serves, read once at its start.
+//! Configuration of a node and of the operations that it serves, read once at its start.
 
 use crate::events::Nanos;
 
-/// Whether an operation may run again.
+/// Whether an operation may run more than once for the same request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May run any number of times.
+    /// The operation may run any number of times.
     Idempotent,
-    /// Carries a key by which repeats are recognised; runs once within its window.
+    /// Requests carry an idempotency key by which repeats are recognised. The operation runs once
+    /// within the idempotency window.
     Keyed,
-    /// Must never run twice.
+    /// The operation must never run twice.
     NonIdempotent,
 }
 
-/// What can be done with work that is running.
+/// How a running execution can be stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preemption {
-    /// Nothing.
+    /// An execution cannot be stopped.
     Unsupported,
-    /// It can be stopped, and its progress is lost.
+    /// An execution can be stopped, and its progress is lost.
     Discard,
-    /// It can be stopped where it is and resumed.
+    /// An execution can be suspended and resumed later.
     Suspend,
 }
 
-/// What the number that goes back with every answer means to load balancers.
+/// Meaning of the load report that is sent to load balancers with every answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReport {
-    /// There is no such number.
+    /// No load report is sent.
     Disabled,
-    /// Requests ranked below it are not to be sent, with ranks from 0 to 1.
+    /// Shedding level, 0 to 1. Load balancers do not send requests whose rank, 0 to 1, is lower.
     SheddingLevel,
-    /// The most requests that each load balancer may have outstanding here.
+    /// Highest number of requests that each load balancer may have in flight at this node.
     Credit,
-    /// The chance, 0 to 1, with which a load balancer does not pass this node over.
+    /// Probability, 0 to 1, with which a load balancer that selects this node does not skip it.
     Weight,
 }
 
-/// What executions call while they run.
+/// Backend that executions call while they run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Downstream {
-    /// Nothing.
+    /// Executions make no backend calls.
     None,
-    /// One service that all nodes share, which dies when overloaded.
+    /// One service that all nodes share and that fails when overloaded.
     SharedService,
-    /// A further tier of nodes that look after themselves.
+    /// Another tier of nodes, which protect themselves from overload.
     Tier,
 }
 
-/// One kind of request, as agreed with the clients.
+/// An operation, with the terms agreed with its clients. Times count from the arrival of a request
+/// at the machine.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// Whether it may run again.
+    /// Whether the operation may run more than once for the same request.
     pub idempotency: Idempotency,
-    /// An answer within this earns its whole weight.
+    /// Time within which an answer earns its whole weight.
     pub latency_objective: Nanos,
-    /// The objective grows by this multiple of the request's own work.
+    /// Multiple of the request's work hint by which its latency objective is extended.
     pub objective_per_work: f64,
-    /// After this the client has given up.
+    /// Time after which the client gives up.
     pub client_timeout: Nanos,
-    /// How long after its arrival a keyed request may come again.
+    /// Time after the arrival of a keyed request within which repeats may arrive.
     pub idempotency_window: Nanos,
-    /// What an answer within the objective is worth.
+    /// Weight of an answer within the latency objective.
     pub priority_weight: f64,
-    /// The part of that weight which a later answer earns, 0 to 1.
+    /// Fraction of the priority weight that a later answer earns, 0 to 1.
     pub late_weight_fraction: f64,
-    /// Whether its executions may make backend calls.
+    /// Whether executions may make backend calls.
     pub calls_downstream: bool,
-    /// The part of the weight that an answer without the backend call earns; 0 = it cannot be
-    /// skipped.
+    /// Fraction of the priority weight that an answer without the backend call earns, 0 to 1; 0 if
+    /// the call cannot be skipped.
     pub weight_fraction_without_call: f64,
 }
 
-/// A customer that shares the cluster with others.
+/// A customer that shares the cluster with other customers.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its quota, over all nodes.
+    /// Quota of the tenant for the whole cluster, in requests per second.
     pub quota_per_s: f64,
 }
 
-/// The facts about the node and what it serves, read at start.
+/// Configuration of a node and of the operations that it serves.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Cores of this node.
+    /// Number of cores of this node.
     pub cores: usize,
     /// Memory that queued and running requests and idempotency keys share, in kilobytes.
     pub memory_kb: f64,
-    /// What running takes, as a multiple of what being queued takes.
+    /// Memory of a running request as a multiple of its memory while queued.
     pub run_memory_factor: f64,
-    /// What one idempotency key takes, in kilobytes.
+    /// Memory of one idempotency key, in kilobytes.
     pub idempotency_key_kb: f64,
-    /// Whether the node starts cold and warms up.
+    /// Whether the node starts cold and reaches full speed only after warming up.
     pub starts_cold: bool,
-    /// The least share of full speed that a cold node starts with, 0 to 1.
+    /// Lower bound of the fraction of full speed at which a cold node starts, 0 to 1.
     pub cold_speed_fraction: f64,
-    /// The longest that it takes to become warm.
+    /// Longest time that a cold node takes to reach full speed.
     pub warm_up_time: Nanos,
-    /// Runnable executions for each core that a warm node survives.
+    /// Highest number of runnable executions per core that a warm node can sustain.
     pub max_runnable_per_core: f64,
-    /// After the notice to leave, what arrives later than this must not run.
+    /// Time after the start of a drain during which arriving requests may still run.
     pub drain_grace: Nanos,
-    /// Time between two readings of what has come in.
+    /// Interval at which the node reads new requests from its connections.
     pub read_interval: Nanos,
-    /// Nodes of this tier.
+    /// Number of nodes in this tier, including this one; 0 if unknown.
     pub nodes: usize,
-    /// Load balancers that send here.
+    /// Number of load balancers that send to this node; 0 if unknown.
     pub load_balancers: usize,
-    /// After this load balancers close an idle connection themselves.
+    /// Idle time after which load balancers close a connection.
     pub client_idle_timeout: Nanos,
-    /// What executions call.
+    /// Backend that executions call.
     pub downstream: Downstream,
-    /// This node's part of the backend calls that the shared service survives, as a mean number in
-    /// flight; may be below 1.
+    /// This node's part of the backend calls that a shared service can sustain, as a mean number of
+    /// calls in flight; may be below 1.
     pub downstream_call_limit: f64,
-    /// The span of that mean.
+    /// Window over which the mean of `downstream_call_limit` is taken.
     pub downstream_call_window: Nanos,
-    /// How long an abandoned call may go on at the backend.
+    /// Time for which an abandoned call may continue to run at the backend.
     pub abandoned_call_linger: Nanos,
-    /// What can be done with running work.
+    /// How running executions can be stopped.
     pub preemption: Preemption,
-    /// What the number sent back with every answer means.
+    /// Meaning of the load report that is sent with every answer.
     pub load_report: LoadReport,
-    /// How long a read's answer may serve others; 0 = never.
+    /// Time for which the answer of a read may be shared with other reads; 0 if never.
     pub shared_answer_ttl: Nanos,
-    /// The longest Retry-After that load balancers honour; 0 = none.
+    /// Longest Retry-After that load balancers honour; 0 if they honour none.
     pub max_retry_after: Nanos,
-    /// Whether the priority weight counts for each unit of work instead of each request.
+    /// Whether the priority weight counts per unit of work instead of per request.
     pub weighted_by_work: bool,
-    /// The part of its weight that a request beyond its tenant's quota keeps, 0 to 1.
+    /// Fraction of its weight that a request over its tenant's quota keeps, 0 to 1.
     pub over_quota_weight_fraction: f64,
-    /// The operations.
+    /// Operations that the node serves, indexed by [`OperationId`](crate::OperationId).
     pub operations: Vec<Operation>,
-    /// The tenants; may be empty.
+    /// Tenants that share the cluster, indexed by [`TenantId`](crate::TenantId); may be empty.
     pub tenants: Vec<Tenant>,
 }
--- a/src/events.rs
+++ b/src/events.rs
@@ -1,89 +1,91 @@
-//! What happens at a node, as the host reports it: identifiers, arrivals,
-//! outcomes and gauges.
+//! Identifiers, arrivals, outcomes and gauges that a host passes to the admission controller.
 
-/// A point in time or a span of it, in whole nanoseconds; points count from any fixed origin.
+/// A point in time or a duration, in whole nanoseconds. Points in time count from an arbitrary
+/// fixed origin.
 pub type Nanos = u64;
 
-/// One attempt of a request at this node; never reused while the node lives.
+/// Identifies one attempt of a request at this node. Ids are not reused during the life of the
+/// node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// An operation: its index in [`Deployment::operations`](crate::Deployment::operations).
+/// Identifies an operation by its index in
+/// [`Deployment::operations`](crate::Deployment::operations).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OperationId(pub usize);
 
-/// A tenant: its index in [`Deployment::tenants`](crate::Deployment::tenants).
+/// Identifies a tenant by its index in [`Deployment::tenants`](crate::Deployment::tenants).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantId(pub usize);
 
-/// The load balancer that sent a request.
+/// Identifies the load balancer that sent a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LoadBalancerId(pub u64);
 
-/// A timer set through [`Host::set_timer`](crate::Host::set_timer).
+/// Identifies a timer set through [`Host::set_timer`](crate::Host::set_timer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerId(pub u64);
 
-/// A request that was just read.
+/// A request that was read from a connection.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its id.
+    /// Id of this attempt.
     pub id: RequestId,
-    /// Its operation.
+    /// Operation that is requested.
     pub operation: OperationId,
-    /// Its tenant, where there are any.
+    /// Tenant on whose behalf the request was sent, if known.
     pub tenant: Option<TenantId>,
-    /// Who sent it.
+    /// Load balancer that sent the request.
     pub load_balancer: LoadBalancerId,
-    /// Whether it names a subject, so that reads of the same can share an answer.
+    /// Whether the request names a subject. Reads of the same subject can share an answer.
     pub has_subject: bool,
-    /// How long its client still waits, where the request carries it.
+    /// Time for which the client will still wait, if the request carries it.
     pub time_left: Option<Nanos>,
-    /// The work that it should take, in seconds of a standard core, where the request carries it.
+    /// Expected work, in seconds of a standard core, if the request carries it.
     pub work_hint: Option<f64>,
-    /// Memory that it takes while it is queued, in kilobytes.
+    /// Memory that the request uses while it is queued, in kilobytes.
     pub queued_kb: f64,
-    /// Time since it reached the machine.
+    /// Time since the request reached the machine.
     pub age: Nanos,
-    /// The earlier attempt or like read that it repeats.
+    /// Earlier attempt, or earlier read of the same subject, that this request repeats.
     pub duplicate_of: Option<RequestId>,
 }
 
 /// How an execution or a coalesced wait ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionOutcome {
-    /// Succeeded, and the client was answered.
+    /// The execution succeeded, and the client was answered.
     Succeeded,
-    /// Failed, and the client was answered with the error.
+    /// The execution failed, and the client was answered with the error.
     Failed,
-    /// Stopped, or ended at a backend call because nobody waits any more.
+    /// The execution was stopped, or ended at a backend call because its client no longer waits.
     Cancelled,
-    /// Never started: the request was already over.
+    /// The execution never started, because the request had already ended.
     NeverStarted,
 }
 
 /// How a backend call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendCallOutcome {
-    /// It succeeded, and the execution resumed by itself.
+    /// The call succeeded, and the execution has resumed.
     Succeeded,
-    /// It failed before anything ran downstream, so that it may be repeated.
+    /// The call failed before anything ran downstream, so it may be retried.
     NotExecuted,
-    /// It failed and may have taken effect.
+    /// The call failed and may have taken effect downstream.
     PossiblyExecuted,
-    /// It was abandoned; the backend may still be working on it.
+    /// The call was abandoned. The backend may still be working on it.
     Abandoned,
 }
 
-/// The node's gauges, each where the host has it.
+/// Gauges of the node. A gauge that the host does not have is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Share of the cores' time in use lately, 0 to 1.
+    /// Recent share of the cores' time in use, 0 to 1.
     pub cpu_busy: Option<f64>,
-    /// Executions that wait for a core now.
+    /// Number of executions that wait for a core.
     pub runnable: Option<f64>,
-    /// Share of the memory in use, 0 to 1.
+    /// Share of the memory that is in use, 0 to 1.
     pub memory_used: Option<f64>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: Option<f64>,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
-//! madderpoint decides, inside one server of a cluster, which requests it queues, runs and rejects.
+//! Admission control for one server of a cluster: decides which requests are queued, run and
+//! rejected.
 //!
-//! All decisions are in [`admission`], which knows no wire, clock, thread or I/O: whoever embeds it
-//! reads a [`Deployment`], calls one method of
+//! All decisions are made in [`admission`], which uses no network protocol, clock, thread or I/O.
+//! An embedder provides a [`Deployment`], calls one method of
 //! [`AdmissionController`](admission::AdmissionController) for each event, and carries out the side
-//! effects that come back through [`Host`].
+//! effects that the controller requests through [`Host`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
