--- a/crates/shared-state/src/budget.rs
+++ b/crates/shared-state/src/budget.rs
@@ -1,16 +1,16 @@
-//! Budgets: limits of the whole cluster on backend calls.
+//! Budgets: cluster-wide limits on backend calls.
 //!
-//! # Who grants units, and why never two nodes at once
+//! # Which node grants units, and why no unit is granted twice
 //!
-//! - Which node may grant is decided by [`leader_lease`](crate::leader_lease): a majority of a
-//!   fixed set of voters, for a limited time. The leader's [`lender::BudgetLender`]s exist only while
-//!   it holds that lease.
-//! - What a leader has granted is in [`lender`]: no unit is in two leases at once, neither of two
-//!   borrowers nor of two successive leaders.
-//! - What a node may use is in [`borrower`]: its guaranteed floor, which nobody grants, and its
-//!   lease until that expires.
+//! - [`leader_lease`](crate::leader_lease) decides which node may grant: a majority of a fixed set
+//!   of voters elects a leader for a limited time. The leader's [`lender::BudgetLender`]s exist
+//!   only while it holds the leader lease.
+//! - [`lender`] records which units the leader has granted. No unit is in two valid leases at once,
+//!   whether these belong to two borrowers or were granted by two successive leaders.
+//! - [`borrower`] decides how many units a node may use: its guaranteed floor, which needs no
+//!   grant, plus its lease until the lease expires.
 //!
-//! The types here are shared by borrower, lender and messages.
+//! The types in this module are shared by borrower, lender and messages.
 
 pub mod borrower;
 pub mod fair_share;
@@ -22,70 +22,70 @@
 use crate::keyed_quota::name_hash;
 use thiserror::Error;
 
-/// What a budget limits.
+/// The quantity that a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum BudgetKind {
-    /// Calls a second.
+    /// Calls per second.
     Rate {
-        /// The time whose unused calls a node may save up, in nanoseconds.
+        /// The longest period whose unused calls a node may save up, in nanoseconds.
         burst: Nanos,
     },
     /// Calls in flight at once.
     InFlight {
-        /// The longest that a call takes, in nanoseconds.
+        /// The longest time that a call may take, in nanoseconds.
         max_call_time: Nanos,
     },
 }
 
-/// A limit of the whole cluster on backend calls.
+/// A cluster-wide limit on backend calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Its name, the same on all nodes.
+    /// The budget's name, the same on all nodes.
     pub name: String,
-    /// Calls a second, or calls in flight, of all nodes together; above 0.
+    /// The limit for all nodes together, in calls per second or calls in flight; above 0.
     pub limit: u32,
     /// Units that each node may use without a lease.
     pub floor: u32,
-    /// The most processes that run at once: a floor is set aside for each; above 0.
+    /// The maximum number of processes that run at once; above 0. A floor is set aside for each.
     pub max_nodes: u32,
-    /// What is limited.
+    /// The quantity that is limited.
     pub kind: BudgetKind,
-    /// Whether only retries of failed calls count.
+    /// Whether only retries of failed calls count towards the budget.
     pub retries_only: bool,
 }
 
-/// Why a budget can't be kept.
+/// Reason for which a budget's settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BudgetError {
     /// The limit or the number of nodes is 0.
-    #[error("budget '{name}': limit and nodes must be above 0")]
+    #[error("budget '{name}': the limit and the number of nodes must be above 0")]
     Zero {
-        /// The budget.
+        /// The budget's name.
         name: String,
     },
-    /// The floors of all nodes exceed the limit.
+    /// The floors of all nodes together exceed the limit.
     #[error(
         "budget '{name}': the floors of {max_nodes} nodes are {floors}, more than the limit of {limit}"
     )]
     FloorsExceedLimit {
-        /// The budget.
+        /// The budget's name.
         name: String,
-        /// The most processes that run at once.
+        /// The maximum number of processes that run at once.
         max_nodes: u32,
-        /// Units of all their floors.
+        /// Sum of the floors of `max_nodes` nodes, in units.
         floors: u64,
-        /// The bound on them.
+        /// The budget's limit, in units, which `floors` exceeds.
         limit: u32,
     },
 }
 
 impl Budget {
-    /// The number by which nodes refer to it in messages. A budget that changes its kind is another
-    /// one, so the kind is hashed too.
+    /// Returns the number that identifies the budget in messages. The hash covers the kind as well,
+    /// because a budget whose kind changes is a different budget.
     pub fn id(&self) -> u32 {
         let kind = match self.kind {
             BudgetKind::Rate { .. } => "rate",
-            BudgetKind::InFlight { .. } => "in hand", // the word on the wire
+            BudgetKind::InFlight { .. } => "in hand", // hashed into the id on the wire
         };
         name_hash(&format!("{} {kind}", self.name))
     }
@@ -109,13 +109,13 @@
         Ok(())
     }
 
-    /// Units that are left beside the floors, to be leased.
+    /// Returns the number of units available for leases: the limit less the floors of all nodes.
     pub fn pool(&self) -> u32 {
         self.limit
             .saturating_sub(self.floor.saturating_mul(self.max_nodes))
     }
 
-    /// How long units may stay in use after their lease has expired, in nanoseconds.
+    /// Returns how long units may stay in use after their lease has expired, in nanoseconds.
     pub fn use_after_expiry(&self) -> Nanos {
         match self.kind {
             BudgetKind::Rate { .. } => 0,
@@ -124,41 +124,42 @@
     }
 }
 
-/// Names a lease. The default names none.
+/// Identifies a lease. The default value means no lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaseId {
-    /// The lender that granted it: random, new for each lender.
+    /// Random id of the lender that granted the lease; each lender draws a new one.
     pub lender: u64,
-    /// Its number at that lender, from 1.
+    /// The lease's sequence number at that lender, from 1.
     pub number: u64,
 }
 
-/// Units granted to a node for a time, and why so many.
+/// Units granted to a node for a limited time, with the figures that decided their number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lease {
-    /// Which lease this is.
+    /// The lease's id.
     pub id: LeaseId,
-    /// Units.
+    /// Number of units granted.
     pub units: u32,
-    /// How long it lasts, from the borrower's request, by the borrower's clock, in nanoseconds.
+    /// How long the lease lasts, in nanoseconds on the borrower's clock, counted from the instant
+    /// at which the borrower sent its request.
     pub duration: Nanos,
-    /// Units that all borrowers request together.
+    /// Sum of the units that all borrowers request.
     pub total_demand: u32,
-    /// How many borrowers there are.
+    /// Number of borrowers that the lender knows.
     pub borrowers: u32,
-    /// Units that there are to be leased.
+    /// Number of units available for leases to all borrowers.
     pub pool: u32,
 }
 
 /// A node's request for a lease of one budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetRequest {
-    /// The budget, by [`Budget::id`].
+    /// The budget's number, from [`Budget::id`].
     pub budget: u32,
-    /// The lease that the node holds.
+    /// The lease that the node holds; the default if it holds none.
     pub held: LeaseId,
-    /// Units that it could use beside its floor.
+    /// Number of units that the node could use in addition to its floor.
     pub units: u32,
-    /// The value of a unit to it, compared with others.
+    /// The value of a unit to this node, relative to other nodes.
     pub value: f64,
 }
--- a/crates/shared-state/src/budget/borrower.rs
+++ b/crates/shared-state/src/budget/borrower.rs
@@ -1,9 +1,10 @@
-//! A node's end of a budget: its guaranteed floor and its current lease, and what it may use of
-//! them now.
+//! The borrower side of a budget on one node: the guaranteed floor, the current lease, and how many
+//! of their units may be used now.
 //!
-//! A lease counts from the instant at which it was requested, shortened by the clock drift bound,
-//! and shrinks towards its end, so that a node that reaches nobody falls to its floor in steps. At
-//! most one lease counts at a time: a lease of another lender only after the held one has expired.
+//! A lease counts from the instant at which it was requested, is shortened by the clock drift
+//! bound, and shrinks towards its end, so that a node that is cut off falls to its floor in steps.
+//! At most one lease is in use at a time: a lease of another lender replaces the held lease only
+//! after the held lease has expired.
 
 use super::{Budget, BudgetKind, Lease, LeaseId};
 use crate::clock::drift_shortened;
@@ -12,16 +13,17 @@
 mod node_budgets;
 pub use node_budgets::NodeBudgets;
 
-/// The window over which demand is counted, in nanoseconds.
+/// Length of the windows in which attempts are counted, in nanoseconds.
 const DEMAND_WINDOW: Nanos = SECOND / 4;
-/// Windows of demand that are kept.
+/// Number of demand windows that are kept, including the current one.
 const DEMAND_WINDOWS: usize = 3;
-/// The requested units as a multiple of the recent demand, so that a rise finds some.
+/// Requested units as a multiple of the recent demand, so that units are free when load rises.
 const DEMAND_HEADROOM: f64 = 1.25;
-/// A call that found no unit may try again after this part of the longest call.
-pub(super) const RETRY_PART_OF_CALL: Nanos = 8;
+/// A call that is refused for lack of a unit in flight may be retried after the maximum call time
+/// divided by this.
+pub(super) const RETRIES_PER_MAX_CALL_TIME: Nanos = 8;
 
-/// The lease that a borrower holds.
+/// The lease that a borrower holds, in the form that decides its use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct HeldLease {
     id: LeaseId,
@@ -31,8 +33,8 @@
 }
 
 impl HeldLease {
-    /// Units that may be used now: all in the first half of the lease, half in its third quarter, a
-    /// quarter in its last.
+    /// Returns the number of units that may be used now: all in the first half of the lease, half
+    /// of them in its third quarter, a quarter of them in its last quarter, none afterwards.
     fn units(&self, now: Nanos) -> u32 {
         let age = now.saturating_sub(self.requested_at);
         let duration = drift_shortened(self.duration);
@@ -45,50 +47,50 @@
     }
 }
 
-/// The latest lease, with its age.
+/// The latest lease and its age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseAge {
     /// The lease.
     pub lease: Lease,
-    /// Time since it was requested, in nanoseconds.
+    /// Time since the lease was requested, in nanoseconds.
     pub since_request: Nanos,
-    /// Time since it was received, in nanoseconds.
+    /// Time since the lease was received, in nanoseconds.
     pub since_grant: Nanos,
 }
 
-/// Calls that a budget allowed and refused.
+/// Number of calls that a budget allowed and refused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Calls that found a unit.
+    /// Calls for which a unit was available.
     pub allowed: u64,
-    /// Calls that found none.
+    /// Calls for which no unit was available.
     pub refused: u64,
 }
 
-/// A node's end of a budget.
+/// The borrower side of a budget on one node.
 #[derive(Clone, Debug)]
 pub struct BudgetBorrower {
     budget: Budget,
     held: Option<HeldLease>,
-    /// Of a rate: calls that may be made at once, as of `refilled_at`.
+    /// For a rate: calls that may be made at once, as of `refilled_at`.
     tokens: f64,
     refilled_at: Nanos,
-    /// The share of its units that is used while the backend starts slowly.
+    /// Share of the units that is used, 0 to 1; below 1 during the backend's slow start.
     usable_share: f64,
     in_flight: u32,
-    /// Attempts in the current window and in those before, allowed or not.
+    /// Attempts per window, allowed or not, from the current window backwards.
     attempts: [u32; DEMAND_WINDOWS],
-    /// The current window's number.
+    /// The current window's number: time divided by [`DEMAND_WINDOW`].
     window: Nanos,
-    /// The most in flight that was attempted lately.
+    /// The recent peak of calls in flight, including refused attempts.
     peak_in_flight: u32,
-    /// When the latest lease was received, and what it says.
+    /// The latest lease, with the time at which it was received.
     latest_grant: Option<(Nanos, Lease)>,
     counts: CallCounts,
 }
 
 impl BudgetBorrower {
-    /// The end of a node that has just started: without tokens or a lease.
+    /// Creates the borrower of a node that has just started, without tokens or a lease.
     pub fn new(now: Nanos, budget: Budget) -> BudgetBorrower {
         BudgetBorrower {
             budget,
@@ -105,24 +107,24 @@
         }
     }
 
-    /// Its budget.
+    /// Returns the budget that this borrower uses.
     pub fn budget(&self) -> &Budget {
         &self.budget
     }
 
-    /// Changes the limit, floor or number of nodes. A held lease lasts until it expires.
+    /// Changes the limit, floor or number of nodes. A held lease stays valid until it expires.
     pub fn update_budget(&mut self, budget: Budget) {
         self.budget = budget;
     }
 
-    /// Units that this node may use now: its floor and its lease.
+    /// Returns the number of units that this node may use now, from its floor and its lease.
     pub fn units(&self, now: Nanos) -> u32 {
         self.budget.floor + self.held.map_or(0, |held| held.units(now))
     }
 
-    /// Receives a lease that was requested at `requested_at`. Of the same lender only a later lease
-    /// replaces the held one; of another lender only after the held one has expired, so that no two
-    /// are ever used together.
+    /// Receives a lease that was requested at `requested_at`. A lease of the same lender replaces
+    /// the held lease only if it is later; a lease of another lender only after the held lease has
+    /// expired, so that two leases are never used together.
     pub fn receive_lease(&mut self, now: Nanos, requested_at: Nanos, lease: Lease) {
         self.refill(now);
         let replaces = self.held.is_none_or(|held| {
@@ -143,15 +145,15 @@
         }
     }
 
-    /// Stops using the lease.
+    /// Stops using the held lease.
     pub fn drop_lease(&mut self, now: Nanos) {
         self.refill(now);
         self.held = None;
         self.refill(now);
     }
 
-    /// The lease that it holds, to be reported to the lender. A smaller one counts as held only once
-    /// no more than it allows is in flight.
+    /// Returns the id of the held lease, for the next request to the lender. A smaller lease counts
+    /// as held only once the calls in flight fit within it and the floor.
     pub fn held_lease(&self) -> LeaseId {
         match (self.held, self.budget.kind) {
             (Some(held), BudgetKind::Rate { .. }) => held.id,
@@ -164,13 +166,13 @@
         }
     }
 
-    /// Units to request beside the floor, by the recent attempts.
+    /// Returns the number of units to request in addition to the floor, from the recent attempts.
     pub fn demand(&mut self, now: Nanos) -> u32 {
         self.roll_windows(now);
         let demand = match self.budget.kind {
             BudgetKind::Rate { .. } => {
-                let most = self.attempts.iter().copied().max().unwrap_or(0);
-                f64::from(most) * (SECOND / DEMAND_WINDOW) as f64
+                let busiest_window = self.attempts.iter().copied().max().unwrap_or(0);
+                f64::from(busiest_window) * (SECOND / DEMAND_WINDOW) as f64
             }
             BudgetKind::InFlight { .. } => f64::from(self.peak_in_flight.max(self.in_flight)),
         };
@@ -184,7 +186,7 @@
         for _ in self.window..window.min(self.window + DEMAND_WINDOWS as u64) {
             self.attempts.rotate_right(1);
             self.attempts[0] = 0;
-            // The peak fades by a quarter each window.
+            // The peak decays by a quarter per window.
             self.peak_in_flight = self
                 .in_flight
                 .max(self.peak_in_flight - self.peak_in_flight / 4);
@@ -193,23 +195,23 @@
     }
 
     /// Counts an attempt towards the demand.
-    fn note_attempt(&mut self) {
+    fn record_attempt(&mut self) {
         self.attempts[0] = self.attempts[0].saturating_add(1);
     }
 
-    /// Counts towards the demand that one more call was wanted in flight.
-    fn note_peak(&mut self) {
+    /// Counts towards the demand that a further call in flight was attempted.
+    fn record_peak(&mut self) {
         self.peak_in_flight = self.peak_in_flight.max(self.in_flight + 1);
     }
 
-    /// Calls a second that it may make now.
+    /// Returns the rate at which calls may be made now, in calls per second.
     fn calls_per_second(&self, now: Nanos) -> f64 {
         f64::from(self.units(now)) * self.usable_share
     }
 
-    /// Uses only this share of its units from now on. Where the share falls, saved tokens are cut to
-    /// `kept_tokens`, less than one call: nodes that learn of a start in the same instant must not
-    /// all send a call at once.
+    /// Limits use to this share of the units from now on. If the share falls, saved tokens are cut
+    /// to `kept_tokens`, which is less than one call: nodes that learn of a backend's start in the
+    /// same instant must not all send a call at once.
     fn set_usable_share(&mut self, now: Nanos, share: f64, kept_tokens: f64) {
         if share == self.usable_share {
             return;
@@ -221,25 +223,30 @@
         self.usable_share = share;
     }
 
-    /// Adds the tokens of the time since the last refill. A clock may run fast, so the time counts
-    /// as shortened by the drift bound.
+    /// Adds the tokens for the time since the last refill. The clock may run fast, so that time is
+    /// shortened by the clock drift bound.
     fn refill(&mut self, now: Nanos) {
         let BudgetKind::Rate { burst } = self.budget.kind else {
             return;
         };
-        // A lease only shrinks between two refills: the units of this moment are the least since.
+        // A lease only shrinks between two refills, so the units now are the minimum since the last
+        // refill.
         let rate = self.calls_per_second(now);
-        let most = (rate * burst as f64 / SECOND as f64).max(if rate > 0.0 { 1.0 } else { 0.0 });
-        let passed = drift_shortened(now.saturating_sub(self.refilled_at));
-        self.tokens = (self.tokens + rate * passed as f64 / SECOND as f64).min(most);
+        let max_tokens =
+            (rate * burst as f64 / SECOND as f64).max(if rate > 0.0 { 1.0 } else { 0.0 });
+        let elapsed = drift_shortened(now.saturating_sub(self.refilled_at));
+        self.tokens = (self.tokens + rate * elapsed as f64 / SECOND as f64).min(max_tokens);
         self.refilled_at = now;
     }
 
-    /// Checks whether one more call may be made now, and counts the attempt; else returns after how
-    /// many nanoseconds to try again. Nothing is taken.
+    /// Checks whether one more call may be made now, and counts the attempt. Takes no unit.
+    ///
+    /// # Errors
+    ///
+    /// Returns the time after which to retry, in nanoseconds, if no unit is available.
     pub fn check(&mut self, now: Nanos) -> Result<(), Nanos> {
         self.roll_windows(now);
-        self.note_attempt();
+        self.record_attempt();
         let checked = match self.budget.kind {
             BudgetKind::Rate { .. } => {
                 self.refill(now);
@@ -251,11 +258,11 @@
                 }
             }
             BudgetKind::InFlight { max_call_time } => {
-                self.note_peak();
+                self.record_peak();
                 if self.in_flight < self.units(now) {
                     Ok(())
                 } else {
-                    Err(max_call_time / RETRY_PART_OF_CALL)
+                    Err(max_call_time / RETRIES_PER_MAX_CALL_TIME)
                 }
             }
         };
@@ -263,7 +270,7 @@
         checked.map_err(|retry_after| retry_after.max(1))
     }
 
-    /// Takes a unit for a call that was checked in this instant.
+    /// Takes a unit for a call that [`BudgetBorrower::check`] allowed in this instant.
     pub fn acquire_checked(&mut self) {
         self.counts.allowed += 1;
         match self.budget.kind {
@@ -272,19 +279,23 @@
         }
     }
 
-    /// Checks for a unit and takes it; else returns after how many nanoseconds to try again.
+    /// Takes a unit if one is available.
+    ///
+    /// # Errors
+    ///
+    /// Returns the time after which to retry, in nanoseconds, if no unit is available.
     pub fn acquire(&mut self, now: Nanos) -> Result<(), Nanos> {
         self.check(now)?;
         self.acquire_checked();
         Ok(())
     }
 
-    /// Whether no leased units are in use: the floor is all there is.
+    /// Whether no leased units are usable, so that only the floor is left.
     pub fn is_at_floor(&self, now: Nanos) -> bool {
         self.held.is_none_or(|held| held.units(now) == 0)
     }
 
-    /// The latest lease with its age, if one is held.
+    /// Returns the latest lease with its age, if a lease is held.
     pub fn latest_lease(&self, now: Nanos) -> Option<LeaseAge> {
         let ((received_at, lease), held) = self.latest_grant.zip(self.held)?;
         Some(LeaseAge {
@@ -294,17 +305,17 @@
         })
     }
 
-    /// Calls that were allowed and refused.
+    /// Returns the number of calls allowed and refused since the start.
     pub fn counts(&self) -> CallCounts {
         self.counts
     }
 
-    /// A call has ended.
+    /// Releases the unit of a call in flight that has ended.
     pub fn release(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Calls in flight.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
--- a/crates/shared-state/src/budget/borrower/node_budgets.rs
+++ b/crates/shared-state/src/budget/borrower/node_budgets.rs
@@ -1,15 +1,15 @@
-//! All budgets of one node: a call takes a unit of each budget that it counts for, or of none.
+//! All budgets of one node: a call takes a unit of every budget that it counts towards, or of none.
 
-use super::{BudgetBorrower, RETRY_PART_OF_CALL};
+use super::{BudgetBorrower, RETRIES_PER_MAX_CALL_TIME};
 use crate::budget::{Budget, BudgetKind, BudgetRequest, Lease};
 use crate::{Nanos, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The least rate, in calls a second, that a wait is computed by.
+/// Lower bound of the rate by which a wait is estimated, in calls per second.
 const MIN_RATE_FOR_WAIT: f64 = 1e-3;
 
-/// A node's ends of all budgets.
+/// The borrowers of all budgets on one node.
 #[derive(Clone, Debug)]
 pub struct NodeBudgets {
     borrowers: Vec<BudgetBorrower>,
@@ -18,7 +18,7 @@
 }
 
 impl NodeBudgets {
-    /// The ends of a node that has just started.
+    /// Creates the borrowers of a node that has just started.
     pub fn new(now: Nanos, budgets: &[Budget]) -> NodeBudgets {
         let borrowers = budgets
             .iter()
@@ -31,8 +31,9 @@
         }
     }
 
-    /// Seeds its random draws. Each end begins a random part of a call short of its first one:
-    /// processes that start in one instant would else all send it in one.
+    /// Seeds the random draws and starts each borrower with a random deficit of less than one
+    /// token. Without the deficit, processes that start in the same instant would all send their
+    /// first call at once.
     pub fn with_seed(mut self, seed: u64) -> NodeBudgets {
         self.rng = Pcg64Mcg::seed_from_u64(seed);
         for borrower in &mut self.borrowers {
@@ -41,7 +42,7 @@
         self
     }
 
-    /// Uses only this share of the rates from now on, because the backend starts slowly.
+    /// Limits use to this share of the rates from now on, 0 to 1, for the backend's slow start.
     pub fn set_usable_share(&mut self, now: Nanos, share: f64) {
         for borrower in &mut self.borrowers {
             let kept_tokens = self.rng.random();
@@ -49,12 +50,12 @@
         }
     }
 
-    /// The end of each budget, in the order of the budgets.
+    /// Returns the borrower of each budget, in the order of the budgets.
     pub fn borrowers(&mut self) -> &mut [BudgetBorrower] {
         &mut self.borrowers
     }
 
-    /// Changes the limits of the budgets that are known by their ids; others are passed over.
+    /// Changes the limits of the budgets whose ids are known; ignores unknown budgets.
     pub fn update_budgets(&mut self, budgets: &[Budget]) {
         for borrower in &mut self.borrowers {
             if let Some(budget) = budgets
@@ -66,22 +67,27 @@
         }
     }
 
-    /// Sets the value of a unit to this node, compared with others.
+    /// Sets the value of a unit to this node, relative to other nodes.
     pub fn set_value(&mut self, value: f64) {
         self.value = value;
     }
 
-    fn counting(&mut self, is_retry: bool) -> impl Iterator<Item = &mut BudgetBorrower> {
+    /// Returns the borrowers of the budgets that a call counts towards.
+    fn counted_budgets(&mut self, is_retry: bool) -> impl Iterator<Item = &mut BudgetBorrower> {
         self.borrowers
             .iter_mut()
             .filter(move |borrower| is_retry || !borrower.budget.retries_only)
     }
 
-    /// Takes a unit of each budget that the call counts for, or of none; then returns after how many
-    /// nanoseconds to try again.
+    /// Takes a unit of every budget that the call counts towards, or of none.
+    ///
+    /// # Errors
+    ///
+    /// Returns the time after which to retry, in nanoseconds: the longest wait of all budgets that
+    /// have no unit.
     pub fn acquire(&mut self, now: Nanos, is_retry: bool) -> Result<(), Nanos> {
         let mut retry_after = None;
-        for borrower in self.counting(is_retry) {
+        for borrower in self.counted_budgets(is_retry) {
             if let Err(wait) = borrower.check(now) {
                 retry_after = Some(retry_after.map_or(wait, |longest: Nanos| longest.max(wait)));
             }
@@ -89,13 +95,13 @@
         if let Some(retry_after) = retry_after {
             return Err(retry_after);
         }
-        self.counting(is_retry)
+        self.counted_budgets(is_retry)
             .for_each(BudgetBorrower::acquire_checked);
         Ok(())
     }
 
-    /// Calls a second that the budgets by rate that all calls count for allow now; none if there is
-    /// no such budget.
+    /// Returns the lowest rate, in calls per second, that the rate budgets allow now; `None` if
+    /// there is no rate budget that counts all calls.
     pub fn calls_per_second(&self, now: Nanos) -> Option<f64> {
         let rates = self.borrowers.iter().filter(|borrower| {
             matches!(borrower.budget.kind, BudgetKind::Rate { .. }) && !borrower.budget.retries_only
@@ -105,7 +111,8 @@
             .reduce(f64::min)
     }
 
-    /// The longest that a call may be in flight, in nanoseconds, where a budget bounds that.
+    /// Returns the longest time that a call may be in flight, in nanoseconds, or `None` if no
+    /// budget limits calls in flight.
     pub fn max_call_time(&self) -> Option<Nanos> {
         let times = self
             .borrowers
@@ -117,7 +124,8 @@
         times.max()
     }
 
-    /// An estimate of the time until this many more calls have found a unit, in nanoseconds.
+    /// Estimates the time until units for this many more calls have become available, in
+    /// nanoseconds.
     pub fn expected_wait(&self, now: Nanos, calls: usize) -> Nanos {
         let each = self
             .calls_per_second(now)
@@ -125,7 +133,8 @@
         (each * calls as f64) as Nanos
     }
 
-    /// After how many nanoseconds to try again, if no more calls in flight are allowed now.
+    /// Returns the time after which to retry, in nanoseconds, if no further call in flight is
+    /// allowed now.
     pub fn retry_after_if_full(&self, now: Nanos) -> Option<Nanos> {
         self.borrowers
             .iter()
@@ -134,27 +143,28 @@
                 BudgetKind::InFlight { max_call_time }
                     if borrower.in_flight >= borrower.units(now) =>
                 {
-                    Some(max_call_time / RETRY_PART_OF_CALL)
+                    Some(max_call_time / RETRIES_PER_MAX_CALL_TIME)
                 }
                 _ => None,
             })
     }
 
-    /// Counts towards the demand a call that was not attempted for want of units.
+    /// Counts a call towards the demand that was not attempted because units were short.
     pub fn note_unmet_demand(&mut self, now: Nanos) {
-        for borrower in self.counting(false) {
+        for borrower in self.counted_budgets(false) {
             borrower.roll_windows(now);
-            borrower.note_attempt();
-            borrower.note_peak();
+            borrower.record_attempt();
+            borrower.record_peak();
         }
     }
 
-    /// A call that was allowed has ended.
+    /// Releases the units of an allowed call that has ended.
     pub fn release(&mut self, is_retry: bool) {
-        self.counting(is_retry).for_each(BudgetBorrower::release);
+        self.counted_budgets(is_retry)
+            .for_each(BudgetBorrower::release);
     }
 
-    /// The requests for leases of all budgets.
+    /// Returns the lease requests of all budgets.
     pub fn requests(&mut self, now: Nanos) -> Vec<BudgetRequest> {
         let value = self.value;
         let request = |borrower: &mut BudgetBorrower| BudgetRequest {
@@ -166,7 +176,8 @@
         self.borrowers.iter_mut().map(request).collect()
     }
 
-    /// Receives leases by budget id that were requested at `requested_at`.
+    /// Receives leases, by budget id, that were requested at `requested_at`; ignores unknown
+    /// budgets.
     pub fn receive_leases(&mut self, now: Nanos, requested_at: Nanos, leases: &[(u32, Lease)]) {
         for (budget, lease) in leases {
             if let Some(borrower) = self
--- a/crates/shared-state/src/budget/borrower/tests.rs
+++ b/crates/shared-state/src/budget/borrower/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::budget::BudgetError;
 
-/// The duration of a lease.
-const TERM: Nanos = 1000 * crate::MILLISECOND;
+/// Duration of a lease, in nanoseconds.
+const LEASE_DURATION: Nanos = 1000 * crate::MILLISECOND;
 
 fn rate(limit: u32, floor: u32, max_nodes: u32) -> Budget {
     let kind = BudgetKind::Rate { burst: SECOND / 20 };
@@ -24,13 +24,13 @@
     Lease {
         id: LeaseId { lender: 1, number },
         units,
-        duration: TERM,
+        duration: LEASE_DURATION,
         ..Lease::default()
     }
 }
 
 #[test]
-fn floors_that_add_up_to_more_than_the_limit_are_refused() {
+fn floors_that_exceed_the_limit_together_are_rejected() {
     assert_eq!(rate(100, 1, 60).check(), Ok(()));
     assert_eq!(rate(100, 1, 60).pool(), 40);
     assert!(
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_node_that_is_cut_off_falls_in_steps_to_its_floor_and_not_below() {
+fn a_node_that_is_cut_off_falls_to_its_floor_in_steps() {
     let mut borrower = BudgetBorrower::new(0, rate(100, 2, 10));
     borrower.receive_lease(100, 100, lease(1, 80));
     let at = |ms: u64| borrower.units(100 + ms * crate::MILLISECOND);
@@ -57,9 +57,10 @@
     );
 }
 
-/// Never more than the rate over any window, whatever was saved up, and however the lease changes.
+/// Guards against exceeding the rate over any window when the lease changes or tokens were saved
+/// up.
 #[test]
-fn a_rate_is_kept_over_every_window() {
+fn calls_stay_within_the_rate_over_every_window() {
     let mut borrower = BudgetBorrower::new(0, rate(100, 0, 10));
     let mut taken = Vec::new();
     for ms in 0..20_000u64 {
@@ -80,7 +81,8 @@
                 .iter()
                 .take_while(|t| **t < first + window)
                 .count() as f64;
-            // 60 a second and what may be saved up, as if the largest lease had held throughout.
+            // The bound if the largest lease were held throughout: 60 per second plus 3 saved-up
+            // calls and 1 for rounding.
             assert!(
                 n <= 60.0 * window as f64 / 1000.0 + 3.0 + 1.0,
                 "{n} in {window} ms from {first}"
@@ -115,7 +117,7 @@
 }
 
 #[test]
-fn demand_follows_attempts_and_fades() {
+fn demand_follows_attempts_and_decays() {
     let mut borrower = BudgetBorrower::new(0, rate(1000, 1, 10));
     for ms in 0..1000 {
         let _ = borrower.acquire(ms * crate::MILLISECOND);
@@ -129,7 +131,7 @@
 }
 
 #[test]
-fn a_lease_of_another_lender_waits_for_the_end_of_the_held_one() {
+fn a_lease_of_another_lender_is_accepted_only_after_the_held_lease_has_expired() {
     let mut borrower = BudgetBorrower::new(0, rate(100, 0, 10));
     borrower.receive_lease(0, 0, lease(9, 50));
     borrower.receive_lease(
@@ -145,8 +147,8 @@
     );
     assert_eq!((borrower.units(10), borrower.held_lease()), (50, id(1, 9)));
     borrower.receive_lease(
-        TERM,
-        TERM,
+        LEASE_DURATION,
+        LEASE_DURATION,
         Lease {
             id: LeaseId {
                 lender: 2,
@@ -156,14 +158,14 @@
         },
     );
     assert_eq!(
-        (borrower.units(TERM), borrower.held_lease()),
+        (borrower.units(LEASE_DURATION), borrower.held_lease()),
         (80, id(2, 1))
     );
 }
 
-/// A call needs a unit of each budget that it counts for, or takes none.
+/// Guards against units that stay taken when another budget refuses the call.
 #[test]
-fn a_call_is_allowed_under_all_budgets_or_takes_nothing() {
+fn a_call_takes_a_unit_of_every_budget_or_of_none() {
     let in_flight = Budget {
         kind: BudgetKind::InFlight {
             max_call_time: SECOND,
@@ -183,24 +185,24 @@
     assert_eq!(
         (allowed, budgets.borrowers()[1].in_flight()),
         (1, 1),
-        "of a rate of 2 a second one call is saved"
+        "a rate of 2 per second saves up one call"
     );
     budgets.release(false);
-    let later = (2..40)
+    let allowed_later = (2..40)
         .filter(|tenths| budgets.acquire(now + tenths * SECOND / 10, false).is_ok())
         .count();
     assert_eq!(
-        (later, budgets.borrowers()[1].in_flight()),
+        (allowed_later, budgets.borrowers()[1].in_flight()),
         (4, 4),
-        "four in hand"
+        "four calls are in flight"
     );
     assert!(!budgets.drop_leases(9 * SECOND));
     (0..4).for_each(|_| budgets.release(false));
     assert!(budgets.drop_leases(9 * SECOND));
-    // Two calls may be made each second, of which one may be a retry; a refused retry took nothing
+    // Two calls may be made per second, one of which may be a retry. A refused retry takes no unit
     // of the other budgets.
     let at = |tenths: u64| 20 * SECOND + tenths * SECOND / 10;
-    let repeated = (0..50)
+    let allowed_retries = (0..50)
         .filter(|t| {
             budgets.acquire(at(*t), true).is_ok_and(|()| {
                 budgets.release(true);
@@ -208,21 +210,27 @@
             })
         })
         .count();
-    assert!((4..=6).contains(&repeated), "{repeated} in 5 s");
-    assert!(budgets.acquire(at(51), false).is_ok(), "a first call goes");
+    assert!(
+        (4..=6).contains(&allowed_retries),
+        "{allowed_retries} in 5 s"
+    );
+    assert!(
+        budgets.acquire(at(51), false).is_ok(),
+        "a call that is not a retry is allowed"
+    );
 }
 
 #[test]
-fn a_restarted_node_has_saved_up_nothing() {
+fn a_restarted_node_starts_without_tokens() {
     let mut borrower = BudgetBorrower::new(7 * SECOND, rate(100, 10, 10));
     assert!(borrower.acquire(7 * SECOND).is_err());
     assert!(borrower.acquire(8 * SECOND).is_ok());
 }
 
-/// A share of the units allows as many fewer calls over any window, and none at once for what was
-/// saved up before.
+/// Guards against a burst at the beginning of a slow start: the share limits the rate, and tokens
+/// saved up before it are discarded.
 #[test]
-fn a_slow_start_uses_a_share_of_the_units_and_nothing_that_was_saved_up() {
+fn a_slow_start_uses_a_share_of_the_units_and_discards_saved_tokens() {
     let mut budgets = NodeBudgets::new(0, &[rate(100, 50, 1)]).with_seed(1);
     let taken = |budgets: &mut NodeBudgets, from: u64, until: u64| {
         (from..until)
@@ -231,7 +239,11 @@
     };
     assert!((48..=50).contains(&taken(&mut budgets, 0, 1000)));
     budgets.set_usable_share(5 * SECOND, 0.1);
-    assert_eq!(taken(&mut budgets, 5000, 5001), 0, "what was saved is gone");
+    assert_eq!(
+        taken(&mut budgets, 5000, 5001),
+        0,
+        "saved tokens are discarded"
+    );
     assert!((9..=11).contains(&taken(&mut budgets, 5001, 7000)));
     assert_eq!(budgets.calls_per_second(7 * SECOND), Some(5.0));
     budgets.set_usable_share(7 * SECOND, 1.0);
--- a/crates/shared-state/src/budget/fair_share.rs
+++ b/crates/shared-state/src/budget/fair_share.rs
@@ -1,22 +1,23 @@
-//! How units are shared among those who request them: nobody gets more than it requests while others
-//! lack; where units are short, zones get even shares first, within a zone nodes with a higher value
-//! get more, and no node with a request gets nothing if units allow.
+//! Allocation of units to the nodes that request them. No node gets more than it requests while the
+//! demand of another node is unmet. If units are short, zones get shares in proportion to their
+//! number of nodes, and within a zone a node with a higher value gets more. A node whose value is 0
+//! has a share too, which rounding to whole units may reduce to nothing.
 
 use std::collections::BTreeMap;
 
-/// The most that a node's value weighs.
+/// Upper bound of a node's value in its weight.
 const MAX_VALUE: f64 = 1e6;
-/// The weight of a node whose value is 0; added to all values.
+/// Added to every value, so that a node whose value is 0 has a weight.
 const BASE_WEIGHT: f64 = 0.1;
 
-/// What a node requests.
+/// A node's request for units.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Its zone.
+    /// Number of the node's zone.
     pub zone: u32,
-    /// Units.
+    /// Number of units requested.
     pub units: u32,
-    /// The value of a unit to it, compared with others; 0 is the least.
+    /// The value of a unit to the node, relative to other nodes; at least 0.
     pub value: f64,
 }
 
@@ -27,20 +28,20 @@
     weight: f64,
 }
 
-/// Shares `pool` by weight, to each at most its demand, in whole units; what rounding leaves goes to
-/// the largest remainders, the first ones first.
+/// Divides `pool` by weight into whole units, to each node at most its demand. Units left over by
+/// rounding go to the largest remainders; ties go to the first in order.
 fn share_by_weight(pool: u32, demands: &[WeightedDemand]) -> Vec<u32> {
     let mut shares = vec![0u32; demands.len()];
-    let mut left = pool;
+    let mut remaining = pool;
     loop {
         let unmet: Vec<usize> = (0..demands.len())
             .filter(|&n| shares[n] < demands[n].units)
             .collect();
-        if left == 0 || unmet.is_empty() {
+        if remaining == 0 || unmet.is_empty() {
             return shares;
         }
         let total_weight: f64 = unmet.iter().map(|&n| demands[n].weight).sum();
-        let share = |n: usize| f64::from(left) * demands[n].weight / total_weight;
+        let share = |n: usize| f64::from(remaining) * demands[n].weight / total_weight;
         let mut round: Vec<(usize, u32, f64)> = unmet
             .iter()
             .map(|&n| {
@@ -52,27 +53,27 @@
                 )
             })
             .collect();
-        let mut given = 0;
+        let mut allocated = 0;
         for (n, units, _) in &round {
             shares[*n] += units;
-            given += units;
+            allocated += units;
         }
-        left -= given;
-        if given == 0 {
-            // Less than a unit each: by the largest remainder.
+        remaining -= allocated;
+        if allocated == 0 {
+            // Every share is below one unit: the largest remainders get one unit each.
             round.sort_by(|a, b| b.2.total_cmp(&a.2).then(a.0.cmp(&b.0)));
             for (n, _, _) in round {
-                if left > 0 {
+                if remaining > 0 {
                     shares[n] += 1;
-                    left -= 1;
+                    remaining -= 1;
                 }
             }
         }
     }
 }
 
-/// Shares `pool` units; returns the units of each, in the order of the demands. Units that nobody
-/// requests are spread evenly, so that a node whose load rises finds some at once.
+/// Allocates `pool` units and returns the units of each node, in the order of the demands. Units
+/// that no node requests are spread evenly, so that a node whose load rises has some at once.
 pub fn allocate(pool: u32, demands: &[Demand]) -> Vec<u32> {
     let mut zones: BTreeMap<u32, Vec<usize>> = BTreeMap::new();
     demands
@@ -85,18 +86,18 @@
             .map(|&n| demands[n].units)
             .fold(0u32, u32::saturating_add)
     };
-    // Zones weigh by their members, so that each node has an even claim wherever it is.
-    let of_zones: Vec<WeightedDemand> = zones
+    // A zone's weight is its number of nodes, so that a node's claim does not depend on its zone.
+    let zone_demands: Vec<WeightedDemand> = zones
         .values()
         .map(|members| WeightedDemand {
             units: total(members),
             weight: members.len() as f64,
         })
         .collect();
-    let zone_pools = share_by_weight(pool, &of_zones);
+    let zone_pools = share_by_weight(pool, &zone_demands);
     let mut shares = vec![0; demands.len()];
     for (members, zone_pool) in zones.values().zip(zone_pools) {
-        let of_members: Vec<WeightedDemand> = members
+        let member_demands: Vec<WeightedDemand> = members
             .iter()
             .map(|&n| WeightedDemand {
                 units: demands[n].units,
@@ -105,11 +106,11 @@
             .collect();
         members
             .iter()
-            .zip(share_by_weight(zone_pool, &of_members))
+            .zip(share_by_weight(zone_pool, &member_demands))
             .for_each(|(&n, units)| shares[n] = units);
     }
     let spare = pool - shares.iter().sum::<u32>();
-    let evenly: Vec<WeightedDemand> = demands
+    let even_demands: Vec<WeightedDemand> = demands
         .iter()
         .map(|_| WeightedDemand {
             units: u32::MAX / 2,
@@ -118,7 +119,7 @@
         .collect();
     shares
         .iter_mut()
-        .zip(share_by_weight(spare, &evenly))
+        .zip(share_by_weight(spare, &even_demands))
         .for_each(|(units, more)| *units += more);
     shares
 }
--- a/crates/shared-state/src/budget/fair_share/tests.rs
+++ b/crates/shared-state/src/budget/fair_share/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn demand_is_met_while_there_is_enough_and_the_rest_is_spread_evenly() {
+fn sufficient_units_meet_all_demands_and_the_rest_is_spread_evenly() {
     let demands = [
         demand(0, 10, 1.0),
         demand(0, 0, 1.0),
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn where_units_are_short_zones_get_even_shares_and_higher_values_get_more() {
+fn short_units_are_divided_evenly_by_zone_and_by_value_within_a_zone() {
     let demands = [
         demand(0, 100, 2.0),
         demand(0, 100, 1.0),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn more_nodes_than_units_get_no_more_than_the_units() {
+fn with_fewer_units_than_nodes_some_nodes_get_one_unit_each() {
     let demands: Vec<Demand> = (0..10).map(|n| demand(n % 2, 5, 1.0)).collect();
     let shares = allocate(3, &demands);
     assert_eq!(
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn all_units_and_no_more_are_allocated_whatever_is_requested() {
+fn the_whole_pool_is_allocated_and_never_more() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     for _ in 0..2000 {
         let pool = rng.random_range(0..500);
--- a/crates/shared-state/src/budget/lender.rs
+++ b/crates/shared-state/src/budget/lender.rs
@@ -1,13 +1,14 @@
-//! The leader's end of a budget: which leases are outstanding, of which borrower, until when.
+//! The lender side of a budget, on the leader: which leases are outstanding, to which borrower, and
+//! until when.
 //!
-//! A unit is granted again only when its borrower reported that it holds a later and smaller lease,
-//! or when the earlier lease has expired on the lender's clock, extended by the clock drift bound and
-//! by the longest that units stay in use beyond their lease.
+//! A unit is granted again only after its borrower has reported that it holds a later and smaller
+//! lease, or after the earlier lease has expired on the lender's clock, extended by the clock drift
+//! bound and by the use after expiry.
 //!
-//! No two leaders' leases overlap either: a lender exists only while
-//! [`leader_lease`](crate::leader_lease) makes its node the leader, grants nothing for the first
-//! lease duration and use after expiry, in which its predecessor's leases end, and grants no lease
-//! that would outlast the leader lease.
+//! Leases of two successive leaders do not overlap either: a lender exists only while
+//! [`leader_lease`](crate::leader_lease) makes its node the leader; it grants nothing for the first
+//! lease duration plus use after expiry, during which the previous leader's leases end; and it
+//! grants no lease that would outlast the leader lease.
 
 use super::fair_share::{Demand, allocate};
 use super::{Lease, LeaseId};
@@ -15,22 +16,23 @@
 use crate::{Nanos, ProcessId};
 use std::collections::BTreeMap;
 
-/// The most leases of one borrower that may still be in use at once. A borrower that acknowledges
-/// none of them gets no more.
+/// Maximum number of leases of one borrower that may still be in use. A borrower that acknowledges
+/// none of them is granted no further lease.
 const MAX_LEASES_PER_BORROWER: usize = 16;
-/// A borrower without units is forgotten after this many times its longest possible use of a lease.
+/// A borrower without units is forgotten after a silence of this many times the lease duration plus
+/// the use after expiry.
 const SILENT_LEASE_TIMES: u64 = 4;
 
-/// A lease that was granted.
+/// A lease that was granted and whose units may still be in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct OutstandingLease {
     number: u64,
     units: u32,
-    /// From this time on none of its units is in use.
+    /// Time from which none of the lease's units is in use.
     expired_at: Nanos,
 }
 
-/// What is known of a borrower.
+/// The lender's record of one borrower.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct BorrowerAccount {
     leases: Vec<OutstandingLease>,
@@ -39,7 +41,8 @@
 }
 
 impl BorrowerAccount {
-    /// Units that may be in use. A borrower uses one lease at a time.
+    /// Returns the number of units that may be in use: the largest unexpired lease, because a
+    /// borrower uses one lease at a time.
     fn outstanding(&self, now: Nanos) -> u32 {
         self.leases
             .iter()
@@ -50,25 +53,26 @@
     }
 }
 
-/// The outstanding leases of one budget.
+/// The outstanding leases of one budget, and the units left to grant.
 #[derive(Clone, Debug)]
 pub struct BudgetLender {
-    /// Tells this lender from all others: lease numbers are each lender's own.
+    /// Random id of this lender. Lease numbers are unique only within one lender.
     id: u64,
-    /// Units that there are beside all floors.
+    /// Number of units available for leases: the limit less all floors.
     pool: u32,
     accounts: BTreeMap<ProcessId, BorrowerAccount>,
     last_number: u64,
     lease_duration: Nanos,
     use_after_expiry: Nanos,
-    /// Until this time units of the previous leader's leases may be in use.
+    /// Time of the first grants. Until then units of the previous leader's leases may be in use.
     grants_from: Nanos,
     max_borrowers: usize,
 }
 
 impl BudgetLender {
-    /// A lender whose leadership begins now. `pool` are the units beside the floors;
-    /// `use_after_expiry` bounds in nanoseconds how long units stay in use beyond a lease.
+    /// Creates the lender of a leader whose leadership begins now. `pool` is the number of units
+    /// left after all floors; `use_after_expiry` is the longest time in nanoseconds for which units
+    /// stay in use after their lease has expired.
     pub fn new(
         now: Nanos,
         id: u64,
@@ -89,7 +93,7 @@
         }
     }
 
-    /// Units that may be in use by all borrowers together.
+    /// Returns the number of units that all borrowers together may be using.
     pub fn outstanding(&self, now: Nanos) -> u32 {
         let outstanding = self
             .accounts
@@ -103,15 +107,18 @@
         }
     }
 
-    /// Changes the pool. If more units are outstanding, nothing is granted until enough have come
-    /// back.
+    /// Changes the pool. If more units than that are outstanding, nothing is granted until enough
+    /// of them are free again.
     pub fn resize(&mut self, pool: u32) {
         self.pool = pool;
     }
 
-    /// Answers a borrower's request. `held` is the only lease of this lender that it may still use.
-    /// Returns none where nothing may be granted now: before the previous leader's leases have ended,
-    /// where the lease would outlast `leader_until`, or where there is no room for the borrower.
+    /// Answers a borrower's request with a lease. `held` is the lease that the borrower holds; the
+    /// borrower no longer uses any earlier lease of this lender.
+    ///
+    /// Returns `None` if nothing may be granted now: before the previous leader's leases have
+    /// ended, if the lease would outlast `leader_until`, if the table of borrowers is full, or if
+    /// too many leases of the borrower are unacknowledged.
     pub fn request(
         &mut self,
         now: Nanos,
@@ -121,7 +128,8 @@
         leader_until: Nanos,
     ) -> Option<Lease> {
         self.record_request(now, borrower, held, demand)?;
-        // The next leader waits for a lease duration, and all leases of this one end before.
+        // The next leader waits for a lease duration before it grants; all leases granted here must
+        // have ended by then.
         if now < self.grants_from || now + self.lease_duration > leader_until {
             return None;
         }
@@ -146,12 +154,13 @@
         });
         debug_assert!(
             others + units <= self.pool.max(others),
-            "no unit is granted twice"
+            "the leased units fit into the pool"
         );
         Some(self.lease(units))
     }
 
-    /// Takes up what a request says of its borrower; none if there is no room for another borrower.
+    /// Updates the borrower's account from a request. Returns `None` if the table of borrowers is
+    /// full and the borrower is not in it.
     fn record_request(
         &mut self,
         now: Nanos,
@@ -159,7 +168,7 @@
         held: LeaseId,
         demand: Demand,
     ) -> Option<()> {
-        // A lease of another lender says nothing of the leases of this one.
+        // A lease of another lender does not show which leases of this lender are out of use.
         let held = if held.lender == self.id {
             held.number
         } else {
@@ -173,11 +182,11 @@
             .leases
             .retain(|lease| lease.number >= held && lease.expired_at > now);
         (account.demand, account.last_request_at) = (demand, now);
-        self.forget_silent(now);
+        self.forget_silent_borrowers(now);
         Some(())
     }
 
-    /// The latest lease, of this many units.
+    /// Returns the lease with the latest number and this many units.
     fn lease(&self, units: u32) -> Lease {
         let demands = self.accounts.values().map(|account| account.demand.units);
         Lease {
@@ -193,19 +202,20 @@
         }
     }
 
-    /// A borrower that leaves releases all its leases.
+    /// Frees all leases of a borrower that leaves.
     pub fn release(&mut self, borrower: ProcessId) {
         self.accounts.remove(&borrower);
     }
 
-    fn forget_silent(&mut self, now: Nanos) {
+    fn forget_silent_borrowers(&mut self, now: Nanos) {
         let silent = SILENT_LEASE_TIMES * (self.lease_duration + self.use_after_expiry);
         self.accounts.retain(|_, account| {
             account.outstanding(now) > 0 || now < account.last_request_at + silent
         });
     }
 
-    /// The units that one borrower should have, given the demands of all.
+    /// Returns the number of units that a borrower is entitled to, given the demands of all
+    /// borrowers.
     fn fair_share(&self, borrower: ProcessId) -> u32 {
         let demands: Vec<Demand> = self
             .accounts
@@ -221,7 +231,7 @@
             .unwrap_or(0)
     }
 
-    /// How many borrowers have an account.
+    /// Returns the number of borrowers in the table.
     pub fn borrowers(&self) -> usize {
         self.accounts.len()
     }
--- a/crates/shared-state/src/keyed_quota.rs
+++ b/crates/shared-state/src/keyed_quota.rs
@@ -1,15 +1,17 @@
-//! Keyed quotas: limits by key for the whole cluster, as a rate of each key or a number of it in
-//! flight. There may be a hundred thousand keys, most of them seldom used, so that nothing is stored
-//! about a key that nobody used lately.
+//! Keyed quotas: cluster-wide limits per key, either on the rate of each key or on its number in
+//! flight. There may be a hundred thousand keys, most of them rarely used, so no state is stored
+//! for a key that has not been used recently.
 //!
-//! What may be used of a key exists as **units** that are each in one place: free at the lender
-//! ([`lender`]), or leased to a node ([`borrower`]). Units of a rate are made at that rate, and only
-//! while fewer exist than the burst; a unit that is spent is gone. Units of a number in flight are as
-//! many as the limit. Because a unit is never in two places, it does not matter how long it stays
-//! with a node: over any time W all nodes together spend at most rate x W and the burst.
+//! The right to use a key consists of **units**, each of which is in one place: free at the lender
+//! ([`lender`]) or leased to a node ([`borrower`]). Units of a rate are created at that rate, and
+//! only while fewer than the burst exist; a spent unit ceases to exist. A limit on the number in
+//! flight has a fixed number of units. Because a unit is never in two places, it does not matter
+//! how long a node keeps it: over any period W all nodes together spend at most rate x W plus the
+//! burst.
 //!
-//! Beside that each node has a guaranteed floor: a few units of each key that are set aside for it,
-//! made at a sixteenth of the rate over all nodes. A node that reaches no lender has these.
+//! In addition each node has a guaranteed floor: a few units of each key that are set aside for the
+//! node. The floors of all nodes together are created at a sixteenth of the rate. A node that is
+//! cut off from the lender still has its floor.
 
 pub mod borrower;
 pub mod lender;
@@ -18,83 +20,83 @@
 use crate::{MILLISECOND, Nanos, SECOND};
 use thiserror::Error;
 
-/// Of a rate whose nodes have floors, one part in this many is made as floors.
-const FLOOR_PART: u64 = 16;
-/// Requests that a lender can answer in a second with a small part of a core.
+/// If nodes have floors, one part in this many of a rate is created as floor units.
+const FLOOR_RATE_DIVISOR: u64 = 16;
+/// Requests per second that a lender can answer with a small part of a core.
 const LENDER_REQUESTS_PER_SECOND: u64 = 2000;
-/// The least time between two requests of a node, in nanoseconds.
+/// Minimum time between two requests of a node, in nanoseconds.
 const MIN_REQUEST_INTERVAL: Nanos = 250 * MILLISECOND;
-/// The most keys in one request: what fits a payload.
+/// Maximum number of keys in one request, so that the request fits a payload.
 pub const MAX_KEYS_PER_REQUEST: usize = 48;
 
-/// What is limited of each key.
+/// The quantity that is limited for each key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum QuotaKind {
-    /// A rate.
+    /// The rate of admissions.
     Rate {
-        /// Units in a period.
+        /// Number of units per period.
         count: u32,
-        /// The period, in nanoseconds.
+        /// Length of the period, in nanoseconds.
         period: Nanos,
-        /// Units that may be saved up, of all nodes together and with the floors.
+        /// Maximum number of units saved up by all nodes together, including the floors.
         burst: u32,
     },
-    /// A number in flight.
+    /// The number in flight.
     InFlight {
-        /// Units in flight at once.
+        /// Maximum number of units in flight at once, over all nodes.
         limit: u32,
-        /// The longest that a unit is in flight, in nanoseconds.
+        /// The longest time that a unit may be in flight, in nanoseconds.
         max_hold: Nanos,
     },
 }
 
-/// A limit by key for the whole cluster.
+/// A cluster-wide limit per key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyedQuota {
-    /// Tells it from all others, on all nodes.
+    /// The quota's name, unique and the same on all nodes.
     pub name: String,
-    /// What is limited.
+    /// The quantity that is limited.
     pub kind: QuotaKind,
-    /// Units of each key that each node may use without a lease.
+    /// Number of units of each key that each node may use without a lease.
     pub floor: u32,
-    /// The most processes that run at once; above 0.
+    /// Maximum number of processes that run at once; above 0.
     pub max_nodes: u32,
 }
 
-/// Why a quota can't be kept.
+/// Reason for which a quota's settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum QuotaError {
     /// The limit or the number of nodes is 0.
     #[error("'{name}': the limit and the number of nodes must be above 0")]
     Zero {
-        /// The quota.
+        /// The quota's name.
         name: String,
     },
-    /// The floors of all nodes leave nothing to be leased.
+    /// The floors of all nodes together leave no units for leases.
     #[error(
-        "'{name}': the floors of {max_nodes} nodes are {floors}, and nothing of the {field} of {bound} is left to lend"
+        "'{name}': the floors of {max_nodes} nodes are {floors}, which leaves nothing of the {field} of {bound} to lend"
     )]
     FloorsLeaveNothing {
-        /// The quota.
+        /// The quota's name.
         name: String,
-        /// The most processes that run at once.
+        /// Maximum number of processes that run at once.
         max_nodes: u32,
-        /// Units of all their floors.
+        /// Sum of the floors of `max_nodes` nodes, in units.
         floors: u64,
-        /// The setting that bounds the floors: `burst` or `limit`.
+        /// Name of the setting that bounds the floors: `burst` or `limit`.
         field: &'static str,
-        /// Its value.
+        /// Value of that setting, in units; `floors` must be below it.
         bound: u32,
     },
-    /// Units would have to be made faster than one a nanosecond, or in no time.
-    #[error("'{name}': this rate can't be kept")]
+    /// The rate is 0, or its units would have to be created faster than one per nanosecond.
+    #[error("'{name}': the rate must be above 0 and at most one unit per nanosecond")]
     ImpossibleRate {
-        /// The quota.
+        /// The quota's name.
         name: String,
     },
 }
 
-/// A hash of a name that all nodes agree on: FNV-1a, 32 bits.
+/// Returns the 32-bit FNV-1a hash of a name, which is the same on all nodes.
 pub fn name_hash(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| {
         (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
@@ -102,17 +104,17 @@
 }
 
 impl KeyedQuota {
-    /// The number by which nodes refer to it in messages. A quota that changes its kind is another
-    /// one, so the kind is hashed too.
+    /// Returns the number that identifies the quota in messages. The hash covers the kind as well,
+    /// because a quota whose kind changes is a different quota.
     pub fn id(&self) -> u32 {
         let kind = match self.kind {
             QuotaKind::Rate { .. } => "rate",
-            QuotaKind::InFlight { .. } => "in hand", // the word on the wire
+            QuotaKind::InFlight { .. } => "in hand", // hashed into the id on the wire
         };
         name_hash(&format!("{} {kind}", self.name))
     }
 
-    /// All units of a key that may exist at once.
+    /// Returns the maximum number of units of a key that may exist at once, including the floors.
     fn max_units(&self) -> u32 {
         match self.kind {
             QuotaKind::Rate { burst, .. } => burst,
@@ -120,13 +122,13 @@
         }
     }
 
-    /// Units of a key that are set aside as floors.
+    /// Returns the number of units of a key that are set aside as floors for all nodes.
     fn floors(&self) -> u64 {
         u64::from(self.floor) * u64::from(self.max_nodes)
     }
 
-    /// Checks that the limit and the number of nodes are above 0, that the floors leave something to
-    /// lease, and that the rate can be kept.
+    /// Checks that the limit and the number of nodes are above 0, that the floors leave units for
+    /// leases, and that the rate is within bounds.
     pub fn check(&self) -> Result<(), QuotaError> {
         let floors = self.floors();
         if self.max_nodes == 0 || self.max_units() == 0 {
@@ -154,39 +156,42 @@
         Ok(())
     }
 
-    /// Units of a key that can be leased: the most that are saved up, or all.
+    /// Returns the maximum number of units of a key that are free or leased at once: the burst or
+    /// the limit, less the floors of all nodes.
     pub fn pool(&self) -> u32 {
         u32::try_from(u64::from(self.max_units()).saturating_sub(self.floors())).unwrap_or(0)
     }
 
-    /// Time in which a unit to be leased is made, in nanoseconds; none if there is no rate. The
-    /// lender's clock may run fast, so it is extended by the drift bound.
+    /// Returns the time in which one leasable unit is created, in nanoseconds: `Nanos::MAX` for a
+    /// limit on the number in flight, `None` for a rate of 0. The lender's clock may run fast, so
+    /// the time is extended by the clock drift bound.
     pub fn unit_interval(&self) -> Option<Nanos> {
         let QuotaKind::Rate { count, period, .. } = self.kind else {
             return Some(Nanos::MAX);
         };
-        let even = period.checked_div(u64::from(count))?;
+        let even_interval = period.checked_div(u64::from(count))?;
         let leased = if self.floor > 0 {
-            even + even / (FLOOR_PART - 1) + 1
+            even_interval + even_interval / (FLOOR_RATE_DIVISOR - 1) + 1
         } else {
-            even
+            even_interval
         };
         Some(leased + leased / (CLOCK_DRIFT_PARTS - 1) + 1)
     }
 
-    /// Time in which a unit of a node's floor is made, in nanoseconds; 0 for a number in flight.
+    /// Returns the time in which one unit of a node's floor is created, in nanoseconds, extended by
+    /// the clock drift bound; 0 for a limit on the number in flight.
     pub fn floor_interval(&self) -> Nanos {
         let QuotaKind::Rate { count, period, .. } = self.kind else {
             return 0;
         };
-        let even = period / u64::from(count.max(1)) + 1;
-        let of_node = even
-            .saturating_mul(FLOOR_PART)
+        let even_interval = period / u64::from(count.max(1)) + 1;
+        let node_interval = even_interval
+            .saturating_mul(FLOOR_RATE_DIVISOR)
             .saturating_mul(u64::from(self.max_nodes));
-        of_node.saturating_add(of_node / (CLOCK_DRIFT_PARTS - 1))
+        node_interval.saturating_add(node_interval / (CLOCK_DRIFT_PARTS - 1))
     }
 
-    /// How long units may stay in use after their lease has expired, in nanoseconds.
+    /// Returns how long units may stay in use after their lease has expired, in nanoseconds.
     pub fn use_after_expiry(&self) -> Nanos {
         match self.kind {
             QuotaKind::Rate { .. } => 0,
@@ -195,22 +200,23 @@
     }
 }
 
-/// How often keys are requested, in nanoseconds. The same on all nodes, as it follows from their
-/// settings.
+/// Intervals of the requests for keys, in nanoseconds. They follow from the settings and are the
+/// same on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaTiming {
-    /// The mean time between two requests of a node.
+    /// Mean time between two requests of a node.
     pub request_interval: Nanos,
-    /// What a node uses of a key is reported, and its lease renewed, this often.
+    /// Time after which a node reports its use of a key and renews the lease.
     pub renewal_interval: Nanos,
-    /// Leased units expire after this, unless they are renewed.
+    /// Time after which leased units expire unless they are renewed.
     pub lease_duration: Nanos,
-    /// A key that was used within this counts as in use.
+    /// Time since its last use during which a key counts as in use.
     pub idle_timeout: Nanos,
 }
 
 impl QuotaTiming {
-    /// The timing for at most this many nodes, which all request from one lender.
+    /// Returns the timing for up to `max_nodes` nodes, all of which send their requests to one
+    /// lender.
     pub fn for_nodes(max_nodes: u32) -> QuotaTiming {
         let request_interval =
             MIN_REQUEST_INTERVAL.max(SECOND * u64::from(max_nodes) / LENDER_REQUESTS_PER_SECOND);
@@ -224,56 +230,58 @@
     }
 }
 
-/// A request for units of one key: what its node keeps, releases, and wants beside.
+/// The part of a request that concerns one key: how many units the node keeps, releases, and wants
+/// in addition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyRequest {
-    /// The quota, by [`KeyedQuota::id`].
+    /// The quota's number, from [`KeyedQuota::id`].
     pub quota: u32,
     /// The key's number.
     pub key: u64,
-    /// Units that the node keeps.
+    /// Number of units that the node keeps.
     pub kept: u32,
-    /// Units that it releases unused.
+    /// Number of units that the node releases unused.
     pub released: u32,
-    /// Units that it wants beside those that it keeps.
+    /// Number of units that the node wants in addition to those that it keeps.
     pub wanted: u32,
 }
 
-/// A request for units of some keys.
+/// A borrower's request for units of one or more keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QuotaRequest {
-    /// Grows with each request of a process.
+    /// Sequence number, which grows with each request of a process.
     pub number: u32,
-    /// The time by the borrower's clock, which the grant returns, in nanoseconds.
+    /// Time at which the request was sent, on the borrower's clock; the grant returns it.
     pub sent_at: Nanos,
-    /// At most [`MAX_KEYS_PER_REQUEST`].
+    /// The requested keys, at most [`MAX_KEYS_PER_REQUEST`].
     pub keys: Vec<KeyRequest>,
 }
 
-/// Units of one key that are granted beside those that the borrower keeps.
+/// Units of one key that are granted in addition to those that the borrower keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyGrant {
-    /// The quota, by [`KeyedQuota::id`].
+    /// The quota's number, from [`KeyedQuota::id`].
     pub quota: u32,
     /// The key's number.
     pub key: u64,
-    /// Units.
+    /// Number of units granted.
     pub added: u32,
-    /// Where none are granted: after how many nanoseconds to request again; else 0.
+    /// Time after which to request again, in nanoseconds, if units were wanted and none are
+    /// granted; else 0.
     pub retry_after: Nanos,
 }
 
-/// The answer to a request.
+/// The lender's answer to a [`QuotaRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QuotaGrant {
-    /// The number of the request.
+    /// Sequence number of the request.
     pub number: u32,
-    /// The time of the request by the borrower's clock, in nanoseconds.
+    /// Time at which the request was sent, on the borrower's clock.
     pub request_sent_at: Nanos,
-    /// All units that the borrower now has of these keys are leased for this long from its request,
-    /// in nanoseconds.
+    /// How long all units that the borrower now has of these keys are leased, in nanoseconds from
+    /// the time at which the request was sent.
     pub lease_duration: Nanos,
-    /// By key.
+    /// The grants by key.
     pub keys: Vec<KeyGrant>,
 }
 
--- a/crates/shared-state/src/keyed_quota/borrower.rs
+++ b/crates/shared-state/src/keyed_quota/borrower.rs
@@ -1,9 +1,10 @@
-//! A node's end of all keyed quotas: leased units by key, floors, and what it requests. It never
-//! waits: a unit is here or it is not, and where it is not, the caller gets a Retry-After.
+//! The borrower side of all keyed quotas on one node: leased units by key, floors, and requests to
+//! the lender. A check never waits: if no unit is available, the caller gets the time after which
+//! to retry.
 //!
-//! A request for a key passes [`QuotaBorrower::check`], then [`QuotaBorrower::acquire`], and for a
-//! number in flight ends with [`QuotaBorrower::release`]. What the node sends and receives is in
-//! `requests`; what others read of it in `view`.
+//! An operation under a key calls [`QuotaBorrower::check`], then [`QuotaBorrower::acquire`], and,
+//! for a limit on the number in flight, [`QuotaBorrower::release`] when it ends. Requests to the
+//! lender and its grants are in `requests`, read access for status, logs and tests in `view`.
 
 mod requests;
 mod unit_lease;
@@ -17,95 +18,99 @@
 use madderpoint_rate_limits::sketch::DueTimeSketch;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Bytes that a key with a state of its own takes: the state, its place in the map (which may just
-/// have doubled) and in the queues.
+/// Number of bytes that a tracked key takes: its state and its entries in the map, which may just
+/// have doubled its capacity, and in the queues.
 pub const KEY_STATE_BYTES: usize = 280;
-/// Bytes of a cell of the sketch.
+/// Number of bytes in a cell of the sketch of floor times.
 const CELL_BYTES: usize = 8;
-/// The requested units as a multiple of the recent use.
+/// Requested units as a multiple of the recent use.
 const DEMAND_HEADROOM: f64 = 1.25;
-/// The recent use fades by this factor with each request.
+/// Factor by which the recent use decays with each request.
 const DEMAND_DECAY: f64 = 0.5;
-/// Keys that run out within this time share a request, in nanoseconds.
+/// Time for which an urgent request waits, in nanoseconds, so that further keys that run out of
+/// units share it.
 const REQUEST_BATCH_DELAY: Nanos = 10 * MILLISECOND;
-/// The expected time until a grant arrives, in nanoseconds.
+/// Expected time from sending a request to receiving the grant, in nanoseconds.
 const EXPECTED_GRANT_DELAY: Nanos = 40 * MILLISECOND;
-/// The most requests that may be sent at once after a pause.
+/// Maximum number of requests that may be sent at once after a pause.
 const REQUEST_BURST: f64 = 4.0;
-/// Keys of which the least recently used one is evicted.
+/// Number of keys in a sample, of which the least recently used one is evicted.
 const EVICTION_SAMPLE: usize = 8;
-/// More units are requested once the leased ones are this part of the demand or fewer.
-const LOW_WATER_PART: u32 = 3;
+/// More units are requested once the leased units are at most the demand divided by this.
+const LOW_WATER_DIVISOR: u32 = 3;
 
-/// What a node has of a key.
+/// The state of one key on this node.
 #[derive(Clone, Copy, Debug, Default)]
 struct LeasedUnits {
     lease: UnitLease,
     in_flight: u32,
-    /// Of a rate: when the next unit of the floor would be made at an even rate.
+    /// For a rate: when the next unit of the floor would be created at an even rate.
     floor_due: Nanos,
     requested_at: Nanos,
-    /// Since the last request: units attempted, or the most that were attempted in flight.
+    /// Since the last request: for a rate, the units attempted; for a limit on the number in
+    /// flight, the peak in flight including refused attempts.
     attempts: u32,
-    /// Units attempted lately in a renewal interval.
+    /// Decaying maximum of the units attempted per renewal interval.
     recent_use: f32,
-    /// The units needed, as requested last.
+    /// Number of units needed, as of the last request.
     demand: u32,
     used_at: Nanos,
-    /// The lender has no units before this time.
+    /// Time before which the lender has no units, by its last grant.
     exhausted_until: Nanos,
-    /// Whether it is queued for the next request.
+    /// Whether the key is queued for the next request.
     is_urgent: bool,
-    /// When it is renewed: its entry in the renewal queue.
+    /// Time of the next renewal, which is also the key of the valid entry in the renewal queue.
     renewal_due: Nanos,
 }
 
-/// Why a unit is refused.
+/// Reason for which a unit is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// None is here; units are being requested.
+    /// The node has no unit left and requests more from the lender.
     Requested,
-    /// The lender has no units now.
+    /// The lender has no free units now.
     Exhausted,
-    /// No lender answers: the floor is all there is.
+    /// No lender answers, and the floor is used up.
     LenderSilent,
-    /// There is no memory for the key.
+    /// The table of keys is full.
     NoMemory,
 }
 
-/// A unit is refused.
+/// The refusal of a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaExceeded {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: RefusalReason,
-    /// After how many nanoseconds to try again.
+    /// Time after which to retry, in nanoseconds.
     pub retry_after: Nanos,
 }
 
-/// What was admitted and refused under a quota.
+/// Number of operations admitted and refused under a quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuotaCounters {
-    /// Admitted by leased units.
+    /// Admitted by a leased unit.
     pub by_lease: u64,
-    /// Admitted by the floor.
+    /// Admitted by a unit of the floor.
     pub by_floor: u64,
-    /// Refused, in the order of [`RefusalReason`].
+    /// Refused by reason, in the order of [`RefusalReason`].
     pub refused: [u64; 4],
 }
 
-/// A key: the quota's id and the key's number.
+/// Identifies a key by the quota's id and the key's number.
 type KeyId = (u32, u64);
-/// All nodes number keys alike, so the map's hash has a secret of its own.
+/// All nodes number keys alike, so clients could choose colliding numbers: the map uses a hash with
+/// a random secret.
 type LeasedUnitsByKey = HashMap<KeyId, LeasedUnits>;
 
-/// What is needed of a quota for each unit, computed once.
+/// The figures of a quota that each check needs, computed once.
 #[derive(Clone, Copy, Debug)]
 struct UnitTerms {
     kind: QuotaKind,
     floor: u32,
     pool: u32,
     floor_interval: Nanos,
-    /// How far ahead of its even rate a floor may be used, in nanoseconds.
+    /// How far ahead of its even rate a floor may be used, in nanoseconds: one interval for each
+    /// unit beyond the first.
     floor_tolerance: Nanos,
 }
 
@@ -123,12 +128,12 @@
         }
     }
 
-    /// Whether the floor of a rate has a unit now.
+    /// Whether the floor of a rate has an unused unit now.
     fn has_floor_unit(&self, now: Nanos, key: &LeasedUnits) -> bool {
         self.floor > 0 && key.floor_due <= now.saturating_add(self.floor_tolerance)
     }
 
-    /// Whether one more of a key is admitted now; the attempt is counted.
+    /// Returns whether a unit of a key is available now, and counts the attempt.
     fn admits(&self, now: Nanos, key: &mut LeasedUnits) -> bool {
         match self.kind {
             QuotaKind::Rate { .. } => {
@@ -142,7 +147,8 @@
         }
     }
 
-    /// Time until the floor of a rate has a unit, in nanoseconds.
+    /// Returns the time until the floor of a rate has a unit, in nanoseconds; `Nanos::MAX` for a
+    /// limit on the number in flight and without a floor.
     fn floor_wait(&self, now: Nanos, key: &LeasedUnits) -> Nanos {
         match self.kind {
             QuotaKind::Rate { .. } if self.floor > 0 => {
@@ -153,7 +159,7 @@
     }
 }
 
-/// A node's end of all keyed quotas.
+/// The borrower side of all keyed quotas on one node.
 pub struct QuotaBorrower {
     quotas: BTreeMap<u32, KeyedQuota>,
     terms: BTreeMap<u32, UnitTerms>,
@@ -162,17 +168,18 @@
     started_at: Nanos,
     keys: LeasedUnitsByKey,
     max_keys: usize,
-    /// When the floors of keys without a state of their own are due.
+    /// The `floor_due` times of keys that were evicted or forgotten.
     floor_times: DueTimeSketch,
-    /// Keys that are queued for the next request, and since when.
+    /// Keys that are queued for the next request.
     urgent: Vec<KeyId>,
+    /// When the first key in `urgent` was queued.
     urgent_since: Nanos,
-    /// Keys by the time at which they are renewed.
+    /// Keys in the order of their renewal times.
     renewals: VecDeque<(Nanos, KeyId)>,
-    /// The index in `renewals` at which the next eviction sample begins.
+    /// Index in `renewals` after which the next eviction sample begins.
     eviction_cursor: usize,
     last_request: u32,
-    /// Requests that may be sent now, as of `refilled_at`.
+    /// Tokens for requests, as of `refilled_at`; a request takes one.
     request_tokens: f64,
     refilled_at: Nanos,
     last_grant_at: Nanos,
@@ -180,8 +187,8 @@
 }
 
 impl QuotaBorrower {
-    /// The end of a node that has just started, without leases and with empty floors, in about this
-    /// many bytes.
+    /// Creates the borrower of a node that has just started, without leases and with empty floors.
+    /// It uses about `bytes` bytes of memory; `seed` seeds the hash of the sketch of floor times.
     pub fn new(
         now: Nanos,
         quotas: &[KeyedQuota],
@@ -213,7 +220,7 @@
         borrower
     }
 
-    /// Changes the quotas. Leased units stay valid until they are used or expire.
+    /// Changes the quotas. Leased units stay valid until they are spent or expire.
     pub fn update_quotas(&mut self, quotas: &[KeyedQuota]) {
         self.quotas = quotas
             .iter()
@@ -233,7 +240,12 @@
         self.counters.retain(|id, _| ids.contains_key(id));
     }
 
-    /// Checks whether one more of a key is admitted, and counts the attempt. Nothing is taken.
+    /// Checks whether a unit of a key is available, and counts the attempt. Takes no unit. An
+    /// unknown quota refuses nothing.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason and the time after which to retry if no unit is available.
     pub fn check(&mut self, now: Nanos, quota: u32, key: u64) -> Result<(), QuotaExceeded> {
         let Some(terms) = self.terms.get(&quota).copied() else {
             return Ok(());
@@ -273,8 +285,8 @@
         })
     }
 
-    /// Takes one of a key that was checked in this instant. Returns whether it is in flight from here
-    /// on, and must go back through [`QuotaBorrower::release`].
+    /// Takes a unit of a key that [`QuotaBorrower::check`] allowed in this instant. Returns whether
+    /// the unit is now in flight and must be returned through [`QuotaBorrower::release`].
     pub fn acquire(&mut self, now: Nanos, quota: u32, key: u64) -> bool {
         let Some(terms) = self.terms.get(&quota).copied() else {
             return false;
@@ -285,7 +297,7 @@
         };
         let (is_leased, is_low) = match terms.kind {
             QuotaKind::Rate { .. } => {
-                // A full floor would make no more units: it is used first.
+                // No units are created for a full floor, so a full floor is used before the lease.
                 let is_floor_full = terms.floor > 0 && state.floor_due <= now;
                 let is_leased = state.lease.units(now) > 0 && !is_floor_full;
                 if is_leased {
@@ -296,7 +308,7 @@
                         .max(now)
                         .saturating_add(terms.floor_interval);
                 }
-                let is_low = state.lease.units(now) * LOW_WATER_PART <= state.demand;
+                let is_low = state.lease.units(now) * LOW_WATER_DIVISOR <= state.demand;
                 (is_leased, is_low)
             }
             QuotaKind::InFlight { .. } => {
@@ -315,10 +327,13 @@
         matches!(terms.kind, QuotaKind::InFlight { .. })
     }
 
-    /// One in flight has ended.
+    /// Releases a unit in flight whose operation has ended.
     pub fn release(&mut self, quota: u32, key: u64) {
         if let Some(state) = self.keys.get_mut(&(quota, key)) {
-            debug_assert!(state.in_flight > 0, "what is released was acquired");
+            debug_assert!(
+                state.in_flight > 0,
+                "a unit is acquired before it is released"
+            );
             state.in_flight = state.in_flight.saturating_sub(1);
         }
     }
@@ -327,7 +342,8 @@
         self.counters.entry(quota).or_default().refused[reason as usize] += 1;
     }
 
-    /// The state of a key, made if it is not there; none if there is no memory for it.
+    /// Returns the state of a key, which is created if necessary; `None` if the table of keys is
+    /// full and no key can be evicted.
     fn key_state(&mut self, now: Nanos, id: KeyId) -> Option<&mut LeasedUnits> {
         if self.keys.len() >= self.max_keys && !self.keys.contains_key(&id) && !self.evict(now) {
             return None;
@@ -342,7 +358,7 @@
             ..
         } = self;
         Some(keys.entry(id).or_insert_with(|| {
-            // A floor begins empty, and goes on where it was before the key was evicted.
+            // A floor starts empty, or continues from where it was when the key was evicted.
             let begins_at = terms.get(&id.0).map_or(0, |terms| {
                 started_at
                     .saturating_add(terms.floor_interval.saturating_mul(u64::from(terms.floor)))
@@ -359,9 +375,9 @@
         }))
     }
 
-    /// Evicts the least recently used key of a sample, unless some of it is in flight. Its leased
-    /// units are lost until they expire; its floor goes on in the sketch, so that eviction makes no
-    /// limit more lenient.
+    /// Evicts the least recently used key of a sample, except keys with units in flight. Returns
+    /// whether a key was evicted. The key's leased units are unusable until they expire. Its floor
+    /// time is kept in the sketch, so that eviction makes no limit more lenient.
     fn evict(&mut self, now: Nanos) -> bool {
         let mut oldest: Option<(Nanos, KeyId)> = None;
         for _ in 0..EVICTION_SAMPLE.min(self.renewals.len()) {
@@ -389,7 +405,7 @@
         }
     }
 
-    /// Whether no lender has answered for a whole lease duration although one was asked.
+    /// Whether no lender has answered for a whole lease duration although a request was sent.
     pub fn is_cut_off(&self, now: Nanos) -> bool {
         now > self
             .last_grant_at
--- a/crates/shared-state/src/keyed_quota/borrower/requests.rs
+++ b/crates/shared-state/src/keyed_quota/borrower/requests.rs
@@ -1,7 +1,7 @@
-//! What a node requests of the lender, when, and how it takes up grants.
+//! Requests of a node to the lender, their timing, and the handling of grants.
 //!
-//! Keys that run out are queued as urgent and share a request; the others are renewed in turn. A
-//! token bucket bounds the requests of a node.
+//! Keys that run out of units are queued as urgent and share a request; the other keys are renewed
+//! in the order of their renewal times. A token bucket limits the rate of requests of a node.
 
 use super::{
     DEMAND_DECAY, DEMAND_HEADROOM, KeyId, QuotaBorrower, REQUEST_BATCH_DELAY, REQUEST_BURST,
@@ -13,10 +13,11 @@
     KeyRequest, MAX_KEYS_PER_REQUEST, QuotaGrant, QuotaKind, QuotaRequest, QuotaTiming,
 };
 
-/// The use of a key is measured over at least this part of a renewal interval.
-const MIN_MEASURED_PART: Nanos = 8;
+/// The use of a key is measured over at least the renewal interval divided by this.
+const MIN_MEASURED_DIVISOR: Nanos = 8;
 
 impl QuotaBorrower {
+    /// Queues a key for the next request.
     pub(super) fn queue_urgent(&mut self, now: Nanos, id: KeyId) {
         if let Some(key) = self.keys.get_mut(&id) {
             key.is_urgent = true;
@@ -27,21 +28,21 @@
         }
     }
 
-    /// Requests that became allowed since the last refill.
-    fn new_tokens(&self, now: Nanos) -> f64 {
+    /// Returns the number of request tokens earned since the last refill.
+    fn earned_tokens(&self, now: Nanos) -> f64 {
         now.saturating_sub(self.refilled_at) as f64 / self.timing.request_interval as f64
     }
 
     fn refill(&mut self, now: Nanos) {
-        let passed = self.new_tokens(now);
-        self.request_tokens = (self.request_tokens + passed).min(REQUEST_BURST);
+        let elapsed = self.earned_tokens(now);
+        self.request_tokens = (self.request_tokens + elapsed).min(REQUEST_BURST);
         self.refilled_at = now;
     }
 
-    /// When the next request may be sent, if one is wanted now.
+    /// Returns the time at which the next request may be sent if one is needed now.
     pub(super) fn next_request_allowed(&self, now: Nanos) -> Nanos {
-        let passed = self.new_tokens(now);
-        let missing = (1.0 - self.request_tokens - passed).max(0.0);
+        let elapsed = self.earned_tokens(now);
+        let missing = (1.0 - self.request_tokens - elapsed).max(0.0);
         let since = if self.urgent.is_empty() {
             now
         } else {
@@ -51,7 +52,8 @@
             .max(now + (missing * self.timing.request_interval as f64) as Nanos)
     }
 
-    /// When [`QuotaBorrower::next_request`] is to be called next, if at all.
+    /// Returns the time at which to call [`QuotaBorrower::next_request`]; `None` if no key is
+    /// tracked.
     pub fn next_request_at(&self, now: Nanos) -> Option<Nanos> {
         let due = match (self.urgent.is_empty(), self.renewals.front()) {
             (false, _) => now,
@@ -61,7 +63,7 @@
         Some(due.max(self.next_request_allowed(now)))
     }
 
-    /// The request that is due now, if one is. The caller sends it to the lender.
+    /// Returns the request that is due now, if any. The caller sends it to the lender.
     pub fn next_request(&mut self, now: Nanos) -> Option<QuotaRequest> {
         self.refill(now);
         let is_due = !self.urgent.is_empty() && now >= self.urgent_since + REQUEST_BATCH_DELAY
@@ -90,7 +92,7 @@
         Some(request)
     }
 
-    /// Fills a request with keys whose renewal is due, and forgets keys that are out of use.
+    /// Fills a request with keys whose renewal is due, and forgets keys that are no longer in use.
     fn add_renewals(&mut self, now: Nanos, request: &mut QuotaRequest) {
         let QuotaTiming {
             renewal_interval,
@@ -101,7 +103,8 @@
             let Some((due, id)) = self.renewals.pop_front_if(|(due, _)| *due <= now) else {
                 break;
             };
-            // A key that was evicted meanwhile, and perhaps came anew, has another entry or none.
+            // The entry is stale if the key was evicted, even if it is tracked again with a new
+            // entry.
             let Some(key) = self.keys.get_mut(&id).filter(|key| key.renewal_due == due) else {
                 continue;
             };
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Adds a key to a request: what is kept and released of it, and what is wanted.
+    /// Adds a key to a request, with the number of its units that are kept, released and wanted.
     fn request_key(&mut self, now: Nanos, number: u32, id: KeyId, keys: &mut Vec<KeyRequest>) {
         let Some(terms) = self.terms.get(&id.0).copied() else {
             return;
@@ -135,22 +138,22 @@
         let is_used = now < key.used_at + idle_timeout;
         let attempts = match terms.kind {
             QuotaKind::Rate { .. } => {
-                let passed = now
+                let elapsed = now
                     .saturating_sub(key.requested_at)
-                    .max(renewal_interval / MIN_MEASURED_PART);
-                f64::from(key.attempts) * renewal_interval as f64 / passed as f64
+                    .max(renewal_interval / MIN_MEASURED_DIVISOR);
+                f64::from(key.attempts) * renewal_interval as f64 / elapsed as f64
             }
             QuotaKind::InFlight { .. } => f64::from(key.attempts.saturating_sub(terms.floor)),
         };
         key.recent_use = (f64::from(key.recent_use) * DEMAND_DECAY).max(attempts) as f32;
         let demand = (f64::from(key.recent_use) * DEMAND_HEADROOM).ceil() as u32;
-        // A key that is used now and then keeps one unit here.
+        // A key that is in use but rarely used keeps one unit on this node.
         let demand = if is_used { demand.max(1) } else { 0 }.min(terms.pool);
         let in_use = match terms.kind {
             QuotaKind::Rate { .. } => 0,
             QuotaKind::InFlight { .. } => key.in_flight.saturating_sub(terms.floor),
         };
-        // What is in use is reported as kept, even if its lease has expired meanwhile.
+        // Units in use are reported as kept even if their lease has expired.
         let (kept, released) = key.lease.request(now, number, demand.max(in_use));
         let kept = kept.max(in_use);
         (key.demand, key.requested_at, key.attempts, key.is_urgent) = (demand, now, 0, false);
@@ -163,8 +166,9 @@
         });
     }
 
-    /// Receives a grant. It counts for a key only if no later request was sent about that, because
-    /// the lender goes by the latest request. A grant from the future is ignored.
+    /// Receives a grant. The grant is applied to a key only if it answers the latest request for
+    /// that key, because the lender acts on the latest request. A grant whose request time lies in
+    /// the future is ignored.
     pub fn receive_grant(&mut self, now: Nanos, grant: &QuotaGrant) {
         if grant.request_sent_at > now {
             return;
@@ -190,7 +194,7 @@
         }
     }
 
-    /// The node leaves: no leased unit is used from now on. Returns whether nothing is in flight.
+    /// Drops all leases because the node leaves. Returns whether no unit is in flight.
     pub fn drop_leases(&mut self) -> bool {
         self.keys
             .values_mut()
--- a/crates/shared-state/src/keyed_quota/lender.rs
+++ b/crates/shared-state/src/keyed_quota/lender.rs
@@ -1,9 +1,10 @@
-//! The leader's end of all keyed quotas: units that are free and units that are leased, by key and
-//! borrower. A unit is in one place at a time: it leaves a borrower by the borrower's report, or when
-//! its lease has expired on the lender's clock, extended by the clock drift bound.
+//! The lender side of all keyed quotas, on the leader: free and leased units, by key and borrower.
+//! A unit is in one place at a time: it is taken from a borrower only when the borrower reports it
+//! as spent or released, or when its lease has expired on the lender's clock, extended by the clock
+//! drift bound.
 //!
-//! Like a [`BudgetLender`](crate::budget::lender::BudgetLender) it exists only while its node is the
-//! leader, and grants nothing before its predecessor's leases have ended.
+//! Like a [`BudgetLender`](crate::budget::lender::BudgetLender), a lender exists only while its
+//! node is the leader, and grants nothing before the previous leader's leases have ended.
 
 mod key_units;
 
@@ -17,15 +18,15 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Bytes that a key takes, with its place in the maps.
+/// Number of bytes that a key takes, including its entries in the map and the queue.
 pub const KEY_BYTES: usize = 176;
-/// Bytes that a borrower's units of a key take.
+/// Number of bytes that the record of one borrower's units of a key takes.
 pub const BORROWER_UNITS_BYTES: usize = 40;
-/// Keys that are checked for ageing with each request.
+/// Maximum number of keys that are checked for ageing per request.
 const KEYS_AGED_PER_REQUEST: usize = 16;
 
-/// Processes by small numbers, so that a borrower's units of a key take little memory; with the time
-/// of the latest request of each.
+/// Numbers of the borrowers, with the time of each borrower's latest request. A number takes less
+/// memory in the records of each key than a process id.
 #[derive(Clone, Debug, Default)]
 struct BorrowerTable {
     numbers: BTreeMap<ProcessId, (u32, Nanos)>,
@@ -33,8 +34,9 @@
 }
 
 impl BorrowerTable {
-    /// The number of a process that sends a request now. Processes that were silent for longer than
-    /// `max_silence` nanoseconds are forgotten.
+    /// Returns the number of a process that sends a request now, and assigns one to a new process.
+    /// A new process also causes processes that were silent for `max_silence` nanoseconds or longer
+    /// to be forgotten.
     fn number(&mut self, now: Nanos, process: ProcessId, max_silence: Nanos) -> u32 {
         if let Some((number, last_request_at)) = self.numbers.get_mut(&process) {
             *last_request_at = now;
@@ -48,34 +50,37 @@
     }
 }
 
-/// A key: the quota's id and the key's number.
+/// Identifies a key by the quota's id and the key's number.
 type KeyId = (u32, u64);
-/// All nodes number keys alike, so that a client who knows how could choose numbers: the map's own
-/// hash has a secret.
+/// All nodes number keys alike, so a client that knows the numbering could choose colliding keys:
+/// the map uses a hash with a random secret.
 type KeyUnitsById = HashMap<KeyId, KeyUnits>;
 
-/// What a lender stores.
+/// Size of a lender's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuotaLenderSize {
-    /// Keys.
+    /// Number of keys with a record.
     pub keys: usize,
-    /// Borrowers' shares of keys.
+    /// Number of records of a borrower's units of a key, over all keys.
     pub leases: usize,
-    /// Requests for a key for which there was no room.
+    /// Number of requests for a key that were refused because the table of keys or of leases was
+    /// full.
     pub refused: u64,
 }
 
 /// The leased and free units of all keys.
 #[derive(Clone, Debug)]
 pub struct QuotaLender {
-    /// Nothing is granted or made before: the previous leader's units may be in use until then.
+    /// Time from which units are created and granted; the previous leader's units may be in use
+    /// until then.
     grants_from: Nanos,
-    /// The longest that leased units may be in use, in nanoseconds.
+    /// Longest time for which leased units may be in use, in nanoseconds: the lease duration
+    /// extended by the clock drift bound, plus the use after expiry.
     max_use: Nanos,
     quotas: Vec<KeyedQuota>,
     timing: QuotaTiming,
     keys: KeyUnitsById,
-    /// Keys by the time at which they are checked for ageing.
+    /// Keys in the order of the times at which they are checked for ageing.
     ageing: VecDeque<(Nanos, KeyId)>,
     borrowers: BorrowerTable,
     leases: usize,
@@ -86,7 +91,8 @@
 }
 
 impl QuotaLender {
-    /// A lender whose leadership begins now, in about this many bytes.
+    /// Creates the lender of a leader whose leadership begins now. It uses about `bytes` bytes of
+    /// memory; `seed` seeds the random rounding of shares.
     pub fn new(
         now: Nanos,
         quotas: &[KeyedQuota],
@@ -116,18 +122,18 @@
         }
     }
 
-    /// Changes the quotas. If more units of a key are leased, nothing of it is granted until enough
-    /// have come back.
+    /// Changes the quotas. If more units of a key are leased than the new quota has, no unit of the
+    /// key is granted until enough of them are free again.
     pub fn update_quotas(&mut self, quotas: &[KeyedQuota]) {
         self.quotas = quotas.to_vec();
     }
 
-    /// From when on units are granted.
+    /// Returns the time from which units are granted.
     pub fn grants_from(&self) -> Nanos {
         self.grants_from
     }
 
-    /// Answers a borrower's request; none before the lender opens.
+    /// Answers a borrower's request. Returns `None` before [`QuotaLender::grants_from`].
     pub fn request(
         &mut self,
         now: Nanos,
@@ -165,7 +171,7 @@
             .iter()
             .find(|quota| quota.id() == request.quota)?;
         let id = (request.quota, request.key);
-        let nothing = Some(KeyGrant {
+        let empty_grant = Some(KeyGrant {
             quota: request.quota,
             key: request.key,
             added: 0,
@@ -173,21 +179,21 @@
         });
         if !self.keys.contains_key(&id) {
             if request.kept == 0 && request.wanted == 0 {
-                return nothing; // released, and forgotten already
+                return empty_grant; // the borrower releases a key that was already forgotten
             }
             if self.keys.len() >= self.max_keys {
                 self.refused += 1;
-                return nothing;
+                return empty_grant;
             }
-            let made =
+            let created =
                 now.saturating_sub(self.grants_from) / quota.unit_interval().unwrap_or(1).max(1);
-            let free = quota.pool().min(u32::try_from(made).unwrap_or(u32::MAX));
+            let free = quota.pool().min(u32::try_from(created).unwrap_or(u32::MAX));
             self.keys.insert(id, KeyUnits::new(now, free));
             self.ageing.push_back((now + self.timing.idle_timeout, id));
         }
         let key = self.keys.get_mut(&id)?;
         let before = key.borrowers.len();
-        key.settle(now, quota);
+        key.bring_up_to_date(now, quota);
         let leases = self.leases - (before - key.borrowers.len());
         let index = match key.index_of(borrower) {
             Ok(index) => Some(index),
@@ -209,10 +215,11 @@
         };
         let grant = index.map(|index| key.grant(now, index, terms, number, request, &mut self.rng));
         self.leases = self.leases + key.borrowers.len() - before;
-        grant.unwrap_or(nothing)
+        grant.unwrap_or(empty_grant)
     }
 
-    /// Forgets keys of which nothing is leased, once all units that may be saved up are free again.
+    /// Forgets keys of which no unit is leased, once as many units are free as a new key would
+    /// have.
     fn age_keys(&mut self, now: Nanos) {
         for _ in 0..KEYS_AGED_PER_REQUEST {
             let Some((_, id)) = self.ageing.pop_front_if(|(due, _)| *due <= now) else {
@@ -227,14 +234,14 @@
                 continue;
             };
             let before = key.borrowers.len();
-            key.settle(now, quota);
+            key.bring_up_to_date(now, quota);
             self.leases -= before - key.borrowers.len();
-            let made_since_open =
+            let created_since_start =
                 now.saturating_sub(self.grants_from) / quota.unit_interval().unwrap_or(1).max(1);
-            let is_as_new = key.borrowers.is_empty()
+            let equals_new_key = key.borrowers.is_empty()
                 && key.free >= quota.pool()
-                && made_since_open >= u64::from(quota.pool());
-            if is_as_new {
+                && created_since_start >= u64::from(quota.pool());
+            if equals_new_key {
                 self.keys.remove(&id);
             } else {
                 self.ageing.push_back((now + self.timing.idle_timeout, id));
@@ -242,7 +249,7 @@
         }
     }
 
-    /// A borrower leaves with nothing in use: all its units are free.
+    /// Frees all units of a borrower that leaves with no unit in use.
     pub fn release(&mut self, now: Nanos, borrower: ProcessId) {
         let Some((number, _)) = self.borrowers.numbers.remove(&borrower) else {
             return;
@@ -252,15 +259,15 @@
                 continue;
             };
             let before = key.borrowers.len();
-            key.settle(now, quota);
+            key.bring_up_to_date(now, quota);
             if let Ok(index) = key.index_of(number) {
-                key.borrowers.remove(index); // units of a rate are lost with it, and made anew
+                key.borrowers.remove(index); // its units of a rate are lost and created anew
             }
             self.leases -= before - key.borrowers.len();
         }
     }
 
-    /// What it stores.
+    /// Returns the size of the lender's state.
     pub fn size(&self) -> QuotaLenderSize {
         QuotaLenderSize {
             keys: self.keys.len(),
@@ -269,8 +276,8 @@
         }
     }
 
-    /// All that decides what is granted of a key, apart from chance, and the borrowers' numbers. For
-    /// model checks, which compare states.
+    /// Returns everything that decides the grants of a key except the random draws, and the numbers
+    /// of the borrowers. Model checks use this to compare states.
     pub fn state(
         &self,
         quota: u32,
@@ -288,7 +295,7 @@
         (self.grants_from, self.keys.get(&(quota, key)), numbers)
     }
 
-    /// Units of a key, if anything is stored about it.
+    /// Returns the numbers of free and leased units of a key; `None` if the key has no record.
     pub fn key_usage(&self, quota: u32, key: u64) -> Option<KeyUsage> {
         self.keys.get(&(quota, key)).map(KeyUnits::usage)
     }
--- a/crates/shared-state/src/keyed_quota/lender/key_units.rs
+++ b/crates/shared-state/src/keyed_quota/lender/key_units.rs
@@ -1,4 +1,4 @@
-//! The units of one key: free ones, leased ones by borrower, and how many a borrower is granted.
+//! The free and leased units of one key, and the decision how many units a borrower is granted.
 
 use crate::Nanos;
 use crate::clock::drift_extended;
@@ -6,17 +6,17 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// What a borrower has of a key.
+/// The lender's record of one borrower's units of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct BorrowerUnits {
-    /// Its number in the lender's table.
+    /// The borrower's number in the lender's table.
     pub(super) borrower: u32,
-    /// The number of its latest request.
+    /// Sequence number of the borrower's latest request; 0 before the first.
     request: u32,
     units: u32,
     demand: u32,
     last_request_at: Nanos,
-    /// From this time on none of its units is in use.
+    /// Time from which none of the units is in use.
     expired_at: Nanos,
 }
 
@@ -33,20 +33,20 @@
     }
 }
 
-/// The units of a key, as numbers.
+/// Numbers of free, leased and needed units of a key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeyUsage {
-    /// Units that are free.
+    /// Number of units that are free to be granted.
     pub free: u32,
-    /// Units that are leased.
+    /// Number of units leased to all borrowers.
     pub leased: u32,
-    /// Units that all borrowers need together.
+    /// Number of units that all borrowers together need, by their latest requests.
     pub demand: u64,
-    /// Borrowers.
+    /// Number of borrowers with a record.
     pub borrowers: usize,
 }
 
-/// What a grant goes by.
+/// The quota and the timing that a grant follows.
 #[derive(Clone, Copy)]
 pub(super) struct GrantTerms<'a> {
     pub(super) quota: &'a KeyedQuota,
@@ -57,23 +57,23 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct KeyUnits {
     pub(super) free: u32,
-    /// Units are made up to this time.
-    made_until: Nanos,
-    /// Sorted by number.
+    /// Time up to which units have been created.
+    created_until: Nanos,
+    /// Records of the borrowers, sorted by the borrower's number.
     pub(super) borrowers: Vec<BorrowerUnits>,
 }
 
 impl KeyUnits {
-    /// A key of which nothing is leased.
+    /// Creates a key of which no unit is leased.
     pub(super) fn new(now: Nanos, free: u32) -> KeyUnits {
         KeyUnits {
             free,
-            made_until: now,
+            created_until: now,
             borrowers: Vec::new(),
         }
     }
 
-    /// The index of a borrower, or where it is to be inserted.
+    /// Returns the index of a borrower, or the index at which to insert it.
     pub(super) fn index_of(&self, borrower: u32) -> Result<usize, usize> {
         self.borrowers
             .binary_search_by_key(&borrower, |units| units.borrower)
@@ -93,7 +93,7 @@
             .sum()
     }
 
-    /// The key's units as numbers.
+    /// Returns the numbers of units and borrowers.
     pub(super) fn usage(&self) -> KeyUsage {
         KeyUsage {
             free: self.free,
@@ -103,21 +103,23 @@
         }
     }
 
-    /// Makes units up to a time, as many as there is room for beside the leased ones.
-    fn make(&mut self, until: Nanos, pool: u32, interval: Nanos) {
-        let made = until.saturating_sub(self.made_until) / interval.max(1);
+    /// Creates the units due up to `until`, as far as the pool has room next to the free and leased
+    /// units.
+    fn create_units(&mut self, until: Nanos, pool: u32, interval: Nanos) {
+        let created = until.saturating_sub(self.created_until) / interval.max(1);
         let room = u64::from(pool.saturating_sub(self.free.saturating_add(self.leased())));
-        self.free = self.free.saturating_add(made.min(room) as u32).min(pool);
-        self.made_until = if made < room {
-            self.made_until + made * interval
+        self.free = self.free.saturating_add(created.min(room) as u32).min(pool);
+        self.created_until = if created < room {
+            self.created_until + created * interval
         } else {
-            until.max(self.made_until)
+            until.max(self.created_until)
         };
     }
 
-    /// Brings it up to now. Units that were lost with an expired lease are made anew only from the
-    /// end of that lease: until then they could still be spent.
-    pub(super) fn settle(&mut self, now: Nanos, quota: &KeyedQuota) {
+    /// Removes expired leases and creates the units due up to now. Units lost with an expired lease
+    /// are created anew only from the end of that lease, because until then they could still be
+    /// spent.
+    pub(super) fn bring_up_to_date(&mut self, now: Nanos, quota: &KeyedQuota) {
         let pool = quota.pool();
         let last_expiry = self
             .borrowers
@@ -128,10 +130,10 @@
         match (quota.kind, quota.unit_interval()) {
             (QuotaKind::Rate { .. }, Some(interval)) => {
                 if let Some(last_expiry) = last_expiry {
-                    self.make(last_expiry, pool, interval);
+                    self.create_units(last_expiry, pool, interval);
                     self.borrowers.retain(|borrower| borrower.expired_at > now);
                 }
-                self.make(now, pool, interval);
+                self.create_units(now, pool, interval);
             }
             _ => {
                 self.borrowers.retain(|borrower| borrower.expired_at > now);
@@ -140,7 +142,8 @@
         }
     }
 
-    /// Grants units to the borrower at an index. None to a request that was overtaken by a later one.
+    /// Grants units to the borrower at an index. Returns `None` for a request that is not later
+    /// than the borrower's latest one.
     pub(super) fn grant(
         &mut self,
         now: Nanos,
@@ -154,18 +157,18 @@
         if number <= self.borrowers[index].request {
             return None;
         }
-        let passed = self.record_request(now, index, terms, number, request);
+        let elapsed = self.record_request(now, index, terms, number, request);
         let units = self.borrowers[index].units;
         let (pool, leased) = (quota.pool(), self.leased());
         let interval = quota.unit_interval().unwrap_or(Nanos::MAX).max(1);
-        let lack = self.lack();
+        let unmet_demand = self.unmet_demand();
         if let QuotaKind::InFlight { .. } = quota.kind {
             self.free = pool.saturating_sub(leased);
         }
         let share = match quota.kind {
             QuotaKind::InFlight { .. } => self.share_in_flight(index, pool.max(leased)),
-            _ if lack <= u64::from(self.free) => f64::from(request.wanted),
-            _ => self.share_of_short_rate(timing, interval, passed, request.wanted, lack),
+            _ if unmet_demand <= u64::from(self.free) => f64::from(request.wanted),
+            _ => self.share_of_scarce_rate(timing, interval, elapsed, request.wanted, unmet_demand),
         };
         let share = share.max(0.0);
         let whole = share.floor() as u32 + u32::from(rng.random::<f64>() < share.fract());
@@ -175,16 +178,16 @@
         debug_assert!(
             matches!(quota.kind, QuotaKind::InFlight { .. })
                 || self.free + self.leased() <= pool.max(leased),
-            "no unit is in two places"
+            "the free and leased units fit into the pool"
         );
         if units + added == 0 && request.wanted == 0 {
             self.borrowers.remove(index);
         }
         let retry_after = match (request.wanted > 0 && added == 0, quota.kind) {
             (false, _) => 0,
-            // Its share of the units that are made: one in this time.
+            // The time in which the borrower's share of the created units amounts to one unit.
             (true, QuotaKind::Rate { .. }) => interval
-                .saturating_mul(lack / u64::from(request.wanted.max(1)))
+                .saturating_mul(unmet_demand / u64::from(request.wanted.max(1)))
                 .clamp(timing.request_interval, timing.lease_duration),
             (true, QuotaKind::InFlight { .. }) => timing.renewal_interval,
         };
@@ -196,8 +199,8 @@
         })
     }
 
-    /// Takes up what a borrower reports. Returns the time since its last request, in nanoseconds, at
-    /// most a lease duration.
+    /// Records what a borrower reports in a request. Returns the time since the borrower's previous
+    /// request, in nanoseconds, at most a lease duration.
     fn record_request(
         &mut self,
         now: Nanos,
@@ -209,12 +212,13 @@
         let borrower = &mut self.borrowers[index];
         match quota.kind {
             QuotaKind::Rate { .. } => {
-                // What is neither kept nor released was spent.
+                // Units that are neither kept nor released were spent.
                 let kept = request.kept.min(borrower.units);
                 self.free += request.released.min(borrower.units - kept);
                 borrower.units = kept;
             }
-            // A borrower whose lease had expired may still use more than it was granted.
+            // A borrower whose lease has expired may still have more units in flight than its
+            // record says.
             QuotaKind::InFlight { .. } => borrower.units = request.kept,
         }
         borrower.request = number;
@@ -225,35 +229,37 @@
             .min(timing.lease_duration)
     }
 
-    /// Units that the borrowers lack, each as it reported last, at least 1. A borrower that has what
-    /// it needs has no claim on more.
-    fn lack(&self) -> u64 {
+    /// Returns the number of units that the borrowers lack, by their latest reports, at least 1. A
+    /// borrower that has as many units as it needs has no claim on more.
+    fn unmet_demand(&self) -> u64 {
         let lack =
             |borrower: &BorrowerUnits| u64::from(borrower.demand.saturating_sub(borrower.units));
         self.borrowers.iter().map(lack).sum::<u64>().max(1)
     }
 
-    /// Of a number in flight: units by the borrower's part of the demand, beside those that it has.
+    /// Returns a borrower's share of a limit on the number in flight: the units due to it by its
+    /// part of the demand, less the units that it has.
     fn share_in_flight(&self, index: usize, units_in_all: u32) -> f64 {
         let BorrowerUnits { units, demand, .. } = self.borrowers[index];
         let part = f64::from(demand) / self.demand().max(1) as f64;
         f64::from(demand).min(f64::from(units_in_all) * part) - f64::from(units)
     }
 
-    /// Of a rate that is short: the borrower's part of the units that were made since its last
-    /// request, and over time of those that are left over.
-    fn share_of_short_rate(
+    /// Returns a borrower's share of a rate whose free units do not meet the demand: its part of
+    /// the units created since its previous request, plus, spread over a renewal interval, its part
+    /// of the surplus beyond the units created in one request interval.
+    fn share_of_scarce_rate(
         &self,
         timing: &QuotaTiming,
         interval: Nanos,
-        passed: Nanos,
+        elapsed: Nanos,
         wanted: u32,
-        lack: u64,
+        unmet_demand: u64,
     ) -> f64 {
-        let part = f64::from(wanted) / lack as f64;
-        let in_turn = timing.request_interval as f64 / interval as f64;
-        let left_over = (f64::from(self.free) - in_turn).max(0.0) * passed as f64
+        let part = f64::from(wanted) / unmet_demand as f64;
+        let created_per_request = timing.request_interval as f64 / interval as f64;
+        let surplus = (f64::from(self.free) - created_per_request).max(0.0) * elapsed as f64
             / timing.renewal_interval as f64;
-        (passed as f64 / interval as f64 + left_over) * part
+        (elapsed as f64 / interval as f64 + surplus) * part
     }
 }
--- a/crates/shared-state/src/keyed_quota/lender/tests.rs
+++ b/crates/shared-state/src/keyed_quota/lender/tests.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn nothing_is_granted_before_earlier_leases_have_expired_and_then_units_are_made_anew() {
+fn nothing_is_granted_before_earlier_leases_have_expired_and_units_are_created_from_then_on() {
     let quota = rate(10, 20);
     let mut lender = new_lender(&quota);
     assert_eq!(
@@ -83,7 +83,8 @@
         )),
         Some(0)
     );
-    // A second later some nine were made, a tenth of a second apart; they are granted once.
+    // A second later nine units have been created, about a tenth of a second apart. They are
+    // granted once.
     let later = lender.grants_from() + SECOND;
     assert_eq!(
         added(lender.request(later, process(1), &request(&quota, 3, 0, 0, 50))),
@@ -95,9 +96,10 @@
     );
 }
 
-/// Leased units count as saved up: however long nobody requests any, no more exist than may.
+/// Guards against more units than the burst after a long time without requests: leased units count
+/// towards the burst.
 #[test]
-fn no_more_units_exist_than_may_be_saved_up() {
+fn free_and_leased_units_stay_within_the_burst() {
     let quota = rate(10, 20);
     let mut lender = new_lender(&quota);
     let now = lender.grants_from() + 100 * SECOND;
@@ -110,8 +112,8 @@
         added(lender.request(later, process(2), &request(&quota, 1, 0, 0, 20))),
         Some(0)
     );
-    // The first borrower reports that it spent 15 and releases 3; the others are made again one by
-    // one.
+    // The first borrower keeps 2 units, has spent 15 and releases 3. The spent units are created
+    // again one by one.
     assert_eq!(
         added(lender.request(later, process(1), &request(&quota, 2, 2, 3, 0))),
         Some(0)
@@ -136,10 +138,10 @@
     );
 }
 
-/// Leased units that are not renewed expire after their time and not before, and are made anew, not
-/// found again.
+/// Guards against granting units of a lost lease too early: they are created anew at the rate, and
+/// only from the end of the lease.
 #[test]
-fn lost_units_come_back_after_their_lease_and_not_before() {
+fn lost_units_are_created_anew_only_after_their_lease_has_expired() {
     let quota = rate(1000, 20);
     let mut lender = new_lender(&quota);
     let now = lender.grants_from() + 100 * SECOND;
@@ -164,8 +166,8 @@
         )),
         Some(9)
     );
-    // The same if nobody requested any meanwhile: a unit could have been spent at the last moment
-    // of its lease.
+    // The result is the same without requests in between, because a unit could have been spent at
+    // the last moment of its lease.
     let mut lender = new_lender(&quota);
     assert_eq!(
         added(lender.request(now, process(1), &request(&quota, 1, 0, 0, 20))),
@@ -182,7 +184,7 @@
 }
 
 #[test]
-fn a_request_that_was_overtaken_changes_nothing() {
+fn a_request_that_arrives_after_a_later_one_changes_nothing() {
     let quota = rate(10, 20);
     let mut lender = new_lender(&quota);
     let now = lender.grants_from() + 100 * SECOND;
@@ -216,7 +218,7 @@
 }
 
 #[test]
-fn units_in_flight_are_kept_until_released_or_long_expired() {
+fn units_in_flight_are_granted_again_only_after_release_or_use_after_expiry() {
     let quota = in_flight(10);
     let mut lender = new_lender(&quota);
     let now = lender.grants_from();
@@ -236,7 +238,8 @@
         added(lender.request(now, process(2), &request(&quota, 2, 2, 0, 8))),
         Some(3)
     );
-    // The first borrower is gone: its units come back after the lease and the longest use.
+    // The first borrower is gone: its units are free after the lease and the longest use after
+    // expiry.
     let gone = now + drift_extended(QuotaTiming::for_nodes(10).lease_duration) + SECOND;
     let renewed = |lender: &mut QuotaLender, no, at| {
         added(lender.request(at, process(2), &request(&quota, no, 5, 0, 5)))
@@ -245,9 +248,10 @@
     assert_eq!(renewed(&mut lender, 4, gone), Some(5));
 }
 
-/// Where units are short, each borrower gets by what it needs, and no request takes all.
+/// Guards against one borrower taking all units when they are short: shares are proportional to
+/// need, regardless of the order of the requests.
 #[test]
-fn short_units_are_shared_by_need() {
+fn short_units_are_shared_in_proportion_to_need() {
     let quota = rate(100, 100);
     let mut lender = new_lender(&quota);
     let mut now = lender.grants_from() + 100 * SECOND;
@@ -264,7 +268,7 @@
     let all: u32 = got.iter().sum();
     assert!(
         (9200..=10_100).contains(&all),
-        "{got:?}: a hundred a second for 100 s"
+        "{got:?}: expected 100 per second for 100 s"
     );
     assert!(
         (0.4..=0.6).contains(&(f64::from(got[0]) / f64::from(all))),
@@ -321,7 +325,7 @@
 }
 
 #[test]
-fn a_borrower_that_leaves_releases_its_units() {
+fn the_units_of_a_borrower_that_leaves_are_free_at_once() {
     let quota = in_flight(4);
     let mut lender = new_lender(&quota);
     let now = lender.grants_from();
--- a/crates/shared-state/src/keyed_quota/tests.rs
+++ b/crates/shared-state/src/keyed_quota/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn floors_leave_something_to_lease_or_are_refused() {
+fn floors_that_leave_no_units_for_leases_are_rejected() {
     assert_eq!(
         (rate(10, 60, 1, 40).check(), rate(10, 60, 1, 40).pool()),
         (Ok(()), 20)
@@ -42,14 +42,14 @@
     );
     assert!(
         limit.id() != rate(1, 1, 3, 3).id(),
-        "another kind is another budget"
+        "a different kind gives a different id"
     );
 }
 
-/// Leased units and all floors together are made no faster than the rate, by clocks that run fast
-/// by the drift bound.
+/// Guards against exceeding the rate when clocks run fast by the drift bound: the leasable units
+/// and all floors together must not be created faster than the rate.
 #[test]
-fn units_are_made_no_faster_than_the_rate() {
+fn units_are_created_no_faster_than_the_rate() {
     for (count, floor, nodes) in [(1, 0, 5), (10, 1, 40), (999, 3, 300), (100_000, 1, 3000)] {
         let quota = rate(count, floor * nodes + 5, floor, nodes);
         let fast = 1.0 + 1.0 / (crate::CLOCK_DRIFT_PARTS as f64 - 1.0);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn the_lender_gets_a_bounded_number_of_requests_a_second() {
+fn the_lender_gets_a_bounded_number_of_requests_per_second() {
     for nodes in [1, 10, 300, 3000, 20_000] {
         let timing = QuotaTiming::for_nodes(nodes);
         assert!(
--- a/crates/shared-state/src/leader_lease.rs
+++ b/crates/shared-state/src/leader_lease.rs
@@ -1,29 +1,30 @@
-//! Which node may grant units: one leader at a time, by the votes of a majority of fixed voters, for
-//! a limited time. Nothing is stored on disk: a voter that starts does not vote for as long as a vote
-//! of its past could last.
+//! Election of the node that may grant units: one leader at a time, elected for a limited time by a
+//! majority of a fixed set of voters. Nothing is stored on disk: a voter that starts gives no vote
+//! until any vote that it gave before has expired.
 //!
 //! # Why there are never two leaders
 //!
-//! - A voter gives its vote to one candidate, and to no other until that vote expires on the voter's
-//!   clock. The vote lasts a lease duration from the arrival of the request.
-//! - The candidate counts the same duration from when it sent the request, which was earlier, and
-//!   shortens it by the clock drift bound ([`clock`](crate::clock)). Its lease thus ends before any of
-//!   the votes that it rests on.
-//! - Two leaders at once would each need a majority. A voter in both majorities would have given two
-//!   votes that are valid at once, which it does not.
+//! - A voter gives its vote to one candidate, and to no other candidate until that vote expires on
+//!   the voter's clock. The vote lasts a lease duration from the arrival of the request.
+//! - The candidate counts the same duration from the time at which it began the round, which is
+//!   earlier, and shortens it by the clock drift bound ([`clock`](crate::clock)). The leader lease
+//!   thus ends before any of the votes on which it rests.
+//! - Two leaders at once would each need a majority. At least one voter would be in both majorities
+//!   and would have given two votes that are valid at once, which a voter never does.
 //!
-//! That two successive leaders' leases of units don't overlap either is up to
-//! [`budget::lender`](crate::budget::lender) and [`keyed_quota::lender`](crate::keyed_quota::lender).
+//! [`budget::lender`](crate::budget::lender) and
+//! [`keyed_quota::lender`](crate::keyed_quota::lender) ensure that the leases of units granted by
+//! two successive leaders do not overlap.
 
 use crate::clock::drift_shortened;
 use crate::{Nanos, ProcessId};
 use std::collections::BTreeSet;
 
-/// A vote is refused.
+/// The refusal of a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoteRefused {
-    /// How long the vote is bound yet, in nanoseconds; none if the request was overtaken by one of a
-    /// later round.
+    /// How long the vote stays bound, in nanoseconds; `None` if the voter has already received a
+    /// request of a later round.
     pub bound_for: Option<Nanos>,
 }
 
@@ -31,23 +32,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Vote {
     candidate: ProcessId,
-    /// The candidate's round.
+    /// Number of the candidate's round.
     round: u64,
     expires_at: Nanos,
 }
 
-/// The vote of one voter.
+/// One voter and the vote that it gave.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     vote: Option<Vote>,
-    /// It gives no vote before this time.
+    /// Time before which the voter gives no vote.
     silent_until: Nanos,
     lease_duration: Nanos,
 }
 
 impl Voter {
-    /// A voter that has just started, or stood still for long, and does not know what it voted
-    /// before. A vote lasts for `lease_duration` nanoseconds.
+    /// Creates a voter whose process has just started or was suspended, so that its earlier votes
+    /// are unknown. Votes last for `lease_duration` nanoseconds, and the voter gives none for that
+    /// long from now.
     pub fn new(now: Nanos, lease_duration: Nanos) -> Voter {
         Voter {
             vote: None,
@@ -56,7 +58,13 @@
         }
     }
 
-    /// A candidate requests the vote in one of its rounds.
+    /// Handles a candidate's request for the vote in one of its rounds. `Ok` means that the vote is
+    /// given and lasts for a lease duration from now.
+    ///
+    /// # Errors
+    ///
+    /// Refuses the vote while another candidate has it, for a lease duration after the voter was
+    /// created, and if the candidate's vote is of a later round.
     pub fn request(
         &mut self,
         now: Nanos,
@@ -74,7 +82,7 @@
                     bound_for: Some(vote.expires_at - now),
                 })
             }
-            // A request that was overtaken by one of a later round changes nothing.
+            // A request that arrives after one of a later round changes nothing.
             Some(vote)
                 if vote.candidate == candidate && vote.round > round && now < vote.expires_at =>
             {
@@ -91,14 +99,14 @@
         }
     }
 
-    /// A candidate that got no majority in a round releases the vote. A late release, after a later
-    /// round, frees nothing.
+    /// Releases the vote of a candidate that got no majority in a round. A release that arrives
+    /// after a request of a later round has no effect.
     pub fn release(&mut self, candidate: ProcessId, round: u64) {
         self.vote
             .take_if(|vote| vote.candidate == candidate && vote.round == round);
     }
 
-    /// The candidate that has the vote now.
+    /// Returns the candidate that has the vote now.
     pub fn holder(&self, now: Nanos) -> Option<ProcessId> {
         self.vote
             .filter(|vote| now < vote.expires_at)
@@ -106,21 +114,23 @@
     }
 }
 
-/// A node that wants to be the leader, or is.
+/// A node that requests votes to become or stay the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
     voters: usize,
     lease_duration: Nanos,
-    /// When the current round was begun, and which voters gave their vote in it.
+    /// Start time of the current round, and the indexes of the voters that gave their vote in it.
     votes: Option<(Nanos, BTreeSet<usize>)>,
-    /// The current round's number, so that a late vote counts for its own round only.
+    /// Number of the current round, so that a late vote counts for its own round only; 0 before the
+    /// first.
     pub round: u64,
-    /// Until when this node is the leader.
+    /// Time until which this node is the leader; 0 if it never was or has resigned.
     leader_until: Nanos,
 }
 
 impl Candidate {
-    /// A candidate before this many voters, whose votes last for `lease_duration` nanoseconds.
+    /// Creates a candidate in a cluster with this many voters, whose votes last for
+    /// `lease_duration` nanoseconds.
     pub fn new(voters: usize, lease_duration: Nanos) -> Candidate {
         Candidate {
             voters,
@@ -131,14 +141,15 @@
         }
     }
 
-    /// Begins a round and returns its number, which the requests carry.
+    /// Begins a round and returns its number, which the vote requests carry.
     pub fn begin_round(&mut self, now: Nanos) -> u64 {
         self.round += 1;
         self.votes = Some((now, BTreeSet::new()));
         self.round
     }
 
-    /// A voter, by its index, gave its vote in a round. Returns whether that round has a majority.
+    /// Records the vote that a voter, by its index, gave in a round. Returns whether the round is
+    /// the current one and has a majority.
     pub fn receive_vote(&mut self, round: u64, voter: usize) -> bool {
         let Some((begun_at, votes)) = &mut self.votes else {
             return false;
@@ -156,7 +167,8 @@
         has_majority
     }
 
-    /// Until when this node is the leader; in the past if it is not.
+    /// Returns the time until which this node is the leader; it lies in the past if the node is
+    /// not.
     pub fn leader_until(&self) -> Nanos {
         self.leader_until
     }
--- a/crates/shared-state/src/leader_lease/tests.rs
+++ b/crates/shared-state/src/leader_lease/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_voter_that_starts_is_silent_for_a_lease_and_then_votes_for_one_candidate() {
+fn a_new_voter_waits_for_a_lease_duration_and_then_votes_for_one_candidate() {
     let mut voter = Voter::new(100, 1000);
     assert_eq!(voter.request(600, process(1), 1), Err(refused(500)));
     assert_eq!(
@@ -36,16 +36,16 @@
     assert_eq!(
         voter.request(1700, process(1), 2),
         Err(VoteRefused { bound_for: None })
-    ); // overtaken
-    voter.release(process(2), 2); // not his
-    voter.release(process(1), 2); // of an earlier round
+    ); // arrives after a request of a later round
+    voter.release(process(2), 2); // this candidate does not have the vote
+    voter.release(process(1), 2); // for an earlier round
     assert!(voter.request(2300, process(2), 3).is_err());
     voter.release(process(1), 3);
     assert_eq!(voter.request(2300, process(2), 3), Ok(()));
 }
 
 #[test]
-fn a_candidate_leads_by_the_time_of_its_request_and_late_votes_count_for_their_round() {
+fn a_leader_lease_counts_from_the_round_and_late_votes_count_only_for_their_round() {
     let mut candidate = Candidate::new(3, 1000);
     let first = candidate.begin_round(100);
     assert!(!candidate.receive_vote(first, 0) && !candidate.receive_vote(first, 0));
@@ -61,15 +61,15 @@
     assert_eq!(candidate.leader_until(), 0);
 }
 
-/// Clocks that drift as far as the bound, messages late or lost, voters that restart and candidates
-/// that are suspended: never two leaders at once.
+/// Guards against two leaders at once under clocks that drift up to the bound, late and lost
+/// messages, voters that restart, and candidates that resign with releases that arrive late.
 #[test]
 fn there_are_never_two_leaders_at_once() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (voters, candidates, lease) = (3, 3, 1000u64);
-        // Each clock shows true time times its rate; rates are within the drift bound of each
-        // other.
+        // Each clock shows the true time multiplied by its rate; the rates differ by at most the
+        // drift bound.
         let rate: Vec<f64> = (0..6)
             .map(|_| 1.0 + rng.random_range(-0.5..0.5) / crate::CLOCK_DRIFT_PARTS as f64)
             .collect();
@@ -82,65 +82,71 @@
             .collect();
         let mut in_flight: Vec<(u64, bool, usize, usize, u64)> = Vec::new();
         let mut releases: Vec<(u64, usize, usize, u64)> = Vec::new();
-        let mut held = 0;
+        let mut led = 0;
         for now in (0..40_000u64).step_by(20) {
             if rng.random_bool(0.08) {
-                let c = rng.random_range(0..candidates);
-                let round = candidate_states[c].begin_round(clock(3 + c, now));
-                in_flight.extend((0..voters).filter(|_| rng.random_bool(0.8)).map(|a| {
+                let candidate = rng.random_range(0..candidates);
+                let round = candidate_states[candidate].begin_round(clock(3 + candidate, now));
+                in_flight.extend((0..voters).filter(|_| rng.random_bool(0.8)).map(|voter| {
                     (
-                        now + 20 * (seed % 3) + (now * 7 + a as u64 * 13) % 170,
+                        now + 20 * (seed % 3) + (now * 7 + voter as u64 * 13) % 170,
                         true,
-                        c,
-                        a,
+                        candidate,
+                        voter,
                         round,
                     )
                 }));
             }
             if rng.random_bool(0.002) {
-                let a = rng.random_range(0..voters);
-                voter_states[a] = Voter::new(clock(a, now), lease);
+                let voter = rng.random_range(0..voters);
+                voter_states[voter] = Voter::new(clock(voter, now), lease);
             }
             if rng.random_bool(0.02) {
-                // A candidate without a majority releases the round; that may arrive late, when it
-                // has the majority after all.
-                let c = rng.random_range(0..candidates);
-                if clock(3 + c, now) >= candidate_states[c].leader_until() {
-                    candidate_states[c].resign();
-                    releases.extend((0..voters).map(|a| {
+                // A candidate without a majority releases the round's votes. A release may arrive
+                // late, when the candidate has a majority in a later round.
+                let candidate = rng.random_range(0..candidates);
+                if clock(3 + candidate, now) >= candidate_states[candidate].leader_until() {
+                    candidate_states[candidate].resign();
+                    releases.extend((0..voters).map(|voter| {
                         (
                             now + rng.random_range(0..900),
-                            c,
-                            a,
-                            candidate_states[c].round,
+                            candidate,
+                            voter,
+                            candidate_states[candidate].round,
                         )
                     }));
                 }
             }
-            for (_, c, a, round) in releases.extract_if(.., |m| m.0 <= now) {
-                voter_states[a].release(process(c as u64), round);
+            for (_, candidate, voter, round) in releases.extract_if(.., |m| m.0 <= now) {
+                voter_states[voter].release(process(candidate as u64), round);
             }
             let due: Vec<_> = in_flight.iter().filter(|m| m.0 <= now).copied().collect();
             in_flight.retain(|m| m.0 > now);
-            for (_, is_request, c, a, round) in due {
+            for (_, is_request, candidate, voter, round) in due {
                 if is_request {
-                    if voter_states[a]
-                        .request(clock(a, now), process(c as u64), round)
+                    if voter_states[voter]
+                        .request(clock(voter, now), process(candidate as u64), round)
                         .is_ok()
                         && rng.random_bool(0.8)
                     {
-                        in_flight.push((now + rng.random_range(0..170), false, c, a, round));
+                        in_flight.push((
+                            now + rng.random_range(0..170),
+                            false,
+                            candidate,
+                            voter,
+                            round,
+                        ));
                     }
                 } else {
-                    candidate_states[c].receive_vote(round, a);
+                    candidate_states[candidate].receive_vote(round, voter);
                 }
             }
             let leaders = (0..candidates)
-                .filter(|&c| clock(3 + c, now) < candidate_states[c].leader_until())
+                .filter(|&n| clock(3 + n, now) < candidate_states[n].leader_until())
                 .count();
-            assert!(leaders <= 1, "seed {seed}: {leaders} at {now}");
-            held += leaders;
+            assert!(leaders <= 1, "seed {seed}: {leaders} leaders at {now}");
+            led += leaders;
         }
-        assert!(held > 20, "seed {seed}: somebody lends now and then");
+        assert!(led > 20, "seed {seed}: a leader in only {led} steps");
     }
 }
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -1,12 +1,13 @@
-//! State that the nodes of a cluster share: budgets on backend calls, quotas by key, counters, and
-//! the health of backend services. No I/O: a [`SharedState`] is fed messages and the time, and
-//! requests side effects from its [`Host`].
+//! State that the nodes of a cluster share: budgets on backend calls, keyed quotas, counters, and
+//! the aggregated health of backend services. This crate does no I/O: the caller passes messages
+//! and the time to a [`SharedState`], which requests side effects through its [`Host`].
 //!
-//! Limits hold by time and majority, never by a node's view of the membership. A lease is used only
-//! by its borrower and only until it expires on the borrower's clock; its units are granted again
-//! only after it has expired on the lender's clock, with the clock drift bound added ([`budget`],
-//! [`keyed_quota`], [`clock`]). Which node grants leases is decided by a majority of a fixed set of
-//! voters ([`leader_lease`]). `docs/design/shared.md` has the argument.
+//! Limits rest on time and on a majority of voters, never on a node's view of the membership. A
+//! lease is used only by its borrower, and only until it expires on the borrower's clock; its units
+//! are granted again only after it has expired on the lender's clock, extended by the clock drift
+//! bound ([`budget`], [`keyed_quota`], [`clock`]). A majority of a fixed set of voters decides
+//! which node grants leases ([`leader_lease`]). `docs/design/shared.md` explains why the limits
+//! hold.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -34,18 +35,18 @@
 };
 pub use shared_state::{Config, Host, SharedState};
 
-/// Whole nanoseconds from any fixed point.
+/// A time in nanoseconds since a fixed but arbitrary instant, or a duration in nanoseconds.
 pub type Nanos = u64;
 
 pub(crate) const MILLISECOND: Nanos = 1_000_000;
 pub(crate) const SECOND: Nanos = 1000 * MILLISECOND;
 
-/// One process of a node: a node that restarts under its name is another borrower, with counters of
-/// its own.
+/// Identifies one process of a node. A node that restarts under the same name is another process: a
+/// separate borrower with separate counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ProcessId {
-    /// The hash of the node's name.
+    /// Hash of the node's name.
     pub key: u64,
-    /// The node's incarnation: one process from start to end.
+    /// The node's incarnation, which stays the same for the lifetime of the process.
     pub incarnation: u64,
 }
--- a/crates/shared-state/src/shared_state.rs
+++ b/crates/shared-state/src/shared_state.rs
@@ -1,9 +1,10 @@
-//! A node's part in the shared state: a method for each event, side effects through a [`Host`]. All
-//! nodes borrow; some nodes are voters, by name; one of the voters is the leader and grants leases.
+//! One node's participation in the shared state: a method for each event, and side effects through
+//! a [`Host`]. All nodes are borrowers. Some nodes, which the settings name, are voters; one of the
+//! voters is the leader and grants leases.
 //!
-//! Events in the order in which they come: [`SharedState::wake`] at [`SharedState::next_wake`],
-//! [`SharedState::receive`] for each message, and [`SharedState::leave`] at the end. Who leads is in
-//! `leadership`, leases and quotas in `leases`, counters in `counter_exchange`.
+//! The caller calls [`SharedState::wake`] at [`SharedState::next_wake`], [`SharedState::receive`]
+//! for each message, and [`SharedState::leave`] when the node leaves. Leader election is in
+//! `leadership`, leases and keyed quotas are in `leases`, counters in `counter_exchange`.
 
 mod config;
 mod counter_exchange;
@@ -24,80 +25,80 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// The time between two comparisons of counters with another voter, in nanoseconds.
+/// Time between two comparisons of counters with another voter, in nanoseconds.
 const COMPARISON_INTERVAL: Nanos = 5 * SECOND;
-/// The time between two requests for the cluster's totals, in nanoseconds.
+/// Time between two requests for the cluster's totals, in nanoseconds.
 const TOTALS_INTERVAL: Nanos = 10 * SECOND;
-/// A wake that is this late shows that the process was suspended: a voter may not know what happened
-/// meanwhile. In nanoseconds.
+/// Delay of a wake, in nanoseconds, from which the process counts as suspended: a voter cannot rely
+/// on its state from before.
 const SUSPENDED_AFTER: Nanos = SECOND;
-/// After a redirect the next request is sent within this time, in nanoseconds.
+/// Maximum time from a redirect to the next lease request, in nanoseconds.
 const REDIRECT_DELAY: Nanos = 10 * MILLISECOND;
 
-/// Side effects that the shared state may request. No call blocks.
+/// The side effects of the shared state. Implementations must not block.
 pub trait Host {
-    /// Sends a message to a node, by the hash of its name.
+    /// Sends a message to the node with this hash of its name.
     fn send(&mut self, to: u64, message: SharedMessage);
     /// Writes a line to the log.
     fn log(&mut self, line: &str);
-    /// The requests of this node for leases of its budgets, with the time by this node's clock at
-    /// which they were made.
+    /// Returns this node's requests for leases of its budgets, with the time on this node's clock
+    /// at which they were made.
     fn lease_requests(&mut self, now: Nanos) -> (Nanos, Vec<BudgetRequest>);
-    /// Leases were granted, by budget id, that were requested at `requested_at`.
+    /// Passes on leases, by budget id, that were requested at `requested_at` and granted.
     fn receive_leases(&mut self, now: Nanos, requested_at: Nanos, leases: &[(u32, Lease)]);
-    /// Units of keys were granted.
+    /// Passes on a grant of units of keys.
     fn receive_quota_grant(&mut self, now: Nanos, grant: QuotaGrant);
-    /// The node leaves: no lease is used from now on. Returns whether nothing is in flight.
+    /// Stops the use of all leases because the node leaves. Returns whether nothing is in flight.
     fn drop_leases(&mut self, now: Nanos) -> bool;
 }
 
-/// A voter's state, and its own candidacy.
+/// The state of a node that is a voter, both as a voter and as a candidate.
 struct Election {
     voter: Voter,
     candidate: Candidate,
 }
 
-/// What the leader grants from.
+/// The lenders of a leader.
 struct Lenders {
-    /// In the order of the budgets.
+    /// The budgets' lenders, in the order of the budgets.
     budgets: Vec<BudgetLender>,
-    /// None where there are no keyed quotas.
+    /// The lender of the keyed quotas; `None` if there are no keyed quotas.
     quotas: Option<QuotaLender>,
 }
 
-/// A node's part in the shared state.
+/// One node's participation in the shared state.
 pub struct SharedState<H: Host> {
-    /// Where side effects go.
+    /// Receiver of the side effects.
     pub host: H,
     settings: Config,
     rng: Pcg64Mcg,
-    /// At a voter.
+    /// Present on a voter that has not left.
     election: Option<Election>,
-    /// While this node is the leader.
+    /// Present while this node is the leader.
     lenders: Option<Lenders>,
-    /// The counters of all processes, at a voter that keeps them.
+    /// The counters of all processes; present on a voter if counters are configured.
     cluster_counters: Option<ClusterCounters>,
     /// The first key of the next page of counters to compare.
     next_comparison_key: u64,
     next_comparison: Nanos,
-    /// The totals as a voter sent them last, and when they arrived.
+    /// The latest totals from a voter, with the time at which they arrived.
     totals: Option<(ClusterTotals, Nanos)>,
     next_totals: Nanos,
-    /// The leader, as far as this node knows.
+    /// The leader, as far as it is known to this node.
     leader: Option<ProcessId>,
     next_round: Nanos,
     next_request: Nanos,
     last_grant_at: Nanos,
-    /// When the next wake was due, as of the last event.
+    /// The time of the next wake, as of the last event.
     expected_wake: Nanos,
     has_left: bool,
-    /// Whether a round is open by which this node may become the leader.
+    /// Whether a round is open in which this node, not yet the leader, may be elected.
     is_campaigning: bool,
     event_counts: BTreeMap<&'static str, u64>,
 }
 
 impl<H: Host> SharedState<H> {
-    /// The part of a node that has just started.
+    /// Creates the state of a node that has just started.
     pub fn new(settings: Config, seed: u64, now: Nanos, host: H) -> SharedState<H> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let voters = settings.voters.len();
@@ -135,7 +136,7 @@
         *self.event_counts.entry(event).or_default() += 1;
     }
 
-    /// How often each kind of event occurred.
+    /// Returns the number of occurrences of each kind of event since the start.
     pub fn event_counts(&self) -> &BTreeMap<&'static str, u64> {
         &self.event_counts
     }
@@ -151,12 +152,13 @@
             .map_or(0, |election| election.candidate.leader_until())
     }
 
-    /// The leader, as far as this node knows.
+    /// Returns the leader, as far as it is known to this node.
     pub fn leader(&self) -> Option<ProcessId> {
         self.leader
     }
 
-    /// Changes the limits. Budgets must be the same ones in the same order.
+    /// Changes the limits of the budgets and quotas. The budgets must have the same ids in the same
+    /// order as before.
     pub fn update_limits(&mut self, budgets: Vec<Budget>, quotas: Vec<KeyedQuota>) {
         if let Some(lenders) = &mut self.lenders {
             for (lender, budget) in lenders.budgets.iter_mut().zip(&budgets) {
@@ -169,7 +171,7 @@
         (self.settings.budgets, self.settings.quotas) = (budgets, quotas);
     }
 
-    /// When [`SharedState::wake`] is to be called.
+    /// Returns the time at which to call [`SharedState::wake`].
     pub fn next_wake(&self) -> Nanos {
         let mut next = self.next_request;
         if self.election.is_some() {
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Runs the rounds, requests and comparisons that are due.
     pub fn wake(&mut self, now: Nanos) {
         self.detect_suspension(now);
         if self.election.is_some() && now >= self.next_round {
@@ -206,8 +208,9 @@
         self.expected_wake = self.next_wake().max(now);
     }
 
-    /// A voter whose process was suspended begins anew: meanwhile another process may have voted
-    /// under its name, and its own votes may have expired.
+    /// Restarts voter and candidate and ends leadership if the process was suspended: during the
+    /// suspension another process may have voted under its name, and its own votes may have
+    /// expired.
     fn detect_suspension(&mut self, now: Nanos) {
         let late = now.saturating_sub(self.expected_wake);
         self.expected_wake = self.next_wake().max(now);
@@ -221,14 +224,14 @@
         }
     }
 
-    /// A message arrived.
+    /// Handles a message that arrived.
     pub fn receive(&mut self, now: Nanos, from: ProcessId, message: SharedMessage) {
         let is_from_voter = self.settings.voters.contains(&from.key);
         match message {
             SharedMessage::Limits(message) => {
                 return self.receive_limit_message(now, from, message);
             }
-            // Each process reports for itself; voters pass on what they received.
+            // Each process reports its own counters; voters also forward the reports of others.
             SharedMessage::CounterReport(report) if report.process == from || is_from_voter => {
                 self.merge_counters(now, &report);
             }
@@ -255,7 +258,7 @@
         self.expected_wake = self.next_wake().max(now);
     }
 
-    /// A message about votes, leases or quotas arrived.
+    /// Handles a message about votes, leases or quotas that arrived.
     pub fn receive_limit_message(&mut self, now: Nanos, from: ProcessId, message: LimitMessage) {
         self.detect_suspension(now);
         match message {
@@ -304,7 +307,8 @@
         self.expected_wake = self.next_wake().max(now);
     }
 
-    /// The node leaves: its leases and its votes are released at once.
+    /// Leaves the cluster: releases this node's leases, unless something is in flight, and a
+    /// leader's votes, without waiting for their expiry.
     pub fn leave(&mut self, now: Nanos) {
         self.has_left = true;
         let is_idle = self.host.drop_leases(now);
@@ -322,13 +326,13 @@
         self.election = None;
     }
 
-    /// The lenders of all budgets in their order, while this node is the leader.
+    /// Returns the budgets with their lenders, in order; empty unless this node is the leader.
     pub fn budget_lenders(&self) -> impl Iterator<Item = (&Budget, &BudgetLender)> {
         let lenders = self.lenders.iter().flat_map(|lenders| &lenders.budgets);
         self.settings.budgets.iter().zip(lenders)
     }
 
-    /// The lender of keyed quotas, while this node is the leader.
+    /// Returns the lender of the keyed quotas while this node is the leader.
     pub fn quota_lender(&self) -> Option<&QuotaLender> {
         self.lenders.as_ref()?.quotas.as_ref()
     }
--- a/crates/shared-state/src/shared_state/config.rs
+++ b/crates/shared-state/src/shared_state/config.rs
@@ -1,54 +1,56 @@
-//! Settings of a node's part in the shared state.
+//! Configuration of the shared state on one node.
 
 use crate::budget::Budget;
 use crate::keyed_quota::{KeyedQuota, QuotaTiming};
 use crate::{MILLISECOND, Nanos, ProcessId, SECOND};
 
-/// Requests that the leader can answer in a second.
+/// Number of lease requests that the leader can answer per second.
 const LEADER_REQUESTS_PER_SECOND: u64 = 2000;
-/// The least time between two requests of a borrower, in nanoseconds.
+/// Minimum time between two lease requests of a borrower, in nanoseconds.
 const MIN_REQUEST_INTERVAL: Nanos = 300 * MILLISECOND;
-/// A lease lasts for this many request intervals.
+/// Duration of a lease, in request intervals.
 const REQUESTS_PER_LEASE: u64 = 5;
-/// A leader lease lasts for this many leases.
+/// Duration of the leader lease, in lease durations.
 const LEASES_PER_LEADER_LEASE: u64 = 2;
-/// The default memory of the keyed quotas' lender, in bytes.
+/// Default memory limit of the keyed quotas' lender, in bytes.
 const DEFAULT_QUOTA_LENDER_BYTES: usize = 1 << 20;
-/// The default bound on borrowers.
+/// Default maximum number of borrowers of a budget.
 const DEFAULT_MAX_BORROWERS: usize = 4096;
 
-/// Settings of a node's part in the shared state.
+/// Configuration of the shared state on one node.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This process.
+    /// Identifies this process.
     pub me: ProcessId,
-    /// Its zone.
+    /// Number of this node's zone.
     pub zone: u32,
-    /// The hashes of the voters' names, the same on all nodes; an odd number, three or five.
+    /// Hashes of the voters' names, three or five of them, the same on all nodes.
     pub voters: Vec<u64>,
-    /// Budgets on backend calls.
+    /// Budgets on backend calls, in the same order throughout the process.
     pub budgets: Vec<Budget>,
-    /// Limits by key.
+    /// Keyed quotas.
     pub quotas: Vec<KeyedQuota>,
-    /// How often keys are requested.
+    /// Intervals of the requests for keys.
     pub quota_timing: QuotaTiming,
-    /// The most memory of the keyed quotas' lender, in bytes.
+    /// Memory limit of the keyed quotas' lender, in bytes.
     pub quota_lender_bytes: usize,
-    /// The most processes whose counters a voter keeps apart; 0 where nothing is counted.
+    /// Maximum number of processes whose counters a voter keeps separately; 0 disables the exchange
+    /// of counters.
     pub max_counted_processes: usize,
-    /// How long a vote, and with it leadership, lasts, in nanoseconds.
+    /// Duration of a vote, and thus of a leader lease, in nanoseconds.
     pub leader_lease: Nanos,
-    /// How long a lease of units lasts, in nanoseconds.
+    /// Duration of a lease of units, in nanoseconds.
     pub lease_duration: Nanos,
-    /// The time between two requests of a borrower, in nanoseconds.
+    /// Time between two lease requests of a borrower, in nanoseconds.
     pub request_interval: Nanos,
-    /// The most borrowers of a budget that the leader keeps accounts for.
+    /// Maximum number of borrowers of a budget for which the leader keeps accounts.
     pub max_borrowers: usize,
 }
 
 impl Config {
-    /// The default times, which follow from the most nodes that there may be, so that the leader can
-    /// answer all requests. Recovery from the leader's death takes about two leader leases.
+    /// Returns the default configuration. The intervals follow from the maximum number of nodes, so
+    /// that the leader can answer all requests. After the leader's death, grants resume within
+    /// about two leader leases.
     pub fn with_defaults(
         me: ProcessId,
         voters: Vec<u64>,
--- a/crates/shared-state/src/shared_state/counter_exchange.rs
+++ b/crates/shared-state/src/shared_state/counter_exchange.rs
@@ -1,5 +1,6 @@
-//! How counters get around: each process reports to all voters, voters compare what they know and
-//! send each other what is missing, and every node requests the totals from a voter.
+//! The exchange of counters: each process reports its counters to all voters, voters compare their
+//! versions and send each other the missing reports, and every node requests the totals from a
+//! voter.
 
 use super::{Host, SharedState};
 use crate::counters::{ClusterCounters, CounterReport, WINDOW_MS};
@@ -10,9 +11,9 @@
 use rand::RngExt;
 use std::collections::BTreeMap;
 
-/// Windows of a minute.
+/// Number of counter windows in a minute.
 const WINDOWS_PER_MINUTE: u64 = 60_000 / WINDOW_MS;
-/// The most processes whose counters are sent in answer to one comparison.
+/// Maximum number of processes whose counters are sent in answer to one comparison.
 const MAX_MISSING_SENT: usize = 8;
 
 impl<H: Host> SharedState<H> {
@@ -35,8 +36,9 @@
         }
     }
 
-    /// Tells another voter how far this one knows the counters of some processes. What is missing
-    /// there is reported by its own comparison, and what is missing here by the answer.
+    /// Sends another voter the progress of the counters of some processes as this voter knows it.
+    /// The answer contains the reports that this voter lacks; the other voter obtains those that it
+    /// lacks through its own comparison.
     pub(super) fn compare_counters(&mut self) {
         let others: Vec<u64> = self
             .settings
@@ -55,8 +57,8 @@
             .filter(|(process, _)| process.key >= first_key)
             .take(MAX_KNOWN_PROCESSES + 1)
             .collect();
-        // The last page ends with the last key; another page before the first key that it has no room
-        // for.
+        // The last page covers all remaining keys; any other page ends before the first key for
+        // which it has no room.
         let next = progress
             .get(MAX_KNOWN_PROCESSES)
             .map(|(process, _)| process.key);
@@ -75,7 +77,7 @@
         self.host.send(to, message);
     }
 
-    /// Another voter told how far it knows some counters: sends what it lacks.
+    /// Sends another voter, by the progress that it reported, the counters that it lacks.
     pub(super) fn send_missing_counters(&mut self, from: ProcessId, known: &KnownCounters) {
         let Some(counters) = &self.cluster_counters else {
             return;
@@ -99,6 +101,7 @@
         }
     }
 
+    /// Computes the totals on a voter, or requests them from a random voter.
     pub(super) fn request_totals(&mut self, now: Nanos) {
         let voters = &self.settings.voters;
         if self.cluster_counters.is_some() {
@@ -109,7 +112,8 @@
         }
     }
 
-    /// The counters of the whole cluster, at a voter. The time counts from the Unix epoch here.
+    /// Returns the counters of the whole cluster on a voter that keeps them. `now` must be the time
+    /// since the Unix epoch here.
     pub(super) fn compute_totals(&self, now: Nanos) -> Option<ClusterTotals> {
         let counters = self.cluster_counters.as_ref()?;
         let minute_end_unix_ms = now / MILLISECOND / WINDOW_MS * WINDOW_MS;
@@ -122,19 +126,20 @@
         })
     }
 
-    /// The counters of the whole cluster as they were received last, with their age in nanoseconds.
+    /// Returns the latest counters of the whole cluster, with their age in nanoseconds.
     pub fn totals(&self, now: Nanos) -> Option<(&ClusterTotals, Nanos)> {
         self.totals
             .as_ref()
             .map(|(totals, received_at)| (totals, now.saturating_sub(*received_at)))
     }
 
-    /// The counters of all processes, at a voter that keeps them.
+    /// Returns the counters of all processes on a voter that keeps them.
     pub fn cluster_counters(&self) -> Option<&ClusterCounters> {
         self.cluster_counters.as_ref()
     }
 
-    /// Adds processes that have left the cluster, by the membership, to one sum after a while.
+    /// Merges the counters of processes that have left the cluster, by the member table, into one
+    /// sum after a delay.
     pub fn retire_processes(&mut self, now: Nanos, is_member: impl Fn(ProcessId) -> bool) {
         if let Some(counters) = &mut self.cluster_counters {
             counters.retire(now, is_member);
--- a/crates/shared-state/src/shared_state/leadership.rs
+++ b/crates/shared-state/src/shared_state/leadership.rs
@@ -1,5 +1,5 @@
-//! Which node leads: rounds of votes at a voter. Why there are never two leaders is in
-//! [`leader_lease`](crate::leader_lease).
+//! Leader election on a voter, in rounds of votes. [`leader_lease`](crate::leader_lease) explains
+//! why there are never two leaders.
 
 use super::{Host, Lenders, SharedState};
 use crate::budget::lender::BudgetLender;
@@ -9,7 +9,8 @@
 use rand::RngExt;
 
 impl<H: Host> SharedState<H> {
-    /// The leader renews its votes. Another voter requests votes where it knows of no leader.
+    /// Runs the round that is due: the leader renews its votes; another voter requests votes unless
+    /// its own vote is bound to another candidate.
     pub(super) fn run_round(&mut self, now: Nanos) {
         let leader_lease = self.settings.leader_lease;
         let is_leader = self.is_leader(now);
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The leader lease has ended without renewal.
+    /// Ends the leadership after the leader lease has expired without renewal.
     fn end_leadership(&mut self) {
         if let Some(election) = &mut self.election {
             election.candidate.resign();
@@ -59,8 +60,8 @@
         self.leader = None;
     }
 
-    /// A round got no majority in its time: all its votes are released, so that three voters that
-    /// each have their own vote don't wait for each other for ever.
+    /// Abandons a round that got no majority in time. All its votes are released; otherwise three
+    /// voters that each gave their vote to themselves would block each other for ever.
     fn abandon_round(&mut self, now: Nanos) {
         self.is_campaigning = false;
         let Some(election) = &mut self.election else {
@@ -73,6 +74,7 @@
         self.send_to_voters(LimitMessage::VoteRelease { round });
     }
 
+    /// Sends a message to all voters except this node.
     pub(super) fn send_to_voters(&mut self, message: LimitMessage) {
         let me = self.settings.me.key;
         for key in self.settings.voters.iter().filter(|key| **key != me) {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// A candidate, perhaps this node, requests this voter's vote.
+    /// Answers a request for this voter's vote from a candidate, which may be this node.
     pub(super) fn answer_vote_request(&mut self, now: Nanos, from: ProcessId, round: u64) {
         let me = self.settings.me;
         let Some(election) = &mut self.election else {
@@ -105,7 +107,7 @@
         self.host.send(from.key, message);
     }
 
-    /// A voter answered. With a majority this node becomes the leader.
+    /// Handles a voter's answer. With a majority this node becomes the leader.
     pub(super) fn receive_vote(
         &mut self,
         now: Nanos,
@@ -152,6 +154,6 @@
         self.leader = Some(self.settings.me);
         self.count("times it began to lend");
         self.host
-            .log("lends: a majority of the arbiters gave their word; parts from before end first");
+            .log("lends: a majority of the arbiters gave their word; earlier leases expire first");
     }
 }
--- a/crates/shared-state/src/shared_state/leases.rs
+++ b/crates/shared-state/src/shared_state/leases.rs
@@ -1,5 +1,5 @@
-//! Requests for leases and quotas, and the leader's answers. A leader that borrows from itself takes
-//! the same way without a message.
+//! Requests for leases and quotas, and the leader's answers. A leader that borrows from itself runs
+//! the same code without sending messages.
 
 use super::{Host, SharedState};
 use crate::budget::fair_share::Demand;
@@ -9,11 +9,12 @@
 use crate::{Nanos, ProcessId};
 use rand::RngExt;
 
-/// The leader counts as lost after this many leader leases without a grant.
+/// Number of leader leases without a grant after which the leader counts as lost.
 const SILENT_LEADER_LEASES: u64 = 2;
 
 impl<H: Host> SharedState<H> {
-    /// Requests leases from the leader; where none is known, from a random voter, which redirects.
+    /// Requests leases from the leader, or, if no leader is known, from a random voter, which
+    /// redirects the request.
     pub(super) fn request_leases(&mut self, now: Nanos) {
         if self.has_left {
             return;
@@ -44,7 +45,7 @@
         self.host.send(to, message);
     }
 
-    /// A borrower, perhaps this node, requests leases.
+    /// Answers a request for leases from a borrower, which may be this node.
     pub(super) fn answer_lease_request(
         &mut self,
         now: Nanos,
@@ -107,7 +108,7 @@
         leases: &[(u32, Lease)],
     ) {
         if self.has_left {
-            return; // its leases were released, whatever is under way
+            return; // the leases were released, so a grant that arrives later must not be used
         }
         if requested_at > now {
             return self.count("parts that were not asked for");
@@ -116,8 +117,8 @@
         self.host.receive_leases(now, requested_at, leases);
     }
 
-    /// This node requests units of keys. Where no leader is known the request is lost, and repeated
-    /// later by the borrower.
+    /// Sends this node's request for units of keys to the leader. If no leader is known, the
+    /// request is dropped, and the borrower repeats it later.
     pub fn request_quota(&mut self, now: Nanos, request: QuotaRequest) {
         self.detect_suspension(now);
         match self.leader {
@@ -133,8 +134,9 @@
         }
     }
 
-    /// A borrower, perhaps this node, requests units of keys. Unlike a lease request it is not
-    /// redirected: the lease requests find the leader.
+    /// Answers a request for units of keys from a borrower, which may be this node. Unlike a lease
+    /// request, this one is never redirected: borrowers find the leader through their lease
+    /// requests.
     pub(super) fn answer_quota_request(
         &mut self,
         now: Nanos,
@@ -164,7 +166,7 @@
         }
     }
 
-    /// A borrower leaves: the leader frees all its units.
+    /// Frees all units of a borrower that leaves, if this node is the leader.
     pub(super) fn release_borrower(&mut self, now: Nanos, borrower: ProcessId) {
         if let Some(lenders) = &mut self.lenders {
             lenders
