--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,30 +1,32 @@
-//! Anti-entropy: two nodes with different member tables find the difference and exchange just that.
+//! Anti-entropy: finds the differences between the member tables of two nodes and exchanges only
+//! the entries that differ.
 //!
-//! They compare digests of ever smaller key ranges, then the headers of all members in a small
-//! range, then send the entries that one of them lacks. No step keeps state: if a datagram is lost,
-//! the next mismatch starts over.
+//! The nodes compare digests of successively smaller key ranges, then the headers of all members in
+//! a small range, and finally send the entries that one of them lacks. No step keeps state: if a
+//! datagram is lost, the exchange starts again at the next digest mismatch.
 
 use crate::member::{Epoch, Incarnation, Liveness, LivenessState, MemberKey};
 use crate::member_table::MemberTable;
 use crate::messages::{MemberUpdate, Range, Summary};
 use std::collections::BTreeMap;
 
-/// Slices of one summary at most.
+/// Maximum number of slices in one summary.
 const SLICES_MAX: usize = 64;
-/// Ranges with at most this many members are answered with headers instead of digests.
+/// Largest number of members in a range that is answered with headers instead of digests.
 const HEADER_RANGE_MEMBERS: usize = 8;
 
-/// Number of slices for a range: about four members each.
+/// Returns the number of slices for a range with the given number of members: a power of two, so
+/// that a slice holds about four members.
 fn slices_for(members: usize) -> usize {
     (members / 4).next_power_of_two().clamp(1, SLICES_MAX)
 }
 
-/// First and last keys of equal slices of a range.
+/// Returns the first and last keys of `n` equal slices of a key range.
 fn slices(from: u64, to: u64, n: usize) -> impl Iterator<Item = (u64, u64)> {
     let width = ((u128::from(to) + 1 - u128::from(from)) / n as u128).max(1);
-    (0..n as u128).map_while(move |at| {
-        let first = u128::from(from) + at * width;
-        let last = if at + 1 == n as u128 {
+    (0..n as u128).map_while(move |index| {
+        let first = u128::from(from) + index * width;
+        let last = if index + 1 == n as u128 {
             u128::from(to)
         } else {
             first + width - 1
@@ -33,7 +35,7 @@
     })
 }
 
-/// A summary of all keys.
+/// Returns a summary of the whole key space.
 pub fn summary(member_table: &MemberTable) -> Summary {
     let digests = member_table.slice_digests(slices_for(member_table.counts().present()));
     Summary {
@@ -53,33 +55,34 @@
     }
 }
 
-/// The reply to a summary.
+/// Reply to a [`Summary`].
 #[derive(Debug, Default)]
 pub struct SummaryReply {
-    /// Finer summaries of ranges with many members.
+    /// Finer summaries of the differing ranges that hold many members.
     pub summaries: Vec<Summary>,
-    /// Ranges to answer with headers.
+    /// Differing ranges that hold few members, to be answered with headers.
     pub covered: Vec<Range>,
 }
 
-/// Compares a summary with the own member table, beginning at the given slice, so that repeated
-/// exchanges begin with different slices.
+/// Compares a summary with the node's own member table. The comparison begins at slice `first`: the
+/// byte rate may cut a reply short, so repeated exchanges should begin with different slices.
 pub fn reply_to_summary(
     member_table: &MemberTable,
     theirs: &Summary,
     first: usize,
 ) -> SummaryReply {
-    let (digests, error) = theirs.digests.as_chunks::<8>();
+    let (digests, remainder) = theirs.digests.as_chunks::<8>();
     let mut reply = SummaryReply::default();
-    if digests.is_empty() || digests.len() > 256 || !error.is_empty() || theirs.from > theirs.to {
+    if digests.is_empty() || digests.len() > 256 || !remainder.is_empty() || theirs.from > theirs.to
+    {
         return reply;
     }
     let slices: Vec<(u64, u64)> = slices(theirs.from, theirs.to, digests.len()).collect();
-    for at in 0..slices.len() {
-        let at = (at + first) % slices.len();
-        let (from, to) = slices[at];
+    for index in 0..slices.len() {
+        let index = (index + first) % slices.len();
+        let (from, to) = slices[index];
         let (members, sum) = member_table.range_digest(from..=to);
-        if sum == u64::from_le_bytes(digests[at]) {
+        if sum == u64::from_le_bytes(digests[index]) {
             continue;
         }
         if members <= HEADER_RANGE_MEMBERS {
@@ -93,7 +96,7 @@
     reply
 }
 
-/// Headers of all present members in a range.
+/// Returns the headers of all present members in a key range.
 pub fn headers(member_table: &MemberTable, range: &Range) -> Vec<MemberUpdate> {
     if range.from > range.to {
         return Vec::new();
@@ -106,57 +109,60 @@
         .collect()
 }
 
-/// Entries to exchange.
+/// Entries to exchange with another node.
 #[derive(Debug, Default)]
 pub struct RangeExchange {
     /// Members whose complete entry the other node lacks.
     pub complete: Vec<MemberKey>,
-    /// Members of which it lacks only the liveness state.
+    /// Members of which the other node lacks only the latest liveness state.
     pub headers: Vec<MemberKey>,
-    /// Members of which it knows more.
+    /// Members whose entry is missing here or older than the other node's.
     pub wants: Vec<MemberKey>,
 }
 
-/// Compares the headers that the other node has in some ranges with the own member table.
+/// Compares the headers that another node sent with the node's own member table. `covered` are the
+/// key ranges whose members the other node has listed completely.
 pub fn differences(
     member_table: &MemberTable,
     covered: &[Range],
-    named: &[MemberUpdate],
+    headers: &[MemberUpdate],
 ) -> RangeExchange {
     let mut differences = RangeExchange::default();
-    let theirs: BTreeMap<MemberKey, &MemberUpdate> = named
+    let theirs: BTreeMap<MemberKey, &MemberUpdate> = headers
         .iter()
-        .map(|updates| (MemberKey(updates.key), updates))
+        .map(|update| (MemberKey(update.key), update))
         .collect();
-    for (key, updates) in &theirs {
+    for (key, update) in &theirs {
         let Some(known) = member_table.get(*key) else {
             differences.wants.push(*key);
             continue;
         };
         let epoch = Epoch {
-            started_unix_ms: updates.started_unix_ms,
-            incarnation: Incarnation(updates.incarnation),
+            started_unix_ms: update.started_unix_ms,
+            incarnation: Incarnation(update.incarnation),
         };
-        let liveness = Liveness::from_number(updates.liveness).unwrap_or_default();
+        let liveness = Liveness::from_number(update.liveness).unwrap_or_default();
         let liveness_state = LivenessState {
-            refutation: updates.refutation,
+            refutation: update.refutation,
             liveness,
         };
-        if known.epoch > epoch || known.epoch == epoch && known.revision > updates.revision {
+        if known.epoch > epoch || known.epoch == epoch && known.revision > update.revision {
             differences.complete.push(*key);
-        } else if known.epoch < epoch || known.revision < updates.revision {
+        } else if known.epoch < epoch || known.revision < update.revision {
             differences.wants.push(*key);
         } else if known.liveness_state > liveness_state {
             differences.headers.push(*key);
         }
-        // Where only their liveness state is newer, the header has been merged already.
+        // If only their liveness state is newer, nothing is exchanged: the caller has merged the
+        // header already.
     }
     for range in covered.iter().filter(|range| range.from <= range.to) {
-        let here = member_table
+        let present = member_table
             .range(range.from..=range.to)
             .filter(|(_, entry)| entry.liveness().is_present());
         differences.complete.extend(
-            here.map(|(key, _)| key)
+            present
+                .map(|(key, _)| key)
                 .filter(|key| !theirs.contains_key(key)),
         );
     }
--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -5,7 +5,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
 
-fn updates(n: usize, refutation: u32, liveness: Liveness) -> MemberUpdate {
+fn update(n: usize, refutation: u32, liveness: Liveness) -> MemberUpdate {
     let (name, address) = (format!("n{n}"), SocketAddr::from(([127, 0, 0, 1], 1000)));
     let details =
         MemberDetails::new(address, "a", Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
@@ -44,24 +44,24 @@
 }
 
 #[test]
-fn the_digests_that_are_kept_are_those_of_the_slices() {
+fn cached_slice_digests_equal_the_range_digests() {
     let mut member_table = MemberTable::new(64 << 20, None);
     for n in 0..700 {
-        let _ = member_table.merge(0, &updates(n, 0, Liveness::Alive));
+        let _ = member_table.merge(0, &update(n, 0, Liveness::Alive));
     }
     for members in [1, 5, 30, 100, 700] {
         let n = slices_for(members);
-        let sums: Vec<u64> = slices(0, u64::MAX, n)
+        let digests: Vec<u64> = slices(0, u64::MAX, n)
             .map(|(from, to)| member_table.range_digest(from..=to).1)
             .collect();
-        assert_eq!(member_table.slice_digests(n), sums);
+        assert_eq!(member_table.slice_digests(n), digests);
     }
 }
 
-/// Two views that differ in anything come to be equal by what they tell each other, with few
-/// words where little differs.
+/// Two member tables with random differences must become equal by anti-entropy alone, and the
+/// number of entries sent must stay within about two for each member.
 #[test]
-fn two_views_come_to_agree_whatever_differs() {
+fn two_tables_converge_whatever_differs() {
     for seed in 0..60 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let members = [0, 1, 3, 40, 300, 1500][rng.random_range(0..6)];
@@ -75,101 +75,106 @@
                 if rng.random_bool(differ) {
                     match rng.random_range(0..4) {
                         0 => continue,
-                        1 => drop(member_table.merge(0, &updates(n, 1, Liveness::Alive))),
+                        1 => drop(member_table.merge(0, &update(n, 1, Liveness::Alive))),
                         2 => {
-                            let _ = member_table.merge(0, &updates(n, 0, Liveness::Alive));
+                            let _ = member_table.merge(0, &update(n, 0, Liveness::Alive));
                             member_table.mark(0, MemberKey::of(&format!("n{n}")), Liveness::Dead);
                         }
                         _ => {
                             let _ = member_table
-                                .merge(0, &updates(n, rng.random_range(0..3), Liveness::Suspect));
+                                .merge(0, &update(n, rng.random_range(0..3), Liveness::Suspect));
                         }
                     }
                 } else {
-                    let _ = member_table.merge(0, &updates(n, 0, Liveness::Alive));
+                    let _ = member_table.merge(0, &update(n, 0, Liveness::Alive));
                 }
             }
         }
-        let (mut rounds, mut details) = (0, 0);
-        let mut open = vec![(false, summary(&a))]; // whose it is: b's if true
+        let (mut rounds, mut entries_sent) = (0, 0);
+        let mut pending = vec![(false, summary(&a))]; // true: sent by `b`
         while a.digest() != b.digest() {
             rounds += 1;
             assert!(
                 rounds < 20,
                 "seed {seed}: {members} members, {differ} differ"
             );
-            for (by_b, summary) in std::mem::take(&mut open) {
-                let (here, there) = if by_b {
+            for (from_b, summary) in std::mem::take(&mut pending) {
+                let (receiver, sender) = if from_b {
                     (&mut a, &mut b)
                 } else {
                     (&mut b, &mut a)
                 };
-                let finer = reply_to_summary(here, &summary, rng.random_range(0..64));
-                open.extend(finer.summaries.into_iter().map(|summary| (!by_b, summary)));
-                let named: Vec<MemberUpdate> = finer
+                let reply = reply_to_summary(receiver, &summary, rng.random_range(0..64));
+                pending.extend(
+                    reply
+                        .summaries
+                        .into_iter()
+                        .map(|summary| (!from_b, summary)),
+                );
+                let listed: Vec<MemberUpdate> = reply
                     .covered
                     .iter()
-                    .flat_map(|range| headers(here, range))
+                    .flat_map(|range| headers(receiver, range))
                     .collect();
-                let (mut back, mut wants) = (Vec::new(), Vec::new());
-                for updates in &named {
-                    let _ = there.merge(0, updates);
+                let (mut answers, mut wants) = (Vec::new(), Vec::new());
+                for update in &listed {
+                    let _ = sender.merge(0, update);
                 }
-                let found = differences(there, &finer.covered, &named);
-                back.extend(
+                let found = differences(sender, &reply.covered, &listed);
+                answers.extend(
                     found
                         .complete
                         .iter()
-                        .map(|key| there.get(*key).unwrap().full_update(*key)),
+                        .map(|key| sender.get(*key).unwrap().full_update(*key)),
                 );
-                back.extend(
+                answers.extend(
                     found
                         .headers
                         .iter()
-                        .map(|key| there.get(*key).unwrap().header_update(*key)),
+                        .map(|key| sender.get(*key).unwrap().header_update(*key)),
                 );
                 wants.extend(
                     found
                         .wants
                         .iter()
-                        .filter_map(|key| Some(here.get(*key)?.full_update(*key))),
+                        .filter_map(|key| Some(receiver.get(*key)?.full_update(*key))),
                 );
-                details += back.len() + wants.len();
-                for updates in &back {
-                    // Whoever hears what is out of date says what it knows.
-                    if here.merge(0, updates) == MergeOutcome::Older {
-                        let _ = there.merge(
+                entries_sent += answers.len() + wants.len();
+                for update in &answers {
+                    // A node that receives an outdated update replies with its own state.
+                    if receiver.merge(0, update) == MergeOutcome::Older {
+                        let _ = sender.merge(
                             0,
-                            &here
-                                .get(MemberKey(updates.key))
+                            &receiver
+                                .get(MemberKey(update.key))
                                 .unwrap()
-                                .header_update(MemberKey(updates.key)),
+                                .header_update(MemberKey(update.key)),
                         );
                     }
                 }
-                for updates in &wants {
-                    let _ = there.merge(0, updates);
+                for update in &wants {
+                    let _ = sender.merge(0, update);
                 }
             }
-            if open.is_empty() {
-                open.push((
+            if pending.is_empty() {
+                pending.push((
                     rounds % 2 == 0,
                     summary(if rounds % 2 == 0 { &b } else { &a }),
                 ));
             }
         }
         assert!(
-            details <= 2 * members + 2,
-            "seed {seed}: {details} entries told for {members} members"
+            entries_sent <= 2 * members + 2,
+            "seed {seed}: {entries_sent} entries sent for {members} members"
         );
     }
 }
 
 #[test]
-fn what_makes_no_sense_is_answered_with_nothing() {
+fn malformed_summaries_and_ranges_get_empty_replies() {
     let mut member_table = MemberTable::new(64 << 20, None);
     for n in 0..20 {
-        let _ = member_table.merge(0, &updates(n, 0, Liveness::Alive));
+        let _ = member_table.merge(0, &update(n, 0, Liveness::Alive));
     }
     for (from, to, digests) in [
         (9, 3, 64),
@@ -177,7 +182,7 @@
         (0, u64::MAX, 13),
         (0, u64::MAX, 8 * 300),
     ] {
-        let finer = reply_to_summary(
+        let reply = reply_to_summary(
             &member_table,
             &Summary {
                 from,
@@ -186,7 +191,7 @@
             },
             0,
         );
-        assert!(finer.covered.is_empty() && finer.summaries.is_empty());
+        assert!(reply.covered.is_empty() && reply.summaries.is_empty());
     }
     assert!(headers(&member_table, &Range { from: 9, to: 3 }).is_empty());
     assert!(
--- a/crates/membership/src/cluster_size.rs
+++ b/crates/membership/src/cluster_size.rs
@@ -1,101 +1,106 @@
-//! The estimate of the cluster's size on which decisions rest, and how far it can be trusted.
+//! Estimate of the cluster's size on which decisions are based, and whether it is reliable.
 //!
-//! A node that recently lost many members can't tell whether they are gone or it is partitioned
-//! itself: it reports that it is unsure, and its estimate falls slowly.
+//! A node that recently lost many members cannot tell whether they are gone or the node itself is
+//! partitioned. It then reports that it is unsure, and its estimate falls slowly.
 
 use crate::member::{Liveness, MemberEntry};
 use crate::member_table::{MemberCounts, MemberTable};
 use crate::{Nanos, SECOND};
 use std::sync::Arc;
 
-/// Members declared dead count as possibly present for this long.
+/// Time for which members that were declared dead count as possibly present.
 const DEAD_HOLD: Nanos = 30 * SECOND;
-/// A node becomes unsure when one member in this many was lost within [`DEAD_HOLD`], or half are
-/// suspected at once.
+/// A node becomes unsure when one in this many members was lost within [`DEAD_HOLD`]. Independently
+/// of this number, it becomes unsure when half of the members are suspected at once.
 const LOST_FRACTION_DIVISOR: usize = 4;
-/// Local health score from which a node is unsure.
+/// Lowest local health score at which a node is unsure.
 const UNSURE_HEALTH_SCORE: u32 = 4;
-/// A node is sure again after this long without cause for doubt.
+/// Time without a cause for doubt after which a node is sure again.
 const CALM_TIME: Nanos = 5 * SECOND;
-/// Longest time that a node stays unsure: by then what it sees is the cluster.
+/// Longest time that a node stays unsure because of lost or suspected members. After this time the
+/// members that it still sees are taken to be the cluster.
 const UNSURE_MAX: Nanos = 300 * SECOND;
-/// The estimate falls by at most one part in this many each second.
+/// The estimate falls by at most one part in this many per second.
 const DECAY_DIVISOR: usize = 8;
 
-/// An estimate of the number of members.
+/// Estimate of a number of members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SizeEstimate {
-    /// The estimate to decide by: rises at once, falls slowly.
+    /// Estimate on which decisions are based. It rises at once and falls slowly.
     pub size: usize,
-    /// Members that are alive without a doubt.
+    /// Number of members that are alive and not suspected.
     pub low: usize,
-    /// Members that may be present: also suspects, and those recently declared dead.
+    /// Number of members that may be present: alive, suspected or recently declared dead. At least
+    /// `size`.
     pub high: usize,
 }
 
-/// The cluster as decisions see it.
+/// View of the cluster on which decisions are based.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClusterView {
     /// Estimate for the whole cluster.
     pub cluster: SizeEstimate,
     /// Estimate for the node's own zone.
     pub zone: SizeEstimate,
-    /// Since when the node can't tell whether others are gone or it is partitioned.
+    /// Time since which the node cannot tell whether other members are gone or it is partitioned
+    /// itself; `None` while it is sure.
     pub unsure_since: Option<Nanos>,
-    /// Digest of the member table; equal on nodes that agree.
+    /// Digest of the member table; equal on nodes whose tables agree.
     pub digest: u64,
-    /// Members under suspicion.
+    /// Number of suspected members.
     pub suspects: usize,
     /// Local health score; 0 is healthy.
     pub local_health_score: u32,
-    /// Whether another process holds this node's name, so that nobody sees this one.
+    /// Whether another process holds this node's name, so that other nodes do not see this process.
     pub has_name_conflict: bool,
 }
 
-/// A number that rises at once and falls slowly.
+/// Value that follows a rising target at once and a falling target slowly.
 #[derive(Clone, Copy, Debug, Default)]
 struct SlowDecay {
     value: usize,
-    stepped: Nanos,
-    /// Its value when the node became unsure.
-    held: usize,
+    last_step: Nanos,
+    /// Value when the node was last sure. While the node is unsure, the value does not fall below
+    /// half of this.
+    value_when_sure: usize,
 }
 
 impl SlowDecay {
     fn follow(&mut self, now: Nanos, target: usize, unsure: bool) {
         if target >= self.value {
-            (self.value, self.stepped) = (target, now);
+            (self.value, self.last_step) = (target, now);
         }
         if !unsure {
-            self.held = self.value;
+            self.value_when_sure = self.value;
         }
         let floor = if unsure {
-            target.max(self.held.div_ceil(2))
+            target.max(self.value_when_sure.div_ceil(2))
         } else {
             target
         };
-        while self.value > floor && now >= self.stepped + SECOND {
-            self.stepped += SECOND;
+        while self.value > floor && now >= self.last_step + SECOND {
+            self.last_step += SECOND;
             self.value = (self.value - self.value.div_ceil(DECAY_DIVISOR)).max(floor);
         }
         if self.value <= floor {
-            self.stepped = now;
+            self.last_step = now;
         }
     }
 }
 
-/// Computes the cluster view.
+/// Computes the [`ClusterView`] from the member table and the local health score.
 #[derive(Debug, Default)]
 pub struct ClusterSizeEstimator {
-    fleet: SlowDecay,
+    cluster: SlowDecay,
     zone: SlowDecay,
     unsure_since: Option<Nanos>,
-    /// When there was last cause for doubt.
-    cause: Nanos,
+    /// Time of the last cause for doubt.
+    last_cause: Nanos,
 }
 
 impl ClusterSizeEstimator {
-    /// Recomputes the view; to be called several times a second.
+    /// Recomputes the view. To be called several times a second, since the estimates fall over
+    /// time.
     pub fn observe(
         &mut self,
         now: Nanos,
@@ -104,32 +109,32 @@
         local_health_score: u32,
         has_name_conflict: bool,
     ) -> ClusterView {
-        let (mut lost, mut lost_here) = (0, 0);
+        let (mut lost, mut lost_in_zone) = (0, 0);
         if member_table.counts().dead > 0 {
             let is_recent = |entry: &MemberEntry| {
                 entry.liveness() == Liveness::Dead && now.saturating_sub(entry.since) < DEAD_HOLD
             };
             for (_, entry) in member_table.iter().filter(|(_, entry)| is_recent(entry)) {
                 lost += 1;
-                lost_here += usize::from(entry.details.zone == *own_zone);
+                lost_in_zone += usize::from(entry.details.zone == *own_zone);
             }
         }
-        let (fleet, zone) = (member_table.counts(), member_table.zone(own_zone));
-        self.update_confidence(now, fleet, lost, local_health_score);
+        let (cluster, zone) = (member_table.counts(), member_table.zone(own_zone));
+        self.update_confidence(now, cluster, lost, local_health_score);
         let unsure = self.unsure_since.is_some();
-        self.fleet.follow(now, fleet.present(), unsure);
+        self.cluster.follow(now, cluster.present(), unsure);
         self.zone.follow(now, zone.present(), unsure);
-        let extent = |slow: &SlowDecay, counters: MemberCounts, lost: usize| SizeEstimate {
-            size: slow.value,
-            low: counters.alive,
-            high: (counters.present() + lost).max(slow.value),
+        let estimate = |decay: &SlowDecay, counts: MemberCounts, lost: usize| SizeEstimate {
+            size: decay.value,
+            low: counts.alive,
+            high: (counts.present() + lost).max(decay.value),
         };
         ClusterView {
-            cluster: extent(&self.fleet, fleet, lost),
-            zone: extent(&self.zone, zone, lost_here),
+            cluster: estimate(&self.cluster, cluster, lost),
+            zone: estimate(&self.zone, zone, lost_in_zone),
             unsure_since: self.unsure_since,
             digest: member_table.digest(),
-            suspects: fleet.suspect,
+            suspects: cluster.suspect,
             local_health_score,
             has_name_conflict,
         }
@@ -138,19 +143,19 @@
     fn update_confidence(
         &mut self,
         now: Nanos,
-        fleet: MemberCounts,
+        cluster: MemberCounts,
         lost: usize,
         local_health_score: u32,
     ) {
-        let before = self.fleet.value.max(fleet.present() + lost);
+        let before = self.cluster.value.max(cluster.present() + lost);
         let many_lost = lost * LOST_FRACTION_DIVISOR >= before
-            && (lost > 1 || lost == 1 && fleet.present() < 2);
-        let many_suspect = fleet.suspect > 1 && fleet.suspect * 2 >= fleet.present();
+            && (lost > 1 || lost == 1 && cluster.present() < 2);
+        let many_suspect = cluster.suspect > 1 && cluster.suspect * 2 >= cluster.present();
         if many_lost || many_suspect || local_health_score >= UNSURE_HEALTH_SCORE {
-            self.cause = now;
+            self.last_cause = now;
             self.unsure_since.get_or_insert(now);
         }
-        let calm = now >= self.cause + CALM_TIME;
+        let calm = now >= self.last_cause + CALM_TIME;
         let long = self
             .unsure_since
             .is_some_and(|since| now >= since + UNSURE_MAX)
--- a/crates/membership/src/cluster_size/tests.rs
+++ b/crates/membership/src/cluster_size/tests.rs
@@ -3,7 +3,7 @@
 use crate::messages::MemberUpdate;
 use std::net::SocketAddr;
 
-fn fleet(members: usize) -> MemberTable {
+fn table_of(members: usize) -> MemberTable {
     let mut member_table = MemberTable::new(16 << 20, None);
     for n in 0..members {
         let name = format!("n{n}");
@@ -11,7 +11,7 @@
         let zone = ["a", "b", "c"][n % 3];
         let details =
             MemberDetails::new(address, zone, Phase::Serving, "1", (1, 1), (0, 0), vec![]).unwrap();
-        let updates = MemberUpdate {
+        let update = MemberUpdate {
             key: MemberKey::of(&name).0,
             started_unix_ms: 1,
             incarnation: 1,
@@ -19,12 +19,12 @@
             details: details.encoded().into(),
             ..MemberUpdate::default()
         };
-        let _ = member_table.merge(0, &updates);
+        let _ = member_table.merge(0, &update);
     }
     member_table
 }
 
-fn set(
+fn mark_members(
     member_table: &mut MemberTable,
     now: Nanos,
     names: std::ops::Range<usize>,
@@ -35,12 +35,15 @@
     }
 }
 
-/// One link falls, and with it the sight of all others: the size does not jump, and the node
-/// says that it is unsure.
+/// A failed link hides all other members at once: the size estimate must not jump, and the node
+/// must report that it is unsure.
 #[test]
-fn losing_all_at_once_is_no_jump_and_is_said() {
-    let (mut member_table, mut size_estimator, zone) =
-        (fleet(300), ClusterSizeEstimator::default(), Arc::from("a"));
+fn losing_all_members_lowers_the_size_slowly_and_makes_the_node_unsure() {
+    let (mut member_table, mut size_estimator, zone) = (
+        table_of(300),
+        ClusterSizeEstimator::default(),
+        Arc::from("a"),
+    );
     let mut observe = |member_table: &MemberTable, now| {
         size_estimator.observe(now, member_table, &zone, 0, false)
     };
@@ -52,7 +55,7 @@
             high: 300
         }
     );
-    set(&mut member_table, 2 * SECOND, 1..300, Liveness::Suspect);
+    mark_members(&mut member_table, 2 * SECOND, 1..300, Liveness::Suspect);
     let cluster_view = observe(&member_table, 2 * SECOND);
     assert_eq!(
         (
@@ -63,10 +66,10 @@
         (300, 1, 300)
     );
     assert_eq!(cluster_view.unsure_since, Some(2 * SECOND));
-    set(&mut member_table, 3 * SECOND, 1..300, Liveness::Dead);
-    let (mut before, mut least) = (300, 300);
-    for tenths in 30..400 {
-        let cluster_view = observe(&member_table, tenths * SECOND / 10);
+    mark_members(&mut member_table, 3 * SECOND, 1..300, Liveness::Dead);
+    let (mut before, mut lowest) = (300, 300);
+    for tenth in 30..400 {
+        let cluster_view = observe(&member_table, tenth * SECOND / 10);
         assert!(
             cluster_view.cluster.size <= before
                 && before - cluster_view.cluster.size <= before.div_ceil(8)
@@ -75,13 +78,13 @@
             cluster_view.unsure_since.is_none() || cluster_view.cluster.high >= 150,
             "{cluster_view:?}"
         );
-        (before, least) = (
+        (before, lowest) = (
             cluster_view.cluster.size,
-            least.min(cluster_view.cluster.size),
+            lowest.min(cluster_view.cluster.size),
         );
     }
-    assert!((1..=150).contains(&least), "{least}");
-    // What was lost came to be the state of things.
+    assert!((1..=150).contains(&lowest), "{lowest}");
+    // Finally the lost members no longer count.
     let cluster_view = observe(&member_table, 120 * SECOND);
     assert_eq!(
         (cluster_view.cluster, cluster_view.unsure_since),
@@ -96,14 +99,17 @@
     );
 }
 
-/// While a node is unsure its size stays at half; nobody may think that he has the whole for
-/// himself.
+/// While a node is unsure, its estimate must not fall below half: otherwise each isolated node
+/// would take the capacity of the whole cluster for itself.
 #[test]
-fn an_unsure_node_goes_by_half_of_what_it_knew() {
-    let (mut member_table, mut size_estimator, zone) =
-        (fleet(100), ClusterSizeEstimator::default(), Arc::from("a"));
+fn an_unsure_node_keeps_at_least_half_of_its_estimate() {
+    let (mut member_table, mut size_estimator, zone) = (
+        table_of(100),
+        ClusterSizeEstimator::default(),
+        Arc::from("a"),
+    );
     size_estimator.observe(0, &member_table, &zone, 0, false);
-    set(&mut member_table, SECOND, 1..100, Liveness::Dead);
+    mark_members(&mut member_table, SECOND, 1..100, Liveness::Dead);
     for second in 1..30 {
         let cluster_view = size_estimator.observe(second * SECOND, &member_table, &zone, 0, false);
         assert!(
@@ -114,12 +120,15 @@
 }
 
 #[test]
-fn few_losses_and_those_who_say_that_they_leave_make_nobody_unsure() {
-    let (mut member_table, mut size_estimator, zone) =
-        (fleet(12), ClusterSizeEstimator::default(), Arc::from("a"));
+fn few_losses_and_announced_leaves_do_not_make_a_node_unsure() {
+    let (mut member_table, mut size_estimator, zone) = (
+        table_of(12),
+        ClusterSizeEstimator::default(),
+        Arc::from("a"),
+    );
     size_estimator.observe(0, &member_table, &zone, 0, false);
-    set(&mut member_table, SECOND, 0..2, Liveness::Dead);
-    set(&mut member_table, SECOND, 2..8, Liveness::Left);
+    mark_members(&mut member_table, SECOND, 0..2, Liveness::Dead);
+    mark_members(&mut member_table, SECOND, 2..8, Liveness::Left);
     let cluster_view = size_estimator.observe(SECOND, &member_table, &zone, 0, false);
     assert_eq!(
         (cluster_view.unsure_since, cluster_view.cluster.low),
@@ -142,9 +151,12 @@
 }
 
 #[test]
-fn a_node_that_doubts_itself_is_unsure_as_long_as_it_does() {
-    let (member_table, mut size_estimator, zone) =
-        (fleet(12), ClusterSizeEstimator::default(), Arc::from("a"));
+fn a_node_with_a_high_health_score_stays_unsure() {
+    let (member_table, mut size_estimator, zone) = (
+        table_of(12),
+        ClusterSizeEstimator::default(),
+        Arc::from("a"),
+    );
     for second in 0..400 {
         let cluster_view = size_estimator.observe(second * SECOND, &member_table, &zone, 5, false);
         assert!(cluster_view.unsure_since.is_some(), "{second}");
@@ -158,12 +170,12 @@
 }
 
 #[test]
-fn growth_counts_at_once() {
+fn growth_is_followed_at_once() {
     let (mut size_estimator, zone) = (ClusterSizeEstimator::default(), Arc::from("a"));
     for members in [3, 30, 300] {
         assert_eq!(
             size_estimator
-                .observe(members as Nanos, &fleet(members), &zone, 0, false)
+                .observe(members as Nanos, &table_of(members), &zone, 0, false)
                 .cluster
                 .size,
             members
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,37 +1,38 @@
-//! Configuration of a node's membership, with units and defaults.
+//! Configuration of a node's membership protocol, and the default timing.
 
 use crate::datagram_auth::AuthKeys;
 use crate::member::{DetailsError, NAME_MAX, is_name};
 use crate::{MILLISECOND, Nanos, SECOND};
 use std::net::SocketAddr;
 
-/// A reading of the node's clocks, handed in with each event.
+/// Reading of the node's clocks, passed in with each event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockReading {
-    /// Monotonic time since any fixed origin, in nanoseconds.
+    /// Monotonic time since an arbitrary fixed origin, in nanoseconds.
     pub now: Nanos,
-    /// Unix time in milliseconds; may step.
+    /// Unix time in milliseconds; may jump in either direction.
     pub unix_ms: u64,
 }
 
-/// Periods and timeouts of the protocol.
+/// Periods and timeouts of the protocol, in nanoseconds unless stated otherwise.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// Period between two probes.
+    /// Time between two probes that a node sends.
     pub probe: Nanos,
-    /// Timeout of a direct probe, after which relays are asked to probe.
+    /// Time without a reply to a direct probe after which relays are asked to probe.
     pub probe_timeout: Nanos,
-    /// Period between two gossip rounds.
+    /// Time between two gossip rounds.
     pub gossip: Nanos,
-    /// Shortest suspicion timeout, in probe periods times the decimal logarithm of the cluster size.
+    /// Factor of the shortest suspicion timeout, which is this many probe periods times the decimal
+    /// logarithm of the cluster size (at least 1).
     pub suspicion: f64,
     /// Longest suspicion timeout, as a multiple of the shortest.
     pub suspicion_max_factor: f64,
-    /// Period between two attempts to reach members that were declared dead.
+    /// Time between two attempts to reach members that were declared dead.
     pub probe_dead: Nanos,
-    /// How long members that are dead or left are remembered.
+    /// Time for which members that died or left are remembered.
     pub forget_after: Nanos,
-    /// Greatest clock difference at which the first datagram of an unknown process is accepted.
+    /// Largest clock difference at which the first datagram of an unknown process is accepted.
     pub skew: Nanos,
 }
 
@@ -50,13 +51,15 @@
     }
 }
 
-/// Mechanisms that can be switched off in simulations, to measure what each is worth. In service
+/// Mechanisms that can be switched off in simulations to measure the effect of each. In production
 /// all are on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FeatureToggles {
-    /// Local health: a node that doubts its own timeliness waits longer before it suspects others.
+    /// Local health: a node that shows signs of being slow or cut off itself waits longer before it
+    /// suspects others.
     pub health: bool,
-    /// Suspicion timeouts that shrink with each confirmation, and suspects that are told.
+    /// Suspicion timeouts that shrink with each confirmation, and probes that inform their target
+    /// of a suspicion.
     pub confirm: bool,
     /// Anti-entropy by digests of the member table.
     pub anti_entropy: bool,
@@ -75,38 +78,39 @@
     }
 }
 
-/// Configuration of one node.
+/// Configuration of one node of the cluster.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Name of the cluster; datagrams of other clusters are dropped.
     pub cluster_name: String,
     /// Name of this node, unique in the cluster; printable ASCII, at most [`NAME_MAX`] bytes.
     pub name: String,
-    /// Zone of this node; may be empty.
+    /// Zone of this node, printable ASCII of at most [`ZONE_MAX`](crate::member::ZONE_MAX) bytes;
+    /// may be empty.
     pub zone: String,
     /// Address at which other members reach this node.
     pub address: SocketAddr,
-    /// Addresses at which a node that knows nobody looks for members.
+    /// Addresses that a node contacts to join the cluster while it knows no other member.
     pub seeds: Vec<SocketAddr>,
-    /// Keys that authenticate datagrams.
+    /// Keys that authenticate datagrams: the first one signs, all verify.
     pub keys: AuthKeys,
-    /// Periods and timeouts.
+    /// Periods and timeouts of the protocol.
     pub timing: Timing,
-    /// Version of the program, as shown to operators.
+    /// Version of the program, shown to operators.
     pub program: String,
     /// Number and hash of the settings in force.
     pub settings: (u64, u64),
-    /// Bytes that the member table may take.
+    /// Memory limit of the member table, in bytes.
     pub bytes: usize,
     /// Mechanisms that are switched on.
     pub features: FeatureToggles,
 }
 
 impl Config {
-    /// Checks what the types leave open.
+    /// Checks the constraints that the types do not enforce.
     ///
     /// # Errors
-    /// [`DetailsError::BadName`] where the node's name is empty, too long or not printable ASCII.
+    /// [`DetailsError::BadName`] if the node's name is empty, too long or not printable ASCII.
     pub fn validate(&self) -> Result<(), DetailsError> {
         if is_name(&self.name, NAME_MAX) {
             Ok(())
--- a/crates/membership/src/datagram_auth.rs
+++ b/crates/membership/src/datagram_auth.rs
@@ -1,10 +1,10 @@
 //! Datagram authentication: a keyed MAC and replay protection.
 //!
-//! A datagram is accepted only with the cluster's tag, a valid MAC and a sequence number that was
-//! not seen before. Everything else is counted and dropped without a reply.
+//! A datagram is accepted only if it has the cluster's tag, a valid MAC and a sequence number that
+//! was not seen before. All other datagrams are counted and dropped without a reply.
 //!
-//! Frame: `mf`, frame version, key number (1 byte each); cluster tag, sender's incarnation (8 each);
-//! time in Unix milliseconds, sequence number (6 each); message; MAC (16). Big-endian.
+//! Frame, big-endian: `mf` (2 bytes), frame version (1), key number (1), cluster tag (8), sender's
+//! incarnation (8), Unix time in milliseconds (6), sequence number (6), message, MAC (16).
 
 use crate::Nanos;
 use crate::member::{Incarnation, hash};
@@ -16,79 +16,79 @@
 
 /// First bytes of every frame.
 const MAGIC: [u8; 2] = *b"mf";
-/// Version of the frame.
+/// Frame version that is sent and accepted.
 const FRAME_VERSION: u8 = 1;
-/// Bytes before the message.
+/// Length of a frame before the message, in bytes.
 const HEADER_BYTES: usize = 32;
-/// Bytes of the truncated MAC.
+/// Length of the truncated MAC, in bytes.
 const MAC_BYTES: usize = 16;
-/// Bytes that authentication adds to a message.
+/// Number of bytes that authentication adds to a message.
 pub const OVERHEAD: usize = HEADER_BYTES + MAC_BYTES;
-/// Bytes of a message at most.
+/// Maximum length of a message, in bytes.
 pub const MESSAGE_MAX: usize = DATAGRAM_MAX - OVERHEAD;
-/// Keys that may be valid at once, for key rotation.
+/// Maximum number of keys that are valid at once; the second one is for key rotation.
 pub const KEYS_MAX: usize = 2;
-/// Bytes of a key at least.
+/// Minimum length of a key, in bytes.
 const KEY_BYTES_MIN: usize = 16;
 
-/// Why a datagram was dropped; each reason has a counter.
+/// Reason why a datagram was dropped. Each reason has its own counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DropReason {
-    /// Too short, too long, or without the magic bytes.
-    NoFrame,
-    /// Another frame version.
-    AnotherFrame,
-    /// The tag of another cluster.
-    AnotherFleet,
-    /// No key with this number.
+    /// The datagram is too short, too long or lacks the magic bytes.
+    NotAFrame,
+    /// The frame version is not the supported one.
+    OtherFrameVersion,
+    /// The frame has the tag of another cluster.
+    OtherCluster,
+    /// No key has the number given in the frame.
     UnknownKey,
-    /// The MAC is wrong.
+    /// No key with the given number yields the MAC of the frame.
     BadMac,
-    /// Received before, or older than the replay window.
+    /// The sequence number was received before or is older than the replay window.
     Replayed,
-    /// The first datagram of an unknown incarnation whose clock is too far off.
-    OutOfTime,
-    /// The message can't be decoded.
+    /// The first datagram of an unknown incarnation has a time too far from the local clock.
+    ClockSkew,
+    /// The message cannot be decoded.
     Unreadable,
-    /// Beyond the rate at which datagrams are checked.
-    Flood,
+    /// The datagram exceeds the rate at which datagrams are checked.
+    RateExceeded,
 }
 
 impl DropReason {
-    /// Name of its counter.
+    /// Returns the name of the counter for this reason.
     pub fn as_str(self) -> &'static str {
         match self {
-            DropReason::NoFrame => "datagrams that are none of a fleet",
-            DropReason::AnotherFrame => "datagrams of another frame version",
-            DropReason::AnotherFleet => "datagrams of another fleet",
+            DropReason::NotAFrame => "datagrams that are none of a fleet",
+            DropReason::OtherFrameVersion => "datagrams of another frame version",
+            DropReason::OtherCluster => "datagrams of another fleet",
             DropReason::UnknownKey => "datagrams under an unknown key",
             DropReason::BadMac => "datagrams with a wrong MAC",
             DropReason::Replayed => "datagrams that came before",
-            DropReason::OutOfTime => "datagrams from a clock too far away",
+            DropReason::ClockSkew => "datagrams from a clock too far away",
             DropReason::Unreadable => "datagrams that can't be read",
-            DropReason::Flood => "datagrams beyond the rate",
+            DropReason::RateExceeded => "datagrams beyond the rate",
         }
     }
 }
 
-/// Why keys can't be used.
+/// Error in the keys of a cluster.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// No key, or too many.
+    /// There is no key, or there are more than [`KEYS_MAX`]; carries the number of keys.
     #[error("{0} keys; expected 1 to {KEYS_MAX}")]
     Count(usize),
-    /// A key has too few bytes.
-    #[error("a key of {0} bytes; expected {KEY_BYTES_MIN} at least")]
+    /// A key is too short; carries its length in bytes.
+    #[error("key has {0} bytes; expected at least {KEY_BYTES_MIN}")]
     TooShort(usize),
-    /// A line of a key file is no hexadecimal key.
-    #[error("line {line}: no key; expected hexadecimal")]
+    /// A line of a key file is not a hexadecimal key.
+    #[error("line {line}: key is not valid hexadecimal")]
     NotHexadecimal {
-        /// Number of the line, from 1.
+        /// Line number in the file, starting at 1.
         line: usize,
     },
 }
 
-/// Keys of a cluster: the first one signs, all verify.
+/// Keys of a cluster: the first one signs outgoing datagrams, all verify incoming ones.
 #[derive(Clone)]
 pub struct AuthKeys {
     keys: Vec<(u8, hmac::Key)>,
@@ -103,16 +103,16 @@
 }
 
 impl AuthKeys {
-    /// Keys from their bytes.
+    /// Creates the keys from their bytes, the signing key first.
     ///
     /// # Errors
-    /// Where there are none, more than [`KEYS_MAX`], or one is too short.
+    /// If there is no key, there are more than [`KEYS_MAX`], or one is too short.
     pub fn new(keys: &[Vec<u8>]) -> Result<AuthKeys, KeyError> {
         if keys.is_empty() || keys.len() > KEYS_MAX {
             return Err(KeyError::Count(keys.len()));
         }
-        if let Some(short) = keys.iter().find(|key| key.len() < KEY_BYTES_MIN) {
-            return Err(KeyError::TooShort(short.len()));
+        if let Some(too_short) = keys.iter().find(|key| key.len() < KEY_BYTES_MIN) {
+            return Err(KeyError::TooShort(too_short.len()));
         }
         let numbered = keys.iter().map(|key| {
             let number = digest::digest(&digest::SHA256, key).as_ref()[0];
@@ -123,30 +123,31 @@
         })
     }
 
-    /// Whether nodes with these and those keys understand each other: each side's signing key is
-    /// among the keys with which the other verifies.
+    /// Returns whether nodes with these and the `other` keys accept each other's datagrams: the
+    /// signing key of each side is among the keys of the other side.
     pub fn are_compatible(&self, other: &AuthKeys) -> bool {
         let fingerprint = |key: &hmac::Key| hmac::sign(key, b"meet");
-        let knows = |keys: &AuthKeys, of: &AuthKeys| {
-            of.keys.first().is_some_and(|(_, first)| {
-                keys.keys
+        let verifies = |verifier: &AuthKeys, signer: &AuthKeys| {
+            signer.keys.first().is_some_and(|(_, first)| {
+                verifier
+                    .keys
                     .iter()
                     .any(|(_, key)| fingerprint(key).as_ref() == fingerprint(first).as_ref())
             })
         };
-        knows(self, other) && knows(other, self)
+        verifies(self, other) && verifies(other, self)
     }
 
-    /// Parses a key file: one key a line in hexadecimal; blank lines and lines that begin with `#`
-    /// are skipped.
+    /// Parses a key file with one hexadecimal key per line. Blank lines and lines that begin with
+    /// `#` are skipped.
     ///
     /// # Errors
-    /// Where a line is no key, or as for [`AuthKeys::new`].
+    /// If a line is not a hexadecimal key, or as for [`AuthKeys::new`].
     pub fn parse(text: &str) -> Result<AuthKeys, KeyError> {
-        let lines = text.lines().enumerate().map(|(at, line)| (at, line.trim()));
+        let lines = text.lines().enumerate().map(|(i, line)| (i, line.trim()));
         let lines = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
         let keys: Result<Vec<_>, _> = lines
-            .map(|(at, line)| decode_hex(line).ok_or(KeyError::NotHexadecimal { line: at + 1 }))
+            .map(|(i, line)| decode_hex(line).ok_or(KeyError::NotHexadecimal { line: i + 1 }))
             .collect();
         AuthKeys::new(&keys?)
     }
@@ -161,7 +162,7 @@
     Some(digits.chunks(2).map(|two| two[0] << 4 | two[1]).collect())
 }
 
-/// Sequence numbers received of an incarnation: the highest, and a bitmap of the 64 below it.
+/// Sequence numbers received from an incarnation: the highest one, and a bitmap of the 64 below it.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReplayWindow {
     highest: u64,
@@ -170,19 +171,19 @@
 }
 
 impl ReplayWindow {
-    /// Records a sequence number; false if it was seen before or is too old.
-    fn accept(&mut self, count: u64) -> bool {
-        if count > self.highest {
-            let step = count - self.highest;
+    /// Records a sequence number; returns false if it was seen before or is older than the window.
+    fn accept(&mut self, sequence: u64) -> bool {
+        if sequence > self.highest {
+            let step = sequence - self.highest;
             self.seen = if step < 64 {
                 self.seen << step | 1 << (step - 1)
             } else {
                 0
             };
-            self.highest = count;
+            self.highest = sequence;
             return true;
         }
-        let below = self.highest - count;
+        let below = self.highest - sequence;
         if below == 0 || below > 64 {
             return false;
         }
@@ -217,15 +218,17 @@
     tag: u64,
     keys: AuthKeys,
     incarnation: Incarnation,
-    sent: u64,
-    /// Greatest clock difference at which an unknown incarnation is accepted, in milliseconds.
+    last_sequence: u64,
+    /// Largest clock difference at which an unknown incarnation is accepted, in milliseconds.
     skew_ms: u64,
     windows: BTreeMap<Incarnation, ReplayWindow>,
     windows_max: usize,
 }
 
 impl DatagramAuth {
-    /// For a process of a cluster; keeps replay windows of at most `windows_max` incarnations.
+    /// Creates the state for one process of a cluster. It keeps the replay windows of at most
+    /// `windows_max` incarnations and accepts an unknown one only within the clock difference
+    /// `skew`.
     pub fn new(
         cluster: &str,
         keys: AuthKeys,
@@ -240,21 +243,21 @@
             tag,
             keys,
             incarnation,
-            sent: 0,
+            last_sequence: 0,
             skew_ms,
             windows: BTreeMap::new(),
             windows_max,
         }
     }
 
-    /// Replaces the keys.
+    /// Replaces the keys for signing and verifying.
     pub fn rekey(&mut self, keys: AuthKeys) {
         self.keys = keys;
     }
 
-    /// Signs a message; returns the frame.
+    /// Signs a message and returns the frame to send.
     pub fn seal(&mut self, unix_ms: u64, message: &[u8]) -> Vec<u8> {
-        self.sent += 1;
+        self.last_sequence += 1;
         let (number, key) = &self.keys.keys[0];
         let mut frame = Vec::with_capacity(OVERHEAD + message.len());
         frame.extend_from_slice(&MAGIC);
@@ -262,7 +265,7 @@
         frame.extend_from_slice(&self.tag.to_be_bytes());
         frame.extend_from_slice(&self.incarnation.0.to_be_bytes());
         push_u48(&mut frame, unix_ms);
-        push_u48(&mut frame, self.sent);
+        push_u48(&mut frame, self.last_sequence);
         frame.extend_from_slice(message);
         let mac = self.mac(key, &frame);
         frame.extend_from_slice(&mac.as_ref()[..MAC_BYTES]);
@@ -277,10 +280,10 @@
         context.sign()
     }
 
-    /// Verifies a frame; returns the sender's incarnation and the message.
+    /// Verifies a frame and returns the sender's incarnation and the message.
     ///
     /// # Errors
-    /// The reason to drop it.
+    /// The reason why the frame is dropped.
     pub fn open<'f>(
         &mut self,
         now: Nanos,
@@ -288,13 +291,13 @@
         frame: &'f [u8],
     ) -> Result<(Incarnation, &'f [u8]), DropReason> {
         if frame.len() < OVERHEAD || frame.len() > DATAGRAM_MAX || frame[..2] != MAGIC {
-            return Err(DropReason::NoFrame);
+            return Err(DropReason::NotAFrame);
         }
         if frame[2] != FRAME_VERSION {
-            return Err(DropReason::AnotherFrame);
+            return Err(DropReason::OtherFrameVersion);
         }
         if read_big_endian(&frame[4..12]) != self.tag {
-            return Err(DropReason::AnotherFleet);
+            return Err(DropReason::OtherCluster);
         }
         let (signed, mac) = frame.split_at(frame.len() - MAC_BYTES);
         let mut keys = self
@@ -306,9 +309,9 @@
         if keys.peek().is_none() {
             return Err(DropReason::UnknownKey);
         }
-        let right =
+        let is_valid =
             keys.any(|(_, key)| macs_are_equal(&self.mac(key, signed).as_ref()[..MAC_BYTES], mac));
-        if !right {
+        if !is_valid {
             return Err(DropReason::BadMac);
         }
         let incarnation = Incarnation(read_big_endian(&frame[12..20]));
@@ -322,46 +325,48 @@
         Ok((incarnation, &signed[HEADER_BYTES..]))
     }
 
-    /// Replay protection. For an unknown incarnation the frame's time must be close to ours; after
-    /// that the sequence number is enough, whatever its clock does.
+    /// Checks a frame for replay. The first frame of an unknown incarnation must carry a time close
+    /// to the local clock; after that the sequence number alone decides, even if the sender's clock
+    /// jumps.
     fn check_replay(
         &mut self,
         now: Nanos,
         unix_ms: u64,
         incarnation: Incarnation,
         sealed_unix_ms: u64,
-        count: u64,
+        sequence: u64,
     ) -> Result<(), DropReason> {
         if let Some(window) = self.windows.get_mut(&incarnation) {
             window.last_received = now;
-            return if window.accept(count) {
+            return if window.accept(sequence) {
                 Ok(())
             } else {
                 Err(DropReason::Replayed)
             };
         }
         if sealed_unix_ms.abs_diff(unix_ms) > self.skew_ms {
-            return Err(DropReason::OutOfTime);
+            return Err(DropReason::ClockSkew);
         }
         if self.windows.len() >= self.windows_max {
-            let silent = self
+            let longest_silent = self
                 .windows
                 .iter()
                 .min_by_key(|(_, window)| window.last_received)
                 .map(|(incarnation, _)| *incarnation);
-            silent.map(|incarnation| self.windows.remove(&incarnation));
+            longest_silent.map(|incarnation| self.windows.remove(&incarnation));
         }
         let mut window = ReplayWindow {
             last_received: now,
             ..ReplayWindow::default()
         };
-        window.accept(count);
+        window.accept(sequence);
         self.windows.insert(incarnation, window);
         Ok(())
     }
 }
 
-/// Incarnations of observers, which are no members.
+/// Returns the incarnation of an observer. Its highest bit is set, which no member's incarnation
+/// has.
 pub fn observer_incarnation(seed: u64) -> Incarnation {
     Incarnation(seed | 1 << 63)
 }
--- a/crates/membership/src/datagram_auth/tests.rs
+++ b/crates/membership/src/datagram_auth/tests.rs
@@ -1,53 +1,56 @@
 use super::*;
 use crate::SECOND;
 
-const MINUTES: Nanos = 60 * SECOND;
+const MINUTE: Nanos = 60 * SECOND;
 
 fn keys(seeds: &[u8]) -> AuthKeys {
     AuthKeys::new(&seeds.iter().map(|seed| vec![*seed; 32]).collect::<Vec<_>>()).unwrap()
 }
 
-fn seal(fleet: &str, seeds: &[u8], incarnation: u64) -> DatagramAuth {
+fn auth(cluster: &str, seeds: &[u8], incarnation: u64) -> DatagramAuth {
     DatagramAuth::new(
-        fleet,
+        cluster,
         keys(seeds),
         Incarnation(incarnation),
-        10 * MINUTES,
+        10 * MINUTE,
         4,
     )
 }
 
 #[test]
-fn keys_meet_where_each_knows_what_the_other_seals_with() {
+fn keys_are_compatible_if_each_side_knows_the_signing_key_of_the_other() {
     assert!(keys(&[1, 2]).are_compatible(&keys(&[2, 1])) && keys(&[1]).are_compatible(&keys(&[1])));
     assert!(
         !keys(&[1, 2]).are_compatible(&keys(&[2])),
-        "who has the new one alone does not know the old one"
+        "a node with only the new key cannot verify the old one"
     );
     assert!(!keys(&[1]).are_compatible(&keys(&[2])));
 }
 
 #[test]
-fn what_is_sealed_opens_once_and_only_in_its_fleet() {
-    let (mut a, mut b) = (seal("f", &[1], 1), seal("f", &[1], 2));
+fn a_frame_is_accepted_once_and_only_in_its_cluster() {
+    let (mut a, mut b) = (auth("f", &[1], 1), auth("f", &[1], 2));
     let frame = a.seal(1000, b"hello");
     assert_eq!(frame.len(), OVERHEAD + 5);
     assert_eq!(b.open(0, 2000, &frame), Ok((Incarnation(1), &b"hello"[..])));
     assert_eq!(b.open(0, 2000, &frame), Err(DropReason::Replayed));
     assert_eq!(
-        seal("g", &[1], 3).open(0, 2000, &frame),
-        Err(DropReason::AnotherFleet)
+        auth("g", &[1], 3).open(0, 2000, &frame),
+        Err(DropReason::OtherCluster)
     );
     assert_eq!(
-        seal("f", &[2], 3).open(0, 2000, &frame),
+        auth("f", &[2], 3).open(0, 2000, &frame),
         Err(DropReason::UnknownKey)
     );
-    assert_eq!(b.open(0, 2000, b"GET / HTTP/1.1"), Err(DropReason::NoFrame));
+    assert_eq!(
+        b.open(0, 2000, b"GET / HTTP/1.1"),
+        Err(DropReason::NotAFrame)
+    );
 }
 
 #[test]
-fn no_cut_and_no_bit_that_is_flipped_is_believed() {
-    let (mut a, mut b) = (seal("f", &[1], 1), seal("f", &[1], 2));
+fn truncated_frames_and_frames_with_a_flipped_bit_are_rejected() {
+    let (mut a, mut b) = (auth("f", &[1], 1), auth("f", &[1], 2));
     let frame = a.seal(1000, b"hello");
     for at in 0..frame.len() {
         assert!(b.open(0, 1000, &frame[..at]).is_err());
@@ -61,9 +64,9 @@
 }
 
 #[test]
-fn keys_change_while_both_are_valid() {
-    let (mut a, mut b) = (seal("f", &[1], 1), seal("f", &[1], 2));
-    b.rekey(keys(&[1, 2])); // b opens both and seals with the old one
+fn keys_can_be_rotated_while_both_are_valid() {
+    let (mut a, mut b) = (auth("f", &[1], 1), auth("f", &[1], 2));
+    b.rekey(keys(&[1, 2])); // b verifies with both keys and signs with the old one
     assert!(a.open(0, 0, &b.seal(0, b"1")).is_ok());
     a.rekey(keys(&[2, 1]));
     assert!(b.open(0, 0, &a.seal(0, b"2")).is_ok());
@@ -73,11 +76,11 @@
     assert_eq!(b.open(0, 0, &a.seal(0, b"5")), Err(DropReason::UnknownKey));
 }
 
-/// Numbers may come in any order within the window, each once; a life's clock may step as it
-/// likes once it is known.
+/// Sequence numbers may arrive in any order within the window, each once. The clock of a known
+/// incarnation may jump.
 #[test]
-fn a_number_counts_once_whatever_the_order_and_the_clock() {
-    let (mut a, mut b) = (seal("f", &[1], 1), seal("f", &[1], 2));
+fn each_sequence_number_is_accepted_once_in_any_order() {
+    let (mut a, mut b) = (auth("f", &[1], 1), auth("f", &[1], 2));
     let frames: Vec<_> = (0..100)
         .map(|n| a.seal(if n < 50 { 5 } else { 1 << 40 }, &[n]))
         .collect();
@@ -88,21 +91,21 @@
     assert_eq!(
         b.open(0, 0, &frames[20]),
         Err(DropReason::Replayed),
-        "too old to tell"
+        "older than the replay window"
     );
-    let mut c = seal("f", &[1], 3);
+    let mut c = auth("f", &[1], 3);
     assert_eq!(
         c.open(0, 0, &frames[60]),
-        Err(DropReason::OutOfTime),
-        "a first word from a far clock"
+        Err(DropReason::ClockSkew),
+        "first frame of an incarnation with a clock too far off"
     );
 }
 
 #[test]
-fn the_numbers_of_few_lives_are_kept_and_the_most_silent_goes() {
-    let mut b = seal("f", &[1], 9);
+fn replay_windows_are_bounded_and_the_longest_silent_one_is_evicted() {
+    let mut b = auth("f", &[1], 9);
     let frames: Vec<_> = (1..=5)
-        .map(|incarnation| seal("f", &[1], incarnation).seal(0, b"x"))
+        .map(|incarnation| auth("f", &[1], incarnation).seal(0, b"x"))
         .collect();
     for (at, frame) in frames.iter().enumerate() {
         assert!(b.open(at as Nanos, 0, frame).is_ok());
@@ -112,14 +115,14 @@
 }
 
 #[test]
-fn a_file_of_keys_is_read_or_its_line_named() {
+fn a_key_file_is_parsed_or_the_error_names_the_fault() {
     let good = format!(
         "# the new one\n{}\n\n{}\n",
         "ab".repeat(32),
         "01".repeat(16)
     );
     assert_eq!(AuthKeys::parse(&good).unwrap().keys.len(), 2);
-    for (text, details) in [
+    for (text, expected) in [
         ("", "0 keys"),
         ("zz", "line 1"),
         ("ab", "1 bytes"),
@@ -129,7 +132,7 @@
             AuthKeys::parse(text)
                 .unwrap_err()
                 .to_string()
-                .contains(details),
+                .contains(expected),
             "{text}"
         );
     }
--- a/crates/membership/src/dissemination_queue.rs
+++ b/crates/membership/src/dissemination_queue.rs
@@ -1,21 +1,24 @@
-//! Updates still to be disseminated: each is sent a bounded number of times, the least sent first.
+//! Queue of updates to disseminate. Each update is sent a bounded number of times, and the updates
+//! that were sent least often go first.
 
 use crate::member::MemberKey;
 use std::collections::{BTreeSet, HashMap};
 
-/// Transmissions of an update by each node, times the decimal logarithm of the cluster size.
+/// Number of transmissions of an update by each node, divided by the decimal logarithm of the
+/// cluster size.
 const TRANSMISSIONS_FACTOR: f64 = 4.0;
 
-/// Members about whom updates are to be sent.
+/// Members about which updates are to be sent.
 #[derive(Debug, Default)]
 pub struct DisseminationQueue {
-    /// Transmissions so far, sequence number (the latest first), member.
+    /// Number of transmissions so far, sequence number (the latest first), member.
     queue: BTreeSet<(u32, std::cmp::Reverse<u64>, MemberKey)>,
+    /// Number of transmissions so far and sequence number of each queued member.
     positions: HashMap<MemberKey, (u32, u64)>,
     last_sequence: u64,
 }
 
-/// How often each node of a cluster of the given size sends an update.
+/// Returns how many times each node of a cluster with `members` members sends an update.
 pub fn transmissions(members: usize) -> u32 {
     (TRANSMISSIONS_FACTOR * ((members + 1) as f64).log10())
         .ceil()
@@ -23,7 +26,8 @@
 }
 
 impl DisseminationQueue {
-    /// Queues the latest update about a member, in place of an older one.
+    /// Queues the latest update about a member, in place of an older one. It counts as not yet
+    /// sent.
     pub fn push(&mut self, key: MemberKey) {
         self.remove_updates(key);
         self.last_sequence += 1;
@@ -32,49 +36,51 @@
             .insert((0, std::cmp::Reverse(self.last_sequence), key));
     }
 
-    /// Removes the update about a member.
+    /// Removes the queued update about a member, if any.
     pub fn remove_updates(&mut self, key: MemberKey) {
-        if let Some((sent, came)) = self.positions.remove(&key) {
-            self.queue.remove(&(sent, std::cmp::Reverse(came), key));
+        if let Some((sent, sequence)) = self.positions.remove(&key) {
+            self.queue.remove(&(sent, std::cmp::Reverse(sequence), key));
         }
     }
 
-    /// Keeps only members for which `holds` is true.
+    /// Keeps only the members for which `holds` returns true.
     pub fn retain(&mut self, mut holds: impl FnMut(MemberKey) -> bool) {
-        let gone: Vec<MemberKey> = self
+        let removed: Vec<MemberKey> = self
             .positions
             .keys()
             .copied()
             .filter(|key| !holds(*key))
             .collect();
-        gone.into_iter().for_each(|key| self.remove_updates(key));
+        removed.into_iter().for_each(|key| self.remove_updates(key));
     }
 
-    /// Number of members queued.
+    /// Returns the number of members queued.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether nothing is queued.
+    /// Returns whether no member is queued.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// Offers queued members to `fits` until it returns false; each one accepted counts as sent.
+    /// Offers queued members to `fits` until it returns false. Each accepted member counts as sent
+    /// once more and leaves the queue after the last transmission in a cluster with `members`
+    /// members.
     pub fn take(&mut self, members: usize, mut fits: impl FnMut(MemberKey) -> bool) {
-        let most = transmissions(members);
+        let sent_max = transmissions(members);
         let mut sent = Vec::new();
-        for (times, came, key) in &self.queue {
+        for (sent_before, sequence, key) in &self.queue {
             if !fits(*key) {
                 break;
             }
-            sent.push((*times, *came, *key));
+            sent.push((*sent_before, *sequence, *key));
         }
-        for (times, came, key) in sent {
-            self.queue.remove(&(times, came, key));
-            if times + 1 < most {
-                self.queue.insert((times + 1, came, key));
-                self.positions.insert(key, (times + 1, came.0));
+        for (sent_before, sequence, key) in sent {
+            self.queue.remove(&(sent_before, sequence, key));
+            if sent_before + 1 < sent_max {
+                self.queue.insert((sent_before + 1, sequence, key));
+                self.positions.insert(key, (sent_before + 1, sequence.0));
             } else {
                 self.positions.remove(&key);
             }
--- a/crates/membership/src/dissemination_queue/tests.rs
+++ b/crates/membership/src/dissemination_queue/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_piece_goes_out_its_number_of_times_the_least_sent_first() {
+fn each_update_is_sent_its_number_of_times_least_sent_first() {
     let mut dissemination_queue = DisseminationQueue::default();
     (1..=6).for_each(|n| dissemination_queue.push(MemberKey(n)));
     let mut sent: HashMap<MemberKey, u32> = HashMap::new();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn fresh_news_of_a_member_takes_the_place_of_what_was_out() {
+fn a_new_update_replaces_the_queued_one_about_the_same_member() {
     let mut dissemination_queue = DisseminationQueue::default();
     dissemination_queue.push(MemberKey(1));
     dissemination_queue.take(9, |_| true);
--- a/crates/membership/src/history.rs
+++ b/crates/membership/src/history.rs
@@ -1,17 +1,18 @@
-//! Changes of the member table: a bounded history, and rate-limited log lines of which a burst
-//! becomes one.
+//! Bounded history of the changes of the member table, and their log lines. The lines are
+//! rate-limited: the rest of a burst is summarized in one line.
 
 use crate::{Nanos, SECOND};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 use std::sync::Arc;
 
-/// Changes that are remembered.
+/// Maximum number of changes kept in the history.
 const CAPACITY: usize = 256;
-/// Log lines a second; the rest is summed up in one line of the next second.
+/// Maximum number of log lines per second. Further changes are summarized in one line after the end
+/// of the second.
 const LINES_PER_SECOND: usize = 8;
 
-/// Kind of a change.
+/// Kind of a change of the member table or of the node's own state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChangeKind {
     /// A member joined.
@@ -20,9 +21,9 @@
     Replaced,
     /// A member changed its address.
     Moved,
-    /// A member is suspected.
+    /// A member is suspected to have failed.
     Suspect,
-    /// A suspected or dead member is alive.
+    /// A member that was suspected or declared dead is alive.
     Back,
     /// A member was declared dead.
     Dead,
@@ -30,26 +31,26 @@
     Left,
     /// A member changed its phase.
     Phase,
-    /// This node can't tell whether others are gone or it is partitioned.
+    /// This node cannot tell whether other members are gone or it is partitioned itself.
     Unsure,
-    /// It can tell again.
+    /// This node is no longer unsure whether it is partitioned.
     Sure,
-    /// Others suspected this node or declared it dead, and it refuted that.
+    /// Other members suspected this node or declared it dead, and it refuted that.
     Refuted,
-    /// This process stood still.
+    /// This process was paused for some time.
     StoodStill,
     /// Another process holds this node's name.
     NameTaken,
-    /// This node has its name back.
+    /// This node has reclaimed its name.
     NameBack,
-    /// No seed replies and no other member is known.
+    /// No other member is known and no seed replies.
     Alone,
-    /// Another member is known again.
+    /// Another member is known again after [`ChangeKind::Alone`].
     Company,
 }
 
 impl ChangeKind {
-    /// Its name in logs.
+    /// Returns the name of the kind in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             ChangeKind::Joined => "joined",
@@ -72,16 +73,16 @@
     }
 }
 
-/// A change of the member table.
+/// Change of the member table or of the node's own state.
 #[derive(Clone, Debug)]
 pub struct ChangeEvent {
-    /// When, in Unix milliseconds.
+    /// Time of the change, in Unix milliseconds.
     pub unix_ms: u64,
-    /// What kind of change.
+    /// Kind of the change.
     pub kind: ChangeKind,
-    /// Name of the member.
+    /// Name of the member concerned; `?` if the member is not in the table.
     pub name: Arc<str>,
-    /// Details for operators; may be empty.
+    /// Further details for operators; may be empty.
     pub more: String,
 }
 
@@ -96,24 +97,24 @@
     }
 }
 
-/// The latest changes, and those not yet logged.
+/// The latest changes, and a count of those that were not logged.
 #[derive(Debug, Default)]
 pub struct History {
     changes: VecDeque<ChangeEvent>,
     current_second: Nanos,
-    details: usize,
-    /// Changes not logged, by kind: how many, and the first member.
+    lines_in_second: usize,
+    /// Number of changes that were not logged and the first member concerned, by kind.
     suppressed: BTreeMap<ChangeKind, (usize, Arc<str>)>,
 }
 
 impl History {
-    /// Records a change; returns its log line if one may be written now.
+    /// Records a change. Returns its log line, or `None` if this second has had all of its lines.
     pub fn push(&mut self, now: Nanos, change: ChangeEvent) -> Option<String> {
         if now / SECOND != self.current_second {
-            (self.current_second, self.details) = (now / SECOND, 0);
+            (self.current_second, self.lines_in_second) = (now / SECOND, 0);
         }
-        self.details += 1;
-        let line = (self.details <= LINES_PER_SECOND).then(|| change.to_string());
+        self.lines_in_second += 1;
+        let line = (self.lines_in_second <= LINES_PER_SECOND).then(|| change.to_string());
         if line.is_none() {
             self.suppressed
                 .entry(change.kind)
@@ -127,19 +128,20 @@
         line
     }
 
-    /// A log line for the changes suppressed in a second that is over.
+    /// Returns a log line that summarizes the suppressed changes, once their second is over; `None`
+    /// if there are none.
     pub fn suppressed_line(&mut self, now: Nanos) -> Option<String> {
         if self.suppressed.is_empty() || now / SECOND == self.current_second {
             return None;
         }
         let suppressed = std::mem::take(&mut self.suppressed).into_iter();
-        let attachments: Vec<String> = suppressed
-            .map(|(kind, (n, first))| format!("{n} more {} (first {first})", kind.as_str()))
+        let counts: Vec<String> = suppressed
+            .map(|(kind, (count, first))| format!("{count} more {} (first {first})", kind.as_str()))
             .collect();
-        Some(attachments.join(", "))
+        Some(counts.join(", "))
     }
 
-    /// The latest changes, newest first.
+    /// Returns the latest changes, newest first.
     pub fn latest(&self) -> impl Iterator<Item = &ChangeEvent> {
         self.changes.iter().rev()
     }
--- a/crates/membership/src/history/tests.rs
+++ b/crates/membership/src/history/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_burst_becomes_one_line_and_the_history_is_bounded() {
+fn a_burst_is_summarized_in_one_line_and_the_history_is_bounded() {
     let mut history = History::default();
     let change = |n: usize, kind| ChangeEvent {
         unix_ms: 0,
--- a/crates/membership/src/host.rs
+++ b/crates/membership/src/host.rs
@@ -1,19 +1,20 @@
-//! Side effects that the membership protocol requests from its host.
+//! Interface through which the membership protocol requests side effects from its process.
 
 use crate::cluster_size::ClusterView;
 use crate::history::ChangeKind;
 use crate::member::{Incarnation, MemberKey};
 use std::net::SocketAddr;
 
-/// Side effects that [`Membership`](crate::Membership) requests. No call may block.
+/// Carries out the side effects that [`Membership`](crate::Membership) requests. No call may block.
 pub trait Host {
-    /// Sends a datagram; it may be lost.
+    /// Sends a datagram. Delivery is not guaranteed.
     fn send(&mut self, to: SocketAddr, frame: &[u8]);
-    /// Writes a log line for a change of the member table; rate-limited by the caller.
+    /// Writes a log line for changes of the member table. The caller limits the rate. `kind` is the
+    /// name of the change kind, or `more` for a summary of suppressed lines.
     fn log(&mut self, kind: &'static str, line: &str);
-    /// Reports that the view on which decisions rest has changed.
+    /// Reports a change of the cluster view, on which decisions are based.
     fn cluster_view_changed(&mut self, cluster_view: &ClusterView);
-    /// Delivers a payload that another package sent from the given process.
+    /// Delivers a payload of another package, sent by the given incarnation of a member.
     fn payload_received(
         &mut self,
         _from: MemberKey,
@@ -22,14 +23,15 @@
         _payload: &[u8],
     ) {
     }
-    /// Returns a page of another package's status from a cursor on, and the cursor of the next page
-    /// (0 after the last). `None` if there is none, or none yet: the observer asks again.
+    /// Returns the page of another package's status that begins at a cursor, and the cursor of the
+    /// next page (0 after the last one). `None` if there is no page, or not yet: the observer
+    /// repeats its request.
     fn status_page(&mut self, _topic: u32, _cursor: u64) -> Option<(Vec<u8>, u64)> {
         None
     }
-    /// Delivers an operator's command for another package. It may be delivered twice; answered by
-    /// [`Membership::answer_command`](crate::Membership::answer_command).
+    /// Delivers an operator's command for another package. The same command may be delivered twice.
+    /// The reply is sent with [`Membership::answer_command`](crate::Membership::answer_command).
     fn command_received(&mut self, _from: SocketAddr, _number: u32, _topic: u32, _command: &[u8]) {}
-    /// Reports every change of the member table, without rate limit; for measurements.
+    /// Reports every change of the member table, without a rate limit; used for measurements.
     fn member_changed(&mut self, _kind: ChangeKind, _key: MemberKey) {}
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,12 @@
-//! Cluster membership after SWIM, without I/O: failure detection, dissemination and anti-entropy.
+//! Cluster membership based on SWIM, without I/O: failure detection, dissemination and
+//! anti-entropy.
 //!
-//! [`Membership`] is fed datagrams and clock readings, requests side effects through [`Host`], and
-//! draws chance from a seed. Lifeguard's local health, dynamic suspicion timeouts and buddy updates
-//! are included. Member tables converge by comparing digests of key ranges, and dead members are
-//! probed again, so that the halves of a healed partition find each other.
+//! [`Membership`] takes datagrams and clock readings, requests side effects through [`Host`], and
+//! draws random numbers from a seed. It includes Lifeguard's local health, dynamic suspicion
+//! timeouts and buddy updates. Member tables converge by comparing digests of key ranges, and dead
+//! members are probed again, so that the sides of a healed partition find each other.
 //!
-//! `docs/design/fleet.md` weighs the alternatives and gives the format byte by byte;
+//! `docs/design/fleet.md` compares the alternatives and gives the wire format byte by byte;
 //! `docs/operators/fleet.md` is for operators.
 
 #![forbid(unsafe_code)]
@@ -35,7 +36,7 @@
 pub use member::{Attachment, Incarnation, Liveness, MemberDetails, MemberKey, Phase};
 pub use swim::Membership;
 
-/// A time or a duration in nanoseconds; times count from any fixed origin.
+/// Time or duration in nanoseconds. Times are relative to an arbitrary fixed origin.
 pub type Nanos = u64;
 
 pub(crate) const MILLISECOND: Nanos = 1_000_000;
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,46 +1,46 @@
-//! Lifeguard's local health score. A node that is slow or partitioned would suspect all others, so
-//! each sign that the fault may be its own stretches its timeouts and periods.
+//! Lifeguard's local health score. A node that is slow or partitioned itself would suspect all
+//! other members, so each sign of a local fault stretches the node's timeouts and periods.
 
-/// Highest score; timeouts are stretched by at most one more than this.
+/// Highest score. Timeouts are multiplied by at most one more than this.
 const SCORE_MAX: u32 = 8;
 
-/// The score, from 0 (healthy).
+/// Local health score, from 0 (healthy) to [`SCORE_MAX`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalHealth {
-    doubt: u32,
+    score: u32,
 }
 
 impl LocalHealth {
-    /// Factor by which timeouts are stretched.
+    /// Returns the factor by which timeouts are multiplied.
     pub fn health_factor(self) -> u64 {
-        u64::from(self.doubt) + 1
+        u64::from(self.score) + 1
     }
 
-    /// The score.
-    pub fn doubt(self) -> u32 {
-        self.doubt
+    /// Returns the score.
+    pub fn score(self) -> u32 {
+        self.score
     }
 
-    /// A probe was answered in time.
+    /// Records that a probe was acknowledged in time.
     pub fn answered(&mut self) {
-        self.doubt = self.doubt.saturating_sub(1);
+        self.score = self.score.saturating_sub(1);
     }
 
-    /// A probe failed, relays included. Each silent relay speaks against this node; if all replied,
-    /// the target is the one that is gone.
+    /// Records that a direct probe and all relayed ones failed. Each of the `silent` relays, which
+    /// did not reply, is a sign of a local fault; if all replied, the fault is the target's.
     pub fn probe_failed(&mut self, relays: u32, silent: u32) {
-        let worse = if relays == 0 { 1 } else { silent };
-        self.doubt = (self.doubt + worse).min(SCORE_MAX);
+        let increase = if relays == 0 { 1 } else { silent };
+        self.score = (self.score + increase).min(SCORE_MAX);
     }
 
-    /// Others suspected this node.
+    /// Records that other members suspected this node.
     pub fn suspected(&mut self) {
-        self.doubt = (self.doubt + 1).min(SCORE_MAX);
+        self.score = (self.score + 1).min(SCORE_MAX);
     }
 
-    /// This process stood still.
+    /// Records that this process was paused.
     pub fn paused(&mut self) {
-        self.doubt = (self.doubt + 2).min(SCORE_MAX);
+        self.score = (self.score + 2).min(SCORE_MAX);
     }
 }
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,10 +1,10 @@
-//! What is known of one member, and which of two updates about it takes precedence.
+//! Entry of a member, and the order of precedence between updates about it.
 //!
-//! For a name, the later incarnation wins (by start time, then by number). Within an incarnation,
-//! liveness state and details only grow: the liveness state by refutation number and then by
-//! liveness, the details by revision. Only the member itself raises its refutation number or its
-//! revision. Updates may therefore arrive in any order, twice or late: nodes that have received the
-//! same updates agree.
+//! Of two incarnations of a name, the later one wins (by start time, then by number). Within an
+//! incarnation, the liveness state increases by refutation number and then by liveness, and the
+//! details increase by revision; neither ever decreases. Only the member itself raises its
+//! refutation number or its revision. Updates may therefore arrive in any order, repeatedly or
+//! late: nodes that have received the same updates agree.
 
 use crate::messages::{self, AttachmentMessage, DetailsMessage, MemberUpdate};
 use prost::Message;
@@ -14,18 +14,18 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::sync::Arc;
 
-/// Longest name of a member, in bytes.
+/// Maximum length of a member's name, in bytes.
 pub const NAME_MAX: usize = 64;
-/// Longest name of a zone, in bytes.
+/// Maximum length of a zone's name, in bytes.
 pub const ZONE_MAX: usize = 32;
-/// Longest program version, in bytes.
+/// Maximum length of a program version, in bytes.
 pub const PROGRAM_MAX: usize = 32;
-/// Attachments of a member at most.
+/// Maximum number of attachments of a member.
 pub const ATTACHMENTS_MAX: usize = 8;
-/// Encoded bytes of a member's details at most.
+/// Maximum size of a member's encoded details, in bytes.
 pub const DETAILS_MAX: usize = 400;
 
-/// SipHash-2-4 with fixed keys that are part of the wire format.
+/// Returns the SipHash-2-4 of the parts, with fixed keys that are part of the wire format.
 pub(crate) fn hash(bytes: &[&[u8]]) -> u64 {
     let mut hasher = SipHasher24::new_with_keys(0x6d61_6464_6572_706f, 0x696e_742d_666c_6565);
     for part in bytes {
@@ -34,51 +34,52 @@
     hasher.finish()
 }
 
-/// Hash of a member's name. Names that collide are taken for one; with 10,000 members the
-/// probability is 3e-12.
+/// Hash of a member's name. Names whose hashes collide are treated as the same member; with 10,000
+/// members the probability of a collision is 3e-12.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MemberKey(pub u64);
 
 impl MemberKey {
-    /// The key of a name; never 0, which is [`MemberKey::NONE`].
+    /// Returns the key of a name. It is never 0, which is [`MemberKey::NONE`].
     pub fn of(name: &str) -> MemberKey {
         MemberKey(hash(&[name.as_bytes()]).max(1))
     }
 
-    /// No member.
+    /// Key that belongs to no member.
     pub const NONE: MemberKey = MemberKey(0);
 }
 
-/// One process of a member, from start to end; a random number.
+/// Random number that identifies one process of a member, from its start to its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Incarnation(pub u64);
 
-/// Order of the incarnations of a name: a later start takes precedence.
+/// Start time and number of an incarnation, which order the incarnations of a name: a later start
+/// takes precedence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Epoch {
-    /// Start time by the member's own clock, in Unix milliseconds, or one more than the highest that
-    /// it received for its name.
+    /// Start time by the member's own clock, in Unix milliseconds. If the member has received a
+    /// later start time for its name, one more than that.
     pub started_unix_ms: u64,
-    /// The process; decides between equal start times.
+    /// Number of the incarnation; decides between equal start times.
     pub incarnation: Incarnation,
 }
 
-/// Liveness of a member. With equal refutation numbers the later variant wins.
+/// Liveness of a member. Of two states with equal refutation numbers, the later variant wins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Liveness {
-    /// It responds.
+    /// The member responds.
     #[default]
     Alive,
-    /// It did not respond, and may refute the suspicion.
+    /// The member did not respond, and may still refute the suspicion.
     Suspect,
-    /// It did not refute in time: declared dead.
+    /// The member did not refute the suspicion in time and was declared dead.
     Dead,
-    /// It announced that it left.
+    /// The member announced that it leaves the cluster.
     Left,
 }
 
 impl Liveness {
-    /// Whether it counts as a present member (alive or suspect).
+    /// Returns whether the member counts as present (alive or suspect).
     pub fn is_present(self) -> bool {
         matches!(self, Liveness::Alive | Liveness::Suspect)
     }
@@ -98,36 +99,36 @@
         .copied()
     }
 
-    /// Its name in logs and tables.
+    /// Returns the name of the liveness in logs and tables.
     pub fn as_str(self) -> &'static str {
         ["alive", "suspect", "dead", "left"][self as usize]
     }
 }
 
-/// Liveness within an incarnation, ordered by refutation number and then by liveness.
+/// Liveness of a member within an incarnation, ordered by refutation number and then by liveness.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LivenessState {
-    /// Raised by the member itself each time it contradicts a suspicion.
+    /// Refutation number, which the member itself raises each time it refutes a suspicion.
     pub refutation: u32,
     /// Liveness at that refutation number.
     pub liveness: Liveness,
 }
 
-/// The refutation number by which a member contradicts what others report of it; `None` where the
-/// report would not take precedence over its own state.
+/// Returns the refutation number with which a member refutes a report about itself; `None` if the
+/// report does not take precedence over the member's own state.
 pub fn refutes(own: LivenessState, reported: LivenessState) -> Option<u32> {
     (reported > own).then(|| reported.refutation.saturating_add(1))
 }
 
-/// Phase of a member's life.
+/// Phase in the life of a member, from start to drain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Phase {
-    /// Started and still warming up.
+    /// The member has started and is still warming up.
     Cold,
-    /// Serving.
+    /// The member serves requests.
     #[default]
     Serving,
-    /// Draining: it answers what it has read and takes nothing new.
+    /// The member answers the requests that it has read and accepts no new ones.
     Draining,
 }
 
@@ -136,12 +137,12 @@
         match number {
             0 => Phase::Cold,
             2 => Phase::Draining,
-            // Phases of later versions are read as serving: the member exists and responds.
+            // Phases of later versions are read as serving, since the member responds.
             _ => Phase::Serving,
         }
     }
 
-    /// Its name in logs and tables.
+    /// Returns the name of the phase in logs and tables.
     pub fn as_str(self) -> &'static str {
         ["cold", "serving", "draining"][self as usize]
     }
@@ -150,56 +151,57 @@
 /// Data that another package attaches to a member's entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attachment {
-    /// Number of the package.
+    /// Number of the package that publishes the data.
     pub id: u32,
-    /// Version of the format.
+    /// Version of the data's format.
     pub version: u32,
-    /// The data; empty removes the attachment.
+    /// The data; empty data removes the attachment.
     pub bytes: Vec<u8>,
 }
 
-/// What a member publishes about itself. It is passed on as the member encoded it, so that fields
-/// of later versions survive nodes that do not know them.
+/// Details that a member publishes about itself. Nodes pass them on as the member encoded them, so
+/// that fields of later versions survive nodes that do not know them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberDetails {
-    /// Address at which it is reached.
+    /// Address at which other nodes reach the member.
     pub address: SocketAddr,
-    /// Its zone; may be empty.
+    /// Zone of the member; may be empty.
     pub zone: Arc<str>,
-    /// Phase of its life.
+    /// Phase of the member.
     pub phase: Phase,
-    /// Version of its program.
+    /// Version of the member's program.
     pub program: Arc<str>,
-    /// Lowest and highest datagram version that it reads.
+    /// Lowest and highest message version that the member reads.
     pub wire: (u32, u32),
-    /// Number and hash of its settings.
+    /// Number and hash of the settings that the member has in force.
     pub settings: (u64, u64),
-    /// Attachments by id.
+    /// Attachments of other packages, sorted by id.
     pub attachments: Vec<Attachment>,
     encoded: Box<[u8]>,
     hash: u64,
 }
 
-/// Why details can't be used.
+/// Error in the name or the details of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DetailsError {
-    /// Larger than [`DETAILS_MAX`] bytes, or more than [`ATTACHMENTS_MAX`] attachments.
+    /// The details are larger than [`DETAILS_MAX`] bytes or have more than [`ATTACHMENTS_MAX`]
+    /// attachments.
     TooLarge,
-    /// The encoding is broken.
+    /// The details cannot be decoded.
     Unreadable,
-    /// The address is unspecified, multicast or malformed.
+    /// The address is unspecified, multicast or malformed, or its port is 0.
     BadAddress,
-    /// A name is empty, too long or not printable ASCII.
+    /// The name, zone or program version is too long or not printable ASCII, or the name is empty.
     BadName,
 }
 
 impl fmt::Display for DetailsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            DetailsError::TooLarge => "an entry is too large",
-            DetailsError::Unreadable => "an entry can't be read",
-            DetailsError::BadAddress => "an entry's address can't be used",
-            DetailsError::BadName => "an entry's name can't be used",
+            DetailsError::TooLarge => "member details are too large or have too many attachments",
+            DetailsError::Unreadable => "member details cannot be decoded",
+            DetailsError::BadAddress => "member address is unspecified, multicast or malformed",
+            DetailsError::BadName => "name is empty, too long or not printable ASCII",
         })
     }
 }
@@ -224,16 +226,17 @@
     (port > 0 && !ip.is_unspecified() && !ip.is_multicast()).then(|| SocketAddr::new(ip, port))
 }
 
-/// Whether a name is non-empty printable ASCII of at most `most` bytes, fit for logs and tables.
-pub fn is_name(name: &str, most: usize) -> bool {
-    !name.is_empty() && name.len() <= most && name.bytes().all(|b| b.is_ascii_graphic())
+/// Returns whether a name is non-empty printable ASCII without spaces, of at most `bytes_max`
+/// bytes, and so can be shown in logs and tables.
+pub fn is_name(name: &str, bytes_max: usize) -> bool {
+    !name.is_empty() && name.len() <= bytes_max && name.bytes().all(|b| b.is_ascii_graphic())
 }
 
 impl MemberDetails {
-    /// Encodes a member's details.
+    /// Creates and encodes a member's details.
     ///
     /// # Errors
-    /// Where they exceed a bound.
+    /// If the details exceed a bound, or the address or a name is not valid.
     pub fn new(
         address: SocketAddr,
         zone: &str,
@@ -254,27 +257,27 @@
             settings_hash: settings.1,
             attachments: attachments
                 .into_iter()
-                .map(|p| AttachmentMessage {
-                    id: p.id,
-                    version: p.version,
-                    bytes: p.bytes,
+                .map(|attachment| AttachmentMessage {
+                    id: attachment.id,
+                    version: attachment.version,
+                    bytes: attachment.bytes,
                 })
                 .collect(),
         };
         MemberDetails::read(&messages::later(details.encode_to_vec()))
     }
 
-    /// Decodes details. Unknown fields stay in what is passed on.
+    /// Decodes details. Unknown fields are kept in the encoded form, which is passed on.
     ///
     /// # Errors
-    /// Where the encoding is broken or exceeds a bound.
+    /// If the details cannot be decoded or exceed a bound, or the address or a name is not valid.
     pub fn read(encoded: &[u8]) -> Result<MemberDetails, DetailsError> {
         if encoded.len() > DETAILS_MAX {
             return Err(DetailsError::TooLarge);
         }
         let details = DetailsMessage::decode(encoded).map_err(|_| DetailsError::Unreadable)?;
         let address = address_from(&details.address).ok_or(DetailsError::BadAddress)?;
-        let fits = |text: &str, most| text.is_empty() || is_name(text, most);
+        let fits = |text: &str, bytes_max| text.is_empty() || is_name(text, bytes_max);
         if !fits(&details.zone, ZONE_MAX) || !fits(&details.program, PROGRAM_MAX) {
             return Err(DetailsError::BadName);
         }
@@ -290,10 +293,10 @@
             wire: (details.wire_least, details.wire_most),
             settings: (details.settings, details.settings_hash),
             attachments: attachments
-                .map(|p| Attachment {
-                    id: p.id,
-                    version: p.version,
-                    bytes: p.bytes,
+                .map(|attachment| Attachment {
+                    id: attachment.id,
+                    version: attachment.version,
+                    bytes: attachment.bytes,
                 })
                 .collect(),
             encoded: encoded.into(),
@@ -301,7 +304,7 @@
         })
     }
 
-    /// The details as the member encoded them.
+    /// Returns the details as the member encoded them.
     pub fn encoded(&self) -> &[u8] {
         &self.encoded
     }
@@ -310,58 +313,60 @@
         self.hash
     }
 
-    /// Approximate memory in bytes.
+    /// Returns the approximate memory use, in bytes.
     pub fn bytes(&self) -> usize {
         let attachments: usize = self
             .attachments
             .iter()
-            .map(|p| p.bytes.len() + size_of::<Attachment>())
+            .map(|attachment| attachment.bytes.len() + size_of::<Attachment>())
             .sum();
         size_of::<MemberDetails>() + 2 * self.encoded.len() + attachments + 64
     }
 }
 
-/// Free capacity and load of a member, spread without a promise.
+/// Free capacity and load of a member, disseminated without a guarantee of delivery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadHint {
-    /// Sequence number within an incarnation; wraps.
+    /// Sequence number within an incarnation; wraps around.
     pub number: u16,
-    /// Free capacity, of 255.
+    /// Free capacity, from 0 to 255.
     pub capacity: u8,
-    /// Load, of 255.
+    /// Load, from 0 to 255.
     pub load: u8,
 }
 
-/// All that is known of a member.
+/// Entry of a member in the member table.
 #[derive(Clone, Debug)]
 pub struct MemberEntry {
-    /// Its name.
+    /// Name of the member.
     pub name: Arc<str>,
-    /// Its present incarnation.
+    /// Latest known incarnation of the member.
     pub epoch: Epoch,
-    /// Its liveness.
+    /// Liveness and refutation number within the incarnation.
     pub liveness_state: LivenessState,
-    /// Revision of its details within the incarnation.
+    /// Revision of the details within the incarnation.
     pub revision: u32,
-    /// Its details.
+    /// Details that the member publishes.
     pub details: Arc<MemberDetails>,
-    /// The latest load hint.
+    /// Latest load hint received.
     pub load_hint: LoadHint,
-    /// When that was received; 0 if none was.
+    /// Time when the latest load hint was received; 0 if none was.
     pub load_hint_received: crate::Nanos,
-    /// When its liveness last changed here.
+    /// Time when the liveness last changed in this table.
     pub since: crate::Nanos,
-    /// What it adds to digests while it is present; cached, as digests are compared often.
+    /// Value that the entry adds to digests while the member is present. It is cached because
+    /// digests are compared often.
     pub(crate) digest_contribution: u64,
 }
 
 impl MemberEntry {
-    /// Its liveness.
+    /// Returns the liveness of the member.
     pub fn liveness(&self) -> Liveness {
         self.liveness_state.liveness
     }
 
-    /// Recomputes what it adds to digests. Suspicion adds nothing, since it passes.
+    /// Recomputes the value that the entry adds to digests. A suspicion does not change the value,
+    /// since suspicions are temporary.
     pub(crate) fn update_digest_contribution(&mut self, key: MemberKey) {
         self.digest_contribution = hash(&[
             &key.0.to_le_bytes(),
@@ -373,7 +378,7 @@
         ]);
     }
 
-    /// An update without name and details, for nodes that have them.
+    /// Returns an update without name and details, for nodes that have these.
     pub(crate) fn header_update(&self, key: MemberKey) -> MemberUpdate {
         MemberUpdate {
             key: key.0,
@@ -386,7 +391,7 @@
         }
     }
 
-    /// An update with name and details.
+    /// Returns an update with name and details.
     pub(crate) fn full_update(&self, key: MemberKey) -> MemberUpdate {
         MemberUpdate {
             name: self.name.to_string(),
--- a/crates/membership/src/member/tests.rs
+++ b/crates/membership/src/member/tests.rs
@@ -14,52 +14,52 @@
 }
 
 #[test]
-fn details_come_back_as_they_were_told_and_bounds_hold() {
-    let part = |len| Attachment {
+fn details_decode_as_they_were_encoded_and_bounds_are_enforced() {
+    let attachment = |len| Attachment {
         id: 3,
         version: 2,
         bytes: vec![1; len],
     };
-    let details = member_details(vec![part(40)]).unwrap();
+    let details = member_details(vec![attachment(40)]).unwrap();
     assert_eq!(MemberDetails::read(details.encoded()).unwrap(), details);
     assert_eq!(
         (details.phase, &details.zone[..], details.settings),
         (Phase::Serving, "a", (7, 8))
     );
     assert_eq!(
-        member_details(vec![part(DETAILS_MAX)]).unwrap_err(),
+        member_details(vec![attachment(DETAILS_MAX)]).unwrap_err(),
         DetailsError::TooLarge
     );
     assert_eq!(
-        member_details(vec![part(1); ATTACHMENTS_MAX + 1]).unwrap_err(),
+        member_details(vec![attachment(1); ATTACHMENTS_MAX + 1]).unwrap_err(),
         DetailsError::TooLarge
     );
     let zone = "z".repeat(ZONE_MAX + 1);
-    let bad = |address, zone: &str| {
+    let error_for = |address, zone: &str| {
         MemberDetails::new(address, zone, Phase::Cold, "", (1, 1), (0, 0), vec![]).unwrap_err()
     };
     assert_eq!(
-        bad(SocketAddr::from(([127, 0, 0, 1], 9)), &zone),
+        error_for(SocketAddr::from(([127, 0, 0, 1], 9)), &zone),
         DetailsError::BadName
     );
     assert_eq!(
-        bad(SocketAddr::from(([127, 0, 0, 1], 9)), "a b"),
+        error_for(SocketAddr::from(([127, 0, 0, 1], 9)), "a b"),
         DetailsError::BadName
     );
     assert_eq!(
-        bad(SocketAddr::from(([0, 0, 0, 0], 9)), "a"),
+        error_for(SocketAddr::from(([0, 0, 0, 0], 9)), "a"),
         DetailsError::BadAddress
     );
     assert_eq!(
-        bad(SocketAddr::from(([127, 0, 0, 1], 0)), "a"),
+        error_for(SocketAddr::from(([127, 0, 0, 1], 0)), "a"),
         DetailsError::BadAddress
     );
 }
 
-/// A later version adds a field: a node that does not know it passes it on unharmed, and both
-/// agree on the digest.
+/// A later version adds a field. A node that does not know the field must pass it on unchanged and
+/// include it in the hash, so that nodes of both versions agree on the digest.
 #[test]
-fn what_a_later_version_adds_passes_through() {
+fn fields_of_a_later_version_are_passed_on() {
     let mut raw = member_details(vec![]).unwrap().encoded().to_vec();
     raw.extend([0xfa, 0x01, 0x03, b'n', b'e', b'w']); // field 31, bytes
     let read = MemberDetails::read(&raw).unwrap();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn every_cut_and_bit_of_details_is_read_or_refused() {
+fn truncated_or_corrupted_details_do_not_panic() {
     let raw = member_details(vec![Attachment {
         id: 1,
         version: 1,
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,5 +1,5 @@
-//! The member table: merged updates of each member in bounded memory, counts, and digests of key
-//! ranges that are equal on nodes that agree.
+//! Member table: the merged updates about each member in bounded memory, counts of members, and
+//! digests of key ranges that are equal on nodes whose tables agree.
 
 use crate::Nanos;
 use crate::member::{
@@ -15,45 +15,46 @@
 
 pub use change::MemberChange;
 
-/// Slices of the key space (by highest byte) whose digests are cached.
+/// Number of slices of the key space whose digests are cached; the highest byte of a key is the
+/// slice number.
 const SLICES: usize = 256;
-/// Bits below the slice number in a key.
+/// Number of bits below the slice number in a key.
 const SLICE_SHIFT: u32 = 56;
-/// Bytes of an entry without name and details.
+/// Memory that is accounted for an entry without name and details, in bytes.
 const ENTRY_BYTES: usize = 320;
-/// Typical bytes of an entry with names, zones and versions of ordinary length.
+/// Memory of an entry whose name, zone and version have an ordinary length, in bytes.
 pub const TYPICAL_ENTRY_BYTES: usize = 832;
 
 /// Outcome of merging an update.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Nothing new.
+    /// The update contains nothing new.
     Known,
-    /// More recent information is known here; the sender should receive it.
+    /// The table has more recent information, which the sender should receive.
     Older,
-    /// The update refers to a member or revision whose details are missing here.
+    /// The update refers to a member or a revision whose details the table lacks.
     DetailsWanted,
-    /// Its details can't be used.
+    /// The name, the liveness or the details in the update are not valid.
     DetailsError(DetailsError),
-    /// No memory is left.
+    /// There is no memory left for the entry of another member.
     Full,
-    /// The member table has changed.
+    /// The update changed the member table.
     Changed(MemberChange),
 }
 
-/// Details shared by several member tables in one process; used by simulations.
+/// Member details by hash, shared by several member tables in one process; used by simulations.
 pub type Interner = Arc<Mutex<HashMap<u64, Arc<MemberDetails>>>>;
 
 /// Numbers of members by liveness.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberCounts {
-    /// Alive.
+    /// Number of members that are alive.
     pub alive: usize,
-    /// Under suspicion.
+    /// Number of suspected members.
     pub suspect: usize,
-    /// Declared dead.
+    /// Number of members that were declared dead.
     pub dead: usize,
-    /// Left.
+    /// Number of members that left.
     pub left: usize,
 }
 
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Members that are present (alive or suspect).
+    /// Returns the number of present members (alive or suspect).
     pub fn present(&self) -> usize {
         self.alive + self.suspect
     }
@@ -77,13 +78,13 @@
     }
 }
 
-/// The table.
+/// Entries of all members that a node knows, its own included.
 #[derive(Debug)]
 pub struct MemberTable {
     entries: BTreeMap<MemberKey, MemberEntry>,
     cached_digests: Box<[u64; SLICES]>,
     digest: u64,
-    counters: MemberCounts,
+    counts: MemberCounts,
     zones: BTreeMap<Arc<str>, MemberCounts>,
     bytes: usize,
     bytes_max: usize,
@@ -95,13 +96,13 @@
 }
 
 impl MemberTable {
-    /// An empty table that may take `bytes_max` bytes.
+    /// Creates an empty table that may use up to `bytes_max` bytes.
     pub fn new(bytes_max: usize, interner: Option<Interner>) -> MemberTable {
         MemberTable {
             entries: BTreeMap::new(),
             cached_digests: Box::new([0; SLICES]),
             digest: 0,
-            counters: MemberCounts::default(),
+            counts: MemberCounts::default(),
             zones: BTreeMap::new(),
             bytes: 0,
             bytes_max,
@@ -109,37 +110,38 @@
         }
     }
 
-    /// Digest of all present members: equal on nodes that agree on them and their latest revisions.
+    /// Returns the digest of all present members. It is equal on nodes that agree on the present
+    /// members and their latest revisions.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Numbers of members by liveness.
+    /// Returns the numbers of members by liveness.
     pub fn counts(&self) -> MemberCounts {
-        self.counters
+        self.counts
     }
 
-    /// Numbers of members of one zone.
+    /// Returns the numbers of members of one zone by liveness.
     pub fn zone(&self, zone: &str) -> MemberCounts {
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
-    /// All zones with known members.
+    /// Returns all zones with known members, with the numbers of their members.
     pub fn zones(&self) -> impl Iterator<Item = (&Arc<str>, &MemberCounts)> {
         self.zones.iter()
     }
 
-    /// The entry of a member.
+    /// Returns the entry of a member.
     pub fn get(&self, key: MemberKey) -> Option<&MemberEntry> {
         self.entries.get(&key)
     }
 
-    /// All entries by key.
+    /// Returns all entries in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (MemberKey, &MemberEntry)> {
         self.entries.iter().map(|(key, entry)| (*key, entry))
     }
 
-    /// Entries in a range of keys.
+    /// Returns the entries in a range of keys.
     pub fn range(
         &self,
         range: RangeInclusive<u64>,
@@ -149,7 +151,7 @@
             .map(|(key, entry)| (*key, entry))
     }
 
-    /// Number and digest of the present members in a range of keys.
+    /// Returns the number and the digest of the present members in a range of keys.
     pub fn range_digest(&self, range: RangeInclusive<u64>) -> (usize, u64) {
         let present = self
             .range(range)
@@ -159,8 +161,8 @@
         })
     }
 
-    /// Digests of `slices` equal slices of all keys, from the cached ones; `slices` is a power of
-    /// two, 256 at most.
+    /// Returns the digests of `slices` equal slices of the key space, computed from the cached
+    /// digests. `slices` is a power of two, at most 256.
     pub(crate) fn slice_digests(&self, slices: usize) -> Vec<u64> {
         self.cached_digests
             .chunks(SLICES / slices)
@@ -168,11 +170,12 @@
             .collect()
     }
 
-    /// Approximate memory in bytes.
+    /// Returns the approximate memory use, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
+    /// Adds an entry to the counts, the memory use and the digests, or removes it from them.
     fn account(&mut self, key: MemberKey, entry: &MemberEntry, is_added: bool) {
         let size = ENTRY_BYTES + entry.name.len() + entry.details.bytes();
         let zone = self
@@ -180,11 +183,11 @@
             .entry(Arc::clone(&entry.details.zone))
             .or_default();
         if is_added {
-            *self.counters.of(entry.liveness()) += 1;
+            *self.counts.of(entry.liveness()) += 1;
             *zone.of(entry.liveness()) += 1;
             self.bytes += size;
         } else {
-            *self.counters.of(entry.liveness()) -= 1;
+            *self.counts.of(entry.liveness()) -= 1;
             *zone.of(entry.liveness()) -= 1;
             if zone.total() == 0 {
                 self.zones.remove(&entry.details.zone);
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Modifies an entry, and keeps counts and digests consistent.
+    /// Modifies an entry and keeps counts and digests consistent.
     fn modify(&mut self, key: MemberKey, modification: impl FnOnce(&mut MemberEntry)) {
         let Some(mut entry) = self.entries.remove(&key) else {
             return;
@@ -216,6 +219,7 @@
         self.entries.insert(key, entry);
     }
 
+    /// Decodes details, or returns the shared ones that are equal.
     fn details(&self, raw: &[u8]) -> Result<Arc<MemberDetails>, DetailsError> {
         let details = MemberDetails::read(raw)?;
         let Some(interner) = &self.interner else {
@@ -231,27 +235,27 @@
         ))
     }
 
-    /// Merges an update.
-    pub fn merge(&mut self, now: Nanos, updates: &MemberUpdate) -> MergeOutcome {
-        let key = MemberKey(updates.key);
-        let Some(liveness) = Liveness::from_number(updates.liveness) else {
+    /// Merges an update about a member into the table.
+    pub fn merge(&mut self, now: Nanos, update: &MemberUpdate) -> MergeOutcome {
+        let key = MemberKey(update.key);
+        let Some(liveness) = Liveness::from_number(update.liveness) else {
             return MergeOutcome::DetailsError(DetailsError::Unreadable);
         };
         let epoch = Epoch {
-            started_unix_ms: updates.started_unix_ms,
-            incarnation: Incarnation(updates.incarnation),
+            started_unix_ms: update.started_unix_ms,
+            incarnation: Incarnation(update.incarnation),
         };
         let liveness_state = LivenessState {
-            refutation: updates.refutation,
+            refutation: update.refutation,
             liveness,
         };
         match self.entries.get(&key) {
             Some(known) if known.epoch > epoch => MergeOutcome::Older,
             Some(known) if known.epoch == epoch => {
-                self.merge_same_incarnation(now, key, liveness_state, updates)
+                self.merge_same_incarnation(now, key, liveness_state, update)
             }
-            Some(_) => self.replace(now, key, epoch, liveness_state, updates),
-            None => self.insert(now, key, epoch, liveness_state, updates),
+            Some(_) => self.replace(now, key, epoch, liveness_state, update),
+            None => self.insert(now, key, epoch, liveness_state, update),
         }
     }
 
@@ -261,27 +265,27 @@
         now: Nanos,
         key: MemberKey,
         liveness_state: LivenessState,
-        updates: &MemberUpdate,
+        update: &MemberUpdate,
     ) -> MergeOutcome {
         let Some(known) = self.entries.get(&key) else {
             return MergeOutcome::DetailsWanted;
         };
         let (known_state, revision) = (known.liveness_state, known.revision);
-        let newer = updates.revision > revision;
-        if newer && updates.details.is_empty() {
-            // The liveness state may be merged already; the details are still missing.
+        let is_newer = update.revision > revision;
+        if is_newer && update.details.is_empty() {
+            // The liveness state can be merged now, although the details are still missing.
             if liveness_state > known_state {
                 self.modify(key, |entry| entry.liveness_state = liveness_state);
             }
             return MergeOutcome::DetailsWanted;
         }
-        if liveness_state == known_state && updates.revision == revision {
+        if liveness_state == known_state && update.revision == revision {
             return MergeOutcome::Known;
         }
-        if liveness_state <= known_state && !newer {
+        if liveness_state <= known_state && !is_newer {
             return MergeOutcome::Older;
         }
-        let details = match newer.then(|| self.details(&updates.details)).transpose() {
+        let details = match is_newer.then(|| self.details(&update.details)).transpose() {
             Ok(details) => details,
             Err(error) => return MergeOutcome::DetailsError(error),
         };
@@ -303,7 +307,7 @@
             if let Some(details) = details {
                 change.moved = entry.details.address != details.address;
                 change.phase = Some(entry.details.phase).filter(|before| *before != details.phase);
-                (entry.revision, entry.details) = (updates.revision, details);
+                (entry.revision, entry.details) = (update.revision, details);
             }
             change.after = entry.liveness();
         });
@@ -311,19 +315,19 @@
         MergeOutcome::Changed(change)
     }
 
-    /// Replaces an entry by that of a later incarnation.
+    /// Replaces an entry by the entry of a later incarnation.
     fn replace(
         &mut self,
         now: Nanos,
         key: MemberKey,
         epoch: Epoch,
         liveness_state: LivenessState,
-        updates: &MemberUpdate,
+        update: &MemberUpdate,
     ) -> MergeOutcome {
-        if updates.details.is_empty() {
+        if update.details.is_empty() {
             return MergeOutcome::DetailsWanted;
         }
-        let details = match self.details(&updates.details) {
+        let details = match self.details(&update.details) {
             Ok(details) => details,
             Err(error) => return MergeOutcome::DetailsError(error),
         };
@@ -340,7 +344,7 @@
                 name: Arc::clone(&entry.name),
                 epoch,
                 liveness_state,
-                revision: updates.revision,
+                revision: update.revision,
                 details,
                 load_hint: LoadHint::default(),
                 load_hint_received: 0,
@@ -358,32 +362,32 @@
         key: MemberKey,
         epoch: Epoch,
         liveness_state: LivenessState,
-        updates: &MemberUpdate,
+        update: &MemberUpdate,
     ) -> MergeOutcome {
         if !liveness_state.liveness.is_present() {
-            return MergeOutcome::Known; // an unknown member need not be remembered as gone
+            return MergeOutcome::Known; // unknown members that are gone are not recorded
         }
-        if updates.details.is_empty() || updates.name.is_empty() {
+        if update.details.is_empty() || update.name.is_empty() {
             return MergeOutcome::DetailsWanted;
         }
-        if !is_name(&updates.name, NAME_MAX) || MemberKey::of(&updates.name) != key {
+        if !is_name(&update.name, NAME_MAX) || MemberKey::of(&update.name) != key {
             return MergeOutcome::DetailsError(DetailsError::BadName);
         }
-        let details = match self.details(&updates.details) {
+        let details = match self.details(&update.details) {
             Ok(details) => details,
             Err(error) => return MergeOutcome::DetailsError(error),
         };
-        let size = ENTRY_BYTES + updates.name.len() + details.bytes();
+        let size = ENTRY_BYTES + update.name.len() + details.bytes();
         while self.bytes + size > self.bytes_max {
             if !self.forget_one() {
                 return MergeOutcome::Full;
             }
         }
         let mut entry = MemberEntry {
-            name: updates.name.as_str().into(),
+            name: update.name.as_str().into(),
             epoch,
             liveness_state,
-            revision: updates.revision,
+            revision: update.revision,
             details,
             load_hint: LoadHint::default(),
             load_hint_received: 0,
@@ -400,7 +404,8 @@
         })
     }
 
-    /// Marks a member suspect or dead at its known refutation number; `None` if that changes nothing.
+    /// Marks a member suspect or dead at its known refutation number. Returns `None` if that
+    /// changes nothing.
     pub fn mark(&mut self, now: Nanos, key: MemberKey, liveness: Liveness) -> Option<MemberChange> {
         let known = self.entries.get(&key)?;
         if known.liveness_state.liveness >= liveness {
@@ -419,8 +424,8 @@
         })
     }
 
-    /// Merges a load hint; returns the member if the hint is newer than the known one. `tag` is the
-    /// upper half of its key.
+    /// Merges a load hint. Returns the member if the hint is newer than the known one. `tag` is the
+    /// upper half of the member's key.
     pub(crate) fn merge_load_hint(
         &mut self,
         now: Nanos,
@@ -440,7 +445,7 @@
         })
     }
 
-    /// Forgets members that have been gone for at least `after`; returns how many.
+    /// Forgets the members that have been dead or left for at least `after`; returns their number.
     pub fn forget_gone(&mut self, now: Nanos, after: Nanos) -> usize {
         let gone = self
             .iter()
@@ -450,8 +455,9 @@
         gone.len()
     }
 
-    /// Forgets one member that is gone, to free memory: one that left, else the one that is dead for
-    /// longest in the zone with the most dead, so that some of each lost zone are remembered.
+    /// Forgets one member that is gone, to free memory; returns false if there is none. Members
+    /// that left go first, then the member that has been dead longest in the zone with the most
+    /// dead members, so that some members of each lost zone are remembered.
     fn forget_one(&mut self) -> bool {
         let gone = self
             .iter()
@@ -475,13 +481,13 @@
         true
     }
 
-    /// Forgets all members but one.
-    pub(crate) fn forget_all_but(&mut self, own: MemberKey) {
+    /// Forgets all members except the given one.
+    pub(crate) fn forget_all_but(&mut self, kept: MemberKey) {
         let others: Vec<MemberKey> = self
             .entries
             .keys()
             .copied()
-            .filter(|key| *key != own)
+            .filter(|key| *key != kept)
             .collect();
         others.into_iter().for_each(|key| self.remove(key));
     }
--- a/crates/membership/src/member_table/change.rs
+++ b/crates/membership/src/member_table/change.rs
@@ -1,30 +1,31 @@
-//! Changes of a member's entry, and how they are shown.
+//! Changes of a member's entry, and the kinds of change that operators see.
 
 use crate::history::ChangeKind;
 use crate::member::{Liveness, Phase};
 
-/// A change of a member's entry.
+/// Difference between a member's entry before and after an update.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberChange {
-    /// Its liveness before; `None` if it was unknown.
+    /// Liveness before the change; `None` if the member was unknown.
     pub before: Option<Liveness>,
-    /// Its liveness after.
+    /// Liveness after the change.
     pub after: Liveness,
-    /// Whether another incarnation took over the name.
+    /// Whether a later incarnation took over the name.
     pub replaced: bool,
-    /// Whether its address changed.
+    /// Whether the address changed.
     pub moved: bool,
-    /// Its former phase, if that changed.
+    /// Previous phase, if the phase changed.
     pub phase: Option<Phase>,
     /// Whether the table's digest changed.
     pub digest: bool,
 }
 
 impl MemberChange {
-    /// The kind of change shown to operators; `None` where only a revision rose.
+    /// Returns the kind of change that operators see; `None` for a change that is not shown, such
+    /// as a new revision of the details.
     pub fn kind(&self) -> Option<ChangeKind> {
-        let was = self.before.map(Liveness::is_present);
-        match (was, self.after) {
+        let was_present = self.before.map(Liveness::is_present);
+        match (was_present, self.after) {
             (None | Some(false), Liveness::Alive | Liveness::Suspect)
                 if self.before == Some(Liveness::Dead) =>
             {
--- a/crates/membership/src/observer.rs
+++ b/crates/membership/src/observer.rs
@@ -1,5 +1,5 @@
-//! An observer: a tool that is no member and requests a node's status over the authenticated
-//! datagrams. No I/O: it returns what to send and is fed what arrives.
+//! Observer: a client that is not a member and requests the status of a node over authenticated
+//! datagrams. It does no I/O: it returns the datagrams to send and takes the received ones.
 
 use crate::Nanos;
 use crate::datagram_auth::{AuthKeys, DatagramAuth, DropReason, observer_incarnation};
@@ -9,43 +9,43 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A member as a node knows it.
+/// Entry of a member in the member table of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberSnapshot {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its liveness.
+    /// Liveness of the member.
     pub liveness: Liveness,
-    /// Its address.
+    /// Address at which other nodes reach the member.
     pub address: SocketAddr,
-    /// Its zone; may be empty.
+    /// Zone of the member; may be empty.
     pub zone: String,
-    /// Its phase.
+    /// Phase of the member.
     pub phase: Phase,
-    /// Version of its program.
+    /// Version of the member's program.
     pub program: String,
-    /// Number and hash of its settings.
+    /// Number and hash of the settings that the member has in force.
     pub settings: (u64, u64),
-    /// Start time in Unix milliseconds.
+    /// Start time of the incarnation, in Unix milliseconds.
     pub started_unix_ms: u64,
-    /// Its process.
+    /// Number of the incarnation.
     pub incarnation: u64,
-    /// Its refutation number.
+    /// Refutation number of the member.
     pub refutation: u32,
-    /// Revision of its details.
+    /// Revision of the member's details.
     pub revision: u32,
-    /// Free capacity and load, of 255, where known.
+    /// Free capacity and load, each from 0 to 255; `None` if the node has no load hint.
     pub load_hint: Option<(u8, u8)>,
 }
 
-/// A node's status: its own report and its member table.
+/// Status of a node: its report about itself and its member table.
 #[derive(Clone, Debug, Default)]
 pub struct NodeSnapshot {
-    /// The node's report of itself.
+    /// Report of the node about itself.
     pub report: NodeReport,
-    /// Digest of its member table.
+    /// Digest of the node's member table.
     pub digest: u64,
-    /// Its member table.
+    /// Entries of the node's member table.
     pub members: BTreeMap<MemberKey, MemberSnapshot>,
 }
 
@@ -55,16 +55,17 @@
     number: u32,
     cursor: u64,
     snapshot: NodeSnapshot,
-    /// The package whose status is requested (0: membership itself), and its pages so far.
+    /// Number of the package whose status is requested; 0 for the member table.
     topic: u32,
+    /// Pages of another package's status received so far.
     bytes: Vec<u8>,
 }
 
-/// Bytes of another package's status at most.
+/// Size of another package's status, in bytes, beyond which no further page is requested.
 const STATUS_BYTES_MAX: usize = 64 << 10;
 
 impl Observer {
-    /// An observer of a cluster; its incarnation is derived from the seed.
+    /// Creates an observer of a cluster. Its incarnation is derived from the seed.
     pub fn new(cluster: &str, keys: AuthKeys, seed: u64, skew: Nanos) -> Observer {
         Observer {
             datagram_auth: DatagramAuth::new(cluster, keys, observer_incarnation(seed), skew, 64),
@@ -76,13 +77,13 @@
         }
     }
 
-    /// Requests the status of another package in place of the member table.
+    /// Makes the observer request the status of another package in place of the member table.
     pub fn for_topic(mut self, topic: u32) -> Observer {
         self.topic = topic;
         self
     }
 
-    /// The datagram that requests the next page, or the same page again.
+    /// Returns the datagram that requests the next page, or the same page again if no reply came.
     pub fn request(&mut self, unix_ms: u64) -> Vec<u8> {
         self.number += 1;
         let (number, cursor, topic) = (self.number, self.cursor, self.topic);
@@ -96,7 +97,7 @@
         self.datagram_auth.seal(unix_ms, &datagram.encode_to_vec())
     }
 
-    /// The datagram that carries an operator's command to another package.
+    /// Returns the datagram that carries an operator's command to another package.
     pub fn command(&mut self, unix_ms: u64, topic: u32, command: &[u8]) -> Vec<u8> {
         self.number += 1;
         self.topic = topic;
@@ -114,10 +115,10 @@
         )
     }
 
-    /// Handles a received datagram; returns the reply to the last command if this is it.
+    /// Handles a received datagram; returns its payload if it is the reply to the last command.
     ///
     /// # Errors
-    /// The reason to drop it.
+    /// The reason why the datagram is dropped.
     pub fn command_reply(
         &mut self,
         now: Nanos,
@@ -125,18 +126,18 @@
         frame: &[u8],
     ) -> Result<Option<Vec<u8>>, DropReason> {
         let (_, message) = self.datagram_auth.open(now, unix_ms, frame)?;
-        let answer = Datagram::decode(message).map_err(|_| DropReason::Unreadable)?;
-        let is_reply = answer.kind == kind::COMMAND_REPLY
-            && answer.number == self.number
-            && answer.topic == self.topic;
-        Ok(is_reply.then_some(answer.payload))
+        let reply = Datagram::decode(message).map_err(|_| DropReason::Unreadable)?;
+        let is_reply = reply.kind == kind::COMMAND_REPLY
+            && reply.number == self.number
+            && reply.topic == self.topic;
+        Ok(is_reply.then_some(reply.payload))
     }
 
     /// Handles a received datagram; returns whether it was the requested page of another package's
-    /// status, and the whole status after the last page.
+    /// status, and the complete status after the last page.
     ///
     /// # Errors
-    /// The reason to drop it.
+    /// The reason why the datagram is dropped.
     pub fn on_status_page(
         &mut self,
         now: Nanos,
@@ -158,10 +159,10 @@
     }
 
     /// Handles a received datagram; returns whether it was the requested page of the member table,
-    /// and the whole snapshot after the last page.
+    /// and the complete snapshot after the last page.
     ///
     /// # Errors
-    /// The reason to drop it.
+    /// The reason why the datagram is dropped.
     pub fn on_datagram(
         &mut self,
         now: Nanos,
@@ -177,31 +178,31 @@
             self.snapshot.report = report;
         }
         self.snapshot.digest = page.digest;
-        for (at, updates) in page.updates.iter().enumerate() {
-            let Ok(details) = MemberDetails::read(&updates.details) else {
+        for (index, update) in page.updates.iter().enumerate() {
+            let Ok(details) = MemberDetails::read(&update.details) else {
                 continue;
             };
             let load_hint = page
                 .load_hints
                 .as_chunks::<8>()
                 .0
-                .get(at)
-                .filter(|p| p[4..6] != [0, 0]);
+                .get(index)
+                .filter(|hint| hint[4..6] != [0, 0]);
             let member = MemberSnapshot {
-                name: updates.name.clone(),
-                liveness: Liveness::from_number(updates.liveness).unwrap_or_default(),
+                name: update.name.clone(),
+                liveness: Liveness::from_number(update.liveness).unwrap_or_default(),
                 address: details.address,
                 zone: details.zone.to_string(),
                 phase: details.phase,
                 program: details.program.to_string(),
                 settings: details.settings,
-                started_unix_ms: updates.started_unix_ms,
-                incarnation: updates.incarnation,
-                refutation: updates.refutation,
-                revision: updates.revision,
-                load_hint: load_hint.map(|p| (p[6], p[7])),
+                started_unix_ms: update.started_unix_ms,
+                incarnation: update.incarnation,
+                refutation: update.refutation,
+                revision: update.revision,
+                load_hint: load_hint.map(|hint| (hint[6], hint[7])),
             };
-            self.snapshot.members.insert(MemberKey(updates.key), member);
+            self.snapshot.members.insert(MemberKey(update.key), member);
         }
         self.cursor = page.cursor;
         let done = self.cursor == 0;
--- a/crates/membership/src/probe_order.rs
+++ b/crates/membership/src/probe_order.rs
@@ -1,11 +1,11 @@
-//! Order of probes: every member once a round, in an order shuffled anew for each round, so that
-//! the time until a dead member is probed is bounded.
+//! Order of probes. Every member is probed once per round, in an order that is shuffled anew for
+//! each round, so that the time until a failed member is probed is bounded.
 
 use crate::member::MemberKey;
 use rand::seq::SliceRandom;
 use rand::{Rng, RngExt};
 
-/// Members in the order of the present round.
+/// Members in the order of the current round.
 #[derive(Debug, Default)]
 pub struct ProbeOrder {
     order: Vec<MemberKey>,
@@ -15,10 +15,10 @@
 impl ProbeOrder {
     /// Adds a member at a random position.
     pub fn insert(&mut self, rng: &mut impl Rng, key: MemberKey) {
-        let place = rng.random_range(0..=self.order.len());
+        let position = rng.random_range(0..=self.order.len());
         self.order.push(key);
         let last = self.order.len() - 1;
-        self.order.swap(place, last);
+        self.order.swap(position, last);
     }
 
     /// Removes all members.
@@ -26,8 +26,8 @@
         *self = ProbeOrder::default();
     }
 
-    /// The next member for which `holds` is true. Members for which it is false are removed at the
-    /// end of the round.
+    /// Returns the next member for which `holds` returns true. Members for which it returns false
+    /// are removed at the end of the round.
     pub fn next(
         &mut self,
         rng: &mut impl Rng,
@@ -49,25 +49,25 @@
         None
     }
 
-    /// Up to `most` random members for which `holds` is true, without repetition.
+    /// Returns up to `count_max` random members for which `holds` returns true, without repetition.
     pub fn sample(
         &self,
         rng: &mut impl Rng,
-        most: usize,
+        count_max: usize,
         mut holds: impl FnMut(MemberKey) -> bool,
     ) -> Vec<MemberKey> {
-        let mut sample = Vec::with_capacity(most);
-        if self.order.len() <= 4 * most {
+        let mut sample = Vec::with_capacity(count_max);
+        if self.order.len() <= 4 * count_max {
             sample.extend(self.order.iter().copied().filter(|key| holds(*key)));
             sample.sort_unstable();
             sample.dedup();
             sample.shuffle(rng);
-            sample.truncate(most);
+            sample.truncate(count_max);
             return sample;
         }
-        for _ in 0..4 * most {
+        for _ in 0..4 * count_max {
             let key = self.order[rng.random_range(0..self.order.len())];
-            if sample.len() < most && !sample.contains(&key) && holds(key) {
+            if sample.len() < count_max && !sample.contains(&key) && holds(key) {
                 sample.push(key);
             }
         }
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -1,6 +1,6 @@
-//! Simulated clusters of thousands of members in one process: the same state machines over
-//! simulated time, links that lose and delay, members that crash, pause, stall and return, zones
-//! that are partitioned. All chance comes from a seed.
+//! Simulation of clusters of thousands of members in one process. The members run the real state
+//! machines over simulated time. Links lose and delay datagrams; members crash, pause, stall and
+//! return; zones are partitioned. All random numbers come from a seed.
 
 use crate::datagram_auth::AuthKeys;
 use crate::history::ChangeKind;
@@ -27,20 +27,22 @@
 
 /// Unix time at which a simulation starts, in milliseconds.
 const START_UNIX_MS: u64 = 1_800_000_000_000;
-/// All members report a false death; reports of one member within this time count once.
+/// Every member reports a false death. Reports about one member count once if no more than this
+/// time lies between them.
 const FALSE_DEATH_WINDOW: Nanos = 60 * SECOND;
 
-/// Whether the link from one member to another is cut.
+/// Returns whether the link from the first member to the second is cut.
 type LinkCut = Box<dyn Fn(&SimulatedNode, &SimulatedNode) -> bool>;
 
-/// Additional loss (a fraction) and delay of the link from one member to another.
+/// Returns the additional loss (a fraction) and delay of the link from the first member to the
+/// second.
 type LinkQuality = Box<dyn Fn(&SimulatedNode, &SimulatedNode) -> (f64, Nanos)>;
 
-/// A simulated cluster.
+/// Simulated cluster.
 pub struct Simulation {
-    /// Its configuration.
+    /// Configuration of the simulation.
     pub config: SimulationConfig,
-    /// Simulated time.
+    /// Current simulated time.
     pub now: Nanos,
     /// All members, up or down.
     pub nodes: Vec<SimulatedNode>,
@@ -53,12 +55,14 @@
     link_quality: LinkQuality,
     interner: Interner,
     starts: u64,
-    /// Time from the crash of a member until the first other declared it dead, by member.
+    /// Time from the crash of a member until the first other member declared it dead, by the index
+    /// of the crashed member.
     pub detected: BTreeMap<usize, Nanos>,
-    /// Members that were declared dead while they were up and connected, and when.
+    /// Time and member index of each death that was declared while the member was up and connected.
     pub false_deaths: Vec<(Nanos, usize)>,
-    false_last: HashMap<usize, Nanos>,
-    /// Events processed so far.
+    /// Time of the latest report of a false death, by member index.
+    last_false_death: HashMap<usize, Nanos>,
+    /// Number of events processed so far.
     pub processed: u64,
     /// Whether the members' log lines are collected.
     pub collect_lines: bool,
@@ -70,7 +74,7 @@
 }
 
 impl Simulation {
-    /// A cluster none of whose members is up yet.
+    /// Creates a cluster of which no member has been started.
     pub fn new(config: SimulationConfig) -> Simulation {
         let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
         let nodes: Vec<SimulatedNode> = (0..config.members)
@@ -114,7 +118,7 @@
             starts: 0,
             detected: BTreeMap::new(),
             false_deaths: Vec::new(),
-            false_last: HashMap::new(),
+            last_false_death: HashMap::new(),
             processed: 0,
             collect_lines: false,
             nodes,
@@ -122,7 +126,7 @@
         }
     }
 
-    /// A cluster all of whose members are up.
+    /// Creates a cluster of which all members have been started.
     pub fn started(config: SimulationConfig) -> Simulation {
         let mut simulation = Simulation::new(config);
         (0..simulation.nodes.len()).for_each(|n| simulation.start(n));
@@ -133,9 +137,9 @@
                 .filter_map(|node| node.membership.as_ref()?.introduction())
                 .collect();
             for n in 0..simulation.nodes.len() {
-                let at = simulation.clock_reading(n);
+                let reading = simulation.clock_reading(n);
                 if let Some(membership) = &mut simulation.nodes[n].membership {
-                    membership.preload(at, &all);
+                    membership.preload(reading, &all);
                 }
             }
         }
@@ -160,7 +164,7 @@
             seeds: (0..3.min(self.nodes.len()))
                 .map(|n| self.nodes[n].address)
                 .collect(),
-            keys: AuthKeys::new(&[vec![7; 32]]).expect("a key of 32 bytes"),
+            keys: AuthKeys::new(&[vec![7; 32]]).expect("a key of 32 bytes is long enough"),
             timing: self.config.timing,
             program: "0.1.0".into(),
             settings: (1, 1),
@@ -169,7 +173,7 @@
         }
     }
 
-    /// Starts a member that knows nobody but the seeds.
+    /// Starts a member that knows only the seeds.
     pub fn start(&mut self, n: usize) {
         self.starts += 1;
         let seed = self
@@ -177,18 +181,19 @@
             .seed
             .wrapping_mul(1_000_003)
             .wrapping_add(self.starts);
-        let out = SimulatedActions {
+        let host = SimulatedActions {
             lines: self.collect_lines.then(Vec::new),
             ..SimulatedActions::default()
         };
-        let (at, settings, interner) = (
+        let (reading, node_config, interner) = (
             self.clock_reading(n),
             self.node_config(n),
             self.interner.clone(),
         );
-        let membership = Membership::with_interner(settings, seed, at, out, Some(interner));
+        let membership =
+            Membership::with_interner(node_config, seed, reading, host, Some(interner));
         let node = &mut self.nodes[n];
-        node.membership = Some(membership.expect("simulated members have good names"));
+        node.membership = Some(membership.expect("names of simulated members are valid"));
         node.generation += 1;
         (node.down_since, node.wake_scheduled, node.paused_until) = (None, Nanos::MAX, self.now);
         self.schedule_wake(n);
@@ -197,7 +202,7 @@
         }
     }
 
-    /// Crashes a member.
+    /// Crashes a member: it ends without announcing its leave.
     pub fn crash(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         node.membership = None;
@@ -206,27 +211,29 @@
         self.detected.remove(&n);
     }
 
-    /// Has a member announce its leave, and ends it.
+    /// Makes a member announce its leave, and ends it.
     pub fn leave(&mut self, n: usize) {
-        let at = self.clock_reading(n);
+        let reading = self.clock_reading(n);
         if let Some(membership) = &mut self.nodes[n].membership {
-            membership.leave(at);
+            membership.leave(reading);
         }
         self.apply_actions(n);
         self.crash(n);
     }
 
-    /// Pauses a member; what reaches it meanwhile waits.
+    /// Pauses a member for the given time. Datagrams that arrive in the meantime are delivered when
+    /// the pause ends.
     pub fn pause(&mut self, n: usize, time: Nanos) {
         self.nodes[n].paused_until = self.now + time;
     }
 
-    /// Cuts the links for which `cut` holds, given sender and receiver.
+    /// Cuts the links for which `cut` returns true, given sender and receiver.
     pub fn cut(&mut self, cut: impl Fn(&SimulatedNode, &SimulatedNode) -> bool + 'static) {
         self.cut = Box::new(cut);
     }
 
-    /// Degrades links: additional loss (a fraction) and delay, given sender and receiver.
+    /// Degrades links. `quality` returns the additional loss (a fraction) and delay of the link
+    /// from the given sender to the given receiver.
     pub fn degrade_links(
         &mut self,
         quality: impl Fn(&SimulatedNode, &SimulatedNode) -> (f64, Nanos) + 'static,
@@ -234,16 +241,17 @@
         self.link_quality = Box::new(quality);
     }
 
-    /// Restores all links.
+    /// Restores all cut and degraded links.
     pub fn heal(&mut self) {
         self.cut(|_, _| false);
         self.degrade_links(|_, _| (0.0, 0));
     }
 
+    /// Schedules the next stall of a member.
     fn schedule_stall(&mut self, n: usize) {
-        let (_, run) = self.config.stall;
-        let begin = self.rng.random_range(run / 2..run * 3 / 2);
-        self.push(self.now + begin, n, EventKind::Stall);
+        let (_, interval) = self.config.stall;
+        let delay = self.rng.random_range(interval / 2..interval * 3 / 2);
+        self.push(self.now + delay, n, EventKind::Stall);
     }
 
     fn push(&mut self, due: Nanos, node: usize, kind: EventKind) {
@@ -256,7 +264,7 @@
         }));
     }
 
-    /// Schedules the next wake of a member.
+    /// Schedules the next wake of a member, unless one is scheduled that is at least as early.
     fn schedule_wake(&mut self, n: usize) {
         let Some(next) = self.nodes[n]
             .membership
@@ -272,7 +280,8 @@
         }
     }
 
-    /// Delivers what a member sent, and records the deaths that it declared.
+    /// Schedules the delivery of the datagrams that a member sent, and records the deaths that it
+    /// declared.
     fn apply_actions(&mut self, n: usize) {
         let Some(membership) = &mut self.nodes[n].membership else {
             return;
@@ -280,7 +289,7 @@
         let sent = std::mem::take(&mut membership.host.sent);
         let changed = std::mem::take(&mut membership.host.changed);
         for (to, frame) in sent {
-            self.nodes[n].bytes += frame.len() as u64 + 28; // with the headers of UDP and IP
+            self.nodes[n].bytes += frame.len() as u64 + 28; // including the headers of UDP and IP
             self.nodes[n].datagrams += 1;
             let Some(&to) = self.nodes_by_address.get(&to) else {
                 continue;
@@ -291,8 +300,8 @@
             if lost || (self.cut)(&self.nodes[n], &self.nodes[to]) {
                 continue;
             }
-            let (least, most) = self.config.latency;
-            let due = self.now + delay + self.rng.random_range(least..=most);
+            let (shortest, longest) = self.config.latency;
+            let due = self.now + delay + self.rng.random_range(shortest..=longest);
             self.push(
                 due,
                 to,
@@ -311,24 +320,26 @@
         }
     }
 
-    fn record_death(&mut self, observer: usize, other: usize) {
-        if let Some(since) = self.nodes[other].down_since {
-            self.detected.entry(other).or_insert(self.now - since);
+    /// Records that `observer` declared member `dead` dead: as detected if that member is down, and
+    /// as a false death if it is up, not paused and connected.
+    fn record_death(&mut self, observer: usize, dead: usize) {
+        if let Some(since) = self.nodes[dead].down_since {
+            self.detected.entry(dead).or_insert(self.now - since);
             return;
         }
-        let paused = self.nodes[other].paused_until > self.now;
-        let cut = (self.cut)(&self.nodes[observer], &self.nodes[other])
-            || (self.cut)(&self.nodes[other], &self.nodes[observer]);
-        let last = self.false_last.get(&other).copied();
+        let paused = self.nodes[dead].paused_until > self.now;
+        let cut = (self.cut)(&self.nodes[observer], &self.nodes[dead])
+            || (self.cut)(&self.nodes[dead], &self.nodes[observer]);
+        let last = self.last_false_death.get(&dead).copied();
         if !paused && !cut && last.is_none_or(|last| self.now > last + FALSE_DEATH_WINDOW) {
-            self.false_deaths.push((self.now, other));
+            self.false_deaths.push((self.now, dead));
         }
         if !paused && !cut {
-            self.false_last.insert(other, self.now);
+            self.last_false_death.insert(dead, self.now);
         }
     }
 
-    /// Processes the next event if it is due by `until`; returns whether it was.
+    /// Processes the next event if it is due by `until`; returns whether there was one.
     fn step(&mut self, until: Nanos) -> bool {
         if self
             .queue
@@ -361,10 +372,10 @@
                     && self.nodes[n].wake_scheduled <= self.now
                 {
                     self.nodes[n].wake_scheduled = Nanos::MAX;
-                    let at = self.clock_reading(n);
+                    let reading = self.clock_reading(n);
                     if let Some(membership) = &mut self.nodes[n].membership {
                         if membership.next_wake() <= self.now {
-                            membership.wake(at);
+                            membership.wake(reading);
                         }
                         self.apply_actions(n);
                     }
@@ -372,9 +383,9 @@
                 }
             }
             EventKind::Deliver { from, frame } => {
-                let at = self.clock_reading(n);
+                let reading = self.clock_reading(n);
                 if let Some(membership) = &mut self.nodes[n].membership {
-                    membership.on_datagram(at, from, &frame);
+                    membership.on_datagram(reading, from, &frame);
                     self.apply_actions(n);
                     self.schedule_wake(n);
                 }
@@ -383,44 +394,46 @@
         true
     }
 
-    /// Advances simulated time.
+    /// Advances the simulation by the given time.
     pub fn run(&mut self, time: Nanos) {
         let until = self.now + time;
         while self.step(until) {}
         self.now = until;
     }
 
-    /// Advances time until the condition holds, checked at each interval; returns how long that
-    /// took, or `None` if it did not hold within `most`.
+    /// Advances the simulation until `holds` returns true, which is checked at the interval
+    /// `every`. Returns the simulated time that this took, or `None` if it took longer than
+    /// `timeout`.
     pub fn run_until(
         &mut self,
-        most: Nanos,
+        timeout: Nanos,
         every: Nanos,
         mut holds: impl FnMut(&Simulation) -> bool,
     ) -> Option<Nanos> {
-        let begun = self.now;
-        while self.now < begun + most {
+        let start = self.now;
+        while self.now < start + timeout {
             if holds(self) {
-                return Some(self.now - begun);
+                return Some(self.now - start);
             }
             self.run(every);
         }
-        holds(self).then(|| self.now - begun)
+        holds(self).then(|| self.now - start)
     }
 
-    /// Whether the link from one member to another is cut.
+    /// Returns whether the link from one member to another is cut.
     pub fn is_cut(&self, from: &SimulatedNode, to: &SimulatedNode) -> bool {
         (self.cut)(from, to)
     }
 
-    /// Members that are up.
+    /// Returns the members that are up.
     pub fn up(&self) -> impl Iterator<Item = (&SimulatedNode, &Membership<SimulatedActions>)> {
         self.nodes
             .iter()
             .filter_map(|node| Some((node, node.membership.as_ref()?)))
     }
 
-    /// Whether all members that are up share one digest and see exactly the members that are up.
+    /// Returns whether all members that are up share one digest and see exactly the members that
+    /// are up.
     pub fn is_settled(&self) -> bool {
         let mut digests = self
             .up()
@@ -435,23 +448,25 @@
         let Some((_, membership)) = self.up().next() else {
             return true;
         };
-        let there = |node: &SimulatedNode| {
+        let is_seen_correctly = |node: &SimulatedNode| {
             let liveness = membership
                 .member_table()
                 .get(node.key)
                 .map(|entry| entry.liveness());
             liveness.is_some_and(Liveness::is_present) == node.membership.is_some()
         };
-        membership.member_table().counts().present() == up && self.nodes.iter().all(there)
+        membership.member_table().counts().present() == up
+            && self.nodes.iter().all(is_seen_correctly)
     }
 
-    /// Whether no member is suspected by any.
+    /// Returns whether no member suspects another.
     pub fn is_calm(&self) -> bool {
         self.up()
             .all(|(_, membership)| membership.member_table().counts().suspect == 0)
     }
 
-    /// Mean bytes and datagrams sent by each member since the last call.
+    /// Returns the mean number of bytes and of datagrams that a member has sent since the last
+    /// call.
     pub fn take_traffic(&mut self) -> (f64, f64) {
         let members = self.nodes.len().max(1) as f64;
         let bytes: u64 = self
--- a/crates/membership/src/simulation/config.rs
+++ b/crates/membership/src/simulation/config.rs
@@ -5,25 +5,26 @@
 /// Configuration of a simulated cluster.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
-    /// Number of members.
+    /// Number of members in the cluster.
     pub members: usize,
     /// Number of zones; members are spread evenly.
     pub zones: usize,
     /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// Shortest and longest time that a datagram takes.
+    /// Shortest and longest delay of a datagram, in nanoseconds.
     pub latency: (Nanos, Nanos),
-    /// Fraction of members that stall now and then.
+    /// Fraction of members that stall from time to time.
     pub stalling: f64,
-    /// Longest stall, and mean time between two stalls.
+    /// Longest stall and mean time between the beginnings of two stalls, in nanoseconds.
     pub stall: (Nanos, Nanos),
     /// Periods and timeouts of the protocol.
     pub timing: Timing,
     /// Mechanisms that are switched on.
     pub features: FeatureToggles,
-    /// Whether all know each other at the start; else the first three are the seeds.
+    /// Whether all members know each other at the start. Otherwise they join through the first
+    /// three members, which are the seeds.
     pub preloaded: bool,
-    /// Seed of all chance.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
--- a/crates/membership/src/simulation/event.rs
+++ b/crates/membership/src/simulation/event.rs
@@ -4,20 +4,18 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What happens to a member.
+/// Kind of an event, which concerns one member.
 pub(super) enum EventKind {
-    Wake {
-        generation: u32,
-    },
-    /// A stalling member stands still from now on, for a while.
+    /// The member's timers are due. Ignored if the member has been restarted since, that is, if it
+    /// has another generation.
+    Wake { generation: u32 },
+    /// A stalling member stalls for a random time.
     Stall,
-    Deliver {
-        from: SocketAddr,
-        frame: Rc<[u8]>,
-    },
+    /// A datagram arrives at the member.
+    Deliver { from: SocketAddr, frame: Rc<[u8]> },
 }
 
-/// An event, ordered by time and then by when it was scheduled.
+/// Event, ordered by due time and then by the order in which it was scheduled.
 pub(super) struct Event {
     pub(super) due: Nanos,
     pub(super) order: u64,
--- a/crates/membership/src/simulation/heartbeats.rs
+++ b/crates/membership/src/simulation/heartbeats.rs
@@ -1,29 +1,30 @@
-//! The plainest failure detector, to measure against: all-to-all heartbeats.
+//! All-to-all heartbeats, the simplest failure detector, as a baseline for measurements.
 
 use crate::{Nanos, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Results of all-to-all heartbeats, where a member that misses some periods is declared dead.
+/// Results of a simulation of all-to-all heartbeats, where a member from which no heartbeat arrives
+/// for some periods is declared dead.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Heartbeats {
-    /// Bytes a second that each member sends.
+    /// Bytes that each member sends per second.
     pub bytes: f64,
-    /// Datagrams a second that each member sends.
+    /// Datagrams that each member sends per second.
     pub datagrams: f64,
-    /// How often some member declared a running one dead.
+    /// Number of times that a member declared a running one dead.
     pub false_deaths: u64,
-    /// Seconds until the first member declares a crashed one dead.
+    /// Seconds from a crash until the first member declares the crashed one dead.
     pub found: f64,
-    /// Seconds until all members have declared it dead.
+    /// Seconds from a crash until all members have declared the crashed one dead.
     pub agreed: f64,
 }
 
-/// Bytes of a heartbeat: the frame with name and number, and the headers of UDP and IP.
+/// Size of a heartbeat in bytes: the frame with name and number, and the headers of UDP and IP.
 const HEARTBEAT_BYTES: usize = crate::datagram_auth::OVERHEAD + 42 + 28;
 
-/// Simulates heartbeats for `time`, with a crash at the end; a member silent for `missed` periods is
-/// declared dead.
+/// Simulates heartbeats for `time`, with a crash at the end. A member is declared dead when no
+/// heartbeat from it arrives for `missed` periods.
 pub fn heartbeats(
     members: usize,
     loss: f64,
@@ -39,17 +40,18 @@
     for _ in 0..rounds {
         for from in 0..members {
             for to in (0..members).filter(|&to| to != from) {
-                let at = &mut missed_in_a_row[from * members + to];
-                *at = if loss > 0.0 && rng.random_bool(loss) {
-                    *at + 1
+                let missed_here = &mut missed_in_a_row[from * members + to];
+                *missed_here = if loss > 0.0 && rng.random_bool(loss) {
+                    *missed_here + 1
                 } else {
                     0
                 };
-                false_deaths += u64::from(*at == missed);
+                false_deaths += u64::from(*missed_here == missed);
             }
         }
     }
-    // The crash: each member has already missed some periods, and has its own phase.
+    // At the crash each member has already missed some heartbeats of the crashed one, and its
+    // periods begin at a time of its own.
     let seconds_left: Vec<f64> = (1..members)
         .map(|to| f64::from(missed - missed_in_a_row[to].min(missed)) - rng.random_range(0.0..1.0))
         .map(|periods| periods.max(0.0) * period as f64 / SECOND as f64)
--- a/crates/membership/src/simulation/node.rs
+++ b/crates/membership/src/simulation/node.rs
@@ -1,4 +1,4 @@
-//! A simulated member and what it does.
+//! Simulated member and its side effects.
 
 use crate::cluster_size::ClusterView;
 use crate::history::ChangeKind;
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Side effects of a simulated member.
+/// Side effects that a simulated member has requested.
 #[derive(Debug, Default)]
 pub struct SimulatedActions {
     pub(super) sent: Vec<(SocketAddr, Rc<[u8]>)>,
     pub(super) changed: Vec<(ChangeKind, MemberKey)>,
-    /// Lines of its log, if they are collected.
+    /// Log lines of the member; `None` if they are not collected.
     pub lines: Option<Vec<String>>,
 }
 
@@ -31,28 +31,29 @@
     }
 }
 
-/// A simulated member.
+/// Simulated member.
 pub struct SimulatedNode {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its key.
+    /// Key of the member.
     pub key: MemberKey,
-    /// Number of its zone.
+    /// Number of the member's zone.
     pub zone: usize,
     pub(super) address: SocketAddr,
-    /// Its protocol state; `None` while it is down.
+    /// Protocol state of the member; `None` while the member is down.
     pub membership: Option<Membership<SimulatedActions>>,
     pub(super) generation: u32,
     pub(super) wake_scheduled: Nanos,
-    /// It neither receives nor acts until then.
+    /// Time until which the member neither receives nor acts.
     pub(super) paused_until: Nanos,
     pub(super) is_stalling: bool,
-    /// When it went down, if it is down.
+    /// Time when the member went down; `None` while it is up.
     pub down_since: Option<Nanos>,
-    /// Error of its Unix clock, in milliseconds.
+    /// Error of the member's Unix clock, in milliseconds.
     pub clock_error_ms: i64,
-    /// Bytes sent since they were last read.
+    /// Bytes that the member has sent since the last call of
+    /// [`Simulation::take_traffic`](super::Simulation::take_traffic).
     pub bytes: u64,
-    /// Datagrams sent since they were last read.
+    /// Datagrams that the member has sent since that call.
     pub datagrams: u64,
 }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,45 +1,47 @@
-//! Suspicion timeouts, after Lifeguard: long while few members suspect, shorter with each that
-//! confirms.
+//! Suspicion timeouts as in Lifeguard: long while few members suspect another, and shorter with
+//! each member that confirms the suspicion.
 //!
-//! No member is declared dead without a last call: whoever suspects it probes it once more and tells
-//! it of the suspicion. Otherwise a suspicion from within a partition can outlive the partition.
+//! No member is declared dead without a last call: each node that suspects it probes it again and
+//! informs it of the suspicion. Otherwise a suspicion that arose during a partition could outlast
+//! the partition.
 
 use crate::Nanos;
 use crate::member::MemberKey;
 use std::collections::BTreeMap;
 
-/// Confirmations by others that shorten the timeout to its minimum.
+/// Number of confirmations by other members that shorten the timeout to its minimum.
 pub const CONFIRMATIONS_MAX: usize = 3;
 
-/// Transmissions of the last call, in case some are lost.
+/// Number of transmissions of the last call, since some may be lost.
 const LAST_CALLS: u32 = 3;
 
-/// One suspected member.
+/// Suspicion of one member.
 #[derive(Clone, Debug)]
 struct Suspicion {
     since: Nanos,
     suspected_by: Vec<MemberKey>,
     timeout_min: Nanos,
     timeout_max: Nanos,
-    /// When the last call was first sent.
+    /// Time of the first transmission of the last call.
     first_call: Option<Nanos>,
+    /// Number of transmissions of the last call so far.
     calls: u32,
 }
 
 impl Suspicion {
-    /// When the timeout ends, last call aside.
+    /// Returns the end of the timeout, without regard to the last call.
     fn timeout_end(&self) -> Nanos {
-        let confirm_suspicion = self.suspected_by.len().saturating_sub(1);
-        if confirm_suspicion == 0 {
+        let confirmations = self.suspected_by.len().saturating_sub(1);
+        if confirmations == 0 {
             return self.since + self.timeout_max;
         }
-        let shrink = ((confirm_suspicion + 1) as f64).ln() / ((CONFIRMATIONS_MAX + 1) as f64).ln();
+        let shrink = ((confirmations + 1) as f64).ln() / ((CONFIRMATIONS_MAX + 1) as f64).ln();
         let timeout = self.timeout_max as f64
             - shrink.min(1.0) * (self.timeout_max - self.timeout_min) as f64;
         self.since + (timeout as Nanos).max(self.timeout_min)
     }
 
-    /// When the next action is due: a last call, or the end.
+    /// Returns when the next action is due: a transmission of the last call, or the end.
     fn due(&self, lead: Nanos) -> Nanos {
         match self.first_call {
             None => self.timeout_end().saturating_sub(lead),
@@ -51,24 +53,24 @@
     }
 }
 
-/// Suspicions on which to act.
+/// Suspicions whose next action is due.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct DueSuspicions {
-    /// Suspects to send a last call.
+    /// Suspects to which a last call is to be sent.
     pub last_calls: Vec<MemberKey>,
-    /// Suspects to declare dead.
+    /// Suspects that are to be declared dead.
     pub expired: Vec<MemberKey>,
 }
 
-/// All suspicions of this node.
+/// All suspicions that this node knows of.
 #[derive(Debug, Default)]
 pub struct Suspicions {
     by_member: BTreeMap<MemberKey, Suspicion>,
 }
 
 impl Suspicions {
-    /// Records that a member is suspected, and by whom; true if that is new here. The timeout lies
-    /// between the given bounds.
+    /// Records that `suspected_by` suspects a member. Returns true if this is new and can shorten
+    /// the timeout, which lies between the given bounds.
     pub fn suspect(
         &mut self,
         now: Nanos,
@@ -76,7 +78,7 @@
         suspected_by: MemberKey,
         (timeout_min, timeout_max): (Nanos, Nanos),
     ) -> bool {
-        let fresh = || Suspicion {
+        let new_suspicion = || Suspicion {
             since: now,
             suspected_by: Vec::new(),
             timeout_min,
@@ -84,7 +86,7 @@
             first_call: None,
             calls: 0,
         };
-        let suspicion = self.by_member.entry(key).or_insert_with(fresh);
+        let suspicion = self.by_member.entry(key).or_insert_with(new_suspicion);
         let is_new = !suspicion.suspected_by.contains(&suspected_by)
             && suspicion.suspected_by.len() <= CONFIRMATIONS_MAX;
         if is_new {
@@ -93,12 +95,12 @@
         is_new
     }
 
-    /// The latest member to suspect it.
+    /// Returns the member that was the latest to suspect the given one.
     pub fn latest(&self, key: MemberKey) -> Option<MemberKey> {
         self.by_member.get(&key)?.suspected_by.last().copied()
     }
 
-    /// Ends a suspicion: refuted, or declared dead.
+    /// Ends a suspicion, after the member refuted it or was declared dead.
     pub fn clear(&mut self, key: MemberKey) {
         self.by_member.remove(&key);
     }
@@ -108,7 +110,8 @@
         self.by_member.clear();
     }
 
-    /// Postpones all timeouts: this process stood still, which speaks against nobody.
+    /// Postpones all timeouts by the time for which this process was paused, since it could not
+    /// receive refutations meanwhile. Last calls are sent again.
     pub fn postpone(&mut self, time: Nanos) {
         for suspicion in self.by_member.values_mut() {
             suspicion.since += time;
@@ -116,7 +119,8 @@
         }
     }
 
-    /// When the next action is due; `lead` is the time for a reply to a last call.
+    /// Returns when the next action is due. `lead` is the time that a member has to reply to the
+    /// last call.
     pub fn next(&self, lead: Nanos) -> Option<Nanos> {
         self.by_member
             .values()
@@ -124,7 +128,7 @@
             .min()
     }
 
-    /// Takes the suspicions on which to act now.
+    /// Returns the suspicions whose next action is due, and ends those that have expired.
     pub fn due(&mut self, now: Nanos, lead: Nanos) -> DueSuspicions {
         let mut due = DueSuspicions::default();
         for (key, suspicion) in self
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -1,10 +1,11 @@
-//! The SWIM protocol state machine: one method for each event, side effects through [`Host`].
+//! SWIM protocol state machine: one method for each event; side effects go through [`Host`].
 //!
-//! - [`Membership::on_datagram`]: a datagram arrived (`receiving`, `member_updates`, `comparison`);
+//! - [`Membership::on_datagram`]: a datagram has arrived (`receiving`, `member_updates`,
+//!   `comparison`);
 //! - [`Membership::wake`]: timers are due (`timers`, `probing`, `dissemination`);
-//! - `own_entry`: the node publishes something about itself, or leaves;
-//! - `name_conflict`: another process has this node's name;
-//! - `observation`: what operators and the rest of the program see.
+//! - `own_entry`: the node publishes details about itself, or leaves;
+//! - `name_conflict`: another process uses this node's name;
+//! - `observation`: status for operators and for the rest of the program.
 
 use crate::anti_entropy::{self, RangeExchange};
 use crate::cluster_size::{ClusterSizeEstimator, ClusterView};
@@ -53,12 +54,12 @@
 use sending::{LOAD_HINT_BYTES, LOAD_HINTS_PER_DATAGRAM, WANTS_PER_DATAGRAM};
 use timers::Timers;
 
-/// Rate (bytes a second) and burst (bytes) for updates that ride on other datagrams.
+/// Rate (bytes per second) and burst (bytes) of updates that are added to other datagrams.
 const DISSEMINATION_BYTES: (f64, f64) = (16e3, 32e3);
 
-/// The membership protocol of one node.
+/// Membership protocol of one node.
 pub struct Membership<H: Host> {
-    /// Carries out the side effects.
+    /// Host that carries out the side effects.
     pub host: H,
     config: Config,
     rng: Pcg64Mcg,
@@ -79,11 +80,13 @@
     relayed_probes: BTreeMap<u32, RelayedProbe>,
     datagram_auth: DatagramAuth,
     receive_limiter: ReceiveLimiter,
-    number: u32,
+    /// Number of the latest probe, direct or relayed.
+    last_probe_number: u32,
     timers: Timers,
-    /// When it asked to be woken.
-    promised_wake: Nanos,
-    recovery_rounds: u64,
+    /// Time at which the node last asked to be woken. A later call shows that the process was
+    /// paused.
+    requested_wake: Nanos,
+    dead_probe_rounds: u64,
     unsettled_until: Nanos,
     ignore_received_until: Nanos,
     last_comparison: Nanos,
@@ -91,7 +94,8 @@
     comparison_budget: TokenBucket,
     dissemination_budget: TokenBucket,
     name_conflict: Option<NameConflict>,
-    /// Addresses where somebody was, before all was begun anew.
+    /// Addresses of the members that were known before a long pause, after which the node joins
+    /// anew.
     former_addresses: Vec<SocketAddr>,
     alone_since: Option<Nanos>,
     alone_reported: bool,
@@ -103,10 +107,10 @@
 }
 
 impl<H: Host> Membership<H> {
-    /// A node that has just started and knows only itself and its seeds.
+    /// Creates a node that has just started and knows only itself and its seeds.
     ///
     /// # Errors
-    /// Where the configured name can't be used, or the node's own details don't fit an entry.
+    /// If the configured name is not valid, or the node's own details do not fit an entry.
     pub fn new(
         config: Config,
         seed: u64,
@@ -116,7 +120,8 @@
         Membership::with_interner(config, seed, at, host, None)
     }
 
-    /// The same, with details shared with other nodes in this process; for simulations.
+    /// Creates a node as [`Membership::new`] does, with member details shared with other nodes in
+    /// this process; for simulations.
     ///
     /// # Errors
     /// As for [`Membership::new`].
@@ -166,10 +171,10 @@
             relayed_probes: BTreeMap::new(),
             datagram_auth,
             receive_limiter: ReceiveLimiter::new(2 * members_max),
-            number: 0,
+            last_probe_number: 0,
             timers,
-            promised_wake: Nanos::MAX,
-            recovery_rounds: 0,
+            requested_wake: Nanos::MAX,
+            dead_probe_rounds: 0,
             unsettled_until: 0,
             ignore_received_until: 0,
             last_comparison: 0,
@@ -188,21 +193,22 @@
         };
         membership.announce(at)?;
         membership.refresh_cluster_view(at);
-        membership.promised_wake = membership.next_wake().max(at.now);
+        membership.requested_wake = membership.next_wake().max(at.now);
         Ok(membership)
     }
 
-    /// The node's own key and incarnation.
+    /// Returns the node's own key and incarnation.
     pub fn identity(&self) -> (MemberKey, Incarnation) {
         (self.own_key, self.epoch.incarnation)
     }
 
-    /// The node's own name.
+    /// Returns the node's own name.
     pub fn name(&self) -> &str {
         &self.config.name
     }
 
-    /// The refutation number of the node's own entry: how often it had to contradict a suspicion.
+    /// Returns the refutation number of the node's own entry, which rises each time the node
+    /// refutes a suspicion.
     pub fn refutation(&self) -> u32 {
         self.refutation
     }
--- a/crates/membership/src/swim/datagram_builder.rs
+++ b/crates/membership/src/swim/datagram_builder.rs
@@ -1,16 +1,16 @@
-//! A datagram under construction that never exceeds its bound.
+//! Builder of a datagram that does not exceed the maximum message size.
 
 use super::sending::{LOAD_HINT_BYTES, LOAD_HINTS_PER_DATAGRAM};
 use crate::datagram_auth::MESSAGE_MAX;
 use crate::messages::{Datagram, MemberUpdate};
 use prost::Message;
 
-/// Encoded bytes of a length-delimited field with content of the given size.
+/// Returns the encoded size of a length-delimited field with content of the given size, in bytes.
 pub(super) fn encoded_field_len(content_bytes: usize) -> usize {
     1 + prost::length_delimiter_len(content_bytes) + content_bytes
 }
 
-/// A datagram with its encoded size so far.
+/// Datagram under construction, with its encoded size in bytes.
 pub(super) struct DatagramBuilder {
     pub(super) datagram: Datagram,
     pub(super) size: usize,
@@ -22,7 +22,7 @@
         DatagramBuilder { datagram, size }
     }
 
-    /// Whether so many further bytes fit, with room left for load hints.
+    /// Returns whether the given number of further bytes fits, with room left for load hints.
     pub(super) fn fits(&self, bytes: usize) -> bool {
         let load_hints = encoded_field_len((LOAD_HINTS_PER_DATAGRAM + 1) * LOAD_HINT_BYTES);
         self.size + bytes + load_hints <= MESSAGE_MAX
--- a/crates/membership/src/swim/dissemination.rs
+++ b/crates/membership/src/swim/dissemination.rs
@@ -1,62 +1,66 @@
-//! Gossip rounds, and the search for members that are lost: the dead and the seeds.
+//! Gossip rounds, and attempts to reach dead members and seeds.
 
 use super::*;
 
-/// Members addressed in each gossip round.
+/// Number of members that receive a datagram in each gossip round.
 pub(super) const GOSSIP_FANOUT: usize = 3;
-/// Updates that fit one datagram, roughly; with more queued, member tables are compared instead.
+/// Approximate number of updates that fit one datagram. If more are queued, member tables are
+/// compared as well.
 pub(super) const UPDATES_PER_DATAGRAM: usize = 20;
-/// Period at which seeds are contacted by a node that knows nobody, and by others.
+/// Time between two contacts to seeds while the node knows no other member.
 const SEED_INTERVAL_ALONE: Nanos = SECOND;
+/// Time between two contacts to seeds while the node knows other members.
 const SEED_INTERVAL: Nanos = 10 * SECOND;
-/// Seeds contacted at once by a node that knows nobody.
+/// Number of seeds contacted at once while the node knows no other member.
 const SEEDS_AT_ONCE: usize = 3;
-/// Members dead for longer than the time are probed only every so many rounds.
+/// Members that have been dead for at least the given time are probed only in every n-th round;
+/// each pair is a time and its n.
 const DEAD_PROBE_BACKOFF: [(Nanos, u64); 2] = [(60 * SECOND, 5), (600 * SECOND, 30)];
-/// One more dead member is probed in a round for each so many that are due.
+/// For each full group of this many dead members that are due, one more is probed in a round.
 const DEAD_PER_EXTRA_PROBE: usize = 24;
-/// Dead members probed in one round at most.
+/// Maximum number of dead members probed in one round.
 const DEAD_PROBES_MAX: usize = 8;
 
 impl<H: Host> Membership<H> {
-    /// Some other present members, by chance.
-    pub(super) fn random_present(&mut self, most: usize) -> Vec<MemberKey> {
+    /// Returns up to `count_max` other present members, chosen at random.
+    pub(super) fn random_present(&mut self, count_max: usize) -> Vec<MemberKey> {
         let (member_table, own_key) = (&self.member_table, self.own_key);
-        let there = |key: MemberKey| {
+        let is_other_present = |key: MemberKey| {
             key != own_key
                 && member_table
                     .get(key)
                     .is_some_and(|e| e.liveness().is_present())
         };
-        self.probe_order.sample(&mut self.rng, most, there)
+        self.probe_order
+            .sample(&mut self.rng, count_max, is_other_present)
     }
 
-    /// Some other present members, by chance.
-    pub fn random_members(&mut self, most: usize) -> Vec<MemberKey> {
-        self.random_present(most)
+    /// Returns up to `count_max` other present members, chosen at random.
+    pub fn random_members(&mut self, count_max: usize) -> Vec<MemberKey> {
+        self.random_present(count_max)
     }
 
-    /// A gossip round: sends queued updates to a few members, and compares member tables where too
-    /// much is queued.
+    /// Runs a gossip round: sends queued updates to a few members, and begins a comparison of
+    /// member tables if more updates are queued than one datagram holds.
     pub(super) fn gossip_round(&mut self, at: ClockReading) {
         let unsettled = at.now < self.unsettled_until;
         if self.has_name_conflict() || self.dissemination_queue.is_empty() && !unsettled {
             return;
         }
-        let crowded = self.dissemination_queue.len() > UPDATES_PER_DATAGRAM;
+        let queue_is_long = self.dissemination_queue.len() > UPDATES_PER_DATAGRAM;
         let others = self.random_present(GOSSIP_FANOUT);
         for key in &others {
             self.send_to(at, *key, kind::GOSSIP, 0, MemberKey::NONE, Vec::new());
         }
-        if crowded && let Some(key) = others.first() {
+        if queue_is_long && let Some(key) = others.first() {
             self.start_comparison(at, *key);
         }
     }
 
-    /// Probes some dead members. One that replies leads to a comparison of member tables: so the
-    /// halves of a healed partition find each other.
+    /// Probes some dead members. A reply leads to a comparison of member tables, by which the sides
+    /// of a healed partition find each other.
     pub(super) fn probe_dead(&mut self, at: ClockReading) {
-        self.recovery_rounds += 1;
+        self.dead_probe_rounds += 1;
         if !self.config.features.probe_dead
             || self.has_name_conflict()
             || self.leaving
@@ -68,31 +72,33 @@
             .member_table
             .iter()
             .filter(|(_, entry)| entry.liveness() == Liveness::Dead);
-        let (now, recovery_rounds) = (at.now, self.recovery_rounds);
+        let (now, dead_probe_rounds) = (at.now, self.dead_probe_rounds);
         let due = |since: Nanos| {
             let age = now.saturating_sub(since);
             DEAD_PROBE_BACKOFF
                 .iter()
                 .rev()
                 .find(|(after, _)| age >= *after)
-                .is_none_or(|(_, turns)| recovery_rounds % turns == 0)
+                .is_none_or(|(_, rounds)| dead_probe_rounds % rounds == 0)
         };
         let mut dead: Vec<MemberKey> = dead
             .filter(|(_, entry)| due(entry.since))
             .map(|(key, _)| key)
             .collect();
-        // The more are dead the more are tried: it is not likely that so many died by themselves.
-        let tries = (1 + dead.len() / DEAD_PER_EXTRA_PROBE).min(DEAD_PROBES_MAX);
+        // If many members are dead, a partition is more likely than that many separate failures, so
+        // more of them are probed.
+        let probes = (1 + dead.len() / DEAD_PER_EXTRA_PROBE).min(DEAD_PROBES_MAX);
         dead.shuffle(&mut self.rng);
-        dead.truncate(tries);
+        dead.truncate(probes);
         for key in &dead {
             self.ping(at, *key, 0);
         }
         let Some(key) = dead.first().copied() else {
             return;
         };
-        // Digests are of those who are present. That it left and did not die is known to some
-        // perhaps: one is told what is held here, and answers if it knows more.
+        // Digests cover only present members, so they do not show that a member left that is
+        // recorded as dead here. One member receives the recorded state and replies if it knows a
+        // later one.
         if let (Some(other), Some(entry)) = (
             self.random_present(1).first().copied(),
             self.member_table.get(key),
@@ -102,7 +108,8 @@
         }
     }
 
-    /// Addresses at which members may be found: seeds, and former members after a long pause.
+    /// Returns the addresses at which members may be found: those of the seeds and, after a long
+    /// pause, of the members known before.
     pub(super) fn join_addresses(&self) -> Vec<SocketAddr> {
         let all = self
             .config
@@ -110,11 +117,12 @@
             .iter()
             .chain(&self.former_addresses)
             .copied();
-        all.filter(|place| *place != self.config.address).collect()
+        all.filter(|address| *address != self.config.address)
+            .collect()
     }
 
-    /// Contacts seeds: often while the node knows nobody, else now and then those where no member
-    /// is known.
+    /// Contacts seeds: several at a short interval while the node knows no other member, otherwise
+    /// one at a long interval, out of those at whose address no present member is known.
     pub(super) fn contact_seeds(&mut self, at: ClockReading) {
         let alone = self.member_table.counts().present() <= 1;
         self.timers.contact_seeds = at.now
@@ -133,10 +141,10 @@
                 .iter()
                 .filter(|(_, entry)| entry.liveness().is_present());
             let known: Vec<SocketAddr> = known.map(|(_, entry)| entry.details.address).collect();
-            join_addresses.retain(|place| !known.contains(place));
+            join_addresses.retain(|address| !known.contains(address));
         }
         join_addresses.shuffle(&mut self.rng);
-        for place in join_addresses
+        for address in join_addresses
             .into_iter()
             .take(if alone { SEEDS_AT_ONCE } else { 1 })
         {
@@ -147,7 +155,7 @@
                 updates,
                 ..Datagram::default()
             };
-            self.send(at, place, ping);
+            self.send(at, address, ping);
         }
     }
 }
--- a/crates/membership/src/swim/member_updates.rs
+++ b/crates/membership/src/swim/member_updates.rs
@@ -1,8 +1,8 @@
-//! Merging what is reported about members and about this node itself.
+//! Merging of updates about other members and about this node itself.
 
 use super::*;
 
-/// The counter for details that can't be used.
+/// Returns the name of the counter for details that are not valid.
 fn details_error_counter(error: DetailsError) -> &'static str {
     match error {
         DetailsError::TooLarge => "entries that are too large",
@@ -13,7 +13,8 @@
 }
 
 impl<H: Host> Membership<H> {
-    /// Follows up on a changed member: probe order, suspicion, dissemination, history.
+    /// Handles a change of a member's entry: updates probe order, suspicions, dissemination queue
+    /// and history.
     pub(super) fn on_member_changed(
         &mut self,
         at: ClockReading,
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Merges an update. `reply` collects what to reply with: entries that are wanted, and those
-    /// of which more is known here.
+    /// Merges an update. `reply` collects the members whose entry is to be requested from the
+    /// sender, and those of which the sender should receive a more recent state.
     pub(super) fn apply_update(
         &mut self,
         at: ClockReading,
@@ -78,14 +79,14 @@
         }
     }
 
-    /// An update of a suspicion names who suspects.
+    /// Records the suspicion that an update reports, and the member that suspects.
     fn confirm_suspicion(&mut self, at: ClockReading, sender: MemberKey, update: &MemberUpdate) {
         let key = MemberKey(update.key);
-        let suspect = self
+        let is_suspect = self
             .member_table
             .get(key)
             .is_some_and(|entry| entry.liveness() == Liveness::Suspect);
-        if suspect && update.liveness == Liveness::Suspect.number() {
+        if is_suspect && update.liveness == Liveness::Suspect.number() {
             let suspected_by = if update.suspected_by == 0 {
                 sender
             } else {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Whether the update is about another process with this node's name that takes precedence.
+    /// Returns whether the update is about another process with this node's name and a later start.
     fn claims_own_name(&self, update: &MemberUpdate) -> bool {
         let theirs = Epoch {
             started_unix_ms: update.started_unix_ms,
@@ -106,7 +107,8 @@
             && update.incarnation != self.epoch.incarnation.0
     }
 
-    /// Merges an update about this node: refutes it, or notes a name conflict.
+    /// Handles an update about this node's name: refutes it, reclaims the name or records a name
+    /// conflict.
     fn apply_update_about_self(
         &mut self,
         at: ClockReading,
@@ -114,25 +116,39 @@
         reply: &mut RangeExchange,
     ) {
         if update.incarnation == self.epoch.incarnation.0 {
-            return self.contradict(at, update, reply);
+            return self.refute_update(at, update, reply);
         }
         let liveness = Liveness::from_number(update.liveness).unwrap_or_default();
         if !liveness.is_present() {
-            return self.reclaim_name(at, update.started_unix_ms, "what had its name is gone");
+            return self.reclaim_name(
+                at,
+                update.started_unix_ms,
+                "the other holder of the name is gone",
+            );
         }
         match MemberDetails::read(&update.details) {
             Err(_) => reply.wants.push(self.own_key),
-            // Only one process can be reached there, and that is this one.
+            // Only one process can have this address, so the update is about an earlier
+            // incarnation.
             Ok(details) if details.address == self.config.address => {
-                self.reclaim_name(at, update.started_unix_ms, "a past of its own");
+                self.reclaim_name(
+                    at,
+                    update.started_unix_ms,
+                    "the other holder of the name is an earlier incarnation",
+                );
             }
-            Ok(details) => self.note_name_conflict(at, update, details.address),
+            Ok(details) => self.record_name_conflict(at, update, details.address),
         }
     }
 
-    /// Refutes an update about this very process where it would take precedence over its own state;
-    /// replies with the present state where the update is out of date.
-    fn contradict(&mut self, at: ClockReading, update: &MemberUpdate, reply: &mut RangeExchange) {
+    /// Refutes an update about this process if it takes precedence over the process's own state;
+    /// replies with the current state if the update is out of date.
+    fn refute_update(
+        &mut self,
+        at: ClockReading,
+        update: &MemberUpdate,
+        reply: &mut RangeExchange,
+    ) {
         let own = LivenessState {
             refutation: self.refutation,
             liveness: if self.leaving {
@@ -145,7 +161,7 @@
             refutation: update.refutation,
             liveness: Liveness::from_number(update.liveness).unwrap_or_default(),
         };
-        // What was reported under an earlier start time of the same process is out of date.
+        // A report under an earlier start time of the same process is out of date.
         let refutation = if update.started_unix_ms == self.epoch.started_unix_ms {
             refutes(own, reported)
         } else {
@@ -158,11 +174,11 @@
                     self.local_health.suspected();
                 }
                 if refutation == u32::MAX {
-                    let why = "its bumps are used up";
+                    let why = "the refutation number has reached its maximum";
                     return self.reclaim_name(at, update.started_unix_ms, why);
                 }
                 self.refutation = refutation;
-                self.refute(at, reported.liveness);
+                self.announce_refutation(at, reported.liveness);
             }
             None if (update.started_unix_ms, reported) != (self.epoch.started_unix_ms, own) => {
                 reply.headers.push(self.own_key);
@@ -171,8 +187,14 @@
         }
     }
 
-    /// Notes that another process claims this node's name, unless that is known.
-    fn note_name_conflict(&mut self, at: ClockReading, update: &MemberUpdate, address: SocketAddr) {
+    /// Records that another process claims this node's name, unless the conflict is already
+    /// recorded.
+    fn record_name_conflict(
+        &mut self,
+        at: ClockReading,
+        update: &MemberUpdate,
+        address: SocketAddr,
+    ) {
         let is_known = self
             .name_conflict
             .as_ref()
@@ -181,15 +203,15 @@
             self.name_conflict = Some(NameConflict {
                 holder: update.clone(),
                 address,
-                tries: 0,
+                probes_sent: 0,
                 next: at.now,
-                mute: false,
+                name_lost: false,
             });
         }
     }
 
-    /// Announces a higher refutation number.
-    fn refute(&mut self, at: ClockReading, reported: Liveness) {
+    /// Announces the raised refutation number and records the refuted liveness.
+    fn announce_refutation(&mut self, at: ClockReading, reported: Liveness) {
         if let Err(error) = self.announce(at) {
             self.count(details_error_counter(error), 1);
         }
@@ -198,7 +220,7 @@
             at,
             ChangeKind::Refuted,
             self.own_key,
-            format!("held {}", reported.as_str()),
+            format!("was reported {}", reported.as_str()),
         );
     }
 }
--- a/crates/membership/src/swim/name_conflict.rs
+++ b/crates/membership/src/swim/name_conflict.rs
@@ -1,30 +1,34 @@
-//! Two processes with one name: the later one keeps it, the other goes mute.
+//! Name conflicts: of two processes with one name, the one that started later keeps it, and the
+//! other publishes nothing until it can reclaim the name.
 
 use super::*;
 
-/// Probes to find out whether the other process exists.
+/// Number of probes of the other process without a reply after which a node that has kept its name
+/// takes the name over.
 const NAME_CONFLICT_PROBES: u32 = 5;
-/// Probes without a reply after which a mute node takes its name back.
-const MUTE_PROBES: u32 = 6;
-/// Period of a mute node's probes of the holder.
-const MUTE_PROBE_INTERVAL: Nanos = 2 * SECOND;
+/// Number of probes of the holder without a reply after which a node that lost its name reclaims
+/// it.
+const HOLDER_PROBES: u32 = 6;
+/// Time between two probes of the holder by a node that lost its name.
+const HOLDER_PROBE_INTERVAL: Nanos = 2 * SECOND;
 
-/// Another process has this node's name and started later. Either it exists and holds the name, or
-/// it is this node's own past, recorded with a clock that was ahead.
+/// Conflict with another process that has this node's name and a later start time. Either that
+/// process exists and holds the name, or it is an earlier incarnation of this node whose clock was
+/// ahead.
 #[derive(Debug)]
 pub(super) struct NameConflict {
     pub(super) holder: MemberUpdate,
     pub(super) address: SocketAddr,
-    pub(super) tries: u32,
+    pub(super) probes_sent: u32,
     pub(super) next: Nanos,
-    /// Whether the holder was heard, so that this node gave the name up.
-    pub(super) mute: bool,
+    /// Whether a datagram of the holder was received, so that this node has given up the name.
+    pub(super) name_lost: bool,
 }
 
 impl<H: Host> Membership<H> {
-    /// Takes the name (back), with a start time later than any that was heard.
+    /// Takes the name over, or back, with a start time later than any received for the name.
     pub(super) fn reclaim_name(&mut self, at: ClockReading, started_unix_ms: u64, why: &str) {
-        let was_mute = self.has_name_conflict();
+        let was_name_lost = self.has_name_conflict();
         self.name_conflict = None;
         self.epoch.started_unix_ms = self
             .epoch
@@ -33,24 +37,25 @@
             .saturating_add(1);
         self.refutation = 0;
         self.announce_new_revision(at);
-        if was_mute {
+        if was_name_lost {
             self.record_change(at, ChangeKind::NameBack, self.own_key, why.to_owned());
         } else {
             self.count("times it took its name over from an earlier incarnation", 1);
         }
     }
 
-    /// The other process exists: it started later and keeps the name.
-    pub(super) fn on_name_holder_heard(&mut self, at: ClockReading) {
+    /// Handles a datagram of the other process, which thus exists and keeps the name: gives the
+    /// name up.
+    pub(super) fn on_name_holder_datagram(&mut self, at: ClockReading) {
         let Some(name_conflict) = &mut self.name_conflict else {
             return;
         };
-        name_conflict.tries = 0;
-        if name_conflict.mute {
+        name_conflict.probes_sent = 0;
+        if name_conflict.name_lost {
             return;
         }
-        name_conflict.mute = true;
-        name_conflict.next = at.now + MUTE_PROBE_INTERVAL;
+        name_conflict.name_lost = true;
+        name_conflict.next = at.now + HOLDER_PROBE_INTERVAL;
         let (holder, address) = (name_conflict.holder.clone(), name_conflict.address);
         (self.outstanding_probe, self.relayed_probes) = (None, BTreeMap::new());
         self.dissemination_queue.remove_updates(self.own_key);
@@ -59,38 +64,46 @@
             at,
             ChangeKind::NameTaken,
             self.own_key,
-            format!("a later process at {address} has it; this one says nothing of itself"),
+            format!("a later process at {address} holds it; this process publishes nothing"),
         );
     }
 
-    /// Probes the holder of the name, or takes the name back.
+    /// Probes the holder of the name, or reclaims the name after too many probes without a reply.
     pub(super) fn on_name_conflict_timer(&mut self, at: ClockReading) {
         let Some(name_conflict) = &mut self.name_conflict else {
             return;
         };
-        name_conflict.tries += 1;
-        let (tries, mute, address, started_unix_ms) = (
-            name_conflict.tries,
-            name_conflict.mute,
+        name_conflict.probes_sent += 1;
+        let (probes_sent, name_lost, address, started_unix_ms) = (
+            name_conflict.probes_sent,
+            name_conflict.name_lost,
             name_conflict.address,
             name_conflict.holder.started_unix_ms,
         );
         name_conflict.next = at.now
-            + if mute {
-                MUTE_PROBE_INTERVAL
+            + if name_lost {
+                HOLDER_PROBE_INTERVAL
             } else {
                 self.config.timing.probe_timeout
             };
-        if tries
-            > if mute {
-                MUTE_PROBES
+        if probes_sent
+            > if name_lost {
+                HOLDER_PROBES
             } else {
                 NAME_CONFLICT_PROBES
             }
         {
-            return self.reclaim_name(at, started_unix_ms, "what had its name does not answer");
+            return self.reclaim_name(
+                at,
+                started_unix_ms,
+                "the other holder of the name does not reply",
+            );
         }
-        let from = if mute { MemberKey::NONE } else { self.own_key };
+        let from = if name_lost {
+            MemberKey::NONE
+        } else {
+            self.own_key
+        };
         let ping = Datagram {
             from: from.0,
             kind: kind::PING,
@@ -98,15 +111,20 @@
             ..Datagram::default()
         };
         self.send(at, address, ping);
-        if mute {
+        if name_lost {
             let gone = self
                 .member_table
                 .get(self.own_key)
                 .is_none_or(|entry| !entry.liveness().is_present());
             if gone {
-                return self.reclaim_name(at, started_unix_ms, "what had its name is gone");
+                return self.reclaim_name(
+                    at,
+                    started_unix_ms,
+                    "the other holder of the name is gone",
+                );
             }
-            // Nobody tells one that no view holds: it asks.
+            // Other members send no gossip to this node, since it is in no member table: it has to
+            // compare tables to learn of changes.
             if let Some(key) = self.random_present(1).first().copied() {
                 self.start_comparison(at, key);
             }
