--- a/crates/membership/src/swim/observation.rs
+++ b/crates/membership/src/swim/observation.rs
@@ -1,45 +1,46 @@
-//! What is visible from outside: member table, cluster view, counters, history, status pages.
+//! Read access from outside: member table, cluster view, counters, history, status pages.
 
 use super::*;
 
-/// Changes that a status report lists.
+/// Maximum number of changes in a status report.
 const REPORTED_CHANGES: usize = 16;
-/// A node that knows nobody reports that after this time.
+/// Time without another known member after which the node reports that it is alone.
 const ALONE_REPORT_DELAY: Nanos = 10 * SECOND;
 
 impl<H: Host> Membership<H> {
-    /// The member table.
+    /// Returns the member table.
     pub fn member_table(&self) -> &MemberTable {
         &self.member_table
     }
 
-    /// The view on which decisions rest.
+    /// Returns the view of the cluster on which decisions are based.
     pub fn cluster_view(&self) -> &ClusterView {
         &self.cluster_view
     }
 
-    /// The latest changes.
+    /// Returns the history of the latest changes.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Counters by name.
+    /// Returns the event counters by name.
     pub fn counters(&self) -> &BTreeMap<&'static str, u64> {
         &self.counters
     }
 
-    /// Whether another process holds this node's name, so that it publishes nothing.
+    /// Returns whether another process holds this node's name, so that this one publishes nothing.
     pub fn has_name_conflict(&self) -> bool {
         self.name_conflict
             .as_ref()
-            .is_some_and(|name_conflict| name_conflict.mute)
+            .is_some_and(|name_conflict| name_conflict.name_lost)
     }
 
+    /// Adds to an event counter.
     pub(super) fn count(&mut self, what: &'static str, times: u64) {
         *self.counters.entry(what).or_default() += times;
     }
 
-    /// Reports a change to the host, the history and the log.
+    /// Reports a change to the host, adds it to the history and logs it if the rate limit allows.
     pub(super) fn record_change(
         &mut self,
         at: ClockReading,
@@ -63,27 +64,27 @@
         }
     }
 
-    /// Recomputes the cluster view and reports what changed in it.
+    /// Recomputes the cluster view and reports its changes, and whether the node is alone.
     pub(super) fn refresh_cluster_view(&mut self, at: ClockReading) {
         let zone: Arc<str> = self.config.zone.as_str().into();
         let cluster_view = self.size_estimator.observe(
             at.now,
             &self.member_table,
             &zone,
-            self.local_health.doubt(),
+            self.local_health.score(),
             self.has_name_conflict(),
         );
         match (self.cluster_view.unsure_since, cluster_view.unsure_since) {
             (None, Some(_)) => {
                 let more = format!(
-                    "{} of {} are there without a doubt, {} suspect",
+                    "{} of {} members alive, {} suspect",
                     cluster_view.cluster.low, self.cluster_view.cluster.size, cluster_view.suspects
                 );
                 self.record_change(at, ChangeKind::Unsure, self.own_key, more);
             }
             (Some(since), None) => {
                 let more = format!(
-                    "after {} s, {} are there",
+                    "after {} s, {} members alive",
                     (at.now - since.min(at.now)) / SECOND,
                     cluster_view.cluster.low
                 );
@@ -98,16 +99,16 @@
         if let Some(line) = self.history.suppressed_line(at.now) {
             self.host.log("more", &line);
         }
-        let company = self.member_table.counts().present() > 1;
+        let has_others = self.member_table.counts().present() > 1;
         match self.alone_since {
-            Some(_) if company => {
+            Some(_) if has_others => {
                 if std::mem::take(&mut self.alone_reported) {
                     self.record_change(at, ChangeKind::Company, self.own_key, String::new());
                 }
                 self.alone_since = None;
                 self.former_addresses.clear();
             }
-            None if !company => self.alone_since = Some(at.now),
+            None if !has_others => self.alone_since = Some(at.now),
             Some(since)
                 if !self.alone_reported
                     && !self.join_addresses().is_empty()
@@ -118,18 +119,18 @@
                     at,
                     ChangeKind::Alone,
                     self.own_key,
-                    "no seed answers".into(),
+                    "no seed replies".into(),
                 );
             }
             _ => {}
         }
     }
 
-    /// Answers an observer's request: the node's report first, then its member table page by page;
-    /// or a page of another package's status.
+    /// Replies to an observer's request with a page of another package's status, or with the node's
+    /// report (cursor 0) and then the member table page by page.
     pub(super) fn on_show(&mut self, at: ClockReading, to: SocketAddr, datagram: &Datagram) {
         let mut builder = DatagramBuilder::new(Datagram {
-            from: self.from(),
+            from: self.sender_key(),
             kind: kind::PAGE,
             number: datagram.number,
             ..Datagram::default()
@@ -184,19 +185,20 @@
         self.send(at, to, builder.datagram);
     }
 
-    /// Sends the reply to an operator's command.
+    /// Sends the reply to an operator's command. A reply larger than
+    /// [`PAYLOAD_MAX`](messages::PAYLOAD_MAX) is dropped and counted.
     pub fn answer_command(
         &mut self,
         at: ClockReading,
         to: SocketAddr,
         number: u32,
         topic: u32,
-        answer: &[u8],
+        reply: &[u8],
     ) {
-        if answer.len() > messages::PAYLOAD_MAX {
+        if reply.len() > messages::PAYLOAD_MAX {
             return self.count("replies to commands that are too large", 1);
         }
-        let (from, kind, payload) = (self.from(), kind::COMMAND_REPLY, answer.to_vec());
+        let (from, kind, payload) = (self.sender_key(), kind::COMMAND_REPLY, reply.to_vec());
         self.send(
             at,
             to,
@@ -211,30 +213,31 @@
         );
     }
 
+    /// Returns the node's report about itself, with as many counters and changes as fit a datagram.
     fn node_report(&self, at: ClockReading) -> NodeReport {
-        let (counters, cluster_view) = (self.member_table.counts(), &self.cluster_view);
-        let times = |since: Nanos| (at.now.saturating_sub(since) / MILLISECOND).max(1);
+        let (counts, cluster_view) = (self.member_table.counts(), &self.cluster_view);
+        let elapsed_ms = |since: Nanos| (at.now.saturating_sub(since) / MILLISECOND).max(1);
         let mut report = NodeReport {
             name: self.config.name.clone(),
             size: cluster_view.cluster.size as u32,
             low: cluster_view.cluster.low as u32,
             high: cluster_view.cluster.high as u32,
-            unsure_ms: cluster_view.unsure_since.map_or(0, times),
+            unsure_ms: cluster_view.unsure_since.map_or(0, elapsed_ms),
             local_health_score: cluster_view.local_health_score,
-            suspects: counters.suspect as u32,
-            dead: counters.dead as u32,
+            suspects: counts.suspect as u32,
+            dead: counts.dead as u32,
             zone: self.config.zone.clone(),
             has_name_conflict: self.has_name_conflict(),
             counters: Vec::new(),
             changes: Vec::new(),
         };
-        let most = MESSAGE_MAX - 100;
+        let report_bytes_max = MESSAGE_MAX - 100;
         for (what, times) in &self.counters {
             report.counters.push(messages::CounterMessage {
                 what: (*what).to_owned(),
                 times: *times,
             });
-            if report.encoded_len() > most * 2 / 3 {
+            if report.encoded_len() > report_bytes_max * 2 / 3 {
                 report.counters.pop();
                 break;
             }
@@ -245,7 +248,7 @@
                 unix_ms: change.unix_ms,
                 line,
             });
-            if report.encoded_len() > most {
+            if report.encoded_len() > report_bytes_max {
                 report.changes.pop();
                 break;
             }
@@ -253,26 +256,28 @@
         report
     }
 
-    /// Merges the entries of another member table; lets simulations start with a settled cluster.
-    pub fn preload(&mut self, at: ClockReading, all: &[MemberUpdate]) {
-        for updates in all.iter().filter(|updates| updates.key != self.own_key.0) {
-            if let MergeOutcome::Changed(change) = self.member_table.merge(at.now, updates)
+    /// Merges the entries of other members without dissemination. With this, simulations start with
+    /// a settled cluster.
+    pub fn preload(&mut self, at: ClockReading, entries: &[MemberUpdate]) {
+        for update in entries.iter().filter(|update| update.key != self.own_key.0) {
+            if let MergeOutcome::Changed(change) = self.member_table.merge(at.now, update)
                 && change.after.is_present()
             {
                 self.probe_order
-                    .insert(&mut self.rng, MemberKey(updates.key));
+                    .insert(&mut self.rng, MemberKey(update.key));
             }
         }
         self.dissemination_queue = DisseminationQueue::default();
         self.alone_since = None;
     }
 
-    /// The update that this node sends to one that knows nobody.
+    /// Returns the complete entry of this node, which it sends to nodes that do not know it; `None`
+    /// while it has lost its name.
     pub fn introduction(&self) -> Option<MemberUpdate> {
         self.own_entry(true)
     }
 
-    /// Epoch and liveness of a member as known here.
+    /// Returns the epoch and the liveness state of a member in this node's table.
     pub fn liveness_state(&self, key: MemberKey) -> Option<(Epoch, LivenessState)> {
         self.member_table
             .get(key)
--- a/crates/membership/src/swim/own_entry.rs
+++ b/crates/membership/src/swim/own_entry.rs
@@ -1,10 +1,11 @@
-//! What the node publishes about itself: its entry, phase, attachments, load hint, and its leave.
+//! The node's own entry: details, phase, attachments and load hint, and the announcement of its
+//! leave.
 
 use super::*;
 
-/// Members that hear of a drain at once.
+/// Number of members to which a drain is announced at once.
 const DRAIN_FANOUT: usize = GOSSIP_FANOUT;
-/// Members that a leaving node tells itself.
+/// Number of members to which a node announces its leave directly.
 const LEAVE_FANOUT: usize = 8;
 
 impl<H: Host> Membership<H> {
@@ -23,7 +24,7 @@
         )
     }
 
-    /// The update that describes this node completely.
+    /// Returns the complete update about this node, from its current details.
     pub(super) fn own_update(&self) -> Result<MemberUpdate, DetailsError> {
         let details = self.details(self.attachments.clone())?;
         let liveness = if self.leaving {
@@ -50,8 +51,8 @@
         if self.has_name_conflict() {
             return Ok(());
         }
-        let updates = self.own_update()?;
-        if self.member_table.merge(at.now, &updates) == MergeOutcome::Full {
+        let update = self.own_update()?;
+        if self.member_table.merge(at.now, &update) == MergeOutcome::Full {
             self.count("invariant: the member table has room for its own node", 1);
         }
         self.last_change = at.now;
@@ -63,12 +64,12 @@
     pub(super) fn announce_new_revision(&mut self, at: ClockReading) {
         self.revision += 1;
         if let Err(error) = self.announce(at) {
-            debug_assert!(false, "what a node says of itself can be said: {error}");
+            debug_assert!(false, "own details cannot be encoded: {error}");
             self.count("invariant: what a node says of itself can be said", 1);
         }
     }
 
-    /// Publishes the node's phase. A drain is told to some members at once.
+    /// Publishes the node's phase. A drain is announced to some members at once.
     pub fn set_phase(&mut self, at: ClockReading, phase: Phase) {
         self.detect_pause(at);
         if self.phase != phase {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Publishes free capacity and load, each of 255. Spread without a promise.
+    /// Publishes free capacity and load, each from 0 to 255. Delivery is not guaranteed.
     pub fn set_load_hint(&mut self, capacity: u8, load: u8) {
         self.load_hint = LoadHint {
             number: self.load_hint.number.wrapping_add(1),
@@ -98,23 +99,23 @@
         };
     }
 
-    /// Adds an attachment to the node's entry, or replaces the one with its id; an empty one
-    /// removes it.
+    /// Adds an attachment to the node's entry, or replaces the one with the same id. Empty data
+    /// removes the attachment.
     ///
     /// # Errors
-    /// Where the entry would grow too large; the entry stays as it was.
+    /// If the entry would become too large. The entry is left unchanged.
     pub fn set_attachment(
         &mut self,
         at: ClockReading,
-        part: Attachment,
+        attachment: Attachment,
     ) -> Result<(), DetailsError> {
         self.detect_pause(at);
         let mut attachments = self.attachments.clone();
-        attachments.retain(|p| p.id != part.id);
-        if !part.bytes.is_empty() {
-            attachments.push(part);
+        attachments.retain(|other| other.id != attachment.id);
+        if !attachment.bytes.is_empty() {
+            attachments.push(attachment);
         }
-        attachments.sort_by_key(|p| p.id);
+        attachments.sort_by_key(|other| other.id);
         if attachments == self.attachments {
             return Ok(());
         }
@@ -127,7 +128,7 @@
         Ok(())
     }
 
-    /// Puts keys, seeds and timing of newly loaded settings into force.
+    /// Applies the keys, seeds and timing of newly loaded settings.
     pub fn reconfigure(
         &mut self,
         at: ClockReading,
@@ -140,8 +141,8 @@
         (self.config.keys, self.config.seeds, self.config.timing) = (keys, seeds, timing);
     }
 
-    /// Announces that the node leaves. To be called again shortly after, in case datagrams were
-    /// lost.
+    /// Announces that the node leaves. To be called again a short time later, in case datagrams
+    /// were lost.
     pub fn leave(&mut self, at: ClockReading) {
         self.detect_pause(at);
         if self.has_name_conflict() {
@@ -149,17 +150,17 @@
         }
         if !self.leaving {
             self.leaving = true;
-            if let Ok(updates) = self.own_update() {
-                let _ = self.member_table.merge(at.now, &updates);
+            if let Ok(update) = self.own_update() {
+                let _ = self.member_table.merge(at.now, &update);
             }
             self.dissemination_queue.push(self.own_key);
         }
         self.send_own_update(at, LEAVE_FANOUT);
     }
 
-    /// Sends this node's own header to some members.
-    fn send_own_update(&mut self, at: ClockReading, most: usize) {
-        for key in self.random_present(most) {
+    /// Sends the header of this node's own entry to up to `count_max` random members.
+    fn send_own_update(&mut self, at: ClockReading, count_max: usize) {
+        for key in self.random_present(count_max) {
             let Some(own) = self.own_entry(false) else {
                 return;
             };
@@ -167,8 +168,8 @@
         }
     }
 
-    /// This node's own entry as an update, complete or as a header; `None` while it has lost its
-    /// name.
+    /// Returns this node's own entry as an update, complete or as a header; `None` while it has
+    /// lost its name.
     pub(super) fn own_entry(&self, full: bool) -> Option<MemberUpdate> {
         if self.has_name_conflict() {
             return None;
--- a/crates/membership/src/swim/probing.rs
+++ b/crates/membership/src/swim/probing.rs
@@ -1,32 +1,35 @@
-//! Failure detection: direct probes, probes relayed by others, and suspicion.
+//! Failure detection: direct probes, probes relayed by other members, and suspicion.
 
 use super::*;
 
-/// Direct probes sent before relays are asked; retries go out only where no reply came.
+/// Number of direct probes sent before relays are asked. A probe is repeated only if no reply came.
 const PROBE_RETRIES: u64 = 3;
-/// Members asked to relay a probe.
+/// Number of members asked to relay a probe.
 const RELAYS: usize = 3;
 
-/// A probe that waits for its acknowledgement.
+/// Probe that has not been acknowledged yet.
 #[derive(Debug)]
 pub(super) struct OutstandingProbe {
     pub(super) number: u32,
     pub(super) target: MemberKey,
     pub(super) incarnation: Incarnation,
-    /// When the probe is repeated, in case it was lost.
+    /// Time at which the probe is repeated, in case it was lost.
     pub(super) retry_at: Nanos,
-    /// When relays are asked; `None` once they have been.
+    /// Time at which relays are asked; `None` once they have been asked.
     pub(super) relay_at: Option<Nanos>,
+    /// Time at which the probe has failed.
     pub(super) due: Nanos,
-    /// Relays that were asked, and how many of them replied at all.
+    /// Number of relays that were asked, and of those that replied.
     pub(super) relays: u32,
-    pub(super) relays_heard: u32,
+    pub(super) relays_replied: u32,
 }
 
-/// A probe made on behalf of another member.
+/// Probe of a member on behalf of another one.
 #[derive(Debug)]
 pub(super) struct RelayedProbe {
+    /// Member that asked for the probe.
     pub(super) origin: MemberKey,
+    /// Number of that member's own probe.
     pub(super) origin_number: u32,
     pub(super) target: MemberKey,
     pub(super) incarnation: Incarnation,
@@ -35,17 +38,17 @@
 }
 
 impl<H: Host> Membership<H> {
-    /// Timeout of a direct probe, stretched by local health.
+    /// Returns the timeout of a direct probe, multiplied by the local health factor.
     pub(super) fn probe_timeout(&self) -> Nanos {
         self.config.timing.probe_timeout * self.health_factor()
     }
 
-    /// Time that a suspect has to answer the last call.
+    /// Returns the time that a suspect has to reply to the last call.
     pub(super) fn last_call_time(&self) -> Nanos {
         2 * self.config.timing.probe_timeout
     }
 
-    /// Factor by which local health stretches timeouts.
+    /// Returns the factor by which local health multiplies timeouts.
     pub(super) fn health_factor(&self) -> u64 {
         if self.config.features.health {
             self.local_health.health_factor()
@@ -54,7 +57,8 @@
         }
     }
 
-    /// Probes the next member in the round. The previous probe has had its time.
+    /// Probes the next member in the round. The previous probe has failed if it is still
+    /// outstanding.
     pub(super) fn probe(&mut self, at: ClockReading) {
         if let Some(outstanding_probe) = self.outstanding_probe.take() {
             self.on_probe_failed(at, &outstanding_probe);
@@ -65,23 +69,23 @@
             return;
         }
         let (member_table, own_key) = (&self.member_table, self.own_key);
-        let there = |key: MemberKey| {
+        let is_other_present = |key: MemberKey| {
             key != own_key
                 && member_table
                     .get(key)
                     .is_some_and(|e| e.liveness().is_present())
         };
-        let Some(target) = self.probe_order.next(&mut self.rng, there) else {
+        let Some(target) = self.probe_order.next(&mut self.rng, is_other_present) else {
             return;
         };
-        self.number = self.number.wrapping_add(1);
+        self.last_probe_number = self.last_probe_number.wrapping_add(1);
         let incarnation = self
             .member_table
             .get(target)
             .map_or(Incarnation(0), |entry| entry.epoch.incarnation);
-        let answer = self.probe_timeout();
-        let (relay_at, retry_at) = (Some(at.now + answer), at.now + answer / PROBE_RETRIES);
-        let (number, due) = (self.number, at.now + period);
+        let timeout = self.probe_timeout();
+        let (relay_at, retry_at) = (Some(at.now + timeout), at.now + timeout / PROBE_RETRIES);
+        let (number, due) = (self.last_probe_number, at.now + period);
         self.outstanding_probe = Some(OutstandingProbe {
             number,
             target,
@@ -90,13 +94,13 @@
             relay_at,
             due,
             relays: 0,
-            relays_heard: 0,
+            relays_replied: 0,
         });
         self.ping(at, target, number);
     }
 
-    /// Sends a probe. It carries what is known against its target, so that a suspect learns of it
-    /// at once.
+    /// Sends a probe. It carries the suspicion or death recorded for its target, so that the target
+    /// can refute that at once.
     pub(super) fn ping(&mut self, at: ClockReading, target: MemberKey, number: u32) {
         let mut updates: Vec<MemberUpdate> = self.own_entry(true).into_iter().collect();
         if self.config.features.confirm {
@@ -105,7 +109,8 @@
         self.send_to(at, target, kind::PING, number, target, updates);
     }
 
-    /// The suspicion or death recorded for a member, if any.
+    /// Returns an update with the recorded state of a member that is not alive; `None` for other
+    /// members.
     pub(super) fn suspicion_about(&self, key: MemberKey) -> Option<MemberUpdate> {
         let entry = self
             .member_table
@@ -117,9 +122,10 @@
         })
     }
 
-    /// Retries the outstanding probe, asks relays, or gives it up, as due.
+    /// Repeats the outstanding probe, asks relays, or records that the probe failed, whichever is
+    /// due.
     pub(super) fn on_probe_timers(&mut self, at: ClockReading) {
-        let answer = self.probe_timeout();
+        let timeout = self.probe_timeout();
         let Some(outstanding_probe) = &mut self.outstanding_probe else {
             return;
         };
@@ -131,7 +137,7 @@
             .relay_at
             .is_some_and(|relay_at| at.now >= relay_at)
         {
-            (outstanding_probe.relay_at, outstanding_probe.retry_at) = (None, at.now + answer);
+            (outstanding_probe.relay_at, outstanding_probe.retry_at) = (None, at.now + timeout);
             let (number, target) = (outstanding_probe.number, outstanding_probe.target);
             let relays = self.relays(target);
             if let Some(outstanding_probe) = &mut self.outstanding_probe {
@@ -151,23 +157,24 @@
             let (number, target) = (outstanding_probe.number, outstanding_probe.target);
             outstanding_probe.retry_at = at.now
                 + if outstanding_probe.relay_at.is_some() {
-                    answer / PROBE_RETRIES
+                    timeout / PROBE_RETRIES
                 } else {
-                    answer
+                    timeout
                 };
             self.ping(at, target, number);
         }
     }
 
-    /// Retries relayed probes once, and reports those without a reply to their origin.
+    /// Repeats relayed probes once, and reports those without a reply to the members that asked for
+    /// them.
     pub(super) fn on_relayed_probe_timers(&mut self, at: ClockReading) {
-        let late: Vec<u32> = self
+        let expired: Vec<u32> = self
             .relayed_probes
             .iter()
             .filter(|(_, e)| e.due <= at.now)
             .map(|(number, _)| *number)
             .collect();
-        for number in late {
+        for number in expired {
             if let Some(relayed_probe) = self.relayed_probes.remove(&number) {
                 self.send_to(
                     at,
@@ -179,56 +186,56 @@
                 );
             }
         }
-        let again = self
+        let retries = self
             .relayed_probes
             .iter_mut()
             .filter(|(_, relayed_probe)| relayed_probe.retry_at <= at.now);
-        let again: Vec<(u32, MemberKey)> = again
+        let retries: Vec<(u32, MemberKey)> = retries
             .map(|(number, relayed_probe)| {
                 relayed_probe.retry_at = relayed_probe.due;
                 (*number, relayed_probe.target)
             })
             .collect();
-        for (number, target) in again {
+        for (number, target) in retries {
             self.ping(at, target, number);
         }
     }
 
-    /// Chooses relays by chance, at least one of them in the target's zone where there is one: the
-    /// path there may be the trouble.
+    /// Chooses relays at random, at least one of them in the target's zone if there is one alive:
+    /// the fault may lie in the path to that zone.
     fn relays(&mut self, target: MemberKey) -> Vec<MemberKey> {
         let (member_table, own_key) = (&self.member_table, self.own_key);
-        let there = |key: MemberKey| {
+        let is_candidate = |key: MemberKey| {
             key != own_key
                 && key != target
                 && member_table
                     .get(key)
                     .is_some_and(|entry| entry.liveness() == Liveness::Alive)
         };
-        let mut relays = self.probe_order.sample(&mut self.rng, RELAYS, there);
+        let mut relays = self.probe_order.sample(&mut self.rng, RELAYS, is_candidate);
         let zone = member_table.get(target).map(|entry| &entry.details.zone);
-        let is_near =
+        let in_zone =
             |key: &MemberKey| member_table.get(*key).map(|entry| &entry.details.zone) == zone;
-        if !relays.iter().any(is_near) {
-            let near = self
+        if !relays.iter().any(in_zone) {
+            let zone_relays = self
                 .probe_order
-                .sample(&mut self.rng, 1, |key| there(key) && is_near(&key));
-            if let Some(near) = near.first() {
+                .sample(&mut self.rng, 1, |key| is_candidate(key) && in_zone(&key));
+            if let Some(zone_relay) = zone_relays.first() {
                 relays.truncate(RELAYS - 1);
-                relays.push(*near);
+                relays.push(*zone_relay);
             }
         }
         relays
     }
 
-    /// Suspects the target of a probe that nobody acknowledged.
+    /// Suspects the target of a probe that was acknowledged neither directly nor through a relay.
     fn on_probe_failed(&mut self, at: ClockReading, outstanding_probe: &OutstandingProbe) {
-        let there = self
+        let target = self
             .member_table
             .get(outstanding_probe.target)
             .filter(|entry| entry.liveness().is_present());
-        if there.is_none_or(|entry| entry.epoch.incarnation != outstanding_probe.incarnation) {
-            return; // gone, or another process, meanwhile
+        if target.is_none_or(|entry| entry.epoch.incarnation != outstanding_probe.incarnation) {
+            return; // the target is gone or has another incarnation by now
         }
         self.count("probes without an answer", 1);
         if self.config.features.health {
@@ -236,37 +243,41 @@
                 outstanding_probe.relays,
                 outstanding_probe
                     .relays
-                    .saturating_sub(outstanding_probe.relays_heard),
+                    .saturating_sub(outstanding_probe.relays_replied),
             );
         }
         self.suspect(at, outstanding_probe.target, self.own_key);
     }
 
-    /// Shortest and longest suspicion timeout for the present cluster size.
-    fn suspicion(&self) -> (Nanos, Nanos) {
+    /// Returns the shortest and the longest suspicion timeout for the current cluster size.
+    fn suspicion_timeouts(&self) -> (Nanos, Nanos) {
         let members = self.member_table.counts().present().max(2) as f64;
         let timing = &self.config.timing;
-        let least = (timing.suspicion * members.log10().max(1.0) * timing.probe as f64) as Nanos;
+        let shortest = (timing.suspicion * members.log10().max(1.0) * timing.probe as f64) as Nanos;
         if !self.config.features.confirm || members < 3.0 {
-            return (least, least); // nobody is there who could confirm
+            return (shortest, shortest); // no other member could confirm a suspicion
         }
-        (least, (least as f64 * timing.suspicion_max_factor) as Nanos)
+        (
+            shortest,
+            (shortest as f64 * timing.suspicion_max_factor) as Nanos,
+        )
     }
 
-    /// Records a suspicion and its source.
+    /// Records that `suspected_by` suspects a member.
     pub(super) fn suspect(&mut self, at: ClockReading, key: MemberKey, suspected_by: MemberKey) {
-        let wait = self.suspicion();
-        let is_new = self.suspicions.suspect(at.now, key, suspected_by, wait);
+        let timeouts = self.suspicion_timeouts();
+        let is_new = self.suspicions.suspect(at.now, key, suspected_by, timeouts);
         match self.member_table.mark(at.now, key, Liveness::Suspect) {
             Some(change) => {
                 let more = if suspected_by == self.own_key {
-                    "does not answer"
+                    "does not reply to probes"
                 } else {
-                    "by word of another"
+                    "reported by another member"
                 };
                 self.on_member_changed(at, key, &change, more);
             }
-            // One more who suspects it is worth telling: it shortens the wait of the others.
+            // A further suspicion is disseminated as well: it shortens the timeout at other
+            // members.
             None if is_new => self.dissemination_queue.push(key),
             None => {}
         }
--- a/crates/membership/src/swim/receiving.rs
+++ b/crates/membership/src/swim/receiving.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Relayed probes under way at once, at most.
+/// Maximum number of relayed probes at a time.
 const RELAYED_PROBES_MAX: usize = 64;
 
 impl<H: Host> Membership<H> {
@@ -13,25 +13,26 @@
             return self.count("datagrams from before a long sleep", 1);
         }
         if !self.receive_limiter.admits(at.now, from) {
-            return self.dropped(DropReason::Flood);
+            return self.count_drop(DropReason::RateExceeded);
         }
         let (incarnation, message) = match self.datagram_auth.open(at.now, at.unix_ms, frame) {
-            Ok(opened) => opened,
-            Err(why) => return self.dropped(why),
+            Ok(verified) => verified,
+            Err(reason) => return self.count_drop(reason),
         };
         let Ok(datagram) = Datagram::decode(message) else {
-            return self.dropped(DropReason::Unreadable);
+            return self.count_drop(DropReason::Unreadable);
         };
         self.receive_limiter.mark_proven(from);
         if incarnation == self.epoch.incarnation {
             return self.count("datagrams of its own", 1);
         }
         self.on_message(at, from, incarnation, &datagram);
-        self.promised_wake = self.next_wake().max(at.now);
+        self.requested_wake = self.next_wake().max(at.now);
     }
 
-    fn dropped(&mut self, why: DropReason) {
-        self.count(why.as_str(), 1);
+    /// Counts a dropped datagram.
+    fn count_drop(&mut self, reason: DropReason) {
+        self.count(reason.as_str(), 1);
     }
 
     /// Handles an authenticated datagram.
@@ -48,7 +49,7 @@
             .as_ref()
             .is_some_and(|conflict| conflict.holder.incarnation == incarnation.0)
         {
-            self.on_name_holder_heard(at);
+            self.on_name_holder_datagram(at);
         }
         let mut reply = RangeExchange::default();
         for update in &datagram.updates {
@@ -58,8 +59,8 @@
         let to = self.reply_to(sender, incarnation, from);
         self.on_kind(at, (from, to), incarnation, datagram, &mut reply);
         if !matches!(datagram.kind, kind::HEADERS | kind::ENTRIES) {
-            // Outdated information is answered only where member tables are compared, or where it
-            // is the sender's own.
+            // Outdated updates are replied to only in a comparison of member tables, or if they are
+            // about the sender or this node.
             let own_key = self.own_key;
             reply
                 .headers
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Handles what a datagram of its kind asks for; `addresses` are its source and the address to
-    /// reply to.
+    /// Handles a datagram by its kind. `from` is its source address and `to` the address for
+    /// replies.
     fn on_kind(
         &mut self,
         at: ClockReading,
@@ -90,7 +91,7 @@
             kind::PING => self.on_ping(at, to, datagram, reply),
             kind::ACK => self.on_ack(at, sender, incarnation, datagram),
             kind::ASK => self.on_relay_request(at, sender, datagram),
-            kind::NACK => self.on_relay_heard(datagram.number),
+            kind::NACK => self.on_relay_reply(datagram.number),
             kind::GOSSIP => {}
             kind::SUMMARY => self.on_summary(at, to, datagram),
             kind::HEADERS => {
@@ -118,18 +119,19 @@
         }
     }
 
-    /// A relay reports that it probes: it responds, whatever becomes of its probe.
-    fn on_relay_heard(&mut self, number: u32) {
+    /// Handles the report of a relay that its probe had no reply: the relay itself responds.
+    fn on_relay_reply(&mut self, number: u32) {
         if let Some(probe) = self
             .outstanding_probe
             .as_mut()
             .filter(|probe| probe.number == number)
         {
-            probe.relays_heard = (probe.relays_heard + 1).min(probe.relays);
+            probe.relays_replied = (probe.relays_replied + 1).min(probe.relays);
         }
     }
 
-    /// Passes on a payload, if its sender is a known member: a reply needs an address.
+    /// Passes a payload to the host if its sender is a known member, so that a reply has an
+    /// address.
     fn on_payload(&mut self, sender: MemberKey, incarnation: Incarnation, datagram: &Datagram) {
         let is_known = self
             .member_table
@@ -143,9 +145,9 @@
         }
     }
 
-    /// Compares the sender's digest with the own one. Where many updates are queued and a random
-    /// member already agrees, they need no further dissemination: digests find what is missing.
-    /// Suspicions are in no digest and stay queued.
+    /// Compares the sender's digest with the node's own. If many updates are queued although the
+    /// sender already agrees, they need no further dissemination: where they are missing, digests
+    /// will differ. Suspicions are not part of digests and stay queued.
     fn compare_digest(&mut self, at: ClockReading, sender: MemberKey, digest: u64) {
         if digest != self.member_table.digest() {
             self.on_digest_mismatch(at, sender);
@@ -159,7 +161,8 @@
         }
     }
 
-    /// Tells a suspected sender of the suspicion at once; a probe's acknowledgement does so itself.
+    /// Informs a suspected sender of the suspicion at once, unless the acknowledgement of its probe
+    /// does so.
     fn report_suspicion(
         &mut self,
         at: ClockReading,
@@ -176,8 +179,8 @@
         }
     }
 
-    /// Replies go to the sender's published address; for a process that no entry describes, to the
-    /// source address.
+    /// Returns the address for replies: the one that the sender publishes or, for a process without
+    /// an entry in the member table, the source address.
     fn reply_to(
         &self,
         sender: MemberKey,
@@ -203,8 +206,8 @@
         if self.has_name_conflict() || target != self.own_key && target != MemberKey::NONE {
             return self.count("probes for another name", 1);
         }
-        // Who asks without knowing whom hears all; the others only how it stands. A sender that is
-        // held for suspect or dead hears that too.
+        // A sender that does not know this node's key receives the complete entry, others only the
+        // header. A sender that is recorded as suspect or dead also receives that update.
         let mut updates: Vec<MemberUpdate> = self
             .own_entry(target == MemberKey::NONE)
             .into_iter()
@@ -222,7 +225,7 @@
         self.send(at, to, ack);
     }
 
-    /// Matches an acknowledgement with a relayed probe or the outstanding one.
+    /// Matches an acknowledgement with a relayed probe or with the outstanding probe.
     fn on_ack(
         &mut self,
         at: ClockReading,
@@ -234,7 +237,7 @@
         if let Some(relayed_probe) = self
             .relayed_probes
             .get(&datagram.number)
-            .filter(|e| e.target == target && e.incarnation == incarnation)
+            .filter(|probe| probe.target == target && probe.incarnation == incarnation)
         {
             let (origin, number) = (relayed_probe.origin, relayed_probe.origin_number);
             self.relayed_probes.remove(&datagram.number);
@@ -252,7 +255,8 @@
         let Some(outstanding_probe) = outstanding_probe else {
             return;
         };
-        // From the target itself, or from a relay, which checks the incarnation.
+        // The acknowledgement must come from the probed incarnation, or from a relay, which has
+        // checked the incarnation.
         if sender != target || incarnation == outstanding_probe.incarnation {
             self.outstanding_probe = None;
             if self.config.features.health {
@@ -261,7 +265,7 @@
         }
     }
 
-    /// Probes a member on behalf of another.
+    /// Probes a member on behalf of another one.
     fn on_relay_request(&mut self, at: ClockReading, origin: MemberKey, datagram: &Datagram) {
         let target = MemberKey(datagram.target);
         let Some(incarnation) = self
@@ -277,9 +281,13 @@
         {
             return self.count("relayed probes beyond their number", 1);
         }
-        self.number = self.number.wrapping_add(1);
-        let answer = self.config.timing.probe_timeout;
-        let (number, retry_at, due) = (self.number, at.now + answer / 2, at.now + answer);
+        self.last_probe_number = self.last_probe_number.wrapping_add(1);
+        let timeout = self.config.timing.probe_timeout;
+        let (number, retry_at, due) = (
+            self.last_probe_number,
+            at.now + timeout / 2,
+            at.now + timeout,
+        );
         self.relayed_probes.insert(
             number,
             RelayedProbe {
--- a/crates/membership/src/swim/sending.rs
+++ b/crates/membership/src/swim/sending.rs
@@ -1,17 +1,17 @@
-//! Sending: datagrams filled up with updates and load hints.
+//! Sending of datagrams, filled up with queued updates and load hints.
 
 use super::*;
 
-/// Load hints of other members in each datagram.
+/// Maximum number of load hints of other members in a datagram.
 pub(super) const LOAD_HINTS_PER_DATAGRAM: usize = 7;
-/// Bytes of an encoded load hint.
+/// Size of an encoded load hint, in bytes.
 pub(super) const LOAD_HINT_BYTES: usize = 8;
-/// Updates requested in one datagram at most.
+/// Maximum number of entries requested in one datagram.
 pub(super) const WANTS_PER_DATAGRAM: usize = 32;
 
 impl<H: Host> Membership<H> {
-    /// The sender key of datagrams; 0 while the node has lost its name.
-    pub(super) fn from(&self) -> u64 {
+    /// Returns the sender key for datagrams; 0 while the node has lost its name.
+    pub(super) fn sender_key(&self) -> u64 {
         if self.has_name_conflict() {
             0
         } else {
@@ -31,7 +31,7 @@
     ) {
         if let Some(address) = self.member_table.get(to).map(|entry| entry.details.address) {
             let datagram = Datagram {
-                from: self.from(),
+                from: self.sender_key(),
                 kind,
                 number,
                 target: target.0,
@@ -42,8 +42,9 @@
         }
     }
 
-    /// Sends a payload of another package to a member, once. It may be lost, late or overtaken, but
-    /// does not arrive twice. False if it is too large or there is no such member.
+    /// Sends a payload of another package to a member once. The payload may be lost, delayed or
+    /// reordered, but is not delivered twice. Returns false if the payload could not be sent: it is
+    /// too large, the member is not present, or this node has lost its name.
     pub fn send_payload(
         &mut self,
         at: ClockReading,
@@ -51,13 +52,13 @@
         topic: u32,
         payload: &[u8],
     ) -> bool {
-        let there = self
+        let present_address = self
             .member_table
             .get(to)
             .filter(|entry| entry.liveness().is_present())
             .map(|e| e.details.address);
         let (Some(address), false) = (
-            there,
+            present_address,
             self.has_name_conflict() || payload.len() > messages::PAYLOAD_MAX,
         ) else {
             self.count("payloads that could not be sent", 1);
@@ -74,7 +75,8 @@
         self.send(at, address, datagram) > 0
     }
 
-    /// Sends a datagram, filled up with updates and load hints; returns its size in bytes.
+    /// Sends a datagram, filled up with queued updates and load hints; returns its size in bytes,
+    /// or 0 if it was too large to send.
     pub(super) fn send(
         &mut self,
         at: ClockReading,
@@ -101,7 +103,7 @@
         if message.len() > MESSAGE_MAX {
             debug_assert!(
                 false,
-                "a datagram of kind {} has its bound",
+                "datagram of kind {} exceeds {MESSAGE_MAX} bytes",
                 builder.datagram.kind
             );
             self.count("invariant: datagrams beyond their bound", 1);
@@ -124,8 +126,8 @@
         frame.len()
     }
 
-    /// Fills a datagram with queued updates. The header of a member that is not alive is enough for
-    /// most recipients; those that lack the details ask for them.
+    /// Fills a datagram with queued updates. For a member that is not alive the header is sent,
+    /// which is enough for most recipients; those that lack the details request them.
     fn add_queued_updates(&mut self, builder: &mut DatagramBuilder) {
         let size_before = builder.size;
         let Membership {
@@ -153,7 +155,7 @@
         self.dissemination_budget.spend(builder.size - size_before);
     }
 
-    /// Encodes this node's load hint and the most recent ones of others.
+    /// Encodes this node's load hint and the most recently received ones of other members.
     fn load_hints(&mut self) -> Vec<u8> {
         let mut load_hints = Vec::with_capacity((LOAD_HINTS_PER_DATAGRAM + 1) * LOAD_HINT_BYTES);
         let mut push = |key: MemberKey, load_hint: LoadHint| {
@@ -164,17 +166,18 @@
         if self.load_hint.number > 0 {
             push(self.own_key, self.load_hint);
         }
-        let some = self
+        let hints = self
             .recent_load_hints
             .iter()
             .rev()
             .take(LOAD_HINTS_PER_DATAGRAM);
-        some.filter_map(|key| Some((*key, self.member_table.get(*key)?.load_hint)))
+        hints
+            .filter_map(|key| Some((*key, self.member_table.get(*key)?.load_hint)))
             .for_each(|(key, load_hint)| push(key, load_hint));
         load_hints
     }
 
-    /// Sends the requested entries and asks for missing ones, in as many datagrams as that takes
+    /// Sends the entries to exchange and requests the missing ones, in as many datagrams as needed
     /// and the byte rate allows.
     pub(super) fn send_entries(
         &mut self,
@@ -195,7 +198,7 @@
         if updates.is_empty() && wants.is_empty() {
             return;
         }
-        let from = self.from();
+        let from = self.sender_key();
         let mut updates = updates.into_iter().peekable();
         let mut wants = wants.chunks(WANTS_PER_DATAGRAM);
         loop {
--- a/crates/membership/src/swim/timers.rs
+++ b/crates/membership/src/swim/timers.rs
@@ -1,18 +1,20 @@
-//! Timers of the protocol, and what a node does after it stood still.
+//! Timers of the protocol, and the recovery from pauses of the process.
 
 use super::*;
 
-/// Period at which the cluster view is refreshed.
+/// Time between two refreshes of the cluster view.
 pub(super) const VIEW_INTERVAL: Nanos = 250 * MILLISECOND;
-/// Period at which members that left or died long ago are forgotten.
+/// Time between two checks for members that left or died long ago and are to be forgotten.
 pub(super) const EXPIRY_INTERVAL: Nanos = 5 * SECOND;
-/// A timer that fires this late shows that the process stood still.
+/// Delay of a timer from which on the process counts as paused.
 const PAUSE_THRESHOLD: Nanos = 500 * MILLISECOND;
-/// After a pause this long the member table is worthless.
+/// Length of a pause from which on the member table is too old to be used.
 const LONG_PAUSE: Nanos = 300 * SECOND;
-/// After a long pause, datagrams are ignored for this long: what waited in the socket is as old.
+/// Time after a long pause during which datagrams are ignored: those that waited in the socket are
+/// as old as the pause.
 const STALE_SOCKET_TIME: Nanos = 200 * MILLISECOND;
-/// Addresses of former members that are kept beside the seeds after a long pause.
+/// Maximum number of addresses of former members that are used in addition to the seeds after a
+/// long pause.
 const FORMER_ADDRESSES_MAX: usize = 32;
 
 /// Times at which periodic work is due.
@@ -27,22 +29,23 @@
 }
 
 impl Timers {
-    /// First times, drawn at random so that nodes that start together do not act together.
+    /// Returns the first due times, drawn at random so that nodes that start together do not act at
+    /// the same time.
     pub(super) fn start(timing: &Timing, now: Nanos, rng: &mut Pcg64Mcg) -> Timers {
-        let mut soon = |period: Nanos| now + rng.random_range(0..period.max(1));
+        let mut random_start = |period: Nanos| now + rng.random_range(0..period.max(1));
         Timers {
-            probe: soon(timing.probe),
-            gossip: soon(timing.gossip),
-            probe_dead: soon(timing.probe_dead),
-            contact_seeds: soon(50 * MILLISECOND),
+            probe: random_start(timing.probe),
+            gossip: random_start(timing.gossip),
+            probe_dead: random_start(timing.probe_dead),
+            contact_seeds: random_start(50 * MILLISECOND),
             view: now + VIEW_INTERVAL,
-            expire: soon(EXPIRY_INTERVAL),
+            expire: random_start(EXPIRY_INTERVAL),
         }
     }
 }
 
 impl<H: Host> Membership<H> {
-    /// The time at which [`Membership::wake`] is to be called next.
+    /// Returns the time at which [`Membership::wake`] is to be called next.
     pub fn next_wake(&self) -> Nanos {
         let t = &self.timers;
         let mut next = [
@@ -73,34 +76,36 @@
             .min(relayed_probes.unwrap_or(next))
     }
 
-    /// Detects that the process stood still. It has heard nothing meanwhile, which speaks against
-    /// itself and against nobody else.
+    /// Detects that the process was paused. It received nothing during the pause, which is no
+    /// evidence against other members: suspicions are postponed, and only the local health score
+    /// rises.
     pub(super) fn detect_pause(&mut self, at: ClockReading) {
-        let late = at.now.saturating_sub(self.promised_wake);
-        // Timers that are overdue from before do not show another pause.
-        self.promised_wake = self.next_wake().max(at.now);
-        if late < PAUSE_THRESHOLD {
+        let pause = at.now.saturating_sub(self.requested_wake);
+        // Timers that became due during this pause do not count as another pause.
+        self.requested_wake = self.next_wake().max(at.now);
+        if pause < PAUSE_THRESHOLD {
             return;
         }
         if self.config.features.health {
             self.local_health.paused();
         }
         self.count("times it stood still", 1);
-        self.suspicions.postpone(late);
+        self.suspicions.postpone(pause);
         (self.outstanding_probe, self.relayed_probes) = (None, BTreeMap::new());
         self.record_change(
             at,
             ChangeKind::StoodStill,
             self.own_key,
-            format!("for {} ms", late / MILLISECOND),
+            format!("for {} ms", pause / MILLISECOND),
         );
-        if late >= LONG_PAUSE.min(self.config.timing.forget_after / 2) {
+        if pause >= LONG_PAUSE.min(self.config.timing.forget_after / 2) {
             self.forget_and_rejoin(at);
         }
     }
 
-    /// Forgets all other members and joins again by their former addresses. Others may have
-    /// forgotten members that died meanwhile; repeated to them, the dead would seem alive.
+    /// Forgets all other members and joins again through their former addresses. Other nodes may
+    /// have forgotten members that died during the pause; entries from this table would make these
+    /// appear alive again.
     fn forget_and_rejoin(&mut self, at: ClockReading) {
         let present = self
             .member_table
@@ -125,7 +130,7 @@
         self.ignore_received_until = at.now + STALE_SOCKET_TIME;
     }
 
-    /// Does what is due. To be called at [`Membership::next_wake`] or later.
+    /// Runs the timers that are due. To be called at [`Membership::next_wake`] or later.
     pub fn wake(&mut self, at: ClockReading) {
         self.detect_pause(at);
         let now = at.now;
@@ -137,7 +142,7 @@
         }
         for key in due.expired {
             if let Some(change) = self.member_table.mark(now, key, Liveness::Dead) {
-                self.on_member_changed(at, key, &change, "did not say in time that it is there");
+                self.on_member_changed(at, key, &change, "did not refute the suspicion in time");
             }
         }
         if now >= self.timers.probe {
@@ -167,13 +172,13 @@
         }
         if now >= self.timers.expire {
             self.timers.expire = now + EXPIRY_INTERVAL;
-            let forgot = self
+            let forgotten = self
                 .member_table
                 .forget_gone(now, self.config.timing.forget_after);
-            if forgot > 0 {
-                self.count("members forgotten after their time", forgot as u64);
+            if forgotten > 0 {
+                self.count("members forgotten after their time", forgotten as u64);
             }
         }
-        self.promised_wake = self.next_wake().max(at.now);
+        self.requested_wake = self.next_wake().max(at.now);
     }
 }
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -1,6 +1,6 @@
-//! What comes from outside: strangers, another fleet, later versions, and datagrams that are good
-//! by their MAC and make no sense. Nothing panics, nothing is believed without its MAC, and no
-//! answer goes to what was dropped.
+//! Datagrams from outside: from sources without the keys, from another cluster, of later versions,
+//! and with a valid MAC but nonsensical content. The node must not panic, must not accept anything
+//! without a valid MAC, and must not reply to dropped datagrams.
 
 use madderpoint_membership::FeatureToggles;
 use madderpoint_membership::datagram_auth::{AuthKeys, DatagramAuth};
@@ -16,9 +16,9 @@
 const UNIX: u64 = 1_800_000_000_000;
 
 #[derive(Default)]
-struct Sent(Vec<(SocketAddr, Vec<u8>)>, Vec<(MemberKey, u32, Vec<u8>)>);
+struct RecordingHost(Vec<(SocketAddr, Vec<u8>)>, Vec<(MemberKey, u32, Vec<u8>)>);
 
-impl Host for Sent {
+impl Host for RecordingHost {
     fn send(&mut self, to: SocketAddr, frame: &[u8]) {
         assert!(frame.len() <= 1400);
         self.0.push((to, frame.to_vec()));
@@ -38,9 +38,9 @@
     SocketAddr::from(([127, 0, 0, n], 7946))
 }
 
-fn node(fleet: &str, n: u8, key: u8) -> Membership<Sent> {
+fn node(cluster: &str, n: u8, key: u8) -> Membership<RecordingHost> {
     let settings = Config {
-        cluster_name: fleet.into(),
+        cluster_name: cluster.into(),
         name: format!("n{n}"),
         zone: "a".into(),
         address: address(n),
@@ -52,7 +52,7 @@
         bytes: 1 << 20,
         features: FeatureToggles::default(),
     };
-    Membership::new(settings, u64::from(n), at(0), Sent::default()).unwrap()
+    Membership::new(settings, u64::from(n), at(0), RecordingHost::default()).unwrap()
 }
 
 fn at(now: Nanos) -> ClockReading {
@@ -62,7 +62,7 @@
     }
 }
 
-fn full(
+fn full_update(
     name: &str,
     n: u8,
     started_unix_ms: u64,
@@ -84,172 +84,184 @@
     }
 }
 
-fn no_invariant_failed(fleet: &Membership<Sent>) {
+fn no_invariant_failed(membership: &Membership<RecordingHost>) {
     assert!(
-        fleet
+        membership
             .counters()
             .keys()
-            .all(|what| !what.starts_with("invariant")),
+            .all(|counter| !counter.starts_with("invariant")),
         "{:?}",
-        fleet.counters()
+        membership.counters()
     );
 }
 
 #[test]
-fn what_is_dropped_is_counted_and_never_answered() {
-    let mut fleet = node("f", 2, 1);
+fn dropped_datagrams_are_counted_and_get_no_reply() {
+    let mut membership = node("f", 2, 1);
     let ping = Datagram {
         from: 9,
         kind: kind::PING,
-        updates: vec![full("n9", 9, 1, 0, Liveness::Alive)],
+        updates: vec![full_update("n9", 9, 1, 0, Liveness::Alive)],
         ..Datagram::default()
     };
     let ping = ping.encode_to_vec();
-    let mut other = DatagramAuth::new("g", keys(1), Incarnation(5), 600 * S, 9);
+    let mut other_cluster = DatagramAuth::new("g", keys(1), Incarnation(5), 600 * S, 9);
     let mut wrong_key = DatagramAuth::new("f", keys(2), Incarnation(6), 600 * S, 9);
-    let mut far = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
+    let mut sender = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
     let frames = [
         (b"hello".to_vec(), "datagrams that are none of a fleet"),
-        (other.seal(UNIX, &ping), "datagrams of another fleet"),
+        (
+            other_cluster.seal(UNIX, &ping),
+            "datagrams of another fleet",
+        ),
         (
             wrong_key.seal(UNIX, &ping),
             "datagrams under an unknown key",
         ),
         (
-            far.seal(UNIX + 3_600_000, &ping),
+            sender.seal(UNIX + 3_600_000, &ping),
             "datagrams from a clock too far away",
         ),
         (
-            far.seal(UNIX, b"\xff\xff\xff"),
+            sender.seal(UNIX, b"\xff\xff\xff"),
             "datagrams that can't be read",
         ),
     ];
-    for (frame, what) in frames {
-        fleet.on_datagram(at(0), address(9), &frame);
+    for (frame, counter) in frames {
+        membership.on_datagram(at(0), address(9), &frame);
         assert_eq!(
-            fleet.counters().get(what),
+            membership.counters().get(counter),
             Some(&1),
             "{:?}",
-            fleet.counters()
+            membership.counters()
         );
     }
-    assert!(fleet.host.0.is_empty() && fleet.member_table().counts().present() == 1);
-    let frame = far.seal(UNIX, &ping);
-    fleet.on_datagram(at(0), address(9), &frame);
+    assert!(membership.host.0.is_empty() && membership.member_table().counts().present() == 1);
+    let frame = sender.seal(UNIX, &ping);
+    membership.on_datagram(at(0), address(9), &frame);
     assert_eq!(
-        (fleet.host.0.len(), fleet.member_table().counts().present()),
+        (
+            membership.host.0.len(),
+            membership.member_table().counts().present()
+        ),
         (1, 2)
     );
-    fleet.on_datagram(at(0), address(9), &frame);
-    assert_eq!(fleet.counters().get("datagrams that came before"), Some(&1));
-    assert_eq!(fleet.host.0.len(), 1);
+    membership.on_datagram(at(0), address(9), &frame);
+    assert_eq!(
+        membership.counters().get("datagrams that came before"),
+        Some(&1)
+    );
+    assert_eq!(membership.host.0.len(), 1);
 }
 
 #[test]
-fn a_flood_of_strangers_is_not_even_looked_at() {
-    let mut fleet = node("f", 2, 1);
+fn a_flood_from_unknown_sources_is_dropped_by_the_rate_limit() {
+    let mut membership = node("f", 2, 1);
     for n in 0..20_000u32 {
-        fleet.on_datagram(
+        membership.on_datagram(
             at(0),
             address((n % 200) as u8),
             &[b'm', b'f', 1, 0, 1, 2, 3],
         );
     }
     assert!(
-        fleet.counters()["datagrams beyond the rate"] >= 19_000,
+        membership.counters()["datagrams beyond the rate"] >= 19_000,
         "{:?}",
-        fleet.counters()
+        membership.counters()
     );
 }
 
-/// A later version adds a kind, fields, a status and a phase: what is known of it is used, the rest
-/// passed over or passed on.
+/// A later version adds a kind, fields, a liveness and a phase. The node must use the parts that it
+/// knows, skip the others, and pass on details with unknown fields unchanged.
 #[test]
-fn datagrams_of_a_later_version_are_read_as_far_as_they_are_known() {
-    let mut fleet = node("f", 2, 1);
-    let mut seal = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
-    let mut updates = full("n9", 9, 1, 0, Liveness::Alive);
-    updates
+fn known_parts_of_datagrams_of_a_later_version_are_used() {
+    let mut membership = node("f", 2, 1);
+    let mut sender = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
+    let mut update = full_update("n9", 9, 1, 0, Liveness::Alive);
+    update
         .details
         .extend([0x18, 0x07, 0xfa, 0x01, 0x03, b'n', b'e', b'w']); // phase 7, and a field 31
-    let mut error = full("n8", 8, 1, 0, Liveness::Alive);
-    error.liveness = 9;
+    let mut bad_liveness = full_update("n8", 8, 1, 0, Liveness::Alive);
+    bad_liveness.liveness = 9;
     let datagram = Datagram {
-        from: updates.key,
+        from: update.key,
         kind: 77,
-        updates: vec![updates.clone(), error],
+        updates: vec![update.clone(), bad_liveness],
         ..Datagram::default()
     };
     let mut message = datagram.encode_to_vec();
     message.extend([0xaa, 0x06, 0x02, b'h', b'i']); // a field 101
-    fleet.on_datagram(at(0), address(9), &seal.seal(UNIX, &message));
+    membership.on_datagram(at(0), address(9), &sender.seal(UNIX, &message));
     assert_eq!(
-        fleet
+        membership
             .counters()
             .get("datagrams of a kind that is not known"),
         Some(&1)
     );
-    let entry = fleet.member_table().get(MemberKey::of("n9")).unwrap();
+    let entry = membership.member_table().get(MemberKey::of("n9")).unwrap();
     assert_eq!(
         (entry.details.phase, entry.details.encoded()),
-        (Phase::Serving, &updates.details[..])
+        (Phase::Serving, &update.details[..])
     );
-    assert!(fleet.member_table().get(MemberKey::of("n8")).is_none());
-    // It goes on to others as it came.
-    fleet.host.0.clear();
+    assert!(membership.member_table().get(MemberKey::of("n8")).is_none());
+    // The details are passed on unchanged.
+    membership.host.0.clear();
     let ask = Datagram {
         kind: kind::ENTRIES,
-        wants: vec![updates.key],
+        wants: vec![update.key],
         ..Datagram::default()
     };
-    fleet.on_datagram(at(0), address(9), &seal.seal(UNIX, &ask.encode_to_vec()));
-    let (_, frame) = fleet.host.0.pop().unwrap();
+    membership.on_datagram(at(0), address(9), &sender.seal(UNIX, &ask.encode_to_vec()));
+    let (_, frame) = membership.host.0.pop().unwrap();
     assert!(
         frame
-            .windows(updates.details.len())
-            .any(|w| w == updates.details)
+            .windows(update.details.len())
+            .any(|w| w == update.details)
     );
 }
 
-/// Good by their MAC, and nonsense: fields of any value, news of anybody in any standing, ranges
-/// that go backwards. The node lives, sends within its bounds, and holds on to its name.
+/// Datagrams with a valid MAC and random content: fields of any value, updates about any member
+/// with any liveness, reversed ranges. The node must not panic, must send only datagrams within the
+/// size limit, and must keep its name or report the conflict.
 #[test]
-fn sealed_nonsense_is_survived() {
+fn authenticated_nonsense_does_no_harm() {
     for seed in 0..30 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut fleet = node("f", 2, 1);
-        let mut seal = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
+        let mut membership = node("f", 2, 1);
+        let mut sender = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
         let mut now = 0;
         for _ in 0..300 {
             now += rng.random_range(0..300_000_000);
             let mut updates = Vec::new();
             for _ in 0..rng.random_range(0..6) {
                 let n = rng.random_range(1..6u8);
-                let mut one = full(
+                let mut update = full_update(
                     &format!("n{n}"),
                     n,
                     rng.random_range(0..4),
                     rng.random_range(0..4),
                     Liveness::Alive,
                 );
-                one.liveness = rng.random_range(0..6);
-                one.revision = rng.random_range(0..3);
+                update.liveness = rng.random_range(0..6);
+                update.revision = rng.random_range(0..3);
                 if rng.random_bool(0.3) {
-                    one.details
-                        .truncate(rng.random_range(0..=one.details.len()));
+                    update
+                        .details
+                        .truncate(rng.random_range(0..=update.details.len()));
                 }
                 if rng.random_bool(0.2) {
-                    one.name = String::new();
+                    update.name = String::new();
                 }
                 if rng.random_bool(0.1) {
-                    (one.started_unix_ms, one.refutation) = (u64::MAX - 1, u32::MAX);
+                    (update.started_unix_ms, update.refutation) = (u64::MAX - 1, u32::MAX);
                 }
-                updates.push(one);
+                updates.push(update);
             }
-            let any = |rng: &mut Pcg64Mcg| [0, 1, rng.random(), u64::MAX][rng.random_range(0..4)];
+            let edge_value =
+                |rng: &mut Pcg64Mcg| [0, 1, rng.random(), u64::MAX][rng.random_range(0..4)];
             let summary = Summary {
-                from: any(&mut rng),
-                to: any(&mut rng),
+                from: edge_value(&mut rng),
+                to: edge_value(&mut rng),
                 digests: vec![3; rng.random_range(0..600)],
             };
             let datagram = Datagram {
@@ -273,69 +285,73 @@
                 covered: vec![],
                 wants: vec![rng.random(), MemberKey::of("n2").0],
                 report: None,
-                cursor: any(&mut rng),
+                cursor: edge_value(&mut rng),
                 topic: rng.random(),
                 payload: vec![5; rng.random_range(0..200)],
             };
             let mut message = datagram.encode_to_vec();
             if rng.random_bool(0.2) && !message.is_empty() {
-                let place = rng.random_range(0..message.len());
-                message[place] ^= 1 << rng.random_range(0..8);
+                let position = rng.random_range(0..message.len());
+                message[position] ^= 1 << rng.random_range(0..8);
             }
             if message.len() < 1300 {
-                fleet.on_datagram(
+                membership.on_datagram(
                     at(now),
                     address(9),
-                    &seal.seal(UNIX + now / 1_000_000, &message),
+                    &sender.seal(UNIX + now / 1_000_000, &message),
                 );
             }
-            if fleet.next_wake() <= at(now).now {
-                fleet.wake(at(now));
+            if membership.next_wake() <= at(now).now {
+                membership.wake(at(now));
             }
         }
-        no_invariant_failed(&fleet);
-        // Either it holds its name, or it says that another has it.
-        let own = fleet.member_table().get(MemberKey::of("n2")).unwrap();
-        let (_, incarnation) = fleet.identity();
+        no_invariant_failed(&membership);
+        // The node either holds its name or reports that another process holds it.
+        let own = membership.member_table().get(MemberKey::of("n2")).unwrap();
+        let (_, incarnation) = membership.identity();
         assert!(
-            own.epoch.incarnation == incarnation || fleet.has_name_conflict(),
+            own.epoch.incarnation == incarnation || membership.has_name_conflict(),
             "seed {seed}: {own:?}"
         );
     }
 }
 
-/// Every cut and every bit of a whole datagram: what is not whole is dropped, and changes nothing.
+/// A datagram that is truncated at any byte or has any bit flipped must be dropped and change
+/// nothing.
 #[test]
-fn every_cut_and_bit_of_a_datagram() {
-    let mut fleet = node("f", 2, 1);
-    let mut seal = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
+fn truncated_and_corrupted_datagrams_are_dropped() {
+    let mut membership = node("f", 2, 1);
+    let mut sender = DatagramAuth::new("f", keys(1), Incarnation(7), 600 * S, 9);
     let datagram = Datagram {
         from: MemberKey::of("n9").0,
         kind: kind::PING,
-        updates: vec![full("n9", 9, 1, 0, Liveness::Alive)],
+        updates: vec![full_update("n9", 9, 1, 0, Liveness::Alive)],
         ..Datagram::default()
     };
-    let frame = seal.seal(UNIX, &datagram.encode_to_vec());
+    let frame = sender.seal(UNIX, &datagram.encode_to_vec());
     let mut now = 0;
-    for place in 0..frame.len() {
+    for position in 0..frame.len() {
         for bit in 0..8 {
             let mut frame = frame.clone();
-            frame[place] ^= 1 << bit;
-            now += 10_000_000; // so that the rate does not hide what would be believed
-            fleet.on_datagram(at(now), address(9), &frame);
+            frame[position] ^= 1 << bit;
+            now += 10_000_000; // so that the rate limit does not hide an accepted datagram
+            membership.on_datagram(at(now), address(9), &frame);
         }
-        fleet.on_datagram(at(now), address(9), &frame[..place]);
+        membership.on_datagram(at(now), address(9), &frame[..position]);
     }
     assert_eq!(
-        (fleet.member_table().counts().present(), fleet.host.0.len()),
+        (
+            membership.member_table().counts().present(),
+            membership.host.0.len()
+        ),
         (1, 0)
     );
 }
 
-/// A parcel comes once, from one that is known, and to nobody else; one that is too large is not
-/// sent.
+/// A payload must be delivered once, only from a known member and only to its recipient. A payload
+/// that is too large must not be sent.
 #[test]
-fn parcels_go_between_members() {
+fn payloads_are_delivered_once_between_known_members() {
     let (mut a, mut b) = (node("f", 1, 1), node("f", 2, 1));
     assert!(!a.send_payload(at(0), MemberKey::of("n2"), 7, b"who?"));
     let introduced = a.introduction().unwrap();
@@ -360,23 +376,24 @@
     );
 }
 
-/// Two fleets whose seeds were mixed up: their nodes ask each other, and neither comes into the
-/// other's view or gets a word.
+/// The seeds of two clusters were mixed up, so that a node contacts a seed of the other cluster.
+/// Neither cluster may add nodes of the other one or reply to them.
 #[test]
-fn two_fleets_that_share_a_seed_stay_apart() {
-    let (mut a, mut b) = (node("f", 2, 1), node("g", 3, 1)); // the same keys, and the seed of both is n1 of "f"
+fn two_clusters_that_share_a_seed_stay_separate() {
+    // Both nodes have the same keys, and n1 of "f" as their seed.
+    let (mut a, mut b) = (node("f", 2, 1), node("g", 3, 1));
     let mut seed = node("f", 1, 1);
     for step in 1..200u64 {
         let now = at(step * 50_000_000);
-        for fleet in [&mut seed, &mut a, &mut b] {
-            if fleet.next_wake() <= now.now {
-                fleet.wake(now);
+        for membership in [&mut seed, &mut a, &mut b] {
+            if membership.next_wake() <= now.now {
+                membership.wake(now);
             }
         }
         let mut sent: Vec<(SocketAddr, SocketAddr, Vec<u8>)> = Vec::new();
-        for (from, fleet) in [(1, &mut seed), (2, &mut a), (3, &mut b)] {
+        for (from, membership) in [(1, &mut seed), (2, &mut a), (3, &mut b)] {
             sent.extend(
-                fleet
+                membership
                     .host
                     .0
                     .drain(..)
@@ -386,15 +403,16 @@
         for (from, to, frame) in sent {
             assert!(
                 from != address(1) || to != address(3),
-                "no answer to the other fleet"
+                "no reply to the other cluster"
             );
-            let fleets = [(1, &mut seed), (2, &mut a), (3, &mut b)];
-            for (_, fleet) in fleets.into_iter().filter(|(n, _)| address(*n) == to) {
-                fleet.on_datagram(now, from, &frame);
+            let memberships = [(1, &mut seed), (2, &mut a), (3, &mut b)];
+            for (_, membership) in memberships.into_iter().filter(|(n, _)| address(*n) == to) {
+                membership.on_datagram(now, from, &frame);
             }
         }
     }
-    let present = |fleet: &Membership<Sent>| fleet.member_table().counts().present();
+    let present =
+        |membership: &Membership<RecordingHost>| membership.member_table().counts().present();
     assert_eq!((present(&seed), present(&a), present(&b)), (2, 2, 1));
     assert!(seed.counters()["datagrams of another fleet"] > 5);
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The datagrams as recorded in `golden/datagrams.hex`: wire formats must stay byte for byte alike.
-//! A line there is the name of a message, whether it is plain or sealed, and its bytes.
+//! Datagrams recorded in `golden/datagrams.hex`: the wire format must not change in any byte. Each
+//! line of that file holds the name of a message, its form (plain or sealed) and its bytes.
 
-#![cfg(not(feature = "later"))] // a later version's messages differ on purpose
+#![cfg(not(feature = "later"))] // messages of a later version differ on purpose
 
 use madderpoint_membership::datagram_auth::{AuthKeys, DatagramAuth};
 use madderpoint_membership::member::{Attachment, Incarnation, MemberDetails, Phase};
@@ -15,7 +15,7 @@
 const UNIX_MS: u64 = 1_800_000_000_123;
 const SENDER: Incarnation = Incarnation(0x0102_0304_0506_0708);
 
-fn seal(incarnation: Incarnation) -> DatagramAuth {
+fn auth(incarnation: Incarnation) -> DatagramAuth {
     let keys = AuthKeys::new(&[(0..32).collect(), vec![0xa5; 16]]).unwrap();
     DatagramAuth::new("golden", keys, incarnation, 600_000_000_000, 9)
 }
@@ -118,7 +118,7 @@
     }
 }
 
-/// All fields that any kind has.
+/// Returns a datagram with all fields that exist for any kind.
 fn full() -> Datagram {
     Datagram {
         from: 0x6162_6364_6566_6768,
@@ -155,7 +155,8 @@
     }
 }
 
-/// A message of each kind with the fields that it uses, and one with all fields.
+/// Returns a named message of each kind with the fields that the kind uses, and one with all
+/// fields.
 fn messages() -> Vec<(&'static str, Datagram)> {
     let all = full();
     let base = Datagram {
@@ -164,13 +165,13 @@
         digest: all.digest,
         ..Datagram::default()
     };
-    let apply_update = |kind| Datagram {
+    let with_updates = |kind| Datagram {
         kind,
         updates: all.updates.clone(),
         load_hints: all.load_hints.clone(),
         ..base.clone()
     };
-    let payload = |kind| Datagram {
+    let with_payload = |kind| Datagram {
         kind,
         topic: all.topic,
         payload: all.payload.clone(),
@@ -181,31 +182,31 @@
             "ping",
             Datagram {
                 target: all.target,
-                ..apply_update(kind::PING)
+                ..with_updates(kind::PING)
             },
         ),
         (
             "ack",
             Datagram {
                 target: all.target,
-                ..apply_update(kind::ACK)
+                ..with_updates(kind::ACK)
             },
         ),
         (
             "ask",
             Datagram {
                 target: all.target,
-                ..apply_update(kind::ASK)
+                ..with_updates(kind::ASK)
             },
         ),
         (
             "nack",
             Datagram {
                 target: all.target,
-                ..apply_update(kind::NACK)
+                ..with_updates(kind::NACK)
             },
         ),
-        ("gossip", apply_update(kind::GOSSIP)),
+        ("gossip", with_updates(kind::GOSSIP)),
         (
             "summary",
             Datagram {
@@ -218,14 +219,14 @@
             "headers",
             Datagram {
                 covered: all.covered.clone(),
-                ..apply_update(kind::HEADERS)
+                ..with_updates(kind::HEADERS)
             },
         ),
         (
             "entries",
             Datagram {
                 wants: all.wants.clone(),
-                ..apply_update(kind::ENTRIES)
+                ..with_updates(kind::ENTRIES)
             },
         ),
         (
@@ -243,25 +244,25 @@
                 report: all.report.clone(),
                 cursor: all.cursor,
                 topic: 0,
-                ..apply_update(kind::PAGE)
+                ..with_updates(kind::PAGE)
             },
         ),
-        ("parcel", payload(kind::PAYLOAD)),
+        ("parcel", with_payload(kind::PAYLOAD)),
         (
             "order",
             Datagram {
                 from: 0,
-                ..payload(kind::COMMAND)
+                ..with_payload(kind::COMMAND)
             },
         ),
-        ("ordered", payload(kind::COMMAND_REPLY)),
+        ("ordered", with_payload(kind::COMMAND_REPLY)),
         ("full", all),
     ]
 }
 
-/// The lines that the messages come to today.
+/// Returns the lines that the current code produces from the messages.
 fn lines() -> Vec<String> {
-    let mut sender = seal(SENDER);
+    let mut sender = auth(SENDER);
     let mut lines = Vec::new();
     for (name, datagram) in messages() {
         let plain = datagram.encode_to_vec();
@@ -274,14 +275,14 @@
     lines
 }
 
-/// The recorded bytes of all messages, plain or sealed.
+/// Returns the name and the recorded bytes of all messages in the given form, `plain` or `sealed`.
 fn recorded(form: &str) -> Vec<(&'static str, Vec<u8>)> {
-    let attachments = RECORDED
+    let fields = RECORDED
         .lines()
         .map(|line| line.split(' ').collect::<Vec<_>>());
-    attachments
-        .filter(|attachments| attachments[1] == form)
-        .map(|attachments| (attachments[0], unhex(attachments[2])))
+    fields
+        .filter(|fields| fields[1] == form)
+        .map(|fields| (fields[0], unhex(fields[2])))
         .collect()
 }
 
@@ -291,7 +292,7 @@
     let is_recorded = RECORDED.lines().eq(lines.iter().map(String::as_str));
     assert!(
         is_recorded,
-        "not as recorded; the messages are now:\n{}\n",
+        "the messages differ from the recorded ones; they are now:\n{}\n",
         lines.join("\n")
     );
 }
@@ -322,13 +323,13 @@
 }
 
 #[test]
-fn the_recorded_sealed_bytes_open_to_the_plain_ones() {
+fn the_recorded_sealed_bytes_open_to_the_recorded_plain_ones() {
     let (plain, sealed) = (recorded("plain"), recorded("sealed"));
     assert_eq!(
         (plain.len(), sealed.len()),
         (messages().len(), messages().len())
     );
-    let mut receiver = seal(Incarnation(9));
+    let mut receiver = auth(Incarnation(9));
     for ((name, message), (sealed_name, frame)) in plain.iter().zip(&sealed) {
         assert_eq!(name, sealed_name);
         assert_eq!(
@@ -340,25 +341,17 @@
 }
 
 #[test]
-fn the_recorded_details_are_read_as_they_were_meant() {
-    let (_, dissemination_queue) = recorded("plain")
+fn the_recorded_details_decode_to_the_encoded_values() {
+    let (_, gossip) = recorded("plain")
         .into_iter()
         .find(|(name, _)| *name == "gossip")
         .unwrap();
-    let dissemination_queue = Datagram::decode(&dissemination_queue[..]).unwrap();
-    for (updates, address, phase) in [
-        (
-            &dissemination_queue.updates[0],
-            "192.0.2.1:7946",
-            Phase::Draining,
-        ),
-        (
-            &dissemination_queue.updates[1],
-            "[2001:db8::7]:7947",
-            Phase::Serving,
-        ),
+    let gossip = Datagram::decode(&gossip[..]).unwrap();
+    for (update, address, phase) in [
+        (&gossip.updates[0], "192.0.2.1:7946", Phase::Draining),
+        (&gossip.updates[1], "[2001:db8::7]:7947", Phase::Serving),
     ] {
-        let read = MemberDetails::read(&updates.details).unwrap();
+        let read = MemberDetails::read(&update.details).unwrap();
         assert_eq!(read, details(address, phase));
     }
 }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,7 +1,7 @@
-//! Small fleets, checked through every order of losses, doublings, suspicions, deaths, crashes and
-//! restarts to a depth. The table and the refutation are those of the package; what is left out is
-//! time: anybody may suspect and bury anybody else at any moment, which is worse than what any
-//! timing does.
+//! Model checks of small clusters: every order of losses, duplications, suspicions, deaths, crashes
+//! and restarts up to a depth. The member table and the refutation rule are those of the crate. The
+//! model has no time: any member may suspect another and declare it dead at any moment, which
+//! includes every order that real timeouts allow.
 
 use madderpoint_membership::member::{
     Epoch, Liveness, LivenessState, MemberDetails, MemberKey, Phase, refutes,
@@ -13,40 +13,42 @@
 use std::net::SocketAddr;
 use std::sync::LazyLock;
 
-type Held = (u64, u32, Liveness);
+/// Start time, refutation number and liveness of a member in a member table.
+type EntryState = (u64, u32, Liveness);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     up: Vec<bool>,
-    /// What each says of itself: birth and bump.
+    /// Start time and refutation number that each member has for itself.
     own: Vec<(u64, u32)>,
-    /// What each holds of each.
-    views: Vec<Vec<Option<Held>>>,
-    /// What is under way: to whom, of whom, what. It may arrive any number of times, or never.
-    under_way: BTreeSet<(usize, usize, Held)>,
+    /// Entry for each member in the table of each member.
+    tables: Vec<Vec<Option<EntryState>>>,
+    /// Updates in flight: recipient, member concerned, state. Each may arrive any number of times,
+    /// or never.
+    in_flight: BTreeSet<(usize, usize, EntryState)>,
     crashes: usize,
-    went_back: bool,
+    decreased: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
     Suspect(usize, usize),
-    Bury(usize, usize),
-    Tell(usize, usize, usize),
-    Deliver(usize, usize, Held),
-    Lose(usize, usize, Held),
+    DeclareDead(usize, usize),
+    Send(usize, usize, usize),
+    Deliver(usize, usize, EntryState),
+    Drop(usize, usize, EntryState),
     Crash(usize),
     Restart(usize),
 }
 
-struct Small {
+struct SmallCluster {
     members: usize,
-    bumps: u32,
-    under_way: usize,
+    refutations_max: u32,
+    in_flight: usize,
     crashes: usize,
 }
 
-static TOLD: LazyLock<Vec<u8>> = LazyLock::new(|| {
+static DETAILS: LazyLock<Vec<u8>> = LazyLock::new(|| {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     MemberDetails::new(address, "a", Phase::Serving, "1", (1, 1), (0, 0), vec![])
         .unwrap()
@@ -54,7 +56,7 @@
         .to_vec()
 });
 
-fn updates(n: usize, (started_unix_ms, refutation, liveness): Held) -> MemberUpdate {
+fn update(n: usize, (started_unix_ms, refutation, liveness): EntryState) -> MemberUpdate {
     let name = format!("n{n}");
     let key = MemberKey::of(&name).0;
     MemberUpdate {
@@ -65,19 +67,19 @@
         liveness: liveness as u32,
         revision: 0,
         name,
-        details: TOLD.clone(),
+        details: DETAILS.clone(),
         suspected_by: 0,
     }
 }
 
-/// The package's table, with what a node holds.
-fn table(held: &[Option<Held>]) -> MemberTable {
+/// Returns a member table of the crate with the given entries.
+fn table_with(entries: &[Option<EntryState>]) -> MemberTable {
     let mut member_table = MemberTable::new(1 << 20, None);
-    for (n, held) in held.iter().enumerate() {
-        if let Some((started_unix_ms, refutation, liveness)) = *held {
+    for (n, entry) in entries.iter().enumerate() {
+        if let Some((started_unix_ms, refutation, liveness)) = *entry {
             let _ = member_table.merge(
                 0,
-                &updates(n, (started_unix_ms, refutation, Liveness::Alive)),
+                &update(n, (started_unix_ms, refutation, Liveness::Alive)),
             );
             member_table.mark(0, MemberKey::of(&format!("n{n}")), liveness);
         }
@@ -85,7 +87,7 @@
     member_table
 }
 
-fn held(member_table: &MemberTable, n: usize) -> Option<Held> {
+fn entry_state(member_table: &MemberTable, n: usize) -> Option<EntryState> {
     let entry = member_table.get(MemberKey::of(&format!("n{n}")))?;
     Some((
         entry.epoch.started_unix_ms,
@@ -94,8 +96,8 @@
     ))
 }
 
-fn version(held: Option<Held>) -> Option<(Epoch, LivenessState)> {
-    held.map(|(started_unix_ms, refutation, liveness)| {
+fn order(entry_state: Option<EntryState>) -> Option<(Epoch, LivenessState)> {
+    entry_state.map(|(started_unix_ms, refutation, liveness)| {
         (
             Epoch {
                 started_unix_ms,
@@ -110,8 +112,8 @@
 }
 
 impl State {
-    /// A node hears what is said of one.
-    fn hear(&mut self, to: usize, of: usize, said: Held) {
+    /// Handles an update about member `of` at node `to`.
+    fn receive(&mut self, to: usize, of: usize, received: EntryState) {
         if !self.up[to] {
             return;
         }
@@ -121,42 +123,43 @@
                 refutation,
                 liveness: Liveness::Alive,
             };
-            let apply_update = LivenessState {
-                refutation: said.1,
-                liveness: said.2,
+            let reported = LivenessState {
+                refutation: received.1,
+                liveness: received.2,
             };
-            if said.0 > started_unix_ms {
-                self.own[of] = (said.0 + 1, 0); // its past, with a clock that was ahead
-            } else if said.0 == started_unix_ms
-                && let Some(refutation) = refutes(own, apply_update)
+            if received.0 > started_unix_ms {
+                self.own[of] = (received.0 + 1, 0); // an earlier incarnation whose clock was ahead
+            } else if received.0 == started_unix_ms
+                && let Some(refutation) = refutes(own, reported)
             {
                 self.own[of] = (started_unix_ms, refutation);
             }
             let (started_unix_ms, refutation) = self.own[of];
-            self.set(to, of, (started_unix_ms, refutation, Liveness::Alive));
+            self.merge(to, of, (started_unix_ms, refutation, Liveness::Alive));
         } else {
-            self.set(to, of, said);
+            self.merge(to, of, received);
         }
     }
 
-    fn set(&mut self, at: usize, of: usize, said: Held) {
-        let mut member_table = table(&self.views[at]);
-        let _ = member_table.merge(0, &updates(of, said));
-        let now = held(&member_table, of);
-        self.went_back |= version(now) < version(self.views[at][of]);
-        self.views[at][of] = now;
+    fn merge(&mut self, at: usize, of: usize, received: EntryState) {
+        let mut member_table = table_with(&self.tables[at]);
+        let _ = member_table.merge(0, &update(of, received));
+        let now = entry_state(&member_table, of);
+        self.decreased |= order(now) < order(self.tables[at][of]);
+        self.tables[at][of] = now;
     }
 
-    /// Everybody tells everybody all, until nothing changes: what comes of it if no more fails.
-    fn quiet(&self) -> Option<State> {
+    /// Returns the state that is reached without further faults: all members that are up exchange
+    /// all entries until nothing changes. `None` if the exchange does not end.
+    fn settled(&self) -> Option<State> {
         let mut state = self.clone();
         for _ in 0..12 {
             let before = state.clone();
             for to in 0..state.up.len() {
                 for from in (0..state.up.len()).filter(|&from| from != to && before.up[from]) {
                     for of in 0..state.up.len() {
-                        if let Some(said) = before.views[from][of] {
-                            state.hear(to, of, said);
+                        if let Some(received) = before.tables[from][of] {
+                            state.receive(to, of, received);
                         }
                     }
                 }
@@ -169,7 +172,7 @@
     }
 }
 
-impl Model for Small {
+impl Model for SmallCluster {
     type State = State;
     type Action = Action;
 
@@ -179,10 +182,10 @@
         vec![State {
             up: vec![true; n],
             own: vec![(2, 0); n],
-            views: vec![vec![alive; n]; n],
-            under_way: BTreeSet::new(),
+            tables: vec![vec![alive; n]; n],
+            in_flight: BTreeSet::new(),
             crashes: 0,
-            went_back: false,
+            decreased: false,
         }]
     }
 
@@ -190,124 +193,130 @@
         let up = |n: &usize| state.up[*n];
         for i in (0..self.members).filter(up) {
             for j in (0..self.members).filter(|&j| j != i) {
-                match state.views[i][j] {
+                match state.tables[i][j] {
                     Some((_, _, Liveness::Alive)) => actions.push(Action::Suspect(i, j)),
-                    Some((_, _, Liveness::Suspect)) => actions.push(Action::Bury(i, j)),
+                    Some((_, _, Liveness::Suspect)) => actions.push(Action::DeclareDead(i, j)),
                     _ => {}
                 }
-                actions.extend((0..self.members).map(|of| Action::Tell(i, j, of)));
+                actions.extend((0..self.members).map(|of| Action::Send(i, j, of)));
             }
             actions.push(Action::Crash(i));
         }
         actions.extend((0..self.members).filter(|n| !up(n)).map(Action::Restart));
-        for (to, of, said) in &state.under_way {
-            actions.push(Action::Deliver(*to, *of, *said));
-            actions.push(Action::Lose(*to, *of, *said));
+        for (to, of, received) in &state.in_flight {
+            actions.push(Action::Deliver(*to, *of, *received));
+            actions.push(Action::Drop(*to, *of, *received));
         }
     }
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Suspect(i, j) | Action::Bury(i, j) => {
-                let liveness = if matches!(action, Action::Bury(..)) {
+            Action::Suspect(i, j) | Action::DeclareDead(i, j) => {
+                let liveness = if matches!(action, Action::DeclareDead(..)) {
                     Liveness::Dead
                 } else {
                     Liveness::Suspect
                 };
-                let mut member_table = table(&state.views[i]);
+                let mut member_table = table_with(&state.tables[i]);
                 member_table.mark(0, MemberKey::of(&format!("n{j}")), liveness);
-                state.views[i][j] = held(&member_table, j);
+                state.tables[i][j] = entry_state(&member_table, j);
             }
-            Action::Tell(i, j, of) => {
-                state.under_way.insert((j, of, state.views[i][of]?));
+            Action::Send(i, j, of) => {
+                state.in_flight.insert((j, of, state.tables[i][of]?));
             }
-            Action::Deliver(to, of, said) => state.hear(to, of, said),
-            Action::Lose(to, of, said) => {
-                state.under_way.remove(&(to, of, said));
+            Action::Deliver(to, of, received) => state.receive(to, of, received),
+            Action::Drop(to, of, received) => {
+                state.in_flight.remove(&(to, of, received));
             }
             Action::Crash(i) => {
                 state.crashes += 1;
                 state.up[i] = false;
             }
             Action::Restart(i) => {
-                // Cold, and with a clock that stepped back: its birth lies before that of its first
-                // life.
+                // The member knows only itself, and its clock was set back: its start time is
+                // before that of its first incarnation.
                 state.up[i] = true;
                 state.own[i] = (1, 0);
-                state.views[i] = vec![None; self.members];
-                state.views[i][i] = Some((1, 0, Liveness::Alive));
+                state.tables[i] = vec![None; self.members];
+                state.tables[i][i] = Some((1, 0, Liveness::Alive));
             }
         }
         (state != *last).then_some(state)
     }
 
-    fn properties(&self) -> Vec<Property<Small>> {
+    fn properties(&self) -> Vec<Property<SmallCluster>> {
         vec![
             Property::always(
-                "no version goes back in any view",
-                |_: &Small, state: &State| !state.went_back,
+                "no entry decreases in any member table",
+                |_: &SmallCluster, state: &State| !state.decreased,
             ),
             Property::always(
-                "nobody holds more of a member than it said itself",
-                |_: &Small, state: &State| {
-                    let fresh = |n: usize| state.crashes == 0 && state.up[n];
+                "no entry has a higher refutation number than the member itself",
+                |_: &SmallCluster, state: &State| {
+                    let is_first_incarnation = |n: usize| state.crashes == 0 && state.up[n];
                     let all = 0..state.up.len();
                     all.clone().all(|i| {
                         all.clone().all(|j| {
-                            !fresh(j)
-                                || state.views[i][j]
+                            !is_first_incarnation(j)
+                                || state.tables[i][j]
                                     .is_none_or(|(_, refutation, _)| refutation <= state.own[j].1)
                         })
                     })
                 },
             ),
             Property::always(
-                "in the quiet, all who are up hold all who are up for alive, and agree",
-                |_: &Small, state: &State| {
-                    let Some(quiet) = state.quiet() else {
+                "without further faults, all members that are up agree and see each other alive",
+                |_: &SmallCluster, state: &State| {
+                    let Some(end) = state.settled() else {
                         return false;
                     };
-                    let up: Vec<usize> = (0..quiet.up.len()).filter(|&n| quiet.up[n]).collect();
+                    let up: Vec<usize> = (0..end.up.len()).filter(|&n| end.up[n]).collect();
                     up.iter().all(|&i| {
                         let alive =
-                            |j: &usize| matches!(quiet.views[i][*j], Some((_, _, Liveness::Alive)));
-                        up.iter().all(alive) && quiet.views[i] == quiet.views[up[0]]
+                            |j: &usize| matches!(end.tables[i][*j], Some((_, _, Liveness::Alive)));
+                        up.iter().all(alive) && end.tables[i] == end.tables[up[0]]
                     })
                 },
             ),
             Property::sometimes(
-                "somebody is buried while it is there",
-                |_: &Small, state: &State| {
-                    state.views.iter().any(|v| {
+                "a member is declared dead while it is up",
+                |_: &SmallCluster, state: &State| {
+                    state.tables.iter().any(|v| {
                         v.iter()
                             .zip(&state.up)
                             .any(|(h, up)| *up && matches!(h, Some((_, _, Liveness::Dead))))
                     })
                 },
             ),
-            Property::sometimes("somebody refutes", |_: &Small, state: &State| {
-                state.own.iter().any(|(_, refutation)| *refutation > 0)
-            }),
-            Property::sometimes("somebody outlives its past", |_: &Small, state: &State| {
-                state
-                    .own
-                    .iter()
-                    .any(|(started_unix_ms, _)| *started_unix_ms > 2)
-            }),
+            Property::sometimes(
+                "a member refutes a report",
+                |_: &SmallCluster, state: &State| {
+                    state.own.iter().any(|(_, refutation)| *refutation > 0)
+                },
+            ),
+            Property::sometimes(
+                "a member starts later than an earlier incarnation",
+                |_: &SmallCluster, state: &State| {
+                    state
+                        .own
+                        .iter()
+                        .any(|(started_unix_ms, _)| *started_unix_ms > 2)
+                },
+            ),
         ]
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        state.under_way.len() <= self.under_way
+        state.in_flight.len() <= self.in_flight
             && state.crashes <= self.crashes
             && state.own.iter().all(|(started_unix_ms, refutation)| {
-                *refutation <= self.bumps && *started_unix_ms <= 3
+                *refutation <= self.refutations_max && *started_unix_ms <= 3
             })
     }
 }
 
-fn check(model: Small, depth: usize) {
+fn check(model: SmallCluster, depth: usize) {
     let checker = model
         .checker()
         .threads(4)
@@ -323,12 +332,12 @@
 }
 
 #[test]
-fn three_members_through_every_order_of_faults() {
+fn three_members_agree_after_every_order_of_faults() {
     check(
-        Small {
+        SmallCluster {
             members: 3,
-            bumps: 2,
-            under_way: 2,
+            refutations_max: 2,
+            in_flight: 2,
             crashes: 1,
         },
         7,
@@ -336,12 +345,12 @@
 }
 
 #[test]
-fn four_members_through_every_order_of_faults() {
+fn four_members_agree_after_every_order_of_faults() {
     check(
-        Small {
+        SmallCluster {
             members: 4,
-            bumps: 1,
-            under_way: 1,
+            refutations_max: 1,
+            in_flight: 1,
             crashes: 1,
         },
         6,
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -1,4 +1,4 @@
-//! The hard cases of a fleet, processed over simulated time: each names what must hold and how soon.
+//! Faults of a cluster in simulated time. Each test states what must hold afterwards, and how soon.
 
 use madderpoint_membership::FeatureToggles;
 use madderpoint_membership::member::{Attachment, Liveness, MemberKey};
@@ -8,7 +8,7 @@
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1000 * MS;
 
-fn fleet(members: usize, seed: u64) -> Simulation {
+fn cluster(members: usize, seed: u64) -> Simulation {
     Simulation::started(SimulationConfig {
         members,
         seed,
@@ -16,14 +16,15 @@
     })
 }
 
-fn settles(sim: &mut Simulation, within: Nanos) -> Nanos {
+fn run_until_settled(sim: &mut Simulation, within: Nanos) -> Nanos {
     let seed = sim.config.seed;
     let took = sim.run_until(within, 50 * MS, |sim| sim.is_settled());
     took.unwrap_or_else(|| panic!("seed {seed}: not settled within {} ms", within / MS))
 }
 
-/// The fleet is settled, and stays so, with nobody suspected and nothing falsely buried.
-fn stays_settled(sim: &mut Simulation, time: Nanos) {
+/// Runs the simulation for a time, and checks that the cluster is settled afterwards, that no
+/// member is suspected then, and that none was falsely declared dead in the meantime.
+fn assert_stays_settled(sim: &mut Simulation, time: Nanos) {
     let before = sim.false_deaths.len();
     sim.run(time);
     assert!(
@@ -34,18 +35,18 @@
     assert_eq!(sim.false_deaths[before..], [], "seed {}", sim.config.seed);
 }
 
-fn counted(sim: &Simulation, what: &str) -> u64 {
+fn counter_total(sim: &Simulation, counter: &str) -> u64 {
     sim.up()
-        .filter_map(|(_, fleet)| fleet.counters().get(what))
+        .filter_map(|(_, membership)| membership.counters().get(counter))
         .sum()
 }
 
 fn no_invariant_failed(sim: &Simulation) {
-    for (node, fleet) in sim.up() {
-        let failed: Vec<_> = fleet
+    for (node, membership) in sim.up() {
+        let failed: Vec<_> = membership
             .counters()
             .iter()
-            .filter(|(what, _)| what.starts_with("invariant"))
+            .filter(|(counter, _)| counter.starts_with("invariant"))
             .collect();
         assert!(
             failed.is_empty(),
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn all_that_start_at_once_and_cold_find_each_other() {
+fn members_that_start_at_once_find_each_other() {
     for (members, within) in [(1, S), (2, 3 * S), (5, 3 * S), (60, 6 * S), (300, 10 * S)] {
         for seed in 0..3 {
             let mut sim = Simulation::started(SimulationConfig {
@@ -66,28 +67,28 @@
                 preloaded: false,
                 ..SimulationConfig::default()
             });
-            settles(&mut sim, within);
-            stays_settled(&mut sim, 20 * S);
+            run_until_settled(&mut sim, within);
+            assert_stays_settled(&mut sim, 20 * S);
             no_invariant_failed(&sim);
         }
     }
 }
 
 #[test]
-fn a_crash_is_found_and_its_end_agreed_on() {
+fn all_members_agree_on_a_crash() {
     for (members, within) in [(3, 16 * S), (5, 12 * S), (40, 16 * S)] {
         for seed in 0..5 {
-            let mut sim = fleet(members, seed);
+            let mut sim = cluster(members, seed);
             sim.run(5 * S);
             sim.crash(1);
-            settles(&mut sim, within);
-            stays_settled(&mut sim, 10 * S);
+            run_until_settled(&mut sim, within);
+            assert_stays_settled(&mut sim, 10 * S);
         }
     }
 }
 
-/// A zone is cut for six seconds, and for a minute: halves hold each other for dead, and find each
-/// other again.
+/// A zone is cut off for 6 to 60 seconds, long enough for both sides to declare each other dead.
+/// After the cut they must find each other again.
 #[test]
 fn halves_of_a_healed_partition_find_each_other() {
     for seed in 0..8 {
@@ -95,12 +96,12 @@
             .into_iter()
             .filter(|(m, _)| seed == 0 || *m < 300)
         {
-            let mut sim = fleet(members, seed);
+            let mut sim = cluster(members, seed);
             sim.run(5 * S);
             sim.cut(|from, to| (from.zone == 0) != (to.zone == 0));
             sim.run(cut * S);
             sim.heal();
-            let took = settles(&mut sim, 8 * S);
+            let took = run_until_settled(&mut sim, 8 * S);
             println!(
                 "{members} members, cut for {cut} s: settled after {} ms",
                 took / MS
@@ -110,18 +111,18 @@
                 "seed {seed}: {} ms for {members}",
                 took / MS
             );
-            // A last call that the cut swallowed may still bury one within its time.
+            // A suspicion from the cut, whose last calls were lost, may still lead to a death.
             sim.run(S);
-            settles(&mut sim, 3 * S);
-            stays_settled(&mut sim, 60 * S);
+            run_until_settled(&mut sim, 3 * S);
+            assert_stays_settled(&mut sim, 60 * S);
             no_invariant_failed(&sim);
         }
     }
 }
 
 #[test]
-fn a_partition_that_flaps_faster_than_suspicion_buries_nobody() {
-    let mut sim = fleet(30, 7);
+fn a_flapping_partition_shorter_than_the_suspicion_timeout_causes_no_deaths() {
+    let mut sim = cluster(30, 7);
     sim.run(3 * S);
     for _ in 0..20 {
         sim.cut(|from, to| (from.zone == 0) != (to.zone == 0));
@@ -130,32 +131,33 @@
         sim.run(1500 * MS);
     }
     assert_eq!(sim.detected.len(), 0);
-    settles(&mut sim, 5 * S);
-    for (_, fleet) in sim.up() {
-        assert_eq!(fleet.member_table().counts().dead, 0);
+    run_until_settled(&mut sim, 5 * S);
+    for (_, membership) in sim.up() {
+        assert_eq!(membership.member_table().counts().dead, 0);
     }
 }
 
-/// A cannot reach B, but B reaches A, and all others hear both.
+/// The link from one member to another is cut, first in one direction and then in both; all other
+/// members reach both of them.
 #[test]
-fn a_link_cut_one_way_harms_nobody_whom_a_third_one_hears() {
+fn a_cut_link_between_two_members_that_others_reach_causes_no_deaths() {
     for seed in 0..5 {
-        let mut sim = fleet(5, seed);
+        let mut sim = cluster(5, seed);
         sim.run(2 * S);
         sim.cut(|from, to| from.name == "n0" && to.name == "n1");
-        stays_settled_but_for_suspicion(&mut sim, 120 * S);
+        assert_all_stay_present(&mut sim, 120 * S);
         sim.cut(|from, to| {
             from.name == "n0" && to.name == "n1" || from.name == "n1" && to.name == "n0"
         });
-        stays_settled_but_for_suspicion(&mut sim, 120 * S);
+        assert_all_stay_present(&mut sim, 120 * S);
     }
 }
 
-fn stays_settled_but_for_suspicion(sim: &mut Simulation, time: Nanos) {
+fn assert_all_stay_present(sim: &mut Simulation, time: Nanos) {
     for _ in 0..time / S {
         sim.run(S);
-        for (node, fleet) in sim.up() {
-            let counters = fleet.member_table().counts();
+        for (node, membership) in sim.up() {
+            let counters = membership.member_table().counts();
             assert_eq!(
                 (counters.present(), counters.dead),
                 (5, 0),
@@ -168,9 +170,9 @@
 }
 
 #[test]
-fn six_in_ten_are_replaced_within_seven_seconds() {
+fn six_in_ten_members_are_replaced_within_seven_seconds() {
     for seed in 0..3 {
-        let mut sim = fleet(100, seed);
+        let mut sim = cluster(100, seed);
         sim.run(3 * S);
         for n in 0..60 {
             if n % 2 == 0 {
@@ -182,19 +184,19 @@
             sim.start(n);
             sim.run(58 * MS);
         }
-        settles(&mut sim, 6 * S);
+        run_until_settled(&mut sim, 6 * S);
         sim.run(30 * S);
         assert!(sim.is_settled() && sim.is_calm(), "seed {seed}");
         no_invariant_failed(&sim);
     }
 }
 
-/// A node paused for longer than it takes to be declared dead wakes to find itself so, and says
-/// that it is there.
+/// A node is paused for longer than it takes to be declared dead. After the pause it must refute
+/// its death and must not declare other members dead.
 #[test]
-fn a_node_that_slept_past_its_death_comes_back() {
+fn a_node_that_was_declared_dead_during_a_pause_returns() {
     for seed in 0..4 {
-        let mut sim = fleet(20, seed);
+        let mut sim = cluster(20, seed);
         sim.run(2 * S);
         sim.pause(3, 40 * S);
         sim.run(39 * S);
@@ -210,19 +212,20 @@
             .count();
         assert_eq!(dead, 19, "seed {seed}");
         sim.run(S);
-        settles(&mut sim, 5 * S);
-        let (_, fleet) = sim.up().nth(3).unwrap();
-        assert!(fleet.refutation() > 0);
-        // It buried nobody, though it had heard nobody for so long.
-        assert_eq!(fleet.member_table().counts().dead, 0, "seed {seed}");
-        assert!(counted(&sim, "times it stood still") >= 1);
-        stays_settled(&mut sim, 30 * S);
+        run_until_settled(&mut sim, 5 * S);
+        let (_, membership) = sim.up().nth(3).unwrap();
+        assert!(membership.refutation() > 0);
+        // It declared no member dead, although it received nothing during the pause.
+        assert_eq!(membership.member_table().counts().dead, 0, "seed {seed}");
+        assert!(counter_total(&sim, "times it stood still") >= 1);
+        assert_stays_settled(&mut sim, 30 * S);
     }
 }
 
-/// It sleeps for longer than the others remember who died: it must not bring the dead back.
+/// A node is paused for longer than the others remember dead members. Its outdated table must not
+/// make these members appear again.
 #[test]
-fn one_that_slept_past_what_others_remember_brings_no_dead_back() {
+fn a_node_paused_beyond_the_retention_time_does_not_bring_back_dead_members() {
     let mut config = SimulationConfig {
         members: 12,
         seed: 3,
@@ -238,9 +241,9 @@
     assert_eq!(
         sim.up().nth(1).unwrap().1.member_table().counts().dead,
         0,
-        "all forgot who died"
+        "all members have forgotten the dead ones"
     );
-    let ghosts = |sim: &Simulation| {
+    let dead_returned = |sim: &Simulation| {
         sim.up().skip(1).any(|(_, f)| {
             (1..5).any(|n| {
                 f.member_table()
@@ -251,15 +254,15 @@
     };
     for _ in 0..250 {
         sim.run(100 * MS);
-        assert!(!ghosts(&sim));
+        assert!(!dead_returned(&sim));
     }
     assert!(sim.is_settled());
 }
 
-/// A node so stalling that none of its probes is answered in time doubts itself first, and buries
-/// nobody.
+/// Some nodes stall for so long that replies to their probes come too late. Their local health
+/// score must keep them from declaring other members dead.
 #[test]
-fn a_slow_node_doubts_itself_first() {
+fn stalling_nodes_cause_no_false_deaths() {
     let mut sim = Simulation::started(SimulationConfig {
         members: 30,
         stalling: 0.07,
@@ -268,12 +271,13 @@
     });
     sim.run(600 * S);
     assert_eq!(sim.false_deaths, vec![]);
-    assert!(counted(&sim, "times it stood still") > 50);
+    assert!(counter_total(&sim, "times it stood still") > 50);
 }
 
-/// Without what Lifeguard adds the same fleet buries some who are there: the tests above can fail.
+/// Without local health and confirmations the same cluster must have many more false deaths. This
+/// shows that the tests above can fail.
 #[test]
-fn without_doubt_and_confirmation_the_living_are_buried() {
+fn without_local_health_and_confirmations_false_deaths_increase() {
     let features = FeatureToggles {
         health: false,
         confirm: false,
@@ -289,23 +293,23 @@
     };
     let mut sim = Simulation::started(config.clone());
     sim.run(1200 * S);
-    let mut with = Simulation::started(SimulationConfig {
+    let mut sim_with_features = Simulation::started(SimulationConfig {
         features: FeatureToggles::default(),
         ..config
     });
-    with.run(1200 * S);
+    sim_with_features.run(1200 * S);
     assert!(
-        sim.false_deaths.len() > 2 * with.false_deaths.len(),
+        sim.false_deaths.len() > 2 * sim_with_features.false_deaths.len(),
         "{:?}, {:?}",
         sim.false_deaths,
-        with.false_deaths
+        sim_with_features.false_deaths
     );
 }
 
-/// All seeds are down: those who know each other go on; one that starts finds nobody, says so, and
-/// joins once one is back.
+/// All seeds are down. Members that know each other must stay together; a member that starts must
+/// report that it is alone, and join once a seed is back.
 #[test]
-fn with_all_seeds_down_the_fleet_goes_on_and_a_newcomer_waits() {
+fn with_all_seeds_down_members_stay_and_a_new_one_joins_later() {
     let mut sim = Simulation::new(SimulationConfig {
         members: 8,
         seed: 9,
@@ -313,7 +317,7 @@
     });
     sim.collect_lines = true;
     (0..7).for_each(|n| sim.start(n));
-    settles(&mut sim, 5 * S);
+    run_until_settled(&mut sim, 5 * S);
     (0..3).for_each(|n| sim.crash(n));
     sim.start(7);
     sim.run(30 * S);
@@ -333,42 +337,48 @@
             .iter()
             .any(|l| l.contains("alone"))
     );
-    for (node, fleet) in sim.up().filter(|(node, _)| node.name != "n7") {
-        assert_eq!(fleet.member_table().counts().present(), 4, "{}", node.name);
+    for (node, membership) in sim.up().filter(|(node, _)| node.name != "n7") {
+        assert_eq!(
+            membership.member_table().counts().present(),
+            4,
+            "{}",
+            node.name
+        );
     }
     sim.start(1);
-    settles(&mut sim, 15 * S);
+    run_until_settled(&mut sim, 15 * S);
 }
 
-/// Restarted under its name: at once, and with a clock that stepped back by a day.
+/// A member restarts under its name, first at once and then with a clock that was set back by five
+/// minutes. Its new incarnation must take precedence over the earlier ones.
 #[test]
-fn one_that_returns_under_its_name_holds_over_its_past() {
+fn a_restarted_member_takes_precedence_over_its_earlier_incarnations() {
     for seed in 0..4 {
-        let mut sim = fleet(10, seed);
+        let mut sim = cluster(10, seed);
         sim.run(5 * S);
         sim.crash(4);
         sim.run(200 * MS);
         sim.start(4);
-        settles(&mut sim, 3 * S);
+        run_until_settled(&mut sim, 3 * S);
         sim.crash(4);
-        sim.nodes[4].clock_error_ms = -300_000; // five minutes back
+        sim.nodes[4].clock_error_ms = -300_000; // set back by five minutes
         sim.start(4);
-        settles(&mut sim, 6 * S);
-        let (_, fleet) = sim.up().nth(4).unwrap();
-        assert!(!fleet.has_name_conflict());
+        run_until_settled(&mut sim, 6 * S);
+        let (_, membership) = sim.up().nth(4).unwrap();
+        assert!(!membership.has_name_conflict());
         assert!(
-            counted(
+            counter_total(
                 &sim,
                 "times it took its name over from an earlier incarnation"
             ) >= 1,
             "seed {seed}"
         );
-        stays_settled(&mut sim, 30 * S);
+        assert_stays_settled(&mut sim, 30 * S);
     }
 }
 
 #[test]
-fn clocks_that_are_minutes_apart_and_step_change_nothing() {
+fn clock_differences_and_clock_jumps_do_no_harm() {
     let mut sim = Simulation::new(SimulationConfig {
         members: 9,
         seed: 4,
@@ -378,20 +388,20 @@
         sim.nodes[n].clock_error_ms = (n as i64 - 4) * 60_000;
         sim.start(n);
     }
-    settles(&mut sim, 5 * S);
+    run_until_settled(&mut sim, 5 * S);
     for n in 0..9 {
         sim.nodes[n].clock_error_ms = if n % 2 == 0 { 86_400_000 } else { -86_400_000 };
     }
-    stays_settled(&mut sim, 60 * S);
+    assert_stays_settled(&mut sim, 60 * S);
     sim.cut(|from, to| (from.zone == 0) != (to.zone == 0));
     sim.run(30 * S);
     sim.heal();
-    settles(&mut sim, 6 * S);
+    run_until_settled(&mut sim, 6 * S);
 }
 
 #[test]
-fn a_drain_and_a_leave_are_told_and_no_death() {
-    let mut sim = fleet(12, 2);
+fn a_drain_and_a_leave_reach_all_members_and_cause_no_death() {
+    let mut sim = cluster(12, 2);
     sim.run(3 * S);
     let at = madderpoint_membership::ClockReading {
         now: sim.now,
@@ -403,9 +413,9 @@
         .unwrap()
         .set_phase(at, Phase::Draining);
     sim.run(2 * S);
-    for (node, fleet) in sim.up() {
+    for (node, membership) in sim.up() {
         assert_eq!(
-            fleet
+            membership
                 .member_table()
                 .get(MemberKey::of("n5"))
                 .unwrap()
@@ -418,11 +428,11 @@
     }
     sim.leave(5);
     sim.run(2 * S);
-    for (_, fleet) in sim.up() {
+    for (_, membership) in sim.up() {
         assert_eq!(
             (
-                fleet.member_table().counts().left,
-                fleet.member_table().counts().dead
+                membership.member_table().counts().left,
+                membership.member_table().counts().dead
             ),
             (1, 0)
         );
@@ -430,22 +440,22 @@
     assert!(sim.is_settled());
 }
 
-/// One leaves while a zone is cut off: those on the other side hold it for dead, and hear
-/// afterwards that it left.
+/// A member leaves while a zone is cut off. The members on the other side declare it dead, and must
+/// learn after the partition that it left.
 #[test]
-fn a_leave_that_a_partition_hid_is_heard_afterwards() {
+fn a_leave_during_a_partition_is_known_to_all_afterwards() {
     for seed in 0..4 {
-        let mut sim = fleet(9, seed);
+        let mut sim = cluster(9, seed);
         sim.run(3 * S);
         sim.cut(|from, to| (from.zone == 0) != (to.zone == 0));
         sim.run(2 * S);
         sim.leave(4); // in zone 1
         sim.run(20 * S);
         sim.heal();
-        settles(&mut sim, 6 * S);
+        run_until_settled(&mut sim, 6 * S);
         sim.run(25 * S);
-        for (node, fleet) in sim.up() {
-            let liveness = fleet
+        for (node, membership) in sim.up() {
+            let liveness = membership
                 .member_table()
                 .get(MemberKey::of("n4"))
                 .unwrap()
@@ -455,41 +465,50 @@
     }
 }
 
-/// What others hang on an entry reaches all; an entry can't grow beyond its bound.
+/// An attachment must reach all members. An attachment that makes the entry too large must be
+/// refused.
 #[test]
-fn parts_reach_all_and_an_entry_has_its_bound() {
-    let mut sim = fleet(12, 2);
+fn attachments_reach_all_members_and_are_bounded() {
+    let mut sim = cluster(12, 2);
     sim.run(S);
     let at = madderpoint_membership::ClockReading {
         now: sim.now,
         unix_ms: 1_800_000_000_000,
     };
-    let fleet = sim.nodes[2].membership.as_mut().unwrap();
-    let part = |bytes| Attachment {
+    let membership = sim.nodes[2].membership.as_mut().unwrap();
+    let attachment = |bytes| Attachment {
         id: 7,
         version: 1,
         bytes,
     };
-    assert!(fleet.set_attachment(at, part(vec![1; 500])).is_err());
-    assert!(fleet.set_attachment(at, part(vec![5; 60])).is_ok());
-    settles(&mut sim, 4 * S);
-    for (_, fleet) in sim.up() {
+    assert!(
+        membership
+            .set_attachment(at, attachment(vec![1; 500]))
+            .is_err()
+    );
+    assert!(
+        membership
+            .set_attachment(at, attachment(vec![5; 60]))
+            .is_ok()
+    );
+    run_until_settled(&mut sim, 4 * S);
+    for (_, membership) in sim.up() {
         assert_eq!(
-            fleet
+            membership
                 .member_table()
                 .get(MemberKey::of("n2"))
                 .unwrap()
                 .details
                 .attachments,
-            vec![part(vec![5; 60])]
+            vec![attachment(vec![5; 60])]
         );
     }
 }
 
-/// Any of the faults above, in pairs drawn by seed, one after the other: afterwards all agree
-/// within the bound.
+/// Pairs of the faults above, chosen by the seed, one after the other. Afterwards all members must
+/// agree within the time limit.
 #[test]
-fn pairs_of_faults_by_seed_are_settled() {
+fn all_members_agree_after_pairs_of_faults() {
     for seed in 0..40u64 {
         let members = [3, 4, 7, 16, 40][seed as usize % 5];
         let loss = [0.0, 0.05, 0.15][seed as usize % 3];
@@ -522,8 +541,8 @@
                 sim.start(n);
             }
         }
-        sim.run(15 * S); // those who sleep wake
-        settles(&mut sim, 25 * S);
+        sim.run(15 * S); // all pauses end
+        run_until_settled(&mut sim, 25 * S);
         no_invariant_failed(&sim);
     }
 }
