--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,14 +1,15 @@
-//! The node without its I/O: takes [`Event`]s and the time, has the [`AdmissionController`] decide,
-//! and acts through [`Actions`].
+//! The node without its I/O. [`Node`] receives [`Event`]s and clock readings, passes them to the
+//! [`AdmissionController`] for decisions, and performs side effects through [`Actions`].
 //!
-//! The node and the admission controller share one `NodeState`: the controller reaches it through
-//! its host, `AdmissionHost`, while it handles a call of the node. So the node never keeps the
-//! state borrowed over a call of the controller. What such a call brings up for the controller
-//! itself waits in the state as a `DeferredEvent` and is handled before the next event.
+//! The node and the admission controller share one `NodeState`. While the controller handles a call
+//! from the node, it reaches the state through its host, `AdmissionHost`. The node therefore never
+//! keeps the state borrowed across a call to the controller. Events for the controller that arise
+//! during such a call are queued in the state as `DeferredEvent`s and handled before the next
+//! event.
 //!
-//! `node/load_balancer.rs` takes requests, `node/request_policy.rs` has rules and limits look at
-//! them, `node/execution.rs` takes notices of the executor and replies of the backend,
-//! `node/cluster_reports.rs` tells the cluster about this node.
+//! `node/load_balancer.rs` handles requests, `node/request_policy.rs` applies rules and limits to
+//! them, `node/execution.rs` handles executor notices and backend replies, and
+//! `node/cluster_reports.rs` exchanges reports and leases with the cluster.
 
 #![warn(missing_docs)]
 
@@ -38,56 +39,56 @@
 };
 pub use event::{ClockReading, Event};
 
-/// Kept back from the time to the stop, for answers to be written out.
+/// Time reserved at the end of a drain for writing out the last answers.
 const WRITE_OUT_TIME: Nanos = 150_000_000;
 
-/// What a node shares with its cluster beside budgets.
+/// State that a node shares with its cluster in addition to budgets.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SharedStateOptions {
-    /// The backend service whose health is watched together.
+    /// Backend service whose health the cluster tracks; `None` disables health reports.
     pub service: Option<SharedService>,
-    /// Whether counters are added up.
+    /// Whether the node sends counter reports, so that the cluster can add up all nodes' counters.
     pub counts_for_cluster: bool,
 }
 
-/// A backend service whose health the cluster watches together.
+/// A backend service whose health the nodes of the cluster track together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SharedService {
-    /// Its name, the same on all nodes.
+    /// Name of the service, the same on all nodes.
     pub name: String,
-    /// A call that takes longer counts as failed.
+    /// Calls that take longer than this count as failed; `None` disables the check.
     pub slow_call_threshold: Option<Nanos>,
-    /// The node's zone as a number.
+    /// Number of the zone that this node runs in.
     pub zone: u32,
 }
 
-/// A node.
+/// A node of the cluster: shared state, admission controller and reports, without I/O.
 pub struct Node<A: Actions> {
     state: Rc<RefCell<NodeState<A>>>,
     config: Rc<DeploymentConfig>,
     seed: u64,
-    /// From the order to drain to the stop.
+    /// Time from the drain command to the stop of the process.
     stop_after: Nanos,
-    /// Bytes for the buckets of limits.
+    /// Memory limit for the buckets of rate and in-flight limits, in bytes.
     bucket_bytes: usize,
-    /// Bytes for keys of the cluster's quotas.
+    /// Memory limit for the keys of the cluster's quotas, in bytes.
     quota_bytes: usize,
-    /// When units of quotas are requested; none outside a cluster.
+    /// Timing of quota requests; `None` outside a cluster.
     quota_timing: Option<QuotaTiming>,
-    /// There is none before the executor is up: it says whether the node starts cold.
+    /// Created once the executor is up, because the executor reports whether the node starts cold.
     admission: Option<AdmissionController<AdmissionHost<A>>>,
-    /// None outside a cluster.
+    /// `None` outside a cluster.
     cluster: Option<ClusterParticipation>,
-    /// The name of the backend service that is watched.
+    /// Name of the backend service whose health is tracked; empty if there is none.
     service_name: String,
-    /// Whether each budget had no lease when that was logged last.
+    /// Per budget: whether it had no lease when its state was last logged.
     budgets_at_floor: Vec<bool>,
-    /// Whether no lender of quotas was heard when that was logged last.
+    /// Whether no quota lender was reachable when this was last logged.
     quotas_without_lender: bool,
 }
 
 impl<A: Actions> Node<A> {
-    /// A node that waits for its executor.
+    /// Creates a node that waits for its executor to come up.
     pub fn new(
         actions: A,
         config: DeploymentConfig,
@@ -114,7 +115,8 @@
         }
     }
 
-    /// Takes part in a cluster from now on, and shares these budgets with it.
+    /// Makes the node a member of a cluster, sharing `budgets` and the state given in `options`.
+    /// Starts the periodic timers for hints, requests and reports.
     pub fn join_cluster(
         &mut self,
         now: Nanos,
@@ -129,7 +131,7 @@
         state.now = now;
         state.set_timer(LOAD_HINT_PERIOD, Timer::LoadHint);
         if !budgets.is_empty() {
-            // The seed of the decisions may be the same on many nodes.
+            // Many nodes may run with the same decision seed, so it is mixed with the start time.
             state.shared.budgets = Some(Box::new(
                 NodeBudgets::new(now, budgets).with_seed(self.seed ^ now),
             ));
@@ -153,32 +155,34 @@
             .unwrap_or_default();
     }
 
-    /// What is seen of the cluster, if there is one and membership has reported.
+    /// Returns the latest cluster view, or `None` outside a cluster and before the first report
+    /// from membership.
     pub fn cluster_view(&self) -> Option<&ClusterView> {
         self.cluster.as_ref()?.view.as_ref()
     }
 
-    /// Lets the I/O or a test reach its own end of the actions.
+    /// Gives the I/O layer or a test access to its implementation of [`Actions`].
     pub fn with_actions<T>(&mut self, f: impl FnOnce(&mut A) -> T) -> T {
         f(&mut self.state.borrow_mut().actions)
     }
 
-    /// When the next timer is due.
+    /// Returns the time at which the next timer is due.
     pub fn next_timer(&self) -> Option<Nanos> {
         self.state.borrow().next_timer()
     }
 
-    /// Whether the executor has been up, so that requests are admitted.
+    /// Returns whether the executor has come up, so that requests can be admitted.
     pub fn is_up(&self) -> bool {
         self.admission.is_some()
     }
 
-    /// Whether all is answered and every connection gone after the order to drain.
+    /// Returns whether the drain is complete: every request is answered and every connection is
+    /// closed, or the time for draining is over.
     pub fn has_drained(&self) -> bool {
         self.state.borrow().has_drained()
     }
 
-    /// Fires the timers that are due.
+    /// Fires all timers that are due at `now`.
     pub fn fire_timers(&mut self, now: Nanos) {
         while let Some(timer) = self.pop_timer(now) {
             self.on_timer(now, timer);
@@ -233,7 +237,7 @@
         }
     }
 
-    /// Handles what happened.
+    /// Handles one event, including the deferred events that it causes.
     pub fn handle(&mut self, clock: ClockReading, event: Event) {
         let now = clock.now;
         self.state.borrow_mut().now = now;
@@ -277,7 +281,7 @@
         self.state.borrow_mut().count(metric, 1);
     }
 
-    /// Handles what came up while the admission controller was acting.
+    /// Handles the events for the admission controller that arose while it was running.
     fn handle_deferred(&mut self, now: Nanos) {
         loop {
             let Some(event) = self.state.borrow_mut().deferred.pop_front() else {
@@ -304,7 +308,7 @@
         let stop_after = self.stop_after.saturating_sub(WRITE_OUT_TIME);
         let grace = self.config.deployment.drain_grace;
         if !self.state.borrow_mut().start_drain(stop_after, grace) {
-            return; // it has begun before
+            return; // the drain is already in progress
         }
         self.update_cluster(|cluster| cluster.drain_started());
         if let Some(admission) = &mut self.admission {
--- a/crates/node/src/node/cluster_reports.rs
+++ b/crates/node/src/node/cluster_reports.rs
@@ -1,4 +1,5 @@
-//! What the cluster grants and reports to this node, and what this node reports to it.
+//! Grants and reports that this node receives from the cluster, and requests and reports that it
+//! sends.
 
 use super::Node;
 use crate::actions::Actions;
@@ -12,17 +13,18 @@
 use madderpoint_shared_state::{AggregatedHealth, Budget, Lease};
 use tracing::info;
 
-/// Time between two load hints.
+/// Interval between load hints.
 pub(super) const LOAD_HINT_PERIOD: Nanos = 1_000_000_000;
-/// Time between two requests for units of budgets.
+/// Interval between requests for units of the cluster's budgets.
 pub(super) const BUDGET_REQUEST_PERIOD: Nanos = 250_000_000;
-/// Time between two health reports.
+/// Interval between health reports on the backend service.
 pub(super) const HEALTH_REPORT_PERIOD: Nanos = 500_000_000;
-/// Time between two counter reports.
+/// Interval between counter reports.
 pub(super) const COUNTER_REPORT_PERIOD: Nanos = 5_000_000_000;
 
 impl<A: Actions> Node<A> {
-    /// Sends the cluster an update, if the node is in one and there is any.
+    /// Sends the update that the closure returns to the cluster. Does nothing outside a cluster or
+    /// if the closure returns `None`.
     pub(super) fn update_cluster(
         &mut self,
         update: impl FnOnce(&mut ClusterParticipation) -> Option<ClusterUpdate>,
@@ -68,7 +70,8 @@
             .with_service_health(|health, now| health.receive_reports(now, others));
     }
 
-    /// Requests units of the budgets. While the node drains, it only reports what has become free.
+    /// Requests units of the budgets. While the node drains, it only reports units that have become
+    /// free.
     pub(super) fn send_budget_requests(&mut self, now: Nanos) {
         let requests = {
             let mut state = self.state.borrow_mut();
@@ -86,7 +89,7 @@
         }
     }
 
-    /// Reports what this node sees of the backend service.
+    /// Sends this node's health report on the backend service.
     pub(super) fn send_health_report(&mut self) {
         let report = {
             let mut state = self.state.borrow_mut();
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Reports what was counted so far.
+    /// Sends the counter report.
     pub(super) fn send_counter_report(&mut self) {
         let report = {
             let mut state = self.state.borrow_mut();
@@ -111,7 +114,8 @@
         }
     }
 
-    /// Sends this node's part of a status snapshot.
+    /// Sends this node's part of a status snapshot: budgets, service health, backend gate and
+    /// quotas.
     pub(super) fn send_status_snapshot(&mut self, now: Nanos) {
         let mut snapshot = StatusSnapshot::default();
         {
@@ -137,16 +141,17 @@
         self.update_cluster(|_| Some(ClusterUpdate::StatusSnapshot(Box::new(snapshot))));
     }
 
-    /// Logs where a budget or the quotas fall to their guaranteed floors, or have a lease again.
+    /// Logs each transition of a budget, or of the quotas, to its guaranteed floor or back to a
+    /// lease.
     fn log_lease_changes(&mut self, now: Nanos) {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         if let Some(budgets) = &mut state.shared.budgets {
             let borrowers = budgets.borrowers();
             self.budgets_at_floor.resize(borrowers.len(), true);
-            for (borrower, before) in borrowers.iter().zip(&mut self.budgets_at_floor) {
+            for (borrower, was_at_floor) in borrowers.iter().zip(&mut self.budgets_at_floor) {
                 let is_at_floor = borrower.is_at_floor(now);
-                if std::mem::replace(before, is_at_floor) != is_at_floor {
+                if std::mem::replace(was_at_floor, is_at_floor) != is_at_floor {
                     let budget = borrower.budget();
                     let (name, units, limit) = (&budget.name, borrower.units(now), budget.limit);
                     let message = if is_at_floor {
@@ -175,7 +180,7 @@
         }
     }
 
-    /// Requests units of keyed quotas.
+    /// Sends the requests for units of keyed quotas that are due.
     pub(super) fn send_quota_requests(&mut self) {
         let requests = self.state.borrow_mut().due_quota_requests();
         for request in requests {
@@ -183,7 +188,7 @@
         }
     }
 
-    /// Sends the load hint, if it has changed.
+    /// Sends the load hint if it has changed, and logs changes of leases.
     pub(super) fn send_load_hint(&mut self, now: Nanos) {
         self.log_lease_changes(now);
         let (in_flight, load_report) = {
@@ -195,7 +200,8 @@
         self.update_cluster(|cluster| cluster.load_hint(kind, load_report, in_flight));
     }
 
-    /// The node ends: its leases are not used any more.
+    /// Stops using all leases before the process ends, and reports to the cluster whether every
+    /// leased unit is free.
     pub fn release_leases(&mut self, now: Nanos) {
         let is_free = {
             let mut state = self.state.borrow_mut();
--- a/crates/node/src/node/event.rs
+++ b/crates/node/src/node/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a node, as its I/O brings it in.
+//! Events that the I/O layer passes to a node.
 
 use crate::actions::{BackendLink, CallId, ConnectionId};
 use crate::backend;
@@ -12,73 +12,74 @@
 use madderpoint_shared_state::{AggregatedHealth, Budget, Lease};
 use std::net::IpAddr;
 
-/// What happened.
+/// An event for [`Node::handle`](crate::node::Node::handle).
 #[derive(Debug)]
 pub enum Event {
-    /// A load balancer connected, from this address if it is known.
+    /// A load balancer connected; the second field is its address, if known.
     Connected(ConnectionId, Option<IpAddr>),
-    /// A connection is gone.
+    /// A load balancer's connection was closed or lost.
     Disconnected(ConnectionId),
-    /// Something came on a connection.
+    /// A FastCGI event was read from a load balancer's connection.
     LoadBalancer(ConnectionId, fastcgi::Event),
-    /// A connection's peer has ended its side; it may still wait for answers.
+    /// The peer of a connection closed its sending side; it may still wait for answers.
     HalfClosed(ConnectionId),
-    /// What came on a connection can't be read on, and why.
+    /// A connection's input could not be parsed, for this reason; nothing more can be read from it.
     ProtocolError(ConnectionId, fastcgi::ParseError),
-    /// A connection was ended, by its peer or for the time that it took, with a part of a request
-    /// on it.
+    /// A connection ended in the middle of a request, either closed by its peer or timed out.
     RequestTruncated,
-    /// There is no room for another connection.
+    /// The limit on open connections was reached.
     ConnectionLimitReached,
-    /// The listen backlog is empty, and no connection comes any more.
+    /// Listening has stopped and the listen backlog is empty: no further connection can arrive.
     ListenerClosed,
-    /// A link to the executor stands; the last notice that was read before it.
+    /// A link to the executor was opened; the field is the number of the last notice that was read
+    /// before.
     ExecutorConnected(u64),
-    /// The link to the executor broke.
+    /// The link to the executor was lost.
     ExecutorDisconnected,
     /// The executor sent a notice.
     Executor(Notice),
-    /// A backend call was written whole.
+    /// A backend call was written completely.
     BackendCallWritten {
-        /// The call.
+        /// The call that was written.
         call: CallId,
-        /// Its request.
+        /// Request that the call belongs to.
         request: RequestId,
-        /// The connection.
+        /// Connection that the call was written on.
         link: BackendLink,
     },
-    /// A backend call could not be written whole, so that it never ran.
+    /// A backend call could not be written completely, so it was never executed.
     BackendCallNotSent(CallId, RequestId),
-    /// The backend replied on the link at this index.
+    /// A reply arrived from the backend on the link at this index.
     BackendReply(usize, backend::Reply),
-    /// A connection to the backend ended; why, if what came on it can't be read on.
+    /// A connection to the backend ended; the error is set if its input could not be parsed.
     BackendDisconnected(BackendLink, Option<backend::ReadError>),
-    /// Nothing was sent on the link at this index for a while.
+    /// Nothing has been sent on the backend link at this index for its idle time.
     BackendIdle(usize),
-    /// The node is to drain.
+    /// The node was told to drain.
     Drain,
     /// The configuration was replaced.
     ConfigChanged(ConfigUpdate),
-    /// These rules are in force from now on.
+    /// A new rule set takes effect.
     RulesChanged(Box<CompiledRuleSet>),
-    /// What is seen of the cluster.
+    /// The cluster view changed.
     ClusterChanged(Box<ClusterView>),
-    /// Leases of the cluster's budgets, by the budgets' indices, which were requested at that time.
+    /// Leases of the cluster's budgets were granted: the time at which they were requested, and the
+    /// leases by budget index.
     LeasesGranted(Nanos, Vec<(u32, Lease)>),
-    /// Units of the cluster's keyed quotas.
+    /// Units of the cluster's keyed quotas were granted.
     QuotaGranted(Box<QuotaGrant>),
-    /// Limits of the cluster's budgets from now on.
+    /// The limits of the cluster's budgets changed to these.
     BudgetsChanged(Vec<Budget>),
-    /// What others report of the backend service.
+    /// The aggregated health reports of other nodes on the backend service.
     AggregatedHealth(AggregatedHealth),
-    /// A status snapshot of all that is shared is wanted.
+    /// A status snapshot of the shared state was requested.
     StatusRequested,
 }
 
-/// A reading of the clocks.
+/// The monotonic clock and the wall clock, read together.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// Time since any fixed point; never goes back.
+    /// Monotonic time in nanoseconds since an arbitrary fixed point.
     pub now: Nanos,
     /// Unix time in milliseconds.
     pub unix_ms: u64,
--- a/crates/node/src/node/execution.rs
+++ b/crates/node/src/node/execution.rs
@@ -1,4 +1,4 @@
-//! Notices of the executor and replies of the backend.
+//! Handling of executor notices and backend replies.
 
 use super::Node;
 use crate::actions::{Actions, BackendLink, CallId};
@@ -61,12 +61,12 @@
     }
 
     fn on_executor_booted(&mut self, now: Nanos, is_cold: bool, up_ms: f64) {
-        // A node that was to drain before its executor came up admits nothing.
+        // A node that was told to drain before its executor came up admits nothing.
         if self.admission.is_none() && !self.state.borrow().is_draining() {
             let mut deployment = self.config.deployment.clone();
             deployment.starts_cold = is_cold;
-            // Keys and results are kept in this process, under its own limit: the executor's memory
-            // has no part in them.
+            // Keys and results are stored in this process under its own memory limit and use none
+            // of the executor's memory.
             deployment.idempotency_key_kb = 0.0;
             let started = now.saturating_sub(millis_to_nanos(up_ms));
             let host = AdmissionHost(Rc::clone(&self.state));
--- a/crates/node/src/node/load_balancer.rs
+++ b/crates/node/src/node/load_balancer.rs
@@ -1,4 +1,4 @@
-//! Load balancers' connections and requests.
+//! Handling of load balancers' connections and requests.
 
 use super::{ClockReading, Node};
 use crate::actions::{Actions, ConnectionId};
@@ -18,7 +18,8 @@
             .for_each(|id| self.client_cancelled(now, id));
     }
 
-    /// A connection's peer ended its side, or what it sends can't be read on, and why.
+    /// Handles the end of a connection's input: its peer closed its sending side, or the input
+    /// could not be parsed, for the reason in `cause`.
     pub(super) fn on_input_ended(
         &mut self,
         connection_id: ConnectionId,
@@ -100,7 +101,7 @@
         {
             let counted = fields
                 .operation_and_load_balancer(&self.config)
-                .map(|(by_path, from)| (operation.unwrap_or(by_path), from));
+                .map(|(by_path, load_balancer)| (operation.unwrap_or(by_path), load_balancer));
             return Self::answer_verdict(&mut state, target, counted, verdict);
         }
         match fields.kind(&self.config, clock.unix_ms, operation) {
@@ -122,7 +123,8 @@
         }
     }
 
-    /// Admits a well-formed call by keys and limits, and hands it to the admission controller.
+    /// Checks a well-formed call against idempotency keys, the backend gate and limits, then passes
+    /// it to the admission controller.
     fn on_call(
         &mut self,
         clock: ClockReading,
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Hands a request to the admission controller.
+    /// Opens a request and passes it to the admission controller.
     fn on_arrival(
         &mut self,
         clock: ClockReading,
@@ -154,7 +156,7 @@
     ) {
         let age = head.age(clock.unix_ms);
         let has_subject = head.subject.is_some() || context.idempotency_key.is_some();
-        let (id, repeats) = self
+        let (id, original) = self
             .state
             .borrow_mut()
             .open_request(target, &head, body, age, context);
@@ -170,7 +172,7 @@
             work_hint: head.expected_work_s,
             queued_kb: head.queued_kb,
             age,
-            duplicate_of: repeats,
+            duplicate_of: original,
         };
         if let Some(admission) = &mut self.admission {
             admission.on_arrival(clock.now, arrival);
--- a/crates/node/src/node/request_policy.rs
+++ b/crates/node/src/node/request_policy.rs
@@ -1,5 +1,5 @@
-//! What rules, idempotency keys, the backend gate and limits make of a request before the admission
-//! controller sees it.
+//! Checks that a request passes before it reaches the admission controller: rules, idempotency
+//! keys, the backend gate and limits.
 
 use super::Node;
 use crate::actions::{Actions, ConnectionId};
@@ -16,7 +16,7 @@
 use tracing::{info, warn};
 
 impl<A: Actions> Node<A> {
-    /// Rules were read and checked: they hold for what comes from now on.
+    /// Puts a validated rule set into force for requests that arrive from now on.
     pub(super) fn on_rules_changed(&mut self, now: Nanos, compiled: CompiledRuleSet) {
         let mut state = self.state.borrow_mut();
         let (rules, buckets) = (compiled.rules.rules().len(), compiled.buckets.len());
@@ -46,7 +46,8 @@
         );
     }
 
-    /// What rules give to a request, with their log lines written.
+    /// Evaluates the rules for a request and writes their log lines. Returns `None` if no rule
+    /// matches, no rules are in force or the request is not subject to rules.
     pub(super) fn evaluate_rules(
         state: &mut NodeState<A>,
         config: &DeploymentConfig,
@@ -81,7 +82,8 @@
         outcome
     }
 
-    /// Answers a request with a rule's verdict; `counted` is what it counts for, if known.
+    /// Answers a request with a rule's verdict. `counted` is the operation and the load balancer
+    /// that the request is counted under, if known.
     pub(super) fn answer_verdict(
         state: &mut NodeState<A>,
         target: ReplyTarget,
@@ -99,7 +101,8 @@
         state.reject_by_policy(target, status, retry_after, reason);
     }
 
-    /// What a request is given by its rule and its buckets; none if it was answered instead.
+    /// Applies idempotency keys, the backend gate and limits to a request. Returns the context for
+    /// the admission controller, or `None` if the request was rejected and answered here.
     pub(super) fn admit_by_policy(
         state: &mut NodeState<A>,
         target: ReplyTarget,
@@ -121,7 +124,7 @@
             state.reject_by_policy(target, error.status(), retry_after, error.reason());
             return None;
         }
-        let is_gated = match state.ask_backend_gate(head.operation, idempotency_key) {
+        let is_gated = match state.check_backend_gate(head.operation, idempotency_key) {
             Ok(is_gated) => is_gated,
             Err(retry_after) => {
                 state.count(Metric::RejectedForBackendCapacity, 1);
@@ -145,7 +148,8 @@
         })
     }
 
-    /// Takes permits of the buckets that a rule gave, and counts the request for its class.
+    /// Acquires permits from the buckets that a rule assigned, and counts the request for its
+    /// class.
     fn acquire_permits(
         state: &mut NodeState<A>,
         outcome: &RuleOutcome,
--- a/crates/node/src/node/tests.rs
+++ b/crates/node/src/node/tests.rs
@@ -1,5 +1,4 @@
-//! The node against a recorder in place of its I/O. Each test plays one thing that went or could go
-//! wrong.
+//! Tests of the node with a recorder in place of its I/O. Each test covers one failure or race.
 
 mod backend_calls;
 mod cluster_limits;
--- a/crates/node/src/node/tests/backend_calls.rs
+++ b/crates/node/src/node/tests/backend_calls.rs
@@ -1,9 +1,9 @@
-//! Backend calls: on which link they go, and what their ends mean.
+//! Backend calls: choice of a link, outcomes and retries.
 
 use super::support::*;
 
 #[test]
-fn a_call_is_sent_whole_and_its_reply_comes_back_unchanged() {
+fn a_call_and_its_reply_are_passed_on_unchanged() {
     let mut node = TestNode::new();
     node.call(1, "/call/read", A);
     node.need_backend_call(A, 1);
@@ -26,11 +26,11 @@
     node.call(1, "/call/read", A);
     node.need_backend_call(A, 1);
     node.wait(1);
-    node.reply_to_call(0, A, Outcome::Ok); // shows how long calls take
+    node.reply_to_call(0, A, Outcome::Ok); // gives the node a measure of how long calls take
     node.need_backend_call(A, 2);
     node.executor_commands();
     let (first, ..) = node.last_call();
-    node.wait(20); // far longer: it is abandoned and made again
+    node.wait(20); // much longer than the first call, so it is abandoned and retried
     assert_eq!(
         node.node.with_actions(|actions| actions.cancelled.clone()),
         [(first, format!("cancel {A}\r\n"))]
@@ -50,7 +50,7 @@
         place: 0,
         generation,
     };
-    for (path, written, again) in [
+    for (path, written, calls) in [
         ("/call/read", true, 2),
         ("/call/pay", true, 1),
         ("/call/pay", false, 2),
@@ -67,16 +67,17 @@
             });
             node.event(Event::BackendDisconnected(link(1), None));
         } else {
-            node.event(Event::BackendDisconnected(link(1), None)); // another call's connection
+            // The connection of another call.
+            node.event(Event::BackendDisconnected(link(1), None));
             node.event(Event::BackendCallNotSent(no, id));
         }
-        assert_eq!(node.calls(), again, "{path} {written}");
-        assert_eq!(node.statuses().len(), 2 - again, "{path} {written}");
+        assert_eq!(node.calls(), calls, "{path} {written}");
+        assert_eq!(node.statuses().len(), 2 - calls, "{path} {written}");
     }
 }
 
 #[test]
-fn a_connection_that_ended_before_its_call_was_reported_written_counts() {
+fn a_call_reported_written_after_its_connection_ended_fails() {
     let mut node = TestNode::new();
     node.call(1, "/call/pay", A);
     node.need_backend_call(A, 1);
@@ -95,7 +96,7 @@
     assert_eq!(node.statuses(), [(1, "500".into())]);
 }
 
-/// A protocol error is counted by its cause, and no answer is lost with it.
+/// Protocol errors must be counted by cause, and must not lose answers of other requests.
 #[test]
 fn protocol_errors_are_counted_by_cause() {
     let mut node = TestNode::new();
@@ -113,7 +114,7 @@
         link,
         Some(backend::ReadError::CutShort),
     ));
-    let counted = |what: &str| node.node.state.borrow().metrics().total(what);
+    let counted = |metric: &str| node.node.state.borrow().metrics().total(metric);
     let causes = [
         "record of an unknown version",
         "load balancer: request cut short",
@@ -145,8 +146,8 @@
     );
 }
 
-/// A backend that swallows one reply and keeps the connection open answers no other call on it
-/// either. With all calls on one connection every later one timed out.
+/// A backend that drops one reply and keeps the connection open answers no later call on that
+/// connection either. With all calls on one connection, every later call would time out.
 #[test]
 fn calls_are_spread_and_avoid_a_silent_link() {
     let mut node =
@@ -159,7 +160,7 @@
         node.need_backend_call(&correlation_id, n.into());
         (node.last_call().0, correlation_id)
     };
-    assert_eq!(next(&mut node).0, 0); // this one gets no reply
+    assert_eq!(next(&mut node).0, 0); // the first call gets no reply
     for _ in 0..8 {
         let (place, correlation_id) = next(&mut node);
         assert_eq!(place, 1);
@@ -171,7 +172,7 @@
         node.node.with_actions(|actions| actions.closed_links.len()),
         0
     );
-    node.wait(1000); // the first call's time is up
+    node.wait(1000); // the first call times out
     assert_eq!(
         node.node
             .with_actions(|actions| actions.closed_links.clone()),
@@ -180,37 +181,37 @@
 }
 
 #[test]
-fn a_call_is_wanted_until_its_timeout_its_end_or_that_of_its_execution() {
-    type Way = fn(&mut TestNode);
-    let ways: [(Way, &str); 4] = [
-        (|node| node.wait(2980), "its limit"),
+fn a_call_may_be_written_until_it_times_out_or_it_or_its_execution_ends() {
+    type Ending = fn(&mut TestNode);
+    let endings: [(Ending, &str); 4] = [
+        (|node| node.wait(2980), "its timeout"),
         (|node| node.reply_to_call(0, A, Outcome::Ok), "its reply"),
         (
             |node| node.end_execution(A, End::Stopped, b""),
-            "the end of its run",
+            "the end of its execution",
         ),
         (
             |node| node.event(Event::BackendCallNotSent(CallId(1), RequestId(1))),
-            "word that it was not written",
+            "the event that it was not sent",
         ),
     ];
-    for (way, what) in ways {
+    for (end_call, cause) in endings {
         let mut node = TestNode::new();
         node.call(1, "/call/pay", A);
         node.need_backend_call(A, 1);
-        let wanted = node.node.with_actions(|actions| actions.tokens[0].clone());
-        assert!(wanted.is_wanted());
-        way(&mut node);
+        let token = node.node.with_actions(|actions| actions.tokens[0].clone());
+        assert!(token.is_wanted());
+        end_call(&mut node);
         assert!(
-            !wanted.is_wanted(),
-            "after {what} it must not be written any more"
+            !token.is_wanted(),
+            "the call must not be written after {cause}"
         );
     }
 }
 
 #[test]
 fn the_outcome_of_a_reply_decides_whether_a_call_is_retried() {
-    for (outcome, again) in [
+    for (outcome, is_retried) in [
         (Outcome::Overload, true),
         (Outcome::Stale, true),
         (Outcome::Internal, false),
@@ -222,14 +223,14 @@
         node.reply_to_call(0, A, outcome);
         assert_eq!(
             (node.calls() == 2, node.statuses().is_empty()),
-            (again, again),
+            (is_retried, is_retried),
             "{outcome:?}"
         );
     }
 }
 
 #[test]
-fn a_call_that_no_link_takes_never_ran() {
+fn a_call_that_no_link_accepts_fails_as_not_executed() {
     let mut node = TestNode::new();
     node.node
         .with_actions(|actions| actions.links_are_full = true);
@@ -249,7 +250,7 @@
         ConnectionId(1),
         fastcgi::Event::Abort(1),
     ));
-    node.need_backend_call(A, 1); // raced with the cancellation
+    node.need_backend_call(A, 1); // sent before the executor received the cancellation
     assert_eq!(node.calls(), 0);
     node.end_execution(A, End::Stopped, b"");
     node.need_backend_call(A, 2);
--- a/crates/node/src/node/tests/cluster_limits.rs
+++ b/crates/node/src/node/tests/cluster_limits.rs
@@ -1,5 +1,5 @@
-//! What the cluster shares, at the node: budgets, service health and keyed quotas bound backend
-//! calls and admissions.
+//! Limits shared with the cluster: budgets, service health and keyed quotas restrict backend calls
+//! and admissions.
 
 use super::rules::{cluster_rules, settings};
 use super::support::*;
@@ -29,20 +29,20 @@
 }
 
 impl TestNode {
-    /// A node that is part of a cluster, two seconds later.
+    /// Creates a node in a cluster and advances its clock by two seconds.
     fn in_cluster(budgets: &[Budget], service: Option<&SharedService>) -> TestNode {
         let mut node = TestNode::with_settings(&settings());
-        let with = SharedStateOptions {
+        let options = SharedStateOptions {
             service: service.cloned(),
             counts_for_cluster: true,
         };
         node.node
-            .join_cluster(node.now, budgets, QuotaTiming::for_nodes(3), &with);
+            .join_cluster(node.now, budgets, QuotaTiming::for_nodes(3), &options);
         node.wait(2000);
         node
     }
 
-    /// Has a request run up to its backend call; whether it was admitted.
+    /// Sends a request and runs it up to its backend call. Returns whether it was admitted.
     fn run_to_call(&mut self, id: u16, path: &str, correlation_id: &str) -> bool {
         self.call(id, path, correlation_id);
         let runs = self
@@ -76,10 +76,11 @@
     format!("{n:016x}")
 }
 
-/// Of ten calls a second the next one finds room within a tenth: it waits for that, and is sent
-/// whole.
+/// With a budget of ten calls a second the next unit is free within 100 ms: the call is queued
+/// until then and sent unchanged. With one call a second the wait is too long, and the call is
+/// refused.
 #[test]
-fn a_call_waits_for_budget_that_is_free_soon_and_else_is_refused() {
+fn a_call_is_queued_if_the_budget_is_free_soon_and_refused_otherwise() {
     let mut node = TestNode::in_cluster(&[rate(10)], None);
     assert!(node.run_to_call(1, "/call/pay", A));
     assert_eq!(node.calls(), 1);
@@ -92,8 +93,8 @@
     assert_eq!(node.calls(), 2);
     let (.., bytes) = node.last_call();
     assert!(bytes.starts_with(&format!("invoke {B} ")), "{bytes}");
-    // One a second: the second call finds none soon. It never ran, and the request that needs it
-    // fails at once.
+    // At one call a second the next unit is not free soon: the second call is not executed, and the
+    // request that needs it fails immediately.
     let mut node = TestNode::in_cluster(&[rate(1)], None);
     node.wait(1000);
     assert!(node.run_to_call(1, "/call/pay", A) && node.calls() == 1);
@@ -108,9 +109,9 @@
     assert!(node.counted("backend calls refused by the cluster's budgets") > 0);
 }
 
-/// A request that is cancelled while its call is queued leaves nothing behind: the next call goes.
+/// A queued call whose execution has ended must not be sent, nor block the queue for later calls.
 #[test]
-fn an_execution_that_ends_while_its_call_is_queued_gives_its_turn_up() {
+fn the_queued_call_of_an_execution_that_ended_is_dropped() {
     let mut node = TestNode::in_cluster(&[rate(10)], None);
     assert!(node.run_to_call(1, "/call/read", A));
     node.reply_to_call(0, A, Outcome::Ok);
@@ -128,19 +129,19 @@
     assert!(node.run_to_call(3, "/call/pay", "00000000000000cc") && node.calls() == 2);
 }
 
-/// The backend may still be at work on an abandoned call: it occupies its budget for as long as the
-/// longest call.
+/// The backend may still be executing an abandoned call, so the call occupies its budget for the
+/// longest call time.
 #[test]
 fn an_abandoned_call_occupies_its_budget_for_the_longest_call() {
     let kind = BudgetKind::InFlight {
         max_call_time: 500 * MS,
     };
-    let in_hand = Budget {
+    let in_flight_budget = Budget {
         name: "hands".into(),
         kind,
         ..rate(1)
     };
-    let ends = |node: &TestNode| {
+    let calls_in_flight = |node: &TestNode| {
         node.node
             .state
             .borrow_mut()
@@ -151,32 +152,32 @@
             .borrowers()[0]
             .in_flight()
     };
-    for (outcome, frees) in [
+    for (outcome, is_released) in [
         (Outcome::Ok, true),
         (Outcome::Overload, false),
         (Outcome::Internal, false),
     ] {
-        let mut node = TestNode::in_cluster(std::slice::from_ref(&in_hand), None);
-        assert!(node.run_to_call(1, "/call/read", A) && ends(&node) == 1);
+        let mut node = TestNode::in_cluster(std::slice::from_ref(&in_flight_budget), None);
+        assert!(node.run_to_call(1, "/call/read", A) && calls_in_flight(&node) == 1);
         node.reply_to_call(0, A, outcome);
         node.end_execution(A, End::Ok, b"r");
-        // One that never ran was made again, and that call is abandoned with the execution.
-        assert_eq!(ends(&node) == 0, frees, "{outcome:?}");
+        // A call that was not executed was retried, and the retry is abandoned with the execution.
+        assert_eq!(calls_in_flight(&node) == 0, is_released, "{outcome:?}");
         node.wait(501);
-        assert_eq!(ends(&node), 0);
+        assert_eq!(calls_in_flight(&node), 0);
     }
 }
 
-/// A request whose call would find no room is rejected before it runs, with the time when there is
-/// some.
+/// A request whose backend call would exceed the budget is rejected before it runs, with a
+/// Retry-After until units are free.
 #[test]
 fn requests_that_need_a_call_are_admitted_by_the_free_budget() {
     let mut node = TestNode::in_cluster(&[rate(10)], None);
-    let (mut let_in, mut pauses) = (0, Vec::new());
+    let (mut admitted, mut retry_after_ms) = (0, Vec::new());
     for n in 0..100 {
         let correlation_id = correlation_id(n);
         if node.run_to_call(n as u16 % 50 + 1, "/call/pay", &correlation_id) {
-            let_in += 1;
+            admitted += 1;
             node.wait(19);
             node.reply_to_call(0, &correlation_id, Outcome::Ok);
             node.end_execution(&correlation_id, End::Ok, b"r");
@@ -186,16 +187,19 @@
             .iter()
             .filter(|answer| answer.status == "429")
         {
-            pauses.push(answer.fields["X-Pushback-Ms"].parse::<u64>().unwrap());
+            retry_after_ms.push(answer.fields["X-Pushback-Ms"].parse::<u64>().unwrap());
         }
         node.wait(20);
     }
-    assert!((19..=26).contains(&let_in), "{let_in} in 2 s and more");
     assert!(
-        pauses.len() > 60 && pauses.iter().all(|ms| (1..=110).contains(ms)),
-        "{pauses:?}"
+        (19..=26).contains(&admitted),
+        "{admitted} requests admitted in slightly more than 2 s"
     );
-    // A request that can do without its call is admitted all the same.
+    assert!(
+        retry_after_ms.len() > 60 && retry_after_ms.iter().all(|ms| (1..=110).contains(ms)),
+        "{retry_after_ms:?}"
+    );
+    // A request that can continue without its call is admitted regardless of the budget.
     assert!((0..20).all(|n| {
         let correlation_id = correlation_id(500 + n);
         let runs = node.run_to_call(60, "/call/read", &correlation_id);
@@ -206,28 +210,29 @@
 }
 
 #[test]
-fn retries_have_a_budget_of_their_own() {
-    let repeats = Budget {
+fn retries_are_limited_by_a_separate_budget() {
+    let retry_budget = Budget {
         name: "repeats".into(),
         retries_only: true,
         ..rate(1)
     };
-    let mut node = TestNode::in_cluster(&[rate(1000), repeats], None);
+    let mut node = TestNode::in_cluster(&[rate(1000), retry_budget], None);
     assert!(node.run_to_call(1, "/call/pay", A));
     node.reply_to_call(0, A, Outcome::Overload);
-    assert_eq!(node.calls(), 2, "one repeat in a second");
+    assert_eq!(node.calls(), 2, "the budget allows one retry a second");
     node.reply_to_call(0, A, Outcome::Overload);
     assert_eq!(
         (node.calls(), node.statuses()),
         (2, vec![(1, "500".into())])
     );
-    // A first call is no retry.
+    // The first call of an execution is not a retry.
     node.end_execution(A, End::Stopped, b"");
     assert!(node.run_to_call(2, "/call/pay", B) && node.calls() == 3);
 }
 
-/// Ten calls in a row fail: the service is unavailable to this node. Requests that need it are
-/// rejected, others go on without; when a try is due, one is admitted for it.
+/// After ten failed calls in a row the node treats the service as unavailable. Requests that need
+/// the service are rejected and others continue without their call. When a probe is due, one
+/// request is admitted for it.
 #[test]
 fn a_failing_service_gets_no_calls_and_then_recovers_in_steps() {
     let mut node = TestNode::in_cluster(&[], Some(&service()));
@@ -246,36 +251,36 @@
         ("429", "500")
     );
     assert!(node.run_to_call(2, "/call/read", B));
-    assert_eq!(node.calls(), calls, "kept back");
+    assert_eq!(node.calls(), calls, "the call is withheld");
     assert!(
         node.executor_commands()
             .iter()
             .any(|line| line.contains("NOIO")),
-        "it goes on without its call"
+        "the execution continues without its call"
     );
     node.end_execution(B, End::Ok, b"r");
-    // No other node is heard: a try each 5 s.
-    let mut tries = 0;
+    // Without reports from other nodes, a probe is due every 5 s.
+    let mut probes = 0;
     for n in 100..220 {
         node.wait(100);
         if node.run_to_call(3, "/call/pay", &correlation_id(n)) {
-            tries += 1;
+            probes += 1;
             node.reply_to_call(0, &correlation_id(n), Outcome::Ok);
             node.end_execution(&correlation_id(n), End::Ok, b"r");
         }
         node.answers();
     }
-    assert_eq!((tries, node.health_state()), (3, HealthState::Recovering));
-    let let_in = (300..316).filter(|n| {
+    assert_eq!((probes, node.health_state()), (3, HealthState::Recovering));
+    let admitted = (300..316).filter(|n| {
         let runs = node.run_to_call(4, "/call/pay", &correlation_id(*n));
         node.reply_to_call(0, &correlation_id(*n), Outcome::Ok);
         node.end_execution(&correlation_id(*n), End::Ok, b"r");
         node.answers();
         runs
     });
-    assert_eq!(let_in.count(), 1, "a sixteenth");
-    assert!(node.cluster_updates().iter().any(|word| matches!(
-        word,
+    assert_eq!(admitted.count(), 1, "one in sixteen requests is admitted");
+    assert!(node.cluster_updates().iter().any(|update| matches!(
+        update,
         ClusterUpdate::HealthReport(HealthReport {
             admitted_share: 0.0,
             zone: 1,
@@ -307,18 +312,18 @@
     );
 }
 
-/// Reports of others alone degrade it, and never make it unavailable.
+/// Reports of other nodes alone must degrade the service without making it unavailable.
 #[test]
-fn health_reports_of_others_degrade_a_service_while_they_last() {
+fn health_reports_of_others_degrade_a_service_until_they_expire() {
     let mut node = TestNode::in_cluster(&[], Some(&service()));
-    let ill = AggregatedHealth {
+    let failing_reports = AggregatedHealth {
         reporters: 6,
         failing: 6,
         zones: 3,
         failing_zones: 3,
         ..AggregatedHealth::default()
     };
-    node.event(Event::AggregatedHealth(ill));
+    node.event(Event::AggregatedHealth(failing_reports));
     assert_eq!(node.health_state(), HealthState::Degraded);
     node.wait(6000);
     assert_eq!(node.health_state(), HealthState::Healthy);
@@ -329,8 +334,8 @@
     <rule name="all"><when>true</when><give>
         <limit bucket="by-org">caller.name</limit><limit bucket="hands">caller.name</limit></give></rule>"#;
 
-/// The first request of a key is rejected with a short Retry-After, for there is no lease yet; the
-/// quota request goes out at once, and what is granted admits the next ones.
+/// The first request of a key is rejected with a short Retry-After, because the node holds no lease
+/// yet. The quota request is sent immediately, and the granted units admit later requests.
 #[test]
 fn a_keyed_quota_requests_units_and_admits_what_was_granted() {
     let mut node = TestNode::in_cluster(&[], None);
@@ -339,44 +344,49 @@
     )));
     node.cluster_updates();
     node.call(1, "/call/read", A);
-    let refused = node.answers().remove(0);
+    let rejection = node.answers().remove(0);
     assert!(
-        refused.status == "429" && refused.fields["X-Pushback-Ms"].parse::<u64>().unwrap() <= 60
+        rejection.status == "429"
+            && rejection.fields["X-Pushback-Ms"].parse::<u64>().unwrap() <= 60
     );
     node.wait(30);
-    let asked = node
+    let request = node
         .cluster_updates()
         .into_iter()
-        .find_map(|word| match word {
-            ClusterUpdate::QuotaRequest(asked) => Some(asked),
+        .find_map(|update| match update {
+            ClusterUpdate::QuotaRequest(request) => Some(request),
             _ => None,
         });
-    let asked = asked.unwrap();
-    assert_eq!(asked.keys.len(), 2, "both budgets at once: {asked:?}");
-    let lent = |ask: &KeyRequest| KeyGrant {
-        quota: ask.quota,
-        key: ask.key,
+    let request = request.unwrap();
+    assert_eq!(
+        request.keys.len(),
+        2,
+        "one request covers both quotas: {request:?}"
+    );
+    let grant = |key: &KeyRequest| KeyGrant {
+        quota: key.quota,
+        key: key.key,
         added: 2,
         retry_after: 0,
     };
-    let keys = asked.keys.iter().map(lent).collect();
+    let keys = request.keys.iter().map(grant).collect();
     node.event(Event::QuotaGranted(Box::new(QuotaGrant {
-        number: asked.number,
-        request_sent_at: asked.sent_at,
+        number: request.number,
+        request_sent_at: request.sent_at,
         lease_duration: 3 * S,
         keys,
     })));
     node.call(2, "/call/read", B);
     assert_eq!(node.executor_commands(), [start_command(B, "read")]);
-    let lent = |node: &TestNode| {
+    let admitted_by_lease = |node: &TestNode| {
         let state = node.node.state.borrow();
         let borrower = state.rules.as_ref().unwrap().quota_borrower().unwrap();
         borrower
             .counters()
-            .map(|(_, tally)| tally.by_lease)
+            .map(|(_, counters)| counters.by_lease)
             .sum::<u64>()
     };
-    assert_eq!(lent(&node), 2);
+    assert_eq!(admitted_by_lease(&node), 2);
     assert!(
         !node
             .node
@@ -386,7 +396,7 @@
             .as_mut()
             .unwrap()
             .release_leases(),
-        "one is in hand"
+        "one unit is in use"
     );
     node.end_execution(B, End::Ok, b"r");
     assert!(
@@ -397,12 +407,13 @@
             .as_mut()
             .unwrap()
             .release_leases(),
-        "nothing is in hand any more"
+        "no unit is in use any more"
     );
     assert!(node.counted("rejected by a limit of the cluster") >= 1);
 }
 
-/// The worth of a unit of a budget goes with the budget requests, and counters each five seconds.
+/// Budget requests carry the mean priority weight as the value of a unit, and counters are reported
+/// every five seconds.
 #[test]
 fn priority_weights_and_counters_are_reported() {
     let mut settings = settings();
@@ -427,18 +438,18 @@
     node.call(2, "/call/read", B);
     node.end_execution(B, End::Error, b"");
     node.wait(5000);
-    let words = node.cluster_updates();
-    let value = words.iter().rev().find_map(|word| match word {
+    let updates = node.cluster_updates();
+    let value = updates.iter().rev().find_map(|update| match update {
         ClusterUpdate::BudgetRequests { requests, .. } => Some(requests[0].value),
         _ => None,
     });
-    assert_eq!(value, Some(3.0), "five and one");
-    let counted = words.iter().rev().find_map(|word| match word {
-        ClusterUpdate::Counters(word) => Some(word.clone()),
+    assert_eq!(value, Some(3.0), "mean of the weights five and one");
+    let report = updates.iter().rev().find_map(|update| match update {
+        ClusterUpdate::Counters(report) => Some(report.clone()),
         _ => None,
     });
     use madderpoint_shared_state::counters::{PROCESS_ROW, operation_column, process_column};
-    let total = counted.unwrap().total;
+    let total = report.unwrap().total;
     let row = |name: &str| total[&madderpoint_shared_state::keyed_quota::name_hash(name)];
     assert_eq!(
         (
--- a/crates/node/src/node/tests/connections.rs
+++ b/crates/node/src/node/tests/connections.rs
@@ -1,21 +1,20 @@
-//! Connections: when they are closed, for whom room is made, and how unidentified peers are slowed
-//! down.
+//! Connections: closing, idle timeouts, eviction, and pacing of unidentified peers.
 
 use super::support::*;
 
 #[test]
-fn requests_beyond_the_most_that_may_be_open_are_rejected_as_overload() {
+fn requests_beyond_the_open_request_limit_are_rejected_as_overloaded() {
     let mut node =
         TestNode::with_settings(&wire::SETTINGS.replace("\"Cores\": 1", "\"Cores\": 12"));
     for id in 0..=fastcgi::MAX_OPEN as u16 {
         node.call(id, "/call/read", &format!("{id:016x}"));
     }
     let answers = node.answers();
-    let unseen = |a: &Answer| a.protocol_status == ProtocolStatus::Overloaded as u8;
+    let is_overloaded = |a: &Answer| a.protocol_status == ProtocolStatus::Overloaded as u8;
     assert!(
         answers
             .iter()
-            .all(|a| unseen(a) == (a.id == fastcgi::MAX_OPEN as u16)),
+            .all(|a| is_overloaded(a) == (a.id == fastcgi::MAX_OPEN as u16)),
         "{answers:?}"
     );
 }
@@ -59,7 +58,7 @@
     let conn = node.connection_id;
     assert_eq!(
         node.node
-            .with_actions(|actions| (actions.not_read.clone(), actions.closed.len())),
+            .with_actions(|actions| (actions.reading_stopped.clone(), actions.closed.len())),
         (vec![conn], 0)
     );
     node.end_execution(A, End::Ok, b"first");
@@ -84,7 +83,7 @@
     node.node.state.borrow_mut().set_idle_timeout(30 * MS);
     node.wait(1490);
     assert_eq!(node.node.with_actions(|actions| actions.closed.len()), 0);
-    node.wait(20); // the first request may take longer than a pause between two, but not for good
+    node.wait(20); // the first request may take longer than the idle timeout, but only up to 1.5 s
     assert_eq!(
         node.node.with_actions(|actions| actions.closed.clone()),
         [ConnectionId(2)]
@@ -97,8 +96,8 @@
         node.node.with_actions(|actions| actions.closed.clone()),
         [ConnectionId(2), ConnectionId(1)]
     );
-    // What the reader had handed on before the order came was read: it is answered, and the order
-    // is void.
+    // The reader had passed on a request before it learned of the close: the request is answered,
+    // and the close is void.
     assert_eq!(
         node.node
             .with_actions(|actions| actions.close_orders[&ConnectionId(1)].events_handled),
@@ -133,34 +132,34 @@
         node.node
             .with_actions(|actions| actions.close_orders[&ConnectionId(1)].events_handled),
         2,
-        "the next order knows of it"
+        "the next close counts the event"
     );
 }
 
 #[test]
 fn eviction_prefers_unidentified_peers_and_then_the_longest_idle() {
     let mut node = TestNode::new();
-    let served = |node: &mut TestNode, conn: u64, times: u16| {
+    let connect_and_serve = |node: &mut TestNode, conn: u64, requests: u16| {
         node.connection_id = ConnectionId(conn);
         node.event(Event::Connected(node.connection_id, None));
-        for id in 1..=times {
+        for id in 1..=requests {
             node.call(id, "/call/read", A);
             node.end_execution(A, End::Ok, b"");
         }
         node.wait(10);
     };
-    served(&mut node, 2, 2); // a load balancer's, idle for longest
-    served(&mut node, 3, 2);
-    served(&mut node, 4, 1); // sent one request and stayed
-    served(&mut node, 5, 0); // sends nothing
+    connect_and_serve(&mut node, 2, 2); // a load balancer's connection, idle for longest
+    connect_and_serve(&mut node, 3, 2);
+    connect_and_serve(&mut node, 4, 1); // sent one request and stays connected
+    connect_and_serve(&mut node, 5, 0); // sends nothing
     node.event(Event::ConnectionLimitReached);
     assert_eq!(
         node.node.with_actions(|actions| actions.closed.clone()),
         [ConnectionId(4)]
-    ); // the silent one is young yet
+    ); // connection 5 is too new to be evicted
     node.wait(200);
     node.connection_id = ConnectionId(3);
-    node.call(9, "/call/read", A); // something is open on it
+    node.call(9, "/call/read", A); // a request is open on connection 3
     (0..4).for_each(|_| node.event(Event::ConnectionLimitReached));
     assert_eq!(
         node.node.with_actions(|actions| actions.closed.clone()),
@@ -171,7 +170,8 @@
             ConnectionId(2)
         ]
     );
-    // Above the mark each new connection makes room before it is needed.
+    // Above the eviction threshold each new connection evicts an idle one before the limit is
+    // reached.
     (100..136).for_each(|conn| node.event(Event::Connected(ConnectionId(conn), None)));
     node.wait(200);
     assert_eq!(node.node.with_actions(|actions| actions.closed.len()), 4);
@@ -179,11 +179,11 @@
     assert_eq!(node.node.with_actions(|actions| actions.closed.len()), 5);
 }
 
-/// A peer that sends again as soon as it is rejected must not take the processor to itself.
+/// A peer that sends a new request as soon as the last is rejected must not use up the processor.
 #[test]
-fn unidentified_peers_are_read_ever_more_slowly_and_then_closed() {
+fn unidentified_peers_are_paced_with_growing_pauses_and_then_closed() {
     let mut node = TestNode::new();
-    let paced = |node: &mut TestNode| {
+    let pauses_ms = |node: &mut TestNode| {
         node.node
             .with_actions(|actions| actions.paced.iter().map(|p| p.1 / MS).collect::<Vec<_>>())
     };
@@ -191,26 +191,26 @@
         assert_eq!(node.node.with_actions(|actions| actions.closed.len()), 0);
         node.call(id, "/call/dance", A);
     }
-    assert_eq!(paced(&mut node), [50, 100, 200, 400, 800, 1600]);
+    assert_eq!(pauses_ms(&mut node), [50, 100, 200, 400, 800, 1600]);
     assert_eq!(
         node.node.with_actions(|actions| actions.closed.clone()),
         [ConnectionId(1)]
     );
-    node.call(1, "/call/read", A); // on a new connection; the executor does not know it
+    node.call(1, "/call/read", A); // on a new connection; the executor refuses it
     node.event(Event::Executor(Notice::CommandRefused {
         command: "SCHED".into(),
         rid: A.into(),
     }));
-    assert_eq!(paced(&mut node).len(), 7);
-    node.call(2, "/call/read", B); // but this succeeds
+    assert_eq!(pauses_ms(&mut node).len(), 7);
+    node.call(2, "/call/read", B); // this request succeeds
     node.end_execution(B, End::Ok, b"");
-    assert_eq!(paced(&mut node)[7..], [0]);
+    assert_eq!(pauses_ms(&mut node)[7..], [0]);
     node.wait(5000);
-    let old = (node.now / MS - 4000).to_string(); // too late to be run
+    let old = (node.now / MS - 4000).to_string(); // past the client timeout
     (0..1000).for_each(|id| node.send(id, &wire::call_params("/call/read", A, &old), b""));
-    assert_eq!(paced(&mut node).len(), 8); // a load balancer may be rejected at any rate
+    assert_eq!(pauses_ms(&mut node).len(), 8); // rejections are no strikes for an identified peer
     node.connection_id = ConnectionId(9);
     node.event(Event::Connected(ConnectionId(9), None));
     (0..128).for_each(|id| node.send(id, &wire::call_params("/call/read", A, &old), b""));
-    assert_eq!(paced(&mut node)[8..], [50]);
+    assert_eq!(pauses_ms(&mut node)[8..], [50]);
 }
--- a/crates/node/src/node/tests/drain.rs
+++ b/crates/node/src/node/tests/drain.rs
@@ -1,15 +1,15 @@
-//! Draining.
+//! Draining before and after the executor is up.
 
 use super::support::*;
 
 #[test]
-fn a_drain_answers_all_and_starts_nothing_after_the_grace() {
+fn a_drain_answers_all_requests_and_starts_none_that_arrive_after_the_grace() {
     let mut node = TestNode::new();
     node.call(1, "/call/read", A);
     node.event(Event::Drain);
     node.wait(400);
     node.call(2, "/call/read", B); // within the grace
-    node.event(Event::Drain); // changes nothing
+    node.event(Event::Drain); // a second drain event has no effect
     node.wait(101);
     assert!(
         node.node
@@ -23,7 +23,7 @@
     );
     node.end_execution(A, End::Ok, b"");
     assert_eq!(node.executor_commands(), [start_command(B, "read")]);
-    node.wait(2349); // the stop is in 150 ms
+    node.wait(2349); // 150 ms before the stop
     assert_eq!(node.statuses(), [(1, "200".into()), (2, "500".into())]);
     assert_eq!(
         node.node.with_actions(|actions| actions.closed.clone()),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_drain_that_begins_before_the_executor_is_up_holds_afterwards() {
+fn a_drain_that_begins_before_the_executor_is_up_stays_in_effect() {
     let mut node = TestNode::without_executor(wire::SETTINGS);
     node.event(Event::Drain);
     node.wait(100);
--- a/crates/node/src/node/tests/executor_link.rs
+++ b/crates/node/src/node/tests/executor_link.rs
@@ -1,4 +1,5 @@
-//! The link to the executor: what is sent again after a break, and what is uncertain.
+//! The link to the executor: commands repeated after a reconnect, uncertain executions and silent
+//! links.
 
 use super::support::*;
 
@@ -13,7 +14,7 @@
 }
 
 #[test]
-fn an_execution_that_ended_without_a_link_is_answered_and_not_started_again() {
+fn an_execution_that_ended_while_disconnected_is_answered_and_not_restarted() {
     let mut node = TestNode::new();
     node.call(1, "/call/pay", A);
     node.executor_commands();
@@ -33,14 +34,14 @@
     assert_eq!(node.executor_commands(), [""; 0]);
     node.reconnect(4);
     assert_eq!(node.executor_commands(), [""; 0]);
-    node.break_link(); // once more, in the middle of the replay
+    node.break_link(); // again, while missed notices are replayed
     node.reconnect(4);
     node.answer_gauges();
     assert_eq!(node.executor_commands(), [start_command(A, "pay")]);
 }
 
 #[test]
-fn only_idempotent_requests_are_started_again_after_a_broken_link() {
+fn only_idempotent_requests_are_restarted_after_a_reconnect() {
     let mut node = TestNode::with_settings(&wire::SETTINGS.replace("\"Cores\": 1", "\"Cores\": 3"));
     node.call(1, "/call/read", A);
     node.call(2, "/call/pay", B);
@@ -50,7 +51,7 @@
     node.answer_gauges();
     assert_eq!(node.executor_commands(), [start_command(A, "read")]);
     assert_eq!(node.counted("executions uncertain after a broken link"), 1);
-    // Gauges that came back show that the commands before them arrived: then nothing is uncertain.
+    // Returned gauges confirm that earlier commands arrived, so no execution is uncertain.
     node.wait(480);
     node.answer_gauges();
     node.break_link();
@@ -61,15 +62,16 @@
     assert_eq!(node.statuses().len(), 2);
 }
 
-/// The client of an uncertain execution does not wait for its client timeout.
+/// The client of an uncertain execution must be answered before its client timeout, and the
+/// execution must not occupy its concurrency slot forever.
 #[test]
-fn an_uncertain_execution_fails_soon_and_frees_its_place() {
+fn an_uncertain_execution_fails_soon_and_frees_its_slot() {
     let mut node = TestNode::new();
     node.call(1, "/call/pay", A);
-    let asked = node.node.with_actions(|actions| actions.gauges_requested);
+    let first_mark = node.node.with_actions(|actions| actions.gauges_requested);
     node.wait(10);
-    // A mark follows soon: it would have settled this.
-    assert!(node.node.with_actions(|actions| actions.gauges_requested) > asked);
+    // Gauges are requested soon after the start; their mark would confirm that it arrived.
+    assert!(node.node.with_actions(|actions| actions.gauges_requested) > first_mark);
     assert_eq!(node.executor_commands(), [start_command(A, "pay")]);
     node.break_link();
     node.reconnect(0);
@@ -77,7 +79,7 @@
     node.executor_commands();
     node.wait(1000);
     assert_eq!(node.statuses(), [(1, "500".into())]);
-    // Its request is over: this only asks.
+    // The request is over, so this start command only asks whether the execution exists.
     assert_eq!(node.executor_commands(), [start_command(A, "pay")]);
     node.end_execution(A, End::NeverStarted, b"");
     node.call(2, "/call/pay", B);
@@ -85,7 +87,7 @@
 }
 
 #[test]
-fn a_new_configuration_moves_the_executors_link_without_uncertain_executions() {
+fn a_new_configuration_moves_the_executor_link_without_uncertain_executions() {
     let mut node = TestNode::new();
     let address = ([127, 0, 0, 1], 1).into();
     let peers = PeerAddresses {
@@ -107,14 +109,14 @@
                 .with_actions(|actions| actions.executor_reconnects)
         ),
         (vec![], 0)
-    ); // on its way, and waiting
+    ); // the first start is unconfirmed, and the second waits
     node.answer_gauges();
     assert_eq!(
         node.node
             .with_actions(|actions| actions.executor_reconnects),
         1
     );
-    node.answer_gauges(); // the old link says nothing that counts any more
+    node.answer_gauges(); // late gauges on the old link have no effect
     node.break_link();
     node.reconnect(0);
     node.answer_gauges();
@@ -125,7 +127,7 @@
         peers,
         needs_restart: vec![],
     }));
-    node.wait(150); // an executor that says nothing is not waited for
+    node.wait(150); // longer than the node waits for a silent executor
     assert_eq!(
         node.node
             .with_actions(|actions| actions.executor_reconnects),
@@ -134,7 +136,7 @@
     node.event(Event::ConfigChanged(ConfigUpdate {
         peers,
         needs_restart: vec![],
-    })); // nor is a link that is going already
+    })); // a link that is already being replaced is replaced again immediately
     assert_eq!(
         node.node
             .with_actions(|actions| actions.executor_reconnects),
@@ -142,8 +144,8 @@
     );
 }
 
-/// Half a notice and then nothing, on a link that stays open: what runs must not wait for its
-/// client timeout.
+/// The executor stops sending in the middle of a notice and keeps the link open. Running requests
+/// must not wait for their client timeouts.
 #[test]
 fn a_silent_link_is_replaced_and_a_late_executor_is_waited_for() {
     let reconnects = |node: &mut TestNode| {
@@ -168,26 +170,26 @@
     node.reconnect(0);
     node.answer_gauges();
     assert_eq!(node.executor_commands(), [start_command(A, "read")]);
-    // It answers within its time, if late each time.
+    // The executor answers late, but always within the allowed time.
     for _ in 0..10 {
         node.wait(1500);
         node.answer_gauges();
     }
     assert_eq!(reconnects(&mut node), 1);
-    // The machine stood still: what came meanwhile is handled before another check.
+    // The machine was paused: notices that arrived meanwhile are handled before the next check.
     node.now += 60_000 * MS;
     node.node.fire_timers(node.now);
     node.answer_gauges();
     node.wait(1000);
     assert_eq!(reconnects(&mut node), 1);
-    // Before BOOTED the executor may take its time.
+    // No time limit applies before BOOTED.
     let mut node = TestNode::without_executor(wire::SETTINGS);
     node.wait(30_000);
     assert_eq!(reconnects(&mut node), 0);
 }
 
 #[test]
-fn a_reply_that_comes_without_a_link_is_sent_on_the_next_one() {
+fn a_reply_that_arrives_while_disconnected_is_sent_on_the_next_link() {
     let mut node = TestNode::new();
     node.call(1, "/call/read", A);
     node.need_backend_call(A, 1);
@@ -196,21 +198,24 @@
     node.executor_commands();
     node.reconnect(1);
     node.answer_gauges();
-    let done = format!(r#"{{"t":"IODONE","rid":"{A}","b64":"cmVwbHk="}}"#);
-    assert_eq!(node.executor_commands(), std::slice::from_ref(&done));
-    node.break_link(); // it may not have arrived
+    let resume_command = format!(r#"{{"t":"IODONE","rid":"{A}","b64":"cmVwbHk="}}"#);
+    assert_eq!(
+        node.executor_commands(),
+        std::slice::from_ref(&resume_command)
+    );
+    node.break_link(); // the command may not have arrived
     node.reconnect(1);
     node.answer_gauges();
-    assert_eq!(node.executor_commands(), [done]);
+    assert_eq!(node.executor_commands(), [resume_command]);
     node.break_link();
     node.reconnect(1);
-    node.need_backend_call(A, 2); // it had: the execution came to its next call
+    node.need_backend_call(A, 2); // the command had arrived: the execution needs its next call
     node.answer_gauges();
     assert_eq!((node.executor_commands(), node.calls()), (vec![], 2));
 }
 
 #[test]
-fn an_execution_cancelled_before_its_start_was_sent_has_ended() {
+fn an_execution_cancelled_before_its_start_was_sent_frees_its_slot() {
     let mut node = TestNode::new();
     node.break_link();
     node.call(1, "/call/pay", A);
@@ -221,21 +226,21 @@
     node.reconnect(0);
     node.answer_gauges();
     assert_eq!(node.executor_commands(), [""; 0]);
-    node.call(2, "/call/pay", B); // its place is free
+    node.call(2, "/call/pay", B); // the slot of the first request is free
     assert_eq!(node.executor_commands(), [start_command(B, "pay")]);
 }
 
 #[test]
-fn an_execution_whose_end_was_missed_frees_its_place() {
+fn an_execution_whose_end_was_missed_frees_its_slot() {
     let mut node = TestNode::new();
     node.call(1, "/call/pay", A);
     node.executor_commands();
     node.break_link();
-    node.wait(20_000); // nothing can be asked without a link
+    node.wait(20_000); // no command can be sent without a link
     node.reconnect(0);
     node.answer_gauges();
     node.executor_commands();
-    node.wait(11_000); // it failed at its client timeout, and nothing was heard of it since
+    node.wait(11_000); // the request failed at its client timeout, without any notice since
     assert_eq!(node.statuses(), [(1, "500".into())]);
     assert!(node.executor_commands().contains(&start_command(A, "pay")));
     node.end_execution(A, End::NeverStarted, b"");
@@ -244,7 +249,7 @@
 }
 
 #[test]
-fn a_request_whose_start_the_executor_refuses_fails() {
+fn a_request_fails_if_the_executor_refuses_its_start() {
     let mut node = TestNode::new();
     node.call(1, "/call/read", A);
     node.event(Event::Executor(Notice::CommandRefused {
--- a/crates/node/src/node/tests/health_checks.rs
+++ b/crates/node/src/node/tests/health_checks.rs
@@ -1,9 +1,9 @@
-//! Health checks and gauges.
+//! Health checks, and gauges for timers of the admission controller.
 
 use super::support::*;
 
 #[test]
-fn health_checks_are_answered_from_store_or_by_work_and_in_time() {
+fn deep_health_checks_are_answered_from_stored_health_by_the_executor_or_by_timeout() {
     let deep = [("SCRIPT_NAME", "/ping"), ("QUERY_STRING", "x=2&e2e=1")];
     let mut node = TestNode::without_executor(wire::SETTINGS);
     node.send(1, &deep, b"");
@@ -15,8 +15,8 @@
     node.executor_commands();
     for (id, ok, status) in [(3, true, "200"), (4, false, "503")] {
         node.send(id, &deep, b"");
-        let post = node.executor_commands().pop().unwrap();
-        let mark = post.split('"').nth(7).unwrap().parse().unwrap();
+        let command = node.executor_commands().pop().unwrap();
+        let mark = command.split('"').nth(7).unwrap().parse().unwrap();
         node.event(Event::Executor(Notice::HealthCheckDone { mark, ok }));
         assert_eq!(node.statuses(), [(id, status.into())]);
     }
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn admission_timers_get_fresh_gauges_and_wait_for_none() {
+fn admission_timers_use_fresh_gauges_and_fire_without_them() {
     let mut node = TestNode::new();
     node.node
         .with_actions(|actions| actions.gauges_requested = None);
@@ -39,6 +39,6 @@
     node.wait(101);
     assert_eq!(node.node.state.borrow().gauges().cpu_busy, None);
     let due = node.node.next_timer().unwrap();
-    node.wait(1000); // the executor says nothing
+    node.wait(1000); // the executor does not answer
     assert!(node.node.next_timer().unwrap() > due + 500 * MS);
 }
--- a/crates/node/src/node/tests/idempotency.rs
+++ b/crates/node/src/node/tests/idempotency.rs
@@ -1,5 +1,5 @@
-//! Repeats of keyed operations, which have the idempotency key that the platform sends: what ran
-//! within the window never runs again, whatever races with it.
+//! Repeats of keyed operations, identified by the idempotency key that the client platform sends. A
+//! request that ran within the window must never run again, whatever it races with.
 
 use super::support::*;
 
@@ -7,9 +7,9 @@
 const KEY: &str = "35703cb5dbe0981838ed43bf61d23a03";
 
 impl TestNode {
-    /// A try of the keyed operation, which reached the machine so long ago.
-    fn try_of(&mut self, id: u16, correlation_id: &str, key: &str, age_ms: u64) {
-        self.try_as(
+    /// Sends a request of the keyed operation that reached the machine `age_ms` ago.
+    fn send_keyed(&mut self, id: u16, correlation_id: &str, key: &str, age_ms: u64) {
+        self.send_keyed_with(
             id,
             correlation_id,
             &[("HTTP_X_OPERATION_KEY", key)],
@@ -18,7 +18,7 @@
         );
     }
 
-    fn try_as(
+    fn send_keyed_with(
         &mut self,
         id: u16,
         correlation_id: &str,
@@ -27,19 +27,19 @@
         body: &[u8],
     ) {
         let arrived = (self.now / MS - age_ms).to_string();
-        let named = |(name, _): &(&str, &str)| more.iter().all(|(n, _)| n != name);
+        let is_not_replaced = |(name, _): &(&str, &str)| more.iter().all(|(n, _)| n != name);
         let call = wire::call_params("/call/book", correlation_id, &arrived);
         let params: Vec<_> = call
             .into_iter()
-            .filter(named)
+            .filter(is_not_replaced)
             .chain(more.iter().copied())
             .collect();
         self.send(id, &params, body);
     }
 
-    /// Runs the first try to its end.
-    fn ran(&mut self) {
-        self.try_of(1, A, KEY, 0);
+    /// Sends the first request with the key and runs it to its end.
+    fn run_first(&mut self) {
+        self.send_keyed(1, A, KEY, 0);
         assert_eq!(self.executor_commands(), [start_command(A, "book")]);
         self.end_execution(A, End::Ok, b"done");
         assert_eq!(self.statuses(), [(1, "200".into())]);
@@ -60,21 +60,21 @@
 #[test]
 fn a_repeat_with_the_same_idempotency_key_never_runs() {
     let mut node = TestNode::new();
-    node.try_of(1, A, KEY, 0);
-    node.try_of(2, B, KEY, 0);
+    node.send_keyed(1, A, KEY, 0);
+    node.send_keyed(2, B, KEY, 0);
     assert_eq!(
         node.executor_commands(),
         [start_command(A, "book")],
-        "the repeat waits for what it repeats"
+        "the repeat waits for the first request"
     );
     node.end_execution(A, End::Ok, b"done");
     assert_eq!(node.bodies(), [done(), done()]);
     node.wait(4900);
-    node.try_of(3, C, KEY, 0);
+    node.send_keyed(3, C, KEY, 0);
     assert_eq!(
         (node.bodies(), node.executor_commands().len()),
         (vec![done()], 0),
-        "from what is kept"
+        "answered with the stored result"
     );
 }
 
@@ -84,9 +84,9 @@
         .replace("}]}", r#"}, {"Name": "other", "QuotaRps": 50.0}]}"#)
         .to_owned();
     let mut node = TestNode::with_settings(&settings);
-    node.ran();
-    // The same key of another tenant is another request: nobody gets another customer's result.
-    node.try_as(
+    node.run_first();
+    // The same key of another tenant is a separate request, so no tenant gets another one's result.
+    node.send_keyed_with(
         2,
         B,
         &[("HTTP_X_OPERATION_KEY", KEY), ("HTTP_X_ORG", "other")],
@@ -94,14 +94,14 @@
         b"body",
     );
     assert_eq!(node.executor_commands(), [start_command(B, "book")]);
-    // With another body it is a mistake of the clients, which is answered as one.
-    node.try_as(3, C, &[("HTTP_X_OPERATION_KEY", KEY)], 0, b"else");
+    // Reuse of a key with another body is a client error and answered as a conflict.
+    node.send_keyed_with(3, C, &[("HTTP_X_OPERATION_KEY", KEY)], 0, b"else");
     assert_eq!(
         (&node.statuses()[..], node.executor_commands().len()),
         (&[(3, "409".into())][..], 0)
     );
     node.end_execution(B, End::Ok, b"theirs");
-    // An operation that may run again has no use for it.
+    // An idempotent operation ignores the key.
     node.send(
         4,
         &[
@@ -119,52 +119,52 @@
     let mut node = TestNode::new();
     let long = "k".repeat(256);
     for key in ["", &long, "a\u{7f}b", "sch\u{f6}n"] {
-        node.try_of(1, A, key, 0);
+        node.send_keyed(1, A, key, 0);
         assert_eq!(node.statuses(), [(1, "400".into())], "{key:?}");
     }
     assert_eq!(node.executor_commands().len(), 0);
 }
 
 #[test]
-fn the_window_counts_by_arrival_at_the_machine_however_late_a_repeat_is_read() {
-    // Read 900 ms after the window of 5 s, but it reached the machine within it.
+fn the_window_is_checked_against_arrival_at_the_machine_not_the_time_of_reading() {
+    // The repeat is read 900 ms after the end of the 5 s window, but reached the machine within it.
     let mut node = TestNode::new();
-    node.ran();
+    node.run_first();
     node.wait(5900);
-    node.try_of(2, B, KEY, 950);
+    node.send_keyed(2, B, KEY, 950);
     assert_eq!(
         (node.bodies(), node.executor_commands().len()),
         (vec![done()], 0)
     );
-    // The very end, by what the protocol allows clocks to differ.
+    // The last moment of the window, including the clock difference that the protocol allows.
     let mut node = TestNode::new();
-    node.ran();
+    node.run_first();
     node.wait(5049);
-    node.try_of(2, B, KEY, 0);
+    node.send_keyed(2, B, KEY, 0);
     assert_eq!(
         (node.bodies(), node.executor_commands().len()),
         (vec![done()], 0)
     );
-    // What arrives later is a new request, and is known by the same key from then on.
+    // A request that arrives later is new, and its result is stored under the same key.
     let mut node = TestNode::new();
-    node.ran();
+    node.run_first();
     node.wait(5100);
-    node.try_of(2, B, KEY, 0);
+    node.send_keyed(2, B, KEY, 0);
     assert_eq!(node.executor_commands(), [start_command(B, "book")]);
     node.end_execution(B, End::Ok, b"two");
     node.answers();
     node.wait(4000);
-    node.try_of(3, C, KEY, 0);
+    node.send_keyed(3, C, KEY, 0);
     assert_eq!(node.bodies(), [("200".into(), b"two".to_vec())]);
 }
 
 #[test]
 fn a_repeat_gets_the_result_after_the_first_connection_is_gone() {
-    for aborted in [true, false] {
+    for is_aborted in [true, false] {
         let mut node = TestNode::new();
-        node.try_of(1, A, KEY, 0);
+        node.send_keyed(1, A, KEY, 0);
         node.executor_commands();
-        match aborted {
+        match is_aborted {
             true => node.event(Event::LoadBalancer(
                 node.connection_id,
                 fastcgi::Event::Abort(1),
@@ -174,62 +174,63 @@
         assert_eq!(
             node.executor_commands().len(),
             0,
-            "what must not run twice is not stopped: its repeat could only err"
+            "a keyed execution is not cancelled, because a repeat could then only fail"
         );
         node.answers();
         node.connection_id = ConnectionId(7);
         node.event(Event::Connected(node.connection_id, None));
-        node.try_of(2, B, KEY, 0);
+        node.send_keyed(2, B, KEY, 0);
         node.end_execution(A, End::Ok, b"done");
         assert_eq!(
             (node.bodies(), node.executor_commands().len()),
             (vec![done()], 0),
-            "aborted {aborted}"
+            "is_aborted: {is_aborted}"
         );
     }
 }
 
 #[test]
-fn a_request_cancelled_before_it_ran_may_come_again() {
+fn a_repeat_of_a_request_cancelled_before_it_ran_is_executed() {
     let mut node = TestNode::new();
-    // One core: what comes is queued.
+    // With one core, the first call runs and later requests are queued.
     for n in 0..2u16 {
         node.call(n + 10, "/call/read", &format!("{n:016x}"));
     }
     node.executor_commands();
-    node.try_of(1, A, KEY, 0);
-    assert_eq!(node.executor_commands().len(), 0, "it is held");
+    node.send_keyed(1, A, KEY, 0);
+    assert_eq!(node.executor_commands().len(), 0, "the request is queued");
     node.event(Event::LoadBalancer(
         node.connection_id,
         fastcgi::Event::Abort(1),
     ));
-    node.try_of(2, B, KEY, 0);
+    node.send_keyed(2, B, KEY, 0);
     node.answers();
     for n in 0..2u16 {
         node.end_execution(&format!("{n:016x}"), End::Ok, b"");
     }
     assert!(
         node.executor_commands().contains(&start_command(B, "book")),
-        "nothing had run under its key"
+        "no request with this key had run"
     );
 }
 
 #[test]
-fn a_request_that_the_executor_did_not_start_leaves_no_key_behind() {
-    // An unidentified peer has seen a key; the executor knows no such request, so that nothing ran.
+fn the_key_of_a_request_that_the_executor_never_started_is_released() {
+    // An unidentified peer uses a key that it has seen. The executor refuses the request, so
+    // nothing ran.
     let mut node = TestNode::new();
-    node.try_of(1, A, KEY, 0);
+    node.send_keyed(1, A, KEY, 0);
     node.executor_commands();
     node.event(Event::Executor(Notice::CommandRefused {
         command: "SCHED".into(),
         rid: A.into(),
     }));
     assert_eq!(node.statuses(), [(1, "500".into())]);
-    node.try_of(2, B, KEY, 0);
+    node.send_keyed(2, B, KEY, 0);
     assert_eq!(node.executor_commands(), [start_command(B, "book")]);
-    // MOOT to the one command that was ever given: nothing was started.
+    // MOOT after the only start command: nothing was started.
     let mut node = TestNode::new();
-    node.try_of(1, A, KEY, 0);
+    node.send_keyed(1, A, KEY, 0);
     node.event(Event::LoadBalancer(
         node.connection_id,
         fastcgi::Event::Abort(1),
@@ -237,25 +238,29 @@
     node.end_execution(A, End::NeverStarted, b"");
     node.executor_commands();
     node.answers();
-    node.try_of(2, B, KEY, 0);
+    node.send_keyed(2, B, KEY, 0);
     assert_eq!(node.executor_commands(), [start_command(B, "book")]);
 }
 
 #[test]
-fn moot_after_a_second_start_proves_nothing() {
-    // The end of an execution was lost with its link; the executor only knows that none goes
-    // on.
+fn moot_after_a_second_start_does_not_prove_that_nothing_ran() {
+    // The notice of an execution's end was lost with the link; MOOT only says that no execution is
+    // running.
     let mut node = TestNode::new();
-    node.try_of(1, A, KEY, 0);
+    node.send_keyed(1, A, KEY, 0);
     node.executor_commands();
     node.break_link();
     node.reconnect(0);
     node.answer_gauges();
     node.wait(1100);
-    assert_eq!(node.statuses(), [(1, "500".into())], "in doubt");
+    assert_eq!(
+        node.statuses(),
+        [(1, "500".into())],
+        "the execution is uncertain"
+    );
     node.end_execution(A, End::NeverStarted, b"");
     node.executor_commands();
-    node.try_of(2, B, KEY, 0);
+    node.send_keyed(2, B, KEY, 0);
     assert_eq!(
         (node.statuses(), node.executor_commands().len()),
         (vec![(2, "500".into())], 0)
@@ -263,9 +268,10 @@
 }
 
 #[test]
-fn the_clients_timeout_counts_where_it_is_sent() {
-    let told = wire::SETTINGS.replace(r#""Cores": 1"#, r#""Cores": 1, "PassesDeadline": true"#);
-    let patience = |settings: &str, more: &[(&str, &str)]| {
+fn the_client_timeout_sent_with_a_request_applies_if_the_settings_pass_it_on() {
+    let with_deadline =
+        wire::SETTINGS.replace(r#""Cores": 1"#, r#""Cores": 1, "PassesDeadline": true"#);
+    let time_to_answer = |settings: &str, more: &[(&str, &str)]| {
         let mut node = TestNode::with_settings(settings);
         let call = [wire::call_params("/call/read", A, "900"), more.to_vec()].concat();
         node.send(1, &call, b"body");
@@ -277,59 +283,58 @@
             node.wait(1);
         }
     };
-    // It reached the machine 100 ms ago, and its client waits for 700 ms from then.
-    let (status, after) = patience(&told, &[("HTTP_X_DEADLINE_MS", "700")]);
+    // The request reached the machine 100 ms ago, and its client waits 700 ms from that time.
+    let (status, after) = time_to_answer(&with_deadline, &[("HTTP_X_DEADLINE_MS", "700")]);
     assert!(
         status == "500" && (500..600).contains(&after),
         "{status} after {after} ms"
     );
-    // Never longer than its operation's client timeout, and that where nothing is sent.
+    // The operation's client timeout is the upper bound, and the default if none is sent.
     for more in [&[("HTTP_X_DEADLINE_MS", "9000")][..], &[]] {
-        let (status, after) = patience(&told, more);
+        let (status, after) = time_to_answer(&with_deadline, more);
         assert!(
             status == "500" && (2800..2900).contains(&after),
             "{status} after {after} ms"
         );
     }
-    for wrong in ["", "-1", "nan", "x"] {
+    for invalid in ["", "-1", "nan", "x"] {
         assert_eq!(
-            patience(&told, &[("HTTP_X_DEADLINE_MS", wrong)]),
+            time_to_answer(&with_deadline, &[("HTTP_X_DEADLINE_MS", invalid)]),
             ("400".into(), 0),
-            "{wrong:?}"
+            "{invalid:?}"
         );
     }
-    // Where the settings say that it is not passed on, it means nothing.
-    let (_, after) = patience(wire::SETTINGS, &[("HTTP_X_DEADLINE_MS", "700")]);
+    // The parameter is ignored if the settings do not say that client timeouts are passed on.
+    let (_, after) = time_to_answer(wire::SETTINGS, &[("HTTP_X_DEADLINE_MS", "700")]);
     assert!((2800..2900).contains(&after), "after {after} ms");
 }
 
-// ---- The executor's link ----
+// ---- Link to the executor ----
 
 #[test]
 fn a_repeat_of_an_uncertain_request_does_not_run() {
     let mut node = TestNode::new();
-    node.try_of(1, A, KEY, 0);
+    node.send_keyed(1, A, KEY, 0);
     assert_eq!(node.executor_commands(), [start_command(A, "book")]);
     node.break_link();
-    node.try_of(2, B, KEY, 0);
+    node.send_keyed(2, B, KEY, 0);
     node.reconnect(0);
     node.answer_gauges();
     assert_eq!(
         node.executor_commands().len(),
         0,
-        "the first may run at this clock"
+        "the first request may still be running"
     );
     node.wait(1000);
     assert_eq!(node.statuses(), [(1, "500".into())]);
     assert_eq!(
         node.executor_commands(),
         [start_command(A, "book")],
-        "its request is over: this only asks whether there is a run"
+        "the request is over: this start only asks whether the execution exists"
     );
-    // There was one, and its end comes: the repeat that waited gets the result, and so does one
-    // that comes later.
+    // The execution existed and ends: the waiting repeat gets its result, and so does a later one.
     node.end_execution(A, End::Ok, b"done");
-    node.try_of(3, C, KEY, 0);
+    node.send_keyed(3, C, KEY, 0);
     assert_eq!(
         (node.bodies(), node.executor_commands().len()),
         (vec![done(), done()], 0)
@@ -337,15 +342,15 @@
 }
 
 #[test]
-fn a_repeat_while_there_is_no_link_waits_with_the_first_one() {
+fn a_repeat_while_disconnected_waits_with_the_first_request() {
     let mut node = TestNode::new();
     node.break_link();
-    node.try_of(1, A, KEY, 0);
-    node.try_of(2, B, KEY, 0);
+    node.send_keyed(1, A, KEY, 0);
+    node.send_keyed(2, B, KEY, 0);
     node.reconnect(0);
     node.answer_gauges();
     assert_eq!(node.executor_commands(), [start_command(A, "book")]);
-    // The link breaks again as the result is on its way; the executor tells it once more.
+    // The link breaks while the result is on its way; the executor sends the notice again.
     node.break_link();
     node.reconnect(0);
     node.end_execution(A, End::Ok, b"done");
@@ -357,11 +362,11 @@
 }
 
 #[test]
-fn a_repeat_that_is_read_as_the_execution_ends_gets_the_result() {
-    // Before the end, after it, and when the first connection went between.
+fn a_repeat_read_around_the_end_of_the_execution_gets_the_result() {
+    // The repeat is read before the end, after it, or on a new connection after the first was lost.
     for order in 0..3 {
         let mut node = TestNode::new();
-        node.try_of(1, A, KEY, 0);
+        node.send_keyed(1, A, KEY, 0);
         node.executor_commands();
         if order == 2 {
             node.event(Event::Disconnected(node.connection_id));
@@ -369,11 +374,11 @@
             node.event(Event::Connected(node.connection_id, None));
         }
         if order != 1 {
-            node.try_of(2, B, KEY, 0);
+            node.send_keyed(2, B, KEY, 0);
         }
         node.end_execution(A, End::Ok, b"done");
         if order == 1 {
-            node.try_of(2, B, KEY, 0);
+            node.send_keyed(2, B, KEY, 0);
         }
         let answers = node.bodies();
         assert!(
@@ -385,7 +390,7 @@
 }
 
 #[test]
-fn a_cancellation_that_was_lost_with_its_link_is_sent_again() {
+fn a_cancellation_lost_with_the_link_is_sent_again() {
     let mut node = TestNode::new();
     node.call(1, "/call/read", A);
     node.executor_commands();
@@ -393,13 +398,13 @@
         node.connection_id,
         fastcgi::Event::Abort(1),
     ));
-    let stop = format!(r#"{{"t":"PREEMPT","rid":"{A}"}}"#);
-    assert_eq!(node.executor_commands(), std::slice::from_ref(&stop));
+    let cancel = format!(r#"{{"t":"PREEMPT","rid":"{A}"}}"#);
+    assert_eq!(node.executor_commands(), std::slice::from_ref(&cancel));
     node.break_link();
     node.reconnect(0);
     node.answer_gauges();
-    assert!(node.executor_commands().contains(&stop));
-    // An execution that ended over the old link is not cancelled over the new one.
+    assert!(node.executor_commands().contains(&cancel));
+    // An execution whose end was reported on the old link is not cancelled again on the new one.
     node.end_execution(A, End::Stopped, b"");
     node.break_link();
     node.reconnect(1);
@@ -407,18 +412,18 @@
     assert_eq!(node.executor_commands().len(), 0);
 }
 
-// ---- In a drain ----
+// ---- Drain ----
 
 #[test]
-fn waiting_repeats_are_answered_in_a_drain_however_the_first_ends() {
+fn waiting_repeats_are_answered_in_a_drain_however_the_first_request_ends() {
     for end in [Some(End::Ok), Some(End::Error), None] {
         let mut node = TestNode::new();
-        node.try_of(1, A, KEY, 0);
-        node.try_of(2, B, KEY, 0);
+        node.send_keyed(1, A, KEY, 0);
+        node.send_keyed(2, B, KEY, 0);
         node.event(Event::Drain);
         node.event(Event::Drain);
-        node.wait(600); // past the grace
-        node.try_of(3, C, KEY, 0);
+        node.wait(600); // past the drain grace
+        node.send_keyed(3, C, KEY, 0);
         assert_eq!(node.executor_commands(), [start_command(A, "book")]);
         if let Some(end) = end {
             node.end_execution(A, end, b"done");
@@ -426,12 +431,15 @@
         node.wait(2400);
         let mut statuses = node.statuses();
         statuses.sort();
-        let one = if end == Some(End::Ok) { "200" } else { "500" };
+        let expected = if end == Some(End::Ok) { "200" } else { "500" };
         assert_eq!(statuses.len(), 3, "{end:?}: {statuses:?}");
         assert!(
-            statuses[..2].iter().all(|(_, status)| status == one),
+            statuses[..2].iter().all(|(_, status)| status == expected),
             "{end:?}: {statuses:?}"
         );
-        assert_ne!(statuses[2].1, "429", "what may have run is not throttled");
+        assert_ne!(
+            statuses[2].1, "429",
+            "a request that may have run is not rejected"
+        );
     }
 }
--- a/crates/node/src/node/tests/properties.rs
+++ b/crates/node/src/node/tests/properties.rs
@@ -1,6 +1,6 @@
-//! Any deployment, and events in any order, against the four rules: the node is given operations
-//! with odd names, any idempotency, times, windows and limits, and requests, repeats, aborts,
-//! broken links, backend calls and the order to drain.
+//! Property test of the four rules for arbitrary deployments and event orders. Deployments vary in
+//! operation names, idempotency, times, windows and limits; events are requests, repeats, aborts,
+//! lost links, backend calls and the drain command.
 
 use super::support::*;
 use crate::executor::Notice;
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
-/// What an operation is to a test.
+/// Idempotency of a generated operation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Effect {
     Idempotent,
@@ -64,7 +64,7 @@
 }
 
 fn deployment() -> impl Strategy<Value = GeneratedDeployment> {
-    let words = (
+    let modes = (
         prop_oneof![
             Just("none"),
             Just("floor"),
@@ -92,13 +92,13 @@
     );
     let operations = prop::collection::vec(operation(), 1..5);
     let tenants = prop::collection::vec("[a-z]{1,5}|[^\u{0}]{1,10}", 0..4);
-    (operations, tenants, words, sizes, rest).prop_map(|(operations, tenants, words, sizes, rest)| {
+    (operations, tenants, modes, sizes, rest).prop_map(|(operations, tenants, modes, sizes, rest)| {
         let mut seen = BTreeSet::new();
         let operations: Vec<_> = operations.into_iter().filter(|o| seen.insert(o.name.clone())).collect();
         let tenants: Vec<_> = BTreeSet::from_iter(tenants).into_iter().collect();
-        let (load_report, below, preemption, by) = words;
-        let (cores, nodes, dispatchers, memory, factor, crowd) = sizes;
-        let (fresh, grace_ms, pauses, fair, idle) = rest;
+        let (load_report, below, preemption, by) = modes;
+        let (cores, nodes, load_balancers, memory, factor, tip_multiple) = sizes;
+        let (fresh, grace_ms, has_retry_after, fair, idle) = rest;
         let seconds = |ms: u64| ms as f64 / 1e3;
         let effect = |o: &Operation| match o.effect {
             Effect::Idempotent => "read_like",
@@ -111,14 +111,14 @@
         };
         let each = |f: &dyn Fn(&Operation) -> Value| operations.iter().map(f).collect::<Vec<_>>();
         let settings = json!({
-            "Ceilings": {"RetryAfter": pauses, "MaxRetryAfter": 1.0},
+            "Ceilings": {"RetryAfter": has_retry_after, "MaxRetryAfter": 1.0},
             "Extra": {"Advert": load_report, "Below": below, "CallsOver": 5.0, "ClassCalls": each(&|o| json!(o.calls)),
-                "ClientsTotal": dispatchers, "Cold": false, "Cores": cores,
+                "ClientsTotal": load_balancers, "Cold": false, "Cores": cores,
                 "DegradedWorth": each(&|o| json!(if o.skips { 0.5 } else { 0.0 })), "FairCalls": fair * 4.0,
                 "Fresh": if fresh < 1.0 { 0.0 } else { fresh }, "Gauges": ["cpu_busy", "mem_used"], "Halt": preemption,
                 "Idle": idle, "KeyKb": 10.0, "Linger": 0.2, "MemLimitKb": memory, "RunFactor": 1.0 + factor},
             "OverShareWorth": 0.1, "Servers": nodes, "Step": 0.005, "WorthBy": by,
-            "Rules": {"Cold": 10.0, "ColdFrom": 0.2, "StopSendingWithin": seconds(grace_ms), "TipMultiple": crowd},
+            "Rules": {"Cold": 10.0, "ColdFrom": 0.2, "StopSendingWithin": seconds(grace_ms), "TipMultiple": tip_multiple},
             "Services": each(&service),
             "Tenants": tenants.iter().map(|name| json!({"Name": name, "QuotaRps": 5.0})).collect::<Vec<_>>(),
         });
@@ -126,7 +126,7 @@
     })
 }
 
-/// What happens next. Numbers choose among what there is.
+/// One step of a simulation. Indices are taken modulo the number of available items.
 #[derive(Clone, Debug)]
 enum Step {
     Request {
@@ -169,28 +169,28 @@
     ]
 }
 
-/// A request as the test sent it.
+/// A request that the simulation sent, and what has happened to it.
 struct SentRequest {
     correlation_id: String,
     operation: usize,
     key: usize,
     arrived: Nanos,
     due: Nanos,
-    /// Where it is answered; none if its client cancelled it.
+    /// Target of the answer; `None` if the client cancelled the request.
     reply_target: Option<(ConnectionId, u16)>,
     answers: u32,
     started: Vec<Nanos>,
 }
 
-/// A node, what was sent to it, and what the executor, as it is played here, knows of executions.
+/// A node, the requests sent to it, and the state of the simulated executor.
 struct Simulation {
     deployment: GeneratedDeployment,
     node: TestNode,
     sent: Vec<SentRequest>,
     last_fastcgi_id: u16,
-    /// Requests whose executions go on at the executor.
+    /// Indices of the requests whose executions are running at the executor.
     running: Vec<usize>,
-    /// The number of the executor's last notice.
+    /// Number of the executor's last notice.
     last_notice: u64,
     is_linked: bool,
     drain_started: Option<Nanos>,
@@ -256,13 +256,13 @@
             Step::ExecutionNeedsCall(which) if self.is_linked && !self.running.is_empty() => {
                 let index = self.running[which % self.running.len()];
                 let correlation_id = self.sent[index].correlation_id.clone();
-                let works = !self
+                let is_running = !self
                     .node
                     .node
                     .state
                     .borrow()
                     .waits_for_call(&correlation_id);
-                if works && self.deployment.operations[self.sent[index].operation].calls {
+                if is_running && self.deployment.operations[self.sent[index].operation].calls {
                     self.last_notice += 1;
                     let no = self.last_notice;
                     self.node.need_backend_call(&correlation_id, no);
@@ -319,7 +319,7 @@
         age_ms: u64,
     ) {
         let operation = operation % self.deployment.operations.len();
-        // A repeat bears the key of an earlier try of its operation.
+        // A repeat has the key of an earlier request of its operation.
         let earlier: Vec<usize> = (0..self.sent.len())
             .filter(|&i| self.sent[i].operation == operation)
             .collect();
@@ -381,7 +381,7 @@
         ));
     }
 
-    /// In small parts, so that what is due is seen when it is.
+    /// Advances the clock in steps of 10 ms, so that actions are checked close to their due times.
     fn wait(&mut self, ms: u64) {
         for _ in 0..ms.div_ceil(10) {
             self.node.wait(10.min(ms));
@@ -392,7 +392,7 @@
         }
     }
 
-    /// Takes what the node did, and checks it against the rules.
+    /// Takes the actions of the node and checks them against the four rules.
     fn check_actions(&mut self) {
         let now = self.node.now;
         for line in self.node.executor_commands() {
@@ -412,7 +412,7 @@
             }
         }
         for answer in self.node.answers() {
-            // A cancelled request may have an answer all the same.
+            // A cancelled request may still get an answer.
             let index = self
                 .sent
                 .iter()
@@ -420,10 +420,14 @@
             let Some(index) = index else { continue };
             let sent = &mut self.sent[index];
             sent.answers += 1;
-            assert_eq!(sent.answers, 1, "{}: one answer", sent.correlation_id);
+            assert_eq!(
+                sent.answers, 1,
+                "{}: answered more than once",
+                sent.correlation_id
+            );
             assert!(
                 now <= sent.due + 50 * MS,
-                "{}: {} ms late",
+                "{}: answered {} ms late",
                 sent.correlation_id,
                 (now - sent.due) / MS
             );
@@ -431,7 +435,7 @@
             if effect != Effect::Idempotent && !sent.started.is_empty() {
                 assert!(
                     !["429", "503"].contains(&&answer.status[..]),
-                    "{}: ran, and is throttled",
+                    "{}: rejected after it ran",
                     sent.correlation_id
                 );
             }
@@ -440,14 +444,14 @@
             let sent = &self.sent[index];
             assert!(
                 !self.waits(index) || now <= sent.due + 50 * MS,
-                "{}: no answer in its time",
+                "{}: not answered within its timeout",
                 sent.correlation_id
             );
         }
     }
 
-    /// The executor is told to start a request: for one that runs nothing happens, for one that is
-    /// over the answer is MOOT.
+    /// Simulates a start command at the executor. A command for a running request has no effect,
+    /// and a request that is over is answered with MOOT.
     fn start_requested(&mut self, now: Nanos, correlation_id: &str) {
         let index = self
             .sent
@@ -474,19 +478,19 @@
         if effect == Effect::NonIdempotent {
             assert!(
                 self.sent[index].started.is_empty(),
-                "{correlation_id}: runs twice"
+                "{correlation_id}: executed twice"
             );
         }
         if effect == Effect::Keyed {
-            let alike = |s: &&SentRequest| {
+            let has_run_with_key = |s: &&SentRequest| {
                 s.operation == operation && s.key == key && !s.started.is_empty()
             };
-            for other in self.sent.iter().filter(alike) {
+            for other in self.sent.iter().filter(has_run_with_key) {
                 let in_window =
                     arrived <= other.arrived + window_ms * MS && other.arrived <= arrived;
                 assert!(
                     !in_window,
-                    "{correlation_id}: {} of its key has run",
+                    "{correlation_id}: executed although {} ran with the same key",
                     other.correlation_id
                 );
             }
@@ -495,7 +499,7 @@
             let grace = drain_started + self.deployment.grace_ms * MS;
             assert!(
                 arrived <= grace + MS,
-                "{correlation_id}: arrived past the grace and runs"
+                "{correlation_id}: executed although it arrived after the drain grace"
             );
         }
         self.sent[index].started.push(now);
@@ -503,7 +507,7 @@
     }
 }
 
-/// A repeat is of the tenant of what it repeats.
+/// Chooses the tenant of a request. Requests of a keyed operation with the same key share a tenant.
 fn tenant_of(key: usize, tenant: usize, tenants: usize, effect: Effect) -> usize {
     if effect == Effect::Keyed {
         key % tenants
@@ -522,12 +526,12 @@
     })]
 
     #[test]
-    fn the_four_rules_hold_for_any_deployment_and_order_of_events(deployment in deployment(), steps in prop::collection::vec(step(), 1..80)) {
+    fn the_four_rules_hold_for_any_deployment_and_event_order(deployment in deployment(), steps in prop::collection::vec(step(), 1..80)) {
         let mut simulation = Simulation::new(deployment);
         for step in &steps {
             simulation.step(step);
         }
-        // All is answered before the stop.
+        // All requests are answered before the stop.
         simulation.step(&Step::LinkRestored);
         simulation.step(&Step::Drain);
         simulation.wait(3200);
--- a/crates/node/src/node/tests/requests.rs
+++ b/crates/node/src/node/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What requests are answered, and malformed ones.
+//! Answers to requests, request errors and cancellations.
 
 use super::support::*;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_failed_execution_is_an_error_and_a_late_arrival_is_rejected_with_stop_trying() {
+fn a_failed_execution_gives_500_and_a_late_arrival_is_rejected_with_stop_trying() {
     let mut node = TestNode::new();
     node.call(1, "/call/read", A);
     node.end_execution(A, End::Error, b"");
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_arrival_from_the_future_counts_from_now() {
+fn an_arrival_time_in_the_future_is_treated_as_now() {
     let mut node = TestNode::new();
     node.send(1, &wire::call_params("/call/read", A, "5000"), b"body");
     node.wait(2900);
@@ -46,38 +46,38 @@
 }
 
 #[test]
-fn a_malformed_request_gets_one_answer_by_its_cause() {
+fn a_malformed_request_gets_one_answer_with_the_status_for_its_cause() {
     let mut node = TestNode::new();
-    let good = wire::call_params("/call/read", A, "1000");
-    let but = |name: &'static str, value: Option<&'static str>| {
-        let mut params: Vec<_> = good.iter().copied().filter(|(n, _)| *n != name).collect();
+    let valid = wire::call_params("/call/read", A, "1000");
+    let with = |name: &'static str, value: Option<&'static str>| {
+        let mut params: Vec<_> = valid.iter().copied().filter(|(n, _)| *n != name).collect();
         params.extend(value.map(|v| (name, v)));
         params
     };
     let cases = [
-        (but("SCRIPT_NAME", Some("/call/dance")), "404"),
-        (but("SCRIPT_NAME", Some("/else")), "404"),
-        (but("SCRIPT_NAME", None), "400"),
-        (but("REQUEST_METHOD", Some("GET")), "405"),
-        (but("HTTP_X_CORRELATION_ID", Some("aa")), "400"),
-        (but("HTTP_X_ARRIVED_MS", Some("-5")), "400"),
-        (but("HTTP_X_ARRIVED_MS", None), "400"),
-        (but("HTTP_X_ARRIVED_MS", Some("9999999")), "400"),
+        (with("SCRIPT_NAME", Some("/call/dance")), "404"),
+        (with("SCRIPT_NAME", Some("/else")), "404"),
+        (with("SCRIPT_NAME", None), "400"),
+        (with("REQUEST_METHOD", Some("GET")), "405"),
+        (with("HTTP_X_CORRELATION_ID", Some("aa")), "400"),
+        (with("HTTP_X_ARRIVED_MS", Some("-5")), "400"),
+        (with("HTTP_X_ARRIVED_MS", None), "400"),
+        (with("HTTP_X_ARRIVED_MS", Some("9999999")), "400"),
         (
-            but("HTTP_X_ARRIVED_MS", Some("18446744073709551615")),
+            with("HTTP_X_ARRIVED_MS", Some("18446744073709551615")),
             "400",
         ),
-        (but("HTTP_X_CRITICALITY", Some("1.5")), "400"),
-        (but("HTTP_X_CRITICALITY", Some("inf")), "400"),
-        (but("HTTP_X_ESTIMATE_MS", Some("-1")), "400"),
-        (but("HTTP_X_ORG", Some("nobody")), "404"),
-        (but("HTTP_X_ORG", None), "404"),
-        (but("HTTP_X_UPSTREAM_PEER", Some("-1")), "400"),
-        (but("HTTP_X_ESTIMATE_MS", Some("NaN")), "400"),
-        (but("HTTP_X_NEED_KB", Some("2000")), "400"),
-        (but("HTTP_X_NEED_KB", Some("0")), "400"),
-        (but("HTTP_X_NEED_KB", None), "400"),
-        (but("HTTP_X_SUBJECT", Some("xyz")), "400"),
+        (with("HTTP_X_CRITICALITY", Some("1.5")), "400"),
+        (with("HTTP_X_CRITICALITY", Some("inf")), "400"),
+        (with("HTTP_X_ESTIMATE_MS", Some("-1")), "400"),
+        (with("HTTP_X_ORG", Some("nobody")), "404"),
+        (with("HTTP_X_ORG", None), "404"),
+        (with("HTTP_X_UPSTREAM_PEER", Some("-1")), "400"),
+        (with("HTTP_X_ESTIMATE_MS", Some("NaN")), "400"),
+        (with("HTTP_X_NEED_KB", Some("2000")), "400"),
+        (with("HTTP_X_NEED_KB", Some("0")), "400"),
+        (with("HTTP_X_NEED_KB", None), "400"),
+        (with("HTTP_X_SUBJECT", Some("xyz")), "400"),
     ];
     for (i, (params, status)) in cases.iter().enumerate() {
         node.send(i as u16, params, b"");
@@ -93,22 +93,22 @@
     node.send(49, &long_past, b"");
     assert_eq!(node.statuses(), [(49, "400".into())]);
     node.now = 1000 * MS;
-    // Without hints it is served.
-    let mut params = but("HTTP_X_ESTIMATE_MS", None);
+    // The request is served without hints.
+    let mut params = with("HTTP_X_ESTIMATE_MS", None);
     params.retain(|(n, _)| *n != "HTTP_X_UPSTREAM_PEER");
-    params.push(("HTTP_X_UPSTREAM_PEER", "4000000000000")); // numbers are always new
+    params.push(("HTTP_X_UPSTREAM_PEER", "4000000000000")); // numbers of load balancers are never reused
     node.send(50, &params, b"body");
     assert_eq!(node.executor_commands(), [start_command(A, "read")]);
-    // Its id may not be used beside it.
+    // A correlation id in flight may not be used again.
     node.call(51, "/call/read", A);
     assert_eq!(node.statuses(), [(51, "409".into())]);
 }
 
 #[test]
-fn a_cancelled_request_gets_no_answer_and_its_ids_are_free() {
+fn a_cancelled_request_gets_no_answer_and_its_ids_may_be_reused() {
     let mut node = TestNode::new();
     node.call(1, "/call/read", A);
-    node.call(2, "/call/read", B); // queued: one core
+    node.call(2, "/call/read", B); // queued, as there is only one core
     node.executor_commands();
     node.event(Event::LoadBalancer(
         ConnectionId(1),
@@ -123,12 +123,12 @@
         [format!(r#"{{"t":"PREEMPT","rid":"{A}"}}"#)]
     );
     node.end_execution(A, End::Stopped, b"");
-    let ends = node.answers();
+    let answers = node.answers();
     assert!(
-        ends.len() == 2 && ends.iter().all(|a| a.status.is_empty()),
-        "{ends:?}"
+        answers.len() == 2 && answers.iter().all(|a| a.status.is_empty()),
+        "{answers:?}"
     );
-    // Both ids may be used again, on the connection and at the executor.
+    // The FastCGI id and the correlation id may both be used again.
     node.call(1, "/call/read", B);
     assert_eq!(node.executor_commands(), [start_command(B, "read")]);
     node.event(Event::Disconnected(ConnectionId(1)));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_cancellation_that_races_with_the_end_leaves_nothing_behind() {
+fn a_cancellation_that_races_with_the_end_frees_the_slot() {
     let mut node = TestNode::new();
     node.call(1, "/call/read", A);
     node.event(Event::LoadBalancer(
--- a/crates/node/src/node/tests/rules.rs
+++ b/crates/node/src/node/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Rules and limits at the node: what they give reaches the admission controller, and the four
-//! rules hold.
+//! Request rules and limits at the node: their results reach the admission controller, and the four
+//! rules of request handling still hold.
 
 use super::support::*;
 use crate::request_rules::CompiledRuleSet;
@@ -8,7 +8,7 @@
 const C: &str = "00000000000000cc";
 const D: &str = "00000000000000dd";
 
-/// Load balancers here heed a Retry-After of up to half a second.
+/// Settings under which load balancers heed a Retry-After of up to 500 ms.
 pub fn settings() -> String {
     wire::SETTINGS.replace(
         r#""RetryAfter": false, "MaxRetryAfter": 0.0"#,
@@ -20,7 +20,7 @@
     compile(rules, "")
 }
 
-/// Rules with limits of the whole cluster.
+/// Compiles rules whose limits may apply to the whole cluster.
 pub fn cluster_rules(rules: &str) -> Box<CompiledRuleSet> {
     compile(
         rules,
@@ -29,18 +29,25 @@
 }
 
 fn compile(rules: &str, fleet: &str) -> Box<CompiledRuleSet> {
-    let start = madderpoint_deployment_config::decode(settings().as_bytes()).unwrap();
-    let effects = start.deployment.operations.iter().map(|o| o.idempotency);
-    let operations = Some(start.operation_names.iter().cloned().zip(effects).collect());
-    let known = ValidationContext {
+    let config = madderpoint_deployment_config::decode(settings().as_bytes()).unwrap();
+    let idempotencies = config.deployment.operations.iter().map(|o| o.idempotency);
+    let operations = Some(
+        config
+            .operation_names
+            .iter()
+            .cloned()
+            .zip(idempotencies)
+            .collect(),
+    );
+    let context = ValidationContext {
         operations,
-        tenants: Some(start.tenant_names.clone()),
+        tenants: Some(config.tenant_names.clone()),
         ..ValidationContext::permissive()
     };
     let text = format!("<translator version=\"1\"><rules>{rules}</rules>{fleet}</translator>");
-    let read =
-        madderpoint_settings::read("rules.xml", &text, &known).unwrap_or_else(|e| panic!("{e}"));
-    let compiled = read.rules.unwrap();
+    let settings =
+        madderpoint_settings::read("rules.xml", &text, &context).unwrap_or_else(|e| panic!("{e}"));
+    let compiled = settings.rules.unwrap();
     Box::new(CompiledRuleSet {
         rules: compiled.rules,
         buckets: compiled.buckets,
@@ -93,7 +100,7 @@
     <give operation="book"><key>params.HTTP_X_KEY</key></give></rule>"#;
 
 #[test]
-fn a_rule_gives_the_operation_and_the_class() {
+fn a_rule_assigns_the_operation_and_the_class() {
     let mut node = TestNode::with_rules(
         r#"<rule name="old"><when>script.startsWith("/old/")</when><give operation="read" class="old"/></rule>"#,
     );
@@ -105,21 +112,21 @@
     assert_eq!(
         node.one_answer().status,
         "404",
-        "what no rule matches is as without rules"
+        "a request that no rule matches is handled as without rules"
     );
     node.call(3, "/call/pay", C);
     assert_eq!(node.executor_commands(), [start_command(C, "pay")]);
-    let tally = node.class_counts("old");
-    assert_eq!((tally.arrived, tally.answered), (1, [1, 0, 0]));
+    let counts = node.class_counts("old");
+    assert_eq!((counts.arrived, counts.answered), (1, [1, 0, 0]));
 }
 
 #[test]
-fn a_rules_key_makes_repeats_known() {
+fn a_key_assigned_by_a_rule_identifies_repeats() {
     let mut node = TestNode::with_rules(KEYED);
     let key = [("HTTP_X_KEY", "k1")];
     node.call_with(1, "/old/book/1", A, &key, b"body");
     assert_eq!(node.executor_commands(), [start_command(A, "book")]);
-    // A repeat while it runs waits for its result.
+    // A repeat that arrives while the request runs waits for its result.
     node.call_with(2, "/old/book/1", B, &key, b"body");
     assert_eq!(node.executor_commands(), [""; 0]);
     node.end_execution(A, End::Ok, b"done");
@@ -131,14 +138,14 @@
                 .all(|a| a.status == "200" && a.body == b"done"),
         "{answers:?}"
     );
-    // One that comes later is answered from the cache, until the window of 5 s is over.
+    // A later repeat is answered from the cache until the 5 s window is over.
     node.wait(4000);
     node.call_with(3, "/old/book/1", C, &key, b"body");
     assert_eq!(
         (node.one_answer().body, node.executor_commands().len()),
         (b"done".to_vec(), 0)
     );
-    // Another body under the same key is a mistake, which is answered as one and never run.
+    // Reuse of the key with another body is a client error: it is answered as a conflict, not run.
     node.call_with(4, "/old/book/1", D, &key, b"other");
     let answer = node.one_answer();
     assert_eq!(
@@ -146,7 +153,7 @@
         ("409", &b"key in use with another body"[..])
     );
     assert_eq!(node.executor_commands().len(), 0);
-    // Another key is another request.
+    // A request with another key is a separate request.
     node.call_with(
         5,
         "/old/book/1",
@@ -179,7 +186,8 @@
             "{end:?}"
         );
     }
-    // Its client cancelled it while it ran, and it ended after its client timeout.
+    // The client cancelled the request while it ran, and the execution ended after the client
+    // timeout.
     let mut node = TestNode::with_rules(KEYED);
     let key = [("HTTP_X_KEY", "k1")];
     node.call_with(1, "/old/book/1", A, &key, b"body");
@@ -199,17 +207,17 @@
 }
 
 #[test]
-fn a_keyed_request_that_never_ran_may_come_again() {
+fn a_repeat_of_a_keyed_request_that_never_ran_is_executed() {
     let mut node = TestNode::with_rules(KEYED);
     let key = [("HTTP_X_KEY", "k1")];
-    // It comes too late to be run.
+    // The first request arrives too late to run.
     let params = [wire::call_params("/old/book/1", A, "500"), key.to_vec()].concat();
     node.wait(3000);
     node.send(1, &params, b"body");
     assert_eq!(node.one_answer().status, "429");
     node.call_with(2, "/old/book/1", B, &key, b"body");
     assert_eq!(node.executor_commands().len(), 1);
-    // Nor does one whose start was never sent, as there was no link.
+    // The start of the first request was never sent, because there was no link to the executor.
     let mut node = TestNode::with_rules(KEYED);
     node.break_link();
     node.call_with(1, "/old/book/1", A, &key, b"body");
@@ -226,12 +234,12 @@
     assert_eq!(
         node.executor_commands().len(),
         1,
-        "nothing had run under this key"
+        "no request with this key had run"
     );
 }
 
 #[test]
-fn keys_beyond_the_caches_room_are_rejected_and_not_run_unprotected() {
+fn keyed_requests_beyond_the_cache_capacity_are_rejected_and_not_run_unprotected() {
     let mut node = TestNode::with_rules(KEYED);
     let mut ran = 0;
     for i in 0..8300u32 {
@@ -275,7 +283,7 @@
     node.call(1, "/call/read", B);
     assert_eq!(node.one_answer().status, "403");
     assert_eq!(node.executor_commands(), [""; 0]);
-    // A health check is no call: no rules are evaluated.
+    // Rules are not evaluated for health checks.
     node.send(2, &[("SCRIPT_NAME", "/ping")], b"");
     assert_eq!(node.one_answer().status, "200");
     assert_eq!(
@@ -293,9 +301,9 @@
         r#"<bucket name="site" in-hand="1"/><rule name="r"><when>operation == "read"</when>
         <give class="reads"><limit bucket="site">params.HTTP_X_SITE</limit></give></rule>"#,
     );
-    let seven = [("HTTP_X_SITE", "7")];
-    node.call_with(1, "/call/read", A, &seven, b"body");
-    node.call_with(2, "/call/read", B, &seven, b"body");
+    let site_7 = [("HTTP_X_SITE", "7")];
+    node.call_with(1, "/call/read", A, &site_7, b"body");
+    node.call_with(2, "/call/read", B, &site_7, b"body");
     let answer = node.one_answer();
     assert_eq!(
         (answer.id, &answer.status[..], &answer.body[..]),
@@ -303,29 +311,33 @@
     );
     assert!(answer.fields.contains_key("X-Pushback-Ms"));
     node.call_with(3, "/call/read", C, &[("HTTP_X_SITE", "8")], b"body");
-    assert_eq!(node.statuses(), [], "another key has room");
+    assert_eq!(node.statuses(), [], "another key has a separate bucket");
     node.end_execution(A, End::Ok, b"");
     assert_eq!(node.statuses(), [(1, "200".into())]);
-    node.call_with(4, "/call/read", B, &seven, b"body");
-    assert_eq!(node.statuses(), [], "the first one's place is free");
-    // The client cancels before it runs: that frees the permit too.
+    node.call_with(4, "/call/read", B, &site_7, b"body");
+    assert_eq!(
+        node.statuses(),
+        [],
+        "the permit of the first request is free"
+    );
+    // A request that its client cancels before it runs releases its permit too.
     node.event(Event::LoadBalancer(
         node.connection_id,
         fastcgi::Event::Abort(4),
     ));
     node.answers();
-    node.call_with(5, "/call/read", D, &seven, b"body");
+    node.call_with(5, "/call/read", D, &site_7, b"body");
     assert_eq!(node.statuses(), []);
     node.end_execution(C, End::Ok, b"");
     node.end_execution(D, End::Ok, b"");
     assert_eq!(node.statuses(), [(3, "200".into()), (5, "200".into())]);
-    let tally = node.class_counts("reads");
-    assert_eq!((tally.arrived, tally.answered[1]), (5, 1));
+    let counts = node.class_counts("reads");
+    assert_eq!((counts.arrived, counts.answered[1]), (5, 1));
     assert_eq!(node.counted("rejected by a limit"), 1);
 }
 
 #[test]
-fn requests_in_flight_keep_what_they_were_given_when_rules_change() {
+fn requests_in_flight_keep_their_operation_and_permits_when_rules_change() {
     let limited = |when: &str| {
         rules_without_cluster(&format!(
             r#"<bucket name="all" in-hand="1"/><rule name="r"><when>{when}</when>
@@ -336,16 +348,21 @@
     node.event(Event::RulesChanged(limited("script == \"/a\"")));
     node.call(1, "/a", A);
     node.event(Event::RulesChanged(limited("script == \"/b\"")));
-    // The bucket's definition stayed, and with it what it holds.
+    // The bucket's definition did not change, so its permits are still held.
     node.call(2, "/b", B);
     assert_eq!(node.one_answer().status, "429");
     node.call(3, "/a", C);
-    assert_eq!(node.one_answer().status, "404", "the rule before is gone");
+    assert_eq!(
+        node.one_answer().status,
+        "404",
+        "the previous rule is no longer in force"
+    );
     node.end_execution(A, End::Ok, b"r");
     assert_eq!(node.one_answer().status, "200");
     node.call(4, "/b", D);
     assert_eq!(node.executor_commands().len(), 2);
-    // Without any rules, what is still held goes to nobody, and nothing is limited.
+    // With an empty rule set, permits still held are released without effect, and nothing is
+    // limited.
     node.event(Event::RulesChanged(rules_without_cluster("")));
     node.end_execution(D, End::Ok, b"r");
     node.call(5, "/call/read", B);
@@ -387,12 +404,12 @@
             .unwrap()
             .changed_counts(),
         None,
-        "told once"
+        "unchanged counts are not reported again"
     );
 }
 
 #[test]
-fn a_drain_with_exhausted_buckets_answers_all_and_starts_nothing_late() {
+fn a_drain_with_exhausted_buckets_answers_all_requests_and_starts_no_rejected_one() {
     let mut node = TestNode::with_rules(
         r#"<bucket name="all" in-hand="2"/><rule name="r"><when>true</when>
         <give><limit bucket="all">"all"</limit></give></rule>"#,
--- a/crates/node/src/node/tests/support.rs
+++ b/crates/node/src/node/tests/support.rs
@@ -1,5 +1,5 @@
-//! A node with a recorder in place of its I/O, and the requests, notices and replies that tests
-//! send it.
+//! Test support: a node with a recorder in place of its I/O, and helpers that send it requests,
+//! executor notices and backend replies.
 
 pub use super::super::*;
 pub use crate::actions::{BackendLink, CallId, Close, ConnectionId};
@@ -19,16 +19,17 @@
 pub const A: &str = "00000000000000aa";
 pub const B: &str = "00000000000000bb";
 
+/// Implementation of [`Actions`] that records the node's side effects.
 #[derive(Default)]
 pub struct Recorder {
     pub written: Vec<u8>,
     pub closed: Vec<ConnectionId>,
-    /// The latest order to close each of them.
+    /// Latest close requested for each connection.
     pub close_orders: BTreeMap<ConnectionId, Close>,
-    /// Connections that are not read any more.
-    pub not_read: Vec<ConnectionId>,
+    /// Connections that the node stopped reading.
+    pub reading_stopped: Vec<ConnectionId>,
     pub executor_commands: Vec<String>,
-    /// The mark of the last request for gauges.
+    /// Mark of the last request for gauges.
     pub gauges_requested: Option<u64>,
     pub calls: Vec<(usize, CallId, RequestId, String)>,
     pub tokens: Vec<CallInterestToken>,
@@ -53,7 +54,7 @@
         self.close_orders.insert(connection_id, close);
     }
     fn stop_reading(&mut self, connection_id: ConnectionId) {
-        self.not_read.push(connection_id);
+        self.reading_stopped.push(connection_id);
     }
     fn pace_reading(&mut self, connection_id: ConnectionId, pause: Nanos) {
         self.paced.push((connection_id, pause));
@@ -102,20 +103,21 @@
     fn trace_step(&mut self, _: &str, _: fmt::Arguments<'_>) {}
 }
 
-/// A node whose clock the test turns. The node's time is also the Unix time.
+/// A node whose clock the test controls. The node's time is also the Unix time.
 pub struct TestNode {
     pub node: Node<Recorder>,
-    /// The connection in use; another one is made when it was closed.
+    /// Connection that requests are sent on; a closed one is replaced by a new one.
     pub connection_id: ConnectionId,
     pub now: Nanos,
-    /// Whether the executor answers no request for gauges; else it does so after a second.
+    /// Whether the executor leaves requests for gauges unanswered; otherwise it answers after 1 s.
     pub is_executor_silent: bool,
-    /// The request for gauges that has no answer yet, and since when.
+    /// Mark of the last answered request for gauges, and the time since which a newer one waits (0
+    /// if none does).
     pub gauges_request: (Option<u64>, Nanos),
 }
 
 impl TestNode {
-    /// A node whose executor is not up.
+    /// Creates a node whose executor is connected but not up.
     pub fn without_executor(settings: &str) -> TestNode {
         let config = madderpoint_deployment_config::decode(settings.as_bytes()).unwrap();
         let subsystems = crate::capacity::OptionalSubsystems {
@@ -164,7 +166,7 @@
         self.answer_gauges();
     }
 
-    /// The executor answers the last request for gauges.
+    /// Answers the last request for gauges as the executor.
     pub fn answer_gauges(&mut self) {
         let mark = self
             .node
@@ -185,25 +187,25 @@
     }
 
     pub fn wait(&mut self, ms: u64) {
-        let until = self.now + ms * MS;
-        while let Some(due) = self.node.next_timer().filter(|&due| due <= until) {
+        let end = self.now + ms * MS;
+        while let Some(due) = self.node.next_timer().filter(|&due| due <= end) {
             self.now = due;
             self.node.fire_timers(due);
             self.answer_gauges_when_due();
         }
-        self.now = until;
-        self.node.fire_timers(until);
+        self.now = end;
+        self.node.fire_timers(end);
     }
 
     pub fn answer_gauges_when_due(&mut self) {
-        let asked = self.node.with_actions(|actions| actions.gauges_requested);
-        if self.is_executor_silent || asked == self.gauges_request.0 {
+        let mark = self.node.with_actions(|actions| actions.gauges_requested);
+        if self.is_executor_silent || mark == self.gauges_request.0 {
             return;
         }
         if self.gauges_request.1 == 0 {
             self.gauges_request.1 = self.now;
         } else if self.now >= self.gauges_request.1 + 1000 * MS {
-            self.gauges_request = (asked, 0);
+            self.gauges_request = (mark, 0);
             self.answer_gauges();
         }
     }
@@ -290,7 +292,7 @@
             .collect()
     }
 
-    /// The commands to the executor, but for requests for gauges.
+    /// Takes the commands sent to the executor, except requests for gauges.
     pub fn executor_commands(&mut self) -> Vec<String> {
         self.node
             .with_actions(|actions| std::mem::take(&mut actions.executor_commands))
@@ -300,7 +302,7 @@
         self.event(Event::ExecutorDisconnected);
     }
 
-    /// A new link, up to where the executor sends what was missed.
+    /// Opens a new link, up to the point where the executor sends missed notices.
     pub fn reconnect(&mut self, last: u64) {
         self.event(Event::ExecutorConnected(last));
         assert_eq!(
@@ -313,8 +315,8 @@
         }));
     }
 
-    pub fn counted(&self, what: &str) -> u64 {
-        self.node.state.borrow().metrics().total(what)
+    pub fn counted(&self, metric: &str) -> u64 {
+        self.node.state.borrow().metrics().total(metric)
     }
 }
 
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -1,13 +1,13 @@
-//! What the node knows of connections, requests, executions, backend calls and timers.
+//! The node's state: connections, requests, executions, backend calls and timers.
 //!
-//! [`Node`](crate::node::Node) brings the events in; the admission controller acts on the same
-//! state through [`AdmissionHost`], which holds the other end of the shared reference. What follows
-//! from such an action for the admission controller itself can't reach it while it still decides:
-//! it waits as a [`DeferredEvent`] until the controller has returned.
+//! [`Node`](crate::node::Node) passes events to the state. The admission controller acts on the
+//! same state through [`AdmissionHost`], which holds a second reference to it. An event for the
+//! admission controller that results from such an action cannot be delivered while the controller
+//! is still deciding; it is queued as a [`DeferredEvent`] until the controller has returned.
 //!
-//! Each part has its own file: [`connections`], [`idle_connections`] and [`health_checks`] towards
-//! load balancers; [`requests`]; [`executor_link`] and [`executions`]; [`backend_calls`];
-//! [`shared_limits`] and [`cluster_counters`] for what is shared with the cluster; [`drain`];
+//! Each part has its own file: [`connections`], [`idle_connections`] and [`health_checks`] for load
+//! balancers; [`requests`]; [`executor_link`] and [`executions`]; [`backend_calls`];
+//! [`shared_limits`] and [`cluster_counters`] for state shared with the cluster; [`drain`];
 //! [`timers`].
 
 use crate::actions::Actions;
@@ -23,7 +23,7 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// Counts what must hold and does not, and stops a debug build there.
+/// Counts a violated invariant under its name, and panics in debug builds.
 macro_rules! invariant {
     ($state:expr, $holds:expr, $name:literal) => {
         if !$holds {
@@ -72,26 +72,26 @@
 
 /// Nanoseconds in a millisecond.
 const MILLISECOND: Nanos = 1_000_000;
-/// Time between two logs of the counts, and between two searches for overdue executions.
+/// Interval between log lines of the totals, and between searches for overdue executions.
 const HOUSEKEEPING_PERIOD: Nanos = 10_000 * MILLISECOND;
 
-/// An event for the admission controller that came up while it was deciding.
+/// An event for the admission controller that arose while the controller was deciding.
 pub enum DeferredEvent {
-    /// A backend call ended before it was sent.
+    /// A backend call ended without having been sent.
     BackendCallEnded(RequestId, BackendCallOutcome),
-    /// An execution was cancelled whose start was never sent.
+    /// An execution was cancelled before its start command was sent.
     ExecutionNeverStarted(RequestId),
-    /// What a coalesced request waited for has ended: with a result, or without.
+    /// The request that a coalesced request waited for has ended; `None` if it has no result.
     CoalescedEnded(RequestId, Option<Vec<u8>>),
 }
 
-/// All that the node knows, and the actions through which it works.
+/// The state of a node, and the actions through which it causes side effects.
 pub struct NodeState<A: Actions> {
-    /// Side effects.
+    /// Performs the side effects of state changes.
     pub actions: A,
-    /// The time of the event that is being handled.
+    /// Time of the event that is being handled.
     pub now: Nanos,
-    /// Events for the admission controller, in this order.
+    /// Events waiting for the admission controller, oldest first.
     pub deferred: VecDeque<DeferredEvent>,
     config: Rc<DeploymentConfig>,
     timers: Timers,
@@ -100,29 +100,30 @@
     idle: IdleLimits,
     health_checks: HealthChecks,
     requests: BTreeMap<RequestId, OpenRequest>,
-    /// Requests by correlation id.
+    /// Ids of the requests in flight by correlation id.
     request_ids: HashMap<String, RequestId>,
     last_request_id: u64,
     idempotency_cache: IdempotencyCache,
-    /// Hashes the keys that clients chose, so that nobody outside can make two of them collide.
+    /// Hashes keys chosen by clients with a random seed, so that clients cannot construct
+    /// collisions.
     key_hasher: RandomState,
     executor: ExecutorLinkState,
     backend: BackendState,
-    /// The latest load report of the admission controller.
+    /// Latest load report of the admission controller.
     load_report: Option<f64>,
     drain: DrainState,
-    /// Rules in force; none where none are set, and then none are evaluated.
+    /// Rules in force; `None` if no rules are configured, in which case none are evaluated.
     pub rules: Option<Box<RequestRules>>,
-    /// When a timer sends the next quota request, if one is set.
+    /// Due time of the timer for the next quota request, if one is set.
     quota_request_due: Option<Nanos>,
-    /// What is shared with the cluster and limits backend calls.
+    /// Limits on backend calls that the node shares with the cluster.
     pub shared: SharedLimits,
-    /// Counts for the cluster; none where nothing is counted for it.
+    /// Counters that are reported to the cluster; `None` if the node reports none.
     pub cluster_counting: Option<Box<ClusterCounting>>,
 }
 
 impl<A: Actions> NodeState<A> {
-    /// The state of a node without connections.
+    /// Creates the state of a node without connections, with the housekeeping timer set.
     pub fn new(
         actions: A,
         config: Rc<DeploymentConfig>,
@@ -158,30 +159,31 @@
         state
     }
 
-    /// Has a timer fire after this long.
+    /// Sets a timer that fires after the given time.
     pub fn set_timer(&mut self, after: Nanos, timer: Timer) {
         self.timers.set(self.now.saturating_add(after), timer);
     }
 
-    /// When the next timer is due.
+    /// Returns the time at which the next timer is due.
     pub fn next_timer(&self) -> Option<Nanos> {
         self.timers.next_due()
     }
 
-    /// Takes the next timer that is due.
+    /// Removes and returns the next timer if it is due.
     pub fn pop_timer(&mut self) -> Option<Timer> {
         self.timers.pop_due(self.now)
     }
 
-    /// Adds to a count.
+    /// Adds `times` to a metric.
     pub fn count(&mut self, metric: Metric, times: u64) {
         self.metrics.add(metric, times);
     }
 
-    /// Asks again for overdue executions, and logs the counts if any has moved.
+    /// Asks the executor about overdue executions, and logs the totals that have changed since the
+    /// last log line.
     pub fn housekeeping(&mut self) {
         self.set_timer(HOUSEKEEPING_PERIOD, Timer::Housekeeping);
-        self.ask_for_overdue_executions();
+        self.query_overdue_executions();
         if let Some(totals) = self.metrics.take_changed() {
             info!(target: part::METRICS, event = "totals", "{totals}");
         }
@@ -190,17 +192,17 @@
         }
     }
 
-    /// Requests that are not answered yet or whose execution goes on.
+    /// Returns the number of requests that are not answered yet or whose execution continues.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// What the admission controller last reported of the node's load.
+    /// Returns the latest load report of the admission controller.
     pub fn load_report(&self) -> Option<f64> {
         self.load_report
     }
 
-    /// The totals.
+    /// Returns the totals of all metrics.
     #[cfg(test)]
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
--- a/crates/node/src/state/admission_host.rs
+++ b/crates/node/src/state/admission_host.rs
@@ -1,4 +1,4 @@
-//! What the admission controller may have the node do.
+//! The node's implementation of the admission controller's [`Host`].
 
 use super::executor_link::GAUGES_LEAD;
 use super::{DeferredEvent, MILLISECOND, NodeState, Timer};
@@ -10,14 +10,14 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// An idempotency window counts what arrives this much later too, as the protocol has clocks differ
-/// by this for every time limit.
+/// Tolerance added to an idempotency window, because the protocol lets clocks differ by this much
+/// in every time limit.
 const CLOCK_DIFFERENCE: Nanos = 50 * MILLISECOND;
 
 /// The node's state as the admission controller's [`Host`].
 ///
-/// It shares the state with [`Node`](crate::node::Node). Only one of both borrows it at a time: the
-/// node gives its borrow back before it calls the admission controller.
+/// The host shares the state with [`Node`](crate::node::Node). Only one of the two borrows the
+/// state at a time: the node ends its borrow before it calls the admission controller.
 pub struct AdmissionHost<A: Actions>(pub Rc<RefCell<NodeState<A>>>);
 
 impl<A: Actions> Host for AdmissionHost<A> {
--- a/crates/node/src/state/backend_calls.rs
+++ b/crates/node/src/state/backend_calls.rs
@@ -1,4 +1,4 @@
-//! Backend calls of executions: on which link they go, how long they wait, and how they end.
+//! Backend calls of executions: choice of a link, queueing under budgets, and outcomes.
 
 use super::{DeferredEvent, MILLISECOND, NodeState, Timer};
 use crate::actions::{Actions, BackendLink, CallId, CallInterest};
@@ -10,46 +10,48 @@
 use std::collections::VecDeque;
 use tracing::warn;
 
-/// Connections to the backend. What spoils one is lost for all calls on it, so calls are spread. A
-/// call avoids a link on which a late reply to an earlier call of its request may still come.
+/// Number of connections to the backend. A broken connection loses all calls on it, so calls are
+/// spread. A call avoids a link on which a late reply to an earlier call of its request may still
+/// arrive.
 pub const BACKEND_LINKS: usize = 8;
-/// A link that this many replies on others have overtaken is silent: it is avoided, and closed when
-/// a call on it times out.
-const SILENT_AFTER: u32 = 8;
-/// The longest that a call waits for room under the cluster's budgets; one that would wait longer
-/// is refused at once.
-const LONGEST_QUEUE_WAIT: Nanos = 250 * MILLISECOND;
-/// The most calls that wait.
-const QUEUED_CALLS: usize = 64;
+/// A link counts as silent once this many replies on other links have overtaken a call on it. A
+/// silent link is avoided, and closed when a call on it times out.
+const SILENT_AFTER_REPLIES: u32 = 8;
+/// Longest time that a call is queued for units of the cluster's budgets. A call that would wait
+/// longer is refused immediately.
+const MAX_QUEUE_WAIT: Nanos = 250 * MILLISECOND;
+/// Maximum number of queued calls.
+const MAX_QUEUED_CALLS: usize = 64;
 
-/// Where a call is.
+/// Where a call is on its way to the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallPlacement {
-    /// It waits for room under the cluster's budgets, until this time at most.
+    /// The call is queued for units of the cluster's budgets, at most until this time.
     Queued { until: Nanos },
-    /// It was handed to the link at this index.
+    /// The call was handed to the link at this index.
     Link(usize),
 }
 
-/// A backend call that is wanted or under way.
+/// A backend call that is queued or awaits its reply.
 #[derive(Debug)]
 pub struct BackendCall {
     id: CallId,
     placement: CallPlacement,
-    /// When it was wanted, then when it was handed to a link.
+    /// Time at which the call was handed to a link; before that, the time at which it was
+    /// requested.
     started: Nanos,
-    /// The connection on which it was written whole.
+    /// Connection on which the call was written completely.
     written_on: Option<BackendLink>,
-    /// Whether it occupies units of the cluster's budgets.
+    /// Whether the call occupies units of the cluster's budgets.
     has_budget: bool,
-    /// Whether the call before it for the same notice failed.
+    /// Whether the previous call for the same executor notice failed.
     is_retry: bool,
-    /// While this is here the call may still be written.
+    /// Dropping this prevents the call from being written.
     interest: CallInterest,
 }
 
 impl BackendCall {
-    /// The index of the link that it was handed to.
+    /// Returns the index of the link that the call was handed to, or `None` while it is queued.
     pub fn link(&self) -> Option<usize> {
         match self.placement {
             CallPlacement::Queued { .. } => None,
@@ -57,46 +59,47 @@
         }
     }
 
-    /// When it was handed to a link.
+    /// Returns the time at which the call was handed to a link, or was requested if it is queued.
     pub fn started(&self) -> Nanos {
         self.started
     }
 
-    /// Whether it occupies units of the cluster's budgets.
+    /// Returns whether the call occupies units of the cluster's budgets.
     pub fn has_budget(&self) -> bool {
         self.has_budget
     }
 
-    /// Whether it repeats a call that failed.
+    /// Returns whether the call is a retry of a failed call.
     pub fn is_retry(&self) -> bool {
         self.is_retry
     }
 }
 
-/// What is known of a link to the backend.
+/// State of one link to the backend.
 #[derive(Clone, Copy, Default)]
 struct BackendLinkState {
-    /// Connections made there that are known to have ended.
+    /// Number of connections of this link that are known to have ended.
     connections_ended: u64,
-    /// The latest call that was made anywhere when the last reply came here.
+    /// Id of the latest call on any link at the time of the last reply on this link.
     latest_call_at_reply: u64,
-    /// Replies on other links, since then, to calls that were made later than one that waits here.
+    /// Number of replies on other links since that time to calls newer than the oldest call that
+    /// waits on this link.
     overtaken: u32,
 }
 
-/// The links to the backend and the calls that wait for room.
+/// The links to the backend and the calls that are queued for budget units.
 pub struct BackendState {
-    /// Whether there is a backend at all.
+    /// Whether a backend is configured.
     is_configured: bool,
     links: [BackendLinkState; BACKEND_LINKS],
     last_call_id: u64,
     queue: VecDeque<(RequestId, CallId)>,
-    /// When a timer looks for room, if one is set.
+    /// Due time of the timer that sends queued calls, if one is set.
     queue_check_at: Option<Nanos>,
 }
 
 impl BackendState {
-    /// Without calls.
+    /// Creates the state without any calls.
     pub fn new(is_configured: bool) -> BackendState {
         BackendState {
             is_configured,
@@ -109,8 +112,8 @@
 }
 
 impl<A: Actions> NodeState<A> {
-    /// Makes a backend call for an execution; `timeout` 0 = the longest client timeout. A call that
-    /// can't be made ends as one that never ran.
+    /// Makes a backend call for an execution. A `timeout` of 0 stands for the client timeout of the
+    /// request's operation. A call that cannot be made ends as not executed.
     pub fn start_backend_call(&mut self, id: RequestId, timeout: Nanos) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -126,12 +129,16 @@
         if !self.service_health_admits(is_gated) {
             return self.refuse_backend_call(id, Metric::BackendCallsWithheld);
         }
-        let longest = self.config.deployment.operations[operation.0].client_timeout;
-        let timeout = if timeout == 0 { longest } else { timeout };
+        let client_timeout = self.config.deployment.operations[operation.0].client_timeout;
+        let timeout = if timeout == 0 {
+            client_timeout
+        } else {
+            timeout
+        };
         let admission = self.take_budget(is_retry);
-        let longest_wait = LONGEST_QUEUE_WAIT.min(timeout / 4);
+        let max_wait = MAX_QUEUE_WAIT.min(timeout / 4);
         if admission
-            .is_err_and(|wait| wait > longest_wait || self.backend.queue.len() >= QUEUED_CALLS)
+            .is_err_and(|wait| wait > max_wait || self.backend.queue.len() >= MAX_QUEUED_CALLS)
         {
             return self.refuse_backend_call(id, Metric::BackendCallsOverBudget);
         }
@@ -158,13 +165,14 @@
         self.backend_call_not_made(id);
     }
 
-    /// Takes a unit of the cluster's budgets for a call; else after which time there may be room.
+    /// Acquires units of the cluster's budgets for a call. The error is the expected wait until
+    /// units are free.
     fn take_budget(&mut self, is_retry: bool) -> Result<(), Nanos> {
         self.apply_recovery_ramp();
         let queued = self.backend.queue.len();
         match &mut self.shared.budgets {
             None => Ok(()),
-            // Those that wait go first.
+            // Calls that are already queued go first.
             Some(budgets) if queued > 0 => Err(budgets.expected_wait(self.now, queued)),
             Some(budgets) => budgets.acquire(self.now, is_retry),
         }
@@ -198,7 +206,8 @@
         call_id
     }
 
-    /// The link for a call: rather one that is not silent, then the one with the fewest calls.
+    /// Chooses the link for a call: one that is not silent is preferred, then the one with the
+    /// fewest calls. Links on which the request may still get a late reply are excluded.
     fn choose_link(&self, id: RequestId) -> Option<usize> {
         let mut calls = [0; BACKEND_LINKS];
         self.requests
@@ -210,13 +219,13 @@
             .filter(|&link| !tainted[link])
             .min_by_key(|&link| {
                 (
-                    self.backend.links[link].overtaken >= SILENT_AFTER,
+                    self.backend.links[link].overtaken >= SILENT_AFTER_REPLIES,
                     calls[link],
                 )
             })
     }
 
-    /// Hands a call that was admitted to a link.
+    /// Hands a call that holds its budget units to a link.
     fn send_backend_call(&mut self, id: RequestId, timeout: Nanos) {
         let link = self.choose_link(id);
         let Some(request) = self.requests.get_mut(&id) else {
@@ -252,27 +261,32 @@
         self.backend_call_not_made(id);
     }
 
-    /// Has a timer look after this long whether a queued call has room.
+    /// Sets a timer to send queued calls after `wait`, but no sooner than after 1 ms. Does nothing
+    /// if an earlier one is set.
     fn set_queue_check(&mut self, wait: Nanos) {
         let due = self.now + wait.max(MILLISECOND);
-        if self.backend.queue_check_at.is_none_or(|set| due < set) {
+        if self
+            .backend
+            .queue_check_at
+            .is_none_or(|current| due < current)
+        {
             self.backend.queue_check_at = Some(due);
             self.set_timer(due - self.now, Timer::QueuedCalls);
         }
     }
 
-    /// There may be room for queued calls at once.
+    /// Sets a timer to send queued calls immediately, because budget units may be free.
     pub fn check_queue_now(&mut self) {
         self.backend.queue_check_at = None;
         self.set_timer(0, Timer::QueuedCalls);
     }
 
-    /// Calls that wait for room under the cluster's budgets.
+    /// Returns the number of calls that are queued for units of the cluster's budgets.
     pub fn queued_calls(&self) -> usize {
         self.backend.queue.len()
     }
 
-    /// Sends the queued calls, as far as there is room, in their order.
+    /// Sends queued calls in order for as long as the budgets have units.
     pub fn send_queued_calls(&mut self) {
         self.backend.queue_check_at = None;
         self.apply_recovery_ramp();
@@ -286,7 +300,7 @@
                 CallPlacement::Queued { until } => Some((until, call.is_retry)),
                 CallPlacement::Link(_) => None,
             }) else {
-                self.backend.queue.pop_front(); // it ended before there was room
+                self.backend.queue.pop_front(); // the call ended before units were free
                 continue;
             };
             let now = self.now;
@@ -310,7 +324,7 @@
         }
     }
 
-    /// Whether this is the present call of a request.
+    /// Returns whether `call_id` is the current call of a request.
     pub fn is_current_call(&self, id: RequestId, call_id: CallId) -> bool {
         self.requests
             .get(&id)
@@ -318,7 +332,8 @@
             .is_some_and(|call| call.id == call_id)
     }
 
-    /// A call's time is up: how it ended, if it had not ended before.
+    /// Handles a call's timeout. Returns the outcome of the call, or `None` if it had already
+    /// ended.
     pub fn backend_call_timed_out(
         &mut self,
         id: RequestId,
@@ -336,20 +351,21 @@
         let correlation_id = request.correlation_id.clone();
         self.cancel_backend_call(&correlation_id, link);
         let state = self.backend.links[link];
-        if state.overtaken >= SILENT_AFTER && state.latest_call_at_reply < call_id.0 {
+        if state.overtaken >= SILENT_AFTER_REPLIES && state.latest_call_at_reply < call_id.0 {
             self.count(Metric::SilentBackendLinks, 1);
-            self.actions.close_backend_link(link); // other calls on it would wait in vain
+            self.actions.close_backend_link(link); // other calls on it would not be answered either
         }
         Some(BackendCallOutcome::Abandoned)
     }
 
-    /// Tells the backend that a call's reply is no longer awaited.
+    /// Notifies the backend that the reply to a call is no longer awaited.
     pub fn cancel_backend_call(&mut self, correlation_id: &str, link: usize) {
         self.actions
             .cancel_backend_call(link, backend::cancel(correlation_id));
     }
 
-    /// A call was written whole: true if its connection is known to have ended since.
+    /// Records that a call was written completely. Returns whether its connection is known to have
+    /// ended since.
     pub fn backend_call_written(
         &mut self,
         call_id: CallId,
@@ -369,9 +385,10 @@
         self.backend.links[link.place].connections_ended > link.generation
     }
 
-    /// A connection ended; gives the requests whose calls were written on it and had no reply.
+    /// Records the end of a connection. Returns the requests whose calls were written on it and had
+    /// no reply.
     pub fn backend_disconnected(&mut self, link: BackendLink) -> Vec<RequestId> {
-        // A connection that was closed for its silence may end after a newer one.
+        // The end of a silent connection that was closed may be reported after that of a newer one.
         let state = &mut self.backend.links[link.place];
         state.connections_ended = state.connections_ended.max(link.generation + 1);
         state.overtaken = 0;
@@ -397,8 +414,8 @@
         cut_off
     }
 
-    /// Nothing was sent on a link for a while: it is closed before the backend does so, which a
-    /// call could meet, unless a reply is awaited on it.
+    /// Closes a link that has been idle, unless a reply is awaited on it. If the backend closed the
+    /// connection first, a new call could be lost with it.
     pub fn backend_idle(&mut self, link: usize) {
         let is_awaited = self.requests.values().any(|request| {
             request
@@ -411,7 +428,7 @@
         }
     }
 
-    /// A reply came: gives the request whose call it ends.
+    /// Records a reply. Returns the request whose call it ends, or `None` for an abandoned call.
     pub fn backend_replied(&mut self, link: usize, reply: &backend::Reply) -> Option<RequestId> {
         let id = self.request_ids.get(&reply.id).copied();
         self.actions.trace_step(
@@ -429,7 +446,8 @@
         id
     }
 
-    /// A reply came on a link: counts it for the others on which an older call waits.
+    /// Updates the overtaken counts after a reply on `link`: other links on which an older call
+    /// waits are counted as overtaken.
     fn detect_overtaken_links(&mut self, link: usize, id: Option<RequestId>) {
         let replied = &mut self.backend.links[link];
         replied.latest_call_at_reply = self.backend.last_call_id;
@@ -452,7 +470,7 @@
         }
         for (link, oldest) in self.backend.links.iter_mut().zip(oldest_calls) {
             match oldest {
-                u64::MAX => link.overtaken = 0, // nothing waits there
+                u64::MAX => link.overtaken = 0, // no call waits on this link
                 oldest => {
                     let is_overtaken = link.latest_call_at_reply < oldest && oldest < replied_call;
                     link.overtaken += u32::from(is_overtaken);
@@ -461,7 +479,8 @@
         }
     }
 
-    /// Takes a call that has ended; gives how long it took.
+    /// Removes the call of a request after it has ended. Returns its latency, which is 0 if no call
+    /// had been made, or `None` if the request has no execution.
     pub fn end_backend_call(
         &mut self,
         id: RequestId,
@@ -481,7 +500,7 @@
         );
         self.release_budget(&call, may_linger);
         if call.link().is_some() {
-            self.note_service_call(has_succeeded, latency);
+            self.record_service_call(has_succeeded, latency);
             self.count_own(process_column::CALLS_FAILED, u64::from(!has_succeeded));
         }
         Some(latency)
--- a/crates/node/src/state/cluster_counters.rs
+++ b/crates/node/src/state/cluster_counters.rs
@@ -1,5 +1,5 @@
-//! What the node counts for the cluster: by operation, of itself, and which clients come most. None
-//! of it where nothing is shared.
+//! Counters that the node reports to the cluster: per operation, for its own process, and the most
+//! frequent clients. All of them are disabled if the node reports no counters.
 
 use super::NodeState;
 use crate::actions::Actions;
@@ -10,21 +10,22 @@
 };
 use madderpoint_shared_state::keyed_quota::name_hash;
 
-/// Priority weight is counted in thousandths.
+/// Priority weights are counted in units of one thousandth.
 const THOUSANDTHS: f64 = 1000.0;
 
-/// The node's counters.
+/// The node's counters and the rows of its operations.
 #[derive(Debug)]
 pub struct ClusterCounting {
     counters: ProcessCounters,
-    /// The rows of operations, in their order.
+    /// Counter rows of the operations, by operation index.
     rows: Vec<u32>,
 }
 
 impl ClusterCounting {
-    /// Of a node that has just started.
+    /// Creates the counters of a node that has just started.
     pub fn new(now: Nanos, operations: &[String]) -> ClusterCounting {
-        // The row of a name is its hash. One in four thousand million meets the process's own row.
+        // The row of a name is its 32-bit hash. The chance that a name collides with the process
+        // row is about one in four billion.
         let rows = operations.iter().map(|name| name_hash(name)).collect();
         ClusterCounting {
             counters: ProcessCounters::new(unix_ms(now)),
@@ -33,7 +34,7 @@
     }
 }
 
-/// The node's time counts from the Unix epoch.
+/// Converts the node's time, which counts from the Unix epoch, to milliseconds.
 fn unix_ms(now: Nanos) -> u64 {
     now / 1_000_000
 }
@@ -49,12 +50,12 @@
         Some(self.cluster_counting.as_ref()?.rows[operation.0])
     }
 
-    /// Something of the node itself happened, counted in this column.
+    /// Adds to a column of the process's own row.
     pub fn count_own(&mut self, column: usize, times: u64) {
         self.with_counters(|counters, unix_ms| counters.add(unix_ms, PROCESS_ROW, column, times));
     }
 
-    /// A request was read.
+    /// Counts a request that was read.
     pub fn count_arrival(
         &mut self,
         operation: OperationId,
@@ -81,7 +82,8 @@
         });
     }
 
-    /// A request that was counted as read was answered, this long after its arrival.
+    /// Counts the answer to a request that was counted with
+    /// [`count_arrival`](Self::count_arrival); `latency` is the time since its arrival.
     pub fn count_answer(&mut self, operation: OperationId, status: u16, latency: Nanos) {
         let Some(row) = self.counter_row(operation) else {
             return;
@@ -106,7 +108,8 @@
         });
     }
 
-    /// A request was answered before the admission controller saw it: by a rule, or for its key.
+    /// Counts a request that was answered before it reached the admission controller, by a rule or
+    /// because of its idempotency key.
     pub fn count_early_answer(
         &mut self,
         operation: OperationId,
@@ -117,8 +120,8 @@
         self.count_answer(operation, status, 0);
     }
 
-    /// A request was rejected for a limit before the admission controller saw it; with the key, if
-    /// it is a limit of the whole cluster.
+    /// Counts a request that was rejected by a limit before it reached the admission controller.
+    /// `cluster_key` is the key if the limit applies to the whole cluster.
     pub fn count_over_limit(&mut self, head: &RequestHead, cluster_key: Option<u64>) {
         self.count_early_answer(head.operation, head.load_balancer, 429);
         if let Some(key) = cluster_key {
@@ -129,14 +132,14 @@
         }
     }
 
-    /// A request was rejected by the backend gate.
+    /// Counts a request that was rejected by the backend gate.
     pub fn count_gate_rejection(&mut self, head: &RequestHead) {
         self.count_early_answer(head.operation, head.load_balancer, 429);
         self.count_own(process_column::NO_BACKEND_CAPACITY, 1);
     }
 
-    /// The mean priority weight of what arrived lately: what a unit of the cluster's budgets is
-    /// worth at this node.
+    /// Returns the mean priority weight of recent requests, which is the value of a unit of the
+    /// cluster's budgets at this node. `None` if no request arrived recently.
     pub fn mean_priority_weight(&self) -> Option<f64> {
         let counters = &self.cluster_counting.as_ref()?.counters;
         let (weight, arrived) = (
@@ -146,9 +149,10 @@
         (arrived > 0).then(|| weight as f64 / THOUSANDTHS / arrived as f64)
     }
 
-    /// The counter report, without who sends it.
+    /// Returns the counter report, with the sender's fields left at their defaults.
     pub fn counter_report(&self) -> Option<counters::CounterReport> {
-        // With the window before this one: what came to it since the last report is in no other.
+        // Includes the previous window: counts added to it since the last report are in no other
+        // report.
         let counting = self.cluster_counting.as_ref()?;
         Some(counting.counters.report(Default::default(), 0, 2))
     }
--- a/crates/node/src/state/connections.rs
+++ b/crates/node/src/state/connections.rs
@@ -1,4 +1,4 @@
-//! Load balancers' connections and what is open on them.
+//! Load balancers' connections and the requests and health checks that are open on them.
 
 use super::requests::ReplyTarget;
 use super::{MILLISECOND, NodeState};
@@ -10,57 +10,62 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// When a connection is closed, the rest of a request that has come in part is waited for this
-/// long.
+/// When a connection is closed, how long to wait for the rest of a request that has arrived in
+/// part.
 const PARTIAL_REQUEST_WAIT: Nanos = 1000 * MILLISECOND;
-/// The same on the connection of an identified peer, whose network may be slow.
+/// Like [`PARTIAL_REQUEST_WAIT`], for the connection of an identified peer, whose network may be
+/// slow.
 const PARTIAL_REQUEST_WAIT_IDENTIFIED: Nanos = 3000 * MILLISECOND;
-/// Answers in a row without success that count as a strike of an unidentified peer.
+/// Number of consecutive unsuccessful answers that count as one strike against an unidentified
+/// peer.
 const UNSUCCESSFUL_ANSWERS_PER_STRIKE: u32 = 128;
-/// Strikes after which a connection is closed.
-const STRIKES: u32 = 6;
-/// Half the pause before each read after the first strike; the pause doubles with each strike.
+/// Number of strikes after which a connection is closed.
+const MAX_STRIKES: u32 = 6;
+/// Half of the pause before each read after the first strike. The pause doubles with each strike.
 const READ_PAUSE_BASE: Nanos = 25 * MILLISECOND;
 
-/// What is open under a FastCGI request id.
+/// An open FastCGI request id on a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum OpenItem {
-    /// A request that is being looked at.
-    Unread,
+    /// A request that was read and is still being validated.
+    Received,
     /// A request in flight.
     Request(RequestId),
-    /// A deep health check, by its mark at the executor.
+    /// A deep health check, identified by the mark that was sent to the executor.
     HealthCheck(u64),
 }
 
 /// A load balancer's connection.
 pub struct ClientConnection {
-    /// What is open, by FastCGI request id.
+    /// Open requests and health checks by FastCGI request id.
     pub open: BTreeMap<u16, OpenItem>,
-    /// Where it comes from, as far as known.
+    /// Address of the peer, if known.
     pub address: Option<IpAddr>,
-    /// When the last answer on it was written, or it connected.
+    /// Time at which the last answer was written, or at which the peer connected.
     pub idle_since: Nanos,
-    /// Whole requests that came.
+    /// Number of complete requests received, saturating at 255.
     pub requests_received: u8,
-    /// Whether a request on it has succeeded: an unidentified peer's never gets that far.
+    /// Whether a request on this connection has succeeded, which identifies the peer as a load
+    /// balancer.
     pub is_identified: bool,
-    /// Answers without success since the last strike.
+    /// Number of unsuccessful answers since the last strike.
     unsuccessful_answers: u32,
-    /// Times that it sent what no load balancer sends.
+    /// Number of strikes: requests that no load balancer would send, and series of unsuccessful
+    /// answers.
     pub strikes: u32,
-    /// When a timer looks whether it is idle, if one is set.
+    /// Due time of the idle check timer, if one is set.
     pub idle_check_at: Option<Nanos>,
-    /// Whether it is to be closed once nothing is open.
+    /// Whether the connection is closed once nothing is open on it.
     pub close_when_done: bool,
-    /// Events of it that were handled.
+    /// Number of events of this connection that the node has handled.
     events_handled: u64,
-    /// Whether an order to close it is on its way. An event that comes first makes it void.
+    /// Whether the I/O layer was told to close the connection. An event that arrives before the
+    /// close voids it.
     pub is_closing: bool,
 }
 
 impl<A: Actions> NodeState<A> {
-    /// A load balancer connected.
+    /// Adds a load balancer's connection, and closes an idle one if too many are open.
     pub fn connected(&mut self, connection_id: ConnectionId, address: Option<IpAddr>) {
         let new = ClientConnection {
             open: BTreeMap::new(),
@@ -82,7 +87,7 @@
         }
     }
 
-    /// A connection is gone; gives the requests whose clients are gone with it.
+    /// Removes a connection that has ended. Returns the requests whose clients were lost with it.
     pub fn disconnected(&mut self, connection_id: ConnectionId) -> Vec<RequestId> {
         let Some(connection) = self.connections.remove(&connection_id) else {
             return Vec::new();
@@ -94,7 +99,7 @@
             .collect()
     }
 
-    /// The load balancer aborted a request; gives the one that its client cancelled.
+    /// Handles a FastCGI abort. Returns the request that was cancelled, if one was in flight.
     pub fn aborted(&mut self, target: ReplyTarget) -> Option<RequestId> {
         let connection = self.connections.get(&target.connection_id)?;
         let item = *connection.open.get(&target.fastcgi_id)?;
@@ -105,10 +110,11 @@
         self.detach(item)
     }
 
-    /// Nobody waits any more for what was open.
+    /// Drops the reply target of an open item whose client no longer waits. Returns the request, if
+    /// the item was one in flight.
     fn detach(&mut self, item: OpenItem) -> Option<RequestId> {
         match item {
-            OpenItem::Unread => None,
+            OpenItem::Received => None,
             OpenItem::HealthCheck(mark) => {
                 self.health_checks.remove(mark);
                 None
@@ -121,8 +127,9 @@
         }
     }
 
-    /// Something came on a connection. If it is being closed, the reader had handed this on before
-    /// the order came, and does not carry it out: what was read is answered.
+    /// Counts an event received on a connection. If the connection is being closed, the reader had
+    /// passed the event on before it learned of the close; the close is then void, and the event is
+    /// answered.
     pub fn event_received(&mut self, connection_id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&connection_id) else {
             return;
@@ -133,8 +140,8 @@
         }
     }
 
-    /// What came is handled: if nothing is open now, the connection is closed, or a timer is set
-    /// for when it has been idle for long enough.
+    /// Finishes the handling of an event. If nothing is open on the connection, closes it if that
+    /// is due, or sets its idle check timer.
     pub fn event_handled(&mut self, connection_id: ConnectionId) {
         let Some(connection) = self
             .connections
@@ -150,8 +157,8 @@
         self.set_idle_check(connection_id, due);
     }
 
-    /// Nothing more is read on a connection: its peer ended its side, or framing is lost. What is
-    /// open on it is answered first.
+    /// Closes a connection whose input has ended, because its peer closed its sending side or
+    /// framing was lost, after everything open on it is answered.
     pub fn input_ended(&mut self, connection_id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&connection_id) {
             connection.close_when_done = true;
@@ -159,34 +166,36 @@
         self.event_handled(connection_id);
     }
 
-    /// Opens a request on its connection; false if what came can't have an answer of its own.
+    /// Opens a request on its connection. Returns false if the request cannot be answered, because
+    /// the connection is unknown or its FastCGI id is already open.
     pub fn open_on_connection(&mut self, connection_id: ConnectionId, request: &Request) -> bool {
         let Some(connection) = self.connections.get_mut(&connection_id) else {
             self.count(Metric::RequestsWithoutConnection, 1);
             return false;
         };
         if connection.open.contains_key(&request.id) {
-            // The answers of both would look alike: the first request is answered, and nothing
-            // after it is read.
+            // The answers to both requests could not be told apart: only the first request is
+            // answered, and nothing more is read from this connection.
             self.count(Metric::DuplicateRequestIds, 1);
             self.actions.stop_reading(connection_id);
             self.input_ended(connection_id);
             return false;
         }
-        connection.open.insert(request.id, OpenItem::Unread);
+        connection.open.insert(request.id, OpenItem::Received);
         connection.requests_received = connection.requests_received.saturating_add(1);
         connection.close_when_done |= !request.keep_conn;
         true
     }
 
-    /// Whether more is open on a connection than may be.
+    /// Returns whether more than [`MAX_OPEN`] items are open on a connection.
     pub fn has_too_many_open(&self, connection_id: ConnectionId) -> bool {
         self.connections
             .get(&connection_id)
             .is_some_and(|connection| connection.open.len() > MAX_OPEN)
     }
 
-    /// Writes what ends a request.
+    /// Sends the final reply to a request. If nothing else is open on the connection, closes it or
+    /// starts its idle time.
     pub fn finish(&mut self, target: ReplyTarget, reply: Reply) {
         let ReplyTarget {
             connection_id,
@@ -212,7 +221,7 @@
         }
     }
 
-    /// Ends a request that is one too many on its connection.
+    /// Ends a request that exceeds the limit of open requests on its connection.
     pub fn reject_overloaded(&mut self, target: ReplyTarget) {
         self.answered_without_success(target.connection_id);
         self.finish(
@@ -221,13 +230,13 @@
         );
     }
 
-    /// Answers a request that no load balancer sends.
+    /// Answers a request that no load balancer would send, and records a strike against its peer.
     pub fn reject_with_strike(&mut self, target: ReplyTarget, error: RequestError) {
         self.strike(target.connection_id);
         self.reject(target, error);
     }
 
-    /// Answers a request with what is wrong.
+    /// Answers a request with a request error.
     pub fn reject(&mut self, target: ReplyTarget, error: RequestError) {
         self.count(error.metric(), 1);
         let headers = self.response_headers() + "Content-Type: text/plain\r\n";
@@ -238,8 +247,9 @@
         );
     }
 
-    /// Answers what a rule or a limit decided before the admission controller saw it. It never ran.
-    /// `retry_after` is sent where the deployment has load balancers heed one.
+    /// Answers a request that a rule or a limit decided before it reached the admission controller.
+    /// The request never ran. `retry_after` is capped at the longest one that load balancers heed,
+    /// and sent only with status 429.
     pub fn reject_by_policy(
         &mut self,
         target: ReplyTarget,
@@ -264,7 +274,7 @@
         );
     }
 
-    /// The headers that go with every answer and health check.
+    /// Returns the headers that are sent with every answer and health check.
     pub fn response_headers(&self) -> String {
         let is_sent = self.config.deployment.load_report != LoadReport::Disabled;
         self.load_report
@@ -274,7 +284,7 @@
             })
     }
 
-    /// A request on a connection succeeded.
+    /// Records a successful answer: the peer is identified, and its strikes are cleared.
     pub fn answered_with_success(&mut self, connection_id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&connection_id) else {
             return;
@@ -285,8 +295,8 @@
         }
     }
 
-    /// A request on a connection was answered without success. Enough of these in a row are a
-    /// strike of an unidentified peer, so that one that asks again at once costs next to nothing.
+    /// Records an unsuccessful answer. Enough of them in a row count as a strike against an
+    /// unidentified peer, so that a peer that retries immediately costs almost nothing.
     pub fn answered_without_success(&mut self, connection_id: ConnectionId) {
         let Some(connection) = self
             .connections
@@ -301,8 +311,8 @@
         }
     }
 
-    /// Something came on a connection that no load balancer sends. With each strike the pause
-    /// before it is read on doubles; after the last one it is closed.
+    /// Records a strike against a connection. The pause before each read doubles with each strike;
+    /// after the last one the connection is closed.
     pub fn strike(&mut self, connection_id: ConnectionId) {
         let Some(connection) = self
             .connections
@@ -313,26 +323,27 @@
         };
         connection.unsuccessful_answers = 0;
         connection.strikes += 1;
-        let is_last = connection.strikes >= STRIKES;
+        let is_last = connection.strikes >= MAX_STRIKES;
         connection.close_when_done |= is_last;
-        let pause = READ_PAUSE_BASE << connection.strikes.min(STRIKES);
+        let pause = READ_PAUSE_BASE << connection.strikes.min(MAX_STRIKES);
         self.actions.pace_reading(connection_id, pause);
         if is_last {
             self.actions.stop_reading(connection_id);
         }
     }
 
-    /// Where a connection comes from.
+    /// Returns the address of a connection's peer, if known.
     pub fn address(&self, connection_id: ConnectionId) -> Option<IpAddr> {
         self.connections.get(&connection_id)?.address
     }
 
-    /// The longest Retry-After that load balancers heed; 0 = they heed none.
+    /// Returns the longest Retry-After that load balancers heed; 0 if they heed none.
     pub fn max_retry_after(&self) -> Nanos {
         self.config.deployment.max_retry_after
     }
 
-    /// Has a connection closed unless more has come on it by now.
+    /// Tells the I/O layer to close a connection. The close is void if the reader has already
+    /// passed on another event.
     pub fn close_connection(&mut self, connection_id: ConnectionId) {
         let is_identified = self
             .connections
@@ -346,7 +357,8 @@
         self.close_connection_within(connection_id, wait);
     }
 
-    /// The same, waiting this long for the rest of a request that has come in part.
+    /// Like [`close_connection`](Self::close_connection), but waits this long for the rest of a
+    /// request that has arrived in part.
     fn close_connection_within(&mut self, connection_id: ConnectionId, wait: Nanos) {
         let Some(connection) = self.connections.get_mut(&connection_id) else {
             return;
@@ -364,8 +376,8 @@
         );
     }
 
-    /// Closes a connection to make room for another: one that others wait for, so that half a
-    /// request of an unidentified peer is not waited for.
+    /// Closes a connection to make room for another. New connections are waiting, so there is no
+    /// wait for the rest of a partial request from an unidentified peer.
     pub fn evict(&mut self, connection_id: ConnectionId, is_identified: bool) {
         let wait = if is_identified {
             PARTIAL_REQUEST_WAIT
@@ -375,7 +387,7 @@
         self.close_connection_within(connection_id, wait);
     }
 
-    /// Whether a connection is known.
+    /// Returns whether a connection is open.
     #[cfg(test)]
     pub fn is_known(&self, connection_id: ConnectionId) -> bool {
         self.connections.contains_key(&connection_id)
--- a/crates/node/src/state/drain.rs
+++ b/crates/node/src/state/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving: from the order to drain to the end of the process.
+//! Draining, from the drain command to the end of the process.
 
 use super::{MILLISECOND, NodeState, Timer};
 use crate::actions::{Actions, ConnectionId};
@@ -6,21 +6,22 @@
 use madderpoint::Nanos;
 use tracing::{info, warn};
 
-/// After the last answers were due, peers have this long to take them before the process ends.
+/// Time that peers have to read the last answers before the process ends.
 const FLUSH_TIME: Nanos = 100 * MILLISECOND;
 
-/// How far the node is with leaving.
+/// Progress of the drain.
 #[derive(Debug)]
 pub struct DrainState {
-    /// When the drain began.
+    /// Time at which the drain began; `None` if the node is not draining.
     pub started: Option<Nanos>,
-    /// When all is to be written out.
+    /// Time by which all answers must be written out.
     pub stops_at: Nanos,
-    /// Whether connections are closed as soon as nothing is open on them.
+    /// Whether connections are closed as soon as nothing is open on them; set after the drain
+    /// grace.
     pub closes_connections: bool,
-    /// Whether connections may still come.
+    /// Whether new connections may still arrive.
     is_listening: bool,
-    /// Whether the time to leave is over.
+    /// Whether the time for draining is over.
     is_over: bool,
 }
 
@@ -37,8 +38,9 @@
 }
 
 impl<A: Actions> NodeState<A> {
-    /// Begins to drain; false if that has begun before. After `stop_after` all is to be written
-    /// out.
+    /// Starts the drain. All answers must be written out within `stop_after`; listening stops after
+    /// `grace`, or after `stop_after` if that is shorter. Returns false if the drain had already
+    /// begun.
     pub fn start_drain(&mut self, stop_after: Nanos, grace: Nanos) -> bool {
         if self.drain.started.is_some() {
             return false;
@@ -53,13 +55,13 @@
         true
     }
 
-    /// Whether the drain has begun.
+    /// Returns whether the drain has begun.
     pub fn is_draining(&self) -> bool {
         self.drain.started.is_some()
     }
 
-    /// The drain grace is over: nothing that comes would run, and connections are closed as soon as
-    /// nothing is open on them.
+    /// Stops listening at the end of the drain grace, because new requests would no longer run.
+    /// From then on connections are closed as soon as nothing is open on them.
     pub fn stop_accepting(&mut self) {
         self.drain.closes_connections = true;
         info!(
@@ -72,7 +74,7 @@
         self.close_connections_without_requests();
     }
 
-    /// All that was read is answered: nothing more is read.
+    /// Starts the quiet period: every request that was read is answered, and nothing more is read.
     pub fn start_quiet_period(&mut self) {
         for (&id, connection) in &mut self.connections {
             connection.close_when_done = true;
@@ -91,12 +93,12 @@
         idle.into_iter().for_each(|id| self.close_connection(id));
     }
 
-    /// The listen backlog is empty, and no connection comes any more.
+    /// Records that the listen backlog is empty, so that no further connection can arrive.
     pub fn listener_closed(&mut self) {
         self.drain.is_listening = false;
     }
 
-    /// The time to leave is over: what peers have not ended yet ends with the process.
+    /// Ends the drain. Connections that peers have not closed yet end with the process.
     pub fn end_drain(&mut self) {
         self.drain.is_over = true;
         if !self.connections.is_empty() {
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Whether the process may end.
+    /// Returns whether the process may end.
     pub fn has_drained(&self) -> bool {
         self.drain.is_over
             || self.drain.closes_connections
--- a/crates/node/src/state/executions.rs
+++ b/crates/node/src/state/executions.rs
@@ -1,4 +1,4 @@
-//! Executions: what the executor runs for requests.
+//! Executions of requests at the executor.
 
 use super::{HOUSEKEEPING_PERIOD, MILLISECOND, NodeState, Timer};
 use crate::actions::Actions;
@@ -6,48 +6,49 @@
 use crate::metrics::Metric;
 use madderpoint::{Idempotency, Nanos, RequestId};
 
-/// After the command to start what must not run twice gauges are requested within this. Their mark
-/// shows that the command arrived: only what was sent in between is uncertain when the link breaks.
+/// Delay between the start command of a non-idempotent request and the following request for
+/// gauges. The mark that returns with the gauges confirms that the command arrived, so only
+/// commands sent within this delay are uncertain when the link breaks.
 const START_MARK_DELAY: Nanos = 10 * MILLISECOND;
 
-/// What an execution waits for at the executor.
+/// Whether an execution waits for a backend call.
 #[derive(Debug)]
 pub enum ExecutionWait {
-    /// Nothing: it runs.
+    /// The execution runs and waits for nothing.
     Nothing,
-    /// A backend call, by the number of the notice that wants it.
+    /// The execution waits for a backend call.
     BackendCall {
-        /// The notice's number.
+        /// Number of the notice that requested the call.
         notice: u64,
     },
-    /// Nothing any more: the command to go on was given.
+    /// The execution was told to continue after a backend call.
     Resumed {
-        /// The number of the notice that wanted the call.
+        /// Number of the notice that had requested the call.
         notice: u64,
-        /// The reply to the call; none if it goes on without.
+        /// Reply to the call; `None` if the execution continues without one.
         reply: Option<Vec<u8>>,
-        /// The number of the command; 0 = it could not be sent yet.
+        /// Number of the resume command; 0 if it could not be sent yet.
         command: u64,
     },
 }
 
-/// An execution for which a start was ordered.
+/// An execution whose start was requested by the admission controller.
 #[derive(Debug)]
 pub struct Execution {
-    /// The number of the command to start it; 0 = it could not be sent yet.
+    /// Number of the latest start command; 0 if it could not be sent yet.
     pub start_command: u64,
-    /// The number of the command to cancel it, if there is one; 0 = it could not be sent yet.
+    /// Number of the cancel command, if the execution was cancelled; 0 if it could not be sent yet.
     pub cancel_command: Option<u64>,
-    /// Whether the executor has spoken of it.
+    /// Whether the executor has sent a notice that confirms the execution.
     pub is_acknowledged: bool,
-    /// What it waits for.
+    /// Whether the execution waits for a backend call.
     pub wait: ExecutionWait,
-    /// The body of the backend call that it waits for.
+    /// Body of the latest requested backend call.
     pub call_body: Vec<u8>,
 }
 
 impl<A: Actions> NodeState<A> {
-    /// Starts a request's execution.
+    /// Starts the execution of a request, after checking the invariants of a start.
     pub fn start_execution(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -78,7 +79,7 @@
         self.send_start(id);
     }
 
-    /// Sends the command to start, for the first time or again.
+    /// Sends the start command of a request, for the first time or again.
     pub fn send_start(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Cancels a request's execution.
+    /// Cancels the execution of a request.
     pub fn cancel_execution(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -133,7 +134,8 @@
         self.requests.get_mut(&id)?.execution.as_mut()
     }
 
-    /// An execution has come to a backend call; gives its request.
+    /// Records that an execution needs a backend call. Returns its request, or `None` if there is
+    /// no such execution.
     pub fn backend_call_needed(
         &mut self,
         correlation_id: &str,
@@ -156,7 +158,7 @@
         id
     }
 
-    /// Whether an execution waits for a backend call.
+    /// Returns whether the execution of a request waits for a backend call.
     pub fn waits_for_backend_call(&self, id: RequestId) -> bool {
         self.requests
             .get(&id)
@@ -164,7 +166,7 @@
             .is_some_and(|execution| matches!(execution.wait, ExecutionWait::BackendCall { .. }))
     }
 
-    /// Lets an execution go on, with the reply to its backend call or without one.
+    /// Resumes an execution, with or without a reply to its backend call.
     pub fn resume_execution(&mut self, id: RequestId, reply: Option<Vec<u8>>) {
         let Some(execution) = self.execution_mut(id) else {
             return;
@@ -180,8 +182,9 @@
         self.resend_resume(id, |command| command == 0);
     }
 
-    /// Sends the command to go on, if it was not sent yet or is lacking at the executor.
-    pub fn resend_resume(&mut self, id: RequestId, is_lacking: impl Fn(u64) -> bool) {
+    /// Sends the resume command of an execution if `is_missing` returns true for the number of the
+    /// last one sent, which is 0 if none was sent.
+    pub fn resend_resume(&mut self, id: RequestId, is_missing: impl Fn(u64) -> bool) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -197,7 +200,7 @@
         else {
             return;
         };
-        if !is_lacking(*command) {
+        if !is_missing(*command) {
             return;
         }
         let (notice, reply) = (*notice, reply.take());
@@ -221,7 +224,8 @@
         }
     }
 
-    /// An execution has ended: its request is answered.
+    /// Handles the end of an execution and answers its request. Returns the request, or `None` if
+    /// there is no such execution.
     pub fn execution_ended(
         &mut self,
         correlation_id: &str,
@@ -238,8 +242,8 @@
         };
         request.execution = None;
         request.has_run |= end != End::NeverStarted;
-        // To a second command MOOT only says that nothing runs now: the first one may have run, and
-        // its end been lost.
+        // After a second start command, MOOT only means that nothing runs now: the execution may
+        // have run after the first command, and the notice of its end may have been lost.
         request.never_ran = end == End::NeverStarted && request.start_commands == 1;
         self.actions
             .trace_step(correlation_id, format_args!("execution ended: {end:?}"));
@@ -262,7 +266,8 @@
         Some(id)
     }
 
-    /// The executor refused a command; gives the request that it can't run.
+    /// Handles a command that the executor refused. Returns the request that fails because its
+    /// start was refused, if any.
     pub fn command_refused(&mut self, command: &str, correlation_id: &str) -> Option<RequestId> {
         self.count(Metric::RefusedCommands, 1);
         let id = self
@@ -274,20 +279,21 @@
         request
             .execution
             .take_if(|execution| !execution.is_acknowledged)?;
-        request.never_ran = true; // no command for it was ever carried out
+        request.never_ran = true; // no start command for this request was ever carried out
         if let Some(target) = request.reply_target {
-            self.strike(target.connection_id); // load balancers send what the executor knows
+            // Load balancers only send requests that the executor knows.
+            self.strike(target.connection_id);
         }
         self.answer(id, 500, "", Vec::new());
         Some(id)
     }
 
-    /// Starts executions again on which nobody has waited for long: as their requests are over, the
-    /// executor says MOOT if there is no such execution (its end was missed), and does nothing if
-    /// there is.
-    pub fn ask_for_overdue_executions(&mut self) {
+    /// Sends another start command for executions whose requests were answered long ago. For a
+    /// request that is over, the executor answers MOOT if no execution exists, because the notice
+    /// of its end was lost, and does nothing if one exists.
+    pub fn query_overdue_executions(&mut self) {
         if !self.executor.is_in_step() {
-            return; // what happened without a link is replayed first
+            return; // notices missed without a link are replayed first
         }
         let overdue: Vec<RequestId> = self
             .requests
@@ -306,7 +312,7 @@
         }
     }
 
-    /// Whether the execution of a correlation id waits for a backend call.
+    /// Returns whether the execution with this correlation id waits for a backend call.
     #[cfg(test)]
     pub fn waits_for_call(&self, correlation_id: &str) -> bool {
         self.request_ids
--- a/crates/node/src/state/executor_link.rs
+++ b/crates/node/src/state/executor_link.rs
@@ -1,4 +1,4 @@
-//! The link to the executor: commands are numbered, and the mark that comes back with gauges shows
+//! The link to the executor. Commands are numbered, and the mark that is returned with gauges shows
 //! which of them have arrived.
 
 use super::{MILLISECOND, NodeState, Timer};
@@ -10,59 +10,61 @@
 use madderpoint::{Gauges, Idempotency, Nanos, RequestId};
 use tracing::{info, warn};
 
-/// Gauges are requested this long before a timer of the admission controller.
+/// Gauges are requested this long before a timer of the admission controller is due.
 pub const GAUGES_LEAD: Nanos = 20 * MILLISECOND;
 /// Gauges older than this are not used.
-const GAUGES_FRESH: Nanos = 100 * MILLISECOND;
-/// A link that is to be replaced has this long to show that all commands arrived.
+const GAUGES_MAX_AGE: Nanos = 100 * MILLISECOND;
+/// Time to wait, before a link is replaced, for confirmation that all commands on it arrived.
 const RECONNECT_TIMEOUT: Nanos = 100 * MILLISECOND;
-/// A link is silent once this many checks found no answer. Checks are counted and not the clock,
-/// for of a machine that stood still only one is late.
+/// A link counts as silent after this many consecutive checks without an answer. Checks are counted
+/// instead of elapsed time, because only one check is late after the machine was paused.
 const SILENT_CHECKS: u32 = 5;
-/// The least time between two such checks.
+/// Minimum time between two checks for silence.
 const SILENT_CHECK_PERIOD: Nanos = 400 * MILLISECOND;
-/// An execution of which it is not known whether it runs has this long to be heard of.
+/// Time to wait for a notice of an uncertain execution before its request fails.
 const UNCERTAIN_TIMEOUT: Nanos = 1000 * MILLISECOND;
 
-/// What is known of the link.
+/// State of the link to the executor.
 #[derive(Default)]
 pub struct ExecutorLinkState {
     is_up: bool,
-    /// Whether all that ended while there was no link is known, so that commands may be sent.
+    /// Whether all notices missed while there was no link were read, so that commands may be sent.
     is_in_step: bool,
-    /// Commands sent, on all links.
+    /// Number of commands sent over all links so far.
     sent: u64,
-    /// Commands known to have arrived.
+    /// Number of the latest command known to have arrived.
     arrived: u64,
-    /// The mark whose return shows that all missed notices were read.
+    /// Mark whose return shows that all missed notices were read, or, before a replacement of the
+    /// link, that all commands on it arrived.
     step_mark: u64,
-    /// Whether the link is to be replaced once what was written on it is known to have arrived.
+    /// Whether the link is replaced once all commands written on it are known to have arrived.
     is_reconnecting: bool,
     gauges_requested_at: Nanos,
-    /// The latest gauges, and when they came.
+    /// Latest gauges and the time at which they were received.
     gauges: Option<(Nanos, Gauges)>,
-    /// Whether a request for gauges has no answer yet.
+    /// Whether a request for gauges is still unanswered.
     awaits_answer: bool,
-    /// How often that was seen in a row.
+    /// Number of consecutive checks that found a request for gauges unanswered.
     silent_checks: u32,
-    /// When it was seen last, or the last answer came.
+    /// Time of the last such check or of the last answer, whichever is later.
     checked_at: Nanos,
 }
 
 impl ExecutorLinkState {
-    /// Whether commands may be sent.
+    /// Returns whether the link is in step, so that commands may be sent.
     pub fn is_in_step(&self) -> bool {
         self.is_in_step
     }
 
-    /// The number of the next command.
+    /// Returns the number of the next command.
     pub fn next_command(&self) -> u64 {
         self.sent + 1
     }
 }
 
 impl<A: Actions> NodeState<A> {
-    /// Sends a command and gives its number; 0 while it must wait until the link is in step.
+    /// Sends a command and returns its number. Returns 0 without sending while the link is not in
+    /// step.
     pub fn send_command(&mut self, command: Command<'_>) -> u64 {
         if !self.executor.is_in_step {
             return 0;
@@ -72,7 +74,8 @@
         self.executor.sent
     }
 
-    /// A link stands; the last notice that was read before it.
+    /// Handles a new link. `last_notice` is the number of the last notice read on earlier links;
+    /// the executor sends the notices after it again.
     pub fn executor_connected(&mut self, last_notice: u64) {
         let executor = &mut self.executor;
         (
@@ -85,7 +88,7 @@
             .send_executor_command(Command::Open(last_notice).line());
     }
 
-    /// The link broke.
+    /// Handles the loss of the link.
     pub fn executor_disconnected(&mut self) {
         self.mark_executor_down();
         warn!(target: part::EXECUTOR, requests = self.requests.len(), "connection lost");
@@ -100,10 +103,10 @@
         ) = (false, false, false);
     }
 
-    /// The configuration changed. The link to the executor moves once the answer to one more
-    /// request for gauges shows that what was written on the old one has arrived; commands wait
-    /// meanwhile. If it were cut off at once, it would not be known of the executions on their way
-    /// whether they run.
+    /// Applies a new configuration. If the executor's address changed, the link moves once the
+    /// answer to one more request for gauges shows that all commands on the old link arrived;
+    /// further commands wait meanwhile. Closing the old link immediately would make executions
+    /// uncertain whose commands are still on their way.
     pub fn config_changed(&mut self, changed: &ConfigUpdate) {
         let ConfigUpdate {
             peers,
@@ -121,7 +124,7 @@
             return;
         }
         if !self.executor.is_in_step {
-            return self.actions.reconnect_executor(); // no commands are on their way
+            return self.actions.reconnect_executor(); // no commands were sent on this link
         }
         (self.executor.is_in_step, self.executor.is_reconnecting) = (false, true);
         self.executor.step_mark = self.executor.next_command();
@@ -132,8 +135,8 @@
         self.request_gauges();
     }
 
-    /// What was written on a link that is to be replaced has arrived up to this mark, or has had
-    /// its time.
+    /// Replaces a link that is being moved, if all commands on it are known to have arrived
+    /// (`mark`) or the time to wait for that is over.
     pub fn replace_executor_link(&mut self, mark: u64) {
         if self.executor.is_reconnecting && mark >= self.executor.step_mark {
             (self.executor.is_up, self.executor.is_reconnecting) = (false, false);
@@ -141,15 +144,16 @@
         }
     }
 
-    /// The executor is up and sends all that was missed; the answer to a request made now comes
-    /// after that.
+    /// Handles the boot notice: the executor is up and sends all missed notices. Requests gauges,
+    /// because their answer follows the missed notices.
     pub fn executor_booted(&mut self, is_cold: bool, up_ms: f64) {
         info!(target: part::EXECUTOR, cold = is_cold, up_ms = up_ms.round(), "connected");
         self.executor.step_mark = self.executor.next_command();
         self.request_gauges();
     }
 
-    /// Requests gauges, unless that was done a moment ago.
+    /// Requests gauges, unless they were requested less than half of [`GAUGES_LEAD`] ago. Also
+    /// checks for a silent link.
     pub fn refresh_gauges(&mut self) {
         self.detect_silence();
         if self.executor.is_in_step
@@ -159,8 +163,8 @@
         }
     }
 
-    /// Replaces a link that is open and brings nothing: all that runs would wait for its client
-    /// timeout.
+    /// Replaces a link that is open but silent. Otherwise every running request would wait for its
+    /// client timeout.
     fn detect_silence(&mut self) {
         let executor = &mut self.executor;
         if !executor.is_up
@@ -194,7 +198,8 @@
             .send_executor_command(Command::SysInfo(executor.sent).line());
     }
 
-    /// Gauges came, with the mark of the request for them.
+    /// Handles gauges. `mark` is the command number of the request that they answer; it confirms
+    /// that all commands up to it arrived.
     pub fn gauges_received(&mut self, mark: u64, values: Vec<f64>) {
         let executor = &mut self.executor;
         executor.gauges = Some((self.now, self.config.gauges(values.into_iter())));
@@ -210,18 +215,19 @@
         }
     }
 
-    /// The gauges, without those that are too old.
+    /// Returns the latest gauges, or empty ones if they are older than [`GAUGES_MAX_AGE`].
     pub fn gauges(&self) -> Gauges {
         let fresh = self
             .executor
             .gauges
-            .filter(|(received, _)| self.now - received <= GAUGES_FRESH);
+            .filter(|(received, _)| self.now - received <= GAUGES_MAX_AGE);
         fresh.map_or_else(Gauges::default, |(_, gauges)| gauges)
     }
 
-    /// Sends what waited for the link, and again what may not have arrived over the one before.
+    /// Sends the commands that waited for the link, and repeats those after command number
+    /// `arrived`, which may have been lost with the previous link.
     fn resend_commands(&mut self, arrived: u64) {
-        let is_lacking = |command: u64| command == 0 || command > arrived;
+        let is_missing = |command: u64| command == 0 || command > arrived;
         let running: Vec<RequestId> = self
             .requests
             .iter()
@@ -235,12 +241,12 @@
             let Some(execution) = &request.execution else {
                 continue;
             };
-            // What must not run twice could have ended this moment, so it is only started if it
-            // never was.
+            // A request that must not run twice may have just ended, so it is only started if no
+            // start command was sent before.
             let may_restart = self.idempotency(request.operation) == Idempotency::Idempotent
                 || request.reply_target.is_none();
             let (start, cancel) = (execution.start_command, execution.cancel_command);
-            if !execution.is_acknowledged && is_lacking(start) {
+            if !execution.is_acknowledged && is_missing(start) {
                 if start == 0 || may_restart {
                     self.send_start(id)
                 } else {
@@ -248,16 +254,17 @@
                     self.set_timer(UNCERTAIN_TIMEOUT, Timer::UncertainExecution(id));
                 }
             }
-            self.resend_resume(id, is_lacking);
-            if cancel.is_some_and(is_lacking) {
+            self.resend_resume(id, is_missing);
+            if cancel.is_some_and(is_missing) {
                 self.cancel_execution(id);
             }
         }
     }
 
-    /// The executor has not spoken of an execution since the link broke on which it was started:
-    /// the client is answered now and not at its client timeout. The second start only makes the
-    /// executor say whether there is such an execution, as its request is over.
+    /// Fails a request whose execution is still uncertain: the executor has sent no notice of it
+    /// since the link was lost on which it was started. The client is answered now instead of at
+    /// its client timeout. The second start command runs nothing, as the request is over; it only
+    /// makes the executor report whether the execution exists.
     pub fn fail_uncertain_execution(&mut self, id: RequestId) {
         let is_unacknowledged = self
             .requests
--- a/crates/node/src/state/health_checks.rs
+++ b/crates/node/src/state/health_checks.rs
@@ -1,5 +1,5 @@
-//! Health checks of load balancers: answered from what the admission controller last decided, or,
-//! if they are deep, by work at the executor.
+//! Health checks from load balancers. They are answered with the health last set by the admission
+//! controller; a deep check may be answered by the executor instead.
 
 use super::connections::OpenItem;
 use super::requests::ReplyTarget;
@@ -10,17 +10,17 @@
 use madderpoint::Nanos;
 use std::collections::HashMap;
 
-/// A deep health check is answered within this.
+/// A deep health check that the executor has not answered within this time fails.
 const DEEP_CHECK_TIMEOUT: Nanos = 2000 * MILLISECOND;
 
-/// What health checks are answered, and those that wait for the executor.
+/// The health that checks are answered with, and the deep checks that wait for the executor.
 #[derive(Debug)]
 pub struct HealthChecks {
-    /// Whether the admission controller holds the node to be healthy.
+    /// Whether the admission controller considers the node healthy.
     is_healthy: bool,
-    /// Whether deep checks are answered with that too.
+    /// Whether deep checks are answered with `is_healthy` as well, without asking the executor.
     answers_deep_from_store: bool,
-    /// Where deep checks are answered, by their mark at the executor.
+    /// Reply targets of waiting deep checks by the mark that was sent to the executor.
     waiting: HashMap<u64, ReplyTarget>,
 }
 
@@ -35,20 +35,21 @@
 }
 
 impl HealthChecks {
-    /// A deep check is no longer waited for.
+    /// Removes a deep check whose client no longer waits.
     pub fn remove(&mut self, mark: u64) {
         self.waiting.remove(&mark);
     }
 }
 
 impl<A: Actions> NodeState<A> {
-    /// Sets what checks are answered.
+    /// Sets the health that checks are answered with.
     pub fn set_health(&mut self, is_healthy: bool, answers_deep_from_store: bool) {
         self.health_checks.is_healthy = is_healthy;
         self.health_checks.answers_deep_from_store = answers_deep_from_store;
     }
 
-    /// Answers a check, or has the executor do the work of a deep one.
+    /// Answers a health check, or sends a deep one to the executor. A deep check that needs the
+    /// executor fails if the link is not in step.
     pub fn health_check(&mut self, target: ReplyTarget, is_deep: bool) {
         let HealthChecks {
             is_healthy,
@@ -70,7 +71,7 @@
         self.set_timer(DEEP_CHECK_TIMEOUT, Timer::HealthCheckTimeout(mark));
     }
 
-    /// The executor did the work of a deep check, or the check has waited for long enough.
+    /// Answers a deep check after the executor completed it or its timeout expired.
     pub fn health_check_done(&mut self, mark: u64, is_healthy: bool) {
         if let Some(target) = self.health_checks.waiting.remove(&mark) {
             self.answer_health_check(target, is_healthy);
