--- a/crates/node/src/state/idle_connections.rs
+++ b/crates/node/src/state/idle_connections.rs
@@ -1,32 +1,34 @@
-//! When a connection on which nothing is open is closed.
+//! Closing of idle connections, by timeout or to make room for new ones.
 
 use super::connections::ClientConnection;
 use super::{MILLISECOND, NodeState, Timer};
 use crate::actions::{Actions, ConnectionId};
 use madderpoint::{Deployment, Nanos};
 
-/// The idle timeout where the deployment names none.
+/// Idle timeout if the deployment does not set one.
 const DEFAULT_IDLE_TIMEOUT: Nanos = 60_000 * MILLISECOND;
-/// The first whole request is to come within this: a peer that sends nothing takes others' room.
-const FIRST_REQUEST: Nanos = 1500 * MILLISECOND;
-/// The longest idle timeout after the first request: so does one that sends one and stays.
-const SECOND_REQUEST: Nanos = 1000 * MILLISECOND;
-/// A connection this young is not closed to make room: its first request may be on its way.
-const YOUNG: Nanos = 200 * MILLISECOND;
+/// Timeout for the first complete request. A peer that sends nothing takes the place of others.
+const FIRST_REQUEST_TIMEOUT: Nanos = 1500 * MILLISECOND;
+/// Upper bound on the idle timeout after the first request. A peer that sends a single request and
+/// stays connected takes the place of others as well.
+const SECOND_REQUEST_TIMEOUT: Nanos = 1000 * MILLISECOND;
+/// Age below which a connection without requests is not evicted, because its first request may be
+/// on its way.
+const MIN_EVICTION_AGE: Nanos = 200 * MILLISECOND;
 
-/// How long connections may be idle, and how many may be open before idle ones make room.
+/// Idle timeouts, and the number of connections above which idle ones are evicted.
 #[derive(Debug)]
 pub struct IdleLimits {
-    /// As the admission controller wants it.
+    /// Current idle timeout, as set by the admission controller.
     timeout: Nanos,
-    /// As the deployment has it.
+    /// Idle timeout of the deployment, or the default.
     configured_timeout: Nanos,
-    /// Open connections above which an idle one is closed for each new one.
+    /// Number of open connections above which an idle one is closed for each new one.
     pub eviction_threshold: usize,
 }
 
 impl IdleLimits {
-    /// The limits at the start.
+    /// Creates the limits with the timeout of the deployment.
     pub fn new(deployment: &Deployment, eviction_threshold: usize) -> IdleLimits {
         let configured_timeout = Some(deployment.client_idle_timeout)
             .filter(|&timeout| timeout > 0)
@@ -40,7 +42,8 @@
 }
 
 impl<A: Actions> NodeState<A> {
-    /// Nothing is open on a connection any more.
+    /// Starts the idle time of a connection on which nothing is open any more. Closes the
+    /// connection if the drain grace is over.
     pub fn became_idle(&mut self, connection_id: ConnectionId) {
         if self.drain.closes_connections {
             return self.close_connection(connection_id);
@@ -52,27 +55,28 @@
         }
     }
 
-    /// Until when a connection may be idle.
+    /// Returns the time until which a connection may be idle. Connections with fewer than two
+    /// requests or with strikes have shorter timeouts.
     pub fn idle_deadline(&self, connection_id: ConnectionId) -> Nanos {
         let Some(connection) = self.connections.get(&connection_id) else {
             return self.now;
         };
         let timeout = self.idle.timeout;
         let after = match connection.requests_received {
-            0 => FIRST_REQUEST,
-            1 => timeout.min(SECOND_REQUEST),
-            _ if connection.strikes > 0 => timeout.min(FIRST_REQUEST),
+            0 => FIRST_REQUEST_TIMEOUT,
+            1 => timeout.min(SECOND_REQUEST_TIMEOUT),
+            _ if connection.strikes > 0 => timeout.min(FIRST_REQUEST_TIMEOUT),
             _ => timeout,
         };
         connection.idle_since + after
     }
 
-    /// Has one timer look at a connection, at this time or sooner.
+    /// Sets the idle check timer of a connection to `due`, unless an earlier one is set.
     pub fn set_idle_check(&mut self, connection_id: ConnectionId, due: Nanos) {
         let Some(connection) = self.connections.get_mut(&connection_id) else {
             return;
         };
-        if connection.idle_check_at.is_none_or(|set| set > due) {
+        if connection.idle_check_at.is_none_or(|current| current > due) {
             connection.idle_check_at = Some(due);
             self.set_timer(
                 due.saturating_sub(self.now),
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Sets the idle timeout, also of connections that are idle now; 0 = as the deployment has it.
+    /// Sets the idle timeout, also for connections that are idle now; 0 restores the deployment's.
     pub fn set_idle_timeout(&mut self, timeout: Nanos) {
         self.idle.timeout = if timeout == 0 {
             self.idle.configured_timeout
@@ -98,8 +102,9 @@
             .for_each(|(id, due)| self.set_idle_check(id, due));
     }
 
-    /// Closes a connection if it was idle for long enough, unless an earlier check took this one's
-    /// place.
+    /// Handles the idle check timer that was set for `due`: closes the connection if its idle
+    /// timeout has expired, else sets the next check. Does nothing if another check has replaced
+    /// this one.
     pub fn close_if_idle(&mut self, connection_id: ConnectionId, due: Nanos) {
         let Some(connection) = self
             .connections
@@ -120,12 +125,12 @@
         }
     }
 
-    /// Closes a connection on which nothing is open, so that another one finds room: rather one
-    /// that never sent a whole request, then one with a single request or without success, then
-    /// another, and of these the one idle for longest.
+    /// Closes an idle connection to make room for another. Connections that never sent a complete
+    /// request are closed first, then those with a single request or without a successful one, then
+    /// the others; within each group the one that has been idle longest.
     pub fn evict_idle_connection(&mut self) {
         let may_be_starting = |connection: &ClientConnection| {
-            connection.requests_received == 0 && self.now < connection.idle_since + YOUNG
+            connection.requests_received == 0 && self.now < connection.idle_since + MIN_EVICTION_AGE
         };
         let rank = |connection: &ClientConnection| {
             if connection.is_identified {
--- a/crates/node/src/state/requests.rs
+++ b/crates/node/src/state/requests.rs
@@ -1,4 +1,4 @@
-//! Requests in flight: from reading to the one answer and the end of all that goes on for them.
+//! Requests in flight, from being read until they are answered and their executions have ended.
 
 use super::backend_calls::{BACKEND_LINKS, BackendCall};
 use super::connections::OpenItem;
@@ -16,74 +16,76 @@
 use std::hash::{BuildHasher, Hasher};
 use std::rc::Rc;
 
-/// Where an answer is owed.
+/// The connection and FastCGI request id that an answer is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplyTarget {
-    /// The connection.
+    /// Connection that the request was read from.
     pub connection_id: ConnectionId,
-    /// The FastCGI request id there.
+    /// FastCGI request id on that connection.
     pub fastcgi_id: u16,
 }
 
-/// What a request was given by rules and limits before it reaches the admission controller.
+/// Results of the checks by rules, the backend gate and limits that a request passed before it
+/// reaches the admission controller.
 #[derive(Debug, Default)]
 pub struct RequestContext {
-    /// What a repeat of it is known by.
+    /// Key that identifies repeats of the request.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// The class that a rule gave.
+    /// Class assigned by a rule.
     pub class: Option<Rc<str>>,
-    /// Its permits of buckets.
+    /// Bucket permits that the request holds.
     pub permits: Option<HeldPermits>,
-    /// Whether the backend gate admitted it.
+    /// Whether the request was checked and admitted by the backend gate.
     pub is_gated: bool,
 }
 
-/// A request that is not answered yet, or for which something goes on.
+/// A request that is not answered yet or whose execution continues.
 pub struct OpenRequest {
-    /// Correlation id.
+    /// Correlation id sent by the load balancer; unique among requests in flight.
     pub correlation_id: String,
-    /// The operation.
+    /// Operation that the request calls.
     pub operation: OperationId,
-    /// The body.
+    /// Request body, sent to the executor with each start command.
     pub body: Vec<u8>,
-    /// When it reached the machine.
+    /// Time at which the request reached the machine.
     pub arrived: Nanos,
-    /// How long its client waits from then on.
+    /// Time that the client waits for an answer, counted from `arrived`.
     client_timeout: Nanos,
-    /// Where its answer is owed; none once it is answered or its client has cancelled it.
+    /// Target of the answer; `None` once the request is answered or cancelled by its client.
     pub reply_target: Option<ReplyTarget>,
-    /// Its execution, while one is wanted or goes on.
+    /// Execution of the request, from the decision to start it until its end.
     pub execution: Option<Execution>,
-    /// Whether an execution of it has ended.
+    /// Whether an execution of the request has run and ended.
     pub has_run: bool,
-    /// How many commands to start it were sent.
+    /// Number of start commands sent.
     pub start_commands: u32,
-    /// Whether none of it can have run all the same.
+    /// Whether the request is known not to have run although a start command was sent.
     pub never_ran: bool,
-    /// Its backend call, if one is wanted or under way.
+    /// Current backend call, if one is queued or awaits its reply.
     pub backend_call: Option<BackendCall>,
-    /// Whether the call before the present one failed, so that the next one is a retry.
+    /// Whether the previous backend call failed, so that the next one is a retry.
     pub last_call_failed: bool,
-    /// Backend calls so far.
+    /// Number of backend calls so far.
     pub backend_calls: u32,
-    /// Whether the backend gate admitted it.
+    /// Whether the request was checked and admitted by the backend gate.
     pub is_gated: bool,
-    /// Links to the backend on which a late reply to one of its calls may come.
+    /// Links to the backend on which a late reply to one of the request's calls may arrive.
     pub tainted_links: [bool; BACKEND_LINKS],
-    /// What a repeat of it is known by.
+    /// Key that identifies repeats of the request.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// The request that it repeats.
+    /// Earlier request that this one repeats.
     pub repeat_of: Option<RequestId>,
-    /// When it was coalesced with that one.
+    /// Time at which the request was coalesced with the one that it repeats.
     pub coalesced_at: Option<Nanos>,
-    /// Requests that are coalesced with it.
+    /// Requests that are coalesced with this one and get its result.
     pub coalesced: Vec<RequestId>,
     class: Option<Rc<str>>,
     permits: Option<HeldPermits>,
 }
 
-/// Tells bodies apart. It is not secret: a client that makes two bodies with one fingerprint only
-/// gets the first one's answer for both.
+/// Hashes a body to detect that an idempotency key is reused with another body. The hash need not
+/// be secret: a client that constructs two bodies with one fingerprint only gets the answer to the
+/// first for both.
 fn fingerprint(body: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     hasher.write(body);
@@ -91,13 +93,15 @@
 }
 
 impl<A: Actions> NodeState<A> {
-    /// Whether a request with this correlation id is in flight.
+    /// Returns whether a request with this correlation id is in flight.
     pub fn is_in_flight(&self, correlation_id: &str) -> bool {
         self.request_ids.contains_key(correlation_id)
     }
 
-    /// What a repeat of a request is known by: the key that a rule gave, where its operation has a
-    /// use for one, else its idempotency key, or what a read is about. Tenants never share one.
+    /// Returns the key that identifies repeats of a request: the key assigned by a rule, if the
+    /// operation uses one; else the idempotency key sent by the client of a keyed operation; else
+    /// the subject and body of a read whose results are shared. Keys of different tenants never
+    /// match.
     pub fn idempotency_key(
         &self,
         head: &RequestHead,
@@ -123,8 +127,8 @@
                 once,
                 arrived,
             }),
-            // What is asked about a subject is in the body: only the same question has the same
-            // answer.
+            // The body holds the question about the subject, so only requests with the same body
+            // share a result.
             _ => head
                 .subject
                 .filter(|_| shares_results)
@@ -138,20 +142,21 @@
         }
     }
 
-    /// Checks that a request with this key may be admitted.
+    /// Checks that a request with this key may be admitted: its body matches earlier requests with
+    /// the key, and the cache has room to remember a new key that must run only once.
     pub fn check_idempotency_key(&mut self, key: &IdempotencyKey) -> Result<(), RequestError> {
         if self.idempotency_cache.conflicts(self.now, key) {
             return Err(RequestError::IdempotencyKeyConflict);
         }
         let is_new = key.once && self.idempotency_cache.original(self.now, *key).is_none();
-        // What must run once is not run where nothing would remember that it did.
+        // A request that must run only once is not run if the cache could not record it.
         if is_new && !self.idempotency_cache.has_room(self.now) {
             return Err(RequestError::IdempotencyCacheFull);
         }
         Ok(())
     }
 
-    /// Opens a request; gives its id and the request that it repeats.
+    /// Adds a request. Returns its id and the earlier request that it repeats, if any.
     pub fn open_request(
         &mut self,
         target: ReplyTarget,
@@ -206,12 +211,13 @@
         (id, repeat_of)
     }
 
-    /// Whether an operation may run again.
+    /// Returns the idempotency of an operation, which decides whether it may run again.
     pub fn idempotency(&self, operation: OperationId) -> Idempotency {
         self.config.deployment.operations[operation.0].idempotency
     }
 
-    /// Writes the one answer of a request; nothing if it has had it or its client has cancelled it.
+    /// Sends the only answer to a request. Does nothing if the request is already answered or was
+    /// cancelled by its client.
     pub fn answer(&mut self, id: RequestId, status: u16, more_headers: &str, body: Vec<u8>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -247,7 +253,7 @@
         self.remove_if_done(id);
     }
 
-    /// Removes a request that is answered and of which nothing goes on.
+    /// Removes a request that no longer awaits an answer and has no execution.
     pub fn remove_if_done(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -262,7 +268,7 @@
         }
     }
 
-    /// Drops an execution whose start was never sent.
+    /// Drops an execution whose start command was never sent.
     pub fn drop_unsent_execution(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.execution = None;
@@ -300,8 +306,8 @@
         }
     }
 
-    /// Answers a request that was coalesced with another; gives how that ended and how long this
-    /// one waited for it.
+    /// Answers a request that was coalesced with another, with that one's result. Returns the
+    /// outcome and the time since the request was coalesced.
     pub fn answer_coalesced(
         &mut self,
         id: RequestId,
--- a/crates/node/src/state/shared_limits.rs
+++ b/crates/node/src/state/shared_limits.rs
@@ -1,5 +1,5 @@
-//! What the cluster shares and limits backend calls: budgets, the health of the backend service,
-//! the gate by both, and keyed quotas.
+//! Limits shared with the cluster: budgets and the health of the backend service, the backend gate
+//! that applies both, and keyed quotas.
 
 use super::backend_calls::BackendCall;
 use super::{NodeState, Timer};
@@ -11,23 +11,24 @@
 use madderpoint_shared_state::{BackendGate, HealthState, NodeBudgets, ServiceHealth};
 use tracing::info;
 
-/// This node's end of what is shared.
+/// This node's part of the budgets and the service health that the cluster shares.
 #[derive(Default)]
 pub struct SharedLimits {
-    /// Budgets of the cluster; none where none are shared.
+    /// Budgets of the cluster; `None` if none are shared.
     pub budgets: Option<Box<NodeBudgets>>,
-    /// The health of the backend service; none where it is not watched together.
+    /// Health of the backend service; `None` if the cluster does not track it.
     pub service_health: Option<Box<ServiceHealth>>,
-    /// A backend call that takes longer counts as failed.
+    /// Backend calls that take longer than this count as failed; `None` disables the check.
     pub slow_call_threshold: Option<Nanos>,
-    /// Admits requests that need a backend call; none where neither of the above is shared.
+    /// Gate for requests that need a backend call; `None` if neither budgets nor service health are
+    /// shared.
     pub backend_gate: Option<Box<BackendGate>>,
 }
 
 impl<A: Actions> NodeState<A> {
-    /// A call that took units of the budgets has ended. The backend may still be at work on one
-    /// that was abandoned or whose connection broke: it occupies them for as long as the longest
-    /// call.
+    /// Releases the budget units of a call that has ended. If `may_linger`, the backend may still
+    /// be executing the call, because it was abandoned or its connection was lost; its units then
+    /// stay occupied until the longest call time has passed since the call was sent.
     pub fn release_budget(&mut self, call: &BackendCall, may_linger: bool) {
         let longest = self
             .shared
@@ -44,7 +45,7 @@
         self.budget_released(call.is_retry());
     }
 
-    /// A call no longer occupies its units of the budgets.
+    /// Returns the units of a call to the budgets, and sends queued calls if units are free.
     pub fn budget_released(&mut self, is_retry: bool) {
         let Some(budgets) = &mut self.shared.budgets else {
             return;
@@ -58,9 +59,10 @@
         }
     }
 
-    /// Whether the backend gate admits a request that needs a call: true if it was asked, false if
-    /// it has no part in this one. Else when it is worth to come back.
-    pub fn ask_backend_gate(
+    /// Checks whether the backend gate admits a request. Returns true if the gate admitted it, and
+    /// false if the gate does not apply to it. The error is the time after which a retry may
+    /// succeed.
+    pub fn check_backend_gate(
         &mut self,
         operation: OperationId,
         key: Option<IdempotencyKey>,
@@ -69,7 +71,7 @@
             return Ok(false);
         }
         let operation = &self.config.deployment.operations[operation.0];
-        // A repeat needs no call: what it repeats makes it.
+        // A repeat needs no call, because the request that it repeats makes the call.
         let is_repeat =
             key.is_some_and(|key| self.idempotency_cache.original(self.now, key).is_some());
         if !operation.calls_downstream || operation.weight_fraction_without_call > 0.0 || is_repeat
@@ -89,8 +91,8 @@
         .map(|()| true)
     }
 
-    /// While the backend service starts, budgets give the share of their rates that its health
-    /// allows: the sum of what all nodes send rises with the service, however much is wanted.
+    /// Limits the budgets to the share of their rates that the service's health allows. During the
+    /// recovery ramp the total rate of all nodes then rises with the service, whatever the demand.
     pub fn apply_recovery_ramp(&mut self) {
         if let (Some(budgets), Some(health)) =
             (&mut self.shared.budgets, &self.shared.service_health)
@@ -99,14 +101,14 @@
         }
     }
 
-    /// Whether the health of the backend service admits a call.
+    /// Returns whether the health of the backend service admits a call; true if it is not tracked.
     pub fn service_health_admits(&mut self, is_gated: bool) -> bool {
         self.with_service_health(|health, now| health.admits(now, is_gated))
             .unwrap_or(true)
     }
 
-    /// A call to the backend service ended.
-    pub fn note_service_call(&mut self, has_succeeded: bool, latency: Nanos) {
+    /// Records a call to the backend service that ended. A slow call counts as failed.
+    pub fn record_service_call(&mut self, has_succeeded: bool, latency: Nanos) {
         let is_slow = self
             .shared
             .slow_call_threshold
@@ -114,8 +116,8 @@
         self.with_service_health(|health, now| health.call_ended(now, has_succeeded && !is_slow));
     }
 
-    /// Reads or changes the health of the backend service, and logs if the node treats the service
-    /// differently since.
+    /// Applies `f` to the health of the backend service, and logs a change of the health state or a
+    /// rise of the admitted share during recovery. Returns `None` if the health is not tracked.
     pub fn with_service_health<T>(
         &mut self,
         f: impl FnOnce(&mut ServiceHealth, Nanos) -> T,
@@ -144,22 +146,22 @@
         Some(result)
     }
 
-    /// Has a timer fire when the next quota request is due. One that fires too soon only looks
-    /// again.
+    /// Sets a timer for the next quota request, unless an earlier one is set. A timer that fires
+    /// too soon only sets the next one.
     pub fn set_quota_request_timer(&mut self) {
         let due = self
             .rules
             .as_ref()
             .and_then(|rules| rules.next_quota_request(self.now));
         if let Some(due) = due
-            && self.quota_request_due.is_none_or(|set| due < set)
+            && self.quota_request_due.is_none_or(|current| due < current)
         {
             self.quota_request_due = Some(due);
             self.set_timer(due.saturating_sub(self.now), Timer::QuotaRequests);
         }
     }
 
-    /// The timer fired: gives the quota requests that are due.
+    /// Returns the quota requests that are due when the timer fires, and sets the next timer.
     pub fn due_quota_requests(&mut self) -> Vec<QuotaRequest> {
         self.quota_request_due = None;
         let now = self.now;
--- a/crates/node/src/state/timers.rs
+++ b/crates/node/src/state/timers.rs
@@ -1,70 +1,73 @@
-//! The node's timers, by the time at which they are due.
+//! The node's timers, ordered by due time.
 
 use crate::actions::{CallId, ConnectionId};
 use madderpoint::{Nanos, RequestId, TimerId};
 use std::collections::BTreeMap;
 
-/// What happens when a timer fires.
+/// A timer, named after the action that it triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// A timer of the admission controller.
+    /// A timer that the admission controller set.
     Admission(TimerId),
-    /// Gauges are requested, shortly before a timer of the admission controller that uses them.
+    /// Request executor gauges, shortly before a timer of the admission controller that uses them.
     RequestGauges,
-    /// A backend call's time is up.
+    /// Timeout of a backend call.
     BackendCallTimeout(RequestId, CallId),
-    /// The deep health check with this mark has had its time.
+    /// Timeout of the deep health check with this mark.
     HealthCheckTimeout(u64),
-    /// A connection may have been idle for long enough; set for this time.
+    /// Check whether a connection's idle timeout has expired. The second field is the time that the
+    /// timer was set for.
     IdleConnection(ConnectionId, Nanos),
-    /// The link to the executor is replaced, whatever has arrived up to this mark.
+    /// Replace the link to the executor, even if commands up to this mark are not known to have
+    /// arrived.
     ReconnectExecutor(u64),
-    /// An execution of which it is not known whether it runs has had its time to be heard of.
+    /// Fail the request of an uncertain execution if the executor has sent no notice of it.
     UncertainExecution(RequestId),
-    /// The drain grace is over.
+    /// Stop listening at the end of the drain grace.
     StopAccepting,
-    /// All answers are due to be written out.
+    /// Start the quiet period, when all answers are due to be written out.
     QuietPeriod,
-    /// The process ends.
+    /// End the drain, and with it the process.
     DrainOver,
-    /// Periodic: overdue executions and the log of the counts.
+    /// Periodic: query overdue executions and log the totals.
     Housekeeping,
-    /// Periodic: the load hint for the cluster.
+    /// Periodic: send the load hint to the cluster.
     LoadHint,
-    /// Periodic: requests for units of the cluster's budgets.
+    /// Periodic: request units of the cluster's budgets.
     BudgetRequests,
-    /// Requests for units of keyed quotas are due.
+    /// Send the requests for units of keyed quotas that are due.
     QuotaRequests,
-    /// The budgets may have room for a queued backend call.
+    /// Send queued backend calls, because the budgets may have free units.
     QueuedCalls,
-    /// An abandoned call no longer occupies its budget; whether it was a retry.
+    /// Release the budget units of an abandoned call. The field tells whether the call was a retry.
     AbandonedCallExpired(bool),
-    /// Periodic: the report on the backend service.
+    /// Periodic: send the health report on the backend service.
     HealthReport,
-    /// Periodic: the report of counters.
+    /// Periodic: send the counter report.
     CounterReport,
 }
 
-/// Timers that are set; those of one moment fire in the order in which they were set.
+/// The pending timers. Timers with the same due time fire in the order in which they were set.
 #[derive(Debug, Default)]
 pub struct Timers {
     by_due: BTreeMap<(Nanos, u64), Timer>,
-    set_so_far: u64,
+    /// Number of timers set so far; orders timers with the same due time.
+    set_count: u64,
 }
 
 impl Timers {
-    /// Adds a timer that is due at this time.
+    /// Adds a timer that is due at the given time.
     pub fn set(&mut self, due: Nanos, timer: Timer) {
-        self.set_so_far += 1;
-        self.by_due.insert((due, self.set_so_far), timer);
+        self.set_count += 1;
+        self.by_due.insert((due, self.set_count), timer);
     }
 
-    /// When the next timer is due.
+    /// Returns the time at which the next timer is due.
     pub fn next_due(&self) -> Option<Nanos> {
         self.by_due.first_key_value().map(|(&(due, _), _)| due)
     }
 
-    /// Takes the next timer if it is due by now.
+    /// Removes and returns the next timer if it is due by `now`.
     pub fn pop_due(&mut self, now: Nanos) -> Option<Timer> {
         self.next_due().filter(|&due| due <= now)?;
         self.by_due.pop_first().map(|(_, timer)| timer)
