--- a/crates/shared-state/benches/checks.rs
+++ b/crates/shared-state/benches/checks.rs
@@ -1,5 +1,5 @@
-//! What the checks of shared state cost in the path of a request, and what a hundred thousand keys
-//! take. Run: cargo bench -p madderpoint-shared-state
+//! Benchmarks the time of the shared-state checks that are made for each request, and prints the
+//! memory that 100,000 keys take. Run: cargo bench -p madderpoint-shared-state
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use madderpoint_shared_state::counters::{
@@ -40,7 +40,7 @@
     ]
 }
 
-fn by_key(count: u32, burst: u32) -> KeyedQuota {
+fn keyed_quota(count: u32, burst: u32) -> KeyedQuota {
     let kind = QuotaKind::Rate {
         count,
         period: S,
@@ -67,7 +67,7 @@
 fn checks(c: &mut Criterion) {
     let mut group = c.benchmark_group("checks");
     let (mut budgets, mut now) = (NodeBudgets::new(0, &all_budgets()), S);
-    group.bench_function("a call under two budgets, and its end", |b| {
+    group.bench_function("acquire and release under two budgets", |b| {
         b.iter(|| {
             now += 10_000;
             if black_box(budgets.acquire(now, false)).is_ok() {
@@ -76,7 +76,7 @@
         });
     });
     let mut health = ServiceHealth::new(0, 1);
-    group.bench_function("a call by health, and its end", |b| {
+    group.bench_function("health check and result of a call", |b| {
         b.iter(|| {
             now += 10_000;
             if black_box(health.admits(now, false)) {
@@ -85,16 +85,16 @@
         });
     });
     let (mut gate, mut budgets) = (BackendGate::new(0), NodeBudgets::new(0, &all_budgets()));
-    group.bench_function("the gate", |b| {
+    group.bench_function("backend gate", |b| {
         b.iter(|| {
             now += 10_000;
             black_box(gate.admits(now, Some(&mut budgets), Some(&mut health)))
         });
     });
     for keys in [100u64, 100_000] {
-        let quota = by_key(1_000_000, 2_000_000);
+        let quota = keyed_quota(1_000_000, 2_000_000);
         let before = resident_kib();
-        // So quick a timing that all keys are granted units at once.
+        // Requests every nanosecond, so that all keys are granted units before the measurement.
         let timing = QuotaTiming {
             request_interval: 1,
             renewal_interval: 3600 * S,
@@ -138,7 +138,7 @@
             resident_kib().saturating_sub(before)
         );
         let mut rng = Pcg64Mcg::seed_from_u64(1);
-        group.bench_function(format!("one of {keys} keys"), |b| {
+        group.bench_function(format!("check and acquire one of {keys} keys"), |b| {
             b.iter(|| {
                 now += 1000;
                 let key = rng.random_range(0..keys);
@@ -149,7 +149,7 @@
         });
     }
     let mut counters = ProcessCounters::new(0);
-    group.bench_function("counting a request", |b| {
+    group.bench_function("count a request", |b| {
         b.iter(|| {
             now += 1000;
             let unix = now / 1_000_000;
@@ -165,9 +165,9 @@
     group.finish();
 }
 
-/// A request of 48 keys at the leader, with 300 nodes and a hundred thousand keys.
+/// Benchmarks a quota request with 48 keys at the leader, with 300 nodes and 100,000 keys.
 fn quota_lender(c: &mut Criterion) {
-    let quota = by_key(100, 2000);
+    let quota = keyed_quota(100, 2000);
     let before = resident_kib();
     let mut lender = QuotaLender::new(
         0,
@@ -179,7 +179,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(2);
     let mut now = 1000 * S;
     let mut number = 0;
-    let mut question = |rng: &mut Pcg64Mcg| {
+    let mut random_request = |rng: &mut Pcg64Mcg| {
         number += 1;
         let key = |rng: &mut Pcg64Mcg| KeyRequest {
             quota: quota.id(),
@@ -198,7 +198,7 @@
         )
     };
     for _ in 0..20_000 {
-        let (borrower_key, request) = question(&mut rng);
+        let (borrower_key, request) = random_request(&mut rng);
         let _ = lender.request(
             now,
             ProcessId {
@@ -220,7 +220,7 @@
     c.bench_function("lender: a request of 48 of 100,000 keys", |b| {
         b.iter(|| {
             now += 100_000;
-            let (borrower_key, request) = question(&mut rng);
+            let (borrower_key, request) = random_request(&mut rng);
             black_box(lender.request(
                 now,
                 ProcessId {
--- a/crates/shared-state/src/backend_gate.rs
+++ b/crates/shared-state/src/backend_gate.rs
@@ -1,51 +1,55 @@
-//! Admits requests that need a backend call only as fast as calls find room. Others are rejected
-//! before they run, with the time to come back: a request that runs up to a call that can't be made
-//! would use a core and fail there.
+//! Admits requests that need a backend call only as fast as backend calls can be made. Other
+//! requests are rejected before they run, with a Retry-After: a request that runs up to a call that
+//! cannot be made would use a core and then fail.
 
 use crate::budget::NodeBudgets;
 use crate::service_health::{HealthState, ServiceHealth, take_credit};
 use crate::{MILLISECOND, Nanos, SECOND};
 
-/// The time whose unused admissions may be saved up, in nanoseconds.
+/// Limit on saved admissions, as the time in nanoseconds in which they accumulate.
 const BURST: Nanos = 250 * MILLISECOND;
-/// The fewest admissions that may be saved up.
+/// Lower bound of the limit on saved admissions.
 const MIN_BURST_REQUESTS: f64 = 2.0;
-/// The weight of one request in the mean of calls for a request.
+/// Weight of one request in the moving average of calls per request.
 const CALLS_MEAN_WEIGHT: f64 = 0.05;
-/// The least mean of calls for a request.
+/// Lower bound of the moving average of calls per request.
 const MIN_CALLS_PER_REQUEST: f64 = 0.05;
-/// The part of the calls a second that is admitted: calls come less evenly than requests.
+/// Fraction of the allowed calls per second for which requests are admitted. It is below 1 because
+/// calls arrive less evenly than requests.
 const ADMITTED_PART: f64 = 0.95;
-/// The time between two requests that are admitted to probe an unavailable service, in nanoseconds.
+/// Minimum time between two requests that are admitted to probe an unavailable service, in
+/// nanoseconds.
 const PROBE_INTERVAL: Nanos = 500 * MILLISECOND;
-/// The bounds of a Retry-After, in nanoseconds.
+/// Lower and upper bound of a Retry-After that follows from the budgets, in nanoseconds.
 const RETRY_AFTER_BOUNDS: (Nanos, Nanos) = (MILLISECOND, 10 * SECOND);
 
-/// Requests that were admitted and rejected.
+/// Numbers of requests that a [`BackendGate`] admitted and rejected since it was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GateCounts {
-    /// Requests that were admitted.
+    /// Number of admitted requests.
     pub admitted: u64,
-    /// Requests that were rejected.
+    /// Number of rejected requests.
     pub rejected: u64,
 }
 
-/// Admits requests that need a backend call by the room there is for calls.
+/// Decides which requests that need a backend call may run, by the budgets and the health of the
+/// backend service.
 #[derive(Clone, Debug)]
 pub struct BackendGate {
-    /// Requests that may be admitted now, as of `refilled_at`.
+    /// Number of requests that may be admitted at `refilled_at`.
     tokens: f64,
     refilled_at: Nanos,
-    /// The mean number of calls for a request.
+    /// Moving average of the number of calls per request.
     calls_per_request: f64,
-    /// Accumulates the admitted share of a service that is thinned out.
+    /// Accumulates the admitted share of a degraded or recovering service; each whole unit admits
+    /// one request.
     admission_credit: f64,
     last_probe_at: Nanos,
     counts: GateCounts,
 }
 
 impl BackendGate {
-    /// A gate without saved admissions.
+    /// Creates a gate without saved admissions.
     pub fn new(now: Nanos) -> BackendGate {
         BackendGate {
             tokens: 0.0,
@@ -57,7 +61,8 @@
         }
     }
 
-    /// Whether one more request may run; else after how many nanoseconds it should come back.
+    /// Admits one more request, or returns the Retry-After in nanoseconds of a rejected one. Without
+    /// `budgets` or `health`, the respective check passes.
     pub fn admits(
         &mut self,
         now: Nanos,
@@ -78,11 +83,11 @@
         admits
     }
 
-    /// Admits by the health of the backend service.
+    /// Checks a request against the health of the backend service.
     fn check_health(&mut self, now: Nanos, health: &mut ServiceHealth) -> Result<(), Nanos> {
         let admits = match health.state() {
             HealthState::Healthy => true,
-            // A prober needs a request to probe it with.
+            // A prober needs a request whose backend call probes the service.
             HealthState::Unavailable => {
                 let probes = health.is_probe_due(now) && now >= self.last_probe_at + PROBE_INTERVAL;
                 if probes {
@@ -101,7 +106,7 @@
         }
     }
 
-    /// Admits by the budgets: as many requests as there are calls for.
+    /// Checks a request against the budgets: admits as many requests as there are calls for.
     fn check_budgets(&mut self, now: Nanos, budgets: &mut NodeBudgets) -> Result<(), Nanos> {
         if let Some(retry_after) = budgets.retry_after_if_full(now) {
             budgets.note_unmet_demand(now);
@@ -111,15 +116,15 @@
             return Ok(());
         };
         let rate = ADMITTED_PART * calls_per_second / self.calls_per_request;
-        let passed = now.saturating_sub(std::mem::replace(&mut self.refilled_at, now)) as f64
+        let elapsed = now.saturating_sub(std::mem::replace(&mut self.refilled_at, now)) as f64
             / SECOND as f64;
-        let most = (rate * BURST as f64 / SECOND as f64).max(MIN_BURST_REQUESTS);
-        self.tokens = (self.tokens + rate * passed).min(most);
+        let max_tokens = (rate * BURST as f64 / SECOND as f64).max(MIN_BURST_REQUESTS);
+        self.tokens = (self.tokens + rate * elapsed).min(max_tokens);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
         }
-        // A request that is rejected here never attempts its call, which is demand all the same.
+        // A request that is rejected here never attempts its call, but the call counts as demand.
         budgets.note_unmet_demand(now);
         let retry_after = if rate > 0.0 {
             ((1.0 - self.tokens) / rate * SECOND as f64) as Nanos
@@ -129,14 +134,14 @@
         Err(retry_after.clamp(RETRY_AFTER_BOUNDS.0, RETRY_AFTER_BOUNDS.1))
     }
 
-    /// A request that was admitted has ended after this many calls.
+    /// Records that an admitted request has ended after `calls` backend calls.
     pub fn request_ended(&mut self, calls: u32) {
         let distance = f64::from(calls) - self.calls_per_request;
         self.calls_per_request =
             (self.calls_per_request + CALLS_MEAN_WEIGHT * distance).max(MIN_CALLS_PER_REQUEST);
     }
 
-    /// Requests that were admitted and rejected.
+    /// Returns the numbers of admitted and rejected requests.
     pub fn counts(&self) -> GateCounts {
         self.counts
     }
--- a/crates/shared-state/src/backend_gate/tests.rs
+++ b/crates/shared-state/src/backend_gate/tests.rs
@@ -15,15 +15,15 @@
 }
 
 #[test]
-fn as_many_requests_are_admitted_as_there_are_calls_for_and_the_rest_is_told_when_to_come_back() {
+fn requests_are_admitted_at_the_rate_of_calls_and_the_rest_get_a_retry_after() {
     let (mut gate, mut budgets) = (BackendGate::new(0), budgets(10));
-    let (mut admitted, mut calls, mut waiting, mut waits) = (0, 0, 0, Vec::new());
+    let (mut admitted, mut calls, mut waiting, mut retry_afters) = (0, 0, 0, Vec::new());
     for ms in 0..10_000 {
         let now = ms * MILLISECOND;
         if ms % 20 == 0 {
             match gate.admits(now, Some(&mut budgets), None) {
                 Ok(()) => (admitted, waiting) = (admitted + 1, waiting + 1),
-                Err(wait) => waits.push(wait),
+                Err(retry_after) => retry_afters.push(retry_after),
             }
         }
         if waiting > 0 && budgets.acquire(now, false).is_ok() {
@@ -31,19 +31,21 @@
             gate.request_ended(1);
         }
     }
-    // Ten a second, of fifty that arrive; and their calls find units soon.
+    // 10 of 50 arriving requests per second are admitted, and their calls soon find units.
     assert!(
         (92..=99).contains(&admitted) && waiting <= 2 && calls >= admitted - 2,
         "{admitted} {calls}"
     );
     assert!(
-        waits.iter().all(|wait| *wait <= 110 * MILLISECOND),
+        retry_afters
+            .iter()
+            .all(|retry_after| *retry_after <= 110 * MILLISECOND),
         "{:?}",
-        waits.iter().max()
+        retry_afters.iter().max()
     );
 }
 
-/// Rejected requests count as demand, or nothing would ever be requested.
+/// If rejected requests did not count as demand, the node would never request units.
 #[test]
 fn rejected_requests_count_as_demand() {
     let kind = BudgetKind::Rate { burst: SECOND / 20 };
@@ -67,11 +69,11 @@
 }
 
 #[test]
-fn an_unavailable_service_admits_probes_and_a_recovering_one_its_share() {
+fn only_probes_pass_while_unavailable_and_the_admitted_share_while_recovering() {
     let (mut gate, mut health) = (BackendGate::new(0), ServiceHealth::new(0, 0));
     (0..20).for_each(|_| health.call_ended(SECOND, false));
     let now = 60 * SECOND;
-    // A node that is alone probes every 5 s, if the admitted request makes its call.
+    // A node without other members probes every 5 s if the admitted request makes its call.
     let mut admitted = 0;
     for tenths in 0..100 {
         let now = now + tenths * SECOND / 10;
@@ -98,7 +100,7 @@
 }
 
 #[test]
-fn requests_that_call_twice_are_admitted_half_as_often() {
+fn two_calls_per_request_halve_the_admission_rate() {
     let (mut gate, mut budgets) = (BackendGate::new(0), budgets(10));
     (0..200).for_each(|_| gate.request_ended(2));
     let admitted = (0..1000)
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -1,13 +1,14 @@
-//! Counters that a cluster adds up: each process counts for itself ([`ProcessCounters`]) and reports
-//! its sums; every receiver of the reports ([`ClusterCounters`]), in any order and any number of
-//! times, comes to the same totals. What a process counts only grows, so of two reports the larger
-//! number counts, column by column; a node that restarts is another process, so that nothing is
-//! counted twice.
+//! Counters that are summed over a cluster. Each process counts its own events
+//! ([`ProcessCounters`]) and reports its sums. Every receiver ([`ClusterCounters`]) computes the same
+//! totals from the same reports, in whatever order and however often they arrive. The counts of a
+//! process never decrease, so the larger number of two reports is the newer one, column by column.
+//! A node that restarts is a new process, so no event is counted twice.
 //!
-//! A killed process takes with it what it had not reported. Memory is bounded: windows expire, and
-//! processes that have left the cluster and were silent for long are added to one sum. They are
-//! remembered beside it, so that one that was only cut off is taken out of the sum again; after that
-//! time its reports would count a second time.
+//! Counts that a process had not reported when it was killed are lost. Memory is bounded: windows
+//! expire, and processes that have left the cluster and have not reported for a long time are added
+//! to one sum. Each of these retired processes is remembered for a time in addition to the sum, so
+//! that one that was only cut off is taken out of the sum again when it reports. Reports that arrive
+//! after that time are counted a second time.
 
 mod cluster_counters;
 pub mod heavy_hitters;
@@ -22,26 +23,27 @@
 use latency_histogram::{LatencyHistogram, Sparse};
 use std::collections::BTreeMap;
 
-/// The length of a window, by each process's Unix clock, in milliseconds.
+/// Length of a window by the Unix clock of the process, in milliseconds.
 pub const WINDOW_MS: u64 = 10_000;
-/// Windows of a process that are kept.
+/// Maximum number of windows that are kept per process.
 pub const WINDOWS: usize = 8;
-/// The most rows of a process: operations, and the process itself.
+/// Maximum number of rows of a process: one per operation and one for the process itself.
 pub const MAX_ROWS: usize = 32;
-/// The most kinds of heavy keys.
+/// Maximum number of kinds of heavy keys ([`heavy_kind`]).
 pub const MAX_HEAVY_KINDS: usize = 4;
-/// Bytes that a process takes in [`ClusterCounters`]: eight rows, their windows, four operations'
-/// latencies and three kinds of heavy keys, measured and rounded up.
+/// Memory that a process takes in [`ClusterCounters`], in bytes and rounded up: eight rows, their
+/// windows, the latencies of four operations and three kinds of heavy keys.
 pub const PROCESS_BYTES: usize = 12 << 10;
-/// Columns of a row.
+/// Number of columns of a row.
 pub const COLUMNS: usize = 8;
 
-/// The numbers of an operation, or of the process itself.
+/// The counts of an operation ([`operation_column`]) or of the process itself
+/// ([`process_column`]).
 pub type CounterRow = [u64; COLUMNS];
-/// Rows by the hash of the operation's name; [`PROCESS_ROW`] is the process itself.
+/// Rows by the hash of the operation's name; [`PROCESS_ROW`] holds the counts of the process itself.
 pub type CounterRows = BTreeMap<u32, CounterRow>;
 
-/// The row of the process itself.
+/// Key of the row that holds the counts of the process itself.
 pub const PROCESS_ROW: u32 = 0;
 
 /// Columns of an operation's row.
@@ -56,15 +58,15 @@
     pub const FAILED: usize = 3;
     /// Requests that succeeded after the latency objective.
     pub const LATE: usize = 4;
-    /// Priority weight of the answers in time, in thousandths.
+    /// Sum of the priority weights of answers within the latency objective, in thousandths.
     pub const EARNED_WEIGHT: usize = 5;
-    /// Priority weight of all requests, in thousandths.
+    /// Sum of the priority weights of all requests that arrived, in thousandths.
     pub const OFFERED_WEIGHT: usize = 6;
-    /// Repeats of an earlier request.
+    /// Requests that repeat an earlier request.
     pub const REPEATS: usize = 7;
 }
 
-/// Columns of the process's own row.
+/// Columns of the row of the process itself.
 pub mod process_column {
     /// Backend calls that were made.
     pub const CALLS: usize = 0;
@@ -72,55 +74,55 @@
     pub const CALLS_FAILED: usize = 1;
     /// Backend calls that retry a failed one.
     pub const CALLS_RETRIED: usize = 2;
-    /// Backend calls for which a budget had no unit.
+    /// Backend calls that a budget refused because it had no unit left.
     pub const CALLS_OVER_BUDGET: usize = 3;
     /// Requests rejected by keyed quotas.
     pub const OVER_QUOTA: usize = 4;
-    /// Requests rejected because their backend call would find no room.
+    /// Requests rejected by the backend gate for lack of backend capacity.
     pub const NO_BACKEND_CAPACITY: usize = 5;
     /// Violations of invariants.
     pub const INVARIANT_VIOLATIONS: usize = 6;
-    /// Starts of the process: 1.
+    /// Starts of the process, always 1; the sum over the cluster is the number of starts.
     pub const STARTS: usize = 7;
 }
 
-/// Kinds of heavy keys.
+/// Kinds of heavy keys, with what each kind counts.
 pub mod heavy_kind {
-    /// Clients by their requests.
+    /// Clients by number of requests.
     pub const CLIENTS: u8 = 0;
-    /// Clients by their repeats.
+    /// Clients by number of repeated requests.
     pub const REPEATERS: u8 = 1;
-    /// Keys over a keyed quota.
+    /// Keys by number of requests that exceeded their keyed quota.
     pub const OVER_QUOTA: u8 = 2;
 }
 
-/// What was counted in a time.
+/// The counts of one window, or the sum of several windows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CounterWindow {
-    /// Counts.
+    /// Counts by row.
     pub rows: CounterRows,
-    /// Latencies by row.
+    /// Latency histograms by row.
     pub latency: BTreeMap<u32, Sparse>,
-    /// Heavy keys by kind.
+    /// Heavy keys by kind ([`heavy_kind`]).
     pub heavy: BTreeMap<u8, HeavyHitters>,
-    /// The most memory in KB, and the most file descriptors, that were seen.
+    /// Maximum memory in KB and maximum number of open file descriptors.
     pub gauges: [u64; 2],
 }
 
-/// What one process reports of its counters, or a part of that.
+/// A report of the counters of one process, or a part of such a report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CounterReport {
-    /// The process.
+    /// The process that counted.
     pub process: ProcessId,
-    /// The version that it runs, as a number.
+    /// Number of the version that the process runs.
     pub version: u64,
-    /// Counts since its start.
+    /// Counts since the start of the process, by row.
     pub total: CounterRows,
-    /// Windows by their number: Unix milliseconds divided by [`WINDOW_MS`].
+    /// Windows by number, which is the Unix time in milliseconds divided by [`WINDOW_MS`].
     pub windows: BTreeMap<u64, CounterWindow>,
 }
 
-/// Raises each number to the reported one, if that is larger.
+/// Raises each count to the reported one if that is larger. Rows beyond [`MAX_ROWS`] are ignored.
 fn raise_rows(into: &mut CounterRows, reported: &CounterRows) {
     for (row, numbers) in reported {
         if into.len() >= MAX_ROWS && !into.contains_key(row) {
@@ -157,7 +159,7 @@
     }
 }
 
-/// The sum of all numbers, which only grows.
+/// Returns the sum of all counts of the rows, which never decreases between reports of a process.
 fn sum_rows(rows: &CounterRows) -> u64 {
     rows.values()
         .flatten()
@@ -169,7 +171,8 @@
 }
 
 impl CounterWindow {
-    /// Takes up another report of the same window: the larger counts, part by part.
+    /// Merges another report of the same window: keeps the larger of each two counts, and of each two
+    /// histograms or summaries the one with more occurrences.
     fn raise(&mut self, reported: &CounterWindow) {
         raise_rows(&mut self.rows, &reported.rows);
         for (row, sparse) in reported.latency.iter().take(MAX_ROWS) {
@@ -187,7 +190,7 @@
         raise(&mut self.gauges, &reported.gauges);
     }
 
-    /// Adds the counts of another process or window.
+    /// Adds the counts of another process or window; of the gauges, the larger ones are kept.
     pub fn add(&mut self, other: &CounterWindow) {
         add_rows(&mut self.rows, &other.rows);
         for (row, sparse) in &other.latency {
--- a/crates/shared-state/src/counters/cluster_counters.rs
+++ b/crates/shared-state/src/counters/cluster_counters.rs
@@ -1,4 +1,4 @@
-//! The counters of all processes of a cluster, as a voter keeps them.
+//! The counters of all processes of a cluster, which each voter keeps.
 
 use super::{
     CounterReport, CounterRows, CounterWindow, WINDOW_MS, WINDOWS, add_rows, raise_rows,
@@ -7,30 +7,35 @@
 use crate::{Nanos, ProcessId, SECOND};
 use std::collections::BTreeMap;
 
-/// Of a process's windows, the latest ones whose latencies and heavy keys are kept.
+/// Number of latest windows of a process whose latencies and heavy keys are kept; older windows
+/// keep only their counts.
 pub(super) const DETAILED_WINDOWS: usize = 3;
-/// A process that has left and was silent for this long is added to the sum, in nanoseconds.
+/// Time in nanoseconds after which a process that has left the cluster and has reported nothing new
+/// is added to the sum of retired processes.
 pub(super) const RETIRE_AFTER: Nanos = 600 * SECOND;
-/// It is remembered beside the sum for this long, in nanoseconds: longer than a partition should
-/// last, and than a datagram is accepted.
+/// Time in nanoseconds for which the counts of a retired process are remembered. It is longer than a
+/// partition should last and longer than a datagram is accepted.
 const REMEMBER_RETIRED: Nanos = 24 * 3600 * SECOND;
-/// Retired processes are remembered up to this many times the processes that are kept apart.
+/// Maximum number of remembered retired processes, as a multiple of the maximum number of processes
+/// that are kept separately.
 const RETIRED_PER_PROCESS: usize = 4;
 
-/// What is known of a process.
+/// The merged reports of one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ProcessRecord {
     version: u64,
     total: CounterRows,
     windows: BTreeMap<u64, CounterWindow>,
-    /// The version that it ran in each window, as reported when that window was its latest.
+    /// The version that the process ran in each window, from the reports in which that window was the
+    /// latest.
     versions: BTreeMap<u64, u64>,
-    /// When a report last brought something new.
+    /// Time of the last report that changed the counts or added a window.
     updated_at: Nanos,
 }
 
 impl ProcessRecord {
-    /// How far it is known: changes with each report that brings something new.
+    /// Returns the sum of all counts and the number of the latest window. A report that brings new
+    /// data changes at least one of them.
     fn extent(&self) -> (u64, Option<u64>) {
         let latest = self.windows.last_key_value().map(|(number, _)| *number);
         (sum_rows(&self.total), latest)
@@ -61,35 +66,37 @@
     }
 }
 
-/// A window of a process.
+/// A window of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessWindow<'a> {
-    /// The process.
+    /// The process that counted.
     pub process: ProcessId,
-    /// The window's number: Unix milliseconds divided by [`WINDOW_MS`].
+    /// Number of the window: the Unix time in milliseconds divided by [`WINDOW_MS`].
     pub number: u64,
-    /// The version that the process ran in it.
+    /// Number of the version that the process ran in this window.
     pub version: u64,
-    /// Whether it is the process's first window.
+    /// Whether this is the first window since the process started.
     pub is_first: bool,
-    /// What was counted.
+    /// The counts of the window.
     pub window: &'a CounterWindow,
 }
 
-/// The counters of all processes.
+/// The counters of all processes of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterCounters {
     processes: BTreeMap<ProcessId, ProcessRecord>,
-    /// The sum of the processes that have left, and when each was added with which counts.
+    /// The sum of the counts of all retired processes.
     retired_total: CounterRows,
+    /// The remembered retired processes, each with the time at which it was retired and its share of
+    /// `retired_total`.
     retired: BTreeMap<ProcessId, (Nanos, CounterRows)>,
     max_processes: usize,
-    /// Reports for which there was no room.
+    /// Number of reports dropped because `max_processes` was reached.
     refused: u64,
 }
 
 impl ClusterCounters {
-    /// Counters of at most this many processes that are kept apart.
+    /// Creates empty counters that keep at most `max_processes` processes separately, at least 1.
     pub fn new(max_processes: usize) -> ClusterCounters {
         ClusterCounters {
             processes: BTreeMap::new(),
@@ -100,7 +107,8 @@
         }
     }
 
-    /// Takes up a report, from the process itself or by way of another.
+    /// Merges a report, which may come from the process itself or from another receiver. `now` is in
+    /// nanoseconds.
     pub fn merge(&mut self, now: Nanos, report: &CounterReport) {
         if self.is_retired_with(report) {
             return;
@@ -118,8 +126,9 @@
         }
     }
 
-    /// Whether the sum of retired processes holds all of a report. A retired process that reports
-    /// more was only cut off: it is taken out of the sum again.
+    /// Returns whether the process is retired and the sum of retired processes includes all counts of
+    /// the report. A retired process that reports larger counts was only cut off and is taken out of
+    /// the sum again.
     fn is_retired_with(&mut self, report: &CounterReport) -> bool {
         let Some((_, counted)) = self.retired.get(&report.process) else {
             return false;
@@ -142,7 +151,8 @@
         false
     }
 
-    /// All that is known of a process, to be sent to a voter that lacks it.
+    /// Returns the merged report of a process, for a voter that lacks it; `None` if the process is
+    /// unknown or retired.
     pub fn report(&self, process: ProcessId) -> Option<CounterReport> {
         let record = self.processes.get(&process)?;
         Some(CounterReport {
@@ -153,17 +163,19 @@
         })
     }
 
-    /// How far each process is known: the sum of all its numbers, which only grow.
+    /// Returns for each process the sum of all its counts. The sum never decreases, so a voter with a
+    /// smaller sum lacks reports.
     pub fn progress(&self) -> impl Iterator<Item = (ProcessId, u64)> {
         self.processes
             .iter()
             .map(|(process, record)| (*process, sum_rows(&record.total)))
     }
 
-    /// Adds processes to the sum that have left the cluster and were silent for long, and forgets
-    /// retired ones after their time.
+    /// Retires processes that are not members of the cluster and have reported nothing new for 600 s:
+    /// adds their counts to the sum. Forgets retired processes after 24 h, or earlier if there are
+    /// too many.
     pub fn retire(&mut self, now: Nanos, is_member: impl Fn(ProcessId) -> bool) {
-        let silent: Vec<ProcessId> = self
+        let to_retire: Vec<ProcessId> = self
             .processes
             .iter()
             .filter(|(process, record)| {
@@ -171,7 +183,7 @@
             })
             .map(|(process, _)| *process)
             .collect();
-        for process in silent {
+        for process in to_retire {
             if let Some(record) = self.processes.remove(&process) {
                 add_rows(&mut self.retired_total, &record.total);
                 self.retired.insert(process, (now, record.total));
@@ -189,7 +201,7 @@
         }
     }
 
-    /// All rows over the whole cluster, since each process started.
+    /// Returns the totals of all rows over all processes, including retired ones.
     pub fn total(&self) -> CounterRows {
         let mut total = self.retired_total.clone();
         self.processes
@@ -198,8 +210,8 @@
         total
     }
 
-    /// The sum of the last complete windows, at the processes that `includes` picks by id and
-    /// version.
+    /// Returns the sum of the last `windows` complete windows before `unix_ms`, over the processes for
+    /// whose id and version `includes` returns true.
     pub fn recent(
         &self,
         unix_ms: u64,
@@ -223,7 +235,7 @@
         sum
     }
 
-    /// All windows from this number on.
+    /// Returns all kept windows with at least this number, by process.
     pub fn windows(&self, from: u64) -> impl Iterator<Item = ProcessWindow<'_>> {
         self.processes.iter().flat_map(move |(process, record)| {
             let first = record.windows.first_key_value().map(|(number, _)| *number);
@@ -245,19 +257,19 @@
         })
     }
 
-    /// Processes that are kept apart, each with its version.
+    /// Returns the processes that are kept separately, each with its version.
     pub fn processes(&self) -> impl Iterator<Item = (ProcessId, u64)> {
         self.processes
             .iter()
             .map(|(process, record)| (*process, record.version))
     }
 
-    /// How many retired processes are remembered beside the sum.
+    /// Returns the number of retired processes that are remembered.
     pub fn retired(&self) -> usize {
         self.retired.len()
     }
 
-    /// Reports of processes for which there was no room.
+    /// Returns the number of reports dropped because too many processes were kept.
     pub fn refused(&self) -> u64 {
         self.refused
     }
--- a/crates/shared-state/src/counters/heavy_hitters.rs
+++ b/crates/shared-state/src/counters/heavy_hitters.rs
@@ -1,23 +1,25 @@
-//! The most frequent keys, in little memory: a Misra-Gries summary. A key that occurred n times is
-//! counted at most n times, and at least n less the error, which is at most all occurrences divided
-//! by one more than the entries. Summaries of several processes add up to one with the same bound for
-//! all of them together (Agarwal and others, Mergeable summaries, 2012).
+//! The most frequent keys in bounded memory, as a Misra-Gries summary. The count of a key that
+//! occurred n times is at most n and at least n minus the error. The error is at most the number of
+//! all occurrences divided by ([`ENTRIES`] + 1). The merged summary of several processes keeps this
+//! bound for the sum of their occurrences (Agarwal and others, Mergeable summaries, 2012).
 
 use std::collections::BTreeMap;
 
-/// Entries of a summary: keys with more than one in 25 of all occurrences are surely in it.
+/// Maximum number of entries of a summary. Each key with more than 1 in 25 of all occurrences has an
+/// entry.
 pub const ENTRIES: usize = 24;
 
-/// A summary.
+/// A Misra-Gries summary of the occurrences of keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeavyHitters {
-    /// All occurrences of all keys.
+    /// Number of occurrences of all keys, including those without an entry.
     pub total: u64,
     entries: BTreeMap<u64, u64>,
 }
 
 impl HeavyHitters {
-    /// A summary from a message; entries beyond [`ENTRIES`] are ignored, counts capped at the total.
+    /// Creates a summary from the fields of a message. Entries beyond [`ENTRIES`] are ignored, and
+    /// counts are capped at `total`.
     pub fn from_parts(total: u64, entries: impl Iterator<Item = (u64, u64)>) -> HeavyHitters {
         let mut heavy = HeavyHitters {
             total,
@@ -29,7 +31,7 @@
         heavy
     }
 
-    /// Counts occurrences of a key.
+    /// Adds `times` occurrences of a key.
     pub fn add(&mut self, key: u64, times: u64) {
         self.total = self.total.saturating_add(times);
         if self.entries.len() < ENTRIES || self.entries.contains_key(&key) {
@@ -37,7 +39,7 @@
             *count = count.saturating_add(times);
             return;
         }
-        // It cancels against all entries alike.
+        // The new key and all entries lose the same count, which keeps the error bound.
         let less = self.entries.values().copied().min().unwrap_or(0).min(times);
         self.entries.retain(|_, count| {
             *count -= less;
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Adds another summary.
+    /// Merges another summary into this one.
     pub fn merge(&mut self, other: &HeavyHitters) {
         self.total = self.total.saturating_add(other.total);
         for (key, times) in &other.entries {
@@ -58,8 +60,8 @@
         self.prune();
     }
 
-    /// Subtracts from all entries the count of the first one beyond their bound, so that it and
-    /// those below go.
+    /// Subtracts the count of the largest surplus entry from all entries, which removes the surplus
+    /// entries.
     fn prune(&mut self) {
         if self.entries.len() <= ENTRIES {
             return;
@@ -73,14 +75,14 @@
         });
     }
 
-    /// The most by which a count may be too low.
+    /// Returns the maximum by which a count may be too low.
     pub fn error(&self) -> u64 {
-        // What is missing was subtracted from more than `ENTRIES` entries alike.
+        // Each missing occurrence was subtracted along with `ENTRIES` others, from as many keys.
         let counted: u64 = self.entries.values().sum();
         (self.total - counted.min(self.total)) / (ENTRIES as u64 + 1)
     }
 
-    /// Keys with their counts, the most frequent ones first.
+    /// Returns the keys with their counts, in descending order of the counts.
     pub fn top(&self) -> Vec<(u64, u64)> {
         let mut top: Vec<(u64, u64)> = self
             .entries
--- a/crates/shared-state/src/counters/heavy_hitters/tests.rs
+++ b/crates/shared-state/src/counters/heavy_hitters/tests.rs
@@ -2,15 +2,16 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Streams with a few heavy keys among many, cut among processes at random and added up in any
-/// order: a count is never more than the occurrences and never less by more than the error, which
-/// keeps its bound; and the heavy keys are there.
+/// Distributes streams with a few heavy keys among many light ones over processes at random and
+/// merges their summaries in random order. Guards against counts above the true number or below it by
+/// more than the error, an error above its bound, and heavy keys that are missing.
 #[test]
-fn sums_of_summaries_keep_their_error() {
+fn merged_summaries_keep_the_error_bound() {
     for seed in 0..60 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut true_counts: BTreeMap<u64, u64> = BTreeMap::new();
-        let mut of: Vec<HeavyHitters> = vec![HeavyHitters::default(); rng.random_range(1..9)];
+        let mut summaries: Vec<HeavyHitters> =
+            vec![HeavyHitters::default(); rng.random_range(1..9)];
         let all = rng.random_range(100..20_000u64);
         for _ in 0..all {
             let heavy = rng.random_bool(0.4);
@@ -20,12 +21,12 @@
                 rng.random_range(100..5000)
             };
             *true_counts.entry(key).or_default() += 1;
-            let n = rng.random_range(0..of.len());
-            of[n].add(key, 1);
+            let n = rng.random_range(0..summaries.len());
+            summaries[n].add(key, 1);
         }
         let mut sum = HeavyHitters::default();
-        while !of.is_empty() {
-            let one = of.swap_remove(rng.random_range(0..of.len()));
+        while !summaries.is_empty() {
+            let one = summaries.swap_remove(rng.random_range(0..summaries.len()));
             sum.merge(&one);
         }
         assert_eq!(sum.total, all);
@@ -36,10 +37,10 @@
         );
         assert!(sum.top().len() <= ENTRIES);
         for (key, count) in &true_counts {
-            let held = sum.entries.get(key).copied().unwrap_or(0);
+            let counted = sum.entries.get(key).copied().unwrap_or(0);
             assert!(
-                held <= *count && held + sum.error() >= *count,
-                "seed {seed}: key {key}, {held} of {count}"
+                counted <= *count && counted + sum.error() >= *count,
+                "seed {seed}: key {key}, {counted} of {count}"
             );
         }
         let first: Vec<u64> = sum.top().iter().take(4).map(|(key, _)| *key).collect();
--- a/crates/shared-state/src/counters/latency_histogram/tests.rs
+++ b/crates/shared-state/src/counters/latency_histogram/tests.rs
@@ -4,28 +4,31 @@
 use rand_pcg::Pcg64Mcg;
 
 #[test]
-fn histograms_from_messages_add_up_to_the_whole_within_a_digit() {
+fn merged_histograms_match_the_true_quantiles_to_one_digit() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let mut of = vec![LatencyHistogram::default(); 7];
+    let mut histograms = vec![LatencyHistogram::default(); 7];
     let mut all: Vec<Nanos> = Vec::new();
     for _ in 0..20_000 {
         let time = (rng.random_range(0.0..9.0f64).exp() * 1e6) as Nanos;
-        let n = rng.random_range(0..of.len());
-        of[n].record(time);
+        let n = rng.random_range(0..histograms.len());
+        histograms[n].record(time);
         all.push(time);
     }
     all.sort_unstable();
     let mut sum = LatencyHistogram::default();
-    for one in &of {
-        let sparse = one.sparse();
+    for histogram in &histograms {
+        let sparse = histogram.sparse();
         assert!(sparse.len() <= MAX_SPARSE_VALUES);
         sum.merge(&sparse);
     }
     assert_eq!(sum.count(), 20_000);
     for part in [0.1, 0.5, 0.9, 0.99] {
-        let (true_one, told) = (all[(part * 20_000.0) as usize], sum.quantile(part));
-        let off = told as f64 / true_one as f64;
-        assert!((0.9..=1.12).contains(&off), "{part}: {told} for {true_one}");
+        let (expected, actual) = (all[(part * 20_000.0) as usize], sum.quantile(part));
+        let ratio = actual as f64 / expected as f64;
+        assert!(
+            (0.9..=1.12).contains(&ratio),
+            "{part}: {actual} for {expected}"
+        );
     }
     let longer = all.iter().filter(|time| **time > 500 * MILLISECOND).count() as f64;
     assert!((sum.longer_than(500 * MILLISECOND) as f64 / longer - 1.0).abs() < 0.05);
--- a/crates/shared-state/src/counters/process_counters.rs
+++ b/crates/shared-state/src/counters/process_counters.rs
@@ -1,4 +1,4 @@
-//! What a process counts of itself.
+//! The counters that a process keeps of its own events.
 
 use super::latency_histogram::LatencyHistogram;
 use super::{
@@ -8,7 +8,7 @@
 use crate::{Nanos, ProcessId};
 use std::collections::BTreeMap;
 
-/// Windows that [`ProcessCounters::recent`] covers.
+/// Number of latest windows that [`ProcessCounters::recent`] covers.
 const RECENT_WINDOWS: usize = 2;
 
 /// The counters of this process.
@@ -18,12 +18,12 @@
     windows: BTreeMap<u64, CounterWindow>,
     /// Latencies of the latest window, by row.
     latency: BTreeMap<u32, LatencyHistogram>,
-    /// The latest window's number.
+    /// Number of the latest window.
     latest: u64,
 }
 
 impl ProcessCounters {
-    /// The counters of a process that has just started.
+    /// Creates the counters of a process that has just started, with one start counted.
     pub fn new(unix_ms: u64) -> ProcessCounters {
         let mut counters = ProcessCounters::default();
         counters.add(unix_ms, PROCESS_ROW, process_column::STARTS, 1);
@@ -48,19 +48,21 @@
         self.windows.entry(number).or_default()
     }
 
-    /// Adds to a column of a row. Rows beyond [`MAX_ROWS`] are not counted.
+    /// Adds `times` to a column of a row, in the total and in the window of `unix_ms`. Rows beyond
+    /// [`MAX_ROWS`] are not counted.
     pub fn add(&mut self, unix_ms: u64, row: u32, column: usize, times: u64) {
         let window = self.window(unix_ms);
         if window.rows.len() >= MAX_ROWS && !window.rows.contains_key(&row) {
             return;
         }
-        let of_window = window.rows.entry(row).or_default();
-        of_window[column] = of_window[column].saturating_add(times);
-        let of_all = self.total.entry(row).or_default();
-        of_all[column] = of_all[column].saturating_add(times);
+        let in_window = window.rows.entry(row).or_default();
+        in_window[column] = in_window[column].saturating_add(times);
+        let in_total = self.total.entry(row).or_default();
+        in_total[column] = in_total[column].saturating_add(times);
     }
 
-    /// Records a latency of an operation.
+    /// Records a latency in nanoseconds of the operation with this row. Rows beyond [`MAX_ROWS`] are
+    /// ignored.
     pub fn record_latency(&mut self, unix_ms: u64, row: u32, latency: Nanos) {
         let _ = self.window(unix_ms);
         if self.latency.len() < MAX_ROWS || self.latency.contains_key(&row) {
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Records one occurrence of a key of a kind of heavy keys.
+    /// Records one occurrence of a key for a kind of heavy keys ([`super::heavy_kind`]).
     pub fn record_key(&mut self, unix_ms: u64, kind: u8, key: u64) {
         self.window(unix_ms)
             .heavy
@@ -77,12 +79,13 @@
             .add(key, 1);
     }
 
-    /// Records memory in KB and file descriptors; the most in a window counts.
+    /// Records the memory in KB and the number of open file descriptors. A window keeps the maximum of
+    /// each.
     pub fn record_gauges(&mut self, unix_ms: u64, gauges: [u64; 2]) {
         super::raise(&mut self.window(unix_ms).gauges, &gauges);
     }
 
-    /// The report of all counts since the start and of this many of the latest windows.
+    /// Returns a report of all counts since the start and of the `windows` latest windows.
     pub fn report(&self, process: ProcessId, version: u64, windows: usize) -> CounterReport {
         let mut latest: BTreeMap<u64, CounterWindow> = self
             .windows
@@ -106,7 +109,7 @@
         }
     }
 
-    /// A column over all operations, in the latest two windows.
+    /// Returns the sum of a column over all operations in the latest two windows.
     pub fn recent(&self, column: usize) -> u64 {
         let latest = self.windows.values().rev().take(RECENT_WINDOWS);
         let rows =
@@ -114,7 +117,7 @@
         rows.map(|(_, numbers)| numbers[column]).sum()
     }
 
-    /// A column of a row since the start.
+    /// Returns a column of a row since the start of the process, or 0 for an unknown row.
     pub fn total(&self, row: u32, column: usize) -> u64 {
         self.total.get(&row).map_or(0, |row| row[column])
     }
--- a/crates/shared-state/src/counters/tests.rs
+++ b/crates/shared-state/src/counters/tests.rs
@@ -18,10 +18,11 @@
         .map_or(0, |row| row[operation_column::ARRIVED])
 }
 
-/// Reports in any order, in any groups, in parts, any number of times, and by way of others: all
-/// receivers come to the same.
+/// Delivers reports to several receivers in random order, partly split, partly repeated and partly
+/// through another receiver. Guards against receivers whose totals differ from each other or from the
+/// true totals.
 #[test]
-fn receivers_of_the_same_reports_come_to_the_same_totals() {
+fn receivers_of_the_same_reports_compute_the_same_totals() {
     for seed in 0..60 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut reports = Vec::new();
@@ -72,16 +73,16 @@
                 .chain(&reports[..again])
                 .for_each(|report| counts.merge(0, report));
         }
-        // One more receives reports only by way of the first.
-        let mut second_hand = ClusterCounters::new(64);
+        // One more receiver gets reports only through the first one.
+        let mut indirect = ClusterCounters::new(64);
         let all: Vec<ProcessId> = receivers[0]
             .processes()
             .map(|(process, _)| process)
             .collect();
         all.iter()
             .filter_map(|process| receivers[0].report(*process))
-            .for_each(|report| second_hand.merge(0, &report));
-        receivers.push(second_hand);
+            .for_each(|report| indirect.merge(0, &report));
+        receivers.push(indirect);
         let sums: Vec<(u64, CounterWindow)> = receivers
             .iter()
             .map(|c| (arrived(c), c.recent(UNIX + 200_000, 30, |_, _| true)))
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn a_restarted_process_adds_to_its_past() {
+fn counts_of_a_restarted_node_add_to_those_before_the_restart() {
     let mut all = ClusterCounters::new(64);
     let mut first = ProcessCounters::new(UNIX);
     first.add(UNIX, 7, operation_column::ARRIVED, 100);
@@ -100,7 +101,7 @@
     let mut second = ProcessCounters::new(UNIX);
     second.add(UNIX, 7, operation_column::ARRIVED, 5);
     all.merge(0, &second.report(process(1, 2), 0, 2));
-    all.merge(0, &first.report(process(1, 1), 0, 2)); // late
+    all.merge(0, &first.report(process(1, 1), 0, 2)); // arrives late
     assert_eq!(
         (
             arrived(&all),
@@ -110,8 +111,8 @@
     );
 }
 
-/// Nodes come and go for weeks: memory stays, the sum goes on, and a late report of a retired
-/// process does not count.
+/// 5000 processes start and leave, one every 120 s. Guards against memory that grows with them, a
+/// total that loses counts, and a late report of a retired process that is counted again.
 #[test]
 fn memory_is_bounded_as_processes_come_and_go() {
     let mut all = ClusterCounters::new(50);
@@ -137,16 +138,16 @@
     assert_eq!(arrived(&all), 15_000);
 }
 
-/// A process that is idle for long, or cut off, and counts again: nothing of it is lost or counted
-/// twice.
+/// A process is idle or cut off for an hour and then reports again. Guards against counts that are
+/// lost or added twice when the process is retired and taken out of the sum.
 #[test]
-fn a_process_that_was_silent_for_long_and_reports_again_counts_once() {
+fn a_process_that_reports_after_a_long_silence_is_counted_once() {
     let (mut all, mut one) = (ClusterCounters::new(9), ProcessCounters::new(UNIX));
     one.add(UNIX, 7, operation_column::ARRIVED, 100);
     all.merge(0, &one.report(process(1, 1), 0, 2));
-    all.retire(3600 * SECOND, |_| true); // idle, and there
+    all.retire(3600 * SECOND, |_| true); // idle, still a member
     assert_eq!(all.processes().count(), 1);
-    all.retire(3600 * SECOND, |_| false); // cut off
+    all.retire(3600 * SECOND, |_| false); // cut off, no longer a member
     assert_eq!((all.processes().count(), arrived(&all)), (0, 100));
     all.merge(3600 * SECOND, &one.report(process(1, 1), 0, 2));
     assert_eq!((all.processes().count(), arrived(&all)), (0, 100));
@@ -155,8 +156,8 @@
     assert_eq!((all.processes().count(), arrived(&all)), (1, 105));
 }
 
-/// The version that a process ran in a window is the one that it reported then, even if it runs
-/// another one now.
+/// Guards against windows that are attributed to the current version of a process although an earlier
+/// version ran in them.
 #[test]
 fn a_window_keeps_the_version_that_ran_in_it() {
     let (mut all, mut one) = (ClusterCounters::new(9), ProcessCounters::new(UNIX));
@@ -173,7 +174,7 @@
 }
 
 #[test]
-fn processes_and_rows_beyond_their_bounds_are_left_out() {
+fn processes_and_rows_beyond_their_bounds_are_ignored() {
     let mut all = ClusterCounters::new(3);
     for life in 1..=5 {
         let mut counters = ProcessCounters::new(UNIX);
@@ -190,9 +191,10 @@
     assert_eq!(all.report(process(1, 1)).unwrap().total.len(), MAX_ROWS);
 }
 
-/// Windows end; the latest have their details; and cohorts are told apart over the same time.
+/// Old windows expire, only the latest windows keep latencies, and the counts of cohorts that run
+/// different versions are separate over the same time.
 #[test]
-fn windows_end_and_cohorts_are_told_apart() {
+fn windows_expire_and_cohorts_are_counted_separately() {
     let mut all = ClusterCounters::new(9);
     for (key, version) in [(1, 10), (2, 20), (3, 20)] {
         let mut counters = ProcessCounters::new(UNIX);
@@ -207,20 +209,20 @@
         all.merge(0, &report);
     }
     let at = UNIX + 100 * WINDOW_MS;
-    let of = |version, windows| all.recent(at, windows, |_, of| of == version);
+    let cohort = |version, windows| all.recent(at, windows, |_, ran| ran == version);
     assert_eq!(
         (
-            of(10, 3).rows[&7][0],
-            of(20, 3).rows[&7][0],
-            of(20, 99).rows[&7][0]
+            cohort(10, 3).rows[&7][0],
+            cohort(20, 3).rows[&7][0],
+            cohort(20, 99).rows[&7][0]
         ),
         (6, 30, 80)
     );
     assert_eq!(
-        latency_count(&of(20, 99).latency[&7]),
+        latency_count(&cohort(20, 99).latency[&7]),
         2 * DETAILED_WINDOWS as u64
     );
     let mut latency = LatencyHistogram::default();
-    latency.merge(&of(20, 2).latency[&7]);
+    latency.merge(&cohort(20, 2).latency[&7]);
     assert!(latency.quantile(0.4) < 22_000_000 && latency.quantile(0.9) > 28_000_000);
 }
--- a/crates/shared-state/src/messages/decode.rs
+++ b/crates/shared-state/src/messages/decode.rs
@@ -9,14 +9,15 @@
 use crate::{MILLISECOND, Nanos, ProcessId, SECOND};
 use prost::Message as _;
 
-/// The most budgets in a message.
+/// Maximum number of budgets in a message.
 const MAX_BUDGETS: usize = 64;
-/// The longest duration of a lease, in nanoseconds; longer ones are cut.
+/// Maximum duration of a lease, in nanoseconds; longer durations are clamped.
 const MAX_LEASE_DURATION: Nanos = 3600 * SECOND;
-/// The largest value of a unit; larger ones are cut.
+/// Maximum value of a unit; larger values are clamped.
 const MAX_VALUE: f64 = 1e6;
 
-/// Decodes a message; none if it can't be decoded, exceeds a bound, or is of an unknown kind.
+/// Decodes a message. Returns `None` if the message is malformed, exceeds a bound or is of an unknown
+/// kind.
 pub fn decode(bytes: &[u8]) -> Option<SharedMessage> {
     let payload = Payload::decode(bytes)
         .ok()
@@ -38,11 +39,11 @@
         kind::KNOWN_COUNTERS => SharedMessage::KnownCounters(decode_known(&payload.known?)?),
         kind::TOTALS_REQUEST => SharedMessage::TotalsRequest,
         kind::TOTALS => SharedMessage::ClusterTotals(Box::new(decode_totals(&payload.totals?)?)),
-        _ => SharedMessage::Limits(decode_budgets(payload)?),
+        _ => SharedMessage::Limits(decode_limits(payload)?),
     })
 }
 
-fn decode_budgets(payload: Payload) -> Option<LimitMessage> {
+fn decode_limits(payload: Payload) -> Option<LimitMessage> {
     let Payload {
         number, sent_at, ..
     } = payload;
@@ -102,7 +103,7 @@
             number: request.held_number,
         },
         units: request.units,
-        // A value that is no number would upset who gets how many units.
+        // A value that is not finite would corrupt the distribution of units among borrowers.
         value: if request.value.is_finite() {
             request.value.clamp(0.0, MAX_VALUE)
         } else {
@@ -128,7 +129,7 @@
     )
 }
 
-/// Decodes key requests; none if the lists differ in length or are too long.
+/// Decodes key requests. Returns `None` if the lists differ in length or are too long.
 fn decode_key_requests(keys: Keys) -> Option<Vec<KeyRequest>> {
     let count = keys.keys.len();
     let fits = [&keys.quotas, &keys.kept, &keys.released, &keys.units]
@@ -146,7 +147,7 @@
     })
 }
 
-/// Decodes key grants; none if the lists differ in length or are too long.
+/// Decodes key grants. Returns `None` if the lists differ in length or are too long.
 fn decode_key_grants(keys: Keys) -> Option<Vec<KeyGrant>> {
     let count = keys.keys.len();
     let fits = [&keys.quotas, &keys.units, &keys.waits_ms]
@@ -163,7 +164,7 @@
     })
 }
 
-/// Decodes known counters; none if the lists differ in length or are too long.
+/// Decodes known counters. Returns `None` if the lists differ in length or are too long.
 fn decode_known(known: &Known) -> Option<KnownCounters> {
     let count = known.keys.len();
     let fits = count <= MAX_KNOWN_PROCESSES
@@ -185,7 +186,7 @@
     })
 }
 
-/// Decodes a health report; none if its share is no number.
+/// Decodes a health report. Returns `None` if its admitted share is not finite.
 fn decode_health(report: &ServiceReport) -> Option<(u64, HealthReport)> {
     if !report.admitted_share.is_finite() {
         return None;
--- a/crates/shared-state/src/messages/decode_counters.rs
+++ b/crates/shared-state/src/messages/decode_counters.rs
@@ -11,10 +11,10 @@
 };
 use std::collections::BTreeMap;
 
-/// Gauges of a window.
+/// Number of gauges of a window.
 const GAUGES: usize = 2;
 
-/// Decodes a counter report; none if it names no process or exceeds a bound.
+/// Decodes a counter report. Returns `None` if it names no process or exceeds a bound.
 pub(super) fn decode_counters(counters: &Counters) -> Option<CounterReport> {
     let total = decode_rows(&counters.rows)?;
     let windows: BTreeMap<_, _> = counters
@@ -30,7 +30,7 @@
     })
 }
 
-/// Decodes totals; none if they exceed a bound.
+/// Decodes totals. Returns `None` if they exceed a bound.
 pub(super) fn decode_totals(totals: &Totals) -> Option<ClusterTotals> {
     let last_minute = CounterWindow {
         rows: decode_rows(&totals.minute)?,
--- a/crates/shared-state/src/messages/encode.rs
+++ b/crates/shared-state/src/messages/encode.rs
@@ -9,11 +9,11 @@
 use crate::{MILLISECOND, ProcessId};
 use prost::Message as _;
 
-/// Encodes a message. A counter report that does not fit one payload is to be cut by
-/// [`split_report`](super::split_report) first.
+/// Encodes a message. The caller must first split a counter report that does not fit one payload, with
+/// [`split_report`](super::split_report).
 pub fn encode(message: &SharedMessage) -> Vec<u8> {
     let payload = match message {
-        SharedMessage::Limits(message) => encode_budgets(message),
+        SharedMessage::Limits(message) => encode_limits(message),
         SharedMessage::CounterReport(report) => Payload {
             kind: kind::COUNTER_REPORT,
             counters: Some(encode_counters(report)),
@@ -24,7 +24,7 @@
             known: Some(encode_known(known)),
             ..Payload::default()
         },
-        SharedMessage::TotalsRequest => of_kind(kind::TOTALS_REQUEST),
+        SharedMessage::TotalsRequest => empty_payload(kind::TOTALS_REQUEST),
         SharedMessage::ClusterTotals(totals) => Payload {
             kind: kind::TOTALS,
             totals: Some(encode_totals(totals)),
@@ -39,18 +39,18 @@
     add_later_field(payload.encode_to_vec())
 }
 
-fn of_kind(kind: u32) -> Payload {
+fn empty_payload(kind: u32) -> Payload {
     Payload {
         kind,
         ..Payload::default()
     }
 }
 
-fn encode_budgets(message: &LimitMessage) -> Payload {
+fn encode_limits(message: &LimitMessage) -> Payload {
     match message {
         LimitMessage::VoteRequest { round } => Payload {
             number: *round,
-            ..of_kind(kind::VOTE_REQUEST)
+            ..empty_payload(kind::VOTE_REQUEST)
         },
         LimitMessage::Vote {
             round,
@@ -62,11 +62,11 @@
             is_granted: *is_granted,
             bound_for: *bound_for,
             process: holder.map(encode_process),
-            ..of_kind(kind::VOTE)
+            ..empty_payload(kind::VOTE)
         },
         LimitMessage::VoteRelease { round } => Payload {
             number: *round,
-            ..of_kind(kind::VOTE_RELEASE)
+            ..empty_payload(kind::VOTE_RELEASE)
         },
         LimitMessage::LeaseRequest {
             sent_at,
@@ -76,7 +76,7 @@
             sent_at: *sent_at,
             zone: *zone,
             lease_requests: requests.iter().map(encode_lease_request).collect(),
-            ..of_kind(kind::LEASE_REQUEST)
+            ..empty_payload(kind::LEASE_REQUEST)
         },
         LimitMessage::LeaseGrant {
             request_sent_at,
@@ -84,13 +84,13 @@
         } => Payload {
             sent_at: *request_sent_at,
             leases: leases.iter().map(encode_lease).collect(),
-            ..of_kind(kind::LEASE_GRANT)
+            ..empty_payload(kind::LEASE_GRANT)
         },
         LimitMessage::Redirect { leader } => Payload {
             process: leader.map(encode_process),
-            ..of_kind(kind::REDIRECT)
+            ..empty_payload(kind::REDIRECT)
         },
-        LimitMessage::Leave => of_kind(kind::LEAVE),
+        LimitMessage::Leave => empty_payload(kind::LEAVE),
         LimitMessage::QuotaRequest(request) => encode_quota_request(request),
         LimitMessage::QuotaGrant(grant) => encode_quota_grant(grant),
     }
@@ -139,7 +139,7 @@
             units: keys.iter().map(|key| key.wanted).collect(),
             waits_ms: Vec::new(),
         }),
-        ..of_kind(kind::QUOTA_REQUEST)
+        ..empty_payload(kind::QUOTA_REQUEST)
     }
 }
 
@@ -160,7 +160,7 @@
                 .map(|key| key.retry_after.div_ceil(MILLISECOND) as u32)
                 .collect(),
         }),
-        ..of_kind(kind::QUOTA_GRANT)
+        ..empty_payload(kind::QUOTA_GRANT)
     }
 }
 
--- a/crates/shared-state/src/messages/encode_counters.rs
+++ b/crates/shared-state/src/messages/encode_counters.rs
@@ -9,7 +9,7 @@
 use prost::Message as _;
 use std::collections::BTreeMap;
 
-/// The most heavy keys of each kind in totals.
+/// Maximum number of heavy keys of each kind in totals.
 const HEAVY_KEYS_IN_TOTALS: usize = 5;
 
 pub(super) fn encode_counters(report: &CounterReport) -> Counters {
@@ -25,8 +25,8 @@
     }
 }
 
-/// Encodes totals. Of many operations the last ones are left out, their latencies first, so that the
-/// totals fit a payload.
+/// Encodes totals. If they do not fit a payload, rows are dropped from the end: first latencies, then
+/// counts of the last minute, then counts since the start.
 pub(super) fn encode_totals(totals: &ClusterTotals) -> Totals {
     let minute = &totals.last_minute;
     let mut encoded = Totals {
@@ -71,13 +71,13 @@
         .collect()
 }
 
-/// Values are encoded as differences.
+/// Encodes a histogram, with each value as the difference to the previous one.
 fn encode_latency(row: u32, sparse: &Sparse) -> Latencies {
-    let before = std::iter::once(0).chain(sparse.iter().map(|(value, _)| *value));
+    let previous = std::iter::once(0).chain(sparse.iter().map(|(value, _)| *value));
     let values = sparse
         .iter()
-        .zip(before)
-        .map(|((value, _), before)| value.saturating_sub(before))
+        .zip(previous)
+        .map(|((value, _), previous)| value.saturating_sub(previous))
         .collect();
     Latencies {
         row,
--- a/crates/shared-state/src/messages/split.rs
+++ b/crates/shared-state/src/messages/split.rs
@@ -1,4 +1,4 @@
-//! Cuts counter reports to the size of payloads.
+//! Splits counter reports into parts that fit payloads.
 
 use super::MAX_COUNTERS_BYTES;
 use super::encode_counters::encode_counters;
@@ -6,8 +6,8 @@
 use prost::Message as _;
 use std::collections::BTreeMap;
 
-/// Cuts a report into parts that each fit a payload. As the larger of two numbers counts, parts may
-/// arrive in any order, or not at all.
+/// Splits a report into parts that each fit a payload. The parts may arrive in any order, and some may
+/// be lost, because a receiver merges them by the larger of two counts.
 pub fn split_report(report: &CounterReport) -> Vec<CounterReport> {
     let mut splitter = Splitter::new(report);
     for (row, numbers) in &report.total {
@@ -37,7 +37,7 @@
 }
 
 struct Splitter {
-    /// A part without counters.
+    /// A part without counters, from which new parts are made.
     empty: CounterReport,
     parts: Vec<CounterReport>,
 }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Adds a piece to the last part, or to a new one where it does not fit.
+    /// Adds a piece to the last part, or to a new part if the last one has no space left.
     fn add(&mut self, add_piece: &dyn Fn(&mut CounterReport)) {
         if let Some(last) = self.parts.last_mut() {
             let before = last.clone();
--- a/crates/shared-state/src/messages/tests.rs
+++ b/crates/shared-state/src/messages/tests.rs
@@ -8,8 +8,8 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-fn all() -> Vec<SharedMessage> {
-    let someone = ProcessId {
+fn sample_messages() -> Vec<SharedMessage> {
+    let process = ProcessId {
         key: 1 << 60,
         incarnation: 77,
     };
@@ -38,7 +38,7 @@
         LimitMessage::Vote {
             round: 4,
             is_granted: true,
-            holder: Some(someone),
+            holder: Some(process),
             bound_for: 0,
         },
         LimitMessage::Vote {
@@ -64,7 +64,7 @@
             leases: vec![(2, lease)],
         },
         LimitMessage::Redirect {
-            leader: Some(someone),
+            leader: Some(process),
         },
         LimitMessage::Leave,
         LimitMessage::QuotaRequest(QuotaRequest {
@@ -108,7 +108,7 @@
     };
     let windows = BTreeMap::from([(180_000_000, window.clone())]);
     messages.push(SharedMessage::CounterReport(Box::new(CounterReport {
-        process: someone,
+        process,
         version: 77,
         total: rows.clone(),
         windows,
@@ -116,21 +116,21 @@
     messages.push(SharedMessage::KnownCounters(KnownCounters {
         first_key: 0,
         last_key: u64::MAX,
-        progress: vec![(someone, 12), (ProcessId::default(), 0)],
+        progress: vec![(process, 12), (ProcessId::default(), 0)],
     }));
     messages.push(SharedMessage::TotalsRequest);
     let minute = counters::CounterWindow {
         gauges: [0; 2],
         ..window
     };
-    let sums = ClusterTotals {
+    let totals = ClusterTotals {
         processes: 3,
         retired: 1,
         total: rows,
         last_minute: minute,
         minute_end_unix_ms: 1 << 40,
     };
-    messages.push(SharedMessage::ClusterTotals(Box::new(sums)));
+    messages.push(SharedMessage::ClusterTotals(Box::new(totals)));
     let report = HealthReport {
         zone: 1,
         calls: 20,
@@ -143,7 +143,7 @@
 
 #[test]
 fn messages_decode_to_what_was_encoded() {
-    for message in all() {
+    for message in sample_messages() {
         let bytes = encode(&message);
         assert!(bytes.len() < 300, "{message:?}");
         assert_eq!(decode(&bytes), Some(message));
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn the_largest_quota_request_fits_a_payload_and_lists_of_different_length_are_refused() {
+fn the_largest_quota_request_fits_a_payload_and_unequal_lists_are_refused() {
     let key = KeyRequest {
         quota: u32::MAX,
         key: u64::MAX,
@@ -190,24 +190,24 @@
     );
 }
 
-/// A report of many operations is cut into parts that fit, and whoever receives all of them has the
-/// whole.
+/// Guards against parts of a large report that exceed a payload, and against a receiver of all parts
+/// that does not get the whole report.
 #[test]
-fn reports_that_do_not_fit_are_split_and_add_up_again() {
+fn large_reports_are_split_and_merge_to_the_whole() {
     let mut rng = Pcg64Mcg::seed_from_u64(5);
-    let mut counters_of_one = counters::ProcessCounters::new(1 << 40);
+    let mut counters_of_process = counters::ProcessCounters::new(1 << 40);
     for n in 0..20_000u64 {
         let (unix, row) = ((1 << 40) + n * 3, rng.random_range(1..14));
-        counters_of_one.add(
+        counters_of_process.add(
             unix,
             row,
             rng.random_range(0..COLUMNS),
             rng.random_range(0..1 << 30),
         );
-        counters_of_one.record_latency(unix, row, rng.random_range(1_000_000..2_000_000_000));
-        counters_of_one.record_key(unix, rng.random_range(0..3), rng.random_range(0..200));
+        counters_of_process.record_latency(unix, row, rng.random_range(1_000_000..2_000_000_000));
+        counters_of_process.record_key(unix, rng.random_range(0..3), rng.random_range(0..200));
     }
-    let report = counters_of_one.report(
+    let report = counters_of_process.report(
         ProcessId {
             key: 5,
             incarnation: 6,
@@ -220,34 +220,34 @@
         counters::ClusterCounters::new(4),
     );
     whole.merge(0, &report);
-    let cut = split_report(&report);
-    assert!(cut.len() > 10, "{}", cut.len());
-    for part in cut {
+    let split = split_report(&report);
+    assert!(split.len() > 10, "{}", split.len());
+    for part in split {
         let bytes = encode(&SharedMessage::CounterReport(Box::new(part)));
         assert!(bytes.len() <= MAX_PAYLOAD_BYTES, "{}", bytes.len());
         let Some(SharedMessage::CounterReport(read)) = decode(&bytes) else {
-            panic!("counts")
+            panic!("a part decodes to a counter report")
         };
         parts.merge(0, &read);
     }
     assert_eq!(whole.report(report.process), parts.report(report.process));
     let minute = whole.recent(u64::MAX, u64::MAX, |_, _| true);
-    let sums = ClusterTotals {
+    let totals = ClusterTotals {
         processes: 1,
         retired: 0,
         total: whole.total(),
         last_minute: minute,
         minute_end_unix_ms: 1,
     };
-    assert!(encode(&SharedMessage::ClusterTotals(Box::new(sums))).len() <= MAX_PAYLOAD_BYTES);
+    assert!(encode(&SharedMessage::ClusterTotals(Box::new(totals))).len() <= MAX_PAYLOAD_BYTES);
 }
 
 #[test]
-fn a_later_version_is_decoded_as_far_as_it_is_known() {
+fn unknown_fields_are_ignored_and_unknown_kinds_are_refused() {
     let mut bytes = encode(&SharedMessage::Limits(LimitMessage::VoteRequest {
         round: 4,
     }));
-    bytes.extend([0xfa, 0x01, 0x01, b'x']); // a field 31
+    bytes.extend([0xfa, 0x01, 0x01, b'x']); // the unknown field 31
     assert_eq!(
         decode(&bytes),
         Some(SharedMessage::Limits(LimitMessage::VoteRequest {
@@ -268,7 +268,7 @@
 
 #[test]
 fn values_out_of_bounds_are_clamped_or_refused() {
-    let wild = SharedMessage::HealthReports(vec![
+    let out_of_bounds = SharedMessage::HealthReports(vec![
         (
             5,
             HealthReport {
@@ -288,8 +288,8 @@
             },
         ),
     ]);
-    let Some(SharedMessage::HealthReports(read)) = decode(&encode(&wild)) else {
-        panic!("evidence")
+    let Some(SharedMessage::HealthReports(read)) = decode(&encode(&out_of_bounds)) else {
+        panic!("health reports decode to health reports")
     };
     assert_eq!(
         (read.len(), read[0].1.failed, read[0].1.admitted_share),
@@ -300,7 +300,7 @@
 #[test]
 fn every_truncation_and_bit_flip_is_decoded_or_refused() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    for message in all() {
+    for message in sample_messages() {
         let bytes = encode(&message);
         for at in 0..bytes.len() {
             let _ = decode(&bytes[..at]);
--- a/crates/shared-state/src/messages/wire.rs
+++ b/crates/shared-state/src/messages/wire.rs
@@ -1,7 +1,7 @@
-//! The messages' fields on the wire. Field numbers are fixed; the table in the parent module names
-//! them.
+//! The fields of the messages on the wire. Field numbers are fixed; the table in the parent module
+//! describes them.
 
-/// Kinds of payloads: field 1.
+/// Kinds of payloads, the values of field 1.
 pub(super) mod kind {
     pub const VOTE_REQUEST: u32 = 1;
     pub const VOTE: u32 = 2;
@@ -17,7 +17,7 @@
     pub const KNOWN_COUNTERS: u32 = 13;
     pub const TOTALS_REQUEST: u32 = 14;
     pub const TOTALS: u32 = 15;
-    /// A kind that the present version does not know.
+    /// A kind that the current version does not know.
     pub const LATER: u32 = 90;
 }
 
@@ -165,7 +165,7 @@
     pub admitted_share: f64,
 }
 
-/// Lists of equal length; which ones are used depends on the payload's kind.
+/// Lists of equal length. The kind of the payload determines which lists are used.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Keys {
     #[prost(fixed32, repeated, tag = "1")]
--- a/crates/shared-state/src/service_health.rs
+++ b/crates/shared-state/src/service_health.rs
@@ -1,12 +1,13 @@
-//! Whether a backend service is healthy, by what a node sees itself first, and by what others
-//! report.
+//! Health of a backend service, determined by a node's own calls first and by the reports of other
+//! nodes second.
 //!
-//! What others report may make a node treat a service as degraded, and never as unavailable: only its
-//! own calls do ([`ServiceHealth::evaluate`]). A failing service is distinguished from a failing reporter
-//! by how many report it and from how many zones ([`AggregatedHealth::is_failing`]). While a service is
-//! unavailable, few nodes of the whole cluster probe it, chosen by a hash so that all agree on them
-//! ([`is_prober`]); then load comes back in steps, no node going further than twice what the others
-//! admit (`recovery_ramp`).
+//! Reports of other nodes may make a node treat a service as degraded, but never as unavailable; only
+//! the node's own calls do that ([`ServiceHealth::evaluate`]). A failing service is distinguished from
+//! a failing reporter by the numbers of nodes and zones that report the failure
+//! ([`AggregatedHealth::is_failing`]). While a service is unavailable, only a few nodes of the whole
+//! cluster probe it. They are chosen by a hash, so that all nodes agree on them ([`is_prober`]). Then
+//! load is restored in steps, and no node admits more than twice the mean share that the others admit
+//! (`recovery_ramp`).
 
 mod aggregation;
 mod outlier_detection;
@@ -18,32 +19,33 @@
 
 use crate::{MILLISECOND, Nanos, SECOND};
 
-/// The window over which calls are counted, in nanoseconds.
+/// Length of the window over which calls are counted, in nanoseconds.
 const CALL_WINDOW: Nanos = 2 * SECOND;
-/// Reports of others count for this long, in nanoseconds.
+/// Time for which reports of other nodes are used, in nanoseconds.
 const REPORT_MAX_AGE: Nanos = 5 * SECOND;
-/// A window with fewer calls than this says nothing by its ratio of failures.
+/// Minimum number of calls in a window for its failure ratio to be conclusive.
 const MIN_CALLS: u32 = 10;
-/// A service fails from this ratio of failed calls on.
+/// Ratio of failed calls from which on a service is failing.
 const FAILING_RATIO: f64 = 0.5;
-/// A service is healthy up to this ratio of failed calls.
+/// Ratio of failed calls up to which a service is healthy.
 const HEALTHY_RATIO: f64 = 0.1;
-/// Nodes of the whole cluster that probe an unavailable service.
+/// Number of nodes in the whole cluster that probe an unavailable service.
 const PROBERS: usize = 3;
-/// The time between two probes of a prober, in nanoseconds.
+/// Time between two probes of a prober, in nanoseconds.
 const PROBE_INTERVAL: Nanos = 500 * MILLISECOND;
-/// The time between two probes of a node that hears of no other, in nanoseconds.
+/// Time between two probes of a node that has no recent reports of other members, in nanoseconds.
 const LONE_PROBE_INTERVAL: Nanos = 5 * SECOND;
-/// Probes in a row that must succeed before load comes back; failures in a row with nothing well for
-/// a window from which a service counts as failing.
+/// Number of consecutive successful probes after which load is restored, and number of consecutive
+/// failures, without a success for a whole window, from which on a service is failing.
 const CONCLUSIVE_IN_A_ROW: u32 = 3;
-/// The time of a step of the recovery ramp, in nanoseconds.
+/// Duration of a step of the recovery ramp, in nanoseconds.
 const RAMP_STEP: Nanos = 5 * SECOND;
-/// The share of load admitted in the first step of the ramp.
+/// Share of load that is admitted in the first step of the recovery ramp.
 const RAMP_FIRST_SHARE: f64 = 1.0 / 16.0;
-/// After a recovery, a node does not follow the recovery of others for this long, in nanoseconds.
+/// Time after its own recovery for which a node does not follow the recovery of others, in
+/// nanoseconds.
 const RECOVERED_HOLD: Nanos = 12 * RAMP_STEP;
-/// The share of load that is admitted while a service is degraded.
+/// Share of load that is admitted while a service is degraded.
 const DEGRADED_SHARE: f64 = 0.25;
 
 /// How a node treats a service.
@@ -51,16 +53,16 @@
 pub enum HealthState {
     /// All calls are admitted.
     Healthy,
-    /// Others report that it fails: a part of the calls is admitted, to see.
+    /// Other nodes report failures: a part of the calls is admitted, to test the service.
     Degraded,
-    /// It failed this node: only probes are admitted.
+    /// Calls of this node failed: only probes are admitted.
     Unavailable,
-    /// It was unavailable, and load comes back in steps.
+    /// The service was unavailable, and load is restored in steps.
     Recovering,
 }
 
 impl HealthState {
-    /// The word that logs and status show.
+    /// Returns the label of the state in logs and in the status snapshot.
     pub fn label(self) -> &'static str {
         match self {
             HealthState::Healthy => "open",
@@ -71,54 +73,55 @@
     }
 }
 
-/// Calls in half of a window. Two halves are kept, so that no count is a whole window old.
+/// Calls in one half of a window. The current and the previous half are kept, so that every counted
+/// call is less than a window old.
 #[derive(Clone, Copy, Debug, Default)]
 struct HalfWindow {
     calls: u32,
     failed: u32,
 }
 
-/// Calls that were admitted and held back.
+/// Numbers of calls that a [`ServiceHealth`] admitted and withheld since it was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionCounts {
-    /// Calls that were admitted.
+    /// Number of admitted calls.
     pub admitted: u64,
-    /// Calls that were held back.
+    /// Number of withheld calls.
     pub withheld: u64,
 }
 
-/// A node's view of one backend service.
+/// Health of one backend service as one node sees it.
 #[derive(Clone, Debug)]
 pub struct ServiceHealth {
     zone: u32,
     state: HealthState,
     state_since: Nanos,
-    /// The admitted share while recovering.
+    /// Admitted share while recovering, from 0 to 1.
     ramp_share: f64,
-    /// The current half window and the one before.
+    /// The current and the previous half window.
     halves: [HalfWindow; 2],
-    /// The current half window's number.
+    /// Number of the current half window.
     half_number: Nanos,
-    /// While unavailable: probes in a row that succeeded.
+    /// Number of consecutive successful probes while unavailable.
     successes_in_a_row: u32,
     failures_in_a_row: u32,
-    /// The last time at which a call succeeded, or the first failure after it.
+    /// Time of the last successful call, or of the first failure after it.
     failing_since: Nanos,
     last_probe_at: Nanos,
-    /// What others report, and when that was summed up.
+    /// The aggregated reports of other nodes, and the time of the aggregation.
     others: Option<(AggregatedHealth, Nanos)>,
-    /// A process that has just started does not know whether the service has too, until others
-    /// report or this time passes.
+    /// Time until which a process that has just started has to assume that the service has just
+    /// started too; reports of other nodes end this earlier.
     unaware_until: Nanos,
-    /// When the last recovery was complete.
+    /// Time at which the last recovery was complete.
     recovered_at: Option<Nanos>,
-    /// Accumulates the admitted share: a call is admitted when it reaches 1.
+    /// Accumulates the admitted share; a call is admitted when the sum reaches 1.
     admission_credit: f64,
     counts: AdmissionCounts,
 }
 
 impl ServiceHealth {
-    /// A service of which nothing is known; it counts as healthy.
+    /// Creates the health of a service without calls or reports, which is treated as healthy.
     pub fn new(now: Nanos, zone: u32) -> ServiceHealth {
         ServiceHealth {
             zone,
@@ -139,22 +142,23 @@
         }
     }
 
-    /// How the service is treated.
+    /// Returns the current state.
     pub fn state(&self) -> HealthState {
         self.state
     }
 
-    /// Since when it is in this state; while recovering, in this step.
+    /// Returns the time since which the service is in this state; while recovering, since which it is
+    /// in the current step of the ramp.
     pub fn state_since(&self) -> Nanos {
         self.state_since
     }
 
-    /// Calls that were admitted and held back.
+    /// Returns the numbers of admitted and withheld calls.
     pub fn counts(&self) -> AdmissionCounts {
         self.counts
     }
 
-    /// The share of calls that is admitted, from 0 to 1.
+    /// Returns the share of calls that is admitted, from 0 to 1.
     pub fn admitted_share(&self) -> f64 {
         match self.state {
             HealthState::Healthy => 1.0,
@@ -164,8 +168,9 @@
         }
     }
 
-    /// The share of its budget units that the node uses, from 0 to 1: slow start. While the service is
-    /// unavailable only probes are sent, which are seldom by themselves.
+    /// Returns the share of its budget units that the node may use, from 0 to 1, for a slow start of
+    /// the service. The share is not reduced while the service is unavailable, because then only
+    /// probes are sent, which are rare.
     pub fn budget_share(&self, now: Nanos) -> f64 {
         match self.state {
             HealthState::Healthy if now < self.unaware_until => RAMP_FIRST_SHARE,
@@ -174,7 +179,7 @@
         }
     }
 
-    /// What this node reports to others.
+    /// Returns the report of this node to the others.
     pub fn report(&mut self, now: Nanos) -> HealthReport {
         self.roll_windows(now);
         let [current, previous] = self.halves;
@@ -186,15 +191,15 @@
         }
     }
 
-    /// What others report, while it is recent enough.
+    /// Returns the aggregated reports of other nodes, or `None` if they are 5 s old or older.
     pub fn aggregated_health(&self, now: Nanos) -> Option<AggregatedHealth> {
         self.others
             .filter(|(_, received_at)| now < *received_at + REPORT_MAX_AGE)
             .map(|(aggregated, _)| aggregated)
     }
 
-    /// Whether this node is to probe the service now, while it is unavailable. One that hears of no
-    /// other probes by itself, less often.
+    /// Returns whether this node has to probe the unavailable service now. A node that has no recent
+    /// reports, or knows of no other member, probes on its own, but less often.
     pub fn is_probe_due(&self, now: Nanos) -> bool {
         let (probes, interval) = match self.aggregated_health(now) {
             Some(others) if !others.is_alone => (others.is_prober, PROBE_INTERVAL),
@@ -203,9 +208,10 @@
         probes && now >= self.last_probe_at + interval
     }
 
-    /// Whether a call may be sent now. A call whose request was thinned out at admission is only held
-    /// back from an unavailable service.
-    pub fn admits(&mut self, now: Nanos, is_thinned_out: bool) -> bool {
+    /// Returns whether a call may be sent now. If the request of the call has passed the backend gate
+    /// (`is_gated`), which already applied the admitted share, the call is withheld only while the
+    /// service is unavailable.
+    pub fn admits(&mut self, now: Nanos, is_gated: bool) -> bool {
         self.evaluate(now);
         let admits = match self.state {
             HealthState::Healthy => true,
@@ -216,7 +222,7 @@
                 }
                 is_due
             }
-            HealthState::Degraded | HealthState::Recovering if is_thinned_out => true,
+            HealthState::Degraded | HealthState::Recovering if is_gated => true,
             HealthState::Degraded | HealthState::Recovering => {
                 let share = self.admitted_share();
                 take_credit(&mut self.admission_credit, share)
@@ -230,7 +236,7 @@
         admits
     }
 
-    /// After how many nanoseconds a request that needs the service should come back.
+    /// Returns the Retry-After in nanoseconds of a request that needs the service.
     pub fn retry_after(&self, now: Nanos) -> Nanos {
         match self.state {
             HealthState::Healthy => 0,
@@ -244,7 +250,7 @@
         }
     }
 
-    /// A call has ended.
+    /// Records the end of a call and updates the state.
     pub fn call_ended(&mut self, now: Nanos, is_success: bool) {
         self.roll_windows(now);
         self.halves[0].calls += 1;
@@ -288,7 +294,7 @@
     }
 }
 
-/// Adds a share to a credit; takes 1 from it, and returns true, where it reaches 1.
+/// Adds `share` to `credit`. If the credit reaches 1, subtracts 1 and returns true.
 pub(crate) fn take_credit(credit: &mut f64, share: f64) -> bool {
     *credit += share;
     let is_enough = *credit >= 1.0;
--- a/crates/shared-state/src/service_health/aggregation.rs
+++ b/crates/shared-state/src/service_health/aggregation.rs
@@ -1,50 +1,50 @@
-//! The reports of other nodes, and what follows from them together.
+//! Aggregation of the health reports of other nodes.
 
 use super::{HealthReport, PROBE_INTERVAL, PROBERS, REPORT_MAX_AGE};
 use crate::{Nanos, ProcessId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The fewest reports kept, whatever the bound.
+/// Lower bound of the maximum number of kept reports.
 const MIN_REPORTS: usize = 16;
-/// Probers change after this many probe intervals.
+/// Number of probe intervals after which the probers change.
 const PROBES_PER_TURN: Nanos = 10;
 
-/// The reports of others on a service, summed up.
+/// The aggregated reports of other nodes on a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AggregatedHealth {
-    /// Nodes with a conclusive report.
+    /// Number of nodes with a conclusive report.
     pub reporters: u32,
-    /// Of these, nodes that see the service fail.
+    /// Number of reporters to which the service is failing.
     pub failing: u32,
-    /// Zones of the reporters.
+    /// Number of zones of the reporters.
     pub zones: u32,
-    /// Zones of those that see it fail.
+    /// Number of zones of the reporters to which the service is failing.
     pub failing_zones: u32,
-    /// Reporters that found it healthy just now.
+    /// Number of reporters to which the service was healthy in their last window.
     pub healthy: u32,
-    /// The mean admitted share, of the nodes that admit anything; 0 if none does.
+    /// Mean admitted share over the nodes that admit any calls, from 0 to 1; 0 if there is none.
     pub mean_share: f64,
-    /// The least admitted share, of the nodes that admit anything; 1 if none does.
+    /// Smallest admitted share over the nodes that admit any calls, from 0 to 1; 1 if there is none.
     pub min_share: f64,
-    /// Nodes with any report.
+    /// Number of nodes with a report, conclusive or not.
     pub reports: u32,
-    /// Of these, nodes that admit less than all calls.
+    /// Number of these nodes that admit less than all calls.
     pub reduced: u32,
-    /// Whether this node is one of the few that probe the service while it is unavailable.
+    /// Whether this node is one of the probers while the service is unavailable; see [`is_prober`].
     pub is_prober: bool,
     /// Whether this node knows of no other member.
     pub is_alone: bool,
 }
 
 impl AggregatedHealth {
-    /// Whether the service recovers at enough of the others: half of those with any report, two at
-    /// least.
+    /// Returns whether the service is recovering at enough other nodes: at half of the nodes with a
+    /// report, and at two at least.
     pub fn is_recovering(&self) -> bool {
         self.min_share < 1.0 && self.reduced >= 2 && self.reduced * 2 >= self.reports
     }
 
-    /// Whether enough of the others see the service fail: half of the reporters, two at least, and in
-    /// more than one zone where there are more.
+    /// Returns whether the service is failing at enough other nodes: at half of the reporters, at two
+    /// at least, and in at least two zones if the reporters are in more than one.
     pub fn is_failing(&self) -> bool {
         self.failing >= 2
             && self.failing * 2 >= self.reporters
@@ -52,8 +52,8 @@
     }
 }
 
-/// The reports of others on all services, each for as long as it is recent. Each process reports for
-/// itself only.
+/// The latest reports of other processes on all services. A report expires after 5 s. Each process
+/// reports only its own calls.
 #[derive(Clone, Debug)]
 pub struct HealthReports {
     pub(super) reports: BTreeMap<(u64, ProcessId), (HealthReport, Nanos)>,
@@ -62,7 +62,7 @@
 }
 
 impl HealthReports {
-    /// No reports yet, of at most this many.
+    /// Creates an empty collection of at most `max_reports` reports, at least 16.
     pub fn new(max_reports: usize) -> HealthReports {
         HealthReports {
             reports: BTreeMap::new(),
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Receives another process's report on a service, by the service's number.
+    /// Stores the report of another process on a service, given by the number of the service. A new
+    /// report is refused while the maximum is reached.
     pub fn receive(&mut self, now: Nanos, from: ProcessId, service: u64, report: HealthReport) {
         let id = (service, from);
         if self.reports.len() >= self.max_reports && !self.reports.contains_key(&id) {
@@ -89,14 +90,14 @@
             .retain(|_, (_, received_at)| now < *received_at + REPORT_MAX_AGE);
     }
 
-    /// Sums up the reports on a service. The caller sets who probes it.
+    /// Aggregates the reports on a service. The caller sets `is_prober` and `is_alone`.
     pub fn aggregate(&mut self, now: Nanos, service: u64) -> AggregatedHealth {
         self.expire(now);
         let first = (service, ProcessId::default());
         let reports = self
             .reports
             .range(first..)
-            .take_while(|((of, _), _)| *of == service)
+            .take_while(|((id, _), _)| *id == service)
             .map(|(_, (report, _))| report);
         let mut sum = AggregatedHealth {
             min_share: 1.0,
@@ -130,14 +131,15 @@
         sum
     }
 
-    /// Reports for which there was no room.
+    /// Returns the number of reports refused because the maximum was reached.
     pub fn refused(&self) -> u64 {
         self.refused
     }
 }
 
-/// Whether a node is one of the few that probe a service while it is unavailable. The probers change
-/// from time to time; nodes that see the same members agree on them, as all use the same hash.
+/// Returns whether the node with key `me` is one of the three probers of an unavailable service. The
+/// probers change every 5 s. Nodes with the same view of the members agree on them, because all use
+/// the same hash.
 pub fn is_prober(now: Nanos, me: u64, service: u64, members: impl Iterator<Item = u64>) -> bool {
     let turn = now / (PROBES_PER_TURN * PROBE_INTERVAL);
     let rank = |key: u64| mix(key ^ mix(service ^ turn));
@@ -149,7 +151,7 @@
         < PROBERS
 }
 
-/// Mixes a number well enough to spread choices; splitmix64.
+/// Mixes the bits of a number with splitmix64, so that choices by the result are spread evenly.
 pub(super) fn mix(mut number: u64) -> u64 {
     number = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/shared-state/src/service_health/outlier_detection.rs
+++ b/crates/shared-state/src/service_health/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! The rules by which a node changes how it treats a service.
+//! The rules by which the health state of a service changes.
 
 use super::{
     AggregatedHealth, CALL_WINDOW, CONCLUSIVE_IN_A_ROW, HEALTHY_RATIO, HealthReport, HealthState,
@@ -7,7 +7,7 @@
 use crate::Nanos;
 
 impl ServiceHealth {
-    /// Takes up what others report, summed up now.
+    /// Receives the reports of other nodes as aggregated at `now`, and updates the state.
     pub fn receive_reports(&mut self, now: Nanos, aggregated: AggregatedHealth) {
         self.others = Some((aggregated, now));
         if aggregated.reports >= 2 {
@@ -19,26 +19,27 @@
         self.evaluate(now);
     }
 
-    /// Whether this node, to which the service is unavailable, may begin to recover because others
-    /// find it healthy. Reports from before it failed here don't count: a report counts for
+    /// Returns whether a service that is unavailable to this node may begin to recover because it is
+    /// healthy to others. Reports on the time before the failure are excluded: a report is used for
     /// [`REPORT_MAX_AGE`] and covers a [`CALL_WINDOW`].
     fn others_found_it_healthy_again(&self, now: Nanos, others: &AggregatedHealth) -> bool {
         let is_later = now > self.state_since + REPORT_MAX_AGE + CALL_WINDOW;
-        let enough = others.healthy >= 2.min(others.reporters).max(1);
-        self.state == HealthState::Unavailable && is_later && enough
+        let is_enough = others.healthy >= 2.min(others.reporters).max(1);
+        self.state == HealthState::Unavailable && is_later && is_enough
     }
 
-    /// Whether the service failed this node: by half of enough calls in a window, by
-    /// [`MIN_CALLS`] failures in a row, or, where calls hang and are few, by
-    /// [`CONCLUSIVE_IN_A_ROW`] failures with no success for a window.
+    /// Returns whether the service is failing for this node: half of at least [`MIN_CALLS`] calls in a
+    /// window failed, [`MIN_CALLS`] consecutive calls failed, or, for calls that hang and are
+    /// therefore few, [`CONCLUSIVE_IN_A_ROW`] consecutive calls failed without a success for a window.
     fn failed_here(&self, now: Nanos, own: &HealthReport) -> bool {
         let hangs = self.failures_in_a_row >= CONCLUSIVE_IN_A_ROW
             && now >= self.failing_since + CALL_WINDOW;
         own.has_failing_window() || self.failures_in_a_row >= MIN_CALLS || hangs
     }
 
-    /// Whether this node, which saw nothing of a failure because it was idle or not there, is to
-    /// recover with the others and not at once. A node that has recovered itself lately is not.
+    /// Returns whether a node that made no calls during a failure, because it was idle or down, has to
+    /// follow the recovery ramp of the others. A node that has completed its own recovery less than
+    /// [`RECOVERED_HOLD`] ago does not.
     fn follows_recovery(
         &self,
         now: Nanos,
@@ -51,13 +52,14 @@
             && others.is_some_and(AggregatedHealth::is_recovering)
     }
 
-    /// Whether a step of the recovery ramp is over and nearly all calls in the last window
+    /// Returns whether a step of the recovery ramp is over and nearly all calls in the last window
     /// succeeded.
     fn step_succeeded(&self, now: Nanos, own: &HealthReport) -> bool {
         now >= self.state_since + RAMP_STEP && own.failure_ratio() <= HEALTHY_RATIO
     }
 
-    /// Changes the state by what is known now; reports may have expired since the last call.
+    /// Updates the state from the calls and reports up to `now`. Reports may have expired since the
+    /// last update.
     pub fn evaluate(&mut self, now: Nanos) {
         let own = self.report(now);
         let others = self.aggregated_health(now);
@@ -81,7 +83,7 @@
             HealthState::Healthy if !own.is_healthy() && others_see_failure => {
                 self.enter(now, HealthState::Degraded)
             }
-            // What it sees itself goes first.
+            // The result of the own calls takes precedence over the reports of others.
             HealthState::Degraded if own.is_healthy() || !others_see_failure => {
                 self.enter(now, HealthState::Healthy)
             }
--- a/crates/shared-state/src/service_health/recovery_ramp.rs
+++ b/crates/shared-state/src/service_health/recovery_ramp.rs
@@ -1,11 +1,11 @@
-//! How load comes back to a service that was unavailable: in steps from a sixteenth, doubled every 5
-//! s, and never beyond twice what the others admit.
+//! Restores the load of a service that was unavailable. The admitted share starts at one sixteenth and
+//! doubles every 5 s, up to twice the mean share that the other nodes admit.
 
 use super::{HalfWindow, HealthState, RAMP_FIRST_SHARE, ServiceHealth};
 use crate::Nanos;
 
 impl ServiceHealth {
-    /// Begins the first step, with empty counts.
+    /// Begins the first step of the ramp and clears the counts of calls.
     pub(super) fn start_recovery(&mut self, now: Nanos) {
         self.halves = [HalfWindow::default(); 2];
         self.failures_in_a_row = 0;
@@ -13,8 +13,8 @@
         self.enter(now, HealthState::Recovering);
     }
 
-    /// Doubles the admitted share, up to twice the others' mean; at the whole share the service is
-    /// healthy.
+    /// Doubles the admitted share, up to twice the mean of the others. The service is healthy once the
+    /// share reaches 1.
     pub(super) fn next_ramp_step(&mut self, now: Nanos) {
         let others = self
             .aggregated_health(now)
--- a/crates/shared-state/src/simulation.rs
+++ b/crates/shared-state/src/simulation.rs
@@ -1,10 +1,12 @@
-//! Simulated clusters that share a budget: the state machines of this package over simulated time,
-//! links that lose, delay and are cut, nodes that crash, are suspended and restart, clocks that
-//! drift; and a backend service that records what reaches it. Two plain strategies are simulated
-//! beside: even shares by the number of nodes in view, and a central counter.
+//! Simulation of clusters that share a budget. The state machines of this package run over simulated
+//! time, with links that lose and delay messages or are cut, nodes that crash, restart and are
+//! suspended, clocks that drift, and a backend service that records the calls that reach it. For
+//! comparison, two baseline strategies are simulated as well: equal shares by the number of nodes in
+//! view, and a central counter.
 //!
-//! All random draws come from one seed, so that equal configurations give equal results. Time passes
-//! in steps (`run`); the order of draws in a step is part of the recorded results.
+//! All random draws come from one seed, so equal configurations give equal results. Time advances in
+//! steps (`run`). The order of the draws within a step determines the recorded results and must not
+//! change.
 
 mod baselines;
 mod calls;
@@ -30,58 +32,58 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// The time between two reports of a node's counters, in nanoseconds.
+/// Time between two counter reports of a node, in nanoseconds.
 const REPORT_INTERVAL: Nanos = 5 * SECOND;
-/// The length of a step, in nanoseconds.
+/// Duration of a step, in nanoseconds.
 const STEP: Nanos = 5 * MILLISECOND;
-/// The first nodes are voters.
+/// Number of voters, which are the first nodes.
 const VOTERS: usize = 3;
 
-/// The load: calls a second that a node attempts at a time.
+/// The load: the number of calls per second that a node attempts at a time in nanoseconds.
 pub type Load = Box<dyn Fn(usize, Nanos) -> f64>;
 
-/// A message that is under way.
+/// A sent message that has not arrived yet.
 struct MessageInFlight {
     from: ProcessId,
     message: SharedMessage,
 }
 
-/// A call that is in flight.
+/// A call in flight: the time of its end, its node, and the incarnation of the node.
 type CallInFlight = Reverse<(Nanos, usize, u64)>;
 
 /// A simulated cluster.
 pub struct Simulation {
-    /// What is simulated.
+    /// The configuration.
     pub config: SimulationConfig,
-    /// The simulated time, in nanoseconds.
+    /// Simulated time, in nanoseconds.
     pub now: Nanos,
-    /// What came of it so far.
+    /// The result since the start or the last [`Simulation::reset_result`].
     pub result: SimulationResult,
-    /// The most nodes that were the leader at once.
+    /// Maximum number of nodes that were the leader at the same time.
     pub max_leaders: usize,
     nodes: Vec<SimulatedNode>,
     rng: Pcg64Mcg,
-    /// When which message arrives, at which node.
+    /// Scheduled arrivals: the time, the id of the message, and the receiving node.
     arrivals: BinaryHeap<Reverse<(Nanos, u64, usize)>>,
     messages: BTreeMap<u64, MessageInFlight>,
     messages_sent: u64,
     load: Load,
-    /// Whether a link, by sender and receiver, is cut.
+    /// Returns whether the link from a sender to a receiver is cut.
     is_cut: Box<dyn Fn(usize, usize) -> bool>,
     incarnations: u64,
-    /// Calls in flight of all nodes: when they end, of which node and incarnation.
+    /// Calls in flight of all nodes, in the order of their ends.
     calls_in_flight: BinaryHeap<CallInFlight>,
-    /// When the calls of the last second were made.
+    /// Times of the calls of the last second.
     recent_calls: VecDeque<Nanos>,
-    /// Which nodes were up since when, for views that are late.
+    /// Which nodes were up from which time on, for views that lag behind.
     up_changes: VecDeque<(Nanos, Vec<bool>)>,
-    /// Calls that the central counter allows now.
+    /// Number of calls that the central counter allows now.
     counter_tokens: f64,
     keys: KeySimulation,
 }
 
 impl Simulation {
-    /// A cluster all of whose nodes start now.
+    /// Creates a cluster, all of whose nodes start at 1 s of simulated time.
     pub fn new(config: SimulationConfig, load: Load) -> Simulation {
         let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
         let nodes = (0..config.nodes)
@@ -118,7 +120,7 @@
         simulation
     }
 
-    /// A node's clock.
+    /// Returns the time by the clock of a node, in nanoseconds.
     fn clock(&self, n: usize) -> Nanos {
         (self.now as f64 * self.nodes[n].clock_rate) as Nanos
     }
@@ -130,7 +132,7 @@
         }
     }
 
-    /// A node starts, knowing nothing.
+    /// Starts a node with a new incarnation and no state.
     pub fn start(&mut self, n: usize) {
         self.incarnations += 1;
         let me = ProcessId {
@@ -180,7 +182,7 @@
         self.up_changes.push_back((self.now, up));
     }
 
-    /// A node ends without a message; its calls in flight are given up.
+    /// Crashes a node: it sends no message, and its calls in flight are abandoned.
     pub fn crash(&mut self, n: usize) {
         self.nodes[n].shared = None;
         self.calls_in_flight
@@ -189,22 +191,23 @@
         self.record_up_change();
     }
 
-    /// A node is suspended for this long, in nanoseconds.
+    /// Suspends a node for `duration` nanoseconds.
     pub fn suspend(&mut self, n: usize, duration: Nanos) {
         self.nodes[n].suspended_until = self.now + duration;
     }
 
-    /// Cuts the links, by sender and receiver, for which this returns true.
+    /// Cuts the links for which `is_cut` returns true for the sender and the receiver, and restores all
+    /// others.
     pub fn cut_links(&mut self, is_cut: impl Fn(usize, usize) -> bool + 'static) {
         self.is_cut = Box::new(is_cut);
     }
 
-    /// Changes the load.
+    /// Replaces the load.
     pub fn set_load(&mut self, load: Load) {
         self.load = load;
     }
 
-    /// Changes the budget on some nodes.
+    /// Replaces the budget on a range of nodes.
     pub fn update_budget(&mut self, nodes: std::ops::Range<usize>, budget: &Budget) {
         for node in &mut self.nodes[nodes] {
             if let Some(shared) = &mut node.shared {
@@ -217,18 +220,18 @@
         }
     }
 
-    /// Begins a new result; what is in flight stays.
+    /// Begins a new result. Messages, calls and units in flight stay.
     pub fn reset_result(&mut self) {
         self.result = SimulationResult::new(self.nodes.len());
         self.keys.forget_dues();
     }
 
-    /// The counters of all processes that a node knows, if it is a voter.
+    /// Returns the counters of all processes that a node keeps as a voter; `None` for other nodes.
     pub fn cluster_counters(&self, n: usize) -> Option<&ClusterCounters> {
         self.nodes[n].shared.as_ref()?.cluster_counters()
     }
 
-    /// Has voters retire the processes that are down.
+    /// Makes all voters retire the processes that are down.
     pub fn retire_processes(&mut self) {
         let up: Vec<ProcessId> = (0..self.nodes.len())
             .filter(|n| self.nodes[*n].shared.is_some())
@@ -242,19 +245,19 @@
         }
     }
 
-    /// Calls of the whole cluster in the totals that a node received last.
+    /// Returns the number of calls of the whole cluster in the totals that a node received last.
     pub fn reported_calls(&self, n: usize) -> Option<u64> {
         let shared = self.nodes[n].shared.as_ref()?;
         let (totals, _) = shared.totals(self.clock(n))?;
         Some(totals.total.get(&PROCESS_ROW)?[process_column::CALLS])
     }
 
-    /// Units of the budget that all nodes may use now.
+    /// Returns the number of units of the budget that all nodes together may use now.
     pub fn usable_units(&mut self) -> u32 {
         (0..self.nodes.len()).map(|n| self.units(n)).sum()
     }
 
-    /// Units of the budget that one node may use now.
+    /// Returns the number of units of the budget that one node may use now.
     pub fn units(&mut self, n: usize) -> u32 {
         let now = self.clock(n);
         self.nodes[n]
--- a/crates/shared-state/src/simulation/calls.rs
+++ b/crates/shared-state/src/simulation/calls.rs
@@ -1,4 +1,5 @@
-//! Backend calls: who attempts them, which are allowed, and what the backend service records.
+//! Backend calls: attempts by the nodes, the decisions of the limit strategies, and the record of the
+//! backend service.
 
 use super::{LimitStrategy, STEP, Simulation};
 use crate::budget::BudgetKind;
@@ -66,7 +67,7 @@
         }
     }
 
-    /// What the backend service records of this step.
+    /// Records by how much the calls of this step exceed the limit at the backend service.
     pub(super) fn observe_backend(&mut self) {
         self.refill_counter();
         let limit = f64::from(self.config.budget.limit);
@@ -79,11 +80,11 @@
                 {
                     self.recent_calls.pop_front();
                 }
-                // A second's worth, what may be saved up, and at least one call that each node has
-                // saved up.
+                // Allowed are the calls of one second, the calls that may be saved up, and at least one
+                // saved call per node.
                 let saved = limit * burst as f64 / SECOND as f64;
-                let whole_calls = self.nodes.len().min(self.config.budget.limit as usize) as f64;
-                let over = self.recent_calls.len() as f64 - limit - saved.max(whole_calls);
+                let one_per_node = self.nodes.len().min(self.config.budget.limit as usize) as f64;
+                let over = self.recent_calls.len() as f64 - limit - saved.max(one_per_node);
                 self.record_over_limit(over);
             }
             BudgetKind::InFlight { .. } => {
--- a/crates/shared-state/src/simulation/config.rs
+++ b/crates/shared-state/src/simulation/config.rs
@@ -1,84 +1,88 @@
-//! What is simulated, and what came of it.
+//! The configuration and the result of a simulation.
 
 use crate::Nanos;
 use crate::budget::Budget;
 use crate::keyed_quota::KeyedQuota;
 
-/// How limits are kept.
+/// A strategy to enforce a cluster-wide limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitStrategy {
-    /// By the leases of this package.
+    /// The leases and unit grants of this package.
     Leases,
-    /// Each node takes the limit divided by the nodes in its view; the view follows the truth late.
+    /// Each node uses the limit divided by the number of nodes in its view, which lags behind.
     EvenByView,
-    /// One node counts for all and is asked about each call; without its answer there is no call.
+    /// The first node counts for all nodes and is asked before each call; without its answer no call
+    /// is made.
     Counter,
 }
 
-/// What is simulated.
+/// Configuration of a simulation.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
-    /// How many nodes there are.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many zones they are spread over.
+    /// Number of zones over which the nodes are distributed.
     pub zones: usize,
-    /// How limits are kept.
+    /// The strategy that enforces the limits.
     pub strategy: LimitStrategy,
     /// The budget that all nodes share.
     pub budget: Budget,
-    /// The probability that a message is lost.
+    /// Probability that a message is lost, from 0 to 1.
     pub loss: f64,
-    /// The least and the most latency of a message, in nanoseconds.
+    /// Minimum and maximum latency of a message, in nanoseconds.
     pub latency: (Nanos, Nanos),
-    /// Clocks run at most this part too fast or slow.
+    /// Maximum deviation of the rate of a clock from 1, as a fraction.
     pub clock_drift: f64,
-    /// How late a node's view of the others is, for even shares, in nanoseconds.
+    /// Time in nanoseconds by which the view of a node lags, for [`LimitStrategy::EvenByView`].
     pub view_delay: Nanos,
-    /// Of all random draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// A keyed quota beside the budget.
+    /// A keyed quota in addition to the budget.
     pub quota: Option<KeyedQuota>,
-    /// The memory for keys at a node, and at the leader, in bytes.
+    /// Memory for keys at each node, and in addition at the leader, in bytes.
     pub quota_bytes: usize,
-    /// The most processes whose counters voters keep apart; 0 where nothing is counted.
+    /// Maximum number of processes whose counters voters keep separately; 0 if the nodes report no
+    /// counters.
     pub max_counted_processes: usize,
 }
 
-/// What came of a simulation.
+/// Result of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SimulationResult {
-    /// Calls that were made.
+    /// Number of calls made.
     pub calls_made: u64,
-    /// Calls that were attempted.
+    /// Number of calls attempted.
     pub calls_attempted: u64,
-    /// The most over the limit, in units, in any second (of a rate) or at any moment (in flight).
+    /// Maximum excess over the limit, in units: in any second for a rate, at any time for calls in
+    /// flight.
     pub max_over_limit: f64,
-    /// Seconds in which the limit was exceeded.
+    /// Number of seconds at whose beginning the limit was exceeded.
     pub seconds_over_limit: u64,
-    /// Messages that were sent.
+    /// Number of messages sent.
     pub messages: u64,
-    /// Their bytes, with all headers.
+    /// Size of the messages sent, in bytes and including all headers.
     pub bytes: u64,
-    /// Units of keys that were wanted; a refused client comes back twice.
+    /// Number of units of keys that clients requested. A refused client retries twice, which is not
+    /// counted again.
     pub keys_wanted: u64,
-    /// Units of keys that were admitted.
+    /// Number of units of keys admitted.
     pub keys_admitted: u64,
-    /// Units of keys that were refused to the end.
+    /// Number of units of keys refused in all attempts.
     pub keys_refused: u64,
-    /// The most over the limit of any key, in units.
+    /// Maximum excess of any key over its limit, in units.
     pub max_key_over_limit: f64,
-    /// Admitted units of keys by node.
+    /// Number of units of keys admitted, by node.
     pub keys_by_node: Vec<u64>,
-    /// Calls made in each second.
+    /// Number of calls made, by second of the simulated time.
     pub calls_by_second: Vec<u64>,
-    /// Calls attempted in each second.
+    /// Number of calls attempted, by second of the simulated time.
     pub attempts_by_second: Vec<u64>,
-    /// Calls made by node.
+    /// Number of calls made, by node.
     pub calls_by_node: Vec<u64>,
 }
 
 impl SimulationResult {
-    /// An empty result of this many nodes.
+    /// Creates an empty result for a cluster of `nodes` nodes.
     pub fn new(nodes: usize) -> SimulationResult {
         SimulationResult {
             calls_by_node: vec![0; nodes],
--- a/crates/shared-state/src/simulation/keys.rs
+++ b/crates/shared-state/src/simulation/keys.rs
@@ -1,5 +1,5 @@
-//! Requests by key: refused clients that come back, and a record of what was admitted
-//! of each key over all nodes.
+//! Requests by key: attempts and retries of clients, and a record of the units of each key that were
+//! admitted over all nodes.
 
 use super::{LimitStrategy, Simulation};
 use crate::Nanos;
@@ -10,43 +10,44 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// The load by key: node and key of each request in a step.
+/// The load by key: returns the node and the key of each request in a step.
 pub type KeyLoad = Box<dyn FnMut(Nanos, &mut Pcg64Mcg) -> Vec<(usize, u64)>>;
 
-/// Attempts of a client, the first one included.
+/// Maximum number of attempts of a client, including the first one.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// What was admitted of a key.
+/// The admitted units of a key over all nodes.
 #[derive(Clone, Copy, Debug, Default)]
 struct AdmittedKey {
-    /// When the next one would be due at an even rate.
+    /// Time at which the next unit would be due at an even rate.
     due: Nanos,
     in_flight: u32,
 }
 
-/// A request of a client.
+/// An attempt of a client.
 struct KeyAttempt {
     node: usize,
     key: u64,
-    /// 1 for the first attempt.
+    /// Number of the attempt, from 1.
     attempt: u32,
 }
 
-/// What is simulated of keys.
+/// The part of the simulation state that concerns keys.
 #[derive(Default)]
 pub(super) struct KeySimulation {
     load: Option<KeyLoad>,
     admitted: HashMap<u64, AdmittedKey>,
-    /// Clients that come back: when, to which node, for which attempt, with which key.
+    /// Scheduled retries: the time, the node, the number of the attempt, and the key.
     retries: BinaryHeap<Reverse<(Nanos, usize, u32, u64)>>,
-    /// What is in flight: until when, at which node and incarnation, of which key.
+    /// Units in flight: the time of the end, the node and its incarnation, and the key.
     in_flight: BinaryHeap<Reverse<(Nanos, usize, u64, u64)>>,
-    /// For plain strategies: when the next one of a key is due at a node.
-    pub(super) plain_dues: HashMap<(usize, u64), Nanos>,
+    /// For the baseline strategies: the time at which the next unit of a key is due, by node and key.
+    pub(super) baseline_dues: HashMap<(usize, u64), Nanos>,
 }
 
 impl KeySimulation {
-    /// One of a key was admitted. Returns by how many units the key is over its limit now.
+    /// Records an admitted unit of a key. Returns by how many units the key exceeds its limit now, which
+    /// is negative below the limit.
     fn record_admitted(&mut self, now: Nanos, key: u64, kind: QuotaKind) -> f64 {
         let admitted = self.admitted.entry(key).or_default();
         admitted.in_flight += 1;
@@ -68,7 +69,7 @@
         self.admitted.entry(key).or_default().in_flight -= 1;
     }
 
-    /// A node crashed: what it had in flight has ended.
+    /// Ends the units in flight of a crashed node.
     pub(super) fn abandon(&mut self, n: usize) {
         let in_flight = std::mem::take(&mut self.in_flight).into_vec();
         for Reverse((end, node, incarnation, key)) in in_flight {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Forgets what was admitted at a rate; what is in flight stays.
+    /// Resets the record of rates. Units in flight stay.
     pub(super) fn forget_dues(&mut self) {
         self.admitted
             .values_mut()
@@ -94,7 +95,7 @@
         self.keys.load = Some(load);
     }
 
-    /// Changes the keyed quota on some nodes.
+    /// Replaces the keyed quota on a range of nodes.
     pub fn update_quota(&mut self, nodes: std::ops::Range<usize>, quota: &KeyedQuota) {
         let budgets = vec![self.config.budget.clone()];
         for shared in self.nodes[nodes]
@@ -109,7 +110,7 @@
         }
     }
 
-    /// A step of all keys.
+    /// Simulates one step of all keys.
     pub(super) fn run_keys(&mut self) {
         let Some(quota) = self.config.quota.clone() else {
             return;
@@ -131,14 +132,14 @@
                 break;
             };
             self.keys.record_ended(key);
-            let is_same = self.nodes[n].incarnation == incarnation;
-            if let Some(shared) = self.nodes[n].shared.as_mut().filter(|_| is_same) {
+            let is_running = self.nodes[n].incarnation == incarnation;
+            if let Some(shared) = self.nodes[n].shared.as_mut().filter(|_| is_running) {
                 shared.host.quotas.release(quota.id(), key);
             }
         }
     }
 
-    /// First attempts by the load, then those of clients that come back.
+    /// Returns the first attempts of the load, followed by the retries that are due.
     fn due_attempts(&mut self) -> Vec<KeyAttempt> {
         let now = self.now;
         let mut attempts: Vec<KeyAttempt> = Vec::new();
@@ -188,14 +189,14 @@
                 }
                 checked.map_err(|exceeded| exceeded.retry_after)
             }
-            strategy => self.plain_key_allows(strategy, n, key, quota.kind),
+            strategy => self.baseline_allows_key(strategy, n, key, quota.kind),
         };
         match admitted {
             Ok(()) => self.record_key(n, key, quota.kind),
-            Err(wait) if attempt < MAX_ATTEMPTS => {
+            Err(retry_after) if attempt < MAX_ATTEMPTS => {
                 self.keys
                     .retries
-                    .push(Reverse((now + wait, n, attempt + 1, key)));
+                    .push(Reverse((now + retry_after, n, attempt + 1, key)));
             }
             Err(_) => self.result.keys_refused += 1,
         }
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Leased units of a key that may be used now, over all nodes.
+    /// Returns the number of leased units of a key that all nodes together may use now.
     pub fn key_units(&self, key: u64) -> u32 {
         let Some(quota) = &self.config.quota else {
             return 0;
@@ -228,7 +229,8 @@
             .sum()
     }
 
-    /// Keys with a state of their own over all nodes, and what the leader stores, if there is one.
+    /// Returns the number of keys that all nodes track, and the size of the lender at the leader, if
+    /// there is a leader.
     pub fn key_sizes(&self) -> (usize, Option<QuotaLenderSize>) {
         let shared = || self.nodes.iter().filter_map(|node| node.shared.as_ref());
         let lender = shared()
--- a/crates/shared-state/src/simulation/node.rs
+++ b/crates/shared-state/src/simulation/node.rs
@@ -1,4 +1,4 @@
-//! A simulated node and its side effects.
+//! A simulated node, and the host that performs its side effects.
 
 use crate::Nanos;
 use crate::budget::{BudgetRequest, Lease, NodeBudgets};
@@ -8,7 +8,7 @@
 use crate::messages::SharedMessage;
 use crate::shared_state::{Host, SharedState};
 
-/// Collects messages, and passes grants to the node's ends of the limits.
+/// Collects the messages that a node sends, and passes grants to the borrowers of the node.
 pub(super) struct SimulatedHost {
     pub(super) sent: Vec<(u64, SharedMessage)>,
     pub(super) budgets: NodeBudgets,
@@ -37,15 +37,16 @@
 
 /// A simulated node.
 pub(super) struct SimulatedNode {
-    /// None while it is down.
+    /// `None` while the node is down.
     pub(super) shared: Option<SharedState<SimulatedHost>>,
     pub(super) incarnation: u64,
-    /// Its clock's rate.
+    /// Rate of the clock of the node; 1 is exact.
     pub(super) clock_rate: f64,
     pub(super) suspended_until: Nanos,
-    /// Accumulates its load: a call is attempted when it reaches 1.
+    /// Accumulates the load; a call is attempted when the sum reaches 1.
     pub(super) load_credit: f64,
-    /// For even shares: calls that may be made now, as of `even_refilled_at`.
+    /// For [`LimitStrategy::EvenByView`](super::LimitStrategy::EvenByView): the number of calls that
+    /// may be made at `even_refilled_at`.
     pub(super) even_tokens: f64,
     pub(super) even_refilled_at: Nanos,
     pub(super) counters: ProcessCounters,
@@ -53,7 +54,7 @@
 }
 
 impl SimulatedNode {
-    /// A node that has not started yet.
+    /// Creates a node that has not started yet.
     pub(super) fn new(clock_rate: f64) -> SimulatedNode {
         SimulatedNode {
             shared: None,
--- a/crates/shared-state/src/simulation/run.rs
+++ b/crates/shared-state/src/simulation/run.rs
@@ -1,4 +1,5 @@
-//! Time: messages arrive, timers fire, calls end and are attempted, in this order in each step.
+//! The steps of the simulated time. In each step, messages arrive, calls end, and then each node runs
+//! its timers, sends messages and attempts calls.
 
 use super::{LimitStrategy, MessageInFlight, REPORT_INTERVAL, STEP, Simulation};
 use crate::Nanos;
@@ -6,18 +7,18 @@
 use rand::RngExt;
 use std::cmp::Reverse;
 
-/// Bytes around a payload: the cluster's frame, its authentication, UDP and IP headers.
+/// Size of the headers of a payload in bytes: frame of the cluster, authentication, UDP and IP.
 const HEADER_BYTES: usize = 32 + 16 + 24 + 28;
-/// On links that lose messages, the probability that a message arrives twice.
+/// Probability that a message arrives twice, on links that lose messages.
 const DUPLICATE_PROBABILITY: f64 = 0.1;
 
-/// Bytes of a message on the network.
+/// Returns the size of a message on the network, in bytes.
 pub(super) fn network_bytes(message: &SharedMessage) -> u64 {
     (encode(message).len() + HEADER_BYTES) as u64
 }
 
 impl Simulation {
-    /// Lets time pass, in nanoseconds.
+    /// Advances the simulated time by `duration` nanoseconds, rounded up to whole steps.
     pub fn run(&mut self, duration: Nanos) {
         let until = self.now + duration;
         while self.now < until {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Does what is due at a node. Returns whether it is the leader.
+    /// Runs the timers that are due at a node. Returns whether the node is the leader.
     fn wake_node(&mut self, n: usize) -> bool {
         let (now, process) = (self.clock(n), self.process(n));
         let node = &mut self.nodes[n];
@@ -88,7 +89,7 @@
         shared.is_leader(now)
     }
 
-    /// Sends what a node has to send; links lose, double and delay it.
+    /// Sends the collected messages of a node. Links lose, duplicate and delay them.
     fn send_messages(&mut self, n: usize) {
         let from = self.process(n);
         let Some(shared) = &mut self.nodes[n].shared else {
@@ -101,11 +102,12 @@
             if self.rng.random_bool(self.config.loss) || (self.is_cut)(n, to) {
                 continue;
             }
-            let is_doubled = self.config.loss > 0.0 && self.rng.random_bool(DUPLICATE_PROBABILITY);
-            for _ in 0..if is_doubled { 2 } else { 1 } {
+            let is_duplicated =
+                self.config.loss > 0.0 && self.rng.random_bool(DUPLICATE_PROBABILITY);
+            for _ in 0..if is_duplicated { 2 } else { 1 } {
                 self.messages_sent += 1;
-                let (least, most) = self.config.latency;
-                let due = self.now + self.rng.random_range(least..=most);
+                let (min, max) = self.config.latency;
+                let due = self.now + self.rng.random_range(min..=max);
                 let message = message.clone();
                 self.messages
                     .insert(self.messages_sent, MessageInFlight { from, message });
--- a/crates/shared-state/src/status.rs
+++ b/crates/shared-state/src/status.rs
@@ -1,6 +1,6 @@
-//! The status snapshot: all that a node knows of the shared state, to be shown to people, and why it
-//! stands so. Filled part by part by the `with_` methods, read by `madderpoint shared explain` and
-//! `fleet show`. The texts are in `explain`, the fields in `snapshot`.
+//! The status snapshot: the shared state as one node sees it, with explanations for operators. The
+//! `with_` methods fill the snapshot part by part; `madderpoint shared explain` and `fleet show` read
+//! it. The texts are in `explain`, the fields in `snapshot`.
 
 mod explain;
 mod snapshot;
@@ -58,7 +58,7 @@
 }
 
 impl StatusSnapshot {
-    /// Adds the node's ends of the budgets.
+    /// Adds the state of the budgets at this node.
     pub fn with_budgets(&mut self, now: Nanos, budgets: &mut NodeBudgets) {
         self.budgets = budgets
             .borrowers()
@@ -67,7 +67,7 @@
             .collect();
     }
 
-    /// Adds the node's end of the keyed quotas.
+    /// Adds the state of the keyed quotas at this node.
     pub fn with_quotas(&mut self, now: Nanos, borrower: &QuotaBorrower) {
         self.quota_grant_ms_ago = borrower.since_last_grant(now).map(milliseconds);
         self.is_quota_cut_off = borrower.is_cut_off(now);
@@ -120,15 +120,16 @@
         });
     }
 
-    /// Adds the requests that the backend gate admitted and rejected, and the calls that wait.
+    /// Adds the numbers of requests that the backend gate admitted and rejected, and the number of
+    /// calls that wait for units.
     pub fn with_gate(&mut self, gate: &BackendGate, calls_waiting: usize) {
         let counts = gate.counts();
         (self.gate_admitted, self.gate_rejected) = (counts.admitted, counts.rejected);
         self.calls_waiting = calls_waiting as u32;
     }
 
-    /// Adds who leads, what this node grants as the leader, and the counters of the whole cluster.
-    /// `operations` are the names of the node's operations.
+    /// Adds the leader, the grants of this node if it is the leader, the event counts of this node, and
+    /// the counters of the whole cluster. `operations` are the names of the node's operations.
     pub fn with_shared_state<H: Host>(
         &mut self,
         now: Nanos,
@@ -189,7 +190,7 @@
     let name = match operations.iter().find(|name| name_hash(name) == row) {
         _ if row == PROCESS_ROW => String::new(),
         Some(name) => name.clone(),
-        None => format!("{row:08x}"), // an operation that this node does not know
+        None => format!("{row:08x}"), // an operation that is unknown to this node
     };
     let minute = &totals.last_minute;
     let mut latency = LatencyHistogram::default();
@@ -229,7 +230,7 @@
     })
 }
 
-/// The heads of the columns of the process's own row, or of an operation's row.
+/// Returns the column heads for the row of the process itself, or for the row of an operation.
 pub fn column_heads(is_process: bool) -> [&'static str; COLUMNS] {
     let mut heads = [""; COLUMNS];
     if is_process {
--- a/crates/shared-state/src/status/snapshot.rs
+++ b/crates/shared-state/src/status/snapshot.rs
@@ -1,39 +1,39 @@
-//! The fields of the status snapshot: Protocol Buffers, fields by number.
+//! The fields of the status snapshot, encoded as Protocol Buffers. Field numbers are fixed.
 
-/// A node's end of a budget on backend calls.
+/// State of a budget on backend calls at one node.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct BudgetStatus {
-    /// The budget's name.
+    /// Name of the budget.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Whether it limits a rate; else a number in flight.
+    /// Whether the budget limits a rate; otherwise it limits the number of calls in flight.
     #[prost(bool, tag = "2")]
     pub is_rate: bool,
-    /// Calls a second, or in flight, of all nodes together.
+    /// Limit for all nodes together, in calls per second or calls in flight.
     #[prost(uint32, tag = "3")]
     pub limit: u32,
-    /// Units that each node may use without a lease.
+    /// Guaranteed floor: units that each node may use without a lease.
     #[prost(uint32, tag = "4")]
     pub floor: u32,
-    /// The most processes that run at once.
+    /// Maximum number of processes that run at the same time.
     #[prost(uint32, tag = "5")]
     pub max_nodes: u32,
-    /// Whether only retries count.
+    /// Whether the budget applies only to retries.
     #[prost(bool, tag = "6")]
     pub retries_only: bool,
-    /// Units that the node may use now.
+    /// Number of units that the node may use now.
     #[prost(uint32, tag = "7")]
     pub units: u32,
-    /// Units that it requests beside its floor.
+    /// Number of units that the node requests beyond its floor.
     #[prost(uint32, tag = "8")]
     pub demand: u32,
-    /// Calls in flight.
+    /// Number of calls in flight.
     #[prost(uint32, tag = "9")]
     pub in_flight: u32,
-    /// Calls that found a unit.
+    /// Number of calls that got a unit.
     #[prost(uint64, tag = "10")]
     pub allowed: u64,
-    /// Calls that found none.
+    /// Number of calls refused for lack of a unit.
     #[prost(uint64, tag = "11")]
     pub refused: u64,
     /// The latest lease, if any.
@@ -41,228 +41,231 @@
     pub lease: Option<LeaseStatus>,
 }
 
-/// A lease.
+/// A lease of a budget.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct LeaseStatus {
-    /// Units when it was granted.
+    /// Number of units when the lease was granted.
     #[prost(uint32, tag = "1")]
     pub units: u32,
-    /// How long ago it was requested, in milliseconds.
+    /// Time since the request for the lease, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub requested_ms_ago: u64,
-    /// How long ago it was received, in milliseconds.
+    /// Time since the grant was received, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub granted_ms_ago: u64,
-    /// How long it lasts, in milliseconds.
+    /// Duration of the lease, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub duration_ms: u64,
-    /// Units that all borrowers requested then.
+    /// Number of units that all borrowers requested at the time of the grant.
     #[prost(uint32, tag = "5")]
     pub total_demand: u32,
-    /// How many borrowers there were.
+    /// Number of borrowers at the time of the grant.
     #[prost(uint32, tag = "6")]
     pub borrowers: u32,
-    /// Units that there were to be leased.
+    /// Number of units that the lender distributed at the time of the grant.
     #[prost(uint32, tag = "7")]
     pub pool: u32,
 }
 
-/// A node's end of a keyed quota.
+/// State of a keyed quota at one node.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct QuotaStatus {
-    /// The quota's name.
+    /// Name of the quota.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Units in a period; or, with no period, in flight.
+    /// Units of each key per period or, without a period, in flight.
     #[prost(uint32, tag = "2")]
     pub count: u32,
-    /// The period in milliseconds; 0 for a number in flight.
+    /// Period in milliseconds; 0 for a limit on units in flight.
     #[prost(uint64, tag = "3")]
     pub period_ms: u64,
-    /// Units that may be saved up.
+    /// Number of units of each key that may be saved up.
     #[prost(uint32, tag = "4")]
     pub burst: u32,
-    /// Units of each key that each node may use without a lease.
+    /// Guaranteed floor: units of each key that each node may use without a lease.
     #[prost(uint32, tag = "5")]
     pub floor: u32,
-    /// The most processes that run at once.
+    /// Maximum number of processes that run at the same time.
     #[prost(uint32, tag = "6")]
     pub max_nodes: u32,
-    /// Admitted by leased units.
+    /// Number of requests admitted by leased units.
     #[prost(uint64, tag = "7")]
     pub by_lease: u64,
-    /// Admitted by the floor.
+    /// Number of requests admitted by the floor.
     #[prost(uint64, tag = "8")]
     pub by_floor: u64,
-    /// Refused, in the order of [`RefusalReason`](crate::keyed_quota::borrower::RefusalReason).
+    /// Numbers of refused requests by reason, in the order of
+    /// [`RefusalReason`](crate::keyed_quota::borrower::RefusalReason).
     #[prost(uint64, repeated, tag = "9")]
     pub refused: Vec<u64>,
-    /// Leased units of all keys.
+    /// Number of leased units of all keys.
     #[prost(uint64, tag = "10")]
     pub units: u64,
-    /// Keys with leased units.
+    /// Number of keys with leased units.
     #[prost(uint64, tag = "11")]
     pub keys: u64,
 }
 
-/// The backend service.
+/// Health of the backend service at one node.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ServiceStatus {
-    /// The service's name.
+    /// Name of the service.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// How the node treats it, as labelled by
+    /// Health state of the service at this node, as labelled by
     /// [`HealthState::label`](crate::HealthState::label).
     #[prost(string, tag = "2")]
     pub state: String,
-    /// For how long, in milliseconds.
+    /// Time since the last change of the state, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub since_ms: u64,
-    /// The share of calls that is admitted, from 0 to 1.
+    /// Share of calls that is admitted, from 0 to 1.
     #[prost(double, tag = "4")]
     pub admitted_share: f64,
-    /// The node's calls in its last window.
+    /// Number of the node's calls in its last window of 2 s.
     #[prost(uint32, tag = "5")]
     pub calls: u32,
-    /// Of these, calls that failed.
+    /// Number of these calls that failed.
     #[prost(uint32, tag = "6")]
     pub failed: u32,
-    /// Other nodes with a conclusive report.
+    /// Number of other nodes with a conclusive report.
     #[prost(uint32, tag = "7")]
     pub reporters: u32,
-    /// Of these, nodes that see it fail.
+    /// Number of reporters to which the service is failing.
     #[prost(uint32, tag = "8")]
     pub failing: u32,
-    /// Zones of the reporters.
+    /// Number of zones of the reporters.
     #[prost(uint32, tag = "9")]
     pub zones: u32,
-    /// Zones of those that see it fail.
+    /// Number of zones of the reporters to which the service is failing.
     #[prost(uint32, tag = "10")]
     pub failing_zones: u32,
-    /// Whether this node is one of those that probe it.
+    /// Whether this node is one of the probers while the service is unavailable.
     #[prost(bool, tag = "11")]
     pub is_prober: bool,
     /// Whether this node knows of no other member.
     #[prost(bool, tag = "12")]
     pub is_alone: bool,
-    /// Calls that were admitted.
+    /// Number of admitted calls.
     #[prost(uint64, tag = "13")]
     pub admitted: u64,
-    /// Calls that were held back.
+    /// Number of withheld calls.
     #[prost(uint64, tag = "14")]
     pub withheld: u64,
 }
 
-/// What the leader has granted of a budget.
+/// The units of a budget that the leader has granted.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LenderStatus {
-    /// The budget's name.
+    /// Name of the budget.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Units that may be in use.
+    /// Number of leased units that may be in use.
     #[prost(uint32, tag = "2")]
     pub outstanding: u32,
-    /// Units that there are to be leased.
+    /// Number of units that the leader distributes.
     #[prost(uint32, tag = "3")]
     pub pool: u32,
-    /// How many borrowers there are.
+    /// Number of borrowers.
     #[prost(uint32, tag = "4")]
     pub borrowers: u32,
 }
 
-/// A row of counters.
+/// A row of the counters of the cluster.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CounterRowStatus {
-    /// The operation's name; empty for the processes themselves.
+    /// Name of the operation; empty for the processes themselves, and the row number in hexadecimal for
+    /// an operation that is unknown to this node.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Counts since the processes' starts, by column.
+    /// Counts since the start of each process, by column.
     #[prost(uint64, repeated, tag = "2")]
     pub total: Vec<u64>,
     /// Counts of the last minute, by column.
     #[prost(uint64, repeated, tag = "3")]
     pub minute: Vec<u64>,
-    /// The last minute's median latency, in microseconds.
+    /// Median latency in the last minute, in microseconds; 0 without latencies.
     #[prost(uint64, tag = "4")]
     pub p50_us: u64,
-    /// The latency that 99 of a hundred stayed within in the last minute, in microseconds.
+    /// 99th percentile of the latencies in the last minute, in microseconds; 0 without latencies.
     #[prost(uint64, tag = "5")]
     pub p99_us: u64,
 }
 
-/// How often something occurred.
+/// A named event or heavy key with its number of occurrences.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CounterStatus {
-    /// What occurred.
+    /// Name of the event or key.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// How often.
+    /// Number of occurrences.
     #[prost(uint64, tag = "2")]
     pub times: u64,
 }
 
-/// All of it.
+/// The shared state as one node sees it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StatusSnapshot {
-    /// The node's name.
+    /// Name of the node.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// Its ends of the budgets.
+    /// State of the budgets at this node.
     #[prost(message, repeated, tag = "2")]
     pub budgets: Vec<BudgetStatus>,
-    /// Its ends of the keyed quotas.
+    /// State of the keyed quotas at this node.
     #[prost(message, repeated, tag = "3")]
     pub quotas: Vec<QuotaStatus>,
-    /// How long ago the leader granted units of keys, in milliseconds, if it ever did.
+    /// Time since the last grant of units of keys by a leader, in milliseconds; `None` before the first
+    /// grant.
     #[prost(uint64, optional, tag = "4")]
     pub quota_grant_ms_ago: Option<u64>,
-    /// Whether it waits for a grant in vain.
+    /// Whether no lender has answered the requests for units of keys for a whole lease duration.
     #[prost(bool, tag = "5")]
     pub is_quota_cut_off: bool,
-    /// The backend service, where there is one.
+    /// Health of the backend service, if one is configured.
     #[prost(message, optional, tag = "6")]
     pub service: Option<ServiceStatus>,
-    /// Requests that the backend gate admitted.
+    /// Number of requests that the backend gate admitted.
     #[prost(uint64, tag = "7")]
     pub gate_admitted: u64,
-    /// Requests that it rejected.
+    /// Number of requests that the backend gate rejected.
     #[prost(uint64, tag = "8")]
     pub gate_rejected: u64,
-    /// Calls that wait for units.
+    /// Number of calls that wait for units.
     #[prost(uint32, tag = "9")]
     pub calls_waiting: u32,
-    /// The hash of the leader's name, as far as is known; 0 if not.
+    /// Member key of the leader, which is the hash of its name; 0 if the leader is unknown.
     #[prost(fixed64, tag = "10")]
     pub leader: u64,
     /// Whether this node is the leader.
     #[prost(bool, tag = "11")]
     pub is_leader: bool,
-    /// What it has granted as the leader.
+    /// Grants of this node as the leader, by budget; empty at other nodes.
     #[prost(message, repeated, tag = "12")]
     pub lenders: Vec<LenderStatus>,
-    /// As the leader, of keyed quotas: keys, borrowers' shares of keys, requests without room, and
-    /// milliseconds until it opens. Else empty.
+    /// Keyed quotas at the leader, as a list of four numbers: keys, leases, requests refused for lack
+    /// of memory, and milliseconds until the first grant. Empty at other nodes.
     #[prost(uint64, repeated, tag = "13")]
     pub quota_lender: Vec<u64>,
-    /// The age of the cluster's totals, in milliseconds.
+    /// Age of the totals of the cluster, in milliseconds.
     #[prost(uint64, tag = "14")]
     pub totals_age_ms: u64,
-    /// Processes that are counted apart.
+    /// Number of processes whose counters are kept separately.
     #[prost(uint32, tag = "15")]
     pub processes: u32,
-    /// Processes that have left and are counted together.
+    /// Number of retired processes, whose counters are kept as one sum.
     #[prost(uint32, tag = "16")]
     pub retired: u32,
-    /// The cluster's counters.
+    /// Counters of the cluster.
     #[prost(message, repeated, tag = "17")]
     pub rows: Vec<CounterRowStatus>,
-    /// Heavy keys of the last minute.
+    /// Heavy keys in the last minute.
     #[prost(message, repeated, tag = "18")]
     pub heavy: Vec<CounterStatus>,
-    /// Events of this node.
+    /// Event counts of this node.
     #[prost(message, repeated, tag = "19")]
     pub event_counts: Vec<CounterStatus>,
-    /// The leader's name, where the membership has it.
+    /// Name of the leader; empty if the member table does not have it.
     #[prost(string, tag = "20")]
     pub leader_name: String,
 }
--- a/crates/shared-state/src/status/tests.rs
+++ b/crates/shared-state/src/status/tests.rs
@@ -4,9 +4,10 @@
 use crate::{AggregatedHealth, HealthState, SECOND};
 use prost::Message;
 
-/// A node that got a lease, then reaches nobody, says so at each step.
+/// Guards against explanations that do not follow the age of a lease: before the first lease, while it
+/// is fresh, after its first half, and after its end.
 #[test]
-fn a_node_explains_what_it_may_use() {
+fn the_state_of_a_budget_is_explained() {
     let kind = BudgetKind::Rate { burst: SECOND / 20 };
     let budget = Budget {
         name: "register".into(),
@@ -17,7 +18,7 @@
         retries_only: false,
     };
     let mut budgets = NodeBudgets::new(0, std::slice::from_ref(&budget));
-    let at = |budgets: &mut NodeBudgets, now: Nanos| {
+    let explained = |budgets: &mut NodeBudgets, now: Nanos| {
         let mut status = StatusSnapshot::default();
         status.with_budgets(now, budgets);
         let read = StatusSnapshot::decode(status.encode_to_vec().as_slice()).unwrap();
@@ -25,7 +26,8 @@
         read.explain()[1].clone()
     };
     assert!(
-        at(&mut budgets, 0).contains("may use 2, its floor of 2 alone, for nothing was lent yet")
+        explained(&mut budgets, 0)
+            .contains("may use 2, its floor of 2 only, because no lease was granted yet")
     );
     let duration = 1500 * MILLISECOND;
     let lease = Lease {
@@ -40,20 +42,21 @@
         pool: 80,
     };
     budgets.receive_leases(0, 0, &[(budget.id(), lease)]);
-    let fresh = at(&mut budgets, 100 * MILLISECOND);
+    let fresh = explained(&mut budgets, 100 * MILLISECOND);
     assert!(
         fresh.contains("may use 42")
-            && fresh.contains("5 asked for 250 of 80 then, which is short"),
+            && fresh
+                .contains("5 nodes requested 250 units of a pool of 80 then, which is too small"),
         "{fresh}"
     );
-    let later = at(&mut budgets, 800 * MILLISECOND);
+    let later = explained(&mut budgets, 800 * MILLISECOND);
     assert!(
         later.contains("may use 22") && later.contains("its first half is over"),
         "{later}"
     );
-    let expired = at(&mut budgets, 1600 * MILLISECOND);
+    let expired = explained(&mut budgets, 1600 * MILLISECOND);
     assert!(
-        expired.contains("may use 2") && expired.contains("its time of 1500 ms is over"),
+        expired.contains("may use 2") && expired.contains("its duration of 1500 ms is over"),
         "{expired}"
     );
 }
@@ -74,10 +77,10 @@
         ..AggregatedHealth::default()
     };
     health.receive_reports(SECOND, failing);
-    let careful = explained(&mut health, SECOND);
+    let degraded = explained(&mut health, SECOND);
     assert!(
-        careful.contains("careful") && careful.contains("3 of 4 others in 2 of 2 zones"),
-        "{careful}"
+        degraded.contains("careful") && degraded.contains("3 of 4 others in 2 of 2 zones"),
+        "{degraded}"
     );
     (0..10).for_each(|_| health.call_ended(2 * SECOND, false));
     assert_eq!(health.state(), HealthState::Unavailable);
@@ -88,11 +91,11 @@
             ..failing
         },
     );
-    let closed = explained(&mut health, 3 * SECOND);
+    let unavailable = explained(&mut health, 3 * SECOND);
     assert!(
-        closed.contains(
-            "closed for 1000 ms, 0 % goes there, for it failed this node; this node is one"
+        unavailable.contains(
+            "closed for 1000 ms, 0 % of calls are admitted because it failed this node; this node is one of its probers"
         ),
-        "{closed}"
+        "{unavailable}"
     );
 }
--- a/crates/shared-state/tests/budgets.rs
+++ b/crates/shared-state/tests/budgets.rs
@@ -1,5 +1,5 @@
-//! The hard cases of a budget that a cluster shares, over simulated time: never over the limit, and
-//! unused units are used again soon.
+//! Budgets that a cluster shares, over simulated time and under faults: the limit is never exceeded,
+//! and units that are not used by one node are soon used by another one.
 
 use madderpoint_shared_state::simulation::{LimitStrategy, Load, Simulation, SimulationConfig};
 use madderpoint_shared_state::{Budget, BudgetKind, Nanos};
@@ -35,14 +35,15 @@
     }
 }
 
-fn full() -> Load {
+fn full_load() -> Load {
     Box::new(|_, _| 200.0)
 }
 
-/// Never over the limit, at any moment: the units of all nodes together, and the calls that the
-/// backend service recorded.
-fn run_within(sim: &mut Simulation, time: Nanos) {
-    for _ in 0..time / (20 * MS) {
+/// Runs the simulation and checks that the limit is never exceeded, neither by the usable units of all
+/// nodes together nor by the calls that the backend service recorded, and that there is never more
+/// than one leader.
+fn run_within(sim: &mut Simulation, duration: Nanos) {
+    for _ in 0..duration / (20 * MS) {
         sim.run(20 * MS);
         let (units, limit) = (sim.usable_units(), sim.config.budget.limit);
         assert!(
@@ -60,75 +61,86 @@
     );
     assert!(
         sim.max_leaders <= 1,
-        "seed {}: {} lend at once",
+        "seed {}: {} leaders at the same time",
         sim.config.seed,
         sim.max_leaders
     );
 }
 
-/// The share of the limit that was used in the last seconds.
-fn used(sim: &mut Simulation, seconds: u64) -> f64 {
+/// Runs for some seconds and returns the share of the limit that was used in this time.
+fn run_and_measure_use(sim: &mut Simulation, seconds: u64) -> f64 {
     let before = sim.result.calls_made;
     run_within(sim, seconds * S);
     (sim.result.calls_made - before) as f64 / seconds as f64 / f64::from(sim.config.budget.limit)
 }
 
 #[test]
-fn without_faults_nearly_all_of_the_limit_is_used_and_moves_to_where_it_is_needed() {
+fn without_faults_nearly_all_of_the_limit_is_used_and_follows_the_demand() {
     for seed in 0..3 {
-        let mut sim = Simulation::new(config(10, seed), full());
+        let mut sim = Simulation::new(config(10, seed), full_load());
         run_within(&mut sim, 10 * S);
-        assert!(used(&mut sim, 5) > 0.9, "seed {seed}: even demand");
-        // All of it at two nodes.
+        assert!(
+            run_and_measure_use(&mut sim, 5) > 0.9,
+            "seed {seed}: even demand"
+        );
+        // Nearly all demand is at two nodes.
         sim.set_load(Box::new(|n, _| if n < 2 { 800.0 } else { 1.0 }));
         run_within(&mut sim, 2 * S);
-        let skewed = used(&mut sim, 5);
+        let skewed = run_and_measure_use(&mut sim, 5);
         assert!(skewed > 0.9, "seed {seed}: {skewed} under skewed demand");
-        // It moves to another one; within a second or so most of it has followed.
+        // The demand moves to another node; most units follow within 1.5 s.
         sim.set_load(Box::new(|n, _| if n == 7 { 1200.0 } else { 1.0 }));
         run_within(&mut sim, 1500 * MS);
-        let moved = used(&mut sim, 2);
-        assert!(moved > 0.85, "seed {seed}: {moved} after it moved");
+        let moved = run_and_measure_use(&mut sim, 2);
+        assert!(moved > 0.85, "seed {seed}: {moved} after the demand moved");
     }
 }
 
-/// Thirds that each reach only themselves, each with full demand: one of them may have a leader,
-/// the others fall to their floors.
+/// The cluster is split into thirds, each with full demand. Guards against units that are granted
+/// twice, and against nodes below their guaranteed floors.
 #[test]
 fn a_partition_in_thirds_stays_within_the_limit() {
     for seed in 0..4 {
-        let mut sim = Simulation::new(config(12, seed), full());
+        let mut sim = Simulation::new(config(12, seed), full_load());
         run_within(&mut sim, 10 * S);
         sim.cut_links(|a, b| a % 3 != b % 3);
         run_within(&mut sim, 20 * S);
-        let floors: Vec<u32> = (0..12).map(|n| sim.units(n)).collect();
-        assert!(floors.iter().all(|units| *units >= 2), "{floors:?}");
+        let units: Vec<u32> = (0..12).map(|n| sim.units(n)).collect();
+        assert!(units.iter().all(|units| *units >= 2), "{units:?}");
         sim.cut_links(|_, _| false);
         run_within(&mut sim, 8 * S);
-        assert!(used(&mut sim, 3) > 0.9, "seed {seed}: after the heal");
+        assert!(
+            run_and_measure_use(&mut sim, 3) > 0.9,
+            "seed {seed}: after the partition has healed"
+        );
     }
 }
 
-/// Two of three voters on one side: that side goes on, the other one has its floors.
+/// Two of the three voters are on one side of a partition. That side keeps its leader and goes on; the
+/// nodes of the other side fall to their guaranteed floors.
 #[test]
 fn the_side_with_a_majority_of_voters_goes_on() {
-    let mut sim = Simulation::new(config(9, 1), full());
+    let mut sim = Simulation::new(config(9, 1), full_load());
     run_within(&mut sim, 10 * S);
     sim.cut_links(|a, b| (2..7).contains(&a) != (2..7).contains(&b));
     run_within(&mut sim, 12 * S);
-    assert!(used(&mut sim, 3) > 0.75, "four nodes try 800 a second");
+    assert!(
+        run_and_measure_use(&mut sim, 3) > 0.75,
+        "four nodes attempt 800 calls per second"
+    );
     assert!((2..7).all(|n| sim.units(n) == 2));
 }
 
-/// Links cut one way: the leader is not heard, and hears; the other way round as well.
+/// Links are cut in one direction: either the nodes do not hear the voters, or the voters do not hear
+/// the nodes. Guards against units that are granted twice.
 #[test]
 fn links_cut_one_way_grant_nothing_twice() {
     for seed in 0..4 {
-        for lender_is_heard in [true, false] {
-            let mut sim = Simulation::new(config(8, seed), full());
+        for cuts_towards_voters in [true, false] {
+            let mut sim = Simulation::new(config(8, seed), full_load());
             run_within(&mut sim, 10 * S);
             sim.cut_links(move |a, b| {
-                if lender_is_heard {
+                if cuts_towards_voters {
                     b < 3 && a >= 3
                 } else {
                     a < 3 && b >= 3
@@ -137,20 +149,20 @@
             run_within(&mut sim, 12 * S);
             sim.cut_links(|_, _| false);
             run_within(&mut sim, 8 * S);
-            assert!(used(&mut sim, 3) > 0.9, "seed {seed}");
+            assert!(run_and_measure_use(&mut sim, 3) > 0.9, "seed {seed}");
         }
     }
 }
 
 #[test]
-fn suspensions_crashes_and_restarts_by_seed_stay_within_the_limit() {
+fn random_suspensions_crashes_and_restarts_stay_within_the_limit() {
     for seed in 0..25u64 {
         let mut sim = Simulation::new(
             SimulationConfig {
                 loss: [0.0, 0.05, 0.3][seed as usize % 3],
                 ..config(9, seed)
             },
-            full(),
+            full_load(),
         );
         run_within(&mut sim, 9 * S);
         for step in 0..12 {
@@ -175,17 +187,16 @@
         run_within(&mut sim, 10 * S);
         if sim.config.loss < 0.1 {
             assert!(
-                used(&mut sim, 3) > 0.85,
-                "seed {seed}: all cold at once, and back"
+                run_and_measure_use(&mut sim, 3) > 0.85,
+                "seed {seed}: after all nodes restarted at the same time"
             );
         }
     }
 }
 
-/// Half of the cluster is replaced while the limit is fully used.
 #[test]
-fn half_of_the_cluster_is_replaced_with_the_limit_fully_used() {
-    let mut sim = Simulation::new(config(20, 3), full());
+fn replacing_half_of_the_nodes_at_full_load_stays_within_the_limit() {
+    let mut sim = Simulation::new(config(20, 3), full_load());
     run_within(&mut sim, 10 * S);
     for n in 0..10 {
         sim.crash(n * 2);
@@ -194,12 +205,13 @@
         run_within(&mut sim, 200 * MS);
     }
     run_within(&mut sim, 8 * S);
-    assert!(used(&mut sim, 3) > 0.9);
+    assert!(run_and_measure_use(&mut sim, 3) > 0.9);
 }
 
-/// Calls in flight, which go on beyond the end of a lease.
+/// Calls in flight may go on after the end of the lease under which they were made. Guards against
+/// units that are granted again while such calls go on.
 #[test]
-fn calls_in_flight_are_never_more_than_the_limit() {
+fn calls_in_flight_never_exceed_the_limit() {
     for seed in 0..6 {
         let kind = BudgetKind::InFlight {
             max_call_time: 400 * MS,
@@ -217,7 +229,7 @@
                 budget,
                 ..config(9, seed)
             },
-            full(),
+            full_load(),
         );
         run_within(&mut sim, 10 * S);
         for step in 0..8u64 {
@@ -236,17 +248,17 @@
         run_within(&mut sim, 8 * S);
         let before = sim.result.calls_made;
         run_within(&mut sim, 4 * S);
-        // 120 in flight of 250 ms each on average are some 480 a second.
-        let a_second = (sim.result.calls_made - before) / 4;
-        assert!(a_second > 300, "seed {seed}: {a_second}");
+        // 120 calls in flight of 250 ms on average are about 480 calls per second.
+        let calls_per_second = (sim.result.calls_made - before) / 4;
+        assert!(calls_per_second > 300, "seed {seed}: {calls_per_second}");
     }
 }
 
-/// A limit is changed on half of the nodes: the smaller of both holds once the leader has it and
-/// leases have expired.
+/// The limit is reduced first on one half of the nodes and then on the other. The smaller limit holds
+/// once the leader has it and the leases have expired.
 #[test]
 fn a_limit_that_changes_on_half_of_the_nodes_stays_within_the_larger() {
-    let mut sim = Simulation::new(config(8, 5), full());
+    let mut sim = Simulation::new(config(8, 5), full_load());
     run_within(&mut sim, 10 * S);
     let smaller = budget(400, 2, 18);
     sim.update_budget(0..4, &smaller);
@@ -257,9 +269,9 @@
     assert!(sim.usable_units() <= 400);
 }
 
-/// More nodes than the limit has units, and floors that may be none.
+/// The limit has fewer units than there are nodes, and the guaranteed floor is 0.
 #[test]
-fn more_nodes_than_units() {
+fn more_nodes_than_units_stay_within_the_limit() {
     let budget = Budget {
         floor: 0,
         ..budget(10, 0, 100)
@@ -275,17 +287,17 @@
     assert!(sim.result.calls_made > 50, "{}", sim.result.calls_made);
 }
 
-/// The plain strategies exceed the limit where a part of the cluster is cut off, or use little: the
-/// record can tell.
+/// Guards against a simulation that cannot detect violations. In a partition, equal shares exceed the
+/// limit, and a central counter allows nothing to the nodes that cannot reach it.
 #[test]
-fn the_record_tells_the_plain_strategies_apart() {
-    let play = |strategy| {
+fn the_simulation_detects_the_faults_of_the_baseline_strategies() {
+    let run_partition = |strategy| {
         let mut sim = Simulation::new(
             SimulationConfig {
                 strategy,
                 ..config(12, 1)
             },
-            full(),
+            full_load(),
         );
         sim.run(10 * S);
         sim.cut_links(|a, b| a % 3 != b % 3);
@@ -293,20 +305,20 @@
         sim.result.clone()
     };
     let (even, counter, leases) = (
-        play(LimitStrategy::EvenByView),
-        play(LimitStrategy::Counter),
-        play(LimitStrategy::Leases),
+        run_partition(LimitStrategy::EvenByView),
+        run_partition(LimitStrategy::Counter),
+        run_partition(LimitStrategy::Leases),
     );
     assert!(even.max_over_limit > 500.0, "{even:?}");
     assert!(leases.max_over_limit <= 0.0 && counter.max_over_limit <= 0.0);
-    // Cut off from the counter a node has nothing at all; with leases it has its floor.
+    // A node that cannot reach the counter makes no calls; with leases it uses its floor.
     let cut_off = |strategy| {
         let mut sim = Simulation::new(
             SimulationConfig {
                 strategy,
                 ..config(12, 1)
             },
-            full(),
+            full_load(),
         );
         sim.run(10 * S);
         sim.cut_links(|a, b| a % 3 != b % 3);
@@ -321,15 +333,15 @@
     );
     assert!(
         counter == 0 && (15..=25).contains(&leases),
-        "{counter} and {leases} in 10 s, of a floor of 2 a second"
+        "{counter} and {leases} calls in 10 s with a floor of 2 per second"
     );
 }
 
-/// Counters of calls, by way of voters that lose each other, with killed nodes and restarts: all
-/// come to the same, never to more than was made, and to less only by what the killed nodes had not
+/// Counts calls while the voters are separated and nodes crash and restart. Guards against totals that
+/// differ between nodes, exceed the number of calls made, or lack more than the crashed nodes had not
 /// reported.
 #[test]
-fn totals_are_the_same_everywhere_and_lose_only_what_was_not_reported() {
+fn totals_agree_and_lose_only_unreported_calls_of_crashed_nodes() {
     for seed in 0..6 {
         let mut sim = Simulation::new(
             SimulationConfig {
@@ -339,10 +351,10 @@
             Box::new(|_, _| 20.0),
         );
         run_within(&mut sim, 10 * S);
-        // Each of three sides has one of the voters, 0 to 2.
+        // Each third has one of the three voters, which are the nodes 0 to 2.
         sim.cut_links(|a, b| a % 3 != b % 3);
         run_within(&mut sim, 20 * S);
-        let known: Vec<u64> = (0..3).map(|n| calls(&sim, n)).collect();
+        let known: Vec<u64> = (0..3).map(|n| known_calls(&sim, n)).collect();
         assert!(
             known.iter().all(|known| *known < sim.result.calls_made),
             "{known:?}"
@@ -353,17 +365,16 @@
             let before = sim.result.calls_by_node[n];
             run_within(&mut sim, 5 * S);
             sim.crash(n);
-            lost += sim.result.calls_by_node[n] - before; // at most what it made since
+            lost += sim.result.calls_by_node[n] - before; // at most the calls since `before`
             sim.start(n);
         }
-        // Two voters only for a while, and one that knows nothing receives everything from the
-        // others.
+        // Node 0 has restarted without counters and receives all counters from the other two voters.
         run_within(&mut sim, 30 * S);
         sim.set_load(Box::new(|_, _| 0.0));
         run_within(&mut sim, 40 * S);
         let (made, known) = (
             sim.result.calls_made,
-            (0..3).map(|n| calls(&sim, n)).collect::<Vec<_>>(),
+            (0..3).map(|n| known_calls(&sim, n)).collect::<Vec<_>>(),
         );
         assert!(
             known.iter().all(|k| *k == known[0]),
@@ -371,23 +382,26 @@
         );
         assert!(
             known[0] <= made && known[0] + lost >= made,
-            "seed {seed}: {known:?} of {made}, {lost} at risk"
+            "seed {seed}: {known:?} of {made}, at most {lost} lost"
         );
         assert!(
             (0..9).all(|n| sim.reported_calls(n) == Some(known[0])),
-            "seed {seed}: all are told the sums"
+            "seed {seed}: all nodes receive the same totals"
         );
-        // Long after, the processes that have left are one sum.
+        // After 600 s without reports, the crashed processes are retired.
         run_within(&mut sim, 700 * S);
         sim.retire_processes();
         assert_eq!(
-            (calls(&sim, 1), sim.cluster_counters(1).unwrap().retired()),
+            (
+                known_calls(&sim, 1),
+                sim.cluster_counters(1).unwrap().retired()
+            ),
             (known[0], 3)
         );
     }
 }
 
-fn calls(sim: &Simulation, n: usize) -> u64 {
+fn known_calls(sim: &Simulation, n: usize) -> u64 {
     use madderpoint_shared_state::counters::{PROCESS_ROW, process_column};
     sim.cluster_counters(n)
         .unwrap()
--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The payloads as recorded in `golden/parcels.hex`: wire formats must stay byte for byte alike. A
-//! line there is the name of a message and its bytes.
+//! Compares payloads with those recorded in `golden/parcels.hex`, because the wire format must not
+//! change. Each line of the file is the name of a message and its bytes in hexadecimal.
 
-#![cfg(not(feature = "later"))] // a later version's messages differ on purpose
+#![cfg(not(feature = "later"))] // the messages of a later version differ on purpose
 
 use madderpoint_shared_state::counters::heavy_hitters::HeavyHitters;
 use madderpoint_shared_state::counters::{self, CounterReport, CounterRows};
@@ -13,11 +13,11 @@
 use std::collections::BTreeMap;
 
 const RECORDED: &str = include_str!("golden/parcels.hex");
-const SOMEONE: ProcessId = ProcessId {
+const PROCESS: ProcessId = ProcessId {
     key: 0x0102_0304_0506_0708,
     incarnation: 0x1112_1314_1516_1718,
 };
-const OTHER: ProcessId = ProcessId {
+const OTHER_PROCESS: ProcessId = ProcessId {
     key: 0x2122_2324_2526_2728,
     incarnation: 0x3132_3334_3536_3738,
 };
@@ -33,7 +33,8 @@
         .collect()
 }
 
-/// A message's name; a kind that is new needs one here and an example below.
+/// Returns the name of a message in the recorded file. A new kind needs a name here and an example
+/// below.
 fn name(message: &SharedMessage) -> &'static str {
     match message {
         SharedMessage::Limits(LimitMessage::VoteRequest { .. }) => "want",
@@ -53,8 +54,8 @@
     }
 }
 
-fn budgets() -> Vec<LimitMessage> {
-    let want = |n: u32| BudgetRequest {
+fn budget_messages() -> Vec<LimitMessage> {
+    let request = |n: u32| BudgetRequest {
         budget: 100 + n,
         held: LeaseId {
             lender: 200 + u64::from(n),
@@ -63,8 +64,8 @@
         units: 400 + n,
         value: 1.5 * f64::from(n),
     };
-    let part = |n: u32| {
-        let part = Lease {
+    let lease = |n: u32| {
+        let lease = Lease {
             id: LeaseId {
                 lender: 1 << 50,
                 number: 51,
@@ -75,14 +76,14 @@
             borrowers: 55,
             pool: n,
         };
-        (500 + n, part)
+        (500 + n, lease)
     };
     vec![
         LimitMessage::VoteRequest { round: 11 },
         LimitMessage::Vote {
             round: 12,
             is_granted: true,
-            holder: Some(SOMEONE),
+            holder: Some(PROCESS),
             bound_for: 1_300_000_000,
         },
         LimitMessage::Vote {
@@ -95,29 +96,29 @@
         LimitMessage::LeaseRequest {
             sent_at: 17_000_000_000,
             zone: 18,
-            requests: vec![want(1), want(2)],
+            requests: vec![request(1), request(2)],
         },
         LimitMessage::LeaseGrant {
             request_sent_at: 19_000_000_000,
-            leases: vec![part(56), part(57)],
+            leases: vec![lease(56), lease(57)],
         },
         LimitMessage::Redirect {
-            leader: Some(OTHER),
+            leader: Some(OTHER_PROCESS),
         },
         LimitMessage::Redirect { leader: None },
         LimitMessage::Leave,
     ]
 }
 
-fn keyed() -> Vec<LimitMessage> {
-    let ask = |n: u32| KeyRequest {
+fn quota_messages() -> Vec<LimitMessage> {
+    let request = |n: u32| KeyRequest {
         quota: 1 << 30 | n,
         key: 1 << 60 | 61,
         kept: 62,
         released: 63 + n,
         wanted: 70,
     };
-    let lent = |n: u32| KeyGrant {
+    let grant = |n: u32| KeyGrant {
         quota: 1 << 29 | n,
         key: 1 << 59 | 71,
         added: 72 + n,
@@ -127,13 +128,13 @@
         LimitMessage::QuotaRequest(QuotaRequest {
             number: 81,
             sent_at: 82_000_000_000,
-            keys: vec![ask(1), ask(2)],
+            keys: vec![request(1), request(2)],
         }),
         LimitMessage::QuotaGrant(QuotaGrant {
             number: 83,
             request_sent_at: 84_000_000_000,
             lease_duration: 85_000_000_000,
-            keys: vec![lent(1), lent(2)],
+            keys: vec![grant(1), grant(2)],
         }),
     ]
 }
@@ -162,22 +163,22 @@
     }
 }
 
-fn all() -> Vec<SharedMessage> {
+fn sample_messages() -> Vec<SharedMessage> {
     let windows = BTreeMap::from([
         (180_000_001, window(120, [12_001, 41])),
         (180_000_002, window(140, [12_002, 42])),
     ]);
-    let word = CounterReport {
-        process: SOMEONE,
+    let counter_report = CounterReport {
+        process: PROCESS,
         version: 1 << 62 | 91,
         total: rows(160),
         windows,
     };
-    let sums = ClusterTotals {
+    let totals = ClusterTotals {
         processes: 92,
         retired: 93,
         total: rows(180),
-        last_minute: window(200, [0; 2]), // gauges are not told
+        last_minute: window(200, [0; 2]), // gauges are not sent in totals
         minute_end_unix_ms: 1_800_000_000_094,
     };
     let report = |n: u32| HealthReport {
@@ -186,45 +187,45 @@
         failed: 30 + n,
         admitted_share: 0.25,
     };
-    let mut all: Vec<SharedMessage> = budgets()
+    let mut all: Vec<SharedMessage> = budget_messages()
         .into_iter()
-        .chain(keyed())
+        .chain(quota_messages())
         .map(SharedMessage::Limits)
         .collect();
     all.push(SharedMessage::HealthReports(vec![
         (1 << 58 | 95, report(1)),
         (96, report(2)),
     ]));
-    all.push(SharedMessage::CounterReport(Box::new(word)));
+    all.push(SharedMessage::CounterReport(Box::new(counter_report)));
     all.push(SharedMessage::KnownCounters(KnownCounters {
         first_key: 97,
         last_key: u64::MAX,
-        progress: vec![(SOMEONE, 98), (OTHER, 1 << 41)],
+        progress: vec![(PROCESS, 98), (OTHER_PROCESS, 1 << 41)],
     }));
     all.push(SharedMessage::TotalsRequest);
-    all.push(SharedMessage::ClusterTotals(Box::new(sums)));
+    all.push(SharedMessage::ClusterTotals(Box::new(totals)));
     all
 }
 
 #[test]
 fn each_message_encodes_to_the_recorded_bytes() {
-    let lines: Vec<String> = all()
+    let lines: Vec<String> = sample_messages()
         .iter()
         .map(|message| format!("{} {}", name(message), hex(&messages::encode(message))))
         .collect();
     let is_recorded = RECORDED.lines().eq(lines.iter().map(String::as_str));
     assert!(
         is_recorded,
-        "not as recorded; the messages are now:\n{}\n",
+        "the messages differ from the recorded ones; they are now:\n{}\n",
         lines.join("\n")
     );
 }
 
 #[test]
 fn the_recorded_bytes_decode_to_each_message() {
-    let (recorded, all): (Vec<&str>, _) = (RECORDED.lines().collect(), all());
-    assert_eq!(recorded.len(), all.len());
-    for (line, message) in recorded.iter().zip(all) {
+    let (recorded, messages): (Vec<&str>, _) = (RECORDED.lines().collect(), sample_messages());
+    assert_eq!(recorded.len(), messages.len());
+    for (line, message) in recorded.iter().zip(messages) {
         let (recorded_name, bytes) = line.split_once(' ').unwrap();
         let read = messages::decode(&unhex(bytes)).unwrap();
         assert_eq!((recorded_name, &read), (name(&message), &message));
--- a/crates/shared-state/tests/keys.rs
+++ b/crates/shared-state/tests/keys.rs
@@ -1,5 +1,5 @@
-//! The hard cases of keyed quotas that a cluster shares, over simulated time: no key is ever over
-//! its limit, and what there is is used.
+//! Keyed quotas that a cluster shares, over simulated time and under faults: no key ever exceeds its
+//! limit, and available units are used.
 
 use madderpoint_shared_state::keyed_quota::lender::QuotaLenderSize;
 use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaKind};
@@ -49,21 +49,21 @@
     }
 }
 
-fn none() -> Load {
+fn no_calls() -> Load {
     Box::new(|_, _| 0.0)
 }
 
-/// Attempts of some keys, each this many a second, at random nodes.
-fn even(
+/// Returns a load that attempts each of `keys` keys `per_second` times per second, at random nodes.
+fn even_load(
     nodes: usize,
     keys: u64,
-    a_second: f64,
+    per_second: f64,
 ) -> impl FnMut(Nanos, &mut rand_pcg::Pcg64Mcg) -> Vec<(usize, u64)> {
-    let mut owed = 0.0;
+    let mut carry = 0.0;
     move |_, rng| {
-        owed += a_second * keys as f64 / 200.0;
-        let n = owed as usize;
-        owed -= n as f64;
+        carry += per_second * keys as f64 / 200.0;
+        let n = carry as usize;
+        carry -= n as f64;
         (0..n)
             .map(|_| (rng.random_range(0..nodes), rng.random_range(0..keys)))
             .collect()
@@ -71,68 +71,68 @@
 }
 
 fn sim(nodes: usize, seed: u64, keys: KeyedQuota) -> Simulation {
-    Simulation::new(config(nodes, seed, keys), none())
+    Simulation::new(config(nodes, seed, keys), no_calls())
 }
 
-fn run(sim: &mut Simulation, time: Nanos) {
-    sim.run(time);
+fn run(sim: &mut Simulation, duration: Nanos) {
+    sim.run(duration);
     assert!(
         sim.result.max_key_over_limit <= 0.0,
-        "seed {}: over by {}",
+        "seed {}: a key exceeds its limit by {}",
         sim.config.seed,
         sim.result.max_key_over_limit
     );
     assert!(sim.max_leaders <= 1);
 }
 
-/// Admitted a second and key, of what was wanted.
-fn made(sim: &mut Simulation, seconds: u64, keys: u64) -> f64 {
+/// Runs for some seconds and returns the number of units that were admitted per second and key.
+fn admitted_per_second(sim: &mut Simulation, seconds: u64, keys: u64) -> f64 {
     let before = sim.result.keys_admitted;
     run(sim, seconds * S);
     (sim.result.keys_admitted - before) as f64 / seconds as f64 / keys as f64
 }
 
 #[test]
-fn keys_under_their_limit_are_all_admitted_and_those_in_high_demand_get_all_of_it() {
+fn keys_below_their_limit_are_admitted_and_keys_above_it_use_nearly_all_of_it() {
     for seed in 0..3 {
-        // Well under: 3 a second of 20, over ten nodes.
+        // Below the limit: 3 of 20 units per second, over ten nodes.
         let mut under = sim(10, seed, rate(20, 40, 1, 12));
-        under.set_key_load(Box::new(even(10, 30, 3.0)));
+        under.set_key_load(Box::new(even_load(10, 30, 3.0)));
         run(&mut under, 20 * S);
         let refused = under.result.keys_refused;
-        let passed = made(&mut under, 20, 30);
+        let admitted = admitted_per_second(&mut under, 20, 30);
         assert!(
-            passed > 2.8 && under.result.keys_refused - refused < 20,
-            "seed {seed}: {passed}"
+            admitted > 2.8 && under.result.keys_refused - refused < 20,
+            "seed {seed}: {admitted}"
         );
-        // Far over, even.
+        // Above the limit: 60 of 20 units per second, over ten nodes.
         let mut over = sim(10, seed, rate(20, 40, 1, 12));
-        over.set_key_load(Box::new(even(10, 5, 60.0)));
+        over.set_key_load(Box::new(even_load(10, 5, 60.0)));
         run(&mut over, 20 * S);
-        let passed = made(&mut over, 20, 5);
+        let admitted = admitted_per_second(&mut over, 20, 5);
         assert!(
-            (18.0..=20.0).contains(&passed),
-            "seed {seed}: {passed} of 20 a second, even"
+            (18.0..=20.0).contains(&admitted),
+            "seed {seed}: {admitted} of 20 per second, over all nodes"
         );
-        // All of it at one node, then at another one.
+        // All demand is at one node, and then at another node.
         over.set_key_load(Box::new(|_, rng| vec![(3, rng.random_range(0..5))]));
         run(&mut over, 4 * S);
-        let passed = made(&mut over, 10, 5);
+        let admitted = admitted_per_second(&mut over, 10, 5);
         assert!(
-            passed > 17.0,
-            "seed {seed}: {passed} of 20 a second at one node"
+            admitted > 17.0,
+            "seed {seed}: {admitted} of 20 per second at one node"
         );
         over.set_key_load(Box::new(|_, rng| vec![(8, rng.random_range(0..5))]));
         run(&mut over, 2 * S);
-        let passed = made(&mut over, 10, 5);
+        let admitted = admitted_per_second(&mut over, 10, 5);
         assert!(
-            passed > 17.0,
-            "seed {seed}: {passed} of 20 a second after it moved"
+            admitted > 17.0,
+            "seed {seed}: {admitted} of 20 per second after the demand moved"
         );
     }
 }
 
-fn all_cold(sim: &mut Simulation) {
+fn restart_all(sim: &mut Simulation) {
     for n in 0..sim.config.nodes {
         sim.crash(n);
         sim.start(n);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn through_partitions_suspensions_crashes_and_restarts_no_key_is_over_its_limit() {
+fn no_key_exceeds_its_limit_during_partitions_suspensions_crashes_and_restarts() {
     for seed in 0..16u64 {
         let floor = (seed % 2) as u32;
         let loss = [0.0, 0.05, 0.3][seed as usize % 3];
@@ -164,9 +164,9 @@
                 loss,
                 ..config(9, seed, keys)
             },
-            none(),
+            no_calls(),
         );
-        sim.set_key_load(Box::new(even(9, 4, 100.0)));
+        sim.set_key_load(Box::new(even_load(9, 4, 100.0)));
         run(&mut sim, 12 * S);
         for step in 0..14u64 {
             let n = ((seed * 5 + step * 7) % 9) as usize;
@@ -183,26 +183,26 @@
                 }),
                 _ => {
                     sim.cut_links(|_, _| false);
-                    all_cold(&mut sim);
+                    restart_all(&mut sim);
                 }
             }
             run(&mut sim, (400 + 370 * (step % 7)) * MS);
         }
         sim.cut_links(|_, _| false);
-        all_cold(&mut sim);
+        restart_all(&mut sim);
         run(&mut sim, 16 * S);
-        let passed = made(&mut sim, 10, 4);
+        let admitted = admitted_per_second(&mut sim, 10, 4);
         assert!(
-            passed > if loss > 0.1 { 8.0 } else { 16.0 },
-            "seed {seed}: {passed} a second at the end"
+            admitted > if loss > 0.1 { 8.0 } else { 16.0 },
+            "seed {seed}: {admitted} per second at the end"
         );
     }
 }
 
-/// A node that is cut off from the leader has its floor; with none it has nothing.
+/// A node that is cut off from the leader uses its guaranteed floor; without a floor it admits nothing.
 #[test]
-fn a_node_that_is_cut_off_has_its_floor() {
-    for (floor, least, most) in [(2u32, 8, 12), (0, 0, 0)] {
+fn a_node_that_is_cut_off_uses_its_floor() {
+    for (floor, min, max) in [(2u32, 8, 12), (0, 0, 0)] {
         let mut sim = sim(6, 1, rate(160, 400, floor, 10));
         sim.set_key_load(Box::new(|_, _| vec![(5, 1)]));
         run(&mut sim, 20 * S);
@@ -210,34 +210,34 @@
         run(&mut sim, 5 * S);
         let before = sim.result.keys_by_node[5];
         run(&mut sim, 8 * S);
-        // A sixteenth of 160 a second, among ten: one a second.
-        let passed = sim.result.keys_by_node[5] - before;
+        // One sixteenth of 160 units per second, divided among ten nodes, is 1 per second.
+        let admitted = sim.result.keys_by_node[5] - before;
         assert!(
-            (least..=most).contains(&passed),
-            "{passed} in 8 s with a floor of {floor}"
+            (min..=max).contains(&admitted),
+            "{admitted} admitted in 8 s with a floor of {floor}"
         );
     }
 }
 
-/// The leader dies: nothing is granted for the leader lease and the duration of its leases, then
-/// all goes on.
+/// The leader crashes. Guards against a new leader that grants units before the leader lease and the
+/// leases of the previous leader have expired, or that does not grant any afterwards.
 #[test]
-fn another_leader_grants_after_the_death_of_the_first() {
+fn a_new_leader_grants_after_the_crash_of_the_first() {
     let mut sim = sim(9, 2, rate(20, 30, 1, 12));
-    sim.set_key_load(Box::new(even(9, 4, 60.0)));
+    sim.set_key_load(Box::new(even_load(9, 4, 60.0)));
     run(&mut sim, 15 * S);
     (0..2).for_each(|n| sim.crash(n));
     run(&mut sim, 2 * S);
     sim.start(1);
     run(&mut sim, 12 * S);
-    let passed = made(&mut sim, 8, 4);
-    assert!(passed > 17.0, "{passed}");
+    let admitted = admitted_per_second(&mut sim, 8, 4);
+    assert!(admitted > 17.0, "{admitted}");
 }
 
-/// A hundred thousand keys, of which most are seldom used: memory is bounded, and a key without
-/// memory is refused and not admitted.
+/// 100,000 keys, most of which are rarely used. Guards against memory that grows with the number of
+/// keys, and against a leader that has no memory limit or refuses too much because of it.
 #[test]
-fn a_hundred_thousand_keys_in_bounded_memory() {
+fn memory_is_bounded_with_100_000_keys() {
     let mut sim = sim(5, 3, rate(5, 20, 1, 8));
     let mut next = 0u64;
     sim.set_key_load(Box::new(move |_, rng| {
@@ -246,11 +246,11 @@
             .map(|n| (rng.random_range(0..5), (next + n) % 100_000))
             .collect()
     }));
-    run(&mut sim, 40 * S); // until floors, of one in 26 s, are there
-    let (wanted, made) = (sim.result.keys_wanted, sim.result.keys_admitted);
+    run(&mut sim, 40 * S); // until units of the floors, one per 26 s, are available
+    let (wanted, admitted_before) = (sim.result.keys_wanted, sim.result.keys_admitted);
     run(&mut sim, 20 * S);
-    let passed =
-        (sim.result.keys_admitted - made) as f64 / (sim.result.keys_wanted - wanted) as f64;
+    let admitted = (sim.result.keys_admitted - admitted_before) as f64
+        / (sim.result.keys_wanted - wanted) as f64;
     let (tracked, lender) = sim.key_sizes();
     let QuotaLenderSize {
         keys,
@@ -261,19 +261,20 @@
         tracked <= 5 * 5000 && keys <= 2980 && leases <= 13_200,
         "{tracked} {keys} {leases} {refused}"
     );
-    assert!(refused > 0 && passed > 0.9, "{refused} {passed}");
+    assert!(refused > 0 && admitted > 0.9, "{refused} {admitted}");
 }
 
-/// Half of the nodes have a smaller limit: all together keep to the larger one.
+/// The limit is reduced first on one half of the nodes and then on the other. Meanwhile the larger
+/// limit holds, and the smaller one is used afterwards.
 #[test]
-fn a_limit_that_changes_on_half_of_the_nodes() {
+fn a_limit_that_changes_on_half_of_the_nodes_is_not_exceeded() {
     let mut sim = sim(8, 4, rate(40, 80, 1, 10));
-    sim.set_key_load(Box::new(even(8, 3, 100.0)));
+    sim.set_key_load(Box::new(even_load(8, 3, 100.0)));
     run(&mut sim, 15 * S);
     sim.update_quota(4..8, &rate(10, 80, 1, 10));
     run(&mut sim, 5 * S);
     sim.update_quota(0..4, &rate(10, 80, 1, 10));
     run(&mut sim, 5 * S);
-    let passed = made(&mut sim, 10, 3);
-    assert!((8.0..=10.0).contains(&passed), "{passed}");
+    let admitted = admitted_per_second(&mut sim, 10, 3);
+    assert!((8.0..=10.0).contains(&admitted), "{admitted}");
 }
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -1,7 +1,7 @@
-//! Who leads and what is leased, checked through every order of messages that are late, doubled or
-//! lost, of ticks, of a crash with a restart, and of nodes that are suspended (no action for some
-//! ticks): what all may use together is never over the limit. The state machines are the package's;
-//! the drift of clocks is left out, which `budgets.rs` simulates.
+//! Model check of leadership and leases with the state machines of this package. Explores every order
+//! of delayed, duplicated and lost messages, ticks, a crash with a restart, and suspended nodes (nodes
+//! without an action for some ticks). The units that all nodes may use together never exceed the
+//! limit. Clock drift is not modelled here; `budgets.rs` simulates it.
 
 use madderpoint_shared_state::budget::lender::BudgetLender;
 use madderpoint_shared_state::leader_lease::{Candidate, Voter};
@@ -14,12 +14,13 @@
 
 const NODES: usize = 3;
 const UNITS: u32 = 2;
-/// Ticks for which a vote and a lease last.
+/// Duration of a vote, in ticks.
 const LEADER_LEASE: u64 = 7;
+/// Duration of a lease, in ticks.
 const LEASE_DURATION: u64 = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Sent {
+enum Message {
     VoteRequest {
         from: ProcessId,
         to: usize,
@@ -62,7 +63,7 @@
 struct State {
     now: u64,
     nodes: Vec<Node>,
-    in_flight: BTreeSet<Sent>,
+    in_flight: BTreeSet<Message>,
     crashes: usize,
     grants: usize,
 }
@@ -82,11 +83,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
     Tick(u64),
-    BeginsRound(usize),
-    ReleasesVotes(usize),
-    RequestsLease(usize, usize),
-    Arrives(Sent, bool),
-    CrashAndReturn(usize),
+    BeginRound(usize),
+    ReleaseVotes(usize),
+    RequestLease(usize, usize),
+    Deliver(Message, bool),
+    CrashAndRestart(usize),
 }
 
 struct LeaseModel {
@@ -115,7 +116,8 @@
 }
 
 impl LeaseModel {
-    /// Node 0 is the leader already: all gave it their vote just now, and its lender is open.
+    /// Returns the initial state: node 0 is the leader, all voters have just voted for it, and its lender
+    /// may grant leases.
     fn initial() -> State {
         let now = 100;
         let nodes = (0..NODES)
@@ -157,8 +159,8 @@
 }
 
 impl State {
-    fn send(&mut self, sent: Sent) {
-        self.in_flight.insert(sent);
+    fn send(&mut self, message: Message) {
+        self.in_flight.insert(message);
     }
 
     fn is_leader(&self, n: usize) -> bool {
@@ -175,25 +177,25 @@
         }
     }
 
-    fn arrives(&mut self, sent: Sent) {
+    fn deliver(&mut self, message: Message) {
         let now = self.now;
-        match sent {
-            Sent::VoteRequest { from, to, round } => {
+        match message {
+            Message::VoteRequest { from, to, round } => {
                 if self.nodes[to].voter.request(now, from, round).is_ok() {
-                    self.send(Sent::Vote {
+                    self.send(Message::Vote {
                         to: from,
                         by: to,
                         round,
                     });
                 }
             }
-            Sent::Vote { to, by, round } => {
+            Message::Vote { to, by, round } => {
                 if let Some(n) = self.nodes.iter().position(|node| node.process == to) {
                     self.receive_vote(n, by, round);
                 }
             }
-            Sent::VoteRelease { from, to, round } => self.nodes[to].voter.release(from, round),
-            Sent::LeaseRequest { from, to, at, held } => {
+            Message::VoteRelease { from, to, round } => self.nodes[to].voter.release(from, round),
+            Message::LeaseRequest { from, to, at, held } => {
                 if !self.is_leader(to) {
                     return;
                 }
@@ -209,7 +211,7 @@
                 if let Some(Lease { id, units, .. }) =
                     lender.request(now, from, held, demand, until)
                 {
-                    self.send(Sent::LeaseGrant {
+                    self.send(Message::LeaseGrant {
                         to: from,
                         at,
                         id,
@@ -217,7 +219,7 @@
                     });
                 }
             }
-            Sent::LeaseGrant { to, at, id, units } => {
+            Message::LeaseGrant { to, at, id, units } => {
                 if let Some(node) = self.nodes.iter_mut().find(|node| node.process == to) {
                     node.borrower.receive_lease(
                         now,
@@ -254,25 +256,25 @@
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         actions.extend([Action::Tick(1), Action::Tick(4)]);
         for n in 0..NODES {
-            // Two of three are candidates; all borrow.
+            // Nodes 0 and 1 are candidates; all three nodes are borrowers.
             if n < 2 && !state.is_leader(n) {
-                actions.push(Action::BeginsRound(n));
+                actions.push(Action::BeginRound(n));
                 if state.nodes[n].candidate.round > 0 {
-                    actions.push(Action::ReleasesVotes(n));
+                    actions.push(Action::ReleaseVotes(n));
                 }
             }
             actions.extend(
                 (0..2)
                     .filter(|to| state.is_leader(*to))
-                    .map(|to| Action::RequestsLease(n, to)),
+                    .map(|to| Action::RequestLease(n, to)),
             );
             if n < 2 {
-                actions.push(Action::CrashAndReturn(n));
+                actions.push(Action::CrashAndRestart(n));
             }
         }
-        for sent in &state.in_flight {
-            actions.push(Action::Arrives(*sent, false));
-            actions.push(Action::Arrives(*sent, true)); // and stays, to arrive again
+        for message in &state.in_flight {
+            actions.push(Action::Deliver(*message, false));
+            actions.push(Action::Deliver(*message, true)); // a copy remains and may arrive again
         }
     }
 
@@ -281,7 +283,7 @@
         let now = state.now;
         match action {
             Action::Tick(ticks) => state.now += ticks,
-            Action::BeginsRound(n) => {
+            Action::BeginRound(n) => {
                 let (round, from) = (
                     state.nodes[n].candidate.begin_round(now),
                     state.nodes[n].process,
@@ -289,40 +291,40 @@
                 if state.nodes[n].voter.request(now, from, round).is_ok() {
                     state.receive_vote(n, n, round);
                 }
-                let other = 2; // the third one has the word that decides
-                state.send(Sent::VoteRequest {
+                let other = 2; // node 2 has the deciding vote
+                state.send(Message::VoteRequest {
                     from,
                     to: other,
                     round,
                 });
             }
-            Action::ReleasesVotes(n) => {
+            Action::ReleaseVotes(n) => {
                 let (round, from) = (state.nodes[n].candidate.round, state.nodes[n].process);
                 state.nodes[n].candidate.resign();
                 state.nodes[n].voter.release(from, round);
-                state.send(Sent::VoteRelease { from, to: 2, round });
+                state.send(Message::VoteRelease { from, to: 2, round });
             }
-            Action::RequestsLease(n, to) => {
+            Action::RequestLease(n, to) => {
                 let (held, from) = (state.nodes[n].borrower.held_lease(), state.nodes[n].process);
-                let ask = Sent::LeaseRequest {
+                let request = Message::LeaseRequest {
                     from,
                     to,
                     at: now,
                     held,
                 };
                 if n == to {
-                    state.arrives(ask)
+                    state.deliver(request)
                 } else {
-                    state.send(ask)
+                    state.send(request)
                 }
             }
-            Action::Arrives(sent, stays) => {
-                if !stays {
-                    state.in_flight.remove(&sent);
+            Action::Deliver(message, is_duplicated) => {
+                if !is_duplicated {
+                    state.in_flight.remove(&message);
                 }
-                state.arrives(sent);
+                state.deliver(message);
             }
-            Action::CrashAndReturn(n) => {
+            Action::CrashAndRestart(n) => {
                 state.crashes += 1;
                 let process = ProcessId {
                     key: n as u64,
@@ -347,16 +349,18 @@
     fn properties(&self) -> Vec<Property<LeaseModel>> {
         vec![
             Property::always(
-                "what all may spend is never over the limit",
+                "the usable units of all nodes never exceed the limit",
                 |_: &LeaseModel, s: &State| s.usable_units() <= UNITS,
             ),
-            Property::always("no two lend at once", |_: &LeaseModel, s: &State| {
-                (0..NODES).filter(|&n| s.is_leader(n)).count() <= 1
-            }),
-            Property::sometimes("somebody else lends", |_: &LeaseModel, s: &State| {
-                s.is_leader(1)
-            }),
-            Property::sometimes("all of it is lent", |_: &LeaseModel, s: &State| {
+            Property::always(
+                "there is at most one leader",
+                |_: &LeaseModel, s: &State| (0..NODES).filter(|&n| s.is_leader(n)).count() <= 1,
+            ),
+            Property::sometimes(
+                "another node becomes the leader",
+                |_: &LeaseModel, s: &State| s.is_leader(1),
+            ),
+            Property::sometimes("all units are leased", |_: &LeaseModel, s: &State| {
                 s.usable_units() == UNITS && s.grants > 1
             }),
         ]
@@ -370,7 +374,7 @@
 }
 
 #[test]
-fn the_limit_holds_through_every_order_of_faults() {
+fn the_limit_holds_in_every_order_of_faults() {
     let model = LeaseModel {
         crashes: 1,
         in_flight: 2,
