--- a/crates/shared-state/tests/model_keys.rs
+++ b/crates/shared-state/tests/model_keys.rs
@@ -1,7 +1,7 @@
-//! Units of a key, checked through every order of requests and grants that are late, doubled or
-//! lost, of units that are spent, of borrowers that crash and restart, and of another leader: a
-//! rate is never exceeded, there are never more in flight than the limit, and what was lost comes
-//! back. The state machines are the package's; who leads is checked in `model.rs`.
+//! Model check of the units of a key with the state machines of this package. Explores every order of
+//! delayed, duplicated and lost requests and grants, units that are used, a borrower that crashes and
+//! restarts, and a change of the leader. A rate and a limit on units in flight are never exceeded, and
+//! lost units become available again. Leadership is checked in `model.rs`.
 
 use madderpoint_shared_state::keyed_quota::borrower::UnitLease;
 use madderpoint_shared_state::keyed_quota::lender::QuotaLender;
@@ -14,15 +14,16 @@
 use std::hash::{Hash, Hasher};
 
 const BORROWERS: usize = 2;
-/// The time of a unit at the promised rate, and the duration of a lease.
+/// Time per unit at the configured rate, in nanoseconds.
 const UNIT_INTERVAL: Nanos = 98;
+/// Duration of a lease, in nanoseconds.
 const LEASE_DURATION: Nanos = 100;
 const MAX_UNITS: u32 = 2;
-/// The longest that a unit is in flight.
+/// Maximum time for which a unit is in flight, in nanoseconds.
 const MAX_HOLD: Nanos = 60;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Sent {
+enum Message {
     Request {
         process: ProcessId,
         number: u32,
@@ -44,7 +45,7 @@
     process: ProcessId,
     lease: UnitLease,
     number: u32,
-    /// When each unit in flight ends.
+    /// Time of the end of each unit in flight.
     in_use_until: Vec<Nanos>,
 }
 
@@ -54,31 +55,32 @@
     quota: u32,
     lender: QuotaLender,
     borrowers: Vec<Borrower>,
-    in_flight: BTreeSet<Sent>,
+    in_flight: BTreeSet<Message>,
     crashes: usize,
-    later_leaders: usize,
-    /// The record: when the next unit is due at an even rate, and whether the limit was ever
-    /// exceeded.
+    leader_changes: usize,
+    /// Time at which the next unit is due at an even rate, to check the limit.
     due: Nanos,
-    over: bool,
-    spent: u32,
+    /// Whether the limit was ever exceeded.
+    limit_exceeded: bool,
+    /// Number of units used so far.
+    used: u32,
 }
 
 impl State {
-    /// All that decides what can happen next.
+    /// Returns the part of the state that determines which states can follow.
     fn deciding_state(&self) -> impl PartialEq + Hash + '_ {
         let (opens, entry, numbers) = self.lender.state(self.quota, 7);
         let numbers: Vec<(ProcessId, u32)> = numbers.collect();
         let record = (
             self.due.max(self.now),
-            self.over,
-            self.spent.min(MAX_UNITS + 1),
+            self.limit_exceeded,
+            self.used.min(MAX_UNITS + 1),
         );
         (
             (self.now, opens, entry, numbers),
             &self.borrowers,
             &self.in_flight,
-            (self.crashes, self.later_leaders),
+            (self.crashes, self.leader_changes),
             record,
         )
     }
@@ -99,12 +101,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
     Tick(Nanos),
-    Requests(usize, u32),
-    Spends(usize),
-    Arrives(Sent, bool),
-    Lost(Sent),
-    CrashAndReturn(usize),
-    AnotherLeads,
+    Request(usize, u32),
+    Use(usize),
+    Deliver(Message, bool),
+    Lose(Message),
+    CrashAndRestart(usize),
+    ChangeLeader,
 }
 
 struct QuotaModel {
@@ -137,10 +139,10 @@
         1000 + self.lender(0).grants_from()
     }
 
-    fn arrives(&self, state: &mut State, sent: Sent) {
+    fn deliver(&self, state: &mut State, message: Message) {
         let (now, quota) = (state.now, self.quota());
-        match sent {
-            Sent::Request {
+        match message {
+            Message::Request {
                 process,
                 number,
                 sent_at,
@@ -165,7 +167,7 @@
                     },
                 );
                 if let Some(key) = grant.and_then(|grant| grant.keys.first().copied()) {
-                    state.in_flight.insert(Sent::Grant {
+                    state.in_flight.insert(Message::Grant {
                         process,
                         number,
                         sent_at,
@@ -173,7 +175,7 @@
                     });
                 }
             }
-            Sent::Grant {
+            Message::Grant {
                 process,
                 number,
                 sent_at,
@@ -206,7 +208,7 @@
             number: 0,
             in_use_until: Vec::new(),
         };
-        // The first borrower has all units.
+        // Initially the first borrower holds all units.
         let (starts_at, number, keep) = (self.starts_at(), 1, 0);
         let mut state = State {
             now: starts_at,
@@ -215,15 +217,15 @@
             borrowers: (0..BORROWERS).map(borrower).collect(),
             in_flight: BTreeSet::new(),
             crashes: 0,
-            later_leaders: 0,
+            leader_changes: 0,
             due: 0,
-            over: false,
-            spent: 0,
+            limit_exceeded: false,
+            used: 0,
         };
         let first = &mut state.borrowers[0];
         first.number = number;
         let _ = first.lease.request(starts_at, number, keep);
-        let ask = Sent::Request {
+        let request = Message::Request {
             process: first.process,
             number,
             sent_at: starts_at,
@@ -231,11 +233,11 @@
             released: 0,
             wanted: MAX_UNITS,
         };
-        self.arrives(&mut state, ask);
+        self.deliver(&mut state, request);
         let grant = state.in_flight.pop_first();
         grant
             .into_iter()
-            .for_each(|grant| self.arrives(&mut state, grant));
+            .for_each(|grant| self.deliver(&mut state, grant));
         vec![state]
     }
 
@@ -244,20 +246,20 @@
         for (n, borrower) in state.borrowers.iter().enumerate() {
             let in_use = borrower.in_use_until.len() as u32;
             if borrower.lease.units(state.now) > in_use {
-                actions.extend([Action::Spends(n), Action::Requests(n, 0)]);
+                actions.extend([Action::Use(n), Action::Request(n, 0)]);
             }
-            actions.push(Action::Requests(n, MAX_UNITS));
+            actions.push(Action::Request(n, MAX_UNITS));
         }
-        for sent in &state.in_flight {
-            actions.push(Action::Arrives(*sent, false));
-            actions.push(Action::Arrives(*sent, true)); // and stays, to arrive again
-            actions.push(Action::Lost(*sent));
+        for message in &state.in_flight {
+            actions.push(Action::Deliver(*message, false));
+            actions.push(Action::Deliver(*message, true)); // a copy remains and may arrive again
+            actions.push(Action::Lose(*message));
         }
         if state.crashes == 0 {
-            actions.push(Action::CrashAndReturn(0));
+            actions.push(Action::CrashAndRestart(0));
         }
-        if state.later_leaders == 0 {
-            actions.push(Action::AnotherLeads);
+        if state.leader_changes == 0 {
+            actions.push(Action::ChangeLeader);
         }
     }
 
@@ -273,7 +275,7 @@
                     .iter_mut()
                     .for_each(|b| b.in_use_until.retain(|end| *end > now));
             }
-            Action::Requests(n, need) => {
+            Action::Request(n, need) => {
                 let (now, borrower) = (state.now, &mut state.borrowers[n]);
                 borrower.number += 1;
                 let in_use = borrower.in_use_until.len() as u32;
@@ -284,7 +286,7 @@
                 let kept = kept.max(in_use);
                 let wanted = need.saturating_sub(kept);
                 let (process, number) = (borrower.process, borrower.number);
-                state.in_flight.insert(Sent::Request {
+                state.in_flight.insert(Message::Request {
                     process,
                     number,
                     sent_at: now,
@@ -293,33 +295,34 @@
                     wanted,
                 });
             }
-            Action::Spends(n) => {
+            Action::Use(n) => {
                 let now = state.now;
                 if is_rate {
                     state.borrowers[n].lease.spend();
                     state.due = state.due.max(now) + UNIT_INTERVAL;
-                    state.over |= state.due > now + UNIT_INTERVAL * Nanos::from(MAX_UNITS);
+                    state.limit_exceeded |=
+                        state.due > now + UNIT_INTERVAL * Nanos::from(MAX_UNITS);
                 } else {
                     state.borrowers[n].in_use_until.push(now + MAX_HOLD);
-                    state.over |= state
+                    state.limit_exceeded |= state
                         .borrowers
                         .iter()
                         .map(|b| b.in_use_until.len())
                         .sum::<usize>()
                         > MAX_UNITS as usize;
                 }
-                state.spent += 1;
+                state.used += 1;
             }
-            Action::Arrives(sent, stays) => {
-                if !stays {
-                    state.in_flight.remove(&sent);
+            Action::Deliver(message, is_duplicated) => {
+                if !is_duplicated {
+                    state.in_flight.remove(&message);
                 }
-                self.arrives(&mut state, sent);
+                self.deliver(&mut state, message);
             }
-            Action::Lost(sent) => {
-                state.in_flight.remove(&sent);
+            Action::Lose(message) => {
+                state.in_flight.remove(&message);
             }
-            Action::CrashAndReturn(n) => {
+            Action::CrashAndRestart(n) => {
                 state.crashes += 1;
                 let process = ProcessId {
                     key: n as u64 + 1,
@@ -332,8 +335,8 @@
                     in_use_until: Vec::new(),
                 };
             }
-            Action::AnotherLeads => {
-                state.later_leaders += 1;
+            Action::ChangeLeader => {
+                state.leader_changes += 1;
                 state.lender = self.lender(state.now);
             }
         }
@@ -342,24 +345,27 @@
 
     fn properties(&self) -> Vec<Property<QuotaModel>> {
         vec![
-            Property::always("no key is over its limit", |_: &QuotaModel, s: &State| {
-                !s.over
+            Property::always("no key exceeds its limit", |_: &QuotaModel, s: &State| {
+                !s.limit_exceeded
             }),
             Property::sometimes(
-                "more is spent than may be saved",
-                |_: &QuotaModel, s: &State| s.spent > MAX_UNITS,
+                "more units are used than may be saved",
+                |_: &QuotaModel, s: &State| s.used > MAX_UNITS,
             ),
-            // Nothing is lost for good: after a crash, or with another leader, all units can be had
-            // again.
+            // No unit is lost permanently: after a crash or a change of the leader, all units are
+            // available again.
             Property::sometimes(
-                "all of it comes back after a crash",
+                "all units are available again after a crash",
                 |_: &QuotaModel, s: &State| {
-                    s.crashes > 0 && s.spent > 0 && s.borrowers[1].lease.units(s.now) == MAX_UNITS
+                    s.crashes > 0 && s.used > 0 && s.borrowers[1].lease.units(s.now) == MAX_UNITS
+                },
+            ),
+            Property::sometimes(
+                "a later leader grants units",
+                |model: &QuotaModel, s: &State| {
+                    s.leader_changes > 0 && s.now > model.starts_at() && s.used > 1
                 },
             ),
-            Property::sometimes("another one lends", |model: &QuotaModel, s: &State| {
-                s.later_leaders > 0 && s.now > model.starts_at() && s.spent > 1
-            }),
         ]
     }
 
@@ -389,7 +395,7 @@
 }
 
 #[test]
-fn a_rate_holds_through_every_order_of_faults() {
+fn a_rate_holds_in_every_order_of_faults() {
     check(QuotaKind::Rate {
         count: 1,
         period: UNIT_INTERVAL,
@@ -398,7 +404,7 @@
 }
 
 #[test]
-fn a_number_in_flight_holds_through_every_order_of_faults() {
+fn a_limit_in_flight_holds_in_every_order_of_faults() {
     check(QuotaKind::InFlight {
         limit: MAX_UNITS,
         max_hold: MAX_HOLD,
