--- a/crates/shared-state/src/backend_gate.rs
+++ b/crates/shared-state/src/backend_gate.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Admits one more request, or returns the Retry-After in nanoseconds of a rejected one. Without
-    /// `budgets` or `health`, the respective check passes.
+    /// Admits one more request, or returns the Retry-After in nanoseconds of a rejected one.
+    /// Without `budgets` or `health`, the respective check passes.
     pub fn admits(
         &mut self,
         now: Nanos,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Checks a request against the budgets: admits as many requests as there are calls for.
+    /// Checks a request against the budgets, and admits requests at the rate of the allowed calls.
     fn check_budgets(&mut self, now: Nanos, budgets: &mut NodeBudgets) -> Result<(), Nanos> {
         if let Some(retry_after) = budgets.retry_after_if_full(now) {
             budgets.note_unmet_demand(now);
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -1,14 +1,14 @@
 //! Counters that are summed over a cluster. Each process counts its own events
-//! ([`ProcessCounters`]) and reports its sums. Every receiver ([`ClusterCounters`]) computes the same
-//! totals from the same reports, in whatever order and however often they arrive. The counts of a
-//! process never decrease, so the larger number of two reports is the newer one, column by column.
-//! A node that restarts is a new process, so no event is counted twice.
+//! ([`ProcessCounters`]) and reports its sums. Every receiver ([`ClusterCounters`]) computes the
+//! same totals from the same reports, in whatever order and however often they arrive. The counts
+//! of a process never decrease, so the larger number of two reports is the newer one, column by
+//! column. A node that restarts is a new process, so no event is counted twice.
 //!
 //! Counts that a process had not reported when it was killed are lost. Memory is bounded: windows
 //! expire, and processes that have left the cluster and have not reported for a long time are added
 //! to one sum. Each of these retired processes is remembered for a time in addition to the sum, so
-//! that one that was only cut off is taken out of the sum again when it reports. Reports that arrive
-//! after that time are counted a second time.
+//! that one that was only cut off is taken out of the sum again when it reports. Reports that
+//! arrive after that time are counted a second time.
 
 mod cluster_counters;
 pub mod heavy_hitters;
@@ -40,7 +40,8 @@
 /// The counts of an operation ([`operation_column`]) or of the process itself
 /// ([`process_column`]).
 pub type CounterRow = [u64; COLUMNS];
-/// Rows by the hash of the operation's name; [`PROCESS_ROW`] holds the counts of the process itself.
+/// Rows by the hash of the operation's name; [`PROCESS_ROW`] holds the counts of the process
+/// itself.
 pub type CounterRows = BTreeMap<u32, CounterRow>;
 
 /// Key of the row that holds the counts of the process itself.
@@ -171,8 +172,8 @@
 }
 
 impl CounterWindow {
-    /// Merges another report of the same window: keeps the larger of each two counts, and of each two
-    /// histograms or summaries the one with more occurrences.
+    /// Merges another report of the same window: keeps the larger of each two counts, and of each
+    /// two histograms or summaries the one with more occurrences.
     fn raise(&mut self, reported: &CounterWindow) {
         raise_rows(&mut self.rows, &reported.rows);
         for (row, sparse) in reported.latency.iter().take(MAX_ROWS) {
--- a/crates/shared-state/src/counters/cluster_counters.rs
+++ b/crates/shared-state/src/counters/cluster_counters.rs
@@ -13,8 +13,8 @@
 /// Time in nanoseconds after which a process that has left the cluster and has reported nothing new
 /// is added to the sum of retired processes.
 pub(super) const RETIRE_AFTER: Nanos = 600 * SECOND;
-/// Time in nanoseconds for which the counts of a retired process are remembered. It is longer than a
-/// partition should last and longer than a datagram is accepted.
+/// Time in nanoseconds for which the counts of a retired process are remembered. It is longer than
+/// a partition should last and longer than a datagram is accepted.
 const REMEMBER_RETIRED: Nanos = 24 * 3600 * SECOND;
 /// Maximum number of remembered retired processes, as a multiple of the maximum number of processes
 /// that are kept separately.
@@ -26,8 +26,8 @@
     version: u64,
     total: CounterRows,
     windows: BTreeMap<u64, CounterWindow>,
-    /// The version that the process ran in each window, from the reports in which that window was the
-    /// latest.
+    /// The version that the process ran in each window, from the reports in which that window was
+    /// the latest.
     versions: BTreeMap<u64, u64>,
     /// Time of the last report that changed the counts or added a window.
     updated_at: Nanos,
@@ -87,8 +87,8 @@
     processes: BTreeMap<ProcessId, ProcessRecord>,
     /// The sum of the counts of all retired processes.
     retired_total: CounterRows,
-    /// The remembered retired processes, each with the time at which it was retired and its share of
-    /// `retired_total`.
+    /// The remembered retired processes, each with the time at which it was retired and its share
+    /// of `retired_total`.
     retired: BTreeMap<ProcessId, (Nanos, CounterRows)>,
     max_processes: usize,
     /// Number of reports dropped because `max_processes` was reached.
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Merges a report, which may come from the process itself or from another receiver. `now` is in
-    /// nanoseconds.
+    /// Merges a report, which may come from the process itself or from another receiver. `now` is
+    /// in nanoseconds.
     pub fn merge(&mut self, now: Nanos, report: &CounterReport) {
         if self.is_retired_with(report) {
             return;
@@ -126,9 +126,9 @@
         }
     }
 
-    /// Returns whether the process is retired and the sum of retired processes includes all counts of
-    /// the report. A retired process that reports larger counts was only cut off and is taken out of
-    /// the sum again.
+    /// Returns whether the process is retired and the sum of retired processes includes all counts
+    /// of the report. A retired process that reports larger counts was only cut off and is taken
+    /// out of the sum again.
     fn is_retired_with(&mut self, report: &CounterReport) -> bool {
         let Some((_, counted)) = self.retired.get(&report.process) else {
             return false;
@@ -163,17 +163,17 @@
         })
     }
 
-    /// Returns for each process the sum of all its counts. The sum never decreases, so a voter with a
-    /// smaller sum lacks reports.
+    /// Returns for each process the sum of all its counts. The sum never decreases, so a voter with
+    /// a smaller sum lacks reports.
     pub fn progress(&self) -> impl Iterator<Item = (ProcessId, u64)> {
         self.processes
             .iter()
             .map(|(process, record)| (*process, sum_rows(&record.total)))
     }
 
-    /// Retires processes that are not members of the cluster and have reported nothing new for 600 s:
-    /// adds their counts to the sum. Forgets retired processes after 24 h, or earlier if there are
-    /// too many.
+    /// Retires processes that are not members of the cluster and have reported nothing new for
+    /// 600 s: adds their counts to the sum. Forgets retired processes after 24 h, or earlier if
+    /// too many are remembered.
     pub fn retire(&mut self, now: Nanos, is_member: impl Fn(ProcessId) -> bool) {
         let to_retire: Vec<ProcessId> = self
             .processes
@@ -210,8 +210,8 @@
         total
     }
 
-    /// Returns the sum of the last `windows` complete windows before `unix_ms`, over the processes for
-    /// whose id and version `includes` returns true.
+    /// Returns the sum of the last `windows` complete windows before `unix_ms`, over the processes
+    /// for whose id and version `includes` returns true.
     pub fn recent(
         &self,
         unix_ms: u64,
--- a/crates/shared-state/src/counters/heavy_hitters.rs
+++ b/crates/shared-state/src/counters/heavy_hitters.rs
@@ -5,8 +5,8 @@
 
 use std::collections::BTreeMap;
 
-/// Maximum number of entries of a summary. Each key with more than 1 in 25 of all occurrences has an
-/// entry.
+/// Maximum number of entries of a summary. Each key with more than 1 in 25 of all occurrences has
+/// an entry.
 pub const ENTRIES: usize = 24;
 
 /// A Misra-Gries summary of the occurrences of keys.
@@ -77,7 +77,8 @@
 
     /// Returns the maximum by which a count may be too low.
     pub fn error(&self) -> u64 {
-        // Each missing occurrence was subtracted along with `ENTRIES` others, from as many keys.
+        // Each subtraction lowers more than `ENTRIES` counts by the same number, so that a single
+        // count lacks at most this part of all missing occurrences.
         let counted: u64 = self.entries.values().sum();
         (self.total - counted.min(self.total)) / (ENTRIES as u64 + 1)
     }
--- a/crates/shared-state/src/counters/heavy_hitters/tests.rs
+++ b/crates/shared-state/src/counters/heavy_hitters/tests.rs
@@ -3,8 +3,8 @@
 use rand_pcg::Pcg64Mcg;
 
 /// Distributes streams with a few heavy keys among many light ones over processes at random and
-/// merges their summaries in random order. Guards against counts above the true number or below it by
-/// more than the error, an error above its bound, and heavy keys that are missing.
+/// merges their summaries in random order. Guards against counts above the true number or below it
+/// by more than the error, an error above its bound, and heavy keys that are missing.
 #[test]
 fn merged_summaries_keep_the_error_bound() {
     for seed in 0..60 {
--- a/crates/shared-state/src/counters/latency_histogram.rs
+++ b/crates/shared-state/src/counters/latency_histogram.rs
@@ -1,5 +1,5 @@
-//! A latency histogram that can be sent in messages and merged. Latencies are kept to one significant
-//! digit.
+//! A latency histogram that can be sent in messages and merged. Latencies are kept to one
+//! significant digit.
 
 use crate::{Nanos, SECOND};
 use hdrhistogram::Histogram;
--- a/crates/shared-state/src/counters/process_counters.rs
+++ b/crates/shared-state/src/counters/process_counters.rs
@@ -61,8 +61,8 @@
         in_total[column] = in_total[column].saturating_add(times);
     }
 
-    /// Records a latency in nanoseconds of the operation with this row. Rows beyond [`MAX_ROWS`] are
-    /// ignored.
+    /// Records a latency in nanoseconds of the operation with this row. Rows beyond [`MAX_ROWS`]
+    /// are ignored.
     pub fn record_latency(&mut self, unix_ms: u64, row: u32, latency: Nanos) {
         let _ = self.window(unix_ms);
         if self.latency.len() < MAX_ROWS || self.latency.contains_key(&row) {
@@ -79,8 +79,8 @@
             .add(key, 1);
     }
 
-    /// Records the memory in KB and the number of open file descriptors. A window keeps the maximum of
-    /// each.
+    /// Records the memory in KB and the number of open file descriptors. A window keeps the maximum
+    /// of each.
     pub fn record_gauges(&mut self, unix_ms: u64, gauges: [u64; 2]) {
         super::raise(&mut self.window(unix_ms).gauges, &gauges);
     }
--- a/crates/shared-state/src/counters/tests.rs
+++ b/crates/shared-state/src/counters/tests.rs
@@ -19,8 +19,8 @@
 }
 
 /// Delivers reports to several receivers in random order, partly split, partly repeated and partly
-/// through another receiver. Guards against receivers whose totals differ from each other or from the
-/// true totals.
+/// through another receiver. Guards against receivers whose totals differ from each other or from
+/// the true totals.
 #[test]
 fn receivers_of_the_same_reports_compute_the_same_totals() {
     for seed in 0..60 {
@@ -156,8 +156,8 @@
     assert_eq!((all.processes().count(), arrived(&all)), (1, 105));
 }
 
-/// Guards against windows that are attributed to the current version of a process although an earlier
-/// version ran in them.
+/// Guards against windows that are attributed to the current version of a process although an
+/// earlier version ran in them.
 #[test]
 fn a_window_keeps_the_version_that_ran_in_it() {
     let (mut all, mut one) = (ClusterCounters::new(9), ProcessCounters::new(UNIX));
--- a/crates/shared-state/src/messages/decode.rs
+++ b/crates/shared-state/src/messages/decode.rs
@@ -16,8 +16,8 @@
 /// Maximum value of a unit; larger values are clamped.
 const MAX_VALUE: f64 = 1e6;
 
-/// Decodes a message. Returns `None` if the message is malformed, exceeds a bound or is of an unknown
-/// kind.
+/// Decodes a message. Returns `None` if the message is malformed, exceeds a bound or is of an
+/// unknown kind.
 pub fn decode(bytes: &[u8]) -> Option<SharedMessage> {
     let payload = Payload::decode(bytes)
         .ok()
--- a/crates/shared-state/src/messages/encode.rs
+++ b/crates/shared-state/src/messages/encode.rs
@@ -9,8 +9,8 @@
 use crate::{MILLISECOND, ProcessId};
 use prost::Message as _;
 
-/// Encodes a message. The caller must first split a counter report that does not fit one payload, with
-/// [`split_report`](super::split_report).
+/// Encodes a message. The caller must first split a counter report that does not fit one payload,
+/// with [`split_report`](super::split_report).
 pub fn encode(message: &SharedMessage) -> Vec<u8> {
     let payload = match message {
         SharedMessage::Limits(message) => encode_limits(message),
--- a/crates/shared-state/src/messages/encode_counters.rs
+++ b/crates/shared-state/src/messages/encode_counters.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// Encodes totals. If they do not fit a payload, rows are dropped from the end: first latencies, then
-/// counts of the last minute, then counts since the start.
+/// Encodes totals. If they do not fit a payload, rows are dropped from the end: first latencies,
+/// then counts of the last minute, then counts since the start.
 pub(super) fn encode_totals(totals: &ClusterTotals) -> Totals {
     let minute = &totals.last_minute;
     let mut encoded = Totals {
--- a/crates/shared-state/src/messages/split.rs
+++ b/crates/shared-state/src/messages/split.rs
@@ -6,8 +6,8 @@
 use prost::Message as _;
 use std::collections::BTreeMap;
 
-/// Splits a report into parts that each fit a payload. The parts may arrive in any order, and some may
-/// be lost, because a receiver merges them by the larger of two counts.
+/// Splits a report into parts that each fit a payload. The parts may arrive in any order, and some
+/// may be lost, because a receiver merges them by the larger of two counts.
 pub fn split_report(report: &CounterReport) -> Vec<CounterReport> {
     let mut splitter = Splitter::new(report);
     for (row, numbers) in &report.total {
--- a/crates/shared-state/src/messages/tests.rs
+++ b/crates/shared-state/src/messages/tests.rs
@@ -190,8 +190,8 @@
     );
 }
 
-/// Guards against parts of a large report that exceed a payload, and against a receiver of all parts
-/// that does not get the whole report.
+/// Guards against parts of a large report that exceed a payload, and against a receiver of all
+/// parts that does not get the whole report.
 #[test]
 fn large_reports_are_split_and_merge_to_the_whole() {
     let mut rng = Pcg64Mcg::seed_from_u64(5);
--- a/crates/shared-state/src/service_health.rs
+++ b/crates/shared-state/src/service_health.rs
@@ -1,13 +1,13 @@
 //! Health of a backend service, determined by a node's own calls first and by the reports of other
 //! nodes second.
 //!
-//! Reports of other nodes may make a node treat a service as degraded, but never as unavailable; only
-//! the node's own calls do that ([`ServiceHealth::evaluate`]). A failing service is distinguished from
-//! a failing reporter by the numbers of nodes and zones that report the failure
-//! ([`AggregatedHealth::is_failing`]). While a service is unavailable, only a few nodes of the whole
-//! cluster probe it. They are chosen by a hash, so that all nodes agree on them ([`is_prober`]). Then
-//! load is restored in steps, and no node admits more than twice the mean share that the others admit
-//! (`recovery_ramp`).
+//! Reports of other nodes may make a node treat a service as degraded, but never as unavailable;
+//! only the node's own calls do that ([`ServiceHealth::evaluate`]). A failing service is
+//! distinguished from a failing reporter by the numbers of nodes and zones that report the failure
+//! ([`AggregatedHealth::is_failing`]). While a service is unavailable, only a few nodes of the
+//! whole cluster probe it. They are chosen by a hash, so that all nodes agree on them
+//! ([`is_prober`]). Then load is restored in steps, and no node admits more than twice the mean
+//! share that the others admit (`recovery_ramp`).
 
 mod aggregation;
 mod outlier_detection;
@@ -147,8 +147,8 @@
         self.state
     }
 
-    /// Returns the time since which the service is in this state; while recovering, since which it is
-    /// in the current step of the ramp.
+    /// Returns the time since which the service is in this state; while recovering, since which it
+    /// is in the current step of the ramp.
     pub fn state_since(&self) -> Nanos {
         self.state_since
     }
@@ -168,8 +168,8 @@
         }
     }
 
-    /// Returns the share of its budget units that the node may use, from 0 to 1, for a slow start of
-    /// the service. The share is not reduced while the service is unavailable, because then only
+    /// Returns the share of its budget units that the node may use, from 0 to 1, for a slow start
+    /// of the service. The share is not reduced while the service is unavailable, because then only
     /// probes are sent, which are rare.
     pub fn budget_share(&self, now: Nanos) -> f64 {
         match self.state {
@@ -198,8 +198,8 @@
             .map(|(aggregated, _)| aggregated)
     }
 
-    /// Returns whether this node has to probe the unavailable service now. A node that has no recent
-    /// reports, or knows of no other member, probes on its own, but less often.
+    /// Returns whether this node has to probe the unavailable service now. A node that has no
+    /// recent reports, or knows of no other member, probes on its own, but less often.
     pub fn is_probe_due(&self, now: Nanos) -> bool {
         let (probes, interval) = match self.aggregated_health(now) {
             Some(others) if !others.is_alone => (others.is_prober, PROBE_INTERVAL),
@@ -208,9 +208,9 @@
         probes && now >= self.last_probe_at + interval
     }
 
-    /// Returns whether a call may be sent now. If the request of the call has passed the backend gate
-    /// (`is_gated`), which already applied the admitted share, the call is withheld only while the
-    /// service is unavailable.
+    /// Returns whether a call may be sent now. If the request of the call has passed the backend
+    /// gate (`is_gated`), which already applied the admitted share, the call is withheld only while
+    /// the service is unavailable.
     pub fn admits(&mut self, now: Nanos, is_gated: bool) -> bool {
         self.evaluate(now);
         let admits = match self.state {
--- a/crates/shared-state/src/service_health/aggregation.rs
+++ b/crates/shared-state/src/service_health/aggregation.rs
@@ -24,7 +24,8 @@
     pub healthy: u32,
     /// Mean admitted share over the nodes that admit any calls, from 0 to 1; 0 if there is none.
     pub mean_share: f64,
-    /// Smallest admitted share over the nodes that admit any calls, from 0 to 1; 1 if there is none.
+    /// Smallest admitted share over the nodes that admit any calls, from 0 to 1; 1 if there is
+    /// none.
     pub min_share: f64,
     /// Number of nodes with a report, conclusive or not.
     pub reports: u32,
@@ -32,7 +33,7 @@
     pub reduced: u32,
     /// Whether this node is one of the probers while the service is unavailable; see [`is_prober`].
     pub is_prober: bool,
-    /// Whether this node knows of no other member.
+    /// Whether the member table of this node has no other member.
     pub is_alone: bool,
 }
 
@@ -43,8 +44,8 @@
         self.min_share < 1.0 && self.reduced >= 2 && self.reduced * 2 >= self.reports
     }
 
-    /// Returns whether the service is failing at enough other nodes: at half of the reporters, at two
-    /// at least, and in at least two zones if the reporters are in more than one.
+    /// Returns whether the service is failing at enough other nodes: at half of the reporters, at
+    /// two at least, and in at least two zones if the reporters are in more than one.
     pub fn is_failing(&self) -> bool {
         self.failing >= 2
             && self.failing * 2 >= self.reporters
@@ -137,9 +138,9 @@
     }
 }
 
-/// Returns whether the node with key `me` is one of the three probers of an unavailable service. The
-/// probers change every 5 s. Nodes with the same view of the members agree on them, because all use
-/// the same hash.
+/// Returns whether the node with key `me` is one of the three probers of an unavailable service.
+/// The probers change every 5 s. Nodes with the same view of the members agree on them, because all
+/// use the same hash.
 pub fn is_prober(now: Nanos, me: u64, service: u64, members: impl Iterator<Item = u64>) -> bool {
     let turn = now / (PROBES_PER_TURN * PROBE_INTERVAL);
     let rank = |key: u64| mix(key ^ mix(service ^ turn));
--- a/crates/shared-state/src/service_health/outlier_detection.rs
+++ b/crates/shared-state/src/service_health/outlier_detection.rs
@@ -19,27 +19,28 @@
         self.evaluate(now);
     }
 
-    /// Returns whether a service that is unavailable to this node may begin to recover because it is
-    /// healthy to others. Reports on the time before the failure are excluded: a report is used for
-    /// [`REPORT_MAX_AGE`] and covers a [`CALL_WINDOW`].
+    /// Returns whether a service that is unavailable to this node may begin to recover because it
+    /// is healthy to others. Reports on the time before the failure are excluded: a report is used
+    /// for [`REPORT_MAX_AGE`] and covers a [`CALL_WINDOW`].
     fn others_found_it_healthy_again(&self, now: Nanos, others: &AggregatedHealth) -> bool {
         let is_later = now > self.state_since + REPORT_MAX_AGE + CALL_WINDOW;
         let is_enough = others.healthy >= 2.min(others.reporters).max(1);
         self.state == HealthState::Unavailable && is_later && is_enough
     }
 
-    /// Returns whether the service is failing for this node: half of at least [`MIN_CALLS`] calls in a
-    /// window failed, [`MIN_CALLS`] consecutive calls failed, or, for calls that hang and are
-    /// therefore few, [`CONCLUSIVE_IN_A_ROW`] consecutive calls failed without a success for a window.
+    /// Returns whether the service is failing for this node: half of at least [`MIN_CALLS`] calls
+    /// in a window failed, [`MIN_CALLS`] consecutive calls failed, or, for calls that hang and are
+    /// therefore few, [`CONCLUSIVE_IN_A_ROW`] consecutive calls failed without a success for a
+    /// window.
     fn failed_here(&self, now: Nanos, own: &HealthReport) -> bool {
         let hangs = self.failures_in_a_row >= CONCLUSIVE_IN_A_ROW
             && now >= self.failing_since + CALL_WINDOW;
         own.has_failing_window() || self.failures_in_a_row >= MIN_CALLS || hangs
     }
 
-    /// Returns whether a node that made no calls during a failure, because it was idle or down, has to
-    /// follow the recovery ramp of the others. A node that has completed its own recovery less than
-    /// [`RECOVERED_HOLD`] ago does not.
+    /// Returns whether a node that made no calls during a failure, because it was idle or down, has
+    /// to follow the recovery ramp of the others. A node that has completed its own recovery less
+    /// than [`RECOVERED_HOLD`] ago does not.
     fn follows_recovery(
         &self,
         now: Nanos,
--- a/crates/shared-state/src/service_health/recovery_ramp.rs
+++ b/crates/shared-state/src/service_health/recovery_ramp.rs
@@ -1,5 +1,5 @@
-//! Restores the load of a service that was unavailable. The admitted share starts at one sixteenth and
-//! doubles every 5 s, up to twice the mean share that the other nodes admit.
+//! Restores the load of a service that was unavailable. The admitted share starts at one sixteenth
+//! and doubles every 5 s, up to twice the mean share that the other nodes admit.
 
 use super::{HalfWindow, HealthState, RAMP_FIRST_SHARE, ServiceHealth};
 use crate::Nanos;
@@ -13,8 +13,8 @@
         self.enter(now, HealthState::Recovering);
     }
 
-    /// Doubles the admitted share, up to twice the mean of the others. The service is healthy once the
-    /// share reaches 1.
+    /// Doubles the admitted share, up to twice the mean of the others. The service is healthy once
+    /// the share reaches 1.
     pub(super) fn next_ramp_step(&mut self, now: Nanos) {
         let others = self
             .aggregated_health(now)
--- a/crates/shared-state/src/service_health/report.rs
+++ b/crates/shared-state/src/service_health/report.rs
@@ -50,8 +50,8 @@
         self.is_healthy() || self.failed == 0 && self.calls >= min_successes
     }
 
-    /// Returns whether the report says anything about the service. A report with few calls does not,
-    /// unless the node admits no calls or saw only successes.
+    /// Returns whether the report says anything about the service. A report with few calls does
+    /// not, unless the node admits no calls or saw only successes.
     pub(super) fn is_conclusive(&self) -> bool {
         self.calls >= MIN_CALLS || self.admitted_share == 0.0 || self.saw_healthy()
     }
--- a/crates/shared-state/src/service_health/tests.rs
+++ b/crates/shared-state/src/service_health/tests.rs
@@ -54,8 +54,8 @@
     );
 }
 
-/// Calls that hang are few. Guards against a service that stays healthy because too few calls end to
-/// fill a window: three consecutive failures without a success for 2 s are enough.
+/// Calls that hang are few. Guards against a service that stays healthy because too few calls end
+/// to fill a window: three consecutive failures without a success for 2 s are enough.
 #[test]
 fn few_calls_that_hang_make_a_service_unavailable() {
     let mut health = ServiceHealth::new(0, 0);
@@ -161,8 +161,8 @@
     assert_eq!(cut_off.state(), HealthState::Healthy);
 }
 
-/// Guards against applying the admitted share twice, to a request at the backend gate and again to its
-/// call. The call is withheld only if the service became unavailable in the meantime.
+/// Guards against applying the admitted share twice, to a request at the backend gate and again to
+/// its call. The call is withheld only if the service became unavailable in the meantime.
 #[test]
 fn calls_of_gated_requests_are_not_reduced_again() {
     let mut recovering = ServiceHealth::new(0, 0);
@@ -183,11 +183,11 @@
     );
 }
 
-/// Simulates a service that fails beyond its capacity, is down for a minute under full demand, and has
-/// a reduced capacity for a while after it is up again. Each node reports to three others every half
-/// second, with losses; one node is cut off. Returns how often the service failed again, how many
-/// calls it received while it was down, and whether it is healthy at all nodes at the end. Without
-/// `steps`, a node sends its full load as soon as one probe succeeds.
+/// Simulates a service that fails beyond its capacity, is down for a minute under full demand, and
+/// has a reduced capacity for a while after it is up again. Each node reports to three others every
+/// half second, with losses; one node is cut off. Returns how often the service failed again, how
+/// many calls it received while it was down, and whether it is healthy at all nodes at the end.
+/// Without `steps`, a node sends its full load as soon as one probe succeeds.
 fn simulate(nodes: usize, seed: u64, steps: bool) -> (u32, u64, bool) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (cut_off, tick) = (nodes - 1, 10 * MILLISECOND);
@@ -251,8 +251,8 @@
 }
 
 /// Guards against a recovering service that is overloaded again, and against too many calls in the
-/// minute in which it is down. Of 100 attempted calls per second and node, each node makes ten until
-/// the service is unavailable to it, and then three nodes probe.
+/// minute in which it is down. Of 100 attempted calls per second and node, each node makes ten
+/// until the service is unavailable to it, and then three nodes probe.
 #[test]
 fn a_service_that_recovers_does_not_fail_again() {
     for (nodes, seeds) in [(12, 0..20), (120, 20..23)] {
@@ -271,8 +271,8 @@
     );
 }
 
-/// Guards against a node that sends its full load to a recovering service because it was idle or down
-/// while the service failed. The node joins the recovery at the smallest share of the others.
+/// Guards against a node that sends its full load to a recovering service because it was idle or
+/// down while the service failed. The node joins the recovery at the smallest share of the others.
 #[test]
 fn a_node_that_was_idle_during_a_failure_recovers_with_the_others() {
     let report = |calls, admitted_share| HealthReport {
--- a/crates/shared-state/src/simulation.rs
+++ b/crates/shared-state/src/simulation.rs
@@ -1,12 +1,12 @@
-//! Simulation of clusters that share a budget. The state machines of this package run over simulated
-//! time, with links that lose and delay messages or are cut, nodes that crash, restart and are
-//! suspended, clocks that drift, and a backend service that records the calls that reach it. For
-//! comparison, two baseline strategies are simulated as well: equal shares by the number of nodes in
-//! view, and a central counter.
+//! Simulation of clusters that share a budget. The state machines of this package run over
+//! simulated time, with links that lose and delay messages or are cut, nodes that crash, restart
+//! and are suspended, clocks that drift, and a backend service that records the calls that reach
+//! it. For comparison, two baseline strategies are simulated as well: equal shares by the number of
+//! nodes in view, and a central counter.
 //!
-//! All random draws come from one seed, so equal configurations give equal results. Time advances in
-//! steps (`run`). The order of the draws within a step determines the recorded results and must not
-//! change.
+//! All random draws come from one seed, so equal configurations give equal results. Time advances
+//! in steps (`run`). The order of the draws within a step determines the recorded results and must
+//! not change.
 
 mod baselines;
 mod calls;
@@ -196,8 +196,8 @@
         self.nodes[n].suspended_until = self.now + duration;
     }
 
-    /// Cuts the links for which `is_cut` returns true for the sender and the receiver, and restores all
-    /// others.
+    /// Cuts the links for which `is_cut` returns true for the sender and the receiver, and restores
+    /// all others.
     pub fn cut_links(&mut self, is_cut: impl Fn(usize, usize) -> bool + 'static) {
         self.is_cut = Box::new(is_cut);
     }
--- a/crates/shared-state/src/simulation/baselines.rs
+++ b/crates/shared-state/src/simulation/baselines.rs
@@ -1,5 +1,5 @@
-//! The baseline strategies: equal shares by the number of nodes in view, and a central counter at the
-//! first node.
+//! The baseline strategies: equal shares by the number of nodes in view, and a central counter at
+//! the first node.
 
 use super::run::network_bytes;
 use super::{LimitStrategy, STEP, Simulation};
@@ -53,8 +53,8 @@
             .min((limit / SAVED_CALLS_DIVISOR).max(1.0));
     }
 
-    /// Returns the number of nodes in the view of a node, which lags by `view_delay` and excludes nodes
-    /// whose messages do not reach it now.
+    /// Returns the number of nodes in the view of a node, which lags by `view_delay` and excludes
+    /// nodes whose messages do not reach it now.
     fn nodes_in_view(&self, n: usize) -> usize {
         let viewed_at = self.now.saturating_sub(self.config.view_delay);
         let seen = self
@@ -70,8 +70,8 @@
         })
     }
 
-    /// Admits one unit of a key by a baseline strategy, or returns the Retry-After in nanoseconds. Only
-    /// quotas on rates are supported; others always refuse.
+    /// Admits one unit of a key by a baseline strategy, or returns the Retry-After in nanoseconds.
+    /// Only quotas on rates are supported; others always refuse.
     pub(super) fn baseline_allows_key(
         &mut self,
         strategy: LimitStrategy,
--- a/crates/shared-state/src/simulation/calls.rs
+++ b/crates/shared-state/src/simulation/calls.rs
@@ -1,5 +1,5 @@
-//! Backend calls: attempts by the nodes, the decisions of the limit strategies, and the record of the
-//! backend service.
+//! Backend calls: attempts by the nodes, the decisions of the limit strategies, and the record of
+//! the backend service.
 
 use super::{LimitStrategy, STEP, Simulation};
 use crate::budget::BudgetKind;
@@ -80,8 +80,8 @@
                 {
                     self.recent_calls.pop_front();
                 }
-                // Allowed are the calls of one second, the calls that may be saved up, and at least one
-                // saved call per node.
+                // Allowed are the calls of one second, the calls that may be saved up, and at least
+                // one saved call per node.
                 let saved = limit * burst as f64 / SECOND as f64;
                 let one_per_node = self.nodes.len().min(self.config.budget.limit as usize) as f64;
                 let over = self.recent_calls.len() as f64 - limit - saved.max(one_per_node);
--- a/crates/shared-state/src/simulation/config.rs
+++ b/crates/shared-state/src/simulation/config.rs
@@ -11,8 +11,8 @@
     Leases,
     /// Each node uses the limit divided by the number of nodes in its view, which lags behind.
     EvenByView,
-    /// The first node counts for all nodes and is asked before each call; without its answer no call
-    /// is made.
+    /// The first node counts for all nodes and is asked before each call; without its answer no
+    /// call is made.
     Counter,
 }
 
--- a/crates/shared-state/src/simulation/keys.rs
+++ b/crates/shared-state/src/simulation/keys.rs
@@ -1,5 +1,5 @@
-//! Requests by key: attempts and retries of clients, and a record of the units of each key that were
-//! admitted over all nodes.
+//! Requests by key: attempts and retries of clients, and a record of the units of each key that
+//! were admitted over all nodes.
 
 use super::{LimitStrategy, Simulation};
 use crate::Nanos;
@@ -41,13 +41,14 @@
     retries: BinaryHeap<Reverse<(Nanos, usize, u32, u64)>>,
     /// Units in flight: the time of the end, the node and its incarnation, and the key.
     in_flight: BinaryHeap<Reverse<(Nanos, usize, u64, u64)>>,
-    /// For the baseline strategies: the time at which the next unit of a key is due, by node and key.
+    /// For the baseline strategies: the time at which the next unit of a key is due, by node and
+    /// key.
     pub(super) baseline_dues: HashMap<(usize, u64), Nanos>,
 }
 
 impl KeySimulation {
-    /// Records an admitted unit of a key. Returns by how many units the key exceeds its limit now, which
-    /// is negative below the limit.
+    /// Records an admitted unit of a key. Returns by how many units the key exceeds its limit now,
+    /// which is negative below the limit.
     fn record_admitted(&mut self, now: Nanos, key: u64, kind: QuotaKind) -> f64 {
         let admitted = self.admitted.entry(key).or_default();
         admitted.in_flight += 1;
@@ -229,8 +230,8 @@
             .sum()
     }
 
-    /// Returns the number of keys that all nodes track, and the size of the lender at the leader, if
-    /// there is a leader.
+    /// Returns the number of keys that all nodes track, and the size of the lender at the leader,
+    /// if there is a leader.
     pub fn key_sizes(&self) -> (usize, Option<QuotaLenderSize>) {
         let shared = || self.nodes.iter().filter_map(|node| node.shared.as_ref());
         let lender = shared()
--- a/crates/shared-state/src/simulation/node.rs
+++ b/crates/shared-state/src/simulation/node.rs
@@ -45,8 +45,8 @@
     pub(super) suspended_until: Nanos,
     /// Accumulates the load; a call is attempted when the sum reaches 1.
     pub(super) load_credit: f64,
-    /// For [`LimitStrategy::EvenByView`](super::LimitStrategy::EvenByView): the number of calls that
-    /// may be made at `even_refilled_at`.
+    /// For [`LimitStrategy::EvenByView`](super::LimitStrategy::EvenByView): the number of calls
+    /// that may be made at `even_refilled_at`.
     pub(super) even_tokens: f64,
     pub(super) even_refilled_at: Nanos,
     pub(super) counters: ProcessCounters,
--- a/crates/shared-state/src/simulation/run.rs
+++ b/crates/shared-state/src/simulation/run.rs
@@ -1,5 +1,5 @@
-//! The steps of the simulated time. In each step, messages arrive, calls end, and then each node runs
-//! its timers, sends messages and attempts calls.
+//! The steps of the simulated time. In each step, messages arrive, calls end, and then each node
+//! runs its timers, sends messages and attempts calls.
 
 use super::{LimitStrategy, MessageInFlight, REPORT_INTERVAL, STEP, Simulation};
 use crate::Nanos;
--- a/crates/shared-state/src/status.rs
+++ b/crates/shared-state/src/status.rs
@@ -1,6 +1,6 @@
 //! The status snapshot: the shared state as one node sees it, with explanations for operators. The
-//! `with_` methods fill the snapshot part by part; `madderpoint shared explain` and `fleet show` read
-//! it. The texts are in `explain`, the fields in `snapshot`.
+//! `with_` methods fill the snapshot part by part; `madderpoint shared explain` and `fleet show`
+//! read it. The texts are in `explain`, the fields in `snapshot`.
 
 mod explain;
 mod snapshot;
@@ -128,8 +128,8 @@
         self.calls_waiting = calls_waiting as u32;
     }
 
-    /// Adds the leader, the grants of this node if it is the leader, the event counts of this node, and
-    /// the counters of the whole cluster. `operations` are the names of the node's operations.
+    /// Adds the leader, the grants of this node if it is the leader, the event counts of this node,
+    /// and the counters of the whole cluster. `operations` are the names of the node's operations.
     pub fn with_shared_state<H: Host>(
         &mut self,
         now: Nanos,
--- a/crates/shared-state/src/status/explain.rs
+++ b/crates/shared-state/src/status/explain.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write;
 
 impl StatusSnapshot {
-    /// Explains the limits that currently apply to the node, one line per part: the leader, each budget,
-    /// each keyed quota, the backend service and the backend gate.
+    /// Explains the limits that currently apply to the node, one line per part: the leader, each
+    /// budget, each keyed quota, the backend service and the backend gate.
     pub fn explain(&self) -> Vec<String> {
         let mut lines = vec![self.explain_leader()];
         lines.extend(self.budgets.iter().map(|budget| budget.explain()));
@@ -13,13 +13,13 @@
             lines.push(match (self.is_quota_cut_off, self.quota_grant_ms_ago) {
                 (true, Some(ago)) => {
                     format!(
-                        "keys: no lender was heard for {ago} ms: only guaranteed floors may be used"
+                        "keys: no lender has answered for {ago} ms: only guaranteed floors may be used"
                     )
                 }
                 (true, None) => {
-                    "keys: no lender was ever heard: only guaranteed floors may be used".into()
+                    "keys: no lender has ever answered: only guaranteed floors may be used".into()
                 }
-                (false, Some(ago)) => format!("keys: the lender was heard {ago} ms ago"),
+                (false, Some(ago)) => format!("keys: the lender answered {ago} ms ago"),
                 (false, None) => "keys: no units were requested yet".into(),
             });
         }
@@ -39,7 +39,7 @@
         let mut line = match (self.is_leader, self.leader) {
             (true, _) => "this node lends: a majority of the arbiters voted for it".to_owned(),
             (false, 0) => {
-                "no lender is known: no majority of the arbiters is heard, or they have not agreed yet; \
+                "no lender is known: no majority of the arbiters answers, or they have not agreed yet; \
                  only guaranteed floors may be used"
                     .to_owned()
             }
@@ -112,8 +112,8 @@
         line
     }
 
-    /// Explains the remaining units of the lease, and the demand of all borrowers when the lease was
-    /// granted.
+    /// Explains the remaining units of the lease, and the demand of all borrowers when the lease
+    /// was granted.
     fn explain_lease(&self, lease: &LeaseStatus, line: &mut String) {
         let left = self.units.saturating_sub(self.floor);
         let _ = write!(
@@ -174,8 +174,8 @@
         );
         for (times, reason) in self.refused.iter().zip([
             "before units were granted",
-            "because the key is exhausted",
-            "because no lender is heard",
+            "because the key has no units left",
+            "because no lender answers",
             "for lack of memory for the key",
         ]) {
             if *times > 0 {
--- a/crates/shared-state/src/status/snapshot.rs
+++ b/crates/shared-state/src/status/snapshot.rs
@@ -143,7 +143,7 @@
     /// Whether this node is one of the probers while the service is unavailable.
     #[prost(bool, tag = "11")]
     pub is_prober: bool,
-    /// Whether this node knows of no other member.
+    /// Whether the member table of this node has no other member.
     #[prost(bool, tag = "12")]
     pub is_alone: bool,
     /// Number of admitted calls.
@@ -174,8 +174,8 @@
 /// A row of the counters of the cluster.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CounterRowStatus {
-    /// Name of the operation; empty for the processes themselves, and the row number in hexadecimal for
-    /// an operation that is unknown to this node.
+    /// Name of the operation; empty for the processes themselves, and the row number in hexadecimal
+    /// for an operation that is unknown to this node.
     #[prost(string, tag = "1")]
     pub name: String,
     /// Counts since the start of each process, by column.
@@ -215,8 +215,8 @@
     /// State of the keyed quotas at this node.
     #[prost(message, repeated, tag = "3")]
     pub quotas: Vec<QuotaStatus>,
-    /// Time since the last grant of units of keys by a leader, in milliseconds; `None` before the first
-    /// grant.
+    /// Time since the last grant of units of keys by a leader, in milliseconds; `None` before the
+    /// first grant.
     #[prost(uint64, optional, tag = "4")]
     pub quota_grant_ms_ago: Option<u64>,
     /// Whether no lender has answered the requests for units of keys for a whole lease duration.
@@ -243,8 +243,8 @@
     /// Grants of this node as the leader, by budget; empty at other nodes.
     #[prost(message, repeated, tag = "12")]
     pub lenders: Vec<LenderStatus>,
-    /// Keyed quotas at the leader, as a list of four numbers: keys, leases, requests refused for lack
-    /// of memory, and milliseconds until the first grant. Empty at other nodes.
+    /// Keyed quotas at the leader, as a list of four numbers: keys, leases, requests refused for
+    /// lack of memory, and milliseconds until the first grant. Empty at other nodes.
     #[prost(uint64, repeated, tag = "13")]
     pub quota_lender: Vec<u64>,
     /// Age of the totals of the cluster, in milliseconds.
--- a/crates/shared-state/src/status/tests.rs
+++ b/crates/shared-state/src/status/tests.rs
@@ -4,8 +4,8 @@
 use crate::{AggregatedHealth, HealthState, SECOND};
 use prost::Message;
 
-/// Guards against explanations that do not follow the age of a lease: before the first lease, while it
-/// is fresh, after its first half, and after its end.
+/// Guards against explanations that do not follow the age of a lease: before the first lease, while
+/// it is fresh, after its first half, and after its end.
 #[test]
 fn the_state_of_a_budget_is_explained() {
     let kind = BudgetKind::Rate { burst: SECOND / 20 };
--- a/crates/shared-state/tests/budgets.rs
+++ b/crates/shared-state/tests/budgets.rs
@@ -1,5 +1,5 @@
-//! Budgets that a cluster shares, over simulated time and under faults: the limit is never exceeded,
-//! and units that are not used by one node are soon used by another one.
+//! Budgets that a cluster shares, over simulated time and under faults: the limit is never
+//! exceeded, and units that are not used by one node are soon used by another one.
 
 use madderpoint_shared_state::simulation::{LimitStrategy, Load, Simulation, SimulationConfig};
 use madderpoint_shared_state::{Budget, BudgetKind, Nanos};
@@ -39,9 +39,9 @@
     Box::new(|_, _| 200.0)
 }
 
-/// Runs the simulation and checks that the limit is never exceeded, neither by the usable units of all
-/// nodes together nor by the calls that the backend service recorded, and that there is never more
-/// than one leader.
+/// Runs the simulation and checks that the limit is never exceeded, neither by the usable units of
+/// all nodes together nor by the calls that the backend service recorded, and that there is never
+/// more than one leader.
 fn run_within(sim: &mut Simulation, duration: Nanos) {
     for _ in 0..duration / (20 * MS) {
         sim.run(20 * MS);
@@ -116,8 +116,8 @@
     }
 }
 
-/// Two of the three voters are on one side of a partition. That side keeps its leader and goes on; the
-/// nodes of the other side fall to their guaranteed floors.
+/// Two of the three voters are on one side of a partition. That side keeps its leader and goes on;
+/// the nodes of the other side fall to their guaranteed floors.
 #[test]
 fn the_side_with_a_majority_of_voters_goes_on() {
     let mut sim = Simulation::new(config(9, 1), full_load());
@@ -131,8 +131,8 @@
     assert!((2..7).all(|n| sim.units(n) == 2));
 }
 
-/// Links are cut in one direction: either the nodes do not hear the voters, or the voters do not hear
-/// the nodes. Guards against units that are granted twice.
+/// Links are cut in one direction: either the nodes do not hear the voters, or the voters do not
+/// hear the nodes. Guards against units that are granted twice.
 #[test]
 fn links_cut_one_way_grant_nothing_twice() {
     for seed in 0..4 {
@@ -254,8 +254,8 @@
     }
 }
 
-/// The limit is reduced first on one half of the nodes and then on the other. The smaller limit holds
-/// once the leader has it and the leases have expired.
+/// The limit is reduced first on one half of the nodes and then on the other. The smaller limit
+/// holds once the leader has it and the leases have expired.
 #[test]
 fn a_limit_that_changes_on_half_of_the_nodes_stays_within_the_larger() {
     let mut sim = Simulation::new(config(8, 5), full_load());
@@ -287,8 +287,8 @@
     assert!(sim.result.calls_made > 50, "{}", sim.result.calls_made);
 }
 
-/// Guards against a simulation that cannot detect violations. In a partition, equal shares exceed the
-/// limit, and a central counter allows nothing to the nodes that cannot reach it.
+/// Guards against a simulation that cannot detect violations. In a partition, equal shares exceed
+/// the limit, and a central counter allows nothing to the nodes that cannot reach it.
 #[test]
 fn the_simulation_detects_the_faults_of_the_baseline_strategies() {
     let run_partition = |strategy| {
@@ -337,9 +337,9 @@
     );
 }
 
-/// Counts calls while the voters are separated and nodes crash and restart. Guards against totals that
-/// differ between nodes, exceed the number of calls made, or lack more than the crashed nodes had not
-/// reported.
+/// Counts calls while the voters are separated and nodes crash and restart. Guards against totals
+/// that differ between nodes, exceed the number of calls made, or lack more than the crashed nodes
+/// had not reported.
 #[test]
 fn totals_agree_and_lose_only_unreported_calls_of_crashed_nodes() {
     for seed in 0..6 {
@@ -368,7 +368,8 @@
             lost += sim.result.calls_by_node[n] - before; // at most the calls since `before`
             sim.start(n);
         }
-        // Node 0 has restarted without counters and receives all counters from the other two voters.
+        // Node 0 has restarted without counters and receives all counters from the other two
+        // voters.
         run_within(&mut sim, 30 * S);
         sim.set_load(Box::new(|_, _| 0.0));
         run_within(&mut sim, 40 * S);
--- a/crates/shared-state/tests/keys.rs
+++ b/crates/shared-state/tests/keys.rs
@@ -1,5 +1,5 @@
-//! Keyed quotas that a cluster shares, over simulated time and under faults: no key ever exceeds its
-//! limit, and available units are used.
+//! Keyed quotas that a cluster shares, over simulated time and under faults: no key ever exceeds
+//! its limit, and available units are used.
 
 use madderpoint_shared_state::keyed_quota::lender::QuotaLenderSize;
 use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaKind};
@@ -199,7 +199,8 @@
     }
 }
 
-/// A node that is cut off from the leader uses its guaranteed floor; without a floor it admits nothing.
+/// A node that is cut off from the leader uses its guaranteed floor; without a floor it admits
+/// nothing.
 #[test]
 fn a_node_that_is_cut_off_uses_its_floor() {
     for (floor, min, max) in [(2u32, 8, 12), (0, 0, 0)] {
@@ -219,8 +220,8 @@
     }
 }
 
-/// The leader crashes. Guards against a new leader that grants units before the leader lease and the
-/// leases of the previous leader have expired, or that does not grant any afterwards.
+/// The leader crashes. Guards against a new leader that grants units before the leader lease and
+/// the leases of the previous leader have expired, or that does not grant any afterwards.
 #[test]
 fn a_new_leader_grants_after_the_crash_of_the_first() {
     let mut sim = sim(9, 2, rate(20, 30, 1, 12));
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -1,7 +1,7 @@
-//! Model check of leadership and leases with the state machines of this package. Explores every order
-//! of delayed, duplicated and lost messages, ticks, a crash with a restart, and suspended nodes (nodes
-//! without an action for some ticks). The units that all nodes may use together never exceed the
-//! limit. Clock drift is not modelled here; `budgets.rs` simulates it.
+//! Model check of leadership and leases with the state machines of this package. Explores every
+//! order of delayed, duplicated and lost messages, ticks, a crash with a restart, and suspended
+//! nodes (nodes without an action for some ticks). The units that all nodes may use together never
+//! exceed the limit. Clock drift is not modelled here; `budgets.rs` simulates it.
 
 use madderpoint_shared_state::budget::lender::BudgetLender;
 use madderpoint_shared_state::leader_lease::{Candidate, Voter};
@@ -116,8 +116,8 @@
 }
 
 impl LeaseModel {
-    /// Returns the initial state: node 0 is the leader, all voters have just voted for it, and its lender
-    /// may grant leases.
+    /// Returns the initial state: node 0 is the leader, all voters have just voted for it, and its
+    /// lender may grant leases.
     fn initial() -> State {
         let now = 100;
         let nodes = (0..NODES)
--- a/crates/shared-state/tests/model_keys.rs
+++ b/crates/shared-state/tests/model_keys.rs
@@ -1,7 +1,7 @@
-//! Model check of the units of a key with the state machines of this package. Explores every order of
-//! delayed, duplicated and lost requests and grants, units that are used, a borrower that crashes and
-//! restarts, and a change of the leader. A rate and a limit on units in flight are never exceeded, and
-//! lost units become available again. Leadership is checked in `model.rs`.
+//! Model check of the units of a key with the state machines of this package. Explores every order
+//! of delayed, duplicated and lost requests and grants, units that are used, a borrower that
+//! crashes and restarts, and a change of the leader. A rate and a limit on units in flight are
+//! never exceeded, and lost units become available again. Leadership is checked in `model.rs`.
 
 use madderpoint_shared_state::keyed_quota::borrower::UnitLease;
 use madderpoint_shared_state::keyed_quota::lender::QuotaLender;
--- a/crates/shared-state/tests/slow_start.rs
+++ b/crates/shared-state/tests/slow_start.rs
@@ -1,7 +1,8 @@
-//! Simulates a backend service that starts cold and the calls of all processes to it. In every window,
-//! the number of calls stays within the capacity of the service at that time, with an allowance for
-//! random variation. The processes learn of the start at different times, one is cut off, one restarts
-//! during the recovery, one is idle until then, and all attempt calls at the same times.
+//! Simulates a backend service that starts cold and the calls of all processes to it. In every
+//! window, the number of calls stays within the capacity of the service at that time, with an
+//! allowance for random variation. The processes learn of the start at different times, one is cut
+//! off, one restarts during the recovery, one is idle until then, and all attempt calls at the same
+//! times.
 
 use madderpoint_shared_state::service_health::is_prober;
 use madderpoint_shared_state::{
@@ -26,15 +27,16 @@
 const WAKES: Nanos = BACK + 15 * S;
 /// Step of the simulation, in nanoseconds.
 const TICK: Nanos = 10 * MS;
-/// Time between two attempts of each node, in nanoseconds; all nodes attempt a call at the same time.
+/// Time between two attempts of each node, in nanoseconds; all nodes attempt a call at the same
+/// time.
 const ATTEMPT_INTERVAL: Nanos = 10 * MS;
 /// Duration of a lease, in nanoseconds.
 const LEASE_DURATION: Nanos = S;
 /// Time between two leases, and between two health reports, of a node, in nanoseconds.
 const EXCHANGE_INTERVAL: Nanos = S / 2;
 
-/// Returns the share of the limit that the service can take at a time after its start, in nanoseconds:
-/// the steps of the recovery ramp, as if all nodes had begun the ramp at the start.
+/// Returns the share of the limit that the service can take at a time after its start, in
+/// nanoseconds: the steps of the recovery ramp, as if all nodes had begun the ramp at the start.
 fn ramp(since: Nanos) -> f64 {
     let steps = (since / (5 * S)).min(4);
     2f64.powi(steps as i32) / 16.0
