--- a/crates/node/src/capacity.rs
+++ b/crates/node/src/capacity.rs
@@ -1,95 +1,101 @@
-//! How much of each thing the node may keep. All bounds follow from the process's limits, and
-//! together they stay below its memory. The measurements behind the constants: `docs/capacity.md`.
+//! Bounds on what the node stores and queues. All of them are derived from the process's limits,
+//! and their sum stays below its memory limit. `docs/capacity.md` has the measurements behind the
+//! constants.
 
 #![warn(missing_docs)]
 
 use crate::config::Limits;
 
-/// Descriptors left for all that is no load balancer's connection: standard streams, signals, the
-/// listener, the executor's link (two while it moves), the backend's links and those before them, a
-/// report to the service registry, a file.
+/// Descriptors reserved for everything except load balancers' connections: standard streams,
+/// signals, the listener, the executor link (two while its address changes), the backend links and
+/// their retired connections, a report to the service registry, and a file.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Bytes that a node without connections takes.
+/// Memory of a node without connections, in bytes.
 const BASE_BYTES: usize = 6 << 20;
-/// Bytes that a connection takes.
+/// Memory of one connection, in bytes.
 const CONNECTION_BYTES: usize = 4 << 10;
-/// Bytes of the largest request.
+/// Memory of the largest request, in bytes.
 const REQUEST_BYTES: usize = 7 << 10;
-/// Bytes of the largest notice or reply.
+/// Memory of the largest notice of the executor or reply of the backend, in bytes.
 const NOTICE_BYTES: usize = 16 << 10;
-/// Bytes of the longest command.
+/// Memory of the longest command to the executor or the backend, in bytes.
 const COMMAND_BYTES: usize = 12 << 10;
 
-/// Where there are XML settings, a share of one in this many of the free memory is set aside: two
-/// sets of rules (the one in force and the one that takes its place) and the limits a sixth each;
-/// the rest for reading a file.
+/// Divisor of the free memory that gives the share for XML settings. One sixth of the share goes to
+/// each of two rule sets (the one in force and its replacement), one sixth to the buckets of limits,
+/// and the rest to reading a file.
 const SETTINGS_SHARE: usize = 4;
-/// Bytes that a settings file takes while it is read, for each of its bytes.
+/// Bytes of memory used per byte of a settings file while the file is read.
 const READING_FACTOR: usize = 12;
-/// One in this many is set aside for the cluster: two thirds for the member table, the rest for
-/// replay windows, member updates, the probe round and the datagram at hand.
+/// Divisor of the free memory that gives the share for the cluster: two thirds for the member table,
+/// the rest for replay windows, member updates, the probe round and the current datagram.
 const CLUSTER_SHARE: usize = 16;
-/// One in this many is set aside for shared state: a third for keys, a third for the lender's
-/// accounts of them, the rest for counters and health reports.
+/// Divisor of the free memory that gives the share for shared state: one third for the keys of
+/// quotas, one third for the lender's accounts of these keys, the rest for counters and health
+/// reports.
 const SHARED_STATE_SHARE: usize = 8;
-/// One in this many is set aside for rollouts: two thirds for contents (the version in force, the
-/// one before, one on trial, and two that come in), a third for a voter's record of the cohorts.
+/// Divisor of the free memory that gives the share for rollouts: two thirds for the contents of
+/// versions (the one in force, the previous one, one on trial, and two that are being received), one
+/// third for a voter's metrics of the cohorts.
 const ROLLOUT_SHARE: usize = 8;
 
 /// Bounds on what the node stores and queues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CapacityLimits {
-    /// Load balancers' connections that may be open.
+    /// Maximum number of open connections of load balancers.
     pub connections: usize,
-    /// Open connections above which an idle one is closed, so that the next one finds room.
+    /// Number of open connections above which an idle one is closed to make room for the next one.
     pub idle_eviction_threshold: usize,
-    /// Bytes of unfinished requests on one connection.
+    /// Maximum size of the incomplete requests on one connection, in bytes.
     pub partial_request_bytes: usize,
-    /// Bytes of answers that wait for peers to read.
+    /// Maximum size of the answers that load balancers have not read yet, in bytes, over all
+    /// connections.
     pub unread_answer_bytes: usize,
-    /// Events of load balancers that may wait for the node.
+    /// Length of the core's queue of events from load balancers.
     pub load_balancer_events: usize,
-    /// Events of the other peers that may wait for the node.
+    /// Length of the core's queue of events from all other peers.
     pub peer_events: usize,
-    /// Commands that may wait for the executor.
+    /// Length of the queue of commands to the executor.
     pub executor_commands: usize,
-    /// Calls that may wait for each link to the backend.
+    /// Length of the queue of calls of each backend link.
     pub backend_calls: usize,
-    /// Bytes of results in the idempotency cache; its keys take as much again at most.
+    /// Maximum size of the results in the idempotency cache, in bytes. The cache's keys take at most
+    /// the same amount again.
     pub result_bytes: usize,
-    /// Bytes that a rule set may take; 0 without XML settings.
+    /// Maximum size of a rule set, in bytes; 0 without XML settings.
     pub rule_bytes: usize,
-    /// Bytes that the buckets of limits take; 0 without XML settings.
+    /// Maximum size of the buckets of limits, in bytes; 0 without XML settings.
     pub bucket_bytes: usize,
-    /// Bytes that the settings file may have.
+    /// Maximum size of the settings file, in bytes; 0 without XML settings.
     pub settings_file_bytes: usize,
-    /// Bytes that the member table may take; 0 without a cluster.
+    /// Maximum size of the member table, in bytes; 0 without a cluster.
     pub member_table_bytes: usize,
-    /// Bytes for keys of quotas.
+    /// Maximum size of the keys of quotas, in bytes; 0 without shared state.
     pub quota_bytes: usize,
-    /// Bytes for the lender's accounts of quotas.
+    /// Maximum size of the lender's accounts of quotas, in bytes; 0 without shared state.
     pub quota_lender_bytes: usize,
-    /// Bytes for counters of other processes, where this node is a voter.
+    /// Maximum size of the counters of other processes, in bytes. Only a voter stores them.
     pub counter_bytes: usize,
-    /// Bytes for what a voter records of a rollout; contents of versions have as much again.
+    /// Maximum size of a voter's metrics of a rollout, in bytes; 0 without rollouts. The contents of
+    /// versions take as much again.
     pub rollout_bytes: usize,
 }
 
-/// Subsystems that a node may have beside the basic ones.
+/// The optional subsystems of a node; each enabled one gets its share of the memory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OptionalSubsystems {
-    /// XML settings.
+    /// Whether the node reads XML settings.
     pub settings: bool,
-    /// A cluster.
+    /// Whether the node is a member of a cluster.
     pub cluster: bool,
-    /// State that is shared with it.
+    /// Whether the node shares state with its cluster.
     pub shared_state: bool,
-    /// Rollouts.
+    /// Whether the node takes part in rollouts.
     pub rollouts: bool,
 }
 
 impl CapacityLimits {
-    /// The bounds for a process with these limits, this many links to the backend, and these
+    /// Derives the bounds from the process's limits, the number of backend links and the enabled
     /// subsystems.
     pub fn of(
         limits: &Limits,
@@ -129,7 +135,7 @@
         }
     }
 
-    /// The most bytes that all of it takes.
+    /// Returns the maximum memory that all bounded parts take together, in bytes.
     #[cfg(test)]
     fn total_bytes(&self, backend_links: usize) -> usize {
         let waiting = self.load_balancer_events * REQUEST_BYTES + self.peer_events * NOTICE_BYTES;
--- a/crates/node/src/capacity/tests.rs
+++ b/crates/node/src/capacity/tests.rs
@@ -1,4 +1,4 @@
-//! The bounds together, for small and large processes.
+//! Checks of the sum of all bounds, for small and large processes.
 
 use super::*;
 
@@ -33,7 +33,7 @@
             );
             assert!(
                 capacity.connections > sockets / 2,
-                "load balancers may open half of {sockets}: {capacity:?}"
+                "connections <= half of {sockets} sockets: {capacity:?}"
             );
         }
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,8 +1,8 @@
 //! The node's configuration: the JSON file that `PROXY_CONFIG` names, with the node's identity, the
 //! addresses of its peers, its resource limits, and the deployment's settings.
 //!
-//! It is read at start and again on SIGHUP. In a running process only the addresses of peers can
-//! change; [`reread`] names the other fields that differ.
+//! The file is read at start and again on SIGHUP. In a running process only the addresses of peers
+//! can change; [`reread`] lists the other fields that differ.
 
 use madderpoint_deployment_config::{self as deployment_config, DeploymentConfig};
 use serde::Deserialize;
@@ -13,68 +13,69 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Descriptors below which no node can serve.
+/// Smallest accepted limit on descriptors; a node cannot serve with fewer.
 const SOCKETS_MIN: usize = 64;
-/// Memory below which no node can serve, in MB.
+/// Smallest accepted memory limit, in MB; a node cannot serve with less.
 const MEMORY_MIN_MB: f64 = 16.0;
-/// The longest time from the start of the drain to the stop, in milliseconds.
+/// Largest accepted time from the start of the drain to the stop, in milliseconds.
 const STOP_MAX_MS: f64 = 3_600_000.0;
 
-/// The environment variable that repeats the node's name.
+/// The environment variable that repeats the node's name. If set, it must equal the field `name`.
 const NAME_VARIABLE: &str = "PROXY_NAME";
-/// The environment variable that repeats the address that the node listens on.
+/// The environment variable that repeats the node's listening address. If set, it must equal the
+/// field `listen`.
 const LISTEN_VARIABLE: &str = "PROXY_LISTEN";
 
-/// Addresses of the node's peers; they may change while it runs.
+/// Addresses of the node's peers. They may change while the node runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct PeerAddresses {
-    /// The executor on the same machine.
+    /// Address of the executor on the same machine.
     #[serde(rename = "kernel")]
     pub executor: SocketAddr,
-    /// The service registry.
+    /// Address of the service registry.
     #[serde(rename = "members")]
     pub service_registry: SocketAddr,
-    /// The backend; absent in the last tier.
+    /// Address of the backend; absent in the last tier.
     pub backend: Option<SocketAddr>,
 }
 
-/// What the process may use.
+/// The resources that the process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Limits {
     /// Processor time, in cores.
     pub cores: f64,
-    /// Memory in MB; over it the node is killed.
+    /// Memory in MB. A node that exceeds this limit is killed.
     pub memory_mb: f64,
-    /// Descriptors.
+    /// Number of open descriptors.
     pub sockets: usize,
 }
 
-/// All that a node is given at its start.
+/// The checked configuration that a node starts with.
 pub struct NodeConfig {
-    /// Its name, the same after a restart.
+    /// The node's name, which stays the same across restarts.
     pub name: String,
-    /// Where load balancers connect.
+    /// The address that load balancers connect to.
     pub listen: SocketAddr,
-    /// The addresses of its peers.
+    /// The addresses of the node's peers.
     pub peers: PeerAddresses,
-    /// The seed of the decisions' random numbers.
+    /// The seed of the random numbers used in admission decisions.
     pub seed: u64,
-    /// From the start of the drain to the stop.
+    /// Time from the start of the drain to the stop.
     pub stop_after: Duration,
-    /// What the process may use.
+    /// The resources that the process may use.
     pub limits: Limits,
-    /// The deployment, decoded from `settings`.
+    /// The deployment, decoded from the field `settings`.
     pub deployment: DeploymentConfig,
-    /// The same as JSON, to be compared with that of a later file.
+    /// The field `settings` as JSON, for the comparison with a later file.
     settings: serde_json::Value,
 }
 
-/// What a later file changes.
+/// The differences between the configuration in force and a file that was read later.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConfigUpdate {
-    /// The peers' addresses from now on.
+    /// The peers' new addresses.
     pub peers: PeerAddresses,
-    /// Fields that differ and can change with a restart only.
+    /// Names of the fields that differ and only take effect with a restart.
     pub needs_restart: Vec<&'static str>,
 }
 
@@ -82,51 +83,51 @@
 #[derive(Debug, Error)]
 #[error("{}: {problem}", path.display())]
 pub struct ConfigError {
-    /// The file.
+    /// The configuration file.
     pub path: PathBuf,
-    /// What is wrong with it.
+    /// What is wrong with the file.
     pub problem: ConfigProblem,
 }
 
 /// What is wrong with a configuration.
 #[derive(Debug, Error)]
 pub enum ConfigProblem {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{0}")]
     Unreadable(#[from] io::Error),
-    /// It is not the expected JSON.
+    /// The file is not JSON of the expected form.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
-    /// An environment variable has another value than the field that it repeats.
-    #[error("{field} is {value}, but {variable} says otherwise")]
+    /// An environment variable differs from the field that it repeats.
+    #[error("{field} is {value}, but the environment variable {variable} has a different value")]
     EnvironmentDiffers {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: String,
-        /// The environment variable.
+        /// Name of the environment variable.
         variable: &'static str,
     },
-    /// The seed is not a hexadecimal number of 64 bits.
-    #[error("seed is no hexadecimal number: {0:?}")]
+    /// The seed is not a 64-bit hexadecimal number.
+    #[error("seed is not a 64-bit hexadecimal number: {0:?}")]
     Seed(String),
     /// A number is outside its bounds.
-    #[error("{field} is {value}")]
+    #[error("{field} is out of bounds: {value}")]
     OutOfBounds {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: f64,
     },
-    /// The deployment's settings are wrong.
+    /// The deployment's settings are invalid.
     #[error("settings: {0}")]
     Settings(deployment_config::DeploymentError),
-    /// The deployment's settings are no JSON object.
+    /// The deployment's settings are not a JSON object.
     #[error("settings: {0}")]
     SettingsNotObject(serde_json::Error),
 }
 
-/// The file as it is written.
+/// The configuration file, decoded from JSON but not checked.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -139,7 +140,7 @@
     settings: Box<RawValue>,
 }
 
-/// Reads and checks the file. `environment` gives the values of environment variables.
+/// Reads and checks the file. `environment` returns the values of environment variables.
 pub fn read(
     path: &Path,
     environment: impl Fn(&str) -> Option<String>,
@@ -150,8 +151,8 @@
     })
 }
 
-/// Reads a file that took the place of the one that `current` was read from. The seed is new in
-/// every file and is not compared.
+/// Reads a file that replaced the one `current` was read from, and returns the differences. The seed
+/// is not compared, since every file has a new one.
 pub fn reread(
     path: &Path,
     environment: impl Fn(&str) -> Option<String>,
@@ -172,7 +173,7 @@
         .filter(|(_, is_same)| !is_same)
         .map(|(field, _)| field)
         .collect();
-    // Whether there is a backend is a fact like the settings; only its address may change.
+    // Only the backend's address may change. Adding or removing the backend needs a restart.
     let backend = current
         .peers
         .backend
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -1,8 +1,8 @@
-//! The node's sockets, threads and clock round [`crate::node::Node`].
+//! The sockets, threads and clock that drive [`crate::node::Node`].
 //!
-//! [`serve`] starts the threads and then runs the core on its own thread. Other threads read and
-//! write sockets; they send the core messages through bounded queues ([`inbox`]), and the core's
-//! side effects go to their queues ([`sockets`]) without ever blocking it.
+//! [`serve`] starts the threads and then runs the core on the calling thread. The other threads read
+//! and write sockets. They send messages to the core through bounded queues ([`inbox`]), and the
+//! core passes its side effects on through their queues ([`sockets`]) without blocking.
 
 mod backend_link;
 mod client_connections;
@@ -49,32 +49,32 @@
 use stream::Addresses;
 use threads::spawn;
 
-/// Commands to a running node: from signals, its supervisor and rollouts.
+/// Commands to a running node, sent on signals and by the supervisor and rollouts.
 #[derive(Debug)]
 pub enum ControlMessage {
-    /// Drain and stop.
+    /// Drains and stops the node.
     Drain,
-    /// Drain and stop, for another process of this node takes over: neither the service registry
-    /// nor the cluster hears that the node leaves.
+    /// Drains and stops this process because another process of the node takes over. The service
+    /// registry is not told that the node drains, and no final state of rollouts is written.
     HandOver,
-    /// The configuration was replaced.
+    /// Applies a changed configuration.
     Config(ConfigUpdate),
-    /// The rules were replaced.
+    /// Replaces the rules.
     Rules(Box<CompiledRuleSet>),
-    /// The settings of the cluster were replaced.
+    /// Replaces the settings of the cluster.
     Cluster(Box<ClusterSettingsUpdate>),
 }
 
-/// What a node may have beside what the platform demands.
+/// The parts of a node that its configuration file does not provide. All of them are optional.
 #[derive(Default)]
 pub struct OptionalParts {
-    /// The socket to listen on, where a supervisor holds it.
+    /// The listening socket, if a supervisor owns it. Otherwise the node binds its own.
     pub listener: Option<TcpListener>,
-    /// Called once the node serves.
+    /// Called once, when the node starts to serve.
     pub on_serving: Option<Box<dyn FnOnce()>>,
-    /// Rules of the settings file.
+    /// The rules of the settings file.
     pub rules: Option<Box<CompiledRuleSet>>,
-    /// How it takes part in its cluster.
+    /// The node's part in its cluster.
     pub cluster: Option<Box<ClusterSetup>>,
 }
 
@@ -90,12 +90,16 @@
     }
 }
 
-/// The bounds on what a node keeps, with these subsystems beside what it always has.
+/// Returns the bounds on what a node with these optional subsystems stores and queues.
 pub fn capacity_limits(config: &NodeConfig, subsystems: OptionalSubsystems) -> CapacityLimits {
     CapacityLimits::of(&config.limits, BACKEND_LINKS, subsystems)
 }
 
-/// Runs the node until it has stopped. An error if it can't listen or can't start its threads.
+/// Runs the node until it has stopped.
+///
+/// # Errors
+///
+/// The node cannot listen or cannot start its threads.
 pub fn serve(
     config: &NodeConfig,
     mut parts: OptionalParts,
@@ -157,11 +161,11 @@
     Ok(())
 }
 
-/// What is called once the node serves.
+/// The callback for the moment when the node starts to serve.
 type OnServing = Option<Box<dyn FnOnce()>>;
 
-/// Listens for load balancers. Where a supervisor holds the socket, another process may accept from
-/// it until this one serves: only then are connections accepted here.
+/// Listens for load balancers. If a supervisor owns the socket, another process may accept
+/// connections from it until this one serves, so this process accepts none before that.
 fn open_listener(
     config: &NodeConfig,
     parts: &mut OptionalParts,
@@ -187,16 +191,16 @@
     Ok((reader, on_serving))
 }
 
-/// The links to all peers but load balancers.
+/// The links to all peers except load balancers.
 struct PeerLinks {
     addresses: Addresses,
-    /// The queue of each backend link.
+    /// The command queue of each backend link.
     backend: Vec<Sender<BackendLinkCommand>>,
-    /// What the reports to the service registry depend on.
+    /// The phase that is reported to the service registry.
     phase: NodePhase,
 }
 
-/// Starts the threads that speak to the backend, the executor and the service registry.
+/// Starts the threads that communicate with the backend, the executor and the service registry.
 fn start_peer_links(
     config: &NodeConfig,
     capacity: &CapacityLimits,
@@ -218,7 +222,7 @@
     })
 }
 
-/// Starts the threads that call the backend, if there is one; gives their queues.
+/// Starts the threads that call the backend and returns their queues; none without a backend.
 fn start_backend_links(
     config: &NodeConfig,
     addresses: &Addresses,
@@ -255,12 +259,12 @@
         let ClockReading { now, unix_ms } = clock.read();
         madderpoint_membership::ClockReading { now, unix_ms }
     };
-    // Randomness of its own: the seed of the decisions is given by the platform, and may be the
-    // same on many nodes.
+    // The clock makes the seed differ between nodes: the configured seed comes from the platform
+    // and may be the same on many of them.
     cluster_link::start(*setup, seed ^ clock.now(), read_clock, events)
 }
 
-/// Passes control messages on to the core and to the cluster's thread.
+/// Forwards control messages to the core and to the cluster's thread.
 struct ControlThread {
     control: Receiver<ControlMessage>,
     events: Sender<Message>,
--- a/crates/node/src/io/backend_link.rs
+++ b/crates/node/src/io/backend_link.rs
@@ -1,8 +1,8 @@
-//! Links to the backend: each has a thread that connects when a call needs it and writes, and a
-//! reader for each connection.
+//! Links to the backend. Each link has a thread that connects when there is a call to write, and one
+//! reader thread per connection.
 
 use super::inbox::Message;
-use super::stream::{Addresses, CONNECT, READ};
+use super::stream::{Addresses, CONNECT_TIMEOUT, READ_BUFFER_BYTES};
 use super::threads::spawn;
 use crate::actions::{BackendLink, CallId, CallInterest, CallInterestToken};
 use crate::backend;
@@ -16,35 +16,35 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// After this time without a command the core gets an event, and may have the connection closed:
-/// the backend may close idle connections, and a call that meets the reset looks like one whose
-/// reply was lost.
-const IDLE: Duration = Duration::from_secs(1);
+/// After this time without a command the core gets an event and may have the connection closed. The
+/// backend may close idle connections, and a call written to one that was reset cannot be told from
+/// a call whose reply was lost.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Timeout of one write. After each it is looked whether a call that was written in part is still
+/// Timeout of one write. After each timeout the link checks whether a partly written call is still
 /// wanted.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(50);
-/// Writes in a row that time out on a backend that does not read.
+/// Number of consecutive write timeouts after which a connection fails.
 const WRITE_TIMEOUTS_MAX: u32 = 20;
-/// Timeout of one read after a part of a reply.
+/// Timeout of one read while a reply is incomplete.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(200);
-/// Reads in a row that time out on a reply that is cut short.
+/// Number of consecutive read timeouts after which an incomplete reply counts as cut short.
 const REPLY_TIMEOUTS_MAX: u32 = 5;
 
-/// Connections to earlier addresses that a link keeps for their replies.
-const RETIRED_MAX: usize = 1;
+/// Maximum number of connections to earlier addresses that a link keeps open for their replies.
+const RETIRED_CONNECTIONS_MAX: usize = 1;
 
-/// What a link is asked for.
+/// Commands to a backend link.
 pub enum BackendLinkCommand {
-    /// To write a call, given by its bytes, while it is wanted.
+    /// Writes the bytes of a call if the token says that the call is still wanted.
     Call(CallId, RequestId, Vec<u8>, CallInterestToken),
-    /// To write the bytes that abandon a call, on all connections.
+    /// Writes the bytes that abandon a call, on all connections of the link.
     Cancel(Vec<u8>),
-    /// To end all connections until another call is made.
+    /// Closes all connections. The next call opens a new one.
     Close,
 }
 
-/// Starts the thread of the link with this index; `commands_max` commands may wait for it.
+/// Starts the thread of the link with this index and returns its queue of `commands_max` commands.
 pub fn start(
     addresses: Addresses,
     index: usize,
@@ -60,28 +60,28 @@
         stream: None,
         retired: Vec::new(),
     };
-    spawn("backend", move || link.serve(&commands))?;
+    spawn("backend", move || link.run(&commands))?;
     Ok(queue)
 }
 
-/// A link: one connection at a time, made when a call needs it.
+/// A backend link, with one current connection that is opened when a call needs it.
 struct Link {
     addresses: Addresses,
     index: usize,
     events: Sender<Message>,
-    /// Connections made so far; the number of the present one.
+    /// Number of connections opened so far, which is also the number of the current one.
     generation: u64,
-    /// The connection, and where it leads.
+    /// The current connection and its remote address.
     stream: Option<(SocketAddr, Arc<TcpStream>)>,
-    /// Connections to the backend's earlier addresses. Their calls get their replies while it gives
-    /// any.
+    /// Connections to earlier addresses of the backend, kept open so that their calls can still get
+    /// replies.
     retired: Vec<Arc<TcpStream>>,
 }
 
 impl Link {
-    fn serve(mut self, queue: &Receiver<BackendLinkCommand>) {
+    fn run(mut self, queue: &Receiver<BackendLinkCommand>) {
         loop {
-            match queue.recv_timeout(IDLE) {
+            match queue.recv_timeout(IDLE_TIMEOUT) {
                 Ok(BackendLinkCommand::Call(call, id, bytes, token)) => {
                     let event = match self.write_call(&bytes, &token) {
                         Ok(link) => Event::BackendCallWritten {
@@ -95,7 +95,7 @@
                 }
                 Ok(BackendLinkCommand::Cancel(bytes)) => self.cancel(&bytes),
                 Ok(BackendLinkCommand::Close) => {
-                    self.end_retired(0);
+                    self.close_retired(0);
                     self.close();
                 }
                 Err(RecvTimeoutError::Timeout) if self.stream.is_some() => {
@@ -109,8 +109,9 @@
         }
     }
 
-    /// Abandons a call; on a connection without the call it means nothing. A connection that took a
-    /// part of the line only is of no further use.
+    /// Writes the bytes that abandon a call to all connections; the backend ignores them on a
+    /// connection without that call. A connection that accepted only part of the line is shut down,
+    /// since nothing can follow it.
     fn cancel(&mut self, bytes: &[u8]) {
         let interest = CallInterest::default();
         let current = self.stream.iter().map(|(_, stream)| stream);
@@ -121,11 +122,11 @@
         }
     }
 
-    /// Ends the oldest connections to earlier addresses, until `kept` are left.
-    fn end_retired(&mut self, kept: usize) {
-        let ended = self.retired.len().saturating_sub(kept);
+    /// Shuts down the oldest connections to earlier addresses until `kept` are left.
+    fn close_retired(&mut self, kept: usize) {
+        let excess = self.retired.len().saturating_sub(kept);
         self.retired
-            .drain(..ended)
+            .drain(..excess)
             .for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
     }
 
@@ -135,12 +136,13 @@
         }
     }
 
-    /// Writes a whole call, if it is still wanted. Where an old connection ended before it took all
-    /// of it, nothing ran, and the call is written on a new one.
+    /// Writes a whole call, if the call is still wanted. If a reused connection excess before it
+    /// accepted the whole call, the backend has not run it, so the call is written on a new
+    /// connection.
     fn write_call(&mut self, bytes: &[u8], token: &CallInterestToken) -> io::Result<BackendLink> {
         let is_reused = self.stream.is_some();
         let written = self
-            .connected()
+            .connect_current()
             .and_then(|stream| write_while_wanted(&stream, bytes, token));
         match written {
             Ok(()) => Ok(BackendLink {
@@ -159,24 +161,24 @@
         }
     }
 
-    fn connected(&mut self) -> Result<Arc<TcpStream>, WriteError> {
+    fn connect_current(&mut self) -> Result<Arc<TcpStream>, WriteError> {
         let address = self
             .addresses
             .load()
             .backend
             .ok_or_else(|| io::Error::from(ErrorKind::AddrNotAvailable))?;
         match self.stream.take() {
-            Some((to, stream)) if to == address => {
-                self.stream = Some((to, Arc::clone(&stream)));
+            Some((remote, stream)) if remote == address => {
+                self.stream = Some((remote, Arc::clone(&stream)));
                 return Ok(stream);
             }
             Some((_, old)) => {
                 self.retired.push(old);
-                self.end_retired(RETIRED_MAX);
+                self.close_retired(RETIRED_CONNECTIONS_MAX);
             }
             None => {}
         }
-        let stream = TcpStream::connect_timeout(&address, CONNECT)?;
+        let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         stream.set_nodelay(true)?;
         stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         let stream = Arc::new(stream);
@@ -192,12 +194,12 @@
     }
 }
 
-/// Why a call was not written whole.
+/// Why a call was not written completely.
 #[derive(Debug)]
 enum WriteError {
-    /// It was no longer wanted, and no byte of it was written.
+    /// The call was no longer wanted, and none of its bytes were written.
     Unwanted,
-    /// The connection is of no further use.
+    /// The connection failed and cannot be used any more.
     Failed(io::Error),
 }
 
@@ -207,9 +209,9 @@
     }
 }
 
-/// Writes with the timeout that the stream has. A call that waited for its turn or for the backend
-/// to read, and whose execution has gone on meanwhile, must not reach the backend any more: it would
-/// be taken for the execution's next call.
+/// Writes with the stream's write timeout, unless the call is no longer wanted. A call may have
+/// waited in the queue, or for the backend to read, while its execution went on without it. Such a
+/// call must not reach the backend, which would take it for the execution's next call.
 fn write_while_wanted(
     mut stream: &TcpStream,
     bytes: &[u8],
@@ -226,9 +228,9 @@
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 timeouts += 1;
-                let is_in_vain = written > 0 && !token.is_wanted();
-                if timeouts >= WRITE_TIMEOUTS_MAX || is_in_vain {
-                    return Err(WriteError::Failed(e)); // the rest of the call is never written
+                let is_abandoned = written > 0 && !token.is_wanted();
+                if timeouts >= WRITE_TIMEOUTS_MAX || is_abandoned {
+                    return Err(WriteError::Failed(e)); // the rest of the call is not written
                 }
             }
             Err(e) => return Err(WriteError::Failed(e)),
@@ -256,20 +258,20 @@
     link: BackendLink,
     events: &Sender<Message>,
 ) -> Result<(), backend::ReadError> {
-    let (mut parser, mut buffer) = (backend::Parser::default(), [0; READ]);
+    let (mut parser, mut buffer) = (backend::Parser::default(), [0; READ_BUFFER_BYTES]);
     let (mut timeouts, mut was_partial) = (0, false);
     loop {
         match stream.read(&mut buffer) {
             Ok(0) => return Ok(()),
             Ok(n) => {
-                let mut sink = |reply| {
+                let mut on_reply = |reply| {
                     let _ = events.send(Message::Event(Event::BackendReply(link.place, reply)));
                 };
-                parser.feed(&buffer[..n], &mut sink)?;
+                parser.feed(&buffer[..n], &mut on_reply)?;
                 timeouts = 0;
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            // The rest of a reply does not come, and all other replies wait behind it.
+            // An incomplete reply holds up all replies behind it.
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 timeouts += 1;
                 if timeouts >= REPLY_TIMEOUTS_MAX {
--- a/crates/node/src/io/backend_link/tests.rs
+++ b/crates/node/src/io/backend_link/tests.rs
@@ -1,5 +1,5 @@
-//! A link to a backend that is played here: what it does not read in time, and replies that are
-//! cut.
+//! A backend link against a listener that plays the backend: calls that the backend does not read in
+//! time, and replies that are cut short.
 
 use super::*;
 use crate::config::PeerAddresses;
@@ -9,18 +9,18 @@
 use std::time::Instant;
 
 const ID: RequestId = RequestId(7);
-/// No socket's buffers take as much.
+/// Size in bytes of a call that does not fit into the buffers of a socket.
 const HUGE: usize = 32 << 20;
 
-/// A backend, a link to it, and what it reports to the core.
-struct Bench {
+/// A backend, a link to it, and the events that the link sends to the core.
+struct Fixture {
     backend: TcpListener,
     queue: Sender<BackendLinkCommand>,
     events: Receiver<Message>,
 }
 
-impl Bench {
-    fn new() -> Bench {
+impl Fixture {
+    fn new() -> Fixture {
         let backend = listen();
         let peers = PeerAddresses {
             executor: unused_address(),
@@ -29,19 +29,19 @@
         };
         let (events, inbox) = bounded(100);
         let queue = start(Arc::new(AtomicCell::new(peers)), 0, 100, events).unwrap();
-        Bench {
+        Fixture {
             backend,
             queue,
             events: inbox,
         }
     }
 
-    /// Hands a call over; gives what keeps it wanted.
-    fn call(&self, no: u64, bytes: &[u8]) -> CallInterest {
+    /// Queues a call. The call stays wanted until the returned value is dropped.
+    fn call(&self, number: u64, bytes: &[u8]) -> CallInterest {
         let interest = CallInterest::default();
         self.queue
             .send(BackendLinkCommand::Call(
-                CallId(no),
+                CallId(number),
                 ID,
                 bytes.to_vec(),
                 interest.token(),
@@ -59,17 +59,17 @@
     fn event(&self) -> Event {
         match self.events.recv_timeout(WAIT_TIMEOUT).unwrap() {
             Message::Event(event) => event,
-            _ => panic!("no event"),
+            _ => panic!("the message is not an event"),
         }
     }
 
-    /// What became of calls, until this one is dealt with.
-    fn until(&self, last: u64) -> Vec<(u64, bool)> {
+    /// Returns each call's number and whether it was written, up to and including the last call.
+    fn call_results_until(&self, last: u64) -> Vec<(u64, bool)> {
         let mut calls = Vec::new();
-        while calls.last().is_none_or(|&(no, _)| no != last) {
+        while calls.last().is_none_or(|&(number, _)| number != last) {
             match self.event() {
                 Event::BackendCallWritten { call, .. } => calls.push((call.0, true)),
-                Event::BackendCallNotSent(no, _) => calls.push((no.0, false)),
+                Event::BackendCallNotSent(call, _) => calls.push((call.0, false)),
                 _ => {}
             }
         }
@@ -77,8 +77,8 @@
     }
 }
 
-/// All that comes on a connection until it ends.
-fn all(mut stream: TcpStream) -> Vec<u8> {
+/// Reads a connection to its end.
+fn read_to_end(mut stream: TcpStream) -> Vec<u8> {
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes);
     bytes
@@ -86,85 +86,88 @@
 
 #[test]
 fn a_call_that_is_no_longer_wanted_is_not_written() {
-    let bench = Bench::new();
-    let wanted = CallInterest::default().token();
-    bench
+    let fixture = Fixture::new();
+    let token = CallInterest::default().token();
+    fixture
         .queue
         .send(BackendLinkCommand::Call(
             CallId(1),
             ID,
             b"invoke one 1 0\r\n\r\n".to_vec(),
-            wanted,
+            token,
         ))
         .unwrap();
-    let _two = bench.call(2, b"invoke two 1 0\r\n\r\n");
-    assert_eq!(bench.until(2), [(1, false), (2, true)]);
+    let _two = fixture.call(2, b"invoke two 1 0\r\n\r\n");
+    assert_eq!(fixture.call_results_until(2), [(1, false), (2, true)]);
     let mut line = [0; 18];
-    bench.accept().read_exact(&mut line).unwrap();
+    fixture.accept().read_exact(&mut line).unwrap();
     assert_eq!(&line, b"invoke two 1 0\r\n\r\n");
 }
 
-/// The backend reads nothing. Calls that wait behind one that it does not take pass their limits:
-/// when it reads again, none of them reaches it, and a call that is wanted does.
+/// The backend reads nothing, so calls wait behind one that cannot be written, and are given up
+/// meanwhile. When the backend reads again, it must get only the call that is still wanted.
 #[test]
-fn calls_that_wait_for_a_backend_that_does_not_read_are_not_written_after_their_time() {
-    let bench = Bench::new();
-    let first = bench.call(1, &vec![b'x'; HUGE]);
-    let stream = bench.accept();
-    stream.peek(&mut [0]).unwrap(); // a part of the first one is on its way
-    drop(bench.call(2, b"invoke second 1 0\r\n\r\n"));
-    let third = bench.call(3, b"invoke third 1 0\r\n\r\n");
+fn queued_calls_that_are_given_up_are_not_written_to_a_backend_that_reads_again() {
+    let fixture = Fixture::new();
+    let first = fixture.call(1, &vec![b'x'; HUGE]);
+    let stream = fixture.accept();
+    stream.peek(&mut [0]).unwrap(); // a part of the first call was sent
+    drop(fixture.call(2, b"invoke second 1 0\r\n\r\n"));
+    let third = fixture.call(3, b"invoke third 1 0\r\n\r\n");
     drop(first);
-    assert_eq!(bench.until(3), [(1, false), (2, false), (3, true)]);
-    let bytes = all(stream);
+    assert_eq!(
+        fixture.call_results_until(3),
+        [(1, false), (2, false), (3, true)]
+    );
+    let bytes = read_to_end(stream);
     assert!(
         bytes.len() < HUGE && bytes.iter().all(|&b| b == b'x'),
         "{} bytes",
         bytes.len()
     );
-    let mut new = bench.accept();
+    let mut new = fixture.accept();
     let mut line = [0; 20];
     new.read_exact(&mut line).unwrap();
     assert_eq!(&line, b"invoke third 1 0\r\n\r\n");
     drop(third);
 }
 
-/// Nobody gives the call up, and the backend does not read for good: the connection ends, and all
-/// on it is known to be lost.
+/// The call stays wanted, and the backend never reads. The link must close the connection and report
+/// it as lost.
 #[test]
-fn a_backend_that_does_not_read_for_a_second_loses_its_connection() {
-    let bench = Bench::new();
+fn a_connection_is_closed_when_the_backend_does_not_read_for_a_second() {
+    let fixture = Fixture::new();
     let begun = Instant::now();
-    let _first = bench.call(1, &vec![b'x'; HUGE]);
-    let held = bench.accept();
-    assert_eq!(bench.until(1), [(1, false)]);
+    let _first = fixture.call(1, &vec![b'x'; HUGE]);
+    let stream = fixture.accept();
+    assert_eq!(fixture.call_results_until(1), [(1, false)]);
     assert!(
         begun.elapsed() >= WRITE_TIMEOUT * WRITE_TIMEOUTS_MAX,
         "{:?}",
         begun.elapsed()
     );
     let lost = loop {
-        if let Event::BackendDisconnected(link, _) = bench.event() {
+        if let Event::BackendDisconnected(link, _) = fixture.event() {
             break link;
         }
     };
     assert_eq!((lost.place, lost.generation), (0, 1));
-    drop(held);
+    drop(stream);
 }
 
 #[test]
-fn a_reply_that_is_cut_ends_its_connection_and_one_in_pieces_does_not() {
-    let bench = Bench::new();
-    let _call = bench.call(1, b"invoke one 1 0\r\n\r\n");
-    let mut stream = bench.accept();
+fn a_truncated_reply_closes_the_connection_and_a_fragmented_one_does_not() {
+    let fixture = Fixture::new();
+    let _call = fixture.call(1, b"invoke one 1 0\r\n\r\n");
+    let mut stream = fixture.accept();
     for piece in ["one o", "k 4\r", "\nrep", "l\r", "\n"] {
         stream.write_all(piece.as_bytes()).unwrap();
     }
-    assert_eq!(bench.until(1), [(1, true)]);
-    assert!(matches!(bench.event(), Event::BackendReply(0, reply) if reply.body == b"repl"));
+    assert_eq!(fixture.call_results_until(1), [(1, true)]);
+    assert!(matches!(fixture.event(), Event::BackendReply(0, reply) if reply.body == b"repl"));
     stream.write_all(b"two ok 100\r\nonly this").unwrap();
     let begun = Instant::now();
-    while !matches!(bench.event(), Event::BackendDisconnected(_, cause) if cause == Some(backend::ReadError::CutShort))
+    while !matches!(fixture.event(), Event::BackendDisconnected(_, cause) if cause == Some(backend::ReadError::CutShort))
     {
     }
     assert!(
@@ -175,16 +178,16 @@
 }
 
 #[test]
-fn a_call_that_meets_the_end_of_an_idle_connection_is_written_on_a_new_one() {
-    let bench = Bench::new();
-    let _one = bench.call(1, b"invoke one 1 0\r\n\r\n");
-    let first = bench.accept();
-    bench.queue.send(BackendLinkCommand::Close).unwrap();
-    let _two = bench.call(2, b"invoke two 1 0\r\n\r\n");
-    let mut second = bench.accept();
-    assert_eq!(all(first), b"invoke one 1 0\r\n\r\n");
+fn a_call_after_the_link_was_closed_is_written_on_a_new_connection() {
+    let fixture = Fixture::new();
+    let _one = fixture.call(1, b"invoke one 1 0\r\n\r\n");
+    let first = fixture.accept();
+    fixture.queue.send(BackendLinkCommand::Close).unwrap();
+    let _two = fixture.call(2, b"invoke two 1 0\r\n\r\n");
+    let mut second = fixture.accept();
+    assert_eq!(read_to_end(first), b"invoke one 1 0\r\n\r\n");
     let mut line = [0; 18];
     second.read_exact(&mut line).unwrap();
     assert_eq!(&line, b"invoke two 1 0\r\n\r\n");
-    assert_eq!(bench.until(2), [(1, true), (2, true)]);
+    assert_eq!(fixture.call_results_until(2), [(1, true), (2, true)]);
 }
--- a/crates/node/src/io/client_connections.rs
+++ b/crates/node/src/io/client_connections.rs
@@ -1,5 +1,5 @@
-//! The core's end of load balancers' connections: it writes as much as a socket takes at once, and
-//! starts a writer thread for one that does not take all.
+//! The core's end of load balancers' connections. The core writes as much as a socket accepts without
+//! blocking, and starts a writer thread for a connection whose socket does not accept everything.
 
 use super::connection_slots::Socket;
 use super::reader_commands::{ReaderCommand, ReaderHandle};
@@ -17,18 +17,18 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Answers that may wait for one connection's writer.
-const REPLIES_MAX: usize = 2 * fastcgi::MAX_OPEN;
-/// Answers written with one call.
-const GATHERED: usize = 16;
-/// Timeout of one write: a peer that takes no byte in that time is gone.
+/// Length of the queue of one connection's writer thread.
+const QUEUED_REPLIES_MAX: usize = 2 * fastcgi::MAX_OPEN;
+/// Maximum number of answers written with one system call.
+const WRITE_BATCH: usize = 16;
+/// Timeout of one write. A peer that accepts no byte within this time counts as gone.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a writer is given.
+/// An item in the queue of a writer thread.
 enum Outgoing {
-    /// An answer.
+    /// An answer to write.
     Reply(Reply),
-    /// The command to close the connection after all answers before it.
+    /// Closes the connection after all answers that were queued before.
     Close(Close),
 }
 
@@ -36,21 +36,21 @@
 pub struct Connection {
     number: ConnectionId,
     socket: Arc<Socket>,
-    /// The reader, which closes connections.
+    /// Sends commands to the reader, which closes connections.
     reader: ReaderHandle,
-    /// Answers of this turn.
+    /// Answers of the current turn of the event loop that are not written yet.
     replies: Vec<Reply>,
-    /// The command to close the connection after them.
+    /// The request to close the connection after these answers.
     close: Option<Close>,
-    /// The queue of the writer thread, once one was needed.
+    /// The queue of the writer thread, if one was started.
     writer: Option<Sender<Outgoing>>,
-    /// How long the reader waits before each reading, in nanoseconds.
+    /// Pause of the reader before each read, in nanoseconds.
     pause: Arc<AtomicU64>,
 }
 
 impl Connection {
-    /// For a connection that was accepted. Its reader waits for `pause` nanoseconds before each
-    /// reading.
+    /// Creates the core's end of an accepted connection. The reader pauses for `pause` nanoseconds
+    /// before each read.
     pub fn new(
         number: ConnectionId,
         socket: Arc<Socket>,
@@ -68,26 +68,26 @@
         }
     }
 
-    /// Adds an answer to those that are written at the end of this turn.
+    /// Adds an answer, which is written at the end of this turn.
     pub fn reply(&mut self, reply: Reply) {
         self.replies.push(reply);
     }
 
-    /// Has the connection closed after all answers so far.
+    /// Requests that the connection is closed after all answers added so far.
     pub fn close(&mut self, close: Close) {
         self.close = Some(close);
     }
 
-    /// Has the reader wait before each reading; `pause` in nanoseconds.
+    /// Sets the pause of the reader before each read, in nanoseconds.
     pub fn pace(&self, pause: u64) {
         self.pause.store(pause, SeqCst);
     }
 
-    /// Writes the answers of this turn without waiting. What the socket does not take goes to a
-    /// writer.
+    /// Writes the answers of this turn without blocking. Answers that the socket does not accept are
+    /// queued for the writer thread.
     pub fn flush(&mut self) {
         while self.writer.is_none() && !self.replies.is_empty() {
-            if let Err(e) = self.write_now() {
+            if let Err(e) = self.write_available() {
                 if e.kind() != ErrorKind::WouldBlock {
                     return self.abort(); // the peer is gone
                 }
@@ -131,10 +131,10 @@
         }
     }
 
-    /// Writes what the socket takes of the first answers; `WouldBlock` if it does not take all of
-    /// them.
-    fn write_now(&mut self) -> io::Result<()> {
-        let batch = &self.replies[..self.replies.len().min(GATHERED)];
+    /// Writes as much of the first answers as the socket accepts. Fails with `WouldBlock` if the
+    /// socket does not accept all of them.
+    fn write_available(&mut self) -> io::Result<()> {
+        let batch = &self.replies[..self.replies.len().min(WRITE_BATCH)];
         let slices: Vec<IoSlice<'_>> = batch
             .iter()
             .flat_map(Reply::slices)
@@ -150,13 +150,13 @@
             Err(rustix::io::Errno::INTR) => 0,
             sent => sent?,
         };
-        let whole = batch.iter().take_while(|r| {
-            let all = r.size() <= written;
-            written -= if all { r.size() } else { 0 };
-            all
+        let complete = batch.iter().take_while(|r| {
+            let is_complete = r.size() <= written;
+            written -= if is_complete { r.size() } else { 0 };
+            is_complete
         });
-        let whole = whole.count();
-        self.replies.drain(..whole);
+        let complete = complete.count();
+        self.replies.drain(..complete);
         if written > 0 {
             let bytes: Vec<u8> = self.replies[0]
                 .slices()
@@ -171,23 +171,23 @@
 
     fn start_writer(&mut self) -> io::Result<()> {
         self.socket.stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
-        let (queue, replies) = bounded(REPLIES_MAX);
+        let (queue, replies) = bounded(QUEUED_REPLIES_MAX);
         let (number, socket, reader) = (self.number, Arc::clone(&self.socket), self.reader.clone());
         spawn("write", move || write(number, &socket, &replies, &reader))?;
         self.writer = Some(queue);
         Ok(())
     }
 
-    /// The peer takes no answers: the connection ends at once.
+    /// Ends the connection at once, because its peer does not accept answers.
     fn abort(&mut self) {
         self.replies.clear();
-        let _ = self.socket.stream.shutdown(Shutdown::Both); // so that a blocked writer returns
+        let _ = self.socket.stream.shutdown(Shutdown::Both); // unblocks a writer
         self.reader.send(ReaderCommand::Abort(self.number));
     }
 }
 
-/// Writes until the core has dropped the queue. A command to close it is passed to the reader
-/// when all answers before it are written.
+/// Writes answers until the core has dropped the queue. A request to close the connection is passed
+/// to the reader once all answers queued before it are written.
 fn write(
     number: ConnectionId,
     socket: &Socket,
@@ -196,7 +196,7 @@
 ) {
     let unwritten = &socket.slots.unwritten;
     while let Ok(first) = replies.recv() {
-        let mut batch = Vec::with_capacity(GATHERED);
+        let mut batch = Vec::with_capacity(WRITE_BATCH);
         let mut close = None;
         let mut next = Some(first);
         while let Some(outgoing) = next {
@@ -204,7 +204,7 @@
                 Outgoing::Reply(reply) => batch.push(reply),
                 Outgoing::Close(command) => close = Some(command),
             }
-            next = if batch.len() < GATHERED && close.is_none() {
+            next = if batch.len() < WRITE_BATCH && close.is_none() {
                 replies.try_recv().ok()
             } else {
                 None
@@ -221,7 +221,7 @@
             break;
         }
     }
-    // Answers that come until the core knows that the connection is gone are dropped.
+    // Answers that arrive before the core has handled the disconnect are dropped.
     for outgoing in replies {
         if let Outgoing::Reply(reply) = outgoing {
             unwritten.fetch_sub(reply.size(), SeqCst);
--- a/crates/node/src/io/client_reader.rs
+++ b/crates/node/src/io/client_reader.rs
@@ -1,12 +1,12 @@
-//! The side that load balancers connect to: one thread accepts connections and reads all of them.
-//! Where the process has only a part of a core, a thread for each connection would cost more than
-//! all else.
+//! The listener for load balancers: one thread accepts the connections and reads all of them. In a
+//! process that has only a fraction of a core, a thread per connection would cost more than all
+//! other work.
 //!
-//! The reader also closes connections. The core asks for a close; only here is it known whether
-//! something was read that the core has not heard of, and then the close is void. A closed
-//! connection lingers: nothing more is written, and what still comes is read and dropped until the
-//! peer ends its side too, for a close over unread bytes resets the connection, and answers that
-//! the peer has not read are lost with it.
+//! The reader also closes connections. The core requests a close, but only the reader knows whether
+//! it has sent events that the core had not handled by then; in that case the close is void. A closed
+//! connection lingers: nothing more is written, and incoming bytes are read and dropped until the
+//! peer closes its side too. Closing a socket that has unread bytes would reset the connection, and
+//! the peer would lose the answers that it has not read yet.
 
 mod accept;
 mod close;
@@ -35,16 +35,17 @@
 use std::time::Instant;
 use tracing::{error, info, warn};
 
-/// Sockets that are looked at after one wait.
-const POLLED: usize = 64;
-/// The listener's number among the polled sockets; connections count from 1.
+/// Maximum number of ready sockets that one wait returns.
+const EVENTS_PER_WAIT: usize = 64;
+/// The listener's number among the polled descriptors. Connections are numbered from 1.
 const LISTENER: u64 = 0;
-/// The number of the handle's bell.
-const BELL: u64 = u64::MAX;
+/// The number of the reader's wake descriptor among the polled descriptors.
+const WAKE_FD: u64 = u64::MAX;
 
-/// Listens, and sends what is read as events. With `start` another process listens on the same
-/// socket: no connection is accepted before a message comes there, and the backlog is left to the
-/// other process in the end.
+/// Starts the thread that accepts connections, reads them and sends the requests as events. `start`
+/// is given if another process listens on the same socket: no connection is accepted before a
+/// message arrives on it, and the backlog is left to the other process when this one stops
+/// listening.
 pub fn open(
     listener: TcpListener,
     start: Option<Receiver<()>>,
@@ -73,43 +74,43 @@
     Ok(handle)
 }
 
-/// Whether a connection is read.
+/// The state of a connection in the reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// It is read.
+    /// The connection is polled and read.
     Reading,
-    /// It is read again after a pause.
+    /// The connection is paced and will be read again after a pause.
     Paused,
-    /// It is no longer read: its peer has ended its side, its framing is lost, or the core wants no
-    /// more of it.
+    /// The connection is no longer read: its peer has closed its side (`peer_ended`), its framing is
+    /// lost, or the core has stopped the reading.
     Stopped { peer_ended: bool },
-    /// Nothing more is written on it, and what comes is dropped: until then, and `left` more bytes
-    /// at most.
+    /// Nothing more is written on the connection, and incoming bytes are dropped, until the instant
+    /// `until` and for at most `left` more bytes.
     Lingering { until: Instant, left: usize },
 }
 
-/// A connection as the reader has it.
+/// The reader's end of a connection.
 struct ReadConnection {
     socket: Arc<Socket>,
     parser: fastcgi::Parser,
-    /// How long to wait before each reading, in nanoseconds.
+    /// Pause before each read, in nanoseconds; set by the core.
     pause: Arc<AtomicU64>,
     state: State,
-    /// Events that were sent to the core.
+    /// Number of events sent to the core.
     events_sent: u64,
-    /// A close that waits for the rest of a request: the events that the core had heard of, and
-    /// until when it waits.
+    /// A close that waits for the rest of a request: the number of events that the core had handled
+    /// when it requested the close, and the end of the wait.
     closing: Option<(u64, Instant)>,
 }
 
-/// What one reading brought.
+/// The outcome of one read.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReadOutcome {
-    /// Bytes.
+    /// Bytes were read.
     Data,
-    /// Nothing now.
+    /// No bytes are available now.
     Nothing,
-    /// No more is read on this connection.
+    /// The connection is not read any more.
     Finished,
 }
 
@@ -119,19 +120,19 @@
     commands: Receiver<ReaderCommand>,
     events: Sender<Message>,
     poll: OwnedFd,
-    /// The listener, until no more connections are accepted.
+    /// The listener; `None` once no more connections are accepted.
     listener: Option<TcpListener>,
     /// Whether another process listens on the same socket.
     is_shared: bool,
-    /// Whether only the connections in the backlog are accepted.
+    /// Whether the listener is about to close and only the backlog is still accepted.
     is_stopping: bool,
-    /// Connections accepted so far; the number of the last one.
+    /// Number of connections accepted so far, which is also the number of the last one.
     accepted: u64,
     connections: HashMap<u64, ReadConnection>,
-    /// Lingering connections in the order in which they began to; some may be gone already.
+    /// Lingering connections, oldest first. Some of them may already be removed.
     lingering: VecDeque<u64>,
-    /// When to look at which connection: the end of a pause, of a wait for the rest of a request,
-    /// of lingering.
+    /// Due times with the connection's number: the ends of pauses, of waits for the rest of a
+    /// request, and of lingering. The listener's number stands for the next attempt to accept.
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
 }
 
@@ -144,11 +145,16 @@
     ) -> io::Result<Reader> {
         listener.set_nonblocking(true)?;
         let poll = epoll::create(CreateFlags::CLOEXEC)?;
-        let bell = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
-        epoll::add(&poll, &*bell, EventData::new_u64(BELL), EventFlags::IN)?;
-        // One command of each kind may wait for each connection.
+        let wake_fd = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
+        epoll::add(
+            &poll,
+            &*wake_fd,
+            EventData::new_u64(WAKE_FD),
+            EventFlags::IN,
+        )?;
+        // Room for one command of each of the three kinds per connection.
         let (queue, commands) = bounded(3 * capacity.connections + 2);
-        let handle = ReaderHandle::new(queue, bell);
+        let handle = ReaderHandle::new(queue, wake_fd);
         Ok(Reader {
             slots: Arc::new(ConnectionSlots::new(capacity, handle.clone())),
             handle,
@@ -165,9 +171,9 @@
         })
     }
 
-    /// Polls the listener, the bell and all connections for good.
+    /// Polls the listener, the wake descriptor and all connections until polling fails.
     fn serve(mut self) {
-        let mut ready = Vec::with_capacity(POLLED);
+        let mut ready = Vec::with_capacity(EVENTS_PER_WAIT);
         loop {
             let wait = self
                 .timers
@@ -188,7 +194,7 @@
             for event in ready.drain(..) {
                 match event.data.u64() {
                     LISTENER => self.accept(),
-                    BELL => self.run_commands(),
+                    WAKE_FD => self.run_commands(),
                     number => self.read(number),
                 }
             }
@@ -205,9 +211,9 @@
         }
     }
 
-    /// Carries out all commands that wait.
+    /// Carries out all queued commands.
     fn run_commands(&mut self) {
-        self.handle.reset_bell();
+        self.handle.clear_wake_fd();
         if self.slots.is_full.swap(false, SeqCst) {
             self.accept(); // a slot became free
         }
@@ -220,7 +226,7 @@
                         .get(&number)
                         .is_some_and(|connection| connection.pause.load(SeqCst) == 0)
                     {
-                        self.read_rest(number);
+                        self.read_available(number);
                     }
                     if let Some(ReadConnection {
                         state: State::Reading | State::Paused,
@@ -239,7 +245,7 @@
         }
     }
 
-    /// Looks at a connection, or at the listener, whose time has come.
+    /// Handles a due timer of a connection or of the listener.
     fn on_timer(&mut self, number: u64) {
         let now = Instant::now();
         let Some(connection) = self.connections.get_mut(&number) else {
@@ -250,7 +256,7 @@
         match (connection.state, connection.closing) {
             (State::Lingering { until, .. }, _) if until <= now => self.remove(number),
             (State::Lingering { .. } | State::Stopped { .. }, _) => {}
-            // The rest of a request did not come.
+            // The rest of a request did not arrive in time.
             (_, Some((_, until))) if until <= now => self.shut_down(number),
             (State::Paused, _) => {
                 connection.state = State::Reading;
@@ -268,7 +274,7 @@
         }
     }
 
-    /// Has the listener polled.
+    /// Adds the listener to the polled descriptors.
     fn watch_listener(&self) -> io::Result<()> {
         let Some(listener) = &self.listener else {
             return Ok(());
@@ -281,7 +287,7 @@
         )?)
     }
 
-    /// Has a connection polled.
+    /// Adds a connection to the polled descriptors.
     fn watch(&self, number: u64) -> io::Result<()> {
         let Some(connection) = self.connections.get(&number) else {
             return Ok(());
@@ -294,7 +300,7 @@
         )?)
     }
 
-    /// Has a connection no longer polled.
+    /// Removes a connection from the polled descriptors.
     fn unwatch(&self, number: u64) {
         if let Some(connection) = self.connections.get(&number) {
             let _ = epoll::delete(&self.poll, &connection.socket.stream);
--- a/crates/node/src/io/client_reader/accept.rs
+++ b/crates/node/src/io/client_reader/accept.rs
@@ -18,23 +18,24 @@
 use std::time::{Duration, Instant};
 use tracing::{error, warn};
 
-/// Connections accepted in a row.
-const ACCEPTED_MAX: usize = 16;
-/// Between two attempts to accept a connection when no slot is free, unless one becomes free sooner.
-const FULL_RETRY: Duration = Duration::from_millis(20);
+/// Maximum number of connections accepted in a row before other sockets are served.
+const ACCEPT_BATCH: usize = 16;
+/// Time between two attempts to accept a connection while no slot is free. A slot that becomes free
+/// triggers an attempt at once.
+const SLOT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Reader {
-    /// Accepts connections from the backlog, as far as there are slots.
+    /// Accepts connections from the backlog while slots are free.
     pub(super) fn accept(&mut self) {
-        for round in 0..ACCEPTED_MAX {
+        for round in 0..ACCEPT_BATCH {
             if self.listener.is_none() {
                 return;
             }
             if self.is_stopping && self.is_shared {
-                return self.stop_listening(); // the backlog is for the process that goes on
+                return self.stop_listening(); // the other process accepts the backlog
             }
             if !self.slots.has_free() && round > 0 {
-                break; // whether one more waits is seen when the listener is polled again
+                break; // the next poll of the listener shows whether another connection waits
             }
             if !self.slots.has_free() {
                 return self.wait_for_slot();
@@ -44,7 +45,7 @@
             };
             match listener
                 .accept()
-                .and_then(|(stream, from)| self.add(stream, from.ip()))
+                .and_then(|(stream, from)| self.add_connection(stream, from.ip()))
             {
                 Ok(()) => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock && self.is_stopping => {
@@ -69,15 +70,16 @@
         }
     }
 
-    /// No slot is free: a lingering connection is let go of, or the core is asked for one. The
-    /// listener is polled again when a slot becomes free.
+    /// Makes room when no slot is free: drops the oldest lingering connection or, if there is none,
+    /// reports to the core that the connection limit is reached. The listener is polled again when a
+    /// slot becomes free.
     fn wait_for_slot(&mut self) {
         if let Some(listener) = &self.listener {
             let _ = epoll::delete(&self.poll, listener);
         }
         self.slots.is_full.store(true, SeqCst);
         self.timers
-            .push(Reverse((Instant::now() + FULL_RETRY, LISTENER)));
+            .push(Reverse((Instant::now() + SLOT_RETRY_INTERVAL, LISTENER)));
         while let Some(number) = self.lingering.pop_front() {
             if matches!(
                 self.connections.get(&number),
@@ -94,19 +96,19 @@
             .send(Message::Event(Event::ConnectionLimitReached));
     }
 
-    /// The backlog is empty, or left to another process: no more connections are accepted.
+    /// Closes the listener, once the backlog is empty or is left to another process.
     fn stop_listening(&mut self) {
         if let Some(listener) = self.listener.take() {
-            // Another process may have the same socket: then it stays open, and would be polled
-            // without end.
+            // The socket stays open if another process shares it, and epoll would keep reporting it
+            // even after this process has closed its descriptor.
             let _ = epoll::delete(&self.poll, &listener);
             drop(listener);
             let _ = self.events.send(Message::Event(Event::ListenerClosed));
         }
     }
 
-    /// Takes up an accepted connection.
-    fn add(&mut self, stream: TcpStream, from: IpAddr) -> io::Result<()> {
+    /// Registers an accepted connection and passes its other end to the core.
+    fn add_connection(&mut self, stream: TcpStream, from: IpAddr) -> io::Result<()> {
         stream.set_nodelay(true)?;
         self.accepted += 1;
         let number = self.accepted;
--- a/crates/node/src/io/client_reader/close.rs
+++ b/crates/node/src/io/client_reader/close.rs
@@ -3,7 +3,7 @@
 use super::{ReadOutcome, Reader, State};
 use crate::actions::{Close, ConnectionId};
 use crate::io::inbox::Message;
-use crate::io::stream::READ;
+use crate::io::stream::READ_BUFFER_BYTES;
 use crate::node::Event;
 use rustix::event::epoll;
 use rustix::io::Errno;
@@ -13,18 +13,18 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
 
-/// How long a closed connection may linger until its peer ends it. It does not linger where no slot
-/// is free.
-pub(super) const LINGER: Duration = Duration::from_secs(1);
-/// Bytes that are read of a lingering connection.
-pub(super) const LINGER_BYTES: usize = 64 * 1024;
-/// Readings at most before a close: a peer that sends without end is closed all the same.
+/// Maximum time that a closed connection lingers until its peer closes it. Connections do not linger
+/// while no slot is free.
+pub(super) const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of bytes that are read from a lingering connection.
+pub(super) const LINGER_BYTES_MAX: usize = 64 * 1024;
+/// Maximum number of reads before a close, so that a peer that keeps sending is closed too.
 const LAST_READS_MAX: usize = 16;
 
 impl Reader {
-    /// Closes a connection on which no answer is owed, as far as the core knows.
+    /// Closes a connection that, to the core's knowledge, has no unanswered request.
     pub(super) fn close(&mut self, number: u64, close: Close) {
-        self.read_rest(number);
+        self.read_available(number);
         if let Some(connection) = self.connections.get_mut(&number) {
             let until = Instant::now() + Duration::from_nanos(close.partial_request_wait);
             connection.closing = Some((close.events_handled, until));
@@ -33,9 +33,9 @@
         self.finish_close(number);
     }
 
-    /// Reads what has come by now: a request in it is owed an answer. A connection that is paced is
-    /// read once at most.
-    pub(super) fn read_rest(&mut self, number: u64) {
+    /// Reads the bytes that have arrived by now, since they may contain a request that must be
+    /// answered. A paced connection is read at most once.
+    pub(super) fn read_available(&mut self, number: u64) {
         let is_paced = self
             .connections
             .get(&number)
@@ -44,17 +44,17 @@
         (0..reads).any(|_| self.read_once(number) != ReadOutcome::Data);
     }
 
-    /// Carries out a close, unless the core will hear of more, or the rest of a request may yet
-    /// come.
+    /// Carries out a requested close, unless events have been sent that the core had not handled, or
+    /// the rest of a request may still arrive.
     pub(super) fn finish_close(&mut self, number: u64) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let Some((heard, until)) = connection.closing else {
+        let Some((events_handled, until)) = connection.closing else {
             return;
         };
-        if connection.events_sent != heard {
-            connection.closing = None; // the core decides again, knowing what was read
+        if connection.events_sent != events_handled {
+            connection.closing = None; // the core decides again after it has handled these events
             return;
         }
         let is_read = matches!(connection.state, State::Reading | State::Paused);
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Stops writing; what still comes is dropped until the peer stops too.
+    /// Shuts down the writing side and drops incoming bytes until the peer closes its side too.
     pub(super) fn shut_down(&mut self, number: u64) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
@@ -80,23 +80,24 @@
         let is_watched = std::mem::replace(
             &mut connection.state,
             State::Lingering {
-                until: Instant::now() + LINGER,
-                left: LINGER_BYTES,
+                until: Instant::now() + LINGER_TIMEOUT,
+                left: LINGER_BYTES_MAX,
             },
         ) == State::Reading;
         self.lingering.push_back(number);
-        self.timers.push(Reverse((Instant::now() + LINGER, number)));
+        self.timers
+            .push(Reverse((Instant::now() + LINGER_TIMEOUT, number)));
         if !is_watched && self.watch(number).is_err() {
             self.remove(number);
         }
     }
 
-    /// Reads a lingering connection and drops what was read.
+    /// Reads a lingering connection and drops the bytes.
     pub(super) fn linger(&mut self, number: u64, until: Instant, left: usize) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let mut buffer = [0; READ];
+        let mut buffer = [0; READ_BUFFER_BYTES];
         match recv(&connection.socket.stream, &mut buffer, RecvFlags::DONTWAIT) {
             Err(Errno::INTR | Errno::AGAIN) => {}
             Ok((length, _)) if (1..left).contains(&length) => {
@@ -109,12 +110,12 @@
         }
     }
 
-    /// Lets go of a connection.
+    /// Removes a connection and shuts its socket down.
     pub(super) fn remove(&mut self, number: u64) {
         let Some(connection) = self.connections.remove(&number) else {
             return;
         };
-        // Not left to the socket's end: the core or a writer may still have it.
+        // Dropping the socket would not suffice, since the core or a writer may still hold it.
         let _ = epoll::delete(&self.poll, &connection.socket.stream);
         let _ = connection.socket.stream.shutdown(Shutdown::Both);
         drop(connection);
--- a/crates/node/src/io/client_reader/read.rs
+++ b/crates/node/src/io/client_reader/read.rs
@@ -3,7 +3,7 @@
 use super::{ReadOutcome, Reader, State};
 use crate::actions::ConnectionId;
 use crate::io::inbox::Message;
-use crate::io::stream::READ;
+use crate::io::stream::READ_BUFFER_BYTES;
 use crate::log::part;
 use crate::node::Event;
 use rustix::io::Errno;
@@ -14,7 +14,7 @@
 use tracing::warn;
 
 impl Reader {
-    /// A connection can be read.
+    /// Handles a connection that has become readable.
     pub(super) fn read(&mut self, number: u64) {
         let Some(connection) = self.connections.get(&number) else {
             return;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Reads once, and sends the core what that completes.
+    /// Reads once and sends the core the events that the bytes complete.
     pub(super) fn read_once(&mut self, number: u64) -> ReadOutcome {
         let Some(connection) = self.connections.get_mut(&number) else {
             return ReadOutcome::Finished;
@@ -39,7 +39,7 @@
         ) {
             return ReadOutcome::Finished;
         }
-        let mut buffer = [0; READ];
+        let mut buffer = [0; READ_BUFFER_BYTES];
         let length = match recv(&connection.socket.stream, &mut buffer, RecvFlags::DONTWAIT) {
             Err(Errno::INTR | Errno::AGAIN) => return ReadOutcome::Nothing,
             Err(_) => {
@@ -54,7 +54,7 @@
             let _ = events.send(Message::Event(event));
         };
         if length == 0 {
-            // The peer sends nothing more; it may still wait for answers.
+            // The peer sends nothing more, but may still wait for answers.
             send(Event::HalfClosed(ConnectionId(number)));
             if connection.parser.is_partial() {
                 let _ = self.events.send(Message::Event(Event::RequestTruncated));
@@ -84,7 +84,7 @@
         ReadOutcome::Data
     }
 
-    /// Reads no more on a connection.
+    /// Stops reading a connection; `peer_ended` tells whether its peer has closed its side.
     pub(super) fn stop_reading(&mut self, number: u64, peer_ended: bool) -> ReadOutcome {
         self.unwatch(number);
         if let Some(connection) = self.connections.get_mut(&number) {
--- a/crates/node/src/io/client_reader/tests.rs
+++ b/crates/node/src/io/client_reader/tests.rs
@@ -1,29 +1,29 @@
-//! The reader by itself, on loopback sockets and with no thread of its own: each test does, one
-//! after the other, what would cross by chance.
+//! The reader on loopback sockets, driven by the test's own thread. Each test runs in a fixed order
+//! the steps that would interleave at random between threads.
 
-use super::close::{LINGER, LINGER_BYTES};
+use super::close::{LINGER_BYTES_MAX, LINGER_TIMEOUT};
 use super::*;
 use crate::actions::Close;
 use crate::capacity::OptionalSubsystems;
 use crate::config::Limits;
 use crate::io::client_connections::Connection;
-use crate::io::stream::READ;
+use crate::io::stream::READ_BUFFER_BYTES;
 use crate::node::Event;
 use madderpoint_test_harness::peers::{WAIT_TIMEOUT, ping};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-/// A reader for so few connections, and what it sends to the core.
-struct Bench {
+/// A reader with two connection slots, and the messages that it sends to the core.
+struct Fixture {
     reader: Reader,
     events: Receiver<Message>,
     address: SocketAddr,
     /// The core's ends of connections.
-    taken: Vec<Connection>,
+    core_ends: Vec<Connection>,
 }
 
-impl Bench {
-    fn new(is_shared: bool) -> Bench {
+impl Fixture {
+    fn new(is_shared: bool) -> Fixture {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let limits = Limits {
@@ -40,15 +40,15 @@
         )
         .unwrap();
         assert_eq!(reader.slots.capacity.connections, 2);
-        Bench {
+        Fixture {
             reader,
             events: inbox,
             address,
-            taken: Vec::new(),
+            core_ends: Vec::new(),
         }
     }
 
-    /// A client, and its number here once it is accepted.
+    /// Connects a client and returns it with the number of its accepted connection.
     fn client(&mut self) -> (TcpStream, u64) {
         let client = connect(self.address);
         let before = self.reader.accepted;
@@ -58,54 +58,55 @@
         (client, self.reader.accepted)
     }
 
-    /// Reads until so much has come.
-    fn take(&mut self, number: u64, bytes: usize) {
+    /// Reads a connection until this many bytes were read.
+    fn read_bytes(&mut self, number: u64, bytes: usize) {
         let mut taken = 0;
         let socket = Arc::clone(&self.reader.connections[&number].socket);
         while taken < bytes {
-            let waiting = socket.stream.peek(&mut [0; READ]).unwrap_or(0);
+            let waiting = socket.stream.peek(&mut [0; READ_BUFFER_BYTES]).unwrap_or(0);
             if waiting > 0 && self.reader.read_once(number) == ReadOutcome::Data {
                 taken += waiting;
             }
         }
     }
 
-    /// Waits until so much has come, and leaves it unread.
-    fn holds(&self, number: u64, bytes: usize) {
+    /// Waits until this many bytes have arrived, without reading them.
+    fn wait_until_received(&self, number: u64, bytes: usize) {
         let stream = &self.reader.connections[&number].socket.stream;
-        while stream.peek(&mut [0; 2 * READ]).unwrap_or(0) < bytes {}
+        while stream.peek(&mut [0; 2 * READ_BUFFER_BYTES]).unwrap_or(0) < bytes {}
     }
 
-    /// What was sent to the core since, by connection.
-    fn handed(&mut self) -> Vec<(u64, &'static str)> {
-        let mut handed = Vec::new();
+    /// Returns the messages sent to the core since the last call, each with the connection's number
+    /// (0 for none). Keeps the core's ends of accepted connections.
+    fn sent_events(&mut self) -> Vec<(u64, &'static str)> {
+        let mut sent_events = Vec::new();
         for message in self.events.try_iter() {
-            handed.push(match message {
+            sent_events.push(match message {
                 Message::Event(Event::LoadBalancer(conn, fastcgi::Event::Request(_))) => {
                     (conn.0, "request")
                 }
                 Message::Event(Event::HalfClosed(conn)) => (conn.0, "half-closed"),
-                Message::Event(Event::ProtocolError(conn, _)) => (conn.0, "garbled"),
-                Message::Event(Event::Disconnected(conn)) => (conn.0, "gone"),
-                Message::Event(Event::RequestTruncated) => (0, "cut short"),
-                Message::Event(Event::ConnectionLimitReached) => (0, "crowded"),
-                Message::Event(Event::ListenerClosed) => (0, "not listening"),
+                Message::Event(Event::ProtocolError(conn, _)) => (conn.0, "protocol error"),
+                Message::Event(Event::Disconnected(conn)) => (conn.0, "disconnected"),
+                Message::Event(Event::RequestTruncated) => (0, "request truncated"),
+                Message::Event(Event::ConnectionLimitReached) => (0, "connection limit reached"),
+                Message::Event(Event::ListenerClosed) => (0, "listener closed"),
                 Message::Accepted(conn, _, connection) => {
-                    self.taken.push(connection);
+                    self.core_ends.push(connection);
                     (conn.0, "accepted")
                 }
-                _ => (0, "else"),
+                _ => (0, "other"),
             });
         }
-        handed
+        sent_events
     }
 
-    fn close(&mut self, number: u64, heard: u64, patience_ms: u64) {
+    fn close(&mut self, number: u64, events_handled: u64, wait_ms: u64) {
         self.reader.close(
             number,
             Close {
-                events_handled: heard,
-                partial_request_wait: patience_ms * 1_000_000,
+                events_handled,
+                partial_request_wait: wait_ms * 1_000_000,
             },
         );
     }
@@ -117,14 +118,14 @@
             .map(|connection| connection.state)
     }
 
-    /// Lets time pass until a connection has come so far.
-    fn pass(&mut self, number: u64, far: impl Fn(Option<State>) -> bool) {
-        while !far(self.state(number)) {
-            let Reverse((due, later)) = self.reader.timers.pop().expect("something is due");
+    /// Runs timers as they become due until the connection's state satisfies the condition.
+    fn run_timers_until(&mut self, number: u64, is_reached: impl Fn(Option<State>) -> bool) {
+        while !is_reached(self.state(number)) {
+            let Reverse((due, owner)) = self.reader.timers.pop().expect("a timer is set");
             while Instant::now() < due {
                 std::thread::yield_now();
             }
-            self.reader.on_timer(later);
+            self.reader.on_timer(owner);
         }
     }
 }
@@ -135,252 +136,275 @@
     client
 }
 
-fn reads_end(mut client: &TcpStream) -> io::Result<usize> {
-    client.read(&mut [0; READ])
+fn read_some(mut client: &TcpStream) -> io::Result<usize> {
+    client.read(&mut [0; READ_BUFFER_BYTES])
 }
 
 #[test]
-fn a_request_in_the_buffer_as_its_connection_is_closed_is_read_and_the_close_is_void() {
-    let mut bench = Bench::new(false);
-    let (mut client, number) = bench.client();
+fn a_request_received_before_the_close_is_read_and_voids_the_close() {
+    let mut fixture = Fixture::new(false);
+    let (mut client, number) = fixture.client();
     client.write_all(&ping(1)).unwrap();
-    bench.holds(number, ping(1).len());
-    bench.close(number, 0, 0);
-    assert_eq!(bench.handed(), [(number, "accepted"), (number, "request")]);
+    fixture.wait_until_received(number, ping(1).len());
+    fixture.close(number, 0, 0);
     assert_eq!(
-        bench.state(number),
+        fixture.sent_events(),
+        [(number, "accepted"), (number, "request")]
+    );
+    assert_eq!(
+        fixture.state(number),
         Some(State::Reading),
-        "what was read is owed an answer"
+        "the request that was read must be answered"
     );
-    // The next order knows of it.
-    bench.close(number, 1, 0);
-    assert!(matches!(bench.state(number), Some(State::Lingering { .. })));
-    assert_eq!(reads_end(&client).unwrap(), 0);
+    // The core requests the next close after it has handled the request.
+    fixture.close(number, 1, 0);
+    assert!(matches!(
+        fixture.state(number),
+        Some(State::Lingering { .. })
+    ));
+    assert_eq!(read_some(&client).unwrap(), 0);
 }
 
 #[test]
-fn an_event_that_the_core_has_not_heard_of_makes_a_close_void() {
-    let mut bench = Bench::new(false);
-    let (mut client, number) = bench.client();
+fn an_event_that_the_core_has_not_handled_voids_a_close() {
+    let mut fixture = Fixture::new(false);
+    let (mut client, number) = fixture.client();
     client.write_all(&ping(1)).unwrap();
-    bench.take(number, ping(1).len());
-    bench.close(number, 0, 0);
-    assert_eq!(bench.state(number), Some(State::Reading));
+    fixture.read_bytes(number, ping(1).len());
+    fixture.close(number, 0, 0);
+    assert_eq!(fixture.state(number), Some(State::Reading));
 }
 
 #[test]
-fn the_rest_of_a_request_is_waited_for_and_no_longer_than_it_may() {
+fn a_close_waits_a_bounded_time_for_the_rest_of_a_request() {
     let whole = ping(1);
     let (half, rest) = whole.split_at(20);
-    let mut bench = Bench::new(false);
-    let (mut client, number) = bench.client();
+    let mut fixture = Fixture::new(false);
+    let (mut client, number) = fixture.client();
     client.write_all(half).unwrap();
-    bench.take(number, half.len());
-    bench.close(number, 0, 60_000);
-    assert_eq!(bench.state(number), Some(State::Reading));
+    fixture.read_bytes(number, half.len());
+    fixture.close(number, 0, 60_000);
+    assert_eq!(fixture.state(number), Some(State::Reading));
     client.write_all(rest).unwrap();
-    bench.take(number, rest.len());
-    bench.reader.finish_close(number);
-    assert_eq!(bench.handed(), [(number, "accepted"), (number, "request")]);
+    fixture.read_bytes(number, rest.len());
+    fixture.reader.finish_close(number);
+    assert_eq!(
+        fixture.sent_events(),
+        [(number, "accepted"), (number, "request")]
+    );
     assert_eq!(
         (
-            bench.state(number),
-            bench.reader.connections[&number].closing
+            fixture.state(number),
+            fixture.reader.connections[&number].closing
         ),
         (Some(State::Reading), None)
     );
-    // Half a record at the moment of the close, and the rest never.
+    // Half a record has arrived at the time of the close, and the rest never does.
     client.write_all(&half[..5]).unwrap();
-    bench.take(number, 5);
-    bench.close(number, 1, 20);
-    assert_eq!(bench.state(number), Some(State::Reading));
-    bench.pass(number, |state| {
+    fixture.read_bytes(number, 5);
+    fixture.close(number, 1, 20);
+    assert_eq!(fixture.state(number), Some(State::Reading));
+    fixture.run_timers_until(number, |state| {
         matches!(state, Some(State::Lingering { .. }))
     });
-    assert_eq!(reads_end(&client).unwrap(), 0);
-    assert_eq!(bench.handed(), [(0, "cut short")]);
-    // One that ends its side in the middle of a request is told apart from one that has asked.
-    let (mut client, number) = bench.client();
+    assert_eq!(read_some(&client).unwrap(), 0);
+    assert_eq!(fixture.sent_events(), [(0, "request truncated")]);
+    // A client that closes its side in the middle of a request is also reported as truncated.
+    let (mut client, number) = fixture.client();
     client.write_all(&half[..5]).unwrap();
-    bench.take(number, 5);
+    fixture.read_bytes(number, 5);
     client.shutdown(Shutdown::Write).unwrap();
-    while bench.state(number) == Some(State::Reading) {
-        bench.reader.read_once(number);
+    while fixture.state(number) == Some(State::Reading) {
+        fixture.reader.read_once(number);
     }
     assert_eq!(
-        bench.handed()[1..],
-        [(number, "half-closed"), (0, "cut short")]
+        fixture.sent_events()[1..],
+        [(number, "half-closed"), (0, "request truncated")]
     );
 }
 
 #[test]
-fn bytes_after_the_end_of_writing_are_dropped_and_destroy_no_answer() {
-    let mut bench = Bench::new(false);
-    let (mut client, number) = bench.client();
-    bench.handed();
-    let socket = Arc::clone(&bench.reader.connections[&number].socket);
+fn bytes_received_after_the_close_are_dropped_and_no_answer_is_lost() {
+    let mut fixture = Fixture::new(false);
+    let (mut client, number) = fixture.client();
+    fixture.sent_events();
+    let socket = Arc::clone(&fixture.reader.connections[&number].socket);
     (&socket.stream).write_all(b"the last answer").unwrap();
-    bench.close(number, 0, 0);
-    // A request that crosses the close, seen by nobody, and read by the lingering socket.
+    fixture.close(number, 0, 0);
+    // A request that arrives after the close is read and dropped by the lingering connection.
     client.write_all(&ping(1)).unwrap();
-    bench.holds(number, ping(1).len());
-    bench.reader.read(number);
+    fixture.wait_until_received(number, ping(1).len());
+    fixture.reader.read(number);
     assert_eq!(
-        bench.handed(),
+        fixture.sent_events(),
         [],
-        "it is not run, for its answer could not be written"
+        "the request is not run, since its answer could not be written"
     );
     let mut answer = Vec::new();
     client.read_to_end(&mut answer).unwrap();
     assert_eq!(answer, b"the last answer");
     drop(client);
-    while bench.state(number).is_some() {
-        bench.reader.read(number);
+    while fixture.state(number).is_some() {
+        fixture.reader.read(number);
     }
-    assert_eq!(bench.handed(), [(number, "gone")]);
+    assert_eq!(fixture.sent_events(), [(number, "disconnected")]);
 }
 
 #[test]
 fn lingering_is_bounded_in_bytes_and_time() {
-    let mut bench = Bench::new(false);
-    let (mut client, number) = bench.client();
-    bench.close(number, 0, 0);
+    let mut fixture = Fixture::new(false);
+    let (mut client, number) = fixture.client();
+    fixture.close(number, 0, 0);
     let writer = std::thread::spawn(move || while client.write_all(&[7; 4096]).is_ok() {});
     let mut readings = 0;
-    while bench.state(number).is_some() {
-        bench.reader.read(number);
+    while fixture.state(number).is_some() {
+        fixture.reader.read(number);
         readings += 1;
     }
-    bench.handed();
-    bench.taken.clear(); // the core lets go of it too
+    fixture.sent_events();
+    fixture.core_ends.clear(); // the core drops its end too
     writer.join().unwrap();
-    assert!(readings >= LINGER_BYTES / READ, "{readings}");
-    let (_client, number) = bench.client();
+    assert!(
+        readings >= LINGER_BYTES_MAX / READ_BUFFER_BYTES,
+        "{readings}"
+    );
+    let (_client, number) = fixture.client();
     let begun = Instant::now();
-    bench.close(number, 0, 0);
-    bench.pass(number, |state| state.is_none());
-    assert!(begun.elapsed() >= LINGER && begun.elapsed() < 5 * LINGER);
+    fixture.close(number, 0, 0);
+    fixture.run_timers_until(number, |state| state.is_none());
+    assert!(begun.elapsed() >= LINGER_TIMEOUT && begun.elapsed() < 5 * LINGER_TIMEOUT);
 }
 
 #[test]
 fn without_a_free_slot_nothing_lingers_and_the_next_connection_is_accepted() {
-    let mut bench = Bench::new(false);
-    let (_one, first) = bench.client();
-    let (_two, second) = bench.client();
-    bench.close(first, 0, 0);
+    let mut fixture = Fixture::new(false);
+    let (_one, first) = fixture.client();
+    let (_two, second) = fixture.client();
+    fixture.close(first, 0, 0);
     assert_eq!(
-        bench.state(first),
+        fixture.state(first),
         None,
-        "all places are taken: it is let go of at once"
+        "no slot is free, so the connection does not linger"
     );
-    bench.handed();
-    bench.taken.remove(0);
-    let (_three, third) = bench.client();
-    assert_eq!(bench.handed(), [(third, "accepted")]);
-    // One that lingered gives its place to who comes.
-    bench.reader.remove(third);
-    bench.handed();
-    bench.taken.pop();
-    bench.close(second, 0, 0);
-    assert!(matches!(bench.state(second), Some(State::Lingering { .. })));
-    let (_four, fourth) = bench.client();
-    let _five = connect(bench.address);
-    bench.reader.accept();
-    assert_eq!(bench.handed(), [(fourth, "accepted"), (second, "gone")]);
-    bench.taken.remove(0);
-    bench.reader.run_commands(); // the place that came free rang
-    while bench.handed() != [(fourth + 1, "accepted")] {
-        bench.reader.accept();
+    fixture.sent_events();
+    fixture.core_ends.remove(0);
+    let (_three, third) = fixture.client();
+    assert_eq!(fixture.sent_events(), [(third, "accepted")]);
+    // A lingering connection gives up its slot to the next connection.
+    fixture.reader.remove(third);
+    fixture.sent_events();
+    fixture.core_ends.pop();
+    fixture.close(second, 0, 0);
+    assert!(matches!(
+        fixture.state(second),
+        Some(State::Lingering { .. })
+    ));
+    let (_four, fourth) = fixture.client();
+    let _five = connect(fixture.address);
+    fixture.reader.accept();
+    assert_eq!(
+        fixture.sent_events(),
+        [(fourth, "accepted"), (second, "disconnected")]
+    );
+    fixture.core_ends.remove(0);
+    fixture.reader.run_commands(); // the freed slot woke the reader
+    while fixture.sent_events() != [(fourth + 1, "accepted")] {
+        fixture.reader.accept();
     }
 }
 
 #[test]
 fn a_half_closed_connection_is_reported_and_dropped_after_its_answers() {
-    let mut bench = Bench::new(false);
-    let (mut client, number) = bench.client();
+    let mut fixture = Fixture::new(false);
+    let (mut client, number) = fixture.client();
     client.write_all(&ping(1)).unwrap();
     client.shutdown(Shutdown::Write).unwrap();
-    while bench.state(number) != Some(State::Stopped { peer_ended: true }) {
-        bench.reader.read_once(number);
+    while fixture.state(number) != Some(State::Stopped { peer_ended: true }) {
+        fixture.reader.read_once(number);
     }
     assert_eq!(
-        bench.handed(),
+        fixture.sent_events(),
         [
             (number, "accepted"),
             (number, "request"),
             (number, "half-closed")
         ]
     );
-    bench.close(number, 1, 0);
+    fixture.close(number, 1, 0);
     assert_eq!(
-        bench.state(number),
+        fixture.state(number),
         Some(State::Stopped { peer_ended: true }),
-        "it was not heard of yet"
+        "the core has not handled the half-close yet"
     );
-    bench.close(number, 2, 0);
-    assert_eq!(bench.handed(), [(number, "gone")]);
-    assert_eq!(reads_end(&client).unwrap(), 0);
+    fixture.close(number, 2, 0);
+    assert_eq!(fixture.sent_events(), [(number, "disconnected")]);
+    assert_eq!(read_some(&client).unwrap(), 0);
 }
 
 #[test]
 fn lost_framing_is_reported_after_the_requests_before_it() {
-    let mut bench = Bench::new(false);
-    let (mut client, number) = bench.client();
+    let mut fixture = Fixture::new(false);
+    let (mut client, number) = fixture.client();
     client
         .write_all(&[ping(1), vec![0xff; 100]].concat())
         .unwrap();
-    while bench.state(number) == Some(State::Reading) {
-        bench.reader.read_once(number);
+    while fixture.state(number) == Some(State::Reading) {
+        fixture.reader.read_once(number);
     }
     assert_eq!(
-        bench.handed(),
+        fixture.sent_events(),
         [
             (number, "accepted"),
             (number, "request"),
-            (number, "garbled")
+            (number, "protocol error")
         ]
     );
     assert_eq!(
-        bench.state(number),
+        fixture.state(number),
         Some(State::Stopped { peer_ended: false })
     );
 }
 
 #[test]
 fn the_backlog_is_accepted_before_the_listener_closes() {
-    let mut bench = Bench::new(false);
-    let mut clients: Vec<_> = (0..2).map(|_| connect(bench.address)).collect();
+    let mut fixture = Fixture::new(false);
+    let mut clients: Vec<_> = (0..2).map(|_| connect(fixture.address)).collect();
     clients
         .iter_mut()
         .for_each(|client| client.write_all(&ping(1)).unwrap());
-    bench.reader.handle.send(ReaderCommand::StopListening);
-    bench.reader.run_commands();
-    assert_eq!(bench.handed(), [(1, "accepted"), (2, "accepted")]);
-    // All places are taken: the listener is given up once there is one for the next, and it finds
-    // nobody.
-    bench.reader.accept();
-    assert_eq!(bench.handed(), [(0, "crowded")]);
-    bench.taken.pop();
-    bench.reader.remove(2);
-    assert_eq!(bench.handed(), [(2, "gone")]);
-    bench.reader.run_commands();
-    assert_eq!(bench.handed(), [(0, "not listening")]);
-    assert!(TcpStream::connect(bench.address).is_err());
-    // Orders to close that the core gives at once do not beat the requests that had come.
-    bench.holds(1, ping(1).len());
-    bench.close(1, 0, 0);
-    assert_eq!(bench.handed(), [(1, "request")]);
+    fixture.reader.handle.send(ReaderCommand::StopListening);
+    fixture.reader.run_commands();
+    assert_eq!(fixture.sent_events(), [(1, "accepted"), (2, "accepted")]);
+    // All slots are taken. The listener closes once a slot is free and the backlog is found empty.
+    fixture.reader.accept();
+    assert_eq!(fixture.sent_events(), [(0, "connection limit reached")]);
+    fixture.core_ends.pop();
+    fixture.reader.remove(2);
+    assert_eq!(fixture.sent_events(), [(2, "disconnected")]);
+    fixture.reader.run_commands();
+    assert_eq!(fixture.sent_events(), [(0, "listener closed")]);
+    assert!(TcpStream::connect(fixture.address).is_err());
+    // A close that the core requests at once does not overtake a request that has arrived.
+    fixture.wait_until_received(1, ping(1).len());
+    fixture.close(1, 0, 0);
+    assert_eq!(fixture.sent_events(), [(1, "request")]);
 }
 
 #[test]
 fn the_backlog_of_a_shared_socket_is_left_to_the_other_process() {
-    let mut bench = Bench::new(true);
-    let other = bench.reader.listener.as_ref().unwrap().try_clone().unwrap();
-    let mut client = connect(bench.address);
+    let mut fixture = Fixture::new(true);
+    let other = fixture
+        .reader
+        .listener
+        .as_ref()
+        .unwrap()
+        .try_clone()
+        .unwrap();
+    let mut client = connect(fixture.address);
     client.write_all(&ping(1)).unwrap();
-    bench.reader.handle.send(ReaderCommand::StopListening);
-    bench.reader.run_commands();
-    assert_eq!(bench.handed(), [(0, "not listening")]);
+    fixture.reader.handle.send(ReaderCommand::StopListening);
+    fixture.reader.run_commands();
+    assert_eq!(fixture.sent_events(), [(0, "listener closed")]);
     other.set_nonblocking(false).unwrap();
     let (mut taken, _) = other.accept().unwrap();
     let mut bytes = vec![0; ping(1).len()];
@@ -389,24 +413,28 @@
 }
 
 #[test]
-fn a_connection_whose_reading_ends_is_read_once_more_unless_it_is_paced() {
-    for paced in [false, true] {
-        let mut bench = Bench::new(false);
-        let (mut client, number) = bench.client();
+fn a_connection_is_read_once_more_before_reading_stops_unless_it_is_paced() {
+    for is_paced in [false, true] {
+        let mut fixture = Fixture::new(false);
+        let (mut client, number) = fixture.client();
         client.write_all(&ping(1)).unwrap();
-        bench.holds(number, ping(1).len());
-        bench.reader.connections[&number]
+        fixture.wait_until_received(number, ping(1).len());
+        fixture.reader.connections[&number]
             .pause
-            .store(u64::from(paced) * 1_000_000, SeqCst);
-        bench
+            .store(u64::from(is_paced) * 1_000_000, SeqCst);
+        fixture
             .reader
             .handle
             .send(ReaderCommand::StopReading(ConnectionId(number)));
-        bench.reader.run_commands();
-        let handed = bench.handed();
-        assert_eq!(handed[1..] == [(number, "request")], !paced, "{handed:?}");
+        fixture.reader.run_commands();
+        let sent_events = fixture.sent_events();
+        assert_eq!(
+            sent_events[1..] == [(number, "request")],
+            !is_paced,
+            "{sent_events:?}"
+        );
         assert_eq!(
-            bench.state(number),
+            fixture.state(number),
             Some(State::Stopped { peer_ended: false })
         );
     }
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -1,9 +1,9 @@
 //! The cluster's UDP socket and the thread that owns the node's membership, shared state and
 //! rollouts.
 //!
-//! The thread shares nothing with the core but two bounded queues: commands to it
-//! ([`ClusterLink`]), and events to the core. Neither waits for the other. [`start`] is called once
-//! at the start of the node; the thread ends with [`ClusterLink::leave`].
+//! The thread and the core share only two bounded queues: commands to the thread ([`ClusterLink`])
+//! and events to the core. Neither side waits for the other. [`start`] is called once, when the node
+//! starts, and [`ClusterLink::leave`] ends the thread.
 
 #![warn(missing_docs)]
 
@@ -29,15 +29,15 @@
 use std::time::Duration;
 use tracing::error;
 
-/// Time between two attempts to bind the address that another process is still bound to.
+/// Time between two attempts to bind an address that another process is still bound to.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Binds the socket and starts the thread.
 ///
 /// # Errors
 ///
-/// The socket can't be bound (an address in use is waited for if the setup says so), the setup
-/// fails, or the thread can't be started.
+/// The socket cannot be bound, the setup fails, or the thread cannot be started. An address in use is
+/// not an error if [`ClusterSetup::awaits_address`] is set: the thread then waits for it.
 pub fn start(
     setup: ClusterSetup,
     seed: u64,
@@ -46,7 +46,7 @@
 ) -> io::Result<(ClusterLink, JoinHandle<()>)> {
     let (link, commands) = ClusterLink::new()?;
     let wake_fd = link.wake_fd();
-    // Operators and tests know the thread by this name.
+    // Operators and tests find the thread by this name.
     let thread = thread::Builder::new()
         .name("fleet".into())
         .stack_size(STACK);
@@ -78,8 +78,8 @@
     Ok((link, thread.spawn(bind_and_run)?))
 }
 
-/// Binds the address as soon as it is free; `None` if the node leaves before. Other commands that
-/// come meanwhile are lost: the core reports anew.
+/// Binds the address as soon as it is free. Returns `None` if the node leaves first. Other commands
+/// that arrive meanwhile are dropped, since the core repeats its reports.
 fn bind_when_free(address: SocketAddr, commands: &Receiver<LinkCommand>) -> Option<UdpSocket> {
     let is_leave = |command| matches!(command, LinkCommand::Leave { .. });
     loop {
--- a/crates/node/src/io/cluster_link/commands.rs
+++ b/crates/node/src/io/cluster_link/commands.rs
@@ -1,5 +1,5 @@
-//! Commands to the cluster's thread, and the end by which other threads send them. Sending never
-//! waits, except for the results of tasks, which wait for a bounded time.
+//! Commands to the cluster's thread, and the handle through which other threads send them. Sending
+//! does not block, except for the result of a task, which may block for a bounded time.
 
 use crate::cluster::ClusterUpdate;
 use crate::io::rollout_link::TaskResult;
@@ -16,47 +16,48 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Commands that may wait for the cluster's thread.
+/// Length of the command queue of the cluster's thread.
 const QUEUED_COMMANDS: usize = 64;
-/// How long the result of a task waits for room in the queue. It is lost after that: the node
-/// leaves then.
+/// Maximum time that the result of a task waits for room in the queue. After that the result is
+/// dropped: a queue that stays full this long shows that the node is leaving.
 const TASK_RESULT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What new settings change in the running cluster part.
+/// The part of new settings that takes effect in the running cluster thread.
 #[derive(Clone, Debug)]
 pub struct ClusterSettingsUpdate {
     /// Keys of the datagram authentication.
     pub keys: AuthKeys,
-    /// Addresses through which the cluster is joined.
+    /// Addresses of members through which the node joins the cluster.
     pub seeds: Vec<SocketAddr>,
     /// Intervals and timeouts of the membership.
     pub timing: Timing,
-    /// Version number of the settings, and their hash.
+    /// Version number and hash of the settings.
     pub number: (u64, u64),
     /// Budgets of the whole cluster.
     pub budgets: Vec<Budget>,
     /// Keyed quotas of the whole cluster.
     pub quotas: Vec<KeyedQuota>,
-    /// The plan of rollouts that are offered here from now on; `None` leaves it as it is.
+    /// The plan of rollouts that operators start at this node from now on; `None` keeps the current
+    /// plan.
     pub plan: Option<Plan>,
 }
 
-/// What the cluster's thread is asked to do.
+/// Commands to the cluster's thread.
 pub enum LinkCommand {
-    /// The core reports something of the node.
+    /// A report of the core about the node.
     Update(ClusterUpdate),
-    /// The settings of the cluster were replaced.
+    /// Replaces the settings of the cluster.
     Reconfigure(Box<ClusterSettingsUpdate>),
-    /// The worker of rollouts of this kind has finished a task.
+    /// The result of a task of the worker for rollouts of this kind.
     TaskDone(Kind, TaskResult),
-    /// The node leaves, and the thread ends.
+    /// Makes the node leave the cluster and ends the thread.
     Leave {
         /// Whether another process of this node takes over.
         is_handed_over: bool,
     },
 }
 
-/// The sending end of the cluster's thread.
+/// The handle of the cluster's thread, through which other threads send it commands.
 #[derive(Clone)]
 pub struct ClusterLink {
     commands: Sender<LinkCommand>,
@@ -64,34 +65,35 @@
 }
 
 impl ClusterLink {
-    /// A link with the receiving end of its queue.
+    /// Creates a link and the receiving end of its queue.
     ///
     /// # Errors
     ///
-    /// No descriptor is left to wake the thread by.
+    /// The eventfd that wakes the thread cannot be created.
     pub fn new() -> io::Result<(ClusterLink, Receiver<LinkCommand>)> {
         let wake_fd = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
         let (commands, inbox) = bounded(QUEUED_COMMANDS);
         Ok((ClusterLink { commands, wake_fd }, inbox))
     }
 
-    /// Reports something of the node. A report that finds no room is lost; the next one has newer
-    /// figures.
+    /// Passes on a report of the core. If the queue is full the report is dropped; the next one has
+    /// newer figures.
     pub fn update(&self, update: ClusterUpdate) {
         self.send(LinkCommand::Update(update));
     }
 
-    /// Puts new settings in force.
+    /// Puts new settings of the cluster in force.
     pub fn reconfigure(&self, update: ClusterSettingsUpdate) {
         self.send(LinkCommand::Reconfigure(Box::new(update)));
     }
 
-    /// Has the node leave and ends the thread, or ends it for another process that takes over.
+    /// Makes the node leave the cluster and ends the thread. With `is_handed_over` another process of
+    /// the node takes over.
     pub fn leave(&self, is_handed_over: bool) {
         self.send(LinkCommand::Leave { is_handed_over });
     }
 
-    /// Passes on the result of a task about rollouts of this kind.
+    /// Passes on the result of a task of the worker for rollouts of this kind.
     pub fn task_done(&self, kind: Kind, result: TaskResult) {
         let command = LinkCommand::TaskDone(kind, result);
         let sent = self.commands.send_timeout(command, TASK_RESULT_TIMEOUT);
@@ -100,7 +102,8 @@
         }
     }
 
-    /// Becomes readable when a command was sent; the thread polls and clears it.
+    /// Returns the descriptor that becomes readable when a command is sent. The thread polls and
+    /// clears it.
     pub fn wake_fd(&self) -> Arc<OwnedFd> {
         Arc::clone(&self.wake_fd)
     }
--- a/crates/node/src/io/cluster_link/event_loop.rs
+++ b/crates/node/src/io/cluster_link/event_loop.rs
@@ -1,6 +1,6 @@
-//! The event loop of the cluster's thread: it owns the membership, the shared state, the exchange
-//! of health reports and the node's parts in rollouts. What happens in a turn happens in a fixed
-//! order, as [`EventLoop::run`] lists it.
+//! The event loop of the cluster's thread. The loop owns the membership, the shared state, the
+//! exchange of health reports and the node's parts in rollouts. Each turn runs its steps in a fixed
+//! order, which [`EventLoop::run`] shows.
 
 use super::commands::{ClusterSettingsUpdate, LinkCommand};
 use super::health_exchange::HealthExchange;
@@ -30,33 +30,34 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Datagrams that are read in one turn before timers are looked at again.
+/// Maximum number of datagrams read in one turn, so that timers are not held up.
 const DATAGRAMS_PER_TURN: usize = 64;
-/// Time between the two notices of a node that leaves.
+/// Time between the two leave notices of a node.
 const LEAVE_REPEAT_DELAY: Duration = Duration::from_millis(20);
-/// Pause after a failed poll, so that repeated failures take no core.
+/// Pause after a failed poll, so that repeated failures do not keep a core busy.
 const POLL_FAILURE_PAUSE: Duration = Duration::from_millis(100);
 
 /// The state of the cluster's thread.
 pub struct EventLoop<C> {
-    /// The node as a member, with the socket.
+    /// The node's membership, whose host owns the socket.
     pub membership: Membership<MembershipHost>,
-    /// Budgets, keyed quotas and counters; `None` without voters.
+    /// The budgets, keyed quotas and counters of the cluster; `None` without voters.
     pub shared_state: Option<SharedState<SharedStateHost>>,
-    /// Health reports about the backend service, if the nodes exchange them.
+    /// The exchange of health reports about the backend service; `None` if the nodes exchange none.
     pub health_exchange: Option<HealthExchange>,
     /// The node's parts in rollouts, one for each kind.
     pub rollouts: Vec<RolloutLink>,
-    /// The hash of the settings in force, by which the node's counters are compared.
+    /// Hash of the settings in force. The node's counters are reported with it, so that canary
+    /// analysis can compare versions.
     pub settings_hash: u64,
-    /// Names of the operations, for status snapshots.
+    /// Names of the operations, shown in status snapshots.
     pub operations: Vec<String>,
     /// Reads the clock.
     pub clock: C,
 }
 
 impl<C: Fn() -> ClockReading> EventLoop<C> {
-    /// Runs until a command says that the node leaves.
+    /// Runs until the command to leave arrives.
     pub fn run(mut self, commands: &Receiver<LinkCommand>, wake_fd: &OwnedFd) {
         loop {
             self.wait(wake_fd);
@@ -106,14 +107,14 @@
         let is_handing_over = self.is_handing_over();
         self.rollouts
             .iter()
-            .filter(|rollout| continues(rollout, is_handing_over))
+            .filter(|rollout| is_active(rollout, is_handing_over))
             .map(RolloutLink::next_wake)
             .fold(next.min(self.membership.next_wake()), Nanos::min)
     }
 
-    /// Whether another process is being started to take this one's place.
+    /// Whether another process is being started to replace this one.
     fn is_handing_over(&self) -> bool {
-        self.rollouts.iter().any(RolloutLink::hands_over)
+        self.rollouts.iter().any(RolloutLink::is_handing_over)
     }
 
     fn handle_command(&mut self, command: LinkCommand) -> ControlFlow<()> {
@@ -134,7 +135,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Takes up what the core reports.
+    /// Passes a report of the core on to the subsystem that it is for.
     fn handle_update(&mut self, update: ClusterUpdate) {
         let clock = &self.clock;
         match update {
@@ -167,8 +168,8 @@
         }
     }
 
-    /// Passes the core's counters on to rollouts and the shared state, and has a voter sum up
-    /// those of retired processes.
+    /// Passes the core's counters on to the rollouts and the shared state. A voter then adds up the
+    /// counters of retired processes.
     fn report_counters(&mut self, mut report: CounterReport) {
         let (key, incarnation) = self.membership.identity();
         report.process = ProcessId {
@@ -194,7 +195,7 @@
         });
     }
 
-    /// Adds to the core's status snapshot what this thread knows, and stores it for operators.
+    /// Completes the core's status snapshot with the data of this thread and stores it for operators.
     fn complete_status(&mut self, mut snapshot: StatusSnapshot) {
         let now = self.now();
         if let Some(shared_state) = &self.shared_state {
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Leaves the cluster; the notice is sent twice, since datagrams get lost.
+    /// Leaves the cluster. The leave notice is sent twice because datagrams may get lost.
     fn leave(&mut self, is_handed_over: bool) {
         for rollout in &mut self.rollouts {
             rollout.leave(is_handed_over);
@@ -245,7 +246,7 @@
 
     fn read_datagrams(&mut self) {
         self.membership.host.now = self.now();
-        // One byte more than a datagram may have, so that a larger one is recognized.
+        // One byte more than the maximum, so that a datagram that is too large is recognized.
         let mut buffer = [0; DATAGRAM_MAX + 1];
         for _ in 0..DATAGRAMS_PER_TURN {
             match self.membership.host.socket.recv_from(&mut buffer) {
@@ -254,7 +255,7 @@
                     self.membership.on_datagram((self.clock)(), from, datagram);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(_) => {} // a port that nobody listens on: the member will be declared dead
+                Err(_) => {} // e.g. a port without a listener: the member will be declared dead
             }
         }
     }
@@ -265,8 +266,8 @@
         }
     }
 
-    /// Hands payloads on to the rollouts and the shared state. While another process takes over,
-    /// rollouts of settings get none.
+    /// Passes payloads on to the rollouts and the shared state. While another process takes over,
+    /// payloads for rollouts of settings are dropped.
     fn handle_payloads(&mut self, is_handing_over: bool) {
         for payload in std::mem::take(&mut self.membership.host.payloads) {
             if is_handing_over && payload.topic == SETTINGS_ROLLOUT_TOPIC {
@@ -307,7 +308,7 @@
         }
     }
 
-    /// Sends the messages of the shared state.
+    /// Sends the queued messages of the shared state.
     fn send_shared_state(&mut self) {
         let Some(shared_state) = &mut self.shared_state else {
             return;
@@ -338,18 +339,18 @@
         }
     }
 
-    /// Wakes the rollouts, sends what they have, and renders their status where it was asked for.
+    /// Wakes the rollouts, sends their messages, and renders their status where it was requested.
     fn wake_rollouts(&mut self, is_handing_over: bool) {
         let (clock, membership) = (&self.clock, &mut self.membership);
         let requested_topics = std::mem::take(&mut membership.host.requested_topics);
         for rollout in &mut self.rollouts {
-            if !continues(rollout, is_handing_over) {
+            if !is_active(rollout, is_handing_over) {
                 continue;
             }
             let shared_state = self.shared_state.as_ref();
             let counters = shared_state.and_then(SharedState::cluster_counters);
             rollout.wake(clock(), membership, counters);
-            rollout.post(clock(), membership);
+            rollout.send_pending(clock(), membership);
             let topic = topic(rollout.kind());
             if requested_topics.contains(&topic) {
                 let status = RenderedStatus {
@@ -361,7 +362,7 @@
         }
     }
 
-    /// Tries again to report a cluster view that found no room in the core's queue.
+    /// Sends the core a cluster view that did not fit into its queue before.
     fn report_unsent_view(&mut self) {
         if let Some(view) = self.membership.host.unsent_view.take() {
             self.membership.host.cluster_view_changed(&view);
@@ -369,24 +370,27 @@
     }
 }
 
-/// Whether a rollout goes on: while another process takes over, only the program's does.
-fn continues(rollout: &RolloutLink, is_handing_over: bool) -> bool {
+/// Whether a rollout link stays active. While another process takes over, only the link for rollouts
+/// of the program does.
+fn is_active(rollout: &RolloutLink, is_handing_over: bool) -> bool {
     !is_handing_over || rollout.kind() == Kind::Program
 }
 
-fn find_rollout(rollouts: &mut [RolloutLink], of: u32) -> Option<&mut RolloutLink> {
+fn find_rollout(rollouts: &mut [RolloutLink], wanted_topic: u32) -> Option<&mut RolloutLink> {
     rollouts
         .iter_mut()
-        .find(|rollout| topic(rollout.kind()) == of)
+        .find(|rollout| topic(rollout.kind()) == wanted_topic)
 }
 
-/// Resident memory in KB and open descriptors of this process.
+/// Returns this process's resident memory in KB and its number of open descriptors; 0 for a figure
+/// that cannot be read.
 fn process_gauges() -> [u64; 2] {
     let pages = std::fs::read_to_string("/proc/self/statm").ok();
     let pages = pages
         .and_then(|text| text.split_whitespace().nth(1)?.parse::<u64>().ok())
         .unwrap_or(0);
-    let descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, |all| all.count() as u64);
+    let descriptors =
+        std::fs::read_dir("/proc/self/fd").map_or(0, |entries| entries.count() as u64);
     [
         pages * rustix::param::page_size() as u64 / 1024,
         descriptors,
--- a/crates/node/src/io/cluster_link/health_exchange.rs
+++ b/crates/node/src/io/cluster_link/health_exchange.rs
@@ -1,5 +1,5 @@
-//! Health reports about the backend service that the nodes send each other, and their sum for the
-//! core.
+//! The exchange of health reports about the backend service between the nodes, and their aggregation
+//! for the core.
 
 use super::hosts::{MembershipHost, SHARED_STATE_TOPIC};
 use crate::io::inbox::Message;
@@ -8,23 +8,23 @@
 use madderpoint_shared_state::messages::{SharedMessage, encode};
 use madderpoint_shared_state::{HealthReport, HealthReports, ProcessId, service_health};
 
-/// Health reports of other nodes that are stored: a sample of a large cluster is enough.
+/// Maximum number of stored health reports of other nodes. In a large cluster a sample is enough.
 const MAX_REPORTS: usize = 256;
-/// Members that a report is sent to each time.
+/// Number of random members that each report is sent to.
 const REPORT_RECEIVERS: usize = 3;
-/// Of the reports that all is well, one in this many is sent.
+/// Divisor of the number of reports without failures: only one in this many is sent.
 const WELL_REPORT_INTERVAL: u64 = 4;
 
 /// This node's end of the exchange of health reports.
 pub struct HealthExchange {
-    /// The service's hashed name.
+    /// Hash of the service's name.
     service: u64,
     health_reports: HealthReports,
     local_report_count: u64,
 }
 
 impl HealthExchange {
-    /// The exchange about the service of this name.
+    /// Creates the exchange for the service of this name.
     pub fn new(service_name: &str) -> HealthExchange {
         HealthExchange {
             service: MemberKey::of(service_name).0,
@@ -33,14 +33,14 @@
         }
     }
 
-    /// Stores what another process reports of this service; of others nothing is stored.
+    /// Stores another process's report about this service. Reports about other services are ignored.
     pub fn receive(&mut self, now: Nanos, from: ProcessId, service: u64, report: HealthReport) {
         if service == self.service {
             self.health_reports.receive(now, from, service, report);
         }
     }
 
-    /// Takes up this node's own report: some members get it, and the core gets the aggregated
+    /// Handles this node's own report: sends it to some members, and sends the core the aggregated
     /// health.
     pub fn report_local(
         &mut self,
--- a/crates/node/src/io/cluster_link/hosts.rs
+++ b/crates/node/src/io/cluster_link/hosts.rs
@@ -1,5 +1,6 @@
-//! The side effects of the membership and of the shared state: what they send goes out by the
-//! cluster's socket, and what the core is to know goes to its queue. No call waits.
+//! The hosts of the membership and of the shared state. Their messages are sent on the cluster's
+//! socket, and their results are queued as events for the core. No call blocks, except that a
+//! reconfiguration waits for room in the core's queue.
 
 use crate::io::inbox::Message;
 use crate::log::part;
@@ -13,26 +14,26 @@
 use std::net::{SocketAddr, UdpSocket};
 use tracing::info;
 
-/// The topic of the shared state, for payloads and status pages.
+/// The topic of the shared state in payloads and status pages.
 pub const SHARED_STATE_TOPIC: u32 = 1;
-/// A status snapshot is rendered anew after this many nanoseconds.
+/// Lifetime of a status snapshot, in nanoseconds. An older one is rendered anew.
 const STATUS_LIFETIME: Nanos = 200_000_000;
-/// Operator commands that may wait for the next turn of the event loop.
+/// Maximum number of operator commands received in one turn of the event loop; more are dropped.
 const QUEUED_OPERATOR_COMMANDS: usize = 32;
 
-/// Side effects of the shared state.
+/// The host of the shared state.
 pub struct SharedStateHost {
-    /// Messages that the event loop is to send, with the keys of their receivers.
+    /// Messages for the event loop to send, with the keys of their receivers.
     pub sent: Vec<(u64, SharedMessage)>,
-    /// What the core requested last of the budgets, and when.
+    /// The core's latest request for units of the budgets, with its time.
     pub lease_requests: (Nanos, Vec<BudgetRequest>),
-    /// Whether the core has released its leases and uses none of their units.
+    /// Whether the core has released its leases and no longer uses their units.
     pub are_leases_released: bool,
     events: Sender<Message>,
 }
 
 impl SharedStateHost {
-    /// A host that reports to the core by this queue.
+    /// Creates a host that reports to the core through this queue.
     pub fn new(events: Sender<Message>) -> SharedStateHost {
         SharedStateHost {
             sent: Vec::new(),
@@ -67,7 +68,7 @@
         requested_at: Nanos,
         leases: &[(u32, shared_state::Lease)],
     ) {
-        // A lease that finds no room in the queue is not used, and expires.
+        // A lease that does not fit into the queue is not used and expires.
         let event = Event::LeasesGranted(requested_at, leases.to_vec());
         let _ = self.events.try_send(Message::Event(event));
     }
@@ -77,33 +78,33 @@
     }
 }
 
-/// A payload of another member, for the event loop.
+/// A payload of another member that waits for the event loop.
 pub struct ReceivedPayload {
-    /// The process that sent it.
+    /// The process that sent the payload.
     pub from: ProcessId,
-    /// What it is about.
+    /// The topic, which tells the subsystem that the payload is for.
     pub topic: u32,
-    /// Its content.
+    /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
-/// An operator's command, for the event loop.
+/// An operator command that waits for the event loop.
 pub struct ReceivedCommand {
-    /// Where the reply goes.
+    /// The address that the reply is sent to.
     pub from: SocketAddr,
-    /// Its number, which the reply carries.
+    /// The command's number, which the reply repeats.
     pub number: u32,
-    /// What it is about.
+    /// The topic, which tells the rollout link that the command is for.
     pub topic: u32,
-    /// Its content.
+    /// The encoded command.
     pub bytes: Vec<u8>,
 }
 
 /// An encoded status snapshot.
 pub struct RenderedStatus {
-    /// When it was rendered.
+    /// When the snapshot was rendered, in the node's time.
     pub rendered_at: Nanos,
-    /// All of it; a page is a slice of this.
+    /// The whole encoded snapshot. A page is a slice of it.
     pub bytes: Vec<u8>,
 }
 
@@ -112,7 +113,8 @@
         now < self.rendered_at + STATUS_LIFETIME
     }
 
-    /// A page from this byte on, and where the next one begins; 0 after the last.
+    /// Returns the page that starts at this byte, and the start of the next page; 0 after the last
+    /// page.
     fn page(&self, from: u64) -> (Vec<u8>, u64) {
         let bytes = &self.bytes;
         let from = usize::try_from(from).unwrap_or(usize::MAX).min(bytes.len());
@@ -122,31 +124,31 @@
     }
 }
 
-/// Side effects of the membership.
+/// The host of the membership.
 pub struct MembershipHost {
-    /// The cluster's socket, which doesn't block.
+    /// The cluster's UDP socket, in non-blocking mode.
     pub socket: UdpSocket,
-    /// The core's queue.
+    /// The core's queue of events.
     pub events: Sender<Message>,
-    /// When the event loop read the socket last.
+    /// When the event loop last read the socket, in the node's time.
     pub now: Nanos,
-    /// Payloads that came in this turn of the event loop.
+    /// Payloads received in this turn of the event loop.
     pub payloads: Vec<ReceivedPayload>,
-    /// Operator commands that came in this turn; a bounded number.
+    /// Operator commands received in this turn; at most [`QUEUED_OPERATOR_COMMANDS`].
     pub operator_commands: Vec<ReceivedCommand>,
-    /// A cluster view that found no room in the core's queue.
+    /// A cluster view that did not fit into the core's queue and is sent again later.
     pub unsent_view: Option<ClusterView>,
-    /// The status of the shared state, as the core reported it last.
+    /// The status of the shared state, from the core's latest report.
     pub shared_status: Option<RenderedStatus>,
-    /// The status of rollouts, by topic.
+    /// The rendered status of rollouts, by topic.
     pub rollout_status: BTreeMap<u32, RenderedStatus>,
-    /// Topics of rollouts whose status is to be rendered.
+    /// Topics of rollouts whose status was requested and must be rendered.
     pub requested_topics: Vec<u32>,
     has_shared_state: bool,
 }
 
 impl MembershipHost {
-    /// A host that sends by this socket and reports to the core by this queue.
+    /// Creates a host that sends on this socket and reports to the core through this queue.
     pub fn new(
         socket: UdpSocket,
         events: Sender<Message>,
@@ -167,7 +169,8 @@
     }
 
     fn rollout_status_page(&mut self, topic: u32, from: u64) -> Option<(Vec<u8>, u64)> {
-        // All pages of one reply show one moment; the request for the first one renders it anew.
+        // All pages of a status come from one snapshot. Only a request for the first page renders a
+        // new one.
         let status = self.rollout_status.get(&topic);
         let Some(status) = status.filter(|status| from > 0 || status.is_fresh(self.now)) else {
             self.requested_topics.push(topic);
@@ -179,7 +182,7 @@
 
 impl Host for MembershipHost {
     fn send(&mut self, to: SocketAddr, frame: &[u8]) {
-        // A datagram that is not sent counts as lost on the way, which the protocol bears.
+        // A datagram that cannot be sent counts as lost, which the protocol tolerates.
         let _ = self.socket.send_to(frame, to);
     }
 
@@ -224,7 +227,7 @@
         }
         let status = self.shared_status.as_ref();
         let Some(status) = status.filter(|status| status.is_fresh(self.now)) else {
-            // The core is asked to report; a repeated request finds the status then.
+            // Requests the status from the core. A repeated request by the operator finds it.
             let _ = self.events.try_send(Message::Event(Event::StatusRequested));
             return None;
         };
--- a/crates/node/src/io/cluster_link/setup.rs
+++ b/crates/node/src/io/cluster_link/setup.rs
@@ -1,5 +1,5 @@
-//! How a node takes part in its cluster, and the set-up of its membership, shared state and
-//! rollouts on a bound socket.
+//! The description of a node's part in its cluster, and the construction of its membership, shared
+//! state and rollouts on a bound socket.
 
 use super::commands::ClusterLink;
 use super::event_loop::EventLoop;
@@ -19,51 +19,51 @@
 use std::net::{SocketAddr, UdpSocket};
 use tracing::info;
 
-/// Borrowers beyond those that the member table has room for.
+/// Number of borrowers that the shared state accepts beyond the capacity of the member table.
 const SPARE_BORROWERS: usize = 16;
-/// Processes whose counters are stored at least.
+/// Minimum number of processes whose counters are stored, whatever the memory limit.
 const MIN_COUNTED_PROCESSES: usize = 4;
 
-/// How a node takes part in its cluster.
+/// The settings of a node's part in its cluster.
 #[derive(Debug)]
 pub struct ClusterSetup {
-    /// The address that the UDP socket is bound to.
+    /// The address to bind the UDP socket to.
     pub bind: SocketAddr,
     /// Settings of the membership.
     pub settings: Config,
-    /// Keys of the voters, from whom the leader of the shared state is elected; without them
-    /// nothing is leased or counted across the cluster.
+    /// Keys of the voters, which elect the leader of the shared state from among themselves. Without
+    /// voters nothing is leased or counted across the cluster.
     pub voters: Vec<u64>,
     /// Budgets of the whole cluster.
     pub budgets: Vec<Budget>,
     /// Keyed quotas of the whole cluster.
     pub quotas: Vec<KeyedQuota>,
-    /// Bytes that a lender's record of keyed quotas may take.
+    /// Maximum size of a lender's accounts of keyed quotas, in bytes.
     pub quota_lender_bytes: usize,
-    /// The backend service whose health the nodes report to each other, if they do.
+    /// The backend service whose health the nodes report to each other; `None` if they do not.
     pub service: Option<SharedService>,
     /// Names of the operations, for status snapshots and rollouts.
     pub operations: Vec<String>,
-    /// Their latency objectives, in nanoseconds.
+    /// Latency objectives of the operations, in nanoseconds, in the order of `operations`.
     pub objectives: Vec<Nanos>,
-    /// Bytes that the counters of other processes may take.
+    /// Maximum size of the counters of other processes, in bytes.
     pub counter_bytes: usize,
-    /// Whether another process of this node may still be bound to the address: the thread then
-    /// waits until it is free.
+    /// Whether another process of this node may still be bound to the address, so that the thread
+    /// waits until the address is free.
     pub awaits_address: bool,
     /// The node's parts in rollouts, one for each kind.
     pub rollouts: Vec<RolloutSetup>,
-    /// Bytes that the metrics of rollouts may take.
+    /// Maximum size of a voter's metrics of a rollout, in bytes.
     pub rollout_bytes: usize,
 }
 
 impl ClusterSetup {
-    /// Whether the nodes share any state beyond the membership.
+    /// Whether the nodes share state beyond the membership.
     pub fn has_shared_state(&self) -> bool {
         !self.voters.is_empty() || self.service.is_some()
     }
 
-    /// What the core does for the shared state.
+    /// Returns the core's part in the shared state.
     pub fn shared_state_options(&self) -> SharedStateOptions {
         SharedStateOptions {
             service: self.service.clone(),
@@ -71,8 +71,8 @@
         }
     }
 
-    /// The intervals of requests for keyed quotas, by the largest cluster that any limit is made
-    /// for.
+    /// Returns the intervals of requests for keyed quotas. They depend on the largest cluster size
+    /// that any budget or quota is configured for.
     pub fn quota_timing(&self) -> QuotaTiming {
         let budgets = self.budgets.iter().map(|budget| budget.max_nodes);
         let quotas = self.quotas.iter().map(|quota| quota.max_nodes);
@@ -80,12 +80,12 @@
     }
 }
 
-/// Sets up all that the cluster's thread owns.
+/// Builds the state of the cluster's thread.
 ///
 /// # Errors
 ///
-/// The socket can't be used, the membership rejects its settings, or the worker of a rollout can't
-/// be started.
+/// The socket cannot be set up, the membership rejects its settings, or the worker of a rollout
+/// cannot be started.
 pub fn build<C: Fn() -> ClockReading>(
     setup: ClusterSetup,
     seed: u64,
@@ -144,7 +144,7 @@
     })
 }
 
-/// The configuration of the shared state; `None` without voters.
+/// Returns the configuration of the shared state; `None` without voters.
 fn shared_state_config(setup: &ClusterSetup, process: ProcessId) -> Option<shared_state::Config> {
     if setup.voters.is_empty() {
         return None;
@@ -165,7 +165,7 @@
     })
 }
 
-/// A zone as a number, which is enough to tell zones apart.
+/// Returns a hash of a zone's name, which is enough to tell zones apart.
 pub fn zone_number(zone: &str) -> u32 {
     (MemberKey::of(zone).0 >> 32) as u32
 }
--- a/crates/node/src/io/connection_slots.rs
+++ b/crates/node/src/io/connection_slots.rs
@@ -1,4 +1,4 @@
-//! The bound on load balancers' connections, which the reader, the core and writers share.
+//! The limit on load balancers' connections, shared by the reader, the core and the writers.
 
 use super::reader_commands::ReaderHandle;
 use crate::capacity::CapacityLimits;
@@ -6,21 +6,21 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
 
-/// How many connections there may be, and how many there are.
+/// The slots for load balancers' connections, and counters of their use.
 pub struct ConnectionSlots {
-    /// The bounds.
+    /// The bounds of the node, including the number of slots.
     pub capacity: CapacityLimits,
-    /// Connections that take a descriptor.
+    /// Number of connections whose descriptor is still open.
     open: AtomicUsize,
-    /// Bytes of answers that wait to be written.
+    /// Size of the answers queued for writers, in bytes.
     pub unwritten: AtomicUsize,
-    /// Whether a connection waits for a slot; the reader is woken when one becomes free.
+    /// Whether the reader waits for a free slot and must be woken when there is one.
     pub is_full: AtomicBool,
     reader: ReaderHandle,
 }
 
 impl ConnectionSlots {
-    /// All slots are free.
+    /// Creates the slots, all of them free.
     pub fn new(capacity: CapacityLimits, reader: ReaderHandle) -> ConnectionSlots {
         ConnectionSlots {
             capacity,
@@ -31,23 +31,23 @@
         }
     }
 
-    /// Whether there is a slot for another connection.
+    /// Whether a slot is free.
     pub fn has_free(&self) -> bool {
         self.open.load(SeqCst) < self.capacity.connections
     }
 }
 
-/// A connection's socket, shared by the reader, the core and a writer. Its slot is free again only
-/// when all have let go of it: until then it takes a descriptor.
+/// A connection's socket, shared by the reader, the core and a writer. Its slot becomes free only
+/// when all of them have dropped the socket, because the descriptor stays open until then.
 pub struct Socket {
-    /// The stream.
+    /// The TCP stream.
     pub stream: TcpStream,
-    /// The slots that it takes one of.
+    /// The slots, one of which this socket occupies.
     pub slots: Arc<ConnectionSlots>,
 }
 
 impl Socket {
-    /// An accepted connection takes its slot.
+    /// Wraps the stream of an accepted connection and occupies a slot.
     pub fn new(stream: TcpStream, slots: &Arc<ConnectionSlots>) -> Socket {
         slots.open.fetch_add(1, SeqCst);
         Socket {
@@ -61,7 +61,7 @@
     fn drop(&mut self) {
         self.slots.open.fetch_sub(1, SeqCst);
         if self.slots.is_full.load(SeqCst) {
-            self.slots.reader.ring();
+            self.slots.reader.wake();
         }
     }
 }
--- a/crates/node/src/io/event_loop.rs
+++ b/crates/node/src/io/event_loop.rs
@@ -1,5 +1,5 @@
-//! The core's thread: passes it messages and due timers, and flushes what it has written, until the
-//! node has stopped.
+//! The event loop of the core's thread: passes messages and due timers to the core and flushes the
+//! answers that the core has added, until the node has stopped.
 
 use super::clock::Clock;
 use super::inbox::{Inbox, Message};
@@ -9,18 +9,20 @@
 use madderpoint::Nanos;
 use std::time::Duration;
 
-/// Messages of load balancers that are taken before the core turns to other peers and timers again.
+/// Maximum number of load balancers' messages handled in a row before other peers and timers.
 const CLIENT_BATCH: usize = 64;
-/// A timer that is late by more, in nanoseconds, shows that the machine stood still. Before it
-/// fires, messages are taken until none has come for [`CATCH_UP_QUIET`], or for [`CATCH_UP_MAX`].
-const STOOD_STILL: Nanos = 20_000_000;
-/// See [`STOOD_STILL`].
+/// A timer that is late by more than this, in nanoseconds, shows that the process or the machine was
+/// stalled. Messages that arrived meanwhile are then handled before the timer fires, until none
+/// arrives for [`CATCH_UP_QUIET`] or [`CATCH_UP_MAX`] has passed.
+const STALL_THRESHOLD: Nanos = 20_000_000;
+/// Time without a message that ends the catching up after a stall.
 const CATCH_UP_QUIET: Duration = Duration::from_millis(3);
-/// See [`STOOD_STILL`]; in nanoseconds.
+/// Maximum duration of the catching up after a stall, in nanoseconds.
 const CATCH_UP_MAX: Nanos = 50_000_000;
 
-/// Runs the core until the node has stopped; calls `on_serving` once it serves. Takes the messages
-/// that wait, then fires the timers that are due, so that what has arrived counts before a timeout.
+/// Runs the core until the node has stopped, and calls `on_serving` when the node starts to serve.
+/// Each turn handles the queued messages before the due timers, so that a message that has already
+/// arrived takes precedence over a timeout.
 pub fn run(
     core: &mut Node<Sockets>,
     clock: Clock,
@@ -33,18 +35,19 @@
         }
         let due = core.next_timer().unwrap_or(Nanos::MAX);
         let wait = Duration::from_nanos(due.saturating_sub(clock.now()));
-        take_messages(core, clock, inbox, wait);
-        if clock.now() > due.saturating_add(STOOD_STILL) {
+        handle_messages(core, clock, inbox, wait);
+        if clock.now() > due.saturating_add(STALL_THRESHOLD) {
             let until = clock.now() + CATCH_UP_MAX;
-            while clock.now() < until && take_messages(core, clock, inbox, CATCH_UP_QUIET) {}
+            while clock.now() < until && handle_messages(core, clock, inbox, CATCH_UP_QUIET) {}
         }
         core.fire_timers(clock.now());
         core.with_actions(Sockets::flush);
     }
 }
 
-/// Waits for a message, then takes all of peers and a batch of load balancers'; false if none came.
-fn take_messages(core: &mut Node<Sockets>, clock: Clock, inbox: &Inbox, wait: Duration) -> bool {
+/// Waits for a message, then handles all queued messages of peers and a batch of load balancers'
+/// messages. Returns false if none arrived within `wait`.
+fn handle_messages(core: &mut Node<Sockets>, clock: Clock, inbox: &Inbox, wait: Duration) -> bool {
     let first = select! {
         recv(inbox.peers) -> message => message,
         recv(inbox.clients) -> message => message,
@@ -52,18 +55,18 @@
     };
     first
         .into_iter()
-        .for_each(|message| take(core, clock, message));
+        .for_each(|message| handle(core, clock, message));
     let peers = inbox.peers.try_iter().take(inbox.peers.len());
-    peers.for_each(|message| take(core, clock, message));
+    peers.for_each(|message| handle(core, clock, message));
     inbox
         .clients
         .try_iter()
         .take(CLIENT_BATCH)
-        .for_each(|message| take(core, clock, message));
+        .for_each(|message| handle(core, clock, message));
     true
 }
 
-fn take(core: &mut Node<Sockets>, clock: Clock, message: Message) {
+fn handle(core: &mut Node<Sockets>, clock: Clock, message: Message) {
     let event = match message {
         Message::Event(event) => event,
         Message::Accepted(id, from, connection) => {
--- a/crates/node/src/io/executor_link.rs
+++ b/crates/node/src/io/executor_link.rs
@@ -1,9 +1,9 @@
-//! The connection to the executor: one thread that connects and reads, and a writer for each
+//! The link to the executor: one thread that connects and reads, and one writer thread per
 //! connection.
 
 use super::executor_writer::ExecutorWriter;
 use super::inbox::Message;
-use super::stream::{Addresses, CONNECT, read_all, write_gathered};
+use super::stream::{Addresses, CONNECT_TIMEOUT, read_all, write_gathered};
 use super::threads::spawn;
 use crate::executor;
 use crate::log::part;
@@ -16,12 +16,13 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// Lines written with one call.
-const GATHERED: usize = 16;
-/// The least time between the starts of two connections, or of two attempts to connect.
-const RETRY: Duration = Duration::from_millis(50);
+/// Maximum number of lines written with one system call.
+const WRITE_BATCH: usize = 16;
+/// Minimum time between the starts of two attempts to connect.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Keeps the executor connected from here on. `lines_max` lines may wait to be written.
+/// Starts the thread that keeps the executor connected. Up to `lines_max` lines are queued for
+/// write_stream.
 pub fn start(addresses: Addresses, lines_max: usize, events: Sender<Message>) -> io::Result<()> {
     spawn("executor", move || {
         keep_connected(&addresses, lines_max, &events);
@@ -33,7 +34,7 @@
     let mut is_failure_logged = false;
     loop {
         let (begun, address) = (Instant::now(), addresses.load().executor);
-        match TcpStream::connect_timeout(&address, CONNECT) {
+        match TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) {
             Ok(stream) => {
                 is_failure_logged = false;
                 if let Err(e) = read(Arc::new(stream), lines_max, &mut reader, events) {
@@ -48,12 +49,12 @@
             Err(_) => {}
         }
         if addresses.load().executor == address {
-            thread::sleep(RETRY.saturating_sub(begun.elapsed()));
+            thread::sleep(RETRY_INTERVAL.saturating_sub(begun.elapsed()));
         }
     }
 }
 
-/// Reads a connection until it ends.
+/// Starts the writer of a connection, then reads the connection until it ends.
 fn read(
     stream: Arc<TcpStream>,
     lines_max: usize,
@@ -62,8 +63,8 @@
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let (queue, lines) = bounded::<String>(lines_max);
-    let writing = Arc::clone(&stream);
-    spawn("executor write", move || write(&writing, &lines))?;
+    let write_stream = Arc::clone(&stream);
+    spawn("executor write", move || write(&write_stream, &lines))?;
     let writer = ExecutorWriter::new(Arc::clone(&stream), queue);
     let _ = events.send(Message::ExecutorConnected(reader.open(), writer));
     let feed = |bytes: &[u8]| {
@@ -80,7 +81,7 @@
 fn write(stream: &TcpStream, lines: &Receiver<String>) {
     while let Ok(first) = lines.recv() {
         let batch: Vec<_> = std::iter::once(first)
-            .chain(lines.try_iter().take(GATHERED - 1))
+            .chain(lines.try_iter().take(WRITE_BATCH - 1))
             .collect();
         let mut slices: Vec<_> = batch
             .iter()
--- a/crates/node/src/io/executor_writer.rs
+++ b/crates/node/src/io/executor_writer.rs
@@ -6,19 +6,20 @@
 use std::sync::Arc;
 use tracing::warn;
 
-/// Passes lines on to the thread that writes them.
+/// The handle that passes lines on to the writer thread of a connection.
 pub struct ExecutorWriter {
     stream: Arc<TcpStream>,
     queue: Sender<String>,
 }
 
 impl ExecutorWriter {
-    /// For a connection whose lines are written from the queue.
+    /// Creates the handle for a connection whose writer thread reads from `queue`.
     pub fn new(stream: Arc<TcpStream>, queue: Sender<String>) -> ExecutorWriter {
         ExecutorWriter { stream, queue }
     }
 
-    /// Has a line written. False, and the connection ends, if the executor does not read.
+    /// Queues a line for writing. If the queue is full because the executor does not read, closes the
+    /// connection and returns false.
     pub fn write(&self, line: String) -> bool {
         let is_queued = self.queue.try_send(line).is_ok();
         if !is_queued {
@@ -28,7 +29,7 @@
         is_queued
     }
 
-    /// Ends the connection; lines that are queued may be lost.
+    /// Shuts the connection down. Queued lines may be lost.
     pub fn close(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
--- a/crates/node/src/io/reader_commands.rs
+++ b/crates/node/src/io/reader_commands.rs
@@ -1,51 +1,53 @@
-//! How other threads ask the reader of load balancers' connections for something.
+//! Commands of other threads to the reader of load balancers' connections.
 
 use crate::actions::{Close, ConnectionId};
 use crossbeam_channel::Sender;
 use rustix::fd::OwnedFd;
 use std::sync::Arc;
 
-/// What the reader is asked for.
+/// Commands to the reader.
 pub enum ReaderCommand {
-    /// To close a connection, if nothing was read on it that the core has not heard of.
+    /// Closes a connection, unless the reader has sent events that the core had not handled when it
+    /// requested the close.
     Close(ConnectionId, Close),
-    /// To read nothing more on a connection, except what a peer that is not paced has sent by now.
+    /// Stops reading a connection. If its peer is not paced, the bytes that have arrived by now are
+    /// still read.
     StopReading(ConnectionId),
-    /// To let go of a connection at once: its peer takes no answers.
+    /// Drops a connection at once, because its peer does not accept answers.
     Abort(ConnectionId),
-    /// To accept the connections in the listen backlog, and then no more.
+    /// Accepts the connections in the listen backlog, and then no more.
     StopListening,
 }
 
-/// The reader's queue of commands. No call blocks.
+/// The handle of the reader, through which other threads send it commands. No call blocks.
 #[derive(Clone)]
 pub struct ReaderHandle {
     queue: Sender<ReaderCommand>,
-    /// The reader waits for this eventfd among its sockets.
-    bell: Arc<OwnedFd>,
+    /// The eventfd that wakes the reader, which polls it together with its sockets.
+    wake_fd: Arc<OwnedFd>,
 }
 
 impl ReaderHandle {
-    /// For the reader that takes commands from the queue when the bell rings.
-    pub fn new(queue: Sender<ReaderCommand>, bell: Arc<OwnedFd>) -> ReaderHandle {
-        ReaderHandle { queue, bell }
+    /// Creates the handle of the reader that polls `wake_fd` and receives commands from `queue`.
+    pub fn new(queue: Sender<ReaderCommand>, wake_fd: Arc<OwnedFd>) -> ReaderHandle {
+        ReaderHandle { queue, wake_fd }
     }
 
-    /// Sends a command; false if too many wait already.
+    /// Sends a command and wakes the reader. Returns false if the queue is full.
     pub fn send(&self, command: ReaderCommand) -> bool {
         let is_queued = self.queue.try_send(command).is_ok();
-        self.ring();
+        self.wake();
         is_queued
     }
 
     /// Wakes the reader.
-    pub fn ring(&self) {
-        let _ = rustix::io::write(&*self.bell, &1u64.to_ne_bytes());
+    pub fn wake(&self) {
+        let _ = rustix::io::write(&*self.wake_fd, &1u64.to_ne_bytes());
     }
 
-    /// Resets the bell, so that it can ring again.
-    pub fn reset_bell(&self) {
+    /// Clears the wake descriptor; called by the reader before it receives commands.
+    pub fn clear_wake_fd(&self) {
         let mut count = [0; 8];
-        let _ = rustix::io::read(&*self.bell, &mut count);
+        let _ = rustix::io::read(&*self.wake_fd, &mut count);
     }
 }
--- a/crates/node/src/io/registry_reports.rs
+++ b/crates/node/src/io/registry_reports.rs
@@ -1,4 +1,4 @@
-//! Reports to the service registry, on a thread of their own.
+//! Reports to the service registry, sent by a dedicated thread.
 
 use super::stream::Addresses;
 use super::threads::spawn;
@@ -12,30 +12,32 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Between two reports.
-const PERIOD: Duration = Duration::from_millis(800);
-/// Between a report that failed and the next one.
-const RETRY: Duration = Duration::from_millis(200);
-/// What each step of a report may take: connecting, writing, and waiting for the answer.
-const STEP: Duration = Duration::from_millis(400);
-/// How often it is looked whether the next report is due or the node's state has changed.
-const POLL: Duration = Duration::from_millis(50);
+/// Time between two reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(800);
+/// Time between a failed report and the next one.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout of each step of a report: connecting, writing, and waiting for the answer.
+const STEP_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time between two checks whether a report is due or the node's phase or the registry's address has
+/// changed.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the reports depend on.
+/// The phase of the node, which the reports depend on.
 #[derive(Clone, Default)]
 pub struct NodePhase {
     /// Whether the node drains.
     pub is_draining: Arc<AtomicBool>,
-    /// Whether another process of this node takes over; then that one reports.
+    /// Whether another process of this node takes over. That process then reports, and this one stops
+    /// reporting.
     pub is_handed_over: Arc<AtomicBool>,
 }
 
-/// Reports from here on that the node is up, or that it drains.
+/// Starts the thread that reports whether the node is up or drains.
 pub fn start(addresses: Addresses, node: String, phase: NodePhase) -> io::Result<()> {
-    spawn("reports", move || report(&addresses, &node, &phase))
+    spawn("reports", move || run(&addresses, &node, &phase))
 }
 
-fn report(addresses: &Addresses, node: &str, phase: &NodePhase) {
+fn run(addresses: &Addresses, node: &str, phase: &NodePhase) {
     let mut is_failing = false;
     loop {
         let address = addresses.load().service_registry;
@@ -43,10 +45,10 @@
         if phase.is_handed_over.load(SeqCst) {
             return;
         }
-        let reported = if is_draining { Phase::Out } else { Phase::Up };
+        let reported_phase = if is_draining { Phase::Out } else { Phase::Up };
         let result = report_once(
             address,
-            &service_registry::report(&address.to_string(), node, reported),
+            &service_registry::report(&address.to_string(), node, reported_phase),
         );
         if let Err(e) = &result
             && !is_failing
@@ -57,29 +59,33 @@
             info!(target: part::SERVICE_REGISTRY, "reports succeed again");
         }
         is_failing = result.is_err();
-        let pause = if is_failing { RETRY } else { PERIOD };
+        let pause = if is_failing {
+            RETRY_INTERVAL
+        } else {
+            REPORT_INTERVAL
+        };
         let until = Instant::now() + pause;
         while Instant::now() < until
             && phase.is_draining.load(SeqCst) == is_draining
             && addresses.load().service_registry == address
         {
-            thread::sleep(POLL.min(pause));
+            thread::sleep(POLL_INTERVAL.min(pause));
         }
     }
 }
 
 fn report_once(address: SocketAddr, bytes: &[u8]) -> io::Result<()> {
-    let mut stream = TcpStream::connect_timeout(&address, STEP)?;
-    stream.set_read_timeout(Some(STEP))?;
-    stream.set_write_timeout(Some(STEP))?;
+    let mut stream = TcpStream::connect_timeout(&address, STEP_TIMEOUT)?;
+    stream.set_read_timeout(Some(STEP_TIMEOUT))?;
+    stream.set_write_timeout(Some(STEP_TIMEOUT))?;
     stream.write_all(bytes)?;
-    let until = Instant::now() + STEP;
+    let until = Instant::now() + STEP_TIMEOUT;
     let (mut answer, mut buffer) = (service_registry::Answer::default(), [0; 512]);
     while Instant::now() < until {
         let length = match stream.read(&mut buffer) {
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-            // It was sent and counts without an answer: to send it again at once would only add to
-            // the load.
+            // A report without an answer counts as delivered: sending it again at once would only
+            // add load.
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 return Ok(());
             }
--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -1,10 +1,11 @@
-//! A node's part in rollouts of its settings or its program, beside its part in the cluster: its
-//! messages travel as the membership's payloads, what takes time (checks, writes, swaps) is done by
-//! a thread of its own ([`version_worker`]), and neither waits for the other.
+//! The node's part in rollouts of its settings or its program. Messages of rollouts are sent as
+//! payloads of the membership. Slow work (checking, writing and applying versions) is done by a
+//! worker thread ([`version_worker`]); the worker and the cluster's thread do not wait for each other.
 //!
-//! The thread of the cluster link owns it and calls it: [`RolloutLink::handle_message`] and
-//! [`RolloutLink::handle_command`] for what comes, [`RolloutLink::task_done`] for what the worker
-//! did, [`RolloutLink::wake`] and [`RolloutLink::post`] in turn.
+//! The cluster's thread owns the [`RolloutLink`]. It passes in messages
+//! ([`RolloutLink::handle_message`]), operator commands ([`RolloutLink::handle_command`]) and results
+//! of the worker ([`RolloutLink::task_done`]), and calls [`RolloutLink::wake`] and
+//! [`RolloutLink::send_pending`] in each turn.
 
 mod host;
 mod status;
@@ -34,32 +35,32 @@
 use std::thread;
 use std::time::Duration;
 pub use version_worker::{ResultSender, TaskResult, VersionError, Versions};
-use version_worker::{Task, work};
+use version_worker::{Task, run_tasks};
 use window_samples::samples;
 
-/// The topic of rollouts of settings, for payloads, pages, commands and attachments.
+/// The topic of rollouts of settings in payloads, status pages, commands and attachments.
 pub const SETTINGS_ROLLOUT_TOPIC: u32 = 2;
-/// The same of the program.
+/// The topic of rollouts of the program in payloads, status pages, commands and attachments.
 pub const PROGRAM_ROLLOUT_TOPIC: u32 = 3;
-/// Time between two wake-ups.
+/// Time between two wake-ups, in nanoseconds.
 const WAKE_INTERVAL: Nanos = 200_000_000;
-/// Time between two looks at what nodes counted, while a rollout is in progress.
-const COUNTS_INTERVAL: Nanos = 1_000_000_000;
-/// Tasks that the worker may have before it: one of each kind is asked for at a time.
+/// Time between two reads of the cluster's counters while a rollout is in progress, in nanoseconds.
+const COUNTERS_READ_INTERVAL: Nanos = 1_000_000_000;
+/// Length of the worker's queue. At most one task of each kind is requested at a time.
 const QUEUED_TASKS: usize = 8;
-/// Bytes that a node takes in the metrics, for each end of the rollout's order, with two dozen
-/// operations.
+/// Size of one node's record in the metrics of a rollout, in bytes, with two dozen operations, for
+/// each end of the rollout's order.
 const NODE_RECORD_BYTES: usize = 12 << 10;
-/// A latency below the latency objective divided by this is never slow.
+/// Divisor of a latency objective. Latencies below the quotient never count as slow.
 const OBJECTIVE_DIVISOR: Nanos = 10;
-/// The unit of the latency histograms: a tenth of a millisecond.
+/// The unit of the latency histograms, 0.1 ms, in nanoseconds.
 const HISTOGRAM_UNIT: Nanos = 100_000;
-/// How long a node that leaves waits for its last write.
-const LAST_WRITE_WAIT: Duration = Duration::from_millis(300);
-/// Replies to commands that may wait to be sent.
+/// Maximum time that a leaving node waits for its last write to the disk.
+const LAST_WRITE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum number of queued replies to operator commands.
 const QUEUED_REPLIES: usize = 32;
 
-/// The topic of rollouts of a kind.
+/// Returns the topic of rollouts of a kind.
 pub fn topic(kind: Kind) -> u32 {
     match kind {
         Kind::Settings => SETTINGS_ROLLOUT_TOPIC,
@@ -67,13 +68,13 @@
     }
 }
 
-/// What a node's part in rollouts of one kind starts with.
+/// The initial data of a node's part in rollouts of one kind.
 pub struct RolloutSetup {
-    /// What was on the node's disk.
+    /// The state that was read from the node's disk.
     pub start: InitialState,
-    /// The plan of rollouts that are offered here.
+    /// The plan of rollouts that operators start at this node.
     pub plan: Plan,
-    /// What checks, stores and applies versions.
+    /// Checks, stores and applies versions.
     pub versions: Box<dyn Versions>,
 }
 
@@ -86,25 +87,25 @@
     }
 }
 
-/// The node among the others, and how much its part may keep.
+/// The node's identity in the cluster, and the bounds of its part in rollouts.
 pub struct RolloutContext {
-    /// The key of its name.
+    /// The node's member key.
     pub me: MemberKey,
-    /// The number of its zone.
+    /// The number of the node's zone.
     pub zone: u32,
-    /// The keys of the voters, in the order in which they coordinate.
+    /// Keys of the voters, in the order of precedence as coordinator.
     pub voters: Vec<u64>,
     /// Names of the operations.
     pub operations: Vec<String>,
-    /// Their latency objectives.
+    /// Latency objectives of the operations, in nanoseconds, in the order of `operations`.
     pub objectives: Vec<Nanos>,
-    /// Bytes for the metrics.
+    /// Maximum size of the metrics of a rollout, in bytes.
     pub bytes: usize,
-    /// Seeds what is random.
+    /// Seed of the link's random numbers.
     pub seed: u64,
 }
 
-/// A reply that waits to be sent.
+/// A reply to an operator command that waits to be sent.
 struct QueuedReply {
     to: SocketAddr,
     number: u32,
@@ -116,17 +117,17 @@
     participant: Participant<RolloutHost>,
     kind: Kind,
     next_wake: Nanos,
-    counts_seen: Nanos,
+    counts_read_at: Nanos,
     operations: Vec<String>,
-    /// Disconnected once the worker has ended.
+    /// A channel that is disconnected once the worker has ended.
     worker_ended: Receiver<()>,
     replies: VecDeque<QueuedReply>,
-    /// Whether another process has taken this one's place.
-    handed_over: bool,
+    /// Whether another process has been started to replace this one.
+    is_handed_over: bool,
 }
 
 impl RolloutLink {
-    /// Starts the part, and the thread that checks and writes.
+    /// Creates the node's part and starts its worker thread.
     pub fn start(
         at: ClockReading,
         setup: RolloutSetup,
@@ -140,21 +141,21 @@
         } = setup;
         let kind = start.persisted.kind;
         let (tasks, inbox) = bounded(QUEUED_TASKS);
-        // Settings are read there, whose expressions nest in each other.
+        // The worker parses settings, whose nested expressions need a larger stack.
         let thread = thread::Builder::new()
             .name("versions".into())
             .stack_size(8 * STACK);
         let (ended, worker_ended) = bounded(0);
         thread.spawn(move || {
             let _ended: Sender<()> = ended;
-            work(kind, versions, &inbox, &results);
+            run_tasks(kind, versions, &inbox, &results);
         })?;
         let host = RolloutHost {
             kind,
             me: context.me.0,
             sent: Vec::new(),
             tasks,
-            shown: None,
+            published: None,
             members: vec![Member {
                 node: context.me.0,
                 zone: context.zone,
@@ -168,51 +169,51 @@
             participant: participant(at, start, plan, &context, host),
             kind,
             next_wake: 0,
-            counts_seen: 0,
+            counts_read_at: 0,
             operations: context.operations,
             worker_ended,
             replies: VecDeque::new(),
-            handed_over: false,
+            is_handed_over: false,
         })
     }
 
-    /// What its rollouts change.
+    /// Returns the kind of the rollouts: of settings or of the program.
     pub fn kind(&self) -> Kind {
         self.kind
     }
 
-    /// When it wants to be woken next.
+    /// Returns the time of the next call of [`RolloutLink::wake`].
     pub fn next_wake(&self) -> Nanos {
         self.next_wake
     }
 
-    /// Sets the plan of rollouts that are offered here from now on.
+    /// Sets the plan of rollouts that operators start at this node from now on.
     pub fn set_plan(&mut self, plan: Plan) {
         self.participant.plan = plan;
     }
 
-    /// Takes up a message of another node.
-    pub fn handle_message(&mut self, at: ClockReading, from: MemberKey, parcel: &[u8]) {
-        if let Some(message) = messages::decode(parcel) {
+    /// Handles a message of another node. One that cannot be decoded is ignored.
+    pub fn handle_message(&mut self, at: ClockReading, from: MemberKey, payload: &[u8]) {
+        if let Some(message) = messages::decode(payload) {
             self.participant
                 .handle_message(at.now, at.unix_ms, from.0, message);
         }
     }
 
-    /// Takes up what the worker did.
+    /// Handles the result of a task of the worker.
     pub fn task_done(&mut self, at: ClockReading, result: TaskResult) {
         let participant = &mut self.participant;
-        self.handed_over |=
+        self.is_handed_over |=
             self.kind == Kind::Program && matches!(&result, TaskResult::Applied(_, Ok(())));
         match result {
             TaskResult::Checked(rollout, result) => {
                 participant.agent.check_finished(at.now, rollout, result)
             }
-            TaskResult::OfferChecked(no, found) => {
-                participant.offer_checked(at.now, at.unix_ms, no, found)
+            TaskResult::OfferChecked(number, found) => {
+                participant.offer_checked(at.now, at.unix_ms, number, found)
             }
-            TaskResult::Persisted(no, result) => {
-                participant.agent.persist_finished(at.now, no, result)
+            TaskResult::Persisted(number, result) => {
+                participant.agent.persist_finished(at.now, number, result)
             }
             TaskResult::Applied(version, result) => participant
                 .agent
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Takes up an operator's command; the reply is sent with the next [`RolloutLink::post`].
+    /// Handles an operator's command. The reply is sent by the next [`RolloutLink::send_pending`].
     pub fn handle_command(
         &mut self,
         at: ClockReading,
@@ -234,7 +235,7 @@
                 .handle_command(at.now, at.unix_ms, &command),
             Err(_) => CommandReply {
                 state: state::REJECTED,
-                why: "this order can't be read".into(),
+                why: "the command cannot be decoded".into(),
                 rollout: 0,
             },
         };
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Takes up what this node counted so far.
+    /// Records this node's own counters, as totals since its start.
     pub fn record_local_counts(&mut self, at: ClockReading, report: &CounterReport) {
         let mut sum = LocalMetrics::default();
         for (row, numbers) in &report.total {
@@ -263,7 +264,7 @@
             .record_local_metrics(at.now, at.unix_ms, sum);
     }
 
-    /// Does what is due, by what the membership and its counts look like now.
+    /// Runs the due work of the participant with the current members and the cluster's counters.
     pub fn wake<H: MembershipHost>(
         &mut self,
         at: ClockReading,
@@ -287,14 +288,14 @@
                 zone: super::zone_number(&entry.details.zone),
                 present,
             });
-            let part = entry
+            let attachment = entry
                 .details
                 .attachments
                 .iter()
-                .find(|part| part.id == topic);
-            if let Some(report) = part
+                .find(|attachment| attachment.id == topic);
+            if let Some(report) = attachment
                 .filter(|_| present && key != me)
-                .and_then(|p| messages::decode_attachment(&p.bytes))
+                .and_then(|a| messages::decode_attachment(&a.bytes))
             {
                 digests.push((key.0, report.digest));
             }
@@ -305,7 +306,8 @@
         self.participant.wake(at.now, at.unix_ms);
     }
 
-    /// A voter takes up what all nodes counted, while a rollout is under way.
+    /// Collects the samples of all nodes from the cluster's counters, if this node is a voter and a
+    /// rollout is in progress.
     fn refresh_windows<H: MembershipHost>(
         &mut self,
         at: ClockReading,
@@ -324,25 +326,29 @@
         else {
             return;
         };
-        let recorded = coordinator
+        let is_recorded = coordinator
             .metrics()
             .is_some_and(|record| record.rollout == rollout);
-        if recorded && at.now < self.counts_seen + COUNTS_INTERVAL {
+        if is_recorded && at.now < self.counts_read_at + COUNTERS_READ_INTERVAL {
             return;
         }
-        self.counts_seen = at.now;
+        self.counts_read_at = at.now;
         let from = coordinator
             .next_wanted_window(agent.rollouts())
-            .filter(|_| recorded)
+            .filter(|_| is_recorded)
             .unwrap_or(0);
         self.participant.agent.host.windows = samples(self.kind, membership, counts, from);
     }
 
-    /// Sends and shows what there is to say.
-    pub fn post<H: MembershipHost>(&mut self, at: ClockReading, membership: &mut Membership<H>) {
+    /// Sends the queued messages and replies, and publishes the node's report as an attachment.
+    pub fn send_pending<H: MembershipHost>(
+        &mut self,
+        at: ClockReading,
+        membership: &mut Membership<H>,
+    ) {
         let topic = topic(self.kind);
-        // What this node tells itself as a voter, as the coordinator and as a member stays
-        // here, and may be answered.
+        // Messages from this node to itself, in its roles as voter, coordinator and member, are
+        // handled here and may produce further messages.
         while !self.participant.agent.host.sent.is_empty() {
             for (to, message) in std::mem::take(&mut self.participant.agent.host.sent) {
                 if to == self.participant.agent.me() {
@@ -358,13 +364,13 @@
                 membership.send_payload(at, MemberKey(to), topic, &messages::later_kind());
             }
         }
-        if let Some(report) = self.participant.agent.host.shown.take() {
-            let part = Attachment {
+        if let Some(report) = self.participant.agent.host.published.take() {
+            let attachment = Attachment {
                 id: topic,
                 version: 1,
                 bytes: messages::encode_attachment(&report),
             };
-            let _ = membership.set_attachment(at, part); // one that does not fit is counted there
+            let _ = membership.set_attachment(at, attachment); // the membership counts one that does not fit
         }
         while let Some(queued) = self.replies.pop_front() {
             membership.answer_command(
@@ -377,34 +383,34 @@
         }
     }
 
-    /// Whether another process is being started to take this one's place: nothing else may change
-    /// then.
-    pub fn hands_over(&self) -> bool {
-        self.kind == Kind::Program && (self.handed_over || self.participant.agent.is_applying())
+    /// Whether another process is being started to replace this one. Nothing else may change
+    /// meanwhile.
+    pub fn is_handing_over(&self) -> bool {
+        self.kind == Kind::Program && (self.is_handed_over || self.participant.agent.is_applying())
     }
 
-    /// The node ends, by notice: what it had on trial did not die, and that is written before the
-    /// process is gone. Where another process takes its place, that one has it on trial, and
-    /// writes.
-    pub fn leave(&mut self, handed_over: bool) {
+    /// Records an orderly stop of the node: a version on trial did not crash, and this is written
+    /// before the process ends. If another process takes over, the trial continues there, and that
+    /// process writes.
+    pub fn leave(&mut self, is_handed_over: bool) {
         let persisted = Box::new(self.participant.agent.leave());
         let (tasks, _) = bounded(0);
         let tasks = std::mem::replace(&mut self.participant.agent.host.tasks, tasks);
-        if !handed_over {
+        if !is_handed_over {
             let _ = tasks.try_send(Task::Persist {
-                no: 0,
+                number: 0,
                 persisted,
                 content: None,
             });
         }
         drop(tasks);
-        // A disk that takes longer leaves the note of a trial behind: then that counts as a death,
-        // which is the safe side.
-        let _ = self.worker_ended.recv_timeout(LAST_WRITE_WAIT);
+        // If the write takes longer, the disk still shows a version on trial. The next start then
+        // counts a crash of that version, which is the safe assumption.
+        let _ = self.worker_ended.recv_timeout(LAST_WRITE_TIMEOUT);
     }
 }
 
-/// The part of a node that has just started.
+/// Creates the participant of a node that has just started.
 fn participant(
     at: ClockReading,
     start: InitialState,
@@ -430,7 +436,7 @@
         .iter()
         .map(|name| (name_hash(name), name.clone()))
         .collect();
-    let fast_enough = context
+    let never_slow_below = context
         .operations
         .iter()
         .zip(&context.objectives)
@@ -443,7 +449,7 @@
         .coordinator
         .with_names(names)
         .with_capacity(context.bytes / NODE_RECORD_BYTES)
-        .with_fast_enough(fast_enough);
+        .with_fast_enough(never_slow_below);
     participant.plan = plan;
     participant
 }
--- a/crates/node/src/io/rollout_link/host.rs
+++ b/crates/node/src/io/rollout_link/host.rs
@@ -1,4 +1,5 @@
-//! What a node's part in rollouts asks for, collected until the link carries it out.
+//! The host of a node's part in rollouts. It collects the side effects that the part requests until
+//! the link carries them out, and holds the data that the part queries.
 
 use super::version_worker::Task;
 use crossbeam_channel::Sender;
@@ -8,13 +9,14 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// The host of a [`madderpoint_rollout::Participant`].
+/// The host of a [`madderpoint_rollout::Participant`]. The link takes the requested side effects from
+/// `sent` and `published`, and refreshes `members`, `digests` and `windows`.
 pub(super) struct RolloutHost {
     pub(super) kind: Kind,
     pub(super) me: u64,
     pub(super) sent: Vec<(u64, RolloutMessage)>,
     pub(super) tasks: Sender<Task>,
-    pub(super) shown: Option<NodeReport>,
+    pub(super) published: Option<NodeReport>,
     pub(super) members: Vec<Member>,
     pub(super) digests: Vec<(u64, u64)>,
     pub(super) windows: Vec<(u64, Vec<WindowSample>)>,
@@ -22,8 +24,8 @@
 }
 
 impl RolloutHost {
-    fn task(&mut self, task: Task) {
-        // What finds no room is asked for again.
+    fn queue_task(&mut self, task: Task) {
+        // A task that does not fit into the queue is requested again.
         let _ = self.tasks.try_send(task);
     }
 }
@@ -34,32 +36,32 @@
     }
 
     fn log(&mut self, line: &str) {
-        let part = match self.kind {
+        let kind = match self.kind {
             Kind::Settings => "settings",
             Kind::Program => "program",
         };
-        tracing::info!(target: crate::log::part::ROLLOUT, event = part, "{part}: {line}");
+        tracing::info!(target: crate::log::part::ROLLOUT, event = kind, "{kind}: {line}");
     }
 
-    fn random_peers(&mut self, most: usize) -> Vec<u64> {
+    fn random_peers(&mut self, max: usize) -> Vec<u64> {
         let others = self
             .members
             .iter()
             .filter(|member| member.present && member.node != self.me);
         let present: Vec<u64> = others.map(|member| member.node).collect();
-        (0..most.min(present.len()))
+        (0..max.min(present.len()))
             .map(|_| present[self.rng.random_range(0..present.len())])
             .collect()
     }
 
     fn peer_with_other_digest(&mut self, digest: u64) -> Option<u64> {
-        // From a place of its own on, so that not all ask the same one.
-        let from = if self.digests.is_empty() {
+        // Each node searches from a random position, so that not all nodes choose the same peer.
+        let start = if self.digests.is_empty() {
             0
         } else {
             self.rng.random_range(0..self.digests.len())
         };
-        let (before, after) = self.digests.split_at(from);
+        let (before, after) = self.digests.split_at(start);
         after
             .iter()
             .chain(before)
@@ -68,20 +70,20 @@
     }
 
     fn show(&mut self, report: &NodeReport) {
-        self.shown = Some(report.clone());
+        self.published = Some(report.clone());
     }
 
     fn check(&mut self, rollout: RolloutId, version: Version, content: Option<Vec<u8>>) {
-        self.task(Task::Check {
+        self.queue_task(Task::Check {
             rollout,
             version,
             content,
         });
     }
 
-    fn check_offer(&mut self, no: u64, version: Option<Version>, content: Option<Vec<u8>>) {
-        self.task(Task::CheckOffer {
-            no,
+    fn check_offer(&mut self, number: u64, version: Option<Version>, content: Option<Vec<u8>>) {
+        self.queue_task(Task::CheckOffer {
+            number,
             version,
             content,
         });
@@ -89,19 +91,19 @@
 
     fn persist(
         &mut self,
-        no: u64,
+        number: u64,
         persisted: &PersistedState,
         content: Option<(Version, Vec<u8>)>,
     ) {
-        self.task(Task::Persist {
-            no,
+        self.queue_task(Task::Persist {
+            number,
             persisted: Box::new(persisted.clone()),
             content,
         });
     }
 
     fn apply(&mut self, version: Version) {
-        self.task(Task::Apply(version));
+        self.queue_task(Task::Apply(version));
     }
 
     fn members(&mut self) -> Vec<Member> {
--- a/crates/node/src/io/rollout_link/status.rs
+++ b/crates/node/src/io/rollout_link/status.rs
@@ -1,4 +1,4 @@
-//! What `rollout status` and `rollout explain` show.
+//! The status that `rollout status` and `rollout explain` show.
 
 use super::{RolloutLink, topic};
 use madderpoint_membership::{ClockReading, Host as MembershipHost, MemberKey, Membership};
@@ -9,7 +9,7 @@
 use madderpoint_shared_state::keyed_quota::name_hash;
 use prost::Message as _;
 
-/// Names for those who read a status.
+/// Names of nodes and operations, shown in a status.
 struct ClusterNames<'a, H: MembershipHost> {
     membership: &'a Membership<H>,
     operations: &'a [String],
@@ -27,7 +27,7 @@
 }
 
 impl RolloutLink {
-    /// All that a status command shows, encoded.
+    /// Returns the encoded status snapshot for the status commands.
     pub fn status_snapshot<H: MembershipHost>(
         &self,
         at: ClockReading,
@@ -43,11 +43,12 @@
             .iter()
             .map(|member| {
                 let entry = membership.member_table().get(MemberKey(member.node));
-                let part =
-                    entry.and_then(|e| e.details.attachments.iter().find(|part| part.id == topic));
+                let attachment =
+                    entry.and_then(|e| e.details.attachments.iter().find(|a| a.id == topic));
                 (
                     *member,
-                    part.and_then(|part| messages::decode_attachment(&part.bytes)),
+                    attachment
+                        .and_then(|attachment| messages::decode_attachment(&attachment.bytes)),
                 )
             })
             .collect();
@@ -55,14 +56,14 @@
             membership,
             operations: &self.operations,
         };
-        let mut shown = StatusSnapshot::of(at.unix_ms, agent, coordinator, &members, &names);
-        shown.window_ms = WINDOW_MS;
-        let alone: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
+        let mut status = StatusSnapshot::of(at.unix_ms, agent, coordinator, &members, &names);
+        status.window_ms = WINDOW_MS;
+        let bare_members: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
         let acting_coordinator = coordinator
-            .acting_coordinator(&alone)
+            .acting_coordinator(&bare_members)
             .and_then(|key| membership.member_table().get(MemberKey(key)));
-        shown.coordinator_address =
+        status.coordinator_address =
             acting_coordinator.map_or_else(String::new, |entry| entry.details.address.to_string());
-        shown.encode_to_vec()
+        status.encode_to_vec()
     }
 }
--- a/crates/node/src/io/rollout_link/version_worker.rs
+++ b/crates/node/src/io/rollout_link/version_worker.rs
@@ -1,4 +1,4 @@
-//! The thread that checks, writes and applies versions, which may take its time.
+//! The worker thread that checks, writes and applies versions, all of which may be slow.
 
 use crate::program_version::ProgramVersionError;
 use crate::supervisor_client::SupervisorClientError;
@@ -6,31 +6,31 @@
 use crossbeam_channel::Receiver;
 use madderpoint_rollout::{HostError, Kind, PersistedState, RolloutId, Version};
 
-/// Why a version can't be checked, persisted or applied. Its text is what operators read as the
+/// Why a version cannot be checked, persisted or applied. Operators read the error's text as the
 /// reason.
 #[derive(Debug, thiserror::Error)]
 pub enum VersionError {
-    /// The settings can't be taken: what is wrong with them.
+    /// The settings are invalid or cannot take effect on this node; with the reason.
     #[error("{0}")]
     Settings(String),
-    /// The content is of another version than it was offered as.
-    #[error("it says that it is version {found}, not {expected}")]
+    /// The content is another version than it was offered as.
+    #[error("content is version {found}, expected version {expected}")]
     OtherVersion {
-        /// The version that the content has.
+        /// The version stated in the content.
         found: Version,
-        /// The version that it was offered as.
+        /// The version that the content was offered as.
         expected: Version,
     },
     /// A program was offered without its version.
-    #[error("a program is told by its version")]
+    #[error("program offered without a version")]
     NoVersion,
-    /// The disk.
+    /// The directory of versions could not be read or written.
     #[error(transparent)]
     Store(#[from] VersionStoreError),
-    /// The program's directory.
+    /// The directory of the program's versions cannot be used.
     #[error(transparent)]
     Program(#[from] ProgramVersionError),
-    /// The supervisor.
+    /// The supervisor did not carry out a request.
     #[error(transparent)]
     Supervisor(#[from] SupervisorClientError),
 }
@@ -41,79 +41,79 @@
     }
 }
 
-/// What a version does to this node, and where versions are stored. Each call may take its time.
+/// Checks, stores and applies versions on this node. Calls may block, for example on the disk.
 pub trait Versions: Send {
-    /// Checks whether this can be run here, and gives the version that it is.
+    /// Checks whether this node can run the version or content, and returns its version.
     fn check(
         &mut self,
         version: Option<Version>,
         content: Option<&[u8]>,
     ) -> Result<Version, VersionError>;
 
-    /// Writes the persisted state, and a content with it.
+    /// Writes the persisted state and, if given, the content of a version.
     fn persist(
         &mut self,
         persisted: &PersistedState,
         content: Option<(Version, &[u8])>,
     ) -> Result<(), VersionError>;
 
-    /// Runs a version from here on.
+    /// Switches the node to a version.
     fn apply(&mut self, version: Version) -> Result<(), VersionError>;
 }
 
-/// What the thread is asked to do.
+/// A task for the worker.
 pub(super) enum Task {
-    /// Check the version of a rollout.
+    /// Checks the version of a rollout.
     Check {
         rollout: RolloutId,
         version: Version,
         content: Option<Vec<u8>>,
     },
-    /// Check what an operator offers.
+    /// Checks a version that an operator offers.
     CheckOffer {
-        no: u64,
+        number: u64,
         version: Option<Version>,
         content: Option<Vec<u8>>,
     },
-    /// Write the persisted state, and a content with it.
+    /// Writes the persisted state and, if given, the content of a version.
     Persist {
-        no: u64,
+        number: u64,
         persisted: Box<PersistedState>,
         content: Option<(Version, Vec<u8>)>,
     },
-    /// Run a version.
+    /// Switches the node to a version.
     Apply(Version),
 }
 
-/// What the thread did.
+/// The result of a task.
 #[derive(Debug)]
 pub enum TaskResult {
-    /// The version of a rollout was checked.
+    /// Result of checking the version of a rollout.
     Checked(RolloutId, Result<(), HostError>),
-    /// An offer was checked.
+    /// Result of checking an offer with this number; `Ok` has the version found.
     OfferChecked(u64, Result<Version, HostError>),
-    /// A write ended.
+    /// Result of the write with this number.
     Persisted(u64, Result<(), HostError>),
-    /// A swap of versions ended.
+    /// Result of switching to this version.
     Applied(Version, Result<(), HostError>),
 }
 
-/// Takes the results to the thread that holds the [`super::RolloutLink`].
+/// Sends results to the thread that owns the [`super::RolloutLink`].
 pub type ResultSender = Box<dyn Fn(Kind, TaskResult) + Send>;
 
-/// Does what it is asked to until the other end is gone.
-pub(super) fn work(
+/// Carries out tasks until the sending end of the queue is dropped.
+pub(super) fn run_tasks(
     kind: Kind,
     mut versions: Box<dyn Versions>,
     tasks: &Receiver<Task>,
     results: &ResultSender,
 ) {
     for task in tasks {
-        results(kind, carry_out(versions.as_mut(), task));
+        results(kind, run_task(versions.as_mut(), task));
     }
 }
 
-fn carry_out(versions: &mut dyn Versions, task: Task) -> TaskResult {
+fn run_task(versions: &mut dyn Versions, task: Task) -> TaskResult {
     match task {
         Task::Check {
             rollout,
@@ -131,15 +131,15 @@
             TaskResult::Checked(rollout, result.map_err(HostError::from))
         }
         Task::CheckOffer {
-            no,
+            number,
             version,
             content,
         } => {
             let found = versions.check(version, content.as_deref());
-            TaskResult::OfferChecked(no, found.map_err(HostError::from))
+            TaskResult::OfferChecked(number, found.map_err(HostError::from))
         }
         Task::Persist {
-            no,
+            number,
             persisted,
             content,
         } => {
@@ -147,7 +147,7 @@
                 .as_ref()
                 .map(|(version, content)| (*version, content.as_slice()));
             let result = versions.persist(&persisted, content);
-            TaskResult::Persisted(no, result.map_err(HostError::from))
+            TaskResult::Persisted(number, result.map_err(HostError::from))
         }
         Task::Apply(version) => {
             let result = versions.apply(version);
--- a/crates/node/src/io/rollout_link/window_samples.rs
+++ b/crates/node/src/io/rollout_link/window_samples.rs
@@ -1,4 +1,4 @@
-//! What all nodes counted, as the canary analysis wants it.
+//! Conversion of the cluster's counters to samples for canary analysis.
 
 use super::PROGRAM_ROLLOUT_TOPIC;
 use crate::io::zone_number;
@@ -12,65 +12,69 @@
 };
 use std::collections::BTreeMap;
 
-/// What nodes counted from this window on, by window and node.
+/// Returns the samples of all nodes from this window on, grouped by window. A node that is not in the
+/// member table, or whose version is unknown, has no sample.
 pub(super) fn samples<H: MembershipHost>(
     kind: Kind,
     membership: &Membership<H>,
     counts: &ClusterCounters,
     from: u64,
 ) -> Vec<(u64, Vec<WindowSample>)> {
-    let mut all: BTreeMap<u64, BTreeMap<u64, WindowSample>> = BTreeMap::new();
+    let mut by_window: BTreeMap<u64, BTreeMap<u64, WindowSample>> = BTreeMap::new();
     for ProcessWindow {
         process,
         number: window,
         version: version_hash,
-        is_first: first,
+        is_first,
         window: counted,
     } in counts.windows(from)
     {
         let Some(entry) = membership.member_table().get(MemberKey(process.key)) else {
             continue;
         };
-        // A program is another process; what it runs is what the process reports on its entry.
+        // Counters carry the hash of the settings. The version of a program is taken from the report
+        // on the member's entry, which must be of the same process.
         let version_hash = match kind {
             Kind::Settings => version_hash,
             Kind::Program if entry.epoch.incarnation.0 == process.incarnation => {
-                let part = entry
+                let attachment = entry
                     .details
                     .attachments
                     .iter()
-                    .find(|part| part.id == PROGRAM_ROLLOUT_TOPIC);
-                match part.and_then(|part| messages::decode_attachment(&part.bytes)) {
+                    .find(|attachment| attachment.id == PROGRAM_ROLLOUT_TOPIC);
+                match attachment.and_then(|a| messages::decode_attachment(&a.bytes)) {
                     Some(report) => report.running.hash,
                     None => continue,
                 }
             }
             Kind::Program => continue,
         };
-        let sample = window_sample(entry, process.key, version_hash, first, counted);
-        // Of two processes under one name in a window the one that did more tells of it.
+        let sample = window_sample(entry, process.key, version_hash, is_first, counted);
+        // If two processes of a node have counted in one window, the one with more arrived requests
+        // is used.
         let arrived = |sample: &WindowSample| {
             sample
                 .operations
                 .values()
-                .map(|(cell, _)| cell.arrived)
+                .map(|(counts, _)| counts.arrived)
                 .sum::<u64>()
         };
-        match all.entry(window).or_default().entry(process.key) {
+        match by_window.entry(window).or_default().entry(process.key) {
             std::collections::btree_map::Entry::Vacant(vacant) => _ = vacant.insert(sample),
-            std::collections::btree_map::Entry::Occupied(mut known) => {
-                if arrived(&sample) > arrived(known.get()) {
-                    known.insert(sample);
+            std::collections::btree_map::Entry::Occupied(mut existing) => {
+                if arrived(&sample) > arrived(existing.get()) {
+                    existing.insert(sample);
                 }
             }
         }
     }
-    all.into_iter()
+    by_window
+        .into_iter()
         .map(|(window, nodes)| (window, nodes.into_values().collect()))
         .collect()
 }
 
-/// One node's counts in one window.
+/// Returns the sample of one node in one window.
 fn window_sample(
     entry: &MemberEntry,
     node: u64,
--- a/crates/node/src/io/sockets.rs
+++ b/crates/node/src/io/sockets.rs
@@ -1,4 +1,4 @@
-//! The side effects that the core requests, as queues to the threads that carry them out.
+//! The side effects that the core requests, passed on to the threads that carry them out.
 
 use super::backend_link::BackendLinkCommand;
 use super::client_connections::Connection;
@@ -21,7 +21,7 @@
 /// The core's ends of all connections. No call blocks.
 pub struct Sockets {
     connections: HashMap<ConnectionId, Connection>,
-    /// Connections with something to be done at the end of this turn.
+    /// Connections that must be flushed at the end of this turn.
     unflushed: Vec<ConnectionId>,
     executor: Option<ExecutorWriter>,
     backend: Vec<Sender<BackendLinkCommand>>,
@@ -33,7 +33,8 @@
 }
 
 impl Sockets {
-    /// Without connections yet. `backend` has the queue of each backend link.
+    /// Creates the core's ends, without any connection yet. `backend` has the queue of each backend
+    /// link.
     pub fn new(
         backend: Vec<Sender<BackendLinkCommand>>,
         addresses: Addresses,
@@ -53,29 +54,30 @@
         }
     }
 
-    /// A load balancer has connected.
+    /// Adds a load balancer's connection.
     pub fn add_connection(&mut self, id: ConnectionId, connection: Connection) {
         self.connections.insert(id, connection);
     }
 
-    /// A load balancer's connection has ended.
+    /// Removes a load balancer's connection that has ended.
     pub fn remove_connection(&mut self, id: ConnectionId) {
         self.connections.remove(&id);
     }
 
-    /// The executor is connected, or no longer.
+    /// Sets the writer of the executor's connection; `None` while the executor is not connected.
     pub fn set_executor(&mut self, writer: Option<ExecutorWriter>) {
         self.executor = writer;
     }
 
-    /// Leaves the cluster, unless another process of this node takes over.
+    /// Makes the cluster's thread leave the cluster and end. With `is_handed_over` another process of
+    /// the node takes over.
     pub fn leave_cluster(&self, is_handed_over: bool) {
         if let Some(cluster) = &self.cluster {
             cluster.leave(is_handed_over);
         }
     }
 
-    /// Writes the answers of this turn, all answers to a connection at once.
+    /// Writes the answers of this turn. All answers on one connection are written together.
     pub fn flush(&mut self) {
         for id in self.unflushed.drain(..) {
             if let Some(connection) = self.connections.get_mut(&id) {
@@ -111,7 +113,8 @@
     }
 
     fn send_executor_command(&mut self, line: String) {
-        // One line that is left out would leave a gap, so none may follow it on that connection.
+        // A dropped line would leave a gap in the sequence of commands, so no line may follow it on
+        // the same connection.
         self.executor.take_if(|writer| !writer.write(line));
     }
 
--- a/crates/node/src/io/stream.rs
+++ b/crates/node/src/io/stream.rs
@@ -1,4 +1,4 @@
-//! Blocking reads and writes of TCP streams, and where peers are reached.
+//! Blocking reads and writes of TCP streams, and the current addresses of peers.
 
 use crate::config::PeerAddresses;
 use crossbeam_utils::atomic::AtomicCell;
@@ -7,20 +7,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes read from a socket at once.
-pub const READ: usize = 4096;
-/// The most time that connecting to a peer takes.
-pub const CONNECT: Duration = Duration::from_millis(500);
+/// Size of the buffer for one read from a socket, in bytes.
+pub const READ_BUFFER_BYTES: usize = 4096;
+/// Timeout of a connect to a peer.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Where peers are reached now; looked at before each connect.
+/// The current addresses of peers, loaded before each connect.
 pub type Addresses = Arc<AtomicCell<PeerAddresses>>;
 
-/// Reads a stream into the sink until it ends, or until the sink fails.
+/// Reads a stream into the sink until the stream ends or the sink fails. An error of the stream counts
+/// as its end.
 pub fn read_all<E>(
     mut stream: &TcpStream,
     mut sink: impl FnMut(&[u8]) -> Result<(), E>,
 ) -> Result<(), E> {
-    let mut buffer = [0; READ];
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
         match stream.read(&mut buffer) {
             Ok(0) => return Ok(()),
@@ -31,7 +32,7 @@
     }
 }
 
-/// Writes all slices.
+/// Writes all slices, blocking until the stream has accepted them.
 pub fn write_gathered(mut stream: &TcpStream, mut slices: &mut [IoSlice<'_>]) -> io::Result<()> {
     IoSlice::advance_slices(&mut slices, 0);
     while !slices.is_empty() {
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,8 +1,8 @@
 //! The node's log: `tracing` events, written as lines to standard error, at most
-//! [`LINES_PER_SECOND`] of them.
+//! [`LINES_PER_SECOND`] per second.
 //!
-//! Every event names the part of the node that it comes from as its target ([`part`]) and says
-//! what happened in a constant message, with what belongs to it in fields:
+//! Every event has as its target the part of the node that emits it ([`part`]). Its message is
+//! constant, and variable data is in fields:
 //!
 //! ```
 //! use madderpoint_node::log::part;
@@ -10,13 +10,14 @@
 //! tracing::warn!(target: part::EXECUTOR, error = "refused", "connect failed");
 //! ```
 //!
-//! The plain form of it is `madderpoint: executor: connect failed error="refused"`. The JSON form
-//! is one object with `timestamp` (Unix time in nanoseconds), `level`, `message` (the text of the
-//! plain form after the part), `node`, `part`, `event` and each field. `event` is the message, or,
-//! where the message is built as the node runs, the field of that name.
+//! In the plain form this event is written as
+//! `madderpoint: executor: connect failed error="refused"`. The JSON form is one object with
+//! `timestamp` (Unix time in nanoseconds), `level`, `message` (the text of the plain form after the
+//! part), `node`, `part`, `event` and each field. `event` is the message or, for an event whose
+//! message is built at run time, the field of that name.
 //!
-//! Events of level `TRACE` are the steps of single requests. They are written only where they are
-//! asked for, and then without regard to the rate.
+//! Events of level `TRACE` are the steps of single requests. They are written only if
+//! [`Options::follow`] is set, and the rate limit does not apply to them.
 
 use serde_json::Value;
 use std::fmt::{self, Write};
@@ -30,11 +31,11 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// The parts of the node that write to the log: targets of events.
+/// The parts of the node that write to the log, used as targets of events.
 pub mod part {
-    /// Decisions: changes of mode.
+    /// Admission decisions: changes of the mode.
     pub const ADMISSION: &str = "admission";
-    /// Calls of executions, and the backend that they go to.
+    /// Backend calls and the links to the backend.
     pub const BACKEND: &str = "backend";
     /// Membership of the cluster.
     pub const CLUSTER: &str = "cluster";
@@ -46,7 +47,7 @@
     pub const LOAD_BALANCER: &str = "load balancer";
     /// The log itself.
     pub const LOG: &str = "log";
-    /// Totals of the node's counters.
+    /// Totals of the node's metrics.
     pub const METRICS: &str = "metrics";
     /// The node as a whole.
     pub const NODE: &str = "node";
@@ -71,29 +72,30 @@
 /// The field in which `tracing` passes the message.
 const MESSAGE_FIELD: &str = "message";
 
-/// The most lines in one second of the system's clock.
+/// Maximum number of lines in one second of the system's clock. Lines of level `TRACE` are not
+/// counted.
 const LINES_PER_SECOND: u64 = 40;
 
 /// The form of the lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Form {
-    /// Text for people.
+    /// Text for human readers.
     #[default]
     Plain,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What is written to the log, and how.
+/// Options of the log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Options {
     /// The form of the lines.
     pub form: Form,
-    /// Whether the steps of each request are written too.
+    /// Whether the steps of each request are also written.
     pub follow: bool,
 }
 
-/// From here on events are written to standard error. Later calls change nothing.
+/// Starts writing events to standard error. Only the first call takes effect.
 pub fn start(node: &str, options: Options) {
     let level = if options.follow {
         LevelFilter::TRACE
@@ -112,19 +114,20 @@
         .try_init();
 }
 
-/// Permits [`LINES_PER_SECOND`], and counts the other lines.
+/// Permits [`LINES_PER_SECOND`] lines per second and counts the lines left out.
 #[derive(Debug, Default)]
 struct RateLimit {
-    /// The second that is counted, in Unix time.
+    /// The current second, in Unix time.
     second: AtomicU64,
-    /// Lines asked for in it.
+    /// Number of lines requested in the current second.
     asked: AtomicU64,
-    /// Lines left out since the last one that was permitted.
+    /// Number of lines left out since the last permitted line.
     left_out: AtomicU64,
 }
 
 impl RateLimit {
-    /// Whether another line may be written in this second, and how many were left out before it.
+    /// Returns the number of lines left out before this one if another line may be written in this
+    /// second, and `None` if not.
     fn permit(&self, second: u64) -> Option<u64> {
         if self.second.swap(second, Relaxed) != second {
             self.asked.store(0, Relaxed);
@@ -162,7 +165,7 @@
         let level = *event.metadata().level();
         if level < Level::TRACE {
             match self.rate.permit(unix.as_secs()) {
-                None => return Ok(()), // nothing was put into the writer, and so nothing is written
+                None => return Ok(()), // an empty buffer writes no line
                 Some(0) => {}
                 Some(count) => self.write_left_out(&mut writer, unix, count)?,
             }
@@ -209,9 +212,9 @@
     }
 }
 
-/// What all lines have.
+/// The data common to all lines.
 struct Line<'a> {
-    /// Unix time.
+    /// Unix time of the event.
     unix: Duration,
     level: Level,
     part: &'a str,
@@ -281,14 +284,14 @@
     }
 }
 
-/// Collects what a JSON line is made of.
+/// Collects the message and the fields of an event for a JSON line.
 #[derive(Default)]
 struct JsonFields {
     /// The message without the fields.
     name: String,
     /// The message and the fields, as in the plain form.
     message: String,
-    /// The field that names the event, if there is one.
+    /// Value of the field `event`, if the event has one.
     event: Option<String>,
     fields: Vec<(&'static str, Value)>,
 }
@@ -300,7 +303,7 @@
     }
 
     fn push(&mut self, name: &'static str, value: Value, text: fmt::Arguments<'_>) {
-        let _ = write!(self.message, " {name}={text}"); // a string takes all that is written
+        let _ = write!(self.message, " {name}={text}"); // writing to a string cannot fail
         self.fields.push((name, value));
     }
 }
