--- a/crates/node/src/log/tests.rs
+++ b/crates/node/src/log/tests.rs
@@ -4,7 +4,7 @@
 use tracing_subscriber::fmt::MakeWriter;
 
 #[test]
-fn beyond_the_rate_lines_are_counted_and_reported_in_the_next_second() {
+fn lines_beyond_the_rate_limit_are_counted_and_reported_in_the_next_second() {
     let rate = RateLimit::default();
     assert!((0..LINES_PER_SECOND).all(|_| rate.permit(1) == Some(0)));
     assert!((0..5).all(|_| rate.permit(1).is_none()));
@@ -12,7 +12,7 @@
     assert_eq!(rate.permit(2), Some(0));
 }
 
-/// Keeps what is written.
+/// A writer that collects the written bytes.
 #[derive(Clone, Default)]
 struct Written(Arc<Mutex<Vec<u8>>>);
 
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_json_line_has_the_same_text_the_event_and_each_field() {
+fn a_json_line_has_the_plain_text_the_event_and_each_field() {
     let all = lines(Form::Json, RateLimit::default(), two_events);
     let mut read: Vec<Value> = all
         .iter()
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn steps_of_requests_are_written_without_regard_to_the_rate() {
+fn steps_of_requests_are_not_rate_limited() {
     let steps = 3 * LINES_PER_SECOND as usize;
     let events = || {
         for number in 0..steps {
@@ -140,7 +140,7 @@
         RateLimit::default(),
         events,
     );
-    // The events may fall into two seconds.
+    // The events may be spread over two seconds of the clock, each with its own limit.
     assert!(
         limited.len() <= 2 * LINES_PER_SECOND as usize + 1,
         "{}",
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the node counts since its start, and the names under which the log shows the counts.
+//! Counters of events since the node's start, and their names in the log.
 
 #![warn(missing_docs)]
 
@@ -6,30 +6,30 @@
 use crate::{backend, executor, fastcgi};
 use std::collections::BTreeMap;
 
-/// Something that the node counts.
+/// A kind of event that the node counts. [`Metric::name`] gives its name in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Metric {
-    /// Times that something which must hold did not; the name starts with `invariant: `.
+    /// Violations of an invariant. The name starts with `invariant: `.
     Invariant(&'static str),
-    /// Requests answered without the admission controller, by cause.
+    /// Requests answered with an error before they reached the admission controller, by error.
     RequestRejected(RequestError),
-    /// Connections of load balancers that can't be read on, by the parser's cause.
+    /// Connections of load balancers that are no longer read because of a protocol error, by error.
     ProtocolError(fastcgi::ParseError),
-    /// Connections to the backend that can't be read on, by the parser's cause.
+    /// Connections to the backend that are no longer read because of a protocol error, by error.
     BackendProtocolError(backend::ReadError),
-    /// What the executor should not have sent, by kind.
+    /// Unexpected messages of the executor, by kind.
     ExecutorAnomaly(executor::Anomaly),
     /// Answers written after the request's client timeout.
     LateAnswers,
-    /// Orders to close a connection that were void, for an event was on its way.
+    /// Requested closes of connections that were void because of an event not handled yet.
     VoidedCloses,
-    /// Connections that ended with a part of a request on them.
+    /// Connections that ended with an incomplete request.
     TruncatedRequests,
-    /// Requests on a connection that is not known.
+    /// Requests on an unknown connection.
     RequestsWithoutConnection,
-    /// Requests that used a FastCGI id while it was open.
+    /// Requests with the FastCGI id of a request that was still open on the same connection.
     DuplicateRequestIds,
-    /// Connections that waited for a free slot.
+    /// Times that a connection had to wait because no slot was free.
     ConnectionsOverLimit,
     /// Requests rejected by a rule's verdict.
     RejectedByRule,
@@ -39,36 +39,36 @@
     RejectedByLimit,
     /// Requests rejected by a limit of the whole cluster.
     RejectedByClusterLimit,
-    /// Requests rejected because the backend call that they need would not be admitted.
+    /// Requests rejected because the backend call that they need would not have been admitted.
     RejectedForBackendCapacity,
-    /// Keys that rules gave to operations that can't use one.
+    /// Idempotency keys that rules assigned to requests of operations that cannot use them.
     UnusedRuleKeys,
-    /// Backend calls wanted for executions that wait for none.
+    /// Backend calls requested for executions that wait for none.
     UnexpectedBackendCalls,
-    /// Backend calls withheld because of the service's health.
+    /// Backend calls withheld because the service is unhealthy.
     BackendCallsWithheld,
     /// Backend calls refused by the budgets of the cluster.
     BackendCallsOverBudget,
-    /// Connections to the backend that were closed because nothing came on them.
+    /// Connections to the backend that were closed because no reply arrived on them.
     SilentBackendLinks,
-    /// Replies of the backend to calls that were no longer awaited.
+    /// Replies of the backend to abandoned calls.
     RepliesToAbandonedCalls,
-    /// Links to the executor that were closed because nothing came on them.
+    /// Connections to the executor that were closed because no notice arrived on them.
     SilentExecutorLinks,
-    /// Executions of which it is not known whether they run, after a link broke.
+    /// Executions that became uncertain after a connection to the executor broke.
     UncertainExecutions,
-    /// Executions past their client timeout of which the executor was asked again.
+    /// Executions past their client timeout whose state was requested again from the executor.
     OverdueExecutions,
-    /// Backend calls wanted by executions that are not known here.
+    /// Backend calls requested by executions that the node does not know.
     CallsOfUnknownExecutions,
-    /// Ends of executions that are not known here.
+    /// Ends of executions that the node does not know.
     EndsOfUnknownExecutions,
     /// Commands that the executor refused.
     RefusedCommands,
 }
 
 impl Metric {
-    /// The name in the log.
+    /// Returns the metric's name in the log.
     pub fn name(self) -> &'static str {
         match self {
             Metric::Invariant(name) => name,
@@ -105,27 +105,28 @@
 }
 
 impl RequestError {
-    /// What counts requests with this error.
+    /// Returns the metric that counts requests with this error.
     pub fn metric(self) -> Metric {
         Metric::RequestRejected(self)
     }
 }
 
-/// Totals since the start, by name.
+/// Totals of the metrics since the node's start, by name.
 #[derive(Debug, Default)]
 pub struct Metrics {
     totals: BTreeMap<&'static str, u64>,
-    /// The sum of all totals when they were logged last.
+    /// Sum of all totals at the last call of [`Metrics::take_changed`] that returned them.
     logged_sum: u64,
 }
 
 impl Metrics {
-    /// Adds to a total.
+    /// Adds `times` to the total of a metric.
     pub fn add(&mut self, metric: Metric, times: u64) {
         *self.totals.entry(metric.name()).or_default() += times;
     }
 
-    /// All totals as text, by name; none if no total has moved since they were last taken.
+    /// Returns all totals as text, ordered by name; `None` if no total has changed since they were
+    /// last returned.
     pub fn take_changed(&mut self) -> Option<String> {
         let sum = self.totals.values().sum();
         if sum == self.logged_sum {
@@ -140,13 +141,13 @@
         Some(totals.join(", "))
     }
 
-    /// The total of a name.
+    /// Returns the total of the metric with this name.
     #[cfg(test)]
     pub fn total(&self, name: &str) -> u64 {
         self.totals.get(name).copied().unwrap_or(0)
     }
 
-    /// How often something that must hold did not.
+    /// Returns the number of violations of invariants.
     #[cfg(test)]
     pub fn invariants(&self) -> u64 {
         self.totals
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,5 +1,6 @@
-//! `madderpoint serve`: starts a node from the file that `PROXY_CONFIG` names and, where one is
-//! given, from a settings file; then passes SIGTERM, new configurations and new settings on to it.
+//! `madderpoint serve`: starts a node from the configuration file that `PROXY_CONFIG` names and, if
+//! given, a settings file. While the node runs, passes SIGTERM, changed configurations and changed
+//! settings on to it.
 
 mod cluster;
 mod reload;
@@ -27,68 +28,68 @@
 
 /// Stack of the thread that waits for signals, in bytes.
 const STACK: usize = 128 * 1024;
-/// The same where it reads settings too, whose expressions nest in each other.
+/// Stack of the signal thread if it also reads settings, whose expressions may be nested, in bytes.
 const SETTINGS_STACK: usize = 1024 * 1024;
 
-/// The environment variable that names the configuration.
+/// The environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
 
 /// Why a node does not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// Signals can't be received.
+    /// The signal handlers or the signal thread cannot be set up.
     #[error("signals: {0}")]
     Signals(std::io::Error),
     /// `PROXY_CONFIG` is not set.
     #[error("{CONFIG_VARIABLE} is not set")]
     ConfigNotSet,
-    /// The configuration is rejected.
+    /// The configuration file was rejected.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The handover from the supervisor failed.
     #[error(transparent)]
     Supervisor(SupervisorClientError),
-    /// No thread could be started that listens to the supervisor.
+    /// The thread that listens to the supervisor cannot be started.
     #[error("supervisor: {0}")]
     SupervisorLink(std::io::Error),
-    /// The settings file has errors; they are shown with their lines.
+    /// The settings file has errors; the text shows them with their lines.
     #[error("settings not taken:\n{0}")]
     SettingsFile(Box<Diagnostics>),
-    /// The settings can't be used on this node.
+    /// The settings cannot be used on this node.
     #[error("settings not taken: {0}")]
     Settings(#[from] SettingsError),
-    /// No version of the settings that is kept can be run.
+    /// None of the stored versions of the settings can be run.
     #[error("settings not taken: {0}")]
     NoVersion(String),
-    /// The directory of versions can't be used.
+    /// The directory of versions cannot be used.
     #[error("rollout/@dir: {0}")]
     VersionStore(VersionStoreError),
-    /// The settings file can't be read.
+    /// The settings file cannot be read.
     #[error("{}: {error}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Why.
+        /// Error of the read.
         error: std::io::Error,
     },
-    /// The node can't listen, or its threads can't be started.
+    /// The node cannot listen, or its threads cannot be started.
     #[error("listen {address}: {error}")]
     Listen {
-        /// Where load balancers were to connect.
+        /// The configured listening address.
         address: SocketAddr,
-        /// Why not.
+        /// Error of the failed step.
         error: std::io::Error,
     },
 }
 
-/// The value of an environment variable.
+/// Returns the value of an environment variable; `None` if it is not set or not valid Unicode.
 fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// Serves until the drain is over.
+/// Starts the node and serves until it has drained and stopped.
 pub fn serve(settings: Option<PathBuf>, logging: log::Options) -> Result<(), StartError> {
-    // First of all, so that neither signal ever ends the process by its default.
+    // This comes first, so that the default action of these signals never ends the process.
     let signals = Signals::new([SIGTERM, SIGHUP]).map_err(StartError::Signals)?;
     let path = std::env::var_os(CONFIG_VARIABLE).ok_or(StartError::ConfigNotSet)?;
     let path = PathBuf::from(path);
@@ -122,10 +123,10 @@
     })
 }
 
-/// The `<fleet>` that the node starts with, and what is in force where versions are kept.
+/// The `<fleet>` that the node starts with, and the settings in force if versions are stored.
 type ClusterState = (Option<ClusterSettings>, Option<Arc<Mutex<InForce>>>);
 
-/// Reads the settings file and sets up what the node has by it.
+/// Reads the settings file and sets up the parts of the node that it configures.
 fn load_settings(
     file: &Path,
     config: &Arc<NodeConfig>,
@@ -133,16 +134,17 @@
     adopted: Option<&Adopted>,
     parts: &mut OptionalParts,
 ) -> Result<ClusterState, StartError> {
-    let is_beside = adopted.is_some_and(|adopted| adopted.begin.another_process_serves);
+    let another_process_serves =
+        adopted.is_some_and(|adopted| adopted.begin.another_process_serves);
     let LoadedSettings {
-        mut read,
-        versions: settings_versions,
-    } = versions::load(file, config, control, is_beside)?;
-    parts.cluster = cluster::participation(file, &read, config)?;
+        mut settings,
+        versions,
+    } = versions::load(file, config, control, another_process_serves)?;
+    parts.cluster = cluster::participation(file, &settings, config)?;
     let mut in_force = None;
     if let Some(cluster) = &mut parts.cluster {
-        if let Some((state, changing)) = settings_versions {
-            cluster.rollouts.push(changing);
+        if let Some((state, setup)) = versions {
+            cluster.rollouts.push(setup);
             in_force = Some(state);
         }
         if let Some(adopted) = adopted {
@@ -150,18 +152,18 @@
             if cluster.has_shared_state() {
                 cluster.rollouts.push(RolloutSetup {
                     start: supervisor_client::start(&adopted.begin),
-                    plan: settings::plan(&read),
+                    plan: settings::plan(&settings),
                     versions: Box::new(ProgramVersions(Arc::clone(&adopted.link))),
                 });
             }
         }
     }
-    parts.rules = Some(settings::take_rules(&mut read));
-    Ok((read.cluster, in_force))
+    parts.rules = Some(settings::take_rules(&mut settings));
+    Ok((settings.cluster, in_force))
 }
 
-/// Takes over the supervisor's socket, reports to it once the node serves, and passes on what it
-/// asks for.
+/// Takes over the listening socket from the supervisor, arranges the report that the node serves, and
+/// starts the thread that passes the supervisor's commands on.
 fn listen_to_supervisor(
     mut adopted: Adopted,
     control: Sender<ControlMessage>,
--- a/crates/node/src/serve/cluster.rs
+++ b/crates/node/src/serve/cluster.rs
@@ -1,5 +1,5 @@
-//! What `<fleet>` of the settings means for this node: how it takes part in its cluster, and what
-//! of that can change while it runs.
+//! Conversion of the settings' `<fleet>` to this node's part in its cluster, and of changed settings
+//! to an update of the running node.
 
 use super::environment;
 use super::settings::{SettingsError, keyed_quotas, read_keys};
@@ -14,26 +14,26 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The UDP port of the cluster where none is set.
+/// The default UDP port of the cluster.
 const DEFAULT_PORT: u16 = 7946;
 
-/// The environment variables that take precedence over `<fleet>`, for what differs by node.
+// Environment variables that take precedence over attributes of `<fleet>` that differ between nodes.
 const BIND_VARIABLE: &str = "MADDERPOINT_FLEET_BIND";
 const ADVERTISE_VARIABLE: &str = "MADDERPOINT_FLEET_ADVERTISE";
 const ZONE_VARIABLE: &str = "MADDERPOINT_ZONE";
 
-/// How the node takes part in its cluster; `None` without `<fleet>`. Bounds on bytes are left at 0:
-/// they are set once all parts of the node are known.
+/// Returns the node's part in its cluster; `None` without `<fleet>`. Bounds in bytes are left at 0 and
+/// are set once all parts of the node are known.
 pub fn participation(
     file: &Path,
-    read: &Settings,
+    settings: &Settings,
     config: &NodeConfig,
 ) -> Result<Option<Box<ClusterSetup>>, SettingsError> {
-    let Some(fleet) = &read.cluster else {
+    let Some(fleet) = &settings.cluster else {
         return Ok(None);
     };
     let (bind, advertise) = addresses(fleet, config)?;
-    let settings = Config {
+    let membership_config = Config {
         cluster_name: fleet.name.clone(),
         name: config.name.clone(),
         zone: environment(ZONE_VARIABLE)
@@ -47,7 +47,7 @@
             .program
             .clone()
             .unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned()),
-        settings: read.number,
+        settings: settings.number,
         bytes: 0,
         features: FeatureToggles::default(),
     };
@@ -55,15 +55,15 @@
     let service = fleet.service.as_ref().map(|service| SharedService {
         name: service.name.clone(),
         slow_call_threshold: service.slow,
-        zone: io::zone_number(&settings.zone),
+        zone: io::zone_number(&membership_config.zone),
     });
     let operations = &config.deployment.deployment.operations;
     Ok(Some(Box::new(ClusterSetup {
         bind,
-        settings,
+        settings: membership_config,
         voters: voters.collect(),
         budgets: fleet.budgets.clone(),
-        quotas: keyed_quotas(read),
+        quotas: keyed_quotas(settings),
         quota_lender_bytes: 0,
         service,
         operations: config.deployment.operation_names.clone(),
@@ -78,7 +78,8 @@
     })))
 }
 
-/// The address that the node's socket is bound to, and the one under which others reach it.
+/// Returns the address to bind the node's UDP socket to, and the address that it advertises to other
+/// nodes.
 fn addresses(
     fleet: &ClusterSettings,
     config: &NodeConfig,
@@ -99,7 +100,8 @@
     Ok((bind, advertise))
 }
 
-/// Whether two lists hold the same budgets, apart from their figures.
+/// Whether two lists have budgets of the same names and kinds in the same order. Their limits may
+/// differ.
 fn are_same_kinds(a: &[Budget], b: &[Budget]) -> bool {
     let kind = |budget: &Budget| {
         (
@@ -110,7 +112,7 @@
     a.iter().map(kind).eq(b.iter().map(kind))
 }
 
-/// The fields of `<fleet>` that differ and can change with a restart only.
+/// Returns the fields of `<fleet>` that differ and only take effect with a restart.
 pub fn fields_needing_restart(
     new: &ClusterSettings,
     current: &ClusterSettings,
@@ -135,14 +137,14 @@
         .collect()
 }
 
-/// What of new settings takes effect in the running cluster part.
+/// Returns the part of new settings that takes effect in the running cluster thread.
 pub fn update(
-    read: &Settings,
+    settings: &Settings,
     new: &ClusterSettings,
     current: &ClusterSettings,
     keys: AuthKeys,
 ) -> Box<ClusterSettingsUpdate> {
-    // Limits may change; budgets that come or go, or are of another kind, wait for a restart.
+    // Limits of budgets may change. Added, removed or different budgets need a restart.
     let budgets = if are_same_kinds(&new.budgets, &current.budgets) {
         &new.budgets
     } else {
@@ -152,9 +154,12 @@
         keys,
         seeds: new.seeds.clone(),
         timing: new.timing,
-        number: read.number,
+        number: settings.number,
         budgets: budgets.clone(),
-        quotas: keyed_quotas(read),
-        plan: read.rollout.as_ref().map(|rollout| rollout.plan.clone()),
+        quotas: keyed_quotas(settings),
+        plan: settings
+            .rollout
+            .as_ref()
+            .map(|rollout| rollout.plan.clone()),
     })
 }
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -1,5 +1,5 @@
-//! What SIGHUP brings: the configuration is read again, and the settings file or, where settings
-//! change by rollouts, the cluster's keys. A bad file changes nothing.
+//! Reload on SIGHUP. The configuration is read again, and so is the settings file or, if settings
+//! change by rollouts, the file of the cluster's keys. An invalid file changes nothing.
 
 use super::settings::{self, SettingsError, node_validation_context, read_keys, take_rules};
 use super::versions::{InForce, lock, version_of};
@@ -14,24 +14,24 @@
 use std::sync::{Arc, Mutex};
 use tracing::warn;
 
-/// Reads files again and sends the running node what has changed.
+/// Reads the files again and sends the changes to the running node.
 pub struct Reloader {
-    /// The file of the configuration.
+    /// Path of the configuration file.
     pub config_path: PathBuf,
     /// The configuration in force.
     pub config: Arc<NodeConfig>,
-    /// The settings file.
+    /// Path of the settings file, if there is one.
     pub settings: Option<PathBuf>,
     /// The `<fleet>` that the node started with.
     pub cluster: Option<ClusterSettings>,
-    /// What is in force, where settings change by rollouts.
+    /// The settings in force, if settings change by rollouts.
     pub in_force: Option<Arc<Mutex<InForce>>>,
-    /// The running node's queue.
+    /// The running node's queue of control messages.
     pub control: Sender<ControlMessage>,
 }
 
 impl Reloader {
-    /// Sends the running node a message; one that has stopped gets none.
+    /// Sends the running node a message. Does nothing if the node has stopped.
     pub fn send(&self, message: ControlMessage) {
         let _ = self.control.send(message);
     }
@@ -53,38 +53,38 @@
         }
     }
 
-    /// Takes a new settings file: all of it or nothing.
+    /// Applies a new settings file, either completely or not at all.
     fn reload_settings(&self, file: &Path) {
-        let (keys, mut read) = match self.read_settings(file) {
+        let (keys, mut settings) = match self.read_settings(file) {
             Ok(new) => new,
             Err(e) => return settings_rejected(&e.to_string()),
         };
-        match (keys, &read.cluster, &self.cluster) {
+        match (keys, &settings.cluster, &self.cluster) {
             (Some(keys), Some(new), Some(current)) => {
                 let fields = cluster::fields_needing_restart(new, current);
                 if !fields.is_empty() {
                     warn!(target: part::SETTINGS, ?fields, "changes of <fleet> need a restart");
                 }
-                let update = cluster::update(&read, new, current, keys);
+                let update = cluster::update(&settings, new, current, keys);
                 self.send(ControlMessage::Cluster(update));
             }
             (None, None, None) => {}
             _ => warn!(target: part::SETTINGS, "to add or remove <fleet> needs a restart"),
         }
-        self.send(ControlMessage::Rules(take_rules(&mut read)));
+        self.send(ControlMessage::Rules(take_rules(&mut settings)));
     }
 
     fn read_settings(&self, file: &Path) -> Result<(Option<AuthKeys>, Settings), SettingsError> {
-        let read = settings::read(file, &node_validation_context(&self.config))
+        let settings = settings::read(file, &node_validation_context(&self.config))
             .map_err(|diagnostics| SettingsError::Invalid(diagnostics.summary()))?;
-        let keys = match &read.cluster {
+        let keys = match &settings.cluster {
             Some(fleet) => Some(read_keys(file, fleet)?),
             None => None,
         };
-        Ok((keys, read))
+        Ok((keys, settings))
     }
 
-    /// Takes new keys of the cluster only: the file itself takes effect by a rollout.
+    /// Applies new keys of the cluster only. The settings file itself takes effect by a rollout.
     fn reload_keys(&self, file: &Path, in_force: &Mutex<InForce>) {
         let update = {
             let current = lock(in_force);
@@ -100,9 +100,9 @@
                 }
             };
             match settings::read(file, &node_validation_context(&self.config)) {
-                Ok(read) if version_of(&read) != current.version => warn!(
+                Ok(settings) if version_of(&settings) != current.version => warn!(
                     target: part::SETTINGS,
-                    file_version = read.number.0,
+                    file_version = settings.number.0,
                     in_force = %current.version,
                     "new settings not in force: they need 'rollout start'"
                 ),
--- a/crates/node/src/serve/settings.rs
+++ b/crates/node/src/serve/settings.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file, and what of it the node's parts are given.
+//! Reading of settings files and key files, and conversion of settings for the parts of the node.
 
 use madderpoint_deployment_config::DeploymentConfig;
 use madderpoint_membership::datagram_auth::{AuthKeys, KeyError};
@@ -16,87 +16,90 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The largest file of keys, in bytes.
-const KEY_FILE_MAX: u64 = 4096;
+/// Maximum size of a key file, in bytes.
+const KEY_FILE_BYTES_MAX: u64 = 4096;
 
-/// Why settings can't be used on this node, or not now.
+/// Why settings cannot be used on this node or cannot take effect now.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file has errors: the first one, and how many more.
+    /// The settings have errors; the text gives the first one and the number of others.
     #[error("{0}")]
     Invalid(String),
     /// The content of a version is not UTF-8.
-    #[error("it is no text")]
+    #[error("content is not valid UTF-8")]
     NotText,
-    /// The file of the cluster's keys can't be used.
+    /// The cluster's key file cannot be used.
     #[error("fleet/@keys: {}: {problem}", path.display())]
     Keys {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// What is wrong with the file.
         problem: KeyFileProblem,
     },
-    /// Nodes with the old keys and nodes with the new ones would have none in common.
+    /// Nodes with the old keys and nodes with the new keys would have no key in common.
     #[error(
-        "fleet/@keys: old and new nodes would not understand each other: add the new key first, \
-         after the old one"
+        "fleet/@keys: nodes with the old keys and nodes with the new keys would have no key in \
+         common: add the new key first, after the old one"
     )]
     NoCommonKey,
-    /// An environment variable is no address.
-    #[error("{variable}: {text:?} is no address")]
+    /// An environment variable is not a valid socket address.
+    #[error("{variable}: {text:?} is not a valid socket address")]
     Address {
-        /// The variable.
+        /// Name of the environment variable.
         variable: &'static str,
-        /// Its value.
+        /// Value of the environment variable.
         text: String,
     },
-    /// Other nodes can't reach the address that this one advertises.
-    #[error("fleet/@advertise: nobody can reach {0}; expected an address of this node")]
+    /// Other nodes cannot reach the advertised address: its IP is unspecified or its port is 0.
+    #[error("fleet/@advertise: other nodes cannot reach {0}; expected an address of this node")]
     Unreachable(SocketAddr),
-    /// There is no cluster in the settings, but the node is in one.
-    #[error("it has no <fleet>")]
+    /// The settings have no cluster, but the node is a member of one.
+    #[error("the settings have no <fleet>")]
     NoCluster,
-    /// There is no cluster or no rollout in the settings, but the node takes part in rollouts.
-    #[error("it has no <fleet> or no <rollout>: these come and go with a restart only")]
+    /// The settings have no cluster or no rollout, but the node takes part in rollouts.
+    #[error(
+        "the settings have no <fleet> or no <rollout>: adding or removing these needs a restart"
+    )]
     NoClusterOrRollout,
-    /// Fields that differ can change with a restart only.
-    #[error("{0:?} of <fleet> can change with a restart only")]
+    /// Fields of `<fleet>` differ that only take effect with a restart.
+    #[error("changes of {0:?} of <fleet> need a restart")]
     NeedsRestart(Vec<&'static str>),
-    /// The content of a version has another number or hash than the version.
-    #[error("its content is not what its name says")]
+    /// The content of a stored version has a different number or hash than the version.
+    #[error("content does not match its version number and hash")]
     OtherContent,
-    /// The directory of versions failed.
+    /// The directory of versions could not be read or written.
     #[error(transparent)]
     VersionStore(#[from] VersionStoreError),
-    /// The node has stopped meanwhile.
-    #[error("the node ends")]
+    /// The node has stopped and receives no more control messages.
+    #[error("the node has stopped")]
     Stopped,
 }
 
-/// What is wrong with a file of keys.
+/// What is wrong with a key file.
 #[derive(Debug, Error)]
 pub enum KeyFileProblem {
-    /// It can't be read.
+    /// The file cannot be read.
     #[error("{0}")]
     Unreadable(#[from] std::io::Error),
-    /// It has more than 4 KiB; so many bytes.
-    #[error("{0} bytes; expected {KEY_FILE_MAX} at most")]
+    /// The file is larger than 4 KiB; with its size in bytes.
+    #[error("{0} bytes; expected {KEY_FILE_BYTES_MAX} at most")]
     TooLarge(u64),
-    /// A line is no key, or there are too few or too many.
+    /// A line is not a valid key, or there are too few or too many keys.
     #[error("{0}")]
     Invalid(KeyError),
 }
 
-/// The names and idempotencies that a deployment's settings define.
+/// Returns the context for validation against a deployment: its operations with their idempotency,
+/// and its tenants.
 pub fn validation_context(config: &DeploymentConfig) -> ValidationContext {
-    let effects = config.deployment.operations.iter().map(|o| o.idempotency);
+    let idempotencies = config.deployment.operations.iter().map(|o| o.idempotency);
     ValidationContext {
         operations: Some(
             config
                 .operation_names
                 .iter()
                 .cloned()
-                .zip(effects)
+                .zip(idempotencies)
                 .collect(),
         ),
         tenants: Some(config.tenant_names.clone()),
@@ -104,7 +107,8 @@
     }
 }
 
-/// The same, with the bounds on sizes that follow from the node's limits.
+/// Returns the context of [`validation_context`] with the bounds on sizes that follow from the node's
+/// limits.
 pub fn node_validation_context(config: &NodeConfig) -> ValidationContext {
     let capacity = io::capacity_limits(
         config,
@@ -122,60 +126,68 @@
     }
 }
 
-/// Reads and checks a settings file.
-pub fn read(path: &Path, known: &ValidationContext) -> Result<Settings, Diagnostics> {
+/// Reads and validates a settings file.
+pub fn read(path: &Path, context: &ValidationContext) -> Result<Settings, Diagnostics> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| {
         let unreadable =
-            settings::Diagnostic::new(Location::Whole, "", e.to_string(), "a file of settings");
+            settings::Diagnostic::new(Location::Whole, "", e.to_string(), "a settings file");
         Diagnostics::new(&name, "", vec![unreadable])
     })?;
-    settings::read(&name, &text, known)
+    settings::read(&name, &text, context)
 }
 
-/// Reads the keys of a cluster. A relative path starts at the directory of the settings file.
-pub fn read_keys(settings: &Path, fleet: &ClusterSettings) -> Result<AuthKeys, SettingsError> {
-    let path = settings.parent().unwrap_or(Path::new("")).join(&fleet.keys);
+/// Reads the keys of a cluster. A relative path is resolved against the directory of the settings
+/// file.
+pub fn read_keys(settings_path: &Path, fleet: &ClusterSettings) -> Result<AuthKeys, SettingsError> {
+    let path = settings_path
+        .parent()
+        .unwrap_or(Path::new(""))
+        .join(&fleet.keys);
     read_key_file(&path).map_err(|problem| SettingsError::Keys { path, problem })
 }
 
 fn read_key_file(path: &Path) -> Result<AuthKeys, KeyFileProblem> {
     let size = std::fs::metadata(path)?.len();
-    if size > KEY_FILE_MAX {
+    if size > KEY_FILE_BYTES_MAX {
         return Err(KeyFileProblem::TooLarge(size));
     }
     let text = std::fs::read_to_string(path)?;
     AuthKeys::parse(&text).map_err(KeyFileProblem::Invalid)
 }
 
-/// The quotas by key of the whole cluster, from the buckets of the rules.
-pub fn keyed_quotas(read: &Settings) -> Vec<KeyedQuota> {
-    read.rules
+/// Returns the keyed quotas of the whole cluster, which the rules define as buckets.
+pub fn keyed_quotas(settings: &Settings) -> Vec<KeyedQuota> {
+    settings
+        .rules
         .iter()
         .flat_map(|rules| &rules.cluster_quotas)
         .map(|(_, quota)| quota.clone())
         .collect()
 }
 
-/// How rollouts that are started here proceed; the default plan without `<rollout>`.
-pub fn plan(read: &Settings) -> Plan {
-    read.rollout
+/// Returns the plan of rollouts that are started at this node; the default plan without `<rollout>`.
+pub fn plan(settings: &Settings) -> Plan {
+    settings
+        .rollout
         .as_ref()
         .map(|rollout| rollout.plan.clone())
         .unwrap_or_default()
 }
 
-/// Takes the rules out of the settings. Without rules the set is empty, so that earlier ones end.
-pub fn take_rules(read: &mut Settings) -> Box<CompiledRuleSet> {
-    let secret = read.cluster.as_ref().map_or(0, |fleet| fleet.secret);
-    match read.rules.take() {
-        Some(mut book) => {
-            book.rules
-                .use_common_secret(book.cluster_quotas.iter().map(|(place, _)| *place), secret);
+/// Takes the rules out of the settings. Without rules the set is empty, which replaces any earlier
+/// rules.
+pub fn take_rules(settings: &mut Settings) -> Box<CompiledRuleSet> {
+    let secret = settings.cluster.as_ref().map_or(0, |fleet| fleet.secret);
+    match settings.rules.take() {
+        Some(mut rules) => {
+            rules
+                .rules
+                .use_common_secret(rules.cluster_quotas.iter().map(|(index, _)| *index), secret);
             Box::new(CompiledRuleSet {
-                rules: book.rules,
-                buckets: book.buckets,
-                quotas: book.cluster_quotas,
+                rules: rules.rules,
+                buckets: rules.buckets,
+                quotas: rules.cluster_quotas,
             })
         }
         None => Box::new(CompiledRuleSet::default()),
--- a/crates/node/src/serve/versions.rs
+++ b/crates/node/src/serve/versions.rs
@@ -1,5 +1,5 @@
-//! Settings that change by rollouts: versions of them are kept in a directory, and the node starts
-//! on the one in force rather than on whatever file it is given.
+//! Settings that change by rollouts. Their versions are stored in a directory, and the node starts on
+//! the version in force, which may differ from the settings file that it is given.
 
 use super::settings::{
     self, SettingsError, keyed_quotas, node_validation_context, read_keys, take_rules,
@@ -25,64 +25,66 @@
 /// The settings in force, for the threads that may change them.
 #[derive(Debug)]
 pub struct InForce {
-    /// Their version.
+    /// The version of the settings.
     pub version: Version,
-    /// Their `<fleet>`.
+    /// The `<fleet>` of the settings.
     pub cluster: ClusterSettings,
-    /// Their quotas by key of the whole cluster.
+    /// The keyed quotas of the whole cluster.
     pub quotas: Vec<KeyedQuota>,
 }
 
-/// Locks what is in force, also where a thread ended while it held the lock.
+/// Locks the settings in force, even if a thread has panicked while it held the lock.
 pub fn lock(in_force: &Mutex<InForce>) -> MutexGuard<'_, InForce> {
     in_force.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// The settings that a node starts with.
 pub struct LoadedSettings {
-    /// Their content.
-    pub read: Settings,
-    /// Where versions are kept: what is in force, and the node's part in rollouts of settings.
+    /// The settings.
+    pub settings: Settings,
+    /// The settings in force and the node's part in rollouts of settings; `None` if no versions are
+    /// stored.
     pub versions: Option<(Arc<Mutex<InForce>>, RolloutSetup)>,
 }
 
-/// Reads the settings file; where versions are kept, the version that the node is to start on.
-/// With `is_beside` another process of this node holds the directory still.
+/// Reads the settings that the node starts with: the settings file or, if versions are stored, the
+/// stored version to start on. `another_process_serves` tells that another process of this node may still use the
+/// directory of versions.
 pub fn load(
     file: &Path,
     config: &Arc<NodeConfig>,
     control: &Sender<ControlMessage>,
-    is_beside: bool,
+    another_process_serves: bool,
 ) -> Result<LoadedSettings, StartError> {
     let given = settings::read(file, &node_validation_context(config)).map_err(Box::new);
     let Some(directory) = directory_path(file, given.as_ref().ok()) else {
         return match given {
-            Ok(read) => Ok(LoadedSettings {
-                read,
+            Ok(settings) => Ok(LoadedSettings {
+                settings,
                 versions: None,
             }),
             Err(diagnostics) => Err(StartError::SettingsFile(diagnostics)),
         };
     };
-    let open = if is_beside {
+    let open = if another_process_serves {
         VersionStore::beside
     } else {
         VersionStore::open
     };
     let mut store =
         open(&directory, &config.name, Kind::Settings).map_err(StartError::VersionStore)?;
-    let (read, start) = begin(&mut store, file, given, config)?;
-    let Some(cluster) = read.cluster.clone() else {
+    let (settings, start) = choose_start_version(&mut store, file, given, config)?;
+    let Some(cluster) = settings.cluster.clone() else {
         return Err(StartError::NoVersion("no <fleet>".into()));
     };
     let in_force = Arc::new(Mutex::new(InForce {
         version: start.running,
         cluster,
-        quotas: keyed_quotas(&read),
+        quotas: keyed_quotas(&settings),
     }));
     let setup = RolloutSetup {
         start,
-        plan: settings::plan(&read),
+        plan: settings::plan(&settings),
         versions: Box::new(SettingsVersions {
             store,
             file: file.to_owned(),
@@ -92,26 +94,26 @@
         }),
     };
     Ok(LoadedSettings {
-        read,
+        settings,
         versions: Some((in_force, setup)),
     })
 }
 
-/// Decides on the version to start on. The given file may be broken or gone: what was in force is
-/// on the disk.
-fn begin(
+/// Chooses the version to start on. The given file may be invalid or missing, since the version in
+/// force is stored on the disk.
+fn choose_start_version(
     store: &mut VersionStore,
     file: &Path,
     given: Result<Settings, Box<Diagnostics>>,
     config: &NodeConfig,
 ) -> Result<(Settings, InitialState), StartError> {
     let content = match &given {
-        Ok(read) => {
+        Ok(settings) => {
             let bytes = std::fs::read(file).map_err(|error| StartError::Unreadable {
                 path: file.to_owned(),
                 error,
             })?;
-            Some((version_of(read), bytes))
+            Some((version_of(settings), bytes))
         }
         Err(diagnostics) => {
             warn!(
@@ -122,57 +124,58 @@
             None
         }
     };
-    let begun = store.begin(content, |version, content| {
-        let (read, _) = read_version(file, content, config).map_err(|e| e.to_string())?;
-        match version_of(&read) == version {
-            true => Ok(read),
+    let started = store.begin(content, |version, content| {
+        let (settings, _) = read_version(file, content, config).map_err(|e| e.to_string())?;
+        match version_of(&settings) == version {
+            true => Ok(settings),
             false => Err(SettingsError::OtherContent.to_string()),
         }
     });
-    match (begun, given) {
-        (Ok(begun), _) => Ok((begun.running, begun.state)),
+    match (started, given) {
+        (Ok(started), _) => Ok((started.running, started.state)),
         (Err(_), Err(diagnostics)) => Err(StartError::SettingsFile(diagnostics)),
-        (Err(problem), Ok(_)) => Err(StartError::NoVersion(problem.to_string())),
+        (Err(error), Ok(_)) => Err(StartError::NoVersion(error.to_string())),
     }
 }
 
-/// Where versions are kept, if they are. A relative path starts at the directory of the settings
-/// file.
-fn directory_path(file: &Path, read: Option<&Settings>) -> Option<PathBuf> {
+/// Returns the directory in which versions are stored; `None` if none is set. A relative path is
+/// resolved against the directory of the settings file.
+fn directory_path(file: &Path, settings: Option<&Settings>) -> Option<PathBuf> {
     let set = || {
-        read.and_then(|read| read.rollout.as_ref())
+        settings
+            .and_then(|settings| settings.rollout.as_ref())
             .map(|rollout| rollout.dir.clone())
     };
     let directory = environment(DIRECTORY_VARIABLE).or_else(set)?;
     Some(file.parent().unwrap_or(Path::new("")).join(directory))
 }
 
-/// The version that settings have by their number and content.
-pub fn version_of(read: &Settings) -> Version {
-    let (number, hash) = read.number;
+/// Returns the version of settings: their number and the hash of their content.
+pub fn version_of(settings: &Settings) -> Version {
+    let (number, hash) = settings.number;
     Version { number, hash }
 }
 
-/// Reads the content of a version and checks it against this node's deployment and limits.
+/// Reads the content of a version and validates it against this node's deployment and limits.
 fn read_version(
     file: &Path,
     content: &[u8],
     config: &NodeConfig,
 ) -> Result<(Settings, AuthKeys), SettingsError> {
     let text = std::str::from_utf8(content).map_err(|_| SettingsError::NotText)?;
-    let read = madderpoint_settings::read("settings", text, &node_validation_context(config))
+    let settings = madderpoint_settings::read("settings", text, &node_validation_context(config))
         .map_err(|diagnostics| SettingsError::Invalid(diagnostics.summary()))?;
-    let (Some(fleet), Some(_)) = (&read.cluster, &read.rollout) else {
+    let (Some(fleet), Some(_)) = (&settings.cluster, &settings.rollout) else {
         return Err(SettingsError::NoClusterOrRollout);
     };
     let keys = read_keys(file, fleet)?;
-    Ok((read, keys))
+    Ok((settings, keys))
 }
 
-/// Checks, keeps and applies versions of the settings.
+/// Checks, stores and applies versions of the settings.
 struct SettingsVersions {
     store: VersionStore,
-    /// The settings file, beside which keys are looked for.
+    /// Path of the settings file. The path of the key file is relative to its directory.
     file: PathBuf,
     config: Arc<NodeConfig>,
     in_force: Arc<Mutex<InForce>>,
@@ -181,9 +184,9 @@
 
 impl SettingsVersions {
     fn check_content(&self, content: &[u8]) -> Result<Version, SettingsError> {
-        let (read, new_keys) = read_version(&self.file, content, &self.config)?;
+        let (settings, new_keys) = read_version(&self.file, content, &self.config)?;
         let current = lock(&self.in_force);
-        if let Some(fleet) = &read.cluster {
+        if let Some(fleet) = &settings.cluster {
             let fields = cluster::fields_needing_restart(fleet, &current.cluster);
             if !fields.is_empty() {
                 return Err(SettingsError::NeedsRestart(fields));
@@ -192,18 +195,18 @@
                 return Err(SettingsError::NoCommonKey);
             }
         }
-        Ok(version_of(&read))
+        Ok(version_of(&settings))
     }
 
     fn apply_version(&self, version: Version) -> Result<(), SettingsError> {
         let content = self.store.content(version)?;
-        let (mut read, keys) = read_version(&self.file, &content, &self.config)?;
-        let Some(new) = read.cluster.clone() else {
+        let (mut settings, keys) = read_version(&self.file, &content, &self.config)?;
+        let Some(new) = settings.cluster.clone() else {
             return Err(SettingsError::NoCluster);
         };
         let update = {
             let mut current = lock(&self.in_force);
-            let update = cluster::update(&read, &new, &current.cluster, keys);
+            let update = cluster::update(&settings, &new, &current.cluster, keys);
             *current = InForce {
                 version,
                 cluster: new,
@@ -212,7 +215,7 @@
             update
         };
         self.send(ControlMessage::Cluster(update))?;
-        self.send(ControlMessage::Rules(take_rules(&mut read)))
+        self.send(ControlMessage::Rules(take_rules(&mut settings)))
     }
 
     fn send(&self, message: ControlMessage) -> Result<(), SettingsError> {
