--- a/crates/node/src/capacity.rs
+++ b/crates/node/src/capacity.rs
@@ -77,7 +77,7 @@
     /// Maximum size of the counters of other processes, in bytes. Only a voter stores them.
     pub counter_bytes: usize,
     /// Maximum size of a voter's metrics of a rollout, in bytes; 0 without rollouts. The contents of
-    /// versions take as much again.
+    /// versions are not included.
     pub rollout_bytes: usize,
 }
 
--- a/crates/node/src/capacity/tests.rs
+++ b/crates/node/src/capacity/tests.rs
@@ -33,7 +33,7 @@
             );
             assert!(
                 capacity.connections > sockets / 2,
-                "connections <= half of {sockets} sockets: {capacity:?}"
+                "limit on connections is not above half of {sockets} sockets: {capacity:?}"
             );
         }
     }
--- a/crates/node/src/io/cluster_link.rs
+++ b/crates/node/src/io/cluster_link.rs
@@ -2,8 +2,9 @@
 //! rollouts.
 //!
 //! The thread and the core share only two bounded queues: commands to the thread ([`ClusterLink`])
-//! and events to the core. Neither side waits for the other. [`start`] is called once, when the node
-//! starts, and [`ClusterLink::leave`] ends the thread.
+//! and events to the core. Neither side waits for the other, except that the thread waits for room in
+//! the core's queue when budgets change. [`start`] is called once, when the node starts, and
+//! [`ClusterLink::leave`] ends the thread.
 
 #![warn(missing_docs)]
 
--- a/crates/node/src/io/cluster_link/hosts.rs
+++ b/crates/node/src/io/cluster_link/hosts.rs
@@ -1,6 +1,5 @@
 //! The hosts of the membership and of the shared state. Their messages are sent on the cluster's
-//! socket, and their results are queued as events for the core. No call blocks, except that a
-//! reconfiguration waits for room in the core's queue.
+//! socket, and their results are queued as events for the core. No call blocks.
 
 use crate::io::inbox::Message;
 use crate::log::part;
--- a/crates/node/src/io/rollout_link/version_worker.rs
+++ b/crates/node/src/io/rollout_link/version_worker.rs
@@ -27,10 +27,10 @@
     /// The directory of versions could not be read or written.
     #[error(transparent)]
     Store(#[from] VersionStoreError),
-    /// The directory of the program's versions cannot be used.
+    /// The program of the version cannot be found or used.
     #[error(transparent)]
     Program(#[from] ProgramVersionError),
-    /// The supervisor did not carry out a request.
+    /// The supervisor could not be reached or did not carry out the request.
     #[error(transparent)]
     Supervisor(#[from] SupervisorClientError),
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -11,7 +11,7 @@
 pub enum Metric {
     /// Violations of an invariant. The name starts with `invariant: `.
     Invariant(&'static str),
-    /// Requests answered with an error before they reached the admission controller, by error.
+    /// Requests answered with an error without the admission controller, by error.
     RequestRejected(RequestError),
     /// Connections of load balancers that are no longer read because of a protocol error, by error.
     ProtocolError(fastcgi::ParseError),
@@ -29,7 +29,7 @@
     RequestsWithoutConnection,
     /// Requests with the FastCGI id of a request that was still open on the same connection.
     DuplicateRequestIds,
-    /// Times that a connection had to wait because no slot was free.
+    /// Times that the reader found a connection waiting while no slot was free.
     ConnectionsOverLimit,
     /// Requests rejected by a rule's verdict.
     RejectedByRule,
