--- a/crates/rollout/examples/compare.rs
+++ b/crates/rollout/examples/compare.rs
@@ -1,55 +1,56 @@
-//! Rollouts good and bad, by seed, judged in several ways and set against all nodes at once: how
-//! many good ones are stopped, how many bad ones pass, by the size of their harm, and what they
-//! cost. Prints a table; with a path, draws what bad ones cost as SVG.
+//! Plays good and bad rollouts, by seed, under several methods of analysis and as an update of all
+//! nodes at once. Prints a table of how many good rollouts are stopped, how many bad ones pass, by
+//! the size of their harm, and what they cost. With a path, also draws the cost of the bad rollouts
+//! as SVG.
 //!
 //! `cargo run --release -p madderpoint-rollout --example compare [rollouts] [nodes,nodes...]
 //! [plot.svg]`
 
 use madderpoint_rollout::canary_analysis::AnalysisMethod;
-use madderpoint_rollout::simulation::trial::{NO_JUDGEMENT, Out, Trial, TrialResult};
+use madderpoint_rollout::simulation::trial::{NO_VERDICT, RolloutMode, Trial, TrialResult};
 use madderpoint_rollout::simulation::{Effect, Noise};
 use madderpoint_rollout::stages::Plan;
 use plotters::prelude::*;
 use std::error::Error;
 
 const SECOND: f64 = 1e9;
-const SIZES: [f64; 7] = [0.01, 0.02, 0.03, 0.05, 0.1, 0.3, 1.0];
+const HARM_SIZES: [f64; 7] = [0.01, 0.02, 0.03, 0.05, 0.1, 0.3, 1.0];
 
-fn play(nodes: usize, effect: Effect, out: Out, rollouts: u64) -> Vec<TrialResult> {
+fn run(nodes: usize, effect: Effect, mode: RolloutMode, rollouts: u64) -> Vec<TrialResult> {
     let trial = Trial {
         nodes,
         zones: 4,
-        each: 200.0,
+        requests_per_window: 200.0,
         noise: Noise::USUAL,
         plan: Plan::default(),
         effect,
-        out,
+        mode,
     };
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get()) as u64;
     std::thread::scope(|scope| {
-        let parts: Vec<_> = (0..threads)
-            .map(|part| {
+        let handles: Vec<_> = (0..threads)
+            .map(|first_seed| {
                 let trial = &trial;
                 scope.spawn(move || {
-                    (part..rollouts)
+                    (first_seed..rollouts)
                         .step_by(threads as usize)
-                        .map(|seed| trial.play(seed))
+                        .map(|seed| trial.run(seed))
                         .collect::<Vec<_>>()
                 })
             })
             .collect();
-        parts
+        handles
             .into_iter()
-            .flat_map(|part| part.join().unwrap_or_default())
+            .flat_map(|handle| handle.join().unwrap_or_default())
             .collect()
     })
 }
 
-fn quantile(mut values: Vec<f64>, part: f64) -> f64 {
+fn quantile(mut values: Vec<f64>, fraction: f64) -> f64 {
     values.sort_by(f64::total_cmp);
-    let at = (values.len() as f64 * part) as usize;
+    let index = (values.len() as f64 * fraction) as usize;
     values
-        .get(at.min(values.len().saturating_sub(1)))
+        .get(index.min(values.len().saturating_sub(1)))
         .copied()
         .unwrap_or(0.0)
 }
@@ -61,31 +62,40 @@
         Some(list) => list.split(',').map(str::parse).collect::<Result<_, _>>()?,
         None => vec![10, 300],
     };
-    let ways = [
-        ("nodes, with their past", Out::Stages(AnalysisMethod::Nodes)),
-        ("nodes", Out::Stages(AnalysisMethod::NodesWithoutHistory)),
-        ("fixed threshold", Out::Stages(AnalysisMethod::Fixed)),
+    let modes = [
         (
-            "every invocation",
-            Out::Stages(AnalysisMethod::IndependentRequests),
+            "nodes, with history",
+            RolloutMode::Staged(AnalysisMethod::Nodes),
         ),
-        ("ranks", Out::Stages(AnalysisMethod::Ranks)),
-        ("all at once", Out::AtOnce),
+        (
+            "nodes",
+            RolloutMode::Staged(AnalysisMethod::NodesWithoutHistory),
+        ),
+        (
+            "fixed threshold",
+            RolloutMode::Staged(AnalysisMethod::Fixed),
+        ),
+        (
+            "every request",
+            RolloutMode::Staged(AnalysisMethod::IndependentRequests),
+        ),
+        ("ranks", RolloutMode::Staged(AnalysisMethod::Ranks)),
+        ("all at once", RolloutMode::AllAtOnce),
     ];
     println!(
-        "nodes  way                     good, of 1,000: taken back (halted)  minutes p50 p90 | bad, errs more by: passed of 100 (cost)"
+        "nodes  method                  good, of 1,000: rolled back (halted)  minutes p50 p90 | bad, by additional failures: passed of 100 (cost)"
     );
-    let mut lines: Vec<(String, Vec<(f64, f64)>)> = Vec::new();
+    let mut curves: Vec<(String, Vec<(f64, f64)>)> = Vec::new();
     for nodes in sizes {
-        for (name, out) in ways {
-            let good = play(nodes, Effect::NONE, out, rollouts);
+        for (name, mode) in modes {
+            let good = run(nodes, Effect::NONE, mode, rollouts);
             let stopped =
                 good.iter().filter(|outcome| outcome.stopped).count() as f64 / rollouts as f64;
-            // Of those that were stopped, those that came to no judgement in their time, and were
-            // halted as they stood.
+            // Share of the good rollouts that were halted because no verdict was reached within the
+            // stage's maximum duration.
             let halted = good
                 .iter()
-                .filter(|outcome| outcome.what == NO_JUDGEMENT)
+                .filter(|outcome| outcome.reason == NO_VERDICT)
                 .count() as f64
                 / rollouts as f64;
             let minutes: Vec<f64> = good
@@ -100,20 +110,20 @@
                 quantile(minutes.clone(), 0.5),
                 quantile(minutes, 0.9)
             );
-            let mut line = Vec::new();
-            for size in SIZES {
-                let bad = play(
+            let mut curve = Vec::new();
+            for size in HARM_SIZES {
+                let bad = run(
                     nodes,
                     Effect {
                         errored: size,
                         ..Effect::NONE
                     },
-                    out,
+                    mode,
                     rollouts.min(200),
                 );
                 let passed =
                     bad.iter().filter(|outcome| !outcome.stopped).count() as f64 / bad.len() as f64;
-                // In seconds of all that the fleet is asked for.
+                // Cost in seconds of the whole cluster's load; a window is 10 s.
                 let cost =
                     bad.iter().map(|o| o.cost / o.asked * 10.0).sum::<f64>() / bad.len() as f64;
                 print!(
@@ -121,39 +131,39 @@
                     size * 100.0,
                     passed * 100.0
                 );
-                line.push((size * 100.0, cost));
+                curve.push((size * 100.0, cost));
             }
             println!();
-            lines.push((format!("{nodes} nodes, {name}"), line));
+            curves.push((format!("{nodes} nodes, {name}"), curve));
         }
     }
     if let Some(path) = arguments.get(2) {
-        draw(path, &lines)?;
+        draw(path, &curves)?;
     }
     Ok(())
 }
 
-fn draw(path: &str, lines: &[(String, Vec<(f64, f64)>)]) -> Result<(), Box<dyn Error>> {
+fn draw(path: &str, curves: &[(String, Vec<(f64, f64)>)]) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(path, (900, 560)).into_drawing_area();
     area.fill(&WHITE)?;
-    let most = lines
+    let max_cost = curves
         .iter()
-        .flat_map(|(_, line)| line)
+        .flat_map(|(_, curve)| curve)
         .map(|(_, cost)| *cost)
         .fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(&area)
         .margin(16)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d((1.0..100.0).log_scale(), (0.1..most).log_scale())?;
+        .build_cartesian_2d((1.0..100.0).log_scale(), (0.1..max_cost).log_scale())?;
     chart
         .configure_mesh()
-        .x_desc("errs more by, %")
-        .y_desc("cost, seconds of all that the fleet is asked for")
+        .x_desc("additional failures, %")
+        .y_desc("cost, seconds of the cluster's load")
         .draw()?;
-    for (at, (name, line)) in lines.iter().enumerate() {
-        let colour = Palette99::pick(at).to_rgba();
-        let points = line.iter().map(|(x, y)| (*x, y.max(0.1)));
+    for (index, (name, curve)) in curves.iter().enumerate() {
+        let colour = Palette99::pick(index).to_rgba();
+        let points = curve.iter().map(|(x, y)| (*x, y.max(0.1)));
         chart
             .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
             .label(name)
--- a/crates/rollout/src/chunks.rs
+++ b/crates/rollout/src/chunks.rs
@@ -1,125 +1,130 @@
-//! A rollout's content in bounded chunks: requested a few at a time, from any node that has it, and
-//! believed by its digest alone.
+//! The content of a rollout in chunks of bounded size. A node requests a few chunks at a time from
+//! any node that has them, and accepts the content only if its digest matches.
 
 use crate::identifiers::RolloutId;
 use crate::rollout::Rollout;
 use crate::{MILLISECOND, Nanos};
 
-/// The most bytes of a content.
+/// Maximum size of a rollout's content, in bytes.
 pub const MAX_CONTENT_BYTES: usize = 512 << 10;
-/// Bytes of a chunk; the last one may be shorter.
+/// Size of a chunk in bytes; the last chunk may be shorter.
 pub const CHUNK_BYTES: usize = 1024;
-/// Chunks that are requested at once.
+/// Maximum number of chunks in one request.
 pub const CHUNKS_PER_REQUEST: u32 = 8;
-/// Requested chunks are waited for this long.
+/// Time after which missing chunks are requested again.
 const CHUNK_TIMEOUT: Nanos = 400 * MILLISECOND;
-/// Complete contents with a wrong digest after which the fetch is given up.
+/// Number of complete contents with a wrong digest after which the fetch is given up.
 const MAX_CORRUPT_FETCHES: u32 = 3;
 
-/// The SHA-256 of a content.
+/// Returns the SHA-256 digest of a content.
 pub fn digest(content: &[u8]) -> [u8; 32] {
     let mut digest = [0; 32];
     digest.copy_from_slice(ring::digest::digest(&ring::digest::SHA256, content).as_ref());
     digest
 }
 
-/// How many chunks a content of this many bytes has.
+/// Returns the number of chunks of a content of this many bytes.
 pub fn count(bytes: usize) -> u32 {
     bytes.div_ceil(CHUNK_BYTES) as u32
 }
 
-/// A chunk of a content.
+/// Returns the chunk with this index; `None` if the index is beyond the content's end.
 pub fn chunk(content: &[u8], index: u32) -> Option<&[u8]> {
     let from = (index as usize).checked_mul(CHUNK_BYTES)?;
     (from < content.len()).then(|| &content[from..content.len().min(from + CHUNK_BYTES)])
 }
 
-/// Content that is being fetched.
+/// A content that is being fetched.
 #[derive(Clone, Debug)]
 pub struct ChunkFetch {
     /// The rollout whose content is fetched.
     pub rollout: RolloutId,
     digest: [u8; 32],
     content: Vec<u8>,
-    have: Vec<bool>,
-    asked: Nanos,
+    received: Vec<bool>,
+    requested_at: Nanos,
     corrupt_fetches: u32,
 }
 
-/// How far a fetch has come.
+/// Progress of a fetch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchProgress {
     /// Chunks are missing.
     Incomplete,
-    /// The whole content, as its digest says.
+    /// The whole content; its digest matches the rollout's digest.
     Complete(Vec<u8>),
-    /// The content came whole and its digest differs: it is fetched anew, or given up.
+    /// All chunks were received, but the digest does not match: the content is fetched again, or
+    /// the fetch is given up.
     Corrupt {
-        /// Whether it is given up.
+        /// Whether the fetch is given up.
         given_up: bool,
     },
 }
 
 impl ChunkFetch {
-    /// The content of a rollout; none if it is beyond its bound.
+    /// Creates a fetch of the rollout's content; `None` if the content is larger than
+    /// [`MAX_CONTENT_BYTES`].
     pub fn new(rollout: &Rollout) -> Option<ChunkFetch> {
         let bytes = rollout.bytes as usize;
         (bytes <= MAX_CONTENT_BYTES).then(|| ChunkFetch {
             rollout: rollout.id,
             digest: rollout.digest,
             content: vec![0; bytes],
-            have: vec![false; count(bytes) as usize],
-            asked: 0,
+            received: vec![false; count(bytes) as usize],
+            requested_at: 0,
             corrupt_fetches: 0,
         })
     }
 
-    /// Chunks to request now: the index of the first one, and how many.
+    /// Returns the chunks to request now, as the index of the first one and their number; `None`
+    /// while a request is pending or if no chunk is missing.
     pub fn next_request(&mut self, now: Nanos) -> Option<(u32, u32)> {
-        if now < self.asked + CHUNK_TIMEOUT && self.asked > 0 {
+        if now < self.requested_at + CHUNK_TIMEOUT && self.requested_at > 0 {
             return None;
         }
-        let first = self.have.iter().position(|have| !have)?;
-        let run = self.have[first..]
+        let first = self.received.iter().position(|received| !received)?;
+        let run = self.received[first..]
             .iter()
             .take(CHUNKS_PER_REQUEST as usize)
-            .take_while(|have| !**have)
+            .take_while(|received| !**received)
             .count();
-        self.asked = now;
+        self.requested_at = now;
         Some((first as u32, run as u32))
     }
 
-    /// Takes up a chunk; one that does not fit is dropped.
+    /// Stores a chunk. Ignores a chunk that is already stored, is beyond the content's end or has
+    /// the wrong size.
     pub fn insert(&mut self, index: u32, bytes: &[u8]) {
         let from = index as usize * CHUNK_BYTES;
         let fits =
             from < self.content.len() && bytes.len() == CHUNK_BYTES.min(self.content.len() - from);
-        if !fits || self.have[index as usize] {
+        if !fits || self.received[index as usize] {
             return;
         }
         self.content[from..from + bytes.len()].copy_from_slice(bytes);
-        self.have[index as usize] = true;
-        // All that was asked for is here: the next ones may be asked for at once.
+        self.received[index as usize] = true;
+        // The requested chunks are complete, so the next ones may be requested at once.
         let first = self
-            .have
+            .received
             .iter()
-            .position(|have| !have)
-            .unwrap_or(self.have.len());
+            .position(|received| !received)
+            .unwrap_or(self.received.len());
         if first as u32 > index || first.is_multiple_of(CHUNKS_PER_REQUEST as usize) {
-            self.asked = 0;
+            self.requested_at = 0;
         }
     }
 
-    /// How far it has come; a complete content is taken out.
+    /// Returns the progress of the fetch. A complete content is moved out of the fetch; after a
+    /// wrong digest all chunks are fetched again.
     pub fn progress(&mut self) -> FetchProgress {
-        if self.have.iter().any(|have| !have) {
+        if self.received.iter().any(|received| !received) {
             return FetchProgress::Incomplete;
         }
         if digest(&self.content) == self.digest {
             return FetchProgress::Complete(std::mem::take(&mut self.content));
         }
-        self.have.fill(false);
-        (self.corrupt_fetches, self.asked) = (self.corrupt_fetches + 1, 0);
+        self.received.fill(false);
+        (self.corrupt_fetches, self.requested_at) = (self.corrupt_fetches + 1, 0);
         FetchProgress::Corrupt {
             given_up: self.corrupt_fetches >= MAX_CORRUPT_FETCHES,
         }
--- a/crates/rollout/src/cohort_metrics.rs
+++ b/crates/rollout/src/cohort_metrics.rs
@@ -1,8 +1,9 @@
-//! What came of the canary and of the baseline nodes over the same time, node by node: the input of the
-//! canary analysis.
+//! Metrics of the canary and the baseline nodes over the same windows, node by node: the input of
+//! the canary analysis.
 //!
-//! Fed with each node's counts of each window. What a node did before the rollout began is recorded as
-//! well: machines differ, and its past shows how slow a slow one is by itself.
+//! The input is the counts of each node in each window. Windows before the rollout are recorded as
+//! well: machines differ, and the past of a node shows how slow or faulty the node is regardless of
+//! the new version.
 
 mod baseline;
 mod counts;
@@ -10,65 +11,68 @@
 
 use crate::identifiers::{RolloutId, Version};
 use crate::stages::node_position;
-use baseline::{BaselineRates, OperationCountsList, nine_in_ten};
+use baseline::{BaselineRates, OperationCountsList, slow_threshold};
 pub use counts::{
     Cohort, Latencies, Metric, NodeMetric, NodeMetrics, OperationCounts, WindowSample,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 pub use trend::LinearTrend;
 
-/// Nodes that are kept apart at either end of the rollout's order: those that run the new version
-/// first, and those that run it last. The others are in the common shares only.
+/// Maximum number of nodes with metrics of their own at either end of the rollout's node order: the
+/// nodes that run the new version first, and those that run it last. The other nodes only count
+/// towards the baseline rates and the history.
 pub const MAX_NODES_EACH_END: usize = 300;
 
-/// Operations that are compared each for itself.
+/// Maximum number of operations of a node that are compared, each separately.
 pub const MAX_OPERATIONS: usize = 16;
 
-/// Windows of both cohorts that are remembered for tables and plots.
-const HISTORY: usize = 720;
+/// Number of windows of both cohorts that are kept for tables and plots.
+const MAX_HISTORY: usize = 720;
 
-/// Bytes that a node takes here with eight operations.
+/// Approximate memory of one node's metrics with eight operations, in bytes.
 pub const NODE_BYTES: usize = 4 << 10;
 
-/// What is known of a node.
+/// Metrics of one node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeHistory {
-    /// Its zone.
+    /// Number of the node's zone.
     pub zone: u32,
-    /// The cohort that it is in.
+    /// Cohort of the node in its last window; `None` before the first one.
     pub cohort: Option<Cohort>,
-    /// Its metrics before the rollout began, by operation.
+    /// Metrics before the rollout began, by operation.
     pub before: BTreeMap<u32, NodeMetrics>,
-    /// Its metrics in this stage in its cohort, by operation.
+    /// Metrics of the current stage in the current cohort, by operation.
     pub after: BTreeMap<u32, NodeMetrics>,
-    /// Memory in KiB since it came to its cohort.
+    /// Resident memory in KiB since the node entered its cohort.
     pub memory: LinearTrend,
-    /// Open descriptors since it came to its cohort.
+    /// Open file descriptors since the node entered its cohort.
     pub descriptors: LinearTrend,
-    /// Memory in KiB before the rollout began.
+    /// Resident memory in KiB before the rollout began.
     pub memory_before: LinearTrend,
-    /// Violated invariants in this stage.
+    /// Number of invariants violated in this stage.
     pub invariants: u64,
-    /// Windows in this stage.
+    /// Number of windows counted in this stage.
     pub windows: u32,
-    /// Windows since it came to its cohort.
-    settled: u32,
+    /// Number of windows since the node entered its cohort.
+    windows_in_cohort: u32,
 }
 
 impl NodeHistory {
-    /// The node came over to a cohort: its first window there is mixed, and counts for neither.
+    /// Moves the node to a cohort and discards the metrics of its previous cohort. The first window
+    /// in the canary cohort is mixed and counts for neither cohort.
     fn enter(&mut self, cohort: Cohort) {
         self.cohort = Some(cohort);
-        (self.after, self.windows, self.settled) = (BTreeMap::new(), 0, 0);
+        (self.after, self.windows, self.windows_in_cohort) = (BTreeMap::new(), 0, 0);
         (self.memory, self.descriptors) = Default::default();
         self.invariants = 0;
     }
 
-    /// Takes up invariants; whether the rest of the window counts.
+    /// Adds the violated invariants of a window; returns whether the other counts of the window are
+    /// used.
     fn counts_window(&mut self, sample: &WindowSample, cohort: Cohort) -> bool {
         self.invariants += sample.invariants;
-        self.settled += 1;
-        !(sample.just_started || self.settled < 2 && cohort == Cohort::Canary)
+        self.windows_in_cohort += 1;
+        !(sample.just_started || self.windows_in_cohort < 2 && cohort == Cohort::Canary)
     }
 
     fn add_window(
@@ -76,11 +80,11 @@
         x: f64,
         sample: &WindowSample,
         cells: &OperationCountsList,
-        usual: &BaselineRates,
+        baseline_rates: &BaselineRates,
     ) {
         self.windows += 1;
         for (operation, cell) in cells {
-            let parts = usual.parts(sample.zone, *operation, cell);
+            let parts = baseline_rates.parts(sample.zone, *operation, cell);
             self.after.entry(*operation).or_default().add(&parts);
         }
         self.memory.add(x, sample.memory_kb as f64);
@@ -88,88 +92,90 @@
     }
 }
 
-/// Both cohorts in one window, for tables and plots.
+/// Counts of both cohorts in one window, for tables and plots.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CohortPoint {
-    /// The window's number.
+    /// Number of the window.
     pub window: u64,
-    /// The stage.
+    /// Stage of the rollout in the window, from 1.
     pub stage: u32,
-    /// Nodes: baseline, canary.
+    /// Number of nodes: baseline, canary.
     pub nodes: [u32; 2],
-    /// All operations together: baseline, canary.
+    /// Sums over all operations: baseline, canary.
     pub cells: [OperationCounts; 2],
-    /// Mean memory in KiB: baseline, canary.
+    /// Mean resident memory in KiB: baseline, canary.
     pub memory_kb: [f64; 2],
 }
 
-/// The metrics of one rollout.
+/// Metrics of the nodes of both cohorts during one rollout.
 #[derive(Clone, Debug, Default)]
 pub struct CohortMetrics {
-    /// The rollout.
+    /// The rollout that is analysed.
     pub rollout: RolloutId,
-    /// What the canary cohort runs.
+    /// Version that the canary cohort runs.
     pub version: Version,
-    /// What the baseline cohort runs.
+    /// Version that the baseline cohort runs.
     pub base: Version,
-    /// What is known of nodes, by key.
+    /// Metrics of the nodes, by node key.
     pub nodes: BTreeMap<u64, NodeHistory>,
-    /// The latency above which a request is slow, by operation, in tenths of a millisecond.
+    /// Latency above which a request is slow, by operation, in tenths of a millisecond.
     pub slow_from: BTreeMap<u32, u32>,
-    /// Latencies up to this are never slow, by operation, in tenths of a millisecond.
+    /// Latency up to which a request is never slow, by operation, in tenths of a millisecond.
     fast_enough: BTreeMap<u32, u32>,
     latencies: BTreeMap<u32, BTreeMap<u32, u64>>,
-    /// Both cohorts over the last windows.
+    /// Counts of both cohorts in the last windows, oldest first.
     pub history: VecDeque<CohortPoint>,
-    /// Nodes that ran something else than the base in their last window.
-    elsewhere: BTreeSet<u64>,
+    /// Nodes that ran a version other than the base in their last window.
+    on_other_version: BTreeSet<u64>,
     stage: u32,
     first_window: u64,
-    room: usize,
+    max_nodes_each_end: usize,
 }
 
 impl CohortMetrics {
-    /// The metrics of a rollout that begins now.
+    /// Creates empty metrics of a rollout that begins now.
     pub fn new(rollout: RolloutId, version: Version, base: Version) -> CohortMetrics {
         CohortMetrics {
             rollout,
             version,
             base,
-            room: MAX_NODES_EACH_END,
+            max_nodes_each_end: MAX_NODES_EACH_END,
             ..CohortMetrics::default()
         }
     }
 
-    /// Keeps this many nodes apart at either end.
+    /// Limits the nodes with metrics of their own to this many at either end, from 4 to
+    /// [`MAX_NODES_EACH_END`].
     pub fn with_capacity(mut self, nodes: usize) -> CohortMetrics {
-        self.room = nodes.clamp(4, MAX_NODES_EACH_END);
+        self.max_nodes_each_end = nodes.clamp(4, MAX_NODES_EACH_END);
         self
     }
 
-    /// Latencies that are fast enough for any client, by operation, in tenths of a millisecond.
+    /// Sets the latency up to which a request is never slow, by operation, in tenths of a
+    /// millisecond.
     pub fn with_fast_enough(mut self, fast_enough: BTreeMap<u32, u32>) -> CohortMetrics {
         self.fast_enough = fast_enough;
         self
     }
 
     fn node(&mut self, node: u64, zone: u32) -> Option<&mut NodeHistory> {
-        if self.nodes.len() >= 2 * self.room && !self.nodes.contains_key(&node) {
+        if self.nodes.len() >= 2 * self.max_nodes_each_end && !self.nodes.contains_key(&node) {
             return None;
         }
-        let of = self.nodes.entry(node).or_default();
-        of.zone = zone;
-        Some(of)
+        let history = self.nodes.entry(node).or_default();
+        history.zone = zone;
+        Some(history)
     }
 
-    /// The rollout begins: takes up the windows before it, as far as nodes ran the base.
+    /// Records the windows before the rollout, as far as nodes ran the base in them.
     pub fn begin(&mut self, windows: &[(u64, Vec<WindowSample>)]) {
-        let mut pure = |samples: &Vec<WindowSample>| -> Vec<WindowSample> {
-            let is_pure = |sample: &&WindowSample| self.ran_base(sample) && !sample.just_started;
-            samples.iter().filter(is_pure).cloned().collect()
+        let mut on_base = |samples: &Vec<WindowSample>| -> Vec<WindowSample> {
+            let is_on_base = |sample: &&WindowSample| self.ran_base(sample) && !sample.just_started;
+            samples.iter().filter(is_on_base).cloned().collect()
         };
         let windows: Vec<(u64, Vec<WindowSample>)> = windows
             .iter()
-            .map(|(no, samples)| (*no, pure(samples)))
+            .map(|(no, samples)| (*no, on_base(samples)))
             .collect();
         windows
             .iter()
@@ -184,20 +190,20 @@
         all.dedup();
         let ends = all
             .iter()
-            .take(self.room)
-            .chain(all.iter().rev().take(self.room));
+            .take(self.max_nodes_each_end)
+            .chain(all.iter().rev().take(self.max_nodes_each_end));
         ends.for_each(|(_, node)| _ = self.nodes.entry(*node).or_default());
         for (window, samples) in &windows {
             let cells: Vec<OperationCountsList> =
                 samples.iter().map(|sample| self.cells(sample)).collect();
-            let usual = BaselineRates::of(samples.iter().zip(&cells));
+            let baseline_rates = BaselineRates::of(samples.iter().zip(&cells));
             for (sample, cells) in samples.iter().zip(&cells) {
                 let Some(node) = self.nodes.get_mut(&sample.node) else {
                     continue;
                 };
                 (node.zone, node.cohort) = (sample.zone, Some(Cohort::Baseline));
                 for (operation, cell) in cells {
-                    let parts = usual.parts(sample.zone, *operation, cell);
+                    let parts = baseline_rates.parts(sample.zone, *operation, cell);
                     node.before.entry(*operation).or_default().add(&parts);
                 }
                 node.memory_before
@@ -206,18 +212,19 @@
         }
     }
 
-    /// Whether a node ran the base for all of a window. The window in which it came back to it also has
-    /// what it did before, which may be what a version was rolled back for: as a past of its own it would
-    /// make a good version look like harm, or hide some. To be asked of each window in turn.
+    /// Returns whether a node ran the base for the whole window. The window in which a node returns
+    /// to the base also has counts of the version that it ran before, which may be the harm that
+    /// the version was rolled back for. Used as the node's history, such counts would make a good
+    /// version look harmful or hide a harmful one. Must be called once for each window, in order.
     fn ran_base(&mut self, sample: &WindowSample) -> bool {
         if sample.version_hash != self.base.hash {
-            self.elsewhere.insert(sample.node);
+            self.on_other_version.insert(sample.node);
             return false;
         }
-        !self.elsewhere.remove(&sample.node)
+        !self.on_other_version.remove(&sample.node)
     }
 
-    /// A sample's operations, with what is slow among them.
+    /// Returns the counts of a sample by operation, with the number of slow requests.
     fn cells(&self, sample: &WindowSample) -> OperationCountsList {
         let cell = |(operation, (cell, latencies)): (&u32, &(OperationCounts, Latencies))| {
             let mut cell = *cell;
@@ -236,15 +243,16 @@
             .collect()
     }
 
-    /// Latencies of operations that were not known before are learnt from baseline nodes.
+    /// Learns the slow threshold of operations that have none yet from the latencies of a baseline
+    /// node.
     fn learn(&mut self, sample: &WindowSample) {
         for (operation, (_, latencies)) in sample.operations.iter().take(MAX_OPERATIONS) {
             if !self.slow_from.contains_key(operation) {
-                let of = self.latencies.entry(*operation).or_default();
-                latencies
-                    .iter()
-                    .for_each(|(value, count)| *of.entry(*value).or_default() += u64::from(*count));
-                if let Some(value) = nine_in_ten(of) {
+                let latencies_by_value = self.latencies.entry(*operation).or_default();
+                latencies.iter().for_each(|(value, count)| {
+                    *latencies_by_value.entry(*value).or_default() += u64::from(*count)
+                });
+                if let Some(value) = slow_threshold(latencies_by_value) {
                     let fast_enough = self.fast_enough.get(operation).copied().unwrap_or(0);
                     self.slow_from.insert(*operation, value.max(fast_enough));
                     self.latencies.remove(operation);
@@ -253,49 +261,51 @@
         }
     }
 
-    /// A stage begins: what comes from here on is what it is analysed by.
+    /// Starts a stage: resets the metrics by which a stage is analysed.
     pub fn start_stage(&mut self, stage: u32) {
         self.stage = stage;
         for node in self.nodes.values_mut() {
-            // What rises slowly is looked at over all stages.
+            // Memory and descriptor trends are kept across stages, since a slow rise takes longer
+            // than one stage to show.
             (node.after, node.windows) = (BTreeMap::new(), 0);
             node.invariants = 0;
         }
     }
 
-    /// Takes up what nodes counted in a window since the rollout began.
+    /// Records the samples of a window since the rollout began.
     pub fn record_window(&mut self, window: u64, samples: &[WindowSample]) {
         if self.first_window == 0 {
             self.first_window = window;
         }
         let x = (window - self.first_window.min(window)) as f64;
         let new = self.version.hash;
-        // Nodes on any other version are left out.
-        let with_cohort: Vec<(&WindowSample, Cohort)> = samples
+        // Nodes on any other version belong to no cohort.
+        let by_cohort: Vec<(&WindowSample, Cohort)> = samples
             .iter()
             .filter_map(|sample| match self.ran_base(sample) {
                 true => Some((sample, Cohort::Baseline)),
                 false => (sample.version_hash == new).then_some((sample, Cohort::Canary)),
             })
             .collect();
-        let warm = with_cohort
+        let warmed_up = by_cohort
             .iter()
             .filter(|(sample, cohort)| *cohort == Cohort::Baseline && !sample.just_started);
-        warm.for_each(|(sample, _)| self.learn(sample));
+        warmed_up.for_each(|(sample, _)| self.learn(sample));
         let mut point = CohortPoint {
             window,
             stage: self.stage,
             ..CohortPoint::default()
         };
-        let with_cohort: Vec<(&WindowSample, Cohort, OperationCountsList)> = with_cohort
+        let by_cohort: Vec<(&WindowSample, Cohort, OperationCountsList)> = by_cohort
             .into_iter()
             .map(|(sample, cohort)| (sample, cohort, self.cells(sample)))
             .collect();
-        let warm_old = with_cohort
+        let warmed_up_baseline = by_cohort
             .iter()
             .filter(|(sample, cohort, _)| *cohort == Cohort::Baseline && !sample.just_started);
-        let usual = BaselineRates::of(warm_old.map(|(sample, _, cells)| (*sample, cells)));
-        for (sample, cohort, cells) in &with_cohort {
+        let baseline_rates =
+            BaselineRates::of(warmed_up_baseline.map(|(sample, _, cells)| (*sample, cells)));
+        for (sample, cohort, cells) in &by_cohort {
             let at = *cohort as usize;
             point.nodes[at] += 1;
             point.memory_kb[at] += sample.memory_kb as f64;
@@ -307,31 +317,31 @@
                 node.enter(*cohort);
             }
             if node.counts_window(sample, *cohort) {
-                node.add_window(x, sample, cells, &usual);
+                node.add_window(x, sample, cells, &baseline_rates);
             }
         }
         for cohort in 0..2 {
             point.memory_kb[cohort] /= f64::from(point.nodes[cohort].max(1));
         }
         self.history.push_back(point);
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
     }
 
-    /// The stage that is recorded.
+    /// Returns the stage that is recorded.
     pub fn stage(&self) -> u32 {
         self.stage
     }
 
-    /// The nodes of a cohort.
+    /// Returns the nodes of a cohort, with their keys.
     pub fn cohort(&self, cohort: Cohort) -> impl Iterator<Item = (&u64, &NodeHistory)> {
         self.nodes
             .iter()
             .filter(move |(_, node)| node.cohort == Some(cohort))
     }
 
-    /// Requests that arrived at a cohort in this stage.
+    /// Returns the number of requests that arrived at a cohort in this stage.
     pub fn arrived(&self, cohort: Cohort) -> u64 {
         self.cohort(cohort)
             .flat_map(|(_, node)| node.after.values())
@@ -339,7 +349,7 @@
             .sum()
     }
 
-    /// The operations that came in this stage.
+    /// Returns the operations with requests in this stage, sorted and without duplicates.
     pub fn operations(&self) -> Vec<u32> {
         let mut all: Vec<u32> = self
             .nodes
--- a/crates/rollout/src/cohort_metrics/baseline.rs
+++ b/crates/rollout/src/cohort_metrics/baseline.rs
@@ -1,20 +1,22 @@
-//! What was usual in a window at the baseline nodes, and from which latency on a request is slow.
+//! Rates of the baseline nodes in a window, and the latency from which a request is slow.
 
 use super::counts::{Metric, NodeMetric, NodeMetrics, OperationCounts, WindowSample};
 use std::collections::BTreeMap;
 
-/// Latencies of an operation that must be known before it is said what is slow.
-const LATENCIES: u64 = 100;
+/// Number of latencies of an operation that are needed to set its slow threshold.
+const MIN_LATENCIES: u64 = 100;
 
-/// What is slow takes this much longer than nine in ten did, in tenths of a millisecond, and a tenth
-/// longer at least: the histogram's own steps must not look like harm.
-pub(super) const SLOWER: u32 = 20;
+/// Margin above the 90th percentile from which a request is slow, in tenths of a millisecond; the
+/// margin is at least a tenth of the percentile. Steps between the buckets of the latency histogram
+/// must not look like harm.
+pub(super) const SLOW_MARGIN: u32 = 20;
 
 /// Counts by operation.
 pub(super) type OperationCountsList = Vec<(u32, OperationCounts)>;
 
-/// What was usual in a window, by zone, operation and measure: of what does not run the new
-/// version. A jump of traffic or a zone in trouble is in it, and so taken out of what is compared.
+/// Rates of the nodes that run the base in one window, by zone, operation and metric. A jump of
+/// traffic or a fault of a zone is part of these rates, and so does not show as a difference
+/// between the cohorts.
 #[derive(Debug, Default)]
 pub(super) struct BaselineRates {
     zones: BTreeMap<(u32, u32), [[u64; 2]; 5]>,
@@ -25,42 +27,43 @@
     pub(super) fn of<'s>(
         samples: impl Iterator<Item = (&'s WindowSample, &'s OperationCountsList)>,
     ) -> BaselineRates {
-        let mut usual = BaselineRates::default();
+        let mut rates = BaselineRates::default();
         for (sample, cells) in samples {
             for (operation, cell) in cells {
-                let zone = usual.zones.entry((sample.zone, *operation)).or_default();
-                for pool in [zone, usual.all.entry(*operation).or_default()] {
-                    for (sum, measure) in pool.iter_mut().zip(Metric::ALL) {
-                        let ([bad, all], _) = measure.of(cell);
+                let zone = rates.zones.entry((sample.zone, *operation)).or_default();
+                for pool in [zone, rates.all.entry(*operation).or_default()] {
+                    for (sum, metric) in pool.iter_mut().zip(Metric::ALL) {
+                        let ([bad, all], _) = metric.of(cell);
                         (sum[0], sum[1]) = (sum[0] + bad, sum[1] + all);
                     }
                 }
             }
         }
-        usual
+        rates
     }
 
-    /// What a node came to, beside what was to be expected. What nothing is known to compare with
-    /// is left out.
+    /// Returns the metrics of a node together with the values expected from the baseline rates of
+    /// its zone, or of all zones if the zone has none. A metric without any baseline rate is left
+    /// out.
     pub(super) fn parts(&self, zone: u32, operation: u32, cell: &OperationCounts) -> NodeMetrics {
         let mut parts = NodeMetrics {
             arrived: cell.arrived,
             succeeded: cell.succeeded,
             ..NodeMetrics::default()
         };
-        for measure in Metric::ALL {
-            let at = measure as usize;
+        for metric in Metric::ALL {
+            let at = metric as usize;
             let pool = |pool: Option<&[[u64; 2]; 5]>| {
                 pool.map(|pool| pool[at]).filter(|[_, all]| *all > 0)
             };
-            let usual =
+            let rates =
                 pool(self.zones.get(&(zone, operation))).or_else(|| pool(self.all.get(&operation)));
-            let Some([bad, all]) = usual else { continue };
-            let ([my_bad, my_all], count) = measure.of(cell);
-            let expected = my_all as f64 * bad as f64 / all as f64;
+            let Some([bad, all]) = rates else { continue };
+            let ([node_bad, node_all], count) = metric.of(cell);
+            let expected = node_all as f64 * bad as f64 / all as f64;
             parts.parts[at] = NodeMetric {
-                bad: my_bad,
-                all: my_all,
+                bad: node_bad,
+                all: node_all,
                 count,
                 expected,
             };
@@ -69,15 +72,16 @@
     }
 }
 
-/// What nine in ten took at most, of enough of them.
-pub(super) fn nine_in_ten(latencies: &BTreeMap<u32, u64>) -> Option<u32> {
+/// Returns the latency above which a request is slow: the 90th percentile plus a margin. `None` if
+/// there are too few latencies.
+pub(super) fn slow_threshold(latencies: &BTreeMap<u32, u64>) -> Option<u32> {
     let all: u64 = latencies.values().sum();
     let mut below = 0;
-    let ninth = latencies.iter().find(|(_, count)| {
+    let percentile = latencies.iter().find(|(_, count)| {
         below += **count;
         below * 10 >= all * 9
     });
-    ninth
-        .filter(|_| all >= LATENCIES)
-        .map(|(value, _)| value + SLOWER.max(value / 10))
+    percentile
+        .filter(|_| all >= MIN_LATENCIES)
+        .map(|(value, _)| value + SLOW_MARGIN.max(value / 10))
 }
--- a/crates/rollout/src/cohort_metrics/counts.rs
+++ b/crates/rollout/src/cohort_metrics/counts.rs
@@ -1,27 +1,29 @@
-//! What nodes count in a window, and the metrics that are drawn from it.
+//! Counts of a node in a window, and the metrics that are derived from them.
 
 use std::collections::BTreeMap;
 
-/// How many requests took how long: value of a histogram's bucket in tenths of a millisecond, and count.
+/// Latency histogram: the value of each bucket in tenths of a millisecond, and its number of
+/// requests.
 pub type Latencies = Vec<(u32, u32)>;
 
-/// What is measured of an operation. Each is a share of what harms.
+/// A metric of an operation. Each is the harmful part of a total, so that less is better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Metric {
-    /// Errored, of what arrived.
+    /// Requests that failed, of those that arrived.
     Errored,
-    /// Rejected, of what arrived.
+    /// Requests that were rejected, of those that arrived.
     Rejected,
-    /// Late, of what succeeded.
+    /// Requests past their latency objective, of those that succeeded.
     Late,
-    /// Priority weight that was not earned, of what was asked for.
+    /// Priority weight that was not earned, of the priority weight of the requests that arrived.
     Lost,
-    /// Slower by a tenth and 2 ms than nine in ten were before, of what succeeded.
+    /// Requests that took longer than the 90th percentile of the base by more than 2 ms and by more
+    /// than a tenth of it, of those that succeeded.
     Slow,
 }
 
 impl Metric {
-    /// All metrics.
+    /// All metrics, in the order of their discriminants.
     pub const ALL: [Metric; 5] = [
         Metric::Errored,
         Metric::Rejected,
@@ -30,7 +32,7 @@
         Metric::Slow,
     ];
 
-    /// What harms, of how much, and how many requests are behind it.
+    /// Returns the harmful part and the total it is a part of, and the number of requests counted.
     pub(super) fn of(self, cell: &OperationCounts) -> ([u64; 2], u64) {
         match self {
             Metric::Errored => ([cell.errored, cell.arrived], cell.arrived),
@@ -44,7 +46,7 @@
         }
     }
 
-    /// What it is called in tables.
+    /// Returns the name of the metric in tables.
     pub fn display_name(self) -> &'static str {
         match self {
             Metric::Errored => "errored",
@@ -56,118 +58,118 @@
     }
 }
 
-/// A metric at one node: what it came to, and what it would have if the node were as the baseline nodes
-/// of its zone in the same windows.
+/// A metric of one node: the observed value, and the value expected if the node were like the
+/// baseline nodes of its zone in the same windows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeMetric {
-    /// What harms.
+    /// Harmful part of `all`, in the unit of the metric.
     pub bad: u64,
-    /// Of how much.
+    /// Total that `bad` is a part of.
     pub all: u64,
-    /// Requests behind it.
+    /// Number of requests that were counted.
     pub count: u64,
-    /// What would harm at a baseline node.
+    /// Value of `bad` that is expected from the baseline rates.
     pub expected: f64,
 }
 
 impl NodeMetric {
-    fn add(&mut self, more: &NodeMetric) {
-        self.bad += more.bad;
-        self.all += more.all;
-        self.count += more.count;
-        self.expected += more.expected;
+    fn add(&mut self, other: &NodeMetric) {
+        self.bad += other.bad;
+        self.all += other.all;
+        self.count += other.count;
+        self.expected += other.expected;
     }
 }
 
-/// All metrics of an operation at one node.
+/// Metrics of one operation at one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeMetrics {
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub arrived: u64,
-    /// Requests that succeeded.
+    /// Number of requests that succeeded.
     pub succeeded: u64,
     pub(super) parts: [NodeMetric; 5],
 }
 
 impl NodeMetrics {
-    /// One measure.
-    pub fn of(&self, measure: Metric) -> &NodeMetric {
-        &self.parts[measure as usize]
+    /// Returns one metric.
+    pub fn of(&self, metric: Metric) -> &NodeMetric {
+        &self.parts[metric as usize]
     }
 
-    pub(super) fn add(&mut self, more: &NodeMetrics) {
-        self.arrived += more.arrived;
-        self.succeeded += more.succeeded;
+    pub(super) fn add(&mut self, other: &NodeMetrics) {
+        self.arrived += other.arrived;
+        self.succeeded += other.succeeded;
         self.parts
             .iter_mut()
-            .zip(&more.parts)
-            .for_each(|(sum, more)| sum.add(more));
+            .zip(&other.parts)
+            .for_each(|(sum, other)| sum.add(other));
     }
 }
 
-/// Counts of one operation.
+/// Counts of one operation at a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OperationCounts {
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub arrived: u64,
-    /// Requests that succeeded.
+    /// Number of requests that succeeded.
     pub succeeded: u64,
-    /// Requests that were rejected.
+    /// Number of requests that were rejected.
     pub rejected: u64,
-    /// Requests that failed.
+    /// Number of requests that failed.
     pub errored: u64,
-    /// Successes past their latency objective.
+    /// Number of successful requests past their latency objective.
     pub late: u64,
-    /// Priority weight that was earned, in thousandths.
+    /// Priority weight of the successful requests, in thousandths.
     pub earned: u64,
-    /// Priority weight that was asked for, in thousandths.
+    /// Priority weight of all requests that arrived, in thousandths.
     pub asked: u64,
-    /// Requests whose latency is known.
+    /// Number of requests whose latency is known.
     pub timed: u64,
-    /// Of these, those that were slow.
+    /// Number of these that were slow.
     pub slow: u64,
 }
 
 impl OperationCounts {
-    /// Adds other counts.
-    pub fn add(&mut self, more: &OperationCounts) {
-        self.arrived += more.arrived;
-        self.succeeded += more.succeeded;
-        self.rejected += more.rejected;
-        self.errored += more.errored;
-        self.late += more.late;
-        self.earned += more.earned;
-        self.asked += more.asked;
-        self.timed += more.timed;
-        self.slow += more.slow;
+    /// Adds the counts of another node or window.
+    pub fn add(&mut self, other: &OperationCounts) {
+        self.arrived += other.arrived;
+        self.succeeded += other.succeeded;
+        self.rejected += other.rejected;
+        self.errored += other.errored;
+        self.late += other.late;
+        self.earned += other.earned;
+        self.asked += other.asked;
+        self.timed += other.timed;
+        self.slow += other.slow;
     }
 }
 
-/// What a node counted in one window.
+/// Counts and gauges of one node in one window.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WindowSample {
-    /// The node's key.
+    /// Key of the node.
     pub node: u64,
-    /// Its zone.
+    /// Number of the node's zone.
     pub zone: u32,
-    /// What it ran: the hash of the version.
+    /// Hash of the version that the node ran.
     pub version_hash: u64,
-    /// Whether it has just started.
+    /// Whether the node's process is still warming up after its start.
     pub just_started: bool,
-    /// Counts and latencies by operation.
+    /// Counts and latencies, by operation.
     pub operations: BTreeMap<u32, (OperationCounts, Latencies)>,
     /// Resident memory in KiB.
     pub memory_kb: u64,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub descriptors: u64,
-    /// Invariants that were violated.
+    /// Number of invariants that were violated in the window.
     pub invariants: u64,
 }
 
-/// Which version a node runs.
+/// Cohort of a node, by the version that the node runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Cohort {
-    /// Nodes on the version that is replaced.
+    /// Nodes on the base, the version that is replaced.
     Baseline,
     /// Nodes on the new version.
     Canary,
--- a/crates/rollout/src/cohort_metrics/trend.rs
+++ b/crates/rollout/src/cohort_metrics/trend.rs
@@ -1,16 +1,16 @@
-//! A straight line through a gauge over windows.
+//! A straight line fitted to a gauge over windows.
 
-/// Sums for a least-squares line.
+/// Sums for a least-squares line through the values of a gauge.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinearTrend {
-    /// Values in it.
+    /// Number of values.
     pub count: f64,
     sum_x: f64,
     sum_y: f64,
     sum_xx: f64,
     sum_xy: f64,
     sum_yy: f64,
-    /// The last value.
+    /// Value that was added last.
     pub last: f64,
 }
 
@@ -25,7 +25,7 @@
         self.last = y;
     }
 
-    /// Its mean.
+    /// Returns the mean of the values; 0 if there are none.
     pub fn mean(&self) -> f64 {
         if self.count > 0.0 {
             self.sum_y / self.count
@@ -34,19 +34,19 @@
         }
     }
 
-    /// How much it rises with each window, and the variance of that by how far the values are from the line.
-    /// They are taken to be off by some `usual` part of the mean, as if four more windows had shown that.
-    /// None of fewer than four.
-    pub fn slope(&self, usual: f64) -> Option<(f64, f64)> {
+    /// Returns the rise per window and the variance of that rise, which follows from the distances
+    /// of the values from the line. The fit includes prior noise: a standard deviation of `noise`
+    /// times the mean, weighted as four more windows. Returns `None` with fewer than four values.
+    pub fn slope(&self, noise: f64) -> Option<(f64, f64)> {
         let n = self.count;
-        let spread = self.sum_xx - self.sum_x * self.sum_x / n;
-        if n < 4.0 || spread <= 0.0 {
+        let spread_x = self.sum_xx - self.sum_x * self.sum_x / n;
+        if n < 4.0 || spread_x <= 0.0 {
             return None;
         }
-        let common = self.sum_xy - self.sum_x * self.sum_y / n;
-        let slope = common / spread;
-        let off = (self.sum_yy - self.sum_y * self.sum_y / n - slope * common).max(0.0);
-        let usual = 4.0 * (usual * self.mean()).powi(2);
-        Some((slope, (off + usual) / (n - 2.0 + 4.0) / spread))
+        let covariance = self.sum_xy - self.sum_x * self.sum_y / n;
+        let slope = covariance / spread_x;
+        let residual = (self.sum_yy - self.sum_y * self.sum_y / n - slope * covariance).max(0.0);
+        let prior = 4.0 * (noise * self.mean()).powi(2);
+        Some((slope, (residual + prior) / (n - 2.0 + 4.0) / spread_x))
     }
 }
--- a/crates/rollout/src/messages.rs
+++ b/crates/rollout/src/messages.rs
@@ -1,25 +1,26 @@
-//! What nodes tell each other about rollouts, as it travels in the membership's payloads; what a
-//! node attaches to its membership entry; what operators ask. Protocol Buffers, fields by number: an
-//! unknown field is skipped, an unknown kind is no message.
+//! Encoding of the messages that nodes exchange about rollouts, which travel in the payloads of the
+//! membership; of the report that a node attaches to its membership entry; and of operator
+//! commands. Messages are Protocol Buffers with fields by number. A decoder skips unknown fields
+//! and rejects messages of an unknown kind.
 //!
-//! | field of `MessageWire` | is |
+//! | field of `MessageWire` | meaning |
 //! | --- | --- |
 //! | 1 | kind: 1 rollouts, 2 poll, 3 report, 4 chunk request, 5 chunk, 6 prepare, 7 accept, 8 promised, 9 accepted, 10 refused |
 //! | 2 | rollouts |
-//! | 3 | whether an answer is wanted |
-//! | 4 | number of a poll, or index of the first chunk |
+//! | 3 | whether the receiver is to answer with its own rollouts |
+//! | 4 | number of a poll, index of the first requested chunk, or index of a chunk |
 //! | 5 | rollout |
-//! | 6 | a report |
-//! | 7 | how many chunks |
-//! | 8 | bytes of a chunk |
+//! | 6 | report of a node |
+//! | 7 | number of requested chunks |
+//! | 8 | content of a chunk |
 //! | 9 | stage |
 //! | 10 | outcome |
-//! | 11 | number of an agreement |
+//! | 11 | number of the agreement |
 //! | 12 | ballot |
-//! | 13 | the ballot in which a proposal was accepted, or which was promised |
-//! | 14 | what is proposed, or was accepted |
-//! | 15 | whether it is proposed again |
-//! | 16 | what is changed: 0 settings, 1 the program |
+//! | 13 | ballot in which the proposal was accepted, or ballot that was promised to another request |
+//! | 14 | proposal that is made or was accepted |
+//! | 15 | whether a voter accepted the proposal in an earlier round |
+//! | 16 | kind of the rollout: 0 settings, 1 program |
 
 mod command;
 mod decode;
--- a/crates/rollout/src/messages/command.rs
+++ b/crates/rollout/src/messages/command.rs
@@ -1,62 +1,62 @@
-//! What operators ask of a node, and what it replies.
+//! Operator commands to a node, and its replies.
 
-/// What an operator asks of a node.
+/// A command of an operator to a node.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OperatorCommand {
-    /// One of [`command_kind`].
+    /// Kind of the command, one of [`command_kind`].
     #[prost(uint32, tag = "1")]
     pub kind: u32,
-    /// Of content: the index of the chunk.
+    /// Index of the chunk, for a chunk.
     #[prost(uint32, tag = "2")]
     pub chunk: u32,
-    /// The bytes of the chunk.
+    /// Bytes of the chunk, for a chunk.
     #[prost(bytes = "vec", tag = "3")]
     pub bytes: Vec<u8>,
-    /// Bytes of the whole content.
+    /// Size of the whole content in bytes.
     #[prost(uint32, tag = "4")]
     pub size: u32,
-    /// SHA-256 of the whole content.
+    /// SHA-256 digest of the whole content.
     #[prost(bytes = "vec", tag = "5")]
     pub digest: Vec<u8>,
-    /// Of a program: the number of its version; 0 for settings, whose file has it.
+    /// Number of the program's version; 0 for settings, whose version number is in their file.
     #[prost(uint64, tag = "6")]
     pub number: u64,
-    /// Of a program: the hash of its version.
+    /// Hash of the program's version; unused for settings.
     #[prost(fixed64, tag = "7")]
     pub hash: u64,
-    /// The rollout that is halted or rolled back; 0 for the current one.
+    /// Rollout that is halted or rolled back; 0 for the current one.
     #[prost(fixed64, tag = "8")]
     pub rollout: u64,
-    /// The operator's reason.
+    /// Reason given by the operator.
     #[prost(string, tag = "9")]
     pub why: String,
-    /// Whether it is about the program.
+    /// Whether the command is about rollouts of the program instead of the settings.
     #[prost(bool, tag = "10")]
     pub program: bool,
 }
 
-/// The kinds of operator commands.
+/// Kinds of operator commands.
 pub mod command_kind {
-    /// A chunk of content that is offered.
+    /// Transfers a chunk of the content that is offered.
     pub const CHUNK: u32 = 1;
-    /// Offer it to the cluster.
+    /// Offers the transferred content to the cluster.
     pub const OFFER: u32 = 2;
-    /// Halt a rollout.
+    /// Halts a rollout.
     pub const HALT: u32 = 3;
-    /// Roll a rollout back.
+    /// Rolls a rollout back.
     pub const ROLL_BACK: u32 = 4;
 }
 
-/// What became of an operator command.
+/// The reply to an operator command.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CommandReply {
-    /// One of [`crate::operator_commands::state`].
+    /// State of the command, one of [`crate::operator_commands::state`].
     #[prost(uint32, tag = "1")]
     pub state: u32,
-    /// Why it was rejected or is not done yet.
+    /// Reason why the command was rejected or is not done yet.
     #[prost(string, tag = "2")]
     pub why: String,
-    /// The rollout that it is about; 0 if none.
+    /// Rollout that the command is about; 0 if none.
     #[prost(fixed64, tag = "3")]
     pub rollout: u64,
 }
--- a/crates/rollout/src/messages/decode.rs
+++ b/crates/rollout/src/messages/decode.rs
@@ -1,4 +1,4 @@
-//! From bytes to messages; what is beyond its bounds or of an unknown kind is no message.
+//! Decoding of messages. A message that exceeds its bounds or is of an unknown kind is rejected.
 
 use super::message::{MAX_MESSAGE_BYTES, RolloutMessage};
 use super::wire::{
@@ -24,13 +24,13 @@
 }
 
 fn decode_plan(plan: &PlanWire) -> Option<Plan> {
-    let nanos = |ms: u32| u64::from(ms) * MILLISECOND;
+    let to_nanos = |ms: u32| u64::from(ms) * MILLISECOND;
     let stage = |stage: &StageWire| Stage {
         share_permille: stage.share_permille,
-        min_duration: nanos(stage.least_ms),
-        max_duration: nanos(stage.longest_ms),
+        min_duration: to_nanos(stage.min_duration_ms),
+        max_duration: to_nanos(stage.max_duration_ms),
         min_requests: stage.min_requests,
-        start_spread: nanos(stage.spread_ms),
+        start_spread: to_nanos(stage.start_spread_ms),
     };
     let stages = plan.stages.iter().take(MAX_STAGES + 1).map(stage).collect();
     let plan = Plan {
@@ -42,23 +42,26 @@
 }
 
 fn decode_progress(progress: &ProgressWire) -> Option<Progress> {
-    let n = progress.zones.len();
-    if n > MAX_ZONES || progress.previous_thresholds.len() != n || progress.thresholds.len() != n {
+    let zone_count = progress.zones.len();
+    if zone_count > MAX_ZONES
+        || progress.previous_thresholds.len() != zone_count
+        || progress.thresholds.len() != zone_count
+    {
         return None;
     }
-    let by_zone = |of: &[u64]| -> BTreeMap<u32, u64> {
+    let by_zone = |thresholds: &[u64]| -> BTreeMap<u32, u64> {
         progress
             .zones
             .iter()
             .copied()
-            .zip(of.iter().copied())
+            .zip(thresholds.iter().copied())
             .collect()
     };
-    let mut before = by_zone(&progress.previous_thresholds);
-    before.retain(|_, before| *before > 0);
+    let mut previous = by_zone(&progress.previous_thresholds);
+    previous.retain(|_, threshold| *threshold > 0);
     Some(Progress {
         stage: progress.stage,
-        previous_thresholds: before,
+        previous_thresholds: previous,
         thresholds: by_zone(&progress.thresholds),
         whole_cluster: progress.whole_cluster,
         cluster_size: progress.cluster_size,
@@ -90,7 +93,7 @@
     }
 }
 
-fn kind(number: u32) -> Option<Kind> {
+fn decode_kind(number: u32) -> Option<Kind> {
     [Kind::Settings, Kind::Program]
         .get(number as usize)
         .copied()
@@ -103,7 +106,7 @@
         .filter(|reason| reason.why.len() <= MAX_REASON_BYTES);
     Some(Rollout {
         id: RolloutId(rollout.id),
-        kind: kind(rollout.kind)?,
+        kind: decode_kind(rollout.kind)?,
         version: decode_version(rollout.version),
         base: decode_version(rollout.base),
         digest: rollout.digest.as_slice().try_into().ok()?,
@@ -115,7 +118,7 @@
             .progress
             .as_ref()
             .map_or(Some(Progress::default()), decode_progress)?,
-        // A outcome that a later version knows is taken for the one nearest to safety.
+        // An outcome that only a later version knows is read as rolled back, the safest one.
         outcome: Outcome::from_number(rollout.outcome).unwrap_or(Outcome::RolledBack),
         reason: reason.map_or(Reason::default(), |r| Reason {
             at_ms: r.at_ms,
@@ -141,7 +144,8 @@
     }
 }
 
-/// Decodes a message; none if it can't be read, is beyond its bounds, or is of an unknown kind.
+/// Decodes a message; `None` if the message is malformed, exceeds its bounds, or is of an unknown
+/// kind.
 pub fn decode(bytes: &[u8]) -> Option<RolloutMessage> {
     let wire = MessageWire::decode(bytes)
         .ok()
@@ -149,7 +153,7 @@
     let (number, rollout) = (wire.number, RolloutId(wire.rollout));
     Some(match wire.kind {
         1 if wire.rollouts.len() <= MAX_ROLLOUTS => RolloutMessage::Rollouts {
-            // One that can't be read leaves the others as they are.
+            // A rollout that cannot be decoded is skipped; the others are kept.
             rollouts: wire.rollouts.iter().filter_map(decode_rollout).collect(),
             answer: wire.answer,
         },
@@ -182,13 +186,17 @@
 }
 
 fn decode_paxos(wire: &MessageWire) -> Option<RolloutMessage> {
-    let (of, agreement, ballot) = (kind(wire.of)?, wire.agreement, decode_ballot(wire.ballot));
-    // One that is there and can't be read must not be taken for none.
+    let (kind, agreement, ballot) = (
+        decode_kind(wire.rollout_kind)?,
+        wire.agreement,
+        decode_ballot(wire.ballot),
+    );
+    // A proposal that is present but cannot be decoded must not be treated as absent.
     let proposal = wire.proposal.as_ref().map(decode_proposal);
     Some(match wire.kind {
-        6 => RolloutMessage::PaxosRequest(of, PaxosRequest::Prepare { agreement, ballot }),
+        6 => RolloutMessage::PaxosRequest(kind, PaxosRequest::Prepare { agreement, ballot }),
         7 => RolloutMessage::PaxosRequest(
-            of,
+            kind,
             PaxosRequest::Accept {
                 ballot,
                 proposal: proposal??,
@@ -198,10 +206,10 @@
         8 => {
             let accepted = match proposal {
                 None => None,
-                Some(proposal) => Some((decode_ballot(wire.earlier), proposal?)),
+                Some(proposal) => Some((decode_ballot(wire.other_ballot), proposal?)),
             };
             RolloutMessage::PaxosReply(
-                of,
+                kind,
                 PaxosReply::Promised {
                     agreement,
                     ballot,
@@ -209,19 +217,19 @@
                 },
             )
         }
-        9 => RolloutMessage::PaxosReply(of, PaxosReply::Accepted { agreement, ballot }),
+        9 => RolloutMessage::PaxosReply(kind, PaxosReply::Accepted { agreement, ballot }),
         _ => RolloutMessage::PaxosReply(
-            of,
+            kind,
             PaxosReply::Refused {
                 agreement,
                 ballot,
-                promised: decode_ballot(wire.earlier),
+                promised: decode_ballot(wire.other_ballot),
             },
         ),
     })
 }
 
-/// Decodes an attachment.
+/// Decodes the report that a node attaches to its membership entry; `None` if it is malformed.
 pub fn decode_attachment(bytes: &[u8]) -> Option<NodeReport> {
     ReportWire::decode(bytes)
         .ok()
--- a/crates/rollout/src/messages/encode.rs
+++ b/crates/rollout/src/messages/encode.rs
@@ -1,4 +1,4 @@
-//! From messages to bytes.
+//! Encoding of messages.
 
 use super::later::{LATER, later};
 use super::message::{MAX_MESSAGE_BYTES, RolloutMessage};
@@ -28,10 +28,10 @@
 fn encode_plan(plan: &Plan) -> PlanWire {
     let stage = |stage: &Stage| StageWire {
         share_permille: stage.share_permille,
-        least_ms: saturating_ms(stage.min_duration),
-        longest_ms: saturating_ms(stage.max_duration),
+        min_duration_ms: saturating_ms(stage.min_duration),
+        max_duration_ms: saturating_ms(stage.max_duration),
         min_requests: stage.min_requests,
-        spread_ms: saturating_ms(stage.start_spread),
+        start_spread_ms: saturating_ms(stage.start_spread),
     };
     PlanWire {
         stages: plan.stages.iter().map(stage).collect(),
@@ -119,12 +119,13 @@
         why: report.why.clone(),
         digest: report.digest,
         promoted: encode_version(report.promoted),
-        // A field that a later version drops.
+        // A later build leaves this field out.
         last_crash_ms: if LATER { 0 } else { report.last_crash_ms },
     }
 }
 
-/// Encodes a message. Rollouts that don't fit one go into several: see [`rollout_messages`].
+/// Encodes a message. Rollouts that do not fit into one message must be split before: see
+/// [`rollout_messages`].
 pub fn encode(message: &RolloutMessage) -> Vec<u8> {
     let mut wire = MessageWire::default();
     match message {
@@ -161,11 +162,11 @@
             wire.bytes.clone_from(bytes);
         }
         RolloutMessage::PaxosRequest(kind, request) => {
-            wire.of = *kind as u32;
+            wire.rollout_kind = *kind as u32;
             encode_paxos_request(&mut wire, request);
         }
         RolloutMessage::PaxosReply(kind, reply) => {
-            wire.of = *kind as u32;
+            wire.rollout_kind = *kind as u32;
             encode_paxos_reply(&mut wire, reply);
         }
     }
@@ -197,7 +198,7 @@
         } => {
             (wire.kind, wire.agreement, wire.ballot) = (8, *agreement, encode_ballot(*ballot));
             if let Some((earlier, proposal)) = accepted {
-                (wire.earlier, wire.proposal) =
+                (wire.other_ballot, wire.proposal) =
                     (encode_ballot(*earlier), Some(encode_proposal(proposal)));
             }
         }
@@ -210,12 +211,13 @@
             promised,
         } => {
             (wire.kind, wire.agreement, wire.ballot) = (10, *agreement, encode_ballot(*ballot));
-            wire.earlier = encode_ballot(*promised);
+            wire.other_ballot = encode_ballot(*promised);
         }
     }
 }
 
-/// Rollouts in as many messages as they need; the last one asks for an answer, if one is wanted.
+/// Splits rollouts into as many messages as they need. If `answer` is set, the last message asks
+/// the receiver for an answer.
 pub fn rollout_messages<'c>(
     all: impl Iterator<Item = &'c Rollout>,
     answer: bool,
@@ -223,12 +225,12 @@
     let mut messages: Vec<Vec<Rollout>> = vec![Vec::new()];
     let mut size = 0;
     for rollout in all {
-        let more = encode_rollout(rollout).encoded_len() + 4;
-        if size + more > MAX_MESSAGE_BYTES - 16 {
+        let encoded = encode_rollout(rollout).encoded_len() + 4;
+        if size + encoded > MAX_MESSAGE_BYTES - 16 {
             messages.push(Vec::new());
             size = 0;
         }
-        size += more;
+        size += encoded;
         if let Some(last) = messages.last_mut() {
             last.push(rollout.clone());
         }
@@ -241,9 +243,9 @@
     messages.into_iter().enumerate().map(message).collect()
 }
 
-/// What a node attaches to its membership entry: its report without the reason.
+/// Encodes the report that a node attaches to its membership entry, without the reason.
 pub fn encode_attachment(report: &NodeReport) -> Vec<u8> {
-    // The reason is sent to those that poll: an entry has little room.
+    // Only replies to polls carry the reason, since the space of a membership entry is limited.
     later(
         encode_report(&NodeReport {
             why: String::new(),
--- a/crates/rollout/src/messages/later.rs
+++ b/crates/rollout/src/messages/later.rs
@@ -1,21 +1,21 @@
-//! A build with a later version of the messages: a field more in each, one less in some, and kinds
-//! that the present version does not know. For tests of both side by side; see
-//! `docs/design/rollout.md`.
+//! Encoding of messages as a later version would encode them, in builds with the feature `later`:
+//! an additional field in each message, a field left out of some, and kinds that the present
+//! version does not know. Used to test both versions side by side; see `docs/design/rollout.md`.
 
 use super::message::MAX_MESSAGE_BYTES;
 use super::wire::MessageWire;
 use prost::Message as _;
 
-/// Whether this is such a build.
+/// Whether this build encodes messages as a later version would.
 pub const LATER: bool = cfg!(feature = "later");
 
-/// A field that the present version does not know: number 250, a text.
+/// Encoded field that the present version does not know: number 250, a string.
 const LATER_FIELD: [u8; 8] = [0xd2, 0x0f, 5, b'l', b'a', b't', b'e', b'r'];
 
-/// A kind of message that the present version does not know.
+/// Kind of message that the present version does not know.
 pub const LATER_KIND: u32 = 90;
 
-/// A message of that kind.
+/// Returns an encoded message of the kind [`LATER_KIND`].
 pub fn later_kind() -> Vec<u8> {
     later(
         MessageWire {
@@ -26,7 +26,8 @@
     )
 }
 
-/// Adds to an encoded message what a later version has in it.
+/// Appends the unknown field to an encoded message in a later build, if the message then stays
+/// within [`MAX_MESSAGE_BYTES`].
 pub(crate) fn later(mut message: Vec<u8>) -> Vec<u8> {
     if LATER && message.len() + LATER_FIELD.len() <= MAX_MESSAGE_BYTES {
         message.extend(LATER_FIELD);
--- a/crates/rollout/src/messages/message.rs
+++ b/crates/rollout/src/messages/message.rs
@@ -5,57 +5,58 @@
 use crate::paxos::{PaxosReply, PaxosRequest};
 use crate::rollout::{Outcome, Rollout};
 
-/// The most bytes of a message.
+/// Maximum size of an encoded message in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1200;
 
-/// A message between nodes.
+/// A message between nodes about rollouts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RolloutMessage {
-    /// What the sender knows of rollouts.
+    /// The rollouts known to the sender.
     Rollouts {
-        /// The rollouts.
+        /// Rollouts known to the sender.
         rollouts: Vec<Rollout>,
-        /// Whether the receiver is to answer with what it knows.
+        /// Whether the receiver is to answer with the rollouts that it knows.
         answer: bool,
     },
-    /// From the coordinator: how does the node stand to a rollout of which this is known?
+    /// From the coordinator: asks a node for its report on a rollout, and tells it the stage and
+    /// outcome.
     Poll {
-        /// The number of the poll.
+        /// Number of the poll.
         poll: u32,
-        /// The rollout.
+        /// Rollout that is polled.
         rollout: RolloutId,
-        /// Its stage as the coordinator knows it.
+        /// Stage of the rollout as known to the coordinator.
         stage: u32,
-        /// Its outcome as the coordinator knows it.
+        /// Outcome of the rollout as known to the coordinator.
         outcome: Outcome,
     },
-    /// The answer to a poll.
+    /// From a node to the coordinator: the answer to a poll.
     NodeReport {
-        /// The number of the poll.
+        /// Number of the poll that is answered.
         poll: u32,
-        /// The report.
+        /// Report of the node.
         report: NodeReport,
     },
-    /// Chunks of a rollout's content are wanted.
+    /// Requests consecutive chunks of a rollout's content.
     ChunkRequest {
-        /// The rollout.
+        /// Rollout whose content is requested.
         rollout: RolloutId,
-        /// The index of the first chunk.
+        /// Index of the first chunk.
         first: u32,
-        /// How many.
+        /// Number of chunks.
         count: u32,
     },
     /// A chunk of a rollout's content.
     Chunk {
-        /// The rollout.
+        /// Rollout whose content the chunk is part of.
         rollout: RolloutId,
-        /// The index of the chunk.
+        /// Index of the chunk.
         index: u32,
-        /// Its bytes.
+        /// Bytes of the chunk.
         bytes: Vec<u8>,
     },
-    /// From the coordinator to a voter, for this kind of rollout.
+    /// Paxos request from the coordinator to a voter, for rollouts of this kind.
     PaxosRequest(Kind, PaxosRequest),
-    /// From a voter to the coordinator, for this kind of rollout.
+    /// Paxos reply from a voter to the coordinator, for rollouts of this kind.
     PaxosReply(Kind, PaxosReply),
 }
--- a/crates/rollout/src/messages/tests.rs
+++ b/crates/rollout/src/messages/tests.rs
@@ -33,10 +33,10 @@
     }
 }
 
-fn all() -> Vec<RolloutMessage> {
-    let mut far = rollout(3, 9);
+fn all_messages() -> Vec<RolloutMessage> {
+    let mut rolled_back = rollout(3, 9);
     let thresholds = BTreeMap::from([(1, 1 << 62), (7, u64::MAX)]);
-    far.progress = Progress {
+    rolled_back.progress = Progress {
         agreement: 31,
         stage: 2,
         previous_thresholds: BTreeMap::from([(7, 5)]),
@@ -54,15 +54,15 @@
     );
     let proposal = Proposal {
         rollout: RolloutId(3),
-        progress: far.progress.clone(),
+        progress: rolled_back.progress.clone(),
     };
-    (far.outcome, far.reason) = (
+    (rolled_back.outcome, rolled_back.reason) = (
         Outcome::RolledBack,
         Reason::new(1 << 40, 6, "book errs: 0.31 of the new, 0.01 of the old"),
     );
     vec![
         RolloutMessage::Rollouts {
-            rollouts: vec![rollout(1, 2), far],
+            rollouts: vec![rollout(1, 2), rolled_back],
             answer: true,
         },
         RolloutMessage::Poll {
@@ -135,16 +135,16 @@
 }
 
 #[test]
-fn what_is_told_is_read_as_it_was_meant() {
-    for message in all() {
+fn messages_and_attachments_are_decoded_as_encoded() {
+    for message in all_messages() {
         let bytes = encode(&message);
         assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{message:?}");
         assert_eq!(decode(&bytes), Some(message));
     }
-    let part = encode_attachment(&report());
-    assert!(part.len() < 90, "{}", part.len());
+    let attachment = encode_attachment(&report());
+    assert!(attachment.len() < 90, "{}", attachment.len());
     assert_eq!(
-        decode_attachment(&part),
+        decode_attachment(&attachment),
         Some(NodeReport {
             why: String::new(),
             ..report()
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn many_changes_are_told_in_parcels_that_fit() {
+fn many_rollouts_are_split_into_messages_within_the_size_bound() {
     let mut all: Vec<Rollout> = (1..=MAX_ROLLOUTS as u64)
         .map(|id| rollout(id, id))
         .collect();
@@ -164,12 +164,12 @@
             Reason::new(1 << 41, 1 << 60, &"x".repeat(MAX_REASON_BYTES)),
         );
     }
-    let message = rollout_messages(all.iter(), true);
-    let read: Vec<RolloutMessage> = message
+    let messages = rollout_messages(all.iter(), true);
+    let read: Vec<RolloutMessage> = messages
         .iter()
         .map(|message| decode(&encode(message)).unwrap())
         .collect();
-    assert_eq!(read, message);
+    assert_eq!(read, messages);
     let received: Vec<Rollout> = read
         .iter()
         .flat_map(|message| match message {
@@ -179,18 +179,18 @@
         .collect();
     assert_eq!(received, all);
     assert_eq!(
-        message
+        messages
             .iter()
-            .filter(|t| matches!(t, RolloutMessage::Rollouts { answer: true, .. }))
+            .filter(|message| matches!(message, RolloutMessage::Rollouts { answer: true, .. }))
             .count(),
         1
     );
 }
 
-/// A later program may add fields, kinds and fates: what is known is read, and what is not is
-/// taken for safe.
+/// A later program may add fields, kinds and outcomes. Known parts are decoded; an unknown outcome
+/// is read as the safest one.
 #[test]
-fn a_later_version_is_read_as_far_as_it_is_known() {
+fn known_parts_of_a_message_of_a_later_version_are_decoded() {
     let mut wire = MessageWire {
         kind: 1,
         rollouts: vec![encode_rollout(&rollout(1, 2))],
@@ -198,9 +198,9 @@
     };
     wire.rollouts[0].outcome = 9;
     let mut bytes = wire.encode_to_vec();
-    bytes.extend([0xfa, 0x01, 0x01, b'x']); // a field 31
+    bytes.extend([0xfa, 0x01, 0x01, b'x']); // field 31, which the decoder does not know
     let Some(RolloutMessage::Rollouts { rollouts, .. }) = decode(&bytes) else {
-        panic!("changes")
+        panic!("rollouts expected")
     };
     assert_eq!(rollouts[0].outcome, Outcome::RolledBack);
     assert_eq!(
@@ -218,13 +218,9 @@
         ..wire.rollouts[0].clone()
     });
     let Some(RolloutMessage::Rollouts { rollouts, .. }) = decode(&wire.encode_to_vec()) else {
-        panic!("changes")
+        panic!("rollouts expected")
     };
-    assert_eq!(
-        rollouts.len(),
-        1,
-        "a kind of change that is not known is passed over"
-    );
+    assert_eq!(rollouts.len(), 1, "a rollout of an unknown kind is skipped");
     assert_eq!(
         decode_report(&ReportWire {
             status: 77,
@@ -236,9 +232,9 @@
 }
 
 #[test]
-fn every_cut_and_bit_is_read_or_refused() {
+fn truncated_and_corrupted_messages_do_not_panic() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    for message in all() {
+    for message in all_messages() {
         let bytes = encode(&message);
         for at in 0..bytes.len().min(400) {
             let _ = decode(&bytes[..at]);
--- a/crates/rollout/src/messages/wire.rs
+++ b/crates/rollout/src/messages/wire.rs
@@ -1,7 +1,7 @@
-//! The Protocol Buffers messages as they lie on the wire and in files. Tags never change; a field
-//! that a decoder does not know is skipped.
+//! Protocol Buffers messages as they are sent over the network and persisted. Tags never change; a
+//! decoder skips fields that it does not know.
 
-/// A version.
+/// Number and hash of a version.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(crate) struct VersionWire {
     #[prost(uint64, tag = "1")]
@@ -16,16 +16,16 @@
     #[prost(uint32, tag = "1")]
     pub(super) share_permille: u32,
     #[prost(uint32, tag = "2")]
-    pub(super) least_ms: u32,
+    pub(super) min_duration_ms: u32,
     #[prost(uint32, tag = "3")]
-    pub(super) longest_ms: u32,
+    pub(super) max_duration_ms: u32,
     #[prost(uint32, tag = "4")]
     pub(super) min_requests: u32,
     #[prost(uint32, tag = "5")]
-    pub(super) spread_ms: u32,
+    pub(super) start_spread_ms: u32,
 }
 
-/// A plan.
+/// The plan of a rollout.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct PlanWire {
     #[prost(message, repeated, tag = "1")]
@@ -36,16 +36,16 @@
     pub(super) margin_permille: u32,
 }
 
-/// How far a rollout has been agreed.
+/// Agreed progress of a rollout.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct ProgressWire {
     #[prost(uint32, tag = "1")]
     pub(super) stage: u32,
     #[prost(fixed32, repeated, tag = "2")]
     pub(super) zones: Vec<u32>,
-    /// Thresholds by zone, of the stage before and of this one; a zone with none before has 0, and a
-    /// node's place is that only by a
-    /// chance of 2^-64.
+    /// Thresholds of the previous stage, one for each entry of `zones`; `thresholds` has those of
+    /// the current stage. A zone without a previous threshold has 0, which equals a node's position
+    /// only with a probability of 2^-64.
     #[prost(fixed64, repeated, tag = "3")]
     pub(super) previous_thresholds: Vec<u64>,
     #[prost(fixed64, repeated, tag = "4")]
@@ -60,7 +60,7 @@
     pub(super) at_ms: u64,
 }
 
-/// A ballot.
+/// A ballot of the agreement protocol.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(crate) struct BallotWire {
     #[prost(uint64, tag = "1")]
@@ -69,7 +69,7 @@
     pub(super) by: u64,
 }
 
-/// A proposal.
+/// A proposal of the agreement protocol.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct ProposalWire {
     #[prost(fixed64, tag = "1")]
@@ -78,7 +78,7 @@
     pub(super) progress: Option<ProgressWire>,
 }
 
-/// A vote, as it is persisted.
+/// The state of a voter, as persisted.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct VoteWire {
     #[prost(uint64, tag = "1")]
@@ -91,7 +91,7 @@
     pub(super) accepted: Option<ProposalWire>,
 }
 
-/// Why a rollout ended.
+/// The reason why a rollout ended.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct ReasonWire {
     #[prost(uint64, tag = "1")]
@@ -102,7 +102,7 @@
     pub(super) why: String,
 }
 
-/// A rollout, as it travels and is persisted.
+/// A rollout, as sent to other nodes and persisted.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct RolloutWire {
     #[prost(fixed64, tag = "1")]
@@ -131,7 +131,7 @@
     pub(super) reason: Option<ReasonWire>,
 }
 
-/// A node's report.
+/// The report of a node.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct ReportWire {
     #[prost(fixed64, tag = "1")]
@@ -158,7 +158,7 @@
     pub(super) last_crash_ms: u64,
 }
 
-/// A message; its table of fields stands in the module's documentation.
+/// A message between nodes. The documentation of [`crate::messages`] has a table of the fields.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct MessageWire {
     #[prost(uint32, tag = "1")]
@@ -186,11 +186,11 @@
     #[prost(message, optional, tag = "12")]
     pub(super) ballot: Option<BallotWire>,
     #[prost(message, optional, tag = "13")]
-    pub(super) earlier: Option<BallotWire>,
+    pub(super) other_ballot: Option<BallotWire>,
     #[prost(message, optional, tag = "14")]
     pub(super) proposal: Option<ProposalWire>,
     #[prost(bool, tag = "15")]
     pub(super) again: bool,
     #[prost(uint32, tag = "16")]
-    pub(super) of: u32,
+    pub(super) rollout_kind: u32,
 }
--- a/crates/rollout/src/simulation/cluster.rs
+++ b/crates/rollout/src/simulation/cluster.rs
@@ -1,4 +1,4 @@
-//! A simulated cluster: its nodes, clocks, network and disks, and what happens to them.
+//! A simulated cluster with its nodes, clocks, network and disks, and the faults that tests inject.
 
 mod events;
 mod host;
@@ -18,8 +18,8 @@
 use crate::rollout::{Outcome, Rollout};
 use crate::stages::{Plan, Progress};
 use crate::{MILLISECOND, Nanos, SECOND, splitmix64};
-use events::{Event, Queued};
-use host::Board;
+use events::{Event, QueuedEvent};
+use host::ClusterView;
 pub use host::SimHost;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -27,44 +27,45 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::rc::Rc;
 
-/// Time between two wake-ups of a node, and between two refreshes of what nodes see.
-const WAKE: Nanos = 500 * MILLISECOND;
+/// Time between two wake-ups of a node, and between two updates of the nodes' views of the cluster.
+const WAKE_INTERVAL: Nanos = 500 * MILLISECOND;
 
-/// The Unix clock when a simulation begins, in milliseconds.
+/// Unix time at which a simulation begins, in milliseconds.
 const EPOCH_MS: u64 = 1_700_000_000_000;
 
-/// What a simulated cluster is.
+/// Configuration of a simulated cluster.
 #[derive(Clone, Debug)]
-pub struct Shape {
-    /// Decides all that is random.
+pub struct SimulationConfig {
+    /// Seed of all random decisions.
     pub seed: u64,
-    /// How many nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many zones.
+    /// Number of zones.
     pub zones: u32,
-    /// How many of the nodes are voters.
+    /// Number of voters; the first nodes are the voters.
     pub voters: usize,
-    /// Requests of a node in a window.
-    pub each: f64,
-    /// How much nodes differ by themselves.
+    /// Mean number of requests of a node in a window.
+    pub requests_per_window: f64,
+    /// Differences between nodes, and trouble that no version causes.
     pub noise: Noise,
-    /// The share of messages that are lost.
+    /// Share of messages that are lost, from 0 to 1.
     pub loss: f64,
-    /// The plan of all rollouts.
+    /// Plan of all rollouts.
     pub plan: Plan,
-    /// The method of analysis.
+    /// Method of the canary analysis.
     pub method: AnalysisMethod,
 }
 
-impl Shape {
-    /// A cluster of this many nodes on a day without trouble.
-    pub fn new(seed: u64, nodes: usize) -> Shape {
-        Shape {
+impl SimulationConfig {
+    /// Creates the configuration of a cluster of this many nodes in three zones, without trouble
+    /// and message loss.
+    pub fn new(seed: u64, nodes: usize) -> SimulationConfig {
+        SimulationConfig {
             seed,
             nodes,
             zones: 3,
             voters: if nodes < 3 { 1 } else { 3 },
-            each: 200.0,
+            requests_per_window: 200.0,
             noise: Noise::NONE,
             loss: 0.0,
             plan: Plan::default(),
@@ -83,29 +84,29 @@
 struct Node {
     key: u64,
     participant: Option<Participant<SimHost>>,
-    life: u64,
+    start_count: u64,
     disk: Disk,
     side: usize,
     paused: bool,
-    left: bool,
-    /// Since when it is there, or gone.
-    since: Nanos,
-    started: Nanos,
-    ran_since: Nanos,
-    clock: i64,
+    has_left: bool,
+    /// Time of the last change of reachability: a start, crash, pause, resumption or split.
+    reachability_changed_at: Nanos,
+    started_at: Nanos,
+    version_applied_at: Nanos,
+    clock_offset_ms: i64,
     checked: BTreeSet<Version>,
 }
 
 impl Disk {
-    /// What a process finds at its start.
+    /// Returns what a process reads from the disk at its start.
     fn initial_state(&self, node: usize, base: Version) -> InitialState {
         let disk_was_empty = self.persisted.is_empty();
         let mut persisted = if disk_was_empty {
             PersistedState::new(Kind::Settings)
         } else {
-            // The disk is written whole or not at all.
+            // Writes to the simulated disk are atomic.
             PersistedState::decode(&self.persisted)
-                .unwrap_or_else(|broken| panic!("node {node}: {}", broken.word()))
+                .unwrap_or_else(|error| panic!("node {node}: {}", error.word()))
         };
         let (starts, crashed) = persisted.start_candidates(base);
         let has = |version: &Version| *version == base || self.contents.contains_key(version);
@@ -127,54 +128,54 @@
     }
 }
 
-/// Totals of a simulation.
+/// Totals of a simulation so far.
 #[derive(Clone, Debug, Default)]
 pub struct SimulationTotals {
-    /// Priority weight that versions cost.
+    /// Priority weight lost to the effects of versions.
     pub cost: f64,
-    /// Priority weight that was asked for.
+    /// Priority weight of all requests that arrived.
     pub asked: f64,
-    /// Nodes that ever ran a version.
+    /// Pairs of a rolled-out version and a node that ran the version at some time.
     pub ran: BTreeSet<(Version, usize)>,
-    /// Messages that were sent.
+    /// Number of messages sent.
     pub messages: u64,
-    /// Their bytes.
+    /// Number of bytes of these messages.
     pub bytes: u64,
-    /// What was not allowed.
-    pub broken: Vec<String>,
+    /// Violated invariants, one text for each violation.
+    pub violations: Vec<String>,
 }
 
 /// A simulated cluster.
 pub struct SimulatedCluster {
-    shape: Shape,
+    config: SimulationConfig,
     nodes: Vec<Node>,
     keys: BTreeMap<u64, usize>,
     now: Nanos,
-    queue: BinaryHeap<Queued>,
-    queued: u64,
+    queue: BinaryHeap<QueuedEvent>,
+    events_queued: u64,
     rng: Pcg64Mcg,
     load: Load,
-    boards: Vec<Rc<Board>>,
+    cluster_views: Vec<Rc<ClusterView>>,
     windows: Rc<RefCell<BTreeMap<u64, Vec<WindowSample>>>>,
     next_window: u64,
-    next_board: Nanos,
+    next_view_at: Nanos,
     effects: BTreeMap<Version, Effect>,
-    /// Progress by agreement, as any node knows it.
+    /// Agreed rollout and progress by number of the agreement, as first seen at any node.
     progress_by_agreement: BTreeMap<u64, (RolloutId, Progress)>,
-    /// Totals so far.
+    /// Totals of the simulation so far.
     pub totals: SimulationTotals,
     base: Version,
 }
 
 impl SimulatedCluster {
-    /// All nodes start on version 1.
-    pub fn new(shape: Shape) -> SimulatedCluster {
+    /// Creates a cluster whose nodes all run version 1, and runs it for 5 s.
+    pub fn new(config: SimulationConfig) -> SimulatedCluster {
         let load = Load::new(
-            shape.seed,
-            shape.nodes,
-            shape.zones,
-            shape.each,
-            shape.noise,
+            config.seed,
+            config.nodes,
+            config.zones,
+            config.requests_per_window,
+            config.noise,
         );
         let base = Version {
             number: 1,
@@ -185,70 +186,70 @@
             keys: BTreeMap::new(),
             now: SECOND,
             queue: BinaryHeap::new(),
-            queued: 0,
-            rng: Pcg64Mcg::seed_from_u64(shape.seed ^ 0x5eed),
+            events_queued: 0,
+            rng: Pcg64Mcg::seed_from_u64(config.seed ^ 0x5eed),
             load,
-            boards: Vec::new(),
+            cluster_views: Vec::new(),
             windows: Rc::default(),
             next_window: 0,
-            next_board: 0,
+            next_view_at: 0,
             effects: BTreeMap::from([(base, Effect::NONE)]),
             progress_by_agreement: BTreeMap::new(),
             totals: SimulationTotals::default(),
             base,
-            shape,
+            config,
         };
-        for node in 0..cluster.shape.nodes {
-            cluster.add(node);
+        for node in 0..cluster.config.nodes {
+            cluster.add_node(node);
         }
         cluster.next_window = cluster.unix_ms(0) / (WINDOW / MILLISECOND);
-        cluster.refresh();
+        cluster.refresh_views();
         (0..cluster.nodes.len()).for_each(|node| cluster.start(node));
         cluster.run(5 * SECOND);
         cluster
     }
 
-    fn add(&mut self, node: usize) {
+    fn add_node(&mut self, node: usize) {
         self.keys.insert(key(node), node);
         self.nodes.push(Node {
             key: key(node),
             participant: None,
-            life: 0,
+            start_count: 0,
             disk: Disk::default(),
             side: 0,
             paused: false,
-            left: false,
-            since: 0,
-            started: self.now,
-            ran_since: self.now,
-            clock: 0,
+            has_left: false,
+            reachability_changed_at: 0,
+            started_at: self.now,
+            version_applied_at: self.now,
+            clock_offset_ms: 0,
             checked: BTreeSet::from([self.base]),
         });
     }
 
     fn unix_ms(&self, node: usize) -> u64 {
-        let clock = self.nodes.get(node).map_or(0, |node| node.clock);
-        (EPOCH_MS + self.now / MILLISECOND).saturating_add_signed(clock)
+        let clock_offset_ms = self.nodes.get(node).map_or(0, |node| node.clock_offset_ms);
+        (EPOCH_MS + self.now / MILLISECOND).saturating_add_signed(clock_offset_ms)
     }
 
-    /// The time since it began.
+    /// Returns the simulated time in nanoseconds; a simulation begins at 1 s.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
-    /// How many nodes there are, running or not.
+    /// Returns the number of nodes, running or not.
     pub fn count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// A node's process starts, with what is on its disk.
+    /// Starts a node's process with the data on its disk; does nothing if the process is running.
     pub fn start(&mut self, node: usize) {
         if self.nodes[node].participant.is_some() {
             return;
         }
         let unix = self.unix_ms(node);
-        let voters = (0..self.shape.voters).map(key).collect();
-        let board = self.board(self.nodes[node].side);
+        let voters = (0..self.config.voters).map(key).collect();
+        let cluster_view = self.cluster_view(self.nodes[node].side);
         let rng = Pcg64Mcg::seed_from_u64(self.rng.random());
         let (zone, me, now, base) = (
             self.load.zone(node),
@@ -256,15 +257,15 @@
             self.now,
             self.base,
         );
-        let of = &mut self.nodes[node];
-        let start = of.disk.initial_state(node, base);
+        let target = &mut self.nodes[node];
+        let start = target.disk.initial_state(node, base);
         let host = SimHost {
             me,
-            out: Vec::new(),
+            outbox: Vec::new(),
             tasks: Vec::new(),
             lines: Vec::new(),
-            shown: NodeReport::default(),
-            board,
+            attached: NodeReport::default(),
+            cluster_view,
             rng,
         };
         let mut participant = Participant::new(
@@ -280,54 +281,61 @@
             now,
             me,
             Kind::Settings,
-            (0..self.shape.voters).map(key).collect(),
+            (0..self.config.voters).map(key).collect(),
         )
-        .with_method(self.shape.method);
-        of.participant = Some(participant);
-        of.life += 1;
-        (of.since, of.started, of.ran_since) = (now, now, now);
-        let first = self.rng.random_range(0..WAKE);
-        let life = self.nodes[node].life;
-        self.push(first, node, Some(life), Event::Wake);
-        self.after(node);
+        .with_method(self.config.method);
+        target.participant = Some(participant);
+        target.start_count += 1;
+        (
+            target.reachability_changed_at,
+            target.started_at,
+            target.version_applied_at,
+        ) = (now, now, now);
+        let first = self.rng.random_range(0..WAKE_INTERVAL);
+        let start_count = self.nodes[node].start_count;
+        self.push(first, node, Some(start_count), Event::Wake);
+        self.dispatch(node);
     }
 
-    /// A node's process is killed.
+    /// Kills a node's process.
     pub fn crash(&mut self, node: usize) {
         let now = self.now;
-        let of = &mut self.nodes[node];
-        if of.participant.take().is_some() {
-            of.since = now;
+        let target = &mut self.nodes[node];
+        if target.participant.take().is_some() {
+            target.reachability_changed_at = now;
         }
     }
 
-    /// A node leaves by notice, and is not missed.
+    /// Lets a node leave the cluster by notice: the other nodes no longer list it as a member.
     pub fn leave(&mut self, node: usize) {
         self.crash(node);
-        self.nodes[node].left = true;
+        self.nodes[node].has_left = true;
     }
 
-    /// A new node comes.
+    /// Adds and starts a new node; returns its number.
     pub fn join(&mut self) -> usize {
         let node = self.nodes.len();
-        self.add(node);
-        self.load.joins();
-        self.refresh();
+        self.add_node(node);
+        self.load.add_machine();
+        self.refresh_views();
         self.start(node);
         node
     }
 
-    /// A node's process stops running for a while, or goes on.
+    /// Pauses a node's process, or resumes it.
     pub fn pause(&mut self, node: usize, paused: bool) {
-        (self.nodes[node].paused, self.nodes[node].since) = (paused, self.now);
+        (
+            self.nodes[node].paused,
+            self.nodes[node].reachability_changed_at,
+        ) = (paused, self.now);
     }
 
-    /// A node's disk is full, or not any more.
-    pub fn fill(&mut self, node: usize, full: bool) {
+    /// Lets writes to a node's disk fail, or succeed again.
+    pub fn set_disk_full(&mut self, node: usize, full: bool) {
         self.nodes[node].disk.full = full;
     }
 
-    /// A node is set up anew: its disk is empty.
+    /// Kills a node's process and erases its disk.
     pub fn wipe(&mut self, node: usize) {
         self.crash(node);
         self.nodes[node].disk = Disk::default();
@@ -336,28 +344,28 @@
             .retain(|version| version.number == 1);
     }
 
-    /// A node's Unix clock steps.
-    pub fn step(&mut self, node: usize, ms: i64) {
-        self.nodes[node].clock += ms;
+    /// Steps a node's Unix clock by this many milliseconds.
+    pub fn step_clock(&mut self, node: usize, ms: i64) {
+        self.nodes[node].clock_offset_ms += ms;
     }
 
-    /// The cluster is split: these nodes are on one side, the others on the other.
+    /// Splits the network between these nodes and all others.
     pub fn split(&mut self, side: &[usize]) {
         for (number, node) in self.nodes.iter_mut().enumerate() {
             let now = usize::from(side.contains(&number));
             if now != node.side {
-                (node.side, node.since) = (now, self.now);
+                (node.side, node.reachability_changed_at) = (now, self.now);
             }
         }
-        self.next_board = self.now;
+        self.next_view_at = self.now;
     }
 
-    /// It is whole again.
+    /// Ends a split of the network.
     pub fn heal(&mut self) {
         self.split(&[]);
     }
 
-    /// Offers a version at a node.
+    /// Offers a version with this effect at a node; returns the rollout's identifier.
     pub fn offer(&mut self, at: usize, number: u64, effect: Effect) -> RolloutId {
         let version = Version {
             number,
@@ -370,7 +378,7 @@
             .collect();
         let unix = self.unix_ms(at);
         let by = self.nodes[at].key;
-        let plan = self.shape.plan.clone();
+        let plan = self.config.plan.clone();
         let now = self.now;
         let Some(participant) = &mut self.nodes[at].participant else {
             return id;
@@ -390,16 +398,16 @@
             reason: Default::default(),
         };
         participant.offer(now, rollout, Some(content));
-        self.after(at);
+        self.dispatch(at);
         id
     }
 
-    /// An operator halts a rollout at a node, or rolls it back.
+    /// Halts a rollout or rolls it back at a node, as an operator would.
     pub fn end(&mut self, at: usize, id: RolloutId, outcome: Outcome) {
         let (now, unix) = (self.now, self.unix_ms(at));
         if let Some(participant) = &mut self.nodes[at].participant {
-            participant.end(now, unix, id, outcome, "an operator said so");
+            participant.end(now, unix, id, outcome, "ended by an operator");
         }
-        self.after(at);
+        self.dispatch(at);
     }
 }
--- a/crates/rollout/src/simulation/cluster/events.rs
+++ b/crates/rollout/src/simulation/cluster/events.rs
@@ -1,24 +1,24 @@
-//! The queue of events and what each of them does; windows of counts.
+//! The event queue of a simulated cluster, the handling of each event, and the windows of counts.
 
-use super::host::Board;
-use super::{EPOCH_MS, SimulatedCluster, WAKE};
+use super::host::ClusterView;
+use super::{EPOCH_MS, SimulatedCluster, WAKE_INTERVAL};
 use crate::host_error::HostError;
 use crate::identifiers::{RolloutId, Version};
 use crate::member::Member;
 use crate::messages::{self, MAX_MESSAGE_BYTES};
 use crate::persisted_state::{MAX_FILE_BYTES, PersistedState};
-use crate::simulation::load::{Runs, WINDOW};
+use crate::simulation::load::{NodeRun, WINDOW};
 use crate::{MILLISECOND, Nanos, SECOND, splitmix64};
 use rand::RngExt;
 use std::rc::Rc;
 
-/// Windows that are remembered.
-const WINDOWS: usize = 8;
+/// Number of windows whose samples are kept.
+const MAX_WINDOWS: usize = 8;
 
-/// A node that is gone, or has come, is seen to be so after this.
-const SEEN: Nanos = 3 * SECOND;
+/// Delay after which the other nodes see that a node became reachable or unreachable.
+const DETECTION_DELAY: Nanos = 3 * SECOND;
 
-/// What a node asked its disk or its process to do.
+/// An operation that a node has requested from its host.
 #[derive(Clone, Debug)]
 pub(super) enum Task {
     Check {
@@ -33,7 +33,7 @@
     Apply(Version),
 }
 
-/// What happens to a node.
+/// An event at a node.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     Message { from: usize, bytes: Vec<u8> },
@@ -41,73 +41,79 @@
     Wake,
 }
 
-/// An event and when it happens.
-pub(super) struct Queued {
+/// A queued event with its time.
+pub(super) struct QueuedEvent {
     pub(super) at: Nanos,
     pub(super) number: u64,
     pub(super) node: usize,
-    /// Of the process that it is for, if it is for one.
-    pub(super) life: Option<u64>,
+    /// The process that the event is for, by its start number; `None` if the event is for any
+    /// process of the node.
+    pub(super) start_count: Option<u64>,
     pub(super) event: Event,
 }
 
-impl PartialEq for Queued {
-    fn eq(&self, other: &Queued) -> bool {
+impl PartialEq for QueuedEvent {
+    fn eq(&self, other: &QueuedEvent) -> bool {
         (self.at, self.number) == (other.at, other.number)
     }
 }
 
-impl Eq for Queued {}
+impl Eq for QueuedEvent {}
 
-impl PartialOrd for Queued {
-    fn partial_cmp(&self, other: &Queued) -> Option<std::cmp::Ordering> {
+impl PartialOrd for QueuedEvent {
+    fn partial_cmp(&self, other: &QueuedEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
-    fn cmp(&self, other: &Queued) -> std::cmp::Ordering {
+impl Ord for QueuedEvent {
+    fn cmp(&self, other: &QueuedEvent) -> std::cmp::Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
 impl SimulatedCluster {
-    /// Goes on for this long.
+    /// Runs the simulation for this long, in nanoseconds.
     pub fn run(&mut self, time: Nanos) {
         let until = self.now + time;
-        self.go(until, &|_| false);
+        self.advance(until, &|_| false);
     }
 
-    /// Goes on until the condition holds, or for `most`; whether it came to hold.
-    pub fn until(&mut self, most: Nanos, is: impl Fn(&SimulatedCluster) -> bool) -> bool {
-        let until = self.now + most;
-        self.go(until, &is)
+    /// Runs the simulation until the condition holds, but at most for `limit` nanoseconds; returns
+    /// whether the condition holds. The condition is checked twice a second.
+    pub fn run_until(
+        &mut self,
+        limit: Nanos,
+        condition: impl Fn(&SimulatedCluster) -> bool,
+    ) -> bool {
+        let until = self.now + limit;
+        self.advance(until, &condition)
     }
 
-    fn go(&mut self, until: Nanos, is: &dyn Fn(&SimulatedCluster) -> bool) -> bool {
+    fn advance(&mut self, until: Nanos, condition: &dyn Fn(&SimulatedCluster) -> bool) -> bool {
         loop {
-            if self.now >= self.next_board {
-                self.next_board = self.now + WAKE;
-                self.refresh();
-                if is(self) {
+            if self.now >= self.next_view_at {
+                self.next_view_at = self.now + WAKE_INTERVAL;
+                self.refresh_views();
+                if condition(self) {
                     return true;
                 }
             }
-            let window_at = (self.next_window * (WINDOW / MILLISECOND)).saturating_sub(EPOCH_MS)
+            let window_end = (self.next_window * (WINDOW / MILLISECOND)).saturating_sub(EPOCH_MS)
                 * MILLISECOND
                 + WINDOW;
             let next = self
                 .queue
                 .peek()
                 .map_or(until, |queued| queued.at)
-                .min(self.next_board)
-                .min(window_at);
+                .min(self.next_view_at)
+                .min(window_end);
             if next >= until {
                 self.now = until;
-                return is(self);
+                return condition(self);
             }
             self.now = next;
-            if self.now >= window_at {
+            if self.now >= window_end {
                 self.count_window();
                 continue;
             }
@@ -117,56 +123,68 @@
                 .is_some_and(|queued| queued.at <= self.now)
                 && let Some(queued) = self.queue.pop()
             {
-                self.happens(queued);
+                self.handle_event(queued);
             }
         }
     }
 
-    pub(super) fn push(&mut self, after: Nanos, node: usize, life: Option<u64>, event: Event) {
-        self.queued += 1;
-        self.queue.push(Queued {
-            at: self.now + after,
-            number: self.queued,
+    pub(super) fn push(
+        &mut self,
+        delay: Nanos,
+        node: usize,
+        start_count: Option<u64>,
+        event: Event,
+    ) {
+        self.events_queued += 1;
+        self.queue.push(QueuedEvent {
+            at: self.now + delay,
+            number: self.events_queued,
             node,
-            life,
+            start_count,
             event,
         });
     }
 
-    fn happens(&mut self, queued: Queued) {
-        let Queued {
-            node, life, event, ..
+    fn handle_event(&mut self, queued: QueuedEvent) {
+        let QueuedEvent {
+            node,
+            start_count,
+            event,
+            ..
         } = queued;
-        let of = &self.nodes[node];
-        if of.participant.is_none() || life.is_some_and(|life| life != of.life) {
+        let target = &self.nodes[node];
+        if target.participant.is_none()
+            || start_count.is_some_and(|start_count| start_count != target.start_count)
+        {
             return;
         }
-        if of.paused {
-            // What is on its way to a process that stands still is there when it goes on, as far as
-            // buffers go.
+        if target.paused {
+            // A paused process receives its pending timers and results once it resumes. Messages
+            // that arrive during the pause are dropped, as if socket buffers had overflowed.
             if !matches!(event, Event::Message { .. }) {
-                self.push(SECOND, node, life, event);
+                self.push(SECOND, node, start_count, event);
             }
             return;
         }
         let (now, unix) = (self.now, self.unix_ms(node));
         match event {
             Event::Wake => {
-                let board = self.board(self.nodes[node].side);
+                let cluster_view = self.cluster_view(self.nodes[node].side);
                 if let Some(participant) = &mut self.nodes[node].participant {
-                    participant.agent.host.board = board;
+                    participant.agent.host.cluster_view = cluster_view;
                     participant.wake(now, unix);
                 }
-                self.push(WAKE, node, life, Event::Wake);
+                self.push(WAKE_INTERVAL, node, start_count, Event::Wake);
             }
             Event::Message { from, bytes } => {
                 if self.nodes[from].side != self.nodes[node].side {
                     return;
                 }
                 let Some(message) = messages::decode(&bytes) else {
-                    self.totals
-                        .broken
-                        .push(format!("a parcel of {} bytes can't be read", bytes.len()));
+                    self.totals.violations.push(format!(
+                        "a message of {} bytes cannot be decoded",
+                        bytes.len()
+                    ));
                     return;
                 };
                 let from = self.nodes[from].key;
@@ -174,22 +192,22 @@
                     participant.handle_message(now, unix, from, message);
                 }
             }
-            Event::Task(task) => self.task(node, task),
+            Event::Task(task) => self.run_task(node, task),
         }
-        self.after(node);
+        self.dispatch(node);
     }
 
-    fn task(&mut self, node: usize, task: Task) {
+    fn run_task(&mut self, node: usize, task: Task) {
         let (now, unix) = (self.now, self.unix_ms(node));
         match task {
             Task::Check { rollout, version } => {
-                let unfit = self
+                let rejecting_share = self
                     .effects
                     .get(&version)
-                    .map_or(0.0, |effect| effect.unfit);
-                let place =
+                    .map_or(0.0, |effect| effect.rejecting_share);
+                let position =
                     (splitmix64(self.nodes[node].key ^ version.hash) % 10_000) as f64 / 10_000.0;
-                let result = if place < unfit {
+                let result = if position < rejecting_share {
                     Err(HostError::new("its limits are too small"))
                 } else {
                     Ok(())
@@ -206,144 +224,148 @@
                 persisted,
                 content,
             } => {
-                let of = &mut self.nodes[node];
-                let result = if of.disk.full {
+                let target = &mut self.nodes[node];
+                let result = if target.disk.full {
                     Err(HostError::new("no space left on device"))
                 } else {
                     Ok(())
                 };
                 if result.is_ok() {
-                    of.disk.persisted = persisted.encode();
-                    of.disk.contents.extend(content);
-                    if of.disk.persisted.len() > MAX_FILE_BYTES {
-                        self.totals
-                            .broken
-                            .push(format!("{} bytes are kept", of.disk.persisted.len()));
+                    target.disk.persisted = persisted.encode();
+                    target.disk.contents.extend(content);
+                    if target.disk.persisted.len() > MAX_FILE_BYTES {
+                        self.totals.violations.push(format!(
+                            "the persisted state has {} bytes",
+                            target.disk.persisted.len()
+                        ));
                     }
                 }
-                if let Some(participant) = &mut of.participant {
+                if let Some(participant) = &mut target.participant {
                     participant.agent.persist_finished(now, number, result);
                 }
             }
             Task::Apply(version) => {
-                let of = &mut self.nodes[node];
-                let known = of.disk.contents.contains_key(&version);
+                let target = &mut self.nodes[node];
+                let known = target.disk.contents.contains_key(&version);
                 let result = if known {
                     Ok(())
                 } else {
-                    Err(HostError::new("its content is not there"))
+                    Err(HostError::new("its content is not on disk"))
                 };
                 if result.is_ok() {
-                    of.ran_since = now;
+                    target.version_applied_at = now;
                 }
-                if let Some(participant) = &mut of.participant {
+                if let Some(participant) = &mut target.participant {
                     participant.agent.apply_finished(now, unix, version, result);
                 }
             }
         }
     }
 
-    /// Sends on what a node has put out, and looks whether what it does is allowed.
-    pub(super) fn after(&mut self, node: usize) {
+    /// Sends the messages and starts the operations that a node has queued, then checks the
+    /// invariants.
+    pub(super) fn dispatch(&mut self, node: usize) {
         let Some(participant) = &mut self.nodes[node].participant else {
             return;
         };
-        let out = std::mem::take(&mut participant.agent.host.out);
+        let outbox = std::mem::take(&mut participant.agent.host.outbox);
         let tasks = std::mem::take(&mut participant.agent.host.tasks);
-        let life = self.nodes[node].life;
+        let start_count = self.nodes[node].start_count;
         for task in tasks {
             if let Task::Apply(version) = &task {
-                self.may_begin(node, *version);
+                self.check_apply(node, *version);
             }
             let time = self.rng.random_range(MILLISECOND..20 * MILLISECOND);
-            self.push(time, node, Some(life), Event::Task(task));
+            self.push(time, node, Some(start_count), Event::Task(task));
         }
-        for (to, message) in out {
+        for (to, message) in outbox {
             let bytes = messages::encode(&message);
             self.totals.messages += 1;
             self.totals.bytes += bytes.len() as u64;
             if bytes.len() > MAX_MESSAGE_BYTES {
-                self.totals
-                    .broken
-                    .push(format!("a parcel of {} bytes", bytes.len()));
+                self.totals.violations.push(format!(
+                    "a message of {} bytes exceeds its bound",
+                    bytes.len()
+                ));
             }
             let Some(to) = self.keys.get(&to).copied() else {
                 continue;
             };
-            if self.nodes[to].side != self.nodes[node].side || self.rng.random_bool(self.shape.loss)
+            if self.nodes[to].side != self.nodes[node].side
+                || self.rng.random_bool(self.config.loss)
             {
                 continue;
             }
             let time = self.rng.random_range(MILLISECOND..10 * MILLISECOND);
             self.push(time, to, None, Event::Message { from: node, bytes });
         }
-        self.allowed(node);
+        self.check_invariants(node);
     }
 
-    pub(super) fn board(&mut self, side: usize) -> Rc<Board> {
-        if self.boards.is_empty() {
-            self.refresh();
+    pub(super) fn cluster_view(&mut self, side: usize) -> Rc<ClusterView> {
+        if self.cluster_views.is_empty() {
+            self.refresh_views();
         }
-        Rc::clone(&self.boards[side])
+        Rc::clone(&self.cluster_views[side])
     }
 
-    /// Renews what nodes see of each other, for either side of a split.
-    pub(super) fn refresh(&mut self) {
-        let board = |side: usize| {
-            let mut board = Board {
+    /// Updates the nodes' view of the cluster, for either side of a split.
+    pub(super) fn refresh_views(&mut self) {
+        let cluster_view = |side: usize| {
+            let mut cluster_view = ClusterView {
                 windows: Rc::clone(&self.windows),
-                ..Board::default()
+                ..ClusterView::default()
             };
             for (number, node) in self.nodes.iter().enumerate() {
                 let is_here = node.participant.is_some() && !node.paused && node.side == side;
-                let seen_at = node.since + SEEN;
+                let seen_at = node.reachability_changed_at + DETECTION_DELAY;
                 let present = if self.now >= seen_at {
                     is_here
                 } else {
-                    !is_here && node.life > 0
+                    !is_here && node.start_count > 0
                 };
-                if node.left || node.life == 0 {
+                if node.has_left || node.start_count == 0 {
                     continue;
                 }
-                board.members.push(Member {
+                cluster_view.members.push(Member {
                     node: node.key,
                     zone: self.load.zone(number),
                     present,
                 });
                 if is_here {
-                    board.keys.insert(node.key);
+                    cluster_view.keys.insert(node.key);
                     if let Some(participant) = &node.participant {
-                        board
+                        cluster_view
                             .digests
                             .push((node.key, participant.agent.report().digest));
                     }
                 }
             }
-            Rc::new(board)
+            Rc::new(cluster_view)
         };
-        self.boards = vec![board(0), board(1)];
+        self.cluster_views = vec![cluster_view(0), cluster_view(1)];
     }
 
-    /// A window is over: all count, and some die.
+    /// Ends a window: samples the counts of all nodes, and restarts the nodes that crash by chance.
     fn count_window(&mut self) {
         let window = self.next_window;
         self.next_window += 1;
-        self.load.window(window);
+        self.load.begin_window(window);
         let mut samples = Vec::new();
-        let mut dead = Vec::new();
+        let mut crashed = Vec::new();
         for node in 0..self.nodes.len() {
-            let of = &self.nodes[node];
-            let (Some(participant), false) = (&of.participant, of.paused) else {
+            let target = &self.nodes[node];
+            let (Some(participant), false) = (&target.participant, target.paused) else {
                 continue;
             };
             let version = participant.agent.running();
-            let runs = Runs {
+            let run = NodeRun {
                 version_hash: version.hash,
                 effect: self.effects.get(&version).copied().unwrap_or_default(),
-                since: (self.now - of.ran_since) / WINDOW,
-                age: (self.now - of.started) / WINDOW,
+                windows_since_apply: (self.now - target.version_applied_at) / WINDOW,
+                windows_since_start: (self.now - target.started_at) / WINDOW,
             };
-            let (sample, cost) = self.load.sample(node, of.key, &runs);
+            let (sample, cost) = self.load.sample(node, target.key, &run);
             self.totals.cost += cost;
             self.totals.asked += sample
                 .operations
@@ -351,17 +373,17 @@
                 .map(|(cell, _)| cell.asked as f64 / 1000.0)
                 .sum::<f64>();
             samples.push(sample);
-            if self.load.dies(&runs) {
-                dead.push(node);
+            if self.load.crashes(&run) {
+                crashed.push(node);
             }
         }
         let mut windows = self.windows.borrow_mut();
         windows.insert(window, samples);
-        while windows.len() > WINDOWS {
+        while windows.len() > MAX_WINDOWS {
             windows.pop_first();
         }
         drop(windows);
-        for node in dead {
+        for node in crashed {
             self.crash(node);
             self.start(node);
         }
--- a/crates/rollout/src/simulation/cluster/host.rs
+++ b/crates/rollout/src/simulation/cluster/host.rs
@@ -1,4 +1,4 @@
-//! What a simulated node's part in rollouts sees and does.
+//! The host of a simulated node: its view of the cluster and the operations that the node requests.
 
 use super::events::Task;
 use crate::cohort_metrics::WindowSample;
@@ -14,30 +14,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// What all nodes of one side of a split see of each other.
+/// View of the cluster that is common to all nodes on one side of a split.
 #[derive(Debug, Default)]
-pub(super) struct Board {
+pub(super) struct ClusterView {
     pub(super) members: Vec<Member>,
     pub(super) digests: Vec<(u64, u64)>,
     pub(super) windows: Rc<RefCell<BTreeMap<u64, Vec<WindowSample>>>>,
     pub(super) keys: BTreeSet<u64>,
 }
 
-/// The host of a simulated node.
+/// Host of a simulated node.
 pub struct SimHost {
     pub(super) me: u64,
-    pub(super) out: Vec<(u64, RolloutMessage)>,
+    pub(super) outbox: Vec<(u64, RolloutMessage)>,
     pub(super) tasks: Vec<Task>,
-    /// Log lines.
+    /// Lines that the node has logged.
     pub lines: Vec<String>,
-    pub(super) shown: NodeReport,
-    pub(super) board: Rc<Board>,
+    pub(super) attached: NodeReport,
+    pub(super) cluster_view: Rc<ClusterView>,
     pub(super) rng: Pcg64Mcg,
 }
 
 impl Host for SimHost {
     fn send(&mut self, to: u64, message: RolloutMessage) {
-        self.out.push((to, message));
+        self.outbox.push((to, message));
     }
 
     fn log(&mut self, line: &str) {
@@ -45,36 +45,36 @@
     }
 
     fn random_peers(&mut self, most: usize) -> Vec<u64> {
-        let there: Vec<u64> = self
-            .board
+        let present: Vec<u64> = self
+            .cluster_view
             .members
             .iter()
             .filter(|m| m.present && m.node != self.me)
             .map(|m| m.node)
             .collect();
-        (0..most.min(there.len()))
-            .map(|_| there[self.rng.random_range(0..there.len())])
+        (0..most.min(present.len()))
+            .map(|_| present[self.rng.random_range(0..present.len())])
             .collect()
     }
 
     fn peer_with_other_digest(&mut self, digest: u64) -> Option<u64> {
-        let others = &self.board.digests;
-        // From a place of its own on, so that not all ask the same one.
-        let from = if others.is_empty() {
+        let others = &self.cluster_view.digests;
+        // The search starts at a random index, so that not all nodes choose the same peer.
+        let start = if others.is_empty() {
             0
         } else {
             self.rng.random_range(0..others.len())
         };
         let differs = |(node, other): &&(u64, u64)| *node != self.me && *other != digest;
-        others[from..]
+        others[start..]
             .iter()
-            .chain(&others[..from])
+            .chain(&others[..start])
             .find(differs)
             .map(|(node, _)| *node)
     }
 
     fn show(&mut self, report: &NodeReport) {
-        self.shown = report.clone();
+        self.attached = report.clone();
     }
 
     fn check(&mut self, rollout: RolloutId, version: Version, _content: Option<Vec<u8>>) {
@@ -99,13 +99,13 @@
     }
 
     fn members(&mut self) -> Vec<Member> {
-        self.board.members.clone()
+        self.cluster_view.members.clone()
     }
 
     fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<WindowSample>)> {
-        let keys = &self.board.keys;
-        let windows = self.board.windows.borrow();
-        let mine = |samples: &Vec<WindowSample>| {
+        let keys = &self.cluster_view.keys;
+        let windows = self.cluster_view.windows.borrow();
+        let visible = |samples: &Vec<WindowSample>| {
             samples
                 .iter()
                 .filter(|s| keys.contains(&s.node))
@@ -114,7 +114,7 @@
         };
         windows
             .range(from..=until)
-            .map(|(window, samples)| (*window, mine(samples)))
+            .map(|(window, samples)| (*window, visible(samples)))
             .collect()
     }
 }
--- a/crates/rollout/src/simulation/cluster/invariants.rs
+++ b/crates/rollout/src/simulation/cluster/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold at every step of a simulated cluster.
+//! Invariants that are checked at every step of a simulated cluster.
 
 use super::SimulatedCluster;
 use crate::identifiers::Version;
@@ -6,49 +6,50 @@
 use crate::rollout::Outcome;
 
 impl SimulatedCluster {
-    /// A node is about to run a version.
-    pub(super) fn may_begin(&mut self, node: usize, version: Version) {
-        let of = &self.nodes[node];
-        let Some(participant) = &of.participant else {
+    /// Checks that a node may start to run a version: the node has checked it, and, if the version
+    /// is put on trial, no known halt forbids it and the trial is on disk.
+    pub(super) fn check_apply(&mut self, node: usize, version: Version) {
+        let target = &self.nodes[node];
+        let Some(participant) = &target.participant else {
             return;
         };
         let persisted = participant.agent.persisted_state();
-        let going_back = persisted.trial.is_none_or(|trial| trial.version != version);
-        if !of.checked.contains(&version) {
-            self.totals.broken.push(format!(
-                "node {node} begins {version} without having checked it"
+        let is_rollback = persisted.trial.is_none_or(|trial| trial.version != version);
+        if !target.checked.contains(&version) {
+            self.totals.violations.push(format!(
+                "node {node} starts {version}, which it has not checked"
             ));
         }
-        if !going_back && version.number > 1 {
-            let ended = participant
+        if !is_rollback && version.number > 1 {
+            let has_ended = participant
                 .agent
                 .rollouts()
                 .iter()
                 .any(|c| c.version == version && c.outcome > Outcome::Completed);
-            let other = participant
+            let is_open = participant
                 .agent
                 .rollouts()
                 .iter()
                 .any(|c| c.version == version && c.outcome <= Outcome::Completed);
-            if ended && !other {
-                self.totals.broken.push(format!(
-                    "node {node} begins {version}, of which it knows that it is halted"
+            if has_ended && !is_open {
+                self.totals.violations.push(format!(
+                    "node {node} starts {version}, which it knows to be halted"
                 ));
             }
-            let on_disk = PersistedState::decode(&of.disk.persisted)
+            let on_disk = PersistedState::decode(&target.disk.persisted)
                 .ok()
                 .and_then(|persisted| persisted.trial)
                 .map(|trial| trial.version);
             if on_disk != Some(version) {
-                self.totals.broken.push(format!(
-                    "node {node} begins {version}, and its disk does not say so"
+                self.totals.violations.push(format!(
+                    "node {node} starts {version}, whose trial is not on its disk"
                 ));
             }
         }
     }
 
-    /// What must always hold.
-    pub(super) fn allowed(&mut self, node: usize) {
+    /// Checks the invariants that hold at all times.
+    pub(super) fn check_invariants(&mut self, node: usize) {
         let Some(participant) = &self.nodes[node].participant else {
             return;
         };
@@ -64,8 +65,8 @@
                 .entry(rollout.progress.agreement)
                 .or_insert_with(|| (rollout.id, rollout.progress.clone()));
             if *known != (rollout.id, rollout.progress.clone()) {
-                self.totals.broken.push(format!(
-                    "two agreements of number {}",
+                self.totals.violations.push(format!(
+                    "two different agreements have number {}",
                     rollout.progress.agreement
                 ));
             }
@@ -76,26 +77,26 @@
             .find(|rollout| rollout.version == running);
         if let Some(rollout) = of_running {
             self.totals.ran.insert((running, node));
-            // Nobody runs what no agreement has given it.
-            let farthest = self
+            // A node only runs a version if an agreed stage includes the node.
+            let latest = self
                 .progress_by_agreement
                 .values()
                 .filter(|(id, _)| *id == rollout.id)
                 .max_by_key(|(_, progress)| progress.agreement);
             let zone = self.load.zone(node);
-            let may = farthest.is_some_and(|(_, progress)| {
+            let is_included = latest.is_some_and(|(_, progress)| {
                 progress.includes(rollout.id, self.nodes[node].key, zone)
             });
-            if !may {
-                self.totals.broken.push(format!(
-                    "node {node} runs {running} and is not in its stage"
+            if !is_included {
+                self.totals.violations.push(format!(
+                    "node {node} runs {running}, whose stage does not include it"
                 ));
             }
         }
         if agent.persisted_state().promoted.is_none() {
             self.totals
-                .broken
-                .push(format!("node {node} has no last good version"));
+                .violations
+                .push(format!("node {node} has no promoted version"));
         }
     }
 }
--- a/crates/rollout/src/simulation/cluster/observation.rs
+++ b/crates/rollout/src/simulation/cluster/observation.rs
@@ -1,4 +1,4 @@
-//! What tests observe of a simulated cluster.
+//! Observations of a simulated cluster, for tests.
 
 use super::SimulatedCluster;
 use super::host::SimHost;
@@ -9,23 +9,27 @@
 use crate::rollout::{Outcome, Rollout};
 
 impl SimulatedCluster {
-    /// The version that a node runs; none if it is down.
-    pub fn runs(&self, node: usize) -> Option<Version> {
+    /// Returns the version that a node runs; `None` if its process is down.
+    pub fn running_version(&self, node: usize) -> Option<Version> {
         self.nodes[node]
             .participant
             .as_ref()
             .map(|participant| participant.agent.running())
     }
 
-    /// How many run a version of this number.
-    pub fn running(&self, number: u64) -> usize {
+    /// Returns the number of nodes that run the version of this number.
+    pub fn running_count(&self, number: u64) -> usize {
         (0..self.nodes.len())
-            .filter(|node| self.runs(*node).is_some_and(|v| v.number == number))
+            .filter(|node| {
+                self.running_version(*node)
+                    .is_some_and(|v| v.number == number)
+            })
             .count()
     }
 
-    /// What a node knows of a rollout.
-    pub fn known(&self, node: usize, id: RolloutId) -> Option<&Rollout> {
+    /// Returns a rollout as known to a node; `None` if the node is down or does not know the
+    /// rollout.
+    pub fn rollout_at(&self, node: usize, id: RolloutId) -> Option<&Rollout> {
         self.nodes[node]
             .participant
             .as_ref()?
@@ -34,49 +38,49 @@
             .get(id)
     }
 
-    /// The outcome of a rollout as a node knows it.
+    /// Returns the outcome of a rollout as known to a node.
     pub fn outcome(&self, node: usize, id: RolloutId) -> Option<Outcome> {
-        self.known(node, id).map(|rollout| rollout.outcome)
+        self.rollout_at(node, id).map(|rollout| rollout.outcome)
     }
 
-    /// Whether all that are there know this outcome of it.
+    /// Returns whether all running nodes that are not paused know this outcome of the rollout.
     pub fn all_know(&self, id: RolloutId, outcome: Outcome) -> bool {
-        let there = (0..self.nodes.len())
+        let running = (0..self.nodes.len())
             .filter(|node| self.nodes[*node].participant.is_some() && !self.nodes[*node].paused);
-        there
+        running
             .into_iter()
             .all(|node| self.outcome(node, id) == Some(outcome))
     }
 
-    /// The cluster as a node sees it.
+    /// Returns the members of the cluster as seen by a node.
     pub fn members(&self, node: usize) -> Vec<Member> {
-        self.boards[self.nodes[node].side].members.clone()
+        self.cluster_views[self.nodes[node].side].members.clone()
     }
 
-    /// A node's Unix clock, in milliseconds.
+    /// Returns a node's Unix clock in milliseconds.
     pub fn clock(&self, node: usize) -> u64 {
         self.unix_ms(node)
     }
 
-    /// A node's part.
+    /// Returns the rollout participant of a node; `None` if its process is down.
     pub fn participant(&self, node: usize) -> Option<&Participant<SimHost>> {
         self.nodes[node].participant.as_ref()
     }
 
-    /// The farthest stage that anybody knows of a rollout.
+    /// Returns the latest stage of a rollout that any running node knows; 0 if there is none.
     pub fn stage(&self, id: RolloutId) -> u32 {
         let stages = (0..self.nodes.len())
-            .filter_map(|node| self.known(node, id))
+            .filter_map(|node| self.rollout_at(node, id))
             .map(|rollout| rollout.progress.stage);
         stages.max().unwrap_or(0)
     }
 
-    /// The nodes in the stage that has come farthest.
+    /// Returns the nodes that the latest known stage of a rollout includes.
     pub fn in_stage(&self, id: RolloutId) -> Vec<usize> {
-        let farthest = (0..self.nodes.len())
-            .filter_map(|node| self.known(node, id))
+        let latest = (0..self.nodes.len())
+            .filter_map(|node| self.rollout_at(node, id))
             .max_by_key(|c| c.progress.agreement);
-        let Some(rollout) = farthest else {
+        let Some(rollout) = latest else {
             return Vec::new();
         };
         let is_in = |node: &usize| {
@@ -87,7 +91,7 @@
         (0..self.nodes.len()).filter(is_in).collect()
     }
 
-    /// How a node stands to the rollout that it follows.
+    /// Returns a node's status in the rollout that it follows.
     pub fn node_status(&self, node: usize) -> Option<NodeStatus> {
         self.nodes[node]
             .participant
--- a/crates/rollout/src/simulation/load.rs
+++ b/crates/rollout/src/simulation/load.rs
@@ -1,5 +1,5 @@
-//! What simulated nodes get and make of it: machines that differ, zones in trouble, traffic that
-//! jumps, processes that are cold; and what a version does to all that.
+//! Load and counts of simulated nodes: machines that differ, zones with faults, jumps of traffic,
+//! processes that warm up, and the effect of a version on all of these.
 
 use crate::cohort_metrics::{Latencies, OperationCounts, WindowSample};
 use crate::{Nanos, SECOND, splitmix64};
@@ -7,18 +7,19 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// The span of a window of counts.
+/// Length of a window of counts, in nanoseconds.
 pub const WINDOW: Nanos = 10 * SECOND;
 
-/// Operations: number, share of the requests, priority weight in thousandths, and usual latency in tenths
-/// of a millisecond.
+/// Operations: number, share of the requests, priority weight in thousandths, and typical latency
+/// in tenths of a millisecond.
 pub const OPERATIONS: [(u32, f64, u64, f64); 3] = [
     (11, 0.7, 1000, 200.0),
     (12, 0.25, 2000, 450.0),
     (13, 0.05, 6000, 900.0),
 ];
-/// How latencies lie about the usual one, and how often.
-const SHAPE: [(f64, f64); 8] = [
+/// Distribution of latencies: multiples of the typical latency, and the share of requests with
+/// each.
+const LATENCY_DISTRIBUTION: [(f64, f64); 8] = [
     (0.4, 0.1),
     (0.6, 0.15),
     (0.8, 0.2),
@@ -28,139 +29,148 @@
     (2.2, 0.07),
     (4.0, 0.03),
 ];
-/// Beyond this multiple of the usual latency an answer is late.
-const LATE: f64 = 5.0;
+/// Multiple of the typical latency above which a reply is late.
+const LATE_MULTIPLE: f64 = 5.0;
 
-/// What a version does.
+/// Effect of a version on the nodes that run it, compared with the base.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Effect {
-    /// Of one operation only.
+    /// Operation that the effect is limited to; `None` for all operations.
     pub operation: Option<u32>,
-    /// The share of requests that fails on top.
+    /// Additional share of requests that fail, from 0 to 1.
     pub errored: f64,
-    /// The share of requests that is rejected on top.
-    pub throttled: f64,
-    /// How much longer requests take, as a share.
-    pub slower: f64,
-    /// It starts this many windows after the version was applied.
-    pub after: u64,
-    /// How much memory rises with each window, as a share; at three times what it was requests fail.
-    pub leaks: f64,
-    /// The chance of a crash in each window.
-    pub dies: f64,
-    /// The share of nodes that reject the version.
-    pub unfit: f64,
+    /// Additional share of requests that are rejected, from 0 to 1.
+    pub rejected: f64,
+    /// Increase of latencies, as a share of them.
+    pub slowdown: f64,
+    /// Number of windows from applying the version to the start of the effect.
+    pub delay_windows: u64,
+    /// Rise of memory in each window, as a share of the initial memory. Above three times the
+    /// initial memory, half of the requests fail.
+    pub memory_growth: f64,
+    /// Probability that the process crashes in a window.
+    pub crash_chance: f64,
+    /// Share of nodes whose check rejects the version, from 0 to 1.
+    pub rejecting_share: f64,
 }
 
 impl Effect {
-    /// One that is like the version before.
+    /// No difference from the base.
     pub const NONE: Effect = Effect {
         operation: None,
         errored: 0.0,
-        throttled: 0.0,
-        slower: 0.0,
-        after: 0,
-        leaks: 0.0,
-        dies: 0.0,
-        unfit: 0.0,
+        rejected: 0.0,
+        slowdown: 0.0,
+        delay_windows: 0,
+        memory_growth: 0.0,
+        crash_chance: 0.0,
+        rejecting_share: 0.0,
     };
 
-    /// Throttles everything.
-    pub const SHUT: Effect = Effect {
-        throttled: 1.0,
+    /// Rejects all requests.
+    pub const REJECT_ALL: Effect = Effect {
+        rejected: 1.0,
         ..Effect::NONE
     };
 }
 
-/// How much there is of what makes nodes differ.
+/// Differences between nodes, and trouble that no version causes.
 #[derive(Clone, Copy, Debug)]
 pub struct Noise {
-    /// The mean share of failures of a node.
-    pub errs: f64,
-    /// How far a node's own share may be from the mean, as a share of it.
-    pub differs: f64,
-    /// The share of machines that are slow.
-    pub slow: f64,
-    /// How much longer they take.
-    pub slower: f64,
-    /// The chance in each window that a zone falls in trouble; it lasts some windows.
-    pub trouble: f64,
-    /// The chance in each window that traffic jumps; it lasts some windows.
-    pub jump: f64,
-    /// The chance in each window that a node crashes by itself.
-    pub dies: f64,
+    /// Mean share of requests that fail at a node.
+    pub failure_share: f64,
+    /// Maximum deviation of a node's share of failures from the mean, as a share of the mean.
+    pub failure_spread: f64,
+    /// Share of machines that are slow.
+    pub slow_share: f64,
+    /// Increase of latencies on slow machines, as a share of them.
+    pub slowdown: f64,
+    /// Probability that a fault of a zone begins in a window; a fault lasts from 3 to 29 windows.
+    pub zone_fault_chance: f64,
+    /// Probability that a jump of traffic begins in a window; a jump lasts from 3 to 29 windows.
+    pub jump_chance: f64,
+    /// Probability that a process crashes in a window regardless of its version.
+    pub crash_chance: f64,
 }
 
 impl Noise {
-    /// As on a day of some trouble.
+    /// A day with some trouble.
     pub const USUAL: Noise = Noise {
-        errs: 0.01,
-        differs: 0.5,
-        slow: 0.05,
-        slower: 0.6,
-        trouble: 0.004,
-        jump: 0.004,
-        dies: 0.0001,
+        failure_share: 0.01,
+        failure_spread: 0.5,
+        slow_share: 0.05,
+        slowdown: 0.6,
+        zone_fault_chance: 0.004,
+        jump_chance: 0.004,
+        crash_chance: 0.0001,
     };
-    /// No trouble.
+    /// No differences and no trouble, apart from a constant share of failures.
     pub const NONE: Noise = Noise {
-        errs: 0.01,
-        differs: 0.0,
-        slow: 0.0,
-        slower: 0.0,
-        trouble: 0.0,
-        jump: 0.0,
-        dies: 0.0,
+        failure_share: 0.01,
+        failure_spread: 0.0,
+        slow_share: 0.0,
+        slowdown: 0.0,
+        zone_fault_chance: 0.0,
+        jump_chance: 0.0,
+        crash_chance: 0.0,
     };
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Machine {
-    errs: f64,
-    slower: f64,
+    failure_share: f64,
+    slowdown: f64,
 }
 
-/// A node's key.
+/// Returns the key of a node.
 pub(super) fn key(node: usize) -> u64 {
     splitmix64(node as u64 + 1)
 }
 
-/// The load of a cluster.
+/// Load of a cluster.
 #[derive(Clone, Debug)]
 pub struct Load {
     rng: Pcg64Mcg,
     noise: Noise,
     zones: u32,
-    each: f64,
+    requests_per_window: f64,
     machines: Vec<Machine>,
-    trouble: BTreeMap<u32, (u64, f64)>,
+    zone_faults: BTreeMap<u32, (u64, f64)>,
     jump: (u64, f64),
 }
 
-/// What a node runs in a window.
+/// The version that a node runs in a window, and for how long.
 #[derive(Clone, Copy, Debug)]
-pub struct Runs {
-    /// The hash of the version.
+pub struct NodeRun {
+    /// Hash of the version.
     pub version_hash: u64,
-    /// What the version does.
+    /// Effect of the version.
     pub effect: Effect,
-    /// Windows since the version was applied.
-    pub since: u64,
-    /// Windows since the process started.
-    pub age: u64,
+    /// Number of windows since the version was applied.
+    pub windows_since_apply: u64,
+    /// Number of windows since the process started.
+    pub windows_since_start: u64,
 }
 
 impl Load {
-    /// For this many nodes in this many zones, each of which gets about `each` requests in a window.
-    pub fn new(seed: u64, nodes: usize, zones: u32, each: f64, noise: Noise) -> Load {
+    /// Creates the load of a cluster of this many nodes in this many zones. Each node receives
+    /// about `requests_per_window` requests in a window.
+    pub fn new(
+        seed: u64,
+        nodes: usize,
+        zones: u32,
+        requests_per_window: f64,
+        noise: Noise,
+    ) -> Load {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let machines = (0..nodes)
             .map(|_| Machine {
-                errs: noise.errs * (1.0 + noise.differs * rng.random_range(-1.0..1.0)),
-                slower: if rng.random_bool(noise.slow) {
-                    noise.slower
+                failure_share: noise.failure_share
+                    * (1.0 + noise.failure_spread * rng.random_range(-1.0..1.0)),
+                slowdown: if rng.random_bool(noise.slow_share) {
+                    noise.slowdown
                 } else {
-                    rng.random_range(0.0..0.1) * noise.differs
+                    rng.random_range(0.0..0.1) * noise.failure_spread
                 },
             })
             .collect();
@@ -168,40 +178,40 @@
             rng,
             noise,
             zones,
-            each,
+            requests_per_window,
             machines,
-            trouble: BTreeMap::new(),
+            zone_faults: BTreeMap::new(),
             jump: (0, 1.0),
         }
     }
 
-    /// The zone of a node.
+    /// Returns the zone of a node.
     pub fn zone(&self, node: usize) -> u32 {
         node as u32 % self.zones
     }
 
-    /// One more machine.
-    pub fn joins(&mut self) {
+    /// Adds a machine for a node that joins.
+    pub fn add_machine(&mut self) {
         self.machines.push(Machine {
-            errs: self.noise.errs,
-            slower: 0.0,
+            failure_share: self.noise.failure_share,
+            slowdown: 0.0,
         });
     }
 
-    /// A window begins: trouble comes and goes.
-    pub fn window(&mut self, window: u64) {
-        self.trouble.retain(|_, (until, _)| *until > window);
-        if self.rng.random_bool(self.noise.trouble) {
-            let (zone, much) = (
+    /// Begins a window: faults of zones and jumps of traffic begin and end.
+    pub fn begin_window(&mut self, window: u64) {
+        self.zone_faults.retain(|_, (until, _)| *until > window);
+        if self.rng.random_bool(self.noise.zone_fault_chance) {
+            let (zone, severity) = (
                 self.rng.random_range(0..self.zones),
                 self.rng.random_range(0.02..0.3),
             );
-            self.trouble
-                .insert(zone, (window + self.rng.random_range(3..30), much));
+            self.zone_faults
+                .insert(zone, (window + self.rng.random_range(3..30), severity));
         }
         if window >= self.jump.0 {
             self.jump = (window, 1.0);
-            if self.rng.random_bool(self.noise.jump) {
+            if self.rng.random_bool(self.noise.jump_chance) {
                 self.jump = (
                     window + self.rng.random_range(3..30),
                     self.rng.random_range(1.5..4.0),
@@ -210,19 +220,20 @@
         }
     }
 
-    /// Whether a node crashes in this window.
-    pub fn dies(&mut self, runs: &Runs) -> bool {
-        let by_version = if runs.since >= runs.effect.after {
-            runs.effect.dies
+    /// Returns whether a node crashes in this window.
+    pub fn crashes(&mut self, run: &NodeRun) -> bool {
+        let by_version = if run.windows_since_apply >= run.effect.delay_windows {
+            run.effect.crash_chance
         } else {
             0.0
         };
-        let chance = (self.noise.dies + by_version).clamp(0.0, 1.0);
+        let chance = (self.noise.crash_chance + by_version).clamp(0.0, 1.0);
         self.rng.random_bool(chance)
     }
 
-    /// About so many of `n`, each with this chance.
-    fn of(&mut self, n: u64, chance: f64) -> u64 {
+    /// Draws a binomially distributed number of successes in `n` trials with this probability;
+    /// approximated by a normal distribution if `n` exceeds 40.
+    fn binomial(&mut self, n: u64, chance: f64) -> u64 {
         let mean = n as f64 * chance.clamp(0.0, 1.0);
         if n == 0 || mean == 0.0 {
             return 0;
@@ -232,90 +243,102 @@
                 .filter(|_| self.rng.random_bool(chance.clamp(0.0, 1.0)))
                 .count() as u64;
         }
-        // Box and Muller's.
+        // Box-Muller transform.
         let (a, b) = (
             self.rng.random_range(f64::MIN_POSITIVE..1.0),
             self.rng.random::<f64>(),
         );
-        let bell = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
-        let value = mean + bell * (mean * (1.0 - chance.clamp(0.0, 1.0))).sqrt();
+        let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
+        let value = mean + normal * (mean * (1.0 - chance.clamp(0.0, 1.0))).sqrt();
         (value.round().max(0.0) as u64).min(n)
     }
 
-    /// Counts, latencies and lost priority weight of one operation at a node in a window.
+    /// Returns the counts, latencies and lost priority weight of one operation at a node in a
+    /// window.
     fn operation_counts(
         &mut self,
-        (_, part, value, usual): (u32, f64, u64, f64),
+        (_, share, weight, typical_latency): (u32, f64, u64, f64),
         effect: &Effect,
         machine: Machine,
-        trouble: f64,
-        is_full: bool,
+        zone_fault: f64,
+        is_out_of_memory: bool,
     ) -> (OperationCounts, Latencies, f64) {
         let jump = self.jump.1;
-        let many = (self.each * part * jump * 4.0) as u64;
-        let arrived = self.of(many, 0.25);
-        // A jump is more than there is room for: some are rejected, everywhere alike.
-        let throttled_share = if jump > 1.2 {
+        let trials = (self.requests_per_window * share * jump * 4.0) as u64;
+        let arrived = self.binomial(trials, 0.25);
+        // A jump of traffic exceeds the capacity: all nodes reject the same share of requests.
+        let capacity_rejected_share = if jump > 1.2 {
             (1.0 - 1.2 / jump) * 0.5
         } else {
             0.0
         };
-        let rejected = self.of(
+        let rejected = self.binomial(
             arrived,
-            throttled_share + (1.0 - throttled_share) * effect.throttled,
+            capacity_rejected_share + (1.0 - capacity_rejected_share) * effect.rejected,
         );
         let ran = arrived - rejected;
-        let full = if is_full { 0.5 } else { 0.0 };
-        let errs = machine.errs + trouble;
-        let errored = self.of(ran, errs + (1.0 - errs) * (effect.errored + full));
+        let memory_failures = if is_out_of_memory { 0.5 } else { 0.0 };
+        let base_failures = machine.failure_share + zone_fault;
+        let errored = self.binomial(
+            ran,
+            base_failures + (1.0 - base_failures) * (effect.errored + memory_failures),
+        );
         let succeeded = ran - errored;
-        let slower = (1.0 + machine.slower) * (1.0 + effect.slower) * (1.0 + trouble);
+        let slowdown = (1.0 + machine.slowdown) * (1.0 + effect.slowdown) * (1.0 + zone_fault);
         let mut latencies = Vec::new();
         let mut late = 0;
-        for (times, chance) in SHAPE {
-            let count = self.of(succeeded, chance);
+        for (multiple, chance) in LATENCY_DISTRIBUTION {
+            let count = self.binomial(succeeded, chance);
             if count > 0 {
-                latencies.push(((usual * times * slower) as u32, count as u32));
-                late += if times * slower > LATE { count } else { 0 };
+                latencies.push(((typical_latency * multiple * slowdown) as u32, count as u32));
+                late += if multiple * slowdown > LATE_MULTIPLE {
+                    count
+                } else {
+                    0
+                };
             }
         }
-        let harm = effect.throttled + (1.0 - effect.throttled) * (effect.errored + full);
-        let lost = arrived as f64 * value as f64 * harm.min(1.0) / 1000.0;
+        let effect_share =
+            effect.rejected + (1.0 - effect.rejected) * (effect.errored + memory_failures);
+        let lost = arrived as f64 * weight as f64 * effect_share.min(1.0) / 1000.0;
         let counts = OperationCounts {
             arrived,
             succeeded,
             rejected,
             errored,
             late: late.min(succeeded),
-            earned: succeeded * value,
-            asked: arrived * value,
+            earned: succeeded * weight,
+            asked: arrived * weight,
             ..OperationCounts::default()
         };
         (counts, latencies, lost)
     }
 
-    /// What a node counts in a window; with the priority weight that its version cost, beside what it
-    /// would have earned.
-    pub fn sample(&mut self, node: usize, key: u64, runs: &Runs) -> (WindowSample, f64) {
+    /// Returns the sample of a node in a window, and the priority weight lost to the effect of its
+    /// version.
+    pub fn sample(&mut self, node: usize, key: u64, run: &NodeRun) -> (WindowSample, f64) {
         let (zone, machine) = (self.zone(node), self.machines[node]);
-        let trouble = self.trouble.get(&zone).map_or(0.0, |(_, much)| *much);
-        let acts = runs.since >= runs.effect.after;
+        let zone_fault = self
+            .zone_faults
+            .get(&zone)
+            .map_or(0.0, |(_, severity)| *severity);
+        let is_active = run.windows_since_apply >= run.effect.delay_windows;
         let memory = 4000.0
             * (1.0
-                + runs.effect.leaks
-                    * if acts {
-                        (runs.since - runs.effect.after) as f64
+                + run.effect.memory_growth
+                    * if is_active {
+                        (run.windows_since_apply - run.effect.delay_windows) as f64
                     } else {
                         0.0
                     });
-        let is_full = memory > 12_000.0;
+        let is_out_of_memory = memory > 12_000.0;
         let mut cost = 0.0;
         let mut operations = BTreeMap::new();
         for operation in OPERATIONS {
-            let touches = acts && runs.effect.operation.is_none_or(|only| only == operation.0);
-            let effect = if touches { runs.effect } else { Effect::NONE };
+            let applies = is_active && run.effect.operation.is_none_or(|only| only == operation.0);
+            let effect = if applies { run.effect } else { Effect::NONE };
             let (counts, latencies, lost) =
-                self.operation_counts(operation, &effect, machine, trouble, is_full);
+                self.operation_counts(operation, &effect, machine, zone_fault, is_out_of_memory);
             cost += lost;
             operations.insert(operation.0, (counts, latencies));
         }
@@ -324,8 +347,8 @@
         let sample = WindowSample {
             node: key,
             zone,
-            version_hash: runs.version_hash,
-            just_started: runs.age < 2,
+            version_hash: run.version_hash,
+            just_started: run.windows_since_start < 2,
             operations,
             memory_kb,
             descriptors,
--- a/crates/rollout/src/simulation/trial.rs
+++ b/crates/rollout/src/simulation/trial.rs
@@ -1,78 +1,88 @@
-//! A rollout's stages without the messages between: what is analysed and when, over many rollouts by
-//! seed. For tables of false stops, missed harm and what a bad rollout costs.
+//! The stages of a rollout without the messages between nodes: when a stage is analysed and with
+//! which result, over many rollouts by seed. Used for tables of good rollouts that are stopped,
+//! harm that is missed, and the cost of bad rollouts.
 
-use super::load::{Effect, Load, Noise, Runs, WINDOW, key};
+use super::load::{Effect, Load, NodeRun, Noise, WINDOW, key};
 use crate::canary_analysis::{AnalysisMethod, CrashCounts, Verdict, analyse};
 use crate::cohort_metrics::{CohortMetrics, OperationCounts, WindowSample};
 use crate::identifiers::{RolloutId, Version};
 use crate::stages::{NextAgreement, Plan, Progress, Stage};
 use crate::{Nanos, splitmix64};
 
-/// How a rollout goes out.
+/// How a version is rolled out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Out {
+pub enum RolloutMode {
     /// In stages, analysed by this method.
-    Stages(AnalysisMethod),
-    /// Everywhere at once; rolled back if for two windows the share of successes is lower than before by
-    /// the plan's margin.
-    AtOnce,
+    Staged(AnalysisMethod),
+    /// At all nodes at once, without stages. Rolled back if the share of successes is lower than
+    /// before by more than the plan's margin for two windows in a row.
+    AllAtOnce,
 }
 
-/// What became of it.
+/// Result of a trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TrialResult {
-    /// Whether it was stopped.
+    /// Whether the rollout was stopped.
     pub stopped: bool,
-    /// By what.
-    pub what: &'static str,
-    /// The stage it came to.
+    /// Name of the comparison that showed the harm, or [`NO_VERDICT`]; empty if the rollout was not
+    /// stopped, and for [`RolloutMode::AllAtOnce`].
+    pub reason: &'static str,
+    /// Last stage that was reached, from 1.
     pub stage: u32,
-    /// The time it took.
+    /// Duration of the rollout in nanoseconds.
     pub time: Nanos,
-    /// Priority weight that it cost.
+    /// Priority weight lost to the effect of the version.
     pub cost: f64,
-    /// Priority weight that the whole cluster is asked for in a window.
+    /// Mean priority weight of all requests to the cluster in a window.
     pub asked: f64,
 }
 
-/// What is simulated.
+/// Configuration of a trial.
 #[derive(Clone, Debug)]
 pub struct Trial {
-    /// How many nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many zones.
+    /// Number of zones.
     pub zones: u32,
-    /// Requests of a node in a window.
-    pub each: f64,
-    /// How much nodes differ by themselves.
+    /// Mean number of requests of a node in a window.
+    pub requests_per_window: f64,
+    /// Differences between nodes, and trouble that no version causes.
     pub noise: Noise,
-    /// The plan.
+    /// Plan of the rollout.
     pub plan: Plan,
-    /// What the new version does.
+    /// Effect of the new version.
     pub effect: Effect,
-    /// How it goes out.
-    pub out: Out,
+    /// How the new version is rolled out.
+    pub mode: RolloutMode,
 }
 
-/// What a rollout that came to no analysement is halted by.
-pub const NO_JUDGEMENT: &str = "no analysement";
-const BEFORE: u64 = 8;
-/// Windows for which a rollout that went out at once is observed.
-const AT_ONCE: u64 = 60;
+/// Reason of a rollout that is halted because the analysis reached no verdict within a stage's
+/// maximum duration.
+pub const NO_VERDICT: &str = "no verdict";
+/// Number of windows that are recorded before the rollout begins.
+const WINDOWS_BEFORE: u64 = 8;
+/// Number of windows for which an update of all nodes at once is observed.
+const ALL_AT_ONCE_WINDOWS: u64 = 60;
 
 impl Trial {
-    /// Plays it.
-    pub fn play(&self, seed: u64) -> TrialResult {
-        let mut load = Load::new(seed, self.nodes, self.zones, self.each, self.noise);
-        let (old, new) = (
+    /// Runs the trial with this seed.
+    pub fn run(&self, seed: u64) -> TrialResult {
+        let mut load = Load::new(
+            seed,
+            self.nodes,
+            self.zones,
+            self.requests_per_window,
+            self.noise,
+        );
+        let (base, version) = (
             Version { number: 1, hash: 1 },
             Version { number: 2, hash: 2 },
         );
-        let mut record = CohortMetrics::new(RolloutId(splitmix64(seed)), new, old);
+        let mut metrics = CohortMetrics::new(RolloutId(splitmix64(seed)), version, base);
         let (mut window, mut windows) = (0, Vec::new());
         let mut before = OperationCounts::default();
-        for _ in 0..BEFORE {
-            let (samples, _) = self.window(&mut load, window, &|_| None);
+        for _ in 0..WINDOWS_BEFORE {
+            let (samples, _) = self.sample_window(&mut load, window, &|_| None);
             samples
                 .iter()
                 .flat_map(|sample| sample.operations.values())
@@ -80,37 +90,41 @@
             windows.push((window, samples));
             window += 1;
         }
-        record.begin(&windows);
-        let asked = before.asked as f64 / 1000.0 / BEFORE as f64;
-        match self.out {
-            Out::Stages(method) => self.stages(&mut load, record, window, method, asked),
-            Out::AtOnce => self.at_once(&mut load, before, window, asked),
+        metrics.begin(&windows);
+        let asked = before.asked as f64 / 1000.0 / WINDOWS_BEFORE as f64;
+        match self.mode {
+            RolloutMode::Staged(method) => {
+                self.run_staged(&mut load, metrics, window, method, asked)
+            }
+            RolloutMode::AllAtOnce => self.run_all_at_once(&mut load, before, window, asked),
         }
     }
 
-    /// What all nodes count in a window; `since` gives for how many windows a node runs the new version.
-    fn window(
+    /// Returns the samples of all nodes in a window and the priority weight lost to the new
+    /// version. `windows_on_new_version` returns for how many windows a node has run the new
+    /// version; `None` if the node runs the base.
+    fn sample_window(
         &self,
         load: &mut Load,
         window: u64,
-        since: &dyn Fn(usize) -> Option<u64>,
+        windows_on_new_version: &dyn Fn(usize) -> Option<u64>,
     ) -> (Vec<WindowSample>, f64) {
-        load.window(window);
+        load.begin_window(window);
         let mut sum = 0.0;
         let samples = (0..self.nodes)
             .map(|node| {
-                let ran = since(node);
-                let runs = Runs {
+                let ran = windows_on_new_version(node);
+                let run = NodeRun {
                     version_hash: if ran.is_some() { 2 } else { 1 },
                     effect: if ran.is_some() {
                         self.effect
                     } else {
                         Effect::NONE
                     },
-                    since: ran.unwrap_or(0),
-                    age: 100,
+                    windows_since_apply: ran.unwrap_or(0),
+                    windows_since_start: 100,
                 };
-                let (sample, cost) = load.sample(node, key(node), &runs);
+                let (sample, cost) = load.sample(node, key(node), &run);
                 sum += cost;
                 sample
             })
@@ -118,10 +132,10 @@
         (samples, sum)
     }
 
-    fn stages(
+    fn run_staged(
         &self,
         load: &mut Load,
-        record: CohortMetrics,
+        metrics: CohortMetrics,
         window: u64,
         method: AnalysisMethod,
         asked: f64,
@@ -129,15 +143,15 @@
         let nodes: Vec<(u64, u32)> = (0..self.nodes)
             .map(|node| (key(node), load.zone(node)))
             .collect();
-        let (mut progress, rollout) = (Progress::default(), record.rollout);
-        let mut run = StagedRun {
+        let (mut progress, rollout) = (Progress::default(), metrics.rollout);
+        let mut run = StagedTrial {
             trial: self,
             load,
-            record,
+            metrics,
             method,
             window,
-            begin: window,
-            begun: vec![None; self.nodes],
+            first_window: window,
+            started_in: vec![None; self.nodes],
             crashes: [0, 0],
             outcome: TrialResult {
                 asked,
@@ -156,16 +170,16 @@
                 break;
             };
             run.outcome.stage = progress.stage;
-            run.record.start_stage(progress.stage);
+            run.metrics.start_stage(progress.stage);
             for (at, (node, zone)) in nodes.iter().enumerate() {
-                if run.begun[at].is_none() && progress.includes(rollout, *node, *zone) {
-                    run.begun[at] = Some(run.window);
+                if run.started_in[at].is_none() && progress.includes(rollout, *node, *zone) {
+                    run.started_in[at] = Some(run.window);
                 }
             }
-            if let Some(what) = run.stage(progress.stage, stage) {
+            if let Some(reason) = run.run_stage(progress.stage, stage) {
                 return TrialResult {
                     stopped: true,
-                    what,
+                    reason,
                     ..run.outcome
                 };
             }
@@ -173,7 +187,7 @@
         run.outcome
     }
 
-    fn at_once(
+    fn run_all_at_once(
         &self,
         load: &mut Load,
         before: OperationCounts,
@@ -187,12 +201,13 @@
         };
         let share = |cell: &OperationCounts| cell.succeeded as f64 / cell.arrived.max(1) as f64;
         let margin = f64::from(self.plan.margin_permille) / 1000.0;
-        let (begin, mut bad) = (window, 0);
-        while window < begin + AT_ONCE {
-            let (samples, cost) = self.window(load, window, &|_| Some(window - begin));
+        let (first_window, mut bad) = (window, 0);
+        while window < first_window + ALL_AT_ONCE_WINDOWS {
+            let (samples, cost) =
+                self.sample_window(load, window, &|_| Some(window - first_window));
             outcome.cost += cost;
             window += 1;
-            outcome.time = (window - begin) * WINDOW;
+            outcome.time = (window - first_window) * WINDOW;
             let mut sum = OperationCounts::default();
             samples
                 .iter()
@@ -214,76 +229,81 @@
     }
 }
 
-/// A rollout in stages while it is played.
-struct StagedRun<'a> {
+/// State of a staged rollout during a trial.
+struct StagedTrial<'a> {
     trial: &'a Trial,
     load: &'a mut Load,
-    record: CohortMetrics,
+    metrics: CohortMetrics,
     method: AnalysisMethod,
-    /// The next window, and the one in which it began.
+    /// Number of the next window.
     window: u64,
-    begin: u64,
-    /// By node, the window in which it began to run the new version.
-    begun: Vec<Option<u64>>,
-    /// On trial; of the other nodes.
+    /// Window in which the rollout began.
+    first_window: u64,
+    /// Window in which each node began to run the new version; `None` before that.
+    started_in: Vec<Option<u64>>,
+    /// Crashes of nodes that run the new version, and of the other nodes.
     crashes: [u64; 2],
     outcome: TrialResult,
 }
 
-impl StagedRun<'_> {
-    /// Plays a stage to its end; by what it was stopped, if it was.
-    fn stage(&mut self, number: u32, stage: &Stage) -> Option<&'static str> {
-        let since = self.window;
+impl StagedTrial<'_> {
+    /// Runs a stage to its end; returns the reason if the rollout was stopped.
+    fn run_stage(&mut self, number: u32, stage: &Stage) -> Option<&'static str> {
+        let stage_start = self.window;
         loop {
-            self.play_window();
-            let held = (self.window - since) * WINDOW;
-            let new = self.begun.iter().flatten().count() as u64;
+            self.run_window();
+            let elapsed = (self.window - stage_start) * WINDOW;
+            let canary_nodes = self.started_in.iter().flatten().count() as u64;
             let crashes = CrashCounts {
                 crashes: self.crashes,
-                nodes: [new, self.trial.nodes as u64 - new],
-                windows: (self.window - self.begin) as f64,
+                nodes: [canary_nodes, self.trial.nodes as u64 - canary_nodes],
+                windows: (self.window - self.first_window) as f64,
             };
             let plan = &self.trial.plan;
-            let analysis = analyse(&self.record, plan, number, &crashes, self.method);
+            let analysis = analyse(&self.metrics, plan, number, &crashes, self.method);
             match analysis.verdict {
                 Verdict::Harm(harm) => {
                     return Some(harm.first().map_or("", |finding| finding.what));
                 }
-                _ if held < stage.min_duration => {}
-                // Without a baseline cohort it goes by what else there is: see `coordinator`.
+                _ if elapsed < stage.min_duration => {}
+                // The last stage has no baseline cohort. The coordinator then uses other criteria
+                // (see `coordinator`), which the trial leaves out.
                 _ if plan.is_last(number) => return None,
                 Verdict::Fine => return None,
-                Verdict::Unsure(_) if held > stage.max_duration => return None,
+                Verdict::Unsure(_) if elapsed > stage.max_duration => return None,
                 Verdict::Unsure(_) => {}
-                Verdict::Wait(_) if held > stage.max_duration => return Some(NO_JUDGEMENT),
+                Verdict::Wait(_) if elapsed > stage.max_duration => return Some(NO_VERDICT),
                 Verdict::Wait(_) => {}
             }
         }
     }
 
-    fn play_window(&mut self) {
-        let (window, begun) = (self.window, &self.begun);
-        let since = |node: usize| begun[node].map(|begun| window - begun);
-        let (samples, cost) = self.trial.window(self.load, window, &since);
+    fn run_window(&mut self) {
+        let (window, started_in) = (self.window, &self.started_in);
+        let windows_on_new_version =
+            |node: usize| started_in[node].map(|started_in| window - started_in);
+        let (samples, cost) = self
+            .trial
+            .sample_window(self.load, window, &windows_on_new_version);
         self.outcome.cost += cost;
-        for begun in begun {
-            let effect = if begun.is_some() {
+        for started_in in started_in {
+            let effect = if started_in.is_some() {
                 self.trial.effect
             } else {
                 Effect::NONE
             };
-            if self.load.dies(&Runs {
+            if self.load.crashes(&NodeRun {
                 version_hash: 0,
                 effect,
-                since: begun.map_or(0, |begun| window - begun),
-                age: 100,
+                windows_since_apply: started_in.map_or(0, |started_in| window - started_in),
+                windows_since_start: 100,
             }) {
-                self.crashes[usize::from(begun.is_none())] += 1;
+                self.crashes[usize::from(started_in.is_none())] += 1;
             }
         }
-        self.record.record_window(window, &samples);
+        self.metrics.record_window(window, &samples);
         self.window += 1;
-        self.outcome.time = (self.window - self.begin) * WINDOW;
+        self.outcome.time = (self.window - self.first_window) * WINDOW;
     }
 }
 
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -1,6 +1,7 @@
-//! What a node shows of rollouts to those who ask: what it runs and why, the stages, the status of
-//! each node, and where it has the metrics, the verdict with its figures and both cohorts over time.
-//! Protocol Buffers, in pages.
+//! The status of rollouts that a node returns to status commands: the version that the node runs
+//! and why, the stages, and the status of each node; on the coordinator also the cohort metrics,
+//! the last verdict with its figures, and both cohorts over time. Encoded as Protocol Buffers and
+//! sent in pages.
 
 use crate::canary_analysis::{Comparison, Verdict};
 use crate::cohort_metrics::{CohortPoint, OperationCounts};
@@ -14,242 +15,242 @@
 use crate::stages::{Stage, seconds};
 use std::collections::BTreeMap;
 
-/// Nodes that are shown.
-const NODES: usize = 300;
-/// Points in time that are shown.
-const POINTS: usize = 180;
-/// Comparisons that are shown.
-const FINDINGS: usize = 24;
-/// The highest evidence that is shown.
-const EVIDENCE: f64 = 1e9;
+/// Maximum number of nodes in a status.
+const MAX_NODES: usize = 300;
+/// Maximum number of points in time in a status.
+const MAX_POINTS: usize = 180;
+/// Maximum number of comparisons in a status.
+const MAX_FINDINGS: usize = 24;
+/// Upper bound on the evidence in a status; higher values are shown as this one.
+const MAX_EVIDENCE: f64 = 1e9;
 
-/// A version, as it is shown.
+/// A version in a status.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct VersionStatus {
-    /// Its number.
+    /// Number of the version.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Its hash.
+    /// Hash of the version.
     #[prost(fixed64, tag = "2")]
     pub hash: u64,
 }
 
-/// A rollout, as it is shown.
+/// A rollout in a status.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RolloutStatus {
-    /// Its identifier.
+    /// Identifier of the rollout.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
-    /// What it changes: 0 settings, 1 the program.
+    /// Kind of the rollout: 0 settings, 1 program.
     #[prost(uint32, tag = "2")]
     pub kind: u32,
-    /// What it brings.
+    /// Version that is rolled out.
     #[prost(message, optional, tag = "3")]
     pub version: Option<VersionStatus>,
-    /// What it replaces.
+    /// Version that is replaced.
     #[prost(message, optional, tag = "4")]
     pub base: Option<VersionStatus>,
-    /// Its stage, from 1; one more than there are once it is completed.
+    /// Current stage, from 1; the number of stages plus one once the rollout is completed.
     #[prost(uint32, tag = "5")]
     pub stage: u32,
-    /// The plan's stages in words.
+    /// Readable description of each stage of the plan.
     #[prost(string, repeated, tag = "6")]
     pub stages: Vec<String>,
-    /// Its outcome in a word.
+    /// Name of the outcome.
     #[prost(string, tag = "7")]
     pub outcome: String,
-    /// Why it ended.
+    /// Reason why the rollout ended; empty while it is in progress.
     #[prost(string, tag = "8")]
     pub why: String,
-    /// Who ended it.
+    /// Name of the node where the rollout was ended; empty while it is in progress.
     #[prost(string, tag = "9")]
     pub by: String,
-    /// When it ended, Unix milliseconds.
+    /// Unix time of the end in milliseconds.
     #[prost(uint64, tag = "10")]
     pub ended_ms: u64,
-    /// Who offered it.
+    /// Name of the node where the rollout was offered.
     #[prost(string, tag = "11")]
     pub offered_by: String,
-    /// When it was offered, Unix milliseconds.
+    /// Unix time of the offer in milliseconds.
     #[prost(uint64, tag = "12")]
     pub offered_ms: u64,
-    /// The number of its last agreement.
+    /// Number of the last agreement about the rollout.
     #[prost(uint64, tag = "13")]
     pub agreement: u64,
-    /// How many nodes the cluster was agreed to have.
+    /// Cluster size in the last agreement, in nodes.
     #[prost(uint32, tag = "14")]
     pub cluster_size: u32,
 }
 
-/// A node, as it is shown.
+/// A node in a status.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct NodeStatusEntry {
-    /// Its name.
+    /// Name of the node.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its zone.
+    /// Name of the zone.
     #[prost(string, tag = "2")]
     pub zone: String,
-    /// Whether it is alive.
+    /// Whether the node is alive.
     #[prost(bool, tag = "3")]
     pub present: bool,
-    /// Whether the stage includes it.
+    /// Whether the current stage includes the node.
     #[prost(bool, tag = "4")]
     pub in_stage: bool,
-    /// The version that it runs.
+    /// Version that the node runs.
     #[prost(message, optional, tag = "5")]
     pub running: Option<VersionStatus>,
-    /// Since when, Unix milliseconds.
+    /// Unix time in milliseconds since which the node has run the version.
     #[prost(uint64, tag = "6")]
     pub since_ms: u64,
-    /// How it stands to the rollout, in words.
+    /// Name of the node's status in the rollout.
     #[prost(string, tag = "7")]
     pub status: String,
-    /// How often the version crashed there.
+    /// Number of crashes of the version on the node.
     #[prost(uint32, tag = "8")]
     pub crashes: u32,
-    /// Why it rejects the version.
+    /// Reason why the node rejects the version; empty if it does not.
     #[prost(string, tag = "9")]
     pub why: String,
 }
 
-/// A comparison, as it is shown.
+/// A comparison of the canary analysis in a status.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ComparisonStatus {
-    /// The operation; empty for the process itself.
+    /// Name of the operation; empty for a comparison of processes.
     #[prost(string, tag = "1")]
     pub operation: String,
-    /// What is compared.
+    /// Name of the compared metric.
     #[prost(string, tag = "2")]
     pub what: String,
-    /// The value at the canary nodes.
+    /// Value at the canary nodes.
     #[prost(double, tag = "3")]
     pub new: f64,
-    /// What was expected there by the baseline nodes.
+    /// Value expected at the canary nodes from the baseline nodes.
     #[prost(double, tag = "4")]
     pub old: f64,
-    /// By how much the canary does worse.
+    /// Excess of the canary's value over the expected one.
     #[prost(double, tag = "5")]
     pub harm: f64,
-    /// The standard error of that.
+    /// Standard error of `harm`.
     #[prost(double, tag = "6")]
     pub error: f64,
-    /// Evidence for harm, a likelihood ratio.
+    /// Evidence for harm, as a likelihood ratio.
     #[prost(double, tag = "7")]
     pub evidence: f64,
     #[prost(double, tag = "8")]
-    /// The harm that still counts as none.
+    /// Margin up to which harm is tolerated.
     pub margin: f64,
 }
 
-/// Both cohorts in a window: baseline first, then canary.
+/// Counts of both cohorts in a window: baseline first, then canary.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CohortPointStatus {
-    /// The window's number.
+    /// Number of the window.
     #[prost(uint64, tag = "1")]
     pub window: u64,
-    /// The stage.
+    /// Stage of the rollout in the window, from 1.
     #[prost(uint32, tag = "2")]
     pub stage: u32,
-    /// Nodes.
+    /// Number of nodes.
     #[prost(uint32, repeated, tag = "3")]
     pub nodes: Vec<u32>,
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     #[prost(uint64, repeated, tag = "4")]
     pub arrived: Vec<u64>,
-    /// Requests that succeeded.
+    /// Number of requests that succeeded.
     #[prost(uint64, repeated, tag = "5")]
     pub succeeded: Vec<u64>,
-    /// Requests that were rejected.
+    /// Number of requests that were rejected.
     #[prost(uint64, repeated, tag = "6")]
     pub rejected: Vec<u64>,
-    /// Requests that failed.
+    /// Number of requests that failed.
     #[prost(uint64, repeated, tag = "7")]
     pub errored: Vec<u64>,
-    /// Successes past their latency objective.
+    /// Number of successful requests past their latency objective.
     #[prost(uint64, repeated, tag = "8")]
     pub late: Vec<u64>,
-    /// Mean memory in KiB.
+    /// Mean resident memory in KiB.
     #[prost(float, repeated, tag = "9")]
     pub memory_kb: Vec<f32>,
 }
 
-/// All that a status command shows.
+/// The complete status of rollouts at a node.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StatusSnapshot {
-    /// The node that shows it.
+    /// Name of the node that returns the status.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// When, Unix milliseconds.
+    /// Unix time of the status in milliseconds.
     #[prost(uint64, tag = "2")]
     pub at_ms: u64,
-    /// What is changed: 0 settings, 1 the program.
+    /// Kind of the rollouts: 0 settings, 1 program.
     #[prost(uint32, tag = "3")]
     pub kind: u32,
-    /// The version that the node runs.
+    /// Version that the node runs.
     #[prost(message, optional, tag = "4")]
     pub running: Option<VersionStatus>,
-    /// Why it runs that, in lines.
+    /// Reasons why the node runs the version, one per line.
     #[prost(string, repeated, tag = "5")]
     pub reasons: Vec<String>,
-    /// The coordinator's name.
+    /// Name of the coordinator; empty if it is unknown.
     #[prost(string, tag = "6")]
     pub coordinator: String,
-    /// Where the coordinator's part in the cluster listens.
+    /// Membership address of the coordinator.
     #[prost(string, tag = "7")]
     pub coordinator_address: String,
-    /// What the coordinator waits for, if the node is the coordinator.
+    /// Condition that the coordinator waits for; empty on other nodes.
     #[prost(string, tag = "8")]
     pub waits: String,
-    /// All rollouts, the last agreement first.
+    /// All known rollouts, the latest agreement first.
     #[prost(message, repeated, tag = "9")]
     pub rollouts: Vec<RolloutStatus>,
-    /// The nodes.
+    /// Nodes of the cluster, nodes of the current stage first.
     #[prost(message, repeated, tag = "10")]
     pub nodes: Vec<NodeStatusEntry>,
-    /// How many nodes there are, shown or not.
+    /// Number of nodes in the cluster, including those left out of `nodes`.
     #[prost(uint32, tag = "11")]
     pub nodes_in_all: u32,
-    /// The last verdict in words.
+    /// Readable form of the last verdict.
     #[prost(string, tag = "12")]
     pub verdict: String,
-    /// Its comparisons.
+    /// Comparisons behind the last verdict.
     #[prost(message, repeated, tag = "13")]
     pub findings: Vec<ComparisonStatus>,
-    /// Requests in this stage: canary, baseline.
+    /// Number of requests in this stage: canary, baseline.
     #[prost(uint64, repeated, tag = "14")]
     pub sample: Vec<u64>,
-    /// Nodes that were compared: canary, baseline.
+    /// Number of nodes that were compared: canary, baseline.
     #[prost(uint64, repeated, tag = "15")]
     pub judged: Vec<u64>,
-    /// Both cohorts over time.
+    /// Counts of both cohorts over time.
     #[prost(message, repeated, tag = "16")]
     pub points: Vec<CohortPointStatus>,
-    /// The span of a window, in milliseconds.
+    /// Length of a window in milliseconds.
     #[prost(uint64, tag = "17")]
     pub window_ms: u64,
-    /// The node's last promoted version.
+    /// Last promoted version of the node.
     #[prost(message, optional, tag = "18")]
     pub promoted: Option<VersionStatus>,
 }
 
-/// What nodes and operations are called.
+/// Names of nodes and operations, provided by the embedder.
 pub trait Names {
-    /// A node's name and zone.
+    /// Returns the name and the zone of a node; `None` if the node is unknown.
     fn node(&self, key: u64) -> Option<(String, String)>;
-    /// An operation's name.
+    /// Returns the name of an operation.
     fn operation(&self, number: u32) -> String;
 }
 
-fn version(of: Version) -> Option<VersionStatus> {
+fn version_status(version: Version) -> Option<VersionStatus> {
     Some(VersionStatus {
-        number: of.number,
-        hash: of.hash,
+        number: version.number,
+        hash: version.hash,
     })
 }
 
 impl VersionStatus {
-    /// As a version is written.
+    /// Returns the version.
     pub fn version(&self) -> Version {
         Version {
             number: self.number,
@@ -258,89 +259,90 @@
     }
 }
 
-fn stage(stage: &Stage) -> String {
+fn describe_stage(stage: &Stage) -> String {
     let share = match stage.share_permille {
         0 => "one node".to_owned(),
         1000 => "all".to_owned(),
         share => format!("{} %", f64::from(share) / 10.0),
     };
     format!(
-        "{share}, {} to {}, {} invocations",
+        "{share}, {} to {}, {} requests",
         seconds(stage.min_duration),
         seconds(stage.max_duration),
         stage.min_requests
     )
 }
 
-fn rollout(of: &Rollout, names: &impl Names) -> RolloutStatus {
+fn rollout_status(rollout: &Rollout, names: &impl Names) -> RolloutStatus {
     let name = |key: u64| {
         names
             .node(key)
             .map_or_else(|| format!("{key:016x}"), |(name, _)| name)
     };
-    let ended = of.outcome > Outcome::InProgress;
+    let ended = rollout.outcome > Outcome::InProgress;
     RolloutStatus {
-        id: of.id.0,
-        kind: of.kind as u32,
-        version: version(of.version),
-        base: version(of.base),
-        stage: of.progress.stage,
-        stages: of.plan.stages.iter().map(stage).collect(),
-        outcome: of.outcome.display_name().to_owned(),
-        why: of.reason.why.clone(),
-        by: if ended && of.reason.by > 0 {
-            name(of.reason.by)
+        id: rollout.id.0,
+        kind: rollout.kind as u32,
+        version: version_status(rollout.version),
+        base: version_status(rollout.base),
+        stage: rollout.progress.stage,
+        stages: rollout.plan.stages.iter().map(describe_stage).collect(),
+        outcome: rollout.outcome.display_name().to_owned(),
+        why: rollout.reason.why.clone(),
+        by: if ended && rollout.reason.by > 0 {
+            name(rollout.reason.by)
         } else {
             String::new()
         },
-        ended_ms: of.reason.at_ms,
-        offered_by: name(of.by),
-        offered_ms: of.at_ms,
-        agreement: of.progress.agreement,
-        cluster_size: of.progress.cluster_size,
+        ended_ms: rollout.reason.at_ms,
+        offered_by: name(rollout.by),
+        offered_ms: rollout.at_ms,
+        agreement: rollout.progress.agreement,
+        cluster_size: rollout.progress.cluster_size,
     }
 }
 
-fn finding(of: &Comparison, names: &impl Names) -> ComparisonStatus {
+fn comparison_status(comparison: &Comparison, names: &impl Names) -> ComparisonStatus {
     ComparisonStatus {
-        operation: of
+        operation: comparison
             .operation
             .map_or_else(String::new, |operation| names.operation(operation)),
-        what: of.what.to_owned(),
-        new: of.new,
-        old: of.old,
-        harm: of.harm,
-        error: of.error,
-        evidence: of.evidence.min(EVIDENCE),
-        margin: of.margin,
+        what: comparison.what.to_owned(),
+        new: comparison.new,
+        old: comparison.old,
+        harm: comparison.harm,
+        error: comparison.error,
+        evidence: comparison.evidence.min(MAX_EVIDENCE),
+        margin: comparison.margin,
     }
 }
 
-fn point(of: &CohortPoint) -> CohortPointStatus {
-    let both = |field: fn(&OperationCounts) -> u64| of.cells.iter().map(field).collect();
+fn point_status(point: &CohortPoint) -> CohortPointStatus {
+    let by_cohort = |field: fn(&OperationCounts) -> u64| point.cells.iter().map(field).collect();
     CohortPointStatus {
-        window: of.window,
-        stage: of.stage,
-        nodes: of.nodes.to_vec(),
-        arrived: both(|cell| cell.arrived),
-        succeeded: both(|cell| cell.succeeded),
-        rejected: both(|cell| cell.rejected),
-        errored: both(|cell| cell.errored),
-        late: both(|cell| cell.late),
-        memory_kb: of.memory_kb.iter().map(|kb| *kb as f32).collect(),
+        window: point.window,
+        stage: point.stage,
+        nodes: point.nodes.to_vec(),
+        arrived: by_cohort(|counts| counts.arrived),
+        succeeded: by_cohort(|counts| counts.succeeded),
+        rejected: by_cohort(|counts| counts.rejected),
+        errored: by_cohort(|counts| counts.errored),
+        late: by_cohort(|counts| counts.late),
+        memory_kb: point.memory_kb.iter().map(|kb| *kb as f32).collect(),
     }
 }
 
-/// Points in time, thinned out evenly where there are many, with the last one in any case.
+/// Returns the points in time, thinned out evenly if there are more than [`MAX_POINTS`]. The last
+/// point is always included.
 fn points(coordinator: &Coordinator) -> Vec<CohortPointStatus> {
-    let Some(record) = coordinator.metrics() else {
+    let Some(metrics) = coordinator.metrics() else {
         return Vec::new();
     };
-    let step = record.history.len().div_ceil(POINTS).max(1);
-    let thin = record.history.iter().rev().step_by(step).map(point);
-    let mut thin: Vec<CohortPointStatus> = thin.collect();
-    thin.reverse();
-    thin
+    let step = metrics.history.len().div_ceil(MAX_POINTS).max(1);
+    let thinned = metrics.history.iter().rev().step_by(step).map(point_status);
+    let mut thinned: Vec<CohortPointStatus> = thinned.collect();
+    thinned.reverse();
+    thinned
 }
 
 fn verdict_line(verdict: &Verdict) -> String {
@@ -348,12 +350,12 @@
         Verdict::Harm(_) => "harm".to_owned(),
         Verdict::Fine => "fine".to_owned(),
         Verdict::Wait(why) => format!("waits: {why}"),
-        Verdict::Unsure(why) => format!("nothing speaks for harm, not sure yet: {why}"),
+        Verdict::Unsure(why) => format!("no sign of harm, not certain yet: {why}"),
     }
 }
 
-/// A node by the report on its entry, or by its last answer to this coordinator while the rollout is
-/// in progress: that one is newer.
+/// Returns the status of a node from the report on its membership entry. While the rollout is in
+/// progress, the node's last reply to this coordinator takes precedence, as the newer one.
 fn node_entry(
     member: &Member,
     attached: Option<&NodeReport>,
@@ -364,17 +366,17 @@
     let in_progress = current
         .filter(|rollout| rollout.outcome == Outcome::InProgress)
         .map(|rollout| rollout.id);
-    let received = coordinator
+    let reply = coordinator
         .report(member.node)
-        .filter(|received| Some(received.rollout) == in_progress);
-    let report = received.or(attached);
+        .filter(|reply| Some(reply.rollout) == in_progress);
+    let report = reply.or(attached);
     let (name, zone) = names.node(member.node).unwrap_or_default();
     NodeStatusEntry {
         name,
         zone,
         present: member.present,
         in_stage: current.is_some_and(|c| c.progress.includes(c.id, member.node, member.zone)),
-        running: report.and_then(|report| version(report.running)),
+        running: report.and_then(|report| version_status(report.running)),
         since_ms: report.map_or(0, |report| report.since_ms),
         status: report
             .map_or("unknown", |report| report.status.display_name())
@@ -385,7 +387,7 @@
 }
 
 impl StatusSnapshot {
-    /// What a node shows: itself, and the cluster by the reports of its members.
+    /// Creates the status of a node; the cluster is described by the reports of its members.
     pub fn of<H: Host>(
         unix_ms: u64,
         agent: &NodeAgent<H>,
@@ -396,12 +398,12 @@
         let rollouts = agent.rollouts();
         let kind = agent.kind();
         let current = rollouts.current(kind).or_else(|| rollouts.head(kind));
-        let alone: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
-        let acting = coordinator.acting_coordinator(&alone);
+        let member_list: Vec<Member> = members.iter().map(|(member, _)| *member).collect();
+        let acting = coordinator.acting_coordinator(&member_list);
         let mut all: Vec<RolloutStatus> = rollouts
             .iter()
-            .filter(|of| of.kind == kind)
-            .map(|of| rollout(of, names))
+            .filter(|rollout| rollout.kind == kind)
+            .map(|rollout| rollout_status(rollout, names))
             .collect();
         all.sort_by_key(|rollout| std::cmp::Reverse((rollout.agreement, rollout.offered_ms)));
         let mut nodes: Vec<NodeStatusEntry> = members
@@ -412,21 +414,21 @@
             .collect();
         nodes.sort_by(|a, b| (!a.in_stage, &a.zone, &a.name).cmp(&(!b.in_stage, &b.zone, &b.name)));
         let nodes_in_all = nodes.len() as u32;
-        nodes.truncate(NODES);
+        nodes.truncate(MAX_NODES);
         let analysis = coordinator.analysis();
         let verdict = analysis.map_or_else(String::new, |analysis| verdict_line(&analysis.verdict));
         let findings = analysis
             .iter()
-            .flat_map(|judged| &judged.findings)
-            .take(FINDINGS);
+            .flat_map(|analysis| &analysis.findings)
+            .take(MAX_FINDINGS);
         StatusSnapshot {
             node: names
                 .node(agent.me())
                 .map_or_else(String::new, |(name, _)| name),
             at_ms: unix_ms,
             kind: kind as u32,
-            running: version(agent.running()),
-            promoted: agent.persisted_state().promoted.and_then(version),
+            running: version_status(agent.running()),
+            promoted: agent.persisted_state().promoted.and_then(version_status),
             reasons: agent.explain(unix_ms),
             coordinator: acting
                 .and_then(|key| names.node(key))
@@ -441,17 +443,19 @@
             nodes,
             nodes_in_all,
             verdict,
-            findings: findings.map(|of| finding(of, names)).collect(),
-            sample: analysis.map_or_else(Vec::new, |judged| judged.sample.to_vec()),
-            judged: analysis.map_or_else(Vec::new, |judged| {
-                judged.nodes.iter().map(|n| *n as u64).collect()
+            findings: findings
+                .map(|finding| comparison_status(finding, names))
+                .collect(),
+            sample: analysis.map_or_else(Vec::new, |analysis| analysis.sample.to_vec()),
+            judged: analysis.map_or_else(Vec::new, |analysis| {
+                analysis.nodes.iter().map(|n| *n as u64).collect()
             }),
             points: points(coordinator),
             window_ms: 0,
         }
     }
 
-    /// How many present nodes run each version, by its number.
+    /// Returns the number of present nodes for each version number.
     pub fn by_version(&self) -> BTreeMap<u64, usize> {
         let mut all = BTreeMap::new();
         for node in self.nodes.iter().filter(|node| node.present) {
--- a/crates/rollout/src/supervisor_messages.rs
+++ b/crates/rollout/src/supervisor_messages.rs
@@ -1,6 +1,7 @@
-//! What a supervisor and the processes that it starts tell each other over a stream: each message after
-//! its length (4 bytes, little-endian). Fields by number: an unknown one is skipped, and an unknown kind
-//! is ignored, so that a supervisor and a program of different versions understand each other.
+//! Messages between a supervisor and the processes that it starts, sent over a stream. Each message
+//! follows its length (4 bytes, little-endian). Fields are encoded by number; unknown fields are
+//! skipped and unknown kinds ignored, so that a supervisor and a program of different versions
+//! understand each other.
 
 use crate::host_error::HostError;
 use crate::identifiers::{RolloutId, Version};
@@ -8,75 +9,75 @@
 use crate::process_handover::StartInstructions;
 use prost::Message;
 
-/// The most bytes of a message.
+/// Maximum size of a message in bytes, without its length.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 10;
 
 /// Kinds of messages.
 pub mod kind {
-    /// From the supervisor: what the process starts with; with it comes the listening socket.
+    /// From the supervisor: start instructions; the listening socket is sent with this message.
     pub const BEGIN: u32 = 1;
-    /// From the supervisor: the process is in charge.
+    /// From the supervisor: the process is now in charge.
     pub const IN_CHARGE: u32 = 2;
-    /// From the supervisor: another process takes its place, and it is to leave.
+    /// From the supervisor: another process takes over, and this one is to drain and stop.
     pub const HAND_OVER: u32 = 3;
     /// From the supervisor: the answer to a request.
     pub const DONE: u32 = 4;
-    /// From a process: it serves.
+    /// From a process: it is ready to serve.
     pub const READY: u32 = 5;
-    /// From a process: this is to be persisted.
+    /// From a process: requests that its state be persisted.
     pub const PERSIST: u32 = 6;
-    /// From a process: is this version on the machine?
+    /// From a process: asks whether a version is on the machine and can be started.
     pub const CHECK: u32 = 7;
-    /// From a process: this version is to take its place.
+    /// From a process: requests that a process of this version take over.
     pub const APPLY: u32 = 8;
 }
 
 /// A message between a supervisor and its process.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SupervisorMessage {
-    /// One of [`kind`].
+    /// Kind of the message, one of [`kind`].
     #[prost(uint32, tag = "1")]
     pub kind: u32,
-    /// The number of a request, and of its answer.
+    /// Number of a request, repeated in its answer.
     #[prost(uint64, tag = "2")]
     pub request: u64,
-    /// The persisted state, as it is on disk.
+    /// Encoded persisted state.
     #[prost(bytes = "vec", tag = "3")]
     pub persisted: Vec<u8>,
-    /// The number of a version.
+    /// Number of the version that the message is about.
     #[prost(uint64, tag = "4")]
     pub number: u64,
-    /// The hash of a version.
+    /// Hash of the version that the message is about.
     #[prost(fixed64, tag = "5")]
     pub hash: u64,
-    /// Whether a request was rejected.
+    /// Whether the request was rejected.
     #[prost(bool, tag = "6")]
     pub refused: bool,
-    /// Why.
+    /// Reason why the request was rejected.
     #[prost(string, tag = "7")]
     pub why: String,
-    /// Of a trial that crashed: how often it was begun; 0 if none crashed.
+    /// Number of starts of a trial that crashed; 0 if none crashed.
     #[prost(uint32, tag = "8")]
     pub died_tries: u32,
-    /// Of a trial that crashed: its rollout.
+    /// Rollout of the trial that crashed.
     #[prost(fixed64, tag = "9")]
     pub died_change: u64,
-    /// Of a trial that crashed: the number of its version.
+    /// Version number of the trial that crashed.
     #[prost(uint64, tag = "10")]
     pub died_number: u64,
-    /// Of a trial that crashed: the hash of its version.
+    /// Version hash of the trial that crashed.
     #[prost(fixed64, tag = "11")]
     pub died_hash: u64,
-    /// Whether the disk was empty.
+    /// Whether the disk was empty before the start.
     #[prost(bool, tag = "12")]
     pub disk_was_empty: bool,
-    /// Whether another process serves meanwhile.
+    /// Whether another process is serving; the started one then waits until it is in charge.
     #[prost(bool, tag = "13")]
     pub another_process_serves: bool,
 }
 
 impl SupervisorMessage {
-    /// A message with nothing but its kind.
+    /// Creates a message that only has a kind.
     pub fn plain(kind: u32) -> SupervisorMessage {
         SupervisorMessage {
             kind,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The version that it is about.
+    /// Returns the version that the message is about.
     pub fn version(&self) -> Version {
         Version {
             number: self.number,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// A request about a version.
+    /// Creates a request about a version.
     pub fn about(kind: u32, request: u64, version: Version) -> SupervisorMessage {
         SupervisorMessage {
             kind,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// The answer to a request.
+    /// Creates the answer to a request.
     pub fn done(request: u64, result: &Result<(), HostError>) -> SupervisorMessage {
         let why = result
             .as_ref()
@@ -119,23 +120,24 @@
         }
     }
 
-    /// What a process starts with.
-    pub fn begin(begin: &StartInstructions) -> SupervisorMessage {
-        let crashed = begin.crashed;
-        let of = crashed.map(|trial| trial.version).unwrap_or_default();
+    /// Creates the message with the start instructions of a process.
+    pub fn begin(instructions: &StartInstructions) -> SupervisorMessage {
+        let crashed = instructions.crashed;
+        let crashed_version = crashed.map(|trial| trial.version).unwrap_or_default();
         SupervisorMessage {
-            persisted: begin.persisted.encode(),
+            persisted: instructions.persisted.encode(),
             died_tries: crashed.map_or(0, |trial| trial.tries.max(1)),
             died_change: crashed.map_or(0, |trial| trial.rollout.0),
-            died_number: of.number,
-            died_hash: of.hash,
-            disk_was_empty: begin.disk_was_empty,
-            another_process_serves: begin.another_process_serves,
-            ..SupervisorMessage::about(kind::BEGIN, 0, begin.version)
+            died_number: crashed_version.number,
+            died_hash: crashed_version.hash,
+            disk_was_empty: instructions.disk_was_empty,
+            another_process_serves: instructions.another_process_serves,
+            ..SupervisorMessage::about(kind::BEGIN, 0, instructions.version)
         }
     }
 
-    /// Reads what a process starts with; none if the message is another one or can't be read.
+    /// Returns the start instructions; `None` if the message is of another kind or its persisted
+    /// state cannot be decoded.
     pub fn start_instructions(&self) -> Option<StartInstructions> {
         let version = Version {
             number: self.died_number,
@@ -157,30 +159,30 @@
         })
     }
 
-    /// As it goes over the stream.
+    /// Encodes the message with its length, as sent over the stream.
     pub fn write(&self) -> Vec<u8> {
         let body = crate::messages::later(self.encode_to_vec());
         [&(body.len() as u32).to_le_bytes()[..], &body].concat()
     }
 }
 
-/// Cuts a stream of bytes into messages.
+/// Splits a stream of bytes into messages.
 #[derive(Debug, Default)]
 pub struct MessageReader {
     bytes: Vec<u8>,
 }
 
-/// The other side sent what is no message.
+/// Error for a message that exceeds [`MAX_MESSAGE_BYTES`] or cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MalformedMessage;
 
 impl MessageReader {
-    /// Takes up bytes that came.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole message, if there is one.
+    /// Returns the next complete message; `None` if more bytes are needed.
     pub fn take(&mut self) -> Result<Option<SupervisorMessage>, MalformedMessage> {
         let Some(length) = self.bytes.first_chunk::<4>() else {
             return Ok(None);
@@ -192,9 +194,9 @@
         let Some(body) = self.bytes.get(4..4 + length) else {
             return Ok(None);
         };
-        let saying = SupervisorMessage::decode(body).map_err(|_| MalformedMessage)?;
+        let message = SupervisorMessage::decode(body).map_err(|_| MalformedMessage)?;
         self.bytes.drain(..4 + length);
-        Ok(Some(saying))
+        Ok(Some(message))
     }
 }
 
