--- a/crates/rollout/tests/fleets.rs
+++ b/crates/rollout/tests/fleets.rs
@@ -1,8 +1,8 @@
-//! Simulated fleets in which everything goes wrong: whatever it is, nothing happens that may not,
-//! and it ends well.
+//! Rollouts in simulated clusters under faults of every kind. No invariant may be violated, and
+//! every rollout must reach the expected outcome.
 
 use madderpoint_rollout::coordinator::Coordinator;
-use madderpoint_rollout::simulation::{Effect, Noise, Shape, SimulatedCluster};
+use madderpoint_rollout::simulation::{Effect, Noise, SimulatedCluster, SimulationConfig};
 use madderpoint_rollout::{Outcome, Stage};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -10,10 +10,11 @@
 const SECOND: u64 = 1_000_000_000;
 const MINUTE: u64 = 60 * SECOND;
 
-/// Stages as usual, but shorter.
-fn shape(seed: u64, nodes: usize) -> Shape {
-    let mut shape = Shape::new(seed, nodes);
-    for stage in &mut shape.plan.stages {
+/// Returns the configuration with the default stages, but with shorter durations and fewer
+/// requests.
+fn test_config(seed: u64, nodes: usize) -> SimulationConfig {
+    let mut config = SimulationConfig::new(seed, nodes);
+    for stage in &mut config.plan.stages {
         *stage = Stage {
             min_duration: 60 * SECOND,
             max_duration: 900 * SECOND,
@@ -22,49 +23,49 @@
             ..*stage
         };
     }
-    shape
+    config
 }
 
-fn fine(cluster: &SimulatedCluster) {
+fn assert_no_violations(cluster: &SimulatedCluster) {
     assert!(
-        cluster.totals.broken.is_empty(),
+        cluster.totals.violations.is_empty(),
         "{:#?}",
-        cluster.totals.broken
+        cluster.totals.violations
     );
 }
 
-fn line(cluster: &SimulatedCluster) -> String {
+fn describe(cluster: &SimulatedCluster) -> String {
     let node = (0..cluster.count()).find(|node| cluster.participant(*node).is_some());
-    let Some(rollout) = node.and_then(|node| cluster.participant(node)) else {
+    let Some(participant) = node.and_then(|node| cluster.participant(node)) else {
         return String::new();
     };
-    let rollouts = rollout.agent.rollouts().iter().map(|c| {
+    let rollouts = participant.agent.rollouts().iter().map(|rollout| {
         format!(
             "\n{} stage {}: {} {}",
-            c.version,
-            c.progress.stage,
-            c.outcome.display_name(),
-            c.reason.why
+            rollout.version,
+            rollout.progress.stage,
+            rollout.outcome.display_name(),
+            rollout.reason.why
         )
     });
     format!(
         "{}{}",
-        rollout.coordinator.line(),
+        participant.coordinator.line(),
         rollouts.collect::<String>()
     )
 }
 
 #[test]
-fn a_good_change_goes_through_all_stages_and_all_start_on_it_from_then_on() {
+fn a_good_rollout_passes_all_stages_and_nodes_restart_on_its_version() {
     for (seed, nodes) in [(1, 10), (2, 10), (3, 40), (4, 1), (5, 3)] {
-        let mut cluster = SimulatedCluster::new(shape(seed, nodes));
+        let mut cluster = SimulatedCluster::new(test_config(seed, nodes));
         let id = cluster.offer(nodes / 2, 2, Effect::NONE);
         let mut most = 0;
         for _ in 0..400 {
             cluster.run(10 * SECOND);
-            let (running, allowed) = (cluster.running(2), cluster.in_stage(id).len());
+            let (running, allowed) = (cluster.running_count(2), cluster.in_stage(id).len());
             assert!(running <= allowed, "{running} of {allowed}");
-            assert!(running >= most, "nobody goes back");
+            assert!(running >= most, "a node went back to an earlier version");
             most = running;
             if cluster.all_know(id, Outcome::Completed) {
                 break;
@@ -73,129 +74,129 @@
         assert!(
             cluster.all_know(id, Outcome::Completed),
             "{nodes} nodes: {}",
-            line(&cluster)
+            describe(&cluster)
         );
         cluster.run(5 * SECOND);
-        assert_eq!(cluster.running(2), nodes);
+        assert_eq!(cluster.running_count(2), nodes);
         (0..nodes).for_each(|node| cluster.crash(node));
         cluster.run(5 * SECOND);
         (0..nodes).for_each(|node| cluster.start(node));
-        assert_eq!(cluster.running(2), nodes);
-        fine(&cluster);
+        assert_eq!(cluster.running_count(2), nodes);
+        assert_no_violations(&cluster);
     }
 }
 
 #[test]
-fn what_throttles_everything_is_taken_back_with_one_node_harmed() {
+fn a_version_that_rejects_everything_is_rolled_back_after_one_node() {
     for seed in 0..5 {
-        let mut cluster = SimulatedCluster::new(shape(seed, 10));
-        let id = cluster.offer(4, 2, Effect::SHUT);
+        let mut cluster = SimulatedCluster::new(test_config(seed, 10));
+        let id = cluster.offer(4, 2, Effect::REJECT_ALL);
         assert!(
-            cluster.until(5 * MINUTE, |cluster| cluster
+            cluster.run_until(5 * MINUTE, |cluster| cluster
                 .all_know(id, Outcome::RolledBack)),
             "{}",
-            line(&cluster)
+            describe(&cluster)
         );
         cluster.run(10 * SECOND);
         assert_eq!(
             (
-                cluster.running(2),
+                cluster.running_count(2),
                 cluster.totals.ran.len(),
                 cluster.stage(id)
             ),
             (0, 1, 1)
         );
-        let why = &cluster.known(3, id).unwrap().reason.why;
+        let why = &cluster.rollout_at(3, id).unwrap().reason.why;
         assert!(why.contains("throttled"), "{why}");
-        fine(&cluster);
+        assert_no_violations(&cluster);
     }
 }
 
 #[test]
-fn a_leak_one_operations_harm_and_crashes_are_found() {
+fn memory_leaks_harm_to_one_operation_crashes_and_slowness_are_found() {
     let leak = Effect {
-        leaks: 0.05,
-        after: 6,
+        memory_growth: 0.05,
+        delay_windows: 6,
         ..Effect::NONE
     };
-    let seldom = Effect {
+    let rare_operation = Effect {
         operation: Some(13),
         errored: 0.6,
         ..Effect::NONE
     };
     let crash = Effect {
-        dies: 0.5,
+        crash_chance: 0.5,
         ..Effect::NONE
     };
     let slow = Effect {
-        slower: 1.0,
+        slowdown: 1.0,
         ..Effect::NONE
     };
-    for (effect, at_most, message) in [
+    for (effect, at_most, reason) in [
         (leak, 3, "memory"),
-        (seldom, 3, ""),
+        (rare_operation, 3, ""),
         (crash, 2, "deaths"),
         (slow, 2, "slow"),
     ] {
-        let mut cluster = SimulatedCluster::new(shape(7, 20));
+        let mut cluster = SimulatedCluster::new(test_config(7, 20));
         let id = cluster.offer(4, 2, effect);
         assert!(
-            cluster.until(30 * MINUTE, |cluster| cluster
+            cluster.run_until(30 * MINUTE, |cluster| cluster
                 .all_know(id, Outcome::RolledBack)),
             "{effect:?}: {}",
-            line(&cluster)
+            describe(&cluster)
         );
-        let rollout = cluster.known(3, id).unwrap();
+        let rollout = cluster.rollout_at(3, id).unwrap();
         assert!(
             rollout.progress.stage <= at_most,
-            "{effect:?} came to stage {}: {}",
+            "{effect:?} reached stage {}: {}",
             rollout.progress.stage,
-            line(&cluster)
+            describe(&cluster)
         );
         assert!(
-            rollout.reason.why.contains(message),
+            rollout.reason.why.contains(reason),
             "{effect:?}: {}",
             rollout.reason.why
         );
         cluster.run(MINUTE);
-        assert_eq!(cluster.running(2), 0);
-        fine(&cluster);
+        assert_eq!(cluster.running_count(2), 0);
+        assert_no_violations(&cluster);
     }
 }
 
 #[test]
-fn a_version_that_some_nodes_turn_down_never_begins() {
-    let mut cluster = SimulatedCluster::new(shape(1, 30));
+fn a_version_that_some_nodes_reject_never_starts() {
+    let mut cluster = SimulatedCluster::new(test_config(1, 30));
     let id = cluster.offer(
         0,
         2,
         Effect {
-            unfit: 0.1,
+            rejecting_share: 0.1,
             ..Effect::NONE
         },
     );
-    assert!(cluster.until(MINUTE, |cluster| cluster.all_know(id, Outcome::Rejected)));
+    assert!(cluster.run_until(MINUTE, |cluster| cluster.all_know(id, Outcome::Rejected)));
     assert!(
         cluster
-            .known(3, id)
+            .rollout_at(3, id)
             .unwrap()
             .reason
             .why
             .contains("its limits are too small")
     );
     assert_eq!(cluster.totals.ran.len(), 0);
-    fine(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
-fn of_a_hundred_versions_in_ten_seconds_the_highest_that_can_be_run_is_in_force() {
-    let mut cluster = SimulatedCluster::new(shape(3, 10));
+fn of_a_hundred_versions_in_ten_seconds_a_high_valid_one_is_in_force() {
+    let mut cluster = SimulatedCluster::new(test_config(3, 10));
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     for number in 2..=101 {
-        let broken = number % 3 == 2; // 101, 98 ...
-        let effect = if broken {
+        let is_invalid = number % 3 == 2; // 101, 98 ...
+        let effect = if is_invalid {
             Effect {
-                unfit: 1.0,
+                rejecting_share: 1.0,
                 ..Effect::NONE
             }
         } else {
@@ -206,7 +207,7 @@
     }
     cluster.run(40 * MINUTE);
     let running = (0..10)
-        .map(|node| cluster.runs(node).unwrap().number)
+        .map(|node| cluster.running_version(node).unwrap().number)
         .collect::<Vec<_>>();
     assert!(
         running
@@ -223,139 +224,144 @@
             .iter()
             .all(|rollout| rollout.outcome > Outcome::InProgress)
     );
-    fine(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
-fn of_two_operators_one_is_told_that_the_other_was_first() {
+fn of_two_concurrent_rollouts_one_is_rejected_because_of_the_other() {
     for seed in 0..10 {
-        let mut cluster = SimulatedCluster::new(shape(seed, 8));
+        let mut cluster = SimulatedCluster::new(test_config(seed, 8));
         let one = cluster.offer(1, 2, Effect::NONE);
         cluster.run(SECOND / 100 * (seed % 3));
         let two = cluster.offer(6, 2, Effect::NONE);
         let ended = |cluster: &SimulatedCluster, id| cluster.outcome(3, id).unwrap_or_default();
-        assert!(cluster.until(20 * MINUTE, |cluster| ended(cluster, one)
+        assert!(cluster.run_until(20 * MINUTE, |cluster| ended(cluster, one)
             > Outcome::InProgress
             && ended(cluster, two) > Outcome::InProgress));
-        let mut fates = [ended(&cluster, one), ended(&cluster, two)];
-        fates.sort();
+        let mut outcomes = [ended(&cluster, one), ended(&cluster, two)];
+        outcomes.sort();
         assert_eq!(
-            fates,
+            outcomes,
             [Outcome::Completed, Outcome::Rejected],
             "seed {seed}"
         );
-        let loser = if ended(&cluster, one) == Outcome::Rejected {
+        let rejected_rollout = if ended(&cluster, one) == Outcome::Rejected {
             one
         } else {
             two
         };
-        let why = &cluster.known(3, loser).unwrap().reason.why;
+        let why = &cluster.rollout_at(3, rejected_rollout).unwrap().reason.why;
         assert!(
             why.contains("is under way") || why.contains("in force"),
             "{why}"
         );
-        fine(&cluster);
+        assert_no_violations(&cluster);
     }
 }
 
-/// The halt is heard in the half that can't go on; the other one goes on, and stops when it hears
-/// of it.
+/// The halt is issued in the minority, which cannot agree on stages. The majority goes on with the
+/// rollout and stops once it learns of the halt.
 #[test]
-fn a_halt_on_the_small_side_holds_for_all_once_it_is_heard() {
-    let mut cluster = SimulatedCluster::new(shape(5, 10));
+fn a_halt_in_the_minority_takes_effect_everywhere_after_the_split() {
+    let mut cluster = SimulatedCluster::new(test_config(5, 10));
     let id = cluster.offer(0, 2, Effect::NONE);
-    assert!(cluster.until(10 * MINUTE, |cluster| cluster.stage(id) == 2));
+    assert!(cluster.run_until(10 * MINUTE, |cluster| cluster.stage(id) == 2));
     let in_stage = cluster.in_stage(id);
-    let small: Vec<usize> = (3..10)
+    let minority: Vec<usize> = (3..10)
         .filter(|node| !in_stage.contains(node))
         .take(3)
         .collect();
-    cluster.split(&small);
+    cluster.split(&minority);
     cluster.run(10 * SECOND);
-    cluster.end(small[0], id, Outcome::Halted);
+    cluster.end(minority[0], id, Outcome::Halted);
     assert!(
-        cluster.until(10 * MINUTE, |cluster| cluster.stage(id) == 4),
+        cluster.run_until(10 * MINUTE, |cluster| cluster.stage(id) == 4),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
     assert!(
-        small
+        minority
             .iter()
-            .all(|node| cluster.runs(*node).unwrap().number == 1),
-        "who is cut off stays as it is"
+            .all(|node| cluster.running_version(*node).unwrap().number == 1),
+        "nodes cut off from the majority keep their version"
     );
-    let running = cluster.running(2);
+    let running = cluster.running_count(2);
     cluster.heal();
-    assert!(cluster.until(MINUTE, |cluster| cluster.all_know(id, Outcome::Halted)));
+    assert!(cluster.run_until(MINUTE, |cluster| cluster.all_know(id, Outcome::Halted)));
     cluster.run(10 * MINUTE);
     assert!(
-        cluster.running(2) >= running && cluster.running(2) < 10,
-        "nobody begins, and nobody goes back"
+        cluster.running_count(2) >= running && cluster.running_count(2) < 10,
+        "after the halt no node starts the version, and none rolls it back"
     );
-    let at = cluster.running(2);
+    let count_after_halt = cluster.running_count(2);
     cluster.run(5 * MINUTE);
-    assert_eq!(cluster.running(2), at);
+    assert_eq!(cluster.running_count(2), count_after_halt);
     cluster.end(2, id, Outcome::RolledBack);
     cluster.run(MINUTE);
-    assert_eq!(cluster.running(2), 0);
-    fine(&cluster);
+    assert_eq!(cluster.running_count(2), 0);
+    assert_no_violations(&cluster);
 }
 
-/// The nodes of the stage are on the small side: the large one does not go on without them.
+/// All nodes of the current stage are in the minority; the majority must not agree on further
+/// stages without their reports.
 #[test]
-fn a_split_with_the_stage_on_the_small_side_stops_it_until_it_heals() {
-    let mut cluster = SimulatedCluster::new(shape(6, 12));
+fn a_rollout_waits_while_its_stage_is_in_the_minority() {
+    let mut cluster = SimulatedCluster::new(test_config(6, 12));
     let id = cluster.offer(0, 2, Effect::NONE);
-    assert!(cluster.until(10 * MINUTE, |cluster| cluster.running(2) >= 1
-        && cluster.stage(id) == 1));
-    let small = cluster.in_stage(id);
-    cluster.split(&small);
+    assert!(
+        cluster.run_until(10 * MINUTE, |cluster| cluster.running_count(2) >= 1
+            && cluster.stage(id) == 1)
+    );
+    let minority = cluster.in_stage(id);
+    cluster.split(&minority);
     cluster.run(8 * MINUTE);
     assert_eq!(
-        (cluster.stage(id), cluster.running(2)),
+        (cluster.stage(id), cluster.running_count(2)),
         (1, 1),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
     cluster.heal();
     assert!(
-        cluster.until(20 * MINUTE, |cluster| cluster
+        cluster.run_until(20 * MINUTE, |cluster| cluster
             .all_know(id, Outcome::Completed)),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
-    fine(&cluster);
+    assert_no_violations(&cluster);
 }
 
-/// The voters are split evenly off: neither half goes on.
+/// Neither side has both a majority of the voters and a majority of the nodes, so the rollout does
+/// not advance until the split ends.
 #[test]
-fn without_most_arbiters_or_most_nodes_nothing_goes_on() {
-    for small in [vec![0, 1], vec![2, 3, 4, 5, 6, 7, 8, 9]] {
-        let mut cluster = SimulatedCluster::new(shape(8, 10));
+fn a_rollout_needs_a_majority_of_voters_and_of_nodes() {
+    for minority in [vec![0, 1], vec![2, 3, 4, 5, 6, 7, 8, 9]] {
+        let mut cluster = SimulatedCluster::new(test_config(8, 10));
         let id = cluster.offer(5, 2, Effect::NONE);
-        assert!(cluster.until(10 * MINUTE, |cluster| cluster.stage(id) == 2));
-        cluster.split(&small); // most voters are on one side, most nodes on the other
+        assert!(cluster.run_until(10 * MINUTE, |cluster| cluster.stage(id) == 2));
+        // The majority of voters is on one side, the majority of nodes on the other.
+        cluster.split(&minority);
         let stage = cluster.stage(id);
         cluster.run(10 * MINUTE);
         assert_eq!(
-            (cluster.stage(id), cluster.running(2)),
+            (cluster.stage(id), cluster.running_count(2)),
             (stage, cluster.in_stage(id).len())
         );
         cluster.heal();
         assert!(
-            cluster.until(20 * MINUTE, |cluster| cluster
+            cluster.run_until(20 * MINUTE, |cluster| cluster
                 .all_know(id, Outcome::Completed)),
             "{}",
-            line(&cluster)
+            describe(&cluster)
         );
-        fine(&cluster);
+        assert_no_violations(&cluster);
     }
 }
 
 #[test]
-fn who_offered_it_dies() {
-    // At once, with the content: it does not begin.
-    let mut cluster = SimulatedCluster::new(shape(1, 6));
+fn a_rollout_survives_its_offering_node_once_the_content_is_shared() {
+    // The offering node crashes before any other node has the content: the rollout does not begin.
+    let mut cluster = SimulatedCluster::new(test_config(1, 6));
     let id = cluster.offer(5, 2, Effect::NONE);
     cluster.run(SECOND / 500);
     cluster.crash(5);
@@ -365,113 +371,118 @@
             .outcome(node, id)
             .is_none_or(|outcome| outcome == Outcome::Rejected)),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
-    // Later it goes on without it.
-    let mut cluster = SimulatedCluster::new(shape(1, 6));
+    // The offering node crashes once the others have the content: the rollout completes.
+    let mut cluster = SimulatedCluster::new(test_config(1, 6));
     let id = cluster.offer(5, 2, Effect::NONE);
     cluster.run(2 * SECOND);
     cluster.crash(5);
     assert!(
-        cluster.until(20 * MINUTE, |cluster| cluster
+        cluster.run_until(20 * MINUTE, |cluster| cluster
             .all_know(id, Outcome::Completed)),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
-    fine(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
-fn the_nodes_of_a_stage_die_by_chance_or_leave() {
-    // They return: tried once more, and good.
-    let mut cluster = SimulatedCluster::new(shape(2, 12));
+fn nodes_of_a_stage_crash_leave_or_are_lost() {
+    // The node returns: the version is put on trial once more and promoted.
+    let mut cluster = SimulatedCluster::new(test_config(2, 12));
     let id = cluster.offer(0, 2, Effect::NONE);
-    assert!(cluster.until(10 * MINUTE, |cluster| cluster.running(2) == 1));
+    assert!(cluster.run_until(10 * MINUTE, |cluster| cluster.running_count(2) == 1));
     let node = cluster.in_stage(id)[0];
     cluster.crash(node);
     cluster.run(10 * SECOND);
     cluster.start(node);
     assert_eq!(
-        cluster.runs(node).unwrap().number,
+        cluster.running_version(node).unwrap().number,
         1,
-        "it starts on the last good one"
+        "the node starts on the promoted version"
     );
     assert!(
-        cluster.until(20 * MINUTE, |cluster| cluster
+        cluster.run_until(20 * MINUTE, |cluster| cluster
             .all_know(id, Outcome::Completed)),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
-    fine(&cluster);
-    // They leave by notice: another one takes the place.
-    let mut cluster = SimulatedCluster::new(shape(3, 12));
+    assert_no_violations(&cluster);
+    // The node leaves by notice: another node replaces it in the stage.
+    let mut cluster = SimulatedCluster::new(test_config(3, 12));
     let id = cluster.offer(0, 2, Effect::NONE);
-    assert!(cluster.until(10 * MINUTE, |cluster| cluster.running(2) == 1));
+    assert!(cluster.run_until(10 * MINUTE, |cluster| cluster.running_count(2) == 1));
     cluster.leave(cluster.in_stage(id)[0]);
     assert!(
-        cluster.until(20 * MINUTE, |cluster| cluster
+        cluster.run_until(20 * MINUTE, |cluster| cluster
             .all_know(id, Outcome::Completed)),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
-    fine(&cluster);
-    // They are lost for good: it is halted, for they may run it still.
-    let mut cluster = SimulatedCluster::new(shape(4, 12));
+    assert_no_violations(&cluster);
+    // The node does not return: the rollout is halted, since the node may still run the version.
+    let mut cluster = SimulatedCluster::new(test_config(4, 12));
     let id = cluster.offer(0, 2, Effect::NONE);
-    assert!(cluster.until(10 * MINUTE, |cluster| cluster.running(2) == 1));
+    assert!(cluster.run_until(10 * MINUTE, |cluster| cluster.running_count(2) == 1));
     cluster.crash(cluster.in_stage(id)[0]);
     assert!(
-        cluster.until(20 * MINUTE, |cluster| cluster.all_know(id, Outcome::Halted)),
+        cluster.run_until(20 * MINUTE, |cluster| cluster.all_know(id, Outcome::Halted)),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
     assert_eq!(cluster.totals.ran.len(), 1);
-    fine(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
-fn all_nodes_restart_at_once_and_it_goes_on() {
+fn a_rollout_completes_after_all_nodes_restart_at_once() {
     for (stage, seed) in [(1, 1), (2, 2), (3, 3), (4, 4)] {
-        let mut cluster = SimulatedCluster::new(shape(seed, 12));
+        let mut cluster = SimulatedCluster::new(test_config(seed, 12));
         let id = cluster.offer(0, 2, Effect::NONE);
-        assert!(cluster.until(20 * MINUTE, |cluster| cluster.stage(id) == stage));
+        assert!(cluster.run_until(20 * MINUTE, |cluster| cluster.stage(id) == stage));
         cluster.run(20 * SECOND);
         (0..12).for_each(|node| cluster.crash(node));
         cluster.run(5 * SECOND);
         (0..12).for_each(|node| cluster.start(node));
-        assert_eq!(cluster.running(2), 0, "all start on the last good one");
+        assert_eq!(
+            cluster.running_count(2),
+            0,
+            "all nodes start on the promoted version"
+        );
         assert!(
-            cluster.until(40 * MINUTE, |cluster| cluster
+            cluster.run_until(40 * MINUTE, |cluster| cluster
                 .all_know(id, Outcome::Completed)),
             "stage {stage}: {}",
-            line(&cluster)
+            describe(&cluster)
         );
-        fine(&cluster);
+        assert_no_violations(&cluster);
     }
 }
 
-/// It restarts once it is staged, and once more when its trial is written and has not begun.
+/// A node of the stage restarts between staging the version and putting it on trial; neither may be
+/// lost.
 #[test]
-fn a_restart_between_staged_and_in_force_loses_nothing() {
-    let mut cluster = SimulatedCluster::new(shape(9, 6));
+fn a_restart_between_staging_and_trial_loses_nothing() {
+    let mut cluster = SimulatedCluster::new(test_config(9, 6));
     let id = cluster.offer(0, 2, Effect::NONE);
-    assert!(cluster.until(MINUTE, |cluster| cluster.stage(id) == 1));
+    assert!(cluster.run_until(MINUTE, |cluster| cluster.stage(id) == 1));
     let node = cluster.in_stage(id)[0];
     cluster.crash(node);
     cluster.start(node);
     cluster.run(MINUTE);
     assert!(
-        cluster.until(30 * MINUTE, |cluster| cluster
+        cluster.run_until(30 * MINUTE, |cluster| cluster
             .all_know(id, Outcome::Completed)),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
-    fine(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
-fn a_node_that_was_paused_or_away_comes_to_what_is_in_force() {
-    let mut cluster = SimulatedCluster::new(shape(10, 9));
+fn paused_absent_and_new_nodes_reach_the_version_in_force() {
+    let mut cluster = SimulatedCluster::new(test_config(10, 9));
     cluster.crash(8);
     cluster.pause(7, true);
     cluster.run(5 * SECOND);
@@ -479,80 +490,82 @@
     for number in 2..=4 {
         let id = cluster.offer(2, number, Effect::NONE);
         assert!(
-            cluster.until(30 * MINUTE, |cluster| cluster.outcome(0, id)
+            cluster.run_until(30 * MINUTE, |cluster| cluster.outcome(0, id)
                 == Some(Outcome::Completed)),
             "{number}: {}",
-            line(&cluster)
+            describe(&cluster)
         );
         last = Some(id);
     }
     cluster.pause(7, false);
     cluster.start(8);
-    assert_eq!(cluster.runs(8).unwrap().number, 1);
+    assert_eq!(cluster.running_version(8).unwrap().number, 1);
     cluster.run(MINUTE);
     assert!(cluster.all_know(last.unwrap(), Outcome::Completed));
-    assert_eq!(cluster.running(4), 9);
-    // One that is new comes to it as well.
+    assert_eq!(cluster.running_count(4), 9);
+    // A node that joins gets the version as well.
     cluster.join();
     cluster.run(MINUTE);
-    assert_eq!(cluster.running(4), 10);
-    fine(&cluster);
+    assert_eq!(cluster.running_count(4), 10);
+    assert_no_violations(&cluster);
 }
 
-/// A voter is set up anew in mid-rollout, and knows nothing of what it promised: it takes part
-/// again once that is past.
+/// A voter loses its disk during a rollout and no longer knows its promises. The voter abstains
+/// until the agreements that it may have promised for are over.
 #[test]
-fn an_arbiter_that_lost_its_disk_abstains_for_two_agreements() {
-    let mut cluster = SimulatedCluster::new(shape(14, 9));
+fn a_voter_that_lost_its_disk_abstains_for_two_agreements() {
+    let mut cluster = SimulatedCluster::new(test_config(14, 9));
     let id = cluster.offer(5, 2, Effect::NONE);
-    assert!(cluster.until(10 * MINUTE, |cluster| cluster.stage(id) == 1));
+    assert!(cluster.run_until(10 * MINUTE, |cluster| cluster.stage(id) == 1));
     cluster.wipe(2);
     cluster.start(2);
-    assert_eq!(cluster.runs(2).unwrap().number, 1);
+    assert_eq!(cluster.running_version(2).unwrap().number, 1);
     let voted = |cluster: &SimulatedCluster| {
         cluster
             .participant(2)
-            .is_some_and(|rollout| rollout.agent.persisted_state().vote.is_some())
+            .is_some_and(|participant| participant.agent.persisted_state().vote.is_some())
     };
     assert!(
-        cluster.until(20 * MINUTE, |cluster| cluster.stage(id) == 3),
+        cluster.run_until(20 * MINUTE, |cluster| cluster.stage(id) == 3),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
     assert!(!voted(&cluster));
     assert!(
-        cluster.until(20 * MINUTE, |cluster| cluster
+        cluster.run_until(20 * MINUTE, |cluster| cluster
             .all_know(id, Outcome::Completed)),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
-    assert!(voted(&cluster) && cluster.running(2) == 9);
-    fine(&cluster);
+    assert!(voted(&cluster) && cluster.running_count(2) == 9);
+    assert_no_violations(&cluster);
 }
 
-/// A node whose disk is full goes back all the same; once there is room, what it starts on is
-/// written.
+/// A node with a full disk rolls back nevertheless. Once there is space again, the node persists
+/// the version to start with; otherwise the next start would count as a crash on trial.
 #[test]
-fn what_could_not_be_written_is_written_once_there_is_room() {
-    let mut cluster = SimulatedCluster::new(shape(31, 6));
+fn a_failed_write_is_repeated_once_the_disk_has_space() {
+    let mut cluster = SimulatedCluster::new(test_config(31, 6));
     let id = cluster.offer(0, 2, Effect::NONE);
-    assert!(cluster.until(10 * MINUTE, |cluster| cluster.stage(id) == 1
-        && cluster.running(2) == 1));
+    assert!(
+        cluster.run_until(10 * MINUTE, |cluster| cluster.stage(id) == 1
+            && cluster.running_count(2) == 1)
+    );
     let node = (0..6)
-        .find(|node| cluster.runs(*node).unwrap().number == 2)
+        .find(|node| cluster.running_version(*node).unwrap().number == 2)
         .unwrap();
-    cluster.fill(node, true);
+    cluster.set_disk_full(node, true);
     cluster.end(3, id, Outcome::RolledBack);
     assert!(
-        cluster.until(MINUTE, |cluster| cluster.running(1) == 6),
+        cluster.run_until(MINUTE, |cluster| cluster.running_count(1) == 6),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
-    cluster.fill(node, false);
+    cluster.set_disk_full(node, false);
     cluster.run(MINUTE);
     cluster.crash(node);
     cluster.start(node);
-    let says = |cluster: &SimulatedCluster| {
+    let log = |cluster: &SimulatedCluster| {
         cluster
             .participant(node)
             .unwrap()
@@ -562,95 +575,99 @@
             .join("; ")
     };
     assert!(
-        !says(&cluster).contains("died on trial"),
+        !log(&cluster).contains("died on trial"),
         "{}",
-        says(&cluster)
+        log(&cluster)
     );
-    fine(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
-fn a_full_disk_keeps_a_change_from_beginning_and_not_from_going_back() {
-    let mut cluster = SimulatedCluster::new(shape(11, 8));
-    cluster.fill(6, true);
+fn a_full_disk_prevents_a_rollout_but_not_its_rollback() {
+    let mut cluster = SimulatedCluster::new(test_config(11, 8));
+    cluster.set_disk_full(6, true);
     let id = cluster.offer(1, 2, Effect::NONE);
-    assert!(cluster.until(MINUTE, |cluster| cluster.all_know(id, Outcome::Rejected)));
+    assert!(cluster.run_until(MINUTE, |cluster| cluster.all_know(id, Outcome::Rejected)));
     assert!(
         cluster
-            .known(0, id)
+            .rollout_at(0, id)
             .unwrap()
             .reason
             .why
             .contains("no space")
     );
-    cluster.fill(6, false);
+    cluster.set_disk_full(6, false);
     let id = cluster.offer(1, 3, Effect::NONE);
     assert!(
-        cluster.until(10 * MINUTE, |cluster| cluster.running(3) >= 4),
+        cluster.run_until(10 * MINUTE, |cluster| cluster.running_count(3) >= 4),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
     let node = cluster.in_stage(id)[0];
-    cluster.fill(node, true);
+    cluster.set_disk_full(node, true);
     cluster.end(0, id, Outcome::RolledBack);
     cluster.run(MINUTE);
     assert_eq!(
-        cluster.running(3),
+        cluster.running_count(3),
         0,
-        "it goes back though that can't be written"
+        "the node rolls back although its disk is full"
     );
-    fine(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
-fn a_clock_that_steps_in_a_trial_stops_nothing() {
-    let mut cluster = SimulatedCluster::new(shape(12, 12));
+fn a_clock_step_during_a_trial_does_not_stop_the_rollout() {
+    let mut cluster = SimulatedCluster::new(test_config(12, 12));
     let id = cluster.offer(1, 2, Effect::NONE);
-    assert!(cluster.until(10 * MINUTE, |cluster| cluster.running(2) == 1));
+    assert!(cluster.run_until(10 * MINUTE, |cluster| cluster.running_count(2) == 1));
     let node = cluster.in_stage(id)[0];
-    cluster.step(node, 3_600_000);
-    cluster.step((node + 1) % 12, -3_600_000);
+    cluster.step_clock(node, 3_600_000);
+    cluster.step_clock((node + 1) % 12, -3_600_000);
     assert!(
-        cluster.until(30 * MINUTE, |cluster| cluster
+        cluster.run_until(30 * MINUTE, |cluster| cluster
             .all_know(id, Outcome::Completed)),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
-    fine(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
-fn what_was_found_good_can_be_taken_back_and_a_next_one_begins_where_one_was_halted() {
-    let mut cluster = SimulatedCluster::new(shape(13, 8));
+fn completed_rollouts_can_be_rolled_back_and_a_halted_one_is_replaced() {
+    let mut cluster = SimulatedCluster::new(test_config(13, 8));
     let two = cluster.offer(1, 2, Effect::NONE);
-    assert!(cluster.until(20 * MINUTE, |cluster| {
+    assert!(cluster.run_until(20 * MINUTE, |cluster| {
         cluster.all_know(two, Outcome::Completed)
     }));
     let three = cluster.offer(1, 3, Effect::NONE);
-    assert!(cluster.until(20 * MINUTE, |cluster| cluster.running(3) >= 2));
+    assert!(cluster.run_until(20 * MINUTE, |cluster| cluster.running_count(3) >= 2));
     cluster.end(7, three, Outcome::Halted);
     cluster.run(MINUTE);
     let four = cluster.offer(5, 4, Effect::NONE);
     assert!(
-        cluster.until(40 * MINUTE, |cluster| cluster
+        cluster.run_until(40 * MINUTE, |cluster| cluster
             .all_know(four, Outcome::Completed)),
         "{}",
-        line(&cluster)
+        describe(&cluster)
     );
     assert_eq!(
-        (cluster.outcome(0, three), cluster.running(4)),
+        (cluster.outcome(0, three), cluster.running_count(4)),
         (Some(Outcome::RolledBack), 8)
     );
     cluster.end(3, four, Outcome::RolledBack);
     cluster.run(MINUTE);
-    assert_eq!(cluster.running(2), 8, "back to the last good one before it");
-    fine(&cluster);
+    assert_eq!(
+        cluster.running_count(2),
+        8,
+        "back to the version promoted before"
+    );
+    assert_no_violations(&cluster);
 }
 
-/// Whatever happens, by the seed: nothing that may not, and in the end all are on one version.
-/// `SEEDS` plays more.
+/// Random faults and rollouts, by seed: no invariant is violated, and all nodes run one version in
+/// the end. The environment variable `SEEDS` sets the number of seeds.
 #[test]
-fn whatever_happens_it_ends_with_one_version() {
+fn random_faults_end_with_one_version_on_all_nodes() {
     let seeds = std::env::var("SEEDS")
         .ok()
         .and_then(|seeds| seeds.parse().ok())
@@ -658,14 +675,14 @@
     for seed in 0..seeds {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let nodes = rng.random_range(4..14);
-        let mut shape = shape(seed, nodes);
-        shape.loss = [0.0, 0.05, 0.3][rng.random_range(0..3)];
-        shape.noise = if rng.random_bool(0.5) {
+        let mut config = test_config(seed, nodes);
+        config.loss = [0.0, 0.05, 0.3][rng.random_range(0..3)];
+        config.noise = if rng.random_bool(0.5) {
             Noise::USUAL
         } else {
             Noise::NONE
         };
-        let mut cluster = SimulatedCluster::new(shape);
+        let mut cluster = SimulatedCluster::new(config);
         let (mut number, mut wiped) = (1, false);
         for _ in 0..rng.random_range(10..30) {
             let node = rng.random_range(0..cluster.count());
@@ -679,10 +696,10 @@
                     let effects = [
                         Effect::NONE,
                         Effect::NONE,
-                        Effect::SHUT,
+                        Effect::REJECT_ALL,
                         bad,
                         Effect {
-                            unfit: 0.2,
+                            rejecting_share: 0.2,
                             ..Effect::NONE
                         },
                     ];
@@ -699,9 +716,14 @@
                 }
                 6 => cluster.heal(),
                 7 => {
-                    let open = cluster
-                        .participant(node)
-                        .and_then(|r| r.agent.rollouts().iter().map(|c| c.id).last());
+                    let open = cluster.participant(node).and_then(|participant| {
+                        participant
+                            .agent
+                            .rollouts()
+                            .iter()
+                            .map(|rollout| rollout.id)
+                            .last()
+                    });
                     if let Some(id) = open {
                         cluster.end(
                             node,
@@ -710,8 +732,8 @@
                         );
                     }
                 }
-                8 => cluster.fill(node, rng.random_bool(0.5)),
-                9 => cluster.step(node, rng.random_range(-100_000..100_000)),
+                8 => cluster.set_disk_full(node, rng.random_bool(0.5)),
+                9 => cluster.step_clock(node, rng.random_range(-100_000..100_000)),
                 11 if !wiped => {
                     wiped = true;
                     cluster.wipe(node);
@@ -724,48 +746,50 @@
         cluster.heal();
         for node in 0..cluster.count() {
             cluster.pause(node, false);
-            cluster.fill(node, false);
+            cluster.set_disk_full(node, false);
             cluster.start(node);
         }
-        // A last one that is good, above all others; those that were halted are taken back for it.
+        // Finally, a good rollout with the highest version number; rollouts that were halted are
+        // rolled back for it.
         cluster.run(2 * MINUTE);
         number += 1;
         let id = cluster.offer(0, number, Effect::NONE);
-        let done = cluster.until(120 * MINUTE, |cluster| {
-            cluster.all_know(id, Outcome::Completed) && cluster.running(number) == cluster.count()
+        let done = cluster.run_until(120 * MINUTE, |cluster| {
+            cluster.all_know(id, Outcome::Completed)
+                && cluster.running_count(number) == cluster.count()
         });
         assert!(
-            cluster.totals.broken.is_empty(),
+            cluster.totals.violations.is_empty(),
             "seed {seed}: {:#?}",
-            cluster.totals.broken
+            cluster.totals.violations
         );
         let ended = cluster.outcome(0, id);
-        // The day has trouble of its own: a good rollout may be stopped, by chance, and then all are
-        // on what was before.
+        // The simulated noise may cause a good rollout to be stopped. All nodes then run the
+        // version before it.
         if !done {
             assert!(
                 ended >= Some(Outcome::Halted),
                 "seed {seed}: {ended:?}, {}",
-                line(&cluster)
+                describe(&cluster)
             );
             cluster.end(0, id, Outcome::RolledBack);
             cluster.run(5 * MINUTE);
         }
-        let first = cluster.runs(0);
+        let first = cluster.running_version(0);
         assert!(
-            (0..cluster.count()).all(|node| cluster.runs(node) == first),
-            "seed {seed}: all run one version"
+            (0..cluster.count()).all(|node| cluster.running_version(node) == first),
+            "seed {seed}: nodes run different versions"
         );
     }
 }
 
 #[test]
-fn a_conductor_is_the_first_arbiter_that_is_there() {
+fn the_coordinator_is_the_first_present_voter() {
     let coordinator = |me| Coordinator::new(0, me, Default::default(), vec![5, 6, 7]);
-    let member = |node, there| madderpoint_rollout::Member {
+    let member = |node, present| madderpoint_rollout::Member {
         node,
         zone: 0,
-        present: there,
+        present,
     };
     let members = [
         member(5, false),
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -1,10 +1,10 @@
-//! Wire and file formats must stay byte for byte alike: nodes of two versions run side by side, and
-//! a new program reads the files of an old one. What each message, file and status was is recorded
-//! in `tests/golden`, a line `name hex` for each, and is compared whole: a line that is missing,
-//! added or moved fails too. A record is changed only by hand, with a rollout of the format that is
-//! meant.
+//! Wire and file formats must stay identical byte for byte: nodes of two versions run side by side,
+//! and a new program reads the files of an old one. The expected encoding of each message, file and
+//! status is recorded in `tests/golden`, one line `name hex` for each. A record is compared as a
+//! whole, so that a missing, added or moved line fails as well. A record is only changed by hand,
+//! together with an intended change of the format.
 
-// A later version differs by intent.
+// A build with the feature `later` has other formats on purpose.
 #![cfg(not(feature = "later"))]
 
 use madderpoint_rollout::chunks;
@@ -30,14 +30,14 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-const FATES: [Outcome; 5] = [
+const OUTCOMES: [Outcome; 5] = [
     Outcome::InProgress,
     Outcome::Completed,
     Outcome::Rejected,
     Outcome::Halted,
     Outcome::RolledBack,
 ];
-const STANDS: [NodeStatus; 9] = [
+const NODE_STATUSES: [NodeStatus; 9] = [
     NodeStatus::Unknown,
     NodeStatus::Offered,
     NodeStatus::Rejected,
@@ -49,12 +49,12 @@
     NodeStatus::Crashed,
 ];
 
-/// The label of an outcome's lines in the record; it does not follow the variant's name.
+/// Returns the name of an outcome in the records, which is independent of the variant's name.
 fn outcome_label(outcome: Outcome) -> &'static str {
     ["Open", "Done", "Refused", "Halted", "Back"][outcome as usize]
 }
 
-/// The same of a node's status.
+/// Returns the name of a node's status in the records, which is independent of the variant's name.
 fn status_label(status: NodeStatus) -> &'static str {
     let labels = [
         "Unknown",
@@ -86,17 +86,18 @@
     std::fs::read_to_string(&path).unwrap_or_default()
 }
 
-/// Compares a whole record with what there is now.
-fn compare(file: &str, now: &str) {
+/// Asserts that a record equals the present text as a whole.
+fn assert_recorded(file: &str, now: &str) {
     let recorded = recorded(file);
     assert!(
         recorded == now,
-        "{file} has:\n{recorded}\nand this is now:\n{now}"
+        "{file} has:\n{recorded}\nbut the present encoding is:\n{now}"
     );
 }
 
-/// Each is written as it is recorded, and what is recorded is read as what was written.
-fn holds<T: PartialEq + Debug>(
+/// Asserts that each value is encoded as recorded, and that each recorded encoding is decoded to
+/// its value.
+fn assert_round_trip<T: PartialEq + Debug>(
     file: &str,
     all: &[(String, T)],
     write: impl Fn(&T) -> Vec<u8>,
@@ -104,24 +105,27 @@
 ) {
     let now: String = all
         .iter()
-        .map(|(name, one)| format!("{name} {}\n", hex(&write(one))))
+        .map(|(name, value)| format!("{name} {}\n", hex(&write(value))))
         .collect();
-    compare(file, &now);
-    for (line, (name, one)) in recorded(file).lines().zip(all) {
+    assert_recorded(file, &now);
+    for (line, (name, value)) in recorded(file).lines().zip(all) {
         let (_, text) = line.split_once(' ').unwrap();
-        assert_eq!(&read(&unhex(text)), one, "{file}: {name}");
+        assert_eq!(&read(&unhex(text)), value, "{file}: {name}");
     }
 }
 
-/// The same for what is public Protocol Buffers.
-fn message_holds<M: Message + Default + PartialEq + Debug>(file: &str, all: &[(String, M)]) {
-    holds(file, all, Message::encode_to_vec, |bytes| {
+/// Asserts the same for public Protocol Buffers messages.
+fn assert_message_round_trip<M: Message + Default + PartialEq + Debug>(
+    file: &str,
+    all: &[(String, M)],
+) {
+    assert_round_trip(file, all, Message::encode_to_vec, |bytes| {
         M::decode(bytes).unwrap()
     });
 }
 
-fn named<T>(name: &str, one: T) -> (String, T) {
-    (name.to_owned(), one)
+fn named<T>(name: &str, value: T) -> (String, T) {
+    (name.to_owned(), value)
 }
 
 fn version(number: u64) -> Version {
@@ -165,7 +169,7 @@
     }
 }
 
-/// A rollout; the reason of one that is open is not told.
+/// Returns a rollout. A rollout in progress has no reason, since none is encoded for it.
 fn rollout(kind: Kind, outcome: Outcome) -> Rollout {
     let reason = Reason::new(1_700_000_000_456, 0x3344_5566_7788_99aa, "book errs: é");
     Rollout {
@@ -219,7 +223,7 @@
     }
 }
 
-/// The file of a node in mid-trial, with a vote of its own.
+/// Returns the persisted state of a node that runs a trial and has voted.
 fn persisted(kind: Kind) -> PersistedState {
     PersistedState {
         kind,
@@ -237,12 +241,12 @@
     }
 }
 
-/// What the fleet tells of rollouts, polls, pieces and votes.
-fn parcels() -> Vec<(String, RolloutMessage)> {
+/// Returns the messages between nodes: rollouts, polls, reports, chunks and votes.
+fn node_messages() -> Vec<(String, RolloutMessage)> {
     let id = RolloutId(0x4455_6677_8899_aabb);
     let mut all = Vec::new();
     for kind in [Kind::Settings, Kind::Program] {
-        for outcome in FATES {
+        for outcome in OUTCOMES {
             let rollouts = vec![rollout(kind, outcome)];
             all.push((
                 format!("changes-{kind:?}-{}", outcome_label(outcome)),
@@ -264,7 +268,7 @@
             answer: false,
         },
     ));
-    for outcome in FATES {
+    for outcome in OUTCOMES {
         all.push((
             format!("poll-{}", outcome_label(outcome)),
             RolloutMessage::Poll {
@@ -358,15 +362,15 @@
 }
 
 #[test]
-fn each_parcel_is_written_as_recorded_and_read_back() {
-    holds("parcels.hex", &parcels(), messages::encode, |bytes| {
+fn messages_between_nodes_match_the_record() {
+    assert_round_trip("parcels.hex", &node_messages(), messages::encode, |bytes| {
         messages::decode(bytes).unwrap()
     });
 }
 
 #[test]
-fn many_changes_are_told_in_the_recorded_parcels() {
-    let rollouts: Vec<Rollout> = FATES
+fn many_rollouts_are_split_into_the_recorded_messages() {
+    let rollouts: Vec<Rollout> = OUTCOMES
         .iter()
         .map(|outcome| rollout(Kind::Program, *outcome))
         .collect();
@@ -376,14 +380,14 @@
         .enumerate()
         .map(|(at, message)| (format!("parcel-{at}"), message))
         .collect();
-    holds("many_changes.hex", &all, messages::encode, |bytes| {
+    assert_round_trip("many_changes.hex", &all, messages::encode, |bytes| {
         messages::decode(bytes).unwrap()
     });
 }
 
 #[test]
-fn a_report_on_an_entry_is_written_as_recorded_and_read_back() {
-    let one = |status| {
+fn attached_reports_match_the_record() {
+    let labelled_report = |status| {
         (
             status_label(status).to_owned(),
             NodeReport {
@@ -392,8 +396,8 @@
             },
         )
     };
-    let all: Vec<_> = STANDS.into_iter().map(one).collect();
-    holds("entries.hex", &all, messages::encode_attachment, |bytes| {
+    let all: Vec<_> = NODE_STATUSES.into_iter().map(labelled_report).collect();
+    assert_round_trip("entries.hex", &all, messages::encode_attachment, |bytes| {
         messages::decode_attachment(bytes).unwrap()
     });
     let with_why = messages::encode_attachment(&report(Outcome::Halted, NodeStatus::Crashed));
@@ -404,7 +408,7 @@
 }
 
 #[test]
-fn each_order_is_written_as_recorded_and_read_back() {
+fn operator_commands_match_the_record() {
     let full = |kind| OperatorCommand {
         kind,
         chunk: 9,
@@ -423,20 +427,20 @@
         ("halt", command_kind::HALT),
         ("back", command_kind::ROLL_BACK),
     ];
-    message_holds(
+    assert_message_round_trip(
         "orders.hex",
         &kinds.map(|(name, kind)| named(name, full(kind))),
     );
 }
 
-/// What a node answers to orders, in their turn.
-fn answers() -> Vec<(String, CommandReply)> {
+/// Returns the replies of a node to a sequence of operator commands.
+fn command_replies() -> Vec<(String, CommandReply)> {
     let content: Vec<u8> = (0..1500).map(|at| at as u8).collect();
     let digest = chunks::digest(&content).to_vec();
-    let chunk = |no| OperatorCommand {
+    let chunk = |index| OperatorCommand {
         kind: command_kind::CHUNK,
-        chunk: no,
-        bytes: chunks::chunk(&content, no).unwrap().to_vec(),
+        chunk: index,
+        bytes: chunks::chunk(&content, index).unwrap().to_vec(),
         size: 1500,
         digest: digest.clone(),
         ..OperatorCommand::default()
@@ -451,34 +455,34 @@
         ..OperatorCommand::default()
     };
     let (mut commands, mut rollouts) = (OperatorCommands::default(), RolloutTable::default());
-    let answer = |commands: &mut OperatorCommands,
-                  rollouts: &RolloutTable,
-                  name: &str,
-                  received: &OperatorCommand| match commands.handle(
+    let reply = |commands: &mut OperatorCommands,
+                 rollouts: &RolloutTable,
+                 name: &str,
+                 received: &OperatorCommand| match commands.handle(
         1,
         Kind::Settings,
         rollouts,
         received,
     ) {
-        CommandAction::Reply(answer) => Some(named(name, answer)),
+        CommandAction::Reply(reply) => Some(named(name, reply)),
         _ => None,
     };
     let mut all = vec![
-        answer(&mut commands, &rollouts, "pieces-missing", &offer),
-        answer(&mut commands, &rollouts, "piece-taken", &chunk(0)),
-        answer(&mut commands, &rollouts, "last-piece-taken", &chunk(1)),
-        answer(&mut commands, &rollouts, "nothing-to-halt", &halt),
+        reply(&mut commands, &rollouts, "pieces-missing", &offer),
+        reply(&mut commands, &rollouts, "piece-taken", &chunk(0)),
+        reply(&mut commands, &rollouts, "last-piece-taken", &chunk(1)),
+        reply(&mut commands, &rollouts, "nothing-to-halt", &halt),
     ];
     assert!(matches!(
         commands.handle(1, Kind::Settings, &rollouts, &offer),
         CommandAction::CheckOffer { check: 1, .. }
     ));
-    all.push(answer(&mut commands, &rollouts, "looked-into", &offer));
-    let of = (Kind::Settings, 0x5566_7788_99aa_bbcc, 1_700_000_000_789);
+    all.push(reply(&mut commands, &rollouts, "looked-into", &offer));
+    let origin = (Kind::Settings, 0x5566_7788_99aa_bbcc, 1_700_000_000_789);
     let offered = commands
-        .offer_checked(1, Ok(version(5)), of, &rollouts, version(4), &plan())
+        .offer_checked(1, Ok(version(5)), origin, &rollouts, version(4), &plan())
         .unwrap();
-    all.push(answer(&mut commands, &rollouts, "offered", &offer));
+    all.push(reply(&mut commands, &rollouts, "offered", &offer));
     let halt = OperatorCommand {
         rollout: offered.0.id.0,
         ..halt
@@ -487,22 +491,17 @@
         outcome: Outcome::RolledBack,
         ..offered.0
     });
-    all.push(answer(
-        &mut commands,
-        &rollouts,
-        "taken-back-already",
-        &halt,
-    ));
+    all.push(reply(&mut commands, &rollouts, "taken-back-already", &halt));
     all.into_iter().map(Option::unwrap).collect()
 }
 
 #[test]
-fn each_answer_to_an_order_is_written_as_recorded_and_read_back() {
-    message_holds("answers.hex", &answers());
+fn command_replies_match_the_record() {
+    assert_message_round_trip("answers.hex", &command_replies());
 }
 
-/// What a parent says to a process.
-fn of_the_parent() -> Vec<(String, SupervisorMessage)> {
+/// Returns the messages of a supervisor to a process.
+fn messages_from_supervisor() -> Vec<(String, SupervisorMessage)> {
     let begin = |kind, crashed, disk_was_empty, another_process_serves| StartInstructions {
         persisted: persisted(kind),
         version: version(5),
@@ -527,8 +526,8 @@
     ]
 }
 
-/// What a process says to its parent.
-fn of_the_process() -> Vec<(String, SupervisorMessage)> {
+/// Returns the messages of a process to its supervisor.
+fn messages_from_process() -> Vec<(String, SupervisorMessage)> {
     let persist = SupervisorMessage {
         kind: kind::PERSIST,
         request: 13,
@@ -549,8 +548,8 @@
     ]
 }
 
-/// One with each field.
-fn full_saying() -> SupervisorMessage {
+/// Returns a message with every field set.
+fn full_supervisor_message() -> SupervisorMessage {
     SupervisorMessage {
         kind: 77,
         request: 16,
@@ -568,66 +567,72 @@
     }
 }
 
-fn take(bytes: &[u8]) -> SupervisorMessage {
+fn read_single(bytes: &[u8]) -> SupervisorMessage {
     let mut reader = MessageReader::default();
     reader.feed(bytes);
-    let saying = reader.take().unwrap().unwrap();
+    let message = reader.take().unwrap().unwrap();
     assert_eq!(reader.take(), Ok(None));
-    saying
+    message
 }
 
 #[test]
-fn what_parent_and_process_say_is_written_as_recorded_and_read_back() {
-    holds(
+fn supervisor_messages_match_the_record() {
+    assert_round_trip(
         "sayings_of_the_parent.hex",
-        &of_the_parent(),
+        &messages_from_supervisor(),
         SupervisorMessage::write,
-        take,
+        read_single,
     );
-    holds(
+    assert_round_trip(
         "sayings_of_the_process.hex",
-        &of_the_process(),
+        &messages_from_process(),
         SupervisorMessage::write,
-        take,
+        read_single,
     );
-    holds(
+    assert_round_trip(
         "sayings_full.hex",
-        &[named("full", full_saying())],
+        &[named("full", full_supervisor_message())],
         SupervisorMessage::write,
-        take,
+        read_single,
     );
 }
 
 #[test]
-fn what_a_process_begins_with_is_read_from_the_record() {
-    let begins: Vec<StartInstructions> = recorded("sayings_of_the_parent.hex")
+fn start_instructions_are_decoded_from_the_record() {
+    let instructions: Vec<StartInstructions> = recorded("sayings_of_the_parent.hex")
         .lines()
-        .filter_map(|line| take(&unhex(line.split_once(' ').unwrap().1)).start_instructions())
+        .filter_map(|line| {
+            read_single(&unhex(line.split_once(' ').unwrap().1)).start_instructions()
+        })
         .collect();
-    assert_eq!(begins.len(), 2);
-    assert_eq!(begins[0].persisted, persisted(Kind::Settings));
+    assert_eq!(instructions.len(), 2);
+    assert_eq!(instructions[0].persisted, persisted(Kind::Settings));
     assert_eq!(
         (
-            begins[0].crashed,
-            begins[0].disk_was_empty,
-            begins[0].another_process_serves
+            instructions[0].crashed,
+            instructions[0].disk_was_empty,
+            instructions[0].another_process_serves
         ),
         (Some(trial()), true, false)
     );
-    assert_eq!(begins[1].persisted, persisted(Kind::Program));
+    assert_eq!(instructions[1].persisted, persisted(Kind::Program));
     assert_eq!(
         (
-            begins[1].crashed,
-            begins[1].disk_was_empty,
-            begins[1].another_process_serves
+            instructions[1].crashed,
+            instructions[1].disk_was_empty,
+            instructions[1].another_process_serves
         ),
         (None, false, true)
     );
-    assert!(begins.iter().all(|begin| begin.version == version(5)));
+    assert!(
+        instructions
+            .iter()
+            .all(|instruction| instruction.version == version(5))
+    );
 }
 
 #[test]
-fn the_file_of_a_node_in_mid_trial_is_written_as_recorded_and_read_back() {
+fn persisted_state_matches_the_record() {
     let mut first = PersistedState::new(Kind::Settings);
     first.promote(version(4));
     first.trial = Some(trial());
@@ -637,26 +642,26 @@
         named("first-trial", first),
         named("nothing", PersistedState::new(Kind::Program)),
     ];
-    holds("kept.hex", &all, PersistedState::encode, |bytes| {
+    assert_round_trip("kept.hex", &all, PersistedState::encode, |bytes| {
         PersistedState::decode(bytes).unwrap()
     });
 }
 
-fn shown_version(number: u64) -> Option<VersionStatus> {
-    let of = version(number);
+fn version_status(number: u64) -> Option<VersionStatus> {
+    let version = version(number);
     Some(VersionStatus {
-        number: of.number,
-        hash: of.hash,
+        number: version.number,
+        hash: version.hash,
     })
 }
 
-/// A status with each field.
-fn shown() -> StatusSnapshot {
+/// Returns a status with every field set.
+fn full_status() -> StatusSnapshot {
     let rollout = RolloutStatus {
         id: 0x4455_6677_8899_aabb,
         kind: 1,
-        version: shown_version(5),
-        base: shown_version(4),
+        version: version_status(5),
+        base: version_status(4),
         stage: 2,
         stages: vec!["one node".into(), "all".into()],
         outcome: "halted".into(),
@@ -673,7 +678,7 @@
         zone: "a".into(),
         present: true,
         in_stage: true,
-        running: shown_version(6),
+        running: version_status(6),
         since_ms: 1_700_000_001_111,
         status: "on trial".into(),
         crashes: 8,
@@ -704,7 +709,7 @@
         node: "n4".into(),
         at_ms: 1_700_000_003_333,
         kind: 1,
-        running: shown_version(7),
+        running: version_status(7),
         reasons: vec!["one".into(), "two".into()],
         coordinator: "n5".into(),
         coordinator_address: "192.0.2.1:7".into(),
@@ -718,25 +723,25 @@
         judged: vec![63, 64],
         points: vec![point],
         window_ms: 5000,
-        promoted: shown_version(8),
+        promoted: version_status(8),
     }
 }
 
 #[test]
-fn a_status_is_written_as_recorded_and_read_back() {
-    message_holds("shown.hex", &[named("status", shown())]);
+fn status_matches_the_record() {
+    assert_message_round_trip("shown.hex", &[named("status", full_status())]);
 }
 
 #[test]
-fn words_and_pieces_are_as_recorded() {
+fn names_chunks_positions_and_digests_match_the_record() {
     let content: Vec<u8> = (0..CHUNK_BYTES + 20).map(|at| at as u8).collect();
-    let fates =
-        FATES.map(|outcome| format!("fate {}: {}\n", outcome as u32, outcome.display_name()));
-    let stands =
-        STANDS.map(|status| format!("stand {}: {}\n", status as u32, status.display_name()));
-    let (id, of) = (RolloutId(0x4455_6677_8899_aabb), version(5));
-    let mut lines = [fates.concat(), stands.concat()].concat();
-    lines += &format!("version: {of}\nchange: {id}\n");
+    let outcomes =
+        OUTCOMES.map(|outcome| format!("fate {}: {}\n", outcome as u32, outcome.display_name()));
+    let statuses =
+        NODE_STATUSES.map(|status| format!("stand {}: {}\n", status as u32, status.display_name()));
+    let (id, version) = (RolloutId(0x4455_6677_8899_aabb), version(5));
+    let mut lines = [outcomes.concat(), statuses.concat()].concat();
+    lines += &format!("version: {version}\nchange: {id}\n");
     lines += &format!("digest of a content: {}\n", hex(&chunks::digest(&content)));
     lines += &format!(
         "pieces of {}: {}\n",
@@ -744,10 +749,10 @@
         chunks::count(content.len())
     );
     lines += &format!("last piece: {}\n", hex(chunks::chunk(&content, 1).unwrap()));
-    // All nodes must come to the same about who is in a stage, and about what they know.
+    // All nodes must compute the same position in a rollout and the same digest of known rollouts.
     lines += &format!("place: {:016x}\n", node_position(id, 0x5566_7788_99aa_bbcc));
     let mut known = RolloutTable::default();
     known.merge(&rollout(Kind::Settings, Outcome::Halted));
     lines += &format!("digest of what is known: {:016x}\n", known.digest());
-    compare("words.txt", &lines);
+    assert_recorded("words.txt", &lines);
 }
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -1,9 +1,10 @@
-//! The rules by which a fleet agrees on a rollout and ends it, checked through every order of
-//! messages that arrive, are late or lost (a split is no more than that), of nodes that crash and
-//! return, of two that conduct at once, and of halts heard anywhere: there are no two agreements of
-//! a number, so that of two halves at most one goes on; nobody runs what it did not check or what
-//! it knows to be halted; and a last good version is always there. The votes, rounds and words are
-//! the package's.
+//! Model check of the rules by which a cluster agrees on a rollout and ends it. The model covers
+//! every order of messages that arrive, are late or are lost (a split is a loss of messages),
+//! crashes and restarts of nodes, two concurrent coordinators, and halts at any node. Checked
+//! properties: no two agreements have the same number, so that at most one side of a split
+//! advances; no node runs a version that it has not checked or starts one that it knows to be
+//! halted; every node always has a promoted version. Votes, rounds and rollout tables are those of
+//! the package.
 
 use madderpoint_rollout::identifiers::{Kind, RolloutId, Version};
 use madderpoint_rollout::paxos::{
@@ -17,11 +18,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-const K: Kind = Kind::Settings;
-const OLD: u64 = 1;
+const KIND: Kind = Kind::Settings;
+const BASE: u64 = 1;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Sent {
+enum Envelope {
     PaxosRequest {
         from: usize,
         to: usize,
@@ -38,30 +39,30 @@
 struct Node {
     rollouts: RolloutTable,
     vote: Vote,
-    /// What is on its disk of the last agreement that it knows.
+    /// Last known agreement as persisted on disk.
     head: Option<Rollout>,
-    /// Its round, and the voter that it does not progress.
+    /// Round of this coordinator, and the voter that its requests do not reach.
     round: Option<(PaxosRound, usize)>,
     running: u64,
     promoted: u64,
     checked: BTreeSet<u64>,
-    /// It began something that it knew to be halted.
-    late: bool,
+    /// Whether the node started a version that it knew to be halted.
+    started_halted: bool,
 }
 
 #[derive(Clone, Debug)]
 struct State {
     nodes: Vec<Node>,
-    in_progress: BTreeSet<Sent>,
-    /// What was agreed on, by number; two of a number are kept apart.
+    in_flight: BTreeSet<Envelope>,
+    /// Agreements by number; two different agreements with the same number are both kept.
     agreed: BTreeSet<(u64, RolloutId, Progress)>,
     rounds: usize,
-    halts: usize,
+    operator_ends: usize,
     crashes: usize,
-    carried: bool,
+    completed_other: bool,
 }
 
-fn words(rollouts: &RolloutTable) -> Vec<(RolloutId, Progress, Outcome)> {
+fn rollout_states(rollouts: &RolloutTable) -> Vec<(RolloutId, Progress, Outcome)> {
     rollouts
         .iter()
         .map(|rollout| (rollout.id, rollout.progress.clone(), rollout.outcome))
@@ -69,7 +70,7 @@
 }
 
 impl State {
-    fn essence(&self) -> impl PartialEq + Hash + '_ {
+    fn comparable(&self) -> impl PartialEq + Hash + '_ {
         let nodes: Vec<_> = self
             .nodes
             .iter()
@@ -79,85 +80,89 @@
                     .as_ref()
                     .map(|head| (head.id, head.progress.clone(), head.outcome));
                 (
-                    words(&n.rollouts),
+                    rollout_states(&n.rollouts),
                     &n.vote,
                     head,
                     &n.round,
-                    (n.running, n.promoted, &n.checked, n.late),
+                    (n.running, n.promoted, &n.checked, n.started_halted),
                 )
             })
             .collect();
         (
             nodes,
-            &self.in_progress,
+            &self.in_flight,
             &self.agreed,
-            (self.rounds, self.halts, self.crashes, self.carried),
+            (
+                self.rounds,
+                self.operator_ends,
+                self.crashes,
+                self.completed_other,
+            ),
         )
     }
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &State) -> bool {
-        self.essence() == other.essence()
+        self.comparable() == other.comparable()
     }
 }
 impl Eq for State {}
 impl Hash for State {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.essence().hash(hasher);
+        self.comparable().hash(hasher);
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
-    /// It begins a round for a rollout; one voter it does not progress.
-    Begins(usize, RolloutId, usize),
-    Arrives(Sent),
-    Tells(usize, usize),
-    Halts(usize),
-    CrashAndReturn(usize),
-    Runs(usize),
-    GoesBack(usize),
+    /// A node begins a round for a rollout; its requests do not reach the last voter.
+    BeginRound(usize, RolloutId, usize),
+    Deliver(Envelope),
+    ShareRollouts(usize, usize),
+    End(usize),
+    CrashAndRestart(usize),
+    Run(usize),
+    RollBack(usize),
 }
 
-/// A small fleet: so many nodes, of which the first three are voters, and what may happen to it
-/// how often.
-struct Small {
+/// A small cluster, whose first three nodes are voters, and bounds on the events in it.
+struct ClusterModel {
     nodes: usize,
     rollouts: u64,
     rounds: usize,
-    halts: usize,
+    operator_ends: usize,
     crashes: usize,
-    /// Who may conduct.
-    coordinator: Vec<usize>,
-    /// Whether nodes run what is agreed on, or it is looked at agreements alone.
-    run: bool,
-    /// Messages that are under way at once.
-    at_once: usize,
-    /// The node that does not check what it is given.
-    unfit: Option<usize>,
+    /// Nodes that may act as coordinator.
+    coordinators: Vec<usize>,
+    /// Whether nodes run agreed versions; otherwise only agreements are modelled.
+    run_versions: bool,
+    /// Maximum number of messages in flight.
+    max_in_flight: usize,
+    /// Node whose check rejects all new versions.
+    rejecting_node: Option<usize>,
 }
 
-const ARBITERS: usize = 3;
+const VOTERS: usize = 3;
 
-impl Default for Small {
-    fn default() -> Small {
-        let coordinator = vec![0, 1];
-        Small {
+impl Default for ClusterModel {
+    fn default() -> ClusterModel {
+        let coordinators = vec![0, 1];
+        ClusterModel {
             nodes: 3,
             rollouts: 1,
             rounds: 2,
-            halts: 0,
+            operator_ends: 0,
             crashes: 0,
-            coordinator,
-            run: true,
-            at_once: 4,
-            unfit: None,
+            coordinators,
+            run_versions: true,
+            max_in_flight: 4,
+            rejecting_node: None,
         }
     }
 }
 
-impl Small {
+impl ClusterModel {
     fn rollout(&self, id: u64) -> Rollout {
         let stage = Stage {
             share_permille: 0,
@@ -172,13 +177,13 @@
         ];
         Rollout {
             id: RolloutId(id),
-            kind: K,
+            kind: KIND,
             version: Version {
-                number: OLD + id,
+                number: BASE + id,
                 hash: id,
             },
             base: Version {
-                number: OLD,
+                number: BASE,
                 hash: 0,
             },
             digest: [0; 32],
@@ -195,9 +200,10 @@
         }
     }
 
-    /// What a node may do by what it knows.
+    /// Returns the outcome and version of the rollout that determines what a node runs, and whether
+    /// the node is to run that version.
     fn assignment(&self, node: &Node, n: usize) -> Option<(Outcome, u64, bool)> {
-        let rollout = node.rollouts.in_progress(K).or_else(|| {
+        let rollout = node.rollouts.in_progress(KIND).or_else(|| {
             let over = node
                 .rollouts
                 .iter()
@@ -212,12 +218,12 @@
         Some((rollout.outcome, rollout.version.number, is_new))
     }
 
-    fn write(node: &mut Node) {
-        node.head = node.rollouts.head(K).cloned();
+    fn persist_head(node: &mut Node) {
+        node.head = node.rollouts.head(KIND).cloned();
     }
 }
 
-impl Model for Small {
+impl Model for ClusterModel {
     type State = State;
     type Action = Action;
 
@@ -229,31 +235,32 @@
             vote: Vote::default(),
             head: None,
             round: None,
-            running: OLD,
-            promoted: OLD,
-            checked: match self.unfit == Some(n) {
-                true => BTreeSet::from([OLD]),
-                false => (OLD..=OLD + self.rollouts).collect(),
+            running: BASE,
+            promoted: BASE,
+            checked: match self.rejecting_node == Some(n) {
+                true => BTreeSet::from([BASE]),
+                false => (BASE..=BASE + self.rollouts).collect(),
             },
-            late: false,
+            started_halted: false,
         };
         vec![State {
             nodes: (0..self.nodes).map(node).collect(),
-            in_progress: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             agreed: BTreeSet::new(),
             rounds: 0,
-            halts: 0,
+            operator_ends: 0,
             crashes: 0,
-            carried: false,
+            completed_other: false,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         if state.rounds < self.rounds {
-            for n in &self.coordinator {
+            for n in &self.coordinators {
                 let node = &state.nodes[*n];
-                let in_progress = node.rollouts.in_progress(K).map(|rollout| rollout.id);
-                // Whoever conducts has its own order here: any is as good.
+                let in_progress = node.rollouts.in_progress(KIND).map(|rollout| rollout.id);
+                // The order in which a coordinator takes rollouts does not matter here, so all are
+                // tried.
                 let open = node
                     .rollouts
                     .iter()
@@ -263,29 +270,30 @@
                     None => open.map(|rollout| rollout.id).collect(),
                 };
                 for id in all {
-                    actions.extend((0..ARBITERS).map(|not| Action::Begins(*n, id, not)));
+                    actions.extend(
+                        (0..VOTERS).map(|unreachable| Action::BeginRound(*n, id, unreachable)),
+                    );
                 }
             }
         }
-        actions.extend(state.in_progress.iter().cloned().map(Action::Arrives));
+        actions.extend(state.in_flight.iter().cloned().map(Action::Deliver));
         for (n, node) in state.nodes.iter().enumerate() {
             for (m, other) in state.nodes.iter().enumerate() {
-                if words(&node.rollouts) != words(&other.rollouts) {
-                    actions.push(Action::Tells(n, m));
+                if rollout_states(&node.rollouts) != rollout_states(&other.rollouts) {
+                    actions.push(Action::ShareRollouts(n, m));
                 }
             }
-            if state.halts < self.halts && node.rollouts.in_progress(K).is_some() {
-                actions.push(Action::Halts(n));
+            if state.operator_ends < self.operator_ends && node.rollouts.in_progress(KIND).is_some()
+            {
+                actions.push(Action::End(n));
             }
             if state.crashes < self.crashes {
-                actions.push(Action::CrashAndReturn(n));
+                actions.push(Action::CrashAndRestart(n));
             }
-            match self.assignment(node, n).filter(|_| self.run) {
-                Some((_, version, true)) if node.running != version => {
-                    actions.push(Action::Runs(n))
-                }
+            match self.assignment(node, n).filter(|_| self.run_versions) {
+                Some((_, version, true)) if node.running != version => actions.push(Action::Run(n)),
                 Some((Outcome::RolledBack, version, false)) if node.running == version => {
-                    actions.push(Action::GoesBack(n))
+                    actions.push(Action::RollBack(n))
                 }
                 _ => {}
             }
@@ -295,15 +303,16 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Begins(n, id, not) => {
+            Action::BeginRound(n, id, unreachable) => {
                 state.rounds += 1;
                 let node = &mut state.nodes[n];
                 let rollout = node.rollouts.get(id)?.clone();
                 let (agreement, stage) = (
-                    last_agreement(&node.rollouts, K) + 1,
+                    last_agreement(&node.rollouts, KIND) + 1,
                     rollout.progress.stage + 1,
                 );
-                // What is wished for differs by who wishes it: they see other fleets.
+                // Proposals of different coordinators differ, since each sees a different set of
+                // nodes.
                 let thresholds = BTreeMap::from([(0, u64::MAX / 8 * (n as u64 + 4))]);
                 let all = rollout
                     .plan
@@ -327,54 +336,54 @@
                         rollout: id,
                         progress,
                     },
-                    ARBITERS,
+                    VOTERS,
                 );
-                node.round = Some((round, not));
-                let record_progress = (0..ARBITERS).filter(|to| *to != not);
-                record_progress.for_each(|to| {
-                    _ = state.in_progress.insert(Sent::PaxosRequest {
+                node.round = Some((round, unreachable));
+                let reachable = (0..VOTERS).filter(|to| *to != unreachable);
+                reachable.for_each(|to| {
+                    _ = state.in_flight.insert(Envelope::PaxosRequest {
                         from: n,
                         to,
                         request: request.clone(),
                     })
                 });
             }
-            Action::Arrives(sent) => {
-                state.in_progress.remove(&sent);
-                match sent {
-                    Sent::PaxosRequest { from, to, request } => {
+            Action::Deliver(envelope) => {
+                state.in_flight.remove(&envelope);
+                match envelope {
+                    Envelope::PaxosRequest { from, to, request } => {
                         let node = &mut state.nodes[to];
-                        let reply = match node.vote.handle_request(&node.rollouts, K, &request) {
+                        let reply = match node.vote.handle_request(&node.rollouts, KIND, &request) {
                             VoterAction::Reply(reply) => reply,
                             VoterAction::Persist(vote, reply) => {
                                 node.vote = vote;
-                                Small::write(node);
+                                ClusterModel::persist_head(node);
                                 reply
                             }
                             VoterAction::Behind | VoterAction::Ahead => return Some(state),
                         };
-                        state.in_progress.insert(Sent::PaxosReply {
+                        state.in_flight.insert(Envelope::PaxosReply {
                             from: to,
                             to: from,
                             reply,
                         });
                     }
-                    Sent::PaxosReply { from, to, reply } => {
+                    Envelope::PaxosReply { from, to, reply } => {
                         let node = &mut state.nodes[to];
-                        let (round, not) = node.round.as_mut()?;
-                        let not = *not;
+                        let (round, unreachable) = node.round.as_mut()?;
+                        let unreachable = *unreachable;
                         match round.handle_reply(from as u64, &reply) {
                             RoundStep::Wait => {}
                             RoundStep::Request(request) => {
-                                state.carried |=
+                                state.completed_other |=
                                     matches!(&request, PaxosRequest::Accept { again: true, .. });
-                                let record_progress = (0..ARBITERS).filter(|at| *at != not);
-                                let asks = record_progress.map(|at| Sent::PaxosRequest {
+                                let reachable = (0..VOTERS).filter(|at| *at != unreachable);
+                                let requests = reachable.map(|at| Envelope::PaxosRequest {
                                     from: to,
                                     to: at,
                                     request: request.clone(),
                                 });
-                                state.in_progress.extend(asks);
+                                state.in_flight.extend(requests);
                             }
                             RoundStep::Agreed(Proposal { rollout, progress }) => {
                                 node.round = None;
@@ -386,16 +395,16 @@
                     }
                 }
             }
-            Action::Tells(n, m) => {
+            Action::ShareRollouts(n, m) => {
                 let received: Vec<Rollout> = state.nodes[n].rollouts.iter().cloned().collect();
                 received
                     .iter()
                     .for_each(|rollout| _ = state.nodes[m].rollouts.merge(rollout));
             }
-            Action::Halts(n) => {
-                state.halts += 1;
-                let id = state.nodes[n].rollouts.in_progress(K)?.id;
-                let outcome = if state.halts == 1 {
+            Action::End(n) => {
+                state.operator_ends += 1;
+                let id = state.nodes[n].rollouts.in_progress(KIND)?.id;
+                let outcome = if state.operator_ends == 1 {
                     Outcome::Halted
                 } else {
                     Outcome::RolledBack
@@ -404,49 +413,49 @@
                     .rollouts
                     .end(id, outcome, Reason::new(n as u64, n as u64, ""));
             }
-            Action::CrashAndReturn(n) => {
+            Action::CrashAndRestart(n) => {
                 state.crashes += 1;
                 let node = &mut state.nodes[n];
                 (node.round, node.running) = (None, node.promoted);
-                // What was offered and had not begun is offered again by the others; what was
-                // agreed on is on the disk.
+                // Rollouts that were offered but had not begun are offered again by other nodes;
+                // agreements are on disk.
                 let mut rollouts = RolloutTable::default();
                 (1..=self.rollouts).for_each(|id| _ = rollouts.merge(&self.rollout(id)));
                 node.head.iter().for_each(|head| _ = rollouts.merge(head));
                 node.rollouts = rollouts;
             }
-            Action::Runs(n) => {
+            Action::Run(n) => {
                 let (outcome, version, _) = self.assignment(&state.nodes[n], n)?;
                 let node = &mut state.nodes[n];
                 if !node.checked.contains(&version) {
                     return None;
                 }
-                node.late |= outcome > Outcome::Completed;
-                Small::write(node);
+                node.started_halted |= outcome > Outcome::Completed;
+                ClusterModel::persist_head(node);
                 node.running = version;
                 if outcome == Outcome::Completed {
                     node.promoted = version;
                 }
             }
-            Action::GoesBack(n) => {
+            Action::RollBack(n) => {
                 let node = &mut state.nodes[n];
                 node.promoted = if node.promoted == node.running {
-                    OLD
+                    BASE
                 } else {
                     node.promoted
                 };
                 node.running = node.promoted;
-                Small::write(node);
+                ClusterModel::persist_head(node);
             }
         }
         (state != *last).then_some(state)
     }
 
-    fn properties(&self) -> Vec<Property<Small>> {
+    fn properties(&self) -> Vec<Property<ClusterModel>> {
         vec![
             Property::always(
-                "there are no two agreements of a number",
-                |_: &Small, s: &State| {
+                "no two agreements have the same number",
+                |_: &ClusterModel, s: &State| {
                     let known = s
                         .nodes
                         .iter()
@@ -466,102 +475,105 @@
                 },
             ),
             Property::always(
-                "nobody runs what no agreement gives it",
-                |_: &Small, s: &State| {
+                "a node only runs versions whose agreed stages include it",
+                |_: &ClusterModel, s: &State| {
                     s.nodes.iter().enumerate().all(|(n, node)| {
                         let mine = |(_, id, progress): &&(u64, RolloutId, Progress)| {
-                            OLD + id.0 == node.running && progress.includes(*id, n as u64 + 1, 0)
+                            BASE + id.0 == node.running && progress.includes(*id, n as u64 + 1, 0)
                         };
-                        node.running == OLD || s.agreed.iter().any(|of| mine(&of))
+                        node.running == BASE || s.agreed.iter().any(|of| mine(&of))
                     })
                 },
             ),
             Property::always(
-                "nobody runs what it did not check",
-                |_: &Small, s: &State| {
+                "a node only runs versions that it has checked",
+                |_: &ClusterModel, s: &State| {
                     s.nodes
                         .iter()
                         .all(|node| node.checked.contains(&node.running))
                 },
             ),
             Property::always(
-                "nobody begins what it knows to be halted",
-                |_: &Small, s: &State| s.nodes.iter().all(|node| !node.late),
+                "a node never starts a version that it knows to be halted",
+                |_: &ClusterModel, s: &State| s.nodes.iter().all(|node| !node.started_halted),
             ),
             Property::always(
-                "a last good version is there, and was checked",
-                |_: &Small, s: &State| {
+                "every node has a promoted version that it has checked",
+                |_: &ClusterModel, s: &State| {
                     s.nodes
                         .iter()
-                        .all(|node| node.promoted >= OLD && node.checked.contains(&node.promoted))
+                        .all(|node| node.promoted >= BASE && node.checked.contains(&node.promoted))
                 },
             ),
-            Property::sometimes("two stages are agreed on", |_: &Small, s: &State| {
+            Property::sometimes("two stages are agreed on", |_: &ClusterModel, s: &State| {
                 s.agreed.len() > 1
             }),
             Property::sometimes(
-                "one carries through what another began",
-                |_: &Small, s: &State| s.carried && !s.agreed.is_empty(),
+                "a coordinator completes the proposal of another",
+                |_: &ClusterModel, s: &State| s.completed_other && !s.agreed.is_empty(),
+            ),
+            Property::sometimes(
+                "a node runs the new version",
+                |model: &ClusterModel, s: &State| {
+                    !model.run_versions || s.nodes.iter().any(|node| node.running > BASE)
+                },
             ),
-            Property::sometimes("a node runs the new one", |model: &Small, s: &State| {
-                !model.run || s.nodes.iter().any(|node| node.running > OLD)
-            }),
         ]
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        // What never arrives is lost; so many at once are enough for all of one round to meet all
-        // of another.
-        state.in_progress.len() <= self.at_once
+        // Messages that are never delivered are lost. This bound is large enough for all messages
+        // of one round to interleave with those of another.
+        state.in_flight.len() <= self.max_in_flight
     }
 }
 
-fn check(model: Small) {
+fn check(model: ClusterModel) {
     let checker = model.checker().threads(4).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
 
-/// Two who conduct at once, in three rounds.
+/// Two concurrent coordinators, in three rounds.
 #[test]
-fn two_conduct_at_once() {
-    let small = Small {
+fn two_concurrent_coordinators() {
+    let model = ClusterModel {
         rounds: 3,
-        at_once: 3,
-        run: false,
-        ..Small::default()
+        max_in_flight: 3,
+        run_versions: false,
+        ..ClusterModel::default()
     };
-    check(small);
+    check(model);
 }
 
-/// One of them crashes, at any step, and returns.
+/// A crash and restart of any node at any step, with two coordinators.
 #[test]
-fn one_of_two_that_conduct_crashes() {
-    check(Small {
+fn a_node_crashes_with_two_coordinators() {
+    check(ClusterModel {
         crashes: 1,
-        ..Small::default()
+        ..ClusterModel::default()
     });
 }
 
-/// A halt and a step back heard at any of four nodes, one of which can't run the new version.
+/// A halt and a rollback issued at any of four nodes, one of which rejects the new version.
 #[test]
-fn halts_are_heard_anywhere() {
-    check(Small {
+fn halts_are_issued_anywhere() {
+    check(ClusterModel {
         nodes: 4,
-        halts: 2,
-        unfit: Some(3),
-        ..Small::default()
+        operator_ends: 2,
+        rejecting_node: Some(3),
+        ..ClusterModel::default()
     });
 }
 
-/// Two rollouts, each begun by another node.
+/// Two concurrent rollouts with two coordinators.
 #[test]
-fn two_changes_begin_at_once() {
-    check(Small {
+fn two_concurrent_rollouts() {
+    check(ClusterModel {
         rollouts: 2,
-        halts: 1,
+        operator_ends: 1,
         crashes: 1,
-        coordinator: vec![0, 2],
-        ..Small::default()
+        coordinators: vec![0, 2],
+        ..ClusterModel::default()
     });
 }
