--- a/crates/rollout/src/canary_analysis.rs
+++ b/crates/rollout/src/canary_analysis.rs
@@ -1,18 +1,20 @@
-//! Whether the canary cohort does worse than the baseline cohort over the same windows.
+//! Compares the canary cohort with the baseline cohort over the same windows, and decides whether
+//! the canary does worse.
 //!
-//! The unit is the node: machines differ more than counts of thousands of requests let show, so
-//! chance is measured by how much the baseline nodes differ among themselves. What a node did before
-//! the rollout takes its own slowness out (regression on the covariate before: CUPED), zones are
-//! compared each with itself, and the evidence may be looked at after every window without adding
-//! to the chance of a false stop: a mixture likelihood ratio (mSPRT) over all operations and
-//! metrics, which share that chance. Crashes and invariants are counts, and compared as such.
+//! The unit of comparison is the node: nodes differ by more than the sampling error of thousands of
+//! requests shows, so a difference is held against how much the baseline nodes differ among
+//! themselves. Each node's level before the rollout is taken out (regression on a pre-rollout
+//! covariate: CUPED) and zones are compared each with itself. The evidence may be examined after
+//! every window without raising the probability of a false stop: it is a mixture likelihood ratio
+//! (mSPRT) over all operations and metrics, which share that probability. Crashes and violated
+//! invariants are counts and are compared as counts.
 //!
-//! | rule | input, unit | chance of a mistake |
+//! | rule | input, unit | probability of a mistake |
 //! | --- | --- | --- |
-//! | harm: a comparison's evidence reaches `comparisons / FALSE_STOP`, and its harm half of its margin | likelihood ratio; share of what arrived, of what succeeded, or of the priority weight asked for | stopping a harmless version: [`FALSE_STOP`] over all looks, operations and metrics of a stage |
-//! | crashes and invariants: evidence reaches `2 / FALSE_STOP` (two tests) | counts for nodes and windows | [`FALSE_STOP`], shared by both |
-//! | enough requests: the stage's `min_requests` at the canary nodes | requests | - |
-//! | no harm by the margin: the upper bound of each comparison lies within its margin, widened while few nodes run the version | as above | passing a version that harms by the margin: [`MISSED`], for each metric |
+//! | harm: a comparison's evidence reaches `comparisons / FALSE_STOP`, and its harm reaches half of its margin | likelihood ratio; share of the requests that arrived, of those that succeeded, or of the priority weight asked for | stopping a harmless version: [`FALSE_STOP`] over all windows, operations and metrics of a stage |
+//! | crashes and invariants: evidence reaches `2 / FALSE_STOP` (two tests) | counts per node and window | [`FALSE_STOP`], shared by both |
+//! | enough requests: the canary nodes have received the stage's `min_requests` | requests | - |
+//! | no harm by the margin: the upper bound of each comparison lies within its margin, which is widened while few nodes run the version | as above | passing a version that harms by the margin: [`MISSED`] for each metric |
 //!
 //! [`analyse`] applies them in this order.
 
@@ -23,51 +25,52 @@
 use crate::cohort_metrics::{Cohort, CohortMetrics, Metric};
 use crate::stages::Plan;
 pub use comparison::{AnalysisMethod, Comparison, CrashCounts};
-use comparison::{compare, counts, rises};
+use comparison::{compare_counts, compare_metric, compare_trends};
 pub use evidence::MISSED;
-use evidence::most;
+use evidence::upper_bound;
 use std::fmt::Write;
 
-/// The chance of stopping a harmless version, over all looks, operations and metrics of a stage.
+/// Probability of stopping a harmless version, over all windows, operations and metrics of a stage.
 pub const FALSE_STOP: f64 = 0.01;
 
-/// What a stage has shown.
+/// The conclusion from the metrics of a stage.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// The canary cohort does worse: the comparisons that show it, the strongest evidence first.
+    /// The canary cohort does worse. Holds the comparisons that show harm, strongest evidence
+    /// first.
     Harm(Vec<Comparison>),
-    /// It does not do worse by the margin, as far as the stated chances go.
+    /// The canary cohort does not do worse by the margin, at the stated error probabilities.
     Fine,
-    /// It is too early to say: why.
+    /// The data does not suffice for a verdict yet. Holds the reason.
     Wait(String),
-    /// Nothing shows harm, and it can't be ruled out yet: why.
+    /// No comparison shows harm, but harm cannot be ruled out yet. Holds the reason.
     Unsure(String),
 }
 
-/// A verdict with its figures.
+/// A verdict with the figures that led to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnalysisResult {
-    /// The verdict.
+    /// The conclusion from the comparisons.
     pub verdict: Verdict,
-    /// All comparisons, those with the most evidence first.
+    /// All comparisons, strongest evidence first.
     pub findings: Vec<Comparison>,
-    /// Requests in this stage: canary, baseline.
+    /// Number of requests in this stage: canary, baseline.
     pub sample: [u64; 2],
-    /// Nodes that were compared: canary, baseline.
+    /// Number of nodes that were compared: canary, baseline.
     pub nodes: [usize; 2],
 }
 
 impl AnalysisResult {
-    /// In a line.
+    /// Formats the result as one line of text; `name` gives the name of an operation.
     pub fn line(&self, name: &dyn Fn(u32) -> String) -> String {
         let mut line = match &self.verdict {
             Verdict::Harm(_) => "harm".to_owned(),
             Verdict::Fine => "fine".to_owned(),
             Verdict::Wait(why) => format!("waits: {why}"),
-            Verdict::Unsure(why) => format!("nothing speaks for harm, and is not sure yet: {why}"),
+            Verdict::Unsure(why) => format!("no evidence of harm, not conclusive yet: {why}"),
         };
         let shown: &[Comparison] = match &self.verdict {
-            Verdict::Harm(of) => of,
+            Verdict::Harm(comparisons) => comparisons,
             _ => &self.findings,
         };
         for finding in shown.iter().take(3) {
@@ -76,14 +79,14 @@
         let [new, old] = self.nodes;
         let _ = write!(
             line,
-            "; {new} new nodes with {}, {old} old with {}",
+            "; {new} new nodes with {} requests, {old} old nodes with {}",
             self.sample[0], self.sample[1]
         );
         line
     }
 }
 
-/// Analyses a stage by what was counted so far.
+/// Analyses a stage by the counts that have been recorded so far.
 pub fn analyse(
     record: &CohortMetrics,
     plan: &Plan,
@@ -96,19 +99,19 @@
         findings.extend(
             Metric::ALL
                 .iter()
-                .filter_map(|metric| compare(record, plan, method, *operation, *metric)),
+                .filter_map(|metric| compare_metric(record, plan, method, *operation, *metric)),
         );
     }
-    let shares = findings.len();
+    let share_comparisons = findings.len();
     if matches!(
         method,
         AnalysisMethod::Nodes | AnalysisMethod::NodesWithoutHistory
     ) {
-        findings.extend(rises(record));
+        findings.extend(compare_trends(record));
     }
     let tests = findings.len().max(1) as f64;
-    // All methods take crashes for what they are: they differ in what they make of shares.
-    findings.extend(counts(record, crashes));
+    // The methods differ only in how they compare shares; all of them count crashes alike.
+    findings.extend(compare_counts(record, crashes));
     findings.sort_by(|a, b| b.evidence.total_cmp(&a.evidence));
     let sample = [
         record.arrived(Cohort::Canary),
@@ -118,10 +121,10 @@
         record.cohort(Cohort::Canary).count(),
         record.cohort(Cohort::Baseline).count(),
     ];
-    let least = plan
+    let min_requests = plan
         .stage(stage)
         .map_or(0, |stage| u64::from(stage.min_requests));
-    let has_sample = sample[0] >= least;
+    let has_sample = sample[0] >= min_requests;
     let harm: Vec<Comparison> = findings
         .iter()
         .filter(|finding| is_harm(finding, method, tests, has_sample))
@@ -131,11 +134,11 @@
         Verdict::Harm(harm)
     } else if !has_sample {
         Verdict::Wait(format!(
-            "{} of {least} invocations at the new nodes",
+            "{} of {min_requests} requests at the new nodes",
             sample[0]
         ))
-    } else if shares == 0 {
-        Verdict::Wait("nothing to compare with at the old nodes".into())
+    } else if share_comparisons == 0 {
+        Verdict::Wait("no requests at the old nodes to compare with".into())
     } else {
         rule_out_harm(&findings, nodes, method)
     };
@@ -147,39 +150,43 @@
     }
 }
 
-/// Rule: evidence that is rare enough by chance, for harm of half of the margin at least: harm that
-/// is certain and small is none. Counts have no margin, and are two tests with a chance of their own.
+/// Rule: a comparison shows harm if chance alone would rarely give such evidence and the harm is at
+/// least half of the margin: smaller harm is ignored, however certain. Counts have no margin; their
+/// two tests have a false-stop probability of their own.
 fn is_harm(finding: &Comparison, method: AnalysisMethod, tests: f64, has_sample: bool) -> bool {
-    let by_shares = match method {
+    let required_for_shares = match method {
         AnalysisMethod::Fixed => 1.0,
-        // A rank test at each window that takes no account of the number of looks.
+        // A rank test at each window, not corrected for the number of windows.
         AnalysisMethod::Ranks => 1.0 / FALSE_STOP,
         _ => tests / FALSE_STOP,
     };
-    let enough = if finding.margin > 0.0 {
-        by_shares
+    let required = if finding.margin > 0.0 {
+        required_for_shares
     } else {
         2.0 / FALSE_STOP
     };
-    // The plain methods would stop all rollouts if they looked at a handful.
+    // The plain methods would stop every rollout if they decided on a handful of requests.
     let is_plain =
         finding.margin > 0.0 && matches!(method, AnalysisMethod::Fixed | AnalysisMethod::Ranks);
-    finding.evidence >= enough && finding.harm >= finding.margin / 2.0 && (!is_plain || has_sample)
+    finding.evidence >= required
+        && finding.harm >= finding.margin / 2.0
+        && (!is_plain || has_sample)
 }
 
-/// Rule: harm by the margin is ruled out for each comparison that could show it. The fewer nodes run
-/// the version, the further off it may be: by the margin once half of the cluster runs it. What more
-/// counts would not tell is not waited for.
+/// Rule: harm beyond the margin is ruled out for each comparison that could show it. The margin is
+/// widened while fewer than half of the compared nodes run the version. Only the sampling error
+/// enters the bound: more requests would not reduce the differences between nodes.
 fn rule_out_harm(findings: &[Comparison], nodes: [usize; 2], method: AnalysisMethod) -> Verdict {
-    let part = nodes[0] as f64 / (nodes[0] + nodes[1]).max(1) as f64;
-    let wide = (0.5 / part.max(1e-6)).sqrt().max(1.0);
+    let canary_share = nodes[0] as f64 / (nodes[0] + nodes[1]).max(1) as f64;
+    let widening = (0.5 / canary_share.max(1e-6)).sqrt().max(1.0);
     let is_unsure = |finding: &&Comparison| {
-        finding.margin > 0.0 && most(finding.harm, finding.chance.powi(2)) > finding.margin * wide
+        finding.margin > 0.0
+            && upper_bound(finding.harm, finding.chance.powi(2)) > finding.margin * widening
     };
-    // What is seldom can't be told from chance: it must not hold up a version that is fine by all
-    // that is not.
+    // Rare events cannot be distinguished from chance: they must not hold up a version that is fine
+    // by all other comparisons.
     let can_show = |finding: &&Comparison| finding.chance < finding.margin;
-    let open = || {
+    let unsure = || {
         findings
             .iter()
             .filter(|_| method != AnalysisMethod::Fixed && method != AnalysisMethod::Ranks)
@@ -188,16 +195,16 @@
     };
     let why = |finding: &Comparison| {
         format!(
-            "{} {:+.4} ± {:.4}, {:.4} is looked for",
+            "{} {:+.4} ± {:.4}, must be within {:.4}",
             finding.what,
             finding.harm,
             finding.chance,
-            finding.margin * wide
+            finding.margin * widening
         )
     };
     match (
-        open().find(|finding| finding.harm > finding.margin * wide),
-        open().next(),
+        unsure().find(|finding| finding.harm > finding.margin * widening),
+        unsure().next(),
     ) {
         (Some(finding), _) => Verdict::Wait(why(finding)),
         (None, Some(finding)) => Verdict::Unsure(why(finding)),
--- a/crates/rollout/src/canary_analysis/comparison.rs
+++ b/crates/rollout/src/canary_analysis/comparison.rs
@@ -1,4 +1,5 @@
-//! Comparisons of the cohorts: of an operation by a metric, of what rises, of crashes.
+//! Comparisons of the cohorts: operations by metric, trends of memory and descriptors, and counts
+//! of crashes and violated invariants.
 
 use super::evidence::{mixture, ranks};
 use super::shares::{NodeShare, adjust, difference, mean, pooled, shares, spread};
@@ -6,21 +7,22 @@
 use crate::stages::Plan;
 use statrs::distribution::{DiscreteCDF, Poisson};
 
-/// Windows that a trend needs at least.
-const RISE_WINDOWS: f64 = 6.0;
+/// Minimum number of windows for a trend.
+const MIN_TREND_WINDOWS: f64 = 6.0;
 
-/// Windows of 10 s in an hour, to which trends are extrapolated.
+/// Number of 10 s windows in an hour, the time to which trends are extrapolated.
 const HOUR: f64 = 360.0;
 
-/// Gauges lie off their trend by about this share.
-const GAUGES: f64 = 0.01;
+/// Typical deviation of a gauge from its trend, as a share of the gauge's value.
+const GAUGE_DEVIATION: f64 = 0.01;
 
-/// Windows in a day.
+/// Number of 10 s windows in a day.
 const DAY: f64 = 24.0 * HOUR;
 
-/// A metric's margin as a multiple of the plan's: errors weigh more than late answers.
-fn margin_of(measure: Metric) -> f64 {
-    match measure {
+/// Returns a metric's margin as a multiple of the plan's margin: errors weigh more than late
+/// replies.
+fn margin_factor(metric: Metric) -> f64 {
+    match metric {
         Metric::Errored => 0.5,
         Metric::Lost => 1.0,
         Metric::Rejected | Metric::Late => 2.0,
@@ -28,54 +30,56 @@
     }
 }
 
-/// The statistical method; all but the first are there to be compared with it.
+/// The statistical method of an analysis. Nodes use [`AnalysisMethod::Nodes`]; the other methods
+/// exist to be compared with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnalysisMethod {
-    /// Nodes as units, each less its own past.
+    /// Compares nodes, each adjusted by its own metrics before the rollout.
     Nodes,
-    /// The same without the past.
+    /// Compares nodes without adjusting them by their past.
     NodesWithoutHistory,
-    /// Harm if the canary's share is above the baseline's by the margin.
+    /// Reports harm if the canary's share exceeds the baseline's by more than the margin.
     Fixed,
-    /// A mixture likelihood ratio that takes requests for independent.
+    /// Uses a mixture likelihood ratio that treats requests as independent.
     IndependentRequests,
-    /// A rank test on nodes at each look.
+    /// Runs a rank test on nodes at each window.
     Ranks,
 }
 
 /// One comparison of the cohorts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comparison {
-    /// The number of the operation; none for the process itself.
+    /// The number of the operation; `None` for metrics of the process.
     pub operation: Option<u32>,
-    /// What is compared, in words.
+    /// The name of the compared metric.
     pub what: &'static str,
     /// The value at the canary nodes.
     pub new: f64,
-    /// What was expected there by the baseline nodes in the same windows.
+    /// The value expected at the canary nodes from the baseline nodes in the same windows; for
+    /// counts and trends the baseline's value.
     pub old: f64,
-    /// By how much the canary does worse.
+    /// How much worse the canary does; negative if it does better.
     pub harm: f64,
     /// The standard error of the harm.
     pub error: f64,
-    /// The part of that error that comes of counts being few; the rest is how different nodes are.
+    /// The part of the error that is sampling error; the rest is the difference between nodes.
     pub chance: f64,
-    /// Evidence for harm, as a likelihood ratio.
+    /// Evidence for harm as a likelihood ratio.
     pub evidence: f64,
-    /// The harm that still counts as none; 0 for counts.
+    /// The harm that is tolerated; 0 for counts.
     pub margin: f64,
 }
 
 impl Comparison {
-    /// In a line.
+    /// Formats the comparison as one line of text; `name` gives the name of an operation.
     pub fn line(&self, name: &dyn Fn(u32) -> String) -> String {
-        let of = self
+        let operation = self
             .operation
             .map_or_else(String::new, |operation| format!("{} ", name(operation)));
         let unit = if self.operation.is_some() { 100.0 } else { 1.0 };
         let sign = if self.operation.is_some() { " %" } else { "" };
         format!(
-            "{of}{}: {:.2}{sign} of the new, {:.2}{sign} of the old ones, {:+.2} ± {:.2}",
+            "{operation}{}: {:.2}{sign} at new nodes, {:.2}{sign} at old ones, {:+.2} ± {:.2}",
             self.what,
             self.new * unit,
             self.old * unit,
@@ -85,30 +89,30 @@
     }
 }
 
-/// Crashes in a stage. Crashed nodes count nothing themselves, so that others count them.
+/// Crashes in a stage. The coordinator counts them, as a crashed node cannot.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CrashCounts {
-    /// Crashes on trial; crashes of the other nodes.
+    /// Number of crashes on trial, and of crashes of the other nodes.
     pub crashes: [u64; 2],
-    /// Nodes in the stage; the others.
+    /// Number of nodes in the stage, and of the other nodes.
     pub nodes: [u64; 2],
-    /// The time in which they happened, in windows.
+    /// The duration over which the crashes were counted, in 10 s windows.
     pub windows: f64,
 }
 
-/// One operation by one metric.
-pub(super) fn compare(
+/// Compares the cohorts on one operation by one metric; `None` where a cohort has too few requests.
+pub(super) fn compare_metric(
     record: &CohortMetrics,
     plan: &Plan,
     method: AnalysisMethod,
     operation: u32,
-    measure: Metric,
+    metric: Metric,
 ) -> Option<Comparison> {
-    let margin = f64::from(plan.margin_permille) / 1000.0 * margin_of(measure);
-    let (new_share, expected) = pooled(record, Cohort::Canary, operation, measure)?;
-    let (old_share, _) = pooled(record, Cohort::Baseline, operation, measure)?;
-    let mut new = shares(record, Cohort::Canary, operation, measure);
-    let mut old = shares(record, Cohort::Baseline, operation, measure);
+    let margin = f64::from(plan.margin_permille) / 1000.0 * margin_factor(metric);
+    let (new_share, expected) = pooled(record, Cohort::Canary, operation, metric)?;
+    let (old_share, _) = pooled(record, Cohort::Baseline, operation, metric)?;
+    let mut new = shares(record, Cohort::Canary, operation, metric);
+    let mut old = shares(record, Cohort::Baseline, operation, metric);
     if new.is_empty() || old.is_empty() {
         return None;
     }
@@ -116,7 +120,7 @@
     let finding = |harm: f64, variance: f64, evidence: f64| Comparison {
         chance,
         operation: Some(operation),
-        what: measure.display_name(),
+        what: metric.display_name(),
         new: new_share,
         old: expected,
         harm,
@@ -153,11 +157,11 @@
     }
 }
 
-/// Memory and descriptors: whether they rise faster than at the baseline nodes, extrapolated to an hour,
-/// as a share of what there is.
-pub(super) fn rises(record: &CohortMetrics) -> Vec<Comparison> {
+/// Compares how fast memory and descriptors grow at the nodes of the two cohorts, extrapolated to
+/// an hour, as a share of their mean.
+pub(super) fn compare_trends(record: &CohortMetrics) -> Vec<Comparison> {
     let mut findings = Vec::new();
-    for (what, of) in [
+    for (what, trend) in [
         (
             "memory in an hour",
             (|node: &NodeHistory| node.memory) as fn(&NodeHistory) -> LinearTrend,
@@ -165,16 +169,18 @@
         ("descriptors in an hour", |node| node.descriptors),
     ] {
         let values = |cohort| -> Vec<NodeShare> {
-            let lines = record.cohort(cohort).map(|(_, node)| (node.zone, of(node)));
+            let lines = record
+                .cohort(cohort)
+                .map(|(_, node)| (node.zone, trend(node)));
             lines
-                .filter(|(_, line)| line.count >= RISE_WINDOWS && line.mean() > 0.0)
+                .filter(|(_, line)| line.count >= MIN_TREND_WINDOWS && line.mean() > 0.0)
                 .filter_map(|(zone, line)| {
-                    let (slope, variance) = line.slope(GAUGES)?;
-                    let drawn = HOUR / line.mean();
+                    let (slope, variance) = line.slope(GAUGE_DEVIATION)?;
+                    let per_hour = HOUR / line.mean();
                     Some(NodeShare {
                         zone,
-                        value: slope * drawn,
-                        variance: variance * drawn * drawn,
+                        value: slope * per_hour,
+                        variance: variance * per_hour * per_hour,
                         before: None,
                     })
                 })
@@ -185,7 +191,7 @@
             mean(new.iter().map(|s| s.value)),
             mean(old.iter().map(|s| s.value)),
         );
-        // A fifth more within an hour is harm.
+        // Growth of a fifth within an hour is harm.
         let margin = 0.2;
         if let Some((harm, variance)) = difference(&new, &old, spread(&old, margin)) {
             let evidence = mixture(harm, variance, margin);
@@ -207,9 +213,10 @@
     findings
 }
 
-/// Crashes and invariants: counts by node and time, whose chance is known. What the baseline had in the
-/// same time shows how often such a thing happens today; without any, once in a node's day.
-pub(super) fn counts(record: &CohortMetrics, crashes: &CrashCounts) -> Vec<Comparison> {
+/// Compares the counts of crashes and violated invariants, which are Poisson distributed by node
+/// and time. The expected rate is that of the baseline in the same time plus one event per node and
+/// day, so that it is never zero.
+pub(super) fn compare_counts(record: &CohortMetrics, crashes: &CrashCounts) -> Vec<Comparison> {
     let [new_time, old_time] = crashes
         .nodes
         .map(|nodes| (nodes as f64 * crashes.windows).max(1.0));
@@ -220,8 +227,8 @@
             .sum::<u64>()
     };
     let mut findings = Vec::new();
-    let mut push = |what, [new, old]: [u64; 2], least: u64| {
-        if new < least {
+    let mut push = |what, [new, old]: [u64; 2], min_count: u64| {
+        if new < min_count {
             return;
         }
         let rate = old as f64 / old_time + 1.0 / DAY;
@@ -243,7 +250,7 @@
         [sum(Cohort::Canary), sum(Cohort::Baseline)],
         1,
     );
-    // One crash may be chance; of two on trial, where the others live, one is not.
+    // One crash on trial may be chance; two, while the other nodes stay up, are not.
     push("deaths on trial", crashes.crashes, 2);
     findings
 }
--- a/crates/rollout/src/canary_analysis/evidence.rs
+++ b/crates/rollout/src/canary_analysis/evidence.rs
@@ -1,40 +1,41 @@
-//! How strongly a difference between the cohorts speaks for harm.
+//! The strength of evidence that a difference between the cohorts is harm.
 
 use super::shares::NodeShare;
 use statrs::distribution::{ContinuousCDF, Normal};
 
-/// The chance of passing a stage with a version that harms by the margin, for each metric.
+/// Probability of passing a stage with a version that harms by the margin, for each metric.
 pub const MISSED: f64 = 0.05;
 
-/// Sizes of harm that are looked for, in margins.
+/// Sizes of harm that the mixture covers, as multiples of the margin.
 const SIZES: [f64; 3] = [1.0, 4.0, 16.0];
 
-/// The likelihood of a difference like this if there is harm of about this size or much more,
-/// against none; one sided.
+/// Returns the likelihood ratio of a difference of `harm` between harm of `size` or up to 16 times
+/// that, and no harm; one-sided.
 pub(super) fn mixture(harm: f64, variance: f64, size: f64) -> f64 {
     if harm <= 0.0 {
         return 0.0;
     }
-    let one = |size: f64| {
-        let both = variance + size * size;
-        (variance / both).sqrt()
-            * (harm * harm * size * size / (2.0 * variance * both))
+    let ratio = |size: f64| {
+        let total = variance + size * size;
+        (variance / total).sqrt()
+            * (harm * harm * size * size / (2.0 * variance * total))
                 .min(700.0)
                 .exp()
     };
-    SIZES.iter().map(|times| one(size * times)).sum::<f64>() / SIZES.len() as f64
+    SIZES.iter().map(|times| ratio(size * times)).sum::<f64>() / SIZES.len() as f64
 }
 
-/// The most that harm is likely to be, by the chance of missing it.
-pub(super) fn most(harm: f64, variance: f64) -> f64 {
+/// Returns the upper confidence bound of harm, which the true harm exceeds with probability
+/// [`MISSED`].
+pub(super) fn upper_bound(harm: f64, variance: f64) -> f64 {
     let quantile = Normal::standard().inverse_cdf(1.0 - MISSED);
     harm + quantile * variance.sqrt()
 }
 
-/// The chance that the new nodes' shares rank as high as they do.
+/// Returns the probability that the new nodes' shares rank this high if the cohorts do not differ.
 pub(super) fn ranks(new: &[NodeShare], old: &[NodeShare]) -> f64 {
-    // The normal form of Mann and Whitney's U, with the correction for whole steps; ties count as
-    // half.
+    // The normal approximation of the Mann-Whitney U test with continuity correction; a tie counts
+    // as one half.
     let (n, m) = (new.len() as f64, old.len() as f64);
     let above: f64 = new
         .iter()
--- a/crates/rollout/src/canary_analysis/shares.rs
+++ b/crates/rollout/src/canary_analysis/shares.rs
@@ -1,51 +1,52 @@
-//! What each node came to in one metric, how far chance may have it off, and the difference between
-//! the cohorts.
+//! Each node's share in one metric with its sampling variance, and the difference between the
+//! cohorts.
 
 use crate::cohort_metrics::{Cohort, CohortMetrics, Metric, NodeHistory, NodeMetric};
 use std::collections::BTreeMap;
 
-/// Requests of an operation that a node must have had to be compared.
-const NODE_SAMPLE: u64 = 20;
+/// Minimum number of requests of an operation at a node for the node to be compared.
+const MIN_NODE_REQUESTS: u64 = 20;
 
-/// How many nodes the assumed spread of nodes counts for.
-const PRIOR: f64 = 2.0;
+/// The weight of the assumed spread between nodes, as a number of nodes.
+const PRIOR_NODES: f64 = 2.0;
 
-/// A node's share of what harms, less what was expected, with its variance by chance.
+/// A node's share of harmful outcomes, less the expected share, with its sampling variance.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NodeShare {
     pub(super) zone: u32,
     pub(super) value: f64,
     pub(super) variance: f64,
-    pub(super) before: Option<Baseline>,
+    pub(super) before: Option<PriorShare>,
 }
 
-/// The same before the rollout began.
+/// A node's share of harmful outcomes before the rollout began, less the expected share.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Baseline {
+pub(super) struct PriorShare {
     value: f64,
     variance: f64,
 }
 
-/// The shares of a cohort's nodes: how far each is from what was expected of it.
+/// Returns the shares of a cohort's nodes, each less the share that was expected of the node.
 pub(super) fn shares(
     record: &CohortMetrics,
     cohort: Cohort,
     operation: u32,
-    measure: Metric,
+    metric: Metric,
 ) -> Vec<NodeShare> {
     let parts = || {
         record
             .cohort(cohort)
-            .filter_map(|(_, node)| Some((node, node.after.get(&operation)?.of(measure))))
+            .filter_map(|(_, node)| Some((node, node.after.get(&operation)?.of(metric))))
     };
-    let enough = |part: &NodeMetric| part.count >= NODE_SAMPLE && part.all > 0;
+    let enough = |part: &NodeMetric| part.count >= MIN_NODE_REQUESTS && part.all > 0;
     let (bad, all) = parts().fold((0, 0), |(bad, all), (_, part)| {
         (bad + part.bad, all + part.all)
     });
     let common = bad as f64 / (all as f64).max(1.0);
-    // Chance of counts, by what is likely, with half a one more so that no share is without any;
-    // where that is less than what was seen, by that: few and seldom is not normal.
-    let chance = |part: &NodeMetric, likely: f64| {
+    // Binomial variance at the likely share; half an event is added so that no share has a variance
+    // of zero. The likely share is at least the cohort's own: few and rare events are not normally
+    // distributed.
+    let sampling_variance = |part: &NodeMetric, likely: f64| {
         let likely = likely.clamp(0.0, 1.0) * part.count as f64 + 0.5;
         let likely = likely / (part.count as f64 + 1.0);
         likely * (1.0 - likely) / part.count as f64
@@ -54,23 +55,23 @@
         let past = node
             .before
             .get(&operation)
-            .map(|parts| *parts.of(measure))
+            .map(|parts| *parts.of(metric))
             .filter(enough);
         let expected = part.expected / part.all as f64;
         let value = part.bad as f64 / part.all as f64 - expected;
         let before = past.map(|past| {
             let value = (past.bad as f64 - past.expected) / past.all as f64;
-            Baseline {
+            PriorShare {
                 value,
-                variance: chance(&past, past.bad as f64 / past.all as f64),
+                variance: sampling_variance(&past, past.bad as f64 / past.all as f64),
             }
         });
-        let own = before.map_or(0.0, |past| past.value.max(0.0));
-        let likely = (expected + own).max(common);
+        let past_excess = before.map_or(0.0, |past| past.value.max(0.0));
+        let likely = (expected + past_excess).max(common);
         NodeShare {
             zone: node.zone,
             value,
-            variance: chance(part, likely),
+            variance: sampling_variance(part, likely),
             before,
         }
     };
@@ -80,23 +81,23 @@
         .collect()
 }
 
-/// The common share of a cohort, and what was expected of it.
+/// Returns the share of a whole cohort and its expected share; `None` without requests.
 pub(super) fn pooled(
     record: &CohortMetrics,
     cohort: Cohort,
     operation: u32,
-    measure: Metric,
+    metric: Metric,
 ) -> Option<(f64, f64)> {
     let parts = record
         .cohort(cohort)
-        .filter_map(|(_, node)| Some(node.after.get(&operation)?.of(measure)));
+        .filter_map(|(_, node)| Some(node.after.get(&operation)?.of(metric)));
     let (bad, expected, all) = parts.fold((0, 0.0, 0), |(bad, expected, all), part| {
         (bad + part.bad, expected + part.expected, all + part.all)
     });
     (all > 0).then(|| (bad as f64 / all as f64, expected / all as f64))
 }
 
-/// The mean; 0 of nothing.
+/// Returns the mean, or 0 if there are no values.
 pub(super) fn mean(values: impl Iterator<Item = f64> + Clone) -> f64 {
     let count = values.clone().count();
     if count == 0 {
@@ -106,12 +107,13 @@
     }
 }
 
-/// Takes out of each share what the node's own past predicts: machines differ, and a slow one was slow
-/// before. As much of its distance from its zone is taken as is its own rather than chance (the best
-/// linear prediction by two variances, as CUPED does with one slope for all: here a node with little
-/// past keeps more of its share).
+/// Subtracts from each share what the node's past predicts: machines differ, and a slow one was
+/// slow before the rollout. The past's distance from the mean of its zone is subtracted as far as
+/// it is a property of the node rather than chance (the best linear prediction from the two
+/// variances; CUPED uses one slope for all nodes, while here a node with little history keeps more
+/// of its share).
 pub(super) fn adjust(new: &mut [NodeShare], old: &mut [NodeShare]) {
-    let mut zones: BTreeMap<u32, Vec<Baseline>> = BTreeMap::new();
+    let mut zones: BTreeMap<u32, Vec<PriorShare>> = BTreeMap::new();
     for share in new.iter().chain(old.iter()) {
         zones.entry(share.zone).or_default().extend(share.before);
     }
@@ -129,19 +131,19 @@
     if degrees < 1.0 {
         return;
     }
-    let own = (squares - chance).max(0.0) / degrees;
+    let between = (squares - chance).max(0.0) / degrees;
     for share in new.iter_mut().chain(old) {
         if let Some(past) = share.before.filter(|_| zones[&share.zone].len() > 1) {
-            // One that is far out differs by itself whatever the others do.
-            let far = past.value - centre(share.zone);
-            let out = 1.0 - past.variance / (far * far).max(1e-12);
-            share.value -= (own / (own + past.variance)).max(out) * far;
+            // The distance of an outlier is its own even if the other nodes do not differ.
+            let distance = past.value - centre(share.zone);
+            let outlier = 1.0 - past.variance / (distance * distance).max(1e-12);
+            share.value -= (between / (between + past.variance)).max(outlier) * distance;
         }
     }
 }
 
-/// How much the baseline nodes differ beyond chance, within their zones. Few of them show little of
-/// that: two more are taken to differ by half of the margin.
+/// Returns the standard deviation between baseline nodes of the same zone beyond chance. Few nodes
+/// show little of it, so [`PRIOR_NODES`] more are assumed to differ by half of the margin.
 pub(super) fn spread(old: &[NodeShare], margin: f64) -> f64 {
     let mut zones: BTreeMap<u32, Vec<&NodeShare>> = BTreeMap::new();
     old.iter()
@@ -158,11 +160,12 @@
             * (shares.len() as f64 - 1.0)
             / shares.len() as f64;
     }
-    let prior = PRIOR * (margin / 2.0).powi(2);
-    (((squares - chance).max(0.0) + prior) / (degrees + PRIOR)).sqrt()
+    let prior = PRIOR_NODES * (margin / 2.0).powi(2);
+    (((squares - chance).max(0.0) + prior) / (degrees + PRIOR_NODES)).sqrt()
 }
 
-/// By how much the canary is above the baseline, zone by zone, and the variance of that.
+/// Returns by how much the canary exceeds the baseline, combined over the zones, and the variance
+/// of that difference; `None` if either cohort is empty.
 pub(super) fn difference(new: &[NodeShare], old: &[NodeShare], spread: f64) -> Option<(f64, f64)> {
     let mut zones: BTreeMap<u32, (Vec<NodeShare>, Vec<NodeShare>)> = BTreeMap::new();
     new.iter()
@@ -175,20 +178,22 @@
     };
     let value = |shares: &[NodeShare]| mean(shares.iter().map(|share| share.value));
     let (mut sum, mut weights) = (0.0, 0.0);
-    for (new, here) in zones.values().filter(|(new, _)| !new.is_empty()) {
-        // A zone without old nodes is compared with all of them, which differ by their zones too.
-        let (against, far) = if here.is_empty() {
+    for (new, same_zone) in zones.values().filter(|(new, _)| !new.is_empty()) {
+        // A zone without baseline nodes is compared with those of all zones, which also differ by
+        // zone: the spread is doubled.
+        let (against, spread_factor) = if same_zone.is_empty() {
             (old, 2.0)
         } else {
-            (here.as_slice(), 1.0)
+            (same_zone.as_slice(), 1.0)
         };
         if against.is_empty() {
             return None;
         }
         let harm = value(new) - value(against);
-        let off = variance(new, far * spread) + variance(against, far * spread);
-        sum += harm / off;
-        weights += 1.0 / off;
+        let total =
+            variance(new, spread_factor * spread) + variance(against, spread_factor * spread);
+        sum += harm / total;
+        weights += 1.0 / total;
     }
     (weights > 0.0).then(|| (sum / weights, 1.0 / weights))
 }
--- a/crates/rollout/src/canary_analysis/tests.rs
+++ b/crates/rollout/src/canary_analysis/tests.rs
@@ -13,14 +13,15 @@
     CohortMetrics::new(RolloutId(1), version(2), version(1))
 }
 
-struct Fleet {
+struct SimulatedCluster {
     rng: Pcg64Mcg,
-    /// Share of errors of each node by itself, and which ones are new.
-    own: Vec<f64>,
+    /// Share of errors of each node apart from the new version's harm.
+    error_shares: Vec<f64>,
+    /// Number of nodes, counted from the first one, that run the new version.
     new: usize,
 }
 
-impl Fleet {
+impl SimulatedCluster {
     fn samples(
         &mut self,
         before: bool,
@@ -29,10 +30,10 @@
         memory: f64,
         at: u64,
     ) -> Vec<WindowSample> {
-        (0..self.own.len())
+        (0..self.error_shares.len())
             .map(|n| {
                 let is_new = n < self.new && !before;
-                let share = self.own[n] + if is_new { harm } else { 0.0 };
+                let share = self.error_shares[n] + if is_new { harm } else { 0.0 };
                 let errored = (0..each)
                     .filter(|_| self.rng.random_bool(share.clamp(0.0, 1.0)))
                     .count() as u64;
@@ -59,29 +60,33 @@
     }
 }
 
-fn play(seed: u64, new: usize, harm: f64, slow_new: f64, memory: f64) -> AnalysisResult {
+fn run_rollout(seed: u64, new: usize, harm: f64, slow_new: f64, memory: f64) -> AnalysisResult {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut own: Vec<f64> = (0..30).map(|_| rng.random_range(0.005..0.02)).collect();
-    own[0] += slow_new;
-    let mut fleet = Fleet { rng, own, new };
+    let mut error_shares: Vec<f64> = (0..30).map(|_| rng.random_range(0.005..0.02)).collect();
+    error_shares[0] += slow_new;
+    let mut cluster = SimulatedCluster {
+        rng,
+        error_shares,
+        new,
+    };
     let (mut record, mut windows) = (record(), Vec::new());
     for window in 0..8 {
-        windows.push((window, fleet.samples(true, 0.0, 100, 0.0, window)));
+        windows.push((window, cluster.samples(true, 0.0, 100, 0.0, window)));
     }
     record.begin(&windows);
     record.start_stage(1);
     let mut last = None;
     for window in 8..30 {
-        record.record_window(window, &fleet.samples(false, harm, 100, memory, window));
-        let judged = analyse(
+        record.record_window(window, &cluster.samples(false, harm, 100, memory, window));
+        let analysed = analyse(
             &record,
             &Plan::default(),
             1,
             &CrashCounts::default(),
             AnalysisMethod::Nodes,
         );
-        let stops = matches!(judged.verdict, Verdict::Harm(_));
-        last = Some(judged);
+        let stops = matches!(analysed.verdict, Verdict::Harm(_));
+        last = Some(analysed);
         if stops {
             break;
         }
@@ -90,22 +95,22 @@
 }
 
 #[test]
-fn a_change_that_harms_is_stopped_and_one_that_does_not_passes() {
+fn harmful_rollout_is_stopped_and_harmless_one_passes() {
     for seed in 0..20 {
-        let fine = play(seed, 3, 0.0, 0.0, 0.0);
+        let fine = run_rollout(seed, 3, 0.0, 0.0, 0.0);
         assert_eq!(
             fine.verdict,
             Verdict::Fine,
             "seed {seed}: {:?}",
             fine.findings.first()
         );
-        let harm = play(seed, 3, 0.05, 0.0, 0.0);
+        let harm = run_rollout(seed, 3, 0.05, 0.0, 0.0);
         assert!(
             matches!(harm.verdict, Verdict::Harm(_)),
             "seed {seed}: {:?}",
             harm.findings.first()
         );
-        let one = play(seed, 1, 0.2, 0.0, 0.0);
+        let one = run_rollout(seed, 1, 0.2, 0.0, 0.0);
         assert!(
             matches!(one.verdict, Verdict::Harm(_)),
             "seed {seed}: {:?}",
@@ -114,12 +119,12 @@
     }
 }
 
-/// The one node of the first stage is a machine that always erred more: that is no fault of the
-/// rollout.
+/// The only node of the first stage had more errors than the others before the rollout as well: the
+/// rollout must not be blamed for them.
 #[test]
-fn a_slow_machine_among_the_new_ones_is_no_harm() {
+fn node_that_always_had_more_errors_is_not_taken_for_harm() {
     for seed in 0..20 {
-        let slow = play(seed, 1, 0.0, 0.06, 0.0);
+        let slow = run_rollout(seed, 1, 0.0, 0.06, 0.0);
         assert!(
             !matches!(slow.verdict, Verdict::Harm(_)),
             "seed {seed}: {:?}",
@@ -129,8 +134,9 @@
 }
 
 #[test]
-fn a_leak_shows_before_it_harms() {
-    let leaks = play(1, 2, 0.0, 0.0, 60.0); // 2 % of its memory in an hour would be 3 KB a window
+fn memory_leak_is_found_before_requests_suffer() {
+    // 60 KB a window; the margin of a fifth of the memory in an hour is about 6 KB a window.
+    let leaks = run_rollout(1, 2, 0.0, 0.0, 60.0);
     let Verdict::Harm(findings) = &leaks.verdict else {
         panic!("{leaks:?}")
     };
@@ -143,19 +149,19 @@
 }
 
 #[test]
-fn deaths_and_invariants_are_counted_against_the_others() {
-    let mut fleet = Fleet {
+fn crashes_and_invariants_are_compared_with_the_baseline() {
+    let mut cluster = SimulatedCluster {
         rng: Pcg64Mcg::seed_from_u64(1),
-        own: vec![0.01; 30],
+        error_shares: vec![0.01; 30],
         new: 3,
     };
     let mut record = record();
     record.begin(&[]);
     record.start_stage(1);
     for window in 0..6 {
-        record.record_window(window, &fleet.samples(false, 0.0, 100, 0.0, window));
+        record.record_window(window, &cluster.samples(false, 0.0, 100, 0.0, window));
     }
-    let judged = |record: &CohortMetrics, crashes| {
+    let analysed = |record: &CohortMetrics, crashes| {
         let crashes = CrashCounts {
             crashes,
             nodes: [3, 27],
@@ -164,30 +170,30 @@
         analyse(record, &Plan::default(), 1, &crashes, AnalysisMethod::Nodes).verdict
     };
     assert!(
-        !matches!(judged(&record, [1, 0]), Verdict::Harm(_)),
-        "one may be chance"
+        !matches!(analysed(&record, [1, 0]), Verdict::Harm(_)),
+        "one crash may be chance"
     );
-    assert!(matches!(judged(&record, [2, 0]), Verdict::Harm(_)));
-    // Old ones die as well: then it is the day and not the rollout.
-    assert!(!matches!(judged(&record, [3, 27]), Verdict::Harm(_)));
+    assert!(matches!(analysed(&record, [2, 0]), Verdict::Harm(_)));
+    // Baseline nodes crash as well, so that the rollout is not the cause.
+    assert!(!matches!(analysed(&record, [3, 27]), Verdict::Harm(_)));
     record.nodes.get_mut(&1).unwrap().invariants = 3;
-    assert!(matches!(judged(&record, [0, 0]), Verdict::Harm(_)));
+    assert!(matches!(analysed(&record, [0, 0]), Verdict::Harm(_)));
 }
 
 #[test]
-fn too_little_is_waited_for() {
-    let mut fleet = Fleet {
+fn verdict_waits_for_the_minimum_of_requests() {
+    let mut cluster = SimulatedCluster {
         rng: Pcg64Mcg::seed_from_u64(1),
-        own: vec![0.01; 30],
+        error_shares: vec![0.01; 30],
         new: 1,
     };
     let mut record = record();
     record.begin(&[]);
     record.start_stage(1);
     (0..4).for_each(|window| {
-        record.record_window(window, &fleet.samples(false, 0.0, 30, 0.0, window))
+        record.record_window(window, &cluster.samples(false, 0.0, 30, 0.0, window))
     });
-    let judged = analyse(
+    let analysed = analyse(
         &record,
         &Plan::default(),
         1,
@@ -195,27 +201,27 @@
         AnalysisMethod::Nodes,
     );
     assert_eq!(
-        judged.verdict,
-        Verdict::Wait("90 of 200 invocations at the new nodes".into())
+        analysed.verdict,
+        Verdict::Wait("90 of 200 requests at the new nodes".into())
     );
 }
 
-/// A version that throttled all was taken back from one node in the middle of a window, and a good
-/// rollout follows. What that node did in that window was held for its past: the others of its zone
-/// then looked worse than they were, and the rollout waited for good.
+/// A version that rejected all requests was rolled back at one node in the middle of a window, and
+/// a harmless rollout follows. The node's rejections in that window were taken for its own past, so
+/// that the other nodes of its zone looked worse than they were and the rollout waited forever.
 #[test]
-fn what_a_version_that_was_taken_back_did_does_not_hold_up_the_next_change() {
+fn rejections_of_a_rolled_back_version_do_not_hold_up_the_next_rollout() {
     for seed in 0..20 {
-        let mut fleet = Fleet {
+        let mut cluster = SimulatedCluster {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            own: vec![0.001; 6],
+            error_shares: vec![0.001; 6],
             new: 0,
         };
         let (mut record, mut windows) = (record(), Vec::new());
         for window in 0..4 {
-            let mut samples = fleet.samples(true, 0.0, 130, 0.0, window);
+            let mut samples = cluster.samples(true, 0.0, 130, 0.0, window);
             if window == 1 || window == 2 {
-                // It ran the other version in the second window, and half of the third.
+                // The node ran the other version in the second window and half of the third.
                 samples[3].version_hash = if window == 1 { 99 } else { 1 };
                 let (cell, _) = samples[3].operations.get_mut(&7).unwrap();
                 let throttled = if window == 1 { 130 } else { 65 };
@@ -226,11 +232,11 @@
         }
         record.begin(&windows);
         record.start_stage(1);
-        fleet.new = 1;
+        cluster.new = 1;
         (4..12).for_each(|window| {
-            record.record_window(window, &fleet.samples(false, 0.0, 130, 0.0, window))
+            record.record_window(window, &cluster.samples(false, 0.0, 130, 0.0, window))
         });
-        let judged = analyse(
+        let analysed = analyse(
             &record,
             &Plan::default(),
             1,
@@ -238,10 +244,10 @@
             AnalysisMethod::Nodes,
         );
         assert_eq!(
-            judged.verdict,
+            analysed.verdict,
             Verdict::Fine,
             "seed {seed}: {:?}",
-            judged.findings.first()
+            analysed.findings.first()
         );
     }
 }
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -1,16 +1,17 @@
-//! Coordinating a rollout: one voter polls all nodes, analyses the stage by what was counted, and
-//! has the voters agree on the next step. Safety does not rest on there being one coordinator: see
-//! [`crate::paxos`]. What it knows besides is asked for anew by whoever coordinates next.
+//! Coordinates a rollout: one voter polls all nodes, analyses the stage by the recorded counts, and
+//! has the voters agree on the next step. Safety does not depend on there being only one
+//! coordinator: see [`crate::paxos`]. Its other state is not replicated: the next coordinator
+//! collects it again.
 //!
-//! **Why advancing needs a majority and ending needs nobody.** A step forward gives the new version
-//! to more nodes, so it must not be taken twice or on two sides of a split: it needs an agreement of
-//! the voters, and beforehand answers of more than half of the nodes that the cluster was last
-//! agreed to have, none of which knows of an end (`Coordinator::check_quorum`). An end only takes
-//! the new version away, and an end that is made twice is the same end: any node may make it alone,
-//! and [`crate::Rollout::merge`] lets it win everywhere.
+//! **Why advancing needs a majority and ending does not.** A step forward gives the new version to
+//! more nodes, so it must not be taken twice or on both sides of a network split: it needs an
+//! agreement of the voters, preceded by reports from more than half of the last agreed cluster
+//! size, none of which knows of an end (`Coordinator::check_quorum`). An end only withdraws the new
+//! version, and ending twice has the same effect as ending once: any node may end a rollout alone,
+//! and [`crate::Rollout::merge`] makes the end win everywhere.
 //!
-//! The conditions for the first stage are in `start.rs`, those for each further stage in
-//! `advance.rs`, one function for each rule.
+//! `start.rs` has the conditions for the first stage and `advance.rs` those for each further stage,
+//! one function for each rule.
 
 mod advance;
 mod follow;
@@ -29,42 +30,42 @@
 use crate::{MILLISECOND, Nanos, SECOND, splitmix64};
 use std::collections::BTreeMap;
 
-/// All nodes are polled once in this time, or in [`POLL_INTERVAL_PER_NODE`] for each of them if that
-/// is longer.
+/// Minimum time between two polls of all nodes.
 const POLL_INTERVAL: Nanos = 2 * SECOND;
-/// See [`POLL_INTERVAL`].
+/// Time between two polls for each node of the cluster; applies where the sum exceeds
+/// [`POLL_INTERVAL`].
 const POLL_INTERVAL_PER_NODE: Nanos = 5 * MILLISECOND;
-/// The number of nodes that was agreed on counts for this long against seeing fewer.
+/// How long the agreed cluster size remains the lower bound of the cluster size.
 const ELECTORATE_LIFETIME: Nanos = 3600 * SECOND;
 
-/// How far the nodes of a stage have come.
+/// Numbers of nodes by their progress in a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageCounts {
-    /// Present nodes that run the new version.
+    /// Number of present nodes that run the new version.
     pub running: usize,
-    /// Present nodes that the stage includes.
+    /// Number of present nodes that the stage includes.
     pub in_stage: usize,
-    /// Present nodes of the cluster.
+    /// Number of present nodes of the cluster.
     pub present: usize,
 }
 
-/// What nodes counted, by window.
+/// Samples of all nodes by window, each with the window's number.
 pub type Windows = Vec<(u64, Vec<WindowSample>)>;
 
-/// What is to be done next.
+/// The coordinator's next step for a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Nothing, and why.
+    /// Do nothing yet. Holds the reason.
     Wait(String),
-    /// The voters are to agree on this.
+    /// Have the voters agree on this proposal.
     Propose(Proposal),
-    /// A rollout is to end.
+    /// End a rollout.
     End {
-        /// The rollout.
+        /// The rollout that ends.
         rollout: RolloutId,
-        /// Its outcome.
+        /// The outcome to set.
         outcome: Outcome,
-        /// The reason.
+        /// The reason, as shown to operators.
         why: String,
     },
 }
@@ -79,33 +80,33 @@
     }
 }
 
-/// What the coordinator asks its node to do.
+/// An action that the coordinator requests of its node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoordinatorAction {
-    /// Send a message to the node of this key.
+    /// Send a message to the node with this key.
     Send(u64, RolloutMessage),
-    /// End a rollout.
+    /// End a rollout at once.
     End {
-        /// The rollout.
+        /// The rollout to end.
         rollout: RolloutId,
-        /// Its outcome.
+        /// The outcome that is set.
         outcome: Outcome,
-        /// The reason.
+        /// The reason, as shown to operators.
         why: String,
     },
-    /// The voters agreed on this.
+    /// Apply a proposal that the voters agreed on.
     Agreed(Proposal),
 }
 
-/// A node's last report, and the poll that it answers.
+/// A node's last report with the number of the poll that it answers.
 #[derive(Clone, Debug)]
 struct ReceivedReport {
     poll: u32,
     report: NodeReport,
 }
 
-/// The part of a voter: it keeps the metrics of the rollout in progress, and coordinates when it is its
-/// turn.
+/// A voter's state: the metrics of the rollout in progress, and the coordination of rollouts while
+/// this voter is the coordinator.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     me: u64,
@@ -113,43 +114,41 @@
     voters: Vec<u64>,
     /// The number of the last poll.
     poll: u32,
-    /// When it was sent.
+    /// When the last poll was sent.
     polled: Nanos,
-    /// The last report of each node, by key.
+    /// The last report of each node, by the node's key.
     reports: BTreeMap<u64, ReceivedReport>,
-    /// The round of voting that runs.
+    /// The round of voting in progress.
     round: Option<PaxosRound>,
-    /// The highest ballot that was seen.
+    /// The highest ballot seen so far.
     highest: Ballot,
-    /// No round begins before this.
+    /// The earliest time for the next round.
     not_before: Nanos,
-    /// The last agreement that is known here.
+    /// The number of the last agreement known to this node.
     agreement: u64,
-    /// Since when it is known here.
+    /// When this node learned of the last agreement.
     since: Nanos,
-    /// The next rollout, and since when it is known here.
+    /// The next rollout, and when this node learned of it.
     offered: Option<(RolloutId, Nanos)>,
-    /// Since when no node of the stage is present.
-    deserted: Option<Nanos>,
-    /// The metrics of the rollout in progress, or of the last one.
+    /// Since when no node of the stage has been present.
+    stage_empty_since: Option<Nanos>,
+    /// The metrics of the rollout in progress, or of the last rollout.
     metrics: Option<CohortMetrics>,
-    /// The next window that is wanted.
-    counted: u64,
-    /// The last analysis.
+    /// The next window to record.
+    next_window: u64,
     analysis: Option<AnalysisResult>,
-    /// What it waits for, in words.
+    /// What the rollout waits for, as shown to operators.
     line: String,
-    /// The method of analysis.
     method: AnalysisMethod,
-    /// Names of operations by number.
+    /// Names of operations, by number.
     names: BTreeMap<u32, String>,
-    /// Nodes that the metrics keep apart at either end.
-    room: usize,
-    /// Latencies that are never slow, by operation, in tenths of a millisecond.
+    /// Number of nodes that the metrics keep separate at each end of the order of nodes.
+    max_nodes: usize,
+    /// Latencies that are never counted as slow, by operation, in units of 0.1 ms.
     fast_enough: BTreeMap<u32, u32>,
 }
 
-/// What a step is decided by.
+/// The inputs of a decision on the next step.
 struct StepInputs<'a> {
     now: Nanos,
     unix_ms: u64,
@@ -159,14 +158,14 @@
 }
 
 impl Coordinator {
-    /// The part of this node among these voters, in the order in which they coordinate.
+    /// Creates the voter state of node `me`; `voters` is in order of precedence as coordinator.
     pub fn new(now: Nanos, me: u64, kind: Kind, voters: Vec<u64>) -> Coordinator {
         Coordinator {
             me,
             kind,
             voters,
-            // Answers to an earlier coordinator under the same name must not be taken for answers to
-            // this one.
+            // A hashed start keeps reports to an earlier process of the same node from being taken
+            // for answers to this coordinator's polls.
             poll: (splitmix64(me ^ now) as u32) & 0x0fff_ffff,
             polled: 0,
             reports: BTreeMap::new(),
@@ -176,43 +175,43 @@
             agreement: 0,
             since: now,
             offered: None,
-            deserted: None,
+            stage_empty_since: None,
             metrics: None,
-            counted: 0,
+            next_window: 0,
             analysis: None,
             line: String::new(),
             method: AnalysisMethod::Nodes,
             names: BTreeMap::new(),
-            room: MAX_NODES_EACH_END,
+            max_nodes: MAX_NODES_EACH_END,
             fast_enough: BTreeMap::new(),
         }
     }
 
-    /// Analysed by another method, to compare.
+    /// Sets the method of analysis; used to compare methods.
     pub fn with_method(mut self, method: AnalysisMethod) -> Coordinator {
         self.method = method;
         self
     }
 
-    /// Names of operations, for reasons that people read.
+    /// Sets the names of operations that are shown in reasons.
     pub fn with_names(mut self, names: BTreeMap<u32, String>) -> Coordinator {
         self.names = names;
         self
     }
 
-    /// Keeps this many nodes apart at either end in its metrics.
+    /// Sets how many nodes the metrics keep separate at each end of the order of nodes.
     pub fn with_capacity(mut self, nodes: usize) -> Coordinator {
-        self.room = nodes;
+        self.max_nodes = nodes;
         self
     }
 
-    /// Latencies that are fast enough for any client, by operation, in tenths of a millisecond.
+    /// Sets the latencies that are never counted as slow, by operation, in units of 0.1 ms.
     pub fn with_fast_enough(mut self, fast_enough: BTreeMap<u32, u32>) -> Coordinator {
         self.fast_enough = fast_enough;
         self
     }
 
-    /// Replaces the voters.
+    /// Replaces the voters; a change gives up the round of voting in progress.
     pub fn set_voters(&mut self, voters: Vec<u64>) {
         if voters != self.voters {
             self.voters = voters;
@@ -220,39 +219,39 @@
         }
     }
 
-    /// Whether this node is a voter, and keeps metrics.
+    /// Returns whether this node is a voter and so keeps metrics.
     pub fn is_voter(&self) -> bool {
         self.voters.contains(&self.me)
     }
 
-    /// Whether it is this node's turn: the first present voter coordinates.
+    /// Returns whether this node is the coordinator: the first present voter coordinates.
     pub fn is_coordinating(&self, members: &[Member]) -> bool {
         self.acting_coordinator(members) == Some(self.me)
     }
 
-    /// The key of the coordinator, as far as this node sees.
+    /// Returns the key of the coordinator in this node's view of the cluster.
     pub fn acting_coordinator(&self, members: &[Member]) -> Option<u64> {
         let is_present =
             |node: u64| node == self.me || members.iter().any(|m| m.node == node && m.present);
         self.voters.iter().copied().find(|node| is_present(*node))
     }
 
-    /// The metrics of the rollout in progress, or of the last one.
+    /// Returns the metrics of the rollout in progress, or of the last rollout.
     pub fn metrics(&self) -> Option<&CohortMetrics> {
         self.metrics.as_ref()
     }
 
-    /// The last analysis.
+    /// Returns the last analysis; `None` before the first one of a stage.
     pub fn analysis(&self) -> Option<&AnalysisResult> {
         self.analysis.as_ref()
     }
 
-    /// What it waits for.
+    /// Returns what the rollout waits for; empty if it waits for nothing.
     pub fn line(&self) -> &str {
         &self.line
     }
 
-    /// A node's last report.
+    /// Returns a node's last report.
     pub fn report(&self, node: u64) -> Option<&NodeReport> {
         self.reports.get(&node).map(|received| &received.report)
     }
@@ -261,12 +260,13 @@
         self.poll.wrapping_sub(received.poll) <= 1
     }
 
-    /// Takes up a node's answer to a poll.
+    /// Records a node's answer to a poll.
     pub fn handle_report(&mut self, from: u64, poll: u32, report: NodeReport) {
         self.reports.insert(from, ReceivedReport { poll, report });
     }
 
-    /// Does what is due; to be called a few times a second.
+    /// Performs due work: polls, decisions and rounds of voting. Must be called a few times a
+    /// second. `windows` returns the samples recorded before a rollout began.
     pub fn wake(
         &mut self,
         now: Nanos,
@@ -316,7 +316,7 @@
         actions
     }
 
-    /// Polls all present nodes if it is time to, and forgets the reports of those that are gone.
+    /// Polls all present nodes if a poll is due, and drops the reports of nodes that left.
     fn poll_members(
         &mut self,
         now: Nanos,
@@ -334,8 +334,8 @@
             stage: rollout.progress.stage,
             outcome: rollout.outcome,
         };
-        let is_known = |node: &u64| members.iter().any(|member| member.node == *node);
-        self.reports.retain(|node, _| is_known(node));
+        let is_member = |node: &u64| members.iter().any(|member| member.node == *node);
+        self.reports.retain(|node, _| is_member(node));
         members
             .iter()
             .filter(|member| member.present)
@@ -343,8 +343,8 @@
             .collect()
     }
 
-    /// How many nodes the cluster is taken to have: those that are known, and no fewer than were agreed
-    /// on lately.
+    /// Returns the assumed cluster size: the number of known members, and at least the size that
+    /// was agreed on within [`ELECTORATE_LIFETIME`].
     fn cluster_size(&self, now: Nanos, rollouts: &RolloutTable, members: &[Member]) -> u32 {
         let agreed = rollouts
             .head(self.kind)
@@ -352,7 +352,7 @@
         (members.len() as u32).max(agreed.map_or(0, |head| head.progress.cluster_size))
     }
 
-    /// Reports about a rollout that answer one of the last two polls.
+    /// Returns the reports on a rollout that answer one of the last two polls.
     fn fresh_reports(&self, rollout: RolloutId) -> impl Iterator<Item = (u64, &NodeReport)> {
         let received = self
             .reports
@@ -389,7 +389,7 @@
         }
     }
 
-    /// How far the nodes of the stage have come, by their last reports.
+    /// Counts the nodes of the stage by their last reports.
     pub fn stage_counts(&self, rollout: &Rollout, members: &[Member]) -> StageCounts {
         let is_in = |member: &&Member| {
             member.present
--- a/crates/rollout/src/coordinator/advance.rs
+++ b/crates/rollout/src/coordinator/advance.rs
@@ -1,4 +1,4 @@
-//! Whether the stage that runs has shown enough for the next one.
+//! The rules by which a rollout in progress advances to its next stage, waits or ends.
 
 use super::{Coordinator, ReceivedReport, Step, StepInputs};
 use crate::canary_analysis::{self, CrashCounts, Verdict};
@@ -9,23 +9,23 @@
 use crate::stages::{Stage, seconds};
 use crate::{Nanos, SECOND};
 
-/// Crashes are counted by windows of about this length.
+/// Unit of the time over which crashes are counted; equals the 10 s windows of the analysis.
 const CRASH_WINDOW: Nanos = 10 * SECOND;
-/// Nodes of a stage that all left are replaced by others after this.
+/// How long a stage whose nodes have all left waits before other nodes replace them.
 const REPLACE_DEPARTED_AFTER: Nanos = 30 * SECOND;
-/// Without a baseline cohort, a share of successes lower than before by more than this halts the
-/// rollout.
+/// Without a baseline cohort, a drop in the share of successful requests by more than this halts
+/// the rollout.
 const COLLAPSE_MARGIN: f64 = 0.3;
-/// Requests before and after that this comparison needs at least.
+/// Minimum number of requests before and since the rollout began for that comparison.
 const COLLAPSE_MIN_REQUESTS: u64 = 200;
 
-/// What the analysis of a stage came to, with its figures in a line.
+/// The verdict of a stage's analysis, with its figures as one line of text.
 struct StageVerdict {
     verdict: Verdict,
     line: String,
 }
 
-/// The present nodes that the stage includes.
+/// Returns the present nodes that the stage includes.
 fn present_in_stage<'a>(inputs: &StepInputs<'a>, rollout: &Rollout) -> Vec<&'a Member> {
     let includes = |member: &&Member| {
         member.present
@@ -36,8 +36,8 @@
     inputs.members.iter().filter(includes).collect()
 }
 
-/// Rule: a stage lasts its least duration.
-fn least_duration_not_over(stage: &Stage, elapsed: Nanos) -> Option<String> {
+/// Rule: a stage lasts at least its minimum duration.
+fn min_duration_not_over(stage: &Stage, elapsed: Nanos) -> Option<String> {
     (elapsed < stage.min_duration).then(|| {
         format!(
             "{} of {} have passed",
@@ -47,15 +47,16 @@
     })
 }
 
-/// Rule: something was counted.
-fn nothing_counted(verdict: &Option<StageVerdict>) -> Option<String> {
+/// Rule: metrics have been recorded.
+fn no_metrics(verdict: &Option<StageVerdict>) -> Option<String> {
     verdict
         .is_none()
-        .then(|| "nothing is counted yet".to_owned())
+        .then(|| "no metrics are recorded yet".to_owned())
 }
 
-/// Rule: the analysis found the stage fine. Where too little comes to tell, time must do: nothing
-/// has shown harm in all of the longest duration. Without a baseline cohort it does not apply.
+/// Rule: the analysis found the stage fine. Where there is too little traffic for that, it suffices
+/// that nothing showed harm throughout the maximum duration. The rule does not apply without a
+/// baseline cohort.
 fn analysis_not_done(
     verdict: Option<StageVerdict>,
     has_baseline: bool,
@@ -71,7 +72,7 @@
 }
 
 impl Coordinator {
-    /// Crashes on trial, and of the other nodes, in this stage.
+    /// Counts the crashes in this stage, on trial and at the other nodes.
     fn crash_counts(&self, inputs: &StepInputs<'_>, rollout: &Rollout) -> CrashCounts {
         let mut crashes = [0, 0];
         let is_on_trial = |report: &NodeReport| {
@@ -91,8 +92,7 @@
                 }
                 () if !is_present && is_on_trial(report) => crashes[0] += 1,
                 () if !is_present => crashes[1] += 1,
-                // It runs what it ran before, and has done so since it started: after the stage
-                // began.
+                // The node runs the base version and started after the stage began: it crashed.
                 () if report.running == rollout.base
                     && report.since_ms > rollout.progress.at_ms =>
                 {
@@ -114,9 +114,9 @@
         }
     }
 
-    /// The next step of the rollout in progress. The rules, in their order: an end that a node
-    /// reports, harm, quorum, nodes in the stage, all of them on the new version, the least
-    /// duration, the analysis; past the longest duration the rollout is halted.
+    /// Decides the next step of the rollout in progress. The rules in order: rejection by a node,
+    /// harm, quorum, nodes in the stage, all of these on the new version, the minimum duration, the
+    /// analysis. Past the maximum duration the rollout is halted.
     pub(super) fn step_in_progress(&mut self, inputs: &StepInputs<'_>, rollout: &Rollout) -> Step {
         if let Some(why) = self.rejection(rollout) {
             return Step::end(rollout, Outcome::RolledBack, why);
@@ -140,26 +140,26 @@
         if in_stage.is_empty() {
             return self.step_without_nodes(inputs, rollout, stage);
         }
-        self.deserted = None;
+        self.stage_empty_since = None;
         let elapsed = self.stage_elapsed(inputs);
         let has_baseline = self.has_baseline_nodes(inputs, rollout);
-        let waits = self
+        let wait_reason = self
             .not_running_yet(rollout, &in_stage)
-            .or_else(|| least_duration_not_over(stage, elapsed))
-            .or_else(|| nothing_counted(&verdict))
+            .or_else(|| min_duration_not_over(stage, elapsed))
+            .or_else(|| no_metrics(&verdict))
             .or_else(|| analysis_not_done(verdict, has_baseline, stage, elapsed));
-        match waits {
+        match wait_reason {
             Some(why) if elapsed > stage.max_duration => Step::end(
                 rollout,
                 Outcome::Halted,
                 format!(
-                    "stage {number} came to no judgement in {}: {why}",
+                    "stage {number} had no verdict after {}: {why}",
                     seconds(stage.max_duration)
                 ),
             ),
             Some(why) => Step::Wait(why),
-            // Nobody is left to compare with: what was before must do.
-            None if !has_baseline => match self.collapsed() {
+            // No baseline node is left, so the time before the rollout is compared instead.
+            None if !has_baseline => match self.success_collapse() {
                 Some(why) => Step::end(rollout, Outcome::Halted, why),
                 None => self.propose(inputs, rollout, false),
             },
@@ -167,12 +167,12 @@
         }
     }
 
-    /// Time since the last agreement became known here.
+    /// Returns the time since this node learned of the last agreement, in nanoseconds.
     fn stage_elapsed(&self, inputs: &StepInputs<'_>) -> Nanos {
         inputs.now - self.since.min(inputs.now)
     }
 
-    /// Analyses the stage by the metrics so far; none while there are no metrics.
+    /// Analyses the stage by the metrics recorded so far; `None` without metrics.
     fn analyse_stage(
         &mut self,
         inputs: &StepInputs<'_>,
@@ -191,8 +191,9 @@
         verdict
     }
 
-    /// No node of the stage is present. Lost ones may run the new version all the same: only those
-    /// that left are replaced, so that no more nodes run it than the stage allows.
+    /// Decides the next step while no node of the stage is present. A lost node may still run the
+    /// new version: only nodes that left are replaced, so that no more nodes run it than the stage
+    /// allows.
     fn step_without_nodes(
         &mut self,
         inputs: &StepInputs<'_>,
@@ -203,26 +204,26 @@
             let progress = &rollout.progress;
             !member.present && progress.includes(rollout.id, member.node, member.zone)
         });
-        let since = *self.deserted.get_or_insert(inputs.now);
+        let since = *self.stage_empty_since.get_or_insert(inputs.now);
         if self.stage_elapsed(inputs) > stage.max_duration {
             let why = format!(
-                "no node of stage {} was there for {}",
+                "no node of stage {} was present for {}",
                 rollout.progress.stage,
                 seconds(stage.max_duration)
             );
             return Step::end(rollout, Outcome::Halted, why);
         }
         if is_any_lost {
-            return Step::Wait("the nodes of its stage are lost".into());
+            return Step::Wait("the nodes of the stage are lost".into());
         }
         if inputs.now > since + REPLACE_DEPARTED_AFTER {
             return self.propose(inputs, rollout, true);
         }
-        Step::Wait("the nodes of its stage left".into())
+        Step::Wait("the nodes of the stage have left".into())
     }
 
-    /// Rule: each present node of the stage has lately reported to run the new version, or to have
-    /// given it up after its crashes.
+    /// Rule: each present node of the stage has recently reported that it runs the new version, or
+    /// that it gave the version up after [`MAX_CRASHES`] crashes.
     fn not_running_yet(&self, rollout: &Rollout, in_stage: &[&Member]) -> Option<String> {
         let runs = |report: &NodeReport| {
             report.rollout == rollout.id
@@ -241,7 +242,7 @@
         ))
     }
 
-    /// Whether any present node is known to run the version that is replaced.
+    /// Returns whether any present node has reported that it runs the base version.
     fn has_baseline_nodes(&self, inputs: &StepInputs<'_>, rollout: &Rollout) -> bool {
         inputs.members.iter().any(|member| {
             let runs_base = |received: &ReceivedReport| received.report.running == rollout.base;
@@ -256,9 +257,9 @@
             .unwrap_or_else(|| format!("{operation:08x}"))
     }
 
-    /// Why the rollout goes no further if much less succeeds at the canary cohort than before: the
-    /// rule for stages without a baseline cohort.
-    fn collapsed(&self) -> Option<String> {
+    /// Rule for stages without a baseline cohort: the share of successful requests at the canary
+    /// cohort has not dropped by more than [`COLLAPSE_MARGIN`]. Returns why the rollout halts.
+    fn success_collapse(&self) -> Option<String> {
         let metrics = self.metrics.as_ref()?;
         let (mut before, mut after) = ([0, 0], [0, 0]);
         for (_, node) in metrics.cohort(Cohort::Canary) {
@@ -272,10 +273,10 @@
         if before[1] < COLLAPSE_MIN_REQUESTS || after[1] < COLLAPSE_MIN_REQUESTS {
             return None;
         }
-        let share = |of: [u64; 2]| of[0] as f64 / of[1] as f64;
+        let share = |counts: [u64; 2]| counts[0] as f64 / counts[1] as f64;
         (share(after) < share(before) - COLLAPSE_MARGIN).then(|| {
             format!(
-                "{:.0} % succeed with nobody left to compare with, {:.0} % did before",
+                "{:.0} % succeed with no old node left to compare with, {:.0} % did before",
                 share(after) * 100.0,
                 share(before) * 100.0
             )
--- a/crates/rollout/src/coordinator/follow.rs
+++ b/crates/rollout/src/coordinator/follow.rs
@@ -1,4 +1,4 @@
-//! The metrics that a voter keeps of the rollout in progress, and since when its stage runs.
+//! Keeps a voter's metrics of the rollout in progress and the start time of its stage up to date.
 
 use super::{Coordinator, Windows};
 use crate::Nanos;
@@ -7,22 +7,24 @@
 use crate::rollout_table::RolloutTable;
 
 impl Coordinator {
-    /// The next window whose counts are wanted; none while no rollout is in progress here.
+    /// Returns the next window to record; `None` while no rollout is in progress or this node is
+    /// not a voter.
     pub fn next_wanted_window(&self, rollouts: &RolloutTable) -> Option<u64> {
-        let begun =
+        let records =
             rollouts.in_progress(self.kind).is_some() && self.metrics.is_some() && self.is_voter();
-        begun.then_some(self.counted)
+        records.then_some(self.next_window)
     }
 
-    /// Takes up what nodes counted in a window that has ended.
+    /// Records the nodes' samples of a window that has ended. Windows already recorded are ignored.
     pub fn record_window(&mut self, window: u64, samples: &[WindowSample]) {
-        if let Some(metrics) = self.metrics.as_mut().filter(|_| window >= self.counted) {
+        if let Some(metrics) = self.metrics.as_mut().filter(|_| window >= self.next_window) {
             metrics.record_window(window, samples);
-            self.counted = window + 1;
+            self.next_window = window + 1;
         }
     }
 
-    /// Takes up what is known now; if a rollout has begun, the windows before it are asked for.
+    /// Follows the rollout table: notes new agreements and offers, and when a rollout has begun
+    /// starts its metrics with the windows recorded before it, as returned by `windows`.
     pub(super) fn follow_rollout(
         &mut self,
         now: Nanos,
@@ -32,7 +34,7 @@
         let agreement = last_agreement(rollouts, self.kind);
         if agreement != self.agreement {
             (self.agreement, self.since) = (agreement, now);
-            (self.deserted, self.analysis) = (None, None);
+            (self.stage_empty_since, self.analysis) = (None, None);
         }
         let next = rollouts.next(self.kind).map(|rollout| rollout.id);
         if self.offered.map(|(id, _)| id) != next {
@@ -47,14 +49,14 @@
             .is_none_or(|metrics| metrics.rollout != rollout.id)
         {
             let mut metrics = CohortMetrics::new(rollout.id, rollout.version, rollout.base)
-                .with_capacity(self.room)
+                .with_capacity(self.max_nodes)
                 .with_fast_enough(self.fast_enough.clone());
             let windows = windows();
-            self.counted = windows
+            self.next_window = windows
                 .iter()
                 .map(|(window, _)| window + 1)
                 .max()
-                .unwrap_or(self.counted);
+                .unwrap_or(self.next_window);
             metrics.begin(&windows);
             self.metrics = Some(metrics);
         }
--- a/crates/rollout/src/coordinator/start.rs
+++ b/crates/rollout/src/coordinator/start.rs
@@ -1,5 +1,5 @@
-//! Whether a rollout that was offered may begin its first stage, and the rules that the first and
-//! the later stages share: quorum, rejection, proposal.
+//! The rules by which an offered rollout begins its first stage, and the rules that the first and
+//! later stages share: quorum, rejection, proposal.
 
 use super::{Coordinator, Step, StepInputs};
 use crate::node_report::NodeStatus;
@@ -9,38 +9,39 @@
 use crate::stages::{NextAgreement, Progress};
 use crate::{Nanos, SECOND};
 
-/// A rollout begins without the nodes that have not staged it after this.
+/// How long a rollout waits for all nodes to stage it before it begins without the rest.
 const STRAGGLER_WAIT: Nanos = 60 * SECOND;
-/// A rollout whose content most nodes could not get within this is rejected: the node that offered
-/// it is gone.
+/// How long most nodes may fail to stage a rollout before it is rejected: its content may be lost
+/// together with the node that offered it.
 const CONTENT_LOST_AFTER: Nanos = 180 * SECOND;
 
 impl Coordinator {
-    /// Rejects a rollout that can't begin any more, for a version as new is in force or in progress.
+    /// Rejects an offered rollout that can no longer begin because a version at least as new is in
+    /// force or in progress.
     pub(super) fn reject_superseded(&self, rollouts: &RolloutTable) -> Option<Step> {
-        let ahead = rollouts.in_progress(self.kind).or_else(|| {
-            let done = rollouts.iter().filter(|rollout| {
+        let newer = rollouts.in_progress(self.kind).or_else(|| {
+            let completed = rollouts.iter().filter(|rollout| {
                 rollout.kind == self.kind && rollout.outcome == Outcome::Completed
             });
-            done.max_by_key(|rollout| rollout.progress.agreement)
+            completed.max_by_key(|rollout| rollout.progress.agreement)
         })?;
-        let late = rollouts.iter().find(|rollout| {
-            let waits = rollout.kind == self.kind
+        let superseded = rollouts.iter().find(|rollout| {
+            let is_waiting = rollout.kind == self.kind
                 && rollout.outcome == Outcome::InProgress
                 && rollout.progress.agreement == 0;
-            waits && rollout.version.number <= ahead.version.number
+            is_waiting && rollout.version.number <= newer.version.number
         })?;
-        let word = if ahead.outcome == Outcome::Completed {
+        let state = if newer.outcome == Outcome::Completed {
             "in force"
         } else {
             "under way"
         };
-        let why = format!("version {} is {word}, change {}", ahead.version, ahead.id);
-        Some(Step::end(late, Outcome::Rejected, why))
+        let why = format!("version {} is {state}, change {}", newer.version, newer.id);
+        Some(Step::end(superseded, Outcome::Rejected, why))
     }
 
-    /// Rule: more than half of the cluster has reported lately, and none of these nodes knows of an
-    /// end; or why the rollout waits.
+    /// Rule: more than half of the cluster has reported recently, and none of these nodes knows
+    /// that the rollout has ended. Otherwise returns why the rollout waits.
     pub(super) fn check_quorum(
         &self,
         inputs: &StepInputs<'_>,
@@ -58,14 +59,14 @@
             .find(|(_, report)| report.outcome > rollout.outcome)
         {
             return Err(format!(
-                "node {node:016x} knows that it is {}",
+                "node {node:016x} reports that the rollout is {}",
                 report.outcome.display_name()
             ));
         }
         Ok(())
     }
 
-    /// Rule: no node rejects the version; or how many do, and why.
+    /// Rule: no node rejects the version. Otherwise returns how many nodes do and the first reason.
     pub(super) fn rejection(&self, rollout: &Rollout) -> Option<String> {
         let mut nodes = self
             .fresh_reports(rollout.id)
@@ -77,12 +78,12 @@
             &first.why
         };
         Some(match nodes.count() {
-            0 => format!("one node turns it down: {why}"),
-            more => format!("{} nodes turn it down, one of them: {why}", more + 1),
+            0 => format!("one node rejects it: {why}"),
+            more => format!("{} nodes reject it, one of them: {why}", more + 1),
         })
     }
 
-    /// Proposes the next stage, or with `again` the same stage with other nodes.
+    /// Proposes the next stage, or the same stage with other nodes if `again` is set.
     pub(super) fn propose(&self, inputs: &StepInputs<'_>, rollout: &Rollout, again: bool) -> Step {
         let nodes: Vec<(u64, u32)> = inputs
             .members
@@ -90,8 +91,8 @@
             .filter(|member| member.present)
             .map(|member| (member.node, member.zone))
             .collect();
-        // What is agreed on is the cluster that is present: those that were lost long ago do not hold
-        // the next ones up.
+        // The agreed cluster size counts present nodes only, so that nodes lost long ago do not
+        // hold up later stages.
         let next = NextAgreement {
             rollout: rollout.id,
             plan: &rollout.plan,
@@ -114,13 +115,13 @@
                     progress,
                 })
             }
-            None => Step::Wait("there is no stage after this one".into()),
+            None => Step::Wait("the plan has no further stage".into()),
         }
     }
 
-    /// The next step of an offered rollout. The rules, in their order: its version is newer than
-    /// what is in force, no node rejects it, quorum, staged at enough nodes, no halted rollout
-    /// is in its way.
+    /// Decides the next step of an offered rollout. The rules in order: its version is newer than
+    /// the promoted ones, no node rejects it, quorum, it is staged at enough nodes, no halted
+    /// rollout remains.
     pub(super) fn step_before_start(&self, inputs: &StepInputs<'_>, rollout: &Rollout) -> Step {
         if let Some(why) = self.outdated(rollout) {
             return Step::end(rollout, Outcome::Rejected, why);
@@ -134,37 +135,38 @@
         if let Some(step) = self.not_staged(inputs, rollout) {
             return step;
         }
-        // What was halted and not rolled back is rolled back now: there is one base to go out from.
+        // A halted rollout is rolled back first, so that all nodes start from the same base
+        // version.
         let halted = inputs
             .rollouts
             .iter()
             .find(|c| c.kind == self.kind && c.outcome == Outcome::Halted);
         if let Some(halted) = halted {
-            let why = format!("change {} begins in its place", rollout.id);
+            let why = format!("change {} replaces it", rollout.id);
             return Step::end(halted, Outcome::RolledBack, why);
         }
         self.propose(inputs, rollout, false)
     }
 
-    /// Rule: the version is newer than any that a node has promoted.
+    /// Rule: the version is newer than every version that a node has promoted.
     fn outdated(&self, rollout: &Rollout) -> Option<String> {
-        let good = self
+        let promoted = self
             .fresh_reports(rollout.id)
             .map(|(_, report)| report.promoted)
             .max()
             .unwrap_or_default();
-        (rollout.version.number <= good.number)
-            .then(|| format!("version {good} is in force at some nodes"))
+        (rollout.version.number <= promoted.number)
+            .then(|| format!("version {promoted} is in force at some nodes"))
     }
 
-    /// Rule: it is staged at all present nodes, or after [`STRAGGLER_WAIT`] at more than half of the
-    /// cluster. After [`CONTENT_LOST_AFTER`] at fewer it is rejected.
+    /// Rule: the version is staged at all present nodes, or after [`STRAGGLER_WAIT`] at more than
+    /// half of the cluster. A rollout staged at fewer after [`CONTENT_LOST_AFTER`] is rejected.
     fn not_staged(&self, inputs: &StepInputs<'_>, rollout: &Rollout) -> Option<Step> {
         let staged = self
             .fresh_reports(rollout.id)
             .filter(|(_, report)| report.status >= NodeStatus::Staged)
             .count();
-        let there = inputs
+        let present = inputs
             .members
             .iter()
             .filter(|member| member.present)
@@ -174,10 +176,10 @@
                 .is_some_and(|(_, since)| inputs.now > since + time)
         };
         let is_minority = staged as u32 * 2 <= inputs.cluster_size;
-        if (staged >= there || is_offered_for(STRAGGLER_WAIT)) && !is_minority {
+        if (staged >= present || is_offered_for(STRAGGLER_WAIT)) && !is_minority {
             return None;
         }
-        let why = format!("it is staged at {staged} of {there} nodes");
+        let why = format!("it is staged at {staged} of {present} nodes");
         Some(if is_offered_for(CONTENT_LOST_AFTER) && is_minority {
             let why = format!("{why}, and its content may be lost");
             Step::end(rollout, Outcome::Rejected, why)
--- a/crates/rollout/src/coordinator/voting.rs
+++ b/crates/rollout/src/coordinator/voting.rs
@@ -6,11 +6,11 @@
 use crate::paxos::{Ballot, PaxosReply, PaxosRequest, PaxosRound, Proposal, RoundStep};
 use crate::{MILLISECOND, Nanos, splitmix64};
 
-/// A round of voting that failed is followed by the next one after this, and up to as much again.
+/// Minimum pause after a failed round of voting; a random part of the same length is added.
 const ROUND_BACKOFF: Nanos = 500 * MILLISECOND;
 
 impl Coordinator {
-    /// Takes up a voter's reply.
+    /// Handles a voter's reply to the round in progress; other replies are ignored.
     pub fn handle_paxos_reply(
         &mut self,
         now: Nanos,
@@ -47,12 +47,12 @@
             .collect()
     }
 
-    /// Gives the round up, and waits for a while.
+    /// Gives up the round and sets the earliest time of the next one.
     pub(super) fn give_up(&mut self, now: Nanos) {
         self.round = None;
-        // Two coordinators at once must not go on disturbing each other.
-        let part = splitmix64(self.me ^ now) % ROUND_BACKOFF;
-        self.not_before = now + ROUND_BACKOFF + part;
+        // The random part keeps two coordinators from interrupting each other's rounds forever.
+        let jitter = splitmix64(self.me ^ now) % ROUND_BACKOFF;
+        self.not_before = now + ROUND_BACKOFF + jitter;
     }
 
     /// Begins a round of voting on a proposal.
@@ -62,13 +62,16 @@
             by: self.me,
         };
         self.highest = ballot;
-        self.line = format!("has stage {} agreed on", proposal.progress.stage);
+        self.line = format!(
+            "voters are asked to agree on stage {}",
+            proposal.progress.stage
+        );
         let (round, request) = PaxosRound::begin(now, ballot, proposal, self.voters.len());
         self.round = Some(round);
         self.request_all_voters(&request)
     }
 
-    /// Rule: more than half of the voters are present, or why the rollout waits.
+    /// Rule: more than half of the voters are present. Otherwise returns why the rollout waits.
     pub(super) fn check_voters(&self, members: &[Member]) -> Result<(), String> {
         let is_present = |node: u64| {
             node == self.me
@@ -80,7 +83,7 @@
         let (present, all) = (voters.count(), self.voters.len());
         if present * 2 <= all {
             return Err(format!(
-                "{present} of {all} arbiters are there, more than half are needed"
+                "{present} of {all} arbiters are present, more than half are needed"
             ));
         }
         Ok(())
--- a/crates/rollout/src/host.rs
+++ b/crates/rollout/src/host.rs
@@ -1,5 +1,5 @@
-//! What a node's part in rollouts asks of its embedder. No call may block: what takes time is answered
-//! by a method of [`crate::NodeAgent`] or [`crate::Participant`].
+//! The interface between a node agent and its embedder. No call may block: the result of a slow
+//! operation is reported by calling a method of [`crate::NodeAgent`] or [`crate::Participant`].
 
 use crate::cohort_metrics::WindowSample;
 use crate::identifiers::{RolloutId, Version};
@@ -8,35 +8,37 @@
 use crate::node_report::NodeReport;
 use crate::persisted_state::PersistedState;
 
-/// Side effects and views of the cluster that a node agent may ask for.
+/// Side effects of a node agent, and its view of the cluster.
 pub trait Host {
-    /// Sends to the node of this key.
+    /// Sends a message to the node with this key. The message may be lost.
     fn send(&mut self, to: u64, message: RolloutMessage);
     /// Writes a line to the log.
     fn log(&mut self, line: &str);
-    /// Some other present nodes, drawn at random.
+    /// Returns the keys of up to `most` other present nodes, chosen at random.
     fn random_peers(&mut self, most: usize) -> Vec<u64>;
-    /// A present node that shows another digest of rollouts, if there is one.
+    /// Returns a present node whose report has a digest of rollouts other than `digest`, if any.
     fn peer_with_other_digest(&mut self, digest: u64) -> Option<u64>;
-    /// Puts the report on the node's membership entry.
+    /// Attaches the report to the node's membership entry.
     fn show(&mut self, report: &NodeReport);
-    /// Checks a version by its content; answered by [`crate::NodeAgent::check_finished`].
+    /// Checks whether this node can run a version. The result goes to
+    /// [`crate::NodeAgent::check_finished`].
     fn check(&mut self, rollout: RolloutId, version: Version, content: Option<Vec<u8>>);
-    /// Writes the persisted state, and a content with it; contents that are not needed any more may go.
-    /// Answered by [`crate::NodeAgent::persist_finished`].
+    /// Writes the persisted state, together with a content if one is given. Contents that are no
+    /// longer needed may be deleted. The result goes to [`crate::NodeAgent::persist_finished`].
     fn persist(
         &mut self,
         write: u64,
         persisted: &PersistedState,
         content: Option<(Version, Vec<u8>)>,
     );
-    /// Runs this version from here on; answered by [`crate::NodeAgent::apply_finished`].
+    /// Switches the node to this version. The result goes to [`crate::NodeAgent::apply_finished`].
     fn apply(&mut self, version: Version);
-    /// The cluster as this node sees it, itself included.
+    /// Returns the members of the cluster in this node's view, including itself.
     fn members(&mut self) -> Vec<Member>;
-    /// Checks a content that an operator offers, or a program's version; answered by
-    /// [`crate::Participant::offer_checked`]. A host that takes no commands is never asked.
+    /// Checks a content that an operator offers, or a version of the program. The result goes to
+    /// [`crate::Participant::offer_checked`]. Not called on a host that takes no operator commands.
     fn check_offer(&mut self, _check: u64, _version: Option<Version>, _content: Option<Vec<u8>>) {}
-    /// What all nodes counted in these windows, as far as it is known here.
+    /// Returns the samples of all nodes in these windows (both bounds included), as far as this
+    /// node has them.
     fn windows(&mut self, from: u64, until: u64) -> Vec<(u64, Vec<WindowSample>)>;
 }
--- a/crates/rollout/src/host_error.rs
+++ b/crates/rollout/src/host_error.rs
@@ -1,13 +1,13 @@
-//! Why a host could not do what it was asked to.
+//! The error of a host operation.
 
-/// Why a check, a write or a swap of versions failed. Its text becomes part of reasons that are
-/// agreed on, stored and shown, so that it is text whatever the host's own error was.
+/// Why a check, a write or a switch of versions failed. The text becomes part of rollout reasons
+/// that are sent, stored and shown, so the host's own error is kept only as text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct HostError(String);
 
 impl HostError {
-    /// The error with this text.
+    /// Creates an error with this text.
     pub fn new(reason: impl Into<String>) -> HostError {
         HostError(reason.into())
     }
--- a/crates/rollout/src/identifiers.rs
+++ b/crates/rollout/src/identifiers.rs
@@ -1,14 +1,13 @@
-//! What a rollout and its versions are called: shared by the rollout itself, its plan and its
-//! messages.
+//! Identifiers of rollouts and versions, shared by the rollout, its plan and its messages.
 
 use std::fmt;
 
-/// A version of the settings or of the program: two nodes run the same one if both numbers agree.
+/// A version of the settings or of the program. Versions are the same if number and hash are equal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Version {
-    /// The number; it rises with each version.
+    /// The version number; each later version has a higher one.
     pub number: u64,
-    /// The first bytes of a hash of its content.
+    /// The first 8 bytes of a hash of the version's content.
     pub hash: u64,
 }
 
@@ -18,7 +17,7 @@
     }
 }
 
-/// Identifies one rollout; drawn from its version, the offering node and the time of the offer.
+/// Identifies one rollout; derived from its version, the offering node and the time of the offer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RolloutId(pub u64);
 
@@ -28,12 +27,12 @@
     }
 }
 
-/// What a rollout changes.
+/// The subject of a rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Kind {
-    /// Our settings: the file's text is spread by the nodes.
+    /// The settings: the nodes send the text of the file to each other.
     #[default]
     Settings,
-    /// The program: its directory is laid on each machine by others.
+    /// The program: its directory is installed on each machine by means outside of the cluster.
     Program,
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,14 +1,15 @@
-//! A rolling change of the program or its settings: it goes out in stages, nodes of the new and the
-//! old version side by side, is analysed by what callers get, stops by itself when a stage does
-//! worse, and is rolled back. No I/O: fed messages, results and the time, it says what to do.
+//! Rollouts of the program or its settings. A rollout proceeds in stages, with nodes of the new and
+//! the old version side by side; each stage is analysed by the outcomes of requests, and a rollout
+//! whose stage does worse is rolled back without an operator. The crate does no I/O: its state
+//! machines take messages, results and the time, and return actions.
 //!
-//! What a cluster knows of a rollout is a value that merges in any order ([`rollout`]) and can only
-//! move towards safety without a quorum: any node may halt it ([`rollout`], [`coordinator`]), and
-//! none may advance it alone ([`paxos`]). What a node does at its start after a crash on trial:
-//! [`node_agent`]. `docs/design/rollout.md` has the argument.
+//! The state of a rollout is a value that merges in any order ([`rollout`]). Without a quorum it
+//! can only move towards safety: any node may halt it ([`rollout`], [`coordinator`]), and none may
+//! advance it alone ([`paxos`]). [`node_agent`] describes the start of a node after a crash on
+//! trial. `docs/design/rollout.md` has the safety argument.
 //!
-//! A node embeds a [`Participant`], which holds its [`NodeAgent`] and, if it is a voter, its
-//! [`Coordinator`]; a supervisor process embeds a [`process_handover::Supervisor`].
+//! A node embeds a [`Participant`], which holds its [`NodeAgent`] and its [`Coordinator`]; a
+//! supervisor process embeds a [`process_handover::Supervisor`].
 
 pub mod canary_analysis;
 pub mod chunks;
@@ -47,13 +48,13 @@
 pub use rollout_table::RolloutTable;
 pub use stages::{Plan, Progress, Stage};
 
-/// Whole nanoseconds from any fixed point.
+/// A time in nanoseconds since an arbitrary fixed point, or a duration in nanoseconds.
 pub type Nanos = u64;
 
 pub(crate) const MILLISECOND: Nanos = 1_000_000;
 pub(crate) const SECOND: Nanos = 1000 * MILLISECOND;
 
-/// Mixes the bits of a number well enough to spread choices.
+/// Hashes a number with SplitMix64; not cryptographic.
 pub(crate) fn splitmix64(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/rollout/src/member.rs
+++ b/crates/rollout/src/member.rs
@@ -1,12 +1,12 @@
-//! A node as the coordinator and the node agents see it in the membership.
+//! A member of the cluster in the view of the coordinator and the node agents.
 
-/// A node of the cluster. One that left by notice is not listed at all.
+/// A node of the cluster. Nodes that left after an announcement are not listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The key of its name.
+    /// The key of the node's name.
     pub node: u64,
-    /// The number of its zone.
+    /// The number of the node's zone.
     pub zone: u32,
-    /// Whether it is alive; one that is known and lost is not.
+    /// Whether the node is alive; `false` for a known node that was lost.
     pub present: bool,
 }
--- a/crates/rollout/src/node_agent.rs
+++ b/crates/rollout/src/node_agent.rs
@@ -1,22 +1,23 @@
-//! A node's own part in rollouts of one kind: it fetches and checks what is offered, puts it on
-//! trial when its stage comes, promotes or rolls it back, and votes if it is a voter.
+//! The node agent: a node's part in rollouts of one kind. It fetches and checks offered versions,
+//! runs them on trial once a stage includes the node, promotes them or rolls them back, and votes
+//! if the node is a voter.
 //!
-//! Life of a rollout here: offered, content fetched, checked by the node itself, staged (on disk);
-//! when its stage comes, the trial is written to disk first, and only then the version is applied.
-//! It stays on trial until the cluster completes the rollout or rolls it back.
+//! Steps of a rollout at a node: offered, content fetched, checked by the node, staged (on disk).
+//! Once a stage includes the node, the trial is written to disk first and the version applied after
+//! that. The version stays on trial until the cluster completes the rollout or rolls it back.
 //!
-//! Invariant: what is on disk is always enough to start on the last promoted version.
+//! Invariant: the disk always holds what is needed to start on the last promoted version.
 //!
-//! **A start after a crash on trial.** The persisted state still names the trial, so that
-//! [`PersistedState::start_candidates`] counts the crash, clears the trial and offers the last
+//! **Start after a crash on trial.** The persisted state still names the trial, so that
+//! [`PersistedState::start_candidates`] counts the crash, clears the trial and returns the last
 //! promoted version to start on. [`NodeAgent::new`] gets that trial as [`InitialState::crashed`],
-//! reports the status [`NodeStatus::Crashed`] and waits [`RETRY_AFTER_CRASH`] before the version is
-//! tried once more, provided that the rollout still assigns it to this node. After
-//! [`MAX_CRASHES`] it is not tried again, and the coordinator's analysis sees the crashes and rolls
-//! the rollout back. A process that ends by notice clears the trial first ([`NodeAgent::leave`]),
-//! so that it does not count as a crash.
+//! reports the status [`NodeStatus::Crashed`] and waits for `RETRY_AFTER_CRASH` before it tries
+//! the version once more, provided that the rollout still assigns it to this node. After
+//! [`MAX_CRASHES`] it does not try the version again; the coordinator's analysis sees the crashes
+//! and rolls the rollout back. A process that is told to leave clears the trial first
+//! ([`NodeAgent::leave`]), so that its end does not count as a crash.
 //!
-//! The methods lie by concern in the files below: messages, what is to run, trials, staging,
+//! The submodules hold the methods by concern: messages, assignment of versions, trials, staging,
 //! persistence, voting, local metrics and reports.
 
 mod assignment;
@@ -42,74 +43,75 @@
 pub use local_metrics::LocalMetrics;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time between two exchanges with a peer whose digest differs.
+/// Interval of exchanges with a peer whose digest of rollouts differs.
 const DIGEST_INTERVAL: Nanos = SECOND;
-/// A check, write or swap that is not answered within this is asked for again.
+/// How long a check, write or switch of the host may take before it is given up and requested
+/// again.
 const OPERATION_TIMEOUT: Nanos = 20 * SECOND;
-/// Time from a crash on trial, or from a failed swap, to the next attempt.
+/// Time from a crash on trial, or from a failed switch of versions, to the next attempt.
 const RETRY_AFTER_CRASH: Nanos = 20 * SECOND;
-/// Time between two attempts to write what could not be written.
+/// Interval of attempts to write the persisted state after a failed write.
 const PERSIST_RETRY_INTERVAL: Nanos = 10 * SECOND;
-/// Rollouts that have ended are forgotten after this.
+/// How long ended rollouts are kept.
 const ROLLOUT_RETENTION: Nanos = 7 * 24 * 3600 * SECOND;
 
-/// A node's name and place.
+/// A node's name and zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeIdentity {
-    /// The key of its name.
+    /// The key of the node's name.
     pub key: u64,
-    /// The number of its zone.
+    /// The number of the node's zone.
     pub zone: u32,
 }
 
-/// What a node starts with, as read from its disk.
+/// The state a node starts with, as read from its disk.
 #[derive(Clone, Debug, Default)]
 pub struct InitialState {
-    /// What was persisted.
+    /// The persisted state.
     pub persisted: PersistedState,
-    /// The version that it runs.
+    /// The version that the process runs.
     pub running: Version,
-    /// Contents that are on its disk.
+    /// Contents on the node's disk, by version.
     pub contents: Vec<(Version, Vec<u8>)>,
-    /// The content of what it runs, if it is not on its disk yet.
+    /// The content of the running version, if it is not on disk yet.
     pub new_content: Option<Vec<u8>>,
-    /// The trial that crashed here before this start, if one did.
+    /// The trial that crashed at this node before this start, if any.
     pub crashed: Option<Trial>,
-    /// Whether its disk was empty.
+    /// Whether the node's disk was empty.
     pub disk_was_empty: bool,
 }
 
-/// The one operation of the host whose result is awaited.
+/// The host operation whose result is awaited; there is at most one at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum PendingOperation {
-    /// None.
+    /// No operation.
     Nothing,
-    /// A check of a version.
+    /// A check of a rollout's version.
     Check { rollout: RolloutId, since: Nanos },
-    /// A write, and what follows it.
+    /// A write of the persisted state, and the step that follows it.
     Persist {
         write: u64,
         then: Continuation,
         since: Nanos,
     },
-    /// A swap of versions.
+    /// A switch to another version.
     Apply { version: Version, since: Nanos },
 }
 
-/// What follows once a write is on disk.
+/// The step that follows once a write is on disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Continuation {
-    /// Nothing.
+    /// No further step.
     Nothing,
-    /// The content of a rollout is staged.
+    /// Mark a rollout's version as staged.
     Staged(RolloutId),
-    /// A version is applied, on trial or as a rollback.
+    /// Apply a version, on trial or as a rollback.
     Apply(Version),
-    /// The coordinator gets a vote.
+    /// Send a voter's reply to the coordinator with this key.
     PaxosReply(u64, PaxosReply),
 }
 
-/// When this node first saw a stage of a rollout: its start slot counts from then.
+/// When this node first saw a stage of a rollout. Its start slot is counted from that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct StageFirstSeen {
     rollout: RolloutId,
@@ -117,66 +119,67 @@
     at: Nanos,
 }
 
-/// A node's own part in rollouts of one kind.
+/// A node's part in rollouts of one kind.
 pub struct NodeAgent<H: Host> {
-    /// The embedder.
+    /// The embedder's side effects.
     pub host: H,
-    /// What its rollouts change.
+    /// The kind of the rollouts.
     kind: Kind,
-    /// The key of its name.
+    /// The key of this node's name.
     me: u64,
-    /// The number of its zone.
+    /// The number of this node's zone.
     zone: u32,
-    /// What is on disk, or will be once the pending write has ended.
+    /// The state on disk, or being written by the pending write.
     persisted: PersistedState,
-    /// All rollouts that it knows.
+    /// All rollouts that this node knows.
     pub(crate) rollouts: RolloutTable,
-    /// The version that it runs.
+    /// The version that this node runs.
     running: Version,
-    /// Since when, Unix milliseconds.
+    /// When this node began to run its version, in Unix milliseconds.
     since_ms: u64,
-    /// When a version last crashed here, Unix milliseconds.
+    /// When a version last crashed on trial at this node, in Unix milliseconds.
     last_crash_ms: u64,
-    /// The operation of the host whose result is awaited.
+    /// The host operation whose result is awaited.
     pending: PendingOperation,
-    /// Writes so far; numbers them.
+    /// Number of writes so far; the last write has this number.
     write_count: u64,
-    /// What was asked of this node as a voter, and by whom.
+    /// The unanswered request to this node as a voter, with the key of the coordinator that sent
+    /// it.
     voter_request: Option<(u64, PaxosRequest)>,
-    /// When it started, if its disk was empty and no agreement was seen since.
+    /// When this node started, if its disk was empty and no agreement has been seen since.
     empty_disk_since: Option<Nanos>,
-    /// When it started.
+    /// When this node started.
     started: Nanos,
-    /// Whether it has logged that it abstains.
-    abstained: bool,
-    /// When a write last failed, while what is on disk is not as it should be.
+    /// Whether the node has logged that it abstains from votes.
+    abstention_logged: bool,
+    /// When a write last failed; `None` while the disk is up to date.
     persist_failed_at: Option<Nanos>,
-    /// The content that is being fetched.
+    /// The fetch of a rollout's content in progress.
     fetch: Option<ChunkFetch>,
-    /// Contents by version: of what is staged, so that others can be served.
+    /// Contents by version, kept to be checked and to be sent to other nodes.
     contents: BTreeMap<Version, Vec<u8>>,
-    /// Versions whose content is checked and on disk.
+    /// Versions whose content has been checked and is on disk.
     staged: BTreeSet<Version>,
-    /// Versions that were rejected here since the start, and why.
+    /// Versions that this node rejected since its start, with the reason.
     rejected: BTreeMap<Version, String>,
-    /// The stage that was seen last, and when.
+    /// The stage that includes this node and was seen last.
     stage_first_seen: Option<StageFirstSeen>,
-    /// No version is put on trial before this.
+    /// The earliest time of the next trial.
     not_before: Nanos,
-    /// When rollouts were last exchanged with a peer.
+    /// When digests of rollouts were last compared with peers.
     last_digest_exchange: Nanos,
-    /// The last report.
+    /// The last report that was shown.
     report: NodeReport,
-    /// Local totals one interval before the trial.
+    /// Local totals one interval before the trial began.
     local_before: LocalMetrics,
     /// Local totals when the trial began.
     local_at_trial_start: Option<LocalMetrics>,
-    /// The last local totals.
+    /// The most recent local totals.
     local_latest: LocalMetrics,
 }
 
 impl<H: Host> NodeAgent<H> {
-    /// A node that has just started, and read this from its disk.
+    /// Creates the agent of a node that has just started with `start` read from its disk.
     pub fn new(
         now: Nanos,
         unix_ms: u64,
@@ -207,7 +210,7 @@
             voter_request: None,
             empty_disk_since: disk_was_empty.then_some(now),
             started: now,
-            abstained: false,
+            abstention_logged: false,
             persist_failed_at: None,
             fetch: None,
             contents: contents.into_iter().collect(),
@@ -221,12 +224,18 @@
             local_at_trial_start: None,
             local_latest: LocalMetrics::default(),
         };
-        agent.take_up_start(now, crashed, new_content);
+        agent.apply_initial_state(now, crashed, new_content);
         agent
     }
 
-    /// What the node does with what it found on its disk, first of all after its start.
-    fn take_up_start(&mut self, now: Nanos, crashed: Option<Trial>, new_content: Option<Vec<u8>>) {
+    /// Applies the state that the node found on its disk: merges the persisted rollout, delays the
+    /// next trial after a crash, and promotes the running version unless it is on trial.
+    fn apply_initial_state(
+        &mut self,
+        now: Nanos,
+        crashed: Option<Trial>,
+        new_content: Option<Vec<u8>>,
+    ) {
         let running = self.running;
         if let Some(head) = &self.persisted.head {
             self.rollouts.merge(head);
@@ -238,8 +247,8 @@
                 trial.version, running
             ));
         }
-        // A program whose turn it is to be tried starts on trial; else what it starts on is good,
-        // as far as it goes.
+        // A process of the program may be started to run its version on trial; any other version
+        // that a node starts on counts as promoted.
         let is_trial = self
             .persisted
             .trial
@@ -258,75 +267,75 @@
         self.proceed(now);
     }
 
-    /// The node ends by notice: what is on trial did not crash. Gives what is to be written before the
-    /// process ends.
+    /// Clears the trial because the process has been told to leave: a version on trial did not
+    /// crash. Returns the state that the caller must write before the process ends.
     pub fn leave(&mut self) -> PersistedState {
         self.persisted.trial = None;
         self.persisted.clone()
     }
 
-    /// All rollouts that are known.
+    /// Returns all rollouts that this node knows.
     pub fn rollouts(&self) -> &RolloutTable {
         &self.rollouts
     }
 
-    /// What its rollouts change.
+    /// Returns the kind of the rollouts.
     pub fn kind(&self) -> Kind {
         self.kind
     }
 
-    /// The key of its name.
+    /// Returns the key of this node's name.
     pub fn me(&self) -> u64 {
         self.me
     }
 
-    /// Whether another version is being applied at this moment.
+    /// Returns whether a switch to another version is in progress.
     pub fn is_applying(&self) -> bool {
         matches!(self.pending, PendingOperation::Apply { .. })
     }
 
-    /// The node's last report.
+    /// Returns the node's last report.
     pub fn report(&self) -> &NodeReport {
         &self.report
     }
 
-    /// The version that it runs.
+    /// Returns the version that this node runs.
     pub fn running(&self) -> Version {
         self.running
     }
 
-    /// What is on disk, or will be once the pending write has ended.
+    /// Returns the state on disk, or being written by the pending write.
     pub fn persisted_state(&self) -> &PersistedState {
         &self.persisted
     }
 
-    /// A version's content, if it is here.
+    /// Returns a version's content, if this node has it.
     pub fn content(&self, version: Version) -> Option<&[u8]> {
         self.contents.get(&version).map(Vec::as_slice)
     }
 
-    /// Why a version was rejected here.
+    /// Returns why this node rejected a version since its start; `None` if it did not.
     pub fn rejection_reason(&self, version: Version) -> Option<&str> {
         self.rejected.get(&version).map(String::as_str)
     }
 
-    /// Does what is due; to be called a few times a second.
+    /// Performs due work. Must be called a few times a second.
     pub fn wake(&mut self, now: Nanos, unix_ms: u64) {
-        let late = |since: Nanos| now > since + OPERATION_TIMEOUT;
+        let is_timed_out = |since: Nanos| now > since + OPERATION_TIMEOUT;
         match &self.pending {
             PendingOperation::Check { since, .. }
             | PendingOperation::Persist { since, .. }
             | PendingOperation::Apply { since, .. }
-                if late(*since) =>
+                if is_timed_out(*since) =>
             {
                 self.host
-                    .log("what was asked of this node was not answered, and is asked for again");
+                    .log("check, write or switch of versions timed out: it is requested again");
                 self.pending = PendingOperation::Nothing;
             }
             _ => {}
         }
-        // A disk that has room again gets what it lacks: else the node would start on what is no
-        // more.
+        // After a failed write the state is written once the disk has room again: otherwise the
+        // node would start on outdated state.
         if self.pending == PendingOperation::Nothing
             && self
                 .persist_failed_at
@@ -344,14 +353,14 @@
         self.proceed(now);
     }
 
-    /// Finds what is to be done next, and does it.
+    /// Starts the next steps that the known rollouts call for, and shows the report if it changed.
     fn proceed(&mut self, now: Nanos) {
         self.detect_lost_votes(now);
         if self.pending == PendingOperation::Nothing {
             self.answer_voter_request(now);
         }
-        // What was agreed on and how it ended is on the disk, so that who starts anew does not go
-        // by what is over.
+        // The last agreed rollout and its outcome are kept on disk, so that a node that restarts
+        // does not follow a rollout that has ended.
         let head = |rollout: &Rollout| (rollout.id, rollout.progress.agreement, rollout.outcome);
         if self.pending == PendingOperation::Nothing
             && self.rollouts.head(self.kind).map(head) != self.persisted.head.as_ref().map(head)
--- a/crates/rollout/src/node_agent/assignment.rs
+++ b/crates/rollout/src/node_agent/assignment.rs
@@ -1,4 +1,5 @@
-//! Which version this node is to run by what it knows, and the step towards it.
+//! Decides which version this node must run by the rollouts that it knows, and takes the step to
+//! it.
 
 use super::NodeAgent;
 use crate::Nanos;
@@ -7,24 +8,26 @@
 use crate::rollout::{Assignment, Outcome, Rollout};
 
 impl<H: Host> NodeAgent<H> {
-    /// The rollouts of this node's kind.
+    /// Returns the rollouts of this agent's kind.
     fn of_kind(&self) -> impl Iterator<Item = &Rollout> {
         self.rollouts
             .iter()
             .filter(|rollout| rollout.kind == self.kind)
     }
 
-    /// The last completed rollout whose version is not promoted here yet.
+    /// Returns the last completed rollout whose version this node has neither promoted nor
+    /// rejected.
     pub(super) fn missing_completed(&self) -> Option<&Rollout> {
-        let good = self.persisted.promoted.unwrap_or(self.running);
-        let done = self.of_kind().filter(|rollout| {
-            rollout.outcome == Outcome::Completed && rollout.version.number > good.number
+        let promoted = self.persisted.promoted.unwrap_or(self.running);
+        let completed = self.of_kind().filter(|rollout| {
+            rollout.outcome == Outcome::Completed && rollout.version.number > promoted.number
         });
-        done.filter(|rollout| !self.rejected.contains_key(&rollout.version))
+        completed
+            .filter(|rollout| !self.rejected.contains_key(&rollout.version))
             .max_by_key(|rollout| rollout.progress.agreement)
     }
 
-    /// A rollout that was rejected or rolled back while its version runs here.
+    /// Returns a rollout that was rejected or rolled back while this node runs its version.
     pub(super) fn running_rolled_back(&self) -> Option<&Rollout> {
         self.of_kind().find(|rollout| {
             matches!(rollout.outcome, Outcome::Rejected | Outcome::RolledBack)
@@ -32,7 +35,7 @@
         })
     }
 
-    /// The rollout that this node reports on.
+    /// Returns the rollout that this node reports on.
     pub(super) fn shown_rollout(&self) -> Option<&Rollout> {
         let trial = self
             .persisted
@@ -51,11 +54,11 @@
             .or_else(current)
     }
 
-    /// Starts a trial, promotes or rolls back, as the known rollouts assign it.
+    /// Starts a trial, promotes or rolls back according to the assignment of the known rollouts.
     pub(super) fn update_running_version(&mut self, now: Nanos) {
         if let Some(trial) = self.persisted.trial {
             let Some(rollout) = self.rollouts.get(trial.rollout).cloned() else {
-                // Only what has ended is forgotten: it was rolled back, or superseded.
+                // Only ended rollouts are removed: this one was rolled back or superseded.
                 return self.roll_back(now, trial.version, self.running);
             };
             return match rollout.assignment(self.me, self.zone) {
--- a/crates/rollout/src/node_agent/explain.rs
+++ b/crates/rollout/src/node_agent/explain.rs
@@ -1,4 +1,4 @@
-//! The node's report, and why it runs what it runs.
+//! The node's report, and the explanation of which version it runs and why.
 
 use super::NodeAgent;
 use crate::MILLISECOND;
@@ -9,7 +9,7 @@
 use crate::stages::seconds;
 
 impl<H: Host> NodeAgent<H> {
-    /// The node's status in a rollout.
+    /// Returns the node's status in a rollout.
     fn node_status(&self, rollout: &Rollout) -> NodeStatus {
         let version = rollout.version;
         let trial = self
@@ -35,8 +35,9 @@
         }
     }
 
+    /// Returns the node's report on a rollout, or without one.
     pub(super) fn report_of(&self, rollout: Option<&Rollout>) -> NodeReport {
-        let of = rollout.map(|rollout| rollout.version);
+        let version = rollout.map(|rollout| rollout.version);
         NodeReport {
             rollout: rollout.map_or(RolloutId(0), |rollout| rollout.id),
             stage: rollout.map_or(0, |rollout| rollout.progress.stage),
@@ -45,9 +46,9 @@
             running: self.running,
             promoted: self.persisted.promoted.unwrap_or_default(),
             since_ms: self.since_ms,
-            crashes: of.map_or(0, |version| self.persisted.crashes(version)),
+            crashes: version.map_or(0, |version| self.persisted.crashes(version)),
             last_crash_ms: self.last_crash_ms,
-            why: of
+            why: version
                 .and_then(|version| self.rejected.get(&version))
                 .cloned()
                 .unwrap_or_default(),
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Why the node runs what it runs, in lines.
+    /// Explains which version the node runs and why, as lines of text for operators.
     pub fn explain(&self, unix_ms: u64) -> Vec<String> {
         let ago = |since: u64| seconds(unix_ms.saturating_sub(since) * MILLISECOND);
         let mut lines = vec![format!(
@@ -75,8 +76,8 @@
                 Assignment::BaseVersion if rollout.outcome == Outcome::InProgress => {
                     "this node is not in its stage"
                 }
-                Assignment::BaseVersion => "this node goes back, or never went",
-                Assignment::Unchanged => "this node stays as it is",
+                Assignment::BaseVersion => "this node runs the old version or returns to it",
+                Assignment::Unchanged => "this node keeps its version",
             };
             lines.push(format!(
                 "change {}: {} in place of {}, stage {} of {}, {}{}; {assignment}; it is {} here{}",
@@ -101,7 +102,7 @@
         }
         for (version, crashes) in &self.persisted.rejected {
             lines.push(format!(
-                "version {version} was taken back or turned down here, and died {crashes} times"
+                "version {version} was rolled back or rejected at this node, {crashes} crashes"
             ));
         }
         lines
--- a/crates/rollout/src/node_agent/local_metrics.rs
+++ b/crates/rollout/src/node_agent/local_metrics.rs
@@ -1,39 +1,41 @@
-//! The node's own check of a version on trial: what is plainly bad here is rolled back without asking
-//! anybody.
+//! The node's own check of a version on trial: a version that clearly fails at this node is rolled
+//! back without the coordinator.
 
 use super::NodeAgent;
 use crate::Nanos;
 use crate::host::Host;
 use crate::rollout::Outcome;
 
-/// Requests before and since the start of a trial that the comparison needs at least.
+/// Minimum number of requests before and since the start of a trial for the comparison.
 const LOCAL_MIN_REQUESTS: u64 = 50;
 
-/// A share of successes that is lower than before by more than this ends the rollout.
+/// A drop in the share of successful requests by more than this rolls the rollout back.
 const LOCAL_SUCCESS_DROP: f64 = 0.5;
 
-/// Totals of this node since its start.
+/// Totals of this node since its start, used to judge a trial locally.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalMetrics {
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub arrived: u64,
-    /// Requests that succeeded.
+    /// Number of requests that succeeded.
     pub succeeded: u64,
-    /// Requests that failed.
+    /// Number of requests that failed.
     pub errored: u64,
-    /// Invariants that were violated.
+    /// Number of violated invariants.
     pub invariants: u64,
 }
 
 impl<H: Host> NodeAgent<H> {
-    /// Takes up the node's totals so far: a version that is plainly bad is rolled back without asking anybody.
+    /// Records the node's totals so far. A version on trial that violates an invariant, or under
+    /// which the share of successful requests drops by more than `LOCAL_SUCCESS_DROP`, is rolled
+    /// back.
     pub fn record_local_metrics(&mut self, now: Nanos, unix_ms: u64, own: LocalMetrics) {
         let Some(trial) = self
             .persisted
             .trial
             .filter(|trial| trial.version == self.running)
         else {
-            // A trial is compared with the time between the last two totals before it.
+            // A trial is compared with the interval between the last two totals before it.
             (self.local_before, self.local_at_trial_start) = (
                 LocalMetrics {
                     ..self.local_latest
@@ -43,14 +45,15 @@
             self.local_latest = own;
             return;
         };
-        let begun = *self.local_at_trial_start.get_or_insert(own);
+        let at_start = *self.local_at_trial_start.get_or_insert(own);
         self.local_latest = own;
-        let since = |of: fn(&LocalMetrics) -> u64| of(&own).saturating_sub(of(&begun));
-        let before =
-            |of: fn(&LocalMetrics) -> u64| of(&begun).saturating_sub(of(&self.local_before));
+        let since = |count: fn(&LocalMetrics) -> u64| count(&own).saturating_sub(count(&at_start));
+        let before = |count: fn(&LocalMetrics) -> u64| {
+            count(&at_start).saturating_sub(count(&self.local_before))
+        };
         let invariants = since(|own| own.invariants);
         if invariants > 0 {
-            let why = format!("{invariants} invariants did not hold at one node");
+            let why = format!("{invariants} invariants violated at one node");
             self.end(now, unix_ms, trial.rollout, Outcome::RolledBack, &why);
             return;
         }
--- a/crates/rollout/src/node_agent/messaging.rs
+++ b/crates/rollout/src/node_agent/messaging.rs
@@ -1,5 +1,5 @@
-//! What other nodes and operators send: offers, copies of rollouts, polls, requests for chunks; and the
-//! spreading of what is new.
+//! Handles offers, copies of rollouts, polls and requests for chunks from other nodes and
+//! operators, and announces changes to other nodes.
 
 use super::NodeAgent;
 use crate::Nanos;
@@ -11,19 +11,20 @@
 use crate::rollout::{Outcome, Reason, Rollout};
 use crate::stages::Progress;
 
-/// Peers that are sent what is new at once.
+/// Number of peers that are sent the known rollouts at once when one changes.
 const ANNOUNCE_FANOUT: usize = 3;
 
 impl<H: Host> NodeAgent<H> {
-    /// The node itself offers a rollout.
+    /// Offers a rollout to the cluster from this node, with its content for rollouts of settings.
     pub fn offer(&mut self, now: Nanos, rollout: Rollout, content: Option<Vec<u8>>) {
         if let Some(content) = content {
             self.contents.insert(rollout.version, content);
         }
-        self.learn(now, &rollout);
+        self.merge_rollout(now, &rollout);
     }
 
-    /// Moves a rollout towards safety, for an operator or by figures of this node; whether it moved.
+    /// Moves a rollout's outcome towards safety, by an operator's command or this node's metrics.
+    /// Returns whether the outcome changed.
     pub fn end(
         &mut self,
         now: Nanos,
@@ -44,7 +45,7 @@
         ends
     }
 
-    /// Takes up progress that the voters agreed on; whether it was new.
+    /// Applies progress that the voters agreed on. Returns whether it was new.
     pub fn advance(&mut self, now: Nanos, id: RolloutId, progress: &Progress) -> bool {
         let advances = self.rollouts.advance(id, progress);
         if advances {
@@ -61,8 +62,8 @@
         advances
     }
 
-    /// Takes up a copy of a rollout, and spreads what is new in it.
-    fn learn(&mut self, now: Nanos, received: &Rollout) -> bool {
+    /// Merges a copy of a rollout and announces it if it changed anything; returns whether it did.
+    fn merge_rollout(&mut self, now: Nanos, received: &Rollout) -> bool {
         if received.kind != self.kind {
             return false;
         }
@@ -101,30 +102,31 @@
         true
     }
 
-    /// Sends all known rollouts to some peers.
+    /// Sends all known rollouts to [`ANNOUNCE_FANOUT`] random peers.
     fn announce(&mut self) {
         for to in self.host.random_peers(ANNOUNCE_FANOUT) {
             self.send_rollouts(to, false);
         }
     }
 
-    /// Sends all known rollouts to a node; with `answer` it is asked to send what it knows.
+    /// Sends all known rollouts to a node; with `answer` the node is asked to send its own in
+    /// return.
     pub(super) fn send_rollouts(&mut self, to: u64, answer: bool) {
         for message in rollout_messages(self.rollouts.iter(), answer) {
             self.host.send(to, message);
         }
     }
 
-    /// Takes up a message.
+    /// Handles a message from the node with key `from`.
     pub fn handle_message(&mut self, now: Nanos, from: u64, message: RolloutMessage) {
         match message {
             RolloutMessage::Rollouts { rollouts, answer } => {
-                let mine: Vec<Rollout> = rollouts
+                let of_this_kind: Vec<Rollout> = rollouts
                     .into_iter()
                     .filter(|rollout| rollout.kind == self.kind)
                     .collect();
-                for rollout in &mine {
-                    self.learn(now, rollout);
+                for rollout in &of_this_kind {
+                    self.merge_rollout(now, rollout);
                 }
                 if answer {
                     self.send_rollouts(from, false);
@@ -156,7 +158,8 @@
                 }
             }
             RolloutMessage::PaxosRequest(kind, request) => {
-                // Of two the later one holds: the earlier is asked again, or given up.
+                // A later request replaces an unanswered one, which the coordinator repeats or
+                // gives up.
                 self.voter_request = Some((from, request)).filter(|_| kind == self.kind);
                 self.proceed(now);
             }
@@ -164,8 +167,8 @@
         }
     }
 
-    /// Reports to the coordinator, which knows this of a rollout. If either knows more than the
-    /// other, rollouts are exchanged.
+    /// Answers a coordinator's poll with this node's report. The poll carries the rollout's stage
+    /// and outcome as the coordinator knows them; if either side is behind, rollouts are exchanged.
     fn answer_poll(
         &mut self,
         from: u64,
@@ -185,7 +188,7 @@
             .send(from, RolloutMessage::NodeReport { poll, report });
     }
 
-    /// Sends chunks of a rollout's content, as far as it is here.
+    /// Sends the requested chunks of a rollout's content, if this node has the content.
     fn send_chunks(&mut self, to: u64, rollout: RolloutId, first: u32, count: u32) {
         let version = self.rollouts.get(rollout).map(|rollout| rollout.version);
         let content = version.and_then(|version| self.contents.get(&version));
@@ -205,7 +208,7 @@
         }
     }
 
-    /// The node's report on this rollout.
+    /// Returns the node's report on this rollout, which it may not know.
     fn report_on(&self, rollout: RolloutId) -> NodeReport {
         NodeReport {
             rollout,
--- a/crates/rollout/src/node_agent/persistence.rs
+++ b/crates/rollout/src/node_agent/persistence.rs
@@ -1,4 +1,4 @@
-//! Writes to disk, and what follows each of them.
+//! Writes to disk, and the step that follows each write.
 
 use super::{Continuation, NodeAgent, PendingOperation};
 use crate::Nanos;
@@ -9,7 +9,8 @@
 use crate::rollout::Outcome;
 
 impl<H: Host> NodeAgent<H> {
-    /// Asks the host to write the persisted state, and a content with it.
+    /// Asks the host to write the persisted state, together with a content if one is given. `then`
+    /// runs once the write has finished.
     pub(super) fn persist(
         &mut self,
         now: Nanos,
@@ -27,7 +28,8 @@
         self.host.persist(self.write_count, &persisted, content);
     }
 
-    /// The host wrote what [`Host::persist`] asked for, or could not.
+    /// Reports the result of the write that [`Host::persist`] requested. The result of an earlier
+    /// write is ignored.
     pub fn persist_finished(&mut self, now: Nanos, write: u64, result: Result<(), HostError>) {
         let then = match &self.pending {
             PendingOperation::Persist {
@@ -38,15 +40,15 @@
             _ => return,
         };
         self.pending = PendingOperation::Nothing;
-        let was_unwritten = self.persist_failed_at.take().is_some();
+        let had_failed = self.persist_failed_at.take().is_some();
         if result.is_err() {
             self.persist_failed_at = Some(now);
-        } else if was_unwritten {
+        } else if had_failed {
             self.host.log("what is in force is written again");
         }
         match (then, result) {
             (Continuation::Nothing, Ok(())) => {}
-            (Continuation::Nothing, Err(_)) if was_unwritten => {} // logged before
+            (Continuation::Nothing, Err(_)) if had_failed => {} // logged when it first failed
             (Continuation::Nothing, Err(why)) => self
                 .host
                 .log(&format!("what is in force could not be written: {why}")),
@@ -57,12 +59,12 @@
             (Continuation::PaxosReply(..), Err(why)) => self
                 .host
                 .log(&format!("a vote could not be written: {why}")),
-            (Continuation::Apply(version), result) => self.apply_noted(now, version, result),
+            (Continuation::Apply(version), result) => self.apply_after_write(now, version, result),
         }
         self.proceed(now);
     }
 
-    /// The content of a rollout is on disk, or could not be written.
+    /// Marks a rollout's version as staged, or rejects it if the write failed.
     fn stage_finished(&mut self, id: RolloutId, result: Result<(), HostError>) {
         let Some(rollout) = self.rollouts.get(id).cloned() else {
             return;
@@ -75,15 +77,18 @@
                 ));
                 self.staged.insert(rollout.version);
             }
-            Err(why) => self.reject(&rollout, &format!("it could not be written: {why}")),
+            Err(why) => self.reject(
+                &rollout,
+                &format!("its content could not be written: {why}"),
+            ),
         }
     }
 
-    /// What is about to run is noted on disk, or could not be. A rollback goes on without its note;
-    /// a trial must be noted before it is applied.
-    fn apply_noted(&mut self, now: Nanos, version: Version, result: Result<(), HostError>) {
+    /// Applies a version after the write that recorded it. A rollback goes ahead even if the write
+    /// failed; a trial must be on disk before it is applied.
+    fn apply_after_write(&mut self, now: Nanos, version: Version, result: Result<(), HostError>) {
         match result {
-            // It was halted meanwhile: a node that has not begun does not begin.
+            // The rollout was halted meanwhile: the trial does not begin.
             Ok(()) if self.is_pending_trial_halted() => self.persisted.trial = None,
             Ok(()) => self.apply(now, version),
             Err(why) if self.persisted.trial.is_none() => {
@@ -99,10 +104,7 @@
                     .take()
                     .and_then(|trial| self.rollouts.get(trial.rollout).cloned())
                 {
-                    self.reject(
-                        &rollout,
-                        &format!("its trial could not be written down: {why}"),
-                    );
+                    self.reject(&rollout, &format!("its trial could not be written: {why}"));
                 }
             }
         }
@@ -116,7 +118,7 @@
         self.host.apply(version);
     }
 
-    /// Whether the version that is noted to run next belongs to a rollout that has ended since.
+    /// Returns whether the recorded trial has not begun and its rollout has ended meanwhile.
     fn is_pending_trial_halted(&self) -> bool {
         let trial = self
             .persisted
--- a/crates/rollout/src/node_agent/staging.rs
+++ b/crates/rollout/src/node_agent/staging.rs
@@ -1,4 +1,4 @@
-//! Fetching, checking and rejecting versions before their stage comes.
+//! Fetches, checks, stages and rejects versions before a stage includes the node.
 
 use super::{Continuation, NodeAgent, PendingOperation};
 use crate::Nanos;
@@ -10,24 +10,24 @@
 use crate::rollout::Rollout;
 
 impl<H: Host> NodeAgent<H> {
-    /// Fetches and checks what may begin later: what is missing here, then what is in progress, then what
-    /// begins next.
+    /// Fetches and checks the first version that is not staged yet: that of a completed rollout
+    /// that this node lacks, then that of the rollout in progress, then that of the next one.
     pub(super) fn stage_next(&mut self, now: Nanos) {
         let in_progress = self.rollouts.in_progress(self.kind);
-        let all = [
+        let candidates = [
             self.missing_completed(),
             in_progress,
             self.rollouts.next(self.kind),
         ];
-        let is_here = |version: Version| {
+        let needs_no_staging = |version: Version| {
             self.staged.contains(&version)
                 || self.rejected.contains_key(&version)
                 || version == self.running
         };
-        let rollout = all
+        let rollout = candidates
             .into_iter()
             .flatten()
-            .find(|rollout| !is_here(rollout.version))
+            .find(|rollout| !needs_no_staging(rollout.version))
             .cloned();
         match rollout {
             Some(rollout) => self.fetch_and_check(now, &rollout),
@@ -35,10 +35,11 @@
         }
     }
 
-    /// Fetches a rollout's content, chunk by chunk, and then has it checked.
+    /// Fetches a rollout's content chunk by chunk, and asks the host to check it once it is
+    /// complete.
     fn fetch_and_check(&mut self, now: Nanos, rollout: &Rollout) {
-        let has = self.contents.contains_key(&rollout.version);
-        if rollout.kind == Kind::Settings && !has {
+        let has_content = self.contents.contains_key(&rollout.version);
+        if rollout.kind == Kind::Settings && !has_content {
             if self
                 .fetch
                 .as_ref()
@@ -55,11 +56,11 @@
                     self.fetch = None;
                 }
                 FetchProgress::Corrupt { given_up: true } => {
-                    return self.reject(rollout, "its content is not what its hash says");
+                    return self.reject(rollout, "its content does not match its hash");
                 }
                 FetchProgress::Corrupt { given_up: false } | FetchProgress::Incomplete => {
                     if let Some((first, count)) = fetch.next_request(now) {
-                        // The node that offered it has it; others may.
+                        // The offering node has the content; a random peer may have it.
                         let mut to = self.host.random_peers(1);
                         to.push(rollout.by);
                         to.dedup();
@@ -86,7 +87,7 @@
         self.host.check(rollout.id, rollout.version, content);
     }
 
-    /// The node does not run this version, and reports why.
+    /// Rejects a version: the node will not run it, and reports the reason.
     pub(super) fn reject(&mut self, rollout: &Rollout, why: &str) {
         self.host
             .log(&format!("change {}: turned down here, {why}", rollout.id));
@@ -95,10 +96,10 @@
         self.fetch = None;
     }
 
-    /// The host checked what [`Host::check`] asked for.
+    /// Reports the result of the check that [`Host::check`] requested.
     pub fn check_finished(&mut self, now: Nanos, id: RolloutId, result: Result<(), HostError>) {
         if !matches!(self.pending, PendingOperation::Check { rollout, .. } if rollout == id) {
-            return; // asked for again meanwhile
+            return; // timed out, and requested again
         }
         self.pending = PendingOperation::Nothing;
         let Some(rollout) = self.rollouts.get(id).cloned() else {
@@ -118,15 +119,16 @@
         self.proceed(now);
     }
 
-    /// Drops contents of versions that are neither needed nor offered.
+    /// Drops the contents of versions that are neither needed for a start nor part of an open
+    /// rollout.
     pub(super) fn forget_contents(&mut self) {
         let needed: Vec<Version> = self.persisted.needed().collect();
-        let open = |version: &Version| {
+        let is_open = |version: &Version| {
             self.rollouts
                 .iter()
                 .any(|c| c.version == *version && !c.is_over())
         };
         self.contents
-            .retain(|version, _| needed.contains(version) || open(version));
+            .retain(|version, _| needed.contains(version) || is_open(version));
     }
 }
--- a/crates/rollout/src/node_agent/trial.rs
+++ b/crates/rollout/src/node_agent/trial.rs
@@ -1,4 +1,4 @@
-//! Trials: their start in the node's slot, the swap of versions, promotion and rollback.
+//! Trials: their start in the node's slot, the switch of versions, promotion and rollback.
 
 use super::{Continuation, NodeAgent, PendingOperation, RETRY_AFTER_CRASH, StageFirstSeen};
 use crate::Nanos;
@@ -10,7 +10,8 @@
 use crate::rollout::{Outcome, Rollout};
 
 impl<H: Host> NodeAgent<H> {
-    /// A version's stage has come here: in the node's slot the trial is written to disk, and then applied.
+    /// Starts the trial of a rollout whose stage includes this node: once the node's start slot has
+    /// come, the trial is written to disk and then applied.
     pub(super) fn start_trial(&mut self, now: Nanos, rollout: &Rollout) {
         let stage = rollout.progress.stage;
         let first_seen = match self.stage_first_seen {
@@ -47,7 +48,7 @@
         self.persist(now, Continuation::Apply(rollout.version), None);
     }
 
-    /// The host runs what [`Host::apply`] asked for, or can't.
+    /// Reports the result of the switch that [`Host::apply`] requested.
     pub fn apply_finished(
         &mut self,
         now: Nanos,
@@ -62,13 +63,13 @@
         self.pending = PendingOperation::Nothing;
         match result {
             Ok(()) => {
-                let word = if self.persisted.trial.is_some() {
+                let state = if self.persisted.trial.is_some() {
                     "on trial"
                 } else {
                     "in force"
                 };
                 self.host.log(&format!(
-                    "version {version} is {word}, in place of {}",
+                    "version {version} is {state}, in place of {}",
                     self.running
                 ));
                 (self.running, self.since_ms) = (version, unix_ms);
@@ -77,7 +78,8 @@
             Err(why) => {
                 self.host
                     .log(&format!("version {version} can't be run: {why}"));
-                // What can't be gone back to is tried again, and shown until then.
+                // A failed rollback is tried again later; the report shows the running version
+                // until then.
                 self.not_before = now + RETRY_AFTER_CRASH;
                 if let Some(trial) = self
                     .persisted
@@ -100,7 +102,7 @@
         self.proceed(now);
     }
 
-    /// The rollout was completed: the version is the one to start on.
+    /// Promotes the version of a completed rollout: the node starts on it from now on.
     pub(super) fn promote(&mut self, now: Nanos, version: Version) {
         if self.persisted.promoted != Some(version) || self.persisted.trial.is_some() {
             self.persisted.promote(version);
@@ -112,8 +114,8 @@
         }
     }
 
-    /// Back to the last promoted version; of one that was promoted and is rolled back later, to the one
-    /// before.
+    /// Rolls back to the last promoted version. If `version` itself was promoted and is rolled back
+    /// later, returns to the promoted version before it.
     pub(super) fn roll_back(&mut self, now: Nanos, version: Version, base: Version) {
         self.persisted.trial = None;
         self.persisted
--- a/crates/rollout/src/node_agent/voting.rs
+++ b/crates/rollout/src/node_agent/voting.rs
@@ -1,4 +1,4 @@
-//! The node as a voter: its vote is written to disk before it is sent.
+//! The node as a voter. Each vote is written to disk before the reply is sent.
 
 use super::{Continuation, NodeAgent};
 use crate::host::Host;
@@ -6,14 +6,15 @@
 use crate::paxos::{PaxosRequest, VoterAction, last_agreement};
 use crate::{Nanos, SECOND};
 
-/// A voter that starts with an empty disk and hears of agreements within this may have lost its
-/// vote; it abstains for this long at most.
+/// A voter that starts with an empty disk and learns of an agreement within this time may have lost
+/// its vote. Also the longest time after the start for which it abstains.
 const VOTE_LOSS_PERIOD: Nanos = 600 * SECOND;
 
 impl<H: Host> NodeAgent<H> {
-    /// A voter that starts with an empty disk, in a cluster that has agreed on things, may have lost its
-    /// vote. It abstains for two agreements, after which nothing that it can have voted on is open; or for
-    /// [`VOTE_LOSS_PERIOD`], by which time any round that counted its vote has long ended.
+    /// Detects a possible loss of this voter's vote: its disk was empty at the start, and the
+    /// cluster has reached agreements. The voter then abstains for two agreements, after which none
+    /// that it may have voted on is open, or for [`VOTE_LOSS_PERIOD`], by which time any round that
+    /// counted its vote has ended.
     pub(super) fn detect_lost_votes(&mut self, now: Nanos) {
         let known = last_agreement(&self.rollouts, self.kind);
         let Some(empty_disk_since) = self.empty_disk_since.filter(|_| known > 0) else {
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Answers what the coordinator asked: the vote is on disk before the reply goes out.
+    /// Answers the coordinator's request. A vote is on disk before the reply is sent.
     pub(super) fn answer_voter_request(&mut self, now: Nanos) {
         let Some((from, request)) = self.voter_request.take() else {
             return;
@@ -36,7 +37,7 @@
         };
         if agreement <= self.persisted.abstains_to && now < self.started + VOTE_LOSS_PERIOD {
             let from = self.persisted.abstains_to + 1;
-            if !std::mem::replace(&mut self.abstained, true) {
+            if !std::mem::replace(&mut self.abstention_logged, true) {
                 self.host.log(&format!(
                     "nothing was on the disk: votes on changes from agreement {from} on"
                 ));
--- a/crates/rollout/src/node_report.rs
+++ b/crates/rollout/src/node_report.rs
@@ -1,38 +1,39 @@
-//! What a node reports of itself: which version it runs and how it stands to the rollout that it
-//! follows. It travels on the node's membership entry and in answers to the coordinator's polls.
+//! A node's report: the version that it runs and its status in the rollout that it follows. Reports
+//! are attached to the node's membership entry and sent in answers to the coordinator's polls.
 
 use crate::identifiers::{RolloutId, Version};
 use crate::rollout::Outcome;
 
-/// A version that crashed so often on trial at a node is not tried there again.
+/// Number of crashes on trial at a node after which the node does not try the version again.
 pub const MAX_CRASHES: u32 = 2;
 
-/// How a node stands to the rollout that it follows.
+/// A node's status in the rollout that it follows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum NodeStatus {
-    /// It follows none.
+    /// The node follows no rollout.
     #[default]
     Unknown,
-    /// Its content is being fetched or checked.
+    /// The version's content is being fetched or checked.
     Offered,
-    /// It can't be run here.
+    /// The node cannot run the version.
     Rejected,
-    /// Checked and on disk; it could begin.
+    /// The version is checked and on disk, so its trial could begin.
     Staged,
     /// The trial is on disk, and the version is being applied.
     Starting,
-    /// The version runs here on trial.
+    /// The node runs the version on trial.
     OnTrial,
-    /// The version runs here, and the rollout was completed.
+    /// The node runs the version, and the rollout was completed.
     Promoted,
-    /// The version was taken from this node again.
+    /// The version was rolled back at this node.
     RolledBack,
-    /// The version crashed on trial here, and is tried again later or not at all.
+    /// The version crashed on trial at this node. The node tries it again later, or not at all
+    /// after [`MAX_CRASHES`].
     Crashed,
 }
 
 impl NodeStatus {
-    /// What it is called in tables.
+    /// Returns the name shown to operators.
     pub fn display_name(self) -> &'static str {
         match self {
             NodeStatus::Unknown => "-",
@@ -63,28 +64,28 @@
     }
 }
 
-/// What a node reports of itself.
+/// A node's report on its version and on the rollout that it follows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeReport {
-    /// The rollout that it follows.
+    /// The rollout that the node follows; 0 if none.
     pub rollout: RolloutId,
-    /// Its stage, as the node knows it.
+    /// The rollout's stage as far as the node knows.
     pub stage: u32,
-    /// Its outcome, as the node knows it.
+    /// The rollout's outcome as far as the node knows.
     pub outcome: Outcome,
-    /// How the node stands to it.
+    /// The node's status in the rollout.
     pub status: NodeStatus,
-    /// The version that it runs.
+    /// The version that the node runs.
     pub running: Version,
-    /// The last promoted version: what it starts on.
+    /// The last promoted version, on which the node starts.
     pub promoted: Version,
-    /// Since when it runs, Unix milliseconds.
+    /// When the node began to run its version, in Unix milliseconds.
     pub since_ms: u64,
-    /// How often the rollout's version crashed here.
+    /// Number of crashes of the rollout's version at this node.
     pub crashes: u32,
-    /// When it last did, Unix milliseconds.
+    /// When a version last crashed on trial at this node, in Unix milliseconds; 0 if none did.
     pub last_crash_ms: u64,
-    /// Why the node rejects it.
+    /// Why the node rejects the version; empty if it does not.
     pub why: String,
     /// The digest of all rollouts that the node knows.
     pub digest: u64,
--- a/crates/rollout/src/operator_commands.rs
+++ b/crates/rollout/src/operator_commands.rs
@@ -1,7 +1,7 @@
-//! Operators' commands to one node: a content in chunks, which may come in any order and more than once;
-//! to offer it to the cluster, once the node itself has checked it; to halt a rollout or roll it back.
-//! A command may come again, for its reply may have been lost: it is replied to as before and has no
-//! second effect.
+//! Operator commands to one node: to send a content in chunks, in any order and possibly repeated;
+//! to offer it to the cluster once the node has checked it; to halt a rollout or roll it back. A
+//! command may be repeated because its reply was lost: it gets the same reply and has no second
+//! effect.
 
 use crate::chunks::CHUNK_BYTES;
 use crate::chunks::{self, MAX_CONTENT_BYTES};
@@ -14,22 +14,22 @@
 use crate::{Nanos, SECOND, splitmix64};
 use std::collections::VecDeque;
 
-/// A content whose chunks stopped coming makes room for another after this.
+/// Time without a chunk after which another content may replace an incomplete one.
 const INCOMING_IDLE_TIMEOUT: Nanos = 10 * SECOND;
-/// Offers whose replies are remembered.
+/// Number of offers whose replies are kept for repeated commands.
 const REMEMBERED_OFFERS: usize = 8;
 
-/// What became of a command.
+/// States of a command in its reply.
 pub mod state {
-    /// Done.
+    /// The command took effect, or had done so before.
     pub const DONE: u32 = 0;
-    /// Not done yet; to be asked again.
+    /// The command is not finished; the operator's tool repeats it.
     pub const PENDING: u32 = 1;
-    /// Rejected.
+    /// The command was rejected.
     pub const REJECTED: u32 = 2;
 }
 
-fn answer(state: u32, why: &str, rollout: u64) -> CommandReply {
+fn reply(state: u32, why: &str, rollout: u64) -> CommandReply {
     CommandReply {
         state,
         why: why.to_owned(),
@@ -37,11 +37,11 @@
     }
 }
 
-fn refused(why: &str) -> CommandReply {
-    answer(state::REJECTED, why, 0)
+fn rejection(why: &str) -> CommandReply {
+    reply(state::REJECTED, why, 0)
 }
 
-/// A content that comes in chunks.
+/// A content that is being received in chunks.
 #[derive(Clone, Debug)]
 struct Incoming {
     digest: [u8; 32],
@@ -50,7 +50,7 @@
     since: Nanos,
 }
 
-/// What identifies an offer: the digest of a content, or a program's version.
+/// Identifies an offer by the digest of its content (settings) or by its version (program).
 type OfferKey = ([u8; 32], Version);
 
 #[derive(Clone, Debug)]
@@ -59,32 +59,32 @@
     Answered(CommandReply),
 }
 
-/// What is to be done about a command.
+/// The caller's next action for a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandAction {
-    /// The operator gets this reply.
+    /// Send this reply to the operator.
     Reply(CommandReply),
-    /// The host is to check an offer; the command is answered with "later" until then.
+    /// Have the host check an offer. Until it has, the command is answered with [`state::PENDING`].
     CheckOffer {
-        /// The number of the check.
+        /// The number of the check, passed to [`OperatorCommands::offer_checked`].
         check: u64,
-        /// The version of a program.
+        /// The offered version of the program; `None` for settings.
         version: Option<Version>,
-        /// The content of settings.
+        /// The offered content of settings; `None` for the program.
         content: Option<Vec<u8>>,
     },
-    /// A rollout is to end.
+    /// End a rollout.
     End {
-        /// The rollout.
+        /// The rollout to end.
         id: RolloutId,
-        /// Its outcome.
+        /// The outcome to set.
         outcome: Outcome,
-        /// The reason.
+        /// The reason, as given by the operator.
         why: String,
     },
 }
 
-/// Commands to one node, about rollouts of one kind.
+/// The state of operator commands to one node for rollouts of one kind.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorCommands {
     incoming: Option<Incoming>,
@@ -92,11 +92,11 @@
     check_count: u64,
 }
 
-/// A check that was not answered within this may be asked for again.
+/// How long a check may take before a repeated offer starts another one.
 const CHECK_TIMEOUT: Nanos = 20 * SECOND;
 
 impl OperatorCommands {
-    /// Takes up a command.
+    /// Handles a command and returns the action to take.
     pub fn handle(
         &mut self,
         now: Nanos,
@@ -122,19 +122,19 @@
                         .filter(|rollout| rollout.kind == kind),
                 };
                 let Some(rollout) = rollout else {
-                    return CommandAction::Reply(refused("no such change is known here"));
+                    return CommandAction::Reply(rejection("no such change is known here"));
                 };
                 if rollout.outcome >= outcome || rollout.outcome == Outcome::Rejected {
                     let why = format!("it is {} already", rollout.outcome.display_name());
-                    return CommandAction::Reply(answer(state::DONE, &why, rollout.id.0));
+                    return CommandAction::Reply(reply(state::DONE, &why, rollout.id.0));
                 }
                 if outcome == Outcome::Halted && rollout.outcome == Outcome::Completed {
-                    return CommandAction::Reply(refused(
-                        "it is done and can't be halted, only taken back",
+                    return CommandAction::Reply(rejection(
+                        "it is completed and can only be rolled back",
                     ));
                 }
                 let why = if command.why.is_empty() {
-                    "an operator said so"
+                    "requested by an operator"
                 } else {
                     &command.why
                 };
@@ -144,7 +144,7 @@
                     why: why.to_owned(),
                 }
             }
-            _ => CommandAction::Reply(refused("this order is not known here")),
+            _ => CommandAction::Reply(rejection("unknown command")),
         }
     }
 
@@ -153,17 +153,18 @@
             command.size as usize,
             <[u8; 32]>::try_from(command.digest.as_slice()),
         ) else {
-            return refused("a piece of nothing that can be named");
+            return rejection("chunk without a valid content digest");
         };
         if size == 0 || size > MAX_CONTENT_BYTES {
-            return refused(&format!(
-                "{size} bytes, 1 to {MAX_CONTENT_BYTES} are possible"
+            return rejection(&format!(
+                "content of {size} bytes, must be 1 to {MAX_CONTENT_BYTES}"
             ));
         }
-        let is_it = |incoming: &Incoming| incoming.digest == digest && incoming.bytes.len() == size;
-        if let Some(other) = self.incoming.as_ref().filter(|incoming| !is_it(incoming)) {
+        let is_same =
+            |incoming: &Incoming| incoming.digest == digest && incoming.bytes.len() == size;
+        if let Some(other) = self.incoming.as_ref().filter(|incoming| !is_same(incoming)) {
             if now < other.since + INCOMING_IDLE_TIMEOUT && !other.have.iter().all(|have| *have) {
-                return answer(state::PENDING, "another content is coming in", 0);
+                return reply(state::PENDING, "another content is being received", 0);
             }
             self.incoming = None;
         }
@@ -175,12 +176,12 @@
         });
         let from = (command.chunk as usize).saturating_mul(CHUNK_BYTES);
         if from >= size || command.bytes.len() != CHUNK_BYTES.min(size - from) {
-            return refused("a piece that does not fit");
+            return rejection("chunk index or length does not match the content");
         }
         incoming.bytes[from..from + command.bytes.len()].copy_from_slice(&command.bytes);
         incoming.have[command.chunk as usize] = true;
         incoming.since = now;
-        answer(state::DONE, "", 0)
+        reply(state::DONE, "", 0)
     }
 
     fn offer(&mut self, now: Nanos, kind: Kind, command: &OperatorCommand) -> CommandAction {
@@ -189,7 +190,7 @@
             number: command.number,
             hash: command.hash,
         };
-        let mark = (
+        let key = (
             digest,
             if kind == Kind::Program {
                 version
@@ -197,43 +198,45 @@
                 Version::default()
             },
         );
-        if let Some((_, outcome)) = self.offers.iter().find(|(of, _)| *of == mark) {
+        if let Some((_, outcome)) = self.offers.iter().find(|(known, _)| *known == key) {
             match outcome {
-                CommandOutcome::Answered(answered) => {
-                    return CommandAction::Reply(answered.clone());
+                CommandOutcome::Answered(reply) => {
+                    return CommandAction::Reply(reply.clone());
                 }
                 CommandOutcome::Checking { since, .. } if now < since + CHECK_TIMEOUT => {
-                    return CommandAction::Reply(answer(
+                    return CommandAction::Reply(reply(
                         state::PENDING,
                         "the node looks into it",
                         0,
                     ));
                 }
-                CommandOutcome::Checking { .. } => self.offers.retain(|(of, _)| *of != mark),
+                CommandOutcome::Checking { .. } => self.offers.retain(|(known, _)| *known != key),
             }
         }
         let (version, content) = match kind {
             Kind::Program => (Some(version), None),
             Kind::Settings => {
-                let whole = self.incoming.as_ref().filter(|incoming| {
+                let complete = self.incoming.as_ref().filter(|incoming| {
                     incoming.digest == digest && incoming.have.iter().all(|have| *have)
                 });
-                let Some(whole) = whole else {
-                    return CommandAction::Reply(refused(
+                let Some(complete) = complete else {
+                    return CommandAction::Reply(rejection(
                         "pieces of it are missing here; order it anew",
                     ));
                 };
-                if chunks::digest(&whole.bytes) != digest {
+                if chunks::digest(&complete.bytes) != digest {
                     self.incoming = None;
-                    return CommandAction::Reply(refused("its content is not what its hash says"));
+                    return CommandAction::Reply(rejection(
+                        "the content does not match its digest",
+                    ));
                 }
-                (None, Some(whole.bytes.clone()))
+                (None, Some(complete.bytes.clone()))
             }
         };
         self.check_count += 1;
         let check = self.check_count;
         self.offers
-            .push_back((mark, CommandOutcome::Checking { check, since: now }));
+            .push_back((key, CommandOutcome::Checking { check, since: now }));
         while self.offers.len() > REMEMBERED_OFFERS {
             self.offers.pop_front();
         }
@@ -244,24 +247,29 @@
         }
     }
 
-    /// The host has checked an offer; gives the rollout to be offered to the cluster, if it is one.
+    /// Records the result of an offer's check. Returns the rollout to offer to the cluster and its
+    /// content, unless the offer is rejected or already known.
     pub fn offer_checked(
         &mut self,
         check: u64,
-        found: Result<Version, HostError>,
+        result: Result<Version, HostError>,
         (kind, me, unix_ms): (Kind, u64, u64),
         rollouts: &RolloutTable,
-        good: Version,
+        promoted: Version,
         plan: &Plan,
     ) -> Option<(Rollout, Option<Vec<u8>>)> {
-        let is_it = |outcome: &CommandOutcome| matches!(outcome, CommandOutcome::Checking { check: of, .. } if *of == check);
-        let at = self.offers.iter().position(|(_, outcome)| is_it(outcome))?;
+        let is_this_check = |outcome: &CommandOutcome| matches!(outcome, CommandOutcome::Checking { check: number, .. } if *number == check);
+        let at = self
+            .offers
+            .iter()
+            .position(|(_, outcome)| is_this_check(outcome))?;
         let (digest, _) = self.offers[at].0;
-        let (answered, offered) = match found {
-            Err(why) => (refused(&why.to_string()), None),
-            Ok(version) if version.number <= good.number => {
-                let why = format!("version {version} is not higher than {good}, which is in force");
-                (refused(&why), None)
+        let (reply, offered) = match result {
+            Err(why) => (rejection(&why.to_string()), None),
+            Ok(version) if version.number <= promoted.number => {
+                let why =
+                    format!("version {version} is not higher than {promoted}, which is in force");
+                (rejection(&why), None)
             }
             Ok(version) => {
                 match rollouts
@@ -269,15 +277,15 @@
                     .find(|c| c.kind == kind && c.version == version && !c.is_over())
                 {
                     Some(known) => (
-                        answer(state::DONE, "it was offered before", known.id.0),
+                        reply(state::DONE, "it has already been offered", known.id.0),
                         None,
                     ),
                     None => {
-                        let whole = self
+                        let received = self
                             .incoming
                             .take()
                             .filter(|incoming| incoming.digest == digest);
-                        let content = whole.map(|incoming| incoming.bytes);
+                        let content = received.map(|incoming| incoming.bytes);
                         let id = RolloutId(splitmix64(
                             version.hash ^ splitmix64(me ^ splitmix64(unix_ms)),
                         ));
@@ -285,7 +293,7 @@
                             id,
                             kind,
                             version,
-                            base: good,
+                            base: promoted,
                             digest,
                             bytes: content.as_ref().map_or(0, |content| content.len() as u32),
                             by: me,
@@ -295,12 +303,12 @@
                             outcome: Outcome::InProgress,
                             reason: Reason::default(),
                         };
-                        (answer(state::DONE, "", id.0), Some((rollout, content)))
+                        (reply(state::DONE, "", id.0), Some((rollout, content)))
                     }
                 }
             }
         };
-        self.offers[at].1 = CommandOutcome::Answered(answered);
+        self.offers[at].1 = CommandOutcome::Answered(reply);
         offered
     }
 }
--- a/crates/rollout/src/operator_commands/tests.rs
+++ b/crates/rollout/src/operator_commands/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::rollout::tests::rollout;
 
-fn chunk(content: &[u8], no: u32) -> OperatorCommand {
-    let bytes = chunks::chunk(content, no).unwrap().to_vec();
+fn chunk(content: &[u8], index: u32) -> OperatorCommand {
+    let bytes = chunks::chunk(content, index).unwrap().to_vec();
     let (size, digest) = (content.len() as u32, chunks::digest(content).to_vec());
     OperatorCommand {
         kind: command_kind::CHUNK,
-        chunk: no,
+        chunk: index,
         bytes,
         size,
         digest,
@@ -22,30 +22,30 @@
     }
 }
 
-fn state(act: &CommandAction) -> Option<u32> {
-    match act {
-        CommandAction::Reply(answered) => Some(answered.state),
+fn state(action: &CommandAction) -> Option<u32> {
+    match action {
+        CommandAction::Reply(reply) => Some(reply.state),
         _ => None,
     }
 }
 
-fn ordered(orders: &mut OperatorCommands, now: Nanos, received: &OperatorCommand) -> CommandAction {
-    orders.handle(now, Kind::Settings, &RolloutTable::default(), received)
+fn handle(commands: &mut OperatorCommands, now: Nanos, command: &OperatorCommand) -> CommandAction {
+    commands.handle(now, Kind::Settings, &RolloutTable::default(), command)
 }
 
-fn looked(
-    orders: &mut OperatorCommands,
-    no: u64,
-    found: Result<Version, HostError>,
+fn offer_checked(
+    commands: &mut OperatorCommands,
+    check: u64,
+    result: Result<Version, HostError>,
 ) -> Option<Rollout> {
-    let good = Version { number: 4, hash: 1 };
-    let of = (Kind::Settings, 7, 1000);
-    let offered = orders.offer_checked(
-        no,
-        found,
-        of,
+    let promoted = Version { number: 4, hash: 1 };
+    let identity = (Kind::Settings, 7, 1000);
+    let offered = commands.offer_checked(
+        check,
+        result,
+        identity,
         &RolloutTable::default(),
-        good,
+        promoted,
         &Plan::default(),
     );
     offered.map(|(rollout, content)| {
@@ -55,85 +55,80 @@
 }
 
 #[test]
-fn a_content_in_pieces_is_offered_once_however_often_that_is_ordered() {
-    let (content, mut orders) = (vec![9; 3000], OperatorCommands::default());
+fn content_in_chunks_is_offered_once_however_often_the_offer_is_repeated() {
+    let (content, mut commands) = (vec![9; 3000], OperatorCommands::default());
     assert_eq!(
-        state(&ordered(&mut orders, 0, &offer(&content))),
+        state(&handle(&mut commands, 0, &offer(&content))),
         Some(state::REJECTED)
     );
-    for no in [2, 0, 0, 1] {
+    for index in [2, 0, 0, 1] {
         assert_eq!(
-            state(&ordered(&mut orders, 0, &chunk(&content, no))),
+            state(&handle(&mut commands, 0, &chunk(&content, index))),
             Some(state::DONE)
         );
     }
     let CommandAction::CheckOffer {
-        check: no,
+        check,
         content: Some(whole),
         ..
-    } = ordered(&mut orders, 0, &offer(&content))
+    } = handle(&mut commands, 0, &offer(&content))
     else {
-        panic!("it is looked into")
+        panic!("a complete content is checked")
     };
     assert_eq!(whole, content);
     assert_eq!(
-        state(&ordered(&mut orders, 1, &offer(&content))),
+        state(&handle(&mut commands, 1, &offer(&content))),
         Some(state::PENDING)
     );
     let version = Version {
         number: 5,
         hash: 55,
     };
-    let rollout = looked(&mut orders, no, Ok(version)).unwrap();
+    let rollout = offer_checked(&mut commands, check, Ok(version)).unwrap();
     assert_eq!(
         (rollout.version, rollout.base.number, rollout.by),
         (version, 4, 7)
     );
     assert!(
-        looked(&mut orders, no, Ok(version)).is_none(),
-        "answered once"
+        offer_checked(&mut commands, check, Ok(version)).is_none(),
+        "the result of a check is used once"
     );
-    let again = ordered(&mut orders, 2, &offer(&content));
+    let again = handle(&mut commands, 2, &offer(&content));
     assert_eq!(
         again,
-        CommandAction::Reply(answer(state::DONE, "", rollout.id.0))
+        CommandAction::Reply(reply(state::DONE, "", rollout.id.0))
     );
 }
 
 #[test]
-fn what_is_bad_old_or_spoilt_is_refused_with_the_reason() {
-    let (content, mut orders) = (vec![9; 100], OperatorCommands::default());
-    let mut spoilt = chunk(&content, 0);
-    spoilt.bytes[5] ^= 1;
-    ordered(&mut orders, 0, &spoilt);
+fn corrupt_outdated_or_oversized_content_is_rejected() {
+    let (content, mut commands) = (vec![9; 100], OperatorCommands::default());
+    let mut corrupt = chunk(&content, 0);
+    corrupt.bytes[5] ^= 1;
+    handle(&mut commands, 0, &corrupt);
     assert_eq!(
-        state(&ordered(&mut orders, 0, &offer(&content))),
+        state(&handle(&mut commands, 0, &offer(&content))),
         Some(state::REJECTED)
     );
-    ordered(&mut orders, 0, &chunk(&content, 0));
-    let CommandAction::CheckOffer { check: no, .. } = ordered(&mut orders, 0, &offer(&content))
-    else {
+    handle(&mut commands, 0, &chunk(&content, 0));
+    let CommandAction::CheckOffer { check, .. } = handle(&mut commands, 0, &offer(&content)) else {
         panic!()
     };
-    assert!(looked(&mut orders, no, Ok(Version { number: 4, hash: 9 })).is_none());
-    let CommandAction::Reply(answered) = ordered(&mut orders, 0, &offer(&content)) else {
+    assert!(offer_checked(&mut commands, check, Ok(Version { number: 4, hash: 9 })).is_none());
+    let CommandAction::Reply(reply) = handle(&mut commands, 0, &offer(&content)) else {
         panic!()
     };
-    assert!(
-        answered.why.contains("not higher than 4"),
-        "{}",
-        answered.why
-    );
+    assert!(reply.why.contains("not higher than 4"), "{}", reply.why);
     let other = vec![8; 2000];
-    ordered(&mut orders, 0, &chunk(&other, 0));
+    handle(&mut commands, 0, &chunk(&other, 0));
     assert_eq!(
-        state(&ordered(&mut orders, 0, &chunk(&content, 0))),
+        state(&handle(&mut commands, 0, &chunk(&content, 0))),
         Some(state::PENDING),
-        "one at a time"
+        "one content at a time"
     );
     assert_eq!(
-        state(&ordered(
-            &mut orders,
+        state(&handle(
+            &mut commands,
             INCOMING_IDLE_TIMEOUT,
             &chunk(&content, 0)
         )),
@@ -144,12 +139,12 @@
         ..chunk(&content, 0)
     };
     assert_eq!(
-        state(&ordered(&mut orders, 0, &large)),
+        state(&handle(&mut commands, 0, &large)),
         Some(state::REJECTED)
     );
     assert_eq!(
-        state(&ordered(
-            &mut orders,
+        state(&handle(
+            &mut commands,
             0,
             &OperatorCommand {
                 chunk: 9,
@@ -161,24 +156,24 @@
 }
 
 #[test]
-fn a_halt_or_a_way_back_is_for_the_current_change_and_is_taken_again() {
-    let (mut rollouts, mut orders) = (RolloutTable::default(), OperatorCommands::default());
+fn halt_and_rollback_apply_to_the_current_rollout_and_may_be_repeated() {
+    let (mut rollouts, mut commands) = (RolloutTable::default(), OperatorCommands::default());
     let halt = OperatorCommand {
         kind: command_kind::HALT,
         ..OperatorCommand::default()
     };
     let back = OperatorCommand {
         kind: command_kind::ROLL_BACK,
-        why: "it smells".into(),
+        why: "error rate".into(),
         ..OperatorCommand::default()
     };
-    let mut act = |rollouts: &RolloutTable, received: &OperatorCommand| {
-        orders.handle(0, Kind::Settings, rollouts, received)
+    let mut handle = |rollouts: &RolloutTable, command: &OperatorCommand| {
+        commands.handle(0, Kind::Settings, rollouts, command)
     };
-    assert_eq!(state(&act(&rollouts, &halt)), Some(state::REJECTED));
+    assert_eq!(state(&handle(&rollouts, &halt)), Some(state::REJECTED));
     rollouts.merge(&rollout(3, 9));
     assert!(matches!(
-        act(&rollouts, &halt),
+        handle(&rollouts, &halt),
         CommandAction::End {
             id: RolloutId(3),
             outcome: Outcome::Halted,
@@ -186,18 +181,18 @@
         }
     ));
     rollouts.end(RolloutId(3), Outcome::Halted, Reason::new(1, 1, "x"));
-    assert_eq!(state(&act(&rollouts, &halt)), Some(state::DONE));
+    assert_eq!(state(&handle(&rollouts, &halt)), Some(state::DONE));
     let CommandAction::End {
         outcome: Outcome::RolledBack,
         why,
         ..
-    } = act(&rollouts, &back)
+    } = handle(&rollouts, &back)
     else {
         panic!()
     };
-    assert_eq!(why, "it smells");
+    assert_eq!(why, "error rate");
     assert_eq!(
-        state(&act(
+        state(&handle(
             &rollouts,
             &OperatorCommand {
                 rollout: 99,
@@ -212,9 +207,9 @@
         hash: 8,
         ..OperatorCommand::default()
     };
-    let act = orders.handle(0, Kind::Program, &rollouts, &program);
+    let action = commands.handle(0, Kind::Program, &rollouts, &program);
     let version = Some(Version { number: 7, hash: 8 });
     assert!(
-        matches!(act, CommandAction::CheckOffer { version: v, content: None, .. } if v == version)
+        matches!(action, CommandAction::CheckOffer { version: v, content: None, .. } if v == version)
     );
 }
--- a/crates/rollout/src/participant.rs
+++ b/crates/rollout/src/participant.rs
@@ -1,5 +1,5 @@
-//! All of a node's part in rollouts of one kind: its own agent, and if it is a voter its votes, the
-//! metrics and the coordination.
+//! A node's complete part in rollouts of one kind: its agent, its voter state with metrics and
+//! coordination, and the operator commands that it receives.
 
 use crate::coordinator::{Coordinator, CoordinatorAction};
 use crate::host::Host;
@@ -14,28 +14,29 @@
 use crate::stages::Plan;
 use crate::{Nanos, SECOND};
 
-/// A window is taken up this long after its end, in milliseconds: nodes send their counts every five
-/// seconds, and messages take a moment.
+/// Time from the end of a window until it is recorded, in milliseconds: nodes send their counters
+/// every 5 s, and the reports need time to arrive.
 const COUNTER_REPORT_DELAY_MS: u64 = 6000;
 
-/// A node's part in rollouts of one kind.
+/// A node's agent, voter state and operator commands for rollouts of one kind.
 pub struct Participant<H: Host> {
-    /// The node's own part.
+    /// Fetches, checks and runs versions at this node.
     pub agent: NodeAgent<H>,
-    /// Its part as a voter.
+    /// The voter state; inactive if this node is not a voter.
     pub coordinator: Coordinator,
-    /// The plan of rollouts that are offered here.
+    /// The plan of rollouts that operators offer at this node.
     pub plan: Plan,
-    /// Operators' commands.
+    /// The state of operator commands.
     commands: OperatorCommands,
-    /// The span of a window of counts, in milliseconds.
+    /// The length of a window of counts, in milliseconds.
     window_ms: u64,
     last_window_check: Nanos,
 }
 
 impl<H: Host> Participant<H> {
-    /// Of a node that has just started, among these voters, in a cluster that counts in windows of
-    /// `window_ms`.
+    /// Creates the participant of a node that has just started. `voters` is in order of precedence
+    /// as coordinator; `window_ms` is the length of the cluster's windows of counts, in
+    /// milliseconds.
     pub fn new(
         now: Nanos,
         unix_ms: u64,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Takes up a message.
+    /// Handles a message from the node with key `from`.
     pub fn handle_message(&mut self, now: Nanos, unix_ms: u64, from: u64, message: RolloutMessage) {
         match message {
             RolloutMessage::NodeReport { poll, report } => {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Does what is due; to be called a few times a second.
+    /// Performs due work. Must be called a few times a second.
     pub fn wake(&mut self, now: Nanos, unix_ms: u64) {
         self.agent.wake(now, unix_ms);
         if !self.coordinator.is_voter() {
@@ -79,25 +80,25 @@
         if now >= self.last_window_check + SECOND {
             self.last_window_check = now;
             let wanted = self.coordinator.next_wanted_window(self.agent.rollouts());
-            // The latest window that has ended and of which counts have come.
-            let over =
+            // The latest window that has ended and whose counts should have arrived.
+            let last_window =
                 (unix_ms.saturating_sub(COUNTER_REPORT_DELAY_MS) / self.window_ms).checked_sub(1);
-            if let (Some(from), Some(over)) = (wanted, over)
-                && over >= from
+            if let (Some(from), Some(last_window)) = (wanted, last_window)
+                && last_window >= from
             {
-                for (window, samples) in self.agent.host.windows(from, over) {
+                for (window, samples) in self.agent.host.windows(from, last_window) {
                     self.coordinator.record_window(window, &samples);
                 }
             }
         }
         let members = self.agent.host.members();
-        let over =
+        let last_window =
             (unix_ms.saturating_sub(COUNTER_REPORT_DELAY_MS) / self.window_ms).saturating_sub(1);
         let actions = {
             let NodeAgent { host, rollouts, .. } = &mut self.agent;
             self.coordinator
                 .wake(now, unix_ms, rollouts, &members, &mut || {
-                    host.windows(0, over)
+                    host.windows(0, last_window)
                 })
         };
         self.perform(now, unix_ms, actions);
@@ -124,12 +125,12 @@
         }
     }
 
-    /// Offers a rollout here whose content was checked.
+    /// Offers a rollout whose content has been checked to the cluster.
     pub fn offer(&mut self, now: Nanos, rollout: Rollout, content: Option<Vec<u8>>) {
         self.agent.offer(now, rollout, content);
     }
 
-    /// An operator halts a rollout or rolls it back; whether its outcome moved.
+    /// Halts a rollout or rolls it back for an operator. Returns whether its outcome changed.
     pub fn end(
         &mut self,
         now: Nanos,
@@ -141,7 +142,7 @@
         self.agent.end(now, unix_ms, id, outcome, why)
     }
 
-    /// Takes up an operator's command; gives the reply.
+    /// Handles an operator's command and returns the reply.
     pub fn handle_command(
         &mut self,
         now: Nanos,
@@ -153,7 +154,7 @@
             .commands
             .handle(now, kind, self.agent.rollouts(), command)
         {
-            operator_commands::CommandAction::Reply(answer) => answer,
+            operator_commands::CommandAction::Reply(reply) => reply,
             operator_commands::CommandAction::CheckOffer {
                 check,
                 version,
@@ -177,29 +178,34 @@
         }
     }
 
-    /// The host has checked an offer: which version it is, or why it can't be run.
+    /// Records the result of an offer's check: the version of the content, or why it cannot be run.
     pub fn offer_checked(
         &mut self,
         now: Nanos,
         unix_ms: u64,
         check: u64,
-        found: Result<Version, HostError>,
+        result: Result<Version, HostError>,
     ) {
-        let of = (self.agent.kind(), self.agent.me(), unix_ms);
-        let good = self
+        let identity = (self.agent.kind(), self.agent.me(), unix_ms);
+        let promoted = self
             .agent
             .persisted_state()
             .promoted
             .unwrap_or(self.agent.running());
-        let offered =
-            self.commands
-                .offer_checked(check, found, of, self.agent.rollouts(), good, &self.plan);
+        let offered = self.commands.offer_checked(
+            check,
+            result,
+            identity,
+            self.agent.rollouts(),
+            promoted,
+            &self.plan,
+        );
         if let Some((rollout, content)) = offered {
             self.agent.offer(now, rollout, content);
         }
     }
 
-    /// Takes up the node's own totals.
+    /// Records the node's own totals, see [`NodeAgent::record_local_metrics`].
     pub fn record_local_metrics(&mut self, now: Nanos, unix_ms: u64, own: LocalMetrics) {
         self.agent.record_local_metrics(now, unix_ms, own);
     }
--- a/crates/rollout/src/paxos.rs
+++ b/crates/rollout/src/paxos.rs
@@ -1,11 +1,12 @@
-//! How the voters agree on what comes next: single decrees, one after the other, by majority (Paxos
-//! as in Lamport, "Paxos Made Simple"). Each agreement has a number; the next one is voted on by
-//! voters that know all before it. So there is at most one agreement of a number, however many
-//! coordinators there are at once, and of the two sides of a split at most one goes on.
+//! Agreement of the voters on the next progress of a rollout: a sequence of single-decree Paxos
+//! instances (Lamport, "Paxos Made Simple"). Each agreement has a number, and only voters that know
+//! all earlier agreements vote on the next one. So each number has at most one agreement, however
+//! many coordinators are active at once, and at most one side of a network split continues.
 //!
-//! A vote is on the voter's disk before it is sent. A voter starts nothing for a rollout that it
-//! knows to be halted. A value that may have been agreed on already is carried through even so, for
-//! the numbers have no holes; as the rollout is halted no node begins anything by it.
+//! A vote is on the voter's disk before it is sent. A voter does not accept a new proposal for a
+//! rollout that it knows to be halted. A proposal that may have been agreed on already is carried
+//! through even then, because the numbers of agreements must have no gaps; no node starts a trial
+//! by it, as the rollout is halted.
 
 use crate::identifiers::{Kind, RolloutId};
 use crate::rollout::Outcome;
@@ -14,103 +15,103 @@
 use crate::{Nanos, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A round that did not succeed within this is given up.
+/// How long a round may take before it is given up.
 pub const ROUND_TIMEOUT: Nanos = 4 * SECOND;
 
-/// Identifies a round: the higher one wins.
+/// Identifies a round of voting; a higher ballot takes precedence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ballot {
-    /// The round.
+    /// The number of the round.
     pub round: u64,
-    /// The key of the coordinator whose round it is.
+    /// The key of the coordinator that runs the round.
     pub by: u64,
 }
 
-/// What is voted on: that a rollout has come this far.
+/// A proposed progress of a rollout, which the voters vote on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Proposal {
-    /// The rollout.
+    /// The rollout that advances.
     pub rollout: RolloutId,
-    /// How far it is to have come; the number of the agreement is in it.
+    /// The proposed progress, which includes the number of the agreement.
     pub progress: Progress,
 }
 
-/// A voter's vote on the agreement that comes next.
+/// A voter's promise and vote on the next agreement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Vote {
-    /// The number of the agreement that is voted on.
+    /// The number of the agreement that the vote is for.
     pub agreement: u64,
-    /// The voter takes no part in rounds before this one.
+    /// The voter refuses rounds with a lower ballot than this.
     pub promised: Ballot,
-    /// What it voted for, and in which round.
+    /// The proposal that the voter voted for, and the ballot of that round.
     pub accepted: Option<(Ballot, Proposal)>,
 }
 
-/// What the coordinator asks of a voter.
+/// A coordinator's request to a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PaxosRequest {
-    /// Take no part in rounds before this one; and what have you voted for?
+    /// Promise to refuse rounds with a lower ballot, and return the proposal voted for before.
     Prepare {
         /// The number of the agreement.
         agreement: u64,
-        /// The round.
+        /// The ballot of the round.
         ballot: Ballot,
     },
-    /// Vote for this.
+    /// Vote for this proposal.
     Accept {
-        /// The round.
+        /// The ballot of the round.
         ballot: Ballot,
-        /// The proposal.
+        /// The proposal to vote for.
         proposal: Proposal,
-        /// Whether a voter had voted for it in a round before.
+        /// Whether a voter has already voted for the proposal in an earlier round.
         again: bool,
     },
 }
 
-/// What a voter replies.
+/// A voter's reply to the coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PaxosReply {
-    /// The promise that was asked for.
+    /// The voter gives the requested promise.
     Promised {
         /// The number of the agreement.
         agreement: u64,
-        /// The round.
+        /// The ballot of the round.
         ballot: Ballot,
-        /// What the voter voted for before, and in which round.
+        /// The proposal that the voter voted for before, and the ballot of that round.
         accepted: Option<(Ballot, Proposal)>,
     },
-    /// The vote that was asked for.
+    /// The voter votes for the proposal.
     Accepted {
         /// The number of the agreement.
         agreement: u64,
-        /// The round.
+        /// The ballot of the round.
         ballot: Ballot,
     },
-    /// The promise was given to another round, or what the voter knows speaks against it.
+    /// The voter has promised a higher ballot, or its rollout table forbids the proposal.
     Refused {
         /// The number of the agreement.
         agreement: u64,
-        /// The round.
+        /// The ballot of the round.
         ballot: Ballot,
-        /// The round to which the voter is bound.
+        /// The highest ballot that the voter has promised.
         promised: Ballot,
     },
 }
 
-/// What a voter does about a request.
+/// A voter's action on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VoterAction {
-    /// Reply at once.
+    /// Send this reply at once.
     Reply(PaxosReply),
-    /// Write the vote to disk, and then reply.
+    /// Write the vote to disk, then send the reply.
     Persist(Vote, PaxosReply),
-    /// The voter lacks agreements before this one, and asks for them.
+    /// The voter lacks earlier agreements: request them from the coordinator.
     Behind,
-    /// The voter knows this one to be agreed on, and sends what it knows.
+    /// The agreement of this number is already known: send the rollouts to the coordinator.
     Ahead,
 }
 
-/// The number of the last agreement that is known.
+/// Returns the number of the last known agreement of a kind; 0 if there is none.
 pub fn last_agreement(rollouts: &RolloutTable, kind: Kind) -> u64 {
     rollouts
         .iter()
@@ -121,7 +122,7 @@
 }
 
 impl Vote {
-    /// What a voter does about a request, by the rollouts that it knows.
+    /// Decides on a request by this vote and the rollouts that the voter knows.
     pub fn handle_request(
         &self,
         rollouts: &RolloutTable,
@@ -135,8 +136,8 @@
             } => (proposal.progress.agreement, *ballot),
         };
         let last_agreement = last_agreement(rollouts, kind);
-        // What it voted on before may have been agreed on, so that it can't take part in what comes
-        // after without knowing.
+        // A proposal that this voter voted for earlier may have been agreed on. It must not vote on
+        // later agreements before it knows the result.
         if agreement > last_agreement + 1 {
             return VoterAction::Behind;
         }
@@ -176,8 +177,9 @@
         VoterAction::Persist(self, reply)
     }
 
-    /// Votes for a proposal. A new one must be of a rollout that is in progress and of no other than
-    /// the one that has begun; one that may have been agreed on already is voted for all the same.
+    /// Votes for a proposal. A new proposal must be for a rollout that has neither ended nor been
+    /// halted, while no other rollout is in progress; a proposal that may have been agreed on
+    /// already is accepted regardless.
     fn accept(
         mut self,
         rollouts: &RolloutTable,
@@ -209,43 +211,44 @@
 /// A coordinator's round of voting.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PaxosRound {
-    /// Whose round it is.
+    /// The ballot of the round.
     pub ballot: Ballot,
-    /// The number of the agreement that is sought.
+    /// The number of the agreement that the round is for.
     pub agreement: u64,
-    /// When it began.
+    /// When the round began.
     since: Nanos,
-    /// Voters that must agree.
+    /// Number of voters that form a majority.
     majority: usize,
-    /// What the coordinator wants to be agreed on.
+    /// The coordinator's own proposal.
     preferred: Proposal,
-    /// Promises, by voter, with what each had voted for.
+    /// Promises by voter, with the proposal that each had voted for.
     promised: BTreeMap<u64, Option<(Ballot, Proposal)>>,
-    /// What the voters were asked to vote for.
+    /// The proposal that the voters were asked to vote for.
     proposed: Option<Proposal>,
-    /// Voters that voted for it.
+    /// Voters that voted for the proposal.
     accepted: BTreeSet<u64>,
     /// Voters that refused.
     refused: BTreeSet<u64>,
-    /// The highest ballot that was seen.
+    /// The highest ballot seen in replies.
     highest: Ballot,
 }
 
-/// What follows from a reply.
+/// The coordinator's next step after a reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoundStep {
-    /// Nothing yet.
+    /// Wait for further replies.
     Wait,
-    /// All voters are asked this.
+    /// Send this request to all voters.
     Request(PaxosRequest),
-    /// A majority agreed.
+    /// A majority voted for this proposal.
     Agreed(Proposal),
-    /// The round failed; the next one must be higher than this.
+    /// The round failed; the next one needs a higher ballot than this.
     GiveUp(Ballot),
 }
 
 impl PaxosRound {
-    /// Begins a round for a proposal among this many voters; with what they are asked.
+    /// Begins a round for a proposal among `voters` voters. Returns the round and the request to
+    /// send to all voters.
     pub fn begin(
         now: Nanos,
         ballot: Ballot,
@@ -268,17 +271,17 @@
         (round, PaxosRequest::Prepare { agreement, ballot })
     }
 
-    /// Whether its time is over.
+    /// Returns whether the round has lasted longer than [`ROUND_TIMEOUT`].
     pub fn is_timed_out(&self, now: Nanos) -> bool {
         now > self.since + ROUND_TIMEOUT
     }
 
-    /// The rollout that is carried through.
+    /// Returns the rollout of the proposal that the round carries through.
     pub fn rollout(&self) -> RolloutId {
         self.proposed.as_ref().unwrap_or(&self.preferred).rollout
     }
 
-    /// Takes up a voter's reply.
+    /// Handles a reply of the voter with key `from`. Replies to other rounds are ignored.
     pub fn handle_reply(&mut self, from: u64, reply: &PaxosReply) -> RoundStep {
         match reply {
             PaxosReply::Promised {
--- a/crates/rollout/src/paxos/tests.rs
+++ b/crates/rollout/src/paxos/tests.rs
@@ -2,7 +2,7 @@
 use crate::rollout::Reason;
 use crate::rollout::tests::rollout;
 
-const K: Kind = Kind::Settings;
+const KIND: Kind = Kind::Settings;
 
 fn rollouts(ids: &[u64]) -> RolloutTable {
     let mut rollouts = RolloutTable::default();
@@ -26,22 +26,22 @@
     Ballot { round, by }
 }
 
-/// Three voters that write at once.
-struct Three {
+/// Three voters whose votes are persisted at once.
+struct ThreeVoters {
     votes: [Vote; 3],
     rollouts: [RolloutTable; 3],
 }
 
-impl Three {
-    fn new(ids: &[u64]) -> Three {
-        Three {
+impl ThreeVoters {
+    fn new(ids: &[u64]) -> ThreeVoters {
+        ThreeVoters {
             votes: Default::default(),
             rollouts: [rollouts(ids), rollouts(ids), rollouts(ids)],
         }
     }
 
     fn request(&mut self, at: usize, request: &PaxosRequest) -> Option<PaxosReply> {
-        match self.votes[at].handle_request(&self.rollouts[at], K, request) {
+        match self.votes[at].handle_request(&self.rollouts[at], KIND, request) {
             VoterAction::Reply(reply) => Some(reply),
             VoterAction::Persist(vote, reply) => {
                 self.votes[at] = vote;
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Plays a round with those that are reached; what came of it.
-    fn play(&mut self, ballot: Ballot, wished: Proposal, record_progress: &[usize]) -> RoundStep {
-        let (mut round, mut request) = PaxosRound::begin(0, ballot, wished, 3);
+    /// Runs a round of voting with the reachable voters and returns its result.
+    fn run_round(&mut self, ballot: Ballot, preferred: Proposal, reachable: &[usize]) -> RoundStep {
+        let (mut round, mut request) = PaxosRound::begin(0, ballot, preferred, 3);
         loop {
             let mut next = RoundStep::Wait;
-            for at in record_progress {
+            for at in reachable {
                 let Some(reply) = self.request(*at, &request) else {
                     continue;
                 };
@@ -66,7 +66,7 @@
                 }
             }
             match next {
-                RoundStep::Request(then) => request = then,
+                RoundStep::Request(following) => request = following,
                 other => return other,
             }
         }
@@ -74,63 +74,63 @@
 }
 
 #[test]
-fn a_majority_agrees_and_a_minority_does_not() {
-    let mut three = Three::new(&[1, 2]);
+fn majority_agrees_and_minority_does_not() {
+    let mut voters = ThreeVoters::new(&[1, 2]);
     assert_eq!(
-        three.play(ballot(1, 9), proposal(1, 1, 1), &[0]),
+        voters.run_round(ballot(1, 9), proposal(1, 1, 1), &[0]),
         RoundStep::Wait
     );
     assert_eq!(
-        three.play(ballot(2, 8), proposal(2, 1, 1), &[1, 2]),
+        voters.run_round(ballot(2, 8), proposal(2, 1, 1), &[1, 2]),
         RoundStep::Agreed(proposal(2, 1, 1))
     );
-    // The other one learns what was agreed on and carries that through.
+    // The other coordinator learns of the accepted proposal and carries it through.
     assert_eq!(
-        three.play(ballot(3, 9), proposal(1, 1, 1), &[0, 1]),
+        voters.run_round(ballot(3, 9), proposal(1, 1, 1), &[0, 1]),
         RoundStep::Agreed(proposal(2, 1, 1))
     );
 }
 
 #[test]
-fn rounds_before_the_promised_one_are_refused() {
-    let mut three = Three::new(&[1]);
+fn rounds_below_the_promised_ballot_are_refused() {
+    let mut voters = ThreeVoters::new(&[1]);
     let (_, prepare) = PaxosRound::begin(0, ballot(5, 1), proposal(1, 1, 1), 3);
-    (0..3).for_each(|at| drop(three.request(at, &prepare)));
+    (0..3).for_each(|at| drop(voters.request(at, &prepare)));
     assert_eq!(
-        three.play(ballot(4, 2), proposal(1, 1, 1), &[0, 1, 2]),
+        voters.run_round(ballot(4, 2), proposal(1, 1, 1), &[0, 1, 2]),
         RoundStep::GiveUp(ballot(5, 1))
     );
 }
 
 #[test]
-fn nothing_new_is_voted_for_a_halted_change_and_what_may_be_agreed_on_is_carried_through() {
-    let mut three = Three::new(&[1]);
-    three.rollouts[0].end(RolloutId(1), Outcome::Halted, Reason::default());
-    three.rollouts[1].end(RolloutId(1), Outcome::Halted, Reason::default());
+fn halted_rollout_gets_no_new_votes_but_an_accepted_proposal_is_carried_through() {
+    let mut voters = ThreeVoters::new(&[1]);
+    voters.rollouts[0].end(RolloutId(1), Outcome::Halted, Reason::default());
+    voters.rollouts[1].end(RolloutId(1), Outcome::Halted, Reason::default());
     assert!(matches!(
-        three.play(ballot(1, 9), proposal(1, 1, 1), &[0, 1, 2]),
+        voters.run_round(ballot(1, 9), proposal(1, 1, 1), &[0, 1, 2]),
         RoundStep::GiveUp(_)
     ));
-    three.votes[2].accepted = Some((ballot(1, 3), proposal(1, 1, 1)));
-    three.votes[2].agreement = 1;
+    voters.votes[2].accepted = Some((ballot(1, 3), proposal(1, 1, 1)));
+    voters.votes[2].agreement = 1;
     assert_eq!(
-        three.play(ballot(2, 9), proposal(1, 1, 2), &[0, 2]),
+        voters.run_round(ballot(2, 9), proposal(1, 1, 2), &[0, 2]),
         RoundStep::Agreed(proposal(1, 1, 1))
     );
 }
 
 #[test]
-fn who_lacks_what_came_before_takes_no_part_and_who_knows_more_tells() {
-    let mut three = Three::new(&[1]);
+fn voter_that_lacks_agreements_abstains_and_voter_ahead_sends_its_rollouts() {
+    let mut voters = ThreeVoters::new(&[1]);
     let request = PaxosRequest::Prepare {
         agreement: 2,
         ballot: ballot(1, 1),
     };
     assert_eq!(
-        three.votes[0].handle_request(&three.rollouts[0], K, &request),
+        voters.votes[0].handle_request(&voters.rollouts[0], KIND, &request),
         VoterAction::Behind
     );
-    three.rollouts[0].advance(
+    voters.rollouts[0].advance(
         RolloutId(1),
         &Progress {
             agreement: 2,
@@ -139,12 +139,12 @@
         },
     );
     assert_eq!(
-        three.votes[0].handle_request(&three.rollouts[0], K, &request),
+        voters.votes[0].handle_request(&voters.rollouts[0], KIND, &request),
         VoterAction::Ahead
     );
-    // A rollout that begins while another is under way finds no votes.
-    let mut three = Three::new(&[1, 2]);
-    three.rollouts.iter_mut().for_each(|rollouts| {
+    // A rollout gets no votes to begin while another is in progress.
+    let mut voters = ThreeVoters::new(&[1, 2]);
+    voters.rollouts.iter_mut().for_each(|rollouts| {
         rollouts.advance(
             RolloutId(1),
             &Progress {
@@ -155,13 +155,13 @@
         );
     });
     assert!(matches!(
-        three.play(ballot(1, 9), proposal(2, 2, 1), &[0, 1, 2]),
+        voters.run_round(ballot(1, 9), proposal(2, 2, 1), &[0, 1, 2]),
         RoundStep::GiveUp(_)
     ));
 }
 
 #[test]
-fn a_round_ends() {
+fn round_times_out() {
     let (round, _) = PaxosRound::begin(5, ballot(1, 1), proposal(1, 1, 1), 3);
     assert!(!round.is_timed_out(5 + ROUND_TIMEOUT) && round.is_timed_out(6 + ROUND_TIMEOUT));
     assert_eq!(round.rollout(), RolloutId(1));
