--- a/crates/rollout/src/persisted_state.rs
+++ b/crates/rollout/src/persisted_state.rs
@@ -1,10 +1,10 @@
-//! What a node persists of its versions, so that it starts on the right one whatever happened: a small
-//! file, written whole to another name, synced, and renamed. `docs/design/rollout.md` has it byte by
-//! byte.
+//! The state that a node persists about its versions, so that it starts on the right one after any
+//! failure: a small file that is written whole under another name, synced and renamed.
+//! `docs/design/rollout.md` specifies the format.
 //!
-//! Rules: a trial is written before it is applied. A file that names a trial at the start means that
-//! the node crashed on trial: it starts on the last promoted version, and tries that one again
-//! later, a bounded number of times (`node_agent`).
+//! Rules: a trial is written before it is applied. A file that names a trial at the start means
+//! that the node crashed on trial: the node starts on the last promoted version and tries the
+//! crashed one again later, a bounded number of times (`node_agent`).
 
 use crate::identifiers::{Kind, RolloutId, Version};
 use crate::messages::{self, RolloutWire, VoteWire};
@@ -13,61 +13,63 @@
 use prost::Message;
 
 const MAGIC: [u8; 4] = *b"mpv1";
-/// Rejected versions that are remembered.
-const TURNED_DOWN: usize = 16;
-/// The most bytes of the file.
+/// Number of rejected versions that are kept; the oldest are dropped.
+const MAX_REJECTED: usize = 16;
+/// Maximum size of the file, in bytes.
 pub const MAX_FILE_BYTES: usize = 4096;
 
-/// A version on trial.
+/// A version on trial, as recorded on disk before it is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Trial {
-    /// The rollout.
+    /// The rollout that brings the version.
     pub rollout: RolloutId,
-    /// Its version.
+    /// The version on trial.
     pub version: Version,
-    /// How often it was begun here.
+    /// Number of trials of the version at this node, including this one.
     pub tries: u32,
 }
 
-/// What is persisted of one kind.
+/// The persisted state of one kind of rollouts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
-    /// What its versions are of.
+    /// The kind of the versions.
     pub kind: Kind,
-    /// The last promoted version; none before the first one.
+    /// The last promoted version; `None` before the first promotion.
     pub promoted: Option<Version>,
-    /// The promoted version before it, whose content is still here.
+    /// The version promoted before that, whose content is kept.
     pub previous: Option<Version>,
-    /// The version on trial.
+    /// The trial in progress.
     pub trial: Option<Trial>,
-    /// Versions that crashed, were rejected or rolled back here, with how often they crashed.
+    /// Versions that crashed, were rejected or were rolled back at this node, with the number of
+    /// their crashes.
     pub rejected: Vec<(Version, u32)>,
-    /// The rollout of the last agreement, so that a cluster that starts all at once goes on with it.
+    /// The rollout of the last agreement, so that a cluster whose nodes all restart at once
+    /// continues with it.
     pub head: Option<Rollout>,
     /// The node's vote as a voter.
     pub vote: Option<Vote>,
-    /// The last agreement in which it takes no part.
+    /// The number of the last agreement on which this node abstains as a voter.
     pub abstains_to: u64,
 }
 
-/// Why a file can't be read.
+/// Why a file could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PersistedStateError {
-    /// It is cut, or another file.
-    NotOne,
-    /// Its checksum does not fit.
+    /// The file is truncated, or not a persisted state.
+    NotPersistedState,
+    /// The checksum does not match, or the body cannot be decoded.
     Damaged,
-    /// A later program wrote it.
-    Later,
+    /// The format is of a newer version of the program.
+    NewerFormat,
 }
 
 impl PersistedStateError {
-    /// As the log has it.
+    /// Returns the description for log lines.
     pub fn word(self) -> &'static str {
         match self {
-            PersistedStateError::NotOne => "cut, or no such file",
+            PersistedStateError::NotPersistedState => "truncated or not a persisted state",
             PersistedStateError::Damaged => "damaged",
-            PersistedStateError::Later => "of a later program",
+            PersistedStateError::NewerFormat => "written by a newer version of the program",
         }
     }
 }
@@ -104,7 +106,7 @@
     abstains_to: u64,
 }
 
-fn one(version: Version, crashes: u32) -> VersionWire {
+fn encode_version(version: Version, crashes: u32) -> VersionWire {
     VersionWire {
         number: version.number,
         hash: version.hash,
@@ -112,15 +114,15 @@
     }
 }
 
-fn version(one: &VersionWire) -> Version {
+fn decode_version(wire: &VersionWire) -> Version {
     Version {
-        number: one.number,
-        hash: one.hash,
+        number: wire.number,
+        hash: wire.hash,
     }
 }
 
 impl PersistedState {
-    /// Nothing persisted yet.
+    /// Returns the state of a node that has persisted nothing yet.
     pub fn new(kind: Kind) -> PersistedState {
         PersistedState {
             kind,
@@ -128,17 +130,20 @@
         }
     }
 
-    /// The file: its mark, the length of the body (4 bytes, little-endian), its CRC-32 (4), and the body.
+    /// Encodes the file: the magic bytes (4), the length of the body (4 bytes, little-endian), the
+    /// body's CRC-32 (4 bytes, little-endian) and the body.
     pub fn encode(&self) -> Vec<u8> {
         let body = PersistedStateWire {
-            promoted: self.promoted.map(|v| one(v, 0)),
-            previous: self.previous.map(|v| one(v, 0)),
+            promoted: self.promoted.map(|v| encode_version(v, 0)),
+            previous: self.previous.map(|v| encode_version(v, 0)),
             rollout: self.trial.map_or(0, |trial| trial.rollout.0),
-            trial: self.trial.map(|trial| one(trial.version, trial.tries)),
+            trial: self
+                .trial
+                .map(|trial| encode_version(trial.version, trial.tries)),
             rejected: self
                 .rejected
                 .iter()
-                .map(|(v, crashes)| one(*v, *crashes))
+                .map(|(v, crashes)| encode_version(*v, *crashes))
                 .collect(),
             kind: self.kind as u32,
             head: self.head.as_ref().map(messages::encode_rollout),
@@ -153,30 +158,30 @@
         file
     }
 
-    /// Reads a file.
+    /// Decodes a file.
     pub fn decode(bytes: &[u8]) -> Result<PersistedState, PersistedStateError> {
-        let word = |at: usize| bytes.get(at..at + 4).and_then(|four| four.try_into().ok());
-        let (Some(magic), Some(length), Some(crc)) = (word(0), word(4), word(8)) else {
-            return Err(PersistedStateError::NotOne);
+        let field = |at: usize| bytes.get(at..at + 4).and_then(|four| four.try_into().ok());
+        let (Some(magic), Some(length), Some(crc)) = (field(0), field(4), field(8)) else {
+            return Err(PersistedStateError::NotPersistedState);
         };
         let magic: [u8; 4] = magic;
         if magic != MAGIC {
             return Err(if magic.starts_with(b"mpv") {
-                PersistedStateError::Later
+                PersistedStateError::NewerFormat
             } else {
-                PersistedStateError::NotOne
+                PersistedStateError::NotPersistedState
             });
         }
         let body = bytes
             .get(12..12 + u32::from_le_bytes(length) as usize)
-            .ok_or(PersistedStateError::NotOne)?;
+            .ok_or(PersistedStateError::NotPersistedState)?;
         if bytes.len() > MAX_FILE_BYTES || crc32fast::hash(body) != u32::from_le_bytes(crc) {
             return Err(PersistedStateError::Damaged);
         }
         let body = PersistedStateWire::decode(body).map_err(|_| PersistedStateError::Damaged)?;
         let trial = body.trial.as_ref().map(|trial| Trial {
             rollout: RolloutId(body.rollout),
-            version: version(trial),
+            version: decode_version(trial),
             tries: trial.crashes,
         });
         Ok(PersistedState {
@@ -185,14 +190,14 @@
             } else {
                 Kind::Settings
             },
-            promoted: body.promoted.as_ref().map(version),
-            previous: body.previous.as_ref().map(version),
+            promoted: body.promoted.as_ref().map(decode_version),
+            previous: body.previous.as_ref().map(decode_version),
             trial,
             rejected: body
                 .rejected
                 .iter()
-                .take(TURNED_DOWN)
-                .map(|v| (version(v), v.crashes))
+                .take(MAX_REJECTED)
+                .map(|v| (decode_version(v), v.crashes))
                 .collect(),
             head: body.head.as_ref().and_then(messages::decode_rollout),
             vote: body.vote.as_ref().map(messages::decode_vote),
@@ -200,35 +205,37 @@
         })
     }
 
-    /// The node starts: gives the versions that it may start on, the first that can be run; and the trial
-    /// that crashed, if one did, which is counted. `given` is what the operator gave by hand. It goes first
-    /// only if its number is higher than that of the last promoted version, and it was not rejected here:
-    /// it may be the file that the machine was set up with long ago, or one that was placed there beside a
-    /// rollout.
+    /// Returns the versions on which the node may start, in order of preference, and the trial that
+    /// crashed, if any; its crash is counted. `given` is the version that the operator installed.
+    /// It comes first only if its number is higher than that of the last promoted version and this
+    /// node has not rejected it: it may date from the setup of the machine, or have been installed
+    /// by hand during a rollout.
     pub fn start_candidates(&mut self, given: Version) -> (Vec<Version>, Option<Trial>) {
-        let crashes = self.trial.take();
-        if let Some(trial) = crashes {
+        let crashed = self.trial.take();
+        if let Some(trial) = crashed {
             self.record_crash(trial.version);
         }
-        let is_newer =
-            self.promoted.is_none_or(|good| given.number > good.number) && !self.is_rejected(given);
+        let is_newer = self
+            .promoted
+            .is_none_or(|promoted| given.number > promoted.number)
+            && !self.is_rejected(given);
         let first = Some(given).filter(|_| is_newer);
-        let mut all: Vec<Version> = first
+        let mut candidates: Vec<Version> = first
             .into_iter()
             .chain(self.promoted)
             .chain(self.previous)
             .chain([given])
             .collect();
         let mut seen = Vec::new();
-        all.retain(|version| {
+        candidates.retain(|version| {
             let is_new = !seen.contains(version);
             seen.push(*version);
             is_new
         });
-        (all, crashes)
+        (candidates, crashed)
     }
 
-    /// A version crashed on trial here.
+    /// Counts a crash of a version on trial at this node.
     pub fn record_crash(&mut self, version: Version) {
         match self.rejected.iter_mut().find(|(v, _)| *v == version) {
             Some((_, crashes)) => *crashes += 1,
@@ -236,20 +243,20 @@
         }
     }
 
-    /// A version is not to be run here.
+    /// Records that this node must not run a version, with the number of its crashes.
     pub fn reject(&mut self, version: Version, crashes: u32) {
         self.rejected.retain(|(v, _)| *v != version);
         self.rejected.push((version, crashes));
-        let over = self.rejected.len().saturating_sub(TURNED_DOWN);
-        self.rejected.drain(..over);
+        let excess = self.rejected.len().saturating_sub(MAX_REJECTED);
+        self.rejected.drain(..excess);
     }
 
-    /// Whether a version crashed, was rejected or rolled back here.
+    /// Returns whether a version crashed, was rejected or was rolled back at this node.
     pub fn is_rejected(&self, version: Version) -> bool {
         self.rejected.iter().any(|(v, _)| *v == version)
     }
 
-    /// How often a version crashed here.
+    /// Returns how often a version crashed at this node.
     pub fn crashes(&self, version: Version) -> u32 {
         self.rejected
             .iter()
@@ -257,7 +264,7 @@
             .map_or(0, |(_, crashes)| *crashes)
     }
 
-    /// The version on trial is in force from here on.
+    /// Promotes a version and ends the trial: the node starts on this version from now on.
     pub fn promote(&mut self, version: Version) {
         self.trial = None;
         if self.promoted != Some(version) {
@@ -267,7 +274,7 @@
         self.rejected.retain(|(v, _)| *v != version);
     }
 
-    /// Versions whose content must stay on disk.
+    /// Returns the versions whose content must stay on disk.
     pub fn needed(&self) -> impl Iterator<Item = Version> {
         self.promoted
             .into_iter()
--- a/crates/rollout/src/persisted_state/tests.rs
+++ b/crates/rollout/src/persisted_state/tests.rs
@@ -19,18 +19,18 @@
     });
     let rejected = (10..20).map(|n| (v(n), n as u32 % 3)).collect();
     let mut head = rollout(9, 3);
-    let until = (0..MAX_ZONES as u32).map(|zone| (zone, 1 << 60));
+    let thresholds = (0..MAX_ZONES as u32).map(|zone| (zone, 1 << 60));
     head.progress = Progress {
         agreement: 31,
         stage: 2,
-        thresholds: until.clone().collect(),
+        thresholds: thresholds.clone().collect(),
         ..Progress::default()
     };
     (head.outcome, head.reason) = (
         Outcome::Halted,
         Reason::new(1 << 41, 1 << 60, &"x".repeat(200)),
     );
-    head.progress.previous_thresholds = until.collect();
+    head.progress.previous_thresholds = thresholds.collect();
     let proposal = Proposal {
         rollout: RolloutId(9),
         progress: Progress {
@@ -63,13 +63,16 @@
 }
 
 #[test]
-fn what_is_written_is_read_and_every_cut_and_bit_is_found() {
+fn encoding_round_trips_and_every_truncation_and_bit_flip_is_detected() {
     for persisted in [PersistedState::new(Kind::Program), full()] {
         let file = persisted.encode();
         assert!(file.len() <= MAX_FILE_BYTES);
         assert_eq!(PersistedState::decode(&file), Ok(persisted.clone()));
         for at in 0..file.len() {
-            assert!(PersistedState::decode(&file[..at]).is_err(), "cut at {at}");
+            assert!(
+                PersistedState::decode(&file[..at]).is_err(),
+                "truncated at {at}"
+            );
             for bit in 0..8 {
                 let mut file = file.clone();
                 file[at] ^= 1 << bit;
@@ -82,16 +85,16 @@
     }
     assert_eq!(
         PersistedState::decode(b"mpv2 and more to come"),
-        Err(PersistedStateError::Later)
+        Err(PersistedStateError::NewerFormat)
     );
 }
 
 #[test]
-fn one_that_died_on_trial_starts_on_the_last_good_version() {
+fn node_that_crashed_on_trial_starts_on_the_last_promoted_version() {
     let mut persisted = full();
-    let (start, crashes) = persisted.start_candidates(v(1));
+    let (start, crashed) = persisted.start_candidates(v(1));
     assert_eq!(
-        (start, crashes.unwrap().version, persisted.trial),
+        (start, crashed.unwrap().version, persisted.trial),
         (vec![v(2), v(1)], v(3), None)
     );
     assert_eq!(
@@ -106,13 +109,13 @@
     assert_eq!(
         persisted.start_candidates(v(3)).0,
         [v(2), v(1), v(3)],
-        "laid there beside, and died: it goes last"
+        "a version installed by hand that has crashed comes last"
     );
     assert_eq!(persisted.crashes(v(3)), 2);
 }
 
 #[test]
-fn a_last_good_version_always_exists_once_there_was_one() {
+fn promoted_version_is_kept_once_there_is_one() {
     let mut persisted = PersistedState::new(Kind::Settings);
     assert_eq!(persisted.start_candidates(v(7)), (vec![v(7)], None));
     persisted.promote(v(1));
@@ -130,12 +133,12 @@
     assert_eq!(
         persisted.start_candidates(v(1)).0,
         [v(2), v(1)],
-        "what it was set up with goes last"
+        "an older version installed by the operator comes last"
     );
     assert_eq!(
         persisted.start_candidates(v(5)).0,
         [v(5), v(2), v(1)],
-        "and what is newer goes first"
+        "a newer version installed by the operator comes first"
     );
     persisted.promote(v(2));
     assert_eq!(persisted.previous, Some(v(1)));
@@ -145,6 +148,6 @@
             persisted.rejected.len(),
             persisted.encode().len() <= MAX_FILE_BYTES
         ),
-        (TURNED_DOWN, true)
+        (MAX_REJECTED, true)
     );
 }
--- a/crates/rollout/src/process_handover.rs
+++ b/crates/rollout/src/process_handover.rs
@@ -1,10 +1,11 @@
-//! A supervisor's decisions: which version of the program runs, how a new process takes the place of an
-//! old one on the same listening socket, and what is started when one crashes. No I/O: fed what happens
-//! and the time, it acts through [`ProcessHost`].
+//! The supervisor's state machine: which version of the program runs, how a new process replaces
+//! the old one on the same listening socket, and what is started after a crash. It does no I/O: it
+//! takes events and the time, and acts through [`ProcessHost`].
 //!
-//! Rules: the old process gets the notice to leave only once the new one serves and knows that it is in
-//! charge, so that at every moment at least one process serves that has no such notice, but for the time
-//! in which one that crashed is started anew. What is on disk is written by the process in charge alone.
+//! Rules: the old process is told to leave only once the new one serves and has been told that it
+//! is in charge. So there is always a serving process that has not been told to leave, except while
+//! a crashed one is being restarted. Only the process in charge may have the persisted state
+//! written.
 
 use crate::host_error::HostError;
 use crate::identifiers::Version;
@@ -12,56 +13,58 @@
 use crate::{Nanos, SECOND};
 use std::collections::BTreeMap;
 
-/// A process that the supervisor started.
+/// Identifies a process that the supervisor started; numbered from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Child(pub u64);
 
-/// What a process starts with.
+/// The instructions that a process gets at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartInstructions {
     /// The persisted state.
     pub persisted: PersistedState,
-    /// The version that the process is of.
+    /// The version that the process runs.
     pub version: Version,
-    /// The trial that crashed before this start, if one did.
+    /// The trial that crashed before this start, if any.
     pub crashed: Option<Trial>,
     /// Whether the disk was empty.
     pub disk_was_empty: bool,
-    /// Whether another process serves meanwhile: then this one waits until it is in charge.
+    /// Whether another process is serving; if so, this one waits until it is told that it is in
+    /// charge.
     pub another_process_serves: bool,
 }
 
-/// What the decisions do.
+/// Side effects of the supervisor.
 pub trait ProcessHost {
-    /// Starts a process; [`Supervisor::ready`] and [`Supervisor::ended`] take up what becomes of it.
-    fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), HostError>;
-    /// Lets it know that it is in charge.
+    /// Starts a process. [`Supervisor::ready`] and [`Supervisor::ended`] report its further course.
+    fn start(&mut self, child: Child, instructions: &StartInstructions) -> Result<(), HostError>;
+    /// Tells a process that it is in charge.
     fn in_charge(&mut self, child: Child);
-    /// Gives it the notice to leave, as another process takes its place.
+    /// Tells a process to leave because another process has replaced it.
     fn hand_over(&mut self, child: Child);
-    /// Gives it the notice to leave for good.
+    /// Tells a process to leave because the supervisor stops.
     fn leave(&mut self, child: Child);
-    /// Kills it.
+    /// Kills a process.
     fn kill(&mut self, child: Child);
     /// Writes the persisted state; it is on disk when this returns.
     fn persist(&mut self, persisted: &PersistedState) -> Result<(), HostError>;
-    /// Whether a version is on this machine, or why it can't be started.
+    /// Checks that a version is installed on this machine. Otherwise returns why it cannot be
+    /// started.
     fn has(&mut self, version: Version) -> Result<(), HostError>;
-    /// Answers a request of a process.
+    /// Answers the request with this number of a process.
     fn answer(&mut self, child: Child, request: u64, result: Result<(), HostError>);
     /// Writes a line to the log.
     fn log(&mut self, line: &str);
 }
 
-/// A new process is ready within this, or is killed.
+/// How long a new process may take to become ready before it is killed.
 const READY_TIMEOUT: Nanos = 30 * SECOND;
-/// Time between two starts of what crashes at once; doubled each time.
+/// Time before the restart of a process that crashed soon after its start; doubled each time.
 const MIN_RESTART_DELAY: Nanos = SECOND;
-/// The longest time between two starts.
+/// Maximum time before a restart.
 const MAX_RESTART_DELAY: Nanos = 30 * SECOND;
-/// A process that lived this long did not crash at once.
+/// A crash this long after the process became ready does not count as a quick crash.
 const STABLE_AFTER: Nanos = 60 * SECOND;
-/// A version that crashed at once this often goes after the others that may run.
+/// Number of quick crashes after which a version is tried only after the other start candidates.
 const MAX_QUICK_CRASHES: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
@@ -74,112 +77,113 @@
 #[derive(Clone, Copy, Debug)]
 struct Starting {
     process: Process,
-    /// Who asked for it, and by which question; nobody if it was started because there was none.
-    asked: Option<(Child, u64)>,
+    /// The process that requested the start and the number of its request; `None` if the supervisor
+    /// started the process by itself or for the operator.
+    requested_by: Option<(Child, u64)>,
 }
 
-/// The supervisor.
+/// The supervisor of a node's processes.
 pub struct Supervisor<H: ProcessHost> {
-    /// The embedder.
+    /// The embedder's side effects.
     pub host: H,
-    /// What is on disk.
+    /// The persisted state on disk.
     persisted: PersistedState,
-    /// Whether the disk was empty.
+    /// Whether the disk was empty when the supervisor started; cleared once a process serves.
     disk_was_empty: bool,
-    /// The version that the operator gave to start on.
+    /// The version that the operator installed to start on.
     given: Version,
-    /// The time that a process may take to leave.
-    stop: Nanos,
+    /// How long a process may take to leave before it is killed.
+    stop_timeout: Nanos,
     /// The process in charge.
     in_charge_process: Option<Process>,
-    /// The process that does not serve yet.
+    /// The process that has been started and does not serve yet.
     starting: Option<Starting>,
-    /// Processes that got the notice to leave.
+    /// Processes that have been told to leave.
     leaving: Vec<Process>,
-    /// Processes started so far; numbers them.
-    children: u64,
-    /// The trial that crashed, until a process serves again.
+    /// Number of processes started so far; the last one has this number.
+    child_count: u64,
+    /// The trial that crashed; cleared once a process serves.
     crashed: Option<Trial>,
-    /// No process is started before this.
+    /// The earliest time of the next start.
     not_before: Nanos,
-    /// Crashes in a row of processes that lived shortly.
+    /// Number of consecutive quick crashes and failed starts.
     quick_crashes: u32,
-    /// Such crashes by version; not to serve at all counts as [`MAX_QUICK_CRASHES`].
+    /// Quick crashes by version; a failed start counts as [`MAX_QUICK_CRASHES`].
     failures: BTreeMap<Version, u32>,
-    /// Whether all is to end.
-    ends: bool,
+    /// Whether the supervisor is stopping.
+    is_stopping: bool,
 }
 
 impl<H: ProcessHost> Supervisor<H> {
-    /// A supervisor that read this from its disk; it starts a process.
+    /// Creates a supervisor with the state read from its disk, and starts a process. `given` is the
+    /// version that the operator installed; `stop_timeout` is how long a process may take to leave.
     pub fn new(
         now: Nanos,
         persisted: PersistedState,
         disk_was_empty: bool,
         given: Version,
-        stop: Nanos,
+        stop_timeout: Nanos,
         host: H,
     ) -> Supervisor<H> {
-        let mut parent = Supervisor {
+        let mut supervisor = Supervisor {
             host,
             persisted,
             disk_was_empty,
             given,
-            stop,
+            stop_timeout,
             in_charge_process: None,
             starting: None,
             leaving: Vec::new(),
-            children: 0,
+            child_count: 0,
             crashed: None,
             not_before: 0,
             quick_crashes: 0,
             failures: BTreeMap::new(),
-            ends: false,
+            is_stopping: false,
         };
-        parent.start_one(now);
-        parent
+        supervisor.start_if_none(now);
+        supervisor
     }
 
-    /// The process in charge, and its version.
+    /// Returns the process in charge and its version.
     pub fn in_charge(&self) -> Option<(Child, Version)> {
         self.in_charge_process
             .map(|process| (process.child, process.version))
     }
 
-    /// Whether all processes have ended.
+    /// Returns whether the supervisor is stopping and all processes have ended.
     pub fn is_over(&self) -> bool {
-        self.ends
+        self.is_stopping
             && self.in_charge_process.is_none()
             && self.starting.is_none()
             && self.leaving.is_empty()
     }
 
-    /// Starts a process if there is none: of the versions that it may run, the first that is here.
-    fn start_one(&mut self, now: Nanos) {
-        if self.ends
+    /// Starts a process if there is none, of the first start candidate that is installed.
+    fn start_if_none(&mut self, now: Nanos) {
+        if self.is_stopping
             || self.in_charge_process.is_some()
             || self.starting.is_some()
             || now < self.not_before
         {
             return;
         }
-        let (all, crashed) = self.persisted.start_candidates(self.given);
+        let (candidates, crashed) = self.persisted.start_candidates(self.given);
         if let Some(trial) = crashed {
             self.crashed = Some(trial);
             if let Err(why) = self.host.persist(&self.persisted) {
                 self.host.log(&format!(
-                    "that version {} died could not be written: {why}",
+                    "crash of version {} could not be written: {why}",
                     trial.version
                 ));
             }
         }
-        // What did not come to serve lately, or crashed at once again and again, goes after the
-        // others.
-        let mut all = all;
-        all.sort_by_key(|version| {
+        // Versions whose start failed or that had repeated quick crashes come after the others.
+        let mut candidates = candidates;
+        candidates.sort_by_key(|version| {
             self.failures.get(version).copied().unwrap_or(0) / MAX_QUICK_CRASHES
         });
-        for version in all {
+        for version in candidates {
             let started = self
                 .host
                 .has(version)
@@ -191,10 +195,11 @@
                     .log(&format!("version {version} can't be started: {why}")),
             }
         }
-        self.wait_longer(now);
+        self.back_off(now);
     }
 
-    fn wait_longer(&mut self, now: Nanos) {
+    /// Delays the next start; the delay doubles with each quick crash or failed start.
+    fn back_off(&mut self, now: Nanos) {
         self.not_before =
             now + (MIN_RESTART_DELAY << self.quick_crashes.min(8)).min(MAX_RESTART_DELAY);
         self.quick_crashes += 1;
@@ -204,19 +209,19 @@
         &mut self,
         now: Nanos,
         version: Version,
-        asked: Option<(Child, u64)>,
+        requested_by: Option<(Child, u64)>,
     ) -> Result<(), HostError> {
-        self.children += 1;
-        let child = Child(self.children);
+        self.child_count += 1;
+        let child = Child(self.child_count);
         let another_process_serves = self.in_charge_process.is_some();
-        let begin = StartInstructions {
+        let instructions = StartInstructions {
             persisted: self.persisted.clone(),
             version,
             crashed: self.crashed,
             disk_was_empty: self.disk_was_empty,
             another_process_serves,
         };
-        self.host.start(child, &begin)?;
+        self.host.start(child, &instructions)?;
         self.host.log(&format!(
             "version {version} starts{}",
             if another_process_serves {
@@ -231,14 +236,14 @@
                 version,
                 since: now,
             },
-            asked,
+            requested_by,
         });
         Ok(())
     }
 
-    // ---- What processes say ----
+    // ---- Events of processes ----
 
-    /// A process serves.
+    /// Reports that a process serves: it takes charge, and the previous process is told to leave.
     pub fn ready(&mut self, now: Nanos, child: Child) {
         let Some(starting) = self
             .starting
@@ -268,13 +273,19 @@
         }
     }
 
-    /// A process wants this persisted; only the one in charge may, or the only one that there is.
+    /// Handles a process's request to write the persisted state. Only the process in charge may do
+    /// so, or the starting one while no process is in charge.
     pub fn persist(&mut self, child: Child, request: u64, persisted: PersistedState) {
-        let only = self
+        let sole_process = self
             .starting
             .filter(|_| self.in_charge_process.is_none())
             .map(|starting| starting.process.child);
-        if self.in_charge_process.map(|process| process.child).or(only) != Some(child) {
+        if self
+            .in_charge_process
+            .map(|process| process.child)
+            .or(sole_process)
+            != Some(child)
+        {
             return self
                 .host
                 .answer(child, request, Err("another process is in charge".into()));
@@ -286,14 +297,15 @@
         self.host.answer(child, request, written);
     }
 
-    /// A process asks whether a version can be run here.
+    /// Answers a process's request whether a version can be started on this machine.
     pub fn check(&mut self, child: Child, request: u64, version: Version) {
-        let here = self.host.has(version);
-        self.host.answer(child, request, here);
+        let result = self.host.has(version);
+        self.host.answer(child, request, result);
     }
 
-    /// The process in charge wants another version to take its place. It is answered only if that is not
-    /// possible: else it gets the notice to leave.
+    /// Handles a request of the process in charge to be replaced by another version. The request is
+    /// answered if it fails or the version already runs; otherwise the process is told to leave
+    /// once the new one serves.
     pub fn apply(&mut self, now: Nanos, child: Child, request: u64, version: Version) {
         let Some(in_charge_process) = self
             .in_charge_process
@@ -306,11 +318,11 @@
         if in_charge_process.version == version {
             return self.host.answer(child, request, Ok(()));
         }
-        if self.starting.is_some() || self.ends {
+        if self.starting.is_some() || self.is_stopping {
             return self.host.answer(
                 child,
                 request,
-                Err("another one is being started, or all of it ends".into()),
+                Err("another process is being started, or the supervisor is stopping".into()),
             );
         }
         let started = self
@@ -322,12 +334,12 @@
         }
     }
 
-    /// The operator wants the process renewed: another one of the version in charge takes its place,
-    /// without a gap.
+    /// Replaces the process in charge by another one of the same version, without interruption of
+    /// service; requested by the operator. Does nothing while another process is being started.
     pub fn renew(&mut self, now: Nanos) {
         let Some(in_charge_process) = self
             .in_charge_process
-            .filter(|_| self.starting.is_none() && !self.ends)
+            .filter(|_| self.starting.is_none() && !self.is_stopping)
         else {
             return;
         };
@@ -339,7 +351,7 @@
         }
     }
 
-    /// A process ended.
+    /// Reports that a process ended; `how` is shown in the log.
     pub fn ended(&mut self, now: Nanos, child: Child, how: &str) {
         if let Some(at) = self
             .leaving
@@ -354,13 +366,13 @@
             .starting
             .take_if(|starting| starting.process.child == child)
         {
-            self.failed(now, &starting, &format!("it ended before it served, {how}"));
+            self.start_failed(now, &starting, &format!("it ended before it served, {how}"));
         }
         if let Some(process) = self
             .in_charge_process
             .take_if(|process| process.child == child)
         {
-            if self.ends {
+            if self.is_stopping {
                 return;
             }
             self.host
@@ -371,21 +383,22 @@
                 *self.failures.entry(process.version).or_default() += 1;
             }
             if self.quick_crashes > 0 {
-                self.wait_longer(now);
+                self.back_off(now);
             } else {
-                self.quick_crashes = 1; // the first time at once
+                self.quick_crashes = 1; // the first restart is immediate
             }
-            // One that is being started takes its place when it serves; else one is started now.
-            self.start_one(now);
+            // A process that is being started takes charge once it serves; otherwise one is started
+            // now.
+            self.start_if_none(now);
         }
     }
 
-    /// A process did not come to serve.
-    fn failed(&mut self, now: Nanos, starting: &Starting, why: &str) {
+    /// Handles a process that ended or timed out before it served.
+    fn start_failed(&mut self, now: Nanos, starting: &Starting, why: &str) {
         let version = starting.process.version;
         self.host
             .log(&format!("version {version} did not come to serve: {why}"));
-        match (starting.asked, self.in_charge_process) {
+        match (starting.requested_by, self.in_charge_process) {
             (Some((child, request)), Some(in_charge_process))
                 if in_charge_process.child == child =>
             {
@@ -393,25 +406,25 @@
             }
             _ => {
                 *self.failures.entry(version).or_default() += MAX_QUICK_CRASHES;
-                self.wait_longer(now);
-                self.start_one(now);
+                self.back_off(now);
+                self.start_if_none(now);
             }
         }
     }
 
-    // ---- Time and notices ----
+    // ---- Timers and stop ----
 
-    /// Does what is due; to be called a few times a second.
+    /// Performs due work. Must be called a few times a second.
     pub fn wake(&mut self, now: Nanos) {
         if let Some(starting) = self
             .starting
             .take_if(|starting| now > starting.process.since + READY_TIMEOUT)
         {
             self.host.kill(starting.process.child);
-            self.failed(now, &starting, "it was not ready in time");
+            self.start_failed(now, &starting, "it was not ready in time");
         }
-        let late = |process: &Process| now > process.since + self.stop;
-        for process in self.leaving.iter_mut().filter(|process| late(process)) {
+        let is_late = |process: &Process| now > process.since + self.stop_timeout;
+        for process in self.leaving.iter_mut().filter(|process| is_late(process)) {
             self.host.log(&format!(
                 "version {} did not leave in time, and is killed",
                 process.version
@@ -419,12 +432,12 @@
             self.host.kill(process.child);
             process.since = now;
         }
-        self.start_one(now);
+        self.start_if_none(now);
     }
 
-    /// The supervisor itself got the notice to leave: all processes get it.
+    /// Stops the supervisor: all processes are told to leave, and no further one is started.
     pub fn leave(&mut self, now: Nanos) {
-        if std::mem::replace(&mut self.ends, true) {
+        if std::mem::replace(&mut self.is_stopping, true) {
             return;
         }
         if let Some(starting) = self.starting.take() {
@@ -443,7 +456,7 @@
         }
     }
 
-    /// What is on disk.
+    /// Returns the persisted state on disk.
     pub fn persisted(&self) -> &PersistedState {
         &self.persisted
     }
--- a/crates/rollout/src/process_handover/tests.rs
+++ b/crates/rollout/src/process_handover/tests.rs
@@ -4,24 +4,24 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
-/// Processes as the world has them.
+/// A host that records the supervisor's calls.
 #[derive(Default)]
-struct World {
+struct FakeHost {
     started: Vec<(Child, StartInstructions)>,
-    there: BTreeMap<Child, Version>,
+    running: BTreeMap<Child, Version>,
     told_to_leave: BTreeSet<Child>,
     in_charge: Vec<Child>,
     answers: Vec<(Child, u64, Result<(), HostError>)>,
-    lacks: BTreeSet<u64>,
+    not_installed: BTreeSet<u64>,
     disk: Option<PersistedState>,
-    full: bool,
-    lines: Vec<String>,
+    disk_is_full: bool,
+    log_lines: Vec<String>,
 }
 
-impl ProcessHost for World {
-    fn start(&mut self, child: Child, begin: &StartInstructions) -> Result<(), HostError> {
-        self.started.push((child, begin.clone()));
-        self.there.insert(child, begin.version);
+impl ProcessHost for FakeHost {
+    fn start(&mut self, child: Child, instructions: &StartInstructions) -> Result<(), HostError> {
+        self.started.push((child, instructions.clone()));
+        self.running.insert(child, instructions.version);
         Ok(())
     }
     fn in_charge(&mut self, child: Child) {
@@ -37,50 +37,57 @@
         self.told_to_leave.insert(child);
     }
     fn persist(&mut self, persisted: &PersistedState) -> Result<(), HostError> {
-        if self.full {
-            return Err("no room".into());
+        if self.disk_is_full {
+            return Err("disk full".into());
         }
         self.disk = Some(persisted.clone());
         Ok(())
     }
     fn has(&mut self, version: Version) -> Result<(), HostError> {
-        if self.lacks.contains(&version.number) {
-            Err("it is not here".into())
+        if self.not_installed.contains(&version.number) {
+            Err("not installed".into())
         } else {
             Ok(())
         }
     }
-    fn answer(&mut self, child: Child, no: u64, result: Result<(), HostError>) {
-        self.answers.push((child, no, result));
+    fn answer(&mut self, child: Child, request: u64, result: Result<(), HostError>) {
+        self.answers.push((child, request, result));
     }
     fn log(&mut self, line: &str) {
-        self.lines.push(line.to_owned());
+        self.log_lines.push(line.to_owned());
     }
 }
 
-fn v(number: u64) -> Version {
+fn version(number: u64) -> Version {
     Version {
         number,
         hash: number * 11,
     }
 }
 
-const STOP: Nanos = 5 * SECOND;
+const STOP_TIMEOUT: Nanos = 5 * SECOND;
 
-fn serving(number: u64) -> Supervisor<World> {
+fn supervisor_serving(number: u64) -> Supervisor<FakeHost> {
     let mut persisted = PersistedState::new(Kind::Program);
-    persisted.promote(v(number));
-    let mut parent = Supervisor::new(0, persisted, false, v(number), STOP, World::default());
-    let child = parent.host.started[0].0;
-    parent.ready(1, child);
-    parent
+    persisted.promote(version(number));
+    let mut supervisor = Supervisor::new(
+        0,
+        persisted,
+        false,
+        version(number),
+        STOP_TIMEOUT,
+        FakeHost::default(),
+    );
+    let child = supervisor.host.started[0].0;
+    supervisor.ready(1, child);
+    supervisor
 }
 
 fn on_trial(persisted: &PersistedState, number: u64) -> PersistedState {
     PersistedState {
         trial: Some(Trial {
             rollout: RolloutId(1),
-            version: v(number),
+            version: version(number),
             tries: 1,
         }),
         ..persisted.clone()
@@ -88,230 +95,258 @@
 }
 
 #[test]
-fn a_new_one_serves_before_the_old_one_is_told_to_leave() {
-    let mut parent = serving(1);
+fn new_process_serves_before_the_old_one_is_told_to_leave() {
+    let mut supervisor = supervisor_serving(1);
     let old = Child(1);
-    let persisted = on_trial(parent.persisted(), 2);
-    parent.persist(old, 7, persisted);
-    parent.apply(SECOND, old, 8, v(2));
-    let (new, begin) = parent.host.started[1].clone();
+    let persisted = on_trial(supervisor.persisted(), 2);
+    supervisor.persist(old, 7, persisted);
+    supervisor.apply(SECOND, old, 8, version(2));
+    let (new, instructions) = supervisor.host.started[1].clone();
+    assert!(
+        instructions.another_process_serves
+            && instructions.persisted.trial.is_some()
+            && supervisor.host.told_to_leave.is_empty()
+    );
+    supervisor.ready(2 * SECOND, new);
+    assert_eq!(supervisor.host.in_charge, [old, new]);
     assert!(
-        begin.another_process_serves
-            && begin.persisted.trial.is_some()
-            && parent.host.told_to_leave.is_empty()
+        supervisor.host.told_to_leave.contains(&old)
+            && supervisor.in_charge() == Some((new, version(2)))
+    );
+    // The old process may no longer write state, and its request to be replaced gets no answer.
+    supervisor.persist(old, 9, PersistedState::new(Kind::Program));
+    assert!(
+        supervisor
+            .host
+            .answers
+            .iter()
+            .any(|(child, request, result)| (*child, *request) == (old, 9) && result.is_err())
     );
-    parent.ready(2 * SECOND, new);
-    assert_eq!(parent.host.in_charge, [old, new]);
-    assert!(parent.host.told_to_leave.contains(&old) && parent.in_charge() == Some((new, v(2))));
-    // The old one has nothing to write any more, and gets no answer but the notice.
-    parent.persist(old, 9, PersistedState::new(Kind::Program));
     assert!(
-        parent
+        !supervisor
             .host
             .answers
             .iter()
-            .any(|(child, no, result)| (*child, *no) == (old, 9) && result.is_err())
+            .any(|(_, request, _)| *request == 8)
+    );
+    supervisor.ended(3 * SECOND, old, "exit code 0");
+    assert!(
+        supervisor.in_charge() == Some((new, version(2))) && supervisor.host.started.len() == 2
     );
-    assert!(!parent.host.answers.iter().any(|(_, no, _)| *no == 8));
-    parent.ended(3 * SECOND, old, "well");
-    assert!(parent.in_charge() == Some((new, v(2))) && parent.host.started.len() == 2);
 }
 
 #[test]
-fn a_node_is_renewed_by_one_of_the_same_version() {
-    let mut parent = serving(1);
-    parent.renew(SECOND);
-    parent.renew(SECOND);
-    assert_eq!(parent.host.started.len(), 2, "one at a time");
-    parent.ended(SECOND, Child(2), "dead");
-    assert_eq!(parent.in_charge(), Some((Child(1), v(1))));
-    parent.renew(5 * SECOND);
-    parent.ready(6 * SECOND, Child(3));
+fn renewed_process_is_replaced_by_one_of_the_same_version() {
+    let mut supervisor = supervisor_serving(1);
+    supervisor.renew(SECOND);
+    supervisor.renew(SECOND);
+    assert_eq!(supervisor.host.started.len(), 2, "one start at a time");
+    supervisor.ended(SECOND, Child(2), "exit code 1");
+    assert_eq!(supervisor.in_charge(), Some((Child(1), version(1))));
+    supervisor.renew(5 * SECOND);
+    supervisor.ready(6 * SECOND, Child(3));
     assert!(
-        parent.in_charge() == Some((Child(3), v(1)))
-            && parent.host.told_to_leave.contains(&Child(1))
+        supervisor.in_charge() == Some((Child(3), version(1)))
+            && supervisor.host.told_to_leave.contains(&Child(1))
     );
 }
 
 #[test]
-fn one_that_dies_or_is_not_ready_leaves_the_old_one_in_charge() {
-    let mut parent = serving(1);
-    parent.apply(SECOND, Child(1), 8, v(2));
-    parent.ended(SECOND, Child(2), "killed");
-    parent.apply(2 * SECOND, Child(1), 9, v(2));
-    parent.wake(2 * SECOND + READY_TIMEOUT + 1);
-    parent.host.lacks.insert(3);
-    parent.apply(40 * SECOND, Child(1), 10, v(3));
-    let failed: Vec<u64> = parent
+fn failed_start_leaves_the_old_process_in_charge() {
+    let mut supervisor = supervisor_serving(1);
+    supervisor.apply(SECOND, Child(1), 8, version(2));
+    supervisor.ended(SECOND, Child(2), "killed");
+    supervisor.apply(2 * SECOND, Child(1), 9, version(2));
+    supervisor.wake(2 * SECOND + READY_TIMEOUT + 1);
+    supervisor.host.not_installed.insert(3);
+    supervisor.apply(40 * SECOND, Child(1), 10, version(3));
+    let failed: Vec<u64> = supervisor
         .host
         .answers
         .iter()
         .filter(|(_, _, r)| r.is_err())
-        .map(|(_, no, _)| *no)
+        .map(|(_, request, _)| *request)
         .collect();
     assert_eq!(failed, [8, 9, 10]);
-    assert_eq!(parent.in_charge(), Some((Child(1), v(1))));
-    assert!(!parent.host.told_to_leave.contains(&Child(1)));
+    assert_eq!(supervisor.in_charge(), Some((Child(1), version(1))));
+    assert!(!supervisor.host.told_to_leave.contains(&Child(1)));
 }
 
 #[test]
-fn one_that_dies_on_trial_is_followed_by_the_last_good_one() {
-    let mut parent = serving(1);
-    let persisted = on_trial(parent.persisted(), 2);
-    parent.persist(Child(1), 7, persisted);
-    parent.apply(SECOND, Child(1), 8, v(2));
-    parent.ready(2 * SECOND, Child(2));
-    parent.ended(3 * SECOND, Child(1), "well");
-    parent.ended(4 * SECOND, Child(2), "signal 11");
-    let (_, begin) = parent.host.started.last().unwrap();
+fn crash_on_trial_is_followed_by_the_last_promoted_version() {
+    let mut supervisor = supervisor_serving(1);
+    let persisted = on_trial(supervisor.persisted(), 2);
+    supervisor.persist(Child(1), 7, persisted);
+    supervisor.apply(SECOND, Child(1), 8, version(2));
+    supervisor.ready(2 * SECOND, Child(2));
+    supervisor.ended(3 * SECOND, Child(1), "exit code 0");
+    supervisor.ended(4 * SECOND, Child(2), "signal 11");
+    let (_, instructions) = supervisor.host.started.last().unwrap();
     assert_eq!(
         (
-            begin.version,
-            begin.crashed.unwrap().version,
-            begin.persisted.crashes(v(2))
+            instructions.version,
+            instructions.crashed.unwrap().version,
+            instructions.persisted.crashes(version(2))
         ),
-        (v(1), v(2), 1)
+        (version(1), version(2), 1)
+    );
+    assert_eq!(
+        supervisor.host.disk.as_ref().unwrap().crashes(version(2)),
+        1
     );
-    assert_eq!(parent.host.disk.as_ref().unwrap().crashes(v(2)), 1);
 }
 
 #[test]
-fn a_good_version_that_does_not_come_to_serve_is_followed_by_the_one_before() {
+fn promoted_version_that_fails_to_start_is_followed_by_the_previous_one() {
     let mut persisted = PersistedState::new(Kind::Program);
     [1, 2]
         .into_iter()
-        .for_each(|number| persisted.promote(v(number)));
-    let mut parent = Supervisor::new(0, persisted, false, v(1), STOP, World::default());
-    assert_eq!(parent.host.started[0].1.version, v(2));
-    parent.ended(SECOND, Child(1), "dead");
-    parent.wake(10 * SECOND);
-    assert_eq!(parent.host.started[1].1.version, v(1));
-    parent.ready(11 * SECOND, Child(2));
-    assert_eq!(parent.in_charge(), Some((Child(2), v(1))));
+        .for_each(|number| persisted.promote(version(number)));
+    let mut supervisor = Supervisor::new(
+        0,
+        persisted,
+        false,
+        version(1),
+        STOP_TIMEOUT,
+        FakeHost::default(),
+    );
+    assert_eq!(supervisor.host.started[0].1.version, version(2));
+    supervisor.ended(SECOND, Child(1), "exit code 1");
+    supervisor.wake(10 * SECOND);
+    assert_eq!(supervisor.host.started[1].1.version, version(1));
+    supervisor.ready(11 * SECOND, Child(2));
+    assert_eq!(supervisor.in_charge(), Some((Child(2), version(1))));
 }
 
 #[test]
-fn a_good_version_that_dies_at_once_thrice_is_followed_by_the_one_before() {
+fn promoted_version_with_three_quick_crashes_is_followed_by_the_previous_one() {
     let mut persisted = PersistedState::new(Kind::Program);
     [1, 2]
         .into_iter()
-        .for_each(|number| persisted.promote(v(number)));
-    let mut parent = Supervisor::new(0, persisted, false, v(1), STOP, World::default());
+        .for_each(|number| persisted.promote(version(number)));
+    let mut supervisor = Supervisor::new(
+        0,
+        persisted,
+        false,
+        version(1),
+        STOP_TIMEOUT,
+        FakeHost::default(),
+    );
     let mut now = 0;
-    while parent.host.started.len() < 4 {
+    while supervisor.host.started.len() < 4 {
         now += SECOND;
-        let child = parent.host.started.last().unwrap().0;
-        parent.ready(now, child);
-        parent.ended(now, child, "dead");
-        parent.wake(now);
+        let child = supervisor.host.started.last().unwrap().0;
+        supervisor.ready(now, child);
+        supervisor.ended(now, child, "exit code 1");
+        supervisor.wake(now);
     }
-    let ran: Vec<u64> = parent
+    let ran: Vec<u64> = supervisor
         .host
         .started
         .iter()
-        .map(|(_, begin)| begin.version.number)
+        .map(|(_, instructions)| instructions.version.number)
         .collect();
     assert_eq!(ran, [2, 2, 2, 1]);
 }
 
 #[test]
-fn what_dies_at_once_is_started_again_more_and_more_seldom() {
-    let mut parent = serving(1);
+fn quick_crashes_are_restarted_with_growing_delay() {
+    let mut supervisor = supervisor_serving(1);
     let mut now = SECOND;
-    parent.ended(now, Child(1), "dead");
+    supervisor.ended(now, Child(1), "exit code 1");
     for _ in 0..200 {
         now += SECOND;
-        if let Some((child, _)) = parent.host.started.last().cloned() {
-            parent.ready(now, child);
-            parent.ended(now, child, "dead");
+        if let Some((child, _)) = supervisor.host.started.last().cloned() {
+            supervisor.ready(now, child);
+            supervisor.ended(now, child, "exit code 1");
         }
-        parent.wake(now);
+        supervisor.wake(now);
     }
     assert!(
-        (8..16).contains(&parent.host.started.len()),
+        (8..16).contains(&supervisor.host.started.len()),
         "{}",
-        parent.host.started.len()
+        supervisor.host.started.len()
     );
 }
 
-/// Whatever happens, in any order: once one serves, there is always one that was not told to
-/// leave or one that is being started, and what is in charge is what the disk says may run.
+/// Random events in any order: once a process has served, there is always one that serves and was
+/// not told to leave, one that is being started, or a pause before the next start.
 #[test]
-fn there_is_always_one_that_serves_or_starts() {
+fn some_process_always_serves_or_starts_under_random_events() {
     for seed in 0..400 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut parent = serving(1);
+        let mut supervisor = supervisor_serving(1);
         let (mut now, mut number) = (SECOND, 1);
-        for no in 0..60 {
+        for step in 0..60 {
             now += rng.random_range(0..8) * SECOND;
-            let all: Vec<Child> = parent.host.there.keys().copied().collect();
+            let all: Vec<Child> = supervisor.host.running.keys().copied().collect();
             let any = |rng: &mut Pcg64Mcg| all.get(rng.random_range(0..all.len().max(1))).copied();
             match rng.random_range(0..8) {
                 0 | 1 => {
-                    if let Some((child, _)) = parent.in_charge() {
+                    if let Some((child, _)) = supervisor.in_charge() {
                         number += 1;
-                        let persisted = on_trial(parent.persisted(), number);
-                        parent.persist(child, no, persisted);
-                        parent.apply(now, child, no + 1000, v(number));
+                        let persisted = on_trial(supervisor.persisted(), number);
+                        supervisor.persist(child, step, persisted);
+                        supervisor.apply(now, child, step + 1000, version(number));
                     }
                 }
                 2 | 3 => {
                     if let Some(child) = any(&mut rng) {
-                        parent.ready(now, child);
+                        supervisor.ready(now, child);
                     }
                 }
                 4 => {
                     if let Some(child) = any(&mut rng) {
-                        parent.host.there.remove(&child);
-                        parent.ended(now, child, "dead");
+                        supervisor.host.running.remove(&child);
+                        supervisor.ended(now, child, "exit code 1");
                     }
                 }
                 5 => {
-                    if let Some((child, version)) = parent.in_charge() {
-                        let mut persisted = parent.persisted().clone();
+                    if let Some((child, version)) = supervisor.in_charge() {
+                        let mut persisted = supervisor.persisted().clone();
                         persisted.promote(version);
-                        parent.persist(child, no, persisted);
+                        supervisor.persist(child, step, persisted);
                     }
                 }
-                6 => parent.host.full = rng.random_bool(0.3),
-                _ => parent.wake(now),
+                6 => supervisor.host.disk_is_full = rng.random_bool(0.3),
+                _ => supervisor.wake(now),
             }
-            parent.wake(now);
-            let serves = parent.in_charge().is_some_and(|(child, _)| {
-                parent.host.there.contains_key(&child)
-                    && !parent.host.told_to_leave.contains(&child)
+            supervisor.wake(now);
+            let serves = supervisor.in_charge().is_some_and(|(child, _)| {
+                supervisor.host.running.contains_key(&child)
+                    && !supervisor.host.told_to_leave.contains(&child)
             });
             assert!(
-                serves || parent.starting.is_some() || parent.not_before > now,
-                "seed {seed}, step {no}"
+                serves || supervisor.starting.is_some() || supervisor.not_before > now,
+                "seed {seed}, step {step}"
             );
             assert!(
-                parent
+                supervisor
                     .leaving
                     .iter()
-                    .all(|process| parent.host.told_to_leave.contains(&process.child))
+                    .all(|process| supervisor.host.told_to_leave.contains(&process.child))
             );
         }
-        // One that was being started may have taken too long; the next one comes after its
-        // pause.
-        parent.wake(now + MAX_RESTART_DELAY + 1);
-        if parent.starting.is_none() {
-            parent.wake(now + 2 * MAX_RESTART_DELAY + 2);
+        // A starting process may have timed out; the next one starts after the restart delay.
+        supervisor.wake(now + MAX_RESTART_DELAY + 1);
+        if supervisor.starting.is_none() {
+            supervisor.wake(now + 2 * MAX_RESTART_DELAY + 2);
         }
         now += 2 * MAX_RESTART_DELAY;
         assert!(
-            parent.in_charge().is_some() || parent.starting.is_some(),
+            supervisor.in_charge().is_some() || supervisor.starting.is_some(),
             "seed {seed}"
         );
-        parent.leave(now + 2 * MAX_RESTART_DELAY);
-        let left: Vec<Child> = parent.host.there.keys().copied().collect();
-        left.into_iter()
-            .for_each(|child| parent.ended(now + 2 * MAX_RESTART_DELAY, child, "well"));
+        supervisor.leave(now + 2 * MAX_RESTART_DELAY);
+        let remaining: Vec<Child> = supervisor.host.running.keys().copied().collect();
+        remaining
+            .into_iter()
+            .for_each(|child| supervisor.ended(now + 2 * MAX_RESTART_DELAY, child, "exit code 0"));
         assert!(
-            parent.is_over(),
+            supervisor.is_over(),
             "seed {seed}: {:?} {:?}",
-            parent.starting,
-            parent.leaving
+            supervisor.starting,
+            supervisor.leaving
         );
     }
 }
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -1,38 +1,37 @@
-//! One rollout: what is rolled out, by which plan, how far it has been agreed and what has become of
-//! it.
+//! One rollout: its version and plan, its agreed progress and its outcome.
 //!
-//! It is a value that merges in any order, any number of times, and only moves on: of two copies the
-//! one with the later agreement gives the progress, and the outcome nearer to safety holds. So
-//! **halting needs nobody**: whoever halts, rejects or rolls back sets the outcome in its own copy,
-//! and no copy that arrives later undoes it. **Advancing needs a majority**: progress is numbered,
-//! and a number is given by a majority of the voters only (see [`crate::paxos`]), so that of the
-//! two sides of a split cluster at most one goes on.
+//! A rollout is a value that merges in any order and any number of times, and never moves back: of
+//! two copies the later agreement determines the progress, and the outcome nearer to safety wins.
+//! So **halting needs no agreement**: a node that halts, rejects or rolls back sets the outcome in
+//! its own copy, and no copy that arrives later undoes it. **Advancing needs a majority**: progress
+//! is numbered, and only a majority of the voters can assign a number (see [`crate::paxos`]), so
+//! that at most one side of a split cluster continues.
 
 use crate::identifiers::{Kind, RolloutId, Version};
 use crate::splitmix64;
 use crate::stages::{Plan, Progress};
 
-/// The most bytes of a reason; longer ones are cut.
+/// Maximum length of a reason, in bytes; longer ones are truncated.
 pub const MAX_REASON_BYTES: usize = 160;
 
-/// What has become of a rollout, ordered from the farthest to the nearest to safety.
+/// The outcome of a rollout, ordered from the farthest to the nearest to safety.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Outcome {
-    /// It goes on, as far as stages are agreed.
+    /// The rollout continues as stages are agreed on, or has not begun.
     #[default]
     InProgress,
-    /// The whole cluster runs it, and it is the last promoted version.
+    /// The whole cluster runs the version, which nodes promote.
     Completed,
-    /// It never began: another one did, or a node can't run it.
+    /// The rollout never began: another one did, or a node cannot run the version.
     Rejected,
-    /// It goes no further; nodes that run it keep running it.
+    /// The rollout does not advance; nodes that run the version keep running it.
     Halted,
-    /// All nodes run what they ran before.
+    /// All nodes return to the version that they ran before.
     RolledBack,
 }
 
 impl Outcome {
-    /// What it is called in tables.
+    /// Returns the name shown to operators.
     pub fn display_name(self) -> &'static str {
         ["open", "done", "refused", "halted", "back"][self as usize]
     }
@@ -50,19 +49,19 @@
     }
 }
 
-/// Why a rollout ended, by whom and when.
+/// Why a rollout ended, the node that ended it and when.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Reason {
-    /// When, Unix milliseconds.
+    /// When the rollout ended, in Unix milliseconds.
     pub at_ms: u64,
     /// The key of the node that ended it.
     pub by: u64,
-    /// The text, at most [`MAX_REASON_BYTES`].
+    /// The text, at most [`MAX_REASON_BYTES`] long.
     pub why: String,
 }
 
 impl Reason {
-    /// A reason, cut to its bound.
+    /// Creates a reason; the text is truncated to [`MAX_REASON_BYTES`] at a character boundary.
     pub fn new(at_ms: u64, by: u64, why: &str) -> Reason {
         let end = (0..=MAX_REASON_BYTES.min(why.len()))
             .rev()
@@ -76,59 +75,59 @@
     }
 }
 
-/// What a node is to run, as far as one rollout is concerned.
+/// The version that one rollout assigns to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Assignment {
-    /// The version that the rollout brings.
+    /// The new version of the rollout.
     NewVersion,
-    /// The version that the rollout replaces, or whatever the node ran before.
+    /// The version that the rollout replaces, or another one that the node ran before.
     BaseVersion,
-    /// The node stays as it is.
+    /// The node keeps the version that it runs.
     Unchanged,
 }
 
 /// One rollout of a version of the settings or of the program.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rollout {
-    /// Its identifier.
+    /// The identifier of the rollout.
     pub id: RolloutId,
-    /// What it changes.
+    /// Whether the settings or the program is rolled out.
     pub kind: Kind,
-    /// What it brings.
+    /// The new version.
     pub version: Version,
-    /// What it replaces.
+    /// The version that is replaced.
     pub base: Version,
-    /// SHA-256 of the content.
+    /// SHA-256 digest of the content.
     pub digest: [u8; 32],
-    /// Bytes of the content.
+    /// Length of the content, in bytes.
     pub bytes: u32,
-    /// The key of the node that offered it.
+    /// The key of the node that offered the rollout.
     pub by: u64,
-    /// When it was offered, Unix milliseconds.
+    /// When the rollout was offered, in Unix milliseconds.
     pub at_ms: u64,
-    /// How it goes out.
+    /// The stages of the rollout and their bounds.
     pub plan: Plan,
-    /// How far it has been agreed; it only grows.
+    /// The progress that the voters agreed on; its agreement number only grows.
     pub progress: Progress,
-    /// What has become of it; it only moves towards safety.
+    /// The outcome, which only moves towards safety.
     pub outcome: Outcome,
-    /// Why it ended.
+    /// Why the rollout ended; empty while it has not.
     pub reason: Reason,
 }
 
 impl Rollout {
-    /// The order of rollouts that have not begun: the highest version first, of these the one
-    /// offered first.
+    /// Returns the sort key of rollouts that have not begun: the highest version first, then the
+    /// one offered first.
     pub fn order(&self) -> (std::cmp::Reverse<u64>, u64, RolloutId) {
         (std::cmp::Reverse(self.version.number), self.at_ms, self.id)
     }
 
-    /// Whether it has begun, and is not over.
+    /// Returns whether the rollout has begun and neither ended nor been halted.
     pub fn is_in_progress(&self) -> bool {
         self.outcome == Outcome::InProgress && self.progress.stage > 0
     }
 
-    /// Whether nothing more becomes of it by itself.
+    /// Returns whether the rollout is completed, rejected or rolled back.
     pub fn is_over(&self) -> bool {
         matches!(
             self.outcome,
@@ -136,7 +135,7 @@
         )
     }
 
-    /// What a node is to run by what is known here.
+    /// Returns the version that this copy of the rollout assigns to a node.
     pub fn assignment(&self, node: u64, zone: u32) -> Assignment {
         match self.outcome {
             Outcome::InProgress if self.progress.includes(self.id, node, zone) => {
@@ -149,7 +148,8 @@
         }
     }
 
-    /// Moves the outcome towards safety; whether it moved. Needs no agreement.
+    /// Moves the outcome towards safety, which needs no agreement. Returns whether the outcome
+    /// changed.
     pub fn end(&mut self, outcome: Outcome, reason: Reason) -> bool {
         let ends = outcome > self.outcome;
         if ends {
@@ -158,42 +158,43 @@
         ends
     }
 
-    /// Takes up another copy of the same rollout; whether anything in it was new.
+    /// Merges another copy of the same rollout. Returns whether anything in it was new.
     pub fn merge(&mut self, other: &Rollout) -> bool {
-        // Of two reasons for the same the one that was first, so that all come to one.
-        let nearer = other.outcome > self.outcome
+        // Of two reasons for the same outcome the earlier one wins, so that all nodes converge.
+        let has_safer_end = other.outcome > self.outcome
             || other.outcome == self.outcome
                 && other.outcome > Outcome::InProgress
                 && other.reason < self.reason;
-        if nearer {
+        if has_safer_end {
             (self.outcome, self.reason) = (other.outcome, other.reason.clone());
         }
-        let farther = self.record_progress(&other.progress);
-        nearer || farther
+        let is_later = self.record_progress(&other.progress);
+        has_safer_end || is_later
     }
 
-    /// Takes up progress that the voters agreed on; whether it was new. Agreements are numbered, and
-    /// there are no two of a number.
+    /// Records progress that the voters agreed on. Returns whether it was new. There is at most one
+    /// agreement of each number.
     pub(crate) fn record_progress(&mut self, progress: &Progress) -> bool {
-        let farther = progress.agreement > self.progress.agreement;
-        if farther {
+        let is_later = progress.agreement > self.progress.agreement;
+        if is_later {
             self.progress = progress.clone();
         }
         if self.outcome <= Outcome::Completed && self.plan.is_beyond(self.progress.stage) {
             (self.outcome, self.reason) = (Outcome::Completed, Reason::default());
         }
-        farther
+        is_later
     }
 
-    /// A number that two copies share if they agree.
+    /// Returns a hash that is equal for two copies with the same progress, outcome and reason.
     pub(crate) fn fingerprint(&self) -> u64 {
-        let print =
+        let hash =
             splitmix64(self.id.0 ^ splitmix64(self.progress.agreement << 3 ^ self.outcome as u64));
-        splitmix64(print ^ self.reason.at_ms ^ self.reason.by)
+        splitmix64(hash ^ self.reason.at_ms ^ self.reason.by)
     }
 
-    /// The order in which rollouts are remembered: those in progress, then those that may begin, by
-    /// their order, then those that have ended, the latest first.
+    /// Returns the sort key by which rollouts are retained: those that have begun and not ended,
+    /// then those that may begin by [`Rollout::order`], then those that have ended, the latest
+    /// first.
     pub(crate) fn retention_rank(&self) -> (u8, std::cmp::Reverse<u64>, u64, RolloutId) {
         let (number, at, id) = self.order();
         match self.outcome {
--- a/crates/rollout/src/rollout/tests.rs
+++ b/crates/rollout/src/rollout/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_reason_is_cut_between_letters() {
+fn reason_is_truncated_at_a_character_boundary() {
     assert_eq!(
         Reason::new(1, 2, &"ş".repeat(200)).why.len(),
         MAX_REASON_BYTES
--- a/crates/rollout/src/rollout_table.rs
+++ b/crates/rollout/src/rollout_table.rs
@@ -1,8 +1,8 @@
-//! All rollouts that a node knows, bounded, with the queries by which nodes decide which of them
-//! they follow.
+//! The bounded table of rollouts that a node knows, with the queries that decide which of them the
+//! node follows.
 //!
-//! Invariant: which rollouts are remembered follows from what was received and not from the order
-//! in which it came, so that all nodes come to the same table.
+//! Invariant: which rollouts are retained depends on the copies received and not on their order, so
+//! that the tables of all nodes converge.
 
 use crate::Nanos;
 use crate::identifiers::{Kind, RolloutId};
@@ -10,36 +10,37 @@
 use crate::stages::Progress;
 use std::collections::BTreeMap;
 
-/// Rollouts that are remembered; the oldest ones that have ended go first.
+/// Maximum number of rollouts that are kept; the oldest ended ones are removed first.
 pub const MAX_ROLLOUTS: usize = 16;
 
-/// All rollouts that a node knows, by identifier.
+/// The rollouts that a node knows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutTable {
     all: BTreeMap<RolloutId, Rollout>,
 }
 
 impl RolloutTable {
-    /// All rollouts, by identifier.
+    /// Returns all rollouts in the order of their identifiers.
     pub fn iter(&self) -> impl Iterator<Item = &Rollout> {
         self.all.values()
     }
 
-    /// A rollout.
+    /// Returns the rollout with this identifier.
     pub fn get(&self, id: RolloutId) -> Option<&Rollout> {
         self.all.get(&id)
     }
 
-    /// The rollout of the last agreement: it is never forgotten, so that agreements keep their numbers.
+    /// Returns the rollout of the last agreement. It is never removed, so that agreements keep
+    /// their numbers.
     pub fn head(&self, kind: Kind) -> Option<&Rollout> {
-        let of = self
+        let agreed = self
             .all
             .values()
             .filter(|rollout| rollout.kind == kind && rollout.progress.agreement > 0);
-        of.max_by_key(|rollout| rollout.progress.agreement)
+        agreed.max_by_key(|rollout| rollout.progress.agreement)
     }
 
-    /// Takes up a copy of a rollout; whether anything in it was new.
+    /// Merges a copy of a rollout. Returns whether anything in it was new.
     pub fn merge(&mut self, other: &Rollout) -> bool {
         if let Some(known) = self.all.get_mut(&other.id) {
             return known.merge(other);
@@ -68,22 +69,22 @@
         last != id
     }
 
-    /// Moves a rollout's outcome towards safety; whether it moved.
+    /// Moves a rollout's outcome towards safety. Returns whether the outcome changed.
     pub fn end(&mut self, id: RolloutId, outcome: Outcome, reason: Reason) -> bool {
         self.all
             .get_mut(&id)
             .is_some_and(|rollout| rollout.end(outcome, reason))
     }
 
-    /// Takes up progress that the voters agreed on; whether it was new.
+    /// Records progress that the voters agreed on. Returns whether it was new.
     pub fn advance(&mut self, id: RolloutId, progress: &Progress) -> bool {
         self.all
             .get_mut(&id)
             .is_some_and(|rollout| rollout.record_progress(progress))
     }
 
-    /// The rollout in progress. While this node lacks the end of one there may seem to be two: the later
-    /// agreement holds.
+    /// Returns the rollout in progress. There may seem to be two while this node has not received
+    /// the end of one of them; the one with the later agreement is returned.
     pub fn in_progress(&self, kind: Kind) -> Option<&Rollout> {
         self.all
             .values()
@@ -91,18 +92,19 @@
             .max_by_key(|rollout| rollout.progress.agreement)
     }
 
-    /// The rollout that begins next: the first in the order of those that have not begun.
+    /// Returns the rollout that begins next: the first by [`Rollout::order`] that has not begun.
     pub fn next(&self, kind: Kind) -> Option<&Rollout> {
-        let waits = |c: &&Rollout| {
+        let is_waiting = |c: &&Rollout| {
             c.kind == kind && c.outcome == Outcome::InProgress && c.progress.stage == 0
         };
         self.all
             .values()
-            .filter(waits)
+            .filter(is_waiting)
             .min_by_key(|rollout| rollout.order())
     }
 
-    /// The rollout that a node follows: in progress, or halted and not rolled back, or else the next.
+    /// Returns the rollout that a node follows: the one in progress, else the last one that is
+    /// halted, else the next one.
     pub fn current(&self, kind: Kind) -> Option<&Rollout> {
         let halted = || {
             let halted = self
@@ -116,14 +118,14 @@
             .or_else(|| self.next(kind))
     }
 
-    /// A number that two nodes share if they know the same.
+    /// Returns a hash that is equal at two nodes with the same rollouts.
     pub fn digest(&self) -> u64 {
         self.all
             .values()
             .fold(0, |sum, rollout| sum.wrapping_add(rollout.fingerprint()))
     }
 
-    /// Forgets rollouts that ended longer ago than `retention`.
+    /// Removes rollouts that ended longer than `retention` ago, except for the last agreed ones.
     pub fn remove_expired(&mut self, now_ms: u64, retention: Nanos) {
         let retention_ms = retention / crate::MILLISECOND;
         let heads = [Kind::Settings, Kind::Program].map(|kind| self.head(kind).map(|head| head.id));
--- a/crates/rollout/src/rollout_table/tests.rs
+++ b/crates/rollout/src/rollout_table/tests.rs
@@ -5,39 +5,39 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Words in any order, in any groups, any number of times come to the same, and nothing moves
+/// Copies merged in any order and any number of times give the same table, and no outcome moves
 /// away from safety.
 #[test]
-fn words_merge_in_any_order_and_only_towards_safety() {
+fn copies_merge_in_any_order_and_only_towards_safety() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut words: Vec<Rollout> = Vec::new();
+        let mut copies: Vec<Rollout> = Vec::new();
         for id in 1..4 {
             for _ in 0..rng.random_range(1..8) {
-                let mut word = rollout(id, 2);
-                word.progress = progress(rng.random_range(0..8));
+                let mut copy = rollout(id, 2);
+                copy.progress = progress(rng.random_range(0..8));
                 if rng.random_bool(0.4) {
-                    word.outcome = Outcome::from_number(rng.random_range(1..5)).unwrap();
+                    copy.outcome = Outcome::from_number(rng.random_range(1..5)).unwrap();
                     let why = ["a", "b"][rng.random_range(0..2)];
-                    word.reason = Reason::new(rng.random_range(0..9), rng.random_range(0..3), why);
+                    copy.reason = Reason::new(rng.random_range(0..9), rng.random_range(0..3), why);
                 }
-                words.push(word);
+                copies.push(copy);
             }
         }
         let mut received: Vec<RolloutTable> = vec![RolloutTable::default(); 4];
         for rollouts in &mut received {
-            words.shuffle(&mut rng);
-            let again = rng.random_range(0..words.len());
-            for word in words.iter().chain(&words[..again]) {
-                let before = rollouts.get(word.id).cloned();
-                rollouts.merge(word);
-                let after = rollouts.get(word.id).unwrap();
+            copies.shuffle(&mut rng);
+            let again = rng.random_range(0..copies.len());
+            for copy in copies.iter().chain(&copies[..again]) {
+                let before = rollouts.get(copy.id).cloned();
+                rollouts.merge(copy);
+                let after = rollouts.get(copy.id).unwrap();
                 assert!(before.is_none_or(
                     |b| after.outcome >= b.outcome && after.progress.stage >= b.progress.stage
                 ));
             }
         }
-        // One more hears by way of the first.
+        // Another node receives the rollouts from the first one.
         let mut second = RolloutTable::default();
         received[0]
             .iter()
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_halt_is_not_undone_and_nothing_advances_after_it() {
+fn halt_is_not_undone_and_assigns_no_further_nodes() {
     let mut rollouts = RolloutTable::default();
     rollouts.merge(&rollout(1, 2));
     assert!(
@@ -66,7 +66,7 @@
         progress: progress(2),
         ..rollout(1, 2)
     };
-    rollouts.merge(&late); // it was agreed on elsewhere before the halt was heard there
+    rollouts.merge(&late); // agreed on by others before they received the halt
     let known = rollouts.get(RolloutId(1)).unwrap();
     assert_eq!(
         (known.progress.stage, known.outcome, known.assignment(3, 0)),
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn the_highest_version_goes_next_and_of_like_ones_the_first() {
+fn highest_version_is_next_and_of_equal_versions_the_first_offered() {
     let mut rollouts = RolloutTable::default();
     [(1, 5), (2, 9), (3, 9), (4, 7)]
         .iter()
@@ -90,15 +90,15 @@
     assert_eq!(
         rollouts.current(Kind::Settings).unwrap().id,
         RolloutId(4),
-        "what has begun goes first"
+        "a rollout in progress comes first"
     );
     assert!(rollouts.next(Kind::Program).is_none());
 }
 
-/// A hundred versions are offered: memory stays, what is under way stays, and the highest ones
-/// are kept.
+/// A hundred versions are offered: the table stays within its bound and keeps the rollout in
+/// progress and the highest versions.
 #[test]
-fn changes_are_bounded_and_what_is_under_way_is_kept() {
+fn table_is_bounded_and_keeps_the_rollout_in_progress() {
     let mut rollouts = RolloutTable::default();
     rollouts.merge(&rollout(1, 2));
     rollouts.advance(RolloutId(1), &progress(1));
@@ -113,19 +113,19 @@
         (MAX_ROLLOUTS, RolloutId(1))
     );
     assert_eq!(rollouts.next(Kind::Settings).unwrap().version.number, 100);
-    let mut over = RolloutTable::default();
+    let mut ended = RolloutTable::default();
     for id in 1..=40 {
-        over.merge(&rollout(id, id));
-        over.end(RolloutId(id), Outcome::Rejected, Reason::new(id, 1, ""));
+        ended.merge(&rollout(id, id));
+        ended.end(RolloutId(id), Outcome::Rejected, Reason::new(id, 1, ""));
     }
-    assert!(over.iter().count() <= MAX_ROLLOUTS && over.get(RolloutId(40)).is_some());
-    over.remove_expired(10_000_000, 3600 * crate::SECOND);
-    assert_eq!(over.iter().count(), 0);
+    assert!(ended.iter().count() <= MAX_ROLLOUTS && ended.get(RolloutId(40)).is_some());
+    ended.remove_expired(10_000_000, 3600 * crate::SECOND);
+    assert_eq!(ended.iter().count(), 0);
 }
 
-/// Whatever the order in which they are heard, the same ones are remembered.
+/// The same rollouts are retained in whatever order they are received.
 #[test]
-fn which_changes_are_remembered_does_not_depend_on_the_order() {
+fn retained_rollouts_do_not_depend_on_the_order_of_receipt() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut all: Vec<Rollout> = (1..=40)
@@ -152,9 +152,9 @@
     }
 }
 
-/// The agreement beyond the last stage is that it is done.
+/// The agreement after the last stage completes the rollout, but does not undo a halt.
 #[test]
-fn beyond_the_last_stage_a_change_is_done() {
+fn agreement_after_the_last_stage_completes_the_rollout() {
     let mut rollouts = RolloutTable::default();
     rollouts.merge(&rollout(1, 2));
     (1..=6).for_each(|stage| _ = rollouts.advance(RolloutId(1), &progress(stage)));
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -1,79 +1,82 @@
-//! The stages of a rollout: how many nodes are in each, which ones, and when each of them starts.
+//! The stages of a rollout: how many and which nodes each stage includes, and when each node
+//! starts.
 //!
-//! Which nodes a stage includes follows from a threshold for each zone: a node is included if the hash
-//! of the rollout and its name is at or below its zone's threshold. So all nodes agree on it, whatever
-//! they see of the cluster, and a node that joins during a rollout knows at once whether it is included;
-//! and thresholds only rise, so that a node that is included stays included.
+//! A threshold for each zone determines the nodes of a stage: a node is included if the hash of the
+//! rollout and the node's key is at or below the threshold of its zone. So all nodes agree on the
+//! members of a stage whatever their view of the cluster, and a node that joins during a rollout
+//! knows at once whether it is included. Thresholds only rise, so that an included node stays
+//! included.
 
 use crate::identifiers::RolloutId;
 use crate::{MILLISECOND, Nanos, SECOND, splitmix64};
 use std::collections::BTreeMap;
 
-/// Stages that a plan may have.
+/// Maximum number of stages of a plan.
 pub const MAX_STAGES: usize = 12;
-/// Zones that a stage distinguishes; nodes of others are in the last stage only.
+/// Maximum number of zones with a threshold; nodes of further zones are in the last stage only.
 pub const MAX_ZONES: usize = 24;
-/// A zone of no more nodes than this gives one at a time until the last stage.
+/// A zone with at most this many nodes has one node in the stages before the last.
 const SMALL_ZONE_NODES: usize = 3;
 
-/// Why a plan can't be followed.
+/// Why a plan is not valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
     /// The number of stages is out of bounds.
-    #[error("{0} stages; 1 to {MAX_STAGES} are possible")]
+    #[error("{0} stages, must be 1 to {MAX_STAGES}")]
     StageCount(usize),
-    /// A stage has no larger share than the one before it.
+    /// The share of a stage is not larger than that of the stage before.
     #[error("each stage must be larger than the one before")]
     StageNotLarger,
-    /// The last stage leaves nodes out.
+    /// The last stage does not include the whole cluster.
     #[error("the last stage must be the whole fleet")]
     LastStageNotWhole,
-    /// A stage's least duration is above its longest.
+    /// The minimum duration of a stage exceeds its maximum duration.
     #[error("a stage lasts {} s at least and {} s at most", min / SECOND, max / SECOND)]
     Durations {
-        /// The least duration.
+        /// The minimum duration, in nanoseconds.
         min: Nanos,
-        /// The longest duration.
+        /// The maximum duration, in nanoseconds.
         max: Nanos,
     },
-    /// The share of a zone or the margin is out of bounds.
+    /// The maximum share of a zone or the margin is out of bounds.
     #[error("a share of a zone is from 0.001 to 1, a margin from 0.001 to 0.5")]
     Shares,
 }
 
-/// One stage.
+/// One stage of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stage {
-    /// The share of the cluster that runs the new version, in thousandths; 0 stands for one node.
+    /// The share of the cluster that runs the new version, in thousandths; 0 means a single node.
     pub share_permille: u32,
-    /// The stage lasts at least this long.
+    /// The minimum duration of the stage, in nanoseconds.
     pub min_duration: Nanos,
-    /// Without a verdict the rollout is halted after this.
+    /// The maximum duration of the stage, in nanoseconds; without a verdict the rollout is halted
+    /// then.
     pub max_duration: Nanos,
-    /// Requests at the canary nodes before the stage can be fine.
+    /// Minimum number of requests at the canary nodes for a verdict that the stage is fine.
     pub min_requests: u32,
-    /// The nodes of the stage start spread over this time.
+    /// The time over which the starts of the stage's nodes are spread, in nanoseconds.
     pub start_spread: Nanos,
 }
 
-/// How a rollout goes out.
+/// The stages of a rollout and the bounds of its analysis.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// The stages, each larger than the one before.
     pub stages: Vec<Stage>,
-    /// The most of a zone in a stage before the last, in thousandths.
+    /// The maximum share of a zone in a stage before the last, in thousandths.
     pub max_zone_permille: u32,
-    /// The share of priority weight that a version may lose and still count as fine, in thousandths.
+    /// The share of priority weight that a version may lose and still be fine, in thousandths.
     pub margin_permille: u32,
 }
 
 impl Default for Plan {
     fn default() -> Plan {
-        let stage = |share, least, sample| Stage {
+        let stage = |share, min_seconds, min_requests| Stage {
             share_permille: share,
-            min_duration: least * SECOND,
+            min_duration: min_seconds * SECOND,
             max_duration: 1800 * SECOND,
-            min_requests: sample,
+            min_requests,
             start_spread: 10 * SECOND,
         };
         Plan {
@@ -96,7 +99,7 @@
         if self.stages.is_empty() || self.stages.len() > MAX_STAGES {
             return Err(PlanError::StageCount(self.stages.len()));
         }
-        let grows = |two: &[Stage]| two[1].share_permille > two[0].share_permille;
+        let grows = |pair: &[Stage]| pair[1].share_permille > pair[0].share_permille;
         if !self.stages.windows(2).all(grows) {
             return Err(PlanError::StageNotLarger);
         }
@@ -122,63 +125,64 @@
         Ok(())
     }
 
-    /// The stage of this number, from 1.
+    /// Returns the stage of this number, counted from 1.
     pub fn stage(&self, number: u32) -> Option<&Stage> {
         self.stages.get((number as usize).checked_sub(1)?)
     }
 
-    /// Whether it is the last one.
+    /// Returns whether the stage of this number is the last one.
     pub fn is_last(&self, number: u32) -> bool {
         number as usize == self.stages.len()
     }
 
-    /// Whether it is beyond the last one: done.
+    /// Returns whether the number is beyond the last stage, so that the rollout is completed.
     pub fn is_beyond(&self, number: u32) -> bool {
         number as usize > self.stages.len()
     }
 }
 
-/// How far a rollout has reached.
+/// The agreed progress of a rollout.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Progress {
-    /// The number of the agreement, among those of all rollouts of its kind; 0 while it is only offered.
+    /// The number of the agreement, counted over all rollouts of the same kind; 0 before the first
+    /// one.
     pub agreement: u64,
-    /// The stage, from 1; one more than the plan has once it is completed.
+    /// The stage, counted from 1; one more than the plan's number of stages once completed.
     pub stage: u32,
-    /// Thresholds of the stage before, by zone.
+    /// The thresholds of the previous stage, by zone.
     pub previous_thresholds: BTreeMap<u32, u64>,
-    /// Thresholds of this stage, by zone; of a zone without one no node is included.
+    /// The thresholds of this stage, by zone; no node of a zone without a threshold is included.
     pub thresholds: BTreeMap<u32, u64>,
-    /// Whether all nodes are included, in whatever zone.
+    /// Whether the stage includes all nodes of all zones.
     pub whole_cluster: bool,
-    /// How many nodes the cluster was agreed to have.
+    /// The agreed number of nodes in the cluster.
     pub cluster_size: u32,
-    /// When it was proposed, Unix milliseconds of the proposer.
+    /// When the progress was proposed, in Unix milliseconds of the proposer's clock.
     pub at_ms: u64,
 }
 
-/// What the next progress of a rollout is drawn from.
+/// The inputs from which the next progress of a rollout is computed.
 #[derive(Clone, Copy, Debug)]
 pub struct NextAgreement<'a> {
-    /// The rollout.
+    /// The rollout that advances.
     pub rollout: RolloutId,
-    /// Its plan.
+    /// The rollout's plan.
     pub plan: &'a Plan,
-    /// The present nodes: key and zone.
+    /// The present nodes, each with its key and zone.
     pub nodes: &'a [(u64, u32)],
-    /// The number that the agreement gets.
+    /// The number of the agreement.
     pub agreement: u64,
-    /// How many nodes the cluster is taken to have.
+    /// The number of nodes in the cluster to agree on.
     pub cluster_size: u32,
 }
 
-/// A node's place in a rollout's order: low places come first.
+/// Returns a node's position in a rollout's order; nodes with lower positions are included first.
 pub fn node_position(rollout: RolloutId, node: u64) -> u64 {
     splitmix64(node ^ splitmix64(rollout.0))
 }
 
 impl Progress {
-    /// Whether the stage includes a node.
+    /// Returns whether the stage includes a node.
     pub fn includes(&self, rollout: RolloutId, node: u64, zone: u32) -> bool {
         self.stage > 0
             && (self.whole_cluster
@@ -188,32 +192,33 @@
                     .is_some_and(|until| node_position(rollout, node) <= *until))
     }
 
-    /// How long after it first saw the stage a node starts: those of the stage before at once, the others
-    /// one after the other.
+    /// Returns how long after it first saw the stage a node starts, in nanoseconds: nodes of the
+    /// previous stage at once, the others one after the other over `spread`.
     pub fn slot(&self, rollout: RolloutId, node: u64, zone: u32, spread: Nanos) -> Nanos {
-        let (at, before) = (
+        let (position, previous) = (
             node_position(rollout, node),
             self.previous_thresholds.get(&zone).copied(),
         );
-        if before.is_some_and(|before| at <= before) {
+        if previous.is_some_and(|previous| position <= previous) {
             return 0;
         }
-        let from = before.unwrap_or(0);
+        let from = previous.unwrap_or(0);
         let until = if self.whole_cluster {
             u64::MAX
         } else {
             self.thresholds.get(&zone).copied().unwrap_or(u64::MAX)
         };
-        let part = at.saturating_sub(from) as f64 / (until.saturating_sub(from).max(1)) as f64;
+        let part =
+            position.saturating_sub(from) as f64 / (until.saturating_sub(from).max(1)) as f64;
         (spread as f64 * part.clamp(0.0, 1.0)) as Nanos
     }
 
-    /// The progress at the next stage, as this agreement; none past the end of the plan.
+    /// Returns the progress at the next stage; `None` once the rollout is completed.
     pub fn next(&self, agreement: &NextAgreement<'_>) -> Option<Progress> {
         self.at_stage(self.stage + 1, agreement)
     }
 
-    /// The same stage with other nodes in place of those that are gone.
+    /// Returns the progress at the same stage, with other nodes added in place of those that left.
     pub fn again(&self, agreement: &NextAgreement<'_>) -> Option<Progress> {
         self.at_stage(self.stage, agreement)
     }
@@ -272,8 +277,9 @@
         })
     }
 
-    /// How many of each zone: by the zones' sizes, those with the largest remainder first and of
-    /// these by hash, none beyond what may be of a zone, and none fewer than are in already.
+    /// Returns the number of nodes to include in each zone: in proportion to the zones' sizes, with
+    /// the rest given to zones by the largest remainder and then by hash. No zone exceeds its
+    /// maximum share unless more of its nodes are already included, and none gets fewer than are.
     fn spread(
         rollout: RolloutId,
         zones: &BTreeMap<u32, Vec<u64>>,
@@ -282,11 +288,11 @@
         current: &Progress,
     ) -> BTreeMap<u32, usize> {
         let all: usize = zones.values().map(Vec::len).sum();
-        let most = |places: usize| match places {
+        let max_nodes = |places: usize| match places {
             places if places <= SMALL_ZONE_NODES => 1,
             places => (places * max_zone_permille as usize / 1000).max(1),
         };
-        let held = |zone: &u32, places: &[u64]| {
+        let included = |zone: &u32, places: &[u64]| {
             let threshold = current.thresholds.get(zone).copied();
             threshold.map_or(0, |until| {
                 places.iter().filter(|place| **place <= until).count()
@@ -295,7 +301,11 @@
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
         for (zone, places) in zones.iter().take(MAX_ZONES) {
             let even = wanted * places.len() / all.max(1);
-            counts.insert(*zone, even.min(most(places.len())).max(held(zone, places)));
+            counts.insert(
+                *zone,
+                even.min(max_nodes(places.len()))
+                    .max(included(zone, places)),
+            );
         }
         let mut order: Vec<u32> = counts.keys().copied().collect();
         order.sort_by_key(|zone| {
@@ -306,12 +316,12 @@
             )
         });
         while counts.values().sum::<usize>() < wanted {
-            let room = |zone: &&u32| counts[zone] < most(zones[*zone].len());
-            let Some(zone) = order.iter().find(room).copied() else {
+            let has_room = |zone: &&u32| counts[zone] < max_nodes(zones[*zone].len());
+            let Some(zone) = order.iter().find(has_room).copied() else {
                 break;
             };
             *counts.entry(zone).or_default() += 1;
-            // Each takes its turn.
+            // Zones take turns.
             order.retain(|other| *other != zone);
             order.push(zone);
         }
@@ -319,7 +329,7 @@
     }
 }
 
-/// A time as people read it.
+/// Formats a duration in seconds for operators, with one decimal below 10 s.
 pub(crate) fn seconds(time: Nanos) -> String {
     if time < 10 * SECOND {
         format!("{:.1} s", time as f64 / SECOND as f64)
@@ -328,9 +338,9 @@
     }
 }
 
-/// The shortest duration that a plan may set.
+/// The shortest duration that a plan may set, in nanoseconds.
 pub const MIN_STAGE_DURATION: Nanos = 100 * MILLISECOND;
-/// The longest duration that a plan may set.
+/// The longest duration that a plan may set, in nanoseconds.
 pub const MAX_STAGE_DURATION: Nanos = 7 * 24 * 3600 * SECOND;
 
 #[cfg(test)]
--- a/crates/rollout/src/stages/tests.rs
+++ b/crates/rollout/src/stages/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The next progress with its inputs one after the other.
+/// [`Progress::next`] with separate arguments.
 trait NextFor {
     fn next_for(
         &self,
@@ -31,7 +31,7 @@
     }
 }
 
-const CHANGE: RolloutId = RolloutId(77);
+const ROLLOUT: RolloutId = RolloutId(77);
 
 fn cluster(nodes: u64, zones: u64) -> Vec<(u64, u32)> {
     (0..nodes)
@@ -39,10 +39,10 @@
         .collect()
 }
 
-fn max_zone_permille(progress: &Progress, nodes: &[(u64, u32)], zone: u32) -> usize {
+fn included_nodes(progress: &Progress, nodes: &[(u64, u32)], zone: u32) -> usize {
     nodes
         .iter()
-        .filter(|(node, of)| *of == zone && progress.includes(CHANGE, *node, zone))
+        .filter(|(node, node_zone)| *node_zone == zone && progress.includes(ROLLOUT, *node, zone))
         .count()
 }
 
@@ -63,13 +63,13 @@
 }
 
 #[test]
-fn stages_are_spread_over_zones_and_who_is_in_stays_in() {
+fn stages_spread_over_zones_and_included_nodes_stay_included() {
     for rollout in 0..50 {
         let rollout = RolloutId(rollout);
         let (nodes, plan) = (cluster(100, 4), plan(&[0, 50, 200, 500, 1000], 500));
         let mut progress = Progress::default();
         let mut before: Vec<u64> = Vec::new();
-        // Half of each of four zones of 25 is 12.
+        // The maximum share of 500 thousandths limits each of four zones of 25 nodes to 12.
         for (at, wanted) in [1, 5, 20, 48, 100].into_iter().enumerate() {
             progress = progress
                 .next_for(rollout, &plan, &nodes, at as u64 + 1, 100)
@@ -86,7 +86,7 @@
             );
             assert!(
                 before.iter().all(|node| now.contains(node)),
-                "who was in is in"
+                "included nodes stay included"
             );
             if wanted < 100 {
                 let by_zone = (0..4).map(|zone| {
@@ -101,16 +101,17 @@
             }
             before = now;
         }
-        let done = progress.next_for(rollout, &plan, &nodes, 6, 100).unwrap();
+        let completed = progress.next_for(rollout, &plan, &nodes, 6, 100).unwrap();
         assert!(
-            plan.is_beyond(done.stage) && done.next_for(rollout, &plan, &nodes, 7, 100).is_none()
+            plan.is_beyond(completed.stage)
+                && completed.next_for(rollout, &plan, &nodes, 7, 100).is_none()
         );
     }
 }
 
 #[test]
-fn a_zone_gives_no_more_than_may_be_of_it_and_one_of_few() {
-    // One zone of 12, one of 3, one of 2.
+fn zones_stay_within_their_maximum_share_and_small_zones_give_one_node() {
+    // Zones of 12, 3 and 2 nodes.
     let nodes: Vec<(u64, u32)> = (0..17)
         .map(|n| {
             (
@@ -126,32 +127,32 @@
         })
         .collect();
     let progress = Progress::default()
-        .next_for(CHANGE, &plan(&[900, 1000], 250), &nodes, 1, 17)
+        .next_for(ROLLOUT, &plan(&[900, 1000], 250), &nodes, 1, 17)
         .unwrap();
-    let counts = [0, 1, 2].map(|zone| max_zone_permille(&progress, &nodes, zone));
+    let counts = [0, 1, 2].map(|zone| included_nodes(&progress, &nodes, zone));
     assert_eq!(counts, [3, 1, 1]);
     let last = progress
-        .next_for(CHANGE, &plan(&[900, 1000], 250), &nodes, 1, 17)
+        .next_for(ROLLOUT, &plan(&[900, 1000], 250), &nodes, 1, 17)
         .unwrap();
     assert_eq!(
-        [0, 1, 2].map(|zone| max_zone_permille(&last, &nodes, zone)),
+        [0, 1, 2].map(|zone| included_nodes(&last, &nodes, zone)),
         [12, 3, 2]
     );
     assert!(
-        last.includes(CHANGE, 999, 7),
-        "and whoever comes, from wherever"
+        last.includes(ROLLOUT, 999, 7),
+        "the last stage includes nodes that join, in any zone"
     );
 }
 
 #[test]
-fn nodes_that_join_are_in_by_their_place_and_nodes_begin_one_after_the_other() {
+fn joining_nodes_are_included_by_position_and_starts_are_spread() {
     let nodes = cluster(300, 3);
     let plan = plan(&[200, 1000], 500);
     let progress = Progress::default()
-        .next_for(CHANGE, &plan, &nodes, 1, 300)
+        .next_for(ROLLOUT, &plan, &nodes, 1, 300)
         .unwrap();
     let joined = (1000..4000u64)
-        .filter(|n| progress.includes(CHANGE, splitmix64(*n), 1))
+        .filter(|n| progress.includes(ROLLOUT, splitmix64(*n), 1))
         .count();
     assert!(
         (450..750).contains(&joined),
@@ -159,8 +160,8 @@
     );
     let mut slots: Vec<Nanos> = nodes
         .iter()
-        .filter(|(node, zone)| progress.includes(CHANGE, *node, *zone))
-        .map(|(node, zone)| progress.slot(CHANGE, *node, *zone, 10 * SECOND))
+        .filter(|(node, zone)| progress.includes(ROLLOUT, *node, *zone))
+        .map(|(node, zone)| progress.slot(ROLLOUT, *node, *zone, 10 * SECOND))
         .collect();
     slots.sort_unstable();
     assert!(slots[0] < 2 * SECOND && slots[slots.len() - 1] <= 10 * SECOND);
@@ -168,42 +169,42 @@
         slots.windows(2).all(|two| two[1] - two[0] < 3 * SECOND),
         "{slots:?}"
     );
-    let last = progress.next_for(CHANGE, &plan, &nodes, 1, 300).unwrap();
+    let last = progress.next_for(ROLLOUT, &plan, &nodes, 1, 300).unwrap();
     let (node, zone) = *nodes
         .iter()
-        .find(|(node, zone)| progress.includes(CHANGE, *node, *zone))
+        .find(|(node, zone)| progress.includes(ROLLOUT, *node, *zone))
         .unwrap();
     assert_eq!(
-        last.slot(CHANGE, node, zone, 10 * SECOND),
+        last.slot(ROLLOUT, node, zone, 10 * SECOND),
         0,
-        "one that was in does not begin again"
+        "a node of the previous stage starts at once"
     );
 }
 
 #[test]
-fn others_take_the_place_of_nodes_that_are_gone() {
+fn other_nodes_replace_nodes_that_left() {
     let (nodes, plan) = (cluster(30, 3), plan(&[0, 100, 1000], 500));
     let first = Progress::default()
-        .next_for(CHANGE, &plan, &nodes, 1, 30)
+        .next_for(ROLLOUT, &plan, &nodes, 1, 30)
         .unwrap();
     let is_in = |progress: &Progress| -> Vec<(u64, u32)> {
         nodes
             .iter()
-            .filter(|(node, zone)| progress.includes(CHANGE, *node, *zone))
+            .filter(|(node, zone)| progress.includes(ROLLOUT, *node, *zone))
             .copied()
             .collect()
     };
-    let gone = is_in(&first)[0];
-    let left: Vec<(u64, u32)> = nodes
+    let departed = is_in(&first)[0];
+    let remaining: Vec<(u64, u32)> = nodes
         .iter()
-        .filter(|node| **node != gone)
+        .filter(|node| **node != departed)
         .copied()
         .collect();
     let again = first
         .again(&NextAgreement {
-            rollout: CHANGE,
+            rollout: ROLLOUT,
             plan: &plan,
-            nodes: &left,
+            nodes: &remaining,
             agreement: 2,
             cluster_size: 30,
         })
@@ -212,13 +213,13 @@
     assert_eq!(
         (again.stage, now.len()),
         (1, 2),
-        "the one that is gone, and another one"
+        "the node that left and its replacement"
     );
-    assert!(now.contains(&gone));
+    assert!(now.contains(&departed));
 }
 
 #[test]
-fn plans_that_make_no_sense_are_refused() {
+fn invalid_plans_are_rejected() {
     assert_eq!(Plan::default().check(), Ok(()));
     for (shares, message) in [
         (&[][..], "0 stages"),
