--- a/crates/rate-limits/benches/limits.rs
+++ b/crates/rate-limits/benches/limits.rs
@@ -1,5 +1,5 @@
-//! What acquiring a permit costs, against a plain map of the same states, and what memory both
-//! take. Run: cargo bench -p madderpoint-rate-limits
+//! Compares the time to acquire a permit, and the memory, with a plain map that holds the same
+//! states. Run: cargo bench -p madderpoint-rate-limits
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use madderpoint_rate_limits::{Bucket, Rate, RateLimiter};
@@ -10,10 +10,10 @@
 
 const SECOND: u64 = 1_000_000_000;
 
-/// What a node with 32 MB sets aside.
+/// Memory of the limiter, in bytes: the amount that a node with 32 MB reserves for it.
 const BYTES: usize = 1 << 20;
 
-/// GCRA in a map that never forgets: the plain structure.
+/// GCRA over a hash map that never evicts a key, as the baseline of the comparison.
 #[derive(Default)]
 struct Plain(HashMap<u64, u64>);
 
@@ -59,7 +59,8 @@
                 black_box(plain.acquire(rate, now, rng.random_range(0..keys)))
             });
         });
-        // Memory after as many keys as there are, whatever the benchmark asked.
+        // Inserts every key, so that the memory printed does not depend on the number of
+        // iterations.
         for key in 0..keys {
             let _ = limiter.acquire(now, &[(0, key)]);
             plain.acquire(rate, now, key);
--- a/crates/rate-limits/src/bucket.rs
+++ b/crates/rate-limits/src/bucket.rs
@@ -1,22 +1,24 @@
-//! Definitions of buckets, and what a request gets from them.
+//! Definitions of buckets, the permits that requests acquire from them, and their counters.
 
 use crate::{Nanos, Rate};
 
-/// A bucket as it is defined. A limit that is none is not applied.
+/// The definition of a bucket. A limit that is `None` is not applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bucket {
-    /// Its name. A bucket whose name and limits are the same after a reload keeps its state.
+    /// Name of the bucket. A bucket whose name and limits are unchanged by a reload keeps its
+    /// state.
     pub name: String,
-    /// How often a key may come.
+    /// Rate at which requests of one key are admitted.
     pub rate: Option<Rate>,
-    /// The most of a key in flight.
+    /// Maximum number of requests of one key in flight.
     pub max_in_flight: Option<u32>,
-    /// The most of all keys together in flight, shared among the keys that have any.
+    /// Maximum number of requests in flight over all keys, shared among the keys that have requests
+    /// in flight.
     pub max_total_in_flight: Option<u32>,
 }
 
 impl Bucket {
-    /// A bucket without limits.
+    /// Returns a bucket of this name without limits.
     pub fn named(name: &str) -> Bucket {
         Bucket {
             name: name.to_owned(),
@@ -26,63 +28,65 @@
         }
     }
 
-    /// Whether it counts what is in flight.
+    /// Returns whether a limit of the bucket depends on the number of requests in flight.
     pub(crate) fn counts_in_flight(&self) -> bool {
         self.max_in_flight.is_some() || self.max_total_in_flight.is_some()
     }
 }
 
-/// Which limit a request exceeds.
+/// The limit that a request exceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExceededLimit {
-    /// Its key comes too often.
+    /// The rate of the key.
     Rate,
-    /// Too much of its key is in flight.
+    /// The number of requests of the key in flight.
     InFlight,
-    /// Its key has its share of the total, and the rest is taken or reserved for others.
+    /// The total in flight: the key has its share, and the rest is in use or reserved for other
+    /// keys.
     Share,
-    /// There is no memory for its key.
+    /// The memory: the table has no slot for another key.
     NoMemory,
 }
 
-/// A request exceeds a limit.
+/// The refusal of a request that exceeds a limit of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitExceeded {
-    /// The bucket, by its index in the definitions.
+    /// Index of the bucket in the definitions.
     pub bucket: u16,
-    /// Which of its limits.
+    /// The limit of that bucket that is exceeded.
     pub limit: ExceededLimit,
-    /// After how many nanoseconds there is room again: exact for a rate, else an estimate by how long
-    /// permits are held.
+    /// Nanoseconds until the bucket has room again: exact for a rate, otherwise an estimate from
+    /// the mean time for which permits are held.
     pub retry_after: Nanos,
 }
 
-/// What a request holds of its buckets until it ends. It must go back through
-/// [`RateLimiter::release`](crate::RateLimiter::release).
+/// The units in flight that a request holds in its buckets until it ends. A permit must be returned
+/// with [`RateLimiter::release`](crate::RateLimiter::release).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[must_use]
 pub struct Permit {
-    /// Bucket ids and keys of which one is in flight.
+    /// Bucket id and key of each unit held.
     pub(crate) held: Vec<(u32, u64)>,
     pub(crate) acquired_at: Nanos,
 }
 
 impl Permit {
-    /// Whether nothing is held.
+    /// Returns whether the permit holds no unit of any bucket.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 }
 
-/// What was admitted and refused by a bucket, and what is in flight.
+/// Counters of a bucket: requests admitted, refused and in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BucketCounters {
-    /// Requests that were admitted.
+    /// Number of requests admitted.
     pub admitted: u64,
-    /// Requests that exceeded a limit, in the order of [`ExceededLimit`].
+    /// Number of requests refused, by the limit that they exceeded, in the order of
+    /// [`ExceededLimit`].
     pub exceeded: [u64; 4],
-    /// In flight now, of all keys.
+    /// Number of requests in flight now, over all keys.
     pub in_flight: u32,
-    /// Keys with any in flight now.
+    /// Number of keys that have requests in flight now.
     pub active_keys: u32,
 }
--- a/crates/rate-limits/src/key_table.rs
+++ b/crates/rate-limits/src/key_table.rs
@@ -1,24 +1,25 @@
-//! Exact states of keys, in slots that are used again.
+//! The table of exact key states, in slots that are reused after removal.
 
 use crate::Nanos;
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 use std::ops::{Index, IndexMut};
 
-/// A key's state.
+/// The state of one key in one bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyState {
-    /// The bucket's id.
+    /// Id of the bucket.
     pub bucket: u32,
-    /// The key's number.
+    /// Hash of the key.
     pub key: u64,
-    /// The theoretical arrival time: when the next one would come at an even rate.
+    /// Theoretical arrival time: the time of the next request if requests arrived at an even rate.
     pub due: Nanos,
-    /// How many are in flight.
+    /// Number of requests in flight.
     pub in_flight: u32,
 }
 
-/// Combines the words of a key. Keys are numbers from a hash with a secret, so they need no other.
+/// A cheap hash over the integers of a table key. Keys already come from a hash with a secret, so a
+/// client cannot provoke collisions and no stronger hash is needed.
 #[derive(Clone, Copy, Default)]
 struct KeyHasher(u64);
 
@@ -39,21 +40,21 @@
     }
 }
 
-/// The table of exact states.
+/// The table of exact key states, with an index by bucket and key.
 pub struct KeyTable {
     by_key: HashMap<(u32, u64), u32, BuildHasherDefault<KeyHasher>>,
     entries: slab::Slab<KeyState>,
-    /// Slots that were ever in use.
+    /// One more than the highest slot that was ever in use.
     slots: usize,
     max_entries: usize,
 }
 
 impl KeyTable {
-    /// Bytes of a key: its entry, its place in the map (which is at least seven sixteenths full after
-    /// it has doubled) and its link in the timer wheel.
+    /// Bytes that one key takes: 40 for the entry, 56 for its place in the hash map (which is at
+    /// least seven sixteenths full after it has doubled) and 12 for its link in the timer wheel.
     pub const ENTRY_BYTES: usize = 40 + 56 + 12;
 
-    /// An empty table.
+    /// Returns an empty table for at most `max_entries` keys.
     pub fn new(max_entries: usize) -> KeyTable {
         KeyTable {
             by_key: HashMap::default(),
@@ -63,27 +64,27 @@
         }
     }
 
-    /// The slot of a key.
+    /// Returns the slot of a key, if the key has an entry.
     pub fn find(&self, bucket: u32, key: u64) -> Option<usize> {
         self.by_key.get(&(bucket, key)).map(|index| *index as usize)
     }
 
-    /// Whether there is no room for another key.
+    /// Returns whether the table has no room for another key.
     pub fn is_full(&self) -> bool {
         self.entries.len() >= self.max_entries
     }
 
-    /// How many keys there are.
+    /// Returns the number of keys in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Slots that are or were in use, at least 1.
+    /// Returns the number of slots that are or were in use, at least 1.
     pub fn slots(&self) -> usize {
         self.slots.max(1)
     }
 
-    /// The entry at a slot, if there is one.
+    /// Returns the entry at a slot, if the slot is in use.
     pub fn get(&self, index: usize) -> Option<&KeyState> {
         self.entries.get(index)
     }
@@ -96,14 +97,14 @@
         index
     }
 
-    /// Removes the entry at a slot, if there is one.
+    /// Removes and returns the entry at a slot, if the slot is in use.
     pub fn remove(&mut self, index: usize) -> Option<KeyState> {
         let entry = self.entries.try_remove(index)?;
         self.by_key.remove(&(entry.bucket, entry.key));
         Some(entry)
     }
 
-    /// Slots of the entries for which this returns true.
+    /// Returns the slots of all entries for which `matches` returns true.
     pub fn slots_where(&self, matches: impl Fn(&KeyState) -> bool) -> Vec<usize> {
         self.entries
             .iter()
@@ -112,7 +113,7 @@
             .collect()
     }
 
-    /// Bytes that it takes.
+    /// Returns the memory that the table takes, in bytes.
     pub fn bytes(&self) -> usize {
         self.by_key.capacity() * 25 + self.entries.capacity() * 40
     }
--- a/crates/rate-limits/src/lib.rs
+++ b/crates/rate-limits/src/lib.rs
@@ -1,10 +1,10 @@
-//! Limits by key: how often a key may come, how many of it may be in flight, and how keys share what
-//! there is.
+//! Limits per key: the rate of a key, its number of requests in flight, and the shares of keys in a
+//! total.
 //!
-//! A [`Bucket`] is a definition; each of its keys has a state of its own. Memory is bounded whatever
-//! the keys: what does not fit into the table of exact states is kept in a sketch that may be too
-//! strict with a key and is never too lenient ([`sketch`]). Decisions without I/O: the time is an
-//! argument, random draws come from a seed.
+//! A [`Bucket`] defines limits, which apply to each of its keys separately. Memory is bounded for
+//! any number of keys: states that do not fit into the table of exact states are kept in a sketch,
+//! which may be too strict with a key but is never too lenient ([`sketch`]). The crate does no I/O:
+//! the caller passes the time, and hashing is seeded.
 //!
 //! ```
 //! use madderpoint_rate_limits::{Bucket, RateLimiter, Rate};
@@ -14,7 +14,7 @@
 //! limiter.configure(0, &[bucket]);
 //! assert!(limiter.acquire(0, &[(0, 42)]).is_ok() && limiter.acquire(0, &[(0, 42)]).is_ok());
 //! let exceeded = limiter.acquire(0, &[(0, 42)]).unwrap_err();
-//! assert_eq!(exceeded.retry_after, 100_000_000); // ten a second: one more after a tenth
+//! assert_eq!(exceeded.retry_after, 100_000_000); // 10 per second: the next after 100 ms
 //! assert!(limiter.acquire(exceeded.retry_after, &[(0, 42)]).is_ok());
 //! ```
 
@@ -32,10 +32,10 @@
 pub use limiter::RateLimiter;
 pub use rate::Rate;
 
-/// Whole nanoseconds from any fixed point.
+/// A time in nanoseconds since any fixed point, or a duration in nanoseconds.
 pub type Nanos = u64;
 
 pub(crate) const MILLISECOND: Nanos = 1_000_000;
 
-/// The most buckets that may be defined, and that one request may be put into.
+/// Maximum number of buckets that may be defined, and that one request may be counted in.
 pub const BUCKETS_MAX: usize = 256;
--- a/crates/rate-limits/src/limiter.rs
+++ b/crates/rate-limits/src/limiter.rs
@@ -1,8 +1,8 @@
-//! The limiter of all buckets: a request passes all its buckets or takes nothing of any.
+//! The limiter of all buckets. A request is admitted by all of its buckets, or is charged to none.
 //!
-//! A key that has something in flight always has an entry in the table of exact states. A key that
-//! is only limited by a rate has one while there is memory or while it comes often; else its
-//! theoretical arrival time is in a sketch.
+//! A key with requests in flight always has an entry in the table of exact states. A key that is
+//! limited only by a rate has an entry while the table has room or while the key is frequent;
+//! otherwise its theoretical arrival time is in a sketch.
 
 use crate::bucket::{Bucket, BucketCounters, ExceededLimit, LimitExceeded, Permit};
 use crate::key_table::{KeyState, KeyTable};
@@ -10,34 +10,36 @@
 use crate::timer_wheel::TimerWheel;
 use crate::{MILLISECOND, Nanos};
 
-/// The shortest Retry-After where it is not known when there is room, in nanoseconds.
+/// Minimum Retry-After when the time at which a bucket has room again can only be estimated, in
+/// nanoseconds.
 const MIN_RETRY_AFTER: Nanos = 10 * MILLISECOND;
-/// The weight of one permit in the mean time for which a bucket's permits are held.
+/// Weight of one released permit in the moving average of the hold time of a bucket's permits.
 const HOLD_TIME_WEIGHT: f64 = 0.05;
-/// Entries of which the least frequent one is evicted for a more frequent key.
+/// Number of slots that one search for an eviction candidate looks at; the least frequent of their
+/// entries is evicted for a more frequent key.
 const EVICTION_SAMPLE: usize = 8;
-/// The most entries that are checked for ageing in one call.
+/// Maximum number of entries that one call checks for ageing.
 const KEYS_AGED_PER_CALL: usize = 64;
-/// Of a bucket's total one part in this many is reserved for keys with less than an even share.
+/// Divisor of a bucket's total that gives the part reserved for keys with less than an even share.
 const RESERVED_PART: u32 = 8;
 
-/// A bucket with its state.
+/// A bucket's definition, counters and hold time.
 struct BucketState {
-    /// Unique over all definitions.
+    /// Id that is unique over all definitions since the limiter was created.
     id: u32,
     bucket: Bucket,
     counters: BucketCounters,
-    /// The mean time for which a permit is held, in nanoseconds.
+    /// Moving average of the time for which a permit is held, in nanoseconds.
     mean_hold_time: f64,
 }
 
 impl BucketState {
-    /// An estimate of the time until one of this many permits is released, in nanoseconds.
+    /// Returns an estimate of the time until one of `permits` permits is released, in nanoseconds.
     fn retry_after(&self, permits: u32) -> Nanos {
         MIN_RETRY_AFTER.max((self.mean_hold_time / f64::from(permits.max(1))) as Nanos)
     }
 
-    /// Whether a key with `own` in flight may have one more of the bucket's total.
+    /// Returns whether a key with `own` requests in flight may have one more of the bucket's total.
     fn has_share(&self, own: u32) -> bool {
         let Some(total) = self.bucket.max_total_in_flight else {
             return true;
@@ -45,8 +47,8 @@
         let free = total.saturating_sub(self.counters.in_flight);
         let keys = self.counters.active_keys + u32::from(own == 0);
         let even_share = total.div_ceil(keys.max(1));
-        // A part stays free for keys that have less, so that one key that takes all it can get does
-        // not shut others out.
+        // A part stays free for keys below an even share, so that one key that takes all it can get
+        // does not starve the others.
         free > if own < even_share && keys > 1 {
             0
         } else {
@@ -54,7 +56,8 @@
         }
     }
 
-    /// Checks the limits for a key with a theoretical arrival time and `own` in flight.
+    /// Checks the limits for a key with the theoretical arrival time `due` and `own` requests in
+    /// flight.
     fn check(&self, now: Nanos, due: Nanos, own: u32) -> Result<(), (ExceededLimit, Nanos)> {
         if let Some(wait) = self
             .bucket
@@ -75,25 +78,25 @@
     }
 }
 
-/// The limiter of all buckets.
+/// Limits requests by the buckets and keys that they are counted in.
 pub struct RateLimiter {
     buckets: Vec<BucketState>,
     last_id: u32,
     table: KeyTable,
     wheel: TimerWheel,
-    /// Theoretical arrival times of keys without an entry.
+    /// Theoretical arrival times of keys without an entry in the table.
     due_times: DueTimeSketch,
-    /// How often keys came lately.
+    /// Number of recent requests of each key.
     frequencies: FrequencySketch,
-    /// The latest time that was seen.
+    /// Latest time that was passed to the limiter.
     now: Nanos,
-    /// The slot of the table after which the next eviction sample begins.
+    /// Slot of the table after which the next eviction sample begins.
     eviction_cursor: usize,
     evicted: u64,
 }
 
 impl RateLimiter {
-    /// A limiter without buckets, in about this many bytes whatever the keys.
+    /// Returns a limiter without buckets. It takes about `bytes` bytes for any number of keys.
     pub fn new(bytes: usize, seed: u64) -> RateLimiter {
         let entries = (bytes * 3 / 4 / KeyTable::ENTRY_BYTES).max(16);
         let cells = (bytes / 8 / 2).max(64);
@@ -110,8 +113,8 @@
         }
     }
 
-    /// Replaces the buckets. A bucket that is defined as before keeps its state; the others begin
-    /// anew, and permits of definitions that are gone have no effect when they are released.
+    /// Replaces the buckets. A bucket whose definition is unchanged keeps its state; the others
+    /// start empty. Releasing a permit of a removed definition has no effect.
     pub fn configure(&mut self, now: Nanos, buckets: &[Bucket]) {
         self.now = self.now.max(now);
         let mut before = std::mem::take(&mut self.buckets);
@@ -138,10 +141,10 @@
         }
     }
 
-    /// Admits a request to buckets, each by its index in the definitions and the request's key: it
-    /// passes all of them, or takes nothing of any.
+    /// Admits a request to buckets, each given by its index in the definitions and the request's
+    /// key. The request is admitted by all of them, or is charged to none.
     pub fn acquire(&mut self, now: Nanos, buckets: &[(u16, u64)]) -> Result<Permit, LimitExceeded> {
-        self.now = self.now.max(now); // a clock that goes back must not admit anything twice
+        self.now = self.now.max(now); // a clock that goes back must not admit a request twice
         self.age_keys();
         for (i, &(bucket, key)) in buckets.iter().enumerate() {
             let is_repeated = buckets[..i].contains(&(bucket, key));
@@ -164,8 +167,8 @@
         Ok(permit)
     }
 
-    /// Checks whether a bucket has room for one more of a key. Where it counts what is in flight, the
-    /// key has an entry afterwards.
+    /// Checks whether a bucket has room for one more request of a key. If the bucket limits
+    /// requests in flight, the key has an entry in the table after a successful check.
     fn check(&mut self, bucket: u16, key: u64) -> Result<(), LimitExceeded> {
         let Some(state) = self.buckets.get(usize::from(bucket)) else {
             return Ok(());
@@ -189,7 +192,7 @@
         state.check(self.now, due, own).map_err(exceeded)
     }
 
-    /// Takes one of a key from a bucket that was checked.
+    /// Charges one request of a key to a bucket after a successful check.
     fn take(&mut self, bucket: u16, key: u64, permit: &mut Permit) {
         let Some(state) = self.buckets.get_mut(usize::from(bucket)) else {
             return;
@@ -216,7 +219,7 @@
         }
     }
 
-    /// A request that was admitted has ended.
+    /// Returns the permit of an admitted request that has ended.
     pub fn release(&mut self, now: Nanos, permit: Permit) {
         self.now = self.now.max(now);
         let hold_time = self.now.saturating_sub(permit.acquired_at) as f64;
@@ -230,7 +233,7 @@
             let (entry, counters) = (&mut self.table[index], &mut state.counters);
             debug_assert!(
                 entry.in_flight > 0 && counters.in_flight > 0,
-                "what is released was acquired"
+                "a released unit was acquired before"
             );
             entry.in_flight = entry.in_flight.saturating_sub(1);
             counters.in_flight = counters.in_flight.saturating_sub(1);
@@ -243,7 +246,8 @@
 
     // ---- Entries of keys ----
 
-    /// The entry of a key, made if it is required, or if the key came before or there is memory.
+    /// Returns the slot of a key's entry. Inserts the entry if it is required, if the key was
+    /// counted more than once recently, or if the table has room.
     fn find_or_insert(&mut self, bucket: u32, key: u64, is_required: bool) -> Option<usize> {
         let index = self.table.find(bucket, key);
         if index.is_some() {
@@ -254,7 +258,7 @@
         if !wants_entry || !self.ensure_slot(bucket, key, is_required) {
             return None;
         }
-        // A key that was in the sketch goes on from there.
+        // A key that was in the sketch keeps its theoretical arrival time.
         let due = self.due_times.due(bucket, key);
         Some(self.insert(bucket, key, due))
     }
@@ -275,8 +279,8 @@
         self.table.remove(index)
     }
 
-    /// Frees a slot of the table for a key, if it is required or came more often than the least
-    /// frequent entry of a sample.
+    /// Returns whether the table has a free slot for a key. Evicts the least frequent entry of a
+    /// sample if the slot is required or the key is more frequent than that entry.
     fn ensure_slot(&mut self, bucket: u32, key: u64, is_required: bool) -> bool {
         if !self.table.is_full() {
             return true;
@@ -304,14 +308,15 @@
             return false;
         }
         if let Some(entry) = self.remove(index) {
-            // Its time goes on in the sketch: eviction makes no limit more lenient.
+            // The sketch takes over the arrival time, so eviction makes no limit more lenient.
             self.due_times.raise(entry.bucket, entry.key, entry.due);
             self.evicted += 1;
         }
         true
     }
 
-    /// Removes keys that have nothing in flight and whose time has passed, a few in each call.
+    /// Removes keys without requests in flight whose theoretical arrival time has passed, at most
+    /// `KEYS_AGED_PER_CALL` in each call.
     fn age_keys(&mut self) {
         for _ in 0..KEYS_AGED_PER_CALL {
             let Some(index) = self.wheel.next_due(self.now) else {
@@ -329,26 +334,26 @@
         }
     }
 
-    // ---- What others read ----
+    // ---- Statistics ----
 
-    /// The counters of each bucket with its name, in the order of the definitions.
+    /// Returns the name and the counters of each bucket, in the order of the definitions.
     pub fn counters(&self) -> impl Iterator<Item = (&str, BucketCounters)> {
         self.buckets
             .iter()
             .map(|state| (state.bucket.name.as_str(), state.counters))
     }
 
-    /// Keys with an exact state.
+    /// Returns the number of keys with an exact state.
     pub fn tracked_keys(&self) -> usize {
         self.table.len()
     }
 
-    /// Keys that were evicted for more frequent ones.
+    /// Returns the number of keys evicted for more frequent ones since the limiter was created.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// Bytes that it takes.
+    /// Returns the memory that the limiter takes, in bytes.
     pub fn bytes(&self) -> usize {
         self.table.bytes() + self.wheel.bytes() + self.due_times.bytes() + self.frequencies.bytes()
     }
--- a/crates/rate-limits/src/limiter/tests.rs
+++ b/crates/rate-limits/src/limiter/tests.rs
@@ -1,4 +1,5 @@
-//! The limits against exact models over simulated time, and their memory under keys without end.
+//! Compares the limits with exact models over simulated time, and checks the memory bound while new
+//! keys arrive continuously.
 
 use super::*;
 use crate::Rate;
@@ -21,7 +22,7 @@
     }
 }
 
-/// GCRA for any number of keys, in a plain map.
+/// Exact GCRA for any number of keys, in a hash map.
 #[derive(Default)]
 struct Exact(HashMap<u64, Nanos>);
 
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn a_rate_is_kept_exactly_while_keys_fit() {
+fn a_rate_is_exact_while_keys_fit_into_the_table() {
     let rate = Rate::new(20, SECOND, 5).unwrap();
     let (mut limiter, mut exact) = (new_limiter(1 << 20, rated(20, 5)), Exact::default());
     let mut rng = Pcg64Mcg::seed_from_u64(3);
@@ -53,12 +54,12 @@
 }
 
 #[test]
-fn no_key_is_ever_over_its_rate_though_a_million_come() {
+fn no_key_exceeds_its_rate_among_a_million_keys() {
     let rate = Rate::new(10, SECOND, 3).unwrap();
     let mut limiter = new_limiter(64 << 10, rated(10, 3));
     let mut rng = Pcg64Mcg::seed_from_u64(5);
-    // A few heavy keys among a million that come once. Whatever was admitted must have fitted the
-    // exact model.
+    // Eight heavy keys among a million keys with one request each. The exact model must admit every
+    // request that the limiter admitted.
     let mut due: HashMap<u64, Nanos> = HashMap::new();
     let (mut now, mut heavy_passed) = (0, [0u64; 8]);
     for i in 0..1_000_000u64 {
@@ -73,7 +74,7 @@
             let due = due.entry(key).or_default();
             assert!(
                 *due <= now + rate.tolerance(),
-                "key {key} is over its rate at {now}"
+                "key {key} exceeds its rate at {now}"
             );
             *due = (*due).max(now) + rate.interval();
         }
@@ -85,7 +86,7 @@
             );
         }
     }
-    // 50 s at ten a second, and the burst: each heavy key gets nearly all of it, none is starved.
+    // 50 s at ten a second plus the burst: each heavy key gets nearly its full rate.
     assert!(
         heavy_passed.iter().all(|n| (450..=503).contains(n)),
         "{heavy_passed:?}"
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn retry_after_tells_when_there_is_room() {
+fn retry_after_is_the_exact_time_until_a_rate_admits_again() {
     let mut limiter = new_limiter(1 << 16, rated(4, 2));
     let mut now = 7 * SECOND;
     for _ in 0..100 {
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn permits_in_flight_are_bounded_and_come_back() {
+fn permits_in_flight_are_bounded_and_reusable_after_release() {
     let mut limiter = new_limiter(
         1 << 16,
         Bucket {
@@ -147,7 +148,7 @@
 }
 
 #[test]
-fn one_key_that_takes_all_it_gets_shuts_nobody_out() {
+fn a_greedy_key_does_not_starve_other_keys() {
     let mut limiter = new_limiter(
         1 << 16,
         Bucket {
@@ -159,21 +160,25 @@
     while let Ok(permit) = limiter.acquire(0, &[(0, 1)]) {
         greedy.push(permit);
     }
-    assert_eq!(greedy.len(), 14, "an eighth is kept for others");
+    assert_eq!(greedy.len(), 14, "an eighth is reserved for other keys");
     let (mut a, mut b, mut again) = (Vec::new(), Vec::new(), Vec::new());
     a.push(
         limiter
             .acquire(0, &[(0, 2)])
-            .expect("a place is kept for a new key"),
+            .expect("the reserved part admits a new key"),
+    );
+    b.push(
+        limiter
+            .acquire(0, &[(0, 3)])
+            .expect("the reserved part admits a second new key"),
     );
-    b.push(limiter.acquire(0, &[(0, 3)]).expect("and one more"));
     assert_eq!(
         limiter.acquire(0, &[(0, 4)]).unwrap_err().limit,
         ExceededLimit::Share,
-        "all are taken"
+        "the total is in use"
     );
-    // As the greedy key's permits come back, keys that have less get them, up to an even share of
-    // each.
+    // When the greedy key releases its permits, keys with fewer permits get them, each up to an
+    // even share.
     for permit in greedy.drain(..) {
         limiter.release(SECOND, permit);
         a.extend(limiter.acquire(SECOND, &[(0, 2)]));
@@ -192,7 +197,7 @@
 }
 
 #[test]
-fn a_request_passes_all_its_buckets_or_takes_of_none() {
+fn a_request_is_admitted_by_all_its_buckets_or_charged_to_none() {
     let mut limiter = RateLimiter::new(1 << 16, 1);
     let held = Bucket {
         max_in_flight: Some(1),
@@ -208,7 +213,7 @@
         1
     );
     limiter.release(2 * SECOND, permit);
-    // The rate was not charged for the request that the other bucket refused.
+    // The rate was not charged for the request that the second bucket refused.
     let permit = limiter.acquire(2 * SECOND, &[(0, 5), (1, 5)]).unwrap();
     limiter.release(2 * SECOND, permit);
 }
@@ -222,7 +227,7 @@
     let mut limiter = RateLimiter::new(1 << 16, 1);
     limiter.configure(0, &[rated(1, 1), held.clone()]);
     let first = limiter.acquire(0, &[(0, 5), (1, 5)]).unwrap();
-    // In another order, and one of them changed.
+    // The order is reversed, and the rate is changed.
     limiter.configure(MILLISECOND, &[held.clone(), rated(2, 1)]);
     assert_eq!(
         limiter.acquire(MILLISECOND, &[(0, 5)]).unwrap_err().limit,
@@ -230,7 +235,7 @@
     );
     assert!(
         limiter.acquire(MILLISECOND, &[(1, 5)]).is_ok(),
-        "a changed rate begins anew"
+        "a bucket with a changed rate starts empty"
     );
     // A permit of a definition that was removed and defined again has no effect.
     limiter.configure(MILLISECOND, &[]);
@@ -245,24 +250,24 @@
 }
 
 #[test]
-fn clocks_that_jump_admit_nothing_twice() {
+fn a_clock_that_jumps_admits_no_request_twice() {
     let mut limiter = new_limiter(1 << 16, rated(1, 1));
     assert!(limiter.acquire(100 * SECOND, &[(0, 1)]).is_ok());
-    assert!(limiter.acquire(0, &[(0, 1)]).is_err(), "back");
+    assert!(limiter.acquire(0, &[(0, 1)]).is_err(), "clock set back");
     assert!(
         limiter.acquire(100 * SECOND, &[(0, 1)]).is_err(),
-        "and forth again"
+        "clock at the first time again"
     );
     assert!(
         limiter.acquire(1 << 62, &[(0, 1)]).is_ok(),
-        "far ahead its time has passed"
+        "far ahead the arrival time has passed"
     );
     for key in 0..10_000 {
         let _ = limiter.acquire((1 << 62) + key * SECOND * 300, &[(0, key)]);
     }
     assert!(
         limiter.tracked_keys() < 200,
-        "{} keys are left of which the time has passed",
+        "{} keys are tracked although most arrival times have passed",
         limiter.tracked_keys()
     );
     assert!(limiter.acquire(u64::MAX, &[(0, 1)]).is_ok());
@@ -294,11 +299,14 @@
     );
     limiter.release(SECOND, permits.remove(0));
     let found = (0..4).find_map(|_| limiter.acquire(SECOND, &[(0, 99)]).ok());
-    limiter.release(SECOND, found.expect("a place that came back is found"));
+    limiter.release(
+        SECOND,
+        found.expect("a released slot is found within four attempts"),
+    );
 }
 
 #[test]
-fn invalid_rates_are_refused() {
+fn invalid_rates_are_rejected() {
     assert_eq!(Rate::new(0, SECOND, 1), None);
     assert_eq!(Rate::new(1, SECOND, 0), None);
     assert_eq!(Rate::new(1, 0, 1), None);
--- a/crates/rate-limits/src/sketch.rs
+++ b/crates/rate-limits/src/sketch.rs
@@ -1,34 +1,36 @@
-//! What is known of keys without an exact state: for each key a few cells, which other keys may share
-//! by chance. A cell is never too low, so the least of a key's cells is not either: a limit that is
-//! kept by it may be too strict with a key, and is never too lenient. Both sketches raise only the
-//! cells that are below the key's value (conservative update), which keeps small what other keys are
-//! charged for it.
+//! Sketches (count-min) of keys without an exact state. Each key has one cell in each of a few
+//! rows, and may share cells with other keys by chance. A cell is never below the value of any of
+//! its keys, so neither is the minimum over a key's cells: a limit that is checked against this
+//! minimum may be too strict with a key, but is never too lenient. Both sketches raise only the
+//! cells that are below the key's new value (conservative update), which limits the error for keys
+//! that share its cells.
 
 use crate::Nanos;
 
-/// Cells of a key: one in each row.
+/// Number of rows. Each key has one cell in each row.
 const ROWS: usize = 4;
 
 fn mix(seed: u64, bucket: u32, key: u64) -> u64 {
-    // The finaliser of SplitMix64 over both; keys are already numbers that no client can choose.
+    // The finaliser of SplitMix64 over key and bucket. It is enough because keys already come from
+    // a hash with a secret, so a client cannot choose them.
     let mut hash = key ^ seed ^ u64::from(bucket).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     hash ^ (hash >> 31)
 }
 
-/// The cells of a key: one in each row.
-fn cells(seed: u64, width: usize, bucket: u32, key: u64) -> [usize; ROWS] {
+/// Returns the indices of a key's cells, one in each row.
+fn cell_indices(seed: u64, width: usize, bucket: u32, key: u64) -> [usize; ROWS] {
     let hash = mix(seed, bucket, key);
-    // Double hashing: two halves give as many rows as needed.
+    // Double hashing: the two halves of one hash give an index for each row.
     let (first, step) = (hash as u32 as usize, (hash >> 32) as usize | 1);
     std::array::from_fn(|row| {
         row * width + (first.wrapping_add(row.wrapping_mul(step)) & (width - 1))
     })
 }
 
-/// Cells of a row: a power of two.
-fn width(cells: usize) -> usize {
+/// Returns the number of cells in a row: a power of two, at least 16.
+fn row_width(cells: usize) -> usize {
     let each = (cells / ROWS).max(16);
     if each.is_power_of_two() {
         each
@@ -37,7 +39,7 @@
     }
 }
 
-/// Theoretical arrival times of keys.
+/// A sketch of the theoretical arrival times of keys.
 pub struct DueTimeSketch {
     seed: u64,
     width: usize,
@@ -45,9 +47,9 @@
 }
 
 impl DueTimeSketch {
-    /// A sketch of about this many cells.
+    /// Returns an empty sketch of about `cells` cells.
     pub fn new(cells: usize, seed: u64) -> DueTimeSketch {
-        let width = width(cells);
+        let width = row_width(cells);
         DueTimeSketch {
             seed,
             width,
@@ -55,30 +57,31 @@
         }
     }
 
-    /// When a key is due, or later; 0 if it is not known.
+    /// Returns the theoretical arrival time of a key or a later time; 0 if no request was recorded
+    /// in one of the key's cells.
     pub fn due(&self, bucket: u32, key: u64) -> Nanos {
-        cells(self.seed, self.width, bucket, key)
+        cell_indices(self.seed, self.width, bucket, key)
             .into_iter()
             .map(|cell| self.cells[cell])
             .min()
             .unwrap_or(0)
     }
 
-    /// Raises a key to be due not before this.
+    /// Raises the theoretical arrival time of a key to at least `due`.
     pub fn raise(&mut self, bucket: u32, key: u64, due: Nanos) {
-        for cell in cells(self.seed, self.width, bucket, key) {
+        for cell in cell_indices(self.seed, self.width, bucket, key) {
             self.cells[cell] = self.cells[cell].max(due);
         }
     }
 
-    /// Bytes that it takes.
+    /// Returns the memory that the sketch takes, in bytes.
     pub fn bytes(&self) -> usize {
         self.cells.len() * size_of::<Nanos>()
     }
 }
 
-/// How often keys came lately: all counts are halved after eight times as many additions as a row has
-/// cells.
+/// A sketch of the number of recent requests of keys. All counts are halved each time that the
+/// number of additions reaches eight times the number of cells in a row.
 pub struct FrequencySketch {
     seed: u64,
     width: usize,
@@ -87,9 +90,9 @@
 }
 
 impl FrequencySketch {
-    /// A sketch of about this many cells.
+    /// Returns an empty sketch of about `cells` cells.
     pub fn new(cells: usize, seed: u64) -> FrequencySketch {
-        let width = width(cells);
+        let width = row_width(cells);
         FrequencySketch {
             seed,
             width,
@@ -98,9 +101,9 @@
         }
     }
 
-    /// Counts a key.
+    /// Counts one request of a key.
     pub fn add(&mut self, bucket: u32, key: u64) {
-        let key_cells = cells(self.seed, self.width, bucket, key);
+        let key_cells = cell_indices(self.seed, self.width, bucket, key);
         let least = key_cells
             .into_iter()
             .map(|cell| self.cells[cell])
@@ -116,9 +119,9 @@
         }
     }
 
-    /// How often it came lately, or more.
+    /// Returns the number of recent requests of a key, or a larger number.
     pub fn of(&self, bucket: u32, key: u64) -> u32 {
-        let key_cells = cells(self.seed, self.width, bucket, key);
+        let key_cells = cell_indices(self.seed, self.width, bucket, key);
         key_cells
             .into_iter()
             .map(|cell| u32::from(self.cells[cell]))
@@ -126,7 +129,7 @@
             .unwrap_or(0)
     }
 
-    /// Bytes that it takes.
+    /// Returns the memory that the sketch takes, in bytes.
     pub fn bytes(&self) -> usize {
         self.cells.len() * size_of::<u16>()
     }
--- a/crates/rate-limits/src/timer_wheel.rs
+++ b/crates/rate-limits/src/timer_wheel.rs
@@ -1,17 +1,19 @@
-//! When each entry of the table is due to be checked: a wheel of slots, one for each tick. An entry
-//! that is due later than the wheel goes round is put into the last slot and moved on from there.
-//! Entries are linked by their slots in the table, so that a removed one leaves nothing behind: under a flood of
-//! new keys, records of old ones would else pile up.
+//! A timer wheel that tells when each entry of the key table must be checked, with one slot for
+//! each tick. An entry that is due beyond one turn of the wheel is put into the last slot, and
+//! inserted again when that slot is reached. The entries of a slot form a linked list by their
+//! indices in the table, so that a removed entry leaves no record behind: otherwise the records of
+//! removed entries would accumulate under a flood of new keys.
 
 use crate::Nanos;
 
+/// Number of slots of the wheel.
 const SLOTS: usize = 256;
-/// The time of a slot, in nanoseconds.
+/// Duration of a tick, in nanoseconds.
 const TICK: Nanos = 100_000_000;
-/// No entry, or no slot.
+/// Marks the absence of an entry or a slot.
 const NONE: u32 = u32::MAX;
 
-/// An entry's neighbours in the list of its slot of the wheel.
+/// The neighbours of an entry in the linked list of its slot of the wheel.
 #[derive(Clone, Copy)]
 struct Link {
     before: u32,
@@ -19,17 +21,17 @@
     slot: u32,
 }
 
-/// The wheel.
+/// A timer wheel of table entries.
 pub struct TimerWheel {
-    /// The first entry of each slot.
+    /// First entry of each slot.
     slots: [u32; SLOTS],
     links: Vec<Link>,
-    /// The tick whose slot is being emptied.
+    /// Tick whose slot is being emptied.
     tick: u64,
 }
 
 impl TimerWheel {
-    /// An empty wheel.
+    /// Returns an empty wheel.
     pub fn new() -> TimerWheel {
         TimerWheel {
             slots: [NONE; SLOTS],
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Inserts an entry that is due to be checked once its time has passed.
+    /// Inserts the entry at `index`, which must be checked once the time `due` has passed.
     pub fn insert(&mut self, index: usize, now: Nanos, due: Nanos) {
         let first = self.tick.max(now / TICK) + 1;
         let tick = (due / TICK)
@@ -68,7 +70,7 @@
         self.slots[slot] = index as u32;
     }
 
-    /// Removes an entry, if it is there.
+    /// Removes an entry, if the wheel contains it.
     pub fn remove(&mut self, index: usize) {
         let Some(link) = self
             .links
@@ -88,10 +90,10 @@
         self.links[index].slot = NONE;
     }
 
-    /// The next entry that is due, which leaves the wheel.
+    /// Removes and returns the next entry that is due.
     pub fn next_due(&mut self, now: Nanos) -> Option<usize> {
         let until = now / TICK;
-        // After a long pause, or a clock that jumped, one round is enough: all slots are due.
+        // After a long pause or a jump of the clock, all slots are due, and one turn is enough.
         self.tick = self.tick.max(until.saturating_sub(SLOTS as u64));
         loop {
             let first = self.slots[self.tick as usize % SLOTS];
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Bytes that it takes.
+    /// Returns the memory that the wheel takes, in bytes.
     pub fn bytes(&self) -> usize {
         self.links.capacity() * size_of::<Link>() + SLOTS * 4
     }
--- a/crates/settings/examples/rule_files.rs
+++ b/crates/settings/examples/rule_files.rs
@@ -1,11 +1,11 @@
-//! Writes files of rules to be measured with `madderpoint rules bench`:
+//! Writes rule files for measurements with `madderpoint rules bench`:
 //!
 //!     cargo run --release -p madderpoint-settings --example rule_files -- many 10000 100000 > many.xml
 //!     cargo run --release -p madderpoint-settings --example rule_files -- worst > worst.xml
 //!
-//! `many` has this many rules and addresses; the request of its case matches the last rule. `worst`
-//! has expressions whose worst case lies just below the limit, each of another kind, and requests
-//! that come as near to it as they can.
+//! `many` writes the given numbers of rules and addresses; the request of its test case matches the
+//! last rule. `worst` writes expressions of different kinds, each with a worst-case cost just below
+//! the limit, and requests whose evaluation cost is as close to that worst case as possible.
 
 use std::fmt::Write;
 
@@ -56,8 +56,9 @@
     text
 }
 
-/// Expressions over a parameter W: the expression's name, the most bytes of W, the expression, W's value.
+/// Returns a file of rules with expensive expressions over one parameter each.
 fn worst() -> String {
+    // Name of the rule, maximum length of the parameter W in bytes, expression over W, value of W.
     let kinds: [(&str, usize, &str, String); 6] = [
         (
             "pattern",
@@ -119,7 +120,7 @@
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let number = |place: usize| arguments.get(place).and_then(|a| a.parse().ok());
+    let number = |index: usize| arguments.get(index).and_then(|a| a.parse().ok());
     match (arguments.first().map(String::as_str), number(1)) {
         (Some("many"), Some(rules)) if rules > 0 => {
             print!("{}", many(rules, number(2).unwrap_or(0)))
--- a/crates/settings/src/cluster.rs
+++ b/crates/settings/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The element `<fleet>`: how a node takes part in its cluster.
+//! Reads the element `<fleet>`: the settings by which a node takes part in its cluster.
 
 use crate::Diagnostic;
 use crate::diagnostics::Collector;
@@ -8,67 +8,68 @@
 use madderpoint_shared_state::{Budget, BudgetKind};
 use std::net::SocketAddr;
 
-/// The most seeds.
+/// Maximum number of seeds.
 const SEEDS_MAX: usize = 64;
-/// The most voters.
+/// Maximum number of voters.
 const ARBITERS_MAX: usize = 9;
-/// The most budgets.
+/// Maximum number of budgets.
 const BUDGETS_MAX: usize = 8;
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1000 * MILLISECOND;
 const DAY: Nanos = 24 * 3600 * SECOND;
 
-/// The settings of the cluster. What differs by node (zone, addresses) may come from the
+/// Settings of the cluster. Values that differ between nodes (zone, addresses) may come from the
 /// environment instead.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterSettings {
-    /// The cluster's name.
+    /// Name of the cluster, the same on all nodes.
     pub name: String,
-    /// The file with the keys of datagram authentication.
+    /// Path of the file with the keys of datagram authentication.
     pub keys: String,
-    /// The node's zone.
+    /// Zone of the node, if set.
     pub zone: Option<String>,
-    /// Where the node listens.
+    /// Address on which the node receives datagrams, if set.
     pub bind: Option<SocketAddr>,
-    /// Where others reach it.
+    /// Address at which other members reach the node, if set.
     pub advertise: Option<SocketAddr>,
-    /// The program's name, which others see beside its version.
+    /// Name of the program, which other members see in addition to its version.
     pub program: Option<String>,
-    /// Addresses of members by which a node joins.
+    /// Addresses of members through which the node joins, at most 64.
     pub seeds: Vec<SocketAddr>,
     /// Periods and timeouts of the membership protocol.
     pub timing: Timing,
-    /// Names of the voters, who decide on the leader.
+    /// Names of the voters that elect the leader: an odd number up to 9, or none if there are no
+    /// budgets.
     pub voters: Vec<String>,
-    /// Limits on the backend calls of all nodes together.
+    /// Limits on the backend calls of all nodes together, at most 8.
     pub budgets: Vec<Budget>,
-    /// The secret from which keys are numbered, the same on all nodes.
+    /// Secret of the hash of quota keys, the same on all nodes.
     pub secret: u64,
-    /// The backend service whose health nodes judge together, if they do.
+    /// Backend service whose health the nodes judge together, if set.
     pub service: Option<JudgedService>,
 }
 
-/// A backend service whose health nodes judge together.
+/// A backend service whose health the nodes judge together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JudgedService {
-    /// Its name, the same on all nodes.
+    /// Name of the service, the same on all nodes.
     pub name: String,
-    /// A call that takes longer counts as failed; in nanoseconds.
+    /// Duration in nanoseconds after which a call counts as failed, if set.
     pub slow: Option<Nanos>,
 }
 
-/// A hash by which two texts of settings are distinguished; a node publishes it.
+/// Returns a hash that distinguishes two texts of settings. A node publishes the hash of its file.
 pub fn fingerprint(text: &str) -> u64 {
     madderpoint_membership::MemberKey::of(text).0
 }
 
-/// Reads the parts of the element, and collects what is wrong with them.
+/// Reads the parts of the element and collects diagnostics.
 struct Reader {
     collector: Collector,
 }
 
 impl Reader {
-    /// An address to which datagrams can be sent.
+    /// Reads an address to which datagrams can be sent: not multicast, and with a port above 0.
     fn address(&mut self, text: &Text, field: &str) -> Option<SocketAddr> {
         let address: Option<SocketAddr> = text.value.parse().ok();
         let address = address.filter(|a| a.port() > 0 && !a.ip().is_multicast());
@@ -76,24 +77,27 @@
             self.collector.report(
                 text,
                 field,
-                format!("{:?} is no address", text.value),
+                format!("{:?} is not a unicast address with a port", text.value),
                 "such as 10.0.0.4:7946",
             );
         }
         address
     }
 
-    /// A duration between two bounds, in nanoseconds; `into` stays as it is if none is given.
-    fn time(&mut self, of: &Element, name: &str, into: &mut Nanos, least: Nanos, most: Nanos) {
-        let Some(text) = of.get(name) else { return };
+    /// Reads a duration from `min` to `max` into `into`, in nanoseconds; `into` is unchanged if
+    /// the attribute is absent.
+    fn time(&mut self, element: &Element, name: &str, into: &mut Nanos, min: Nanos, max: Nanos) {
+        let Some(text) = element.get(name) else {
+            return;
+        };
         let time = time::span(&text.value).and_then(|time| Nanos::try_from(time).ok());
-        match time.filter(|time| (least..=most).contains(time)) {
+        match time.filter(|time| (min..=max).contains(time)) {
             Some(time) => *into = time,
             None => {
-                let expected = format!("{} to {} ms", least / MILLISECOND, most / MILLISECOND);
+                let expected = format!("{} to {} ms", min / MILLISECOND, max / MILLISECOND);
                 self.collector.report(
                     text,
-                    &format!("{}/@{name}", of.name),
+                    &format!("{}/@{name}", element.name),
                     format!("{:?} is out of range", text.value),
                     &expected,
                 );
@@ -101,7 +105,7 @@
         }
     }
 
-    /// A limit on backend calls.
+    /// Reads a limit on backend calls; `None` if the element is not valid, which is reported.
     fn budget(&mut self, element: &Element) -> Option<Budget> {
         let text = |name: &str| element.get(name);
         let number = |name: &str| text(name).and_then(|text| text.value.parse::<u32>().ok());
@@ -128,8 +132,8 @@
                 self.collector.report(
                     name,
                     &field,
-                    "no limit, or two",
-                    "one of a-second and in-hand",
+                    "no limit, or two limits",
+                    "either a-second or in-hand",
                 );
                 return None;
             }
@@ -149,36 +153,39 @@
                 name,
                 &field,
                 error.to_string(),
-                "floors that the limit has room for",
+                "a limit and nodes-most above 0, and floors of all nodes within the limit",
             );
             return None;
         }
         Some(budget)
     }
 
-    /// A factor from `least` to 100; `into` stays as it is if none is given.
-    fn factor(&mut self, of: &Element, name: &str, into: &mut f64, least: f64) {
-        let Some(text) = of.get(name) else { return };
+    /// Reads a factor from `min` to 100 into `into`, which is unchanged if the attribute is
+    /// absent.
+    fn factor(&mut self, element: &Element, name: &str, into: &mut f64, min: f64) {
+        let Some(text) = element.get(name) else {
+            return;
+        };
         match text
             .value
             .parse::<f64>()
             .ok()
-            .filter(|factor| (least..=100.0).contains(factor))
+            .filter(|factor| (min..=100.0).contains(factor))
         {
             Some(factor) => *into = factor,
             None => {
-                let what = format!("{:?} is out of range", text.value);
+                let found = format!("{:?} is out of range", text.value);
                 self.collector.report(
                     text,
                     &format!("periods/@{name}"),
-                    what,
-                    format!("{least} to 100"),
+                    found,
+                    format!("{min} to 100"),
                 );
             }
         }
     }
 
-    /// Addresses of members by which a node joins.
+    /// Reads the addresses of members through which the node joins.
     fn seeds(&mut self, element: &Element) -> Vec<SocketAddr> {
         let seeds: Vec<SocketAddr> = element
             .all("seed")
@@ -193,12 +200,13 @@
             .and_then(|seed| seed.get("address"));
         if let (true, Some(text)) = (seeds.len() > SEEDS_MAX, excess) {
             let found = format!("{} seeds", seeds.len());
-            self.collector.report(text, "seed", found, "64 at most");
+            self.collector
+                .report(text, "seed", found, "at most 64 seeds");
         }
         seeds
     }
 
-    /// Names of the voters, each once.
+    /// Reads the names of the voters. A name that occurs twice is reported.
     fn arbiters(&mut self, element: &Element) -> Vec<String> {
         let names: Vec<&Text> = element
             .all("arbiter")
@@ -217,7 +225,7 @@
         arbiters
     }
 
-    /// Each budget has a number of its own.
+    /// Reports two budgets with the same id.
     fn check_duplicate_budgets(&mut self, element: &Element, budgets: &[Budget]) {
         let (mut ids, mut duplicate) = (Vec::new(), None);
         for budget in budgets {
@@ -235,12 +243,12 @@
                 text,
                 "calls-budget",
                 found,
-                "each name once for a rate, and once for a number in hand",
+                "each name at most once with a-second, and at most once with in-hand",
             );
         }
     }
 
-    /// Budgets need an odd number of voters, and are bounded in number.
+    /// Reports an even or too large number of voters, and too many budgets.
     fn check_counts(&mut self, element: &Element, arbiters: usize) {
         let first = element
             .one("calls-budget")
@@ -253,7 +261,7 @@
                 text,
                 "arbiter",
                 format!("{arbiters} arbiters"),
-                "an odd number up to 9, three or five, where there are budgets",
+                "an odd number up to 9, such as three or five, where there are budgets",
             );
         }
         if let Some(text) = element
@@ -262,17 +270,17 @@
             .and_then(|budget| budget.get("name"))
         {
             self.collector
-                .report(text, "calls-budget", "too many", "8 at most");
+                .report(text, "calls-budget", "too many budgets", "at most 8");
         }
     }
 
-    /// Periods of the membership protocol.
+    /// Reads the periods and timeouts of the membership protocol.
     fn periods(&mut self, element: &Element) -> Timing {
         let mut periods = Timing::default();
-        let Some(of) = element.one("periods") else {
+        let Some(attributes) = element.one("periods") else {
             return periods;
         };
-        for (name, period, least, most) in [
+        for (name, period, min, max) in [
             ("probe", &mut periods.probe, 50 * MILLISECOND, 60 * SECOND),
             (
                 "answer",
@@ -290,32 +298,37 @@
             ("remember", &mut periods.forget_after, 60 * SECOND, 7 * DAY),
             ("skew", &mut periods.skew, SECOND, DAY),
         ] {
-            self.time(of, name, period, least, most);
+            self.time(attributes, name, period, min, max);
         }
-        self.factor(of, "suspicion", &mut periods.suspicion, 0.5);
-        self.factor(of, "suspicion-most", &mut periods.suspicion_max_factor, 1.0);
-        if let Some(text) = of.get("answer").or(of.get("probe"))
+        self.factor(attributes, "suspicion", &mut periods.suspicion, 0.5);
+        self.factor(
+            attributes,
+            "suspicion-most",
+            &mut periods.suspicion_max_factor,
+            1.0,
+        );
+        if let Some(text) = attributes.get("answer").or(attributes.get("probe"))
             && periods.probe_timeout >= periods.probe
         {
             self.collector.report(
                 text,
                 "periods/@answer",
-                "an answer has as long as the period between two probes",
-                "less than probe, so that others can still be asked",
+                "the time for an answer is not shorter than the period between two probes",
+                "less than probe, which leaves time for relayed probes",
             );
         }
         periods
     }
 
-    /// The downstream service whose health nodes judge together.
+    /// Reads the backend service whose health the nodes judge together.
     fn service(&mut self, element: &Element) -> Option<JudgedService> {
-        let of = element.one("service")?;
-        let name = of
+        let service = element.one("service")?;
+        let name = service
             .get("name")
             .map(|name| name.value.clone())
             .unwrap_or_default();
         let mut slow = 0;
-        self.time(of, "slow", &mut slow, MILLISECOND, 600 * SECOND);
+        self.time(service, "slow", &mut slow, MILLISECOND, 600 * SECOND);
         Some(JudgedService {
             name,
             slow: Some(slow).filter(|slow| *slow > 0),
@@ -324,11 +337,11 @@
 }
 
 impl ClusterSettings {
-    /// Reads the element, which fits the schema.
+    /// Reads an element that the schema has accepted.
     ///
     /// # Errors
     ///
-    /// All that is wrong with what it means, in the order in which it was found.
+    /// All diagnostics on the values of the element, in the order in which they were found.
     pub fn read(element: &Element) -> Result<ClusterSettings, Vec<Diagnostic>> {
         let mut reader = Reader {
             collector: Collector::new("fleet/"),
--- a/crates/settings/src/diagnostics.rs
+++ b/crates/settings/src/diagnostics.rs
@@ -1,38 +1,39 @@
-//! Diagnostics of a settings or scenario file: where something is wrong, what was found and what
-//! was expected. The readers of this package collect them; the command line and the log show them.
+//! Diagnostics on a settings or scenario file. Each has the location of the fault, the text found
+//! and the text expected. The readers of this package collect diagnostics; the command line and the
+//! log show them.
 
 use crate::xml::Text;
 use std::fmt;
 
-/// The most diagnostics that are shown for one file.
+/// Maximum number of diagnostics shown for one file.
 const SHOWN_MAX: usize = 50;
 
-/// Where in a file something is wrong. Offsets and lengths are in bytes.
+/// The location of a fault in a file. Offsets and lengths are in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Location {
-    /// At this offset.
+    /// An offset.
     At(usize),
-    /// From this offset, over this length.
+    /// An offset and a length.
     Span(usize, usize),
-    /// In the file as a whole.
+    /// The file as a whole.
     Whole,
 }
 
-/// Something wrong with a file.
+/// A fault of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Where.
+    /// Location of the fault.
     pub location: Location,
-    /// The field, as a path of elements and attributes; empty if no field is concerned.
+    /// Path of elements and attributes of the faulty field; empty if the fault concerns no field.
     pub field: String,
-    /// What was found.
+    /// Description of the text found.
     pub found: String,
-    /// What was expected.
+    /// Description of the text expected.
     pub expected: String,
 }
 
 impl Diagnostic {
-    /// A diagnostic on this field.
+    /// Returns a diagnostic on a field.
     pub fn new(
         location: Location,
         field: impl Into<String>,
@@ -48,15 +49,15 @@
     }
 }
 
-/// Collects diagnostics while one part of a file is read.
+/// Collects diagnostics during the reading of one part of a file.
 pub(crate) struct Collector {
     prefix: &'static str,
-    /// What has been reported, in the order of the reports.
+    /// Diagnostics in the order in which they were reported.
     pub diagnostics: Vec<Diagnostic>,
 }
 
 impl Collector {
-    /// A collector that puts this prefix before the names of fields.
+    /// Returns a collector that puts `prefix` before the names of fields.
     pub fn new(prefix: &'static str) -> Collector {
         Collector {
             prefix,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Reports that a value is wrong.
+    /// Reports a fault of a value; the diagnostic covers the whole value.
     pub fn report(
         &mut self,
         text: &Text,
@@ -79,17 +80,18 @@
     }
 }
 
-/// All diagnostics on one file. Shown as text, each has the line of the file below it.
+/// All diagnostics on one file. The displayed text has the affected line of the file below each of
+/// them.
 #[derive(Clone, Debug, thiserror::Error)]
 pub struct Diagnostics {
     file: String,
     text: String,
-    /// All of them, in the order of the file.
+    /// Diagnostics in the order of their locations in the file.
     pub all: Vec<Diagnostic>,
 }
 
 impl Diagnostics {
-    /// Diagnostics on the file of this name and text.
+    /// Returns the diagnostics on a file with this name and text.
     pub fn new(file: &str, text: &str, mut all: Vec<Diagnostic>) -> Diagnostics {
         all.sort_by_key(|diagnostic| match diagnostic.location {
             Location::At(offset) | Location::Span(offset, _) => offset + 1,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// The first one on a single line, for the log, and how many more there are.
+    /// Returns the first diagnostic and the number of further ones, on one line for the log.
     pub fn summary(&self) -> String {
         let Some(first) = self.all.first() else {
             return self.file.clone();
@@ -116,7 +118,8 @@
         }
     }
 
-    /// Line and column of a byte, both from 1, and the line's text; columns count characters.
+    /// Returns the line and the column of a byte, both counted from 1, and the text of the line.
+    /// Columns count characters.
     fn position(&self, offset: usize) -> (usize, usize, &str) {
         let mut offset = offset.min(self.text.len());
         while !self.text.is_char_boundary(offset) {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings of this program's own parts: one XML file, checked by the schema that the program
-//! holds, then by its meaning. All that is wrong is reported at once, each with its line, column
-//! and field. No I/O: the caller (the node's start, its reload, `check` and `rules`) hands in the
-//! text.
+//! The settings of a node: one XML file, validated against a schema that is embedded in the
+//! program, then by the meaning of its values. All faults of one stage are reported together, each
+//! with its line, column and field. The crate does no I/O: the caller (start and reload of a node,
+//! the commands `check` and `rules`) passes the text.
 
 #![forbid(unsafe_code)]
 
@@ -23,25 +23,25 @@
 use schema::Schema;
 use xml::Element;
 
-/// The schema, which lies beside the settings in `deploy/`.
+/// Schema of settings files, in the same directory as the example settings in `deploy/`.
 pub const SCHEMA: &str = include_str!("../../../deploy/translator.xsd");
-/// The version of the settings that is understood.
+/// Version of the settings format that this crate reads.
 pub const VERSION: &str = "1";
 
-/// All that a file sets.
+/// The content of a settings file.
 #[derive(Debug)]
 pub struct Settings {
-    /// The rules, if it has any.
+    /// Rules, if the file has the element `<rules>`.
     pub rules: Option<RuleConfig>,
-    /// The cluster, if nodes keep a view of it.
+    /// Settings of the cluster, if the file has the element `<fleet>`.
     pub cluster: Option<ClusterSettings>,
-    /// How changes go out, if they go out in stages.
+    /// Settings of rollouts in stages, if the file has the element `<rollout>`.
     pub rollout: Option<RolloutSettings>,
-    /// The number that the file was given (0 if none), and a hash of its text.
+    /// Number in the file (0 if absent), and a hash of the file's text.
     pub number: (u64, u64),
 }
 
-/// Reads and checks a file's text. `file` is its name, for the diagnostics.
+/// Reads and validates the text of a file. `file` is the name that diagnostics show.
 ///
 /// # Errors
 ///
@@ -66,7 +66,7 @@
     Err(vec![Diagnostic::new(Location::Whole, "", found, expected)])
 }
 
-/// The root element of a text that fits the schema and has the version that is understood.
+/// Returns the root element of a text that the schema accepts and whose version is [`VERSION`].
 fn parse(text: &str) -> Result<Element, Vec<Diagnostic>> {
     let root = xml::read(text).map_err(|diagnostic| vec![diagnostic])?;
     let schema = Schema::read(SCHEMA).map_err(|error| {
@@ -74,7 +74,7 @@
             Location::Whole,
             "translator.xsd",
             error.to_string(),
-            "a schema",
+            "a valid schema",
         )]
     })?;
     let found = schema.check(&root);
@@ -120,7 +120,8 @@
     })
 }
 
-/// A limit of the whole cluster needs a cluster, and voters who decide on the lender.
+/// Checks that a limit of the whole cluster comes with a cluster and with voters, which elect the
+/// lender of quotas.
 fn check_quotas(
     root: &Element,
     rules: Option<&RuleConfig>,
@@ -135,7 +136,7 @@
             Err(vec![Diagnostic::new(
                 location,
                 format!("bucket '{}'", quota.name),
-                "a limit of the whole fleet, and no fleet with arbiters",
+                "a limit of the whole fleet without a fleet that has arbiters",
                 "<fleet> with an odd number of <arbiter>, or scope=\"node\"",
             )])
         }
@@ -143,19 +144,20 @@
     }
 }
 
-/// Voters agree on the stages of a rollout, and versions are distinguished by their numbers.
+/// Checks that a rollout comes with voters, which agree on its stages, and with a number, which
+/// distinguishes the versions of the settings.
 fn check_rollout(root: &Element, has_voters: bool, number: u64) -> Result<(), Vec<Diagnostic>> {
     let Some(element) = root.one("rollout") else {
         return Ok(());
     };
     let (found, expected) = if !has_voters {
         (
-            "changes in stages, and no fleet with arbiters",
+            "a rollout in stages without a fleet that has arbiters",
             "<fleet> with an odd number of <arbiter>",
         )
     } else if number == 0 {
         (
-            "changes in stages of a file without a number",
+            "a rollout in stages of a file without a number",
             "translator/@number, higher with each change",
         )
     } else {
--- a/crates/settings/src/rollout.rs
+++ b/crates/settings/src/rollout.rs
@@ -1,4 +1,4 @@
-//! The element `<rollout>`: how new settings and programs go out in stages.
+//! Reads the element `<rollout>`: the stages in which new settings and programs are rolled out.
 
 use crate::diagnostics::Collector;
 use crate::xml::Element;
@@ -7,20 +7,19 @@
 use madderpoint_rollout::stages::{MAX_STAGE_DURATION, MIN_STAGE_DURATION, Plan, Stage};
 use madderpoint_rules::time;
 
-/// In nanoseconds.
 const MILLISECOND: Nanos = 1_000_000;
 
-/// The settings of rollouts.
+/// Settings of rollouts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutSettings {
-    /// The directory of the node's persisted state: versions that it started on, has on trial and
-    /// can go back to.
+    /// Directory of the node's persisted state: the version that the node started on, the version
+    /// on trial and the version to roll back to.
     pub dir: String,
-    /// How a rollout that is offered at this node goes out.
+    /// Stages and bounds of rollouts that are started at this node.
     pub plan: Plan,
 }
 
-/// A share in thousandths.
+/// Parses a share from 0.001 to 1 and returns it in thousandths.
 fn thousandths(text: &str) -> Option<u32> {
     let share = text
         .parse::<f64>()
@@ -29,33 +28,38 @@
     Some((share * 1000.0).round() as u32)
 }
 
-/// Reads the parts of the element, and collects what is wrong with them.
+/// Reads the parts of the element and collects diagnostics.
 struct Reader {
     collector: Collector,
 }
 
 impl Reader {
-    /// A share, in thousandths; `into` stays as it is if none is given.
-    fn share(&mut self, of: &Element, name: &str, into: &mut u32) {
-        let Some(text) = of.get(name) else { return };
+    /// Reads a share into `into`, in thousandths; `into` is unchanged if the attribute is absent.
+    fn share(&mut self, element: &Element, name: &str, into: &mut u32) {
+        let Some(text) = element.get(name) else {
+            return;
+        };
         match thousandths(&text.value) {
             Some(share) => *into = share,
             None => {
-                let what = format!("{:?} is out of range", text.value);
+                let found = format!("{:?} is out of range", text.value);
                 self.collector
-                    .report(text, &format!("@{name}"), what, "0.001 to 1");
+                    .report(text, &format!("@{name}"), found, "0.001 to 1");
             }
         }
     }
 
-    /// A duration of a stage, in nanoseconds; `into` stays as it is if none is given.
-    fn time(&mut self, of: &Element, name: &str, into: &mut Nanos, least: Nanos) {
-        let Some(text) = of.get(name) else { return };
+    /// Reads a duration of a stage into `into`, in nanoseconds; `into` is unchanged if the
+    /// attribute is absent.
+    fn time(&mut self, element: &Element, name: &str, into: &mut Nanos, min: Nanos) {
+        let Some(text) = element.get(name) else {
+            return;
+        };
         let time = time::span(&text.value).and_then(|time| Nanos::try_from(time).ok());
-        match time.filter(|time| (least..=MAX_STAGE_DURATION).contains(time)) {
+        match time.filter(|time| (min..=MAX_STAGE_DURATION).contains(time)) {
             Some(time) => *into = time,
             None => {
-                let expected = format!("{} ms to 7 days", least / MILLISECOND);
+                let expected = format!("{} ms to 7 days", min / MILLISECOND);
                 self.collector.report(
                     text,
                     &format!("stage/@{name}"),
@@ -66,8 +70,8 @@
         }
     }
 
-    /// A stage; what it does not set is as in `usual`.
-    fn stage(&mut self, element: &Element, usual: &Stage) -> Option<Stage> {
+    /// Reads a stage. Absent attributes have the values of `default`.
+    fn stage(&mut self, element: &Element, default: &Stage) -> Option<Stage> {
         let text = element.get("share")?;
         let share = if text.value == "one" {
             Some(0)
@@ -84,7 +88,7 @@
         }
         let mut stage = Stage {
             share_permille: share?,
-            ..*usual
+            ..*default
         };
         self.time(
             element,
@@ -110,32 +114,32 @@
 }
 
 impl RolloutSettings {
-    /// Reads the element, which fits the schema.
+    /// Reads an element that the schema has accepted.
     ///
     /// # Errors
     ///
-    /// All that is wrong with what it means.
+    /// All diagnostics on the values of the element.
     pub fn read(element: &Element) -> Result<RolloutSettings, Vec<Diagnostic>> {
         let mut reader = Reader {
             collector: Collector::new("rollout/"),
         };
         let mut plan = Plan::default();
-        let usual = plan.stages[1];
+        let default = plan.stages[1];
         reader.share(element, "of-zone", &mut plan.max_zone_permille);
         reader.share(element, "margin", &mut plan.margin_permille);
         let stages: Vec<Stage> = element
             .all("stage")
-            .filter_map(|stage| reader.stage(stage, &usual))
+            .filter_map(|stage| reader.stage(stage, &default))
             .collect();
         if element.one("stage").is_some() {
             plan.stages = stages;
         }
-        if let (true, Err(what)) = (reader.collector.diagnostics.is_empty(), plan.check()) {
+        if let (true, Err(error)) = (reader.collector.diagnostics.is_empty(), plan.check()) {
             reader.collector.diagnostics.push(Diagnostic::new(
                 Location::At(element.at),
                 "rollout",
-                what.to_string(),
-                "stages that grow from one to the next up to the whole fleet",
+                error.to_string(),
+                "stages of increasing size up to the whole fleet",
             ));
         }
         let dir = element
--- a/crates/settings/src/rule_config.rs
+++ b/crates/settings/src/rule_config.rs
@@ -1,4 +1,4 @@
-//! The element `<rules>`: vocabulary, buckets, rules and test cases, compiled.
+//! Reads and compiles the element `<rules>`: vocabulary, buckets, rules and test cases.
 
 mod buckets;
 mod cases;
@@ -20,23 +20,23 @@
 use std::collections::{BTreeSet, HashMap};
 use values::{duration, text};
 
-/// What the rules are checked against.
+/// Names and size limits that rules are validated against.
 #[derive(Clone, Debug)]
 pub struct ValidationContext {
-    /// Operations of the deployment, in their order, each with whether it may run again; `None` if
-    /// any name is allowed.
+    /// Operations of the deployment in the order of its configuration, each with its idempotency;
+    /// `None` if any name is allowed.
     pub operations: Option<Vec<(String, Idempotency)>>,
     /// Tenants of the deployment; `None` if any name is allowed.
     pub tenants: Option<Vec<String>>,
-    /// The most bytes that all rules may take.
+    /// Maximum memory of all compiled rules, in bytes.
     pub rule_bytes_max: usize,
-    /// The most bytes that the file may have.
+    /// Maximum size of the file, in bytes.
     pub file_bytes_max: usize,
 }
 
 impl ValidationContext {
-    /// Allows any operation and tenant, and the sizes of a large machine: for a check without a
-    /// deployment's configuration.
+    /// Returns a context that allows any operation and tenant, 64 MiB of rules and files of 16 MiB,
+    /// as on a large machine. Used to check a file without the configuration of a deployment.
     pub fn permissive() -> ValidationContext {
         ValidationContext {
             operations: None,
@@ -47,27 +47,27 @@
     }
 }
 
-/// Compiled rules with what belongs to them.
+/// Compiled rules with their buckets, quotas, operations and test cases.
 #[derive(Debug)]
 pub struct RuleConfig {
-    /// The rules.
+    /// Compiled rule set.
     pub rules: RuleSet,
-    /// The buckets, in the order of the rule set's bucket indices.
+    /// Buckets, in the order of the rule set's bucket indices.
     pub buckets: Vec<Bucket>,
     /// Quotas of the whole cluster, each with the index of its bucket.
     pub cluster_quotas: Vec<(usize, KeyedQuota)>,
     /// Names of operations, in the order of the rule set's operation indices.
     pub operations: Vec<String>,
-    /// Cases that show what the rules do.
+    /// Test cases of the rules, in the order of the file.
     pub cases: Vec<TestCase>,
 }
 
 impl RuleConfig {
-    /// Reads the element, which fits the schema.
+    /// Reads an element that the schema has accepted.
     ///
     /// # Errors
     ///
-    /// All that is wrong with what it means.
+    /// All diagnostics on the element, including those of the rule compiler.
     pub fn read(
         element: &Element,
         context: &ValidationContext,
@@ -78,10 +78,10 @@
         let mut vocabulary = vocabulary::vocabulary(element, context, &mut collector);
         let sources: Vec<RuleSource> = rules
             .iter()
-            .map(|rule| written(rule, &mut collector))
+            .map(|rule| rule_source(rule, &mut collector))
             .collect();
         if context.operations.is_none() {
-            // Without a configuration the operations that rules give are taken as they come.
+            // Without a configuration, every operation that a rule gives is accepted.
             vocabulary.open = true;
             let named: BTreeSet<&String> = sources
                 .iter()
@@ -113,7 +113,8 @@
     }
 }
 
-/// Names of rules, cases, buckets and of sets and lists are unique.
+/// Reports names that are not unique among rules, among cases, among buckets, or among address sets
+/// and string lists.
 fn check_duplicate_names(element: &Element, rules: &[&Element], collector: &mut Collector) {
     let all = |name| element.all(name).collect::<Vec<_>>();
     let lists: Vec<&Element> = element
@@ -136,8 +137,8 @@
     }
 }
 
-/// A rule as its element has it.
-fn written(element: &Element, collector: &mut Collector) -> RuleSource {
+/// Returns the source of a rule, before compilation.
+fn rule_source(element: &Element, collector: &mut Collector) -> RuleSource {
     let expression = |of: &Element, name: &str| of.one(name).map(|e| e.text.value.clone());
     let mut rule = RuleSource {
         name: text(element, "name").to_owned(),
@@ -160,7 +161,8 @@
     if let Some(throttle) = element.one("throttle") {
         let pause = throttle.get("pause").map(|t| (duration(&t.value), t));
         if let Some((None, written)) = pause {
-            collector.report(written, "throttle/@pause", "no time", "such as 250ms");
+            let found = format!("{:?} is not a duration", written.value);
+            collector.report(written, "throttle/@pause", found, "such as 250ms");
         }
         let pause = pause.and_then(|(pause, _)| pause).unwrap_or(0);
         rule.verdict = Some(Verdict::Throttle {
@@ -178,7 +180,7 @@
     rule
 }
 
-/// The buckets, and quotas of the cluster with the indices of their buckets.
+/// Reads the buckets, and the quotas of the cluster with the indices of their buckets.
 fn read_buckets(
     element: &Element,
     collector: &mut Collector,
@@ -205,7 +207,7 @@
                 collector.report(
                     written,
                     &format!("bucket '{}'", quota.name),
-                    format!("shares its number with '{}'", other.name),
+                    format!("has the same id as bucket '{}'", other.name),
                     "another name",
                 );
             }
@@ -216,7 +218,7 @@
         .iter()
         .filter_map(|element| buckets::bucket(element, collector))
         .collect();
-    // What the cluster limits is not also limited by the node.
+    // A bucket that is limited by quotas of the cluster has no limits of the node.
     for (index, _) in &quotas {
         if let Some(bucket) = buckets.get_mut(*index) {
             *bucket = Bucket::named(&bucket.name);
@@ -225,7 +227,8 @@
     (buckets, quotas)
 }
 
-/// A key has a meaning only where an operation may be recognised by it.
+/// Reports keys of rules that give a non-idempotent operation, for which an idempotency key has no
+/// use.
 fn check_keys(
     sources: &[RuleSource],
     rules: &[&Element],
@@ -248,13 +251,13 @@
             && let Some(key) = element.one("give").and_then(|give| give.one("key"))
         {
             let field = format!("rule '{}' give/key", rule.name);
-            let found = "a key for an operation that is neither idempotent nor tokened";
+            let found = "a key for an operation that is neither idempotent nor keyed";
             collector.report(&key.text, &field, found, "no key, or another operation");
         }
     }
 }
 
-/// Bounds on the rules' cost and memory.
+/// Reads the bounds on the cost and memory of the rules.
 fn bounds(element: &Element, context: &ValidationContext, collector: &mut Collector) -> Bounds {
     let mut bounds = Bounds {
         bytes: context.rule_bytes_max,
@@ -266,7 +269,7 @@
             collector.report(
                 written,
                 "rules/@cost",
-                "the limit is too high",
+                format!("{:?} is out of range", written.value),
                 format!("at most {}", cost::LIMIT_MAX),
             );
             bounds.cost = cost::LIMIT_MAX;
--- a/crates/settings/src/rule_config/buckets.rs
+++ b/crates/settings/src/rule_config/buckets.rs
@@ -1,4 +1,4 @@
-//! Buckets: limits of each node, and quotas of the whole cluster.
+//! Reads buckets: limits of each node, and quotas of the whole cluster.
 
 use super::values::{duration, text};
 use crate::diagnostics::Collector;
@@ -8,10 +8,10 @@
 use madderpoint_shared_state::keyed_quota::{KeyedQuota, QuotaKind};
 use std::str::FromStr;
 
-/// How long a request holds a unit of a quota at most, where the file does not say.
+/// Default of the maximum time for which a request holds a unit of a quota, in nanoseconds.
 const HOLD_DEFAULT: Nanos = 10_000_000_000;
 
-/// A count in a period, such as `50/s` or `3/10s`.
+/// Parses a count in a period, such as `50/s` or `3/10s`.
 fn count_in_period<T: FromStr>(text: &str) -> Option<(T, Nanos)> {
     let (count, period) = text.split_once('/')?;
     let period = if period.starts_with(|c: char| c.is_ascii_digit()) {
@@ -22,7 +22,7 @@
     Some((count.parse().ok()?, period?))
 }
 
-/// A bucket; `None` only if it has no name.
+/// Reads a bucket; `None` only if the element has no name.
 pub(super) fn bucket(element: &Element, collector: &mut Collector) -> Option<Bucket> {
     let name = text(element, "name");
     let number = |name: &str| element.get(name).and_then(|t| t.value.parse::<u32>().ok());
@@ -40,8 +40,12 @@
             collector.report(
                 written,
                 &field,
-                "this rate can't be kept",
-                "intervals from 1 ns, and a day at most with its burst",
+                format!(
+                    "rate {:?} with a burst of {} is out of range",
+                    written.value,
+                    burst.unwrap_or(1)
+                ),
+                "an interval from 1 ns to a day, and at most a day for the burst",
             );
         }
     } else if let Some(burst) = element.get("burst") {
@@ -52,15 +56,15 @@
         collector.report(
             name,
             &field,
-            "nothing is limited",
+            "the bucket has no limit",
             "a rate, in-hand or total",
         );
     }
     Some(bucket)
 }
 
-/// The most processes that share a bucket's quotas; none if it is a limit of each node, or if that
-/// is missing.
+/// Reads the maximum number of processes that share the quotas of a bucket; `None` if the bucket is
+/// a limit of each node, or if the attribute is missing, which is reported.
 fn nodes_most(element: &Element, field: &str, collector: &mut Collector) -> Option<u32> {
     if text(element, "scope") != "fleet" {
         for only in ["floor", "nodes-most", "longest"] {
@@ -68,7 +72,7 @@
                 collector.report(
                     written,
                     field,
-                    format!("'{only}' of a limit that each node has"),
+                    format!("'{only}' on a limit that applies to each node"),
                     "scope=\"fleet\"",
                 );
             }
@@ -79,7 +83,7 @@
         collector.report(
             total,
             field,
-            "'total' of a limit of the whole fleet",
+            "'total' on a limit of the whole fleet",
             "rate or in-hand",
         );
     }
@@ -91,14 +95,14 @@
             scope,
             field,
             "'nodes-most' is missing",
-            "how many processes run at once at most",
+            "the maximum number of processes at once",
         );
     }
     nodes_most
 }
 
-/// Quotas of the whole cluster that a bucket defines: at most one for its rate and one for its
-/// number in flight.
+/// Reads the quotas of the whole cluster that a bucket defines: at most one for its rate and one
+/// for its number of requests in flight.
 pub(super) fn cluster_quotas(element: &Element, collector: &mut Collector) -> Vec<KeyedQuota> {
     let name = text(element, "name");
     let field = format!("bucket '{name}'");
@@ -140,7 +144,7 @@
                 written,
                 &field,
                 error.to_string(),
-                "more of it, fewer nodes or a lower floor",
+                "a higher limit, a smaller nodes-most or a smaller floor",
             );
         }
     }
--- a/crates/settings/src/rule_config/cases.rs
+++ b/crates/settings/src/rule_config/cases.rs
@@ -1,4 +1,4 @@
-//! Test cases of a file's rules, as their elements have them.
+//! Reads the test cases of the rules.
 
 use super::values::text;
 use crate::diagnostics::Collector;
@@ -6,7 +6,7 @@
 use crate::test_case::TestCase;
 use crate::xml::Element;
 
-/// Reads a test case; `None` if it is wrong, which is reported.
+/// Reads a test case; `None` if the case is not valid, which is reported.
 pub(super) fn test_case(
     element: &Element,
     rule_names: &[&str],
@@ -26,8 +26,8 @@
         collector.report(
             written,
             &format!("{field} expect"),
-            format!("there is no rule '{name}'"),
-            "a rule of this file, or none",
+            format!("unknown rule '{name}'"),
+            "the name of a rule in this file, or none",
         );
         return None;
     }
@@ -51,7 +51,7 @@
     let mut request = SampleRequest::default();
     for attribute in &element.attributes {
         if let Err(error) = request.set(&attribute.name, &attribute.value.value) {
-            let found = format!("{} can't be {:?}", attribute.name, attribute.value.value);
+            let found = format!("{} cannot be {:?}", attribute.name, attribute.value.value);
             let field = format!("{field} request");
             collector.report(&attribute.value, &field, found, error.expected());
             return None;
--- a/crates/settings/src/rule_config/locations.rs
+++ b/crates/settings/src/rule_config/locations.rs
@@ -1,19 +1,20 @@
-//! Where in the file the fields of a rule are, for diagnostics on compiled expressions.
+//! Locations of the fields of a rule in the file, for diagnostics on compiled expressions.
 
 use crate::xml::{Element, Text};
 use crate::{Diagnostic, Location};
 use madderpoint_rules::{ExpressionError, Field, RuleError};
 
-/// Maps the fields of a rule to the texts of its element.
+/// Maps the fields of a rule to the texts of the rule's element.
 pub(super) struct RuleLocations<'e> {
-    /// The rule's name.
+    /// Name of the rule.
     pub name: String,
-    /// The rule's element.
+    /// Element of the rule.
     pub element: &'e Element,
 }
 
 impl<'e> RuleLocations<'e> {
-    /// The field's text, if it has one; its path; the offset that stands for it without a text.
+    /// Returns the text of a field, if the file has one; the path of the field; and the offset of
+    /// the closest element, for a field without a text.
     fn find(&self, field: Field) -> (Option<&'e Text>, String, usize) {
         let give = self.element.one("give");
         let inner = |name: &'static str, nth: usize| {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The diagnostic on a fault of the rule, at the bytes of the file that it concerns.
+    /// Returns the diagnostic on a fault of the rule, located at the affected bytes of the file.
     pub fn diagnostic(&self, problem: &RuleError) -> Diagnostic {
         let (text, field, at) = self.find(problem.field);
         let ExpressionError {
--- a/crates/settings/src/rule_config/values.rs
+++ b/crates/settings/src/rule_config/values.rs
@@ -1,15 +1,15 @@
-//! Values of attributes: texts, sizes and durations.
+//! Parses values of attributes: texts, sizes and durations.
 
 use crate::xml::Element;
 use madderpoint::Nanos;
 use madderpoint_rules::time;
 
-/// An attribute that the schema requires, or an empty text.
+/// Returns the value of an attribute that the schema requires; empty if absent.
 pub(super) fn text<'e>(element: &'e Element, name: &str) -> &'e str {
     element.get(name).map_or("", |t| t.value.as_str())
 }
 
-/// A size such as `64KiB`, in bytes.
+/// Parses a size such as `64KiB` and returns it in bytes.
 pub(super) fn size(text: &str) -> Option<usize> {
     let units = [("KiB", 1 << 10), ("MiB", 1 << 20), ("B", 1)];
     units.iter().find_map(|(unit, factor)| {
@@ -20,7 +20,7 @@
     })
 }
 
-/// A duration such as `250ms`, in nanoseconds.
+/// Parses a duration such as `250ms` and returns it in nanoseconds.
 pub(super) fn duration(text: &str) -> Option<Nanos> {
     Nanos::try_from(time::span(text)?).ok()
 }
--- a/crates/settings/src/rule_config/vocabulary.rs
+++ b/crates/settings/src/rule_config/vocabulary.rs
@@ -1,5 +1,5 @@
-//! The names that expressions of a file may use: operations and tenants of the deployment, declared
-//! parameters, named address sets and lists.
+//! Reads the names that expressions of a file may use: operations and tenants of the deployment,
+//! declared parameters, named address sets and string lists.
 
 use super::ValidationContext;
 use super::values::{size, text};
@@ -9,10 +9,10 @@
 use madderpoint_rules::{AddressSet, Vocabulary, address};
 use std::sync::Arc;
 
-/// The most addresses of one set that are reported as wrong.
-const BAD_ADDRESSES_MAX: usize = 10;
+/// Maximum number of invalid addresses that are reported for one set.
+const REPORTED_ADDRESSES_MAX: usize = 10;
 
-/// The vocabulary of a file's rules.
+/// Returns the vocabulary of the rules of a file.
 pub(super) fn vocabulary(
     element: &Element,
     context: &ValidationContext,
@@ -46,7 +46,7 @@
     vocabulary
 }
 
-/// Declared lengths of parameters, in bytes.
+/// Reads the declared maximum lengths of parameters, in bytes.
 fn parameters(element: &Element, vocabulary: &mut Vocabulary, collector: &mut Collector) {
     for parameter in element.all("parameter") {
         let Some(written) = parameter.get("most") else {
@@ -60,7 +60,7 @@
             None => collector.report(
                 written,
                 "parameter/@most",
-                "more than any parameter has",
+                format!("{:?} is out of range", written.value),
                 "at most 4KiB",
             ),
         }
@@ -68,18 +68,18 @@
 }
 
 fn address_set(element: &Element, name: &str, collector: &mut Collector) -> AddressSet {
-    let (whole, mut bad) = (&element.text, 0);
+    let (text, mut reported) = (&element.text, 0);
     let mut networks = Vec::new();
-    for word in whole.value.split_whitespace() {
-        match address::network(word) {
+    for address_text in text.value.split_whitespace() {
+        match address::network(address_text) {
             Some(network) => networks.push(network),
-            None if bad < BAD_ADDRESSES_MAX => {
-                bad += 1;
-                let offset = word.as_ptr() as usize - whole.value.as_ptr() as usize;
+            None if reported < REPORTED_ADDRESSES_MAX => {
+                reported += 1;
+                let offset = address_text.as_ptr() as usize - text.value.as_ptr() as usize;
                 collector.diagnostics.push(Diagnostic::new(
-                    Location::Span(whole.place(offset), word.len()),
+                    Location::Span(text.place(offset), address_text.len()),
                     format!("addresses '{name}'"),
-                    format!("no network: {word}"),
+                    format!("not an address or a network: {address_text}"),
                     "such as 10.0.0.0/8 or 2001:db8::1",
                 ));
             }
--- a/crates/settings/src/sample_request.rs
+++ b/crates/settings/src/sample_request.rs
@@ -1,60 +1,61 @@
-//! Sample requests: what a test case or an operator writes down for rules to be tried on.
+//! Sample requests, which a test case or an operator writes to evaluate rules without a connection.
 
 use madderpoint_rules::{Caller, Facts, RuleSet, address, time};
 use std::net::IpAddr;
 
-/// A request that did not come over a connection.
+/// The facts of a request, given as text instead of received over a connection.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SampleRequest {
-    /// The operation, if it names one.
+    /// Name of the operation, if the request gives one.
     pub operation: Option<String>,
-    /// The tenant, if it names one.
+    /// Name of the tenant, if the request gives one.
     pub tenant: Option<String>,
-    /// SCRIPT_NAME.
+    /// Value of `SCRIPT_NAME`.
     pub script: String,
-    /// The method; POST if it is not given.
+    /// Request method; `POST` if `None`.
     pub method: Option<String>,
-    /// The protocol; fastcgi if it is not given.
+    /// Protocol of the connection; `fastcgi` if `None`.
     pub front: Option<String>,
-    /// The expected work, in nanoseconds on one core.
+    /// Expected work, in nanoseconds on one core.
     pub estimate: Option<i64>,
-    /// Memory that is booked, in KB.
+    /// Memory that the request reserves, in KB.
     pub need: Option<f64>,
-    /// The rank, from 0 to 1.
+    /// Rank, from 0 to 1.
     pub rank: Option<f64>,
-    /// The load balancer's number.
+    /// Number of the load balancer.
     pub peer: Option<u64>,
-    /// Nanoseconds since the Unix epoch; the epoch if it is not given, so that a case never
-    /// depends on the day.
+    /// Arrival time, in nanoseconds since the Unix epoch. The default is the epoch, so that the
+    /// result of a test case does not depend on the current date.
     pub arrived: i64,
-    /// The address that it was sent from.
+    /// IP address of the sender.
     pub address: Option<IpAddr>,
-    /// The SPIFFE id of the sender, and the offset at which its trust domain ends.
+    /// SPIFFE id of the sender, and the offset in bytes at which its trust domain ends.
     pub caller: Option<(String, usize)>,
-    /// Parameters: names and values.
+    /// Names and values of the parameters.
     pub params: Vec<(String, String)>,
-    /// The body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
 const SCHEME: &str = "spiffe://";
 
-/// A fact of a sample request that can't be set. Shown as text, it says what was expected.
+/// An error in setting a fact of a sample request. The displayed text describes the values
+/// expected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SampleRequestError {
-    /// The value does not fit the fact.
+    /// The value is not valid for the fact.
     #[error("{expected}")]
     Value {
-        /// What was expected.
+        /// Description of a valid value.
         expected: &'static str,
     },
-    /// There is no fact of this name.
+    /// The name is not that of a fact.
     #[error("{}", self.expected())]
     UnknownFact,
 }
 
 impl SampleRequestError {
-    /// What was expected.
+    /// Returns a description of the values or names that are valid.
     pub fn expected(&self) -> &'static str {
         match self {
             SampleRequestError::Value { expected } => expected,
@@ -65,17 +66,17 @@
     }
 }
 
-/// A value that parses, or an error that says what was expected.
+/// Returns a parsed value, or an error with the description of a valid value.
 fn parsed<T>(value: Option<T>, expected: &'static str) -> Result<T, SampleRequestError> {
     value.ok_or(SampleRequestError::Value { expected })
 }
 
 impl SampleRequest {
-    /// Sets a fact by its name.
+    /// Sets the fact `name` to `value`.
     ///
     /// # Errors
     ///
-    /// The value does not fit the fact, or there is no fact of this name.
+    /// The value is not valid for the fact, or no fact has this name.
     pub fn set(&mut self, name: &str, value: &str) -> Result<(), SampleRequestError> {
         let text = Some(value.to_owned());
         match name {
@@ -108,7 +109,7 @@
         Ok(())
     }
 
-    /// The request as rules see it.
+    /// Returns the facts of the request on which rules are evaluated.
     pub fn facts<'a>(&'a self, rules: &RuleSet) -> Facts<'a> {
         let pairs = self
             .params
--- a/crates/settings/src/scenario.rs
+++ b/crates/settings/src/scenario.rs
@@ -1,6 +1,6 @@
-//! Scenarios: timetables of faults with what must hold. XML files, checked by a schema like the
-//! settings; played by the fault scenario runner against processes, and by `fleet simulate` against
-//! a simulated cluster.
+//! Fault scenarios: faults, load and expectations, each at a time since the start. A scenario is an
+//! XML file that is validated against a schema, like the settings. The fault scenario runner
+//! executes scenarios on processes, and `fleet simulate` on a simulated cluster.
 
 mod parse;
 
@@ -8,38 +8,38 @@
 
 use std::time::Duration;
 
-/// The schema, which lies beside this package's manifest.
+/// Schema of scenario files, in the directory of this package.
 pub(crate) const SCHEMA: &str = include_str!("../scenario.xsd");
-/// The most nodes of a scenario.
+/// Maximum number of nodes of a scenario.
 pub const NODES_MAX: usize = 64;
 
-/// A kind of links.
+/// The kind of links that a fault applies to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkKind {
-    /// Between nodes.
+    /// Links between nodes.
     #[default]
     Fleet,
-    /// Load balancers and a node.
+    /// Links between load balancers and a node.
     Load,
-    /// A node and its executor.
+    /// The link between a node and its executor.
     Kernel,
-    /// A node and its backend.
+    /// Links between a node and its backend.
     Backend,
-    /// A node and the service registry.
+    /// The link between a node and the service registry.
     Members,
 }
 
-/// Which nodes: one end of links, or where something is sent.
+/// A selection of nodes: one end of links, or the target of an action or expectation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum NodeSelector {
-    /// Any node.
+    /// All nodes.
     #[default]
     All,
-    /// This node.
+    /// The node with this name.
     Node(String),
-    /// Any node in this zone.
+    /// All nodes in this zone.
     Zone(String),
-    /// Any node that is not in this zone.
+    /// All nodes outside this zone.
     NotZone(String),
 }
 
@@ -55,204 +55,203 @@
         }
     }
 
-    /// Whether a node of this name and zone is selected.
+    /// Returns whether a node with this name in this zone is selected.
     pub fn has(&self, name: &str, zone: &str) -> bool {
         match self {
             NodeSelector::All => true,
             NodeSelector::Node(node) => node == name,
-            NodeSelector::Zone(of) => of == zone,
-            NodeSelector::NotZone(of) => of != zone,
+            NodeSelector::Zone(selected) => selected == zone,
+            NodeSelector::NotZone(excluded) => excluded != zone,
         }
     }
 }
 
-/// What is wrong with a link. Shares are from 0 to 1.
+/// The faults of a link. Shares of the traffic are from 0 to 1.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Nothing passes.
+    /// Whether all traffic is dropped.
     pub cut: bool,
-    /// Traffic waits until the fault is over.
+    /// Whether traffic is held back until the fault ends.
     pub hold: bool,
-    /// The share that is lost.
+    /// Share of the traffic that is lost.
     pub loss: f64,
-    /// The share that is duplicated.
+    /// Share of the traffic that is duplicated.
     pub double: f64,
-    /// The share with a flipped bit.
+    /// Share of the traffic in which a bit is flipped.
     pub damage: f64,
-    /// The share that later traffic overtakes.
+    /// Share of the traffic that later traffic overtakes.
     pub reorder: f64,
-    /// By how much all traffic is delayed.
+    /// Delay of all traffic.
     pub delay: Duration,
-    /// The most that is added to the delay at random.
+    /// Maximum of the random addition to the delay.
     pub jitter: Duration,
-    /// The bandwidth, in bytes a second; unlimited if `None`.
+    /// Bandwidth, in bytes per second; unlimited if `None`.
     pub bytes_a_second: Option<u64>,
 }
 
-/// A link with a fault.
+/// A fault with the links that it applies to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LinkFault {
-    /// The kind of links.
+    /// Kind of the links.
     pub on: LinkKind,
-    /// From where.
+    /// Sender of the traffic.
     pub from: NodeSelector,
-    /// To where.
+    /// Receiver of the traffic.
     pub to: NodeSelector,
-    /// Whether the other direction too.
+    /// Whether the fault also applies to the opposite direction.
     pub both: bool,
-    /// What is wrong.
+    /// Fault of the links.
     pub fault: Fault,
 }
 
-/// What is done at a step, or must hold then; `docs/operators/rig.md` has a table of them. Nodes
-/// are
+/// An action or an expectation of a step. `docs/operators/rig.md` has a table of them. Nodes are
 /// given by their names.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Puts a fault on links.
+    /// Applies a fault to links.
     Link {
-        /// Which links, and what is wrong with them.
+        /// Links and their fault.
         faulty: LinkFault,
-        /// For how long; until the links are healed if `None`.
+        /// Duration of the fault; until the next [`Action::Heal`] if `None`.
         time: Option<Duration>,
     },
-    /// Takes all faults off the links.
+    /// Removes all faults from the links.
     Heal,
     /// Kills a node (SIGKILL).
     Kill(String),
-    /// Stops a node (SIGTERM); it must end well.
+    /// Stops a node (SIGTERM), whose process must exit with success.
     Stop(String),
-    /// Stops a node's process and continues it (SIGSTOP, SIGCONT).
+    /// Suspends the process of a node and resumes it (SIGSTOP, SIGCONT).
     Pause {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// For how long.
+        /// Duration.
         time: Duration,
     },
-    /// Has a node read its settings again (SIGHUP).
+    /// Makes a node reload its settings (SIGHUP).
     Hup(String),
-    /// Starts a node, under another's name, or as another version of the program.
+    /// Starts a node, optionally under another name or with another version of the program.
     Start {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// The name that it takes, if not its own.
+        /// Name that the node takes, if not its own.
         name: Option<String>,
-        /// The version of the program, if not the usual one.
+        /// Version of the program, if not the default one.
         program: Option<String>,
     },
-    /// Sends datagrams that no member sent.
+    /// Sends datagrams that do not come from a member.
     UnauthenticatedDatagrams {
-        /// To these nodes.
+        /// Nodes that receive them.
         to: NodeSelector,
-        /// How many in a second.
+        /// Number per second to each node.
         a_second: u64,
-        /// For how long.
+        /// Duration.
         time: Duration,
     },
-    /// The nodes agree on who is a member.
+    /// Expects that the nodes that reach each other agree on the members.
     Settled {
-        /// At the latest after this.
+        /// Maximum time until the expectation is met.
         within: Duration,
-        /// In how many groups that do not reach each other.
+        /// Number of groups of nodes that do not reach each other.
         sides: usize,
     },
-    /// A node sees another with this liveness.
+    /// Expects that a node sees another one with a liveness.
     Sees {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// The other node.
+        /// Name of the other node.
         other: String,
-        /// The liveness, as status commands print it.
+        /// Liveness, as status commands print it.
         liveness: String,
-        /// At the latest after this.
+        /// Maximum time until the expectation is met.
         within: Duration,
     },
-    /// Sends requests to nodes.
+    /// Changes the rate and the keys of the requests to nodes.
     Load {
-        /// To these nodes.
+        /// Nodes that receive them.
         to: NodeSelector,
-        /// How many in a second.
+        /// Number per second to each node.
         a_second: u64,
-        /// The first and the last of the keys that they carry, if only some do.
+        /// First and last of the keys that the requests carry; unchanged if `None`.
         keys: Option<(u64, u64)>,
     },
-    /// The backend service dies or has a fault, for all nodes or for a zone.
+    /// Kills the backend service, or makes it slow or failing, for all nodes or for one zone.
     Service {
-        /// For how long.
+        /// Duration.
         time: Duration,
-        /// Whether it dies.
+        /// Whether the service dies.
         dies: bool,
-        /// The zone; all if `None`.
+        /// Zone of the affected nodes; all zones if `None`.
         zone: Option<String>,
-        /// By how much its answers are later.
+        /// Additional delay of the service's answers.
         slower: Duration,
-        /// The share of calls that fail.
+        /// Share of calls that fail, from 0 to 1.
         fails: f64,
     },
-    /// A node shows this of the shared state.
+    /// Expects a condition of the shared state that a node shows.
     Holds {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// What it shows.
+        /// Condition, by its name in the schema (type `held`).
         what: String,
-        /// At the latest after this.
+        /// Maximum time until the expectation is met.
         within: Duration,
     },
-    /// Settings of this number are offered to a node, which takes or rejects them.
+    /// Offers settings to a node, which accepts or rejects them.
     Offer {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// The number of the settings.
+        /// Number of the settings.
         number: u64,
-        /// What the settings change.
+        /// Change that the settings make, by its name in the schema (type `offered`).
         change: String,
-        /// Whether the node rejects them.
+        /// Whether the node must reject the settings.
         turned_down: bool,
     },
-    /// The rollout in progress is halted or rolled back by a command to a node.
+    /// Halts or rolls back the rollout in progress by a command to a node.
     EndChange {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// Whether it is rolled back.
+        /// Whether the rollout is rolled back instead of halted.
         back: bool,
     },
-    /// A node can't write its persisted state any more, or can again.
+    /// Makes writes of a node's persisted state fail, or succeed again.
     Disk {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// Whether its disk is full.
+        /// Whether the disk of the node is full.
         full: bool,
     },
-    /// All of these nodes that are up run settings of this number.
+    /// Expects that all selected nodes that are up run the settings with a number.
     Runs {
-        /// The nodes.
+        /// Selected nodes.
         to: NodeSelector,
-        /// The number of the settings.
+        /// Number of the settings.
         number: u64,
-        /// At the latest after this.
+        /// Maximum time until the expectation is met.
         within: Duration,
     },
-    /// All of these nodes that are up know that the rollout of this number has this outcome, or has
-    /// reached this stage.
+    /// Expects that all selected nodes that are up know that a rollout has an outcome, or has
+    /// reached a stage.
     Change {
-        /// The nodes.
+        /// Selected nodes.
         to: NodeSelector,
-        /// The number of the rollout's settings.
+        /// Number of the rollout's settings.
         number: u64,
-        /// The outcome, as status commands print it.
+        /// Outcome, as status commands print it.
         fate: String,
-        /// The stage.
+        /// Stage.
         stage: u32,
-        /// At the latest after this.
+        /// Maximum time until the expectation is met.
         within: Duration,
     },
-    /// At least this share of the limit on calls is used.
+    /// Expects that at least a share of the limit on backend calls is used.
     Used {
-        /// Measured over this time.
+        /// Time over which the use is measured.
         over: Duration,
-        /// The share, from 0 to 1.
+        /// Minimum share, from 0 to 1.
         least: f64,
-        /// At the latest after this.
+        /// Maximum time until the expectation is met.
         within: Duration,
     },
 }
@@ -260,84 +259,84 @@
 /// The backend service of a scenario.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BackendModel {
-    /// How long it works on a call.
+    /// Time that the service takes for a call.
     pub work: Duration,
-    /// The most calls in flight that it survives; any number if 0.
+    /// Maximum number of calls in flight that the service survives when warm; unlimited if 0.
     pub survives: usize,
-    /// How long it is down when it has died.
+    /// Time for which the service is down after it has died.
     pub down: Duration,
-    /// How long it then warms up.
+    /// Time for which the service then warms up.
     pub warm: Duration,
-    /// Whether nodes judge its health together.
+    /// Whether the nodes judge the health of the service together.
     pub judged: bool,
-    /// The most attempts of all nodes while it was down.
+    /// Maximum number of attempts of all nodes while the service is down; not checked if `None`.
     pub tries_most: Option<usize>,
-    /// Whether the calls of all nodes together must ramp up when it is back.
+    /// Whether the calls of all nodes together must ramp up after the service has recovered.
     pub slow_start: bool,
 }
 
 /// A keyed quota of the whole cluster in a scenario.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KeyedLimit {
-    /// How many keys there are.
+    /// Number of keys; no quota if 0.
     pub count: u64,
-    /// Requests of each key in a second; no such limit if 0.
+    /// Limit on requests of each key per second; none if 0.
     pub a_second: u32,
-    /// The most of them at once.
+    /// Maximum number of these requests at once, at least 1.
     pub burst: u32,
-    /// Requests of each key in flight; no such limit if 0.
+    /// Limit on requests of each key in flight; none if 0.
     pub max_in_flight: u32,
-    /// The units of these that are each node's guaranteed floor.
+    /// Units of each limit that are the guaranteed floor of each node.
     pub floor: u32,
 }
 
-/// A step of a scenario.
+/// An action or expectation with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When, since the start.
+    /// Time since the start of the scenario.
     pub at: Duration,
-    /// What is done or must hold.
+    /// Action or expectation.
     pub action: Action,
 }
 
-/// A scenario.
+/// A fault scenario, as read from its file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scenario {
-    /// What it shows.
+    /// Name of the scenario.
     pub name: String,
-    /// The seed of the random draws on the links.
+    /// Seed of the random faults of the links.
     pub seed: u64,
-    /// How many nodes.
+    /// Number of nodes, at most [`NODES_MAX`].
     pub nodes: usize,
-    /// How many zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Nodes that are not started with the others.
+    /// Names of the nodes that are not started at the beginning.
     pub absent: Vec<String>,
-    /// Requests a second to each node.
+    /// Requests per second to each node.
     pub load: u64,
-    /// Connections over which each node gets its requests.
+    /// Number of connections over which each node receives its requests.
     pub callers: u64,
-    /// A budget of backend calls a second for all nodes together; none if 0.
+    /// Budget of backend calls per second for all nodes together; none if 0.
     pub calls_a_second: u32,
-    /// A budget of backend calls in flight; none if 0.
+    /// Budget of backend calls in flight for all nodes together; none if 0.
     pub max_calls_in_flight: u32,
-    /// A budget of retries a second; none if 0.
+    /// Budget of retries per second for all nodes together; none if 0.
     pub retries_a_second: u32,
-    /// The units of the budgets that are each node's guaranteed floor.
+    /// Units of each budget that are the guaranteed floor of each node.
     pub floor: u32,
-    /// The backend service.
+    /// Behaviour of the backend service.
     pub backend: BackendModel,
-    /// A keyed quota; none if there are no keys.
+    /// Keyed quota of the cluster; none if its number of keys is 0.
     pub keys: KeyedLimit,
-    /// Nodes with little memory, which take only small settings files.
+    /// Names of the nodes with little memory, which accept only small settings files.
     pub small: Vec<String>,
-    /// The element `<rollout>` of the nodes' settings, if rollouts go in stages.
+    /// XML text of the element `<rollout>` in the settings of the nodes, if rollouts go in stages.
     pub rollout: Option<String>,
-    /// How long it takes.
+    /// Duration of the scenario.
     pub time: Duration,
-    /// Attributes of `<periods>` in the nodes' settings: names and values.
+    /// Names and values of the attributes of `<periods>` in the settings of the nodes.
     pub periods: Vec<(String, String)>,
-    /// The steps, by their times.
+    /// Steps in the order of their times.
     pub steps: Vec<Step>,
 }
 
--- a/crates/settings/src/scenario/parse.rs
+++ b/crates/settings/src/scenario/parse.rs
@@ -10,13 +10,13 @@
 use madderpoint_rules::time;
 use std::time::Duration;
 
-/// Reads a scenario's text. `file` is its name, for the diagnostics.
+/// Reads the text of a scenario. `file` is the name that diagnostics show.
 ///
 /// # Errors
 ///
-/// All diagnostics of the first stage that has any: XML, schema, meaning.
-pub fn read(file: &str, whole: &str) -> Result<Scenario, Diagnostics> {
-    parse(whole).map_err(|all| Diagnostics::new(file, whole, all))
+/// All diagnostics of the first stage that has any: XML, schema, values.
+pub fn read(file: &str, source: &str) -> Result<Scenario, Diagnostics> {
+    parse(source).map_err(|all| Diagnostics::new(file, source, all))
 }
 
 fn diagnostic(
@@ -27,10 +27,10 @@
     Diagnostic::new(location, "script", found, expected)
 }
 
-fn parse(whole: &str) -> Result<Scenario, Vec<Diagnostic>> {
-    let root = xml::read(whole).map_err(|diagnostic| vec![diagnostic])?;
+fn parse(source: &str) -> Result<Scenario, Vec<Diagnostic>> {
+    let root = xml::read(source).map_err(|diagnostic| vec![diagnostic])?;
     let schema = Schema::read(SCHEMA)
-        .map_err(|e| vec![diagnostic(Location::Whole, e.to_string(), "a schema")])?;
+        .map_err(|e| vec![diagnostic(Location::Whole, e.to_string(), "a valid schema")])?;
     let mut found = schema.check(&root);
     if !found.is_empty() {
         return Err(found);
@@ -40,7 +40,7 @@
         found.push(diagnostic(
             Location::At(root.at),
             format!("{} nodes", scenario.nodes),
-            "64 at most",
+            "at most 64 nodes",
         ));
     }
     if let Some(periods) = root.one("periods") {
@@ -69,7 +69,7 @@
     }
 }
 
-/// What the attributes of the root element say.
+/// Reads the attributes of the root element.
 fn attributes(root: &Element) -> Scenario {
     let words = |name| {
         text(root, name).map_or(Vec::new(), |t| {
@@ -121,15 +121,15 @@
     }
 }
 
-/// A step; `None` if it can't be read, which is reported. The nodes that it names must be among
-/// the first `nodes`.
+/// Reads a step; `None` if the step is not valid, which is reported. The nodes that the step names
+/// must be among the first `nodes`.
 fn step(element: &Element, nodes: usize, found: &mut Vec<Diagnostic>) -> Option<Step> {
     let location = Location::At(element.at);
     let (Some(at), Some(action)) = (duration(element, "at"), action(element)) else {
         found.push(diagnostic(
             location,
-            format!("<{}> can't be read", element.name),
-            "what the schema shows",
+            format!("an attribute of <{}> is missing or not valid", element.name),
+            "the attributes that the schema defines",
         ));
         return None;
     };
@@ -145,14 +145,14 @@
     if let Some(name) = unknown {
         found.push(diagnostic(
             location,
-            format!("there is no node {name}"),
+            format!("unknown node {name}"),
             format!("n0 to n{}", nodes - 1),
         ));
     }
     Some(Step { at, action })
 }
 
-/// The action of a step; `None` if an attribute does not parse.
+/// Reads the action of a step; `None` if an attribute is missing or not valid.
 fn action(element: &Element) -> Option<Action> {
     let node = || text(element, "node").unwrap_or_default().to_owned();
     let time = || duration(element, "for");
@@ -201,7 +201,8 @@
     })
 }
 
-/// An action on a rollout or the state that it persists; `None` also if it is another one.
+/// Reads an action on a rollout or on the persisted state of a node; `None` if an attribute is
+/// missing or not valid, or if the element is another action.
 fn rollout_action(element: &Element) -> Option<Action> {
     let node = || text(element, "node").unwrap_or_default().to_owned();
     Some(match element.name.as_str() {
@@ -227,7 +228,7 @@
     })
 }
 
-/// What must hold at a step; `None` if an attribute does not parse.
+/// Reads an expectation of a step; `None` if an attribute is missing or not valid.
 fn expectation(element: &Element) -> Option<Action> {
     let node = || text(element, "node").unwrap_or_default().to_owned();
     Some(match element.name.as_str() {
@@ -299,7 +300,7 @@
     }
 }
 
-/// An element written as text again: its content is for another schema.
+/// Returns the XML text of an element whose content is validated against another schema later.
 fn to_xml(element: &Element) -> String {
     let attributes: String = element
         .attributes
@@ -313,30 +314,30 @@
     )
 }
 
-/// An attribute's text.
+/// Returns the value of an attribute.
 fn text<'e>(element: &'e Element, name: &str) -> Option<&'e str> {
     element.get(name).map(|text| text.value.as_str())
 }
 
-/// An attribute that is a duration.
+/// Returns the value of an attribute that is a duration.
 fn duration(element: &Element, name: &str) -> Option<Duration> {
     let nanos = time::span(text(element, name)?)?;
     u64::try_from(nanos).ok().map(Duration::from_nanos)
 }
 
-/// An attribute that is a share; 0 if it is absent.
+/// Returns the value of an attribute that is a share; 0 if absent.
 fn share(element: &Element, name: &str) -> f64 {
     text(element, name)
         .and_then(|text| text.parse().ok())
         .unwrap_or(0.0)
 }
 
-/// An attribute that is a whole number.
+/// Returns the value of an attribute that is a whole number.
 fn number(element: &Element, name: &str) -> Option<u64> {
     text(element, name)?.parse().ok()
 }
 
-/// Whether an attribute says `yes`.
+/// Returns whether the value of an attribute is `yes`.
 fn is_set(element: &Element, name: &str) -> bool {
     text(element, name) == Some("yes")
 }
--- a/crates/settings/src/scenario/tests.rs
+++ b/crates/settings/src/scenario/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn steps_are_read_in_the_order_of_their_times() {
+fn steps_are_sorted_by_time() {
     let text = r#"<script name="x" seed="3" nodes="4" zones="2" load="9" time="5s">
             <periods probe="200ms"/>
             <step><settled at="3s" within="1s"/></step>
@@ -29,16 +29,16 @@
 }
 
 #[test]
-fn wrong_scenarios_are_reported_with_their_line() {
+fn invalid_scenarios_are_reported_with_line_and_column() {
     let script = |inner: &str| {
         format!("<script name=\"x\" seed=\"3\" nodes=\"4\" time=\"5s\">\n{inner}</script>")
     };
-    for (inner, told) in [
+    for (inner, expected) in [
         (
             "<step><kill at=\"1s\" node=\"n4\"/></step>",
-            "t.xml:2:8: script: there is no node n4; expected n0 to n3",
+            "t.xml:2:8: script: unknown node n4; expected n0 to n3",
         ),
-        ("<step><kill at=\"1\" node=\"n1\"/></step>", "does not fit"),
+        ("<step><kill at=\"1\" node=\"n1\"/></step>", "is not valid"),
         ("<step><explode at=\"1s\"/></step>", "<explode>"),
         (
             "<step><link at=\"1s\" loss=\"2\"/></step>",
@@ -49,6 +49,6 @@
             .unwrap_err()
             .to_string()
             .to_lowercase();
-        assert!(shown.contains(&told.to_lowercase()), "{inner}: {shown}");
+        assert!(shown.contains(&expected.to_lowercase()), "{inner}: {shown}");
     }
 }
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,7 +1,7 @@
-//! A checker by XML Schema, for the part of it that this program's schemas use: elements with named
-//! or inner types, sequence and choice with their occurrences, attributes, simple types by pattern,
-//! enumeration and length, simple content. A schema that uses anything else is refused when it is
-//! read, so that nothing in it is ignored.
+//! Validation of XML files against the subset of XML Schema that the schemas of this program use:
+//! elements with named or anonymous types, sequence and choice with occurrence bounds, attributes,
+//! simple types with pattern, enumeration and maximum length, and simple content. Reading a schema
+//! that uses anything else fails, so that no part of a schema is ignored.
 
 mod check;
 mod parse;
@@ -10,55 +10,55 @@
 use madderpoint_rules::pattern::Pattern;
 use std::collections::BTreeMap;
 
-/// Why a schema can't be used.
+/// An error that makes a schema unusable.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SchemaError {
-    /// It is no XML.
+    /// The schema is not well-formed XML.
     #[error("{}; expected {}", .0.found, .0.expected)]
     Xml(Diagnostic),
-    /// The root element is no `xs:schema`.
-    #[error("no xs:schema")]
+    /// The root element is not `xs:schema`.
+    #[error("the root element is not xs:schema")]
     NoSchema,
-    /// It uses an element in a way that is not supported here.
-    #[error("the schema uses {element} in a way that is not known here")]
+    /// The schema uses an unsupported element, or uses an element in an unsupported way.
+    #[error("this use of {element} is not supported")]
     Unsupported {
-        /// The element.
+        /// Name of the element.
         element: String,
     },
-    /// An element lacks an attribute.
-    #[error("{element} without {attribute}")]
+    /// A required attribute is missing.
+    #[error("{element} has no attribute '{attribute}'")]
     MissingAttribute {
-        /// The element.
+        /// Name of the element.
         element: String,
-        /// The attribute.
+        /// Name of the missing attribute.
         attribute: String,
     },
-    /// A pattern can't be compiled.
-    #[error("{pattern}: {reason}")]
+    /// A pattern cannot be compiled.
+    #[error("pattern {pattern:?} cannot be compiled: {reason}")]
     Pattern {
-        /// The pattern.
+        /// Text of the pattern.
         pattern: String,
-        /// Why not.
+        /// Error of the pattern compiler.
         reason: String,
     },
-    /// It names a type that it does not define.
-    #[error("there is no type {0}")]
+    /// The schema refers to a type that it does not define.
+    #[error("type '{0}' is not defined")]
     UnknownType(String),
 }
 
-/// What a text must be; a facet that is absent allows anything.
+/// A simple type: the facets that a text must satisfy. An absent facet allows any text.
 #[derive(Debug, Default)]
 struct Simple {
     pattern: Option<Pattern>,
-    /// The values of an enumeration.
+    /// Values of an enumeration; any value if empty.
     values: Vec<String>,
-    /// The most bytes.
+    /// Maximum length, in bytes.
     bytes_max: Option<usize>,
-    /// How a diagnostic describes it.
+    /// Description of the type that diagnostics show, from its documentation in the schema.
     description: String,
 }
 
-/// An attribute, and the name of its simple type.
+/// An attribute with the name of its simple type.
 #[derive(Debug)]
 struct AttributeType {
     name: String,
@@ -66,7 +66,7 @@
     required: bool,
 }
 
-/// What may stand in an element.
+/// The content that an element may have.
 #[derive(Debug)]
 enum Content {
     Nothing,
@@ -74,14 +74,14 @@
     Elements(Particle),
 }
 
-/// The type of an element: its attributes and what may stand in it.
+/// A complex type: the attributes and the content of an element.
 #[derive(Debug)]
 struct Complex {
     attributes: Vec<AttributeType>,
     content: Content,
 }
 
-/// A particle of a content model, with how often it may occur.
+/// A particle of a content model with its occurrence bounds.
 #[derive(Debug)]
 struct Particle {
     kind: ParticleKind,
@@ -91,32 +91,33 @@
 
 #[derive(Debug)]
 enum ParticleKind {
-    /// A name and the name of its type.
+    /// Name of the element and name of its complex type.
     Element(String, String),
     Sequence(Vec<Particle>),
     Choice(Vec<Particle>),
 }
 
-/// A schema.
+/// A schema that files can be validated against.
 #[derive(Debug, Default)]
 pub struct Schema {
     simple: BTreeMap<String, Simple>,
     complex: BTreeMap<String, Complex>,
-    /// The name and the type of the root element.
+    /// Name of the root element and name of its complex type.
     root: (String, String),
-    /// Element types without a name, which are numbered.
+    /// Number of anonymous complex types, which are named by consecutive numbers.
     unnamed: usize,
 }
 
-/// The type of any text.
+/// Name of the built-in type that allows any text.
 const TEXT: &str = "xs:string";
 
 impl Schema {
-    /// Elements and attributes that the schema knows, as `element` and `element/attribute`.
+    /// Returns the names of all elements and attributes of the schema, as `element` and
+    /// `element/attribute`, sorted.
     pub fn words(&self) -> Vec<String> {
         let mut words = Vec::new();
-        let mut open = vec![(self.root.0.clone(), self.root.1.clone())];
-        while let Some((element, kind)) = open.pop() {
+        let mut pending = vec![(self.root.0.clone(), self.root.1.clone())];
+        while let Some((element, kind)) = pending.pop() {
             if words.contains(&element) {
                 continue;
             }
@@ -136,7 +137,7 @@
             };
             while let Some(particle) = particles.pop() {
                 match &particle.kind {
-                    ParticleKind::Element(name, kind) => open.push((name.clone(), kind.clone())),
+                    ParticleKind::Element(name, kind) => pending.push((name.clone(), kind.clone())),
                     ParticleKind::Sequence(all) | ParticleKind::Choice(all) => {
                         particles.extend(all)
                     }
--- a/crates/settings/src/schema/check.rs
+++ b/crates/settings/src/schema/check.rs
@@ -1,4 +1,4 @@
-//! Checks files by a schema.
+//! Validates files against a schema.
 
 use super::{Complex, Content, Particle, ParticleKind, Schema, Simple};
 use crate::xml::{Element, Text};
@@ -14,7 +14,7 @@
 }
 
 impl Schema {
-    /// All that is wrong with a file, by its root element.
+    /// Returns the diagnostics on a file, given its root element.
     pub fn check(&self, root: &Element) -> Vec<Diagnostic> {
         let mut found = Vec::new();
         if root.name != self.root.0 {
@@ -46,40 +46,41 @@
             found.push(diagnostic(
                 element.text.place(start),
                 path,
-                "text where none may be",
+                "text is not allowed in this element",
                 expected,
             ));
         }
         match &complex.content {
             Content::Elements(particle) => {
                 let mut next = 0;
-                self.take(particle, element, &mut next, path, found);
-                if let Some(odd) = element.children.get(next) {
-                    let known = Self::may_begin(particle);
+                self.match_particle(particle, element, &mut next, path, found);
+                if let Some(unexpected) = element.children.get(next) {
+                    let known = Self::first_names(particle);
                     let known = known
                         .iter()
                         .map(|n| format!("<{n}>"))
                         .collect::<Vec<_>>()
                         .join(", ");
-                    let what = if Self::may_begin(particle).contains(&odd.name.as_str()) {
-                        format!("<{}> is out of its order, or one too many", odd.name)
+                    let problem = if Self::first_names(particle).contains(&unexpected.name.as_str())
+                    {
+                        format!("<{}> is out of order or occurs too often", unexpected.name)
                     } else {
-                        format!("unknown element <{}>", odd.name)
+                        format!("unknown element <{}>", unexpected.name)
                     };
                     found.push(diagnostic(
-                        odd.at,
+                        unexpected.at,
                         path,
-                        what,
+                        problem,
                         format!("in this order: {known}"),
                     ));
                 }
             }
             _ => {
-                if let Some(odd) = element.children.first() {
+                if let Some(unexpected) = element.children.first() {
                     found.push(diagnostic(
-                        odd.at,
+                        unexpected.at,
                         path,
-                        format!("unknown element <{}>", odd.name),
+                        format!("unknown element <{}>", unexpected.name),
                         "no elements",
                     ));
                 }
@@ -140,8 +141,8 @@
             Some(Simple {
                 bytes_max: Some(most),
                 ..
-            }) => format!("a text of at most {most} bytes"),
-            _ => "a text".into(),
+            }) => format!("text of at most {most} bytes"),
+            _ => "text".into(),
         }
     }
 
@@ -150,49 +151,53 @@
         let fits = kind.pattern.as_ref().is_none_or(|p| p.matches(&text.value))
             && kind.bytes_max.is_none_or(|most| text.value.len() <= most)
             && (kind.values.is_empty() || kind.values.contains(&text.value));
-        let what = || format!("{:?} does not fit", text.value);
-        (!fits).then(|| diagnostic(text.place(0), field, what(), self.description(simple)))
+        let invalid = || format!("{:?} is not valid", text.value);
+        (!fits).then(|| diagnostic(text.place(0), field, invalid(), self.description(simple)))
     }
 
-    /// Names with which a particle may begin or go on.
-    fn may_begin(particle: &Particle) -> Vec<&str> {
+    /// Returns the names of the elements that may come first or next in a particle.
+    fn first_names(particle: &Particle) -> Vec<&str> {
         match &particle.kind {
             ParticleKind::Element(name, _) => vec![name],
             ParticleKind::Sequence(all) | ParticleKind::Choice(all) => {
-                all.iter().flat_map(Self::may_begin).collect()
+                all.iter().flat_map(Self::first_names).collect()
             }
         }
     }
 
-    /// Takes as many children as a particle covers. XML Schema has a child decide which particle it
-    /// belongs to, so that nothing need be tried twice.
-    fn take(
+    /// Matches as many children as possible with a particle, from the child at `next` on. XML
+    /// Schema requires that the name of a child determines its particle, so no backtracking is
+    /// needed.
+    fn match_particle(
         &self,
         particle: &Particle,
-        of: &Element,
+        parent: &Element,
         next: &mut usize,
         path: &str,
         found: &mut Vec<Diagnostic>,
     ) {
         let mut times = 0;
-        while times < particle.max_occurs && self.once(particle, of, next, path, found) {
+        while times < particle.max_occurs && self.match_once(particle, parent, next, path, found) {
             times += 1;
         }
         if times >= particle.min_occurs || Self::may_be_empty(particle) {
             return;
         }
         if let ParticleKind::Sequence(all) = &particle.kind {
-            // Nothing of it is there: what it lacks is what each of its parts lacks.
+            // No child belongs to the sequence: reports what each of its parts lacks.
             return all
                 .iter()
-                .for_each(|one| self.take(one, of, next, path, found));
+                .for_each(|one| self.match_particle(one, parent, next, path, found));
         }
-        let names = Self::may_begin(particle)
+        let names = Self::first_names(particle)
             .iter()
             .map(|n| format!("<{n}>"))
             .collect::<Vec<_>>()
             .join(" or ");
-        let at = of.children.get(*next).map_or(of.at, |child| child.at);
+        let at = parent
+            .children
+            .get(*next)
+            .map_or(parent.at, |child| child.at);
         found.push(diagnostic(
             at,
             path,
@@ -201,6 +206,7 @@
         ));
     }
 
+    /// Returns whether a particle matches without any child.
     fn may_be_empty(particle: &Particle) -> bool {
         particle.min_occurs == 0
             || match &particle.kind {
@@ -210,18 +216,19 @@
             }
     }
 
-    fn once(
+    /// Matches one occurrence of a particle, and returns whether a child matched.
+    fn match_once(
         &self,
         particle: &Particle,
-        of: &Element,
+        parent: &Element,
         next: &mut usize,
         path: &str,
         found: &mut Vec<Diagnostic>,
     ) -> bool {
-        let Some(child) = of.children.get(*next) else {
+        let Some(child) = parent.children.get(*next) else {
             return false;
         };
-        if !Self::may_begin(particle).contains(&child.name.as_str()) {
+        if !Self::first_names(particle).contains(&child.name.as_str()) {
             return false;
         }
         match &particle.kind {
@@ -236,12 +243,12 @@
             ParticleKind::Sequence(all) => {
                 let start = *next;
                 all.iter()
-                    .for_each(|one| self.take(one, of, next, path, found));
+                    .for_each(|one| self.match_particle(one, parent, next, path, found));
                 *next > start
             }
-            ParticleKind::Choice(all) => {
-                all.iter().any(|one| self.once(one, of, next, path, found))
-            }
+            ParticleKind::Choice(all) => all
+                .iter()
+                .any(|one| self.match_once(one, parent, next, path, found)),
         }
     }
 }
--- a/crates/settings/src/schema/parse.rs
+++ b/crates/settings/src/schema/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a schema.
+//! Reads schemas from XML.
 
 use super::{
     AttributeType, Complex, Content, Particle, ParticleKind, Schema, SchemaError, Simple, TEXT,
@@ -22,7 +22,7 @@
         })
 }
 
-fn parts(element: &Element) -> impl Iterator<Item = &Element> {
+fn declarations(element: &Element) -> impl Iterator<Item = &Element> {
     element
         .children
         .iter()
@@ -30,18 +30,19 @@
 }
 
 impl Schema {
-    /// Reads a schema.
+    /// Reads the text of a schema.
     ///
     /// # Errors
     ///
-    /// It is no XML, uses what is not supported here, or names a type that it does not define.
+    /// The text is not well-formed XML, uses an unsupported part of XML Schema, or refers to a type
+    /// that it does not define.
     pub fn read(text: &str) -> Result<Schema, SchemaError> {
         let root = xml::read(text).map_err(SchemaError::Xml)?;
         if root.name != "xs:schema" {
             return Err(SchemaError::NoSchema);
         }
         let mut schema = Schema::default();
-        for child in parts(&root) {
+        for child in declarations(&root) {
             match child.name.as_str() {
                 "xs:simpleType" => {
                     let simple = Self::simple(child)?;
@@ -74,15 +75,15 @@
         {
             simple.description = documentation.text.value.trim().to_owned();
         }
-        for restriction in parts(element) {
+        for restriction in declarations(element) {
             if restriction.name != "xs:restriction" || value(restriction, "base")? != TEXT {
                 return Err(unsupported(restriction));
             }
-            for facet in parts(restriction) {
+            for facet in declarations(restriction) {
                 let value = value(facet, "value")?;
                 match facet.name.as_str() {
                     "xs:pattern" => {
-                        // A pattern of XML Schema binds the whole text.
+                        // A pattern of XML Schema applies to the whole text.
                         let pattern = Pattern::new(&format!("^(?:{value})$")).map_err(|error| {
                             SchemaError::Pattern {
                                 pattern: value.to_owned(),
@@ -103,7 +104,7 @@
     }
 
     fn attributes(owner: &Element) -> Result<Vec<AttributeType>, SchemaError> {
-        let attributes = parts(owner).filter(|child| child.name == "xs:attribute");
+        let attributes = declarations(owner).filter(|child| child.name == "xs:attribute");
         let read = |attribute: &Element| -> Result<AttributeType, SchemaError> {
             let required = attribute.get("use").is_some_and(|u| u.value == "required");
             let (name, simple) = (
@@ -121,7 +122,7 @@
 
     fn complex(&mut self, element: &Element) -> Result<Complex, SchemaError> {
         let (mut attributes, mut content) = (Self::attributes(element)?, Content::Nothing);
-        for child in parts(element).filter(|child| child.name != "xs:attribute") {
+        for child in declarations(element).filter(|child| child.name != "xs:attribute") {
             match child.name.as_str() {
                 "xs:sequence" | "xs:choice" => content = Content::Elements(self.particle(child)?),
                 "xs:simpleContent" => {
@@ -157,7 +158,7 @@
                 ParticleKind::Element(value(element, "name")?.to_owned(), self.kind_of(element)?)
             }
             "xs:sequence" | "xs:choice" => {
-                let all = parts(element)
+                let all = declarations(element)
                     .map(|child| self.particle(child))
                     .collect::<Result<_, _>>()?;
                 if element.name == "xs:sequence" {
@@ -175,7 +176,7 @@
         })
     }
 
-    /// The name of an element's type; a type without a name is numbered.
+    /// Returns the name of an element's type; an anonymous type is named by a number.
     fn kind_of(&mut self, element: &Element) -> Result<String, SchemaError> {
         if let Some(named) = element.get("type") {
             return Ok(named.value.clone());
@@ -190,7 +191,7 @@
         Ok(name)
     }
 
-    /// Checks that all types that are named are defined.
+    /// Checks that all types that the schema refers to are defined.
     fn check_types(&self) -> Result<(), SchemaError> {
         let mut named = vec![self.root.1.as_str()];
         for complex in self.complex.values() {
@@ -199,14 +200,14 @@
                     return Err(SchemaError::UnknownType(attribute.simple.clone()));
                 }
             }
-            let mut open: Vec<&Particle> = match &complex.content {
+            let mut pending: Vec<&Particle> = match &complex.content {
                 Content::Elements(particle) => vec![particle],
                 _ => Vec::new(),
             };
-            while let Some(particle) = open.pop() {
+            while let Some(particle) = pending.pop() {
                 match &particle.kind {
                     ParticleKind::Element(_, kind) => named.push(kind),
-                    ParticleKind::Sequence(all) | ParticleKind::Choice(all) => open.extend(all),
+                    ParticleKind::Sequence(all) | ParticleKind::Choice(all) => pending.extend(all),
                 }
             }
         }
--- a/crates/settings/src/test_case.rs
+++ b/crates/settings/src/test_case.rs
@@ -1,41 +1,42 @@
-//! Test cases beside the rules: a request, and what the rules are expected to give to it.
+//! Test cases of rules: a sample request with the output that the rules must give for it.
 
 use crate::RuleConfig;
 use crate::sample_request::SampleRequest;
 use madderpoint_rules::{RuleLookup, Scratch, Verdict};
 
-/// A test case.
+/// A sample request with the expected output of the rules.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TestCase {
-    /// Its name.
+    /// Name of the test case.
     pub name: String,
-    /// The request.
+    /// Request on which the rules are evaluated.
     pub request: SampleRequest,
-    /// The rule that is to match; `None` if none is to.
+    /// Name of the rule that must match; `None` if no rule may match.
     pub rule: Option<String>,
-    /// The operation that the rule is to give; `None` here and below if any may be given.
+    /// Operation that the rule must give. In this and the following fields, `None` allows any
+    /// output.
     pub operation: Option<String>,
-    /// The class.
+    /// Class that the rule must give.
     pub class: Option<String>,
-    /// The key's text.
+    /// Text of the key that the rule must give.
     pub key: Option<String>,
-    /// The rank, as it is printed.
+    /// Rank that the rule must give, in its printed form.
     pub rank: Option<String>,
-    /// `throttle`, `error` or `none`.
+    /// Verdict of the rule: `throttle`, `error` or `none`.
     pub verdict: Option<String>,
 }
 
-/// A test case whose request was not given what it expects: all differences, in one line.
+/// The differences between the expected and the actual output of a test case, on one line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct TestCaseFailure(String);
 
 impl TestCase {
-    /// Evaluates the rules for the request.
+    /// Evaluates the rules on the request and compares the output with the expected one.
     ///
     /// # Errors
     ///
-    /// What the rules gave differs from what is expected.
+    /// The output of the rules differs from the expected one.
     pub fn run(&self, config: &RuleConfig) -> Result<(), TestCaseFailure> {
         let mut scratch = Scratch::new(0);
         scratch.shows_keys = true;
--- a/crates/settings/src/xml.rs
+++ b/crates/settings/src/xml.rs
@@ -1,23 +1,23 @@
-//! Reads XML to a tree in which each name and text knows its offset in the file. Entities are the
-//! five of XML and character references; a document type is refused, and with it entities that
-//! expand.
+//! Reads XML into a tree in which each name and text has its offset in the file. Only the five
+//! predefined entities of XML and character references are supported. A document type declaration
+//! is rejected, which rules out entities that expand to large texts.
 
 use crate::{Diagnostic, Location};
 use quick_xml::Reader;
 use quick_xml::escape::resolve_predefined_entity;
 use quick_xml::events::{BytesStart, Event};
 
-/// The deepest nesting of elements.
+/// Maximum nesting depth of elements.
 const DEPTH_MAX: usize = 16;
-/// The most elements of a file.
+/// Maximum number of elements in a file.
 const ELEMENTS_MAX: usize = 400_000;
 
-/// A text, with the offset in the file of each part of it.
+/// A text with the offsets of its parts in the file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Text {
-    /// The text, with entities resolved.
+    /// Text with entities resolved.
     pub value: String,
-    /// Where parts begin: offsets in the value and in the file.
+    /// Start of each part: offsets in `value` and in the file, in bytes.
     parts: Vec<(usize, usize)>,
 }
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The offset in the file of this byte of the value.
+    /// Returns the offset in the file of a byte of `value`.
     pub fn place(&self, byte: usize) -> usize {
         let after = self.parts.partition_point(|(start, _)| *start <= byte);
         let part = self.parts[..after].last().or(self.parts.first());
@@ -37,34 +37,34 @@
     }
 }
 
-/// An attribute.
+/// An attribute of an element.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attribute {
-    /// Its name.
+    /// Name of the attribute.
     pub name: String,
-    /// The offset of the name in the file.
+    /// Offset of the name in the file, in bytes.
     pub at: usize,
-    /// Its value.
+    /// Value of the attribute.
     pub value: Text,
 }
 
-/// An element.
+/// An element with its attributes, children and text.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Element {
-    /// Its name.
+    /// Name of the element.
     pub name: String,
-    /// The offset of its name in the file.
+    /// Offset of the name in the file, in bytes.
     pub at: usize,
-    /// Its attributes.
+    /// Attributes in the order of the file.
     pub attributes: Vec<Attribute>,
-    /// The elements in it.
+    /// Child elements in the order of the file.
     pub children: Vec<Element>,
-    /// The text in it, without that of its children.
+    /// Text of the element without the text of its children.
     pub text: Text,
 }
 
 impl Element {
-    /// An attribute's text.
+    /// Returns the value of an attribute.
     pub fn get(&self, name: &str) -> Option<&Text> {
         self.attributes
             .iter()
@@ -72,18 +72,18 @@
             .map(|a| &a.value)
     }
 
-    /// The elements in it that have this name.
+    /// Returns the child elements with a name.
     pub fn all<'e>(&'e self, name: &'e str) -> impl Iterator<Item = &'e Element> {
         self.children.iter().filter(move |child| child.name == name)
     }
 
-    /// The first element in it that has this name.
+    /// Returns the first child element with a name.
     pub fn one(&self, name: &str) -> Option<&Element> {
         self.children.iter().find(|child| child.name == name)
     }
 }
 
-/// The elements that are open while the events of a file are read.
+/// The tree under construction: the elements that are not closed yet, and the root once closed.
 struct Tree<'t> {
     text: &'t str,
     open: Vec<Element>,
@@ -91,18 +91,18 @@
     elements: usize,
 }
 
-/// The offset in a text of a slice of it.
+/// Returns the offset in `text` of its slice `piece`.
 fn offset(text: &str, piece: &str) -> usize {
     (piece.as_ptr() as usize)
         .saturating_sub(text.as_ptr() as usize)
         .min(text.len())
 }
 
-fn wrong(at: usize, what: impl Into<String>, expected: impl Into<String>) -> Diagnostic {
+fn diagnostic(at: usize, what: impl Into<String>, expected: impl Into<String>) -> Diagnostic {
     Diagnostic::new(Location::At(at), "", what, expected)
 }
 
-/// Adds a text at this offset, with its entities resolved.
+/// Appends the raw text at the offset `at` to `into`, with its entities resolved.
 fn push_unescaped(raw: &str, at: usize, into: &mut Text) -> Result<(), Diagnostic> {
     let mut rest = raw;
     let mut place = at;
@@ -111,7 +111,7 @@
         let tail = &rest[mark + 1..];
         let end = tail
             .find(';')
-            .ok_or_else(|| wrong(place + mark, "'&' without an entity", "&amp;"))?;
+            .ok_or_else(|| diagnostic(place + mark, "'&' without a ';' after it", "&amp;"))?;
         push_reference(&tail[..end], place + mark, into)?;
         place += mark + end + 2;
         rest = &tail[end + 1..];
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-/// Adds the character that a reference or one of the five entities stands for.
+/// Appends the character of a character reference or of a predefined entity.
 fn push_reference(name: &str, at: usize, into: &mut Text) -> Result<(), Diagnostic> {
     let code = match name.strip_prefix('#') {
         Some(hex) if hex.starts_with('x') => u32::from_str_radix(&hex[1..], 16).ok(),
@@ -128,10 +128,10 @@
         None => {
             let known = resolve_predefined_entity(name);
             let known = known.ok_or_else(|| {
-                wrong(
+                diagnostic(
                     at,
                     format!("unknown entity '&{name};'"),
-                    "one of XML's five",
+                    "one of &amp; &lt; &gt; &quot; &apos;",
                 )
             })?;
             into.push(known, at);
@@ -139,7 +139,13 @@
         }
     };
     let c = code.and_then(char::from_u32).filter(|c| *c != '\0');
-    let c = c.ok_or_else(|| wrong(at, format!("'&{name};' is no character"), "such as &#10;"))?;
+    let c = c.ok_or_else(|| {
+        diagnostic(
+            at,
+            format!("'&{name};' is not a valid character reference"),
+            "such as &#10;",
+        )
+    })?;
     into.push(c.encode_utf8(&mut [0; 4]), at);
     Ok(())
 }
@@ -149,10 +155,10 @@
         let at = offset(self.text, tag);
         self.elements += 1;
         if self.open.len() >= DEPTH_MAX || self.elements > ELEMENTS_MAX {
-            return Err(wrong(
+            return Err(diagnostic(
                 at,
-                "too many elements, or too deep in each other",
-                format!("at most {DEPTH_MAX} levels"),
+                "too many elements, or elements nested too deep",
+                format!("at most {ELEMENTS_MAX} elements and {DEPTH_MAX} levels"),
             ));
         }
         let name = tag.name().into_inner().to_owned();
@@ -165,11 +171,7 @@
         };
         for attribute in tag.attributes() {
             let attribute = attribute.map_err(|e| {
-                wrong(
-                    at,
-                    format!("an attribute can't be read: {e}"),
-                    "name=\"value\"",
-                )
+                diagnostic(at, format!("attribute is not valid: {e}"), "name=\"value\"")
             })?;
             let key = attribute.key.into_inner();
             let mut value = Text::default();
@@ -188,7 +190,7 @@
         Ok(element)
     }
 
-    /// Takes an event of the file; false at its end.
+    /// Adds an event of the file to the tree. Returns false at the end of the file.
     fn event(&mut self, event: Event<'_>) -> Result<bool, Diagnostic> {
         let text = self.text;
         match event {
@@ -221,10 +223,10 @@
                 })?;
             }
             Event::DocType(piece) => {
-                return Err(wrong(
+                return Err(diagnostic(
                     offset(text, &piece),
-                    "a document type",
-                    "none: entities are not defined here",
+                    "a document type declaration",
+                    "no declaration, because entities cannot be defined",
                 ));
             }
             Event::Eof => return Ok(false),
@@ -233,18 +235,22 @@
         Ok(true)
     }
 
-    /// Starts an element; a second one at the top is refused.
+    /// Starts an element. A second root element is an error.
     fn start_single(&mut self, tag: &BytesStart<'_>) -> Result<Element, Diagnostic> {
         let element = self.start(tag)?;
         if self.root.is_some() && self.open.is_empty() {
-            return Err(wrong(element.at, "a second element at the top", "one"));
+            return Err(diagnostic(
+                element.at,
+                "a second root element",
+                "one root element",
+            ));
         }
         Ok(element)
     }
 
     fn end(&mut self, element: Element) {
         match self.open.last_mut() {
-            Some(above) => above.children.push(element),
+            Some(parent) => parent.children.push(element),
             None => self.root = Some(element),
         }
     }
@@ -263,18 +269,18 @@
                 if blank {
                     Ok(())
                 } else {
-                    Err(wrong(at, "text outside the elements", "nothing"))
+                    Err(diagnostic(at, "text outside the root element", "no text"))
                 }
             }
         }
     }
 }
 
-/// Reads a file's text to its root element.
+/// Reads the text of a file and returns its root element.
 ///
 /// # Errors
 ///
-/// The first thing that is no XML, or more than is allowed of it.
+/// The first place at which the text is not well-formed XML or exceeds a bound of this module.
 pub fn read(text: &str) -> Result<Element, Diagnostic> {
     let mut reader = Reader::from_str(text);
     let mut tree = Tree {
@@ -288,19 +294,19 @@
             let at = usize::try_from(reader.error_position())
                 .unwrap_or(0)
                 .min(text.len());
-            wrong(at, format!("no XML: {e}"), "well-formed XML")
+            diagnostic(at, format!("not well-formed XML: {e}"), "well-formed XML")
         })?;
         if !tree.event(event)? {
             break;
         }
     }
     if let Some(open) = tree.open.pop() {
-        return Err(wrong(
+        return Err(diagnostic(
             open.at,
             format!("<{}> is not closed", open.name),
             format!("</{}>", open.name),
         ));
     }
     tree.root
-        .ok_or_else(|| wrong(0, "no element", "<translator>"))
+        .ok_or_else(|| diagnostic(0, "no root element", "<translator>"))
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings files: errors are reported with their place, the schema and the reader know the same
-//! names, and no damaged file causes a panic.
+//! Tests of settings files: errors are reported with their location, the schema and the reader
+//! agree on all names, and no damaged file causes a panic.
 
 use madderpoint::Idempotency;
 use madderpoint_settings::schema::Schema;
@@ -8,9 +8,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const DEPLOYED: &str = include_str!("../../../deploy/translator.xml");
+const EXAMPLE: &str = include_str!("../../../deploy/translator.xml");
 
-fn known() -> ValidationContext {
+fn context() -> ValidationContext {
     let operations = [
         ("read", Idempotency::Idempotent),
         ("book", Idempotency::Keyed),
@@ -23,8 +23,8 @@
     }
 }
 
-fn wrong(text: &str) -> Diagnostics {
-    read("t.xml", text, &known()).map(|_| ()).unwrap_err()
+fn diagnostics_of(text: &str) -> Diagnostics {
+    read("t.xml", text, &context()).map(|_| ()).unwrap_err()
 }
 
 fn rules(inner: &str) -> String {
@@ -32,10 +32,10 @@
 }
 
 #[test]
-fn places_are_those_of_the_file_whatever_stands_between() {
-    // Entities, references, CDATA, a tab and letters of two bytes before the place.
+fn locations_are_correct_after_entities_cdata_and_wide_characters() {
+    // Entities, references, CDATA, a tab and two-byte characters precede the location.
     let text = "<translator version='1'>\n<rules>\n\t<rule name=\"a\"><when>true &amp;&amp; \"ş&#x15f;\" == <![CDATA[\"<\" && ]]>foo</when></rule>\n</rules></translator>";
-    let diagnostics = wrong(text);
+    let diagnostics = diagnostics_of(text);
     assert_eq!(diagnostics.all.len(), 1);
     let shown = diagnostics.to_string();
     let line = text.lines().nth(2).unwrap();
@@ -56,20 +56,20 @@
 }
 
 #[test]
-fn each_kind_of_mistake_is_reported_with_its_line_and_field() {
+fn each_kind_of_error_is_reported_with_its_location_and_field() {
     let cases = [
-        ("<translator", "no XML"),
-        ("", "no element; expected <translator>"),
+        ("<translator", "not well-formed XML"),
+        ("", "no root element; expected <translator>"),
         ("<a/>", "unknown element <a>; expected <translator>"),
         ("<translator/>", "attribute 'version' is missing"),
         ("<translator version=\"2\"/>", "version 2; expected 1"),
         (
             "<translator version=\"1\"/><translator/>",
-            "a second element at the top",
+            "a second root element",
         ),
         (
             "<translator version=\"1\">x</translator>",
-            "text where none may be",
+            "text is not allowed in this element",
         ),
         (
             "<translator version=\"1\"><pool/></translator>",
@@ -90,15 +90,15 @@
         ),
         (
             &rules("<rule name=\"1\"><when>true</when></rule>"),
-            "\"1\" does not fit",
+            "\"1\" is not valid",
         ),
         (
             &rules("<rule name=\"a\"><when>true</when><when>true</when></rule>"),
-            "out of its order, or one too many",
+            "<when> is out of order or occurs too often",
         ),
         (
             &rules("<rule name=\"a\"><when>true</when></rule><bucket name=\"b\" in-hand=\"1\"/>"),
-            "out of its order",
+            "<bucket> is out of order",
         ),
         (
             &rules(
@@ -108,17 +108,17 @@
         ),
         (
             &rules("<rule name=\"a\"><when>true</when><error status=\"429\" reason=\"x\"/></rule>"),
-            "\"429\" does not fit",
+            "\"429\" is not valid",
         ),
         (
             &rules("<rule name=\"a\"><when>true</when><throttle pause=\"5\" reason=\"x\"/></rule>"),
-            "\"5\" does not fit",
+            "\"5\" is not valid",
         ),
         (
             &rules(
                 "<rule name=\"a\"><when>true</when><give operation=\"pay\"><key>tenant</key></give></rule>",
             ),
-            "neither idempotent nor tokened",
+            "neither idempotent nor keyed",
         ),
         (
             &rules("<rule name=\"a\"><when>true</when><give operation=\"sing\"/></rule>"),
@@ -134,34 +134,34 @@
             &rules("<rule name=\"a\"><when>tenant == \"none\"</when></rule>"),
             "the settings have no tenant 'none'; expected one of acme",
         ),
-        (&rules("<bucket name=\"b\"/>"), "nothing is limited"),
+        (&rules("<bucket name=\"b\"/>"), "the bucket has no limit"),
         (
             &rules("<bucket name=\"b\" burst=\"3\" in-hand=\"1\"/>"),
             "a burst without a rate",
         ),
         (
             &rules("<bucket name=\"b\" rate=\"1/999h\"/>"),
-            "this rate can't be kept",
+            "rate \"1/999h\" with a burst of 1 is out of range",
         ),
         (
             &rules("<parameter name=\"A\" most=\"5KiB\"/>"),
-            "more than any parameter has",
+            "\"5KiB\" is out of range; expected at most 4KiB",
         ),
         (
             &rules("<addresses name=\"a\">10.0.0.0/8 10.0.0.300</addresses>"),
-            "no network: 10.0.0.300",
+            "not an address or a network: 10.0.0.300",
         ),
         (
             &rules("<case name=\"c\"><request peer=\"x\"/><expect rule=\"none\"/></case>"),
-            "peer can't be \"x\"",
+            "peer cannot be \"x\"",
         ),
         (
             &rules("<case name=\"c\"><request/><expect rule=\"gone\"/></case>"),
-            "there is no rule 'gone'",
+            "unknown rule 'gone'",
         ),
     ];
     for (text, what) in cases {
-        let shown = wrong(text).to_string();
+        let shown = diagnostics_of(text).to_string();
         assert!(
             shown.contains(what) && shown.starts_with("t.xml:"),
             "{text}\n{shown}"
@@ -170,8 +170,8 @@
 }
 
 #[test]
-fn all_that_is_wrong_is_reported_in_the_order_of_the_file() {
-    let diagnostics = wrong(&rules(
+fn all_errors_are_reported_in_the_order_of_the_file() {
+    let diagnostics = diagnostics_of(&rules(
         "\n<bucket name=\"b\"/>\n<rule name=\"x\"><when>a</when></rule>\n<rule name=\"y\"><when>b &amp;&amp; c</when>\
         <give operation=\"z\"/></rule>",
     ));
@@ -186,10 +186,10 @@
 }
 
 #[test]
-fn a_file_or_rules_beyond_the_room_are_refused_with_the_reason() {
+fn files_and_rules_above_their_size_limits_are_rejected_with_the_reason() {
     let tight = ValidationContext {
         file_bytes_max: 1024,
-        ..known()
+        ..context()
     };
     let many: String = (0..100)
         .map(|i| format!("<rule name=\"r{i}\"><when>true</when></rule>"))
@@ -206,21 +206,21 @@
     );
     let tight = ValidationContext {
         rule_bytes_max: 4096,
-        ..known()
+        ..context()
     };
     let shown = read("t.xml", &rules(&many), &tight)
         .map(|_| ())
         .unwrap_err()
         .to_string();
     assert!(shown.contains("the rules take about"), "{shown}");
-    // XML that nests without end is refused before it is kept.
+    // Elements nested without a bound are rejected before the tree grows.
     let deep = "<translator version=\"1\">".to_owned() + &"<rules>".repeat(100_000);
-    assert!(wrong(&deep).to_string().contains("too deep"));
+    assert!(diagnostics_of(&deep).to_string().contains("too deep"));
 }
 
-/// Every word of the schema is one that the reader asks for, and the other way round.
+/// Every name of the schema occurs in the reader, and every fact of a sample request in the schema.
 #[test]
-fn the_schema_and_the_reader_know_the_same_names() {
+fn the_schema_and_the_reader_have_the_same_names() {
     let words = Schema::read(SCHEMA).unwrap().words();
     let reader = [
         include_str!("../src/rule_config.rs"),
@@ -232,14 +232,18 @@
         include_str!("../src/lib.rs"),
     ]
     .concat();
-    let asked = include_str!("../src/sample_request.rs");
+    let sample_request = include_str!("../src/sample_request.rs");
     for word in words.iter().filter(|word| *word != "translator") {
         let last = word.rsplit('/').next().unwrap();
         let facts = word.starts_with("request/");
-        let text = if facts { asked } else { reader.as_str() };
+        let text = if facts {
+            sample_request
+        } else {
+            reader.as_str()
+        };
         assert!(
             text.contains(&format!("\"{last}\"")),
-            "{word} is in the schema, and nothing reads it"
+            "{word} is in the schema, but no reader uses it"
         );
     }
     for name in [
@@ -258,14 +262,14 @@
     ] {
         assert!(
             words.contains(&format!("request/{name}")),
-            "{name} is read, and the schema does not have it"
+            "{name} is read, but is not in the schema"
         );
     }
     assert!(words.len() > 40, "{words:?}");
 }
 
 #[test]
-fn a_schema_that_uses_what_is_not_checked_is_refused() {
+fn a_schema_with_unsupported_parts_is_rejected() {
     let schema = |inner: &str| format!("<xs:schema>{inner}</xs:schema>");
     for inner in [
         "<xs:group name=\"a\"/>",
@@ -279,13 +283,13 @@
 }
 
 #[test]
-fn damaged_files_are_refused_or_read_and_never_a_panic() {
+fn damaged_files_never_cause_a_panic() {
     let mut rng = Pcg64Mcg::seed_from_u64(77);
-    let anything = ValidationContext::permissive();
-    assert!(read("t.xml", DEPLOYED, &anything).is_ok());
-    let mut refused = 0;
+    let context = ValidationContext::permissive();
+    assert!(read("t.xml", EXAMPLE, &context).is_ok());
+    let mut rejected = 0;
     for _ in 0..1500 {
-        let mut bytes = DEPLOYED.as_bytes().to_vec();
+        let mut bytes = EXAMPLE.as_bytes().to_vec();
         for _ in 0..rng.random_range(1..4) {
             let at = rng.random_range(0..bytes.len());
             match rng.random_range(0..4) {
@@ -296,23 +300,23 @@
             }
         }
         let text = String::from_utf8_lossy(&bytes);
-        if let Err(diagnostics) = read("t.xml", &text, &anything) {
-            refused += 1;
+        if let Err(diagnostics) = read("t.xml", &text, &context) {
+            rejected += 1;
             assert!(!diagnostics.all.is_empty() && !diagnostics.to_string().is_empty());
         }
     }
-    assert!(refused > 700, "{refused}");
+    assert!(rejected > 700, "{rejected}");
 }
 
 #[test]
-fn the_deployed_cases_hold() {
-    let book = read("t.xml", DEPLOYED, &ValidationContext::permissive())
+fn the_test_cases_of_the_example_settings_pass() {
+    let config = read("t.xml", EXAMPLE, &ValidationContext::permissive())
         .unwrap()
         .rules
         .unwrap();
-    assert!(!book.cases.is_empty());
-    for case in &book.cases {
-        assert_eq!(case.run(&book), Ok(()), "{}", case.name);
+    assert!(!config.cases.is_empty());
+    for case in &config.cases {
+        assert_eq!(case.run(&config), Ok(()), "{}", case.name);
     }
     assert_eq!(
         xml::read("<a b='&lt;&#10;'/>")
@@ -331,7 +335,7 @@
 }
 
 #[test]
-fn a_fleet_is_read_with_its_seeds_and_periods() {
+fn cluster_settings_are_read_with_seeds_and_periods() {
     let text = fleet(
         "<seed address=\"10.0.0.1:7946\"/><seed address=\"[2001:db8::1]:7946\"/><periods probe=\"500ms\" answer=\"150ms\" suspicion=\"2.5\"/>",
         "zone=\"a-1\" bind=\"10.0.0.4:7946\" program=\"0.1.0+b\"",
@@ -362,14 +366,14 @@
 }
 
 #[test]
-fn what_a_fleet_can_not_be_set_to_is_reported_with_its_place() {
-    for (inner, attributes, told) in [
+fn invalid_cluster_settings_are_reported_with_their_location() {
+    for (inner, attributes, expected) in [
         (
             "<seed address=\"10.0.0.999:1\"/>",
             "",
-            "t.xml:2:42: fleet/seed/@address: \"10.0.0.999:1\" is no address",
+            "t.xml:2:42: fleet/seed/@address: \"10.0.0.999:1\" is not a unicast address with a port",
         ),
-        ("<seed address=\"10.0.0.9\"/>", "", "does not fit"),
+        ("<seed address=\"10.0.0.9\"/>", "", "is not valid"),
         (
             "<periods probe=\"1ms\"/>",
             "",
@@ -378,14 +382,14 @@
         (
             "<periods answer=\"1s\"/>",
             "",
-            "fleet/periods/@answer: an answer has as long as",
+            "fleet/periods/@answer: the time for an answer is not shorter than",
         ),
         ("<periods suspicion=\"0.1\"/>", "", "expected 0.5 to 100"),
         ("<pulse/>", "", "unknown element <pulse>"),
         (
             "<calls-budget name=\"b\" floor=\"1\" nodes-most=\"9\"/>",
             "",
-            "calls-budget 'b': no limit, or two",
+            "calls-budget 'b': no limit, or two limits",
         ),
         (
             "<calls-budget name=\"b\" a-second=\"5\" floor=\"1\" nodes-most=\"9\"/>",
@@ -421,16 +425,16 @@
         (
             "<service name=\"s\"/><service name=\"t\"/>",
             "",
-            "one too many",
+            "<service> is out of order or occurs too often",
         ),
-        ("", "zone=\"a b\"", "does not fit"),
+        ("", "zone=\"a b\"", "is not valid"),
         ("", "port=\"1\"", "unknown attribute"),
     ] {
-        let shown = wrong(&fleet(inner, attributes)).to_string();
-        assert!(shown.contains(told), "{inner} {attributes}: {shown}");
+        let shown = diagnostics_of(&fleet(inner, attributes)).to_string();
+        assert!(shown.contains(expected), "{inner} {attributes}: {shown}");
     }
     assert!(
-        wrong("<translator version=\"1\"><fleet name=\"f\"/></translator>")
+        diagnostics_of("<translator version=\"1\"><fleet name=\"f\"/></translator>")
             .to_string()
             .contains("'keys' is missing")
     );
@@ -443,7 +447,7 @@
 }
 
 #[test]
-fn stages_of_a_rollout_are_read() {
+fn stages_of_a_rollout_are_read_with_defaults() {
     let text = rollout(
         "<stage share=\"one\" least=\"2s\" sample=\"9\"/><stage share=\"0.25\" longest=\"1h\" spread=\"0s\"/>\
          <stage share=\"1\"/>",
@@ -473,8 +477,8 @@
         (read.plan.max_zone_permille, read.plan.margin_permille),
         (300, 10)
     );
-    let usual = plan_of(&rollout("", ""));
-    assert_eq!(usual.stages.len(), 5);
+    let defaults = plan_of(&rollout("", ""));
+    assert_eq!(defaults.stages.len(), 5);
 }
 
 fn plan_of(text: &str) -> madderpoint_rollout::Plan {
@@ -486,8 +490,8 @@
 }
 
 #[test]
-fn what_a_rollout_can_not_be_set_to_is_reported_with_its_place() {
-    for (inner, attributes, told) in [
+fn invalid_rollout_settings_are_reported_with_their_location() {
+    for (inner, attributes, expected) in [
         (
             "<stage share=\"0.5\"/>",
             "",
@@ -514,41 +518,41 @@
             "a stage lasts 7200 s at least and 3600 s at most",
         ),
         ("", "margin=\"0.9\"", "a margin from 0.001 to 0.5"),
-        ("", "of-zone=\"2\"", "does not fit"),
+        ("", "of-zone=\"2\"", "is not valid"),
         ("<step/>", "", "unknown element <step>"),
     ] {
-        let shown = wrong(&rollout(inner, attributes)).to_string();
-        assert!(shown.contains(told), "{inner} {attributes}: {shown}");
+        let shown = diagnostics_of(&rollout(inner, attributes)).to_string();
+        assert!(shown.contains(expected), "{inner} {attributes}: {shown}");
     }
     let alone = "<translator version=\"1\" number=\"7\"><rollout dir=\"d\"/></translator>";
     assert!(
-        wrong(alone)
+        diagnostics_of(alone)
             .to_string()
-            .contains("changes in stages, and no fleet with arbiters")
+            .contains("a rollout in stages without a fleet that has arbiters")
     );
     let unnumbered = rollout("", "").replace(" number=\"7\"", "");
     assert!(
-        wrong(&unnumbered)
+        diagnostics_of(&unnumbered)
             .to_string()
-            .contains("a file without a number")
+            .contains("a rollout in stages of a file without a number")
     );
 }
 
-/// A limit by key of the whole fleet: what it needs, and what is wrong with it, is told with its
-/// bucket.
+/// A quota of the whole cluster is read with all its attributes. Missing or invalid attributes are
+/// reported with the bucket.
 #[test]
-fn limits_by_key_of_the_fleet_are_read_or_reported_with_their_place() {
+fn cluster_quotas_are_read_or_reported_with_their_location() {
     let file = |bucket: &str, fleet: &str| {
         format!("<translator version=\"1\">\n<rules><bucket {bucket}/></rules>{fleet}</translator>")
     };
     let fleet = "<fleet name=\"f\" keys=\"k\"><arbiter name=\"a\"/></fleet>";
     let good = "name=\"b\" scope=\"fleet\" rate=\"90/m\" burst=\"60\" in-hand=\"50\" floor=\"1\" nodes-most=\"40\" longest=\"2s\"";
-    let read = read("t.xml", &file(good, fleet), &known()).unwrap();
+    let read = read("t.xml", &file(good, fleet), &context()).unwrap();
     let rules = read.rules.unwrap();
     let kinds: Vec<QuotaKind> = rules
         .cluster_quotas
         .iter()
-        .map(|(_, budget)| budget.kind)
+        .map(|(_, quota)| quota.kind)
         .collect();
     let (period, longest) = (60_000_000_000, 2_000_000_000);
     assert_eq!(
@@ -573,11 +577,11 @@
         ),
         (1, 40, None)
     );
-    for (bucket, fleet, told) in [
+    for (bucket, fleet, expected) in [
         (
             good,
             "",
-            "t.xml:2:2: bucket 'b': a limit of the whole fleet, and no fleet with arbiters",
+            "t.xml:2:2: bucket 'b': a limit of the whole fleet without a fleet that has arbiters",
         ),
         (
             "name=\"b\" scope=\"fleet\" rate=\"9/s\"",
@@ -592,20 +596,20 @@
         (
             "name=\"b\" rate=\"9/s\" floor=\"1\"",
             fleet,
-            "'floor' of a limit that each node has",
+            "'floor' on a limit that applies to each node",
         ),
         (
             "name=\"b\" scope=\"fleet\" total=\"9\" nodes-most=\"40\"",
             fleet,
-            "'total' of a limit of the whole fleet",
+            "'total' on a limit of the whole fleet",
         ),
         (
             "name=\"b\" scope=\"world\" rate=\"9/s\"",
             fleet,
-            "does not fit",
+            "is not valid",
         ),
     ] {
-        let shown = wrong(&file(bucket, fleet)).to_string();
-        assert!(shown.contains(told), "{bucket}: {shown}");
+        let shown = diagnostics_of(&file(bucket, fleet)).to_string();
+        assert!(shown.contains(expected), "{bucket}: {shown}");
     }
 }
