--- a/crates/rules/benches/rules.rs
+++ b/crates/rules/benches/rules.rs
@@ -1,5 +1,5 @@
-//! How long rules take: by index and by scan, in three forms of compiled code, and against an
-//! interpreter of the registry. Run: cargo bench -p madderpoint-rules
+//! Evaluation time of rules: with the index and with a scan, in three forms of compiled code, and
+//! in comparison with the `cel-interpreter` crate. Run with `cargo bench -p madderpoint-rules`.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use madderpoint_rules::compile::{Compiler, Function, Node, Vocabulary};
@@ -11,16 +11,16 @@
 };
 use std::hint::black_box;
 
-fn words() -> Vocabulary {
-    let mut words = Vocabulary {
+fn vocabulary() -> Vocabulary {
+    let mut vocabulary = Vocabulary {
         operations: vec!["gun-yaz".into(), "gun-sorgu".into()],
         tenants: vec!["ege".into(), "kuzey".into()],
         ..Vocabulary::default()
     };
-    words
+    vocabulary
         .params
         .extend(["SITE", "KIND", "USER"].map(|name| (name.to_owned(), 64)));
-    words
+    vocabulary
 }
 
 const PAIRS: [(&[u8], &[u8]); 8] = [
@@ -49,8 +49,9 @@
     }
 }
 
-/// Rules of which the last matches, filed under equalities, prefixes and networks in turn.
-fn many(count: usize) -> RuleSet {
+/// Returns a set of rules of which only the last matches, indexed in turn under equalities,
+/// prefixes and networks.
+fn rule_set(count: usize) -> RuleSet {
     let rules: Vec<RuleSource> = (0..count)
         .map(|i| {
             let when = match i % 3 {
@@ -74,10 +75,10 @@
             }
         })
         .collect();
-    // So high a limit that the scan is not stopped by the meter.
+    // The limit is so high that the meter does not stop the scan.
     RuleSet::load(
         &rules,
-        &words(),
+        &vocabulary(),
         &[],
         Bounds {
             cost: 1 << 30,
@@ -90,7 +91,7 @@
 fn index_and_scan(c: &mut Criterion) {
     let mut group = c.benchmark_group("rules");
     for count in [10, 1_000, 10_000] {
-        let rules = many(count);
+        let rules = rule_set(count);
         let facts = facts(&rules);
         let mut scratch = Scratch::new(1);
         for (name, path) in [("index", RuleLookup::Index), ("scan", RuleLookup::Scan)] {
@@ -107,14 +108,14 @@
         }
         println!("{count} rules: {} KiB", rules.bytes() >> 10);
     }
-    let rules = many(1_000);
+    let rules = rule_set(1_000);
     group.bench_function("pick parameters", |b| {
         b.iter(|| black_box(rules.pick(black_box(PAIRS).into_iter())))
     });
     group.finish();
 }
 
-// ---- The same expressions as closures and as bytecode, for the part of the language that they use ----
+// ---- The benchmark expressions compiled to closures and to bytecode, for the subset they use ----
 
 type Closure = Box<dyn for<'a> Fn(&'a Facts<'static>, &mut u64) -> Result<bool, EvaluationError>>;
 type TextOf = Box<dyn for<'a> Fn(&'a Facts<'static>, &mut u64) -> Result<&'a str, EvaluationError>>;
@@ -156,16 +157,16 @@
             let all: Vec<Closure> = all.iter().map(closure).collect();
             Box::new(move |facts, left| {
                 charge(left, cost::STEP)?;
-                let mut fault = None;
+                let mut error = None;
                 for one in &all {
                     match one(facts, left) {
                         Ok(false) => return Ok(false),
                         Ok(true) => {}
                         Err(EvaluationError::Cost) => return Err(EvaluationError::Cost),
-                        Err(e) => fault = fault.or(Some(e)),
+                        Err(e) => error = error.or(Some(e)),
                     }
                 }
-                fault.map_or(Ok(true), Err)
+                error.map_or(Ok(true), Err)
             })
         }
         Node::Binary(Binary::Equal, sides) => {
@@ -224,7 +225,7 @@
     More,
     StartsWith,
     In(std::sync::Arc<std::collections::HashSet<Box<str>>>),
-    /// Ends with false if the top is false, else drops it.
+    /// Ends with false if the top of the stack is false, otherwise drops it.
     OrElseFalse,
     True,
 }
@@ -309,14 +310,14 @@
     params.SITE in [\"site-1\", \"site-77\"] && params.KIND == \"shift\"";
 
 fn forms(c: &mut Criterion) {
-    let words = words();
-    let mut compiler = Compiler::new(&words);
+    let vocabulary = vocabulary();
+    let mut compiler = Compiler::new(&vocabulary);
     let typed = compiler
         .compile(&parse(TYPICAL).unwrap(), &Type::Bool, 4000)
         .unwrap();
     let facts = Facts {
         params: compiler.names.pick(PAIRS.into_iter()),
-        ..facts(&many(1))
+        ..facts(&rule_set(1))
     };
     let mut group = c.benchmark_group("forms");
     let arena = bumpalo::Bump::new();
@@ -335,8 +336,7 @@
     group.bench_function("bytecode, without a meter", |b| {
         b.iter(|| run(&code, black_box(&facts)))
     });
-    // The registry's interpreter, whose variables are made anew for each request as they would have
-    // to be.
+    // The interpreter needs a new set of variables for each request.
     let program = cel_interpreter::Program::compile(TYPICAL).unwrap();
     group.bench_function("cel-interpreter", |b| {
         b.iter(|| {
--- a/crates/rules/src/address.rs
+++ b/crates/rules/src/address.rs
@@ -1,22 +1,23 @@
-//! Sets of addresses: merged ranges, of which a membership test takes a binary search.
+//! Sets of IP addresses, kept as merged ranges; a membership test is a binary search.
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
-/// Sets of more networks than this are looked into as a whole by the index: filing each network
-/// would take far more memory than the set.
-pub const NETWORKS_FILED: usize = 64;
+/// Largest number of networks of a set that the rule index stores one by one. The index searches a
+/// larger set as a whole, because storing each network would take far more memory than the set.
+pub const INDEXED_NETWORKS_MAX: usize = 64;
 
-/// A set of IP addresses. IPv4 and IPv6 are apart: an IPv4 address that is written as IPv6 is taken
-/// for IPv4.
+/// A set of IP addresses. IPv4 and IPv6 ranges are kept separately; an IPv4-mapped IPv6 address is
+/// treated as its IPv4 address.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AddressSet {
-    four: Vec<(u32, u32)>,
-    six: Vec<(u128, u128)>,
+    ipv4: Vec<(u32, u32)>,
+    ipv6: Vec<(u128, u128)>,
     networks: Vec<IpNet>,
 }
 
-/// Reads one network, or one address as a network of itself alone.
+/// Parses a network in CIDR notation, or a single address as a network that contains only this
+/// address. Host bits are cleared. Returns `None` if the text is neither.
 pub fn network(text: &str) -> Option<IpNet> {
     let net = text
         .parse()
@@ -25,73 +26,74 @@
     Some(net.trunc())
 }
 
-/// The address as rules see it: IPv4 in IPv6 is IPv4.
+/// Returns the address as rules see it: an IPv4-mapped IPv6 address becomes an IPv4 address.
 pub fn plain(address: IpAddr) -> IpAddr {
     address.to_canonical()
 }
 
 impl AddressSet {
-    /// The set of all addresses in these networks. Networks that lie in others are merged.
+    /// Creates the set of all addresses in the networks. Adjacent and nested networks are merged.
     pub fn new(networks: impl IntoIterator<Item = IpNet>) -> AddressSet {
-        let (mut four, mut six) = (Vec::new(), Vec::new());
+        let (mut ipv4, mut ipv6) = (Vec::new(), Vec::new());
         for net in networks {
             match net {
-                IpNet::V4(net) => four.push(net),
-                IpNet::V6(net) => six.push(net),
+                IpNet::V4(net) => ipv4.push(net),
+                IpNet::V6(net) => ipv6.push(net),
             }
         }
-        let (four, six) = (Ipv4Net::aggregate(&four), Ipv6Net::aggregate(&six));
-        let few = four.len() + six.len() <= NETWORKS_FILED;
+        let (ipv4, ipv6) = (Ipv4Net::aggregate(&ipv4), Ipv6Net::aggregate(&ipv6));
+        let is_small = ipv4.len() + ipv6.len() <= INDEXED_NETWORKS_MAX;
         let mut set = AddressSet {
-            four: four
+            ipv4: ipv4
                 .iter()
                 .map(|n| (n.network().to_bits(), n.broadcast().to_bits()))
                 .collect(),
-            six: six
+            ipv6: ipv6
                 .iter()
                 .map(|n| (n.network().to_bits(), n.broadcast().to_bits()))
                 .collect(),
             networks: Vec::new(),
         };
-        if few {
-            set.networks = four
+        if is_small {
+            set.networks = ipv4
                 .into_iter()
                 .map(IpNet::V4)
-                .chain(six.into_iter().map(IpNet::V6))
+                .chain(ipv6.into_iter().map(IpNet::V6))
                 .collect();
         }
-        set.four.sort_unstable();
-        set.six.sort_unstable();
+        set.ipv4.sort_unstable();
+        set.ipv6.sort_unstable();
         set
     }
 
-    /// Whether an address is in the set.
+    /// Returns whether the address is in the set.
     pub fn contains(&self, address: IpAddr) -> bool {
         match plain(address) {
-            IpAddr::V4(a) => within(&self.four, Ipv4Addr::to_bits(a)),
-            IpAddr::V6(a) => within(&self.six, Ipv6Addr::to_bits(a)),
+            IpAddr::V4(a) => within(&self.ipv4, Ipv4Addr::to_bits(a)),
+            IpAddr::V6(a) => within(&self.ipv6, Ipv6Addr::to_bits(a)),
         }
     }
 
-    /// The networks, merged, where they are few enough for the index to file each; else none.
+    /// Returns the merged networks if there are at most [`INDEXED_NETWORKS_MAX`] of them, and an
+    /// empty slice otherwise.
     pub fn networks(&self) -> &[IpNet] {
         &self.networks
     }
 
-    /// Ranges in it.
+    /// Returns the number of merged ranges.
     pub fn len(&self) -> usize {
-        self.four.len() + self.six.len()
+        self.ipv4.len() + self.ipv6.len()
     }
 
-    /// Whether nothing is in it.
+    /// Returns whether the set contains no address.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes that it takes.
+    /// Returns the heap memory of the set, in bytes.
     pub fn bytes(&self) -> usize {
-        self.four.capacity() * 8
-            + self.six.capacity() * 32
+        self.ipv4.capacity() * 8
+            + self.ipv6.capacity() * 32
             + self.networks.capacity() * size_of::<IpNet>()
     }
 }
--- a/crates/rules/src/address/tests.rs
+++ b/crates/rules/src/address/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn ends_of_networks_are_in_and_what_lies_beside_is_not() {
+fn set_contains_first_and_last_addresses_of_networks_and_no_neighbours() {
     let nets = [
         "10.1.0.0/16",
         "10.1.2.0/24",
--- a/crates/rules/src/compile.rs
+++ b/crates/rules/src/compile.rs
@@ -1,5 +1,5 @@
-//! Compiles a syntax tree to a form that is evaluated: names resolved, types checked, the worst
-//! case of its cost known.
+//! Compiles a syntax tree for evaluation: resolves names, checks types and computes the worst-case
+//! cost.
 
 mod functions;
 mod names;
@@ -20,64 +20,65 @@
 use crate::pattern::Pattern;
 use crate::syntax::{Expression, ExpressionKind};
 use crate::value::Type;
-use node::texts;
+use node::text_set_bytes;
 use size::Size;
 use std::collections::{BTreeMap, HashSet};
 use std::ops::Range;
 use std::sync::Arc;
 
-/// The deepest nesting of macros. Their rounds multiply, so a third one is only ever accepted over
-/// lists that are very short.
+/// Deepest nesting of macros. The iterations of nested macros multiply, so the cost limit accepts a
+/// third level only over very short lists.
 pub const MACROS_MAX: usize = 3;
-/// The most parameters that all rules together may name.
+/// Largest number of different request parameters that all rules together may name.
 const SLOTS_MAX: usize = 512;
-/// The longest text, in bytes, that is parsed as a number, time or address.
+/// Longest text, in bytes, that a conversion parses as a number, duration, time or address.
 pub const VALUE_MAX: usize = 64;
-/// The most bytes of a printed number, time or address.
+/// Upper bound, in bytes, on the printed form of a number, duration, time or address.
 const PRINTED: u64 = 40;
 
-/// The names that expressions may use.
+/// Names that expressions may use.
 #[derive(Clone, Debug, Default)]
 pub struct Vocabulary {
-    /// Whether operations and tenants may have any name, as when there are no settings to check
-    /// them against.
+    /// Whether operations and tenants may have any name. Set where there are no settings to check
+    /// names against.
     pub open: bool,
-    /// Operations of the settings, in their order.
+    /// Names of the operations, in the order of the settings.
     pub operations: Vec<String>,
-    /// Tenants of the settings.
+    /// Names of the tenants in the settings.
     pub tenants: Vec<String>,
-    /// Parameters whose length is declared.
+    /// Declared maximum length in bytes of request parameters, by parameter name.
     pub params: BTreeMap<String, usize>,
-    /// Named sets of addresses.
+    /// Named sets of addresses in the settings.
     pub sets: BTreeMap<String, Arc<AddressSet>>,
-    /// Named lists of strings.
+    /// Named lists of strings in the settings.
     pub lists: BTreeMap<String, Vec<String>>,
 }
 
 /// A compiled expression.
 #[derive(Clone, Debug)]
 pub struct CompiledExpression {
-    /// What is evaluated.
+    /// Tree to evaluate.
     pub node: Node,
-    /// Its type.
+    /// Type of the result.
     pub kind: Type,
-    /// The most units that evaluating it takes.
+    /// Worst-case cost of one evaluation, in cost units.
     pub max_cost: u64,
     size: Size,
 }
 
+/// The variable of an enclosing macro.
 struct Local {
     name: String,
     kind: Type,
     size: Size,
 }
 
-/// Compiles expressions that share slots of parameters; gathers what is wrong with them.
+/// Compiles expressions that share parameter slots, and collects their errors.
 pub struct Compiler<'v> {
     vocabulary: &'v Vocabulary,
-    /// Slots so far.
+    /// Parameters named by the expressions compiled so far, with their slots.
     pub names: ParamNames,
-    /// What is wrong with the expression at hand.
+    /// Errors in the expression that is being compiled.
     pub errors: Vec<ExpressionError>,
     locals: Vec<Local>,
     patterns: BTreeMap<String, Arc<Pattern>>,
@@ -87,7 +88,7 @@
 type CheckResult = Option<CompiledExpression>;
 
 impl<'v> Compiler<'v> {
-    /// A compiler of expressions that use these words.
+    /// Creates a compiler for expressions that use this vocabulary.
     pub fn new(vocabulary: &'v Vocabulary) -> Compiler<'v> {
         Compiler {
             vocabulary,
@@ -99,8 +100,12 @@
         }
     }
 
-    /// Compiles an expression that is to have this type and to cost no more than this. All that is
-    /// wrong is given.
+    /// Compiles an expression that must have the type `kind` and a worst-case cost of at most
+    /// `limit` units.
+    ///
+    /// # Errors
+    ///
+    /// Returns all errors found in the expression.
     pub fn compile(
         &mut self,
         expr: &Expression,
@@ -112,15 +117,15 @@
         let typed = self.check(expr);
         if let Some(typed) = &typed {
             if typed.kind != *kind {
-                self.wrong::<()>(
+                self.report::<()>(
                     &expr.at,
-                    format!("this is a {}", typed.kind),
-                    format!("a {kind}"),
+                    format!("this has type {}", typed.kind),
+                    format!("type {kind}"),
                 );
             } else if typed.max_cost > limit {
                 let what = format!("the worst case costs {} units", typed.max_cost);
-                let hint = "declare the parameters' lengths, or ask for less";
-                self.wrong::<()>(&expr.at, what, format!("at most {limit}: {hint}"));
+                let hint = "declare the parameters' lengths, or simplify the expression";
+                self.report::<()>(&expr.at, what, format!("at most {limit}: {hint}"));
             }
         }
         match typed {
@@ -129,7 +134,7 @@
         }
     }
 
-    pub(super) fn wrong<T>(
+    pub(super) fn report<T>(
         &mut self,
         at: &Range<usize>,
         what: impl Into<String>,
@@ -140,10 +145,16 @@
         None
     }
 
-    /// Bytes of what expressions share: patterns, and the sets of named lists.
+    /// Returns the memory, in bytes, of the parts that expressions share: patterns and the hash
+    /// sets of named lists.
     pub fn shared_bytes(&self) -> usize {
         let patterns: usize = self.patterns.values().map(|pattern| pattern.bytes()).sum();
-        patterns + self.lists.values().map(|set| texts(set)).sum::<usize>()
+        patterns
+            + self
+                .lists
+                .values()
+                .map(|set| text_set_bytes(set))
+                .sum::<usize>()
     }
 
     pub(super) fn leaf(&self, node: Node, kind: Type, size: Size) -> CheckResult {
@@ -180,23 +191,23 @@
             ExpressionKind::Minus(of) => {
                 self.unary(of, &[Type::Int, Type::Float, Type::Span], Node::Minus)
             }
-            ExpressionKind::And(all) => self.joined(all, Node::And),
-            ExpressionKind::Or(all) => self.joined(all, Node::Or),
+            ExpressionKind::And(all) => self.logical(all, Node::And),
+            ExpressionKind::Or(all) => self.logical(all, Node::Or),
             ExpressionKind::If(condition, yes, no) => self.conditional(condition, yes, no),
             ExpressionKind::Binary(op, a, b) => self.binary(&expr.at, *op, a, b),
         }
     }
 
-    /// An expression of one of these types.
+    /// Checks an expression and reports an error unless it has one of the given types.
     pub(super) fn expect(&mut self, expr: &Expression, kinds: &[Type]) -> CheckResult {
         let typed = self.check(expr)?;
         if kinds.contains(&typed.kind) {
             return Some(typed);
         }
         let kinds: Vec<_> = kinds.iter().map(Type::to_string).collect();
-        self.wrong(
+        self.report(
             &expr.at,
-            format!("this is a {}", typed.kind),
+            format!("this has type {}", typed.kind),
             kinds.join(" or "),
         )
     }
--- a/crates/rules/src/compile/functions.rs
+++ b/crates/rules/src/compile/functions.rs
@@ -58,7 +58,7 @@
         if let Some((node, kind, expected)) = constant {
             return match node {
                 Some(node) => self.leaf(node, kind, Size::default()),
-                None => self.wrong(&arguments[0].at, "this text is no such value", expected),
+                None => self.report(&arguments[0].at, "this text is not a valid value", expected),
             };
         }
         let known = Signature::ALL.iter().any(|s| s.name == name && !s.method);
@@ -68,10 +68,10 @@
                 .filter(|s| !s.method)
                 .map(|s| s.name)
                 .chain(["has", "net"]);
-            let near = nearest(name, names).map_or("a function of the language".into(), |n| {
+            let hint = nearest(name, names).map_or("a function of the language".into(), |n| {
                 format!("perhaps '{n}'")
             });
-            return self.wrong(at, format!("unknown function '{name}'"), near);
+            return self.report(at, format!("unknown function '{name}'"), hint);
         }
         let checked: Vec<_> = arguments.iter().map(|a| self.check(a)).collect();
         let checked: Vec<CompiledExpression> = checked.into_iter().collect::<Option<_>>()?;
@@ -100,10 +100,10 @@
         if !Signature::ALL.iter().any(|s| s.name == name && s.method) {
             let names = Signature::ALL.iter().filter(|s| s.method).map(|s| s.name);
             let names = names.chain(["matches", "all", "exists", "map", "filter"]);
-            let near = nearest(name, names).map_or("a method of the language".into(), |n| {
+            let hint = nearest(name, names).map_or("a method of the language".into(), |n| {
                 format!("perhaps '{n}'")
             });
-            return self.wrong(at, format!("unknown method '{name}'"), near);
+            return self.report(at, format!("unknown method '{name}'"), hint);
         }
         let of_typed = self.check(of);
         let rest: Vec<_> = arguments.iter().map(|a| self.check(a)).collect();
@@ -128,23 +128,24 @@
                 .filter(|s| s.name == name && s.method == method)
         };
         let fits = |s: &&Signature| {
-            s.takes.len() == given.len() && s.takes.iter().zip(&given).all(|(t, g)| t.fits(&g.kind))
+            s.arguments.len() == given.len()
+                && s.arguments.iter().zip(&given).all(|(t, g)| t.fits(&g.kind))
         };
         let Some(signature) = named().find(fits) else {
             let kinds: Vec<_> = given.iter().map(|g| g.kind.to_string()).collect();
-            let shown: Vec<_> = named().map(Signature::shown).collect();
+            let signatures: Vec<_> = named().map(Signature::describe).collect();
             let what = format!("'{name}' is given ({})", kinds.join(", "));
-            return self.wrong(at, what, shown.join(" or "));
+            return self.report(at, what, signatures.join(" or "));
         };
         if signature.func == Function::Hash && !matches!(given[1].node, Node::Int(n) if n > 0) {
-            return self.wrong(
+            return self.report(
                 &places[1].at,
-                "the number of buckets is not a whole number above 0",
+                "the number of buckets is not a literal int above 0",
                 "such as 100",
             );
         }
         let sizes = given.iter().map(|g| match g.kind {
-            Type::List(_) | Type::Params => 0, // their items are counted, not looked at
+            Type::List(_) | Type::Params => 0, // their items are counted, not read
             _ => g.size.extent(),
         });
         let sizes: Vec<u64> = sizes.collect();
@@ -154,15 +155,15 @@
         let first = given.first().map(|g| g.size.clone()).unwrap_or_default();
         let size = match signature.func {
             Function::ToText => Size {
-                most: first.most.max(PRINTED),
+                bound: first.bound.max(PRINTED),
                 item: None,
             },
-            Function::Split => Size::list(first.most + 1, first),
+            Function::Split => Size::list(first.bound + 1, first),
             _ => first,
         };
         let kind = match signature.func {
             Function::Split => Type::List(Box::new(Type::Text)),
-            _ => signature.gives.kind(),
+            _ => signature.result.kind(),
         };
         let nodes = given.into_iter().map(|g| g.node).collect();
         Some(CompiledExpression {
@@ -180,20 +181,24 @@
             match &argument.kind {
                 ExpressionKind::Text(text) => match address::network(text) {
                     Some(net) => networks.push(net),
-                    None => drop(self.wrong::<()>(
+                    None => drop(self.report::<()>(
                         &argument.at,
-                        format!("no network: {text:?}"),
+                        format!("not a valid network: {text:?}"),
                         expected,
                     )),
                 },
-                _ => drop(self.wrong::<()>(&argument.at, "networks are written out", expected)),
+                _ => drop(self.report::<()>(
+                    &argument.at,
+                    "the networks of net() must be string literals",
+                    expected,
+                )),
             }
         }
         if networks.len() != arguments.len() {
             return None;
         }
         if networks.is_empty() {
-            return self.wrong(at, "net() without networks", expected);
+            return self.report(at, "net() without networks", expected);
         }
         self.leaf(
             Node::Set(Arc::new(AddressSet::new(networks))),
@@ -217,9 +222,9 @@
             },
         ] = arguments
         else {
-            return self.wrong(
+            return self.report(
                 at,
-                "matches() takes one pattern, written out",
+                "matches() takes one pattern as a string literal",
                 "such as matches(\"^[a-z]+$\")",
             );
         };
@@ -231,11 +236,11 @@
                     self.patterns.insert(pattern.clone(), Arc::clone(&built));
                     built
                 }
-                Err(error) => return self.wrong(place, error.found, error.expected),
+                Err(error) => return self.report(place, error.found, error.expected),
             },
         };
         let of = of?;
-        let max_cost = of.max_cost + cost::STEP + cost::pattern(of.size.most);
+        let max_cost = of.max_cost + cost::STEP + cost::pattern(of.size.bound);
         let node = Node::Matches(Box::new(of.node), pattern);
         Some(CompiledExpression {
             node,
@@ -261,7 +266,7 @@
             body,
         ] = arguments
         else {
-            return self.wrong(
+            return self.report(
                 at,
                 "a macro takes a name and an expression",
                 "such as list.exists(x, x == 1)",
@@ -269,14 +274,14 @@
         };
         let range = range?;
         let Some((item, size)) = range.items() else {
-            let found = format!("this is a {}", range.kind);
-            return self.wrong(&of.at, found, "a list or params");
+            let found = format!("this has type {}", range.kind);
+            return self.report(&of.at, found, "a list or params");
         };
         if self.locals.len() >= MACROS_MAX {
-            return self.wrong(
+            return self.report(
                 at,
-                "macros nested too deep",
-                format!("at most {MACROS_MAX} in each other"),
+                "macros nested too deeply",
+                format!("at most {MACROS_MAX} levels of macros"),
             );
         }
         let variable = Local {
@@ -285,12 +290,12 @@
             size: size.clone(),
         };
         let body = self.body(which, variable, body)?;
-        let rounds = range.size.most;
+        let rounds = range.size.bound;
         let max_cost = macro_cost(which, &range, &body);
         let Some((kind, size)) = macro_result(which, item, size, &body, rounds) else {
-            return self.wrong(
+            return self.report(
                 at,
-                format!("a {} is no item of a list", body.kind),
+                format!("a list cannot contain items of type {}", body.kind),
                 "plain values",
             );
         };
@@ -302,7 +307,7 @@
         })
     }
 
-    /// The body of a macro, in which a variable stands for the item.
+    /// Checks the body of a macro, in which `variable` is bound to the current item.
     fn body(&mut self, which: Macro, variable: Local, body: &Expression) -> CheckResult {
         self.locals.push(variable);
         let body = match which {
@@ -315,7 +320,8 @@
 }
 
 impl CompiledExpression {
-    /// The type and size of the items over which a macro iterates; `None` if it can't.
+    /// Returns the type and size of the items over which a macro iterates, or `None` if the
+    /// expression cannot be iterated over.
     fn items(&self) -> Option<(Type, Size)> {
         match &self.kind {
             Type::List(item) => Some(((**item).clone(), self.size.item())),
@@ -325,9 +331,10 @@
     }
 }
 
-/// The worst case of a macro: its list, a round for each item, and the lists that it builds.
+/// Returns the worst-case cost of a macro: evaluating its list, one iteration for each item, and
+/// building its lists.
 fn macro_cost(which: Macro, range: &CompiledExpression, body: &CompiledExpression) -> u64 {
-    let rounds = range.size.most;
+    let rounds = range.size.bound;
     let built = || cost::build(24 * rounds);
     let mut max_cost = rounds
         .saturating_mul(body.max_cost + cost::ROUND)
@@ -341,8 +348,8 @@
     max_cost
 }
 
-/// The type and size of what a macro gives, for items of this type and size; `None` if the body
-/// gives what can't be in a list.
+/// Returns the type and size of the result of a macro over items of this type and size, or `None`
+/// if the body yields a value that a list cannot contain.
 fn macro_result(
     which: Macro,
     item: Type,
--- a/crates/rules/src/compile/names.rs
+++ b/crates/rules/src/compile/names.rs
@@ -1,4 +1,4 @@
-//! Names: facts, parameters, macro variables, named sets and lists.
+//! Resolves names: facts, parameters, macro variables, named sets and lists.
 
 use super::node::Node;
 use super::size::Size;
@@ -36,7 +36,7 @@
             return self.fact(*fact);
         }
         if name == "params" {
-            self.names.walked();
+            self.names.require_all();
             return self.leaf(Node::Params, Type::Params, Size::of(PAIRS_MAX));
         }
         if let Some(set) = self.vocabulary.sets.get(name) {
@@ -59,10 +59,10 @@
             });
         }
         let known = self.nearest(name);
-        self.wrong(at, format!("unknown name '{name}'"), known)
+        self.report(at, format!("unknown name '{name}'"), known)
     }
 
-    /// What a name was perhaps to be.
+    /// Returns the hint for an unknown name: the closest known name, or all known names.
     pub(super) fn nearest(&self, name: &str) -> String {
         let facts = Name::ALL.iter().map(|(text, _)| *text).chain(["params"]);
         let sets = self
@@ -78,7 +78,9 @@
         }
     }
 
-    /// The name of a parameter, where it is written out.
+    /// Assigns a slot if `of` is `params`, so that the expression names a parameter literally.
+    /// Returns `None` if `of` is something else, and `Some(None)` after reporting that there are
+    /// too many parameters.
     pub(super) fn literal_param(&mut self, of: &Expression, name: &str) -> Option<Option<u16>> {
         if !matches!(&of.kind, ExpressionKind::Name(n) if n == "params")
             || self.locals.iter().any(|l| l.name == "params")
@@ -93,9 +95,9 @@
             .unwrap_or(PARAM_MAX);
         let slot = self.names.slot(name, most);
         if self.names.len() > SLOTS_MAX {
-            self.wrong::<()>(
+            self.report::<()>(
                 &of.at,
-                "too many parameters are named",
+                "the rules name too many parameters",
                 format!("at most {SLOTS_MAX} in all rules"),
             );
             return Some(None);
@@ -113,7 +115,7 @@
         self.leaf(Node::Slot(slot), Type::Text, Size::of(most))
     }
 
-    /// A name with a dot in it.
+    /// Returns the fact whose name is `of.field`, such as `caller.id`.
     pub(super) fn dotted(of: &Expression, field: &str) -> Option<Name> {
         let ExpressionKind::Name(first) = &of.kind else {
             return None;
@@ -139,10 +141,10 @@
         }
         if matches!(&of.kind, ExpressionKind::Name(n) if n == "caller") {
             let known = "caller.address, caller.id, caller.trust_domain, caller.path";
-            return self.wrong(&expr.at, format!("unknown name 'caller.{field}'"), known);
+            return self.report(&expr.at, format!("unknown name 'caller.{field}'"), known);
         }
         let of = self.check(of)?;
-        self.wrong(
+        self.report(
             &expr.at,
             format!("a {} has no field '{field}'", of.kind),
             "params.NAME",
@@ -161,7 +163,7 @@
         let max_cost = whole.max_cost + place.max_cost + cost::STEP;
         match (&whole.kind, &place.kind) {
             (Type::Params, Type::Text) => {
-                let max_cost = max_cost + cost::find(PAIRS_MAX as u64, place.size.most);
+                let max_cost = max_cost + cost::find(PAIRS_MAX as u64, place.size.bound);
                 let node = Node::Param(Box::new(place.node));
                 Some(CompiledExpression {
                     node,
@@ -182,15 +184,15 @@
             }
             (Type::Params | Type::List(_), kind) => {
                 let expected = if whole.kind == Type::Params {
-                    "a string"
+                    "type string"
                 } else {
-                    "an int"
+                    "type int"
                 };
-                self.wrong(&at.at, format!("this is a {kind}"), expected)
+                self.report(&at.at, format!("this has type {kind}"), expected)
             }
-            (kind, _) => self.wrong(
+            (kind, _) => self.report(
                 &of.at,
-                format!("a {kind} has no parts to index"),
+                format!("a {kind} cannot be indexed"),
                 "params or a list",
             ),
         }
@@ -199,7 +201,7 @@
     pub(super) fn has(&mut self, at: &Range<usize>, arguments: &[Expression]) -> CheckResult {
         let expected = "one fact or parameter, such as has(params.SITE) or has(estimate)";
         let [of] = arguments else {
-            return self.wrong(at, "has() takes one argument", expected);
+            return self.report(at, "has() takes one argument", expected);
         };
         let node = match &of.kind {
             ExpressionKind::Name(name) => Name::ALL
@@ -221,7 +223,7 @@
         };
         match node {
             Some(node) => self.leaf(node, Type::Bool, Size::default()),
-            None => self.wrong(&of.at, "has() can't ask for this", expected),
+            None => self.report(&of.at, "has() cannot test this", expected),
         }
     }
 }
--- a/crates/rules/src/compile/node.rs
+++ b/crates/rules/src/compile/node.rs
@@ -1,4 +1,4 @@
-//! Compiled expressions as they are evaluated.
+//! Tree of a compiled expression.
 
 use crate::address::AddressSet;
 use crate::facts::Name;
@@ -9,10 +9,10 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Functions that are no operators.
+/// Functions and methods of the language.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Function {
-    /// `size`: characters, bytes, items or parameters.
+    /// `size`: number of characters, bytes, items or parameters.
     Size,
     /// `startsWith`.
     StartsWith,
@@ -20,97 +20,98 @@
     EndsWith,
     /// `contains`.
     Contains,
-    /// `indexOf`: characters before the first occurrence, or -1.
+    /// `indexOf`: number of characters before the first occurrence, or -1 if there is none.
     IndexOf,
-    /// `substring`, by characters.
+    /// `substring`: from one character index up to another, or up to the end.
     Substring,
-    /// `part`: a piece between separators.
+    /// `part`: the piece with the given index between separators.
     Part,
     /// `before`: the text before the first occurrence.
     Before,
     /// `after`: the text after the first occurrence.
     After,
-    /// `lowerAscii`.
+    /// `lowerAscii`: ASCII letters in lower case.
     Lower,
-    /// `upperAscii`.
+    /// `upperAscii`: ASCII letters in upper case.
     Upper,
-    /// `trim`.
+    /// `trim`: without leading and trailing white space.
     Trim,
-    /// `split`.
+    /// `split`: the list of pieces between separators.
     Split,
-    /// `hash`: a bucket number that is the same on all machines.
+    /// `hash`: a bucket number that is the same on all machines and in all versions.
     Hash,
-    /// `int`.
+    /// `int`: conversion to an int.
     ToInt,
-    /// `double`.
+    /// `double`: conversion to a double.
     ToFloat,
-    /// `string`.
+    /// `string`: conversion to a string.
     ToText,
-    /// `bytes`.
+    /// `bytes`: conversion to bytes.
     ToBytes,
-    /// `duration`.
+    /// `duration`: conversion to a duration.
     ToSpan,
-    /// `timestamp`.
+    /// `timestamp`: conversion to a time.
     ToTime,
-    /// `ip`.
+    /// `ip`: conversion to an IP address.
     ToAddress,
-    /// `getFullYear` and the like, in UTC.
+    /// `getFullYear` and the other methods for parts of a time, in UTC.
     TimePart(Part),
-    /// `getSeconds` of a duration.
+    /// `getSeconds` of a duration: all its whole seconds.
     SpanSeconds,
-    /// `getMilliseconds` of a duration.
+    /// `getMilliseconds` of a duration: all its whole milliseconds.
     SpanMillis,
 }
 
-/// The list macros.
+/// Macros over lists and parameters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Macro {
-    /// `all`.
+    /// `all`: whether the body is true for every item.
     All,
-    /// `exists`.
+    /// `exists`: whether the body is true for at least one item.
     Exists,
-    /// `map`.
+    /// `map`: the list of the values of the body.
     Map,
-    /// `filter`.
+    /// `filter`: the list of the items for which the body is true.
     Filter,
 }
 
-/// An expression as it is evaluated. Its depth is that of the tree it was made from, or one more.
+/// A compiled expression. It is at most one level deeper than the syntax tree that it was compiled
+/// from.
 #[derive(Clone, Debug)]
 pub enum Node {
-    /// A constant.
+    /// A bool constant.
     Bool(bool),
-    /// A constant.
+    /// An int constant.
     Int(i64),
-    /// A constant.
+    /// A double constant.
     Float(f64),
-    /// A constant.
+    /// A string constant.
     Text(Box<str>),
-    /// A constant.
+    /// A bytes constant.
     Bytes(Box<[u8]>),
-    /// A constant, in nanoseconds.
+    /// A duration constant, in nanoseconds.
     Span(i64),
-    /// A constant, in nanoseconds since the Unix epoch.
+    /// A time constant, in nanoseconds since the Unix epoch.
     Time(i64),
-    /// A constant.
+    /// An address constant.
     Address(IpAddr),
-    /// A set of addresses.
+    /// A constant set of addresses.
     Set(Arc<AddressSet>),
-    /// All parameters.
+    /// All parameters of the request.
     Params,
-    /// A fact.
+    /// A fact of the request.
     Fact(Name),
-    /// A parameter by its slot.
+    /// The value of the parameter in a slot.
     Slot(u16),
-    /// A parameter whose name is computed.
+    /// The value of a parameter whose name is computed.
     Param(Box<Node>),
-    /// The variable of a macro, by how many macros enclose it.
+    /// The variable of a macro; the number counts the macros that enclose this macro.
     Local(u8),
-    /// Whether there is a fact.
+    /// Whether the request has a fact.
     HasFact(Name),
-    /// Whether there is a parameter, by its slot.
+    /// Whether the request has the parameter of a slot.
     HasSlot(u16),
-    /// Whether there is a parameter whose name is computed.
+    /// Whether the request has a parameter whose name is computed.
     HasParam(Box<Node>),
     /// `!a`.
     Not(Box<Node>),
@@ -128,20 +129,21 @@
     List(Box<[Node]>),
     /// An item of a list, by its index.
     Item(Box<(Node, Node)>),
-    /// Whether a text is in a constant set.
+    /// Whether a string is in a constant set.
     InTexts(Box<Node>, Arc<HashSet<Box<str>>>),
-    /// Whether a number is in a constant set.
+    /// Whether an int is in a constant set.
     InInts(Box<Node>, Arc<HashSet<i64>>),
-    /// The call of a function or method.
+    /// A call of a function or method with its arguments.
     Call(Function, Box<[Node]>),
-    /// Whether a text has a match of a pattern.
+    /// Whether a pattern matches somewhere in a string.
     Matches(Box<Node>, Arc<Pattern>),
-    /// A macro: the list, and the body for each item.
+    /// A macro: the list, and the body that is evaluated for each item.
     Loop(Macro, Box<(Node, Node)>),
 }
 
 impl Node {
-    /// The bytes that it takes beside itself. What it shares with others is counted by the owner.
+    /// Returns the heap memory of the node, in bytes. Data shared with other nodes is not included;
+    /// its owner counts it.
     pub fn bytes(&self) -> usize {
         let all =
             |nodes: &[Node]| -> usize { nodes.iter().map(|n| size_of::<Node>() + n.bytes()).sum() };
@@ -162,7 +164,7 @@
                 16 + all(nodes)
             }
             Node::InTexts(of, set) if Arc::strong_count(set) == 1 => {
-                size_of::<Node>() + of.bytes() + texts(set)
+                size_of::<Node>() + of.bytes() + text_set_bytes(set)
             }
             Node::InTexts(of, _) | Node::Matches(of, _) => size_of::<Node>() + of.bytes(),
             Node::InInts(of, set) => size_of::<Node>() + of.bytes() + set.capacity() * 9,
@@ -171,7 +173,7 @@
     }
 }
 
-/// Bytes that a set of texts takes.
-pub(super) fn texts(set: &HashSet<Box<str>>) -> usize {
+/// Returns the memory of a set of strings, in bytes.
+pub(super) fn text_set_bytes(set: &HashSet<Box<str>>) -> usize {
     set.iter().map(|text| 40 + text.len()).sum()
 }
--- a/crates/rules/src/compile/operators.rs
+++ b/crates/rules/src/compile/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: logic, comparison, arithmetic, `in` and lists.
+//! Compiles operators (logic, comparison, arithmetic and `in`) and list literals.
 
 use super::node::Node;
 use super::size::Size;
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 impl Compiler<'_> {
-    /// `!a` and `-a`.
+    /// Compiles `!a` and `-a`.
     pub(super) fn unary(
         &mut self,
         of: &Expression,
@@ -29,7 +29,7 @@
         })
     }
 
-    /// `condition ? yes : no`.
+    /// Compiles `condition ? yes : no`.
     pub(super) fn conditional(
         &mut self,
         condition: &Expression,
@@ -38,17 +38,17 @@
     ) -> CheckResult {
         let condition = self.expect(condition, &[Type::Bool]);
         let (typed_yes, typed_no) = (self.check(yes), self.check(no));
-        let (condition, yes, no_) = (condition?, typed_yes?, typed_no?);
-        if yes.kind != no_.kind {
-            return self.wrong(
+        let (condition, yes, no_typed) = (condition?, typed_yes?, typed_no?);
+        if yes.kind != no_typed.kind {
+            return self.report(
                 &no.at,
-                format!("this is a {}", no_.kind),
-                format!("a {}, as after '?'", yes.kind),
+                format!("this has type {}", no_typed.kind),
+                format!("type {}, as after '?'", yes.kind),
             );
         }
-        let max_cost = cost::STEP + condition.max_cost + yes.max_cost.max(no_.max_cost);
-        let size = yes.size.max(&no_.size);
-        let node = Node::If(Box::new((condition.node, yes.node, no_.node)));
+        let max_cost = cost::STEP + condition.max_cost + yes.max_cost.max(no_typed.max_cost);
+        let size = yes.size.max(&no_typed.size);
+        let node = Node::If(Box::new((condition.node, yes.node, no_typed.node)));
         Some(CompiledExpression {
             node,
             kind: yes.kind,
@@ -57,7 +57,7 @@
         })
     }
 
-    pub(super) fn joined(
+    pub(super) fn logical(
         &mut self,
         all: &[Expression],
         node: fn(Box<[Node]>) -> Node,
@@ -81,17 +81,21 @@
         let checked: Vec<_> = items.iter().map(|item| self.check(item)).collect();
         let checked: Vec<CompiledExpression> = checked.into_iter().collect::<Option<_>>()?;
         let Some(first) = checked.first() else {
-            return self.wrong(at, "an empty list has no type", "at least one item");
+            return self.report(at, "an empty list has no type", "at least one item");
         };
         let kind = first.kind.clone();
         if matches!(kind, Type::Params | Type::Addresses) {
-            return self.wrong(at, format!("a {kind} is no item of a list"), "plain values");
+            return self.report(
+                at,
+                format!("a list cannot contain items of type {kind}"),
+                "plain values",
+            );
         }
-        if let Some(odd) = checked.iter().position(|t| t.kind != kind) {
-            return self.wrong(
-                &items[odd].at,
-                format!("this is a {}", checked[odd].kind),
-                format!("a {kind}, as the first"),
+        if let Some(mismatch) = checked.iter().position(|t| t.kind != kind) {
+            return self.report(
+                &items[mismatch].at,
+                format!("this has type {}", checked[mismatch].kind),
+                format!("type {kind}, as the first item"),
             );
         }
         let size = checked
@@ -110,8 +114,8 @@
         })
     }
 
-    /// Refuses an operation or tenant that the settings do not have.
-    pub(super) fn known(&mut self, of: &Node, literal: &Expression) {
+    /// Reports literal names of operations and tenants that are not in the settings.
+    pub(super) fn check_known_names(&mut self, of: &Node, literal: &Expression) {
         if self.vocabulary.open {
             return;
         }
@@ -161,9 +165,9 @@
         };
         if matches!(op, Binary::Equal | Binary::Differs) && left.kind == right.kind {
             if let (Node::Fact(_), ExpressionKind::Text(_)) = (&left.node, &b.kind) {
-                self.known(&left.node, b);
+                self.check_known_names(&left.node, b);
             } else if let (Node::Fact(_), ExpressionKind::Text(_)) = (&right.node, &a.kind) {
-                self.known(&right.node, a);
+                self.check_known_names(&right.node, a);
             }
         }
         let Some((kind, cost, size)) = binary_result(op, &left, &right) else {
@@ -173,7 +177,7 @@
                 left.kind,
                 right.kind
             );
-            return self.wrong(at, what, mixed(&right.kind));
+            return self.report(at, what, mixed(&right.kind));
         };
         let max_cost = max_cost + cost;
         Some(CompiledExpression {
@@ -185,7 +189,7 @@
     }
 
     pub(super) fn is_in(&mut self, a: &Expression, b: &Expression) -> CheckResult {
-        // A parameter's name, written out.
+        // A literal parameter name: whether the request has this parameter.
         if let ExpressionKind::Text(name) = &a.kind
             && let Some(slot) = self.literal_param(b, name)
         {
@@ -203,27 +207,29 @@
         match (&left.kind, &right.kind) {
             (Type::Text, Type::Params) => boolean(
                 Node::HasParam(Box::new(left.node)),
-                max_cost + cost::find(PAIRS_MAX as u64, left.size.most),
+                max_cost + cost::find(PAIRS_MAX as u64, left.size.bound),
             ),
             (Type::Address, Type::Addresses) => boolean(
                 Node::Binary(Binary::In, Box::new((left.node, right.node))),
                 max_cost + right.max_cost + cost::LOOK,
             ),
             (kind, Type::List(item)) if **item == *kind => self.is_in_list(left, right, b),
-            (kind, Type::List(item)) => self.wrong(
+            (kind, Type::List(item)) => self.report(
                 &a.at,
-                format!("this is a {kind}"),
-                format!("a {item}, as in the list"),
+                format!("this has type {kind}"),
+                format!("type {item}, as the items of the list"),
             ),
-            (kind, Type::Addresses) => self.wrong(&a.at, format!("this is a {kind}"), "an ip"),
-            (kind, Type::Params) => self.wrong(
+            (kind, Type::Addresses) => {
+                self.report(&a.at, format!("this has type {kind}"), "type ip")
+            }
+            (kind, Type::Params) => self.report(
                 &a.at,
-                format!("this is a {kind}"),
-                "a string, the name of a parameter",
+                format!("this has type {kind}"),
+                "type string, the name of a parameter",
             ),
-            (_, kind) => self.wrong(
+            (_, kind) => self.report(
                 &b.at,
-                format!("this is a {kind}"),
+                format!("this has type {kind}"),
                 "a list, addresses or params",
             ),
         }
@@ -236,11 +242,12 @@
             .or_insert_with(|| Arc::new(list.iter().map(|text| text.as_str().into()).collect()));
         let set = Arc::clone(set);
         let left = self.expect(a, &[Type::Text])?;
-        let max_cost = left.max_cost + cost::STEP + cost::LOOK + cost::compare(left.size.most);
+        let max_cost = left.max_cost + cost::STEP + cost::LOOK + cost::compare(left.size.bound);
         boolean(Node::InTexts(Box::new(left.node), set), max_cost)
     }
 
-    /// Membership in a list whose items have the type of the left side; constants become a set.
+    /// Compiles membership in a list whose items have the type of the left side. A list of string
+    /// or int constants becomes a hash set.
     fn is_in_list(
         &mut self,
         left: CompiledExpression,
@@ -249,13 +256,13 @@
     ) -> CheckResult {
         let max_cost = left.max_cost + cost::STEP;
 
-        self.known(&left.node, b);
+        self.check_known_names(&left.node, b);
         if let Node::List(items) = &right.node {
             let texts = items.iter().map(|n| match n {
                 Node::Text(text) => Some(text.clone()),
                 _ => None,
             });
-            let look = max_cost + cost::LOOK + cost::compare(left.size.most);
+            let look = max_cost + cost::LOOK + cost::compare(left.size.bound);
             if let Some(texts) = texts.collect::<Option<HashSet<_>>>() {
                 return boolean(Node::InTexts(Box::new(left.node), Arc::new(texts)), look);
             }
@@ -267,7 +274,7 @@
             }
         }
         let each = cost::compare(left.size.extent().min(right.size.item().extent()));
-        let max_cost = max_cost + right.max_cost + right.size.most.saturating_mul(each);
+        let max_cost = max_cost + right.max_cost + right.size.bound.saturating_mul(each);
         boolean(
             Node::Binary(Binary::In, Box::new((left.node, right.node))),
             max_cost,
@@ -275,7 +282,7 @@
     }
 }
 
-/// A compiled expression of type bool.
+/// Returns a compiled expression of type bool.
 fn boolean(node: Node, max_cost: u64) -> CheckResult {
     Some(CompiledExpression {
         node,
@@ -285,8 +292,8 @@
     })
 }
 
-/// The type, the cost beside the step, and the size of what an operator gives; `None` if it has no
-/// meaning between these types.
+/// Returns the type of an operator's result, the cost in addition to the step, and the size of the
+/// result; `None` if the operator is not defined for these types.
 fn binary_result(
     op: Binary,
     left: &CompiledExpression,
@@ -311,15 +318,15 @@
             Some((T::Bool, compare, Size::default()))
         }
         (Add, T::Text | T::Bytes, y) if left.kind == *y => {
-            let most = left_size + right_size;
-            let size = Size { most, item: None };
-            Some((left.kind.clone(), cost::build(most), size))
+            let bound = left_size + right_size;
+            let size = Size { bound, item: None };
+            Some((left.kind.clone(), cost::build(bound), size))
         }
         (Add, T::List(_), y) if left.kind == *y => {
-            let most = left.size.most + right.size.most;
+            let bound = left.size.bound + right.size.bound;
             let item = left.size.item().max(&right.size.item());
-            let size = Size::list(most, item);
-            Some((left.kind.clone(), cost::build(24 * most), size))
+            let size = Size::list(bound, item);
+            Some((left.kind.clone(), cost::build(24 * bound), size))
         }
         (Add | Sub | Mul | Div | Rem, T::Int, T::Int) => plain(T::Int),
         (Add | Sub | Mul | Div, T::Float, T::Float) => plain(T::Float),
--- a/crates/rules/src/compile/price.rs
+++ b/crates/rules/src/compile/price.rs
@@ -1,10 +1,11 @@
-//! The cost of functions.
+//! Cost of functions.
 
 use super::VALUE_MAX;
 use super::node::Function;
 use crate::cost;
 
-/// Units of a function beside its step, given the sizes of its arguments in bytes.
+/// Returns the cost of a function in units, in addition to its step, given the sizes of its
+/// arguments in bytes.
 pub fn price(func: Function, sizes: &[u64]) -> u64 {
     let of = |place: usize| sizes.get(place).copied().unwrap_or(0);
     match func {
@@ -13,7 +14,7 @@
         Function::Contains => cost::search(of(0), of(1)),
         Function::IndexOf => cost::search(of(0), of(1)) + cost::walk(of(0)),
         Function::Part | Function::Before | Function::After => cost::search(of(0), of(1)),
-        // An empty separator gives an item for each byte at most.
+        // An empty separator yields at most one item for each byte.
         Function::Split => cost::search(of(0), of(1)) + cost::build(24 * (of(0) + 1)),
         Function::Lower | Function::Upper => cost::build(of(0)) + of(0),
         Function::Hash => cost::walk(of(0)),
--- a/crates/rules/src/compile/signature.rs
+++ b/crates/rules/src/compile/signature.rs
@@ -1,4 +1,4 @@
-//! The signatures of functions and methods.
+//! Signatures of functions and methods.
 
 use super::node::Function;
 use crate::time::Part;
@@ -20,7 +20,7 @@
 }
 
 impl ParameterType {
-    /// The type that it stands for.
+    /// Returns the type of the language. `AnyList` is shown as a list of strings.
     pub(super) fn kind(self) -> Type {
         match self {
             ParameterType::Bool => Type::Bool,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether a value of this type may be given.
+    /// Returns whether an argument of the type `kind` is accepted.
     pub(super) fn fits(self, kind: &Type) -> bool {
         match self {
             ParameterType::AnyList => matches!(kind, Type::List(_)),
@@ -45,34 +45,35 @@
     }
 }
 
-/// A function or method: the first type of a method is what it is called on.
+/// The signature of a function or method. The first argument type of a method is the type of its
+/// receiver.
 #[derive(Debug)]
 pub(super) struct Signature {
     pub(super) name: &'static str,
     pub(super) method: bool,
-    pub(super) takes: &'static [ParameterType],
-    pub(super) gives: ParameterType,
+    pub(super) arguments: &'static [ParameterType],
+    pub(super) result: ParameterType,
     pub(super) func: Function,
 }
 
 const fn row(
     name: &'static str,
     method: bool,
-    takes: &'static [ParameterType],
-    gives: ParameterType,
+    arguments: &'static [ParameterType],
+    result: ParameterType,
     func: Function,
 ) -> Signature {
     Signature {
         name,
         method,
-        takes,
-        gives,
+        arguments,
+        result,
         func,
     }
 }
 
 impl Signature {
-    /// All signatures, in the order in which they are tried.
+    /// All signatures, in the order of overload resolution.
     #[rustfmt::skip]
     pub(super) const ALL: [Signature; 47] = {
         use ParameterType::*;
@@ -127,9 +128,13 @@
         ]
     };
 
-    /// The signature as diagnostics show it.
-    pub(super) fn shown(&self) -> String {
-        let kinds: Vec<_> = self.takes.iter().map(|t| t.kind().to_string()).collect();
+    /// Returns the signature as diagnostics show it, such as `string.substring(int)`.
+    pub(super) fn describe(&self) -> String {
+        let kinds: Vec<_> = self
+            .arguments
+            .iter()
+            .map(|t| t.kind().to_string())
+            .collect();
         match (self.method, kinds.split_first()) {
             (true, Some((of, rest))) => format!("{of}.{}({})", self.name, rest.join(", ")),
             _ => format!("{}({})", self.name, kinds.join(", ")),
--- a/crates/rules/src/compile/size.rs
+++ b/crates/rules/src/compile/size.rs
@@ -1,23 +1,25 @@
-//! Bounds on the size of values, from which the worst case of the cost follows.
+//! Bounds on the size of values, used to compute the worst-case cost.
 
-/// Bounds on a value: bytes of text, or items of a list and the bounds of each.
+/// Bounds on the size of a value.
 #[derive(Clone, Debug, Default)]
 pub struct Size {
-    pub(super) most: u64,
+    /// Largest number of bytes of a string or bytes value, or of items of a list.
+    pub(super) bound: u64,
+    /// Bounds on each item, if the value is a list.
     pub(super) item: Option<Box<Size>>,
 }
 
 impl Size {
-    pub(super) fn of(most: usize) -> Size {
+    pub(super) fn of(bound: usize) -> Size {
         Size {
-            most: most as u64,
+            bound: bound as u64,
             item: None,
         }
     }
 
-    pub(super) fn list(most: u64, item: Size) -> Size {
+    pub(super) fn list(bound: u64, item: Size) -> Size {
         Size {
-            most,
+            bound,
             item: Some(Box::new(item)),
         }
     }
@@ -26,10 +28,10 @@
         self.item.as_deref().cloned().unwrap_or_default()
     }
 
-    /// What [`crate::value::Value::extent`] may come to.
+    /// Returns the upper bound on [`crate::value::Value::extent`].
     pub(super) fn extent(&self) -> u64 {
-        self.item.as_ref().map_or(self.most, |item| {
-            self.most.saturating_mul(8 + item.extent())
+        self.item.as_ref().map_or(self.bound, |item| {
+            self.bound.saturating_mul(8 + item.extent())
         })
     }
 
@@ -39,7 +41,7 @@
             (a, b) => a.clone().or_else(|| b.clone()),
         };
         Size {
-            most: self.most.max(other.most),
+            bound: self.bound.max(other.bound),
             item,
         }
     }
--- a/crates/rules/src/compile/spelling.rs
+++ b/crates/rules/src/compile/spelling.rs
@@ -1,6 +1,7 @@
-//! Suggestions for misspelt names.
+//! Suggestions for misspelled names.
 
-/// The known name that is closest to this one, if it is close.
+/// Returns the known name with the smallest edit distance to `word`. Names that differ by more than
+/// one character plus a quarter of their length are not suggested.
 pub(super) fn nearest<'n>(word: &str, known: impl Iterator<Item = &'n str>) -> Option<&'n str> {
     let ranked = known
         .map(|k| (distance(word, k), k))
@@ -8,7 +9,7 @@
     ranked.min().map(|(_, k)| k)
 }
 
-/// The edit distance of two names, without regard to case.
+/// Returns the edit distance of two names, ignoring ASCII case.
 fn distance(a: &str, b: &str) -> usize {
     let b: Vec<u8> = b.bytes().map(|c| c.to_ascii_lowercase()).collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of expressions, with their place in the text.
+//! Errors in expressions, with their position in the text.
 
 use std::ops::Range;
 
@@ -6,16 +6,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{what}; expected {expected}")]
 pub struct ExpressionError {
-    /// The bytes of the expression's text that it concerns.
+    /// Byte range of the expression's text that the error refers to.
     pub at: Range<usize>,
-    /// What was found.
+    /// Description of what was found.
     pub what: String,
-    /// What was expected there.
+    /// Description of what was expected at this position.
     pub expected: String,
 }
 
 impl ExpressionError {
-    /// An error at these bytes.
+    /// Creates an error that refers to the byte range `at`.
     pub fn new(
         at: Range<usize>,
         what: impl Into<String>,
--- a/crates/rules/src/eval.rs
+++ b/crates/rules/src/eval.rs
@@ -1,7 +1,6 @@
-//! Evaluation: recursion over the compiled tree, whose depth was bounded when it was parsed. What
-//! it
-//! builds is in an arena that is reused; every step is charged to a meter, which stops it at its
-//! limit whatever worst case was computed before.
+//! Evaluation: recursion over the compiled tree, whose depth is bounded by the parser. Values that
+//! an evaluation builds are allocated in a reusable arena. Every step is charged to a meter, which
+//! stops the evaluation at its limit, regardless of the worst case that was computed before.
 
 mod functions;
 mod macros;
@@ -18,21 +17,23 @@
 use std::cmp::Ordering;
 use std::collections::HashSet;
 
-/// One evaluation or several, on one meter.
+/// Evaluates expressions over the facts of one request, with one cost meter for all of them.
 pub struct Evaluator<'a, 'x: 'a> {
     facts: &'a Facts<'x>,
     arena: &'a Bump,
+    /// Units of cost that may still be used.
     left: u64,
+    /// Current items of the macros that are being evaluated, outermost first.
     locals: [Value<'a>; MACROS_MAX],
-    /// Macros that are being walked.
-    walking: usize,
+    /// Number of macros that are being evaluated, which is their nesting depth.
+    macro_depth: usize,
 }
 
 type EvaluationResult<'a> = Result<Value<'a>, EvaluationError>;
 
-/// Reached only if a rule was compiled that has no type.
+/// Returns the error for a value whose type the compiler should have refused.
 fn unexpected_type<'a>() -> EvaluationResult<'a> {
-    debug_assert!(false, "what is compiled has a type");
+    debug_assert!(false, "the compiler checked the types of all values");
     Err(EvaluationError::NoValue)
 }
 
@@ -44,23 +45,24 @@
 }
 
 impl<'a, 'x: 'a> Evaluator<'a, 'x> {
-    /// Evaluations over these facts that may take up to `limit` units together.
+    /// Creates an evaluator over the facts. All its evaluations together may use up to `limit`
+    /// units.
     pub fn new(facts: &'a Facts<'x>, arena: &'a Bump, limit: u64) -> Evaluator<'a, 'x> {
         Evaluator {
             facts,
             arena,
             left: limit,
             locals: [Value::Bool(false); MACROS_MAX],
-            walking: 0,
+            macro_depth: 0,
         }
     }
 
-    /// Units that are left.
+    /// Returns the number of units that may still be used.
     pub fn left(&self) -> u64 {
         self.left
     }
 
-    /// Evaluates within a limit of its own, which is taken from what is left.
+    /// Evaluates an expression that may use at most `limit` units of those left.
     pub fn within(&mut self, node: &'a Node, limit: u64) -> EvaluationResult<'a> {
         let all = self.left;
         self.left = all.min(limit);
@@ -70,7 +72,7 @@
         result
     }
 
-    /// Evaluates a condition within a limit of its own.
+    /// Evaluates a condition that may use at most `limit` units of those left.
     pub fn holds(&mut self, node: &'a Node, limit: u64) -> Result<bool, EvaluationError> {
         self.within(node, limit).and_then(truth)
     }
@@ -87,7 +89,8 @@
         Ok(())
     }
 
-    /// Text, most of which is a parameter, a fact or written out, and then costs no further walk.
+    /// Evaluates an expression of type string. Parameters, facts and constants, which are the most
+    /// frequent, are read without the recursion.
     fn text(&mut self, node: &'a Node) -> Result<&'a str, EvaluationError> {
         let value = match node {
             Node::Slot(slot) => {
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Whether two texts are the same.
+    /// Evaluates both sides as strings and returns whether they are equal.
     fn same_text(&mut self, sides: &'a (Node, Node)) -> Result<bool, EvaluationError> {
         let (a, b) = (self.text(&sides.0)?, self.text(&sides.1)?);
         self.charge(cost::compare(a.len().min(b.len()) as u64))?;
@@ -139,8 +142,8 @@
             Node::HasParam(name) => return self.has_param(name),
             Node::Not(of) => Value::Bool(!truth(self.eval(of)?)?),
             Node::Minus(of) => return self.minus(of),
-            Node::And(all) => return self.joined(all, false),
-            Node::Or(all) => return self.joined(all, true),
+            Node::And(all) => return self.logical(all, false),
+            Node::Or(all) => return self.logical(all, true),
             Node::If(parts) => {
                 let (condition, yes, no) = &**parts;
                 return if truth(self.eval(condition)?)? {
@@ -173,11 +176,11 @@
                 return self.binary(*op, a, b);
             }
             Node::Call(func, nodes) => return self.call(*func, nodes),
-            Node::Loop(which, parts) => return self.walk(*which, &parts.0, &parts.1),
+            Node::Loop(which, parts) => return self.evaluate_macro(*which, &parts.0, &parts.1),
         })
     }
 
-    /// The name of a parameter, and the cost of finding it.
+    /// Evaluates the name of a parameter and charges the cost of finding the parameter.
     fn param_name(&mut self, name: &'a Node) -> Result<&'a str, EvaluationError> {
         let name = self.text(name)?;
         self.charge(cost::find(
@@ -233,7 +236,7 @@
         Ok(Value::Bool(set.contains(&value)))
     }
 
-    /// `startsWith` and `endsWith`, without the walk of other calls.
+    /// Evaluates `startsWith` and `endsWith` without the generic handling of calls.
     #[inline]
     fn starts_or_ends(&mut self, func: Function, nodes: &'a [Node]) -> EvaluationResult<'a> {
         let [of, part] = nodes else {
@@ -248,19 +251,19 @@
         }))
     }
 
-    /// `&&` and `||` as CEL has them: a side that decides does so whichever side it is on, also
-    /// where another errs.
-    fn joined(&mut self, all: &'a [Node], decides: bool) -> EvaluationResult<'a> {
-        let mut fault = None;
+    /// Evaluates `&&` and `||` as in CEL: an operand with the value `decides` determines the result
+    /// wherever it stands, even if another operand fails.
+    fn logical(&mut self, all: &'a [Node], decides: bool) -> EvaluationResult<'a> {
+        let mut error = None;
         for one in all {
             match self.eval(one).and_then(truth) {
                 Ok(v) if v == decides => return Ok(Value::Bool(decides)),
                 Ok(_) => {}
                 Err(EvaluationError::Cost) => return Err(EvaluationError::Cost),
-                Err(e) => fault = fault.or(Some(e)),
+                Err(e) => error = error.or(Some(e)),
             }
         }
-        fault.map_or(Ok(Value::Bool(!decides)), Err)
+        error.map_or(Ok(Value::Bool(!decides)), Err)
     }
 
     fn binary(&mut self, op: Binary, a: Value<'a>, b: Value<'a>) -> EvaluationResult<'a> {
@@ -286,7 +289,7 @@
             }
             (Binary::Less | Binary::AtMost | Binary::More | Binary::AtLeast, a, b) => {
                 self.charge(cost::compare(a.extent().min(b.extent()) as u64))?;
-                // Without an order, as with NaN, nothing is less, more or the same.
+                // NaN has no order: every comparison with it is false.
                 Bool(a.order(&b).is_some_and(|order| match op {
                     Binary::Less => order == Ordering::Less,
                     Binary::AtMost => order != Ordering::Greater,
--- a/crates/rules/src/eval/functions.rs
+++ b/crates/rules/src/eval/functions.rs
@@ -1,4 +1,4 @@
-//! Evaluation of functions.
+//! Evaluation of functions and methods.
 
 use super::{ArenaVec, EvaluationResult, Evaluator, unexpected_type};
 use crate::compile::{Function, Node, VALUE_MAX, price};
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Functions of texts, bytes, lists and parameters; `count` of the arguments are given.
+    /// Evaluates functions of strings, bytes, lists and parameters. The first `count` entries of
+    /// `given` are arguments of the call.
     fn text_function(
         &mut self,
         func: Function,
@@ -100,7 +101,7 @@
         })
     }
 
-    /// The pieces between separators, or the characters where the separator is empty.
+    /// Returns the list of pieces between separators, or of characters if the separator is empty.
     fn split(&mut self, text: &'a str, by: &'a str) -> Value<'a> {
         let mut items = ArenaVec::new_in(self.arena);
         if by.is_empty() {
@@ -112,14 +113,14 @@
         Value::List(items.into_bump_slice())
     }
 
-    /// Conversions between types.
+    /// Evaluates a conversion between types.
     fn convert(&mut self, func: Function, value: Value<'a>) -> EvaluationResult<'a> {
         use Value::*;
         Ok(match (func, value) {
             (Function::ToInt, Text(text)) => {
                 Int(text.parse().map_err(|_| EvaluationError::NoValue)?)
             }
-            // Beyond these a double has no neighbour that is an int; NaN is within nothing.
+            // Outside this range a double has no int value. NaN is not in the range.
             (Function::ToInt, Float(v))
                 if (-9_223_372_036_854_775_808.0..9_223_372_036_854_775_808.0).contains(&v) =>
             {
@@ -131,7 +132,7 @@
                 Float(text.parse().map_err(|_| EvaluationError::NoValue)?)
             }
             (Function::ToFloat, Int(v)) => Float(v as f64),
-            (Function::ToText, value) => self.printed(value)?,
+            (Function::ToText, value) => self.print_value(value)?,
             (Function::ToBytes, Text(text)) => Bytes(text.as_bytes()),
             (Function::ToSpan, Text(text)) => {
                 Span(time::span(text).ok_or(EvaluationError::NoValue)?)
@@ -146,7 +147,8 @@
         })
     }
 
-    pub(super) fn printed(&mut self, value: Value<'a>) -> EvaluationResult<'a> {
+    /// Converts a value to a string.
+    pub(super) fn print_value(&mut self, value: Value<'a>) -> EvaluationResult<'a> {
         if let Value::Bytes(bytes) = value {
             return str::from_utf8(bytes)
                 .map(Value::Text)
@@ -158,7 +160,7 @@
     }
 }
 
-/// A part of a time or a duration.
+/// Returns a part of a time or a duration.
 fn part_of_time<'a>(func: Function, value: Value<'a>) -> EvaluationResult<'a> {
     use Value::*;
     Ok(match (func, value) {
@@ -169,13 +171,14 @@
     })
 }
 
-/// The offset of the first occurrence of a text in another.
+/// Returns the byte offset of the first occurrence of `mark` in `text`.
 fn find(text: &str, mark: &str) -> Result<usize, EvaluationError> {
     memchr::memmem::find(text.as_bytes(), mark.as_bytes()).ok_or(EvaluationError::Range)
 }
 
-/// The same number for the same text on every machine and in every version: FNV-1a over its bytes,
-/// mixed so that texts that differ in their last letter fall into buckets that lie apart.
+/// Hashes a string to the same number on every machine and in every version: FNV-1a over its bytes,
+/// followed by a mixing step so that strings that differ only in the last character fall into
+/// unrelated buckets.
 pub fn stable_hash(text: &str) -> u64 {
     let fnv = text.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
@@ -184,7 +187,8 @@
     mixed ^ (mixed >> 33)
 }
 
-/// The letters from one place up to another, counted in code points.
+/// Returns the substring between two indices, counted in code points; `None` if an index is out of
+/// range.
 fn substring(text: &str, from: i64, to: Option<i64>) -> Option<&str> {
     let from = usize::try_from(from).ok()?;
     let mut places = text.char_indices().map(|(at, _)| at).chain([text.len()]);
@@ -201,7 +205,7 @@
     Some(&text[start..end])
 }
 
-/// The pieces between separators.
+/// Returns the pieces of `text` between occurrences of the separator `by`, which is not empty.
 fn pieces<'t>(text: &'t str, by: &'t str) -> impl Iterator<Item = &'t str> {
     let finder = memchr::memmem::Finder::new(by.as_bytes());
     let mut rest = Some(text);
--- a/crates/rules/src/eval/macros.rs
+++ b/crates/rules/src/eval/macros.rs
@@ -6,7 +6,8 @@
 use crate::value::{EvaluationError, Value};
 
 impl<'a, 'x: 'a> Evaluator<'a, 'x> {
-    pub(super) fn walk(
+    /// Evaluates a macro over a list, or over the names of the parameters.
+    pub(super) fn evaluate_macro(
         &mut self,
         which: Macro,
         range: &'a Node,
@@ -23,24 +24,26 @@
             }
             _ => return unexpected_type(),
         };
-        let place = self.walking;
+        let place = self.macro_depth;
         if place >= MACROS_MAX {
             return unexpected_type();
         }
-        self.walking += 1;
-        let result = self.rounds(which, items, body, place);
-        self.walking = place;
+        self.macro_depth += 1;
+        let result = self.iterate(which, items, body, place);
+        self.macro_depth = place;
         result
     }
 
-    pub(super) fn rounds(
+    /// Evaluates the body for each item and combines the results. `place` is the index of the
+    /// macro's variable in `locals`.
+    pub(super) fn iterate(
         &mut self,
         which: Macro,
         items: &'a [Value<'a>],
         body: &'a Node,
         place: usize,
     ) -> EvaluationResult<'a> {
-        let mut fault = None;
+        let mut error = None;
         let mut built = ArenaVec::new_in(self.arena);
         if matches!(which, Macro::Map | Macro::Filter) {
             self.charge(cost::build(24 * items.len() as u64))?;
@@ -52,8 +55,8 @@
             let value = self.eval(body);
             match (which, value) {
                 (_, Err(EvaluationError::Cost)) => return Err(EvaluationError::Cost),
-                // As with && and ||, one item that decides does so though another errs.
-                (Macro::All | Macro::Exists, Err(e)) => fault = fault.or(Some(e)),
+                // As with && and ||, one item can determine the result although another fails.
+                (Macro::All | Macro::Exists, Err(e)) => error = error.or(Some(e)),
                 (Macro::Map | Macro::Filter, Err(e)) => return Err(e),
                 (Macro::Map, Ok(value)) => built.push(value),
                 (Macro::All, Ok(Value::Bool(false))) => return Ok(Value::Bool(false)),
@@ -63,8 +66,8 @@
                 _ => return unexpected_type(),
             }
         }
-        match (which, fault) {
-            (_, Some(fault)) => Err(fault),
+        match (which, error) {
+            (_, Some(error)) => Err(error),
             (Macro::All, _) => Ok(Value::Bool(true)),
             (Macro::Exists, _) => Ok(Value::Bool(false)),
             _ => Ok(Value::List(built.into_bump_slice())),
--- a/crates/rules/src/facts.rs
+++ b/crates/rules/src/facts.rs
@@ -1,58 +1,58 @@
-//! The facts of a request, on which rules decide.
+//! Facts of a request that rules can use.
 
 use crate::value::{EvaluationError, Type, Value};
 use smallvec::SmallVec;
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// The most parameters that a macro or a computed name can reach; a request with more of them errs
-/// there.
+/// Largest number of parameters of a request that a macro or a computed name can access. With more
+/// parameters this access fails.
 pub const PAIRS_MAX: usize = 64;
-/// The most bytes of a parameter that is not declared: what a request's parameters may take
-/// together.
+/// Largest size, in bytes, of a parameter whose length is not declared. It equals the limit on all
+/// parameters of a request together.
 pub const PARAM_MAX: usize = 4096;
-/// The largest body, in bytes.
+/// Largest size of a request body, in bytes.
 pub const BODY_MAX: usize = 2048;
-/// The longest SPIFFE id, in bytes.
+/// Longest SPIFFE ID, in bytes.
 const ID_MAX: usize = 2048;
 
-/// A fact with a name.
+/// The name of a fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Name {
-    /// The operation that the request names.
+    /// Operation of the request.
     Operation,
-    /// Its tenant.
+    /// Tenant of the request.
     Tenant,
-    /// SCRIPT_NAME, or what takes its place in another protocol.
+    /// SCRIPT_NAME, or its equivalent in another protocol.
     Script,
-    /// The method.
+    /// Request method, such as `POST`.
     Method,
-    /// The protocol.
+    /// Protocol over which the request arrived.
     Front,
-    /// The expected work.
+    /// Expected work of the request, as a duration on one core.
     Estimate,
-    /// The booked memory, in KB.
+    /// Memory booked for the request, in KB.
     Need,
-    /// The rank, from 0 to 1.
+    /// Rank of the request, from 0 to 1.
     Rank,
-    /// The load balancer's number.
+    /// Number of the load balancer that forwarded the request.
     Peer,
-    /// When it arrived at the machine.
+    /// Time at which the request arrived at the machine.
     Arrived,
-    /// The body.
+    /// Body of the request.
     Body,
-    /// The address that it was sent from.
+    /// IP address of the caller.
     Address,
-    /// The sender's SPIFFE id.
+    /// SPIFFE ID of the caller.
     CallerId,
-    /// The trust domain of that id.
+    /// Trust domain of the caller's SPIFFE ID.
     CallerDomain,
-    /// The path of that id.
+    /// Path of the caller's SPIFFE ID.
     CallerPath,
 }
 
 impl Name {
-    /// All, as they are written.
+    /// All facts, with their names in expressions.
     pub const ALL: [(&'static str, Name); 15] = [
         ("operation", Name::Operation),
         ("tenant", Name::Tenant),
@@ -71,7 +71,7 @@
         ("caller.path", Name::CallerPath),
     ];
 
-    /// As it is written.
+    /// Returns the name of the fact in expressions.
     pub fn text(self) -> &'static str {
         Name::ALL
             .iter()
@@ -79,7 +79,7 @@
             .map_or("", |(text, _)| text)
     }
 
-    /// Its type.
+    /// Returns the type of the fact.
     pub fn kind(self) -> Type {
         match self {
             Name::Estimate => Type::Span,
@@ -92,7 +92,8 @@
         }
     }
 
-    /// The most bytes that it has, where that does not follow from the settings.
+    /// Returns the largest size of the fact in bytes if the settings do not limit it further, or 0
+    /// if its type has a fixed size.
     pub fn most(self) -> usize {
         match self {
             Name::Body => BODY_MAX,
@@ -104,52 +105,52 @@
     }
 }
 
-/// The sender of a request, as far as its identity was proven.
+/// The verified identity of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller<'a> {
-    /// The whole id.
+    /// Complete SPIFFE ID.
     pub id: &'a str,
-    /// Its trust domain.
+    /// Trust domain of the SPIFFE ID.
     pub trust_domain: &'a str,
-    /// Its path.
+    /// Path of the SPIFFE ID.
     pub path: &'a str,
 }
 
-/// A request as rules see it.
+/// The facts of a request over which rules are evaluated.
 #[derive(Clone, Debug, Default)]
 pub struct Facts<'a> {
-    /// The operation that it names, if the settings have it.
+    /// Operation of the request, if the settings have this operation.
     pub operation: Option<&'a str>,
-    /// Its tenant, if the settings have it.
+    /// Tenant of the request, if the settings have this tenant.
     pub tenant: Option<&'a str>,
-    /// SCRIPT_NAME, or what takes its place in another protocol.
+    /// SCRIPT_NAME, or its equivalent in another protocol.
     pub script: &'a str,
-    /// The method.
+    /// Request method, such as `POST`.
     pub method: &'a str,
-    /// The protocol that it came over.
+    /// Protocol over which the request arrived.
     pub front: &'a str,
-    /// The expected work, in nanoseconds on one core.
+    /// Expected work, in nanoseconds on one core.
     pub estimate: Option<i64>,
-    /// The memory that is booked, in KB.
+    /// Memory booked for the request, in KB.
     pub need: Option<f64>,
-    /// The rank, from 0 to 1.
+    /// Rank of the request, from 0 to 1.
     pub rank: Option<f64>,
-    /// The load balancer's number.
+    /// Number of the load balancer that forwarded the request.
     pub peer: Option<u64>,
-    /// When it arrived at the machine, in nanoseconds since the Unix epoch.
+    /// Time at which the request arrived at the machine, in nanoseconds since the Unix epoch.
     pub arrived: i64,
-    /// The body.
+    /// Body of the request.
     pub body: &'a [u8],
-    /// Where it was sent from.
+    /// IP address of the caller.
     pub address: Option<IpAddr>,
-    /// Who sent it.
+    /// Verified identity of the caller.
     pub caller: Option<Caller<'a>>,
-    /// Its parameters.
+    /// Parameters that rules may use.
     pub params: Params<'a>,
 }
 
 impl<'a> Facts<'a> {
-    /// A fact's value, if this request has it.
+    /// Returns the value of a fact, or `None` if the request does not have it.
     pub fn get(&self, name: Name) -> Option<Value<'a>> {
         Some(match name {
             Name::Operation => Value::Text(self.operation?),
@@ -171,81 +172,83 @@
     }
 }
 
-/// Which parameters rules name, each with its place among the slots and the most bytes it may have.
+/// Parameters that rules name, each with its slot and its largest size in bytes.
 #[derive(Clone, Debug, Default)]
 pub struct ParamNames {
     names: Vec<(Box<str>, usize)>,
-    places: HashMap<Box<str>, u16>,
-    /// Whether a rule walks over parameters or computes a name.
-    walks: bool,
+    slots_by_name: HashMap<Box<str>, u16>,
+    /// Whether a rule iterates over all parameters or computes a parameter's name.
+    needs_all: bool,
 }
 
 impl ParamNames {
-    /// The slot of a name, which is made if there is none.
+    /// Returns the slot of a parameter. A name without a slot gets a new one, with `most` as the
+    /// largest size of the value in bytes.
     pub fn slot(&mut self, name: &str, most: usize) -> u16 {
-        if let Some(slot) = self.places.get(name) {
+        if let Some(slot) = self.slots_by_name.get(name) {
             return *slot;
         }
         let slot = self.names.len() as u16;
         self.names.push((name.into(), most));
-        self.places.insert(name.into(), slot);
+        self.slots_by_name.insert(name.into(), slot);
         slot
     }
 
-    /// The place of a name; a few are found sooner one by one than by hash.
-    fn place(&self, name: &[u8]) -> Option<usize> {
+    /// Returns the slot of a name. For up to 8 names a linear search is faster than hashing.
+    fn slot_of(&self, name: &[u8]) -> Option<usize> {
         if self.names.len() <= 8 {
             return self.names.iter().position(|(n, _)| n.as_bytes() == name);
         }
-        self.places
+        self.slots_by_name
             .get(str::from_utf8(name).ok()?)
             .map(|slot| usize::from(*slot))
     }
 
-    /// Slots in use.
+    /// Returns the number of slots in use.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether no parameter is named.
+    /// Returns whether no rule names a parameter.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
-    /// The name of a slot.
+    /// Returns the name of the parameter in a slot.
     pub fn name(&self, slot: u16) -> &str {
         self.names
             .get(usize::from(slot))
             .map_or("", |(name, _)| name)
     }
 
-    /// From now on all parameters are picked.
-    pub fn walked(&mut self) {
-        self.walks = true;
+    /// Makes [`ParamNames::pick`] keep all parameters, not only those with a slot.
+    pub fn require_all(&mut self) {
+        self.needs_all = true;
     }
 
-    /// Picks what rules may ask for out of a request's parameters, in one pass; text is checked
-    /// here, once. Of parameters with one name the last counts, as everywhere in the node.
+    /// Selects the parameters of a request that rules may use, in one pass. Sizes and UTF-8 are
+    /// checked here, once. If a name occurs more than once, the last value is used, as everywhere
+    /// in the node.
     pub fn pick<'a>(&self, pairs: impl Iterator<Item = (&'a [u8], &'a [u8])>) -> Params<'a> {
         let mut params = Params {
             slots: SmallVec::from_elem(None, self.names.len()),
             ..Params::default()
         };
-        if self.names.is_empty() && !self.walks {
+        if self.names.is_empty() && !self.needs_all {
             return params;
         }
         for (name, value) in pairs {
-            if let Some(at) = self.place(name) {
-                params.slots[at] = Some(text(value, self.names[at].1));
+            if let Some(at) = self.slot_of(name) {
+                params.slots[at] = Some(checked_text(value, self.names[at].1));
             }
-            if self.walks {
+            if self.needs_all {
                 params.pairs.retain(|(n, _)| n.as_bytes() != name);
                 match str::from_utf8(name) {
                     Ok(name) if params.pairs.len() < PAIRS_MAX => {
-                        params.pairs.push((name, text(value, PARAM_MAX)));
+                        params.pairs.push((name, checked_text(value, PARAM_MAX)));
                     }
-                    Ok(_) => params.fault = Some(EvaluationError::TooLong),
-                    Err(_) => params.fault = Some(EvaluationError::NoText),
+                    Ok(_) => params.incomplete = Some(EvaluationError::TooLong),
+                    Err(_) => params.incomplete = Some(EvaluationError::NoText),
                 }
             }
         }
@@ -253,24 +256,25 @@
     }
 }
 
-fn text(value: &[u8], most: usize) -> Result<&str, EvaluationError> {
+/// Checks that a parameter value is UTF-8 of at most `most` bytes.
+fn checked_text(value: &[u8], most: usize) -> Result<&str, EvaluationError> {
     if value.len() > most {
         return Err(EvaluationError::TooLong);
     }
     str::from_utf8(value).map_err(|_| EvaluationError::NoText)
 }
 
-/// A request's parameters, as far as rules may ask for them.
+/// Parameters of a request that rules may use.
 #[derive(Clone, Debug, Default)]
 pub struct Params<'a> {
     slots: SmallVec<[Option<Result<&'a str, EvaluationError>>; 16]>,
     pairs: SmallVec<[(&'a str, Result<&'a str, EvaluationError>); 1]>,
-    /// Why not all of them can be walked.
-    fault: Option<EvaluationError>,
+    /// Reason why `pairs` does not contain all parameters.
+    incomplete: Option<EvaluationError>,
 }
 
 impl<'a> Params<'a> {
-    /// The value in a slot.
+    /// Returns the value of the parameter in a slot.
     pub fn slot(&self, slot: u16) -> Result<&'a str, EvaluationError> {
         self.slots
             .get(usize::from(slot))
@@ -279,45 +283,49 @@
             .unwrap_or(Err(EvaluationError::Absent))
     }
 
-    /// Whether a slot has a value, be it good or not.
+    /// Returns whether the request has the parameter of a slot, even if its value is invalid.
     pub fn has_slot(&self, slot: u16) -> bool {
         self.slots
             .get(usize::from(slot))
             .is_some_and(|value| value.is_some())
     }
 
-    /// All names, if they can be walked.
+    /// Returns the names of all parameters.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there are more than [`PAIRS_MAX`] parameters or a name is not UTF-8.
     pub fn names(&self) -> Result<impl ExactSizeIterator<Item = &'a str>, EvaluationError> {
-        self.fault
+        self.incomplete
             .map_or(Ok(self.pairs.iter().map(|(name, _)| *name)), Err)
     }
 
-    /// How many there are.
+    /// Returns the number of parameters kept for access by computed names and macros.
     pub fn len(&self) -> usize {
         self.pairs.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether no parameters are kept for access by computed names and macros.
     pub fn is_empty(&self) -> bool {
         self.pairs.is_empty()
     }
 
-    /// The value of a name.
+    /// Returns the value of the parameter with a computed name.
     pub fn find(&self, name: &str) -> Result<&'a str, EvaluationError> {
         let found = self.pairs.iter().find(|(n, _)| *n == name);
         found.map_or(
-            Err(self.fault.unwrap_or(EvaluationError::Absent)),
+            Err(self.incomplete.unwrap_or(EvaluationError::Absent)),
             |(_, value)| *value,
         )
     }
 
-    /// Whether there is a parameter of this name.
+    /// Returns whether there is a parameter with a computed name.
     pub fn has(&self, name: &str) -> Result<bool, EvaluationError> {
         let found = self.pairs.iter().any(|(n, _)| *n == name);
         if found {
             Ok(true)
         } else {
-            self.fault.map_or(Ok(false), Err)
+            self.incomplete.map_or(Ok(false), Err)
         }
     }
 }
--- a/crates/rules/src/index.rs
+++ b/crates/rules/src/index.rs
@@ -1,12 +1,14 @@
-//! Which rules may match a request, without evaluating each. Every rule whose condition is, or
-//! joins by `&&`, an equality, a prefix or a set of addresses is filed under it; only those filed
-//! under what a request brings, and those filed nowhere, are evaluated, in the order of the file. A
-//! rule left out would not have matched: the part under which it is filed is false or errs, and
-//! with it the whole.
+//! Index that finds the rules that may match a request without evaluating all of them.
+//!
+//! A rule whose condition is an equality, a prefix test or a membership test in a set of addresses,
+//! or contains such a test as an operand of a top-level `&&`, is indexed under one such test. Only
+//! the rules whose indexed test holds for the request, and the rules that are not indexed, are
+//! evaluated, in the order of the file. A rule that is left out cannot match: its indexed test is
+//! false or fails, and so the whole condition is false or fails.
 
 mod trie;
 
-use crate::address::{self, AddressSet, NETWORKS_FILED};
+use crate::address::{self, AddressSet, INDEXED_NETWORKS_MAX};
 use crate::compile::Node;
 use crate::facts::{Facts, Name};
 use crate::syntax::Binary;
@@ -18,21 +20,22 @@
 use std::sync::Arc;
 use trie::Trie;
 
-/// Sets of many networks are looked up as a whole, and at most this many such sets.
-const SETS_ASKED: usize = 8;
-/// About the bytes of a trie node for an IPv4 network, with its list.
+/// Largest number of sets of more than [`INDEXED_NETWORKS_MAX`] networks that the index searches
+/// for each request. Rules with further such sets are not indexed.
+const LARGE_SETS_MAX: usize = 8;
+/// Approximate size, in bytes, of a trie node for an IPv4 network with its list of rules.
 const NETWORK_BYTES_V4: usize = 60;
-/// The same for an IPv6 network.
+/// Approximate size, in bytes, of a trie node for an IPv6 network with its list of rules.
 const NETWORK_BYTES_V6: usize = 90;
-/// The most values of one `in` list under which a rule is filed.
-const VALUES_FILED: usize = 256;
+/// Largest number of values of an `in` list under which a rule is indexed.
+const INDEXED_VALUES_MAX: usize = 256;
 
-/// A text of a request that rules compare.
+/// A string of a request by which rules are indexed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Field {
-    /// A fact.
+    /// A fact of type string.
     Fact(Name),
-    /// A parameter.
+    /// The parameter in a slot.
     Slot(u16),
 }
 
@@ -56,20 +59,20 @@
     }
 }
 
-/// What a rule is filed under.
+/// The test under which a rule is indexed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum IndexKey {
-    /// A field has one of these values.
+    /// The field has one of these values.
     Equal(Field, Vec<Box<str>>),
-    /// A field begins so.
+    /// The field starts with this prefix.
     Prefix(Field, Box<str>),
-    /// The caller's address is in this set.
+    /// The address of the caller is in this set.
     Within(Arc<AddressSet>),
-    /// Nothing: it is always evaluated.
+    /// The rule is not indexed and is evaluated for every request.
     Nothing,
 }
 
-/// All that a condition could be filed under.
+/// Collects all tests under which a condition could be indexed.
 fn index_keys(node: &Node, found: &mut Vec<IndexKey>) {
     match node {
         Node::And(all) => all.iter().for_each(|one| index_keys(one, found)),
@@ -80,7 +83,7 @@
             };
             found.extend(field.map(|field| IndexKey::Equal(field, vec![text.clone()])));
         }
-        Node::InTexts(of, set) if set.len() <= VALUES_FILED => {
+        Node::InTexts(of, set) if set.len() <= INDEXED_VALUES_MAX => {
             let mut values: Vec<_> = set.iter().cloned().collect();
             values.sort_unstable();
             found.extend(Field::of(of).map(|field| IndexKey::Equal(field, values)));
@@ -103,7 +106,7 @@
 
 type RuleList = Vec<u32>;
 
-/// Rules by what they are filed under.
+/// Rules, by the test under which they are indexed. Lists hold rule numbers in ascending order.
 #[derive(Debug, Default)]
 pub struct Index {
     equal: Vec<(Field, HashMap<Box<str>, RuleList>)>,
@@ -111,11 +114,13 @@
     ipv4: PrefixMap<Ipv4Net, RuleList>,
     ipv6: PrefixMap<Ipv6Net, RuleList>,
     sets: Vec<(Arc<AddressSet>, RuleList)>,
-    rest: RuleList,
-    /// What each rule is filed under, by a number of its kind; for explanations.
+    /// Rules that are not indexed.
+    unindexed: RuleList,
+    /// Position in [`KINDS`] of the kind of each rule's test, for explanations.
     kinds: Vec<u8>,
 }
 
+/// Kinds of indexed tests, as explanations show them.
 const KINDS: [&str; 5] = [
     "equality",
     "prefix",
@@ -125,7 +130,7 @@
 ];
 
 impl Index {
-    /// Files conditions, in their order.
+    /// Builds the index of rules with these conditions, given in the order of the file.
     pub fn new<'n>(conditions: impl Iterator<Item = &'n Node>) -> Index {
         let found: Vec<Vec<IndexKey>> = conditions
             .map(|node| {
@@ -134,34 +139,35 @@
                 found
             })
             .collect();
-        // A rule goes where the fewest others could: under the value, prefix or set that the fewest
-        // rules name.
-        let mut named: BTreeMap<(Field, &str, bool), usize> = BTreeMap::new();
+        // A rule is indexed under the value, prefix or set that the fewest rules name, so that each
+        // list is short.
+        let mut name_counts: BTreeMap<(Field, &str, bool), usize> = BTreeMap::new();
         for key in found.iter().flatten() {
             match key {
                 IndexKey::Equal(field, values) => {
                     values
                         .iter()
-                        .for_each(|v| *named.entry((*field, v, false)).or_default() += 1);
+                        .for_each(|v| *name_counts.entry((*field, v, false)).or_default() += 1);
                 }
                 IndexKey::Prefix(field, prefix) => {
-                    *named.entry((*field, prefix, true)).or_default() += 1
+                    *name_counts.entry((*field, prefix, true)).or_default() += 1
                 }
                 IndexKey::Within(_) | IndexKey::Nothing => {}
             }
         }
-        let sharing = |key: &IndexKey| match key {
+        let selectivity = |key: &IndexKey| match key {
             IndexKey::Equal(field, values) => (
                 values
                     .iter()
-                    .map(|v| named[&(*field, &**v, false)])
+                    .map(|v| name_counts[&(*field, &**v, false)])
                     .max()
                     .unwrap_or(0),
                 values.len(),
             ),
-            IndexKey::Prefix(field, prefix) => {
-                (named[&(*field, &**prefix, true)] + 1, 4 * prefix.len())
-            }
+            IndexKey::Prefix(field, prefix) => (
+                name_counts[&(*field, &**prefix, true)] + 1,
+                4 * prefix.len(),
+            ),
             IndexKey::Within(set) => (2, set.len()),
             IndexKey::Nothing => (usize::MAX, 0),
         };
@@ -169,19 +175,19 @@
             .iter()
             .map(|all| {
                 all.iter()
-                    .min_by_key(|a| sharing(a))
+                    .min_by_key(|a| selectivity(a))
                     .cloned()
                     .unwrap_or(IndexKey::Nothing)
             })
             .collect();
         let mut index = Index::default();
         for (rule, key) in chosen.into_iter().enumerate() {
-            index.file(rule as u32, key);
+            index.insert(rule as u32, key);
         }
         index
     }
 
-    fn file(&mut self, rule: u32, key: IndexKey) {
+    fn insert(&mut self, rule: u32, key: IndexKey) {
         let kind = match key {
             IndexKey::Equal(field, values) => {
                 let place = self
@@ -209,30 +215,30 @@
                 self.prefix[place].1.insert(prefix.as_bytes(), rule);
                 1
             }
-            IndexKey::Within(set) => self.file_set(rule, set),
+            IndexKey::Within(set) => self.insert_set(rule, set),
             IndexKey::Nothing => {
-                self.rest.push(rule);
+                self.unindexed.push(rule);
                 4
             }
         };
         self.kinds.push(kind);
     }
 
-    fn file_set(&mut self, rule: u32, set: Arc<AddressSet>) -> u8 {
-        if let Some((_, filed)) = self
+    fn insert_set(&mut self, rule: u32, set: Arc<AddressSet>) -> u8 {
+        if let Some((_, rules)) = self
             .sets
             .iter_mut()
             .find(|(known, _)| Arc::ptr_eq(known, &set))
         {
-            filed.push(rule);
+            rules.push(rule);
             return 3;
         }
-        if set.len() > NETWORKS_FILED {
-            if self.sets.len() < SETS_ASKED {
+        if set.len() > INDEXED_NETWORKS_MAX {
+            if self.sets.len() < LARGE_SETS_MAX {
                 self.sets.push((set, vec![rule]));
                 return 3;
             }
-            self.rest.push(rule);
+            self.unindexed.push(rule);
             return 4;
         }
         for net in set.networks() {
@@ -244,20 +250,21 @@
         2
     }
 
-    /// Lists of rules that may match; a rule may be in two lists if networks of its set overlap.
+    /// Returns the lists of rules that may match. A rule can be in two lists if networks of its set
+    /// overlap.
     fn lists<'i>(&'i self, facts: &Facts<'_>) -> SmallVec<[&'i [u32]; 16]> {
         let mut lists: SmallVec<[&[u32]; 16]> = SmallVec::new();
-        if !self.rest.is_empty() {
-            lists.push(&self.rest);
+        if !self.unindexed.is_empty() {
+            lists.push(&self.unindexed);
         }
         for (field, values) in &self.equal {
-            if let Some(filed) = field.value(facts).and_then(|value| values.get(value)) {
-                lists.push(filed);
+            if let Some(rules) = field.value(facts).and_then(|value| values.get(value)) {
+                lists.push(rules);
             }
         }
         for (field, trie) in &self.prefix {
             if let Some(value) = field.value(facts) {
-                trie.visit(value.as_bytes(), |filed| lists.push(filed));
+                trie.visit(value.as_bytes(), |rules| lists.push(rules));
             }
         }
         if let Some(address) = facts.address.map(address::plain) {
@@ -270,12 +277,12 @@
                 }
             }
             let sets = self.sets.iter().filter(|(set, _)| set.contains(address));
-            lists.extend(sets.map(|(_, filed)| filed.as_slice()));
+            lists.extend(sets.map(|(_, rules)| rules.as_slice()));
         }
         lists
     }
 
-    /// The rules that may match, in the order of the file.
+    /// Returns the rules that may match, in the order of the file and without duplicates.
     pub fn candidates(&self, facts: &Facts<'_>) -> impl Iterator<Item = u32> {
         let mut lists = self.lists(facts);
         std::iter::from_fn(move || {
@@ -295,15 +302,16 @@
         })
     }
 
-    /// The kind of what a rule is filed under.
+    /// Returns the kind of the test under which a rule is indexed.
     pub fn kind(&self, rule: usize) -> &'static str {
         self.kinds
             .get(rule)
             .map_or("nothing", |kind| KINDS[usize::from(*kind)])
     }
 
-    /// The most that the rules evaluated for one request may cost, given the cost of each: the sum
-    /// over all rules filed nowhere and the dearest list of each other kind.
+    /// Returns the worst-case cost, in units, of the rules evaluated for one request, given the
+    /// cost of each rule: the sum over all rules that are not indexed and over the most expensive
+    /// lists of each kind that one request can select.
     pub fn max_cost(&self, cost: impl Fn(u32) -> u64) -> u64 {
         let sum = |list: &[u32]| list.iter().map(|rule| cost(*rule)).sum::<u64>();
         let equal = self
@@ -311,28 +319,29 @@
             .iter()
             .map(|(_, v)| v.values().map(|f| sum(f)).max().unwrap_or(0))
             .sum::<u64>();
-        // Prefixes and networks nest, so that the lists of a whole path come together.
+        // Prefixes and networks nest, so one request can select the lists of a whole path.
         let prefix = self
             .prefix
             .iter()
             .map(|(_, trie)| Self::worst_path(trie, 0, &sum))
             .sum::<u64>();
-        let ipv4 = nested(
+        let ipv4 = costliest_chain(
             self.ipv4
                 .iter()
-                .map(|(net, filed)| (IpNet::V4(net), sum(filed))),
+                .map(|(net, rules)| (IpNet::V4(net), sum(rules))),
         );
-        let ipv6 = nested(
+        let ipv6 = costliest_chain(
             self.ipv6
                 .iter()
-                .map(|(net, filed)| (IpNet::V6(net), sum(filed))),
+                .map(|(net, rules)| (IpNet::V6(net), sum(rules))),
         );
-        let sets = self.sets.iter().map(|(_, filed)| sum(filed)).sum::<u64>();
-        sum(&self.rest) + equal + prefix + ipv4.max(ipv6) + sets
+        let sets = self.sets.iter().map(|(_, rules)| sum(rules)).sum::<u64>();
+        sum(&self.unindexed) + equal + prefix + ipv4.max(ipv6) + sets
     }
 
+    /// Returns the cost of the most expensive path from the root of a trie.
     fn worst_path(trie: &Trie, root: usize, sum: &impl Fn(&[u32]) -> u64) -> u64 {
-        // Depth is bounded by the longest prefix, so that a stack of its own is used and no
+        // The depth is bounded only by the longest prefix, so an explicit stack is used instead of
         // recursion.
         let (mut most, mut open) = (0, vec![(root, 0)]);
         while let Some((at, above)) = open.pop() {
@@ -348,25 +357,26 @@
         most
     }
 
-    /// Bytes that it takes.
+    /// Returns the approximate memory of the index, in bytes.
     pub fn bytes(&self) -> usize {
-        let filed = |f: &RuleList| 4 * f.capacity() + 16;
+        let list_bytes = |f: &RuleList| 4 * f.capacity() + 16;
         let values = |m: &HashMap<Box<str>, RuleList>| -> usize {
             m.capacity() * (size_of::<(Box<str>, RuleList)>() + 1)
                 + m.iter()
-                    .map(|(k, f)| k.len() + 16 + filed(f))
+                    .map(|(k, f)| k.len() + 16 + list_bytes(f))
                     .sum::<usize>()
         };
         let equal: usize = self.equal.iter().map(|(_, m)| values(m)).sum();
         let prefix: usize = self.prefix.iter().map(|(_, t)| t.bytes()).sum();
         let nets = self.ipv4.len() * NETWORK_BYTES_V4 + self.ipv6.len() * NETWORK_BYTES_V6;
-        let sets: usize = self.sets.iter().map(|(_, f)| filed(f) + 40).sum();
-        equal + prefix + nets + sets + filed(&self.rest) + self.kinds.len()
+        let sets: usize = self.sets.iter().map(|(_, f)| list_bytes(f) + 40).sum();
+        equal + prefix + nets + sets + list_bytes(&self.unindexed) + self.kinds.len()
     }
 }
 
-/// The dearest chain of networks that lie in each other, of networks in the order of the trie.
-fn nested(networks: impl Iterator<Item = (IpNet, u64)>) -> u64 {
+/// Returns the cost of the most expensive chain of nested networks. The networks come in the order
+/// of the trie, so each follows the networks that contain it.
+fn costliest_chain(networks: impl Iterator<Item = (IpNet, u64)>) -> u64 {
     let (mut most, mut open): (u64, Vec<(IpNet, u64)>) = (0, Vec::new());
     for (net, cost) in networks {
         while open.pop_if(|(above, _)| !above.contains(&net)).is_some() {}
--- a/crates/rules/src/index/trie.rs
+++ b/crates/rules/src/index/trie.rs
@@ -1,6 +1,6 @@
-//! A radix tree of the prefixes under which rules are filed.
+//! Radix tree of the prefixes under which rules are indexed.
 
-/// A trie over bytes whose edges hold more than one where there is no fork.
+/// A trie over bytes in which an edge holds several bytes where there is no fork.
 #[derive(Debug, Default)]
 pub(super) struct Trie {
     pub(super) nodes: Vec<TrieNode>,
@@ -45,7 +45,7 @@
             let label = &self.nodes[child].label;
             let shared = label.iter().zip(key).take_while(|(a, b)| a == b).count();
             if shared < label.len() {
-                // The edge forks: its lower part becomes a node of its own.
+                // The edge forks: its lower part becomes a new node.
                 let (upper, lower) = (label[..shared].into(), label[shared..].into());
                 let new = self.nodes.len() as u32;
                 let node = &mut self.nodes[child];
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Lists of rules under all prefixes of a text, and how many nodes were passed.
+    /// Passes the list of rules of each stored prefix of `text` to `sink`, shortest prefix first.
     pub(super) fn visit<'t>(&'t self, mut text: &[u8], mut sink: impl FnMut(&'t [u32])) {
         let mut at = &self.nodes[0];
         loop {
@@ -82,6 +82,7 @@
         }
     }
 
+    /// Returns the approximate memory of the trie, in bytes.
     pub(super) fn bytes(&self) -> usize {
         let of = |n: &TrieNode| {
             n.label.len() + 16 + 4 * (n.children.capacity() + n.rules.capacity()) + 32
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,11 +1,10 @@
-//! Matching expressions: typed rules that classify every request, at a known cost.
+//! Match expressions: typed rules that classify every request at a bounded cost.
 //!
 //! An expression is parsed ([`syntax`]), checked and compiled ([`compile`]), and evaluated over the
-//! facts of a request ([`facts`], [`eval`]). Rules ([`ruleset`]) are conditions in the order of a
-//! file; an index ([`index`]) leaves out those that can't match. `docs/operators/rules.md`
-//! describes
-//! the language, `docs/design/rules.md` its design. The settings load rule sets, the node evaluates
-//! them. Nothing here does I/O or knows a clock.
+//! facts of a request ([`facts`], [`eval`]). A rule set ([`ruleset`]) holds rules in the order of a
+//! file; an index ([`index`]) leaves out rules that cannot match. `docs/operators/rules.md`
+//! describes the language and `docs/design/rules.md` its design. The settings load rule sets, and
+//! the node evaluates them. This crate does no I/O and reads no clock.
 //!
 //! ```
 //! use madderpoint_rules::{Bounds, Facts, RuleLookup, RuleSet, Scratch, Vocabulary, RuleSource};
--- a/crates/rules/src/pattern.rs
+++ b/crates/rules/src/pattern.rs
@@ -1,25 +1,25 @@
-//! Regular expressions as tables: one look for each byte, whatever the pattern, and nothing
-//! allocated to match.
+//! Regular expressions compiled to DFA tables. Matching takes one table lookup for each byte of the
+//! text, whatever the pattern, and allocates nothing.
 
 use regex_automata::dfa::{Automaton, StartKind, dense};
 use regex_automata::nfa::thompson;
 use regex_automata::util::syntax;
 use regex_automata::{Anchored, Input};
 
-/// The most bytes that a pattern's table may take.
+/// Largest size of the table of a pattern, in bytes.
 pub const TABLE_MAX: usize = 64 << 10;
-/// The most bytes that building a table may use.
+/// Largest amount of memory that building a table may use, in bytes.
 const BUILD_MAX: usize = 512 << 10;
-/// The longest text of a pattern, in bytes.
+/// Longest text of a pattern, in bytes.
 const TEXT_MAX: usize = 512;
 
-/// Why a text is no pattern that can be used.
+/// The reason why a text cannot be used as a pattern.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{found}; expected {expected}")]
 pub struct PatternError {
-    /// What was found.
+    /// Description of what was found.
     pub found: String,
-    /// What was expected.
+    /// Description of what was expected.
     pub expected: String,
 }
 
@@ -30,7 +30,7 @@
         let mut cause = std::error::Error::source(error);
         while let Some(inner) = cause {
             found = inner.to_string();
-            // What was too much for the step before has no kind of its own.
+            // An exceeded limit of an earlier build step is only visible in the text of the cause.
             is_too_large |= found.contains("exceeded limit");
             cause = inner.source();
         }
@@ -40,20 +40,20 @@
                 expected: format!("a table of at most {} KiB", TABLE_MAX >> 10),
             };
         }
-        // The parser draws the pattern over several lines; the last says what is wrong.
+        // The parser prints the pattern over several lines; the last line names the error.
         let last = found
             .lines()
             .last()
             .unwrap_or_default()
             .trim_start_matches("error: ");
         PatternError {
-            found: format!("no pattern: {last}"),
+            found: format!("not a valid pattern: {last}"),
             expected: "a pattern in the syntax of RE2 over bytes".into(),
         }
     }
 }
 
-/// A pattern that is looked for anywhere in a text.
+/// A compiled pattern that is searched for anywhere in a text.
 #[derive(Debug)]
 pub struct Pattern {
     text: String,
@@ -61,11 +61,12 @@
 }
 
 impl Pattern {
-    /// Builds a pattern.
+    /// Compiles a pattern in RE2 syntax, matched over bytes.
     ///
     /// # Errors
     ///
-    /// The text is no pattern, or its table would be too large.
+    /// Fails if the text is longer than 512 bytes or is not a valid pattern, or if its table would
+    /// exceed [`TABLE_MAX`] bytes.
     pub fn new(text: &str) -> Result<Pattern, PatternError> {
         if text.len() > TEXT_MAX {
             return Err(PatternError {
@@ -100,18 +101,18 @@
         }
     }
 
-    /// Whether a text has a match anywhere.
+    /// Returns whether the pattern matches anywhere in the text.
     pub fn matches(&self, text: &str) -> bool {
         let input = Input::new(text).anchored(Anchored::No).earliest(true);
         matches!(self.table.try_search_fwd(&input), Ok(Some(_)))
     }
 
-    /// As it was written.
+    /// Returns the source text of the pattern.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Bytes that it takes.
+    /// Returns the approximate memory of the pattern, in bytes.
     pub fn bytes(&self) -> usize {
         self.table.memory_usage() + self.text.len() + 300
     }
--- a/crates/rules/src/ruleset.rs
+++ b/crates/rules/src/ruleset.rs
@@ -1,5 +1,6 @@
-//! Rule sets: conditions in the order of a file, and what each gives to requests that it matches.
-//! A set is loaded once ([`RuleSet::load`]) and evaluated for each request ([`RuleSet::decide`]).
+//! Rule sets: rules in the order of a file, each with a condition and an output for the requests
+//! that it matches. A set is loaded once ([`RuleSet::load`]) and evaluated for each request
+//! ([`RuleSet::decide`]).
 
 mod explain;
 mod load;
@@ -18,63 +19,65 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::Hasher;
 
-/// The most rules of a set.
+/// Largest number of rules in a set.
 pub const RULES_MAX: usize = 20_000;
-/// The most facts that a rule may give.
+/// Largest number of log facts of a rule.
 const FACTS_MAX: usize = 8;
-/// The most buckets that a rule may give.
+/// Largest number of buckets of a rule.
 const BUCKETS_MAX: usize = 4;
-/// The most characters of a fact that go to the log.
-const FACT_SHOWN_MAX: usize = 128;
-/// The bytes of the arena at the start; it grows to what the cost allows and keeps that.
+/// Number of characters to which a fact for the log is truncated.
+const FACT_CHARS_MAX: usize = 128;
+/// Initial size of the arena, in bytes. The arena grows up to what the cost limit allows and keeps
+/// its size.
 const ARENA_BYTES: usize = 8 << 10;
 
-/// A rule as it was written.
+/// The source of a rule, as written in the settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RuleSource {
-    /// Its name.
+    /// Name of the rule.
     pub name: String,
-    /// The condition.
+    /// Condition: an expression of type bool.
     pub when: String,
-    /// The operation that it gives.
+    /// Operation assigned to matching requests.
     pub operation: Option<String>,
-    /// The key: an expression to a string.
+    /// Key of matching requests: an expression of type string.
     pub key: Option<String>,
-    /// The rank: an expression to a double.
+    /// Rank of matching requests: an expression of type double, from 0 to 1.
     pub rank: Option<String>,
-    /// The name of the class.
+    /// Name of the class of matching requests.
     pub class: Option<String>,
-    /// Facts for the log: a name and an expression to a string.
+    /// Facts for the log, each a name and an expression of type string.
     pub facts: Vec<(String, String)>,
-    /// Buckets into which it puts what it matches: a name and an expression to a string.
+    /// Buckets that limit matching requests, each a name and an expression of type string for the
+    /// key.
     pub buckets: Vec<(String, String)>,
-    /// Answers at once.
+    /// Immediate answer to matching requests, which then are not admitted.
     pub verdict: Option<Verdict>,
 }
 
-/// An answer at once.
+/// An immediate answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It never ran; the client is asked to stay away for a time.
+    /// The request is rejected without running; the client is asked to retry later.
     Throttle {
-        /// Retry-After, in nanoseconds; 0 if none is given.
+        /// Retry-After, in nanoseconds; 0 if the answer has none.
         pause: u64,
-        /// Why, for the counts and the answer.
+        /// Reason, used in metrics and in the answer.
         reason: String,
     },
-    /// It failed.
+    /// The request fails.
     Error {
-        /// The status of the answer.
+        /// Status code of the answer.
         status: u16,
-        /// Why, for the counts and the answer.
+        /// Reason, used in metrics and in the answer.
         reason: String,
     },
 }
 
-/// Where in a rule something is wrong.
+/// The part of a rule that an error refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// The name; it also stands for the rule as a whole.
+    /// The name. Also used for errors that refer to the rule as a whole.
     Name,
     /// The condition.
     When,
@@ -86,30 +89,30 @@
     Rank,
     /// The class.
     Class,
-    /// A fact, by its index.
+    /// A fact for the log, by its index.
     Fact(usize),
     /// A bucket, by its index.
     Bucket(usize),
 }
 
-/// An error in a rule, or in all of them together.
+/// An error in a rule or in the whole set.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{error}")]
 pub struct RuleError {
-    /// The rule's index; `None` if it is the whole set.
+    /// Index of the rule; `None` if the error refers to the whole set.
     pub rule: Option<usize>,
-    /// Where in it.
+    /// Part of the rule.
     pub field: Field,
-    /// What is wrong, and where in that field's text.
+    /// Error, with its position in the text of the field.
     pub error: ExpressionError,
 }
 
 /// Bounds on a rule set.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// The most units of cost for one expression.
+    /// Limit on the worst-case cost of one expression, in units.
     pub cost: u64,
-    /// The most bytes that all rules may take.
+    /// Limit on the memory of all rules together, in bytes.
     pub bytes: usize,
 }
 
@@ -125,13 +128,13 @@
 /// A compiled rule.
 #[derive(Debug)]
 pub struct Rule {
-    /// Its name.
+    /// Name of the rule.
     pub name: Box<str>,
-    /// The operation that it gives, by its place in the vocabulary.
+    /// Operation assigned to matching requests, by its index in the vocabulary.
     pub operation: Option<usize>,
-    /// The class, by its place among [`RuleSet::classes`].
+    /// Class of matching requests, by its index in [`RuleSet::classes`].
     pub class: Option<u16>,
-    /// Answers at once.
+    /// Immediate answer to matching requests.
     pub verdict: Option<Verdict>,
     when: Node,
     max_cost: u64,
@@ -139,16 +142,17 @@
     rank: Option<Node>,
     facts: Box<[(Box<str>, Node)]>,
     buckets: Box<[(u16, Node)]>,
+    /// Source text of the condition.
     text: Box<str>,
 }
 
 impl Rule {
-    /// The most units that matching it and giving what it gives may take.
+    /// Returns the worst-case cost, in units, of evaluating the condition and the output.
     pub fn max_cost(&self) -> u64 {
         self.max_cost
     }
 
-    /// Its condition as it was written.
+    /// Returns the source text of the condition.
     pub fn text(&self) -> &str {
         &self.text
     }
@@ -183,54 +187,54 @@
     }
 }
 
-/// What a rule gives to a request.
+/// The output of a rule for a request that it matches.
 #[derive(Debug)]
 pub struct RuleOutput<'r> {
-    /// The rule's index in the file.
+    /// Index of the rule in the set.
     pub place: usize,
-    /// The rule.
+    /// The rule that matched.
     pub rule: &'r Rule,
-    /// The key as a number, which equal keys share.
+    /// Hash of the key; equal keys have equal hashes.
     pub key: Option<u64>,
-    /// The rank.
+    /// Rank, from 0 to 1.
     pub rank: Option<f64>,
-    /// Indices among [`RuleSet::buckets`], each with its key as a number.
+    /// Buckets, by their indices in [`RuleSet::buckets`], each with the hash of its key.
     pub buckets: SmallVec<[(u16, u64); BUCKETS_MAX]>,
-    /// Facts for the log.
+    /// Facts for the log, by name.
     pub facts: Vec<(&'r str, String)>,
-    /// The key as text, if [`Scratch::shows_keys`] is set.
+    /// Text of the key, if [`Scratch::shows_keys`] is set.
     pub key_text: Option<String>,
-    /// The buckets' keys as text, if [`Scratch::shows_keys`] is set.
+    /// Texts of the buckets' keys, if [`Scratch::shows_keys`] is set.
     pub bucket_texts: Vec<String>,
 }
 
 /// The outcome of evaluating a rule set for a request.
 #[derive(Debug, Default)]
 pub struct Decision<'r> {
-    /// What the first rule that matches gives.
+    /// Output of the first rule that matches.
     pub output: Option<RuleOutput<'r>>,
-    /// Indices of the rules that erred before that, with the errors.
+    /// Rules whose evaluation failed before a match, by index, with the errors.
     pub errors: SmallVec<[(usize, EvaluationError); 4]>,
     /// Whether evaluation stopped because the request's cost limit was reached.
     pub exhausted: bool,
     /// Units of cost used.
     pub cost: u64,
-    /// Conditions evaluated.
+    /// Number of conditions evaluated.
     pub evaluated_count: usize,
 }
 
-/// Memory that evaluations reuse, and the secret of key numbers.
+/// Memory that evaluations reuse, and the secret for hashing keys.
 #[derive(Debug)]
 pub struct Scratch {
     arena: Bump,
     secret: u64,
-    /// Whether keys are also given as text.
+    /// Whether outputs also contain the texts of keys.
     pub shows_keys: bool,
 }
 
 impl Scratch {
-    /// Memory for evaluations. The secret goes into the numbers of keys, so that nobody outside can
-    /// construct two keys with the same number.
+    /// Creates memory for evaluations. The secret goes into the hashes of keys, so that a client
+    /// cannot construct two keys with the same hash.
     pub fn new(secret: u64) -> Scratch {
         Scratch {
             arena: Bump::with_capacity(ARENA_BYTES),
@@ -239,22 +243,22 @@
         }
     }
 
-    /// The bytes that it keeps.
+    /// Returns the memory that is kept between evaluations, in bytes.
     pub fn bytes(&self) -> usize {
         self.arena.allocated_bytes()
     }
 }
 
-/// How rules are found.
+/// The way in which candidate rules are found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RuleLookup {
-    /// By the index.
+    /// Evaluates only the rules that the index returns.
     Index,
-    /// All, one after the other.
+    /// Evaluates all rules in order.
     Scan,
 }
 
-/// Rules that were checked and compiled.
+/// A compiled rule set.
 #[derive(Debug, Default)]
 pub struct RuleSet {
     rules: Vec<Rule>,
@@ -265,78 +269,81 @@
     cost: u64,
     bytes: usize,
     max_cost: u64,
-    /// Buckets whose keys all nodes number alike, and the secret that they have in common.
-    shared: Vec<bool>,
-    common: u64,
+    /// For each bucket, whether its keys are hashed with `common_secret`.
+    uses_common_secret: Vec<bool>,
+    /// Secret that all nodes have in common.
+    common_secret: u64,
 }
 
-/// A number for a key that is the same on all nodes and in all versions that have a secret in
-/// common: SipHash-2-4.
+/// Hashes a key with SipHash-2-4. The result is the same in all versions and on all nodes that have
+/// the secret in common.
 pub fn common_number(secret: u64, text: &str) -> u64 {
     let mut hasher = siphasher::sip::SipHasher24::new_with_keys(secret, 0x6b65_7973);
     hasher.write(text.as_bytes());
     hasher.finish()
 }
 
-fn number(secret: u64, what: u64, text: &str) -> u64 {
+/// Hashes a key for use within this process. `bucket` separates the hashes of different uses: it is
+/// 0 for the key of a rule, and 1 plus the index of the bucket for the key of a bucket.
+fn key_hash(secret: u64, bucket: u64, text: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     hasher.write_u64(secret);
-    hasher.write_u64(what);
+    hasher.write_u64(bucket);
     hasher.write(text.as_bytes());
     hasher.finish()
 }
 
 impl RuleSet {
-    /// The keys of these buckets, by their places, are numbered as on all nodes that have this
-    /// secret in common.
+    /// Makes the keys of the given buckets hash to the same numbers on all nodes that have the
+    /// secret `common`. The buckets are given by their indices.
     pub fn use_common_secret(&mut self, buckets: impl Iterator<Item = usize>, common: u64) {
-        self.shared = vec![false; self.buckets.len()];
-        self.common = common;
+        self.uses_common_secret = vec![false; self.buckets.len()];
+        self.common_secret = common;
         for bucket in buckets {
-            if let Some(shared) = self.shared.get_mut(bucket) {
+            if let Some(shared) = self.uses_common_secret.get_mut(bucket) {
                 *shared = true;
             }
         }
     }
 
-    /// The rules, in the order of the file.
+    /// Returns the rules, in the order of the file.
     pub fn rules(&self) -> &[Rule] {
         &self.rules
     }
 
-    /// Names of the classes that rules give.
+    /// Returns the names of the classes that rules assign.
     pub fn classes(&self) -> &[String] {
         &self.classes
     }
 
-    /// Names of the buckets, in the order that they were handed in.
+    /// Returns the names of the buckets, in the order passed to [`RuleSet::load`].
     pub fn buckets(&self) -> &[String] {
         &self.buckets
     }
 
-    /// About how many bytes it takes.
+    /// Returns the approximate memory of the rule set, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The most units that the conditions which one request may have evaluated come to by their
-    /// worst cases.
+    /// Returns the sum of the worst-case costs, in units, of the rules that may be evaluated for
+    /// one request.
     pub fn max_cost(&self) -> u64 {
         self.max_cost
     }
 
-    /// The most units that the conditions evaluated for one request may use; the meter stops them
-    /// there.
+    /// Returns the limit on the cost of all evaluations for one request, in units. Evaluation stops
+    /// when the limit is reached.
     pub fn request_limit(&self) -> u64 {
         self.cost * cost::REQUEST_FACTOR
     }
 
-    /// Picks the parameters that rules may ask for.
+    /// Selects the parameters of a request that rules may use.
     pub fn pick<'a>(&self, pairs: impl Iterator<Item = (&'a [u8], &'a [u8])>) -> Params<'a> {
         self.names.pick(pairs)
     }
 
-    /// The first rule that matches, and what it gives.
+    /// Evaluates the rules in order and returns the output of the first one that matches.
     pub fn decide<'r>(
         &'r self,
         facts: &Facts<'_>,
@@ -347,19 +354,19 @@
         let mut decision = Decision::default();
         let limit = self.request_limit();
         let mut eval = Evaluator::new(facts, &scratch.arena, limit);
-        let mut ask = |place: usize| -> bool {
+        let mut evaluate = |place: usize| -> bool {
             decision.evaluated_count += 1;
             let rule = &self.rules[place];
             let result = match eval.holds(&rule.when, self.cost) {
                 Ok(false) => return false,
-                Ok(true) => self.give(place, &mut eval, scratch.secret, scratch.shows_keys),
-                Err(fault) => Err(fault),
+                Ok(true) => self.output(place, &mut eval, scratch.secret, scratch.shows_keys),
+                Err(error) => Err(error),
             };
             match result {
                 Ok(given) => decision.output = Some(given),
-                Err(fault) => {
-                    decision.errors.push((place, fault));
-                    decision.exhausted |= fault == EvaluationError::Cost && eval.left() == 0;
+                Err(error) => {
+                    decision.errors.push((place, error));
+                    decision.exhausted |= error == EvaluationError::Cost && eval.left() == 0;
                 }
             }
             decision.output.is_some() || decision.exhausted
@@ -368,17 +375,18 @@
             RuleLookup::Index => {
                 self.index
                     .candidates(facts)
-                    .any(|place| ask(place as usize));
+                    .any(|place| evaluate(place as usize));
             }
             RuleLookup::Scan => {
-                (0..self.rules.len()).any(ask);
+                (0..self.rules.len()).any(evaluate);
             }
         }
         decision.cost = limit - eval.left();
         decision
     }
 
-    fn give<'r: 's, 's>(
+    /// Evaluates the output of a rule whose condition holds.
+    fn output<'r: 's, 's>(
         &'r self,
         place: usize,
         eval: &mut Evaluator<'s, '_>,
@@ -393,15 +401,15 @@
         let key = rule.key.as_ref().map(&mut text).transpose()?;
         let mut facts = Vec::new();
         for (name, node) in &rule.facts {
-            let shown: String = text(node)?.chars().take(FACT_SHOWN_MAX).collect();
+            let shown: String = text(node)?.chars().take(FACT_CHARS_MAX).collect();
             facts.push((&**name, shown));
         }
         let (mut buckets, mut bucket_texts) = (SmallVec::new(), Vec::new());
         for (bucket, node) in &rule.buckets {
             let text = text(node)?;
-            let key = match self.shared.get(usize::from(*bucket)) {
-                Some(true) => common_number(self.common, text),
-                _ => number(secret, 1 + u64::from(*bucket), text),
+            let key = match self.uses_common_secret.get(usize::from(*bucket)) {
+                Some(true) => common_number(self.common_secret, text),
+                _ => key_hash(secret, 1 + u64::from(*bucket), text),
             };
             buckets.push((*bucket, key));
             if shows {
@@ -418,7 +426,7 @@
         Ok(RuleOutput {
             place,
             rule,
-            key: key.map(|text| number(secret, 0, text)),
+            key: key.map(|text| key_hash(secret, 0, text)),
             rank,
             buckets,
             facts,
--- a/crates/rules/src/ruleset/explain.rs
+++ b/crates/rules/src/ruleset/explain.rs
@@ -1,4 +1,4 @@
-//! Explains why rules match or not, for `rules explain`.
+//! Explains why rules match or do not match, for `rules explain`.
 
 use super::{Rule, RuleSet, Scratch};
 use crate::compile::Node;
@@ -7,28 +7,28 @@
 use crate::syntax;
 use crate::value::EvaluationError;
 
-/// Why a rule matches or not.
+/// The explanation of why a rule matches or does not match a request.
 #[derive(Clone, Debug)]
 pub struct RuleExplanation {
-    /// The rule's index.
+    /// Index of the rule in the set.
     pub place: usize,
-    /// Whether it is evaluated for this request, by the index.
+    /// Whether the index selects the rule for evaluation with this request.
     pub evaluated: bool,
-    /// The kind of what the index files it under.
+    /// Kind of the test under which the rule is indexed.
     pub index_kind: &'static str,
-    /// The result of its condition.
+    /// Result of the condition.
     pub result: Result<bool, EvaluationError>,
-    /// Units of cost that this took.
+    /// Cost of evaluating the condition, in units.
     pub cost: u64,
-    /// The first part that does not hold, and its result.
+    /// First operand of the condition that is not true, and its result.
     pub failed: Option<(String, String)>,
 }
 
 impl RuleSet {
-    /// Explains each rule up to the one that matches, in the order of the file.
+    /// Explains each rule in the order of the file, up to the one that matches.
     pub fn explain(&self, facts: &Facts<'_>, scratch: &mut Scratch) -> Vec<RuleExplanation> {
         let candidates: Vec<u32> = self.index.candidates(facts).collect();
-        let mut why = Vec::new();
+        let mut explanations = Vec::new();
         for (place, rule) in self.rules.iter().enumerate() {
             scratch.arena.reset();
             let mut eval = Evaluator::new(facts, &scratch.arena, self.cost);
@@ -40,7 +40,7 @@
                 Ok(true) => None,
                 _ => Some(Self::first_failed(rule, facts, scratch, self.cost)),
             };
-            why.push(RuleExplanation {
+            explanations.push(RuleExplanation {
                 place,
                 evaluated,
                 index_kind,
@@ -52,10 +52,10 @@
                 break;
             }
         }
-        why
+        explanations
     }
 
-    /// The first part of a condition that does not hold, and what became of it.
+    /// Returns the text of the first operand of a condition that is not true, and its result.
     fn first_failed(
         rule: &Rule,
         facts: &Facts<'_>,
@@ -75,7 +75,7 @@
             match Evaluator::new(facts, &scratch.arena, limit).holds(part, limit) {
                 Ok(true) => {}
                 Ok(false) => return (text, "is false".into()),
-                Err(fault) => return (text, format!("errs: {fault}")),
+                Err(error) => return (text, format!("errs: {error}")),
             }
         }
         (rule.text.to_string(), "does not hold".into())
--- a/crates/rules/src/ruleset/load.rs
+++ b/crates/rules/src/ruleset/load.rs
@@ -1,4 +1,4 @@
-//! Checks and compiles the rules of a set.
+//! Checks and compiles the rules of a set when it is loaded.
 
 use super::{
     BUCKETS_MAX, Bounds, FACTS_MAX, Field, RULES_MAX, Rule, RuleError, RuleSet, RuleSource,
@@ -46,23 +46,27 @@
         }
     }
 
-    fn whole(text: &str, what: impl Into<String>, expected: impl Into<String>) -> ExpressionError {
+    fn error_in(
+        text: &str,
+        what: impl Into<String>,
+        expected: impl Into<String>,
+    ) -> ExpressionError {
         ExpressionError::new(0..text.len(), what, expected)
     }
 
-    /// The index of an operation that a rule gives.
+    /// Returns the index of the operation that a rule assigns, and reports an unknown operation.
     fn operation(&mut self, place: usize, source: &RuleSource) -> Option<usize> {
         let name = source.operation.as_ref()?;
         let found = self.vocabulary.operations.iter().position(|o| o == name);
         if found.is_none() {
             let known = format!("one of {}", self.vocabulary.operations.join(", "));
             let what = format!("the settings have no operation '{name}'");
-            self.report(place, Field::Operation, Self::whole(name, what, known));
+            self.report(place, Field::Operation, Self::error_in(name, what, known));
         }
         found
     }
 
-    /// The index of a class, which is added if it is new.
+    /// Returns the index of a class. A new class is added.
     fn class(&mut self, name: &str) -> u16 {
         let found = self.classes.iter().position(|class| class == name);
         let index = found.unwrap_or_else(|| {
@@ -72,7 +76,7 @@
         index as u16
     }
 
-    /// Compiles a part of a rule, and adds its worst case to that of the rule.
+    /// Compiles a part of a rule and adds its worst-case cost to that of the rule.
     fn part(
         &mut self,
         place: usize,
@@ -86,7 +90,7 @@
         Some(node)
     }
 
-    /// Buckets by their indices, with the expressions of their keys.
+    /// Compiles the buckets of a rule: their indices, with the expressions of their keys.
     fn buckets(
         &mut self,
         place: usize,
@@ -109,7 +113,7 @@
         buckets
     }
 
-    /// Reports more facts or buckets than one rule may give.
+    /// Reports a rule that has too many facts or buckets.
     fn check_counts(&mut self, place: usize, source: &RuleSource) {
         let facts = (source.facts.len(), FACTS_MAX, Field::Fact(FACTS_MAX));
         let buckets = (
@@ -165,7 +169,8 @@
         })
     }
 
-    /// All rules and the bytes that they take; what is too large is not built to its end.
+    /// Compiles all rules and returns them with their memory in bytes. Stops early once the memory
+    /// exceeds the bound.
     fn rules(&mut self, sources: &[RuleSource]) -> (Vec<Rule>, usize) {
         let (mut rules, mut bytes) = (Vec::new(), 0);
         for (place, source) in sources.iter().enumerate() {
@@ -181,7 +186,7 @@
     }
 }
 
-/// An error of the whole set.
+/// Returns an error that refers to the whole set.
 fn whole_set(what: String, expected: String) -> Vec<RuleError> {
     vec![RuleError {
         rule: None,
@@ -191,11 +196,11 @@
 }
 
 impl RuleSet {
-    /// Checks and compiles rules that name these buckets.
+    /// Checks and compiles rules. `buckets` are the names of all buckets that rules may use.
     ///
     /// # Errors
     ///
-    /// All that is wrong with them, or the bound that they exceed.
+    /// Returns all errors in the rules, or the bound that the set exceeds.
     pub fn load(
         sources: &[RuleSource],
         vocabulary: &Vocabulary,
@@ -246,8 +251,8 @@
             cost: bounds.cost,
             bytes,
             max_cost,
-            shared: Vec::new(),
-            common: 0,
+            uses_common_secret: Vec::new(),
+            common_secret: 0,
         })
     }
 }
--- a/crates/rules/src/syntax.rs
+++ b/crates/rules/src/syntax.rs
@@ -1,4 +1,4 @@
-//! The syntax tree of expressions, with its parser and printer.
+//! Syntax tree of expressions, with its parser and printer.
 
 mod lexer;
 mod parser;
@@ -9,20 +9,19 @@
 
 use std::ops::Range;
 
-/// The longest text of an expression, in bytes.
+/// Longest text of an expression, in bytes.
 pub const SOURCE_MAX: usize = 8192;
-/// The deepest nesting of a tree. The parser takes about three stack frames for each level.
+/// Deepest nesting of a syntax tree. The parser uses about three stack frames for each level.
 pub const DEPTH_MAX: u16 = 32;
 
-/// An expression with its place in the text. Two are equal if they have the same meaning, wherever
-/// they are.
+/// An expression with its position in the text. Equality compares the kinds and ignores positions.
 #[derive(Clone, Debug)]
 pub struct Expression {
-    /// What it is.
+    /// Kind of the expression, with its operands.
     pub kind: ExpressionKind,
-    /// Bytes of the text.
+    /// Byte range in the source text.
     pub at: Range<usize>,
-    /// Levels of it.
+    /// Number of levels of the tree, at most [`DEPTH_MAX`].
     pub depth: u16,
 }
 
@@ -61,7 +60,7 @@
     Not(Box<Expression>),
     /// `-a`.
     Minus(Box<Expression>),
-    /// `a + b` and the like.
+    /// `a + b`, and the other operators of [`Binary`].
     Binary(Binary, Box<Expression>, Box<Expression>),
     /// `a && b && c`.
     And(Vec<Expression>),
@@ -93,7 +92,7 @@
     }
 }
 
-/// Operators between two operands, but for `&&` and `||`.
+/// Binary operators except `&&` and `||`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Binary {
     /// `==`.
@@ -123,7 +122,7 @@
 }
 
 impl Binary {
-    /// All, with their signs and how strongly they bind.
+    /// All operators with their signs and binding powers. A higher power binds more strongly.
     pub const ALL: [(Binary, &'static str, u8); 12] = [
         (Binary::Equal, "==", 3),
         (Binary::Differs, "!=", 3),
@@ -139,7 +138,7 @@
         (Binary::Rem, "%", 5),
     ];
 
-    /// Its sign.
+    /// Returns the sign of the operator in expressions.
     pub fn sign(self) -> &'static str {
         Binary::ALL
             .iter()
@@ -147,6 +146,7 @@
             .map_or("?", |(_, sign, _)| sign)
     }
 
+    /// Returns the binding power of the operator.
     fn power(self) -> u8 {
         Binary::ALL
             .iter()
@@ -155,7 +155,7 @@
     }
 }
 
-// How strongly operators bind.
+// Binding powers of the other operators.
 const OR: u8 = 1;
 const AND: u8 = 2;
 const UNARY: u8 = 6;
--- a/crates/rules/src/syntax/lexer.rs
+++ b/crates/rules/src/syntax/lexer.rs
@@ -29,31 +29,31 @@
     }
 }
 
-/// Operators and brackets; longer ones before their prefixes.
+/// Operators and brackets. Longer signs come before their prefixes.
 pub(super) const SIGNS: [&str; 23] = [
     "==", "!=", "<=", ">=", "&&", "||", "<", ">", "+", "-", "*", "/", "%", "!", "?", ":", ".", ",",
     "(", ")", "[", "]", "=",
 ];
 
-/// What follows a backslash in a string.
+/// An escape sequence in a string.
 enum Escape {
-    /// A character that it stands for.
+    /// The character that a one-letter escape denotes.
     Character(char),
     /// The code of a character or byte.
     Code {
         code: u32,
-        /// How many digits it has.
+        /// Number of digits.
         digits: usize,
-        /// Whether its first digit is the character after the backslash.
+        /// Whether the code is octal; its first digit then follows the backslash directly.
         is_octal: bool,
     },
-    /// No escape of the language.
+    /// Not an escape sequence of the language.
     Unknown,
-    /// A code without all of its digits.
+    /// A code with missing digits.
     MissingDigits,
 }
 
-/// The escape whose backslash is at this offset and is followed by this character.
+/// Returns the escape sequence whose backslash is at offset `at` and is followed by `escape`.
 fn escape_at(text: &str, at: usize, escape: char) -> Escape {
     let (digits, radix, from) = match escape {
         'n' => return Escape::Character('\n'),
@@ -84,15 +84,15 @@
     }
 }
 
-/// Reads tokens one after the other.
+/// Splits a text into tokens, one at a time.
 pub(super) struct Lexer<'a> {
     text: &'a str,
-    /// The offset at which the next token is looked for.
+    /// Byte offset at which the search for the next token starts.
     next: usize,
 }
 
 impl<'a> Lexer<'a> {
-    /// A lexer at the start of a text.
+    /// Creates a lexer at the start of a text.
     pub fn new(text: &'a str) -> Lexer<'a> {
         Lexer { text, next: 0 }
     }
@@ -101,7 +101,7 @@
         &self.text[self.next..]
     }
 
-    /// The next token after blanks and comments, and where it is.
+    /// Reads the next token after white space and comments, and returns it with its byte range.
     pub fn advance(&mut self) -> Result<(Token, Range<usize>), ExpressionError> {
         loop {
             let rest = self.rest();
@@ -213,7 +213,7 @@
             return Err(ExpressionError::new(
                 whole,
                 "a number with letters",
-                "an int or double (uint is not in this subset)",
+                "an int or double (uint is not supported)",
             ));
         }
         token.ok_or_else(|| {
@@ -221,7 +221,7 @@
         })
     }
 
-    /// A hexadecimal number; `hex` is what follows its prefix.
+    /// Reads a hexadecimal number. `hex` is the text after the prefix `0x`.
     fn hexadecimal(&mut self, hex: &str) -> Result<Token, ExpressionError> {
         let start = self.next;
         let end = hex
@@ -230,19 +230,19 @@
         let value = u64::from_str_radix(&hex[..end], 16);
         self.next += 2 + end;
         let at = start..self.next;
-        value
-            .map(Token::Int)
-            .map_err(|_| ExpressionError::new(at, "no hexadecimal number", "an int"))
+        value.map(Token::Int).map_err(|_| {
+            ExpressionError::new(at, "not a hexadecimal number of at most 64 bits", "an int")
+        })
     }
 
-    /// A string or bytes from the opening quote on; a raw one has no escapes.
+    /// Reads a string or bytes literal from the opening quote on. A raw literal has no escapes.
     fn quoted(&mut self, raw: bool, is_bytes: bool) -> Result<Token, ExpressionError> {
         let start = self.next;
         let rest = &self.text[start..];
         let mut chars = rest.char_indices();
         let (_, quote) = chars.next().unwrap_or((0, '"'));
         let (mut text, mut bytes) = (String::new(), Vec::new());
-        let bad = |at: usize, what: &str| {
+        let error = |at: usize, what: &str| {
             ExpressionError::new(start + at..start + at + 1, what, "a string")
         };
         loop {
@@ -263,7 +263,7 @@
                 });
             }
             if c == '\n' {
-                return Err(bad(at, "the string does not end in its line"));
+                return Err(error(at, "the string does not end on its line"));
             }
             let mut push = |c: char| {
                 text.push(c);
@@ -275,7 +275,7 @@
             }
             let (_, escape) = chars
                 .next()
-                .ok_or_else(|| bad(at, "the string does not end"))?;
+                .ok_or_else(|| error(at, "the string does not end"))?;
             let (code, digits, is_octal) = match escape_at(rest, at, escape) {
                 Escape::Character(c) => {
                     push(c);
@@ -286,15 +286,15 @@
                     digits,
                     is_octal,
                 } => (code, digits, is_octal),
-                Escape::Unknown => return Err(bad(at, "unknown escape")),
+                Escape::Unknown => return Err(error(at, "unknown escape")),
                 Escape::MissingDigits => {
-                    return Err(bad(at, "digits are missing in the escape"));
+                    return Err(error(at, "digits are missing in the escape"));
                 }
             };
             if is_bytes && digits <= 3 {
                 bytes.push(code as u8);
             } else {
-                push(char::from_u32(code).ok_or_else(|| bad(at, "no character has that code"))?);
+                push(char::from_u32(code).ok_or_else(|| error(at, "no character has that code"))?);
             }
             for _ in 0..digits - usize::from(is_octal) {
                 chars.next();
--- a/crates/rules/src/syntax/parser.rs
+++ b/crates/rules/src/syntax/parser.rs
@@ -1,12 +1,12 @@
-//! Parses the tokens of an expression to its tree. Depth and length are bounded here, so that
-//! whatever walks the tree later may recurse.
+//! Parses the tokens of an expression to a syntax tree. The parser bounds depth and length, so
+//! later passes over the tree may recurse.
 
 use super::lexer::{Lexer, SIGNS, Token};
 use super::{AND, Binary, DEPTH_MAX, Expression, ExpressionKind, OR, SOURCE_MAX};
 use crate::error::ExpressionError;
 use std::ops::Range;
 
-/// Words that CEL keeps for itself.
+/// Reserved words of CEL.
 const RESERVED: [&str; 17] = [
     "as",
     "break",
@@ -27,17 +27,23 @@
     "while",
 ];
 
-/// A parser by recursive descent, with the token at hand.
+/// A recursive-descent parser with one token of lookahead.
 struct Parser<'a> {
     lexer: Lexer<'a>,
-    /// The token at hand.
+    /// Current token.
     token: Token,
-    /// Where it is.
+    /// Byte range of the current token.
     at: Range<usize>,
+    /// Current nesting level in the text.
     level: u16,
 }
 
-/// Reads an expression.
+/// Parses an expression.
+///
+/// # Errors
+///
+/// Fails if the text is longer than [`SOURCE_MAX`] bytes, is nested deeper than [`DEPTH_MAX`]
+/// levels or is not a valid expression.
 pub fn parse(text: &str) -> Result<Expression, ExpressionError> {
     if text.len() > SOURCE_MAX {
         let what = format!("the expression has {} bytes", text.len());
@@ -76,29 +82,30 @@
         Ok(())
     }
 
-    /// Moves on if the token is this sign.
-    fn takes(&mut self, sign: &str) -> Result<bool, ExpressionError> {
-        let found = self.token == Token::Sign(Parser::known(sign));
+    /// Moves to the next token if the current one is this sign, and returns whether it is.
+    fn accept(&mut self, sign: &str) -> Result<bool, ExpressionError> {
+        let found = self.token == Token::Sign(Parser::static_sign(sign));
         if found {
             self.advance()?;
         }
         Ok(found)
     }
 
-    fn known(sign: &str) -> &'static str {
+    fn static_sign(sign: &str) -> &'static str {
         SIGNS.iter().find(|s| **s == sign).unwrap_or(&"in")
     }
 
     fn expect(&mut self, sign: &str) -> Result<(), ExpressionError> {
-        if self.takes(sign)? {
+        if self.accept(sign)? {
             Ok(())
         } else {
             Err(self.unexpected(&format!("'{sign}'")))
         }
     }
 
-    /// Goes one level down; the levels of the text are bounded as those of the tree are.
-    fn deeper<T>(
+    /// Runs `read` one nesting level deeper. The levels of the text have the same bound as those of
+    /// the tree.
+    fn nested<T>(
         &mut self,
         read: impl FnOnce(&mut Self) -> Result<T, ExpressionError>,
     ) -> Result<T, ExpressionError> {
@@ -147,9 +154,9 @@
     }
 
     fn expr(&mut self) -> Result<Expression, ExpressionError> {
-        self.deeper(|parser| {
+        self.nested(|parser| {
             let condition = parser.binary(OR)?;
-            if !parser.takes("?")? {
+            if !parser.accept("?")? {
                 return Ok(condition);
             }
             let yes = parser.binary(OR)?;
@@ -178,7 +185,7 @@
         if least == OR || least == AND {
             let sign = if least == OR { "||" } else { "&&" };
             let mut all = vec![self.binary(least + 1)?];
-            while self.takes(sign)? {
+            while self.accept(sign)? {
                 all.push(self.binary(least + 1)?);
             }
             let (start, end) = (all[0].at.start, all[all.len() - 1].at.end);
@@ -204,13 +211,14 @@
 
     fn unary(&mut self) -> Result<Expression, ExpressionError> {
         let start = self.at.start;
-        if self.takes("!")? {
-            let of = self.deeper(Self::unary)?;
+        if self.accept("!")? {
+            let of = self.nested(Self::unary)?;
             let end = of.at.end;
             return self.node(ExpressionKind::Not(Box::new(of)), start, end);
         }
-        if self.takes("-")? {
-            // The least int has no positive counterpart, so the sign belongs to the number.
+        if self.accept("-")? {
+            // The smallest int has no positive counterpart, so the sign is read as part of the
+            // number.
             let number = match self.token {
                 Token::Int(n) if n <= 1 << 63 => {
                     Some(ExpressionKind::Int((n as i64).wrapping_neg()))
@@ -224,7 +232,7 @@
                 let of = self.node(kind, start, end)?;
                 return self.members(of);
             }
-            let of = self.deeper(Self::unary)?;
+            let of = self.nested(Self::unary)?;
             let end = of.at.end;
             return self.node(ExpressionKind::Minus(Box::new(of)), start, end);
         }
@@ -235,13 +243,13 @@
     fn members(&mut self, mut of: Expression) -> Result<Expression, ExpressionError> {
         loop {
             let start = of.at.start;
-            if self.takes(".")? {
+            if self.accept(".")? {
                 let Token::Name(name) = self.token.clone() else {
                     return Err(self.unexpected("a name"));
                 };
                 let mut end = self.at.end;
                 self.advance()?;
-                let kind = if self.takes("(")? {
+                let kind = if self.accept("(")? {
                     let arguments;
                     (arguments, end) = self.list(")")?;
                     ExpressionKind::Method(Box::new(of), name, arguments)
@@ -249,7 +257,7 @@
                     ExpressionKind::Select(Box::new(of), name)
                 };
                 of = self.node(kind, start, end)?;
-            } else if self.takes("[")? {
+            } else if self.accept("[")? {
                 let at = self.expr()?;
                 let end = self.at.end;
                 self.expect("]")?;
@@ -264,17 +272,17 @@
         }
     }
 
-    /// Items up to the closing sign, and where that ends.
+    /// Reads items up to the closing sign, and returns them with the end offset of this sign.
     fn list(&mut self, close: &str) -> Result<(Vec<Expression>, usize), ExpressionError> {
         let mut items = Vec::new();
         loop {
             let end = self.at.end;
-            if self.takes(close)? {
+            if self.accept(close)? {
                 return Ok((items, end));
             }
             if !items.is_empty() {
                 self.expect(",")?;
-                // CEL lets a list end with a comma.
+                // CEL allows a trailing comma in a list.
                 if close == "]" && self.token == Token::Sign("]") {
                     continue;
                 }
@@ -322,7 +330,7 @@
         self.node(kind, start, end)
     }
 
-    /// A name, or the call of a function; the token at hand is the name.
+    /// Parses a name or a function call. The current token is the name.
     fn name_or_call(
         &mut self,
         name: String,
@@ -332,8 +340,8 @@
         if name == "null" {
             return Err(ExpressionError::new(
                 start..end,
-                "null is not in this subset",
-                "has(...) to ask for what may be absent",
+                "null is not supported",
+                "has(...) to test whether a fact or parameter is present",
             ));
         }
         if RESERVED.contains(&name.as_str()) {
@@ -344,7 +352,7 @@
             ));
         }
         self.advance()?;
-        if !self.takes("(")? {
+        if !self.accept("(")? {
             return self.node(ExpressionKind::Name(name), start, end);
         }
         let (arguments, end) = self.list(")")?;
--- a/crates/rules/src/syntax/print.rs
+++ b/crates/rules/src/syntax/print.rs
@@ -1,9 +1,10 @@
-//! Writes a tree as text that parses to the same tree.
+//! Prints a syntax tree as text that parses to the same tree.
 
 use super::{AND, Expression, ExpressionKind, MEMBER, OR, UNARY};
 use std::fmt;
 
 impl Expression {
+    /// Returns the binding power of the outermost operator.
     fn power(&self) -> u8 {
         match &self.kind {
             ExpressionKind::If(..) => 0,
@@ -17,15 +18,17 @@
         }
     }
 
-    /// The operand of a minus sign; a number under a sign would be parsed as one number.
-    fn negated(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    /// Prints the operand of a minus sign. A number is put in parentheses, because a sign before a
+    /// number is parsed as part of the number.
+    fn negated_operand(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.kind {
             ExpressionKind::Int(_) | ExpressionKind::Float(_) => write!(f, "({self})"),
-            _ => self.within(f, UNARY),
+            _ => self.operand(f, UNARY),
         }
     }
 
-    fn within(&self, f: &mut fmt::Formatter<'_>, least: u8) -> fmt::Result {
+    /// Prints the expression, in parentheses if it binds more weakly than `least`.
+    fn operand(&self, f: &mut fmt::Formatter<'_>, least: u8) -> fmt::Result {
         if self.power() < least {
             write!(f, "({self})")
         } else {
@@ -34,7 +37,7 @@
     }
 }
 
-/// Expressions with commas between them, in brackets.
+/// Prints expressions separated by commas, in brackets.
 fn enclosed(
     f: &mut fmt::Formatter<'_>,
     open: &str,
@@ -48,15 +51,16 @@
     f.write_str(close)
 }
 
-fn joined(f: &mut fmt::Formatter<'_>, all: &[Expression], sign: &str, power: u8) -> fmt::Result {
+/// Prints the operands of `&&` or `||`.
+fn operands(f: &mut fmt::Formatter<'_>, all: &[Expression], sign: &str, power: u8) -> fmt::Result {
     for (i, one) in all.iter().enumerate() {
         f.write_str(if i > 0 { sign } else { "" })?;
-        one.within(f, power + 1)?;
+        one.operand(f, power + 1)?;
     }
     Ok(())
 }
 
-/// A string as it can be read again.
+/// Writes a string literal that parses to `text`.
 pub fn quote(f: &mut impl fmt::Write, text: &str) -> fmt::Result {
     f.write_char('"')?;
     for c in text.chars() {
@@ -83,11 +87,11 @@
             }
             ExpressionKind::Name(name) => f.write_str(name),
             ExpressionKind::Select(of, name) => {
-                of.within(f, MEMBER)?;
+                of.operand(f, MEMBER)?;
                 write!(f, ".{name}")
             }
             ExpressionKind::Index(of, at) => {
-                of.within(f, MEMBER)?;
+                of.operand(f, MEMBER)?;
                 write!(f, "[{at}]")
             }
             ExpressionKind::Call(name, arguments) => {
@@ -95,30 +99,30 @@
                 enclosed(f, "(", arguments, ")")
             }
             ExpressionKind::Method(of, name, arguments) => {
-                of.within(f, MEMBER)?;
+                of.operand(f, MEMBER)?;
                 write!(f, ".{name}")?;
                 enclosed(f, "(", arguments, ")")
             }
             ExpressionKind::List(items) => enclosed(f, "[", items, "]"),
             ExpressionKind::Not(of) => {
                 f.write_str("!")?;
-                of.within(f, UNARY)
+                of.operand(f, UNARY)
             }
             ExpressionKind::Minus(of) => {
                 f.write_str("-")?;
-                of.negated(f)
+                of.negated_operand(f)
             }
             ExpressionKind::Binary(op, a, b) => {
-                a.within(f, op.power())?;
+                a.operand(f, op.power())?;
                 write!(f, " {} ", op.sign())?;
-                b.within(f, op.power() + 1)
+                b.operand(f, op.power() + 1)
             }
-            ExpressionKind::And(all) => joined(f, all, " && ", AND),
-            ExpressionKind::Or(all) => joined(f, all, " || ", OR),
+            ExpressionKind::And(all) => operands(f, all, " && ", AND),
+            ExpressionKind::Or(all) => operands(f, all, " || ", OR),
             ExpressionKind::If(a, b, c) => {
-                a.within(f, OR)?;
+                a.operand(f, OR)?;
                 f.write_str(" ? ")?;
-                b.within(f, OR)?;
+                b.operand(f, OR)?;
                 write!(f, " : {c}")
             }
         }
--- a/crates/rules/src/time.rs
+++ b/crates/rules/src/time.rs
@@ -1,8 +1,8 @@
-//! Spans and points in time as text, and the parts of a point in time, all in UTC.
+//! Text forms of durations and points in time, and the parts of a point in time, all in UTC.
 
+/// Nanoseconds in a second.
 const SECOND: i128 = 1_000_000_000;
-/// Times from the year 1 to the year 9999, as CEL has them; what leaves 64 bits of nanoseconds is
-/// refused too.
+/// Units of durations, in nanoseconds.
 const UNITS: [(&str, f64); 6] = [
     ("ns", 1.0),
     ("us", 1e3),
@@ -12,7 +12,8 @@
     ("h", 3600e9),
 ];
 
-/// Reads a span such as `250ms`, `1h30m` or `-1.5s`, in nanoseconds.
+/// Parses a duration such as `250ms`, `1h30m` or `-1.5s` to nanoseconds. Returns `None` if the text
+/// is not a duration or does not fit in 64 bits.
 pub fn span(text: &str) -> Option<i64> {
     let (negative, mut rest) = text
         .strip_prefix('-')
@@ -39,7 +40,7 @@
     (total.abs() < 9.2e18).then_some(total.round() as i64)
 }
 
-/// A span as CEL prints it.
+/// Prints a duration in seconds, as CEL does, such as `1.5s`.
 pub fn print_span(nanos: i64) -> String {
     let (whole, part) = (
         nanos.unsigned_abs() / 1_000_000_000,
@@ -53,8 +54,8 @@
     )
 }
 
-/// Days since the epoch of a date in the Gregorian calendar.
-fn days(year: i64, month: i64, day: i64) -> i64 {
+/// Returns the number of days from the Unix epoch to a date in the Gregorian calendar.
+fn days_from_date(year: i64, month: i64, day: i64) -> i64 {
     let year = if month <= 2 { year - 1 } else { year };
     let era = year.div_euclid(400);
     let of_era = year.rem_euclid(400);
@@ -62,8 +63,9 @@
     era * 146_097 + of_era * 365 + of_era / 4 - of_era / 100 + of_year - 719_468
 }
 
-/// Year, month and day, the latter two from 1.
-fn date(days: i64) -> (i64, i64, i64) {
+/// Returns the year, month and day of a number of days since the Unix epoch. Month and day count
+/// from 1.
+fn date_from_days(days: i64) -> (i64, i64, i64) {
     let z = days + 719_468;
     let era = z.div_euclid(146_097);
     let of_era = z.rem_euclid(146_097);
@@ -78,7 +80,9 @@
     )
 }
 
-/// Reads a time by RFC 3339, in nanoseconds since the Unix epoch.
+/// Parses a time in RFC 3339 format to nanoseconds since the Unix epoch. Returns `None` if the text
+/// is not such a time. CEL allows the years 1 to 9999; a time that does not fit in 64 bits of
+/// nanoseconds is refused as well.
 pub fn time(text: &str) -> Option<i64> {
     let number = |from: usize, to: usize| -> Option<i64> {
         let digits = text.get(from..to)?;
@@ -87,18 +91,23 @@
             .all(|b| b.is_ascii_digit())
             .then(|| digits.parse().ok())?
     };
-    let mark = |at: usize, c: &str| {
+    let has_separator = |at: usize, c: &str| {
         text.get(at..at + 1)
             .is_some_and(|t| t.eq_ignore_ascii_case(c))
     };
-    if !(mark(4, "-") && mark(7, "-") && mark(10, "T") && mark(13, ":") && mark(16, ":")) {
+    if !(has_separator(4, "-")
+        && has_separator(7, "-")
+        && has_separator(10, "T")
+        && has_separator(13, ":")
+        && has_separator(16, ":"))
+    {
         return None;
     }
     let (year, month, day) = (number(0, 4)?, number(5, 7)?, number(8, 10)?);
     let (hour, minute, second) = (number(11, 13)?, number(14, 16)?, number(17, 19)?);
-    let at = days(year, month, day);
+    let at = days_from_date(year, month, day);
     if !(1..=12).contains(&month)
-        || date(at) != (year, month, day)
+        || date_from_days(at) != (year, month, day)
         || hour > 23
         || minute > 59
         || second > 59
@@ -133,10 +142,10 @@
     i64::try_from(i128::from(seconds) * SECOND + nanos).ok()
 }
 
-/// A time by RFC 3339, in UTC.
+/// Prints a time in RFC 3339 format, in UTC.
 pub fn print_time(nanos: i64) -> String {
     let seconds = nanos.div_euclid(1_000_000_000);
-    let (year, month, day) = date(seconds.div_euclid(86_400));
+    let (year, month, day) = date_from_days(seconds.div_euclid(86_400));
     let s = seconds.rem_euclid(86_400);
     let part = format!(".{:09}", nanos.rem_euclid(1_000_000_000));
     let part = part.trim_end_matches('0').trim_end_matches('.');
@@ -153,7 +162,7 @@
 pub enum Part {
     /// The year.
     Year,
-    /// The month, from 0 as CEL has it.
+    /// The month, from 0 as in CEL.
     Month,
     /// The day of the month, from 1.
     Date,
@@ -161,20 +170,20 @@
     WeekDay,
     /// Hours, from 0 to 23.
     Hours,
-    /// Minutes.
+    /// Minutes, from 0 to 59.
     Minutes,
-    /// Seconds.
+    /// Seconds, from 0 to 59.
     Seconds,
 }
 
-/// The part of a time.
+/// Returns a part of a time given in nanoseconds since the Unix epoch.
 pub fn part(nanos: i64, part: Part) -> i64 {
     let seconds = nanos.div_euclid(1_000_000_000);
     let day = seconds.div_euclid(86_400);
     match part {
-        Part::Year => date(day).0,
-        Part::Month => date(day).1 - 1,
-        Part::Date => date(day).2,
+        Part::Year => date_from_days(day).0,
+        Part::Month => date_from_days(day).1 - 1,
+        Part::Date => date_from_days(day).2,
         Part::WeekDay => (day + 4).rem_euclid(7),
         Part::Hours => seconds.rem_euclid(86_400) / 3600,
         Part::Minutes => seconds.rem_euclid(3600) / 60,
--- a/crates/rules/src/time/tests.rs
+++ b/crates/rules/src/time/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn spans_and_times_are_read_and_printed() {
+fn durations_and_times_parse_and_print() {
     let spans = [
         ("250ms", 250_000_000),
         ("1h30m", 5_400_000_000_000),
--- a/crates/rules/src/value.rs
+++ b/crates/rules/src/value.rs
@@ -1,4 +1,4 @@
-//! Types and values of the language, and errors of evaluation.
+//! Types and values of the language, and evaluation errors.
 
 use crate::address::AddressSet;
 use std::cmp::Ordering;
@@ -10,15 +10,15 @@
 pub enum Type {
     /// True or false.
     Bool,
-    /// 64 bits, signed.
+    /// A signed integer of 64 bits.
     Int,
-    /// IEEE 754, 64 bits.
+    /// An IEEE 754 number of 64 bits.
     Float,
-    /// UTF-8.
+    /// A UTF-8 string.
     Text,
-    /// Any bytes.
+    /// A sequence of arbitrary bytes.
     Bytes,
-    /// A span of time in whole nanoseconds.
+    /// A duration in whole nanoseconds.
     Span,
     /// A point in time in whole nanoseconds since the Unix epoch.
     Time,
@@ -50,36 +50,36 @@
     }
 }
 
-/// A value while an expression is evaluated; texts and lists are in the request, the rules or the
-/// arena.
+/// A value during evaluation. Strings, bytes and lists are borrowed from the request, the rules or
+/// the arena.
 #[derive(Clone, Copy, Debug)]
 pub enum Value<'a> {
-    /// Of [`Type::Bool`].
+    /// A value of [`Type::Bool`].
     Bool(bool),
-    /// Of [`Type::Int`].
+    /// A value of [`Type::Int`].
     Int(i64),
-    /// Of [`Type::Float`].
+    /// A value of [`Type::Float`].
     Float(f64),
-    /// Of [`Type::Text`].
+    /// A value of [`Type::Text`].
     Text(&'a str),
-    /// Of [`Type::Bytes`].
+    /// A value of [`Type::Bytes`].
     Bytes(&'a [u8]),
-    /// Of [`Type::Span`].
+    /// A value of [`Type::Span`], in nanoseconds.
     Span(i64),
-    /// Of [`Type::Time`].
+    /// A value of [`Type::Time`], in nanoseconds since the Unix epoch.
     Time(i64),
-    /// Of [`Type::Address`].
+    /// A value of [`Type::Address`].
     Address(IpAddr),
-    /// Of [`Type::Addresses`].
+    /// A value of [`Type::Addresses`].
     Addresses(&'a AddressSet),
-    /// Of [`Type::Params`]: those of the request.
+    /// The value of [`Type::Params`]: the parameters of the request.
     Params,
-    /// Of [`Type::List`].
+    /// A value of [`Type::List`].
     List(&'a [Value<'a>]),
 }
 
 impl Value<'_> {
-    /// Whether two values of one type are equal; NaN equals nothing.
+    /// Returns whether two values of one type are equal. NaN is not equal to any value.
     pub fn same(&self, other: &Value<'_>) -> bool {
         match (self, other) {
             (Value::Bool(a), Value::Bool(b)) => a == b,
@@ -96,7 +96,8 @@
         }
     }
 
-    /// The order of two values of one type that has one; none for NaN.
+    /// Returns the order of two values of one type. Returns `None` for NaN and for types without an
+    /// order.
     pub fn order(&self, other: &Value<'_>) -> Option<Ordering> {
         match (self, other) {
             (Value::Bool(a), Value::Bool(b)) => Some(a.cmp(b)),
@@ -109,9 +110,8 @@
         }
     }
 
-    /// The size on which the cost of a comparison depends: bytes of a text, or those of all items
-    /// of a
-    /// list with 8 for each.
+    /// Returns the size that determines the cost of a comparison, in bytes: the length of a string
+    /// or bytes, or for a list the sum over its items of their size plus 8.
     pub fn extent(&self) -> usize {
         match self {
             Value::Text(text) => text.len(),
@@ -146,37 +146,39 @@
     }
 }
 
-/// Why an evaluation has no value. A rule that errs does not match.
+/// The reason why an evaluation failed. A rule whose evaluation fails does not match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EvaluationError {
-    /// A whole number, span or time left its range.
-    #[error("a number left its range")]
+    /// An int, duration or time is outside its range of 64 bits.
+    #[error("a number is outside its range")]
     Overflow,
     /// Division or remainder by zero.
     #[error("division by zero")]
     Zero,
-    /// A parameter or fact that this request does not have.
-    #[error("absent in this request")]
+    /// The request does not have the parameter or fact.
+    #[error("a parameter or fact is absent in this request")]
     Absent,
-    /// A parameter that is no UTF-8.
+    /// A parameter, its name or a bytes value is not UTF-8.
     #[error("a parameter is no text")]
     NoText,
-    /// A parameter longer than declared, or more parameters than can be iterated over.
-    #[error("a parameter is longer than declared, or there are too many")]
+    /// A parameter is longer than its bound, or there are more parameters than can be iterated
+    /// over.
+    #[error("a parameter is longer than declared, or there are too many parameters")]
     TooLong,
-    /// An index beyond a text or list.
-    #[error("a place beyond the end")]
+    /// An index is outside a string or list, a separator or mark was not found, or a rank is
+    /// outside 0 to 1.
+    #[error("an index or rank is out of range, or a substring was not found")]
     Range,
-    /// A text that is no number, time or address.
-    #[error("a text that is no such value")]
+    /// A string cannot be converted to a number, duration, time or address.
+    #[error("a string cannot be converted to the requested type")]
     NoValue,
-    /// The limit of cost was reached.
+    /// The evaluation reached its cost limit.
     #[error("stopped at the cost limit")]
     Cost,
 }
 
 impl EvaluationError {
-    /// All, in the order of their counters.
+    /// All errors, in the order of their counters.
     pub const ALL: [EvaluationError; 8] = [
         EvaluationError::Overflow,
         EvaluationError::Zero,
--- a/crates/rules/tests/language.rs
+++ b/crates/rules/tests/language.rs
@@ -1,5 +1,5 @@
-//! The language: reading and printing, types, costs, and evaluation against a slow, obvious
-//! evaluator.
+//! The expression language: parsing and printing, types, costs, and evaluation compared with a
+//! simple reference evaluator.
 
 mod support;
 
@@ -11,12 +11,12 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use support::reference::{Reference, show};
-use support::{ExpressionKind, KINDS, Request, expression, words};
+use support::{ExpressionKind, KINDS, Request, expression, vocabulary};
 
-/// Far more than any expression here needs.
-const AMPLE: u64 = 1 << 40;
+/// A cost limit far above what any expression in these tests needs.
+const NO_LIMIT: u64 = 1 << 40;
 
-fn of(kind: ExpressionKind) -> Type {
+fn type_of(kind: ExpressionKind) -> Type {
     match kind {
         ExpressionKind::Bool => Type::Bool,
         ExpressionKind::Int => Type::Int,
@@ -32,8 +32,8 @@
 }
 
 fn errors(text: &str, kind: &Type, limit: u64) -> Vec<ExpressionError> {
-    let words = words();
-    let mut compiler = Compiler::new(&words);
+    let vocabulary = vocabulary();
+    let mut compiler = Compiler::new(&vocabulary);
     match parse(text) {
         Ok(expr) => compiler
             .compile(&expr, kind, limit)
@@ -44,18 +44,18 @@
     }
 }
 
-/// What an expression comes to, and what it cost.
+/// Returns the printed result of an expression, its cost, and its worst-case cost.
 fn value(
     text: &str,
     kind: &Type,
     request: &Request,
     limit: u64,
 ) -> (Result<String, EvaluationError>, u64, u64) {
-    let words = words();
-    let mut compiler = Compiler::new(&words);
+    let vocabulary = vocabulary();
+    let mut compiler = Compiler::new(&vocabulary);
     let expr = parse(text).unwrap_or_else(|e| panic!("{text}: {e:?}"));
     let typed = compiler
-        .compile(&expr, kind, AMPLE)
+        .compile(&expr, kind, NO_LIMIT)
         .unwrap_or_else(|e| panic!("{text}: {e:?}"));
     let pairs = request
         .pairs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn random_expressions_are_well_typed_print_as_they_are_read_and_come_to_what_the_reference_says() {
+fn random_expressions_type_check_round_trip_through_print_and_match_the_reference_evaluator() {
     let seed = 20_261_201;
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let (mut good, mut bad) = (0, 0);
@@ -83,7 +83,7 @@
         let again = parse(&expr.to_string()).unwrap_or_else(|e| panic!("{expr}: {e:?}"));
         assert_eq!(again, expr, "{text} printed as {expr}");
         let request = Request::random(&mut rng);
-        let (result, used, worst) = value(&text, &of(kind), &request, AMPLE);
+        let (result, used, worst) = value(&text, &type_of(kind), &request, NO_LIMIT);
         let expected = Reference {
             request: &request,
             locals: Vec::new(),
@@ -93,16 +93,16 @@
         assert_eq!(result, expected, "seed {seed}: {text}");
         assert!(
             used <= worst,
-            "{text} used {used}, and its worst case is {worst}"
+            "{text} used {used} units, more than its worst case of {worst}"
         );
         if result.is_ok() {
             good += 1
         } else {
             bad += 1
         }
-        // The meter stops it anywhere, and what it lets through is right.
+        // With any smaller limit the meter stops the evaluation within the limit.
         let limit = rng.random_range(0..=used);
-        let (stopped, spent, _) = value(&text, &of(kind), &request, limit);
+        let (stopped, spent, _) = value(&text, &type_of(kind), &request, limit);
         assert!(
             spent <= limit && (limit >= used || stopped == Err(EvaluationError::Cost)),
             "{text}: {limit} of {used}"
@@ -110,12 +110,12 @@
     }
     assert!(
         good > 4_000 && bad > 1_200,
-        "both are shown: {good} with a value, {bad} without"
+        "too few of one kind: {good} evaluations with a value, {bad} with an error"
     );
 }
 
 #[test]
-fn what_is_not_an_expression_is_reported_with_its_place() {
+fn syntax_errors_are_reported_with_their_positions() {
     let cases: [(&str, std::ops::Range<usize>, &str); 22] = [
         ("", 0..0, "unexpected the end"),
         ("1 +", 3..3, "unexpected the end"),
@@ -129,7 +129,7 @@
         ("9223372036854775808", 0..19, "the number is too large"),
         ("1u", 0..2, "a number with letters"),
         ("1.5.5", 3..5, "unexpected a number"),
-        ("null", 0..4, "null is not in this subset"),
+        ("null", 0..4, "null is not supported"),
         ("for", 0..3, "'for' is a reserved word"),
         ("#", 0..1, "unexpected character '#'"),
         ("a.1", 1..3, "unexpected a number"),
@@ -151,10 +151,10 @@
 }
 
 #[test]
-fn what_has_no_type_is_refused_with_what_was_expected_and_all_of_it_at_once() {
+fn type_errors_state_what_was_expected_and_are_all_reported_at_once() {
     let cases = [
-        ("1", "this is a int", "a bool"),
-        ("tenant", "this is a string", "a bool"),
+        ("1", "this has type int", "type bool"),
+        ("tenant", "this has type string", "type bool"),
         (
             "operation == \"gun-sil\"",
             "the settings have no operation 'gun-sil'",
@@ -200,16 +200,16 @@
             "'<' has no meaning between double and int",
             "a double on both sides",
         ),
-        ("peer && true", "this is a int", "bool"),
+        ("peer && true", "this has type int", "bool"),
         (
             "(true ? 1 : \"a\") == 1",
-            "this is a string",
-            "a int, as after '?'",
+            "this has type string",
+            "type int, as after '?'",
         ),
         (
             "[1, \"a\"] == [1]",
-            "this is a string",
-            "a int, as the first",
+            "this has type string",
+            "type int, as the first item",
         ),
         ("[] == []", "an empty list has no type", "at least one item"),
         (
@@ -217,7 +217,11 @@
             "'substring' is given (string, string)",
             "string.substring(int)",
         ),
-        ("script.matches(\"(\")", "no pattern: unclosed group", "RE2"),
+        (
+            "script.matches(\"(\")",
+            "not a valid pattern: unclosed group",
+            "RE2",
+        ),
         (
             "script.matches(\"[a-z]{900}{900}\")",
             "the pattern is too large",
@@ -225,12 +229,12 @@
         ),
         (
             "script.matches(tenant)",
-            "matches() takes one pattern, written out",
+            "matches() takes one pattern as a string literal",
             "such as",
         ),
         (
             "caller.address in net(\"10.0.0.0/99\")",
-            "no network",
+            "not a valid network",
             "networks such as",
         ),
         (
@@ -240,17 +244,17 @@
         ),
         (
             "caller.address == ip(\"10.1\")",
-            "this text is no such value",
+            "this text is not a valid value",
             "an address",
         ),
         (
             "estimate > duration(\"5\")",
-            "this text is no such value",
+            "this text is not a valid value",
             "a duration",
         ),
         (
             "arrived > timestamp(\"today\")",
-            "this text is no such value",
+            "this text is not a valid value",
             "a time",
         ),
         (
@@ -270,24 +274,24 @@
         ),
         (
             "script[1] == 1",
-            "a string has no parts to index",
+            "a string cannot be indexed",
             "params or a list",
         ),
-        (
-            "has(1)",
-            "has() can't ask for this",
-            "one fact or parameter",
-        ),
+        ("has(1)", "has() cannot test this", "one fact or parameter"),
         (
             "tenant in 5",
-            "this is a int",
+            "this has type int",
             "a list, addresses or params",
         ),
-        ("5 in [\"a\"]", "this is a int", "a string, as in the list"),
-        ("peer in offices", "this is a int", "an ip"),
+        (
+            "5 in [\"a\"]",
+            "this has type int",
+            "type string, as the items of the list",
+        ),
+        ("peer in offices", "this has type int", "type ip"),
         (
             "-tenant == 1",
-            "this is a string",
+            "this has type string",
             "int or double or duration",
         ),
         ("pilots.all(x, y == \"a\")", "unknown name 'y'", "one of"),
@@ -298,17 +302,17 @@
         ),
         (
             "tenant.all(x, true)",
-            "this is a string",
+            "this has type string",
             "a list or params",
         ),
         (
             "pilots.all(a, pilots.all(b, pilots.all(c, pilots.all(d, a == d))))",
-            "macros nested too deep",
+            "macros nested too deeply",
             "at most 3",
         ),
     ];
     for (text, what, expected) in cases {
-        let found = errors(text, &Type::Bool, AMPLE);
+        let found = errors(text, &Type::Bool, NO_LIMIT);
         let shown = found
             .first()
             .map(|e| (e.what.as_str(), e.expected.as_str()))
@@ -321,14 +325,14 @@
     let all = errors(
         "foo == 1 && peer == \"a\" && tenant == \"nobody\" && script.matches(\"(\")",
         &Type::Bool,
-        AMPLE,
+        NO_LIMIT,
     );
     assert_eq!(all.len(), 4, "{all:?}");
 }
 
 #[test]
-fn what_could_cost_too_much_is_refused_when_it_is_read() {
-    // Each is well-typed and would be too much in another way.
+fn expressions_whose_worst_case_exceeds_the_limit_are_refused() {
+    // Each expression is well-typed and exceeds the limit in a different way.
     let heavy = [
         "params.X.matches(\"a+b\") && params.Y.matches(\"b+a\")",
         "params.all(k, params[k].contains(\"x\"))",
@@ -347,7 +351,7 @@
             "{text}: {found:?}"
         );
     }
-    // The same over what is declared to be short is accepted.
+    // The same expressions are accepted over parameters that are declared to be short.
     for text in [
         "params.A.matches(\"a+b\") && params.B.matches(\"b+a\")",
         "params.A.split(\",\").exists(x, x == \"a\")",
@@ -357,7 +361,7 @@
 }
 
 #[test]
-fn depth_and_length_are_bounded_before_anything_recurses() {
+fn parser_bounds_depth_and_length_of_expressions() {
     let deep =
         |n: usize, open: &str, close: &str| format!("{}true{}", open.repeat(n), close.repeat(n));
     for (open, close) in [
@@ -373,7 +377,7 @@
             assert_eq!(error.what, "nested too deep", "{n} of {open}");
         }
     }
-    // Chains grow to the left without the parser going down.
+    // Chains make the tree deeper without recursion of the parser.
     for (start, more) in [
         ("a", ".b"),
         ("1", " + 1"),
@@ -384,9 +388,9 @@
         let error = parse(&(start.to_owned() + &more.repeat(1000))).unwrap_err();
         assert_eq!(error.what, "nested too deep", "{start}{more}");
     }
-    // These are one level, however many there are.
+    // All operands of && are on one level, however many there are.
     assert_eq!(
-        errors(&vec!["true"; 500].join(" && "), &Type::Bool, AMPLE),
+        errors(&vec!["true"; 500].join(" && "), &Type::Bool, NO_LIMIT),
         []
     );
     assert!(
@@ -398,7 +402,7 @@
 }
 
 #[test]
-fn numbers_that_leave_their_range_and_what_is_absent_have_one_outcome() {
+fn overflow_absent_values_and_failing_operands_have_defined_results() {
     let mut request = Request::random(&mut Pcg64Mcg::seed_from_u64(1));
     (
         request.estimate,
@@ -451,7 +455,7 @@
         ("params.C.substring(2) == \"\"", Ok("true")),
         ("[1, 2][2] == 1", Err(EvaluationError::Range)),
         ("[1, 2][-1] == 1", Err(EvaluationError::Range)),
-        // Where one side decides, the other may err, on whichever side it is.
+        // An operand that determines the result does so even if another operand fails.
         ("false && 1 / 0 == 1", Ok("false")),
         ("1 / 0 == 1 && false", Ok("false")),
         ("1 / 0 == 1 || true", Ok("true")),
@@ -470,19 +474,19 @@
         ),
     ];
     for (text, expected) in cases {
-        let (result, ..) = value(text, &Type::Bool, &request, AMPLE);
+        let (result, ..) = value(text, &Type::Bool, &request, NO_LIMIT);
         assert_eq!(result, expected.map(String::from), "{text}");
     }
 }
 
 #[test]
-fn a_request_with_too_many_parameters_errs_only_where_they_are_walked() {
+fn too_many_parameters_fail_only_expressions_that_iterate_or_compute_names() {
     let mut request = Request::random(&mut Pcg64Mcg::seed_from_u64(1));
     request.pairs = (0..65)
         .map(|i| (format!("P{i}").into_bytes(), b"v".to_vec()))
         .collect();
     assert_eq!(
-        value("params.P64 == \"v\"", &Type::Bool, &request, AMPLE).0,
+        value("params.P64 == \"v\"", &Type::Bool, &request, NO_LIMIT).0,
         Ok("true".into())
     );
     assert_eq!(
@@ -490,13 +494,13 @@
             "params.all(k, params[k] == \"v\")",
             &Type::Bool,
             &request,
-            AMPLE
+            NO_LIMIT
         )
         .0,
         Err(EvaluationError::TooLong)
     );
     assert_eq!(
-        value("(\"Z\" + \"\") in params", &Type::Bool, &request, AMPLE).0,
+        value("(\"Z\" + \"\") in params", &Type::Bool, &request, NO_LIMIT).0,
         Err(EvaluationError::TooLong)
     );
     request.pairs.pop();
@@ -505,23 +509,28 @@
             "params.all(k, params[k] == \"v\")",
             &Type::Bool,
             &request,
-            AMPLE
+            NO_LIMIT
         )
         .0,
         Ok("true".into())
     );
     request.pairs[0] = (b"\xff".to_vec(), b"v".to_vec());
     assert_eq!(
-        value("params.size() == 64", &Type::Bool, &request, AMPLE).0,
+        value("params.size() == 64", &Type::Bool, &request, NO_LIMIT).0,
         Err(EvaluationError::NoText)
     );
 }
 
 #[test]
-fn a_bucket_of_a_hash_is_the_same_in_every_version() {
+fn hash_buckets_are_stable_and_evenly_distributed() {
     let request = Request::random(&mut Pcg64Mcg::seed_from_u64(1));
     for (text, bucket) in [("", "58"), ("ankara", "25"), ("izmir-12", "69")] {
-        let (result, ..) = value(&format!("hash({text:?}, 100)"), &Type::Int, &request, AMPLE);
+        let (result, ..) = value(
+            &format!("hash({text:?}, 100)"),
+            &Type::Int,
+            &request,
+            NO_LIMIT,
+        );
         assert_eq!(result, Ok(bucket.into()), "{text}");
     }
     let mut counts = [0; 10];
@@ -532,9 +541,9 @@
 }
 
 #[test]
-fn the_parser_takes_any_bytes_without_a_panic() {
+fn mutated_expressions_do_not_panic_or_exceed_their_worst_case() {
     let mut rng = Pcg64Mcg::seed_from_u64(99);
-    let words = words();
+    let vocabulary = vocabulary();
     let mut compiled = 0;
     for i in 0..10_000 {
         let mut text = expression(&mut rng, ExpressionKind::Bool, 1 + i % 4, &[]).into_bytes();
@@ -557,7 +566,7 @@
         }
         let text = String::from_utf8_lossy(&text);
         if let Ok(expr) = parse(&text) {
-            let mut compiler = Compiler::new(&words);
+            let mut compiler = Compiler::new(&vocabulary);
             if let Ok(typed) = compiler.compile(&expr, &Type::Bool, cost::LIMIT) {
                 compiled += 1;
                 let request = Request::random(&mut rng);
--- a/crates/rules/tests/sets.rs
+++ b/crates/rules/tests/sets.rs
@@ -1,5 +1,5 @@
-//! Sets of rules: what they give, what is refused when they are loaded, and the index against the
-//! plain scan.
+//! Rule sets: their output, the errors when they are loaded, and the index compared with a scan of
+//! all rules.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use rand::seq::IndexedRandom;
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
-use support::{ExpressionKind, NETWORKS, Request, expression, words};
+use support::{ExpressionKind, NETWORKS, Request, expression, vocabulary};
 
 fn rule(name: &str, when: &str) -> RuleSource {
     RuleSource {
@@ -22,12 +22,12 @@
     }
 }
 
-const AMPLE: Bounds = Bounds {
+const LARGE_BOUNDS: Bounds = Bounds {
     cost: 1 << 40,
     bytes: 64 << 20,
 };
 
-/// A condition that the index files under something more often than not.
+/// Returns a random condition that can be indexed in most cases.
 fn condition(rng: &mut Pcg64Mcg) -> String {
     let anchor = match rng.random_range(0..10) {
         0 => format!(
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn the_index_gives_what_the_scan_gives() {
+fn index_and_scan_return_the_same_output() {
     let mut rng = Pcg64Mcg::seed_from_u64(42);
     let (mut matched, mut left_out, mut evaluated_count) = (0, 0, 0);
     for round in 0..150 {
@@ -87,7 +87,7 @@
                 rule
             })
             .collect();
-        let rules = RuleSet::load(&rules, &words(), &[], AMPLE).unwrap();
+        let rules = RuleSet::load(&rules, &vocabulary(), &[], LARGE_BOUNDS).unwrap();
         for _ in 0..100 {
             let request = Request::random(&mut rng);
             let facts = request.facts(&rules);
@@ -97,37 +97,38 @@
             let by_index = rules.decide(&facts, &mut Scratch::new(1), RuleLookup::Index);
             let index = by_index.output.as_ref().map(|g| (g.place, g.key));
             assert_eq!(index, scan, "round {round}");
-            // What errs and is evaluated errs in the same way.
+            // A rule that fails with the index fails with the same error in the scan.
             assert!(by_index.errors.iter().all(|f| by_scan.errors.contains(f)));
             assert!(by_index.cost <= by_scan.cost && by_index.cost <= rules.max_cost());
             matched += usize::from(index.is_some());
             left_out += by_scan.evaluated_count - by_index.evaluated_count;
             evaluated_count += by_index.evaluated_count;
-            let why = rules.explain(&facts, &mut scratch);
+            let explanations = rules.explain(&facts, &mut scratch);
             assert!(
-                why.iter().all(|w| w.evaluated || w.result != Ok(true)),
-                "what is left out does not match"
+                explanations
+                    .iter()
+                    .all(|w| w.evaluated || w.result != Ok(true)),
+                "a rule that the index leaves out does not match"
             );
-            let (last, before) = why.split_last().unwrap();
+            let (last, before) = explanations.split_last().unwrap();
             assert!(
                 before
                     .iter()
                     .all(|w| w.failed.is_some() && w.result != Ok(true))
             );
             assert_eq!(last.failed.is_none(), last.result == Ok(true));
-            // A rule whose condition holds may still err in what it gives: then the match comes
-            // later.
+            // A rule whose condition holds can still fail in its output; then a later rule matches.
             assert!(scan.is_none_or(|(place, _)| last.place <= place));
         }
     }
     assert!(
         matched > 3_000 && left_out > evaluated_count,
-        "{matched} matched, {evaluated_count} asked, {left_out} left out"
+        "{matched} matched, {evaluated_count} evaluated, {left_out} left out"
     );
 }
 
 #[test]
-fn a_rule_gives_what_it_says() {
+fn matching_rule_returns_its_output_and_failing_output_falls_through() {
     let mut one = rule("yaz", "script.startsWith(\"/old/yaz/\")");
     one.operation = Some("gun-yaz".into());
     one.key = Some("tenant + \"/\" + script.part(\"/\", 3)".into());
@@ -141,7 +142,7 @@
         reason: "later".into(),
     });
     let buckets = ["other".to_owned(), "by-tenant".to_owned()];
-    let rules = RuleSet::load(&[one, two], &words(), &buckets, Bounds::default()).unwrap();
+    let rules = RuleSet::load(&[one, two], &vocabulary(), &buckets, Bounds::default()).unwrap();
     let mut facts = Facts {
         script: "/old/yaz/ankara-1",
         tenant: Some("ege"),
@@ -170,7 +171,7 @@
         "urgent"
     );
     let key = given.key;
-    // Like keys have like numbers, others have others, and another node has quite others.
+    // Equal keys have equal hashes with one secret, and different hashes with another secret.
     let same = rules
         .decide(&facts, &mut Scratch::new(3), RuleLookup::Index)
         .output
@@ -182,7 +183,7 @@
         .unwrap()
         .key;
     assert!(key == same && key != elsewhere);
-    // A rule that errs where it gives does not match, and the next one is evaluated.
+    // A rule whose output fails does not match, and the next rule is evaluated.
     facts.script = "/old/yaz/";
     facts.peer = None;
     let decision = rules.decide(&facts, &mut Scratch::new(3), RuleLookup::Index);
@@ -193,7 +194,7 @@
 }
 
 #[test]
-fn all_that_is_wrong_with_a_set_is_reported_at_once_with_its_place() {
+fn all_errors_of_a_set_are_reported_at_once_with_their_rules_and_fields() {
     let mut bad = rule("a", "tenant == 5");
     bad.operation = Some("gun-sil".into());
     bad.key = Some("peer".into());
@@ -205,7 +206,7 @@
     bad.buckets = vec![("none".into(), "tenant".into())];
     let problems = RuleSet::load(
         &[rule("ok", "true"), bad, rule("c", "1 +")],
-        &words(),
+        &vocabulary(),
         &[],
         Bounds::default(),
     );
@@ -227,7 +228,7 @@
 }
 
 #[test]
-fn a_set_that_takes_too_much_memory_is_refused_with_the_reason() {
+fn set_that_exceeds_the_memory_bound_is_refused_with_the_reason() {
     let many: Vec<_> = (0..10_000)
         .map(|i| {
             rule(
@@ -240,7 +241,7 @@
         bytes: 1 << 20,
         ..Bounds::default()
     };
-    let problems = RuleSet::load(&many, &words(), &[], small)
+    let problems = RuleSet::load(&many, &vocabulary(), &[], small)
         .map(|_| ())
         .unwrap_err();
     assert!(
@@ -251,15 +252,15 @@
         problems[0].error.expected.contains("1024 KiB"),
         "{problems:?}"
     );
-    let rules = RuleSet::load(&many, &words(), &[], Bounds::default()).unwrap();
+    let rules = RuleSet::load(&many, &vocabulary(), &[], Bounds::default()).unwrap();
     assert!(rules.bytes() < 8 << 20, "{}", rules.bytes());
     let too_many = vec![rule("r", "true"); 20_001];
-    assert!(RuleSet::load(&too_many, &words(), &[], Bounds::default()).is_err());
+    assert!(RuleSet::load(&too_many, &vocabulary(), &[], Bounds::default()).is_err());
 }
 
 #[test]
-fn a_hundred_thousand_addresses_fit_and_are_found() {
-    let mut words = words();
+fn set_of_a_hundred_thousand_addresses_fits_in_memory_and_is_searched() {
+    let mut vocabulary = vocabulary();
     let nets = (0..100_000u32).map(|i| {
         network(&format!(
             "{}.{}.{}.1",
@@ -276,10 +277,10 @@
         set.len(),
         set.bytes()
     );
-    words.sets.insert("many".into(), Arc::new(set));
+    vocabulary.sets.insert("many".into(), Arc::new(set));
     let rules = RuleSet::load(
         &[rule("a", "caller.address in many")],
-        &words,
+        &vocabulary,
         &[],
         Bounds::default(),
     )
@@ -299,13 +300,13 @@
 }
 
 #[test]
-fn the_meter_stops_a_request_whose_rules_are_many_and_dear() {
-    let dear = "params.X.matches(\"(ab|cd)+e\") && params.X.contains(\"nowhere\")";
-    let dear = format!("!({dear}) && false || {dear}");
-    let rules = vec![rule("dear", &dear); 50];
+fn evaluation_stops_at_the_cost_limit_of_a_request() {
+    let expensive = "params.X.matches(\"(ab|cd)+e\") && params.X.contains(\"nowhere\")";
+    let expensive = format!("!({expensive}) && false || {expensive}");
+    let rules = vec![rule("expensive", &expensive); 50];
     let rules = RuleSet::load(
         &rules,
-        &words(),
+        &vocabulary(),
         &[],
         Bounds {
             cost: 50_000,
@@ -330,9 +331,9 @@
 }
 
 #[test]
-fn the_arena_is_used_again_and_never_grows_past_what_the_cost_allows() {
+fn arena_is_reused_and_its_growth_is_bounded_by_the_cost_limit() {
     let text = "params.A.matches(\"^x\") || script.startsWith(\"/no\") || (tenant + \"/\" + params.B).split(\"/\").size() > 90";
-    let rules = RuleSet::load(&[rule("a", text)], &words(), &[], Bounds::default()).unwrap();
+    let rules = RuleSet::load(&[rule("a", text)], &vocabulary(), &[], Bounds::default()).unwrap();
     let mut scratch = Scratch::new(1);
     let before = scratch.bytes();
     let mut rng = Pcg64Mcg::seed_from_u64(8);
@@ -342,19 +343,19 @@
         assert_eq!(
             scratch.bytes(),
             before,
-            "what a usual rule builds fits what is there"
+            "a typical rule fits in the initial arena"
         );
     }
-    // A rule that builds as much as its limit lets it: the arena grows once, and not with each
+    // A rule that builds as much as its cost limit allows: the arena grows once and not with each
     // request.
     let big = "(params.W + params.W).split(\"\").map(x, x + x).size() > 900000";
     let costly = Bounds {
         cost: 100_000,
         ..Bounds::default()
     };
-    let mut words = words();
-    words.params.insert("W".into(), 150);
-    let rules = RuleSet::load(&[rule("a", big)], &words, &[], costly).unwrap();
+    let mut vocabulary = vocabulary();
+    vocabulary.params.insert("W".into(), 150);
+    let rules = RuleSet::load(&[rule("a", big)], &vocabulary, &[], costly).unwrap();
     let long = "w".repeat(150);
     let pairs = [(b"W".as_slice(), long.as_bytes())];
     let facts = Facts {
--- a/crates/rules/tests/support/mod.rs
+++ b/crates/rules/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests share: words, random requests, random well-typed expressions, and a slow, obvious
-//! evaluator.
+//! Shared parts of the tests: a vocabulary, random requests, random well-typed expressions, and a
+//! simple reference evaluator.
 #![allow(dead_code)]
 
 pub mod reference;
@@ -28,22 +28,22 @@
     "8.8.8.8",
 ];
 
-pub fn words() -> Vocabulary {
-    let mut words = Vocabulary {
+pub fn vocabulary() -> Vocabulary {
+    let mut vocabulary = Vocabulary {
         operations: ["gun-yaz", "gun-sorgu"].map(String::from).to_vec(),
         tenants: ["yildiz", "kuzey", "ege"].map(String::from).to_vec(),
         ..Vocabulary::default()
     };
     for name in ["A", "B", "C", "N"] {
-        words.params.insert(name.into(), 48);
+        vocabulary.params.insert(name.into(), 48);
     }
     let offices = AddressSet::new(NETWORKS[..3].iter().map(|n| network(n).unwrap()));
-    words.sets.insert("offices".into(), Arc::new(offices));
-    words.lists.insert(
+    vocabulary.sets.insert("offices".into(), Arc::new(offices));
+    vocabulary.lists.insert(
         "pilots".into(),
         ["ankara", "izmir", ""].map(String::from).to_vec(),
     );
-    words
+    vocabulary
 }
 
 const TEXTS: [&str; 14] = [
@@ -63,7 +63,7 @@
     "x=1&y=2",
 ];
 
-/// A request made by chance. Texts live as long as the program.
+/// A random request.
 #[derive(Clone)]
 pub struct Request {
     pub pairs: Vec<(Vec<u8>, Vec<u8>)>,
@@ -146,7 +146,7 @@
     }
 }
 
-/// The types for which expressions are made.
+/// Types of generated expressions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ExpressionKind {
     Bool,
@@ -174,7 +174,8 @@
     ExpressionKind::Ints,
 ];
 
-/// A well-typed expression. `local` names a string that is in scope, if any.
+/// Returns a random well-typed expression. `locals` are the names of the macro variables in scope,
+/// all of type string.
 pub fn expression(
     rng: &mut Pcg64Mcg,
     kind: ExpressionKind,
@@ -272,8 +273,8 @@
                     ExpressionKind::Time,
                 ];
                 let of = *kinds.choose(rng).unwrap();
-                // A literal operation or tenant must be known, so that names are not compared with
-                // literals here.
+                // A literal operation or tenant must be in the vocabulary, so strings are wrapped
+                // to avoid comparing a fact directly with a random literal.
                 let (a, b) = (
                     expression(rng, of, d, locals),
                     expression(rng, of, d, locals),
