--- a/crates/rules/tests/support/reference.rs
+++ b/crates/rules/tests/support/reference.rs
@@ -1,7 +1,7 @@
-//! The language once more, slow and obvious: a walk over the tree as it was read, with values of
-//! its own, no types checked before, no costs, and the library's plainest means for each function.
+//! Simple reference evaluator of the language: a recursion over the syntax tree with its own value
+//! type, without type checks and costs, that uses the standard library for each function.
 
-use super::{NETWORKS, Request, words};
+use super::{NETWORKS, Request, vocabulary};
 use ipnet::IpNet;
 use madderpoint_rules::syntax::{Binary, Expression, ExpressionKind};
 use madderpoint_rules::{EvaluationError, time};
@@ -40,7 +40,7 @@
     }
 }
 
-/// As the program shows its own values, so that the two can be compared.
+/// Prints a value as `madderpoint_rules::Value` does, so that results can be compared.
 pub fn show(v: &Val) -> String {
     match v {
         Bool(v) => v.to_string(),
@@ -68,7 +68,7 @@
     }
 }
 
-fn within(v: i128) -> Result<i64, EvaluationError> {
+fn to_i64(v: i128) -> Result<i64, EvaluationError> {
     i64::try_from(v).map_err(|_| EvaluationError::Overflow)
 }
 
@@ -81,16 +81,16 @@
             .rev()
             .find(|(n, _)| n == name.as_bytes());
         let (_, value) = found.ok_or(EvaluationError::Absent)?;
-        let most = words().params.get(name).copied();
-        // A declared length binds where the name is written out; a computed name is bound by the
-        // protocol alone.
+        let most = vocabulary().params.get(name).copied();
+        // The declared length applies to a literal name. For a computed name only the limit of the
+        // protocol applies.
         if most.is_some_and(|most| value.len() > most) {
             return Err(EvaluationError::TooLong);
         }
         String::from_utf8(value.clone()).map_err(|_| EvaluationError::NoText)
     }
 
-    fn computed(&self, name: &str) -> Result<String, EvaluationError> {
+    fn computed_param(&self, name: &str) -> Result<String, EvaluationError> {
         let found = self
             .request
             .pairs
@@ -147,9 +147,13 @@
                 None if name == "offices" => {
                     Nets(NETWORKS[..3].iter().map(|n| n.parse().unwrap()).collect())
                 }
-                None if name == "pilots" => {
-                    List(words().lists["pilots"].iter().cloned().map(Text).collect())
-                }
+                None if name == "pilots" => List(
+                    vocabulary().lists["pilots"]
+                        .iter()
+                        .cloned()
+                        .map(Text)
+                        .collect(),
+                ),
                 None => return self.fact(name).expect("a known name"),
             },
             ExpressionKind::Select(of, field) => match &of.kind {
@@ -162,7 +166,7 @@
             ExpressionKind::Index(of, at) => match (self.eval(of)?, self.eval(at)?) {
                 (Params, Text(name)) => match at.kind {
                     ExpressionKind::Text(_) => Text(self.param(&name)?),
-                    _ => Text(self.computed(&name)?),
+                    _ => Text(self.computed_param(&name)?),
                 },
                 (List(items), Int(at)) => usize::try_from(at)
                     .ok()
@@ -178,8 +182,8 @@
             ),
             ExpressionKind::Not(of) => Bool(!self.truth(of)?),
             ExpressionKind::Minus(of) => match self.eval(of)? {
-                Int(v) => Int(within(-i128::from(v))?),
-                Span(v) => Span(within(-i128::from(v))?),
+                Int(v) => Int(to_i64(-i128::from(v))?),
+                Span(v) => Span(to_i64(-i128::from(v))?),
                 Float(v) => Float(-v),
                 _ => panic!("no sign"),
             },
@@ -244,13 +248,13 @@
                     .any(|(n, _)| *n == name.as_bytes()),
             ),
             (In, v, List(items)) => Bool(items.iter().any(|i| same(i, &v))),
-            (Add, Int(a), Int(b)) => Int(within(wide(a) + wide(b))?),
-            (Sub, Int(a), Int(b)) => Int(within(wide(a) - wide(b))?),
-            (Mul, Int(a), Int(b)) => Int(within(wide(a) * wide(b))?),
+            (Add, Int(a), Int(b)) => Int(to_i64(wide(a) + wide(b))?),
+            (Sub, Int(a), Int(b)) => Int(to_i64(wide(a) - wide(b))?),
+            (Mul, Int(a), Int(b)) => Int(to_i64(wide(a) * wide(b))?),
             (Div | Rem, Int(_), Int(0)) => return Err(EvaluationError::Zero),
-            (Div, Int(a), Int(b)) => Int(within(wide(a) / wide(b))?),
+            (Div, Int(a), Int(b)) => Int(to_i64(wide(a) / wide(b))?),
             (Rem, Int(i64::MIN), Int(-1)) => return Err(EvaluationError::Overflow),
-            (Rem, Int(a), Int(b)) => Int(within(wide(a) % wide(b))?),
+            (Rem, Int(a), Int(b)) => Int(to_i64(wide(a) % wide(b))?),
             (Add, Float(a), Float(b)) => Float(a + b),
             (Sub, Float(a), Float(b)) => Float(a - b),
             (Mul, Float(a), Float(b)) => Float(a * b),
@@ -258,10 +262,10 @@
             (Add, Text(a), Text(b)) => Text(a + &b),
             (Add, Bytes(a), Bytes(b)) => Bytes([a, b].concat()),
             (Add, List(a), List(b)) => List([a, b].concat()),
-            (Add, Span(a), Span(b)) => Span(within(wide(a) + wide(b))?),
-            (Sub, Span(a), Span(b)) | (Sub, Time(a), Time(b)) => Span(within(wide(a) - wide(b))?),
-            (Add, Time(a), Span(b)) | (Add, Span(a), Time(b)) => Time(within(wide(a) + wide(b))?),
-            (Sub, Time(a), Span(b)) => Time(within(wide(a) - wide(b))?),
+            (Add, Span(a), Span(b)) => Span(to_i64(wide(a) + wide(b))?),
+            (Sub, Span(a), Span(b)) | (Sub, Time(a), Time(b)) => Span(to_i64(wide(a) - wide(b))?),
+            (Add, Time(a), Span(b)) | (Add, Span(a), Time(b)) => Time(to_i64(wide(a) + wide(b))?),
+            (Sub, Time(a), Span(b)) => Time(to_i64(wide(a) - wide(b))?),
             (op, a, b) => panic!("{a:?} {op:?} {b:?}"),
         })
     }
@@ -427,7 +431,7 @@
             ("split", Text(t), [Text(by)]) => {
                 List(t.split(by.as_str()).map(|p| Text(p.to_owned())).collect())
             }
-            // The only pattern that the tests make, spelled out.
+            // The only pattern that the tests generate: ^[a-z]+(-[0-9]+)?$
             ("matches", Text(t), [_]) => {
                 let (word, number) = t
                     .split_once('-')
