--- a/crates/node/tests/rollout.rs
+++ b/crates/node/tests/rollout.rs
@@ -1,6 +1,6 @@
-//! Changes of settings in stages among several processes, with faults between them, by the
-//! timetables in `examples/rig`: good ones reach all, bad ones are stopped where they began, and
-//! the joined record of all nodes is what the rules of a change allow.
+//! Rollouts of settings among several processes with faults between them, by the scenarios in
+//! `examples/rig`: good versions reach all nodes, bad ones stop in the first stage, and the
+//! combined event record of all nodes follows the rules of a rollout.
 
 use madderpoint_test_harness::fault_scenario::{FaultScenario, Outcome, ProgramSetup};
 use madderpoint_test_harness::scenario::{
@@ -12,17 +12,18 @@
 
 const EXE: &str = env!("CARGO_BIN_EXE_madderpoint");
 
-/// The program with a later version of all messages, built beside the present one. It is there
-/// before any rig plays: a compiler beside them takes the processors that judgements go by.
-fn later() -> std::path::PathBuf {
+/// Returns the path of a build of the program with a later version of all messages. The build runs
+/// before any scenario: a compiler running at the same time would take CPU time from the nodes and
+/// distort the canary analysis.
+fn later_build() -> std::path::PathBuf {
     static BUILT: OnceLock<std::path::PathBuf> = OnceLock::new();
-    BUILT.get_or_init(build_later).clone()
+    BUILT.get_or_init(compile_later_build).clone()
 }
 
-fn build_later() -> std::path::PathBuf {
+fn compile_later_build() -> std::path::PathBuf {
     let target = Path::new(env!("CARGO_TARGET_TMPDIR")).join("later");
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
-    let built = std::process::Command::new(cargo)
+    let status = std::process::Command::new(cargo)
         .args([
             "build",
             "--locked",
@@ -36,90 +37,90 @@
         .arg(&target)
         .current_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."))
         .status();
-    assert!(built.unwrap().success(), "the later build");
+    assert!(status.unwrap().success(), "the later version was built");
     target.join("debug").join("madderpoint")
 }
 
-fn play(script: &Scenario) -> Outcome {
-    later();
-    let setting = ProgramSetup {
+fn run(scenario: &Scenario) -> Outcome {
+    later_build();
+    let setup = ProgramSetup {
         exe: EXE.into(),
         later: None,
         dir: env!("CARGO_TARGET_TMPDIR").into(),
         extra_settings: String::new(),
     };
-    FaultScenario::start(script.clone(), setting).unwrap().run()
+    FaultScenario::start(scenario.clone(), setup).unwrap().run()
 }
 
 fn read(name: &str) -> Scenario {
     let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/rig")).join(name);
     let text = std::fs::read_to_string(&path).unwrap();
-    scenario::read(name, &text).unwrap_or_else(|complaints| panic!("{complaints}"))
+    scenario::read(name, &text).unwrap_or_else(|diagnostics| panic!("{diagnostics}"))
 }
 
-fn holds(name: &str) -> Outcome {
-    let script = read(name);
-    let outcome = play(&script);
-    outcome.expect_good(&script);
+fn run_scenario(name: &str) -> Outcome {
+    let scenario = read(name);
+    let outcome = run(&scenario);
+    outcome.expect_good(&scenario);
     outcome
 }
 
-/// One node of six is harmed, and no other.
+/// The bad version runs on one of six nodes only.
 #[test]
-fn a_change_that_throttles_all_is_stopped_at_one_node() {
-    let outcome = holds("rollout-bad.xml");
+fn a_version_that_throttles_all_requests_is_stopped_at_one_node() {
+    let outcome = run_scenario("rollout-bad.xml");
     assert_eq!(outcome.on_trial.get(&5), Some(&1), "{:?}", outcome.on_trial);
     assert!(!outcome.on_trial.contains_key(&4) && !outcome.on_trial.contains_key(&3));
-    let of = |status: &str| outcome.statuses.get(status).copied().unwrap_or(0);
+    let count = |status: &str| outcome.statuses.get(status).copied().unwrap_or(0);
     assert!(
-        of("429") > 0 && of("429") * 10 < of("200"),
+        count("429") > 0 && count("429") * 10 < count("200"),
         "{:?}",
         outcome.statuses
     );
 }
 
 #[test]
-fn a_good_change_reaches_all_though_who_offered_it_dies() {
-    let outcome = holds("rollout-good.xml");
+fn a_good_version_reaches_all_nodes_although_the_offering_node_crashes() {
+    let outcome = run_scenario("rollout-good.xml");
     assert!(outcome.on_trial[&2] >= 3, "{:?}", outcome.on_trial);
 }
 
 #[test]
-fn a_halt_in_one_half_of_a_partition_holds_for_all() {
-    holds("rollout-split.xml");
+fn a_halt_in_one_half_of_a_partition_applies_to_all_nodes() {
+    run_scenario("rollout-split.xml");
 }
 
 #[test]
 fn of_many_versions_by_two_operators_the_highest_good_one_is_in_force() {
-    let outcome = holds("rollout-many.xml");
+    let outcome = run_scenario("rollout-many.xml");
     assert_eq!(
         outcome.on_trial.get(&4),
         Some(&1),
-        "what errs ran at one node: {:?}",
+        "the version with errors ran at one node: {:?}",
         outcome.on_trial
     );
 }
 
 #[test]
-fn a_change_goes_on_through_restarts() {
-    holds("rollout-restarts.xml");
+fn a_rollout_continues_through_restarts() {
+    run_scenario("rollout-restarts.xml");
 }
 
-/// Two nodes are of a build whose messages have another version, a field more, some less and kinds
-/// that the others do not know. All of them see each other, share limits and budgets, and a change
-/// that one of the later ones offers reaches all.
+/// Two nodes run a build whose messages have a later version, with an added field, some removed
+/// fields and kinds unknown to the others. All nodes see each other, share quotas and budgets, and
+/// a rollout offered by one of the later ones reaches all.
 #[test]
-fn two_builds_with_other_messages_are_one_fleet() {
-    let script = read("rollout-later.xml");
+fn two_builds_with_different_messages_form_one_fleet() {
+    let scenario = read("rollout-later.xml");
     let (exe, dir) = (EXE.into(), env!("CARGO_TARGET_TMPDIR").into());
-    let setting = ProgramSetup {
+    let setup = ProgramSetup {
         exe,
-        later: Some(later()),
+        later: Some(later_build()),
         dir,
         extra_settings: String::new(),
     };
-    let outcome = FaultScenario::start(script.clone(), setting).unwrap().run();
-    outcome.expect_good(&script);
+    let outcome = FaultScenario::start(scenario.clone(), setup).unwrap().run();
+    outcome.expect_good(&scenario);
     assert!(
         outcome.backend.calls > 300 && outcome.keyed_executions > 300,
         "{:?}",
@@ -127,12 +128,12 @@
     );
 }
 
-/// Pairs of hard cases drawn by seed, one within the other, while a good change goes out;
-/// afterwards one version is in force.
+/// Two overlapping faults, chosen by a seed, during the rollout of a good version; afterwards one
+/// version is in force on all nodes.
 #[test]
-fn pairs_of_faults_by_seed_while_a_change_goes_out() {
+fn one_version_is_in_force_after_pairs_of_faults_during_a_rollout() {
     let ms = Duration::from_millis;
-    let plays: Vec<_> = [5u64, 13]
+    let runs: Vec<_> = [5u64, 13]
         .into_iter()
         .map(|seed| {
             let fault = |kind: u64, at: Duration| {
@@ -162,14 +163,14 @@
             ];
             steps.extend(fault(seed % 5, ms(9500)));
             steps.extend(fault((seed / 5 + seed + 1) % 5, ms(12_000)));
-            // Whether it is found good or a death on trial stops it is for the judgement to say;
-            // all must come to the same.
+            // The version is either found good or stopped by a crash on trial; the canary
+            // analysis decides. All nodes must end on the same version.
             steps.push(Step { at: ms(75_000), action: Action::Settled { within: ms(6000), sides: 1 } });
             steps.sort_by_key(|step| step.at);
             let periods = [("probe", "200ms"), ("answer", "80ms"), ("gossip", "50ms"), ("regain", "200ms")];
             let stages = r#"<rollout of-zone="0.7"><stage share="one" least="1s" sample="40" spread="0s"/>
                 <stage share="1" least="1s" sample="60" spread="1s"/></rollout>"#;
-            let script = Scenario {
+            let scenario = Scenario {
                 name: "a change and a pair of faults".into(),
                 seed,
                 nodes: 5,
@@ -183,11 +184,11 @@
                 ..Scenario::default()
             };
             std::thread::spawn(move || {
-                let outcome = play(&script);
-                outcome.expect_good(&script);
+                let outcome = run(&scenario);
+                outcome.expect_good(&scenario);
                 assert!(outcome.one_version_at_the_end(), "{:?}", outcome.final_settings);
             })
         })
         .collect();
-    plays.into_iter().for_each(|play| play.join().unwrap());
+    runs.into_iter().for_each(|run| run.join().unwrap());
 }
--- a/crates/node/tests/rules.rs
+++ b/crates/node/tests/rules.rs
@@ -1,6 +1,6 @@
-//! The program with a file of rules, on sockets: what rules give is seen at the executor's wire,
-//! throttles carry their pause, reloads under load lose nothing, and every request gets one final
-//! answer.
+//! The program with a rules file, tested over sockets: the output of rules arrives at the executor,
+//! throttled answers carry their pause, reloads under load lose no request, and every request gets
+//! exactly one final answer.
 
 use madderpoint_test_harness::checker::Checker;
 use madderpoint_test_harness::executor::Executor;
@@ -22,25 +22,25 @@
 /// The client timeout of all operations here.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-fn file(rules: &str) -> PathBuf {
-    PROGRAM.file("xml", &whole(rules))
+fn settings_file(rules: &str) -> PathBuf {
+    PROGRAM.file("xml", &settings_text(rules))
 }
 
-fn whole(rules: &str) -> String {
+fn settings_text(rules: &str) -> String {
     format!("<translator version=\"1\">\n<rules>\n{rules}\n</rules>\n</translator>\n")
 }
 
-/// A node with rules, and the executor that works for it.
+/// Starts a node with rules, and its executor.
 fn node(rules: &Path) -> (Node, Executor) {
-    let worker = Executor::start();
-    let config = node_config(worker.address, unused_address(), unused_address(), 1024).replace(
+    let executor = Executor::start();
+    let config = node_config(executor.address, unused_address(), unused_address(), 1024).replace(
         "\"RetryAfter\": false, \"MaxRetryAfter\": 0.0",
         "\"RetryAfter\": true, \"MaxRetryAfter\": 2.0",
     );
     let node = Node::start_with_config(PROGRAM, &config, &["--settings", rules.to_str().unwrap()]);
     let mut balancer = node.connect();
     while balancer.ping() != "200" {}
-    (node, worker)
+    (node, executor)
 }
 
 const RULES: &str = r#"
@@ -56,33 +56,33 @@
 "#;
 
 #[test]
-fn what_rules_give_is_seen_at_the_executor_and_in_the_answers() {
-    let (node, worker) = node(&file(RULES));
+fn the_output_of_rules_reaches_the_executor_and_the_answers() {
+    let (node, executor) = node(&settings_file(RULES));
     let mut balancer = node.connect();
-    let mut ask = |path: &str, site: Option<&str>| {
+    let mut request = |path: &str, site: Option<&str>| {
         let (rid, arrived) = (load::next_request_id(), unix_ms());
         let mut params = wire::call_params(path, &rid, &arrived);
         params.extend(site.map(|site| ("HTTP_X_SITE", site)));
         balancer.ask(&wire::request(1, &params, b"body"))
     };
-    assert_eq!(ask("/old/read", None).status, "200");
-    assert_eq!(worker.wait_started(1)[0].route, "read");
-    let first = ask("/old/book/k1", None);
-    let again = ask("/old/book/k1", None);
+    assert_eq!(request("/old/read", None).status, "200");
+    assert_eq!(executor.wait_started(1)[0].route, "read");
+    let first = request("/old/book/k1", None);
+    let again = request("/old/book/k1", None);
     assert_eq!(
         (&first.status[..], first.body == again.body),
         ("200", true),
-        "a repeat has the first one's result"
+        "a repeated key gets the result of the first execution"
     );
-    assert_eq!(worker.started().len(), 2);
-    assert_eq!(worker.started()[1].route, "book");
-    let answer = ask("/call/read", Some("closed"));
+    assert_eq!(executor.started().len(), 2);
+    assert_eq!(executor.started()[1].route, "book");
+    let answer = request("/call/read", Some("closed"));
     assert_eq!(
         (&answer.status[..], &answer.body[..]),
         ("403", &b"site is closed"[..])
     );
-    // Five at once, and then the pause tells when there is room.
-    let answers: Vec<_> = (0..6).map(|_| ask("/call/read", Some("7"))).collect();
+    // The bucket permits five requests at once; then the pause says when the next is permitted.
+    let answers: Vec<_> = (0..6).map(|_| request("/call/read", Some("7"))).collect();
     assert!(
         answers[..5].iter().all(|a| a.status == "200"),
         "{answers:?}"
@@ -93,21 +93,21 @@
         "{:?}",
         answers[5]
     );
-    thread::sleep(Duration::from_millis(pause)); // as a caller that heeds it
-    assert_eq!(ask("/call/read", Some("7")).status, "200");
-    assert_eq!(ask("/call/read", Some("8")).status, "200");
+    thread::sleep(Duration::from_millis(pause)); // as a caller that obeys the pause
+    assert_eq!(request("/call/read", Some("7")).status, "200");
+    assert_eq!(request("/call/read", Some("8")).status, "200");
     assert_eq!(
-        ask("/who", None).status,
+        request("/who", None).status,
         "418",
-        "where a caller connects from is known"
+        "rules see the address of the caller"
     );
-    assert_eq!(ask("/nowhere", None).status, "404");
+    assert_eq!(request("/nowhere", None).status, "404");
 }
 
 #[test]
-fn under_load_with_reload_after_reload_every_request_gets_one_answer() {
-    let settings = file(RULES);
-    let (mut node, worker) = node(&settings);
+fn every_request_gets_one_answer_under_load_with_repeated_reloads() {
+    let settings = settings_file(RULES);
+    let (mut node, executor) = node(&settings);
     let (checker, stop) = (Mutex::new(Checker::default()), AtomicBool::new(false));
     let (mut reloads, listen) = (0, node.listen);
     thread::scope(|scope| {
@@ -122,50 +122,50 @@
                 &checker,
                 &stop,
                 |conn, number| {
-                    let mut ask = LoadRequest::of(
+                    let mut request = LoadRequest::of(
                         ["/call/read", "/old/read", "/old/read", "/call/pay"][number % 4],
                     );
                     if number % 5 == 0 {
-                        // Each key comes from three connections, and must run once.
+                        // Three connections send each key; it must be executed once.
                         let key = format!("k{}-{number}", conn / 3);
-                        ask.path = format!("/old/book/{key}");
-                        ask.key = Some(key);
+                        request.path = format!("/old/book/{key}");
+                        request.key = Some(key);
                     } else if number % 7 == 0 {
-                        ask.path = "/call/read".into();
-                        ask.params.push((
+                        request.path = "/call/read".into();
+                        request.params.push((
                             "HTTP_X_SITE".into(),
                             ["7", "8", "closed"][number % 3].into(),
                         ));
                     }
-                    ask
+                    request
                 },
             );
         });
-        // Every other file is broken in another way; what follows the good ones is logged each
-        // time.
+        // Every other file is invalid, each time in another way; each reload is logged.
         let broken = [
             "<translator",
             "<rules/>",
             "<translator version=\"1\"><rules><rule name=\"x\"/></rules></translator>",
         ];
-        // No more lines than the log takes in a second, so that none is left out.
+        // The number of reloads stays below the log's limit on lines per second, so that no line
+        // is left out.
         while !loading.is_finished() && reloads < 16 {
             std::fs::write(&settings, broken[reloads / 2 % 3]).unwrap();
             node.signal("-HUP");
             node.wait_for_log("new settings rejected: the current ones stay in force");
-            std::fs::write(&settings, whole(RULES)).unwrap();
+            std::fs::write(&settings, settings_text(RULES)).unwrap();
             node.signal("-HUP");
             node.wait_for_log("rules in force rules=5");
             reloads += 2;
         }
     });
-    assert!(reloads >= 4, "{reloads} reloads came in time");
+    assert!(reloads >= 4, "only {reloads} reloads took place under load");
     node.terminate();
     assert!(node.wait().success());
     let statuses = checker
         .into_inner()
         .unwrap()
-        .verdict(&worker.started(), TIMEOUT)
+        .verdict(&executor.started(), TIMEOUT)
         .unwrap_or_else(|e| panic!("{e:#?}"));
     let total: usize = statuses.values().sum();
     assert_eq!(total, 6 * 1200, "{statuses:?}");
@@ -175,15 +175,15 @@
     );
     assert!(
         !statuses.contains_key("404"),
-        "no reload left a moment without rules: {statuses:?}"
+        "rules were in force during all reloads: {statuses:?}"
     );
 }
 
 #[test]
-fn a_drain_under_load_answers_all_that_was_read() {
-    let (mut node, worker) = node(&file(RULES));
+fn a_drain_under_load_answers_all_requests_that_were_read() {
+    let (mut node, executor) = node(&settings_file(RULES));
     let (checker, stop) = (Mutex::new(Checker::default()), AtomicBool::new(false));
-    worker.hold(true);
+    executor.hold(true);
     let listen = node.listen;
     thread::scope(|scope| {
         let loading = scope.spawn(|| {
@@ -199,31 +199,31 @@
                 |_, _| LoadRequest::of("/old/read"),
             )
         });
-        worker.wait_started(1);
+        executor.wait_started(1);
         node.terminate();
         node.wait_for_log("drain begins");
-        worker.hold(false);
+        executor.hold(false);
         loading.join().unwrap();
     });
     assert!(node.wait().success());
     let statuses = checker
         .into_inner()
         .unwrap()
-        .verdict(&worker.started(), TIMEOUT)
+        .verdict(&executor.started(), TIMEOUT)
         .unwrap_or_else(|e| panic!("{e:#?}"));
     assert_eq!(statuses.values().sum::<usize>(), 16, "{statuses:?}");
 }
 
 #[test]
-fn a_file_that_is_bad_at_the_start_is_shown_whole_and_nothing_starts() {
-    let worker = Executor::start();
+fn all_errors_of_an_invalid_file_are_reported_and_the_node_does_not_start() {
+    let executor = Executor::start();
     let config = PROGRAM.config(&node_config(
-        worker.address,
+        executor.address,
         unused_address(),
         unused_address(),
         1024,
     ));
-    let bad = file(
+    let bad = settings_file(
         "<rule name=\"a\"><when>operation == \"gone\"</when></rule>\n<rule name=\"b\"><when>1 +</when></rule>",
     );
     let output = PROGRAM
@@ -256,8 +256,8 @@
 }
 
 #[test]
-fn the_sub_commands_check_explain_test_and_measure() {
-    let good = file(&format!(
+fn the_sub_commands_check_explain_test_and_measure_rules() {
+    let good = settings_file(&format!(
         "{RULES}<case name=\"booked\"><request script=\"/old/book/k9\"/><expect rule=\"book\" operation=\"book\" key=\"k9\"/></case>\
         <case name=\"wrong\"><request script=\"/old/read\"/><expect rule=\"book\"/></case>"
     ));
@@ -274,9 +274,9 @@
         "{out}"
     );
     let (code, out, _) = call(&["check", good, "--format", "json"]);
-    let told: serde_json::Value = serde_json::from_str(&out).unwrap();
+    let output: serde_json::Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
-        (code, &told["rules"], &told["good"]),
+        (code, &output["rules"], &output["good"]),
         (Some(0), &5.into(), &true.into())
     );
     let (code, out, _) = call(&["rules", "test", good]);
@@ -298,13 +298,13 @@
         "--format",
         "json",
     ]);
-    let told: serde_json::Value = serde_json::from_str(&out).unwrap();
+    let output: serde_json::Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
-        (code, &told["given"]["rule"], &told["given"]["key"]),
+        (code, &output["given"]["rule"], &output["given"]["key"]),
         (Some(0), &"book".into(), &"k9".into())
     );
     assert_eq!(
-        told["rules"][0]["failed"]["part"],
+        output["rules"][0]["failed"]["part"],
         "params.HTTP_X_SITE == \"closed\""
     );
     let (code, out, _) = call(&["rules", "bench", good, "--rounds", "50"]);
@@ -324,7 +324,7 @@
     assert!(help.contains("Example"), "{help}");
 }
 
-/// CPU time of a process so far, in clock ticks of a hundredth of a second.
+/// Returns the CPU time that a process has used, in clock ticks of a hundredth of a second.
 fn ticks(pid: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let fields: Vec<&str> = stat
@@ -336,26 +336,26 @@
     fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
 }
 
-/// Not a part of CI: what a request costs the whole program with the dearest rule that is accepted,
-/// with rules that classify, and without. Run: cargo test --release -p madderpoint-node --test
-/// rules -- --ignored --nocapture
+/// Measures the CPU time per request of the whole program with the most expensive rule that is
+/// accepted, with a rule that classifies, and without rules. Not part of CI; run it with:
+/// cargo test --release -p madderpoint-node --test rules -- --ignored --nocapture
 #[test]
 #[ignore = "a measurement"]
-fn cpu_of_a_request_with_the_most_expensive_rule_and_without() {
-    let dearest = "<parameter name=\"W\" most=\"985B\"/><rule name=\"w\"><when><![CDATA[params.W.matches(\"(ab|cd)*e\")]]>\
+fn cpu_per_request_with_the_most_expensive_rule_and_without() {
+    let most_expensive = "<parameter name=\"W\" most=\"985B\"/><rule name=\"w\"><when><![CDATA[params.W.matches(\"(ab|cd)*e\")]]>\
         </when><give class=\"c\"/></rule>";
     let classify = "<bucket name=\"b\" rate=\"100000/s\" burst=\"1000\"/><rule name=\"r\"><when>operation == \"read\"</when>\
         <give operation=\"read\" class=\"c\"><limit bucket=\"b\">tenant</limit></give></rule>";
     let (requests_per_connection, connections) = (20_000, 4);
     let mut costs = [const { Vec::new() }; 3];
     for round in 0..5 {
-        for (which, rules) in [None, Some(classify), Some(dearest)]
+        for (which, rules) in [None, Some(classify), Some(most_expensive)]
             .into_iter()
             .enumerate()
         {
-            let worker = Executor::start();
-            let config = node_config(worker.address, unused_address(), unused_address(), 1024);
-            let path = rules.map(file);
+            let executor = Executor::start();
+            let config = node_config(executor.address, unused_address(), unused_address(), 1024);
+            let path = rules.map(settings_file);
             let arguments: Vec<&str> = path
                 .iter()
                 .flat_map(|path| ["--settings", path.to_str().unwrap()])
@@ -365,7 +365,8 @@
             while balancer.ping() != "200" {}
             let before = ticks(node.child.id());
             let (checker, stop) = (Mutex::new(Checker::default()), AtomicBool::new(false));
-            // A worker that remembers all runs looks through them for each; this one forgets.
+            // The executor searches its recorded executions for each new one, so they are discarded
+            // regularly.
             thread::scope(|scope| {
                 let loading = scope.spawn(|| {
                     load::run(
@@ -378,32 +379,32 @@
                         &checker,
                         &stop,
                         |_, _| {
-                            let mut ask = LoadRequest::of("/call/read");
-                            ask.params.push(("W".into(), "abcd".repeat(246)));
-                            ask
+                            let mut request = LoadRequest::of("/call/read");
+                            request.params.push(("W".into(), "abcd".repeat(246)));
+                            request
                         },
                     );
                 });
                 while !loading.is_finished() {
-                    worker.forget();
+                    executor.forget();
                     thread::sleep(Duration::from_millis(5));
                 }
             });
             let used = ticks(node.child.id()) - before;
             let micros = used as f64 * 10_000.0 / (requests_per_connection * connections) as f64;
             println!(
-                "round {round}, {}: {micros:.1} µs a request",
-                ["no rules", "classify", "dearest"][which]
+                "round {round}, {}: {micros:.1} µs per request",
+                ["no rules", "classify", "most expensive"][which]
             );
             costs[which].push(micros);
         }
     }
-    let middle = |costs: &mut Vec<f64>| {
+    let median = |costs: &mut Vec<f64>| {
         costs.sort_by(f64::total_cmp);
         costs[costs.len() / 2]
     };
-    let [none, classify, dearest] = costs.each_mut().map(middle);
+    let [none, classify, most_expensive] = costs.each_mut().map(median);
     println!(
-        "medians: no rules {none:.1}, classify {classify:.1}, dearest {dearest:.1} µs a request"
+        "medians: no rules {none:.1}, classify {classify:.1}, most expensive {most_expensive:.1} µs per request"
     );
 }
--- a/crates/node/tests/shared.rs
+++ b/crates/node/tests/shared.rs
@@ -1,5 +1,6 @@
-//! Several processes that share budgets, limits by key, counts and judgements, with faults between
-//! them. The record of the service below, and of what ran by key, over all nodes, is the judge.
+//! Several processes that share budgets, keyed quotas, counters and health reports, with faults
+//! between them. The tests check the backend service's record and the record of keyed executions
+//! over all nodes.
 
 use madderpoint_test_harness::fault_scenario::{FaultScenario, Outcome, ProgramSetup};
 use madderpoint_test_harness::scenario::{
@@ -11,7 +12,7 @@
 
 const EXE: &str = env!("CARGO_BIN_EXE_madderpoint");
 
-fn setting() -> ProgramSetup {
+fn setup() -> ProgramSetup {
     ProgramSetup {
         exe: EXE.into(),
         later: None,
@@ -20,19 +21,20 @@
     }
 }
 
-fn play(script: &Scenario) -> Outcome {
-    FaultScenario::start(script.clone(), setting())
+fn run(scenario: &Scenario) -> Outcome {
+    FaultScenario::start(scenario.clone(), setup())
         .unwrap()
         .run()
 }
 
-fn holds(name: &str) -> (Scenario, Outcome) {
+fn run_scenario(name: &str) -> (Scenario, Outcome) {
     let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/rig")).join(name);
     let text = std::fs::read_to_string(&path).unwrap();
-    let script = scenario::read(name, &text).unwrap_or_else(|complaints| panic!("{complaints}"));
-    let outcome = play(&script);
-    outcome.expect_good(&script);
-    (script, outcome)
+    let scenario =
+        scenario::read(name, &text).unwrap_or_else(|diagnostics| panic!("{diagnostics}"));
+    let outcome = run(&scenario);
+    outcome.expect_good(&scenario);
+    (scenario, outcome)
 }
 
 fn ms(n: u64) -> Duration {
@@ -40,14 +42,14 @@
 }
 
 #[test]
-fn a_limit_is_kept_through_thirds_a_cut_one_way_and_replacements() {
-    let (_, outcome) = holds("thirds.xml");
+fn a_rate_budget_is_kept_through_partitions_a_one_way_cut_and_replacements() {
+    let (_, outcome) = run_scenario("thirds.xml");
     assert!(outcome.backend.calls > 1500, "{:?}", outcome.backend);
 }
 
 #[test]
-fn calls_in_hand_are_kept_through_thirds_a_cold_return_and_a_pause() {
-    let (_, outcome) = holds("hands.xml");
+fn a_budget_of_calls_in_flight_is_kept_through_partitions_a_cold_restart_and_a_pause() {
+    let (_, outcome) = run_scenario("hands.xml");
     assert!(
         outcome.backend.most_in_flight >= 10 && outcome.backend.calls > 1500,
         "{:?}",
@@ -56,8 +58,8 @@
 }
 
 #[test]
-fn limits_by_key_are_kept_while_load_moves_and_a_zone_is_cut_off() {
-    let (_, outcome) = holds("keys.xml");
+fn keyed_quotas_are_kept_while_load_moves_and_a_zone_is_cut_off() {
+    let (_, outcome) = run_scenario("keys.xml");
     assert!(
         outcome.keyed_executions > 500,
         "{}",
@@ -66,8 +68,8 @@
 }
 
 #[test]
-fn a_service_that_comes_back_is_not_thrown_down_again() {
-    let (_, outcome) = holds("service-dies.xml");
+fn a_recovering_service_is_not_overloaded_again() {
+    let (_, outcome) = run_scenario("service-dies.xml");
     assert!(
         outcome.backend.connections_while_down > 0,
         "{:?}",
@@ -76,10 +78,10 @@
 }
 
 #[test]
-fn the_sum_of_what_all_send_rises_with_a_service_that_starts_cold() {
-    let (_, outcome) = holds("slow-start.xml");
+fn the_total_load_rises_with_the_capacity_of_a_service_that_starts_cold() {
+    let (_, outcome) = run_scenario("slow-start.xml");
     println!(
-        "the worst second: {:?} calls over what it takes",
+        "worst second: {:?} calls above the service's capacity",
         outcome.excess_after_restart
     );
     assert!(
@@ -90,13 +92,14 @@
 }
 
 #[test]
-fn a_service_that_is_ill_for_some_is_told_from_one_that_is_ill() {
-    holds("service-looks-dead.xml");
+fn a_service_that_fails_for_some_nodes_is_distinguished_from_one_that_fails_for_all() {
+    run_scenario("service-looks-dead.xml");
 }
 
-/// The judge sees what it is for: with no limit set the same load is over it, and the service dies.
+/// Checks the check itself: without limits the same load exceeds the service's capacity, the
+/// service crashes, and the outcome reports it.
 #[test]
-fn without_the_limits_the_records_show_it() {
+fn without_limits_the_outcome_reports_the_crash_of_the_service() {
     let backend = BackendModel {
         work: ms(60),
         survives: 8,
@@ -104,7 +107,7 @@
         warm: ms(500),
         ..BackendModel::default()
     };
-    let script = Scenario {
+    let scenario = Scenario {
         name: "no limits".into(),
         seed: 3,
         nodes: 3,
@@ -115,7 +118,7 @@
         backend,
         ..Scenario::default()
     };
-    let outcome = play(&script);
+    let outcome = run(&scenario);
     assert!(
         outcome.backend.crashes > 0 && outcome.backend.most_in_flight > 8,
         "{:?}",
@@ -128,9 +131,9 @@
     );
 }
 
-/// Pairs of hard cases drawn by seed, one within the other, with budgets and keys at once.
+/// Two overlapping faults, chosen by a seed, with budgets and keyed quotas at the same time.
 #[test]
-fn pairs_of_faults_by_seed_with_all_of_it_shared() {
+fn budgets_and_quotas_are_kept_through_pairs_of_overlapping_faults() {
     for seed in [3u64, 8] {
         let fault = |kind: u64, at: Duration| {
             let node = format!("n{}", (seed + kind) % 5);
@@ -214,7 +217,7 @@
             ("gossip", "50ms"),
             ("regain", "200ms"),
         ];
-        let script = Scenario {
+        let scenario = Scenario {
             name: "a pair of faults".into(),
             seed,
             nodes: 5,
@@ -243,7 +246,7 @@
             steps,
             ..Scenario::default()
         };
-        play(&script).expect_good(&script);
+        run(&scenario).expect_good(&scenario);
     }
 }
 
@@ -255,10 +258,10 @@
     )
 }
 
-/// A running node says what it holds of all that is shared and why; one that shares nothing says
-/// that.
+/// A running node explains its shared state; for a node without shared state the command fails with
+/// an error that says so.
 #[test]
-fn a_running_node_says_why_it_holds_what_it_holds() {
+fn a_running_node_explains_its_shared_state() {
     use madderpoint_test_harness::peers::unused_address;
     use madderpoint_test_harness::program::{Node, Program, node_config};
     let program = Program {
@@ -290,14 +293,14 @@
     node.wait_for_log("lends: a majority of the arbiters gave their word");
     let (code, text) = call(&["shared", "explain", "--settings", &good, "--at", &at]);
     assert_eq!(code, Some(0), "{text}");
-    for said in [
+    for expected in [
         "this node lends",
         "budget 'register', 100 calls a second for the fleet: may use",
         "its floor of 2",
         "keys 'by-site', each 10 in 1000 ms, 30 saved for the fleet",
         "service 'reg': open",
     ] {
-        assert!(text.contains(said), "{said:?} in {text}");
+        assert!(text.contains(expected), "{expected:?} in {text}");
     }
     let (code, text) = call(&[
         "fleet",
