--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -246,7 +246,7 @@
     );
 }
 
-fn notices(parts: &[&[u8]]) -> String {
+fn read_notices(parts: &[&[u8]]) -> String {
     let (mut reader, mut events) = (executor::Reader::default(), Vec::new());
     reader.open();
     let mut sink = |notice| {
@@ -359,7 +359,7 @@
                 .into_bytes(),
             ),
         ],
-        notices,
+        read_notices,
     );
 }
 
@@ -375,7 +375,7 @@
     );
 }
 
-fn replies(parts: &[&[u8]]) -> String {
+fn read_replies(parts: &[&[u8]]) -> String {
     let (mut parser, mut events) = (backend::Parser::default(), Vec::new());
     let mut sink = |reply: backend::Reply| {
         let outcome = match reply.outcome {
@@ -414,7 +414,7 @@
             ("too-large", b"9b1f ok 8193\r\n"),
             ("no-end", b"9b1f ok 1\r\nxyz"),
         ],
-        replies,
+        read_replies,
     );
 }
 
