--- a/crates/test-harness/src/backend_service.rs
+++ b/crates/test-harness/src/backend_service.rs
@@ -1,7 +1,7 @@
-//! A stand-in for the backend service that all nodes of a scenario share. It takes some time for
-//! each call, records what arrives and what is in flight over all nodes, and crashes when more is in
-//! flight than it survives. While it is down its connections end at once; after a restart it
-//! survives less until it is warm.
+//! A stand-in for the backend service that all nodes of a scenario share. It answers each call
+//! after a set time, records arrivals and the calls in flight over all nodes, and crashes when more
+//! calls are in flight than its limit. While it is down it closes connections at once; after a
+//! restart its limit is lower until it is warm.
 
 use std::collections::{BinaryHeap, HashMap};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -10,16 +10,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a backend service behaves.
+/// Behaviour of a [`BackendService`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendConfig {
-    /// The time that it takes for a call.
+    /// Time from the arrival of a call to its reply.
     pub work: Duration,
-    /// Calls in flight that it survives when warm; 0 for any number.
+    /// Most calls in flight that the service survives when warm; 0 means no limit.
     pub survives: usize,
-    /// How long it is down after a crash.
+    /// Time that the service is down after a crash.
     pub down: Duration,
-    /// How long it takes after a restart to be warm.
+    /// Time from a restart until the service is warm.
     pub warm: Duration,
 }
 
@@ -35,18 +35,18 @@
     }
 }
 
-/// A temporary impairment of the service.
+/// A temporary impairment of the service: slower or failing calls.
 #[derive(Clone, Debug)]
 struct Impairment {
-    /// The zone whose calls it affects; none for all.
+    /// Zone whose calls are affected; `None` affects all zones.
     zone: Option<String>,
     until: Instant,
     extra_work: Duration,
-    /// The share of calls that fail, 0 to 1.
+    /// Share of calls that fail, 0 to 1.
     failure_share: f64,
 }
 
-/// When a call is to be answered; orders the heap by time, earliest first.
+/// The time at which a call is answered. The ordering puts the earliest one on top of the heap.
 struct PendingReply {
     due: Instant,
     call: u64,
@@ -79,13 +79,13 @@
 #[derive(Default)]
 struct State {
     config: BackendConfig,
-    /// When calls arrived.
+    /// Arrival times of all calls, oldest first.
     arrivals: Vec<Instant>,
     most_in_flight: usize,
     in_flight: HashMap<u64, Call>,
     pending_replies: BinaryHeap<PendingReply>,
     connections: HashMap<u64, TcpStream>,
-    /// The last number given to a connection or call.
+    /// The number last assigned to a connection or call.
     last_number: u64,
     down_until: Option<Instant>,
     last_restart: Option<Instant>,
@@ -93,31 +93,32 @@
     crashes: usize,
     connections_while_down: usize,
     impairments: Vec<Impairment>,
-    /// Counts calls, to spread failures evenly and the same in every run.
+    /// Number of calls that arrived; spreads failures evenly, and identically in every run.
     call_count: u64,
 }
 
-/// A running backend service; clones share it. It ends with the process.
+/// A handle to a running backend service. Clones share the service, which runs until the process
+/// ends.
 #[derive(Clone, Default)]
 pub struct BackendService(Arc<(Mutex<State>, Condvar)>);
 
-/// What a backend service recorded.
+/// Calls and crashes that a [`BackendService`] recorded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendRecord {
-    /// All calls.
+    /// Number of calls that arrived.
     pub calls: usize,
-    /// The most calls that arrived in any second.
+    /// Most calls that arrived within any period of one second.
     pub most_in_a_second: usize,
-    /// The most calls in flight at any moment.
+    /// Most calls in flight at any moment.
     pub most_in_flight: usize,
-    /// How often it crashed for too many calls in flight.
+    /// Number of crashes caused by too many calls in flight.
     pub crashes: usize,
-    /// Connections that were tried while it was down.
+    /// Connections that were attempted while the service was down.
     pub connections_while_down: usize,
 }
 
 impl BackendService {
-    /// Starts a service.
+    /// Starts a service that behaves as configured.
     pub fn start(config: BackendConfig) -> BackendService {
         let service = BackendService::default();
         service.lock().config = config;
@@ -130,11 +131,11 @@
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens an address for the calls of one node, which is in this zone.
+    /// Opens an address for the calls of one node in the given zone.
     ///
     /// # Errors
     ///
-    /// No port can be opened.
+    /// Returns an error if no port can be opened.
     pub fn listen(&self, zone: &str) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -150,13 +151,14 @@
         Ok(address)
     }
 
-    /// Takes the service down for a time.
+    /// Takes the service down for the given time and closes its connections.
     pub fn go_down(&self, time: Duration) {
         self.lock().go_down(time);
         self.0.1.notify_all();
     }
 
-    /// For a time, calls of a zone (or all) take longer by `extra_work`, and a share of them fails.
+    /// Impairs the calls of a zone, or all calls, for the given time: they take `extra_work`
+    /// longer, and a share of them fails.
     pub fn impair(
         &self,
         zone: Option<String>,
@@ -172,7 +174,7 @@
         });
     }
 
-    /// Calls that arrived within this time before now.
+    /// Returns the number of calls that arrived within the last `time`.
     pub fn recent_calls(&self, time: Duration) -> usize {
         let (state, from) = (self.lock(), Instant::now() - time);
         state
@@ -183,7 +185,7 @@
             .count()
     }
 
-    /// What it recorded so far.
+    /// Returns what the service has recorded so far.
     pub fn recorded(&self) -> BackendRecord {
         let state = self.lock();
         let (mut first, mut most) = (0, 0);
@@ -202,9 +204,10 @@
         }
     }
 
-    /// By how many calls the worst second after a restart exceeded the slow-start allowance: a
-    /// sixteenth of `calls_per_second` at first, twice as much after each 5 s, and 2 sqrt(N) + 2 for
-    /// chance. Nothing if it never restarted.
+    /// Returns by how many calls the worst second after a restart exceeded the slow-start
+    /// allowance. The allowance starts at a sixteenth of `calls_per_second` and doubles every 5 s;
+    /// an allowance of N calls is raised by 2 sqrt(N) + 2 for random variation. Returns `None` if
+    /// the service never restarted or received no call since.
     pub fn excess_after_restart(&self, calls_per_second: f64) -> Option<f64> {
         const SECOND: Duration = Duration::from_secs(1);
         let state = self.lock();
@@ -274,7 +277,7 @@
         }
     }
 
-    /// Answers calls when they are due.
+    /// Answers calls when their replies are due; never returns.
     fn answer_due_calls(&self) {
         let mut state = self.lock();
         loop {
@@ -282,7 +285,7 @@
             while let Some(first) = state
                 .pending_replies
                 .peek()
-                .filter(|pending_replies| pending_replies.due <= now)
+                .filter(|reply| reply.due <= now)
                 .map(|reply| reply.call)
             {
                 state.pending_replies.pop();
@@ -291,9 +294,7 @@
             let wait = state
                 .pending_replies
                 .peek()
-                .map_or(Duration::from_millis(200), |pending_replies| {
-                    pending_replies.due - now
-                });
+                .map_or(Duration::from_millis(200), |reply| reply.due - now);
             state = self
                 .0
                 .1
@@ -305,6 +306,7 @@
 }
 
 impl State {
+    /// Returns whether the service is down; records the restart once the down time is over.
     fn is_down(&mut self) -> bool {
         match self.down_until {
             Some(until) if Instant::now() >= until => {
@@ -325,7 +327,8 @@
         }
     }
 
-    /// Calls in flight that it survives now: a fifth of its limit after a restart, all when warm.
+    /// Returns the calls in flight that the service survives now: a fifth of the configured limit
+    /// right after a restart, rising linearly to the full limit when warm.
     fn survives(&self) -> usize {
         let BackendConfig { survives, warm, .. } = self.config;
         let passed = self.last_restart.map_or(1.0, |restart| {
@@ -334,7 +337,7 @@
         ((0.2 + 0.8 * passed.min(1.0)) * survives as f64).ceil() as usize
     }
 
-    /// A call has arrived.
+    /// Records a call and schedules its reply; crashes the service if too many are in flight.
     fn call_arrived(&mut self, connection: u64, id: &str, zone: &str) {
         if self.is_down() {
             return;
--- a/crates/test-harness/src/backend_service/tests.rs
+++ b/crates/test-harness/src/backend_service/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn it_records_calls_and_crashes_when_more_are_in_flight_than_it_survives() {
+fn the_service_records_calls_and_crashes_above_its_in_flight_limit() {
     let config = BackendConfig {
         work: Duration::from_millis(150),
         survives: 4,
@@ -31,6 +31,6 @@
             .write_all(format!("invoke {n} 100 1\r\nx\r\n").as_bytes())
             .unwrap();
     }
-    while reader.read_line(&mut line).is_ok_and(|n| n > 0) {} // it ends the connection
+    while reader.read_line(&mut line).is_ok_and(|n| n > 0) {} // a crash closes the connection
     assert_eq!(service.recorded().crashes, 1);
 }
--- a/crates/test-harness/src/bin/madderpoint-fault-test.rs
+++ b/crates/test-harness/src/bin/madderpoint-fault-test.rs
@@ -1,4 +1,4 @@
-//! Plays fault scenarios against several processes of the program, on loopback.
+//! Plays fault scenarios against several processes of the program on the loopback interface.
 
 use clap::{Parser, Subcommand};
 use madderpoint_test_harness::fault_scenario::{
@@ -10,11 +10,11 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Play fault scenarios against several processes of the program.
+/// Play fault scenarios against several processes of the program
 #[derive(Parser)]
 #[command(
     name = "madderpoint-fault-test",
-    after_help = "Example: madderpoint-fault-test run examples/rig/partition.xml"
+    after_help = "Example: madderpoint-fault-test run examples/rig/partition-and-crash.xml"
 )]
 struct CommandLine {
     #[command(subcommand)]
@@ -23,37 +23,37 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play scenarios, and report whether everything held.
+    /// Play scenarios and report whether all expectations held
     Run {
-        /// The scenarios.
+        /// The scenario files
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// The program; by default `madderpoint` in the directory of this one.
+        /// The program under test; by default `madderpoint` in the directory of this executable
         #[arg(long)]
         exe: Option<PathBuf>,
-        /// Another build of it, for nodes that a scenario starts as program `later`: see
-        /// docs/operators/rig.md.
+        /// Another build of the program, for nodes that a scenario starts as program `later`; see
+        /// docs/operators/rig.md
         #[arg(long)]
         later: Option<PathBuf>,
-        /// How often each scenario is played.
+        /// Number of times that each scenario is played
         #[arg(long, default_value_t = 1)]
         times: u32,
-        /// Use this seed instead of the scenario's, and the next one each further time.
+        /// Seed that replaces the scenario's; each further time adds one to it
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Check scenarios without playing them.
+    /// Check scenarios without playing them
     Check {
-        /// The scenarios.
+        /// The scenario files
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
 }
 
-/// Why scenarios could not be played.
+/// Reasons why scenarios could not be played.
 #[derive(Debug, Error)]
 enum RunError {
-    #[error("no program; name it by --exe")]
+    #[error("program under test not found: give its file with --exe")]
     NoProgram,
     #[error("{path}: {source}")]
     Directory { path: String, source: io::Error },
@@ -63,7 +63,7 @@
     Start { file: String, source: ScenarioError },
 }
 
-/// Plays all scenarios; gives whether everything held.
+/// Plays all scenarios and returns whether all expectations held.
 fn run(
     files: &[PathBuf],
     exe: Option<PathBuf>,
@@ -71,11 +71,11 @@
     times: u32,
     seed: Option<u64>,
 ) -> Result<bool, RunError> {
-    let beside = std::env::current_exe()
+    let default_exe = std::env::current_exe()
         .ok()
-        .and_then(|own| Some(own.parent()?.join("madderpoint")));
+        .and_then(|this_exe| Some(this_exe.parent()?.join("madderpoint")));
     let exe = exe
-        .or(beside)
+        .or(default_exe)
         .filter(|exe| exe.is_file())
         .ok_or(RunError::NoProgram)?;
     let dir = std::env::temp_dir().join(format!("madderpoint-fault-test-{}", std::process::id()));
@@ -83,7 +83,7 @@
         path: dir.display().to_string(),
         source,
     })?;
-    let setting = ProgramSetup {
+    let setup = ProgramSetup {
         exe,
         later,
         dir: dir.clone(),
@@ -91,18 +91,18 @@
     };
     let mut all_held = true;
     for file in files {
-        for time in 0..times {
+        for repetition in 0..times {
             let mut script = fault_scenario::read(file)?;
-            script.seed = seed.map_or(script.seed, |seed| seed + u64::from(time));
+            script.seed = seed.map_or(script.seed, |seed| seed + u64::from(repetition));
             let scenario =
-                FaultScenario::start(script.clone(), setting.clone()).map_err(|source| {
+                FaultScenario::start(script.clone(), setup.clone()).map_err(|source| {
                     RunError::Start {
                         file: file.display().to_string(),
                         source,
                     }
                 })?;
             let outcome = scenario.run();
-            print(&script, &outcome);
+            print_outcome(&script, &outcome);
             all_held &= outcome.failures.is_empty();
         }
     }
@@ -111,20 +111,20 @@
 }
 
 /// Prints an outcome to standard output.
-fn print(script: &Scenario, outcome: &Outcome) {
+fn print_outcome(script: &Scenario, outcome: &Outcome) {
     let result = if outcome.failures.is_empty() {
         "held"
     } else {
         "FAILED"
     };
     println!("{}, seed {}: {result}", script.name, script.seed);
-    for (what, seconds) in &outcome.durations {
-        println!("  {what}: {seconds:.2} s");
+    for (expectation, seconds) in &outcome.durations {
+        println!("  {expectation}: {seconds:.2} s");
     }
     let backend = outcome.backend;
     if script.calls_a_second + script.max_calls_in_flight > 0 || script.backend.judged {
         println!(
-            "  backend calls: {}, {} in the busiest second, {} in flight at most, {} tries while it was down",
+            "  backend calls: {}, {} in the busiest second, {} in flight at most, {} connection attempts while down",
             backend.calls,
             backend.most_in_a_second,
             backend.most_in_flight,
@@ -146,7 +146,7 @@
     }
 }
 
-/// Checks scenarios up to the first that is not valid; gives whether all are.
+/// Checks scenarios up to the first one that is not valid, and returns whether all are valid.
 fn check(files: &[PathBuf]) -> bool {
     for file in files {
         match fault_scenario::read(file) {
--- a/crates/test-harness/src/checker.rs
+++ b/crates/test-harness/src/checker.rs
@@ -1,5 +1,5 @@
-//! Checks what must hold for every request: exactly one final answer, in time, with the result of
-//! its own execution, and nothing with an idempotency key executed twice.
+//! Checks the invariants of every request: exactly one final answer, within the client timeout,
+//! with the result of the request's own execution; and no idempotency key executed twice.
 
 use crate::executor::{StartedExecution, result};
 use crate::wire::Answer;
@@ -10,24 +10,25 @@
 #[derive(Debug)]
 struct SentRequest {
     at: Instant,
-    /// The idempotency key, where it must run once.
+    /// Idempotency key, if the request must be executed at most once.
     key: Option<String>,
-    /// When each answer was complete, and its status.
+    /// Completion time and status of each answer.
     answers: Vec<(Instant, String)>,
+    /// Whether the client no longer waits, so that a missing answer is allowed.
     has_left: bool,
 }
 
-/// Something that must not happen to a request.
+/// A violated invariant of a request.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Violation {
-    /// Two requests were sent with one id.
-    #[error("{request} was sent twice")]
+    /// Two requests were sent with the same id.
+    #[error("request {request} was sent twice")]
     SentTwice {
         /// The request's id.
         request: String,
     },
-    /// An answer came that belongs to no request.
-    #[error("{request} was never sent and got {status}")]
+    /// An answer arrived for a request id that was never sent.
+    #[error("request {request} was never sent but got an answer with status {status}")]
     AnsweredUnsent {
         /// The id in the answer.
         request: String,
@@ -35,63 +36,63 @@
         status: String,
     },
     /// A successful answer does not carry the result of the request's execution.
-    #[error("{request} got what no execution of it made: {body:?}")]
+    #[error("request {request} got a body that its execution did not produce: {body:?}")]
     ForeignResult {
         /// The request's id.
         request: String,
         /// The answer's body.
         body: Vec<u8>,
     },
-    /// The answer came after the client timeout.
-    #[error("{request} was answered {elapsed:?} after it was sent")]
+    /// The answer arrived after the client timeout.
+    #[error("request {request} was answered {elapsed:?} after it was sent")]
     Late {
         /// The request's id.
         request: String,
-        /// Time from the request's last byte to the answer.
+        /// Time from the request's last byte to its complete answer.
         elapsed: Duration,
     },
-    /// A request whose client still waits got no answer, or any request more than one.
-    #[error("{request} got {count} answers")]
+    /// A request whose client still waits got no answer, or a request got more than one answer.
+    #[error("request {request} got {count} answers instead of 1")]
     AnswerCount {
         /// The request's id.
         request: String,
-        /// How many answers came.
+        /// Number of answers.
         count: usize,
     },
-    /// The executor received a command to run what no client sent.
-    #[error("{request} ran and was never sent")]
+    /// The executor was commanded to run a request that no client sent.
+    #[error("request {request} was executed but never sent")]
     RanUnsent {
-        /// The id that was executed.
+        /// The id in the executor command.
         request: String,
     },
-    /// A request ran whose answer promises that it did not.
-    #[error("{request} ran and was told that it did not")]
+    /// A request was executed although its answer, 429 or 503, promises that it was not.
+    #[error("request {request} was executed although its answer was a rejection")]
     RanAfterRejection {
         /// The request's id.
         request: String,
     },
-    /// Requests with one idempotency key ran more than once.
-    #[error("idempotency key {key} ran {count} times")]
+    /// Requests with the same idempotency key were executed more than once.
+    #[error("idempotency key {key} was executed {count} times")]
     RanAgain {
         /// The idempotency key.
         key: String,
-        /// How many executions of it began.
+        /// Number of executions that began for the key.
         count: usize,
     },
 }
 
-/// Records what was sent and what came back, over all connections.
+/// Records the requests and answers of all connections, and checks them at the end.
 #[derive(Debug, Default)]
 pub struct Checker {
     sent: HashMap<String, SentRequest>,
     violations: Vec<Violation>,
 }
 
-/// How many answers came, by status.
+/// Number of answers by status.
 pub type Statuses = BTreeMap<String, usize>;
 
 impl Checker {
-    /// A request's last byte was written; `key` is its idempotency key.
+    /// Records that a request's last byte was written; `key` is its idempotency key.
     pub fn sent(&mut self, request_id: &str, key: Option<&str>) {
         let sent = SentRequest {
             at: Instant::now(),
@@ -106,8 +107,8 @@
         }
     }
 
-    /// An answer is complete; `is_coalesced` says whether it may carry the result of another request
-    /// that this one repeats.
+    /// Records a complete answer. `is_coalesced` tells whether the answer may carry the result of
+    /// another request with the same idempotency key.
     pub fn answered(&mut self, request_id: &str, answer: &Answer, is_coalesced: bool) {
         let Some(sent) = self.sent.get_mut(request_id) else {
             return self.violations.push(Violation::AnsweredUnsent {
@@ -126,18 +127,19 @@
         }
     }
 
-    /// The client no longer waits, or its missing answer is excused.
+    /// Records that the client no longer waits, or that a missing answer is excused.
     pub fn left(&mut self, request_id: &str) {
         if let Some(sent) = self.sent.get_mut(request_id) {
             sent.has_left = true;
         }
     }
 
-    /// The number of answers by status, given the executions that began.
+    /// Checks all requests against the executions that began and the client timeout, and returns
+    /// the number of answers by status.
     ///
     /// # Errors
     ///
-    /// All violations, if there is any.
+    /// Returns all violations if there is at least one.
     pub fn verdict(
         mut self,
         started: &[StartedExecution],
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Checks that each request has exactly one answer, in time.
+    /// Checks that each request has exactly one answer, and that it arrived within `timeout`.
     fn check_answers(&mut self, timeout: Duration) -> Statuses {
         let mut statuses = Statuses::new();
         for (request_id, sent) in &self.sent {
@@ -175,7 +177,8 @@
         statuses
     }
 
-    /// Checks that what ran was sent, was not rejected, and ran once for each idempotency key.
+    /// Checks that all executed requests were sent and not rejected, and that each idempotency key
+    /// was executed at most once.
     fn check_executions(&mut self, started: &[StartedExecution]) {
         let mut executions: HashMap<&str, usize> = HashMap::new();
         for started in started {
--- a/crates/test-harness/src/event_record.rs
+++ b/crates/test-harness/src/event_record.rs
@@ -1,26 +1,27 @@
-//! The joined event record: what a scenario's processes, proxies and steps log, on one clock.
+//! The event record: the log lines of a scenario's processes and the notes of the runner, joined
+//! into one list by the machine's clock.
 
 use serde_json::Value;
 use std::fmt;
 use std::sync::{Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Lines in the record at most; when it is full the oldest quarter is dropped.
+/// Most lines in the record; when the record is full, the oldest quarter is dropped.
 const LINES_MAX: usize = 200_000;
 
 /// A line of the event record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventLine {
-    /// Unix time in nanoseconds.
+    /// Unix time of the line, in nanoseconds.
     pub at: u128,
-    /// The node that logged it, or the runner.
-    pub who: String,
-    /// The part of the program, or the kind of the runner's note.
+    /// The node that logged the line, or the runner (`rig`).
+    pub source: String,
+    /// The part of the program that logged the line, or the kind of the runner's note.
     pub part: String,
-    /// The log event's name; empty if it has none.
+    /// The log event's name; empty if the line names none.
     pub event: String,
-    /// The message.
-    pub what: String,
+    /// The message text.
+    pub message: String,
 }
 
 impl fmt::Display for EventLine {
@@ -31,14 +32,14 @@
             "{:>6}.{:03} {:<7} {:<11} {}",
             ms / 1000 % 1_000_000,
             ms % 1000,
-            self.who,
+            self.source,
             self.part,
-            self.what
+            self.message
         )
     }
 }
 
-/// The present Unix time in nanoseconds.
+/// Returns the present Unix time in nanoseconds.
 pub fn unix_nanos() -> u128 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -61,42 +62,43 @@
         lines.push(line);
     }
 
-    /// Adds something that the runner did or saw.
-    pub fn note(&self, who: &str, part: &str, what: impl Into<String>) {
+    /// Adds a note about an action or observation of the runner.
+    pub fn note(&self, source: &str, part: &str, message: impl Into<String>) {
         self.push(EventLine {
             at: unix_nanos(),
-            who: who.into(),
+            source: source.into(),
             part: part.into(),
             event: String::new(),
-            what: what.into(),
+            message: message.into(),
         });
     }
 
-    /// Adds a line that a process wrote: JSON, or plain text such as a panic message.
-    pub fn line(&self, who: &str, text: &str) {
-        let read: Option<Value> = serde_json::from_str(text).ok();
+    /// Adds a line that a process wrote: a JSON log line, or plain text such as a panic message.
+    pub fn line(&self, source: &str, text: &str) {
+        let parsed: Option<Value> = serde_json::from_str(text).ok();
         let field = |name: &str| {
-            read.as_ref()
+            parsed
+                .as_ref()
                 .and_then(|v| v[name].as_str())
                 .unwrap_or_default()
                 .to_owned()
         };
         let at = field("timestamp").parse().unwrap_or_else(|_| unix_nanos());
-        let what = if read.is_some() {
+        let message = if parsed.is_some() {
             field("message")
         } else {
             text.to_owned()
         };
         self.push(EventLine {
             at,
-            who: who.into(),
+            source: source.into(),
             part: field("part"),
             event: field("event"),
-            what,
+            message,
         });
     }
 
-    /// All lines, ordered by time.
+    /// Returns all lines, ordered by time.
     pub fn joined(&self) -> Vec<EventLine> {
         let mut lines = self
             .lines
--- a/crates/test-harness/src/event_record/tests.rs
+++ b/crates/test-harness/src/event_record/tests.rs
@@ -14,10 +14,10 @@
     record.line("n0", "thread 'core' panicked");
     let joined = record.joined();
     assert_eq!(
-        (&joined[0].what[..], &joined[1].event[..]),
+        (&joined[0].message[..], &joined[1].event[..]),
         ("first", "dead")
     );
-    assert_eq!(joined[2].what, "thread 'core' panicked");
+    assert_eq!(joined[2].message, "thread 'core' panicked");
     assert_eq!(
         joined[0].to_string(),
         "     0.001 n0      fleet       first"
--- a/crates/test-harness/src/executor.rs
+++ b/crates/test-harness/src/executor.rs
@@ -1,7 +1,7 @@
-//! A stand-in for a node's executor: accepts links, reports gauges, and ends each execution as the
-//! test has set: at once, after a backend call, when released, or with an error.
+//! A stand-in for a node's executor. It accepts links, reports gauges, and ends each execution as
+//! the test has set: at once, after a backend call, when released, or with an error.
 //!
-//! Used by the fault scenario runner and by tests that need more than one line of the protocol.
+//! The fault scenario runner uses it, and tests that exchange more than single protocol lines.
 
 use crate::keys::KeyRecord;
 use base64::Engine;
@@ -14,10 +14,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// Notices kept for a link that missed them, as the protocol requires.
+/// Number of sent notices that are kept for a reconnecting link, as the protocol requires.
 const NOTICES_MAX: usize = 4000;
 
-/// An execution that the node commanded, as it came.
+/// An execution that the node commanded, with the fields of the command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedExecution {
     /// The request's id.
@@ -31,37 +31,38 @@
 #[derive(Default)]
 struct State {
     started: Vec<StartedExecution>,
-    /// Executions that wait to be released, by request id.
+    /// Request ids of executions that wait to be released.
     held: Vec<String>,
+    /// Whether new executions wait to be released.
     holds_new: bool,
     /// Whether executions make a backend call before they end.
     makes_calls: bool,
     /// Routes of executions that wait for the reply to their backend call, by request id.
     calling: HashMap<String, String>,
-    /// How many of the next executions end as ERROR, by route.
+    /// Number of further executions that end as ERROR, by route.
     errors: HashMap<String, usize>,
-    /// Where executions are recorded by key; request bodies are keys then.
+    /// Record of executions by key, if they are recorded; request bodies then hold the keys.
     record: Option<KeyRecord>,
-    /// Keys of what runs, by request id.
+    /// Keys of running executions, by request id.
     running: HashMap<String, String>,
     notice_count: u64,
-    /// Sent notices by number, for a link that missed them.
+    /// The last notices sent, by number, for a link that missed them.
     sent_notices: VecDeque<(u64, String)>,
     link: Option<TcpStream>,
 }
 
-/// An executor stand-in; clones share it. It ends with the process.
+/// A handle to an executor stand-in. Clones share the stand-in, which runs until the process ends.
 #[derive(Clone)]
 pub struct Executor {
-    /// Where nodes connect.
+    /// The address to which nodes connect.
     pub address: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
-    /// One stand-in for each link, where several may be open at once.
+    /// One stand-in for each link, if several may be open at once.
     links: Arc<Mutex<Vec<Executor>>>,
 }
 
-/// The result of this request's execution. It names the request, so that a checker can tell whose
-/// result an answer carries.
+/// Returns the result of a request's execution. The result names the request, so that a checker can
+/// tell whose result an answer carries.
 pub fn result(request_id: &str) -> Vec<u8> {
     format!("result of {request_id}").into_bytes()
 }
@@ -71,17 +72,17 @@
     ///
     /// # Panics
     ///
-    /// No port can be opened.
+    /// Panics if no port can be opened.
     pub fn start() -> Executor {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let worker = Executor::at(listener.local_addr().unwrap());
-        let serving = worker.clone();
+        let executor = Executor::at(listener.local_addr().unwrap());
+        let serving = executor.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 serving.serve(stream);
             }
         });
-        worker
+        executor
     }
 
     fn at(address: SocketAddr) -> Executor {
@@ -92,16 +93,16 @@
         }
     }
 
-    /// Starts an executor for several links at once, as in a process handover; notices of an
+    /// Starts an executor for several links at once, as in a process handover. Notices of an
     /// execution go to the link that started it.
     ///
     /// # Panics
     ///
-    /// No port can be opened.
+    /// Panics if no port can be opened.
     pub fn start_for_many() -> Executor {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let worker = Executor::at(listener.local_addr().unwrap());
-        let all = worker.clone();
+        let executor = Executor::at(listener.local_addr().unwrap());
+        let all = executor.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let one = Executor::at(all.address);
@@ -109,7 +110,7 @@
                 thread::spawn(move || one.serve(stream));
             }
         });
-        worker
+        executor
     }
 
     fn serve(&self, stream: TcpStream) {
@@ -164,7 +165,7 @@
         changed.notify_all();
     }
 
-    /// Whether executions wait from now on; with `false` those that wait are released.
+    /// Sets whether executions that begin from now on wait; `false` also ends the waiting ones.
     pub fn hold(&self, holds_new: bool) {
         let mut state = self.state.0.lock().unwrap();
         state.holds_new = holds_new;
@@ -180,8 +181,8 @@
         }
     }
 
-    /// A request is over for its client: an execution of it that waits for a backend call ends as
-    /// STOPPED.
+    /// Records that a request has ended for its client: its execution ends as STOPPED if it waits
+    /// for a backend call.
     pub fn request_over(&self, request_id: &str) {
         let mut state = self.state.0.lock().unwrap();
         if state.calling.remove(request_id).is_some() {
@@ -189,7 +190,8 @@
         }
     }
 
-    /// The node is about to start: notices count from 1 again, and earlier executions are over.
+    /// Prepares for a start of the node: notices are numbered from 1 again, and earlier executions
+    /// have ended.
     pub fn node_starts(&self) {
         let mut state = self.state.0.lock().unwrap();
         state.notice_count = 0;
@@ -197,20 +199,22 @@
         state.held.clear();
         state.calling.clear();
         let running: Vec<String> = state.running.keys().cloned().collect();
-        running.iter().for_each(|request_id| state.over(request_id));
+        running
+            .iter()
+            .for_each(|request_id| state.execution_ended(request_id));
     }
 
-    /// From now on executions are recorded by key; the bodies of requests are their keys.
+    /// Records executions by key from now on; the body of a request is its key.
     pub fn record_keys(&self, record: KeyRecord) {
         self.state.0.lock().unwrap().record = Some(record);
     }
 
-    /// Whether executions make one backend call each from now on.
+    /// Sets whether each execution that begins from now on makes one backend call.
     pub fn calls(&self, makes_calls: bool) {
         self.state.0.lock().unwrap().makes_calls = makes_calls;
     }
 
-    /// The next `count` executions of a route end as ERROR.
+    /// Lets the next `count` executions of a route end as ERROR.
     pub fn fail(&self, route: &str, count: usize) {
         self.state
             .0
@@ -220,7 +224,7 @@
             .insert(route.to_owned(), count);
     }
 
-    /// All executions that began so far and were not forgotten.
+    /// Returns all executions that have begun since the start or the last [`Executor::forget`].
     pub fn started(&self) -> Vec<StartedExecution> {
         let mut all = self.state.0.lock().unwrap().started.clone();
         self.links
@@ -231,27 +235,28 @@
         all
     }
 
-    /// Waits until this many executions have begun, and gives them.
+    /// Waits until `count` executions have begun, and returns them.
     ///
     /// # Panics
     ///
-    /// They have not begun within 30 s.
+    /// Panics if fewer executions have begun after 30 s.
     pub fn wait_started(&self, count: usize) -> Vec<StartedExecution> {
         let (lock, changed) = &*self.state;
         let state = lock.lock().unwrap();
-        let enough = |state: &mut State| state.started.len() < count;
+        let is_waiting = |state: &mut State| state.started.len() < count;
         let (state, timeout) = changed
-            .wait_timeout_while(state, Duration::from_secs(30), enough)
+            .wait_timeout_while(state, Duration::from_secs(30), is_waiting)
             .unwrap();
         assert!(
             !timeout.timed_out(),
-            "{} of {count} executions began",
+            "{} of {count} executions began within 30 s",
             state.started.len()
         );
         state.started.clone()
     }
 
-    /// Forgets what was started: for long loads, as each execution is compared with all earlier ones.
+    /// Forgets all executions that have begun. Long loads need this, as each new execution is
+    /// compared with all earlier ones.
     pub fn forget(&self) {
         self.state.0.lock().unwrap().started.clear();
         self.links.lock().unwrap().iter().for_each(Executor::forget);
@@ -259,7 +264,7 @@
 }
 
 impl State {
-    /// Takes a new link, and repeats the notices after the last one that the node has read.
+    /// Opens a new link, and repeats the notices after the last one that the node has read.
     fn boot(&mut self, last_read: u64) {
         self.send(r#"{"t":"BOOTED","status":"WARM","time_ms":9000}"#);
         let missed: Vec<String> = self
@@ -271,7 +276,7 @@
         missed.iter().for_each(|line| self.send(line));
     }
 
-    /// Begins an execution, unless its request is known already.
+    /// Begins an execution, unless one of the same request has begun before.
     fn start(&mut self, command: &Value) {
         let text = |name: &str| command[name].as_str().unwrap_or_default().to_owned();
         let body = STANDARD.decode(text("b64")).unwrap_or_default();
@@ -287,7 +292,7 @@
         {
             return;
         }
-        self.began(&started);
+        self.execution_began(&started);
         if self.holds_new {
             self.held.push(started.request_id.clone());
         } else if self.makes_calls {
@@ -304,7 +309,7 @@
         }
     }
 
-    /// Asks the node for an execution's backend call.
+    /// Asks the node to make a backend call for an execution.
     fn call(&mut self, request_id: &str, route: &str) {
         self.calling.insert(request_id.to_owned(), route.to_owned());
         let body = STANDARD.encode(b"call");
@@ -313,7 +318,7 @@
         });
     }
 
-    /// Sends a numbered notice, and keeps it for a link that misses it.
+    /// Sends a numbered notice, and keeps it for a link that missed it.
     fn notice(&mut self, line: impl FnOnce(u64) -> String) {
         self.notice_count += 1;
         let line = line(self.notice_count);
@@ -324,7 +329,7 @@
         }
     }
 
-    /// Ends an execution as OK, or as ERROR where that was set.
+    /// Ends an execution as OK, or as ERROR if errors were set for its route.
     fn end(&mut self, request_id: &str, route: &str) {
         let fails = self.errors.get_mut(route).is_some_and(|left| {
             let fails = *left > 0;
@@ -334,7 +339,7 @@
         self.reap(request_id, if fails { "ERROR" } else { "OK" });
     }
 
-    fn began(&mut self, started: &StartedExecution) {
+    fn execution_began(&mut self, started: &StartedExecution) {
         if let Some(record) = &self.record {
             let key = String::from_utf8_lossy(&started.body).into_owned();
             record.started(&key);
@@ -342,14 +347,15 @@
         }
     }
 
-    fn over(&mut self, request_id: &str) {
+    fn execution_ended(&mut self, request_id: &str) {
         if let (Some(record), Some(key)) = (&self.record, self.running.remove(request_id)) {
             record.ended(&key);
         }
     }
 
+    /// Ends an execution and sends the REAP notice with this status.
     fn reap(&mut self, request_id: &str, status: &str) {
-        self.over(request_id);
+        self.execution_ended(request_id);
         let body = STANDARD.encode(result(request_id));
         self.notice(|no| {
             format!(
--- a/crates/test-harness/src/fault_proxy.rs
+++ b/crates/test-harness/src/fault_proxy.rs
@@ -1,6 +1,8 @@
-//! Fault proxies between the processes of a scenario. Datagrams: each node is reached at an address
-//! of the proxy, and each pair of nodes has a socket of its own, so that replies find their sender.
-//! Streams: bytes pass in order, delayed or not at all.
+//! Fault proxies between the processes of a scenario.
+//!
+//! The datagram proxy has one address for each node, at which other nodes reach it, and one socket
+//! for each pair of nodes, so that replies can be returned to the sender. Stream proxies forward
+//! bytes in order; faults delay or stop them.
 
 use crate::faults::{Delivery, Faults, NodeLocation};
 use crate::scenario::LinkKind;
@@ -14,29 +16,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest datagram that is forwarded, in bytes.
+/// Size of the longest datagram that is forwarded, in bytes.
 const DATAGRAM_BYTES_MAX: usize = 2048;
-/// Datagrams that are held or late, at most; more are lost.
+/// Most datagrams that are held or delayed at a time; further ones are dropped.
 const DATAGRAMS_MAX: usize = 20_000;
-/// The longest wait for a datagram before held ones are looked at.
+/// Longest wait for a datagram before held datagrams are checked for release.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Stack of a thread that forwards a stream.
+/// Stack size of a thread that forwards a stream.
 const STREAM_STACK_BYTES: usize = 128 << 10;
 
 /// A node behind the datagram proxy.
 struct ProxiedNode {
     place: NodeLocation,
-    /// Where the node listens.
+    /// The address at which the node listens.
     bind: SocketAddr,
-    /// Where other nodes reach it.
+    /// The socket at which other nodes reach the node.
     front: UdpSocket,
-    /// By sender: the socket from which its datagrams are forwarded to this node, and on which this
-    /// node's replies arrive.
+    /// One socket for each sender, by its index. The sender's datagrams are forwarded to this node
+    /// from the socket, and this node's replies arrive at it.
     pairs: Vec<UdpSocket>,
 }
 
-/// A datagram to be forwarded at a time; ordered by that and by arrival.
+/// A datagram that is forwarded at a set time; ordered by that time, then by arrival.
 struct DelayedDatagram {
     due: Instant,
     order: u64,
@@ -62,9 +64,9 @@
     }
 }
 
-/// The proxy of the cluster's datagrams; it ends when this is dropped.
+/// The proxy of the cluster's datagrams. Dropping the handle stops the proxy.
 pub struct DatagramProxy {
-    /// Where each node is reached, in the order given at the start.
+    /// The address at which each node is reached, in the order given to [`DatagramProxy::start`].
     pub addresses: Vec<SocketAddr>,
     stop: Arc<AtomicBool>,
 }
@@ -86,7 +88,7 @@
     ///
     /// # Errors
     ///
-    /// A socket or thread cannot be created.
+    /// Returns an error if a socket or thread cannot be created.
     pub fn start(
         locations: Vec<(NodeLocation, SocketAddr)>,
         faults: Arc<Faults>,
@@ -122,10 +124,12 @@
     }
 }
 
+/// The state of the datagram proxy's thread.
 struct DatagramForwarder {
     nodes: Vec<ProxiedNode>,
     faults: Arc<Faults>,
     delayed: BinaryHeap<Reverse<DelayedDatagram>>,
+    /// Sender, receiver and bytes of datagrams that wait until their link is healed.
     held: Vec<(usize, usize, Vec<u8>)>,
     last_order: u64,
 }
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Waits, then reads what arrived: sender, receiver and bytes.
+    /// Waits for datagrams and returns the sender, receiver and bytes of each.
     fn receive(&self, buffer: &mut [u8]) -> Vec<(usize, usize, Vec<u8>)> {
         let count = self.nodes.len();
         let sockets: Vec<(usize, Option<usize>, &UdpSocket)> = (0..count)
@@ -186,10 +190,10 @@
             while let Ok((n, source)) = socket.recv_from(buffer) {
                 let sender = self.nodes.iter().position(|node| node.bind == source);
                 let (from, to) = match (pair, sender) {
-                    // A reply on the socket from which the datagram of `first` was forwarded.
+                    // A reply, received on the socket that forwards the datagrams of `first`.
                     (Some(first), Some(sender)) => (sender, *first),
                     (None, Some(sender)) => (sender, *receiver),
-                    // From a socket that is no node's: forwarded without faults.
+                    // The source is not a node's socket: forwarded without faults.
                     (None, None) => {
                         let _ = self.nodes[*receiver].pairs[*receiver]
                             .send_to(&buffer[..n], self.nodes[*receiver].bind);
@@ -203,7 +207,7 @@
         received
     }
 
-    /// Loses, damages, holds or delays a datagram as the faults on its link demand.
+    /// Drops, damages, holds, duplicates or delays a datagram by the faults on its link.
     fn apply_faults(&mut self, from: usize, to: usize, mut frame: Vec<u8>) {
         let delivery = self.faults.delivery(
             LinkKind::Fleet,
@@ -238,7 +242,7 @@
         }
     }
 
-    /// Forwards held datagrams whose link passes them again.
+    /// Forwards held datagrams whose link is no longer cut or held.
     fn release(&mut self) {
         for (from, to, frame) in std::mem::take(&mut self.held) {
             if self
@@ -261,20 +265,20 @@
     }
 }
 
-/// A proxy of one node's streams on one kind of link.
+/// A proxy of one node's streams on one kind of link. It runs until the process ends.
 pub struct StreamProxy {
-    /// Where it accepts streams.
+    /// The address at which the proxy accepts streams.
     pub address: SocketAddr,
-    /// Where it connects to; a change affects later streams.
+    /// The address to which the proxy connects; a change affects streams accepted later.
     pub to: Arc<Mutex<SocketAddr>>,
 }
 
 impl StreamProxy {
-    /// Starts a proxy for what `node` exchanges with the peer at this address.
+    /// Starts a proxy for the streams between `node` and the peer at address `to`.
     ///
     /// # Errors
     ///
-    /// A port or thread cannot be created.
+    /// Returns an error if a port or thread cannot be created.
     pub fn start(
         link: LinkKind,
         node: NodeLocation,
@@ -299,7 +303,7 @@
     }
 }
 
-/// Forwards bytes both ways until one end closes.
+/// Connects to `to` and forwards bytes in both directions until one end closes.
 fn forward(
     link: LinkKind,
     node: &NodeLocation,
@@ -323,7 +327,7 @@
     let _ = back.map(|thread| thread.join());
 }
 
-/// Forwards bytes one way until an end closes, then closes both.
+/// Forwards bytes in one direction until either end closes, then closes both streams.
 fn copy(
     link: LinkKind,
     node: &NodeLocation,
--- a/crates/test-harness/src/fault_scenario.rs
+++ b/crates/test-harness/src/fault_scenario.rs
@@ -1,9 +1,10 @@
-//! The fault scenario runner: starts several processes of the program, each with an executor, a
-//! backend, a service registry and a load of its own, with a fault proxy on every link; plays the
-//! scenario's faults, checks expectations while it runs, and the joined event record afterwards.
+//! The fault scenario runner. It starts several processes of the program, each with its own
+//! executor, service registry and load, and one backend service for all, with a fault proxy on
+//! every link. It plays the scenario's faults, checks the expectations meanwhile, and checks the
+//! joined event record afterwards.
 //!
-//! Everything stays on loopback. Dropping a scenario kills every process that it started.
-//! Called by `madderpoint-fault-test` and by the process-level tests of `crates/node`.
+//! All sockets are on the loopback interface. Dropping a scenario kills every process that it
+//! started. `madderpoint-fault-test` and the process-level tests of `crates/node` use the runner.
 
 mod changes;
 mod checks;
@@ -36,25 +37,25 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// The cluster's authentication key.
+/// Authentication key of the cluster's datagrams.
 const AUTH_KEY: [u8; 32] = [0x5a; 32];
-/// The cluster's name.
+/// Name of the cluster in the nodes' settings.
 const CLUSTER_NAME: &str = "rig";
-/// The longest that a status query waits for one datagram of the reply.
+/// Longest wait of a status query for one datagram of the reply.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(40);
-/// The pause between two rounds of status queries.
+/// Pause between two rounds of status queries.
 const QUERY_INTERVAL: Duration = Duration::from_millis(15);
-/// The port of node 0; node `n` listens on this plus `n`.
+/// Port of node 0; node `n` listens on `FIRST_PORT + n`.
 const FIRST_PORT: u16 = 7000;
 
-/// Numbers the scenarios of this process, so that each has a loopback address of its own.
+/// Number of the next scenario of this process; each scenario has its own loopback address.
 static NEXT_SCENARIO: AtomicU8 = AtomicU8::new(1);
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Why a scenario could not be read or started.
+/// Reasons why a scenario could not be read or started.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
     /// The scenario's file could not be read.
@@ -62,61 +63,62 @@
     Unreadable {
         /// The scenario's file.
         file: String,
-        /// What the system reported.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The scenario's file is not valid; the text names line and field.
+    /// The scenario's file is not valid; the diagnostics name line and field.
     #[error("{0}")]
     Invalid(madderpoint_settings::Diagnostics),
     /// A socket, file, thread or process could not be created.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A process did not report its listening address within 20 s.
-    #[error("{node} did not listen: {last_events:?}")]
+    #[error("{node} did not listen within 20 s; last log lines: {last_events:?}")]
     NotListening {
         /// The node's name in the scenario.
         node: String,
-        /// The last lines of the joined event record, newest first.
+        /// Last lines of the joined event record, newest first.
         last_events: Vec<String>,
     },
 }
 
-/// Where the program under test is, and where its files may be written.
+/// The program under test, and the directory for its files.
 #[derive(Clone, Debug)]
 pub struct ProgramSetup {
-    /// The program's file.
+    /// The program's executable file.
     pub exe: PathBuf,
-    /// Another build of it, used for nodes that are started as program `later`.
+    /// Another build of the program, used for nodes that are started as program `later`.
     pub later: Option<PathBuf>,
     /// The directory for settings, configuration and key files.
     pub dir: PathBuf,
-    /// More settings text, put inside the element `<translator>` after `<fleet>`.
+    /// Additional settings text, inserted into the element `<translator>` after `<fleet>`.
     pub extra_settings: String,
 }
 
 /// A running scenario.
 pub struct FaultScenario {
     script: Scenario,
-    setting: ProgramSetup,
+    setup: ProgramSetup,
     nodes: Vec<ScenarioNode>,
     faults: Arc<Faults>,
     _datagram_proxy: DatagramProxy,
     record: Arc<EventRecord>,
-    /// What each node last reported; signalled after each round of queries.
+    /// Last status reply of each node; the condition variable signals each round of queries.
     seen: Arc<(Mutex<Observations>, Condvar)>,
     stop: Arc<AtomicBool>,
     outcome: Outcome,
-    /// How many files have been written, for their names.
+    /// Number of files written so far, used in their names.
     file_count: usize,
-    /// The file of the cluster's keys, the same for all nodes.
+    /// File of the cluster's authentication keys, the same for all nodes.
     key_file: PathBuf,
     backend: BackendService,
     keys: KeyRecord,
-    /// How many pauses of processes were played.
+    /// Number of process pauses played so far.
     pause_count: usize,
 }
 
-/// A loopback address that no other scenario of this machine uses at this moment.
+/// Returns a loopback address that no other scenario on this machine uses: it is made of the
+/// process id and the scenario's number.
 fn own_address() -> IpAddr {
     let pid = std::process::id();
     let [_, _, high, low] = pid.to_be_bytes();
@@ -124,7 +126,7 @@
     Ipv4Addr::new(127, 64 | (high & 63), low, number).into()
 }
 
-/// Name, zone and listening address of every node.
+/// Returns the name, zone and listening address of every node.
 fn node_locations(script: &Scenario) -> Vec<(NodeLocation, SocketAddr)> {
     let ip = own_address();
     (0..script.nodes)
@@ -138,7 +140,7 @@
         .collect()
 }
 
-/// Creates every node's stand-in peers and proxies; starts no process.
+/// Creates the stand-in peers and proxies of every node, without starting a process.
 fn create_nodes(
     script: &Scenario,
     locations: Vec<(NodeLocation, SocketAddr)>,
@@ -186,8 +188,9 @@
     ///
     /// # Errors
     ///
-    /// A socket, file or process cannot be created, or a process does not listen in time.
-    pub fn start(script: Scenario, setting: ProgramSetup) -> Result<FaultScenario, ScenarioError> {
+    /// Returns an error if a socket, file or process cannot be created, or if a process does not
+    /// listen within 20 s.
+    pub fn start(script: Scenario, setup: ProgramSetup) -> Result<FaultScenario, ScenarioError> {
         let locations = node_locations(&script);
         let faults = Arc::new(Faults::new(script.seed));
         let datagram_proxy = DatagramProxy::start(locations.clone(), Arc::clone(&faults))?;
@@ -209,7 +212,7 @@
         let mut scenario = FaultScenario {
             seen: Arc::new((Mutex::new(vec![None; nodes.len()]), Condvar::new())),
             script,
-            setting,
+            setup,
             nodes,
             faults,
             _datagram_proxy: datagram_proxy,
@@ -238,7 +241,8 @@
         Ok(scenario)
     }
 
-    /// Plays all steps at their times, stops all processes and runs the final checks.
+    /// Plays all steps at their times, stops all processes and returns the result of the final
+    /// checks.
     pub fn run(mut self) -> Outcome {
         let begun = Instant::now();
         let steps = std::mem::take(&mut self.script.steps);
@@ -253,21 +257,26 @@
         self.finish()
     }
 
-    /// Notes something that did not hold.
-    fn fail(&mut self, what: String) {
-        self.record.note("rig", "FAILED", what.clone());
-        self.outcome.failures.push(what);
+    /// Records a failure.
+    fn fail(&mut self, failure: String) {
+        self.record.note("rig", "FAILED", failure.clone());
+        self.outcome.failures.push(failure);
     }
 
-    /// Notes how long something took that held.
-    fn took(&mut self, what: String, begun: Instant) {
+    /// Records the time from `begun` until an expectation held.
+    fn record_duration(&mut self, expectation: String, begun: Instant) {
         let elapsed = begun.elapsed();
-        self.record
-            .note("rig", "took", format!("{what}: {} ms", elapsed.as_millis()));
-        self.outcome.durations.push((what, elapsed.as_secs_f64()));
+        self.record.note(
+            "rig",
+            "took",
+            format!("{expectation}: {} ms", elapsed.as_millis()),
+        );
+        self.outcome
+            .durations
+            .push((expectation, elapsed.as_secs_f64()));
     }
 
-    /// The index of the node with this name in the scenario.
+    /// Returns the index of the node with this name in the scenario; 0 if there is none.
     fn node(&self, name: &str) -> usize {
         self.nodes
             .iter()
@@ -275,7 +284,7 @@
             .unwrap_or(0)
     }
 
-    /// Whether a node's process runs and is not paused.
+    /// Returns whether a node's process runs and is not paused.
     fn is_up(&self, n: usize) -> bool {
         let state = lock(&self.nodes[n].state);
         state.is_running && !state.is_paused
@@ -294,11 +303,11 @@
     }
 }
 
-/// Reads a scenario's file.
+/// Reads and checks a scenario file.
 ///
 /// # Errors
 ///
-/// The file cannot be read, or is not a valid scenario.
+/// Returns an error if the file cannot be read or is not a valid scenario.
 pub fn read(file: &Path) -> Result<Scenario, ScenarioError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|source| ScenarioError::Unreadable {
--- a/crates/test-harness/src/fault_scenario/changes.rs
+++ b/crates/test-harness/src/fault_scenario/changes.rs
@@ -1,5 +1,5 @@
-//! The fault scenario runner's part in rollouts of settings: it offers them, looks what has become of
-//! them, and checks the joined record of all nodes against the rules of a rollout.
+//! Rollouts of settings in fault scenarios: offers versions, halts and rolls back rollouts, waits
+//! for their outcome, and checks the joined event record against the rules of a rollout.
 
 mod record_check;
 
@@ -13,22 +13,23 @@
 use madderpoint_rollout::messages::{CommandReply, OperatorCommand, command_kind};
 use madderpoint_rollout::status::StatusSnapshot;
 use prost::Message as _;
-pub use record_check::Checked;
+pub use record_check::RolloutChecker;
 use std::collections::BTreeMap;
 use std::net::UdpSocket;
 use std::path::PathBuf;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The topic of rollouts of settings.
+/// Topic of the messages about rollouts of settings.
 const TOPIC: u32 = 2;
-/// How long a command may take until its final reply.
+/// Longest time from an operator command to its final reply.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(20);
-/// Bytes of a rollout that is too large for nodes with little memory.
+/// Size of settings that are too large for nodes with little memory, in bytes.
 const LARGE_BYTES: usize = 400 << 10;
 
 impl FaultScenario {
-    /// Settings of the fleet: all nodes have the same, but for what the environment tells them.
+    /// Returns the settings of the cluster. All nodes have the same settings; the values of a
+    /// single node come from its environment.
     pub(super) fn settings(
         &self,
         number: u64,
@@ -49,10 +50,11 @@
             .map(|(name, value)| format!(" {name}=\"{value}\""))
             .collect();
         let program = program.map_or_else(String::new, |program| format!(" program=\"{program}\""));
-        let mut shared = self.shared();
+        let mut shared = self.shared_settings();
         let rollout = match &self.script.rollout {
             None => String::new(),
             Some(rollout) => {
+                // A rollout needs voters.
                 if !shared.contains("<arbiter") {
                     shared = format!(
                         "<arbiter name=\"n0\"/><arbiter name=\"n1\"/><arbiter name=\"n2\"/>{shared}"
@@ -66,24 +68,26 @@
             "<translator version=\"1\" number=\"{number}\">{rules}<fleet name=\"{CLUSTER_NAME}\" keys=\"{}\"{program}>{seeds}{shared}\
              <periods{periods}/></fleet>{rollout}{}{more}</translator>",
             self.key_file.display(),
-            self.setting.extra_settings
+            self.setup.extra_settings
         )
     }
 
-    /// Where versions are kept.
+    /// Returns the directory of the nodes' version stores.
     pub(super) fn versions_dir(&self) -> PathBuf {
         let name = format!(
             "rig-{}-{}-versions",
             std::process::id(),
             self.nodes[0].bind.ip()
         );
-        self.setting.dir.join(name)
+        self.setup.dir.join(name)
     }
 
-    /// Settings with a rollout in them.
-    fn changed(&self, number: u64, rollout: &str) -> String {
-        let rule = |when: &str, then: &str| {
-            format!("<rules><rule name=\"v{number}\"><when>{when}</when>{then}</rule></rules>")
+    /// Returns the settings of version `number` with the change that a scenario names.
+    fn offered_settings(&self, number: u64, change: &str) -> String {
+        let rule = |condition: &str, output: &str| {
+            format!(
+                "<rules><rule name=\"v{number}\"><when>{condition}</when>{output}</rule></rules>"
+            )
         };
         let base = self.rules();
         let good = if base.is_empty() {
@@ -91,7 +95,7 @@
         } else {
             base
         };
-        match rollout {
+        match change {
             "throttles" => self.settings(
                 number,
                 &rule("true", "<throttle pause=\"50ms\" reason=\"new\"/>"),
@@ -138,8 +142,8 @@
         .for_topic(TOPIC))
     }
 
-    /// Orders something of a node, until it is taken or turned down.
-    fn order(&self, n: usize, command: &OperatorCommand) -> Result<CommandReply, String> {
+    /// Sends an operator command to a node, repeatedly until the reply accepts or rejects it.
+    fn send_command(&self, n: usize, command: &OperatorCommand) -> Result<CommandReply, String> {
         let node = &self.nodes[n];
         let socket = UdpSocket::bind((node.bind.ip(), 0)).map_err(|e| e.to_string())?;
         socket
@@ -155,36 +159,38 @@
                 .map_err(|e| e.to_string())?;
             while let Ok((n, _)) = socket.recv_from(&mut buffer) {
                 let now = begun.elapsed().as_nanos() as u64;
-                let Ok(Some(answer)) = observer.command_reply(now, unix(), &buffer[..n]) else {
+                let Ok(Some(reply)) = observer.command_reply(now, unix(), &buffer[..n]) else {
                     continue;
                 };
-                let answer = CommandReply::decode(answer.as_slice()).map_err(|e| e.to_string())?;
-                if answer.state != 1 {
-                    return Ok(answer);
+                let reply = CommandReply::decode(reply.as_slice()).map_err(|e| e.to_string())?;
+                if reply.state != 1 {
+                    return Ok(reply);
                 }
                 thread::sleep(QUERY_INTERVAL);
                 break;
             }
         }
-        Err("no answer that is final".into())
+        Err("no final reply within 20 s".into())
     }
 
+    /// Offers settings to a node, chunk by chunk; fails unless the node accepts them, or rejects
+    /// them if `rejected` is set.
     pub(super) fn offer(
         &mut self,
-        at: usize,
+        index: usize,
         node: &str,
         number: u64,
-        rollout: &str,
+        change: &str,
         rejected: bool,
     ) {
         let (n, begun) = (self.node(node), Instant::now());
-        let content = self.changed(number, rollout).into_bytes();
+        let content = self.offered_settings(number, change).into_bytes();
         let digest = chunks::digest(&content).to_vec();
-        let mut answer = Err("nothing to offer".to_owned());
+        let mut reply = Err("the settings are empty".to_owned());
         for no in 0..chunks::count(content.len()) {
             let bytes = chunks::chunk(&content, no).unwrap_or_default().to_vec();
             let (size, digest) = (content.len() as u32, digest.clone());
-            answer = self.order(
+            reply = self.send_command(
                 n,
                 &OperatorCommand {
                     kind: command_kind::CHUNK,
@@ -195,12 +201,12 @@
                     ..OperatorCommand::default()
                 },
             );
-            if !matches!(&answer, Ok(answer) if answer.state == 0) {
+            if !matches!(&reply, Ok(reply) if reply.state == 0) {
                 break;
             }
         }
-        if matches!(&answer, Ok(answer) if answer.state == 0) {
-            answer = self.order(
+        if matches!(&reply, Ok(reply) if reply.state == 0) {
+            reply = self.send_command(
                 n,
                 &OperatorCommand {
                     kind: command_kind::OFFER,
@@ -209,45 +215,48 @@
                 },
             );
         }
-        match answer {
-            Ok(answer) if (answer.state == 2) == rejected => {
-                let word = if rejected {
-                    format!("turned down: {}", answer.why)
+        match reply {
+            Ok(reply) if (reply.state == 2) == rejected => {
+                let result = if rejected {
+                    format!("turned down: {}", reply.why)
                 } else {
                     "taken".into()
                 };
                 self.record.note(
                     node,
                     "rig",
-                    format!("settings {number} ({rollout}): {word}"),
+                    format!("settings {number} ({change}): {result}"),
                 );
-                self.took(format!("settings {number} offered, step {at}"), begun);
+                self.record_duration(format!("settings {number} offered, step {index}"), begun);
             }
-            Ok(answer) => self.fail(format!(
-                "step {at}: {node} says of settings {number}: {answer:?}"
+            Ok(reply) => self.fail(format!(
+                "step {index}: unexpected reply of {node} to the offer of settings {number}: {reply:?}"
+            )),
+            Err(error) => self.fail(format!(
+                "step {index}: {node} was not offered settings {number}: {error}"
             )),
-            Err(what) => self.fail(format!("step {at}: {node}, settings {number}: {what}")),
         }
     }
 
-    /// Has a node's writes of what it keeps fail: something stands where it writes the new file
-    /// before it is put in its place.
-    pub(super) fn fill(&mut self, at: usize, node: &str, full: bool) {
-        let place = self
+    /// Makes a node's writes of its persisted state fail, or lets them succeed again: a directory
+    /// takes the name of the temporary file that the node writes before it renames the file.
+    pub(super) fn set_disk_full(&mut self, index: usize, node: &str, full: bool) {
+        let path = self
             .versions_dir()
             .join(&self.nodes[self.node(node)].name)
             .join("settings.new");
         let done = if full {
-            std::fs::create_dir_all(&place)
+            std::fs::create_dir_all(&path)
         } else {
-            std::fs::remove_dir(&place)
+            std::fs::remove_dir(&path)
         };
         if let Err(e) = done {
-            self.fail(format!("step {at}: {}: {e}", place.display()));
+            self.fail(format!("step {index}: {}: {e}", path.display()));
         }
     }
 
-    pub(super) fn end_change(&mut self, at: usize, node: &str, back: bool) {
+    /// Has a node halt the rollout in progress, or roll it back.
+    pub(super) fn end_rollout(&mut self, index: usize, node: &str, back: bool) {
         let kind = if back {
             command_kind::ROLL_BACK
         } else {
@@ -255,24 +264,24 @@
         };
         let command = OperatorCommand {
             kind,
-            why: "the timetable says so".into(),
+            why: "step of the scenario".into(),
             ..OperatorCommand::default()
         };
-        match self.order(self.node(node), &command) {
-            Ok(answer) if answer.state == 0 => {}
+        match self.send_command(self.node(node), &command) {
+            Ok(reply) if reply.state == 0 => {}
             other => self.fail(format!(
-                "step {at}: {node} did not take the order: {other:?}"
+                "step {index}: {node} did not accept the command: {other:?}"
             )),
         }
     }
 
-    /// The settings that each node that is up runs, as it says itself.
-    pub(super) fn settings_run(&self) -> BTreeMap<String, u64> {
+    /// Returns the settings number that each running node reports of itself, by node name.
+    pub(super) fn running_settings(&self) -> BTreeMap<String, u64> {
         let seen = super::lock(&self.seen.0);
         let own = |n: usize| {
-            let (_, holding) = seen[n].as_ref()?;
+            let (_, snapshot) = seen[n].as_ref()?;
             let name = &self.nodes[n].name;
-            let own = holding
+            let own = snapshot
                 .members
                 .values()
                 .find(|member| member.name == *name)?;
@@ -284,7 +293,7 @@
             .collect()
     }
 
-    /// What keeps nodes from running settings of this number.
+    /// Returns why not all selected nodes that are up run settings `number`; `None` if all do.
     pub(super) fn not_running(
         &self,
         seen: &Observations,
@@ -296,10 +305,10 @@
                 continue;
             }
             let name = &node.place.name;
-            let Some((_, holding)) = &seen[n] else {
-                return Some(format!("{name} was not seen yet"));
+            let Some((_, snapshot)) = &seen[n] else {
+                return Some(format!("{name} has not answered a status query"));
             };
-            let own = holding
+            let own = snapshot
                 .members
                 .values()
                 .find(|member| member.name == node.name);
@@ -311,15 +320,16 @@
         None
     }
 
-    /// Waits until nodes know a rollout as this.
-    pub(super) fn change_is(
+    /// Waits until all selected nodes that are up report the expected outcome and stage of the
+    /// rollout of a settings number. An empty outcome accepts any.
+    pub(super) fn expect_rollout(
         &mut self,
-        at: usize,
+        index: usize,
         to: &NodeSelector,
-        is: (u64, &str, u32),
+        expected: (u64, &str, u32),
         within: Duration,
     ) {
-        let (begun, (number, outcome, stage)) = (Instant::now(), is);
+        let (begun, (number, outcome, stage)) = (Instant::now(), expected);
         let mut left: Vec<usize> = (0..self.nodes.len())
             .filter(|&n| {
                 to.has(&self.nodes[n].place.name, &self.nodes[n].place.zone) && self.is_up(n)
@@ -327,13 +337,16 @@
             .collect();
         let mut last = String::new();
         while begun.elapsed() < within && !left.is_empty() {
-            left.retain(|&n| match self.knows(n, number) {
-                Some((known_fate, known_stage, line)) => {
+            left.retain(|&n| match self.reported_rollout(n, number) {
+                Some((reported_outcome, reported_stage, line)) => {
                     last = format!("{}: {line}", self.nodes[n].place.name);
-                    (!outcome.is_empty() && known_fate != outcome) || known_stage < stage
+                    (!outcome.is_empty() && reported_outcome != outcome) || reported_stage < stage
                 }
                 None => {
-                    last = format!("{}: knows no change to {number}", self.nodes[n].place.name);
+                    last = format!(
+                        "{}: reports no rollout of settings {number}",
+                        self.nodes[n].place.name
+                    );
                     true
                 }
             });
@@ -341,72 +354,72 @@
         }
         if left.is_empty() {
             self.record.note("rig", "change", last.clone());
-            self.took(
-                format!("settings {number}: {outcome} stage {stage}, step {at}"),
+            self.record_duration(
+                format!("settings {number}: {outcome} stage {stage}, step {index}"),
                 begun,
             );
         } else {
-            // Who conducts tells what it waits for.
+            // The line of the coordinator says what the rollout waits for.
             let all = (0..self.nodes.len()).filter(|&n| self.is_up(n));
             let lines = all.filter_map(|n| {
                 Some(format!(
                     "{}: {}",
                     self.nodes[n].place.name,
-                    self.knows(n, number)?.2
+                    self.reported_rollout(n, number)?.2
                 ))
             });
             let lines: Vec<String> = lines.collect();
-            let what = format!(
+            let reason = format!(
                 "settings {number} not {outcome} stage {stage} in {within:?}; {last}; {lines:#?}"
             );
-            self.fail(format!("step {at}: {what}"));
+            self.fail(format!("step {index}: {reason}"));
         }
     }
 
-    /// What a node knows of the rollout to settings of this number: what became of it, its stage,
-    /// and all in words.
-    fn knows(&self, n: usize, number: u64) -> Option<(String, u32, String)> {
+    /// Returns what a node reports about the rollout of settings `number`: the outcome, the stage
+    /// and a line of text. `None` if the node does not answer or reports no such rollout.
+    fn reported_rollout(&self, n: usize, number: u64) -> Option<(String, u32, String)> {
         let node = &self.nodes[n];
         let socket = UdpSocket::bind((node.bind.ip(), 0)).ok()?;
         socket.set_read_timeout(Some(QUERY_TIMEOUT)).ok()?;
         let (mut observer, begun) = (self.observer(&socket).ok()?, Instant::now());
         let bytes = (0..4).find_map(|_| status_pages(&socket, node.bind, &mut observer, begun))?;
-        let shown = StatusSnapshot::decode(bytes.as_slice()).ok()?;
-        let is_it = |rollout: &&madderpoint_rollout::status::RolloutStatus| {
+        let snapshot = StatusSnapshot::decode(bytes.as_slice()).ok()?;
+        let has_number = |rollout: &&madderpoint_rollout::status::RolloutStatus| {
             rollout
                 .version
                 .is_some_and(|version| version.number == number)
         };
-        let rollout = shown.rollouts.iter().find(is_it)?;
+        let rollout = snapshot.rollouts.iter().find(has_number)?;
         let line = format!(
             "{} stage {} {}; {} {}",
-            rollout.outcome, rollout.stage, rollout.why, shown.waits, shown.verdict
+            rollout.outcome, rollout.stage, rollout.why, snapshot.waits, snapshot.verdict
         );
         Some((rollout.outcome.clone(), rollout.stage, line))
     }
 
-    /// Looks over what all nodes said they did about rollouts.
-    pub(super) fn changes_are_allowed(&mut self, lines: &[EventLine]) {
-        let mut checked = Checked::default();
+    /// Checks the log lines of all nodes about rollouts.
+    pub(super) fn check_rollouts(&mut self, lines: &[EventLine]) {
+        let mut checker = RolloutChecker::default();
         for line in lines {
-            if line.part == "rig" && line.what.starts_with("started as ") {
-                checked.starts(&line.who);
+            if line.part == "rig" && line.message.starts_with("started as ") {
+                checker.node_started(&line.source);
             }
             if let Some(stopped) = line
-                .what
+                .message
                 .strip_prefix("Stop(\"")
                 .filter(|_| line.part == "step")
             {
-                checked
+                checker
                     .stopped
                     .insert(stopped.trim_end_matches("\")").to_owned());
             }
             if line.part == "rollout" {
-                checked.line(&line.who, &line.what);
+                checker.line(&line.source, &line.message);
             }
         }
-        self.outcome.on_trial = checked.most;
-        self.outcome.failures.extend(checked.wrong);
+        self.outcome.on_trial = checker.most_on_trial;
+        self.outcome.failures.extend(checker.violations);
     }
 }
 
--- a/crates/test-harness/src/fault_scenario/changes/record_check.rs
+++ b/crates/test-harness/src/fault_scenario/changes/record_check.rs
@@ -1,75 +1,78 @@
-//! Holds the joined record of all nodes against what the rules of a rollout allow.
+//! Checks the joined event record of all nodes against the rules of a rollout.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a node said of its versions so far.
+/// State of one node's versions, as its log lines tell it.
 #[derive(Debug, Default)]
 struct Node {
     running: Option<u64>,
     trial: Option<u64>,
     staged: BTreeSet<u64>,
     good: BTreeSet<u64>,
+    /// Last stage that began, by rollout id.
     stages: BTreeMap<String, u64>,
+    /// Final outcome, by rollout id.
     ended: BTreeMap<String, String>,
 }
 
-/// Holds the joined record against what the rules of a rollout allow.
+/// Follows the log lines of all nodes about rollouts, and collects violations of the rules.
 #[derive(Debug, Default)]
-pub struct Checked {
+pub struct RolloutChecker {
     nodes: BTreeMap<String, Node>,
-    /// Nodes that were told to leave, and did not start since.
+    /// Nodes that were stopped by SIGTERM and have not started since.
     pub(super) stopped: BTreeSet<String>,
-    /// Nodes that left by notice before this start.
+    /// Nodes whose last process was stopped by SIGTERM.
     left: BTreeSet<String>,
-    /// The most nodes with each number on trial at once.
-    pub most: BTreeMap<u64, usize>,
-    pub wrong: Vec<String>,
+    /// Most nodes that had each version number on trial at the same time.
+    pub most_on_trial: BTreeMap<u64, usize>,
+    /// One text for each violation found so far.
+    pub violations: Vec<String>,
 }
 
-/// The number that follows a word in a line.
-fn number_after(line: &str, word: &str) -> Option<u64> {
-    let (_, rest) = line.split_once(word)?;
+/// Returns the decimal number that follows `prefix` in a line.
+fn number_after(line: &str, prefix: &str) -> Option<u64> {
+    let (_, rest) = line.split_once(prefix)?;
     let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
     digits.parse().ok()
 }
 
-impl Checked {
-    /// A node starts anew.
-    pub(super) fn starts(&mut self, who: &str) {
+impl RolloutChecker {
+    /// Records the start of a node's process.
+    pub(super) fn node_started(&mut self, name: &str) {
         let before = self
             .nodes
-            .insert(who.to_owned(), Node::default())
+            .insert(name.to_owned(), Node::default())
             .unwrap_or_default();
-        // What it has on its disk is as before.
+        // Staged versions are on disk and survive a restart.
         let node = Node {
             staged: before.staged,
             ..Node::default()
         };
-        self.nodes.insert(who.to_owned(), node);
-        if self.stopped.remove(who) {
-            self.left.insert(who.to_owned());
+        self.nodes.insert(name.to_owned(), node);
+        if self.stopped.remove(name) {
+            self.left.insert(name.to_owned());
         } else {
-            self.left.remove(who);
+            self.left.remove(name);
         }
     }
 
-    /// A line of a node about rollouts of settings.
-    pub fn line(&mut self, who: &str, line: &str) {
+    /// Follows a log line of a node. Lines that are not about rollouts of settings are ignored.
+    pub fn line(&mut self, name: &str, line: &str) {
         let Some(line) = line.strip_prefix("settings: ") else {
             return;
         };
-        let node = self.nodes.entry(who.to_owned()).or_default();
-        let mut wrong = |what: &str| self.wrong.push(format!("{who}: {what}: {line}"));
+        let node = self.nodes.entry(name.to_owned()).or_default();
+        let mut violation = |rule: &str| self.violations.push(format!("{name}: {rule}: {line}"));
         let rollout = line
             .strip_prefix("change ")
             .and_then(|rest| rest.split_once(": "));
         if let Some((id, rest)) = rollout {
             if let Some(stage) = number_after(rest, "stage ").filter(|_| rest.ends_with("begins")) {
                 if node.ended.contains_key(id) {
-                    wrong("a stage begins after the change was heard to have ended");
+                    violation("a stage begins after the node logged the rollout's outcome");
                 }
                 if node.stages.get(id).is_some_and(|before| stage <= *before) {
-                    wrong("a stage begins that is not after the one before");
+                    violation("a stage begins that is not higher than the previous one");
                 }
                 node.stages.insert(id.to_owned(), stage);
             }
@@ -88,12 +91,12 @@
         let Some(number) = number_after(line, "version ") else {
             return;
         };
-        if line.contains("died on trial here") && self.left.contains(who) {
-            wrong("a version is held for dead on trial, and the node left by notice");
+        if line.contains("died on trial here") && self.left.contains(name) {
+            violation("a version counts as crashed on trial, but the node was stopped by SIGTERM");
         }
         if line.contains("is on trial") {
             if !node.staged.contains(&number) {
-                wrong("a version is on trial that was not checked and written here");
+                violation("a version is on trial that the node has not staged");
             }
             (node.running, node.trial) = (Some(number), Some(number));
         } else if line.contains("is in force") {
@@ -107,7 +110,7 @@
             .values()
             .filter(|node| node.trial == Some(number))
             .count();
-        let most = self.most.entry(number).or_default();
+        let most = self.most_on_trial.entry(number).or_default();
         *most = (*most).max(on_trial);
     }
 }
--- a/crates/test-harness/src/fault_scenario/changes/tests.rs
+++ b/crates/test-harness/src/fault_scenario/changes/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn what_is_not_allowed_is_found_in_the_record() {
-    let mut checked = Checked::default();
-    for (who, line) in [
+fn stages_after_the_outcome_and_trials_of_unstaged_versions_are_violations() {
+    let mut checker = RolloutChecker::default();
+    for (name, line) in [
         ("n0", "change 0a: version 2 (aa) is staged"),
         ("n0", "change 0a: stage 1 begins"),
         ("n0", "version 2 (aa) is on trial, in place of 1 (bb)"),
@@ -11,18 +11,18 @@
         ("n0", "change 0a: back, errs"),
         ("n0", "version 1 (bb) is in force, in place of 2 (aa)"),
     ] {
-        checked.line(who, &format!("settings: {line}"));
+        checker.line(name, &format!("settings: {line}"));
     }
     assert_eq!(
-        (checked.wrong.len(), checked.most[&2]),
+        (checker.violations.len(), checker.most_on_trial[&2]),
         (0, 1),
         "{:?}",
-        checked.wrong
+        checker.violations
     );
-    checked.line("n1", "settings: change 0a: stage 2 begins");
-    checked.line(
+    checker.line("n1", "settings: change 0a: stage 2 begins");
+    checker.line(
         "n1",
         "settings: version 2 (aa) is on trial, in place of 1 (bb)",
     );
-    assert_eq!(checked.wrong.len(), 2, "{:?}", checked.wrong);
+    assert_eq!(checker.violations.len(), 2, "{:?}", checker.violations);
 }
--- a/crates/test-harness/src/fault_scenario/checks.rs
+++ b/crates/test-harness/src/fault_scenario/checks.rs
@@ -1,4 +1,5 @@
-//! The final checks of a scenario: every request's answer, all limits, and the joined event record.
+//! The final checks of a scenario: the answer to each request, all limits, and the joined event
+//! record.
 
 use super::{FaultScenario, Outcome, lock};
 use crate::event_record::EventLine;
@@ -6,20 +7,20 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::Duration;
 
-/// The client timeout of the nodes' settings, with some slack for a busy machine.
+/// The client timeout in the nodes' settings (3 s), with 500 ms of slack for a busy machine.
 pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_millis(3500);
-/// Lines of the joined event record before the first failure that the outcome keeps.
+/// Number of lines before the first failure that the outcome keeps of the joined event record.
 const RECORD_BEFORE_FAILURE: usize = 120;
-/// Lines of the joined event record from the first failure on that the outcome keeps.
+/// Number of lines from the first failure on that the outcome keeps of the joined event record.
 const RECORD_AFTER_FAILURE: usize = 10;
-/// Violations of one node that its failure lists.
+/// Most violations that the failure of one node lists.
 const VIOLATIONS_LISTED: usize = 5;
 
 impl FaultScenario {
-    /// Stops all processes and checks what was recorded.
+    /// Stops all processes and runs the final checks.
     pub(super) fn finish(mut self) -> Outcome {
         self.check_still_running();
-        self.outcome.final_settings = self.settings_run();
+        self.outcome.final_settings = self.running_settings();
         self.stop.store(true, SeqCst);
         for node in &mut self.nodes {
             for load in node.load_threads.drain(..) {
@@ -31,9 +32,9 @@
         self.check_answers();
         self.check_limits();
         let joined = self.record.joined();
-        self.changes_are_allowed(&joined);
+        self.check_rollouts(&joined);
         for line in &joined {
-            if line.what.contains("panicked") || line.what.contains("invariant:") {
+            if line.message.contains("panicked") || line.message.contains("invariant:") {
                 self.outcome.failures.push(line.to_string());
             }
         }
@@ -44,7 +45,7 @@
         std::mem::take(&mut self.outcome)
     }
 
-    /// No process may have ended by itself.
+    /// Checks that no process has ended unless the scenario ended it.
     fn check_still_running(&mut self) {
         for n in 0..self.nodes.len() {
             let ended = match self.nodes[n].child.as_mut().map(Child::try_wait) {
@@ -53,12 +54,12 @@
             };
             if let Some(status) = ended {
                 let name = &self.nodes[n].place.name;
-                self.fail(format!("{name} ended by itself with {status}"));
+                self.fail(format!("{name} ended unexpectedly with {status}"));
             }
         }
     }
 
-    /// Every request has one answer in time, and ran as its answer says.
+    /// Checks that each request has one answer in time, and was executed as the answer says.
     fn check_answers(&mut self) {
         for node in &self.nodes {
             let checker = std::mem::take(&mut *lock(&node.checker));
@@ -81,7 +82,7 @@
         }
     }
 
-    /// No limit was exceeded, by the records of the backend service and of keys.
+    /// Checks the records of the backend service and of keyed executions against all limits.
     fn check_limits(&mut self) {
         self.outcome.backend = self.backend.recorded();
         self.outcome.keyed_executions = self.keys.execution_count();
@@ -92,21 +93,22 @@
         self.outcome.failures.extend(failures);
     }
 
-    /// Budgets of backend calls.
+    /// Checks the budgets of backend calls.
     fn check_backend_limits(&self, failures: &mut Vec<String>) {
         let (backend, nodes) = (self.outcome.backend, self.nodes.len());
         let limit = self.script.calls_a_second as usize;
-        // What may be saved: 50 ms of the limit, or a call of each node; and a call of each node at
-        // the edges of a second.
+        // Unused units that may be saved up: 50 ms of the limit, but at least one call of each
+        // node. At the edges of a second there may be one more call of each node.
         let saved = (limit / 20).max(nodes) + nodes;
         if limit > 0 && backend.most_in_a_second > limit + saved {
             let most = backend.most_in_a_second;
             failures.push(format!(
-                "{most} backend calls in a second, {limit} and {saved} saved allowed"
+                "{most} backend calls in a second, {limit} and {saved} saved up allowed"
             ));
         }
         let limit = self.script.max_calls_in_flight as usize;
-        // A call that was checked just before a process was paused goes out when it continues.
+        // A call that was checked just before its process was paused is sent when the process
+        // continues, so each pause allows one more call.
         if limit > 0 && backend.most_in_flight > limit + self.pause_count {
             failures.push(format!(
                 "{} backend calls in flight, {limit} allowed",
@@ -115,12 +117,13 @@
         }
     }
 
-    /// The backend service was not overloaded, nor tried too often while down or just started.
+    /// Checks that the backend service was not overloaded, and got no more connection attempts
+    /// while it was down, and no more calls after a restart, than allowed.
     fn check_backend_availability(&mut self, failures: &mut Vec<String>) {
         let backend = self.outcome.backend;
         if backend.crashes > 0 {
             failures.push(format!(
-                "the backend service died {} times by itself",
+                "the backend service died {} times of too many calls in flight",
                 backend.crashes
             ));
         }
@@ -129,40 +132,42 @@
             match self.backend.excess_after_restart(rate) {
                 Some(excess) if excess <= 0.0 => self.outcome.excess_after_restart = Some(excess),
                 other => failures.push(format!(
-                    "calls after a restart of the backend service: {other:?} over the slow-start \
-                     allowance"
+                    "calls above the slow-start allowance in the worst second after a restart of \
+                     the backend service: {other:?}"
                 )),
             }
         }
         let tries = backend.connections_while_down;
         if let Some(most) = self.script.backend.tries_most.filter(|most| tries > *most) {
             failures.push(format!(
-                "{tries} tries while the backend service was down, {most} allowed"
+                "{tries} connection attempts while the backend service was down, {most} allowed"
             ));
         }
     }
 
-    /// Keyed quotas.
+    /// Checks the keyed quotas.
     fn check_key_limits(&self, failures: &mut Vec<String>) {
         let keys = &self.script.keys;
         let (in_flight, excess) = self
             .keys
             .worst(f64::from(keys.a_second), f64::from(keys.burst));
-        // Executions begin when the executor hears of them: those admitted one after the other may
-        // arrive together, one of each node.
+        // Executions are recorded when the executor receives them. Executions that the nodes
+        // admitted one after the other may arrive together, one from each node.
         if keys.a_second > 0 && excess > self.nodes.len() as f64 {
-            failures.push(format!("a key was over its limit by {excess:.1}"));
+            failures.push(format!(
+                "a key exceeded its rate and burst by {excess:.1} executions"
+            ));
         }
         if keys.max_in_flight > 0 && in_flight > keys.max_in_flight as usize + self.pause_count {
             failures.push(format!(
-                "{in_flight} of a key in flight, {} allowed",
+                "{in_flight} executions of a key in flight, {} allowed",
                 keys.max_in_flight
             ));
         }
     }
 }
 
-/// The lines around the first failure.
+/// Returns the lines around the first failure.
 fn excerpt(joined: &[EventLine]) -> Vec<String> {
     let first = joined
         .iter()
--- a/crates/test-harness/src/fault_scenario/config.rs
+++ b/crates/test-harness/src/fault_scenario/config.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 
 impl FaultScenario {
-    /// Writes a file whose name no other file has.
+    /// Writes a file with a unique name into the directory for files.
     pub(super) fn write_file(&mut self, extension: &str, text: &str) -> io::Result<PathBuf> {
         self.file_count += 1;
         let name = format!(
@@ -16,12 +16,12 @@
             self.nodes[0].bind.ip(),
             self.file_count
         );
-        let path = self.setting.dir.join(name);
+        let path = self.setup.dir.join(name);
         std::fs::write(&path, text)?;
         Ok(path)
     }
 
-    /// A node's configuration.
+    /// Returns the configuration of node `n` under the given name.
     pub(super) fn node_config(&self, n: usize, name: &str) -> String {
         let node = &self.nodes[n];
         let config = program::node_config(
@@ -38,8 +38,8 @@
         }
     }
 
-    /// The voters, cluster-wide budgets and services in the nodes' settings.
-    pub(super) fn shared(&self) -> String {
+    /// Returns the voters, cluster-wide budgets and services of the nodes' settings.
+    pub(super) fn shared_settings(&self) -> String {
         let Scenario {
             calls_a_second,
             max_calls_in_flight,
@@ -78,13 +78,14 @@
         text
     }
 
-    /// The rules with the bucket of the keyed quota; empty if the scenario has no keyed quota.
+    /// Returns the rules with the bucket of the keyed quota; empty if the scenario has no keyed
+    /// quota.
     pub(super) fn rules(&self) -> String {
         let KeyedLimit {
             count,
             a_second,
             burst,
-            max_in_flight: in_hand,
+            max_in_flight,
             floor,
         } = self.script.keys;
         if count == 0 {
@@ -96,8 +97,8 @@
         } else {
             String::new()
         };
-        let concurrency = if in_hand > 0 {
-            format!(" in-hand=\"{in_hand}\" longest=\"1500ms\"")
+        let concurrency = if max_in_flight > 0 {
+            format!(" in-hand=\"{max_in_flight}\" longest=\"1500ms\"")
         } else {
             String::new()
         };
--- a/crates/test-harness/src/fault_scenario/expectations.rs
+++ b/crates/test-harness/src/fault_scenario/expectations.rs
@@ -1,5 +1,5 @@
-//! Expectations of a scenario's steps: each is checked against what nodes report until it holds or
-//! its time is over.
+//! Expectations of a scenario's steps. Each is checked against the status replies of the nodes
+//! until it holds or its time limit has passed.
 
 use super::observe::{Observations, REPLAY_WINDOW_NS, status_pages};
 use super::{AUTH_KEY, CLUSTER_NAME, FaultScenario, QUERY_INTERVAL, QUERY_TIMEOUT, lock};
@@ -16,21 +16,21 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// The topic of the shared state's status snapshot.
+/// Topic of the status snapshot of the shared state.
 const SHARED_STATE_TOPIC: u32 = 1;
-/// The pause between two looks at the backend service's record.
+/// Pause between two checks of the backend service's record.
 const USAGE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why an expectation did not hold in its time.
+/// Reasons why an expectation did not hold in time.
 #[derive(Debug, Error)]
 enum ExpectationError {
-    /// What was observed last instead.
+    /// The expectation did not hold by the deadline; the text is the last observation.
     #[error("{0}")]
     Unmet(String),
-    /// The status query's socket failed.
+    /// The socket of the status query failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The cluster's key was not accepted.
+    /// The authentication key of the cluster is not valid.
     #[error("{0}")]
     AuthKeys(String),
     /// The status snapshot could not be decoded.
@@ -39,15 +39,17 @@
 }
 
 impl FaultScenario {
-    /// Waits for an expectation of step `index`; notes how long it took, or that it did not hold.
+    /// Waits for the expectation of step `index`, and records the time until it held or a failure.
     pub(super) fn expect(&mut self, index: usize, expectation: &Action) {
         let begun = Instant::now();
         match expectation {
             Action::Holds { node, what, within } => {
                 match self.wait_for_shared_state(self.node(node), what, begun + *within) {
-                    Ok(()) => self.took(format!("{node} holds {what}, step {index}"), begun),
+                    Ok(()) => {
+                        self.record_duration(format!("{node} shows {what}, step {index}"), begun)
+                    }
                     Err(found) => self.fail(format!(
-                        "step {index}: {node} did not hold {what} within {within:?}: {found}"
+                        "step {index}: {node} did not show {what} within {within:?}: {found}"
                     )),
                 }
             }
@@ -60,8 +62,11 @@
                 match self.wait(begun + *within, |all, seen| {
                     all.not_running(seen, to, *number)
                 }) {
-                    Ok(()) => self.took(format!("all run {number}, step {index}"), begun),
-                    Err(e) => self.fail(format!("step {index}: not so within {within:?}: {e}")),
+                    Ok(()) => self
+                        .record_duration(format!("all run settings {number}, step {index}"), begun),
+                    Err(e) => self.fail(format!(
+                        "step {index}: not all run settings {number} within {within:?}: {e}"
+                    )),
                 }
             }
             Action::Change {
@@ -70,10 +75,10 @@
                 fate,
                 stage,
                 within,
-            } => self.change_is(index, to, (*number, fate, *stage), *within),
+            } => self.expect_rollout(index, to, (*number, fate, *stage), *within),
             Action::Settled { within, sides } => {
                 match self.wait(begun + *within, |all, seen| all.not_settled(seen, *sides)) {
-                    Ok(()) => self.took(format!("settled, step {index}"), begun),
+                    Ok(()) => self.record_duration(format!("settled, step {index}"), begun),
                     Err(e) => {
                         self.fail(format!("step {index}: not settled within {within:?}: {e}"));
                     }
@@ -82,25 +87,28 @@
             Action::Sees {
                 node,
                 other,
-                liveness: held,
+                liveness: expected,
                 within,
             } => {
                 let n = self.node(node);
                 match self.wait(begun + *within, |all, seen| {
-                    all.not_seen_as(seen, n, other, held)
+                    all.not_seen_as(seen, n, other, expected)
                 }) {
-                    Ok(()) => self.took(
-                        format!("{node} holds {other} for {held}, step {index}"),
+                    Ok(()) => self.record_duration(
+                        format!("{node} holds {other} for {expected}, step {index}"),
                         begun,
                     ),
-                    Err(e) => self.fail(format!("step {index}: not so within {within:?}: {e}")),
+                    Err(e) => self.fail(format!(
+                        "step {index}: {other} not {expected} for {node} within {within:?}: {e}"
+                    )),
                 }
             }
-            other => unreachable!("step {index} is no expectation: {other:?}"),
+            other => unreachable!("the action of step {index} is not an expectation: {other:?}"),
         }
     }
 
-    /// Waits until a share of the limit on calls a second was used over a time.
+    /// Waits until the backend calls of the last `over` are at least the share `least` of the limit
+    /// on calls per second.
     fn expect_usage(&mut self, index: usize, over: Duration, least: f64, within: Duration) {
         let begun = Instant::now();
         let limit = f64::from(self.script.calls_a_second.max(1)) * over.as_secs_f64();
@@ -110,15 +118,15 @@
             used = self.backend.recent_calls(over) as f64 / limit;
         }
         if used >= least {
-            self.took(format!("{least} of the limit is used, step {index}"), begun);
+            self.record_duration(format!("{least} of the limit is used, step {index}"), begun);
         } else {
             self.fail(format!(
-                "step {index}: {used:.2} of the limit is used after {within:?}, {least} wanted"
+                "step {index}: {used:.2} of the limit is used after {within:?}, {least} expected"
             ));
         }
     }
 
-    /// Queries a node's shared state until it shows this.
+    /// Queries a node's shared state until the reply shows `what`, a term of the scenario file.
     fn wait_for_shared_state(
         &self,
         n: usize,
@@ -134,7 +142,7 @@
             .map_err(|e| ExpectationError::AuthKeys(e.to_string()))?;
         let mut observer = Observer::new(CLUSTER_NAME, keys, incarnation, REPLAY_WINDOW_NS)
             .for_topic(SHARED_STATE_TOPIC);
-        let (begun, mut last) = (Instant::now(), "nothing".to_owned());
+        let (begun, mut last) = (Instant::now(), "no reply".to_owned());
         while Instant::now() < until {
             if let Some(bytes) = status_pages(&socket, node.bind, &mut observer, begun) {
                 let snapshot = StatusSnapshot::decode(bytes.as_slice())?;
@@ -148,7 +156,8 @@
         Err(ExpectationError::Unmet(last))
     }
 
-    /// Waits until `unmet` finds nothing that keeps an expectation from holding.
+    /// Waits until `unmet` returns `None`; otherwise it returns why an expectation does not hold
+    /// yet.
     fn wait(
         &self,
         until: Instant,
@@ -156,12 +165,12 @@
     ) -> Result<(), ExpectationError> {
         let mut seen = lock(&self.seen.0);
         loop {
-            let Some(what) = unmet(self, &seen) else {
+            let Some(reason) = unmet(self, &seen) else {
                 return Ok(());
             };
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
-                return Err(ExpectationError::Unmet(what));
+                return Err(ExpectationError::Unmet(reason));
             }
             let waited = self
                 .seen
@@ -171,17 +180,18 @@
         }
     }
 
-    /// Nodes that are up, in groups that reach each other, directly or through others.
+    /// Returns the nodes that are up, in groups whose nodes reach each other directly or through
+    /// other nodes of the group.
     fn groups(&self) -> Vec<Vec<usize>> {
         let mut left: Vec<usize> = (0..self.nodes.len()).filter(|&n| self.is_up(n)).collect();
         let mut groups = Vec::new();
         while let Some(first) = left.pop() {
             let (mut group, mut index) = (vec![first], 0);
             while index < group.len() {
-                let here = &self.nodes[group[index]].place;
+                let from = &self.nodes[group[index]].place;
                 let is_reached = |n: &usize| {
-                    let there = &self.nodes[*n].place;
-                    !self.faults.is_cut(here, there) && !self.faults.is_cut(there, here)
+                    let to = &self.nodes[*n].place;
+                    !self.faults.is_cut(from, to) && !self.faults.is_cut(to, from)
                 };
                 let (found, rest): (Vec<usize>, Vec<usize>) =
                     left.into_iter().partition(is_reached);
@@ -194,12 +204,12 @@
         groups
     }
 
-    /// What keeps the cluster from being settled in this many groups.
+    /// Returns why the cluster is not settled in `sides` groups; `None` if it is.
     fn not_settled(&self, seen: &Observations, sides: usize) -> Option<String> {
         let groups = self.groups();
         if groups.len() != sides {
             return Some(format!(
-                "{} groups that hear each other, {sides} wanted",
+                "{} groups that hear each other, {sides} expected",
                 groups.len()
             ));
         }
@@ -208,14 +218,15 @@
             .find_map(|group| self.not_agreed(seen, group))
     }
 
-    /// What keeps a group from having one digest and just each other as present members.
+    /// Returns why the nodes of a group do not all have the same digest, and the nodes of the group
+    /// as the only present members; `None` if they do.
     fn not_agreed(&self, seen: &Observations, group: Vec<usize>) -> Option<String> {
         let names: BTreeSet<&str> = group.iter().map(|&n| self.nodes[n].name.as_str()).collect();
         let mut digest = None;
         for n in group {
             let name = &self.nodes[n].place.name;
             let Some((_, snapshot)) = &seen[n] else {
-                return Some(format!("{name} was not seen yet"));
+                return Some(format!("{name} has not answered a status query"));
             };
             let present = snapshot
                 .members
@@ -228,13 +239,15 @@
                 ));
             }
             if *digest.get_or_insert(snapshot.digest) != snapshot.digest {
-                return Some(format!("{name} holds another digest than its group"));
+                return Some(format!(
+                    "the digest of {name} differs from that of its group"
+                ));
             }
         }
         None
     }
 
-    /// What keeps a node from seeing another, or itself, as `expected`.
+    /// Returns why a node does not see another node, or itself, as `expected`; `None` if it does.
     fn not_seen_as(
         &self,
         seen: &Observations,
@@ -244,14 +257,15 @@
     ) -> Option<String> {
         let name = &self.nodes[n].place.name;
         let Some((_, snapshot)) = &seen[n] else {
-            return Some(format!("{name} was not seen yet"));
+            return Some(format!("{name} has not answered a status query"));
         };
         let found = seen_as(snapshot, other, expected);
         (found != expected).then(|| format!("{name} holds {other} for {found}, not {expected}"))
     }
 }
 
-/// How a node sees another, or itself, in the terms of the scenario word that is expected.
+/// Returns how a node sees another node, or itself. The scenario term `expected` selects the
+/// property that is compared: name conflict, local health, phase, program version or liveness.
 fn seen_as(snapshot: &NodeSnapshot, other: &str, expected: &str) -> String {
     let report = &snapshot.report;
     match expected {
@@ -278,7 +292,7 @@
     }
 }
 
-/// Whether a node's shared state shows what this scenario word names.
+/// Returns whether a node's shared state has the property that the scenario term `what` names.
 fn shows(snapshot: &StatusSnapshot, what: &str) -> bool {
     let mode = snapshot
         .service
--- a/crates/test-harness/src/fault_scenario/load.rs
+++ b/crates/test-harness/src/fault_scenario/load.rs
@@ -1,4 +1,4 @@
-//! The load of one node: requests one after the other on one connection, through the fault proxy.
+//! The load of one node: sequential requests on each load connection, through the fault proxy.
 
 use super::checks::CLIENT_TIMEOUT;
 use super::lock;
@@ -18,27 +18,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often the reader looks whether its time is over.
+/// Read timeout, after which the reader checks whether its time has passed.
 const READ_INTERVAL: Duration = Duration::from_millis(100);
-/// An answer is waited for this much longer than the client timeout.
+/// Time beyond the client timeout for which a connection waits for an answer.
 const WAIT_AFTER_TIMEOUT: Duration = Duration::from_secs(1);
-/// A connection that ends without an answer within this time may have been closed as idle.
+/// If a connection ends without an answer within this time of the request, the node may have closed
+/// it as idle.
 const IDLE_CLOSE_WINDOW: Duration = Duration::from_millis(50);
 
-/// How often each load connection sends a request, and with which keys.
+/// Interval of the requests on each load connection, and the range of their keys.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadRate {
     pub(super) interval: Duration,
-    /// The first and the last key's number.
+    /// Numbers of the first and the last key.
     pub(super) keys: (u64, u64),
 }
 
-/// One load connection of a node.
+/// One load connection of a node, run by its own thread.
 pub(super) struct NodeLoad {
-    /// Where the node is reached through the fault proxy.
+    /// Address at which the fault proxy forwards to the node.
     pub(super) address: SocketAddr,
     pub(super) rate: Arc<Mutex<LoadRate>>,
-    /// The connection's number, unique in the scenario; with the seed it fixes the keys drawn.
+    /// Number of the connection, unique in the scenario; the drawn keys depend on it and the seed.
     pub(super) caller: u64,
     pub(super) seed: u64,
     pub(super) state: Arc<Mutex<NodeState>>,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Sends a request and waits for its answer; gives the connection back if it can be used again.
+    /// Sends a request and waits for its answer; returns the connection if it can be used again.
     fn exchange(
         &self,
         mut stream: TcpStream,
@@ -94,7 +95,7 @@
         let bytes = wire::request(1, &params, key.as_bytes());
         stream.set_nodelay(true).ok()?;
         stream.set_read_timeout(Some(READ_INTERVAL)).ok()?;
-        // A connection that the node closed while it was idle is no loss: nothing was read from it.
+        // The node closed the connection while it was idle, so it has read nothing of the request.
         if stream.write_all(&bytes).is_err() {
             return None;
         }
@@ -109,8 +110,9 @@
             }
             return Some(stream);
         }
-        // Without an answer: lost, unless the node was killed, paused or cut off; or it had closed
-        // the connection as idle at that very moment, and then nothing ran.
+        // A missing answer is excused if the node was killed, paused or cut off. It is also excused
+        // if the node closed the connection as idle while the request was on its way; the request
+        // was not executed then.
         let crossed_close = is_empty && begun.elapsed() < IDLE_CLOSE_WINDOW;
         if self.is_excused(begun) || crossed_close {
             lock(&self.checker).left(id);
@@ -118,7 +120,7 @@
         None
     }
 
-    /// Whether a missing answer to a request that was begun then is not a failure.
+    /// Returns whether a missing answer to a request that was sent at `begun` is excused.
     fn is_excused(&self, begun: Instant) -> bool {
         let state = lock(&self.state);
         let covers = |until: &Option<Instant>| until.is_none_or(|until| until > begun);
@@ -126,8 +128,8 @@
     }
 }
 
-/// Reads until an answer is complete, the connection ends or the time is over; also gives whether
-/// no unread bytes are left.
+/// Reads until an answer is complete, the connection ends or the time has passed. The second value
+/// tells whether no part of a record was left over.
 fn read_answer(stream: &mut TcpStream, begun: Instant) -> (Option<Answer>, bool) {
     let (mut received, mut open, mut buffer) = (Vec::new(), BTreeMap::new(), [0; 8192]);
     loop {
--- a/crates/test-harness/src/fault_scenario/observe.rs
+++ b/crates/test-harness/src/fault_scenario/observe.rs
@@ -1,5 +1,5 @@
-//! Status queries: what every node reports about the cluster, read with the keyed protocol past
-//! the fault proxy.
+//! Status queries to all nodes, with the authenticated datagram protocol. They bypass the fault
+//! proxy, so that faults do not affect them.
 
 use super::process::NodeState;
 use super::{
@@ -14,16 +14,16 @@
 use std::thread;
 use std::time::Instant;
 
-/// Pages of one status reply, at most.
+/// Most pages of one status reply.
 const PAGES_MAX: usize = 64;
 /// The observer's replay window, in nanoseconds.
 pub(super) const REPLAY_WINDOW_NS: u64 = 600_000_000_000;
 
-/// The last snapshot of each node and when it came, by the node's index; none while it is down.
+/// The last snapshot of each node and its arrival time, by node index; `None` while a node is down.
 pub(super) type Observations = Vec<Option<(Instant, NodeSnapshot)>>;
 
 impl FaultScenario {
-    /// Queries all nodes in turn, again and again, until the scenario stops.
+    /// Starts the thread that queries all nodes in turn until the scenario stops.
     pub(super) fn start_observing(&self) -> std::io::Result<()> {
         let (seen, stop) = (Arc::clone(&self.seen), Arc::clone(&self.stop));
         let nodes: Vec<(SocketAddr, Arc<Mutex<NodeState>>)> = self
@@ -35,7 +35,7 @@
         socket.set_read_timeout(Some(QUERY_TIMEOUT))?;
         let seed = (u64::from(std::process::id()) << 8) | u64::from(NEXT_SCENARIO.load(SeqCst));
         thread::Builder::new().name("watch".into()).spawn(move || {
-            let keys = || AuthKeys::new(&[AUTH_KEY.to_vec()]).expect("a key of 32 bytes");
+            let keys = || AuthKeys::new(&[AUTH_KEY.to_vec()]).expect("the key has 32 bytes");
             let begun = Instant::now();
             let mut observers: Vec<Observer> = (0..nodes.len())
                 .map(|n| {
@@ -66,7 +66,7 @@
     }
 }
 
-/// A node's member table; nothing if it does not answer in time.
+/// Returns a node's member table; `None` if the node does not answer in time.
 fn member_snapshot(
     socket: &UdpSocket,
     node: SocketAddr,
@@ -76,7 +76,8 @@
     query(socket, node, observer, begun, Observer::on_datagram)
 }
 
-/// The encoded status snapshot of the observer's topic; nothing if the node does not answer yet.
+/// Returns the encoded status snapshot of the observer's topic; `None` if the node does not answer
+/// in time.
 pub(super) fn status_pages(
     socket: &UdpSocket,
     node: SocketAddr,
@@ -86,8 +87,8 @@
     query(socket, node, observer, begun, Observer::on_status_page)
 }
 
-/// Asks for page after page. `receive` reads one datagram: whether it is the page that was asked
-/// for, and the whole once the last page has come.
+/// Requests one page after the other. `receive` reads one datagram, and returns whether it is the
+/// requested page, and the decoded reply if it was the last page.
 fn query<T, E>(
     socket: &UdpSocket,
     node: SocketAddr,
@@ -98,15 +99,15 @@
     let unix = || unix_ms().parse::<u64>().unwrap_or(0);
     let mut buffer = [0; 2048];
     for _ in 0..PAGES_MAX {
-        let question = observer.request(unix());
-        socket.send_to(&question, node).ok()?;
+        let request = observer.request(unix());
+        socket.send_to(&request, node).ok()?;
         loop {
             let (len, from) = socket.recv_from(&mut buffer).ok()?;
             let now = begun.elapsed().as_nanos() as u64;
             match receive(observer, now, unix(), &buffer[..len]) {
                 Ok((_, Some(whole))) if from == node => return Some(whole),
                 Ok((true, None)) if from == node => break,
-                _ => {} // a late reply to an earlier query
+                _ => {} // a delayed reply to an earlier query
             }
         }
     }
--- a/crates/test-harness/src/fault_scenario/process.rs
+++ b/crates/test-harness/src/fault_scenario/process.rs
@@ -1,4 +1,4 @@
-//! One node of a scenario: its process, its stand-in peers, and the proxies between them.
+//! One node of a scenario: the process, its stand-in peers, and the proxies between them.
 
 use super::load::{LoadRate, NodeLoad};
 use super::{FaultScenario, ScenarioError, lock};
@@ -17,37 +17,37 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The longest that a process may take to listen.
+/// Longest time from the start of a process until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// The longest that a process may take to end after SIGTERM.
+/// Longest time from SIGTERM until a process ends.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
-/// For this long after a fault has ended, missing answers are still excused.
+/// Time after the end of a fault for which missing answers are still excused.
 const EXCUSE_AFTER_FAULT: Duration = Duration::from_millis(500);
-/// Lines of the event record in the error when a process does not listen.
+/// Number of lines of the event record in the error about a process that does not listen.
 const LAST_EVENTS: usize = 5;
 
-/// A process's state, shared with its load and the observing thread.
+/// State of a node's process, shared with its load and the thread that queries the status.
 #[derive(Default)]
 pub(super) struct NodeState {
     pub(super) is_running: bool,
     pub(super) is_paused: bool,
-    /// Periods in which a missing answer is not a failure: begin, and end if it is known.
+    /// Periods in which a missing answer is not a failure: begin, and end if known.
     pub(super) excused: Vec<(Instant, Option<Instant>)>,
 }
 
-/// A node of the scenario.
+/// A node of the scenario, with its peers and proxies.
 pub(super) struct ScenarioNode {
     pub(super) place: NodeLocation,
-    /// The address on which it listens for other nodes.
+    /// Address on which the node listens for other nodes.
     pub(super) bind: SocketAddr,
-    /// The address of the fault proxy at which other nodes reach it.
+    /// Address of the fault proxy at which other nodes reach the node.
     pub(super) reached: SocketAddr,
     pub(super) executor: Executor,
     pub(super) executor_proxy: StreamProxy,
     pub(super) backend_proxy: StreamProxy,
     pub(super) registry_proxy: StreamProxy,
     pub(super) request_proxy: StreamProxy,
-    /// The name under which it was last started.
+    /// Name under which the node was last started.
     pub(super) name: String,
     pub(super) child: Option<Child>,
     pub(super) state: Arc<Mutex<NodeState>>,
@@ -57,12 +57,13 @@
 }
 
 impl ScenarioNode {
-    /// Excuses missing answers from now on, until then or until the faults end.
+    /// Excuses missing answers from now on: until the given time, or until the faults end if
+    /// `None`.
     pub(super) fn excuse(&self, until: Option<Instant>) {
         lock(&self.state).excused.push((Instant::now(), until));
     }
 
-    /// Ends all excused periods shortly after now; a period whose end is known keeps a later one.
+    /// Ends all excused periods after [`EXCUSE_AFTER_FAULT`], except those that end later.
     pub(super) fn end_excuses(&self) {
         let end = Instant::now() + EXCUSE_AFTER_FAULT;
         lock(&self.state)
@@ -71,14 +72,14 @@
             .for_each(|(_, until)| *until = Some(until.map_or(end, |u| u.max(end))));
     }
 
-    /// The id of the node's process, if one was started.
+    /// Returns the id of the node's process, if one was started.
     pub(super) fn pid(&self) -> Option<Pid> {
         self.child
             .as_ref()
             .and_then(|child| Pid::from_raw(child.id() as i32))
     }
 
-    /// Sends the node's process a signal.
+    /// Sends a signal to the node's process.
     pub(super) fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
             let _ = kill_process(pid, signal);
@@ -86,7 +87,8 @@
     }
 }
 
-/// Records what a process logs; gives the address on which it reports to listen.
+/// Starts a thread that records the log lines of a process; returns the channel with the listening
+/// address that the process logs.
 fn record_log(
     stderr: ChildStderr,
     record: Arc<EventRecord>,
@@ -105,7 +107,7 @@
     addresses
 }
 
-/// Waits for a process to end.
+/// Waits for a process to end; returns `None` if it still runs after `timeout`.
 fn wait_for_exit(child: &mut Child, timeout: Duration) -> Option<ExitStatus> {
     let until = Instant::now() + timeout;
     loop {
@@ -118,8 +120,8 @@
 }
 
 impl FaultScenario {
-    /// Starts a node's process, under another's name or as another program version if given, and
-    /// waits until it listens.
+    /// Starts a node's process and waits until it listens. `name` and `program` replace the node's
+    /// name and the program version in its settings, if given.
     pub(super) fn start_node(
         &mut self,
         n: usize,
@@ -168,11 +170,11 @@
         program: Option<&str>,
     ) -> io::Result<Child> {
         let later = self
-            .setting
+            .setup
             .later
             .clone()
             .filter(|_| program == Some("later"));
-        let exe = later.clone().unwrap_or_else(|| self.setting.exe.clone());
+        let exe = later.clone().unwrap_or_else(|| self.setup.exe.clone());
         let program = program.filter(|_| later.is_none());
         let settings = self.settings(1, &self.rules(), "", program);
         let settings = self.write_file("xml", &settings)?;
@@ -193,7 +195,7 @@
             .spawn()
     }
 
-    /// Starts the node's load threads that do not run yet.
+    /// Starts the load threads of a node that do not run yet.
     fn start_load(&mut self, n: usize) {
         let callers = if self.script.load > 0 {
             self.script.callers.max(1)
@@ -216,7 +218,8 @@
         }
     }
 
-    /// Has a node drain and end; fails if it ends with an error or not in time.
+    /// Stops a node's process with SIGTERM; records a failure if it ends with an error or not in
+    /// time.
     pub(super) fn stop_node(&mut self, n: usize) {
         let Some(mut child) = self.nodes[n].child.take() else {
             return;
@@ -242,12 +245,12 @@
     }
 }
 
-/// Removes stored versions of an earlier process that had the same id.
+/// Removes the stored versions of an earlier run whose process had the same id.
 pub(super) fn remove_stale_versions(dir: &Path) {
     let _ = std::fs::remove_dir_all(dir);
 }
 
-/// Starts a service registry that accepts every report.
+/// Starts a service registry that answers every report with 204.
 pub(super) fn start_service_registry() -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
--- a/crates/test-harness/src/fault_scenario/steps.rs
+++ b/crates/test-harness/src/fault_scenario/steps.rs
@@ -10,11 +10,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// For this long after a fault of known length, missing answers are still excused.
+/// Time after a fault of known length for which missing answers are still excused.
 const EXCUSE_AFTER: Duration = Duration::from_secs(1);
-/// The first bytes of the cluster's datagrams.
+/// First bytes of the cluster's datagrams.
 const DATAGRAM_MAGIC: [u8; 3] = *b"mf\x01";
-/// The pause between two bursts of the flood of foreign datagrams.
+/// Pause between two bursts of the flood of unauthenticated datagrams.
 const FLOOD_INTERVAL: Duration = Duration::from_millis(5);
 
 impl FaultScenario {
@@ -55,14 +55,14 @@
             Action::UnauthenticatedDatagrams { to, a_second, time } => {
                 self.start_flood(to, *a_second, *time)
             }
-            Action::Disk { node, full } => self.fill(index, node, *full),
+            Action::Disk { node, full } => self.set_disk_full(index, node, *full),
             Action::Offer {
                 node,
                 number,
                 change,
                 turned_down,
             } => self.offer(index, node, *number, change, *turned_down),
-            Action::EndChange { node, back } => self.end_change(index, node, *back),
+            Action::EndChange { node, back } => self.end_rollout(index, node, *back),
             Action::Holds { .. }
             | Action::Used { .. }
             | Action::Runs { .. }
@@ -72,6 +72,8 @@
         }
     }
 
+    /// Puts a fault on links. Faults on links other than those between nodes excuse missing
+    /// answers.
     fn put_fault(&mut self, faulty: &LinkFault, time: Option<Duration>) {
         if faulty.on != LinkKind::Fleet {
             let until = time.map(|time| Instant::now() + time + EXCUSE_AFTER);
@@ -132,7 +134,8 @@
         }
     }
 
-    /// Floods nodes with datagrams that are not the cluster's; half of them begin like one.
+    /// Starts a thread that sends random datagrams to nodes; half of them begin with the first
+    /// bytes of the cluster's datagrams.
     fn start_flood(&self, to: &NodeSelector, datagrams_per_second: u64, time: Duration) {
         let targets: Vec<SocketAddr> = self
             .nodes
--- a/crates/test-harness/src/faults.rs
+++ b/crates/test-harness/src/faults.rs
@@ -1,4 +1,4 @@
-//! Which faults are in force on which links; the fault proxies ask for everything that passes.
+//! The faults in force on each link. The fault proxies query them for all traffic.
 
 use crate::scenario::{Fault, LinkFault, LinkKind};
 use rand::{RngExt, SeedableRng};
@@ -7,9 +7,9 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A reordered datagram is delayed by this much more, so that later ones overtake it.
+/// Additional delay of a reordered datagram, so that later ones overtake it.
 const REORDER_DELAY: Duration = Duration::from_millis(20);
-/// The delay of a doubled datagram's second copy.
+/// Delay of the second copy of a doubled datagram.
 const DOUBLE_DELAY: Duration = Duration::from_millis(1);
 
 /// A node's name and zone, by which faults select links.
@@ -17,27 +17,28 @@
 pub struct NodeLocation {
     /// The node's name in the scenario.
     pub name: String,
-    /// Its zone.
+    /// The node's zone.
     pub zone: String,
 }
 
-/// What a proxy is to do with a datagram.
+/// The treatment of one datagram by the proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Delivery {
-    /// How long each copy is delayed; no copies if the datagram is lost.
+    /// Delay of each copy; empty if the datagram is lost.
     pub copies: Vec<Duration>,
-    /// The index of a damaged byte, and the mask that is applied by exclusive or.
+    /// Index of a damaged byte, and the mask that is applied to it by exclusive or.
     pub damage: Option<(usize, u8)>,
-    /// Whether it is held until its link is healed.
+    /// Whether the datagram is held until its link is healed.
     pub is_held: bool,
 }
 
 struct State {
-    /// Faults in force, each with its end if it has one.
+    /// Faults with their end; `None` if a fault lasts until all links are healed.
     faults: Vec<(LinkFault, Option<Instant>)>,
     rng: Pcg64Mcg,
-    /// When the next byte may pass on a throttled link, by sender and receiver.
+    /// Time at which a throttled link is free for the next byte, by names of sender and receiver.
     next_free: HashMap<(String, String), Instant>,
+    /// Number of datagrams by result.
     counts: HashMap<&'static str, u64>,
 }
 
@@ -48,7 +49,7 @@
 }
 
 impl Faults {
-    /// No faults; random draws come from this seed.
+    /// Creates a state without faults; the seed determines the random draws.
     pub fn new(seed: u64) -> Faults {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         let state = State {
@@ -67,7 +68,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts a fault on its links, for a time or until all links are healed.
+    /// Puts a fault on its links, for the given time or until all links are healed.
     pub fn put(&self, faulty: LinkFault, time: Option<Duration>) {
         let mut state = self.lock();
         let until = time.map(|time| Instant::now() + time);
@@ -83,12 +84,12 @@
         self.changed.notify_all();
     }
 
-    /// How many datagrams were passed, lost, held, doubled or damaged.
+    /// Returns the number of datagrams that were passed, lost, held, doubled or damaged.
     pub fn counts(&self) -> HashMap<&'static str, u64> {
         self.lock().counts.clone()
     }
 
-    /// Whether no datagram passes from one node to another now.
+    /// Returns whether the link from one node to another is cut or held at present.
     pub fn is_cut(&self, from: &NodeLocation, to: &NodeLocation) -> bool {
         let state = self.lock();
         state
@@ -96,7 +97,7 @@
             .any(|fault| fault.cut || fault.hold)
     }
 
-    /// Decides, with random draws, what is done with a datagram of this size.
+    /// Decides by random draws how a datagram of `bytes` bytes is treated.
     pub fn delivery(
         &self,
         on: LinkKind,
@@ -156,19 +157,19 @@
         delivery
     }
 
-    /// For streams: blocks until bytes may pass, and for their delay.
+    /// Blocks a stream until `bytes` bytes may pass, including the delay of the link.
     pub fn wait_to_pass(&self, on: LinkKind, from: &NodeLocation, to: &NodeLocation, bytes: usize) {
         let mut state = self.lock();
         loop {
-            let (is_stuck, delay) = {
+            let (is_blocked, delay) = {
                 let faults: Vec<&Fault> = state.on_link(on, from, to).collect();
-                let is_stuck = faults.iter().any(|fault| fault.cut || fault.hold);
+                let is_blocked = faults.iter().any(|fault| fault.cut || fault.hold);
                 let rate = faults.iter().filter_map(|f| f.bytes_a_second).min();
                 let queued = rate.map_or(0.0, |rate| bytes as f64 / rate as f64);
                 let delay: Duration = faults.iter().map(|fault| fault.delay).sum();
-                (is_stuck, delay + Duration::from_secs_f64(queued))
+                (is_blocked, delay + Duration::from_secs_f64(queued))
             };
-            if !is_stuck {
+            if !is_blocked {
                 drop(state);
                 return std::thread::sleep(delay);
             }
@@ -185,11 +186,12 @@
 }
 
 impl State {
+    /// Draws at random; returns `true` with probability `share`.
     fn chance(&mut self, share: f64) -> bool {
         share > 0.0 && self.rng.random_bool(share)
     }
 
-    /// The faults in force on a link now.
+    /// Returns the faults that are in force on a link at present.
     fn on_link<'s>(
         &'s self,
         on: LinkKind,
--- a/crates/test-harness/src/faults/tests.rs
+++ b/crates/test-harness/src/faults/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn faults_affect_their_links_and_no_other() {
+fn faults_affect_only_the_selected_links() {
     let faults = Faults::new(1);
     let (a, b, c) = (place("n0", "z0"), place("n1", "z1"), place("n2", "z0"));
     let cut = Fault {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn shares_are_met_and_a_seed_repeats_the_same_deliveries() {
+fn fault_shares_are_met_and_the_same_seed_gives_the_same_deliveries() {
     let play = || {
         let faults = Faults::new(5);
         let fault = Fault {
--- a/crates/test-harness/src/keys.rs
+++ b/crates/test-harness/src/keys.rs
@@ -1,4 +1,4 @@
-//! Records executions by key over all nodes, to check keyed quotas.
+//! The record of executions by key over all nodes, used to check keyed quotas.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,13 +6,13 @@
 
 #[derive(Default)]
 struct KeyHistory {
-    /// When executions began.
+    /// Begin times of all executions.
     started: Vec<Instant>,
     in_flight: usize,
     most_in_flight: usize,
 }
 
-/// The record of executions by key; clones share it.
+/// The record of executions by key. Clones share the record.
 #[derive(Clone, Default)]
 pub struct KeyRecord(Arc<Mutex<HashMap<String, KeyHistory>>>);
 
@@ -21,7 +21,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An execution of a key began.
+    /// Records that an execution of a key began.
     pub fn started(&self, key: &str) {
         let mut keys = self.lock();
         let history = keys.entry(key.to_owned()).or_default();
@@ -30,14 +30,14 @@
         history.most_in_flight = history.most_in_flight.max(history.in_flight);
     }
 
-    /// An execution of a key ended.
+    /// Records that an execution of a key ended.
     pub fn ended(&self, key: &str) {
         if let Some(history) = self.lock().get_mut(key) {
             history.in_flight = history.in_flight.saturating_sub(1);
         }
     }
 
-    /// How many executions began, of all keys.
+    /// Returns the number of executions that began, over all keys.
     pub fn execution_count(&self) -> usize {
         self.lock()
             .values()
@@ -45,8 +45,8 @@
             .sum()
     }
 
-    /// The most executions in flight of any key, and by how many the worst key exceeded a token
-    /// bucket of this rate (executions a second) and burst.
+    /// Returns the most executions in flight of any key, and by how many executions the worst key
+    /// exceeded a token bucket with this rate (executions per second) and burst.
     pub fn worst(&self, rate: f64, burst: f64) -> (usize, f64) {
         let (mut in_flight, mut excess) = (0, 0f64);
         for history in self.lock().values_mut() {
--- a/crates/test-harness/src/keys/tests.rs
+++ b/crates/test-harness/src/keys/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_execution_beyond_rate_and_burst_is_found() {
+fn worst_reports_executions_in_flight_and_the_excess_over_rate_and_burst() {
     let record = KeyRecord::default();
     (0..5).for_each(|_| record.started("a"));
     record.started("b");
--- a/crates/test-harness/src/load.rs
+++ b/crates/test-harness/src/load.rs
@@ -1,5 +1,5 @@
-//! A closed-loop load: many requests over some connections, each batch sent when the one before is
-//! answered. Called by tests.
+//! A closed-loop load for tests: requests over several connections, in batches. Each connection
+//! sends a batch when the previous one is answered.
 
 use crate::checker::Checker;
 use crate::peers::{WAIT_TIMEOUT, unix_ms};
@@ -16,16 +16,16 @@
 pub struct LoadRequest {
     /// The path, such as `/call/read`.
     pub path: String,
-    /// Parameters beyond those of every request.
+    /// Parameters in addition to those that each request has.
     pub params: Vec<(String, String)>,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
-    /// The idempotency key, where it must run once.
+    /// Idempotency key, if the request must be executed at most once.
     pub key: Option<String>,
 }
 
 impl LoadRequest {
-    /// A request for this path, with no more parameters and no key.
+    /// Returns a request for this path, without additional parameters and key.
     pub fn of(path: &str) -> LoadRequest {
         LoadRequest {
             path: path.to_owned(),
@@ -36,38 +36,38 @@
     }
 }
 
-/// A connection ended before all answers of a batch had come.
+/// A connection ended before all answers of a batch had arrived.
 #[derive(Debug, Error)]
-#[error("a connection ended with {answers} answers")]
+#[error("the connection ended after {answers} answers")]
 struct ConnectionEnded {
     answers: usize,
 }
 
-/// How a load is spread.
+/// Number of connections and requests of a load.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadShape {
-    /// How many connections are used.
+    /// Number of connections.
     pub connections: usize,
-    /// Requests that are open on each connection at a time.
+    /// Number of requests that are open on each connection at a time.
     pub open: usize,
-    /// Requests on each connection in all.
+    /// Total number of requests on each connection.
     pub requests_per_connection: usize,
 }
 
-static NEXT: AtomicU64 = AtomicU64::new(1 << 32);
+static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1 << 32);
 
-/// A correlation id that no other request of this process has.
+/// Returns a correlation id that is unique in this process.
 pub fn next_request_id() -> String {
-    format!("{:016x}", NEXT.fetch_add(1, SeqCst))
+    format!("{:016x}", NEXT_REQUEST.fetch_add(1, SeqCst))
 }
 
-/// Sends the requests that `make` gives by connection and number, and reports what is sent and
-/// answered to the checker. Connections that the node closes while nothing is open are made again.
-/// Stops sooner once `stop` is set.
+/// Sends the requests that `make` returns for a connection index and a request number, and records
+/// requests and answers in the checker. A connection that the node closes while no request is open
+/// is replaced. Setting `stop` ends the load early, after the present batch.
 ///
 /// # Panics
 ///
-/// A connection fails, or ends with some answers of a batch missing.
+/// Panics if a connection fails, or ends before all answers of a batch have arrived.
 pub fn run(
     node: SocketAddr,
     shape: LoadShape,
@@ -110,8 +110,8 @@
         })
     }
 
-    /// Sends a batch and waits for all answers. A batch that crossed a close is sent again once, as
-    /// load balancers do.
+    /// Sends a batch and waits for all answers. If the node closed the idle connection while the
+    /// batch was on its way, the batch is sent once more, as load balancers do.
     fn send(&mut self, requests: &[LoadRequest], checker: &Mutex<Checker>) {
         let request_ids: Vec<String> = requests.iter().map(|_| next_request_id()).collect();
         for is_retry in [false, true] {
@@ -141,21 +141,22 @@
                     }
                     return;
                 }
-                // Nothing came back, so that the whole batch crossed a close.
+                // No answer arrived: the node closed the connection before it read the batch.
                 Err(ConnectionEnded { answers: 0 }) if !is_retry => self.stream = None,
                 Err(ended) => panic!("{ended} of {}", requests.len()),
             }
         }
     }
 
-    fn exchange(&mut self, bytes: &[u8], wanted: usize) -> Result<Vec<Answer>, ConnectionEnded> {
+    /// Sends bytes and waits for `expected` answers.
+    fn exchange(&mut self, bytes: &[u8], expected: usize) -> Result<Vec<Answer>, ConnectionEnded> {
         let stream = self.stream();
         if stream.write_all(bytes).is_err() {
             return Err(ConnectionEnded { answers: 0 });
         }
         let (mut received, mut open, mut answers) = (Vec::new(), BTreeMap::new(), Vec::new());
         let mut buffer = [0; 16384];
-        while answers.len() < wanted {
+        while answers.len() < expected {
             match stream.read(&mut buffer) {
                 Ok(0) => {
                     let answers = answers.len();
--- a/crates/test-harness/src/peers.rs
+++ b/crates/test-harness/src/peers.rs
@@ -1,5 +1,5 @@
-//! A node's peers, driven by the test line by line: its executor, backend, service registry and a
-//! load balancer. All waits are for something to arrive, and panic after [`WAIT_TIMEOUT`].
+//! A node's peers, which a test drives line by line: executor, backend, service registry and load
+//! balancer. All waits end when data arrives, and panic after [`WAIT_TIMEOUT`].
 
 use crate::wire::{self, Answer};
 use serde_json::Value;
@@ -8,29 +8,29 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The longest wait for anything; it only keeps a failed test from hanging.
+/// Longest wait for any data; only keeps a failed test from hanging.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A listener on a free port.
+/// Opens a listener on a free port.
 ///
 /// # Panics
 ///
-/// No port can be opened.
+/// Panics if no port can be opened.
 pub fn listen() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-/// An address at which nothing listens. It is fixed, as a port that was free a moment ago could be
-/// another test's by now.
+/// Returns an address at which nothing listens. The address is fixed, as another test could take a
+/// port that was free a moment ago.
 pub fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 1, 2, 3], 1))
 }
 
-/// The present Unix time in milliseconds, in decimal.
+/// Returns the present Unix time in milliseconds, as decimal text.
 ///
 /// # Panics
 ///
-/// The clock is before 1970.
+/// Panics if the clock is before 1970.
 pub fn unix_ms() -> String {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -39,13 +39,13 @@
         .to_string()
 }
 
-/// A peer's end of a connection, read by lines.
+/// A peer's end of a connection with a line-based protocol.
 ///
-/// Its methods panic when the connection fails or nothing arrives in time.
+/// The methods panic if the connection fails or if no data arrives in time.
 pub struct LineConnection {
-    /// The connection.
+    /// The buffered connection.
     pub reader: BufReader<TcpStream>,
-    /// The beginning of a line that has not arrived whole.
+    /// Received part of a line that is not complete.
     pub part: Vec<u8>,
 }
 
@@ -60,12 +60,13 @@
         }
     }
 
-    /// The next line, without its end.
+    /// Waits for the next line and returns it without the line end.
     pub fn line(&mut self) -> String {
-        self.line_within(WAIT_TIMEOUT).expect("a line")
+        self.line_within(WAIT_TIMEOUT)
+            .expect("a line arrives in time")
     }
 
-    /// The next line, if it arrives within this time.
+    /// Returns the next line, or `None` if it does not arrive within `time`.
     pub fn line_within(&mut self, time: Duration) -> Option<String> {
         self.reader.get_ref().set_read_timeout(Some(time)).unwrap();
         match self.reader.read_until(b'\n', &mut self.part) {
@@ -80,24 +81,27 @@
         }
     }
 
-    /// The next `len` bytes.
+    /// Waits for the next `len` bytes and returns them.
     pub fn exactly(&mut self, len: usize) -> Vec<u8> {
         let mut bytes = vec![0; len];
         self.reader.read_exact(&mut bytes).unwrap();
         bytes
     }
 
-    /// Sends text as it is.
+    /// Sends text unchanged, without adding a line end.
     pub fn send_text(&mut self, text: &str) {
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// As an executor: the next command but SYSINFO, which is answered.
+    /// As an executor: waits for the next command other than SYSINFO, and returns it. SYSINFO
+    /// commands are answered.
     pub fn command(&mut self) -> Value {
-        self.command_within(WAIT_TIMEOUT).expect("a command")
+        self.command_within(WAIT_TIMEOUT)
+            .expect("a command arrives in time")
     }
 
-    /// As an executor: the next command but SYSINFO, if it arrives within this time.
+    /// As an executor: returns the next command other than SYSINFO, or `None` if no line arrives
+    /// within `time`.
     pub fn command_within(&mut self, time: Duration) -> Option<Value> {
         loop {
             let command: Value = serde_json::from_str(&self.line_within(time)?).unwrap();
@@ -116,7 +120,8 @@
         ));
     }
 
-    /// As an executor: the next command but SYSINFO, unless the link ends first.
+    /// As an executor: returns the next command other than SYSINFO, or `None` if the link ends
+    /// first.
     pub fn command_until_closed(&mut self) -> Option<Value> {
         loop {
             self.part.clear();
@@ -131,8 +136,8 @@
         }
     }
 
-    /// As an executor: accepts a new link of a node that has read notices up to `last`, and repeats
-    /// those that it `missed`.
+    /// As an executor: accepts a new link of a node that has read notices up to `last`, and sends
+    /// the notices that the node `missed`.
     pub fn accept_executor_link(listener: &TcpListener, last: u64, missed: &str) -> LineConnection {
         let mut link = LineConnection::accept(listener);
         assert_eq!(link.line(), format!("{{\"t\":\"OPEN\",\"no\":{last}}}"));
@@ -143,32 +148,32 @@
     }
 }
 
-/// Notice `no`: the execution of this request ended with this status.
+/// Returns notice `no`: the execution of this request ended with this status.
 pub fn execution_ended_notice(no: u64, request_id: &str, status: &str) -> String {
     format!(
         "{{\"t\":\"REAP\",\"no\":{no},\"rid\":\"{request_id}\",\"status\":\"{status}\",\"time_ms\":3,\"b64\":\"AP8=\"}}\n"
     )
 }
 
-/// Notice `no`: the execution of this request asks for a backend call.
+/// Returns notice `no`: the execution of this request asks for a backend call.
 pub fn call_notice(no: u64, request_id: &str) -> String {
     format!("{{\"t\":\"IOREQ\",\"no\":{no},\"rid\":\"{request_id}\",\"b64\":\"AP8=\"}}\n")
 }
 
-/// A load balancer with one connection. The node may close it while no request is open on it; what
-/// crosses such a close is sent again on a new one.
+/// A load balancer with one connection. The node may close the connection while no request is open;
+/// a request that was on its way then is sent again on a new connection.
 ///
-/// Its methods panic when the connection fails or nothing arrives in time.
+/// The methods panic if the connection fails or if no data arrives in time.
 pub struct LoadBalancer {
-    /// Where the node listens.
+    /// Address on which the node listens.
     pub node: SocketAddr,
-    /// The connection.
+    /// The current connection.
     pub stream: TcpStream,
-    /// Received bytes that are no whole record yet.
+    /// Received bytes of an incomplete record.
     pub bytes: Vec<u8>,
-    /// Parts of answers that are not complete, by request id.
+    /// Received parts of incomplete answers, by FastCGI request id.
     pub open: BTreeMap<u16, Vec<u8>>,
-    /// Complete answers that were not taken yet.
+    /// Complete answers that no method has returned yet.
     pub done: Vec<Answer>,
 }
 
@@ -186,8 +191,8 @@
         }
     }
 
-    /// Sends a request and waits until the executor behind `link` receives the command to run it;
-    /// gives that command.
+    /// Sends a request, waits until the executor behind `link` receives the command to run it, and
+    /// returns that command.
     pub fn run(&mut self, link: &mut LineConnection, id: u16, request_id: &str) -> Value {
         loop {
             let request = wire::request(
@@ -211,7 +216,7 @@
         }
     }
 
-    /// Whether the node has closed the connection.
+    /// Returns whether the node has closed the connection.
     pub fn has_ended(&self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let peeked = self.stream.peek(&mut [0]);
@@ -219,7 +224,7 @@
         peeked.map_or_else(|e| e.kind() == ErrorKind::ConnectionReset, |n| n == 0)
     }
 
-    /// Waits for the next answer.
+    /// Waits for the next answer and returns it.
     pub fn answer(&mut self) -> Answer {
         while self.done.is_empty() {
             assert!(self.read() > 0, "the connection ended without an answer");
@@ -227,7 +232,7 @@
         self.done.remove(0)
     }
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request, waits for the answer and returns it.
     pub fn ask(&mut self, request: &[u8]) -> Answer {
         loop {
             if self.stream.write_all(request).is_ok() {
@@ -240,7 +245,7 @@
         }
     }
 
-    /// Waits for more bytes; gives how many came, 0 when the connection has ended.
+    /// Waits for more bytes and returns their number; 0 if the connection has ended.
     pub fn read(&mut self) -> usize {
         let mut buffer = [0; 4096];
         let n = match self.stream.read(&mut buffer) {
@@ -254,13 +259,13 @@
         n
     }
 
-    /// The status of the answer to a ping.
+    /// Sends a ping and returns the status of the answer.
     pub fn ping(&mut self) -> String {
         self.ask(&ping(1)).status
     }
 }
 
-/// A ping request.
+/// Returns a ping request with this FastCGI request id.
 pub fn ping(id: u16) -> Vec<u8> {
     wire::request(id, &[("SCRIPT_NAME", "/ping")], b"")
 }
--- a/crates/test-harness/src/program.rs
+++ b/crates/test-harness/src/program.rs
@@ -1,4 +1,5 @@
-//! Starts the program under test, and reads its log. Everything panics where a test would fail.
+//! Starts the program under test and reads its log. All functions panic on errors, so that the test
+//! fails.
 
 use crate::peers::{LineConnection, LoadBalancer, WAIT_TIMEOUT, listen, unused_address};
 use crate::wire;
@@ -10,29 +11,29 @@
 use std::sync::mpsc::{self, Receiver};
 use std::thread;
 
-/// A started node; its process is killed when this is dropped.
+/// A started node. Dropping it kills the process.
 pub struct Node {
-    /// The process.
+    /// The node's process.
     pub child: Child,
-    /// The lines of its log.
+    /// Lines of the node's log, in order.
     pub log: Receiver<String>,
-    /// Where it listens for load balancers.
+    /// Address on which the node listens for load balancers.
     pub listen: SocketAddr,
-    /// Its configuration file.
+    /// Path of the node's configuration file.
     pub path: PathBuf,
 }
 
-/// The program under test, and where its files may be written.
+/// The program under test, and the directory for its files.
 #[derive(Clone, Copy)]
 pub struct Program {
-    /// The program's file.
+    /// Path of the executable.
     pub exe: &'static str,
-    /// The directory for files.
+    /// Directory for configuration files.
     pub dir: &'static str,
 }
 
 impl Program {
-    /// Writes a file whose name no other file has.
+    /// Writes a file with a unique name and the extension `kind`, and returns its path.
     pub fn file(self, kind: &str, text: &str) -> PathBuf {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let name = format!(
@@ -45,12 +46,12 @@
         path
     }
 
-    /// Writes a configuration file.
+    /// Writes a configuration file and returns its path.
     pub fn config(self, text: &str) -> PathBuf {
         self.file("json", text)
     }
 
-    /// A command that starts the program with this configuration file.
+    /// Returns a command that starts the program with this configuration file.
     pub fn start(self, path: &PathBuf) -> Command {
         let mut command = Command::new(self.exe);
         command.env("PROXY_CONFIG", path).stderr(Stdio::piped());
@@ -58,8 +59,8 @@
     }
 }
 
-/// The text of a node's configuration: addresses of its executor, backend and service registry, and
-/// the most descriptors that it may open. Its name is `n3`.
+/// Returns the configuration of a node named `n3`, with the addresses of its executor, backend and
+/// service registry, and the most descriptors that it may open.
 pub fn node_config(
     executor: SocketAddr,
     backend: SocketAddr,
@@ -112,8 +113,8 @@
         node
     }
 
-    /// Starts a node with an executor, and waits until it is ready; gives the node, the executor's
-    /// listener, and the link.
+    /// Starts a node with an executor and waits until the node is ready. Returns the node, the
+    /// executor's listener, and the link.
     pub fn with_executor(program: Program) -> (Node, TcpListener, LineConnection) {
         let executor = listen();
         let node = Node::start(
@@ -129,26 +130,26 @@
         (node, executor, link)
     }
 
-    /// Waits for a log line that contains `what`; gives the rest of that line.
-    pub fn wait_for_log(&mut self, what: &str) -> String {
+    /// Waits for a log line that contains `text`, and returns the rest of that line.
+    pub fn wait_for_log(&mut self, text: &str) -> String {
         loop {
             match self.log.recv_timeout(WAIT_TIMEOUT) {
                 Ok(line) => {
-                    if let Some((_, rest)) = line.split_once(what) {
+                    if let Some((_, rest)) = line.split_once(text) {
                         return rest.to_owned();
                     }
                 }
-                Err(e) => panic!("{what:?} was not logged: {e}"),
+                Err(e) => panic!("{text:?} was not logged: {e}"),
             }
         }
     }
 
-    /// Connects a load balancer.
+    /// Connects a load balancer to the node.
     pub fn connect(&self) -> LoadBalancer {
         LoadBalancer::connect(self.listen)
     }
 
-    /// Sends a signal, named as `kill` takes it, such as `-HUP`.
+    /// Sends a signal; `name` is an argument of the command `kill`, such as `-HUP`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(
@@ -160,18 +161,18 @@
         );
     }
 
-    /// Sends SIGTERM.
+    /// Sends SIGTERM, which drains and stops the node.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Has the node read another configuration, by SIGHUP.
+    /// Replaces the configuration file and has the node read it, by SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(&self.path, text).unwrap();
         self.signal("-HUP");
     }
 
-    /// Waits for the process to end.
+    /// Waits for the process to end and returns its exit status.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
--- a/crates/test-harness/src/wire.rs
+++ b/crates/test-harness/src/wire.rs
@@ -1,11 +1,11 @@
-//! Settings of a small node, FastCGI as a load balancer speaks it, and ways to split and damage bytes
-//! for decoder tests.
+//! Settings of a small node, the load balancer's side of FastCGI, and functions that split and
+//! damage bytes for decoder tests.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// Settings of a small node: a read-like, a keyed and a non-idempotent operation, each with one
-/// backend call.
+/// Settings of a small node with three operations: read-like, keyed and non-idempotent. Each makes
+/// one backend call.
 pub const SETTINGS: &str = r#"{"Ceilings": {"RetryAfter": false, "MaxRetryAfter": 0.0},
     "Extra": {"Advert": "weight", "Below": "tier", "Cores": 1, "Cold": false, "Halt": "discard",
     "Gauges": ["cpu_busy", "mem_used"], "MemLimitKb": 90000.0, "RunFactor": 4.0, "Idle": 15.0, "Fresh": 0.0,
@@ -29,19 +29,19 @@
 /// FastCGI record type GET_VALUES.
 pub const GET_VALUES: u8 = 9;
 
-/// One FastCGI record with `padding` bytes after its content.
+/// Returns a FastCGI record with `padding` bytes after its content.
 pub fn record(kind: u8, id: u16, content: &[u8], padding: u8) -> Vec<u8> {
     let ([i1, i0], [l1, l0]) = (id.to_be_bytes(), (content.len() as u16).to_be_bytes());
     let pad = vec![0xee; usize::from(padding)];
     [&[1, kind, i1, i0, l1, l0, padding, 0], content, &pad].concat()
 }
 
-/// A BEGIN_REQUEST record.
+/// Returns a BEGIN_REQUEST record.
 pub fn begin(id: u16, role: u8, keep_conn: bool) -> Vec<u8> {
     record(BEGIN, id, &[0, role, u8::from(keep_conn), 0, 0, 0, 0, 0], 0)
 }
 
-/// Encoded name-value pairs; values of 128 bytes and more get the four-byte length.
+/// Returns encoded name-value pairs; values of 128 bytes or more get a four-byte length.
 pub fn pairs(pairs: &[(&str, &str)]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for (name, value) in pairs {
@@ -56,7 +56,7 @@
     bytes
 }
 
-/// A whole request, with parameters and body in one record each.
+/// Returns all records of a request, with parameters and body in one record each.
 pub fn request(id: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let params = [
         record(PARAMS, id, &pairs(params), 3),
@@ -71,7 +71,7 @@
     [begin(id, 1, true), params, stdin, record(STDIN, id, &[], 0)].concat()
 }
 
-/// The parameters of a request that arrived `arrived_ms` after the epoch.
+/// Returns the parameters of a request that arrived at the Unix time `arrived_ms`, in milliseconds.
 pub fn call_params<'a>(
     path: &'a str,
     request_id: &'a str,
@@ -89,23 +89,23 @@
     ]
 }
 
-/// An answer as a load balancer reads it.
+/// An answer that a load balancer has read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
     /// The FastCGI request id.
     pub id: u16,
-    /// The field `Status`.
+    /// Value of the header field `Status`.
     pub status: String,
     /// All other header fields.
     pub fields: BTreeMap<String, String>,
-    /// The body.
+    /// The answer's body.
     pub body: Vec<u8>,
     /// The protocol status of END_REQUEST.
     pub protocol_status: u8,
 }
 
-/// Takes the whole records from the front of the bytes, and gives the answers that END_REQUEST
-/// completes; parts of others stay in `open`.
+/// Removes all complete records from the front of `bytes`, and returns the answers that END_REQUEST
+/// completes. Parts of incomplete answers are kept in `open`, by FastCGI request id.
 pub fn answers(bytes: &mut Vec<u8>, open: &mut BTreeMap<u16, Vec<u8>>) -> Vec<Answer> {
     let mut done = Vec::new();
     while bytes.len() >= 8 {
@@ -147,12 +147,12 @@
     }
 }
 
-/// Checks that a decoder gives the same however the bytes are split: in two at any index, and byte
-/// by byte.
+/// Checks that a decoder returns the same result if the bytes are split in two at any index, or
+/// into single bytes.
 ///
 /// # Panics
 ///
-/// It does not.
+/// Panics if the results differ.
 pub fn same_at_every_split<T: PartialEq + Debug>(bytes: &[u8], read: impl Fn(&[&[u8]]) -> T) {
     let whole = read(&[bytes]);
     for index in 0..=bytes.len() {
@@ -166,9 +166,9 @@
     );
 }
 
-/// A thousand damaged copies of the bytes, the same in every run.
+/// Returns a thousand damaged copies of the bytes, the same ones in every run.
 pub fn damaged(bytes: &[u8]) -> impl Iterator<Item = Vec<u8>> {
-    let mut state = 11u64; // of a linear congruential generator
+    let mut state = 11u64; // state of a linear congruential generator
     (0..1000).map(move |_| {
         let mut bytes = bytes.to_vec();
         for _ in 0..3 {
